--- a/internal/fault/fault.go
+++ b/internal/fault/fault.go
@@ -1,5 +1,5 @@
 // Package fault plants in a copy what the lab cannot do to it from outside: a wall clock that is stepped, a disk that
-// is slow, a sync that fails while the write was kept or lost.
+// is slow, a sync that fails while the write was kept or lost, a system call that fails.
 //
 // A copy is given the file of its faults by a configuration key that is the lab's alone; without it there is no Plan,
 // and a nil Plan plants nothing and costs one comparison. The file may be replaced at any time; what it says holds from
@@ -15,9 +15,11 @@
 	"os"
 	"path/filepath"
 	"sync"
+	"syscall"
 	"time"
 
 	"github.com/pelletier/go-toml/v2"
+	"golang.org/x/sys/unix"
 
 	"marblelane/internal/tomlfile"
 )
@@ -37,11 +39,19 @@
 	Clock tomlfile.Duration `toml:"clock"` // by which the wall clock is off, either way
 	Disk  tomlfile.Duration `toml:"disk"`  // by which each write is later
 	Sync  string            `toml:"sync"`  // SyncKept, SyncLost, SyncUnheard; empty: it does not fail
+	// Calls are the system calls that fail, each with the name of its errno: accept = "ENOBUFS".
+	Calls map[string]string `toml:"calls"`
 }
 
+// The system calls that a copy asks for by name. Not each program asks for all of them.
+const (
+	CallAccept = "accept"
+	CallOpen   = "open"
+)
+
 // NewSet makes what a file says.
 func NewSet(clock, disk time.Duration, sync string) Set {
-	return Set{tomlfile.Duration(clock), tomlfile.Duration(disk), sync}
+	return Set{Clock: tomlfile.Duration(clock), Disk: tomlfile.Duration(disk), Sync: sync}
 }
 
 // Write puts the set in a file's place, whole.
@@ -111,6 +121,11 @@
 	default:
 		return p.set, fmt.Errorf("faults %s: sync: %q is none of %s, %s, %s", p.path, fresh.Sync, SyncKept, SyncLost, SyncUnheard)
 	}
+	for call, name := range fresh.Calls {
+		if _, ok := Errno(name); !ok {
+			return p.set, fmt.Errorf("faults %s: calls.%s: %q is no errno", p.path, call, name)
+		}
+	}
 	p.seen, p.set = info, fresh
 	return fresh, nil
 }
@@ -141,3 +156,27 @@
 	}
 	return false, do(nil)
 }
+
+// highestErrno is above the number of each errno of Linux (errno(3)).
+const highestErrno = 134
+
+// Errno is the error number of a name such as "ENOBUFS"; ok is false where the system has none of that name.
+func Errno(name string) (errno syscall.Errno, ok bool) {
+	for errno = 1; errno < highestErrno; errno++ {
+		if unix.ErrnoName(errno) == name {
+			return errno, true
+		}
+	}
+	return 0, false
+}
+
+// Call is the planted failure of a system call, which is not made then; nil: it is made. The error is an
+// *os.SyscallError, as package net and package os give it.
+func (p *Plan) Call(name string) error {
+	planted, ok := p.now().Calls[name]
+	if !ok {
+		return nil
+	}
+	errno, _ := Errno(planted) // checked as the file was read
+	return os.NewSyscallError(name, errno)
+}
--- a/internal/fault/fault_test.go
+++ b/internal/fault/fault_test.go
@@ -5,6 +5,7 @@
 	"os"
 	"path/filepath"
 	"strings"
+	"syscall"
 	"testing"
 	"time"
 )
@@ -48,7 +49,8 @@
 			t.Errorf("%+v: the clock is off by %v", c.set, off+c.clock)
 		}
 	}
-	for text, want := range map[string]string{"clock = 3": "clock", "sync = \"sometimes\"": "sync", "disc = \"1s\"": "faults"} {
+	for text, want := range map[string]string{"clock = 3": "clock", "sync = \"sometimes\"": "sync", "disc = \"1s\"": "faults",
+		"[calls]\naccept = \"EMOOD\"": "calls.accept"} {
 		if err := os.WriteFile(path, []byte(text), 0o644); err != nil {
 			t.Fatal(err)
 		}
@@ -57,3 +59,24 @@
 		}
 	}
 }
+
+func TestPlannedCallFails(t *testing.T) {
+	path := filepath.Join(t.TempDir(), "faults.toml")
+	p, err := Open(path)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if err := p.Call(CallAccept); err != nil {
+		t.Errorf("nothing is planted: %v", err)
+	}
+	if err := (Set{Calls: map[string]string{CallAccept: "ENOBUFS"}}).Write(path); err != nil {
+		t.Fatal(err)
+	}
+	var call *os.SyscallError
+	if err := p.Call(CallAccept); !errors.Is(err, syscall.ENOBUFS) || !errors.As(err, &call) {
+		t.Errorf("accept: %v", err)
+	}
+	if err := p.Call(CallOpen); err != nil {
+		t.Errorf("open: %v", err)
+	}
+}
--- a/internal/lab/faults.go
+++ b/internal/lab/faults.go
@@ -9,12 +9,14 @@
 	"syscall"
 	"time"
 
+	"marblelane/internal/fault"
 	"marblelane/internal/lab/agent"
 	"marblelane/internal/lab/invariant"
 	"marblelane/internal/lab/record"
 	"marblelane/internal/lab/relay"
 	"marblelane/internal/lab/scenario"
 	"marblelane/internal/lab/stock"
+	"marblelane/internal/tomlfile"
 )
 
 // step is one thing to do at its time.
@@ -315,6 +317,13 @@
 			return nil
 		})
 	}
+	inside := func(change func(*fault.Set, bool)) []step {
+		return pair(func(on bool) error {
+			return r.each(p.Sidecars, func(i int) error {
+				return r.sidecars[i].plantInside(func(set *fault.Set) { change(set, on) })
+			})
+		})
+	}
 	if lie, ok := map[string]string{"list-empty": agent.LieEmpty, "list-half": agent.LieHalf, "list-stuck": agent.LieStuck,
 		"list-freeze": agent.LieFrozen, "list-big": agent.LieBig}[f.Kind]; ok {
 		return list(func(b *agent.Behaviour, on bool) {
@@ -357,6 +366,21 @@
 		return once(func(context.Context) error { return r.moveDiscovery() })
 	case "sidecar-freeze":
 		return pair(func(on bool) error { return r.each(p.Sidecars, func(i int) error { return r.sidecars[i].freeze(on) }) })
+	case "sidecar-clock":
+		return inside(func(set *fault.Set, on bool) {
+			if set.Clock = 0; on {
+				set.Clock = tomlfile.Duration(f.Size * float64(time.Second))
+			}
+		})
+	case "sidecar-call":
+		return inside(func(set *fault.Set, on bool) {
+			if delete(set.Calls, f.Call); on {
+				if set.Calls == nil {
+					set.Calls = map[string]string{}
+				}
+				set.Calls[f.Call] = f.Errno
+			}
+		})
 	case "sidecar-kill":
 		steps := pair(func(bool) error { return nil })
 		steps[0].do = func(context.Context) error {
--- a/internal/lab/lab.go
+++ b/internal/lab/lab.go
@@ -25,6 +25,7 @@
 	"syscall"
 	"time"
 
+	"marblelane/internal/fault"
 	"marblelane/internal/lab/agent"
 	"marblelane/internal/lab/client"
 	"marblelane/internal/lab/copies"
@@ -583,6 +584,7 @@
 	manages int
 
 	closed  atomic.Bool            // clients open no new connections
+	planted fault.Set              // what its file of faults says; under mu
 	stalls  atomic.Int64           // a planted defect of its start: it does nothing for so long (ns)
 	endsBad atomic.Pointer[string] // a planted defect of its end; empty or nil: none
 }
@@ -779,6 +781,9 @@
 			config["members"] = section
 		}
 	}
+	if r.s.PlantsInSidecars() {
+		config["faults"] = s.faultsFile()
+	}
 	if n := &r.s.Network; len(n.Regions) > 0 {
 		config["regions"], config["region_cost"] = n.RegionNames(), n.FarCost
 	}
@@ -795,6 +800,17 @@
 	return nil
 }
 
+// faultsFile is the file of what is planted inside the process.
+func (s *sidecar) faultsFile() string { return filepath.Join(s.dir, "faults.toml") }
+
+// plantInside changes what is planted inside the process, and leaves what other faults planted there.
+func (s *sidecar) plantInside(change func(*fault.Set)) error {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	change(&s.planted)
+	return s.planted.Write(s.faultsFile())
+}
+
 // current is the newest process.
 func (s *sidecar) current() *copies.Copy {
 	s.mu.Lock()
--- a/internal/lab/scenario/scenario.go
+++ b/internal/lab/scenario/scenario.go
@@ -11,6 +11,7 @@
 	"strings"
 	"time"
 
+	"marblelane/internal/fault"
 	"marblelane/internal/tomlfile"
 )
 
@@ -213,6 +214,8 @@
 	Silent   bool     `toml:"silent"`  // idle connections are forgotten in place of closed: what is written to them is reset
 	Stay     bool     `toml:"stay"`    // servers that drain stay up, and serve what comes
 	Classes  []string `toml:"classes"` // of requests that a fail or slow concerns; empty: all
+	Call     string   `toml:"call"`    // the system call that fails: fault.CallAccept and its like
+	Errno    string   `toml:"errno"`   // ... and how, by the name of its errno
 	Zone     string   `toml:"zone"`    // of the servers only those of this zone; empty: of all
 }
 
@@ -288,6 +291,8 @@
 		"sidecar-term":    {sidecars: true, turns: true},
 		"sidecar-freeze":  {sidecars: true, lasts: true},
 		"sidecar-upgrade": {sidecars: true},
+		"sidecar-clock":   {sidecars: true, lasts: true, sized: true, size: [2]float64{-1e6, 1e6}},
+		"sidecar-call":    {sidecars: true, lasts: true},
 		"list-late":       {sidecars: true, lasts: true, sized: true, size: [2]float64{0, 600}},
 		"list-silent":     {sidecars: true, lasts: true},
 		"list-hush":       {sidecars: true},
@@ -687,6 +692,14 @@
 		return bad(key+".classes", "names what is no class")
 	case f.Zone != "" && (!form.servers || !slices.Contains(s.Network.Zones, f.Zone)):
 		return bad(key+".zone", "%q is no zone, or a %s concerns no servers", f.Zone, f.Kind)
+	case (f.Kind == "sidecar-call") != (f.Call != ""):
+		return bad(key+".call", "names the system call of a sidecar-call, and is for nothing else")
+	case f.Call != "" && f.Call != fault.CallAccept && f.Call != fault.CallOpen:
+		return bad(key+".call", "%q is neither %s nor %s", f.Call, fault.CallAccept, fault.CallOpen)
+	case (f.Call != "") != (f.Errno != ""):
+		return bad(key+".errno", "names how the system call of a sidecar-call fails, and is for nothing else")
+	case f.Errno != "" && !isErrno(f.Errno):
+		return bad(key+".errno", "%q is no errno", f.Errno)
 	case f.Stay && f.Kind != "drain":
 		return bad(key+".stay", "is set, but only servers that drain can stay")
 	case !form.servers && f.Servers != "":
@@ -738,6 +751,16 @@
 	return nil
 }
 
+// PlantsInSidecars tells whether some fault is planted inside sidecars, by a file that they read.
+func (s *Scenario) PlantsInSidecars() bool {
+	return slices.ContainsFunc(s.Faults, func(f Fault) bool { return f.Kind == "sidecar-clock" || f.Kind == "sidecar-call" })
+}
+
+func isErrno(name string) bool {
+	_, ok := fault.Errno(name)
+	return ok
+}
+
 func isCut(kind string) bool { return kind == "cut" || kind == "copy-cut" || kind == "members-cut" }
 
 func slows(kind string) bool { return kind == "latency" || kind == "members-slow" }
--- a/internal/sidecar/config.go
+++ b/internal/sidecar/config.go
@@ -17,6 +17,7 @@
 	"time"
 
 	"marblelane/balance"
+	"marblelane/internal/fault"
 	"marblelane/internal/wire"
 )
 
@@ -46,6 +47,7 @@
 	tempDir     string         // shared with the processes before and after this one; empty: none
 	routes      *routesConfig  // nil: off
 	members     *membersConfig // nil: off
+	faults      *fault.Plan    // the lab's; nil: none
 }
 
 // defaultSockets holds where the configuration sets no limit.
@@ -90,6 +92,7 @@
 	RegionCost float64             `json:"region_cost"`
 	Routes     json.RawMessage     `json:"routes"`  // see routesFile
 	Members    json.RawMessage     `json:"members"` // see membership.Section
+	Faults     string              `json:"faults"`  // the lab's file of faults; empty: none
 	Settings   json.RawMessage     `json:"settings"`
 }
 
@@ -263,6 +266,9 @@
 	if cfg.members, err = f.members(zone, settings.Peers); err != nil {
 		return nil, err
 	}
+	if cfg.faults, err = fault.Open(f.Faults); err != nil {
+		return nil, err
+	}
 	return cfg, nil
 }
 
