--- a/cmd/cicheck/main.go
+++ b/cmd/cicheck/main.go
@@ -1,5 +1,5 @@
 // Command cicheck runs a test command and passes over the failures of the tests that a list names, and over nothing
-// else; the package knownred has the rules. It ends with 0 if nothing else failed, with 1 if something did, and with 2
+// else; the package knownfailures has the rules. It ends with 0 if nothing else failed, with 1 if something did, and with 2
 // if the list or the command is wrong.
 //
 //	cicheck KNOWN-RED.txt go test -race ./...
@@ -13,7 +13,7 @@
 	"os/signal"
 	"syscall"
 
-	"marblelane/internal/knownred"
+	"marblelane/internal/knownfailures"
 )
 
 // Exit statuses.
@@ -34,12 +34,12 @@
 		fmt.Fprintln(errOut, "usage: cicheck LIST go test [flags] packages")
 		return statusUsage
 	}
-	list, err := knownred.ReadList(args[0])
+	list, err := knownfailures.ReadList(args[0])
 	if err != nil {
 		fmt.Fprintln(errOut, err)
 		return statusUsage
 	}
-	runner := &knownred.Runner{List: list, Out: out, ErrOut: errOut}
+	runner := &knownfailures.Runner{List: list, Out: out, ErrOut: errOut}
 	if err := runner.Run(ctx, args[1:]); err != nil {
 		fmt.Fprintln(errOut, err)
 		return statusFailed
--- a/internal/knownred/judge.go
+++ b/internal/knownfailures/judge.go
@@ -1,4 +1,4 @@
-package knownred
+package knownfailures
 
 import (
 	"bufio"
--- a/internal/knownred/list.go
+++ b/internal/knownfailures/list.go
@@ -1,4 +1,4 @@
-// Package knownred runs a `go test` command and passes over the failures of the tests that a list names, and over
+// Package knownfailures runs a `go test` command and passes over the failures of the tests that a list names, and over
 // nothing else.
 //
 // The list, KNOWN-RED.txt, has one line for each test: its import path and name, the cause, and the issue. A listed test
@@ -6,7 +6,7 @@
 // package that does not build, a panic, a time limit, a data race, or a check after the tests of a package, such as one
 // for leaked goroutines. Because such a check is often left out once a test has failed, each package whose failure is
 // passed over is run again without its listed tests, and has to pass.
-package knownred
+package knownfailures
 
 import (
 	"bufio"
