--- a/internal/lab/routescale.go
+++ b/internal/lab/routescale.go
@@ -579,7 +579,7 @@
 func RouteModel(sidecars int) (*plays.Result, error) {
 	o := plays.Defaults()
 	o.Sidecars, o.Budget, o.Canary = sidecars, scaleBudget, scaleFails
-	o.Desk.Alpha = 1e-100 // the budget decides, as it does in the fleets that are measured: they have no base
+	o.Controller.Alpha = 1e-100 // the budget decides, as it does in the fleets that are measured: they have no base
 	r, err := plays.Play(o)
 	if err != nil {
 		return nil, fmt.Errorf("%d simulated sidecars: %w", sidecars, err)
--- a/internal/registry/members.go
+++ b/internal/registry/members.go
@@ -9,10 +9,10 @@
 
 	"github.com/prometheus/client_golang/prometheus"
 
-	"marblelane/internal/lasting"
 	"marblelane/internal/membership"
 	"marblelane/internal/membership/collect"
 	"marblelane/internal/membership/reach"
+	"marblelane/internal/streamlimit"
 )
 
 // This file is a copy's side of membership, see docs/membership.md. It tells operators which copies are there; raft
@@ -53,14 +53,14 @@
 type members struct {
 	cfg      membership.Config
 	group    atomic.Pointer[membership.Group] // nil: not bound yet, or closed
-	watchers lasting.Answers
+	watchers streamlimit.Limiter
 }
 
 func newMembers(cfg *membership.Config, o Options) *members {
 	if cfg == nil {
 		return nil
 	}
-	m := &members{cfg: *cfg, watchers: lasting.Answers{Most: memberWatchers, Each: writeWait}}
+	m := &members{cfg: *cfg, watchers: streamlimit.Limiter{MaxOpen: memberWatchers, WriteTimeout: writeWait}}
 	m.cfg.Log = o.Log
 	return m
 }
--- a/internal/registry/routes.go
+++ b/internal/registry/routes.go
@@ -659,7 +659,7 @@
 			v.Rollouts = append(v.Rollouts, RolloutView{Name: one.Spec.Name, To: one.Spec.To, Phase: one.Phase, Step: one.Step,
 				Steps: len(one.Spec.Steps), Share: share[one.Spec.Name], Rev: one.Rev, SinceMS: one.SinceMS, Why: one.Why,
 				Budget: one.Spec.Budget, Granted: g, Spent: spent, Returned: back, Left: one.Spec.Budget - (g - back),
-				Evidence: min(l.desk.Evidence(tenant, one.Spec.Name), math.MaxFloat64), Note: one.Spec.Note})
+				Evidence: min(l.controller.Evidence(tenant, one.Spec.Name), math.MaxFloat64), Note: one.Spec.Note})
 		}
 	})
 	return v
@@ -672,16 +672,16 @@
 		return
 	}
 	tell(w, struct {
-		Leader    string         `json:"leader"`
-		Processes []rollout.Seen `json:"processes"`
+		Leader    string                  `json:"leader"`
+		Processes []rollout.ProcessStatus `json:"processes"`
 	}{l.id, r.heard(l)})
 }
 
-// heard is what the desk knows of processes.
-func (r *routing) heard(l *leadership) []rollout.Seen {
+// heard is what the controller knows of processes.
+func (r *routing) heard(l *leadership) []rollout.ProcessStatus {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.desk.Processes(l.floor(time.Now()))
+	return l.controller.Processes(l.floor(time.Now()))
 }
 
 // who answers GET /routes/audit: who acted on a revision within a time.
--- a/internal/registry/routes_defects.go
+++ b/internal/registry/routes_defects.go
@@ -35,7 +35,7 @@
 	return out
 }
 
-// began is when a new leader's desk takes its lead to have begun.
+// began is when a new leader's controller takes its lead to have begun.
 func (d defect) began(nowMS int64) int64 {
 	if d == noWait {
 		return nowMS - 1<<40
--- a/internal/registry/routes_lead.go
+++ b/internal/registry/routes_lead.go
@@ -32,19 +32,19 @@
 // leadership is what a leader of routes has in memory: one for each time that a copy begins to lead. Its clock counts ms
 // from then. Its locks are taken in the order in which they stand here, and before the state's.
 type leadership struct {
-	order  sync.Mutex // held over decisions and their commits, one after the other; guards lowers and unkept
-	mu     sync.Mutex // held while memory is used, never over a commit
-	term   uint64
-	id     string    // its name, its term and when it began, as answers are stamped
-	began  time.Time // monotonic
-	wallMS int64     // wall clock at began
-	opens  time.Time // before it nothing is decided: a longer term than this leader's may be out
-	lowers bool      // at opens this leader's term becomes the longest that may be out
-	termMS int64
-	o      rollout.Options
-	desk   *rollout.Desk
-	book   *audit.Book
-	limits map[string]*rate.Limiter // of tenants' changes
+	order      sync.Mutex // held over decisions and their commits, one after the other; guards lowers and unkept
+	mu         sync.Mutex // held while memory is used, never over a commit
+	term       uint64
+	id         string    // its name, its term and when it began, as answers are stamped
+	began      time.Time // monotonic
+	wallMS     int64     // wall clock at began
+	opens      time.Time // before it nothing is decided: a longer term than this leader's may be out
+	lowers     bool      // at opens this leader's term becomes the longest that may be out
+	termMS     int64
+	o          rollout.Options
+	controller *rollout.Controller
+	book       *audit.Book
+	limits     map[string]*rate.Limiter // of tenants' changes
 
 	pending   []audit.Transition
 	news      map[string]Seen // processes that have to be remembered, by name
@@ -173,7 +173,7 @@
 		o: o.options(), limits: map[string]*rate.Limiter{}, news: map[string]Seen{}, heard: map[string]Seen{},
 		refreshed: at, flushed: at, forgot: at, opens: at}
 	l.o.Leader, l.termMS = l.id, l.o.Term
-	l.desk = rollout.NewDesk(l.o, r.planted.began(l.floor(at)))
+	l.controller = rollout.NewController(l.o, r.planted.began(l.floor(at)))
 	l.book = audit.NewBook(audit.BookOptions{Lists: leastLists}, l.id, l.floor(at))
 	return l
 }
@@ -197,7 +197,7 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	at := l.floor(now)
-	heard, named := l.desk.Processes(at), map[string]int64{}
+	heard, named := l.controller.Processes(at), map[string]int64{}
 	for _, p := range heard {
 		named[p.Name] = max(named[p.Name], p.Start)
 	}
@@ -219,7 +219,7 @@
 }
 
 // changed takes in what processes may do from now on, and gives the transitions of it. l.mu is held.
-func (l *leadership) changed(all []rollout.Standing, now time.Time) []audit.Transition {
+func (l *leadership) changed(all []rollout.AccessChange, now time.Time) []audit.Transition {
 	var out []audit.Transition
 	for _, s := range all {
 		kind := audit.Back
@@ -267,7 +267,7 @@
 		var answer route.Answer
 		now := time.Now()
 		r.s.hub.read(func(s *State) {
-			answer = l.desk.Report(l.ceil(now), s.routes, a.what)
+			answer = l.controller.Report(l.ceil(now), s.routes, a.what)
 			l.hear(s, a.what, l.wall(now))
 			l.tell(s, l.book.Report(l.ceil(now), l.wall(now), a.what))
 		})
@@ -369,7 +369,7 @@
 		}
 		for _, a := range all {
 			r.planted.asked(a.what)
-			entries = append(entries, l.desk.Settle(l.floor(time.Now()), s, a.what)...)
+			entries = append(entries, l.controller.Settle(l.floor(time.Now()), s, a.what)...)
 		}
 	})
 	l.mu.Unlock()
@@ -395,7 +395,7 @@
 			return
 		}
 		for i, a := range all {
-			answers[i] = l.desk.Grants(s, a.what)
+			answers[i] = l.controller.Grants(s, a.what)
 			for k, g := range answers[i].Purses {
 				answers[i].Purses[k].Tenant = outside(g.Tenant)
 			}
@@ -404,7 +404,7 @@
 	return answers, err
 }
 
-// decide lets the desk decide, and carries it out.
+// decide lets the controller decide, and carries it out.
 func (r *routing) decide(l *leadership) {
 	l.order.Lock()
 	defer l.order.Unlock()
@@ -424,7 +424,7 @@
 	}
 }
 
-// tick gives the desk's decisions. From the decision that a revision is closed on the desk permits nobody to act on it,
+// tick gives the controller's decisions. From the decision that a revision is closed on the controller permits nobody to act on it,
 // so that reports need not wait for its commit.
 func (r *routing) tick(l *leadership) []rollout.Command {
 	l.mu.Lock()
@@ -432,14 +432,14 @@
 	now := time.Now()
 	var commands []rollout.Command
 	r.s.hub.read(func(s *State) {
-		var standings []rollout.Standing
-		commands, standings = l.desk.Tick(l.floor(now), s.routes, s.ready)
+		var standings []rollout.AccessChange
+		commands, standings = l.controller.Tick(l.floor(now), s.routes, s.ready)
 		l.tell(s, l.changed(standings, now))
 	})
 	return commands
 }
 
-// carryOut carries out a decision of the desk. It tells whether this copy still leads.
+// carryOut carries out a decision of the controller. It tells whether this copy still leads.
 func (r *routing) carryOut(l *leadership, c *rollout.Command) bool {
 	c.AtMS = l.wall(time.Now())
 	_, err := r.change(l, c)
--- a/internal/rollout/clone.go
+++ b/internal/rollout/clone.go
@@ -6,7 +6,8 @@
 	"slices"
 )
 
-// This file copies states and desks and writes down what they go by, for who tries something on a copy, or tells the
+// This file copies states and controllers and writes down what they go by, for who tries something on a copy, or
+// tells the
 // states of an exploration apart (package model).
 
 // Clone copies a state, so that what is done to one does nothing to the other.
@@ -33,15 +34,15 @@
 	return &out
 }
 
-// Clone copies a desk.
-func (d *Desk) Clone() *Desk {
+// Clone copies a controller.
+func (d *Controller) Clone() *Controller {
 	out := *d
-	out.procs, out.newest, out.runs = maps.Clone(d.procs), maps.Clone(d.newest), maps.Clone(d.runs)
-	out.moves, out.standing = slices.Clone(d.moves), slices.Clone(d.standing)
-	for key, p := range out.procs {
+	out.processes, out.newest, out.runs = maps.Clone(d.processes), maps.Clone(d.newest), maps.Clone(d.runs)
+	out.moves, out.changes = slices.Clone(d.moves), slices.Clone(d.changes)
+	for key, p := range out.processes {
 		c := *p
 		c.counts = maps.Clone(p.counts)
-		out.procs[key] = &c
+		out.processes[key] = &c
 	}
 	for name, w := range out.runs {
 		c := *w
@@ -55,15 +56,15 @@
 	return &out
 }
 
-// AppendKey writes down what a desk goes by when it closes.
-func (d *Desk) AppendKey(b []byte, now int64) []byte {
-	return ints(b, max(d.began+d.o.lengthened(), now), d.closing)
+// AppendKey writes down what a controller goes by when it closes.
+func (d *Controller) AppendKey(b []byte, now int64) []byte {
+	return ints(b, max(d.startedAt+d.o.lengthened(), now), d.closing)
 }
 
-// AppendPermit writes down what a desk goes by for one process's permission: of one that is over only that it is, and
-// numbers of reports by their order.
-func (d *Desk) AppendPermit(b []byte, key string, now int64, seqs ...int64) []byte {
-	p := d.procs[key]
+// AppendPermit writes down what a controller goes by for one process's permission: of one that is over only that it is,
+// and numbers of reports by their order.
+func (d *Controller) AppendPermit(b []byte, key string, now int64, seqs ...int64) []byte {
+	p := d.processes[key]
 	if p == nil {
 		return append(b, 0)
 	}
@@ -77,8 +78,8 @@
 	return b
 }
 
-// AppendNeed writes down what a desk goes by for one process's units.
-func (d *Desk) AppendNeed(b []byte, tenant, key string) []byte {
+// AppendNeed writes down what a controller goes by for one process's units.
+func (d *Controller) AppendNeed(b []byte, tenant, key string) []byte {
 	if w := d.runs[tenant]; w != nil && w.asks[key] != nil {
 		n := w.asks[key]
 		return ints(b, n.asked, n.got, w.ahead(n), flag(n.number != 0))
--- a/internal/rollout/desk.go
+++ b/internal/rollout/controller.go
@@ -2,7 +2,6 @@
 
 import (
 	"fmt"
-	"maps"
 	"math"
 	"slices"
 	"strings"
@@ -10,7 +9,7 @@
 	"marblelane/internal/route"
 )
 
-// Bounds of what a desk remembers and reads.
+// Bounds of what a controller remembers and reads.
 const (
 	MaxProcesses = 5000 // heard within Remember, or with permission; one more gets none
 	MaxCounts    = 4096 // of one report, beyond which they are not read
@@ -19,7 +18,7 @@
 	maxEntries   = 1000 // of one ledger command
 )
 
-// Why a desk pauses a rollout. What it paused for another reason, or somebody else did, it does not resume.
+// Why a controller pauses a rollout. What it paused for another reason, or somebody else did, it does not resume.
 const (
 	WhyEmpty  = "the canary has no ready server"
 	WhyBehind = "too many processes are behind"
@@ -28,7 +27,7 @@
 // WhyWorse is the reason of a rollback by the sequential test.
 const WhyWorse = "the canary is clearly worse than the base at the same time"
 
-// Options are a desk's settings. Times are milliseconds.
+// Options are a controller's settings. Times are milliseconds.
 type Options struct {
 	Leader      string  // its name and the number of its start, for stamps
 	Term        int64   // of a permission
@@ -52,31 +51,31 @@
 // lengthened is how long after a grant its term is over on every clock.
 func (o *Options) lengthened() int64 { return int64(math.Ceil(float64(o.Term) * (1 + o.Margin))) }
 
-// Desk is what a leader remembers of processes and rollouts, and what it decides from it. It begins empty with each
-// leader; times are milliseconds on that leader's monotonic clock. One that is passed in below an earlier one counts as
+// Controller is what a leader remembers of processes and rollouts, and what it decides from it. It begins empty with
+// each leader; times are milliseconds on that leader's monotonic clock. One that is passed in below an earlier one counts as
 // the earlier one.
-type Desk struct {
-	o          Options
-	began, now int64
-	procs      map[string]*proc // by Key
-	newest     map[string]int64 // start by name
-	moves      []moved          // of the table, oldest first
-	runs       map[string]*watched
-	standing   []Standing // since the last Tick
-	closing    int64      // the newest revision that was ever said to be closed from here
-	fault      bool       // of the service: too many are behind
-	faultKnown bool       // at this time and revision
-}
-
-// proc is one process as it was last heard.
-type proc struct {
-	Seen
+type Controller struct {
+	o              Options
+	startedAt, now int64
+	processes      map[string]*processState // by Key
+	newest         map[string]int64         // start by name
+	moves          []moved                  // of the table, oldest first
+	runs           map[string]*rolloutProgress
+	changes        []AccessChange // since the last Tick
+	closing        int64          // the newest revision that was ever said to be closed from here
+	fault          bool           // of the service: too many are behind
+	faultKnown     bool           // at this time and revision
+}
+
+// processState is one process as it was last heard.
+type processState struct {
+	ProcessStatus
 	seq    int64
-	counts map[tallyKey]tally // newest totals, of tenants with a rollout under way
+	counts map[countKey]outcomeCounts // newest totals, of tenants with a rollout under way
 }
 
-// Seen is what operators are told of a process. Times are milliseconds on the leader's clock.
-type Seen struct {
+// ProcessStatus is what operators are told of a process. Times are milliseconds on the leader's clock.
+type ProcessStatus struct {
 	route.Process
 	Heard   int64  `json:"heard_ms"`     // its newest report
 	Until   int64  `json:"permitted_ms"` // its permission may last until then
@@ -90,56 +89,56 @@
 	Gone    bool   `json:"gone"`
 }
 
-// Standing is a change of what a process may do, for the audit. Rev is what it acted on by its newest report.
-type Standing struct {
+// AccessChange is a change of what a process may do, for the audit. Rev is what it acted on by its newest report.
+type AccessChange struct {
 	route.Process
 	ShutOut, Back, Gone bool
 	Rev                 int64
 }
 
-// moved is when this desk first saw a revision.
+// moved is when this controller first saw a revision.
 type moved struct{ rev, at int64 }
 
-type tallyKey struct {
+type countKey struct {
 	tenant string
 	rev    int64
 	canary bool
 }
 
-type tally struct{ ended, failed int64 }
+type outcomeCounts struct{ ended, failed int64 }
 
-// watched is what a desk gathers of a rollout under way.
-type watched struct {
+// rolloutProgress is what a controller gathers of a rollout under way.
+type rolloutProgress struct {
 	name        string
 	late        bool
 	posted, rev int64
-	since       int64 // when this desk saw rev first
+	since       int64 // when this controller saw rev first
 	ended       int64 // canary attempts under rev or a later one
 	evidence    float64
-	most        float64          // that evidence ever was; both are logarithms
-	asks        map[string]*need // by process, that asked for units of late
-	queue       []int64          // numbers of those that lack units, growing
-	numbers     int64            // given out
+	most        float64                // that evidence ever was; both are logarithms
+	asks        map[string]*unitDemand // by process, that asked for units of late
+	queue       []int64                // numbers of those that lack units, growing
+	numbers     int64                  // given out
 }
 
-// need is one process's want of units.
-type need struct {
+// unitDemand is one process's want of units.
+type unitDemand struct {
 	asked, got int64 // when it asked last, and was given some; -1: never
 	number     int64 // in the queue; 0: it is not there
 }
 
-// NewDesk begins a leader's desk. now is when it began to lead, or later. The state that is passed in must hold all that
-// leaders before have replicated: the caller waits for that first.
-func NewDesk(o Options, now int64) *Desk {
-	return &Desk{o: o, began: now, now: now, procs: map[string]*proc{}, newest: map[string]int64{},
-		runs: map[string]*watched{}}
+// NewController begins a leader's controller. now is when it began to lead, or later. The state that is passed in must
+// hold all that leaders before have replicated: the caller waits for that first.
+func NewController(o Options, now int64) *Controller {
+	return &Controller{o: o, startedAt: now, now: now, processes: map[string]*processState{}, newest: map[string]int64{},
+		runs: map[string]*rolloutProgress{}}
 }
 
 // settled tells whether each permission of a leader before is over.
-func (d *Desk) settled() bool { return d.now >= d.began+d.o.lengthened() }
+func (d *Controller) settled() bool { return d.now >= d.startedAt+d.o.lengthened() }
 
 // sync takes in the time, and what the table has become.
-func (d *Desk) sync(now int64, s *State) {
+func (d *Controller) sync(now int64, s *State) {
 	if now > d.now {
 		d.now, d.faultKnown = now, false
 	}
@@ -162,7 +161,9 @@
 		}
 		w := d.runs[name]
 		if w == nil {
-			w = &watched{name: t.Live.Spec.Name, late: t.Live.Spec.Late, posted: t.Live.Posted, asks: map[string]*need{}}
+			w = &rolloutProgress{
+				name: t.Live.Spec.Name, late: t.Live.Spec.Late, posted: t.Live.Posted, asks: map[string]*unitDemand{},
+			}
 			d.runs[name] = w
 		}
 		if w.rev != t.Live.Rev {
@@ -172,7 +173,7 @@
 }
 
 // lacking is for how long there has been a revision that a process does not act on; -1: there is none.
-func (d *Desk) lacking(p *proc) int64 {
+func (d *Controller) lacking(p *processState) int64 {
 	i, _ := slices.BinarySearchFunc(d.moves, p.Have+1, func(m moved, rev int64) int {
 		return int(min(max(m.rev-rev, -1), 1))
 	})
@@ -183,13 +184,13 @@
 }
 
 // heard tells whether a process counts in what the fleet is asked for.
-func (d *Desk) heard(p *proc) bool { return !p.Gone && d.now-p.Heard <= d.o.Term }
+func (d *Controller) heard(p *processState) bool { return !p.Gone && d.now-p.Heard <= d.o.Term }
 
 // serviceFault tells whether so many are behind that the service must be at fault.
-func (d *Desk) serviceFault() bool {
+func (d *Controller) serviceFault() bool {
 	if !d.faultKnown {
 		all, behind := 0, 0
-		for _, p := range d.procs {
+		for _, p := range d.processes {
 			if d.heard(p) {
 				all++
 				if d.lacking(p) >= d.o.BehindAfter {
@@ -204,7 +205,7 @@
 
 // Report takes a report in, and says whether its process is permitted, for how long, or why not. The caller must have
 // confirmed with a majority, after the report came, that it leads. Where the answer says Anew the caller adds the table.
-func (d *Desk) Report(now int64, s *State, r *route.Report) route.Answer {
+func (d *Controller) Report(now int64, s *State, r *route.Report) route.Answer {
 	d.sync(now, s)
 	a := route.Answer{Stamp: route.Moment{Leader: d.o.Leader, MS: d.now}, Rev: s.Rev()}
 	if a.Why = checkReport(r); a.Why != "" {
@@ -214,9 +215,9 @@
 		a.Why, a.Start = "a later start of this name has reported", newest
 		return a
 	}
-	p := d.procs[Key(r.Process)]
+	p := d.processes[Key(r.Process)]
 	if p == nil {
-		if len(d.procs) >= MaxProcesses {
+		if len(d.processes) >= MaxProcesses {
 			a.Why = fmt.Sprintf("there are %d processes, as many as are kept", MaxProcesses)
 			return a
 		}
@@ -252,37 +253,37 @@
 }
 
 // begin makes a process known; the one of its name before is gone. What that was permitted it may act on still.
-func (d *Desk) begin(id route.Process) *proc {
-	if before := d.procs[Key(route.Process{Name: id.Name, Start: d.newest[id.Name]})]; before != nil {
+func (d *Controller) begin(id route.Process) *processState {
+	if before := d.processes[Key(route.Process{Name: id.Name, Start: d.newest[id.Name]})]; before != nil {
 		d.lose(before)
 	}
-	p := &proc{Seen: Seen{Process: id, Heard: d.now, Until: math.MinInt64}}
-	d.procs[Key(id)], d.newest[id.Name] = p, id.Start
+	p := &processState{ProcessStatus: ProcessStatus{Process: id, Heard: d.now, Until: math.MinInt64}}
+	d.processes[Key(id)], d.newest[id.Name] = p, id.Start
 	return p
 }
 
-func (d *Desk) lose(p *proc) {
+func (d *Controller) lose(p *processState) {
 	if !p.Gone {
 		p.Gone = true
-		d.standing = append(d.standing, Standing{Process: p.Process, Gone: true, Rev: p.Have})
+		d.changes = append(d.changes, AccessChange{Process: p.Process, Gone: true, Rev: p.Have})
 	}
 }
 
 // take takes in what a newer report says.
-func (d *Desk) take(p *proc, r *route.Report) {
+func (d *Controller) take(p *processState, r *route.Report) {
 	if p.Gone { // it was silent only; its accounts stay closed
 		p.Gone = false
-		d.standing = append(d.standing, Standing{Process: p.Process, Back: true, Rev: p.Have})
+		d.changes = append(d.changes, AccessChange{Process: p.Process, Back: true, Rev: p.Have})
 	}
 	first := p.seq == 0
 	p.seq, p.Heard = r.Seq, d.now
 	p.Unread, p.List, p.Version, p.Config = r.Unread, r.List, r.Version, r.Config
 	p.Schemas = slices.Clone(r.Schemas)
-	d.count(p, r, first && d.now-d.began > d.o.Remember && r.Seq > 1)
+	d.count(p, r, first && d.now-d.startedAt > d.o.Remember && r.Seq > 1)
 }
 
 // permit grants a term, or says why not.
-func (d *Desk) permit(s *State, p *proc, a *route.Answer) {
+func (d *Controller) permit(s *State, p *processState, a *route.Answer) {
 	late, why := d.lacking(p), ""
 	if newest := slices.Max(append([]int{0}, p.Schemas...)); newest < s.MinSchema() {
 		why = fmt.Sprintf("it reads schemas up to %d, and %d is asked for", newest, s.MinSchema())
@@ -298,7 +299,7 @@
 	a.Anew = late >= d.o.BehindAfter && p.Unread < s.Rev()
 	if shut != p.ShutOut {
 		p.ShutOut = shut
-		d.standing = append(d.standing, Standing{Process: p.Process, ShutOut: shut, Back: !shut, Rev: p.Have})
+		d.changes = append(d.changes, AccessChange{Process: p.Process, ShutOut: shut, Back: !shut, Rev: p.Have})
 	}
 	if a.Why = why; why == "" {
 		a.TermMS = d.o.Term
@@ -308,8 +309,8 @@
 
 // count takes in the attempts since the report before. Each window is of one process under one revision, throughout
 // which the share is the same. Of a process that may have been counted and forgotten, the first totals tell nothing.
-func (d *Desk) count(p *proc, r *route.Report, forgotten bool) {
-	next := map[tallyKey]tally{}
+func (d *Controller) count(p *processState, r *route.Report, forgotten bool) {
+	next := map[countKey]outcomeCounts{}
 	counts := r.Counts[max(0, len(r.Counts)-MaxCounts):] // the newest revisions come last
 	for i := range counts {
 		c := &counts[i]
@@ -317,11 +318,11 @@
 		if w == nil || c.Rev < w.posted || c.Failed < 0 || c.Late < 0 || c.Failed > c.Ended || c.Late > c.Ended-c.Failed {
 			continue
 		}
-		t := tally{c.Ended, c.Failed}
+		t := outcomeCounts{c.Ended, c.Failed}
 		if w.late {
 			t.failed += c.Late
 		}
-		next[tallyKey{c.Tenant, c.Rev, c.Canary}] = t
+		next[countKey{c.Tenant, c.Rev, c.Canary}] = t
 	}
 	if forgotten {
 		p.counts = next
@@ -329,7 +330,7 @@
 	}
 	for i := range counts {
 		c := &counts[i]
-		key := tallyKey{c.Tenant, c.Rev, true}
+		key := countKey{c.Tenant, c.Rev, true}
 		if _, ok := next[key]; !ok || !c.Canary {
 			continue
 		}
@@ -347,19 +348,19 @@
 	p.counts = next
 }
 
-func with(m map[tallyKey]tally, key tallyKey, t tally) map[tallyKey]tally {
+func with(m map[countKey]outcomeCounts, key countKey, t outcomeCounts) map[countKey]outcomeCounts {
 	if m == nil {
-		m = map[tallyKey]tally{}
+		m = map[countKey]outcomeCounts{}
 	}
 	m[key] = t
 	return m
 }
 
 // since is what came on top of earlier totals; none where the two are not of one count.
-func (t tally) since(old tally) tally {
-	out := tally{t.ended - old.ended, t.failed - old.failed}
+func (t outcomeCounts) since(old outcomeCounts) outcomeCounts {
+	out := outcomeCounts{t.ended - old.ended, t.failed - old.failed}
 	if out.failed < 0 || out.failed > out.ended {
-		return tally{}
+		return outcomeCounts{}
 	}
 	return out
 }
@@ -368,7 +369,7 @@
 // 1/Alpha rolls it back. It is 0 for one that is not under way. A new leader begins the test anew, with the totals that
 // it is first told. The test compares like with like only where the base's counts are of requests that might have gone
 // to the canary: of the route's classes.
-func (d *Desk) Evidence(tenant, name string) float64 {
+func (d *Controller) Evidence(tenant, name string) float64 {
 	if w := d.runs[tenant]; w != nil && w.name == name {
 		return math.Exp(w.evidence)
 	}
@@ -376,16 +377,16 @@
 }
 
 // Processes are those that are known, by name and start.
-func (d *Desk) Processes(now int64) []Seen {
-	out := make([]Seen, 0, len(d.procs))
-	for _, p := range d.procs {
+func (d *Controller) Processes(now int64) []ProcessStatus {
+	out := make([]ProcessStatus, 0, len(d.processes))
+	for _, p := range d.processes {
 		if now-p.Heard <= d.o.Remember {
-			seen := p.Seen
+			seen := p.ProcessStatus
 			seen.Schemas = slices.Clone(p.Schemas)
 			out = append(out, seen)
 		}
 	}
-	slices.SortFunc(out, func(a, b Seen) int { return compare(a.Process, b.Process) })
+	slices.SortFunc(out, func(a, b ProcessStatus) int { return compare(a.Process, b.Process) })
 	return out
 }
 
@@ -395,144 +396,3 @@
 	}
 	return int(min(max(a.Start-b.Start, -1), 1))
 }
-
-// Tick says what is due: commands to be replicated, whose AtMS the caller sets, and changes of processes' standing. It
-// may be called as often as wanted; a command that is not carried out comes again. ready counts the ready servers of a
-// subset.
-func (d *Desk) Tick(now int64, s *State, ready func(route.Subset) int) (commands []Command, standing []Standing) {
-	d.sync(now, s)
-	d.age()
-	for _, name := range slices.Sorted(maps.Keys(d.runs)) {
-		if t := s.tenants[name]; t != nil && t.Live != nil {
-			if c, ok := d.decide(d.runs[name], t.Live, ready); ok {
-				c.Tenant, c.Name = name, t.Live.Spec.Name
-				commands = append(commands, c)
-			}
-		}
-	}
-	if rev := d.closable(s); rev > s.Closed() {
-		d.closing = rev
-		commands = append(commands, Command{Op: OpClose, Rev: rev})
-	}
-	entries := d.ends(s)
-	for len(entries) > 0 {
-		n := min(len(entries), maxEntries)
-		commands = append(commands, Command{Op: OpLedger, Entries: entries[:n:n]})
-		entries = entries[n:]
-	}
-	standing, d.standing = d.standing, nil
-	slices.SortStableFunc(standing, func(a, b Standing) int { return compare(a.Process, b.Process) })
-	return commands, standing
-}
-
-// age loses processes that are silent, and forgets them in the end.
-func (d *Desk) age() {
-	for key, p := range d.procs {
-		silent := d.now - p.Heard
-		if silent > d.o.lengthened()+d.o.GoneAfter {
-			d.lose(p)
-		}
-		if silent > d.o.Remember && p.Until <= d.now {
-			delete(d.procs, key)
-			if d.newest[p.Name] == p.Start {
-				delete(d.newest, p.Name)
-			}
-		}
-	}
-	for _, w := range d.runs {
-		for key, n := range w.asks {
-			if d.now-n.asked > d.o.lengthened() {
-				w.leave(n)
-				delete(w.asks, key)
-			}
-		}
-	}
-}
-
-// decide says what is due for one rollout, at most one thing.
-func (d *Desk) decide(w *watched, r *run, ready func(route.Subset) int) (Command, bool) {
-	none := ready(r.Spec.Canary) == 0
-	switch {
-	case w.most >= -math.Log(d.o.Alpha):
-		return Command{Op: OpRollBack, Why: WhyWorse}, true
-	case r.Phase == Running && none:
-		return Command{Op: OpPause, Why: WhyEmpty}, true
-	case r.Phase == Running && d.serviceFault():
-		return Command{Op: OpPause, Why: WhyBehind}, true
-	case r.Phase == Running && d.held(w, r):
-		return Command{Op: OpForward, Step: r.Step}, true
-	case r.Phase == Paused && passing(r.Why):
-		return Command{Op: OpResume}, !none && d.settled() && !d.serviceFault() && d.anybody()
-	}
-	return Command{}, false
-}
-
-// held tells whether a step has held all that it takes to go on from it.
-func (d *Desk) held(w *watched, r *run) bool {
-	st := r.Spec.Steps[r.Step]
-	if !d.settled() || d.now-w.since < st.HoldMS || w.ended < st.Requests {
-		return false
-	}
-	for _, p := range d.procs { // one that is silent is not excused until it is gone
-		if !p.Gone && !p.ShutOut && p.Have < r.Rev {
-			return false
-		}
-	}
-	return d.anybody()
-}
-
-// anybody tells whether any process is heard: where none is, nothing is known of the fleet.
-func (d *Desk) anybody() bool {
-	for _, p := range d.procs {
-		if d.heard(p) {
-			return true
-		}
-	}
-	return false
-}
-
-// closable is the newest revision under which no attempt begins any more, by what is known here; 0: that is not known.
-// Who was permitted acts on what it last reported, or on something later, until its lengthened term is over.
-func (d *Desk) closable(s *State) int64 {
-	if !d.settled() {
-		return 0
-	}
-	rev := s.Rev() - 1
-	for _, p := range d.procs {
-		if p.Until > d.now {
-			rev = min(rev, p.Have-1)
-		}
-	}
-	return rev
-}
-
-// ends are the entries of processes that are gone and whose accounts are open.
-func (d *Desk) ends(s *State) []Entry {
-	var out []Entry
-	for _, t := range s.sorted() {
-		r := t.Live
-		if r == nil && len(t.Ended) > 0 {
-			r = t.Ended[len(t.Ended)-1] // the ones before have no account but the sum
-		}
-		if r == nil {
-			continue
-		}
-		from := len(out)
-		for key, a := range r.Ledger {
-			if id, ok := processOf(key); ok && !a.Gone && d.gone(id) {
-				out = append(out, Entry{Process: id, Tenant: t.Name, Rollout: r.id(), Gone: true})
-			}
-		}
-		slices.SortFunc(out[from:], func(a, b Entry) int { return compare(a.Process, b.Process) })
-	}
-	return out
-}
-
-// gone tells whether nothing more comes of a process. One that this leader has never heard gets as long as one that
-// fell silent when it began to lead.
-func (d *Desk) gone(id route.Process) bool {
-	if p := d.procs[Key(id)]; p != nil {
-		return p.Gone
-	}
-	return id.Start < d.newest[id.Name] || d.now-d.began > d.o.lengthened()+d.o.GoneAfter
-}
--- a/internal/rollout/model/play.go
+++ b/internal/rollout/model/play.go
@@ -12,35 +12,35 @@
 
 // Options describe a play. Times are milliseconds.
 type Options struct {
-	Seed     uint64
-	Sidecars int
-	For      int64   // length of the play
-	Rate     float64 // requests a second and sidecar
-	Takes    int64   // mean time of an attempt
-	Canary   float64 // part of the attempts that fail, at the canary
-	Base     float64 // likewise, at the base
-	Budget   int64
-	Steps    []rollout.Step
-	Report   int64   // time between two reports
-	Units    int64   // time between two asks for units; one that runs short asks at once, at most each Gather
-	Want     int64   // units that a sidecar would like to hold
-	Gather   int64   // asks of so long become one command
-	Commit   int64   // until a command is on a majority
-	Latency  int64   // mean time of a message, one way
-	Loss     float64 // of messages, each way
-	Twice    float64 // of messages that come twice, the second time later
-	Kills    []int64 // at each time one sidecar is killed and another start of it begins
-	Leaders  []int64 // at each time the leader is lost; commands that are not committed are lost with it
-	Elect    int64   // until there is the next one
-	Sum      int64   // the baseline sums its counters so often
-	Desk     rollout.Options
+	Seed       uint64
+	Sidecars   int
+	For        int64   // length of the play
+	Rate       float64 // requests a second and sidecar
+	Takes      int64   // mean time of an attempt
+	Canary     float64 // part of the attempts that fail, at the canary
+	Base       float64 // likewise, at the base
+	Budget     int64
+	Steps      []rollout.Step
+	Report     int64   // time between two reports
+	Units      int64   // time between two asks for units; one that runs short asks at once, at most each Gather
+	Want       int64   // units that a sidecar would like to hold
+	Gather     int64   // asks of so long become one command
+	Commit     int64   // until a command is on a majority
+	Latency    int64   // mean time of a message, one way
+	Loss       float64 // of messages, each way
+	Twice      float64 // of messages that come twice, the second time later
+	Kills      []int64 // at each time one sidecar is killed and another start of it begins
+	Leaders    []int64 // at each time the leader is lost; commands that are not committed are lost with it
+	Elect      int64   // until there is the next one
+	Sum        int64   // the baseline sums its counters so often
+	Controller rollout.Options
 }
 
 // Defaults are the figures of docs/routes.md, with a canary that fails a tenth.
 func Defaults() Options {
 	return Options{Seed: 1, Sidecars: 100, For: 60_000, Rate: 10, Takes: 30, Canary: 0.1, Base: 0.001, Budget: 50,
 		Steps: []rollout.Step{{Share: 0.25, HoldMS: 1 << 30}}, Report: 1000, Units: 1000, Want: 2, Gather: 20, Commit: 5,
-		Latency: 2, Elect: 1500, Sum: 1000, Desk: rollout.Defaults()}
+		Latency: 2, Elect: 1500, Sum: 1000, Controller: rollout.Defaults()}
 }
 
 // Result is what came of a play. Times are milliseconds from its beginning, -1 where it did not come to that.
@@ -113,21 +113,21 @@
 
 type play struct {
 	Options
-	rng       *rand.Rand
-	now       int64
-	order     int64
-	due       queue
-	state     *rollout.State
-	desk      *rollout.Desk // none while there is no leader
-	gen       int           // of the leader
-	nodes     []*node
-	waiting   []waiting // asks that are gathered
-	flush     bool      // is due
-	sums      []int64   // the baseline leader's, by sidecar
-	baseEnded bool
-	requests  int64
-	share     float64 // of the step
-	res       Result
+	rng        *rand.Rand
+	now        int64
+	order      int64
+	due        queue
+	state      *rollout.State
+	controller *rollout.Controller // none while there is no leader
+	gen        int                 // of the leader
+	nodes      []*node
+	waiting    []waiting // asks that are gathered
+	flush      bool      // is due
+	sums       []int64   // the baseline leader's, by sidecar
+	baseEnded  bool
+	requests   int64
+	share      float64 // of the step
+	res        Result
 }
 
 type waiting struct {
@@ -347,11 +347,11 @@
 func (p *play) report(n *node) {
 	asked, start, r := p.now, n.Start, n.Report(n.counts())
 	p.send(func() {
-		if p.desk == nil {
+		if p.controller == nil {
 			return
 		}
 		p.res.Reports++
-		a := p.desk.Report(p.now, p.state, &r)
+		a := p.controller.Report(p.now, p.state, &r)
 		t := p.state.Table()
 		p.send(func() {
 			if !n.alive || n.Start != start {
@@ -377,11 +377,11 @@
 	n.asked = p.now
 	ask := n.Ask(p.Want)
 	p.send(func() {
-		if p.desk == nil {
+		if p.controller == nil {
 			return
 		}
 		p.res.Asks++
-		p.waiting = append(p.waiting, waiting{n, ask, p.desk.Settle(p.now, p.state, &ask)})
+		p.waiting = append(p.waiting, waiting{n, ask, p.controller.Settle(p.now, p.state, &ask)})
 		if !p.flush {
 			p.flush = true
 			p.after(p.Gather, p.gathered)
@@ -400,7 +400,7 @@
 	}
 	answer := func() {
 		for _, w := range all {
-			a, start := p.desk.Grants(p.state, &w.ask), w.ask.Start
+			a, start := p.controller.Grants(p.state, &w.ask), w.ask.Start
 			p.send(func() {
 				if w.n.alive && w.n.Start == start {
 					w.n.Granted(&a)
@@ -409,7 +409,7 @@
 		}
 	}
 	if len(c.Entries) == 0 {
-		if p.desk != nil {
+		if p.controller != nil {
 			answer()
 		}
 		return
@@ -421,7 +421,7 @@
 func (p *play) commit(c *rollout.Command, then func()) {
 	gen := p.gen
 	p.after(p.Commit, func() {
-		if p.desk == nil || p.gen != gen {
+		if p.controller == nil || p.gen != gen {
 			return
 		}
 		before := p.state.Rev()
@@ -456,10 +456,10 @@
 }
 
 func (p *play) tick() {
-	if p.desk == nil {
+	if p.controller == nil {
 		return
 	}
-	commands, _ := p.desk.Tick(p.now, p.state, func(route.Subset) int { return 1 })
+	commands, _ := p.controller.Tick(p.now, p.state, func(route.Subset) int { return 1 })
 	for i := range commands {
 		p.commit(&commands[i], nil)
 	}
@@ -468,13 +468,13 @@
 
 func (p *play) lead() {
 	p.gen++
-	o := p.Options.Desk
+	o := p.Options.Controller
 	o.Leader = fmt.Sprint("leader", p.gen)
-	p.desk = rollout.NewDesk(o, p.now)
+	p.controller = rollout.NewController(o, p.now)
 }
 
 func (p *play) loseLeader() {
-	p.desk, p.waiting = nil, nil
+	p.controller, p.waiting = nil, nil
 	p.after(p.Elect, p.lead)
 }
 
--- a/internal/rollout/model/play_test.go
+++ b/internal/rollout/model/play_test.go
@@ -19,7 +19,7 @@
 		o.Loss, o.Twice = rapid.Float64Range(0, 0.3).Draw(t, "loss"), rapid.Float64Range(0, 0.3).Draw(t, "twice")
 		o.Kills = rapid.SliceOfN(rapid.Int64Range(0, o.For), 0, 8).Draw(t, "kills")
 		o.Leaders = rapid.SliceOfN(rapid.Int64Range(0, o.For), 0, 1).Draw(t, "leaders")
-		o.Desk.Alpha = 0
+		o.Controller.Alpha = 0
 		res, err := Play(o)
 		require.NoError(t, err)
 		require.LessOrEqual(t, res.Failures, o.Budget)
@@ -32,7 +32,7 @@
 
 func TestBaselineOverspends(t *testing.T) {
 	o := Defaults()
-	o.Sidecars, o.For, o.Canary, o.Budget, o.Desk.Alpha = 100, 20_000, 1, 10, 0
+	o.Sidecars, o.For, o.Canary, o.Budget, o.Controller.Alpha = 100, 20_000, 1, 10, 0
 	res, err := Play(o)
 	require.NoError(t, err)
 	require.Equal(t, rollout.RolledBack, res.Phase)
--- a/internal/rollout/model/purses.go
+++ b/internal/rollout/model/purses.go
@@ -14,7 +14,7 @@
 type Purses struct {
 	Defect
 	state                         *rollout.State
-	desk                          *rollout.Desk
+	controller                    *rollout.Controller
 	sides                         [fleet]purseSide
 	clock                         int64
 	crashes, leaders, twice, jump int // that may come yet
@@ -34,7 +34,7 @@
 
 // NewPurses makes one of three sidecars, with a defect planted.
 func NewPurses(d Defect, f Faults) *Purses {
-	w := &Purses{Defect: d, state: posted(), desk: rollout.NewDesk(deskOptions(), 0), phase: rollout.Running,
+	w := &Purses{Defect: d, state: posted(), controller: rollout.NewController(controllerOptions(), 0), phase: rollout.Running,
 		crashes: f.Crashes, leaders: f.Leaders, twice: f.Twice, jump: f.Jump}
 	for i := range w.sides {
 		w.sides[i].Sidecar = sidecar(i)
@@ -55,7 +55,7 @@
 		for start := int64(1); start <= s.Start; start++ {
 			key := rollout.Key(route.Process{Name: s.Name, Start: start})
 			e = w.state.AppendAccount(e, tenant, name, key)
-			e = w.desk.AppendNeed(w.desk.AppendPermit(e, key, w.clock), tenant, key)
+			e = w.controller.AppendNeed(w.controller.AppendPermit(e, key, w.clock), tenant, key)
 		}
 		if s.stage == arrived {
 			for _, x := range s.entries {
@@ -109,7 +109,7 @@
 // then is a copy that f changes.
 func (w *Purses) then(emit func(string, explore.World), what string, i int, f func(w *Purses, s *purseSide)) {
 	w.local(emit, what, i, func(c *Purses, s *purseSide) {
-		c.state, c.desk = w.state.Clone(), w.desk.Clone()
+		c.state, c.controller = w.state.Clone(), w.controller.Clone()
 		f(c, s)
 		if !c.phase.Over() {
 			c.phase = c.state.Phase(tenant, name)
@@ -117,7 +117,7 @@
 	})
 }
 
-// local is a copy of which f changes neither state nor desk.
+// local is a copy of which f changes neither state nor controller.
 func (w *Purses) local(emit func(string, explore.World), what string, i int, f func(w *Purses, s *purseSide)) {
 	c := *w
 	f(&c, &c.sides[i])
@@ -195,7 +195,7 @@
 			w.then(emit, "told before it is committed", i, func(c *Purses, s *purseSide) {
 				ahead := c.state.Clone()
 				_, _ = ahead.Apply(&rollout.Command{Op: rollout.OpLedger, Entries: s.entries})
-				a := c.desk.Grants(ahead, &s.ask)
+				a := c.controller.Grants(ahead, &s.ask)
 				s.Granted(&a)
 			})
 		}
@@ -205,7 +205,7 @@
 	}
 	if w.sides[i].late != nil {
 		w.then(emit, "second arrival", i, func(c *Purses, s *purseSide) {
-			c.ledger(c.desk.Settle(c.clock, c.state, s.late))
+			c.ledger(c.controller.Settle(c.clock, c.state, s.late))
 			s.late = nil
 		})
 	}
@@ -215,7 +215,7 @@
 func (w *Purses) contact(s *purseSide) {
 	r := s.Report(nil)
 	s.Seq = 0 // the numbers of reports play no part here
-	a := w.desk.Report(w.clock, w.state, &r)
+	a := w.controller.Report(w.clock, w.state, &r)
 	s.Answered(w.clock, &a)
 	s.Stamp = route.Moment{}
 	t := w.state.Table()
@@ -224,7 +224,7 @@
 
 func (w *Purses) arrive(s *purseSide) {
 	w.contact(s)
-	s.entries, s.stage = w.desk.Settle(w.clock, w.state, &s.ask), arrived
+	s.entries, s.stage = w.controller.Settle(w.clock, w.state, &s.ask), arrived
 	if w.Defect == CountedLate { // the leader sums what it is told
 		s.entries = []rollout.Entry{{Process: s.Process, Tenant: tenant, Rollout: name, Granted: s.ask.Purses[0].Spent}}
 	}
@@ -233,7 +233,7 @@
 func (w *Purses) commit(s *purseSide) route.UnitsAnswer {
 	w.ledger(s.entries)
 	s.entries, s.stage = nil, idle
-	return w.desk.Grants(w.state, &s.ask)
+	return w.controller.Grants(w.state, &s.ask)
 }
 
 func (w *Purses) ledger(entries []rollout.Entry) {
@@ -250,14 +250,14 @@
 			s.entries, s.stage = nil, idle
 		}
 	}
-	w.desk = rollout.NewDesk(deskOptions(), w.clock)
+	w.controller = rollout.NewController(controllerOptions(), w.clock)
 	for i := range w.sides {
 		w.contact(&w.sides[i])
 	}
 }
 
 func (w *Purses) tick() {
-	commands, _ := w.desk.Tick(w.clock, w.state, readyOnes)
+	commands, _ := w.controller.Tick(w.clock, w.state, readyOnes)
 	for _, c := range commands {
 		if c.Op != rollout.OpLedger {
 			continue // the other world's
--- a/internal/rollout/model/terms.go
+++ b/internal/rollout/model/terms.go
@@ -14,7 +14,7 @@
 type Terms struct {
 	Defect
 	state                   *rollout.State
-	desk, deposed           *rollout.Desk
+	controller, deposed     *rollout.Controller
 	old                     *rollout.State // what the deposed leader has
 	sides                   [fleet]termSide
 	closing                 *rollout.Command // on its way to a majority
@@ -38,7 +38,7 @@
 // last, with a defect planted.
 func NewTerms(d Defect, sidecars, moves int, last int64, f Faults) *Terms {
 	w := &Terms{Defect: d, state: posted(), last: last, moves: moves, sidecars: min(sidecars, fleet),
-		desk: rollout.NewDesk(deskOptions(), 0), crashes: f.Crashes, leaders: f.Leaders, twice: f.Twice}
+		controller: rollout.NewController(controllerOptions(), 0), crashes: f.Crashes, leaders: f.Leaders, twice: f.Twice}
 	for i := range w.sides {
 		w.sides[i].Sidecar = sidecar(i)
 		w.sides[i].asked = -1
@@ -52,7 +52,7 @@
 func (w *Terms) Key() []byte {
 	b := w.state.AppendKey(nil, tenant, name)
 	b = explore.Ints(b, w.clock, int64(w.crashes), int64(w.leaders), int64(w.twice))
-	b = w.desk.AppendKey(b, w.clock)
+	b = w.controller.AppendKey(b, w.clock)
 	if w.deposed != nil {
 		b = w.old.AppendKey(append(b, 'D'), tenant, name)
 	}
@@ -77,7 +77,7 @@
 		}
 		for start := int64(1); start <= s.Start; start++ {
 			key := rollout.Key(route.Process{Name: s.Name, Start: start})
-			e = w.desk.AppendPermit(e, key, w.clock, seqs...)
+			e = w.controller.AppendPermit(e, key, w.clock, seqs...)
 			if w.deposed != nil {
 				e = w.deposed.AppendPermit(e, key, w.clock, seqs...)
 			}
@@ -100,7 +100,7 @@
 // then is a copy that f changes.
 func (w *Terms) then(emit func(string, explore.World), what string, i int, f func(w *Terms, s *termSide)) {
 	w.local(emit, what, i, func(c *Terms, s *termSide) {
-		c.state, c.desk = w.state.Clone(), w.desk.Clone()
+		c.state, c.controller = w.state.Clone(), w.controller.Clone()
 		if c.deposed != nil {
 			c.deposed = w.deposed.Clone()
 		}
@@ -108,7 +108,7 @@
 	})
 }
 
-// local is a copy of which f changes neither state nor desk.
+// local is a copy of which f changes neither state nor controller.
 func (w *Terms) local(emit func(string, explore.World), what string, i int, f func(w *Terms, s *termSide)) {
 	c := *w
 	f(&c, &c.sides[i])
@@ -137,7 +137,7 @@
 		})
 	}
 	if w.closing == nil {
-		w.then(emit, "desk", 0, (*Terms).tick)
+		w.then(emit, "controller", 0, (*Terms).tick)
 	} else {
 		w.then(emit, "close", 0, (*Terms).close)
 	}
@@ -148,11 +148,11 @@
 }
 
 func (w *Terms) tick(*termSide) {
-	desk := w.desk
+	controller := w.controller
 	if w.Defect == GrantsClosed { // it does not remember what it has decided
-		desk = desk.Clone()
+		controller = controller.Clone()
 	}
-	commands, _ := desk.Tick(w.clock, w.state, readyOnes)
+	commands, _ := controller.Tick(w.clock, w.state, readyOnes)
 	for i := range commands {
 		if commands[i].Op == rollout.OpClose {
 			w.closing = &commands[i]
@@ -170,7 +170,7 @@
 func (w *Terms) lead(kept bool) {
 	w.leaders--
 	if kept {
-		w.old, w.deposed = w.state.Clone(), w.desk
+		w.old, w.deposed = w.state.Clone(), w.controller
 		for i := range w.sides {
 			s := &w.sides[i]
 			s.confirmed = s.stage == sent
@@ -184,9 +184,9 @@
 	}
 	began := w.clock
 	if w.Defect == NoWait {
-		began -= deskOptions().Term
+		began -= controllerOptions().Term
 	}
-	w.desk = rollout.NewDesk(deskOptions(), began)
+	w.controller = rollout.NewController(controllerOptions(), began)
 }
 
 func (w *Terms) exchanges(emit func(string, explore.World), i int) {
@@ -204,7 +204,7 @@
 	}
 	if s.late != nil {
 		w.then(emit, "second arrival", i, func(c *Terms, s *termSide) {
-			c.desk.Report(c.clock, c.state, s.late)
+			c.controller.Report(c.clock, c.state, s.late)
 			s.late = nil
 		})
 	}
@@ -240,7 +240,7 @@
 }
 
 func (w *Terms) answer(s *termSide) {
-	d, state := w.desk, w.state
+	d, state := w.controller, w.state
 	if s.confirmed {
 		d, state = w.deposed, w.old
 	}
--- a/internal/rollout/model/world.go
+++ b/internal/rollout/model/world.go
@@ -55,7 +55,7 @@
 // firstRev is the revision that a rollout is posted with.
 const firstRev = 1<<28 + 1
 
-func deskOptions() rollout.Options {
+func controllerOptions() rollout.Options {
 	return rollout.Options{Leader: "l", Term: 1, BehindAfter: 1, ShutAfter: 100, GoneAfter: 5, Remember: 1000,
 		BehindShare: 1, Alpha: 0, Rho: 3}
 }
--- a/internal/rollout/rollout.go
+++ b/internal/rollout/rollout.go
@@ -1,6 +1,6 @@
 // Package rollout moves tenants' canaries forward under a budget, and back. It is pure: State is replicated by the list
-// service's raft and changes by commands alone; Desk is what the leader remembers and decides, fed with a clock. Promises
-// and the ways not taken: docs/routes.md.
+// service's raft and changes by commands alone; Controller is what the leader remembers and decides, fed with a clock.
+// Promises and the ways not taken: docs/routes.md.
 package rollout
 
 import (
--- a/internal/rollout/rollout_test.go
+++ b/internal/rollout/rollout_test.go
@@ -43,7 +43,7 @@
 	return model.Sidecar{Process: route.Process{Name: string(rune('a' + i)), Start: 1}, Tenant: tenant, Rollout: name}
 }
 
-func deskOptions() Options {
+func controllerOptions() Options {
 	return Options{Leader: "l", Term: 1, BehindAfter: 1, ShutAfter: 100, GoneAfter: 5, Remember: 1000, BehindShare: 1,
 		Alpha: 0, Rho: 3}
 }
@@ -199,7 +199,7 @@
 			c := sidecar(i)
 			sides[i] = &c
 		}
-		d := NewDesk(deskOptions(), 0)
+		d := NewController(controllerOptions(), 0)
 		var late []func()
 		over := false
 		side := rapid.IntRange(0, len(sides)-1)
@@ -259,7 +259,7 @@
 				c.Start = sides[i].Start + 1
 				*sides[i] = c
 			},
-			"leader": func(*rapid.T) { d = NewDesk(deskOptions(), now) },
+			"leader": func(*rapid.T) { d = NewController(controllerOptions(), now) },
 			"time": func(t *rapid.T) {
 				now += rapid.Int64Range(0, 5).Draw(t, "ms")
 				commands, _ := d.Tick(now, s, readyOnes)
@@ -290,15 +290,15 @@
 	})
 }
 
-// fleetOf is a desk with so many sidecars that act on the newest table.
+// fleetOf is a controller with so many sidecars that act on the newest table.
 type fleetOf struct {
 	s     *State
-	d     *Desk
+	d     *Controller
 	sides []model.Sidecar
 }
 
 func newFleet(t require.TestingT, n int, o Options, sp *Spec) *fleetOf {
-	f := &fleetOf{s: NewState(), d: NewDesk(o, 0)}
+	f := &fleetOf{s: NewState(), d: NewController(o, 0)}
 	apply(t, f.s, Command{Op: OpPost, Spec: sp})
 	for i := range n {
 		c := sidecar(i)
@@ -321,7 +321,7 @@
 }
 
 // ops carries out what is due, and names it.
-func (f *fleetOf) ops(t require.TestingT, now int64, ready int) (out []Op, standing []Standing) {
+func (f *fleetOf) ops(t require.TestingT, now int64, ready int) (out []Op, standing []AccessChange) {
 	commands, standing := f.d.Tick(now, f.s, func(route.Subset) int { return ready })
 	for _, c := range commands {
 		apply(t, f.s, c)
@@ -352,14 +352,14 @@
 	require.Zero(t, a.TermMS)
 	require.Contains(t, a.Why, "has lacked a later one for 6000 ms")
 	_, standing := f.ops(t, 7001, 1)
-	require.Equal(t, []Standing{{Process: f.sides[9].Process, ShutOut: true, Rev: f.sides[9].Have}}, standing)
+	require.Equal(t, []AccessChange{{Process: f.sides[9].Process, ShutOut: true, Rev: f.sides[9].Have}}, standing)
 	f.ops(t, 12098, 1)
 	require.Less(t, f.s.Closed(), f.s.Rev()-1, "its term, lengthened, is not over")
 	f.ops(t, 12099, 1)
 	require.Equal(t, f.s.Rev()-1, f.s.Closed())
 	require.Equal(t, int64(5000), all(12100, 0).TermMS)
 	_, standing = f.ops(t, 12100, 1)
-	require.Equal(t, []Standing{{Process: f.sides[9].Process, Back: true, Rev: f.s.Rev()}}, standing)
+	require.Equal(t, []AccessChange{{Process: f.sides[9].Process, Back: true, Rev: f.s.Rev()}}, standing)
 
 	old := f.sides[0]
 	f.sides[0].Start++
@@ -441,7 +441,7 @@
 	ops, _ = f.ops(t, 14_001, 1)
 	require.Contains(t, ops, OpForward)
 
-	next := NewDesk(Defaults(), 0) // the next leader's
+	next := NewController(Defaults(), 0) // the next leader's
 	commands, _ := next.Tick(5099, f.s, readyOnes)
 	require.Empty(t, commands, "it waits for the terms of the one before")
 }
@@ -536,8 +536,11 @@
 	require.Positive(t, LogWindow(1e6, 1e6, 3000, 1000, 3), "a large window")
 }
 
-// trial has four sidecars report second by second, and says after how many canary attempts the desk rolled back.
-func trial(t require.TestingT, rng *rand.Rand, o Options, canary, base float64, seconds int) (attempts int64, found bool) {
+// simulateRollout has four sidecars report second by second, and says after how many canary attempts the controller
+// rolled back.
+func simulateRollout(
+	t require.TestingT, rng *rand.Rand, o Options, canary, base float64, seconds int,
+) (attempts int64, found bool) {
 	f := newFleet(t, 4, o, spec(MaxBudget))
 	counts := make([][2]route.Count, len(f.sides))
 	for i := range counts {
@@ -574,7 +577,7 @@
 	alarms, trials := 0, 300
 	for i := range trials {
 		rate := rates[i%len(rates)]
-		if _, found := trial(t, rng, o, rate, rate, 40); found {
+		if _, found := simulateRollout(t, rng, o, rate, rate, 40); found {
 			alarms++
 		}
 	}
@@ -583,7 +586,7 @@
 	require.LessOrEqual(t, float64(alarms), mean+4*math.Sqrt(mean))
 	var took []int64
 	for range 30 {
-		n, found := trial(t, rng, Defaults(), 0.05, 0.005, 120)
+		n, found := simulateRollout(t, rng, Defaults(), 0.05, 0.005, 120)
 		require.True(t, found, "5 %% against 0.5 %% is found")
 		took = append(took, n)
 	}
--- a/internal/rollout/state.go
+++ b/internal/rollout/state.go
@@ -370,7 +370,7 @@
 	case c.Op == OpForward:
 		return s.forward(t, r, c), nil
 	case c.Op == OpPause && r.Phase == Paused && passing(r.Why) && !passing(c.Why):
-		return s.turn(t, r, Paused, c.Why, c.AtMS), nil // else the desk would resume what somebody wants to rest
+		return s.turn(t, r, Paused, c.Why, c.AtMS), nil // else the controller would resume what somebody wants to rest
 	case r.Phase == c.Op.leadsTo():
 		return r.Rev, nil // sent twice
 	case r.Phase.Over():
@@ -381,7 +381,7 @@
 	return s.turn(t, r, c.Op.leadsTo(), c.Why, c.AtMS), nil
 }
 
-// passing tells whether a pause is the desk's own, which it ends itself.
+// passing tells whether a pause is the controller's own, which it ends itself.
 func passing(why string) bool { return why == WhyEmpty || why == WhyBehind }
 
 // leadsTo is the phase after an operation.
--- a/internal/rollout/units.go
+++ b/internal/rollout/units.go
@@ -9,10 +9,10 @@
 // Settle says what a process's ask moves in the ledger: what it has spent and returned, and units for it by need. Only a
 // process that is permitted gets any. The entries are to be replicated, with those of others if wanted; then Grants
 // tells what came of it.
-func (d *Desk) Settle(now int64, s *State, a *route.UnitsAsk) []Entry {
+func (d *Controller) Settle(now int64, s *State, a *route.UnitsAsk) []Entry {
 	d.sync(now, s)
 	key := Key(a.Process)
-	p := d.procs[key]
+	p := d.processes[key]
 	permitted := p != nil && !p.Gone && p.Until > d.now
 	var out []Entry
 	for _, ps := range a.Purses[:min(len(a.Purses), MaxPurses)] {
@@ -38,10 +38,10 @@
 
 // slice is how many units a process gets of what is left: half of it divided by those who ask, so that the next ones
 // find some. Who has none and got none stands in a queue, before which nobody else is served from the last units.
-func (d *Desk) slice(w *watched, r *run, key string, acc Account, left, want int64) int64 {
+func (d *Controller) slice(w *rolloutProgress, r *run, key string, acc Account, left, want int64) int64 {
 	n := w.asks[key]
 	if n == nil {
-		n = &need{got: -1}
+		n = &unitDemand{got: -1}
 		w.asks[key] = n
 	}
 	n.asked = d.now
@@ -69,7 +69,7 @@
 }
 
 // ahead is how many lack units and came before.
-func (w *watched) ahead(n *need) int64 {
+func (w *rolloutProgress) ahead(n *unitDemand) int64 {
 	if n.number == 0 {
 		return int64(len(w.queue))
 	}
@@ -78,7 +78,7 @@
 }
 
 // leave takes one out of the queue.
-func (w *watched) leave(n *need) {
+func (w *rolloutProgress) leave(n *unitDemand) {
 	if i, there := slices.BinarySearch(w.queue, n.number); there {
 		w.queue = slices.Delete(w.queue, i, i+1)
 	}
@@ -87,7 +87,7 @@
 
 // Grants is the answer to an ask, by the ledger as it is replicated; it must be called after what Settle gave has been
 // applied. Idle units are wanted back where others lack some, and all of them once the rollout is over.
-func (d *Desk) Grants(s *State, a *route.UnitsAsk) route.UnitsAnswer {
+func (d *Controller) Grants(s *State, a *route.UnitsAsk) route.UnitsAnswer {
 	var out route.UnitsAnswer
 	for _, ps := range a.Purses[:min(len(a.Purses), MaxPurses)] {
 		g := route.PurseGrant{Tenant: ps.Tenant, Rollout: ps.Rollout}
@@ -105,7 +105,7 @@
 
 // keep is how many idle units a process may hold on to: what it wants, and its part where others have none. Where there
 // are fewer units than processes, each has its turn of a term.
-func (d *Desk) keep(w *watched, r *run, key string, want int64) int64 {
+func (d *Controller) keep(w *rolloutProgress, r *run, key string, want int64) int64 {
 	n, lacking := w.asks[key], int64(len(w.queue))
 	if n != nil && n.number != 0 {
 		lacking--
--- a/internal/sidecar/members.go
+++ b/internal/sidecar/members.go
@@ -16,10 +16,10 @@
 	"time"
 
 	"marblelane/balance"
-	"marblelane/internal/lasting"
 	"marblelane/internal/membership"
 	"marblelane/internal/membership/reach"
 	"marblelane/internal/membership/roster"
+	"marblelane/internal/streamlimit"
 )
 
 // This file is a sidecar's side of membership, see docs/membership.md. Without the section of the configuration nothing
@@ -95,7 +95,7 @@
 	believed atomic.Uint64               // bits of what the module goes by
 	left     atomic.Bool                 // told to leave by an operator: it takes no part any more
 	group    atomic.Pointer[membership.Group]
-	watchers lasting.Answers
+	watchers streamlimit.Limiter
 
 	departs sync.Once
 	within  time.Duration // for the group to say so; set before quit is closed
@@ -106,7 +106,7 @@
 func newMembers(cfg *membersConfig, beside func() bool) *members {
 	m := &members{
 		cfg: cfg.group, beside: beside, wake: make(chan struct{}, 1), news: make(chan struct{}, 1),
-		quit: make(chan struct{}), ended: make(chan struct{}), watchers: lasting.Answers{Most: mostWatchers, Each: manageWait},
+		quit: make(chan struct{}), ended: make(chan struct{}), watchers: streamlimit.Limiter{MaxOpen: mostWatchers, WriteTimeout: manageWait},
 	}
 	m.cfg.Believed = func() float64 { return math.Float64frombits(m.believed.Load()) }
 	m.cfg.Changed = m.changed
--- /dev/null
+++ b/internal/streamlimit/streamlimit.go
@@ -0,0 +1,55 @@
+// Package streamlimit bounds HTTP responses that have no end, such as watches: how many are open at once, and how long
+// a client may take to read one write. The management address of a sidecar and the list service use it.
+package streamlimit
+
+import (
+	"net/http"
+	"sync/atomic"
+	"time"
+)
+
+// Limiter bounds the streaming responses of one kind. The zero value admits none. It is safe for concurrent use.
+type Limiter struct {
+	MaxOpen      int64         // responses at once
+	WriteTimeout time.Duration // for one write; it takes the place of the HTTP server's own limit
+	open         atomic.Int64
+}
+
+// Serve runs the handler for a streaming response. It answers 503 when MaxOpen responses are open, and 405 to methods
+// other than GET: nothing is written to HEAD, so a client that has gone would never be noticed.
+func (l *Limiter) Serve(w http.ResponseWriter, r *http.Request, handler http.Handler) {
+	if r.Method != http.MethodGet {
+		w.Header().Set("Allow", http.MethodGet)
+		http.Error(w, "method not allowed", http.StatusMethodNotAllowed)
+		return
+	}
+	defer l.open.Add(-1)
+	if l.open.Add(1) > l.MaxOpen {
+		http.Error(w, "others watch already", http.StatusServiceUnavailable)
+		return
+	}
+	control := http.NewResponseController(w)
+	if err := control.SetReadDeadline(time.Time{}); err != nil {
+		http.Error(w, "watch: "+err.Error(), http.StatusInternalServerError)
+		return
+	}
+	handler.ServeHTTP(&streamWriter{w, control, l.WriteTimeout}, r)
+}
+
+// streamWriter sets a deadline for each write of a response.
+type streamWriter struct {
+	http.ResponseWriter
+	control *http.ResponseController
+	timeout time.Duration
+}
+
+// Write sets the deadline for what is written, and for the flush after it.
+func (s *streamWriter) Write(p []byte) (int, error) {
+	if err := s.control.SetWriteDeadline(time.Now().Add(s.timeout)); err != nil {
+		return 0, err
+	}
+	return s.ResponseWriter.Write(p)
+}
+
+// Unwrap lets a handler flush through http.ResponseController.
+func (s *streamWriter) Unwrap() http.ResponseWriter { return s.ResponseWriter }
--- a/internal/lasting/lasting_test.go
+++ b/internal/streamlimit/streamlimit_test.go
@@ -1,4 +1,4 @@
-package lasting
+package streamlimit
 
 import (
 	"net/http"
@@ -11,7 +11,7 @@
 
 // A caller that takes nothing has its place for so long, then another has it.
 func TestWhoTakesNothingMakesRoom(t *testing.T) {
-	a := Answers{Most: 1, Each: 50 * time.Millisecond}
+	a := Limiter{MaxOpen: 1, WriteTimeout: 50 * time.Millisecond}
 	ended := make(chan error, 2)
 	text := make([]byte, 1<<20)
 	srv := httptest.NewUnstartedServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -51,7 +51,7 @@
 }
 
 func TestBounded(t *testing.T) {
-	a := Answers{Most: 2, Each: time.Second}
+	a := Limiter{MaxOpen: 2, WriteTimeout: time.Second}
 	there, end := make(chan bool), make(chan bool)
 	srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		a.Serve(w, r, http.HandlerFunc(func(http.ResponseWriter, *http.Request) { there <- true; <-end }))
@@ -74,5 +74,5 @@
 	close(end)
 	require.Equal(t, http.StatusOK, <-status)
 	require.Equal(t, http.StatusOK, <-status)
-	require.Zero(t, a.now.Load())
+	require.Zero(t, a.open.Load())
 }
