--- a/internal/membership/transport.go
+++ b/internal/membership/transport.go
@@ -14,6 +14,9 @@
 
 	"github.com/hashicorp/memberlist"
 	"golang.org/x/sys/unix"
+
+	"marblelane/internal/listener"
+	"marblelane/internal/retry"
 )
 
 // limits bound what callers can make a transport hold.
@@ -63,7 +66,7 @@
 	log      *slog.Logger
 	dropped  func(why string)
 
-	tcp       *net.TCPListener
+	tcp       net.Listener // accepts TCP connections alone
 	udp       *net.UDPConn
 	bound     netip.AddrPort
 	advertise netip.AddrPort
@@ -133,9 +136,11 @@
 		return err
 	}
 	for range tries {
-		if t.tcp, err = net.ListenTCP("tcp", at); err != nil {
+		var tcp *net.TCPListener
+		if tcp, err = net.ListenTCP("tcp", at); err != nil {
 			return err
 		}
+		t.tcp = listener.Wrap(tcp, "members", t.log)
 		got := t.tcp.Addr().(*net.TCPAddr).AddrPort()
 		if t.udp, err = net.ListenUDP("udp", net.UDPAddrFromAddrPort(got)); err == nil {
 			t.bound = netip.AddrPortFrom(got.Addr().Unmap(), got.Port())
@@ -262,33 +267,37 @@
 	return err
 }
 
-// pause waits a moment after a failure of a listening socket; false: the transport has ended.
-func (t *transport) pause(what string, err error, wait time.Duration) bool {
+// readFailures paces the reading of packets after failures, and bounds their lines in the log.
+type readFailures struct {
+	backoff retry.Backoff
+	limiter retry.LogLimiter
+}
+
+// pause waits a moment after a failure of the packets' socket; false: the transport has ended.
+func (t *transport) pause(failures *readFailures, err error) bool {
 	if t.ctx.Err() != nil {
 		return false
 	}
-	t.log.Warn("members: "+what, "addr", t.bound, "error", err)
-	select {
-	case <-time.After(wait):
-		return true
-	case <-t.ctx.Done():
-		return false
+	if ok, suppressed := failures.limiter.Allow(); ok {
+		t.log.Warn("members: read packets", "addr", t.bound, "error", err, "suppressed", suppressed)
 	}
+	return retry.Sleep(t.ctx, failures.backoff.Next()) == nil
 }
 
-// failPause is between two tries of a socket that fails, as where there are no descriptors left.
-const failPause = 200 * time.Millisecond
-
 func (t *transport) readPackets() {
 	buf := make([]byte, t.packet+1)
+	failures := readFailures{backoff: retry.NewBackoff()}
 	for {
 		n, from, err := t.udp.ReadFromUDPAddrPort(buf)
 		at := time.Now()
-		switch {
-		case err != nil:
-			if !t.pause("read packets", err, failPause) {
+		if err != nil {
+			if !t.pause(&failures, err) {
 				return
 			}
+			continue
+		}
+		failures.backoff.Reset()
+		switch {
 		case !within(t.networks, from.Addr()):
 			t.dropped(droppedNetwork)
 		case n > t.packet:
@@ -311,12 +320,12 @@
 
 func (t *transport) acceptStreams() {
 	for {
-		conn, err := t.tcp.AcceptTCP()
+		conn, err := t.tcp.Accept()
 		if err != nil {
-			if !t.pause("accept streams", err, failPause) {
-				return
+			if !errors.Is(err, net.ErrClosed) {
+				t.log.Error("members: no stream can be accepted any more", "addr", t.bound, "error", err)
 			}
-			continue
+			return
 		}
 		if !within(t.networks, conn.RemoteAddr().(*net.TCPAddr).AddrPort().Addr()) {
 			t.dropped(droppedNetwork)
--- a/internal/membership/transport_test.go
+++ b/internal/membership/transport_test.go
@@ -5,18 +5,24 @@
 	"fmt"
 	"io"
 	"log"
+	"log/slog"
 	"math/rand/v2"
 	"net"
 	"net/netip"
 	"os"
+	"strings"
 	"syscall"
 	"testing"
+	"testing/synctest"
 	"time"
 
 	"github.com/hashicorp/memberlist"
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 	"go.uber.org/goleak"
+	"golang.org/x/sys/unix"
+
+	"marblelane/internal/retry"
 )
 
 // tight are limits that a test can reach.
@@ -269,3 +275,18 @@
 		require.Eventually(t, func() bool { return m.NumMembers() == len(all) }, 20*time.Second, 5*time.Millisecond)
 	}
 }
+
+// Packets that cannot be read are tried again, at intervals that grow to 100 ms, and the log stays short.
+func TestTransportReadFailures(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		var text bytes.Buffer
+		tr := &transport{ctx: t.Context(), log: slog.New(slog.NewTextHandler(&text, nil))}
+		failures := readFailures{backoff: retry.NewBackoff()}
+		began := time.Now()
+		for range 35 {
+			assert.True(t, tr.pause(&failures, unix.ENOBUFS))
+		}
+		assert.Equal(t, 155*time.Millisecond+30*100*time.Millisecond, time.Since(began))
+		assert.Equal(t, 1, strings.Count(text.String(), "\n"), "lines in 3.2 s: %s", text.String())
+	})
+}
--- a/internal/registry/node.go
+++ b/internal/registry/node.go
@@ -19,6 +19,7 @@
 	"github.com/hashicorp/raft"
 
 	"marblelane/internal/fault"
+	"marblelane/internal/listener"
 	"marblelane/internal/membership"
 )
 
@@ -84,9 +85,11 @@
 			opened.shut()
 		}
 	}(n)
-	if n.listen, err = net.Listen("tcp", cfg.Listen); err != nil {
+	l, err := net.Listen("tcp", cfg.Listen)
+	if err != nil {
 		return nil, fmt.Errorf("registry: listen: %w", err)
 	}
+	n.listen = listener.Wrap(l, "registry", cfg.Log)
 	n.close = append(n.close, n.listen.Close)
 	n.server = newServer(n.hub, n, cfg.Options)
 	if n.members = newMembers(cfg.Members, cfg.Options); n.members != nil {
@@ -219,7 +222,7 @@
 	if err != nil {
 		return nil, err
 	}
-	out := &layer{Listener: l, advertised: l.Addr()}
+	out := &layer{Listener: listener.Wrap(l, "raft", nil), advertised: l.Addr()}
 	at := l.Addr().(*net.TCPAddr)
 	if !at.IP.IsUnspecified() {
 		out.from = &net.TCPAddr{IP: at.IP}
--- a/internal/sidecar/handover.go
+++ b/internal/sidecar/handover.go
@@ -16,6 +16,9 @@
 	"time"
 
 	"golang.org/x/sys/unix"
+
+	"marblelane/internal/fault"
+	"marblelane/internal/listener"
 )
 
 // At an upgrade the platform starts a second process beside this one. The two meet at a Unix socket in the
@@ -132,8 +135,9 @@
 type successors struct {
 	give     *net.TCPListener
 	changed  func(alive int) // how many there are now
+	faults   *fault.Plan     // the lab's; nil: none
 	serve    atomic.Int64    // those that serve
-	listener *net.UnixListener
+	listener net.Listener
 
 	ended  sync.WaitGroup
 	mu     sync.Mutex
@@ -156,21 +160,28 @@
 		os.Remove(fresh)
 		return err
 	}
-	s.listener, s.conns = l, map[net.Conn]struct{}{}
-	s.ended.Go(func() {
-		for {
-			c, err := l.AcceptUnix()
-			if err != nil {
-				return
-			}
-			if s.add(c) {
-				s.ended.Go(func() { s.follow(c) })
-			}
-		}
-	})
+	s.listener, s.conns = listener.Wrap(plant(l, s.faults), "upgrade", nil), map[net.Conn]struct{}{}
+	s.ended.Go(func() { s.accept(s.listener) })
 	return nil
 }
 
+// accept meets newer processes until the listener is closed, or its socket is lost.
+func (s *successors) accept(l net.Listener) {
+	for {
+		c, err := l.Accept()
+		if errors.Is(err, net.ErrClosed) {
+			return
+		}
+		if err != nil {
+			slog.Error("upgrade: no newer process can meet this one any more", "error", err)
+			return
+		}
+		if next := c.(*net.UnixConn); s.add(next) {
+			s.ended.Go(func() { s.follow(next) })
+		}
+	}
+}
+
 func (s *successors) add(c net.Conn) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- /dev/null
+++ b/internal/sidecar/planted_test.go
@@ -0,0 +1,106 @@
+package sidecar
+
+import (
+	"net"
+	"os"
+	"path/filepath"
+	"sync"
+	"sync/atomic"
+	"testing"
+	"time"
+
+	"marblelane/internal/fault"
+	"marblelane/internal/listener"
+)
+
+// failureCounter counts the accepts that fail.
+type failureCounter struct {
+	net.Listener
+	failures *atomic.Int64
+}
+
+func (c failureCounter) Accept() (net.Conn, error) {
+	conn, err := c.Listener.Accept()
+	if err != nil {
+		c.failures.Add(1)
+	}
+	return conn, err
+}
+
+// countFailures counts below the listener that goes on after them.
+func countFailures(t *testing.T, l *room, failures *atomic.Int64) {
+	t.Helper()
+	wrapped, ok := l.Listener.(*listener.Listener)
+	if !ok {
+		t.Fatalf("the listener is a %T, which ends at the first failure", l.Listener)
+	}
+	wrapped.Listener = failureCounter{Listener: wrapped.Listener, failures: failures}
+}
+
+// Failing accepts, of which net/http takes few for temporary, do not end the process; once they work it serves.
+func TestAcceptThatFailsForAMoment(t *testing.T) {
+	for _, errno := range []string{
+		"ENOBUFS", "ENOMEM", "EPROTO", "ENETUNREACH", "EHOSTUNREACH", "ENETDOWN", "EPERM", "EMFILE", "ENFILE",
+	} {
+		t.Run(errno, func(t *testing.T) {
+			b := newBackend(t, "a", ok)
+			path := filepath.Join(t.TempDir(), "faults.toml")
+			plan(t, path, fault.CallAccept, errno)
+			c := newConf(newRegistry(t).addr(), b.target)
+			c["faults"] = path
+			var failures atomic.Int64
+			s := start(t, c, func(s *Sidecar) { countFailures(t, s.listener, &failures) })
+			until(t, "accepts that fail", func() bool { return failures.Load() >= 3 })
+			if err := (fault.Set{}).Write(path); err != nil {
+				t.Fatal(err)
+			}
+			if got := s.do(s.request("charge", 5*time.Second)); got.status != 200 {
+				t.Errorf("%+v", got)
+			}
+		})
+	}
+}
+
+// plan makes a system call fail from the next one on.
+func plan(t *testing.T, path, call, errno string) {
+	t.Helper()
+	if err := (fault.Set{Calls: map[string]string{call: errno}}).Write(path); err != nil {
+		t.Fatal(err)
+	}
+}
+
+// The platform's address and the place where a newer process meets this one stay, too.
+func TestOtherAcceptsThatFailForAMoment(t *testing.T) {
+	b := newBackend(t, "a", ok)
+	c := upgradable(t, newRegistry(t).addr(), b.target)
+	path := filepath.Join(t.TempDir(), "faults.toml")
+	plan(t, path, fault.CallAccept, "EPROTO")
+	c["faults"] = path
+	var failures atomic.Int64
+	old := start(t, c, func(s *Sidecar) { countFailures(t, s.manager, &failures) })
+	until(t, "accepts that fail", func() bool { return failures.Load() >= 3 })
+	cfg, err := c.load(t)
+	if err != nil {
+		t.Fatal(err)
+	}
+	var met sync.WaitGroup
+	until(t, "the meeting place", func() bool {
+		_, err := os.Lstat(cfg.meetingPlace())
+		return err == nil
+	})
+	met.Go(func() {
+		p, l, err := meet(cfg)
+		if err != nil || p == nil {
+			t.Errorf("a newer process meets %v: %v", p, err)
+			return
+		}
+		l.Close()
+		p.conn.Close()
+	})
+	until(t, "more accepts that fail", func() bool { return failures.Load() >= 6 })
+	if err := (fault.Set{}).Write(path); err != nil {
+		t.Fatal(err)
+	}
+	until(t, "the platform's address", func() bool { return old.healthy(t) })
+	met.Wait()
+}
--- a/internal/sidecar/sidecar.go
+++ b/internal/sidecar/sidecar.go
@@ -15,6 +15,7 @@
 	"time"
 
 	"marblelane/balance"
+	listening "marblelane/internal/listener"
 )
 
 const (
@@ -89,7 +90,7 @@
 		if err != nil {
 			return nil, fmt.Errorf("management: %w", err)
 		}
-		manager = newRoom(listener, 1)
+		manager = newRoom(listening.Wrap(plant(listener, cfg.faults), "management", nil), 1)
 	}
 	before, listener, err := meet(cfg)
 	if err != nil {
@@ -120,14 +121,15 @@
 		l.disc.lag = lagOf(cfg.balance.DrainGrace)
 	}
 	s := &Sidecar{
-		cfg: cfg, tcp: listener.(*net.TCPListener), listener: newRoom(listener, all.clients), manager: manager, loop: l,
+		cfg: cfg, tcp: listener.(*net.TCPListener), listener: newRoom(listening.Wrap(plant(listener, cfg.faults), "clients", nil), all.clients),
+		manager: manager, loop: l,
 		before: before, budget: all, drainAccept: drainAccept, listWait: listWait,
 		unaccepted: unaccepted,
 		frontend: &frontend{
 			cfg: cfg, post: l.post, figures: l.figures, peerWait: peerWait, writeWait: writeWait,
 		},
 	}
-	s.after = successors{give: s.tcp, changed: func(alive int) { s.beside(&s.newer, alive) }}
+	s.after = successors{give: s.tcp, faults: cfg.faults, changed: func(alive int) { s.beside(&s.newer, alive) }}
 	if before != nil {
 		s.older = 1
 	}
