--- a/internal/sidecar/answer.go
+++ b/internal/sidecar/answer.go
@@ -8,7 +8,6 @@
 	"errors"
 	"io"
 	"math"
-	"net"
 	"net/http"
 	"os"
 	"strconv"
@@ -83,15 +82,15 @@
 	return r, !resp.Close && conn.in.Buffered() == 0
 }
 
-// broken is the result of an answer that ended with an error.
+// broken is the result of an answer that ended with an error. Only os.ErrDeadlineExceeded is this process's own
+// deadline: the system's ETIMEDOUT reports Timeout as well, and is a connection that broke.
 func broken(ctx context.Context, err error) balance.Result {
-	var timeout net.Error
 	switch {
 	case err == nil:
 		return balance.OK
 	case ctx.Err() != nil:
 		return balance.Cancelled
-	case errors.As(err, &timeout) && timeout.Timeout():
+	case errors.Is(err, os.ErrDeadlineExceeded):
 		return balance.TimedOut
 	default:
 		return balance.Reset
--- a/internal/sidecar/body.go
+++ b/internal/sidecar/body.go
@@ -4,6 +4,7 @@
 	"errors"
 	"io"
 	"net/http"
+	"os"
 	"sync"
 	"time"
 )
@@ -93,7 +94,7 @@
 		return 0, errBodyLarge
 	case err == io.EOF:
 		p.until(time.Time{})
-	case err != nil && time.Since(began) >= min(allowed, stallWait):
+	case errors.Is(err, os.ErrDeadlineExceeded):
 		err = errBodySlow
 	}
 	return n, err
