--- a/balance/api.go
+++ b/balance/api.go
@@ -222,11 +222,19 @@
 	Cancelled
 	Moot
 	Broken // the connection broke before the whole request was written; the process may well run
+	// LocalFailure says that this machine could not begin the attempt: it lacks a socket, a port, a route or memory, or a
+	// filter of its own forbids it. It tells nothing of the server and uses up no attempt.
+	LocalFailure
+	Unreachable // the network reports that there is no way to the server; the process may well run
 )
 
 // NeverRan reports whether the result proves that the attempt was not executed.
 func (r Result) NeverRan() bool {
-	return r == Full || r == ConnectFailed || r == Moot || r == Broken
+	switch r {
+	case Full, ConnectFailed, Moot, Broken, LocalFailure, Unreachable:
+		return true
+	}
+	return false
 }
 
 // Outcome is the end of an attempt; each attempt gets one.
--- a/balance/balance.go
+++ b/balance/balance.go
@@ -180,7 +180,7 @@
 		b.answer(r, 0)
 		return
 	}
-	if r.live == 0 && !b.held(r) {
+	if r.live == 0 && b.now >= r.retryAt && !b.held(r) {
 		if s := b.pick(r, r.sends() > 0); s != nil {
 			// Exception: while load is shed an unsafe request is given up at its aim. In full queues all that
 			// is served is late; clients try the others again, and that is more load.
@@ -486,15 +486,14 @@
 	return r.stats.mean + lateDevs*r.stats.dev
 }
 
-// fault counts an error; a server is rested when it is down or after several in a row.
-func (b *Balancer) fault(s *server, down bool, weight float64) {
+// fault counts an error; a server is rested when it is away, or after several in a row.
+func (b *Balancer) fault(s *server, away bool, weight float64) {
 	s.errs++
 	s.lastErr = b.now
-	s.down = s.down || down
 	b.hear(s.zone.tier, 2)
 	b.accuse(s, weight)
 	b.learn(s, 3)
-	if down || s.errs >= strikes {
+	if away || s.errs >= strikes {
 		b.rest(s)
 		if s.doubted > 0 {
 			b.endDoubt(s)
@@ -531,16 +530,17 @@
 			b.learn(s, ev.Took/r.stats.mean)
 		}
 		r.stats.add(ev.Took)
-	case ev.Result == Cancelled || ev.Result == Moot:
+	case ev.Result == Cancelled || ev.Result == Moot || ev.Result == LocalFailure:
 	case a.started: // it broke off
 		b.fault(s, false, hearsay)
 	default:
-		if down := ev.Result == ConnectFailed; down || !a.overdue && !(a.cut && ev.Result == TimedOut) {
+		if away := ev.Result.away(); away || !a.overdue && !(a.cut && ev.Result == TimedOut) {
 			weight := hearsay
-			if down && ev.Took >= b.cfg.ConnectTimeout/2 { // who refuses is there
+			if away && ev.Took >= b.cfg.ConnectTimeout/2 { // who refuses is there
 				weight = 1
 			}
-			b.fault(s, down, weight)
+			s.down = s.down || ev.Result == ConnectFailed // unreachable, it may still run
+			b.fault(s, away, weight)
 		}
 	}
 }
@@ -579,8 +579,8 @@
 
 func (b *Balancer) wake(r *request) {
 	next := b.watch(r)
-	if r.holdUntil > b.now {
-		next = math.Min(next, r.holdUntil)
+	if hold := math.Max(r.holdUntil, r.retryAt); hold > b.now {
+		next = math.Min(next, hold)
 	} else if r.live == 0 {
 		next = math.Min(next, b.now+math.Max(b.cfg.Quantum, r.class.Aim/20))
 	}
--- a/balance/events.go
+++ b/balance/events.go
@@ -67,6 +67,9 @@
 		ev.Result = Moot
 		b.void(r, a)
 	}
+	if ev.Result == LocalFailure {
+		b.retryLater(r, a)
+	}
 	a.live, a.clean = false, ev.Result.NeverRan()
 	r.live--
 	a.settle(r, ev)
@@ -318,7 +321,9 @@
 func (b *Balancer) onProbe(ev ProbeResult) {
 	if s := b.byID[ev.Server]; s != nil {
 		s.probing = false
-		b.judgeProbe(s, ev)
+		if ev.Result != LocalFailure {
+			b.judgeProbe(s, ev)
+		}
 		b.stepHeld()
 	}
 }
--- /dev/null
+++ b/balance/retry_test.go
@@ -0,0 +1,158 @@
+package balance
+
+import (
+	"math"
+	"testing"
+)
+
+// judged is what may be held against a server.
+type judged struct {
+	errs, rests                int
+	restUntil, coldSince, size float64
+	down, dark                 bool
+	against                    float64
+}
+
+func (g *rig) judged(id ServerID) judged {
+	s := g.b.byID[id]
+	return judged{s.errs, s.rests, s.restUntil, s.coldSince, s.size, s.down, s.dark, s.zone.against}
+}
+
+// wait lets the time of a request's next timer come, and tells how long that was.
+func (g *rig) wait(id RequestID) (acts []Action, waited float64) {
+	g.t.Helper()
+	due := g.b.reqs[id].wakeAt
+	if math.IsInf(due, 1) {
+		g.t.Fatalf("request %d waits for nothing", id)
+	}
+	waited = due - g.now
+	g.now = due
+	return g.do(Timer{Token: uint64(id)}), waited
+}
+
+// A failure of this machine is held against no server, uses up no attempt, and the request goes on after a pause that
+// doubles, even one that must not run twice.
+func TestLocalFailureUsesUpNoAttempt(t *testing.T) {
+	for name, class := range map[string]int{"safe": safeClass, "unsafe": unsafeClass, "keyed": cellClass} {
+		t.Run(name, func(t *testing.T) {
+			g := newRig(t, baseConfig(), fleet(8)...)
+			id, acts := g.ask(class)
+			for n, pause := range []float64{5, 10, 20, 40} {
+				server, sent := sentTo(acts)
+				if !sent {
+					t.Fatalf("attempt %d was not sent: %+v", n, acts)
+				}
+				before := g.judged(server)
+				if acts = g.answer(id, n, LocalFailure, 0.1); has(acts, Send) || has(acts, Refuse) || has(acts, Fail) {
+					t.Fatalf("after failure %d: %+v, want a pause", n, acts)
+				}
+				if after := g.judged(server); after != before {
+					t.Errorf("server %d: %+v, was %+v", server, after, before)
+				}
+				var waited float64
+				if acts, waited = g.wait(id); waited != pause {
+					t.Errorf("pause %d lasts %v ms, want %v", n, waited, pause)
+				}
+			}
+			sends := 0
+			for n := 4; has(acts, Send); n++ { // all of its attempts are left
+				sends++
+				acts = g.answer(id, n, ConnectFailed, 0.1)
+			}
+			if sends != baseConfig().MaxAttempts || !has(acts, Refuse) {
+				t.Errorf("%d further attempts, then %+v, want %d and a refusal", sends, acts, baseConfig().MaxAttempts)
+			}
+		})
+	}
+}
+
+// However long this machine fails, the request is refused when its time is up, after few tries.
+func TestLocalFailuresEndInARefusal(t *testing.T) {
+	for name, class := range map[string]int{"safe": safeClass, "unsafe": unsafeClass, "keyed": allClass} {
+		t.Run(name, func(t *testing.T) {
+			g := newRig(t, baseConfig(), fleet(8)...)
+			begun, n := g.now, 0
+			id, acts := g.ask(class)
+			for !has(acts, Refuse) {
+				if has(acts, Send) {
+					acts = g.answer(id, n, LocalFailure, 0.1)
+					n++
+				} else {
+					acts, _ = g.wait(id)
+				}
+				if has(acts, Fail) {
+					t.Fatalf("%+v, want a refusal", acts)
+				}
+			}
+			if took := g.now - begun; took > g.b.cfg.Classes[class].Deadline || n > 12 {
+				t.Errorf("refused after %v ms and %d tries, want at its time and within 12", took, n)
+			}
+		})
+	}
+}
+
+// Where no time bounds it, as the body is still coming, the number of failures does.
+func TestLocalFailuresOfAnOpenRequestAreBounded(t *testing.T) {
+	g := newRig(t, baseConfig(), fleet(8)...)
+	g.next++
+	id, n := g.next, 0
+	acts := g.do(Request{ID: id, Class: safeClass, Remaining: 500, Open: true})
+	for !has(acts, Refuse) {
+		if n > mostUnbegun+g.b.cfg.MaxAttempts {
+			t.Fatalf("%d tries and no end", n)
+		}
+		if has(acts, Send) {
+			acts = g.answer(id, n, LocalFailure, 0.1)
+			n++
+		} else {
+			acts, _ = g.wait(id)
+		}
+	}
+}
+
+// A probe that this machine could not send says nothing of its server.
+func TestLocalFailureOfAProbe(t *testing.T) {
+	g := newRig(t, baseConfig(), fleet(8)...)
+	before := g.judged(3)
+	g.b.byID[3].probing = true
+	g.do(ProbeResult{Server: 3, Result: LocalFailure, Took: 0.1})
+	if after := g.judged(3); after != before || g.b.byID[3].probing {
+		t.Errorf("%+v, was %+v; it may be probed again: %v", after, before, !g.b.byID[3].probing)
+	}
+}
+
+// A server to which there is no way is rested as one that is gone, but it does not start again: it stays warm.
+func TestUnreachableServerStaysWarm(t *testing.T) {
+	for _, test := range []struct {
+		result Result
+		cold   bool
+	}{{ConnectFailed, true}, {Unreachable, false}} {
+		g := newRig(t, baseConfig(), fleet(8)...)
+		id, acts := g.ask(safeClass)
+		server, _ := sentTo(acts)
+		s := g.b.byID[server]
+		if acts = g.answer(id, 0, test.result, 1); !has(acts, Send) || !g.b.resting(s) {
+			t.Errorf("result %v: %+v, resting %v, want another attempt and a rest", test.result, acts, g.b.resting(s))
+		}
+		g.now = s.restUntil
+		for g.b.resting(s) || s.errs > 0 { // until it answers again
+			g.now += 10
+			id, acts := g.ask(safeClass)
+			if to, sent := sentTo(acts); !sent || to == 0 {
+				t.Fatalf("%+v", acts)
+			}
+			g.answer(id, 0, OK, 10)
+		}
+		if cold := g.b.cold(s); cold != test.cold {
+			t.Errorf("result %v: it starts anew: %v, want %v", test.result, cold, test.cold)
+		}
+	}
+}
+
+// An attempt to a canary that this machine could not send costs no unit.
+func TestLocalFailureCostsNoUnit(t *testing.T) {
+	a := &attempt{}
+	if a.spends(&request{}, Outcome{Result: LocalFailure}) || !a.spends(&request{}, Outcome{Result: Unreachable}) {
+		t.Error("want a unit spent on a canary out of reach, and none on a failure of this machine")
+	}
+}
--- a/balance/routes.go
+++ b/balance/routes.go
@@ -144,7 +144,7 @@
 // canary that refuses or cannot be reached has failed.
 func (a *attempt) spends(r *request, ev Outcome) bool {
 	switch ev.Result {
-	case Moot:
+	case Moot, LocalFailure:
 		return false
 	case Cancelled:
 		return a.missed
--- a/balance/state.go
+++ b/balance/state.go
@@ -149,6 +149,8 @@
 	spent     bool      // it cannot be sent again
 	drawn     bool      // its place is known
 	voids     uint8     // attempts that count as none
+	unbegun   uint8     // attempts that this machine could not begin and that count as none
+	retryAt   float64   // nothing is sent before it; 0: at any time
 	wakeAt    float64   // when its next timer comes
 	probed    []*server // asked before the first send
 	holdUntil float64
@@ -156,7 +158,7 @@
 }
 
 // sends is how many attempts count.
-func (r *request) sends() int { return len(r.tries) - int(r.voids) }
+func (r *request) sends() int { return len(r.tries) - int(r.voids) - int(r.unbegun) }
 
 // classStats follows how long answers of a class take, and counts its requests.
 type classStats struct {
