--- a/balance/api.go
+++ b/balance/api.go
@@ -237,6 +237,9 @@
 	return false
 }
 
+// away reports whether the result says that its server cannot be had at present.
+func (r Result) away() bool { return r == ConnectFailed || r == Unreachable }
+
 // Outcome is the end of an attempt; each attempt gets one.
 type Outcome struct {
 	Request  RequestID
--- a/balance/balance.go
+++ b/balance/balance.go
@@ -111,9 +111,6 @@
 	return (shed*total - below) / like
 }
 
-// weaker: a smaller part of what it asked for was served in time.
-func (t *tally) weaker(than *tally) bool { return t.served*than.asked < than.served*t.asked }
-
 // probeFor asks those next in turn before a first send, where servers tell only when probed: so many that
 // hardly ever all are busy, within what it may cost.
 func (b *Balancer) probeFor(r *request) {
@@ -443,9 +440,6 @@
 	return 1 / c.n
 }
 
-// resting: it left several attempts without an answer or is out of reach; the next rest is longer.
-func (b *Balancer) resting(s *server) bool { return b.now < s.restUntil }
-
 // watch counts what takes far too long as an error, as a hung server would show late, takes what has had its
 // aim off the load, and returns when to look again.
 func (b *Balancer) watch(r *request) float64 {
@@ -470,14 +464,6 @@
 	return next
 }
 
-// onReached takes back what was held against a server whose connection was late: it is there.
-func (b *Balancer) onReached(ev Reached) {
-	if s := b.byID[ev.Server]; s != nil && s.down {
-		s.pardon()
-		b.acquit(s)
-	}
-}
-
 // overdueAfter follows the class's answers: in a congested fleet all are late, by no server's fault.
 func (b *Balancer) overdueAfter(r *request) float64 {
 	if r.stats.n < 5 {
@@ -589,10 +575,3 @@
 		b.emit(Action{Kind: SetTimer, Token: uint64(r.ID), At: math.Max(0, next-b.now)})
 	}
 }
-
-// add takes in an answer: of many the newest count, and each fades alike.
-func (c *classStats) add(took float64) {
-	c.n = math.Min(c.n+1, memory)
-	c.mean += (took - c.mean) / c.n
-	c.dev += (math.Abs(took-c.mean) - c.dev) / c.n
-}
--- a/balance/events.go
+++ b/balance/events.go
@@ -275,6 +275,14 @@
 	}
 }
 
+// onReached takes back what was held against a server whose connection was late: it is there.
+func (b *Balancer) onReached(ev Reached) {
+	if s := b.byID[ev.Server]; s != nil && s.down {
+		s.pardon()
+		b.acquit(s)
+	}
+}
+
 // restart lets a request's time begin now.
 func (r *request) restart(now, remaining float64) { r.arrived, r.deadline = now, now+remaining }
 
--- a/balance/state.go
+++ b/balance/state.go
@@ -118,6 +118,9 @@
 	s.errs, s.rests, s.restUntil, s.down, s.dark = 0, 0, 0, false, false
 }
 
+// resting: it left several attempts without an answer or is out of reach; the next rest is longer.
+func (b *Balancer) resting(s *server) bool { return b.now < s.restUntil }
+
 type attempt struct {
 	s       *server
 	sent    float64
@@ -166,10 +169,20 @@
 	n, mean, dev, worth float64
 }
 
+// add takes in an answer: of many the newest count, and each fades alike.
+func (c *classStats) add(took float64) {
+	c.n = math.Min(c.n+1, memory)
+	c.mean += (took - c.mean) / c.n
+	c.dev += (math.Abs(took-c.mean) - c.dev) / c.n
+}
+
 // tally counts the requests of a class or tenant, and those served within the aim. Both start at 1,
 // so that neither is ever 0.
 type tally struct{ asked, served, share float64 }
 
+// weaker: a smaller part of what it asked for was served in time.
+func (t *tally) weaker(than *tally) bool { return t.served*than.asked < than.served*t.asked }
+
 // weighed is what all requests of this sidecar ask for, and who is served the least part of it.
 type weighed struct {
 	asked, worth float64
