--- a/cmd/marblelane/registry.go
+++ b/cmd/marblelane/registry.go
@@ -43,11 +43,11 @@
 		return err
 	}
 	cfg.Log = a.log
-	n, err := registry.Open(cfg)
+	supervisor, err := registry.Supervise(cfg)
 	if err != nil {
 		return err
 	}
-	fmt.Fprintf(a.out, "ready name=%s listen=%s raft=%s\n", cfg.Name, n.Addr(), cfg.Raft)
+	fmt.Fprintf(a.out, "ready name=%s listen=%s raft=%s\n", cfg.Name, supervisor.Node().Addr(), cfg.Raft)
 	ctx, cancel := context.WithCancel(a.ctx)
 	defer cancel()
 	reload := make(chan os.Signal, 1)
@@ -65,11 +65,11 @@
 					continue
 				}
 				a.log.Info("reload: rates, times, shares and the operators' file are taken in; names, addresses and folder need a new start")
-				n.Server().Reload(fresh.Options)
+				supervisor.Reload(fresh.Options)
 			}
 		}
 	}()
-	return n.Run(ctx)
+	return supervisor.Run(ctx)
 }
 
 // remote is a copy that is asked.
--- a/internal/fault/fault.go
+++ b/internal/fault/fault.go
@@ -47,6 +47,7 @@
 const (
 	CallAccept = "accept"
 	CallOpen   = "open"
+	CallWrite  = "write" // by Plan.Disk: the write fails, and nothing of it is on the disk
 )
 
 // NewSet makes what a file says.
@@ -154,6 +155,9 @@
 	case SyncUnheard:
 		return true, do(ErrSync)
 	}
+	if err := p.Call(CallWrite); err != nil {
+		return false, do(err)
+	}
 	return false, do(nil)
 }
 
--- a/internal/fault/fault_test.go
+++ b/internal/fault/fault_test.go
@@ -34,6 +34,7 @@
 		{NewSet(-time.Hour, 0, SyncKept), false, false, true, -time.Hour},
 		{NewSet(time.Hour, time.Millisecond, SyncLost), true, false, true, time.Hour},
 		{NewSet(0, 0, SyncUnheard), true, true, true, 0},
+		{Set{Calls: map[string]string{CallWrite: "ENOSPC"}}, true, false, true, 0},
 		{Set{}, false, false, false, 0},
 	} {
 		if err := c.set.Write(path); err != nil {
--- a/internal/registry/node.go
+++ b/internal/registry/node.go
@@ -9,6 +9,7 @@
 	"log/slog"
 	"net"
 	"net/http"
+	"os"
 	"path/filepath"
 	"slices"
 	"sync"
@@ -42,6 +43,8 @@
 	Members  *membership.Config // nil: off
 
 	Options
+
+	reopened bool // a copy was opened from the folder before: one without a log is not the copy's
 }
 
 // Peer is a copy as others know it.
@@ -64,7 +67,8 @@
 	members *members // nil: off
 	http    *http.Server
 	listen  net.Listener
-	kept    *store // nil: nothing is kept
+	raftAt  net.Addr // where raft listens
+	kept    *store   // nil: nothing is kept
 	close   []func() error
 	log     *slog.Logger
 	// settled is the last term in which this copy led and had applied all that was committed before it.
@@ -122,6 +126,11 @@
 		mem := raft.NewInmemStore()
 		logs, stable, snaps = mem, mem, raft.NewInmemSnapshotStore()
 	} else {
+		if n.cfg.reopened {
+			if _, err := os.Stat(filepath.Join(n.cfg.Dir, storeFile)); err != nil {
+				return fmt.Errorf("registry: %w", err)
+			}
+		}
 		release, err := takeDir(n.cfg.Dir)
 		if err != nil {
 			return fmt.Errorf("registry: %w", err)
@@ -141,7 +150,7 @@
 		if err != nil {
 			return fmt.Errorf("registry: snapshots in %s: %w", n.cfg.Dir, err)
 		}
-		logs, stable, snaps = kept, kept, files
+		logs, stable, snaps = kept, termStore{kept}, files
 	}
 	layer, err := listenRaft(n.cfg.Raft, n.cfg.advertised())
 	if err != nil {
@@ -149,6 +158,7 @@
 	}
 	wire := newTransport(raft.NewNetworkTransportWithConfig(&raft.NetworkTransportConfig{
 		Stream: layer, MaxPool: 3, Timeout: 10 * n.cfg.Beat, Logger: c.Logger}), n.cfg.Beat)
+	n.raftAt = layer.Listener.Addr()
 	n.wire, n.notice = wire, newNoticing(wire, n.log)
 	n.close = append(n.close, func() error {
 		wire.CloseStreams() // the other copies' ends of them end with it
@@ -182,9 +192,20 @@
 		n.wire.stop() // raft waits for what it sends
 		return ended.Error()
 	})
+	if err := n.diskFailure(); err != nil {
+		return &DiskError{Err: err}
+	}
 	return nil
 }
 
+// diskFailure is the first write that the copy's folder has refused; nil: none.
+func (n *Node) diskFailure() error {
+	if n.kept == nil {
+		return nil
+	}
+	return n.kept.failure()
+}
+
 // founders are the copies of a cluster that is founded now.
 func (n *Node) founders(wire *transport) (out raft.Configuration) {
 	peers := n.cfg.Peers
@@ -255,7 +276,7 @@
 // Server is what answers them.
 func (n *Node) Server() *Server { return n.server }
 
-// Run serves until ctx ends.
+// Run serves until ctx ends, or the folder refuses a write: then with a *DiskError, and all is closed.
 func (n *Node) Run(ctx context.Context) error {
 	defer n.shut()
 	ctx, cancel := context.WithCancel(ctx)
@@ -288,7 +309,7 @@
 	case err := <-failed:
 		return fmt.Errorf("registry: %w", err)
 	case err := <-disk:
-		broken = fmt.Errorf("registry: the disk takes no more, this copy ends: %w", err)
+		broken = &DiskError{Err: err}
 		n.log.Error("registry: ends", "error", broken)
 	case <-ctx.Done():
 	}
@@ -420,6 +441,8 @@
 			return 0, ErrNotLeader
 		case errors.Is(err, raft.ErrLeadershipLost), errors.Is(err, raft.ErrEnqueueTimeout):
 			return 0, fmt.Errorf("%w; whether the write has happened is not known", ErrNoQuorum)
+		case n.diskFailure() != nil:
+			return 0, fmt.Errorf("%w: the disk takes no more; whether the write has happened is not known", ErrNoQuorum)
 		}
 		return 0, fmt.Errorf("registry: %w", err)
 	}
--- a/internal/registry/store.go
+++ b/internal/registry/store.go
@@ -8,6 +8,7 @@
 	"hash/crc32"
 	"os"
 	"path/filepath"
+	"sync"
 	"sync/atomic"
 	"time"
 
@@ -25,11 +26,16 @@
 // have no checksum.
 //
 // A write that the disk refuses is told on failed: what raft does next rests on writes that have happened, so the copy
-// has to end, and not to go on as if it had them.
+// has to be closed, and not to go on as if it had them. Nothing is written after the first failure, be the disk sound
+// again or not: the kernel may drop what a failed sync leaves behind and report the next sync as done. So the newest
+// root in the file reaches only pages whose sync succeeded, whether or not that root itself is on the disk; the first
+// transaction after the file was opened anew settles this, as it syncs a root of its own.
 type store struct {
 	db     *bolt.DB
+	mu     sync.Mutex  // held while something is written
+	broken error       // the first failure, after which nothing is written
 	failed chan error  // takes the first failure
-	say    func(error) // is told of it first: raft panics on some failures before anybody else hears
+	say    func(error) // is told of it, too
 	faults *fault.Plan
 	slow   time.Duration // a write that takes longer is a slow one
 	took   atomic.Int64  // nanoseconds of the last write
@@ -126,9 +132,14 @@
 	return &store{db: db, failed: make(chan error, 1), say: func(error) {}, slow: slow, faults: faults}, nil
 }
 
-// write changes the file; a failure is told.
+// write changes the file; a failure is told, and every write after it fails with the same error.
 func (s *store) write(f func(*bolt.Tx) error) error {
 	began := time.Now()
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if s.broken != nil {
+		return s.broken
+	}
 	unheard, err := s.faults.Disk(func(undo error) error {
 		return s.db.Update(func(tx *bolt.Tx) error {
 			return errors.Join(f(tx), mark(tx), undo)
@@ -143,15 +154,20 @@
 		s.slowly.Store(0)
 	}
 	if err != nil && !unheard {
-		select {
-		case s.failed <- err:
-			s.say(err)
-		default: // one has been told already
-		}
+		s.broken = err
+		s.failed <- err // has room for the only one
+		s.say(err)
 	}
 	return err
 }
 
+// failure is the write that failed; nil: none has.
+func (s *store) failure() error {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.broken
+}
+
 func (s *store) Close() error { return s.db.Close() }
 
 func key(index uint64) []byte { return binary.BigEndian.AppendUint64(nil, index) }
@@ -299,3 +315,23 @@
 	}
 	return binary.BigEndian.Uint64(v), nil
 }
+
+// currentTerm is the name under which raft keeps the term that a copy is in.
+const currentTerm = "CurrentTerm"
+
+// termStore keeps raft's values, and does not tell raft that its term could not be kept: raft panics then, on goroutines
+// of its own, and the process would end.
+//
+// Nothing rests on such a term. The store has failed, so it refuses each vote and each entry of the term as well, and
+// without its own vote on the disk a copy does not lead. What the copy may still say before it is closed is that it has
+// heard of the term; the majority that voted in it refuses earlier ones without this copy.
+type termStore struct{ *store }
+
+// SetUint64 keeps a number. Where that is the term and the store has failed, no error is given.
+func (s termStore) SetUint64(name []byte, value uint64) error {
+	err := s.store.SetUint64(name, value)
+	if string(name) == currentTerm && s.failure() != nil {
+		return nil
+	}
+	return err
+}
--- /dev/null
+++ b/internal/registry/supervisor.go
@@ -0,0 +1,198 @@
+package registry
+
+import (
+	"context"
+	"errors"
+	"fmt"
+	"net"
+	"os"
+	"path/filepath"
+	"sync"
+	"syscall"
+	"time"
+
+	"marblelane/internal/fault"
+)
+
+// DiskError is a write that a copy's folder has refused. The copy is closed: what it has on the disk shows once the
+// folder is read anew.
+type DiskError struct{ Err error }
+
+// Error implements error.
+func (e *DiskError) Error() string { return "registry: the disk takes no more: " + e.Err.Error() }
+
+// Unwrap gives the cause.
+func (e *DiskError) Unwrap() error { return e.Err }
+
+// A folder that has failed is tried after reopenSoon, and then after twice as long each time, reopenLate at most. A
+// copy that has run for steadyAfter begins with reopenSoon again.
+const (
+	reopenSoon  = 100 * time.Millisecond
+	reopenLate  = time.Second
+	steadyAfter = 30 * time.Second
+)
+
+// Supervisor runs a copy. When the copy's folder refuses a write it closes the copy, waits until the folder takes
+// writes again, and opens the copy anew from what the disk has, as a new start of the process does. Meanwhile nobody is
+// answered, so that readers and writers go to the other copies.
+type Supervisor struct {
+	mu   sync.Mutex
+	cfg  Config
+	node *Node // the newest; closed while the folder fails
+}
+
+// Supervise opens a copy; Run serves. The errors are Open's: a folder that fails at the start is not waited for.
+func Supervise(cfg Config) (*Supervisor, error) {
+	cfg.defaults()
+	n, err := Open(cfg)
+	if err != nil {
+		return nil, err
+	}
+	cfg.Listen = withPort(cfg.Listen, n.listen.Addr())
+	cfg.Raft = withPort(cfg.Raft, n.raftAt)
+	cfg.reopened = true
+	return &Supervisor{cfg: cfg, node: n}, nil
+}
+
+// withPort gives an address that leaves the port to the system the one that it has got.
+func withPort(address string, bound net.Addr) string {
+	host, port, err := net.SplitHostPort(address)
+	tcp, ok := bound.(*net.TCPAddr)
+	if err != nil || !ok || port != "0" {
+		return address
+	}
+	return net.JoinHostPort(host, fmt.Sprint(tcp.Port))
+}
+
+// Node is the copy as it was opened last.
+func (s *Supervisor) Node() *Node {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.node
+}
+
+// Reload takes in other options, also for when the copy is opened anew; the log stays.
+func (s *Supervisor) Reload(o Options) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	o.Log = s.cfg.Log
+	s.cfg.Options = o
+	s.node.Server().Reload(o)
+}
+
+// Run serves until ctx ends. A folder that fails is waited for, however long that takes; the error is one that waiting
+// does not mend, such as a log that is spoilt or a folder that belongs to another user.
+func (s *Supervisor) Run(ctx context.Context) error {
+	wait := reopenSoon
+	for {
+		opened := time.Now()
+		err := s.Node().Run(ctx)
+		var disk *DiskError
+		if ctx.Err() != nil || !errors.As(err, &disk) {
+			return err
+		}
+		if time.Since(opened) >= steadyAfter {
+			wait = reopenSoon
+		}
+		if wait, err = s.reopen(ctx, wait); err != nil || ctx.Err() != nil {
+			return err
+		}
+	}
+}
+
+// reopen opens the copy once its folder takes writes, and gives the pause before the next try, should it fail again. It
+// gives up without an error when ctx ends.
+func (s *Supervisor) reopen(ctx context.Context, wait time.Duration) (time.Duration, error) {
+	closed, said := time.Now(), ""
+	for {
+		select {
+		case <-ctx.Done():
+			return wait, nil
+		case <-time.After(wait):
+		}
+		wait = min(2*wait, reopenLate)
+		err := s.tryOpen()
+		switch log := s.cfg.Log; {
+		case err == nil:
+			log.Info("registry: the folder takes writes again and was read anew", "dir", s.cfg.Dir,
+				"after", time.Since(closed).Round(time.Millisecond))
+			return wait, nil
+		case !mayHeal(err):
+			return wait, err
+		case err.Error() != said:
+			said = err.Error()
+			log.Warn("registry: closed until the folder takes writes again", "dir", s.cfg.Dir, "error", err)
+		}
+	}
+}
+
+// tryOpen opens the copy if its folder takes writes.
+func (s *Supervisor) tryOpen() error {
+	s.mu.Lock()
+	cfg := s.cfg
+	s.mu.Unlock()
+	if err := probe(cfg.Dir, cfg.Faults); err != nil {
+		return err
+	}
+	n, err := Open(cfg)
+	if err != nil {
+		return err
+	}
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.node = n
+	n.Server().Reload(s.cfg.Options) // they may have been changed meanwhile
+	return nil
+}
+
+// mayHeal tells whether what keeps a copy from being opened anew may pass by itself. Only what certainly does not ends
+// the copy; the rest, an address that somebody else holds too, is tried again.
+func mayHeal(err error) bool {
+	if errors.Is(err, syscall.EIO) {
+		return true // what could not be read may be sound
+	}
+	var spoilt *unsound
+	if errors.As(err, &spoilt) {
+		return false
+	}
+	for _, lasting := range []error{errLater, errCorrupt, os.ErrPermission, syscall.ENOTDIR} {
+		if errors.Is(err, lasting) {
+			return false
+		}
+	}
+	return true
+}
+
+// probeBytes are more than a copy writes at once, so that a folder which is about to be full again does not count as
+// one that works.
+const probeBytes = 1 << 20
+
+// probe tells whether a copy's folder is there and takes a file and its sync. A folder without a log is not the copy's:
+// its file system may be away.
+func probe(dir string, faults *fault.Plan) error {
+	if _, err := os.Stat(filepath.Join(dir, storeFile)); err != nil {
+		return err
+	}
+	_, err := faults.Disk(func(planted error) error {
+		if planted != nil {
+			return planted
+		}
+		return writeProbe(filepath.Join(dir, storeFile+tempSuffix)) // a start cuts one that was left
+	})
+	if err != nil {
+		return fmt.Errorf("probe %s: %w", dir, err)
+	}
+	return nil
+}
+
+func writeProbe(path string) error {
+	f, err := os.OpenFile(path, os.O_CREATE|os.O_TRUNC|os.O_WRONLY, 0o600)
+	if err != nil {
+		return err
+	}
+	_, err = f.Write(make([]byte, probeBytes))
+	if err == nil {
+		err = f.Sync()
+	}
+	return errors.Join(err, f.Close(), os.Remove(path))
+}
--- /dev/null
+++ b/internal/registry/supervisor_test.go
@@ -0,0 +1,440 @@
+package registry
+
+import (
+	"context"
+	"encoding/json"
+	"errors"
+	"fmt"
+	"net"
+	"net/http"
+	"os"
+	"path/filepath"
+	"runtime"
+	"strings"
+	"sync"
+	"testing"
+	"time"
+
+	"github.com/stretchr/testify/assert"
+	"github.com/stretchr/testify/require"
+
+	"marblelane/internal/fault"
+)
+
+// supervised is a supervised copy under test whose disk can be made to fail.
+type supervised struct {
+	cfg        Config
+	supervisor *Supervisor
+	faults     string
+	ended      chan error
+}
+
+// supervise starts n copies, with the same change to the configuration of each, and waits for their leader.
+func supervise(t *testing.T, n int, change func(*Config)) []*supervised {
+	t.Helper()
+	var peers []Peer
+	for i := range n {
+		peers = append(peers, Peer{Name: fmt.Sprint("r", i), Raft: freePort(t), Serve: freePort(t)})
+	}
+	var all []*supervised
+	for i, p := range peers {
+		c := &supervised{faults: filepath.Join(t.TempDir(), "faults.toml"), ended: make(chan error, 1)}
+		c.cfg = Config{Name: p.Name, Listen: p.Serve, Raft: p.Raft, Peers: peers, Beat: 50 * time.Millisecond,
+			Dir: filepath.Join(t.TempDir(), fmt.Sprint(i)), Options: Options{Batch: time.Millisecond}}
+		var err error
+		c.cfg.Faults, err = fault.Open(c.faults)
+		require.NoError(t, err)
+		if change != nil {
+			change(&c.cfg)
+		}
+		c.supervisor, err = Supervise(c.cfg)
+		require.NoError(t, err)
+		ctx, stop := context.WithCancel(context.Background())
+		go func() { c.ended <- c.supervisor.Run(ctx) }()
+		t.Cleanup(func() {
+			stop()
+			assert.NoError(t, <-c.ended, c.cfg.Name)
+		})
+		all = append(all, c)
+	}
+	leading(t, all)
+	return all
+}
+
+// plant makes the copy's disk fail, or heals it.
+func (c *supervised) plant(t *testing.T, set fault.Set) {
+	t.Helper()
+	require.NoError(t, set.Write(c.faults))
+}
+
+// status is what the copy says of itself; false: it does not answer.
+func (c *supervised) status() (st Status, answers bool) {
+	client := &http.Client{Transport: &http.Transport{DisableKeepAlives: true}, Timeout: time.Second}
+	resp, err := client.Get("http://" + c.cfg.Listen + "/registry/status")
+	if err != nil {
+		return st, false
+	}
+	defer resp.Body.Close()
+	return st, json.NewDecoder(resp.Body).Decode(&st) == nil
+}
+
+// leading waits until one of the copies leads and has begun a history.
+func leading(t *testing.T, all []*supervised) *supervised {
+	t.Helper()
+	var found *supervised
+	until(t, "a leader", func() bool {
+		for _, c := range all {
+			if st, answers := c.status(); answers && st.Leads && st.Rev > 0 {
+				found = c
+				return true
+			}
+		}
+		return false
+	})
+	return found
+}
+
+// others are the copies but one.
+func others(all []*supervised, but *supervised) (out []*supervised) {
+	for _, c := range all {
+		if c != but {
+			out = append(out, c)
+		}
+	}
+	return out
+}
+
+// register writes one entry through the copies in turn, once through each. It tells whether it was acknowledged.
+func register(all []*supervised, uid string) bool {
+	client := &http.Client{Transport: &http.Transport{DisableKeepAlives: true}, Timeout: 2 * time.Second}
+	for _, c := range all {
+		resp, err := client.Post("http://"+c.cfg.Listen+listPath+"/"+uid, "", strings.NewReader(`{"endpoint":"127.0.0.1:1"}`))
+		if err != nil {
+			continue
+		}
+		resp.Body.Close()
+		if resp.StatusCode == http.StatusOK {
+			return true
+		}
+	}
+	return false
+}
+
+// writers register entries until they are stopped, which gives those that were acknowledged.
+func writers(all []*supervised) (stop func() []string) {
+	ctx, cancel := context.WithCancel(context.Background())
+	var group sync.WaitGroup
+	var mu sync.Mutex
+	var acknowledged []string
+	for number := range 2 {
+		group.Go(func() {
+			for i := 0; ctx.Err() == nil; i++ {
+				uid := fmt.Sprintf("w%d-%d", number, i)
+				if register(all, uid) {
+					mu.Lock()
+					acknowledged = append(acknowledged, uid)
+					mu.Unlock()
+				}
+			}
+		})
+	}
+	return func() []string {
+		cancel()
+		group.Wait()
+		return acknowledged
+	}
+}
+
+// served is the list that a copy serves, by name.
+func served(t *testing.T, c *supervised) map[string]bool {
+	t.Helper()
+	_, text := call(t, "GET", c.cfg.Listen, listPath, "")
+	var l List
+	require.NoError(t, json.Unmarshal([]byte(text), &l), text)
+	out := map[string]bool{}
+	for _, e := range l.Targets {
+		out[e.UID] = true
+	}
+	return out
+}
+
+// closed waits until the copy answers nobody.
+func (c *supervised) closed(t *testing.T) {
+	t.Helper()
+	until(t, c.cfg.Name+" to close", func() bool { _, answers := c.status(); return !answers })
+}
+
+// caughtUp waits until a copy has what the leader has.
+func caughtUp(t *testing.T, all []*supervised, c *supervised) {
+	t.Helper()
+	until(t, c.cfg.Name+" to catch up", func() bool {
+		want, _ := leading(t, all).status()
+		got, answers := c.status()
+		return answers && got.Leader != "" && got.Rev >= want.Rev
+	})
+}
+
+// The ways in which a disk refuses a write.
+var diskFailures = map[string]fault.Set{
+	"sync kept": fault.NewSet(0, 0, fault.SyncKept),
+	"sync lost": fault.NewSet(0, 0, fault.SyncLost),
+	"no space":  {Calls: map[string]string{fault.CallWrite: "ENOSPC"}},
+	"I/O error": {Calls: map[string]string{fault.CallWrite: "EIO"}},
+}
+
+// A copy whose disk fails for a while is back by itself, and whatever was acknowledged is served by all copies.
+func TestCopyComesBackWhenItsDiskHeals(t *testing.T) {
+	for name, set := range diskFailures {
+		for _, c := range []struct {
+			copies string
+			count  int
+			leads  bool
+		}{{"alone", 1, true}, {"leader of three", 3, true}, {"follower of three", 3, false}} {
+			t.Run(name+" "+c.copies, func(t *testing.T) {
+				t.Parallel()
+				all := supervise(t, c.count, nil)
+				failing := leading(t, all)
+				if !c.leads {
+					failing = others(all, failing)[0]
+				}
+				before := failing.supervisor.Node()
+				stop := writers(all)
+				until(t, "the first write", func() bool { return len(served(t, failing)) > 0 })
+				failing.plant(t, set)
+				failing.closed(t)
+				if rest := others(all, failing); len(rest) > 0 {
+					leading(t, rest)
+					until(t, "a write without the copy", func() bool { return register(rest, "meanwhile") })
+					until(t, "a read without the copy", func() bool { return served(t, rest[0])["meanwhile"] })
+				}
+				failing.plant(t, fault.Set{})
+				caughtUp(t, all, failing)
+				acknowledged := stop()
+				caughtUp(t, all, failing)
+				assert.NotSame(t, before, failing.supervisor.Node())
+				has := served(t, failing)
+				for _, uid := range acknowledged {
+					assert.True(t, has[uid], "%s was acknowledged and is gone", uid)
+				}
+				until(t, "a write after all", func() bool { return register(all, "after") })
+			})
+		}
+	}
+}
+
+// While the disk of a copy that is alone fails, nothing is acknowledged; and what was lost is not served afterwards.
+func TestLostWriteIsNotAcknowledged(t *testing.T) {
+	for _, name := range []string{"sync lost", "no space", "I/O error"} {
+		t.Run(name, func(t *testing.T) {
+			t.Parallel()
+			all := supervise(t, 1, nil)
+			one := all[0]
+			require.True(t, register(all, "before"))
+			one.plant(t, diskFailures[name])
+			for i := range 5 {
+				assert.False(t, register(all, fmt.Sprint("lost-", i)))
+			}
+			one.plant(t, fault.Set{})
+			leading(t, all)
+			until(t, "a write after all", func() bool { return register(all, "after") })
+			assert.Equal(t, map[string]bool{"before": true, "after": true}, served(t, one))
+		})
+	}
+}
+
+// raft panics where it cannot keep its term: an election that begins while the disk fails must not end the process.
+func TestElectionOnAFailingDiskDoesNotPanic(t *testing.T) {
+	for name, set := range diskFailures {
+		t.Run(name, func(t *testing.T) {
+			t.Parallel()
+			all := supervise(t, 3, nil)
+			lead := leading(t, all)
+			require.True(t, register(all, "before"))
+			for _, c := range others(all, lead) {
+				c.plant(t, set) // they write nothing until they hear of the next term
+			}
+			lead.plant(t, set)
+			register(all, "lost") // ends the lead
+			lead.closed(t)
+			rest := others(all, lead) // where one is closed, the other begins no election
+			until(t, "another to close", func() bool {
+				_, first := rest[0].status()
+				_, second := rest[1].status()
+				return !first || !second
+			})
+			for _, c := range all {
+				c.plant(t, fault.Set{})
+			}
+			for _, c := range all {
+				caughtUp(t, all, c)
+				assert.True(t, served(t, c)["before"], c.cfg.Name)
+			}
+		})
+	}
+}
+
+// After a failed write the store takes no other, though the disk would: a later sync says nothing of an earlier one.
+func TestStoreTakesNothingAfterAFailedWrite(t *testing.T) {
+	dir := t.TempDir()
+	faults := filepath.Join(dir, "faults.toml")
+	plan, err := fault.Open(faults)
+	require.NoError(t, err)
+	path := filepath.Join(dir, storeFile)
+	s, err := openStore(path, time.Second, plan)
+	require.NoError(t, err)
+	require.NoError(t, s.SetUint64([]byte(currentTerm), 1))
+	require.NoError(t, fault.NewSet(0, 0, fault.SyncLost).Write(faults))
+	require.ErrorIs(t, s.SetUint64([]byte("number"), 1), fault.ErrSync)
+	require.NoError(t, fault.Set{}.Write(faults))
+	require.ErrorIs(t, s.SetUint64([]byte("number"), 2), fault.ErrSync)
+	assert.NoError(t, termStore{s}.SetUint64([]byte(currentTerm), 2), "raft would panic")
+	assert.ErrorIs(t, termStore{s}.SetUint64([]byte("LastVoteTerm"), 2), fault.ErrSync)
+	require.NoError(t, s.Close())
+	s, err = openStore(path, time.Second, plan)
+	require.NoError(t, err)
+	defer s.Close()
+	term, err := s.GetUint64([]byte(currentTerm))
+	require.NoError(t, err)
+	assert.Equal(t, uint64(1), term)
+	assert.NoError(t, s.SetUint64([]byte("number"), 3), "it takes writes once it is opened anew")
+}
+
+// What waiting does not mend ends a copy whose folder has failed, with an error that says so.
+func TestCopyEndsWhereItsFolderCannotHeal(t *testing.T) {
+	for name, c := range map[string]struct {
+		harm func(t *testing.T, dir string)
+		says string
+	}{
+		"spoilt log": {func(t *testing.T, dir string) {
+			path := filepath.Join(dir, storeFile)
+			info, err := os.Stat(path)
+			require.NoError(t, err)
+			require.NoError(t, os.Truncate(path, info.Size()/2))
+		}, "this copy must not start from it"},
+		"not a folder": {func(t *testing.T, dir string) {
+			require.NoError(t, os.Rename(dir, dir+".away"))
+			require.NoError(t, os.WriteFile(dir, nil, 0o600))
+		}, "not a directory"},
+	} {
+		t.Run(name, func(t *testing.T) {
+			t.Parallel()
+			all := supervise(t, 1, nil)
+			one := all[0]
+			require.True(t, register(all, "before"))
+			one.plant(t, fault.NewSet(0, 0, fault.SyncLost))
+			register(all, "lost")
+			one.closed(t)
+			c.harm(t, one.cfg.Dir)
+			one.plant(t, fault.Set{})
+			select {
+			case err := <-one.ended:
+				assert.ErrorContains(t, err, c.says)
+				assert.ErrorContains(t, err, one.cfg.Dir)
+				one.ended <- nil // for the cleanup
+			case <-time.After(patience):
+				t.Error("it goes on waiting")
+			}
+		})
+	}
+}
+
+// A folder that is away, as a file system that is not mounted, is waited for; no cluster is founded in its place.
+func TestFolderThatIsAwayIsNotFoundedAnew(t *testing.T) {
+	all := supervise(t, 1, nil)
+	one := all[0]
+	require.True(t, register(all, "before"))
+	one.plant(t, fault.NewSet(0, 0, fault.SyncLost))
+	register(all, "lost")
+	one.closed(t)
+	away := one.cfg.Dir + ".away"
+	require.NoError(t, os.Rename(one.cfg.Dir, away))
+	require.NoError(t, os.Mkdir(one.cfg.Dir, 0o700)) // as the place of a mount
+	one.plant(t, fault.Set{})
+	cfg := one.cfg
+	cfg.reopened = true
+	_, err := Open(cfg)
+	require.ErrorIs(t, err, os.ErrNotExist)
+	require.Never(t, func() bool { _, answers := one.status(); return answers }, 3*reopenSoon, reopenSoon/2)
+	require.NoError(t, os.Remove(one.cfg.Dir))
+	require.NoError(t, os.Rename(away, one.cfg.Dir))
+	leading(t, all)
+	assert.Equal(t, map[string]bool{"before": true}, served(t, one))
+}
+
+// Options that were reloaded hold after the copy was opened anew, be it before or while its disk failed.
+func TestReloadOutlastsAFailingDisk(t *testing.T) {
+	all := supervise(t, 1, nil)
+	one := all[0]
+	one.supervisor.Reload(Options{MostStale: time.Hour, Batch: time.Millisecond})
+	one.plant(t, fault.NewSet(0, 0, fault.SyncLost))
+	register(all, "lost")
+	one.closed(t)
+	one.supervisor.Reload(Options{MostStale: 2 * time.Hour, Batch: time.Millisecond})
+	one.plant(t, fault.Set{})
+	leading(t, all)
+	assert.Equal(t, 2*time.Hour, one.supervisor.Node().Server().o.Load().MostStale)
+}
+
+// A copy is opened anew at the port that the system chose the first time.
+func TestPortOutlastsAFailingDisk(t *testing.T) {
+	bound := &net.TCPAddr{IP: net.IPv4(127, 0, 0, 1), Port: 12345}
+	for given, want := range map[string]string{
+		"127.0.0.1:0": "127.0.0.1:12345", "[::1]:0": "[::1]:12345", ":0": ":12345", "127.0.0.1:80": "127.0.0.1:80", "none": "none",
+	} {
+		assert.Equal(t, want, withPort(given, bound), given)
+	}
+}
+
+// descriptors are how many files and sockets the process holds.
+func descriptors(t *testing.T) int {
+	t.Helper()
+	all, err := os.ReadDir("/proc/self/fd")
+	require.NoError(t, err)
+	return len(all)
+}
+
+// A disk that fails and heals again and again leaves neither goroutines nor descriptors behind.
+func TestFailingDiskLeaksNothing(t *testing.T) { // by itself: it counts what the process holds
+	dir := t.TempDir()
+	faults := filepath.Join(dir, "faults.toml")
+	plan, err := fault.Open(faults)
+	require.NoError(t, err)
+	cfg := Config{Name: "one", Listen: freePort(t), Raft: freePort(t), Dir: filepath.Join(dir, "one"),
+		Beat: 10 * time.Millisecond, Faults: plan, Options: Options{Batch: time.Millisecond}}
+	const cycles = 50
+	var goroutines, files int
+	for cycle := range cycles {
+		require.NoError(t, fault.Set{}.Write(faults))
+		n, err := Open(cfg)
+		require.NoError(t, err)
+		ended := make(chan error, 1)
+		go func() { ended <- n.Run(t.Context()) }()
+		until(t, "the first write", func() bool { return n.Term() != 0 && n.Server().Status().Rev > 0 })
+		require.NoError(t, fault.NewSet(0, 0, fault.SyncLost).Write(faults))
+		_, err = n.Apply(&Command{Op: OpPut, Entry: &Entry{UID: "lost", Endpoint: "127.0.0.1:1", State: Ready}}, time.Second)
+		require.ErrorIs(t, err, ErrNoQuorum)
+		var disk *DiskError
+		require.ErrorAs(t, <-ended, &disk)
+		if cycle == cycles/10 {
+			goroutines, files = runtime.NumGoroutine(), descriptors(t)
+		}
+	}
+	until(t, "goroutines and descriptors to go", func() bool {
+		return runtime.NumGoroutine() <= goroutines && descriptors(t) <= files
+	})
+}
+
+func TestMayHeal(t *testing.T) {
+	for _, c := range []struct {
+		err  error
+		want bool
+	}{
+		{&DiskError{Err: errors.New("disk")}, true},
+		{os.ErrNotExist, true},
+		{os.ErrPermission, false},
+		{&unsound{"raft.db", errCorrupt}, false},
+		{errLater, false},
+	} {
+		assert.Equal(t, c.want, mayHeal(fmt.Errorf("registry: %w", c.err)), "%v", c.err)
+	}
+}
