--- a/cmd/silverreel/main.go
+++ b/cmd/silverreel/main.go
@@ -5,7 +5,6 @@
 import (
 	"context"
 	"fmt"
-	"log/slog"
 	"os"
 	"os/signal"
 	"syscall"
@@ -34,19 +33,8 @@
 	if err != nil {
 		return err
 	}
-	done := make(chan struct{})
-	defer close(done)
-	go func() {
-		for {
-			select {
-			case <-done:
-				return
-			case <-reload:
-				if err := s.Reload(os.Getenv); err != nil {
-					slog.Error("reload: the configuration stays as it was", "error", err)
-				}
-			}
-		}
-	}()
+	running, stop := context.WithCancel(context.Background())
+	defer stop()
+	go s.ReloadOnSignal(running, reload, os.Getenv)
 	return s.Run(ctx)
 }
--- a/cmd/silverreel/main_test.go
+++ b/cmd/silverreel/main_test.go
@@ -3,15 +3,20 @@
 import (
 	"bufio"
 	"bytes"
+	"errors"
+	"io"
 	"net/http"
 	"net/http/httptest"
 	"os"
 	"os/exec"
 	"path/filepath"
+	"slices"
 	"strings"
 	"syscall"
 	"testing"
 	"time"
+
+	"marblelane/internal/fault"
 )
 
 // The test binary stands in for the program where this is set.
@@ -96,6 +101,117 @@
 	}
 }
 
+// lines passes what is read on, line by line, up to its end.
+func lines(from io.Reader) <-chan string {
+	out := make(chan string, 1000)
+	go func() {
+		defer close(out)
+		for in := bufio.NewScanner(from); in.Scan(); {
+			out <- in.Text()
+		}
+	}()
+	return out
+}
+
+// waitFor waits for a line of the log that holds all of the words.
+func waitFor(t *testing.T, log <-chan string, words ...string) {
+	t.Helper()
+	late := time.After(10 * time.Second)
+	for {
+		select {
+		case line, more := <-log:
+			if !more {
+				t.Fatalf("the program ended before it logged %q", words)
+			}
+			if !slices.ContainsFunc(words, func(word string) bool { return !strings.Contains(line, word) }) {
+				return
+			}
+		case <-late:
+			t.Fatalf("no line of the log with %q", words)
+		}
+	}
+}
+
+// One SIGHUP is enough where the file cannot be opened for a moment, or is half written.
+func TestHangUpReadsAgainUntilTheFileIsWhole(t *testing.T) {
+	for name, failure := range map[string]struct {
+		errno string // of the opening; empty: the file is half written
+		logs  string
+	}{
+		"ENFILE":       {"ENFILE", "too many open files in system"},
+		"EMFILE":       {"EMFILE", "too many open files"},
+		"EIO":          {"EIO", "input/output error"},
+		"half written": {"", "unexpected end of JSON input"},
+	} {
+		t.Run(name, func(t *testing.T) {
+			asked := make(chan string, 10)
+			discovery := func(name string) string {
+				srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+					asked <- name
+					w.(http.Flusher).Flush()
+					<-r.Context().Done()
+				}))
+				t.Cleanup(srv.Close)
+				return srv.Listener.Addr().String()
+			}
+			before, after := discovery("before"), discovery("after")
+			faults := filepath.Join(t.TempDir(), "faults.toml")
+			config := func(discovery string) string {
+				return `{"listen":"127.0.0.1:0","discovery":"` + discovery + `","seed":"1","faults":"` + faults + `","settings":
+					{"classes":[{"name":"c","effect":"read_like","on_time_ms":50,"hard_limit_ms":100}]}}`
+			}
+			cmd, _ := program(t, config(before))
+			path := strings.TrimPrefix(cmd.Env[len(cmd.Env)-1], "NODE_CONFIG=")
+			cmd.Stderr = nil
+			stderr, err := cmd.StderrPipe()
+			if err != nil {
+				t.Fatal(err)
+			}
+			if err := cmd.Start(); err != nil {
+				t.Fatal(err)
+			}
+			log := lines(stderr)
+			until := func(want string) { // a silent service is asked more than once
+				t.Helper()
+				late := time.After(10 * time.Second)
+				for name := ""; name != want; {
+					select {
+					case name = <-asked:
+					case <-late:
+						t.Fatalf("%s was not asked", want)
+					}
+				}
+			}
+			until("before")
+			text, planted := config(after), fault.Set{}
+			if failure.errno == "" {
+				text = text[:len(text)/2]
+			} else {
+				planted.Calls = map[string]string{fault.CallOpen: failure.errno}
+			}
+			if err := errors.Join(planted.Write(faults), os.WriteFile(path, []byte(text), 0o600)); err != nil {
+				t.Fatal(err)
+			}
+			if err := cmd.Process.Signal(syscall.SIGHUP); err != nil {
+				t.Fatal(err)
+			}
+			waitFor(t, log, "reload", path, failure.logs)
+			if err := errors.Join(fault.Set{}.Write(faults), os.WriteFile(path, []byte(config(after)), 0o600)); err != nil {
+				t.Fatal(err)
+			}
+			until("after")
+			if err := cmd.Process.Signal(syscall.SIGTERM); err != nil {
+				t.Fatal(err)
+			}
+			for range log { // up to its end
+			}
+			if err := cmd.Wait(); err != nil {
+				t.Errorf("ended with %v", err)
+			}
+		})
+	}
+}
+
 // The platform replaces the file and sends SIGHUP; the environment still holds the address of the start.
 func TestHangUpReadsTheNewAddress(t *testing.T) {
 	asked := make(chan string, 10)
--- a/internal/sidecar/config.go
+++ b/internal/sidecar/config.go
@@ -145,12 +145,15 @@
 
 // LoadConfig reads the configuration file that NODE_CONFIG names. NODE_NAME, NODE_LISTEN,
 // NODE_DISCOVERY and NODE_MANAGEMENT, where set, win over the file.
-func LoadConfig(getenv func(string) string) (*Config, error) {
+func LoadConfig(getenv func(string) string) (*Config, error) { return loadConfig(getenv, os.ReadFile) }
+
+// loadConfig reads the file with the given call, which gives its bytes as os.ReadFile does.
+func loadConfig(getenv func(string) string, readFile func(path string) ([]byte, error)) (*Config, error) {
 	path := getenv("NODE_CONFIG")
 	if path == "" {
 		return nil, errors.New("NODE_CONFIG is not set")
 	}
-	data, err := os.ReadFile(path)
+	data, err := readFile(path)
 	if err != nil {
 		return nil, fmt.Errorf("configuration: %w", err)
 	}
--- a/internal/sidecar/planted.go
+++ b/internal/sidecar/planted.go
@@ -2,6 +2,7 @@
 
 import (
 	"net"
+	"os"
 
 	"marblelane/internal/fault"
 )
@@ -27,3 +28,11 @@
 	}
 	return l.Listener.Accept()
 }
+
+// plantedRead reads a file, or fails at its opening as planned.
+func plantedRead(path string, faults *fault.Plan) ([]byte, error) {
+	if err := faults.Call(fault.CallOpen); err != nil {
+		return nil, &os.PathError{Op: "open", Path: path, Err: err}
+	}
+	return os.ReadFile(path)
+}
--- /dev/null
+++ b/internal/sidecar/reload_test.go
@@ -0,0 +1,133 @@
+package sidecar
+
+import (
+	"context"
+	"errors"
+	"os"
+	"path/filepath"
+	"sync/atomic"
+	"syscall"
+	"testing"
+	"testing/synctest"
+	"time"
+
+	"marblelane/internal/fault"
+)
+
+// failingReload fails until a time, and counts its calls.
+type failingReload struct {
+	until time.Time
+	calls int
+}
+
+func (f *failingReload) reload() error {
+	f.calls++
+	if time.Now().Before(f.until) {
+		return errors.New("malformed")
+	}
+	return nil
+}
+
+func TestReloadGoesOnUntilTheFileIsWhole(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		began := time.Now()
+		file := failingReload{until: began.Add(2 * time.Second)}
+		if again := reloadUntilDone(t.Context(), nil, file.reload); again {
+			t.Error("a signal came")
+		}
+		if late := time.Since(file.until); late < 0 || late > longestReloadPause {
+			t.Errorf("taken in %v after the file was whole", late)
+		}
+		if file.calls > 12 {
+			t.Errorf("read %d times in 2 s", file.calls)
+		}
+	})
+}
+
+func TestNewerSignalBeginsReloadAnew(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		signals := make(chan os.Signal, 1)
+		file := failingReload{until: time.Now().Add(time.Hour)}
+		time.AfterFunc(10*time.Second+time.Millisecond, func() { signals <- syscall.SIGHUP })
+		began := time.Now()
+		if again := reloadUntilDone(t.Context(), signals, file.reload); !again || time.Since(began) != 10*time.Second+time.Millisecond {
+			t.Errorf("again: %v after %v, want at the signal", again, time.Since(began))
+		}
+	})
+}
+
+func TestReloadEndsWithItsContext(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		ctx, cancel := context.WithTimeout(t.Context(), time.Minute)
+		defer cancel()
+		file := failingReload{until: time.Now().Add(time.Hour)}
+		began := time.Now()
+		if again := reloadUntilDone(ctx, nil, file.reload); again || time.Since(began) != time.Minute {
+			t.Errorf("again: %v after %v, want at the end of the context", again, time.Since(began))
+		}
+	})
+}
+
+// One signal is enough: what cannot be opened, or is half written, is read again, and then discovery moves.
+func TestDiscoveryMovesOnceTheFileCanBeRead(t *testing.T) {
+	for name, failure := range map[string]struct {
+		errno string // of the opening
+		text  string // in the file's place
+	}{
+		"no descriptor left in the system": {errno: "ENFILE"},
+		"no permission for a moment":       {errno: "EACCES"},
+		"half written":                     {text: `{"listen":`},
+		"empty":                            {text: ""},
+	} {
+		t.Run(name, func(t *testing.T) {
+			before, after := newRegistry(t), newRegistry(t)
+			faults := filepath.Join(t.TempDir(), "faults.toml")
+			c := newConf(before.addr())
+			c["faults"] = faults
+			s := start(t, c)
+			receive(t, "the watch", before.calls)
+			path := withDiscovery(c, after.addr()).write(t)
+			whole, err := os.ReadFile(path)
+			if err != nil {
+				t.Fatal(err)
+			}
+			replace := func(text []byte) {
+				t.Helper()
+				if err := os.WriteFile(path, text, 0o600); err != nil {
+					t.Fatal(err)
+				}
+			}
+			if failure.errno == "" {
+				replace([]byte(failure.text))
+			} else {
+				plan(t, faults, fault.CallOpen, failure.errno)
+			}
+			var reads atomic.Int64
+			env := func(name string) string {
+				if name != "NODE_CONFIG" {
+					return ""
+				}
+				reads.Add(1)
+				return path
+			}
+			if err := s.Reload(env); err == nil {
+				t.Fatal("nothing fails")
+			}
+			ctx, cancel := context.WithCancel(t.Context())
+			signals, ended := make(chan os.Signal, 1), make(chan struct{})
+			go func() {
+				defer close(ended)
+				s.ReloadOnSignal(ctx, signals, env)
+			}()
+			signals <- syscall.SIGHUP
+			until(t, "a second reading after the signal", func() bool { return reads.Load() >= 3 })
+			if err := (fault.Set{}).Write(faults); err != nil {
+				t.Fatal(err)
+			}
+			replace(whole)
+			receive(t, "the watch at the new address", after.calls)
+			cancel()
+			<-ended
+		})
+	}
+}
--- a/internal/sidecar/sidecar.go
+++ b/internal/sidecar/sidecar.go
@@ -222,28 +222,6 @@
 // Addr is the address where clients connect.
 func (s *Sidecar) Addr() string { return s.listener.Addr().String() }
 
-// Reload takes in a configuration file that was replaced: the address of discovery. The environment still
-// names the address that this process was started with, so the file counts.
-func (s *Sidecar) Reload(getenv func(string) string) error {
-	cfg, err := LoadConfig(func(name string) string {
-		if name == "NODE_DISCOVERY" {
-			return ""
-		}
-		return getenv(name)
-	})
-	if err != nil {
-		return err
-	}
-	s.loop.disc.move(cfg.lists())
-	if s.loop.routing != nil && cfg.routes != nil { // the section itself comes and goes with a process
-		s.loop.routing.steer.Move(cfg.routes.addrs)
-	}
-	if !sameMembers(s.cfg.members, cfg.members) {
-		slog.Warn("reload: the section members has changed; that holds from the next start")
-	}
-	return nil
-}
-
 // Run serves until ctx ends, goes on while clients still come, answers all it took and returns.
 func (s *Sidecar) Run(ctx context.Context) error {
 	work, stop := context.WithCancel(context.Background())
