--- a/cmd/silverreel/main.go
+++ b/cmd/silverreel/main.go
@@ -5,6 +5,7 @@
 import (
 	"context"
 	"fmt"
+	"log/slog"
 	"os"
 	"os/signal"
 	"syscall"
@@ -24,12 +25,11 @@
 	reload := make(chan os.Signal, 1)
 	signal.Notify(reload, syscall.SIGHUP)
 	ctx, _ := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
-	cfg, err := sidecar.LoadConfig(os.Getenv)
-	if err != nil {
-		return err
+	s, err := sidecar.Open(ctx, os.Getenv)
+	if err != nil && ctx.Err() != nil {
+		slog.Info("ended before it was ready", "error", err)
+		return nil
 	}
-	sidecar.Limit(cfg)
-	s, err := sidecar.New(cfg)
 	if err != nil {
 		return err
 	}
--- /dev/null
+++ b/internal/registry/listen_test.go
@@ -0,0 +1,127 @@
+package registry
+
+import (
+	"context"
+	"errors"
+	"log/slog"
+	"net"
+	"strings"
+	"syscall"
+	"testing"
+	"time"
+
+	"marblelane/internal/listener"
+)
+
+// logSignal tells of each line that is logged.
+type logSignal chan struct{}
+
+func (s logSignal) Write(p []byte) (int, error) {
+	select {
+	case s <- struct{}{}:
+	default:
+	}
+	return len(p), nil
+}
+
+// An address that another process gives up a moment later is bound.
+func TestAddressThatIsFreeAMomentLater(t *testing.T) {
+	for _, key := range []string{"listen", "raft"} {
+		t.Run(key, func(t *testing.T) {
+			holder, err := net.Listen("tcp", "127.0.0.1:0")
+			if err != nil {
+				t.Fatal(err)
+			}
+			defer holder.Close()
+			failed := make(logSignal, 1)
+			cfg := Config{Name: "r0", Listen: "127.0.0.1:0", Raft: "127.0.0.1:0"}
+			cfg.Log = slog.New(slog.NewTextHandler(failed, nil))
+			*map[string]*string{"listen": &cfg.Listen, "raft": &cfg.Raft}[key] = holder.Addr().String()
+			opened := make(chan error, 1)
+			go func() {
+				n, err := Open(cfg)
+				if err == nil {
+					n.shut()
+				}
+				opened <- err
+			}()
+			select {
+			case <-failed:
+			case <-time.After(20 * time.Second):
+				t.Error("no bind has failed")
+			}
+			holder.Close()
+			if err := <-opened; err != nil {
+				t.Error(err)
+			}
+		})
+	}
+}
+
+// What cannot heal ends the start at once, and the error names the address.
+func TestAddressThatIsNotOurs(t *testing.T) {
+	const foreign = "192.0.2.1:7001" // TEST-NET-1 (RFC 5737)
+	for _, key := range []string{"listen", "raft"} {
+		t.Run(key, func(t *testing.T) {
+			failed := make(logSignal, 1)
+			cfg := Config{Name: "r0", Listen: "127.0.0.1:0", Raft: "127.0.0.1:0"}
+			cfg.Log = slog.New(slog.NewTextHandler(failed, nil))
+			*map[string]*string{"listen": &cfg.Listen, "raft": &cfg.Raft}[key] = foreign
+			_, err := Open(cfg)
+			if !errors.Is(err, syscall.EADDRNOTAVAIL) || !strings.Contains(err.Error(), foreign) || len(failed) > 0 {
+				t.Errorf("%v, tried again: %v", err, len(failed) > 0)
+			}
+		})
+	}
+}
+
+// Accepts that fail for a moment end neither the service nor raft's listener.
+func TestListenersGoOnAfterFailures(t *testing.T) {
+	cfg := Config{Name: "r0", Listen: "127.0.0.1:0", Raft: "127.0.0.1:0"}
+	cfg.Log = slog.New(slog.DiscardHandler)
+	n, err := Open(cfg)
+	if err != nil {
+		t.Fatal(err)
+	}
+	wrapped, ok := n.listen.(*listener.Listener)
+	if !ok {
+		t.Fatalf("the listener is a %T, which ends at the first failure", n.listen)
+	}
+	wrapped.Listener = &failsFirst{Listener: wrapped.Listener, left: 3}
+	ctx, cancel := context.WithCancel(t.Context())
+	ended := make(chan error, 1)
+	go func() { ended <- n.Run(ctx) }()
+	conn, err := net.Dial("tcp", n.Addr())
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer conn.Close()
+	if _, err := conn.Write([]byte("GET /no HTTP/1.1\r\nHost: r0\r\nConnection: close\r\n\r\n")); err != nil {
+		t.Fatal(err)
+	}
+	if err := conn.SetReadDeadline(time.Now().Add(20 * time.Second)); err != nil {
+		t.Fatal(err)
+	}
+	answer := make([]byte, 12)
+	if _, err := conn.Read(answer); err != nil || string(answer) != "HTTP/1.1 404" {
+		t.Errorf("%q, %v", answer, err)
+	}
+	cancel()
+	if err := <-ended; err != nil {
+		t.Error(err)
+	}
+}
+
+// failsFirst fails a few times before it accepts.
+type failsFirst struct {
+	net.Listener
+	left int
+}
+
+func (f *failsFirst) Accept() (net.Conn, error) {
+	if f.left > 0 {
+		f.left--
+		return nil, &net.OpError{Op: "accept", Net: "tcp", Err: syscall.ENOBUFS}
+	}
+	return f.Listener.Accept()
+}
--- a/internal/registry/node.go
+++ b/internal/registry/node.go
@@ -22,6 +22,7 @@
 	"marblelane/internal/fault"
 	"marblelane/internal/listener"
 	"marblelane/internal/membership"
+	"marblelane/internal/retry"
 )
 
 // Config is one copy of the service.
@@ -89,8 +90,12 @@
 			opened.shut()
 		}
 	}(n)
-	l, err := net.Listen("tcp", cfg.Listen)
-	if err != nil {
+	start := retry.NewStart(context.Background(), cfg.Log)
+	var l net.Listener
+	if err := start.Do("listen", func() (failed error) {
+		l, failed = net.Listen("tcp", cfg.Listen)
+		return failed
+	}); err != nil {
 		return nil, fmt.Errorf("registry: listen: %w", err)
 	}
 	n.listen = listener.Wrap(l, "registry", cfg.Log)
@@ -100,7 +105,7 @@
 		n.server.join(n.members)
 	}
 	n.server.routes.name, n.server.routes.wall = cfg.Name, cfg.Faults.Now
-	if err := n.openRaft(); err != nil {
+	if err := n.openRaft(start); err != nil {
 		return nil, err
 	}
 	n.http = &http.Server{Handler: n.readers.watched(n.server.Handler()), ReadHeaderTimeout: 5 * time.Second,
@@ -109,7 +114,7 @@
 }
 
 // openRaft opens the log and the snapshots, and founds the cluster if this is the first start of a founder.
-func (n *Node) openRaft() error {
+func (n *Node) openRaft(start *retry.Start) error {
 	c := raft.DefaultConfig()
 	c.LocalID = raft.ServerID(n.cfg.Name)
 	c.HeartbeatTimeout, c.ElectionTimeout = 5*n.cfg.Beat, 5*n.cfg.Beat
@@ -152,13 +157,16 @@
 		}
 		logs, stable, snaps = kept, termStore{kept}, files
 	}
-	layer, err := listenRaft(n.cfg.Raft, n.cfg.advertised())
-	if err != nil {
+	var streams *layer
+	if err := start.Do("raft", func() (failed error) {
+		streams, failed = listenRaft(n.cfg.Raft, n.cfg.advertised())
+		return failed
+	}); err != nil {
 		return fmt.Errorf("registry: raft at %s: %w", n.cfg.Raft, err)
 	}
 	wire := newTransport(raft.NewNetworkTransportWithConfig(&raft.NetworkTransportConfig{
-		Stream: layer, MaxPool: 3, Timeout: 10 * n.cfg.Beat, Logger: c.Logger}), n.cfg.Beat)
-	n.raftAt = layer.Listener.Addr()
+		Stream: streams, MaxPool: 3, Timeout: 10 * n.cfg.Beat, Logger: c.Logger}), n.cfg.Beat)
+	n.raftAt = streams.Listener.Addr()
 	n.wire, n.notice = wire, newNoticing(wire, n.log)
 	n.close = append(n.close, func() error {
 		wire.CloseStreams() // the other copies' ends of them end with it
--- a/internal/sidecar/config.go
+++ b/internal/sidecar/config.go
@@ -3,6 +3,7 @@
 package sidecar
 
 import (
+	"context"
 	"crypto/sha256"
 	"encoding/json"
 	"errors"
@@ -18,6 +19,7 @@
 
 	"marblelane/balance"
 	"marblelane/internal/fault"
+	"marblelane/internal/retry"
 	"marblelane/internal/wire"
 )
 
@@ -144,8 +146,22 @@
 }
 
 // LoadConfig reads the configuration file that NODE_CONFIG names. NODE_NAME, NODE_LISTEN,
-// NODE_DISCOVERY and NODE_MANAGEMENT, where set, win over the file.
-func LoadConfig(getenv func(string) string) (*Config, error) { return loadConfig(getenv, os.ReadFile) }
+// NODE_DISCOVERY and NODE_MANAGEMENT, where set, win over the file. A file that cannot be opened or read for a moment is
+// tried again, for up to retry.StartLimit; errors name the file, and the key where there is one.
+func LoadConfig(getenv func(string) string) (*Config, error) {
+	return loadConfig(getenv, patientRead(retry.NewStart(context.Background(), nil), os.ReadFile))
+}
+
+// patientRead reads files as a start may: what fails for a moment is tried again.
+func patientRead(start *retry.Start, readFile func(path string) ([]byte, error)) func(path string) ([]byte, error) {
+	return func(path string) (data []byte, err error) {
+		err = start.Do("read "+path, func() (failed error) {
+			data, failed = readFile(path)
+			return failed
+		})
+		return data, err
+	}
+}
 
 // loadConfig reads the file with the given call, which gives its bytes as os.ReadFile does.
 func loadConfig(getenv func(string) string, readFile func(path string) ([]byte, error)) (*Config, error) {
--- a/internal/sidecar/sidecar.go
+++ b/internal/sidecar/sidecar.go
@@ -8,6 +8,7 @@
 	"math"
 	"net"
 	"net/http"
+	"os"
 	"runtime"
 	"runtime/debug"
 	"sync"
@@ -16,6 +17,7 @@
 
 	"marblelane/balance"
 	listening "marblelane/internal/listener"
+	"marblelane/internal/retry"
 )
 
 const (
@@ -71,8 +73,25 @@
 // budget is what all processes of a sidecar may use together.
 type budget struct{ manage, clients, servers, taken int }
 
-// New prepares a sidecar and binds its address.
+// Open reads the configuration as LoadConfig does, tells the runtime its limits and prepares a sidecar as New does. What
+// fails for a moment is tried again, for retry.StartLimit in all, and not beyond the end of ctx.
+func Open(ctx context.Context, getenv func(string) string) (*Sidecar, error) {
+	start := retry.NewStart(ctx, nil)
+	cfg, err := loadConfig(getenv, patientRead(start, os.ReadFile))
+	if err != nil {
+		return nil, err
+	}
+	Limit(cfg)
+	return newSidecar(cfg, start)
+}
+
+// New prepares a sidecar and binds its addresses. An address that cannot be bound for a moment is tried again, for up to
+// retry.StartLimit; the error names the key of the address.
 func New(cfg *Config) (*Sidecar, error) {
+	return newSidecar(cfg, retry.NewStart(context.Background(), nil))
+}
+
+func newSidecar(cfg *Config, start *retry.Start) (*Sidecar, error) {
 	bal, err := balance.New(cfg.balance)
 	if err != nil {
 		return nil, fmt.Errorf("settings: %w", err)
@@ -86,8 +105,11 @@
 	reserve := min(max(int(float64(cfg.Sockets)*reservedShare), fewestReserve), mostReserve)
 	var manager *room
 	if cfg.Management != "" {
-		listener, err := net.Listen("tcp", cfg.Management)
-		if err != nil {
+		var listener net.Listener
+		if err := start.Do("management", func() (failed error) {
+			listener, failed = net.Listen("tcp", cfg.Management)
+			return failed
+		}); err != nil {
 			return nil, fmt.Errorf("management: %w", err)
 		}
 		manager = newRoom(listening.Wrap(plant(listener, cfg.faults), "management", nil), 1)
@@ -97,7 +119,10 @@
 		slog.Info("upgrade: no process before this one", "error", err)
 	}
 	if listener == nil {
-		if listener, err = listen(cfg); err != nil {
+		if err := start.Do("listen", func() (failed error) {
+			listener, failed = listen(cfg)
+			return failed
+		}); err != nil {
 			if manager != nil {
 				manager.Close()
 			}
