--- a/internal/retry/start.go
+++ b/internal/retry/start.go
@@ -34,6 +34,9 @@
 func HealsAtStart(err error) bool { return hasErrno(err, resourceErrnos) || hasErrno(err, startErrnos) }
 
 func hasErrno(err error, errnos []syscall.Errno) bool {
+	if err == nil {
+		return false
+	}
 	var errno syscall.Errno
 	return errors.As(err, &errno) && slices.Contains(errnos, errno)
 }
--- a/internal/sidecar/client_gone.go
+++ b/internal/sidecar/client_gone.go
@@ -44,6 +44,7 @@
 	}
 }
 
+// state is the state of a connection; a query that fails for a moment is repeated.
 func (s *connStates) state(c net.Conn) (state uint8, err error) {
 	tcp, ok := c.(syscall.Conn)
 	if !ok {
@@ -54,7 +55,12 @@
 		return 0, err
 	}
 	var failed error
-	err = raw.Control(func(fd uintptr) { state, failed = s.tcpState(int(fd)) })
+	err = raw.Control(func(fd uintptr) {
+		failed = repeatQuery(func() (err error) {
+			state, err = s.tcpState(int(fd))
+			return err
+		})
+	})
 	if err = errors.Join(err, failed); err != nil {
 		return 0, err
 	}
--- a/internal/sidecar/framing.go
+++ b/internal/sidecar/framing.go
@@ -103,8 +103,8 @@
 // reset makes the connection end with an error.
 func (c *headConn) reset() {
 	if g, ok := c.Conn.(*guest); ok {
-		if tcp, ok := g.Conn.(*net.TCPConn); ok {
-			tcp.SetLinger(0)
+		if tcp, ok := g.Conn.(interface{ SetLinger(seconds int) error }); ok {
+			_ = repeatQuery(func() error { return tcp.SetLinger(0) }) // at worst the end is an orderly one
 		}
 	}
 }
--- a/internal/sidecar/handover.go
+++ b/internal/sidecar/handover.go
@@ -96,17 +96,33 @@
 	p.conn.SetReadDeadline(time.Now().Add(meetWait))
 	defer p.conn.SetReadDeadline(time.Time{})
 	buf, rights := make([]byte, 1), make([]byte, unix.CmsgSpace(4))
-	_, n, _, _, err := p.conn.ReadMsgUnix(buf, rights)
+	var n, flags int
+	err := repeatCall(func() (failed error) {
+		_, n, flags, _, failed = p.conn.ReadMsgUnix(buf, rights)
+		return failed
+	})
 	if err != nil {
 		return nil, err
 	}
-	messages, err := unix.ParseSocketControlMessage(rights[:n])
+	return handedListener(rights[:n], flags)
+}
+
+// errNotHanded is of a message of the process before this one that brings no listening socket.
+var errNotHanded = errors.New("no listening socket came")
+
+// handedListener is the listener whose descriptor a message brought, as the only one. The system cuts the descriptor
+// off where this process may not have one more.
+func handedListener(rights []byte, flags int) (net.Listener, error) {
+	if flags&unix.MSG_CTRUNC != 0 {
+		return nil, fmt.Errorf("%w: it was cut off: %w", errNotHanded, syscall.EMFILE)
+	}
+	messages, err := unix.ParseSocketControlMessage(rights)
 	if err != nil || len(messages) != 1 {
-		return nil, errors.Join(errors.New("no listening socket came"), err)
+		return nil, errors.Join(errNotHanded, err)
 	}
 	fds, err := unix.ParseUnixRights(&messages[0])
 	if err != nil || len(fds) != 1 {
-		return nil, errors.Join(errors.New("no listening socket came"), err)
+		return nil, errors.Join(errNotHanded, err)
 	}
 	unix.CloseOnExec(fds[0])
 	f := os.NewFile(uintptr(fds[0]), "listener")
@@ -116,7 +132,7 @@
 
 // serves tells the predecessor that it may go.
 func (p *predecessor) serves() {
-	if _, err := p.conn.Write([]byte{servesNow}); err != nil {
+	if _, err := (patientConn{p.conn}).Write([]byte{servesNow}); err != nil {
 		slog.Info("upgrade: the process before is gone", "error", err)
 	}
 }
@@ -124,12 +140,12 @@
 // ends tells the predecessor that it may not count on this process any more; nobody: there is none, or it is gone.
 func (p *predecessor) ends() {
 	if p != nil {
-		p.conn.Write([]byte{endsNow})
+		_, _ = patientConn{p.conn}.Write([]byte{endsNow})
 	}
 }
 
 // gone waits for its end.
-func (p *predecessor) gone() { io.Copy(io.Discard, p.conn) }
+func (p *predecessor) gone() { _, _ = io.Copy(io.Discard, patientConn{p.conn}) }
 
 // successors lets newer processes meet this one.
 type successors struct {
@@ -207,12 +223,13 @@
 		slog.Warn("upgrade: the listening socket was not handed over", "error", err)
 	} else {
 		var word [1]byte
-		if _, err := io.ReadFull(c, word[:]); err == nil && word[0] == servesNow {
+		next := patientConn{c}
+		if _, err := io.ReadFull(next, word[:]); err == nil && word[0] == servesNow {
 			slog.Info("upgrade: the next process serves")
 			s.serve.Add(1)
-			io.ReadFull(c, word[:]) // it ends, or is gone
+			_, _ = io.ReadFull(next, word[:]) // it ends, or is gone
 			s.serve.Add(-1)
-			io.Copy(io.Discard, c)
+			_, _ = io.Copy(io.Discard, next)
 		}
 	}
 	c.Close()
@@ -229,12 +246,14 @@
 	if err != nil {
 		return err
 	}
-	var failed error
-	// Within Control: a descriptor of its own, made for this, would turn the socket to blocking.
-	err = raw.Control(func(fd uintptr) {
-		_, _, failed = c.WriteMsgUnix([]byte{servesNow}, unix.UnixRights(int(fd)), nil)
+	return repeatCall(func() error {
+		var failed error
+		// Within Control: a descriptor of its own, made for this, would turn the socket to blocking.
+		err := raw.Control(func(fd uintptr) {
+			_, _, failed = c.WriteMsgUnix([]byte{servesNow}, unix.UnixRights(int(fd)), nil)
+		})
+		return errors.Join(err, failed)
 	})
-	return errors.Join(err, failed)
 }
 
 // close ends the meetings: to a newer process this one is gone.
--- /dev/null
+++ b/internal/sidecar/rawcalls.go
@@ -0,0 +1,123 @@
+package sidecar
+
+import (
+	"net"
+	"time"
+
+	"golang.org/x/sys/unix"
+
+	"marblelane/internal/retry"
+)
+
+const (
+	// queryTries is how often a system call about a socket is made in all that fails for a moment.
+	queryTries = 3
+	// Reads and writes of an open connection that fail for a moment are repeated after pauses of shortestCallPause to
+	// longestCallPause, for callLimit in all.
+	shortestCallPause = time.Millisecond
+	longestCallPause  = 20 * time.Millisecond
+	callLimit         = time.Second
+)
+
+// repeatQuery makes a system call again, at once and a few times, while the system is short of resources for it.
+func repeatQuery(call func() error) error {
+	var err error
+	for range queryTries {
+		if err = call(); !retry.ShortOfResources(err) {
+			return err
+		}
+	}
+	return err
+}
+
+// repeatCall makes a call again for up to callLimit while the system is short of resources for it.
+func repeatCall(call func() error) error {
+	err := call()
+	if !retry.ShortOfResources(err) {
+		return err
+	}
+	backoff := retry.Backoff{Min: shortestCallPause, Max: longestCallPause}
+	for began := time.Now(); retry.ShortOfResources(err) && time.Since(began) < callLimit; err = call() {
+		time.Sleep(backoff.Next())
+	}
+	return err
+}
+
+// patientConn repeats reads and writes for which the system is short of resources.
+type patientConn struct{ net.Conn }
+
+// Read reads what has come.
+func (c patientConn) Read(p []byte) (n int, err error) {
+	err = repeatCall(func() (failed error) {
+		n, failed = c.Conn.Read(p)
+		return failed
+	})
+	return n, err
+}
+
+// Write writes all of p, or gives an error.
+func (c patientConn) Write(p []byte) (n int, err error) {
+	err = repeatCall(func() error {
+		written, failed := c.Conn.Write(p[n:])
+		n += written
+		return failed
+	})
+	return n, err
+}
+
+// listenQueue asks the system for what waits in a listening socket.
+type listenQueue struct {
+	tcpInfo func(fd int) (*unix.TCPInfo, error)
+	poll    func(fds []unix.PollFd, timeoutMillis int) (int, error)
+}
+
+// systemQueue asks with the calls of the system.
+var systemQueue = listenQueue{
+	tcpInfo: func(fd int) (*unix.TCPInfo, error) {
+		return unix.GetsockoptTCPInfo(fd, unix.IPPROTO_TCP, unix.TCP_INFO)
+	},
+	poll: unix.Poll,
+}
+
+// waiting is how many connections are completed and wait to be accepted. Where that cannot be had it is 1 if the system
+// says by another call that some wait, or cannot say: who closes the socket would reset them. It is 0 where the system
+// answers TCP_INFO with something else than the state of a listening socket, and where the socket is closed.
+func (q listenQueue) waiting(l *net.TCPListener) (connections int) {
+	raw, err := l.SyscallConn()
+	if err != nil {
+		return 0
+	}
+	if err := raw.Control(func(fd uintptr) { connections = q.waitingAt(int(fd)) }); err != nil {
+		return 0
+	}
+	return connections
+}
+
+func (q listenQueue) waitingAt(fd int) int {
+	var info *unix.TCPInfo
+	err := repeatQuery(func() (failed error) {
+		info, failed = q.tcpInfo(fd)
+		return failed
+	})
+	switch {
+	case err != nil:
+		return q.ready(fd)
+	case info.State != unix.BPF_TCP_LISTEN:
+		return 0
+	}
+	return int(info.Unacked) // of a listening socket this is the length of its queue
+}
+
+// ready is 0 if an accept would wait, and else 1.
+func (q listenQueue) ready(fd int) int {
+	fds := []unix.PollFd{{Fd: int32(fd), Events: unix.POLLIN}}
+	var ready int
+	err := repeatQuery(func() (failed error) {
+		ready, failed = q.poll(fds, 0)
+		return failed
+	})
+	if err != nil {
+		return 1
+	}
+	return min(ready, 1)
+}
--- a/internal/sidecar/room.go
+++ b/internal/sidecar/room.go
@@ -10,8 +10,6 @@
 	"sync/atomic"
 	"syscall"
 	"time"
-
-	"golang.org/x/sys/unix"
 )
 
 const (
@@ -35,6 +33,7 @@
 	closed chan struct{}
 	close  sync.Once
 	last   atomic.Bool // nobody is on the way in any more
+	read   func(fd int, p []byte) (n int, err error)
 
 	mu     sync.Mutex
 	most   int
@@ -69,7 +68,7 @@
 func newRoom(l net.Listener, most int) *room {
 	return &room{
 		Listener: l, most: most, guests: map[*guest]struct{}{},
-		left: make(chan struct{}, 1), closed: make(chan struct{}),
+		left: make(chan struct{}, 1), closed: make(chan struct{}), read: syscall.Read,
 	}
 }
 
@@ -282,22 +281,11 @@
 	return r.Listener.Close()
 }
 
-// unaccepted is how many connections are completed and wait to be accepted; 0 also where the system does not tell.
-func unaccepted(l *net.TCPListener) (waiting int) {
-	raw, err := l.SyscallConn()
-	if err != nil {
-		return 0
-	}
-	raw.Control(func(fd uintptr) {
-		// Of a listening socket this is the length of its queue.
-		if info, err := unix.GetsockoptTCPInfo(int(fd), unix.IPPROTO_TCP, unix.TCP_INFO); err == nil && info.State == unix.BPF_TCP_LISTEN {
-			waiting = int(info.Unacked)
-		}
-	})
-	return waiting
-}
+// unaccepted is how many connections are completed and wait to be accepted, see listenQueue.
+func unaccepted(l *net.TCPListener) (waiting int) { return systemQueue.waiting(l) }
 
-// Read drops what comes to a deaf guest, up to the client's end.
+// Read drops what comes to a deaf guest, up to the client's end. While the system is short of memory for it the bytes
+// stay where they are and are read again, for up to callLimit.
 func (g *guest) Read(p []byte) (int, error) {
 	conn, ok := g.Conn.(syscall.Conn)
 	if !ok {
@@ -312,9 +300,16 @@
 	g.taking.Unlock()
 	var n int
 	var failed error
-	err = raw.Read(func(fd uintptr) (done bool) {
-		n, failed = g.take(int(fd), p)
-		return failed != syscall.EAGAIN
+	// As a wait for more bytes would not end with those that have come, a failure leaves raw.Read first.
+	_ = repeatCall(func() error {
+		err = raw.Read(func(fd uintptr) (done bool) {
+			n, failed = g.take(int(fd), p)
+			return failed != syscall.EAGAIN
+		})
+		if err != nil {
+			return err
+		}
+		return failed
 	})
 	switch {
 	case err != nil:
@@ -334,7 +329,7 @@
 	g.taking.Lock()
 	defer g.taking.Unlock()
 	for {
-		n, err = syscall.Read(fd, p)
+		n, err = g.room.read(fd, p)
 		switch {
 		case err == syscall.EINTR:
 			continue
--- a/internal/sidecar/sidecar.go
+++ b/internal/sidecar/sidecar.go
@@ -114,8 +114,12 @@
 		}
 		manager = newRoom(listening.Wrap(plant(listener, cfg.faults), "management", nil), 1)
 	}
-	before, listener, err := meet(cfg)
-	if err != nil {
+	var before *predecessor
+	var listener net.Listener
+	if err := start.Do("upgrade", func() (failed error) {
+		before, listener, failed = meet(cfg)
+		return failed
+	}); err != nil {
 		slog.Info("upgrade: no process before this one", "error", err)
 	}
 	if listener == nil {
