--- a/internal/sidecar/dial.go
+++ b/internal/sidecar/dial.go
@@ -96,19 +96,23 @@
 
 // dial brings one connection up, for whoever waits first.
 func (p *upstreams) dial(up *upstream) {
-	c, err := p.dialer.DialContext(p.dials, "tcp", up.endpoint)
+	c, err := p.dialContext(p.dials, "tcp", up.endpoint)
 	p.mu.Lock()
 	up.dialing--
 	if err != nil {
 		p.open--
-		if len(up.waiting) > up.dialing { // nothing is on its way for the first
+		switch { // if nothing is on its way for one of them
+		case len(up.waiting) <= up.dialing:
+		case localErrnos.has(err):
+			up.newest() <- dialed{err: err}
+		default:
 			up.next() <- dialed{err: err}
 		}
 		p.mu.Unlock()
 		return
 	}
 	head := &headConn{Conn: c}
-	left := &io.LimitedReader{R: head}
+	left := &io.LimitedReader{R: retryReader{head}}
 	conn := &upConn{Conn: c, in: bufio.NewReader(left), left: left, head: head, up: up, since: time.Now()}
 	wanted := len(up.waiting) > 0
 	if wanted {
@@ -128,3 +132,12 @@
 	up.waiting = slices.Delete(up.waiting, 0, 1)
 	return w.done
 }
+
+// newest takes the last waiter out of the line, which has waited least and goes elsewhere soonest; the caller holds the
+// lock. What is on its way is left for those before it.
+func (up *upstream) newest() chan<- dialed {
+	last := len(up.waiting) - 1
+	w := up.waiting[last]
+	up.waiting = slices.Delete(up.waiting, last, last+1)
+	return w.done
+}
--- /dev/null
+++ b/internal/sidecar/errno.go
@@ -0,0 +1,57 @@
+package sidecar
+
+// This file says whose trouble the error of a system call is: this machine's, the way's or the other end's.
+
+import (
+	"errors"
+	"slices"
+	"syscall"
+	"time"
+)
+
+// errnos is a set of error numbers.
+type errnos []syscall.Errno
+
+// has reports whether an error comes from one of them.
+func (set errnos) has(err error) bool {
+	var errno syscall.Errno
+	return errors.As(err, &errno) && slices.Contains(set, errno)
+}
+
+var (
+	// momentaryErrnos: the call found no memory or was interrupted. Nothing was done, and it can be made again.
+	momentaryErrnos = errnos{syscall.EINTR, syscall.EAGAIN, syscall.ENOMEM, syscall.ENOBUFS}
+	// localErrnos: this machine has no socket, port, memory, poller's entry or route left, or a filter of its own
+	// (EPERM, EACCES) forbids the call. It says nothing of the other end.
+	localErrnos = append(errnos{
+		syscall.EMFILE, syscall.ENFILE, syscall.EADDRNOTAVAIL, syscall.EADDRINUSE, syscall.ENOSPC,
+		syscall.ENETUNREACH, syscall.ENETDOWN, syscall.EPERM, syscall.EACCES,
+	}, momentaryErrnos...)
+	// unreachableErrnos: the network gives no way to the other end, whose process may well run.
+	unreachableErrnos = errnos{syscall.EHOSTUNREACH, syscall.EHOSTDOWN, syscall.ETIMEDOUT}
+	// endedErrnos are those with which the system tells that a connection is over.
+	endedErrnos = append(errnos{
+		syscall.ECONNRESET, syscall.EPIPE, syscall.ECONNABORTED, syscall.ECONNREFUSED, syscall.ENETUNREACH,
+		syscall.ENETDOWN, syscall.ENETRESET, syscall.ENOTCONN, syscall.ESHUTDOWN,
+	}, unreachableErrnos...)
+)
+
+const (
+	firstRetryPause   = 5 * time.Millisecond // before a call is made again; each pause is twice the one before
+	longestRetryPause = 100 * time.Millisecond
+)
+
+// retryReader reads again after a momentary failure of the system, until the connection's deadline ends it. Nothing was
+// taken by a read that failed so.
+type retryReader struct{ conn *headConn }
+
+// Read returns the errors of the connection but for momentary ones.
+func (r retryReader) Read(p []byte) (int, error) {
+	for pause := firstRetryPause; ; pause = min(2*pause, longestRetryPause) {
+		n, err := r.conn.Read(p)
+		if n > 0 || !momentaryErrnos.has(err) {
+			return n, err
+		}
+		time.Sleep(pause)
+	}
+}
--- a/internal/sidecar/errno_test.go
+++ b/internal/sidecar/errno_test.go
@@ -1,6 +1,7 @@
 package sidecar
 
 import (
+	"context"
 	"errors"
 	"net"
 	"net/http"
@@ -67,6 +68,26 @@
 	}
 }
 
+// dialing makes the dialer fail as a test says, and gives connections that fail so.
+func (p *upstreams) dialing(failDial func() error, conn faultyConn) {
+	dial := p.dialContext
+	p.dialContext = func(ctx context.Context, network, addr string) (net.Conn, error) {
+		if err := failDial(); err != nil {
+			return nil, err
+		}
+		c, err := dial(ctx, network, addr)
+		if err != nil {
+			return nil, err
+		}
+		faulty := conn
+		faulty.TCPConn = c.(*net.TCPConn)
+		return &faulty, nil
+	}
+}
+
+// succeed is the failure of a call that does not fail.
+func succeed() error { return nil }
+
 // always is more failures than any test waits for.
 const always = 1 << 30
 
@@ -123,3 +144,212 @@
 		})
 	}
 }
+
+// errnoCase says what is made of the failure of a system call on the way to a server.
+type errnoCase struct {
+	call   string
+	errno  syscall.Errno
+	result balance.Result // for the server
+	status int            // of the answer to the client, where the call fails once and there is no other server
+}
+
+// errnoCases are the errors that socket(2), connect(2) and send(2) list for Linux, with those of a local filter, of
+// epoll_ctl(2) and of the network. Each fails before the last byte of a request was written.
+func errnoCases() []errnoCase {
+	var cases []errnoCase
+	add := func(call string, result balance.Result, status int, errnos ...syscall.Errno) {
+		for _, errno := range errnos {
+			cases = append(cases, errnoCase{call, errno, result, status})
+		}
+	}
+	// This machine's trouble: no attempt is used up, and the request goes on in time.
+	add("socket", balance.LocalFailure, 200,
+		syscall.EACCES, syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM, syscall.EPERM)
+	add("connect", balance.LocalFailure, 200,
+		syscall.EACCES, syscall.EPERM, syscall.EADDRINUSE, syscall.EADDRNOTAVAIL, syscall.EAGAIN, syscall.EINTR,
+		syscall.ENETUNREACH, syscall.ENETDOWN, syscall.ENOBUFS, syscall.ENOMEM)
+	add("epoll_ctl", balance.LocalFailure, 200, syscall.ENOSPC, syscall.ENOMEM)
+	add("write", balance.LocalFailure, 200,
+		syscall.EACCES, syscall.EPERM, syscall.EAGAIN, syscall.EINTR, syscall.ENOBUFS, syscall.ENOMEM,
+		syscall.ENETUNREACH, syscall.ENETDOWN)
+	// The server's failure, or what this program or its settings do wrong with it.
+	add("socket", balance.ConnectFailed, statusRefused,
+		syscall.EAFNOSUPPORT, syscall.EINVAL, syscall.EPROTONOSUPPORT)
+	add("connect", balance.ConnectFailed, statusRefused,
+		syscall.ECONNREFUSED, syscall.EAFNOSUPPORT, syscall.EALREADY, syscall.EBADF, syscall.EFAULT,
+		syscall.EINPROGRESS, syscall.EISCONN, syscall.ENOTSOCK, syscall.EPROTOTYPE, syscall.EINVAL)
+	add("connect", balance.Unreachable, statusRefused, syscall.EHOSTUNREACH, syscall.ETIMEDOUT, syscall.EHOSTDOWN)
+	add("connect", balance.Broken, statusRefused, syscall.ECONNRESET)
+	add("write", balance.Broken, statusRefused,
+		syscall.ECONNRESET, syscall.EPIPE, syscall.ETIMEDOUT, syscall.EHOSTUNREACH, syscall.EALREADY, syscall.EBADF,
+		syscall.EDESTADDRREQ, syscall.EFAULT, syscall.EINVAL, syscall.EISCONN, syscall.EMSGSIZE, syscall.ENOTCONN,
+		syscall.ENOTSOCK, syscall.EOPNOTSUPP)
+	return cases
+}
+
+// failing makes the pool's calls fail as the case says, so many times.
+func (c *errnoCase) failing(p *upstreams, times int32) {
+	fail := failTimes(times, opError(c.call, c.errno))
+	if c.call == "write" {
+		p.dialing(succeed, faultyConn{failWrite: fail})
+		return
+	}
+	p.dialing(fail, faultyConn{})
+}
+
+// What a system call's failure says of the server, for an attempt and for a probe.
+func TestResultOfAnErrno(t *testing.T) {
+	for _, test := range errnoCases() {
+		t.Run(test.call+" "+test.errno.Error(), func(t *testing.T) {
+			b := newBackend(t, "a", ok)
+			p, a, _, _ := exchanging(t, b)
+			a.call.out = outboundPost([]byte("plate 12-34"))
+			test.failing(p, always)
+			if r := p.send(a); r.result != test.result || !r.result.NeverRan() {
+				t.Errorf("an attempt: result %v, want %v", r.result, test.result)
+			}
+			if r := p.probe(t.Context(), a.up); r.result != test.result {
+				t.Errorf("a probe: result %v, want %v", r.result, test.result)
+			}
+			if n := b.requests.Load(); n != 0 {
+				t.Errorf("the server got %d requests", n)
+			}
+			if n := openOf(p); n != 1 {
+				t.Errorf("%d connections are counted, want the test's own", n)
+			}
+		})
+	}
+}
+
+// What a client gets where a system call fails once and there is one server: a request that must not run twice goes on
+// where the trouble is this machine's, and is refused where it is the server's. It runs once or not at all. Refusals last
+// as long as their client waits, so one errno of each call and result stands for the others of it.
+func TestAnswerAfterAnErrno(t *testing.T) {
+	type refusal struct {
+		call   string
+		result balance.Result
+	}
+	refused := map[refusal]bool{}
+	for _, test := range errnoCases() {
+		wait := time.Second
+		if test.status != 200 {
+			if refused[refusal{test.call, test.result}] {
+				continue
+			}
+			refused[refusal{test.call, test.result}] = true
+			wait = 150 * time.Millisecond
+		}
+		t.Run(test.call+" "+test.errno.Error(), func(t *testing.T) {
+			b := newBackend(t, "a", ok)
+			s := start(t, newConf(newRegistry(t).addr(), b.target), func(s *Sidecar) { test.failing(s.loop.ups, 1) })
+			if got := s.do(s.request("charge", wait)); got.status != test.status {
+				t.Errorf("%+v, want %d", got, test.status)
+			}
+			runs := int64(0)
+			if test.status == 200 {
+				runs = 1
+			}
+			if n := b.requests.Load(); n != runs {
+				t.Errorf("it ran %d times, want %d", n, runs)
+			}
+		})
+	}
+}
+
+// A request goes on as long as its time lasts, over more failures of this machine than it has attempts.
+func TestLocalFailuresUseUpNoAttempts(t *testing.T) {
+	const failures = 9 // the settings allow 6 attempts
+	b := newBackend(t, "a", ok)
+	fail := errnoCase{call: "socket", errno: syscall.EMFILE}
+	s := start(t, newConf(newRegistry(t).addr(), b.target), func(s *Sidecar) { fail.failing(s.loop.ups, failures) })
+	if got := s.do(s.request("lookup", time.Second)); got.status != 200 {
+		t.Errorf("%+v, want it served", got)
+	}
+	if n := b.requests.Load(); n != 1 {
+		t.Errorf("%d requests at the server, want 1", n)
+	}
+}
+
+// A request that cannot be sent for as long as its time lasts is refused at its end, once.
+func TestLocalFailuresEndInARefusal(t *testing.T) {
+	b := newBackend(t, "a", ok)
+	fail := errnoCase{call: "connect", errno: syscall.EADDRNOTAVAIL}
+	s := start(t, newConf(newRegistry(t).addr(), b.target), func(s *Sidecar) { fail.failing(s.loop.ups, always) })
+	got := s.do(s.request("charge", 300*time.Millisecond))
+	if got.status != statusRefused || got.took < 250*time.Millisecond {
+		t.Errorf("%+v after %v, want a refusal when its time is up", got, got.took)
+	}
+}
+
+// One dial that fails for this machine's trouble fails the attempt that came last; what is on its way serves the one that
+// has waited longer.
+func TestLocalFailureLeavesOtherWaiters(t *testing.T) {
+	b := newBackend(t, "a", ok)
+	cfg, err := newConf("127.0.0.1:1").load(t)
+	if err != nil {
+		t.Fatal(err)
+	}
+	p := newUpstreams(cfg, 10)
+	t.Cleanup(p.closeAll)
+	p.connectWait = patience
+	dial, first := p.dialContext, newBarrier()
+	t.Cleanup(first.release)
+	var dials atomic.Int32
+	p.dialContext = func(ctx context.Context, network, addr string) (net.Conn, error) {
+		if dials.Add(1) > 1 {
+			return nil, opError("socket", syscall.EMFILE)
+		}
+		first.pass()
+		return dial(ctx, network, addr)
+	}
+	up, cut := &upstream{id: 1, endpoint: b.target.Endpoint}, time.Now().Add(patience)
+	older := make(chan error, 1)
+	go func() {
+		conn, _, err := p.get(t.Context(), up, cut, nil)
+		if err == nil {
+			p.put(conn)
+		}
+		older <- err
+	}()
+	first.waitFor(t, 1)
+	if _, _, err := p.get(t.Context(), up, cut, nil); unsent(t.Context(), cut, err) != balance.LocalFailure {
+		t.Errorf("the newer attempt ends with %v", err)
+	}
+	first.release()
+	if err := receive(t, "the older attempt", older); err != nil {
+		t.Errorf("the older attempt ends with %v", err)
+	}
+}
+
+// A read that fails for a moment is made again, and the answer is whole.
+func TestMomentaryReadErrno(t *testing.T) {
+	for _, errno := range momentaryErrnos {
+		t.Run(errno.Error(), func(t *testing.T) {
+			b := newBackend(t, "a", ok)
+			p, a, _, _ := exchanging(t, b)
+			a.call.out = outboundPost([]byte("plate 12-34"))
+			p.dialing(succeed, faultyConn{failRead: failTimes(2, opError("read", errno))})
+			if r := p.send(a); r.result != balance.OK || string(r.answer.body) != "done" {
+				t.Errorf("result %v with %q, want the answer", r.result, r.answer.body)
+			}
+		})
+	}
+}
+
+// A read that goes on failing for a moment ends at the attempt's own time.
+func TestMomentaryReadErrnoUpToTheDeadline(t *testing.T) {
+	b := newBackend(t, "a", ok)
+	p, a, _, _ := exchanging(t, b)
+	a.call.out = outboundPost([]byte("plate 12-34"))
+	cut := time.Now().Add(50 * time.Millisecond)
+	a.cut = cut
+	p.dialing(succeed, faultyConn{failRead: func() error {
+		if time.Now().Before(cut) {
+			return opError("read", syscall.ENOMEM)
+		}
+		return nil
+	}})
+	if r := p.send(a); r.result != balance.TimedOut {
+		t.Errorf("result %v, want %v", r.result, balance.TimedOut)
+	}
+}
--- a/internal/sidecar/exchange.go
+++ b/internal/sidecar/exchange.go
@@ -11,7 +11,6 @@
 	"net"
 	"net/http"
 	"net/url"
-	"slices"
 	"strconv"
 	"sync"
 	"sync/atomic"
@@ -139,14 +138,15 @@
 			stop()
 			result := balance.Full
 			if !out.answered || !p.turnedAway(conn, req) {
-				result = unsent(ctx, sendBy, err)
+				result = unwritten(ctx, sendBy, err)
 			}
 			p.discard(conn)
 			if errors.Is(err, errVoid) {
 				return reply{result: balance.Moot, void: true}
 			}
 			unfit := err == errUnfit || errors.As(err, new(*net.OpError))
-			if kept && result != balance.Full && ctx.Err() == nil && unfit &&
+			elsewhere := result != balance.Full && result != balance.LocalFailure
+			if kept && elsewhere && ctx.Err() == nil && unfit &&
 				time.Now().Before(sendBy) && (a == nil || a.call.out.upload == nil || !a.call.out.upload.spent()) {
 				continue // the server closed it while idle; nothing of the request has run
 			}
@@ -407,21 +407,29 @@
 	return err
 }
 
-// unsent is the result where the last byte was never written.
+// unsent is the result where no connection came up.
 func unsent(ctx context.Context, cut time.Time, err error) balance.Result {
 	switch {
-	case ctx.Err() != nil, err == errMoot, err == errNoSocket, !time.Now().Before(cut), isLocal(err):
+	case ctx.Err() != nil, err == errMoot, err == errNoSocket, !time.Now().Before(cut):
 		return balance.Moot // no fault of the server
 	case errors.Is(err, syscall.ECONNRESET), errors.Is(err, syscall.EPIPE):
 		return balance.Broken // something answered
+	case localErrnos.has(err):
+		return balance.LocalFailure
+	case unreachableErrnos.has(err):
+		return balance.Unreachable
 	default:
 		return balance.ConnectFailed
 	}
 }
 
-// isLocal tells that this machine has no socket, port or memory left for a connection.
-func isLocal(err error) bool {
-	return slices.ContainsFunc([]error{
-		syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM, syscall.EADDRNOTAVAIL, syscall.EADDRINUSE,
-	}, func(local error) bool { return errors.Is(err, local) })
+// unwritten is the result where the last byte was not written to a connection that was up. The system's errors, but for
+// this machine's own trouble, tell then that it is over, and not that nobody is there.
+func unwritten(ctx context.Context, cut time.Time, err error) balance.Result {
+	result := unsent(ctx, cut, err)
+	failed := result == balance.Unreachable || result == balance.ConnectFailed
+	if failed && errors.As(err, new(syscall.Errno)) {
+		return balance.Broken
+	}
+	return result
 }
--- a/internal/sidecar/pool.go
+++ b/internal/sidecar/pool.go
@@ -51,6 +51,7 @@
 // upstreams holds the kept connections to all servers and bounds how many there are.
 type upstreams struct {
 	dialer      net.Dialer
+	dialContext dialFunc      // by the dialer; tests put connections that fail in its place
 	connectWait time.Duration // of an attempt
 	connIdle    time.Duration
 	reportNames []string
@@ -85,6 +86,9 @@
 	for i := range cfg.balance.Classes {
 		p.windows = append(p.windows, repeatWindow(&cfg.balance.Classes[i]))
 	}
+	p.dialContext = func(ctx context.Context, network, addr string) (net.Conn, error) {
+		return p.dialer.DialContext(ctx, network, addr)
+	}
 	p.dials, p.endDial = context.WithCancel(context.Background())
 	if cfg.balance.Reports != balance.ReportNone {
 		p.probePath = "/stats"
--- a/internal/sidecar/pool_test.go
+++ b/internal/sidecar/pool_test.go
@@ -275,7 +275,7 @@
 		return os.NewSyscallError("socket", syscall.EMFILE)
 	}
 	a.call.out = outboundPost([]byte("plate 12-34"))
-	if r := p.send(a); r.result != balance.Moot {
+	if r := p.send(a); r.result != balance.LocalFailure {
 		t.Errorf("result %v, want that no server is blamed", r.result)
 	}
 	if n := openOf(p); n != 1 {
--- a/internal/sidecar/routes.go
+++ b/internal/sidecar/routes.go
@@ -380,7 +380,7 @@
 
 // ended counts an attempt whose connection never came up as begun: it tells of the server as one that failed does.
 func (k *look) ended(r reply) reply {
-	if k != nil && !k.begun && r.result == balance.ConnectFailed {
+	if k != nil && !k.begun && (r.result == balance.ConnectFailed || r.result == balance.Unreachable) {
 		k.fixed = false // no head was written
 		k.begin()       // not ok: it stays uncounted
 	}
@@ -435,7 +435,8 @@
 	late := took > aim
 	// A client that left after the aim has seen a failure where late answers are: it cost the canary's unit, too.
 	told := !left || k.late && late && a.took == 0
-	if !k.begun || reply.result == balance.Moot || !told || !k.canary && !k.alike {
+	unsent := reply.result == balance.Moot || reply.result == balance.LocalFailure
+	if !k.begun || unsent || !told || !k.canary && !k.alike {
 		return // it says nothing of the server, or of what the canary is compared with
 	}
 	n := r.count(countKey{k.under, k.tenant, k.canary})
