--- a/internal/sidecar/client_gone.go
+++ b/internal/sidecar/client_gone.go
@@ -85,8 +85,7 @@
 	if errors.Is(err, errNoTCP) {
 		return false
 	}
-	open, _ := peek(c)
-	return !open
+	return peekState(c) == peekEnded
 }
 
 // clientGone reports whether the guest is known to have gone.
--- a/internal/sidecar/pool.go
+++ b/internal/sidecar/pool.go
@@ -124,23 +124,67 @@
 	return open && !unread
 }
 
-// peek tells whether a connection is open, and whether it holds what nobody has read yet.
+// peek tells whether a connection is known to be open, and whether it holds what nobody has read yet.
 func peek(c net.Conn) (open, unread bool) {
+	state := peekState(c)
+	return state == peekQuiet || state == peekUnread, state == peekUnread
+}
+
+// peekResult is what a look at a connection tells, which takes nothing from it.
+type peekResult uint8
+
+const (
+	peekUnknown peekResult = iota // the look itself failed
+	peekQuiet                     // open, with nothing to read
+	peekUnread                    // it holds what nobody has read yet
+	peekEnded                     // its other end has closed or broken it, or this one has closed it
+)
+
+// mostPeeks is how often a look that is interrupted is made.
+const mostPeeks = 10
+
+// peekState looks at a connection.
+func peekState(c net.Conn) peekResult {
 	tcp, ok := c.(syscall.Conn)
 	if !ok {
-		return false, false
+		return peekUnknown
 	}
 	raw, err := tcp.SyscallConn()
 	if err != nil {
-		return false, false
+		return peekUnknown
 	}
+	var state peekResult
 	// Control, as a reader may be waiting on the connection.
-	raw.Control(func(fd uintptr) {
-		var first [1]byte
-		n, _, err := syscall.Recvfrom(int(fd), first[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
-		open, unread = err == syscall.EAGAIN || n > 0, n > 0
+	err = raw.Control(func(fd uintptr) {
+		state = peekWith(func(first []byte) (int, error) {
+			n, _, err := syscall.Recvfrom(int(fd), first, syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
+			return n, err
+		})
 	})
-	return open, unread
+	if err != nil {
+		return peekEnded // closed by this end
+	}
+	return state
+}
+
+// peekWith looks with a call that gives the first byte, if there is any, and leaves it to be read.
+func peekWith(receive func(first []byte) (int, error)) peekResult {
+	for range mostPeeks {
+		n, err := receive(make([]byte, 1))
+		switch {
+		case err == syscall.EINTR:
+			continue
+		case err == syscall.EAGAIN:
+			return peekQuiet
+		case n > 0:
+			return peekUnread
+		case err == nil, endedErrnos.has(err):
+			return peekEnded
+		default:
+			return peekUnknown
+		}
+	}
+	return peekUnknown
 }
 
 // takeIdle takes the newest connection that has rested, or the one that has rested longest; nil: there is none.
