--- a/balance/wallclock.go
+++ b/balance/wallclock.go
@@ -45,7 +45,7 @@
 	b.periods[len(b.periods)-1].to = b.now
 	b.periods = append(b.periods, clockPeriod{from: ev.Since, to: math.Inf(1), least: ev.Offset, most: ev.Offset})
 	b.stepped = true
-	b.say(fmt.Sprintf("list: the wall clock was stepped and is %.3f s off the one that starts are kept on", ev.Offset/1000))
+	b.say(fmt.Sprintf("list: the wall clock was stepped, and is %.3f s ahead of this process's", ev.Offset/1000))
 	if len(b.periods) > mostPeriods {
 		b.mergePeriods()
 	}
--- a/internal/sidecar/loop.go
+++ b/internal/sidecar/loop.go
@@ -10,6 +10,7 @@
 	"time"
 
 	"marblelane/balance"
+	"marblelane/internal/fault"
 )
 
 // publishEvery is how far the figures of servers may lag: 0.5 s is allowed.
@@ -18,16 +19,17 @@
 // inboxSize lets socket goroutines hand over what they have while the loop is at work.
 const inboxSize = 1024
 
-// clock is the one clock of a sidecar: Unix milliseconds at its start, monotonic from there on, so that a
-// server's boot_ms converts to the same figure each time it is listed.
+// clock is the one clock of a sidecar: Unix milliseconds at its start, monotonic from there on. Servers' boot_ms are of
+// the wall clock; what a step of it makes of them the module decides (see stepWatch).
 type clock struct {
 	start time.Time
 	base  float64
 }
 
-func newClock() clock {
-	now := time.Now()
-	return clock{start: now, base: float64(now.UnixMicro()) / 1e3}
+// newClock begins with the wall clock, in which faults may have planted a step.
+func newClock(faults *fault.Plan) clock {
+	wall, start, _ := wallReader(faults)()
+	return clock{start: start, base: unixMillis(wall)}
 }
 
 func (c clock) ms(t time.Time) float64 { return c.base + float64(t.Sub(c.start))/1e6 }
@@ -143,6 +145,7 @@
 type loop struct {
 	cfg     *Config
 	clock   clock
+	steps   *stepWatch
 	bal     *balance.Balancer
 	ups     *upstreams
 	disc    *discovery
@@ -165,8 +168,9 @@
 }
 
 func newLoop(cfg *Config, bal *balance.Balancer, ups *upstreams) *loop {
+	c := newClock(cfg.faults)
 	l := &loop{
-		cfg: cfg, clock: newClock(), bal: bal, ups: ups, figures: ups.figures,
+		cfg: cfg, clock: c, steps: newStepWatch(c, cfg.faults), bal: bal, ups: ups, figures: ups.figures,
 		inbox: make(chan any, inboxSize), stopped: make(chan struct{}),
 		calls: map[balance.RequestID]*call{}, servers: map[balance.ServerID]*upstream{},
 	}
@@ -233,6 +237,7 @@
 		case <-met:
 			l.takeMembers(l.clock.ms(time.Now()))
 		case <-publish:
+			l.lookAtClock(l.clock.ms(time.Now()))
 			l.publish(l.clock.ms(time.Now()))
 		}
 	}
@@ -369,6 +374,7 @@
 // takeNews lets the module decide what is believed, and brings the table of servers in line before anything else is
 // done, so that attempts on their way see at their first byte what the module sees.
 func (l *loop) takeNews(now float64, n news) {
+	l.lookAtClock(now)
 	l.told = l.told || n.kind == balance.ListFull || n.kind == balance.ListDelta
 	ev := balance.ServerList{Kind: n.kind, Rev: n.list.Rev, Source: n.source, Check: n.check, Busy: n.busy, Wait: n.wait,
 		Servers: make([]balance.Server, 0, len(n.list.Targets))}
