--- a/balance/api.go
+++ b/balance/api.go
@@ -180,7 +180,6 @@
 // it shows the time that events are handled at.
 type ClockStepped struct {
 	Offset float64 // ms by which the wall clock is ahead of the time of events from now on; negative: behind it
-	Since  float64 // when, in the time of events, it was last seen to have the offset before
 }
 
 // Sharers says how many processes of the fleet share what it allows together (docs/membership.md). Until the first of
--- a/balance/state.go
+++ b/balance/state.go
@@ -43,8 +43,8 @@
 	list    following
 	over    bool // nothing more is sent: this process goes
 
-	periods []clockPeriod // of the wall clock; nil: no step was noticed
-	stepped bool          // a step was noticed, or starts were told that only a step explains
+	offsets []float64 // ms that the wall clock was ahead of this clock, the newest last; nil: no step was noticed
+	stepped bool      // a step was noticed, or starts were told that only a step explains
 
 	rev    int64   // of the routes
 	ways   []*way  // by tenant, from -1 on; nil: there are no routes
--- a/balance/wallclock.go
+++ b/balance/wallclock.go
@@ -1,9 +1,10 @@
 package balance
 
 // This file converts the start of a server, which a list gives on the wall clock, to the balancer's own clock, which is
-// monotonic. The two agree until the wall clock is stepped (ClockStepped). From then on a start belongs to the period
-// between two steps in which it can lie; where it can lie in several, or in none, the latest time that is possible
-// counts: a server that is taken for colder than it is costs little, one that is taken for warm may fall over.
+// monotonic. The two agree until the wall clock is stepped (ClockStepped). From then on a start is the latest time, not
+// after now, at which a clock can have shown it that is off by what this process's clock was ever seen to be: other
+// machines' clocks may be stepped earlier or later, or not at all, and a server that is taken for colder than it is costs
+// little, where one that is taken for warm may fall over.
 //
 // Until a step is noticed, here or by a start that cannot be, starts are taken as they are told.
 //
@@ -13,52 +14,31 @@
 import (
 	"fmt"
 	"math"
+	"slices"
 )
 
 const (
-	// mostPeriods is how many periods are told apart; the earliest are merged beyond it.
-	mostPeriods = 8
+	// mostOffsets is how many offsets of the wall clock are kept, the newest ones.
+	mostOffsets = 8
+	// sameOffset is by how many ms two offsets differ at least.
+	sameOffset = 100
 	// oldStart is by how many ms a server that is told to have started again can have started before the list that told
 	// its former start last: services lag, and servers take time until they are listed. Beyond it a clock was set back.
 	oldStart = 6e4
 )
 
-// clockPeriod is a time within which the wall clock's offset from the balancer's clock did not change.
-type clockPeriod struct {
-	from, to    float64 // on the balancer's clock; periods overlap, as a step is noticed later than it happens
-	least, most float64 // offsets in ms; they differ only in the first period, once others have been merged into it
-}
-
-// holds reports whether the wall clock can have shown a time within the period, up to now.
-func (p *clockPeriod) holds(wall, now float64) bool {
-	return wall-p.most <= math.Min(p.to, now)+futureSlack && wall-p.least >= p.from-futureSlack
-}
-
-// latest is the last time within the period at which the wall clock can have shown a time.
-func (p *clockPeriod) latest(wall float64) float64 { return math.Min(wall-p.least, p.to) }
-
-// onClockStepped begins a period.
+// onClockStepped keeps the new offset beside those before it.
 func (b *Balancer) onClockStepped(ev ClockStepped) {
-	if len(b.periods) == 0 {
-		b.periods = append(b.periods, clockPeriod{from: math.Inf(-1)})
+	if len(b.offsets) == 0 {
+		b.offsets = append(b.offsets, 0)
+	}
+	b.offsets = slices.DeleteFunc(b.offsets, func(old float64) bool { return math.Abs(old-ev.Offset) < sameOffset })
+	b.offsets = append(b.offsets, ev.Offset)
+	if len(b.offsets) > mostOffsets {
+		b.offsets = slices.Delete(b.offsets, 0, 1)
 	}
-	b.periods[len(b.periods)-1].to = b.now
-	b.periods = append(b.periods, clockPeriod{from: ev.Since, to: math.Inf(1), least: ev.Offset, most: ev.Offset})
 	b.stepped = true
 	b.say(fmt.Sprintf("list: the wall clock was stepped, and is %.3f s ahead of this process's", ev.Offset/1000))
-	if len(b.periods) > mostPeriods {
-		b.mergePeriods()
-	}
-}
-
-// mergePeriods makes one of the first two periods.
-func (b *Balancer) mergePeriods() {
-	first, second := b.periods[0], b.periods[1]
-	second.from = first.from
-	second.least, second.most = math.Min(first.least, second.least), math.Max(first.most, second.most)
-	copy(b.periods, b.periods[1:])
-	b.periods = b.periods[:len(b.periods)-1]
-	b.periods[0] = second
 }
 
 // latestStart gives the latest time on the balancer's clock at which a server can have started whose start is told as
@@ -67,16 +47,16 @@
 	if wall == 0 {
 		return 0
 	}
-	if len(b.periods) == 0 {
+	if len(b.offsets) == 0 {
 		if wall > b.now+futureSlack {
 			return b.now
 		}
 		return wall
 	}
 	latest := math.Inf(-1)
-	for i := range b.periods {
-		if p := &b.periods[i]; p.holds(wall, b.now) {
-			latest = math.Max(latest, p.latest(wall))
+	for _, offset := range b.offsets {
+		if start := wall - offset; start <= b.now+futureSlack {
+			latest = math.Max(latest, start)
 		}
 	}
 	if math.IsInf(latest, -1) { // no clock that was seen has shown it
@@ -88,7 +68,7 @@
 // startOf gives the start by which entries are compared: as it is told, and once a step was noticed, as it lies on the
 // balancer's own clock.
 func (b *Balancer) startOf(entry *Server) float64 {
-	if len(b.periods) == 0 {
+	if len(b.offsets) == 0 {
 		return entry.StartedAt
 	}
 	if s := b.byID[entry.ID]; s != nil && s.StartedAt == entry.StartedAt {
@@ -112,7 +92,7 @@
 		b.stepped = true
 	}
 	switch {
-	case back && len(b.periods) == 0: // of a clock of which nothing is known
+	case back && len(b.offsets) == 0: // of a clock of which nothing is known
 		since = b.now
 	case listed && b.stepped:
 		since = math.Max(since, b.list.held)
--- a/internal/sidecar/routes.go
+++ b/internal/sidecar/routes.go
@@ -180,7 +180,7 @@
 	}
 	var err error
 	r.steer, err = steer.New(steer.Config{
-		Addrs: cfg.routes.addrs, Name: cfg.Name, Start: time.Now().UnixNano(), Version: version(),
+		Addrs: cfg.routes.addrs, Name: cfg.Name, Start: cfg.faults.Now().UnixNano(), Version: version(),
 		Digest: cfg.routes.digest, Schemas: cfg.routes.schemas, Wake: r.signal,
 	})
 	return r, err
--- a/internal/sidecar/sidecar.go
+++ b/internal/sidecar/sidecar.go
@@ -164,6 +164,7 @@
 	}
 	if cfg.members != nil {
 		l.members = newMembers(cfg.members, s.follows)
+		l.members.cfg.Start = cfg.faults.Now().UnixMilli()
 	}
 	s.share()
 	return s, nil
--- a/internal/sidecar/wallclock.go
+++ b/internal/sidecar/wallclock.go
@@ -25,12 +25,11 @@
 	clock  clock
 	read   func() (wall, at time.Time, ok bool)
 	offset float64 // ms that the wall clock is ahead of clock, as it was told last
-	seen   float64 // when that was read last, in ms of clock
 }
 
 // newStepWatch watches the wall clock that faults plants a step in, or the machine's.
 func newStepWatch(c clock, faults *fault.Plan) *stepWatch {
-	return &stepWatch{clock: c, read: wallReader(faults), seen: c.base}
+	return &stepWatch{clock: c, read: wallReader(faults)}
 }
 
 // wallReader gives a function that reads the wall clock and the monotonic one at one moment; not ok: it was held up
@@ -52,28 +51,22 @@
 // look reads the clocks, and again where they seem to have been stepped: the two of one reading are read one behind the
 // other, and the process may be held up between them, but not twice for the same time.
 func (w *stepWatch) look() (step balance.ClockStepped, stepped bool) {
-	offset, at, ok := w.apart()
-	if !ok {
+	offset, ok := w.ahead()
+	if !ok || math.Abs(offset-w.offset) < leastStep {
 		return step, false
 	}
-	if math.Abs(offset-w.offset) < leastStep {
-		w.seen = at
-		return step, false
-	}
-	again, at, ok := w.apart()
+	again, ok := w.ahead()
 	if !ok || math.Abs(again-offset) > sameStep {
 		return step, false
 	}
-	step = balance.ClockStepped{Offset: again, Since: w.seen}
-	w.offset, w.seen = again, at
-	return step, true
+	w.offset = again
+	return balance.ClockStepped{Offset: again}, true
 }
 
-// apart gives how many ms the wall clock is ahead of the sidecar's, and when.
-func (w *stepWatch) apart() (offset, at float64, ok bool) {
-	wall, read, ok := w.read()
-	at = w.clock.ms(read)
-	return unixMillis(wall) - at, at, ok
+// ahead gives how many ms the wall clock is ahead of the sidecar's.
+func (w *stepWatch) ahead() (offset float64, ok bool) {
+	wall, at, ok := w.read()
+	return unixMillis(wall) - w.clock.ms(at), ok
 }
 
 // unixMillis is the wall clock's time in Unix milliseconds.
