--- a/internal/lab/lab_test.go
+++ b/internal/lab/lab_test.go
@@ -139,7 +139,8 @@
 		"cut-requests": true, "cut-answers": true, "freeze": true, "herd": true, "roll": false, "upgrade": false,
 		"registry-leader-killed": false, "registry-leader-frozen": false, "registry-cut": false, "registry-majority-lost": false,
 		"registry-disk-full": false, "registry-disk-lost": false, "registry-disk-slow": false, "registry-sync-fails": false,
-		"registry-clock":    false,
+		"registry-clock":             false,
+		"registry-disk-heals-leader": false, "registry-disk-heals-each": false, "canary-leader-disk": false,
 		"zone-answers-lost": true,
 		"canary-good":       false, "canary-leader-killed": false, "canary-cut-off": false,
 		"audit-sidecars-killed": false, "compat-rolling-upgrade": false, "compat-shut-out": false,
@@ -176,6 +177,25 @@
 	}
 }
 
+// Copies whose disks fail and heal are back by themselves, also where nobody is there meanwhile who could be read.
+func TestCopiesAreBackWhenTheirDisksHeal(t *testing.T) {
+	for _, name := range []string{"registry-disk-heals-alone", "registry-disk-heals-killed"} {
+		t.Run(name, func(t *testing.T) {
+			t.Parallel()
+			rep := play(t, read(t, name))
+			if end, reason := rep.Outcome(); end == Late {
+				t.Log(reason)
+				return
+			}
+			assert.Empty(t, rep.Verdict.Breaches)
+			assert.Empty(t, rep.Missed)
+			assert.NotZero(t, rep.Registry.Writes)
+			assert.NotEmpty(t, rep.Registry.Heals)
+			assert.Len(t, rep.Registry.Heals, rep.Verdict.Checked["disk-honest"])
+		})
+	}
+}
+
 const small = `
 title = "small"
 length = "2s"
