--- a/internal/sidecar/rawcalls_test.go
+++ b/internal/sidecar/rawcalls_test.go
@@ -14,8 +14,8 @@
 	"golang.org/x/sys/unix"
 )
 
-// failTimes gives an error so often, and then none.
-func failTimes(times int, err error) func() error {
+// failFirst gives an error so often, and then none.
+func failFirst(times int, err error) func() error {
 	return func() error {
 		if times == 0 {
 			return nil
@@ -25,8 +25,8 @@
 	}
 }
 
-// momentaryErrnos are of calls that the system is short of resources for, or that a signal has interrupted.
-var momentaryErrnos = []syscall.Errno{unix.EINTR, unix.EAGAIN, unix.ENOBUFS, unix.ENOMEM}
+// resourceErrnos are of calls that the system is short of resources for, or that a signal has interrupted.
+var resourceErrnos = []syscall.Errno{unix.EINTR, unix.EAGAIN, unix.ENOBUFS, unix.ENOMEM}
 
 // While the length of a queue cannot be had, or only for a moment, nobody who waits in it is taken for nobody.
 func TestQueueThatCannotBeAsked(t *testing.T) {
@@ -35,7 +35,7 @@
 	}
 	noPoll := func([]unix.PollFd, int) (int, error) { return 0, unix.ENOMEM }
 	once := func(errno syscall.Errno) func(int) (*unix.TCPInfo, error) {
-		failure := failTimes(1, errno)
+		failure := failFirst(1, errno)
 		return func(fd int) (*unix.TCPInfo, error) {
 			if err := failure(); err != nil {
 				return nil, err
@@ -53,7 +53,7 @@
 		"neither call":      {listenQueue{failing(unix.EPERM), noPoll}, 1, 1, 0},
 		"of something else": {listenQueue{func(int) (*unix.TCPInfo, error) { return &unix.TCPInfo{}, nil }, noPoll}, 0, 0, 0},
 	}
-	for _, errno := range momentaryErrnos {
+	for _, errno := range resourceErrnos {
 		tests["once "+unix.ErrnoName(errno)] = test{listenQueue{once(errno), noPoll}, 0, 2, 0}
 		tests["always "+unix.ErrnoName(errno)] = test{listenQueue{failing(errno), unix.Poll}, 0, 1, 0}
 	}
@@ -89,7 +89,7 @@
 
 // An end behind unread bytes is seen though the first query of the connection's state fails.
 func TestPeerGoneThoughAQueryFails(t *testing.T) {
-	for _, errno := range momentaryErrnos {
+	for _, errno := range resourceErrnos {
 		t.Run(unix.ErrnoName(errno), func(t *testing.T) {
 			failure := func() error { return nil }
 			states := &connStates{tcpState: func(fd int) (uint8, error) {
@@ -105,7 +105,7 @@
 			}
 			client.Close()
 			until(t, "the end to arrive", func() bool { return systemStates.peerGone(server) })
-			failure = failTimes(queryTries-1, errno)
+			failure = failFirst(queryTries-1, errno)
 			if !states.peerGone(server) {
 				t.Error("a client that has gone is taken for one that is there")
 			}
@@ -198,14 +198,14 @@
 
 // Words between two processes at an upgrade outlast calls that fail for a moment.
 func TestWordsOutlastFailures(t *testing.T) {
-	for _, errno := range momentaryErrnos {
+	for _, errno := range resourceErrnos {
 		t.Run(unix.ErrnoName(errno), func(t *testing.T) {
 			one, other := net.Pipe()
 			go func() {
-				patientConn{failingConn{one, failTimes(3, errno)}}.Write([]byte{servesNow})
+				patientConn{failingConn{one, failFirst(3, errno)}}.Write([]byte{servesNow})
 				one.Close()
 			}()
-			words, err := io.ReadAll(patientConn{failingConn{other, failTimes(3, errno)}})
+			words, err := io.ReadAll(patientConn{failingConn{other, failFirst(3, errno)}})
 			if err != nil || string(words) != string(servesNow) {
 				t.Errorf("%q, %v", words, err)
 			}
