--- a/internal/sidecar/framing.go
+++ b/internal/sidecar/framing.go
@@ -22,10 +22,12 @@
 	if err != nil {
 		return nil, err
 	}
+	conn := &headConn{Conn: c, since: time.Now(), ahead: make(chan struct{}, 1)}
 	if g, ok := c.(*guest); ok {
 		systemStates.learn(g.Conn)
+		conn.acceptedLate = sinceLastData(g.Conn) >= lateAccept
 	}
-	return &headConn{Conn: c, since: time.Now(), ahead: make(chan struct{}, 1)}, nil
+	return conn, nil
 }
 
 // headConn keeps a request's head as it came. net/http drops a Content-Length that stands beside a
@@ -39,6 +41,8 @@
 	whole bool
 	since time.Time // the request's begin: its first byte, or the connection's begin
 	reads int       // that are waiting
+	// acceptedLate: the first request may have waited for a while before its connection was accepted.
+	acceptedLate bool
 
 	ahead chan struct{} // a token: something was read; nil: nobody wants to know
 }
@@ -83,6 +87,7 @@
 	}
 	c.mu.Lock()
 	c.head, c.whole, c.since = c.head[:0], false, time.Time{}
+	c.acceptedLate = false
 	c.mu.Unlock()
 }
 
@@ -150,6 +155,31 @@
 	return c.since
 }
 
+// received is when the last byte of a request came that has just been read. It is now, but for the first request of a
+// connection that was accepted late: the client's time has run since the system has had it.
+func (c *headConn) received() time.Time {
+	now := time.Now()
+	c.mu.Lock()
+	late := c.acceptedLate
+	c.mu.Unlock()
+	g, ok := c.Conn.(*guest)
+	if !late || !ok {
+		return now
+	}
+	if waited := sinceLastData(g.Conn); waited >= lateAccept {
+		return now.Add(-waited)
+	}
+	return now
+}
+
+// receivedAt is when the last byte of a request came that has just been read.
+func receivedAt(r *http.Request) time.Time {
+	if c, ok := r.Context().Value(connKey{}).(*headConn); ok {
+		return c.received()
+	}
+	return time.Now()
+}
+
 type connKey struct{}
 
 // withConn lets handlers find their connection.
--- a/internal/sidecar/frontend.go
+++ b/internal/sidecar/frontend.go
@@ -380,7 +380,7 @@
 		}
 	}
 	if rest == nil {
-		c.deadline = time.Now().Add(c.wait) // the client's time counts from its last byte
+		c.deadline = receivedAt(r).Add(c.wait) // the client's time counts from its last byte
 	}
 	if r.Method == http.MethodGet && (rest != nil || len(c.out.body) > 0) {
 		f.memory.give(c.held)
--- a/internal/sidecar/planted_test.go
+++ b/internal/sidecar/planted_test.go
@@ -2,8 +2,10 @@
 
 import (
 	"net"
+	"net/http"
 	"os"
 	"path/filepath"
+	"strconv"
 	"sync"
 	"sync/atomic"
 	"testing"
@@ -104,3 +106,41 @@
 	until(t, "the platform's address", func() bool { return old.healthy(t) })
 	met.Wait()
 }
+
+// The time of a request that waits until its connection is accepted counts: its server is told what is left.
+func TestTimeBeforeAcceptCounts(t *testing.T) {
+	told := make(chan string, 1)
+	b := newBackend(t, "a", func(c net.Conn, r *http.Request, body string) bool {
+		told <- r.Header.Get("X-Timeout-Ms")
+		return ok(c, r, body)
+	})
+	path := filepath.Join(t.TempDir(), "faults.toml")
+	plan(t, path, fault.CallAccept, "ENOMEM")
+	c := newConf(newRegistry(t).addr(), b.target)
+	c["faults"] = path
+	var failures atomic.Int64
+	s := start(t, c, func(s *Sidecar) { countFailures(t, s.listener, &failures) })
+	until(t, "accepts that fail", func() bool { return failures.Load() > 0 })
+	conn, err := net.Dial("tcp", s.Addr())
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer conn.Close()
+	conn.SetDeadline(time.Now().Add(patience))
+	const wait, waited = 5 * time.Second, 300 * time.Millisecond
+	if err := s.request("charge", wait).Write(conn); err != nil {
+		t.Fatal(err)
+	}
+	sent := time.Now()
+	until(t, "some of its time to pass", func() bool { return time.Since(sent) >= waited })
+	if err := (fault.Set{}).Write(path); err != nil {
+		t.Fatal(err)
+	}
+	left, err := strconv.Atoi(receive(t, "the attempt", told))
+	if err != nil {
+		t.Fatal(err)
+	}
+	if most := wait - waited + lateAccept; time.Duration(left)*time.Millisecond > most {
+		t.Errorf("the server is told of %d ms, want %v at most", left, most)
+	}
+}
--- a/internal/sidecar/rawcalls.go
+++ b/internal/sidecar/rawcalls.go
@@ -2,6 +2,7 @@
 
 import (
 	"net"
+	"syscall"
 	"time"
 
 	"golang.org/x/sys/unix"
@@ -17,6 +18,9 @@
 	shortestCallPause = time.Millisecond
 	longestCallPause  = 20 * time.Millisecond
 	callLimit         = time.Second
+	// lateAccept is from when on a connection counts as accepted late. Below it the system's figure is as coarse as the
+	// wait itself.
+	lateAccept = 20 * time.Millisecond
 )
 
 // repeatQuery makes a system call again, at once and a few times, while the system is short of resources for it.
@@ -65,6 +69,31 @@
 	return n, err
 }
 
+// sinceLastData is how long ago the system got the last bytes from the peer of a connection, or, before any, the
+// connection; in steps of its clock, some milliseconds. It is 0 where the system does not tell.
+func sinceLastData(conn net.Conn) time.Duration {
+	tcp, ok := conn.(syscall.Conn)
+	if !ok {
+		return 0
+	}
+	raw, err := tcp.SyscallConn()
+	if err != nil {
+		return 0
+	}
+	var info *unix.TCPInfo
+	var failed error
+	err = raw.Control(func(fd uintptr) {
+		failed = repeatQuery(func() (err error) {
+			info, err = systemQueue.tcpInfo(int(fd))
+			return err
+		})
+	})
+	if err != nil || failed != nil || info.State != unix.BPF_TCP_ESTABLISHED && info.State != unix.BPF_TCP_CLOSE_WAIT {
+		return 0
+	}
+	return time.Duration(info.Last_data_recv) * time.Millisecond
+}
+
 // listenQueue asks the system for what waits in a listening socket.
 type listenQueue struct {
 	tcpInfo func(fd int) (*unix.TCPInfo, error)
