--- a/internal/sidecar/handover.go
+++ b/internal/sidecar/handover.go
@@ -154,6 +154,7 @@
 	faults   *fault.Plan     // the lab's; nil: none
 	serve    atomic.Int64    // those that serve
 	listener net.Listener
+	bind     func(network string, at *net.UnixAddr) (*net.UnixListener, error)
 
 	ended  sync.WaitGroup
 	mu     sync.Mutex
@@ -166,7 +167,7 @@
 	// Bound under a name of its own first: at the place there is always somebody or nobody, never half.
 	fresh := fmt.Sprintf("%s.%d", place, os.Getpid())
 	os.Remove(fresh)
-	l, err := net.ListenUnix("unix", &net.UnixAddr{Name: fresh, Net: "unix"})
+	l, err := s.bind("unix", &net.UnixAddr{Name: fresh, Net: "unix"})
 	if err != nil {
 		return err
 	}
--- a/internal/sidecar/sidecar.go
+++ b/internal/sidecar/sidecar.go
@@ -158,7 +158,10 @@
 			cfg: cfg, post: l.post, figures: l.figures, peerWait: peerWait, writeWait: writeWait,
 		},
 	}
-	s.after = successors{give: s.tcp, faults: cfg.faults, changed: func(alive int) { s.beside(&s.newer, alive) }}
+	s.after = successors{
+		give: s.tcp, faults: cfg.faults, bind: net.ListenUnix,
+		changed: func(alive int) { s.beside(&s.newer, alive) },
+	}
 	if before != nil {
 		s.older = 1
 	}
@@ -307,7 +310,8 @@
 		s.before.serves()
 	}
 	if place := s.cfg.meetingPlace(); place != "" {
-		if err := s.after.await(place); err != nil {
+		start := retry.NewStart(ctx, nil)
+		if err := start.Do("upgrade", func() error { return s.after.await(place) }); err != nil {
 			slog.Warn("upgrade: a newer process cannot meet this one", "error", err)
 		} else {
 			defer s.after.close()
--- a/internal/sidecar/start_test.go
+++ b/internal/sidecar/start_test.go
@@ -96,3 +96,28 @@
 		})
 	}
 }
+
+// The place where a newer process meets this one is bound a moment later, too.
+func TestMeetingPlaceThatCannotBeBoundForAMoment(t *testing.T) {
+	c := upgradable(t, newRegistry(t).addr(), newBackend(t, "a", ok).target)
+	failure := failTimes(3, syscall.ENFILE)
+	old := start(t, c, func(s *Sidecar) {
+		s.after.bind = func(network string, at *net.UnixAddr) (*net.UnixListener, error) {
+			if err := failure(); err != nil {
+				return nil, err
+			}
+			return net.ListenUnix(network, at)
+		}
+	})
+	cfg, err := c.load(t)
+	if err != nil {
+		t.Fatal(err)
+	}
+	until(t, "the meeting place", func() bool {
+		_, err := os.Lstat(cfg.meetingPlace())
+		return err == nil
+	})
+	next := start(t, c, func(s *Sidecar) { s.listWait = 0 })
+	until(t, "the next process's word", func() bool { return old.after.serve.Load() == 1 })
+	next.end(t)
+}
