--- a/internal/sidecar/errno_test.go
+++ b/internal/sidecar/errno_test.go
@@ -6,6 +6,7 @@
 	"net"
 	"net/http"
 	"os"
+	"slices"
 	"sync/atomic"
 	"syscall"
 	"testing"
@@ -353,3 +354,59 @@
 		t.Errorf("result %v, want %v", r.result, balance.TimedOut)
 	}
 }
+
+// failingDials makes the calls to discovery fail for the first times.
+func (d *discovery) failingDials(times int32, err error) {
+	transport := d.client.Transport.(*http.Transport)
+	dial, fail := transport.DialContext, failTimes(times, err)
+	transport.DialContext = func(ctx context.Context, network, addr string) (net.Conn, error) {
+		if err := fail(); err != nil {
+			return nil, err
+		}
+		return dial(ctx, network, addr)
+	}
+}
+
+// A call to discovery that this machine cannot make is made again soon, and no service has failed; any other failure is
+// the service's, and is told at once.
+func TestErrnoOfACallToDiscovery(t *testing.T) {
+	const failures = 3
+	services := errnos{syscall.ECONNREFUSED, syscall.EHOSTUNREACH, syscall.ETIMEDOUT, syscall.ECONNRESET}
+	for _, errno := range slices.Concat(localErrnos, services) {
+		t.Run(errno.Error(), func(t *testing.T) {
+			r := newRegistry(t)
+			d, heard := hearing(t, r.addr())
+			d.failingDials(failures, opError("connect", errno))
+			d.watch(t.Context(), 0)
+			if slices.Contains(services, errno) {
+				if n := receive(t, "the failure", heard); n.kind != balance.ListFailed {
+					t.Errorf("%+v, want that the service has failed", n)
+				}
+				return
+			}
+			receive(t, "the call", r.calls).send(t, list{Rev: 7})
+			if n := receive(t, "the list", heard); n.kind != balance.ListDelta || n.list.Rev != 7 {
+				t.Errorf("%+v, want the list alone", n)
+			}
+		})
+	}
+}
+
+// So is a call to an agent that pushes lists.
+func TestErrnoOfACallToTheAgent(t *testing.T) {
+	for _, errno := range localErrnos {
+		t.Run(errno.Error(), func(t *testing.T) {
+			r := newRegistry(t)
+			d, heard := hearing(t, r.addr())
+			d.lag = leastLag
+			d.failingDials(3, opError("connect", errno))
+			ctx, cancel := context.WithCancel(t.Context())
+			t.Cleanup(cancel)
+			d.subscribe(ctx)
+			receive(t, "the call", r.calls).send(t, list{Rev: 7})
+			if n := receive(t, "the list", heard); n.kind != balance.ListDelta || n.list.Rev != 7 {
+				t.Errorf("%+v, want the list alone", n)
+			}
+		})
+	}
+}
--- a/internal/sidecar/watch_sums_test.go
+++ b/internal/sidecar/watch_sums_test.go
@@ -68,6 +68,7 @@
 				"a watch falls silent":              silence + pause(1, errStopped),
 				"connections are refused":           pause(rowOfFailures, http.ErrServerClosed),
 				"connections never come up":         dialWait + pause(rowOfFailures, http.ErrServerClosed),
+				"this machine cannot make a call":   longestRetryPause + dialWait,
 				"calls are turned away":             dialWait + pause(rowOfFailures, away),
 				"calls are turned away for an hour": dialWait + pause(rowOfFailures, hold),
 				"calls end at once":                 dialWait + pause(rowOfFailures, io.ErrUnexpectedEOF),
