--- a/internal/snapshot/crash_test.go
+++ b/internal/snapshot/crash_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"context"
+	"fmt"
 	"io/fs"
 	"syscall"
 	"testing"
@@ -83,3 +84,42 @@
 		}
 	}
 }
+
+// The disk refuses an operation for several Saves. Each leaves a sound state, and the first one after it works.
+func TestDiskThatFailsForAWhile(t *testing.T) {
+	t.Parallel()
+	for _, refusal := range []error{syscall.ENOSPC, syscall.EIO} {
+		for _, kind := range []disk.Kind{disk.Create, disk.Write, disk.Sync, disk.Rename, disk.SyncDir} {
+			t.Run(fmt.Sprintf("%v at %v", refusal, kind), func(t *testing.T) {
+				d := disk.New(disk.Image{"/": nil})
+				st, err := prove.Open(prove.Dir, d)
+				require.NoError(t, err)
+				defer st.Close()
+				saved := []*snapshot.Snapshot{prove.State(1, 1)}
+				require.NoError(t, st.Save(t.Context(), saved[0]))
+				d.Fail = func(_ int, op disk.Op) error {
+					if op.Kind == kind {
+						return refusal
+					}
+					return nil
+				}
+				for number := range 3 {
+					next := prove.State(number+2, 1)
+					require.ErrorIs(t, st.Save(t.Context(), next), refusal)
+					saved = append(saved, next)
+				}
+				allowed := prove.Allowed{States: saved, Least: saved[0].Seq}
+				for image := range d.Exhaust(d.Ops()) {
+					_, err := allowed.Judge(image)
+					require.NoError(t, err)
+				}
+				d.Fail = nil
+				last := prove.State(9, 1)
+				require.NoError(t, st.Save(t.Context(), last))
+				got, asides := st.Load()
+				assert.Empty(t, asides)
+				assert.Equal(t, last, got)
+			})
+		}
+	}
+}
