--- a/internal/registry/node.go
+++ b/internal/registry/node.go
@@ -151,7 +151,7 @@
 		n.kept = kept
 		kept.say = func(err error) { n.log.Error("registry: the disk takes no more", "error", err) }
 		n.close = append(n.close, kept.Close)
-		files, err := openSnapshots(n.cfg.Dir, c.Logger)
+		files, err := openSnapshots(n.cfg.Dir, c.Logger, n.log)
 		if err != nil {
 			return fmt.Errorf("registry: snapshots in %s: %w", n.cfg.Dir, err)
 		}
--- a/internal/registry/restore.go
+++ b/internal/registry/restore.go
@@ -5,6 +5,7 @@
 	"errors"
 	"fmt"
 	"io"
+	"log/slog"
 	"net/http"
 	"os"
 	"path/filepath"
@@ -168,7 +169,7 @@
 	if err := errors.Join(s.SetUint64([]byte("CurrentTerm"), term), s.Close()); err != nil {
 		return err
 	}
-	snaps, err := openSnapshots(dir, hclog.NewNullLogger())
+	snaps, err := openSnapshots(dir, hclog.NewNullLogger(), slog.New(slog.DiscardHandler))
 	if err != nil {
 		return err
 	}
--- a/internal/registry/store_snapshots.go
+++ b/internal/registry/store_snapshots.go
@@ -9,10 +9,12 @@
 	"hash/crc64"
 	"io"
 	"io/fs"
+	"log/slog"
 	"os"
 	"path/filepath"
 	"slices"
 	"strings"
+	"sync"
 
 	"github.com/hashicorp/go-hclog"
 	"github.com/hashicorp/raft"
@@ -21,47 +23,119 @@
 // snapshots keeps raft's snapshots. raft's own store gives the state a checksum and its description none, and does not
 // sync the folder in which both stand; raft then drops from the log what the snapshot has. So a seal is written beside
 // them, and both names and seal are synced before raft goes on.
+//
+// A snapshot that fails, on a full disk or at a sync, leaves the older ones and nothing of its own; raft tries again at
+// its next interval.
 type snapshots struct {
 	*raft.FileSnapshotStore
 	dir string
+	log *slog.Logger
+
+	mu   sync.Mutex
+	open map[string]bool // IDs of those that are being written
 }
 
-func openSnapshots(dir string, log hclog.Logger) (*snapshots, error) {
-	files, err := raft.NewFileSnapshotStoreWithLogger(dir, 2, log)
+func openSnapshots(dir string, raftLog hclog.Logger, log *slog.Logger) (*snapshots, error) {
+	files, err := raft.NewFileSnapshotStoreWithLogger(dir, 2, raftLog)
 	if err != nil {
 		return nil, err
 	}
-	return &snapshots{files, filepath.Join(dir, snapshotsDir)}, syncDir(dir)
+	return &snapshots{FileSnapshotStore: files, dir: filepath.Join(dir, snapshotsDir), log: log,
+		open: map[string]bool{}}, syncDir(dir)
 }
 
 // Create begins a snapshot.
 func (s *snapshots) Create(version raft.SnapshotVersion, index, term uint64, c raft.Configuration, cIndex uint64,
 	t raft.Transport) (raft.SnapshotSink, error) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
 	sink, err := s.FileSnapshotStore.Create(version, index, term, c, cIndex, t)
 	if err != nil {
+		s.failed(err)
 		return nil, err
 	}
-	return &sealing{SnapshotSink: sink, dir: filepath.Join(s.dir, sink.ID())}, nil
+	s.open[sink.ID()] = true
+	return &sealing{SnapshotSink: sink, store: s, dir: filepath.Join(s.dir, sink.ID())}, nil
+}
+
+// finished takes in that a snapshot is written or given up, or why it failed.
+func (s *snapshots) finished(id string, err error) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	delete(s.open, id)
+	if err != nil {
+		s.failed(err)
+	}
+}
+
+// failed says that a snapshot failed, and removes what was not finished, which raft leaves behind at each try; s.mu is
+// held.
+func (s *snapshots) failed(err error) {
+	s.log.Error("registry: a snapshot failed; the older ones stay, and it is tried again", "dir", s.dir, "error", err)
+	all, err := os.ReadDir(s.dir)
+	for _, e := range all {
+		id, unfinished := strings.CutSuffix(e.Name(), tempSuffix)
+		if unfinished && !s.open[id] && !strings.HasSuffix(id, asideSuffix) {
+			err = errors.Join(err, os.RemoveAll(filepath.Join(s.dir, e.Name())))
+		}
+	}
+	if err != nil { // the next failure tries again, and the next start
+		s.log.Warn("registry: an unfinished snapshot is left", "error", err)
+	}
 }
 
 // sealing seals a snapshot once it is whole. raft closes it more than once.
 type sealing struct {
 	raft.SnapshotSink
+	store *snapshots
 	dir   string
 	ended bool
+	err   error // why it failed
 }
 
+// Write adds to the state.
+func (s *sealing) Write(b []byte) (int, error) {
+	n, err := s.SnapshotSink.Write(b)
+	if s.err == nil {
+		s.err = err
+	}
+	return n, err
+}
+
+// Close puts the snapshot in place. One that fails is not there, or its seal is on the disk.
 func (s *sealing) Close() error {
-	if err := s.SnapshotSink.Close(); err != nil || s.ended {
-		return err
+	if s.ended {
+		return s.err
 	}
 	s.ended = true
-	return seal(s.dir)
+	if s.err = s.SnapshotSink.Close(); s.err == nil {
+		s.err = seal(s.dir)
+	}
+	if s.err != nil {
+		s.err = errors.Join(s.err, takeBack(s.dir))
+	}
+	s.store.finished(s.ID(), s.err)
+	return s.err
 }
 
+// takeBack makes a snapshot an unfinished one again; one that is not in place is one.
+func takeBack(dir string) error {
+	if err := os.Rename(dir, dir+tempSuffix); err != nil && !errors.Is(err, fs.ErrNotExist) {
+		return err
+	}
+	return nil
+}
+
+// Cancel gives the snapshot up.
 func (s *sealing) Cancel() error {
+	if s.ended {
+		return nil
+	}
 	s.ended = true
-	return s.SnapshotSink.Cancel()
+	err := s.SnapshotSink.Cancel()
+	s.err = errors.Join(s.err, err)
+	s.store.finished(s.ID(), s.err)
+	return err
 }
 
 const (
--- /dev/null
+++ b/internal/registry/store_snapshots_test.go
@@ -0,0 +1,160 @@
+package registry
+
+import (
+	"errors"
+	"os"
+	"path/filepath"
+	"strings"
+	"syscall"
+	"testing"
+
+	"github.com/hashicorp/go-hclog"
+	"github.com/hashicorp/raft"
+	"github.com/stretchr/testify/assert"
+	"github.com/stretchr/testify/require"
+)
+
+// snapshotState is more than raft gathers before it writes.
+var snapshotState = []byte(`{"form":1,"rev":7}` + strings.Repeat(" ", 64<<10))
+
+// takeSnapshot writes a snapshot as raft does, and spoils it before it is closed.
+func takeSnapshot(t *testing.T, s *snapshots, index uint64, spoil func(t *testing.T, unfinished string)) error {
+	t.Helper()
+	_, wire := raft.NewInmemTransport("one")
+	defer wire.Close()
+	sink, err := s.Create(1, index, 1, raft.Configuration{}, 1, wire)
+	if err != nil {
+		return err
+	}
+	if spoil != nil {
+		spoil(t, filepath.Join(s.dir, sink.ID()+tempSuffix))
+	}
+	if _, err := sink.Write(snapshotState); err != nil {
+		return errors.Join(err, sink.Cancel())
+	}
+	err = sink.Close()
+	if again := sink.Close(); (err == nil) != (again == nil) {
+		t.Errorf("closed with %v, and then with %v", err, again)
+	}
+	return err
+}
+
+// divert lets what is written to a file of this process go to a device.
+func divert(t *testing.T, path, device string) {
+	t.Helper()
+	to, err := os.OpenFile(device, os.O_WRONLY, 0)
+	require.NoError(t, err)
+	defer to.Close()
+	all, err := filepath.Glob("/proc/self/fd/*")
+	require.NoError(t, err)
+	for _, link := range all {
+		if at, err := os.Readlink(link); err != nil || at != path {
+			continue
+		}
+		var number int
+		for _, digit := range filepath.Base(link) {
+			number = 10*number + int(digit-'0')
+		}
+		require.NoError(t, syscall.Dup3(int(to.Fd()), number, syscall.O_CLOEXEC))
+		return
+	}
+	t.Fatalf("%s is not open", path)
+}
+
+// A snapshot that fails leaves the older ones, and nothing of its own; it is taken once the folder works again.
+func TestFailedSnapshotLeavesTheOlderOnes(t *testing.T) {
+	for name, spoil := range map[string]func(t *testing.T, unfinished string){
+		"no space": func(t *testing.T, unfinished string) {
+			divert(t, filepath.Join(unfinished, stateFile), "/dev/full")
+		},
+		"sync fails": func(t *testing.T, unfinished string) {
+			divert(t, filepath.Join(unfinished, stateFile), "/dev/null") // takes writes and no sync
+		},
+		"seal fails": func(t *testing.T, unfinished string) {
+			require.NoError(t, os.Mkdir(filepath.Join(unfinished, sealFile+tempSuffix), 0o700))
+		},
+		"folder is away": func(t *testing.T, unfinished string) {
+			require.NoError(t, os.RemoveAll(unfinished))
+		},
+	} {
+		t.Run(name, func(t *testing.T) {
+			s, err := openSnapshots(t.TempDir(), hclog.NewNullLogger(), quiet())
+			require.NoError(t, err)
+			require.NoError(t, takeSnapshot(t, s, 1, nil))
+			require.NoError(t, takeSnapshot(t, s, 2, nil))
+			for try := range uint64(4) {
+				require.Error(t, takeSnapshot(t, s, 3+try, spoil))
+				all, err := os.ReadDir(s.dir)
+				require.NoError(t, err)
+				for _, e := range all {
+					assert.NotContains(t, e.Name(), tempSuffix, "try %d", try)
+					assert.FileExists(t, filepath.Join(s.dir, e.Name(), sealFile), "try %d", try)
+				}
+				newest, err := s.List()
+				require.NoError(t, err)
+				require.NotEmpty(t, newest)
+				assert.Equal(t, uint64(2), newest[0].Index)
+				require.NoError(t, readable(s, newest[0]))
+			}
+			require.NoError(t, takeSnapshot(t, s, 9, nil))
+			newest, err := s.List()
+			require.NoError(t, err)
+			assert.Equal(t, uint64(9), newest[0].Index)
+			require.NoError(t, readable(s, newest[0]))
+			assert.Empty(t, s.open)
+		})
+	}
+}
+
+// readable tells whether a snapshot is sound.
+func readable(s *snapshots, of *raft.SnapshotMeta) error {
+	found := FoundSnapshot{Name: of.ID, Index: of.Index, Term: of.Term}
+	unsealed, err := found.read(filepath.Join(s.dir, of.ID))
+	if unsealed {
+		err = errors.Join(err, errors.New("it has no seal"))
+	}
+	return err
+}
+
+// What one snapshot leaves is removed, and not another that is being written meanwhile.
+func TestFailedSnapshotLeavesAnotherAlone(t *testing.T) {
+	s, err := openSnapshots(t.TempDir(), hclog.NewNullLogger(), quiet())
+	require.NoError(t, err)
+	_, wire := raft.NewInmemTransport("one")
+	defer wire.Close()
+	other, err := s.Create(1, 9, 1, raft.Configuration{}, 1, wire)
+	require.NoError(t, err)
+	require.Error(t, takeSnapshot(t, s, 3, func(t *testing.T, unfinished string) {
+		divert(t, filepath.Join(unfinished, stateFile), "/dev/full")
+	}))
+	_, err = other.Write(snapshotState)
+	require.NoError(t, err)
+	require.NoError(t, other.Close())
+	newest, err := s.List()
+	require.NoError(t, err)
+	require.Len(t, newest, 1)
+	require.NoError(t, readable(s, newest[0]))
+}
+
+// A copy whose snapshot fails goes on, keeps its log, and takes the snapshot once its folder works again.
+func TestCopyOutlivesAFailedSnapshot(t *testing.T) {
+	one := cluster(t, 1, nil)[0]
+	put(t, one, "s1", 1, 0)
+	require.NoError(t, one.node.raft.Snapshot().Error())
+	put(t, one, "s2", 1, 0)
+	dir := filepath.Join(one.cfg.Dir, snapshotsDir)
+	require.NoError(t, os.Rename(dir, dir+".away"))
+	require.NoError(t, os.WriteFile(dir, nil, 0o600))
+	require.Error(t, one.node.raft.Snapshot().Error())
+	put(t, one, "s3", 1, 0)
+	require.NoError(t, os.Remove(dir))
+	require.NoError(t, os.Rename(dir+".away", dir))
+	require.NoError(t, one.node.raft.Snapshot().Error())
+	one.end(t)
+	found, err := Verify(one.cfg.Dir)
+	require.NoError(t, err)
+	require.True(t, found.Sound())
+	require.Len(t, found.Snapshots, 2)
+	one.start(t)
+	until(t, "all entries", func() bool { return uids(t, one) == "s1=Ready s2=Ready s3=Ready" })
+}
