--- a/cmd/marblelane/registry_test.go
+++ b/cmd/marblelane/registry_test.go
@@ -17,6 +17,8 @@
 
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
+
+	"marblelane/internal/fault"
 )
 
 // serve starts a real copy with a configuration and gives where it serves.
@@ -114,6 +116,50 @@
 	}
 }
 
+// A process whose folder fails closes its copy and goes on: SIGHUP does not end it meanwhile, and the copy is back with
+// the folder. SIGTERM ends it in order, also while the folder fails.
+func TestRegistryOutlivesAFailingDisk(t *testing.T) {
+	dir := t.TempDir()
+	config, faults := filepath.Join(dir, "one.toml"), filepath.Join(dir, "faults.toml")
+	text := fmt.Sprintf("name = \"one\"\nlisten = \"127.0.0.1:0\"\nraft = \"127.0.0.1:0\"\ndir = %q\nbeat = \"50ms\"\nlab_faults = %q\n",
+		filepath.Join(dir, "data"), faults)
+	require.NoError(t, os.WriteFile(config, []byte(text), 0o644))
+	addr, cmd := serve(t, config)
+	do := func(args ...string) (code int, out string) {
+		var said bytes.Buffer
+		code = run(t.Context(), append([]string{"registry"}, append(args, "--addr", addr)...), &said, &said)
+		return code, said.String()
+	}
+	serves := func() {
+		t.Helper()
+		require.Eventually(t, func() bool {
+			code, _ := do("put", "s-1", "127.0.0.1:81")
+			return code == 0
+		}, 20*time.Second, 10*time.Millisecond)
+	}
+	fail := func() {
+		t.Helper()
+		require.NoError(t, fault.Set{Calls: map[string]string{fault.CallWrite: "ENOSPC"}}.Write(faults))
+		code, said := do("put", "lost", "127.0.0.1:82")
+		assert.Equal(t, 2, code, said)
+		require.Eventually(t, func() bool {
+			_, said := do("status")
+			return strings.Contains(said, "connection refused")
+		}, 20*time.Second, 10*time.Millisecond)
+	}
+	serves()
+	fail()
+	require.NoError(t, cmd.Process.Signal(syscall.SIGHUP))
+	require.NoError(t, fault.Set{}.Write(faults))
+	serves()
+	_, list := do("list")
+	assert.Contains(t, list, `"uid":"s-1"`)
+	assert.NotContains(t, list, `"uid":"lost"`)
+	fail()
+	require.NoError(t, cmd.Process.Signal(syscall.SIGTERM))
+	assert.NoError(t, cmd.Wait())
+}
+
 func TestRegistryConfiguration(t *testing.T) {
 	good := "name = \"a\"\nlisten = \"127.0.0.1:0\"\nraft = \"127.0.0.1:0\"\n"
 	for name, c := range map[string]struct{ text, says string }{
