--- a/cmd/silverreel/drain_test.go
+++ b/cmd/silverreel/drain_test.go
@@ -26,7 +26,8 @@
 const (
 	longest  = 400 * time.Millisecond // the one deadline of the settings
 	killAt   = longest + 700*time.Millisecond
-	giveUpAt = killAt - 100*time.Millisecond
+	giveUp   = 250 * time.Millisecond // service ends so long before SIGKILL may come
+	giveUpAt = killAt - giveUp
 	stayOpen = 500 * time.Millisecond
 	patience = 20 * time.Second // bounds every wait; none is expected to last
 
@@ -207,6 +208,28 @@
 	}
 }
 
+// between holds what has just been seen to a time after SIGTERM.
+func (p *process) between(from, to time.Duration, what string) {
+	p.t.Helper()
+	p.notBefore(from, what)
+	if after := time.Since(p.term); after > to {
+		p.t.Errorf("%s after %v, owed until %v", what, after, to)
+	}
+}
+
+// refuses waits until no new connection is taken.
+func (p *process) refuses() {
+	p.t.Helper()
+	for limit := time.Now().Add(patience); time.Now().Before(limit); time.Sleep(time.Millisecond) {
+		c, err := net.Dial("tcp", p.addr)
+		if err != nil {
+			return
+		}
+		c.Close()
+	}
+	p.t.Fatal("new connections are still taken")
+}
+
 // ended waits for the process's end.
 func (p *process) ended() {
 	p.t.Helper()
@@ -293,14 +316,6 @@
 	}
 }
 
-// cut waits for the end of the connection, orderly or not, without an answer.
-func (c *client) cut() {
-	c.t.Helper()
-	if rest, err := io.ReadAll(c.in); os.IsTimeout(err) || len(rest) > 0 {
-		c.t.Errorf("not just the connection's end but %q, %v", rest, err)
-	}
-}
-
 // kept is a connection that has had a request.
 func (p *process) kept() *client {
 	p.t.Helper()
@@ -328,6 +343,17 @@
 			p.t.Error("somebody still accepts after the end")
 		}
 	},
+	"new, after the end of service": func(p *process) {
+		c := p.dial()
+		c.ask("unsafe", "hang")
+		p.stock.got(p.t)
+		p.sigterm()
+		c.answer(502, false)
+		p.refuses()
+		p.between(giveUpAt, killAt, "new connections were refused")
+		c.Close()
+		p.ended()
+	},
 	"idle": func(p *process) {
 		used, left, silent := p.kept(), p.kept(), p.dial()
 		p.sigterm()
@@ -357,8 +383,8 @@
 		idle.over()
 		c.send(rest)
 		c.answer(200, true)
-		never.cut()
-		p.notBefore(killAt, "half a head was cut off")
+		never.answer(503, true)
+		p.between(giveUpAt, killAt, "half a head was answered")
 		p.ended()
 	},
 	"head half read, after all was given up": func(p *process) {
@@ -394,8 +420,8 @@
 		idle.over()
 		c.send(rest)
 		c.answer(200, true)
-		never.cut()
-		p.notBefore(killAt, "half a body was cut off")
+		never.answer(503, true)
+		p.between(giveUpAt, killAt, "half a body was answered")
 		p.ended()
 		if p.stock.times(neverID) != 0 {
 			p.t.Error("half a request has run")
@@ -417,7 +443,7 @@
 		c.send(rest)
 		c.answer(200, true)
 		never.answer(502, false)
-		p.notBefore(giveUpAt, "half a body was answered")
+		p.between(giveUpAt, killAt, "half a body was answered")
 		never.Close()
 		p.ended()
 		if p.stock.times(neverID) != 0 {
@@ -432,7 +458,7 @@
 		p.stock.got(p.t)
 		p.sigterm()
 		safe.answer(503, false)
-		p.notBefore(giveUpAt, "a request was given up")
+		p.between(giveUpAt, killAt, "a request was given up")
 		unsafe.answer(502, false)
 		safe.Close()
 		unsafe.Close()
@@ -509,6 +535,35 @@
 	}
 }
 
+// Where deadlines are short there is little time between SIGTERM and SIGKILL: what crosses the end of an idle
+// connection is still answered on a new one, and what is out is given up in time.
+func TestShortDeadlinesAtTheEnd(t *testing.T) {
+	t.Parallel()
+	for _, deadline := range []time.Duration{50 * time.Millisecond, 100 * time.Millisecond, 250 * time.Millisecond} {
+		for _, row := range []string{
+			"kept alive, a request crosses the last close", "kept alive, a request crosses the close",
+		} {
+			t.Run(fmt.Sprint(deadline, ", ", row), func(t *testing.T) {
+				t.Parallel()
+				rows[row](launch(t, conf{"settings": settings(deadline, deadline)}))
+			})
+		}
+		t.Run(fmt.Sprint(deadline, ", out at a server"), func(t *testing.T) {
+			t.Parallel()
+			p := launch(t, conf{"settings": settings(deadline, deadline)})
+			c := p.dial()
+			c.ask("unsafe", "hang")
+			p.stock.got(t)
+			p.sigterm()
+			c.answer(502, false)
+			kill := deadline + 700*time.Millisecond
+			p.between(kill-giveUp, kill, "a request was given up")
+			c.Close()
+			p.ended()
+		})
+	}
+}
+
 // What the module holds, as nobody can be asked, is refused like what is out. Of a longest deadline 3 s count.
 func TestHeldByTheModuleAtTheEnd(t *testing.T) {
 	t.Parallel()
@@ -520,7 +575,7 @@
 	unsafe.ask("unsafe", "")
 	p.sigterm()
 	safe.answer(503, false)
-	p.notBefore(3600*time.Millisecond, "a request was given up")
+	p.between(3700*time.Millisecond-giveUp, 3700*time.Millisecond, "a request was given up")
 	unsafe.answer(503, false) // it was never sent
 	safe.Close()
 	unsafe.Close()
@@ -628,7 +683,7 @@
 			older.sigterm()
 			newer.answers()
 			hung.answer(502, false)
-			older.notBefore(giveUpAt, "a request was given up")
+			older.between(giveUpAt, killAt, "a request was given up")
 			time.AfterFunc(time.Until(older.term.Add(killAt+stayOpen)), func() { close(older.stock.rest) })
 			if body := stream.answer(200, false); len(body) != long {
 				older.t.Errorf("%d bytes of an answer of %d", len(body), long)
--- a/cmd/silverreel/signal_shutdown_test.go
+++ b/cmd/silverreel/signal_shutdown_test.go
@@ -29,7 +29,7 @@
 	c.ask("unsafe", "")
 	c.answer(200, true)
 	hung.answer(502, false)
-	p.notBefore(giveUpAt, "a request was given up")
+	p.between(giveUpAt, killAt, "a request was given up")
 	hung.Close()
 	p.ended()
 }
--- a/internal/sidecar/body.go
+++ b/internal/sidecar/body.go
@@ -31,6 +31,8 @@
 	errBodyLarge = errors.New("the body is larger than 32 MB")
 	errBodySlow  = errors.New("the body does not come")
 	errUnwanted  = errors.New("nobody wants the body any more")
+	// errServiceEnded: nothing of the request has run.
+	errServiceEnded = errors.New("the service ended before the body was whole")
 )
 
 var buffers = sync.Pool{New: func() any { b := make([]byte, copySize); return &b }}
@@ -68,6 +70,7 @@
 // the client counts.
 type pacedBody struct {
 	body   io.Reader
+	held   *heldBodies           // those that it is one of; nil: it is passed on
 	until  func(time.Time) error // sets the read deadline
 	left   time.Duration         // for waiting, beside what the bytes so far allow
 	waited time.Duration
@@ -85,7 +88,12 @@
 func (p *pacedBody) Read(b []byte) (int, error) {
 	began := time.Now()
 	allowed := p.left + time.Duration(float64(p.read)/slowestBody*float64(time.Second)) - p.waited
-	p.until(began.Add(min(allowed, stallWait)))
+	limit := began.Add(min(allowed, stallWait))
+	if p.held == nil {
+		p.until(limit)
+	} else if !p.held.limit(p, limit) {
+		return 0, errServiceEnded
+	}
 	n, err := p.body.Read(b)
 	p.waited += time.Since(began)
 	p.read += int64(n)
@@ -94,12 +102,64 @@
 		return 0, errBodyLarge
 	case err == io.EOF:
 		p.until(time.Time{})
+	case err != nil && p.held != nil && p.held.over():
+		err = errServiceEnded
 	case errors.Is(err, os.ErrDeadlineExceeded):
 		err = errBodySlow
 	}
 	return n, err
 }
 
+// heldBodies are the bodies that are being read before their requests begin. The end of service ends them.
+type heldBodies struct {
+	mu    sync.Mutex
+	open  map[*pacedBody]struct{}
+	ended bool
+}
+
+func (h *heldBodies) add(p *pacedBody) {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	if h.open == nil {
+		h.open = map[*pacedBody]struct{}{}
+	}
+	h.open[p], p.held = struct{}{}, h
+}
+
+// remove lets a body go on by itself.
+func (h *heldBodies) remove(p *pacedBody) {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	delete(h.open, p)
+	p.held = nil
+}
+
+// limit sets the time by which more of a body has to come, and reports false after the end.
+func (h *heldBodies) limit(p *pacedBody, by time.Time) bool {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	if !h.ended {
+		p.until(by)
+	}
+	return !h.ended
+}
+
+func (h *heldBodies) over() bool {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	return h.ended
+}
+
+// end breaks off all that are open; what comes after it is broken off too.
+func (h *heldBodies) end() {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	for p := range h.open {
+		p.until(longAgo)
+	}
+	h.ended = true
+}
+
 // upload is a request's body that is passed on as it comes. Its first part is held, and until more of it has gone
 // out it can be sent again.
 type upload struct {
--- a/internal/sidecar/exchange.go
+++ b/internal/sidecar/exchange.go
@@ -60,6 +60,7 @@
 
 // send makes one attempt and tells how it ended.
 func (p *upstreams) send(a *attempt) reply {
+	p.hook.at(attemptDecided)
 	r := p.exchangeCall(a)
 	if out := a.call.out; out.ran.IsZero() && !r.result.NeverRan() {
 		out.ran = out.begun
@@ -125,7 +126,7 @@
 		}
 		conn.head.next()
 		conn.left.N = mostAnswer
-		out := &sender{conn: conn, kept: kept, until: until}
+		out := &sender{conn: conn, kept: kept, until: until, hook: p.hook}
 		stop := context.AfterFunc(ctx, out.stop)
 		if a == nil || a.call.out.upload == nil {
 			out.limit(cut)
@@ -189,6 +190,7 @@
 	expected int64         // what the head says that it counts under
 	until    time.Time     // by when the last byte has to be out; zero: by when the answer has
 	call     *call         // nil: its first byte is written, or it is a probe's
+	hook     checkpointHook
 
 	mu          sync.Mutex
 	stopped     bool
@@ -295,6 +297,7 @@
 			return false, err
 		}
 		a.call.out.begun = time.Now()
+		s.hook.at(clockRead)
 		err := s.passOn(req, a.call.out.upload)
 		if err == nil {
 			a.sent.Store(true)
@@ -314,6 +317,7 @@
 	}
 	if a != nil {
 		a.call.out.begun = time.Now()
+		s.hook.at(clockRead)
 	}
 	if s.look != nil { // the last look, right before the first byte
 		under, err := s.look.begin()
--- a/internal/sidecar/frontend.go
+++ b/internal/sidecar/frontend.go
@@ -42,6 +42,7 @@
 	cfg      *Config
 	figures  *figures
 	memory   memory // for bodies
+	bodies   heldBodies
 	post     func(any)
 	draining atomic.Bool
 	conns    atomic.Int64
@@ -53,6 +54,7 @@
 
 	states     *connStates   // of clients' connections; nil: systemStates
 	clientPoll time.Duration // 0: clientPoll
+	hook       checkpointHook
 }
 
 func (f *frontend) server() *http.Server {
@@ -139,6 +141,8 @@
 		return http.StatusRequestEntityTooLarge
 	case errors.Is(err, errBodySlow):
 		return http.StatusRequestTimeout
+	case errors.Is(err, errServiceEnded):
+		return statusRefused
 	default:
 		return http.StatusBadRequest
 	}
@@ -200,6 +204,7 @@
 	} else {
 		taken(c.deadline.Add(-c.wait))
 	}
+	f.hook.at(requestRead)
 	f.post(arrival{c})
 	var a answer
 	var failed error // it was no request after all
@@ -249,6 +254,7 @@
 		a = answer{status: statusFailed}
 		w.Header().Set("Connection", "close")
 	}
+	f.hook.at(answerDecided)
 	// An attempt that passed its last check before the answer was decided may still be writing.
 	c.writing.Lock()
 	//lint:ignore SA2001 it only waits for the one that holds it
@@ -405,6 +411,8 @@
 		most = min(most, holdLeast)
 	}
 	body := newPacedBody(w, r, f.peerWait)
+	f.bodies.add(body)
+	defer f.bodies.remove(body)
 	if length >= 0 {
 		first := make([]byte, min(int(length), most))
 		if _, err := io.ReadFull(body, first); err != nil {
--- /dev/null
+++ b/internal/sidecar/kill_time_test.go
@@ -0,0 +1,348 @@
+package sidecar
+
+import (
+	"bufio"
+	"context"
+	"encoding/json"
+	"errors"
+	"fmt"
+	"io"
+	"net"
+	"net/http"
+	"runtime"
+	"slices"
+	"sync"
+	"sync/atomic"
+	"testing"
+	"time"
+)
+
+const (
+	hold          = 150 * time.Millisecond // for which a process may be held up
+	newClientsFor = 400 * time.Millisecond // after SIGTERM
+
+	// What a client has sent when its sidecar is told to end.
+	resting     = "resting"
+	partialHead = "partial head"
+	partialBody = "partial body"
+)
+
+// lateSends are the times before SIGKILL at which clients complete a request on a connection that is open.
+var lateSends = []time.Duration{
+	300 * time.Millisecond, 220 * time.Millisecond, 140 * time.Millisecond, 20 * time.Millisecond,
+}
+
+// shutdown is one sidecar that is told to end while it is held up at one checkpoint.
+type shutdown struct {
+	t       *testing.T
+	name    string
+	s       *Sidecar
+	stop    context.CancelFunc
+	ended   chan error
+	begun   chan struct{} // closed: term and kill are set
+	term    time.Time
+	kill    time.Time
+	longest time.Duration
+	holding atomic.Bool
+	clients sync.WaitGroup
+
+	mu      sync.Mutex
+	arrived map[string]time.Time // at the server, by request id
+}
+
+func newShutdown(t *testing.T, longest time.Duration, held checkpoint) *shutdown {
+	t.Helper()
+	d := &shutdown{
+		t: t, name: fmt.Sprintf("%v, held at %q", longest, held), longest: longest, ended: make(chan error, 1),
+		begun: make(chan struct{}), arrived: map[string]time.Time{},
+	}
+	b := newBackend(t, "a", func(c net.Conn, req *http.Request, _ string) bool {
+		d.mu.Lock()
+		d.arrived[req.Header.Get("X-Request-ID")] = time.Now()
+		d.mu.Unlock()
+		return req.URL.RawQuery == "hang" || ok(c, req, "")
+	})
+	c := newConf("127.0.0.1:1", b.target) // nobody is there
+	c["settings"] = json.RawMessage(fmt.Sprintf(`{"classes": [
+	 {"name": "lookup", "effect": "read_like", "on_time_ms": %[1]d, "hard_limit_ms": %[1]d},
+	 {"name": "charge", "effect": "non_idempotent", "on_time_ms": %[1]d, "hard_limit_ms": %[1]d}],
+	 "zones": ["z"], "kinds": ["k"], "quantum_ms": 2,
+	 "limits": {"cancel": true, "connect_timeout_ms": 100, "max_attempts": 3}}`, longest.Milliseconds()))
+	cfg, err := c.load(t)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if d.s, err = New(cfg); err != nil {
+		t.Fatal(err)
+	}
+	hook := func(c checkpoint) {
+		if c == held && d.holding.Load() {
+			time.Sleep(hold)
+		}
+	}
+	d.s.hook, d.s.frontend.hook, d.s.loop.ups.hook = hook, hook, hook
+	ctx, cancel := context.WithCancel(context.Background())
+	d.stop = cancel
+	go func() { d.ended <- d.s.Run(ctx) }()
+	t.Cleanup(func() {
+		cancel()
+		d.clients.Wait()
+	})
+	until(t, "a server", func() bool { return d.s.loop.figures.servers.Load().ready > 0 })
+	return d
+}
+
+func (d *shutdown) errorf(format string, args ...any) {
+	d.t.Errorf("%s: %s", d.name, fmt.Sprintf(format, args...))
+}
+
+// caller is one connection of a client.
+type caller struct {
+	net.Conn
+	d    *shutdown
+	what string
+	in   *bufio.Reader
+}
+
+func (d *shutdown) dial(what string) (*caller, error) {
+	c, err := net.Dial("tcp", d.s.Addr())
+	if err != nil {
+		return nil, fmt.Errorf("%s: %w", what, err)
+	}
+	return &caller{Conn: c, d: d, what: what, in: bufio.NewReader(c)}, nil
+}
+
+// open reports whether the sidecar has said nothing on its own: neither an answer nor the connection's end.
+func (c *caller) open() bool {
+	c.SetReadDeadline(time.Now().Add(time.Millisecond))
+	_, err := c.in.Peek(1)
+	var timeout net.Error
+	return errors.As(err, &timeout) && timeout.Timeout()
+}
+
+// answer reads a whole answer, which has to come before SIGKILL may; io.EOF: the connection ended without one.
+func (c *caller) answer() (last bool, err error) {
+	c.SetReadDeadline(time.Now().Add(patience))
+	if _, err := c.in.Peek(1); err == io.EOF {
+		return true, err
+	}
+	resp, err := http.ReadResponse(c.in, nil)
+	if err != nil {
+		return true, err
+	}
+	body, err := io.ReadAll(resp.Body)
+	if err != nil {
+		return true, err
+	}
+	if late := time.Since(c.d.kill); late > 0 && !c.d.kill.IsZero() {
+		c.d.errorf("%s: answered %d %q %v after SIGKILL may come", c.what, resp.StatusCode, body, late)
+	}
+	return resp.Close, nil
+}
+
+// deaf sends one more request on a connection that has ended: it must not reach a server.
+func (c *caller) deaf() {
+	id, text := c.d.request("GET", "")
+	if _, err := io.WriteString(c, text); err != nil {
+		return // reset: nobody is there
+	}
+	c.d.clients.Go(func() {
+		<-time.After(time.Until(c.d.kill))
+		if at := c.d.arrival(id); !at.IsZero() {
+			c.d.errorf("%s: a request sent after the end of its connection reached a server", c.what)
+		}
+	})
+}
+
+func (d *shutdown) arrival(id string) time.Time {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	return d.arrived[id]
+}
+
+func (d *shutdown) request(method, query string) (id, text string) {
+	class, body := "lookup", ""
+	if method == "POST" {
+		class, body = "charge", "0123456789"
+	}
+	id = fmt.Sprint(requestIDs.Add(1))
+	return id, fmt.Sprintf("%s /api?%s HTTP/1.1\r\nHost: a\r\nX-Request-ID: %s\r\nX-Priority-Class: %s\r\n"+
+		"X-Timeout-Ms: %d\r\nContent-Length: %d\r\n\r\n%s",
+		method, query, id, class, d.longest.Milliseconds(), len(body), body)
+}
+
+// keepSending sends request after request, on a new connection as long as new ones come, to the end.
+func (d *shutdown) keepSending(what, method, query string) {
+	var c *caller
+	defer func() {
+		if c != nil {
+			c.Close()
+		}
+	}()
+	for time.Now().Before(d.kill) {
+		var err error
+		if c == nil {
+			if time.Since(d.term) > newClientsFor {
+				return
+			}
+			if c, err = d.dial(what); err != nil {
+				d.errorf("%v", err)
+				return
+			}
+		}
+		if !c.open() {
+			c.deaf()
+			c.Close()
+			c = nil
+			continue
+		}
+		_, text := d.request(method, query)
+		io.WriteString(c, text)
+		last, err := c.answer()
+		if err == io.EOF { // it crossed the end of its connection, and comes once more on a new one
+			c.Close()
+			if c, err = d.dial(what + ", again"); err == nil {
+				io.WriteString(c, text)
+				last, err = c.answer()
+			}
+		}
+		if err != nil {
+			d.errorf("%s: no answer but %v, %v after SIGTERM", what, err, time.Since(d.term))
+			return
+		}
+		if last {
+			c.deaf()
+			c.Close()
+			c = nil
+		}
+	}
+}
+
+// completeLate completes a request so long before SIGKILL, unless the sidecar has answered or ended its connection.
+func (d *shutdown) completeLate(c *caller, rest string, before time.Duration) {
+	defer c.Close()
+	type heard struct {
+		last bool
+		err  error
+	}
+	answered := make(chan heard, 1)
+	go func() {
+		last, err := c.answer()
+		answered <- heard{last, err}
+	}()
+	excused := true // it may end without an answer
+	var got heard
+	select {
+	case got = <-answered:
+	case <-time.After(time.Until(d.kill.Add(-before))):
+		io.WriteString(c, rest)
+		excused = c.what == resting
+		got = <-answered
+	}
+	switch {
+	case got.err == nil && got.last:
+		c.deaf()
+	case got.err == nil:
+		d.errorf("%s: its answer does not end its connection", c.what)
+	case !excused:
+		d.errorf("%s: completed %v before SIGKILL and not answered, but %v", c.what, before, got.err)
+	}
+}
+
+// begin connects a client and sends what it has sent when its sidecar is told to end; the rest is for later.
+func (d *shutdown) begin(what string) (c *caller, rest string, err error) {
+	if c, err = d.dial(what); err != nil {
+		return nil, "", err
+	}
+	method := "GET"
+	if what == partialBody {
+		method = "POST"
+	}
+	_, text := d.request(method, "")
+	cut := 0
+	switch what {
+	case resting:
+		_, first := d.request(method, "")
+		io.WriteString(c, first)
+		_, err = c.answer()
+	case partialHead:
+		cut = len(text) / 2
+	case partialBody:
+		cut = len(text) - 3
+	}
+	io.WriteString(c, text[:cut])
+	return c, text[cut:], err
+}
+
+// play sends everything that clients may send, ends the sidecar and waits for all answers.
+func (d *shutdown) play() {
+	for _, query := range []string{"", "hang"} {
+		for _, method := range []string{"GET", "POST"} {
+			d.clients.Go(func() {
+				<-d.begun
+				d.keepSending(method+" "+query, method, query)
+			})
+		}
+	}
+	var late []func()
+	for _, before := range lateSends {
+		for _, what := range []string{resting, partialHead, partialBody} {
+			if c, rest, err := d.begin(what); err != nil {
+				d.errorf("%s: %v", what, err)
+			} else {
+				late = append(late, func() { d.completeLate(c, rest, before) })
+			}
+		}
+	}
+	d.term = time.Now()
+	d.kill = d.term.Add(d.s.killTime())
+	d.holding.Store(true)
+	close(d.begun)
+	d.stop()
+	for _, complete := range late {
+		d.clients.Go(complete)
+	}
+	d.clients.Wait()
+	if err := <-d.ended; err != nil {
+		d.errorf("the sidecar ended with %v", err)
+	}
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	for id, at := range d.arrived {
+		if at.After(d.kill) {
+			d.errorf("request %s reached a server %v after SIGKILL may come", id, at.Sub(d.kill))
+		}
+	}
+}
+
+// What was taken is answered when SIGKILL may come, whatever the longest deadline is, though servers hang, clients
+// send to the end, and the process is held up at any one step. What is read after a connection's end is not forwarded.
+func TestNothingIsUnansweredAtTheKill(t *testing.T) {
+	before := runtime.NumGoroutine()
+	t.Run("longest deadline", func(t *testing.T) {
+		for _, ms := range []int{50, 100, 250, 500, 1000, 2000, 3000, 5000, 10_000} {
+			longest := time.Duration(ms) * time.Millisecond
+			t.Run(longest.String(), func(t *testing.T) {
+				t.Parallel()
+				var all []*shutdown
+				held := slices.Concat([]checkpoint{""}, checkpoints)
+				if longest > longestDrain { // SIGKILL comes no later
+					held = []checkpoint{"", serviceEnding}
+				}
+				for _, held := range held {
+					all = append(all, newShutdown(t, longest, held))
+				}
+				var played sync.WaitGroup
+				for _, d := range all {
+					played.Go(d.play)
+				}
+				played.Wait()
+			})
+		}
+	})
+	noMoreGoroutines(t, before)
+}
+
+var checkpoints = []checkpoint{
+	requestRead, attemptDecided, clockRead, answerDecided, drainSignalled, serviceEnding, waitingEnding,
+}
--- a/internal/sidecar/pool.go
+++ b/internal/sidecar/pool.go
@@ -61,6 +61,7 @@
 	figures     *figures
 	offer       func(any)       // hands an answer that has begun to the loop
 	stopped     <-chan struct{} // the loop has ended
+	hook        checkpointHook
 
 	dials   context.Context // its end is that of what is on its way
 	endDial context.CancelFunc
--- a/internal/sidecar/sidecar.go
+++ b/internal/sidecar/sidecar.go
@@ -41,9 +41,10 @@
 	// SIGKILL comes no earlier than killAfter beyond the longest deadline, of which longestDrain counts at most.
 	longestDrain = 3 * time.Second
 	killAfter    = 700 * time.Millisecond
-	// lastWords is how long before that all that is open is given up: a client that hears nothing cannot tell a
-	// request that may be sent again from one that ran.
-	lastWords = 100 * time.Millisecond
+	// lastWords is how long before that service ends and all that is open is given up: a client that hears nothing
+	// cannot tell a request that may be sent again from one that ran. It covers a process that is held up for 0.15 s,
+	// after SIGTERM before it reads its clock, or after that before it writes the answers.
+	lastWords = 250 * time.Millisecond
 	// longestTail is how long answers that have begun are passed on where no SIGKILL comes.
 	longestTail = 30 * time.Second
 	reapEvery   = time.Second
@@ -64,6 +65,7 @@
 	drainAccept time.Duration
 	listWait    time.Duration
 	unaccepted  func(*net.TCPListener) int
+	hook        checkpointHook
 
 	sharing      sync.Mutex
 	older, newer int // processes of this sidecar beside this one
@@ -372,30 +374,40 @@
 // drain ends the service. Where a newer process serves, what comes is its own at once; otherwise new connections
 // are taken for as long as clients may not know, and then for as long as a request may come again on a new one,
 // because the end of its old one crossed it. Each answer ends its connection; those that stay without a request are
-// ended once no more come, as nobody is turned back by that. What would outlast this process gets its answer before
-// SIGKILL may come, and answers that have begun are passed on to their end, or to that. docs/on-call.md says it by
-// the states that a client's connection can be in.
+// ended once no more come, as nobody is turned back by that. At the end of service, before SIGKILL may come, nothing
+// more is taken: what would outlast this process gets its answer, whoever is in the middle of a request included, and
+// answers that have begun are passed on to their end. docs/on-call.md says it by the states that a client's
+// connection can be in.
 func (s *Sidecar) drain(srv *http.Server) error {
+	s.hook.at(drainSignalled)
 	began := time.Now()
 	s.frontend.draining.Store(true)
 	s.before.ends()
 	slog.Info("draining")
 	end := began.Add(s.killTime() - lastWords)
+	// A request that crosses the end of an idle connection has to come again before the listener closes.
+	idleEnd := began.Add(min(s.drainAccept, end.Sub(began)-crossing))
 	crossed := began // when a request was last likely to come again
 	for open, told := true, false; open || !s.listener.empty(); time.Sleep(drainStep) {
 		now := time.Now()
-		if now.Sub(began) >= s.drainAccept && s.listener.closeIdle(began) {
+		if !now.Before(idleEnd) && s.listener.closeIdle(began) {
 			crossed = now
 		}
 		tail := now.Sub(end)
-		if open && (s.after.serve.Load() > 0 || tail >= lastWords ||
-			now.Sub(began) >= s.drainAccept && now.Sub(crossed) >= crossing) {
-			open = !s.stopAccepting(tail >= 2*lastWords)
-		}
 		if !told && tail >= 0 {
 			told = true
+			s.hook.at(serviceEnding)
 			s.loop.post(balance.End{})
 			s.loop.members.depart(lastWords) // nothing is sent to servers from here on
+			s.hook.at(waitingEnding)
+		}
+		if open && (s.after.serve.Load() > 0 || told ||
+			!now.Before(idleEnd) && now.Sub(crossed) >= crossing) {
+			open = !s.stopAccepting(tail >= lastWords)
+		}
+		if told {
+			endWaiting(s.listener)
+			s.frontend.bodies.end()
 		}
 		if tail >= lastWords && !open && s.frontend.taken.Load() == 0 || tail >= longestTail {
 			break // what is left has never sent a whole request
