--- a/balance/events.go
+++ b/balance/events.go
@@ -211,6 +211,54 @@
 	b.regroup(b.ways)
 }
 
+// takeIn takes in entries. Of changes it leaves servers and zones as dropGone would without a look at those that are not
+// named: with thousands of servers a walk over all of them at each change was most of what a sidecar did.
+func (b *Balancer) takeIn(entries []Server, later, changes bool) {
+	if !changes {
+		for i := range entries {
+			b.update(&entries[i], later)
+		}
+		b.dropGone()
+		return
+	}
+	for i := range entries {
+		b.change(&entries[i], later)
+	}
+	if b.ways != nil {
+		b.regroup(b.ways)
+	}
+}
+
+// change takes in one changed entry and moves its server alone.
+func (b *Balancer) change(entry *Server, later bool) {
+	s, rank := b.byID[entry.ID], 0.0
+	known := s != nil
+	if known {
+		rank = s.rank
+		if s.State == Ready {
+			s.zone.ready--
+		}
+	}
+	b.update(entry, later)
+	if s = b.byID[entry.ID]; s == nil { // gone before it was known
+		return
+	}
+	if s.State == Ready {
+		s.zone.ready++
+	}
+	if known && s.State != Gone && s.rank == rank {
+		return
+	}
+	at := slices.Index(b.servers, s) // in the order that held before
+	b.servers = slices.Delete(b.servers, at, at+1)
+	if s.State == Gone {
+		delete(b.byID, s.ID)
+		return
+	}
+	at = sort.Search(len(b.servers), func(i int) bool { return b.servers[i].rank > s.rank })
+	b.servers = slices.Insert(b.servers, at, s)
+}
+
 // probe asks a server, unless an answer is still to come.
 func (b *Balancer) probe(s *server) {
 	if !s.probing {
--- a/balance/list.go
+++ b/balance/list.go
@@ -105,13 +105,10 @@
 	if ev.Kind != ListDelta {
 		b.markUnlisted(entries, ev.Kind == ListFull)
 	}
-	for i := range entries {
-		b.update(&entries[i], later)
-	}
+	b.takeIn(entries, later, ev.Kind == ListDelta)
 	if ev.Kind != ListCached {
 		b.list.held = b.now
 	}
-	b.dropGone()
 }
 
 // believes tells whether a list is newer than the one held. With one service it is at its word: its agent
