--- a/internal/listener/listener.go
+++ b/internal/listener/listener.go
@@ -10,6 +10,7 @@
 	"log/slog"
 	"net"
 	"sync"
+	"sync/atomic"
 	"syscall"
 	"time"
 
@@ -25,6 +26,8 @@
 	closed    chan struct{}
 	closeOnce sync.Once
 
+	failed atomic.Pointer[time.Time] // when an accept failed last; nil: none has
+
 	mu       sync.Mutex // of several callers of Accept
 	failures retry.LogLimiter
 }
@@ -53,6 +56,8 @@
 		case errors.Is(err, syscall.EBADF) || errors.Is(err, syscall.EINVAL):
 			return nil, fmt.Errorf("%s at %s: the listening socket is lost: %w", l.name, l.Addr(), err)
 		}
+		now := time.Now()
+		l.failed.Store(&now)
 		pause := backoff.Next()
 		l.logFailure(err, pause)
 		if !l.wait(pause) {
@@ -61,6 +66,13 @@
 	}
 }
 
+// FailedWithin reports whether an accept has failed in the given time up to now, so that who is accepted may have waited
+// for it.
+func (l *Listener) FailedWithin(window time.Duration) bool {
+	last := l.failed.Load()
+	return last != nil && time.Since(*last) < window
+}
+
 // closedError is the failure of an accept that Close has ended.
 func closedError(err error) error {
 	if errors.Is(err, net.ErrClosed) {
--- a/internal/sidecar/framing.go
+++ b/internal/sidecar/framing.go
@@ -25,7 +25,7 @@
 	conn := &headConn{Conn: c, since: time.Now(), ahead: make(chan struct{}, 1)}
 	if g, ok := c.(*guest); ok {
 		systemStates.learn(g.Conn)
-		conn.acceptedLate = sinceLastData(g.Conn) >= lateAccept
+		conn.acceptedLate = g.room.acceptsFailed() && sinceLastData(g.Conn) >= lateAccept
 	}
 	return conn, nil
 }
--- a/internal/sidecar/rawcalls.go
+++ b/internal/sidecar/rawcalls.go
@@ -21,6 +21,8 @@
 	// lateAccept is from when on a connection counts as accepted late. Below it the system's figure is as coarse as the
 	// wait itself.
 	lateAccept = 20 * time.Millisecond
+	// acceptFailureMemory is for how long after a failed accept those that are accepted may have waited in the queue.
+	acceptFailureMemory = 5 * time.Second
 )
 
 // repeatQuery makes a system call again, at once and a few times, while the system is short of resources for it.
--- a/internal/sidecar/room.go
+++ b/internal/sidecar/room.go
@@ -10,6 +10,8 @@
 	"sync/atomic"
 	"syscall"
 	"time"
+
+	listening "marblelane/internal/listener"
 )
 
 const (
@@ -87,6 +89,12 @@
 	return g, nil
 }
 
+// acceptsFailed reports whether accepts have failed of late, so that a connection may have waited to be accepted.
+func (r *room) acceptsFailed() bool {
+	l, ok := r.Listener.(*listening.Listener)
+	return ok && l.FailedWithin(acceptFailureMemory)
+}
+
 // enter waits until there is a place, or the listener is closed.
 func (r *room) enter(g *guest) {
 	for {
--- a/internal/wallclock/wallclock_test.go
+++ b/internal/wallclock/wallclock_test.go
@@ -95,6 +95,9 @@
 	"internal/registry/state.go": {
 		"time.Date": {1, "is constant; epochs are raised above the former one"},
 	},
+	"internal/registry/supervisor.go": {
+		"time.Since(closed).Round": {1, "a duration"},
+	},
 	"internal/route/fields.go": {
 		"text.Truncate": {1, "a buffer"},
 	},
