--- a/internal/registry/config.go
+++ b/internal/registry/config.go
@@ -1,6 +1,7 @@
 package registry
 
 import (
+	"context"
 	"errors"
 	"fmt"
 	"os"
@@ -9,6 +10,7 @@
 
 	"marblelane/internal/fault"
 	"marblelane/internal/membership"
+	"marblelane/internal/retry"
 	"marblelane/internal/tomlfile"
 )
 
@@ -42,20 +44,28 @@
 	Faults      string            `toml:"lab_faults"` // a file of the lab's, see package fault
 }
 
-// LoadConfig reads a copy's configuration. Errors name file, line and key.
-func LoadConfig(path string) (Config, error) {
-	text, err := os.ReadFile(path)
-	if err != nil {
+// LoadConfig reads a copy's configuration. A file that cannot be opened or read for a moment is tried again, for up to
+// retry.StartLimit, which Open shares. Errors name file, line and key.
+func LoadConfig(path string) (Config, error) { return loadConfig(path, os.ReadFile) }
+
+func loadConfig(path string, readFile func(path string) ([]byte, error)) (Config, error) {
+	start := retry.NewStart(context.Background(), nil)
+	var text []byte
+	if err := start.Do("read "+path, func() (failed error) {
+		text, failed = readFile(path)
+		return failed
+	}); err != nil {
 		return Config{}, fmt.Errorf("configuration: %w", err)
 	}
 	var f file
 	if _, err := tomlfile.Decode(path, text, &f); err != nil {
 		return Config{}, fmt.Errorf("configuration %w", err)
 	}
-	c := Config{Name: f.Name, Listen: f.Listen, Raft: f.Raft, Advertise: f.Advertise, Dir: f.Dir, Join: f.Join, Peers: f.Peers, Keep: f.Keep,
+	c := Config{start: start, Name: f.Name, Listen: f.Listen, Raft: f.Raft, Advertise: f.Advertise, Dir: f.Dir, Join: f.Join, Peers: f.Peers, Keep: f.Keep,
 		Beat: time.Duration(f.Beat), SlowDisk: time.Duration(f.SlowDisk), Options: Options{Batch: time.Duration(f.Batch), Watches: f.Watches, Burst: f.Burst,
 			MostStale: time.Duration(f.MostStale), HoldShare: f.HoldShare, EachEncodes: f.EachEncodes, Planted: f.RouteDefect}}
-	if err := c.check(); err != nil {
+	err := c.check()
+	if err != nil {
 		return Config{}, fmt.Errorf("configuration %s: %w", path, err)
 	}
 	if c.Members, err = f.membersConfig(); err != nil {
--- a/internal/registry/listen_test.go
+++ b/internal/registry/listen_test.go
@@ -5,6 +5,8 @@
 	"errors"
 	"log/slog"
 	"net"
+	"os"
+	"path/filepath"
 	"strings"
 	"syscall"
 	"testing"
@@ -125,3 +127,34 @@
 	}
 	return f.Listener.Accept()
 }
+
+// A configuration that cannot be opened for a moment, as with no descriptor left in the system, is read a moment later.
+func TestConfigurationThatCannotBeReadForAMoment(t *testing.T) {
+	path := filepath.Join(t.TempDir(), "copy.toml")
+	text := "name = \"r0\"\nlisten = \"127.0.0.1:0\"\nraft = \"127.0.0.1:0\"\n"
+	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
+		t.Fatal(err)
+	}
+	for _, errno := range []syscall.Errno{syscall.ENFILE, syscall.EMFILE, syscall.ENOMEM, syscall.EINTR, syscall.EIO} {
+		t.Run(errno.Error(), func(t *testing.T) {
+			tries := 0
+			cfg, err := loadConfig(path, func(path string) ([]byte, error) {
+				if tries++; tries < 3 {
+					return nil, &os.PathError{Op: "open", Path: path, Err: errno}
+				}
+				return os.ReadFile(path)
+			})
+			if err != nil || cfg.Name != "r0" || tries != 3 {
+				t.Errorf("%v after %d tries", err, tries)
+			}
+		})
+	}
+	tries := 0
+	_, err := loadConfig(path, func(path string) ([]byte, error) {
+		tries++
+		return nil, &os.PathError{Op: "open", Path: path, Err: syscall.EACCES}
+	})
+	if !errors.Is(err, syscall.EACCES) || !strings.Contains(err.Error(), path) || tries != 1 {
+		t.Errorf("%v after %d tries, want EACCES at once", err, tries)
+	}
+}
--- a/internal/registry/node.go
+++ b/internal/registry/node.go
@@ -42,6 +42,7 @@
 	SlowDisk time.Duration
 	Faults   *fault.Plan        // the lab's; nil: none
 	Members  *membership.Config // nil: off
+	start    *retry.Start       // what LoadConfig began; nil: nothing
 
 	Options
 
@@ -90,7 +91,10 @@
 			opened.shut()
 		}
 	}(n)
-	start := retry.NewStart(context.Background(), cfg.Log)
+	start := cfg.start
+	if start == nil {
+		start = retry.NewStart(context.Background(), cfg.Log)
+	}
 	var l net.Listener
 	if err := start.Do("listen", func() (failed error) {
 		l, failed = net.Listen("tcp", cfg.Listen)
