--- a/internal/sidecar/exchange.go
+++ b/internal/sidecar/exchange.go
@@ -309,15 +309,15 @@
 	if err := render(&buf, req, a); err != nil {
 		return false, errMoot
 	}
-	if a != nil && a.call.gone() {
-		return false, errMoot
-	}
 	if err := s.due(); err != nil {
 		return false, err
 	}
 	if a != nil {
 		a.call.out.begun = time.Now()
 		s.hook.at(clockRead)
+		if a.call.gone() { // after the clock: a process may be held up from there on
+			return false, errMoot
+		}
 	}
 	if s.look != nil { // the last look, right before the first byte
 		under, err := s.look.begin()
