--- a/balance/balance.go
+++ b/balance/balance.go
@@ -520,7 +520,7 @@
 	case a.started: // it broke off
 		b.fault(s, false, hearsay)
 	default:
-		if away := ev.Result.away(); away || !a.overdue && !(a.cut && ev.Result == TimedOut) {
+		if away := ev.Result.away(); away || !a.overdue && !b.excused(r, a, ev.Result) {
 			weight := hearsay
 			if away && ev.Took >= b.cfg.ConnectTimeout/2 { // who refuses is there
 				weight = 1
--- a/balance/events.go
+++ b/balance/events.go
@@ -57,6 +57,16 @@
 	}
 }
 
+// excused tells that an attempt timed out by no fault of its server: it was given up at the aim, or had less time
+// than answers take. A server may drop what it cannot answer in time.
+func (b *Balancer) excused(r *request, a *attempt, result Result) bool {
+	needed := r.class.Aim / 2
+	if r.stats.n >= 5 {
+		needed = r.stats.mean
+	}
+	return result == TimedOut && (a.cut || a.sent <= b.now && b.now-a.sent < needed)
+}
+
 func (b *Balancer) onOutcome(ev Outcome) error {
 	r := b.reqs[ev.Request]
 	if r == nil || ev.Attempt >= len(r.tries) || !r.tries[ev.Attempt].live {
