--- a/cmd/silverreel/signal_shutdown_test.go
+++ b/cmd/silverreel/signal_shutdown_test.go
@@ -1,8 +1,14 @@
 package main
 
 import (
+	"net/http"
+	"net/http/httptest"
+	"os"
+	"path/filepath"
+	"strings"
 	"syscall"
 	"testing"
+	"time"
 )
 
 // Signals that come once the work is done do not make a crash of an orderly end.
@@ -33,3 +39,92 @@
 	hung.Close()
 	p.ended()
 }
+
+// Of several configurations in quick succession the last one counts, also where an older one is still being read when
+// it comes.
+func TestLastOfSeveralConfigurationsCounts(t *testing.T) {
+	t.Parallel()
+	asked := make(chan string, 100)
+	registry := func(name string) string {
+		srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+			asked <- name
+			w.(http.Flusher).Flush()
+			<-r.Context().Done()
+			asked <- name + " left"
+		}))
+		t.Cleanup(srv.Close)
+		return `{"listen":"127.0.0.1:0","discovery":"` + srv.Listener.Addr().String() + `","seed":"1","settings":
+			{"classes":[{"name":"c","effect":"read_like","on_time_ms":50,"hard_limit_ms":100}]}}`
+	}
+	cmd, log := program(t, registry("first"))
+	path := strings.TrimPrefix(cmd.Env[len(cmd.Env)-1], "NODE_CONFIG=")
+	if err := cmd.Start(); err != nil {
+		t.Fatal(err)
+	}
+	heard := func(want string) {
+		t.Helper()
+		for limit := time.After(patience); ; {
+			select {
+			case name := <-asked:
+				if name == want {
+					return
+				}
+			case <-limit:
+				t.Fatalf("waited in vain for %q: %s", want, log)
+			}
+		}
+	}
+	heard("first")
+	hangUp := func() {
+		t.Helper()
+		if err := cmd.Process.Signal(syscall.SIGHUP); err != nil {
+			t.Fatal(err)
+		}
+	}
+	replace := func(text string) {
+		t.Helper()
+		next := path + ".next"
+		if err := os.WriteFile(next, []byte(text), 0o600); err != nil {
+			t.Fatal(err)
+		}
+		if err := os.Rename(next, path); err != nil {
+			t.Fatal(err)
+		}
+		hangUp()
+	}
+	// A pipe that takes the place of the file holds its reader up until the test has written to it.
+	pipe := filepath.Join(t.TempDir(), "slow")
+	if err := syscall.Mkfifo(pipe, 0o600); err != nil {
+		t.Fatal(err)
+	}
+	if err := os.Rename(pipe, path); err != nil {
+		t.Fatal(err)
+	}
+	hangUp()
+	slow, err := os.OpenFile(path, os.O_WRONLY, 0) // returns once it is being read
+	if err != nil {
+		t.Fatal(err)
+	}
+	for _, name := range []string{"second", "third"} {
+		replace(registry(name))
+	}
+	replace(registry("last"))
+	if _, err := slow.WriteString(registry("late")); err != nil {
+		t.Fatal(err)
+	}
+	slow.Close()
+	heard("last")
+	select {
+	case name := <-asked:
+		if name != "last" && !strings.HasSuffix(name, " left") {
+			t.Errorf("%q is asked after the last address", name)
+		}
+	case <-time.After(300 * time.Millisecond):
+	}
+	if err := cmd.Process.Signal(syscall.SIGTERM); err != nil {
+		t.Fatal(err)
+	}
+	if err := cmd.Wait(); err != nil {
+		t.Errorf("ended with %v: %s", err, log)
+	}
+}
--- /dev/null
+++ b/internal/sidecar/acceptance_test.go
@@ -0,0 +1,151 @@
+package sidecar
+
+import (
+	"io"
+	"net"
+	"net/http"
+	"strings"
+	"sync"
+	"sync/atomic"
+	"testing"
+	"time"
+)
+
+// Clients that stop in the middle of a request and stay get an error or a close within 3 s of connecting, and those
+// that send 60 MB within 6 s; with the program's own bounds on a connection.
+func TestClientsThatStopAreSentAwayInTime(t *testing.T) {
+	const owed, owedLarge = 3 * time.Second, 6 * time.Second
+	before := wireRequest("1", "Content-Length: 1000\r\n", "")
+	chunked := wireRequest("2", "Transfer-Encoding: chunked\r\n", "")
+	large := wireRequest("3", "Content-Length: 60000000\r\n", "")
+	b := newBackend(t, "a", ok)
+	s := start(t, newConf(newRegistry(t).addr(), b.target))
+	var clients sync.WaitGroup
+	for name, test := range map[string]struct {
+		text  string
+		more  io.Reader
+		owed  time.Duration
+		pause time.Duration // before the first byte
+	}{
+		"nothing":                    {owed: owed},
+		"one byte":                   {text: before[:1], owed: owed},
+		"one byte, late":             {text: before[:1], owed: owed, pause: 2 * time.Second},
+		"a request line":             {text: before[:strings.Index(before, "\r\n")+2], owed: owed},
+		"a header name":              {text: before[:60], owed: owed},
+		"a head, one byte short":     {text: before[:len(before)-1], owed: owed},
+		"a head":                     {text: before, owed: owed},
+		"a head, late":               {text: before, owed: owed, pause: time.Second},
+		"half a body":                {text: before + strings.Repeat("b", 500), owed: owed},
+		"a body, one byte short":     {text: before + strings.Repeat("b", 999), owed: owed},
+		"half the size of a chunk":   {text: chunked + "1", owed: owed},
+		"half a chunk":               {text: chunked + "10\r\nbbbb", owed: owed},
+		"chunks without the last":    {text: chunked + "4\r\nbbbb\r\n", owed: owed},
+		"chunks without their end":   {text: chunked + "4\r\nbbbb\r\n0\r\n", owed: owed},
+		"60 MB":                      {text: large, more: io.LimitReader(zeros{}, 60_000_000), owed: owedLarge},
+		"60 MB that stops at 1 MB":   {text: large, more: io.LimitReader(zeros{}, 1_000_000), owed: owedLarge},
+		"60 MB that stops at 100 kB": {text: large, more: io.LimitReader(zeros{}, 100_000), owed: owedLarge},
+	} {
+		clients.Go(func() {
+			began := time.Now()
+			c, err := net.Dial("tcp", s.Addr())
+			if err != nil {
+				t.Errorf("%s: %v", name, err)
+				return
+			}
+			defer c.Close()
+			time.Sleep(test.pause)
+			go func() {
+				io.WriteString(c, test.text)
+				if test.more != nil {
+					io.Copy(c, test.more)
+				}
+			}()
+			c.SetReadDeadline(began.Add(test.owed))
+			if _, err := c.Read(make([]byte, 1)); isTimeout(err) {
+				t.Errorf("%s: neither an error nor a close within %v", name, test.owed)
+			}
+		})
+	}
+	clients.Wait()
+	if n := b.requests.Load(); n != 0 {
+		t.Errorf("%d whole requests reached the server, want none", n)
+	}
+}
+
+func isTimeout(err error) bool {
+	timeout, ok := err.(net.Error)
+	return ok && timeout.Timeout()
+}
+
+// A request with very little time left, which its server drops without a word, has one answer in time and at most one
+// attempt, and the server is used as before.
+func TestLittleTimeIsAnsweredInTime(t *testing.T) {
+	var seen sync.Map // attempts by request id
+	b := newBackend(t, "a", func(c net.Conn, r *http.Request, body string) bool {
+		n, _ := seen.LoadOrStore(r.Header.Get("X-Request-ID"), new(atomic.Int64))
+		n.(*atomic.Int64).Add(1)
+		return len(r.Header.Get("X-Timeout-Ms")) < 3 || ok(c, r, body)
+	})
+	s := start(t, newConf(newRegistry(t).addr(), b.target))
+	const slack = 500 * time.Millisecond // later it is lost
+	for _, class := range []string{"lookup", "reserve", "charge"} {
+		for _, left := range []time.Duration{1, 2, 5, 10, 20} {
+			got := s.do(s.request(class, left*time.Millisecond))
+			if got.status == 200 || got.status == 0 || got.took > left*time.Millisecond+slack {
+				t.Errorf("%s, %d ms: %d after %v", class, left, got.status, got.took)
+			}
+		}
+	}
+	seen.Range(func(id, n any) bool {
+		if n := n.(*atomic.Int64).Load(); n > 1 {
+			t.Errorf("request %v: %d attempts", id, n)
+		}
+		return true
+	})
+	if got := s.do(s.request("charge", time.Second)); got.status != 200 {
+		t.Errorf("after that: %+v", got)
+	}
+}
+
+// Answers with no length that come whole are forwarded, whatever their size and pace.
+func TestAnswersWithoutLengthAreForwarded(t *testing.T) {
+	for name, test := range map[string]struct {
+		size  int
+		parts int
+		pause time.Duration // between parts
+	}{
+		"short":               {100, 1, 0},
+		"short, in pieces":    {100, 5, 0},
+		"short, slow":         {100, 5, 40 * time.Millisecond},
+		"held whole":          {holdMost, 4, 0},
+		"long":                {4 * holdMost, 4, 0},
+		"long, slow":          {4 * holdMost, 4, 40 * time.Millisecond},
+		"long, late and slow": {2 * holdMost, 2, 200 * time.Millisecond},
+	} {
+		t.Run(name, func(t *testing.T) {
+			b := newBackend(t, "a", func(c net.Conn, _ *http.Request, _ string) bool {
+				io.WriteString(c, "HTTP/1.1 200 OK\r\n\r\n")
+				for range test.parts {
+					time.Sleep(test.pause)
+					c.Write(make([]byte, test.size/test.parts))
+				}
+				return false
+			})
+			s := start(t, newConf(newRegistry(t).addr(), b.target))
+			const asked = 10
+			var answers []<-chan result
+			for i := range asked {
+				answers = append(answers, s.goDo(s.request([]string{"lookup", "charge"}[i%2], 2*time.Second)))
+			}
+			whole := 0
+			for _, answer := range answers {
+				if got := receive(t, "an answer", answer); got.status == 200 && len(got.body) == test.size {
+					whole++
+				}
+			}
+			if 2*whole < asked {
+				t.Errorf("%d of %d whole answers are forwarded, want half at least", whole, asked)
+			}
+		})
+	}
+}
