--- a/balance/views.go
+++ b/balance/views.go
@@ -26,6 +26,9 @@
 	return out
 }
 
+// ListRev is the revision of the list held, without a look at the servers; 0: none, or one without revisions.
+func (b *Balancer) ListRev() int64 { return b.list.rev }
+
 // Used gives a server that requests may be sent to, as its newest entry that counts has it.
 func (b *Balancer) Used(id ServerID) (Server, bool) {
 	if s := b.byID[id]; s != nil && s.State == Ready {
--- a/internal/lab/growth.go
+++ b/internal/lab/growth.go
@@ -86,19 +86,19 @@
 // plus more, plus perThousand for each thousand servers.
 type growthBound struct {
 	what                     string
-	need                     func(*GrowthNeed) float64
+	figure                   func(*GrowthNeed) float64
 	times, more, perThousand float64
 	atLeast                  bool // the need may not fall under times what it is at the usual size
 }
 
 // growthBounds is the growth table of STANDING, in its order and in the units of GrowthNeed.
 var growthBounds = []growthBound{
-	{what: "CPU seconds", need: cpuNeed, times: 1.4, more: 0.02, perThousand: 0.03},
-	{what: "peak memory, MB", need: memoryNeed, times: 1.5, more: 8, perThousand: 4},
-	{what: "descriptors", need: descriptorNeed, times: 2, more: 40},
-	{what: "connections made", need: connectionNeed, times: 2.5, more: 40},
-	{what: "bytes of lists", need: listNeed, times: 2, more: 64e3, perThousand: 500e3},
-	{what: "share served", need: servedNeed, times: 0.85, atLeast: true},
+	{what: "CPU seconds", figure: cpuNeed, times: 1.4, more: 0.02, perThousand: 0.03},
+	{what: "peak memory, MB", figure: memoryNeed, times: 1.5, more: 8, perThousand: 4},
+	{what: "descriptors", figure: descriptorNeed, times: 2, more: 40},
+	{what: "connections made", figure: connectionNeed, times: 2.5, more: 40},
+	{what: "bytes of lists", figure: listNeed, times: 2, more: 64e3, perThousand: 500e3},
+	{what: "share served", figure: servedNeed, times: 0.85, atLeast: true},
 }
 
 func cpuNeed(n *GrowthNeed) float64        { return n.CPU }
@@ -110,7 +110,7 @@
 
 // row holds what the large size needs against the bound, with this many servers there.
 func (b *growthBound) row(of string, pair GrowthPair, servers int) GrowthRow {
-	r := GrowthRow{What: b.what, Of: of, Usual: b.need(&pair.Usual), Large: b.need(&pair.Large)}
+	r := GrowthRow{What: b.what, Of: of, Usual: b.figure(&pair.Usual), Large: b.figure(&pair.Large)}
 	r.Bound = b.times*r.Usual + b.more + b.perThousand*float64(servers)/1000
 	if b.atLeast {
 		r.Met = r.Large >= r.Bound
@@ -181,7 +181,7 @@
 		b := &growthBounds[i]
 		rows = append(rows, b.row("one process", process, g.Large.Servers))
 		// A simulated sidecar has no processor time, memory, descriptors or lists in bytes.
-		if b.need(&fleet.Usual) > 0 {
+		if b.figure(&fleet.Usual) > 0 {
 			rows = append(rows, b.row("simulated fleet", fleet, g.Simulated.Large.Servers))
 		}
 	}
--- a/internal/sidecar/loop.go
+++ b/internal/sidecar/loop.go
@@ -388,7 +388,7 @@
 		slog.Error("the module refuses a list", "error", err)
 		return
 	}
-	l.disc.rev.Store(l.bal.List(now).Rev)
+	l.disc.rev.Store(l.bal.ListRev())
 	for i := range n.list.Targets {
 		l.align(&n.list.Targets[i])
 	}
--- a/internal/sidecar/routes.go
+++ b/internal/sidecar/routes.go
@@ -304,7 +304,7 @@
 // sample offers the state of this moment to the duties.
 func (l *loop) sample(now float64) {
 	r := l.routing
-	s := steer.Sample{List: l.bal.List(now).Rev, Counts: make([]route.Count, 0, len(r.counts))}
+	s := steer.Sample{List: l.bal.ListRev(), Counts: make([]route.Count, 0, len(r.counts))}
 	for _, c := range r.counts {
 		s.Counts = append(s.Counts, *c)
 	}
