--- a/internal/registry/supervisor_test.go
+++ b/internal/registry/supervisor_test.go
@@ -164,13 +164,28 @@
 	until(t, c.cfg.Name+" to close", func() bool { _, answers := c.status(); return !answers })
 }
 
-// caughtUp waits until a copy has what the leader has.
-func caughtUp(t *testing.T, all []*supervised, c *supervised) {
+// serves waits until a copy serves all the entries. A copy that was just opened, a leader too, has not applied yet what
+// its log has.
+func (c *supervised) serves(t *testing.T, all ...string) {
 	t.Helper()
-	until(t, c.cfg.Name+" to catch up", func() bool {
-		want, _ := leading(t, all).status()
-		got, answers := c.status()
-		return answers && got.Leader != "" && got.Rev >= want.Rev
+	var missing []string
+	defer func() {
+		if t.Failed() {
+			t.Logf("%s lacks %v", c.cfg.Name, missing)
+		}
+	}()
+	until(t, c.cfg.Name+" to serve what was acknowledged", func() bool {
+		missing = nil
+		if _, answers := c.status(); !answers {
+			return false
+		}
+		has := served(t, c)
+		for _, uid := range all {
+			if !has[uid] {
+				missing = append(missing, uid)
+			}
+		}
+		return len(missing) == 0
 	})
 }
 
@@ -208,14 +223,12 @@
 					until(t, "a read without the copy", func() bool { return served(t, rest[0])["meanwhile"] })
 				}
 				failing.plant(t, fault.Set{})
-				caughtUp(t, all, failing)
-				acknowledged := stop()
-				caughtUp(t, all, failing)
+				until(t, "the copy to be back", func() bool {
+					st, answers := failing.status()
+					return answers && st.Leader != ""
+				})
+				failing.serves(t, stop()...)
 				assert.NotSame(t, before, failing.supervisor.Node())
-				has := served(t, failing)
-				for _, uid := range acknowledged {
-					assert.True(t, has[uid], "%s was acknowledged and is gone", uid)
-				}
 				until(t, "a write after all", func() bool { return register(all, "after") })
 			})
 		}
@@ -266,8 +279,7 @@
 				c.plant(t, fault.Set{})
 			}
 			for _, c := range all {
-				caughtUp(t, all, c)
-				assert.True(t, served(t, c)["before"], c.cfg.Name)
+				c.serves(t, "before")
 			}
 		})
 	}
@@ -357,7 +369,7 @@
 	require.Never(t, func() bool { _, answers := one.status(); return answers }, 3*reopenSoon, reopenSoon/2)
 	require.NoError(t, os.Remove(one.cfg.Dir))
 	require.NoError(t, os.Rename(away, one.cfg.Dir))
-	leading(t, all)
+	one.serves(t, "before")
 	assert.Equal(t, map[string]bool{"before": true}, served(t, one))
 }
 
