--- a/balance/events.go
+++ b/balance/events.go
@@ -11,6 +11,9 @@
 	"sort"
 )
 
+// quietTime is after how long without a request, in ms, what was known of the load is stale.
+const quietTime = 60_000
+
 // Start begins the balancer's life. The actions are valid until the next call.
 func (b *Balancer) Start(now float64) []Action {
 	b.now, b.started, b.out = now, now, b.out[:0]
@@ -27,6 +30,9 @@
 		tenant: b.tenant(ev.Tenant), arrived: b.now, deadline: b.now + ev.Remaining, wakeAt: math.Inf(1),
 	}
 	b.reqs[ev.ID] = r
+	if b.now-b.admitAt > math.Max(quietTime, paceAims*b.longestAim) {
+		b.forgetLoad()
+	}
 	admitted := !b.over && b.admit(r)
 	b.asked.add(b.now, 2*turnTime)
 	r.stats.asked++ // only now: else its own class would look a little worse served
@@ -40,6 +46,17 @@
 	return nil
 }
 
+// forgetLoad drops what was shed and which errors followed each other before a long time without a request: neither
+// tells of the load or of the servers now.
+func (b *Balancer) forgetLoad() {
+	b.steady = 0
+	for _, s := range b.servers {
+		if !b.resting(s) {
+			s.errs, s.rests = 0, 0
+		}
+	}
+}
+
 func (b *Balancer) held(r *request) bool {
 	for _, s := range r.probed {
 		if s.probing && b.now < r.holdUntil { // never for long
--- a/balance/helpers_test.go
+++ b/balance/helpers_test.go
@@ -9,6 +9,7 @@
 	now  float64
 	acts []Action
 	next RequestID
+	late []RequestID // whose attempts are out
 }
 
 func baseConfig() Config {
