--- a/internal/sidecar/acceptance_test.go
+++ b/internal/sidecar/acceptance_test.go
@@ -149,3 +149,79 @@
 		})
 	}
 }
+
+// Idle connections that a server ends in order or by a reset cost no request, not even one that must not run twice.
+func TestIdleConnectionsThatServersEnd(t *testing.T) {
+	for name, end := range ends {
+		t.Run(name, func(t *testing.T) {
+			b := newBackend(t, "a", ok)
+			s := start(t, newConf(newRegistry(t).addr(), b.target))
+			for range 5 {
+				var answers []<-chan result
+				for range 4 { // so that several connections are idle
+					answers = append(answers, s.goDo(s.request("charge", time.Second)))
+				}
+				for _, answer := range answers {
+					if got := receive(t, "an answer", answer); got.status != 200 {
+						t.Errorf("%+v", got)
+					}
+				}
+				b.mu.Lock()
+				for c := range b.open {
+					end(c.(*net.TCPConn))
+				}
+				clear(b.open)
+				b.mu.Unlock()
+			}
+			if n := b.requests.Load(); n != 20 {
+				t.Errorf("%d requests at the server, want 20", n)
+			}
+		})
+	}
+}
+
+// Attempts that fail at once, each in its way, end in one answer and no more attempts than the settings allow, of which
+// those of a class that must not run twice are one.
+func TestRetriesThatFailAtOnce(t *testing.T) {
+	for name, serve := range map[string]serveOne{
+		"error": respond("HTTP/1.1 500 Oh\r\nContent-Length: 0\r\n\r\n", true),
+		"close": func(net.Conn, *http.Request, string) bool { return false },
+		"reset": func(c net.Conn, _ *http.Request, _ string) bool {
+			c.(*net.TCPConn).SetLinger(0)
+			return false
+		},
+	} {
+		t.Run(name, func(t *testing.T) {
+			var mu sync.Mutex
+			attempts := map[string]int{}
+			var servers []target
+			for _, uid := range []string{"a", "b", "c", "d"} {
+				b := newBackend(t, uid, func(c net.Conn, r *http.Request, body string) bool {
+					mu.Lock()
+					attempts[r.Header.Get("X-Request-ID")]++
+					mu.Unlock()
+					return serve(c, r, body)
+				})
+				servers = append(servers, b.target)
+			}
+			s := start(t, newConf(newRegistry(t).addr(), servers...))
+			for _, class := range []string{"lookup", "reserve", "charge"} {
+				most := 3
+				if class == "charge" {
+					most = 1
+				}
+				for range 10 {
+					req := s.request(class, 500*time.Millisecond)
+					if got := s.do(req); got.status == 200 || got.status == 0 || got.took > time.Second {
+						t.Errorf("%s: %d after %v", class, got.status, got.took)
+					}
+					mu.Lock()
+					if n := attempts[req.Header.Get("X-Request-ID")]; n > most {
+						t.Errorf("%s: %d attempts, want %d at most", class, n, most)
+					}
+					mu.Unlock()
+				}
+			}
+		})
+	}
+}
