--- a/internal/sidecar/discovery.go
+++ b/internal/sidecar/discovery.go
@@ -437,11 +437,12 @@
 // reportingConn reports that bytes have come.
 type reportingConn struct {
 	net.Conn
+	from     *steadyReader // the connection
 	received func()
 }
 
 func (c reportingConn) Read(b []byte) (int, error) {
-	n, err := c.Conn.Read(b)
+	n, err := c.from.Read(b)
 	if n > 0 {
 		c.received()
 	}
@@ -459,7 +460,7 @@
 			return nil, err
 		}
 		if received, ok := ctx.Value(receivedKey{}).(func()); ok {
-			return reportingConn{conn, received}, nil
+			return reportingConn{conn, &steadyReader{conn: conn}, received}, nil
 		}
 		return conn, nil
 	}
--- a/internal/sidecar/errno.go
+++ b/internal/sidecar/errno.go
@@ -4,6 +4,8 @@
 
 import (
 	"errors"
+	"io"
+	"os"
 	"slices"
 	"syscall"
 	"time"
@@ -41,17 +43,28 @@
 	longestRetryPause = 100 * time.Millisecond
 )
 
-// retryReader reads again after a momentary failure of the system, until the connection's deadline ends it. Nothing was
-// taken by a read that failed so.
-type retryReader struct{ conn *headConn }
+// steadyReader reads a connection. After a momentary failure of the system it reads again, until the connection's deadline
+// ends it: nothing was taken by a read that failed so. After any other failure it goes on failing: package bufio drops an
+// error behind the beginning of a line, and if the system told it only once the rest would be read as another line.
+type steadyReader struct {
+	conn   io.Reader
+	failed error // nil: none but momentary ones and the own deadline
+}
 
 // Read returns the errors of the connection but for momentary ones.
-func (r retryReader) Read(p []byte) (int, error) {
+func (r *steadyReader) Read(p []byte) (int, error) {
+	if r.failed != nil {
+		return 0, r.failed
+	}
 	for pause := firstRetryPause; ; pause = min(2*pause, longestRetryPause) {
 		n, err := r.conn.Read(p)
-		if n > 0 || !momentaryErrnos.has(err) {
-			return n, err
+		if n == 0 && momentaryErrnos.has(err) {
+			time.Sleep(pause)
+			continue
+		}
+		if err != nil && !errors.Is(err, os.ErrDeadlineExceeded) {
+			r.failed = err
 		}
-		time.Sleep(pause)
+		return n, err
 	}
 }
--- /dev/null
+++ b/internal/sidecar/errno_random_test.go
@@ -0,0 +1,276 @@
+package sidecar
+
+import (
+	"bufio"
+	"bytes"
+	"context"
+	"fmt"
+	"io"
+	"math/rand/v2"
+	"net"
+	"net/http"
+	"strconv"
+	"sync"
+	"syscall"
+	"testing"
+	"testing/iotest"
+	"time"
+)
+
+// schedule draws which system calls fail, and how. It is safe for concurrent use.
+type schedule struct {
+	mu  sync.Mutex
+	rnd *rand.Rand
+}
+
+// draw fails a call with one of some errnos, in so many of a thousand cases.
+func (s *schedule) draw(call string, perMille int, from errnos) error {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if s.rnd.IntN(1000) >= perMille {
+		return nil
+	}
+	return opError(call, from[s.rnd.IntN(len(from))])
+}
+
+// randomConn fails reads and writes, takes and gives single bytes, and writes in part, as its schedule says.
+type randomConn struct {
+	*net.TCPConn
+	schedule    *schedule
+	byteAtATime bool
+}
+
+func (c *randomConn) Read(p []byte) (int, error) {
+	if err := c.schedule.draw("read", 20, append(momentaryErrnos, endedErrnos...)); err != nil {
+		return 0, err
+	}
+	if c.byteAtATime && len(p) > 1 {
+		p = p[:1]
+	}
+	return c.TCPConn.Read(p)
+}
+
+func (c *randomConn) Write(p []byte) (int, error) {
+	if err := c.schedule.draw("write", 30, append(localErrnos, endedErrnos...)); err != nil {
+		return 0, err
+	}
+	if err := c.schedule.draw("write", 30, append(localErrnos, endedErrnos...)); err != nil {
+		n, _ := c.TCPConn.Write(p[:len(p)/2])
+		return n, err
+	}
+	if !c.byteAtATime {
+		return c.TCPConn.Write(p)
+	}
+	for i := range p {
+		if _, err := c.TCPConn.Write(p[i : i+1]); err != nil {
+			return i, err
+		}
+	}
+	return len(p), nil
+}
+
+// disturb lets the schedule say how dials and connections fail.
+func (s *schedule) disturb(p *upstreams) {
+	dial := p.dialContext
+	dialErrnos := append(append(errnos{syscall.ECONNREFUSED, syscall.ECONNRESET}, localErrnos...), unreachableErrnos...)
+	p.dialContext = func(ctx context.Context, network, addr string) (net.Conn, error) {
+		if err := s.draw("connect", 150, dialErrnos); err != nil {
+			return nil, err
+		}
+		c, err := dial(ctx, network, addr)
+		if err != nil {
+			return nil, err
+		}
+		s.mu.Lock()
+		defer s.mu.Unlock()
+		return &randomConn{TCPConn: c.(*net.TCPConn), schedule: s, byteAtATime: s.rnd.IntN(4) == 0}, nil
+	}
+}
+
+// runs counts how often each request was read whole by a server, by its X-Request-ID.
+type runs struct {
+	t  *testing.T
+	mu sync.Mutex
+	by map[string]int
+}
+
+// serve counts a request, checks the time that it was told and answers it.
+func (r *runs) serve(c net.Conn, req *http.Request, body string) bool {
+	r.mu.Lock()
+	r.by[req.Header.Get("X-Request-ID")]++
+	r.mu.Unlock()
+	left, err := strconv.Atoi(req.Header.Get("X-Timeout-Ms"))
+	if err != nil || left < 1 || left > int(scheduleWait.Milliseconds()) {
+		r.t.Errorf("a server is told %q ms, %v", req.Header.Get("X-Timeout-Ms"), err)
+	}
+	return ok(c, req, body)
+}
+
+func (r *runs) of(id string) int {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	return r.by[id]
+}
+
+const (
+	scheduleWait     = time.Second // of each client
+	scheduleClients  = 6
+	scheduleRequests = 60 // of each client in each phase
+	scheduleAttempts = 3  // at most for each request
+)
+
+// check compares the answer to a request with how often it ran.
+func (r *runs) check(class, id string, status int) {
+	r.t.Helper()
+	n := r.of(id)
+	switch {
+	case status != 200 && status != statusRefused && status != statusFailed && status != statusTimedOut:
+		r.t.Errorf("%s %s: status %d", class, id, status)
+	case n > scheduleAttempts:
+		r.t.Errorf("%s %s: ran %d times, at most %d", class, id, n, scheduleAttempts)
+	case class == "charge" && n > 1:
+		r.t.Errorf("%s %s: ran %d times", class, id, n)
+	case class == "charge" && n > 0 && status == statusRefused:
+		r.t.Errorf("%s %s: refused, but it ran", class, id)
+	case status == 200 && n == 0:
+		r.t.Errorf("%s %s: answered, but it did not run", class, id)
+	}
+}
+
+// ask makes the requests of one client and counts those that are served.
+func (r *runs) ask(s *running, seed uint64) (served int) {
+	rnd := rand.New(rand.NewPCG(seed, 1))
+	for range scheduleRequests {
+		class := []string{"lookup", "reserve", "charge"}[rnd.IntN(3)]
+		req := s.request(class, scheduleWait)
+		id := req.Header.Get("X-Request-ID")
+		got := s.do(req)
+		r.check(class, id, got.status)
+		if got.status == 200 {
+			served++
+		}
+	}
+	return served
+}
+
+// phase lets all clients make their requests and tells how many were served.
+func (r *runs) phase(s *running, seed uint64) int {
+	var clients sync.WaitGroup
+	served := make([]int, scheduleClients)
+	for i := range served {
+		clients.Go(func() { served[i] = r.ask(s, seed+uint64(i)) })
+	}
+	clients.Wait()
+	all := 0
+	for _, n := range served {
+		all += n
+	}
+	return all
+}
+
+// The rules hold while system calls fail at random: each request has one answer, one that must not run twice does not,
+// servers are told the time that is left, and one that drains gets nothing more.
+func TestRulesUnderRandomErrnos(t *testing.T) {
+	seed := uint64(time.Now().UnixNano())
+	t.Logf("seed %d", seed)
+	counted := &runs{t: t, by: map[string]int{}}
+	servers := make([]*backend, 4)
+	known := make([]target, len(servers))
+	for i := range servers {
+		servers[i] = newBackend(t, fmt.Sprintf("s%d", i), counted.serve)
+		known[i] = servers[i].target
+	}
+	discovery := newRegistry(t)
+	c := newConf(discovery.addr(), known...).
+		setting(`"max_attempts": 6`, fmt.Sprintf(`"max_attempts": %d`, scheduleAttempts)).
+		setting(`"parallel_tries": true`, `"parallel_tries": false`)
+	c["management"] = loopback // so that the figures of servers are made
+	faults := &schedule{rnd: rand.New(rand.NewPCG(seed, 0))}
+	s := start(t, c, func(s *Sidecar) {
+		faults.disturb(s.loop.ups)
+		s.loop.disc.callWait, s.loop.disc.silence = time.Hour, time.Hour // the test says nothing for a while
+	})
+	watch := receive(t, "the call to discovery", discovery.calls)
+
+	const all = scheduleClients * scheduleRequests
+	served := counted.phase(s, seed)
+	t.Logf("served %d of %d", served, all)
+	if 2*served < all {
+		t.Errorf("served %d of %d, want most of them", served, all)
+	}
+
+	drains := servers[0]
+	leaving := drains.target
+	leaving.State = "Terminating"
+	watch.send(t, list{Rev: 2, Targets: []target{leaving}})
+	until(t, "the drain to be known", func() bool { return s.loop.figures.servers.Load().ready == len(servers)-1 })
+	before := drains.requests.Load()
+	served = counted.phase(s, seed+scheduleClients)
+	t.Logf("served %d of %d beside a server that drains", served, all)
+	if n := drains.requests.Load() - before; n > 0 {
+		t.Errorf("%d requests reached a server that drains", n)
+	}
+	if 2*served < all {
+		t.Errorf("served %d of %d beside a server that drains, want most of them", served, all)
+	}
+	until(t, "connections to be idle or closed", func() bool { return s.loop.ups.allIdle() })
+}
+
+// allIdle reports whether each connection that is counted is idle.
+func (p *upstreams) allIdle() bool {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	idle := 0
+	for up := range p.kept {
+		idle += len(up.idle)
+	}
+	return idle == p.open
+}
+
+// Single bytes in both directions, on connections to a server and of a client: all of a long body arrives, and so does
+// the answer.
+func TestByteAtATime(t *testing.T) {
+	body := string(pattern(20_000))
+	b := newBackend(t, "a", func(c net.Conn, _ *http.Request, got string) bool {
+		text := fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(got), got)
+		for i := range len(text) {
+			if _, err := io.WriteString(c, text[i:i+1]); err != nil {
+				return false
+			}
+		}
+		return true
+	})
+	s := start(t, newConf(newRegistry(t).addr(), b.target), func(s *Sidecar) {
+		s.loop.ups.dialing(succeed, faultyConn{byteAtATime: true})
+	})
+	client, err := net.Dial("tcp", s.Addr())
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() { client.Close() })
+	req := s.request("charge", 0)
+	req.Header.Set("X-Timeout-Ms", "1000")
+	req.Body, req.ContentLength = io.NopCloser(bytes.NewBufferString(body)), int64(len(body))
+	var text bytes.Buffer
+	if err := req.Write(&text); err != nil {
+		t.Fatal(err)
+	}
+	for _, one := range text.Bytes() {
+		if _, err := client.Write([]byte{one}); err != nil {
+			t.Fatal(err)
+		}
+	}
+	client.SetReadDeadline(time.Now().Add(patience))
+	got, err := http.ReadResponse(bufio.NewReaderSize(iotest.OneByteReader(client), 16), req)
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer got.Body.Close()
+	answer, err := io.ReadAll(iotest.OneByteReader(got.Body))
+	if err != nil || got.StatusCode != 200 || string(answer) != body {
+		t.Errorf("%d with %d bytes, %v, want the %d bytes that were sent", got.StatusCode, len(answer), err, len(body))
+	}
+	if n := b.requests.Load(); n != 1 {
+		t.Errorf("%d requests at the server, want 1", n)
+	}
+}
--- a/internal/sidecar/errno_test.go
+++ b/internal/sidecar/errno_test.go
@@ -3,6 +3,7 @@
 import (
 	"context"
 	"errors"
+	"io"
 	"net"
 	"net/http"
 	"os"
@@ -410,3 +411,69 @@
 		})
 	}
 }
+
+// failNth fails the nth call, counted from 1, and no other.
+func failNth(n int32, err error) func() error {
+	var calls atomic.Int32
+	return func() error {
+		if calls.Add(1) == n {
+			return err
+		}
+		return nil
+	}
+}
+
+// A read fails once at any byte of an answer, also in the middle of a line of its head, and those behind it do not: after
+// a momentary failure the answer is whole, after any other it has broken off and is never taken for a shorter one.
+func TestReadErrnoAtEachByteOfAnAnswer(t *testing.T) {
+	const text = "HTTP/1.1 200 OK\r\nX-Server-Load: busy=0.5,rate=7\r\nContent-Length: 4\r\n\r\ndone"
+	for errno, want := range map[syscall.Errno]balance.Result{
+		syscall.ECONNRESET: balance.Reset, syscall.ETIMEDOUT: balance.Reset, syscall.EINTR: balance.OK,
+	} {
+		t.Run(errno.Error(), func(t *testing.T) {
+			b := newBackend(t, "a", respond(text, true))
+			p, a, _, _ := exchanging(t, b)
+			a.call.out = outboundPost([]byte("plate 12-34"))
+			stopped := make(chan struct{}) // nobody takes an answer that is passed on as it comes
+			close(stopped)
+			p.stopped = stopped
+			dial := p.dialContext
+			for n := range len(text) {
+				p.dialContext = dial
+				p.dialing(succeed, faultyConn{byteAtATime: true, failRead: failNth(int32(n+1), opError("read", errno))})
+				r := p.send(a)
+				if r.result != want || r.result == balance.OK && string(r.answer.body) != "done" {
+					t.Errorf("at byte %d: result %v with %q, want %v", n, r.result, r.answer.body, want)
+				}
+				p.closeIdle(a.up)
+			}
+		})
+	}
+}
+
+// The same holds for what discovery answers.
+func TestReadErrnoAtEachByteOfAList(t *testing.T) {
+	const text = "HTTP/1.1 200 OK\r\nContent-Length: 24\r\nConnection: close\r\n\r\n{\"rev\": 7, \"all\": true}\n"
+	for errno, whole := range map[syscall.Errno]bool{syscall.ECONNRESET: false, syscall.ENOMEM: true} {
+		t.Run(errno.Error(), func(t *testing.T) {
+			b := newBackend(t, "a", respond(text, false))
+			for n := range len(text) - 1 { // the last byte is an empty rest
+				d, heard := hearing(t, b.target.Endpoint)
+				transport := d.client.Transport.(*http.Transport)
+				var dialer net.Dialer
+				transport.DialContext = dialReporting(func(ctx context.Context, network, addr string) (net.Conn, error) {
+					c, err := dialer.DialContext(ctx, network, addr)
+					if err != nil {
+						return nil, err
+					}
+					fail := failNth(int32(n+1), opError("read", errno))
+					return &faultyConn{TCPConn: c.(*net.TCPConn), byteAtATime: true, failRead: fail}, nil
+				})
+				err := d.read(t.Context(), "", news{}, alone, patience, patience)
+				if got := len(heard) == 1 && (<-heard).list.Rev == 7 && errors.Is(err, io.EOF); got != whole {
+					t.Errorf("at byte %d: the list was told: %v, %v", n, got, err)
+				}
+			}
+		})
+	}
+}
