--- a/internal/sidecar/errno.go
+++ b/internal/sidecar/errno.go
@@ -43,9 +43,10 @@
 	longestRetryPause = 100 * time.Millisecond
 )
 
-// steadyReader reads a connection. After a momentary failure of the system it reads again, until the connection's deadline
-// ends it: nothing was taken by a read that failed so. After any other failure it goes on failing: package bufio drops an
-// error behind the beginning of a line, and if the system told it only once the rest would be read as another line.
+// steadyReader reads a connection. After a momentary failure of the system it reads again, until the connection's
+// deadline ends it: nothing was taken by a read that failed so. After any other failure it goes on failing: package
+// bufio drops an error behind the beginning of a line, and if the system told it only once the rest would be read as
+// another line.
 type steadyReader struct {
 	conn   io.Reader
 	failed error // nil: none but momentary ones and the own deadline
--- a/internal/sidecar/errno_test.go
+++ b/internal/sidecar/errno_test.go
@@ -223,9 +223,9 @@
 	}
 }
 
-// What a client gets where a system call fails once and there is one server: a request that must not run twice goes on
-// where the trouble is this machine's, and is refused where it is the server's. It runs once or not at all. Refusals last
-// as long as their client waits, so one errno of each call and result stands for the others of it.
+// What a client gets where a system call fails once and there is one server: a request that must not run twice goes
+// on where the trouble is this machine's, and is refused where it is the server's. It runs once or not at all.
+// Refusals last as long as their client waits, so one errno of each call and result stands for the others of it.
 func TestAnswerAfterAnErrno(t *testing.T) {
 	type refusal struct {
 		call   string
@@ -283,8 +283,8 @@
 	}
 }
 
-// One dial that fails for this machine's trouble fails the attempt that came last; what is on its way serves the one that
-// has waited longer.
+// One dial that fails for this machine's trouble fails the attempt that came last; what is on its way serves the one
+// that has waited longer.
 func TestLocalFailureLeavesOtherWaiters(t *testing.T) {
 	b := newBackend(t, "a", ok)
 	cfg, err := newConf("127.0.0.1:1").load(t)
@@ -423,8 +423,8 @@
 	}
 }
 
-// A read fails once at any byte of an answer, also in the middle of a line of its head, and those behind it do not: after
-// a momentary failure the answer is whole, after any other it has broken off and is never taken for a shorter one.
+// A read fails once at any byte of an answer, also in the middle of a line of its head, and those behind it do not:
+// after a momentary failure the answer is whole, after any other it has broken off and is never taken for a shorter one.
 func TestReadErrnoAtEachByteOfAnAnswer(t *testing.T) {
 	const text = "HTTP/1.1 200 OK\r\nX-Server-Load: busy=0.5,rate=7\r\nContent-Length: 4\r\n\r\ndone"
 	for errno, want := range map[syscall.Errno]balance.Result{
