--- a/internal/sidecar/dial.go
+++ b/internal/sidecar/dial.go
@@ -112,7 +112,7 @@
 		return
 	}
 	head := &headConn{Conn: c}
-	left := &io.LimitedReader{R: &steadyReader{conn: head}}
+	left := &io.LimitedReader{R: head}
 	conn := &upConn{Conn: c, in: bufio.NewReader(left), left: left, head: head, up: up, since: time.Now()}
 	wanted := len(up.waiting) > 0
 	if wanted {
--- a/internal/sidecar/discovery.go
+++ b/internal/sidecar/discovery.go
@@ -437,12 +437,12 @@
 // reportingConn reports that bytes have come.
 type reportingConn struct {
 	net.Conn
-	from     *steadyReader // the connection
+	steady   *steadyReader
 	received func()
 }
 
 func (c reportingConn) Read(b []byte) (int, error) {
-	n, err := c.from.Read(b)
+	n, err := c.steady.read(c.Conn, b)
 	if n > 0 {
 		c.received()
 	}
@@ -460,7 +460,7 @@
 			return nil, err
 		}
 		if received, ok := ctx.Value(receivedKey{}).(func()); ok {
-			return reportingConn{conn, &steadyReader{conn: conn}, received}, nil
+			return reportingConn{conn, new(steadyReader), received}, nil
 		}
 		return conn, nil
 	}
--- a/internal/sidecar/errno.go
+++ b/internal/sidecar/errno.go
@@ -48,17 +48,16 @@
 // bufio drops an error behind the beginning of a line, and if the system told it only once the rest would be read as
 // another line.
 type steadyReader struct {
-	conn   io.Reader
 	failed error // nil: none but momentary ones and the own deadline
 }
 
-// Read returns the errors of the connection but for momentary ones.
-func (r *steadyReader) Read(p []byte) (int, error) {
+// read returns the errors of the connection but for momentary ones.
+func (r *steadyReader) read(conn io.Reader, p []byte) (int, error) {
 	if r.failed != nil {
 		return 0, r.failed
 	}
 	for pause := firstRetryPause; ; pause = min(2*pause, longestRetryPause) {
-		n, err := r.conn.Read(p)
+		n, err := conn.Read(p)
 		if n == 0 && momentaryErrnos.has(err) {
 			time.Sleep(pause)
 			continue
--- a/internal/sidecar/errno_test.go
+++ b/internal/sidecar/errno_test.go
@@ -1,6 +1,7 @@
 package sidecar
 
 import (
+	"bufio"
 	"context"
 	"errors"
 	"io"
@@ -477,3 +478,39 @@
 		})
 	}
 }
+
+// A read fails once at any byte of a client's request: the request is whole or none.
+func TestReadErrnoAtEachByteOfARequest(t *testing.T) {
+	const text = "POST /api HTTP/1.1\r\nHost: b\r\nX-Timeout-Ms: 1000\r\nContent-Length: 4\r\n\r\ndone"
+	for errno, whole := range map[syscall.Errno]bool{syscall.ECONNRESET: false, syscall.EINTR: true} {
+		t.Run(errno.Error(), func(t *testing.T) {
+			b := newBackend(t, "a", respond(text, true)) // it says to whoever calls what a client would
+			for n := range len(text) {
+				c, err := net.Dial("tcp", b.target.Endpoint)
+				if err != nil {
+					t.Fatal(err)
+				}
+				t.Cleanup(func() { c.Close() })
+				if _, err := io.WriteString(c, "GET / HTTP/1.1\r\nHost: b\r\n\r\n"); err != nil {
+					t.Fatal(err)
+				}
+				fail := failNth(int32(n+1), opError("read", errno))
+				client := &headConn{Conn: &faultyConn{TCPConn: c.(*net.TCPConn), byteAtATime: true, failRead: fail}}
+				client.SetReadDeadline(time.Now().Add(patience))
+				if got := wholeRequest(client); got != whole {
+					t.Errorf("at byte %d: a request was read: %v", n, got)
+				}
+			}
+		})
+	}
+}
+
+// wholeRequest reports whether a request with its body can be read.
+func wholeRequest(conn net.Conn) bool {
+	req, err := http.ReadRequest(bufio.NewReader(conn))
+	if err != nil {
+		return false
+	}
+	_, err = io.ReadAll(req.Body)
+	return err == nil
+}
--- a/internal/sidecar/framing.go
+++ b/internal/sidecar/framing.go
@@ -35,6 +35,7 @@
 // would be taken as a request of its own.
 type headConn struct {
 	net.Conn
+	steady steadyReader // of who reads: there is one at a time
 
 	mu    sync.Mutex // net/http also reads while a handler works
 	head  []byte
@@ -51,7 +52,7 @@
 	c.mu.Lock()
 	c.reads++
 	c.mu.Unlock()
-	n, err := c.Conn.Read(p)
+	n, err := c.steady.read(c.Conn, p)
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.reads--
