--- a/cmd/marblelane/lab_growth.go
+++ b/cmd/marblelane/lab_growth.go
@@ -18,6 +18,7 @@
 	DaySeconds        float64 `help:"Length of the simulated day." default:"20"`
 	Rate              float64 `help:"Requests a second of each sidecar." default:"20"`
 	Replaced          float64 `help:"Share of the servers that are replaced over the day." default:"0.6"`
+	Steps             int     `help:"Steps of a day in which they are replaced." default:"20"`
 	Rounds            int     `help:"Pairs of days of one real sidecar, of which the medians count." default:"3"`
 	JSON              bool    `help:"Print JSON in place of the table." name:"json"`
 	Quiet             bool    `help:"No progress on standard error."`
@@ -40,7 +41,8 @@
 		Program: path, Usual: lab.UsualGrowthSize, Large: lab.GrowthSize{Sidecars: c.Sidecars, Servers: c.Servers},
 		Length:    time.Duration(c.Seconds * float64(time.Second)),
 		DayLength: time.Duration(c.DaySeconds * float64(time.Second)),
-		Rate:      c.Rate, Connections: growthConnections, Replaced: c.Replaced, Rounds: c.Rounds,
+		Rate:      c.Rate, Connections: growthConnections, Replaced: c.Replaced, Steps: c.Steps,
+		Rounds: c.Rounds,
 	}
 	o.Simulated = lab.GrowthSizes{Usual: o.Usual, Large: o.Large}
 	if c.SimulatedSidecars > 0 {
--- a/internal/lab/growth.go
+++ b/internal/lab/growth.go
@@ -33,6 +33,7 @@
 	Rate         float64       // requests a second of each sidecar
 	Connections  int           // of the clients of the real sidecar
 	Replaced     float64       // share of the servers that are replaced in a day
+	Steps        int           // in which they are; as many as there are servers: one by one
 	Rounds       int           // pairs of days of the real sidecar; the median counts
 	Dir          string        // for the processes' files; empty: a temporary one that goes with the run
 	Progress     io.Writer     // nil: none
@@ -199,8 +200,8 @@
 		return fmt.Errorf("%d rounds: at least 1", o.Rounds)
 	case o.Length <= 0 || o.DayLength <= 0 || !(o.Rate > 0):
 		return errors.New("a length or the rate is not above 0")
-	case o.Connections < 1:
-		return fmt.Errorf("%d connections: at least 1", o.Connections)
+	case o.Connections < 1 || o.Steps < 1:
+		return fmt.Errorf("%d connections and %d steps: at least 1", o.Connections, o.Steps)
 	case !(o.Replaced >= 0 && o.Replaced <= 1):
 		return fmt.Errorf("share of servers replaced: %v is not between 0 and 1", o.Replaced)
 	}
--- a/internal/lab/growth_process.go
+++ b/internal/lab/growth_process.go
@@ -191,22 +191,29 @@
 	}
 }
 
-// replace lets one server after another drain and end, evenly over the day, while a new one takes its place.
+// replace lets servers drain and end in steps, evenly over the day, while new ones take their places.
 func (d *growthDay) replace(ctx context.Context, listed, replaced int) {
-	pause := d.o.Length / time.Duration(replaced+1)
-	for i := range replaced {
+	steps := min(d.o.Steps, replaced)
+	pause := d.o.Length / time.Duration(steps+1)
+	for step := range steps {
 		if !sleep(ctx, pause) {
 			return
 		}
-		fresh := d.r.entry(listed+i, agent.Ready, time.Now().UnixMilli())
-		old := d.r.entry(i*listed/replaced, agent.Terminating, 0)
-		d.agents.Publish(fresh, 0, 0)
-		d.agents.Publish(old, 0, 0)
-		old.State = agent.Gone
-		d.agents.Publish(old, growthGoneIn, 0)
+		for i := step * replaced / steps; i < (step+1)*replaced/steps; i++ {
+			d.replaceOne(i*listed/replaced, listed+i)
+		}
 	}
 }
 
+// replaceOne tells of a new server and that another one drains, and a little later that this one has gone.
+func (d *growthDay) replaceOne(number, fresh int) {
+	d.agents.Publish(d.r.entry(fresh, agent.Ready, time.Now().UnixMilli()), 0, 0)
+	old := d.r.entry(number, agent.Terminating, 0)
+	d.agents.Publish(old, 0, 0)
+	old.State = agent.Gone
+	d.agents.Publish(old, growthGoneIn, 0)
+}
+
 func (d *growthDay) close() error {
 	d.r.nursery.Close()
 	var err error
--- a/internal/lab/growth_test.go
+++ b/internal/lab/growth_test.go
@@ -69,6 +69,7 @@
 		"0 rounds":                func(o *GrowthOptions) { o.Rounds = 0 },
 		"rate is not above 0":     func(o *GrowthOptions) { o.Rate = 0 },
 		"0 connections":           func(o *GrowthOptions) { o.Connections = 0 },
+		"0 steps":                 func(o *GrowthOptions) { o.Steps = 0 },
 		"1.5 is not between":      func(o *GrowthOptions) { o.Replaced = 1.5 },
 		"a length or the rate is": func(o *GrowthOptions) { o.DayLength = 0 },
 	} {
@@ -86,7 +87,8 @@
 	return GrowthOptions{Program: silverreel, Usual: UsualGrowthSize, Large: LargestGrowthSize,
 		Simulated: GrowthSizes{Usual: GrowthSize{Sidecars: 15, Servers: 10},
 			Large: GrowthSize{Sidecars: 45, Servers: 160}},
-		Length: 2 * time.Second, DayLength: 8 * time.Second, Rate: 20, Connections: 4, Replaced: 0.05, Rounds: 1}
+		Length: 2 * time.Second, DayLength: 8 * time.Second, Rate: 20, Connections: 4, Replaced: 0.6,
+		Steps: 10, Rounds: 1}
 }
 
 // A sidecar before 3,200 servers stays within the growth table of the acceptance page.
