--- a/internal/sidecar/pool.go
+++ b/internal/sidecar/pool.go
@@ -157,8 +157,9 @@
 	var state peekResult
 	// Control, as a reader may be waiting on the connection.
 	err = raw.Control(func(fd uintptr) {
-		state = peekWith(func(first []byte) (int, error) {
-			n, _, err := syscall.Recvfrom(int(fd), first, syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
+		var first [1]byte
+		state = peekWith(func() (int, error) {
+			n, _, err := syscall.Recvfrom(int(fd), first[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
 			return n, err
 		})
 	})
@@ -168,10 +169,10 @@
 	return state
 }
 
-// peekWith looks with a call that gives the first byte, if there is any, and leaves it to be read.
-func peekWith(receive func(first []byte) (int, error)) peekResult {
+// peekWith looks with a call that tells how many bytes there are, up to one, and leaves them to be read.
+func peekWith(receive func() (int, error)) peekResult {
 	for range mostPeeks {
-		n, err := receive(make([]byte, 1))
+		n, err := receive()
 		switch {
 		case err == syscall.EINTR:
 			continue
--- a/internal/sidecar/pool_test.go
+++ b/internal/sidecar/pool_test.go
@@ -402,7 +402,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			next := 0
-			got := peekWith(func([]byte) (int, error) {
+			got := peekWith(func() (int, error) {
 				l := test.looks[next]
 				next++
 				return l.n, l.err
