--- a/internal/lab/faults.go
+++ b/internal/lab/faults.go
@@ -170,6 +170,11 @@
 		return once(func(ctx context.Context) error { return r.drainServers(ctx, p.Servers, f.Stay) })
 	case "replace":
 		return once(func(ctx context.Context) error { return r.replaceServers(ctx, p) })
+	case "server-clock":
+		return pair(func(on bool) error {
+			r.serverClock.Store(int64(size(on) * 1000))
+			return nil
+		})
 	case "vanish":
 		return pair(func(on bool) error { return r.vanish(p.Servers, on) })
 	case "burst":
@@ -516,7 +521,7 @@
 	if err := r.servers[i].Boot(); err != nil {
 		return err
 	}
-	r.boots[i].Store(time.Now().UnixMilli())
+	r.boots[i].Store(time.Now().UnixMilli() + r.serverClock.Load())
 	r.publish(i, agent.Ready, r.s.Discovery.Add)
 	return nil
 }
--- a/internal/lab/invariant/cold.go
+++ b/internal/lab/invariant/cold.go
@@ -1,6 +1,7 @@
 package invariant
 
 import (
+	"maps"
 	"math"
 	"time"
 
@@ -35,7 +36,7 @@
 // starting is a server that is cold.
 type starting struct {
 	at      time.Duration
-	earlier int64          // the latest start that was told before this one
+	earlier map[int64]bool // starts that were told before this one
 	told    map[int32]bool // sidecars that know of this start
 	calls   []record.Event // in the last window
 	over    bool           // it was sent too much once
@@ -48,15 +49,18 @@
 		return
 	}
 	cold := map[int32]*starting{}
-	latest := map[int32]int64{} // the latest start of each server that was told
+	starts := map[int32]map[int64]bool{} // those of each server that were told
 	for _, e := range c.events {
 		s := cold[e.Server]
 		switch {
 		case e.Kind == record.ServerState && e.Note == Booted:
-			cold[e.Server] = &starting{at: e.T, earlier: latest[e.Server], told: map[int32]bool{}}
+			cold[e.Server] = &starting{at: e.T, earlier: maps.Clone(starts[e.Server]), told: map[int32]bool{}}
 		case e.Kind == record.Told:
-			latest[e.Server] = max(latest[e.Server], e.N)
-			if s != nil && e.N > s.earlier {
+			if starts[e.Server] == nil {
+				starts[e.Server] = map[int64]bool{}
+			}
+			starts[e.Server][e.N] = true
+			if s != nil && e.N != 0 && !s.earlier[e.N] { // it may be smaller: the wall clock is stepped
 				s.told[e.Sidecar] = true
 			}
 		case e.Kind == record.LastByte && s != nil && e.T < s.at+f.Time:
--- a/internal/lab/invariant/cold_test.go
+++ b/internal/lab/invariant/cold_test.go
@@ -20,15 +20,20 @@
 		calls    int
 		unknown  int // of them from a sidecar that does not know
 		broken   bool
+		before   int64 // the start that was told before; this one is 5
 	}{
-		"few":                {2, 41, 0, false}, // N = 24: 24 + 14.7 + 3
-		"a few too many":     {2, 42, 0, true},
-		"many":               {4, 63, 0, false}, // N = 48: 48 + 13.9 + 2
-		"many too many":      {4, 64, 0, true},
-		"mostly known":       {4, 64, 21, true},
-		"a third is unknown": {4, 66, 22, false},
+		"few":                {2, 41, 0, false, 0}, // N = 24: 24 + 14.7 + 3
+		"a few too many":     {2, 42, 0, true, 0},
+		"many":               {4, 63, 0, false, 0}, // N = 48: 48 + 13.9 + 2
+		"many too many":      {4, 64, 0, true, 0},
+		"mostly known":       {4, 64, 21, true, 0},
+		"a third is unknown": {4, 66, 22, false, 0},
+		"few, a step back":   {2, 41, 0, false, 9},
+		"many, a step back":  {2, 42, 0, true, 9},
+		"an old list":        {2, 42, 0, false, 5},
 	} {
 		events := []record.Event{process(0, Started), process(1, Serving), told(2, "Ready"),
+			{T: millis(5), Kind: record.Told, Server: 3, N: c.before, Note: "Ready"},
 			{T: millis(10), Kind: record.ServerState, Server: 3, Note: Booted},
 			{T: millis(20), Kind: record.Told, Server: 3, N: 5, Note: "Ready"},
 		}
--- a/internal/lab/lab.go
+++ b/internal/lab/lab.go
@@ -135,6 +135,8 @@
 	tampers  []*tamper
 	load     *client.Load
 	boots    []atomic.Int64 // when each server started last, Unix ms; 0: before the run
+	// serverClock is how many ms the wall clock is off by which servers' starts are told.
+	serverClock atomic.Int64
 
 	overheardBy atomic.Pointer[repeater]
 	repeated    atomic.Int64
--- a/internal/lab/lab_test.go
+++ b/internal/lab/lab_test.go
@@ -146,7 +146,7 @@
 		"canary-good":        false, "canary-leader-killed": false, "canary-cut-off": false,
 		"audit-sidecars-killed": false, "compat-rolling-upgrade": false, "compat-shut-out": false,
 		"client-gone": true, "client-gone-pipelined": true, "ready-silent": true, "watch-reset": false, "watch-whole": false, "watch-hangup": false,
-		"term-idle-request": true, "accept-fails": true,
+		"term-idle-request": true, "accept-fails": true, "clock-sidecar": false, "clock-all": false,
 		"list-empty": false, "list-half": false, "list-freeze": false, "list-start": true,
 	} {
 		t.Run(name, func(t *testing.T) {
--- a/internal/lab/scenario/scenario.go
+++ b/internal/lab/scenario/scenario.go
@@ -293,6 +293,7 @@
 		"sidecar-upgrade": {sidecars: true},
 		"sidecar-clock":   {sidecars: true, lasts: true, sized: true, size: [2]float64{-1e6, 1e6}},
 		"sidecar-call":    {sidecars: true, lasts: true},
+		"server-clock":    {lasts: true, sized: true, size: [2]float64{-1e6, 1e6}},
 		"list-late":       {sidecars: true, lasts: true, sized: true, size: [2]float64{0, 600}},
 		"list-silent":     {sidecars: true, lasts: true},
 		"list-hush":       {sidecars: true},
