--- a/internal/lab/registry.go
+++ b/internal/lab/registry.go
@@ -661,13 +661,15 @@
 		}
 		return func() error { return signal(syscall.SIGCONT) }, signal(syscall.SIGSTOP)
 	case "copy-disk-full":
-		for _, c := range chosen {
-			if err := c.process().FillDisk(4096); err != nil {
-				return nil, err
+		failed, err := rr.failDisks(chosen, func() error {
+			for _, c := range chosen {
+				if err := c.process().FillDisk(4096); err != nil {
+					return err
+				}
 			}
-		}
-		failed := rr.failDisks(chosen)
-		return func() error { return rr.healDisks(ctx, failed, func() error { return makeRoom(failed) }) }, nil
+			return nil
+		})
+		return func() error { return rr.healDisks(ctx, failed, func() error { return makeRoom(failed) }) }, err
 	case "copy-disk-lost":
 		for _, c := range chosen {
 			c.process().Kill()
@@ -682,8 +684,11 @@
 		return rr.plant(chosen, fault.NewSet(time.Duration(p.Fault.Size*float64(time.Second)), 0, ""))
 	case "copy-sync-kept", "copy-sync-lost", "defect-unheard-disk":
 		sync := map[string]string{"copy-sync-kept": fault.SyncKept, "copy-sync-lost": fault.SyncLost, "defect-unheard-disk": fault.SyncUnheard}
-		heal, err := rr.plant(chosen, fault.NewSet(0, 0, sync[p.Fault.Kind]))
-		failed := rr.failDisks(chosen)
+		var heal func() error
+		failed, err := rr.failDisks(chosen, func() (err error) {
+			heal, err = rr.plant(chosen, fault.NewSet(0, 0, sync[p.Fault.Kind]))
+			return err
+		})
 		return func() error { return rr.healDisks(ctx, failed, heal) }, err
 	case "copy-cut":
 		return func() error { return rr.cutOff(chosen, p.Fault.Way, false) }, rr.cutOff(chosen, p.Fault.Way, true)
@@ -749,18 +754,25 @@
 type diskFailure struct {
 	*registryCopy
 	proc  *copies.Copy // as it ran when the disk began to fail
-	said  int          // how often its log had told of a failed disk by then
-	since int64        // its revision then
+	said  int          // how often its log had told of a failed disk before
+	since int64        // its revision once the disk failed
 	until int64        // its revision when the disk works again; 0: it did not say
 }
 
-// failDisks notes how copies are whose disks fail from now on.
-func (rr *registryRun) failDisks(chosen []*registryCopy) []*diskFailure {
+// failDisks makes the disks of copies fail, and notes how the copies are: what their logs have said is from before, as
+// they may notice at once, and their revisions are from after.
+func (rr *registryRun) failDisks(chosen []*registryCopy, fail func() error) ([]*diskFailure, error) {
 	var out []*diskFailure
 	for _, c := range chosen {
-		out = append(out, &diskFailure{registryCopy: c, proc: c.process(), said: c.diskFailures(), since: rr.revOf(c)})
+		out = append(out, &diskFailure{registryCopy: c, proc: c.process(), said: c.diskFailures()})
 	}
-	return out
+	if err := fail(); err != nil {
+		return nil, err
+	}
+	for _, f := range out {
+		f.since = rr.revOf(f.registryCopy)
+	}
+	return out, nil
 }
 
 // diskFailures is how often the copy's log tells of a disk that takes no more.
