--- a/internal/sidecar/kill_time_test.go
+++ b/internal/sidecar/kill_time_test.go
@@ -366,8 +366,8 @@
 	noMoreGoroutines(t, before)
 }
 
-// playShutdowns ends one sidecar for each checkpoint at which it is held up, and gives those whose failures say nothing,
-// as the machine was late on top of the hold. In the last round they count all the same.
+// playShutdowns ends one sidecar for each checkpoint at which it is held up, and gives those whose failures say nothing
+// because the machine was late on top of the hold. In the last round they count all the same.
 func playShutdowns(t *testing.T, longest time.Duration, held []checkpoint, last bool) (again []checkpoint) {
 	t.Helper()
 	var all []*shutdown
