--- a/internal/lab/growth.go
+++ b/internal/lab/growth.go
@@ -69,7 +69,7 @@
 	Simulated GrowthSizes  `json:"simulated"`
 	Rows      []GrowthRow  `json:"rows"`
 	Rounds    []GrowthPair `json:"rounds"`
-	Days      []GrowthPair `json:"days"` // of the simulated fleet
+	Days      []GrowthDay  `json:"days"` // of simulated fleets
 }
 
 // GrowthPair is what the two sizes needed in one round.
@@ -164,28 +164,32 @@
 		}
 		g.Rounds = append(g.Rounds, pair)
 	}
-	day, err := simulatedGrowth(ctx, &o)
-	if err != nil {
+	var err error
+	if g.Days, err = simulatedGrowth(ctx, &o); err != nil {
 		return nil, fmt.Errorf("growth: %w", err)
 	}
-	g.Days = append(g.Days, day)
 	g.Rows = growthRows(g)
 	return g, nil
 }
 
-// growthRows holds the medians of the processes and the simulated day against the bounds that concern them.
+// growthRows holds the medians of the processes and the simulated days against the bounds that concern them.
 func growthRows(g *Growth) []GrowthRow {
 	var rows []GrowthRow
 	process := medianPair(g.Rounds)
-	fleet := medianPair(g.Days)
 	for i := range growthBounds {
 		b := &growthBounds[i]
 		rows = append(rows, b.row("one process", process, g.Large.Servers))
-		// A simulated sidecar has no processor time, memory, descriptors or lists in bytes.
-		if b.figure(&fleet.Usual) > 0 {
-			rows = append(rows, b.row("simulated fleet", fleet, g.Simulated.Large.Servers))
+		for k := range g.Days {
+			// A simulated sidecar has no processor time, memory, descriptors or lists in bytes.
+			if day := &g.Days[k]; b.figure(&day.Usual) > 0 {
+				rows = append(rows, b.row(day.Name, day.GrowthPair, g.Simulated.Large.Servers))
+			}
 		}
 	}
+	for k := range g.Days {
+		broken := float64(len(g.Days[k].Broken))
+		rows = append(rows, GrowthRow{What: "rules broken", Of: g.Days[k].Name, Large: broken, Met: broken == 0})
+	}
 	return rows
 }
 
--- a/internal/lab/growth_fleet.go
+++ b/internal/lab/growth_fleet.go
@@ -5,7 +5,6 @@
 	"fmt"
 	"math"
 
-	"marblelane/internal/lab/measure"
 	"marblelane/internal/lab/scenario"
 	"marblelane/internal/lab/simulate"
 )
@@ -48,30 +47,68 @@
 `
 
 const (
-	growthLoad  = 0.4 // of the capacity of all servers that is asked for
+	growthLoad  = 0.6 // of the capacity of all servers that is asked for
 	growthCores = 16  // of a server of the usual size
 )
 
-// simulatedGrowth plays the day with each size.
-func simulatedGrowth(ctx context.Context, o *GrowthOptions) (GrowthPair, error) {
-	var pair GrowthPair
-	var err error
-	if pair.Usual, err = simulateGrowthDay(ctx, o, o.Simulated.Usual); err != nil {
-		return pair, err
+// GrowthDay is what a day on the simulated clock needed of each sidecar.
+type GrowthDay struct {
+	Name string `json:"name"`
+	GrowthPair
+	Broken []string `json:"broken"` // rules that were broken at the large size
+}
+
+// growthTrouble is what goes wrong on a day.
+type growthTrouble struct {
+	name   string
+	faults func(o *GrowthOptions) []scenario.Fault
+}
+
+// growthTroubles are the days that are simulated.
+var growthTroubles = []growthTrouble{
+	{"fleet, replaced", func(o *GrowthOptions) []scenario.Fault {
+		if o.Replaced == 0 {
+			return nil
+		}
+		return []scenario.Fault{{At: scenario.Duration(o.DayLength / 4), Kind: "replace",
+			Servers: fmt.Sprintf("%g%%", 100*o.Replaced)}}
+	}},
+	{"fleet, zone lost", func(o *GrowthOptions) []scenario.Fault {
+		return []scenario.Fault{{At: scenario.Duration(o.DayLength / 4), For: scenario.Duration(o.DayLength / 4),
+			Kind: "restart", Servers: "zone:north"}}
+	}},
+}
+
+// simulatedGrowth plays each day with each size.
+func simulatedGrowth(ctx context.Context, o *GrowthOptions) ([]GrowthDay, error) {
+	var days []GrowthDay
+	for i := range growthTroubles {
+		trouble := &growthTroubles[i]
+		day := GrowthDay{Name: trouble.name}
+		var err error
+		if day.Usual, _, err = simulateGrowthDay(ctx, o, o.Simulated.Usual, trouble); err != nil {
+			return nil, err
+		}
+		if day.Large, day.Broken, err = simulateGrowthDay(ctx, o, o.Simulated.Large, trouble); err != nil {
+			return nil, err
+		}
+		days = append(days, day)
 	}
-	pair.Large, err = simulateGrowthDay(ctx, o, o.Simulated.Large)
-	return pair, err
+	return days, nil
 }
 
-func simulateGrowthDay(ctx context.Context, o *GrowthOptions, size GrowthSize) (GrowthNeed, error) {
+// simulateGrowthDay also gives the rules that were broken.
+func simulateGrowthDay(ctx context.Context, o *GrowthOptions, size GrowthSize, trouble *growthTrouble) (GrowthNeed,
+	[]string, error) {
 	s, err := growthDayOf(o, size)
 	if err != nil {
-		return GrowthNeed{}, err
+		return GrowthNeed{}, nil, err
 	}
+	s.Faults = trouble.faults(o)
 	plan := s.Plan(1)
 	run, err := simulate.Play(ctx, plan, simulate.Options{})
 	if err != nil {
-		return GrowthNeed{}, fmt.Errorf("%d sidecars, %d servers: %w", size.Sidecars, size.Servers, err)
+		return GrowthNeed{}, nil, fmt.Errorf("%d sidecars, %d servers: %w", size.Sidecars, size.Servers, err)
 	}
 	opened := 0
 	for i := range run.Sends {
@@ -79,11 +116,12 @@
 			opened++
 		}
 	}
-	figures := &measure.Of(plan, run.Events, run.Worked).Figures
+	report := newReport(plan, run.Events, run.Worked, nil, nil)
+	figures, broken := &report.Result.Figures, report.Verdict.Broken()
 	need := GrowthNeed{Connections: float64(opened) / float64(size.Sidecars), Served: figures.InAim}
-	o.progress("simulated, %d sidecars, %d servers: %d requests, %.3f served, %.1f connections each, %.2f attempts a try",
-		size.Sidecars, size.Servers, figures.Requests, need.Served, need.Connections, figures.Attempts)
-	return need, nil
+	o.progress("%s, %d sidecars, %d servers: %d requests, %.3f served, %.1f connections each, %.2f attempts, broken %v",
+		trouble.name, size.Sidecars, size.Servers, figures.Requests, need.Served, need.Connections, figures.Attempts, broken)
+	return need, broken, nil
 }
 
 // growthDayOf is the day with a fleet of this size. The traffic of a sidecar and the capacity of all servers together,
@@ -106,10 +144,6 @@
 	kind.Cores = max(1, int(math.Round(growthCores*size.sidecarsPerServer()/usual.sidecarsPerServer())))
 	speed := o.Rate * work / growthLoad * size.sidecarsPerServer() / float64(kind.Cores)
 	kind.Speed = scenario.Range{speed, speed}
-	if o.Replaced > 0 {
-		s.Faults = append(s.Faults, scenario.Fault{At: scenario.Duration(o.DayLength / 4), Kind: "replace",
-			Servers: fmt.Sprintf("%g%%", 100*o.Replaced)})
-	}
 	return s, nil
 }
 
--- a/internal/lab/growth_test.go
+++ b/internal/lab/growth_test.go
@@ -50,13 +50,13 @@
 		"two days of three are":   {[]GrowthNeed{far, usual, far}, len(growthBounds)},
 	} {
 		t.Run(name, func(t *testing.T) {
-			g := &Growth{Large: GrowthSize{Servers: 1000}, Days: []GrowthPair{{
-				Usual: GrowthNeed{Connections: 1, Served: 1}, Large: GrowthNeed{Connections: 1, Served: 1}}}}
+			g := &Growth{Large: GrowthSize{Servers: 1000}, Days: []GrowthDay{{GrowthPair: GrowthPair{
+				Usual: GrowthNeed{Connections: 1, Served: 1}, Large: GrowthNeed{Connections: 1, Served: 1}}}}}
 			for _, large := range c.large {
 				g.Rounds = append(g.Rounds, GrowthPair{Usual: usual, Large: large})
 			}
 			g.Rows = growthRows(g)
-			assert.Len(t, g.Rows, len(growthBounds)+2)
+			assert.Len(t, g.Rows, len(growthBounds)+3)
 			assert.Len(t, g.Broken(), c.broken)
 		})
 	}
@@ -96,7 +96,7 @@
 	g, err := MeasureGrowth(t.Context(), quickGrowth())
 	require.NoError(t, err)
 	for _, r := range g.Rows {
-		assert.Positive(t, r.Usual, r.What)
+		assert.True(t, r.Usual > 0 || r.What == "rules broken", r.What)
 		assert.True(t, r.Met, "%+v", r)
 	}
 }
