--- a/internal/lab/growth_process.go
+++ b/internal/lab/growth_process.go
@@ -251,8 +251,8 @@
 			}
 		},
 	}
-	for range count {
-		l, err := net.Listen("tcp4", "127.0.0.1:0")
+	for n := range count {
+		l, err := net.Listen("tcp4", growthServerHost(n)+":0")
 		if err != nil {
 			return nil, errors.Join(fmt.Errorf("server %d of %d: %w", len(s.listeners)+1, count, err), s.close())
 		}
@@ -262,6 +262,10 @@
 	return s, nil
 }
 
+// growthServerHost is an address that nobody else uses: what connects there was told of this server. On 127.0.0.1 so many
+// ports would also get what is meant for others that had them before.
+func growthServerHost(server int) string { return fmt.Sprintf("127.16.%d.%d", server>>8, server&255) }
+
 func (s *growthServers) addr(server int) string { return s.listeners[server].Addr().String() }
 
 func (s *growthServers) close() error {
