--- a/internal/membership/group_test.go
+++ b/internal/membership/group_test.go
@@ -277,7 +277,7 @@
 func TestRestart(t *testing.T) {
 	t.Parallel()
 	for _, same := range []bool{false, true} {
-		for _, back := range []int64{0, 1_000_000} {
+		for _, back := range []int64{0, 2_000, 31_000, 1_000_000, 3_600_000} {
 			t.Run(fmt.Sprintf("same address %v, clock back %d", same, back), func(t *testing.T) {
 				t.Parallel()
 				f := newFleet(t)
