--- a/balance/property_test.go
+++ b/balance/property_test.go
@@ -113,7 +113,9 @@
 		}
 		for i := range o.tries {
 			if a := &o.tries[i]; a.live && w.rnd.Intn(3) > 0 {
-				res := []Result{OK, OK, OK, OK, Failed, Full, ConnectFailed, Reset, TimedOut, Broken, LocalFailure, Unreachable}[w.rnd.Intn(12)]
+				res := []Result{
+					OK, OK, OK, OK, Failed, Full, ConnectFailed, Reset, TimedOut, Broken, LocalFailure, Unreachable,
+				}[w.rnd.Intn(12)]
 				a.live, a.clean, a.unbegun = false, res.NeverRan(), res == LocalFailure
 				o.answered = o.answered || res == OK
 				w.handle(Outcome{
--- a/internal/sidecar/discovery.go
+++ b/internal/sidecar/discovery.go
@@ -200,8 +200,8 @@
 
 // watch follows changes at a list service, in place of the watch before. Its failure is reported once. The module then
 // pauses before it asks for the next watch; a pause is for the address that failed, so if discovery moves meanwhile the
-// new address is called at once, until the module's own next watch takes over. Where this machine could not make the call
-// nobody was asked: no service has failed, and the call is made again soon.
+// new address is called at once, until the module's own next watch takes over. Where this machine could not make the
+// call nobody was asked: no service has failed, and the call is made again soon.
 func (d *discovery) watch(ctx context.Context, source int) {
 	d.stop()
 	ctx, d.stop = context.WithCancel(ctx)
@@ -223,7 +223,8 @@
 	})
 }
 
-// retryFollow follows a list service, and begins again while this machine cannot make the call. It gives what follow does.
+// retryFollow follows a list service, and begins again while this machine cannot make the call. It gives what follow
+// does.
 func (d *discovery) retryFollow(ctx context.Context, source int) (context.Context, error) {
 	for failures := 0; ; failures++ {
 		here, err := d.follow(ctx, source)
--- a/internal/sidecar/errno_test.go
+++ b/internal/sidecar/errno_test.go
@@ -426,7 +426,8 @@
 }
 
 // A read fails once at any byte of an answer, also in the middle of a line of its head, and those behind it do not:
-// after a momentary failure the answer is whole, after any other it has broken off and is never taken for a shorter one.
+// after a momentary failure the answer is whole, after any other it has broken off and is never taken for a shorter
+// one.
 func TestReadErrnoAtEachByteOfAnAnswer(t *testing.T) {
 	const text = "HTTP/1.1 200 OK\r\nX-Server-Load: busy=0.5,rate=7\r\nContent-Length: 4\r\n\r\ndone"
 	for errno, want := range map[syscall.Errno]balance.Result{
