--- a/internal/lab/agent/agent.go
+++ b/internal/lab/agent/agent.go
@@ -191,9 +191,14 @@
 
 // Publish tells all agents of a change after its notice, the last one a spread later than the first.
 func (a *Agents) Publish(e Entry, notice, spread time.Duration) {
+	a.PublishAll([]Entry{e}, notice, spread)
+}
+
+// PublishAll tells all agents of changes that come together, in their order.
+func (a *Agents) PublishAll(entries []Entry, notice, spread time.Duration) {
 	a.mu.Lock()
-	a.rev++
-	rev := a.rev
+	first := a.rev + 1
+	a.rev += int64(len(entries))
 	a.mu.Unlock()
 	for i, v := range a.views {
 		wait := notice
@@ -204,8 +209,10 @@
 		wait += v.delay
 		v.mu.Unlock()
 		a.after(wait, func() {
-			v.set(e, rev)
-			a.countAsTold(v, e, rev)
+			for k, e := range entries {
+				v.set(e, first+int64(k))
+				a.countAsTold(v, e, first+int64(k))
+			}
 		})
 	}
 }
--- a/internal/lab/growth_process.go
+++ b/internal/lab/growth_process.go
@@ -44,7 +44,7 @@
 const (
 	growthWork   = 5 * time.Millisecond // of a server for each request
 	growthSample = 50 * time.Millisecond
-	growthGoneIn = 400 * time.Millisecond // from the notice that a server drains until its end
+	growthGoneIn = 400 * time.Millisecond // from the notice that a server drains until its end, at most
 )
 
 // growthDay is a day under way.
@@ -101,7 +101,24 @@
 	if err != nil {
 		return need, err
 	}
-	return d.play(ctx, p, size.Servers, replaced)
+	if need, err = d.play(ctx, p, size.Servers, replaced); err != nil {
+		return need, err
+	}
+	if told := d.toldGone(); told < replaced {
+		return need, fmt.Errorf("the sidecar was told of %d of %d servers that ended", told, replaced)
+	}
+	return need, nil
+}
+
+// toldGone is how many servers the sidecar was told to be gone.
+func (d *growthDay) toldGone() int {
+	gone := map[int32]bool{}
+	for _, e := range d.r.log.Events() {
+		if e.Kind == record.Told && e.Note == agent.Gone {
+			gone[e.Server] = true
+		}
+	}
+	return len(gone)
 }
 
 // startDiscovery tells of the first servers of the plan.
@@ -194,26 +211,27 @@
 // replace lets servers drain and end in steps, evenly over the day, while new ones take their places.
 func (d *growthDay) replace(ctx context.Context, listed, replaced int) {
 	steps := min(d.o.Steps, replaced)
-	pause := d.o.Length / time.Duration(steps+1)
+	began := time.Now()
 	for step := range steps {
-		if !sleep(ctx, pause) {
+		due := began.Add(d.o.Length * time.Duration(step+1) / time.Duration(steps+4))
+		if !sleep(ctx, time.Until(due)) {
 			return
 		}
+		var changed, gone []agent.Entry
 		for i := step * replaced / steps; i < (step+1)*replaced/steps; i++ {
-			d.replaceOne(i*listed/replaced, listed+i)
+			old := d.r.entry(i*listed/replaced, agent.Terminating, 0)
+			changed = append(changed, d.r.entry(listed+i, agent.Ready, time.Now().UnixMilli()), old)
+			old.State = agent.Gone
+			gone = append(gone, old)
+		}
+		d.agents.PublishAll(changed, 0, 0)
+		if !sleep(ctx, min(growthGoneIn, d.o.Length/time.Duration(2*steps+4))) {
+			return
 		}
+		d.agents.PublishAll(gone, 0, 0)
 	}
 }
 
-// replaceOne tells of a new server and that another one drains, and a little later that this one has gone.
-func (d *growthDay) replaceOne(number, fresh int) {
-	d.agents.Publish(d.r.entry(fresh, agent.Ready, time.Now().UnixMilli()), 0, 0)
-	old := d.r.entry(number, agent.Terminating, 0)
-	d.agents.Publish(old, 0, 0)
-	old.State = agent.Gone
-	d.agents.Publish(old, growthGoneIn, 0)
-}
-
 func (d *growthDay) close() error {
 	d.r.nursery.Close()
 	var err error
