--- a/balance/api.go
+++ b/balance/api.go
@@ -107,7 +107,7 @@
 
 	// Lists is how many list services can be asked, in order of preference; 0 and 1: one, which is taken at its word.
 	Lists       int
-	DoubtShare  float64 // a whole list that leaves out more than this share of the servers in use is doubted; 0: none is
+	DoubtShare  float64 // a whole list that leaves out more than this share of the servers in use is doubted; 0: none
 	StaleAfter  float64 // from this age of the list on outcomes count more than it; 0: never
 	AnswerSlack float64 // an answer this long after the client's deadline still counts
 
@@ -176,15 +176,15 @@
 // End says that this process is about to go, before its requests' time is over: each needs its answer now.
 type End struct{}
 
-// ClockStepped says that the wall clock was stepped, on which lists tell the starts of servers. Before the first of them
-// it shows the time that events are handled at.
+// ClockStepped says that the wall clock was stepped, on which lists tell the starts of servers. Before the first of
+// them it shows the time that events are handled at.
 type ClockStepped struct {
 	Offset float64 // ms by which the wall clock is ahead of the time of events from now on; negative: behind it
 }
 
-// Sharers says how many processes of the fleet share what it allows together (docs/membership.md). Until the first of
+// FleetSize says how many processes of the fleet share what it allows together (docs/membership.md). Until the first of
 // them comes, as many as Config.Peers names do.
-type Sharers struct {
+type FleetSize struct {
 	Known, Heard int  // not proved gone, and of these heard of now; this one is among both
 	Admitted     bool // all that are known know of this one
 }
@@ -228,8 +228,8 @@
 	Cancelled
 	Moot
 	Broken // the connection broke before the whole request was written; the process may well run
-	// LocalFailure says that this machine could not begin the attempt: it lacks a socket, a port, a route or memory, or a
-	// filter of its own forbids it. It tells nothing of the server and uses up no attempt.
+	// LocalFailure says that this machine could not begin the attempt: it lacks a socket, a port, a route or memory, or
+	// a filter of its own forbids it. It tells nothing of the server and uses up no attempt.
 	LocalFailure
 	Unreachable // the network reports that there is no way to the server; the process may well run
 )
@@ -276,8 +276,8 @@
 	Up      bool
 }
 
-// Reached says that a connection to a server came up that no attempt waits for any more.
-type Reached struct{ Server ServerID }
+// ConnectionReady says that a connection to a server came up that no attempt waits for any more.
+type ConnectionReady struct{ Server ServerID }
 
 // Sharing says that this sidecar now consists of so many processes with a balancer each: during an upgrade, the
 // one that goes and the one that comes.
@@ -294,14 +294,14 @@
 // Route is what the requests of a tenant prefer. In its base and its canary the ordinary way of picking holds; servers
 // outside are for what those cannot take. While there is a canary the base leaves its servers out.
 type Route struct {
-	Tenant  int    // as Request has it; -1: all requests, where the settings name no tenants
-	Classes []int  // those that may go to the canary; empty: all
-	Base    Subset // preferred by all that do not go to the canary
-	Canary  Subset
-	Share   float64 // of the requests that prefer the canary, 0 to 1
-	ID      uint64  // names the canary over its whole life; 0: there is none
-	Purse   bool    // an attempt to the canary needs a unit of its purse
-	Late    bool    // an answer after the aim is a failure of the canary
+	Tenant   int    // as Request has it; -1: all requests, where the settings name no tenants
+	Classes  []int  // those that may go to the canary; empty: all
+	Base     Subset // preferred by all that do not go to the canary
+	Canary   Subset
+	Share    float64 // of the requests that prefer the canary, 0 to 1
+	ID       uint64  // names the canary over its whole life; 0: there is none
+	Budgeted bool    // an attempt to the canary needs a unit of its purse
+	Late     bool    // an answer after the aim is a failure of the canary
 }
 
 // Subset selects servers: those that match each list that is not empty. The zero Subset is all.
@@ -310,19 +310,19 @@
 	IDs                 []ServerID
 }
 
-// Permit says until when canaries may be acted on: after it this sidecar acts on the bases alone.
-type Permit struct{ Until float64 }
+// CanaryLease says until when canaries may be acted on: after it this sidecar acts on the bases alone.
+type CanaryLease struct{ Until float64 }
 
-// Grant says how many units this process has been given for a canary since its start, in all, and how many it may
+// BudgetGrant says how many units this process has been given for a canary since its start, in all, and how many it may
 // keep that no attempt needs: what is beyond is given back.
-type Grant struct {
+type BudgetGrant struct {
 	ID    uint64
 	Units int64
 	Keep  int64
 }
 
-// HangUp says that the client is gone; no answer is owed.
-type HangUp struct{ Request RequestID }
+// ClientGone says that the client is gone; no answer is owed.
+type ClientGone struct{ Request RequestID }
 
 // Timer is a timer set by SetTimer that came due.
 type Timer struct{ Token uint64 }
@@ -341,32 +341,32 @@
 	Data []byte
 }
 
-func (ServerList) event()   {}
-func (Request) event()      {}
-func (Outcome) event()      {}
-func (Started) event()      {}
-func (HangUp) event()       {}
-func (Timer) event()        {}
-func (ProbeResult) event()  {}
-func (Message) event()      {}
-func (Sharing) event()      {}
-func (Sharers) event()      {}
-func (Sources) event()      {}
-func (Connecting) event()   {}
-func (Reached) event()      {}
-func (End) event()          {}
-func (ClockStepped) event() {}
-func (Complete) event()     {}
-func (Routes) event()       {}
-func (Permit) event()       {}
-func (Grant) event()        {}
+func (ServerList) event()      {}
+func (Request) event()         {}
+func (Outcome) event()         {}
+func (Started) event()         {}
+func (ClientGone) event()      {}
+func (Timer) event()           {}
+func (ProbeResult) event()     {}
+func (Message) event()         {}
+func (Sharing) event()         {}
+func (FleetSize) event()       {}
+func (Sources) event()         {}
+func (Connecting) event()      {}
+func (ConnectionReady) event() {}
+func (End) event()             {}
+func (ClockStepped) event()    {}
+func (Complete) event()        {}
+func (Routes) event()          {}
+func (CanaryLease) event()     {}
+func (BudgetGrant) event()     {}
 
 // ActionKind says what to do.
 type ActionKind uint8
 
 // The actions; the comment names the fields of Action that count.
 const (
-	Send      ActionKind = iota // Request, Server, At: the attempt is dropped then (0: at the client's deadline); Routes
+	Send      ActionKind = iota // Request, Server, At: the attempt is dropped then (0: the client's deadline); Routes
 	Refuse                      // Request, At: how long to hold off; a final answer: a retry does no harm
 	Fail                        // Request; a final answer that promises nothing
 	Cancel                      // Request, Attempt
--- a/balance/list.go
+++ b/balance/list.go
@@ -15,6 +15,8 @@
 import (
 	"fmt"
 	"math"
+	"slices"
+	"sort"
 )
 
 const (
@@ -26,15 +28,13 @@
 	stuckTime   = 2000  // ms that a watch may take to tell what another service has told
 	backChecks  = 2     // good looks in a row before a watch returns to a nearer service
 	futureSlack = 1000  // ms that a server's start may lie ahead of this sidecar's clock
-	outRests    = 6     // doublings of the rest of a server that refuses connections, while the list is stale
-	inRests     = 3     // ... else
 )
 
 // EpochOf is the history that a revision belongs to: revisions of one epoch can be compared.
 func EpochOf(rev int64) int64 { return rev >> epochBits }
 
-// follow begins to ask: the nearest service is watched, and now and then another one is looked at.
-func (b *Balancer) follow() {
+// startList begins to ask: the nearest service is watched, and now and then another one is looked at.
+func (b *Balancer) startList() {
 	b.list.heard = b.now
 	if b.cfg.Subscribe {
 		b.watchList()
@@ -72,7 +72,7 @@
 }
 
 func (b *Balancer) moveWatch(source int, why string) {
-	b.say(fmt.Sprintf("list: watches service %d in place of %d: %s", source, b.list.source, why))
+	b.log(fmt.Sprintf("list: watches service %d in place of %d: %s", source, b.list.source, why))
 	b.list.source, b.list.good, b.list.ahead, b.list.held = source, 0, 0, math.Inf(-1)
 	b.watchList()
 }
@@ -81,7 +81,7 @@
 func (b *Balancer) onList(ev ServerList) {
 	if ev.Kind == ListFailed {
 		if !ev.Check { // a look that failed tells nothing
-			b.askAgain(&ev)
+			b.pollAgain(&ev)
 		}
 		return
 	}
@@ -95,10 +95,10 @@
 		}
 		return
 	}
-	entries := b.sift(ev.Servers)
+	entries := b.normalizeEntries(ev.Servers)
 	later := ev.Rev > b.list.rev && EpochOf(ev.Rev) == EpochOf(b.list.rev)
-	if !b.believes(&ev) {
-		b.obey(entries)
+	if !b.acceptsList(&ev) {
+		b.applyRemovals(entries)
 		b.dropGone()
 		return
 	}
@@ -111,9 +111,9 @@
 	}
 }
 
-// believes tells whether a list is newer than the one held. With one service it is at its word: its agent
+// acceptsList tells whether a list is newer than the one held. With one service it is at its word: its agent
 // knows best.
-func (b *Balancer) believes(ev *ServerList) bool {
+func (b *Balancer) acceptsList(ev *ServerList) bool {
 	l := &b.list
 	if !ev.Check { // from a list that is known at the start the watch begins, too
 		l.told = max(l.told, ev.Rev)
@@ -134,38 +134,38 @@
 	}
 	later := ev.Rev > l.rev && (ev.Kind == ListFull || EpochOf(ev.Rev) == EpochOf(l.rev))
 	if b.cfg.Lists <= 1 || ev.Kind == ListCached || later {
-		return b.taken(ev)
+		return b.takeList(ev)
 	}
 	switch {
 	case ev.Rev == l.rev && ev.Kind == ListFull: // the same, told again; it may end a doubt
-		return b.taken(ev)
+		return b.takeList(ev)
 	case ev.Check || ev.Rev == l.rev:
 	case ev.Rev > l.rev: // changes of a history that this sidecar has not seen the beginning of
 		l.rev = 0
 		b.watchList()
 	case ev.Kind == ListFull && l.refused > 0 && b.now-l.refused > historyTime:
-		b.say(fmt.Sprintf("list: revision %d after %d, as nobody has a newer one", ev.Rev, l.rev))
+		b.log(fmt.Sprintf("list: revision %d after %d, as nobody has a newer one", ev.Rev, l.rev))
 		l.told, l.ahead = ev.Rev, ev.Rev
-		return b.taken(ev)
+		return b.takeList(ev)
 	case ev.Kind == ListFull:
 		if l.refused == 0 {
 			l.refused = b.now
-			b.say(fmt.Sprintf("list: service %d has an older one, %d before %d", ev.Source, ev.Rev, l.rev))
+			b.log(fmt.Sprintf("list: service %d has an older one, %d before %d", ev.Source, ev.Rev, l.rev))
 		}
-		b.askAgain(ev)
+		b.pollAgain(ev)
 	}
 	return false
 }
 
-// askAgain calls the next service after a growing, jittered pause; of several each is tried before it grows.
+// pollAgain calls the next service after a growing, jittered pause; of several each is tried before it grows.
 // One that turns calls away has too many callers: pauses grow to three of the four times AskWithin that the
 // rules allow then. Config.LongestPause bounds all: on sockets a change soon counts as told, whatever failed.
-func (b *Balancer) askAgain(ev *ServerList) {
+func (b *Balancer) pollAgain(ev *ServerList) {
 	lists := max(b.cfg.Lists, 1)
 	round := b.list.asks / lists
-	pause, most := askPause*float64(int(1)<<min(round, 4)), b.cfg.AskWithin/3
+	pause, most := pollBackoff*float64(int(1)<<min(round, 4)), b.cfg.AskWithin/3
 	if ev.Busy {
-		pause, most = askPause*float64(int(1)<<min(2*round, 6)), 3*b.cfg.AskWithin
+		pause, most = pollBackoff*float64(int(1)<<min(2*round, 6)), 3*b.cfg.AskWithin
 	}
 	if ev.Wait > 0 { // it says itself when
 		pause = 2 * ev.Wait
@@ -180,9 +180,9 @@
 	b.emit(Action{Kind: SetTimer, Token: listTimer, At: pause * (0.5 + b.random()/2)})
 }
 
-// obey takes from a list that is not taken what it says of servers that go, unless they have started again
+// applyRemovals takes from a list that is not taken what it says of servers that go, unless they have started again
 // since: a start that is over never comes back, so this is true however old the list is.
-func (b *Balancer) obey(entries []Server) {
+func (b *Balancer) applyRemovals(entries []Server) {
 	for i := range entries {
 		e := &entries[i]
 		if s := b.byID[e.ID]; s != nil && e.State > s.State && e.StartedAt >= s.StartedAt {
@@ -191,11 +191,11 @@
 	}
 }
 
-// sift leaves one entry of each server, and of each place but one that is ready: one bad entry never costs
+// normalizeEntries leaves one entry of each server, and of each place but one that is ready: one bad entry never costs
 // the list. Of two with one name the one that wants less counts (Gone, Draining, Ready), else the later
 // start. Of two names in one place the one that started later is there; the other is used no more until it
 // has a place of its own. What has no place cannot be called: it is as good as draining.
-func (b *Balancer) sift(servers []Server) []Server {
+func (b *Balancer) normalizeEntries(servers []Server) []Server {
 	out := make([]Server, 0, len(servers))
 	at := make(map[ServerID]int, len(servers))
 	for _, s := range servers {
@@ -251,7 +251,7 @@
 	most := b.cfg.DoubtShare * float64(used)
 	doubts = doubts && most > 0 && left >= fewDoubted && float64(left) > most
 	if doubts {
-		b.say(fmt.Sprintf("list: %d of %d servers are left out; they stay while they answer", left, used))
+		b.log(fmt.Sprintf("list: %d of %d servers are left out; they stay while they answer", left, used))
 		b.emit(Action{Kind: SetTimer, Token: doubtTimer, At: doubtTime})
 	}
 	for _, s := range b.servers {
@@ -286,19 +286,10 @@
 	stale := b.cfg.StaleAfter > 0 && b.now-b.list.heard > b.cfg.StaleAfter
 	if stale != b.list.stale {
 		b.list.stale = stale
-		b.say(fmt.Sprintf("list: stale %v, nothing heard for %.1f s", stale, (b.now-b.list.heard)/1000))
+		b.log(fmt.Sprintf("list: stale %v, nothing heard for %.1f s", stale, (b.now-b.list.heard)/1000))
 	}
 }
 
-// mostRests bounds how often the rest of a server doubles. While the list is stale one that refuses
-// connections stays out for longer: nobody will tell that it is gone.
-func (b *Balancer) mostRests(s *server) int {
-	if b.list.stale && s.down {
-		return outRests
-	}
-	return inRests
-}
-
 // update takes in one entry. A restart clears what was held against it, another place what was held against
 // the old one. A start that lies in the future is of a clock that is off: the server counts as started now.
 func (b *Balancer) update(entry *Server, later bool) {
@@ -308,14 +299,14 @@
 			return
 		}
 		// A random start keeps sidecars that begin together from choosing in step.
-		s = &server{running: mostFresh * b.random(), coldSince: math.Inf(-1), accused: math.Inf(-1)}
+		s = &server{running: mostFresh * b.random(), slowStartAt: math.Inf(-1), evidenceAt: math.Inf(-1)}
 		b.byID[entry.ID] = s
 		b.servers = append(b.servers, s)
 	}
 	if since, again := b.restarted(s, entry, later); again {
 		s.pardon()
 		s.running = 0
-		b.chill(s, since)
+		b.beginSlowStart(s, since)
 	} else if entry.Place != s.Place {
 		s.pardon()
 	}
@@ -323,7 +314,92 @@
 	s.rank = b.rank(s)
 }
 
-// chill begins a server's warm-up with a random budget, so that the first sends of all do not meet.
-func (b *Balancer) chill(s *server, since float64) {
-	s.coldSince, s.tokens, s.tokensAt = since, b.random(), b.now
+const (
+	pollBackoff = 500 // ms before a failed list call is made again; grows each time
+)
+
+// listState is what a balancer knows of its list services.
+type listState struct {
+	rev     int64   // of the list held
+	heard   float64 // when a service said anything last
+	held    float64 // when the service that is watched last told that the list held is the newest; -Inf: not yet
+	source  int     // the service watched, by preference
+	told    int64   // the last revision that the watch told
+	ahead   int64   // the newest revision that another service had at a look
+	aheadAt int     // ... and which one
+	good    int     // looks in a row at which a nearer service had all
+	refused float64 // since when only older lists have come; 0: they have not
+	empty   bool    // the last whole list named nobody
+	stale   bool    // it has been said that the list is stale
+	sweep   bool    // servers are gone that no list told of
+	looks   bool    // the timer of the next look at another service runs
+	asks    int     // failed list calls in a row
+}
+
+// takeIn takes in entries. Of changes it leaves servers and zones as dropGone would, without a look at those that are
+// not named: with thousands of servers a walk over all of them at each change was most of what a sidecar did.
+func (b *Balancer) takeIn(entries []Server, later, changes bool) {
+	b.capped = math.Max(b.capped, mostFresh)
+	if !changes {
+		for i := range entries {
+			b.update(&entries[i], later)
+		}
+		b.dropGone()
+		return
+	}
+	for i := range entries {
+		b.change(&entries[i], later)
+	}
+	if b.routes != nil {
+		b.regroup(b.routes)
+	}
+}
+
+// change takes in one changed entry and moves its server alone.
+func (b *Balancer) change(entry *Server, later bool) {
+	s, at := b.byID[entry.ID], len(b.servers)
+	known, rank := s != nil, 0.0
+	if known {
+		at, rank = b.indexOf(s), s.rank
+		if s.State == Ready {
+			s.zone.ready--
+		}
+	}
+	b.update(entry, later)
+	if s = b.byID[entry.ID]; s == nil { // gone before it was known
+		return
+	}
+	if s.State == Ready {
+		s.zone.ready++
+	}
+	if known && s.State != Gone && s.rank == rank {
+		return
+	}
+	b.servers = slices.Delete(b.servers, at, at+1)
+	if s.State == Gone {
+		delete(b.byID, s.ID)
+		return
+	}
+	at = sort.Search(len(b.servers), func(i int) bool { return b.servers[i].rank > s.rank })
+	b.servers = slices.Insert(b.servers, at, s)
+}
+
+func (b *Balancer) takeList(ev *ServerList) bool {
+	b.list.rev, b.list.refused = ev.Rev, 0
+	if !ev.Check && ev.Kind != ListCached {
+		b.list.asks = 0
+	}
+	return true
+}
+
+func (b *Balancer) watchList() {
+	b.list.told = b.list.rev
+	b.emit(Action{Kind: Watch, Source: b.list.source, After: b.list.rev})
+}
+
+// setServiceCount takes in that there are more or fewer services.
+func (b *Balancer) setServiceCount(lists int) {
+	b.cfg.Lists = lists
+	b.list.source = min(b.list.source, max(lists-1, 0))
+	b.checkLater()
 }
--- a/balance/lanes.go
+++ b/balance/route_state.go
@@ -8,27 +8,27 @@
 	"slices"
 )
 
-// way is a route with what this process keeps for it.
-type way struct {
+// tenantRoute is a route with what this process keeps for it.
+type tenantRoute struct {
 	Route
-	slot  int     // of its lane in each server
-	last  float64 // place drawn last without a key
-	purse *Purse  // nil: attempts need no unit
+	slot   int           // of its lane in each server
+	last   float64       // place drawn last without a key
+	budget *CanaryBudget // nil: attempts need no unit
 }
 
-// lane is a server's place in a route, by side.
-type lane struct {
+// routePlacement is a server's place in a route, by side.
+type routePlacement struct {
 	group   [sides]uint8
 	running [sides]float64 // SWRR running value
 }
 
-// acts is what an attempt acts on; see Action.
-type acts struct {
+// attemptRoute is what an attempt acts on; see Action.
+type attemptRoute struct {
 	rev    int64
 	route  uint64
 	canary bool
 	strict bool
-	purse  *Purse // that it has a unit of
+	budget *CanaryBudget // that it has a unit of
 }
 
 // onRoutes puts routes in place of those before.
@@ -36,26 +36,26 @@
 	if err := b.checkRoutes(&ev); err != nil {
 		return err
 	}
-	old := b.ways
-	b.rev, b.ways = ev.Rev, nil
+	old := b.routes
+	b.rev, b.routes = ev.Rev, nil
 	if len(ev.List) > 0 {
-		b.ways = make([]*way, len(b.cfg.Tenants)+1)
+		b.routes = make([]*tenantRoute, len(b.cfg.Tenants)+1)
 	}
 	for i := range ev.List {
-		w := &way{Route: ev.List[i].clone(), slot: i}
+		w := &tenantRoute{Route: ev.List[i].clone(), slot: i}
 		w.last = b.chance(w.ID, 0)
 		for _, o := range old {
 			if o != nil && o.ID == w.ID {
 				w.last = o.last
 			}
 		}
-		if w.ID != 0 && w.Purse {
-			w.purse = b.purse(w.ID)
+		if w.ID != 0 && w.Budgeted {
+			w.budget = b.canaryBudget(w.ID)
 		}
-		b.ways[w.Tenant+1] = w
+		b.routes[w.Tenant+1] = w
 	}
 	b.regroup(old)
-	b.dropPurses()
+	b.dropEndedBudgets()
 	return nil
 }
 
@@ -87,11 +87,11 @@
 	return nil
 }
 
-func (b *Balancer) onPermit(ev Permit) error {
+func (b *Balancer) onCanaryLease(ev CanaryLease) error {
 	if math.IsNaN(ev.Until) {
 		return fmt.Errorf("Permit.Until is %v", ev.Until)
 	}
-	b.permit = ev.Until
+	b.canaryLease = ev.Until
 	return nil
 }
 
@@ -116,37 +116,37 @@
 	return found || len(u.IDs) == 0
 }
 
-// wayOf gives the route of a request, nil if it has none.
-func (b *Balancer) wayOf(r *request) *way {
-	if b.ways == nil {
+// routeOf gives the route of a request, nil if it has none.
+func (b *Balancer) routeOf(r *request) *tenantRoute {
+	if b.routes == nil {
 		return nil
 	}
-	if i := r.Tenant + 1; i > 0 && i < len(b.ways) && b.ways[i] != nil {
-		return b.ways[i]
+	if i := r.Tenant + 1; i > 0 && i < len(b.routes) && b.routes[i] != nil {
+		return b.routes[i]
 	}
-	return b.ways[0]
+	return b.routes[0]
 }
 
 // regroup puts each server in its place in each route, after the routes or the servers have changed. Where a tenant
 // had a route before, the running values stay.
-func (b *Balancer) regroup(old []*way) {
+func (b *Balancer) regroup(old []*tenantRoute) {
 	slots := 0
-	for _, w := range b.ways {
+	for _, w := range b.routes {
 		if w != nil {
 			slots++
 		}
 	}
 	for _, s := range b.servers {
-		before := s.lanes
-		if s.lanes = nil; slots == 0 {
+		before := s.placements
+		if s.placements = nil; slots == 0 {
 			continue
 		}
-		s.lanes = make([]lane, slots)
-		for i, w := range b.ways {
+		s.placements = make([]routePlacement, slots)
+		for i, w := range b.routes {
 			if w == nil {
 				continue
 			}
-			l := &s.lanes[w.slot]
+			l := &s.placements[w.slot]
 			l.group = w.groupsOf(&s.Server)
 			if i < len(old) && old[i] != nil && old[i].slot < len(before) {
 				l.running = before[old[i].slot].running
@@ -180,10 +180,10 @@
 }
 
 // keep takes over the running values that a pick has left.
-func (b *Balancer) keep(w *way, side int) {
+func (b *Balancer) keep(w *tenantRoute, side int) {
 	for _, s := range b.servers {
 		if !s.aside {
-			s.lanes[w.slot].running[side] = s.running
+			s.placements[w.slot].running[side] = s.running
 		}
 	}
 }
--- a/balance/routes.go
+++ b/balance/routes.go
@@ -1,7 +1,7 @@
 package balance
 
 // This file decides which servers a tenant's requests prefer, and what an attempt to a canary costs its
-// budget: docs/routes.md. What it remembers is in lanes.go.
+// budget: docs/routes.md. What it remembers is in route_state.go.
 //
 // The share. A place in [0, 1) is drawn once for a request, and those below the share prefer the canary: a
 // share that grows moves nobody back. With a key all sidecars draw the same place, so the share is as exact
@@ -33,7 +33,7 @@
 )
 
 // groupsOf is the group of a server on each side.
-func (w *way) groupsOf(s *Server) [sides]uint8 {
+func (w *tenantRoute) groupsOf(s *Server) [sides]uint8 {
 	canary := w.ID != 0 && w.Canary.has(s)
 	switch {
 	case canary:
@@ -45,8 +45,8 @@
 }
 
 // prefersCanary looks at the newest routes and the permission, at each pick afresh.
-func (b *Balancer) prefersCanary(w *way, r *request) bool {
-	if w.ID == 0 || b.now >= b.permit || len(w.Classes) > 0 && !slices.Contains(w.Classes, r.Class) {
+func (b *Balancer) prefersCanary(w *tenantRoute, r *request) bool {
+	if w.ID == 0 || b.now >= b.canaryLease || len(w.Classes) > 0 && !slices.Contains(w.Classes, r.Class) {
 		return false
 	}
 	if !r.drawn {
@@ -55,7 +55,7 @@
 	return r.place < w.Share
 }
 
-func (w *way) draw(r *request) float64 {
+func (w *tenantRoute) draw(r *request) float64 {
 	key := r.Route
 	if key == 0 {
 		key = r.Key
@@ -67,9 +67,9 @@
 	return w.last
 }
 
-// turn is one pick of a request that has a route.
-type turn struct {
-	*way
+// routePick is one pick of a request that has a route.
+type routePick struct {
+	*tenantRoute
 	r      *request
 	repeat bool
 	begin  int
@@ -79,15 +79,15 @@
 
 // pickAlong picks for a request that has a route. Where all rest the cause is hardly the canary's: it is
 // spared.
-func (b *Balancer) pickAlong(t *turn) *server {
+func (b *Balancer) pickAlong(t *routePick) *server {
 	defer b.setAside()()
 	side := baseSide
-	if b.prefersCanary(t.way, t.r) {
+	if b.prefersCanary(t.tenantRoute, t.r) {
 		side = canarySide
 	}
 	s, group := b.pickSide(t, side)
 	canary := side == canarySide && group == 0
-	if canary && t.purse != nil && !t.purse.Take() {
+	if canary && t.budget != nil && !t.budget.Take() {
 		canary, side = false, baseSide
 		s, _ = b.pickSide(t, side)
 	}
@@ -98,12 +98,12 @@
 	if s == nil {
 		return nil
 	}
-	b.keep(t.way, side)
-	if b.now < b.permit {
-		b.acts = acts{rev: b.rev, route: t.ID, canary: canary}
+	b.keep(t.tenantRoute, side)
+	if b.now < b.canaryLease {
+		b.nextRoute = attemptRoute{rev: b.rev, route: t.ID, canary: canary}
 	}
 	if canary {
-		b.acts.strict, b.acts.purse = t.Late, t.purse
+		b.nextRoute.strict, b.nextRoute.budget = t.Late, t.budget
 	}
 	return s
 }
@@ -111,7 +111,7 @@
 // pickSide goes through the groups of a side and takes the first that has a server for the request. A first
 // send passes over those whose servers cannot take one more, unless it is so everywhere. A canary whose units
 // were spent on failures takes no load of the base: it is for who finds nobody else.
-func (b *Balancer) pickSide(t *turn, side int) (*server, int) {
+func (b *Balancer) pickSide(t *routePick, side int) (*server, int) {
 	for _, loaded := range [2]bool{t.repeat, true} {
 		for group := range groups {
 			if !loaded && group == groups-1 && side == baseSide && t.failed() {
@@ -126,18 +126,20 @@
 }
 
 // pickGroup is the ordinary way within a group, with the running values of the side.
-func (b *Balancer) pickGroup(t *turn, side int, group uint8) (*server, int) {
+func (b *Balancer) pickGroup(t *routePick, side int, group uint8) (*server, int) {
 	for _, s := range b.servers {
-		l := &s.lanes[t.slot]
+		l := &s.placements[t.slot]
 		s.running, s.aside = l.running[side], l.group[side] != group
 	}
-	total := b.enter(t.r, t.repeat, t.rest)
+	total := b.weighCandidates(t.r, t.repeat, t.rest)
 	t.seen += total
-	return b.choose(t.r, t.repeat, t.begin, total)
+	return b.chooseCandidate(t.r, t.repeat, t.begin, total)
 }
 
 // failed: units were spent, and none is left.
-func (w *way) failed() bool { return w.purse != nil && w.purse.Spent > 0 && w.purse.Free() <= 0 }
+func (w *tenantRoute) failed() bool {
+	return w.budget != nil && w.budget.Spent > 0 && w.budget.Free() <= 0
+}
 
 // spends tells whether the end of an attempt costs its unit, or at its beginning whether a streamed answer
 // will. A client that left tells nothing; one whose time ran out does. What never began costs nothing, but a
--- /dev/null
+++ b/balance/settings.go
@@ -0,0 +1,61 @@
+package balance
+
+// This file checks the settings that a balancer is made with.
+
+import (
+	"errors"
+	"fmt"
+	"math"
+)
+
+// check tells which field of the settings cannot be, if any.
+func (c *Config) check() error {
+	type figure struct {
+		name string
+		v    float64
+	}
+	list := []figure{
+		{"Quantum", c.Quantum}, {"MaxAttempts", float64(c.MaxAttempts)}, {"MaxRetryAfter", c.MaxRetryAfter},
+		{"ConnectTimeout", c.ConnectTimeout}, {"DrainGrace", c.DrainGrace}, {"ColdFrom", c.ColdFrom},
+		{"ColdTime", c.ColdTime}, {"FallMultiple", c.FallMultiple}, {"FallTime", c.FallTime},
+		{"AskWithin", c.AskWithin}, {"LongestPause", c.LongestPause},
+		{"DoubtShare", c.DoubtShare}, {"StaleAfter", c.StaleAfter},
+		{"Lists", float64(c.Lists)}, {"AnswerSlack", c.AnswerSlack}, {"OverShareWorth", c.OverShareWorth},
+		{"Goal.Whole", c.Goal.Whole}, {"Goal.WorstWindow", c.Goal.WorstWindow},
+		{"Goal.WorstClass", c.Goal.WorstClass}, {"Goal.WorstTenant", c.Goal.WorstTenant},
+		{"Prices.CrossZone", c.Prices.CrossZone}, {"Prices.Waste", c.Prices.Waste},
+		{"Prices.Handshake", c.Prices.Handshake}, {"Prices.Probe", c.Prices.Probe},
+		{"Prices.Peer", c.Prices.Peer}, {"Prices.LateFail", c.Prices.LateFail},
+	}
+	if len(c.Classes) == 0 {
+		return errors.New("no Classes")
+	}
+	for i := range c.Classes {
+		k, name := &c.Classes[i], fmt.Sprintf("Classes[%d].", i)
+		if k.Effect > Unsafe || k.Group > GroupCell || !(k.Deadline > 0) {
+			return fmt.Errorf("%sEffect, Group or Deadline cannot be: %+v", name, *k)
+		}
+		list = append(list, figure{name + "Aim", k.Aim}, figure{name + "Deadline", k.Deadline},
+			figure{name + "Worth", k.Worth}, figure{name + "LateWorth", k.LateWorth},
+			figure{name + "AimStretch", k.AimStretch}, figure{name + "Window", math.Min(k.Window, math.MaxFloat64)})
+	}
+	for i := range c.Tenants {
+		name := fmt.Sprintf("Tenants[%d].", i)
+		list = append(list,
+			figure{name + "Allowance", c.Tenants[i].Allowance}, figure{name + "Share", c.Tenants[i].Share})
+	}
+	for _, f := range list {
+		if !(f.v >= 0) || math.IsInf(f.v, 0) {
+			return fmt.Errorf("%s is %v", f.name, f.v)
+		}
+	}
+	return nil
+}
+
+// region of a zone; one that the settings do not know is in the first.
+func (c *Config) region(zone int) int {
+	if zone >= 0 && zone < len(c.Regions) {
+		return c.Regions[zone]
+	}
+	return 0
+}
--- a/balance/views.go
+++ b/balance/status.go
@@ -1,9 +1,9 @@
 package balance
 
-import "math"
-
 // This file tells who watches over a balancer what it makes of things. It changes nothing.
 
+import "math"
+
 // ListState is what a balancer makes of its list, for who watches over it.
 type ListState struct {
 	Rev     int64
@@ -37,25 +37,25 @@
 	return Server{}, false
 }
 
-// Sharers tells how many processes this one believes to share what the fleet allows together; 0: nobody told it.
-func (b *Balancer) Sharers() float64 { return b.crowd.n }
+// FleetSize tells how many processes this one believes to share what the fleet allows together; 0: nobody told it.
+func (b *Balancer) FleetSize() float64 { return b.fleet.n }
 
 // ZoneState is what a balancer makes of zones, for who watches over it.
 type ZoneState struct {
-	Left      int     // zones that get nothing, or are being tried
-	Spill     float64 // part of first sends that begin beyond the own zone
-	FarSpill  float64 // ... beyond the own region
-	Witnesses float64 // against the zone that has most against it
+	Left     int     // zones that get nothing, or are being tried
+	Spill    float64 // part of first sends that begin beyond the own zone
+	FarSpill float64 // ... beyond the own region
+	Evidence float64 // against the zone that has most against it
 }
 
 // Zones tells what is made of zones.
 func (b *Balancer) Zones() ZoneState {
 	out := ZoneState{Spill: b.spill[0], FarSpill: b.spill[1]}
-	for _, z := range b.areas {
+	for _, z := range b.zones {
 		if z.left {
 			out.Left++
 		}
-		out.Witnesses = math.Max(out.Witnesses, z.against)
+		out.Evidence = math.Max(out.Evidence, z.evidence)
 	}
 	return out
 }
@@ -64,7 +64,7 @@
 func (b *Balancer) Avoided(now float64) (listed, avoided int) {
 	b.now = now
 	for _, s := range b.servers {
-		if s.State != Ready || b.resting(s) {
+		if s.State != Ready || b.ejected(s) {
 			avoided++
 		}
 	}
--- a/balance/wallclock.go
+++ b/balance/wallclock.go
@@ -3,8 +3,8 @@
 // This file converts the start of a server, which a list gives on the wall clock, to the balancer's own clock, which is
 // monotonic. The two agree until the wall clock is stepped (ClockStepped). From then on a start is the latest time, not
 // after now, at which a clock can have shown it that is off by what this process's clock was ever seen to be: other
-// machines' clocks may be stepped earlier or later, or not at all, and a server that is taken for colder than it is costs
-// little, where one that is taken for warm may fall over.
+// machines' clocks may be stepped earlier or later, or not at all, and a server that is taken for colder than it is
+// costs little, where one that is taken for warm may fall over.
 //
 // Until a step is noticed, here or by a start that cannot be, starts are taken as they are told.
 //
@@ -38,7 +38,7 @@
 		b.offsets = slices.Delete(b.offsets, 0, 1)
 	}
 	b.stepped = true
-	b.say(fmt.Sprintf("list: the wall clock was stepped, and is %.3f s ahead of this process's", ev.Offset/1000))
+	b.log(fmt.Sprintf("list: the wall clock was stepped, and is %.3f s ahead of this process's", ev.Offset/1000))
 }
 
 // latestStart gives the latest time on the balancer's clock at which a server can have started whose start is told as
--- a/balance/zones.go
+++ b/balance/zones.go
@@ -26,16 +26,16 @@
 // servers that get any; a failure begins the next pause.
 
 const (
-	holdAim     = 0.33 // part of the aim that a near server's requests may take one after another
-	halfPrice   = 0.1  // price of crossing at which half of the spare aim may go before a request crosses
-	spillPart   = 0.5  // of the step of shedding: both follow the same answers, and one must be slower
-	mostSpill   = 0.9  // near answers are needed to see that the near servers can take more again
-	tierAnswers = 20   // answers over which a tier's time is taken
-	witnesses   = 2    // servers against a zone that is left
-	hearsay     = 0.5  // what counts one whose failure may be its own
-	calmAims    = 20   // longest aims for which a zone must have been in use, for its pauses to begin anew
-	tiers       = 3
-	full        = 4*tiers + 1 // level of a server that cannot take one more
+	holdAim         = 0.33 // part of the aim that a near server's requests may take one after another
+	halfPrice       = 0.1  // price of crossing at which half of the spare aim may go before a request crosses
+	spillPart       = 0.5  // of the step of shedding: both follow the same answers, and one must be slower
+	mostSpill       = 0.9  // near answers are needed to see that the near servers can take more again
+	tierAnswers     = 20   // answers over which a tier's time is taken
+	evidenceToLeave = 2    // servers against a zone that is left
+	partialEvidence = 0.5  // what counts one whose failure may be its own
+	stableAims      = 20   // longest aims for which a zone must have been in use, for its pauses to begin anew
+	tiers           = 3
+	full            = 4*tiers + 1 // level of a server that cannot take one more
 )
 
 // tier is how far a zone is away. Where crossing costs nothing all are alike.
@@ -50,22 +50,22 @@
 }
 
 func (b *Balancer) pressure(t int) float64 {
-	e := &b.eases[t]
+	e := &b.tierLatencies[t]
 	return b.quickest + (e.took-b.quickest)*math.Exp2((e.at-b.now)/halfLife)
 }
 
-func (b *Balancer) hear(t int, took float64) {
-	e := &b.eases[t]
+func (b *Balancer) recordTierLatency(t int, took float64) {
+	e := &b.tierLatencies[t]
 	e.took, e.at = b.pressure(t), b.now
 	e.n = math.Min(e.n+1, tierAnswers)
 	e.took += (math.Min(took, 2) - e.took) / (e.n + fewAnswers)
 }
 
-// begin is the tier that a first send begins at.
-func (b *Balancer) begin() int {
+// startTier is the tier that a first send begins at.
+func (b *Balancer) startTier() int {
 	var there [tiers]bool
-	for _, z := range b.areas {
-		if z.ready > 0 && (!z.left || b.now >= z.restUntil) {
+	for _, z := range b.zones {
+		if z.ready > 0 && (!z.left || b.now >= z.leftUntil) {
 			there[z.tier] = true
 		}
 	}
@@ -98,61 +98,61 @@
 
 // answered takes in a good answer of a zone, and what it says of others.
 func (b *Balancer) answered(z *zone, trial bool, took float64) {
-	b.hear(z.tier, took)
-	common := z.against >= witnesses // it seemed dead as well: what failed meanwhile says nothing of others
-	z.answer, z.cleared, z.against = b.now, b.now, 0
+	b.recordTierLatency(z.tier, took)
+	common := z.evidence >= evidenceToLeave // it seemed dead as well: what failed meanwhile says nothing of others
+	z.answer, z.cleared, z.evidence = b.now, b.now, 0
 	if z.left && trial {
-		if z.room++; z.room >= math.Min(float64(z.ready), float64(b.reach())) {
+		if z.admitLimit++; z.admitLimit >= math.Min(float64(z.ready), float64(b.rotationSize())) {
 			z.left, z.back = false, b.now
-			b.say(fmt.Sprintf("zones: zone %d is in full use again", z.id))
+			b.log(fmt.Sprintf("zones: zone %d is in full use again", z.id))
 		}
 	}
-	for _, other := range b.areas {
+	for _, other := range b.zones {
 		if other != z && common {
-			other.cleared, other.against = b.now, 0
+			other.cleared, other.evidence = b.now, 0
 		} else if other != z {
 			b.judgeZone(other)
 		}
 	}
 }
 
-// accuse takes in that a server failed, as a witness against its zone.
-func (b *Balancer) accuse(s *server, weight float64) {
+// addEvidence takes in that a server failed, as a witness against its zone.
+func (b *Balancer) addEvidence(s *server, weight float64) {
 	z := s.zone
-	if z.left && b.now >= z.restUntil {
+	if z.left && b.now >= z.leftUntil {
 		b.leave(z)
 	}
-	if s.accused >= z.cleared {
+	if s.evidenceAt >= z.cleared {
 		return
 	}
-	if s.accused = b.now; z.against == 0 {
+	if s.evidenceAt = b.now; z.evidence == 0 {
 		z.since = b.now
 	}
-	z.against += weight
+	z.evidence += weight
 	b.judgeZone(z)
 }
 
-// acquit takes back that a server is a witness against its zone.
-func (b *Balancer) acquit(s *server) {
-	if z := s.zone; s.accused >= z.cleared {
-		s.accused, z.against = math.Inf(-1), math.Max(0, z.against-1)
+// withdrawEvidence takes back that a server is a witness against its zone.
+func (b *Balancer) withdrawEvidence(s *server) {
+	if z := s.zone; s.evidenceAt >= z.cleared {
+		s.evidenceAt, z.evidence = math.Inf(-1), math.Max(0, z.evidence-1)
 	}
 }
 
 // judgeZone leaves a zone that has enough against it while another one answers.
 func (b *Balancer) judgeZone(z *zone) {
 	others, answers := 0, false
-	for _, other := range b.areas {
+	for _, other := range b.zones {
 		if other != z && !other.left {
 			others += other.ready
 			answers = answers || other.ready > 0 && other.answer >= z.since
 		}
 	}
-	need := witnesses * bound(float64(z.ready)/math.Max(float64(others), 1), 1, 2)
-	if !z.left && answers && z.against >= need {
-		b.say(fmt.Sprintf("zones: zone %d is left: %g witnesses, and others answer", z.id, z.against))
-		if b.now > z.back+calmAims*b.longestAim {
-			z.rests = 0
+	need := evidenceToLeave * bound(float64(z.ready)/math.Max(float64(others), 1), 1, 2)
+	if !z.left && answers && z.evidence >= need {
+		b.log(fmt.Sprintf("zones: zone %d is left: %g witnesses, and others answer", z.id, z.evidence))
+		if b.now > z.back+stableAims*b.longestAim {
+			z.timesLeft = 0
 		}
 		b.leave(z)
 	}
@@ -160,16 +160,16 @@
 
 // leave begins a pause of a zone.
 func (b *Balancer) leave(z *zone) {
-	z.left, z.room = true, 0
-	z.restUntil = b.now + b.longestAim*float64(int(1)<<min(z.rests, inRests))*(0.75+b.random()/2)
-	z.rests++
+	z.left, z.admitLimit = true, 0
+	z.leftUntil = b.now + b.longestAim*float64(int(1)<<min(z.timesLeft, maxEjections))*(0.75+b.random()/2)
+	z.timesLeft++
 }
 
 // admits tells whether a request may go to a zone: one that returns is tried by few, and first by those
 // that may be repeated.
 func (b *Balancer) admits(r *request, z *zone) bool {
-	return !z.left || b.now >= z.restUntil && z.out < math.Max(1, z.room) && !r.Open &&
-		(r.class.Effect != Unsafe || z.room >= witnesses)
+	return !z.left || b.now >= z.leftUntil && z.out < math.Max(1, z.admitLimit) && !r.Open &&
+		(r.class.Effect != Unsafe || z.admitLimit >= evidenceToLeave)
 }
 
 // level orders servers for a first send that begins at a tier: the tiers by how far they are from it, in
@@ -187,3 +187,24 @@
 	}
 	return full
 }
+
+// zone is what this sidecar knows of a zone as a whole.
+type zone struct {
+	id       int
+	tier     int
+	ready    int     // servers listed
+	answer   float64 // when it last answered
+	cleared  float64 // ... or was cleared of what was said against it
+	evidence float64 // witnesses since then
+	since    float64 // the first of them
+
+	left       bool
+	leftUntil  float64
+	timesLeft  int
+	back       float64 // when it was last in full use again
+	admitLimit float64 // requests that may be there at a time while it returns
+	out        float64 // ... and are
+}
+
+// tierLatency follows how long answers of a tier take, as a part of their aim; what failed took twice it. It fades.
+type tierLatency struct{ took, n, at float64 }
--- a/internal/audit/audit.go
+++ b/internal/audit/audit.go
@@ -1,7 +1,7 @@
 // Package audit answers who acted on which revision of the routes, and when. It is pure and fed with a clock. The answer
 // for each process is Did, DidNot, or Unknown; it is never DidNot of one that did.
 //
-// Book holds samples of the reports that one leader has received, in its memory; Log holds transitions, replicated, for
+// Tracker holds samples of the reports that one leader has received, in its memory; Log holds transitions, replicated, for
 // a stated time and size. A leader answers from its own book, and from the log for what was before it led.
 //
 // # What is known of a count
@@ -43,7 +43,7 @@
 // counted later is not in them. Counts never fall. A process that bounds its list of counts leaves out whole revisions
 // alone, the oldest first, and never the one that it acts on; so a revision that is not listed has no attempts if it is
 // not older than the one acted on, or if an older one (other than 0) is listed. Else its absence says nothing, unless
-// BookOptions.Lists says more.
+// TrackerOptions.Lists says more.
 package audit
 
 import "marblelane/internal/route"
--- a/internal/lab/growth_fleet.go
+++ b/internal/lab/growth_fleet.go
@@ -1,5 +1,7 @@
 package lab
 
+// This file plays the same day with fleets of two sizes on a simulated clock.
+
 import (
 	"context"
 	"fmt"
@@ -9,8 +11,6 @@
 	"marblelane/internal/lab/simulate"
 )
 
-// This file plays the same day with fleets of two sizes on a simulated clock.
-
 const growthDayScenario = `
 title = "growth"
 length = "10s"
--- a/internal/lab/growth_process.go
+++ b/internal/lab/growth_process.go
@@ -1,5 +1,7 @@
 package lab
 
+// This file plays a day of one real sidecar between stand-ins, and measures what it needs.
+
 import (
 	"context"
 	"errors"
@@ -15,14 +17,12 @@
 	"time"
 
 	"marblelane/internal/lab/agent"
-	"marblelane/internal/lab/copies"
+	"marblelane/internal/lab/process"
 	"marblelane/internal/lab/record"
 	"marblelane/internal/lab/relay"
 	"marblelane/internal/lab/scenario"
 )
 
-// This file plays a day of one real sidecar between stand-ins, and measures what it needs.
-
 const growthScenario = `
 title = "growth"
 length = "2s"
@@ -89,7 +89,7 @@
 	}
 	s.Servers.Count = size.Servers + replaced
 	d := &growthDay{o: o, r: &run{s: s, plan: s.Plan(1), out: slog.New(slog.DiscardHandler),
-		nursery: copies.NewNursery(), log: record.New(), dir: dir}}
+		nursery: process.NewNursery(), log: record.New(), dir: dir}}
 	defer func() { err = errors.Join(err, d.close()) }()
 	if d.servers, err = startGrowthServers(s.Servers.Count); err != nil {
 		return need, err
@@ -168,7 +168,7 @@
 		conns: make([]*costConn, d.o.Connections)}
 	driving, driven := context.WithCancel(ctx)
 	var beside sync.WaitGroup
-	var peak copies.Usage
+	var peak process.Usage
 	var sampled error
 	beside.Go(func() { peak, sampled = samplePeak(driving, p.PID) })
 	beside.Go(func() { d.replace(driving, listed, replaced) })
@@ -193,10 +193,10 @@
 }
 
 // samplePeak follows what a process takes until ctx ends.
-func samplePeak(ctx context.Context, pid int) (copies.Usage, error) {
-	var peak copies.Usage
+func samplePeak(ctx context.Context, pid int) (process.Usage, error) {
+	var peak process.Usage
 	for {
-		now, err := copies.Measure(pid)
+		now, err := process.Measure(pid)
 		if err != nil {
 			return peak, err
 		}
--- a/internal/lab/invariant/members.go
+++ b/internal/lab/invariant/members.go
@@ -304,7 +304,7 @@
 		case record.MembersSaid:
 			m.out.Checked[NotGone] += int(e.Server)
 		case record.MemberSaid:
-			state, name, proof := Standing(e.Note)
+			state, name, proof := ParseMemberNote(e.Note)
 			life, known := lives[memberID{name, e.N}]
 			if state != Gone || !known || life.called < e.T || e.T >= life.back || m.excused(e.T) {
 				continue
@@ -315,8 +315,8 @@
 	}
 }
 
-// Standing reads the note of a MemberSaid event.
-func Standing(note string) (state, name, proof string) {
+// ParseMemberNote reads the note of a MemberSaid event.
+func ParseMemberNote(note string) (state, name, proof string) {
 	parts := strings.SplitN(note, " ", 3)
 	for len(parts) < 3 {
 		parts = append(parts, "")
--- a/internal/lab/members_result.go
+++ b/internal/lab/members_result.go
@@ -180,7 +180,7 @@
 			if p == nil {
 				continue
 			}
-			state, name, _ := invariant.Standing(e.Note)
+			state, name, _ := invariant.ParseMemberNote(e.Note)
 			key := memberKey{name, e.N}
 			p.standings[key] = append(p.standings[key], standing{e.T, state})
 		case record.Fault:
--- a/internal/lab/memberscale.go
+++ b/internal/lab/memberscale.go
@@ -87,15 +87,15 @@
 
 // MemberLoss is what a fleet of living members takes for dead while packets are lost or the processor is short.
 type MemberLoss struct {
-	Loss    float64 `json:"loss"`
-	Starved bool    `json:"starved"`
-	Hours   float64 `json:"member_hours"`
-	Deaths  float64 `json:"deaths_per_member_hour"` // taken for dead, as a member sees it of another, mean of all pairs
-	Gone    float64 `json:"gone_per_member_hour"`   // ... and counted out
-	Seen    int     `json:"deaths_seen"`            // in all, each by each who saw it
-	SeenOut int     `json:"gone_seen"`
-	Unheard int     `json:"most_unheard"` // by one member at one time
-	Agree   float64 `json:"agree_s"`      // after the loss or the shortage was over
+	Loss       float64 `json:"loss"`
+	Starved    bool    `json:"starved"`
+	Hours      float64 `json:"member_hours"`
+	Deaths     float64 `json:"deaths_per_member_hour"` // taken for dead, as a member sees it of another, mean of all pairs
+	Gone       float64 `json:"gone_per_member_hour"`   // ... and counted out
+	DeathsSeen int     `json:"deaths_seen"`            // in all, each by each who saw it
+	SeenOut    int     `json:"gone_seen"`
+	Unheard    int     `json:"most_unheard"` // by one member at one time
+	Agree      float64 `json:"agree_s"`      // after the loss or the shortage was over
 }
 
 // MemberSplit is how a fleet that was in parts comes together.
@@ -126,13 +126,13 @@
 	group *membership.Group
 	port  *gossip.Port
 
-	mu      sync.Mutex
-	view    roster.View
-	trace   []seenView // while it is traced
-	traced  bool
-	unheard int // falls of Heard and of Known, so far
-	out     int
-	most    int // of Known that were not heard at one time
+	mu            sync.Mutex
+	view          roster.View
+	trace         []seenView // while it is traced
+	traced        bool
+	silentMembers int // falls of Heard and of Known, so far
+	out           int
+	most          int // of Known that were not heard at one time
 }
 
 type seenView struct {
@@ -146,7 +146,7 @@
 	if v == s.view {
 		return
 	}
-	s.unheard += max(s.view.Heard-v.Heard, 0)
+	s.silentMembers += max(s.view.Heard-v.Heard, 0)
 	s.out += max(s.view.Known-v.Known, 0)
 	s.most = max(s.most, v.Known-v.Heard)
 	s.view = v
@@ -379,7 +379,7 @@
 	falls := func() (unheard, out, most int) {
 		for _, s := range f.members {
 			s.mu.Lock()
-			unheard, out, most = unheard+s.unheard, out+s.out, max(most, s.most)
+			unheard, out, most = unheard+s.silentMembers, out+s.out, max(most, s.most)
 			s.most = 0
 			s.mu.Unlock()
 		}
@@ -391,8 +391,8 @@
 	hours := time.Since(began).Hours()
 	unheardNow, outNow, most := falls()
 	n := float64(len(f.members))
-	l.Hours, l.Seen, l.SeenOut, l.Unheard = n*hours, unheardNow-unheard, outNow-out, most
-	l.Deaths, l.Gone = float64(l.Seen)/(n-1)/l.Hours, float64(l.SeenOut)/(n-1)/l.Hours
+	l.Hours, l.DeathsSeen, l.SeenOut, l.Unheard = n*hours, unheardNow-unheard, outNow-out, most
+	l.Deaths, l.Gone = float64(l.DeathsSeen)/(n-1)/l.Hours, float64(l.SeenOut)/(n-1)/l.Hours
 	return l, context.Cause(ctx)
 }
 
--- a/internal/lab/memberscale_print.go
+++ b/internal/lab/memberscale_print.go
@@ -56,7 +56,7 @@
 				what = "starved"
 			}
 			fmt.Fprintf(w, "%8d %8s %9.2f %10.2f %10.2f %8d %8d %9d %8s\n", p.Members, what, l.Hours, l.Deaths, l.Gone,
-				l.Seen, l.SeenOut, l.Unheard, s(l.Agree))
+				l.DeathsSeen, l.SeenOut, l.Unheard, s(l.Agree))
 		}
 	}
 	fmt.Fprintf(w, "\nSplit and healed\n%8s %18s %10s %12s %12s %10s\n", "members", "parts",
--- a/internal/lab/memberscale_procs.go
+++ b/internal/lab/memberscale_procs.go
@@ -14,7 +14,7 @@
 	"time"
 
 	"marblelane/internal/lab/agent"
-	"marblelane/internal/lab/copies"
+	"marblelane/internal/lab/process"
 	"marblelane/internal/lab/record"
 	"marblelane/internal/lab/relay"
 	"marblelane/internal/lab/scenario"
@@ -77,9 +77,9 @@
 		}
 		seeds = append(seeds, addr)
 	}
-	nursery := copies.NewNursery()
+	nursery := process.NewNursery()
 	defer nursery.Close()
-	all, manage := make([]*copies.Copy, n), make([]string, n)
+	all, manage := make([]*process.Copy, n), make([]string, n)
 	starting, cancel := context.WithTimeout(ctx, startWait)
 	defer cancel()
 	err = parallel(n, 8, func(i int) error {
@@ -105,7 +105,7 @@
 		if err := errors.Join(os.MkdirAll(own, 0o755), os.WriteFile(file, text, 0o644)); err != nil {
 			return err
 		}
-		all[i], err = nursery.Start(copies.Spec{Name: p.Name, Path: program, Dir: own,
+		all[i], err = nursery.Start(process.Spec{Name: p.Name, Path: program, Dir: own,
 			Env: []string{"NODE_CONFIG=" + file, "TMPDIR=" + own}})
 		if err != nil {
 			return err
@@ -133,9 +133,9 @@
 	if !sleep(ctx, m.Interval*time.Duration(5+n/5)) {
 		return nil, context.Cause(ctx)
 	}
-	measure := func() (sum copies.Usage, err error) {
+	measure := func() (sum process.Usage, err error) {
 		for _, c := range all {
-			u, err := copies.Measure(c.PID)
+			u, err := process.Measure(c.PID)
 			if err != nil {
 				return sum, err
 			}
--- a/internal/lab/copies/copies.go
+++ b/internal/lab/process/process.go
@@ -1,9 +1,9 @@
-// Package copies runs programs as children of the lab: each with its own configuration, limits, log and folder.
+// Package process runs programs as children of the lab: each with its own configuration, limits, log and folder.
 //
 // Promise: a child ends with the lab, also when the lab is killed (the kernel sends it SIGKILL when the thread
 // that started it ends, so one thread starts all and lives as long as the lab); a child that ends by itself is
 // known with its exit and the end of its log.
-package copies
+package process
 
 import (
 	"bytes"
@@ -78,7 +78,7 @@
 	Spec  Spec
 	PID   int
 	cmd   *exec.Cmd
-	log   *watched
+	log   *logTail
 	ended chan struct{}
 	err   error
 
@@ -95,7 +95,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("%s: %w", spec.Name, err)
 	}
-	c := &Copy{Spec: spec, ended: make(chan struct{}), log: &watched{to: file, waiters: map[*waiter]struct{}{}}}
+	c := &Copy{Spec: spec, ended: make(chan struct{}), log: &logTail{to: file, waiters: map[*lineWaiter]struct{}{}}}
 	c.cmd = exec.Command(spec.Path, spec.Args...)
 	c.cmd.Env, c.cmd.Dir = spec.Env, spec.Dir
 	c.cmd.Stdout, c.cmd.Stderr = c.log, c.log
@@ -278,16 +278,16 @@
 	return u, nil
 }
 
-// watched passes a log on to its file, keeps its end, and tells who waits for a line.
-type watched struct {
+// logTail passes a log on to its file, keeps its end, and tells who waits for a line.
+type logTail struct {
 	to      io.Writer
 	mu      sync.Mutex
 	line    []byte
 	last    []string
-	waiters map[*waiter]struct{}
+	waiters map[*lineWaiter]struct{}
 }
 
-type waiter struct {
+type lineWaiter struct {
 	text  string
 	found chan string
 }
@@ -297,7 +297,7 @@
 	maxLine   = 4 << 10
 )
 
-func (w *watched) Write(p []byte) (int, error) {
+func (w *logTail) Write(p []byte) (int, error) {
 	n, err := w.to.Write(p)
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -318,7 +318,7 @@
 	return n, err
 }
 
-func (w *waiter) see(line string) {
+func (w *lineWaiter) see(line string) {
 	if strings.Contains(line, w.text) {
 		select {
 		case w.found <- line:
@@ -328,8 +328,8 @@
 }
 
 // wait also sees the lines that are kept.
-func (w *watched) wait(text string) *waiter {
-	one := &waiter{text: text, found: make(chan string, 1)}
+func (w *logTail) wait(text string) *lineWaiter {
+	one := &lineWaiter{text: text, found: make(chan string, 1)}
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	for _, line := range w.last {
@@ -339,13 +339,13 @@
 	return one
 }
 
-func (w *watched) forget(one *waiter) {
+func (w *logTail) forget(one *lineWaiter) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	delete(w.waiters, one)
 }
 
-func (w *watched) tail() string {
+func (w *logTail) tail() string {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return strings.Join(w.last, "\n")
--- a/internal/lab/requestcost.go
+++ b/internal/lab/requestcost.go
@@ -18,7 +18,7 @@
 	"time"
 
 	"marblelane/internal/lab/agent"
-	"marblelane/internal/lab/copies"
+	"marblelane/internal/lab/process"
 	"marblelane/internal/lab/record"
 	"marblelane/internal/lab/relay"
 	"marblelane/internal/lab/scenario"
@@ -214,7 +214,7 @@
 		return err
 	}
 	s.Servers.Count = c.o.Servers
-	c.r = &run{s: s, plan: s.Plan(1), out: slog.New(slog.DiscardHandler), nursery: copies.NewNursery(),
+	c.r = &run{s: s, plan: s.Plan(1), out: slog.New(slog.DiscardHandler), nursery: process.NewNursery(),
 		log: record.New(), dir: c.o.Dir}
 	if c.r.o.Self = c.o.Self; c.r.o.Self == "" {
 		if c.r.o.Self, err = os.Executable(); err != nil {
@@ -336,7 +336,7 @@
 
 // launched is a sidecar that says it is ready.
 type launched struct {
-	*copies.Copy
+	*process.Copy
 	listen, management string
 	took               time.Duration
 }
@@ -360,7 +360,7 @@
 		return nil, err
 	}
 	began := time.Now()
-	p, err := c.r.nursery.Start(copies.Spec{Name: name, Path: program, Dir: dir, Sockets: c.r.s.Sidecars.Sockets,
+	p, err := c.r.nursery.Start(process.Spec{Name: name, Path: program, Dir: dir, Sockets: c.r.s.Sidecars.Sockets,
 		Env: []string{"NODE_CONFIG=" + file, "TMPDIR=" + filepath.Join(dir, "tmp")}})
 	if err != nil {
 		return nil, err
@@ -535,7 +535,7 @@
 			return d.fails(err)
 		}
 		d.IdleCPU = inMicros(cpu-d.cpu) / time.Since(began).Seconds()
-		u, err := copies.Measure(d.p.PID)
+		u, err := process.Measure(d.p.PID)
 		if err != nil {
 			return d.fails(err)
 		}
@@ -644,7 +644,7 @@
 }
 
 // stopCosted ends a sidecar in order, so that its fleet knows that it left.
-func stopCosted(p *copies.Copy) {
+func stopCosted(p *process.Copy) {
 	_ = p.Signal(syscall.SIGTERM) // it has ended, or it is killed below
 	kill := time.NewTimer(stopWait)
 	defer kill.Stop()
--- a/internal/lab/requestcostload.go
+++ b/internal/lab/requestcostload.go
@@ -1,5 +1,7 @@
 package lab
 
+// This file is what stands around the sidecars whose cost is measured: servers, clients and a clock.
+
 import (
 	"bufio"
 	"context"
@@ -16,8 +18,6 @@
 	"golang.org/x/sys/unix"
 )
 
-// This file is what stands around the sidecars whose cost is measured: servers, clients and a clock.
-
 // cpuOf is the processor time that a process has taken so far. The clock is the kernel's own sum, to the nanosecond;
 // /proc rounds it to ticks of 10 ms, a percent and more of what is measured here.
 func cpuOf(pid int) (time.Duration, error) {
--- a/internal/lab/routescale.go
+++ b/internal/lab/routescale.go
@@ -21,13 +21,13 @@
 	"time"
 
 	"marblelane/balance"
-	"marblelane/internal/lab/copies"
+	"marblelane/internal/lab/process"
 	"marblelane/internal/lab/record"
 	"marblelane/internal/lab/scenario"
 	"marblelane/internal/rollout"
 	plays "marblelane/internal/rollout/model"
 	"marblelane/internal/route"
-	"marblelane/internal/steer"
+	"marblelane/internal/routeclient"
 )
 
 // RoutePoint is what routes cost with so many sidecars. Times are in milliseconds. Sidecars are the product's own
@@ -100,7 +100,7 @@
 
 // puppet is a sidecar: its duties, and a loop that acts on tables and tries the canary.
 type puppet struct {
-	steer *steer.Steer
+	steer *routeclient.Client
 	wake  chan struct{}
 	at    *scaleClock
 
@@ -108,7 +108,7 @@
 	acts  map[int64]time.Duration // when it first acted on a revision or a later one
 	rev   int64
 	route *route.Route
-	purse balance.Purse
+	purse balance.CanaryBudget
 	done  route.Count
 
 	naive struct { // what a sidecar of the baseline would have done
@@ -171,7 +171,7 @@
 				p.route = r
 			}
 		}
-		p.steer.Acts(t.Rev)
+		p.steer.ActOn(t.Rev)
 		p.acts[t.Rev] = p.at.now()
 	}
 	for _, g := range news.Grants {
@@ -185,7 +185,7 @@
 func (p *puppet) offer(short bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	s := steer.Sample{Short: short}
+	s := routeclient.Sample{Short: short}
 	if p.route != nil {
 		s.Purses = []route.PurseState{{Tenant: p.route.Tenant, Rollout: p.route.Rollout, Granted: p.purse.Granted,
 			Spent: p.purse.Spent, Returned: p.purse.Returned, Want: 2}}
@@ -257,7 +257,7 @@
 	if err != nil {
 		return nil, err
 	}
-	r := &run{s: s, plan: s.Plan(1), o: o, out: slog.New(slog.DiscardHandler), nursery: copies.NewNursery(), log: record.New()}
+	r := &run{s: s, plan: s.Plan(1), o: o, out: slog.New(slog.DiscardHandler), nursery: process.NewNursery(), log: record.New()}
 	if r.dir, err = os.MkdirTemp("", "marblelane-routes-"); err != nil {
 		r.nursery.Close()
 		return nil, err
@@ -301,7 +301,7 @@
 			addrs = append(addrs, f.rr.copies[(i+k)%len(f.rr.copies)].serve)
 		}
 		var err error
-		p.steer, err = steer.New(steer.Config{Addrs: addrs, Name: fmt.Sprint("n", i), Start: time.Now().UnixNano(), Version: "lab",
+		p.steer, err = routeclient.New(routeclient.Config{Addrs: addrs, Name: fmt.Sprint("n", i), Start: time.Now().UnixNano(), Version: "lab",
 			Schemas: []int{1, 2}, Log: slog.New(slog.DiscardHandler), Wake: func() {
 				select {
 				case p.wake <- struct{}{}:
@@ -403,7 +403,7 @@
 		}
 		u.bytes += io["rchar"] + io["wchar"]
 		if c == lead {
-			m, err := copies.Measure(c.process().PID)
+			m, err := process.Measure(c.process().PID)
 			if err != nil {
 				return u, err
 			}
--- a/internal/lab/scenario/scenario.go
+++ b/internal/lab/scenario/scenario.go
@@ -54,7 +54,7 @@
 // Sidecars are the copies of the program.
 type Sidecars struct {
 	Count int `toml:"count"`
-	// Program is the program's file; empty: silverreel as the command finds it; "none": clients go straight to
+	// Program is the program's file; empty: sidecar as the command finds it; "none": clients go straight to
 	// the servers in turn, the lab's own floor.
 	Program  string  `toml:"program"`
 	Older    int     `toml:"older"` // so many, the first ones, run the older program that the command names, without routes
--- a/internal/lab/simulate/members_views.go
+++ b/internal/lab/simulate/members_views.go
@@ -1,5 +1,8 @@
 package simulate
 
+// This file models what sidecars hear of each other, in place of internal/membership: delays are drawn evenly from the
+// spans below. What is told of it to a balancer is told as a group tells it: at each change and once a second.
+
 import (
 	"math"
 	"slices"
@@ -7,9 +10,6 @@
 	"marblelane/balance"
 )
 
-// This file models what sidecars hear of each other, in place of internal/membership: delays are drawn evenly from the
-// spans below. What is told of it to a balancer is told as a group tells it: at each change and once a second.
-
 // The delays in ms, from the least to the most.
 var (
 	heardAfter  = [2]float64{200, 1000}  // of a start, of the end of a cut, of an acknowledgement
@@ -38,7 +38,7 @@
 	pending  []hearing
 	since    float64 // start of its process
 	admitted bool
-	told     balance.Sharers
+	told     balance.FleetSize
 	toldAt   float64
 	jumps    float64
 }
@@ -167,11 +167,11 @@
 	c := m.w.sidecars[i]
 	switch m.Count {
 	case CountFixed:
-		c.tell(balance.Sharers{Known: m.Peers, Heard: m.Peers, Admitted: true})
+		c.tell(balance.FleetSize{Known: m.Peers, Heard: m.Peers, Admitted: true})
 	case CountEarned:
-		c.tell(balance.Sharers{Known: 1, Heard: 1})
+		c.tell(balance.FleetSize{Known: 1, Heard: 1})
 	case CountFree:
-		c.tell(balance.Sharers{Known: 1, Heard: 1, Admitted: true})
+		c.tell(balance.FleetSize{Known: 1, Heard: 1, Admitted: true})
 	case CountNaive, CountRule:
 		m.look(i)
 	}
@@ -185,10 +185,10 @@
 		}
 		return h.at <= now
 	})
-	s := balance.Sharers{Known: v.counts[1], Heard: v.counts[1], Admitted: true}
+	s := balance.FleetSize{Known: v.counts[1], Heard: v.counts[1], Admitted: true}
 	if m.Count == CountRule {
 		v.admitted = v.admitted || now-v.since >= admitWithin || m.acknowledged(i)
-		s = balance.Sharers{Known: v.counts[0] + max(0, m.Peers-v.counts[2]), Heard: v.counts[1], Admitted: v.admitted}
+		s = balance.FleetSize{Known: v.counts[0] + max(0, m.Peers-v.counts[2]), Heard: v.counts[1], Admitted: v.admitted}
 	}
 	if s != v.told || now-v.toldAt >= tellEvery {
 		v.told, v.toldAt = s, now
@@ -216,7 +216,7 @@
 }
 
 // tellNaive tells a count that falls at once: the time that this news is told at is far after that of the last.
-func (m *members) tellNaive(c *sidecar, s balance.Sharers) {
+func (m *members) tellNaive(c *sidecar, s balance.FleetSize) {
 	v := &m.views[c.number]
 	v.jumps++
 	if _, err := c.b.Handle(m.w.Now()+jump*v.jumps, s); err != nil {
@@ -237,5 +237,5 @@
 	if v := &m.views[i]; !v.told.Admitted {
 		return 0
 	}
-	return 1 / m.w.sidecars[i].b.Sharers()
+	return 1 / m.w.sidecars[i].b.FleetSize()
 }
--- a/internal/lab/simulate/simulate.go
+++ b/internal/lab/simulate/simulate.go
@@ -88,7 +88,7 @@
 	slow          float64
 	links         map[int]*link // by sidecar, where they are not as the network has them
 	conns         int16
-	news          int            // changes of it that were published
+	listChanges   int            // changes of it that were published
 	listed        balance.Server // as discovery has it now; followed only where sidecars may start later
 	listedNews    int            // the change that listed is of
 	warming       *warming       // since its last start, where that is followed
@@ -351,8 +351,8 @@
 // publish tells all sidecars of a server after the notice that this news takes, the last a spread later than the first.
 // News that later news have overtaken are not told: discovery never goes back, as the lab's agents never do.
 func (w *world) publish(s *server, state balance.State, name string, notice scenario.Duration) {
-	s.news++
-	e, boot, news := s.entry, s.bootMS, s.news
+	s.listChanges++
+	e, boot, news := s.entry, s.bootMS, s.listChanges
 	e.State = state
 	if w.members != nil {
 		w.After(notice.MS(), func() {
--- a/internal/lab/simulate/try.go
+++ b/internal/lab/simulate/try.go
@@ -71,7 +71,7 @@
 			t.client = true
 			t.note(record.GaveUp, record.Event{})
 			t.end()
-			t.c.tell(balance.HangUp{Request: balance.RequestID(t.id)})
+			t.c.tell(balance.ClientGone{Request: balance.RequestID(t.id)})
 			k.again(0)
 		})
 	}
--- a/internal/lab/stock/clocked.go
+++ b/internal/lab/stock/clocked.go
@@ -36,7 +36,7 @@
 func (p *Clocked) Advance(now time.Duration) time.Duration {
 	complete, begin := p.group.advance(now)
 	for _, j := range begin {
-		j.began()
+		j.onStart()
 	}
 	for _, j := range complete {
 		j.done(true)
@@ -57,7 +57,7 @@
 	if m.full() {
 		return nil, Refused
 	}
-	t := &Task{server: m, job: job{work: work, left: work, arrived: now, began: began, done: func(bool) { done() }, where: queued}}
+	t := &Task{server: m, job: job{work: work, left: work, arrived: now, onStart: began, done: func(bool) { done() }, where: queued}}
 	m.queue = append(m.queue, &t.job)
 	return t, Taken
 }
--- a/internal/lab/stock/model.go
+++ b/internal/lab/stock/model.go
@@ -63,7 +63,7 @@
 	left    float64
 	arrived time.Duration
 	done    func(ran bool) // called without locks, at most once
-	began   func()
+	onStart func()
 	where   place
 }
 
--- a/internal/membership/reach/reach.go
+++ b/internal/membership/addrcheck/addrcheck.go
@@ -1,6 +1,6 @@
-// Package reach finds, when a configuration is read, what would keep its process out of the fleet for good: an address
+// Package addrcheck finds, when a configuration is read, what would keep its process out of the fleet for good: an address
 // that is taken is tried again, but what can never be joined with is an error of who wrote it.
-package reach
+package addrcheck
 
 import (
 	"fmt"
--- a/internal/membership/reach/reach_test.go
+++ b/internal/membership/addrcheck/addrcheck_test.go
@@ -1,4 +1,4 @@
-package reach
+package addrcheck
 
 import (
 	"net/netip"
--- a/internal/membership/collect/collect.go
+++ b/internal/membership/collect/collect.go
@@ -54,14 +54,14 @@
 		to <- prometheus.MustNewConstMetric(d, prometheus.CounterValue, float64(v), labels...)
 	}
 	r, f := c.g.Report(), c.g.Figures()
-	by, oldest := map[membership.Standing]int{}, int64(0)
+	by, oldest := map[membership.MemberState]int{}, int64(0)
 	for _, m := range r.Members {
 		by[m.State]++
 		if m.State == membership.Silent {
 			oldest = max(oldest, m.SinceMS)
 		}
 	}
-	for _, s := range []membership.Standing{membership.Alive, membership.Suspected, membership.Silent, membership.Gone} {
+	for _, s := range []membership.MemberState{membership.Alive, membership.Suspected, membership.Silent, membership.Gone} {
 		gauge(c.members, float64(by[s]), string(s))
 	}
 	admitted := 0.
--- a/internal/membership/instance.go
+++ b/internal/membership/instance.go
@@ -345,25 +345,25 @@
 	return k.text
 }
 
-// news is an entry to tell on. A newer one of the same name takes its place.
-type news struct {
+// broadcastMessage is an entry to tell on. A newer one of the same name takes its place.
+type broadcastMessage struct {
 	name string
 	text []byte
 }
 
 // Name is the entry's.
-func (n *news) Name() string { return n.name }
+func (n *broadcastMessage) Name() string { return n.name }
 
 // Invalidates reports whether it says all that another one does, and more.
-func (n *news) Invalidates(other memberlist.Broadcast) bool {
-	o, ok := other.(*news)
+func (n *broadcastMessage) Invalidates(other memberlist.Broadcast) bool {
+	o, ok := other.(*broadcastMessage)
 	return ok && o.name == n.name
 }
 
 // Message is what is sent.
-func (n *news) Message() []byte { return n.text }
+func (n *broadcastMessage) Message() []byte { return n.text }
 
 // Finished is called when it was sent often enough.
-func (n *news) Finished() {}
+func (n *broadcastMessage) Finished() {}
 
 func newLog(l *libLog) *log.Logger { return log.New(l, "", 0) }
--- a/internal/membership/join.go
+++ b/internal/membership/join.go
@@ -17,7 +17,7 @@
 // time. The library itself never calls again whom it took for dead, so after a long split nobody else would. Seeds that are
 // heard of are left alone.
 func (g *Group) join() {
-	pause, pace := g.joinPause(), newPace(g.cfg.Interval)
+	pause, pace := g.joinPause(), newJoinLimiter(g.cfg.Interval)
 	due := time.Now()
 	var round []string // to try before any is tried again
 	var seeds []string // as they were resolved last
@@ -31,7 +31,7 @@
 		case addr := <-g.exchanges:
 			// Every other time it is a seed: newcomers go there first, so it knows most.
 			if turn++; turn%2 == 1 && len(seeds) > 0 {
-				if seed := seeds[rand.IntN(len(seeds))]; g.scene.Load().heard[seed] {
+				if seed := seeds[rand.IntN(len(seeds))]; g.peers.Load().heard[seed] {
 					addr = seed
 				}
 			}
@@ -49,7 +49,7 @@
 			if len(round) == 0 {
 				round, seeds = g.candidates()
 			}
-			heard := g.scene.Load().heard
+			heard := g.peers.Load().heard
 			for len(round) > 0 && heard[round[0]] {
 				round = round[1:]
 			}
@@ -96,7 +96,7 @@
 // candidates are the addresses to try, in a random order, so that several processes do not try the same ones: the seeds
 // that are not heard, the silent, and where nobody is heard all that are known. With them come all seeds.
 func (g *Group) candidates() (all, seeds []string) {
-	s := g.scene.Load()
+	s := g.peers.Load()
 	add := func(addr string) {
 		if addr != "" && addr != g.addr && !s.heard[addr] && !slices.Contains(all, addr) {
 			all = append(all, addr)
--- a/internal/membership/pace.go
+++ b/internal/membership/join_limiter.go
@@ -13,21 +13,21 @@
 	joinSlowest = 16 // of that, a share of one in so many
 )
 
-// pace bounds how often the joiner calls. All of a fleet that is short of processors take each other for dead, and
+// joinLimiter bounds how often the joiner calls. All of a fleet that is short of processors take each other for dead, and
 // their calls would keep it short.
-type pace struct {
+type joinLimiter struct {
 	bucket *rate.Limiter
 	full   rate.Limit
 	slow   float64
 }
 
-func newPace(interval time.Duration) *pace {
+func newJoinLimiter(interval time.Duration) *joinLimiter {
 	full := rate.Every(interval / joinsMost)
-	return &pace{bucket: rate.NewLimiter(full, joinBurst), full: full, slow: 1}
+	return &joinLimiter{bucket: rate.NewLimiter(full, joinBurst), full: full, slow: 1}
 }
 
 // wait takes a call, or tells how long there is none.
-func (p *pace) wait() time.Duration {
+func (p *joinLimiter) wait() time.Duration {
 	r := p.bucket.Reserve()
 	d := r.Delay()
 	if d > 0 {
@@ -36,10 +36,10 @@
 	return d
 }
 
-func (p *pace) slower() { p.set(p.slow * 2) }
+func (p *joinLimiter) slower() { p.set(p.slow * 2) }
 
 // said takes in how a call went.
-func (p *pace) said(err error) {
+func (p *joinLimiter) said(err error) {
 	if err != nil {
 		p.set(p.slow * 1.25)
 	} else {
@@ -47,7 +47,7 @@
 	}
 }
 
-func (p *pace) set(slow float64) {
+func (p *joinLimiter) set(slow float64) {
 	p.slow = min(max(slow, 1), joinSlowest)
 	p.bucket.SetLimit(p.full / rate.Limit(p.slow))
 }
--- a/internal/membership/prove.go
+++ b/internal/membership/probe.go
@@ -17,8 +17,8 @@
 // callsMost is how many silent processes are called within an interval at most: the others call them, too.
 const callsMost = 10
 
-// trial is when a silent process is called next.
-type trial struct {
+// scheduledProbe is when a silent process is called next.
+type scheduledProbe struct {
 	at    time.Time
 	pause *backoff.ExponentialBackOff
 }
@@ -30,7 +30,7 @@
 	if !g.cfg.BelieveRefused {
 		return
 	}
-	trials := map[roster.ID]*trial{}
+	trials := map[roster.ID]*scheduledProbe{}
 	calls := rate.NewLimiter(rate.Every(g.cfg.Interval/callsMost), callsMost)
 	timer := time.NewTimer(0)
 	defer timer.Stop()
@@ -45,7 +45,7 @@
 			return
 		}
 		silent := map[roster.ID]roster.Entry{}
-		for _, e := range g.scene.Load().silent {
+		for _, e := range g.peers.Load().silent {
 			if g.provable(e.Addr) {
 				silent[idOf(e)] = e
 			}
@@ -59,7 +59,7 @@
 		for id, e := range silent {
 			t := trials[id]
 			if t == nil {
-				t = &trial{at: time.Now().Add(time.Duration(rand.Int64N(2 * int64(g.cfg.Interval)))),
+				t = &scheduledProbe{at: time.Now().Add(time.Duration(rand.Int64N(2 * int64(g.cfg.Interval)))),
 					pause: backoff.NewExponentialBackOff()}
 				t.pause.InitialInterval, t.pause.MaxInterval = g.cfg.Interval, 30*time.Second
 				trials[id] = t
--- a/internal/membership/publish.go
+++ b/internal/membership/publish.go
@@ -16,7 +16,7 @@
 
 // mark is how a process has stood.
 type mark struct {
-	state Standing
+	state MemberState
 	since time.Duration
 	up    time.Duration // alive since, where it is alive
 	heard time.Duration // last alive, where it is not; below 0: never
@@ -61,7 +61,7 @@
 
 // stage sets the scene for joiner and prober.
 func (g *Group) stage(now time.Duration) {
-	s := &scene{silent: g.roster.Silent(now), heard: make(map[string]bool, len(g.live))}
+	s := &peerSnapshot{silent: g.roster.Silent(now), heard: make(map[string]bool, len(g.live))}
 	for _, n := range g.live {
 		s.heard[n.addr] = true
 	}
@@ -72,7 +72,7 @@
 			}
 		}
 	}
-	before := g.scene.Swap(s)
+	before := g.peers.Swap(s)
 	if len(s.silent) > len(before.silent) || len(s.heard) == 0 && len(before.heard) > 0 {
 		signal(g.joinWake)
 	}
@@ -126,7 +126,7 @@
 }
 
 // mark keeps how one process stands, and reports whether that has changed.
-func (g *Group) mark(now time.Duration, id roster.ID, state Standing, e roster.Entry, n *liveNode) bool {
+func (g *Group) mark(now time.Duration, id roster.ID, state MemberState, e roster.Entry, n *liveNode) bool {
 	m := g.marks[id]
 	if m == nil {
 		m = &mark{heard: -1, up: now}
--- a/internal/membership/report.go
+++ b/internal/membership/report.go
@@ -4,30 +4,30 @@
 	"marblelane/internal/membership/roster"
 )
 
-// Standing is how a process stands with another.
-type Standing string
+// MemberState is how a process stands with another.
+type MemberState string
 
 // The standings of a member, as one process sees it.
 const (
-	Alive     Standing = "alive"
-	Suspected Standing = "suspected" // it did not answer, and may refute that
-	Silent    Standing = "silent"    // taken for dead by the failure detector, but not proved gone: it counts
-	Gone      Standing = "gone"      // proved gone
+	Alive     MemberState = "alive"
+	Suspected MemberState = "suspected" // it did not answer, and may refute that
+	Silent    MemberState = "silent"    // taken for dead by the failure detector, but not proved gone: it counts
+	Gone      MemberState = "gone"      // proved gone
 )
 
 // Member is one process as another sees it.
 type Member struct {
-	Name    string   `json:"name"`
-	Start   int64    `json:"start"`
-	Addr    string   `json:"addr,omitempty"`
-	Zone    string   `json:"zone,omitempty"`
-	Role    string   `json:"role,omitempty"`
-	Version string   `json:"version,omitempty"`
-	State   Standing `json:"state"`
-	Proof   string   `json:"proof,omitempty"` // why it is known to be gone: refused, replaced, told, left
-	SinceMS int64    `json:"since_ms"`        // for so long it has stood so
-	HeardMS int64    `json:"heard_ms"`        // since it was last alive; -1: never
-	Twin    bool     `json:"twin,omitempty"`  // another process of its name is alive beside it
+	Name    string      `json:"name"`
+	Start   int64       `json:"start"`
+	Addr    string      `json:"addr,omitempty"`
+	Zone    string      `json:"zone,omitempty"`
+	Role    string      `json:"role,omitempty"`
+	Version string      `json:"version,omitempty"`
+	State   MemberState `json:"state"`
+	Proof   string      `json:"proof,omitempty"` // why it is known to be gone: refused, replaced, told, left
+	SinceMS int64       `json:"since_ms"`        // for so long it has stood so
+	HeardMS int64       `json:"heard_ms"`        // since it was last alive; -1: never
+	Twin    bool        `json:"twin,omitempty"`  // another process of its name is alive beside it
 }
 
 // Report is what one process says of its fleet; GET /members answers it.
--- a/internal/membership/roster/model/fleet.go
+++ b/internal/membership/roster/model/fleet.go
@@ -40,7 +40,7 @@
 
 type process struct {
 	roster *roster.Roster
-	crowd  balance.Crowd
+	crowd  balance.FleetEstimate
 	addr   string
 	runs   bool
 	leaves bool          // it has said so
@@ -336,7 +336,7 @@
 		now := f.clock(p)
 		p.view = p.roster.View(now)
 		f.founded = f.founded || p.view.Admitted
-		s := balance.Sharers{Known: p.view.Known, Heard: p.view.Heard, Admitted: p.view.Admitted}
+		s := balance.FleetSize{Known: p.view.Known, Heard: p.view.Heard, Admitted: p.view.Admitted}
 		if f.Defect == NoAdmission {
 			s.Admitted = true
 		}
--- a/internal/membership/roster/roster.go
+++ b/internal/membership/roster/roster.go
@@ -2,9 +2,6 @@
 
 import (
 	"cmp"
-	"encoding/binary"
-	"maps"
-	"math"
 	"slices"
 	"time"
 )
@@ -24,14 +21,14 @@
 
 // Roster is what one process knows of its fleet. It is not for concurrent use.
 type Roster struct {
-	o       Options
-	self    ID
-	left    bool // this process said that it leaves
-	names   map[string]*name
-	side    map[string]*name // of which several processes live
-	entries int
-	graves  []grave // in the order of going; some are forgotten since
-	deaths  uint64  // so many were proved gone
+	o            Options
+	self         ID
+	left         bool // this process said that it leaves
+	names        map[string]*name
+	side         map[string]*name // of which several processes live
+	entries      int
+	deathRecords []deathRecord // in the order of going; some are forgotten since
+	deaths       uint64        // so many were proved gone
 
 	digest  uint64 // of all that live
 	sharing int    // names that are not an observer's
@@ -53,8 +50,8 @@
 	proofs int // so many of them are proved gone
 }
 
-// grave is a process that was proved gone, as the nth one.
-type grave struct {
+// deathRecord is a process that was proved gone, as the nth one.
+type deathRecord struct {
 	ID
 	nth uint64
 }
@@ -222,7 +219,7 @@
 func (r *Roster) bury(n *name, id ID) (nth uint64) {
 	n.proofs++
 	r.deaths++
-	r.graves = append(r.graves, grave{id, r.deaths})
+	r.deathRecords = append(r.deathRecords, deathRecord{id, r.deaths})
 	return r.deaths
 }
 
@@ -286,17 +283,17 @@
 			r.drop(n, n.first())
 		}
 	}
-	for len(r.graves) > 0 && r.entries > r.o.Most {
-		g := r.graves[0]
-		r.graves = r.graves[1:]
+	for len(r.deathRecords) > 0 && r.entries > r.o.Most {
+		g := r.deathRecords[0]
+		r.deathRecords = r.deathRecords[1:]
 		if p := r.find(g.ID); p != nil && p.nth == g.nth {
 			n := r.names[g.Name]
 			i, _ := n.search(g.Start)
 			r.drop(n, i)
 		}
 	}
-	if len(r.graves) > 2*r.o.Most { // most of them were dropped for others of their name
-		r.graves = slices.DeleteFunc(r.graves, func(g grave) bool {
+	if len(r.deathRecords) > 2*r.o.Most { // most of them were dropped for others of their name
+		r.deathRecords = slices.DeleteFunc(r.deathRecords, func(g deathRecord) bool {
 			p := r.find(g.ID)
 			return p == nil || p.nth != g.nth
 		})
@@ -351,171 +348,6 @@
 	standing  = countedIn | surely
 )
 
-// Digest stands for all that live by what is known here, in no order. Its two lowest bits say whether this process is
-// admitted, and not Forced; the others are the same for processes that know the same.
-func (r *Roster) Digest() uint64 {
-	return r.digest&^standing | uint64(bit(r.admitted))*countedIn | uint64(bit(r.admitted && !r.forced))*surely
-}
-
-// Acknowledged takes in that another process has this digest. If it is this one's, too, then that process knows all
-// that this one knows, and this one among them. False: they differ, an exchange is wanted.
-func (r *Roster) Acknowledged(by ID, digest uint64) bool {
-	if (digest^r.digest)&^standing != 0 {
-		return false
-	}
-	if p := r.find(by); p != nil && by != r.self {
-		n := r.names[by.Name]
-		r.count(n, -1)
-		p.acked, p.vouched, p.sure = true, p.vouched || digest&countedIn != 0, p.sure || digest&surely != 0
-		r.count(n, 1)
-		r.admit()
-	}
-	return true
-}
-
-// admit counts this process in once all others know of it. That newcomers know each other is no evidence, as they may
-// know nobody else: one that is admitted must be among them, or as many as the settings name, which are more than one.
-// Who came in on the word of one that only waited long enough is no surer than that one; but where the settings name no
-// more than one, that is how every fleet begins.
-func (r *Roster) admit() {
-	if r.acked == 0 || r.acked < r.others {
-		return
-	}
-	alone := r.o.Peers == 1
-	if r.sure > 0 || !alone && r.living >= r.o.Peers || alone && r.vouched > 0 {
-		r.admitted, r.forced = true, false
-	} else if r.vouched > 0 && !r.admitted {
-		r.admitted, r.forced = true, true
-	}
-}
-
-// Wanting gives up to so many of the living others that have not acknowledged this process, those first whose turn is
-// next; nobody once it is admitted and not Forced.
-func (r *Roster) Wanting(most int) []Entry {
-	if r.admitted && !r.forced || r.left || r.o.Observer {
-		return nil
-	}
-	all := r.those(func(p *process) bool { return !p.watches && (!p.acked || r.sure == 0) })
-	slices.SortFunc(all, func(a, b *process) int {
-		return cmp.Or(after(a.ID, r.asked)-after(b.ID, r.asked), compare(a.ID, b.ID))
-	})
-	all = all[:min(len(all), max(most, 0))]
-	if len(all) > 0 {
-		r.asked = all[len(all)-1].ID
-	}
-	return entries(all)
-}
-
-// after is 0 for those after an id, and 1 for those up to it.
-func after(a, id ID) int {
-	if compare(a, id) > 0 {
-		return 0
-	}
-	return 1
-}
-
-// Silent gives the living others that are not heard of, those first that have been silent for longest.
-func (r *Roster) Silent(time.Duration) []Entry {
-	all := r.those(func(p *process) bool { return !p.heard })
-	slices.SortFunc(all, func(a, b *process) int {
-		return cmp.Or(cmp.Compare(a.since, b.since), compare(a.ID, b.ID))
-	})
-	return entries(all)
-}
-
-// those gives the living others that are meant, in no order.
-func (r *Roster) those(meant func(*process) bool) []*process {
-	var all []*process
-	for _, n := range r.names {
-		for i := range n.all {
-			if p := &n.all[i]; p.lives() && p.ID != r.self && meant(p) {
-				all = append(all, p)
-			}
-		}
-	}
-	return all
-}
-
-func entries(all []*process) []Entry {
-	out := make([]Entry, len(all))
-	for i, p := range all {
-		out[i] = p.entry()
-	}
-	return out
-}
-
-// Len is the number of entries.
-func (r *Roster) Len() int { return r.entries }
-
-// Find gives what is known of one process.
-func (r *Roster) Find(id ID) (Entry, bool) {
-	if p := r.find(id); p != nil {
-		return p.entry(), true
-	}
-	return Entry{}, false
-}
-
-// Self is this process. Its start is greater than it was begun with if that one was proved gone.
-func (r *Roster) Self() ID { return r.self }
-
-// View is what follows from all this now.
-func (r *Roster) View(now time.Duration) View {
-	if !r.admitted && now >= r.admitBy {
-		r.admitted, r.forced = true, true
-	}
-	v := View{Known: r.living + max(0, r.o.Peers-r.sharing), Heard: r.heard, Admitted: r.admitted}
-	for _, n := range r.side {
-		v.add(n.twins(now, r.self))
-	}
-	if r.left || r.o.Observer || r.follows() {
-		v.Admitted = false
-	}
-	v.Forced = v.Admitted && r.forced
-	return v
-}
-
-func (v *View) add(twins int) {
-	v.Known += twins
-	v.Heard += twins
-}
-
-// twins are the processes that have been there beside a later one of their name for longer than an upgrade takes.
-func (n *name) twins(now time.Duration, self ID) int {
-	twins, later := 0, time.Duration(math.MaxInt64) // a later one has been there since
-	for i := len(n.all) - 1; i >= 0; i-- {
-		p := &n.all[i]
-		if !p.lives() || p.watches {
-			continue
-		}
-		if (p.heard || p.ID == self) && now-max(p.since, later) > upgrade {
-			twins++
-		}
-		later = min(later, p.met)
-	}
-	return twins
-}
-
-// follows reports whether a later process of this one's name lives. A name has one part of what the fleet allows, and
-// the later one takes it over: it has asked this one, too, before it counts itself in. An observer takes over nothing.
-func (r *Roster) follows() bool {
-	n := r.names[r.self.Name]
-	return n != nil && slices.ContainsFunc(n.all, func(p process) bool {
-		return p.lives() && !p.watches && p.Start > r.self.Start
-	})
-}
-
-// Entries gives all that is known, by name and start.
-func (r *Roster) Entries() []Entry {
-	all := make([]Entry, 0, r.entries)
-	for _, n := range r.names {
-		for i := range n.all {
-			all = append(all, n.all[i].entry())
-		}
-	}
-	slices.SortFunc(all, func(a, b Entry) int { return compare(ID{a.Name, a.Start}, ID{b.Name, b.Start}) })
-	return all
-}
-
 func compare(a, b ID) int { return cmp.Or(cmp.Compare(a.Name, b.Name), cmp.Compare(a.Start, b.Start)) }
 
 // hash is one that is as good as random, for sums in no order.
@@ -534,46 +366,3 @@
 	x = (x ^ x>>27) * 0x94d049bb133111eb
 	return x ^ x>>31
 }
-
-// Clone is a copy that goes its own way.
-func (r *Roster) Clone() *Roster {
-	c := *r
-	c.names, c.side = make(map[string]*name, len(r.names)), maps.Clone(r.side)
-	for k, n := range r.names {
-		c.names[k] = &name{slices.Clone(n.all), n.proofs}
-		if c.side[k] != nil {
-			c.side[k] = c.names[k]
-		}
-	}
-	c.graves = slices.Clone(r.graves)
-	return &c
-}
-
-// AppendKey appends what tells this roster from others of the same Options, but for times, for who is heard, and for the
-// order in which proofs will be forgotten.
-func (r *Roster) AppendKey(b []byte) []byte {
-	b = binary.AppendVarint(b, r.self.Start)
-	b = append(b, bit(r.admitted)|bit(r.forced)<<1|bit(r.left)<<2)
-	waits := !r.admitted || r.forced // to be acknowledged
-	for _, k := range slices.Sorted(maps.Keys(r.names)) {
-		b = append(append(b, byte(len(k))), k...)
-		for i := range r.names[k].all {
-			p := &r.names[k].all[i]
-			b = binary.AppendVarint(b, p.Start)
-			b = append(b, byte(p.proof))
-			if waits && p.lives() {
-				b = append(b, bit(p.acked)|bit(p.vouched)<<1|bit(p.sure)<<2)
-			}
-		}
-		b = append(b, 0)
-	}
-	return b
-}
-
-// bit is 1 for what is so.
-func bit(b bool) byte {
-	if b {
-		return 1
-	}
-	return 0
-}
--- a/internal/membership/view/diff.go
+++ b/internal/membership/view/diff.go
@@ -15,7 +15,7 @@
 )
 
 // Unknown is how a member stands with a process that says nothing of it.
-const Unknown membership.Standing = "unknown"
+const Unknown membership.MemberState = "unknown"
 
 // Asked is what a process said of its fleet at two moments.
 type Asked struct {
@@ -29,10 +29,10 @@
 
 // Saying is what one process says of a member.
 type Saying struct {
-	Addr    string              `json:"addr"` // of the process
-	State   membership.Standing `json:"state"`
-	Proof   string              `json:"proof,omitempty"`
-	SinceMS int64               `json:"since_ms"` // for so long; -1: Unknown
+	Addr    string                 `json:"addr"` // of the process
+	State   membership.MemberState `json:"state"`
+	Proof   string                 `json:"proof,omitempty"`
+	SinceMS int64                  `json:"since_ms"` // for so long; -1: Unknown
 }
 
 // Stage tells a difference that stays from one that is about to go.
@@ -131,7 +131,7 @@
 // have done so for the shorter of both times, so it is the second longest of the times for which each state was
 // said by anybody. A process that does not know the member has not known it for as long as it is there itself.
 func lasts(row []Saying, asked []Asked) int64 {
-	longest := map[membership.Standing]int64{}
+	longest := map[membership.MemberState]int64{}
 	for i, s := range row {
 		since := s.SinceMS
 		if s.State == Unknown {
@@ -178,8 +178,8 @@
 
 // Change is that a member stands otherwise with a process than it did.
 type Change struct {
-	Member   membership.Member   // as it is now; as it was, where it is not named any more
-	From, To membership.Standing // Unknown: it is not named
+	Member   membership.Member      // as it is now; as it was, where it is not named any more
+	From, To membership.MemberState // Unknown: it is not named
 }
 
 // Changes gives what has changed from one report of a process to a later one, by name and start.
--- a/internal/registry/members.go
+++ b/internal/registry/members.go
@@ -1,5 +1,8 @@
 package registry
 
+// This file is a copy's side of membership, see docs/membership.md. It tells operators which copies are there; raft
+// alone decides who votes. Without the section of the configuration nothing of it runs.
+
 import (
 	"context"
 	"fmt"
@@ -10,19 +13,16 @@
 	"github.com/prometheus/client_golang/prometheus"
 
 	"marblelane/internal/membership"
+	"marblelane/internal/membership/addrcheck"
 	"marblelane/internal/membership/collect"
-	"marblelane/internal/membership/reach"
 	"marblelane/internal/streamlimit"
 )
 
-// This file is a copy's side of membership, see docs/membership.md. It tells operators which copies are there; raft
-// alone decides who votes. Without the section of the configuration nothing of it runs.
-
 const (
 	membersPath = "/members"
 	roleList    = "list"
 	// unknown is how a copy stands of whom membership has not heard, or that has none.
-	unknown membership.Standing = "unknown"
+	unknown membership.MemberState = "unknown"
 
 	leaveWait = 300 * time.Millisecond // for others to be told that this copy ends
 	// memberWatchers of /members may be there at once. They are operators, and each holds a connection.
@@ -43,7 +43,7 @@
 		return nil, err
 	}
 	c.Name, c.Role, c.Observer = f.Name, roleList, true
-	if err := reach.Check(c); err != nil {
+	if err := addrcheck.Check(c); err != nil {
 		return nil, fmt.Errorf("this copy as a member: %w", err)
 	}
 	return &c, nil
@@ -95,8 +95,8 @@
 
 // standings tells how the copies stand, by name, as this one sees them: of one name the latest start counts, and one
 // that is there before one that is not. What a group that has left saw last tells nothing of now.
-func (m *members) standings() map[string]membership.Standing {
-	out := map[string]membership.Standing{}
+func (m *members) standings() map[string]membership.MemberState {
+	out := map[string]membership.MemberState{}
 	if m == nil {
 		return out
 	}
