--- a/internal/registry/node.go
+++ b/internal/registry/node.go
@@ -11,7 +11,6 @@
 	"net/http"
 	"os"
 	"path/filepath"
-	"slices"
 	"sync"
 	"sync/atomic"
 	"time"
@@ -210,14 +209,6 @@
 	return nil
 }
 
-// diskFailure is the first write that the copy's folder has refused; nil: none.
-func (n *Node) diskFailure() error {
-	if n.kept == nil {
-		return nil
-	}
-	return n.kept.failure()
-}
-
 // founders are the copies of a cluster that is founded now.
 func (n *Node) founders(wire *transport) (out raft.Configuration) {
 	peers := n.cfg.Peers
@@ -230,58 +221,6 @@
 	return out
 }
 
-// advertised is where the other copies reach this one: as the peers have it, or where it listens.
-func (c *Config) advertised() string {
-	if c.Advertise != "" {
-		return c.Advertise
-	}
-	for _, p := range c.Peers {
-		if p.Name == c.Name {
-			return p.Raft
-		}
-	}
-	return ""
-}
-
-// layer carries raft over TCP. It calls from the address it listens at, so that a firewall can tell the copies apart.
-type layer struct {
-	net.Listener
-	advertised net.Addr
-	from       *net.TCPAddr
-}
-
-func listenRaft(listen, advertised string) (*layer, error) {
-	l, err := net.Listen("tcp", listen)
-	if err != nil {
-		return nil, err
-	}
-	out := &layer{Listener: listener.Wrap(l, "raft", nil), advertised: l.Addr()}
-	at := l.Addr().(*net.TCPAddr)
-	if !at.IP.IsUnspecified() {
-		out.from = &net.TCPAddr{IP: at.IP}
-	} else if advertised == "" {
-		return nil, errors.Join(errors.New("other copies need an address, not one for all interfaces: name this copy among the peers"), l.Close())
-	}
-	if advertised != "" {
-		if out.advertised, err = net.ResolveTCPAddr("tcp", advertised); err != nil {
-			return nil, errors.Join(err, l.Close())
-		}
-	}
-	return out, nil
-}
-
-// Addr is where other copies reach this one.
-func (l *layer) Addr() net.Addr { return l.advertised }
-
-// Dial calls another copy.
-func (l *layer) Dial(address raft.ServerAddress, timeout time.Duration) (net.Conn, error) {
-	d := net.Dialer{Timeout: timeout}
-	if l.from != nil {
-		d.LocalAddr = l.from
-	}
-	return d.Dial("tcp", string(address))
-}
-
 // Addr is where readers and writers come.
 func (n *Node) Addr() string { return n.listen.Addr().String() }
 
@@ -344,96 +283,11 @@
 	n.close = nil
 }
 
-// lead does what a new leader owes: it begins the history if there is none, and says where the copies serve.
-func (n *Node) lead(ctx context.Context) {
-	for {
-		var leads bool
-		select {
-		case <-ctx.Done():
-			return
-		case leads = <-n.raft.LeaderCh():
-		}
-		if !leads {
-			n.log.Info("registry: leads no more", "name", n.cfg.Name)
-			continue
-		}
-		n.log.Info("registry: leads", "name", n.cfg.Name)
-		// All that was committed before has to be applied first: whether there is a history shows only then.
-		term := n.raft.CurrentTerm()
-		if err := n.raft.Barrier(applyWait).Error(); err != nil {
-			continue // it leads no more
-		}
-		if n.raft.CurrentTerm() == term {
-			n.settled.Store(term)
-		}
-		commands := []*Command{}
-		var rev int64
-		var members map[string]string
-		n.hub.read(func(s *State) { rev, members = s.Rev(), s.Members() })
-		if rev == 0 {
-			commands = append(commands, &Command{Op: OpBegin, Epoch: NextEpoch(n.cfg.Faults.Now(), 0)})
-		}
-		if members[n.cfg.Name] != n.Addr() {
-			commands = append(commands, &Command{Op: OpMember, UID: n.cfg.Name, Address: n.Addr()})
-		}
-		for _, p := range n.cfg.Peers {
-			if p.Name != n.cfg.Name && members[p.Name] == "" {
-				commands = append(commands, &Command{Op: OpMember, UID: p.Name, Address: p.Serve})
-			}
-		}
-		for _, c := range commands {
-			if _, err := n.Apply(c, applyWait); err != nil {
-				n.log.Warn("registry: a new leader's first writes", "error", err)
-				break
-			}
-		}
-	}
-}
-
 const (
 	slowWrites = 3           // in a row, after which a leader's disk counts as slow
 	yieldPause = time.Minute // between two tries to give the lead up: where all disks are slow it would only wander
 )
 
-// watchDisk gives the lead up while this copy's disk is slow: each write waits for the leader's own disk, and for the
-// quickest of the others'. raft would let it lead on, as its heartbeats need no disk.
-func (n *Node) watchDisk(ctx context.Context) {
-	t := time.NewTicker(n.cfg.Beat)
-	defer t.Stop()
-	var last time.Time
-	for {
-		select {
-		case <-ctx.Done():
-			return
-		case <-t.C:
-		}
-		if n.kept.slowly.Load() < slowWrites || n.raft.State() != raft.Leader || !last.IsZero() && time.Since(last) < yieldPause {
-			continue
-		}
-		last = time.Now()
-		n.log.Warn("registry: the disk is slow, this copy gives the lead up", "name", n.cfg.Name, "write", n.DiskTook())
-		if err := n.raft.LeadershipTransfer().Error(); err != nil {
-			n.log.Warn("registry: nobody takes the lead over", "error", err)
-		}
-	}
-}
-
-// DiskTook is how long the last write to the disk took; 0: there was none, or nothing is kept.
-func (n *Node) DiskTook() time.Duration {
-	if n.kept == nil {
-		return 0
-	}
-	return time.Duration(n.kept.took.Load())
-}
-
-// DiskWrites is how often something was written to the disk since the start.
-func (n *Node) DiskWrites() int64 {
-	if n.kept == nil {
-		return 0
-	}
-	return n.kept.writes.Load()
-}
-
 // result is what the machine gives back for a command.
 type result struct {
 	rev int64
@@ -462,87 +316,9 @@
 	return r.rev, r.err
 }
 
-// Leader tells whether this copy leads, and where the one that does serves.
-func (n *Node) Leader() (bool, string) {
-	if n.raft.State() == raft.Leader {
-		return true, n.Addr()
-	}
-	_, id := n.raft.LeaderWithID()
-	if id == "" {
-		return false, ""
-	}
-	var address string
-	n.hub.read(func(s *State) { address = s.members[string(id)] })
-	return false, address
-}
-
-// Heard is how old at most the list of this copy is: all that had been acknowledged by then is in it.
-func (n *Node) Heard() time.Duration {
-	var rev int64
-	n.hub.read(func(s *State) { rev = s.Rev() })
-	if at := n.fresh.since(rev); !at.IsZero() {
-		return time.Since(at)
-	}
-	return time.Hour // never yet
-}
-
-// follows tells whether this copy still leads in a term, with another as a member.
-func (n *Node) follows(id raft.ServerID, term uint64) bool {
-	if n.raft.State() != raft.Leader || n.raft.CurrentTerm() != term {
-		return false
-	}
-	f := n.raft.GetConfiguration()
-	return f.Error() == nil && slices.ContainsFunc(f.Configuration().Servers, func(s raft.Server) bool { return s.ID == id })
-}
-
-// Term numbers the lead of this copy.
-func (n *Node) Term() uint64 {
-	if term := n.settled.Load(); n.raft.State() == raft.Leader && n.raft.CurrentTerm() == term {
-		return term
-	}
-	return 0
-}
-
-// Confirm asks a majority whether this copy still leads.
-func (n *Node) Confirm() error {
-	// A new leader may not have applied yet what its predecessors acknowledged.
-	at, term := time.Now(), n.raft.CurrentTerm()
-	if n.settled.Load() != term {
-		return ErrNotLeader
-	}
-	for range confirmTries {
-		if err := n.raft.VerifyLeader().Error(); err != nil {
-			return ErrNotLeader
-		}
-		if n.confirmedSince(at, term) {
-			return nil
-		}
-	}
-	return ErrNotLeader
-}
-
 // confirmTries is enough for one answer of each of eight other copies that was under way when the first try began.
 const confirmTries = 9
 
-// confirmedSince tells whether a majority has acknowledged what this copy has sent as leader of a term after a time.
-func (n *Node) confirmedSince(at time.Time, term uint64) bool {
-	f := n.raft.GetConfiguration()
-	if f.Error() != nil {
-		return false
-	}
-	voters, with := 0, 0
-	for _, s := range f.Configuration().Servers {
-		if s.Suffrage != raft.Voter {
-			continue
-		}
-		voters++
-		if s.ID == raft.ServerID(n.cfg.Name) || n.wire.follows(s.ID, term, at) {
-			with++
-		}
-	}
-	return 2*with > voters
-}
-
 // Add makes another copy a member of the cluster, a voter. It is the leader's to do.
 func (n *Node) Add(p Peer) error {
 	if err := n.raft.AddVoter(raft.ServerID(p.Name), raft.ServerAddress(p.Raft), 0, applyWait).Error(); err != nil {
@@ -560,60 +336,3 @@
 	_, err := n.Apply(&Command{Op: OpMember, UID: name}, applyWait)
 	return err
 }
-
-// machine is the node as raft drives it.
-type machine Node
-
-// Apply carries out a committed command.
-func (m *machine) Apply(l *raft.Log) any {
-	var c Command
-	if err := json.Unmarshal(l.Data, &c); err != nil {
-		return result{err: fmt.Errorf("registry: log entry %d: %w", l.Index, err)}
-	}
-	var r result
-	if c.Term != 0 && c.Term != l.Term {
-		return result{err: ErrNotLeader} // decided in an earlier lead
-	}
-	m.hub.read(func(s *State) {
-		r.rev, r.err = s.Apply(&c)
-		m.server.routes.tables.follow(s.routes, l.Term, time.Now())
-	})
-	m.server.stir()
-	return r
-}
-
-// Snapshot takes a copy of the state, which is written out later.
-func (m *machine) Snapshot() (raft.FSMSnapshot, error) {
-	var s *saved
-	var err error
-	m.hub.read(func(st *State) { s, err = st.save() })
-	return snapshot{s}, err
-}
-
-// Restore puts a snapshot in the state's place.
-func (m *machine) Restore(from io.ReadCloser) error {
-	defer from.Close()
-	var in saved
-	if err := json.NewDecoder(from).Decode(&in); err != nil {
-		return fmt.Errorf("registry: snapshot: %w", err)
-	}
-	s := NewState(m.cfg.Keep)
-	if err := s.load(&in); err != nil {
-		return err
-	}
-	m.server.routes.tables.follow(s.routes, 0, time.Now())
-	return m.hub.replace(s)
-}
-
-type snapshot struct{ s *saved }
-
-// Persist writes the snapshot whole or not at all.
-func (s snapshot) Persist(sink raft.SnapshotSink) error {
-	if err := json.NewEncoder(sink).Encode(s.s); err != nil {
-		return errors.Join(fmt.Errorf("registry: snapshot: %w", err), sink.Cancel())
-	}
-	return sink.Close()
-}
-
-// Release does nothing: the snapshot is this program's own copy.
-func (snapshot) Release() {}
--- /dev/null
+++ b/internal/registry/node_lead.go
@@ -0,0 +1,135 @@
+package registry
+
+// This file says whether this copy leads, and makes sure of it.
+
+import (
+	"context"
+	"slices"
+	"time"
+
+	"github.com/hashicorp/raft"
+)
+
+// lead does what a new leader owes: it begins the history if there is none, and says where the copies serve.
+func (n *Node) lead(ctx context.Context) {
+	for {
+		var leads bool
+		select {
+		case <-ctx.Done():
+			return
+		case leads = <-n.raft.LeaderCh():
+		}
+		if !leads {
+			n.log.Info("registry: leads no more", "name", n.cfg.Name)
+			continue
+		}
+		n.log.Info("registry: leads", "name", n.cfg.Name)
+		// All that was committed before has to be applied first: whether there is a history shows only then.
+		term := n.raft.CurrentTerm()
+		if err := n.raft.Barrier(applyWait).Error(); err != nil {
+			continue // it leads no more
+		}
+		if n.raft.CurrentTerm() == term {
+			n.settled.Store(term)
+		}
+		commands := []*Command{}
+		var rev int64
+		var members map[string]string
+		n.hub.read(func(s *State) { rev, members = s.Rev(), s.Members() })
+		if rev == 0 {
+			commands = append(commands, &Command{Op: OpBegin, Epoch: NextEpoch(n.cfg.Faults.Now(), 0)})
+		}
+		if members[n.cfg.Name] != n.Addr() {
+			commands = append(commands, &Command{Op: OpMember, UID: n.cfg.Name, Address: n.Addr()})
+		}
+		for _, p := range n.cfg.Peers {
+			if p.Name != n.cfg.Name && members[p.Name] == "" {
+				commands = append(commands, &Command{Op: OpMember, UID: p.Name, Address: p.Serve})
+			}
+		}
+		for _, c := range commands {
+			if _, err := n.Apply(c, applyWait); err != nil {
+				n.log.Warn("registry: a new leader's first writes", "error", err)
+				break
+			}
+		}
+	}
+}
+
+// Leader tells whether this copy leads, and where the one that does serves.
+func (n *Node) Leader() (bool, string) {
+	if n.raft.State() == raft.Leader {
+		return true, n.Addr()
+	}
+	_, id := n.raft.LeaderWithID()
+	if id == "" {
+		return false, ""
+	}
+	var address string
+	n.hub.read(func(s *State) { address = s.members[string(id)] })
+	return false, address
+}
+
+// Heard is how old at most the list of this copy is: all that had been acknowledged by then is in it.
+func (n *Node) Heard() time.Duration {
+	var rev int64
+	n.hub.read(func(s *State) { rev = s.Rev() })
+	if at := n.fresh.since(rev); !at.IsZero() {
+		return time.Since(at)
+	}
+	return time.Hour // never yet
+}
+
+// follows tells whether this copy still leads in a term, with another as a member.
+func (n *Node) follows(id raft.ServerID, term uint64) bool {
+	if n.raft.State() != raft.Leader || n.raft.CurrentTerm() != term {
+		return false
+	}
+	f := n.raft.GetConfiguration()
+	return f.Error() == nil && slices.ContainsFunc(f.Configuration().Servers, func(s raft.Server) bool { return s.ID == id })
+}
+
+// Term numbers the lead of this copy.
+func (n *Node) Term() uint64 {
+	if term := n.settled.Load(); n.raft.State() == raft.Leader && n.raft.CurrentTerm() == term {
+		return term
+	}
+	return 0
+}
+
+// Confirm asks a majority whether this copy still leads.
+func (n *Node) Confirm() error {
+	// A new leader may not have applied yet what its predecessors acknowledged.
+	at, term := time.Now(), n.raft.CurrentTerm()
+	if n.settled.Load() != term {
+		return ErrNotLeader
+	}
+	for range confirmTries {
+		if err := n.raft.VerifyLeader().Error(); err != nil {
+			return ErrNotLeader
+		}
+		if n.confirmedSince(at, term) {
+			return nil
+		}
+	}
+	return ErrNotLeader
+}
+
+// confirmedSince tells whether a majority has acknowledged what this copy has sent as leader of a term after a time.
+func (n *Node) confirmedSince(at time.Time, term uint64) bool {
+	f := n.raft.GetConfiguration()
+	if f.Error() != nil {
+		return false
+	}
+	voters, with := 0, 0
+	for _, s := range f.Configuration().Servers {
+		if s.Suffrage != raft.Voter {
+			continue
+		}
+		voters++
+		if s.ID == raft.ServerID(n.cfg.Name) || n.wire.follows(s.ID, term, at) {
+			with++
+		}
+	}
+	return 2*with > voters
+}
--- a/internal/registry/copies.go
+++ b/internal/registry/replicas.go
@@ -1,5 +1,9 @@
 package registry
 
+// This file is how a copy is put in another's place: the new one learns without a vote (Learn), votes once it has
+// caught up (Promote), and then the old one goes (Retire). Each step may be asked for again; the last two are refused
+// unless a majority of those that vote after them answers the leader as it is asked.
+
 import (
 	"encoding/json"
 	"errors"
@@ -14,10 +18,6 @@
 	"marblelane/internal/membership"
 )
 
-// This file is how a copy is put in another's place: the new one learns without a vote (Learn), votes once it has
-// caught up (Promote), and then the old one goes (Retire). Each step may be asked for again; the last two are refused
-// unless a majority of those that vote after them answers the leader as it is asked.
-
 const copiesPath = "/registry/copies"
 
 // thereBeats is how many heartbeats a copy has for an answer that shows that it is there.
@@ -28,12 +28,12 @@
 
 // CopyStatus is one copy as another has it.
 type CopyStatus struct {
-	Name   string              `json:"name"`
-	Raft   string              `json:"raft"`
-	Serve  string              `json:"serve"`
-	Votes  bool                `json:"votes"`
-	AckMS  int64               `json:"ack_ms"` // at the leader: age of what it has acknowledged in this lead; -1: nothing
-	Member membership.Standing `json:"member"` // what membership says; it has no say in who votes
+	Name   string                 `json:"name"`
+	Raft   string                 `json:"raft"`
+	Serve  string                 `json:"serve"`
+	Votes  bool                   `json:"votes"`
+	AckMS  int64                  `json:"ack_ms"` // at the leader: age of what it has acknowledged in this lead; -1: nothing
+	Member membership.MemberState `json:"member"` // what membership says; it has no say in who votes
 }
 
 // Copies are all copies of the cluster, as far as this one knows.
@@ -199,8 +199,8 @@
 	return err
 }
 
-// copies is a replica whose members can be changed.
-type copies interface {
+// replicaSet is a replica whose members can be changed.
+type replicaSet interface {
 	Add(Peer) error
 	Remove(name string) error
 	Learn(Peer) error
@@ -212,7 +212,7 @@
 }
 
 // handleCopies serves changes of the cluster.
-func (s *Server) handleCopies(m *http.ServeMux, c copies) {
+func (s *Server) handleCopies(m *http.ServeMux, c replicaSet) {
 	peer := func(do func(Peer) error) http.HandlerFunc {
 		return func(w http.ResponseWriter, r *http.Request) {
 			var p Peer
--- a/internal/registry/routes_lead.go
+++ b/internal/registry/routes_lead.go
@@ -43,12 +43,12 @@
 	termMS     int64
 	o          rollout.Options
 	controller *rollout.Controller
-	book       *audit.Book
+	book       *audit.Tracker
 	limits     map[string]*rate.Limiter // of tenants' changes
 
 	pending   []audit.Transition
-	news      map[string]Seen // processes that have to be remembered, by name
-	heard     map[string]Seen // all that were heard since refreshed
+	news      map[string]SchemaSupport // processes that have to be remembered, by name
+	heard     map[string]SchemaSupport // all that were heard since refreshed
 	refreshed time.Time
 	flushed   time.Time
 	forgot    time.Time
@@ -170,11 +170,11 @@
 func (r *routing) begin(term uint64, o *Operators) *leadership {
 	at := time.Now()
 	l := &leadership{term: term, id: fmt.Sprintf("%s@%d.%d", r.name, term, r.begun.Add(1)), began: at, wallMS: epochBeganMS + r.wall().Sub(epochBegan).Milliseconds(),
-		o: o.options(), limits: map[string]*rate.Limiter{}, news: map[string]Seen{}, heard: map[string]Seen{},
+		o: o.options(), limits: map[string]*rate.Limiter{}, news: map[string]SchemaSupport{}, heard: map[string]SchemaSupport{},
 		refreshed: at, flushed: at, forgot: at, opens: at}
 	l.o.Leader, l.termMS = l.id, l.o.Term
 	l.controller = rollout.NewController(l.o, r.planted.began(l.floor(at)))
-	l.book = audit.NewBook(audit.BookOptions{Lists: leastLists}, l.id, l.floor(at))
+	l.book = audit.NewTracker(audit.TrackerOptions{Lists: leastLists}, l.id, l.floor(at))
 	return l
 }
 
@@ -188,7 +188,7 @@
 // present are the processes that a table must be read alike by: those that were heard within the time for which they are
 // remembered, by this leader or one before. Those that are shut out as they do not read the least schema count until
 // their last term is over. wait tells how long this leader may not know all of them yet.
-func (r *routing) present(l *leadership) (all []Seen, wait time.Duration) {
+func (r *routing) present(l *leadership) (all []SchemaSupport, wait time.Duration) {
 	now := time.Now()
 	known := lengthened(l.termMS, l.o.Margin)
 	if since := now.Sub(l.opens); since < known {
@@ -205,7 +205,7 @@
 		excused := func(schemas []int) bool { return slices.Max(append([]int{0}, schemas...)) < s.routes.MinSchema() }
 		for _, p := range heard {
 			if p.Start == named[p.Name] && !(p.Until <= at && excused(p.Schemas)) {
-				all = append(all, Seen{Process: p.Process, Schemas: p.Schemas, AtMS: l.wall(l.began) + p.Heard - l.floor(l.began)})
+				all = append(all, SchemaSupport{Process: p.Process, Schemas: p.Schemas, AtMS: l.wall(l.began) + p.Heard - l.floor(l.began)})
 			}
 		}
 		for _, name := range slices.Sorted(maps.Keys(s.seen)) {
@@ -229,7 +229,7 @@
 		case s.ShutOut:
 			kind = audit.ShutOut
 		}
-		out = append(out, l.book.Standing(l.ceil(now), l.wall(now), s.Process, kind, s.Rev, "")...)
+		out = append(out, l.book.AccessChanged(l.ceil(now), l.wall(now), s.Process, kind, s.Rev, "")...)
 	}
 	return out
 }
@@ -286,13 +286,13 @@
 // hear notes who reads which schemas. Who is new, or reads others, is remembered at once; all are again a few times
 // within the time for which they are, in one command, so that the disk's writes do not grow with them.
 func (l *leadership) hear(s *State, p *route.Report, wallMS int64) {
-	seen := Seen{Process: p.Process, Schemas: slices.Clone(p.Schemas), AtMS: wallMS}
+	seen := SchemaSupport{Process: p.Process, Schemas: slices.Clone(p.Schemas), AtMS: wallMS}
 	l.heard[p.Name] = seen
 	if old, ok := s.seen[p.Name]; !ok || old.Start < p.Start || old.Start == p.Start && !slices.Equal(old.Schemas, p.Schemas) {
 		l.news[p.Name] = seen
 	}
 	if len(l.heard) > mostSeen {
-		l.heard = map[string]Seen{}
+		l.heard = map[string]SchemaSupport{}
 	}
 }
 
@@ -314,7 +314,7 @@
 	}
 	if now.Sub(l.refreshed) >= l.remember()/4 {
 		maps.Copy(l.news, l.heard)
-		l.heard, l.refreshed = map[string]Seen{}, now
+		l.heard, l.refreshed = map[string]SchemaSupport{}, now
 	}
 	if now.Sub(l.flushed) < auditWait || len(l.pending) == 0 && len(l.news) == 0 {
 		l.mu.Unlock()
@@ -324,7 +324,7 @@
 	for _, name := range slices.Sorted(maps.Keys(l.news)) {
 		c.Seen = append(c.Seen, l.news[name])
 	}
-	l.pending, l.news, l.flushed = nil, map[string]Seen{}, now
+	l.pending, l.news, l.flushed = nil, map[string]SchemaSupport{}, now
 	l.mu.Unlock()
 	if err := r.apply(c); err != nil {
 		r.s.log.Warn("registry: routes: transitions are not replicated", "error", err)
--- /dev/null
+++ b/internal/registry/routes_metrics.go
@@ -0,0 +1,61 @@
+package registry
+
+// This file gives the metrics of routes and rollouts.
+
+import (
+	"time"
+
+	"github.com/prometheus/client_golang/prometheus"
+)
+
+// Describe says nothing: what is shown depends on the rollouts that there are.
+func (r *routing) Describe(chan<- *prometheus.Desc) {}
+
+// Collect gives the figures of routes; none where they are off.
+func (r *routing) Collect(out chan<- prometheus.Metric) {
+	if r.s.o.Load().Operators == nil {
+		return
+	}
+	gauge := func(name, help string, v float64, labels ...string) {
+		var names, values []string
+		for i := 0; i < len(labels); i += 2 {
+			names, values = append(names, labels[i]), append(values, labels[i+1])
+		}
+		out <- prometheus.MustNewConstMetric(prometheus.NewDesc(name, help, names, nil), prometheus.GaugeValue, v, values...)
+	}
+	r.s.hub.read(func(s *State) {
+		gauge("routes_revision", "Revision of the routes' last change.", float64(s.routes.Rev()))
+		gauge("routes_closed", "Newest revision of routes under which no attempt begins any more.", float64(s.routes.Closed()))
+		gauge("audit_transitions", "Transitions of processes that are kept.", float64(s.audit.Len()))
+		for i, one := range s.routes.Live() {
+			if i == mostShown {
+				break
+			}
+			granted, _, returned := s.routes.Held(one.Tenant, one.Name)
+			gauge("routes_units_left", "Units of a rollout's budget that nobody holds or has spent; of 100 rollouts at most.",
+				float64(one.Budget-(granted-returned)), "tenant", one.Tenant, "rollout", one.Name)
+		}
+	})
+	gauge("routes_watches", "Watches of the table of routes that are open.", float64(r.watches.Load()))
+	l := r.current()
+	if l == nil {
+		return
+	}
+	counts := map[string]float64{"permitted": 0, "unpermitted": 0, "shut out": 0, "gone": 0}
+	now := l.floor(time.Now())
+	for _, p := range r.heard(l) {
+		switch {
+		case p.Gone:
+			counts["gone"]++
+		case p.ShutOut:
+			counts["shut out"]++
+		case p.Until > now:
+			counts["permitted"]++
+		default:
+			counts["unpermitted"]++
+		}
+	}
+	for standing, n := range counts {
+		gauge("routes_processes", "Processes that this leader knows, by what they may do.", n, "standing", standing)
+	}
+}
--- /dev/null
+++ b/internal/registry/routes_tenants.go
@@ -0,0 +1,289 @@
+package registry
+
+// This file serves tenants' changes of their routes and rollouts.
+
+import (
+	"fmt"
+	"marblelane/internal/rollout"
+	"marblelane/internal/route"
+	"net/http"
+	"slices"
+	"strconv"
+	"time"
+
+	"golang.org/x/time/rate"
+)
+
+// Wish is a rollout as a tenant posts it.
+type Wish struct {
+	To      string   `json:"to" validate:"required,bytes=100"`
+	Classes []string `json:"classes" validate:"max=100,unique,dive,min=1,bytes=200"`
+	Steps   []Stride `json:"steps" validate:"min=1,max=20,dive"`
+	Budget  int64    `json:"budget" validate:"gte=1"`
+	Late    bool     `json:"late"`
+	AtEnd   string   `json:"at_end" validate:"oneof=keep return"`
+	Note    string   `json:"note" validate:"bytes=1000"`
+}
+
+// Stride is a step as it is posted.
+type Stride struct {
+	Share    float64 `json:"share" validate:"gt=0,lte=1"`
+	HoldMS   int64   `json:"hold_ms" validate:"gte=0,lte=2592000000"`
+	Requests int64   `json:"requests" validate:"gte=0,lte=1000000000000"`
+}
+
+func (r *routing) post(w http.ResponseWriter, req *http.Request) {
+	r.make(w, req, func(o *Operators, t *Tenant) (*rollout.Command, *refusal) {
+		var wish Wish
+		if f := r.body(w, req, mostBody, &wish); f != nil {
+			return nil, f
+		}
+		spec, f := t.spec(o, req.PathValue("name"), &wish)
+		return &rollout.Command{Op: rollout.OpPost, Tenant: inside(t.Name), Spec: spec}, f
+	})
+}
+
+// spec is a wish with what its names stand for, if it is within the tenant's bounds.
+func (t *Tenant) spec(o *Operators, name string, wish *Wish) (*rollout.Spec, *refusal) {
+	if name == "" || len(name) > rollout.MaxRollout {
+		return nil, refusef(http.StatusBadRequest, "name", "has %d bytes, not 1 to %d", len(name), rollout.MaxRollout)
+	}
+	s := &rollout.Spec{Tenant: inside(t.Name), Name: name, To: wish.To, Classes: wish.Classes, Budget: wish.Budget, Late: wish.Late,
+		AtEnd: wish.AtEnd, Note: wish.Note}
+	for i, st := range wish.Steps {
+		if st.Share > *t.MaxShare {
+			return nil, refusef(http.StatusForbidden, fmt.Sprintf("steps[%d].share", i), "%v is above max_share of tenant %q, %v", st.Share, t.Name, *t.MaxShare)
+		}
+		s.Steps = append(s.Steps, rollout.Step(st))
+	}
+	if wish.Budget > t.MaxBudget {
+		return nil, refusef(http.StatusForbidden, "budget", "%d is above max_budget of tenant %q, %d", wish.Budget, t.Name, t.MaxBudget)
+	}
+	var f *refusal
+	s.Canary, f = t.canary(o, wish.To)
+	return s, f
+}
+
+func (t *Tenant) canary(o *Operators, name string) (route.Subset, *refusal) {
+	sub, known := o.subset(name)
+	if !known || !slices.Contains(t.Subsets, name) {
+		return sub, refusef(http.StatusForbidden, "to", "%q is not among subsets of tenant %q, %v", clip(name), t.Name, t.Subsets)
+	}
+	return sub, nil
+}
+
+func (r *routing) base(w http.ResponseWriter, req *http.Request) {
+	r.make(w, req, func(o *Operators, t *Tenant) (*rollout.Command, *refusal) {
+		var wish struct {
+			To string `json:"to" validate:"bytes=100"` // empty: all servers
+		}
+		if f := r.body(w, req, mostBody, &wish); f != nil {
+			return nil, f
+		}
+		c := &rollout.Command{Op: rollout.OpBase, Tenant: inside(t.Name)}
+		var f *refusal
+		if wish.To != "" {
+			c.Base, f = t.canary(o, wish.To)
+		}
+		return c, f
+	})
+}
+
+// move pauses, resumes, rolls back or stops a rollout.
+func (r *routing) move(w http.ResponseWriter, req *http.Request, op rollout.Op) {
+	r.make(w, req, func(_ *Operators, t *Tenant) (*rollout.Command, *refusal) {
+		wish := struct {
+			Why string `json:"why" validate:"bytes=200"`
+		}{"by command"}
+		if f := r.maybe(w, req, mostBody, &wish); f != nil {
+			return nil, f
+		}
+		if op != rollout.OpStop && req.URL.Query().Has("if") {
+			return nil, refusef(http.StatusBadRequest, "if", "is for post, base and stop alone")
+		}
+		return &rollout.Command{Op: op, Tenant: inside(t.Name), Name: req.PathValue("name"), Why: wish.Why}, nil
+	})
+}
+
+// make makes a tenant's change, once it is within all bounds and is read alike by all processes that count.
+func (r *routing) make(w http.ResponseWriter, req *http.Request, build func(*Operators, *Tenant) (*rollout.Command, *refusal)) {
+	l, o := r.leader(w, req)
+	if l == nil {
+		return
+	}
+	rev, f := r.made(l, o, req, build)
+	if f != nil {
+		refuse(w, f)
+		return
+	}
+	r.s.note(w, 0, r.s.replica.Heard())
+	tell(w, struct {
+		Rev int64 `json:"rev"`
+	}{rev})
+}
+
+func (r *routing) made(l *leadership, o *Operators, req *http.Request, build func(*Operators, *Tenant) (*rollout.Command, *refusal)) (int64, *refusal) {
+	t, f := r.tenant(o, req)
+	if f != nil {
+		return 0, f
+	}
+	c, f := build(o, t)
+	if f != nil {
+		return 0, f
+	}
+	if text := req.URL.Query().Get("if"); text != "" {
+		rev, err := strconv.ParseInt(text, 10, 64)
+		if err != nil {
+			return 0, refusef(http.StatusBadRequest, "if", "%q is no revision", clip(text))
+		}
+		c.If = &rev
+	}
+	// One change is tried and made at a time, so that what is checked is what is made.
+	select {
+	case r.changing <- struct{}{}:
+		defer func() { <-r.changing }()
+	case <-time.After(applyWait):
+		return 0, &refusal{status: http.StatusServiceUnavailable, after: time.Second, Error: "other changes are under way"}
+	case <-req.Context().Done():
+		return 0, &refusal{status: http.StatusServiceUnavailable, Error: "the caller is gone"}
+	}
+	c.AtMS = l.wall(time.Now())
+	anew, f := r.try(l, c, t)
+	if f != nil {
+		return 0, f
+	}
+	if limited := c.Op == rollout.OpPost || c.Op == rollout.OpBase || c.Op == rollout.OpResume; anew && limited {
+		if wait := l.limit(t); wait > 0 {
+			return 0, &refusal{status: http.StatusTooManyRequests, after: wait, Field: "changes_per_minute",
+				Error: fmt.Sprintf("changes_per_minute: tenant %q has made its %v", t.Name, t.Changes)}
+		}
+	}
+	rev, err := r.change(l, c)
+	if err != nil {
+		return 0, refusalOf(err)
+	}
+	return rev, nil
+}
+
+// try makes a change on a copy of the state. It tells whether it changes anything, and what stands in its way.
+func (r *routing) try(l *leadership, c *rollout.Command, t *Tenant) (anew bool, f *refusal) {
+	var table route.Table
+	var err error
+	under := 0
+	r.s.hub.read(func(s *State) {
+		if _, live := s.routes.LiveOf(inside(t.Name)); live {
+			under = 1
+		}
+		table, anew, err = s.routes.Try(c)
+	})
+	switch {
+	case err != nil:
+		return false, refusalOf(err)
+	case !anew:
+		return false, nil
+	}
+	if c.Op == rollout.OpPost && under >= *t.Rollouts {
+		return true, refusef(http.StatusForbidden, "rollouts", "tenant %q has %d under way, and may have %d", t.Name, under, *t.Rollouts)
+	}
+	if c.Op != rollout.OpPost && c.Op != rollout.OpBase && c.Op != rollout.OpResume {
+		return true, nil // what takes a canary away is never refused
+	}
+	return true, r.compare(l, &table)
+}
+
+// compare tells whether all processes that count read a table alike.
+func (r *routing) compare(l *leadership, table *route.Table) *refusal {
+	alike := true
+	for schema := 1; schema < route.Newest; schema++ {
+		_, v, _ := route.Choose(r.planted.meant(table, []int{schema}), []int{schema})
+		alike = alike && v <= route.AlikeWritten
+	}
+	if alike { // whoever there is
+		return nil
+	}
+	all, wait := r.present(l)
+	if wait > 0 {
+		return &refusal{status: http.StatusServiceUnavailable, after: wait,
+			Error: "this copy has only just begun to lead and does not know yet which schemas the processes read"}
+	}
+	out := &refusal{status: http.StatusConflict}
+	for _, p := range all {
+		reads := known(p.Schemas)
+		if _, v, findings := route.Choose(r.planted.meant(table, reads), reads); v > route.AlikeWritten {
+			if len(out.Processes) == 0 {
+				out.Findings = findings
+				out.Error = fmt.Sprintf("the routes would be %s by processes that are present or were within %v", v, l.remember())
+				if len(findings) > 0 {
+					out.Field = findings[0].Field
+					out.Error = findings[0].Path + ": " + findings[0].Effect + "; " + out.Error
+				}
+			}
+			if len(out.Processes) < mostInWay {
+				out.Processes = append(out.Processes, p)
+			} else {
+				out.Others++
+			}
+		}
+	}
+	if len(out.Processes) == 0 {
+		return nil
+	}
+	return out
+}
+
+// limit takes one change from what a tenant may make, or says how long to wait.
+func (l *leadership) limit(t *Tenant) time.Duration {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	per, burst := rate.Limit(t.Changes/60), max(1, int(t.Changes))
+	lim := l.limits[t.Name]
+	if lim == nil {
+		lim = rate.NewLimiter(per, burst)
+		l.limits[t.Name] = lim
+	}
+	now := time.Now()
+	if lim.Limit() != per || lim.Burst() != burst {
+		lim.SetLimitAt(now, per)
+		lim.SetBurstAt(now, burst)
+	}
+	got := lim.ReserveN(now, 1)
+	wait := got.DelayFrom(now)
+	if wait > 0 {
+		got.CancelAt(now)
+	}
+	return wait
+}
+
+// schema shuts out the processes that do not read a schema, POST /routes/schema.
+func (r *routing) schema(w http.ResponseWriter, req *http.Request) {
+	l, o := r.leader(w, req)
+	if l == nil {
+		return
+	}
+	if !admits(o.Token, req) {
+		refuse(w, refusef(http.StatusUnauthorized, "Authorization", "this needs operator_token: Authorization: Bearer TOKEN"))
+		return
+	}
+	var wish struct {
+		Least int `json:"least"`
+	}
+	f := r.body(w, req, mostBody, &wish)
+	if f == nil && (wish.Least < 1 || wish.Least > route.Newest) {
+		f = refusef(http.StatusBadRequest, "least", "%d is not between 1 and %d", wish.Least, route.Newest)
+	}
+	if f != nil {
+		refuse(w, f)
+		return
+	}
+	rev, err := r.change(l, &rollout.Command{Op: rollout.OpSchema, AtMS: l.wall(time.Now()), Schema: wish.Least})
+	if err != nil {
+		refuse(w, refusalOf(err))
+		return
+	}
+	var least int
+	r.s.hub.read(func(s *State) { least = s.routes.MinSchema() })
+	tell(w, struct {
+		Rev   int64 `json:"rev"`
+		Least int   `json:"least"`
+	}{rev, least})
+}
--- a/internal/registry/routes_test.go
+++ b/internal/registry/routes_test.go
@@ -760,7 +760,7 @@
 	base := rollout.Command{Op: rollout.OpBase, Tenant: "a", Base: route.Subset{Model: []string{"m"}}}
 	for _, c := range []*Command{{Op: OpTerm, TermMS: 5}, {Op: OpRoutes, Routes: &base},
 		{Op: OpAudit, Audit: []audit.Transition{{Process: route.Process{Name: "p", Start: 1}, Kind: audit.Acts, Rev: 1}},
-			Seen: []Seen{{Process: route.Process{Name: "p", Start: 1}, Schemas: []int{1}}}}} {
+			Seen: []SchemaSupport{{Process: route.Process{Name: "p", Start: 1}, Schemas: []int{1}}}}} {
 		before := s.Rev()
 		_, err := s.Apply(c)
 		require.NoError(t, err)
--- /dev/null
+++ b/internal/registry/routes_views.go
@@ -0,0 +1,162 @@
+package registry
+
+// This file shows operators the routes, the rollouts and the processes.
+
+import (
+	"marblelane/internal/audit"
+	"marblelane/internal/rollout"
+	"marblelane/internal/route"
+	"math"
+	"net/http"
+	"strconv"
+	"time"
+)
+
+// RolloutView is a rollout as it is shown.
+type RolloutView struct {
+	Name     string        `json:"name"`
+	To       string        `json:"to"`
+	Phase    rollout.Phase `json:"phase"`
+	Step     int           `json:"step"`
+	Steps    int           `json:"steps"`
+	Share    float64       `json:"share"` // of the tenant's requests, at this moment
+	Rev      int64         `json:"rev"`
+	SinceMS  int64         `json:"since_ms"`
+	Why      string        `json:"why,omitempty"`
+	Budget   int64         `json:"budget"`
+	Granted  int64         `json:"granted"` // to processes, in all
+	Spent    int64         `json:"spent"`
+	Returned int64         `json:"returned"`
+	Left     int64         `json:"left"`     // that nobody holds or has spent
+	Evidence float64       `json:"evidence"` // against the canary; it is rolled back at 1/alpha
+	Note     string        `json:"note,omitempty"`
+}
+
+// TenantView is a tenant's routes as they are shown.
+type TenantView struct {
+	Tenant   string        `json:"tenant"`
+	Rev      int64         `json:"rev"` // of its last change, for ?if=
+	Table    int64         `json:"table_rev"`
+	Closed   int64         `json:"closed"`
+	Base     route.Subset  `json:"base"`
+	Rollouts []RolloutView `json:"rollouts"`
+}
+
+// show answers GET /routes/{tenant}.
+func (r *routing) show(w http.ResponseWriter, req *http.Request) {
+	l, o := r.leader(w, req)
+	if l == nil {
+		return
+	}
+	t, f := r.tenant(o, req)
+	if f != nil {
+		refuse(w, f)
+		return
+	}
+	if err := r.s.replica.Confirm(); err != nil {
+		refuse(w, refusalOf(err))
+		return
+	}
+	tell(w, r.view(l, t.Name))
+}
+
+func (r *routing) view(l *leadership, tenant string) TenantView {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	v := TenantView{Tenant: tenant, Rollouts: []RolloutView{}}
+	tenant = inside(tenant)
+	r.s.hub.read(func(s *State) {
+		table := s.routes.Table()
+		v.Rev, v.Table, v.Closed = s.routes.TenantRev(tenant), table.Rev, table.Closed
+		share := map[string]float64{}
+		for _, one := range table.Routes {
+			if one.Tenant == tenant {
+				v.Base, share[rollout.NameOf(one.Rollout)] = one.Base, one.Share
+			}
+		}
+		for _, one := range s.routes.RolloutsOf(tenant) {
+			g, spent, back := s.routes.Held(tenant, one.Spec.Name)
+			v.Rollouts = append(v.Rollouts, RolloutView{Name: one.Spec.Name, To: one.Spec.To, Phase: one.Phase, Step: one.Step,
+				Steps: len(one.Spec.Steps), Share: share[one.Spec.Name], Rev: one.Rev, SinceMS: one.SinceMS, Why: one.Why,
+				Budget: one.Spec.Budget, Granted: g, Spent: spent, Returned: back, Left: one.Spec.Budget - (g - back),
+				Evidence: min(l.controller.Evidence(tenant, one.Spec.Name), math.MaxFloat64), Note: one.Spec.Note})
+		}
+	})
+	return v
+}
+
+// processes answers GET /routes/processes.
+func (r *routing) processes(w http.ResponseWriter, req *http.Request) {
+	l, _ := r.leader(w, req)
+	if l == nil {
+		return
+	}
+	tell(w, struct {
+		Leader    string                  `json:"leader"`
+		Processes []rollout.ProcessStatus `json:"processes"`
+	}{l.id, r.heard(l)})
+}
+
+// heard is what the controller knows of processes.
+func (r *routing) heard(l *leadership) []rollout.ProcessStatus {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	return l.controller.Processes(l.floor(time.Now()))
+}
+
+// who answers GET /routes/audit: who acted on a revision within a time.
+func (r *routing) who(w http.ResponseWriter, req *http.Request) {
+	l, _ := r.leader(w, req)
+	if l == nil {
+		return
+	}
+	var n [3]int64
+	for i, name := range []string{"rev", "from", "to"} {
+		text := req.URL.Query().Get(name)
+		v, err := strconv.ParseInt(text, 10, 64)
+		if err != nil || v < 0 || v > 1<<53 {
+			refuse(w, refusef(http.StatusBadRequest, name, "%q is no whole number from 0 to 2^53; from and to are Unix milliseconds", clip(text)))
+			return
+		}
+		n[i] = v
+	}
+	if n[1] > n[2] {
+		refuse(w, refusef(http.StatusBadRequest, "from", "%d is after to, %d", n[1], n[2]))
+		return
+	}
+	if err := r.s.replica.Confirm(); err != nil {
+		refuse(w, refusalOf(err))
+		return
+	}
+	out, f := r.asked(l, n[0], n[1], n[2])
+	if f != nil {
+		refuse(w, f)
+		return
+	}
+	tell(w, out)
+}
+
+func (r *routing) asked(l *leadership, rev, from, to int64) (out audit.Summary, f *refusal) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	ms := func(wall int64) int64 { return wall - l.wallMS + l.floor(l.began) }
+	now := time.Now()
+	committed, closed := r.tables.when(rev)
+	q := audit.Query{Rev: rev, From: ms(from), To: ms(to), Committed: math.MinInt64, ClosedKnown: !closed.IsZero(), Now: l.ceil(now),
+		Slack: clockSlack, Ahead: l.ceil(r.opened)}
+	if !committed.IsZero() {
+		q.Committed = l.floor(committed)
+	}
+	if q.ClosedKnown {
+		q.Closed = l.ceil(closed)
+	}
+	r.s.hub.read(func(s *State) {
+		if newest := s.routes.Rev(); rev > newest {
+			f = refusef(http.StatusNotFound, "rev", "%d is not committed; the newest is %d", rev, newest)
+			return
+		}
+		out = l.book.Who(q, s.audit)
+	})
+	out.Answers = r.planted.answers(out.Answers)
+	return out, f
+}
--- a/internal/registry/server.go
+++ b/internal/registry/server.go
@@ -5,7 +5,6 @@
 	"encoding/json"
 	"errors"
 	"fmt"
-	"io"
 	"log/slog"
 	"net/http"
 	"strconv"
@@ -13,7 +12,6 @@
 	"sync/atomic"
 	"time"
 
-	"github.com/prometheus/client_golang/prometheus"
 	"github.com/prometheus/client_golang/prometheus/promhttp"
 )
 
@@ -168,7 +166,7 @@
 	m.HandleFunc("GET /registry/status", s.status)
 	m.HandleFunc("GET /registry/snapshot", s.snapshot)
 	m.HandleFunc("GET "+leaderRevPath, s.leaderRev)
-	if c, ok := s.replica.(copies); ok {
+	if c, ok := s.replica.(replicaSet); ok {
 		s.handleCopies(m, c)
 	}
 	if s.members != nil {
@@ -203,12 +201,6 @@
 	}
 }
 
-// turnAway tells how long a reader has to wait; 0: it is admitted.
-func (s *Server) turnAway() time.Duration {
-	o := s.o.Load()
-	return s.admit.take(time.Now(), o.Watches, float64(o.Burst))
-}
-
 func (s *Server) list(w http.ResponseWriter, r *http.Request) {
 	if age, stale := s.stale(); stale {
 		w.Header().Set("Retry-After", "1")
@@ -246,71 +238,6 @@
 	s.watch(w, r, after, heard)
 }
 
-// watch tells one watcher all changes until either side ends it.
-func (s *Server) watch(w http.ResponseWriter, r *http.Request, after int64, heard time.Duration) {
-	first, at, err := s.hub.join(after)
-	if err != nil {
-		http.Error(w, err.Error(), http.StatusInternalServerError)
-		return
-	}
-	s.watches.Add(1)
-	defer s.watches.Add(-1)
-	s.note(w, at.rev, heard)
-	w.Header().Set("Content-Type", "application/json")
-	say := s.sayer(w)
-	if len(first) == 0 {
-		first = []byte("\n")
-	}
-	if !say(first) {
-		return
-	}
-	tick := time.NewTicker(beat)
-	defer tick.Stop()
-	for {
-		select {
-		case <-r.Context().Done():
-			return
-		case <-tick.C:
-			if _, stale := s.stale(); stale || !say([]byte("\n")) {
-				return // a watch on a copy that is cut off would look alive and tell nothing
-			}
-			continue
-		case <-at.ready:
-		}
-		before := at.rev
-		at = at.next
-		if s.hub.lines.Load()-at.n > mostBehind {
-			s.figures.slow.Inc()
-			return
-		}
-		text := at.text
-		if s.o.Load().EachEncodes {
-			if text, err = s.hub.encodeSince(before, at.rev); err != nil {
-				return
-			}
-		}
-		if !say(text) {
-			s.figures.slow.Inc()
-			return
-		}
-	}
-}
-
-// sayer writes lines to a watcher, and tells whether it took one in time.
-func (s *Server) sayer(w http.ResponseWriter) func(text []byte) bool {
-	control := http.NewResponseController(w)
-	return func(text []byte) bool {
-		if err := control.SetWriteDeadline(time.Now().Add(writeWait)); err != nil {
-			return false
-		}
-		if _, err := w.Write(text); err != nil {
-			return false
-		}
-		s.figures.bytes.Add(float64(len(text)))
-		return control.Flush() == nil
-	}
-}
-
 // get reads one entry as of now: only the leader answers, after a majority has said that it leads.
 func (s *Server) get(w http.ResponseWriter, r *http.Request) {
 	if !s.leading(w, r) {
@@ -336,116 +263,6 @@
 	}{e, changed})
 }
 
-// registration is the body of a write: an entry in the platform's form, with its lease.
-type registration struct {
-	Entry
-	LeaseMS int64 `json:"lease_ms"`
-}
-
-func (s *Server) put(w http.ResponseWriter, r *http.Request) {
-	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxWrite))
-	if err != nil {
-		http.Error(w, "the body cannot be read: "+err.Error(), http.StatusBadRequest)
-		return
-	}
-	reg := registration{Entry: Entry{UID: r.PathValue("uid"), State: Ready, Capacity: 1}}
-	if err := json.Unmarshal(body, &reg); err != nil {
-		http.Error(w, "the body is no entry: "+err.Error(), http.StatusBadRequest)
-		return
-	}
-	switch {
-	case reg.UID != r.PathValue("uid"):
-		http.Error(w, fmt.Sprintf("the entry is of %q, the path of %q", reg.UID, r.PathValue("uid")), http.StatusBadRequest)
-		return
-	case reg.LeaseMS < 0 || reg.LeaseMS > 24*3600*1000:
-		http.Error(w, "lease_ms is not between 0 and a day", http.StatusBadRequest)
-		return
-	}
-	if err := reg.Check(); err != nil {
-		http.Error(w, err.Error(), http.StatusBadRequest)
-		return
-	}
-	c := &Command{Op: OpPut, Entry: &reg.Entry, LeaseMS: reg.LeaseMS}
-	s.apply(w, r, c)
-}
-
-func (s *Server) change(w http.ResponseWriter, r *http.Request, op Op) {
-	s.apply(w, r, &Command{Op: op, UID: r.PathValue("uid")})
-}
-
-// renew gives a lease its whole term again. It changes nothing that is told.
-func (s *Server) renew(w http.ResponseWriter, r *http.Request) {
-	if !s.leading(w, r) {
-		return
-	}
-	uid := r.PathValue("uid")
-	var term time.Duration
-	var entry Entry
-	known := false
-	s.hub.read(func(st *State) { entry, _, term, known = st.Get(uid) })
-	if !known {
-		http.Error(w, ErrUnknown.Error()+": register again", http.StatusNotFound)
-		return
-	}
-	s.leases.renew(uid, term, time.Now())
-	w.Header().Set("Content-Type", "application/json")
-	fmt.Fprintf(w, "{\"state\":%q,\"lease_ms\":%d}\n", entry.State, term.Milliseconds())
-}
-
-// leading tells whether this copy leads; else it sends the caller on or away.
-func (s *Server) leading(w http.ResponseWriter, r *http.Request) bool {
-	me, address := s.replica.Leader()
-	if me {
-		return true
-	}
-	s.note(w, 0, s.replica.Heard())
-	if address == "" {
-		w.Header().Set("Retry-After", "1")
-		http.Error(w, ErrNoQuorum.Error(), http.StatusServiceUnavailable)
-		return false
-	}
-	http.Redirect(w, r, "http://"+address+r.URL.RequestURI(), http.StatusTemporaryRedirect)
-	return false
-}
-
-// apply carries out a write and answers with the revision after which readers see it.
-func (s *Server) apply(w http.ResponseWriter, r *http.Request, c *Command) {
-	if text := r.URL.Query().Get("if"); text != "" {
-		rev, err := strconv.ParseInt(text, 10, 64)
-		if err != nil {
-			http.Error(w, "if is no revision: "+strconv.Quote(text), http.StatusBadRequest)
-			return
-		}
-		c.If = &rev
-	}
-	if !s.leading(w, r) {
-		return
-	}
-	rev, err := s.replica.Apply(c, applyWait)
-	if err != nil {
-		status := http.StatusInternalServerError
-		switch {
-		case errors.Is(err, ErrConflict), errors.Is(err, ErrDrained):
-			status = http.StatusConflict
-		case errors.Is(err, ErrUnknown):
-			status = http.StatusNotFound
-		case errors.Is(err, ErrInvalid):
-			status = http.StatusBadRequest
-		case errors.Is(err, ErrNotLeader), errors.Is(err, ErrNoQuorum):
-			status = http.StatusServiceUnavailable
-			w.Header().Set("Retry-After", "1")
-		}
-		http.Error(w, err.Error(), status)
-		return
-	}
-	if c.Op == OpPut && c.LeaseMS > 0 {
-		s.leases.renew(c.Entry.UID, time.Duration(c.LeaseMS)*time.Millisecond, time.Now())
-	}
-	s.note(w, rev, s.replica.Heard())
-	w.Header().Set("Content-Type", "application/json")
-	fmt.Fprintf(w, "{\"rev\":%d}\n", rev)
-}
-
 // snapshot gives the whole state as this copy has it, for a backup.
 func (s *Server) snapshot(w http.ResponseWriter, _ *http.Request) {
 	var out *saved
@@ -461,167 +278,8 @@
 	_ = json.NewEncoder(w).Encode(out) // a caller that is gone needs nothing
 }
 
-// Status is what a copy says of itself.
-type Status struct {
-	Leads   bool              `json:"leads"`
-	Leader  string            `json:"leader"`
-	Rev     int64             `json:"rev"`
-	Epoch   int64             `json:"epoch"`
-	Entries int               `json:"entries"`
-	Leased  int               `json:"leased"`
-	Held    int               `json:"held"` // expired together with too many others, and kept
-	Watches int64             `json:"watches"`
-	HeardMS int64             `json:"heard_ms"`
-	DiskMS  float64           `json:"disk_ms"` // that the last write to its disk took
-	Members map[string]string `json:"members"`
-
-	// Of its whole answer alone.
-	Name    string       `json:"name,omitempty"`
-	Applied uint64       `json:"applied"` // index of the last log entry that it has applied
-	Copies  []CopyStatus `json:"copies,omitempty"`
-}
-
-// Status reads it.
-func (s *Server) Status() Status {
-	var out Status
-	out.Leads, out.Leader = s.replica.Leader()
-	s.hub.read(func(st *State) {
-		out.Rev, out.Epoch, out.Entries, out.Members = st.Rev(), EpochOf(st.Rev()), st.Len(), st.Members()
-		st.Leased(func(string, int64, time.Duration) { out.Leased++ })
-	})
-	out.Held, out.Watches, out.HeardMS = s.leases.heldCount(), s.watches.Load(), s.replica.Heard().Milliseconds()
-	out.DiskMS = float64(s.replica.DiskTook()) / float64(time.Millisecond)
-	return out
-}
-
-func (s *Server) status(w http.ResponseWriter, _ *http.Request) {
-	w.Header().Set("Content-Type", "application/json")
-	e := json.NewEncoder(w)
-	e.SetIndent("", " ")
-	out := s.Status()
-	if c, ok := s.replica.(copies); ok {
-		out.Name, out.Applied, out.Copies = c.Name(), c.Applied(), c.Copies()
-	}
-	_ = e.Encode(out) // a caller that is gone needs nothing
-}
-
-func (s *Server) health(w http.ResponseWriter, _ *http.Request) {
-	if age, stale := s.stale(); stale {
-		http.Error(w, fmt.Sprintf("what this copy has may be %v old", age.Round(time.Millisecond)), http.StatusServiceUnavailable)
-		return
-	}
-	if me, leader := s.replica.Leader(); !me && leader == "" {
-		http.Error(w, "no leader is known; reads are answered, writes are not", http.StatusServiceUnavailable)
-		return
-	}
-	if n := s.leases.heldCount(); n > 0 {
-		fmt.Fprintf(w, "ok, but %d entries whose leases ended together are kept\n", n)
-		return
-	}
-	fmt.Fprintln(w, "ok")
-}
-
 // expireEvery is how often leases are looked at.
 const expireEvery = 200 * time.Millisecond
 
-// expireLoop expires leases while this copy leads. When it begins to lead, each has a full term again.
-func (s *Server) expireLoop(ctx context.Context) {
-	t := time.NewTicker(expireEvery)
-	defer t.Stop()
-	for {
-		select {
-		case <-ctx.Done():
-			return
-		case <-t.C:
-		}
-		me, _ := s.replica.Leader()
-		if !me {
-			s.leases.forget()
-			continue
-		}
-		now := time.Now() // carries the monotonic clock, which no step moves
-		var leased []lease
-		s.hub.read(func(st *State) {
-			st.Leased(func(uid string, changed int64, term time.Duration) {
-				leased = append(leased, lease{uid, changed, term})
-			})
-		})
-		expired, held := s.leases.due(leased, s.o.Load().HoldShare, now)
-		if held > 0 {
-			s.log.Warn("registry: too many leases ended together; their entries stay listed", "entries", held, "of", len(leased))
-		}
-		if len(expired) == 0 {
-			continue
-		}
-		s.log.Info("registry: leases ended", "entries", len(expired))
-		if _, err := s.replica.Apply(&Command{Op: OpExpire, Expired: expired}, applyWait); err != nil {
-			s.log.Warn("registry: ended leases are not told", "error", err)
-		}
-	}
-}
-
-// figures are what /stats shows.
-type figures struct {
-	registry            *prometheus.Registry
-	turned, slow, bytes prometheus.Counter
-}
-
-func newFigures(s *Server) *figures {
-	f := &figures{
-		registry: prometheus.NewRegistry(),
-		turned:   prometheus.NewCounter(prometheus.CounterOpts{Name: "registry_readers_turned_away_total", Help: "Readers told to come later."}),
-		slow:     prometheus.NewCounter(prometheus.CounterOpts{Name: "registry_watchers_ended_total", Help: "Watchers ended for being slow."}),
-		bytes:    prometheus.NewCounter(prometheus.CounterOpts{Name: "registry_watch_bytes_total", Help: "Bytes of lines written to watchers."}),
-	}
-	gauge := func(name, help string, of func(Status) float64) prometheus.Collector {
-		return prometheus.NewGaugeFunc(prometheus.GaugeOpts{Name: name, Help: help}, func() float64 { return of(s.Status()) })
-	}
-	f.registry.MustRegister(f.turned, f.slow, f.bytes, s.routes,
-		gauge("registry_revision", "Revision of the last change.", func(x Status) float64 { return float64(x.Rev) }),
-		gauge("registry_entries", "Entries in the list.", func(x Status) float64 { return float64(x.Entries) }),
-		gauge("registry_entries_held", "Entries kept although their leases have ended.", func(x Status) float64 { return float64(x.Held) }),
-		gauge("registry_watches", "Watches that are open.", func(x Status) float64 { return float64(x.Watches) }),
-		gauge("registry_heard_seconds", "How old at most what this copy tells is.", func(x Status) float64 { return float64(x.HeardMS) / 1000 }),
-		gauge("registry_disk_seconds", "Time that the last write to this copy's disk took.", func(x Status) float64 { return x.DiskMS / 1000 }),
-		prometheus.NewCounterFunc(prometheus.CounterOpts{Name: "registry_disk_writes_total", Help: "Writes to this copy's disk since its start."},
-			func() float64 { return float64(s.replica.DiskWrites()) }),
-		gauge("registry_leads", "1 at the copy that leads.", func(x Status) float64 {
-			if x.Leads {
-				return 1
-			}
-			return 0
-		}))
-	return f
-}
-
-// bucket admits at a rate, with a burst.
-type bucket struct {
-	mu       sync.Mutex
-	level    float64
-	last     time.Time
-	promised time.Time // to whom was turned away last
-}
-
-// take takes a place, or says how long to wait. Whoever is turned away takes nothing, and is told a later time than the
-// one before: they come back one by one, as places become free. (Where each refusal took a place too, 1,000 readers
-// who came at once kept each other out: 24,000 refusals and 236 watches after a minute.)
-func (b *bucket) take(now time.Time, rate, most float64) time.Duration {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	if !b.last.IsZero() {
-		b.level = min(b.level+rate*now.Sub(b.last).Seconds(), most)
-	}
-	b.last = now
-	if b.level >= 1 {
-		b.level--
-		return 0
-	}
-	if b.promised.Before(now) || b.promised.Sub(now) > mostWait {
-		b.promised = now
-	}
-	b.promised = b.promised.Add(time.Duration(float64(time.Second) / rate))
-	return b.promised.Sub(now)
-}
-
 // mostWait is the longest time that a reader is told to wait.
 const mostWait = 10 * time.Second
--- /dev/null
+++ b/internal/registry/server_watch.go
@@ -0,0 +1,73 @@
+package registry
+
+// This file serves watches of the list.
+
+import (
+	"net/http"
+	"time"
+)
+
+// watch tells one watcher all changes until either side ends it.
+func (s *Server) watch(w http.ResponseWriter, r *http.Request, after int64, heard time.Duration) {
+	first, at, err := s.hub.join(after)
+	if err != nil {
+		http.Error(w, err.Error(), http.StatusInternalServerError)
+		return
+	}
+	s.watches.Add(1)
+	defer s.watches.Add(-1)
+	s.note(w, at.rev, heard)
+	w.Header().Set("Content-Type", "application/json")
+	say := s.sayer(w)
+	if len(first) == 0 {
+		first = []byte("\n")
+	}
+	if !say(first) {
+		return
+	}
+	tick := time.NewTicker(beat)
+	defer tick.Stop()
+	for {
+		select {
+		case <-r.Context().Done():
+			return
+		case <-tick.C:
+			if _, stale := s.stale(); stale || !say([]byte("\n")) {
+				return // a watch on a copy that is cut off would look alive and tell nothing
+			}
+			continue
+		case <-at.ready:
+		}
+		before := at.rev
+		at = at.next
+		if s.hub.lines.Load()-at.n > mostBehind {
+			s.figures.slow.Inc()
+			return
+		}
+		text := at.text
+		if s.o.Load().EachEncodes {
+			if text, err = s.hub.encodeSince(before, at.rev); err != nil {
+				return
+			}
+		}
+		if !say(text) {
+			s.figures.slow.Inc()
+			return
+		}
+	}
+}
+
+// sayer writes lines to a watcher, and tells whether it took one in time.
+func (s *Server) sayer(w http.ResponseWriter) func(text []byte) bool {
+	control := http.NewResponseController(w)
+	return func(text []byte) bool {
+		if err := control.SetWriteDeadline(time.Now().Add(writeWait)); err != nil {
+			return false
+		}
+		if _, err := w.Write(text); err != nil {
+			return false
+		}
+		s.figures.bytes.Add(float64(len(text)))
+		return control.Flush() == nil
+	}
+}
--- /dev/null
+++ b/internal/registry/server_writes.go
@@ -0,0 +1,160 @@
+package registry
+
+// This file serves writes of entries and renewals of leases.
+
+import (
+	"context"
+	"encoding/json"
+	"errors"
+	"fmt"
+	"io"
+	"net/http"
+	"strconv"
+	"time"
+)
+
+// registration is the body of a write: an entry in the platform's form, with its lease.
+type registration struct {
+	Entry
+	LeaseMS int64 `json:"lease_ms"`
+}
+
+func (s *Server) put(w http.ResponseWriter, r *http.Request) {
+	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxWrite))
+	if err != nil {
+		http.Error(w, "the body cannot be read: "+err.Error(), http.StatusBadRequest)
+		return
+	}
+	reg := registration{Entry: Entry{UID: r.PathValue("uid"), State: Ready, Capacity: 1}}
+	if err := json.Unmarshal(body, &reg); err != nil {
+		http.Error(w, "the body is no entry: "+err.Error(), http.StatusBadRequest)
+		return
+	}
+	switch {
+	case reg.UID != r.PathValue("uid"):
+		http.Error(w, fmt.Sprintf("the entry is of %q, the path of %q", reg.UID, r.PathValue("uid")), http.StatusBadRequest)
+		return
+	case reg.LeaseMS < 0 || reg.LeaseMS > 24*3600*1000:
+		http.Error(w, "lease_ms is not between 0 and a day", http.StatusBadRequest)
+		return
+	}
+	if err := reg.Check(); err != nil {
+		http.Error(w, err.Error(), http.StatusBadRequest)
+		return
+	}
+	c := &Command{Op: OpPut, Entry: &reg.Entry, LeaseMS: reg.LeaseMS}
+	s.apply(w, r, c)
+}
+
+func (s *Server) change(w http.ResponseWriter, r *http.Request, op Op) {
+	s.apply(w, r, &Command{Op: op, UID: r.PathValue("uid")})
+}
+
+// renew gives a lease its whole term again. It changes nothing that is told.
+func (s *Server) renew(w http.ResponseWriter, r *http.Request) {
+	if !s.leading(w, r) {
+		return
+	}
+	uid := r.PathValue("uid")
+	var term time.Duration
+	var entry Entry
+	known := false
+	s.hub.read(func(st *State) { entry, _, term, known = st.Get(uid) })
+	if !known {
+		http.Error(w, ErrUnknown.Error()+": register again", http.StatusNotFound)
+		return
+	}
+	s.leases.renew(uid, term, time.Now())
+	w.Header().Set("Content-Type", "application/json")
+	fmt.Fprintf(w, "{\"state\":%q,\"lease_ms\":%d}\n", entry.State, term.Milliseconds())
+}
+
+// leading tells whether this copy leads; else it sends the caller on or away.
+func (s *Server) leading(w http.ResponseWriter, r *http.Request) bool {
+	me, address := s.replica.Leader()
+	if me {
+		return true
+	}
+	s.note(w, 0, s.replica.Heard())
+	if address == "" {
+		w.Header().Set("Retry-After", "1")
+		http.Error(w, ErrNoQuorum.Error(), http.StatusServiceUnavailable)
+		return false
+	}
+	http.Redirect(w, r, "http://"+address+r.URL.RequestURI(), http.StatusTemporaryRedirect)
+	return false
+}
+
+// apply carries out a write and answers with the revision after which readers see it.
+func (s *Server) apply(w http.ResponseWriter, r *http.Request, c *Command) {
+	if text := r.URL.Query().Get("if"); text != "" {
+		rev, err := strconv.ParseInt(text, 10, 64)
+		if err != nil {
+			http.Error(w, "if is no revision: "+strconv.Quote(text), http.StatusBadRequest)
+			return
+		}
+		c.If = &rev
+	}
+	if !s.leading(w, r) {
+		return
+	}
+	rev, err := s.replica.Apply(c, applyWait)
+	if err != nil {
+		status := http.StatusInternalServerError
+		switch {
+		case errors.Is(err, ErrConflict), errors.Is(err, ErrDrained):
+			status = http.StatusConflict
+		case errors.Is(err, ErrUnknown):
+			status = http.StatusNotFound
+		case errors.Is(err, ErrInvalid):
+			status = http.StatusBadRequest
+		case errors.Is(err, ErrNotLeader), errors.Is(err, ErrNoQuorum):
+			status = http.StatusServiceUnavailable
+			w.Header().Set("Retry-After", "1")
+		}
+		http.Error(w, err.Error(), status)
+		return
+	}
+	if c.Op == OpPut && c.LeaseMS > 0 {
+		s.leases.renew(c.Entry.UID, time.Duration(c.LeaseMS)*time.Millisecond, time.Now())
+	}
+	s.note(w, rev, s.replica.Heard())
+	w.Header().Set("Content-Type", "application/json")
+	fmt.Fprintf(w, "{\"rev\":%d}\n", rev)
+}
+
+// expireLoop expires leases while this copy leads. When it begins to lead, each has a full term again.
+func (s *Server) expireLoop(ctx context.Context) {
+	t := time.NewTicker(expireEvery)
+	defer t.Stop()
+	for {
+		select {
+		case <-ctx.Done():
+			return
+		case <-t.C:
+		}
+		me, _ := s.replica.Leader()
+		if !me {
+			s.leases.forget()
+			continue
+		}
+		now := time.Now() // carries the monotonic clock, which no step moves
+		var leased []lease
+		s.hub.read(func(st *State) {
+			st.Leased(func(uid string, changed int64, term time.Duration) {
+				leased = append(leased, lease{uid, changed, term})
+			})
+		})
+		expired, held := s.leases.due(leased, s.o.Load().HoldShare, now)
+		if held > 0 {
+			s.log.Warn("registry: too many leases ended together; their entries stay listed", "entries", held, "of", len(leased))
+		}
+		if len(expired) == 0 {
+			continue
+		}
+		s.log.Info("registry: leases ended", "entries", len(expired))
+		if _, err := s.replica.Apply(&Command{Op: OpExpire, Expired: expired}, applyWait); err != nil {
+			s.log.Warn("registry: ended leases are not told", "error", err)
+		}
+	}
+}
--- a/internal/registry/state.go
+++ b/internal/registry/state.go
@@ -112,7 +112,7 @@
 
 	Routes *rollout.Command   `json:"routes,omitempty"`
 	Audit  []audit.Transition `json:"audit,omitempty"`
-	Seen   []Seen             `json:"seen,omitempty"`
+	Seen   []SchemaSupport    `json:"seen,omitempty"`
 	TermMS int64              `json:"term_ms,omitempty"`
 	Term   uint64             `json:"term,omitempty"` // counts only if it is committed in this one of raft's; 0: in any
 }
@@ -150,14 +150,14 @@
 	// What follows moves no revision of the list.
 	routes *rollout.State
 	audit  *audit.Log
-	seen   map[string]Seen // by the process's name: what schemas it reads
-	termMS int64           // the longest term of permission that may be out
+	seen   map[string]SchemaSupport // by the process's name: what schemas it reads
+	termMS int64                    // the longest term of permission that may be out
 }
 
 // NewState makes an empty list that keeps at least so many changes.
 func NewState(keep int) *State {
 	return &State{items: map[string]*item{}, members: map[string]string{}, keep: keep,
-		routes: rollout.NewState(), audit: &audit.Log{}, seen: map[string]Seen{}}
+		routes: rollout.NewState(), audit: &audit.Log{}, seen: map[string]SchemaSupport{}}
 }
 
 // Rev is the revision of the last change.
@@ -368,7 +368,7 @@
 	// Since form 2.
 	Routes json.RawMessage `json:"routes,omitempty"`
 	Audit  json.RawMessage `json:"audit,omitempty"`
-	Seen   []Seen          `json:"seen,omitempty"`
+	Seen   []SchemaSupport `json:"seen,omitempty"`
 	TermMS int64           `json:"term_ms,omitempty"`
 }
 
@@ -416,7 +416,7 @@
 	} else if err := errors.Join(json.Unmarshal(from.Routes, routes), json.Unmarshal(from.Audit, log)); err != nil {
 		return fmt.Errorf("registry: the routes of a snapshot: %w", err)
 	}
-	s.routes, s.audit, s.termMS, s.seen = routes, log, from.TermMS, map[string]Seen{}
+	s.routes, s.audit, s.termMS, s.seen = routes, log, from.TermMS, map[string]SchemaSupport{}
 	for _, p := range from.Seen {
 		s.seen[p.Name] = p
 	}
@@ -429,8 +429,8 @@
 	return nil
 }
 
-// Seen says that a process was heard, and which schemas of routes it reads.
-type Seen struct {
+// SchemaSupport says that a process was heard, and which schemas of routes it reads.
+type SchemaSupport struct {
 	route.Process
 	Schemas []int `json:"schemas"`
 	AtMS    int64 `json:"at_ms"` // the leader's wall clock
@@ -439,14 +439,14 @@
 // mostSeen is how many processes are remembered; the one that was heard first makes room.
 const mostSeen = 10_000
 
-func (s *State) see(all []Seen) {
+func (s *State) see(all []SchemaSupport) {
 	for _, p := range all {
 		s.seen[p.Name] = p
 	}
 	if len(s.seen) <= mostSeen {
 		return
 	}
-	oldest := slices.SortedFunc(maps.Values(s.seen), func(a, b Seen) int {
+	oldest := slices.SortedFunc(maps.Values(s.seen), func(a, b SchemaSupport) int {
 		return cmp.Or(cmp.Compare(a.AtMS, b.AtMS), cmp.Compare(a.Name, b.Name))
 	})
 	for _, p := range oldest[:len(oldest)-mostSeen] {
--- a/internal/registry/store.go
+++ b/internal/registry/store.go
@@ -80,7 +80,7 @@
 	}
 	about := tx.Bucket(aboutBucket)
 	if string(about.Get(txKey)) != string(summed(txKey, uint64(tx.ID()-1))) {
-		var t tally
+		var t contentSum
 		if err := tx.Bucket(logBucket).ForEach(func(k, v []byte) error { t.add(k, v); return nil }); err != nil {
 			return err
 		}
--- a/internal/registry/store_check.go
+++ b/internal/registry/store_check.go
@@ -73,7 +73,7 @@
 	Faults          []error
 
 	values map[string][]byte
-	tally  tally
+	tally  contentSum
 }
 
 // FoundSnapshot is one snapshot.
@@ -351,28 +351,28 @@
 	tallyKey    = []byte("log")
 )
 
-// tally is how many entries the log has, and the sum of their checksums: an old page in a new one's place, which a disk
+// contentSum is how many entries the log has, and the sum of their checksums: an old page in a new one's place, which a disk
 // leaves that says it has synced and has not, is sound in itself and shows here alone.
-type tally struct{ count, sum uint64 }
+type contentSum struct{ count, sum uint64 }
 
-func (t *tally) add(k, v []byte) {
+func (t *contentSum) add(k, v []byte) {
 	t.count++
 	t.sum += uint64(binary.BigEndian.Uint32(valueSum(k, v)))
 }
 
-func (t *tally) remove(k, v []byte) {
+func (t *contentSum) remove(k, v []byte) {
 	t.count--
 	t.sum -= uint64(binary.BigEndian.Uint32(valueSum(k, v)))
 }
 
-func (t *tally) bytes() []byte {
+func (t *contentSum) bytes() []byte {
 	b := binary.BigEndian.AppendUint64(key(t.count), t.sum)
 	return append(b, valueSum(tallyKey, b)...)
 }
 
-func readTally(about *bolt.Bucket) (t tally) {
+func readTally(about *bolt.Bucket) (t contentSum) {
 	if b := about.Get(tallyKey); len(b) == 20 {
-		t = tally{binary.BigEndian.Uint64(b), binary.BigEndian.Uint64(b[8:])}
+		t = contentSum{binary.BigEndian.Uint64(b), binary.BigEndian.Uint64(b[8:])}
 	}
 	return t
 }
@@ -388,7 +388,7 @@
 
 // checkAbout compares the values with their checksums. An earlier program writes values and no checksums: that the last
 // transaction was its own shows in its number, which is not the one that stands in the bucket.
-func checkAbout(about, values map[string][]byte, log *tally, txid uint64) (ours bool, err error) {
+func checkAbout(about, values map[string][]byte, log *contentSum, txid uint64) (ours bool, err error) {
 	if len(about) == 0 {
 		return false, nil
 	}
--- a/internal/rollout/clone.go
+++ b/internal/rollout/clone.go
@@ -1,15 +1,15 @@
 package rollout
 
+// This file copies states and controllers and writes down what they go by, for who tries something on a copy, or
+// tells the
+// states of an exploration apart (package model).
+
 import (
 	"encoding/binary"
 	"maps"
 	"slices"
 )
 
-// This file copies states and controllers and writes down what they go by, for who tries something on a copy, or
-// tells the
-// states of an exploration apart (package model).
-
 // Clone copies a state, so that what is done to one does nothing to the other.
 func (s *State) Clone() *State {
 	out := *s
--- a/internal/rollout/model/explore_test.go
+++ b/internal/rollout/model/explore_test.go
@@ -6,7 +6,7 @@
 
 	"github.com/stretchr/testify/require"
 
-	"marblelane/internal/lab/explore"
+	"marblelane/internal/testutil/explore"
 )
 
 // all is set to go through the worlds that take minutes, too: one crash, one cut and one leader change together.
--- a/internal/rollout/model/play.go
+++ b/internal/rollout/model/play.go
@@ -93,15 +93,15 @@
 	return last
 }
 
-// tally counts a sidecar's attempts under one revision.
-type tally struct{ rev, canary, base, canaryFailed, baseFailed int64 }
+// attemptCounts counts a sidecar's attempts under one revision.
+type attemptCounts struct{ rev, canary, base, canaryFailed, baseFailed int64 }
 
 type node struct {
 	Sidecar
 	alive    bool
 	asking   bool
 	asked    int64
-	tallies  []tally // newest last, those of the rollout's revisions
+	tallies  []attemptCounts // newest last, those of the rollout's revisions
 	baseline baseline
 }
 
@@ -315,7 +315,7 @@
 		return
 	}
 	if len(n.tallies) == 0 || n.tallies[len(n.tallies)-1].rev < rev {
-		n.tallies = append(n.tallies, tally{rev: rev})
+		n.tallies = append(n.tallies, attemptCounts{rev: rev})
 	}
 	for i := range n.tallies {
 		t := &n.tallies[i]
--- a/internal/rollout/model/purses.go
+++ b/internal/rollout/model/purses.go
@@ -3,9 +3,9 @@
 import (
 	"fmt"
 
-	"marblelane/internal/lab/explore"
 	"marblelane/internal/rollout"
 	"marblelane/internal/route"
+	"marblelane/internal/testutil/explore"
 )
 
 // Purses is a world of budgets. An ask may wait for its commit, be lost with the leader, have its answer lost or late,
--- a/internal/rollout/model/sidecar.go
+++ b/internal/rollout/model/sidecar.go
@@ -12,7 +12,7 @@
 type Sidecar struct {
 	route.Process
 	Tenant, Rollout string
-	Purse           balance.Purse
+	Purse           balance.CanaryBudget
 	Have            int64 // the table that it acts on
 	Canary          bool  // that table sends to the canary
 	Until           int64 // its permission
--- a/internal/rollout/model/terms.go
+++ b/internal/rollout/model/terms.go
@@ -4,9 +4,9 @@
 	"fmt"
 	"slices"
 
-	"marblelane/internal/lab/explore"
 	"marblelane/internal/rollout"
 	"marblelane/internal/route"
+	"marblelane/internal/testutil/explore"
 )
 
 // Terms is a world of permissions: reports, one in each tick, that are held up, lost or come twice; tables, closing, a
--- a/internal/rollout/model/world.go
+++ b/internal/rollout/model/world.go
@@ -4,9 +4,9 @@
 	"bytes"
 	"slices"
 
-	"marblelane/internal/lab/explore"
 	"marblelane/internal/rollout"
 	"marblelane/internal/route"
+	"marblelane/internal/testutil/explore"
 )
 
 // The worlds here are small enough to go through all interleavings of what may happen in them (package explore): three
--- a/internal/route/bind.go
+++ b/internal/route/bind.go
@@ -74,7 +74,7 @@
 		return out, true
 	}
 	out.Canary, out.Share, out.ID = b.subset("canary", &r.Canary), r.Share, RolloutID(r.Tenant, r.Rollout)
-	out.Purse, out.Late = r.Budget, r.Late
+	out.Budgeted, out.Late = r.Budget, r.Late
 	if out.Classes, ok = b.classes(r.Classes); !ok {
 		// The canary stays, so that the base leaves its servers out here as everywhere: a reader of schema 1, which
 		// knows no classes, does so too.
--- a/internal/route/bind_test.go
+++ b/internal/route/bind_test.go
@@ -43,10 +43,10 @@
 			Canary: balance.Subset{
 				Kinds: []int{1, math.MinInt}, Cells: []int{3}, Zones: []int{math.MinInt}, IDs: []balance.ServerID{serverID("u")},
 			},
-			Purse: true, Late: true,
+			Budgeted: true, Late: true,
 		},
 		{
-			Tenant: 1, ID: RolloutID("b", "r"), Purse: true,
+			Tenant: 1, ID: RolloutID("b", "r"), Budgeted: true,
 			Canary: balance.Subset{Kinds: []int{1}, IDs: []balance.ServerID{serverID("v")}},
 		},
 		{Tenant: 2},
--- a/internal/route/decisions_test.go
+++ b/internal/route/decisions_test.go
@@ -88,9 +88,9 @@
 // begin tells of the servers and the routes, and permits canaries.
 func (p *pair) begin(servers []balance.Server, older, newer balance.Routes) bool {
 	same := p.both(balance.ServerList{Kind: balance.ListFull, Servers: servers}) && p.tell(older, newer) &&
-		p.both(balance.Permit{Until: p.now + 1e9})
+		p.both(balance.CanaryLease{Until: p.now + 1e9})
 	for _, r := range append(slices.Clone(older.List), newer.List...) {
-		same = same && (r.ID == 0 || p.both(balance.Grant{ID: r.ID, Units: 1e6, Keep: 1e6}))
+		same = same && (r.ID == 0 || p.both(balance.BudgetGrant{ID: r.ID, Units: 1e6, Keep: 1e6}))
 	}
 	return same
 }
@@ -133,12 +133,12 @@
 		s.State = balance.State(p.rnd.Intn(2))
 		return p.both(balance.ServerList{Kind: balance.ListDelta, Servers: []balance.Server{s}})
 	case n < 97:
-		return p.both(balance.Permit{Until: p.now + float64(p.rnd.Intn(400))})
+		return p.both(balance.CanaryLease{Until: p.now + float64(p.rnd.Intn(400))})
 	case n < 98:
-		return p.both(balance.HangUp{Request: p.next})
+		return p.both(balance.ClientGone{Request: p.next})
 	case n < 99 && len(newer.List) > 0:
 		units, id := int64(p.rnd.Intn(100)), newer.List[p.rnd.Intn(len(newer.List))].ID
-		return id == 0 || p.both(balance.Grant{ID: id, Units: 1e6 + units, Keep: units})
+		return id == 0 || p.both(balance.BudgetGrant{ID: id, Units: 1e6 + units, Keep: units})
 	}
 	return p.tell(older, newer)
 }
--- a/internal/route/schema1.go
+++ b/internal/route/schema1.go
@@ -1,15 +1,15 @@
 package route
 
+// This file is schema 1 as programs in the fleet read it. It must never change: such a program cannot be told of a
+// change, and what is checked against this reader before it is committed must be what that program makes of it. What
+// is new goes to a newer schema, with structs of its own.
+
 import (
 	"cmp"
 	"fmt"
 	"slices"
 )
 
-// This file is schema 1 as programs in the fleet read it. It must never change: such a program cannot be told of a
-// change, and what is checked against this reader before it is committed must be what that program makes of it. What
-// is new goes to a newer schema, with structs of its own.
-
 type doc1 struct {
 	Schema int      `json:"schema"`
 	Reads  int      `json:"reads"`
--- a/internal/route/schema2.go
+++ b/internal/route/schema2.go
@@ -1,5 +1,9 @@
 package route
 
+// This file is schema 2, which adds a route's classes and its note. Once a program that reads it is in the fleet it
+// must never change, as schema 1: what is new goes to a newer schema, with structs of its own. It shares none with
+// schema 1, so that nobody changes both at once.
+
 import (
 	"cmp"
 	"fmt"
@@ -7,10 +11,6 @@
 	"unicode/utf8"
 )
 
-// This file is schema 2, which adds a route's classes and its note. Once a program that reads it is in the fleet it
-// must never change, as schema 1: what is new goes to a newer schema, with structs of its own. It shares none with
-// schema 1, so that nobody changes both at once.
-
 type doc2 struct {
 	Schema int      `json:"schema"`
 	Reads  int      `json:"reads"`
--- a/internal/steer/steer.go
+++ b/internal/routeclient/client.go
@@ -1,10 +1,10 @@
-// Package steer is a sidecar's side of the routes that docs/routes.md promises: it follows their table, reports what
+// Package routeclient is a sidecar's side of the routes that docs/routes.md promises: it follows their table, reports what
 // this process acts on, and holds units of rollouts' budgets. Each of the three duties has a goroutine of its own and
 // shares nothing with the loop that decides but this:
 //
 //   - from the loop to the duties a ring of 8 samples. When it is full the oldest is dropped and counted in
 //     route.Report.Lost; samples are totals, so that nothing is lost by it.
-//   - from the duties to the loop a box for one News, in which what is later takes the place of what is earlier: a
+//   - from the duties to the loop a box for one Update, in which what is later takes the place of what is earlier: a
 //     stop, a rollback and the end of a permission always arrive, and nothing waits in line.
 //   - one mutex, held for the time of a few map look-ups and never over a call: for Begin, which the attempts' own
 //     goroutines call, for Acts, Offer and Take, and for the sample that a report is made of.
@@ -21,10 +21,9 @@
 // The permission is a time on Go's monotonic clock. On Linux that is CLOCK_MONOTONIC: it goes on while the process is
 // stopped, and stands still while the whole machine is suspended. A machine that is suspended while it has a permission
 // is not covered by what the service says of closed revisions.
-package steer
+package routeclient
 
 import (
-	"cmp"
 	"context"
 	"errors"
 	"fmt"
@@ -51,7 +50,7 @@
 	dialWait   = time.Second
 )
 
-// Config is what a Steer is told at its start. Name, Start, Version, Digest and Schemas are said in each report.
+// Config is what a Client is told at its start. Name, Start, Version, Digest and Schemas are said in each report.
 type Config struct {
 	Addrs   []string // of the copies of the list service, host:port, in order of preference; at least one
 	Name    string   // of the sidecar
@@ -66,8 +65,8 @@
 	Now func() time.Time
 }
 
-// pace is the times of the duties.
-type pace struct {
+// timings is the times of the duties.
+type timings struct {
 	silence    time.Duration // of a watch, which is broken then: an empty line comes every 2 s
 	pauseLeast time.Duration // between two tries that fail, growing
 	pauseMost  time.Duration
@@ -80,7 +79,7 @@
 	last       time.Duration // for the last report and ask, after the end
 }
 
-var stated = pace{
+var stated = timings{
 	silence: 5 * time.Second, pauseLeast: 100 * time.Millisecond, pauseMost: 5 * time.Second,
 	first: time.Second, soon: 100 * time.Millisecond, late: 10 * time.Second, call: time.Second,
 	hold: time.Second, holdSoon: 50 * time.Millisecond, last: 200 * time.Millisecond,
@@ -94,8 +93,8 @@
 	Short  bool // an attempt went elsewhere for want of a unit: ask at once
 }
 
-// News is what the loop is told.
-type News struct {
+// Update is what the loop is told.
+type Update struct {
 	Table  *route.Table // nil: as before
 	Until  time.Time    // canaries may be acted on until then; zero: they may not
 	Grants []route.PurseGrant
@@ -107,49 +106,37 @@
 	Permitted          bool
 }
 
-// side names a count within one revision.
-type side struct {
-	tenant string
-	canary bool
-}
-
-// revision is what was counted under one.
-type revision struct {
-	counts map[side]*route.Count
-	told   bool // its last count of attempts begun was received
-}
-
-// Steer is the duties of one process.
-type Steer struct {
+// Client is the duties of one process.
+type Client struct {
 	cfg     Config
-	pace    pace
+	timings timings
 	client  *http.Client
 	schema  int           // that is asked for
 	acted   chan struct{} // of 1: a later revision is acted on
 	offered chan struct{} // of 1: the ring has something
 
-	mu         sync.Mutex // what follows; never held over a call
-	addrs      []string
-	moves      int                     // of addrs
-	breakWatch context.CancelCauseFunc // of the watch under way
-	ring       ring
-	newest     Sample
-	short      bool // a sample since the last ask for units said so
-	box        News
-	full       bool // of the box
-	held       int64
-	acts       int64
-	unread     int64
-	start      int64 // of this process, as it is said
-	garbled    bool  // what cannot be read and has no revision was logged
-	until      time.Time
-	revs       map[int64]*revision
-	order      []int64 // of revs, growing; without 0
-	cut        bool    // counts were dropped that no report has said
-}
-
-// New makes a Steer, which does nothing until Run.
-func New(cfg Config) (*Steer, error) {
+	mu             sync.Mutex // what follows; never held over a call
+	addrs          []string
+	moves          int                     // of addrs
+	breakWatch     context.CancelCauseFunc // of the watch under way
+	ring           ring
+	newest         Sample
+	short          bool // a sample since the last ask for units said so
+	box            Update
+	full           bool // of the box
+	held           int64
+	actingRevision int64
+	unread         int64
+	start          int64 // of this process, as it is said
+	garbled        bool  // what cannot be read and has no revision was logged
+	until          time.Time
+	revs           map[int64]*revision
+	order          []int64 // of revs, growing; without 0
+	cut            bool    // counts were dropped that no report has said
+}
+
+// New makes a Client, which does nothing until Run.
+func New(cfg Config) (*Client, error) {
 	if len(cfg.Addrs) == 0 {
 		return nil, errors.New("steer: no addresses of list services")
 	}
@@ -165,8 +152,8 @@
 	if cfg.Now == nil {
 		cfg.Now = time.Now
 	}
-	return &Steer{
-		cfg: cfg, pace: stated, schema: slices.Max(cfg.Schemas), addrs: slices.Clone(cfg.Addrs),
+	return &Client{
+		cfg: cfg, timings: stated, schema: slices.Max(cfg.Schemas), addrs: slices.Clone(cfg.Addrs),
 		client: &http.Client{
 			Transport: &http.Transport{
 				DialContext:         (&net.Dialer{Timeout: dialWait, KeepAlive: -1}).DialContext,
@@ -192,7 +179,7 @@
 
 // Run does the duties until ctx ends, says once more what was counted and what is given back, and returns when all
 // goroutines have ended. It is called once.
-func (s *Steer) Run(ctx context.Context) {
+func (s *Client) Run(ctx context.Context) {
 	var duties sync.WaitGroup
 	duties.Go(func() { s.follow(ctx) })
 	duties.Go(func() { s.report(ctx) })
@@ -202,7 +189,7 @@
 }
 
 // Move makes all calls from now on go to other addresses, in order of preference. None: nothing changes.
-func (s *Steer) Move(addrs []string) {
+func (s *Client) Move(addrs []string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if len(addrs) == 0 || slices.Equal(addrs, s.addrs) {
@@ -220,7 +207,7 @@
 //
 // An attempt that moves to another connection looks again and counts again: what is counted is never less than what
 // has begun.
-func (s *Steer) Begin(rev int64, tenant string, canary bool) (under int64, ok bool) {
+func (s *Client) Begin(rev int64, tenant string, canary bool) (under int64, ok bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if under, ok = s.allowed(rev, canary); ok {
@@ -231,7 +218,7 @@
 
 // BeginAs is Begin of an attempt whose head says already what it counts under: one that would count under something else
 // must not begin, and is not counted. It is one look: after a count that is taken back, the counts would have fallen.
-func (s *Steer) BeginAs(rev int64, tenant string, canary bool, under int64) (ok bool) {
+func (s *Client) BeginAs(rev int64, tenant string, canary bool, under int64) (ok bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if as, ok := s.allowed(rev, canary); !ok || as != under {
@@ -242,18 +229,18 @@
 }
 
 // allowed is what an attempt counts under, if it may begin; s.mu is held.
-func (s *Steer) allowed(rev int64, canary bool) (under int64, ok bool) {
+func (s *Client) allowed(rev int64, canary bool) (under int64, ok bool) {
 	if under = rev; !s.cfg.Now().Before(s.until) {
 		under = 0
 	}
-	if rev != s.acts && rev != 0 || canary && under == 0 {
+	if rev != s.actingRevision && rev != 0 || canary && under == 0 {
 		return 0, false
 	}
 	return under, true
 }
 
 // Under is what Begin would say of an attempt that is no canary, without counting it: what a head is written for.
-func (s *Steer) Under(rev int64) int64 {
+func (s *Client) Under(rev int64) int64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if !s.cfg.Now().Before(s.until) {
@@ -262,11 +249,11 @@
 	return rev
 }
 
-// Acts says that from now on the loop decides by the table of a revision. It never goes back.
-func (s *Steer) Acts(rev int64) {
+// ActOn says that from now on the loop decides by the table of a revision. It never goes back.
+func (s *Client) ActOn(rev int64) {
 	s.mu.Lock()
-	later := rev > s.acts
-	s.acts = max(s.acts, rev)
+	later := rev > s.actingRevision
+	s.actingRevision = max(s.actingRevision, rev)
 	s.mu.Unlock()
 	if later {
 		signal(s.acted)
@@ -274,14 +261,14 @@
 }
 
 // Refused says that the loop was given the table of a revision and cannot act on it.
-func (s *Steer) Refused(rev int64) {
+func (s *Client) Refused(rev int64) {
 	s.mu.Lock()
 	s.unread = max(s.unread, rev)
 	s.mu.Unlock()
 }
 
 // Offer hands over a sample. It never waits.
-func (s *Steer) Offer(sample Sample) {
+func (s *Client) Offer(sample Sample) {
 	sample.Purses = sample.Purses[:min(len(sample.Purses), mostPurses)]
 	s.mu.Lock()
 	s.ring.put(sample)
@@ -290,20 +277,20 @@
 }
 
 // Take gives what is new since the last one, if anything is.
-func (s *Steer) Take() (News, bool) {
+func (s *Client) Take() (Update, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	news, full := s.box, s.full
-	s.box, s.full = News{Until: s.until}, false
+	s.box, s.full = Update{Until: s.until}, false
 	return news, full
 }
 
 // Status tells what the figures say.
-func (s *Steer) Status() Status {
+func (s *Client) Status() Status {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return Status{
-		Acts: s.acts, Unread: s.unread, Lost: s.ring.lost, Permitted: s.cfg.Now().Before(s.until),
+		Acts: s.actingRevision, Unread: s.unread, Lost: s.ring.lost, Permitted: s.cfg.Now().Before(s.until),
 	}
 }
 
@@ -317,7 +304,7 @@
 
 // permit takes in a term that counts from when it was asked for. Answers come in the order of the questions, so the
 // latest counts, even if it ends earlier. Without a term what was granted before stays: the service waits for its end.
-func (s *Steer) permit(asked time.Time, term time.Duration) {
+func (s *Client) permit(asked time.Time, term time.Duration) {
 	if term <= 0 {
 		return
 	}
@@ -331,7 +318,7 @@
 var errCrowded = errors.New("too many revisions that no report was answered for")
 
 // take hands a table to the loop, if it is later than the one held.
-func (s *Steer) take(t *route.Table) error {
+func (s *Client) take(t *route.Table) error {
 	s.mu.Lock()
 	if t.Rev <= s.held {
 		s.mu.Unlock()
@@ -353,7 +340,7 @@
 }
 
 // grant hands units to the loop.
-func (s *Steer) grant(grants []route.PurseGrant) {
+func (s *Client) grant(grants []route.PurseGrant) {
 	s.mu.Lock()
 	for _, g := range grants {
 		i := slices.IndexFunc(s.box.Grants, func(have route.PurseGrant) bool {
@@ -369,133 +356,3 @@
 	s.mu.Unlock()
 	s.cfg.Wake()
 }
-
-// count gives the count of one side under a revision; s.mu is held.
-func (s *Steer) count(rev int64, of side) *route.Count {
-	r := s.revs[rev]
-	if r == nil {
-		r = &revision{counts: map[side]*route.Count{}}
-		s.revs[rev] = r
-		if rev > 0 {
-			s.order = append(s.order, rev) // what is acted on only grows
-		}
-	}
-	c := r.counts[of]
-	if c == nil {
-		c = &route.Count{Rev: rev, Tenant: of.tenant, Canary: of.canary}
-		r.counts[of] = c
-	}
-	return c
-}
-
-// drain takes the samples in; s.mu is held. What ended under a revision that is kept no more is left out.
-func (s *Steer) drain() {
-	for {
-		sample, more := s.ring.take()
-		if !more {
-			return
-		}
-		s.newest = sample
-		s.short = s.short || sample.Short
-		for _, c := range sample.Counts {
-			if r := s.revs[c.Rev]; r != nil && r.counts[side{c.Tenant, c.Canary}] != nil {
-				have := r.counts[side{c.Tenant, c.Canary}]
-				have.Ended, have.Failed, have.Late = c.Ended, c.Failed, c.Late
-			}
-		}
-	}
-}
-
-// sample is a report of this moment: what is acted on, what is permitted and what was counted belong together.
-func (s *Steer) sample(seq int64, echo route.Moment) route.Report {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	s.drain()
-	r := route.Report{
-		Process: route.Process{Name: s.cfg.Name, Start: s.start}, Seq: seq, Echo: echo,
-		Version: s.cfg.Version, Config: s.cfg.Digest, Schemas: s.cfg.Schemas,
-		List: s.newest.List, Have: s.acts, Unread: s.unread, Held: !s.cfg.Now().Before(s.until), Lost: s.ring.lost,
-	}
-	r.Cut = s.cut
-	for i := len(s.order) - 1; i >= 0; i-- {
-		of := s.revs[s.order[i]]
-		if s.order[i] < s.acts && len(r.Counts)+len(of.counts) > mostCounts {
-			r.Cut = true
-			break
-		}
-		of.list(&r)
-	}
-	s.revs[0].list(&r)
-	slices.SortFunc(r.Counts, func(a, b route.Count) int {
-		return cmp.Or(cmp.Compare(a.Rev, b.Rev), cmp.Compare(a.Tenant, b.Tenant), order(a.Canary, b.Canary))
-	})
-	return r
-}
-
-// list adds what was counted to a report.
-func (v *revision) list(r *route.Report) {
-	if v != nil {
-		for _, c := range v.counts {
-			r.Counts = append(r.Counts, *c)
-		}
-	}
-}
-
-// order puts false before true.
-func order(a, b bool) int {
-	switch {
-	case a == b:
-		return 0
-	case b:
-		return -1
-	}
-	return 1
-}
-
-// received drops counts that are over and were received: those of the oldest revisions, beyond the last 16. Under a
-// revision before that of the report nothing has begun since, so its count was the last one. What a report had no room
-// for goes, too: else there would never be room.
-func (s *Steer) received(r *route.Report) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	for _, c := range r.Counts {
-		if of := s.revs[c.Rev]; of != nil && c.Rev < r.Have {
-			of.told = true
-		}
-	}
-	drop := 0
-	for len(s.order)-drop > keepRevs && (s.revs[s.order[drop]].told || r.Cut) && s.order[drop] < r.Have {
-		s.cut = s.cut || !s.revs[s.order[drop]].told
-		delete(s.revs, s.order[drop])
-		drop++
-	}
-	s.order = slices.Delete(s.order, 0, drop)
-}
-
-// ring keeps the latest samples.
-type ring struct {
-	items       [ringSize]Sample
-	first, used int
-	lost        int64
-}
-
-func (r *ring) put(s Sample) {
-	if r.used == ringSize {
-		s.Short = s.Short || r.items[r.first].Short // a want is no total
-		r.take()
-		r.lost++
-	}
-	r.items[(r.first+r.used)%ringSize] = s
-	r.used++
-}
-
-func (r *ring) take() (Sample, bool) {
-	if r.used == 0 {
-		return Sample{}, false
-	}
-	s := r.items[r.first]
-	r.items[r.first] = Sample{}
-	r.first = (r.first + 1) % ringSize
-	r.used--
-	return s, true
-}
--- a/internal/steer/steer_test.go
+++ b/internal/routeclient/client_test.go
@@ -1,4 +1,4 @@
-package steer
+package routeclient
 
 import (
 	"context"
@@ -126,9 +126,9 @@
 	}
 }
 
-// play is a Steer under test.
+// play is a Client under test.
 type play struct {
-	*Steer
+	*Client
 	t     *testing.T
 	clock *hour
 	woken chan struct{}
@@ -155,7 +155,7 @@
 }
 
 // begin starts one with quick times; change: before it runs. No copy: it is not run.
-func begin(t *testing.T, change func(*Steer), copies ...*copyStub) *play {
+func begin(t *testing.T, change func(*Client), copies ...*copyStub) *play {
 	t.Helper()
 	p := &play{t: t, clock: &hour{now: time.Now()}, woken: make(chan struct{}, 1), log: &lines{}}
 	var addrs []string
@@ -170,7 +170,7 @@
 		Wake: func() { signal(p.woken) }, Log: slog.New(slog.NewTextHandler(p.log, nil)),
 	})
 	require.NoError(t, err)
-	s.pace = pace{
+	s.timings = timings{
 		silence: time.Hour, pauseLeast: time.Millisecond, pauseMost: 4 * time.Millisecond, first: 4 * time.Millisecond,
 		soon: time.Millisecond, late: 4 * time.Millisecond, call: patience, hold: 4 * time.Millisecond,
 		holdSoon: time.Millisecond, last: patience,
@@ -178,7 +178,7 @@
 	if change != nil {
 		change(s)
 	}
-	p.Steer = s
+	p.Client = s
 	if copies == nil {
 		return p
 	}
@@ -208,7 +208,7 @@
 }
 
 // news waits for news that are as wanted.
-func (p *play) news(what string, wanted func(News) bool) News {
+func (p *play) news(what string, wanted func(Update) bool) Update {
 	p.t.Helper()
 	for limit := time.After(patience); ; {
 		if n, ok := p.Take(); ok && wanted(n) {
@@ -224,7 +224,7 @@
 
 func (p *play) table(rev int64) *route.Table {
 	p.t.Helper()
-	return p.news(fmt.Sprint("revision ", rev), func(n News) bool { return n.Table != nil && n.Table.Rev == rev }).Table
+	return p.news(fmt.Sprint("revision ", rev), func(n Update) bool { return n.Table != nil && n.Table.Rev == rev }).Table
 }
 
 func document(t *testing.T, rev int64) string {
@@ -233,10 +233,10 @@
 	return string(text)
 }
 
-// permitted gives a Steer that acts on a revision with a permission of a term from now.
+// permitted gives a Client that acts on a revision with a permission of a term from now.
 func permitted(t *testing.T, rev int64, term time.Duration) *play {
 	p := begin(t, nil)
-	p.Acts(rev)
+	p.ActOn(rev)
 	p.permit(p.clock.Now(), term)
 	return p
 }
@@ -267,7 +267,7 @@
 		under, ok := p.Begin(c.rev, "a", c.canary)
 		require.Equal(t, []any{c.under, c.ok}, []any{under, ok}, c.name)
 	}
-	p.Acts(4)
+	p.ActOn(4)
 	require.EqualValues(t, 5, p.Status().Acts, "it went back")
 	require.Equal(t, []route.Count{
 		{Tenant: "a", Begun: 2}, {Rev: 5, Tenant: "a", Begun: 1}, {Rev: 5, Tenant: "a", Canary: true, Begun: 2},
@@ -310,13 +310,13 @@
 		return http.StatusOK, route.Answer{TermMS: 1000}
 	}
 	c.report.Store(&answer)
-	p := begin(t, func(s *Steer) { s.pace.first, s.pace.late = time.Hour, time.Hour }, c) // the second report comes of the refusal
+	p := begin(t, func(s *Client) { s.timings.first, s.timings.late = time.Hour, time.Hour }, c) // the second report comes of the refusal
 	require.EqualValues(t, 7, receive(t, "the first report", starts))
 	require.Equal(t, newest+1, receive(t, "the second", starts))
-	p.news("permission", func(n News) bool { return !n.Until.IsZero() })
+	p.news("permission", func(n Update) bool { return !n.Until.IsZero() })
 	twin.Store(newest + 9)
 	for rev := range int64(3) {
-		p.Acts(rev + 1) // makes a report soon
+		p.ActOn(rev + 1) // makes a report soon
 		require.Equal(t, newest+1, receive(t, "a report as the twin is there", starts))
 	}
 	asks := make(chan route.UnitsAsk, 1)
@@ -357,7 +357,7 @@
 	}
 	final := map[int64]int64{}
 	for rev := int64(2); rev <= last; rev++ {
-		p.Acts(rev)
+		p.ActOn(rev)
 		for _, c := range p.sample(rev, route.Moment{}).Counts {
 			if c.Rev < rev {
 				if have, said := final[c.Rev]; said {
@@ -388,12 +388,12 @@
 		c.report.Store(&f)
 		return http.StatusOK, route.Answer{TermMS: term.Milliseconds()}
 	}
-	p := begin(t, func(s *Steer) { s.Acts(3) }, newCopy(t)) // not c yet: its clock is not known
+	p := begin(t, func(s *Client) { s.ActOn(3) }, newCopy(t)) // not c yet: its clock is not known
 	clock = p.clock
 	c.report.Store(&once)
 	p.Move([]string{c.addr()})
 	at := receive(t, "the report", began)
-	n := p.news("permission", func(n News) bool { return !n.Until.IsZero() })
+	n := p.news("permission", func(n Update) bool { return !n.Until.IsZero() })
 	require.Equal(t, at.Add(term), n.Until)
 	p.clock.pass(term - slow - 1)
 	_, ok := p.Begin(3, "a", true)
@@ -457,7 +457,7 @@
 
 func TestSilentWatchIsBroken(t *testing.T) {
 	a, b := newCopy(t), newCopy(t)
-	begin(t, func(s *Steer) { s.pace.silence = 20 * time.Millisecond }, a, b)
+	begin(t, func(s *Client) { s.timings.silence = 20 * time.Millisecond }, a, b)
 	receive(t, "the end of the silent watch", receive(t, "the watch", a.watches).gone)
 	receive(t, "the watch at the next", b.watches)
 }
@@ -544,7 +544,7 @@
 	for range mostRevs {
 		rev++
 		require.NoError(t, p.take(&route.Table{Rev: rev}))
-		p.Acts(rev)
+		p.ActOn(rev)
 		_, ok := p.Begin(rev, "a", false)
 		require.True(t, ok)
 	}
@@ -563,7 +563,7 @@
 	p := permitted(t, 1, time.Hour)
 	for rev := int64(1); rev <= 2*mostRevs; rev++ {
 		require.NoError(t, p.take(&route.Table{Rev: rev}), "revision %d", rev)
-		p.Acts(rev)
+		p.ActOn(rev)
 		for tenant := range 200 {
 			_, ok := p.Begin(rev, fmt.Sprint("tenant-", tenant), false)
 			require.True(t, ok)
@@ -588,14 +588,14 @@
 		}}
 	}
 	c.units.Store(&f)
-	p := begin(t, func(s *Steer) { s.pace.hold = time.Hour }, c)
+	p := begin(t, func(s *Client) { s.timings.hold = time.Hour }, c)
 	p.Offer(Sample{List: 1})
 	purse := route.PurseState{Tenant: "a", Rollout: "r", Want: 2}
 	p.Offer(Sample{Purses: []route.PurseState{purse}, Short: true})
 	require.Equal(t, route.UnitsAsk{
 		Process: route.Process{Name: "n0", Start: 7}, Purses: []route.PurseState{purse},
 	}, receive(t, "the first ask", asks))
-	n := p.news("units", func(n News) bool { return len(n.Grants) > 0 })
+	n := p.news("units", func(n Update) bool { return len(n.Grants) > 0 })
 	require.Equal(t, []route.PurseGrant{{Tenant: "a", Rollout: "r", Granted: 3, Keep: 1}}, n.Grants)
 	purse.Granted, purse.Spent = 3, 1
 	p.Offer(Sample{Purses: []route.PurseState{purse}})
@@ -626,7 +626,7 @@
 	p.permit(now.Add(time.Second), 0)
 	n, fresh := p.Take()
 	require.True(t, fresh)
-	require.Equal(t, News{
+	require.Equal(t, Update{
 		Table: &route.Table{Rev: 2}, Until: now.Add(2 * time.Second),
 		Grants: []route.PurseGrant{{Tenant: "a", Granted: 4}, {Tenant: "b", Granted: 1}},
 	}, n)
@@ -646,7 +646,7 @@
 		return http.StatusOK, nil
 	}
 	c.report.Store(&f)
-	p := begin(t, func(s *Steer) { s.pace.last = time.Millisecond }, c)
+	p := begin(t, func(s *Client) { s.timings.last = time.Millisecond }, c)
 	receive(t, "the report", entered)
 	p.end()
 }
--- a/internal/sidecar/answer.go
+++ b/internal/sidecar/answer.go
@@ -102,7 +102,7 @@
 	s := &stream{
 		length: resp.ContentLength, first: first, rest: &streamReader{ctx, conn, atOnce(conn, resp), maxBody - int64(len(first))}, ended: make(chan error, 1),
 	}
-	p.offer(began{a, answer{status: http.StatusOK, contentType: resp.Header.Get("Content-Type"), stream: s}})
+	p.offer(answerStarted{a, answer{status: http.StatusOK, contentType: resp.Header.Get("Content-Type"), stream: s}})
 	var err error
 	select {
 	case err = <-s.ended:
@@ -275,7 +275,7 @@
 	_, err := c.in.Peek(1)
 	c.SetReadDeadline(cut)
 	if ctx.Err() != nil { // the lines above may have undone the cancel
-		c.SetReadDeadline(longAgo)
+		c.SetReadDeadline(pastDeadline)
 	}
 	switch {
 	case err == nil, err == io.EOF:
--- a/internal/sidecar/attempt_test.go
+++ b/internal/sidecar/attempt_test.go
@@ -35,7 +35,7 @@
 }
 
 func (c *heldConn) SetDeadline(t time.Time) error {
-	if t.Equal(longAgo) {
+	if t.Equal(pastDeadline) {
 		defer c.once.Do(func() { close(c.noticed) })
 	}
 	return c.TCPConn.SetDeadline(t)
@@ -299,7 +299,7 @@
 }
 
 func (c *givenUpConn) SetDeadline(t time.Time) error {
-	if t.Equal(longAgo) {
+	if t.Equal(pastDeadline) {
 		defer c.once.Do(func() { close(c.stopped) })
 	}
 	return c.TCPConn.SetDeadline(t)
--- a/internal/sidecar/body.go
+++ b/internal/sidecar/body.go
@@ -155,7 +155,7 @@
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	for p := range h.open {
-		p.until(longAgo)
+		p.until(pastDeadline)
 	}
 	h.ended = true
 }
--- a/internal/sidecar/client_gone.go
+++ b/internal/sidecar/client_gone.go
@@ -88,12 +88,12 @@
 	return peekState(c) == peekEnded
 }
 
-// clientGone reports whether the guest is known to have gone.
-func (g *guest) clientGone(states *connStates) bool { return states.peerGone(g.Conn) }
+// clientGone reports whether the clientConn is known to have gone.
+func (g *clientConn) clientGone(states *connStates) bool { return states.peerGone(g.Conn) }
 
 // clientGone reports whether the client is known to have gone.
 func (c *headConn) clientGone(states *connStates) bool {
-	g, ok := c.Conn.(*guest)
+	g, ok := c.Conn.(*clientConn)
 	return ok && g.clientGone(states)
 }
 
--- a/internal/sidecar/client_gone_test.go
+++ b/internal/sidecar/client_gone_test.go
@@ -32,16 +32,16 @@
 type leaver struct {
 	*net.TCPConn
 	t    *testing.T
-	host *guest // its connection in the sidecar
+	host *clientConn // its connection in the sidecar
 }
 
 // leave sends a request and returns the client once the sidecar works at it.
 func (r *running) leaver(t *testing.T, class, proto, lines, body string) *leaver {
 	t.Helper()
 	before := r.frontend.taken.Load()
-	known := map[*guest]bool{}
+	known := map[*clientConn]bool{}
 	r.listener.mu.Lock()
-	for g := range r.listener.guests {
+	for g := range r.listener.conns {
 		known[g] = true
 	}
 	r.listener.mu.Unlock()
@@ -64,7 +64,7 @@
 	l := &leaver{TCPConn: c.(*net.TCPConn), t: t}
 	r.listener.mu.Lock()
 	defer r.listener.mu.Unlock()
-	for g := range r.listener.guests {
+	for g := range r.listener.conns {
 		if !known[g] {
 			l.host = g
 		}
@@ -132,7 +132,7 @@
 	c := newConf(newRegistry(t).addr(), b.target).setting(`"connect_timeout_ms": 100`, longDial)
 	s := start(t, c, func(s *Sidecar) {
 		s.frontend.clientPoll = poll
-		s.loop.ups.dialer.Control = func(string, string, syscall.RawConn) error { g.pass(); return nil }
+		s.loop.pool.dialer.Control = func(string, string, syscall.RawConn) error { g.pass(); return nil }
 	})
 	t.Cleanup(g.release) // before the sidecar ends
 	return s, b, g
@@ -200,9 +200,9 @@
 			until(t, "the request to be over", func() bool { return s.frontend.taken.Load() == 0 })
 			dialing.release()
 			until(t, "the connection to be kept", func() bool {
-				s.loop.ups.mu.Lock()
-				defer s.loop.ups.mu.Unlock()
-				return len(s.loop.ups.kept) == 1
+				s.loop.pool.mu.Lock()
+				defer s.loop.pool.mu.Unlock()
+				return len(s.loop.pool.kept) == 1
 			})
 			s.nothingSent(t, b)
 			if n := b.conns.Load(); n != 1 {
@@ -447,13 +447,13 @@
 				cancel()
 				close(l.stopped)
 				l.workers.Wait()
-				l.ups.closeAll()
+				l.pool.closeAll()
 				s.listener.Close()
 			})
 			l.ctx = ctx
 			now := l.clock.ms(time.Now())
 			l.act(now, l.bal.Start(now))
-			l.takeNews(now, news{kind: balance.ListCached, list: cfg.known})
+			l.takeListEvent(now, listEvent{kind: balance.ListCached, list: cfg.known})
 			left, looked := newBarrier(), &atomic.Int64{}
 			t.Cleanup(left.release)
 			r, err := http.NewRequest(http.MethodGet, "http://h/api", nil)
@@ -484,7 +484,7 @@
 			if told := len(c.answers) == 1; told == frontendFirst || !c.final.Load() {
 				t.Errorf("the loop ends the call: %v, final %v", told, c.final.Load())
 			}
-			l.take(l.clock.ms(time.Now()), hangUp{c}) // late, or twice
+			l.take(l.clock.ms(time.Now()), clientGoneEvent{c}) // late, or twice
 			if n := len(l.calls); n != 0 {
 				t.Errorf("%d calls are left", n)
 			}
--- /dev/null
+++ b/internal/sidecar/clock.go
@@ -0,0 +1,25 @@
+package sidecar
+
+// This file converts between the module's milliseconds and Go's times.
+
+import (
+	"marblelane/internal/fault"
+	"time"
+)
+
+// clock is the one clock of a sidecar: Unix milliseconds at its start, monotonic from there on. Servers' boot_ms are of
+// the wall clock; what a step of it makes of them the module decides (see stepWatch).
+type clock struct {
+	start time.Time
+	base  float64
+}
+
+// newClock begins with the wall clock, in which faults may have planted a step.
+func newClock(faults *fault.Plan) clock {
+	wall, start, _ := wallReader(faults)()
+	return clock{start: start, base: unixMillis(wall)}
+}
+
+func (c clock) ms(t time.Time) float64 { return c.base + float64(t.Sub(c.start))/1e6 }
+
+func (c clock) time(ms float64) time.Time { return c.start.Add(millis(ms - c.base)) }
--- a/internal/sidecar/room_shutdown_test.go
+++ b/internal/sidecar/conn_limiter_shutdown_test.go
@@ -61,14 +61,14 @@
 	})
 }
 
-// accepted is a client's connection and its guest in a room of so many places.
-func accepted(t *testing.T, places int) (*room, net.Conn, *guest) {
+// accepted is a client's connection and its clientConn in a room of so many places.
+func accepted(t *testing.T, places int) (*connLimiter, net.Conn, *clientConn) {
 	t.Helper()
 	l, err := net.Listen("tcp", loopback)
 	if err != nil {
 		t.Fatal(err)
 	}
-	r := newRoom(l, places)
+	r := newConnLimiter(l, places)
 	t.Cleanup(func() { r.Close() })
 	c, err := net.Dial("tcp", l.Addr().String())
 	if err != nil {
@@ -82,10 +82,10 @@
 	}
 	t.Cleanup(func() { g.Close() })
 	g.SetDeadline(time.Now().Add(patience))
-	return r, c, g.(*guest)
+	return r, c, g.(*clientConn)
 }
 
-func (r *room) isTold(g *guest) bool {
+func (r *connLimiter) isTold(g *clientConn) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return !g.told.IsZero()
@@ -148,7 +148,7 @@
 }
 
 // serveRoom serves a room through net/http, as the sidecar does.
-func serveRoom(t *testing.T, r *room, hold func(net.Conn, http.ConnState), answer http.HandlerFunc) {
+func serveRoom(t *testing.T, r *connLimiter, hold func(net.Conn, http.ConnState), answer http.HandlerFunc) {
 	t.Helper()
 	srv := followConns(&http.Server{
 		Handler: answer, ConnContext: withConn, ReadHeaderTimeout: patience,
@@ -167,7 +167,7 @@
 	})
 }
 
-func openRoom(t *testing.T) (*room, net.Conn) {
+func openRoom(t *testing.T) (*connLimiter, net.Conn) {
 	t.Helper()
 	l, err := net.Listen("tcp", loopback)
 	if err != nil {
@@ -179,7 +179,7 @@
 	}
 	t.Cleanup(func() { c.Close() })
 	c.SetDeadline(time.Now().Add(patience))
-	return newRoom(l, 1), c
+	return newConnLimiter(l, 1), c
 }
 
 const plain = "GET /%s HTTP/1.1\r\nHost: a\r\n\r\n"
@@ -204,15 +204,15 @@
 		receive(t, "the first request's end", between.reached)
 		r.closeIdle(time.Now())
 		r.mu.Lock()
-		for g := range r.guests {
+		for g := range r.conns {
 			g.since = time.Now().Add(-time.Hour)
 		}
 		r.mu.Unlock()
-		if victim, _ := r.place(&guest{}); victim != nil {
+		if victim, _ := r.place(&clientConn{}); victim != nil {
 			t.Error("it makes room")
 		}
 		r.mu.Lock()
-		for g := range r.guests {
+		for g := range r.conns {
 			g.since = time.Now()
 		}
 		r.mu.Unlock()
@@ -224,7 +224,7 @@
 				until(t, "half a request", func() bool {
 					r.mu.Lock()
 					defer r.mu.Unlock()
-					for g := range r.guests {
+					for g := range r.conns {
 						if _, begun := g.begun(); begun {
 							return true
 						}
@@ -299,12 +299,12 @@
 	receive(t, "the handler", handled.reached)
 	receive(t, "the wait for what comes behind", reads)
 	r.mu.Lock()
-	for g := range r.guests {
+	for g := range r.conns {
 		g.since = time.Now().Add(-time.Hour)
 		g.heard.Store(int64(time.Since(epoch) - time.Minute))
 	}
 	r.mu.Unlock()
-	if victim, _ := r.place(&guest{}); victim != nil {
+	if victim, _ := r.place(&clientConn{}); victim != nil {
 		t.Error("it makes room")
 	}
 	close(handled.passed)
@@ -316,10 +316,10 @@
 }
 
 // unreadBytes tells whether bytes of a client wait in the system.
-func (r *room) unreadBytes() bool {
+func (r *connLimiter) unreadBytes() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	for g := range r.guests {
+	for g := range r.conns {
 		if _, unread := peek(g.Conn); unread {
 			return true
 		}
@@ -367,7 +367,7 @@
 			until(t, "its place", func() bool {
 				r.mu.Lock()
 				defer r.mu.Unlock()
-				return len(r.guests) == 0
+				return len(r.conns) == 0
 			})
 		})
 	}
--- a/internal/sidecar/room_test.go
+++ b/internal/sidecar/conn_limiter_test.go
@@ -11,35 +11,35 @@
 func TestWhoMakesRoom(t *testing.T) {
 	now := time.Now()
 	ago := func(d time.Duration) time.Time { return now.Add(-d) }
-	heard := func(g *guest, at time.Time) *guest {
+	heard := func(g *clientConn, at time.Time) *clientConn {
 		g.heard.Store(int64(at.Sub(epoch)))
 		return g
 	}
-	named := map[string]*guest{
+	named := map[string]*clientConn{
 		"silent":       {since: ago(2 * time.Second)},
 		"silent later": {since: ago(3 * time.Second / 2)},
 		"newcomer":     {since: ago(time.Second / 2)},
-		"slow head":    heard(&guest{since: ago(time.Second / 4)}, ago(time.Second/5)),
+		"slow head":    heard(&clientConn{since: ago(time.Second / 4)}, ago(time.Second/5)),
 		"idle long":    {since: ago(3 * time.Second), kept: true},
-		"half":         heard(&guest{since: ago(3 * time.Second)}, ago(2*time.Second)),
-		"half, later":  heard(&guest{since: ago(2 * time.Second)}, ago(time.Second)),
+		"half":         heard(&clientConn{since: ago(3 * time.Second)}, ago(2*time.Second)),
+		"half, later":  heard(&clientConn{since: ago(2 * time.Second)}, ago(time.Second)),
 		"idle":         {since: ago(time.Second), kept: true},
 		"at work":      {since: ago(time.Hour), busy: true},
 		"new":          {since: now.Add(time.Hour)},
 	}
-	r := newRoom(nil, len(named))
+	r := newConnLimiter(nil, len(named))
 	for _, g := range named {
-		r.guests[g] = struct{}{}
+		r.conns[g] = struct{}{}
 	}
 	for _, want := range []string{"silent", "silent later", "idle long", "half", "half, later", "idle", "newcomer", "slow head"} {
-		victim, _ := r.place(&guest{})
+		victim, _ := r.place(&clientConn{})
 		if victim == nil || victim != named[want] {
 			t.Fatalf("not %q but %+v goes next", want, victim)
 		}
-		delete(r.guests, victim)
+		delete(r.conns, victim)
 		r.most--
 	}
-	if victim, wait := r.place(&guest{}); victim != nil || wait == 0 {
+	if victim, wait := r.place(&clientConn{}); victim != nil || wait == 0 {
 		t.Errorf("%+v has to go", victim)
 	}
 }
@@ -49,7 +49,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	r := newRoom(l, 1)
+	r := newConnLimiter(l, 1)
 	for range 2 {
 		c, err := net.Dial("tcp", l.Addr().String())
 		if err != nil {
@@ -61,12 +61,12 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	first.(*guest).work()
+	first.(*clientConn).work()
 	came := make(chan error, 2)
 	go func() {
 		c, err := r.Accept()
 		if err == nil {
-			c.(*guest).work()
+			c.(*clientConn).work()
 		}
 		came <- err
 	}()
@@ -76,12 +76,12 @@
 	}
 	// Who had come before the end and waits for a place is let in; nobody comes after it.
 	go func() {
-		r.enter(&guest{since: time.Now(), busy: true})
+		r.enter(&clientConn{since: time.Now(), busy: true})
 		came <- nil
 	}()
 	r.Close()
-	if err := receive(t, "the end", came); err != nil || len(r.guests) != 2 {
-		t.Errorf("%d in the room after the end, %v", len(r.guests), err)
+	if err := receive(t, "the end", came); err != nil || len(r.conns) != 2 {
+		t.Errorf("%d in the room after the end, %v", len(r.conns), err)
 	}
 	if _, err := r.Accept(); err == nil {
 		t.Error("a connection was taken after the end")
@@ -94,9 +94,9 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	r := newRoom(l, 3)
+	r := newConnLimiter(l, 3)
 	t.Cleanup(func() { r.Close() })
-	pair := func() (net.Conn, *guest) {
+	pair := func() (net.Conn, *clientConn) {
 		c, err := net.Dial("tcp", l.Addr().String())
 		if err != nil {
 			t.Fatal(err)
@@ -108,8 +108,8 @@
 			t.Fatal(err)
 		}
 		g.SetDeadline(time.Now().Add(patience))
-		g.(*guest).rest()
-		return c, g.(*guest)
+		g.(*clientConn).rest()
+		return c, g.(*clientConn)
 	}
 	buf := make([]byte, 8)
 	idle, deafened := pair()
@@ -145,7 +145,7 @@
 	}
 	until(t, "those that do not go to be closed", func() bool {
 		r.closeIdle(time.Now())
-		return len(r.guests) == 1
+		return len(r.conns) == 1
 	})
 	if n := receive(t, "the end", read); n != 0 {
 		t.Errorf("%d bytes came after the end", n)
@@ -153,13 +153,13 @@
 }
 
 // isRead tells that whoever serves the connection has nothing of it left and waits for more.
-func (g *guest) isRead() bool {
+func (g *clientConn) isRead() bool {
 	g.taking.Lock()
 	defer g.taking.Unlock()
 	return !g.holding
 }
 
-func (r *room) bound() int {
+func (r *connLimiter) bound() int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.most
--- a/internal/sidecar/dial.go
+++ b/internal/sidecar/dial.go
@@ -18,12 +18,12 @@
 
 var errNoSocket = errors.New("no socket is free")
 
-// waiter is an attempt that waits for a new connection: its own, or one that was begun for another. One that has just
+// connWaiter is an attempt that waits for a new connection: its own, or one that was begun for another. One that has just
 // carried an answer it does not get: servers close some of those right then, and what is written to them is lost.
-type waiter struct{ done chan dialed }
+type connWaiter struct{ done chan dialResult }
 
-// dialed is what a waiter gets.
-type dialed struct {
+// dialResult is what a waiter gets.
+type dialResult struct {
 	conn *upConn
 	err  error
 }
@@ -33,7 +33,7 @@
 // it is for a probe.
 func (p *upstreams) get(ctx context.Context, up *upstream, cut time.Time, a *attempt) (*upConn, bool, error) {
 	if up.retired.Load() || !time.Now().Before(cut) {
-		return nil, false, errMoot
+		return nil, false, errNotNeeded
 	}
 	for connIdle := p.ages.within(p.connIdle); ; {
 		conn := p.takeIdle(up)
@@ -64,7 +64,7 @@
 // await begins a new connection, for which room is reserved, and takes the first that comes up. One that comes up too
 // late for this attempt serves a later one.
 func (p *upstreams) await(ctx context.Context, up *upstream, cut time.Time) (*upConn, error) {
-	w := &waiter{done: make(chan dialed, 1)}
+	w := &connWaiter{done: make(chan dialResult, 1)}
 	p.mu.Lock()
 	up.waiting = append(up.waiting, w)
 	up.dialing++
@@ -104,9 +104,9 @@
 		switch { // if nothing is on its way for one of them
 		case len(up.waiting) <= up.dialing:
 		case localErrnos.has(err):
-			up.newest() <- dialed{err: err}
+			up.newest() <- dialResult{err: err}
 		default:
-			up.next() <- dialed{err: err}
+			up.next() <- dialResult{err: err}
 		}
 		p.mu.Unlock()
 		return
@@ -116,18 +116,18 @@
 	conn := &upConn{Conn: c, in: bufio.NewReader(left), left: left, head: head, up: up, since: time.Now()}
 	wanted := len(up.waiting) > 0
 	if wanted {
-		up.next() <- dialed{conn: conn}
+		up.next() <- dialResult{conn: conn}
 	} else {
 		p.keep(conn)
 	}
 	p.mu.Unlock()
 	if !wanted { // not under the lock: the loop may be waiting for it
-		p.offer(reached{up})
+		p.offer(connectionReady{up})
 	}
 }
 
 // next takes the first waiter out of the line; the caller holds the lock.
-func (up *upstream) next() chan<- dialed {
+func (up *upstream) next() chan<- dialResult {
 	w := up.waiting[0]
 	up.waiting = slices.Delete(up.waiting, 0, 1)
 	return w.done
@@ -135,7 +135,7 @@
 
 // newest takes the last waiter out of the line, which has waited least and goes elsewhere soonest; the caller holds the
 // lock. What is on its way is left for those before it.
-func (up *upstream) newest() chan<- dialed {
+func (up *upstream) newest() chan<- dialResult {
 	last := len(up.waiting) - 1
 	w := up.waiting[last]
 	up.waiting = slices.Delete(up.waiting, last, last+1)
--- a/internal/sidecar/discovery.go
+++ b/internal/sidecar/discovery.go
@@ -2,12 +2,10 @@
 
 import (
 	"bufio"
-	"bytes"
 	"context"
 	"encoding/json"
 	"errors"
 	"fmt"
-	"hash/fnv"
 	"io"
 	"log/slog"
 	"math/rand/v2"
@@ -60,67 +58,6 @@
 	errMoved   = errors.New("discovery is at another address now")
 )
 
-// list is the form in which discovery tells of servers.
-type list struct {
-	Rev     int64    `json:"rev"`
-	All     bool     `json:"all"`
-	Targets []target `json:"targets"`
-}
-
-type target struct {
-	UID      string  `json:"uid"`
-	Endpoint string  `json:"endpoint"`
-	Zone     string  `json:"az"`
-	Model    string  `json:"model"`
-	PodGroup int     `json:"pod_group"`
-	State    string  `json:"state"`
-	Capacity float64 `json:"capacity_hint"`
-	BootMS   float64 `json:"boot_ms"` // on the scale of the sidecar's clock, which starts at Unix time
-}
-
-// entry is a target as the module knows it. A server's number follows from its uid alone, so that a
-// restarted sidecar ranks the servers as it did before.
-func (cfg *Config) entry(t *target) balance.Server {
-	s := balance.Server{
-		ID: idOf(t.UID), StartedAt: t.BootMS, Rating: t.Capacity, Cell: t.PodGroup,
-		Zone: indexOf(cfg.zones, t.Zone), Kind: indexOf(cfg.kinds, t.Model), Place: placeOf(t.Endpoint),
-	}
-	switch t.State {
-	case "Ready":
-		s.State = balance.Ready
-	case "Gone":
-		s.State = balance.Gone
-	default: // Terminating; of a state not known here only that it is not ready
-		s.State = balance.Draining
-	}
-	return s
-}
-
-func idOf(uid string) balance.ServerID {
-	h := fnv.New64a()
-	io.WriteString(h, uid)
-	return balance.ServerID(h.Sum64())
-}
-
-// placeOf tells one address from another.
-func placeOf(endpoint string) uint64 {
-	host, port, err := net.SplitHostPort(endpoint)
-	if n, bad := strconv.ParseUint(port, 10, 16); err != nil || bad != nil || n == 0 || host == "" {
-		return balance.Nowhere
-	}
-	h := fnv.New64a()
-	io.WriteString(h, endpoint)
-	return h.Sum64()
-}
-
-// indexOf gives -1 for a name that the settings lack.
-func indexOf(m map[string]int, name string) int {
-	if i, ok := m[name]; ok {
-		return i
-	}
-	return -1
-}
-
 // discovery carries out the module's calls for the server list. Each call or watch that fails or ends is
 // reported once; when to call again is the module's decision.
 type discovery struct {
@@ -186,7 +123,7 @@
 func (t *turnedAway) Error() string { return "discovery answers " + t.status }
 
 // failed is the news of a call that has failed. Who lets a call wait until it is given up is there and has no time.
-func failed(n news, err error) news {
+func failed(n listEvent, err error) listEvent {
 	n.kind = balance.ListFailed
 	var turned *turnedAway
 	if errors.As(err, &turned) {
@@ -213,7 +150,7 @@
 			}
 			slog.Warn("discovery: watch ended", "service", source, "error", err)
 			if !reported {
-				d.post(failed(news{source: source}, err))
+				d.post(failed(listEvent{source: source}, err))
 			}
 			select {
 			case <-ctx.Done():
@@ -245,10 +182,10 @@
 // fetch asks a list service for the whole list once.
 func (d *discovery) fetch(ctx context.Context, source int) {
 	d.start(func() {
-		err := d.read(ctx, "", news{source: source, check: true}, alone, d.callWait, d.callWait)
+		err := d.read(ctx, "", listEvent{source: source, check: true}, alone, d.callWait, d.callWait)
 		if err != io.EOF && ctx.Err() == nil {
 			slog.Warn("discovery: list call failed", "service", source, "error", err)
-			d.post(failed(news{source: source, check: true}, err))
+			d.post(failed(listEvent{source: source, check: true}, err))
 		}
 	})
 }
@@ -282,7 +219,7 @@
 	ended := make(chan error, 2)
 	call := func(number int32, wait time.Duration) error {
 		claim := func() bool { return leader.Load() == number || leader.CompareAndSwap(0, number) }
-		return d.read(ctx, d.changes(), news{}, claim, wait, d.silence)
+		return d.read(ctx, d.changes(), listEvent{}, claim, wait, d.silence)
 	}
 	const patient, eager = 1, 2
 	calls.Go(func() {
@@ -322,7 +259,7 @@
 		d.mu.Lock()
 		here := d.here
 		d.mu.Unlock()
-		err := d.read(ctx, d.changes(), news{source: source}, alone, d.callWait, d.silence)
+		err := d.read(ctx, d.changes(), listEvent{source: source}, alone, d.callWait, d.silence)
 		if err != errMoved || ctx.Err() != nil {
 			return here, err
 		}
@@ -331,7 +268,7 @@
 
 // read hands on each object of an answer until it ends, as news of the call's own form, once the claim is granted. Until
 // the first one is whole, the call ends when no byte comes for as long as first says, or after callWait.
-func (d *discovery) read(ctx context.Context, query string, form news, claim func() bool, first, next time.Duration) error {
+func (d *discovery) read(ctx context.Context, query string, form listEvent, claim func() bool, first, next time.Duration) error {
 	d.mu.Lock()
 	url, here := "http://"+d.addrs[min(form.source, len(d.addrs)-1)]+"/registry/instances"+query, d.here
 	d.mu.Unlock()
@@ -381,7 +318,7 @@
 			form.list = list{} // what was handed on is another's
 			heard = true
 		default:
-			d.post(news{kind: balance.ListAlive, source: form.source})
+			d.post(listEvent{kind: balance.ListAlive, source: form.source})
 		}
 		if err != nil {
 			cause := context.Cause(ctx)
@@ -399,115 +336,3 @@
 		silent.told(next)
 	}
 }
-
-// silenceGuard ends a call that falls silent. Any bytes, of the head too, are a sign of life until the first object is
-// whole, as an answer may come in small pieces; afterwards only whole objects and empty lines between them are.
-type silenceGuard struct {
-	mu    sync.Mutex
-	timer *time.Timer
-	quiet time.Duration // before the first object is whole
-	end   time.Time     // when it has to be whole
-	whole bool
-}
-
-func newSilenceGuard(quiet, most time.Duration, fire func()) *silenceGuard {
-	return &silenceGuard{timer: time.AfterFunc(quiet, fire), quiet: quiet, end: time.Now().Add(most)}
-}
-
-func (g *silenceGuard) received() {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	if !g.whole {
-		g.timer.Reset(min(g.quiet, time.Until(g.end)))
-	}
-}
-
-// told notes an object or an empty line; the next one has to come in time.
-func (g *silenceGuard) told(next time.Duration) {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	g.whole = true
-	g.timer.Reset(next)
-}
-
-func (g *silenceGuard) stop() { g.timer.Stop() }
-
-// receivedKey is the key of a request's context under which stands what to call when bytes come.
-type receivedKey struct{}
-
-// reportingConn reports that bytes have come.
-type reportingConn struct {
-	net.Conn
-	steady   *steadyReader
-	received func()
-}
-
-func (c reportingConn) Read(b []byte) (int, error) {
-	n, err := c.steady.read(c.Conn, b)
-	if n > 0 {
-		c.received()
-	}
-	return n, err
-}
-
-type dialFunc func(ctx context.Context, network, addr string) (net.Conn, error)
-
-// dialReporting makes connections tell the request that they are made for of each read. Without kept connections one
-// connection serves one request.
-func dialReporting(dial dialFunc) dialFunc {
-	return func(ctx context.Context, network, addr string) (net.Conn, error) {
-		conn, err := dial(ctx, network, addr)
-		if err != nil {
-			return nil, err
-		}
-		if received, ok := ctx.Value(receivedKey{}).(func()); ok {
-			return reportingConn{conn, new(steadyReader), received}, nil
-		}
-		return conn, nil
-	}
-}
-
-// readObject gives the next object, which may be spread over lines, or nothing for an empty line before it. At the end
-// of the answer it gives what is left and io.EOF.
-func (d *discovery) readObject(in *bufio.Reader) ([]byte, error) {
-	var text []byte
-	var open nesting
-	for {
-		part, err := in.ReadSlice('\n')
-		text = append(text, part...)
-		open.add(part)
-		switch {
-		case len(text) > d.most:
-			return nil, errLineBig
-		case err == bufio.ErrBufferFull:
-		case err == io.EOF && open.depth > 0:
-			return nil, io.ErrUnexpectedEOF
-		case err != nil || open.depth <= 0:
-			return bytes.TrimSpace(text), err
-		}
-	}
-}
-
-// nesting follows how deep in objects and arrays a JSON text is.
-type nesting struct {
-	depth           int
-	quoted, escaped bool
-}
-
-func (n *nesting) add(text []byte) {
-	for _, c := range text {
-		switch {
-		case n.escaped:
-			n.escaped = false
-		case n.quoted && c == '\\':
-			n.escaped = true
-		case c == '"':
-			n.quoted = !n.quoted
-		case n.quoted:
-		case c == '{' || c == '[':
-			n.depth++
-		case c == '}' || c == ']':
-			n.depth--
-		}
-	}
-}
--- a/internal/sidecar/discovery_test.go
+++ b/internal/sidecar/discovery_test.go
@@ -15,10 +15,10 @@
 )
 
 // hearing is a discovery whose reports the test takes in place of the loop.
-func hearing(t *testing.T, addr string) (*discovery, chan news) {
-	heard := make(chan news, 16)
+func hearing(t *testing.T, addr string) (*discovery, chan listEvent) {
+	heard := make(chan listEvent, 16)
 	var work sync.WaitGroup
-	d := newDiscovery([]string{addr}, 0, func(ev any) { heard <- ev.(news) }, func(f func()) { work.Go(f) })
+	d := newDiscovery([]string{addr}, 0, func(ev any) { heard <- ev.(listEvent) }, func(f func()) { work.Go(f) })
 	t.Cleanup(func() {
 		d.stop()
 		work.Wait()
--- a/internal/sidecar/errno_random_test.go
+++ b/internal/sidecar/errno_random_test.go
@@ -187,7 +187,7 @@
 	c["management"] = loopback // so that the figures of servers are made
 	faults := &schedule{rnd: rand.New(rand.NewPCG(seed, 0))}
 	s := start(t, c, func(s *Sidecar) {
-		faults.disturb(s.loop.ups)
+		faults.disturb(s.loop.pool)
 		s.loop.disc.callWait, s.loop.disc.silence = time.Hour, time.Hour // the test says nothing for a while
 	})
 	watch := receive(t, "the call to discovery", discovery.calls)
@@ -213,7 +213,7 @@
 	if 2*served < all {
 		t.Errorf("served %d of %d beside a server that drains, want most of them", served, all)
 	}
-	until(t, "connections to be idle or closed", func() bool { return s.loop.ups.allIdle() })
+	until(t, "connections to be idle or closed", func() bool { return s.loop.pool.allIdle() })
 }
 
 // allIdle reports whether each connection that is counted is idle.
@@ -241,7 +241,7 @@
 		return true
 	})
 	s := start(t, newConf(newRegistry(t).addr(), b.target), func(s *Sidecar) {
-		s.loop.ups.dialing(succeed, faultyConn{byteAtATime: true})
+		s.loop.pool.dialing(succeed, faultyConn{byteAtATime: true})
 	})
 	client, err := net.Dial("tcp", s.Addr())
 	if err != nil {
--- a/internal/sidecar/errno_test.go
+++ b/internal/sidecar/errno_test.go
@@ -244,7 +244,7 @@
 		}
 		t.Run(test.call+" "+test.errno.Error(), func(t *testing.T) {
 			b := newBackend(t, "a", ok)
-			s := start(t, newConf(newRegistry(t).addr(), b.target), func(s *Sidecar) { test.failing(s.loop.ups, 1) })
+			s := start(t, newConf(newRegistry(t).addr(), b.target), func(s *Sidecar) { test.failing(s.loop.pool, 1) })
 			if got := s.do(s.request("charge", wait)); got.status != test.status {
 				t.Errorf("%+v, want %d", got, test.status)
 			}
@@ -264,7 +264,7 @@
 	const failures = 9 // the settings allow 6 attempts
 	b := newBackend(t, "a", ok)
 	fail := errnoCase{call: "socket", errno: syscall.EMFILE}
-	s := start(t, newConf(newRegistry(t).addr(), b.target), func(s *Sidecar) { fail.failing(s.loop.ups, failures) })
+	s := start(t, newConf(newRegistry(t).addr(), b.target), func(s *Sidecar) { fail.failing(s.loop.pool, failures) })
 	if got := s.do(s.request("lookup", time.Second)); got.status != 200 {
 		t.Errorf("%+v, want it served", got)
 	}
@@ -277,7 +277,7 @@
 func TestLocalFailuresEndInARefusal(t *testing.T) {
 	b := newBackend(t, "a", ok)
 	fail := errnoCase{call: "connect", errno: syscall.EADDRNOTAVAIL}
-	s := start(t, newConf(newRegistry(t).addr(), b.target), func(s *Sidecar) { fail.failing(s.loop.ups, always) })
+	s := start(t, newConf(newRegistry(t).addr(), b.target), func(s *Sidecar) { fail.failing(s.loop.pool, always) })
 	got := s.do(s.request("charge", 300*time.Millisecond))
 	if got.status != statusRefused || got.took < 250*time.Millisecond {
 		t.Errorf("%+v after %v, want a refusal when its time is up", got, got.took)
@@ -472,7 +472,7 @@
 					fail := failNth(int32(n+1), opError("read", errno))
 					return &faultyConn{TCPConn: c.(*net.TCPConn), byteAtATime: true, failRead: fail}, nil
 				})
-				err := d.read(t.Context(), "", news{}, alone, patience, patience)
+				err := d.read(t.Context(), "", listEvent{}, alone, patience, patience)
 				if got := len(heard) == 1 && (<-heard).list.Rev == 7 && errors.Is(err, io.EOF); got != whole {
 					t.Errorf("at byte %d: the list was told: %v, %v", n, got, err)
 				}
--- a/internal/sidecar/exchange_test.go
+++ b/internal/sidecar/exchange_test.go
@@ -296,7 +296,7 @@
 			p, a, conn, req := exchanging(t, b)
 			change(p, a)
 			all, err := (&sender{conn: conn}).write(a.cut, req, a)
-			if all || err != errMoot || unsent(a.ctx, a.cut, err) != balance.Moot {
+			if all || err != errNotNeeded || unsent(a.ctx, a.cut, err) != balance.Moot {
 				t.Errorf("written %v, error %v", all, err)
 			}
 			conn.Close()
@@ -341,7 +341,7 @@
 		{op("connect", syscall.EADDRINUSE), balance.LocalFailure},
 		{op("write", syscall.ENOBUFS), balance.LocalFailure},
 		{op("connect", syscall.EHOSTUNREACH), balance.Unreachable},
-		{errMoot, balance.Moot},
+		{errNotNeeded, balance.Moot},
 		{errNoSocket, balance.Moot},
 	} {
 		if got := unsent(t.Context(), time.Now().Add(time.Hour), test.err); got != test.want || !got.NeverRan() {
--- a/internal/sidecar/framing.go
+++ b/internal/sidecar/framing.go
@@ -23,9 +23,9 @@
 		return nil, err
 	}
 	conn := &headConn{Conn: c, since: time.Now(), ahead: make(chan struct{}, 1)}
-	if g, ok := c.(*guest); ok {
+	if g, ok := c.(*clientConn); ok {
 		systemStates.learn(g.Conn)
-		conn.acceptedLate = g.room.acceptsFailed() && sinceLastData(g.Conn) >= lateAccept
+		conn.acceptedLate = g.limiter.acceptsFailed() && sinceLastData(g.Conn) >= lateAccept
 	}
 	return conn, nil
 }
@@ -83,7 +83,7 @@
 
 // next drops the head: its request has been answered.
 func (c *headConn) next() {
-	if g, ok := c.Conn.(*guest); ok {
+	if g, ok := c.Conn.(*clientConn); ok {
 		g.rest()
 	}
 	c.mu.Lock()
@@ -94,21 +94,21 @@
 
 // work tells that the head is whole and its request at work.
 func (c *headConn) work() {
-	if g, ok := c.Conn.(*guest); ok {
+	if g, ok := c.Conn.(*clientConn); ok {
 		g.work()
 	}
 }
 
 // limitBuffer keeps the system from taking megabytes of an answer for a slow client.
 func (c *headConn) limitBuffer() {
-	if g, ok := c.Conn.(*guest); ok {
+	if g, ok := c.Conn.(*clientConn); ok {
 		limitBuffer(g.Conn)
 	}
 }
 
 // reset makes the connection end with an error.
 func (c *headConn) reset() {
-	if g, ok := c.Conn.(*guest); ok {
+	if g, ok := c.Conn.(*clientConn); ok {
 		if tcp, ok := g.Conn.(interface{ SetLinger(seconds int) error }); ok {
 			_ = repeatQuery(func() error { return tcp.SetLinger(0) }) // at worst the end is an orderly one
 		}
@@ -128,7 +128,7 @@
 	if extra != length {
 		return length >= 0 && extra > length
 	}
-	g, ok := c.Conn.(*guest)
+	g, ok := c.Conn.(*clientConn)
 	if !ok {
 		return false
 	}
@@ -163,7 +163,7 @@
 	c.mu.Lock()
 	late := c.acceptedLate
 	c.mu.Unlock()
-	g, ok := c.Conn.(*guest)
+	g, ok := c.Conn.(*clientConn)
 	if !late || !ok {
 		return now
 	}
--- a/internal/sidecar/frontend_test.go
+++ b/internal/sidecar/frontend_test.go
@@ -204,7 +204,7 @@
 		t.Errorf("%s", resp.Status)
 	}
 	c := (<-posted).(arrival).call
-	if gone, is := (<-posted).(hangUp); !is || gone.call != c || c.finish() {
+	if gone, is := (<-posted).(clientGoneEvent); !is || gone.call != c || c.finish() {
 		t.Error("the loop is not told that the request is over")
 	}
 	http.DefaultClient.CloseIdleConnections()
@@ -361,8 +361,8 @@
 	if n := len(s.loop.calls); n != 0 {
 		t.Errorf("%d requests are still in the table", n)
 	}
-	if s.loop.ups.open != 0 {
-		t.Errorf("%d connections are counted as open", s.loop.ups.open)
+	if s.loop.pool.open != 0 {
+		t.Errorf("%d connections are counted as open", s.loop.pool.open)
 	}
 }
 
--- a/internal/sidecar/handover.go
+++ b/internal/sidecar/handover.go
@@ -65,9 +65,9 @@
 // predecessor is the process that served before this one, as long as it lives; nil: there is none.
 type predecessor struct{ conn *net.UnixConn }
 
-// meet asks the process that serves the address, if any, for its listening socket. What is left of one that is
+// findPredecessor asks the process that serves the address, if any, for its listening socket. What is left of one that is
 // gone, or is no socket at all, is nobody.
-func meet(cfg *Config) (*predecessor, net.Listener, error) {
+func findPredecessor(cfg *Config) (*predecessor, net.Listener, error) {
 	place := cfg.meetingPlace()
 	if place == "" {
 		return nil, nil, nil
--- a/internal/sidecar/handover_test.go
+++ b/internal/sidecar/handover_test.go
@@ -177,7 +177,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	p, l, err := meet(cfg)
+	p, l, err := findPredecessor(cfg)
 	if err != nil || p == nil {
 		t.Fatal(p, err)
 	}
--- a/internal/sidecar/held_up_test.go
+++ b/internal/sidecar/held_up_test.go
@@ -27,7 +27,7 @@
 				b, held := newBackend(t, "a", ok), newBarrier()
 				s := start(t, newConf(newRegistry(t).addr(), b.target), func(s *Sidecar) {
 					s.frontend.clientPoll = never
-					s.loop.ups.hook = holdAt(at, held)
+					s.loop.pool.hook = holdAt(at, held)
 				})
 				t.Cleanup(held.release)
 				if body != "" {
@@ -48,7 +48,7 @@
 	a, b, held := newBackend(t, "a", ok), newBackend(t, "b", ok), newBarrier()
 	registry := newRegistry(t)
 	s := start(t, newConf(registry.addr(), a.target), func(s *Sidecar) {
-		s.loop.ups.hook = holdAt(attemptDecided, held)
+		s.loop.pool.hook = holdAt(attemptDecided, held)
 	})
 	t.Cleanup(held.release)
 	watch := receive(t, "the watch", registry.calls)
--- a/internal/sidecar/kill_time_test.go
+++ b/internal/sidecar/kill_time_test.go
@@ -86,7 +86,7 @@
 			time.Sleep(hold)
 		}
 	}
-	d.s.hook, d.s.frontend.hook, d.s.loop.ups.hook = hook, hook, hook
+	d.s.hook, d.s.frontend.hook, d.s.loop.pool.hook = hook, hook, hook
 	ctx, cancel := context.WithCancel(context.Background())
 	d.stop = cancel
 	go func() { d.ended <- d.s.Run(ctx) }()
--- a/internal/sidecar/lists_test.go
+++ b/internal/sidecar/lists_test.go
@@ -239,7 +239,7 @@
 }
 
 // serving is a discovery that answers each call with a text.
-func serving(t *testing.T, text string) (*discovery, chan news) {
+func serving(t *testing.T, text string) (*discovery, chan listEvent) {
 	srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { io.WriteString(w, text) }))
 	t.Cleanup(srv.Close)
 	return hearing(t, srv.Listener.Addr().String())
@@ -347,7 +347,7 @@
 func TestBeatenCallIsNotHeard(t *testing.T) {
 	d, heard := serving(t, `{"rev":7}`)
 	never := func() bool { return false }
-	if err := d.read(t.Context(), d.changes(), news{}, never, time.Hour, time.Hour); err != errBeaten || len(heard) > 0 {
+	if err := d.read(t.Context(), d.changes(), listEvent{}, never, time.Hour, time.Hour); err != errBeaten || len(heard) > 0 {
 		t.Errorf("%v, %d heard", err, len(heard))
 	}
 }
--- a/internal/sidecar/loop.go
+++ b/internal/sidecar/loop.go
@@ -4,13 +4,10 @@
 	"container/heap"
 	"context"
 	"log/slog"
-	"math"
 	"sync"
-	"sync/atomic"
 	"time"
 
 	"marblelane/balance"
-	"marblelane/internal/fault"
 )
 
 // publishEvery is how far the figures of servers may lag: 0.5 s is allowed.
@@ -19,83 +16,12 @@
 // inboxSize lets socket goroutines hand over what they have while the loop is at work.
 const inboxSize = 1024
 
-// clock is the one clock of a sidecar: Unix milliseconds at its start, monotonic from there on. Servers' boot_ms are of
-// the wall clock; what a step of it makes of them the module decides (see stepWatch).
-type clock struct {
-	start time.Time
-	base  float64
-}
-
-// newClock begins with the wall clock, in which faults may have planted a step.
-func newClock(faults *fault.Plan) clock {
-	wall, start, _ := wallReader(faults)()
-	return clock{start: start, base: unixMillis(wall)}
-}
-
-func (c clock) ms(t time.Time) float64 { return c.base + float64(t.Sub(c.start))/1e6 }
-
-func (c clock) time(ms float64) time.Time { return c.start.Add(millis(ms - c.base)) }
-
-// call is a client's request. Who sets final owes the client the one answer.
-type call struct {
-	ev       balance.Request
-	out      *outbound
-	held     int           // of the memory for bodies
-	wait     time.Duration // the client's, from its last byte
-	deadline time.Time     // zero while its body is still coming
-	answers  chan answer   // takes the loop's answer without blocking
-
-	clientGone func() bool // reports without waiting whether the client is known to have gone; nil: unknown
-	left       atomic.Bool // it has
-
-	final   atomic.Bool
-	writing sync.Mutex // held from the last check before an attempt's first byte to its last byte
-
-	attempts []*attempt // the loop's alone, as is live
-	live     int
-}
-
-// finish reports whether the caller is the one to answer.
-func (c *call) finish() bool { return c.final.CompareAndSwap(false, true) }
-
-// gone reports whether the client is known to have gone. One that has does not come back.
-func (c *call) gone() bool {
-	if c.clientGone != nil && !c.left.Load() && c.clientGone() {
-		c.left.Store(true)
-	}
-	return c.left.Load()
-}
-
-// answer is what the client gets.
-type answer struct {
-	status      int
-	retryAfter  float64 // ms; 0: none
-	contentType string
-	body        []byte
-	stream      *stream // in place of body: it is passed on as it comes
-	unheard     bool    // in place of all else: the client has gone
-}
-
-// attempt is one send of a call to a server.
-type attempt struct {
-	call   *call
-	number int
-	up     *upstream
-	look   *look       // nil: no route has a say
-	from   float64     // when the module decided, or the body was whole
-	took   float64     // until a streamed answer began; 0: none did
-	cut    time.Time   // zero: by the time when the body is whole
-	sent   atomic.Bool // its last byte is written
-	ctx    context.Context
-	cancel context.CancelFunc
-}
-
 // What the loop is handed.
 type (
-	arrival struct{ call *call }
-	hangUp  struct{ call *call } // the client is gone, or its answer was overdue
-	whole   struct{ call *call } // its body has come to its end
-	began   struct {             // an answer that is passed on as it comes
+	arrival         struct{ call *call }
+	clientGoneEvent struct{ call *call } // the client is gone, or its answer was overdue
+	bodyComplete    struct{ call *call } // its body has come to its end
+	answerStarted   struct {             // an answer that is passed on as it comes
 		attempt *attempt
 		answer  answer
 	}
@@ -103,8 +29,8 @@
 		attempt *attempt
 		up      bool
 	}
-	reached struct{ up *upstream } // by a connection that nobody waits for any more
-	outcome struct {
+	connectionReady struct{ up *upstream } // by a connection that nobody waits for any more
+	outcome         struct {
 		attempt *attempt
 		reply   reply
 	}
@@ -113,7 +39,7 @@
 		from  float64
 		reply reply
 	}
-	news struct { // from discovery
+	listEvent struct { // from discovery
 		kind   balance.ListKind
 		list   list
 		source int  // which list service, by preference
@@ -123,31 +49,13 @@
 	}
 )
 
-// timer is a SetTimer of the module.
-type timer struct {
-	due   float64
-	token uint64
-}
-
-type timers []timer
-
-func (t timers) Len() int           { return len(t) }
-func (t timers) Less(i, j int) bool { return t[i].due < t[j].due }
-func (t timers) Swap(i, j int)      { t[i], t[j] = t[j], t[i] }
-func (t *timers) Push(v any)        { *t = append(*t, v.(timer)) }
-func (t *timers) Pop() any {
-	last := (*t)[len(*t)-1]
-	*t = (*t)[:len(*t)-1]
-	return last
-}
-
 // loop is the one owner of the module, its timers and the table of requests. Nothing in it blocks on I/O.
 type loop struct {
 	cfg     *Config
 	clock   clock
 	steps   *stepWatch
 	bal     *balance.Balancer
-	ups     *upstreams
+	pool    *upstreams
 	disc    *discovery
 	figures *figures
 	inbox   chan any
@@ -170,7 +78,7 @@
 func newLoop(cfg *Config, bal *balance.Balancer, ups *upstreams) *loop {
 	c := newClock(cfg.faults)
 	l := &loop{
-		cfg: cfg, clock: c, steps: newStepWatch(c, cfg.faults), bal: bal, ups: ups, figures: ups.figures,
+		cfg: cfg, clock: c, steps: newStepWatch(c, cfg.faults), bal: bal, pool: ups, figures: ups.figures,
 		inbox: make(chan any, inboxSize), stopped: make(chan struct{}),
 		calls: map[balance.RequestID]*call{}, servers: map[balance.ServerID]*upstream{},
 	}
@@ -194,7 +102,7 @@
 	l.ctx = ctx
 	now := l.clock.ms(time.Now())
 	l.act(now, l.bal.Start(now))
-	l.takeNews(now, news{kind: balance.ListCached, list: l.cfg.known})
+	l.takeListEvent(now, listEvent{kind: balance.ListCached, list: l.cfg.known})
 	l.publish(now)
 	defer l.startRoutes()()
 	var steered <-chan struct{}
@@ -274,31 +182,31 @@
 			request.Remaining = l.clock.ms(ev.call.deadline) - now
 		}
 		l.tell(now, request)
-	case whole:
+	case bodyComplete:
 		c := ev.call
 		c.deadline = c.out.upload.whole().Add(c.wait)
 		for _, a := range c.attempts {
 			a.from = now
 		}
 		l.tell(now, balance.Complete{Request: c.ev.ID, Remaining: l.clock.ms(c.deadline) - now})
-	case began:
-		l.takeBegan(now, ev.attempt, ev.answer)
+	case answerStarted:
+		l.takeAnswerStarted(now, ev.attempt, ev.answer)
 	case connecting:
 		l.tell(now, balance.Connecting{Request: ev.attempt.call.ev.ID, Attempt: ev.attempt.number, Up: ev.up})
-	case reached:
+	case connectionReady:
 		if l.servers[ev.up.id] == ev.up {
-			l.tell(now, balance.Reached{Server: ev.up.id})
+			l.tell(now, balance.ConnectionReady{Server: ev.up.id})
 		}
-	case hangUp:
-		l.takeHangUp(now, ev.call)
+	case clientGoneEvent:
+		l.takeClientGone(now, ev.call)
 	case outcome:
 		l.takeOutcome(now, ev.attempt, ev.reply)
 	case probed:
 		l.tell(now, balance.ProbeResult{
 			Server: ev.up.id, Result: ev.reply.result, Took: now - ev.from, Report: ev.reply.report,
 		})
-	case news:
-		l.takeNews(now, ev)
+	case listEvent:
+		l.takeListEvent(now, ev)
 	case balance.Sharing:
 		l.tell(now, ev)
 	case balance.Sources:
@@ -308,15 +216,15 @@
 	}
 }
 
-// takeHangUp ends a call to which nobody listens any more.
-func (l *loop) takeHangUp(now float64, c *call) {
+// takeClientGone ends a call to which nobody listens any more.
+func (l *loop) takeClientGone(now float64, c *call) {
 	l.concluded(c)
-	l.tell(now, balance.HangUp{Request: c.ev.ID})
+	l.tell(now, balance.ClientGone{Request: c.ev.ID})
 	l.forget(c)
 }
 
-// takeBegan makes an answer that has begun the client's.
-func (l *loop) takeBegan(now float64, a *attempt, with answer) {
+// takeAnswerStarted makes an answer that has begun the client's.
+func (l *loop) takeAnswerStarted(now float64, a *attempt, with answer) {
 	c := a.call
 	if !c.finish() {
 		with.stream.ended <- errUnwanted
@@ -338,8 +246,8 @@
 		l.concluded(c)
 	}
 	if c.left.Load() && c.finish() { // the attempt saw it: no other is made
-		c.answers <- answer{unheard: true}
-		l.takeHangUp(now, c)
+		c.answers <- answer{clientLeft: true}
+		l.takeClientGone(now, c)
 	}
 	took := now - a.from
 	if a.took > 0 {
@@ -371,59 +279,6 @@
 	}
 }
 
-// takeNews lets the module decide what is believed, and brings the table of servers in line before anything else is
-// done, so that attempts on their way see at their first byte what the module sees.
-func (l *loop) takeNews(now float64, n news) {
-	l.lookAtClock(now)
-	l.told = l.told || n.kind == balance.ListFull || n.kind == balance.ListDelta
-	ev := balance.ServerList{Kind: n.kind, Rev: n.list.Rev, Source: n.source, Check: n.check, Busy: n.busy, Wait: n.wait,
-		Servers: make([]balance.Server, 0, len(n.list.Targets))}
-	for i := range n.list.Targets {
-		if n.list.Targets[i].UID != "" { // nobody
-			ev.Servers = append(ev.Servers, l.cfg.entry(&n.list.Targets[i]))
-		}
-	}
-	actions, err := l.bal.Handle(now, ev)
-	if err != nil {
-		slog.Error("the module refuses a list", "error", err)
-		return
-	}
-	l.disc.rev.Store(l.bal.ListRev())
-	for i := range n.list.Targets {
-		l.align(&n.list.Targets[i])
-	}
-	if n.kind != balance.ListDelta {
-		for id, up := range l.servers {
-			if _, used := l.bal.Used(id); !used {
-				l.retire(up)
-			}
-		}
-	}
-	l.act(now, actions)
-}
-
-// align brings one server of the table in line with what the module makes of its entry.
-func (l *loop) align(t *target) {
-	s, used := l.bal.Used(idOf(t.UID))
-	old := l.servers[s.ID]
-	switch {
-	case !used:
-		l.retire(l.servers[idOf(t.UID)])
-	case s.Place != placeOf(t.Endpoint) || s.StartedAt != t.BootMS: // another entry of this name counts, or an older list
-	case old == nil || old.endpoint != t.Endpoint || old.bootMS != t.BootMS:
-		l.retire(old)
-		l.servers[s.ID] = &upstream{id: s.ID, endpoint: t.Endpoint, bootMS: t.BootMS}
-	}
-}
-
-// retire ends a server's process as this sidecar knew it: nothing new goes to it, its connections go.
-func (l *loop) retire(up *upstream) {
-	if up != nil {
-		delete(l.servers, up.id)
-		l.ups.retire(up)
-	}
-}
-
 func (l *loop) tell(now float64, ev balance.Event) {
 	actions, err := l.bal.Handle(now, ev)
 	if err != nil {
@@ -432,88 +287,3 @@
 	}
 	l.act(now, actions)
 }
-
-func (l *loop) act(now float64, actions []balance.Action) {
-	for i := range actions {
-		act := &actions[i]
-		switch act.Kind {
-		case balance.Send:
-			l.send(now, act)
-		case balance.Refuse, balance.Fail:
-			l.answer(now, act)
-		case balance.Cancel:
-			if c := l.calls[act.Request]; c != nil && act.Attempt < len(c.attempts) {
-				c.attempts[act.Attempt].cancel()
-			}
-		case balance.SetTimer:
-			heap.Push(&l.timers, timer{due: now + math.Max(act.At, 0), token: act.Token})
-		case balance.Probe:
-			l.probe(now, act.Server)
-		case balance.CloseIdle:
-			if up := l.servers[act.Server]; up != nil {
-				l.ups.closeIdle(up)
-			}
-		case balance.Log:
-			slog.Info("module", "text", act.Text)
-		case balance.Watch:
-			l.disc.rev.Store(act.After)
-			l.disc.watch(l.ctx, act.Source)
-		case balance.Fetch:
-			l.disc.fetch(l.ctx, act.Source)
-		case balance.Forget:
-			l.retire(l.servers[act.Server])
-		default:
-			slog.Error("the module asks for what this sidecar cannot do", "action", act.Kind)
-		}
-	}
-}
-
-func (l *loop) send(now float64, act *balance.Action) {
-	c := l.calls[act.Request]
-	if c == nil {
-		return
-	}
-	cut := c.deadline
-	if act.At > 0 {
-		if at := l.clock.time(act.At); at.Before(cut) {
-			cut = at
-		}
-	}
-	up := l.servers[act.Server]
-	if up == nil { // hardly: the module sends to ready servers of the same list
-		up = &upstream{id: act.Server}
-		up.retired.Store(true)
-	}
-	a := &attempt{call: c, number: len(c.attempts), up: up, look: l.look(now, c, act), from: now, cut: cut}
-	a.ctx, a.cancel = context.WithCancel(l.ctx)
-	c.attempts = append(c.attempts, a)
-	c.live++
-	l.workers.Go(func() { l.post(outcome{a, l.ups.send(a)}) })
-}
-
-func (l *loop) probe(now float64, id balance.ServerID) {
-	up := l.servers[id]
-	if up == nil {
-		up = &upstream{id: id}
-		up.retired.Store(true)
-	}
-	l.workers.Go(func() { l.post(probed{up, now, l.ups.probe(l.ctx, up)}) })
-}
-
-// answer gives a call up: refused, where a later try does no harm, or failed.
-func (l *loop) answer(now float64, act *balance.Action) {
-	c := l.calls[act.Request]
-	if c == nil || !c.finish() {
-		return
-	}
-	l.concluded(c)
-	switch {
-	case act.Kind == balance.Refuse:
-		c.answers <- answer{status: statusRefused, retryAfter: act.At}
-	case !c.deadline.IsZero() && now >= l.clock.ms(c.deadline):
-		c.answers <- answer{status: statusTimedOut}
-	default:
-		c.answers <- answer{status: statusFailed}
-	}
-	l.forget(c)
-}
--- a/internal/sidecar/management.go
+++ b/internal/sidecar/management.go
@@ -24,7 +24,7 @@
 		Handler: http.HandlerFunc(s.manage), ReadTimeout: manageWait, WriteTimeout: manageWait,
 		MaxHeaderBytes: maxManageHead,
 		ConnState: func(c net.Conn, state http.ConnState) {
-			if g, ok := c.(*guest); ok && state == http.StateActive {
+			if g, ok := c.(*clientConn); ok && state == http.StateActive {
 				g.work() // its time is short in any case
 			}
 		},
--- a/internal/sidecar/members.go
+++ b/internal/sidecar/members.go
@@ -1,5 +1,8 @@
 package sidecar
 
+// This file is a sidecar's side of membership, see docs/membership.md. Without the section of the configuration nothing
+// of it runs.
+
 import (
 	"bytes"
 	"context"
@@ -17,14 +20,11 @@
 
 	"marblelane/balance"
 	"marblelane/internal/membership"
-	"marblelane/internal/membership/reach"
+	"marblelane/internal/membership/addrcheck"
 	"marblelane/internal/membership/roster"
 	"marblelane/internal/streamlimit"
 )
 
-// This file is a sidecar's side of membership, see docs/membership.md. Without the section of the configuration nothing
-// of it runs.
-
 const (
 	membersPath = "/members"
 	leavePath   = membersPath + "/leave"
@@ -73,7 +73,7 @@
 	}
 	group.Name, group.Zone, group.Role, group.Peers = f.Name, zone, roleSidecar, peers
 	group.Version = fmt.Sprintf("%.*s", longestVersion, version())
-	if err := reach.Check(group); err != nil {
+	if err := addrcheck.Check(group); err != nil {
 		return nil, fmt.Errorf("this sidecar as a member: %w", err)
 	}
 	return &membersConfig{group, text.String()}, nil
@@ -139,12 +139,12 @@
 }
 
 // told is what the module is to go by; false: nothing yet, it goes by the settings.
-func (m *members) told() (balance.Sharers, bool) {
+func (m *members) told() (balance.FleetSize, bool) {
 	v := m.latest.Load()
 	if v == nil {
-		return balance.Sharers{Known: max(m.cfg.Peers, 1), Heard: 1, Admitted: true}, false
+		return balance.FleetSize{Known: max(m.cfg.Peers, 1), Heard: 1, Admitted: true}, false
 	}
-	return balance.Sharers{Known: v.Known, Heard: v.Heard, Admitted: v.Admitted && !m.left.Load()}, true
+	return balance.FleetSize{Known: v.Known, Heard: v.Heard, Admitted: v.Admitted && !m.left.Load()}, true
 }
 
 // takeMembers brings what is known of the fleet to the module.
@@ -155,7 +155,7 @@
 		return
 	}
 	l.tell(now, s)
-	m.believed.Store(math.Float64bits(l.bal.Sharers()))
+	m.believed.Store(math.Float64bits(l.bal.FleetSize()))
 }
 
 // run is the duty: it joins, says in the log whether this process takes its part, and leaves.
@@ -310,8 +310,8 @@
 	if g := m.group.Load(); g != nil {
 		r = g.Report()
 	}
-	states := []membership.Standing{membership.Alive, membership.Suspected, membership.Silent, membership.Gone}
-	count, oldest := map[membership.Standing]int{}, int64(0)
+	states := []membership.MemberState{membership.Alive, membership.Suspected, membership.Silent, membership.Gone}
+	count, oldest := map[membership.MemberState]int{}, int64(0)
 	for _, one := range r.Members {
 		count[one.State]++
 		if one.State == membership.Silent {
--- a/internal/sidecar/members_test.go
+++ b/internal/sidecar/members_test.go
@@ -110,7 +110,7 @@
 	_, figures := s.manage(t, "GET", statsPath)
 	require.NotContains(t, figures, "svc_members")
 	s.end(t)
-	require.Zero(t, s.loop.bal.Sharers())
+	require.Zero(t, s.loop.bal.FleetSize())
 }
 
 func TestMembersTakePartUntilTheyLeave(t *testing.T) {
--- a/internal/sidecar/pipeline_test.go
+++ b/internal/sidecar/pipeline_test.go
@@ -18,7 +18,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	guests := newRoom(l, 3)
+	guests := newConnLimiter(l, 3)
 	served := 0
 	f := &frontend{peerWait: patience, writeWait: patience}
 	srv := f.server()
@@ -60,7 +60,7 @@
 		guests.closeIdle(time.Now())
 		guests.mu.Lock()
 		defer guests.mu.Unlock()
-		for g := range guests.guests {
+		for g := range guests.conns {
 			return !g.told.IsZero()
 		}
 		return true
--- a/internal/sidecar/planted_test.go
+++ b/internal/sidecar/planted_test.go
@@ -30,7 +30,7 @@
 }
 
 // countFailures counts below the listener that goes on after them.
-func countFailures(t *testing.T, l *room, failures *atomic.Int64) {
+func countFailures(t *testing.T, l *connLimiter, failures *atomic.Int64) {
 	t.Helper()
 	wrapped, ok := l.Listener.(*listener.Listener)
 	if !ok {
@@ -91,7 +91,7 @@
 		return err == nil
 	})
 	met.Go(func() {
-		p, l, err := meet(cfg)
+		p, l, err := findPredecessor(cfg)
 		if err != nil || p == nil {
 			t.Errorf("a newer process meets %v: %v", p, err)
 			return
--- a/internal/sidecar/pool.go
+++ b/internal/sidecar/pool.go
@@ -32,10 +32,10 @@
 	id       balance.ServerID
 	endpoint string
 	bootMS   float64
-	retired  atomic.Bool // draining, gone or restarted: nothing new goes there
-	idle     []*upConn   // oldest first; under the lock of upstreams, as are these:
-	waiting  []*waiter   // attempts that wait for a connection, in turn
-	dialing  int         // connections on their way
+	retired  atomic.Bool   // draining, gone or restarted: nothing new goes there
+	idle     []*upConn     // oldest first; under the lock of upstreams, as are these:
+	waiting  []*connWaiter // attempts that wait for a connection, in turn
+	dialing  int           // connections on their way
 }
 
 // upConn is a kept connection; it carries one request at a time.
--- a/internal/sidecar/reload.go
+++ b/internal/sidecar/reload.go
@@ -31,7 +31,7 @@
 	}
 	s.loop.disc.move(cfg.lists())
 	if s.loop.routing != nil && cfg.routes != nil { // the section itself comes and goes with a process
-		s.loop.routing.steer.Move(cfg.routes.addrs)
+		s.loop.routing.client.Move(cfg.routes.addrs)
 	}
 	if !sameMembers(s.cfg.members, cfg.members) {
 		slog.Warn("reload: the section members has changed; that holds from the next start")
--- a/internal/sidecar/routes.go
+++ b/internal/sidecar/routes.go
@@ -1,5 +1,8 @@
 package sidecar
 
+// This file is a sidecar's side of routes, see docs/routes.md. Without the section of the configuration nothing of it
+// runs.
+
 import (
 	"bytes"
 	"context"
@@ -20,12 +23,9 @@
 
 	"marblelane/balance"
 	"marblelane/internal/route"
-	"marblelane/internal/steer"
+	"marblelane/internal/routeclient"
 )
 
-// This file is a sidecar's side of routes, see docs/routes.md. Without the section of the configuration nothing of it
-// runs.
-
 const (
 	defaultKeyHeader = "X-Route-Key"
 	revHeader        = "X-Route-Rev"    // to a server: the attempt was decided on this revision, with permission
@@ -152,7 +152,7 @@
 
 // routing is the loop's part; nil where there is none.
 type routing struct {
-	steer   *steer.Steer
+	client  *routeclient.Client
 	wake    chan struct{} // of 1: steer has news, or a sample is due
 	names   route.Names
 	tenants []string // by number; empty: requests name none
@@ -179,7 +179,7 @@
 		r.tenants[i] = name
 	}
 	var err error
-	r.steer, err = steer.New(steer.Config{
+	r.client, err = routeclient.New(routeclient.Config{
 		Addrs: cfg.routes.addrs, Name: cfg.Name, Start: cfg.faults.Now().UnixNano(), Version: version(),
 		Digest: cfg.routes.digest, Schemas: cfg.routes.schemas, Wake: r.signal,
 	})
@@ -201,13 +201,13 @@
 		return func() {}
 	}
 	ctx, cancel := context.WithCancel(context.Background())
-	l.workers.Go(func() { r.steer.Run(ctx) })
+	l.workers.Go(func() { r.client.Run(ctx) })
 	r.due = time.AfterFunc(0, r.signal)
 	return func() {
 		r.due.Stop()
 		now := l.clock.ms(time.Now())
-		for _, p := range l.bal.Purses() {
-			l.tell(now, balance.Grant{ID: p.ID, Units: p.Granted, Keep: 0})
+		for _, p := range l.bal.CanaryBudgets() {
+			l.tell(now, balance.BudgetGrant{ID: p.ID, Units: p.Granted, Keep: 0})
 		}
 		l.sample(now)
 		cancel()
@@ -217,19 +217,19 @@
 // takeSteer takes in what the duties have, and offers a sample that is due.
 func (l *loop) takeSteer(now float64) {
 	r := l.routing
-	if got, fresh := r.steer.Take(); fresh {
+	if got, fresh := r.client.Take(); fresh {
 		until := 0.
 		if !got.Until.IsZero() {
 			until = l.clock.ms(got.Until) - permitEarly
 		}
-		l.tell(now, balance.Permit{Until: until})
+		l.tell(now, balance.CanaryLease{Until: until})
 		if got.Table != nil {
 			l.takeRoutes(now, got.Table)
 		}
 		for _, g := range got.Grants {
 			id := route.RolloutID(g.Tenant, g.Rollout)
 			if slices.ContainsFunc(r.canaries, func(c canary) bool { return c.id == id }) {
-				l.tell(now, balance.Grant{ID: id, Units: g.Granted, Keep: g.Keep})
+				l.tell(now, balance.BudgetGrant{ID: id, Units: g.Granted, Keep: g.Keep})
 			}
 		}
 		r.soon = true
@@ -256,16 +256,16 @@
 	actions, err := l.bal.Handle(now, routes)
 	if err != nil {
 		slog.Error("routes: the module refuses a table", "revision", t.Rev, "error", err)
-		r.steer.Refused(t.Rev)
+		r.client.Refused(t.Rev)
 		return
 	}
-	r.steer.Acts(t.Rev)
+	r.client.ActOn(t.Rev)
 	before := r.canaries
 	r.canaries, r.routed = nil, make(map[int]routedBy, len(routes.List))
 	purses := map[uint64]bool{}
 	for _, b := range routes.List {
 		r.routed[b.Tenant] = routedBy{b.Classes, b.Late}
-		purses[b.ID] = b.Purse
+		purses[b.ID] = b.Budgeted
 	}
 	for i := range t.Routes {
 		from := &t.Routes[i]
@@ -304,13 +304,13 @@
 // sample offers the state of this moment to the duties.
 func (l *loop) sample(now float64) {
 	r := l.routing
-	s := steer.Sample{List: l.bal.ListRev(), Counts: make([]route.Count, 0, len(r.counts))}
+	s := routeclient.Sample{List: l.bal.ListRev(), Counts: make([]route.Count, 0, len(r.counts))}
 	for _, c := range r.counts {
 		s.Counts = append(s.Counts, *c)
 	}
-	held := map[uint64]balance.Purse{}
+	held := map[uint64]balance.CanaryBudget{}
 	r.free = 0
-	for _, p := range l.bal.Purses() {
+	for _, p := range l.bal.CanaryBudgets() {
 		held[p.ID] = p
 		r.free += p.Free()
 	}
@@ -334,12 +334,12 @@
 		s.Purses = append(s.Purses, state)
 	}
 	r.sampled, r.soon = now, false
-	r.steer.Offer(s)
+	r.client.Offer(s)
 }
 
-// look is what an attempt was decided on, and what the last look before its first byte has said.
-type look struct {
-	steer  *steer.Steer
+// routeCheck is what an attempt was decided on, and what the last look before its first byte has said.
+type routeCheck struct {
+	steer  *routeclient.Client
 	tenant string
 	rev    int64
 	canary bool
@@ -356,7 +356,7 @@
 var errVoid = errors.New("its route is not acted on any more")
 
 // begin is the last look.
-func (k *look) begin() (under int64, err error) {
+func (k *routeCheck) begin() (under int64, err error) {
 	if k.fixed {
 		if !k.steer.BeginAs(k.rev, k.tenant, k.canary, k.said) {
 			return 0, errVoid
@@ -373,13 +373,13 @@
 }
 
 // expect is what begin would say now, and what the head says.
-func (k *look) expect() int64 {
+func (k *routeCheck) expect() int64 {
 	k.said = k.steer.Under(k.rev)
 	return k.said
 }
 
 // ended counts an attempt whose connection never came up as begun: it tells of the server as one that failed does.
-func (k *look) ended(r reply) reply {
+func (k *routeCheck) ended(r reply) reply {
 	if k != nil && !k.begun && (r.result == balance.ConnectFailed || r.result == balance.Unreachable) {
 		k.fixed = false // no head was written
 		k.begin()       // not ok: it stays uncounted
@@ -388,7 +388,7 @@
 }
 
 // mark tells a server what an attempt counts under.
-func (k *look) mark(h http.Header, under int64) {
+func (k *routeCheck) mark(h http.Header, under int64) {
 	h.Del(revHeader)
 	h.Del(canaryHeader)
 	if under > 0 {
@@ -400,7 +400,7 @@
 }
 
 // look is of an attempt that a route has a say in; nil: none has.
-func (l *loop) look(now float64, c *call, act *balance.Action) *look {
+func (l *loop) look(now float64, c *call, act *balance.Action) *routeCheck {
 	r := l.routing
 	if r == nil {
 		return nil
@@ -413,7 +413,7 @@
 		return nil
 	}
 	r.changed(now)
-	k := &look{steer: r.steer, rev: act.Routes, canary: act.Canary, late: by.late, fixed: c.out.upload != nil,
+	k := &routeCheck{steer: r.client, rev: act.Routes, canary: act.Canary, late: by.late, fixed: c.out.upload != nil,
 		alike: len(by.classes) == 0 || slices.Contains(by.classes, c.ev.Class)}
 	if c.ev.Tenant < len(r.tenants) {
 		k.tenant = r.tenants[c.ev.Tenant]
@@ -479,7 +479,7 @@
 
 // steerFigures are those of routes.
 type steerFigures struct {
-	steer.Status
+	routeclient.Status
 	voids, free int64
 }
 
@@ -487,5 +487,5 @@
 	if r == nil {
 		return nil
 	}
-	return &steerFigures{r.steer.Status(), r.voids, r.free}
+	return &steerFigures{r.client.Status(), r.voids, r.free}
 }
--- a/internal/sidecar/routes_test.go
+++ b/internal/sidecar/routes_test.go
@@ -159,7 +159,7 @@
 func (r *running) acts(rev int64, permitted bool) {
 	r.t.Helper()
 	until(r.t, fmt.Sprint("revision ", rev), func() bool {
-		s := r.loop.routing.steer.Status()
+		s := r.loop.routing.client.Status()
 		return s.Acts == rev && s.Permitted == permitted
 	})
 	if permitted { // the loop has taken it in, too
@@ -277,7 +277,7 @@
 				setting(`"parallel_tries": true`, `"parallel_tries": false`).setting(`"max_attempts": 6`, `"max_attempts": 1`)
 			c["routes"], c["management"] = map[string]any{"addrs": []string{s.Listener.Addr().String()}}, loopback
 			r := start(t, c, func(s *Sidecar) {
-				s.loop.ups.dialer.Control = func(_, addr string, _ syscall.RawConn) error {
+				s.loop.pool.dialer.Control = func(_, addr string, _ syscall.RawConn) error {
 					dials <- addr
 					if addr == canary.target.Endpoint {
 						<-release
@@ -308,9 +308,9 @@
 	r.acts(5, true)
 	due := time.NewTimer(time.Hour)
 	defer due.Stop()
-	l := &loop{routing: &routing{steer: r.loop.routing.steer, tenants: []string{"kita"}, routed: map[int]routedBy{0: {}}, due: due}}
+	l := &loop{routing: &routing{client: r.loop.routing.client, tenants: []string{"kita"}, routed: map[int]routedBy{0: {}}, due: due}}
 	passedOn, held := &call{out: &outbound{upload: newUpload(-1, nil)}}, &call{out: &outbound{}}
-	var looks []*look
+	var looks []*routeCheck
 	for _, c := range []*call{passedOn, held} {
 		k := l.look(0, c, &balance.Action{Routes: 5})
 		require.EqualValues(t, 5, k.expect())
--- a/internal/sidecar/service_end.go
+++ b/internal/sidecar/service_end.go
@@ -11,10 +11,10 @@
 
 // endWaiting ends the connections without a whole head: those from which part of one has come are answered, all are
 // told their end by half a close, and what still comes on them is read and dropped. closeIdle closes them later.
-func endWaiting(r *room) {
+func endWaiting(r *connLimiter) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	for g := range r.guests {
+	for g := range r.conns {
 		if !g.busy && g.told.IsZero() && refusePartial(g) {
 			g.told = time.Now()
 		}
@@ -22,7 +22,7 @@
 }
 
 // refusePartial reports whether the client has been told its end. One whose bytes are on the way to a handler is not.
-func refusePartial(g *guest) bool {
+func refusePartial(g *clientConn) bool {
 	g.taking.Lock()
 	defer g.taking.Unlock()
 	_, begun := g.begun()
--- a/internal/sidecar/sidecar.go
+++ b/internal/sidecar/sidecar.go
@@ -2,15 +2,11 @@
 
 import (
 	"context"
-	"errors"
 	"fmt"
 	"log/slog"
-	"math"
 	"net"
 	"net/http"
 	"os"
-	"runtime"
-	"runtime/debug"
 	"sync"
 	"sync/atomic"
 	"time"
@@ -41,10 +37,10 @@
 	// SIGKILL comes no earlier than killAfter beyond the longest deadline, of which longestDrain counts at most.
 	longestDrain = 3 * time.Second
 	killAfter    = 700 * time.Millisecond
-	// lastWords is how long before that service ends and all that is open is given up: a client that hears nothing
+	// finalAnswerMargin is how long before that service ends and all that is open is given up: a client that hears nothing
 	// cannot tell a request that may be sent again from one that ran. It covers a process that is held up for 0.15 s,
 	// after SIGTERM before it reads its clock, or after that before it writes the answers.
-	lastWords = 250 * time.Millisecond
+	finalAnswerMargin = 250 * time.Millisecond
 	// longestTail is how long answers that have begun are passed on where no SIGKILL comes.
 	longestTail = 30 * time.Second
 	reapEvery   = time.Second
@@ -54,8 +50,8 @@
 type Sidecar struct {
 	cfg      *Config
 	tcp      *net.TCPListener
-	listener *room
-	manager  *room // nil: no management address
+	listener *connLimiter
+	manager  *connLimiter // nil: no management address
 	loop     *loop
 	frontend *frontend
 	before   *predecessor // nil: none
@@ -72,9 +68,6 @@
 	budget       budget
 }
 
-// budget is what all processes of a sidecar may use together.
-type budget struct{ manage, clients, servers, taken int }
-
 // Open reads the configuration as LoadConfig does, tells the runtime its limits and prepares a sidecar as New does. What
 // fails for a moment is tried again, for retry.StartLimit in all, and not beyond the end of ctx.
 func Open(ctx context.Context, getenv func(string) string) (*Sidecar, error) {
@@ -105,7 +98,7 @@
 		}
 	}
 	reserve := min(max(int(float64(cfg.Sockets)*reservedShare), fewestReserve), mostReserve)
-	var manager *room
+	var manager *connLimiter
 	if cfg.Management != "" {
 		var listener net.Listener
 		if err := start.Do("management", func() (failed error) {
@@ -114,12 +107,12 @@
 		}); err != nil {
 			return nil, fmt.Errorf("management: %w", err)
 		}
-		manager = newRoom(listening.Wrap(plant(listener, cfg.faults), "management", nil), 1)
+		manager = newConnLimiter(listening.Wrap(plant(listener, cfg.faults), "management", nil), 1)
 	}
 	var before *predecessor
 	var listener net.Listener
 	if err := start.Do("upgrade", func() (failed error) {
-		before, listener, failed = meet(cfg)
+		before, listener, failed = findPredecessor(cfg)
 		return failed
 	}); err != nil {
 		slog.Info("upgrade: no process before this one", "error", err)
@@ -152,7 +145,7 @@
 		l.disc.lag = lagOf(cfg.balance.DrainGrace)
 	}
 	s := &Sidecar{
-		cfg: cfg, tcp: listener.(*net.TCPListener), listener: newRoom(listening.Wrap(plant(listener, cfg.faults), "clients", nil), all.clients),
+		cfg: cfg, tcp: listener.(*net.TCPListener), listener: newConnLimiter(listening.Wrap(plant(listener, cfg.faults), "clients", nil), all.clients),
 		manager: manager, loop: l,
 		before: before, budget: all, drainAccept: drainAccept, listWait: listWait,
 		unaccepted: unaccepted,
@@ -175,77 +168,6 @@
 	return s, nil
 }
 
-// share divides what this sidecar may use among its processes.
-func (s *Sidecar) share() {
-	parts := 1 + s.older + s.newer
-	if s.older+s.newer > 0 {
-		slog.Info("upgrade: this sidecar shares its limits", "processes", parts)
-	}
-	if s.manager != nil {
-		s.manager.setMost(max(s.budget.manage/parts, 1))
-	}
-	clients := s.budget.clients / parts
-	s.listener.setMost(clients)
-	s.frontend.maxConns.Store(int64(float64(clients) * keepShare))
-	s.frontend.maxTaken.Store(int64(max(s.budget.taken/parts, 1)))
-	s.loop.ups.setMost(s.budget.servers / parts)
-	s.frontend.memory.set(s.cfg.bodyMemory() / int64(parts))
-	s.loop.post(balance.Sharing{Parts: parts})
-	limitMemory(s.cfg, parts)
-}
-
-// follows tells whether the process before this one is still there.
-func (s *Sidecar) follows() bool {
-	s.sharing.Lock()
-	defer s.sharing.Unlock()
-	return s.older > 0
-}
-
-// beside takes in how many older or newer processes are alive beside this one.
-func (s *Sidecar) beside(which *int, alive int) {
-	s.sharing.Lock()
-	defer s.sharing.Unlock()
-	*which = alive
-	s.share()
-}
-
-// Limit tells the runtime what the configuration allows this process.
-func Limit(cfg *Config) {
-	debug.SetGCPercent(gcPercent)
-	debug.SetMemoryLimit(cfg.memory(1))
-	if cfg.Cores > 0 {
-		runtime.GOMAXPROCS(int(math.Ceil(cfg.Cores)))
-	}
-}
-
-// memory is the part of the limit that the runtime of each of so many processes is held to.
-func (cfg *Config) memory(parts int) int64 {
-	if cfg.MemoryMB == 0 {
-		return math.MaxInt64
-	}
-	return int64(float64(cfg.MemoryMB) * memoryShare * (1 << 20) / float64(parts))
-}
-
-// bodyMemory is what bodies that are held may take, of all processes.
-func (cfg *Config) bodyMemory() int64 {
-	if cfg.MemoryMB == 0 {
-		return math.MaxInt32
-	}
-	return int64(float64(cfg.MemoryMB) * bodyShare * (1 << 20))
-}
-
-// limitMemory holds to a part what Limit has limited.
-func limitMemory(cfg *Config, parts int) {
-	before := debug.SetMemoryLimit(-1)
-	if before == math.MaxInt64 || before == cfg.memory(parts) {
-		return
-	}
-	debug.SetMemoryLimit(cfg.memory(parts))
-	if parts > 1 {
-		debug.FreeOSMemory()
-	}
-}
-
 // ManagementAddr is the address for the platform; empty: there is none.
 func (s *Sidecar) ManagementAddr() string {
 	if s.manager == nil {
@@ -276,14 +198,14 @@
 			case <-work.Done():
 				return
 			case now := <-reaper.C:
-				s.loop.ups.reap(now)
+				s.loop.pool.reap(now)
 			}
 		}
 	})
 	defer func() {
 		stop()
 		<-ended
-		s.loop.ups.closeAll()
+		s.loop.pool.closeAll()
 	}()
 
 	failed := make(chan error, 2)
@@ -341,7 +263,7 @@
 		whole := false
 		defer func() {
 			if c, ok := r.Context().Value(connKey{}).(*headConn); ok && !whole {
-				c.Conn.(*guest).cutOff()
+				c.Conn.(*clientConn).cutOff()
 			}
 		}()
 		handler.ServeHTTP(w, r)
@@ -370,76 +292,3 @@
 		}
 	}
 }
-
-// drain ends the service. Where a newer process serves, what comes is its own at once; otherwise new connections
-// are taken for as long as clients may not know, and then for as long as a request may come again on a new one,
-// because the end of its old one crossed it. Each answer ends its connection; those that stay without a request are
-// ended once no more come, as nobody is turned back by that. At the end of service, before SIGKILL may come, nothing
-// more is taken: what would outlast this process gets its answer, whoever is in the middle of a request included, and
-// answers that have begun are passed on to their end. docs/on-call.md says it by the states that a client's
-// connection can be in.
-func (s *Sidecar) drain(srv *http.Server) error {
-	s.hook.at(drainSignalled)
-	began := time.Now()
-	s.frontend.draining.Store(true)
-	s.before.ends()
-	slog.Info("draining")
-	end := began.Add(s.killTime() - lastWords)
-	// A request that crosses the end of an idle connection has to come again before the listener closes.
-	idleEnd := began.Add(min(s.drainAccept, end.Sub(began)-crossing))
-	crossed := began // when a request was last likely to come again
-	for open, told := true, false; open || !s.listener.empty(); time.Sleep(drainStep) {
-		now := time.Now()
-		if !now.Before(idleEnd) && s.listener.closeIdle(began) {
-			crossed = now
-		}
-		tail := now.Sub(end)
-		if !told && tail >= 0 {
-			told = true
-			s.hook.at(serviceEnding)
-			s.loop.post(balance.End{})
-			s.loop.members.depart(lastWords) // nothing is sent to servers from here on
-			s.hook.at(waitingEnding)
-		}
-		if open && (s.after.serve.Load() > 0 || told ||
-			!now.Before(idleEnd) && now.Sub(crossed) >= crossing) {
-			open = !s.stopAccepting(tail >= lastWords)
-		}
-		if told {
-			endWaiting(s.listener)
-			s.frontend.bodies.end()
-		}
-		if tail >= lastWords && !open && s.frontend.taken.Load() == 0 || tail >= longestTail {
-			break // what is left has never sent a whole request
-		}
-	}
-	err := srv.Close()
-	for closed := time.Now(); !s.listener.empty() && time.Since(closed) < crossing; {
-		time.Sleep(drainStep) // answers that have just been written are being read
-	}
-	s.loop.members.leave(end.Add(lastWords))
-	if err != nil && !errors.Is(err, net.ErrClosed) {
-		return fmt.Errorf("drain: %w", err)
-	}
-	slog.Info("drained")
-	return nil
-}
-
-// stopAccepting closes the listener, and reports whether it has. What waits in it to be accepted would be reset: it is
-// waited for, unless it has to be now, or a newer process has the socket too and takes it.
-func (s *Sidecar) stopAccepting(now bool) bool {
-	if !now && !s.after.shares() && s.unaccepted(s.tcp) > 0 {
-		return false
-	}
-	s.listener.Close()
-	return true
-}
-
-// killTime is how long after SIGTERM SIGKILL may come.
-func (s *Sidecar) killTime() time.Duration {
-	longest := 0.0
-	for i := range s.cfg.balance.Classes {
-		longest = math.Max(longest, s.cfg.balance.Classes[i].Deadline)
-	}
-	return min(millis(longest), longestDrain) + killAfter
-}
--- a/internal/sidecar/watch_sums_test.go
+++ b/internal/sidecar/watch_sums_test.go
@@ -1,5 +1,9 @@
 package sidecar
 
+// This file adds up, from the constants and from the module's own pauses, the latest moment at which a change is known by
+// each way to it and holds it under the moment at which the change counts as told. docs/list.md has the table. What an
+// answer takes is not in it: the agent's takes milliseconds, and a call that waits in turn has 2 s beyond its wait.
+
 import (
 	"io"
 	"net/http"
@@ -9,10 +13,6 @@
 	"marblelane/balance"
 )
 
-// This file adds up, from the constants and from the module's own pauses, the latest moment at which a change is known by
-// each way to it and holds it under the moment at which the change counts as told. docs/list.md has the table. What an
-// answer takes is not in it: the agent's takes milliseconds, and a call that waits in turn has 2 s beyond its wait.
-
 // rowOfFailures is more calls in a row than pauses grow over.
 const rowOfFailures = 12
 
@@ -34,7 +34,7 @@
 		now := 1000.0
 		bal.Start(now)
 		for range row {
-			n := failed(news{}, err)
+			n := failed(listEvent{}, err)
 			actions, bad := bal.Handle(now, balance.ServerList{Kind: n.kind, Busy: n.busy, Wait: n.wait})
 			if bad != nil || len(actions) != 1 || actions[0].Kind != balance.SetTimer {
 				t.Fatalf("%+v, %v", actions, bad)
--- a/internal/sidecar/watch_ways_test.go
+++ b/internal/sidecar/watch_ways_test.go
@@ -221,7 +221,7 @@
 		`{"rev": "x"}`: "list: rev: a string", `{"rev": 1, "targets": [{"boot_ms": "now"}]}`: "list: targets.boot_ms: a string", `}`: "list: byte 1: ",
 	} {
 		d, heard := serving(t, text)
-		err := d.read(t.Context(), d.changes(), news{}, alone, time.Hour, time.Hour)
+		err := d.read(t.Context(), d.changes(), listEvent{}, alone, time.Hour, time.Hour)
 		if err == nil || !strings.Contains(err.Error(), want) || len(heard) > 0 {
 			t.Errorf("%s: error %v, want %q; %d heard", text, err, want, len(heard))
 		}
--- a/internal/snapshot/crash_test.go
+++ b/internal/snapshot/crash_test.go
@@ -10,15 +10,15 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
-	"marblelane/internal/lab/disk"
 	"marblelane/internal/snapshot"
+	"marblelane/internal/snapshot/crashcheck"
 	"marblelane/internal/snapshot/fsys"
-	"marblelane/internal/snapshot/prove"
+	"marblelane/internal/testutil/disk"
 )
 
 func TestEachCrashGivesTheNewestOrTheOneBefore(t *testing.T) {
 	t.Parallel()
-	images, err := prove.Exhaust(func(d *disk.Disk) fsys.FS { return d })
+	images, err := crashcheck.Exhaust(func(d *disk.Disk) fsys.FS { return d })
 	require.NoError(t, err)
 	assert.Greater(t, images, 500)
 	t.Logf("%d different images", images)
@@ -30,7 +30,7 @@
 		"lost: seq 1 had returned ([])": {NoDirSync: true},
 		"a generation is damaged":       {LateSync: true},
 	} {
-		images, err := prove.Exhaust(func(d *disk.Disk) fsys.FS { f := defect; f.FS = d; return &f })
+		images, err := crashcheck.Exhaust(func(d *disk.Disk) fsys.FS { f := defect; f.FS = d; return &f })
 		require.ErrorContains(t, err, say)
 		t.Logf("%+v: at image %d: %v", defect, images, err)
 	}
@@ -40,11 +40,11 @@
 func TestFolderOfAKilledProcess(t *testing.T) {
 	d := disk.New(disk.Image{"/": nil})
 	require.NoError(t, d.Mkdir("/s"))
-	st, err := prove.Open(prove.Dir, d)
+	st, err := crashcheck.Open(crashcheck.Dir, d)
 	require.NoError(t, err)
-	snap := prove.State(1, 0)
+	snap := crashcheck.State(1, 0)
 	require.NoError(t, st.Save(context.Background(), snap))
-	w := prove.Allowed{States: []*snapshot.Snapshot{snap}, Least: 1}
+	w := crashcheck.Allowed{States: []*snapshot.Snapshot{snap}, Least: 1}
 	for im := range d.Exhaust(d.Ops()) {
 		_, err := w.Judge(im)
 		require.NoError(t, err)
@@ -54,14 +54,14 @@
 func TestCrashLoop(t *testing.T) {
 	t.Parallel()
 	for seed := range uint64(60) {
-		require.NoError(t, prove.Loop(seed, 10))
+		require.NoError(t, crashcheck.Loop(seed, 10))
 	}
 }
 
 func TestFullDisk(t *testing.T) {
 	t.Parallel()
 	for space := range int64(len(encoded(t, 2))) {
-		require.NoError(t, prove.Refuse(func(d *disk.Disk) { d.Space = space }, syscall.ENOSPC), "%d bytes", space)
+		require.NoError(t, crashcheck.Refuse(func(d *disk.Disk) { d.Space = space }, syscall.ENOSPC), "%d bytes", space)
 	}
 }
 
@@ -71,7 +71,7 @@
 		for _, kind := range []disk.Kind{disk.Create, disk.Write, disk.Sync, disk.Rename, disk.SyncDir} {
 			for _, once := range []bool{true, false} {
 				refused := false
-				require.NoError(t, prove.Refuse(func(d *disk.Disk) {
+				require.NoError(t, crashcheck.Refuse(func(d *disk.Disk) {
 					d.Fail = func(_ int, op disk.Op) error {
 						if op.Kind == kind && !refused || refused && !once {
 							refused = true
@@ -92,10 +92,10 @@
 		for _, kind := range []disk.Kind{disk.Create, disk.Write, disk.Sync, disk.Rename, disk.SyncDir} {
 			t.Run(fmt.Sprintf("%v at %v", refusal, kind), func(t *testing.T) {
 				d := disk.New(disk.Image{"/": nil})
-				st, err := prove.Open(prove.Dir, d)
+				st, err := crashcheck.Open(crashcheck.Dir, d)
 				require.NoError(t, err)
 				defer st.Close()
-				saved := []*snapshot.Snapshot{prove.State(1, 1)}
+				saved := []*snapshot.Snapshot{crashcheck.State(1, 1)}
 				require.NoError(t, st.Save(t.Context(), saved[0]))
 				d.Fail = func(_ int, op disk.Op) error {
 					if op.Kind == kind {
@@ -104,17 +104,17 @@
 					return nil
 				}
 				for number := range 3 {
-					next := prove.State(number+2, 1)
+					next := crashcheck.State(number+2, 1)
 					require.ErrorIs(t, st.Save(t.Context(), next), refusal)
 					saved = append(saved, next)
 				}
-				allowed := prove.Allowed{States: saved, Least: saved[0].Seq}
+				allowed := crashcheck.Allowed{States: saved, Least: saved[0].Seq}
 				for image := range d.Exhaust(d.Ops()) {
 					_, err := allowed.Judge(image)
 					require.NoError(t, err)
 				}
 				d.Fail = nil
-				last := prove.State(9, 1)
+				last := crashcheck.State(9, 1)
 				require.NoError(t, st.Save(t.Context(), last))
 				got, asides := st.Load()
 				assert.Empty(t, asides)
--- a/internal/snapshot/prove/prove.go
+++ b/internal/snapshot/crashcheck/crashcheck.go
@@ -1,6 +1,6 @@
-// Package prove holds the store of package snapshot to its promise on a simulated disk: after a loss of power at any
+// Package crashcheck holds the store of package snapshot to its promise on a simulated disk: after a loss of power at any
 // moment the newest state whose Save returned is there, or one that was begun after it, whole.
-package prove
+package crashcheck
 
 import (
 	"context"
@@ -11,9 +11,9 @@
 
 	"github.com/google/go-cmp/cmp"
 
-	"marblelane/internal/lab/disk"
 	"marblelane/internal/snapshot"
 	"marblelane/internal/snapshot/fsys"
+	"marblelane/internal/testutil/disk"
 )
 
 // Dir is the folder that states are kept in.
--- a/internal/snapshot/prove/loop.go
+++ b/internal/snapshot/crashcheck/loop.go
@@ -1,4 +1,4 @@
-package prove
+package crashcheck
 
 import (
 	"context"
@@ -8,8 +8,8 @@
 
 	"github.com/google/go-cmp/cmp"
 
-	"marblelane/internal/lab/disk"
 	"marblelane/internal/snapshot"
+	"marblelane/internal/testutil/disk"
 )
 
 // Loop plays restarts, each of which ends by a loss of power at an operation by chance, with any of what may be left.
--- a/internal/snapshot/format_test.go
+++ b/internal/snapshot/format_test.go
@@ -12,11 +12,11 @@
 	"pgregory.net/rapid"
 
 	"marblelane/internal/snapshot"
-	"marblelane/internal/snapshot/prove"
+	"marblelane/internal/snapshot/crashcheck"
 )
 
 func encoded(t *testing.T, n int) []byte {
-	s := prove.State(n, 1)
+	s := crashcheck.State(n, 1)
 	s.Seq = uint64(n)
 	b, err := snapshot.Encode(s)
 	require.NoError(t, err)
@@ -103,7 +103,7 @@
 	require.NoError(t, err)
 	got, err := snapshot.Decode(b)
 	require.NoError(t, err)
-	want := prove.State(1, 1)
+	want := crashcheck.State(1, 1)
 	want.Seq = 1
 	assert.Empty(t, cmp.Diff(want, got))
 }
@@ -111,7 +111,7 @@
 func TestWhatIsWrittenIsRead(t *testing.T) {
 	figure := rapid.Float64Range(0, math.MaxFloat64)
 	rapid.Check(t, func(t *rapid.T) {
-		s := &snapshot.Snapshot{Seq: rapid.Uint64Range(0, 1<<53-1).Draw(t, "seq"), Identity: prove.Own(),
+		s := &snapshot.Snapshot{Seq: rapid.Uint64Range(0, 1<<53-1).Draw(t, "seq"), Identity: crashcheck.Own(),
 			Written: time.UnixMilli(rapid.Int64Range(1, 253402300799999).Draw(t, "written")).UTC()}
 		s.Learned.Zones = rapid.MapOfN(rapid.StringMatching(`[a-zé"\\]+`), figure, 1, 5).Draw(t, "zones")
 		for i, size := range rapid.SliceOfN(rapid.Float64(), 0, 5).Draw(t, "sizes") {
@@ -127,7 +127,7 @@
 }
 
 func TestAgeing(t *testing.T) {
-	s := prove.State(4, 1)
+	s := crashcheck.State(4, 1)
 	s.Learned.Servers[0] = snapshot.Server{UID: "a", Size: 2, Errors: 3, ErrorAge: 1000, Down: true, Rests: 2,
 		RestLeft: 5000, Cold: true, ColdAge: 4000}
 	by := snapshot.DefaultAgeing()
--- a/internal/snapshot/fsys/fsys.go
+++ b/internal/snapshot/fsys/fsys.go
@@ -1,5 +1,5 @@
 // Package fsys is the little of a file system that state on disk is written by, so that a simulated disk can take its
-// place (internal/lab/disk).
+// place (internal/testutil/disk).
 package fsys
 
 import (
--- a/internal/snapshot/store_test.go
+++ b/internal/snapshot/store_test.go
@@ -20,7 +20,7 @@
 	"github.com/stretchr/testify/require"
 
 	"marblelane/internal/snapshot"
-	"marblelane/internal/snapshot/prove"
+	"marblelane/internal/snapshot/crashcheck"
 )
 
 // helperDir names the folder in which this program, as a helper process, saves until it is killed.
@@ -31,13 +31,13 @@
 	if dir == "" {
 		os.Exit(m.Run())
 	}
-	st, err := prove.Open(dir, nil)
+	st, err := crashcheck.Open(dir, nil)
 	for err == nil {
 		s, _ := st.Load()
 		if s == nil {
 			s = &snapshot.Snapshot{}
 		}
-		s = prove.State(int(s.Seq)+1, 20)
+		s = crashcheck.State(int(s.Seq)+1, 20)
 		if err = st.Save(context.Background(), s); err == nil {
 			fmt.Println(s.Seq)
 		}
@@ -70,14 +70,14 @@
 				if _, err := os.Stat(filepath.Join(dir, "state.tmp")); err == nil {
 					amid++
 				}
-				st, err := prove.Open(dir, nil)
+				st, err := crashcheck.Open(dir, nil)
 				require.NoError(t, err, "kill %d", kill)
 				got, asides := st.Load()
 				require.NoError(t, st.Close())
 				require.Empty(t, asides, "kill %d", kill)
 				require.NotNil(t, got)
 				require.Contains(t, []uint64{last, last + 1}, got.Seq, "kill %d", kill)
-				want := prove.State(int(got.Seq), 20)
+				want := crashcheck.State(int(got.Seq), 20)
 				want.Seq = got.Seq
 				require.Empty(t, cmp.Diff(want, got))
 			}
@@ -88,9 +88,9 @@
 }
 
 func TestFilesThatAreSetAside(t *testing.T) {
-	sound, err := snapshot.Encode(&snapshot.Snapshot{Seq: 9, Identity: prove.Own(), Written: time.Unix(1, 0)})
+	sound, err := snapshot.Encode(&snapshot.Snapshot{Seq: 9, Identity: crashcheck.Own(), Written: time.Unix(1, 0)})
 	require.NoError(t, err)
-	other := prove.Own()
+	other := crashcheck.Own()
 	other.Site = "elsewhere"
 	foreign, err := snapshot.Encode(&snapshot.Snapshot{Seq: 9, Identity: other, Written: time.Unix(1, 0)})
 	require.NoError(t, err)
@@ -118,10 +118,10 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			dir := t.TempDir()
-			st, err := prove.Open(dir, nil)
+			st, err := crashcheck.Open(dir, nil)
 			require.NoError(t, err)
 			defer st.Close()
-			first := prove.State(1, 3)
+			first := crashcheck.State(1, 3)
 			require.NoError(t, st.Save(context.Background(), first))
 			bad := filepath.Join(dir, "state.1")
 			require.NoError(t, c.make(bad))
@@ -134,19 +134,19 @@
 			require.Len(t, asides, 1)
 			assert.Contains(t, asides[0].Error(), bad+": ")
 			assert.Contains(t, asides[0].Error(), c.want)
-			require.NoError(t, st.Save(context.Background(), prove.State(2, 3)))
+			require.NoError(t, st.Save(context.Background(), crashcheck.State(2, 3)))
 			got, asides = st.Load()
 			require.Empty(t, asides)
-			assert.Equal(t, prove.State(2, 3).List, got.List)
+			assert.Equal(t, crashcheck.State(2, 3).List, got.List)
 		})
 	}
 }
 
 func TestAnotherUsersState(t *testing.T) {
-	st, err := snapshot.Open(t.TempDir(), snapshot.Options{Identity: prove.Own(), User: os.Geteuid() + 1})
+	st, err := snapshot.Open(t.TempDir(), snapshot.Options{Identity: crashcheck.Own(), User: os.Geteuid() + 1})
 	require.NoError(t, err)
 	defer st.Close()
-	require.NoError(t, st.Save(context.Background(), prove.State(1, 0)))
+	require.NoError(t, st.Save(context.Background(), crashcheck.State(1, 0)))
 	got, asides := st.Load()
 	assert.Nil(t, got)
 	require.Len(t, asides, 1)
@@ -155,19 +155,19 @@
 
 func TestTwoProcessesInOneFolder(t *testing.T) {
 	dir := filepath.Join(t.TempDir(), "state")
-	older, err := prove.Open(dir, nil)
+	older, err := crashcheck.Open(dir, nil)
 	require.NoError(t, err)
-	require.NoError(t, older.Save(context.Background(), prove.State(1, 0)))
-	newer, err := prove.Open(dir, nil)
+	require.NoError(t, older.Save(context.Background(), crashcheck.State(1, 0)))
+	newer, err := crashcheck.Open(dir, nil)
 	require.ErrorIs(t, err, snapshot.ErrHeld)
 	require.Contains(t, err.Error(), dir)
 	got, _ := newer.Load()
 	require.EqualValues(t, 1, got.Seq, "it reads")
-	require.ErrorIs(t, newer.Save(context.Background(), prove.State(9, 0)), snapshot.ErrHeld)
-	require.NoError(t, older.Save(context.Background(), prove.State(2, 0)))
+	require.ErrorIs(t, newer.Save(context.Background(), crashcheck.State(9, 0)), snapshot.ErrHeld)
+	require.NoError(t, older.Save(context.Background(), crashcheck.State(2, 0)))
 	require.NoError(t, older.Close())
-	require.ErrorIs(t, older.Save(context.Background(), prove.State(9, 0)), snapshot.ErrClosed)
-	third := prove.State(3, 0)
+	require.ErrorIs(t, older.Save(context.Background(), crashcheck.State(9, 0)), snapshot.ErrClosed)
+	third := crashcheck.State(3, 0)
 	require.NoError(t, newer.Save(context.Background(), third))
 	assert.EqualValues(t, 3, third.Seq, "it goes on from what the other wrote after its Load")
 	require.NoError(t, newer.Close())
@@ -175,43 +175,43 @@
 
 func TestFolderThatVanishes(t *testing.T) {
 	dir := filepath.Join(t.TempDir(), "state")
-	st, err := prove.Open(dir, nil)
+	st, err := crashcheck.Open(dir, nil)
 	require.NoError(t, err)
-	require.NoError(t, st.Save(context.Background(), prove.State(1, 0)))
+	require.NoError(t, st.Save(context.Background(), crashcheck.State(1, 0)))
 	require.NoError(t, os.RemoveAll(dir))
-	require.ErrorIs(t, st.Save(context.Background(), prove.State(2, 0)), fs.ErrNotExist)
+	require.ErrorIs(t, st.Save(context.Background(), crashcheck.State(2, 0)), fs.ErrNotExist)
 	got, asides := st.Load()
 	require.Nil(t, got)
 	require.Empty(t, asides)
-	other, err := prove.Open(dir, nil) // another process makes it anew
+	other, err := crashcheck.Open(dir, nil) // another process makes it anew
 	require.NoError(t, err)
-	require.ErrorIs(t, st.Save(context.Background(), prove.State(2, 0)), snapshot.ErrHeld)
+	require.ErrorIs(t, st.Save(context.Background(), crashcheck.State(2, 0)), snapshot.ErrHeld)
 	require.NoError(t, other.Close())
-	require.NoError(t, st.Save(context.Background(), prove.State(2, 0)))
+	require.NoError(t, st.Save(context.Background(), crashcheck.State(2, 0)))
 	require.NoError(t, st.Close())
-	none, err := prove.Open(filepath.Join(dir, "not", "there"), nil)
+	none, err := crashcheck.Open(filepath.Join(dir, "not", "there"), nil)
 	require.ErrorIs(t, err, fs.ErrNotExist)
-	require.ErrorIs(t, none.Save(context.Background(), prove.State(1, 0)), fs.ErrNotExist)
+	require.ErrorIs(t, none.Save(context.Background(), crashcheck.State(1, 0)), fs.ErrNotExist)
 }
 
 func TestSaveRefusesWhatLoadWould(t *testing.T) {
-	st, err := snapshot.Open(t.TempDir(), snapshot.Options{Identity: prove.Own(), Most: 1 << 10})
+	st, err := snapshot.Open(t.TempDir(), snapshot.Options{Identity: crashcheck.Own(), Most: 1 << 10})
 	require.NoError(t, err)
 	defer st.Close()
-	require.ErrorIs(t, st.Save(context.Background(), prove.State(1, 100)), snapshot.ErrTooBig)
-	twice := prove.State(1, 1)
+	require.ErrorIs(t, st.Save(context.Background(), crashcheck.State(1, 100)), snapshot.ErrTooBig)
+	twice := crashcheck.State(1, 1)
 	twice.Learned.Servers = append(twice.Learned.Servers, twice.Learned.Servers[0])
 	require.ErrorContains(t, st.Save(context.Background(), twice), "learned.servers[1]")
 	gone, cancel := context.WithCancel(context.Background())
 	cancel()
-	require.ErrorIs(t, st.Save(gone, prove.State(1, 0)), context.Canceled)
+	require.ErrorIs(t, st.Save(gone, crashcheck.State(1, 0)), context.Canceled)
 }
 
 func BenchmarkState(b *testing.B) {
 	for _, servers := range []int{200, 2000} {
-		st, err := prove.Open(b.TempDir(), nil)
+		st, err := crashcheck.Open(b.TempDir(), nil)
 		require.NoError(b, err)
-		s := prove.State(1, servers)
+		s := crashcheck.State(1, servers)
 		for i := range s.Learned.Servers {
 			s.Learned.Servers[i].UID = fmt.Sprintf("stock-%08x-%04d", binary.BigEndian.Uint32([]byte("abcd")), i)
 			s.Learned.Servers[i].Size = rand.NormFloat64()
--- a/internal/wallclock/wallclock_test.go
+++ b/internal/wallclock/wallclock_test.go
@@ -74,7 +74,9 @@
 		"time.Now().UnixMilli": {1, "the time of a report, shown to people alone"},
 	},
 	"internal/registry/node.go": {
-		"cfg.Faults.Now":   {1, "times of transitions, for people, and `remember`, see docs/routes.md"},
+		"cfg.Faults.Now": {1, "times of transitions, for people, and `remember`, see docs/routes.md"},
+	},
+	"internal/registry/node_lead.go": {
 		"n.cfg.Faults.Now": {1, "the epoch of the first history"},
 	},
 	"internal/registry/restore_seen.go": {
@@ -90,7 +92,10 @@
 		"age.Round": {1, "a duration"},
 	},
 	"internal/registry/server.go": {
-		"age.Round": {2, "a duration"},
+		"age.Round": {1, "a duration"},
+	},
+	"internal/registry/server_status.go": {
+		"age.Round": {1, "a duration"},
 	},
 	"internal/registry/state.go": {
 		"time.Date": {1, "is constant; epochs are raised above the former one"},
@@ -101,6 +106,16 @@
 	"internal/route/fields.go": {
 		"text.Truncate": {1, "a buffer"},
 	},
+	"internal/routeclient/client.go": {
+		"cfg.Now":   {2, "where that is set"},
+		"s.cfg.Now": {3, "time.Now but in tests; its monotonic part counts"},
+	},
+	"internal/routeclient/counts.go": {
+		"s.cfg.Now": {1, "time.Now but in tests; its monotonic part counts"},
+	},
+	"internal/routeclient/reporter.go": {
+		"r.s.cfg.Now": {1, "time.Now but in tests; its monotonic part counts"},
+	},
 	"internal/sidecar/exchange.go": {
 		"time.Unix": {1, "is constant: a deadline that is long past, whatever the clock says"},
 	},
@@ -116,26 +131,19 @@
 		"faults.Now":  {1, "is held against the monotonic clock to notice steps"},
 		"t.UnixMicro": {1, "as above; and the begin of the sidecar's clock, monotonic from there on"},
 	},
+	"internal/snapshot/crashcheck/crashcheck.go": {
+		"time.UnixMilli": {1, "is shown to people alone"},
+		"time.UnixMilli(1_700_000_000_000 + int64(n)).UTC": {1, "is constant"},
+	},
 	"internal/snapshot/format.go": {
 		"e.In":                                {1, "a field: the section of a file"},
-		"time.UnixMilli(first.WrittenMS).UTC": {1, "as above"},
 		"s.Written.UnixMilli":                 {1, "the time of writing; an age below 0 is unknown, see docs/recovery.md"},
 		"time.UnixMilli":                      {1, "as above"},
-	},
-	"internal/snapshot/prove/prove.go": {
-		"time.UnixMilli(1_700_000_000_000 + int64(n)).UTC": {1, "is constant"},
-		"time.UnixMilli": {1, "is constant"},
+		"time.UnixMilli(first.WrittenMS).UTC": {1, "as above"},
 	},
 	"internal/snapshot/snapshot.go": {
 		"s.Written.UnixMilli": {1, "is checked to be a time that can be"},
 	},
-	"internal/steer/duties.go": {
-		"r.s.cfg.Now": {1, "time.Now but in tests; its monotonic part counts"},
-	},
-	"internal/steer/steer.go": {
-		"cfg.Now":   {2, "where that is set"},
-		"s.cfg.Now": {4, "time.Now but in tests; its monotonic part counts"},
-	},
 }
 
 func TestEachReadOfTheWallClockIsListed(t *testing.T) {
--- a/internal/wire/decode.go
+++ b/internal/wire/decode.go
@@ -140,7 +140,7 @@
 	case codeEnded:
 		rec.Event, err = r.ended(f)
 	case codeHangup:
-		rec.Event = balance.HangUp{Request: balance.RequestID(f.u64())}
+		rec.Event = balance.ClientGone{Request: balance.RequestID(f.u64())}
 	case codeProbed:
 		rec.Event, err = r.probed(f)
 	case codeHeard:
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -69,7 +69,7 @@
 	if ev := recs[1].Event; ev != any(balance.Timer{Token: 77}) {
 		t.Errorf("alarm: %+v", ev)
 	}
-	if ev := recs[2].Event; ev != any(balance.HangUp{Request: 0xb677a0e6f2b19}) || recs[2].Instance != 5 {
+	if ev := recs[2].Event; ev != any(balance.ClientGone{Request: 0xb677a0e6f2b19}) || recs[2].Instance != 5 {
 		t.Errorf("hangup: %+v", recs[2])
 	}
 	list := recs[3].Event.(balance.ServerList)
