--- a/internal/lab/growth_process.go
+++ b/internal/lab/growth_process.go
@@ -172,7 +172,9 @@
 	var sampled error
 	beside.Go(func() { peak, sampled = samplePeak(driving, p.PID) })
 	beside.Go(func() { d.replace(driving, listed, replaced) })
+	began := time.Now()
 	done, err := load.drive(ctx, d.o.Length)
+	sleep(ctx, time.Until(began.Add(d.o.Length))) // the last request may have been some time ago
 	load.close()
 	driven()
 	beside.Wait()
