--- a/cmd/marblelane/lab.go
+++ b/cmd/marblelane/lab.go
@@ -5,19 +5,15 @@
 	"errors"
 	"fmt"
 	"io"
-	"io/fs"
 	"os"
-	"os/exec"
 	"path/filepath"
 	"slices"
 	"strings"
 	"time"
 
 	"marblelane/internal/lab"
-	"marblelane/internal/lab/crowd"
 	"marblelane/internal/lab/scenario"
 	"marblelane/internal/lab/simulate"
-	plays "marblelane/internal/rollout/model"
 	"marblelane/lab/scenarios"
 )
 
@@ -41,98 +37,6 @@
 	Crowd        labCrowd        `cmd:"" help:"Let more and more sidecars call a list service of fixed capacity at once, on a simulated clock."`
 }
 
-// program names the sidecar that runs play.
-type program struct {
-	Sidecar string `help:"The sidecar's program; else the one beside this command, in bin/, in PATH, or built from the source in this folder." type:"path" placeholder:"FILE"`
-}
-
-// find gives the sidecar's program; done removes what was built.
-func (p *program) find(a *app) (path string, done func(), err error) {
-	done = func() {}
-	if p.Sidecar != "" {
-		if err := executable(p.Sidecar); err != nil {
-			return "", done, fmt.Errorf("--sidecar: %w", err)
-		}
-		return p.Sidecar, done, nil
-	}
-	var places []string
-	if self, err := os.Executable(); err == nil {
-		places = append(places, filepath.Join(filepath.Dir(self), "sidecar"))
-	}
-	for _, place := range append(places, filepath.Join("bin", "sidecar")) {
-		if executable(place) == nil {
-			path, err := filepath.Abs(place)
-			return path, done, err
-		}
-	}
-	if path, err := exec.LookPath("sidecar"); err == nil {
-		return path, done, nil
-	}
-	if text, err := os.ReadFile("go.mod"); err != nil || !strings.HasPrefix(string(text), "module marblelane\n") {
-		return "", done, errors.New("no sidecar beside this command, in bin/ or in PATH: name one with --sidecar, or build it")
-	}
-	dir, err := os.MkdirTemp("", "marblelane-build-")
-	if err != nil {
-		return "", done, fmt.Errorf("build sidecar: %w", err)
-	}
-	done = func() { os.RemoveAll(dir) }
-	fmt.Fprintln(a.errOut, "building sidecar ...")
-	path = filepath.Join(dir, "sidecar")
-	build := exec.CommandContext(a.ctx, "go", "build", "-o", path, "./cmd/sidecar")
-	build.Stderr = a.errOut
-	if err := build.Run(); err != nil {
-		done()
-		return "", func() {}, fmt.Errorf("build sidecar: %w", err)
-	}
-	return path, done, nil
-}
-
-func executable(path string) error {
-	info, err := os.Stat(path)
-	if err != nil {
-		return err
-	}
-	if info.IsDir() || info.Mode()&0o111 == 0 {
-		return fmt.Errorf("%s is no program", path)
-	}
-	return nil
-}
-
-// ready reads a scenario and finds the sidecar's program for it.
-func (p *program) ready(a *app, name string) (s *scenario.Scenario, path string, done func(), err error) {
-	if s, err = load(name); err != nil {
-		return nil, "", nil, err
-	}
-	path, done, err = p.find(a)
-	return s, path, done, err
-}
-
-// load reads a scenario: one that comes with the program by its name, any other by its file.
-//
-// NAME~KIND is a scenario without its faults of the kinds that begin with KIND: what it would be if they were not there.
-func load(name string) (*scenario.Scenario, error) {
-	if whole, kind, cut := strings.Cut(name, "~"); cut {
-		s, err := load(whole)
-		if err != nil {
-			return nil, err
-		}
-		before := len(s.Faults)
-		s.Faults = slices.DeleteFunc(s.Faults, func(f scenario.Fault) bool { return strings.HasPrefix(f.Kind, kind) })
-		if len(s.Faults) == before {
-			return nil, fmt.Errorf("%s has no fault of a kind that begins with %q", whole, kind)
-		}
-		return s, nil
-	}
-	if strings.HasSuffix(name, ".toml") {
-		return scenario.Read(name)
-	}
-	s, err := scenarios.Load(name)
-	if errors.Is(err, fs.ErrNotExist) {
-		return nil, fmt.Errorf("there is no scenario %q: `marblelane lab list` lists them; a file of your own ends in .toml", name)
-	}
-	return s, err
-}
-
 type labRun struct {
 	program
 	Scenario string `arg:"" help:"Name of a scenario (see list), or a file that ends in .toml."`
@@ -395,141 +299,3 @@
 	table(a.out, v)
 	return nil
 }
-
-type labScale struct {
-	program
-	Scenario string `help:"The scenario whose fleet is sized." default:"scale"`
-	Sidecars []int  `help:"Numbers of sidecars." default:"3,30,100"`
-	Servers  []int  `help:"Numbers of stand-in servers." default:"10,100,1000"`
-	JSON     bool   `help:"Print JSON in place of the table." name:"json"`
-}
-
-func (c *labScale) Run(a *app) error {
-	s, path, done, err := c.ready(a, c.Scenario)
-	if err != nil {
-		return err
-	}
-	defer done()
-	points, err := lab.Scale(a.ctx, s, c.Sidecars, c.Servers, lab.Options{Program: path, Log: a.log, Progress: a.errOut})
-	if err != nil {
-		return err
-	}
-	return show(a, c.JSON, points, lab.PrintScale)
-}
-
-type labOverhead struct {
-	program
-	Scenario string `help:"A scenario of fixed work and no faults." default:"overhead"`
-	JSON     bool   `help:"Print JSON in place of the table." name:"json"`
-}
-
-func (c *labOverhead) Run(a *app) error {
-	s, path, done, err := c.ready(a, c.Scenario)
-	if err != nil {
-		return err
-	}
-	defer done()
-	ways, err := lab.MeasureOverhead(a.ctx, s, lab.Options{Program: path, Log: a.log})
-	if err != nil {
-		return err
-	}
-	return show(a, c.JSON, ways, lab.PrintOverhead)
-}
-
-type labListScale struct {
-	Watchers []int `help:"Numbers of watchers." default:"10,100,1000"`
-	Entries  []int `help:"Numbers of entries." default:"200,2000"`
-	JSON     bool  `help:"Print JSON in place of the table." name:"json"`
-}
-
-func (c *labListScale) Run(a *app) error {
-	if slices.Min(append(c.Watchers, c.Entries...)) < 2 {
-		return errors.New("--watchers and --entries are at least 2")
-	}
-	self, err := os.Executable()
-	if err != nil {
-		return fmt.Errorf("the list service's copies are of this program: %w", err)
-	}
-	points, err := lab.ListScale(a.ctx, c.Watchers, c.Entries, lab.Options{Self: self, Progress: a.errOut})
-	if err != nil {
-		return err
-	}
-	return show(a, c.JSON, points, lab.PrintListScale)
-}
-
-type labRouteScale struct {
-	Sidecars  []int `help:"Numbers of sidecars, in this process, beside three real copies of the list service." default:"10,100,300"`
-	Simulated []int `help:"Numbers of simulated sidecars." default:"1000"`
-	JSON      bool  `help:"Print JSON in place of the table." name:"json"`
-}
-
-func (c *labRouteScale) Run(a *app) error {
-	if slices.ContainsFunc(append(slices.Clone(c.Sidecars), c.Simulated...), func(n int) bool { return n < 1 || n > 5000 }) {
-		return errors.New("--sidecars and --simulated are between 1 and 5000")
-	}
-	self, err := os.Executable()
-	if err != nil {
-		return fmt.Errorf("the list service's copies are of this program: %w", err)
-	}
-	points, err := lab.RouteScale(a.ctx, c.Sidecars, lab.Options{Self: self, Progress: a.errOut})
-	if err != nil {
-		return err
-	}
-	if err := show(a, c.JSON, points, lab.PrintRouteScale); err != nil {
-		return err
-	}
-	for _, n := range c.Simulated {
-		r, err := lab.RouteModel(n)
-		if err != nil {
-			return err
-		}
-		if err := show(a, c.JSON, r, func(w io.Writer, r *plays.Result) { lab.PrintRouteModel(w, n, r) }); err != nil {
-			return err
-		}
-	}
-	return nil
-}
-
-type labCrowd struct {
-	Callers  []int         `help:"Numbers of sidecars." default:"10,100,300,1000"`
-	Servers  int           `help:"Lines of the whole list." default:"60"`
-	Capacity []float64     `help:"Lines a second that the service tells." default:"200,1000,4000"`
-	Patience time.Duration `help:"How long a call may wait in turn." default:"2s"`
-	Length   time.Duration `help:"How long the run is." default:"60s"`
-	Pause    time.Duration `help:"Longest pause after a failed call; 0: by ask_within_ms alone." default:"4500ms"`
-	Seed     uint64        `help:"Seed of the sidecars." default:"1"`
-	JSON     bool          `help:"Print JSON in place of the table." name:"json"`
-}
-
-// crowdRow is one line of the table.
-type crowdRow struct {
-	Callers  int     `json:"callers"`
-	Capacity float64 `json:"lines_per_s"`
-	Waste    bool    `json:"waste"`
-	*crowd.Result
-}
-
-func (c *labCrowd) Run(a *app) error {
-	ms := func(d time.Duration) float64 { return float64(d) / float64(time.Millisecond) }
-	var rows []crowdRow
-	for _, n := range c.Callers {
-		for _, capacity := range c.Capacity {
-			for _, waste := range []bool{false, true} {
-				r, err := crowd.Run(crowd.Spec{Callers: n, Servers: c.Servers, Capacity: capacity, Patience: ms(c.Patience), Spread: 100,
-					Length: ms(c.Length), AskWithin: 10000, LongestPause: ms(c.Pause), Waste: waste, Seed: c.Seed})
-				if err != nil {
-					return err
-				}
-				rows = append(rows, crowdRow{n, capacity, waste, r})
-			}
-		}
-	}
-	return show(a, c.JSON, rows, func(w io.Writer, rows []crowdRow) {
-		fmt.Fprintf(w, "%8s %8s %6s %7s %9s %7s %6s %9s %9s %7s\n", "sidecars", "lines/s", "waste", "calls", "answered", "failed",
-			"told", "p50 s", "last s", "useful")
-		for _, r := range rows {
-			fmt.Fprintf(w, "%8d %8.0f %6v %7d %9d %7d %6d %9.1f %9.1f %6.1f%%\n", r.Callers, r.Capacity, r.Waste, r.Calls, r.Answered,
-				r.Failed, r.Told, r.P50/1000, r.Last/1000, 100*r.Useful)
-		}
-	})
-}
--- /dev/null
+++ b/internal/lab/scenario/draw.go
@@ -0,0 +1,289 @@
+package scenario
+
+// This file draws the machines, faults and arrivals of a plan from its seed.
+
+import (
+	"cmp"
+	"fmt"
+	"math"
+	"math/rand/v2"
+	"slices"
+	"strconv"
+	"strings"
+	"time"
+)
+
+func (p *Plan) drawKinds(r *rand.Rand) {
+	for _, k := range p.Scenario.Servers.Kinds {
+		p.Kinds = append(p.Kinds, KindPlan{
+			Slots: int(math.Round(k.Slots.At(r.Float64()))), PauseEvery: k.PauseEvery.At(r.Float64()),
+			Pause: k.Pause.At(r.Float64()), PauseGrow: k.PauseGrow.At(r.Float64()),
+		})
+	}
+}
+
+func (p *Plan) drawServers(r *rand.Rand) {
+	s := p.Scenario
+	var total float64
+	for _, k := range s.Servers.Kinds {
+		total += k.Share
+	}
+	// Kinds by their shares, not by chance: few servers of one draw would have another capacity than asked for.
+	kinds := make([]int, s.Servers.Count)
+	sum, k := s.Servers.Kinds[0].Share/total, 0
+	for i := range kinds {
+		for k+1 < len(s.Servers.Kinds) && (float64(i)+0.5)/float64(len(kinds)) > sum {
+			k++
+			sum += s.Servers.Kinds[k].Share / total
+		}
+		kinds[i] = k
+	}
+	r.Shuffle(len(kinds), func(i, j int) { kinds[i], kinds[j] = kinds[j], kinds[i] })
+	pods := (s.Servers.Count + s.Servers.PodSize - 1) / s.Servers.PodSize
+	limited := int(math.Round(s.Servers.LimitedPods * float64(pods)))
+	order := r.Perm(pods)
+	p.Pods = make([]PodPlan, pods)
+	for i, pod := range order {
+		p.Pods[pod].Limit = 1
+		if i < limited {
+			p.Pods[pod].Limit = s.Servers.PodLimit.At(r.Float64())
+		}
+	}
+	capacity := make([]float64, pods)
+	for i, k := range kinds {
+		sp := ServerPlan{
+			Kind: k, Pod: i / s.Servers.PodSize, Speed: s.Servers.Kinds[k].Speed.At(r.Float64()),
+			UID: fmt.Sprintf("s-%08x", uint32(r.Uint64())),
+		}
+		sp.Zone = s.Network.zoneOf(sp.Pod)
+		p.Servers = append(p.Servers, sp)
+		capacity[sp.Pod] += float64(s.Servers.Kinds[k].Cores) * sp.Speed
+	}
+	for i, c := range capacity {
+		p.Capacity += c * p.Pods[i].Limit
+	}
+}
+
+func (p *Plan) drawSidecars(r *rand.Rand) {
+	s := p.Scenario
+	total := 0.0
+	for i := range s.Sidecars.Count {
+		w := 1.0
+		if cv := s.Sidecars.Skew; cv > 0 {
+			w = lognormal(r, cv)
+		}
+		total += w
+		p.Sidecars = append(p.Sidecars, SidecarPlan{
+			Name: fmt.Sprintf("n%d", i), Zone: i % len(s.Network.Zones), Weight: w, Seed: r.Uint64(),
+		})
+	}
+	for i := range p.Sidecars {
+		p.Sidecars[i].Weight /= total
+	}
+}
+
+func (p *Plan) drawFaults(r *rand.Rand) {
+	s := p.Scenario
+	for _, f := range s.Faults {
+		one := FaultPlan{Fault: f, At: f.At.Of(), Until: f.At.Of() + f.For.Of()}
+		if f.Servers != "" {
+			one.Servers = p.pick(r, f.Servers, s.Servers.Count, true)
+			if f.Zone != "" {
+				one.Servers = slices.DeleteFunc(one.Servers, func(i int) bool { return s.Network.Zones[p.Servers[i].Zone] != f.Zone })
+			}
+		}
+		if f.Sidecars != "" {
+			one.Sidecars = p.withoutLate(p.pick(r, f.Sidecars, len(p.Sidecars), false), f.Kind, one.At)
+		}
+		if faultForms()[f.Kind].turns {
+			for k, i := range one.Sidecars {
+				turn := one
+				turn.At += time.Duration(k) * f.Every.Of()
+				turn.Until, turn.Sidecars = turn.At, []int{i}
+				p.Faults = append(p.Faults, turn)
+			}
+			continue
+		}
+		if f.Every == 0 {
+			if f.Kind == "replace" {
+				one.Fresh = p.spares(one.Servers)
+			}
+			p.Faults = append(p.Faults, one)
+			continue
+		}
+		// Half of each period it is there, half of it not; what happens at once happens each time.
+		form := faultForms()[f.Kind]
+		for at := one.At; at < f.At.Of()+f.For.Of(); at += f.Every.Of() {
+			again := one
+			again.At, again.Until = at, at
+			if form.lasts {
+				again.Until = min(at+f.Every.Of()/2, one.Until)
+			}
+			p.Faults = append(p.Faults, again)
+		}
+	}
+	slices.SortStableFunc(p.Faults, func(a, b FaultPlan) int { return cmp.Compare(a.At, b.At) })
+}
+
+// spares adds a machine like each of the servers, under a name of its own.
+func (p *Plan) spares(like []int) []int {
+	var fresh []int
+	for _, i := range like {
+		sp := p.Servers[i]
+		sp.UID, sp.Spare = fmt.Sprintf("%s-%d", sp.UID, len(p.Servers)), true
+		fresh = append(fresh, len(p.Servers))
+		p.Servers = append(p.Servers, sp)
+	}
+	return fresh
+}
+
+// pick draws what a choice means; checkPick has read it before.
+func (p *Plan) pick(r *rand.Rand, pick string, n int, servers bool) []int {
+	var out []int
+	all := func(is func(int) bool) []int {
+		for i := range n {
+			if is(i) {
+				out = append(out, i)
+			}
+		}
+		return out
+	}
+	what, name, _ := strings.Cut(pick, ":")
+	switch {
+	case pick == "all":
+		return all(func(int) bool { return true })
+	case pick == "late":
+		return all(p.Scenario.Late)
+	case what == "zone":
+		zone := slices.Index(p.Scenario.Network.Zones, name)
+		return all(func(i int) bool {
+			if servers {
+				return p.Servers[i].Zone == zone
+			}
+			return p.Sidecars[i].Zone == zone
+		})
+	case what == "region":
+		return all(func(i int) bool {
+			zone := p.Sidecars[min(i, len(p.Sidecars)-1)].Zone
+			if servers {
+				zone = p.Servers[i].Zone
+			}
+			return strconv.Itoa(p.Scenario.Network.regionOf(zone)) == name
+		})
+	case what == "subset":
+		return slices.Clone(p.Subsets[name])
+	case what == "pod":
+		return all(func(i int) bool { return strconv.Itoa(p.Servers[i].Pod) == name })
+	case what == "kind":
+		return all(func(i int) bool { return p.Scenario.Servers.Kinds[p.Servers[i].Kind].Name == name })
+	case pick[0] == '#':
+		i, _ := strconv.Atoi(pick[1:])
+		return []int{i}
+	}
+	count := 0
+	if share, ok := strings.CutSuffix(pick, "%"); ok {
+		f, _ := strconv.ParseFloat(share, 64)
+		count = max(int(math.Round(f/100*float64(n))), 1)
+	} else {
+		count, _ = strconv.Atoi(pick)
+	}
+	out = r.Perm(n)[:count]
+	slices.Sort(out)
+	return out
+}
+
+func (p *Plan) drawArrivals(r *rand.Rand) {
+	s := p.Scenario
+	classes, meanWork := s.classShares(), s.MeanWork()
+	p.Rate = s.Traffic.Rate
+	if p.Rate == 0 {
+		p.Rate = s.Traffic.Load * p.Capacity / meanWork * 1000
+	}
+	tenants := 0.0
+	for _, t := range s.Tenants {
+		tenants += t.Share * t.Usage
+	}
+	highest := p.Rate * (1 + s.Traffic.Swing)
+	for _, f := range p.Faults {
+		if f.Fault.Kind == "burst" {
+			highest = max(highest, p.Rate*(1+s.Traffic.Swing)*f.Fault.Size)
+		}
+	}
+	// A Poisson process of changing rate by thinning (Lewis and Shedler, 1979).
+	length := s.Length.Of()
+	for at := 0.0; ; {
+		at += r.ExpFloat64() / highest
+		t := time.Duration(at*1e6) * time.Microsecond
+		if t >= length {
+			break
+		}
+		if r.Float64()*highest > p.rateAt(t) {
+			continue
+		}
+		p.Arrivals = append(p.Arrivals, p.drawArrival(r, t, p.hasStarted(p.weighted(r), t), classes, tenants))
+	}
+	p.drawRushes(stream(p.Seed, "rushes"), classes, tenants)
+}
+
+// drawRushes adds the requests that come to one sidecar at once.
+func (p *Plan) drawRushes(r *rand.Rand, classes, tenants float64) {
+	for _, f := range p.Faults {
+		if f.Fault.Kind != "rush" {
+			continue
+		}
+		for range int(f.Fault.Size) {
+			at := f.At + time.Duration(r.Float64()*float64(rushLasts))
+			p.Arrivals = append(p.Arrivals, p.drawArrival(r, at, f.Sidecars[0], classes, tenants))
+		}
+	}
+	slices.SortStableFunc(p.Arrivals, func(a, b Arrival) int { return cmp.Compare(a.At, b.At) })
+}
+
+// drawArrival draws a request that a sidecar is asked for at a time; classes and tenants are the sums of their shares.
+func (p *Plan) drawArrival(r *rand.Rand, at time.Duration, sidecar int, classes, tenants float64) Arrival {
+	s := p.Scenario
+	a := Arrival{At: at, Sidecar: sidecar, Seed: r.Uint64()}
+	a.Class = drawShare(r, len(s.Classes), classes, func(i int) float64 { return s.Classes[i].Share })
+	a.Tenant = drawShare(r, len(s.Tenants), tenants, func(i int) float64 { return s.Tenants[i].Share * s.Tenants[i].Usage })
+	c := &s.Classes[a.Class]
+	w := 1.0
+	switch {
+	case c.Dist == "exp":
+		w = r.ExpFloat64()
+	case c.CV > 0:
+		w = lognormal(r, c.CV)
+	}
+	a.Work = math.Round(c.Work.MS()/s.Traffic.Pace*w*1000) / 1000
+	return a
+}
+
+func (p *Plan) rateAt(t time.Duration) float64 {
+	s := p.Scenario
+	rate := p.Rate * (1 - s.Traffic.Swing*math.Cos(2*math.Pi*float64(t)/float64(s.Length)))
+	for _, f := range p.Faults {
+		if f.Fault.Kind == "burst" && t >= f.At && t < f.Until {
+			rate *= f.Fault.Size
+		}
+	}
+	return rate
+}
+
+func (p *Plan) weighted(r *rand.Rand) int {
+	return drawShare(r, len(p.Sidecars), 1, func(i int) float64 { return p.Sidecars[i].Weight })
+}
+
+func drawShare(r *rand.Rand, n int, total float64, share func(int) float64) int {
+	x := r.Float64() * total
+	for i := range n {
+		if x -= share(i); x < 0 {
+			return i
+		}
+	}
+	return n - 1
+}
+
+// lognormal draws with mean 1 and the coefficient of variation cv.
+func lognormal(r *rand.Rand, cv float64) float64 {
+	v := math.Log1p(cv * cv)
+	return math.Exp(r.NormFloat64()*math.Sqrt(v) - v/2)
+}
