--- a/cmd/marblelane/lab_measure.go
+++ b/cmd/marblelane/lab_measure.go
@@ -1,18 +1,19 @@
 package main
 
+// This file is the commands that measure how the lab and the programs scale.
+
 import (
 	"errors"
 	"fmt"
 	"io"
-	"marblelane/internal/lab"
-	"marblelane/internal/lab/crowd"
-	plays "marblelane/internal/rollout/model"
 	"os"
 	"slices"
 	"time"
-)
 
-// This file is the commands that measure how the lab and the programs scale.
+	"marblelane/internal/lab"
+	"marblelane/internal/lab/crowd"
+	plays "marblelane/internal/rollout/model"
+)
 
 type labScale struct {
 	program
--- a/cmd/marblelane/lab_program.go
+++ b/cmd/marblelane/lab_program.go
@@ -1,19 +1,20 @@
 package main
 
+// This file finds the sidecar's program and reads scenarios, for the commands of the lab.
+
 import (
 	"errors"
 	"fmt"
 	"io/fs"
-	"marblelane/internal/lab/scenario"
-	"marblelane/lab/scenarios"
 	"os"
 	"os/exec"
 	"path/filepath"
 	"slices"
 	"strings"
-)
 
-// This file finds the sidecar's program and reads scenarios, for the commands of the lab.
+	"marblelane/internal/lab/scenario"
+	"marblelane/lab/scenarios"
+)
 
 // program names the sidecar that runs play.
 type program struct {
--- a/internal/audit/series.go
+++ b/internal/audit/series.go
@@ -4,8 +4,9 @@
 
 import (
 	"cmp"
-	"marblelane/internal/route"
 	"slices"
+
+	"marblelane/internal/route"
 )
 
 // series is what is known of the count under one revision: steps with n rising.
--- a/internal/lab/agent/serve.go
+++ b/internal/lab/agent/serve.go
@@ -6,13 +6,14 @@
 	"bufio"
 	"encoding/json"
 	"fmt"
-	"marblelane/internal/lab/record"
-	"marblelane/internal/lab/relay"
 	"net/http"
 	"slices"
 	"strconv"
 	"strings"
 	"time"
+
+	"marblelane/internal/lab/record"
+	"marblelane/internal/lab/relay"
 )
 
 // serve answers the calls on one connection.
--- a/internal/lab/fault_steps.go
+++ b/internal/lab/fault_steps.go
@@ -5,15 +5,16 @@
 import (
 	"context"
 	"fmt"
+	"slices"
+	"strings"
+	"time"
+
 	"marblelane/internal/fault"
 	"marblelane/internal/lab/agent"
 	"marblelane/internal/lab/relay"
 	"marblelane/internal/lab/scenario"
 	"marblelane/internal/lab/stock"
 	"marblelane/internal/tomlfile"
-	"slices"
-	"strings"
-	"time"
 )
 
 // steps turns a fault into what is done and undone. What a server or link suffers is set and taken back on its own,
--- a/internal/lab/memberscale_fleet.go
+++ b/internal/lab/memberscale_fleet.go
@@ -7,9 +7,6 @@
 	"context"
 	"errors"
 	"fmt"
-	"marblelane/internal/lab/gossip"
-	"marblelane/internal/membership"
-	"marblelane/internal/membership/roster"
 	"math"
 	"net/netip"
 	"runtime"
@@ -18,6 +15,10 @@
 	"time"
 
 	"golang.org/x/sys/unix"
+
+	"marblelane/internal/lab/gossip"
+	"marblelane/internal/membership"
+	"marblelane/internal/membership/roster"
 )
 
 // scaleMember is one member with what it was told.
--- a/internal/lab/outcome.go
+++ b/internal/lab/outcome.go
@@ -4,15 +4,16 @@
 
 import (
 	"fmt"
+	"math"
+	"slices"
+	"strings"
+	"time"
+
 	"marblelane/internal/lab/invariant"
 	"marblelane/internal/lab/measure"
 	"marblelane/internal/lab/record"
 	"marblelane/internal/lab/scenario"
 	"marblelane/internal/lab/simulate"
-	"math"
-	"slices"
-	"strings"
-	"time"
 )
 
 // Report is what came of a run.
--- a/internal/lab/registry_clients.go
+++ b/internal/lab/registry_clients.go
@@ -10,8 +10,6 @@
 	"errors"
 	"fmt"
 	"io"
-	"marblelane/internal/lab/record"
-	"marblelane/internal/registry"
 	"math/rand/v2"
 	"net/http"
 	"slices"
@@ -20,6 +18,9 @@
 	"sync"
 	"syscall"
 	"time"
+
+	"marblelane/internal/lab/record"
+	"marblelane/internal/registry"
 )
 
 // writer writes and reads single entries through copies drawn at random, as fast as its pause lets it.
--- a/internal/lab/registry_faults.go
+++ b/internal/lab/registry_faults.go
@@ -8,11 +8,6 @@
 	"encoding/json"
 	"errors"
 	"fmt"
-	"marblelane/internal/fault"
-	"marblelane/internal/lab/process"
-	"marblelane/internal/lab/relay"
-	"marblelane/internal/lab/scenario"
-	"marblelane/internal/registry"
 	"net/http"
 	"os"
 	"path/filepath"
@@ -20,6 +15,12 @@
 	"strconv"
 	"syscall"
 	"time"
+
+	"marblelane/internal/fault"
+	"marblelane/internal/lab/process"
+	"marblelane/internal/lab/relay"
+	"marblelane/internal/lab/scenario"
+	"marblelane/internal/registry"
 )
 
 // faults carries out the scenario's faults, each in its own time, and undoes them at the end of the run.
--- a/internal/lab/registry_result.go
+++ b/internal/lab/registry_result.go
@@ -7,11 +7,12 @@
 	"context"
 	"fmt"
 	"io"
+	"slices"
+	"time"
+
 	"marblelane/internal/lab/invariant"
 	"marblelane/internal/lab/measure"
 	"marblelane/internal/lab/process"
-	"slices"
-	"time"
 )
 
 // RegistryResult is what a run of the list service shows. Times are in milliseconds.
--- a/internal/lab/requestcost_round.go
+++ b/internal/lab/requestcost_round.go
@@ -6,12 +6,13 @@
 	"context"
 	"errors"
 	"fmt"
-	"marblelane/internal/lab/process"
-	"marblelane/internal/membership"
-	"marblelane/internal/membership/view"
 	"slices"
 	"syscall"
 	"time"
+
+	"marblelane/internal/lab/process"
+	"marblelane/internal/membership"
+	"marblelane/internal/membership/view"
 )
 
 // costed is one start of a variant.
--- a/internal/lab/routes_config.go
+++ b/internal/lab/routes_config.go
@@ -4,11 +4,12 @@
 
 import (
 	"fmt"
-	"marblelane/internal/lab/scenario"
 	"os"
 	"path/filepath"
 
 	"github.com/pelletier/go-toml/v2"
+
+	"marblelane/internal/lab/scenario"
 )
 
 // routesKeys are the lines of a copy's configuration that turn routes on.
--- a/internal/lab/routescale_fleet.go
+++ b/internal/lab/routescale_fleet.go
@@ -11,11 +11,6 @@
 	"fmt"
 	"io"
 	"log/slog"
-	"marblelane/internal/lab/process"
-	"marblelane/internal/lab/record"
-	"marblelane/internal/lab/scenario"
-	"marblelane/internal/rollout"
-	"marblelane/internal/routeclient"
 	"net/http"
 	"os"
 	"slices"
@@ -24,6 +19,12 @@
 	"sync"
 	"syscall"
 	"time"
+
+	"marblelane/internal/lab/process"
+	"marblelane/internal/lab/record"
+	"marblelane/internal/lab/scenario"
+	"marblelane/internal/rollout"
+	"marblelane/internal/routeclient"
 )
 
 // fleet is a play's copies and sidecars.
--- a/internal/lab/scenario/fault.go
+++ b/internal/lab/scenario/fault.go
@@ -4,10 +4,11 @@
 
 import (
 	"fmt"
-	"marblelane/internal/fault"
 	"slices"
 	"strconv"
 	"strings"
+
+	"marblelane/internal/fault"
 )
 
 // Fault is one thing that goes wrong, for a while or for good.
--- a/internal/lab/server_faults.go
+++ b/internal/lab/server_faults.go
@@ -4,13 +4,14 @@
 
 import (
 	"context"
+	"time"
+
 	"marblelane/internal/lab/agent"
 	"marblelane/internal/lab/invariant"
 	"marblelane/internal/lab/record"
 	"marblelane/internal/lab/relay"
 	"marblelane/internal/lab/scenario"
 	"marblelane/internal/lab/stock"
-	"time"
 )
 
 // cut makes links silent one way or both; either way new connections never come up.
--- a/internal/lab/sidecar_faults.go
+++ b/internal/lab/sidecar_faults.go
@@ -4,10 +4,11 @@
 
 import (
 	"context"
-	"marblelane/internal/lab/invariant"
-	"marblelane/internal/lab/record"
 	"syscall"
 	"time"
+
+	"marblelane/internal/lab/invariant"
+	"marblelane/internal/lab/record"
 )
 
 // moveDiscovery gives discovery another address and tells the sidecars with SIGHUP.
--- a/internal/lab/sidecar_process.go
+++ b/internal/lab/sidecar_process.go
@@ -7,11 +7,6 @@
 	"encoding/json"
 	"errors"
 	"fmt"
-	"marblelane/internal/fault"
-	"marblelane/internal/lab/invariant"
-	"marblelane/internal/lab/process"
-	"marblelane/internal/lab/record"
-	"marblelane/internal/lab/relay"
 	"net"
 	"os"
 	"path/filepath"
@@ -22,6 +17,12 @@
 	"sync/atomic"
 	"syscall"
 	"time"
+
+	"marblelane/internal/fault"
+	"marblelane/internal/lab/invariant"
+	"marblelane/internal/lab/process"
+	"marblelane/internal/lab/record"
+	"marblelane/internal/lab/relay"
 )
 
 // sidecar is one sidecar with its process, or two during an upgrade.
--- a/internal/lab/stock/visit.go
+++ b/internal/lab/stock/visit.go
@@ -3,10 +3,11 @@
 // This file is a request at a server: its work, and how it ends.
 
 import (
-	"marblelane/internal/lab/record"
-	"marblelane/internal/lab/relay"
 	"sync/atomic"
 	"time"
+
+	"marblelane/internal/lab/record"
+	"marblelane/internal/lab/relay"
 )
 
 // visit is one request on a connection.
--- a/internal/membership/group_identity.go
+++ b/internal/membership/group_identity.go
@@ -4,8 +4,9 @@
 
 import (
 	"fmt"
-	"marblelane/internal/membership/roster"
 	"time"
+
+	"marblelane/internal/membership/roster"
 )
 
 // become starts the library under a name.
--- a/internal/membership/group_messages.go
+++ b/internal/membership/group_messages.go
@@ -3,12 +3,13 @@
 // This file takes in and sends the messages of the fleet.
 
 import (
-	"marblelane/internal/membership/roster"
 	"math/rand/v2"
 	"slices"
 	"time"
 
 	"github.com/hashicorp/memberlist"
+
+	"marblelane/internal/membership/roster"
 )
 
 // take takes in what another process says.
--- a/internal/registry/raft_layer.go
+++ b/internal/registry/raft_layer.go
@@ -4,11 +4,12 @@
 
 import (
 	"errors"
-	"marblelane/internal/listener"
 	"net"
 	"time"
 
 	"github.com/hashicorp/raft"
+
+	"marblelane/internal/listener"
 )
 
 // layer carries raft over TCP. It calls from the address it listens at, so that a firewall can tell the copies apart.
--- a/internal/registry/routes_requests.go
+++ b/internal/registry/routes_requests.go
@@ -8,14 +8,15 @@
 	"errors"
 	"fmt"
 	"io"
-	"marblelane/internal/audit"
-	"marblelane/internal/rollout"
-	"marblelane/internal/route"
 	"math"
 	"net/http"
 	"strconv"
 	"strings"
 	"time"
+
+	"marblelane/internal/audit"
+	"marblelane/internal/rollout"
+	"marblelane/internal/route"
 )
 
 // refusal is why something is not done. Field names what is in the way: of the body, the path or the file of operators.
--- a/internal/registry/routes_tenants.go
+++ b/internal/registry/routes_tenants.go
@@ -4,14 +4,15 @@
 
 import (
 	"fmt"
-	"marblelane/internal/rollout"
-	"marblelane/internal/route"
 	"net/http"
 	"slices"
 	"strconv"
 	"time"
 
 	"golang.org/x/time/rate"
+
+	"marblelane/internal/rollout"
+	"marblelane/internal/route"
 )
 
 // Wish is a rollout as a tenant posts it.
--- a/internal/registry/routes_views.go
+++ b/internal/registry/routes_views.go
@@ -3,13 +3,14 @@
 // This file shows operators the routes, the rollouts and the processes.
 
 import (
-	"marblelane/internal/audit"
-	"marblelane/internal/rollout"
-	"marblelane/internal/route"
 	"math"
 	"net/http"
 	"strconv"
 	"time"
+
+	"marblelane/internal/audit"
+	"marblelane/internal/rollout"
+	"marblelane/internal/route"
 )
 
 // RolloutView is a rollout as it is shown.
--- a/internal/rollout/spec.go
+++ b/internal/rollout/spec.go
@@ -6,10 +6,11 @@
 	"bytes"
 	"encoding/json"
 	"fmt"
-	"marblelane/internal/route"
 	"slices"
 	"strings"
 	"unicode/utf8"
+
+	"marblelane/internal/route"
 )
 
 // Check finds what a posted rollout lacks, and names the field and its bound.
--- a/internal/routeclient/budgets.go
+++ b/internal/routeclient/budgets.go
@@ -4,8 +4,9 @@
 
 import (
 	"context"
-	"marblelane/internal/route"
 	"time"
+
+	"marblelane/internal/route"
 )
 
 // budgetKey names one.
--- a/internal/routeclient/counts.go
+++ b/internal/routeclient/counts.go
@@ -4,8 +4,9 @@
 
 import (
 	"cmp"
-	"marblelane/internal/route"
 	"slices"
+
+	"marblelane/internal/route"
 )
 
 // side names a count within one revision.
--- a/internal/routeclient/reporter.go
+++ b/internal/routeclient/reporter.go
@@ -4,9 +4,10 @@
 
 import (
 	"context"
-	"marblelane/internal/route"
 	"math"
 	"time"
+
+	"marblelane/internal/route"
 )
 
 // reporter is the state of one duty.
