--- /dev/null
+++ b/balance/digest_test.go
@@ -0,0 +1,326 @@
+package balance
+
+import (
+	"crypto/sha256"
+	"encoding/binary"
+	"encoding/hex"
+	"hash"
+	"math"
+	"math/rand"
+	"runtime"
+	"testing"
+)
+
+// wantDigest is the SHA-256 of all actions of TestActionDigest. It changes with each change of a decision, and with no
+// other one: a change that only rearranges code leaves it as it is.
+const wantDigest = "11be903de6e33704fcd380a0c12e45e67196b45b5921888b2bce5e44490d0362"
+
+// digestRuns is how many seeded runs the digest covers, and digestSteps how many events each of them has.
+const (
+	digestRuns  = 24
+	digestSteps = 4000
+)
+
+// digestDriver feeds one balancer random events of every type, and hashes the actions that it returns.
+type digestDriver struct {
+	t      *testing.T
+	rnd    *rand.Rand
+	sum    hash.Hash
+	b      *Balancer
+	cfg    Config
+	now    float64
+	rev    int64
+	live   []digestAttempt
+	open   []RequestID // requests whose body is still coming
+	timers []pendingTimer
+	probes []ServerID
+	sends  map[RequestID]int
+}
+
+// digestAttempt is an attempt that has no outcome yet.
+type digestAttempt struct {
+	request RequestID
+	number  int
+	server  ServerID
+	sent    float64
+}
+
+func TestActionDigest(t *testing.T) {
+	if runtime.GOARCH != "amd64" {
+		t.Skip("other architectures may fuse floating-point operations, which changes last digits")
+	}
+	sum := sha256.New()
+	for seed := range int64(digestRuns) {
+		d := &digestDriver{
+			t: t, rnd: rand.New(rand.NewSource(seed)), sum: sum, cfg: digestConfig(seed), now: 5000,
+			sends: map[RequestID]int{},
+		}
+		d.b = mustNew(t, d.cfg)
+		d.take(d.b.Start(d.now))
+		d.list()
+		for id := RequestID(1); id <= digestSteps; id++ {
+			d.now += d.rnd.ExpFloat64() * 6
+			if d.rnd.Intn(digestSteps/2) == 0 {
+				d.now += 2 * quietTime
+			}
+			d.fire()
+			d.step(id)
+			if id%100 == 0 {
+				d.status()
+			}
+		}
+		d.now += 2 * doubtTime
+		d.fire()
+		d.handle(End{})
+		d.status()
+	}
+	got := hex.EncodeToString(sum.Sum(nil))
+	t.Logf("digest of all actions: %s", got)
+	if got != wantDigest {
+		t.Errorf("digest %s, want %s: a decision has changed", got, wantDigest)
+	}
+}
+
+// digestConfig varies the settings by seed, so that each decision has a part in some run.
+func digestConfig(seed int64) Config {
+	cfg := baseConfig()
+	cfg.Seed, cfg.Number = uint64(seed), int(seed%3)
+	cfg.Cancel, cfg.MaxAttempts, cfg.Subscribe = seed%3 != 0, 1+int(seed%4), seed%5 != 0
+	cfg.ConnectTimeout = 100
+	cfg.Tenants = []Tenant{{Allowance: 50, Share: 0.5}, {Allowance: 50, Share: 0.2}}
+	cfg.Goal = Goal{Whole: 0.5, WorstWindow: 0.2, WorstClass: 0.2, WorstTenant: 0.1}
+	cfg.OverShareWorth = 0.3
+	switch seed % 4 {
+	case 1:
+		cfg.Probes, cfg.Reports, cfg.Fields = true, ReportProbe, []Field{FieldInFlight, FieldQueue, FieldLatency}
+	case 2:
+		cfg.Reports, cfg.Fields = ReportPiggyback, []Field{FieldInFlight, FieldQueue, FieldLatency}
+	}
+	if seed%2 == 0 {
+		cfg.Prices.CrossZone, cfg.Regions, cfg.FarCost = 0.05, []int{0, 0, 1, 1}, 2
+	}
+	if seed%3 == 1 {
+		cfg.Lists, cfg.DoubtShare, cfg.StaleAfter, cfg.LongestPause = 3, 0.2, 40, 4500
+	}
+	return cfg
+}
+
+func (d *digestDriver) step(id RequestID) {
+	switch n := d.rnd.Intn(40); {
+	case n < 16:
+		d.request(id)
+	case n < 30:
+		d.endAttempt()
+	case n < 32:
+		d.list()
+	case n < 34:
+		if len(d.probes) > 0 {
+			s := d.probes[0]
+			d.probes = d.probes[1:]
+			d.handle(ProbeResult{Server: s, Result: []Result{OK, OK, OK, TimedOut}[d.rnd.Intn(4)], Took: 1, Report: d.report()})
+		}
+	case n < 35:
+		d.handle(ClientGone{Request: id - RequestID(d.rnd.Intn(20))})
+	default:
+		d.special()
+	}
+}
+
+func (d *digestDriver) request(id RequestID) {
+	class := d.rnd.Intn(len(d.cfg.Classes))
+	r := Request{
+		ID: id, Class: class, Tenant: d.rnd.Intn(3) - 1, Remaining: d.cfg.Classes[class].Deadline * d.rnd.Float64(),
+		Key: uint64(d.rnd.Intn(50)), Open: d.rnd.Intn(12) == 0, Route: uint64(d.rnd.Intn(20)),
+	}
+	if r.Open {
+		d.open = append(d.open, id)
+	}
+	d.handle(r)
+}
+
+func (d *digestDriver) report() []float32 {
+	return []float32{float32(d.rnd.Intn(6)), float32(d.rnd.Intn(4)), float32(d.rnd.Intn(200))}
+}
+
+// endAttempt gives one attempt, mostly an old one, its outcome.
+func (d *digestDriver) endAttempt() {
+	if len(d.live) == 0 {
+		return
+	}
+	i := d.rnd.Intn(min(len(d.live), 6))
+	a := d.live[i]
+	d.live = append(d.live[:i:i], d.live[i+1:]...)
+	result := []Result{
+		OK, OK, OK, OK, OK, OK, OK, OK, Failed, Full, ConnectFailed, Reset, TimedOut, Broken, LocalFailure,
+		Unreachable, Cancelled, Moot,
+	}[d.rnd.Intn(18)]
+	d.handle(Outcome{
+		Request: a.request, Attempt: a.number, Server: a.server, Result: result, Took: d.now - a.sent,
+		Finished: result == OK, Report: d.report(), Spent: d.rnd.Intn(30) == 0, Void: d.rnd.Intn(40) == 0,
+	})
+}
+
+func (d *digestDriver) list() {
+	kind := []ListKind{ListFull, ListFull, ListCached, ListDelta, ListDelta, ListDelta, ListFailed, ListAlive}[d.rnd.Intn(8)]
+	ev := ServerList{Kind: kind, Busy: d.rnd.Intn(3) == 0, Check: d.rnd.Intn(4) == 0}
+	if d.cfg.Lists > 1 {
+		d.rev += int64(d.rnd.Intn(4)) - 1
+		ev.Rev, ev.Source = d.rev+1<<epochBits, d.rnd.Intn(d.cfg.Lists)
+	}
+	for i := range 14 {
+		if d.rnd.Intn(8) == 0 || kind == ListDelta && d.rnd.Intn(3) > 0 {
+			continue
+		}
+		s := Server{
+			ID: ServerID(i + 1), Rating: 1 + float64(i%3)/2, Cell: i % 5, Zone: i % 4, Kind: i % 2,
+			Place: uint64(1 + d.rnd.Intn(30)), State: []State{Ready, Ready, Ready, Ready, Draining, Gone}[d.rnd.Intn(6)],
+		}
+		if d.rnd.Intn(3) == 0 {
+			s.StartedAt = d.now - 100 + float64(d.rnd.Intn(200))
+		}
+		ev.Servers = append(ev.Servers, s)
+	}
+	d.handle(ev)
+}
+
+// special brings one of the rarer events.
+func (d *digestDriver) special() {
+	switch d.rnd.Intn(13) {
+	case 0:
+		d.handle(FleetSize{Known: 1 + d.rnd.Intn(40), Heard: 1 + d.rnd.Intn(40), Admitted: d.rnd.Intn(5) > 0})
+	case 1:
+		d.handle(Sharing{Parts: 1 + d.rnd.Intn(2)})
+	case 2:
+		if d.cfg.Lists > 1 {
+			d.cfg.Lists = 2 + d.rnd.Intn(3)
+			d.handle(Sources{Lists: d.cfg.Lists})
+		}
+	case 3:
+		if d.rnd.Intn(10) == 0 {
+			d.handle(ClockStepped{Offset: float64(d.rnd.Intn(20000) - 10000)})
+		}
+	case 4, 5:
+		if len(d.live) > 0 {
+			a := d.live[d.rnd.Intn(len(d.live))]
+			d.handle(Connecting{Request: a.request, Attempt: a.number, Up: d.rnd.Intn(2) == 0})
+		}
+	case 6:
+		d.handle(ConnectionReady{Server: ServerID(1 + d.rnd.Intn(14))})
+	case 7:
+		if len(d.live) > 0 {
+			a := d.live[d.rnd.Intn(len(d.live))]
+			d.handle(Started{Request: a.request, Attempt: a.number, Server: a.server, Took: d.now - a.sent})
+		}
+	case 8, 9:
+		if len(d.open) > 0 {
+			id := d.open[0]
+			d.open = d.open[1:]
+			d.handle(Complete{Request: id, Remaining: 200 + 800*d.rnd.Float64()})
+		}
+	case 10:
+		d.routes()
+	case 11:
+		d.handle(CanaryLease{Until: d.now + 2000*d.rnd.Float64()})
+	case 12:
+		id := uint64(7 + d.rnd.Intn(3))
+		d.handle(BudgetGrant{ID: id, Units: int64(d.rnd.Intn(60)), Keep: int64(1 + d.rnd.Intn(8))})
+	}
+}
+
+func (d *digestDriver) routes() {
+	ev := Routes{Rev: 1 + int64(d.rnd.Intn(100))}
+	for tenant := -1; tenant < len(d.cfg.Tenants); tenant++ {
+		if d.rnd.Intn(2) == 0 {
+			continue
+		}
+		ev.List = append(ev.List, Route{
+			Tenant: tenant, Base: Subset{Kinds: []int{d.rnd.Intn(2)}}, Canary: Subset{Cells: []int{d.rnd.Intn(5)}},
+			Share: d.rnd.Float64(), ID: uint64(8 + tenant), Budgeted: d.rnd.Intn(2) == 0, Late: d.rnd.Intn(2) == 0,
+		})
+	}
+	d.handle(ev)
+}
+
+func (d *digestDriver) handle(ev Event) {
+	acts, err := d.b.Handle(d.now, ev)
+	if err != nil {
+		d.t.Fatalf("%#v: %v", ev, err)
+	}
+	d.take(acts)
+}
+
+// take hashes actions and keeps what has to be answered. Texts of log lines are left out.
+func (d *digestDriver) take(acts []Action) {
+	for _, a := range acts {
+		d.hash(a)
+		switch a.Kind {
+		case Send:
+			d.live = append(d.live, digestAttempt{a.Request, d.sends[a.Request], a.Server, d.now})
+			d.sends[a.Request]++
+		case SetTimer:
+			d.timers = append(d.timers, pendingTimer{d.now + a.At, a.Token})
+		case Probe:
+			d.probes = append(d.probes, a.Server)
+		}
+	}
+}
+
+func (d *digestDriver) hash(a Action) {
+	flag := uint64(0)
+	if a.Canary {
+		flag = 1
+	}
+	d.words(
+		uint64(a.Kind), uint64(a.Request), uint64(a.Attempt), uint64(a.Server), math.Float64bits(a.At), a.Token,
+		uint64(a.Source), uint64(a.After), uint64(a.Routes), a.Route, flag,
+	)
+}
+
+// status hashes what the balancer tells of itself.
+func (d *digestDriver) status() {
+	l, z := d.b.List(d.now), d.b.Zones()
+	listed, avoided := d.b.Avoided(d.now)
+	flags := uint64(0)
+	for i, set := range []bool{l.Stale, l.Refused} {
+		if set {
+			flags |= 1 << i
+		}
+	}
+	d.words(
+		uint64(l.Rev), math.Float64bits(l.Age), uint64(l.Source), uint64(l.Doubted), flags, uint64(z.Left),
+		math.Float64bits(z.Spill), math.Float64bits(z.FarSpill), math.Float64bits(z.Evidence), uint64(listed),
+		uint64(avoided), math.Float64bits(d.b.FleetSize()),
+	)
+	for _, p := range d.b.CanaryBudgets() {
+		d.words(p.ID, uint64(p.Granted), uint64(p.Spent), uint64(p.Returned), uint64(p.Out), uint64(p.Short))
+	}
+}
+
+func (d *digestDriver) words(values ...uint64) {
+	for _, v := range values {
+		var word [8]byte
+		binary.LittleEndian.PutUint64(word[:], v)
+		d.sum.Write(word[:])
+	}
+}
+
+// fire brings the timers that are due, each at its own time.
+func (d *digestDriver) fire() {
+	end := d.now
+	for {
+		next := -1
+		for i, p := range d.timers {
+			if p.at <= end && (next < 0 || p.at < d.timers[next].at) {
+				next = i
+			}
+		}
+		if next < 0 {
+			break
+		}
+		p := d.timers[next]
+		d.timers = append(d.timers[:next], d.timers[next+1:]...)
+		d.now = p.at
+		d.handle(Timer{Token: p.token})
+	}
+	d.now = end
+}
--- /dev/null
+++ b/internal/lab/simulate/digest_test.go
@@ -0,0 +1,52 @@
+package simulate_test
+
+import (
+	"context"
+	"crypto/sha256"
+	"encoding/binary"
+	"encoding/hex"
+	"math"
+	"runtime"
+	"testing"
+
+	"marblelane/balance"
+	"marblelane/internal/lab/simulate"
+)
+
+// wantDigest is the SHA-256 of all actions of TestActionDigest. It changes with each change of a decision, and with no
+// other one: a change that only rearranges code leaves it as it is.
+const wantDigest = "7f1fc3babe7d9d794e6c2ef79aa8897db014cc721ca5133a7c4a86b378386d8a"
+
+// TestActionDigest hashes what the balancers of ten simulated scenarios decide, each with a seed of its own.
+func TestActionDigest(t *testing.T) {
+	if runtime.GOARCH != "amd64" {
+		t.Skip("other architectures may fuse floating-point operations, which changes last digits")
+	}
+	sum := sha256.New()
+	for i, name := range []string{
+		"calm", "zone-crash", "zone-lost", "zone-rolls", "zone-grey", "zone-flaps", "overload", "region-lost", "slow-servers",
+		"zone-cut-self",
+	} {
+		observe := func(sidecar int, actions []balance.Action) {
+			for _, a := range actions {
+				for _, v := range []uint64{
+					uint64(sidecar), uint64(a.Kind), uint64(a.Request), uint64(a.Attempt), uint64(a.Server),
+					math.Float64bits(a.At), a.Token, uint64(a.Source), uint64(a.After),
+				} {
+					var word [8]byte
+					binary.LittleEndian.PutUint64(word[:], v)
+					sum.Write(word[:])
+				}
+			}
+		}
+		plan := parse(t, name).Plan(uint64(i + 1))
+		if _, err := simulate.Play(context.Background(), plan, simulate.Options{Observe: observe}); err != nil {
+			t.Fatal(err)
+		}
+	}
+	got := hex.EncodeToString(sum.Sum(nil))
+	t.Logf("digest of all actions: %s", got)
+	if got != wantDigest {
+		t.Errorf("digest %s, want %s: a decision has changed", got, wantDigest)
+	}
+}
--- a/internal/lab/simulate/simulate.go
+++ b/internal/lab/simulate/simulate.go
@@ -35,6 +35,8 @@
 	Change func(sidecar int, cfg *balance.Config)
 	// Progress is told now and then how far the run is, as a share; nil: nobody is.
 	Progress func(share float64)
+	// Observe is given the actions of a sidecar's balancer in order, and must not keep the slice; nil: nobody is.
+	Observe func(sidecar int, actions []balance.Action)
 	// Members lets the fleet of sidecars change, and tells them how many they are; nil: it stays as it is, untold.
 	Members *Members
 }
@@ -103,15 +105,16 @@
 }
 
 type sidecar struct {
-	number int
-	w      *world
-	b      *balance.Balancer
-	cfg    balance.Config
-	tries  map[balance.RequestID]*try
-	idle   map[int][]float64 // by server: until when each kept connection is open
-	heard  map[int]int       // by server: the last change that it was told
-	down   bool              // no process runs
-	life   int               // grows with each end of a process
+	number  int
+	w       *world
+	observe func(sidecar int, actions []balance.Action) // nil: nobody does
+	b       *balance.Balancer
+	cfg     balance.Config
+	tries   map[balance.RequestID]*try
+	idle    map[int][]float64 // by server: until when each kept connection is open
+	heard   map[int]int       // by server: the last change that it was told
+	down    bool              // no process runs
+	life    int               // grows with each end of a process
 }
 
 // Play plays a plan.
@@ -229,7 +232,7 @@
 		if err != nil {
 			return fmt.Errorf("sidecar %d: %w", i, err)
 		}
-		c := &sidecar{number: i, w: w, b: b, cfg: cfg, tries: map[balance.RequestID]*try{}, idle: map[int][]float64{},
+		c := &sidecar{number: i, w: w, observe: o.Observe, b: b, cfg: cfg, tries: map[balance.RequestID]*try{}, idle: map[int][]float64{},
 			heard: map[int]int{}}
 		w.sidecars = append(w.sidecars, c)
 		w.At(0, func() { c.begin(all) })
@@ -267,6 +270,9 @@
 // act does what a balancer wants, in order. What it leads to happens later: the balancer is not called again from here.
 func (c *sidecar) act(actions []balance.Action) {
 	w := c.w
+	if c.observe != nil {
+		c.observe(c.number, actions)
+	}
 	for _, a := range slices.Clone(actions) {
 		t := c.tries[a.Request]
 		switch a.Kind {
