--- a/internal/sidecar/answer.go
+++ b/internal/sidecar/answer.go
@@ -18,7 +18,6 @@
 )
 
 const (
-	maxHeader = 32 << 10
 	// A server that sends a head without end must not fill the memory.
 	mostAnswer = maxHeader + 2*holdMost
 	// holdTime is how long the beginning of an answer of unknown length is held: it may be short.
--- a/internal/sidecar/client_conn.go
+++ b/internal/sidecar/client_conn.go
@@ -198,6 +198,9 @@
 	g.limiter.mu.Unlock()
 }
 
+// transport gives the connection of the system.
+func (g *clientConn) transport() net.Conn { return g.Conn }
+
 // begun tells whether some of a request has come since the last one, and when the connection was last heard of.
 func (g *clientConn) begun() (last time.Time, begun bool) {
 	if at := g.heard.Load(); at != 0 && at != inputClosed {
--- a/internal/sidecar/client_gone_test.go
+++ b/internal/sidecar/client_gone_test.go
@@ -471,6 +471,7 @@
 			}
 			c.clientGone = func() bool { looked.Add(1); left.pass(); return true }
 			l.take(now, arrival{c})
+			open := l.calls[c.ev.ID]
 			left.waitFor(t, 1) // the attempt has passed all other checks
 			if frontendFirst && !c.finish() {
 				t.Fatal("the call is over before its end")
@@ -488,8 +489,8 @@
 			if n := len(l.calls); n != 0 {
 				t.Errorf("%d calls are left", n)
 			}
-			if n := looked.Load(); n != 1 || len(c.attempts) != 1 {
-				t.Errorf("%d attempts, want 1", len(c.attempts))
+			if n := looked.Load(); n != 1 || len(open.attempts) != 1 {
+				t.Errorf("%d attempts, want 1", len(open.attempts))
 			}
 			if n := b.requests.Load() + other.requests.Load(); n != 0 {
 				t.Errorf("servers got %d requests", n)
--- a/internal/sidecar/clock.go
+++ b/internal/sidecar/clock.go
@@ -3,6 +3,7 @@
 // This file converts between the module's milliseconds and Go's times.
 
 import (
+	"math"
 	"time"
 
 	"marblelane/internal/fault"
@@ -24,3 +25,11 @@
 func (c clock) ms(t time.Time) float64 { return c.base + float64(t.Sub(c.start))/1e6 }
 
 func (c clock) time(ms float64) time.Time { return c.start.Add(millis(ms - c.base)) }
+
+// longestTime is more than any time that is waited, and the sum of two still is a duration.
+const longestTime = 100 * 365 * 24 * time.Hour
+
+// millis gives a time in ms as a duration, of longestTime at most: a conversion that overflows would be negative.
+func millis(ms float64) time.Duration {
+	return time.Duration(math.Min(ms*float64(time.Millisecond), float64(longestTime)))
+}
--- a/internal/sidecar/config.go
+++ b/internal/sidecar/config.go
@@ -9,7 +9,6 @@
 	"errors"
 	"fmt"
 	"maps"
-	"math"
 	"net"
 	"net/url"
 	"os"
@@ -55,6 +54,10 @@
 // defaultSockets holds where the configuration sets no limit.
 const defaultSockets = 1024
 
+// fewestReserve is the least number of sockets that the listeners, discovery, the log, the runtime and the management
+// address need.
+const fewestReserve = 24
+
 // fewestSockets is the least that leaves connections for clients and servers beside the reserve.
 const fewestSockets = 2 * fewestReserve
 
@@ -345,11 +348,3 @@
 	}
 	return []string{cfg.Discovery}
 }
-
-// longestTime is more than any time that is waited, and the sum of two still is a duration.
-const longestTime = 100 * 365 * 24 * time.Hour
-
-// millis gives a time in ms as a duration, of longestTime at most: a conversion that overflows would be negative.
-func millis(ms float64) time.Duration {
-	return time.Duration(math.Min(ms*float64(time.Millisecond), float64(longestTime)))
-}
--- /dev/null
+++ b/internal/sidecar/config_memory.go
@@ -0,0 +1,24 @@
+package sidecar
+
+import "math"
+
+const (
+	memoryShare = 0.75 // of the limit; the rest is for what the runtime does not count
+	bodyShare   = 0.15 // of the limit, for bodies of requests that are held
+)
+
+// memory is the part of the limit that the runtime of each of so many processes is held to.
+func (cfg *Config) memory(parts int) int64 {
+	if cfg.MemoryMB == 0 {
+		return math.MaxInt64
+	}
+	return int64(float64(cfg.MemoryMB) * memoryShare * (1 << 20) / float64(parts))
+}
+
+// bodyMemory is what bodies that are held may take, of all processes.
+func (cfg *Config) bodyMemory() int64 {
+	if cfg.MemoryMB == 0 {
+		return math.MaxInt32
+	}
+	return int64(float64(cfg.MemoryMB) * bodyShare * (1 << 20))
+}
--- /dev/null
+++ b/internal/sidecar/config_routes.go
@@ -0,0 +1,109 @@
+package sidecar
+
+// This file is the section routes of the configuration, see docs/routes.md.
+
+import (
+	"bytes"
+	"encoding/json"
+	"errors"
+	"fmt"
+	"hash/fnv"
+	"io"
+	"net"
+	"net/http"
+	"runtime/debug"
+	"slices"
+	"strings"
+
+	"marblelane/internal/route"
+)
+
+const (
+	defaultKeyHeader = "X-Route-Key"
+
+	mostCopies  = 16
+	mostHeader  = 100 // bytes of a header's name
+	headerChars = "-0123456789ABCDEFGHIJKLMNOPQRSTUVWXYZabcdefghijklmnopqrstuvwxyz"
+)
+
+// routesConfig is the section routes.
+type routesConfig struct {
+	addrs     []string
+	schemas   []int
+	keyHeader string
+	digest    string // of the whole file
+}
+
+// routesFile is its JSON form.
+type routesFile struct {
+	Addrs     []string `json:"addrs"`   // of the list services; empty: those of the server list
+	Schemas   []int    `json:"schemas"` // that are read; empty: all that this program reads
+	KeyHeader string   `json:"key_header"`
+}
+
+// routes reads the section; nil: there is none. The digest is for who has the text.
+func (f *file) routes(lists []string) (*routesConfig, error) {
+	if len(f.Routes) == 0 || bytes.Equal(f.Routes, []byte("null")) {
+		return nil, nil
+	}
+	var in routesFile
+	dec := json.NewDecoder(bytes.NewReader(f.Routes))
+	dec.DisallowUnknownFields()
+	if err := dec.Decode(&in); err != nil {
+		return nil, fmt.Errorf("routes: %w", err)
+	}
+	if f.Name == "" {
+		return nil, errors.New("name: empty, and a sidecar with routes is known by it")
+	}
+	if len(in.Addrs) > mostCopies {
+		return nil, fmt.Errorf("routes.addrs: %d addresses, more than %d", len(in.Addrs), mostCopies)
+	}
+	for i, addr := range in.Addrs {
+		if _, _, err := net.SplitHostPort(addr); err != nil {
+			return nil, fmt.Errorf("routes.addrs[%d]: %w", i, err)
+		}
+	}
+	for i, schema := range in.Schemas {
+		if schema < 1 || schema > route.Newest || slices.Contains(in.Schemas[:i], schema) {
+			return nil, fmt.Errorf("routes.schemas[%d]: %d is not between 1 and %d, or there twice", i, schema, route.Newest)
+		}
+	}
+	if in.KeyHeader == "" {
+		in.KeyHeader = defaultKeyHeader
+	}
+	if len(in.KeyHeader) > mostHeader || strings.Trim(in.KeyHeader, headerChars) != "" {
+		return nil, fmt.Errorf("routes.key_header: %.100q is no name of a header", in.KeyHeader)
+	}
+	cfg := &routesConfig{addrs: in.Addrs, schemas: in.Schemas, keyHeader: http.CanonicalHeaderKey(in.KeyHeader)}
+	if len(cfg.addrs) == 0 {
+		cfg.addrs = lists
+	}
+	for schema := 1; len(in.Schemas) == 0 && schema <= route.Newest; schema++ {
+		cfg.schemas = append(cfg.schemas, schema)
+	}
+	return cfg, nil
+}
+
+// key is a request's route key as the module takes it; 0: it has none.
+func (c *routesConfig) key(h http.Header) uint64 {
+	v := h.Get(c.keyHeader)
+	if v == "" {
+		return 0
+	}
+	return max(hashOf(v), 1)
+}
+
+func hashOf(text string) uint64 {
+	h := fnv.New64a()
+	io.WriteString(h, text)
+	return h.Sum64()
+}
+
+// version names the program in reports.
+func version() string {
+	info, ok := debug.ReadBuildInfo()
+	if !ok || info.Main.Version == "" {
+		return "unknown"
+	}
+	return fmt.Sprintf("%.100s", info.Main.Version)
+}
--- a/internal/sidecar/dial.go
+++ b/internal/sidecar/dial.go
@@ -111,7 +111,7 @@
 		p.mu.Unlock()
 		return
 	}
-	head := &headConn{Conn: c}
+	head := newHeadConn(c)
 	left := &io.LimitedReader{R: head}
 	conn := &upConn{Conn: c, in: bufio.NewReader(left), left: left, head: head, up: up, since: time.Now()}
 	wanted := len(up.waiting) > 0
--- a/internal/sidecar/discovery.go
+++ b/internal/sidecar/discovery.go
@@ -58,6 +58,16 @@
 	errMoved   = errors.New("discovery is at another address now")
 )
 
+// listEvent is what a call to discovery has told.
+type listEvent struct {
+	kind   balance.ListKind
+	list   list
+	source int  // which list service, by preference
+	check  bool // it answers a single call, not the watch
+	busy   bool // of a call that failed: the service is there
+	wait   float64
+}
+
 // discovery carries out the module's calls for the server list. Each call or watch that fails or ends is
 // reported once; when to call again is the module's decision.
 type discovery struct {
--- a/internal/sidecar/framing.go
+++ b/internal/sidecar/framing.go
@@ -3,31 +3,30 @@
 import (
 	"bufio"
 	"bytes"
-	"context"
-	"errors"
 	"net"
-	"net/http"
 	"net/textproto"
 	"sync"
 	"time"
 )
 
-var errFraming = errors.New("Transfer-Encoding beside Content-Length, or in a request whose head was not seen")
+// maxHeader bounds the head of a request or an answer, in bytes.
+const maxHeader = 32 << 10
 
-// headListener makes connections keep the head of the request that is being read.
-type headListener struct{ net.Listener }
+// trackedConn is a connection that follows what becomes of the requests on it.
+type trackedConn interface {
+	net.Conn
+	work()               // a request was read whole
+	rest()               // its answer was written
+	transport() net.Conn // the connection of the system
+}
 
-func (l headListener) Accept() (net.Conn, error) {
-	c, err := l.Listener.Accept()
-	if err != nil {
-		return nil, err
-	}
-	conn := &headConn{Conn: c, since: time.Now(), ahead: make(chan struct{}, 1)}
-	if g, ok := c.(*clientConn); ok {
-		systemStates.learn(g.Conn)
-		conn.acceptedLate = g.limiter.acceptsFailed() && sinceLastData(g.Conn) >= lateAccept
-	}
-	return conn, nil
+// newHeadConn keeps the heads of what is read from a connection.
+func newHeadConn(c net.Conn) *headConn { return &headConn{Conn: c} }
+
+// newClientHeadConn keeps the heads of a client's requests, and tells in a channel that something was read. Late: the
+// first request may have waited before the connection was accepted.
+func newClientHeadConn(c net.Conn, late bool) *headConn {
+	return &headConn{Conn: c, since: time.Now(), ahead: make(chan struct{}, 1), acceptedLate: late}
 }
 
 // headConn keeps a request's head as it came. net/http drops a Content-Length that stands beside a
@@ -83,8 +82,8 @@
 
 // next drops the head: its request has been answered.
 func (c *headConn) next() {
-	if g, ok := c.Conn.(*clientConn); ok {
-		g.rest()
+	if tracked, ok := c.Conn.(trackedConn); ok {
+		tracked.rest()
 	}
 	c.mu.Lock()
 	c.head, c.whole, c.since = c.head[:0], false, time.Time{}
@@ -94,22 +93,22 @@
 
 // work tells that the head is whole and its request at work.
 func (c *headConn) work() {
-	if g, ok := c.Conn.(*clientConn); ok {
-		g.work()
+	if tracked, ok := c.Conn.(trackedConn); ok {
+		tracked.work()
 	}
 }
 
 // limitBuffer keeps the system from taking megabytes of an answer for a slow client.
 func (c *headConn) limitBuffer() {
-	if g, ok := c.Conn.(*clientConn); ok {
-		limitBuffer(g.Conn)
+	if tracked, ok := c.Conn.(trackedConn); ok {
+		limitBuffer(tracked.transport())
 	}
 }
 
 // reset makes the connection end with an error.
 func (c *headConn) reset() {
-	if g, ok := c.Conn.(*clientConn); ok {
-		if tcp, ok := g.Conn.(interface{ SetLinger(seconds int) error }); ok {
+	if tracked, ok := c.Conn.(trackedConn); ok {
+		if tcp, ok := tracked.transport().(interface{ SetLinger(seconds int) error }); ok {
 			_ = repeatQuery(func() error { return tcp.SetLinger(0) }) // at worst the end is an orderly one
 		}
 	}
@@ -128,11 +127,11 @@
 	if extra != length {
 		return length >= 0 && extra > length
 	}
-	g, ok := c.Conn.(*clientConn)
+	tracked, ok := c.Conn.(trackedConn)
 	if !ok {
 		return false
 	}
-	_, unread := peek(g.Conn)
+	_, unread := peek(tracked.transport())
 	return unread
 }
 
@@ -163,48 +162,16 @@
 	c.mu.Lock()
 	late := c.acceptedLate
 	c.mu.Unlock()
-	g, ok := c.Conn.(*clientConn)
+	tracked, ok := c.Conn.(trackedConn)
 	if !late || !ok {
 		return now
 	}
-	if waited := sinceLastData(g.Conn); waited >= lateAccept {
+	if waited := sinceLastData(tracked.transport()); waited >= lateAccept {
 		return now.Add(-waited)
 	}
 	return now
 }
 
-// receivedAt is when the last byte of a request came that has just been read.
-func receivedAt(r *http.Request) time.Time {
-	if c, ok := r.Context().Value(connKey{}).(*headConn); ok {
-		return c.received()
-	}
-	return time.Now()
-}
-
-type connKey struct{}
-
-// withConn lets handlers find their connection.
-func withConn(ctx context.Context, c net.Conn) context.Context {
-	return context.WithValue(ctx, connKey{}, c)
-}
-
-// checkFraming refuses a request whose end two headers tell (RFC 9112, 6.3). HTTP/1.0 knows no chunks, and
-// net/http reads such a request by its Content-Length alone.
-func checkFraming(r *http.Request) error {
-	if len(r.TransferEncoding) == 0 && r.ProtoAtLeast(1, 1) {
-		return nil
-	}
-	c, ok := r.Context().Value(connKey{}).(*headConn)
-	if !ok {
-		return errFraming
-	}
-	switch chunked, length, err := c.lengths(); {
-	case err != nil, chunked != (len(r.TransferEncoding) > 0), chunked && length:
-		return errFraming
-	}
-	return nil
-}
-
 // lengths tells by which headers the head says where its message ends.
 func (c *headConn) lengths() (chunked, length bool, err error) {
 	c.mu.Lock()
--- a/internal/sidecar/frontend.go
+++ b/internal/sidecar/frontend.go
@@ -11,21 +11,12 @@
 	"time"
 )
 
-// Final answers other than 200. 429 and 503 tell the client that trying again is harmless, so nothing else
-// here may answer with them.
-const (
-	statusRefused  = http.StatusServiceUnavailable
-	statusFailed   = http.StatusBadGateway
-	statusTimedOut = http.StatusGatewayTimeout
-)
-
 const (
 	apiPath   = "/api"
 	readyPath = "/health/ready"
 
 	// overdueWait is how long past deadline and answer slack the module is waited for; sockets allow 50 ms.
 	overdueWait = 25 * time.Millisecond
-	maxWait     = time.Hour // the longest X-Timeout-Ms
 	// peerWait is for a whole request, from when its connection or its first byte came: who says nothing or
 	// stops halfway is owed an end within 3 s of connecting.
 	peerWait  = 2500 * time.Millisecond
@@ -253,6 +244,6 @@
 	if states == nil {
 		states = systemStates
 	}
-	c.clientGone = func() bool { return r.Context().Err() != nil || conn.clientGone(states) }
+	c.clientGone = func() bool { return r.Context().Err() != nil || clientGone(conn, states) }
 	return conn
 }
--- a/internal/sidecar/handover.go
+++ b/internal/sidecar/handover.go
@@ -4,12 +4,10 @@
 	"context"
 	"errors"
 	"fmt"
-	"hash/fnv"
 	"io"
 	"log/slog"
 	"net"
 	"os"
-	"path/filepath"
 	"sync"
 	"sync/atomic"
 	"syscall"
@@ -35,18 +33,6 @@
 	listWait = 1500 * time.Millisecond
 )
 
-// meetingPlace is where two processes for the same address meet; empty: they cannot. Without a management
-// address nobody upgrades, and an address of the system's choice is never the same.
-func (cfg *Config) meetingPlace() string {
-	_, port, err := net.SplitHostPort(cfg.Listen)
-	if cfg.Management == "" || cfg.tempDir == "" || err != nil || port == "0" {
-		return ""
-	}
-	h := fnv.New64a()
-	io.WriteString(h, cfg.Listen)
-	return filepath.Join(cfg.tempDir, fmt.Sprintf("serving-%016x", h.Sum64()))
-}
-
 // listen binds the clients' address so that a process without a predecessor to ask can share it too.
 func listen(cfg *Config) (net.Listener, error) {
 	var lc net.ListenConfig
--- a/internal/sidecar/limits.go
+++ b/internal/sidecar/limits.go
@@ -57,22 +57,6 @@
 	}
 }
 
-// memory is the part of the limit that the runtime of each of so many processes is held to.
-func (cfg *Config) memory(parts int) int64 {
-	if cfg.MemoryMB == 0 {
-		return math.MaxInt64
-	}
-	return int64(float64(cfg.MemoryMB) * memoryShare * (1 << 20) / float64(parts))
-}
-
-// bodyMemory is what bodies that are held may take, of all processes.
-func (cfg *Config) bodyMemory() int64 {
-	if cfg.MemoryMB == 0 {
-		return math.MaxInt32
-	}
-	return int64(float64(cfg.MemoryMB) * bodyShare * (1 << 20))
-}
-
 // limitMemory holds to a part what Limit has limited.
 func limitMemory(cfg *Config, parts int) {
 	before := debug.SetMemoryLimit(-1)
--- a/internal/sidecar/loop.go
+++ b/internal/sidecar/loop.go
@@ -16,38 +16,25 @@
 // inboxSize lets socket goroutines hand over what they have while the loop is at work.
 const inboxSize = 1024
 
-// What the loop is handed.
-type (
-	arrival         struct{ call *call }
-	clientGoneEvent struct{ call *call } // the client is gone, or its answer was overdue
-	bodyComplete    struct{ call *call } // its body has come to its end
-	answerStarted   struct {             // an answer that is passed on as it comes
-		attempt *attempt
-		answer  answer
-	}
-	connecting struct { // an attempt has no kept connection, or has the new one
-		attempt *attempt
-		up      bool
-	}
-	connectionReady struct{ up *upstream } // by a connection that nobody waits for any more
-	outcome         struct {
-		attempt *attempt
-		reply   reply
-	}
-	probed struct {
-		up    *upstream
-		from  float64
-		reply reply
-	}
-	listEvent struct { // from discovery
-		kind   balance.ListKind
-		list   list
-		source int  // which list service, by preference
-		check  bool // it answers a single call, not the watch
-		busy   bool // of a call that failed: the service is there
-		wait   float64
-	}
-)
+// outcome is the end of an attempt.
+type outcome struct {
+	attempt *attempt
+	reply   reply
+}
+
+// probed is the end of a health check.
+type probed struct {
+	up    *upstream
+	from  float64
+	reply reply
+}
+
+// openCall is a call that is not ended, with its attempts in order.
+type openCall struct {
+	*call
+	attempts []*attempt
+	live     int // attempts without an outcome
+}
 
 // loop is the one owner of the module, its timers and the table of requests. Nothing in it blocks on I/O.
 type loop struct {
@@ -64,7 +51,7 @@
 	ctx     context.Context // ends all attempts and probes
 	workers sync.WaitGroup
 
-	calls     map[balance.RequestID]*call
+	calls     map[balance.RequestID]*openCall
 	lastID    balance.RequestID
 	servers   map[balance.ServerID]*upstream // those that are ready
 	timers    timers
@@ -80,7 +67,7 @@
 	l := &loop{
 		cfg: cfg, clock: c, steps: newStepWatch(c, cfg.faults), bal: bal, pool: ups, figures: ups.figures,
 		inbox: make(chan any, inboxSize), stopped: make(chan struct{}),
-		calls: map[balance.RequestID]*call{}, servers: map[balance.ServerID]*upstream{},
+		calls: map[balance.RequestID]*openCall{}, servers: map[balance.ServerID]*upstream{},
 	}
 	ups.offer, ups.stopped = l.post, l.stopped
 	return l
@@ -104,16 +91,8 @@
 	l.act(now, l.bal.Start(now))
 	l.takeListEvent(now, listEvent{kind: balance.ListCached, list: l.cfg.known})
 	l.publish(now)
-	defer l.startRoutes()()
-	var steered <-chan struct{}
-	if l.routing != nil {
-		steered = l.routing.wake
-	}
-	defer l.startMembers()()
-	var met <-chan struct{}
-	if l.members != nil {
-		met = l.members.wake
-	}
+	defer l.routing.start(func(f func()) { l.workers.Go(f) })()
+	defer l.members.start()()
 	alarm := time.NewTimer(time.Hour)
 	defer alarm.Stop()
 	var publish <-chan time.Time
@@ -140,9 +119,9 @@
 		case <-alarm.C:
 			l.timersRan = l.clock.ms(time.Now())
 			l.fire(l.timersRan)
-		case <-steered:
-			l.takeSteer(l.clock.ms(time.Now()))
-		case <-met:
+		case <-l.routing.woken():
+			l.routing.take(l.clock.ms(time.Now()))
+		case <-l.members.woken():
 			l.takeMembers(l.clock.ms(time.Now()))
 		case <-publish:
 			l.lookAtClock(l.clock.ms(time.Now()))
@@ -174,7 +153,7 @@
 	case arrival:
 		l.lastID++
 		ev.call.ev.ID = l.lastID
-		l.calls[l.lastID] = ev.call
+		l.calls[l.lastID] = &openCall{call: ev.call}
 		request := ev.call.ev
 		if request.Open = ev.call.out.upload != nil; request.Open {
 			request.Remaining = float64(ev.call.wait) / float64(time.Millisecond)
@@ -185,8 +164,10 @@
 	case bodyComplete:
 		c := ev.call
 		c.deadline = c.out.upload.whole().Add(c.wait)
-		for _, a := range c.attempts {
-			a.from = now
+		if open := l.calls[c.ev.ID]; open != nil {
+			for _, a := range open.attempts {
+				a.from = now
+			}
 		}
 		l.tell(now, balance.Complete{Request: c.ev.ID, Remaining: l.clock.ms(c.deadline) - now})
 	case answerStarted:
@@ -216,6 +197,14 @@
 	}
 }
 
+// takeMembers brings what is known of the fleet to the module.
+func (l *loop) takeMembers(now float64) {
+	if size, known := l.members.told(); known {
+		l.tell(now, size)
+		l.members.setBelieved(l.bal.FleetSize())
+	}
+}
+
 // takeClientGone ends a call to which nobody listens any more.
 func (l *loop) takeClientGone(now float64, c *call) {
 	l.concluded(c)
@@ -240,7 +229,9 @@
 func (l *loop) takeOutcome(now float64, a *attempt, r reply) {
 	a.cancel()
 	c := a.call
-	c.live--
+	if open := l.calls[c.ev.ID]; open != nil {
+		open.live--
+	}
 	if r.result == balance.OK && c.finish() {
 		c.answers <- r.answer
 		l.concluded(c)
@@ -254,7 +245,7 @@
 		took = a.took
 	}
 	if a.look != nil {
-		l.count(now, a, &r, took)
+		l.routing.countOutcome(now, a.look, c, &r, took, a.took > 0)
 	}
 	l.tell(now, balance.Outcome{
 		Request: c.ev.ID, Attempt: a.number, Server: a.up.id, Result: r.result, Took: took,
@@ -265,7 +256,11 @@
 
 // concluded stops what has not been sent yet: after the final answer nothing more is.
 func (l *loop) concluded(c *call) {
-	for _, a := range c.attempts {
+	open := l.calls[c.ev.ID]
+	if open == nil {
+		return
+	}
+	for _, a := range open.attempts {
 		if !a.sent.Load() {
 			a.cancel()
 		}
@@ -274,7 +269,7 @@
 
 // forget drops a call that is answered and has nothing out.
 func (l *loop) forget(c *call) {
-	if c.live == 0 && c.final.Load() {
+	if open := l.calls[c.ev.ID]; open != nil && open.live == 0 && c.final.Load() {
 		delete(l.calls, c.ev.ID)
 	}
 }
--- a/internal/sidecar/loop_actions.go
+++ b/internal/sidecar/loop_actions.go
@@ -62,7 +62,7 @@
 		up = &upstream{id: act.Server}
 		up.retired.Store(true)
 	}
-	a := &attempt{call: c, number: len(c.attempts), up: up, look: l.look(now, c, act), from: now, cut: cut}
+	a := &attempt{call: c.call, number: len(c.attempts), up: up, look: l.routing.check(now, c.call, act), from: now, cut: cut}
 	a.ctx, a.cancel = context.WithCancel(l.ctx)
 	c.attempts = append(c.attempts, a)
 	c.live++
@@ -84,7 +84,7 @@
 	if c == nil || !c.finish() {
 		return
 	}
-	l.concluded(c)
+	l.concluded(c.call)
 	switch {
 	case act.Kind == balance.Refuse:
 		c.answers <- answer{status: statusRefused, retryAfter: act.At}
@@ -93,5 +93,5 @@
 	default:
 		c.answers <- answer{status: statusFailed}
 	}
-	l.forget(c)
+	l.forget(c.call)
 }
--- a/internal/sidecar/management.go
+++ b/internal/sidecar/management.go
@@ -5,15 +5,12 @@
 	"log/slog"
 	"net"
 	"net/http"
-	"time"
 )
 
 const (
 	healthPath = "/healthcheck"
 	statsPath  = "/stats"
 
-	// manageWait is for a whole call, and for its answer to be taken.
-	manageWait    = 2 * time.Second
 	maxManageHead = 8 << 10
 )
 
@@ -36,7 +33,7 @@
 
 func (s *Sidecar) manage(w http.ResponseWriter, r *http.Request) {
 	if isMembers(r.URL.Path) {
-		s.serveMembers(w, r)
+		s.loop.members.serve(w, r)
 		return
 	}
 	if r.URL.Path != healthPath && r.URL.Path != statsPath {
--- a/internal/sidecar/members.go
+++ b/internal/sidecar/members.go
@@ -4,10 +4,7 @@
 // of it runs.
 
 import (
-	"bytes"
 	"context"
-	"encoding/json"
-	"errors"
 	"fmt"
 	"io"
 	"log/slog"
@@ -20,7 +17,6 @@
 
 	"marblelane/balance"
 	"marblelane/internal/membership"
-	"marblelane/internal/membership/addrcheck"
 	"marblelane/internal/membership/roster"
 	"marblelane/internal/streamlimit"
 )
@@ -28,11 +24,8 @@
 const (
 	membersPath = "/members"
 	leavePath   = membersPath + "/leave"
-	roleSidecar = "sidecar"
 	// mostWatchers of /members may be there at once: the management address has few places.
 	mostWatchers = 2
-	// longestVersion is what a member may say.
-	longestVersion = 64
 
 	// leaveWait is how long the end of the process waits at most until it is told that it leaves.
 	leaveWait = 300 * time.Millisecond
@@ -43,47 +36,6 @@
 	bindBeside = 250 * time.Millisecond
 )
 
-// membersConfig is the section members.
-type membersConfig struct {
-	group membership.Config
-	text  string // of the section
-}
-
-// members reads the section; nil: there is none.
-func (f *file) members(zone string, peers int) (*membersConfig, error) {
-	if len(f.Members) == 0 || bytes.Equal(f.Members, []byte("null")) {
-		return nil, nil
-	}
-	var in membership.Section
-	dec := json.NewDecoder(bytes.NewReader(f.Members))
-	dec.DisallowUnknownFields()
-	if err := dec.Decode(&in); err != nil {
-		return nil, fmt.Errorf("members: %w", err)
-	}
-	if f.Name == "" {
-		return nil, errors.New("name: empty, and a member is known by it")
-	}
-	group, err := in.Config() // its errors name the key
-	if err != nil {
-		return nil, err
-	}
-	var text bytes.Buffer
-	if err := json.Compact(&text, f.Members); err != nil {
-		return nil, fmt.Errorf("members: %w", err)
-	}
-	group.Name, group.Zone, group.Role, group.Peers = f.Name, zone, roleSidecar, peers
-	group.Version = fmt.Sprintf("%.*s", longestVersion, version())
-	if err := addrcheck.Check(group); err != nil {
-		return nil, fmt.Errorf("this sidecar as a member: %w", err)
-	}
-	return &membersConfig{group, text.String()}, nil
-}
-
-// sameMembers tells whether two configurations mean the same members.
-func sameMembers(a, b *membersConfig) bool {
-	return a == nil && b == nil || a != nil && b != nil && a.text == b.text
-}
-
 // members is the loop's part; nil where there is none.
 type members struct {
 	cfg    membership.Config
@@ -128,9 +80,19 @@
 	}
 }
 
-// startMembers begins the duty. It ends with the loop, if it has not before.
-func (l *loop) startMembers() (end func()) {
-	m := l.members
+// woken is the channel that tells of news; nil: membership is off.
+func (m *members) woken() <-chan struct{} {
+	if m == nil {
+		return nil
+	}
+	return m.wake
+}
+
+// setBelieved notes the number of processes that the module goes by.
+func (m *members) setBelieved(size float64) { m.believed.Store(math.Float64bits(size)) }
+
+// start begins the duty. It ends with the loop, if it has not before.
+func (m *members) start() (end func()) {
 	if m == nil {
 		return func() {}
 	}
@@ -147,17 +109,6 @@
 	return balance.FleetSize{Known: v.Known, Heard: v.Heard, Admitted: v.Admitted && !m.left.Load()}, true
 }
 
-// takeMembers brings what is known of the fleet to the module.
-func (l *loop) takeMembers(now float64) {
-	m := l.members
-	s, ok := m.told()
-	if !ok {
-		return
-	}
-	l.tell(now, s)
-	m.believed.Store(math.Float64bits(l.bal.FleetSize()))
-}
-
 // run is the duty: it joins, says in the log whether this process takes its part, and leaves.
 func (m *members) run() {
 	defer close(m.ended)
@@ -254,9 +205,8 @@
 	}
 }
 
-// serveMembers passes a call of the management address on to the group.
-func (s *Sidecar) serveMembers(w http.ResponseWriter, r *http.Request) {
-	m := s.loop.members
+// serve passes a call of the management address on to the group.
+func (m *members) serve(w http.ResponseWriter, r *http.Request) {
 	if m == nil {
 		http.NotFound(w, r)
 		return
--- a/internal/sidecar/pool.go
+++ b/internal/sidecar/pool.go
@@ -10,17 +10,13 @@
 	"slices"
 	"sync"
 	"sync/atomic"
-	"syscall"
 	"time"
 
 	"marblelane/balance"
 )
 
 const (
-	// sendBuffer keeps the system from taking megabytes for a slow peer, and from waking a writer only once a third
-	// of them is gone.
-	sendBuffer = 64 << 10
-	idleShare  = 0.85 // of the time after which a server closes an idle connection
+	idleShare = 0.85 // of the time after which a server closes an idle connection
 	// restTime is for how long a connection that has just carried an answer is left alone where others are idle: a
 	// second answer may come some milliseconds late (STANDING), and nothing tells it from that to the next request.
 	restTime = 10 * time.Millisecond
@@ -97,12 +93,6 @@
 	return p
 }
 
-func limitBuffer(c net.Conn) {
-	if tcp, ok := c.(interface{ SetWriteBuffer(int) error }); ok {
-		tcp.SetWriteBuffer(sendBuffer)
-	}
-}
-
 // keep holds an idle connection; the caller holds the lock.
 func (p *upstreams) keep(conn *upConn) {
 	closed := conn.up.retired.Load() || p.dials.Err() != nil // retire or closeAll has closed the idle ones
@@ -125,70 +115,6 @@
 	return open && !unread
 }
 
-// peek tells whether a connection is known to be open, and whether it holds what nobody has read yet.
-func peek(c net.Conn) (open, unread bool) {
-	state := peekState(c)
-	return state == peekQuiet || state == peekUnread, state == peekUnread
-}
-
-// peekResult is what a look at a connection tells, which takes nothing from it.
-type peekResult uint8
-
-const (
-	peekUnknown peekResult = iota // the look itself failed
-	peekQuiet                     // open, with nothing to read
-	peekUnread                    // it holds what nobody has read yet
-	peekEnded                     // its other end has closed or broken it, or this one has closed it
-)
-
-// mostPeeks is how often a look that is interrupted is made.
-const mostPeeks = 10
-
-// peekState looks at a connection.
-func peekState(c net.Conn) peekResult {
-	tcp, ok := c.(syscall.Conn)
-	if !ok {
-		return peekUnknown
-	}
-	raw, err := tcp.SyscallConn()
-	if err != nil {
-		return peekUnknown
-	}
-	var state peekResult
-	// Control, as a reader may be waiting on the connection.
-	err = raw.Control(func(fd uintptr) {
-		var first [1]byte
-		state = peekWith(func() (int, error) {
-			n, _, err := syscall.Recvfrom(int(fd), first[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
-			return n, err
-		})
-	})
-	if err != nil {
-		return peekEnded // closed by this end
-	}
-	return state
-}
-
-// peekWith looks with a call that tells how many bytes there are, up to one, and leaves them to be read.
-func peekWith(receive func() (int, error)) peekResult {
-	for range mostPeeks {
-		n, err := receive()
-		switch {
-		case err == syscall.EINTR:
-			continue
-		case err == syscall.EAGAIN:
-			return peekQuiet
-		case n > 0:
-			return peekUnread
-		case err == nil, endedErrnos.has(err):
-			return peekEnded
-		default:
-			return peekUnknown
-		}
-	}
-	return peekUnknown
-}
-
 // takeIdle takes the newest connection that has rested, or the one that has rested longest; nil: there is none.
 func (p *upstreams) takeIdle(up *upstream) *upConn {
 	p.mu.Lock()
--- a/internal/sidecar/request.go
+++ b/internal/sidecar/request.go
@@ -4,6 +4,7 @@
 
 import (
 	"context"
+	"net/http"
 	"sync"
 	"sync/atomic"
 	"time"
@@ -11,6 +12,17 @@
 	"marblelane/balance"
 )
 
+// Final answers other than 200. 429 and 503 tell the client that trying again is harmless, so nothing else
+// here may answer with them.
+const (
+	statusRefused  = http.StatusServiceUnavailable
+	statusFailed   = http.StatusBadGateway
+	statusTimedOut = http.StatusGatewayTimeout
+)
+
+// maxWait is the longest X-Timeout-Ms.
+const maxWait = time.Hour
+
 // call is a client's request. Who sets final owes the client the one answer.
 type call struct {
 	ev       balance.Request
@@ -25,9 +37,6 @@
 
 	final   atomic.Bool
 	writing sync.Mutex // held from the last check before an attempt's first byte to its last byte
-
-	attempts []*attempt // the loop's alone, as is live
-	live     int
 }
 
 // finish reports whether the caller is the one to answer.
--- a/internal/sidecar/routes_test.go
+++ b/internal/sidecar/routes_test.go
@@ -308,11 +308,11 @@
 	r.acts(5, true)
 	due := time.NewTimer(time.Hour)
 	defer due.Stop()
-	l := &loop{routing: &routing{client: r.loop.routing.client, tenants: []string{"kita"}, routed: map[int]routedBy{0: {}}, due: due}}
+	duty := &routing{client: r.loop.routing.client, tenants: []string{"kita"}, routed: map[int]routedBy{0: {}}, due: due}
 	passedOn, held := &call{out: &outbound{upload: newUpload(-1, nil)}}, &call{out: &outbound{}}
 	var looks []*routeCheck
 	for _, c := range []*call{passedOn, held} {
-		k := l.look(0, c, &balance.Action{Routes: 5})
+		k := duty.check(0, c, &balance.Action{Routes: 5})
 		require.EqualValues(t, 5, k.expect())
 		looks = append(looks, k)
 	}
--- a/internal/sidecar/sidecar.go
+++ b/internal/sidecar/sidecar.go
@@ -5,7 +5,6 @@
 	"fmt"
 	"log/slog"
 	"net"
-	"net/http"
 	"os"
 	"sync"
 	"sync/atomic"
@@ -19,17 +18,14 @@
 const (
 	// A part of the sockets is for the listeners, discovery, the log, the runtime and the management address.
 	reservedShare = 1. / 6
-	fewestReserve = 24
 	mostReserve   = 64
 	manageShare   = 0.25 // of the reserve, for connections to the management address
 	clientShare   = 0.55 // of the rest, for clients; servers have what is left
 	keepShare     = 0.75 // of the client connections: beyond it they are closed between requests
 
-	memoryShare = 0.75     // of the limit; the rest is for what the runtime does not count
-	bodyShare   = 0.15     // of the limit, for bodies of requests that are held
-	takenShare  = 0.5      // of the limit, for all else of requests at a time
-	takenCost   = 96 << 10 // that a long body or answer takes on its way: buffers, connections and stacks
-	gcPercent   = 400      // garbage is small beside the limit, and there is one core
+	takenShare = 0.5      // of the limit, for all else of requests at a time
+	takenCost  = 96 << 10 // that a long body or answer takes on its way: buffers, connections and stacks
+	gcPercent  = 400      // garbage is small beside the limit, and there is one core
 
 	// drainAccept is how long connections are taken after SIGTERM: new ones come for up to 0.4 s.
 	drainAccept = 500 * time.Millisecond
@@ -140,6 +136,7 @@
 	}
 	l := newLoop(cfg, bal, newUpstreams(cfg, all.servers))
 	l.routing = routing
+	l.routing.attach(l, bal, l.clock, cfg.balance.Classes)
 	l.disc = newDiscovery(cfg.lists(), cfg.MemoryMB, l.post, func(f func()) { l.workers.Go(f) })
 	if cfg.balance.DrainGrace > 0 {
 		l.disc.lag = lagOf(cfg.balance.DrainGrace)
@@ -249,29 +246,6 @@
 	return s.drain(srv)
 }
 
-// followConns lets the room know what net/http does with its connections. A request is at work once its head has been
-// read: from then on net/http reads ahead, and its handler may not have run yet.
-func followConns(srv *http.Server) *http.Server {
-	changed, handler := srv.ConnState, srv.Handler
-	srv.ConnState = func(c net.Conn, state http.ConnState) {
-		if c, ok := c.(*headConn); ok && state == http.StateActive {
-			c.work()
-		}
-		changed(c, state)
-	}
-	srv.Handler = http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		whole := false
-		defer func() {
-			if c, ok := r.Context().Value(connKey{}).(*headConn); ok && !whole {
-				c.Conn.(*clientConn).cutOff()
-			}
-		}()
-		handler.ServeHTTP(w, r)
-		whole = true
-	})
-	return srv
-}
-
 // prepare waits until this process is fit to take over: it knows servers, from discovery or, after a while,
 // from the list it was started with. The process before serves meanwhile.
 func (s *Sidecar) prepare(ctx context.Context, gone <-chan struct{}) {
