--- a/balance/admission.go
+++ b/balance/admission.go
@@ -5,37 +5,37 @@
 import "math"
 
 const (
-	spareAim      = 0.25 // part of the aim beyond the quickest answers that queues may take
-	startAim      = 0.33 // held to be the quickest until answers tell
-	meanWindow    = 50   // answers or reports over which a mean is taken
-	shedNow       = 1.5  // part of the load to shed at once, per aim that answers take too long
-	shedRate      = 0.04 // ... and lastingly, more for each request
-	shedTime      = 1500 // ms after which it is all, per aim
-	shedStep      = 0.34 // ... but no more for one request
-	shedTolerance = 0.1  // of the lasting part is not shed: small sidecars gather it by chance
-	maxShed       = 0.95 // never all: answers are needed to see that the load is gone
-	paceAims      = 8    // span of the rate of answers, in longest aims
-	leastSpan     = 0.05 // of a span that a rate is taken over, however short the time since the start
-	fewAnswers    = 3    // assumed beside the recent answers, and over which the load is averaged
-	fairBound     = 2    // a tenant counts as at most this far under its share
-	shedValueBand = 1.25 // values within this factor are shed alike, so that no tenant pays for a tiny excess
+	spareObjective     = 0.25 // part of the aim beyond the quickest answers that queues may take
+	initialLatency     = 0.33 // held to be the quickest until answers tell
+	meanWindow         = 50   // answers or reports over which a mean is taken
+	shedNow            = 1.5  // part of the load to shed at once, per aim that answers take too long
+	shedRate           = 0.04 // ... and lastingly, more for each request
+	shedTime           = 1500 // ms after which it is all, per aim
+	shedStep           = 0.34 // ... but no more for one request
+	shedTolerance      = 0.1  // of the lasting part is not shed: small sidecars gather it by chance
+	maxShed            = 0.95 // never all: answers are needed to see that the load is gone
+	rateSpanObjectives = 8    // span of the rate of answers, in longest aims
+	minSpanFraction    = 0.05 // of a span that a rate is taken over, however short the time since the start
+	fewAnswers         = 3    // assumed beside the recent answers, and over which the load is averaged
+	fairBound          = 2    // a tenant counts as at most this far under its share
+	shedValueBand      = 1.25 // values within this factor are shed alike
 )
 
 // admit sheds load that the fleet cannot answer within the aims. What is in flight over the rate of answers
 // tells how long answers take (Little's law), sooner than they do. What is shed lastingly moves with each
 // request, of small sidecars by time: they took seconds to shed when servers were lost.
 func (b *Balancer) admit(r *request) bool {
-	parted := b.partedRate()
+	parted := b.abandonedRate()
 	rate := b.answerRate(fewAnswers) + parted
 	b.trackInFlight(0, rate)
 	// As a part of the aim; those assumed are quick.
-	b.took = b.openMean/rate + b.quickest*(1-(b.answerRate(0)+parted)/rate)
-	full := b.quickest + spareAim*(1-b.quickest) // the work itself and a part of the rest
-	over := math.Min(b.took, 2) - full
+	b.estimatedLatency = b.meanInFlightLoad/rate + b.quickest*(1-(b.answerRate(0)+parted)/rate)
+	full := b.quickest + spareObjective*(1-b.quickest) // the work itself and a part of the rest
+	over := math.Min(b.estimatedLatency, 2) - full
 	step := math.Max(shedRate, bound((b.now-b.admitAt)/shedTime, 0, shedStep))
 	b.admitAt = b.now
-	b.steady = bound(b.steady+step*over, 0, maxShed+shedTolerance)
-	lasting := b.steady - shedTolerance
+	b.lastingShed = bound(b.lastingShed+step*over, 0, maxShed+shedTolerance)
+	lasting := b.lastingShed - shedTolerance
 	shed := bound(lasting+shedNow*over, 0, math.Min(maxShed, 2*lasting))
 	return shed == 0 || b.random() >= b.shedPart(r, shed)
 }
@@ -43,16 +43,17 @@
 // trackInFlight follows what is in flight, each attempt as one over its aim and for no longer than that: what
 // hangs is no overload. The mean is over the time of a few answers: a small sidecar's few crowd by chance.
 func (b *Balancer) trackInFlight(more, rate float64) {
-	b.openMean += (b.open - b.openMean) * -math.Expm1((b.openAt-b.now)*rate/fewAnswers)
-	b.open, b.openAt = b.open+more, b.now
+	passed := -math.Expm1((b.inFlightLoadAt - b.now) * rate / fewAnswers)
+	b.meanInFlightLoad += (b.inFlightLoad - b.meanInFlightLoad) * passed
+	b.inFlightLoad, b.inFlightLoadAt = b.inFlightLoad+more, b.now
 }
 
 // answerRate is the rate of answers, some assumed; or that surely seen over the last aim: traffic may grow
 // fast.
 func (b *Balancer) answerRate(assumed float64) float64 {
-	long := b.answers.rate(b.now, b.started, paceAims*b.longestAim, assumed)
-	n := b.latest.rate(b.now, b.now-1e9, b.longestAim, 0) * b.longestAim
-	return math.Max(long, (n-2*math.Sqrt(n))/b.longestAim)
+	long := b.answers.rate(b.now, b.started, rateSpanObjectives*b.maxObjective, assumed)
+	n := b.latest.rate(b.now, b.now-1e9, b.maxObjective, 0) * b.maxObjective
+	return math.Max(long, (n-2*math.Sqrt(n))/b.maxObjective)
 }
 
 // shedPart spreads the load to shed over classes and tenants, those first whose answers add least to the
@@ -60,23 +61,23 @@
 func (b *Balancer) shedPart(r *request, shed float64) float64 {
 	all, goal := b.summarizeDemand(), b.cfg.Goal
 	value := func(class *classStats, tenant *requestCounts) float64 {
-		v := (goal.Whole + goal.WorstWindow) * class.worth / all.worth
+		v := (goal.Overall + goal.WorstWindow) * class.priorityWeight / all.weight
 		if class == all.weakClass {
-			v += goal.WorstClass / class.asked
+			v += goal.WorstClass / class.arrived
 		}
-		if tenant.share > 0 {
-			over := b.cfg.OverShareWorth
-			v *= over + (1-over)*math.Min(tenant.share*all.asked/tenant.asked, fairBound)
+		if tenant.quota > 0 {
+			over := b.cfg.OverQuotaWeight
+			v *= over + (1-over)*math.Min(tenant.quota*all.arrived/tenant.arrived, fairBound)
 		}
 		if tenant == all.weakTenant {
-			v += goal.WorstTenant * class.worth / all.worth * all.asked / tenant.asked
+			v += goal.WorstTenant * class.priorityWeight / all.weight * all.arrived / tenant.arrived
 		}
 		return v / math.Max(class.mean, 1e-3)
 	}
 	total, below, like, own := 0.0, 0.0, 1e-3, value(r.stats, r.tenant)
 	for c := range b.classes {
 		for t := range b.tenants {
-			work := b.classes[c].asked * b.classes[c].mean * b.tenants[t].asked
+			work := b.classes[c].arrived * b.classes[c].mean * b.tenants[t].arrived
 			total += work
 			if v := value(&b.classes[c], &b.tenants[t]); v*shedValueBand < own {
 				below += work
@@ -90,21 +91,21 @@
 
 // weaker: a smaller part of what it asked for was served in time.
 func (t *requestCounts) weaker(than *requestCounts) bool {
-	return t.served*than.asked < than.served*t.asked
+	return t.served*than.arrived < than.served*t.arrived
 }
 
 // demandSummary is what all requests of this sidecar ask for, and who is served the least part of it.
 type demandSummary struct {
-	asked, worth float64
-	weakClass    *classStats
-	weakTenant   *requestCounts
+	arrived, weight float64
+	weakClass       *classStats
+	weakTenant      *requestCounts
 }
 
 func (b *Balancer) summarizeDemand() demandSummary {
-	all := demandSummary{worth: 1e-9, weakClass: &b.classes[0], weakTenant: &b.tenants[0]}
+	all := demandSummary{weight: 1e-9, weakClass: &b.classes[0], weakTenant: &b.tenants[0]}
 	for c := range b.classes {
-		all.asked += b.classes[c].asked
-		all.worth += b.classes[c].asked * b.classes[c].worth
+		all.arrived += b.classes[c].arrived
+		all.weight += b.classes[c].arrived * b.classes[c].priorityWeight
 		if b.classes[c].weaker(&all.weakClass.requestCounts) {
 			all.weakClass = &b.classes[c]
 		}
@@ -120,14 +121,14 @@
 // recordAbandoned takes in the time that an attempt had until its client left, as the part of an answer that
 // it is by the estimate: neither its time nor its missing answer moves that.
 func (b *Balancer) recordAbandoned(r *request, a *attempt) {
-	if !a.late && !a.cut {
-		had := (b.now - a.sent) / (r.class.Aim * math.Max(b.took, b.quickest))
-		b.parted.addPart(b.now, paceAims*b.longestAim, math.Min(had, 1))
+	if !a.outOfLoad && !a.endsAtObjective {
+		had := (b.now - a.sent) / (r.class.LatencyObjective * math.Max(b.estimatedLatency, b.quickest))
+		b.abandoned.addPart(b.now, rateSpanObjectives*b.maxObjective, math.Min(had, 1))
 	}
 }
 
-func (b *Balancer) partedRate() float64 {
-	return b.parted.rate(b.now, b.started, paceAims*b.longestAim, 0)
+func (b *Balancer) abandonedRate() float64 {
+	return b.abandoned.rate(b.now, b.started, rateSpanObjectives*b.maxObjective, 0)
 }
 
 // recordLatency follows how long answers take, as a part of their aim, and the least it has been.
@@ -140,8 +141,8 @@
 }
 
 func (b *Balancer) stopCountingLoad(r *request, a *attempt) {
-	if !a.late {
-		a.late = true
-		b.trackInFlight(-1/r.class.Aim, b.answerRate(fewAnswers))
+	if !a.outOfLoad {
+		a.outOfLoad = true
+		b.trackInFlight(-1/r.class.LatencyObjective, b.answerRate(fewAnswers))
 	}
 }
--- a/balance/canary_budget.go
+++ b/balance/canary_budget.go
@@ -7,7 +7,7 @@
 
 // mostEnded bounds the purses that are kept of canaries whose route is gone. A canary that comes back after so many
 // others have ended begins with an empty purse.
-const mostEnded = 64
+const maxEndedBudgets = 64
 
 // CanaryBudget is the budget that this process holds for one canary, in units since its start. An attempt sets one
 // aside before it is sent; a good answer, and whatever says nothing of the canary, lays it back; a failure spends it.
@@ -16,26 +16,26 @@
 type CanaryBudget struct {
 	ID                       uint64
 	Granted, Spent, Returned int64
-	Out                      int64 // set aside by attempts that are out
-	Short                    int64 // attempts that went elsewhere for want of a unit
+	Reserved                 int64 // set aside by attempts that are out
+	Denied                   int64 // attempts that went elsewhere for want of a unit
 }
 
 // Free is how many units can be set aside.
-func (p *CanaryBudget) Free() int64 { return p.Granted - p.Spent - p.Returned - p.Out }
+func (p *CanaryBudget) Free() int64 { return p.Granted - p.Spent - p.Returned - p.Reserved }
 
 // Take sets a unit aside.
-func (p *CanaryBudget) Take() bool {
+func (p *CanaryBudget) Reserve() bool {
 	if p.Free() <= 0 {
-		p.Short++
+		p.Denied++
 		return false
 	}
-	p.Out++
+	p.Reserved++
 	return true
 }
 
 // Settle ends an attempt that set a unit aside.
 func (p *CanaryBudget) Settle(failed bool) {
-	p.Out--
+	p.Reserved--
 	if failed {
 		p.Spent++
 	}
@@ -62,13 +62,13 @@
 func (b *Balancer) onBudgetGrant(ev BudgetGrant) error {
 	switch {
 	case ev.ID == 0:
-		return fmt.Errorf("Grant.ID is 0")
+		return fmt.Errorf("BudgetGrant.ID is 0")
 	case ev.Units < 0:
-		return fmt.Errorf("Grant.Units is %d", ev.Units)
-	case ev.Keep < 0:
-		return fmt.Errorf("Grant.Keep is %d", ev.Keep)
+		return fmt.Errorf("BudgetGrant.Units is %d", ev.Units)
+	case ev.MaxIdle < 0:
+		return fmt.Errorf("BudgetGrant.MaxIdle is %d", ev.MaxIdle)
 	}
-	b.canaryBudget(ev.ID).Grant(ev.Units, ev.Keep)
+	b.canaryBudget(ev.ID).Grant(ev.Units, ev.MaxIdle)
 	b.dropEndedBudgets()
 	return nil
 }
@@ -94,16 +94,16 @@
 		}
 	}
 	var ended, live []*CanaryBudget // in the order in which they ended, so that the oldest go first
-	over := -mostEnded
+	over := -maxEndedBudgets
 	for _, p := range b.canaryBudgets {
 		if routed[p.ID] {
 			live = append(live, p)
-		} else if ended = append(ended, p); p.Out == 0 {
+		} else if ended = append(ended, p); p.Reserved == 0 {
 			over++
 		}
 	}
 	ended = slices.DeleteFunc(ended, func(p *CanaryBudget) bool {
-		drop := over > 0 && p.Out == 0
+		drop := over > 0 && p.Reserved == 0
 		if drop {
 			over--
 		}
@@ -115,7 +115,7 @@
 // settle ends an attempt's use of its purse.
 func (a *attempt) settle(r *request, ev Outcome) {
 	if a.budget != nil {
-		a.budget.Settle(a.spends(r, ev))
+		a.budget.Settle(a.spendsUnit(r, ev))
 		a.budget = nil
 	}
 }
--- a/balance/coldfleet_test.go
+++ b/balance/coldfleet_test.go
@@ -123,17 +123,17 @@
 func (c *coldCase) config(number, procs int, seed uint64) Config {
 	cfg := baseConfig()
 	cfg.Seed, cfg.Number, cfg.Peers = seed*1000+uint64(number), number, procs
-	cfg.MaxAttempts, cfg.Parallel, cfg.MaxRetryAfter = 3, false, 3000
-	cfg.ColdFrom, cfg.ColdTime, cfg.FallMultiple, cfg.FallTime = 0.17, coldEnds, 4, 3000
+	cfg.MaxAttempts, cfg.Hedging, cfg.MaxRetryAfter = 3, false, 3000
+	cfg.SlowStartCapacity, cfg.SlowStartTime, cfg.OverloadMultiple, cfg.OverloadTime = 0.17, coldEnds, 4, 3000
 	if c.unbound {
-		cfg.FallMultiple = 1e6
+		cfg.OverloadMultiple = 1e6
 	}
 	if c.warm {
-		cfg.ColdTime = 1
+		cfg.SlowStartTime = 1
 	}
 	cfg.Classes = []Class{
-		{Effect: Safe, Aim: 600, Deadline: 1500, Worth: 2},
-		{Effect: Unsafe, Aim: 1000, Deadline: 5000, Worth: 3},
+		{Idempotency: Idempotent, LatencyObjective: 600, Deadline: 1500, PriorityWeight: 2},
+		{Idempotency: NonIdempotent, LatencyObjective: 1000, Deadline: 5000, PriorityWeight: 3},
 	}
 	return cfg
 }
@@ -181,10 +181,10 @@
 	f.tell(p, ServerList{Kind: ListFull, Servers: list})
 	if f.c.known > 0 {
 		n := max(1, int(f.c.known*float64(f.processes)))
-		f.tell(p, FleetSize{Known: n, Heard: n, Admitted: true})
+		f.tell(p, FleetSize{Known: n, Reachable: n, Admitted: true})
 	}
 	if f.c.upgrade {
-		f.tell(p, Sharing{Parts: 2})
+		f.tell(p, ProcessCount{Processes: 2})
 	}
 }
 
@@ -296,7 +296,7 @@
 		switch a.Kind {
 		case Send:
 			f.send(p, a)
-		case Refuse, Fail:
+		case Reject, Fail:
 			if tried := p.tries[a.Request]; tried < 2 {
 				f.at(f.now+100+a.At, func() { f.ask(p, tried+1) })
 			}
@@ -380,7 +380,7 @@
 	if j.p.life != j.life {
 		return
 	}
-	f.tell(j.p, Outcome{Request: j.id, Attempt: j.attempt, Server: j.s.entry.ID, Result: res, Took: f.now - j.sent,
+	f.tell(j.p, Outcome{Request: j.id, Attempt: j.attempt, Server: j.s.entry.ID, Result: res, Elapsed: f.now - j.sent,
 		Finished: res == OK || j.p.b.reqs[j.id].done})
 }
 
--- a/balance/connecting_test.go
+++ b/balance/connecting_test.go
@@ -17,7 +17,7 @@
 	}
 	var running []out
 	send := func(id RequestID, attempt int, acts []Action, late bool) {
-		if has(acts, Refuse) {
+		if has(acts, Reject) {
 			refused++
 		}
 		if _, sent := sentTo(acts); !sent {
@@ -138,9 +138,9 @@
 					g.do(ConnectionReady{Server: s})
 				}
 			}
-			left = max(left, g.b.Zones().Left)
+			left = max(left, g.b.ZoneStatus().Left)
 		}
-		_, avoided = g.b.Avoided(g.now)
+		_, avoided = g.b.CountServers(g.now)
 		for s := range failed {
 			if g.b.warmingUp(g.b.byID[s]) {
 				cold++
--- a/balance/crowd_test.go
+++ b/balance/crowd_test.go
@@ -12,16 +12,16 @@
 
 func TestCrowdBelievesMoreAtOnceAndFewerSlowly(t *testing.T) {
 	var c FleetEstimate
-	all := func(n int) FleetSize { return FleetSize{Known: n, Heard: n, Admitted: true} }
-	assert.Equal(t, 1.0/10, c.Part(1000, all(10)))
-	assert.Equal(t, 1.0/40, c.Part(1000, all(40)), "more are believed at once")
-	assert.InDelta(t, 2.0/40, c.Part(11000, all(10)), 1e-12, "fewer by half in 10 s")
-	silent := FleetSize{Known: 10, Heard: 5, Admitted: true}
-	assert.InDelta(t, 2.0/40, c.Part(21000, silent), 1e-12, "not while half are silent")
-	assert.InDelta(t, 4.0/40, c.Part(31000, FleetSize{Known: 10, Heard: 6, Admitted: true}), 1e-12)
-	assert.Zero(t, c.Part(31000, FleetSize{Known: 10, Heard: 10}), "a newcomer has no part")
+	all := func(n int) FleetSize { return FleetSize{Known: n, Reachable: n, Admitted: true} }
+	assert.Equal(t, 1.0/10, c.Quota(1000, all(10)))
+	assert.Equal(t, 1.0/40, c.Quota(1000, all(40)), "more are believed at once")
+	assert.InDelta(t, 2.0/40, c.Quota(11000, all(10)), 1e-12, "fewer by half in 10 s")
+	silent := FleetSize{Known: 10, Reachable: 5, Admitted: true}
+	assert.InDelta(t, 2.0/40, c.Quota(21000, silent), 1e-12, "not while half are silent")
+	assert.InDelta(t, 4.0/40, c.Quota(31000, FleetSize{Known: 10, Reachable: 6, Admitted: true}), 1e-12)
+	assert.Zero(t, c.Quota(31000, FleetSize{Known: 10, Reachable: 10}), "a newcomer has no part")
 	for _, none := range []int{0, -3} {
-		assert.Equal(t, 1.0, c.Part(1e9, FleetSize{Known: none, Heard: 1, Admitted: true}), "no more than one process's part")
+		assert.Equal(t, 1.0, c.Quota(1e9, FleetSize{Known: none, Reachable: 1, Admitted: true}), "no more than one process's part")
 	}
 }
 
@@ -35,19 +35,19 @@
 			passed := rapid.Float64Range(-60000, 60000).Draw(t, "passed")
 			now += passed
 			s := FleetSize{Known: rapid.IntRange(-1, 3000).Draw(t, "known"), Admitted: true}
-			s.Heard = rapid.IntRange(0, max(0, s.Known)).Draw(t, "heard")
-			part := c.Part(now, s)
+			s.Reachable = rapid.IntRange(0, max(0, s.Known)).Draw(t, "heard")
+			part := c.Quota(now, s)
 			require.Positive(t, part)
 			require.LessOrEqual(t, part, 1/math.Max(1, float64(s.Known)))
 			if i > 0 {
 				require.LessOrEqual(t, part, last*math.Exp2(math.Max(passed, 0)/1e4)*(1+1e-9))
 			}
-			if i > 0 && 2*s.Heard <= s.Known {
+			if i > 0 && 2*s.Reachable <= s.Known {
 				require.LessOrEqual(t, part, last)
 			}
 			last = part
 		}
-		assert.Equal(t, 0.5, c.Part(now+1e7, FleetSize{Known: 2, Heard: 2, Admitted: true}))
+		assert.Equal(t, 0.5, c.Quota(now+1e7, FleetSize{Known: 2, Reachable: 2, Admitted: true}))
 	})
 }
 
@@ -65,7 +65,7 @@
 		now := 0.0
 		tell := func(p *process, admitted bool) {
 			known := len(all) + p.extra
-			p.part = p.Part(now, FleetSize{Known: known, Heard: rapid.IntRange(1, known).Draw(t, "heard"), Admitted: admitted})
+			p.part = p.Quota(now, FleetSize{Known: known, Reachable: rapid.IntRange(1, known).Draw(t, "heard"), Admitted: admitted})
 		}
 		sum := func(also float64) float64 {
 			for _, p := range all {
@@ -154,11 +154,11 @@
 			now += rapid.Float64Range(0, 300).Draw(t, "passed")
 			for i, known := range []int{0, cfg.Peers, max(1, cfg.Peers/10)} {
 				if i > 0 {
-					_, err := bs[i].Handle(now, FleetSize{Known: known, Heard: known, Admitted: true})
+					_, err := bs[i].Handle(now, FleetSize{Known: known, Reachable: known, Admitted: true})
 					require.NoError(t, err)
 				}
 			}
-			require.InDelta(t, bs[0].assumed, bs[1].assumed, 1e-12)
+			require.InDelta(t, bs[0].assumedAnswers, bs[1].assumedAnswers, 1e-12)
 			if len(out) == 0 || rapid.Bool().Draw(t, "asks") {
 				next++
 				do(Request{ID: next, Class: rapid.IntRange(0, 4).Draw(t, "class"), Remaining: 1500})
@@ -167,7 +167,7 @@
 			a := out[0]
 			out = out[1:]
 			res := rapid.SampledFrom([]Result{OK, OK, OK, Failed, ConnectFailed}).Draw(t, "result")
-			do(Outcome{Request: a.Request, Attempt: a.Attempt, Server: a.Server, Result: res, Took: 20, Finished: res == OK})
+			do(Outcome{Request: a.Request, Attempt: a.Attempt, Server: a.Server, Result: res, Elapsed: 20, Finished: res == OK})
 		}
 	})
 	assert.True(t, differed, "a balancer told of a tenth never did anything else")
--- a/balance/digest_test.go
+++ b/balance/digest_test.go
@@ -69,9 +69,9 @@
 				d.status()
 			}
 		}
-		d.now += 2 * doubtTime
+		d.now += 2 * suspectLimit
 		d.fire()
-		d.handle(End{})
+		d.handle(Shutdown{})
 		d.status()
 	}
 	got := hex.EncodeToString(sum.Sum(nil))
@@ -87,20 +87,20 @@
 	cfg.Seed, cfg.Number = uint64(seed), int(seed%3)
 	cfg.Cancel, cfg.MaxAttempts, cfg.Subscribe = seed%3 != 0, 1+int(seed%4), seed%5 != 0
 	cfg.ConnectTimeout = 100
-	cfg.Tenants = []Tenant{{Allowance: 50, Share: 0.5}, {Allowance: 50, Share: 0.2}}
-	cfg.Goal = Goal{Whole: 0.5, WorstWindow: 0.2, WorstClass: 0.2, WorstTenant: 0.1}
-	cfg.OverShareWorth = 0.3
+	cfg.Tenants = []Tenant{{Allowance: 50, Quota: 0.5}, {Allowance: 50, Quota: 0.2}}
+	cfg.Goal = Goal{Overall: 0.5, WorstWindow: 0.2, WorstClass: 0.2, WorstTenant: 0.1}
+	cfg.OverQuotaWeight = 0.3
 	switch seed % 4 {
 	case 1:
-		cfg.Probes, cfg.Reports, cfg.Fields = true, ReportProbe, []Field{FieldInFlight, FieldQueue, FieldLatency}
+		cfg.HealthChecks, cfg.Reports, cfg.Fields = true, ReportHealthCheck, []Field{FieldInFlight, FieldQueue, FieldLatency}
 	case 2:
 		cfg.Reports, cfg.Fields = ReportPiggyback, []Field{FieldInFlight, FieldQueue, FieldLatency}
 	}
 	if seed%2 == 0 {
-		cfg.Prices.CrossZone, cfg.Regions, cfg.FarCost = 0.05, []int{0, 0, 1, 1}, 2
+		cfg.Prices.CrossZone, cfg.Regions, cfg.RegionCost = 0.05, []int{0, 0, 1, 1}, 2
 	}
 	if seed%3 == 1 {
-		cfg.Lists, cfg.DoubtShare, cfg.StaleAfter, cfg.LongestPause = 3, 0.2, 40, 4500
+		cfg.ListServices, cfg.SuspectFraction, cfg.StaleAfter, cfg.MaxPollBackoff = 3, 0.2, 40, 4500
 	}
 	return cfg
 }
@@ -117,7 +117,7 @@
 		if len(d.probes) > 0 {
 			s := d.probes[0]
 			d.probes = d.probes[1:]
-			d.handle(ProbeResult{Server: s, Result: []Result{OK, OK, OK, TimedOut}[d.rnd.Intn(4)], Took: 1, Report: d.report()})
+			d.handle(HealthCheckResult{Server: s, Result: []Result{OK, OK, OK, TimedOut}[d.rnd.Intn(4)], Elapsed: 1, Report: d.report()})
 		}
 	case n < 35:
 		d.handle(ClientGone{Request: id - RequestID(d.rnd.Intn(20))})
@@ -130,9 +130,9 @@
 	class := d.rnd.Intn(len(d.cfg.Classes))
 	r := Request{
 		ID: id, Class: class, Tenant: d.rnd.Intn(3) - 1, Remaining: d.cfg.Classes[class].Deadline * d.rnd.Float64(),
-		Key: uint64(d.rnd.Intn(50)), Open: d.rnd.Intn(12) == 0, Route: uint64(d.rnd.Intn(20)),
+		IdempotencyKey: uint64(d.rnd.Intn(50)), BodyStreaming: d.rnd.Intn(12) == 0, RouteKey: uint64(d.rnd.Intn(20)),
 	}
-	if r.Open {
+	if r.BodyStreaming {
 		d.open = append(d.open, id)
 	}
 	d.handle(r)
@@ -151,21 +151,21 @@
 	a := d.live[i]
 	d.live = append(d.live[:i:i], d.live[i+1:]...)
 	result := []Result{
-		OK, OK, OK, OK, OK, OK, OK, OK, Failed, Full, ConnectFailed, Reset, TimedOut, Broken, LocalFailure,
-		Unreachable, Cancelled, Moot,
+		OK, OK, OK, OK, OK, OK, OK, OK, Failed, Rejected, ConnectFailed, Reset, TimedOut, WriteFailed, LocalFailure,
+		Unreachable, Cancelled, NotSent,
 	}[d.rnd.Intn(18)]
 	d.handle(Outcome{
-		Request: a.request, Attempt: a.number, Server: a.server, Result: result, Took: d.now - a.sent,
-		Finished: result == OK, Report: d.report(), Spent: d.rnd.Intn(30) == 0, Void: d.rnd.Intn(40) == 0,
+		Request: a.request, Attempt: a.number, Server: a.server, Result: result, Elapsed: d.now - a.sent,
+		Finished: result == OK, Report: d.report(), BodyConsumed: d.rnd.Intn(30) == 0, RouteRevoked: d.rnd.Intn(40) == 0,
 	})
 }
 
 func (d *digestDriver) list() {
 	kind := []ListKind{ListFull, ListFull, ListCached, ListDelta, ListDelta, ListDelta, ListFailed, ListAlive}[d.rnd.Intn(8)]
-	ev := ServerList{Kind: kind, Busy: d.rnd.Intn(3) == 0, Check: d.rnd.Intn(4) == 0}
-	if d.cfg.Lists > 1 {
+	ev := ServerList{Kind: kind, Busy: d.rnd.Intn(3) == 0, FromFetch: d.rnd.Intn(4) == 0}
+	if d.cfg.ListServices > 1 {
 		d.rev += int64(d.rnd.Intn(4)) - 1
-		ev.Rev, ev.Source = d.rev+1<<epochBits, d.rnd.Intn(d.cfg.Lists)
+		ev.Rev, ev.Source = d.rev+1<<epochBits, d.rnd.Intn(d.cfg.ListServices)
 	}
 	for i := range 14 {
 		if d.rnd.Intn(8) == 0 || kind == ListDelta && d.rnd.Intn(3) > 0 {
@@ -173,7 +173,7 @@
 		}
 		s := Server{
 			ID: ServerID(i + 1), Rating: 1 + float64(i%3)/2, Cell: i % 5, Zone: i % 4, Kind: i % 2,
-			Place: uint64(1 + d.rnd.Intn(30)), State: []State{Ready, Ready, Ready, Ready, Draining, Gone}[d.rnd.Intn(6)],
+			AddressKey: uint64(1 + d.rnd.Intn(30)), State: []ServerState{Ready, Ready, Ready, Ready, Draining, Gone}[d.rnd.Intn(6)],
 		}
 		if d.rnd.Intn(3) == 0 {
 			s.StartedAt = d.now - 100 + float64(d.rnd.Intn(200))
@@ -187,13 +187,13 @@
 func (d *digestDriver) special() {
 	switch d.rnd.Intn(13) {
 	case 0:
-		d.handle(FleetSize{Known: 1 + d.rnd.Intn(40), Heard: 1 + d.rnd.Intn(40), Admitted: d.rnd.Intn(5) > 0})
+		d.handle(FleetSize{Known: 1 + d.rnd.Intn(40), Reachable: 1 + d.rnd.Intn(40), Admitted: d.rnd.Intn(5) > 0})
 	case 1:
-		d.handle(Sharing{Parts: 1 + d.rnd.Intn(2)})
+		d.handle(ProcessCount{Processes: 1 + d.rnd.Intn(2)})
 	case 2:
-		if d.cfg.Lists > 1 {
-			d.cfg.Lists = 2 + d.rnd.Intn(3)
-			d.handle(Sources{Lists: d.cfg.Lists})
+		if d.cfg.ListServices > 1 {
+			d.cfg.ListServices = 2 + d.rnd.Intn(3)
+			d.handle(ListServices{Count: d.cfg.ListServices})
 		}
 	case 3:
 		if d.rnd.Intn(10) == 0 {
@@ -202,20 +202,20 @@
 	case 4, 5:
 		if len(d.live) > 0 {
 			a := d.live[d.rnd.Intn(len(d.live))]
-			d.handle(Connecting{Request: a.request, Attempt: a.number, Up: d.rnd.Intn(2) == 0})
+			d.handle(Connecting{Request: a.request, Attempt: a.number, Established: d.rnd.Intn(2) == 0})
 		}
 	case 6:
 		d.handle(ConnectionReady{Server: ServerID(1 + d.rnd.Intn(14))})
 	case 7:
 		if len(d.live) > 0 {
 			a := d.live[d.rnd.Intn(len(d.live))]
-			d.handle(Started{Request: a.request, Attempt: a.number, Server: a.server, Took: d.now - a.sent})
+			d.handle(AnswerStarted{Request: a.request, Attempt: a.number, Server: a.server, Elapsed: d.now - a.sent})
 		}
 	case 8, 9:
 		if len(d.open) > 0 {
 			id := d.open[0]
 			d.open = d.open[1:]
-			d.handle(Complete{Request: id, Remaining: 200 + 800*d.rnd.Float64()})
+			d.handle(BodyComplete{Request: id, Remaining: 200 + 800*d.rnd.Float64()})
 		}
 	case 10:
 		d.routes()
@@ -223,7 +223,7 @@
 		d.handle(CanaryLease{Until: d.now + 2000*d.rnd.Float64()})
 	case 12:
 		id := uint64(7 + d.rnd.Intn(3))
-		d.handle(BudgetGrant{ID: id, Units: int64(d.rnd.Intn(60)), Keep: int64(1 + d.rnd.Intn(8))})
+		d.handle(BudgetGrant{ID: id, Units: int64(d.rnd.Intn(60)), MaxIdle: int64(1 + d.rnd.Intn(8))})
 	}
 }
 
@@ -235,7 +235,7 @@
 		}
 		ev.List = append(ev.List, Route{
 			Tenant: tenant, Base: Subset{Kinds: []int{d.rnd.Intn(2)}}, Canary: Subset{Cells: []int{d.rnd.Intn(5)}},
-			Share: d.rnd.Float64(), ID: uint64(8 + tenant), Budgeted: d.rnd.Intn(2) == 0, Late: d.rnd.Intn(2) == 0,
+			CanaryFraction: d.rnd.Float64(), ID: uint64(8 + tenant), Budgeted: d.rnd.Intn(2) == 0, LateIsFailure: d.rnd.Intn(2) == 0,
 		})
 	}
 	d.handle(ev)
@@ -259,7 +259,7 @@
 			d.sends[a.Request]++
 		case SetTimer:
 			d.timers = append(d.timers, pendingTimer{d.now + a.At, a.Token})
-		case Probe:
+		case HealthCheck:
 			d.probes = append(d.probes, a.Server)
 		}
 	}
@@ -267,32 +267,32 @@
 
 func (d *digestDriver) hash(a Action) {
 	flag := uint64(0)
-	if a.Canary {
+	if a.ToCanary {
 		flag = 1
 	}
 	d.words(
 		uint64(a.Kind), uint64(a.Request), uint64(a.Attempt), uint64(a.Server), math.Float64bits(a.At), a.Token,
-		uint64(a.Source), uint64(a.After), uint64(a.Routes), a.Route, flag,
+		uint64(a.Source), uint64(a.After), uint64(a.RoutesRev), a.CanaryID, flag,
 	)
 }
 
 // status hashes what the balancer tells of itself.
 func (d *digestDriver) status() {
-	l, z := d.b.List(d.now), d.b.Zones()
-	listed, avoided := d.b.Avoided(d.now)
+	l, z := d.b.ListStatus(d.now), d.b.ZoneStatus()
+	listed, avoided := d.b.CountServers(d.now)
 	flags := uint64(0)
-	for i, set := range []bool{l.Stale, l.Refused} {
+	for i, set := range []bool{l.Stale, l.Rejected} {
 		if set {
 			flags |= 1 << i
 		}
 	}
 	d.words(
-		uint64(l.Rev), math.Float64bits(l.Age), uint64(l.Source), uint64(l.Doubted), flags, uint64(z.Left),
+		uint64(l.Rev), math.Float64bits(l.Age), uint64(l.Source), uint64(l.Suspected), flags, uint64(z.Left),
 		math.Float64bits(z.Spill), math.Float64bits(z.FarSpill), math.Float64bits(z.Evidence), uint64(listed),
 		uint64(avoided), math.Float64bits(d.b.FleetSize()),
 	)
 	for _, p := range d.b.CanaryBudgets() {
-		d.words(p.ID, uint64(p.Granted), uint64(p.Spent), uint64(p.Returned), uint64(p.Out), uint64(p.Short))
+		d.words(p.ID, uint64(p.Granted), uint64(p.Spent), uint64(p.Returned), uint64(p.Reserved), uint64(p.Denied))
 	}
 }
 
--- a/balance/ejection.go
+++ b/balance/ejection.go
@@ -19,19 +19,20 @@
 // those that have had their latency objective off the load, and returns when to check again.
 func (b *Balancer) checkOverdue(r *request) float64 {
 	next := r.deadline
-	for i := range r.tries {
-		a := &r.tries[i]
+	for i := range r.attempts {
+		a := &r.attempts[i]
 		if !a.live {
 			continue
 		}
-		if aim := a.sent + r.class.Aim; b.now >= aim || a.overdue && b.ejected(a.s) {
+		objectiveEnd := a.sent + r.class.LatencyObjective
+		if b.now >= objectiveEnd || a.overdue && b.ejected(a.server) {
 			b.stopCountingLoad(r, a)
 		} else {
-			next = math.Min(next, aim)
+			next = math.Min(next, objectiveEnd)
 		}
 		if late := a.sent + b.overdueAfter(r); !a.overdue && b.now >= late {
 			a.overdue = true
-			b.recordFailure(a.s, false, partialEvidence)
+			b.recordFailure(a.server, false, partialEvidence)
 		} else if !a.overdue {
 			next = math.Min(next, late)
 		}
@@ -50,7 +51,7 @@
 // overdueAfter follows the class's answers: in a congested fleet all are late, by no server's fault.
 func (b *Balancer) overdueAfter(r *request) float64 {
 	if r.stats.n < 5 {
-		return r.class.Aim / 2
+		return r.class.LatencyObjective / 2
 	}
 	return r.stats.mean + overdueDeviations*r.stats.dev
 }
@@ -65,21 +66,21 @@
 	b.learnSize(s, 3)
 	if away || s.consecutiveErrors >= errorsToEject {
 		b.eject(s)
-		if s.doubted > 0 {
-			b.endDoubt(s)
+		if s.suspectedSince > 0 {
+			b.endSuspicion(s)
 		}
 	}
 }
 
 // eject keeps a server out of the rotation, each time in a row for twice as long.
 func (b *Balancer) eject(s *server) {
-	s.ejectedUntil = b.now + b.longestAim*float64(int(1)<<min(s.ejections, b.ejectionLimit(s)))
+	s.ejectedUntil = b.now + b.maxObjective*float64(int(1)<<min(s.ejections, b.ejectionLimit(s)))
 	s.ejections++
 }
 
 // recordOutcome takes in what the end of an attempt says of its server and of the load.
 func (b *Balancer) recordOutcome(r *request, a *attempt, ev Outcome) {
-	s := a.s
+	s := a.server
 	switch {
 	case a.started && ev.Result == OK: // it was judged as it began
 	case ev.Result == OK:
@@ -87,28 +88,29 @@
 			b.beginSlowStart(s, b.now)
 		}
 		s.pardon()
-		if b.takeLoadReport(s, ev.Report) > r.class.Aim { // crowded, it may stay slow until idle: skip a turn
-			s.ejectedUntil = b.now + math.Min(b.longestAim, float64(len(b.servers))/b.demand())
+		// A server with a long queue may stay slow until it is idle: it is left out for one round.
+		if b.takeLoadReport(s, ev.Report) > r.class.LatencyObjective {
+			s.ejectedUntil = b.now + math.Min(b.maxObjective, float64(len(b.servers))/b.demand())
 		}
-		b.answers.add(b.now, paceAims*b.longestAim)
-		b.latest.add(b.now, b.longestAim)
-		b.recordLatency(ev.Took / r.class.Aim)
-		if b.now <= r.arrived+r.class.Aim {
+		b.answers.add(b.now, rateSpanObjectives*b.maxObjective)
+		b.latest.add(b.now, b.maxObjective)
+		b.recordLatency(ev.Elapsed / r.class.LatencyObjective)
+		if b.now <= r.arrived+r.class.LatencyObjective {
 			r.stats.served++
 			r.tenant.served++
 		}
-		b.answered(s.zone, a.trial, ev.Took/r.class.Aim)
+		b.answered(s.zone, a.zoneTrial, ev.Elapsed/r.class.LatencyObjective)
 		if r.stats.n > 0 {
-			b.learnSize(s, ev.Took/r.stats.mean)
+			b.learnSize(s, ev.Elapsed/r.stats.mean)
 		}
-		r.stats.add(ev.Took)
-	case ev.Result == Cancelled || ev.Result == Moot || ev.Result == LocalFailure:
+		r.stats.add(ev.Elapsed)
+	case ev.Result == Cancelled || ev.Result == NotSent || ev.Result == LocalFailure:
 	case a.started: // it broke off
 		b.recordFailure(s, false, partialEvidence)
 	default:
 		if away := ev.Result.away(); away || !a.overdue && !b.excused(r, a, ev.Result) {
 			weight := partialEvidence
-			if away && ev.Took >= b.cfg.ConnectTimeout/2 { // who refuses is there
+			if away && ev.Elapsed >= b.cfg.ConnectTimeout/2 { // who refuses is there
 				weight = 1
 			}
 			s.processDown = s.processDown || ev.Result == ConnectFailed // unreachable, it may still run
@@ -119,7 +121,8 @@
 
 // pardon clears the errors and ejections of a server.
 func (s *server) pardon() {
-	s.consecutiveErrors, s.ejections, s.ejectedUntil, s.processDown, s.probeFailed = 0, 0, 0, false, false
+	s.consecutiveErrors, s.ejections, s.ejectedUntil = 0, 0, 0
+	s.processDown, s.healthCheckFailed = false, false
 }
 
 // ejectionLimit bounds how often the ejection of a server doubles. While the list is stale one that refuses
@@ -134,17 +137,17 @@
 // excused reports whether an attempt timed out by no fault of its server: it was given up at the latency
 // objective, or had less time than answers take. A server may drop what it cannot answer in time.
 func (b *Balancer) excused(r *request, a *attempt, result Result) bool {
-	needed := r.class.Aim / 2
+	needed := r.class.LatencyObjective / 2
 	if r.stats.n >= 5 {
 		needed = r.stats.mean
 	}
-	return result == TimedOut && (a.cut || a.sent <= b.now && b.now-a.sent < needed)
+	return result == TimedOut && (a.endsAtObjective || a.sent <= b.now && b.now-a.sent < needed)
 }
 
 // forgetLoad drops what was shed and which errors followed each other before a long time without a request:
 // neither tells of the load or of the servers now.
 func (b *Balancer) forgetLoad() {
-	b.steady = 0
+	b.lastingShed = 0
 	for _, s := range b.servers {
 		if !b.ejected(s) {
 			s.consecutiveErrors, s.ejections = 0, 0
--- a/balance/events.go
+++ b/balance/events.go
@@ -15,7 +15,7 @@
 const quietTime = 60_000
 
 // mostFresh is the most that the running value of a server begins with.
-const mostFresh = 100
+const maxInitialRunning = 100
 
 // Start begins the balancer's life. The actions are valid until the next call.
 func (b *Balancer) Start(now float64) []Action {
@@ -33,44 +33,44 @@
 		tenant: b.tenant(ev.Tenant), arrived: b.now, deadline: b.now + ev.Remaining, wakeAt: math.Inf(1),
 	}
 	b.reqs[ev.ID] = r
-	if b.now-b.admitAt > math.Max(quietTime, paceAims*b.longestAim) {
+	if b.now-b.admitAt > math.Max(quietTime, rateSpanObjectives*b.maxObjective) {
 		b.forgetLoad()
 	}
-	admitted := !b.over && b.admit(r)
-	b.asked.add(b.now, 2*rotationPeriod)
-	r.stats.asked++ // only now: else its own class would look a little worse served
-	r.tenant.asked++
+	admitted := !b.shutdown && b.admit(r)
+	b.arrivals.add(b.now, 2*rotationPeriod)
+	r.stats.arrived++ // only now: else its own class would look a little worse served
+	r.tenant.arrived++
 	if !admitted {
 		b.answer(r, b.retryAfter(r))
 		return nil
 	}
-	b.probeCandidates(r)
+	b.checkCandidates(r)
 	b.advance(r)
 	return nil
 }
 
 func (b *Balancer) onOutcome(ev Outcome) error {
 	r := b.reqs[ev.Request]
-	if r == nil || ev.Attempt >= len(r.tries) || !r.tries[ev.Attempt].live {
+	if r == nil || ev.Attempt >= len(r.attempts) || !r.attempts[ev.Attempt].live {
 		return fmt.Errorf("outcome of request %d, attempt %d, which is not out", ev.Request, ev.Attempt)
 	}
-	a := &r.tries[ev.Attempt]
-	if ev.Void && !a.started {
-		ev.Result = Moot
-		b.void(r, a)
+	a := &r.attempts[ev.Attempt]
+	if ev.RouteRevoked && !a.started {
+		ev.Result = NotSent
+		b.uncountRevoked(r, a)
 	}
 	if ev.Result == LocalFailure {
 		b.retryLater(r, a)
 	}
-	a.live, a.clean = false, ev.Result.NeverRan()
-	r.live--
+	a.live, a.neverRan = false, ev.Result.NeverRan()
+	r.liveAttempts--
 	a.settle(r, ev)
-	r.spent = r.spent || ev.Spent
-	if r.Open { // what is sent next has all of its time
+	r.bodyConsumed = r.bodyConsumed || ev.BodyConsumed
+	if r.BodyStreaming { // what is sent next has all of its time
 		r.restart(b.now, r.Remaining)
 	}
 	if !a.started {
-		a.s.inFlight--
+		a.server.inFlight--
 		if ev.Result == Cancelled {
 			b.recordAbandoned(r, a)
 		}
@@ -78,7 +78,7 @@
 	}
 	b.recordOutcome(r, a, ev)
 	a.endTrial()
-	if r.done || ev.Finished || r.stream {
+	if r.done || ev.Finished || r.answerStarted {
 		b.close(r)
 	}
 	b.advance(r)
@@ -86,17 +86,17 @@
 }
 
 // onComplete: the server may begin, and all times count from now.
-func (b *Balancer) onComplete(ev Complete) {
+func (b *Balancer) onBodyComplete(ev BodyComplete) {
 	r := b.reqs[ev.Request]
-	if r == nil || r.done || !r.Open {
+	if r == nil || r.done || !r.BodyStreaming {
 		return
 	}
-	r.Open = false
+	r.BodyStreaming = false
 	r.restart(b.now, ev.Remaining)
-	for i := range r.tries {
-		if a := &r.tries[i]; a.live {
-			a.sent, a.late = b.now, false
-			b.trackInFlight(1/r.class.Aim, b.answerRate(fewAnswers))
+	for i := range r.attempts {
+		if a := &r.attempts[i]; a.live {
+			a.sent, a.outOfLoad = b.now, false
+			b.trackInFlight(1/r.class.LatencyObjective, b.answerRate(fewAnswers))
 		}
 	}
 	b.advance(r)
@@ -104,27 +104,27 @@
 
 // onStarted: the client owns the answer now: no deadline, no repeat. The server has done its work; how
 // long the rest takes is the client's matter too.
-func (b *Balancer) onStarted(ev Started) {
+func (b *Balancer) onAnswerStarted(ev AnswerStarted) {
 	r := b.reqs[ev.Request]
-	if r == nil || r.done || r.stream || ev.Attempt >= len(r.tries) || !r.tries[ev.Attempt].live {
+	if r == nil || r.done || r.answerStarted || ev.Attempt >= len(r.attempts) || !r.attempts[ev.Attempt].live {
 		return
 	}
-	r.stream = true
+	r.answerStarted = true
 	b.cancelOthers(r, ev.Attempt)
-	a := &r.tries[ev.Attempt]
-	a.s.inFlight--
+	a := &r.attempts[ev.Attempt]
+	a.server.inFlight--
 	b.stopCountingLoad(r, a)
-	b.recordOutcome(r, a, Outcome{Result: OK, Took: ev.Took})
-	a.missed = a.spends(r, Outcome{Result: OK, Took: ev.Took})
+	b.recordOutcome(r, a, Outcome{Result: OK, Elapsed: ev.Elapsed})
+	a.missedForCanary = a.spendsUnit(r, Outcome{Result: OK, Elapsed: ev.Elapsed})
 	a.started = true
 	a.endTrial()
 }
 
 // endTrial ends an attempt's part in the trial of its zone: it is over, or its answer has begun.
 func (a *attempt) endTrial() {
-	if a.trial {
-		a.trial = false
-		a.s.zone.out--
+	if a.zoneTrial {
+		a.zoneTrial = false
+		a.server.zone.out--
 	}
 }
 
@@ -151,18 +151,18 @@
 func (b *Balancer) onTimer(ev Timer) {
 	switch ev.Token {
 	case listTimer:
-		b.freshen()
+		b.updateStaleness()
 		b.watchList()
 		return
 	case checkTimer:
-		b.freshen()
+		b.updateStaleness()
 		b.check()
 		return
 	case stuckTimer:
 		b.onStuckTimer()
 		return
-	case doubtTimer:
-		b.onDoubtTimer()
+	case suspectTimer:
+		b.onSuspectTimer()
 		return
 	}
 	if r := b.reqs[RequestID(ev.Token)]; r != nil {
@@ -176,10 +176,10 @@
 	for _, z := range b.zones {
 		z.ready = 0
 	}
-	kept := b.servers[:0]
+	remaining := b.servers[:0]
 	for _, s := range b.servers {
 		if s.State != Gone {
-			kept = append(kept, s)
+			remaining = append(remaining, s)
 			if s.State == Ready {
 				s.zone.ready++
 			}
@@ -187,8 +187,8 @@
 			delete(b.byID, s.ID)
 		}
 	}
-	b.servers = kept
-	sort.Slice(kept, func(i, j int) bool { return kept[i].rank < kept[j].rank })
+	b.servers = remaining
+	sort.Slice(remaining, func(i, j int) bool { return remaining[i].rank < remaining[j].rank })
 	b.regroup(b.routes)
 }
 
@@ -198,27 +198,27 @@
 	s.tokens--
 	s.inFlight++
 	s.sentSince++
-	r.live++
+	r.liveAttempts++
 	a := attempt{
-		s: s, sent: b.now, live: true, cut: cut, trial: s.zone.left,
-		strict: b.nextRoute.strict, budget: b.nextRoute.budget,
+		server: s, sent: b.now, live: true, endsAtObjective: cut, zoneTrial: s.zone.left,
+		lateIsFailure: b.nextRoute.lateIsFailure, budget: b.nextRoute.budget,
 	}
-	if a.trial {
+	if a.zoneTrial {
 		s.zone.out++
 	}
-	if r.Open {
-		a.sent, a.late, r.deadline, r.arrived = math.Inf(1), true, math.Inf(1), math.Inf(1)
+	if r.BodyStreaming {
+		a.sent, a.outOfLoad, r.deadline, r.arrived = math.Inf(1), true, math.Inf(1), math.Inf(1)
 	} else {
-		b.trackInFlight(1/r.class.Aim, b.answerRate(fewAnswers))
+		b.trackInFlight(1/r.class.LatencyObjective, b.answerRate(fewAnswers))
 	}
-	r.tries = append(r.tries, a)
+	r.attempts = append(r.attempts, a)
 	act := Action{
 		Kind: Send, Request: r.ID, Server: s.ID,
-		Routes: b.nextRoute.rev, Route: b.nextRoute.route, Canary: b.nextRoute.canary,
+		RoutesRev: b.nextRoute.rev, CanaryID: b.nextRoute.route, ToCanary: b.nextRoute.canary,
 	}
 	b.nextRoute = attemptRoute{}
-	if a.cut {
-		act.At = r.arrived + r.class.Aim
+	if a.endsAtObjective {
+		act.At = r.arrived + r.class.LatencyObjective
 	}
 	b.emit(act)
 }
@@ -226,17 +226,17 @@
 // onConnecting counts an attempt as load only while it is at the server.
 func (b *Balancer) onConnecting(ev Connecting) {
 	r := b.reqs[ev.Request]
-	if r == nil || ev.Attempt >= len(r.tries) || !r.tries[ev.Attempt].live {
+	if r == nil || ev.Attempt >= len(r.attempts) || !r.attempts[ev.Attempt].live {
 		return
 	}
-	a := &r.tries[ev.Attempt]
+	a := &r.attempts[ev.Attempt]
 	switch {
-	case !ev.Up && !a.late:
+	case !ev.Established && !a.outOfLoad:
 		a.dialing = true
 		b.stopCountingLoad(r, a)
-	case ev.Up && a.dialing && b.now < a.sent+r.class.Aim:
-		a.dialing, a.late = false, false
-		b.trackInFlight(1/r.class.Aim, b.answerRate(fewAnswers))
+	case ev.Established && a.dialing && b.now < a.sent+r.class.LatencyObjective:
+		a.dialing, a.outOfLoad = false, false
+		b.trackInFlight(1/r.class.LatencyObjective, b.answerRate(fewAnswers))
 	}
 }
 
@@ -244,10 +244,10 @@
 func (r *request) restart(now, remaining float64) { r.arrived, r.deadline = now, now+remaining }
 
 // onEnd gives up what would outlast this process: its clients would hear nothing.
-func (b *Balancer) onEnd() {
-	b.over = true
+func (b *Balancer) onShutdown() {
+	b.shutdown = true
 	for _, id := range slices.Sorted(maps.Keys(b.reqs)) {
-		if r := b.reqs[id]; !r.done && !r.stream {
+		if r := b.reqs[id]; !r.done && !r.answerStarted {
 			b.answer(r, 0)
 		}
 	}
--- a/balance/growth_test.go
+++ b/balance/growth_test.go
@@ -15,8 +15,8 @@
 func randomEntries(rng *rand.Rand, most int) []Server {
 	list := make([]Server, 1+rng.IntN(4))
 	for i := range list {
-		list[i] = Server{ID: ServerID(1 + rng.IntN(most)), Rating: 1, Zone: rng.IntN(4), State: State(rng.IntN(3)),
-			StartedAt: float64(rng.IntN(3)) * 1000, Place: uint64(1 + rng.IntN(most))}
+		list[i] = Server{ID: ServerID(1 + rng.IntN(most)), Rating: 1, Zone: rng.IntN(4), State: ServerState(rng.IntN(3)),
+			StartedAt: float64(rng.IntN(3)) * 1000, AddressKey: uint64(1 + rng.IntN(most))}
 	}
 	return list
 }
@@ -95,7 +95,7 @@
 func changeOne(t testing.TB, b *Balancer, round int) {
 	t.Helper()
 	one := fleet(1)
-	one[0].State = State(round % 3)
+	one[0].State = ServerState(round % 3)
 	if _, err := b.Handle(1000, ServerList{Kind: ListDelta, Servers: one}); err != nil {
 		t.Fatal(err)
 	}
@@ -112,7 +112,7 @@
 	if acts[0].Kind != Send {
 		return
 	}
-	answer := Outcome{Request: id, Server: acts[0].Server, Result: OK, Took: 20, Finished: true}
+	answer := Outcome{Request: id, Server: acts[0].Server, Result: OK, Elapsed: 20, Finished: true}
 	if _, err := b.Handle(now+20, answer); err != nil {
 		t.Fatal(err)
 	}
@@ -169,11 +169,11 @@
 	}{{"usual ratings", 1, false}, {"small ratings", 0.05, false}, {"with a route", 1, true}} {
 		t.Run(c.name, func(t *testing.T) {
 			cfg := baseConfig()
-			cfg.Tenants = []Tenant{{Allowance: 100, Share: 0.5}, {Allowance: 100, Share: 0.5}}
+			cfg.Tenants = []Tenant{{Allowance: 100, Quota: 0.5}, {Allowance: 100, Quota: 0.5}}
 			quick, thorough := mustNew(t, cfg), mustNew(t, cfg)
 			tell := func(now float64, ev Event) []Action {
 				t.Helper()
-				thorough.capped = math.Inf(1) // it looks at all of them
+				thorough.maxOtherRunning = math.Inf(1) // it looks at all of them
 				want, err := thorough.Handle(now, ev)
 				got, again := quick.Handle(now, ev)
 				if err != nil || again != nil || !reflect.DeepEqual(want, got) {
@@ -216,7 +216,7 @@
 				if a.Kind == Send && a.Request == id {
 					result := []Result{OK, OK, OK, Failed, ConnectFailed}[rng.IntN(5)]
 					acts, sent = tell(now+20, Outcome{Request: id, Attempt: attempt, Server: a.Server, Result: result,
-						Took: 20, Finished: result == OK}), true
+						Elapsed: 20, Finished: result == OK}), true
 					break
 				}
 			}
@@ -238,10 +238,10 @@
 		t.Fatalf("not sent: %v", acts)
 	}
 	total := 0.0
-	for _, s := range g.b.entered {
+	for _, s := range g.b.candidates {
 		total += s.weight
 	}
-	if len(g.b.entered) >= len(list) {
+	if len(g.b.candidates) >= len(list) {
 		t.Fatal("all servers are in the rotation")
 	}
 	for _, s := range g.b.servers {
--- a/balance/health_check.go
+++ b/balance/health_check.go
@@ -5,22 +5,23 @@
 import "math"
 
 const (
-	probeSpend    = 0.03 // part of the result that probes for each request may cost
-	probeAims     = 0.05 // part of the aim that a first send waits for probes, and that reports are believed
-	allBusyChance = 0.01 // chance that all probed servers are busy, at which no more are probed
+	maxHealthCheckCost = 0.03 // part of the result that probes for each request may cost
+	reportValidity     = 0.05 // part of the objective for which a first send waits, and a report is valid
+	allBusyChance      = 0.01 // chance that all probed servers are busy, at which no more are probed
 )
 
 // probeCandidates asks those next in turn before a first send, where servers tell only when probed: so many
 // that hardly ever all are busy, within what it may cost.
-func (b *Balancer) probeCandidates(r *request) {
-	if !b.cfg.Probes || b.cfg.Reports != ReportProbe {
+func (b *Balancer) checkCandidates(r *request) {
+	if !b.cfg.HealthChecks || b.cfg.Reports != ReportHealthCheck {
 		return
 	}
 	fan := math.Ceil(math.Log(allBusyChance) / math.Log(bound(b.busy, 0.01, 0.99)))
-	for fan = math.Min(fan, probeSpend/math.Max(b.cfg.Prices.Probe, 1e-3)); len(r.probed) < int(fan); {
+	fan = math.Min(fan, maxHealthCheckCost/math.Max(b.cfg.Prices.HealthCheck, 1e-3))
+	for len(r.checked) < int(fan) {
 		var next *server
 		for _, s := range b.servers {
-			free := b.eligible(r, s) && !b.ejected(s) && !r.hasProbed(s)
+			free := b.eligible(r, s) && !b.ejected(s) && !r.hasChecked(s)
 			if free && (next == nil || s.running > next.running) {
 				next = s
 			}
@@ -28,21 +29,21 @@
 		if next == nil {
 			break
 		}
-		r.probed = append(r.probed, next)
-		b.probe(next)
-		r.holdUntil = b.now + probeAims*r.class.Aim
+		r.checked = append(r.checked, next)
+		b.healthCheck(next)
+		r.holdUntil = b.now + reportValidity*r.class.LatencyObjective
 	}
-	if len(r.probed) > 0 {
-		b.holding = append(b.holding, r)
+	if len(r.checked) > 0 {
+		b.waitingForChecks = append(b.waitingForChecks, r)
 	}
 }
 
-func (b *Balancer) judgeProbe(s *server, ev ProbeResult) {
+func (b *Balancer) recordHealthCheck(s *server, ev HealthCheckResult) {
 	if ev.Result != OK { // out of reach, though the process may run
 		b.eject(s)
-		s.probeFailed = true
-	} else if b.takeLoadReport(s, ev.Report); s.probeFailed {
-		s.probeFailed, s.ejections, s.ejectedUntil = false, 0, 0
+		s.healthCheckFailed = true
+	} else if b.takeLoadReport(s, ev.Report); s.healthCheckFailed {
+		s.healthCheckFailed, s.ejections, s.ejectedUntil = false, 0, 0
 	}
 }
 
@@ -68,28 +69,28 @@
 }
 
 // probe asks a server, unless an answer is still to come.
-func (b *Balancer) probe(s *server) {
-	if !s.probing {
-		s.probing = true
-		b.emit(Action{Kind: Probe, Server: s.ID})
+func (b *Balancer) healthCheck(s *server) {
+	if !s.checkPending {
+		s.checkPending = true
+		b.emit(Action{Kind: HealthCheck, Server: s.ID})
 	}
 }
 
 // stepHeld takes up the requests that wait for probes and keeps those that still do.
-func (b *Balancer) stepHeld() {
-	held := b.holding
-	b.holding = held[:0]
+func (b *Balancer) advanceWaiting() {
+	held := b.waitingForChecks
+	b.waitingForChecks = held[:0]
 	for _, r := range held {
 		b.advance(r)
 		if !r.done && r.holdUntil > b.now {
-			b.holding = append(b.holding, r)
+			b.waitingForChecks = append(b.waitingForChecks, r)
 		}
 	}
 }
 
-func (b *Balancer) held(r *request) bool {
-	for _, s := range r.probed {
-		if s.probing && b.now < r.holdUntil { // never for long
+func (b *Balancer) waitsForChecks(r *request) bool {
+	for _, s := range r.checked {
+		if s.checkPending && b.now < r.holdUntil { // never for long
 			return true
 		}
 	}
@@ -97,18 +98,18 @@
 	return false
 }
 
-func (b *Balancer) onProbe(ev ProbeResult) {
+func (b *Balancer) onHealthCheckResult(ev HealthCheckResult) {
 	if s := b.byID[ev.Server]; s != nil {
-		s.probing = false
+		s.checkPending = false
 		if ev.Result != LocalFailure {
-			b.judgeProbe(s, ev)
+			b.recordHealthCheck(s, ev)
 		}
-		b.stepHeld()
+		b.advanceWaiting()
 	}
 }
 
-func (r *request) hasProbed(s *server) bool {
-	for _, p := range r.probed {
+func (r *request) hasChecked(s *server) bool {
+	for _, p := range r.checked {
 		if p == s {
 			return true
 		}
--- a/balance/helpers_test.go
+++ b/balance/helpers_test.go
@@ -14,15 +14,15 @@
 
 func baseConfig() Config {
 	return Config{
-		Seed: 1, Peers: 3, MaxAttempts: 4, Parallel: true, Cancel: true, RetryAfter: true, MaxRetryAfter: 1000,
-		Quantum: 4, AnswerSlack: 16, ColdFrom: 0.2, ColdTime: 20000, FallMultiple: 2.5, FallTime: 1000,
-		AskWithin: 10000, DrainGrace: 2000,
+		Seed: 1, Peers: 3, MaxAttempts: 4, Hedging: true, Cancel: true, RetryAfter: true, MaxRetryAfter: 1000,
+		Quantum: 4, AnswerSlack: 16, SlowStartCapacity: 0.2, SlowStartTime: 20000, OverloadMultiple: 2.5, OverloadTime: 1000,
+		PollInterval: 10000, DrainGrace: 2000,
 		Classes: []Class{
-			{Effect: Safe, Aim: 300, Deadline: 1500, Worth: 1},
-			{Effect: Unsafe, Aim: 300, Deadline: 600, Worth: 5},
-			{Effect: Keyed, Group: GroupCell, Window: 1200, Aim: 400, Deadline: 2000, Worth: 3},
-			{Effect: Keyed, Group: GroupAll, Window: 1200, Aim: 400, Deadline: 2000, Worth: 3},
-			{Effect: Keyed, Group: GroupZone, Window: 1200, Aim: 400, Deadline: 2000, Worth: 3},
+			{Idempotency: Idempotent, LatencyObjective: 300, Deadline: 1500, PriorityWeight: 1},
+			{Idempotency: NonIdempotent, LatencyObjective: 300, Deadline: 600, PriorityWeight: 5},
+			{Idempotency: IdempotentWithKey, KeyScope: KeyScopeCell, KeyWindow: 1200, LatencyObjective: 400, Deadline: 2000, PriorityWeight: 3},
+			{Idempotency: IdempotentWithKey, KeyScope: KeyScopeAll, KeyWindow: 1200, LatencyObjective: 400, Deadline: 2000, PriorityWeight: 3},
+			{Idempotency: IdempotentWithKey, KeyScope: KeyScopeZone, KeyWindow: 1200, LatencyObjective: 400, Deadline: 2000, PriorityWeight: 3},
 		},
 	}
 }
@@ -85,9 +85,9 @@
 // answer ends an attempt with a result.
 func (g *rig) answer(id RequestID, attempt int, res Result, took float64) []Action {
 	g.t.Helper()
-	s := g.b.reqs[id].tries[attempt].s
+	s := g.b.reqs[id].attempts[attempt].server
 	done := res == OK || g.b.reqs[id].done
-	return g.do(Outcome{Request: id, Attempt: attempt, Server: s.ID, Result: res, Took: took, Finished: done})
+	return g.do(Outcome{Request: id, Attempt: attempt, Server: s.ID, Result: res, Elapsed: took, Finished: done})
 }
 
 func sentTo(acts []Action) (ServerID, bool) {
--- a/balance/learning.go
+++ b/balance/learning.go
@@ -43,5 +43,6 @@
 
 // rate is the number a millisecond since the start, some assumed ones included.
 func (m *decayingCounter) rate(now, start, span, assumed float64) float64 {
-	return (m.n*math.Exp((m.at-now)/span)/math.Max(-math.Expm1((start-now)/span), leastSpan) + assumed) / span
+	seen := math.Max(-math.Expm1((start-now)/span), minSpanFraction)
+	return (m.n*math.Exp((m.at-now)/span)/seen + assumed) / span
 }
--- a/balance/limits_test.go
+++ b/balance/limits_test.go
@@ -100,8 +100,8 @@
 	g := newRig(t, baseConfig(), fleet(4)...)
 	safe, _ := g.ask(safeClass)
 	unsafe, _ := g.ask(unsafeClass)
-	acts := g.do(End{})
-	want := map[RequestID]ActionKind{safe: Refuse, unsafe: Fail}
+	acts := g.do(Shutdown{})
+	want := map[RequestID]ActionKind{safe: Reject, unsafe: Fail}
 	for _, a := range acts {
 		if kind, asked := want[a.Request]; asked && a.Kind == kind {
 			delete(want, a.Request)
@@ -110,7 +110,7 @@
 	if len(want) > 0 {
 		t.Errorf("not answered: %v in %v", want, acts)
 	}
-	if _, acts := g.ask(safeClass); len(acts) != 1 || acts[0].Kind != Refuse {
+	if _, acts := g.ask(safeClass); len(acts) != 1 || acts[0].Kind != Reject {
 		t.Errorf("after the end a request gets %v", acts)
 	}
 	if acts := g.answer(safe, 0, ConnectFailed, 1); has(acts, Send) {
@@ -126,15 +126,15 @@
 		id, _ := g.ask(safeClass)
 		ids = append(ids, id)
 	}
-	before := g.b.open
-	g.now += baseConfig().Classes[safeClass].Aim / 2 // few answers are known: then an attempt is overdue
+	before := g.b.inFlightLoad
+	g.now += baseConfig().Classes[safeClass].LatencyObjective / 2 // few answers are known: then an attempt is overdue
 	for _, id := range ids {
 		g.do(Timer{Token: uint64(id)})
 	}
-	if _, avoided := g.b.Avoided(g.now); avoided != 1 {
+	if _, avoided := g.b.CountServers(g.now); avoided != 1 {
 		t.Fatalf("%d servers rest", avoided)
 	}
-	if g.b.open >= before {
-		t.Errorf("the load is %v, and was %v before the server was found to hang", g.b.open, before)
+	if g.b.inFlightLoad >= before {
+		t.Errorf("the load is %v, and was %v before the server was found to hang", g.b.inFlightLoad, before)
 	}
 }
--- a/balance/list.go
+++ b/balance/list.go
@@ -20,14 +20,14 @@
 )
 
 const (
-	epochBits   = 28    // of a revision count within an epoch, as the list service numbers them; see EpochOf
-	fewDoubted  = 2     // servers that a list may leave out without being doubted
-	doubtTime   = 6e5   // ms for which a server that no list names is used; an empty list is never meant
-	historyTime = 3e4   // ms of nothing but older lists after which they are another history, and taken
-	checkTime   = 15000 // ms between two looks at another list service, jittered by half
-	stuckTime   = 2000  // ms that a watch may take to tell what another service has told
-	backChecks  = 2     // good looks in a row before a watch returns to a nearer service
-	futureSlack = 1000  // ms that a server's start may lie ahead of this sidecar's clock
+	epochBits    = 28    // of a revision count within an epoch, as the list service numbers them; see EpochOf
+	minSuspected = 2     // servers that a list may leave out without being doubted
+	suspectLimit = 6e5   // ms for which a server that no list names is used; an empty list is never meant
+	historyTime  = 3e4   // ms of nothing but older lists after which they are another history, and taken
+	checkTime    = 15000 // ms between two looks at another list service, jittered by half
+	stuckTime    = 2000  // ms that a watch may take to tell what another service has told
+	backChecks   = 2     // good looks in a row before a watch returns to a nearer service
+	futureSlack  = 1000  // ms that a server's start may lie ahead of this sidecar's clock
 )
 
 // EpochOf is the history that a revision belongs to: revisions of one epoch can be compared.
@@ -35,63 +35,63 @@
 
 // startList begins to ask: the nearest service is watched, and now and then another one is looked at.
 func (b *Balancer) startList() {
-	b.list.heard = b.now
+	b.list.lastContact = b.now
 	if b.cfg.Subscribe {
 		b.watchList()
 	}
-	b.checkLater()
+	b.scheduleCheck()
 }
 
-func (b *Balancer) checkLater() {
-	if b.cfg.Lists <= 1 || b.list.looks {
+func (b *Balancer) scheduleCheck() {
+	if b.cfg.ListServices <= 1 || b.list.checkScheduled {
 		return
 	}
-	b.list.looks = true
+	b.list.checkScheduled = true
 	b.emit(Action{Kind: SetTimer, Token: checkTimer, At: checkTime * (0.5 + b.random())})
 }
 
 // check looks at another service: a watch that is alive but whose changes have stopped shows in nothing else,
 // and a nearer service that is back is found out before the watch returns to it.
 func (b *Balancer) check() {
-	if b.list.looks = false; b.cfg.Lists <= 1 {
+	if b.list.checkScheduled = false; b.cfg.ListServices <= 1 {
 		return
 	}
 	other := 0
 	if b.list.source == 0 {
-		other = 1 + int(b.random()*float64(b.cfg.Lists-1))
+		other = 1 + int(b.random()*float64(b.cfg.ListServices-1))
 	}
 	b.emit(Action{Kind: Fetch, Source: other, After: -1})
-	b.checkLater()
+	b.scheduleCheck()
 }
 
 // onStuckTimer: a look has found more than the watch had told, and it has had the time to tell it.
 func (b *Balancer) onStuckTimer() {
-	if b.list.ahead > b.list.told {
-		b.moveWatch(b.list.aheadAt, "its changes have stopped")
+	if b.list.aheadRev > b.list.watchRev {
+		b.switchWatch(b.list.aheadSource, "its changes have stopped")
 	}
 }
 
-func (b *Balancer) moveWatch(source int, why string) {
+func (b *Balancer) switchWatch(source int, why string) {
 	b.log(fmt.Sprintf("list: watches service %d in place of %d: %s", source, b.list.source, why))
-	b.list.source, b.list.good, b.list.ahead, b.list.held = source, 0, 0, math.Inf(-1)
+	b.list.source, b.list.goodChecks, b.list.aheadRev, b.list.confirmedAt = source, 0, 0, math.Inf(-1)
 	b.watchList()
 }
 
 // onList takes in what a list service says.
 func (b *Balancer) onList(ev ServerList) {
 	if ev.Kind == ListFailed {
-		if !ev.Check { // a look that failed tells nothing
+		if !ev.FromFetch { // a look that failed tells nothing
 			b.pollAgain(&ev)
 		}
 		return
 	}
 	if ev.Kind != ListCached {
-		b.list.heard = b.now
+		b.list.lastContact = b.now
 	}
-	b.freshen()
+	b.updateStaleness()
 	if ev.Kind == ListAlive {
-		if !ev.Check { // calls are answered again
-			b.list.asks, b.list.held = 0, b.now
+		if !ev.FromFetch { // calls are answered again
+			b.list.failedPolls, b.list.confirmedAt = 0, b.now
 		}
 		return
 	}
@@ -107,7 +107,7 @@
 	}
 	b.takeIn(entries, later, ev.Kind == ListDelta)
 	if ev.Kind != ListCached {
-		b.list.held = b.now
+		b.list.confirmedAt = b.now
 	}
 }
 
@@ -115,41 +115,41 @@
 // knows best.
 func (b *Balancer) acceptsList(ev *ServerList) bool {
 	l := &b.list
-	if !ev.Check { // from a list that is known at the start the watch begins, too
-		l.told = max(l.told, ev.Rev)
+	if !ev.FromFetch { // from a list that is known at the start the watch begins, too
+		l.watchRev = max(l.watchRev, ev.Rev)
 	}
-	if ev.Check {
-		if ev.Rev > l.ahead {
-			l.ahead, l.aheadAt = ev.Rev, ev.Source
+	if ev.FromFetch {
+		if ev.Rev > l.aheadRev {
+			l.aheadRev, l.aheadSource = ev.Rev, ev.Source
 		}
-		if l.ahead > l.told {
+		if l.aheadRev > l.watchRev {
 			b.emit(Action{Kind: SetTimer, Token: stuckTimer, At: stuckTime})
 		}
-		if l.good++; ev.Rev < l.rev || ev.Source >= l.source { // it may be watched by now
-			l.good = 0
+		if l.goodChecks++; ev.Rev < l.rev || ev.Source >= l.source { // it may be watched by now
+			l.goodChecks = 0
 		}
-		if l.good >= backChecks {
-			b.moveWatch(ev.Source, "the nearer one has all")
+		if l.goodChecks >= backChecks {
+			b.switchWatch(ev.Source, "the nearer one has all")
 		}
 	}
 	later := ev.Rev > l.rev && (ev.Kind == ListFull || EpochOf(ev.Rev) == EpochOf(l.rev))
-	if b.cfg.Lists <= 1 || ev.Kind == ListCached || later {
+	if b.cfg.ListServices <= 1 || ev.Kind == ListCached || later {
 		return b.takeList(ev)
 	}
 	switch {
 	case ev.Rev == l.rev && ev.Kind == ListFull: // the same, told again; it may end a doubt
 		return b.takeList(ev)
-	case ev.Check || ev.Rev == l.rev:
+	case ev.FromFetch || ev.Rev == l.rev:
 	case ev.Rev > l.rev: // changes of a history that this sidecar has not seen the beginning of
 		l.rev = 0
 		b.watchList()
-	case ev.Kind == ListFull && l.refused > 0 && b.now-l.refused > historyTime:
+	case ev.Kind == ListFull && l.rejectedSince > 0 && b.now-l.rejectedSince > historyTime:
 		b.log(fmt.Sprintf("list: revision %d after %d, as nobody has a newer one", ev.Rev, l.rev))
-		l.told, l.ahead = ev.Rev, ev.Rev
+		l.watchRev, l.aheadRev = ev.Rev, ev.Rev
 		return b.takeList(ev)
 	case ev.Kind == ListFull:
-		if l.refused == 0 {
-			l.refused = b.now
+		if l.rejectedSince == 0 {
+			l.rejectedSince = b.now
 			b.log(fmt.Sprintf("list: service %d has an older one, %d before %d", ev.Source, ev.Rev, l.rev))
 		}
 		b.pollAgain(ev)
@@ -161,21 +161,21 @@
 // One that turns calls away has too many callers: pauses grow to three of the four times AskWithin that the
 // rules allow then. Config.LongestPause bounds all: on sockets a change soon counts as told, whatever failed.
 func (b *Balancer) pollAgain(ev *ServerList) {
-	lists := max(b.cfg.Lists, 1)
-	round := b.list.asks / lists
-	pause, most := pollBackoff*float64(int(1)<<min(round, 4)), b.cfg.AskWithin/3
+	lists := max(b.cfg.ListServices, 1)
+	round := b.list.failedPolls / lists
+	pause, maxPause := pollBackoff*float64(int(1)<<min(round, 4)), b.cfg.PollInterval/3
 	if ev.Busy {
-		pause, most = pollBackoff*float64(int(1)<<min(2*round, 6)), 3*b.cfg.AskWithin
+		pause, maxPause = pollBackoff*float64(int(1)<<min(2*round, 6)), 3*b.cfg.PollInterval
 	}
-	if ev.Wait > 0 { // it says itself when
-		pause = 2 * ev.Wait
+	if ev.RetryAfter > 0 { // it says itself when
+		pause = 2 * ev.RetryAfter
 	}
-	for _, bound := range []float64{most, b.cfg.LongestPause} {
+	for _, bound := range []float64{maxPause, b.cfg.MaxPollBackoff} {
 		if bound > 0 {
 			pause = math.Min(pause, bound)
 		}
 	}
-	b.list.asks++
+	b.list.failedPolls++
 	b.list.source = (b.list.source + 1) % lists
 	b.emit(Action{Kind: SetTimer, Token: listTimer, At: pause * (0.5 + b.random()/2)})
 }
@@ -199,7 +199,7 @@
 	out := make([]Server, 0, len(servers))
 	at := make(map[ServerID]int, len(servers))
 	for _, s := range servers {
-		if s.Place == Nowhere && s.State == Ready {
+		if s.AddressKey == NoAddress && s.State == Ready {
 			s.State = Draining
 		}
 		if !(s.Rating > 0) || math.IsInf(s.Rating, 0) {
@@ -217,15 +217,15 @@
 	holder := make(map[uint64]int, len(out))
 	for i := range out {
 		s := &out[i]
-		if s.State != Ready || s.Place == 0 {
+		if s.State != Ready || s.AddressKey == 0 {
 			continue
 		}
-		j, taken := holder[s.Place]
+		j, taken := holder[s.AddressKey]
 		switch other := &out[max(j, 0)]; {
 		case !taken:
-			holder[s.Place] = i
+			holder[s.AddressKey] = i
 		case b.startOf(s) > b.startOf(other) || b.startOf(s) == b.startOf(other) && s.ID < other.ID:
-			other.State, holder[s.Place] = Draining, i
+			other.State, holder[s.AddressKey] = Draining, i
 		default:
 			s.State = Draining
 		}
@@ -234,7 +234,7 @@
 }
 
 // markUnlisted: what a whole list does not name is gone, or doubted.
-func (b *Balancer) markUnlisted(entries []Server, doubts bool) {
+func (b *Balancer) markUnlisted(entries []Server, maySuspect bool) {
 	listed := make(map[ServerID]bool, len(entries))
 	for i := range entries {
 		listed[entries[i].ID] = true
@@ -247,46 +247,46 @@
 			}
 		}
 	}
-	b.list.empty = len(entries) == 0
-	most := b.cfg.DoubtShare * float64(used)
-	doubts = doubts && most > 0 && left >= fewDoubted && float64(left) > most
-	if doubts {
+	b.list.namedNone = len(entries) == 0
+	limit := b.cfg.SuspectFraction * float64(used)
+	maySuspect = maySuspect && limit > 0 && left >= minSuspected && float64(left) > limit
+	if maySuspect {
 		b.log(fmt.Sprintf("list: %d of %d servers are left out; they stay while they answer", left, used))
-		b.emit(Action{Kind: SetTimer, Token: doubtTimer, At: doubtTime})
+		b.emit(Action{Kind: SetTimer, Token: suspectTimer, At: suspectLimit})
 	}
 	for _, s := range b.servers {
 		switch {
 		case listed[s.ID]:
-		case !doubts || s.State != Ready:
+		case !maySuspect || s.State != Ready:
 			s.State = Gone
-		case s.doubted == 0:
-			s.doubted = b.now
+		case s.suspectedSince == 0:
+			s.suspectedSince = b.now
 		}
 	}
 }
 
 // endDoubt drops a doubted server: the list was right about it.
-func (b *Balancer) endDoubt(s *server) {
+func (b *Balancer) endSuspicion(s *server) {
 	s.State = Gone
-	b.list.sweep = true
+	b.list.removalPending = true
 	b.emit(Action{Kind: Forget, Server: s.ID})
 }
 
 // onDoubtTimer drops what no list has named for long, unless the list names nobody at all.
-func (b *Balancer) onDoubtTimer() {
+func (b *Balancer) onSuspectTimer() {
 	for _, s := range b.servers {
-		if s.doubted > 0 && b.now-s.doubted >= doubtTime && !b.list.empty {
-			b.endDoubt(s)
+		if s.suspectedSince > 0 && b.now-s.suspectedSince >= suspectLimit && !b.list.namedNone {
+			b.endSuspicion(s)
 		}
 	}
 }
 
 // freshen follows whether the list is stale.
-func (b *Balancer) freshen() {
-	stale := b.cfg.StaleAfter > 0 && b.now-b.list.heard > b.cfg.StaleAfter
+func (b *Balancer) updateStaleness() {
+	stale := b.cfg.StaleAfter > 0 && b.now-b.list.lastContact > b.cfg.StaleAfter
 	if stale != b.list.stale {
 		b.list.stale = stale
-		b.log(fmt.Sprintf("list: stale %v, nothing heard for %.1f s", stale, (b.now-b.list.heard)/1000))
+		b.log(fmt.Sprintf("list: stale %v, nothing heard for %.1f s", stale, (b.now-b.list.lastContact)/1000))
 	}
 }
 
@@ -299,7 +299,9 @@
 			return
 		}
 		// A random start keeps sidecars that begin together from choosing in step.
-		s = &server{running: mostFresh * b.random(), slowStartAt: math.Inf(-1), evidenceAt: math.Inf(-1)}
+		s = &server{
+			running: maxInitialRunning * b.random(), slowStartAt: math.Inf(-1), evidenceAt: math.Inf(-1),
+		}
 		b.byID[entry.ID] = s
 		b.servers = append(b.servers, s)
 	}
@@ -307,10 +309,10 @@
 		s.pardon()
 		s.running = 0
 		b.beginSlowStart(s, since)
-	} else if entry.Place != s.Place {
+	} else if entry.AddressKey != s.AddressKey {
 		s.pardon()
 	}
-	s.Server, s.doubted, s.zone = *entry, 0, b.zone(entry.Zone)
+	s.Server, s.suspectedSince, s.zone = *entry, 0, b.zone(entry.Zone)
 	s.rank = b.rank(s)
 }
 
@@ -320,27 +322,27 @@
 
 // listState is what a balancer knows of its list services.
 type listState struct {
-	rev     int64   // of the list held
-	heard   float64 // when a service said anything last
-	held    float64 // when the service watched last told that this list is the newest; -Inf: not yet
-	source  int     // the service watched, by preference
-	told    int64   // the last revision that the watch told
-	ahead   int64   // the newest revision that another service had at a look
-	aheadAt int     // ... and which one
-	good    int     // looks in a row at which a nearer service had all
-	refused float64 // since when only older lists have come; 0: they have not
-	empty   bool    // the last whole list named nobody
-	stale   bool    // it has been said that the list is stale
-	sweep   bool    // servers are gone that no list told of
-	looks   bool    // the timer of the next look at another service runs
-	asks    int     // failed list calls in a row
+	rev            int64   // of the list held
+	lastContact    float64 // when a service said anything last
+	confirmedAt    float64 // when the service watched last told that this list is the newest; -Inf: not yet
+	source         int     // the service watched, by preference
+	watchRev       int64   // the last revision that the watch told
+	aheadRev       int64   // the newest revision that another service had at a look
+	aheadSource    int     // ... and which one
+	goodChecks     int     // looks in a row at which a nearer service had all
+	rejectedSince  float64 // since when only older lists have come; 0: they have not
+	namedNone      bool    // the last whole list named nobody
+	stale          bool    // it has been said that the list is stale
+	removalPending bool    // servers are gone that no list told of
+	checkScheduled bool    // the timer of the next look at another service runs
+	failedPolls    int     // failed list calls in a row
 }
 
 // takeIn takes in entries. Of changes it leaves servers and zones as dropGone would, without a look at those
 // that are not named: with thousands of servers a walk over all of them at each change was most of what a
 // sidecar did.
 func (b *Balancer) takeIn(entries []Server, later, changes bool) {
-	b.capped = math.Max(b.capped, mostFresh)
+	b.maxOtherRunning = math.Max(b.maxOtherRunning, maxInitialRunning)
 	if !changes {
 		for i := range entries {
 			b.update(&entries[i], later)
@@ -386,21 +388,21 @@
 }
 
 func (b *Balancer) takeList(ev *ServerList) bool {
-	b.list.rev, b.list.refused = ev.Rev, 0
-	if !ev.Check && ev.Kind != ListCached {
-		b.list.asks = 0
+	b.list.rev, b.list.rejectedSince = ev.Rev, 0
+	if !ev.FromFetch && ev.Kind != ListCached {
+		b.list.failedPolls = 0
 	}
 	return true
 }
 
 func (b *Balancer) watchList() {
-	b.list.told = b.list.rev
+	b.list.watchRev = b.list.rev
 	b.emit(Action{Kind: Watch, Source: b.list.source, After: b.list.rev})
 }
 
 // setServiceCount takes in that there are more or fewer services.
 func (b *Balancer) setServiceCount(lists int) {
-	b.cfg.Lists = lists
+	b.cfg.ListServices = lists
 	b.list.source = min(b.list.source, max(lists-1, 0))
-	b.checkLater()
+	b.scheduleCheck()
 }
--- a/balance/list_test.go
+++ b/balance/list_test.go
@@ -11,7 +11,7 @@
 
 func listRig(t *testing.T, change func(*Config), servers ...Server) *rig {
 	cfg := baseConfig()
-	cfg.Subscribe, cfg.Lists, cfg.DoubtShare, cfg.StaleAfter = true, 2, 0.3, 5000
+	cfg.Subscribe, cfg.ListServices, cfg.SuspectFraction, cfg.StaleAfter = true, 2, 0.3, 5000
 	if change != nil {
 		change(&cfg)
 	}
@@ -21,7 +21,7 @@
 func (g *rig) used() string {
 	var out []string
 	for id := ServerID(1); id < 20; id++ {
-		if _, ok := g.b.Used(id); ok {
+		if _, ok := g.b.UsableServer(id); ok {
 			out = append(out, fmt.Sprint(id))
 		}
 	}
@@ -52,8 +52,8 @@
 	g.do(ServerList{Kind: ListFull, Rev: 10, Servers: fleet(4)})
 	acts := g.do(ServerList{Kind: ListFull, Rev: 8, Source: 1, Servers: fleet(6)})
 	g.wantUsed("an older list", "1 2 3 4")
-	if g.b.List(g.now).Rev != 10 || !g.b.List(g.now).Refused || !has(acts, SetTimer) {
-		t.Fatalf("an older list: %+v, %+v", g.b.List(g.now), acts)
+	if g.b.ListStatus(g.now).Rev != 10 || !g.b.ListStatus(g.now).Rejected || !has(acts, SetTimer) {
+		t.Fatalf("an older list: %+v, %+v", g.b.ListStatus(g.now), acts)
 	}
 	if w := find(g.timer(listTimer), Watch); w == nil || w.Source != 1 || w.After != 10 {
 		t.Fatalf("the next service is not watched from what is held: %+v", w)
@@ -63,7 +63,7 @@
 	g.wantUsed("older changes", "1 2 3 4")
 	g.do(ServerList{Kind: ListDelta, Rev: 12, Servers: []Server{{ID: 7}}})
 	g.wantUsed("newer changes", "1 2 3 4 7")
-	if g.b.List(g.now).Refused {
+	if g.b.ListStatus(g.now).Rejected {
 		t.Error("still refused")
 	}
 
@@ -80,7 +80,7 @@
 }
 
 func TestOlderHistoryIsTakenWhenThereIsNoOther(t *testing.T) {
-	g := listRig(t, func(c *Config) { c.DoubtShare = 0 }, fleet(4)...)
+	g := listRig(t, func(c *Config) { c.SuspectFraction = 0 }, fleet(4)...)
 	g.do(ServerList{Kind: ListFull, Rev: 3 << epochBits, Servers: fleet(4)})
 	old := ServerList{Kind: ListFull, Rev: 1 << epochBits, Servers: fleet(2)}
 	var pauses []float64
@@ -112,9 +112,9 @@
 		"who goes is obeyed":   {0.3, []Server{{ID: 1, State: Draining}, {ID: 2, State: Gone}}, "3 4 5 6 7 8 9", 7},
 		"half, and one drains": {0.3, append(without(4, 9), Server{ID: 5, State: Draining}), "1 2 3 4 6 7 8 9", 4},
 	} {
-		g := listRig(t, func(c2 *Config) { c2.DoubtShare = c.share }, fleet(9)...)
+		g := listRig(t, func(c2 *Config) { c2.SuspectFraction = c.share }, fleet(9)...)
 		g.do(ServerList{Kind: ListFull, Rev: 2, Servers: c.list})
-		if got := g.b.List(g.now).Doubted; g.used() != c.used || got != c.doubted {
+		if got := g.b.ListStatus(g.now).Suspected; g.used() != c.used || got != c.doubted {
 			t.Errorf("%s: used %q, doubted %d; want %q, %d", name, g.used(), got, c.used, c.doubted)
 		}
 	}
@@ -123,7 +123,7 @@
 func TestDoubtEnds(t *testing.T) {
 	begin := func(list ...Server) *rig {
 		g := listRig(t, nil, fleet(6)...)
-		if g.do(ServerList{Kind: ListFull, Rev: 2, Servers: list}); g.b.List(g.now).Doubted == 0 {
+		if g.do(ServerList{Kind: ListFull, Rev: 2, Servers: list}); g.b.ListStatus(g.now).Suspected == 0 {
 			t.Fatal("nothing is doubted")
 		}
 		return g
@@ -132,14 +132,14 @@
 		g := begin()
 		g.do(ServerList{Kind: ListDelta, Rev: 3, Servers: []Server{{ID: 1, State: Draining}, {ID: 2, State: Gone}, {ID: 3}}})
 		g.wantUsed("named", "3 4 5 6")
-		if got := g.b.List(g.now).Doubted; got != 3 {
+		if got := g.b.ListStatus(g.now).Suspected; got != 3 {
 			t.Errorf("%d are doubted", got)
 		}
 	})
 	t.Run("by a list that names them", func(t *testing.T) {
 		g := begin()
 		g.do(ServerList{Kind: ListFull, Rev: 3, Servers: fleet(5)})
-		if g.wantUsed("a sound list", "1 2 3 4 5"); g.b.List(g.now).Doubted != 0 {
+		if g.wantUsed("a sound list", "1 2 3 4 5"); g.b.ListStatus(g.now).Suspected != 0 {
 			t.Error("still doubted")
 		}
 	})
@@ -154,7 +154,7 @@
 		if next, ok := sentTo(acts); !ok || next == first {
 			t.Errorf("the request is not sent on: %+v", acts)
 		}
-		if _, ok := g.b.Used(first); ok {
+		if _, ok := g.b.UsableServer(first); ok {
 			t.Error("it is still used")
 		}
 	})
@@ -165,8 +165,8 @@
 				list = fleet(2)
 			}
 			g := begin(list...)
-			g.now += doubtTime
-			g.timer(doubtTimer)
+			g.now += suspectLimit
+			g.timer(suspectTimer)
 			if want := map[bool]string{true: "1 2 3 4 5 6", false: "1 2"}[empty]; g.used() != want {
 				t.Errorf("empty %v: used %q", empty, g.used())
 			}
@@ -181,14 +181,14 @@
 	}{
 		"twice, one drains":           {[]Server{{ID: 1, State: Draining}, {ID: 1}, {ID: 2}}, "2"},
 		"twice, one is gone":          {[]Server{{ID: 1}, {ID: 1, State: Gone}, {ID: 2}}, "2"},
-		"twice, both ready":           {[]Server{{ID: 1, Place: 5, StartedAt: 2}, {ID: 1, Place: 6, StartedAt: 1}}, "1"},
-		"two in one place":            {[]Server{{ID: 1, Place: 5}, {ID: 2, Place: 5, StartedAt: 7}, {ID: 3, Place: 6}}, "2 3"},
-		"two in one place, alike":     {[]Server{{ID: 2, Place: 5}, {ID: 1, Place: 5}}, "1"},
-		"one in one place, one drain": {[]Server{{ID: 2, Place: 5}, {ID: 1, Place: 5, State: Draining, StartedAt: 9}}, "2"},
-		"nowhere":                     {[]Server{{ID: 1, Place: Nowhere}, {ID: 2, Place: Nowhere, State: Draining}, {ID: 3, Place: 1}}, "3"},
+		"twice, both ready":           {[]Server{{ID: 1, AddressKey: 5, StartedAt: 2}, {ID: 1, AddressKey: 6, StartedAt: 1}}, "1"},
+		"two in one place":            {[]Server{{ID: 1, AddressKey: 5}, {ID: 2, AddressKey: 5, StartedAt: 7}, {ID: 3, AddressKey: 6}}, "2 3"},
+		"two in one place, alike":     {[]Server{{ID: 2, AddressKey: 5}, {ID: 1, AddressKey: 5}}, "1"},
+		"one in one place, one drain": {[]Server{{ID: 2, AddressKey: 5}, {ID: 1, AddressKey: 5, State: Draining, StartedAt: 9}}, "2"},
+		"nowhere":                     {[]Server{{ID: 1, AddressKey: NoAddress}, {ID: 2, AddressKey: NoAddress, State: Draining}, {ID: 3, AddressKey: 1}}, "3"},
 		"no size":                     {[]Server{{ID: 1, Rating: -1}, {ID: 2, Rating: 0}}, "1 2"},
 	} {
-		g := listRig(t, func(c *Config) { c.DoubtShare = 0 })
+		g := listRig(t, func(c *Config) { c.SuspectFraction = 0 })
 		g.do(ServerList{Kind: ListFull, Rev: 2, Servers: c.list})
 		if g.used() != c.used {
 			t.Errorf("%s: used %q, want %q", name, g.used(), c.used)
@@ -201,9 +201,9 @@
 	}
 	if s, _ := func() (Server, bool) {
 		g := listRig(t, nil)
-		g.do(ServerList{Kind: ListFull, Rev: 2, Servers: []Server{{ID: 1, Place: 6, StartedAt: 1}, {ID: 1, Place: 5, StartedAt: 2}}})
-		return g.b.Used(1)
-	}(); s.Place != 5 {
+		g.do(ServerList{Kind: ListFull, Rev: 2, Servers: []Server{{ID: 1, AddressKey: 6, StartedAt: 1}, {ID: 1, AddressKey: 5, StartedAt: 2}}})
+		return g.b.UsableServer(1)
+	}(); s.AddressKey != 5 {
 		t.Errorf("of two entries the older counts: %+v", s)
 	}
 }
@@ -216,7 +216,7 @@
 	if !g.b.warmingUp(g.b.byID[1]) {
 		t.Error("a server that has just started is not cold")
 	}
-	g.now += g.b.cfg.ColdTime
+	g.now += g.b.cfg.SlowStartTime
 	g.do(list) // told again: it has not started again
 	if g.b.warmingUp(g.b.byID[1]) {
 		t.Error("it is still cold")
@@ -225,7 +225,7 @@
 
 // Another address is another way to a server: what failed on the old one is not held against it. Another zone moves it.
 func TestServerMoves(t *testing.T) {
-	g := listRig(t, nil, Server{ID: 1, Place: 4}, Server{ID: 2, Place: 5})
+	g := listRig(t, nil, Server{ID: 1, AddressKey: 4}, Server{ID: 2, AddressKey: 5})
 	for range 4 {
 		id, acts := g.ask(safeClass)
 		if s, _ := sentTo(acts); s == 1 {
@@ -236,14 +236,14 @@
 	if !g.b.ejected(g.b.byID[1]) {
 		t.Fatal("it does not rest")
 	}
-	g.do(ServerList{Kind: ListDelta, Rev: 3, Servers: []Server{{ID: 1, Place: 9, Zone: 3}}})
+	g.do(ServerList{Kind: ListDelta, Rev: 3, Servers: []Server{{ID: 1, AddressKey: 9, Zone: 3}}})
 	if s := g.b.byID[1]; g.b.ejected(s) || s.Zone != 3 || g.b.warmingUp(s) {
 		t.Errorf("after it moved: %+v", s)
 	}
 }
 
 func TestEachServiceIsTriedBeforeThePauseGrows(t *testing.T) {
-	g := listRig(t, func(c *Config) { c.Lists = 3 }, fleet(3)...)
+	g := listRig(t, func(c *Config) { c.ListServices = 3 }, fleet(3)...)
 	var order []int
 	for i := range 6 {
 		acts := g.do(ServerList{Kind: ListFailed, Source: g.b.list.source})
@@ -256,7 +256,7 @@
 	if fmt.Sprint(order) != "[1 2 0 1 2 0]" {
 		t.Errorf("asked in the order %v", order)
 	}
-	if g.do(ServerList{Kind: ListFailed, Check: true}); g.b.list.source != 0 {
+	if g.do(ServerList{Kind: ListFailed, FromFetch: true}); g.b.list.source != 0 {
 		t.Error("a look that failed moves the watch")
 	}
 }
@@ -271,7 +271,7 @@
 		}
 	}
 	look(1)
-	acts := g.do(ServerList{Kind: ListFull, Rev: 8, Source: 1, Check: true, Servers: fleet(4)})
+	acts := g.do(ServerList{Kind: ListFull, Rev: 8, Source: 1, FromFetch: true, Servers: fleet(4)})
 	if g.wantUsed("a newer list elsewhere", "1 2 3 4"); find(acts, SetTimer) == nil {
 		t.Fatal("the watch is given no time")
 	}
@@ -280,14 +280,14 @@
 		t.Fatal("a watch that told it is left")
 	}
 	look(1)
-	g.do(ServerList{Kind: ListFull, Rev: 9, Source: 1, Check: true, Servers: fleet(5)})
+	g.do(ServerList{Kind: ListFull, Rev: 9, Source: 1, FromFetch: true, Servers: fleet(5)})
 	g.do(ServerList{Kind: ListAlive})
 	if w := find(g.timer(stuckTimer), Watch); w == nil || w.Source != 1 {
 		t.Fatalf("a watch whose changes have stopped is kept: %+v", w)
 	}
 	for i := range backChecks {
 		look(0)
-		w := find(g.do(ServerList{Kind: ListFull, Rev: 9, Check: true, Servers: fleet(5)}), Watch)
+		w := find(g.do(ServerList{Kind: ListFull, Rev: 9, FromFetch: true, Servers: fleet(5)}), Watch)
 		if last := i == backChecks-1; (w != nil) != last || last && w.Source != 0 {
 			t.Fatalf("look %d at the nearer one: %+v", i, w)
 		}
@@ -296,7 +296,7 @@
 
 // Looks begin when there is a second service, end when there is none, and are never made twice.
 func TestLooksFollowTheNumberOfServices(t *testing.T) {
-	g := listRig(t, func(c *Config) { c.Lists = 1 }, fleet(3)...)
+	g := listRig(t, func(c *Config) { c.ListServices = 1 }, fleet(3)...)
 	looks := func(acts []Action) (n int) {
 		for _, a := range acts {
 			if a.Kind == SetTimer && a.Token == checkTimer {
@@ -309,8 +309,8 @@
 		ev   Event
 		want int
 	}{
-		{Sources{Lists: 1}, 0}, {Sources{Lists: 2}, 1}, {Sources{Lists: 3}, 0}, {Timer{Token: checkTimer}, 1},
-		{Sources{Lists: 1}, 0}, {Timer{Token: checkTimer}, 0}, {Sources{Lists: 2}, 1},
+		{ListServices{Count: 1}, 0}, {ListServices{Count: 2}, 1}, {ListServices{Count: 3}, 0}, {Timer{Token: checkTimer}, 1},
+		{ListServices{Count: 1}, 0}, {Timer{Token: checkTimer}, 0}, {ListServices{Count: 2}, 1},
 	} {
 		if got := looks(g.do(c.ev)); got != c.want {
 			t.Errorf("step %d, %+v: %d looks are to come, want %d", i, c.ev, got, c.want)
@@ -334,10 +334,10 @@
 	}
 	fresh := rest()
 	g.now += g.b.cfg.StaleAfter + 1
-	if g.timer(listTimer); !g.b.List(g.now).Stale || rest() <= fresh {
-		t.Errorf("stale %v: it rests for %v ms, before for %v", g.b.List(g.now).Stale, rest(), fresh)
+	if g.timer(listTimer); !g.b.ListStatus(g.now).Stale || rest() <= fresh {
+		t.Errorf("stale %v: it rests for %v ms, before for %v", g.b.ListStatus(g.now).Stale, rest(), fresh)
 	}
-	if acts := g.do(ServerList{Kind: ListAlive}); g.b.List(g.now).Stale || !has(acts, Log) || rest() != fresh {
+	if acts := g.do(ServerList{Kind: ListAlive}); g.b.ListStatus(g.now).Stale || !has(acts, Log) || rest() != fresh {
 		t.Error("the list is heard of again, and still stale")
 	}
 }
@@ -347,8 +347,8 @@
 func TestAnyListsKeepTheRules(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		cfg := baseConfig()
-		cfg.Subscribe, cfg.Lists = true, rapid.IntRange(2, 3).Draw(rt, "lists")
-		cfg.DoubtShare = rapid.SampledFrom([]float64{0, 0.3}).Draw(rt, "doubt")
+		cfg.Subscribe, cfg.ListServices = true, rapid.IntRange(2, 3).Draw(rt, "lists")
+		cfg.SuspectFraction = rapid.SampledFrom([]float64{0, 0.3}).Draw(rt, "doubt")
 		b := mustNew(t, cfg)
 		now := 1000.0
 		b.Start(now)
@@ -356,26 +356,26 @@
 		for range rapid.IntRange(1, 30).Draw(rt, "steps") {
 			now += rapid.Float64Range(0, 4000).Draw(rt, "pause")
 			ev := ServerList{Kind: rapid.SampledFrom([]ListKind{ListFull, ListDelta, ListDelta, ListFailed, ListAlive}).Draw(rt, "kind"),
-				Source: rapid.IntRange(0, cfg.Lists-1).Draw(rt, "source"), Check: rapid.IntRange(0, 4).Draw(rt, "check") == 0,
+				Source: rapid.IntRange(0, cfg.ListServices-1).Draw(rt, "source"), FromFetch: rapid.IntRange(0, 4).Draw(rt, "check") == 0,
 				Rev: rapid.Int64Range(1, 12).Draw(rt, "rev") + rapid.Int64Range(0, 1).Draw(rt, "epoch")<<epochBits}
 			for range rapid.IntRange(0, 5).Draw(rt, "entries") {
 				ev.Servers = append(ev.Servers, Server{ID: ServerID(rapid.IntRange(1, 6).Draw(rt, "id")),
-					State:     rapid.SampledFrom([]State{Ready, Ready, Draining, Gone}).Draw(rt, "state"),
-					StartedAt: float64(rapid.IntRange(0, 3).Draw(rt, "start")), Place: uint64(rapid.IntRange(0, 4).Draw(rt, "place"))})
+					State:     rapid.SampledFrom([]ServerState{Ready, Ready, Draining, Gone}).Draw(rt, "state"),
+					StartedAt: float64(rapid.IntRange(0, 3).Draw(rt, "start")), AddressKey: uint64(rapid.IntRange(0, 4).Draw(rt, "place"))})
 			}
 			if ev.Kind == ListFailed || ev.Kind == ListAlive {
 				ev.Servers = nil
 			}
-			before := b.List(now)
+			before := b.ListStatus(now)
 			if _, err := b.Handle(now, ev); err != nil {
 				rt.Fatal(err)
 			}
-			after := b.List(now)
-			if after.Rev < before.Rev && after.Rev != 0 && !before.Refused {
+			after := b.ListStatus(now)
+			if after.Rev < before.Rev && after.Rev != 0 && !before.Rejected {
 				rt.Fatalf("the list went back from %d to %d", before.Rev, after.Rev)
 			}
 			for _, e := range b.normalizeEntries(ev.Servers) {
-				s, used := b.Used(e.ID)
+				s, used := b.UsableServer(e.ID)
 				if used && e.State != Ready && e.StartedAt >= s.StartedAt {
 					rt.Fatalf("%+v is used although it was told to go: %+v", s, e)
 				}
@@ -386,7 +386,7 @@
 				rt.Fatal(err)
 			}
 			if to, ok := sentTo(acts); ok {
-				if _, used := b.Used(to); !used {
+				if _, used := b.UsableServer(to); !used {
 					rt.Fatalf("a request goes to %d, which is not in use", to)
 				}
 			}
@@ -427,11 +427,11 @@
 	g := listRig(t, nil)
 	g.do(ServerList{Kind: ListCached, Rev: 5, Servers: fleet(4)})
 	g.do(ServerList{Kind: ListAlive})
-	acts := g.do(ServerList{Kind: ListFull, Rev: 5, Source: 1, Check: true, Servers: fleet(4)})
+	acts := g.do(ServerList{Kind: ListFull, Rev: 5, Source: 1, FromFetch: true, Servers: fleet(4)})
 	if has(acts, SetTimer) || has(g.timer(stuckTimer), Watch) {
 		t.Fatal("a watch that has nothing to tell beyond what was known counts as stuck")
 	}
-	g.do(ServerList{Kind: ListFull, Rev: 6, Source: 1, Check: true, Servers: fleet(4)})
+	g.do(ServerList{Kind: ListFull, Rev: 6, Source: 1, FromFetch: true, Servers: fleet(4)})
 	if w := find(g.timer(stuckTimer), Watch); w == nil || w.Source != 1 {
 		t.Fatal("a stuck watch is not left")
 	}
@@ -441,10 +441,10 @@
 func TestLongestPauseBoundsEveryPause(t *testing.T) {
 	for _, askWithin := range []float64{0, 10000, 600000} {
 		cfg := baseConfig()
-		cfg.Subscribe, cfg.AskWithin, cfg.LongestPause = true, askWithin, 4500
+		cfg.Subscribe, cfg.PollInterval, cfg.MaxPollBackoff = true, askWithin, 4500
 		for name, failure := range map[string]ServerList{
 			"nobody there": {Kind: ListFailed}, "turned away": {Kind: ListFailed, Busy: true},
-			"told to come in an hour": {Kind: ListFailed, Busy: true, Wait: 3.6e6},
+			"told to come in an hour": {Kind: ListFailed, Busy: true, RetryAfter: 3.6e6},
 		} {
 			g := newRig(t, cfg, fleet(3)...)
 			longest := 0.0
@@ -454,7 +454,7 @@
 				g.now += at
 				g.timer(listTimer)
 			}
-			if longest > cfg.LongestPause || longest < cfg.LongestPause/2 && (askWithin != 10000 || failure.Busy) {
+			if longest > cfg.MaxPollBackoff || longest < cfg.MaxPollBackoff/2 && (askWithin != 10000 || failure.Busy) {
 				t.Errorf("%s, AskWithin %v: the longest of 40 pauses is %v ms", name, askWithin, longest)
 			}
 		}
--- a/balance/little_time_test.go
+++ b/balance/little_time_test.go
@@ -26,7 +26,7 @@
 					}
 					g.now += left
 					acts = g.do(Timer{Token: uint64(id)})
-					if !has(acts, Fail) && !has(acts, Refuse) {
+					if !has(acts, Fail) && !has(acts, Reject) {
 						t.Fatalf("%v ms: no answer at the deadline: %+v", left, acts)
 					}
 					if has(acts, Send) {
@@ -57,7 +57,7 @@
 	g.do(Request{ID: g.next, Class: safeClass, Remaining: 61})
 	g.now += 61
 	g.do(Timer{Token: uint64(g.next)})
-	s := g.b.reqs[g.next].tries[0].s
+	s := g.b.reqs[g.next].attempts[0].server
 	g.answer(g.next, 0, TimedOut, 61)
 	if s.consecutiveErrors != 1 {
 		t.Errorf("%d errors, want 1", s.consecutiveErrors)
--- a/balance/pick.go
+++ b/balance/pick.go
@@ -20,55 +20,55 @@
 
 // pick chooses the server of an attempt: by smooth weighted round robin, or for a retry the healthiest
 // untried server. It returns nil while no server may get the request.
-func (b *Balancer) pick(r *request, repeat bool) *server {
+func (b *Balancer) pick(r *request, retry bool) *server {
 	begin := 0
-	if !repeat {
+	if !retry {
 		begin = b.startTier()
 	}
 	if w := b.routeOf(r); w != nil {
-		return b.pickAlong(&routePick{tenantRoute: w, r: r, repeat: repeat, begin: begin})
+		return b.pickAlong(&routePick{tenantRoute: w, r: r, retry: retry, startTier: begin})
 	}
-	total := b.weighCandidates(r, repeat, false)
+	total := b.weighCandidates(r, retry, false)
 	if total == 0 { // all are ejected: the cause is hardly theirs
-		total = b.weighCandidates(r, repeat, true)
+		total = b.weighCandidates(r, retry, true)
 	}
-	best, _ := b.chooseCandidate(r, repeat, begin, total)
+	best, _ := b.chooseCandidate(r, retry, begin, total)
 	return best
 }
 
 // chooseCandidate picks one of the servers that weighCandidates has weighed, and returns its level (see
 // level).
-func (b *Balancer) chooseCandidate(r *request, repeat bool, begin int, total float64) (*server, int) {
-	held, shares := 1.0, 0.0
-	for _, s := range b.entered {
-		if s.known {
+func (b *Balancer) chooseCandidate(r *request, retry bool, begin int, total float64) (*server, int) {
+	held, knownWeight := 1.0, 0.0
+	for _, s := range b.candidates {
+		if s.loadKnown {
 			held += b.holds(s)
-			shares += s.weight
+			knownWeight += s.weight
 		}
 	}
 	var best *server
-	least := 0
-	for _, s := range b.entered {
+	lowestLevel := 0
+	for _, s := range b.candidates {
 		if b.warmingUp(s) && !b.slowStartBudget(s) {
 			continue
 		}
 		// Bounded load: a server that holds more than its share is slow, hung or filled by others, whatever
 		// its errors say. It is passed over and keeps its running value for later.
-		over := !s.known || b.holds(s)+1 > math.Ceil(loadHeadroom*held*s.weight/shares)
+		over := !s.loadKnown || b.holds(s)+1 > math.Ceil(loadHeadroom*held*s.weight/knownWeight)
 		level := 0
-		if !repeat {
+		if !retry {
 			level = b.level(r, s, begin, over)
 		} else if over {
 			level = 1
 		}
-		if best == nil || level < least || level == least && b.preferred(s, best, repeat, over) {
-			best, least = s, level
+		if best == nil || level < lowestLevel || level == lowestLevel && b.preferred(s, best, retry, over) {
+			best, lowestLevel = s, level
 		}
 	}
 	if best != nil {
 		best.running = math.Max(best.running-total, -total)
 	}
-	return best, least
+	return best, lowestLevel
 }
 
 // rotationSize is how many servers the rotation goes over, the first in the sidecar's own order: as many as
@@ -79,32 +79,33 @@
 
 // weighCandidates sets the weights of this pick, grows the running values and returns the sum of weights.
 // For a retry as many servers again come from zones without evidence against them.
-func (b *Balancer) weighCandidates(r *request, repeat, all bool) float64 {
-	total, warm, fresh, rooms := 0.0, 0.0, false, [2]int{b.rotationSize(), b.rotationSize()}
-	b.clearEntered()
+func (b *Balancer) weighCandidates(r *request, retry, all bool) float64 {
+	total, warm, fresh, remaining := 0.0, 0.0, false, [2]int{b.rotationSize(), b.rotationSize()}
+	b.clearCandidates()
 	for _, s := range b.servers {
-		if rooms[0] == 0 && (!repeat || rooms[1] == 0) {
+		if remaining[0] == 0 && (!retry || remaining[1] == 0) {
 			break
 		}
-		room := &rooms[0]
-		if repeat && s.zone.evidence == 0 {
-			room = &rooms[1]
+		left := &remaining[0]
+		if retry && s.zone.evidence == 0 {
+			left = &remaining[1]
 		}
-		if s.aside || *room == 0 || !b.eligible(r, s) || (b.ejected(s) || !b.admits(r, s.zone)) && !all {
+		unfit := b.ejected(s) || !b.admits(r, s.zone)
+		if s.outsideGroup || *left == 0 || !b.eligible(r, s) || unfit && !all {
 			continue
 		}
-		*room--
+		*left--
 		s.weight = b.weight(s)
-		b.entered = append(b.entered, s)
+		b.candidates = append(b.candidates, s)
 		total += s.weight
 		warm += s.weight / b.warmth(s)
-		s.known = b.fresh(s)
-		fresh = fresh || s.known
+		s.loadKnown = b.reportFresh(s)
+		fresh = fresh || s.loadKnown
 	}
-	for _, s := range b.entered {
-		s.known = s.known || !fresh // without any report, the own requests in flight are all there is
+	for _, s := range b.candidates {
+		s.loadKnown = s.loadKnown || !fresh // without any report, the own requests in flight are all there is
 	}
-	if !repeat {
+	if !retry {
 		b.grow(total, warm)
 	}
 	return total
@@ -112,14 +113,14 @@
 
 // preferred reports whether s goes before best on the same level. Where all hold more than their share of the
 // requests in flight, the one that holds least for its weight goes first.
-func (b *Balancer) preferred(s, best *server, repeat, over bool) bool {
-	if over && !repeat {
+func (b *Balancer) preferred(s, best *server, retry, over bool) bool {
+	if over && !retry {
 		return (b.holds(s)+1)*best.weight < (b.holds(best)+1)*s.weight
 	}
-	if ms, mb := b.health(s), b.health(best); repeat && ms != mb {
+	if ms, mb := b.health(s), b.health(best); retry && ms != mb {
 		return ms > mb
 	}
-	if zs, zb := s.zone, best.zone; repeat && zs != zb && zs.evidence != zb.evidence {
+	if zs, zb := s.zone, best.zone; retry && zs != zb && zs.evidence != zb.evidence {
 		return zs.evidence < zb.evidence
 	}
 	return s.running > best.running
@@ -131,16 +132,17 @@
 	if s.State != Ready {
 		return false
 	}
-	for i := range r.tries {
-		a, begun := &r.tries[i], b.now+b.cfg.ConnectTimeout // as in noMoreAttempts
-		if a.s == s && !a.void {
+	for i := range r.attempts {
+		a, earliestStart := &r.attempts[i], b.now+b.cfg.ConnectTimeout // as in noMoreAttempts
+		if a.server == s && !a.uncounted {
 			return false
 		}
-		if a.clean || r.class.Effect != Keyed {
+		if a.neverRan || r.class.Idempotency != IdempotentWithKey {
 			continue
 		}
-		if begun >= a.sent+r.class.Window || r.class.Group == GroupCell && a.s.Cell != s.Cell ||
-			r.class.Group == GroupZone && a.s.Zone != s.Zone {
+		if earliestStart >= a.sent+r.class.KeyWindow ||
+			r.class.KeyScope == KeyScopeCell && a.server.Cell != s.Cell ||
+			r.class.KeyScope == KeyScopeZone && a.server.Zone != s.Zone {
 			return false
 		}
 	}
@@ -170,20 +172,20 @@
 // holds is how many requests a server has in flight: by a fresh load report and what was sent since, or else
 // this process's own.
 func (b *Balancer) holds(s *server) float64 {
-	if b.fresh(s) {
+	if b.reportFresh(s) {
 		return s.reported + s.sentSince
 	}
 	return float64(s.inFlight)
 }
 
 // fresh reports whether the last load report of a server can still be believed.
-func (b *Balancer) fresh(s *server) bool {
-	return s.reportedAt > 0 && b.now-s.reportedAt <= probeAims*b.longestAim
+func (b *Balancer) reportFresh(s *server) bool {
+	return s.reportedAt > 0 && b.now-s.reportedAt <= reportValidity*b.maxObjective
 }
 
 // demand is the rate of requests, in requests a millisecond.
 func (b *Balancer) demand() float64 {
-	return b.asked.rate(b.now, b.started-rotationPeriod, 2*rotationPeriod, 0)
+	return b.arrivals.rate(b.now, b.started-rotationPeriod, 2*rotationPeriod, 0)
 }
 
 // pool sums up the candidates of the last first attempt.
@@ -203,37 +205,37 @@
 // grow raises the running values of those that have entered by their weights, to the sum of all at most, and
 // follows what a first pick chose from.
 func (b *Balancer) grow(total, warm float64) {
-	for _, s := range b.entered {
+	for _, s := range b.candidates {
 		s.running = math.Min(s.running+s.weight, total)
 	}
 	b.capOthers(total)
 	if total > 0 {
-		b.pool.follow(b.now, paceAims*b.longestAim, total, total/warm)
+		b.pool.follow(b.now, rateSpanObjectives*b.maxObjective, total, total/warm)
 	}
 }
 
 // capOthers keeps the running values of those that have not entered at most at the sum of weights. Mostly all
 // are below it anyway, and a pick need not look at thousands of servers that are not in the rotation.
 func (b *Balancer) capOthers(total float64) {
-	if total >= b.capped && !b.along { // along a route the values are those of its side
+	if total >= b.maxOtherRunning && !b.pickingAlongRoute { // along a route the values are those of its side
 		return
 	}
-	b.capped = math.Inf(-1)
+	b.maxOtherRunning = math.Inf(-1)
 	for _, s := range b.servers {
 		if s.weight == 0 {
 			s.running = math.Min(s.running, total)
-			b.capped = math.Max(b.capped, s.running)
+			b.maxOtherRunning = math.Max(b.maxOtherRunning, s.running)
 		}
 	}
 }
 
 // clearEntered ends the pick before: nobody has a weight.
-func (b *Balancer) clearEntered() {
-	for _, s := range b.entered {
+func (b *Balancer) clearCandidates() {
+	for _, s := range b.candidates {
 		s.weight = 0
-		b.capped = math.Max(b.capped, s.running)
+		b.maxOtherRunning = math.Max(b.maxOtherRunning, s.running)
 	}
-	b.entered = b.entered[:0]
+	b.candidates = b.candidates[:0]
 }
 
 // indexOf finds a server among those in order.
--- a/balance/property_test.go
+++ b/balance/property_test.go
@@ -53,11 +53,11 @@
 		rnd := rand.New(rand.NewSource(seed))
 		cfg := baseConfig()
 		cfg.Seed = uint64(seed)
-		cfg.Parallel, cfg.Cancel = seed%2 == 0, seed%3 != 0
+		cfg.Hedging, cfg.Cancel = seed%2 == 0, seed%3 != 0
 		cfg.MaxAttempts = 1 + int(seed%4)
 		cfg.Subscribe = seed%5 == 0
 		if seed%4 == 1 {
-			cfg.Probes, cfg.Reports, cfg.Fields = true, ReportProbe, []Field{FieldInFlight, FieldQueue, FieldUtil}
+			cfg.HealthChecks, cfg.Reports, cfg.Fields = true, ReportHealthCheck, []Field{FieldInFlight, FieldQueue, FieldUtil}
 		}
 		w := newWorld(t, rnd, cfg)
 		w.list(ListCached)
@@ -93,7 +93,7 @@
 		if len(w.probes) > 0 {
 			s := w.probes[0]
 			w.probes = w.probes[1:]
-			w.handle(ProbeResult{Server: s, Took: 1, Report: []float32{float32(w.rnd.Intn(6)), 0, 0.5}})
+			w.handle(HealthCheckResult{Server: s, Elapsed: 1, Report: []float32{float32(w.rnd.Intn(6)), 0, 0.5}})
 		}
 	default:
 		gone := id - RequestID(w.rnd.Intn(20)) // may never have been or have ended: ignored then
@@ -114,12 +114,12 @@
 		for i := range o.tries {
 			if a := &o.tries[i]; a.live && w.rnd.Intn(3) > 0 {
 				res := []Result{
-					OK, OK, OK, OK, Failed, Full, ConnectFailed, Reset, TimedOut, Broken, LocalFailure, Unreachable,
+					OK, OK, OK, OK, Failed, Rejected, ConnectFailed, Reset, TimedOut, WriteFailed, LocalFailure, Unreachable,
 				}[w.rnd.Intn(12)]
 				a.live, a.clean, a.unbegun = false, res.NeverRan(), res == LocalFailure
 				o.answered = o.answered || res == OK
 				w.handle(Outcome{
-					Request: id, Attempt: i, Server: a.server.ID, Result: res, Took: w.now - a.sent, Finished: o.answered,
+					Request: id, Attempt: i, Server: a.server.ID, Result: res, Elapsed: w.now - a.sent, Finished: o.answered,
 				})
 				return
 			}
@@ -133,7 +133,7 @@
 		id := ServerID(i + 1)
 		s := w.servers[id]
 		if s == nil || w.rnd.Intn(4) == 0 {
-			s = &Server{ID: id, State: State(w.rnd.Intn(3) % 2), Rating: 1, Cell: i % 3, Zone: i % 2, Kind: i % 2}
+			s = &Server{ID: id, State: ServerState(w.rnd.Intn(3) % 2), Rating: 1, Cell: i % 3, Zone: i % 2, Kind: i % 2}
 			if w.rnd.Intn(3) == 0 {
 				s.StartedAt = w.now
 			}
@@ -165,14 +165,14 @@
 		switch a.Kind {
 		case SetTimer:
 			w.timers = append(w.timers, pendingTimer{w.now + a.At, a.Token})
-		case Probe:
-			if !w.cfg.Probes {
+		case HealthCheck:
+			if !w.cfg.HealthChecks {
 				w.t.Fatal("probed where probes are not allowed")
 			}
 			w.probes = append(w.probes, a.Server)
 		case Send:
 			w.send(a)
-		case Refuse, Fail:
+		case Reject, Fail:
 			w.final(a)
 		case Cancel:
 			if !w.cfg.Cancel || a.Attempt >= len(w.open[a.Request].tries) {
@@ -191,19 +191,19 @@
 		w.t.Fatalf("request %d was sent to server %d, which drains or is gone", a.Request, a.Server)
 	case o.counted() >= w.cfg.MaxAttempts:
 		w.t.Fatalf("request %d was sent too often", a.Request)
-	case len(o.tries) >= w.cfg.MaxAttempts+mostUnbegun:
+	case len(o.tries) >= w.cfg.MaxAttempts+maxLocalFailures:
 		w.t.Fatalf("request %d was tried without end", a.Request)
 	}
 	to := *w.servers[a.Server]
 	for _, p := range o.tries {
-		if p.live && !w.cfg.Parallel {
+		if p.live && !w.cfg.Hedging {
 			w.t.Fatalf("request %d is out twice", a.Request)
 		}
-		if p.clean || c.Effect == Safe {
+		if p.clean || c.Idempotency == Idempotent {
 			continue
 		}
-		apart := c.Group == GroupCell && p.server.Cell != to.Cell || c.Group == GroupZone && p.server.Zone != to.Zone
-		if c.Effect == Unsafe || apart || w.now >= p.sent+c.Window {
+		apart := c.KeyScope == KeyScopeCell && p.server.Cell != to.Cell || c.KeyScope == KeyScopeZone && p.server.Zone != to.Zone
+		if c.Idempotency == NonIdempotent || apart || w.now >= p.sent+c.KeyWindow {
 			w.t.Fatalf("request %d may have run and was sent again", a.Request)
 		}
 	}
@@ -227,7 +227,7 @@
 		w.t.Fatalf("request %d: a second or late answer at %v, deadline %v", a.Request, w.now, o.deadline)
 	}
 	o.answered = true
-	if a.Kind == Fail || c.Effect == Safe || c.Effect == Keyed && c.Group == GroupAll {
+	if a.Kind == Fail || c.Idempotency == Idempotent || c.Idempotency == IdempotentWithKey && c.KeyScope == KeyScopeAll {
 		return
 	}
 	for _, p := range o.tries {
--- a/balance/quiet_test.go
+++ b/balance/quiet_test.go
@@ -59,7 +59,7 @@
 	g.now += 10_000
 	for _, id := range g.late {
 		g.do(Timer{Token: uint64(id)})
-		if r := g.b.reqs[id]; r != nil && r.live > 0 {
+		if r := g.b.reqs[id]; r != nil && r.liveAttempts > 0 {
 			g.answer(id, 0, TimedOut, 10_000)
 		}
 	}
@@ -86,7 +86,7 @@
 			for i, g := range []*rig{fresh, rested} {
 				for range 40 {
 					id, acts := g.ask(safeClass)
-					if has(acts, Refuse) {
+					if has(acts, Reject) {
 						refused[i]++
 						continue
 					}
@@ -112,7 +112,7 @@
 					t.Fatal("the first request after the quiet time is not sent")
 				}
 				g.now++
-				s := g.b.reqs[id].tries[0].s
+				s := g.b.reqs[id].attempts[0].server
 				g.answer(id, 0, Failed, 1)
 				if m := g.b.health(s); math.Abs(m-(1-penaltyPerError)) > 1e-9 || g.b.ejected(s) {
 					t.Errorf("after one error: multiplier %v, resting %v", m, g.b.ejected(s))
--- a/balance/retry_test.go
+++ b/balance/retry_test.go
@@ -15,7 +15,7 @@
 
 func (g *rig) judged(id ServerID) judged {
 	s := g.b.byID[id]
-	return judged{s.consecutiveErrors, s.ejections, s.ejectedUntil, s.slowStartAt, s.size, s.processDown, s.probeFailed, s.zone.evidence}
+	return judged{s.consecutiveErrors, s.ejections, s.ejectedUntil, s.slowStartAt, s.size, s.processDown, s.healthCheckFailed, s.zone.evidence}
 }
 
 // wait lets the time of a request's next timer come, and tells how long that was.
@@ -43,7 +43,7 @@
 					t.Fatalf("attempt %d was not sent: %+v", n, acts)
 				}
 				before := g.judged(server)
-				if acts = g.answer(id, n, LocalFailure, 0.1); has(acts, Send) || has(acts, Refuse) || has(acts, Fail) {
+				if acts = g.answer(id, n, LocalFailure, 0.1); has(acts, Send) || has(acts, Reject) || has(acts, Fail) {
 					t.Fatalf("after failure %d: %+v, want a pause", n, acts)
 				}
 				if after := g.judged(server); after != before {
@@ -59,7 +59,7 @@
 				sends++
 				acts = g.answer(id, n, ConnectFailed, 0.1)
 			}
-			if sends != baseConfig().MaxAttempts || !has(acts, Refuse) {
+			if sends != baseConfig().MaxAttempts || !has(acts, Reject) {
 				t.Errorf("%d further attempts, then %+v, want %d and a refusal", sends, acts, baseConfig().MaxAttempts)
 			}
 		})
@@ -71,9 +71,9 @@
 	for name, class := range map[string]int{"safe": safeClass, "unsafe": unsafeClass, "keyed": allClass} {
 		t.Run(name, func(t *testing.T) {
 			g := newRig(t, baseConfig(), fleet(8)...)
-			begun, n := g.now, 0
+			earliestStart, n := g.now, 0
 			id, acts := g.ask(class)
-			for !has(acts, Refuse) {
+			for !has(acts, Reject) {
 				if has(acts, Send) {
 					acts = g.answer(id, n, LocalFailure, 0.1)
 					n++
@@ -84,7 +84,7 @@
 					t.Fatalf("%+v, want a refusal", acts)
 				}
 			}
-			if took := g.now - begun; took > g.b.cfg.Classes[class].Deadline || n > 12 {
+			if took := g.now - earliestStart; took > g.b.cfg.Classes[class].Deadline || n > 12 {
 				t.Errorf("refused after %v ms and %d tries, want at its time and within 12", took, n)
 			}
 		})
@@ -96,9 +96,9 @@
 	g := newRig(t, baseConfig(), fleet(8)...)
 	g.next++
 	id, n := g.next, 0
-	acts := g.do(Request{ID: id, Class: safeClass, Remaining: 500, Open: true})
-	for !has(acts, Refuse) {
-		if n > mostUnbegun+g.b.cfg.MaxAttempts {
+	acts := g.do(Request{ID: id, Class: safeClass, Remaining: 500, BodyStreaming: true})
+	for !has(acts, Reject) {
+		if n > maxLocalFailures+g.b.cfg.MaxAttempts {
 			t.Fatalf("%d tries and no end", n)
 		}
 		if has(acts, Send) {
@@ -114,10 +114,10 @@
 func TestLocalFailureOfAProbe(t *testing.T) {
 	g := newRig(t, baseConfig(), fleet(8)...)
 	before := g.judged(3)
-	g.b.byID[3].probing = true
-	g.do(ProbeResult{Server: 3, Result: LocalFailure, Took: 0.1})
-	if after := g.judged(3); after != before || g.b.byID[3].probing {
-		t.Errorf("%+v, was %+v; it may be probed again: %v", after, before, !g.b.byID[3].probing)
+	g.b.byID[3].checkPending = true
+	g.do(HealthCheckResult{Server: 3, Result: LocalFailure, Elapsed: 0.1})
+	if after := g.judged(3); after != before || g.b.byID[3].checkPending {
+		t.Errorf("%+v, was %+v; it may be probed again: %v", after, before, !g.b.byID[3].checkPending)
 	}
 }
 
@@ -152,7 +152,7 @@
 // An attempt to a canary that this machine could not send costs no unit.
 func TestLocalFailureCostsNoUnit(t *testing.T) {
 	a := &attempt{}
-	if a.spends(&request{}, Outcome{Result: LocalFailure}) || !a.spends(&request{}, Outcome{Result: Unreachable}) {
+	if a.spendsUnit(&request{}, Outcome{Result: LocalFailure}) || !a.spendsUnit(&request{}, Outcome{Result: Unreachable}) {
 		t.Error("want a unit spent on a canary out of reach, and none on a failure of this machine")
 	}
 }
--- a/balance/rotation_test.go
+++ b/balance/rotation_test.go
@@ -57,7 +57,7 @@
 	}
 	s.consecutiveErrors = 2
 	id, _ := g.ask(safeClass)
-	g.b.reqs[id].tries[0].s = s
+	g.b.reqs[id].attempts[0].server = s
 	s.inFlight, g.b.servers[1].inFlight = 1, 0
 	g.answer(id, 0, OK, 10)
 	if m := g.b.health(s); m != 1 {
@@ -91,7 +91,7 @@
 		t.Fatalf("first sent to %d, want 2", s)
 	}
 	g.b.servers[3].running = 1000 // next in turn, which must not count for a re-route
-	if s, ok := sentTo(g.answer(id, 0, Full, 1)); !ok || s != 3 {
+	if s, ok := sentTo(g.answer(id, 0, Rejected, 1)); !ok || s != 3 {
 		t.Fatalf("re-routed to %d, want 3", s)
 	}
 }
--- a/balance/route_state.go
+++ b/balance/route_state.go
@@ -24,11 +24,11 @@
 
 // attemptRoute is what an attempt acts on; see Action.
 type attemptRoute struct {
-	rev    int64
-	route  uint64
-	canary bool
-	strict bool
-	budget *CanaryBudget // that it has a unit of
+	rev           int64
+	route         uint64
+	canary        bool
+	lateIsFailure bool
+	budget        *CanaryBudget // that it has a unit of
 }
 
 // onRoutes puts routes in place of those before.
@@ -74,8 +74,8 @@
 			return fmt.Errorf("%sTenant: %d has a route already", name, w.Tenant)
 		case w.ID != 0 && ids[w.ID]:
 			return fmt.Errorf("%sID: %d is another route's already", name, w.ID)
-		case !(w.Share >= 0 && w.Share <= 1):
-			return fmt.Errorf("%sShare is %v, not 0 to 1", name, w.Share)
+		case !(w.CanaryFraction >= 0 && w.CanaryFraction <= 1):
+			return fmt.Errorf("%sCanaryFraction is %v, not 0 to 1", name, w.CanaryFraction)
 		}
 		for _, c := range w.Classes {
 			if c < 0 || c >= len(b.cfg.Classes) {
@@ -89,7 +89,7 @@
 
 func (b *Balancer) onCanaryLease(ev CanaryLease) error {
 	if math.IsNaN(ev.Until) {
-		return fmt.Errorf("Permit.Until is %v", ev.Until)
+		return fmt.Errorf("CanaryLease.Until is %v", ev.Until)
 	}
 	b.canaryLease = ev.Until
 	return nil
@@ -165,24 +165,24 @@
 }
 
 // setAside keeps what other requests see from a pick along a route; the result puts it back.
-func (b *Balancer) setAside() func() {
+func (b *Balancer) saveRunning() func() {
 	for _, s := range b.servers {
-		s.kept = s.running
+		s.savedRunning = s.running
 	}
 	pool := b.pool
-	b.along = true
+	b.pickingAlongRoute = true
 	return func() {
-		b.along, b.pool, b.capped = false, pool, math.Inf(1)
+		b.pickingAlongRoute, b.pool, b.maxOtherRunning = false, pool, math.Inf(1)
 		for _, s := range b.servers {
-			s.running, s.aside = s.kept, false
+			s.running, s.outsideGroup = s.savedRunning, false
 		}
 	}
 }
 
 // keep takes over the running values that a pick has left.
-func (b *Balancer) keep(w *tenantRoute, side int) {
+func (b *Balancer) storeRunning(w *tenantRoute, side int) {
 	for _, s := range b.servers {
-		if !s.aside {
+		if !s.outsideGroup {
 			s.placements[w.slot].running[side] = s.running
 		}
 	}
--- a/balance/routes.go
+++ b/balance/routes.go
@@ -19,9 +19,9 @@
 )
 
 const (
-	golden    = 0.6180339887498949 // the step whose multiples fill a circle most evenly
-	mostVoids = 3                  // attempts of a request that count as none; more of them count
-	nearlyAll = 0.9                // of a client's time: one that left later has waited in vain
+	golden             = 0.6180339887498949 // the step whose multiples fill a circle most evenly
+	maxRevokedAttempts = 3                  // attempts of a request that count as none; more of them count
+	nearlyAll          = 0.9                // of a client's time: one that left later has waited in vain
 )
 
 // The sides of a request, and the groups of servers that each tries one after the other.
@@ -49,16 +49,16 @@
 	if w.ID == 0 || b.now >= b.canaryLease || len(w.Classes) > 0 && !slices.Contains(w.Classes, r.Class) {
 		return false
 	}
-	if !r.drawn {
-		r.drawn, r.place = true, w.draw(r)
+	if !r.placeDrawn {
+		r.placeDrawn, r.routePlace = true, w.draw(r)
 	}
-	return r.place < w.Share
+	return r.routePlace < w.CanaryFraction
 }
 
 func (w *tenantRoute) draw(r *request) float64 {
-	key := r.Route
+	key := r.RouteKey
 	if key == 0 {
-		key = r.Key
+		key = r.IdempotencyKey
 	}
 	if key != 0 {
 		return unit(mix(mix(w.ID) ^ key))
@@ -70,40 +70,40 @@
 // routePick is one pick of a request that has a route.
 type routePick struct {
 	*tenantRoute
-	r      *request
-	repeat bool
-	begin  int
-	seen   float64 // sum of weights of all groups so far
-	rest   bool    // all servers rest
+	r               *request
+	retry           bool
+	startTier       int
+	totalWeight     float64 // sum of weights of all groups so far
+	ignoreEjections bool    // all servers rest
 }
 
 // pickAlong picks for a request that has a route. Where all rest the cause is hardly the canary's: it is
 // spared.
 func (b *Balancer) pickAlong(t *routePick) *server {
-	defer b.setAside()()
+	defer b.saveRunning()()
 	side := baseSide
 	if b.prefersCanary(t.tenantRoute, t.r) {
 		side = canarySide
 	}
 	s, group := b.pickSide(t, side)
 	canary := side == canarySide && group == 0
-	if canary && t.budget != nil && !t.budget.Take() {
+	if canary && t.budget != nil && !t.budget.Reserve() {
 		canary, side = false, baseSide
 		s, _ = b.pickSide(t, side)
 	}
-	if t.seen == 0 {
-		side, t.rest = baseSide, true
+	if t.totalWeight == 0 {
+		side, t.ignoreEjections = baseSide, true
 		s, _ = b.pickSide(t, side)
 	}
 	if s == nil {
 		return nil
 	}
-	b.keep(t.tenantRoute, side)
+	b.storeRunning(t.tenantRoute, side)
 	if b.now < b.canaryLease {
 		b.nextRoute = attemptRoute{rev: b.rev, route: t.ID, canary: canary}
 	}
 	if canary {
-		b.nextRoute.strict, b.nextRoute.budget = t.Late, t.budget
+		b.nextRoute.lateIsFailure, b.nextRoute.budget = t.LateIsFailure, t.budget
 	}
 	return s
 }
@@ -112,7 +112,7 @@
 // send passes over those whose servers cannot take one more, unless it is so everywhere. A canary whose units
 // were spent on failures takes no load of the base: it is for who finds nobody else.
 func (b *Balancer) pickSide(t *routePick, side int) (*server, int) {
-	for _, loaded := range [2]bool{t.repeat, true} {
+	for _, loaded := range [2]bool{t.retry, true} {
 		for group := range groups {
 			if !loaded && group == groups-1 && side == baseSide && t.failed() {
 				continue
@@ -129,11 +129,11 @@
 func (b *Balancer) pickGroup(t *routePick, side int, group uint8) (*server, int) {
 	for _, s := range b.servers {
 		l := &s.placements[t.slot]
-		s.running, s.aside = l.running[side], l.group[side] != group
+		s.running, s.outsideGroup = l.running[side], l.group[side] != group
 	}
-	total := b.weighCandidates(t.r, t.repeat, t.rest)
-	t.seen += total
-	return b.chooseCandidate(t.r, t.repeat, t.begin, total)
+	total := b.weighCandidates(t.r, t.retry, t.ignoreEjections)
+	t.totalWeight += total
+	return b.chooseCandidate(t.r, t.retry, t.startTier, total)
 }
 
 // failed: units were spent, and none is left.
@@ -144,34 +144,34 @@
 // spends tells whether the end of an attempt costs its unit, or at its beginning whether a streamed answer
 // will. A client that left tells nothing; one whose time ran out does. What never began costs nothing, but a
 // canary that refuses or cannot be reached has failed.
-func (a *attempt) spends(r *request, ev Outcome) bool {
+func (a *attempt) spendsUnit(r *request, ev Outcome) bool {
 	switch ev.Result {
-	case Moot, LocalFailure:
+	case NotSent, LocalFailure:
 		return false
 	case Cancelled:
-		return a.missed
+		return a.missedForCanary
 	case OK:
-		return a.missed || a.strict && !a.started && ev.Took > r.class.Aim
+		return a.missedForCanary || a.lateIsFailure && !a.started && ev.Elapsed > r.class.LatencyObjective
 	}
 	return true
 }
 
 // miss notes of what is out that its answer did not come in the client's time, or in the aim where that
 // counts: that the client has left, or is about to, is no reason then.
-func (b *Balancer) miss(r *request) {
+func (b *Balancer) recordMissed(r *request) {
 	over := b.now >= r.arrived+nearlyAll*(r.deadline-r.arrived)
-	for i := range r.tries {
-		a := &r.tries[i]
-		late := a.strict && !a.started && b.now > a.sent+r.class.Aim
-		a.missed = a.missed || a.live && (over || late)
+	for i := range r.attempts {
+		a := &r.attempts[i]
+		late := a.lateIsFailure && !a.started && b.now > a.sent+r.class.LatencyObjective
+		a.missedForCanary = a.missedForCanary || a.live && (over || late)
 	}
 }
 
 // void takes an attempt out of the count: its route was closed before it began. Routes that change faster
 // than requests are sent could go on with it for ever.
-func (b *Balancer) void(r *request, a *attempt) {
-	if r.voids < mostVoids {
-		r.voids++
-		a.void = true
+func (b *Balancer) uncountRevoked(r *request, a *attempt) {
+	if r.revokedAttempts < maxRevokedAttempts {
+		r.revokedAttempts++
+		a.uncounted = true
 	}
 }
--- a/balance/routes_test.go
+++ b/balance/routes_test.go
@@ -11,8 +11,8 @@
 
 func tenantsConfig() Config {
 	cfg := baseConfig()
-	cfg.Tenants = []Tenant{{Allowance: 1, Share: 0.5}, {Allowance: 1, Share: 0.5}}
-	cfg.Classes = append(cfg.Classes, Class{Effect: Safe, Aim: 300, Deadline: 1500, Worth: 1, Stream: true})
+	cfg.Tenants = []Tenant{{Allowance: 1, Quota: 0.5}, {Allowance: 1, Quota: 0.5}}
+	cfg.Classes = append(cfg.Classes, Class{Idempotency: Idempotent, LatencyObjective: 300, Deadline: 1500, PriorityWeight: 1, Stream: true})
 	return cfg
 }
 
@@ -20,7 +20,7 @@
 
 // canaryOf is a route of tenant 0 whose canary is these servers.
 func canaryOf(share float64, ids ...ServerID) Route {
-	return Route{Tenant: 0, Canary: Subset{IDs: ids}, Share: share, ID: 9}
+	return Route{Tenant: 0, Canary: Subset{IDs: ids}, CanaryFraction: share, ID: 9}
 }
 
 // routed begins with eight servers, a route and a permission.
@@ -54,11 +54,11 @@
 		for range rapid.IntRange(1, 200).Draw(t, "events") {
 			switch rapid.IntRange(0, 3).Draw(t, "event") {
 			case 0:
-				if free := p.Free(); p.Take() != (free > 0) {
+				if free := p.Free(); p.Reserve() != (free > 0) {
 					t.Fatalf("%d free: %+v", free, p)
 				}
 			case 1, 2:
-				if p.Out > 0 {
+				if p.Reserved > 0 {
 					p.Settle(rapid.Bool().Draw(t, "failed"))
 				}
 			case 3: // late and repeated ones among them
@@ -70,7 +70,7 @@
 					t.Fatalf("%d idle, %d to keep: %+v", idle, keep, p)
 				}
 			}
-			if p.Free() < 0 || p.Out < 0 || p.Granted != told || p.Spent+p.Returned+p.Out > told {
+			if p.Free() < 0 || p.Reserved < 0 || p.Granted != told || p.Spent+p.Returned+p.Reserved > told {
 				t.Fatalf("%+v after %d were granted", p, told)
 			}
 		}
@@ -84,25 +84,25 @@
 		return Routes{Rev: 6, List: []Route{w}}
 	}
 	for want, ev := range map[string]Event{
-		"Routes.Rev":             Routes{List: []Route{canaryOf(0.5, 1)}},
-		"Routes.List[0].Tenant":  with(func(w *Route) { w.Tenant = 2 }),
-		"List[0].Tenant is -2":   with(func(w *Route) { w.Tenant = -2 }),
-		"Routes.List[0].Classes": with(func(w *Route) { w.Classes = []int{0, 6} }),
-		"Classes has -1":         with(func(w *Route) { w.Classes = []int{-1} }),
-		"Share is NaN":           with(func(w *Route) { w.Share = math.NaN() }),
-		"Share is 1.01":          with(func(w *Route) { w.Share = 1.01 }),
-		"Routes.List[0].Share":   with(func(w *Route) { w.Share = -0.01 }),
-		"Routes.List[1].Tenant":  Routes{Rev: 6, List: []Route{{Tenant: 1}, {Tenant: 1}}},
-		"Routes.List[1].ID":      Routes{Rev: 6, List: []Route{canaryOf(0, 1), {Tenant: 1, ID: 9}}},
-		"Permit.Until":           CanaryLease{Until: math.NaN()},
-		"Grant.ID":               BudgetGrant{Units: 1},
-		"Grant.Units":            BudgetGrant{ID: 9, Units: -1},
-		"Grant.Keep":             BudgetGrant{ID: 9, Units: 1, Keep: -1},
+		"Routes.Rev":                    Routes{List: []Route{canaryOf(0.5, 1)}},
+		"Routes.List[0].Tenant":         with(func(w *Route) { w.Tenant = 2 }),
+		"List[0].Tenant is -2":          with(func(w *Route) { w.Tenant = -2 }),
+		"Routes.List[0].Classes":        with(func(w *Route) { w.Classes = []int{0, 6} }),
+		"Classes has -1":                with(func(w *Route) { w.Classes = []int{-1} }),
+		"CanaryFraction is NaN":         with(func(w *Route) { w.CanaryFraction = math.NaN() }),
+		"CanaryFraction is 1.01":        with(func(w *Route) { w.CanaryFraction = 1.01 }),
+		"Routes.List[0].CanaryFraction": with(func(w *Route) { w.CanaryFraction = -0.01 }),
+		"Routes.List[1].Tenant":         Routes{Rev: 6, List: []Route{{Tenant: 1}, {Tenant: 1}}},
+		"Routes.List[1].ID":             Routes{Rev: 6, List: []Route{canaryOf(0, 1), {Tenant: 1, ID: 9}}},
+		"CanaryLease.Until":             CanaryLease{Until: math.NaN()},
+		"BudgetGrant.ID":                BudgetGrant{Units: 1},
+		"BudgetGrant.Units":             BudgetGrant{ID: 9, Units: -1},
+		"BudgetGrant.MaxIdle":           BudgetGrant{ID: 9, Units: 1, MaxIdle: -1},
 	} {
 		w := canaryOf(1, 1)
 		w.Budgeted = true
 		g := routed(t, w)
-		g.do(BudgetGrant{ID: 9, Units: 3, Keep: 3})
+		g.do(BudgetGrant{ID: 9, Units: 3, MaxIdle: 3})
 		ways := g.b.routes
 		if acts, err := g.b.Handle(g.now, ev); err == nil || !strings.Contains(err.Error(), want) || len(acts) > 0 {
 			t.Errorf("%+v: error %v, want one of %q", ev, err, want)
@@ -110,7 +110,7 @@
 		if &g.b.routes[0] != &ways[0] || g.b.rev != 5 || g.b.CanaryBudgets()[0].Granted != 3 {
 			t.Errorf("%+v changed the balancer", ev)
 		}
-		if _, a := g.send(safeClass); !a.Canary || a.Routes != 5 || a.Route != 9 {
+		if _, a := g.send(safeClass); !a.ToCanary || a.RoutesRev != 5 || a.CanaryID != 9 {
 			t.Errorf("%+v: then %+v", ev, a)
 		}
 	}
@@ -128,9 +128,9 @@
 	for _, share := range []float64{0, 0.01, 0.05, 0.25, 0.5, 1} {
 		n := 0
 		for key := uint64(1); key <= uint64(many); key++ {
-			r := Request{Route: key, Key: 77}
+			r := Request{RouteKey: key, IdempotencyKey: 77}
 			if key%2 == 0 {
-				r.Route, r.Key = 0, key
+				r.RouteKey, r.IdempotencyKey = 0, key
 			}
 			side := false
 			for i, g := range rigs {
@@ -195,7 +195,7 @@
 // Whatever is wrong with a canary, its requests go elsewhere at once; a base goes there only when nobody else is left.
 func TestWhoCannotBeUsedIsPassedOver(t *testing.T) {
 	all := fleet(8)
-	list := func(state State, ids ...ServerID) ServerList {
+	list := func(state ServerState, ids ...ServerID) ServerList {
 		l := slices.Clone(all)
 		for _, id := range ids {
 			l[id-1].State = state
@@ -241,8 +241,8 @@
 			w := canaryOf(0, 1, 2)
 			w.Budgeted = true
 			g.do(Routes{Rev: 6, List: []Route{w}})
-			g.do(BudgetGrant{ID: 9, Units: 1, Keep: 1})
-			g.b.canaryBudget(9).Take()
+			g.do(BudgetGrant{ID: 9, Units: 1, MaxIdle: 1})
+			g.b.canaryBudget(9).Reserve()
 			g.b.canaryBudget(9).Settle(true)
 			for _, id := range others {
 				g.b.byID[id].inFlight = 9
@@ -267,14 +267,14 @@
 			for range 16 {
 				before := g.b.servers[0].inFlight
 				id, a := g.send(safeClass)
-				if seen[a.Server] = true; a.Canary != c.canary {
-					t.Errorf("to the canary: %v (%+v)", a.Canary, a)
+				if seen[a.Server] = true; a.ToCanary != c.canary {
+					t.Errorf("to the canary: %v (%+v)", a.ToCanary, a)
 				}
 				permitted := name != "permission over"
-				if permitted != (a.Routes > 0) || (permitted && name != "no canary") != (a.Route > 0) {
-					t.Errorf("acts on %d of %d", a.Route, a.Routes)
+				if permitted != (a.RoutesRev > 0) || (permitted && name != "no canary") != (a.CanaryID > 0) {
+					t.Errorf("acts on %d of %d", a.CanaryID, a.RoutesRev)
 				}
-				g.answer(id, 0, Moot, 0)
+				g.answer(id, 0, NotSent, 0)
 				g.do(ClientGone{Request: id})
 				g.finish(id)
 				g.b.servers[0].inFlight = before
@@ -293,8 +293,8 @@
 
 // finish ends what is still out for a request as if it had never been.
 func (g *rig) finish(id RequestID) {
-	for r := g.b.reqs[id]; r != nil && r.live > 0; r = g.b.reqs[id] {
-		g.answer(id, slices.IndexFunc(r.tries, func(a attempt) bool { return a.live }), Moot, 0)
+	for r := g.b.reqs[id]; r != nil && r.liveAttempts > 0; r = g.b.reqs[id] {
+		g.answer(id, slices.IndexFunc(r.attempts, func(a attempt) bool { return a.live }), NotSent, 0)
 	}
 }
 
@@ -307,33 +307,33 @@
 	g.b.byID[5].consecutiveErrors, g.b.byID[5].lastErrorAt = 1, g.now
 	g.b.byID[1].inFlight = 20
 	id, a := g.send(safeClass)
-	if a.Server != 3 || !a.Canary {
+	if a.Server != 3 || !a.ToCanary {
 		t.Fatalf("first to %+v", a)
 	}
 	g.b.byID[1].inFlight = 0
 	for i, want := range []ServerID{1, 2, 4} {
 		g.b.reqs[id].stats.n = 0
-		if a = g.mustSend(g.answer(id, i, Full, 1)); a.Server != want || a.Canary != (want < 4) {
+		if a = g.mustSend(g.answer(id, i, Rejected, 1)); a.Server != want || a.ToCanary != (want < 4) {
 			t.Errorf("repeat %d: %+v, want %d", i+1, a, want)
 		}
 		if i == 1 { // the newest routes count
 			g.do(Routes{Rev: 8, List: []Route{w}})
 		}
 	}
-	if a.Routes != 8 {
-		t.Errorf("the last acts on %d", a.Routes)
+	if a.RoutesRev != 8 {
+		t.Errorf("the last acts on %d", a.RoutesRev)
 	}
 }
 
 // How an attempt may end, and what that costs: in a request's answer, in a stream, for a late one.
 func TestWhatAnAttemptCosts(t *testing.T) {
 	end := func(res Result, took float64) func(*rig, RequestID) {
-		return func(g *rig, id RequestID) { g.do(Outcome{Request: id, Result: res, Took: took, Finished: true}) }
+		return func(g *rig, id RequestID) { g.do(Outcome{Request: id, Result: res, Elapsed: took, Finished: true}) }
 	}
 	stream := func(took float64, res Result) func(*rig, RequestID) {
 		return func(g *rig, id RequestID) {
-			g.do(Started{Request: id, Took: took})
-			if p := g.b.CanaryBudgets()[0]; p.Out != 1 || p.Spent != 0 {
+			g.do(AnswerStarted{Request: id, Elapsed: took})
+			if p := g.b.CanaryBudgets()[0]; p.Reserved != 1 || p.Spent != 0 {
 				t.Errorf("as the answer begins: %+v", p)
 			}
 			end(res, took)(g, id)
@@ -348,15 +348,15 @@
 			"good":            {safeClass, end(OK, 300), false},
 			"late":            {safeClass, end(OK, 301), late},
 			"failed":          {safeClass, end(Failed, 1), true},
-			"full":            {safeClass, end(Full, 1), true},
+			"full":            {safeClass, end(Rejected, 1), true},
 			"timed out":       {safeClass, end(TimedOut, 1), true},
 			"connect failed":  {safeClass, end(ConnectFailed, 1), true},
 			"reset":           {safeClass, end(Reset, 1), true},
-			"broken":          {safeClass, end(Broken, 1), true},
-			"moot":            {safeClass, end(Moot, 1), false},
+			"broken":          {safeClass, end(WriteFailed, 1), true},
+			"moot":            {safeClass, end(NotSent, 1), false},
 			"its client left": {safeClass, end(Cancelled, 1), false},
 			"void": {safeClass, func(g *rig, id RequestID) {
-				g.do(Outcome{Request: id, Result: Failed, Void: true, Finished: true})
+				g.do(Outcome{Request: id, Result: Failed, RouteRevoked: true, Finished: true})
 			}, false},
 			"hung": {safeClass, func(g *rig, id RequestID) {
 				g.now += 1500
@@ -378,7 +378,7 @@
 				end(Cancelled, 1400)(g, id)
 			}, true},
 			"the process ends": {safeClass, func(g *rig, id RequestID) {
-				g.do(End{})
+				g.do(Shutdown{})
 				end(Cancelled, 10)(g, id)
 			}, false},
 			"stream":             {streamClass, stream(300, OK), false},
@@ -388,26 +388,26 @@
 			"stream, left":       {streamClass, stream(10, Cancelled), false},
 		} {
 			w := canaryOf(1, 1, 2)
-			w.Budgeted, w.Late = true, late
+			w.Budgeted, w.LateIsFailure = true, late
 			g := routed(t, w)
-			g.do(BudgetGrant{ID: 9, Units: 1, Keep: 1})
+			g.do(BudgetGrant{ID: 9, Units: 1, MaxIdle: 1})
 			id, a := g.send(c.class)
-			if _, b := g.send(c.class); !a.Canary || b.Canary || b.Server <= 2 {
+			if _, b := g.send(c.class); !a.ToCanary || b.ToCanary || b.Server <= 2 {
 				t.Fatalf("%s: one unit, sent as %+v and %+v", name, a, b)
 			}
-			if p := g.b.CanaryBudgets()[0]; p != (CanaryBudget{ID: 9, Granted: 1, Out: 1, Short: 1}) {
+			if p := g.b.CanaryBudgets()[0]; p != (CanaryBudget{ID: 9, Granted: 1, Reserved: 1, Denied: 1}) {
 				t.Errorf("%s: while it is out %+v", name, p)
 			}
 			c.end(g, id)
-			want := CanaryBudget{ID: 9, Granted: 1, Short: 1}
+			want := CanaryBudget{ID: 9, Granted: 1, Denied: 1}
 			if c.failed {
 				want.Spent = 1
 			}
 			if p := g.b.CanaryBudgets()[0]; p != want {
 				t.Errorf("%s, late answers fail %v: %+v, want %+v", name, late, p, want)
 			}
-			if !g.b.over {
-				if _, a := g.send(safeClass); a.Canary == c.failed {
+			if !g.b.shutdown {
+				if _, a := g.send(safeClass); a.ToCanary == c.failed {
 					t.Errorf("%s: then %+v", name, a)
 				}
 			}
@@ -423,13 +423,13 @@
 	g.do(Routes{Rev: 5, List: []Route{canaryOf(1, 1)}})
 	g.do(CanaryLease{Until: math.Inf(1)})
 	id, _ := g.send(unsafeClass)
-	for i := range mostVoids {
-		a := g.mustSend(g.do(Outcome{Request: id, Attempt: i, Server: 1, Result: Failed, Void: true}))
+	for i := range maxRevokedAttempts {
+		a := g.mustSend(g.do(Outcome{Request: id, Attempt: i, Server: 1, Result: Failed, RouteRevoked: true}))
 		if a.Server != 1 || g.b.byID[1].consecutiveErrors != 0 {
 			t.Fatalf("after %d: %+v, %d errors", i+1, a, g.b.byID[1].consecutiveErrors)
 		}
 	}
-	if acts := g.do(Outcome{Request: id, Attempt: mostVoids, Server: 1, Result: Failed, Void: true}); has(acts, Send) {
+	if acts := g.do(Outcome{Request: id, Attempt: maxRevokedAttempts, Server: 1, Result: Failed, RouteRevoked: true}); has(acts, Send) {
 		t.Errorf("after the last: %+v", acts)
 	}
 	if g.b.byID[1].consecutiveErrors != 0 || g.b.byID[1].inFlight != 0 || g.b.reqs[id].sends() != 1 {
@@ -441,20 +441,20 @@
 	w := canaryOf(1, 1)
 	w.Budgeted = true
 	g := routed(t, w)
-	g.do(BudgetGrant{ID: 9, Units: 4, Keep: 4})
+	g.do(BudgetGrant{ID: 9, Units: 4, MaxIdle: 4})
 	id, _ := g.send(safeClass)
 	g.do(Routes{Rev: 6})
-	for i := range uint64(3 * mostEnded) {
-		g.do(BudgetGrant{ID: 100 + i, Units: 1, Keep: 1})
+	for i := range uint64(3 * maxEndedBudgets) {
+		g.do(BudgetGrant{ID: 100 + i, Units: 1, MaxIdle: 1})
 	}
 	at := func() int {
 		return slices.IndexFunc(g.b.CanaryBudgets(), func(p CanaryBudget) bool { return p.ID == 9 })
 	}
-	if all := g.b.CanaryBudgets(); len(all) != mostEnded+1 || at() != 0 || all[mostEnded].ID != 100+3*mostEnded-1 {
+	if all := g.b.CanaryBudgets(); len(all) != maxEndedBudgets+1 || at() != 0 || all[maxEndedBudgets].ID != 100+3*maxEndedBudgets-1 {
 		t.Fatalf("%d purses: %+v", len(all), all)
 	}
 	g.answer(id, 0, Failed, 1)
-	if p := g.b.CanaryBudgets()[at()]; p.Spent != 1 || p.Out != 0 {
+	if p := g.b.CanaryBudgets()[at()]; p.Spent != 1 || p.Reserved != 0 {
 		t.Errorf("after its route is gone: %+v", p)
 	}
 	g.do(Routes{Rev: 7, List: []Route{w}})
@@ -478,13 +478,13 @@
 	case 1:
 		return BudgetGrant{
 			ID: rapid.Uint64Range(1, 3).Draw(t, "id"), Units: rapid.Int64Range(0, 30).Draw(t, "units"),
-			Keep: rapid.Int64Range(0, 5).Draw(t, "keep"),
+			MaxIdle: rapid.Int64Range(0, 5).Draw(t, "keep"),
 		}
 	}
 	return Routes{Rev: rapid.Int64Range(1, 99).Draw(t, "rev"), List: []Route{{
 		Classes: rapid.SliceOfN(rapid.IntRange(0, 5), 0, 2).Draw(t, "classes"), Base: subset("base"),
-		Canary: subset("canary"), Share: rapid.Float64Range(0, 1).Draw(t, "share"),
-		ID: rapid.Uint64Range(0, 3).Draw(t, "id"), Budgeted: rapid.Bool().Draw(t, "purse"), Late: rapid.Bool().Draw(t, "late"),
+		Canary: subset("canary"), CanaryFraction: rapid.Float64Range(0, 1).Draw(t, "share"),
+		ID: rapid.Uint64Range(0, 3).Draw(t, "id"), Budgeted: rapid.Bool().Draw(t, "purse"), LateIsFailure: rapid.Bool().Draw(t, "late"),
 	}}}
 }
 
@@ -504,7 +504,7 @@
 			return slices.Clone(acts)
 		}
 		servers := fleet(12)
-		own := Route{Tenant: 1, Base: Subset{Zones: []int{1}}, Canary: Subset{Zones: []int{2}}, Share: 0.3, ID: 77}
+		own := Route{Tenant: 1, Base: Subset{Zones: []int{1}}, Canary: Subset{Zones: []int{2}}, CanaryFraction: 0.3, ID: 77}
 		for _, b := range both {
 			b.Start(now)
 			tell(b, ServerList{Kind: ListFull, Servers: servers})
@@ -538,13 +538,13 @@
 			if next++; busy {
 				for _, b := range both {
 					tell(b, Request{ID: next, Class: class, Remaining: 500})
-					if b.reqs[next].live == 1 {
-						tell(b, Outcome{Request: next, Result: Moot, Finished: true})
+					if b.reqs[next].liveAttempts == 1 {
+						tell(b, Outcome{Request: next, Result: NotSent, Finished: true})
 					}
 				}
 				next++
 			}
-			res := rapid.SampledFrom([]Result{OK, OK, OK, Failed, Full, Cancelled}).Draw(rt, "result")
+			res := rapid.SampledFrom([]Result{OK, OK, OK, Failed, Rejected, Cancelled}).Draw(rt, "result")
 			for attempt := -1; attempt < 3; attempt++ {
 				var acts [2][]Action
 				for i, b := range both {
@@ -552,12 +552,12 @@
 						acts[i] = tell(b, Request{ID: next, Class: class, Tenant: 1, Remaining: 500})
 					} else {
 						acts[i] = tell(b, Outcome{
-							Request: next, Attempt: attempt, Result: res, Took: 40, Finished: attempt == 2 || res == OK,
+							Request: next, Attempt: attempt, Result: res, Elapsed: 40, Finished: attempt == 2 || res == OK,
 						})
 					}
 				}
 				if !slices.EqualFunc(acts[0], acts[1], func(a, b Action) bool {
-					return a.Kind == b.Kind && a.Server == b.Server && a.At == b.At && a.Routes == b.Routes && a.Canary == b.Canary
+					return a.Kind == b.Kind && a.Server == b.Server && a.At == b.At && a.RoutesRev == b.RoutesRev && a.ToCanary == b.ToCanary
 				}) {
 					rt.Fatalf("tenant 1 got %+v and %+v", acts[0], acts[1])
 				}
@@ -602,13 +602,13 @@
 					rt.Fatalf("sent to server %d", a.Server)
 				}
 				permitted := g.now < permit && len(routes.List) > 0
-				if (a.Routes != 0) != permitted || permitted && (a.Routes != routes.Rev || a.Route != routes.List[0].ID) {
+				if (a.RoutesRev != 0) != permitted || permitted && (a.RoutesRev != routes.Rev || a.CanaryID != routes.List[0].ID) {
 					rt.Fatalf("%+v under %+v, permitted %v", a, routes, permitted)
 				}
-				if a.Canary {
+				if a.ToCanary {
 					w := routes.List[0]
 					r := g.b.reqs[a.Request]
-					if !permitted || w.ID == 0 || w.Share == 0 || !named(w.Canary, g.b.byID[a.Server]) ||
+					if !permitted || w.ID == 0 || w.CanaryFraction == 0 || !named(w.Canary, g.b.byID[a.Server]) ||
 						len(w.Classes) > 0 && !slices.Contains(w.Classes, r.Class) {
 						rt.Fatalf("%+v under %+v", a, routes)
 					}
@@ -642,13 +642,13 @@
 				o := live[i]
 				live = slices.Delete(live, i, i+1)
 				ev := Outcome{
-					Request: o.id, Attempt: o.attempt, Server: o.server, Took: 40,
-					Result: Result(rapid.IntRange(0, int(Broken)).Draw(rt, "result")),
-					Void:   rapid.IntRange(0, 3).Draw(rt, "void") == 0,
+					Request: o.id, Attempt: o.attempt, Server: o.server, Elapsed: 40,
+					Result:       Result(rapid.IntRange(0, int(WriteFailed)).Draw(rt, "result")),
+					RouteRevoked: rapid.IntRange(0, 3).Draw(rt, "void") == 0,
 				}
-				ev.Finished = ev.Result == OK && !ev.Void
+				ev.Finished = ev.Result == OK && !ev.RouteRevoked
 				p := before[o.purse]
-				p.Settle(!ev.Void && ev.Result != OK && ev.Result != Cancelled && ev.Result != Moot)
+				p.Settle(!ev.RouteRevoked && ev.Result != OK && ev.Result != Cancelled && ev.Result != NotSent)
 				before[o.purse] = p
 				acts := g.do(ev)
 				took(before, acts)
@@ -658,7 +658,7 @@
 			case k == 8:
 				servers := fleet(12)
 				for i := range servers {
-					servers[i].State = State(rapid.IntRange(0, 5).Draw(rt, "state") / 4)
+					servers[i].State = ServerState(rapid.IntRange(0, 5).Draw(rt, "state") / 4)
 				}
 				g.do(ServerList{Kind: ListFull, Servers: servers})
 			default:
@@ -680,7 +680,7 @@
 				units[o.purse]++
 			}
 			for id, p := range purses() {
-				if p.Free() < 0 || p.Out != units[id] || p.Spent+p.Returned+p.Out > p.Granted {
+				if p.Free() < 0 || p.Reserved != units[id] || p.Spent+p.Returned+p.Reserved > p.Granted {
 					rt.Fatalf("%+v with %d out", p, units[id])
 				}
 			}
@@ -720,8 +720,8 @@
 		}
 	}
 	for at, n := range sent {
-		warmth := cfg.ColdFrom + (1-cfg.ColdFrom)*float64(at+1)*1000/cfg.ColdTime
-		if fair := sidecars * 1000 / gap / servers * warmth; float64(n) > cfg.FallMultiple*fair {
+		warmth := cfg.SlowStartCapacity + (1-cfg.SlowStartCapacity)*float64(at+1)*1000/cfg.SlowStartTime
+		if fair := sidecars * 1000 / gap / servers * warmth; float64(n) > cfg.OverloadMultiple*fair {
 			t.Errorf("second %d: %d requests, its part is %.1f", at, n, fair)
 		}
 	}
@@ -746,7 +746,7 @@
 	w.Base = Subset{Zones: []int{1}}
 	g := routed(t, w)
 	r := &request{class: &g.b.cfg.Classes[safeClass], stats: &g.b.classes[safeClass], tenant: g.b.tenant(0)}
-	if n := testing.AllocsPerRun(100, func() { r.drawn = false; g.b.pick(r, false) }); n > 0 {
+	if n := testing.AllocsPerRun(100, func() { r.placeDrawn = false; g.b.pick(r, false) }); n > 0 {
 		t.Errorf("%v allocations", n)
 	}
 	g.b.pool.weight = 321
@@ -755,7 +755,7 @@
 	}
 	g.b.pick(r, false)
 	for i, s := range g.b.servers {
-		if s.running != float64(i) || s.aside || g.b.pool.weight != 321 || g.b.along {
+		if s.running != float64(i) || s.outsideGroup || g.b.pool.weight != 321 || g.b.pickingAlongRoute {
 			t.Errorf("after a pick %+v, pool %v", s, g.b.pool)
 		}
 	}
@@ -775,7 +775,7 @@
 			for i := range RequestID(b.N) {
 				now := 1000 + float64(i)
 				bal.Handle(now, Request{ID: i, Remaining: 1500})
-				bal.Handle(now, Outcome{Request: i, Result: OK, Took: 20, Finished: true})
+				bal.Handle(now, Outcome{Request: i, Result: OK, Elapsed: 20, Finished: true})
 			}
 		})
 	}
--- a/balance/rules_test.go
+++ b/balance/rules_test.go
@@ -11,7 +11,7 @@
 // window and after it: another send, a refusal, a failure.
 func TestWhatMayFollowAnAttempt(t *testing.T) {
 	for _, class := range []int{safeClass, unsafeClass, cellClass, allClass, zoneClass} {
-		for _, res := range []Result{Failed, Full, TimedOut, ConnectFailed, Reset, Cancelled, Broken} {
+		for _, res := range []Result{Failed, Rejected, TimedOut, ConnectFailed, Reset, Cancelled, WriteFailed} {
 			for _, late := range []bool{false, true} {
 				t.Run(fmt.Sprintf("class%d/result%d/late=%v", class, res, late), func(t *testing.T) {
 					followAttempt(t, class, res, late)
@@ -24,8 +24,8 @@
 func followAttempt(t *testing.T, class int, res Result, late bool) {
 	cfg := baseConfig()
 	for i := range cfg.Classes {
-		cfg.Classes[i].Aim = cfg.Classes[i].Deadline // a re-route is worth its while to the end
-		cfg.Classes[i].Window = 200
+		cfg.Classes[i].LatencyObjective = cfg.Classes[i].Deadline // a re-route is worth its while to the end
+		cfg.Classes[i].KeyWindow = 200
 	}
 	g := newRig(t, cfg, fleet(8)...)
 	id, acts := g.ask(class)
@@ -38,14 +38,14 @@
 	}
 	acts = g.answer(id, 0, res, 100)
 	c := cfg.Classes[class]
-	mayResend := c.Effect == Safe || res.NeverRan() || c.Effect == Keyed && !late
+	mayResend := c.Idempotency == Idempotent || res.NeverRan() || c.Idempotency == IdempotentWithKey && !late
 	second, sent := sentTo(acts)
 	if sent != mayResend {
 		t.Fatalf("sent again: %v, want %v (%+v)", sent, mayResend, acts)
 	}
 	if !sent {
-		mayRefuse := c.Effect == Keyed && c.Group == GroupAll
-		if has(acts, Refuse) != mayRefuse || has(acts, Fail) == mayRefuse {
+		mayRefuse := c.Idempotency == IdempotentWithKey && c.KeyScope == KeyScopeAll
+		if has(acts, Reject) != mayRefuse || has(acts, Fail) == mayRefuse {
 			t.Fatalf("refusal allowed: %v, got %+v", mayRefuse, acts)
 		}
 		return
@@ -64,8 +64,8 @@
 	cfg := baseConfig()
 	cfg.ConnectTimeout = connect
 	for i := range cfg.Classes {
-		cfg.Classes[i].Aim = cfg.Classes[i].Deadline // a re-route is worth its while to the end
-		cfg.Classes[i].Window = window
+		cfg.Classes[i].LatencyObjective = cfg.Classes[i].Deadline // a re-route is worth its while to the end
+		cfg.Classes[i].KeyWindow = window
 	}
 	for _, class := range []int{safeClass, cellClass, allClass, zoneClass} {
 		for _, after := range []float64{0, 100, window - connect - 1, window - connect, window - 1, window, window + 1} {
@@ -84,7 +84,7 @@
 func TestWhatNeverRanBeginsNoWindow(t *testing.T) {
 	cfg := baseConfig()
 	cfg.ConnectTimeout = 120
-	cfg.Classes[allClass].Window = 200
+	cfg.Classes[allClass].KeyWindow = 200
 	g := newRig(t, cfg, fleet(8)...)
 	id, _ := g.ask(allClass)
 	g.now += 250
@@ -103,7 +103,7 @@
 		id, _ := g.ask(class)
 		g.now = g.b.reqs[id].deadline
 		acts := g.do(Timer{Token: uint64(id)})
-		if has(acts, Refuse) || !has(acts, Fail) {
+		if has(acts, Reject) || !has(acts, Fail) {
 			t.Errorf("class %d at its deadline with an attempt out: %+v", class, acts)
 		}
 	}
@@ -112,7 +112,7 @@
 func TestNoTimeLeftIsAnsweredAtOnce(t *testing.T) {
 	g := newRig(t, baseConfig(), fleet(4)...)
 	acts := g.do(Request{ID: 1, Class: unsafeClass, Remaining: 0})
-	if !has(acts, Refuse) || has(acts, Send) {
+	if !has(acts, Reject) || has(acts, Send) {
 		t.Fatalf("a request without time left: %+v", acts)
 	}
 }
@@ -131,7 +131,7 @@
 		refused := false
 		for g.now < 1000+baseConfig().Classes[unsafeClass].Deadline {
 			g.now += 10
-			refused = refused || has(g.do(Timer{Token: uint64(id)}), Refuse)
+			refused = refused || has(g.do(Timer{Token: uint64(id)}), Reject)
 		}
 		if !refused || len(g.b.reqs) != 0 {
 			t.Fatalf("%s: refused %v, %d requests left", name, refused, len(g.b.reqs))
@@ -164,7 +164,7 @@
 	cfg.MaxAttempts = 1
 	g := newRig(t, cfg, fleet(4)...)
 	id, _ := g.ask(safeClass)
-	if acts := g.answer(id, 0, Full, 1); has(acts, Send) || !has(acts, Refuse) {
+	if acts := g.answer(id, 0, Rejected, 1); has(acts, Send) || !has(acts, Reject) {
 		t.Fatalf("after the only attempt allowed: %+v", acts)
 	}
 }
@@ -208,7 +208,7 @@
 	}
 	// A warm server gets a fifth of the traffic; the cold one can do ColdFrom of that and a little
 	// more as it warms, and falls at FallMultiple times what it can do.
-	limit := float64(sidecars*perSecond) / 5 * cfg.FallMultiple * (cfg.ColdFrom + 0.05)
+	limit := float64(sidecars*perSecond) / 5 * cfg.OverloadMultiple * (cfg.SlowStartCapacity + 0.05)
 	if toCold == 0 || float64(toCold) > limit {
 		t.Fatalf("%d sends to a cold server in its first second, want 1 to %.0f", toCold, limit)
 	}
@@ -266,7 +266,7 @@
 	serve(4000)
 	sent := serve(4000)
 	// In these 4 s it can do 0.36 to 0.52 of its quarter of 800, and falls at FallMultiple times that.
-	if sent < 30 || float64(sent) > cfg.FallMultiple*0.36*200 {
+	if sent < 30 || float64(sent) > cfg.OverloadMultiple*0.36*200 {
 		t.Errorf("%d of 800 requests to a server at two fifths of its capacity", sent)
 	}
 }
@@ -297,7 +297,7 @@
 				open = open[1:]
 			}
 			for _, a := range acts {
-				if a.Kind == Refuse {
+				if a.Kind == Reject {
 					refused++
 					if a.At < test.least || a.At > test.want {
 						t.Errorf("%+v: told to stay away for %v ms", test, a.At)
@@ -313,7 +313,7 @@
 	id, _ := g.ask(safeClass)
 	g.answer(id, 0, Failed, 10)
 	for _, a := range g.answer(id, 1, Failed, 10) {
-		if a.Kind == Refuse && a.At != 0 {
+		if a.Kind == Reject && a.At != 0 {
 			t.Errorf("a failed request is told to stay away for %v ms", a.At)
 		}
 	}
@@ -325,7 +325,7 @@
 	g := newRig(t, baseConfig(), fleet(2)...)
 	id, acts := g.ask(unsafeClass)
 	s, _ := sentTo(acts)
-	next, sent := sentTo(g.answer(id, 0, Broken, 1))
+	next, sent := sentTo(g.answer(id, 0, WriteFailed, 1))
 	if !sent || next == s {
 		t.Fatalf("re-routed %v, to %d: it never ran", sent, next)
 	}
@@ -351,15 +351,15 @@
 	g := newRig(t, cfg, fleet(3)...)
 	id, acts := g.ask(safeClass)
 	s, _ := sentTo(acts)
-	g.do(Started{Request: id, Server: s, Took: 20})
-	if a := g.b.reqs[id].tries[0]; a.s.inFlight != 0 || g.b.classes[safeClass].mean != 20 {
-		t.Errorf("the server holds %d, answers take %v", a.s.inFlight, g.b.classes[safeClass].mean)
+	g.do(AnswerStarted{Request: id, Server: s, Elapsed: 20})
+	if a := g.b.reqs[id].attempts[0]; a.server.inFlight != 0 || g.b.classes[safeClass].mean != 20 {
+		t.Errorf("the server holds %d, answers take %v", a.server.inFlight, g.b.classes[safeClass].mean)
 	}
 	g.now += 5000
-	if acts := g.do(Timer{Token: uint64(id)}); has(acts, Fail) || has(acts, Refuse) || has(acts, Send) {
+	if acts := g.do(Timer{Token: uint64(id)}); has(acts, Fail) || has(acts, Reject) || has(acts, Send) {
 		t.Fatalf("a running stream got %+v", acts)
 	}
-	g.do(Outcome{Request: id, Server: s, Result: Reset, Took: 5000, Finished: true})
+	g.do(Outcome{Request: id, Server: s, Result: Reset, Elapsed: 5000, Finished: true})
 	if len(g.b.reqs) != 0 {
 		t.Fatal("an ended stream is remembered")
 	}
@@ -373,25 +373,25 @@
 	g := newRig(t, baseConfig(), fleet(3)...)
 	g.next++
 	id := g.next
-	g.do(Request{ID: id, Class: unsafeClass, Remaining: 600, Open: true})
+	g.do(Request{ID: id, Class: unsafeClass, Remaining: 600, BodyStreaming: true})
 	r := g.b.reqs[id]
-	if len(r.tries) != 1 {
+	if len(r.attempts) != 1 {
 		t.Fatal("it is not sent at once")
 	}
 	g.now += 60000
-	if acts := g.do(Timer{Token: uint64(id)}); len(acts) > 0 || r.tries[0].s.consecutiveErrors > 0 || g.b.open > 0 {
-		t.Fatalf("while its body comes: %+v, %d errors, load %v", acts, r.tries[0].s.consecutiveErrors, g.b.open)
+	if acts := g.do(Timer{Token: uint64(id)}); len(acts) > 0 || r.attempts[0].server.consecutiveErrors > 0 || g.b.inFlightLoad > 0 {
+		t.Fatalf("while its body comes: %+v, %d errors, load %v", acts, r.attempts[0].server.consecutiveErrors, g.b.inFlightLoad)
 	}
-	if acts := g.do(Complete{Request: id, Remaining: 600}); !has(acts, SetTimer) || g.b.open == 0 {
-		t.Fatalf("at its last byte: %+v, load %v", acts, g.b.open)
+	if acts := g.do(BodyComplete{Request: id, Remaining: 600}); !has(acts, SetTimer) || g.b.inFlightLoad == 0 {
+		t.Fatalf("at its last byte: %+v, load %v", acts, g.b.inFlightLoad)
 	}
 	g.now += 601
 	if acts := g.do(Timer{Token: uint64(id)}); !has(acts, Fail) {
 		t.Errorf("at its deadline: %+v", acts)
 	}
 	g.answer(id, 0, Cancelled, 601)
-	if g.b.open != 0 {
-		t.Errorf("load %v is left", g.b.open)
+	if g.b.inFlightLoad != 0 {
+		t.Errorf("load %v is left", g.b.inFlightLoad)
 	}
 }
 
@@ -400,10 +400,10 @@
 	for _, spent := range []bool{false, true} {
 		g := newRig(t, baseConfig(), fleet(3)...)
 		g.next++
-		g.do(Request{ID: g.next, Class: unsafeClass, Remaining: 600, Open: true})
-		s := g.b.reqs[g.next].tries[0].s.ID
-		acts := g.do(Outcome{Request: g.next, Server: s, Result: Full, Took: 5, Spent: spent})
-		if has(acts, Send) == spent || has(acts, Refuse) != spent {
+		g.do(Request{ID: g.next, Class: unsafeClass, Remaining: 600, BodyStreaming: true})
+		s := g.b.reqs[g.next].attempts[0].server.ID
+		acts := g.do(Outcome{Request: g.next, Server: s, Result: Rejected, Elapsed: 5, BodyConsumed: spent})
+		if has(acts, Send) == spent || has(acts, Reject) != spent {
 			t.Errorf("spent %v: %+v", spent, acts)
 		}
 	}
@@ -420,7 +420,7 @@
 	for _, c := range []struct {
 		busy bool
 		most float64
-	}{{false, cfg.AskWithin / 3}, {true, 3 * cfg.AskWithin}} { // who is there and turns calls away has too many
+	}{{false, cfg.PollInterval / 3}, {true, 3 * cfg.PollInterval}} { // who is there and turns calls away has too many
 		g.do(ServerList{Kind: ListFull, Servers: fleet(3)})
 		var pauses []float64
 		for range 6 {
@@ -439,7 +439,7 @@
 		}
 	}
 	for range 20 { // who says when is believed
-		if at := find(g.do(ServerList{Kind: ListFailed, Busy: true, Wait: 700}), SetTimer).At; at < 700 || at > 1400 {
+		if at := find(g.do(ServerList{Kind: ListFailed, Busy: true, RetryAfter: 700}), SetTimer).At; at < 700 || at > 1400 {
 			t.Fatalf("told to come in 700 ms it comes in %v", at)
 		}
 	}
@@ -460,7 +460,7 @@
 		t.Fatalf("%.2f sends in two seconds", s.tokens)
 	}
 	for range 400 { // of two hundred answers a second it may have its part
-		g.b.answers.add(g.now, paceAims*g.b.longestAim)
+		g.b.answers.add(g.now, rateSpanObjectives*g.b.maxObjective)
 	}
 	s.tokens, s.tokensAt = 0, g.now-2000
 	if g.b.slowStartBudget(s); s.tokens < 0.5 {
@@ -472,7 +472,7 @@
 func TestProcessesOfASidecarShareWhatIsAssumed(t *testing.T) {
 	budget := func(parts int) float64 {
 		g := newRig(t, baseConfig(), fleet(4)...)
-		g.do(Sharing{Parts: parts})
+		g.do(ProcessCount{Processes: parts})
 		entry := g.b.servers[0].Server
 		entry.StartedAt = g.now
 		g.do(ServerList{Kind: ListDelta, Servers: []Server{entry}})
@@ -491,7 +491,7 @@
 // After a crash two failed connects refused a request although attempts and time were left; what may have
 // run is re-routed once at most.
 func TestWhatNeverRanUsesUpNoReroute(t *testing.T) {
-	for res, sends := range map[Result]int{ConnectFailed: 4, Broken: 4, Full: 4, Failed: 2} {
+	for res, sends := range map[Result]int{ConnectFailed: 4, WriteFailed: 4, Rejected: 4, Failed: 2} {
 		g := newRig(t, baseConfig(), fleet(8)...)
 		id, _ := g.ask(safeClass)
 		n := 1
@@ -513,7 +513,7 @@
 		id, acts := g.ask(safeClass)
 		s, _ := sentTo(acts)
 		g.now += 200
-		g.do(Outcome{Request: id, Server: s, Took: 200, Finished: true, Report: []float32{0, 50, queue}})
+		g.do(Outcome{Request: id, Server: s, Elapsed: 200, Finished: true, Report: []float32{0, 50, queue}})
 		if got := g.b.ejected(g.b.byID[s]); got != rests {
 			t.Errorf("%v waiting for 50 ms each, aim 300 ms: resting %v", queue, got)
 		}
@@ -530,12 +530,12 @@
 		g.now += 10
 		id, acts := g.ask(safeClass)
 		to, _ := sentTo(acts)
-		g.do(Outcome{Request: id, Server: to, Took: 5, Finished: true, Report: []float32{50, 0}})
+		g.do(Outcome{Request: id, Server: to, Elapsed: 5, Finished: true, Report: []float32{50, 0}})
 	}
 	id, acts := g.ask(safeClass)
 	to, _ := sentTo(acts)
 	s := g.b.byID[to]
-	g.do(Outcome{Request: id, Server: to, Took: 5, Finished: true, Report: []float32{50, 40}})
+	g.do(Outcome{Request: id, Server: to, Elapsed: 5, Finished: true, Report: []float32{50, 40}})
 	if rest := s.ejectedUntil - g.now; rest < 10 || rest > 60 {
 		t.Fatalf("rests for %.0f ms, a turn over three servers takes 30", rest)
 	}
@@ -584,11 +584,11 @@
 		}
 		for i, from := range cold {
 			n := 0
-			for n < len(cold)-i && cold[i+n] < from+cfg.FallTime {
+			for n < len(cold)-i && cold[i+n] < from+cfg.OverloadTime {
 				n++
 			}
-			capacity := before * (cfg.ColdFrom + (1-cfg.ColdFrom)*(from-warm)/cfg.ColdTime)
-			if limit := cfg.FallMultiple * capacity * cfg.FallTime / 1000; float64(n) > limit+math.Sqrt(limit) {
+			capacity := before * (cfg.SlowStartCapacity + (1-cfg.SlowStartCapacity)*(from-warm)/cfg.SlowStartTime)
+			if limit := cfg.OverloadMultiple * capacity * cfg.OverloadTime / 1000; float64(n) > limit+math.Sqrt(limit) {
 				t.Fatalf("%d sidecars, %d servers: %d sends in a window, %.1f allowed", c.sidecars, c.servers, n, limit)
 			}
 		}
--- a/balance/settings.go
+++ b/balance/settings.go
@@ -16,15 +16,16 @@
 	}
 	list := []figure{
 		{"Quantum", c.Quantum}, {"MaxAttempts", float64(c.MaxAttempts)}, {"MaxRetryAfter", c.MaxRetryAfter},
-		{"ConnectTimeout", c.ConnectTimeout}, {"DrainGrace", c.DrainGrace}, {"ColdFrom", c.ColdFrom},
-		{"ColdTime", c.ColdTime}, {"FallMultiple", c.FallMultiple}, {"FallTime", c.FallTime},
-		{"AskWithin", c.AskWithin}, {"LongestPause", c.LongestPause},
-		{"DoubtShare", c.DoubtShare}, {"StaleAfter", c.StaleAfter},
-		{"Lists", float64(c.Lists)}, {"AnswerSlack", c.AnswerSlack}, {"OverShareWorth", c.OverShareWorth},
-		{"Goal.Whole", c.Goal.Whole}, {"Goal.WorstWindow", c.Goal.WorstWindow},
+		{"ConnectTimeout", c.ConnectTimeout}, {"DrainGrace", c.DrainGrace}, {"SlowStartCapacity", c.SlowStartCapacity},
+		{"SlowStartTime", c.SlowStartTime}, {"OverloadMultiple", c.OverloadMultiple}, {"OverloadTime", c.OverloadTime},
+		{"PollInterval", c.PollInterval}, {"MaxPollBackoff", c.MaxPollBackoff},
+		{"SuspectFraction", c.SuspectFraction}, {"StaleAfter", c.StaleAfter},
+		{"ListServices", float64(c.ListServices)}, {"AnswerSlack", c.AnswerSlack},
+		{"OverQuotaWeight", c.OverQuotaWeight},
+		{"Goal.Overall", c.Goal.Overall}, {"Goal.WorstWindow", c.Goal.WorstWindow},
 		{"Goal.WorstClass", c.Goal.WorstClass}, {"Goal.WorstTenant", c.Goal.WorstTenant},
 		{"Prices.CrossZone", c.Prices.CrossZone}, {"Prices.Waste", c.Prices.Waste},
-		{"Prices.Handshake", c.Prices.Handshake}, {"Prices.Probe", c.Prices.Probe},
+		{"Prices.Handshake", c.Prices.Handshake}, {"Prices.HealthCheck", c.Prices.HealthCheck},
 		{"Prices.Peer", c.Prices.Peer}, {"Prices.LateFail", c.Prices.LateFail},
 	}
 	if len(c.Classes) == 0 {
@@ -32,17 +33,19 @@
 	}
 	for i := range c.Classes {
 		k, name := &c.Classes[i], fmt.Sprintf("Classes[%d].", i)
-		if k.Effect > Unsafe || k.Group > GroupCell || !(k.Deadline > 0) {
-			return fmt.Errorf("%sEffect, Group or Deadline cannot be: %+v", name, *k)
+		if k.Idempotency > NonIdempotent || k.KeyScope > KeyScopeCell || !(k.Deadline > 0) {
+			return fmt.Errorf("%sIdempotency, KeyScope or Deadline cannot be: %+v", name, *k)
 		}
-		list = append(list, figure{name + "Aim", k.Aim}, figure{name + "Deadline", k.Deadline},
-			figure{name + "Worth", k.Worth}, figure{name + "LateWorth", k.LateWorth},
-			figure{name + "AimStretch", k.AimStretch}, figure{name + "Window", math.Min(k.Window, math.MaxFloat64)})
+		list = append(list,
+			figure{name + "LatencyObjective", k.LatencyObjective}, figure{name + "Deadline", k.Deadline},
+			figure{name + "PriorityWeight", k.PriorityWeight}, figure{name + "LateWeight", k.LateWeight},
+			figure{name + "ObjectiveStretch", k.ObjectiveStretch},
+			figure{name + "KeyWindow", math.Min(k.KeyWindow, math.MaxFloat64)})
 	}
 	for i := range c.Tenants {
 		name := fmt.Sprintf("Tenants[%d].", i)
 		list = append(list,
-			figure{name + "Allowance", c.Tenants[i].Allowance}, figure{name + "Share", c.Tenants[i].Share})
+			figure{name + "Allowance", c.Tenants[i].Allowance}, figure{name + "Quota", c.Tenants[i].Quota})
 	}
 	for _, f := range list {
 		if !(f.v >= 0) || math.IsInf(f.v, 0) {
--- a/balance/settings_test.go
+++ b/balance/settings_test.go
@@ -11,18 +11,26 @@
 // Settings that the first deployments do not use. Each run checks rules 1 to 3 as it goes.
 func TestOtherSettings(t *testing.T) {
 	for name, change := range map[string]func(*Config, *int){
-		"one server":       func(_ *Config, n *int) { *n = 1 },
-		"hundreds":         func(_ *Config, n *int) { *n = 300 },
-		"one attempt":      func(c *Config, _ *int) { c.MaxAttempts = 1 },
-		"no cancels":       func(c *Config, _ *int) { c.Cancel, c.Parallel = false, false },
-		"streams":          func(c *Config, _ *int) { c.Classes[safeClass].Stream = true },
-		"tenants":          func(c *Config, _ *int) { c.Tenants = []Tenant{{Share: 0.9}, {Share: 0.1}, {}} },
-		"no cold rule":     func(c *Config, _ *int) { c.ColdTime, c.FallTime, c.FallMultiple, c.ColdFrom = 0, 0, 0, 0 },
-		"probes, free":     func(c *Config, _ *int) { c.Probes, c.Reports, c.Fields = true, ReportProbe, []Field{FieldInFlight} },
-		"probes, dear":     func(c *Config, _ *int) { c.Probes, c.Reports, c.Prices.Probe = true, ReportProbe, 10 },
-		"probes, no field": func(c *Config, _ *int) { c.Probes, c.Reports, c.Fields = true, ReportProbe, []Field{FieldUnknown} },
-		"piggyback":        func(c *Config, _ *int) { c.Reports, c.Fields = ReportPiggyback, []Field{FieldUtil, FieldRate} },
-		"aims of zero":     func(c *Config, _ *int) { c.Classes[safeClass].Aim, c.Classes[unsafeClass].Worth = 0, 0 },
+		"one server":  func(_ *Config, n *int) { *n = 1 },
+		"hundreds":    func(_ *Config, n *int) { *n = 300 },
+		"one attempt": func(c *Config, _ *int) { c.MaxAttempts = 1 },
+		"no cancels":  func(c *Config, _ *int) { c.Cancel, c.Hedging = false, false },
+		"streams":     func(c *Config, _ *int) { c.Classes[safeClass].Stream = true },
+		"tenants":     func(c *Config, _ *int) { c.Tenants = []Tenant{{Quota: 0.9}, {Quota: 0.1}, {}} },
+		"no cold rule": func(c *Config, _ *int) {
+			c.SlowStartTime, c.OverloadTime, c.OverloadMultiple, c.SlowStartCapacity = 0, 0, 0, 0
+		},
+		"probes, free": func(c *Config, _ *int) {
+			c.HealthChecks, c.Reports, c.Fields = true, ReportHealthCheck, []Field{FieldInFlight}
+		},
+		"probes, dear": func(c *Config, _ *int) { c.HealthChecks, c.Reports, c.Prices.HealthCheck = true, ReportHealthCheck, 10 },
+		"probes, no field": func(c *Config, _ *int) {
+			c.HealthChecks, c.Reports, c.Fields = true, ReportHealthCheck, []Field{FieldUnknown}
+		},
+		"piggyback": func(c *Config, _ *int) { c.Reports, c.Fields = ReportPiggyback, []Field{FieldUtil, FieldRate} },
+		"aims of zero": func(c *Config, _ *int) {
+			c.Classes[safeClass].LatencyObjective, c.Classes[unsafeClass].PriorityWeight = 0, 0
+		},
 	} {
 		t.Run(name, func(t *testing.T) {
 			cfg, n := baseConfig(), 6
@@ -43,7 +51,7 @@
 				for len(w.probes) > 0 {
 					s := w.probes[0]
 					w.probes = w.probes[1:]
-					w.handle(ProbeResult{Server: s, Report: []float32{1}})
+					w.handle(HealthCheckResult{Server: s, Report: []float32{1}})
 				}
 				sent += len(w.open[id].tries)
 				if id > 2 {
@@ -66,7 +74,7 @@
 	for i := range o.tries {
 		if a := &o.tries[i]; a.live {
 			a.live, o.answered = false, true
-			w.handle(Outcome{Request: id, Attempt: i, Server: a.server.ID, Took: w.now - a.sent, Finished: true})
+			w.handle(Outcome{Request: id, Attempt: i, Server: a.server.ID, Elapsed: w.now - a.sent, Finished: true})
 		}
 	}
 }
@@ -91,9 +99,9 @@
 		}
 	}
 	b := g.b
-	if len(b.reqs) > 1 || len(b.servers) != 5 || len(b.byID) != 5 || len(b.holding) > 1 || cap(b.out) > 100 {
+	if len(b.reqs) > 1 || len(b.servers) != 5 || len(b.byID) != 5 || len(b.waitingForChecks) > 1 || cap(b.out) > 100 {
 		t.Fatalf("%d requests, %d servers, %d by ID, %d waiting, room for %d actions",
-			len(b.reqs), len(b.servers), len(b.byID), len(b.holding), cap(b.out))
+			len(b.reqs), len(b.servers), len(b.byID), len(b.waitingForChecks), cap(b.out))
 	}
 }
 
@@ -117,7 +125,7 @@
 				if acts[0].Kind != Send {
 					continue
 				}
-				if _, err := bal.Handle(now+4, Outcome{Request: id, Server: acts[0].Server, Took: 4, Finished: true}); err != nil {
+				if _, err := bal.Handle(now+4, Outcome{Request: id, Server: acts[0].Server, Elapsed: 4, Finished: true}); err != nil {
 					b.Fatal(err)
 				}
 			}
@@ -128,18 +136,18 @@
 // A caller's settings that cannot be are an error, never a balancer that misbehaves later.
 func TestSettingsThatCannotBe(t *testing.T) {
 	for name, spoil := range map[string]func(*Config){
-		"Classes":              func(c *Config) { c.Classes = nil },
-		"Effect":               func(c *Config) { c.Classes[1].Effect = 9 },
-		"Group":                func(c *Config) { c.Classes[1].Group = 9 },
-		"Classes[0].Worth":     func(c *Config) { c.Classes[0].Worth = math.NaN() },
-		"Classes[2].Window":    func(c *Config) { c.Classes[2].Window = -1 },
-		"Deadline":             func(c *Config) { c.Classes[0].Deadline = 0 },
-		"Classes[0].Aim":       func(c *Config) { c.Classes[0].Aim = math.Inf(1) },
-		"ColdTime":             func(c *Config) { c.ColdTime = -1 },
-		"MaxAttempts":          func(c *Config) { c.MaxAttempts = -1 },
-		"FallTime":             func(c *Config) { c.FallTime = math.Inf(1) },
-		"Prices.CrossZone":     func(c *Config) { c.Prices.CrossZone = -0.1 },
-		"Tenants[0].Allowance": func(c *Config) { c.Tenants = []Tenant{{Allowance: -1}} },
+		"Classes":                     func(c *Config) { c.Classes = nil },
+		"Idempotency":                 func(c *Config) { c.Classes[1].Idempotency = 9 },
+		"KeyScope":                    func(c *Config) { c.Classes[1].KeyScope = 9 },
+		"Classes[0].PriorityWeight":   func(c *Config) { c.Classes[0].PriorityWeight = math.NaN() },
+		"Classes[2].KeyWindow":        func(c *Config) { c.Classes[2].KeyWindow = -1 },
+		"Deadline":                    func(c *Config) { c.Classes[0].Deadline = 0 },
+		"Classes[0].LatencyObjective": func(c *Config) { c.Classes[0].LatencyObjective = math.Inf(1) },
+		"SlowStartTime":               func(c *Config) { c.SlowStartTime = -1 },
+		"MaxAttempts":                 func(c *Config) { c.MaxAttempts = -1 },
+		"OverloadTime":                func(c *Config) { c.OverloadTime = math.Inf(1) },
+		"Prices.CrossZone":            func(c *Config) { c.Prices.CrossZone = -0.1 },
+		"Tenants[0].Allowance":        func(c *Config) { c.Tenants = []Tenant{{Allowance: -1}} },
 	} {
 		cfg := baseConfig()
 		spoil(&cfg)
--- a/balance/status.go
+++ b/balance/status.go
@@ -5,22 +5,24 @@
 import "math"
 
 // ListState is what a balancer makes of its list, for who watches over it.
-type ListState struct {
-	Rev     int64
-	Age     float64 // ms since a list service said anything
-	Source  int     // the service watched, by preference
-	Doubted int     // servers that are used though the last whole list left them out
-	Stale   bool    // outcomes count more than the list
-	Refused bool    // lists are older than the one held, and not taken
+type ListStatus struct {
+	Rev       int64
+	Age       float64 // ms since a list service said anything
+	Source    int     // the service watched, by preference
+	Suspected int     // servers that are used though the last whole list left them out
+	Stale     bool    // outcomes count more than the list
+	Rejected  bool    // lists are older than the one held, and not taken
 }
 
 // List tells what is made of the list.
-func (b *Balancer) List(now float64) ListState {
+func (b *Balancer) ListStatus(now float64) ListStatus {
 	l := &b.list
-	out := ListState{Rev: l.rev, Age: now - l.heard, Source: l.source, Stale: l.stale, Refused: l.refused > 0}
+	out := ListStatus{
+		Rev: l.rev, Age: now - l.lastContact, Source: l.source, Stale: l.stale, Rejected: l.rejectedSince > 0,
+	}
 	for _, s := range b.servers {
-		if s.doubted > 0 {
-			out.Doubted++
+		if s.suspectedSince > 0 {
+			out.Suspected++
 		}
 	}
 	return out
@@ -30,7 +32,7 @@
 func (b *Balancer) ListRev() int64 { return b.list.rev }
 
 // Used gives a server that requests may be sent to, as its newest entry that counts has it.
-func (b *Balancer) Used(id ServerID) (Server, bool) {
+func (b *Balancer) UsableServer(id ServerID) (Server, bool) {
 	if s := b.byID[id]; s != nil && s.State == Ready {
 		return s.Server, true
 	}
@@ -41,7 +43,7 @@
 func (b *Balancer) FleetSize() float64 { return b.fleet.n }
 
 // ZoneState is what a balancer makes of zones, for who watches over it.
-type ZoneState struct {
+type ZoneStatus struct {
 	Left     int     // zones that get nothing, or are being tried
 	Spill    float64 // part of first sends that begin beyond the own zone
 	FarSpill float64 // ... beyond the own region
@@ -49,8 +51,8 @@
 }
 
 // Zones tells what is made of zones.
-func (b *Balancer) Zones() ZoneState {
-	out := ZoneState{Spill: b.spill[0], FarSpill: b.spill[1]}
+func (b *Balancer) ZoneStatus() ZoneStatus {
+	out := ZoneStatus{Spill: b.spill[0], FarSpill: b.spill[1]}
 	for _, z := range b.zones {
 		if z.left {
 			out.Left++
@@ -61,7 +63,7 @@
 }
 
 // Avoided tells how many servers are listed, and how many of those get nothing now: they drain or rest.
-func (b *Balancer) Avoided(now float64) (listed, avoided int) {
+func (b *Balancer) CountServers(now float64) (listed, avoided int) {
 	b.now = now
 	for _, s := range b.servers {
 		if s.State != Ready || b.ejected(s) {
--- a/balance/trouble_test.go
+++ b/balance/trouble_test.go
@@ -8,7 +8,7 @@
 
 func probeConfig() Config {
 	cfg := baseConfig()
-	cfg.Probes, cfg.Reports, cfg.Fields = true, ReportProbe, []Field{FieldInFlight}
+	cfg.HealthChecks, cfg.Reports, cfg.Fields = true, ReportHealthCheck, []Field{FieldInFlight}
 	return cfg
 }
 
@@ -16,12 +16,12 @@
 func (g *rig) probes(acts []Action, n float32, dark map[ServerID]bool) []Action {
 	var after []Action
 	for _, a := range acts {
-		if a.Kind != Probe {
+		if a.Kind != HealthCheck {
 			continue
 		}
-		res := ProbeResult{Server: a.Server, Report: []float32{n}}
+		res := HealthCheckResult{Server: a.Server, Report: []float32{n}}
 		if dark[a.Server] {
-			res = ProbeResult{Server: a.Server, Result: TimedOut}
+			res = HealthCheckResult{Server: a.Server, Result: TimedOut}
 		}
 		after = append(after, g.do(res)...)
 	}
@@ -64,9 +64,9 @@
 	if has(acts, Send) {
 		t.Fatal("sent before the probes were answered")
 	}
-	g.do(ProbeResult{Server: 1, Report: []float32{5}})
-	g.do(ProbeResult{Server: 2, Report: []float32{0}})
-	if s, ok := sentTo(g.do(ProbeResult{Server: 3, Report: []float32{4}})); !ok || s != 2 {
+	g.do(HealthCheckResult{Server: 1, Report: []float32{5}})
+	g.do(HealthCheckResult{Server: 2, Report: []float32{0}})
+	if s, ok := sentTo(g.do(HealthCheckResult{Server: 3, Report: []float32{4}})); !ok || s != 2 {
 		t.Fatalf("request %d went to %d, want the empty server", id, s)
 	}
 }
@@ -93,7 +93,7 @@
 		id, acts := g.ask(safeClass)
 		s, ok := sentTo(acts)
 		if !ok {
-			t.Fatalf("request %d was refused: shed %v", id, g.b.steady)
+			t.Fatalf("request %d was refused: shed %v", id, g.b.lastingShed)
 		}
 		if s == 1 {
 			hung++
@@ -128,7 +128,7 @@
 		g.now += 2
 		class := []int{safeClass, unsafeClass}[i%2]
 		id, acts := g.ask(class)
-		if has(acts, Refuse) {
+		if has(acts, Reject) {
 			refused[class]++
 			continue
 		}
@@ -159,21 +159,21 @@
 			g.do(Timer{Token: uint64(id)})
 		}
 		g.now = end
-		if i > 30 && g.b.reqs[id].tries[0].overdue {
+		if i > 30 && g.b.reqs[id].attempts[0].overdue {
 			t.Fatalf("attempt %d of %v ms is held to be overdue after %v", i, times[i%3], g.b.overdueAfter(g.b.reqs[id]))
 		}
 		g.answer(id, 0, OK, times[i%3])
 	}
-	g.b.steady = 0
+	g.b.lastingShed = 0
 	id, _ := g.ask(unsafeClass)
 	r := g.b.reqs[id]
-	for !r.tries[0].overdue {
+	for !r.attempts[0].overdue {
 		if g.now = r.wakeAt; g.now >= r.deadline {
 			t.Fatal("nothing looks at the attempt before its deadline")
 		}
 		g.do(Timer{Token: uint64(id)})
 	}
-	if r.tries[0].s.consecutiveErrors == 0 {
+	if r.attempts[0].server.consecutiveErrors == 0 {
 		t.Fatal("an attempt far beyond all others is no error")
 	}
 }
@@ -183,14 +183,14 @@
 	g := newRig(t, baseConfig(), fleet(2)...)
 	id, _ := g.ask(safeClass)
 	g.ask(safeClass)
-	if want := 2.0 / 300; g.b.open != want {
-		t.Fatalf("load %v of two requests, want %v", g.b.open, want)
+	if want := 2.0 / 300; g.b.inFlightLoad != want {
+		t.Fatalf("load %v of two requests, want %v", g.b.inFlightLoad, want)
 	}
 	g.now += 300
 	g.do(Timer{Token: uint64(id)})
 	g.answer(id, 0, OK, 300)
-	if want := 1.0 / 300; math.Abs(g.b.open-want) > 1e-12 {
-		t.Fatalf("load %v when one has taken its aim and ended, want %v", g.b.open, want)
+	if want := 1.0 / 300; math.Abs(g.b.inFlightLoad-want) > 1e-12 {
+		t.Fatalf("load %v when one has taken its aim and ended, want %v", g.b.inFlightLoad, want)
 	}
 }
 
@@ -198,13 +198,13 @@
 func TestSmallSidecarShedsWithinSeconds(t *testing.T) {
 	g := newRig(t, baseConfig(), fleet(4)...)
 	for range 6 {
-		g.crowd(g.b.steady, 0.8)
+		g.crowd(g.b.lastingShed, 0.8)
 		g.now += 500
-		g.b.openAt = g.now
+		g.b.inFlightLoadAt = g.now
 		g.ask(safeClass)
 	}
-	if g.b.steady < 0.5 {
-		t.Fatalf("%.2f is shed after three seconds of overload", g.b.steady)
+	if g.b.lastingShed < 0.5 {
+		t.Fatalf("%.2f is shed after three seconds of overload", g.b.lastingShed)
 	}
 }
 
@@ -216,7 +216,7 @@
 		var open []RequestID
 		for range 4 {
 			id, acts := g.ask(safeClass)
-			if has(acts, Refuse) {
+			if has(acts, Reject) {
 				t.Fatalf("request %d was refused", id)
 			}
 			open = append(open, id)
@@ -231,14 +231,14 @@
 // crowd sets the lasting part to shed and fills the fleet so that answers take the given part of the
 // aim longer than they may.
 func (g *rig) crowd(lasting, over float64) {
-	full := g.b.quickest + spareAim*(1-g.b.quickest)
-	if g.b.steady = lasting; lasting > 0 {
-		g.b.steady += shedTolerance
+	full := g.b.quickest + spareObjective*(1-g.b.quickest)
+	if g.b.lastingShed = lasting; lasting > 0 {
+		g.b.lastingShed += shedTolerance
 	}
 	rate := g.b.answerRate(fewAnswers)
 	assumed := g.b.quickest * (1 - g.b.answerRate(0)/rate)
-	g.b.open, g.b.openAt = (full+over-assumed)*rate, g.now
-	g.b.openMean = g.b.open
+	g.b.inFlightLoad, g.b.inFlightLoadAt = (full+over-assumed)*rate, g.now
+	g.b.meanInFlightLoad = g.b.inFlightLoad
 }
 
 // shedding brings 4000 requests, drawn from turns of (class, tenant), of which 0.4 of the work is to be shed,
@@ -256,7 +256,7 @@
 		asked[1][turn[1]]++
 		id := RequestID(i + 1)
 		acts := g.do(Request{ID: id, Class: turn[0], Tenant: turn[1], Remaining: cfg.Classes[turn[0]].Deadline})
-		if has(acts, Refuse) {
+		if has(acts, Reject) {
 			byClass[turn[0]]++
 			byTenant[turn[1]]++
 		} else {
@@ -287,7 +287,7 @@
 		refused := 0.0
 		for range 200 {
 			g.crowd(c.lasting, c.over)
-			if _, acts := g.ask(safeClass); has(acts, Refuse) {
+			if _, acts := g.ask(safeClass); has(acts, Reject) {
 				refused++
 			}
 		}
@@ -301,7 +301,7 @@
 // share; when both ask for the same they lose the same.
 func TestTenantsBeyondTheirShareAreRefusedFirst(t *testing.T) {
 	cfg := baseConfig()
-	cfg.Tenants = []Tenant{{Share: 0.5}, {Share: 0.5}}
+	cfg.Tenants = []Tenant{{Quota: 0.5}, {Quota: 0.5}}
 	_, refused := shedding(t, cfg, [2]int{0, 0}, [2]int{0, 0}, [2]int{0, 0}, [2]int{0, 1})
 	if refused[0] < 0.4 || refused[1] > 0.1 {
 		t.Fatalf("refused %.2f of the tenant with much traffic, %.2f of the other", refused[0], refused[1])
@@ -317,11 +317,11 @@
 func TestGoalOfTheWorstClassKeepsItServed(t *testing.T) {
 	cfg := baseConfig()
 	turns := [][2]int{{safeClass, 0}, {unsafeClass, 0}}
-	cfg.Goal = Goal{Whole: 1}
+	cfg.Goal = Goal{Overall: 1}
 	if refused, _ := shedding(t, cfg, turns...); refused[safeClass] < 0.7 || refused[unsafeClass] > 0.1 {
 		t.Fatalf("without the weight %.2f and %.2f are refused", refused[safeClass], refused[unsafeClass])
 	}
-	cfg.Goal = Goal{Whole: 0.3, WorstClass: 0.7}
+	cfg.Goal = Goal{Overall: 0.3, WorstClass: 0.7}
 	if refused, _ := shedding(t, cfg, turns...); refused[safeClass] > 0.5 || refused[unsafeClass] < 0.3 {
 		t.Fatalf("with the weight %.2f and %.2f are refused", refused[safeClass], refused[unsafeClass])
 	}
@@ -330,13 +330,13 @@
 // A tenant beyond its share is not starved where the worst-served tenant weighs in the goal.
 func TestGoalOfTheWorstTenantKeepsItServed(t *testing.T) {
 	cfg := baseConfig()
-	cfg.Tenants = []Tenant{{Share: 0.8}, {Share: 0.2}}
+	cfg.Tenants = []Tenant{{Quota: 0.8}, {Quota: 0.2}}
 	turns := [][2]int{{0, 0}, {0, 1}}
-	cfg.Goal = Goal{Whole: 1}
+	cfg.Goal = Goal{Overall: 1}
 	if _, refused := shedding(t, cfg, turns...); refused[0] > 0.1 || refused[1] < 0.7 {
 		t.Fatalf("without the weight %.2f and %.2f are refused", refused[0], refused[1])
 	}
-	cfg.Goal = Goal{Whole: 0.3, WorstTenant: 0.7}
+	cfg.Goal = Goal{Overall: 0.3, WorstTenant: 0.7}
 	if _, refused := shedding(t, cfg, turns...); math.Abs(refused[0]-refused[1]) > 0.15 {
 		t.Fatalf("with the weight %.2f and %.2f are refused", refused[0], refused[1])
 	}
@@ -346,15 +346,15 @@
 func TestRestartClearsWhatWasHeldAgainstAServer(t *testing.T) {
 	g := newRig(t, baseConfig(), fleet(2)...)
 	s := g.b.servers[0]
-	g.do(ProbeResult{Server: s.ID, Result: TimedOut})
-	if !s.probeFailed || !g.b.ejected(s) {
+	g.do(HealthCheckResult{Server: s.ID, Result: TimedOut})
+	if !s.healthCheckFailed || !g.b.ejected(s) {
 		t.Fatal("a probe without answer does not rest the server")
 	}
 	entry := s.Server
 	entry.StartedAt = g.now
 	g.do(ServerList{Kind: ListDelta, Servers: []Server{entry}})
-	if s.probeFailed || s.ejections != 0 || g.b.ejected(s) {
-		t.Fatalf("after the restart: dark %v, rests %d", s.probeFailed, s.ejections)
+	if s.healthCheckFailed || s.ejections != 0 || g.b.ejected(s) {
+		t.Fatalf("after the restart: dark %v, rests %d", s.healthCheckFailed, s.ejections)
 	}
 }
 
@@ -432,7 +432,7 @@
 			id, acts := g.ask(safeClass)
 			n = 0
 			for _, a := range acts {
-				if a.Kind == Probe {
+				if a.Kind == HealthCheck {
 					n++
 				}
 			}
@@ -474,7 +474,7 @@
 	for gap := 20.0; gap > 2; gap *= 0.998 { // tenfold in some nine seconds
 		g.now += gap
 		id, acts := g.ask(safeClass)
-		if has(acts, Refuse) {
+		if has(acts, Reject) {
 			refused++
 			continue
 		}
@@ -518,9 +518,9 @@
 	for class, cuts := range map[int]bool{unsafeClass: true, safeClass: false, cellClass: false} {
 		for _, lasting := range []float64{0, 0.2} {
 			g := newRig(t, baseConfig(), fleet(4)...)
-			g.b.steady = lasting
+			g.b.lastingShed = lasting
 			if lasting > 0 {
-				g.b.steady += shedTolerance
+				g.b.lastingShed += shedTolerance
 			}
 			id, acts := g.ask(class)
 			s, ok := sentTo(acts)
@@ -530,7 +530,7 @@
 			}
 			want := 0.0
 			if cuts && lasting > 0 {
-				want = g.now + g.b.cfg.Classes[class].Aim
+				want = g.now + g.b.cfg.Classes[class].LatencyObjective
 			}
 			for _, a := range acts {
 				if a.Kind == Send && a.At != want {
@@ -554,7 +554,7 @@
 	g := newRig(t, baseConfig(), servers...)
 	wants := func(listed, avoided int) {
 		t.Helper()
-		if l, a := g.b.Avoided(g.now); l != listed || a != avoided {
+		if l, a := g.b.CountServers(g.now); l != listed || a != avoided {
 			t.Errorf("%d listed, %d avoided; want %d, %d", l, a, listed, avoided)
 		}
 	}
--- a/balance/wallclock.go
+++ b/balance/wallclock.go
@@ -20,7 +20,7 @@
 
 const (
 	// mostOffsets is how many offsets of the wall clock are kept, the newest ones.
-	mostOffsets = 8
+	maxOffsets = 8
 	// sameOffset is by how many ms two offsets differ at least.
 	sameOffset = 100
 	// oldStart is by how many ms a server that is told to have started again can have started before the list
@@ -38,7 +38,7 @@
 		return math.Abs(old-ev.Offset) < sameOffset
 	})
 	b.offsets = append(b.offsets, ev.Offset)
-	if len(b.offsets) > mostOffsets {
+	if len(b.offsets) > maxOffsets {
 		b.offsets = slices.Delete(b.offsets, 0, 1)
 	}
 	b.stepped = true
@@ -94,15 +94,15 @@
 		return 0, false
 	}
 	since = b.latestStart(entry.StartedAt)
-	listed := s.zone != nil && s.doubted == 0
-	if back || entry.StartedAt > b.now+futureSlack || listed && since < b.list.held-oldStart {
+	listed := s.zone != nil && s.suspectedSince == 0
+	if back || entry.StartedAt > b.now+futureSlack || listed && since < b.list.confirmedAt-oldStart {
 		b.stepped = true
 	}
 	switch {
 	case back && len(b.offsets) == 0: // of a clock of which nothing is known
 		since = b.now
 	case listed && b.stepped:
-		since = math.Max(since, b.list.held)
+		since = math.Max(since, b.list.confirmedAt)
 	}
 	s.ownStart = since
 	return since, true
--- a/balance/wallclock_test.go
+++ b/balance/wallclock_test.go
@@ -54,7 +54,7 @@
 				if !g.b.warmingUp(s) || s.slowStartAt < started-futureSlack || s.slowStartAt > g.now {
 					t.Fatalf("started %.0f ms ago, taken for %.0f", g.now-started, g.now-s.slowStartAt)
 				}
-				g.pass(g.b.cfg.ColdTime + 1)
+				g.pass(g.b.cfg.SlowStartTime + 1)
 				if g.b.warmingUp(s) {
 					t.Error("it stays cold")
 				}
@@ -95,7 +95,7 @@
 		g := clockRig(t)
 		g.step(step)
 		s := g.told(11, Server{ID: 4, StartedAt: g.now + step})
-		g.pass(2 * g.b.cfg.ColdTime)
+		g.pass(2 * g.b.cfg.SlowStartTime)
 		if g.b.warmingUp(s) {
 			t.Fatalf("%v: a warm server is cold", step)
 		}
@@ -124,7 +124,7 @@
 			g := clockRig(t)
 			var s *server
 			for i, start := range c.told {
-				g.pass(2 * g.b.cfg.ColdTime)
+				g.pass(2 * g.b.cfg.SlowStartTime)
 				g.now += 100
 				s = g.told(int64(11+i), Server{ID: 4, StartedAt: testBoot + start})
 			}
@@ -162,11 +162,11 @@
 func TestPlaceBehindAStep(t *testing.T) {
 	for _, step := range []float64{-testHour, -30e3} {
 		g := clockRig(t)
-		g.do(ServerList{Kind: ListFull, Rev: 11, Servers: []Server{{ID: 1, Place: 6, StartedAt: g.now - 20e3}}})
+		g.do(ServerList{Kind: ListFull, Rev: 11, Servers: []Server{{ID: 1, AddressKey: 6, StartedAt: g.now - 20e3}}})
 		g.step(step)
 		g.now += 1000
 		g.do(ServerList{Kind: ListFull, Rev: 12, Servers: []Server{
-			{ID: 1, Place: 6, StartedAt: testBoot - 20e3}, {ID: 2, Place: 6, StartedAt: g.now - 100 + step}}})
+			{ID: 1, AddressKey: 6, StartedAt: testBoot - 20e3}, {ID: 2, AddressKey: 6, StartedAt: g.now - 100 + step}}})
 		g.wantUsed(fmt.Sprintf("%v s", step/1000), "2")
 	}
 }
@@ -187,7 +187,7 @@
 			if !g.b.warmingUp(s) || s.slowStartAt > g.now || s.slowStartAt < g.now-2000 {
 				t.Fatalf("seed %d, offset %v: started %v ms ago", seed, offset, g.now-s.slowStartAt)
 			}
-			if len(g.b.offsets) > mostOffsets {
+			if len(g.b.offsets) > maxOffsets {
 				t.Fatal(len(g.b.offsets), "offsets are kept")
 			}
 		}
--- a/balance/zones.go
+++ b/balance/zones.go
@@ -26,16 +26,16 @@
 // servers that get any; a failure begins the next pause.
 
 const (
-	holdAim         = 0.33 // part of the aim that a near server's requests may take one after another
-	halfPrice       = 0.1  // price of crossing at which half of the spare aim may go before a request crosses
-	spillPart       = 0.5  // of the step of shedding: both follow the same answers, and one must be slower
-	mostSpill       = 0.9  // near answers are needed to see that the near servers can take more again
-	tierAnswers     = 20   // answers over which a tier's time is taken
-	evidenceToLeave = 2    // servers against a zone that is left
-	partialEvidence = 0.5  // what counts one whose failure may be its own
-	stableAims      = 20   // longest aims in use after which a zone's pauses begin anew
-	tiers           = 3
-	full            = 4*tiers + 1 // level of a server that cannot take one more
+	maxHeldObjective = 0.33 // part of the aim that a near server's requests may take one after another
+	halfPrice        = 0.1  // price of crossing at which half of the spare objective is used before it
+	spillPart        = 0.5  // of the step of shedding: both follow the same answers, and one must be slower
+	maxSpill         = 0.9  // near answers are needed to see that the near servers can take more again
+	tierAnswers      = 20   // answers over which a tier's time is taken
+	evidenceToLeave  = 2    // servers against a zone that is left
+	partialEvidence  = 0.5  // what counts one whose failure may be its own
+	stableObjectives = 20   // longest aims in use after which a zone's pauses begin anew
+	tiers            = 3
+	full             = 4*tiers + 1 // level of a server that cannot take one more
 )
 
 // tier is how far a zone is away. Where crossing costs nothing all are alike.
@@ -81,10 +81,10 @@
 			b.spill[t], b.spilled[t] = 0, 0
 			continue
 		}
-		spare := spareAim * price / (price + halfPrice) * (1 - b.quickest)
+		spare := spareObjective * price / (price + halfPrice) * (1 - b.quickest)
 		over := b.pressure(t) - math.Max(b.quickest, b.pressure(further)) - spare
-		b.spill[t] = bound(b.spill[t]+spillPart*step*bound(over/spare, -1, 1), 0, mostSpill)
-		price *= math.Max(1, b.cfg.FarCost)
+		b.spill[t] = bound(b.spill[t]+spillPart*step*bound(over/spare, -1, 1), 0, maxSpill)
+		price *= math.Max(1, b.cfg.RegionCost)
 	}
 	b.spillAt = b.now
 	for t = 0; t+1 < tiers; t++ {
@@ -152,7 +152,7 @@
 	need := evidenceToLeave * bound(float64(z.ready)/math.Max(float64(others), 1), 1, 2)
 	if !z.left && answers && z.evidence >= need {
 		b.log(fmt.Sprintf("zones: zone %d is left: %g witnesses, and others answer", z.id, z.evidence))
-		if b.now > z.back+stableAims*b.longestAim {
+		if b.now > z.back+stableObjectives*b.maxObjective {
 			z.timesLeft = 0
 		}
 		b.leave(z)
@@ -162,15 +162,15 @@
 // leave begins a pause of a zone.
 func (b *Balancer) leave(z *zone) {
 	z.left, z.admitLimit = true, 0
-	z.leftUntil = b.now + b.longestAim*float64(int(1)<<min(z.timesLeft, maxEjections))*(0.75+b.random()/2)
+	z.leftUntil = b.now + b.maxObjective*float64(int(1)<<min(z.timesLeft, maxEjections))*(0.75+b.random()/2)
 	z.timesLeft++
 }
 
 // admits tells whether a request may go to a zone: one that returns is tried by few, and first by those
 // that may be repeated.
 func (b *Balancer) admits(r *request, z *zone) bool {
-	return !z.left || b.now >= z.leftUntil && z.out < math.Max(1, z.admitLimit) && !r.Open &&
-		(r.class.Effect != Unsafe || z.admitLimit >= evidenceToLeave)
+	return !z.left || b.now >= z.leftUntil && z.out < math.Max(1, z.admitLimit) && !r.BodyStreaming &&
+		(r.class.Idempotency != NonIdempotent || z.admitLimit >= evidenceToLeave)
 }
 
 // level orders servers for a first send that begins at a tier: the tiers by how far they are from it, in
@@ -183,7 +183,7 @@
 	switch {
 	case !over:
 		return 2 * away
-	case (b.holds(s)+1)*math.Max(r.stats.mean/r.class.Aim, b.quickest) <= holdAim:
+	case (b.holds(s)+1)*math.Max(r.stats.mean/r.class.LatencyObjective, b.quickest) <= maxHeldObjective:
 		return 2*away + 1
 	}
 	return full
--- a/balance/zones_test.go
+++ b/balance/zones_test.go
@@ -10,7 +10,7 @@
 func zoned(t *testing.T, change func(*Config), zones ...int) *rig {
 	t.Helper()
 	cfg := baseConfig()
-	cfg.Prices.CrossZone, cfg.ConnectTimeout, cfg.ColdTime, cfg.MaxAttempts = 0.1, 120, 0, 3
+	cfg.Prices.CrossZone, cfg.ConnectTimeout, cfg.SlowStartTime, cfg.MaxAttempts = 0.1, 120, 0, 3
 	if change != nil {
 		change(&cfg)
 	}
@@ -32,7 +32,7 @@
 // zoneOf is the zone of the last attempt of a request.
 func (g *rig) zoneOf(id RequestID) int {
 	r := g.b.reqs[id]
-	return r.tries[len(r.tries)-1].s.Zone
+	return r.attempts[len(r.attempts)-1].server.Zone
 }
 
 // play answers requests in turn, by the verdict on the server of each attempt, and returns how many first sends went to
@@ -43,8 +43,8 @@
 	for range n {
 		g.now += every
 		id, _ := g.ask(safeClass)
-		for attempt := 0; g.b.reqs[id] != nil && attempt < len(g.b.reqs[id].tries); attempt++ {
-			s := g.b.reqs[id].tries[attempt].s
+		for attempt := 0; g.b.reqs[id] != nil && attempt < len(g.b.reqs[id].attempts); attempt++ {
+			s := g.b.reqs[id].attempts[attempt].server
 			if attempt == 0 {
 				first[s.Zone]++
 			}
@@ -80,7 +80,7 @@
 			}
 			return deadZone(0)(s)
 		})
-		left := g.b.Zones().Left == 1
+		left := g.b.ZoneStatus().Left == 1
 		// From its own zone a sidecar meets it at once; from another one it has no need to.
 		if near := g.b.cfg.Zone == 0; near && (!left || len(met) != 2) || !near && len(met) > 2 {
 			t.Errorf("own zone %d: %d servers of the dead zone were met, left %v", g.b.cfg.Zone, len(met), left)
@@ -91,12 +91,12 @@
 func TestNoZoneIsLeftWhenAllFail(t *testing.T) {
 	g := zoned(t, nil, 6, 6, 6)
 	g.play(60, 100, func(*server) Result { return ConnectFailed })
-	if z := g.b.Zones(); z.Left != 0 || z.Evidence == 0 {
+	if z := g.b.ZoneStatus(); z.Left != 0 || z.Evidence == 0 {
 		t.Errorf("%+v", z)
 	}
 	// As soon as one answers again, the others are known by it.
 	g.play(60, 100, deadZone(0))
-	if z := g.b.Zones(); z.Left != 1 {
+	if z := g.b.ZoneStatus(); z.Left != 1 {
 		t.Errorf("one zone answers and another does not: %+v", z)
 	}
 }
@@ -143,7 +143,7 @@
 		}
 		return OK
 	})
-	if z := g.b.Zones(); z.Left != 0 {
+	if z := g.b.ZoneStatus(); z.Left != 0 {
 		t.Errorf("a zone of which every second request is answered was left: %+v", z)
 	}
 }
@@ -313,7 +313,7 @@
 }
 
 func TestRegionsAreTakenInOrder(t *testing.T) {
-	g := zoned(t, func(c *Config) { c.Regions, c.FarCost = []int{0, 0, 1}, 3 }, 4, 4, 4)
+	g := zoned(t, func(c *Config) { c.Regions, c.RegionCost = []int{0, 0, 1}, 3 }, 4, 4, 4)
 	if first := g.play(200, 20, allOK); first[0] < 195 {
 		t.Errorf("calm: %v", first)
 	}
@@ -355,7 +355,7 @@
 		if z.out != 1 {
 			t.Fatalf("%g trials out after %d long answers have begun", z.out, n-1)
 		}
-		g.do(Started{Request: g.next, Server: g.b.reqs[g.next].tries[0].s.ID, Took: 50})
+		g.do(AnswerStarted{Request: g.next, Server: g.b.reqs[g.next].attempts[0].server.ID, Elapsed: 50})
 		if z.out != 0 || z.admitLimit != float64(n) {
 			t.Fatalf("%+v after %d answers have begun", z, n)
 		}
--- a/internal/lab/crowd/crowd.go
+++ b/internal/lab/crowd/crowd.go
@@ -72,7 +72,7 @@
 	}
 	for i := range spec.Callers {
 		b, err := balance.New(balance.Config{Seed: spec.Seed + uint64(i)*7919, Number: i, Peers: spec.Callers, Subscribe: true,
-			AskWithin: spec.AskWithin, LongestPause: spec.LongestPause, MaxAttempts: 2, Classes: []balance.Class{{Aim: 600, Deadline: 1500, Worth: 1}}})
+			PollInterval: spec.AskWithin, MaxPollBackoff: spec.LongestPause, MaxAttempts: 2, Classes: []balance.Class{{LatencyObjective: 600, Deadline: 1500, PriorityWeight: 1}}})
 		if err != nil {
 			return nil, fmt.Errorf("crowd: %w", err)
 		}
--- a/internal/lab/routescale.go
+++ b/internal/lab/routescale.go
@@ -195,7 +195,7 @@
 		p.mu.Unlock()
 		return
 	}
-	if !p.purse.Take() {
+	if !p.purse.Reserve() {
 		p.mu.Unlock()
 		p.offer(true)
 		return
--- a/internal/lab/simulate/members_views.go
+++ b/internal/lab/simulate/members_views.go
@@ -167,11 +167,11 @@
 	c := m.w.sidecars[i]
 	switch m.Count {
 	case CountFixed:
-		c.tell(balance.FleetSize{Known: m.Peers, Heard: m.Peers, Admitted: true})
+		c.tell(balance.FleetSize{Known: m.Peers, Reachable: m.Peers, Admitted: true})
 	case CountEarned:
-		c.tell(balance.FleetSize{Known: 1, Heard: 1})
+		c.tell(balance.FleetSize{Known: 1, Reachable: 1})
 	case CountFree:
-		c.tell(balance.FleetSize{Known: 1, Heard: 1, Admitted: true})
+		c.tell(balance.FleetSize{Known: 1, Reachable: 1, Admitted: true})
 	case CountNaive, CountRule:
 		m.look(i)
 	}
@@ -185,10 +185,10 @@
 		}
 		return h.at <= now
 	})
-	s := balance.FleetSize{Known: v.counts[1], Heard: v.counts[1], Admitted: true}
+	s := balance.FleetSize{Known: v.counts[1], Reachable: v.counts[1], Admitted: true}
 	if m.Count == CountRule {
 		v.admitted = v.admitted || now-v.since >= admitWithin || m.acknowledged(i)
-		s = balance.FleetSize{Known: v.counts[0] + max(0, m.Peers-v.counts[2]), Heard: v.counts[1], Admitted: v.admitted}
+		s = balance.FleetSize{Known: v.counts[0] + max(0, m.Peers-v.counts[2]), Reachable: v.counts[1], Admitted: v.admitted}
 	}
 	if s != v.told || now-v.toldAt >= tellEvery {
 		v.told, v.toldAt = s, now
--- a/internal/lab/simulate/simulate.go
+++ b/internal/lab/simulate/simulate.go
@@ -197,7 +197,7 @@
 	for i := range p.Servers {
 		sp := &p.Servers[i]
 		w.servers = append(w.servers, &server{number: i, inPod: len(specs[sp.Pod]), down: sp.Spare, slow: 1, links: map[int]*link{},
-			entry: balance.Server{ID: balance.ServerID(i + 1), Rating: 1, Cell: sp.Pod, Zone: sp.Zone, Kind: sp.Kind, Place: uint64(i + 1)}})
+			entry: balance.Server{ID: balance.ServerID(i + 1), Rating: 1, Cell: sp.Pod, Zone: sp.Zone, Kind: sp.Kind, AddressKey: uint64(i + 1)}})
 		specs[sp.Pod] = append(specs[sp.Pod], stock.SpecOf(p, i))
 	}
 	for i := range p.Pods {
@@ -224,7 +224,7 @@
 		if err != nil {
 			return fmt.Errorf("sidecar %d: %w", i, err)
 		}
-		cfg.Regions, cfg.FarCost = w.s.Network.RegionNumbers(), w.s.Network.FarCost
+		cfg.Regions, cfg.RegionCost = w.s.Network.RegionNumbers(), w.s.Network.FarCost
 		if o.Change != nil {
 			o.Change(i, &cfg)
 		}
@@ -282,7 +282,7 @@
 				return
 			}
 			t.send(w.servers[a.Server-1], a.At)
-		case balance.Refuse:
+		case balance.Reject:
 			t.answered(429, a.At)
 		case balance.Fail:
 			t.answered(504, 0)
@@ -292,7 +292,7 @@
 			}
 		case balance.SetTimer:
 			w.After(a.At, c.alive(func() { c.tell(balance.Timer{Token: a.Token}) }))
-		case balance.Probe:
+		case balance.HealthCheck:
 			// Only where the settings allow it; one costs what it costs and tells no more than that the process runs.
 			s := w.servers[a.Server-1]
 			l := w.link(c, s)
@@ -302,7 +302,7 @@
 			} else if l.to || l.from || s.hang {
 				result, wait = balance.TimedOut, connectTimeout
 			}
-			w.After(wait, c.alive(func() { c.tell(balance.ProbeResult{Server: a.Server, Result: result, Took: wait}) }))
+			w.After(wait, c.alive(func() { c.tell(balance.HealthCheckResult{Server: a.Server, Result: result, Elapsed: wait}) }))
 		}
 	}
 }
@@ -356,7 +356,7 @@
 
 // publish tells all sidecars of a server after the notice that this news takes, the last a spread later than the first.
 // News that later news have overtaken are not told: discovery never goes back, as the lab's agents never do.
-func (w *world) publish(s *server, state balance.State, name string, notice scenario.Duration) {
+func (w *world) publish(s *server, state balance.ServerState, name string, notice scenario.Duration) {
 	s.listChanges++
 	e, boot, news := s.entry, s.bootMS, s.listChanges
 	e.State = state
--- a/internal/lab/simulate/try.go
+++ b/internal/lab/simulate/try.go
@@ -88,7 +88,7 @@
 			t.end()
 		}
 	})
-	c.tell(balance.Request{ID: balance.RequestID(t.id), Class: k.a.Class, Tenant: k.a.Tenant, Remaining: patience, Repeat: k.tries > 1})
+	c.tell(balance.Request{ID: balance.RequestID(t.id), Class: k.a.Class, Tenant: k.a.Tenant, Remaining: patience, ClientRetry: k.tries > 1})
 }
 
 // again lets the client come back after its pause.
@@ -227,7 +227,7 @@
 		a.note(record.Turned, 503)
 		a.note(record.Replied, 503)
 		a.over = true
-		a.answer(func() { a.keep(); a.lost(balance.Full) })
+		a.answer(func() { a.keep(); a.lost(balance.Rejected) })
 	}
 	if s.drain {
 		turn()
@@ -299,7 +299,7 @@
 	took := a.t.ask.w.Now() - a.from
 	a.t.answered(http.StatusOK, 0)
 	a.t.c.tell(balance.Outcome{Request: balance.RequestID(a.t.id), Attempt: a.number, Server: balance.ServerID(a.s.number + 1),
-		Result: balance.OK, Took: took, Finished: true})
+		Result: balance.OK, Elapsed: took, Finished: true})
 	a.t.settle()
 }
 
@@ -314,7 +314,7 @@
 		a.note(record.Closed, 0)
 	}
 	a.t.c.tell(balance.Outcome{Request: balance.RequestID(a.t.id), Attempt: a.number, Server: balance.ServerID(a.s.number + 1),
-		Result: result, Took: a.t.ask.w.Now() - a.from})
+		Result: result, Elapsed: a.t.ask.w.Now() - a.from})
 	a.t.settle()
 }
 
--- a/internal/membership/roster/model/fleet.go
+++ b/internal/membership/roster/model/fleet.go
@@ -336,14 +336,14 @@
 		now := f.clock(p)
 		p.view = p.roster.View(now)
 		f.founded = f.founded || p.view.Admitted
-		s := balance.FleetSize{Known: p.view.Known, Heard: p.view.Heard, Admitted: p.view.Admitted}
+		s := balance.FleetSize{Known: p.view.Known, Reachable: p.view.Heard, Admitted: p.view.Admitted}
 		if f.Defect == NoAdmission {
 			s.Admitted = true
 		}
 		if f.Defect == QuickCrowd {
-			s.Heard = s.Known
+			s.Reachable = s.Known
 		}
-		if part := p.crowd.Part(float64(now)/float64(time.Millisecond), s); forced || !p.view.Forced {
+		if part := p.crowd.Quota(float64(now)/float64(time.Millisecond), s); forced || !p.view.Forced {
 			sum += part
 		}
 	}
--- a/internal/rollout/model/play.go
+++ b/internal/rollout/model/play.go
@@ -277,7 +277,7 @@
 	canary := false
 	if n.May(p.now) {
 		p.requests++
-		if canary = side < p.share && n.Purse.Take(); side < p.share && !canary {
+		if canary = side < p.share && n.Purse.Reserve(); side < p.share && !canary {
 			p.askSoon(n)
 		}
 	}
--- a/internal/rollout/model/purses.go
+++ b/internal/rollout/model/purses.go
@@ -50,7 +50,7 @@
 	var each [fleet][]byte
 	for i := range w.sides {
 		s := &w.sides[i]
-		e := explore.Ints(nil, s.Start, s.Purse.Granted, s.Purse.Spent, s.Purse.Returned, s.Purse.Out, int64(s.stage))
+		e := explore.Ints(nil, s.Start, s.Purse.Granted, s.Purse.Spent, s.Purse.Returned, s.Purse.Reserved, int64(s.stage))
 		e = explore.Ints(e, max(s.Until, w.clock), explore.Bit(s.Canary))
 		for start := int64(1); start <= s.Start; start++ {
 			key := rollout.Key(route.Process{Name: s.Name, Start: start})
@@ -84,7 +84,7 @@
 	granted, _, returned := w.state.Held(tenant, name)
 	worst := w.failures // all that may begin or is out fails
 	for i := range w.sides {
-		worst += w.sides[i].Purse.Free() + w.sides[i].Purse.Out
+		worst += w.sides[i].Purse.Free() + w.sides[i].Purse.Reserved
 	}
 	switch {
 	case w.failures > budget:
@@ -148,17 +148,17 @@
 
 func (w *Purses) attempts(emit func(string, explore.World), i int) {
 	s := &w.sides[i]
-	if s.May(w.clock) && (s.Purse.Free() > 0 || w.Defect == CountedLate && s.Purse.Out == 0) {
-		w.local(emit, "begin", i, func(_ *Purses, s *purseSide) { s.Purse.Out++ })
+	if s.May(w.clock) && (s.Purse.Free() > 0 || w.Defect == CountedLate && s.Purse.Reserved == 0) {
+		w.local(emit, "begin", i, func(_ *Purses, s *purseSide) { s.Purse.Reserved++ })
 	}
-	if s.Purse.Out > 0 {
+	if s.Purse.Reserved > 0 {
 		w.local(emit, "good", i, func(_ *Purses, s *purseSide) { s.Purse.Settle(false) })
 		w.local(emit, "failed", i, func(c *Purses, s *purseSide) { s.Purse.Settle(true); c.failures++ })
 	}
 	if w.crashes > 0 { // all that was out may have failed
 		w.then(emit, "crash", i, func(c *Purses, s *purseSide) {
 			c.crashes--
-			c.failures += s.Purse.Out
+			c.failures += s.Purse.Reserved
 			late := s.late
 			start := s.Start + 1
 			*s = purseSide{Sidecar: sidecar(i), late: late}
--- a/internal/rollout/rollout_test.go
+++ b/internal/rollout/rollout_test.go
@@ -241,11 +241,11 @@
 			},
 			"begin": func(t *rapid.T) {
 				if c := pick(); c.May(now) {
-					c.Purse.Take()
+					c.Purse.Reserve()
 				}
 			},
 			"end": func(t *rapid.T) {
-				if c := pick(); c.Purse.Out > 0 {
+				if c := pick(); c.Purse.Reserved > 0 {
 					failed := rapid.Bool().Draw(t, "failed")
 					if c.Purse.Settle(failed); failed {
 						failures++
@@ -254,7 +254,7 @@
 			},
 			"crash": func(t *rapid.T) {
 				i := side.Draw(t, "side")
-				failures += sides[i].Purse.Out
+				failures += sides[i].Purse.Reserved
 				c := sidecar(i)
 				c.Start = sides[i].Start + 1
 				*sides[i] = c
@@ -278,7 +278,7 @@
 				require.LessOrEqual(t, failures, budget)
 				worst := failures
 				for _, c := range sides {
-					worst += c.Purse.Free() + c.Purse.Out
+					worst += c.Purse.Free() + c.Purse.Reserved
 				}
 				require.LessOrEqual(t, worst, budget, "what may fail yet")
 				phase := s.Phase(tenant, name)
--- a/internal/route/bind.go
+++ b/internal/route/bind.go
@@ -73,12 +73,12 @@
 	if r.Rollout == "" {
 		return out, true
 	}
-	out.Canary, out.Share, out.ID = b.subset("canary", &r.Canary), r.Share, RolloutID(r.Tenant, r.Rollout)
-	out.Budgeted, out.Late = r.Budget, r.Late
+	out.Canary, out.CanaryFraction, out.ID = b.subset("canary", &r.Canary), r.Share, RolloutID(r.Tenant, r.Rollout)
+	out.Budgeted, out.LateIsFailure = r.Budget, r.Late
 	if out.Classes, ok = b.classes(r.Classes); !ok {
 		// The canary stays, so that the base leaves its servers out here as everywhere: a reader of schema 1, which
 		// knows no classes, does so too.
-		out.Share = 0
+		out.CanaryFraction = 0
 		b.skip("no requests go to the canary, as the settings name none of its classes")
 	}
 	return out, true
--- a/internal/route/bind_test.go
+++ b/internal/route/bind_test.go
@@ -39,11 +39,11 @@
 	}}, testNames())
 	want := balance.Routes{Rev: 9, List: []balance.Route{
 		{
-			Tenant: 0, Classes: []int{1, 0}, Base: balance.Subset{Zones: []int{1}}, Share: 0.5, ID: RolloutID("a", "r"),
+			Tenant: 0, Classes: []int{1, 0}, Base: balance.Subset{Zones: []int{1}}, CanaryFraction: 0.5, ID: RolloutID("a", "r"),
 			Canary: balance.Subset{
 				Kinds: []int{1, math.MinInt}, Cells: []int{3}, Zones: []int{math.MinInt}, IDs: []balance.ServerID{serverID("u")},
 			},
-			Budgeted: true, Late: true,
+			Budgeted: true, LateIsFailure: true,
 		},
 		{
 			Tenant: 1, ID: RolloutID("b", "r"), Budgeted: true,
--- a/internal/route/decisions_test.go
+++ b/internal/route/decisions_test.go
@@ -39,12 +39,12 @@
 func newPair(seed int64, tenants int) *pair {
 	cfg := balance.Config{
 		Seed: uint64(seed), Peers: 3, MaxAttempts: 3, Cancel: true, RetryAfter: true, MaxRetryAfter: 1000, Quantum: 4,
-		AnswerSlack: 16, ColdFrom: 0.2, ColdTime: 20000, FallMultiple: 2.5, FallTime: 1000, DrainGrace: 2000,
+		AnswerSlack: 16, SlowStartCapacity: 0.2, SlowStartTime: 20000, OverloadMultiple: 2.5, OverloadTime: 1000, DrainGrace: 2000,
 		Tenants: make([]balance.Tenant, tenants),
 		Classes: []balance.Class{
-			{Effect: balance.Safe, Aim: 300, Deadline: 1500, Worth: 1},
-			{Effect: balance.Unsafe, Aim: 300, Deadline: 600, Worth: 5},
-			{Effect: balance.Safe, Aim: 400, Deadline: 2000, Worth: 3},
+			{Idempotency: balance.Idempotent, LatencyObjective: 300, Deadline: 1500, PriorityWeight: 1},
+			{Idempotency: balance.NonIdempotent, LatencyObjective: 300, Deadline: 600, PriorityWeight: 5},
+			{Idempotency: balance.Idempotent, LatencyObjective: 400, Deadline: 2000, PriorityWeight: 3},
 		},
 	}
 	p := &pair{now: 1000, rnd: rand.New(rand.NewSource(seed)), timers: map[uint64]float64{}, tries: map[balance.RequestID]int{}}
@@ -90,14 +90,14 @@
 	same := p.both(balance.ServerList{Kind: balance.ListFull, Servers: servers}) && p.tell(older, newer) &&
 		p.both(balance.CanaryLease{Until: p.now + 1e9})
 	for _, r := range append(slices.Clone(older.List), newer.List...) {
-		same = same && (r.ID == 0 || p.both(balance.BudgetGrant{ID: r.ID, Units: 1e6, Keep: 1e6}))
+		same = same && (r.ID == 0 || p.both(balance.BudgetGrant{ID: r.ID, Units: 1e6, MaxIdle: 1e6}))
 	}
 	return same
 }
 
 func (p *pair) ask(tenant, class int, key uint64) bool {
 	p.next++
-	return p.both(balance.Request{ID: p.next, Tenant: tenant, Class: class, Remaining: 400, Route: key})
+	return p.both(balance.Request{ID: p.next, Tenant: tenant, Class: class, Remaining: 400, RouteKey: key})
 }
 
 // end ends the attempt at an index of those that are out.
@@ -105,7 +105,7 @@
 	a := p.out[i]
 	p.out = slices.Delete(p.out, i, i+1)
 	return p.both(balance.Outcome{
-		Request: a.request, Attempt: a.number, Server: a.server, Result: res, Took: p.now - a.sent, Finished: res == balance.OK,
+		Request: a.request, Attempt: a.number, Server: a.server, Result: res, Elapsed: p.now - a.sent, Finished: res == balance.OK,
 	})
 }
 
@@ -121,7 +121,7 @@
 		}
 	}
 	results := []balance.Result{
-		balance.OK, balance.OK, balance.OK, balance.OK, balance.Failed, balance.Full, balance.ConnectFailed, balance.TimedOut,
+		balance.OK, balance.OK, balance.OK, balance.OK, balance.Failed, balance.Rejected, balance.ConnectFailed, balance.TimedOut,
 	}
 	switch n := p.rnd.Intn(100); {
 	case n < 50:
@@ -130,7 +130,7 @@
 		return len(p.out) == 0 || p.end(p.rnd.Intn(len(p.out)), results[p.rnd.Intn(len(results))])
 	case n < 95:
 		s := servers[p.rnd.Intn(len(servers))]
-		s.State = balance.State(p.rnd.Intn(2))
+		s.State = balance.ServerState(p.rnd.Intn(2))
 		return p.both(balance.ServerList{Kind: balance.ListDelta, Servers: []balance.Server{s}})
 	case n < 97:
 		return p.both(balance.CanaryLease{Until: p.now + float64(p.rnd.Intn(400))})
@@ -138,7 +138,7 @@
 		return p.both(balance.ClientGone{Request: p.next})
 	case n < 99 && len(newer.List) > 0:
 		units, id := int64(p.rnd.Intn(100)), newer.List[p.rnd.Intn(len(newer.List))].ID
-		return id == 0 || p.both(balance.BudgetGrant{ID: id, Units: 1e6 + units, Keep: units})
+		return id == 0 || p.both(balance.BudgetGrant{ID: id, Units: 1e6 + units, MaxIdle: units})
 	}
 	return p.tell(older, newer)
 }
--- a/internal/sidecar/answer.go
+++ b/internal/sidecar/answer.go
@@ -74,7 +74,7 @@
 	case resp.StatusCode == http.StatusOK:
 		r.answer = answer{status: http.StatusOK, contentType: resp.Header.Get("Content-Type"), body: body}
 	case notRun(resp):
-		r.result = balance.Full
+		r.result = balance.Rejected
 	default: // also 503 without the mark: it may have run
 		r.result = balance.Failed
 	}
--- a/internal/sidecar/attempt_test.go
+++ b/internal/sidecar/attempt_test.go
@@ -126,7 +126,7 @@
 	go func() { done <- p.send(next) }()
 	<-time.After(time.Until(a.call.out.ran.Add(window)))
 	next.call.writing.Unlock()
-	if r := receive(t, "the further attempt", done); r.result != balance.Moot {
+	if r := receive(t, "the further attempt", done); r.result != balance.NotSent {
 		t.Errorf("result %v, want that nothing was sent", r.result)
 	}
 	if n := b.requests.Load(); n != 1 {
@@ -141,7 +141,7 @@
 	p.put(conn)
 	keyedWindow(p, a, time.Nanosecond, []byte("plate 12-34"))
 	for range 2 {
-		if r := p.send(a); r.result != balance.Full {
+		if r := p.send(a); r.result != balance.Rejected {
 			t.Errorf("result %v, want that the server had no place", r.result)
 		}
 		a = further(a)
@@ -174,7 +174,7 @@
 	go func() { done <- p.send(a) }()
 	select {
 	case r := <-done:
-		if r.result != balance.Moot {
+		if r.result != balance.NotSent {
 			t.Errorf("result %v, want that it was given up", r.result)
 		}
 	case <-time.After(patience / 2):
@@ -235,7 +235,7 @@
 				t.Errorf("the loop is told %d times that the body is whole, want before the attempt and behind its last byte", n)
 			}
 			if !test.sent {
-				if r.result != balance.Moot || b.requests.Load() != 0 {
+				if r.result != balance.NotSent || b.requests.Load() != 0 {
 					t.Errorf("result %v, %d requests at the server", r.result, b.requests.Load())
 				}
 				return
@@ -276,7 +276,7 @@
 		t.Error("the server got no head")
 	}
 	a.cancel()
-	if r := receive(t, "the end", done); r.result != balance.Moot {
+	if r := receive(t, "the end", done); r.result != balance.NotSent {
 		t.Errorf("result %v", r.result)
 	}
 }
--- a/internal/sidecar/config.go
+++ b/internal/sidecar/config.go
@@ -254,8 +254,8 @@
 			}
 		}
 	}
-	cfg.balance.Lists, cfg.balance.DoubtShare, cfg.balance.StaleAfter = len(cfg.Lists), f.DoubtShare, f.StaleMS
-	cfg.balance.LongestPause = float64(longestPause.Milliseconds())
+	cfg.balance.ListServices, cfg.balance.SuspectFraction, cfg.balance.StaleAfter = len(cfg.Lists), f.DoubtShare, f.StaleMS
+	cfg.balance.MaxPollBackoff = float64(longestPause.Milliseconds())
 	cfg.balance.Subscribe = cfg.balance.Subscribe || len(cfg.Lists) > 0 // the module decides which one is called
 	if !(f.DoubtShare >= 0 && f.DoubtShare <= 1) {
 		return nil, fmt.Errorf("list_doubt_share: %v is not between 0 and 1", f.DoubtShare)
@@ -266,8 +266,8 @@
 	if cfg.balance.Regions, err = f.regions(n.Zones); err != nil {
 		return nil, err
 	}
-	if cfg.balance.FarCost = f.RegionCost; f.RegionCost == 0 {
-		cfg.balance.FarCost = defaultRegionCost
+	if cfg.balance.RegionCost = f.RegionCost; f.RegionCost == 0 {
+		cfg.balance.RegionCost = defaultRegionCost
 	}
 	if cfg.classes, err = indexNamed("classes", n.Classes); err != nil {
 		return nil, err
--- a/internal/sidecar/discovery.go
+++ b/internal/sidecar/discovery.go
@@ -118,7 +118,7 @@
 	slog.Info("discovery: address changed", "address", strings.Join(addrs, " "))
 	d.left(errMoved)
 	if len(addrs) != len(d.addrs) {
-		d.post(balance.Sources{Lists: len(addrs)})
+		d.post(balance.ListServices{Count: len(addrs)})
 	}
 	d.addrs = addrs
 	d.here, d.left = context.WithCancelCause(context.Background())
--- a/internal/sidecar/errno_test.go
+++ b/internal/sidecar/errno_test.go
@@ -182,8 +182,8 @@
 		syscall.ECONNREFUSED, syscall.EAFNOSUPPORT, syscall.EALREADY, syscall.EBADF, syscall.EFAULT,
 		syscall.EINPROGRESS, syscall.EISCONN, syscall.ENOTSOCK, syscall.EPROTOTYPE, syscall.EINVAL)
 	add("connect", balance.Unreachable, statusRefused, syscall.EHOSTUNREACH, syscall.ETIMEDOUT, syscall.EHOSTDOWN)
-	add("connect", balance.Broken, statusRefused, syscall.ECONNRESET)
-	add("write", balance.Broken, statusRefused,
+	add("connect", balance.WriteFailed, statusRefused, syscall.ECONNRESET)
+	add("write", balance.WriteFailed, statusRefused,
 		syscall.ECONNRESET, syscall.EPIPE, syscall.ETIMEDOUT, syscall.EHOSTUNREACH, syscall.EALREADY, syscall.EBADF,
 		syscall.EDESTADDRREQ, syscall.EFAULT, syscall.EINVAL, syscall.EISCONN, syscall.EMSGSIZE, syscall.ENOTCONN,
 		syscall.ENOTSOCK, syscall.EOPNOTSUPP)
--- a/internal/sidecar/exchange.go
+++ b/internal/sidecar/exchange.go
@@ -46,10 +46,10 @@
 
 // repeatWindow is for how long servers know a class's key; 0: it has none, or no end that matters.
 func repeatWindow(class *balance.Class) time.Duration {
-	if class.Effect != balance.Keyed || class.Window >= float64(maxWait/time.Millisecond) {
+	if class.Idempotency != balance.IdempotentWithKey || class.KeyWindow >= float64(maxWait/time.Millisecond) {
 		return 0
 	}
-	return max(millis(class.Window), 1)
+	return max(millis(class.KeyWindow), 1)
 }
 
 // send makes one attempt and tells how it ended.
@@ -131,16 +131,16 @@
 		}
 		if !all {
 			stop()
-			result := balance.Full
+			result := balance.Rejected
 			if !out.answered || !p.turnedAway(conn, req) {
 				result = unwritten(ctx, sendBy, err)
 			}
 			p.discard(conn)
 			if errors.Is(err, errVoid) {
-				return reply{result: balance.Moot, void: true}
+				return reply{result: balance.NotSent, void: true}
 			}
 			unfit := err == errStaleConn || errors.As(err, new(*net.OpError))
-			elsewhere := result != balance.Full && result != balance.LocalFailure
+			elsewhere := result != balance.Rejected && result != balance.LocalFailure
 			if kept && elsewhere && ctx.Err() == nil && unfit &&
 				time.Now().Before(sendBy) && (a == nil || a.call.out.upload == nil || !a.call.out.upload.spent()) {
 				continue // the server closed it while idle; nothing of the request has run
@@ -178,9 +178,9 @@
 func unsent(ctx context.Context, cut time.Time, err error) balance.Result {
 	switch {
 	case ctx.Err() != nil, err == errNotNeeded, err == errNoSocket, !time.Now().Before(cut):
-		return balance.Moot // no fault of the server
+		return balance.NotSent // no fault of the server
 	case errors.Is(err, syscall.ECONNRESET), errors.Is(err, syscall.EPIPE):
-		return balance.Broken // something answered
+		return balance.WriteFailed // something answered
 	case localErrnos.has(err):
 		return balance.LocalFailure
 	case unreachableErrnos.has(err):
@@ -196,7 +196,7 @@
 	result := unsent(ctx, cut, err)
 	failed := result == balance.Unreachable || result == balance.ConnectFailed
 	if failed && errors.As(err, new(syscall.Errno)) {
-		return balance.Broken
+		return balance.WriteFailed
 	}
 	return result
 }
