--- a/internal/sidecar/exchange_test.go
+++ b/internal/sidecar/exchange_test.go
@@ -296,7 +296,7 @@
 			p, a, conn, req := exchanging(t, b)
 			change(p, a)
 			all, err := (&sender{conn: conn}).write(a.cut, req, a)
-			if all || err != errNotNeeded || unsent(a.ctx, a.cut, err) != balance.Moot {
+			if all || err != errNotNeeded || unsent(a.ctx, a.cut, err) != balance.NotSent {
 				t.Errorf("written %v, error %v", all, err)
 			}
 			conn.Close()
@@ -313,7 +313,7 @@
 	_, a, conn, req := exchanging(t, b)
 	conn.Conn.(*net.TCPConn).CloseWrite()
 	all, err := (&sender{conn: conn}).write(a.cut, req, a)
-	if got := unsent(a.ctx, a.cut, err); all || got != balance.Broken {
+	if got := unsent(a.ctx, a.cut, err); all || got != balance.WriteFailed {
 		t.Errorf("written %v, %v, result %v", all, err, got)
 	}
 	if a.sent.Load() {
@@ -332,17 +332,17 @@
 	}{
 		{op("connect", syscall.ECONNREFUSED), balance.ConnectFailed},
 		{&net.OpError{Op: "dial", Net: "tcp", Err: os.ErrDeadlineExceeded}, balance.ConnectFailed},
-		{op("connect", syscall.ECONNRESET), balance.Broken},
-		{op("write", syscall.ECONNRESET), balance.Broken},
-		{op("write", syscall.EPIPE), balance.Broken},
+		{op("connect", syscall.ECONNRESET), balance.WriteFailed},
+		{op("write", syscall.ECONNRESET), balance.WriteFailed},
+		{op("write", syscall.EPIPE), balance.WriteFailed},
 		{op("socket", syscall.EMFILE), balance.LocalFailure},
 		{op("socket", syscall.ENFILE), balance.LocalFailure},
 		{op("connect", syscall.EADDRNOTAVAIL), balance.LocalFailure},
 		{op("connect", syscall.EADDRINUSE), balance.LocalFailure},
 		{op("write", syscall.ENOBUFS), balance.LocalFailure},
 		{op("connect", syscall.EHOSTUNREACH), balance.Unreachable},
-		{errNotNeeded, balance.Moot},
-		{errNoSocket, balance.Moot},
+		{errNotNeeded, balance.NotSent},
+		{errNoSocket, balance.NotSent},
 	} {
 		if got := unsent(t.Context(), time.Now().Add(time.Hour), test.err); got != test.want || !got.NeverRan() {
 			t.Errorf("%v: result %v, want %v", test.err, got, test.want)
@@ -374,7 +374,7 @@
 	p, a, conn, _ := exchanging(t, b)
 	p.most = 1
 	up := &upstream{id: 2, endpoint: other.target.Endpoint}
-	if _, _, err := p.get(a.ctx, up, a.cut, nil); err != errNoSocket || unsent(a.ctx, a.cut, err) != balance.Moot {
+	if _, _, err := p.get(a.ctx, up, a.cut, nil); err != errNoSocket || unsent(a.ctx, a.cut, err) != balance.NotSent {
 		t.Fatalf("a second connection: %v", err)
 	}
 	p.put(conn)
--- a/internal/sidecar/figures.go
+++ b/internal/sidecar/figures.go
@@ -27,8 +27,8 @@
 type serverFigures struct {
 	listed, avoided, ready int
 	told                   bool // by discovery, since the start
-	list                   balance.ListState
-	zones                  balance.ZoneState
+	list                   balance.ListStatus
+	zones                  balance.ZoneStatus
 	steer                  *steerFigures // nil: off
 }
 
@@ -88,12 +88,12 @@
 		{"inflight", "gauge", f.inFlight.Load()},
 		{"hosts_listed", "gauge", int64(servers.listed)},
 		{"hosts_down", "gauge", int64(servers.avoided)},
-		{"hosts_doubted", "gauge", int64(servers.list.Doubted)},
+		{"hosts_doubted", "gauge", int64(servers.list.Suspected)},
 		{"list_revision", "gauge", servers.list.Rev},
 		{"list_age_ms", "gauge", int64(servers.list.Age)},
 		{"list_source", "gauge", int64(servers.list.Source)},
 		{"list_stale", "gauge", flag(servers.list.Stale)},
-		{"list_refused", "gauge", flag(servers.list.Refused)},
+		{"list_refused", "gauge", flag(servers.list.Rejected)},
 		{"zones_left", "gauge", int64(servers.zones.Left)},
 		{"zone_spill_percent", "gauge", int64(100 * servers.zones.Spill)},
 		{"region_spill_percent", "gauge", int64(100 * servers.zones.FarSpill)},
--- a/internal/sidecar/held_up_test.go
+++ b/internal/sidecar/held_up_test.go
@@ -125,7 +125,7 @@
 					time.Sleep(20 * time.Millisecond) // the deadline on the connection has passed, too
 				}
 			}
-			if r := p.send(further(a)); r.result != balance.Moot {
+			if r := p.send(further(a)); r.result != balance.NotSent {
 				t.Errorf("result %v, want that nothing was sent", r.result)
 			}
 			if n := b.requests.Load(); n != 1 {
--- a/internal/sidecar/limits.go
+++ b/internal/sidecar/limits.go
@@ -29,7 +29,7 @@
 	s.frontend.maxTaken.Store(int64(max(s.budget.taken/parts, 1)))
 	s.loop.pool.setMost(s.budget.servers / parts)
 	s.frontend.memory.set(s.cfg.bodyMemory() / int64(parts))
-	s.loop.post(balance.Sharing{Parts: parts})
+	s.loop.post(balance.ProcessCount{Processes: parts})
 	limitMemory(s.cfg, parts)
 }
 
--- a/internal/sidecar/list_format.go
+++ b/internal/sidecar/list_format.go
@@ -34,7 +34,7 @@
 func (cfg *Config) entry(t *target) balance.Server {
 	s := balance.Server{
 		ID: idOf(t.UID), StartedAt: t.BootMS, Rating: t.Capacity, Cell: t.PodGroup,
-		Zone: indexOf(cfg.zones, t.Zone), Kind: indexOf(cfg.kinds, t.Model), Place: placeOf(t.Endpoint),
+		Zone: indexOf(cfg.zones, t.Zone), Kind: indexOf(cfg.kinds, t.Model), AddressKey: placeOf(t.Endpoint),
 	}
 	switch t.State {
 	case "Ready":
@@ -57,7 +57,7 @@
 func placeOf(endpoint string) uint64 {
 	host, port, err := net.SplitHostPort(endpoint)
 	if n, bad := strconv.ParseUint(port, 10, 16); err != nil || bad != nil || n == 0 || host == "" {
-		return balance.Nowhere
+		return balance.NoAddress
 	}
 	h := fnv.New64a()
 	io.WriteString(h, endpoint)
--- a/internal/sidecar/lists_test.go
+++ b/internal/sidecar/lists_test.go
@@ -32,8 +32,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if got := fmt.Sprint(cfg.Lists); got != "[127.0.0.1:3 127.0.0.1:2 127.0.0.1:4]" || cfg.balance.Lists != 3 || !cfg.balance.Subscribe {
-		t.Fatalf("%v, %d, subscribes %v", got, cfg.balance.Lists, cfg.balance.Subscribe)
+	if got := fmt.Sprint(cfg.Lists); got != "[127.0.0.1:3 127.0.0.1:2 127.0.0.1:4]" || cfg.balance.ListServices != 3 || !cfg.balance.Subscribe {
+		t.Fatalf("%v, %d, subscribes %v", got, cfg.balance.ListServices, cfg.balance.Subscribe)
 	}
 	for name, change := range map[string]func(conf){
 		"lists[1].addr":    func(c conf) { c["lists"] = []map[string]any{{"addr": "127.0.0.1:2"}, {"addr": "there"}} },
@@ -104,7 +104,7 @@
 	until(t, "the list", func() bool { return s.loop.disc.rev.Load() == 41 })
 	var used []string
 	for _, uid := range []string{"x", "y", "z", "v", "", "twin", "dup", "good"} {
-		if _, ok := s.loop.bal.Used(idOf(uid)); ok { // the loop is idle: nothing has been sent yet
+		if _, ok := s.loop.bal.UsableServer(idOf(uid)); ok { // the loop is idle: nothing has been sent yet
 			used = append(used, uid)
 		}
 	}
@@ -182,7 +182,7 @@
 		cfg, err := f.config()
 		got := fmt.Sprint(err)
 		if err == nil {
-			got = fmt.Sprint(cfg.balance.Regions, cfg.balance.FarCost)
+			got = fmt.Sprint(cfg.balance.Regions, cfg.balance.RegionCost)
 		}
 		if !strings.HasPrefix(got, want) {
 			t.Errorf("%s: %s, not %s", text, got, want)
--- a/internal/sidecar/loop.go
+++ b/internal/sidecar/loop.go
@@ -132,8 +132,8 @@
 
 // publish leaves what the module knows of the servers where the management address reads it.
 func (l *loop) publish(now float64) {
-	listed, avoided := l.bal.Avoided(now)
-	l.figures.servers.Store(&serverFigures{listed: listed, avoided: avoided, ready: len(l.servers), told: l.told, list: l.bal.List(now), zones: l.bal.Zones(),
+	listed, avoided := l.bal.CountServers(now)
+	l.figures.servers.Store(&serverFigures{listed: listed, avoided: avoided, ready: len(l.servers), told: l.told, list: l.bal.ListStatus(now), zones: l.bal.ZoneStatus(),
 		steer: l.routing.figures()})
 }
 
@@ -155,7 +155,7 @@
 		ev.call.ev.ID = l.lastID
 		l.calls[l.lastID] = &openCall{call: ev.call}
 		request := ev.call.ev
-		if request.Open = ev.call.out.upload != nil; request.Open {
+		if request.BodyStreaming = ev.call.out.upload != nil; request.BodyStreaming {
 			request.Remaining = float64(ev.call.wait) / float64(time.Millisecond)
 		} else {
 			request.Remaining = l.clock.ms(ev.call.deadline) - now
@@ -169,11 +169,11 @@
 				a.from = now
 			}
 		}
-		l.tell(now, balance.Complete{Request: c.ev.ID, Remaining: l.clock.ms(c.deadline) - now})
+		l.tell(now, balance.BodyComplete{Request: c.ev.ID, Remaining: l.clock.ms(c.deadline) - now})
 	case answerStarted:
 		l.takeAnswerStarted(now, ev.attempt, ev.answer)
 	case connecting:
-		l.tell(now, balance.Connecting{Request: ev.attempt.call.ev.ID, Attempt: ev.attempt.number, Up: ev.up})
+		l.tell(now, balance.Connecting{Request: ev.attempt.call.ev.ID, Attempt: ev.attempt.number, Established: ev.up})
 	case connectionReady:
 		if l.servers[ev.up.id] == ev.up {
 			l.tell(now, balance.ConnectionReady{Server: ev.up.id})
@@ -183,16 +183,16 @@
 	case outcome:
 		l.takeOutcome(now, ev.attempt, ev.reply)
 	case probed:
-		l.tell(now, balance.ProbeResult{
-			Server: ev.up.id, Result: ev.reply.result, Took: now - ev.from, Report: ev.reply.report,
+		l.tell(now, balance.HealthCheckResult{
+			Server: ev.up.id, Result: ev.reply.result, Elapsed: now - ev.from, Report: ev.reply.report,
 		})
 	case listEvent:
 		l.takeListEvent(now, ev)
-	case balance.Sharing:
+	case balance.ProcessCount:
 		l.tell(now, ev)
-	case balance.Sources:
+	case balance.ListServices:
 		l.tell(now, ev)
-	case balance.End:
+	case balance.Shutdown:
 		l.tell(now, ev)
 	}
 }
@@ -222,7 +222,7 @@
 	a.took = now - a.from
 	c.answers <- with
 	l.concluded(c)
-	l.tell(now, balance.Started{Request: c.ev.ID, Attempt: a.number, Server: a.up.id, Took: a.took})
+	l.tell(now, balance.AnswerStarted{Request: c.ev.ID, Attempt: a.number, Server: a.up.id, Elapsed: a.took})
 }
 
 // takeOutcome passes on the one outcome of an attempt. The first that is served is the client's answer.
@@ -248,8 +248,8 @@
 		l.routing.countOutcome(now, a.look, c, &r, took, a.took > 0)
 	}
 	l.tell(now, balance.Outcome{
-		Request: c.ev.ID, Attempt: a.number, Server: a.up.id, Result: r.result, Took: took,
-		Finished: c.final.Load(), Report: r.report, Spent: r.spent, Void: r.void,
+		Request: c.ev.ID, Attempt: a.number, Server: a.up.id, Result: r.result, Elapsed: took,
+		Finished: c.final.Load(), Report: r.report, BodyConsumed: r.spent, RouteRevoked: r.void,
 	})
 	l.forget(c)
 }
--- a/internal/sidecar/loop_actions.go
+++ b/internal/sidecar/loop_actions.go
@@ -17,7 +17,7 @@
 		switch act.Kind {
 		case balance.Send:
 			l.send(now, act)
-		case balance.Refuse, balance.Fail:
+		case balance.Reject, balance.Fail:
 			l.answer(now, act)
 		case balance.Cancel:
 			if c := l.calls[act.Request]; c != nil && act.Attempt < len(c.attempts) {
@@ -25,7 +25,7 @@
 			}
 		case balance.SetTimer:
 			heap.Push(&l.timers, timer{due: now + math.Max(act.At, 0), token: act.Token})
-		case balance.Probe:
+		case balance.HealthCheck:
 			l.probe(now, act.Server)
 		case balance.CloseIdle:
 			if up := l.servers[act.Server]; up != nil {
@@ -86,7 +86,7 @@
 	}
 	l.concluded(c.call)
 	switch {
-	case act.Kind == balance.Refuse:
+	case act.Kind == balance.Reject:
 		c.answers <- answer{status: statusRefused, retryAfter: act.At}
 	case !c.deadline.IsZero() && now >= l.clock.ms(c.deadline):
 		c.answers <- answer{status: statusTimedOut}
--- a/internal/sidecar/loop_list.go
+++ b/internal/sidecar/loop_list.go
@@ -13,7 +13,7 @@
 func (l *loop) takeListEvent(now float64, n listEvent) {
 	l.lookAtClock(now)
 	l.told = l.told || n.kind == balance.ListFull || n.kind == balance.ListDelta
-	ev := balance.ServerList{Kind: n.kind, Rev: n.list.Rev, Source: n.source, Check: n.check, Busy: n.busy, Wait: n.wait,
+	ev := balance.ServerList{Kind: n.kind, Rev: n.list.Rev, Source: n.source, FromFetch: n.check, Busy: n.busy, RetryAfter: n.wait,
 		Servers: make([]balance.Server, 0, len(n.list.Targets))}
 	for i := range n.list.Targets {
 		if n.list.Targets[i].UID != "" { // nobody
@@ -31,7 +31,7 @@
 	}
 	if n.kind != balance.ListDelta {
 		for id, up := range l.servers {
-			if _, used := l.bal.Used(id); !used {
+			if _, used := l.bal.UsableServer(id); !used {
 				l.retire(up)
 			}
 		}
@@ -41,12 +41,12 @@
 
 // align brings one server of the table in line with what the module makes of its entry.
 func (l *loop) align(t *target) {
-	s, used := l.bal.Used(idOf(t.UID))
+	s, used := l.bal.UsableServer(idOf(t.UID))
 	old := l.servers[s.ID]
 	switch {
 	case !used:
 		l.retire(l.servers[idOf(t.UID)])
-	case s.Place != placeOf(t.Endpoint) || s.StartedAt != t.BootMS: // another entry of this name counts, or an older list
+	case s.AddressKey != placeOf(t.Endpoint) || s.StartedAt != t.BootMS: // another entry of this name counts, or an older list
 	case old == nil || old.endpoint != t.Endpoint || old.bootMS != t.BootMS:
 		l.retire(old)
 		l.servers[s.ID] = &upstream{id: s.ID, endpoint: t.Endpoint, bootMS: t.BootMS}
--- a/internal/sidecar/members.go
+++ b/internal/sidecar/members.go
@@ -104,9 +104,9 @@
 func (m *members) told() (balance.FleetSize, bool) {
 	v := m.latest.Load()
 	if v == nil {
-		return balance.FleetSize{Known: max(m.cfg.Peers, 1), Heard: 1, Admitted: true}, false
+		return balance.FleetSize{Known: max(m.cfg.Peers, 1), Reachable: 1, Admitted: true}, false
 	}
-	return balance.FleetSize{Known: v.Known, Heard: v.Heard, Admitted: v.Admitted && !m.left.Load()}, true
+	return balance.FleetSize{Known: v.Known, Reachable: v.Heard, Admitted: v.Admitted && !m.left.Load()}, true
 }
 
 // run is the duty: it joins, says in the log whether this process takes its part, and leaves.
--- a/internal/sidecar/request_parser.go
+++ b/internal/sidecar/request_parser.go
@@ -92,7 +92,7 @@
 	if r.Host == "" {
 		return nil, errors.New("no Host")
 	}
-	ev := balance.Request{Repeat: r.Header.Get("X-Retried") == "1"}
+	ev := balance.Request{ClientRetry: r.Header.Get("X-Retried") == "1"}
 	var ok bool
 	if ev.Class, ok = f.cfg.classes[r.Header.Get("X-Priority-Class")]; !ok {
 		return nil, errors.New("unknown X-Priority-Class")
@@ -103,7 +103,7 @@
 		}
 	}
 	class := &f.cfg.balance.Classes[ev.Class]
-	if err := checkMethod(class.Effect, r); err != nil {
+	if err := checkMethod(class.Idempotency, r); err != nil {
 		return nil, err
 	}
 	wait := millis(class.Deadline)
@@ -121,25 +121,25 @@
 		ev.WorkHint = us / 1e3
 	}
 	if k, err := r.Cookie("k"); err == nil {
-		ev.Key = hashOf(k.Value)
+		ev.IdempotencyKey = hashOf(k.Value)
 	}
 	if f.cfg.routes != nil {
-		ev.Route = f.cfg.routes.key(r.Header)
+		ev.RouteKey = f.cfg.routes.key(r.Header)
 	}
 	return &call{ev: ev, wait: wait, answers: make(chan answer, 1)}, nil
 }
 
 // checkMethod: the method follows from the class. A keyed request without its key would run twice.
-func checkMethod(effect balance.Effect, r *http.Request) error {
+func checkMethod(effect balance.Idempotency, r *http.Request) error {
 	keyed := r.Header.Get("Idempotency-Key") != ""
 	switch {
-	case effect == balance.Safe && r.Method != http.MethodGet:
+	case effect == balance.Idempotent && r.Method != http.MethodGet:
 		return errors.New("the class is sent with GET")
-	case effect != balance.Safe && r.Method != http.MethodPost:
+	case effect != balance.Idempotent && r.Method != http.MethodPost:
 		return errors.New("the class is sent with POST")
-	case effect == balance.Keyed && !keyed:
+	case effect == balance.IdempotentWithKey && !keyed:
 		return errors.New("no Idempotency-Key")
-	case effect == balance.Unsafe && keyed:
+	case effect == balance.NonIdempotent && keyed:
 		return errors.New("the class takes no Idempotency-Key")
 	}
 	return nil
--- a/internal/sidecar/routes_test.go
+++ b/internal/sidecar/routes_test.go
@@ -312,7 +312,7 @@
 	passedOn, held := &call{out: &outbound{upload: newUpload(-1, nil)}}, &call{out: &outbound{}}
 	var looks []*routeCheck
 	for _, c := range []*call{passedOn, held} {
-		k := duty.check(0, c, &balance.Action{Routes: 5})
+		k := duty.check(0, c, &balance.Action{RoutesRev: 5})
 		require.EqualValues(t, 5, k.expect())
 		looks = append(looks, k)
 	}
--- a/internal/sidecar/routing.go
+++ b/internal/sidecar/routing.go
@@ -132,7 +132,7 @@
 		r.due.Stop()
 		now := r.clock.ms(time.Now())
 		for _, p := range r.bal.CanaryBudgets() {
-			r.loop.tell(now, balance.BudgetGrant{ID: p.ID, Units: p.Granted, Keep: 0})
+			r.loop.tell(now, balance.BudgetGrant{ID: p.ID, Units: p.Granted, MaxIdle: 0})
 		}
 		r.sample(now)
 		cancel()
@@ -153,7 +153,7 @@
 		for _, g := range got.Grants {
 			id := route.RolloutID(g.Tenant, g.Rollout)
 			if slices.ContainsFunc(r.canaries, func(c canary) bool { return c.id == id }) {
-				r.loop.tell(now, balance.BudgetGrant{ID: id, Units: g.Granted, Keep: g.Keep})
+				r.loop.tell(now, balance.BudgetGrant{ID: id, Units: g.Granted, MaxIdle: g.Keep})
 			}
 		}
 		r.soon = true
@@ -187,7 +187,7 @@
 	r.canaries, r.routed = nil, make(map[int]routedBy, len(routes.List))
 	purses := map[uint64]bool{}
 	for _, b := range routes.List {
-		r.routed[b.Tenant] = routedBy{b.Classes, b.Late}
+		r.routed[b.Tenant] = routedBy{b.Classes, b.LateIsFailure}
 		purses[b.ID] = b.Budgeted
 	}
 	for i := range t.Routes {
@@ -238,14 +238,14 @@
 	}
 	fade := math.Exp2(-(now - r.sampled) / 1e3)
 	r.canaries = slices.DeleteFunc(r.canaries, func(c canary) bool {
-		return c.ended > 0 && now > c.ended+settleMS && held[c.id].Out == 0
+		return c.ended > 0 && now > c.ended+settleMS && held[c.id].Reserved == 0
 	})
 	for i := range r.canaries {
 		c := &r.canaries[i]
 		p := held[c.id]
-		missed := p.Short - c.short
+		missed := p.Denied - c.short
 		// What was missed within one sample was hardly out at once: the want doubles until nothing is.
-		c.short, c.peak = p.Short, max(c.peak*fade, float64(p.Out+min(missed, p.Out+1)))
+		c.short, c.peak = p.Denied, max(c.peak*fade, float64(p.Reserved+min(missed, p.Reserved+1)))
 		s.Short = s.Short || missed > 0
 		state := route.PurseState{
 			Tenant: c.tenant, Rollout: c.rollout, Granted: p.Granted, Spent: p.Spent, Returned: p.Returned,
@@ -268,11 +268,11 @@
 	if !ok {
 		by, ok = r.routed[-1]
 	}
-	if act.Routes == 0 && !ok {
+	if act.RoutesRev == 0 && !ok {
 		return nil
 	}
 	r.changed(now)
-	k := &routeCheck{steer: r.client, rev: act.Routes, canary: act.Canary, late: by.late, fixed: c.out.upload != nil,
+	k := &routeCheck{steer: r.client, rev: act.RoutesRev, canary: act.ToCanary, late: by.late, fixed: c.out.upload != nil,
 		alike: len(by.classes) == 0 || slices.Contains(by.classes, c.ev.Class)}
 	if c.ev.Tenant < len(r.tenants) {
 		k.tenant = r.tenants[c.ev.Tenant]
@@ -286,14 +286,14 @@
 	if reply.void {
 		r.voids++
 	}
-	aim := r.classes[c.ev.Class].Aim
+	aim := r.classes[c.ev.Class].LatencyObjective
 	// As the module judges it: a client that left nearly at the end of its time has waited in vain.
 	overdue := !c.deadline.IsZero() && now >= r.clock.ms(c.deadline.Add(-time.Duration(float64(c.wait)*(1-nearlyAll))))
 	left := reply.result == balance.Cancelled && !overdue
 	late := took > aim
 	// A client that left after the aim has seen a failure where late answers are: it cost the canary's unit, too.
 	told := !left || k.late && late && !streamed
-	unsent := reply.result == balance.Moot || reply.result == balance.LocalFailure
+	unsent := reply.result == balance.NotSent || reply.result == balance.LocalFailure
 	if !k.begun || unsent || !told || !k.canary && !k.alike {
 		return // it says nothing of the server, or of what the canary is compared with
 	}
--- a/internal/sidecar/shutdown.go
+++ b/internal/sidecar/shutdown.go
@@ -40,7 +40,7 @@
 		if !told && tail >= 0 {
 			told = true
 			s.hook.at(serviceEnding)
-			s.loop.post(balance.End{})
+			s.loop.post(balance.Shutdown{})
 			s.loop.members.depart(finalAnswerMargin) // nothing is sent to servers from here on
 			s.hook.at(waitingEnding)
 		}
--- a/internal/sidecar/watch_sums_test.go
+++ b/internal/sidecar/watch_sums_test.go
@@ -35,7 +35,7 @@
 		bal.Start(now)
 		for range row {
 			n := failed(listEvent{}, err)
-			actions, bad := bal.Handle(now, balance.ServerList{Kind: n.kind, Busy: n.busy, Wait: n.wait})
+			actions, bad := bal.Handle(now, balance.ServerList{Kind: n.kind, Busy: n.busy, RetryAfter: n.wait})
 			if bad != nil || len(actions) != 1 || actions[0].Kind != balance.SetTimer {
 				t.Fatalf("%+v, %v", actions, bad)
 			}
--- a/internal/wire/decode.go
+++ b/internal/wire/decode.go
@@ -36,8 +36,8 @@
 )
 
 var results = map[uint16]balance.Result{
-	0: balance.OK, 13: balance.Failed, 8: balance.Full, 4: balance.TimedOut,
-	14: balance.ConnectFailed, 10: balance.Reset, 1: balance.Cancelled, 9: balance.Moot,
+	0: balance.OK, 13: balance.Failed, 8: balance.Rejected, 4: balance.TimedOut,
+	14: balance.ConnectFailed, 10: balance.Reset, 1: balance.Cancelled, 9: balance.NotSent,
 }
 
 // Begin starts an instance; Settings is the raw profile for ParseSettings.
@@ -134,8 +134,8 @@
 	case codeAlarm:
 		rec.Event = balance.Timer{Token: f.u64()}
 	case codeStarted:
-		ev := balance.Started{Request: balance.RequestID(f.u64()), Attempt: int(f.u8()), Server: f.server()}
-		ev.Took = f.f64()
+		ev := balance.AnswerStarted{Request: balance.RequestID(f.u64()), Attempt: int(f.u8()), Server: f.server()}
+		ev.Elapsed = f.f64()
 		rec.Event = ev
 	case codeEnded:
 		rec.Event, err = r.ended(f)
@@ -219,8 +219,8 @@
 	if bits&1 != 0 {
 		ev.WorkHint = hint
 	}
-	ev.Repeat, ev.Write = bits&2 != 0, bits&4 != 0
-	ev.Key, ev.Remaining = f.u64(), f.f64()
+	ev.ClientRetry, ev.Write = bits&2 != 0, bits&4 != 0
+	ev.IdempotencyKey, ev.Remaining = f.u64(), f.f64()
 	ev.Class = int(f.u16())
 	return ev
 }
@@ -228,7 +228,7 @@
 func (r *Reader) ended(f *fields) (any, error) {
 	ev := balance.Outcome{Request: balance.RequestID(f.u64()), Attempt: int(f.u8()), Server: f.server()}
 	code := f.u16()
-	ev.Took, ev.Finished = f.f64(), f.u8() != 0
+	ev.Elapsed, ev.Finished = f.f64(), f.u8() != 0
 	ev.Report = r.floats(f)
 	var err error
 	ev.Result, err = result(code, f)
@@ -236,7 +236,7 @@
 }
 
 func (r *Reader) probed(f *fields) (any, error) {
-	ev := balance.ProbeResult{Took: f.f64()}
+	ev := balance.HealthCheckResult{Elapsed: f.f64()}
 	code := f.u16()
 	ev.Server, ev.Report = f.server(), r.floats(f)
 	var err error
--- a/internal/wire/encode.go
+++ b/internal/wire/encode.go
@@ -60,7 +60,7 @@
 		r.u64(uint64(a.Request))
 		r.f64(a.At)
 		r.server(a.Server)
-	case balance.Refuse:
+	case balance.Reject:
 		r.head(codeRefuse, instance)
 		r.u64(uint64(a.Request))
 		r.f64(a.At)
@@ -75,13 +75,13 @@
 		r.head(codeTimer, instance)
 		r.u64(a.Token)
 		r.f64(a.At)
-	case balance.Probe:
+	case balance.HealthCheck:
 		r.head(codeProbe, instance)
 		r.server(a.Server)
 	case balance.CloseIdle:
 		r.head(codeClose, instance)
 		r.server(a.Server)
-	case balance.Post:
+	case balance.SendMessage:
 		r.head(codePost, instance)
 		peer := uint32(everyPeer)
 		if a.Peer >= 0 {
--- a/internal/wire/settings.go
+++ b/internal/wire/settings.go
@@ -12,27 +12,27 @@
 // settings mirrors the profile; keys that are not here are skipped.
 type settings struct {
 	Classes []struct {
-		Effect     string   `json:"effect"`
-		Group      string   `json:"group"`
-		Window     *float64 `json:"window_ms"`
-		Aim        float64  `json:"on_time_ms"`
-		AimStretch float64  `json:"aim_stretch"`
-		Deadline   float64  `json:"hard_limit_ms"`
-		Worth      *float64 `json:"worth"`
-		LateWorth  float64  `json:"late_worth"`
-		Stream     bool     `json:"stream"`
+		Effect           string   `json:"effect"`
+		Group            string   `json:"group"`
+		Window           *float64 `json:"window_ms"`
+		LatencyObjective float64  `json:"on_time_ms"`
+		ObjectiveStretch float64  `json:"aim_stretch"`
+		Deadline         float64  `json:"hard_limit_ms"`
+		PriorityWeight   *float64 `json:"worth"`
+		LateWeight       float64  `json:"late_worth"`
+		Stream           bool     `json:"stream"`
 	} `json:"classes"`
 	Tenants []struct {
 		Allowance float64 `json:"allowance_per_s"`
-		Share     float64 `json:"share"`
+		Quota     float64 `json:"share"`
 	} `json:"tenants"`
-	Discovery string   `json:"discovery"`
-	Me        int      `json:"my_number"`
-	Peers     int      `json:"peers_total"`
-	Zone      int      `json:"zone"`
-	OverShare *float64 `json:"over_share_worth"`
-	Quantum   float64  `json:"quantum_ms"`
-	Report    struct {
+	Discovery       string   `json:"discovery"`
+	Me              int      `json:"my_number"`
+	Peers           int      `json:"peers_total"`
+	Zone            int      `json:"zone"`
+	OverQuotaWeight *float64 `json:"over_share_worth"`
+	Quantum         float64  `json:"quantum_ms"`
+	Report          struct {
 		Via    string   `json:"via"`
 		Fields []string `json:"fields"`
 	} `json:"report"`
@@ -41,47 +41,47 @@
 		ConnectTimeout float64 `json:"connect_timeout_ms"`
 		MaxAttempts    *int    `json:"max_attempts"`
 		MaxRetryAfter  float64 `json:"max_retry_after_ms"`
-		MayTell        bool    `json:"may_tell"`
-		Parallel       bool    `json:"parallel_tries"`
-		Probes         bool    `json:"probes"`
+		Messages       bool    `json:"may_tell"`
+		Hedging        bool    `json:"parallel_tries"`
+		HealthChecks   bool    `json:"probes"`
 		RetryAfter     bool    `json:"retry_after"`
 	} `json:"limits"`
 	Rules struct {
-		AnswerSlack  float64  `json:"answer_slack_ms"`
-		AskWithin    float64  `json:"ask_within_ms"`
-		ColdFrom     *float64 `json:"cold_from"`
-		ColdTime     float64  `json:"cold_ms"`
-		DrainGrace   float64  `json:"drain_grace_ms"`
-		FallTime     float64  `json:"fall_ms"`
-		FallMultiple float64  `json:"fall_multiple"`
+		AnswerSlack       float64  `json:"answer_slack_ms"`
+		PollInterval      float64  `json:"ask_within_ms"`
+		SlowStartCapacity *float64 `json:"cold_from"`
+		SlowStartTime     float64  `json:"cold_ms"`
+		DrainGrace        float64  `json:"drain_grace_ms"`
+		OverloadTime      float64  `json:"fall_ms"`
+		OverloadMultiple  float64  `json:"fall_multiple"`
 	} `json:"rules"`
 	Goal struct { // in the order of balance.Goal, to which it converts; so is Prices
-		Whole       float64 `json:"whole"`
+		Overall     float64 `json:"whole"`
 		WorstWindow float64 `json:"worst_window"`
 		WorstClass  float64 `json:"worst_class"`
 		WorstTenant float64 `json:"worst_tenant"`
 	} `json:"result_mix"`
 	Prices struct {
-		CrossZone float64 `json:"cross_zone"`
-		Waste     float64 `json:"waste"`
-		Handshake float64 `json:"handshake"`
-		Probe     float64 `json:"probe"`
-		Peer      float64 `json:"peer"`
-		LateFail  float64 `json:"late_fail"`
+		CrossZone   float64 `json:"cross_zone"`
+		Waste       float64 `json:"waste"`
+		Handshake   float64 `json:"handshake"`
+		HealthCheck float64 `json:"probe"`
+		Peer        float64 `json:"peer"`
+		LateFail    float64 `json:"late_fail"`
 	} `json:"penalties"`
 }
 
-var effects = map[string]balance.Effect{
-	"read_like": balance.Safe, "idempotency_key": balance.Keyed, "non_idempotent": balance.Unsafe,
+var effects = map[string]balance.Idempotency{
+	"read_like": balance.Idempotent, "idempotency_key": balance.IdempotentWithKey, "non_idempotent": balance.NonIdempotent,
 }
 
-var groups = map[string]balance.Group{
-	"": balance.GroupAll, "all": balance.GroupAll, "zone": balance.GroupZone, "cell": balance.GroupCell,
+var groups = map[string]balance.KeyScope{
+	"": balance.KeyScopeAll, "all": balance.KeyScopeAll, "zone": balance.KeyScopeZone, "cell": balance.KeyScopeCell,
 }
 
-var reportWays = map[string]balance.ReportVia{
+var reportWays = map[string]balance.ReportSource{
 	"": balance.ReportNone, "silent": balance.ReportNone,
-	"piggyback": balance.ReportPiggyback, "pull": balance.ReportProbe,
+	"piggyback": balance.ReportPiggyback, "pull": balance.ReportHealthCheck,
 }
 
 var reportFields = map[string]balance.Field{
@@ -97,14 +97,14 @@
 	}
 	cfg := balance.Config{
 		Seed: seed, Number: s.Me, Peers: max(s.Peers, 1), Zone: s.Zone,
-		OverShareWorth: or(s.OverShare, 1), Quantum: s.Quantum,
-		Parallel: s.Limits.Parallel, Cancel: s.Limits.Cancel, Probes: s.Limits.Probes,
-		Messages: s.Limits.MayTell, RetryAfter: s.Limits.RetryAfter,
+		OverQuotaWeight: or(s.OverQuotaWeight, 1), Quantum: s.Quantum,
+		Hedging: s.Limits.Hedging, Cancel: s.Limits.Cancel, HealthChecks: s.Limits.HealthChecks,
+		Messages: s.Limits.Messages, RetryAfter: s.Limits.RetryAfter,
 		MaxRetryAfter: s.Limits.MaxRetryAfter, ConnectTimeout: s.Limits.ConnectTimeout,
 		MaxAttempts: or(s.Limits.MaxAttempts, 1),
-		DrainGrace:  s.Rules.DrainGrace, ColdFrom: or(s.Rules.ColdFrom, 1), ColdTime: s.Rules.ColdTime,
-		FallMultiple: s.Rules.FallMultiple, FallTime: s.Rules.FallTime,
-		AskWithin: s.Rules.AskWithin, AnswerSlack: s.Rules.AnswerSlack,
+		DrainGrace:  s.Rules.DrainGrace, SlowStartCapacity: or(s.Rules.SlowStartCapacity, 1), SlowStartTime: s.Rules.SlowStartTime,
+		OverloadMultiple: s.Rules.OverloadMultiple, OverloadTime: s.Rules.OverloadTime,
+		PollInterval: s.Rules.PollInterval, AnswerSlack: s.Rules.AnswerSlack,
 		Goal:   balance.Goal(s.Goal),
 		Prices: balance.Prices(s.Prices),
 	}
@@ -119,15 +119,15 @@
 		key string
 		v   float64
 	}{
-		{"quantum_ms", s.Quantum}, {"over_share_worth", cfg.OverShareWorth},
+		{"quantum_ms", s.Quantum}, {"over_share_worth", cfg.OverQuotaWeight},
 		{"limits.connect_timeout_ms", s.Limits.ConnectTimeout}, {"limits.max_attempts", float64(cfg.MaxAttempts)},
 		{"limits.max_retry_after_ms", s.Limits.MaxRetryAfter}, {"rules.answer_slack_ms", s.Rules.AnswerSlack},
-		{"rules.ask_within_ms", s.Rules.AskWithin}, {"rules.cold_from", cfg.ColdFrom},
-		{"rules.cold_ms", s.Rules.ColdTime}, {"rules.drain_grace_ms", s.Rules.DrainGrace},
-		{"rules.fall_ms", s.Rules.FallTime}, {"rules.fall_multiple", s.Rules.FallMultiple},
-		{"result_mix.whole", s.Goal.Whole}, {"result_mix.worst_window", s.Goal.WorstWindow},
+		{"rules.ask_within_ms", s.Rules.PollInterval}, {"rules.cold_from", cfg.SlowStartCapacity},
+		{"rules.cold_ms", s.Rules.SlowStartTime}, {"rules.drain_grace_ms", s.Rules.DrainGrace},
+		{"rules.fall_ms", s.Rules.OverloadTime}, {"rules.fall_multiple", s.Rules.OverloadMultiple},
+		{"result_mix.whole", s.Goal.Overall}, {"result_mix.worst_window", s.Goal.WorstWindow},
 		{"result_mix.worst_class", s.Goal.WorstClass}, {"result_mix.worst_tenant", s.Goal.WorstTenant},
-		{"penalties.cross_zone", s.Prices.CrossZone}, {"penalties.probe", s.Prices.Probe},
+		{"penalties.cross_zone", s.Prices.CrossZone}, {"penalties.probe", s.Prices.HealthCheck},
 		{"penalties.waste", s.Prices.Waste}, {"penalties.handshake", s.Prices.Handshake},
 		{"penalties.peer", s.Prices.Peer}, {"penalties.late_fail", s.Prices.LateFail},
 	} {
@@ -149,10 +149,10 @@
 		if t.Allowance < 0 {
 			return cfg, negative(fmt.Sprintf("tenants[%d].allowance_per_s", i), t.Allowance)
 		}
-		if t.Share < 0 {
-			return cfg, negative(fmt.Sprintf("tenants[%d].share", i), t.Share)
+		if t.Quota < 0 {
+			return cfg, negative(fmt.Sprintf("tenants[%d].share", i), t.Quota)
 		}
-		cfg.Tenants = append(cfg.Tenants, balance.Tenant{Allowance: t.Allowance, Share: t.Share})
+		cfg.Tenants = append(cfg.Tenants, balance.Tenant{Allowance: t.Allowance, Quota: t.Quota})
 	}
 	return cfg, s.addClasses(&cfg)
 }
@@ -175,20 +175,20 @@
 			return fmt.Errorf("settings: %s is %v, not over 0", key("hard_limit_ms"), c.Deadline)
 		}
 		for name, v := range map[string]float64{
-			"on_time_ms": c.Aim, "aim_stretch": c.AimStretch, "worth": or(c.Worth, 0), "late_worth": c.LateWorth,
+			"on_time_ms": c.LatencyObjective, "aim_stretch": c.ObjectiveStretch, "worth": or(c.PriorityWeight, 0), "late_worth": c.LateWeight,
 			"window_ms": or(c.Window, 0),
 		} {
 			if v < 0 {
 				return negative(key(name), v)
 			}
 		}
-		aim := c.Aim
+		aim := c.LatencyObjective
 		if aim == 0 {
 			aim = c.Deadline
 		}
 		cfg.Classes = append(cfg.Classes, balance.Class{
-			Effect: effect, Group: group, Window: or(c.Window, math.Inf(1)), Aim: aim, AimStretch: c.AimStretch,
-			Deadline: c.Deadline, Worth: or(c.Worth, 1), LateWorth: c.LateWorth, Stream: c.Stream,
+			Idempotency: effect, KeyScope: group, KeyWindow: or(c.Window, math.Inf(1)), LatencyObjective: aim, ObjectiveStretch: c.ObjectiveStretch,
+			Deadline: c.Deadline, PriorityWeight: or(c.PriorityWeight, 1), LateWeight: c.LateWeight, Stream: c.Stream,
 		})
 	}
 	return nil
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -62,7 +62,7 @@
 		t.Fatalf("clock %v, %d records", clock, len(recs))
 	}
 	ask, ok := recs[0].Event.(balance.Request)
-	want := balance.Request{ID: 0x2978f5d3a91c4, WorkHint: 12, Key: 0x91f03b7c55d20a64, Remaining: 240}
+	want := balance.Request{ID: 0x2978f5d3a91c4, WorkHint: 12, IdempotencyKey: 0x91f03b7c55d20a64, Remaining: 240}
 	if !ok || ask != want || recs[0].Instance != 3 {
 		t.Errorf("ask: %+v", recs[0])
 	}
@@ -81,7 +81,7 @@
 		t.Errorf("entries: %+v", list.Servers)
 	}
 	ended := recs[4].Event.(balance.Outcome)
-	if ended.Request != 0x2978f5d3a91c4 || ended.Server != 0x0a124a07232b || ended.Took != 18.5 ||
+	if ended.Request != 0x2978f5d3a91c4 || ended.Server != 0x0a124a07232b || ended.Elapsed != 18.5 ||
 		!ended.Finished || ended.Result != balance.OK {
 		t.Errorf("ended: %+v", ended)
 	}
@@ -95,7 +95,7 @@
 		{Kind: balance.SetTimer, Token: 77, At: 500},
 	})
 	r.Add(5, []balance.Action{{Kind: balance.Log, Text: "two servers known"}})
-	r.Add(3, []balance.Action{{Kind: balance.Post, Peer: -1, Data: []byte("hi 7")}})
+	r.Add(3, []balance.Action{{Kind: balance.SendMessage, Peer: -1, Data: []byte("hi 7")}})
 	var out bytes.Buffer
 	if _, err := r.WriteTo(&out); err != nil {
 		t.Fatal(err)
@@ -148,22 +148,22 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if cfg.Seed != 9 || !cfg.Subscribe || cfg.Number != 2 || cfg.Peers != 5 || !cfg.Parallel || !cfg.Probes ||
-		cfg.Cancel || cfg.MaxAttempts != 4 || cfg.ColdFrom != 0.2 || cfg.Tenants[0].Share != 0.4 {
+	if cfg.Seed != 9 || !cfg.Subscribe || cfg.Number != 2 || cfg.Peers != 5 || !cfg.Hedging || !cfg.HealthChecks ||
+		cfg.Cancel || cfg.MaxAttempts != 4 || cfg.SlowStartCapacity != 0.2 || cfg.Tenants[0].Quota != 0.4 {
 		t.Errorf("%+v", cfg)
 	}
-	if want := (balance.Goal{Whole: 0.4, WorstWindow: 0.3, WorstClass: 0.2, WorstTenant: 0.1}); cfg.Goal != want {
+	if want := (balance.Goal{Overall: 0.4, WorstWindow: 0.3, WorstClass: 0.2, WorstTenant: 0.1}); cfg.Goal != want {
 		t.Errorf("goal %+v", cfg.Goal)
 	}
-	want := balance.Prices{CrossZone: 1, Waste: 2, Handshake: 3, Probe: 4, Peer: 5, LateFail: 6}
+	want := balance.Prices{CrossZone: 1, Waste: 2, Handshake: 3, HealthCheck: 4, Peer: 5, LateFail: 6}
 	if cfg.Prices != want {
 		t.Errorf("prices %+v", cfg.Prices)
 	}
 	second := cfg.Classes[1]
-	if second.Effect != balance.Keyed || second.Group != balance.GroupCell || second.Aim != 600 || second.Worth != 1 {
+	if second.Idempotency != balance.IdempotentWithKey || second.KeyScope != balance.KeyScopeCell || second.LatencyObjective != 600 || second.PriorityWeight != 1 {
 		t.Errorf("a class with keys left out: %+v", second)
 	}
-	if cfg.Reports != balance.ReportProbe || len(cfg.Fields) != 3 || cfg.Fields[1] != balance.FieldUnknown {
+	if cfg.Reports != balance.ReportHealthCheck || len(cfg.Fields) != 3 || cfg.Fields[1] != balance.FieldUnknown {
 		t.Errorf("reports %v %v", cfg.Reports, cfg.Fields)
 	}
 	class := `{"classes": [{"effect": "read_like", "hard_limit_ms": 1}], `
