--- a/internal/knownfailures/judge.go
+++ b/internal/knownfailures/judge.go
@@ -343,11 +343,13 @@
 		case actionFail:
 			said = "failed, as listed"
 		case actionPass:
-			said = "PASSED: if the cause is mended, take its line out"
+			said = "PASSED: if its fault is fixed, remove its entry"
 		case actionSkip:
 			said = "was skipped"
 		}
-		fmt.Fprintf(j.out, "    %s %s (%s: %s)\n", entry.Test, said, entry.Issue, entry.Cause)
+		fmt.Fprintf(j.out, "    %s %s (%s)\n", entry.Test, said, entry.Issue)
+		fmt.Fprintf(j.out, "        command: %s\n", entry.Command)
+		fmt.Fprintf(j.out, "        seen: %s\n", entry.Observed)
 	}
 }
 
