--- a/cmd/cicheck/main.go
+++ b/cmd/cicheck/main.go
@@ -1,6 +1,6 @@
-// Command cicheck runs a test command and passes over the failures of the tests that a list names, and over nothing
-// else; the package knownfailures has the rules. It ends with 0 if nothing else failed, with 1 if something did, and with 2
-// if the list or the command is wrong.
+// Command cicheck runs a test command and passes over exactly the failures of the tests that a list names; the package
+// knownfailures has the rules. It exits with 0 if nothing else failed, with 1 if something did or the command cannot be
+// run, and with 2 if the list cannot be read or no command is given.
 //
 //	cicheck KNOWN-RED.txt go test -race ./...
 package main
@@ -16,10 +16,11 @@
 	"marblelane/internal/knownfailures"
 )
 
-// Exit statuses.
+// The exit statuses of the program.
 const (
+	statusPassed = 0
 	statusFailed = 1
-	statusUsage  = 2
+	statusUsage  = 2 // the list or the arguments are wrong
 )
 
 func main() {
@@ -29,6 +30,7 @@
 	os.Exit(status)
 }
 
+// run carries out the program with its arguments, and returns its exit status.
 func run(ctx context.Context, args []string, out, errOut io.Writer) int {
 	if len(args) < 2 {
 		fmt.Fprintln(errOut, "usage: cicheck LIST go test [flags] packages")
@@ -44,5 +46,5 @@
 		fmt.Fprintln(errOut, err)
 		return statusFailed
 	}
-	return 0
+	return statusPassed
 }
--- a/cmd/cicheck/main_test.go
+++ b/cmd/cicheck/main_test.go
@@ -14,11 +14,14 @@
 		list    string
 		command []string
 		status  int
-		want    string
+		want    string // in the error output
 	}{
 		{"no command", good, nil, statusUsage, "usage: cicheck LIST go test"},
 		{"a malformed line", good + "fleet.TestB\n", []string{"go", "test", "./..."}, statusUsage, "KNOWN-RED.txt:2: 1 fields, want"},
-		{"the form with a cause", "fleet.TestA | cause | issue 1\n", []string{"go", "test", "./..."}, statusUsage, "KNOWN-RED.txt:1: 3 fields, want `import/path.TestName | command and seed | what was seen | issue NUMBER`"},
+		{
+			"the form with a cause", "fleet.TestA | cause | issue 1\n", []string{"go", "test", "./..."}, statusUsage,
+			"KNOWN-RED.txt:1: 3 fields, want `import/path.TestName | command and seed | what was seen | issue NUMBER`",
+		},
 		{"not go test", good, []string{"true", "test", "./..."}, statusFailed, "is not of the form `go test [flags] packages`"},
 		{"no such test", good, []string{"go", "test", "marblelane/cmd/cicheck/absent"}, statusFailed, "failures that"},
 	} {
@@ -39,7 +42,7 @@
 	}
 }
 
-func TestRunNeedsTheList(t *testing.T) {
+func TestRun_missingList(t *testing.T) {
 	var out, errOut strings.Builder
 	path := filepath.Join(t.TempDir(), "absent.txt")
 	if status := run(t.Context(), []string{path, "go", "test", "./..."}, &out, &errOut); status != statusUsage {
@@ -50,17 +53,17 @@
 	}
 }
 
-func TestRunPasses(t *testing.T) {
+func TestRun_allPass(t *testing.T) {
 	list := filepath.Join(t.TempDir(), "KNOWN-RED.txt")
 	if err := os.WriteFile(list, nil, 0o600); err != nil {
 		t.Fatal(err)
 	}
 	var out, errOut strings.Builder
-	const quick = "marblelane/internal/fault"
-	if status := run(t.Context(), []string{list, "go", "test", quick}, &out, &errOut); status != 0 {
+	const quickPackage = "marblelane/internal/fault"
+	if status := run(t.Context(), []string{list, "go", "test", quickPackage}, &out, &errOut); status != statusPassed {
 		t.Errorf("status %d: %s%s", status, &out, &errOut)
 	}
-	if !strings.Contains(out.String(), "ok  \t"+quick+"\t") {
+	if !strings.Contains(out.String(), "ok  \t"+quickPackage+"\t") {
 		t.Errorf("no closing line in %q", &out)
 	}
 }
--- /dev/null
+++ b/internal/knownfailures/evaluator_test.go
@@ -0,0 +1,298 @@
+package knownfailures
+
+import (
+	"strings"
+	"testing"
+
+	"github.com/google/go-cmp/cmp"
+)
+
+const listed = "fleet/lease.TestListed | go test -run TestListed ./... | the lease outlives its holder | issue 22\n"
+
+// evaluate evaluates a run by a list, and returns what is printed and the error of the report.
+func evaluate(t *testing.T, list string, s *eventStream, exitStatus int) (ev *evaluator, printed string, err error) {
+	t.Helper()
+	parsed, err := ParseList("KNOWN-RED.txt", strings.NewReader(list))
+	if err != nil {
+		t.Fatal(err)
+	}
+	var out strings.Builder
+	ev = newEvaluator(parsed, &out)
+	if err := ev.readEvents(strings.NewReader(s.text.String())); err != nil {
+		t.Fatal(err)
+	}
+	ev.checkRun(exitStatus)
+	err = ev.report()
+	return ev, out.String(), err
+}
+
+func TestEvaluator(t *testing.T) {
+	const pkg = "fleet/lease"
+	for _, test := range []struct {
+		name       string
+		list       string
+		events     func(s *eventStream)
+		exitStatus int
+		uncovered  []string // failures; nil: CI passes
+		rerun      []string // packages to run again without their listed tests
+	}{
+		{
+			name:   "all pass and none is listed",
+			events: func(s *eventStream) { s.test(pkg, "TestA", "pass").passed(pkg) },
+		},
+		{
+			name: "a listed test fails",
+			list: listed,
+			events: func(s *eventStream) {
+				s.test(pkg, "TestA", "pass").test(pkg, "TestListed", "fail").failed(pkg)
+				s.test("fleet/quorum", "TestQ", "pass").passed("fleet/quorum")
+			},
+			exitStatus: 1,
+			rerun:      []string{pkg},
+		},
+		{
+			name: "a listed test fails in a subtest",
+			list: listed,
+			events: func(s *eventStream) {
+				s.startTest(pkg, "TestListed").test(pkg, "TestListed/late", "fail").test(pkg, "TestListed/early", "pass")
+				s.endTest(pkg, "TestListed", "fail").failed(pkg)
+			},
+			exitStatus: 1,
+			rerun:      []string{pkg},
+		},
+		{
+			name:   "a listed test passes",
+			list:   listed,
+			events: func(s *eventStream) { s.test(pkg, "TestListed", "pass").passed(pkg) },
+		},
+		{
+			name:      "a listed test is skipped",
+			list:      listed,
+			events:    func(s *eventStream) { s.test(pkg, "TestListed", "skip").passed(pkg) },
+			uncovered: []string{"KNOWN-RED.txt:1: fleet/lease.TestListed was skipped: a listed test has to run"},
+		},
+		{
+			name: "a listed test fails once of two times",
+			list: listed,
+			events: func(s *eventStream) {
+				s.test(pkg, "TestListed", "fail").test(pkg, "TestListed", "pass").failed(pkg)
+			},
+			exitStatus: 1,
+			rerun:      []string{pkg},
+		},
+		{
+			name:       "another test fails and none is listed",
+			events:     func(s *eventStream) { s.test(pkg, "TestA", "fail").failed(pkg) },
+			exitStatus: 1,
+			uncovered:  []string{"fleet/lease.TestA failed and is not listed"},
+		},
+		{
+			name: "another test fails beside a listed one",
+			list: listed,
+			events: func(s *eventStream) {
+				s.test(pkg, "TestListed", "fail").test(pkg, "TestA", "fail").failed(pkg)
+			},
+			exitStatus: 1,
+			uncovered:  []string{"fleet/lease.TestA failed and is not listed"},
+		},
+		{
+			name: "a test with a listed name as prefix fails",
+			list: listed,
+			events: func(s *eventStream) {
+				s.test(pkg, "TestListed", "pass").test(pkg, "TestListedToo", "fail").failed(pkg)
+			},
+			exitStatus: 1,
+			uncovered:  []string{"fleet/lease.TestListedToo failed and is not listed"},
+		},
+		{
+			name: "a test with a listed name fails in another package",
+			list: listed,
+			events: func(s *eventStream) {
+				s.test(pkg, "TestListed", "pass").passed(pkg)
+				s.test("fleet/quorum", "TestListed", "fail").failed("fleet/quorum")
+			},
+			exitStatus: 1,
+			uncovered:  []string{"fleet/quorum.TestListed failed and is not listed"},
+		},
+		{
+			name: "the package of a listed test does not build",
+			list: listed,
+			events: func(s *eventStream) {
+				s.add(event{Action: actionBuildOutput, Output: "lease.go:3: undefined: x\n"})
+				s.output(pkg, "", "FAIL\t"+pkg+" [build failed]\n")
+				s.add(event{Action: actionFail, Package: pkg, FailedBuild: pkg})
+				s.test("fleet/quorum", "TestQ", "pass").passed("fleet/quorum")
+			},
+			exitStatus: 1,
+			uncovered:  []string{"fleet/lease does not build"},
+		},
+		{
+			name:       "a check after the tests fails",
+			events:     func(s *eventStream) { s.test(pkg, "TestA", "pass").aborted(pkg) },
+			exitStatus: 1,
+			uncovered:  []string{"fleet/lease failed outside its tests"},
+		},
+		{
+			name: "a check after the tests fails and a listed test passed",
+			list: listed,
+			events: func(s *eventStream) {
+				s.test(pkg, "TestListed", "pass").output(pkg, "", "PASS\n").aborted(pkg)
+			},
+			exitStatus: 1,
+			uncovered:  []string{"fleet/lease failed outside its tests"},
+		},
+		{
+			name: "a listed test panics",
+			list: listed,
+			events: func(s *eventStream) {
+				s.startTest(pkg, "TestListed").output(pkg, "TestListed", "--- FAIL: TestListed (0.00s)\n")
+				s.output(pkg, "TestListed", "panic: boom [recovered, repanicked]\n")
+				s.add(event{Action: actionFail, Package: pkg, Test: "TestListed"}).aborted(pkg)
+			},
+			exitStatus: 1,
+			uncovered:  []string{"fleet/lease ended before its tests had finished"},
+		},
+		{
+			name: "a goroutine of a listed test panics",
+			list: listed,
+			events: func(s *eventStream) {
+				s.startTest(pkg, "TestListed").output(pkg, "TestListed", "panic: boom\n").aborted(pkg)
+			},
+			exitStatus: 1,
+			uncovered: []string{
+				"fleet/lease.TestListed did not finish",
+				"fleet/lease failed outside its tests",
+				"KNOWN-RED.txt:1: no test fleet/lease.TestListed ran to completion",
+			},
+		},
+		{
+			name: "the process panics after its tests",
+			list: listed,
+			events: func(s *eventStream) {
+				s.test(pkg, "TestListed", "fail").output(pkg, "", "FAIL\n").output(pkg, "", "panic: late\n").aborted(pkg)
+			},
+			exitStatus: 1,
+			uncovered:  []string{"fleet/lease ended before its tests had finished"},
+		},
+		{
+			name: "the time limit ends another test after a listed one failed",
+			list: listed,
+			events: func(s *eventStream) {
+				s.test(pkg, "TestListed", "fail").startTest(pkg, "TestSlow")
+				s.output(pkg, "TestSlow", "panic: test timed out after 10m0s\n").aborted(pkg)
+			},
+			exitStatus: 1,
+			uncovered: []string{
+				"fleet/lease.TestSlow did not finish",
+				"fleet/lease ended before its tests had finished",
+			},
+		},
+		{
+			name: "a listed test reports a race",
+			list: listed,
+			events: func(s *eventStream) {
+				s.startTest(pkg, "TestListed").output(pkg, "TestListed", "WARNING: DATA RACE\n")
+				s.endTest(pkg, "TestListed", "fail").failed(pkg)
+			},
+			exitStatus: 1,
+			uncovered:  []string{"fleet/lease reports a data race"},
+		},
+		{
+			name: "a race is reported outside the tests",
+			list: listed,
+			events: func(s *eventStream) {
+				s.test(pkg, "TestListed", "fail").output(pkg, "", "WARNING: DATA RACE\n").failed(pkg)
+			},
+			exitStatus: 1,
+			uncovered:  []string{"fleet/lease reports a data race"},
+		},
+		{
+			name:      "a listed test does not exist",
+			list:      listed,
+			events:    func(s *eventStream) { s.test(pkg, "TestA", "pass").passed(pkg) },
+			uncovered: []string{"KNOWN-RED.txt:1: no test fleet/lease.TestListed ran to completion"},
+		},
+		{
+			name:      "the package of a listed test does not exist",
+			list:      "# c\n" + listed,
+			events:    func(s *eventStream) { s.test("fleet/quorum", "TestQ", "pass").passed("fleet/quorum") },
+			uncovered: []string{"KNOWN-RED.txt:2: no package fleet/lease was tested"},
+		},
+		{
+			name:       "go test fails with no failed package",
+			events:     func(s *eventStream) { s.test(pkg, "TestA", "pass").passed(pkg) },
+			exitStatus: 1,
+			uncovered:  []string{"go test exited with status 1, and 0 packages failed"},
+		},
+		{
+			name:       "go test is ended by a signal",
+			list:       listed,
+			events:     func(s *eventStream) { s.test(pkg, "TestListed", "fail").failed(pkg) },
+			exitStatus: -1,
+			uncovered:  []string{"go test exited with status -1, and 1 packages failed"},
+		},
+		{
+			name: "the events end early",
+			list: listed,
+			events: func(s *eventStream) {
+				s.test(pkg, "TestListed", "fail").failed(pkg).startTest("fleet/quorum", "TestQ")
+			},
+			exitStatus: 1,
+			uncovered:  []string{"fleet/quorum did not finish"},
+		},
+		{
+			name:      "no test ran",
+			events:    func(s *eventStream) { s.passed(pkg) },
+			uncovered: []string{"no test ran"},
+		},
+		{
+			name: "a line is not an event",
+			events: func(s *eventStream) {
+				s.text.WriteString("fatal error\n{}\n")
+				s.test(pkg, "TestA", "pass").passed(pkg)
+			},
+			uncovered: []string{
+				`go test printed a line that is not an event: "fatal error"`,
+				`go test printed a line that is not an event: "{}"`,
+			},
+		},
+	} {
+		t.Run(test.name, func(t *testing.T) {
+			s := &eventStream{}
+			test.events(s)
+			ev, out, err := evaluate(t, test.list, s, test.exitStatus)
+			if diff := cmp.Diff(test.uncovered, ev.uncovered); diff != "" {
+				t.Error(diff)
+			}
+			if (err != nil) != (test.uncovered != nil) {
+				t.Errorf("the report's error is %v", err)
+			}
+			if diff := cmp.Diff(test.rerun, ev.passedOver()); diff != "" {
+				t.Error(diff)
+			}
+			for _, failure := range test.uncovered {
+				if !strings.Contains(out, "not passed over: "+failure+"\n") {
+					t.Errorf("%q is not printed in:\n%s", failure, out)
+				}
+			}
+		})
+	}
+}
+
+func TestEvaluator_output(t *testing.T) {
+	s := &eventStream{}
+	s.add(event{Action: actionBuildOutput, Output: "relay.go:3: undefined: x\n"})
+	s.test("fleet/lease", "TestA", "pass").startTest("fleet/lease", "TestB").test("fleet/lease", "TestB/sub", "fail")
+	s.endTest("fleet/lease", "TestB", "fail").failed("fleet/lease")
+	s.test("fleet/quorum", "TestQ", "pass").passed("fleet/quorum")
+	s.output("fleet/wire", "", "?   \tfleet/wire\t[no test files]\n").add(event{Action: actionSkip, Package: "fleet/wire"})
+	_, out, _ := evaluate(t, "", s, 1)
+	const want = "relay.go:3: undefined: x\n" +
+		"    printed by TestB/sub\n--- FAIL: TestB/sub (0.00s)\n--- FAIL: TestB (0.00s)\nFAIL\nFAIL\tfleet/lease\t0.1s\n" +
+		"ok  \tfleet/quorum\t0.1s\n" +
+		"?   \tfleet/wire\t[no test files]\n" +
+		"not passed over: fleet/lease.TestB failed and is not listed\nFAIL\n"
+	if diff := cmp.Diff(want, out); diff != "" {
+		t.Error(diff)
+	}
+}
--- a/internal/knownfailures/list_test.go
+++ b/internal/knownfailures/list_test.go
@@ -11,7 +11,7 @@
 
 func TestParseList(t *testing.T) {
 	const text = "# a comment\n\n" +
-		"example.com/fleet/lease.v2.TestExpiry | go test -run=^TestExpiry$ ./... -args -seed=7 | outlived its holder | issue 22\n" +
+		"example.com/fleet/lease.v2.TestExpiry | go test -run=^TestExpiry$ ./... -args -seed=7 | too late | issue 22\n" +
 		"  fleet.TestÜber_2|go test -race fleet, seed 3|a race: seen once|issue 7\t\r\n"
 	list, err := ParseList("KNOWN-RED.txt", strings.NewReader(text))
 	if err != nil {
@@ -21,7 +21,7 @@
 		{
 			Test:     TestID{"example.com/fleet/lease.v2", "TestExpiry"},
 			Command:  "go test -run=^TestExpiry$ ./... -args -seed=7",
-			Observed: "outlived its holder",
+			Observed: "too late",
 			Issue:    "issue 22",
 			Line:     3,
 		},
@@ -84,8 +84,8 @@
 func TestParseList_malformed(t *testing.T) {
 	const form = "want `import/path.TestName | command and seed | what was seen | issue NUMBER`"
 	const good = "fleet.TestA | go test -run TestA ./... | late | issue 1\n"
-	longest := strings.Repeat("ü", maxObservedLength)
-	if _, err := ParseList("red.txt", strings.NewReader("fleet.TestA | go test fleet | "+longest+" | issue 1\n")); err != nil {
+	maxObserved := strings.Repeat("ü", maxObservedLength)
+	if _, err := ParseList("red.txt", strings.NewReader("fleet.TestA | go test fleet | "+maxObserved+" | issue 1\n")); err != nil {
 		t.Errorf("what was seen may have %d characters: %v", maxObservedLength, err)
 	}
 	for _, test := range []struct {
@@ -96,21 +96,39 @@
 		{"too few fields", "# c\nfleet.TestA | go test fleet\n", "red.txt:2: 2 fields, " + form},
 		{"too many fields", "fleet.TestA | go test fleet | late | issue 1 | note\n", "red.txt:1: 5 fields, " + form},
 		{"words alone", "TestA fails now and then\n", "red.txt:1: 1 fields, " + form},
-		{"no package", "TestA | go test fleet | late | issue 1\n", `red.txt:1: "TestA" is not of the form import/path.TestName`},
-		{"a subtest", "fleet.TestA/sub | go test fleet | late | issue 1\n", `red.txt:1: "fleet.TestA/sub" is not of the form`},
+		{
+			"no package", "TestA | go test fleet | late | issue 1\n",
+			`red.txt:1: "TestA" is not of the form import/path.TestName`,
+		},
+		{
+			"a subtest", "fleet.TestA/sub | go test fleet | late | issue 1\n",
+			`red.txt:1: "fleet.TestA/sub" is not of the form`,
+		},
 		{"a pattern", "fleet.Test.* | go test fleet | late | issue 1\n", `red.txt:1: "fleet.Test.*" is not of the form`},
-		{"all packages", "fleet/....TestA x | go test fleet | late | issue 1\n", `red.txt:1: "fleet/....TestA x" is not of the form`},
+		{
+			"all packages", "fleet/....TestA x | go test fleet | late | issue 1\n",
+			`red.txt:1: "fleet/....TestA x" is not of the form`,
+		},
 		{"no test", "fleet.Lease | go test fleet | late | issue 1\n", `red.txt:1: "fleet.Lease" is not of the form`},
 		{"no command", "fleet.TestA |  | late | issue 1\n", "red.txt:1: the command is missing"},
-		{"another command", "fleet.TestA | fleet/run TestA | late | issue 1\n", "red.txt:1: the command \"fleet/run TestA\" does not begin with \"go test \""},
+		{
+			"another command", "fleet.TestA | fleet/run TestA | late | issue 1\n",
+			"red.txt:1: the command \"fleet/run TestA\" does not begin with \"go test \"",
+		},
 		{"another subcommand", "fleet.TestA | go tests TestA | late | issue 1\n", "does not begin with"},
 		{"no word after the command", "fleet.TestA | go test | late | issue 1\n", "does not begin with"},
-		{"a command for all tests", "fleet.TestA | go test ./... | late | issue 1\n", `red.txt:1: the command "go test ./..." names neither TestA nor fleet`},
+		{
+			"a command for all tests", "fleet.TestA | go test ./... | late | issue 1\n",
+			`red.txt:1: the command "go test ./..." names neither TestA nor fleet`,
+		},
 		{"a command for a longer name", "fleet.TestA | go test -run TestAB ./... | late | issue 1\n", "names neither"},
 		{"a command for another package", "fleet/lease.TestA | go test ./release | late | issue 1\n", "names neither"},
 		{"a command for the current folder", "fleet/lease.TestA | go test ./ | late | issue 1\n", "names neither"},
 		{"nothing seen", "fleet.TestA | go test fleet | | issue 1\n", "red.txt:1: what was seen is missing"},
-		{"a long account", "fleet.TestA | go test fleet | " + longest + "x | issue 1\n", "red.txt:1: what was seen has 201 characters, at most 200 are allowed"},
+		{
+			"a long account", "fleet.TestA | go test fleet | " + maxObserved + "x | issue 1\n",
+			"red.txt:1: what was seen has 201 characters, at most 200 are allowed",
+		},
 		{"no issue", "fleet.TestA | go test fleet | late | \n", `red.txt:1: "" is not of the form`},
 		{"an issue with no number", "fleet.TestA | go test fleet | late | later\n", `red.txt:1: "later" is not of the form`},
 		{"the second of two faults", "x\nfleet.TestA | go test fleet | late | 4\n", "\nred.txt:2: "},
@@ -127,15 +145,15 @@
 	}
 }
 
-func TestReadListNeedsTheFile(t *testing.T) {
+func TestReadList_missingFile(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "KNOWN-RED.txt")
 	if _, err := ReadList(path); err == nil || !strings.Contains(err.Error(), path) {
 		t.Errorf("error %v, want one that names %s", err, path)
 	}
 }
 
-// TestListOfTheProject keeps a malformed line from waiting for the whole run.
-func TestListOfTheProject(t *testing.T) {
+// The project's own list is read here, so that a malformed entry is found before the whole run.
+func TestReadList_projectList(t *testing.T) {
 	if _, err := ReadList("../../KNOWN-RED.txt"); err != nil {
 		t.Error(err)
 	}
--- /dev/null
+++ b/internal/knownfailures/report.go
@@ -0,0 +1,46 @@
+package knownfailures
+
+import "fmt"
+
+// report prints the results of the listed tests, the closing line of each package, and the failures that the list does
+// not cover. Its error counts these failures.
+func (ev *evaluator) report() error {
+	if len(ev.list.Entries) > 0 {
+		ev.reportEntries()
+		for _, line := range ev.summary {
+			fmt.Fprint(ev.out, line)
+		}
+	}
+	if len(ev.uncovered) == 0 {
+		return nil
+	}
+	for _, failure := range ev.uncovered {
+		fmt.Fprintln(ev.out, "not passed over:", failure)
+	}
+	fmt.Fprint(ev.out, failLine)
+	return fmt.Errorf("%d failures that %s does not cover", len(ev.uncovered), ev.list.File)
+}
+
+// reportEntries prints each listed test with its result, whether it failed or not.
+func (ev *evaluator) reportEntries() {
+	fmt.Fprintf(ev.out, "tests listed in %s:\n", ev.list.File)
+	for _, entry := range ev.list.Entries {
+		fmt.Fprintf(ev.out, "    %s %s (%s)\n", entry.Test, listedResult(ev.resultOfTest(entry.Test)), entry.Issue)
+		fmt.Fprintf(ev.out, "        command: %s\n", entry.Command)
+		fmt.Fprintf(ev.out, "        seen: %s\n", entry.Observed)
+	}
+}
+
+// listedResult describes the result of a listed test.
+func listedResult(r result) string {
+	switch r {
+	case failed:
+		return "failed, as listed"
+	case passed:
+		return "PASSED: if its fault is fixed, remove its entry"
+	case skipped:
+		return "was skipped"
+	default:
+		return "did not run to completion"
+	}
+}
--- /dev/null
+++ b/internal/knownfailures/report_test.go
@@ -0,0 +1,48 @@
+package knownfailures
+
+import (
+	"strings"
+	"testing"
+
+	"github.com/google/go-cmp/cmp"
+)
+
+func TestReport_listedTests(t *testing.T) {
+	const list = "fleet/lease.TestRed | go test -run TestRed ./... -args -seed 7 | late | issue 1\n" +
+		"fleet/lease.TestGreen | go test fleet/lease | early | issue 2\n"
+	s := &eventStream{}
+	s.test("fleet/lease", "TestRed", "fail").test("fleet/lease", "TestGreen", "pass")
+	s.failed("fleet/lease")
+	s.test("fleet/quorum", "TestQ", "pass").passed("fleet/quorum")
+	_, out, err := evaluate(t, list, s, 1)
+	if err != nil {
+		t.Error(err)
+	}
+	const want = "tests listed in KNOWN-RED.txt:\n" +
+		"    fleet/lease.TestRed failed, as listed (issue 1)\n" +
+		"        command: go test -run TestRed ./... -args -seed 7\n        seen: late\n" +
+		"    fleet/lease.TestGreen PASSED: if its fault is fixed, remove its entry (issue 2)\n" +
+		"        command: go test fleet/lease\n        seen: early\n" +
+		"FAIL\tfleet/lease\t0.1s\nok  \tfleet/quorum\t0.1s\n"
+	if !strings.HasSuffix(out, want) {
+		t.Errorf("the output does not end with\n%s\nbut is\n%s", want, out)
+	}
+}
+
+func TestReport_allPass(t *testing.T) {
+	s := &eventStream{}
+	s.test("fleet/lease", "TestListed", "pass").passed("fleet/lease")
+	_, out, err := evaluate(t, listed, s, 0)
+	if err != nil {
+		t.Error(err)
+	}
+	const want = "ok  \tfleet/lease\t0.1s\n" +
+		"tests listed in KNOWN-RED.txt:\n" +
+		"    fleet/lease.TestListed PASSED: if its fault is fixed, remove its entry (issue 22)\n" +
+		"        command: go test -run TestListed ./...\n" +
+		"        seen: the lease outlives its holder\n" +
+		"ok  \tfleet/lease\t0.1s\n"
+	if diff := cmp.Diff(want, out); diff != "" {
+		t.Error(diff)
+	}
+}
--- a/internal/knownfailures/run_test.go
+++ b/internal/knownfailures/run_test.go
@@ -15,7 +15,7 @@
 import "testing"
 
 func TestListed(t *testing.T) { t.Run("sub", func(t *testing.T) { t.Error("the known fault") }) }
-func TestMended(t *testing.T) {}
+func TestFixed(t *testing.T) {}
 func TestOther(t *testing.T)  {}
 `
 	greenPackage = `package green
@@ -30,7 +30,7 @@
 
 func TestOther(t *testing.T) { t.Error("a new fault") }
 `
-	// As with goleak.VerifyTestMain, the check after the tests is left out once one has failed.
+	// Its check after the tests fails. Like goleak.VerifyTestMain, it is left out once a test has failed.
 	leakyPackage = `package leaky
 
 import (
@@ -75,8 +75,8 @@
 `
 )
 
-// module writes a module named scratch whose packages have one test file each.
-func module(t *testing.T, packages map[string]string) string {
+// writeModule writes a module named scratch whose packages have one test file each, and returns its folder.
+func writeModule(t *testing.T, packages map[string]string) string {
 	t.Helper()
 	dir := t.TempDir()
 	files := map[string]string{"go.mod": "module scratch\n\ngo 1.24\n"}
@@ -95,8 +95,8 @@
 	return dir
 }
 
-// runIn runs a test command in a module.
-func runIn(t *testing.T, dir, list string, command ...string) (string, error) {
+// runCommand runs a test command in the folder of a module, and returns what it prints.
+func runCommand(t *testing.T, dir, list string, command ...string) (string, error) {
 	t.Helper()
 	parsed, err := ParseList("KNOWN-RED.txt", strings.NewReader(list))
 	if err != nil {
@@ -108,7 +108,7 @@
 	return out.String() + errOut.String(), err
 }
 
-func TestRunOfARealModule(t *testing.T) {
+func TestRunner(t *testing.T) {
 	for _, test := range []struct {
 		name     string
 		packages map[string]string
@@ -120,13 +120,15 @@
 		{
 			name:     "listed tests fail and pass",
 			packages: map[string]string{"red": redPackage, "green": greenPackage},
-			list:     "scratch/red.TestListed | go test -run TestListed ./... | known | issue 1\nscratch/red.TestMended | go test -run TestMended ./... | known | issue 2\n",
+			list: "scratch/red.TestListed | go test -run TestListed ./... | known | issue 1\n" +
+				"scratch/red.TestFixed | go test -run TestFixed ./... | known | issue 2\n",
 			want: []string{
 				"red_test.go:5: the known fault\n",
 				"--- FAIL: TestListed",
-				"go test -skip=^(TestListed|TestMended)$ scratch/red\nok  \tscratch/red\t",
-				"scratch/red.TestListed failed, as listed (issue 1)\n        command: go test -run TestListed ./...\n        seen: known\n",
-				"scratch/red.TestMended PASSED: ",
+				"go test -skip=^(TestListed|TestFixed)$ scratch/red\nok  \tscratch/red\t",
+				"scratch/red.TestListed failed, as listed (issue 1)\n" +
+					"        command: go test -run TestListed ./...\n        seen: known\n",
+				"scratch/red.TestFixed PASSED: ",
 				"ok  \tscratch/green\t",
 			},
 		},
@@ -138,14 +140,14 @@
 			failed:   true,
 		},
 		{
-			name:     "a listed test is not there",
+			name:     "a listed test does not exist",
 			packages: map[string]string{"green": greenPackage},
 			list:     "scratch/green.TestGone | go test -run TestGone ./... | known | issue 1\n",
-			want:     []string{"not passed over: KNOWN-RED.txt:1: no test scratch/green.TestGone ran to its end\n"},
+			want:     []string{"not passed over: KNOWN-RED.txt:1: no test scratch/green.TestGone ran to completion\n"},
 			failed:   true,
 		},
 		{
-			name:     "a listed test hides a check after the tests",
+			name:     "a failed listed test hides a check after the tests",
 			packages: map[string]string{"leaky": leakyPackage},
 			list:     "scratch/leaky.TestListed | go test -run TestListed ./... | known | issue 1\n",
 			want:     []string{"not passed over: scratch/leaky without its listed tests: exit status 1\n"},
@@ -155,7 +157,7 @@
 			name:     "a listed test panics",
 			packages: map[string]string{"panicking": panickingPackage},
 			list:     "scratch/panicking.TestListed | go test -run TestListed ./... | known | issue 1\n",
-			want:     []string{"panic: boom", "not passed over: scratch/panicking ended before its tests were through\n"},
+			want:     []string{"panic: boom", "not passed over: scratch/panicking ended before its tests had finished\n"},
 			failed:   true,
 		},
 		{
@@ -175,9 +177,9 @@
 		},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			dir := module(t, test.packages)
+			dir := writeModule(t, test.packages)
 			command := append(append([]string{"go", "test"}, test.flags...), "./...")
-			out, err := runIn(t, dir, test.list, command...)
+			out, err := runCommand(t, dir, test.list, command...)
 			if (err != nil) != test.failed {
 				t.Errorf("the run's error is %v", err)
 			}
@@ -194,7 +196,7 @@
 }
 
 // Of ten listed tests that fail, each is printed and passed over.
-func TestRun_tenListedTests(t *testing.T) {
+func TestRunner_tenListedTests(t *testing.T) {
 	const listedTests = 10
 	var source, list strings.Builder
 	source.WriteString("package red\n\nimport \"testing\"\n\nfunc TestOther(t *testing.T) {}\n")
@@ -202,7 +204,7 @@
 		fmt.Fprintf(&source, "func TestListed%d(t *testing.T) { t.Error(\"fault %d\") }\n", i, i)
 		fmt.Fprintf(&list, "scratch/red.TestListed%d | go test -run TestListed%d ./... | fault %d | issue %d\n", i, i, i, i+1)
 	}
-	out, err := runIn(t, module(t, map[string]string{"red": source.String()}), list.String(), "go", "test", "./...")
+	out, err := runCommand(t, writeModule(t, map[string]string{"red": source.String()}), list.String(), "go", "test", "./...")
 	if err != nil {
 		t.Error(err)
 	}
@@ -218,7 +220,7 @@
 	}
 }
 
-func TestRunTakesGoTestAlone(t *testing.T) {
+func TestRunner_malformedCommand(t *testing.T) {
 	for _, test := range []struct {
 		name    string
 		command []string
@@ -231,7 +233,7 @@
 		{"a flag's value alone", []string{"go", "test", "-run", "TestA", "./..."}, `"TestA" is not a flag`},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			_, err := runIn(t, t.TempDir(), "", test.command...)
+			_, err := runCommand(t, t.TempDir(), "", test.command...)
 			if err == nil || !strings.Contains(err.Error(), test.want) {
 				t.Errorf("error %v, want %q in it", err, test.want)
 			}
