--- a/internal/knownfailures/entry.go
+++ b/internal/knownfailures/entry.go
@@ -119,7 +119,7 @@
 		return true
 	}
 	folder, relative := strings.CutPrefix(word, "./")
-	return relative && folder != "" && strings.HasSuffix(importPath, "/"+folder)
+	return relative && strings.HasSuffix(importPath, "/"+folder)
 }
 
 // checkObserved requires a short account of what was seen.
--- a/internal/knownfailures/evaluator_test.go
+++ b/internal/knownfailures/evaluator_test.go
@@ -95,6 +95,15 @@
 			exitStatus: 1,
 			uncovered:  []string{"fleet/lease.TestA failed and is not listed"},
 		},
+		{
+			name: "another test fails beside two listed ones",
+			list: listed + "fleet/lease.TestListed2 | go test fleet/lease | late | issue 23\n",
+			events: func(s *eventStream) {
+				s.test(pkg, "TestListed", "fail").test(pkg, "TestListed2", "fail").test(pkg, "TestA", "fail").failed(pkg)
+			},
+			exitStatus: 1,
+			uncovered:  []string{"fleet/lease.TestA failed and is not listed"},
+		},
 		{
 			name: "a test with a listed name as prefix fails",
 			list: listed,
--- a/internal/knownfailures/list_test.go
+++ b/internal/knownfailures/list_test.go
@@ -122,7 +122,7 @@
 			`red.txt:1: the command "go test ./..." names neither TestA nor fleet`,
 		},
 		{"a command for a longer name", "fleet.TestA | go test -run TestAB ./... | late | issue 1\n", "names neither"},
-		{"a command for another package", "fleet/lease.TestA | go test ./release | late | issue 1\n", "names neither"},
+		{"a command for another package", "fleet/release.TestA | go test ./lease | late | issue 1\n", "names neither"},
 		{"a command for the current folder", "fleet/lease.TestA | go test ./ | late | issue 1\n", "names neither"},
 		{"nothing seen", "fleet.TestA | go test fleet | | issue 1\n", "red.txt:1: what was seen is missing"},
 		{
