--- a/cmd/sidecar/main_test.go
+++ b/cmd/sidecar/main_test.go
@@ -280,7 +280,7 @@
 		t.Fatal(err)
 	}
 	log := lines(stderr)
-	waitFor(t, log, "trying again", "address already in use")
+	waitFor(t, log, "start: call failed, retrying", "address already in use")
 	return cmd, log
 }
 
--- a/internal/retry/backoff.go
+++ b/internal/retry/backoff.go
@@ -1,4 +1,4 @@
-// Package retry paces the repetition of system calls that fail for a moment, and tells which failures those are.
+// Package retry repeats system calls after transient failures, with a backoff, and classifies the errors of system calls.
 package retry
 
 import (
@@ -6,26 +6,32 @@
 	"time"
 )
 
-// Backoff is the pause before each repetition of a call: Min, doubled after each failure up to Max.
+// The bounds of the default backoff.
+const (
+	defaultMinPause = 5 * time.Millisecond
+	defaultMaxPause = 100 * time.Millisecond
+)
+
+// Backoff is the pause before each retry of a call: Min, doubled after each failure up to Max. It is for one goroutine.
 type Backoff struct {
 	Min, Max time.Duration
-	next     time.Duration
+	next     time.Duration // zero: Min
 }
 
-// NewBackoff gives a backoff of 5 ms that doubles to at most 100 ms.
-func NewBackoff() Backoff { return Backoff{Min: 5 * time.Millisecond, Max: 100 * time.Millisecond} }
+// NewBackoff returns a backoff of 5 ms that doubles to at most 100 ms.
+func NewBackoff() Backoff { return Backoff{Min: defaultMinPause, Max: defaultMaxPause} }
 
-// Next is the pause after one more failure.
+// Next returns the pause after one more failure.
 func (b *Backoff) Next() time.Duration {
 	pause := max(b.next, b.Min)
 	b.next = min(2*pause, b.Max)
 	return pause
 }
 
-// Reset begins anew at Min, as after a success.
+// Reset starts again with Min, as after a success.
 func (b *Backoff) Reset() { b.next = 0 }
 
-// Sleep waits, or returns the context's cause as soon as the context ends.
+// Sleep waits for the given time. If the context ends before, it returns the context's cause at once.
 func Sleep(ctx context.Context, wait time.Duration) error {
 	timer := time.NewTimer(wait)
 	defer timer.Stop()
--- /dev/null
+++ b/internal/retry/errno.go
@@ -0,0 +1,36 @@
+package retry
+
+import (
+	"errors"
+	"slices"
+	"syscall"
+)
+
+// resourceErrnos are of valid calls for which the system or this process is short of resources, and of interrupted ones.
+var resourceErrnos = []syscall.Errno{
+	syscall.EINTR, syscall.EAGAIN, syscall.ENFILE, syscall.EMFILE, syscall.ENOBUFS, syscall.ENOMEM, syscall.ENOSPC,
+}
+
+// startErrnos are of conditions that may end within seconds while a program starts: an address that the previous process
+// still holds, a device or a file system that is slow to answer, an interface that is not up yet.
+var startErrnos = []syscall.Errno{
+	syscall.EADDRINUSE, syscall.EIO, syscall.EBUSY, syscall.ETXTBSY, syscall.ETIMEDOUT, syscall.ESTALE, syscall.ENETDOWN,
+}
+
+// ShortOfResources reports whether a system call failed because the system or this process had no descriptor, buffer,
+// memory or space left for it, or because it was interrupted.
+func ShortOfResources(err error) bool { return hasErrno(err, resourceErrnos) }
+
+// transientAtStart reports whether a failure of socket, bind, listen, open or read may end within StartLimit. Others need
+// an operator, such as EACCES, EPERM, ENOENT, EADDRNOTAVAIL and EAFNOSUPPORT.
+func transientAtStart(err error) bool {
+	return hasErrno(err, resourceErrnos) || hasErrno(err, startErrnos)
+}
+
+func hasErrno(err error, errnos []syscall.Errno) bool {
+	if err == nil {
+		return false
+	}
+	var errno syscall.Errno
+	return errors.As(err, &errno) && slices.Contains(errnos, errno)
+}
--- a/internal/retry/start.go
+++ b/internal/retry/start.go
@@ -5,52 +5,23 @@
 	"errors"
 	"fmt"
 	"log/slog"
-	"slices"
 	"sync"
-	"syscall"
 	"time"
 )
 
-// StartLimit is how long the calls of a program's start are repeated in all, from the first failure on.
+// StartLimit is how long the calls of a program's start are retried in all, from the first failure on.
 const StartLimit = 5 * time.Second
 
-// resourceErrnos are of calls that find nothing wrong with their arguments, but not what they need.
-var resourceErrnos = []syscall.Errno{
-	syscall.EINTR, syscall.EAGAIN, syscall.ENFILE, syscall.EMFILE, syscall.ENOBUFS, syscall.ENOMEM, syscall.ENOSPC,
-}
-
-// startErrnos may be over within seconds as well: an address that the process before still holds, a device or a file
-// system that is slow to answer, an interface that is not up yet.
-var startErrnos = []syscall.Errno{
-	syscall.EADDRINUSE, syscall.EIO, syscall.EBUSY, syscall.ETXTBSY, syscall.ETIMEDOUT, syscall.ESTALE, syscall.ENETDOWN,
-}
-
-// ShortOfResources reports whether a system call failed because the system, or this process, had no descriptor, buffer
-// or memory left for it, or was interrupted.
-func ShortOfResources(err error) bool { return hasErrno(err, resourceErrnos) }
-
-// HealsAtStart reports whether a failure of socket, bind, listen, open or read may be over within StartLimit. All others
-// cannot heal without somebody's help, as EACCES, EPERM, ENOENT, EADDRNOTAVAIL or EAFNOSUPPORT.
-func HealsAtStart(err error) bool { return hasErrno(err, resourceErrnos) || hasErrno(err, startErrnos) }
-
-func hasErrno(err error, errnos []syscall.Errno) bool {
-	if err == nil {
-		return false
-	}
-	var errno syscall.Errno
-	return errors.As(err, &errno) && slices.Contains(errnos, errno)
-}
-
-// Start repeats the calls of one program's start. All of them share StartLimit.
+// Start retries the calls of one start of a program. All of them share StartLimit. It is safe for concurrent use.
 type Start struct {
 	ctx context.Context
 	log *slog.Logger
 
-	mu       sync.Mutex
-	deadline time.Time // zero: nothing has failed yet
+	mu       sync.Mutex // guards deadline
+	deadline time.Time  // zero: no call has failed yet
 }
 
-// NewStart gives a start that ends with its context. No logger is the default one.
+// NewStart returns a start that ends with its context. A nil logger stands for the default one.
 func NewStart(ctx context.Context, log *slog.Logger) *Start {
 	if log == nil {
 		log = slog.Default()
@@ -58,30 +29,31 @@
 	return &Start{ctx: ctx, log: log}
 }
 
-// Do makes a call, and makes it again while it fails in a way that HealsAtStart and StartLimit is not over. The name
-// stands in the log. An error is that of the last call; if the context ended meanwhile its cause is joined to it.
+// Do makes a call, and retries it while its failure is transient and StartLimit has not passed. The first failure is
+// logged with the name of the call. Do returns the error of the last call; if the context ends in a pause, the context's
+// cause is joined to it.
 func (s *Start) Do(name string, call func() error) error {
 	backoff := NewBackoff()
-	for first := true; ; first = false {
+	for attempt := 1; ; attempt++ {
 		err := call()
-		if err == nil || !HealsAtStart(err) {
+		if err == nil || !transientAtStart(err) {
 			return err
 		}
-		left := s.left()
-		if left <= 0 {
-			return fmt.Errorf("%w (it was tried for %v)", err, StartLimit)
+		remaining := s.remaining()
+		if remaining <= 0 {
+			return fmt.Errorf("%w (retried for %v)", err, StartLimit)
 		}
-		if first {
-			s.log.Warn("start: a call fails, trying again", "call", name, "error", err)
+		if attempt == 1 {
+			s.log.Warn("start: call failed, retrying", "call", name, "err", err)
 		}
-		if cause := Sleep(s.ctx, min(backoff.Next(), left)); cause != nil {
+		if cause := Sleep(s.ctx, min(backoff.Next(), remaining)); cause != nil {
 			return errors.Join(cause, err)
 		}
 	}
 }
 
-// left is how long calls may still be repeated.
-func (s *Start) left() time.Duration {
+// remaining is how long calls may still be retried. The first call of it starts the limit.
+func (s *Start) remaining() time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.deadline.IsZero() {
--- a/internal/retry/start_test.go
+++ b/internal/retry/start_test.go
@@ -19,7 +19,7 @@
 	return NewStart(t.Context(), slog.New(slog.DiscardHandler))
 }
 
-func TestStartRepeatsWhatHeals(t *testing.T) {
+func TestStart_transientErrno(t *testing.T) {
 	for _, errno := range []syscall.Errno{
 		unix.EINTR, unix.EAGAIN, unix.ENFILE, unix.EMFILE, unix.ENOBUFS, unix.ENOMEM, unix.ENOSPC, unix.EADDRINUSE, unix.EIO,
 		unix.EBUSY, unix.ETXTBSY, unix.ETIMEDOUT, unix.ESTALE, unix.ENETDOWN,
@@ -41,7 +41,7 @@
 	}
 }
 
-func TestStartEndsAtOnceWithWhatCannotHeal(t *testing.T) {
+func TestStart_permanentError(t *testing.T) {
 	failures := []error{errors.New("malformed")}
 	for _, errno := range []syscall.Errno{
 		unix.EACCES, unix.EPERM, unix.ENOENT, unix.ENOTDIR, unix.EISDIR, unix.ELOOP, unix.ENAMETOOLONG, unix.EADDRNOTAVAIL,
@@ -63,34 +63,34 @@
 	}
 }
 
-// All calls of a start share one limit, which begins with the first failure.
-func TestStartLimitIsForAllCalls(t *testing.T) {
+// All calls of a start share one limit, which starts with the first failure.
+func TestStart_sharedLimit(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		start := newTestStart(t)
 		time.Sleep(time.Minute)
-		began := time.Now()
+		started := time.Now()
 		inUse := os.NewSyscallError("bind", unix.EADDRINUSE)
 		for name, call := range map[string]func() error{
 			"one": func() error { return inUse }, "another": func() error { return inUse },
 		} {
-			if err := start.Do(name, call); !errors.Is(err, unix.EADDRINUSE) || !strings.Contains(err.Error(), "tried for 5s") {
+			if err := start.Do(name, call); !errors.Is(err, unix.EADDRINUSE) || !strings.Contains(err.Error(), "retried for 5s") {
 				t.Errorf("%s: %v", name, err)
 			}
 		}
-		if took := time.Since(began); took != StartLimit {
-			t.Errorf("two calls were repeated for %v", took)
+		if elapsed := time.Since(started); elapsed != StartLimit {
+			t.Errorf("two calls were retried for %v", elapsed)
 		}
 	})
 }
 
-func TestStartEndsWithItsContext(t *testing.T) {
+func TestStart_contextEnd(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithTimeout(t.Context(), time.Second)
 		defer cancel()
-		began := time.Now()
+		started := time.Now()
 		err := NewStart(ctx, slog.New(slog.DiscardHandler)).Do("bind", func() error { return unix.ENFILE })
-		if !errors.Is(err, context.DeadlineExceeded) || !errors.Is(err, unix.ENFILE) || time.Since(began) != time.Second {
-			t.Errorf("%v after %v", err, time.Since(began))
+		if !errors.Is(err, context.DeadlineExceeded) || !errors.Is(err, unix.ENFILE) || time.Since(started) != time.Second {
+			t.Errorf("%v after %v", err, time.Since(started))
 		}
 	})
 }
