--- a/internal/listener/listener.go
+++ b/internal/listener/listener.go
@@ -1,7 +1,7 @@
 // Package listener keeps a listening socket in service while accept fails.
 //
-// net/http ends its server after any error of Accept that is not temporary, as ENOBUFS or EPROTO are not; a failure
-// that a moment later is over would end the process.
+// net/http ends its server after any error of Accept that is not temporary. ENOBUFS and EPROTO are not, so that a
+// transient failure would end the process.
 package listener
 
 import (
@@ -17,23 +17,23 @@
 	"marblelane/internal/retry"
 )
 
-// Listener is a net.Listener whose Accept fails only when nothing can be accepted any more.
+// Listener is a net.Listener whose Accept returns an error only when the socket is closed or lost.
 type Listener struct {
 	net.Listener
-	name string
+	name string // for logs and errors
 	log  *slog.Logger
 
-	closed    chan struct{}
+	closed    chan struct{} // closed by Close
 	closeOnce sync.Once
 
-	failed atomic.Pointer[time.Time] // when an accept failed last; nil: none has
+	lastFailure atomic.Pointer[time.Time] // nil: no accept has failed
 
-	mu       sync.Mutex // of several callers of Accept
-	failures retry.LogLimiter
+	mu         sync.Mutex // guards logLimiter, as Accept may be called concurrently
+	logLimiter retry.LogLimiter
 }
 
-// Wrap makes Accept of a listener go on after failures. The name stands in the log and in errors. No logger is the
-// default one.
+// Wrap returns a listener that goes on accepting after failures. The name stands in logs and errors. A nil logger stands
+// for the default one.
 func Wrap(inner net.Listener, name string, log *slog.Logger) *Listener {
 	if log == nil {
 		log = slog.Default()
@@ -41,9 +41,9 @@
 	return &Listener{Listener: inner, name: name, log: log, closed: make(chan struct{})}
 }
 
-// Accept waits for the next connection. After a failure it tries again, 5 ms later and then at intervals that double
-// to 100 ms; the first failure is logged, and later ones once each retry.LogInterval. After Close it returns
-// net.ErrClosed, at once. EBADF and EINVAL of a listener that nobody closed are returned: its socket is gone.
+// Accept waits for the next connection. After a failure it retries, with the pauses of retry.NewBackoff; the first failure
+// is logged, and later ones once each retry.LogInterval. After Close it returns net.ErrClosed, at once. EBADF and EINVAL
+// without a Close mean that the socket is lost, and are returned.
 func (l *Listener) Accept() (net.Conn, error) {
 	backoff := retry.NewBackoff()
 	for {
@@ -57,23 +57,23 @@
 			return nil, fmt.Errorf("%s at %s: the listening socket is lost: %w", l.name, l.Addr(), err)
 		}
 		now := time.Now()
-		l.failed.Store(&now)
+		l.lastFailure.Store(&now)
 		pause := backoff.Next()
 		l.logFailure(err, pause)
-		if !l.wait(pause) {
+		if !l.sleep(pause) {
 			return nil, net.ErrClosed
 		}
 	}
 }
 
-// FailedWithin reports whether an accept has failed in the given time up to now, so that who is accepted may have waited
-// for it.
+// FailedWithin reports whether an accept has failed within the given time before now. A connection that is accepted then
+// may have waited in the queue.
 func (l *Listener) FailedWithin(window time.Duration) bool {
-	last := l.failed.Load()
+	last := l.lastFailure.Load()
 	return last != nil && time.Since(*last) < window
 }
 
-// closedError is the failure of an accept that Close has ended.
+// closedError returns the error of an accept that Close has ended, as one that is net.ErrClosed.
 func closedError(err error) error {
 	if errors.Is(err, net.ErrClosed) {
 		return err
@@ -83,16 +83,16 @@
 
 func (l *Listener) logFailure(err error, pause time.Duration) {
 	l.mu.Lock()
-	ok, suppressed := l.failures.Allow()
+	ok, suppressed := l.logLimiter.Allow()
 	l.mu.Unlock()
 	if ok {
-		l.log.Warn("accept fails, trying again", "listener", l.name, "addr", l.Addr(), "error", err, "pause", pause,
+		l.log.Warn("listener: accept failed, retrying", "listener", l.name, "addr", l.Addr(), "err", err, "pause", pause,
 			"suppressed", suppressed)
 	}
 }
 
-// wait reports whether the listener is still open after a pause; it returns early at Close.
-func (l *Listener) wait(pause time.Duration) bool {
+// sleep waits for a pause, and reports whether the listener is still open. It returns early at Close.
+func (l *Listener) sleep(pause time.Duration) bool {
 	timer := time.NewTimer(pause)
 	defer timer.Stop()
 	select {
@@ -112,7 +112,7 @@
 	}
 }
 
-// Close closes the socket and ends Accept, also in a pause.
+// Close closes the socket and ends Accept, even in a pause.
 func (l *Listener) Close() error {
 	l.closeOnce.Do(func() { close(l.closed) })
 	return l.Listener.Close()
--- a/internal/listener/listener_test.go
+++ b/internal/listener/listener_test.go
@@ -17,28 +17,28 @@
 	"golang.org/x/sys/unix"
 )
 
-// failing is a listener whose accepts fail as planned, and then wait for its end.
-type failing struct {
-	mu     sync.Mutex
-	errnos []syscall.Errno // of the next accepts; 0: a connection comes
-	tried  int
-	once   sync.Once
-	end    chan struct{}
+// failingListener is a listener whose accepts fail with given errnos, and then block until it is closed.
+type failingListener struct {
+	mu        sync.Mutex      // guards accepts
+	errnos    []syscall.Errno // of the accepts in turn; 0 accepts a connection
+	accepts   int             // those that have returned one of errnos
+	closeOnce sync.Once
+	closed    chan struct{}
 }
 
-func newFailing(errnos ...syscall.Errno) *failing {
-	return &failing{errnos: errnos, end: make(chan struct{})}
+func newFailingListener(errnos ...syscall.Errno) *failingListener {
+	return &failingListener{errnos: errnos, closed: make(chan struct{})}
 }
 
-func (f *failing) Accept() (net.Conn, error) {
+func (f *failingListener) Accept() (net.Conn, error) {
 	f.mu.Lock()
-	if f.tried == len(f.errnos) {
+	if f.accepts == len(f.errnos) {
 		f.mu.Unlock()
-		<-f.end
+		<-f.closed
 		return nil, &net.OpError{Op: "accept", Net: "tcp", Err: net.ErrClosed}
 	}
-	errno := f.errnos[f.tried]
-	f.tried++
+	errno := f.errnos[f.accepts]
+	f.accepts++
 	f.mu.Unlock()
 	if errno != 0 {
 		return nil, &net.OpError{Op: "accept", Net: "tcp", Err: os.NewSyscallError("accept4", errno)}
@@ -48,46 +48,46 @@
 	return conn, nil
 }
 
-func (f *failing) Close() error {
-	f.once.Do(func() { close(f.end) })
+func (f *failingListener) Close() error {
+	f.closeOnce.Do(func() { close(f.closed) })
 	return nil
 }
 
-func (f *failing) Addr() net.Addr { return &net.TCPAddr{IP: net.IPv4(127, 0, 0, 1), Port: 1} }
+func (f *failingListener) Addr() net.Addr { return &net.TCPAddr{IP: net.IPv4(127, 0, 0, 1), Port: 1} }
 
-// momentary are the errors that accept(2) lists for Linux, but for those that say that the socket is lost.
-var momentary = []syscall.Errno{
+// transientErrnos are the errors that accept(2) lists for Linux, without those of a lost socket.
+var transientErrnos = []syscall.Errno{
 	unix.EAGAIN, unix.ECONNABORTED, unix.EFAULT, unix.EINTR, unix.EMFILE, unix.ENFILE, unix.ENOBUFS, unix.ENOMEM,
 	unix.ENOTSOCK, unix.EOPNOTSUPP, unix.EPERM, unix.EPROTO, unix.ENETDOWN, unix.ENOPROTOOPT, unix.EHOSTDOWN, unix.ENONET,
 	unix.EHOSTUNREACH, unix.ENETUNREACH, unix.ENOSR, unix.ESOCKTNOSUPPORT, unix.EPROTONOSUPPORT, unix.ETIMEDOUT, unix.ENOSYS,
 }
 
-func TestAcceptGoesOnAfterFailures(t *testing.T) {
-	for _, errno := range momentary {
+func TestAccept_transientErrno(t *testing.T) {
+	for _, errno := range transientErrnos {
 		t.Run(unix.ErrnoName(errno), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				l := Wrap(newFailing(errno, errno, 0), "clients", slog.New(slog.DiscardHandler))
-				began := time.Now()
+				l := Wrap(newFailingListener(errno, errno, 0), "clients", slog.New(slog.DiscardHandler))
+				started := time.Now()
 				conn, err := l.Accept()
 				if err != nil {
 					t.Fatal(err)
 				}
 				conn.Close()
-				if took := time.Since(began); took != 15*time.Millisecond {
-					t.Errorf("two failures took %v, want pauses of 5 and 10 ms", took)
+				if elapsed := time.Since(started); elapsed != 15*time.Millisecond {
+					t.Errorf("two failures took %v, want pauses of 5 and 10 ms", elapsed)
 				}
 			})
 		})
 	}
 }
 
-// An HTTP server over the listener serves on after each of the errors.
-func TestServerGoesOnAfterFailures(t *testing.T) {
+// An HTTP server goes on serving after transient errors of accept.
+func TestAccept_httpServer(t *testing.T) {
 	inner, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	l := Wrap(&failsFirst{Listener: inner, errnos: momentary[:10]}, "clients", slog.New(slog.DiscardHandler))
+	l := Wrap(&failsFirst{Listener: inner, errnos: transientErrnos[:10]}, "clients", slog.New(slog.DiscardHandler))
 	srv := &http.Server{Handler: http.NotFoundHandler()}
 	ended := make(chan error, 1)
 	go func() { ended <- srv.Serve(l) }()
@@ -104,10 +104,10 @@
 	}
 }
 
-// failsFirst fails as planned before it accepts.
+// failsFirst fails with each of its errnos before it accepts.
 type failsFirst struct {
 	net.Listener
-	errnos []syscall.Errno
+	errnos []syscall.Errno // of the next accepts
 }
 
 func (f *failsFirst) Accept() (net.Conn, error) {
@@ -119,10 +119,10 @@
 	return nil, &net.OpError{Op: "accept", Net: "tcp", Err: os.NewSyscallError("accept4", errno)}
 }
 
-func TestLostSocketEndsAccept(t *testing.T) {
+func TestAccept_lostSocket(t *testing.T) {
 	for _, errno := range []syscall.Errno{unix.EBADF, unix.EINVAL} {
 		t.Run(unix.ErrnoName(errno), func(t *testing.T) {
-			_, err := Wrap(newFailing(errno), "management", slog.New(slog.DiscardHandler)).Accept()
+			_, err := Wrap(newFailingListener(errno), "management", slog.New(slog.DiscardHandler)).Accept()
 			if !errors.Is(err, errno) || errors.Is(err, net.ErrClosed) ||
 				!strings.Contains(err.Error(), "management at 127.0.0.1:1") {
 				t.Errorf("%v, want an error that names the listener", err)
@@ -131,11 +131,11 @@
 	}
 }
 
-// Whatever an accept says that was under way at Close, it was Close that ended it.
-func TestAcceptAfterClose(t *testing.T) {
+// After Close any error of accept is net.ErrClosed.
+func TestAccept_afterClose(t *testing.T) {
 	for _, errno := range []syscall.Errno{unix.EBADF, unix.EINVAL, unix.ENOBUFS} {
 		t.Run(unix.ErrnoName(errno), func(t *testing.T) {
-			l := Wrap(newFailing(errno), "clients", slog.New(slog.DiscardHandler))
+			l := Wrap(newFailingListener(errno), "clients", slog.New(slog.DiscardHandler))
 			if err := l.Close(); err != nil {
 				t.Fatal(err)
 			}
@@ -146,11 +146,11 @@
 	}
 }
 
-func TestCloseEndsPause(t *testing.T) {
+func TestClose_duringPause(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		inner := newFailing(unix.ENFILE, unix.ENFILE, unix.ENFILE, unix.ENFILE, unix.ENFILE, unix.ENFILE, unix.ENFILE)
+		inner := newFailingListener(unix.ENFILE, unix.ENFILE, unix.ENFILE, unix.ENFILE, unix.ENFILE, unix.ENFILE, unix.ENFILE)
 		l := Wrap(inner, "clients", slog.New(slog.DiscardHandler))
-		began := time.Now()
+		started := time.Now()
 		ended := make(chan error, 1)
 		go func() {
 			_, err := l.Accept()
@@ -158,14 +158,14 @@
 		}()
 		synctest.Wait() // in its first pause
 		l.Close()
-		if err := <-ended; !errors.Is(err, net.ErrClosed) || time.Since(began) != 0 || inner.tried != 1 {
-			t.Errorf("%v after %v and %d accepts, want net.ErrClosed at once", err, time.Since(began), inner.tried)
+		if err := <-ended; !errors.Is(err, net.ErrClosed) || time.Since(started) != 0 || inner.accepts != 1 {
+			t.Errorf("%v after %v and %d accepts, want net.ErrClosed at once", err, time.Since(started), inner.accepts)
 		}
 	})
 }
 
-// Pauses double from 5 to 100 ms, a success resets them, and the log has a line each 5 s.
-func TestPausesAndLogAreBounded(t *testing.T) {
+// Pauses double from 5 to 100 ms, a success resets them, and the log has one line each 5 s.
+func TestAccept_pausesAndLog(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var errnos []syscall.Errno
 		for range 120 {
@@ -173,20 +173,20 @@
 		}
 		errnos = append(errnos, 0, unix.ENOMEM, 0)
 		var text bytes.Buffer
-		l := Wrap(newFailing(errnos...), "clients", slog.New(slog.NewTextHandler(&text, nil)))
+		l := Wrap(newFailingListener(errnos...), "clients", slog.New(slog.NewTextHandler(&text, nil)))
 		for _, want := range []time.Duration{
 			5*time.Millisecond + 10*time.Millisecond + 20*time.Millisecond + 40*time.Millisecond + 80*time.Millisecond +
 				115*100*time.Millisecond,
 			5 * time.Millisecond,
 		} {
-			began := time.Now()
+			started := time.Now()
 			conn, err := l.Accept()
 			if err != nil {
 				t.Fatal(err)
 			}
 			conn.Close()
-			if took := time.Since(began); took != want {
-				t.Errorf("accepted after %v, want %v", took, want)
+			if elapsed := time.Since(started); elapsed != want {
+				t.Errorf("accepted after %v, want %v", elapsed, want)
 			}
 		}
 		if lines := strings.Count(text.String(), "\n"); lines != 3 {
