--- a/internal/listener/listener.go
+++ b/internal/listener/listener.go
@@ -41,9 +41,9 @@
 	return &Listener{Listener: inner, name: name, log: log, closed: make(chan struct{})}
 }
 
-// Accept waits for the next connection. After a failure it retries, with the pauses of retry.NewBackoff; the first failure
-// is logged, and later ones once each retry.LogInterval. After Close it returns net.ErrClosed, at once. EBADF and EINVAL
-// without a Close mean that the socket is lost, and are returned.
+// Accept waits for the next connection. After a failure it retries, with the pauses of retry.NewBackoff; the first
+// failure is logged, and later ones once each retry.LogInterval. After Close it returns net.ErrClosed, at once. EBADF and
+// EINVAL without a Close mean that the socket is lost, and are returned.
 func (l *Listener) Accept() (net.Conn, error) {
 	backoff := retry.NewBackoff()
 	for {
--- a/internal/streamlimit/streamlimit.go
+++ b/internal/streamlimit/streamlimit.go
@@ -1,5 +1,5 @@
-// Package streamlimit bounds HTTP responses that have no end, such as watches: how many are open at once, and how long
-// a client may take to read one write. The management address of a sidecar and the list service use it.
+// Package streamlimit bounds streaming HTTP responses, such as watches: how many are open at once, and how long a client
+// may take to read one write. The management address of a sidecar and the list service use it.
 package streamlimit
 
 import (
@@ -11,12 +11,12 @@
 // Limiter bounds the streaming responses of one kind. The zero value admits none. It is safe for concurrent use.
 type Limiter struct {
 	MaxOpen      int64         // responses at once
-	WriteTimeout time.Duration // for one write; it takes the place of the HTTP server's own limit
-	open         atomic.Int64
+	WriteTimeout time.Duration // for one write; it replaces the WriteTimeout of the HTTP server
+	open         atomic.Int64  // responses, including one that is about to be rejected
 }
 
-// Serve runs the handler for a streaming response. It answers 503 when MaxOpen responses are open, and 405 to methods
-// other than GET: nothing is written to HEAD, so a client that has gone would never be noticed.
+// Serve runs the handler for a streaming response. It answers 503 if MaxOpen responses are open, and 405 to methods other
+// than GET. A response to HEAD has no body, so the disconnect of its client would not be noticed by a write.
 func (l *Limiter) Serve(w http.ResponseWriter, r *http.Request, handler http.Handler) {
 	if r.Method != http.MethodGet {
 		w.Header().Set("Allow", http.MethodGet)
@@ -43,7 +43,7 @@
 	timeout time.Duration
 }
 
-// Write sets the deadline for what is written, and for the flush after it.
+// Write sets the deadline, which also covers the flush that follows, and writes.
 func (s *streamWriter) Write(p []byte) (int, error) {
 	if err := s.control.SetWriteDeadline(time.Now().Add(s.timeout)); err != nil {
 		return 0, err
--- a/internal/streamlimit/streamlimit_test.go
+++ b/internal/streamlimit/streamlimit_test.go
@@ -9,23 +9,30 @@
 	"github.com/stretchr/testify/require"
 )
 
-// A caller that takes nothing has its place for so long, then another has it.
-func TestWhoTakesNothingMakesRoom(t *testing.T) {
-	a := Limiter{MaxOpen: 1, WriteTimeout: 50 * time.Millisecond}
+// streamUntilError writes and flushes until one of them fails.
+func streamUntilError(w http.ResponseWriter) error {
+	chunk := make([]byte, 1<<20)
+	control := http.NewResponseController(w)
+	for {
+		if _, err := w.Write(chunk); err != nil {
+			return err
+		}
+		if err := control.Flush(); err != nil {
+			return err
+		}
+	}
+}
+
+// The response to a client that reads nothing ends after WriteTimeout, and another client is admitted.
+func TestLimiter_writeTimeout(t *testing.T) {
+	limiter := Limiter{MaxOpen: 1, WriteTimeout: 50 * time.Millisecond}
 	ended := make(chan error, 2)
-	text := make([]byte, 1<<20)
 	srv := httptest.NewUnstartedServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		a.Serve(w, r, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-			var err error
-			for flush := http.NewResponseController(w); err == nil; err = flush.Flush() {
-				if _, err = w.Write(text); err != nil {
-					break
-				}
-			}
-			ended <- err
+		limiter.Serve(w, r, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+			ended <- streamUntilError(w)
 		}))
 	}))
-	srv.Config.WriteTimeout = time.Hour // of the deadlines only that of the write is met
+	srv.Config.WriteTimeout = time.Hour // so that only the deadline of the limiter can pass
 	srv.Start()
 	defer srv.Close()
 	resp, err := http.Get(srv.URL)
@@ -35,7 +42,7 @@
 	case err := <-ended:
 		require.Error(t, err)
 	case <-time.After(20 * time.Second):
-		t.Fatal("it is written to still")
+		t.Fatal("the response goes on")
 	}
 	require.Eventually(t, func() bool {
 		next, err := http.Get(srv.URL)
@@ -50,11 +57,11 @@
 	require.Equal(t, http.StatusMethodNotAllowed, head.StatusCode)
 }
 
-func TestBounded(t *testing.T) {
-	a := Limiter{MaxOpen: 2, WriteTimeout: time.Second}
-	there, end := make(chan bool), make(chan bool)
+func TestLimiter_maxOpen(t *testing.T) {
+	limiter := Limiter{MaxOpen: 2, WriteTimeout: time.Second}
+	open, end := make(chan bool), make(chan bool)
 	srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		a.Serve(w, r, http.HandlerFunc(func(http.ResponseWriter, *http.Request) { there <- true; <-end }))
+		limiter.Serve(w, r, http.HandlerFunc(func(http.ResponseWriter, *http.Request) { open <- true; <-end }))
 	}))
 	defer srv.Close()
 	get := func() (status int) {
@@ -68,11 +75,11 @@
 	status := make(chan int)
 	for range 2 {
 		go func() { status <- get() }()
-		<-there
+		<-open
 	}
 	require.Equal(t, http.StatusServiceUnavailable, get())
 	close(end)
 	require.Equal(t, http.StatusOK, <-status)
 	require.Equal(t, http.StatusOK, <-status)
-	require.Zero(t, a.open.Load())
+	require.Zero(t, limiter.open.Load())
 }
--- a/internal/wallclock/wallclock_test.go
+++ b/internal/wallclock/wallclock_test.go
@@ -1,5 +1,5 @@
-// Package wallclock holds no code: its test lists every place at which the programs read the wall clock, or take a time
-// that has no monotonic part, and why a step of the clock does no harm there.
+// Package wallclock holds no code. Its test lists every expression by which the programs read the wall clock, or get a
+// time without a monotonic part, and why a step of the clock does no harm there.
 package wallclock
 
 import (
@@ -10,39 +10,41 @@
 	"go/printer"
 	"go/token"
 	"io/fs"
+	"maps"
 	"path/filepath"
 	"slices"
 	"strings"
 	"testing"
 )
 
-// root is the module's folder.
+// root is the folder of the module.
 const root = "../.."
 
-// folders hold what the programs are made of; the lab is none of them, and is skipped.
+// folders hold the source of the programs. The lab, which is none of them, is in skippedFolder.
 var folders = []string{"balance", "cmd", "internal"}
 
-const skipped = "internal/lab"
+const skippedFolder = "internal/lab"
 
-// methods read the wall clock's part of a time, or take the monotonic part away. Some are of other types, too.
+// methods read the wall clock part of a time.Time, or remove its monotonic part. They are matched by name alone, so that
+// methods of other types are found as well.
 var methods = []string{"Unix", "UnixMilli", "UnixMicro", "UnixNano", "Round", "Truncate", "Format", "AppendFormat",
 	"Date", "AddDate", "UTC", "Local", "In", "ModTime", "Now", "Gettimeofday", "ClockGettime"}
 
-// functions of package time give a time without a monotonic part. time.Now does not: what is done with the wall clock's
-// part of it is one of the methods.
-var functions = []string{"Unix", "UnixMilli", "UnixMicro", "Date", "Parse", "ParseInLocation"}
+// timeFunctions are those of package time that return a time without a monotonic part. time.Now returns one with it; a use
+// of its wall clock part is found by one of the methods.
+var timeFunctions = []string{"Unix", "UnixMilli", "UnixMicro", "Date", "Parse", "ParseInLocation"}
 
-// read is a place at which the wall clock is read.
-type read struct{ file, expression string }
+// clockRead is an expression of a file that reads the wall clock.
+type clockRead struct{ file, expression string }
 
-// listed is how often a read is there, and why a step of the clock does no harm.
-type listed struct {
-	times int
-	sound string
+// justification is how often an expression stands in a file, and why a step of the clock does no harm there.
+type justification struct {
+	count  int
+	reason string
 }
 
-// reads are all of them, by file and expression.
-var reads = map[string]map[string]listed{
+// justifiedReads are all reads of the wall clock, by file and expression.
+var justifiedReads = map[string]map[string]justification{
 	"cmd/marblelane/members.go": {
 		"again.Round":                     {1, "a duration"},
 		"d.Round":                         {1, "a duration"},
@@ -147,98 +149,103 @@
 	},
 }
 
-func TestEachReadOfTheWallClockIsListed(t *testing.T) {
-	found := map[read]int{}
+func TestWallClockReads(t *testing.T) {
+	found := map[clockRead]int{}
 	for _, folder := range folders {
-		err := filepath.WalkDir(filepath.Join(root, folder), func(path string, entry fs.DirEntry, err error) error {
-			if err != nil {
-				return err
-			}
-			name := filepath.ToSlash(strings.TrimPrefix(path, root+string(filepath.Separator)))
-			switch {
-			case entry.IsDir() && (name == skipped || entry.Name() == "testdata"):
-				return filepath.SkipDir
-			case entry.IsDir() || !strings.HasSuffix(name, ".go") || strings.HasSuffix(name, "_test.go"):
-				return nil
-			}
-			all, err := readsOf(path)
-			for _, expression := range all {
-				found[read{name, expression}]++
-			}
-			return err
-		})
-		if err != nil {
+		if err := countReads(filepath.Join(root, folder), found); err != nil {
 			t.Fatal(err)
 		}
 	}
-	for _, r := range sorted(found) {
-		switch listed := reads[r.file][r.expression]; {
-		case listed.times == 0:
-			t.Errorf("%s: %s reads the wall clock, and is not listed with why a step does no harm", r.file, r.expression)
-		case listed.times != found[r]:
-			t.Errorf("%s: %s is there %d times, listed %d times", r.file, r.expression, found[r], listed.times)
+	for _, read := range sortedReads(found) {
+		switch listed := justifiedReads[read.file][read.expression]; {
+		case listed.count == 0:
+			t.Errorf("%s: %s reads the wall clock, and is not listed with the reason why a step does no harm",
+				read.file, read.expression)
+		case listed.count != found[read]:
+			t.Errorf("%s: %s is found %d times, listed %d times", read.file, read.expression, found[read], listed.count)
 		}
 	}
-	for file, expressions := range reads {
+	for file, expressions := range justifiedReads {
 		for expression, listed := range expressions {
-			if found[read{file, expression}] == 0 {
-				t.Errorf("%s: %s is listed, and not there any more", file, expression)
+			if found[clockRead{file, expression}] == 0 {
+				t.Errorf("%s: %s is listed, and not found any more", file, expression)
 			}
-			if listed.sound == "" {
+			if listed.reason == "" {
 				t.Errorf("%s: %s is listed without a reason", file, expression)
 			}
 		}
 	}
 }
 
-func sorted(found map[read]int) []read {
-	var all []read
-	for r := range found {
-		all = append(all, r)
-	}
-	slices.SortFunc(all, func(a, b read) int {
+// countReads adds the reads of the wall clock in a folder and those below it, tests excepted.
+func countReads(folder string, found map[clockRead]int) error {
+	return filepath.WalkDir(folder, func(path string, entry fs.DirEntry, err error) error {
+		if err != nil {
+			return err
+		}
+		name := filepath.ToSlash(strings.TrimPrefix(path, root+string(filepath.Separator)))
+		if entry.IsDir() {
+			if name == skippedFolder || entry.Name() == "testdata" {
+				return filepath.SkipDir
+			}
+			return nil
+		}
+		if !strings.HasSuffix(name, ".go") || strings.HasSuffix(name, "_test.go") {
+			return nil
+		}
+		expressions, err := fileReads(path)
+		for _, expression := range expressions {
+			found[clockRead{name, expression}]++
+		}
+		return err
+	})
+}
+
+// sortedReads has the reads that were found, by file and expression.
+func sortedReads(found map[clockRead]int) []clockRead {
+	return slices.SortedFunc(maps.Keys(found), func(a, b clockRead) int {
 		return cmp.Or(cmp.Compare(a.file, b.file), cmp.Compare(a.expression, b.expression))
 	})
-	return all
 }
 
-// readsOf gives the expressions of a file that read the wall clock, and the fields that carry a time into or out of the
-// process.
-func readsOf(path string) ([]string, error) {
-	files := token.NewFileSet()
-	file, err := parser.ParseFile(files, path, nil, parser.SkipObjectResolution)
+// fileReads returns the expressions of a file that read the wall clock, and its tagged fields of type time.Time, which
+// carry a time into or out of the process.
+func fileReads(path string) ([]string, error) {
+	fileSet := token.NewFileSet()
+	file, err := parser.ParseFile(fileSet, path, nil, parser.SkipObjectResolution)
 	if err != nil {
 		return nil, err
 	}
-	var all []string
-	ast.Inspect(file, func(n ast.Node) bool {
-		switch n := n.(type) {
+	var expressions []string
+	ast.Inspect(file, func(node ast.Node) bool {
+		switch node := node.(type) {
 		case *ast.SelectorExpr:
-			if reading(n) {
-				all = append(all, text(files, n))
+			if readsWallClock(node) {
+				expressions = append(expressions, sourceText(fileSet, node))
 			}
 		case *ast.Field:
-			if n.Tag != nil && text(files, n.Type) == "time.Time" {
-				all = append(all, fmt.Sprint("field ", n.Names[0].Name))
+			if node.Tag != nil && sourceText(fileSet, node.Type) == "time.Time" {
+				expressions = append(expressions, fmt.Sprint("field ", node.Names[0].Name))
 			}
 		}
 		return true
 	})
-	return all, nil
+	return expressions, nil
 }
 
-// reading reports whether a selector names one of the functions or methods.
-func reading(s *ast.SelectorExpr) bool {
-	if of, ok := s.X.(*ast.Ident); ok && of.Name == "time" {
-		return slices.Contains(functions, s.Sel.Name)
+// readsWallClock reports whether a selector names one of timeFunctions or methods.
+func readsWallClock(selector *ast.SelectorExpr) bool {
+	if operand, ok := selector.X.(*ast.Ident); ok && operand.Name == "time" {
+		return slices.Contains(timeFunctions, selector.Sel.Name)
 	}
-	return slices.Contains(methods, s.Sel.Name)
+	return slices.Contains(methods, selector.Sel.Name)
 }
 
-func text(files *token.FileSet, n ast.Node) string {
-	var out strings.Builder
-	if err := printer.Fprint(&out, files, n); err != nil {
+// sourceText is a node as it stands in the source.
+func sourceText(fileSet *token.FileSet, node ast.Node) string {
+	var text strings.Builder
+	if err := printer.Fprint(&text, fileSet, node); err != nil {
 		return err.Error()
 	}
-	return out.String()
+	return text.String()
 }
