--- a/internal/fault/fault.go
+++ b/internal/fault/fault.go
@@ -1,12 +1,11 @@
-// Package fault plants in a copy what the lab cannot do to it from outside: a wall clock that is stepped, a disk that
-// is slow, a sync that fails while the write was kept or lost, a system call that fails.
+// Package fault injects faults into a process that the lab cannot cause from outside: a wall clock that is stepped, a
+// disk that is slow, a sync that fails, a system call that fails.
 //
-// A copy is given the file of its faults by a configuration key that is the lab's alone; without it there is no Plan,
-// and a nil Plan plants nothing and costs one comparison. The file may be replaced at any time; what it says holds from
-// the next look.
+// A configuration key that only the lab sets names a file of faults. Without it there is no Plan, and a nil Plan injects
+// nothing. The file may be replaced at any time; its content applies from the next call of the Plan on.
 //
-// The way not taken: the machine's own clock and disk. A step of the clock would reach every process of the machine, and
-// a slow or failing device needs rights that a user of the lab does not have.
+// The machine's own clock and disk cannot serve: a step of the clock would reach every process of the machine, and a slow
+// or failing device needs rights that a user of the lab does not have.
 package fault
 
 import (
@@ -15,47 +14,57 @@
 	"os"
 	"path/filepath"
 	"sync"
-	"syscall"
 	"time"
 
 	"github.com/pelletier/go-toml/v2"
-	"golang.org/x/sys/unix"
 
 	"marblelane/internal/tomlfile"
 )
 
-// The ways a sync can go wrong.
+// SyncFault is how the sync of a write goes wrong. The empty string is no fault.
+type SyncFault string
+
+// The faults of a sync, as the file of faults writes them.
 const (
-	SyncKept    = "kept"    // it fails, though what was written is on the disk
-	SyncLost    = "lost"    // it fails, and nothing of it is on the disk
-	SyncUnheard = "unheard" // planted: lost, and the copy goes on as if nothing were the matter
+	SyncErrorPersisted SyncFault = "kept"    // it fails, although the write is on the disk
+	SyncErrorLost      SyncFault = "lost"    // it fails, and the write is not on the disk
+	SyncSilentLoss     SyncFault = "unheard" // as SyncErrorLost, but the process is to go on as if it had succeeded
 )
 
-// ErrSync is the failure that is planted.
-var ErrSync = errors.New("planted: the disk does not sync")
-
-// Set is what a file of faults says. Times are Go's, with their units.
-type Set struct {
-	Clock tomlfile.Duration `toml:"clock"` // by which the wall clock is off, either way
-	Disk  tomlfile.Duration `toml:"disk"`  // by which each write is later
-	Sync  string            `toml:"sync"`  // SyncKept, SyncLost, SyncUnheard; empty: it does not fail
-	// Calls are the system calls that fail, each with the name of its errno: accept = "ENOBUFS".
-	Calls map[string]string `toml:"calls"`
+// known reports whether a file of faults may have this value.
+func (f SyncFault) known() bool {
+	switch f {
+	case "", SyncErrorPersisted, SyncErrorLost, SyncSilentLoss:
+		return true
+	}
+	return false
 }
 
-// The system calls that a copy asks for by name. Not each program asks for all of them.
+// ErrSync is the error of a sync that fails by plan.
+var ErrSync = errors.New("planted: the disk does not sync")
+
+// The system calls that a process asks a Plan for. Not every program asks for all of them.
 const (
 	CallAccept = "accept"
 	CallOpen   = "open"
-	CallWrite  = "write" // by Plan.Disk: the write fails, and nothing of it is on the disk
+	CallWrite  = "write" // by Plan.DiskWrite: the write fails, and nothing of it is on the disk
 )
 
-// NewSet makes what a file says.
-func NewSet(clock, disk time.Duration, sync string) Set {
+// Set is the content of a file of faults. Durations have a unit.
+type Set struct {
+	Clock tomlfile.Duration `toml:"clock"` // added to the wall clock; may be negative
+	Disk  tomlfile.Duration `toml:"disk"`  // delays each write
+	Sync  SyncFault         `toml:"sync"`
+	// Calls are the system calls that fail, each with the name of its errno: accept = "ENOBUFS".
+	Calls map[string]string `toml:"calls"`
+}
+
+// NewSet returns a set with faults of the clock and the disk.
+func NewSet(clock, disk time.Duration, sync SyncFault) Set {
 	return Set{Clock: tomlfile.Duration(clock), Disk: tomlfile.Duration(disk), Sync: sync}
 }
 
-// Write puts the set in a file's place, whole.
+// Write replaces the file of faults at a path atomically.
 func (s Set) Write(path string) error {
 	text, err := toml.Marshal(s)
 	if err != nil {
@@ -71,28 +80,52 @@
 	return nil
 }
 
-// Plan is a file of faults as a copy sees it.
+// readSet reads and checks a file of faults.
+func readSet(path string) (Set, error) {
+	text, err := os.ReadFile(path)
+	if err != nil {
+		return Set{}, fmt.Errorf("faults: %w", err)
+	}
+	var set Set
+	if _, err := tomlfile.Decode(path, text, &set); err != nil {
+		return Set{}, fmt.Errorf("faults %w", err)
+	}
+	if !set.Sync.known() {
+		return Set{}, fmt.Errorf("faults %s: sync: %q is none of %s, %s, %s", path, set.Sync,
+			SyncErrorPersisted, SyncErrorLost, SyncSilentLoss)
+	}
+	for call, name := range set.Calls {
+		if _, ok := Errno(name); !ok {
+			return Set{}, fmt.Errorf("faults %s: calls.%s: %q is no errno", path, call, name)
+		}
+	}
+	return set, nil
+}
+
+// Plan is a file of faults as the process that it is for reads it. A nil Plan injects nothing. It is safe for concurrent
+// use.
 type Plan struct {
 	path string
-	mu   sync.Mutex
-	seen os.FileInfo
-	set  Set
+
+	mu       sync.Mutex  // guards the fields below
+	readInfo os.FileInfo // of the file that set was read from; nil: there was none
+	set      Set
 }
 
-// Open reads a file of faults; no path, no plan. A file that is not there yet plants nothing.
+// Open reads a file of faults; without a path there is no plan. A file that does not exist yet injects nothing.
 func Open(path string) (*Plan, error) {
 	if path == "" {
 		return nil, nil
 	}
 	p := &Plan{path: path}
-	if _, err := p.look(); err != nil {
+	if _, err := p.reload(); err != nil {
 		return nil, err
 	}
 	return p, nil
 }
 
-// look reads the file again if it has been replaced.
-func (p *Plan) look() (Set, error) {
+// reload reads the file again if it has been replaced. With an error it returns the set that was read before.
+func (p *Plan) reload() (Set, error) {
 	if p == nil {
 		return Set{}, nil
 	}
@@ -100,87 +133,60 @@
 	defer p.mu.Unlock()
 	info, err := os.Stat(p.path)
 	if errors.Is(err, os.ErrNotExist) {
-		p.seen, p.set = nil, Set{}
+		p.readInfo, p.set = nil, Set{}
 		return p.set, nil
 	}
 	if err != nil {
 		return p.set, fmt.Errorf("faults: %w", err)
 	}
-	if p.seen != nil && os.SameFile(info, p.seen) && info.ModTime().Equal(p.seen.ModTime()) {
+	if p.readInfo != nil && os.SameFile(info, p.readInfo) && info.ModTime().Equal(p.readInfo.ModTime()) {
 		return p.set, nil
 	}
-	text, err := os.ReadFile(p.path)
+	set, err := readSet(p.path)
 	if err != nil {
-		return p.set, fmt.Errorf("faults: %w", err)
-	}
-	var fresh Set
-	if _, err := tomlfile.Decode(p.path, text, &fresh); err != nil {
-		return p.set, fmt.Errorf("faults %w", err)
-	}
-	switch fresh.Sync {
-	case "", SyncKept, SyncLost, SyncUnheard:
-	default:
-		return p.set, fmt.Errorf("faults %s: sync: %q is none of %s, %s, %s", p.path, fresh.Sync, SyncKept, SyncLost, SyncUnheard)
+		return p.set, err
 	}
-	for call, name := range fresh.Calls {
-		if _, ok := Errno(name); !ok {
-			return p.set, fmt.Errorf("faults %s: calls.%s: %q is no errno", p.path, call, name)
-		}
-	}
-	p.seen, p.set = info, fresh
-	return fresh, nil
+	p.readInfo, p.set = info, set
+	return p.set, nil
 }
 
-// now is what holds at this moment; a file that cannot be read leaves what held before.
-func (p *Plan) now() Set {
-	s, _ := p.look()
-	return s
+// current returns the faults of this moment. If the file cannot be read, the previous ones apply.
+func (p *Plan) current() Set {
+	set, _ := p.reload()
+	return set
 }
 
-// Now is the wall clock, stepped. It has no monotonic part: who wants what has truly passed asks package time.
-func (p *Plan) Now() time.Time { return time.Now().Round(0).Add(time.Duration(p.now().Clock)) }
+// Now returns the wall clock, stepped by the plan. It has no monotonic part: elapsed times are measured by package time.
+func (p *Plan) Now() time.Time { return time.Now().Round(0).Add(time.Duration(p.current().Clock)) }
 
-// Disk carries out a write under the faults of the disk. do is given the error with which to undo it, or nil. unheard
-// says that the failure is not to be noticed.
-func (p *Plan) Disk(do func(undo error) error) (unheard bool, err error) {
-	set := p.now()
+// DiskWrite carries out a write under the faults of the disk. write is called with the error with which it has to undo
+// its changes, or with nil. If silent is true, the caller is to ignore the error.
+func (p *Plan) DiskWrite(write func(undo error) error) (silent bool, err error) {
+	set := p.current()
 	if set.Disk > 0 {
 		time.Sleep(time.Duration(set.Disk))
 	}
 	switch set.Sync {
-	case SyncKept:
-		return false, errors.Join(do(nil), ErrSync)
-	case SyncLost:
-		return false, do(ErrSync)
-	case SyncUnheard:
-		return true, do(ErrSync)
+	case SyncErrorPersisted:
+		return false, errors.Join(write(nil), ErrSync)
+	case SyncErrorLost:
+		return false, write(ErrSync)
+	case SyncSilentLoss:
+		return true, write(ErrSync)
 	}
 	if err := p.Call(CallWrite); err != nil {
-		return false, do(err)
-	}
-	return false, do(nil)
-}
-
-// highestErrno is above the number of each errno of Linux (errno(3)).
-const highestErrno = 134
-
-// Errno is the error number of a name such as "ENOBUFS"; ok is false where the system has none of that name.
-func Errno(name string) (errno syscall.Errno, ok bool) {
-	for errno = 1; errno < highestErrno; errno++ {
-		if unix.ErrnoName(errno) == name {
-			return errno, true
-		}
+		return false, write(err)
 	}
-	return 0, false
+	return false, write(nil)
 }
 
-// Call is the planted failure of a system call, which is not made then; nil: it is made. The error is an
-// *os.SyscallError, as package net and package os give it.
+// Call returns the planned error of a system call, which is not to be made then, or nil if it is to be made. The error is
+// an *os.SyscallError, as from packages net and os.
 func (p *Plan) Call(name string) error {
-	planted, ok := p.now().Calls[name]
-	if !ok {
+	errnoName, planned := p.current().Calls[name]
+	if !planned {
 		return nil
 	}
-	errno, _ := Errno(planted) // checked as the file was read
+	errno, _ := Errno(errnoName) // readSet has checked the name
 	return os.NewSyscallError(name, errno)
 }
--- a/internal/fault/fault_test.go
+++ b/internal/fault/fault_test.go
@@ -10,74 +10,109 @@
 	"time"
 )
 
-func TestPlan(t *testing.T) {
-	path := filepath.Join(t.TempDir(), "faults.toml")
-	p, err := Open(path)
+// clockTolerance bounds how long a test may take between two reads of the clock.
+const clockTolerance = time.Second
+
+// openPlan opens the plan of a file that does not exist yet.
+func openPlan(t *testing.T) (plan *Plan, path string) {
+	t.Helper()
+	path = filepath.Join(t.TempDir(), "faults.toml")
+	plan, err := Open(path)
 	if err != nil {
 		t.Fatal(err)
 	}
-	for name, p := range map[string]*Plan{"nil": nil, "no file": p} {
-		undone := errors.New("not called")
-		if unheard, err := p.Disk(func(undo error) error { undone = undo; return nil }); unheard || err != nil || undone != nil {
-			t.Errorf("%s: plants unheard %v, %v, undo %v", name, unheard, err, undone)
-		}
-		if off := time.Until(p.Now()); off > time.Second || off < -time.Second {
-			t.Errorf("%s: the clock is off by %v", name, off)
-		}
+	return plan, path
+}
+
+func checkClock(t *testing.T, plan *Plan, step time.Duration) {
+	t.Helper()
+	if off := time.Until(plan.Now()) - step; off > clockTolerance || off < -clockTolerance {
+		t.Errorf("the clock is off by %v, want %v", off+step, step)
+	}
+}
+
+func TestPlan_empty(t *testing.T) {
+	withoutFile, _ := openPlan(t)
+	for name, plan := range map[string]*Plan{"nil": nil, "no file": withoutFile} {
+		t.Run(name, func(t *testing.T) {
+			undo := errors.New("not called")
+			silent, err := plan.DiskWrite(func(e error) error { undo = e; return nil })
+			if silent || err != nil || undo != nil {
+				t.Errorf("silent %v, error %v, undo %v, want none", silent, err, undo)
+			}
+			checkClock(t, plan, 0)
+		})
 	}
-	for _, c := range []struct {
-		set           Set
-		undone        bool
-		unheard, fail bool
-		clock         time.Duration
+}
+
+func TestPlan_diskAndClock(t *testing.T) {
+	plan, path := openPlan(t)
+	for _, test := range []struct {
+		name                 string
+		set                  Set
+		undone, silent, fail bool
+		step                 time.Duration // of the clock
 	}{
-		{NewSet(-time.Hour, 0, SyncKept), false, false, true, -time.Hour},
-		{NewSet(time.Hour, time.Millisecond, SyncLost), true, false, true, time.Hour},
-		{NewSet(0, 0, SyncUnheard), true, true, true, 0},
-		{Set{Calls: map[string]string{CallWrite: "ENOSPC"}}, true, false, true, 0},
-		{Set{}, false, false, false, 0},
+		{name: "write on the disk", set: NewSet(-time.Hour, 0, SyncErrorPersisted), fail: true, step: -time.Hour},
+		{
+			name: "write lost", set: NewSet(time.Hour, time.Millisecond, SyncErrorLost),
+			undone: true, fail: true, step: time.Hour,
+		},
+		{name: "silent loss", set: NewSet(0, 0, SyncSilentLoss), undone: true, silent: true, fail: true},
+		{name: "no space", set: Set{Calls: map[string]string{CallWrite: "ENOSPC"}}, undone: true, fail: true},
+		{name: "no fault", set: Set{}},
 	} {
-		if err := c.set.Write(path); err != nil {
-			t.Fatal(err)
-		}
-		var undo error
-		began := time.Now()
-		unheard, err := p.Disk(func(u error) error { undo = u; return u })
-		if (undo != nil) != c.undone || unheard != c.unheard || (err != nil) != c.fail || time.Since(began) < time.Duration(c.set.Disk) {
-			t.Errorf("%+v: undo %v, unheard %v, error %v", c.set, undo, unheard, err)
-		}
-		if off := time.Until(p.Now()) - c.clock; off > time.Second || off < -time.Second {
-			t.Errorf("%+v: the clock is off by %v", c.set, off+c.clock)
-		}
-	}
-	for text, want := range map[string]string{"clock = 3": "clock", "sync = \"sometimes\"": "sync", "disc = \"1s\"": "faults",
-		"[calls]\naccept = \"EMOOD\"": "calls.accept"} {
-		if err := os.WriteFile(path, []byte(text), 0o644); err != nil {
-			t.Fatal(err)
-		}
-		if _, err := Open(path); err == nil || !strings.Contains(err.Error(), want) {
-			t.Errorf("%s: %v", text, err)
-		}
+		t.Run(test.name, func(t *testing.T) {
+			if err := test.set.Write(path); err != nil {
+				t.Fatal(err)
+			}
+			var undo error
+			started := time.Now()
+			silent, err := plan.DiskWrite(func(e error) error { undo = e; return e })
+			elapsed := time.Since(started)
+			if (undo != nil) != test.undone || silent != test.silent || (err != nil) != test.fail {
+				t.Errorf("undo %v, silent %v, error %v", undo, silent, err)
+			}
+			if delay := time.Duration(test.set.Disk); elapsed < delay {
+				t.Errorf("the write took %v, want %v at least", elapsed, delay)
+			}
+			checkClock(t, plan, test.step)
+		})
 	}
 }
 
-func TestPlannedCallFails(t *testing.T) {
+func TestOpen_malformed(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "faults.toml")
-	p, err := Open(path)
-	if err != nil {
-		t.Fatal(err)
+	for _, test := range []struct{ name, text, want string }{
+		{"a duration without a unit", `clock = 3`, "clock"},
+		{"an unknown fault of a sync", `sync = "sometimes"`, "sync"},
+		{"an unknown key", `disc = "1s"`, "faults"},
+		{"an unknown errno", "[calls]\naccept = \"EMOOD\"", "calls.accept"},
+	} {
+		t.Run(test.name, func(t *testing.T) {
+			if err := os.WriteFile(path, []byte(test.text), 0o644); err != nil {
+				t.Fatal(err)
+			}
+			if _, err := Open(path); err == nil || !strings.Contains(err.Error(), test.want) {
+				t.Errorf("error %v, want %q in it", err, test.want)
+			}
+		})
 	}
-	if err := p.Call(CallAccept); err != nil {
-		t.Errorf("nothing is planted: %v", err)
+}
+
+func TestPlan_call(t *testing.T) {
+	plan, path := openPlan(t)
+	if err := plan.Call(CallAccept); err != nil {
+		t.Errorf("nothing is planned: %v", err)
 	}
 	if err := (Set{Calls: map[string]string{CallAccept: "ENOBUFS"}}).Write(path); err != nil {
 		t.Fatal(err)
 	}
-	var call *os.SyscallError
-	if err := p.Call(CallAccept); !errors.Is(err, syscall.ENOBUFS) || !errors.As(err, &call) {
+	var callErr *os.SyscallError
+	if err := plan.Call(CallAccept); !errors.Is(err, syscall.ENOBUFS) || !errors.As(err, &callErr) {
 		t.Errorf("accept: %v", err)
 	}
-	if err := p.Call(CallOpen); err != nil {
+	if err := plan.Call(CallOpen); err != nil {
 		t.Errorf("open: %v", err)
 	}
 }
--- a/internal/lab/registry_faults.go
+++ b/internal/lab/registry_faults.go
@@ -114,10 +114,14 @@
 	case "copy-clock":
 		return rr.plant(chosen, fault.NewSet(time.Duration(p.Fault.Size*float64(time.Second)), 0, ""))
 	case "copy-sync-kept", "copy-sync-lost", "defect-unheard-disk":
-		sync := map[string]string{"copy-sync-kept": fault.SyncKept, "copy-sync-lost": fault.SyncLost, "defect-unheard-disk": fault.SyncUnheard}
+		syncFaults := map[string]fault.SyncFault{
+			"copy-sync-kept":      fault.SyncErrorPersisted,
+			"copy-sync-lost":      fault.SyncErrorLost,
+			"defect-unheard-disk": fault.SyncSilentLoss,
+		}
 		var heal func() error
 		failed, err := rr.failDisks(chosen, func() (err error) {
-			heal, err = rr.plant(chosen, fault.NewSet(0, 0, sync[p.Fault.Kind]))
+			heal, err = rr.plant(chosen, fault.NewSet(0, 0, syncFaults[p.Fault.Kind]))
 			return err
 		})
 		return func() error { return rr.healDisks(ctx, failed, heal) }, err
--- a/internal/registry/store.go
+++ b/internal/registry/store.go
@@ -140,7 +140,7 @@
 	if s.broken != nil {
 		return s.broken
 	}
-	unheard, err := s.faults.Disk(func(undo error) error {
+	silent, err := s.faults.DiskWrite(func(undo error) error {
 		return s.db.Update(func(tx *bolt.Tx) error {
 			return errors.Join(f(tx), mark(tx), undo)
 		})
@@ -153,7 +153,7 @@
 	} else {
 		s.slowly.Store(0)
 	}
-	if err != nil && !unheard {
+	if err != nil && !silent {
 		s.broken = err
 		s.failed <- err // has room for the only one
 		s.say(err)
--- a/internal/registry/supervisor.go
+++ b/internal/registry/supervisor.go
@@ -173,7 +173,7 @@
 	if _, err := os.Stat(filepath.Join(dir, storeFile)); err != nil {
 		return err
 	}
-	_, err := faults.Disk(func(planted error) error {
+	_, err := faults.DiskWrite(func(planted error) error {
 		if planted != nil {
 			return planted
 		}
--- a/internal/registry/supervisor_test.go
+++ b/internal/registry/supervisor_test.go
@@ -191,8 +191,8 @@
 
 // The ways in which a disk refuses a write.
 var diskFailures = map[string]fault.Set{
-	"sync kept": fault.NewSet(0, 0, fault.SyncKept),
-	"sync lost": fault.NewSet(0, 0, fault.SyncLost),
+	"sync kept": fault.NewSet(0, 0, fault.SyncErrorPersisted),
+	"sync lost": fault.NewSet(0, 0, fault.SyncErrorLost),
 	"no space":  {Calls: map[string]string{fault.CallWrite: "ENOSPC"}},
 	"I/O error": {Calls: map[string]string{fault.CallWrite: "EIO"}},
 }
@@ -295,7 +295,7 @@
 	s, err := openStore(path, time.Second, plan)
 	require.NoError(t, err)
 	require.NoError(t, s.SetUint64([]byte(currentTerm), 1))
-	require.NoError(t, fault.NewSet(0, 0, fault.SyncLost).Write(faults))
+	require.NoError(t, fault.NewSet(0, 0, fault.SyncErrorLost).Write(faults))
 	require.ErrorIs(t, s.SetUint64([]byte("number"), 1), fault.ErrSync)
 	require.NoError(t, fault.Set{}.Write(faults))
 	require.ErrorIs(t, s.SetUint64([]byte("number"), 2), fault.ErrSync)
@@ -333,7 +333,7 @@
 			all := supervise(t, 1, nil)
 			one := all[0]
 			require.True(t, register(all, "before"))
-			one.plant(t, fault.NewSet(0, 0, fault.SyncLost))
+			one.plant(t, fault.NewSet(0, 0, fault.SyncErrorLost))
 			register(all, "lost")
 			one.closed(t)
 			c.harm(t, one.cfg.Dir)
@@ -355,7 +355,7 @@
 	all := supervise(t, 1, nil)
 	one := all[0]
 	require.True(t, register(all, "before"))
-	one.plant(t, fault.NewSet(0, 0, fault.SyncLost))
+	one.plant(t, fault.NewSet(0, 0, fault.SyncErrorLost))
 	register(all, "lost")
 	one.closed(t)
 	away := one.cfg.Dir + ".away"
@@ -378,7 +378,7 @@
 	all := supervise(t, 1, nil)
 	one := all[0]
 	one.supervisor.Reload(Options{MostStale: time.Hour, Batch: time.Millisecond})
-	one.plant(t, fault.NewSet(0, 0, fault.SyncLost))
+	one.plant(t, fault.NewSet(0, 0, fault.SyncErrorLost))
 	register(all, "lost")
 	one.closed(t)
 	one.supervisor.Reload(Options{MostStale: 2 * time.Hour, Batch: time.Millisecond})
@@ -422,7 +422,7 @@
 		ended := make(chan error, 1)
 		go func() { ended <- n.Run(t.Context()) }()
 		until(t, "the first write", func() bool { return n.Term() != 0 && n.Server().Status().Rev > 0 })
-		require.NoError(t, fault.NewSet(0, 0, fault.SyncLost).Write(faults))
+		require.NoError(t, fault.NewSet(0, 0, fault.SyncErrorLost).Write(faults))
 		_, err = n.Apply(&Command{Op: OpPut, Entry: &Entry{UID: "lost", Endpoint: "127.0.0.1:1", State: Ready}}, time.Second)
 		require.ErrorIs(t, err, ErrNoQuorum)
 		var disk *DiskError
--- a/internal/wallclock/wallclock_test.go
+++ b/internal/wallclock/wallclock_test.go
@@ -66,9 +66,9 @@
 		"q.Now":   {2, "a field: the leader's monotonic clock"},
 	},
 	"internal/fault/fault.go": {
-		"info.ModTime":     {1, "is compared for equality alone, and files are told apart by their inode, too"},
-		"p.seen.ModTime":   {1, "is compared for equality alone, and files are told apart by their inode, too"},
-		"time.Now().Round": {1, "is the clock that the lab steps; who asks for it is listed"},
+		"info.ModTime":       {1, "is compared for equality alone, and files are told apart by their inode, too"},
+		"p.readInfo.ModTime": {1, "is compared for equality alone, and files are told apart by their inode, too"},
+		"time.Now().Round":   {1, "is the clock that the lab steps; who asks for it is listed"},
 	},
 	"internal/membership/config.go": {
 		"time.Now().UnixMilli": {1, "a member's start; one below another of its name is raised, see docs/membership.md"},
