--- /dev/null
+++ b/internal/tomlfile/duration.go
@@ -0,0 +1,31 @@
+package tomlfile
+
+import (
+	"fmt"
+	"time"
+)
+
+// Duration is a duration in a file, written with its unit: "250ms", "10s".
+type Duration time.Duration
+
+// durationHint ends the error of a value that is not a duration.
+const durationHint = " is not a duration: it needs a number and a unit (ms, s, m)"
+
+// UnmarshalText reads a duration.
+func (d *Duration) UnmarshalText(text []byte) error {
+	parsed, err := time.ParseDuration(string(text))
+	if err != nil {
+		return fmt.Errorf("%q%s", text, durationHint)
+	}
+	*d = Duration(parsed)
+	return nil
+}
+
+// MarshalText writes a duration in the form that UnmarshalText reads.
+func (d Duration) MarshalText() ([]byte, error) { return []byte(time.Duration(d).String()), nil }
+
+// Of is the duration as a time.Duration.
+func (d Duration) Of() time.Duration { return time.Duration(d) }
+
+// MS is the duration in milliseconds.
+func (d Duration) MS() float64 { return float64(d) / float64(time.Millisecond) }
--- /dev/null
+++ b/internal/tomlfile/error.go
@@ -0,0 +1,50 @@
+package tomlfile
+
+import (
+	"errors"
+	"fmt"
+	"strconv"
+	"strings"
+
+	"github.com/pelletier/go-toml/v2"
+)
+
+// Error is a file that cannot be read, or a value in it that is not allowed.
+type Error struct {
+	File string
+	Line int    // 0: not known
+	Key  string // empty: not known
+	Text string
+}
+
+// Error names file, line and key.
+func (e *Error) Error() string {
+	position := e.File
+	if e.Line > 0 {
+		position += ":" + strconv.Itoa(e.Line)
+	}
+	if e.Key != "" {
+		return fmt.Sprintf("%s: %s: %s", position, e.Key, e.Text)
+	}
+	return position + ": " + e.Text
+}
+
+// decodeError turns an error of the TOML decoder into one that names file, line and key as far as they are known.
+func decodeError(file string, index Index, err error) *Error {
+	var unknownKeys *toml.StrictMissingError
+	if errors.As(err, &unknownKeys) && len(unknownKeys.Errors) > 0 {
+		first := unknownKeys.Errors[0]
+		line, _ := first.Position()
+		return &Error{File: file, Line: line, Key: strings.Join(first.Key(), "."), Text: "there is no such key"}
+	}
+	var malformed *toml.DecodeError
+	if errors.As(err, &malformed) {
+		line, _ := malformed.Position()
+		key := strings.Join(malformed.Key(), ".")
+		if key == "" {
+			key = index.keyAt(line)
+		}
+		return &Error{File: file, Line: line, Key: key, Text: strings.TrimPrefix(malformed.Error(), "toml: ")}
+	}
+	return &Error{File: file, Text: err.Error()}
+}
