--- a/internal/registry/routes_test.go
+++ b/internal/registry/routes_test.go
@@ -160,7 +160,7 @@
 
 func TestOperatorsFileErrors(t *testing.T) {
 	for text, says := range map[string]string{
-		"term = \"5\"":                                  `o.toml:1: term: "5" is no time`,
+		"term = \"5\"":                                  `o.toml:1: term: "5" is not a duration`,
 		"term = \"10ms\"":                               "o.toml:1: term: 10ms is below 500ms",
 		"\nshut_after = \"1s\"":                         "o.toml:2: shut_after: 1000 ms is not after behind_after, 2000 ms",
 		"remember = \"5s\"":                             "o.toml:1: remember: 5000 ms is less than two terms",
