--- a/internal/knownfailures/run_test.go
+++ b/internal/knownfailures/run_test.go
@@ -1,6 +1,7 @@
 package knownfailures
 
 import (
+	"fmt"
 	"os"
 	"path/filepath"
 	"strings"
@@ -14,7 +15,7 @@
 import "testing"
 
 func TestListed(t *testing.T) { t.Run("sub", func(t *testing.T) { t.Error("the known fault") }) }
-func TestMended(t *testing.T) {}
+func TestFixed(t *testing.T) {}
 func TestOther(t *testing.T)  {}
 `
 	greenPackage = `package green
@@ -29,7 +30,7 @@
 
 func TestOther(t *testing.T) { t.Error("a new fault") }
 `
-	// As with goleak.VerifyTestMain, the check after the tests is left out once one has failed.
+	// Its check after the tests fails. Like goleak.VerifyTestMain, it is left out once a test has failed.
 	leakyPackage = `package leaky
 
 import (
@@ -74,8 +75,8 @@
 `
 )
 
-// module writes a module named scratch whose packages have one test file each.
-func module(t *testing.T, packages map[string]string) string {
+// writeModule writes a module named scratch whose packages have one test file each, and returns its folder.
+func writeModule(t *testing.T, packages map[string]string) string {
 	t.Helper()
 	dir := t.TempDir()
 	files := map[string]string{"go.mod": "module scratch\n\ngo 1.24\n"}
@@ -94,8 +95,8 @@
 	return dir
 }
 
-// runIn runs a test command in a module.
-func runIn(t *testing.T, dir, list string, command ...string) (string, error) {
+// runCommand runs a test command in the folder of a module, and returns what it prints.
+func runCommand(t *testing.T, dir, list string, command ...string) (string, error) {
 	t.Helper()
 	parsed, err := ParseList("KNOWN-RED.txt", strings.NewReader(list))
 	if err != nil {
@@ -107,7 +108,7 @@
 	return out.String() + errOut.String(), err
 }
 
-func TestRunOfARealModule(t *testing.T) {
+func TestRunner(t *testing.T) {
 	for _, test := range []struct {
 		name     string
 		packages map[string]string
@@ -119,48 +120,50 @@
 		{
 			name:     "listed tests fail and pass",
 			packages: map[string]string{"red": redPackage, "green": greenPackage},
-			list:     "scratch/red.TestListed | known | issue 1\nscratch/red.TestMended | known | issue 2\n",
+			list: "scratch/red.TestListed | go test -run TestListed ./... | known | issue 1\n" +
+				"scratch/red.TestFixed | go test -run TestFixed ./... | known | issue 2\n",
 			want: []string{
 				"red_test.go:5: the known fault\n",
 				"--- FAIL: TestListed",
-				"go test -skip=^(TestListed|TestMended)$ scratch/red\nok  \tscratch/red\t",
-				"scratch/red.TestListed failed, as listed (issue 1: known)\n",
-				"scratch/red.TestMended PASSED: ",
+				"go test -skip=^(TestListed|TestFixed)$ scratch/red\nok  \tscratch/red\t",
+				"scratch/red.TestListed failed, as listed (issue 1)\n" +
+					"        command: go test -run TestListed ./...\n        seen: known\n",
+				"scratch/red.TestFixed PASSED: ",
 				"ok  \tscratch/green\t",
 			},
 		},
 		{
 			name:     "another test fails",
 			packages: map[string]string{"red": redPackage, "other": otherRedPackage},
-			list:     "scratch/red.TestListed | known | issue 1\n",
+			list:     "scratch/red.TestListed | go test -run TestListed ./... | known | issue 1\n",
 			want:     []string{"a new fault\n", "not passed over: scratch/other.TestOther failed and is not listed\n"},
 			failed:   true,
 		},
 		{
-			name:     "a listed test is not there",
+			name:     "a listed test does not exist",
 			packages: map[string]string{"green": greenPackage},
-			list:     "scratch/green.TestGone | known | issue 1\n",
-			want:     []string{"not passed over: KNOWN-RED.txt:1: no test scratch/green.TestGone ran to its end\n"},
+			list:     "scratch/green.TestGone | go test -run TestGone ./... | known | issue 1\n",
+			want:     []string{"not passed over: KNOWN-RED.txt:1: no test scratch/green.TestGone ran to completion\n"},
 			failed:   true,
 		},
 		{
-			name:     "a listed test hides a check after the tests",
+			name:     "a failed listed test hides a check after the tests",
 			packages: map[string]string{"leaky": leakyPackage},
-			list:     "scratch/leaky.TestListed | known | issue 1\n",
+			list:     "scratch/leaky.TestListed | go test -run TestListed ./... | known | issue 1\n",
 			want:     []string{"not passed over: scratch/leaky without its listed tests: exit status 1\n"},
 			failed:   true,
 		},
 		{
 			name:     "a listed test panics",
 			packages: map[string]string{"panicking": panickingPackage},
-			list:     "scratch/panicking.TestListed | known | issue 1\n",
-			want:     []string{"panic: boom", "not passed over: scratch/panicking ended before its tests were through\n"},
+			list:     "scratch/panicking.TestListed | go test -run TestListed ./... | known | issue 1\n",
+			want:     []string{"panic: boom", "not passed over: scratch/panicking ended before its tests had finished\n"},
 			failed:   true,
 		},
 		{
 			name:     "a listed test races",
 			packages: map[string]string{"racing": racingPackage},
-			list:     "scratch/racing.TestListed | known | issue 1\n",
+			list:     "scratch/racing.TestListed | go test -run TestListed ./... | known | issue 1\n",
 			flags:    []string{"-race"},
 			want:     []string{"WARNING: DATA RACE\n", "not passed over: scratch/racing reports a data race\n"},
 			failed:   true,
@@ -168,15 +171,15 @@
 		{
 			name:     "the package of a listed test does not build",
 			packages: map[string]string{"broken": brokenPackage, "green": greenPackage},
-			list:     "scratch/broken.TestListed | known | issue 1\n",
+			list:     "scratch/broken.TestListed | go test -run TestListed ./... | known | issue 1\n",
 			want:     []string{"undefined: undefined\n", "not passed over: scratch/broken does not build\n", "ok  \tscratch/green\t"},
 			failed:   true,
 		},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			dir := module(t, test.packages)
+			dir := writeModule(t, test.packages)
 			command := append(append([]string{"go", "test"}, test.flags...), "./...")
-			out, err := runIn(t, dir, test.list, command...)
+			out, err := runCommand(t, dir, test.list, command...)
 			if (err != nil) != test.failed {
 				t.Errorf("the run's error is %v", err)
 			}
@@ -192,7 +195,32 @@
 	}
 }
 
-func TestRunTakesGoTestAlone(t *testing.T) {
+// Of ten listed tests that fail, each is printed and passed over.
+func TestRunner_tenListedTests(t *testing.T) {
+	const listedTests = 10
+	var source, list strings.Builder
+	source.WriteString("package red\n\nimport \"testing\"\n\nfunc TestOther(t *testing.T) {}\n")
+	for i := range listedTests {
+		fmt.Fprintf(&source, "func TestListed%d(t *testing.T) { t.Error(\"fault %d\") }\n", i, i)
+		fmt.Fprintf(&list, "scratch/red.TestListed%d | go test -run TestListed%d ./... | fault %d | issue %d\n", i, i, i, i+1)
+	}
+	out, err := runCommand(t, writeModule(t, map[string]string{"red": source.String()}), list.String(), "go", "test", "./...")
+	if err != nil {
+		t.Error(err)
+	}
+	for i := range listedTests {
+		want := fmt.Sprintf("    scratch/red.TestListed%d failed, as listed (issue %d)\n"+
+			"        command: go test -run TestListed%d ./...\n        seen: fault %d\n", i, i+1, i, i)
+		if !strings.Contains(out, want) {
+			t.Errorf("%q is not in the output", want)
+		}
+	}
+	if t.Failed() {
+		t.Log(out)
+	}
+}
+
+func TestRunner_malformedCommand(t *testing.T) {
 	for _, test := range []struct {
 		name    string
 		command []string
@@ -205,7 +233,7 @@
 		{"a flag's value alone", []string{"go", "test", "-run", "TestA", "./..."}, `"TestA" is not a flag`},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			_, err := runIn(t, t.TempDir(), "", test.command...)
+			_, err := runCommand(t, t.TempDir(), "", test.command...)
 			if err == nil || !strings.Contains(err.Error(), test.want) {
 				t.Errorf("error %v, want %q in it", err, test.want)
 			}
