--- a/balance/coldfleet_test.go
+++ b/balance/coldfleet_test.go
@@ -505,7 +505,7 @@
 
 // The sends of all processes to a cold server stay within what it bears in any window, whatever the number of
 // processes, however they share the traffic, and whatever they forget or believe to know.
-func TestFleetKeepsColdServersWithinTheirBudget(t *testing.T) {
+func TestSlowStart_fleetWithinBudget(t *testing.T) {
 	for _, c := range coldCases() {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
@@ -542,7 +542,7 @@
 
 // Answers of a while ago tell what warm servers did: where nearly all start at once under overload a server was sent
 // more than it bears.
-func TestFleetWhoseServersAllStartAtOnce(t *testing.T) {
+func TestSlowStart_simultaneousStarts(t *testing.T) {
 	for _, processes := range []int{2, 3} {
 		if worst := worstColdPeak(t, coldCaseOf("all restart under overload"), processes, 8); worst.share > 1 {
 			t.Errorf("%d processes: over what it bears: %s", processes, worst)
@@ -552,7 +552,7 @@
 
 // The check can fail: a few processes that know of no budget push servers over when all start at once, and many do that
 // hold servers in slow start to be warm.
-func TestFleetWithoutColdBudgetIsFoundOut(t *testing.T) {
+func TestSlowStart_fleetCheckDetectsOverload(t *testing.T) {
 	unbound, warm := coldCaseOf("all restart under overload"), coldCaseOf("overload")
 	unbound.unbound, warm.warm = true, true
 	if worst := worstColdPeak(t, unbound, 2, 8); worst.share <= 1 {
--- a/balance/connecting_test.go
+++ b/balance/connecting_test.go
@@ -60,7 +60,7 @@
 
 // An attempt that waits for its connection is no work of a server's: with it in the estimate of how long answers
 // take, load was refused while servers had room.
-func TestLateConnectsAreNoLoad(t *testing.T) {
+func TestAdmission_lateConnectsExcluded(t *testing.T) {
 	if refused := lateConnects(t, true); refused > 0 {
 		t.Errorf("%d of 4000 requests are refused while servers have room", refused)
 	}
@@ -71,7 +71,7 @@
 
 // Clients that leave long before the aim say nothing of how long answers take: with their time in the estimate and
 // no answer of theirs in the rate, load was refused while servers had room.
-func TestClientsThatLeaveAreNoLoad(t *testing.T) {
+func TestAdmission_clientAbortsExcluded(t *testing.T) {
 	cfg := baseConfig()
 	g := newRig(t, cfg, fleet(12)...)
 	const step, answer, leaves = 30, 75, 70 // ms
@@ -114,7 +114,7 @@
 }
 
 // A server whose connection came up after all is there: it neither rests nor stands against its zone, nor is it cold.
-func TestLateConnectionIsNoServerDown(t *testing.T) {
+func TestEjection_lateConnection(t *testing.T) {
 	cfg := baseConfig()
 	cfg.ConnectTimeout = 120
 	play := func(late bool) (left, avoided, cold int) {
--- a/balance/crowd_test.go
+++ b/balance/crowd_test.go
@@ -10,7 +10,7 @@
 	"pgregory.net/rapid"
 )
 
-func TestCrowdBelievesMoreAtOnceAndFewerSlowly(t *testing.T) {
+func TestFleetEstimate_growthAndDecay(t *testing.T) {
 	var c FleetEstimate
 	all := func(n int) FleetSize { return FleetSize{Known: n, Reachable: n, Admitted: true} }
 	assert.Equal(t, 1.0/10, c.Quota(1000, all(10)))
@@ -27,7 +27,7 @@
 
 // Whatever comes, a part is a number from 0 to that of all that are known, grows at most as the count may fall, and
 // does not grow while half or more are silent. A clock that goes back for a while gives nobody more, and is got over.
-func TestCrowdProperty(t *testing.T) {
+func TestFleetEstimate_property(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var c FleetEstimate
 		now, last := rapid.Float64Range(0, 1e7).Draw(t, "now"), 0.0
@@ -53,7 +53,7 @@
 
 // The parts of processes that each know at least all that are admitted add up to no more than one, however late and
 // differently they learn of those that are gone. One that admits itself too early breaks it: the check can fail.
-func TestCrowdPartsAddUpToOne(t *testing.T) {
+func TestFleetEstimate_quotasSumToOne(t *testing.T) {
 	broken := 0.0
 	rapid.Check(t, func(t *rapid.T) {
 		type process struct {
@@ -107,7 +107,7 @@
 }
 
 // A balancer that is told of just as many as the settings name does what it does untold; of another number it does not.
-func TestSharersAsTheSettingsNameThemChangeNothing(t *testing.T) {
+func TestFleetEstimate_equalToSettings(t *testing.T) {
 	differed := false
 	rapid.Check(t, func(t *rapid.T) {
 		cfg := baseConfig()
--- a/balance/growth_test.go
+++ b/balance/growth_test.go
@@ -22,7 +22,7 @@
 }
 
 // A change leaves the servers in the same order, and as many ready in each zone, as a look at all of them finds.
-func TestChangesLeaveWhatALookAtAllFinds(t *testing.T) {
+func TestEndpointList_incrementalChanges(t *testing.T) {
 	for _, routed := range []bool{false, true} {
 		t.Run(fmt.Sprint("routes ", routed), func(t *testing.T) {
 			cfg := baseConfig()
@@ -121,8 +121,8 @@
 // BenchmarkListChange is what one change of the list costs with few and with many servers.
 func BenchmarkListChange(b *testing.B) { benchmarkGrown(b, changeOne) }
 
-// BenchmarkRequestOfMany is what a request costs with few and with many servers.
-func BenchmarkRequestOfMany(b *testing.B) { benchmarkGrown(b, askOne) }
+// BenchmarkRequestInFleet is what a request costs with few and with many servers.
+func BenchmarkRequestInFleet(b *testing.B) { benchmarkGrown(b, askOne) }
 
 func benchmarkGrown(b *testing.B, do func(testing.TB, *Balancer, int)) {
 	for _, n := range []int{200, 3200} {
@@ -137,7 +137,7 @@
 
 // With sixteen times the servers neither a request nor a change of the list takes as many times as long: nobody walks
 // over all servers. The least of several times in turn is compared, as the machine may be busy.
-func TestWorkDoesNotGrowWithTheServers(t *testing.T) {
+func TestLimits_costInLargeFleet(t *testing.T) {
 	const tries, rounds, most = 7, 400, 5
 	for name, do := range map[string]func(testing.TB, *Balancer, int){"request": askOne, "change": changeOne} {
 		t.Run(name, func(t *testing.T) {
@@ -161,7 +161,7 @@
 }
 
 // A pick that passes over the servers outside the rotation leaves each as a pick that looks at all of them does.
-func TestRunningValuesOutsideTheRotation(t *testing.T) {
+func TestRotation_skippedServers(t *testing.T) {
 	for _, c := range []struct {
 		name   string
 		rating float64 // small: the sum of weights is under what servers begin with
@@ -226,7 +226,7 @@
 
 // Along a route the running values of each group are kept at most at its sum of weights, too, though the group before
 // had no server at all.
-func TestRunningValuesOutsideTheRotationOfAGroup(t *testing.T) {
+func TestRotation_skippedServersOfRoute(t *testing.T) {
 	list := fleet(20)
 	for i := range list {
 		list[i].Rating = 0.05
--- a/balance/limits_test.go
+++ b/balance/limits_test.go
@@ -21,7 +21,7 @@
 }
 
 // Each file of decisions is listed as policy in the deploy file, and stays short.
-func TestDecisionsAreListedAndShort(t *testing.T) {
+func TestLimits_policyFiles(t *testing.T) {
 	deploy, err := os.ReadFile("../deploy/balancer.toml")
 	if err != nil {
 		t.Fatal(err)
@@ -80,7 +80,7 @@
 }
 
 // The use example of README is the tested one.
-func TestReadmeShowsTheTestedExample(t *testing.T) {
+func TestLimits_readmeExample(t *testing.T) {
 	example, err := os.ReadFile("example_test.go")
 	if err != nil {
 		t.Fatal(err)
@@ -96,7 +96,7 @@
 }
 
 // At the end of a process each request gets its one answer, and none is sent any more.
-func TestEndAnswersAll(t *testing.T) {
+func TestEvents_shutdown(t *testing.T) {
 	g := newRig(t, baseConfig(), fleet(4)...)
 	safe, _ := g.ask(safeClass)
 	unsafe, _ := g.ask(unsafeClass)
@@ -119,7 +119,7 @@
 }
 
 // What is overdue at a server that rests is no load any more: it hangs, and that is no overload of the others.
-func TestWhatHangsIsNoLoad(t *testing.T) {
+func TestAdmission_ejectedServerExcluded(t *testing.T) {
 	g := newRig(t, baseConfig(), fleet(1)...)
 	var ids []RequestID
 	for range errorsToEject {
--- a/balance/list_test.go
+++ b/balance/list_test.go
@@ -47,7 +47,7 @@
 	return nil
 }
 
-func TestNoListGoesBack(t *testing.T) {
+func TestEndpointList_olderRevision(t *testing.T) {
 	g := listRig(t, nil)
 	g.do(ServerList{Kind: ListFull, Rev: 10, Servers: fleet(4)})
 	acts := g.do(ServerList{Kind: ListFull, Rev: 8, Source: 1, Servers: fleet(6)})
@@ -79,7 +79,7 @@
 	g.wantUsed("changes of a history whose beginning is not known", "1 2 3 4")
 }
 
-func TestOlderHistoryIsTakenWhenThereIsNoOther(t *testing.T) {
+func TestEndpointList_olderHistory(t *testing.T) {
 	g := listRig(t, func(c *Config) { c.SuspectFraction = 0 }, fleet(4)...)
 	g.do(ServerList{Kind: ListFull, Rev: 3 << epochBits, Servers: fleet(4)})
 	old := ServerList{Kind: ListFull, Rev: 1 << epochBits, Servers: fleet(2)}
@@ -96,7 +96,7 @@
 	g.wantUsed("nothing but an earlier history for long", "1 2")
 }
 
-func TestDoubt(t *testing.T) {
+func TestEndpointList_suspectedServers(t *testing.T) {
 	without := func(from, to int) []Server { f := fleet(9); return append(f[:from:from], f[to:]...) }
 	for name, c := range map[string]struct {
 		share   float64
@@ -120,7 +120,7 @@
 	}
 }
 
-func TestDoubtEnds(t *testing.T) {
+func TestEndpointList_suspicionEnds(t *testing.T) {
 	begin := func(list ...Server) *rig {
 		g := listRig(t, nil, fleet(6)...)
 		if g.do(ServerList{Kind: ListFull, Rev: 2, Servers: list}); g.b.ListStatus(g.now).Suspected == 0 {
@@ -174,7 +174,7 @@
 	})
 }
 
-func TestBadEntries(t *testing.T) {
+func TestEndpointList_badEntries(t *testing.T) {
 	for name, c := range map[string]struct {
 		list []Server
 		used string
@@ -209,7 +209,7 @@
 }
 
 // A start in the future is of a clock that is off; the server is cold for its time and no longer.
-func TestStartInTheFuture(t *testing.T) {
+func TestWallClock_startInFuture(t *testing.T) {
 	g := listRig(t, nil)
 	list := ServerList{Kind: ListFull, Rev: 2, Servers: []Server{{ID: 1, StartedAt: g.now + 3.6e6}}}
 	g.do(list)
@@ -224,7 +224,7 @@
 }
 
 // Another address is another way to a server: what failed on the old one is not held against it. Another zone moves it.
-func TestServerMoves(t *testing.T) {
+func TestEndpointList_addressChange(t *testing.T) {
 	g := listRig(t, nil, Server{ID: 1, AddressKey: 4}, Server{ID: 2, AddressKey: 5})
 	for range 4 {
 		id, acts := g.ask(safeClass)
@@ -242,7 +242,7 @@
 	}
 }
 
-func TestEachServiceIsTriedBeforeThePauseGrows(t *testing.T) {
+func TestEndpointList_serviceFailover(t *testing.T) {
 	g := listRig(t, func(c *Config) { c.ListServices = 3 }, fleet(3)...)
 	var order []int
 	for i := range 6 {
@@ -261,7 +261,7 @@
 	}
 }
 
-func TestStuckWatchIsLeftAndTheNearOneIsComeBackTo(t *testing.T) {
+func TestEndpointList_stuckWatch(t *testing.T) {
 	g := listRig(t, nil, fleet(3)...)
 	g.do(ServerList{Kind: ListFull, Rev: 5, Servers: fleet(3)})
 	look := func(source int) {
@@ -295,7 +295,7 @@
 }
 
 // Looks begin when there is a second service, end when there is none, and are never made twice.
-func TestLooksFollowTheNumberOfServices(t *testing.T) {
+func TestEndpointList_checksByServiceCount(t *testing.T) {
 	g := listRig(t, func(c *Config) { c.ListServices = 1 }, fleet(3)...)
 	looks := func(acts []Action) (n int) {
 		for _, a := range acts {
@@ -322,7 +322,7 @@
 }
 
 // Once the list is stale a server that refuses connections stays out for longer and longer.
-func TestStaleListLeansOnOutcomes(t *testing.T) {
+func TestEndpointList_stale(t *testing.T) {
 	g := listRig(t, nil, fleet(1)...)
 	g.do(ServerList{Kind: ListFull, Rev: 2, Servers: fleet(1)})
 	s := g.b.byID[1]
@@ -344,7 +344,7 @@
 
 // Whatever several services tell, in whatever order: the list goes back only where nothing newer comes for long, who is
 // told to go is not used, however old the list, and requests go to those in use alone.
-func TestAnyListsKeepTheRules(t *testing.T) {
+func TestEndpointList_property(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		cfg := baseConfig()
 		cfg.Subscribe, cfg.ListServices = true, rapid.IntRange(2, 3).Draw(rt, "lists")
@@ -396,7 +396,7 @@
 
 // A watch that speaks, if only to say that nothing has changed, ends a row of failed calls: the next pause is the
 // first one again.
-func TestAliveEndsARowOfFailures(t *testing.T) {
+func TestEndpointList_backoffReset(t *testing.T) {
 	cfg := baseConfig()
 	cfg.Subscribe = true
 	g := newRig(t, cfg, fleet(4)...)
@@ -423,7 +423,7 @@
 }
 
 // A watch that begins from the list known at the start has nothing to tell until that changes.
-func TestAQuietWatchIsNotStuck(t *testing.T) {
+func TestEndpointList_quietWatch(t *testing.T) {
 	g := listRig(t, nil)
 	g.do(ServerList{Kind: ListCached, Rev: 5, Servers: fleet(4)})
 	g.do(ServerList{Kind: ListAlive})
@@ -438,7 +438,7 @@
 }
 
 // LongestPause bounds each pause, whatever AskWithin allows and the service says.
-func TestLongestPauseBoundsEveryPause(t *testing.T) {
+func TestEndpointList_maxPollBackoff(t *testing.T) {
 	for _, askWithin := range []float64{0, 10000, 600000} {
 		cfg := baseConfig()
 		cfg.Subscribe, cfg.PollInterval, cfg.MaxPollBackoff = true, askWithin, 4500
--- a/balance/little_time_test.go
+++ b/balance/little_time_test.go
@@ -7,7 +7,7 @@
 
 // A server that drops without a word what it cannot answer in the time that is left is not held at fault: it is
 // neither rested nor weighed less, and each request gets one answer after one attempt at most.
-func TestLittleTimeIsNoFault(t *testing.T) {
+func TestEjection_shortTimeout(t *testing.T) {
 	for class, name := range map[int]string{safeClass: "safe", unsafeClass: "unsafe", allClass: "keyed"} {
 		for _, left := range []float64{1, 2, 5, 10, 20} {
 			t.Run(fmt.Sprint(name, ", ", left, " ms"), func(t *testing.T) {
@@ -46,7 +46,7 @@
 }
 
 // A server that has had the time that answers take, and is silent, is at fault as before.
-func TestSilenceBeyondTheMeanIsAFault(t *testing.T) {
+func TestEjection_timeoutBeyondMean(t *testing.T) {
 	g := newRig(t, baseConfig(), fleet(4)...)
 	for range 100 {
 		id, _ := g.ask(safeClass)
--- a/balance/property_test.go
+++ b/balance/property_test.go
@@ -48,7 +48,7 @@
 	return w
 }
 
-func TestRandomEventsKeepTheRules(t *testing.T) {
+func TestEvents_randomSequences(t *testing.T) {
 	for seed := range int64(40) {
 		rnd := rand.New(rand.NewSource(seed))
 		cfg := baseConfig()
--- a/balance/quiet_test.go
+++ b/balance/quiet_test.go
@@ -78,7 +78,7 @@
 
 // After ten minutes without a request a burst is taken as by a sidecar that has just started: nothing that was shed,
 // counted or held against servers before is left.
-func TestBurstAfterAQuietTime(t *testing.T) {
+func TestAdmission_burstAfterIdlePeriod(t *testing.T) {
 	for what := range before {
 		t.Run(what, func(t *testing.T) {
 			fresh, rested := rested(t, what)
@@ -102,7 +102,7 @@
 }
 
 // Servers that begin to fail after a quiet time are judged as by a sidecar that has just started.
-func TestFailuresAfterAQuietTime(t *testing.T) {
+func TestEjection_failuresAfterIdlePeriod(t *testing.T) {
 	for what := range before {
 		t.Run(what, func(t *testing.T) {
 			fresh, rested := rested(t, what)
@@ -127,7 +127,7 @@
 }
 
 // A list that changes after a quiet time counts at once: who drains gets nothing, who starts is warmed up.
-func TestListChangesAfterAQuietTime(t *testing.T) {
+func TestEndpointList_changeAfterIdlePeriod(t *testing.T) {
 	for what := range before {
 		t.Run(what, func(t *testing.T) {
 			_, g := rested(t, what)
--- a/balance/retry_test.go
+++ b/balance/retry_test.go
@@ -32,7 +32,7 @@
 
 // A failure of this machine is held against no server, uses up no attempt, and the request goes on after a pause that
 // doubles, even one that must not run twice.
-func TestLocalFailureUsesUpNoAttempt(t *testing.T) {
+func TestRetry_localFailure(t *testing.T) {
 	for name, class := range map[string]int{"safe": safeClass, "unsafe": unsafeClass, "keyed": cellClass} {
 		t.Run(name, func(t *testing.T) {
 			g := newRig(t, baseConfig(), fleet(8)...)
@@ -67,7 +67,7 @@
 }
 
 // However long this machine fails, the request is refused when its time is up, after few tries.
-func TestLocalFailuresEndInARefusal(t *testing.T) {
+func TestRetry_localFailureUntilDeadline(t *testing.T) {
 	for name, class := range map[string]int{"safe": safeClass, "unsafe": unsafeClass, "keyed": allClass} {
 		t.Run(name, func(t *testing.T) {
 			g := newRig(t, baseConfig(), fleet(8)...)
@@ -92,7 +92,7 @@
 }
 
 // Where no time bounds it, as the body is still coming, the number of failures does.
-func TestLocalFailuresOfAnOpenRequestAreBounded(t *testing.T) {
+func TestRetry_localFailureLimit(t *testing.T) {
 	g := newRig(t, baseConfig(), fleet(8)...)
 	g.next++
 	id, n := g.next, 0
@@ -111,7 +111,7 @@
 }
 
 // A probe that this machine could not send says nothing of its server.
-func TestLocalFailureOfAProbe(t *testing.T) {
+func TestHealthCheck_localFailure(t *testing.T) {
 	g := newRig(t, baseConfig(), fleet(8)...)
 	before := g.judged(3)
 	g.b.byID[3].checkPending = true
@@ -122,7 +122,7 @@
 }
 
 // A server to which there is no way is rested as one that is gone, but it does not start again: it stays warm.
-func TestUnreachableServerStaysWarm(t *testing.T) {
+func TestEjection_unreachableServer(t *testing.T) {
 	for _, test := range []struct {
 		result Result
 		cold   bool
@@ -150,7 +150,7 @@
 }
 
 // An attempt to a canary that this machine could not send costs no unit.
-func TestLocalFailureCostsNoUnit(t *testing.T) {
+func TestCanaryBudget_localFailure(t *testing.T) {
 	a := &attempt{}
 	if a.spendsUnit(&request{}, Outcome{Result: LocalFailure}) || !a.spendsUnit(&request{}, Outcome{Result: Unreachable}) {
 		t.Error("want a unit spent on a canary out of reach, and none on a failure of this machine")
--- a/balance/rotation_test.go
+++ b/balance/rotation_test.go
@@ -22,7 +22,7 @@
 	return ids
 }
 
-func TestRotationFollowsWeights(t *testing.T) {
+func TestPicker_weights(t *testing.T) {
 	servers := fleet(3)
 	servers[0].Rating = 5
 	got := sequence(newRig(t, baseConfig(), servers...), 7)
@@ -34,7 +34,7 @@
 	}
 }
 
-func TestMultiplierFallsDecaysAndHasAFloor(t *testing.T) {
+func TestEjection_healthScore(t *testing.T) {
 	g := newRig(t, baseConfig(), fleet(2)...)
 	s := g.b.servers[0]
 	if m := g.b.health(s); m != 1 {
@@ -65,7 +65,7 @@
 	}
 }
 
-func TestNoServerStarvesAtTheFloor(t *testing.T) {
+func TestPicker_healthFloor(t *testing.T) {
 	g := newRig(t, baseConfig(), fleet(4)...)
 	hits := 0
 	for range 40 { // a success resets the errors, so they are set again each time
@@ -79,7 +79,7 @@
 	}
 }
 
-func TestRerouteTakesTheHealthiestUntried(t *testing.T) {
+func TestPicker_rerouteByHealth(t *testing.T) {
 	g := newRig(t, baseConfig(), fleet(4)...)
 	for _, s := range g.b.servers {
 		s.consecutiveErrors, s.lastErrorAt = 2, g.now
@@ -99,7 +99,7 @@
 // Where every server holds far more than its share a first send goes to the one that holds least for
 // its weight: the next in turn was crowded further; a re-route still goes by m. While one is
 // not over its share, the turn decides.
-func TestFirstSendGoesToTheLeastCrowdedOfCrowdedServers(t *testing.T) {
+func TestPicker_allServersLoaded(t *testing.T) {
 	for _, c := range []struct {
 		holds [4]int
 		want  ServerID
@@ -129,7 +129,7 @@
 
 // A thousand sidecars with a connection to each server filled all connection tables. Each goes over few
 // servers, all together over all alike, and a restarted one comes back to the same.
-func TestSmallSidecarsTakeTurnsOverFewServers(t *testing.T) {
+func TestRotation_lowTraffic(t *testing.T) {
 	sidecars, servers := 400, 60
 	all := map[ServerID]int{}
 	used := func(number, seed int) map[ServerID]int {
@@ -170,7 +170,7 @@
 }
 
 // A busy sidecar goes over as many servers as it visits often, and over others when some of its own fail.
-func TestRotationGrowsWithTrafficAndWithFailures(t *testing.T) {
+func TestRotation_growth(t *testing.T) {
 	g := newRig(t, baseConfig(), fleet(60)...)
 	count := func(gap float64, n int) int {
 		hits := map[ServerID]bool{}
--- a/balance/routes_test.go
+++ b/balance/routes_test.go
@@ -47,7 +47,7 @@
 	return acts[i]
 }
 
-func TestPurseIsNeverOverdrawn(t *testing.T) {
+func TestCanaryBudget_property(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var p CanaryBudget
 		var told int64
@@ -77,7 +77,7 @@
 	})
 }
 
-func TestRoutesThatCannotBe(t *testing.T) {
+func TestRoutes_invalid(t *testing.T) {
 	with := func(change func(*Route)) Routes {
 		w := canaryOf(0.5, 1)
 		change(&w)
@@ -117,7 +117,7 @@
 }
 
 // A share grows, a key comes again at another process: who preferred the canary still does.
-func TestKeysStayOnTheirSide(t *testing.T) {
+func TestRoutes_stableKeys(t *testing.T) {
 	var rigs []*rig
 	for seed := range uint64(3) {
 		cfg := tenantsConfig()
@@ -153,7 +153,7 @@
 }
 
 // 300 sidecars with n requests each: the standard error that routes.go states.
-func TestShareIsMetOverAFleet(t *testing.T) {
+func TestRoutes_canaryFraction(t *testing.T) {
 	const sidecars = 300
 	for _, n := range []int{1, 10, 40} {
 		for _, share := range []float64{0.01, 0.25, 0.5} {
@@ -193,7 +193,7 @@
 }
 
 // Whatever is wrong with a canary, its requests go elsewhere at once; a base goes there only when nobody else is left.
-func TestWhoCannotBeUsedIsPassedOver(t *testing.T) {
+func TestRoutes_unusableServers(t *testing.T) {
 	all := fleet(8)
 	list := func(state ServerState, ids ...ServerID) ServerList {
 		l := slices.Clone(all)
@@ -299,7 +299,7 @@
 }
 
 // A request stays on its side: the healthiest untried server of the canary, then of the base, then of the rest.
-func TestRepeatStaysOnItsSide(t *testing.T) {
+func TestRoutes_retryPlacement(t *testing.T) {
 	w := canaryOf(1, 1, 2, 3)
 	w.Base = Subset{IDs: []ServerID{4, 5}}
 	g := routed(t, w)
@@ -326,7 +326,7 @@
 }
 
 // How an attempt may end, and what that costs: in a request's answer, in a stream, for a late one.
-func TestWhatAnAttemptCosts(t *testing.T) {
+func TestCanaryBudget_attemptCost(t *testing.T) {
 	end := func(res Result, took float64) func(*rig, RequestID) {
 		return func(g *rig, id RequestID) { g.do(Outcome{Request: id, Result: res, Elapsed: took, Finished: true}) }
 	}
@@ -416,7 +416,7 @@
 }
 
 // A void attempt counts for nothing, three times; then as one that never began.
-func TestVoidCountsAsNoAttempt(t *testing.T) {
+func TestRoutes_revokedAttempt(t *testing.T) {
 	cfg := tenantsConfig()
 	cfg.MaxAttempts = 2
 	g := newRig(t, cfg, fleet(1)...)
@@ -437,7 +437,7 @@
 	}
 }
 
-func TestPursesOutliveTheirRoutes(t *testing.T) {
+func TestCanaryBudget_endedRoutes(t *testing.T) {
 	w := canaryOf(1, 1)
 	w.Budgeted = true
 	g := routed(t, w)
@@ -490,7 +490,7 @@
 
 // One tenant's routes, purse and permission change no pick of another's: two balancers are told different things of
 // tenant 0, and the same of tenant 1, whose answers are the same. Tenant 0 has requests, too, in half of the runs.
-func TestRoutesOfOneTenantMoveNoOther(t *testing.T) {
+func TestRoutes_tenantIsolation(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		cfg := tenantsConfig()
 		cfg.Seed = rapid.Uint64().Draw(rt, "seed")
@@ -576,7 +576,7 @@
 
 // Whatever happens in whatever order: an attempt to a canary is permitted, of a class and a server that the newest
 // routes name, and has a unit; what is out and spent is what the attempts say; a request gets its answer.
-func TestRoutesKeepTheirPromises(t *testing.T) {
+func TestRoutes_property(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		cfg := tenantsConfig()
 		cfg.Seed, cfg.MaxAttempts = rapid.Uint64().Draw(rt, "seed"), 3
@@ -689,7 +689,7 @@
 }
 
 // A route that all sidecars follow to one cold server at once pushes it over no more than the ordinary way does.
-func TestNoRoutePushesAColdServerOver(t *testing.T) {
+func TestSlowStart_routedFleet(t *testing.T) {
 	const sidecars, servers, gap = 120, 30, 250.0
 	cfg := tenantsConfig()
 	all := fleet(servers)
@@ -729,7 +729,7 @@
 }
 
 // Servers that warm up and have nothing left for now are no reason to use one that rests.
-func TestWhoRestsIsLeftAloneWhileOthersWarmUp(t *testing.T) {
+func TestRoutes_ejectedDuringSlowStart(t *testing.T) {
 	g := routed(t, canaryOf(0, 8))
 	for _, s := range g.b.servers {
 		s.slowStartAt, s.tokens, s.tokensAt = g.now, -100, g.now
@@ -741,7 +741,7 @@
 }
 
 // A pick leaves nothing behind that another request sees.
-func TestAPickAlongARouteLeavesNothingBehind(t *testing.T) {
+func TestRoutes_pickSideEffects(t *testing.T) {
 	w := canaryOf(0.5, 1, 2)
 	w.Base = Subset{Zones: []int{1}}
 	g := routed(t, w)
--- a/balance/rules_test.go
+++ b/balance/rules_test.go
@@ -9,7 +9,7 @@
 
 // What may follow the end of a first attempt, for each effect, group and result, within the
 // window and after it: another send, a refusal, a failure.
-func TestWhatMayFollowAnAttempt(t *testing.T) {
+func TestRetry_afterFirstAttempt(t *testing.T) {
 	for _, class := range []int{safeClass, unsafeClass, cellClass, allClass, zoneClass} {
 		for _, res := range []Result{Failed, Rejected, TimedOut, ConnectFailed, Reset, Cancelled, WriteFailed} {
 			for _, late := range []bool{false, true} {
@@ -59,7 +59,7 @@
 
 // A repeat may wait for a new connection before its first byte leaves, as long as connects may take: one that was
 // decided within the window left after it, when servers may have forgotten its key.
-func TestARepeatLeavesWithinTheWindow(t *testing.T) {
+func TestRetry_keyWindow(t *testing.T) {
 	const connect, window = 120.0, 300.0
 	cfg := baseConfig()
 	cfg.ConnectTimeout = connect
@@ -81,7 +81,7 @@
 }
 
 // The window begins with the first attempt that may have run: what never ran uses up none of it.
-func TestWhatNeverRanBeginsNoWindow(t *testing.T) {
+func TestRetry_keyWindowStart(t *testing.T) {
 	cfg := baseConfig()
 	cfg.ConnectTimeout = 120
 	cfg.Classes[allClass].KeyWindow = 200
@@ -97,7 +97,7 @@
 	}
 }
 
-func TestNothingIsRefusedThatMayHaveRun(t *testing.T) {
+func TestRetry_deadlineAfterSend(t *testing.T) {
 	g := newRig(t, baseConfig(), fleet(4)...)
 	for _, class := range []int{unsafeClass, cellClass, zoneClass} {
 		id, _ := g.ask(class)
@@ -109,7 +109,7 @@
 	}
 }
 
-func TestNoTimeLeftIsAnsweredAtOnce(t *testing.T) {
+func TestRetry_noTimeLeft(t *testing.T) {
 	g := newRig(t, baseConfig(), fleet(4)...)
 	acts := g.do(Request{ID: 1, Class: unsafeClass, Remaining: 0})
 	if !has(acts, Reject) || has(acts, Send) {
@@ -117,7 +117,7 @@
 	}
 }
 
-func TestNobodyToSendTo(t *testing.T) {
+func TestRetry_noUsableServer(t *testing.T) {
 	drained := fleet(3)
 	for i := range drained {
 		drained[i].State = Draining
@@ -139,7 +139,7 @@
 	}
 }
 
-func TestDrainingGetsNothingNew(t *testing.T) {
+func TestEndpointList_drainingServer(t *testing.T) {
 	g := newRig(t, baseConfig(), fleet(2)...)
 	gone := fleet(1)[0]
 	gone.State = Draining
@@ -159,7 +159,7 @@
 	}
 }
 
-func TestAttemptLimit(t *testing.T) {
+func TestRetry_attemptLimit(t *testing.T) {
 	cfg := baseConfig()
 	cfg.MaxAttempts = 1
 	g := newRig(t, cfg, fleet(4)...)
@@ -171,7 +171,7 @@
 
 // In overload an alarm came a rounding error before its time and was not set again, so that the
 // request got no answer at its deadline.
-func TestEarlyAlarmIsSetAgain(t *testing.T) {
+func TestEvents_earlyTimer(t *testing.T) {
 	g := newRig(t, baseConfig(), fleet(4)...)
 	id, _ := g.ask(unsafeClass)
 	g.now = g.b.reqs[id].wakeAt - 1e-4
@@ -181,7 +181,7 @@
 }
 
 // A cold server was pushed over when the budget followed what clients asked, repeats included.
-func TestColdBudgetHoldsForAllSidecars(t *testing.T) {
+func TestSlowStart_restartUnderLoad(t *testing.T) {
 	const sidecars, perSecond, seconds = 4, 150, 6
 	cfg := baseConfig()
 	toCold := 0
@@ -215,7 +215,7 @@
 }
 
 // A server that could not be reached and then answers has restarted, whatever the list says.
-func TestBackFromTheDeadIsCold(t *testing.T) {
+func TestSlowStart_unreachableThenBack(t *testing.T) {
 	g := newRig(t, baseConfig(), fleet(2)...)
 	id, acts := g.ask(safeClass)
 	s, _ := sentTo(acts)
@@ -236,7 +236,7 @@
 
 // A sidecar that prefers others still uses a server that restarted: its budget follows what servers can do,
 // not how little this sidecar used that one before. With nothing sent nothing is learned either.
-func TestColdServerOfSmallSizeIsUsed(t *testing.T) {
+func TestSlowStart_smallServer(t *testing.T) {
 	cfg := baseConfig()
 	list := fleet(4)
 	g := newRig(t, cfg, list...)
@@ -273,7 +273,7 @@
 
 // Clients whose requests are shed are told when to return, where they listen; a request that failed at a
 // server may return at once.
-func TestShedRequestsAreToldWhenToReturn(t *testing.T) {
+func TestAdmission_retryAfter(t *testing.T) {
 	for _, test := range []struct {
 		listen      bool
 		most        float64
@@ -321,7 +321,7 @@
 
 // A connection that broke under a request tells nothing of the process: after resets all over the network,
 // a whole warm fleet was held to have restarted, and was sent next to nothing for the time of a warm-up.
-func TestBrokenConnectionIsNoRestart(t *testing.T) {
+func TestEjection_brokenConnection(t *testing.T) {
 	g := newRig(t, baseConfig(), fleet(2)...)
 	id, acts := g.ask(unsafeClass)
 	s, _ := sentTo(acts)
@@ -345,7 +345,7 @@
 }
 
 // Once a streamed answer has begun the client owns it: no deadline, no repeat, no answer of ours.
-func TestStartedStreamIsLeftAlone(t *testing.T) {
+func TestRetry_startedStream(t *testing.T) {
 	cfg := baseConfig()
 	cfg.Classes[safeClass].Stream = true
 	g := newRig(t, cfg, fleet(3)...)
@@ -369,7 +369,7 @@
 }
 
 // While a body comes no time passes, for the request or its server; from its last byte on both count.
-func TestOpenRequestsTimeBeginsWithItsLastByte(t *testing.T) {
+func TestRetry_streamingBodyDeadline(t *testing.T) {
 	g := newRig(t, baseConfig(), fleet(3)...)
 	g.next++
 	id := g.next
@@ -396,7 +396,7 @@
 }
 
 // What never ran is sent again only while its body is held.
-func TestSpentBodyIsNotSentAgain(t *testing.T) {
+func TestRetry_consumedBody(t *testing.T) {
 	for _, spent := range []bool{false, true} {
 		g := newRig(t, baseConfig(), fleet(3)...)
 		g.next++
@@ -410,7 +410,7 @@
 }
 
 // Failed list calls keep the old list and are made again, ever later, within the limit.
-func TestListCallsBackOff(t *testing.T) {
+func TestEndpointList_pollBackoff(t *testing.T) {
 	cfg := baseConfig()
 	cfg.Subscribe = true
 	g := newRig(t, cfg, fleet(3)...)
@@ -447,7 +447,7 @@
 
 // Answers assumed for small sidecars counted in the budget of cold servers too, and together
 // they pushed one over. A sidecar that has seen no answers may hardly send anything to a cold server.
-func TestAssumedAnswersGiveNoColdBudget(t *testing.T) {
+func TestSlowStart_assumedAnswers(t *testing.T) {
 	g := newRig(t, baseConfig(), fleet(4)...)
 	entry := g.b.servers[0].Server
 	entry.StartedAt = g.now
@@ -469,7 +469,7 @@
 }
 
 // The two processes of a sidecar during an upgrade assume the few answers together.
-func TestProcessesOfASidecarShareWhatIsAssumed(t *testing.T) {
+func TestSlowStart_processCount(t *testing.T) {
 	budget := func(parts int) float64 {
 		g := newRig(t, baseConfig(), fleet(4)...)
 		g.do(ProcessCount{Processes: parts})
@@ -490,7 +490,7 @@
 
 // After a crash two failed connects refused a request although attempts and time were left; what may have
 // run is re-routed once at most.
-func TestWhatNeverRanUsesUpNoReroute(t *testing.T) {
+func TestRetry_rerouteLimit(t *testing.T) {
 	for res, sends := range map[Result]int{ConnectFailed: 4, WriteFailed: 4, Rejected: 4, Failed: 2} {
 		g := newRig(t, baseConfig(), fleet(8)...)
 		id, _ := g.ask(safeClass)
@@ -505,7 +505,7 @@
 
 // Crowded servers turn slow and stay so until they have been idle for a while: a reported wait beyond the
 // aim rests a server.
-func TestReportedCrowdRestsAServer(t *testing.T) {
+func TestEjection_reportedQueue(t *testing.T) {
 	cfg := baseConfig()
 	cfg.Reports, cfg.Fields = ReportPiggyback, []Field{FieldErrorRate, FieldLatency, FieldQueue}
 	for queue, rests := range map[float32]bool{2: false, 8: true} {
@@ -522,7 +522,7 @@
 
 // A busy sidecar rested a crowded server for a whole aim on one report, and crowded the others: the rest is
 // one turn of the rotation.
-func TestReportedCrowdRestsForOneTurn(t *testing.T) {
+func TestEjection_reportedQueueDuration(t *testing.T) {
 	cfg := baseConfig()
 	cfg.Reports, cfg.Fields = ReportPiggyback, []Field{FieldLatency, FieldQueue}
 	g := newRig(t, cfg, fleet(3)...)
@@ -544,7 +544,7 @@
 // Many sidecars that know only themselves must not push a cold server over: in any window of the stated length
 // all of them together send it less than the stated multiple of what it can do at that moment, with a little
 // slack for chance. What it got while warm is taken to be its capacity: the least that this can be.
-func TestManySidecarsKeepAColdServersBudget(t *testing.T) {
+func TestSlowStart_manySidecars(t *testing.T) {
 	for _, c := range []struct{ sidecars, servers int }{{3, 6}, {200, 20}, {600, 60}} {
 		cfg := baseConfig()
 		rnd := rand.New(rand.NewSource(5))
--- a/balance/settings_test.go
+++ b/balance/settings_test.go
@@ -9,7 +9,7 @@
 )
 
 // Settings that the first deployments do not use. Each run checks rules 1 to 3 as it goes.
-func TestOtherSettings(t *testing.T) {
+func TestSettings_variants(t *testing.T) {
 	for name, change := range map[string]func(*Config, *int){
 		"one server":  func(_ *Config, n *int) { *n = 1 },
 		"hundreds":    func(_ *Config, n *int) { *n = 300 },
@@ -80,7 +80,7 @@
 }
 
 // What has ended is forgotten: requests, servers that are gone, probes that are waited for.
-func TestMemoryStaysFlat(t *testing.T) {
+func TestLimits_memory(t *testing.T) {
 	g := newRig(t, probeConfig(), fleet(5)...)
 	for i := range 20000 {
 		g.acts = g.acts[:0]
@@ -134,7 +134,7 @@
 }
 
 // A caller's settings that cannot be are an error, never a balancer that misbehaves later.
-func TestSettingsThatCannotBe(t *testing.T) {
+func TestSettings_invalid(t *testing.T) {
 	for name, spoil := range map[string]func(*Config){
 		"Classes":                     func(c *Config) { c.Classes = nil },
 		"Idempotency":                 func(c *Config) { c.Classes[1].Idempotency = 9 },
--- a/balance/trouble_test.go
+++ b/balance/trouble_test.go
@@ -30,7 +30,7 @@
 
 // Links were cut and most probes lost, and the servers next in turn, which nobody could use,
 // were probed again for every request.
-func TestServersOutOfReachRestAndComeBack(t *testing.T) {
+func TestHealthCheck_unreachableServers(t *testing.T) {
 	g := newRig(t, probeConfig(), fleet(3)...)
 	dark := map[ServerID]bool{1: true, 2: true}
 	for i := range 4 {
@@ -57,7 +57,7 @@
 }
 
 // A sidecar with little traffic cannot know from its own requests what others fill.
-func TestProbedQueueIsPassedOver(t *testing.T) {
+func TestHealthCheck_reportedQueue(t *testing.T) {
 	g := newRig(t, probeConfig(), fleet(3)...)
 	g.b.servers[0].running = 1000 // its turn
 	id, acts := g.ask(safeClass)
@@ -71,7 +71,7 @@
 	}
 }
 
-func TestARequestDoesNotWaitLongForProbes(t *testing.T) {
+func TestHealthCheck_waitLimit(t *testing.T) {
 	g := newRig(t, probeConfig(), fleet(3)...)
 	id, _ := g.ask(safeClass)
 	g.now = g.b.reqs[id].wakeAt
@@ -82,7 +82,7 @@
 
 // A hung server is passed over at once, for what it holds, and rested after several strikes;
 // what is stuck there must not look like overload of the whole fleet.
-func TestHungServerIsNoOverload(t *testing.T) {
+func TestAdmission_hungServer(t *testing.T) {
 	g := newRig(t, baseConfig(), fleet(6)...)
 	hung := 0
 	for range 900 {
@@ -120,7 +120,7 @@
 
 // In overload every queue filled and all answers came late. What cannot be answered in time is
 // refused before it is sent, least worth first.
-func TestOverloadIsShedLeastWorthFirst(t *testing.T) {
+func TestAdmission_lowPriorityFirst(t *testing.T) {
 	g := newRig(t, baseConfig(), fleet(4)...)
 	refused := map[int]int{}
 	var open []RequestID
@@ -145,7 +145,7 @@
 
 // In a congested fleet all answers are late, and that is no server's fault: once the class is
 // known to take long, an attempt of 430 ms with an aim of 300 is no error.
-func TestLateInACongestedFleetIsNoError(t *testing.T) {
+func TestEjection_congestedFleet(t *testing.T) {
 	g := newRig(t, baseConfig(), fleet(4)...)
 	times := []float64{370, 430, 400}
 	for i := range 60 {
@@ -179,7 +179,7 @@
 }
 
 // What hangs is its server's trouble and must not shed load for seconds: it counts for one aim.
-func TestWhatHangsIsLoadForOneAim(t *testing.T) {
+func TestAdmission_overdueAttemptExcluded(t *testing.T) {
 	g := newRig(t, baseConfig(), fleet(2)...)
 	id, _ := g.ask(safeClass)
 	g.ask(safeClass)
@@ -195,7 +195,7 @@
 }
 
 // After a crash a sidecar of two requests a second took eight seconds to shed, and what was left choked.
-func TestSmallSidecarShedsWithinSeconds(t *testing.T) {
+func TestAdmission_lowTrafficOverload(t *testing.T) {
 	g := newRig(t, baseConfig(), fleet(4)...)
 	for range 6 {
 		g.crowd(g.b.lastingShed, 0.8)
@@ -209,7 +209,7 @@
 }
 
 // A handful of requests that meet by chance is no overload.
-func TestFewRequestsThatMeetAreNotShed(t *testing.T) {
+func TestAdmission_smallBurst(t *testing.T) {
 	g := newRig(t, baseConfig(), fleet(4)...)
 	for range 40 {
 		g.now += 2000
@@ -273,7 +273,7 @@
 // Busy sidecars let queues grow for seconds before enough was shed, and crowded servers
 // stayed slow. What is shed follows the load at once, between nothing and twice the lasting part; a
 // sidecar that has not shed lately refuses nothing, as its few requests may crowd by chance.
-func TestShedFollowsTheLoadAtOnce(t *testing.T) {
+func TestAdmission_shedFollowsLoad(t *testing.T) {
 	for _, c := range []struct {
 		lasting, over float64 // over: of the aim, beyond what answers may take
 		least, most   float64 // part refused
@@ -299,7 +299,7 @@
 
 // Of two tenants with equal shares the one that asks three times as much loses what is beyond its
 // share; when both ask for the same they lose the same.
-func TestTenantsBeyondTheirShareAreRefusedFirst(t *testing.T) {
+func TestAdmission_tenantOverQuota(t *testing.T) {
 	cfg := baseConfig()
 	cfg.Tenants = []Tenant{{Quota: 0.5}, {Quota: 0.5}}
 	_, refused := shedding(t, cfg, [2]int{0, 0}, [2]int{0, 0}, [2]int{0, 0}, [2]int{0, 1})
@@ -314,7 +314,7 @@
 
 // The class of least worth was refused wholly although the worst-served class weighs much
 // in the goal. Then the classes come near each other; without such a weight the least goes first.
-func TestGoalOfTheWorstClassKeepsItServed(t *testing.T) {
+func TestAdmission_worstClassGoal(t *testing.T) {
 	cfg := baseConfig()
 	turns := [][2]int{{safeClass, 0}, {unsafeClass, 0}}
 	cfg.Goal = Goal{Overall: 1}
@@ -328,7 +328,7 @@
 }
 
 // A tenant beyond its share is not starved where the worst-served tenant weighs in the goal.
-func TestGoalOfTheWorstTenantKeepsItServed(t *testing.T) {
+func TestAdmission_worstTenantGoal(t *testing.T) {
 	cfg := baseConfig()
 	cfg.Tenants = []Tenant{{Quota: 0.8}, {Quota: 0.2}}
 	turns := [][2]int{{0, 0}, {0, 1}}
@@ -343,7 +343,7 @@
 }
 
 // A restarted server starts afresh: nothing of its rests, nor that it was dark, is left.
-func TestRestartClearsWhatWasHeldAgainstAServer(t *testing.T) {
+func TestEjection_clearedByRestart(t *testing.T) {
 	g := newRig(t, baseConfig(), fleet(2)...)
 	s := g.b.servers[0]
 	g.do(HealthCheckResult{Server: s.ID, Result: TimedOut})
@@ -359,7 +359,7 @@
 }
 
 // Twice as fast a server is found to be larger, and its kind with it.
-func TestSizesAreLearned(t *testing.T) {
+func TestPicker_learnedCapacity(t *testing.T) {
 	servers := fleet(4)
 	servers[2].Kind, servers[3].Kind = 1, 1
 	g := newRig(t, baseConfig(), servers...)
@@ -380,7 +380,7 @@
 }
 
 // A server that leaves several attempts unanswered is rested, and used again after an answer.
-func TestStrikesRestAServer(t *testing.T) {
+func TestEjection_consecutiveErrors(t *testing.T) {
 	g := newRig(t, baseConfig(), fleet(3)...)
 	s := g.b.servers[0]
 	for range errorsToEject - 1 {
@@ -412,7 +412,7 @@
 }
 
 // When all servers rest the cause is hardly theirs.
-func TestAllRestingAreUsed(t *testing.T) {
+func TestEjection_allServersEjected(t *testing.T) {
 	g := newRig(t, baseConfig(), fleet(3)...)
 	for _, s := range g.b.servers {
 		g.b.recordFailure(s, true, partialEvidence)
@@ -423,7 +423,7 @@
 }
 
 // Probes cost: in quiet hours a few find an idle server, in busy ones all are asked.
-func TestProbesFollowHowBusyServersAre(t *testing.T) {
+func TestHealthCheck_countFollowsLoad(t *testing.T) {
 	g := newRig(t, probeConfig(), fleet(12)...)
 	asked := func(holds float32) int {
 		n := 0
@@ -448,7 +448,7 @@
 }
 
 // Where crossing zones has a price, the own zone gets more, and others still take their part.
-func TestOwnZoneIsFavouredWhereCrossingCosts(t *testing.T) {
+func TestLocality_crossZonePrice(t *testing.T) {
 	for price, least := range map[float64]int{0: 10, 0.05: 25} {
 		cfg := baseConfig()
 		cfg.Prices.CrossZone, cfg.Zone = price, 1
@@ -467,7 +467,7 @@
 
 // Traffic grew sevenfold within seconds on an enlarged fleet; answers stayed fast, but the attempts
 // in flight were set against the rate of answers of some time before, and half was refused.
-func TestFastGrowthIsNoOverload(t *testing.T) {
+func TestAdmission_fastTrafficGrowth(t *testing.T) {
 	g := newRig(t, baseConfig(), fleet(12)...)
 	var open []RequestID
 	refused := 0
@@ -490,7 +490,7 @@
 }
 
 // A restarted sidecar with few requests used slow servers as much as fast ones for a minute.
-func TestSizesAreLearnedFastAtFirst(t *testing.T) {
+func TestPicker_capacityLearningRate(t *testing.T) {
 	g := newRig(t, baseConfig(), fleet(2)...)
 	fast, slow := g.b.servers[0], g.b.servers[1]
 	for range 20 {
@@ -514,7 +514,7 @@
 
 // In full queues everything served was late. While load is shed an unsafe request is given up at its aim,
 // which is no error of the server's; others are not, as their clients would try again.
-func TestUnsafeAttemptsEndAtTheirAimWhileShedding(t *testing.T) {
+func TestAdmission_nonIdempotentTimeout(t *testing.T) {
 	for class, cuts := range map[int]bool{unsafeClass: true, safeClass: false, cellClass: false} {
 		for _, lasting := range []float64{0, 0.2} {
 			g := newRig(t, baseConfig(), fleet(4)...)
@@ -548,7 +548,7 @@
 }
 
 // Who is avoided now: servers that rest, for as long as they do, and those that drain.
-func TestAvoided(t *testing.T) {
+func TestEjection_serverCounts(t *testing.T) {
 	servers := fleet(4)
 	servers[3].State = Draining
 	g := newRig(t, baseConfig(), servers...)
--- a/balance/wallclock_test.go
+++ b/balance/wallclock_test.go
@@ -41,7 +41,7 @@
 }
 
 // A server that starts behind a step that this process has noticed is cold from its true start on.
-func TestStartBehindANoticedStep(t *testing.T) {
+func TestWallClock_startAfterStep(t *testing.T) {
 	for _, step := range []float64{-testHour, -30e3, -1e3, 1e3, 30e3, testHour} {
 		for name, id := range map[string]ServerID{"a new one": 9, "a restart": 4, "a restart of long ago": 2} {
 			t.Run(fmt.Sprintf("%v s, %s", step/1000, name), func(t *testing.T) {
@@ -64,7 +64,7 @@
 }
 
 // Machines' clocks are not stepped together: another one's stays as it is, or is stepped before this process's.
-func TestStartOnAnotherMachinesClock(t *testing.T) {
+func TestWallClock_otherMachine(t *testing.T) {
 	for _, step := range []float64{-testHour, -30e3, -1e3, 1e3, 30e3, testHour} {
 		check := func(g *rig, began, told float64) {
 			t.Helper()
@@ -90,7 +90,7 @@
 }
 
 // Two steps that cancel each other out leave what was told between them an hour off.
-func TestRestartBehindAStepThereAndBack(t *testing.T) {
+func TestWallClock_stepForthAndBack(t *testing.T) {
 	for _, step := range []float64{-testHour, testHour} {
 		g := clockRig(t)
 		g.step(step)
@@ -108,7 +108,7 @@
 }
 
 // What this process did not notice shows in starts that cannot be.
-func TestStartThatOnlyAStepExplains(t *testing.T) {
+func TestWallClock_implausibleStarts(t *testing.T) {
 	for name, c := range map[string]struct {
 		told []float64 // starts of server 4, one list after the other, on the time of the test
 		cold bool
@@ -136,7 +136,7 @@
 }
 
 // A list that is not later than the one held tells of no restart, however small its starts are.
-func TestOlderListsAreNoSteps(t *testing.T) {
+func TestWallClock_olderLists(t *testing.T) {
 	for name, list := range map[string]ServerList{
 		"the same revision":  {Kind: ListFull, Rev: 10},
 		"an older one":       {Kind: ListFull, Rev: 9},
@@ -159,7 +159,7 @@
 }
 
 // Of two servers in one place the one that started later is there, though a step back came between the two starts.
-func TestPlaceBehindAStep(t *testing.T) {
+func TestWallClock_sharedAddress(t *testing.T) {
 	for _, step := range []float64{-testHour, -30e3} {
 		g := clockRig(t)
 		g.do(ServerList{Kind: ListFull, Rev: 11, Servers: []Server{{ID: 1, AddressKey: 6, StartedAt: g.now - 20e3}}})
@@ -173,7 +173,7 @@
 
 // Whatever steps there were, a server that has started is never taken for warm, and none stays cold for longer than its
 // time. Nor do offsets grow in number.
-func TestStartsBehindManySteps(t *testing.T) {
+func TestWallClock_manySteps(t *testing.T) {
 	for seed := range uint64(200) {
 		g, offset, rev, draw := clockRig(t), 0.0, int64(10), seed
 		for range 30 {
@@ -195,7 +195,7 @@
 }
 
 // Without a step no start is read otherwise than it is told.
-func TestStartsWithoutAStep(t *testing.T) {
+func TestWallClock_noStep(t *testing.T) {
 	g := clockRig(t)
 	for rev, start := range []float64{-30e3, -100, 500} {
 		g.pass(60e3)
--- a/balance/zones_test.go
+++ b/balance/zones_test.go
@@ -70,7 +70,7 @@
 
 func allOK(*server) Result { return OK }
 
-func TestThirdServerOfADeadZoneIsSpared(t *testing.T) {
+func TestLocality_deadZone(t *testing.T) {
 	for _, change := range []func(*Config){nil, func(c *Config) { c.Zone = 1 }} {
 		g := zoned(t, change, 8, 8)
 		met := map[ServerID]bool{}
@@ -88,7 +88,7 @@
 	}
 }
 
-func TestNoZoneIsLeftWhenAllFail(t *testing.T) {
+func TestLocality_allZonesFail(t *testing.T) {
 	g := zoned(t, nil, 6, 6, 6)
 	g.play(60, 100, func(*server) Result { return ConnectFailed })
 	if z := g.b.ZoneStatus(); z.Left != 0 || z.Evidence == 0 {
@@ -102,7 +102,7 @@
 }
 
 // Servers that refuse are there, and one that fails says little: half as much.
-func TestHearsay(t *testing.T) {
+func TestLocality_partialEvidence(t *testing.T) {
 	for _, c := range []struct {
 		result Result
 		took   float64
@@ -132,7 +132,7 @@
 	}
 }
 
-func TestOneAnswerClearsAZone(t *testing.T) {
+func TestLocality_answerClearsEvidence(t *testing.T) {
 	g := zoned(t, nil, 8, 8)
 	n := 0
 	g.play(200, 50, func(s *server) Result {
@@ -149,7 +149,7 @@
 }
 
 // A zone that is most of the fleet needs more against it: what is left could not bear the load.
-func TestLargeZoneNeedsMore(t *testing.T) {
+func TestLocality_largeZone(t *testing.T) {
 	for _, c := range []struct{ own, other, need int }{{4, 12, 2}, {8, 8, 2}, {12, 4, 4}, {15, 1, 4}} {
 		g := zoned(t, nil, c.own, c.other)
 		met := map[ServerID]bool{}
@@ -165,7 +165,7 @@
 	}
 }
 
-func TestReturnIsEarned(t *testing.T) {
+func TestLocality_zoneReturn(t *testing.T) {
 	g := zoned(t, nil, 8, 8)
 	g.play(20, 20, deadZone(0))
 	z := g.b.zones[0]
@@ -218,7 +218,7 @@
 }
 
 // A zone that fails on its return waits longer each time, and sidecars do not come back together.
-func TestPausesGrowAndDiffer(t *testing.T) {
+func TestLocality_returnBackoff(t *testing.T) {
 	seen := map[string]bool{}
 	for seed := range uint64(5) {
 		g := zoned(t, func(c *Config) { c.Seed = seed }, 8, 8)
@@ -248,7 +248,7 @@
 
 // The head of zones.go states how often a zone is left by chance: in q² of cases, when a part q of its servers is sick
 // and requests meet them at random while another zone answers. It is held to it from both sides.
-func TestZonesAreSeldomLeftByChance(t *testing.T) {
+func TestLocality_falseAlarmRate(t *testing.T) {
 	const servers, sick, meetings = 64, 8, 100000
 	g := zoned(t, nil, servers, servers)
 	z, other := g.b.zone(0), g.b.zone(1)
@@ -273,7 +273,7 @@
 	}
 }
 
-func TestNothingCrossesWithoutNeed(t *testing.T) {
+func TestLocality_noNeedlessCrossing(t *testing.T) {
 	g := zoned(t, nil, 8, 8)
 	if first := g.play(500, 20, allOK); first[1] > 5 {
 		t.Errorf("first sends by zone: %v", first)
@@ -281,7 +281,7 @@
 }
 
 // What near servers cannot take crosses, in steps, and comes back.
-func TestSpillFollowsNeed(t *testing.T) {
+func TestLocality_spillover(t *testing.T) {
 	g := zoned(t, nil, 8, 8)
 	slow := 220.0
 	load := func(n int) (far int) {
@@ -312,7 +312,7 @@
 	}
 }
 
-func TestRegionsAreTakenInOrder(t *testing.T) {
+func TestLocality_regionOrder(t *testing.T) {
 	g := zoned(t, func(c *Config) { c.Regions, c.RegionCost = []int{0, 0, 1}, 3 }, 4, 4, 4)
 	if first := g.play(200, 20, allOK); first[0] < 195 {
 		t.Errorf("calm: %v", first)
@@ -337,7 +337,7 @@
 }
 
 // A long answer that has begun has told all about its zone: the next trial does not wait for its end.
-func TestLongAnswersDoNotHoldAReturnUp(t *testing.T) {
+func TestLocality_zoneReturnOfStreams(t *testing.T) {
 	g := zoned(t, nil, 8, 8)
 	g.play(5, 20, deadZone(0))
 	z := g.b.zones[0]
