--- a/balance/list_test.go
+++ b/balance/endpoint_list_test.go
@@ -2,13 +2,80 @@
 
 import (
 	"fmt"
-	"math"
+	"math/rand/v2"
+	"slices"
 	"strings"
 	"testing"
 
 	"pgregory.net/rapid"
 )
 
+// randomEntries are changes as a list service may tell them: servers that come, drain, go, restart and move to another
+// zone, and such that nobody knew.
+func randomEntries(rng *rand.Rand, most int) []Server {
+	list := make([]Server, 1+rng.IntN(4))
+	for i := range list {
+		list[i] = Server{ID: ServerID(1 + rng.IntN(most)), Rating: 1, Zone: rng.IntN(4), State: ServerState(rng.IntN(3)),
+			StartedAt: float64(rng.IntN(3)) * 1000, AddressKey: uint64(1 + rng.IntN(most))}
+	}
+	return list
+}
+
+// A change leaves the servers in the same order, and as many ready in each zone, as a look at all of them finds.
+func TestEndpointList_incrementalChanges(t *testing.T) {
+	for _, routed := range []bool{false, true} {
+		t.Run(fmt.Sprint("routes ", routed), func(t *testing.T) {
+			cfg := baseConfig()
+			cfg.Prices.CrossZone = 0.1 // else rank does not depend on the zone
+			b := mustNew(t, cfg)
+			b.Start(1000)
+			if routed {
+				routes := Routes{Rev: 1, List: []Route{{Tenant: -1, Base: Subset{Zones: []int{1}}}}}
+				if _, err := b.Handle(1000, routes); err != nil {
+					t.Fatal(err)
+				}
+			}
+			rng := rand.New(rand.NewPCG(1, 2))
+			for i := range 3000 {
+				if _, err := b.Handle(1000+float64(i), ServerList{Kind: ListDelta, Servers: randomEntries(rng, 60)}); err != nil {
+					t.Fatal(err)
+				}
+				checkSettled(t, b)
+			}
+			if len(b.servers) == 0 {
+				t.Error("no server is left: the changes test nothing")
+			}
+		})
+	}
+}
+
+// checkSettled finds out whether a look at all servers changes anything.
+func checkSettled(t *testing.T, b *Balancer) {
+	t.Helper()
+	servers, known := slices.Clone(b.servers), len(b.byID)
+	ready, lanes := map[int]int{}, map[ServerID][]routePlacement{}
+	for _, z := range b.zones {
+		ready[z.id] = z.ready
+	}
+	for _, s := range b.servers {
+		lanes[s.ID] = slices.Clone(s.placements)
+	}
+	b.dropGone()
+	if !slices.Equal(servers, b.servers) || known != len(b.byID) {
+		t.Fatalf("%d servers by a change, %d by a look at all, or in another order", len(servers), len(b.servers))
+	}
+	for _, z := range b.zones {
+		if z.ready != ready[z.id] {
+			t.Fatalf("zone %d: %d ready by changes, %d by a look at all", z.id, ready[z.id], z.ready)
+		}
+	}
+	for _, s := range b.servers {
+		if !slices.Equal(lanes[s.ID], s.placements) {
+			t.Fatalf("server %d: %v by a change, %v by a look at all", s.ID, lanes[s.ID], s.placements)
+		}
+	}
+}
+
 func listRig(t *testing.T, change func(*Config), servers ...Server) *rig {
 	cfg := baseConfig()
 	cfg.Subscribe, cfg.ListServices, cfg.SuspectFraction, cfg.StaleAfter = true, 2, 0.3, 5000
@@ -38,15 +105,6 @@
 // timer fires a timer of the list.
 func (g *rig) timer(token uint64) []Action { return g.do(Timer{Token: token}) }
 
-func find(acts []Action, kind ActionKind) *Action {
-	for i := range acts {
-		if acts[i].Kind == kind {
-			return &acts[i]
-		}
-	}
-	return nil
-}
-
 func TestEndpointList_olderRevision(t *testing.T) {
 	g := listRig(t, nil)
 	g.do(ServerList{Kind: ListFull, Rev: 10, Servers: fleet(4)})
@@ -208,21 +266,6 @@
 	}
 }
 
-// A start in the future is of a clock that is off; the server is cold for its time and no longer.
-func TestWallClock_startInFuture(t *testing.T) {
-	g := listRig(t, nil)
-	list := ServerList{Kind: ListFull, Rev: 2, Servers: []Server{{ID: 1, StartedAt: g.now + 3.6e6}}}
-	g.do(list)
-	if !g.b.warmingUp(g.b.byID[1]) {
-		t.Error("a server that has just started is not cold")
-	}
-	g.now += g.b.cfg.SlowStartTime
-	g.do(list) // told again: it has not started again
-	if g.b.warmingUp(g.b.byID[1]) {
-		t.Error("it is still cold")
-	}
-}
-
 // Another address is another way to a server: what failed on the old one is not held against it. Another zone moves it.
 func TestEndpointList_addressChange(t *testing.T) {
 	g := listRig(t, nil, Server{ID: 1, AddressKey: 4}, Server{ID: 2, AddressKey: 5})
@@ -242,106 +285,6 @@
 	}
 }
 
-func TestEndpointList_serviceFailover(t *testing.T) {
-	g := listRig(t, func(c *Config) { c.ListServices = 3 }, fleet(3)...)
-	var order []int
-	for i := range 6 {
-		acts := g.do(ServerList{Kind: ListFailed, Source: g.b.list.source})
-		if at := find(acts, SetTimer).At; i < 3 && at > pollBackoff {
-			t.Errorf("call %d is made %v ms later", i, at)
-		}
-		g.now += find(acts, SetTimer).At
-		order = append(order, find(g.timer(listTimer), Watch).Source)
-	}
-	if fmt.Sprint(order) != "[1 2 0 1 2 0]" {
-		t.Errorf("asked in the order %v", order)
-	}
-	if g.do(ServerList{Kind: ListFailed, FromFetch: true}); g.b.list.source != 0 {
-		t.Error("a look that failed moves the watch")
-	}
-}
-
-func TestEndpointList_stuckWatch(t *testing.T) {
-	g := listRig(t, nil, fleet(3)...)
-	g.do(ServerList{Kind: ListFull, Rev: 5, Servers: fleet(3)})
-	look := func(source int) {
-		t.Helper()
-		if f := find(g.timer(checkTimer), Fetch); f == nil || f.Source != source {
-			t.Fatalf("a look at %+v, want at service %d", f, source)
-		}
-	}
-	look(1)
-	acts := g.do(ServerList{Kind: ListFull, Rev: 8, Source: 1, FromFetch: true, Servers: fleet(4)})
-	if g.wantUsed("a newer list elsewhere", "1 2 3 4"); find(acts, SetTimer) == nil {
-		t.Fatal("the watch is given no time")
-	}
-	g.do(ServerList{Kind: ListDelta, Rev: 8, Servers: fleet(4)})
-	if has(g.timer(stuckTimer), Watch) {
-		t.Fatal("a watch that told it is left")
-	}
-	look(1)
-	g.do(ServerList{Kind: ListFull, Rev: 9, Source: 1, FromFetch: true, Servers: fleet(5)})
-	g.do(ServerList{Kind: ListAlive})
-	if w := find(g.timer(stuckTimer), Watch); w == nil || w.Source != 1 {
-		t.Fatalf("a watch whose changes have stopped is kept: %+v", w)
-	}
-	for i := range backChecks {
-		look(0)
-		w := find(g.do(ServerList{Kind: ListFull, Rev: 9, FromFetch: true, Servers: fleet(5)}), Watch)
-		if last := i == backChecks-1; (w != nil) != last || last && w.Source != 0 {
-			t.Fatalf("look %d at the nearer one: %+v", i, w)
-		}
-	}
-}
-
-// Looks begin when there is a second service, end when there is none, and are never made twice.
-func TestEndpointList_checksByServiceCount(t *testing.T) {
-	g := listRig(t, func(c *Config) { c.ListServices = 1 }, fleet(3)...)
-	looks := func(acts []Action) (n int) {
-		for _, a := range acts {
-			if a.Kind == SetTimer && a.Token == checkTimer {
-				n++
-			}
-		}
-		return n
-	}
-	for i, c := range []struct {
-		ev   Event
-		want int
-	}{
-		{ListServices{Count: 1}, 0}, {ListServices{Count: 2}, 1}, {ListServices{Count: 3}, 0}, {Timer{Token: checkTimer}, 1},
-		{ListServices{Count: 1}, 0}, {Timer{Token: checkTimer}, 0}, {ListServices{Count: 2}, 1},
-	} {
-		if got := looks(g.do(c.ev)); got != c.want {
-			t.Errorf("step %d, %+v: %d looks are to come, want %d", i, c.ev, got, c.want)
-		}
-	}
-	if looks(g.acts) != 3 {
-		t.Errorf("%d looks in all", looks(g.acts))
-	}
-}
-
-// Once the list is stale a server that refuses connections stays out for longer and longer.
-func TestEndpointList_stale(t *testing.T) {
-	g := listRig(t, nil, fleet(1)...)
-	g.do(ServerList{Kind: ListFull, Rev: 2, Servers: fleet(1)})
-	s := g.b.byID[1]
-	rest := func() float64 {
-		s.ejections, s.processDown = 10, true
-		g.b.now = g.now
-		g.b.eject(s)
-		return s.ejectedUntil - g.now
-	}
-	fresh := rest()
-	g.now += g.b.cfg.StaleAfter + 1
-	if g.timer(listTimer); !g.b.ListStatus(g.now).Stale || rest() <= fresh {
-		t.Errorf("stale %v: it rests for %v ms, before for %v", g.b.ListStatus(g.now).Stale, rest(), fresh)
-	}
-	if acts := g.do(ServerList{Kind: ListAlive}); g.b.ListStatus(g.now).Stale || !has(acts, Log) || rest() != fresh {
-		t.Error("the list is heard of again, and still stale")
-	}
-}
-
 // Whatever several services tell, in whatever order: the list goes back only where nothing newer comes for long, who is
 // told to go is not used, however old the list, and requests go to those in use alone.
 func TestEndpointList_property(t *testing.T) {
@@ -394,69 +337,22 @@
 	})
 }
 
-// A watch that speaks, if only to say that nothing has changed, ends a row of failed calls: the next pause is the
-// first one again.
-func TestEndpointList_backoffReset(t *testing.T) {
-	cfg := baseConfig()
-	cfg.Subscribe = true
-	g := newRig(t, cfg, fleet(4)...)
-	pause := func() float64 {
-		for _, a := range g.do(ServerList{Kind: ListFailed}) {
-			if a.Kind == SetTimer && a.Token == listTimer {
-				return a.At
-			}
+func TestEndpointList_drainingServer(t *testing.T) {
+	g := newRig(t, baseConfig(), fleet(2)...)
+	gone := fleet(1)[0]
+	gone.State = Draining
+	g.do(ServerList{Kind: ListDelta, Servers: []Server{gone}})
+	for range 20 {
+		id, acts := g.ask(safeClass)
+		if s, _ := sentTo(acts); s != 2 {
+			t.Fatalf("sent to %d", s)
 		}
-		t.Fatal("no call is to be made again")
-		return 0
-	}
-	var last float64
-	for range 4 {
-		last = pause()
-	}
-	if last <= pollBackoff {
-		t.Fatalf("the fourth pause in a row is %v ms", last)
-	}
-	g.do(ServerList{Kind: ListAlive})
-	if got := pause(); got > pollBackoff {
-		t.Errorf("after a word the next pause is %v ms, want at most %v", got, pollBackoff)
-	}
-}
-
-// A watch that begins from the list known at the start has nothing to tell until that changes.
-func TestEndpointList_quietWatch(t *testing.T) {
-	g := listRig(t, nil)
-	g.do(ServerList{Kind: ListCached, Rev: 5, Servers: fleet(4)})
-	g.do(ServerList{Kind: ListAlive})
-	acts := g.do(ServerList{Kind: ListFull, Rev: 5, Source: 1, FromFetch: true, Servers: fleet(4)})
-	if has(acts, SetTimer) || has(g.timer(stuckTimer), Watch) {
-		t.Fatal("a watch that has nothing to tell beyond what was known counts as stuck")
-	}
-	g.do(ServerList{Kind: ListFull, Rev: 6, Source: 1, FromFetch: true, Servers: fleet(4)})
-	if w := find(g.timer(stuckTimer), Watch); w == nil || w.Source != 1 {
-		t.Fatal("a stuck watch is not left")
+		g.answer(id, 0, OK, 10)
 	}
-}
-
-// LongestPause bounds each pause, whatever AskWithin allows and the service says.
-func TestEndpointList_maxPollBackoff(t *testing.T) {
-	for _, askWithin := range []float64{0, 10000, 600000} {
-		cfg := baseConfig()
-		cfg.Subscribe, cfg.PollInterval, cfg.MaxPollBackoff = true, askWithin, 4500
-		for name, failure := range map[string]ServerList{
-			"nobody there": {Kind: ListFailed}, "turned away": {Kind: ListFailed, Busy: true},
-			"told to come in an hour": {Kind: ListFailed, Busy: true, RetryAfter: 3.6e6},
-		} {
-			g := newRig(t, cfg, fleet(3)...)
-			longest := 0.0
-			for range 40 {
-				at := find(g.do(failure), SetTimer).At
-				longest = math.Max(longest, at)
-				g.now += at
-				g.timer(listTimer)
-			}
-			if longest > cfg.MaxPollBackoff || longest < cfg.MaxPollBackoff/2 && (askWithin != 10000 || failure.Busy) {
-				t.Errorf("%s, AskWithin %v: the longest of 40 pauses is %v ms", name, askWithin, longest)
-			}
-		}
+	gone.State = Ready
+	g.do(ServerList{Kind: ListFull, Servers: []Server{gone}}) // the other is left out: it has gone
+	id, acts := g.ask(safeClass)
+	if s, _ := sentTo(acts); s != 1 {
+		t.Fatalf("sent to %d of request %d", s, id)
 	}
 }
--- a/balance/helpers_test.go
+++ b/balance/harness_test.go
@@ -107,3 +107,28 @@
 	}
 	return false
 }
+
+func find(acts []Action, kind ActionKind) *Action {
+	for i := range acts {
+		if acts[i].Kind == kind {
+			return &acts[i]
+		}
+	}
+	return nil
+}
+
+// sequence sends n safe requests one after the other, each answered before the next.
+func sequence(g *rig, n int) []ServerID {
+	var ids []ServerID
+	for range n {
+		id, acts := g.ask(safeClass)
+		s, ok := sentTo(acts)
+		if !ok {
+			g.t.Fatal("nothing was sent")
+		}
+		ids = append(ids, s)
+		g.b.reqs[id].stats.n = 0 // no learning from these answers
+		g.answer(id, 0, OK, 10)
+	}
+	return ids
+}
--- a/balance/limits_test.go
+++ b/balance/limits_test.go
@@ -1,13 +1,100 @@
 package balance
 
 import (
+	"fmt"
+	"math"
 	"os"
 	"path/filepath"
 	"slices"
 	"strings"
 	"testing"
+	"time"
 )
 
+// newGrown is a balancer with so many servers in three zones.
+func newGrown(t testing.TB, n int) *Balancer {
+	t.Helper()
+	b := mustNew(t, baseConfig())
+	b.Start(1000)
+	list := ServerList{Kind: ListFull, Servers: fleet(n)}
+	for i := range list.Servers {
+		list.Servers[i].Zone %= 3
+	}
+	if _, err := b.Handle(1000, list); err != nil {
+		t.Fatal(err)
+	}
+	return b
+}
+
+// changeOne lets a server drain, go and come again in turn.
+func changeOne(t testing.TB, b *Balancer, round int) {
+	t.Helper()
+	one := fleet(1)
+	one[0].State = ServerState(round % 3)
+	if _, err := b.Handle(1000, ServerList{Kind: ListDelta, Servers: one}); err != nil {
+		t.Fatal(err)
+	}
+}
+
+// askOne brings a request, one of 20 a second, and its answer.
+func askOne(t testing.TB, b *Balancer, round int) {
+	t.Helper()
+	now, id := 1000+50*float64(round), RequestID(round+1)
+	acts, err := b.Handle(now, Request{ID: id, Class: safeClass, Remaining: 1500})
+	if err != nil {
+		t.Fatal(err)
+	}
+	if acts[0].Kind != Send {
+		return
+	}
+	answer := Outcome{Request: id, Server: acts[0].Server, Result: OK, Elapsed: 20, Finished: true}
+	if _, err := b.Handle(now+20, answer); err != nil {
+		t.Fatal(err)
+	}
+}
+
+// BenchmarkListChange is what one change of the list costs with few and with many servers.
+func BenchmarkListChange(b *testing.B) { benchmarkGrown(b, changeOne) }
+
+// BenchmarkRequestInFleet is what a request costs with few and with many servers.
+func BenchmarkRequestInFleet(b *testing.B) { benchmarkGrown(b, askOne) }
+
+func benchmarkGrown(b *testing.B, do func(testing.TB, *Balancer, int)) {
+	for _, n := range []int{200, 3200} {
+		b.Run(fmt.Sprint(n), func(b *testing.B) {
+			balancer := newGrown(b, n)
+			for i := 0; b.Loop(); i++ {
+				do(b, balancer, i)
+			}
+		})
+	}
+}
+
+// With sixteen times the servers neither a request nor a change of the list takes as many times as long: nobody walks
+// over all servers. The least of several times in turn is compared, as the machine may be busy.
+func TestLimits_costInLargeFleet(t *testing.T) {
+	const tries, rounds, most = 7, 400, 5
+	for name, do := range map[string]func(testing.TB, *Balancer, int){"request": askOne, "change": changeOne} {
+		t.Run(name, func(t *testing.T) {
+			least := map[int]time.Duration{200: math.MaxInt64, 3200: math.MaxInt64}
+			for range tries {
+				for n := range least {
+					b := newGrown(t, n)
+					began := time.Now()
+					for i := range rounds {
+						do(t, b, i)
+					}
+					least[n] = min(least[n], time.Since(began))
+				}
+			}
+			if least[3200] > most*least[200] {
+				t.Errorf("%d rounds took %v with 3200 servers and %v with 200, over %d times as long", rounds, least[3200],
+					least[200], most)
+			}
+		})
+	}
+}
+
 // Limits of a file of decisions, so that each has one subject and can be read in one sitting.
 const (
 	mostLines         = 400 // that are not blank
@@ -95,46 +182,56 @@
 	}
 }
 
-// At the end of a process each request gets its one answer, and none is sent any more.
-func TestEvents_shutdown(t *testing.T) {
-	g := newRig(t, baseConfig(), fleet(4)...)
-	safe, _ := g.ask(safeClass)
-	unsafe, _ := g.ask(unsafeClass)
-	acts := g.do(Shutdown{})
-	want := map[RequestID]ActionKind{safe: Reject, unsafe: Fail}
-	for _, a := range acts {
-		if kind, asked := want[a.Request]; asked && a.Kind == kind {
-			delete(want, a.Request)
+// What has ended is forgotten: requests, servers that are gone, probes that are waited for.
+func TestLimits_memory(t *testing.T) {
+	g := newRig(t, probeConfig(), fleet(5)...)
+	for i := range 20000 {
+		g.acts = g.acts[:0]
+		g.now += 5
+		id, acts := g.ask(safeClass)
+		acts = append(acts, g.probes(acts, 0, nil)...)
+		if _, ok := sentTo(acts); ok {
+			g.answer(id, 0, OK, 5)
+		}
+		if i%20 == 0 { // a rolling deploy: new names all the time
+			list := fleet(5)
+			for k := range list {
+				list[k].ID = ServerID(i + k + 1)
+			}
+			g.do(ServerList{Kind: ListFull, Servers: list})
 		}
 	}
-	if len(want) > 0 {
-		t.Errorf("not answered: %v in %v", want, acts)
-	}
-	if _, acts := g.ask(safeClass); len(acts) != 1 || acts[0].Kind != Reject {
-		t.Errorf("after the end a request gets %v", acts)
-	}
-	if acts := g.answer(safe, 0, ConnectFailed, 1); has(acts, Send) {
-		t.Errorf("sent again after the end: %v", acts)
+	b := g.b
+	if len(b.reqs) > 1 || len(b.servers) != 5 || len(b.byID) != 5 || len(b.waitingForChecks) > 1 || cap(b.out) > 100 {
+		t.Fatalf("%d requests, %d servers, %d by ID, %d waiting, room for %d actions",
+			len(b.reqs), len(b.servers), len(b.byID), len(b.waitingForChecks), cap(b.out))
 	}
 }
 
-// What is overdue at a server that rests is no load any more: it hangs, and that is no overload of the others.
-func TestAdmission_ejectedServerExcluded(t *testing.T) {
-	g := newRig(t, baseConfig(), fleet(1)...)
-	var ids []RequestID
-	for range errorsToEject {
-		id, _ := g.ask(safeClass)
-		ids = append(ids, id)
-	}
-	before := g.b.inFlightLoad
-	g.now += baseConfig().Classes[safeClass].LatencyObjective / 2 // few answers are known: then an attempt is overdue
-	for _, id := range ids {
-		g.do(Timer{Token: uint64(id)})
-	}
-	if _, avoided := g.b.CountServers(g.now); avoided != 1 {
-		t.Fatalf("%d servers rest", avoided)
-	}
-	if g.b.inFlightLoad >= before {
-		t.Errorf("the load is %v, and was %v before the server was found to hang", g.b.inFlightLoad, before)
+func BenchmarkRequest(b *testing.B) {
+	for _, n := range []int{12, 100, 300} {
+		b.Run(fmt.Sprintf("%d-servers", n), func(b *testing.B) {
+			bal := mustNew(b, baseConfig())
+			bal.Start(0)
+			if _, err := bal.Handle(0, ServerList{Kind: ListFull, Servers: fleet(n)}); err != nil {
+				b.Fatal(err)
+			}
+			b.ReportAllocs()
+			now := 0.0
+			for i := range b.N {
+				now += 5
+				id := RequestID(i + 1)
+				acts, err := bal.Handle(now, Request{ID: id, Remaining: 1500})
+				if err != nil || len(acts) == 0 {
+					b.Fatal(err, acts)
+				}
+				if acts[0].Kind != Send {
+					continue
+				}
+				if _, err := bal.Handle(now+4, Outcome{Request: id, Server: acts[0].Server, Elapsed: 4, Finished: true}); err != nil {
+					b.Fatal(err)
+				}
+			}
+		})
 	}
 }
--- a/balance/zones_test.go
+++ b/balance/locality_test.go
@@ -6,6 +6,24 @@
 	"testing"
 )
 
+// Where crossing zones has a price, the own zone gets more, and others still take their part.
+func TestLocality_crossZonePrice(t *testing.T) {
+	for price, least := range map[float64]int{0: 10, 0.05: 25} {
+		cfg := baseConfig()
+		cfg.Prices.CrossZone, cfg.Zone = price, 1
+		g := newRig(t, cfg, fleet(8)...)
+		own := 0
+		for _, s := range sequence(g, 40) {
+			if s > 4 {
+				own++
+			}
+		}
+		if own < least || own > 38 || price == 0 && own > 20 {
+			t.Errorf("price %v: %d of 40 in the own zone", price, own)
+		}
+	}
+}
+
 // zoned is a rig whose sidecar lies in zone 0 and pays for crossing; each zone has so many servers, IDs from 1.
 func zoned(t *testing.T, change func(*Config), zones ...int) *rig {
 	t.Helper()
--- a/balance/property_test.go
+++ b/balance/random_events_test.go
@@ -266,3 +266,14 @@
 	}
 	return false
 }
+
+// serve answers what is out for a request, if anything is.
+func (w *world) serve(id RequestID) {
+	o := w.open[id]
+	for i := range o.tries {
+		if a := &o.tries[i]; a.live {
+			a.live, o.answered = false, true
+			w.handle(Outcome{Request: id, Attempt: i, Server: a.server.ID, Elapsed: w.now - a.sent, Finished: true})
+		}
+	}
+}
--- a/balance/retry_test.go
+++ b/balance/retry_test.go
@@ -1,158 +1,228 @@
 package balance
 
 import (
-	"math"
+	"fmt"
 	"testing"
 )
 
-// judged is what may be held against a server.
-type judged struct {
-	errs, rests                int
-	restUntil, coldSince, size float64
-	down, dark                 bool
-	against                    float64
-}
-
-func (g *rig) judged(id ServerID) judged {
-	s := g.b.byID[id]
-	return judged{s.consecutiveErrors, s.ejections, s.ejectedUntil, s.slowStartAt, s.size, s.processDown, s.healthCheckFailed, s.zone.evidence}
+// What may follow the end of a first attempt, for each effect, group and result, within the
+// window and after it: another send, a refusal, a failure.
+func TestRetry_afterFirstAttempt(t *testing.T) {
+	for _, class := range []int{safeClass, unsafeClass, cellClass, allClass, zoneClass} {
+		for _, res := range []Result{Failed, Rejected, TimedOut, ConnectFailed, Reset, Cancelled, WriteFailed} {
+			for _, late := range []bool{false, true} {
+				t.Run(fmt.Sprintf("class%d/result%d/late=%v", class, res, late), func(t *testing.T) {
+					followAttempt(t, class, res, late)
+				})
+			}
+		}
+	}
 }
 
-// wait lets the time of a request's next timer come, and tells how long that was.
-func (g *rig) wait(id RequestID) (acts []Action, waited float64) {
-	g.t.Helper()
-	due := g.b.reqs[id].wakeAt
-	if math.IsInf(due, 1) {
-		g.t.Fatalf("request %d waits for nothing", id)
-	}
-	waited = due - g.now
-	g.now = due
-	return g.do(Timer{Token: uint64(id)}), waited
+func followAttempt(t *testing.T, class int, res Result, late bool) {
+	cfg := baseConfig()
+	for i := range cfg.Classes {
+		cfg.Classes[i].LatencyObjective = cfg.Classes[i].Deadline // a re-route is worth its while to the end
+		cfg.Classes[i].KeyWindow = 200
+	}
+	g := newRig(t, cfg, fleet(8)...)
+	id, acts := g.ask(class)
+	first, ok := sentTo(acts)
+	if !ok {
+		t.Fatal("the request was not sent")
+	}
+	if g.now += 100; late {
+		g.now += 200
+	}
+	acts = g.answer(id, 0, res, 100)
+	c := cfg.Classes[class]
+	mayResend := c.Idempotency == Idempotent || res.NeverRan() || c.Idempotency == IdempotentWithKey && !late
+	second, sent := sentTo(acts)
+	if sent != mayResend {
+		t.Fatalf("sent again: %v, want %v (%+v)", sent, mayResend, acts)
+	}
+	if !sent {
+		mayRefuse := c.Idempotency == IdempotentWithKey && c.KeyScope == KeyScopeAll
+		if has(acts, Reject) != mayRefuse || has(acts, Fail) == mayRefuse {
+			t.Fatalf("refusal allowed: %v, got %+v", mayRefuse, acts)
+		}
+		return
+	}
+	a, b := g.b.byID[first], g.b.byID[second]
+	dirty := !res.NeverRan()
+	if a == b || dirty && class == cellClass && a.Cell != b.Cell || dirty && class == zoneClass && a.Zone != b.Zone {
+		t.Fatalf("sent to %+v after %+v", b.Server, a.Server)
+	}
 }
 
-// A failure of this machine is held against no server, uses up no attempt, and the request goes on after a pause that
-// doubles, even one that must not run twice.
-func TestRetry_localFailure(t *testing.T) {
-	for name, class := range map[string]int{"safe": safeClass, "unsafe": unsafeClass, "keyed": cellClass} {
-		t.Run(name, func(t *testing.T) {
-			g := newRig(t, baseConfig(), fleet(8)...)
-			id, acts := g.ask(class)
-			for n, pause := range []float64{5, 10, 20, 40} {
-				server, sent := sentTo(acts)
-				if !sent {
-					t.Fatalf("attempt %d was not sent: %+v", n, acts)
-				}
-				before := g.judged(server)
-				if acts = g.answer(id, n, LocalFailure, 0.1); has(acts, Send) || has(acts, Reject) || has(acts, Fail) {
-					t.Fatalf("after failure %d: %+v, want a pause", n, acts)
-				}
-				if after := g.judged(server); after != before {
-					t.Errorf("server %d: %+v, was %+v", server, after, before)
-				}
-				var waited float64
-				if acts, waited = g.wait(id); waited != pause {
-					t.Errorf("pause %d lasts %v ms, want %v", n, waited, pause)
-				}
-			}
-			sends := 0
-			for n := 4; has(acts, Send); n++ { // all of its attempts are left
-				sends++
-				acts = g.answer(id, n, ConnectFailed, 0.1)
-			}
-			if sends != baseConfig().MaxAttempts || !has(acts, Reject) {
-				t.Errorf("%d further attempts, then %+v, want %d and a refusal", sends, acts, baseConfig().MaxAttempts)
+// A repeat may wait for a new connection before its first byte leaves, as long as connects may take: one that was
+// decided within the window left after it, when servers may have forgotten its key.
+func TestRetry_keyWindow(t *testing.T) {
+	const connect, window = 120.0, 300.0
+	cfg := baseConfig()
+	cfg.ConnectTimeout = connect
+	for i := range cfg.Classes {
+		cfg.Classes[i].LatencyObjective = cfg.Classes[i].Deadline // a re-route is worth its while to the end
+		cfg.Classes[i].KeyWindow = window
+	}
+	for _, class := range []int{safeClass, cellClass, allClass, zoneClass} {
+		for _, after := range []float64{0, 100, window - connect - 1, window - connect, window - 1, window, window + 1} {
+			g := newRig(t, cfg, fleet(8)...)
+			id, _ := g.ask(class)
+			g.now += after
+			acts := g.answer(id, 0, Failed, after)
+			if sent, may := has(acts, Send), class == safeClass || after+connect < window; sent != may {
+				t.Errorf("class %d, failed after %v ms: sent again %v, want %v", class, after, sent, may)
 			}
-		})
+		}
 	}
 }
 
-// However long this machine fails, the request is refused when its time is up, after few tries.
-func TestRetry_localFailureUntilDeadline(t *testing.T) {
-	for name, class := range map[string]int{"safe": safeClass, "unsafe": unsafeClass, "keyed": allClass} {
-		t.Run(name, func(t *testing.T) {
-			g := newRig(t, baseConfig(), fleet(8)...)
-			earliestStart, n := g.now, 0
-			id, acts := g.ask(class)
-			for !has(acts, Reject) {
-				if has(acts, Send) {
-					acts = g.answer(id, n, LocalFailure, 0.1)
-					n++
-				} else {
-					acts, _ = g.wait(id)
-				}
-				if has(acts, Fail) {
-					t.Fatalf("%+v, want a refusal", acts)
-				}
-			}
-			if took := g.now - earliestStart; took > g.b.cfg.Classes[class].Deadline || n > 12 {
-				t.Errorf("refused after %v ms and %d tries, want at its time and within 12", took, n)
-			}
-		})
+// The window begins with the first attempt that may have run: what never ran uses up none of it.
+func TestRetry_keyWindowStart(t *testing.T) {
+	cfg := baseConfig()
+	cfg.ConnectTimeout = 120
+	cfg.Classes[allClass].KeyWindow = 200
+	g := newRig(t, cfg, fleet(8)...)
+	id, _ := g.ask(allClass)
+	g.now += 250
+	if !has(g.answer(id, 0, ConnectFailed, 250), Send) {
+		t.Fatal("not sent again after a connect that failed")
+	}
+	g.now += 70
+	if !has(g.answer(id, 1, Failed, 70), Send) {
+		t.Error("not repeated within the window of the attempt that may have run")
 	}
 }
 
-// Where no time bounds it, as the body is still coming, the number of failures does.
-func TestRetry_localFailureLimit(t *testing.T) {
-	g := newRig(t, baseConfig(), fleet(8)...)
-	g.next++
-	id, n := g.next, 0
-	acts := g.do(Request{ID: id, Class: safeClass, Remaining: 500, BodyStreaming: true})
-	for !has(acts, Reject) {
-		if n > maxLocalFailures+g.b.cfg.MaxAttempts {
-			t.Fatalf("%d tries and no end", n)
-		}
-		if has(acts, Send) {
-			acts = g.answer(id, n, LocalFailure, 0.1)
-			n++
-		} else {
-			acts, _ = g.wait(id)
+func TestRetry_deadlineAfterSend(t *testing.T) {
+	g := newRig(t, baseConfig(), fleet(4)...)
+	for _, class := range []int{unsafeClass, cellClass, zoneClass} {
+		id, _ := g.ask(class)
+		g.now = g.b.reqs[id].deadline
+		acts := g.do(Timer{Token: uint64(id)})
+		if has(acts, Reject) || !has(acts, Fail) {
+			t.Errorf("class %d at its deadline with an attempt out: %+v", class, acts)
 		}
 	}
 }
 
-// A probe that this machine could not send says nothing of its server.
-func TestHealthCheck_localFailure(t *testing.T) {
-	g := newRig(t, baseConfig(), fleet(8)...)
-	before := g.judged(3)
-	g.b.byID[3].checkPending = true
-	g.do(HealthCheckResult{Server: 3, Result: LocalFailure, Elapsed: 0.1})
-	if after := g.judged(3); after != before || g.b.byID[3].checkPending {
-		t.Errorf("%+v, was %+v; it may be probed again: %v", after, before, !g.b.byID[3].checkPending)
+func TestRetry_noTimeLeft(t *testing.T) {
+	g := newRig(t, baseConfig(), fleet(4)...)
+	acts := g.do(Request{ID: 1, Class: unsafeClass, Remaining: 0})
+	if !has(acts, Reject) || has(acts, Send) {
+		t.Fatalf("a request without time left: %+v", acts)
 	}
 }
 
-// A server to which there is no way is rested as one that is gone, but it does not start again: it stays warm.
-func TestEjection_unreachableServer(t *testing.T) {
-	for _, test := range []struct {
-		result Result
-		cold   bool
-	}{{ConnectFailed, true}, {Unreachable, false}} {
-		g := newRig(t, baseConfig(), fleet(8)...)
-		id, acts := g.ask(safeClass)
-		server, _ := sentTo(acts)
-		s := g.b.byID[server]
-		if acts = g.answer(id, 0, test.result, 1); !has(acts, Send) || !g.b.ejected(s) {
-			t.Errorf("result %v: %+v, resting %v, want another attempt and a rest", test.result, acts, g.b.ejected(s))
+func TestRetry_noUsableServer(t *testing.T) {
+	drained := fleet(3)
+	for i := range drained {
+		drained[i].State = Draining
+	}
+	for name, servers := range map[string][]Server{"empty": nil, "draining": drained} {
+		g := newRig(t, baseConfig(), servers...)
+		id, acts := g.ask(unsafeClass)
+		if has(acts, Send) || !has(acts, SetTimer) {
+			t.Fatalf("%s: %+v", name, acts)
 		}
-		g.now = s.ejectedUntil
-		for g.b.ejected(s) || s.consecutiveErrors > 0 { // until it answers again
+		refused := false
+		for g.now < 1000+baseConfig().Classes[unsafeClass].Deadline {
 			g.now += 10
-			id, acts := g.ask(safeClass)
-			if to, sent := sentTo(acts); !sent || to == 0 {
-				t.Fatalf("%+v", acts)
-			}
-			g.answer(id, 0, OK, 10)
+			refused = refused || has(g.do(Timer{Token: uint64(id)}), Reject)
 		}
-		if cold := g.b.warmingUp(s); cold != test.cold {
-			t.Errorf("result %v: it starts anew: %v, want %v", test.result, cold, test.cold)
+		if !refused || len(g.b.reqs) != 0 {
+			t.Fatalf("%s: refused %v, %d requests left", name, refused, len(g.b.reqs))
 		}
 	}
 }
 
-// An attempt to a canary that this machine could not send costs no unit.
-func TestCanaryBudget_localFailure(t *testing.T) {
-	a := &attempt{}
-	if a.spendsUnit(&request{}, Outcome{Result: LocalFailure}) || !a.spendsUnit(&request{}, Outcome{Result: Unreachable}) {
-		t.Error("want a unit spent on a canary out of reach, and none on a failure of this machine")
+func TestRetry_attemptLimit(t *testing.T) {
+	cfg := baseConfig()
+	cfg.MaxAttempts = 1
+	g := newRig(t, cfg, fleet(4)...)
+	id, _ := g.ask(safeClass)
+	if acts := g.answer(id, 0, Rejected, 1); has(acts, Send) || !has(acts, Reject) {
+		t.Fatalf("after the only attempt allowed: %+v", acts)
+	}
+}
+
+// Once a streamed answer has begun the client owns it: no deadline, no repeat, no answer of ours.
+func TestRetry_startedStream(t *testing.T) {
+	cfg := baseConfig()
+	cfg.Classes[safeClass].Stream = true
+	g := newRig(t, cfg, fleet(3)...)
+	id, acts := g.ask(safeClass)
+	s, _ := sentTo(acts)
+	g.do(AnswerStarted{Request: id, Server: s, Elapsed: 20})
+	if a := g.b.reqs[id].attempts[0]; a.server.inFlight != 0 || g.b.classes[safeClass].mean != 20 {
+		t.Errorf("the server holds %d, answers take %v", a.server.inFlight, g.b.classes[safeClass].mean)
+	}
+	g.now += 5000
+	if acts := g.do(Timer{Token: uint64(id)}); has(acts, Fail) || has(acts, Reject) || has(acts, Send) {
+		t.Fatalf("a running stream got %+v", acts)
+	}
+	g.do(Outcome{Request: id, Server: s, Result: Reset, Elapsed: 5000, Finished: true})
+	if len(g.b.reqs) != 0 {
+		t.Fatal("an ended stream is remembered")
+	}
+	if server := g.b.byID[s]; server.consecutiveErrors != 1 || server.inFlight != 0 {
+		t.Errorf("after a break: %d errors, %d held", server.consecutiveErrors, server.inFlight)
+	}
+}
+
+// While a body comes no time passes, for the request or its server; from its last byte on both count.
+func TestRetry_streamingBodyDeadline(t *testing.T) {
+	g := newRig(t, baseConfig(), fleet(3)...)
+	g.next++
+	id := g.next
+	g.do(Request{ID: id, Class: unsafeClass, Remaining: 600, BodyStreaming: true})
+	r := g.b.reqs[id]
+	if len(r.attempts) != 1 {
+		t.Fatal("it is not sent at once")
+	}
+	g.now += 60000
+	if acts := g.do(Timer{Token: uint64(id)}); len(acts) > 0 || r.attempts[0].server.consecutiveErrors > 0 || g.b.inFlightLoad > 0 {
+		t.Fatalf("while its body comes: %+v, %d errors, load %v", acts, r.attempts[0].server.consecutiveErrors, g.b.inFlightLoad)
+	}
+	if acts := g.do(BodyComplete{Request: id, Remaining: 600}); !has(acts, SetTimer) || g.b.inFlightLoad == 0 {
+		t.Fatalf("at its last byte: %+v, load %v", acts, g.b.inFlightLoad)
+	}
+	g.now += 601
+	if acts := g.do(Timer{Token: uint64(id)}); !has(acts, Fail) {
+		t.Errorf("at its deadline: %+v", acts)
+	}
+	g.answer(id, 0, Cancelled, 601)
+	if g.b.inFlightLoad != 0 {
+		t.Errorf("load %v is left", g.b.inFlightLoad)
+	}
+}
+
+// What never ran is sent again only while its body is held.
+func TestRetry_consumedBody(t *testing.T) {
+	for _, spent := range []bool{false, true} {
+		g := newRig(t, baseConfig(), fleet(3)...)
+		g.next++
+		g.do(Request{ID: g.next, Class: unsafeClass, Remaining: 600, BodyStreaming: true})
+		s := g.b.reqs[g.next].attempts[0].server.ID
+		acts := g.do(Outcome{Request: g.next, Server: s, Result: Rejected, Elapsed: 5, BodyConsumed: spent})
+		if has(acts, Send) == spent || has(acts, Reject) != spent {
+			t.Errorf("spent %v: %+v", spent, acts)
+		}
+	}
+}
+
+// After a crash two failed connects refused a request although attempts and time were left; what may have
+// run is re-routed once at most.
+func TestRetry_rerouteLimit(t *testing.T) {
+	for res, sends := range map[Result]int{ConnectFailed: 4, WriteFailed: 4, Rejected: 4, Failed: 2} {
+		g := newRig(t, baseConfig(), fleet(8)...)
+		id, _ := g.ask(safeClass)
+		n := 1
+		for ; has(g.answer(id, n-1, res, 1), Send); n++ {
+		}
+		if n != sends {
+			t.Errorf("result %v: %d attempts, want %d of at most %d", res, n, sends, baseConfig().MaxAttempts)
+		}
 	}
 }
--- a/balance/rotation_test.go
+++ b/balance/rotation_test.go
@@ -3,126 +3,99 @@
 import (
 	"maps"
 	"math"
+	"math/rand/v2"
+	"reflect"
+	"slices"
 	"testing"
 )
 
-// sequence sends n safe requests one after the other, each answered before the next.
-func sequence(g *rig, n int) []ServerID {
-	var ids []ServerID
-	for range n {
-		id, acts := g.ask(safeClass)
-		s, ok := sentTo(acts)
-		if !ok {
-			g.t.Fatal("nothing was sent")
-		}
-		ids = append(ids, s)
-		g.b.reqs[id].stats.n = 0 // no learning from these answers
-		g.answer(id, 0, OK, 10)
+// A pick that passes over the servers outside the rotation leaves each as a pick that looks at all of them does.
+func TestRotation_skippedServers(t *testing.T) {
+	for _, c := range []struct {
+		name   string
+		rating float64 // small: the sum of weights is under what servers begin with
+		routed bool
+	}{{"usual ratings", 1, false}, {"small ratings", 0.05, false}, {"with a route", 1, true}} {
+		t.Run(c.name, func(t *testing.T) {
+			cfg := baseConfig()
+			cfg.Tenants = []Tenant{{Allowance: 100, Quota: 0.5}, {Allowance: 100, Quota: 0.5}}
+			quick, thorough := mustNew(t, cfg), mustNew(t, cfg)
+			tell := func(now float64, ev Event) []Action {
+				t.Helper()
+				thorough.maxOtherRunning = math.Inf(1) // it looks at all of them
+				want, err := thorough.Handle(now, ev)
+				got, again := quick.Handle(now, ev)
+				if err != nil || again != nil || !reflect.DeepEqual(want, got) {
+					t.Fatalf("%#v: %v %v, at all %v %v", ev, got, again, want, err)
+				}
+				for i, s := range thorough.servers {
+					if q := quick.servers[i]; q.ID != s.ID || q.running != s.running || q.weight != s.weight {
+						t.Fatalf("%#v: server %d runs at %v, at all %v", ev, s.ID, q.running, s.running)
+					}
+				}
+				return slices.Clone(got)
+			}
+			quick.Start(1000)
+			thorough.Start(1000)
+			if c.routed {
+				tell(1000, Routes{Rev: 1, List: []Route{{Tenant: 1, Base: Subset{Zones: []int{1}}}}})
+			}
+			playAtRandom(tell, c.rating)
+		})
 	}
-	return ids
 }
 
-func TestPicker_weights(t *testing.T) {
-	servers := fleet(3)
-	servers[0].Rating = 5
-	got := sequence(newRig(t, baseConfig(), servers...), 7)
-	want := []ServerID{1, 1, 2, 1, 3, 1, 1}
-	for i := range want {
-		if got[i] != want[i] {
-			t.Fatalf("sequence %v, want %v", got, want)
+// playAtRandom tells of requests, ends of their attempts and changes of the list.
+func playAtRandom(tell func(now float64, ev Event) []Action, rating float64) {
+	rng := rand.New(rand.NewPCG(3, 4))
+	for i := range 4000 {
+		now := 1000 + 40*float64(i)
+		if i%5 == 0 {
+			entries := randomEntries(rng, 60)
+			for k := range entries {
+				entries[k].Rating = rating * rng.Float64()
+			}
+			tell(now, ServerList{Kind: ListDelta, Servers: entries})
 		}
-	}
-}
-
-func TestEjection_healthScore(t *testing.T) {
-	g := newRig(t, baseConfig(), fleet(2)...)
-	s := g.b.servers[0]
-	if m := g.b.health(s); m != 1 {
-		t.Fatalf("m without errors is %v", m)
-	}
-	s.consecutiveErrors, s.lastErrorAt = 2, g.now
-	if m := g.b.health(s); math.Abs(m-(1-2*penaltyPerError)) > 1e-9 {
-		t.Fatalf("m after two errors is %v", m)
-	}
-	g.b.now += halfLife
-	if m := g.b.health(s); math.Abs(m-(1-penaltyPerError)) > 1e-9 {
-		t.Fatalf("m after a half-life is %v", m)
-	}
-	s.consecutiveErrors = 1000
-	if m := g.b.health(s); m != healthFloor {
-		t.Fatalf("m after very many errors is %v, want the floor", m)
-	}
-	if m := g.b.health(g.b.servers[1]); m != 1 {
-		t.Fatalf("another server's errors moved m to %v", m)
-	}
-	s.consecutiveErrors = 2
-	id, _ := g.ask(safeClass)
-	g.b.reqs[id].attempts[0].server = s
-	s.inFlight, g.b.servers[1].inFlight = 1, 0
-	g.answer(id, 0, OK, 10)
-	if m := g.b.health(s); m != 1 {
-		t.Fatalf("m after a success is %v", m)
-	}
-}
-
-func TestPicker_healthFloor(t *testing.T) {
-	g := newRig(t, baseConfig(), fleet(4)...)
-	hits := 0
-	for range 40 { // a success resets the errors, so they are set again each time
-		g.b.servers[2].consecutiveErrors, g.b.servers[2].lastErrorAt = 1000, g.now
-		if sequence(g, 1)[0] == 3 {
-			hits++
+		id := RequestID(i + 1)
+		acts := tell(now, Request{ID: id, Class: rng.IntN(2), Tenant: rng.IntN(2), Remaining: 600})
+		for attempt, sent := 0, true; sent; attempt++ {
+			sent = false
+			for _, a := range acts {
+				if a.Kind == Send && a.Request == id {
+					result := []Result{OK, OK, OK, Failed, ConnectFailed}[rng.IntN(5)]
+					acts, sent = tell(now+20, Outcome{Request: id, Attempt: attempt, Server: a.Server, Result: result,
+						Elapsed: 20, Finished: result == OK}), true
+					break
+				}
+			}
 		}
 	}
-	if hits == 0 || hits >= 10 {
-		t.Fatalf("the server at the floor got %d of 40", hits)
-	}
 }
 
-func TestPicker_rerouteByHealth(t *testing.T) {
-	g := newRig(t, baseConfig(), fleet(4)...)
-	for _, s := range g.b.servers {
-		s.consecutiveErrors, s.lastErrorAt = 2, g.now
+// Along a route the running values of each group are kept at most at its sum of weights, too, though the group before
+// had no server at all.
+func TestRotation_skippedServersOfRoute(t *testing.T) {
+	list := fleet(20)
+	for i := range list {
+		list[i].Rating = 0.05
+	}
+	g := newRig(t, baseConfig(), list...)
+	const nowhere = 99
+	g.do(Routes{Rev: 1, List: []Route{{Tenant: -1, Base: Subset{Zones: []int{nowhere}}}}})
+	if _, acts := g.ask(safeClass); !has(acts, Send) {
+		t.Fatalf("not sent: %v", acts)
+	}
+	total := 0.0
+	for _, s := range g.b.candidates {
+		total += s.weight
+	}
+	if len(g.b.candidates) >= len(list) {
+		t.Fatal("all servers are in the rotation")
 	}
-	g.b.servers[2].consecutiveErrors = 1
-	g.b.servers[1].running = 1000 // its turn, though it is not the healthiest
-	id, acts := g.ask(safeClass)
-	if s, _ := sentTo(acts); s != 2 {
-		t.Fatalf("first sent to %d, want 2", s)
-	}
-	g.b.servers[3].running = 1000 // next in turn, which must not count for a re-route
-	if s, ok := sentTo(g.answer(id, 0, Rejected, 1)); !ok || s != 3 {
-		t.Fatalf("re-routed to %d, want 3", s)
-	}
-}
-
-// Where every server holds far more than its share a first send goes to the one that holds least for
-// its weight: the next in turn was crowded further; a re-route still goes by m. While one is
-// not over its share, the turn decides.
-func TestPicker_allServersLoaded(t *testing.T) {
-	for _, c := range []struct {
-		holds [4]int
-		want  ServerID
-	}{
-		{[4]int{4, 3, 4, 4}, 2}, // all are over
-		{[4]int{4, 4, 1, 0}, 3}, // 3 and 4 are not over, and it is the turn of 3
-	} {
-		g := newRig(t, baseConfig(), fleet(4)...)
-		for i, s := range g.b.servers {
-			s.inFlight, s.running = c.holds[i], float64(10*(4-i))
-		}
-		g.b.servers[1].consecutiveErrors, g.b.servers[1].lastErrorAt = 1, g.now-5000
-		r := &request{class: &g.b.cfg.Classes[safeClass], stats: &g.b.classes[safeClass]}
-		if c.want == 2 {
-			if s := g.b.pick(r, true); s.ID == 2 {
-				t.Errorf("%v: the re-route went to the server of lowest m", c.holds)
-			}
-			for i, s := range g.b.servers {
-				s.running = float64(10 * (4 - i))
-			}
-		}
-		if s := g.b.pick(r, false); s.ID != c.want {
-			t.Errorf("%v: sent to %d, not %d", c.holds, s.ID, c.want)
+	for _, s := range g.b.servers {
+		if running := s.placements[0].running[baseSide]; running > total {
+			t.Errorf("server %d runs at %v, the weights are %v in all", s.ID, running, total)
 		}
 	}
 }
--- /dev/null
+++ b/balance/routes_property_test.go
@@ -0,0 +1,234 @@
+package balance
+
+import (
+	"math"
+	"slices"
+	"testing"
+
+	"pgregory.net/rapid"
+)
+
+// anyRoutes draws what tenant 0 is told.
+func anyRoutes(t *rapid.T) Event {
+	server := rapid.Custom(func(t *rapid.T) ServerID { return ServerID(rapid.IntRange(1, 12).Draw(t, "server")) })
+	subset := func(name string) Subset {
+		return Subset{
+			IDs:   rapid.SliceOfN(server, 0, 4).Draw(t, name),
+			Zones: rapid.SliceOfN(rapid.IntRange(0, 2), 0, 2).Draw(t, name+" zones"),
+		}
+	}
+	switch rapid.IntRange(0, 3).Draw(t, "told") {
+	case 0:
+		return CanaryLease{Until: rapid.Float64Range(0, 20000).Draw(t, "until")}
+	case 1:
+		return BudgetGrant{
+			ID: rapid.Uint64Range(1, 3).Draw(t, "id"), Units: rapid.Int64Range(0, 30).Draw(t, "units"),
+			MaxIdle: rapid.Int64Range(0, 5).Draw(t, "keep"),
+		}
+	}
+	return Routes{Rev: rapid.Int64Range(1, 99).Draw(t, "rev"), List: []Route{{
+		Classes: rapid.SliceOfN(rapid.IntRange(0, 5), 0, 2).Draw(t, "classes"), Base: subset("base"),
+		Canary: subset("canary"), CanaryFraction: rapid.Float64Range(0, 1).Draw(t, "share"),
+		ID: rapid.Uint64Range(0, 3).Draw(t, "id"), Budgeted: rapid.Bool().Draw(t, "purse"), LateIsFailure: rapid.Bool().Draw(t, "late"),
+	}}}
+}
+
+// One tenant's routes, purse and permission change no pick of another's: two balancers are told different things of
+// tenant 0, and the same of tenant 1, whose answers are the same. Tenant 0 has requests, too, in half of the runs.
+func TestRoutes_tenantIsolation(t *testing.T) {
+	rapid.Check(t, func(rt *rapid.T) {
+		cfg := tenantsConfig()
+		cfg.Seed = rapid.Uint64().Draw(rt, "seed")
+		both := [2]*Balancer{mustNew(t, cfg), mustNew(t, cfg)}
+		now, next := 1000.0, RequestID(0)
+		tell := func(b *Balancer, ev Event) []Action {
+			acts, err := b.Handle(now, ev)
+			if err != nil {
+				rt.Fatalf("%+v: %v", ev, err)
+			}
+			return slices.Clone(acts)
+		}
+		servers := fleet(12)
+		own := Route{Tenant: 1, Base: Subset{Zones: []int{1}}, Canary: Subset{Zones: []int{2}}, CanaryFraction: 0.3, ID: 77}
+		for _, b := range both {
+			b.Start(now)
+			tell(b, ServerList{Kind: ListFull, Servers: servers})
+		}
+		busy := rapid.Bool().Draw(rt, "tenant 0 asks")
+		routedToo := rapid.Bool().Draw(rt, "tenant 1 has a route")
+		other := func(b *Balancer, ev Event) { // the own route stays as it is, and the permission with it
+			r, isRoutes := ev.(Routes)
+			if p, isPermit := ev.(CanaryLease); isPermit && routedToo {
+				p.Until = math.Inf(1)
+				ev = p
+			}
+			if isRoutes && routedToo {
+				r.Rev, r.List = 5, append(r.List, own)
+				ev = r
+			}
+			tell(b, ev)
+		}
+		for _, b := range both {
+			other(b, Routes{Rev: 5, List: []Route{canaryOf(0, 1)}})
+			other(b, CanaryLease{Until: 1e9})
+		}
+		for range rapid.IntRange(10, 60).Draw(rt, "events") {
+			now += rapid.Float64Range(0, 50).Draw(rt, "pause")
+			for _, b := range both {
+				if rapid.Bool().Draw(rt, "tell") {
+					other(b, anyRoutes(rt))
+				}
+			}
+			class := rapid.IntRange(0, zoneClass).Draw(rt, "class")
+			if next++; busy {
+				for _, b := range both {
+					tell(b, Request{ID: next, Class: class, Remaining: 500})
+					if b.reqs[next].liveAttempts == 1 {
+						tell(b, Outcome{Request: next, Result: NotSent, Finished: true})
+					}
+				}
+				next++
+			}
+			res := rapid.SampledFrom([]Result{OK, OK, OK, Failed, Rejected, Cancelled}).Draw(rt, "result")
+			for attempt := -1; attempt < 3; attempt++ {
+				var acts [2][]Action
+				for i, b := range both {
+					if attempt < 0 {
+						acts[i] = tell(b, Request{ID: next, Class: class, Tenant: 1, Remaining: 500})
+					} else {
+						acts[i] = tell(b, Outcome{
+							Request: next, Attempt: attempt, Result: res, Elapsed: 40, Finished: attempt == 2 || res == OK,
+						})
+					}
+				}
+				if !slices.EqualFunc(acts[0], acts[1], func(a, b Action) bool {
+					return a.Kind == b.Kind && a.Server == b.Server && a.At == b.At && a.RoutesRev == b.RoutesRev && a.ToCanary == b.ToCanary
+				}) {
+					rt.Fatalf("tenant 1 got %+v and %+v", acts[0], acts[1])
+				}
+				if !has(acts[0], Send) {
+					break
+				}
+			}
+		}
+	})
+}
+
+// named tells whether a subset, as anyRoutes draws it, has a server.
+func named(u Subset, s *server) bool {
+	return (len(u.IDs) == 0 || slices.Contains(u.IDs, s.ID)) && (len(u.Zones) == 0 || slices.Contains(u.Zones, s.Zone))
+}
+
+// Whatever happens in whatever order: an attempt to a canary is permitted, of a class and a server that the newest
+// routes name, and has a unit; what is out and spent is what the attempts say; a request gets its answer.
+func TestRoutes_property(t *testing.T) {
+	rapid.Check(t, func(rt *rapid.T) {
+		cfg := tenantsConfig()
+		cfg.Seed, cfg.MaxAttempts = rapid.Uint64().Draw(rt, "seed"), 3
+		g := newRig(t, cfg, fleet(12)...)
+		type out struct {
+			id      RequestID
+			attempt int
+			server  ServerID
+			purse   uint64
+		}
+		var live []out
+		var routes Routes
+		permit := 0.0
+		tries := map[RequestID]int{}
+		took := func(before map[uint64]CanaryBudget, acts []Action) {
+			for _, a := range acts {
+				if a.Kind != Send {
+					continue
+				}
+				o := out{id: a.Request, attempt: tries[a.Request], server: a.Server}
+				tries[a.Request]++
+				if s := g.b.byID[a.Server]; s == nil || s.State != Ready {
+					rt.Fatalf("sent to server %d", a.Server)
+				}
+				permitted := g.now < permit && len(routes.List) > 0
+				if (a.RoutesRev != 0) != permitted || permitted && (a.RoutesRev != routes.Rev || a.CanaryID != routes.List[0].ID) {
+					rt.Fatalf("%+v under %+v, permitted %v", a, routes, permitted)
+				}
+				if a.ToCanary {
+					w := routes.List[0]
+					r := g.b.reqs[a.Request]
+					if !permitted || w.ID == 0 || w.CanaryFraction == 0 || !named(w.Canary, g.b.byID[a.Server]) ||
+						len(w.Classes) > 0 && !slices.Contains(w.Classes, r.Class) {
+						rt.Fatalf("%+v under %+v", a, routes)
+					}
+					if w.Budgeted {
+						if p := before[w.ID]; p.Free() <= 0 {
+							rt.Fatalf("no unit is free: %+v", p)
+						}
+						o.purse = w.ID
+					}
+				}
+				live = append(live, o)
+			}
+		}
+		purses := func() map[uint64]CanaryBudget {
+			all := map[uint64]CanaryBudget{}
+			for _, p := range g.b.CanaryBudgets() {
+				all[p.ID] = p
+			}
+			return all
+		}
+		for range rapid.IntRange(20, 120).Draw(rt, "events") {
+			g.now += rapid.Float64Range(0, 100).Draw(rt, "pause")
+			before := purses()
+			switch k := rapid.IntRange(0, 9).Draw(rt, "event"); {
+			case k < 4:
+				class := rapid.IntRange(0, zoneClass).Draw(rt, "class")
+				g.next++
+				took(before, g.do(Request{ID: g.next, Class: class, Remaining: 1e6}))
+			case k < 8 && len(live) > 0:
+				i := rapid.IntRange(0, len(live)-1).Draw(rt, "which")
+				o := live[i]
+				live = slices.Delete(live, i, i+1)
+				ev := Outcome{
+					Request: o.id, Attempt: o.attempt, Server: o.server, Elapsed: 40,
+					Result:       Result(rapid.IntRange(0, int(WriteFailed)).Draw(rt, "result")),
+					RouteRevoked: rapid.IntRange(0, 3).Draw(rt, "void") == 0,
+				}
+				ev.Finished = ev.Result == OK && !ev.RouteRevoked
+				p := before[o.purse]
+				p.Settle(!ev.RouteRevoked && ev.Result != OK && ev.Result != Cancelled && ev.Result != NotSent)
+				before[o.purse] = p
+				acts := g.do(ev)
+				took(before, acts)
+				if after, ok := purses()[o.purse]; o.purse > 0 && (!ok || after.Spent != p.Spent) {
+					rt.Fatalf("%+v: %+v, not %+v", ev, after, p)
+				}
+			case k == 8:
+				servers := fleet(12)
+				for i := range servers {
+					servers[i].State = ServerState(rapid.IntRange(0, 5).Draw(rt, "state") / 4)
+				}
+				g.do(ServerList{Kind: ListFull, Servers: servers})
+			default:
+				switch ev := anyRoutes(rt).(type) {
+				case Routes:
+					if routes = ev; rapid.IntRange(0, 4).Draw(rt, "none") == 0 {
+						routes.List = nil
+					}
+					g.do(routes)
+				case CanaryLease:
+					permit = ev.Until
+					g.do(ev)
+				default:
+					g.do(ev)
+				}
+			}
+			units := map[uint64]int64{}
+			for _, o := range live {
+				units[o.purse]++
+			}
+			for id, p := range purses() {
+				if p.Free() < 0 || p.Reserved != units[id] || p.Spent+p.Returned+p.Reserved > p.Granted {
+					rt.Fatalf("%+v with %d out", p, units[id])
+				}
+			}
+		}
+	})
+}
--- a/balance/settings_test.go
+++ b/balance/settings_test.go
@@ -1,7 +1,6 @@
 package balance
 
 import (
-	"fmt"
 	"math"
 	"math/rand"
 	"strings"
@@ -68,71 +67,6 @@
 	}
 }
 
-// serve answers what is out for a request, if anything is.
-func (w *world) serve(id RequestID) {
-	o := w.open[id]
-	for i := range o.tries {
-		if a := &o.tries[i]; a.live {
-			a.live, o.answered = false, true
-			w.handle(Outcome{Request: id, Attempt: i, Server: a.server.ID, Elapsed: w.now - a.sent, Finished: true})
-		}
-	}
-}
-
-// What has ended is forgotten: requests, servers that are gone, probes that are waited for.
-func TestLimits_memory(t *testing.T) {
-	g := newRig(t, probeConfig(), fleet(5)...)
-	for i := range 20000 {
-		g.acts = g.acts[:0]
-		g.now += 5
-		id, acts := g.ask(safeClass)
-		acts = append(acts, g.probes(acts, 0, nil)...)
-		if _, ok := sentTo(acts); ok {
-			g.answer(id, 0, OK, 5)
-		}
-		if i%20 == 0 { // a rolling deploy: new names all the time
-			list := fleet(5)
-			for k := range list {
-				list[k].ID = ServerID(i + k + 1)
-			}
-			g.do(ServerList{Kind: ListFull, Servers: list})
-		}
-	}
-	b := g.b
-	if len(b.reqs) > 1 || len(b.servers) != 5 || len(b.byID) != 5 || len(b.waitingForChecks) > 1 || cap(b.out) > 100 {
-		t.Fatalf("%d requests, %d servers, %d by ID, %d waiting, room for %d actions",
-			len(b.reqs), len(b.servers), len(b.byID), len(b.waitingForChecks), cap(b.out))
-	}
-}
-
-func BenchmarkRequest(b *testing.B) {
-	for _, n := range []int{12, 100, 300} {
-		b.Run(fmt.Sprintf("%d-servers", n), func(b *testing.B) {
-			bal := mustNew(b, baseConfig())
-			bal.Start(0)
-			if _, err := bal.Handle(0, ServerList{Kind: ListFull, Servers: fleet(n)}); err != nil {
-				b.Fatal(err)
-			}
-			b.ReportAllocs()
-			now := 0.0
-			for i := range b.N {
-				now += 5
-				id := RequestID(i + 1)
-				acts, err := bal.Handle(now, Request{ID: id, Remaining: 1500})
-				if err != nil || len(acts) == 0 {
-					b.Fatal(err, acts)
-				}
-				if acts[0].Kind != Send {
-					continue
-				}
-				if _, err := bal.Handle(now+4, Outcome{Request: id, Server: acts[0].Server, Elapsed: 4, Finished: true}); err != nil {
-					b.Fatal(err)
-				}
-			}
-		})
-	}
-}
-
 // A caller's settings that cannot be are an error, never a balancer that misbehaves later.
 func TestSettings_invalid(t *testing.T) {
 	for name, spoil := range map[string]func(*Config){
--- a/balance/wallclock_test.go
+++ b/balance/wallclock_test.go
@@ -6,6 +6,21 @@
 	"testing"
 )
 
+// A start in the future is of a clock that is off; the server is cold for its time and no longer.
+func TestWallClock_startInFuture(t *testing.T) {
+	g := listRig(t, nil)
+	list := ServerList{Kind: ListFull, Rev: 2, Servers: []Server{{ID: 1, StartedAt: g.now + 3.6e6}}}
+	g.do(list)
+	if !g.b.warmingUp(g.b.byID[1]) {
+		t.Error("a server that has just started is not cold")
+	}
+	g.now += g.b.cfg.SlowStartTime
+	g.do(list) // told again: it has not started again
+	if g.b.warmingUp(g.b.byID[1]) {
+		t.Error("it is still cold")
+	}
+}
+
 const (
 	testHour = 3.6e6
 	testBoot = 1.7e12 // a time as servers' starts are told
