--- a/balance/admission_load_test.go
+++ b/balance/admission_load_test.go
@@ -7,10 +7,10 @@
 
 // lateConnects plays requests of which a third waits in vain for its first connection, at a load that the servers
 // answer in a sixth of the aim. It returns how many are refused.
-func lateConnects(t *testing.T, told bool) (refused int) {
+func rejectedWithLateConnects(t *testing.T, reported bool) (rejected int) {
 	cfg := baseConfig()
 	cfg.ConnectTimeout = 160
-	g := newRig(t, cfg, fleet(12)...)
+	g := newHarness(t, cfg, identicalServers(12)...)
 	const step, answer = 25, 50 // ms
 	type out struct {
 		id      RequestID
@@ -20,8 +20,8 @@
 	}
 	var running []out
 	send := func(id RequestID, attempt int, acts []Action, late bool) {
-		if has(acts, Reject) {
-			refused++
+		if hasAction(acts, Reject) {
+			rejected++
 		}
 		if _, sent := sentTo(acts); !sent {
 			return
@@ -29,8 +29,8 @@
 		o := out{id, attempt, g.now + answer, OK}
 		if late {
 			o.end, o.result = g.now+cfg.ConnectTimeout, ConnectFailed
-			if told {
-				g.do(Connecting{Request: id, Attempt: attempt})
+			if reported {
+				g.handle(Connecting{Request: id, Attempt: attempt})
 			}
 		}
 		running = append(running, o)
@@ -47,7 +47,7 @@
 			if o.result == ConnectFailed {
 				took = int(cfg.ConnectTimeout)
 			}
-			acts := g.answer(o.id, o.attempt, o.result, float64(took))
+			acts := g.endAttempt(o.id, o.attempt, o.result, float64(took))
 			if o.result == ConnectFailed {
 				running = nil
 				send(o.id, o.attempt+1, acts, false)
@@ -55,19 +55,19 @@
 			}
 		}
 		running = still
-		id, acts := g.ask(safeClass)
+		id, acts := g.sendRequest(idempotentClass)
 		send(id, 0, acts, n%3 == 0)
 	}
-	return refused
+	return rejected
 }
 
 // An attempt that waits for its connection is no work of a server's: with it in the estimate of how long answers
 // take, load was refused while servers had room.
 func TestAdmission_lateConnectsExcluded(t *testing.T) {
-	if refused := lateConnects(t, true); refused > 0 {
+	if refused := rejectedWithLateConnects(t, true); refused > 0 {
 		t.Errorf("%d of 4000 requests are refused while servers have room", refused)
 	}
-	if refused := lateConnects(t, false); refused == 0 {
+	if refused := rejectedWithLateConnects(t, false); refused == 0 {
 		t.Error("the load is too small to show a wrong estimate")
 	}
 }
@@ -76,7 +76,7 @@
 // no answer of theirs in the rate, load was refused while servers had room.
 func TestAdmission_clientAbortsExcluded(t *testing.T) {
 	cfg := baseConfig()
-	g := newRig(t, cfg, fleet(12)...)
+	g := newHarness(t, cfg, identicalServers(12)...)
 	const step, answer, leaves = 30, 75, 70 // ms
 	type out struct {
 		id   RequestID
@@ -93,14 +93,14 @@
 			case o.end > g.now:
 				still = append(still, o)
 			case o.gone:
-				g.do(ClientGone{Request: o.id})
-				g.answer(o.id, 0, Cancelled, leaves)
+				g.handle(ClientGone{Request: o.id})
+				g.endAttempt(o.id, 0, Cancelled, leaves)
 			default:
-				g.answer(o.id, 0, OK, answer)
+				g.endAttempt(o.id, 0, OK, answer)
 			}
 		}
 		running = still
-		id, acts := g.ask(safeClass)
+		id, acts := g.sendRequest(idempotentClass)
 		if _, sent := sentTo(acts); !sent {
 			refused++
 			continue
@@ -118,16 +118,16 @@
 
 // What is overdue at a server that rests is no load any more: it hangs, and that is no overload of the others.
 func TestAdmission_ejectedServerExcluded(t *testing.T) {
-	g := newRig(t, baseConfig(), fleet(1)...)
+	g := newHarness(t, baseConfig(), identicalServers(1)...)
 	var ids []RequestID
 	for range errorsToEject {
-		id, _ := g.ask(safeClass)
+		id, _ := g.sendRequest(idempotentClass)
 		ids = append(ids, id)
 	}
 	before := g.b.inFlightLoad
-	g.now += baseConfig().Classes[safeClass].LatencyObjective / 2 // few answers are known: then an attempt is overdue
+	g.now += baseConfig().Classes[idempotentClass].LatencyObjective / 2 // few answers are known: then an attempt is overdue
 	for _, id := range ids {
-		g.do(Timer{Token: uint64(id)})
+		g.handle(Timer{Token: uint64(id)})
 	}
 	if _, avoided := g.b.CountServers(g.now); avoided != 1 {
 		t.Fatalf("%d servers rest", avoided)
@@ -140,14 +140,14 @@
 // A hung server is passed over at once, for what it holds, and rested after several strikes;
 // what is stuck there must not look like overload of the whole fleet.
 func TestAdmission_hungServer(t *testing.T) {
-	g := newRig(t, baseConfig(), fleet(6)...)
+	g := newHarness(t, baseConfig(), identicalServers(6)...)
 	hung := 0
 	for range 900 {
 		g.now += 5
-		for _, a := range g.due() {
-			g.do(a)
+		for _, a := range g.dueTimers() {
+			g.handle(a)
 		}
-		id, acts := g.ask(safeClass)
+		id, acts := g.sendRequest(idempotentClass)
 		s, ok := sentTo(acts)
 		if !ok {
 			t.Fatalf("request %d was refused: shed %v", id, g.b.lastingShed)
@@ -157,7 +157,7 @@
 			continue
 		}
 		g.now++
-		g.answer(id, 0, OK, 10)
+		g.endAttempt(id, 0, OK, 10)
 	}
 	if hung > 40 {
 		t.Fatalf("the hung server got %d of 900", hung)
@@ -165,9 +165,9 @@
 }
 
 // due returns the timers of open requests that have come.
-func (g *rig) due() []Timer {
+func (g *harness) dueTimers() []Timer {
 	var list []Timer
-	for id := RequestID(1); id <= g.next; id++ {
+	for id := RequestID(1); id <= g.lastID; id++ {
 		if r := g.b.reqs[id]; r != nil && r.wakeAt <= g.now && !r.done {
 			list = append(list, Timer{Token: uint64(id)})
 		}
@@ -177,15 +177,15 @@
 
 // What hangs is its server's trouble and must not shed load for seconds: it counts for one aim.
 func TestAdmission_overdueAttemptExcluded(t *testing.T) {
-	g := newRig(t, baseConfig(), fleet(2)...)
-	id, _ := g.ask(safeClass)
-	g.ask(safeClass)
+	g := newHarness(t, baseConfig(), identicalServers(2)...)
+	id, _ := g.sendRequest(idempotentClass)
+	g.sendRequest(idempotentClass)
 	if want := 2.0 / 300; g.b.inFlightLoad != want {
 		t.Fatalf("load %v of two requests, want %v", g.b.inFlightLoad, want)
 	}
 	g.now += 300
-	g.do(Timer{Token: uint64(id)})
-	g.answer(id, 0, OK, 300)
+	g.handle(Timer{Token: uint64(id)})
+	g.endAttempt(id, 0, OK, 300)
 	if want := 1.0 / 300; math.Abs(g.b.inFlightLoad-want) > 1e-12 {
 		t.Fatalf("load %v when one has taken its aim and ended, want %v", g.b.inFlightLoad, want)
 	}
@@ -193,20 +193,20 @@
 
 // A handful of requests that meet by chance is no overload.
 func TestAdmission_smallBurst(t *testing.T) {
-	g := newRig(t, baseConfig(), fleet(4)...)
+	g := newHarness(t, baseConfig(), identicalServers(4)...)
 	for range 40 {
 		g.now += 2000
 		var open []RequestID
 		for range 4 {
-			id, acts := g.ask(safeClass)
-			if has(acts, Reject) {
+			id, acts := g.sendRequest(idempotentClass)
+			if hasAction(acts, Reject) {
 				t.Fatalf("request %d was refused", id)
 			}
 			open = append(open, id)
 		}
 		g.now += 60
 		for _, id := range open {
-			g.answer(id, 0, OK, 60)
+			g.endAttempt(id, 0, OK, 60)
 		}
 	}
 }
@@ -214,19 +214,19 @@
 // Traffic grew sevenfold within seconds on an enlarged fleet; answers stayed fast, but the attempts
 // in flight were set against the rate of answers of some time before, and half was refused.
 func TestAdmission_fastTrafficGrowth(t *testing.T) {
-	g := newRig(t, baseConfig(), fleet(12)...)
+	g := newHarness(t, baseConfig(), identicalServers(12)...)
 	var open []RequestID
 	refused := 0
 	for gap := 20.0; gap > 2; gap *= 0.998 { // tenfold in some nine seconds
 		g.now += gap
-		id, acts := g.ask(safeClass)
-		if has(acts, Reject) {
+		id, acts := g.sendRequest(idempotentClass)
+		if hasAction(acts, Reject) {
 			refused++
 			continue
 		}
 		open = append(open, id)
 		for len(open) > 0 && g.b.reqs[open[0]].arrived <= g.now-80 { // each answer takes about 80 ms
-			g.answer(open[0], 0, OK, 80)
+			g.endAttempt(open[0], 0, OK, 80)
 			open = open[1:]
 		}
 	}
--- a/balance/admission_test.go
+++ b/balance/admission_test.go
@@ -18,17 +18,17 @@
 	} {
 		cfg := baseConfig()
 		cfg.RetryAfter, cfg.MaxRetryAfter = test.listen, test.most
-		g := newRig(t, cfg, fleet(2)...)
+		g := newHarness(t, cfg, identicalServers(2)...)
 		refused := 0
 		var open []RequestID
 		for range 500 { // answers take nearly all of the aim
 			g.now += 5
-			id, acts := g.ask(safeClass)
+			id, acts := g.sendRequest(idempotentClass)
 			if _, sent := sentTo(acts); sent {
 				open = append(open, id)
 			}
 			if len(open) > 55 {
-				g.answer(open[0], 0, OK, 275)
+				g.endAttempt(open[0], 0, OK, 275)
 				open = open[1:]
 			}
 			for _, a := range acts {
@@ -44,10 +44,10 @@
 			t.Errorf("%+v: nothing was shed", test)
 		}
 	}
-	g := newRig(t, baseConfig(), fleet(2)...)
-	id, _ := g.ask(safeClass)
-	g.answer(id, 0, Failed, 10)
-	for _, a := range g.answer(id, 1, Failed, 10) {
+	g := newHarness(t, baseConfig(), identicalServers(2)...)
+	id, _ := g.sendRequest(idempotentClass)
+	g.endAttempt(id, 0, Failed, 10)
+	for _, a := range g.endAttempt(id, 1, Failed, 10) {
 		if a.Kind == Reject && a.At != 0 {
 			t.Errorf("a failed request is told to stay away for %v ms", a.At)
 		}
@@ -57,36 +57,36 @@
 // In overload every queue filled and all answers came late. What cannot be answered in time is
 // refused before it is sent, least worth first.
 func TestAdmission_lowPriorityFirst(t *testing.T) {
-	g := newRig(t, baseConfig(), fleet(4)...)
+	g := newHarness(t, baseConfig(), identicalServers(4)...)
 	refused := map[int]int{}
 	var open []RequestID
 	for i := range 2000 {
 		g.now += 2
-		class := []int{safeClass, unsafeClass}[i%2]
-		id, acts := g.ask(class)
-		if has(acts, Reject) {
+		class := []int{idempotentClass, nonIdempotentClass}[i%2]
+		id, acts := g.sendRequest(class)
+		if hasAction(acts, Reject) {
 			refused[class]++
 			continue
 		}
 		open = append(open, id)
 		if len(open) > 150 { // answers take 300 ms and more
-			g.answer(open[0], 0, OK, 300)
+			g.endAttempt(open[0], 0, OK, 300)
 			open = open[1:]
 		}
 	}
-	if refused[safeClass] < 100 || refused[unsafeClass] >= refused[safeClass] {
-		t.Fatalf("refused %d of low worth and %d of high worth", refused[safeClass], refused[unsafeClass])
+	if refused[idempotentClass] < 100 || refused[nonIdempotentClass] >= refused[idempotentClass] {
+		t.Fatalf("refused %d of low worth and %d of high worth", refused[idempotentClass], refused[nonIdempotentClass])
 	}
 }
 
 // After a crash a sidecar of two requests a second took eight seconds to shed, and what was left choked.
 func TestAdmission_lowTrafficOverload(t *testing.T) {
-	g := newRig(t, baseConfig(), fleet(4)...)
+	g := newHarness(t, baseConfig(), identicalServers(4)...)
 	for range 6 {
-		g.crowd(g.b.lastingShed, 0.8)
+		g.setOverload(g.b.lastingShed, 0.8)
 		g.now += 500
 		g.b.inFlightLoadAt = g.now
-		g.ask(safeClass)
+		g.sendRequest(idempotentClass)
 	}
 	if g.b.lastingShed < 0.5 {
 		t.Fatalf("%.2f is shed after three seconds of overload", g.b.lastingShed)
@@ -95,7 +95,7 @@
 
 // crowd sets the lasting part to shed and fills the fleet so that answers take the given part of the
 // aim longer than they may.
-func (g *rig) crowd(lasting, over float64) {
+func (g *harness) setOverload(lasting, over float64) {
 	full := g.b.quickest + spareObjective*(1-g.b.quickest)
 	if g.b.lastingShed = lasting; lasting > 0 {
 		g.b.lastingShed += shedTolerance
@@ -108,29 +108,29 @@
 
 // shedding brings 4000 requests, drawn from turns of (class, tenant), of which 0.4 of the work is to be shed,
 // and returns the part refused of each class and of each tenant.
-func shedding(t *testing.T, cfg Config, turns ...[2]int) (byClass, byTenant [5]float64) {
+func rejectedFractions(t *testing.T, cfg Config, arrivals ...[2]int) (byClass, byTenant [5]float64) {
 	t.Helper()
-	g := newRig(t, cfg, fleet(4)...)
-	var asked [2][5]float64
+	g := newHarness(t, cfg, identicalServers(4)...)
+	var arrived [2][5]float64
 	draw := rand.New(rand.NewPCG(1, 2))
 	for i := range 4000 {
-		turn := turns[draw.IntN(len(turns))]
+		arrival := arrivals[draw.IntN(len(arrivals))]
 		g.now++
-		g.crowd(0.4, 0)
-		asked[0][turn[0]]++
-		asked[1][turn[1]]++
+		g.setOverload(0.4, 0)
+		arrived[0][arrival[0]]++
+		arrived[1][arrival[1]]++
 		id := RequestID(i + 1)
-		acts := g.do(Request{ID: id, Class: turn[0], Tenant: turn[1], Remaining: cfg.Classes[turn[0]].Deadline})
-		if has(acts, Reject) {
-			byClass[turn[0]]++
-			byTenant[turn[1]]++
+		acts := g.handle(Request{ID: id, Class: arrival[0], Tenant: arrival[1], Remaining: cfg.Classes[arrival[0]].Deadline})
+		if hasAction(acts, Reject) {
+			byClass[arrival[0]]++
+			byTenant[arrival[1]]++
 		} else {
-			g.answer(id, 0, OK, 50)
+			g.endAttempt(id, 0, OK, 50)
 		}
 	}
 	for i := range 5 {
-		byClass[i] /= max(1, asked[0][i])
-		byTenant[i] /= max(1, asked[1][i])
+		byClass[i] /= max(1, arrived[0][i])
+		byTenant[i] /= max(1, arrived[1][i])
 	}
 	return byClass, byTenant
 }
@@ -143,16 +143,16 @@
 		lasting, over float64 // over: of the aim, beyond what answers may take
 		least, most   float64 // part refused
 	}{{0, 0.5, 0, 0.05}, {0.4, 0, 0.3, 0.5}, {0.4, 0.5, 0.7, 0.9}, {0.4, -0.3, 0, 0}} {
-		g := newRig(t, baseConfig(), fleet(4)...)
+		g := newHarness(t, baseConfig(), identicalServers(4)...)
 		for range 100 {
-			id, _ := g.ask(safeClass)
+			id, _ := g.sendRequest(idempotentClass)
 			g.now += 5
-			g.answer(id, 0, OK, 50)
+			g.endAttempt(id, 0, OK, 50)
 		}
 		refused := 0.0
 		for range 200 {
-			g.crowd(c.lasting, c.over)
-			if _, acts := g.ask(safeClass); has(acts, Reject) {
+			g.setOverload(c.lasting, c.over)
+			if _, acts := g.sendRequest(idempotentClass); hasAction(acts, Reject) {
 				refused++
 			}
 		}
@@ -167,11 +167,11 @@
 func TestAdmission_tenantOverQuota(t *testing.T) {
 	cfg := baseConfig()
 	cfg.Tenants = []Tenant{{Quota: 0.5}, {Quota: 0.5}}
-	_, refused := shedding(t, cfg, [2]int{0, 0}, [2]int{0, 0}, [2]int{0, 0}, [2]int{0, 1})
+	_, refused := rejectedFractions(t, cfg, [2]int{0, 0}, [2]int{0, 0}, [2]int{0, 0}, [2]int{0, 1})
 	if refused[0] < 0.4 || refused[1] > 0.1 {
 		t.Fatalf("refused %.2f of the tenant with much traffic, %.2f of the other", refused[0], refused[1])
 	}
-	_, refused = shedding(t, cfg, [2]int{0, 0}, [2]int{0, 1})
+	_, refused = rejectedFractions(t, cfg, [2]int{0, 0}, [2]int{0, 1})
 	if math.Abs(refused[0]-refused[1]) > 0.15 {
 		t.Fatalf("of equal tenants %.2f and %.2f are refused", refused[0], refused[1])
 	}
@@ -181,14 +181,14 @@
 // in the goal. Then the classes come near each other; without such a weight the least goes first.
 func TestAdmission_worstClassGoal(t *testing.T) {
 	cfg := baseConfig()
-	turns := [][2]int{{safeClass, 0}, {unsafeClass, 0}}
+	turns := [][2]int{{idempotentClass, 0}, {nonIdempotentClass, 0}}
 	cfg.Goal = Goal{Overall: 1}
-	if refused, _ := shedding(t, cfg, turns...); refused[safeClass] < 0.7 || refused[unsafeClass] > 0.1 {
-		t.Fatalf("without the weight %.2f and %.2f are refused", refused[safeClass], refused[unsafeClass])
+	if refused, _ := rejectedFractions(t, cfg, turns...); refused[idempotentClass] < 0.7 || refused[nonIdempotentClass] > 0.1 {
+		t.Fatalf("without the weight %.2f and %.2f are refused", refused[idempotentClass], refused[nonIdempotentClass])
 	}
 	cfg.Goal = Goal{Overall: 0.3, WorstClass: 0.7}
-	if refused, _ := shedding(t, cfg, turns...); refused[safeClass] > 0.5 || refused[unsafeClass] < 0.3 {
-		t.Fatalf("with the weight %.2f and %.2f are refused", refused[safeClass], refused[unsafeClass])
+	if refused, _ := rejectedFractions(t, cfg, turns...); refused[idempotentClass] > 0.5 || refused[nonIdempotentClass] < 0.3 {
+		t.Fatalf("with the weight %.2f and %.2f are refused", refused[idempotentClass], refused[nonIdempotentClass])
 	}
 }
 
@@ -198,11 +198,11 @@
 	cfg.Tenants = []Tenant{{Quota: 0.8}, {Quota: 0.2}}
 	turns := [][2]int{{0, 0}, {0, 1}}
 	cfg.Goal = Goal{Overall: 1}
-	if _, refused := shedding(t, cfg, turns...); refused[0] > 0.1 || refused[1] < 0.7 {
+	if _, refused := rejectedFractions(t, cfg, turns...); refused[0] > 0.1 || refused[1] < 0.7 {
 		t.Fatalf("without the weight %.2f and %.2f are refused", refused[0], refused[1])
 	}
 	cfg.Goal = Goal{Overall: 0.3, WorstTenant: 0.7}
-	if _, refused := shedding(t, cfg, turns...); math.Abs(refused[0]-refused[1]) > 0.15 {
+	if _, refused := rejectedFractions(t, cfg, turns...); math.Abs(refused[0]-refused[1]) > 0.15 {
 		t.Fatalf("with the weight %.2f and %.2f are refused", refused[0], refused[1])
 	}
 }
@@ -210,17 +210,17 @@
 // In full queues everything served was late. While load is shed an unsafe request is given up at its aim,
 // which is no error of the server's; others are not, as their clients would try again.
 func TestAdmission_nonIdempotentTimeout(t *testing.T) {
-	for class, cuts := range map[int]bool{unsafeClass: true, safeClass: false, cellClass: false} {
+	for class, cuts := range map[int]bool{nonIdempotentClass: true, idempotentClass: false, cellKeyClass: false} {
 		for _, lasting := range []float64{0, 0.2} {
-			g := newRig(t, baseConfig(), fleet(4)...)
+			g := newHarness(t, baseConfig(), identicalServers(4)...)
 			g.b.lastingShed = lasting
 			if lasting > 0 {
 				g.b.lastingShed += shedTolerance
 			}
-			id, acts := g.ask(class)
+			id, acts := g.sendRequest(class)
 			s, ok := sentTo(acts)
 			for n := 0; !ok && n < 50; n++ {
-				id, acts = g.ask(class)
+				id, acts = g.sendRequest(class)
 				s, ok = sentTo(acts)
 			}
 			want := 0.0
@@ -234,7 +234,7 @@
 			}
 			if want > 0 {
 				g.now += 200
-				if g.answer(id, 0, TimedOut, 200); g.b.byID[s].consecutiveErrors != 0 {
+				if g.endAttempt(id, 0, TimedOut, 200); g.b.byID[s].consecutiveErrors != 0 {
 					t.Error("an attempt that was cut is held against its server")
 				}
 			}
--- a/balance/canary_budget_test.go
+++ b/balance/canary_budget_test.go
@@ -47,12 +47,14 @@
 
 // How an attempt may end, and what that costs: in a request's answer, in a stream, for a late one.
 func TestCanaryBudget_attemptCost(t *testing.T) {
-	end := func(res Result, took float64) func(*rig, RequestID) {
-		return func(g *rig, id RequestID) { g.do(Outcome{Request: id, Result: res, Elapsed: took, Finished: true}) }
+	end := func(res Result, took float64) func(*harness, RequestID) {
+		return func(g *harness, id RequestID) {
+			g.handle(Outcome{Request: id, Result: res, Elapsed: took, Finished: true})
+		}
 	}
-	stream := func(took float64, res Result) func(*rig, RequestID) {
-		return func(g *rig, id RequestID) {
-			g.do(AnswerStarted{Request: id, Elapsed: took})
+	stream := func(took float64, res Result) func(*harness, RequestID) {
+		return func(g *harness, id RequestID) {
+			g.handle(AnswerStarted{Request: id, Elapsed: took})
 			if p := g.b.CanaryBudgets()[0]; p.Reserved != 1 || p.Spent != 0 {
 				t.Errorf("as the answer begins: %+v", p)
 			}
@@ -62,43 +64,43 @@
 	for _, late := range []bool{false, true} {
 		for name, c := range map[string]struct {
 			class  int
-			end    func(*rig, RequestID)
+			end    func(*harness, RequestID)
 			failed bool
 		}{
-			"good":            {safeClass, end(OK, 300), false},
-			"late":            {safeClass, end(OK, 301), late},
-			"failed":          {safeClass, end(Failed, 1), true},
-			"full":            {safeClass, end(Rejected, 1), true},
-			"timed out":       {safeClass, end(TimedOut, 1), true},
-			"connect failed":  {safeClass, end(ConnectFailed, 1), true},
-			"reset":           {safeClass, end(Reset, 1), true},
-			"broken":          {safeClass, end(WriteFailed, 1), true},
-			"moot":            {safeClass, end(NotSent, 1), false},
-			"its client left": {safeClass, end(Cancelled, 1), false},
-			"void": {safeClass, func(g *rig, id RequestID) {
-				g.do(Outcome{Request: id, Result: Failed, RouteRevoked: true, Finished: true})
+			"good":            {idempotentClass, end(OK, 300), false},
+			"late":            {idempotentClass, end(OK, 301), late},
+			"failed":          {idempotentClass, end(Failed, 1), true},
+			"full":            {idempotentClass, end(Rejected, 1), true},
+			"timed out":       {idempotentClass, end(TimedOut, 1), true},
+			"connect failed":  {idempotentClass, end(ConnectFailed, 1), true},
+			"reset":           {idempotentClass, end(Reset, 1), true},
+			"broken":          {idempotentClass, end(WriteFailed, 1), true},
+			"moot":            {idempotentClass, end(NotSent, 1), false},
+			"its client left": {idempotentClass, end(Cancelled, 1), false},
+			"void": {idempotentClass, func(g *harness, id RequestID) {
+				g.handle(Outcome{Request: id, Result: Failed, RouteRevoked: true, Finished: true})
 			}, false},
-			"hung": {safeClass, func(g *rig, id RequestID) {
+			"hung": {idempotentClass, func(g *harness, id RequestID) {
 				g.now += 1500
-				g.do(Timer{Token: uint64(id)})
+				g.handle(Timer{Token: uint64(id)})
 				end(Cancelled, 1500)(g, id)
 			}, true},
-			"hung up, then gone": {safeClass, func(g *rig, id RequestID) {
-				g.do(ClientGone{Request: id})
+			"hung up, then gone": {idempotentClass, func(g *harness, id RequestID) {
+				g.handle(ClientGone{Request: id})
 				end(Cancelled, 1500)(g, id)
 			}, false},
-			"left after the aim": {safeClass, func(g *rig, id RequestID) {
+			"left after the aim": {idempotentClass, func(g *harness, id RequestID) {
 				g.now += 310
-				g.do(ClientGone{Request: id})
+				g.handle(ClientGone{Request: id})
 				end(Cancelled, 310)(g, id)
 			}, late},
-			"left just before its time": {safeClass, func(g *rig, id RequestID) {
+			"left just before its time": {idempotentClass, func(g *harness, id RequestID) {
 				g.now += 1400
-				g.do(ClientGone{Request: id})
+				g.handle(ClientGone{Request: id})
 				end(Cancelled, 1400)(g, id)
 			}, true},
-			"the process ends": {safeClass, func(g *rig, id RequestID) {
-				g.do(Shutdown{})
+			"the process ends": {idempotentClass, func(g *harness, id RequestID) {
+				g.handle(Shutdown{})
 				end(Cancelled, 10)(g, id)
 			}, false},
 			"stream":             {streamClass, stream(300, OK), false},
@@ -107,12 +109,12 @@
 			"stream breaks":      {streamClass, stream(10, Reset), true},
 			"stream, left":       {streamClass, stream(10, Cancelled), false},
 		} {
-			w := canaryOf(1, 1, 2)
+			w := canaryRoute(1, 1, 2)
 			w.Budgeted, w.LateIsFailure = true, late
-			g := routed(t, w)
-			g.do(BudgetGrant{ID: 9, Units: 1, MaxIdle: 1})
-			id, a := g.send(c.class)
-			if _, b := g.send(c.class); !a.ToCanary || b.ToCanary || b.Server <= 2 {
+			g := newRoutedHarness(t, w)
+			g.handle(BudgetGrant{ID: 9, Units: 1, MaxIdle: 1})
+			id, a := g.sendForTenant(c.class)
+			if _, b := g.sendForTenant(c.class); !a.ToCanary || b.ToCanary || b.Server <= 2 {
 				t.Fatalf("%s: one unit, sent as %+v and %+v", name, a, b)
 			}
 			if p := g.b.CanaryBudgets()[0]; p != (CanaryBudget{ID: 9, Granted: 1, Reserved: 1, Denied: 1}) {
@@ -127,7 +129,7 @@
 				t.Errorf("%s, late answers fail %v: %+v, want %+v", name, late, p, want)
 			}
 			if !g.b.shutdown {
-				if _, a := g.send(safeClass); a.ToCanary == c.failed {
+				if _, a := g.sendForTenant(idempotentClass); a.ToCanary == c.failed {
 					t.Errorf("%s: then %+v", name, a)
 				}
 			}
@@ -136,14 +138,14 @@
 }
 
 func TestCanaryBudget_endedRoutes(t *testing.T) {
-	w := canaryOf(1, 1)
+	w := canaryRoute(1, 1)
 	w.Budgeted = true
-	g := routed(t, w)
-	g.do(BudgetGrant{ID: 9, Units: 4, MaxIdle: 4})
-	id, _ := g.send(safeClass)
-	g.do(Routes{Rev: 6})
+	g := newRoutedHarness(t, w)
+	g.handle(BudgetGrant{ID: 9, Units: 4, MaxIdle: 4})
+	id, _ := g.sendForTenant(idempotentClass)
+	g.handle(Routes{Rev: 6})
 	for i := range uint64(3 * maxEndedBudgets) {
-		g.do(BudgetGrant{ID: 100 + i, Units: 1, MaxIdle: 1})
+		g.handle(BudgetGrant{ID: 100 + i, Units: 1, MaxIdle: 1})
 	}
 	at := func() int {
 		return slices.IndexFunc(g.b.CanaryBudgets(), func(p CanaryBudget) bool { return p.ID == 9 })
@@ -151,11 +153,11 @@
 	if all := g.b.CanaryBudgets(); len(all) != maxEndedBudgets+1 || at() != 0 || all[maxEndedBudgets].ID != 100+3*maxEndedBudgets-1 {
 		t.Fatalf("%d purses: %+v", len(all), all)
 	}
-	g.answer(id, 0, Failed, 1)
+	g.endAttempt(id, 0, Failed, 1)
 	if p := g.b.CanaryBudgets()[at()]; p.Spent != 1 || p.Reserved != 0 {
 		t.Errorf("after its route is gone: %+v", p)
 	}
-	g.do(Routes{Rev: 7, List: []Route{w}})
+	g.handle(Routes{Rev: 7, List: []Route{w}})
 	if p := g.b.CanaryBudgets()[at()]; p.Spent != 1 || p.Granted != 4 {
 		t.Errorf("its route is back: %+v", p)
 	}
--- a/balance/digest_test.go
+++ b/balance/digest_test.go
@@ -23,18 +23,18 @@
 
 // digestDriver feeds one balancer random events of every type, and hashes the actions that it returns.
 type digestDriver struct {
-	t      *testing.T
-	rnd    *rand.Rand
-	sum    hash.Hash
-	b      *Balancer
-	cfg    Config
-	now    float64
-	rev    int64
-	live   []digestAttempt
-	open   []RequestID // requests whose body is still coming
-	timers []pendingTimer
-	probes []ServerID
-	sends  map[RequestID]int
+	t            *testing.T
+	rnd          *rand.Rand
+	sum          hash.Hash
+	b            *Balancer
+	cfg          Config
+	now          float64
+	rev          int64
+	live         []digestAttempt
+	streaming    []RequestID // requests whose body is still coming
+	timers       []pendingTimer
+	healthChecks []ServerID
+	sends        map[RequestID]int
 }
 
 // digestAttempt is an attempt that has no outcome yet.
@@ -56,21 +56,21 @@
 			sends: map[RequestID]int{},
 		}
 		d.b = mustNew(t, d.cfg)
-		d.take(d.b.Start(d.now))
-		d.list()
+		d.record(d.b.Start(d.now))
+		d.sendList()
 		for id := RequestID(1); id <= digestSteps; id++ {
 			d.now += d.rnd.ExpFloat64() * 6
 			if d.rnd.Intn(digestSteps/2) == 0 {
 				d.now += 2 * quietTime
 			}
-			d.fire()
+			d.fireTimers()
 			d.step(id)
 			if id%100 == 0 {
 				d.status()
 			}
 		}
 		d.now += 2 * suspectLimit
-		d.fire()
+		d.fireTimers()
 		d.handle(Shutdown{})
 		d.status()
 	}
@@ -108,32 +108,32 @@
 func (d *digestDriver) step(id RequestID) {
 	switch n := d.rnd.Intn(40); {
 	case n < 16:
-		d.request(id)
+		d.sendRequest(id)
 	case n < 30:
 		d.endAttempt()
 	case n < 32:
-		d.list()
+		d.sendList()
 	case n < 34:
-		if len(d.probes) > 0 {
-			s := d.probes[0]
-			d.probes = d.probes[1:]
+		if len(d.healthChecks) > 0 {
+			s := d.healthChecks[0]
+			d.healthChecks = d.healthChecks[1:]
 			d.handle(HealthCheckResult{Server: s, Result: []Result{OK, OK, OK, TimedOut}[d.rnd.Intn(4)], Elapsed: 1, Report: d.report()})
 		}
 	case n < 35:
 		d.handle(ClientGone{Request: id - RequestID(d.rnd.Intn(20))})
 	default:
-		d.special()
+		d.rareEvent()
 	}
 }
 
-func (d *digestDriver) request(id RequestID) {
+func (d *digestDriver) sendRequest(id RequestID) {
 	class := d.rnd.Intn(len(d.cfg.Classes))
 	r := Request{
 		ID: id, Class: class, Tenant: d.rnd.Intn(3) - 1, Remaining: d.cfg.Classes[class].Deadline * d.rnd.Float64(),
 		IdempotencyKey: uint64(d.rnd.Intn(50)), BodyStreaming: d.rnd.Intn(12) == 0, RouteKey: uint64(d.rnd.Intn(20)),
 	}
 	if r.BodyStreaming {
-		d.open = append(d.open, id)
+		d.streaming = append(d.streaming, id)
 	}
 	d.handle(r)
 }
@@ -160,7 +160,7 @@
 	})
 }
 
-func (d *digestDriver) list() {
+func (d *digestDriver) sendList() {
 	kind := []ListKind{ListFull, ListFull, ListCached, ListDelta, ListDelta, ListDelta, ListFailed, ListAlive}[d.rnd.Intn(8)]
 	ev := ServerList{Kind: kind, Busy: d.rnd.Intn(3) == 0, FromFetch: d.rnd.Intn(4) == 0}
 	if d.cfg.ListServices > 1 {
@@ -184,7 +184,7 @@
 }
 
 // special brings one of the rarer events.
-func (d *digestDriver) special() {
+func (d *digestDriver) rareEvent() {
 	switch d.rnd.Intn(13) {
 	case 0:
 		d.handle(FleetSize{Known: 1 + d.rnd.Intn(40), Reachable: 1 + d.rnd.Intn(40), Admitted: d.rnd.Intn(5) > 0})
@@ -212,13 +212,13 @@
 			d.handle(AnswerStarted{Request: a.request, Attempt: a.number, Server: a.server, Elapsed: d.now - a.sent})
 		}
 	case 8, 9:
-		if len(d.open) > 0 {
-			id := d.open[0]
-			d.open = d.open[1:]
+		if len(d.streaming) > 0 {
+			id := d.streaming[0]
+			d.streaming = d.streaming[1:]
 			d.handle(BodyComplete{Request: id, Remaining: 200 + 800*d.rnd.Float64()})
 		}
 	case 10:
-		d.routes()
+		d.sendRoutes()
 	case 11:
 		d.handle(CanaryLease{Until: d.now + 2000*d.rnd.Float64()})
 	case 12:
@@ -227,7 +227,7 @@
 	}
 }
 
-func (d *digestDriver) routes() {
+func (d *digestDriver) sendRoutes() {
 	ev := Routes{Rev: 1 + int64(d.rnd.Intn(100))}
 	for tenant := -1; tenant < len(d.cfg.Tenants); tenant++ {
 		if d.rnd.Intn(2) == 0 {
@@ -246,11 +246,11 @@
 	if err != nil {
 		d.t.Fatalf("%#v: %v", ev, err)
 	}
-	d.take(acts)
+	d.record(acts)
 }
 
 // take hashes actions and keeps what has to be answered. Texts of log lines are left out.
-func (d *digestDriver) take(acts []Action) {
+func (d *digestDriver) record(acts []Action) {
 	for _, a := range acts {
 		d.hash(a)
 		switch a.Kind {
@@ -260,7 +260,7 @@
 		case SetTimer:
 			d.timers = append(d.timers, pendingTimer{d.now + a.At, a.Token})
 		case HealthCheck:
-			d.probes = append(d.probes, a.Server)
+			d.healthChecks = append(d.healthChecks, a.Server)
 		}
 	}
 }
@@ -305,7 +305,7 @@
 }
 
 // fire brings the timers that are due, each at its own time.
-func (d *digestDriver) fire() {
+func (d *digestDriver) fireTimers() {
 	end := d.now
 	for {
 		next := -1
--- a/balance/endpoint_list_test.go
+++ b/balance/endpoint_list_test.go
@@ -12,11 +12,11 @@
 
 // randomEntries are changes as a list service may tell them: servers that come, drain, go, restart and move to another
 // zone, and such that nobody knew.
-func randomEntries(rng *rand.Rand, most int) []Server {
+func randomEntries(rng *rand.Rand, maxID int) []Server {
 	list := make([]Server, 1+rng.IntN(4))
 	for i := range list {
-		list[i] = Server{ID: ServerID(1 + rng.IntN(most)), Rating: 1, Zone: rng.IntN(4), State: ServerState(rng.IntN(3)),
-			StartedAt: float64(rng.IntN(3)) * 1000, AddressKey: uint64(1 + rng.IntN(most))}
+		list[i] = Server{ID: ServerID(1 + rng.IntN(maxID)), Rating: 1, Zone: rng.IntN(4), State: ServerState(rng.IntN(3)),
+			StartedAt: float64(rng.IntN(3)) * 1000, AddressKey: uint64(1 + rng.IntN(maxID))}
 	}
 	return list
 }
@@ -40,7 +40,7 @@
 				if _, err := b.Handle(1000+float64(i), ServerList{Kind: ListDelta, Servers: randomEntries(rng, 60)}); err != nil {
 					t.Fatal(err)
 				}
-				checkSettled(t, b)
+				requireSettled(t, b)
 			}
 			if len(b.servers) == 0 {
 				t.Error("no server is left: the changes test nothing")
@@ -50,15 +50,15 @@
 }
 
 // checkSettled finds out whether a look at all servers changes anything.
-func checkSettled(t *testing.T, b *Balancer) {
+func requireSettled(t *testing.T, b *Balancer) {
 	t.Helper()
 	servers, known := slices.Clone(b.servers), len(b.byID)
-	ready, lanes := map[int]int{}, map[ServerID][]routePlacement{}
+	ready, placements := map[int]int{}, map[ServerID][]routePlacement{}
 	for _, z := range b.zones {
 		ready[z.id] = z.ready
 	}
 	for _, s := range b.servers {
-		lanes[s.ID] = slices.Clone(s.placements)
+		placements[s.ID] = slices.Clone(s.placements)
 	}
 	b.dropGone()
 	if !slices.Equal(servers, b.servers) || known != len(b.byID) {
@@ -70,22 +70,22 @@
 		}
 	}
 	for _, s := range b.servers {
-		if !slices.Equal(lanes[s.ID], s.placements) {
-			t.Fatalf("server %d: %v by a change, %v by a look at all", s.ID, lanes[s.ID], s.placements)
+		if !slices.Equal(placements[s.ID], s.placements) {
+			t.Fatalf("server %d: %v by a change, %v by a look at all", s.ID, placements[s.ID], s.placements)
 		}
 	}
 }
 
-func listRig(t *testing.T, change func(*Config), servers ...Server) *rig {
+func newListHarness(t *testing.T, change func(*Config), servers ...Server) *harness {
 	cfg := baseConfig()
 	cfg.Subscribe, cfg.ListServices, cfg.SuspectFraction, cfg.StaleAfter = true, 2, 0.3, 5000
 	if change != nil {
 		change(&cfg)
 	}
-	return newRig(t, cfg, servers...)
+	return newHarness(t, cfg, servers...)
 }
 
-func (g *rig) used() string {
+func (g *harness) usableServers() string {
 	var out []string
 	for id := ServerID(1); id < 20; id++ {
 		if _, ok := g.b.UsableServer(id); ok {
@@ -95,67 +95,67 @@
 	return strings.Join(out, " ")
 }
 
-func (g *rig) wantUsed(what, want string) {
+func (g *harness) requireUsable(what, want string) {
 	g.t.Helper()
-	if got := g.used(); got != want {
+	if got := g.usableServers(); got != want {
 		g.t.Fatalf("%s: used %q, want %q", what, got, want)
 	}
 }
 
 // timer fires a timer of the list.
-func (g *rig) timer(token uint64) []Action { return g.do(Timer{Token: token}) }
+func (g *harness) fireTimer(token uint64) []Action { return g.handle(Timer{Token: token}) }
 
 func TestEndpointList_olderRevision(t *testing.T) {
-	g := listRig(t, nil)
-	g.do(ServerList{Kind: ListFull, Rev: 10, Servers: fleet(4)})
-	acts := g.do(ServerList{Kind: ListFull, Rev: 8, Source: 1, Servers: fleet(6)})
-	g.wantUsed("an older list", "1 2 3 4")
-	if g.b.ListStatus(g.now).Rev != 10 || !g.b.ListStatus(g.now).Rejected || !has(acts, SetTimer) {
+	g := newListHarness(t, nil)
+	g.handle(ServerList{Kind: ListFull, Rev: 10, Servers: identicalServers(4)})
+	acts := g.handle(ServerList{Kind: ListFull, Rev: 8, Source: 1, Servers: identicalServers(6)})
+	g.requireUsable("an older list", "1 2 3 4")
+	if g.b.ListStatus(g.now).Rev != 10 || !g.b.ListStatus(g.now).Rejected || !hasAction(acts, SetTimer) {
 		t.Fatalf("an older list: %+v, %+v", g.b.ListStatus(g.now), acts)
 	}
-	if w := find(g.timer(listTimer), Watch); w == nil || w.Source != 1 || w.After != 10 {
+	if w := findAction(g.fireTimer(listTimer), Watch); w == nil || w.Source != 1 || w.After != 10 {
 		t.Fatalf("the next service is not watched from what is held: %+v", w)
 	}
-	g.do(ServerList{Kind: ListDelta, Rev: 9, Servers: []Server{{ID: 7}}})
-	g.do(ServerList{Kind: ListDelta, Rev: 10, Servers: []Server{{ID: 7}}})
-	g.wantUsed("older changes", "1 2 3 4")
-	g.do(ServerList{Kind: ListDelta, Rev: 12, Servers: []Server{{ID: 7}}})
-	g.wantUsed("newer changes", "1 2 3 4 7")
+	g.handle(ServerList{Kind: ListDelta, Rev: 9, Servers: []Server{{ID: 7}}})
+	g.handle(ServerList{Kind: ListDelta, Rev: 10, Servers: []Server{{ID: 7}}})
+	g.requireUsable("older changes", "1 2 3 4")
+	g.handle(ServerList{Kind: ListDelta, Rev: 12, Servers: []Server{{ID: 7}}})
+	g.requireUsable("newer changes", "1 2 3 4 7")
 	if g.b.ListStatus(g.now).Rejected {
 		t.Error("still refused")
 	}
 
 	// What an old list says of a server that goes is true, unless it has started again since.
-	g.do(ServerList{Kind: ListDelta, Rev: 13, Servers: []Server{{ID: 1, StartedAt: 900}, {ID: 2, StartedAt: 900}}})
-	g.do(ServerList{Kind: ListFull, Rev: 5, Source: 1, Servers: []Server{
+	g.handle(ServerList{Kind: ListDelta, Rev: 13, Servers: []Server{{ID: 1, StartedAt: 900}, {ID: 2, StartedAt: 900}}})
+	g.handle(ServerList{Kind: ListFull, Rev: 5, Source: 1, Servers: []Server{
 		{ID: 1, State: Draining}, {ID: 2, State: Draining, StartedAt: 900}, {ID: 3, State: Gone}}})
-	g.wantUsed("an older list that names some who go", "1 4 7")
+	g.requireUsable("an older list that names some who go", "1 4 7")
 
 	// A later history is taken at once; an earlier one only when there has been nothing else for long.
-	g.do(ServerList{Kind: ListFull, Rev: 1 << epochBits, Servers: fleet(4)})
-	g.do(ServerList{Kind: ListDelta, Rev: 2<<epochBits + 5, Servers: []Server{{ID: 9}}})
-	g.wantUsed("changes of a history whose beginning is not known", "1 2 3 4")
+	g.handle(ServerList{Kind: ListFull, Rev: 1 << epochBits, Servers: identicalServers(4)})
+	g.handle(ServerList{Kind: ListDelta, Rev: 2<<epochBits + 5, Servers: []Server{{ID: 9}}})
+	g.requireUsable("changes of a history whose beginning is not known", "1 2 3 4")
 }
 
 func TestEndpointList_olderHistory(t *testing.T) {
-	g := listRig(t, func(c *Config) { c.SuspectFraction = 0 }, fleet(4)...)
-	g.do(ServerList{Kind: ListFull, Rev: 3 << epochBits, Servers: fleet(4)})
-	old := ServerList{Kind: ListFull, Rev: 1 << epochBits, Servers: fleet(2)}
+	g := newListHarness(t, func(c *Config) { c.SuspectFraction = 0 }, identicalServers(4)...)
+	g.handle(ServerList{Kind: ListFull, Rev: 3 << epochBits, Servers: identicalServers(4)})
+	old := ServerList{Kind: ListFull, Rev: 1 << epochBits, Servers: identicalServers(2)}
 	var pauses []float64
 	for began := g.now; g.now-began <= historyTime; {
-		pauses = append(pauses, find(g.do(old), SetTimer).At)
-		g.wantUsed("an earlier history", "1 2 3 4")
+		pauses = append(pauses, findAction(g.handle(old), SetTimer).At)
+		g.requireUsable("an earlier history", "1 2 3 4")
 		g.now += 3000
 	}
 	if last := len(pauses) - 1; pauses[last] < 2*pauses[0] {
 		t.Errorf("refused lists are asked for again as often as ever: %v", pauses)
 	}
-	g.do(old)
-	g.wantUsed("nothing but an earlier history for long", "1 2")
+	g.handle(old)
+	g.requireUsable("nothing but an earlier history for long", "1 2")
 }
 
 func TestEndpointList_suspectedServers(t *testing.T) {
-	without := func(from, to int) []Server { f := fleet(9); return append(f[:from:from], f[to:]...) }
+	without := func(from, to int) []Server { f := identicalServers(9); return append(f[:from:from], f[to:]...) }
 	for name, c := range map[string]struct {
 		share   float64
 		list    []Server
@@ -170,43 +170,43 @@
 		"who goes is obeyed":   {0.3, []Server{{ID: 1, State: Draining}, {ID: 2, State: Gone}}, "3 4 5 6 7 8 9", 7},
 		"half, and one drains": {0.3, append(without(4, 9), Server{ID: 5, State: Draining}), "1 2 3 4 6 7 8 9", 4},
 	} {
-		g := listRig(t, func(c2 *Config) { c2.SuspectFraction = c.share }, fleet(9)...)
-		g.do(ServerList{Kind: ListFull, Rev: 2, Servers: c.list})
-		if got := g.b.ListStatus(g.now).Suspected; g.used() != c.used || got != c.doubted {
-			t.Errorf("%s: used %q, doubted %d; want %q, %d", name, g.used(), got, c.used, c.doubted)
+		g := newListHarness(t, func(c2 *Config) { c2.SuspectFraction = c.share }, identicalServers(9)...)
+		g.handle(ServerList{Kind: ListFull, Rev: 2, Servers: c.list})
+		if got := g.b.ListStatus(g.now).Suspected; g.usableServers() != c.used || got != c.doubted {
+			t.Errorf("%s: used %q, doubted %d; want %q, %d", name, g.usableServers(), got, c.used, c.doubted)
 		}
 	}
 }
 
 func TestEndpointList_suspicionEnds(t *testing.T) {
-	begin := func(list ...Server) *rig {
-		g := listRig(t, nil, fleet(6)...)
-		if g.do(ServerList{Kind: ListFull, Rev: 2, Servers: list}); g.b.ListStatus(g.now).Suspected == 0 {
+	begin := func(list ...Server) *harness {
+		g := newListHarness(t, nil, identicalServers(6)...)
+		if g.handle(ServerList{Kind: ListFull, Rev: 2, Servers: list}); g.b.ListStatus(g.now).Suspected == 0 {
 			t.Fatal("nothing is doubted")
 		}
 		return g
 	}
 	t.Run("by a word", func(t *testing.T) {
 		g := begin()
-		g.do(ServerList{Kind: ListDelta, Rev: 3, Servers: []Server{{ID: 1, State: Draining}, {ID: 2, State: Gone}, {ID: 3}}})
-		g.wantUsed("named", "3 4 5 6")
+		g.handle(ServerList{Kind: ListDelta, Rev: 3, Servers: []Server{{ID: 1, State: Draining}, {ID: 2, State: Gone}, {ID: 3}}})
+		g.requireUsable("named", "3 4 5 6")
 		if got := g.b.ListStatus(g.now).Suspected; got != 3 {
 			t.Errorf("%d are doubted", got)
 		}
 	})
 	t.Run("by a list that names them", func(t *testing.T) {
 		g := begin()
-		g.do(ServerList{Kind: ListFull, Rev: 3, Servers: fleet(5)})
-		if g.wantUsed("a sound list", "1 2 3 4 5"); g.b.ListStatus(g.now).Suspected != 0 {
+		g.handle(ServerList{Kind: ListFull, Rev: 3, Servers: identicalServers(5)})
+		if g.requireUsable("a sound list", "1 2 3 4 5"); g.b.ListStatus(g.now).Suspected != 0 {
 			t.Error("still doubted")
 		}
 	})
 	t.Run("by a refused connection", func(t *testing.T) {
 		g := begin()
-		id, acts := g.ask(safeClass)
+		id, acts := g.sendRequest(idempotentClass)
 		first, _ := sentTo(acts)
-		acts = g.answer(id, 0, ConnectFailed, 5)
-		if f := find(acts, Forget); f == nil || f.Server != first {
+		acts = g.endAttempt(id, 0, ConnectFailed, 5)
+		if f := findAction(acts, Forget); f == nil || f.Server != first {
 			t.Fatalf("it is not forgotten: %+v", acts)
 		}
 		if next, ok := sentTo(acts); !ok || next == first {
@@ -220,13 +220,13 @@
 		for _, empty := range []bool{true, false} {
 			var list []Server
 			if !empty {
-				list = fleet(2)
+				list = identicalServers(2)
 			}
 			g := begin(list...)
 			g.now += suspectLimit
-			g.timer(suspectTimer)
-			if want := map[bool]string{true: "1 2 3 4 5 6", false: "1 2"}[empty]; g.used() != want {
-				t.Errorf("empty %v: used %q", empty, g.used())
+			g.fireTimer(suspectTimer)
+			if want := map[bool]string{true: "1 2 3 4 5 6", false: "1 2"}[empty]; g.usableServers() != want {
+				t.Errorf("empty %v: used %q", empty, g.usableServers())
 			}
 		}
 	})
@@ -246,10 +246,10 @@
 		"nowhere":                     {[]Server{{ID: 1, AddressKey: NoAddress}, {ID: 2, AddressKey: NoAddress, State: Draining}, {ID: 3, AddressKey: 1}}, "3"},
 		"no size":                     {[]Server{{ID: 1, Rating: -1}, {ID: 2, Rating: 0}}, "1 2"},
 	} {
-		g := listRig(t, func(c *Config) { c.SuspectFraction = 0 })
-		g.do(ServerList{Kind: ListFull, Rev: 2, Servers: c.list})
-		if g.used() != c.used {
-			t.Errorf("%s: used %q, want %q", name, g.used(), c.used)
+		g := newListHarness(t, func(c *Config) { c.SuspectFraction = 0 })
+		g.handle(ServerList{Kind: ListFull, Rev: 2, Servers: c.list})
+		if g.usableServers() != c.used {
+			t.Errorf("%s: used %q, want %q", name, g.usableServers(), c.used)
 		}
 		for _, s := range g.b.servers {
 			if !(s.Rating > 0) {
@@ -258,8 +258,8 @@
 		}
 	}
 	if s, _ := func() (Server, bool) {
-		g := listRig(t, nil)
-		g.do(ServerList{Kind: ListFull, Rev: 2, Servers: []Server{{ID: 1, AddressKey: 6, StartedAt: 1}, {ID: 1, AddressKey: 5, StartedAt: 2}}})
+		g := newListHarness(t, nil)
+		g.handle(ServerList{Kind: ListFull, Rev: 2, Servers: []Server{{ID: 1, AddressKey: 6, StartedAt: 1}, {ID: 1, AddressKey: 5, StartedAt: 2}}})
 		return g.b.UsableServer(1)
 	}(); s.AddressKey != 5 {
 		t.Errorf("of two entries the older counts: %+v", s)
@@ -268,18 +268,18 @@
 
 // Another address is another way to a server: what failed on the old one is not held against it. Another zone moves it.
 func TestEndpointList_addressChange(t *testing.T) {
-	g := listRig(t, nil, Server{ID: 1, AddressKey: 4}, Server{ID: 2, AddressKey: 5})
+	g := newListHarness(t, nil, Server{ID: 1, AddressKey: 4}, Server{ID: 2, AddressKey: 5})
 	for range 4 {
-		id, acts := g.ask(safeClass)
+		id, acts := g.sendRequest(idempotentClass)
 		if s, _ := sentTo(acts); s == 1 {
-			g.answer(id, 0, ConnectFailed, 5)
+			g.endAttempt(id, 0, ConnectFailed, 5)
 			break
 		}
 	}
 	if !g.b.ejected(g.b.byID[1]) {
 		t.Fatal("it does not rest")
 	}
-	g.do(ServerList{Kind: ListDelta, Rev: 3, Servers: []Server{{ID: 1, AddressKey: 9, Zone: 3}}})
+	g.handle(ServerList{Kind: ListDelta, Rev: 3, Servers: []Server{{ID: 1, AddressKey: 9, Zone: 3}}})
 	if s := g.b.byID[1]; g.b.ejected(s) || s.Zone != 3 || g.b.warmingUp(s) {
 		t.Errorf("after it moved: %+v", s)
 	}
@@ -338,20 +338,20 @@
 }
 
 func TestEndpointList_drainingServer(t *testing.T) {
-	g := newRig(t, baseConfig(), fleet(2)...)
-	gone := fleet(1)[0]
+	g := newHarness(t, baseConfig(), identicalServers(2)...)
+	gone := identicalServers(1)[0]
 	gone.State = Draining
-	g.do(ServerList{Kind: ListDelta, Servers: []Server{gone}})
+	g.handle(ServerList{Kind: ListDelta, Servers: []Server{gone}})
 	for range 20 {
-		id, acts := g.ask(safeClass)
+		id, acts := g.sendRequest(idempotentClass)
 		if s, _ := sentTo(acts); s != 2 {
 			t.Fatalf("sent to %d", s)
 		}
-		g.answer(id, 0, OK, 10)
+		g.endAttempt(id, 0, OK, 10)
 	}
 	gone.State = Ready
-	g.do(ServerList{Kind: ListFull, Servers: []Server{gone}}) // the other is left out: it has gone
-	id, acts := g.ask(safeClass)
+	g.handle(ServerList{Kind: ListFull, Servers: []Server{gone}}) // the other is left out: it has gone
+	id, acts := g.sendRequest(idempotentClass)
 	if s, _ := sentTo(acts); s != 1 {
 		t.Fatalf("sent to %d of request %d", s, id)
 	}
--- a/balance/fleet_size_test.go
+++ b/balance/fleet_size_test.go
@@ -140,7 +140,7 @@
 				}
 			}
 		}
-		servers := fleet(rapid.IntRange(2, 12).Draw(t, "servers"))
+		servers := identicalServers(rapid.IntRange(2, 12).Draw(t, "servers"))
 		for i := range servers {
 			if rapid.Bool().Draw(t, "cold") {
 				servers[i].StartedAt = now
--- a/balance/harness_test.go
+++ b/balance/harness_test.go
@@ -3,13 +3,13 @@
 import "testing"
 
 // rig drives one balancer by a script of events and keeps what it asked for.
-type rig struct {
-	t    *testing.T
-	b    *Balancer
-	now  float64
-	acts []Action
-	next RequestID
-	late []RequestID // whose attempts are out
+type harness struct {
+	t          *testing.T
+	b          *Balancer
+	now        float64
+	actions    []Action
+	lastID     RequestID
+	unanswered []RequestID // whose attempts are out
 }
 
 func baseConfig() Config {
@@ -28,17 +28,17 @@
 }
 
 const (
-	safeClass = iota
-	unsafeClass
-	cellClass
-	allClass
-	zoneClass
+	idempotentClass = iota
+	nonIdempotentClass
+	cellKeyClass
+	globalKeyClass
+	zoneKeyClass
 )
 
-func newRig(t *testing.T, cfg Config, servers ...Server) *rig {
-	g := &rig{t: t, b: mustNew(t, cfg), now: 1000}
-	g.acts = append(g.acts, g.b.Start(g.now)...)
-	g.do(ServerList{Kind: ListCached, Servers: servers})
+func newHarness(t *testing.T, cfg Config, servers ...Server) *harness {
+	g := &harness{t: t, b: mustNew(t, cfg), now: 1000}
+	g.actions = append(g.actions, g.b.Start(g.now)...)
+	g.handle(ServerList{Kind: ListCached, Servers: servers})
 	for _, s := range g.b.servers {
 		s.running, s.rank = 0, float64(s.ID) // the random start and order would hide the sequence
 	}
@@ -56,7 +56,7 @@
 }
 
 // fleet is n like servers with IDs from 1, two to a cell, four to a zone.
-func fleet(n int) []Server {
+func identicalServers(n int) []Server {
 	list := make([]Server, n)
 	for i := range list {
 		list[i] = Server{ID: ServerID(i + 1), Rating: 1, Cell: i / 2, Zone: i / 4}
@@ -64,30 +64,30 @@
 	return list
 }
 
-func (g *rig) do(ev Event) []Action {
+func (g *harness) handle(event Event) []Action {
 	g.t.Helper()
-	acts, err := g.b.Handle(g.now, ev)
+	actions, err := g.b.Handle(g.now, event)
 	if err != nil {
-		g.t.Fatalf("%#v: %v", ev, err)
+		g.t.Fatalf("%#v: %v", event, err)
 	}
-	acts = append([]Action(nil), acts...)
-	g.acts = append(g.acts, acts...)
-	return acts
+	actions = append([]Action(nil), actions...)
+	g.actions = append(g.actions, actions...)
+	return actions
 }
 
 // ask brings a request and returns its ID with what was done at once.
-func (g *rig) ask(class int) (RequestID, []Action) {
+func (g *harness) sendRequest(class int) (RequestID, []Action) {
 	g.t.Helper()
-	g.next++
-	return g.next, g.do(Request{ID: g.next, Class: class, Remaining: g.b.cfg.Classes[class].Deadline})
+	g.lastID++
+	return g.lastID, g.handle(Request{ID: g.lastID, Class: class, Remaining: g.b.cfg.Classes[class].Deadline})
 }
 
 // answer ends an attempt with a result.
-func (g *rig) answer(id RequestID, attempt int, res Result, took float64) []Action {
+func (g *harness) endAttempt(id RequestID, attempt int, result Result, elapsed float64) []Action {
 	g.t.Helper()
 	s := g.b.reqs[id].attempts[attempt].server
-	done := res == OK || g.b.reqs[id].done
-	return g.do(Outcome{Request: id, Attempt: attempt, Server: s.ID, Result: res, Elapsed: took, Finished: done})
+	done := result == OK || g.b.reqs[id].done
+	return g.handle(Outcome{Request: id, Attempt: attempt, Server: s.ID, Result: result, Elapsed: elapsed, Finished: done})
 }
 
 func sentTo(acts []Action) (ServerID, bool) {
@@ -99,7 +99,7 @@
 	return 0, false
 }
 
-func has(acts []Action, kind ActionKind) bool {
+func hasAction(acts []Action, kind ActionKind) bool {
 	for _, a := range acts {
 		if a.Kind == kind {
 			return true
@@ -108,7 +108,7 @@
 	return false
 }
 
-func find(acts []Action, kind ActionKind) *Action {
+func findAction(acts []Action, kind ActionKind) *Action {
 	for i := range acts {
 		if acts[i].Kind == kind {
 			return &acts[i]
@@ -118,17 +118,17 @@
 }
 
 // sequence sends n safe requests one after the other, each answered before the next.
-func sequence(g *rig, n int) []ServerID {
+func sendSequence(g *harness, n int) []ServerID {
 	var ids []ServerID
 	for range n {
-		id, acts := g.ask(safeClass)
+		id, acts := g.sendRequest(idempotentClass)
 		s, ok := sentTo(acts)
 		if !ok {
 			g.t.Fatal("nothing was sent")
 		}
 		ids = append(ids, s)
 		g.b.reqs[id].stats.n = 0 // no learning from these answers
-		g.answer(id, 0, OK, 10)
+		g.endAttempt(id, 0, OK, 10)
 	}
 	return ids
 }
--- a/balance/idle_period_test.go
+++ b/balance/idle_period_test.go
@@ -6,48 +6,48 @@
 	"testing"
 )
 
-const quiet = 600_000 // ms without a request
+const idlePeriod = 600_000 // ms without a request
 
 // before are the states in which the quiet time may begin.
-var before = map[string]func(*rig){
-	"calm": func(g *rig) { g.serve(200, 50) },
-	"overload": func(g *rig) {
-		g.serve(200, 50)
+var priorStates = map[string]func(*harness){
+	"calm": func(g *harness) { g.serveRequests(200, 50) },
+	"overload": func(g *harness) {
+		g.serveRequests(200, 50)
 		for range 2000 {
-			id, acts := g.ask(safeClass)
+			id, acts := g.sendRequest(idempotentClass)
 			if _, sent := sentTo(acts); sent {
-				g.late = append(g.late, id)
+				g.unanswered = append(g.unanswered, id)
 			}
 			g.now += 5
 		}
-		g.endLate()
+		g.timeOutUnanswered()
 	},
-	"all fail": func(g *rig) {
-		g.serve(200, 50)
-		g.fail(100)
+	"all fail": func(g *harness) {
+		g.serveRequests(200, 50)
+		g.failRequests(100)
 	},
 }
 
 // serve plays requests one after another that are answered well.
-func (g *rig) serve(n int, took float64) {
+func (g *harness) serveRequests(n int, elapsed float64) {
 	g.t.Helper()
 	for range n {
-		if id, acts := g.ask(safeClass); has(acts, Send) {
-			g.now += took
-			g.answer(id, 0, OK, took)
+		if id, acts := g.sendRequest(idempotentClass); hasAction(acts, Send) {
+			g.now += elapsed
+			g.endAttempt(id, 0, OK, elapsed)
 		}
 	}
 }
 
 // fail plays requests all of whose attempts fail at once, and reports how many attempts they had.
-func (g *rig) fail(n int) (attempts int) {
+func (g *harness) failRequests(n int) (attempts int) {
 	g.t.Helper()
 	for range n {
-		id, acts := g.ask(safeClass)
-		for i := 0; has(acts, Send); i++ {
+		id, acts := g.sendRequest(idempotentClass)
+		for i := 0; hasAction(acts, Send); i++ {
 			attempts++
 			g.now++
-			acts = g.answer(id, i, Failed, 1)
+			acts = g.endAttempt(id, i, Failed, 1)
 		}
 		g.now += 10
 	}
@@ -55,43 +55,43 @@
 }
 
 // endLate ends all attempts that are out as timed out.
-func (g *rig) endLate() {
+func (g *harness) timeOutUnanswered() {
 	g.now += 10_000
-	for _, id := range g.late {
-		g.do(Timer{Token: uint64(id)})
+	for _, id := range g.unanswered {
+		g.handle(Timer{Token: uint64(id)})
 		if r := g.b.reqs[id]; r != nil && r.liveAttempts > 0 {
-			g.answer(id, 0, TimedOut, 10_000)
+			g.endAttempt(id, 0, TimedOut, 10_000)
 		}
 	}
-	g.late = nil
+	g.unanswered = nil
 }
 
 // fresh is a balancer that has just started, and rested one that has had a quiet time after what came before.
-func rested(t *testing.T, what string) (fresh, rested *rig) {
+func afterIdlePeriod(t *testing.T, state string) (newProcess, idleProcess *harness) {
 	t.Helper()
-	fresh, rested = newRig(t, baseConfig(), fleet(4)...), newRig(t, baseConfig(), fleet(4)...)
-	before[what](rested)
-	rested.now += quiet
-	rested.do(ServerList{Kind: ListAlive})
-	return fresh, rested
+	newProcess, idleProcess = newHarness(t, baseConfig(), identicalServers(4)...), newHarness(t, baseConfig(), identicalServers(4)...)
+	priorStates[state](idleProcess)
+	idleProcess.now += idlePeriod
+	idleProcess.handle(ServerList{Kind: ListAlive})
+	return newProcess, idleProcess
 }
 
 // After ten minutes without a request a burst is taken as by a sidecar that has just started: nothing that was shed,
 // counted or held against servers before is left.
 func TestAdmission_burstAfterIdlePeriod(t *testing.T) {
-	for what := range before {
+	for what := range priorStates {
 		t.Run(what, func(t *testing.T) {
-			fresh, rested := rested(t, what)
+			fresh, rested := afterIdlePeriod(t, what)
 			var refused [2]int
-			for i, g := range []*rig{fresh, rested} {
+			for i, g := range []*harness{fresh, rested} {
 				for range 40 {
-					id, acts := g.ask(safeClass)
-					if has(acts, Reject) {
+					id, acts := g.sendRequest(idempotentClass)
+					if hasAction(acts, Reject) {
 						refused[i]++
 						continue
 					}
 					g.now += 20
-					g.answer(id, 0, OK, 20)
+					g.endAttempt(id, 0, OK, 20)
 				}
 			}
 			if refused[1] > refused[0] {
@@ -103,23 +103,23 @@
 
 // Servers that begin to fail after a quiet time are judged as by a sidecar that has just started.
 func TestEjection_failuresAfterIdlePeriod(t *testing.T) {
-	for what := range before {
+	for what := range priorStates {
 		t.Run(what, func(t *testing.T) {
-			fresh, rested := rested(t, what)
-			for _, g := range []*rig{fresh, rested} {
-				id, acts := g.ask(safeClass)
-				if !has(acts, Send) {
+			fresh, rested := afterIdlePeriod(t, what)
+			for _, g := range []*harness{fresh, rested} {
+				id, acts := g.sendRequest(idempotentClass)
+				if !hasAction(acts, Send) {
 					t.Fatal("the first request after the quiet time is not sent")
 				}
 				g.now++
 				s := g.b.reqs[id].attempts[0].server
-				g.answer(id, 0, Failed, 1)
+				g.endAttempt(id, 0, Failed, 1)
 				if m := g.b.health(s); math.Abs(m-(1-penaltyPerError)) > 1e-9 || g.b.ejected(s) {
 					t.Errorf("after one error: multiplier %v, resting %v", m, g.b.ejected(s))
 				}
 			}
 			// What was learned of answers stays, so what is shed while nobody answers may differ a little.
-			if a, b := fresh.fail(50), rested.fail(50); 5*b < 4*a || 5*b > 6*a {
+			if a, b := fresh.failRequests(50), rested.failRequests(50); 5*b < 4*a || 5*b > 6*a {
 				t.Errorf("%d attempts after the quiet time, %d by a new sidecar", b, a)
 			}
 		})
@@ -128,23 +128,23 @@
 
 // A list that changes after a quiet time counts at once: who drains gets nothing, who starts is warmed up.
 func TestEndpointList_changeAfterIdlePeriod(t *testing.T) {
-	for what := range before {
+	for what := range priorStates {
 		t.Run(what, func(t *testing.T) {
-			_, g := rested(t, what)
-			drains := fleet(4)[0]
+			_, g := afterIdlePeriod(t, what)
+			drains := identicalServers(4)[0]
 			drains.State = Draining
 			starts := Server{ID: 9, Rating: 1, Cell: 9, Zone: 9, StartedAt: g.now}
-			g.do(ServerList{Kind: ListDelta, Rev: 2, Servers: []Server{drains, starts}})
+			g.handle(ServerList{Kind: ListDelta, Rev: 2, Servers: []Server{drains, starts}})
 			if s := g.b.byID[9]; s == nil || !g.b.warmingUp(s) {
 				t.Fatal("the server that starts is not warmed up")
 			}
 			sent := map[ServerID]int{}
 			for range 100 {
-				id, acts := g.ask(safeClass)
+				id, acts := g.sendRequest(idempotentClass)
 				if to, ok := sentTo(acts); ok {
 					sent[to]++
 					g.now += 20
-					g.answer(id, 0, OK, 20)
+					g.endAttempt(id, 0, OK, 20)
 				}
 			}
 			if sent[drains.ID] > 0 || sent[2]+sent[3]+sent[4] < 50 {
--- a/balance/limits_test.go
+++ b/balance/limits_test.go
@@ -12,11 +12,11 @@
 )
 
 // newGrown is a balancer with so many servers in three zones.
-func newGrown(t testing.TB, n int) *Balancer {
+func newLargeBalancer(t testing.TB, n int) *Balancer {
 	t.Helper()
 	b := mustNew(t, baseConfig())
 	b.Start(1000)
-	list := ServerList{Kind: ListFull, Servers: fleet(n)}
+	list := ServerList{Kind: ListFull, Servers: identicalServers(n)}
 	for i := range list.Servers {
 		list.Servers[i].Zone %= 3
 	}
@@ -27,9 +27,9 @@
 }
 
 // changeOne lets a server drain, go and come again in turn.
-func changeOne(t testing.TB, b *Balancer, round int) {
+func changeListOnce(t testing.TB, b *Balancer, round int) {
 	t.Helper()
-	one := fleet(1)
+	one := identicalServers(1)
 	one[0].State = ServerState(round % 3)
 	if _, err := b.Handle(1000, ServerList{Kind: ListDelta, Servers: one}); err != nil {
 		t.Fatal(err)
@@ -37,10 +37,10 @@
 }
 
 // askOne brings a request, one of 20 a second, and its answer.
-func askOne(t testing.TB, b *Balancer, round int) {
+func requestOnce(t testing.TB, b *Balancer, round int) {
 	t.Helper()
 	now, id := 1000+50*float64(round), RequestID(round+1)
-	acts, err := b.Handle(now, Request{ID: id, Class: safeClass, Remaining: 1500})
+	acts, err := b.Handle(now, Request{ID: id, Class: idempotentClass, Remaining: 1500})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -54,15 +54,15 @@
 }
 
 // BenchmarkListChange is what one change of the list costs with few and with many servers.
-func BenchmarkListChange(b *testing.B) { benchmarkGrown(b, changeOne) }
+func BenchmarkListChange(b *testing.B) { benchmarkFleetSizes(b, changeListOnce) }
 
 // BenchmarkRequestInFleet is what a request costs with few and with many servers.
-func BenchmarkRequestInFleet(b *testing.B) { benchmarkGrown(b, askOne) }
+func BenchmarkRequestInFleet(b *testing.B) { benchmarkFleetSizes(b, requestOnce) }
 
-func benchmarkGrown(b *testing.B, do func(testing.TB, *Balancer, int)) {
+func benchmarkFleetSizes(b *testing.B, do func(testing.TB, *Balancer, int)) {
 	for _, n := range []int{200, 3200} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
-			balancer := newGrown(b, n)
+			balancer := newLargeBalancer(b, n)
 			for i := 0; b.Loop(); i++ {
 				do(b, balancer, i)
 			}
@@ -74,12 +74,12 @@
 // over all servers. The least of several times in turn is compared, as the machine may be busy.
 func TestLimits_costInLargeFleet(t *testing.T) {
 	const tries, rounds, most = 7, 400, 5
-	for name, do := range map[string]func(testing.TB, *Balancer, int){"request": askOne, "change": changeOne} {
+	for name, do := range map[string]func(testing.TB, *Balancer, int){"request": requestOnce, "change": changeListOnce} {
 		t.Run(name, func(t *testing.T) {
 			least := map[int]time.Duration{200: math.MaxInt64, 3200: math.MaxInt64}
 			for range tries {
 				for n := range least {
-					b := newGrown(t, n)
+					b := newLargeBalancer(t, n)
 					began := time.Now()
 					for i := range rounds {
 						do(t, b, i)
@@ -97,13 +97,13 @@
 
 // Limits of a file of decisions, so that each has one subject and can be read in one sitting.
 const (
-	mostLines         = 400 // that are not blank
-	mostColumns       = 110 // of a file of decisions
-	mostColumnsOfRest = 120 // of any other file of the package
+	maxLines         = 400 // that are not blank
+	maxPolicyColumns = 110 // of a file of decisions
+	maxColumns       = 120 // of any other file of the package
 )
 
 // bookkeeping are the files that take no decisions.
-var bookkeeping = []string{
+var nonPolicyFiles = []string{
 	"api.go", "balance.go", "canary_budget.go", "events.go", "route_state.go", "settings.go", "state.go", "status.go",
 }
 
@@ -130,11 +130,11 @@
 		if strings.HasSuffix(name, "_test.go") {
 			continue
 		}
-		columns := mostColumnsOfRest
+		columns := maxColumns
 		if slices.Contains(listed, name) {
-			columns = mostColumns
+			columns = maxPolicyColumns
 		}
-		if slices.Contains(listed, name) == slices.Contains(bookkeeping, name) {
+		if slices.Contains(listed, name) == slices.Contains(nonPolicyFiles, name) {
 			t.Errorf("%s is listed both as policy and as bookkeeping, or as neither", name)
 		}
 		checkLength(t, name, columns)
@@ -161,8 +161,8 @@
 			t.Errorf("%s: line %d is %d columns wide", name, i+1, width)
 		}
 	}
-	if lines == 0 || lines > mostLines {
-		t.Errorf("%s: %d lines, at most %d", name, lines, mostLines)
+	if lines == 0 || lines > maxLines {
+		t.Errorf("%s: %d lines, at most %d", name, lines, maxLines)
 	}
 }
 
@@ -184,21 +184,21 @@
 
 // What has ended is forgotten: requests, servers that are gone, probes that are waited for.
 func TestLimits_memory(t *testing.T) {
-	g := newRig(t, probeConfig(), fleet(5)...)
+	g := newHarness(t, healthCheckConfig(), identicalServers(5)...)
 	for i := range 20000 {
-		g.acts = g.acts[:0]
+		g.actions = g.actions[:0]
 		g.now += 5
-		id, acts := g.ask(safeClass)
-		acts = append(acts, g.probes(acts, 0, nil)...)
+		id, acts := g.sendRequest(idempotentClass)
+		acts = append(acts, g.answerHealthChecks(acts, 0, nil)...)
 		if _, ok := sentTo(acts); ok {
-			g.answer(id, 0, OK, 5)
+			g.endAttempt(id, 0, OK, 5)
 		}
 		if i%20 == 0 { // a rolling deploy: new names all the time
-			list := fleet(5)
+			list := identicalServers(5)
 			for k := range list {
 				list[k].ID = ServerID(i + k + 1)
 			}
-			g.do(ServerList{Kind: ListFull, Servers: list})
+			g.handle(ServerList{Kind: ListFull, Servers: list})
 		}
 	}
 	b := g.b
@@ -213,7 +213,7 @@
 		b.Run(fmt.Sprintf("%d-servers", n), func(b *testing.B) {
 			bal := mustNew(b, baseConfig())
 			bal.Start(0)
-			if _, err := bal.Handle(0, ServerList{Kind: ListFull, Servers: fleet(n)}); err != nil {
+			if _, err := bal.Handle(0, ServerList{Kind: ListFull, Servers: identicalServers(n)}); err != nil {
 				b.Fatal(err)
 			}
 			b.ReportAllocs()
--- a/balance/local_failure_test.go
+++ b/balance/local_failure_test.go
@@ -6,20 +6,20 @@
 )
 
 // judged is what may be held against a server.
-type judged struct {
-	errs, rests                int
-	restUntil, coldSince, size float64
-	down, dark                 bool
-	against                    float64
+type serverRecord struct {
+	consecutiveErrors, ejections    int
+	ejectedUntil, slowStartAt, size float64
+	processDown, healthCheckFailed  bool
+	zoneEvidence                    float64
 }
 
-func (g *rig) judged(id ServerID) judged {
+func (g *harness) recordOf(id ServerID) serverRecord {
 	s := g.b.byID[id]
-	return judged{s.consecutiveErrors, s.ejections, s.ejectedUntil, s.slowStartAt, s.size, s.processDown, s.healthCheckFailed, s.zone.evidence}
+	return serverRecord{s.consecutiveErrors, s.ejections, s.ejectedUntil, s.slowStartAt, s.size, s.processDown, s.healthCheckFailed, s.zone.evidence}
 }
 
 // wait lets the time of a request's next timer come, and tells how long that was.
-func (g *rig) wait(id RequestID) (acts []Action, waited float64) {
+func (g *harness) fireNextTimer(id RequestID) (acts []Action, waited float64) {
 	g.t.Helper()
 	due := g.b.reqs[id].wakeAt
 	if math.IsInf(due, 1) {
@@ -27,39 +27,39 @@
 	}
 	waited = due - g.now
 	g.now = due
-	return g.do(Timer{Token: uint64(id)}), waited
+	return g.handle(Timer{Token: uint64(id)}), waited
 }
 
 // A failure of this machine is held against no server, uses up no attempt, and the request goes on after a pause that
 // doubles, even one that must not run twice.
 func TestRetry_localFailure(t *testing.T) {
-	for name, class := range map[string]int{"safe": safeClass, "unsafe": unsafeClass, "keyed": cellClass} {
+	for name, class := range map[string]int{"safe": idempotentClass, "unsafe": nonIdempotentClass, "keyed": cellKeyClass} {
 		t.Run(name, func(t *testing.T) {
-			g := newRig(t, baseConfig(), fleet(8)...)
-			id, acts := g.ask(class)
+			g := newHarness(t, baseConfig(), identicalServers(8)...)
+			id, acts := g.sendRequest(class)
 			for n, pause := range []float64{5, 10, 20, 40} {
 				server, sent := sentTo(acts)
 				if !sent {
 					t.Fatalf("attempt %d was not sent: %+v", n, acts)
 				}
-				before := g.judged(server)
-				if acts = g.answer(id, n, LocalFailure, 0.1); has(acts, Send) || has(acts, Reject) || has(acts, Fail) {
+				before := g.recordOf(server)
+				if acts = g.endAttempt(id, n, LocalFailure, 0.1); hasAction(acts, Send) || hasAction(acts, Reject) || hasAction(acts, Fail) {
 					t.Fatalf("after failure %d: %+v, want a pause", n, acts)
 				}
-				if after := g.judged(server); after != before {
+				if after := g.recordOf(server); after != before {
 					t.Errorf("server %d: %+v, was %+v", server, after, before)
 				}
 				var waited float64
-				if acts, waited = g.wait(id); waited != pause {
+				if acts, waited = g.fireNextTimer(id); waited != pause {
 					t.Errorf("pause %d lasts %v ms, want %v", n, waited, pause)
 				}
 			}
 			sends := 0
-			for n := 4; has(acts, Send); n++ { // all of its attempts are left
+			for n := 4; hasAction(acts, Send); n++ { // all of its attempts are left
 				sends++
-				acts = g.answer(id, n, ConnectFailed, 0.1)
+				acts = g.endAttempt(id, n, ConnectFailed, 0.1)
 			}
-			if sends != baseConfig().MaxAttempts || !has(acts, Reject) {
+			if sends != baseConfig().MaxAttempts || !hasAction(acts, Reject) {
 				t.Errorf("%d further attempts, then %+v, want %d and a refusal", sends, acts, baseConfig().MaxAttempts)
 			}
 		})
@@ -68,19 +68,19 @@
 
 // However long this machine fails, the request is refused when its time is up, after few tries.
 func TestRetry_localFailureUntilDeadline(t *testing.T) {
-	for name, class := range map[string]int{"safe": safeClass, "unsafe": unsafeClass, "keyed": allClass} {
+	for name, class := range map[string]int{"safe": idempotentClass, "unsafe": nonIdempotentClass, "keyed": globalKeyClass} {
 		t.Run(name, func(t *testing.T) {
-			g := newRig(t, baseConfig(), fleet(8)...)
+			g := newHarness(t, baseConfig(), identicalServers(8)...)
 			earliestStart, n := g.now, 0
-			id, acts := g.ask(class)
-			for !has(acts, Reject) {
-				if has(acts, Send) {
-					acts = g.answer(id, n, LocalFailure, 0.1)
+			id, acts := g.sendRequest(class)
+			for !hasAction(acts, Reject) {
+				if hasAction(acts, Send) {
+					acts = g.endAttempt(id, n, LocalFailure, 0.1)
 					n++
 				} else {
-					acts, _ = g.wait(id)
+					acts, _ = g.fireNextTimer(id)
 				}
-				if has(acts, Fail) {
+				if hasAction(acts, Fail) {
 					t.Fatalf("%+v, want a refusal", acts)
 				}
 			}
@@ -93,19 +93,19 @@
 
 // Where no time bounds it, as the body is still coming, the number of failures does.
 func TestRetry_localFailureLimit(t *testing.T) {
-	g := newRig(t, baseConfig(), fleet(8)...)
-	g.next++
-	id, n := g.next, 0
-	acts := g.do(Request{ID: id, Class: safeClass, Remaining: 500, BodyStreaming: true})
-	for !has(acts, Reject) {
+	g := newHarness(t, baseConfig(), identicalServers(8)...)
+	g.lastID++
+	id, n := g.lastID, 0
+	acts := g.handle(Request{ID: id, Class: idempotentClass, Remaining: 500, BodyStreaming: true})
+	for !hasAction(acts, Reject) {
 		if n > maxLocalFailures+g.b.cfg.MaxAttempts {
 			t.Fatalf("%d tries and no end", n)
 		}
-		if has(acts, Send) {
-			acts = g.answer(id, n, LocalFailure, 0.1)
+		if hasAction(acts, Send) {
+			acts = g.endAttempt(id, n, LocalFailure, 0.1)
 			n++
 		} else {
-			acts, _ = g.wait(id)
+			acts, _ = g.fireNextTimer(id)
 		}
 	}
 }
--- a/balance/locality_test.go
+++ b/balance/locality_test.go
@@ -11,9 +11,9 @@
 	for price, least := range map[float64]int{0: 10, 0.05: 25} {
 		cfg := baseConfig()
 		cfg.Prices.CrossZone, cfg.Zone = price, 1
-		g := newRig(t, cfg, fleet(8)...)
+		g := newHarness(t, cfg, identicalServers(8)...)
 		own := 0
-		for _, s := range sequence(g, 40) {
+		for _, s := range sendSequence(g, 40) {
 			if s > 4 {
 				own++
 			}
@@ -25,7 +25,7 @@
 }
 
 // zoned is a rig whose sidecar lies in zone 0 and pays for crossing; each zone has so many servers, IDs from 1.
-func zoned(t *testing.T, change func(*Config), zones ...int) *rig {
+func newZoneHarness(t *testing.T, change func(*Config), zones ...int) *harness {
 	t.Helper()
 	cfg := baseConfig()
 	cfg.Prices.CrossZone, cfg.ConnectTimeout, cfg.SlowStartTime, cfg.MaxAttempts = 0.1, 120, 0, 3
@@ -38,29 +38,29 @@
 			list = append(list, Server{ID: ServerID(len(list) + 1), Rating: 1, Cell: len(list), Zone: zone})
 		}
 	}
-	g := newRig(t, cfg, list...)
+	g := newHarness(t, cfg, list...)
 	for range 40 { // it knows its demand, and so all servers
 		g.now += 5
-		id, _ := g.ask(safeClass)
-		g.answer(id, 0, OK, 50)
+		id, _ := g.sendRequest(idempotentClass)
+		g.endAttempt(id, 0, OK, 50)
 	}
 	return g
 }
 
 // zoneOf is the zone of the last attempt of a request.
-func (g *rig) zoneOf(id RequestID) int {
+func (g *harness) lastZone(id RequestID) int {
 	r := g.b.reqs[id]
 	return r.attempts[len(r.attempts)-1].server.Zone
 }
 
 // play answers requests in turn, by the verdict on the server of each attempt, and returns how many first sends went to
 // each zone.
-func (g *rig) play(n int, every float64, verdict func(s *server) Result) map[int]int {
+func (g *harness) playRequests(n int, every float64, verdict func(s *server) Result) map[int]int {
 	g.t.Helper()
 	first := map[int]int{}
 	for range n {
 		g.now += every
-		id, _ := g.ask(safeClass)
+		id, _ := g.sendRequest(idempotentClass)
 		for attempt := 0; g.b.reqs[id] != nil && attempt < len(g.b.reqs[id].attempts); attempt++ {
 			s := g.b.reqs[id].attempts[attempt].server
 			if attempt == 0 {
@@ -71,13 +71,13 @@
 				took = 120
 			}
 			g.now += took
-			g.answer(id, attempt, res, took)
+			g.endAttempt(id, attempt, res, took)
 		}
 	}
 	return first
 }
 
-func deadZone(zone int) func(*server) Result {
+func failZone(zone int) func(*server) Result {
 	return func(s *server) Result {
 		if s.Zone == zone {
 			return ConnectFailed
@@ -86,17 +86,17 @@
 	}
 }
 
-func allOK(*server) Result { return OK }
+func alwaysOK(*server) Result { return OK }
 
 func TestLocality_deadZone(t *testing.T) {
 	for _, change := range []func(*Config){nil, func(c *Config) { c.Zone = 1 }} {
-		g := zoned(t, change, 8, 8)
+		g := newZoneHarness(t, change, 8, 8)
 		met := map[ServerID]bool{}
-		g.play(5, 20, func(s *server) Result { // less time than the first pause
+		g.playRequests(5, 20, func(s *server) Result { // less time than the first pause
 			if s.Zone == 0 {
 				met[s.ID] = true
 			}
-			return deadZone(0)(s)
+			return failZone(0)(s)
 		})
 		left := g.b.ZoneStatus().Left == 1
 		// From its own zone a sidecar meets it at once; from another one it has no need to.
@@ -107,13 +107,13 @@
 }
 
 func TestLocality_allZonesFail(t *testing.T) {
-	g := zoned(t, nil, 6, 6, 6)
-	g.play(60, 100, func(*server) Result { return ConnectFailed })
+	g := newZoneHarness(t, nil, 6, 6, 6)
+	g.playRequests(60, 100, func(*server) Result { return ConnectFailed })
 	if z := g.b.ZoneStatus(); z.Left != 0 || z.Evidence == 0 {
 		t.Errorf("%+v", z)
 	}
 	// As soon as one answers again, the others are known by it.
-	g.play(60, 100, deadZone(0))
+	g.playRequests(60, 100, failZone(0))
 	if z := g.b.ZoneStatus(); z.Left != 1 {
 		t.Errorf("one zone answers and another does not: %+v", z)
 	}
@@ -126,7 +126,7 @@
 		took   float64
 		need   int
 	}{{ConnectFailed, 120, 2}, {ConnectFailed, 1, 4}, {Reset, 30, 4}, {Failed, 5, 4}} {
-		g := zoned(t, nil, 8, 8)
+		g := newZoneHarness(t, nil, 8, 8)
 		g.b.zones[0].answer, g.b.zones[1].answer = g.now, g.now+1
 		n := 0
 		for _, s := range g.b.servers {
@@ -151,9 +151,9 @@
 }
 
 func TestLocality_answerClearsEvidence(t *testing.T) {
-	g := zoned(t, nil, 8, 8)
+	g := newZoneHarness(t, nil, 8, 8)
 	n := 0
-	g.play(200, 50, func(s *server) Result {
+	g.playRequests(200, 50, func(s *server) Result {
 		if s.Zone == 0 {
 			if n++; n%2 == 0 {
 				return ConnectFailed
@@ -169,13 +169,13 @@
 // A zone that is most of the fleet needs more against it: what is left could not bear the load.
 func TestLocality_largeZone(t *testing.T) {
 	for _, c := range []struct{ own, other, need int }{{4, 12, 2}, {8, 8, 2}, {12, 4, 4}, {15, 1, 4}} {
-		g := zoned(t, nil, c.own, c.other)
+		g := newZoneHarness(t, nil, c.own, c.other)
 		met := map[ServerID]bool{}
-		g.play(c.need+2, 20, func(s *server) Result {
+		g.playRequests(c.need+2, 20, func(s *server) Result {
 			if s.Zone == 0 {
 				met[s.ID] = true
 			}
-			return deadZone(0)(s)
+			return failZone(0)(s)
 		})
 		if len(met) != c.need {
 			t.Errorf("%d of %d servers: left after %d of them", c.own, c.own+c.other, len(met))
@@ -184,8 +184,8 @@
 }
 
 func TestLocality_zoneReturn(t *testing.T) {
-	g := zoned(t, nil, 8, 8)
-	g.play(20, 20, deadZone(0))
+	g := newZoneHarness(t, nil, 8, 8)
+	g.playRequests(20, 20, failZone(0))
 	z := g.b.zones[0]
 	if z.id != 0 || !z.left {
 		t.Fatalf("%+v", z)
@@ -194,18 +194,18 @@
 	for _, s := range g.b.servers {
 		s.ejectedUntil = 0
 	}
-	if id, _ := g.ask(unsafeClass); g.zoneOf(id) != 1 {
+	if id, _ := g.sendRequest(nonIdempotentClass); g.lastZone(id) != 1 {
 		t.Error("an unsafe request tries a zone that was left")
 	}
 	var there []RequestID
 	fill := func() (n int) {
 		for range 20 {
-			id, acts := g.ask(safeClass)
-			if !has(acts, Send) {
+			id, acts := g.sendRequest(idempotentClass)
+			if !hasAction(acts, Send) {
 				continue
 			}
-			if g.zoneOf(id) != 0 {
-				g.answer(id, 0, OK, 50)
+			if g.lastZone(id) != 0 {
+				g.endAttempt(id, 0, OK, 50)
 				continue
 			}
 			there = append(there, id)
@@ -218,7 +218,7 @@
 	}
 	for want := 1; want < 8 && z.left; want++ {
 		g.now += 50
-		g.answer(there[0], 0, OK, 50)
+		g.endAttempt(there[0], 0, OK, 50)
 		there = there[1:]
 		fill()
 		if z.left && int(z.out) != want {
@@ -229,7 +229,7 @@
 		t.Fatal("it was in full use before its answers were as many as its servers")
 	}
 	g.now += 50
-	g.answer(there[0], 0, OK, 50)
+	g.endAttempt(there[0], 0, OK, 50)
 	if z.left {
 		t.Errorf("it is not in full use after eight good answers: %+v", z)
 	}
@@ -239,11 +239,11 @@
 func TestLocality_returnBackoff(t *testing.T) {
 	seen := map[string]bool{}
 	for seed := range uint64(5) {
-		g := zoned(t, func(c *Config) { c.Seed = seed }, 8, 8)
+		g := newZoneHarness(t, func(c *Config) { c.Seed = seed }, 8, 8)
 		var pauses []float64
 		var last float64
 		for range 2000 {
-			g.play(1, 30, deadZone(0))
+			g.playRequests(1, 30, failZone(0))
 			if z := g.b.zones[0]; z.left && z.leftUntil != last {
 				last = z.leftUntil
 				pauses = append(pauses, z.leftUntil-g.now)
@@ -268,7 +268,7 @@
 // and requests meet them at random while another zone answers. It is held to it from both sides.
 func TestLocality_falseAlarmRate(t *testing.T) {
 	const servers, sick, meetings = 64, 8, 100000
-	g := zoned(t, nil, servers, servers)
+	g := newZoneHarness(t, nil, servers, servers)
 	z, other := g.b.zone(0), g.b.zone(1)
 	r := rand.New(rand.NewPCG(1, 2))
 	left := 0
@@ -292,30 +292,30 @@
 }
 
 func TestLocality_noNeedlessCrossing(t *testing.T) {
-	g := zoned(t, nil, 8, 8)
-	if first := g.play(500, 20, allOK); first[1] > 5 {
+	g := newZoneHarness(t, nil, 8, 8)
+	if first := g.playRequests(500, 20, alwaysOK); first[1] > 5 {
 		t.Errorf("first sends by zone: %v", first)
 	}
 }
 
 // What near servers cannot take crosses, in steps, and comes back.
 func TestLocality_spillover(t *testing.T) {
-	g := zoned(t, nil, 8, 8)
+	g := newZoneHarness(t, nil, 8, 8)
 	slow := 220.0
 	load := func(n int) (far int) {
 		for range n {
 			g.now += 20
-			id, acts := g.ask(safeClass)
-			if !has(acts, Send) {
+			id, acts := g.sendRequest(idempotentClass)
+			if !hasAction(acts, Send) {
 				continue
 			}
 			took := 50.0
-			if g.zoneOf(id) == 0 {
+			if g.lastZone(id) == 0 {
 				took = slow
 			} else {
 				far++
 			}
-			g.answer(id, 0, OK, took)
+			g.endAttempt(id, 0, OK, took)
 		}
 		return far
 	}
@@ -331,20 +331,20 @@
 }
 
 func TestLocality_regionOrder(t *testing.T) {
-	g := zoned(t, func(c *Config) { c.Regions, c.RegionCost = []int{0, 0, 1}, 3 }, 4, 4, 4)
-	if first := g.play(200, 20, allOK); first[0] < 195 {
+	g := newZoneHarness(t, func(c *Config) { c.Regions, c.RegionCost = []int{0, 0, 1}, 3 }, 4, 4, 4)
+	if first := g.playRequests(200, 20, alwaysOK); first[0] < 195 {
 		t.Errorf("calm: %v", first)
 	}
-	if first := g.play(100, 20, deadZone(0)); first[1] < 85 || first[2] > 5 {
+	if first := g.playRequests(100, 20, failZone(0)); first[1] < 85 || first[2] > 5 {
 		t.Errorf("the own zone is dead: %v", first)
 	}
-	g.play(20, 20, func(s *server) Result {
+	g.playRequests(20, 20, func(s *server) Result {
 		if s.Zone < 2 {
 			return ConnectFailed
 		}
 		return OK
 	})
-	if first := g.play(100, 20, func(s *server) Result {
+	if first := g.playRequests(100, 20, func(s *server) Result {
 		if s.Zone < 2 {
 			return ConnectFailed
 		}
@@ -356,8 +356,8 @@
 
 // A long answer that has begun has told all about its zone: the next trial does not wait for its end.
 func TestLocality_zoneReturnOfStreams(t *testing.T) {
-	g := zoned(t, nil, 8, 8)
-	g.play(5, 20, deadZone(0))
+	g := newZoneHarness(t, nil, 8, 8)
+	g.playRequests(5, 20, failZone(0))
 	z := g.b.zones[0]
 	g.now = z.leftUntil + 1
 	for _, s := range g.b.servers {
@@ -365,15 +365,15 @@
 	}
 	for n := 1; n < 8; n++ {
 		for i := 0; z.out == 0 && i < 20; i++ {
-			id, acts := g.ask(safeClass)
-			if has(acts, Send) && g.zoneOf(id) != 0 {
-				g.answer(id, 0, OK, 50)
+			id, acts := g.sendRequest(idempotentClass)
+			if hasAction(acts, Send) && g.lastZone(id) != 0 {
+				g.endAttempt(id, 0, OK, 50)
 			}
 		}
 		if z.out != 1 {
 			t.Fatalf("%g trials out after %d long answers have begun", z.out, n-1)
 		}
-		g.do(AnswerStarted{Request: g.next, Server: g.b.reqs[g.next].attempts[0].server.ID, Elapsed: 50})
+		g.handle(AnswerStarted{Request: g.lastID, Server: g.b.reqs[g.lastID].attempts[0].server.ID, Elapsed: 50})
 		if z.out != 0 || z.admitLimit != float64(n) {
 			t.Fatalf("%+v after %d answers have begun", z, n)
 		}
--- a/balance/picker_test.go
+++ b/balance/picker_test.go
@@ -3,9 +3,9 @@
 import "testing"
 
 func TestPicker_weights(t *testing.T) {
-	servers := fleet(3)
+	servers := identicalServers(3)
 	servers[0].Rating = 5
-	got := sequence(newRig(t, baseConfig(), servers...), 7)
+	got := sendSequence(newHarness(t, baseConfig(), servers...), 7)
 	want := []ServerID{1, 1, 2, 1, 3, 1, 1}
 	for i := range want {
 		if got[i] != want[i] {
@@ -15,11 +15,11 @@
 }
 
 func TestPicker_healthFloor(t *testing.T) {
-	g := newRig(t, baseConfig(), fleet(4)...)
+	g := newHarness(t, baseConfig(), identicalServers(4)...)
 	hits := 0
 	for range 40 { // a success resets the errors, so they are set again each time
 		g.b.servers[2].consecutiveErrors, g.b.servers[2].lastErrorAt = 1000, g.now
-		if sequence(g, 1)[0] == 3 {
+		if sendSequence(g, 1)[0] == 3 {
 			hits++
 		}
 	}
@@ -29,18 +29,18 @@
 }
 
 func TestPicker_rerouteByHealth(t *testing.T) {
-	g := newRig(t, baseConfig(), fleet(4)...)
+	g := newHarness(t, baseConfig(), identicalServers(4)...)
 	for _, s := range g.b.servers {
 		s.consecutiveErrors, s.lastErrorAt = 2, g.now
 	}
 	g.b.servers[2].consecutiveErrors = 1
 	g.b.servers[1].running = 1000 // its turn, though it is not the healthiest
-	id, acts := g.ask(safeClass)
+	id, acts := g.sendRequest(idempotentClass)
 	if s, _ := sentTo(acts); s != 2 {
 		t.Fatalf("first sent to %d, want 2", s)
 	}
 	g.b.servers[3].running = 1000 // next in turn, which must not count for a re-route
-	if s, ok := sentTo(g.answer(id, 0, Rejected, 1)); !ok || s != 3 {
+	if s, ok := sentTo(g.endAttempt(id, 0, Rejected, 1)); !ok || s != 3 {
 		t.Fatalf("re-routed to %d, want 3", s)
 	}
 }
@@ -56,12 +56,12 @@
 		{[4]int{4, 3, 4, 4}, 2}, // all are over
 		{[4]int{4, 4, 1, 0}, 3}, // 3 and 4 are not over, and it is the turn of 3
 	} {
-		g := newRig(t, baseConfig(), fleet(4)...)
+		g := newHarness(t, baseConfig(), identicalServers(4)...)
 		for i, s := range g.b.servers {
 			s.inFlight, s.running = c.holds[i], float64(10*(4-i))
 		}
 		g.b.servers[1].consecutiveErrors, g.b.servers[1].lastErrorAt = 1, g.now-5000
-		r := &request{class: &g.b.cfg.Classes[safeClass], stats: &g.b.classes[safeClass]}
+		r := &request{class: &g.b.cfg.Classes[idempotentClass], stats: &g.b.classes[idempotentClass]}
 		if c.want == 2 {
 			if s := g.b.pick(r, true); s.ID == 2 {
 				t.Errorf("%v: the re-route went to the server of lowest m", c.holds)
@@ -78,16 +78,16 @@
 
 // Twice as fast a server is found to be larger, and its kind with it.
 func TestPicker_learnedCapacity(t *testing.T) {
-	servers := fleet(4)
+	servers := identicalServers(4)
 	servers[2].Kind, servers[3].Kind = 1, 1
-	g := newRig(t, baseConfig(), servers...)
+	g := newHarness(t, baseConfig(), servers...)
 	hits := map[ServerID]int{}
 	for range 1500 {
-		id, acts := g.ask(safeClass)
+		id, acts := g.sendRequest(idempotentClass)
 		s, _ := sentTo(acts)
 		hits[s]++
 		g.now += 5
-		g.answer(id, 0, OK, map[bool]float64{true: 20, false: 40}[s > 2])
+		g.endAttempt(id, 0, OK, map[bool]float64{true: 20, false: 40}[s > 2])
 	}
 	if hits[3]+hits[4] < 3*(hits[1]+hits[2])/2 {
 		t.Fatalf("hits %v", hits)
@@ -99,7 +99,7 @@
 
 // A restarted sidecar with few requests used slow servers as much as fast ones for a minute.
 func TestPicker_capacityLearningRate(t *testing.T) {
-	g := newRig(t, baseConfig(), fleet(2)...)
+	g := newHarness(t, baseConfig(), identicalServers(2)...)
 	fast, slow := g.b.servers[0], g.b.servers[1]
 	for range 20 {
 		g.b.learnSize(fast, 0.5)
--- a/balance/random_events_test.go
+++ b/balance/random_events_test.go
@@ -6,32 +6,32 @@
 )
 
 // world feeds one balancer random but legal events and checks rules 1 to 3 at every action.
-type world struct {
-	t       *testing.T
-	rnd     *rand.Rand
-	b       *Balancer
-	cfg     Config
-	now     float64
-	servers map[ServerID]*Server
-	told    map[ServerID]bool // may be sent to
-	open    map[RequestID]*openRequest
-	timers  []pendingTimer
-	probes  []ServerID
+type simulation struct {
+	t            *testing.T
+	rnd          *rand.Rand
+	b            *Balancer
+	cfg          Config
+	now          float64
+	servers      map[ServerID]*Server
+	usable       map[ServerID]bool // may be sent to
+	requests     map[RequestID]*simulatedRequest
+	timers       []pendingTimer
+	healthChecks []ServerID
 }
 
-type openRequest struct {
+type simulatedRequest struct {
 	class    int
 	deadline float64
 	answered bool
-	tries    []openAttempt
+	attempts []simulatedAttempt
 }
 
-type openAttempt struct {
-	unbegun bool // this machine could not send it
-	server  Server
-	sent    float64
-	live    bool
-	clean   bool
+type simulatedAttempt struct {
+	localFailure bool // this machine could not send it
+	server       Server
+	sent         float64
+	live         bool
+	neverRan     bool
 }
 
 type pendingTimer struct {
@@ -39,12 +39,12 @@
 	token uint64
 }
 
-func newWorld(t *testing.T, rnd *rand.Rand, cfg Config) *world {
-	w := &world{
+func newSimulation(t *testing.T, rnd *rand.Rand, cfg Config) *simulation {
+	w := &simulation{
 		t: t, rnd: rnd, b: mustNew(t, cfg), cfg: cfg, now: 5000, servers: map[ServerID]*Server{},
-		told: map[ServerID]bool{}, open: map[RequestID]*openRequest{},
+		usable: map[ServerID]bool{}, requests: map[RequestID]*simulatedRequest{},
 	}
-	w.apply(w.b.Start(w.now))
+	w.checkActions(w.b.Start(w.now))
 	return w
 }
 
@@ -59,23 +59,23 @@
 		if seed%4 == 1 {
 			cfg.HealthChecks, cfg.Reports, cfg.Fields = true, ReportHealthCheck, []Field{FieldInFlight, FieldQueue, FieldUtil}
 		}
-		w := newWorld(t, rnd, cfg)
-		w.list(ListCached)
+		w := newSimulation(t, rnd, cfg)
+		w.sendList(ListCached)
 		for id := RequestID(1); id <= 1500; id++ {
 			w.now += rnd.ExpFloat64() * 8
 			w.fireTimers()
-			w.anything(id)
+			w.randomEvent(id)
 		}
-		for w.now += 10; len(w.timers) > 0 && w.anyOpen(); w.now += 10 {
+		for w.now += 10; len(w.timers) > 0 && w.hasUnanswered(); w.now += 10 {
 			w.fireTimers()
 		}
-		if w.anyOpen() {
+		if w.hasUnanswered() {
 			t.Fatalf("seed %d: a request was never answered", seed)
 		}
 	}
 }
 
-func (w *world) anything(id RequestID) {
+func (w *simulation) randomEvent(id RequestID) {
 	switch n := w.rnd.Intn(20); {
 	case n < 9:
 		class := w.rnd.Intn(len(w.cfg.Classes))
@@ -83,21 +83,21 @@
 		if w.rnd.Intn(20) == 0 {
 			left = 0
 		}
-		w.open[id] = &openRequest{class: class, deadline: w.now + left}
+		w.requests[id] = &simulatedRequest{class: class, deadline: w.now + left}
 		w.handle(Request{ID: id, Class: class, Remaining: left})
 	case n < 17:
-		w.endOne(id)
+		w.endRandomAttempt(id)
 	case n < 18:
-		w.list([]ListKind{ListFull, ListDelta, ListCached}[w.rnd.Intn(3)])
+		w.sendList([]ListKind{ListFull, ListDelta, ListCached}[w.rnd.Intn(3)])
 	case n < 19:
-		if len(w.probes) > 0 {
-			s := w.probes[0]
-			w.probes = w.probes[1:]
+		if len(w.healthChecks) > 0 {
+			s := w.healthChecks[0]
+			w.healthChecks = w.healthChecks[1:]
 			w.handle(HealthCheckResult{Server: s, Elapsed: 1, Report: []float32{float32(w.rnd.Intn(6)), 0, 0.5}})
 		}
 	default:
 		gone := id - RequestID(w.rnd.Intn(20)) // may never have been or have ended: ignored then
-		if o := w.open[gone]; o != nil {
+		if o := w.requests[gone]; o != nil {
 			o.answered = true
 		}
 		w.handle(ClientGone{Request: gone})
@@ -105,18 +105,18 @@
 }
 
 // endOne ends one live attempt of some request at random.
-func (w *world) endOne(before RequestID) {
+func (w *simulation) endRandomAttempt(before RequestID) {
 	for id := before; id > 0 && id+60 > before; id-- {
-		o := w.open[id]
+		o := w.requests[id]
 		if o == nil {
 			continue
 		}
-		for i := range o.tries {
-			if a := &o.tries[i]; a.live && w.rnd.Intn(3) > 0 {
+		for i := range o.attempts {
+			if a := &o.attempts[i]; a.live && w.rnd.Intn(3) > 0 {
 				res := []Result{
 					OK, OK, OK, OK, Failed, Rejected, ConnectFailed, Reset, TimedOut, WriteFailed, LocalFailure, Unreachable,
 				}[w.rnd.Intn(12)]
-				a.live, a.clean, a.unbegun = false, res.NeverRan(), res == LocalFailure
+				a.live, a.neverRan, a.localFailure = false, res.NeverRan(), res == LocalFailure
 				o.answered = o.answered || res == OK
 				w.handle(Outcome{
 					Request: id, Attempt: i, Server: a.server.ID, Result: res, Elapsed: w.now - a.sent, Finished: o.answered,
@@ -127,7 +127,7 @@
 	}
 }
 
-func (w *world) list(kind ListKind) {
+func (w *simulation) sendList(kind ListKind) {
 	var entries []Server
 	for i := range 10 {
 		id := ServerID(i + 1)
@@ -143,24 +143,24 @@
 			continue
 		}
 		if kind != ListDelta && w.rnd.Intn(8) == 0 {
-			w.told[id] = false
+			w.usable[id] = false
 			continue
 		}
-		w.told[id] = s.State == Ready
+		w.usable[id] = s.State == Ready
 		entries = append(entries, *s)
 	}
 	w.handle(ServerList{Kind: kind, Servers: entries})
 }
 
-func (w *world) handle(ev Event) {
+func (w *simulation) handle(ev Event) {
 	acts, err := w.b.Handle(w.now, ev)
 	if err != nil {
 		w.t.Fatalf("%#v: %v", ev, err)
 	}
-	w.apply(acts)
+	w.checkActions(acts)
 }
 
-func (w *world) apply(acts []Action) {
+func (w *simulation) checkActions(acts []Action) {
 	for _, a := range acts {
 		switch a.Kind {
 		case SetTimer:
@@ -169,37 +169,37 @@
 			if !w.cfg.HealthChecks {
 				w.t.Fatal("probed where probes are not allowed")
 			}
-			w.probes = append(w.probes, a.Server)
+			w.healthChecks = append(w.healthChecks, a.Server)
 		case Send:
-			w.send(a)
+			w.checkSend(a)
 		case Reject, Fail:
-			w.final(a)
+			w.checkAnswer(a)
 		case Cancel:
-			if !w.cfg.Cancel || a.Attempt >= len(w.open[a.Request].tries) {
+			if !w.cfg.Cancel || a.Attempt >= len(w.requests[a.Request].attempts) {
 				w.t.Fatalf("cancel of %+v", a)
 			}
 		}
 	}
 }
 
-func (w *world) send(a Action) {
-	o, c := w.open[a.Request], w.cfg.Classes[w.open[a.Request].class]
+func (w *simulation) checkSend(a Action) {
+	o, c := w.requests[a.Request], w.cfg.Classes[w.requests[a.Request].class]
 	switch {
 	case o.answered:
 		w.t.Fatalf("request %d was sent after its answer", a.Request)
-	case !w.told[a.Server]:
+	case !w.usable[a.Server]:
 		w.t.Fatalf("request %d was sent to server %d, which drains or is gone", a.Request, a.Server)
-	case o.counted() >= w.cfg.MaxAttempts:
+	case o.countedAttempts() >= w.cfg.MaxAttempts:
 		w.t.Fatalf("request %d was sent too often", a.Request)
-	case len(o.tries) >= w.cfg.MaxAttempts+maxLocalFailures:
+	case len(o.attempts) >= w.cfg.MaxAttempts+maxLocalFailures:
 		w.t.Fatalf("request %d was tried without end", a.Request)
 	}
 	to := *w.servers[a.Server]
-	for _, p := range o.tries {
+	for _, p := range o.attempts {
 		if p.live && !w.cfg.Hedging {
 			w.t.Fatalf("request %d is out twice", a.Request)
 		}
-		if p.clean || c.Idempotency == Idempotent {
+		if p.neverRan || c.Idempotency == Idempotent {
 			continue
 		}
 		apart := c.KeyScope == KeyScopeCell && p.server.Cell != to.Cell || c.KeyScope == KeyScopeZone && p.server.Zone != to.Zone
@@ -207,22 +207,22 @@
 			w.t.Fatalf("request %d may have run and was sent again", a.Request)
 		}
 	}
-	o.tries = append(o.tries, openAttempt{server: to, sent: w.now, live: true})
+	o.attempts = append(o.attempts, simulatedAttempt{server: to, sent: w.now, live: true})
 }
 
 // counted is how many attempts of a request are no failures of this machine.
-func (o *openRequest) counted() int {
+func (o *simulatedRequest) countedAttempts() int {
 	n := 0
-	for i := range o.tries {
-		if !o.tries[i].unbegun {
+	for i := range o.attempts {
+		if !o.attempts[i].localFailure {
 			n++
 		}
 	}
 	return n
 }
 
-func (w *world) final(a Action) {
-	o, c := w.open[a.Request], w.cfg.Classes[w.open[a.Request].class]
+func (w *simulation) checkAnswer(a Action) {
+	o, c := w.requests[a.Request], w.cfg.Classes[w.requests[a.Request].class]
 	if o.answered || w.now > o.deadline+w.cfg.AnswerSlack {
 		w.t.Fatalf("request %d: a second or late answer at %v, deadline %v", a.Request, w.now, o.deadline)
 	}
@@ -230,15 +230,15 @@
 	if a.Kind == Fail || c.Idempotency == Idempotent || c.Idempotency == IdempotentWithKey && c.KeyScope == KeyScopeAll {
 		return
 	}
-	for _, p := range o.tries {
-		if !p.clean {
+	for _, p := range o.attempts {
+		if !p.neverRan {
 			w.t.Fatalf("request %d may have run and was refused", a.Request)
 		}
 	}
 }
 
 // fireTimers brings the alarms that are due, each at its own time.
-func (w *world) fireTimers() {
+func (w *simulation) fireTimers() {
 	end := w.now
 	for {
 		next := -1
@@ -258,8 +258,8 @@
 	w.now = end
 }
 
-func (w *world) anyOpen() bool {
-	for _, o := range w.open {
+func (w *simulation) hasUnanswered() bool {
+	for _, o := range w.requests {
 		if !o.answered {
 			return true
 		}
@@ -268,10 +268,10 @@
 }
 
 // serve answers what is out for a request, if anything is.
-func (w *world) serve(id RequestID) {
-	o := w.open[id]
-	for i := range o.tries {
-		if a := &o.tries[i]; a.live {
+func (w *simulation) answer(id RequestID) {
+	o := w.requests[id]
+	for i := range o.attempts {
+		if a := &o.attempts[i]; a.live {
 			a.live, o.answered = false, true
 			w.handle(Outcome{Request: id, Attempt: i, Server: a.server.ID, Elapsed: w.now - a.sent, Finished: true})
 		}
--- a/balance/retry_test.go
+++ b/balance/retry_test.go
@@ -8,25 +8,25 @@
 // What may follow the end of a first attempt, for each effect, group and result, within the
 // window and after it: another send, a refusal, a failure.
 func TestRetry_afterFirstAttempt(t *testing.T) {
-	for _, class := range []int{safeClass, unsafeClass, cellClass, allClass, zoneClass} {
+	for _, class := range []int{idempotentClass, nonIdempotentClass, cellKeyClass, globalKeyClass, zoneKeyClass} {
 		for _, res := range []Result{Failed, Rejected, TimedOut, ConnectFailed, Reset, Cancelled, WriteFailed} {
 			for _, late := range []bool{false, true} {
 				t.Run(fmt.Sprintf("class%d/result%d/late=%v", class, res, late), func(t *testing.T) {
-					followAttempt(t, class, res, late)
+					checkAfterFirstAttempt(t, class, res, late)
 				})
 			}
 		}
 	}
 }
 
-func followAttempt(t *testing.T, class int, res Result, late bool) {
+func checkAfterFirstAttempt(t *testing.T, class int, res Result, late bool) {
 	cfg := baseConfig()
 	for i := range cfg.Classes {
 		cfg.Classes[i].LatencyObjective = cfg.Classes[i].Deadline // a re-route is worth its while to the end
 		cfg.Classes[i].KeyWindow = 200
 	}
-	g := newRig(t, cfg, fleet(8)...)
-	id, acts := g.ask(class)
+	g := newHarness(t, cfg, identicalServers(8)...)
+	id, acts := g.sendRequest(class)
 	first, ok := sentTo(acts)
 	if !ok {
 		t.Fatal("the request was not sent")
@@ -34,7 +34,7 @@
 	if g.now += 100; late {
 		g.now += 200
 	}
-	acts = g.answer(id, 0, res, 100)
+	acts = g.endAttempt(id, 0, res, 100)
 	c := cfg.Classes[class]
 	mayResend := c.Idempotency == Idempotent || res.NeverRan() || c.Idempotency == IdempotentWithKey && !late
 	second, sent := sentTo(acts)
@@ -42,15 +42,15 @@
 		t.Fatalf("sent again: %v, want %v (%+v)", sent, mayResend, acts)
 	}
 	if !sent {
-		mayRefuse := c.Idempotency == IdempotentWithKey && c.KeyScope == KeyScopeAll
-		if has(acts, Reject) != mayRefuse || has(acts, Fail) == mayRefuse {
-			t.Fatalf("refusal allowed: %v, got %+v", mayRefuse, acts)
+		mayReject := c.Idempotency == IdempotentWithKey && c.KeyScope == KeyScopeAll
+		if hasAction(acts, Reject) != mayReject || hasAction(acts, Fail) == mayReject {
+			t.Fatalf("refusal allowed: %v, got %+v", mayReject, acts)
 		}
 		return
 	}
 	a, b := g.b.byID[first], g.b.byID[second]
 	dirty := !res.NeverRan()
-	if a == b || dirty && class == cellClass && a.Cell != b.Cell || dirty && class == zoneClass && a.Zone != b.Zone {
+	if a == b || dirty && class == cellKeyClass && a.Cell != b.Cell || dirty && class == zoneKeyClass && a.Zone != b.Zone {
 		t.Fatalf("sent to %+v after %+v", b.Server, a.Server)
 	}
 }
@@ -65,13 +65,13 @@
 		cfg.Classes[i].LatencyObjective = cfg.Classes[i].Deadline // a re-route is worth its while to the end
 		cfg.Classes[i].KeyWindow = window
 	}
-	for _, class := range []int{safeClass, cellClass, allClass, zoneClass} {
+	for _, class := range []int{idempotentClass, cellKeyClass, globalKeyClass, zoneKeyClass} {
 		for _, after := range []float64{0, 100, window - connect - 1, window - connect, window - 1, window, window + 1} {
-			g := newRig(t, cfg, fleet(8)...)
-			id, _ := g.ask(class)
+			g := newHarness(t, cfg, identicalServers(8)...)
+			id, _ := g.sendRequest(class)
 			g.now += after
-			acts := g.answer(id, 0, Failed, after)
-			if sent, may := has(acts, Send), class == safeClass || after+connect < window; sent != may {
+			acts := g.endAttempt(id, 0, Failed, after)
+			if sent, may := hasAction(acts, Send), class == idempotentClass || after+connect < window; sent != may {
 				t.Errorf("class %d, failed after %v ms: sent again %v, want %v", class, after, sent, may)
 			}
 		}
@@ -82,54 +82,54 @@
 func TestRetry_keyWindowStart(t *testing.T) {
 	cfg := baseConfig()
 	cfg.ConnectTimeout = 120
-	cfg.Classes[allClass].KeyWindow = 200
-	g := newRig(t, cfg, fleet(8)...)
-	id, _ := g.ask(allClass)
+	cfg.Classes[globalKeyClass].KeyWindow = 200
+	g := newHarness(t, cfg, identicalServers(8)...)
+	id, _ := g.sendRequest(globalKeyClass)
 	g.now += 250
-	if !has(g.answer(id, 0, ConnectFailed, 250), Send) {
+	if !hasAction(g.endAttempt(id, 0, ConnectFailed, 250), Send) {
 		t.Fatal("not sent again after a connect that failed")
 	}
 	g.now += 70
-	if !has(g.answer(id, 1, Failed, 70), Send) {
+	if !hasAction(g.endAttempt(id, 1, Failed, 70), Send) {
 		t.Error("not repeated within the window of the attempt that may have run")
 	}
 }
 
 func TestRetry_deadlineAfterSend(t *testing.T) {
-	g := newRig(t, baseConfig(), fleet(4)...)
-	for _, class := range []int{unsafeClass, cellClass, zoneClass} {
-		id, _ := g.ask(class)
+	g := newHarness(t, baseConfig(), identicalServers(4)...)
+	for _, class := range []int{nonIdempotentClass, cellKeyClass, zoneKeyClass} {
+		id, _ := g.sendRequest(class)
 		g.now = g.b.reqs[id].deadline
-		acts := g.do(Timer{Token: uint64(id)})
-		if has(acts, Reject) || !has(acts, Fail) {
+		acts := g.handle(Timer{Token: uint64(id)})
+		if hasAction(acts, Reject) || !hasAction(acts, Fail) {
 			t.Errorf("class %d at its deadline with an attempt out: %+v", class, acts)
 		}
 	}
 }
 
 func TestRetry_noTimeLeft(t *testing.T) {
-	g := newRig(t, baseConfig(), fleet(4)...)
-	acts := g.do(Request{ID: 1, Class: unsafeClass, Remaining: 0})
-	if !has(acts, Reject) || has(acts, Send) {
+	g := newHarness(t, baseConfig(), identicalServers(4)...)
+	acts := g.handle(Request{ID: 1, Class: nonIdempotentClass, Remaining: 0})
+	if !hasAction(acts, Reject) || hasAction(acts, Send) {
 		t.Fatalf("a request without time left: %+v", acts)
 	}
 }
 
 func TestRetry_noUsableServer(t *testing.T) {
-	drained := fleet(3)
+	drained := identicalServers(3)
 	for i := range drained {
 		drained[i].State = Draining
 	}
 	for name, servers := range map[string][]Server{"empty": nil, "draining": drained} {
-		g := newRig(t, baseConfig(), servers...)
-		id, acts := g.ask(unsafeClass)
-		if has(acts, Send) || !has(acts, SetTimer) {
+		g := newHarness(t, baseConfig(), servers...)
+		id, acts := g.sendRequest(nonIdempotentClass)
+		if hasAction(acts, Send) || !hasAction(acts, SetTimer) {
 			t.Fatalf("%s: %+v", name, acts)
 		}
 		refused := false
-		for g.now < 1000+baseConfig().Classes[unsafeClass].Deadline {
+		for g.now < 1000+baseConfig().Classes[nonIdempotentClass].Deadline {
 			g.now += 10
-			refused = refused || has(g.do(Timer{Token: uint64(id)}), Reject)
+			refused = refused || hasAction(g.handle(Timer{Token: uint64(id)}), Reject)
 		}
 		if !refused || len(g.b.reqs) != 0 {
 			t.Fatalf("%s: refused %v, %d requests left", name, refused, len(g.b.reqs))
@@ -140,9 +140,9 @@
 func TestRetry_attemptLimit(t *testing.T) {
 	cfg := baseConfig()
 	cfg.MaxAttempts = 1
-	g := newRig(t, cfg, fleet(4)...)
-	id, _ := g.ask(safeClass)
-	if acts := g.answer(id, 0, Rejected, 1); has(acts, Send) || !has(acts, Reject) {
+	g := newHarness(t, cfg, identicalServers(4)...)
+	id, _ := g.sendRequest(idempotentClass)
+	if acts := g.endAttempt(id, 0, Rejected, 1); hasAction(acts, Send) || !hasAction(acts, Reject) {
 		t.Fatalf("after the only attempt allowed: %+v", acts)
 	}
 }
@@ -150,19 +150,19 @@
 // Once a streamed answer has begun the client owns it: no deadline, no repeat, no answer of ours.
 func TestRetry_startedStream(t *testing.T) {
 	cfg := baseConfig()
-	cfg.Classes[safeClass].Stream = true
-	g := newRig(t, cfg, fleet(3)...)
-	id, acts := g.ask(safeClass)
+	cfg.Classes[idempotentClass].Stream = true
+	g := newHarness(t, cfg, identicalServers(3)...)
+	id, acts := g.sendRequest(idempotentClass)
 	s, _ := sentTo(acts)
-	g.do(AnswerStarted{Request: id, Server: s, Elapsed: 20})
-	if a := g.b.reqs[id].attempts[0]; a.server.inFlight != 0 || g.b.classes[safeClass].mean != 20 {
-		t.Errorf("the server holds %d, answers take %v", a.server.inFlight, g.b.classes[safeClass].mean)
+	g.handle(AnswerStarted{Request: id, Server: s, Elapsed: 20})
+	if a := g.b.reqs[id].attempts[0]; a.server.inFlight != 0 || g.b.classes[idempotentClass].mean != 20 {
+		t.Errorf("the server holds %d, answers take %v", a.server.inFlight, g.b.classes[idempotentClass].mean)
 	}
 	g.now += 5000
-	if acts := g.do(Timer{Token: uint64(id)}); has(acts, Fail) || has(acts, Reject) || has(acts, Send) {
+	if acts := g.handle(Timer{Token: uint64(id)}); hasAction(acts, Fail) || hasAction(acts, Reject) || hasAction(acts, Send) {
 		t.Fatalf("a running stream got %+v", acts)
 	}
-	g.do(Outcome{Request: id, Server: s, Result: Reset, Elapsed: 5000, Finished: true})
+	g.handle(Outcome{Request: id, Server: s, Result: Reset, Elapsed: 5000, Finished: true})
 	if len(g.b.reqs) != 0 {
 		t.Fatal("an ended stream is remembered")
 	}
@@ -173,26 +173,26 @@
 
 // While a body comes no time passes, for the request or its server; from its last byte on both count.
 func TestRetry_streamingBodyDeadline(t *testing.T) {
-	g := newRig(t, baseConfig(), fleet(3)...)
-	g.next++
-	id := g.next
-	g.do(Request{ID: id, Class: unsafeClass, Remaining: 600, BodyStreaming: true})
+	g := newHarness(t, baseConfig(), identicalServers(3)...)
+	g.lastID++
+	id := g.lastID
+	g.handle(Request{ID: id, Class: nonIdempotentClass, Remaining: 600, BodyStreaming: true})
 	r := g.b.reqs[id]
 	if len(r.attempts) != 1 {
 		t.Fatal("it is not sent at once")
 	}
 	g.now += 60000
-	if acts := g.do(Timer{Token: uint64(id)}); len(acts) > 0 || r.attempts[0].server.consecutiveErrors > 0 || g.b.inFlightLoad > 0 {
+	if acts := g.handle(Timer{Token: uint64(id)}); len(acts) > 0 || r.attempts[0].server.consecutiveErrors > 0 || g.b.inFlightLoad > 0 {
 		t.Fatalf("while its body comes: %+v, %d errors, load %v", acts, r.attempts[0].server.consecutiveErrors, g.b.inFlightLoad)
 	}
-	if acts := g.do(BodyComplete{Request: id, Remaining: 600}); !has(acts, SetTimer) || g.b.inFlightLoad == 0 {
+	if acts := g.handle(BodyComplete{Request: id, Remaining: 600}); !hasAction(acts, SetTimer) || g.b.inFlightLoad == 0 {
 		t.Fatalf("at its last byte: %+v, load %v", acts, g.b.inFlightLoad)
 	}
 	g.now += 601
-	if acts := g.do(Timer{Token: uint64(id)}); !has(acts, Fail) {
+	if acts := g.handle(Timer{Token: uint64(id)}); !hasAction(acts, Fail) {
 		t.Errorf("at its deadline: %+v", acts)
 	}
-	g.answer(id, 0, Cancelled, 601)
+	g.endAttempt(id, 0, Cancelled, 601)
 	if g.b.inFlightLoad != 0 {
 		t.Errorf("load %v is left", g.b.inFlightLoad)
 	}
@@ -201,12 +201,12 @@
 // What never ran is sent again only while its body is held.
 func TestRetry_consumedBody(t *testing.T) {
 	for _, spent := range []bool{false, true} {
-		g := newRig(t, baseConfig(), fleet(3)...)
-		g.next++
-		g.do(Request{ID: g.next, Class: unsafeClass, Remaining: 600, BodyStreaming: true})
-		s := g.b.reqs[g.next].attempts[0].server.ID
-		acts := g.do(Outcome{Request: g.next, Server: s, Result: Rejected, Elapsed: 5, BodyConsumed: spent})
-		if has(acts, Send) == spent || has(acts, Reject) != spent {
+		g := newHarness(t, baseConfig(), identicalServers(3)...)
+		g.lastID++
+		g.handle(Request{ID: g.lastID, Class: nonIdempotentClass, Remaining: 600, BodyStreaming: true})
+		s := g.b.reqs[g.lastID].attempts[0].server.ID
+		acts := g.handle(Outcome{Request: g.lastID, Server: s, Result: Rejected, Elapsed: 5, BodyConsumed: spent})
+		if hasAction(acts, Send) == spent || hasAction(acts, Reject) != spent {
 			t.Errorf("spent %v: %+v", spent, acts)
 		}
 	}
@@ -216,10 +216,10 @@
 // run is re-routed once at most.
 func TestRetry_rerouteLimit(t *testing.T) {
 	for res, sends := range map[Result]int{ConnectFailed: 4, WriteFailed: 4, Rejected: 4, Failed: 2} {
-		g := newRig(t, baseConfig(), fleet(8)...)
-		id, _ := g.ask(safeClass)
+		g := newHarness(t, baseConfig(), identicalServers(8)...)
+		id, _ := g.sendRequest(idempotentClass)
 		n := 1
-		for ; has(g.answer(id, n-1, res, 1), Send); n++ {
+		for ; hasAction(g.endAttempt(id, n-1, res, 1), Send); n++ {
 		}
 		if n != sends {
 			t.Errorf("result %v: %d attempts, want %d of at most %d", res, n, sends, baseConfig().MaxAttempts)
--- a/balance/rotation_test.go
+++ b/balance/rotation_test.go
@@ -40,13 +40,13 @@
 			if c.routed {
 				tell(1000, Routes{Rev: 1, List: []Route{{Tenant: 1, Base: Subset{Zones: []int{1}}}}})
 			}
-			playAtRandom(tell, c.rating)
+			playRandomEvents(tell, c.rating)
 		})
 	}
 }
 
 // playAtRandom tells of requests, ends of their attempts and changes of the list.
-func playAtRandom(tell func(now float64, ev Event) []Action, rating float64) {
+func playRandomEvents(handle func(now float64, ev Event) []Action, rating float64) {
 	rng := rand.New(rand.NewPCG(3, 4))
 	for i := range 4000 {
 		now := 1000 + 40*float64(i)
@@ -55,16 +55,16 @@
 			for k := range entries {
 				entries[k].Rating = rating * rng.Float64()
 			}
-			tell(now, ServerList{Kind: ListDelta, Servers: entries})
+			handle(now, ServerList{Kind: ListDelta, Servers: entries})
 		}
 		id := RequestID(i + 1)
-		acts := tell(now, Request{ID: id, Class: rng.IntN(2), Tenant: rng.IntN(2), Remaining: 600})
+		acts := handle(now, Request{ID: id, Class: rng.IntN(2), Tenant: rng.IntN(2), Remaining: 600})
 		for attempt, sent := 0, true; sent; attempt++ {
 			sent = false
 			for _, a := range acts {
 				if a.Kind == Send && a.Request == id {
 					result := []Result{OK, OK, OK, Failed, ConnectFailed}[rng.IntN(5)]
-					acts, sent = tell(now+20, Outcome{Request: id, Attempt: attempt, Server: a.Server, Result: result,
+					acts, sent = handle(now+20, Outcome{Request: id, Attempt: attempt, Server: a.Server, Result: result,
 						Elapsed: 20, Finished: result == OK}), true
 					break
 				}
@@ -76,14 +76,14 @@
 // Along a route the running values of each group are kept at most at its sum of weights, too, though the group before
 // had no server at all.
 func TestRotation_skippedServersOfRoute(t *testing.T) {
-	list := fleet(20)
+	list := identicalServers(20)
 	for i := range list {
 		list[i].Rating = 0.05
 	}
-	g := newRig(t, baseConfig(), list...)
+	g := newHarness(t, baseConfig(), list...)
 	const nowhere = 99
-	g.do(Routes{Rev: 1, List: []Route{{Tenant: -1, Base: Subset{Zones: []int{nowhere}}}}})
-	if _, acts := g.ask(safeClass); !has(acts, Send) {
+	g.handle(Routes{Rev: 1, List: []Route{{Tenant: -1, Base: Subset{Zones: []int{nowhere}}}}})
+	if _, acts := g.sendRequest(idempotentClass); !hasAction(acts, Send) {
 		t.Fatalf("not sent: %v", acts)
 	}
 	total := 0.0
@@ -108,7 +108,7 @@
 	used := func(number, seed int) map[ServerID]int {
 		cfg := baseConfig()
 		cfg.Number, cfg.Peers, cfg.Seed = number, sidecars, uint64(seed)
-		g := newRig(t, cfg, fleet(servers)...)
+		g := newHarness(t, cfg, identicalServers(servers)...)
 		for _, s := range g.b.servers {
 			s.rank = g.b.rank(s)
 		}
@@ -116,10 +116,10 @@
 		hits := map[ServerID]int{}
 		for range 60 {
 			g.now += 1000
-			id, acts := g.ask(safeClass)
+			id, acts := g.sendRequest(idempotentClass)
 			s, _ := sentTo(acts)
 			hits[s]++
-			g.answer(id, 0, OK, 10)
+			g.endAttempt(id, 0, OK, 10)
 		}
 		return hits
 	}
@@ -144,15 +144,15 @@
 
 // A busy sidecar goes over as many servers as it visits often, and over others when some of its own fail.
 func TestRotation_growth(t *testing.T) {
-	g := newRig(t, baseConfig(), fleet(60)...)
+	g := newHarness(t, baseConfig(), identicalServers(60)...)
 	count := func(gap float64, n int) int {
 		hits := map[ServerID]bool{}
 		for range n {
 			g.now += gap
-			id, acts := g.ask(safeClass)
+			id, acts := g.sendRequest(idempotentClass)
 			s, _ := sentTo(acts)
 			hits[s] = true
-			g.answer(id, 0, OK, 10)
+			g.endAttempt(id, 0, OK, 10)
 		}
 		return len(hits)
 	}
--- a/balance/routes_property_test.go
+++ b/balance/routes_property_test.go
@@ -9,7 +9,7 @@
 )
 
 // anyRoutes draws what tenant 0 is told.
-func anyRoutes(t *rapid.T) Event {
+func drawRouteEvent(t *rapid.T) Event {
 	server := rapid.Custom(func(t *rapid.T) ServerID { return ServerID(rapid.IntRange(1, 12).Draw(t, "server")) })
 	subset := func(name string) Subset {
 		return Subset{
@@ -37,7 +37,7 @@
 // tenant 0, and the same of tenant 1, whose answers are the same. Tenant 0 has requests, too, in half of the runs.
 func TestRoutes_tenantIsolation(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
-		cfg := tenantsConfig()
+		cfg := tenantConfig()
 		cfg.Seed = rapid.Uint64().Draw(rt, "seed")
 		both := [2]*Balancer{mustNew(t, cfg), mustNew(t, cfg)}
 		now, next := 1000.0, RequestID(0)
@@ -48,7 +48,7 @@
 			}
 			return slices.Clone(acts)
 		}
-		servers := fleet(12)
+		servers := identicalServers(12)
 		own := Route{Tenant: 1, Base: Subset{Zones: []int{1}}, Canary: Subset{Zones: []int{2}}, CanaryFraction: 0.3, ID: 77}
 		for _, b := range both {
 			b.Start(now)
@@ -69,17 +69,17 @@
 			tell(b, ev)
 		}
 		for _, b := range both {
-			other(b, Routes{Rev: 5, List: []Route{canaryOf(0, 1)}})
+			other(b, Routes{Rev: 5, List: []Route{canaryRoute(0, 1)}})
 			other(b, CanaryLease{Until: 1e9})
 		}
 		for range rapid.IntRange(10, 60).Draw(rt, "events") {
 			now += rapid.Float64Range(0, 50).Draw(rt, "pause")
 			for _, b := range both {
 				if rapid.Bool().Draw(rt, "tell") {
-					other(b, anyRoutes(rt))
+					other(b, drawRouteEvent(rt))
 				}
 			}
-			class := rapid.IntRange(0, zoneClass).Draw(rt, "class")
+			class := rapid.IntRange(0, zoneKeyClass).Draw(rt, "class")
 			if next++; busy {
 				for _, b := range both {
 					tell(b, Request{ID: next, Class: class, Remaining: 500})
@@ -106,7 +106,7 @@
 				}) {
 					rt.Fatalf("tenant 1 got %+v and %+v", acts[0], acts[1])
 				}
-				if !has(acts[0], Send) {
+				if !hasAction(acts[0], Send) {
 					break
 				}
 			}
@@ -115,7 +115,7 @@
 }
 
 // named tells whether a subset, as anyRoutes draws it, has a server.
-func named(u Subset, s *server) bool {
+func subsetContains(u Subset, s *server) bool {
 	return (len(u.IDs) == 0 || slices.Contains(u.IDs, s.ID)) && (len(u.Zones) == 0 || slices.Contains(u.Zones, s.Zone))
 }
 
@@ -123,9 +123,9 @@
 // routes name, and has a unit; what is out and spent is what the attempts say; a request gets its answer.
 func TestRoutes_property(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
-		cfg := tenantsConfig()
+		cfg := tenantConfig()
 		cfg.Seed, cfg.MaxAttempts = rapid.Uint64().Draw(rt, "seed"), 3
-		g := newRig(t, cfg, fleet(12)...)
+		g := newHarness(t, cfg, identicalServers(12)...)
 		type out struct {
 			id      RequestID
 			attempt int
@@ -153,7 +153,7 @@
 				if a.ToCanary {
 					w := routes.List[0]
 					r := g.b.reqs[a.Request]
-					if !permitted || w.ID == 0 || w.CanaryFraction == 0 || !named(w.Canary, g.b.byID[a.Server]) ||
+					if !permitted || w.ID == 0 || w.CanaryFraction == 0 || !subsetContains(w.Canary, g.b.byID[a.Server]) ||
 						len(w.Classes) > 0 && !slices.Contains(w.Classes, r.Class) {
 						rt.Fatalf("%+v under %+v", a, routes)
 					}
@@ -179,9 +179,9 @@
 			before := purses()
 			switch k := rapid.IntRange(0, 9).Draw(rt, "event"); {
 			case k < 4:
-				class := rapid.IntRange(0, zoneClass).Draw(rt, "class")
-				g.next++
-				took(before, g.do(Request{ID: g.next, Class: class, Remaining: 1e6}))
+				class := rapid.IntRange(0, zoneKeyClass).Draw(rt, "class")
+				g.lastID++
+				took(before, g.handle(Request{ID: g.lastID, Class: class, Remaining: 1e6}))
 			case k < 8 && len(live) > 0:
 				i := rapid.IntRange(0, len(live)-1).Draw(rt, "which")
 				o := live[i]
@@ -195,29 +195,29 @@
 				p := before[o.purse]
 				p.Settle(!ev.RouteRevoked && ev.Result != OK && ev.Result != Cancelled && ev.Result != NotSent)
 				before[o.purse] = p
-				acts := g.do(ev)
+				acts := g.handle(ev)
 				took(before, acts)
 				if after, ok := purses()[o.purse]; o.purse > 0 && (!ok || after.Spent != p.Spent) {
 					rt.Fatalf("%+v: %+v, not %+v", ev, after, p)
 				}
 			case k == 8:
-				servers := fleet(12)
+				servers := identicalServers(12)
 				for i := range servers {
 					servers[i].State = ServerState(rapid.IntRange(0, 5).Draw(rt, "state") / 4)
 				}
-				g.do(ServerList{Kind: ListFull, Servers: servers})
+				g.handle(ServerList{Kind: ListFull, Servers: servers})
 			default:
-				switch ev := anyRoutes(rt).(type) {
+				switch ev := drawRouteEvent(rt).(type) {
 				case Routes:
 					if routes = ev; rapid.IntRange(0, 4).Draw(rt, "none") == 0 {
 						routes.List = nil
 					}
-					g.do(routes)
+					g.handle(routes)
 				case CanaryLease:
 					permit = ev.Until
-					g.do(ev)
+					g.handle(ev)
 				default:
-					g.do(ev)
+					g.handle(ev)
 				}
 			}
 			units := map[uint64]int64{}
--- a/balance/routes_test.go
+++ b/balance/routes_test.go
@@ -7,36 +7,36 @@
 	"testing"
 )
 
-func tenantsConfig() Config {
+func tenantConfig() Config {
 	cfg := baseConfig()
 	cfg.Tenants = []Tenant{{Allowance: 1, Quota: 0.5}, {Allowance: 1, Quota: 0.5}}
 	cfg.Classes = append(cfg.Classes, Class{Idempotency: Idempotent, LatencyObjective: 300, Deadline: 1500, PriorityWeight: 1, Stream: true})
 	return cfg
 }
 
-const streamClass = zoneClass + 1
+const streamClass = zoneKeyClass + 1
 
 // canaryOf is a route of tenant 0 whose canary is these servers.
-func canaryOf(share float64, ids ...ServerID) Route {
-	return Route{Tenant: 0, Canary: Subset{IDs: ids}, CanaryFraction: share, ID: 9}
+func canaryRoute(fraction float64, ids ...ServerID) Route {
+	return Route{Tenant: 0, Canary: Subset{IDs: ids}, CanaryFraction: fraction, ID: 9}
 }
 
 // routed begins with eight servers, a route and a permission.
-func routed(t *testing.T, w Route) *rig {
-	g := newRig(t, tenantsConfig(), fleet(8)...)
-	g.do(Routes{Rev: 5, List: []Route{w}})
-	g.do(CanaryLease{Until: math.Inf(1)})
+func newRoutedHarness(t *testing.T, w Route) *harness {
+	g := newHarness(t, tenantConfig(), identicalServers(8)...)
+	g.handle(Routes{Rev: 5, List: []Route{w}})
+	g.handle(CanaryLease{Until: math.Inf(1)})
 	return g
 }
 
 // send brings a request of tenant 0 and returns its first attempt.
-func (g *rig) send(class int) (RequestID, Action) {
+func (g *harness) sendForTenant(class int) (RequestID, Action) {
 	g.t.Helper()
-	g.next++
-	return g.next, g.mustSend(g.do(Request{ID: g.next, Class: class, Remaining: g.b.cfg.Classes[class].Deadline}))
+	g.lastID++
+	return g.lastID, g.requireSend(g.handle(Request{ID: g.lastID, Class: class, Remaining: g.b.cfg.Classes[class].Deadline}))
 }
 
-func (g *rig) mustSend(acts []Action) Action {
+func (g *harness) requireSend(acts []Action) Action {
 	g.t.Helper()
 	i := slices.IndexFunc(acts, func(a Action) bool { return a.Kind == Send })
 	if i < 0 {
@@ -47,12 +47,12 @@
 
 func TestRoutes_invalid(t *testing.T) {
 	with := func(change func(*Route)) Routes {
-		w := canaryOf(0.5, 1)
+		w := canaryRoute(0.5, 1)
 		change(&w)
 		return Routes{Rev: 6, List: []Route{w}}
 	}
 	for want, ev := range map[string]Event{
-		"Routes.Rev":                    Routes{List: []Route{canaryOf(0.5, 1)}},
+		"Routes.Rev":                    Routes{List: []Route{canaryRoute(0.5, 1)}},
 		"Routes.List[0].Tenant":         with(func(w *Route) { w.Tenant = 2 }),
 		"List[0].Tenant is -2":          with(func(w *Route) { w.Tenant = -2 }),
 		"Routes.List[0].Classes":        with(func(w *Route) { w.Classes = []int{0, 6} }),
@@ -61,16 +61,16 @@
 		"CanaryFraction is 1.01":        with(func(w *Route) { w.CanaryFraction = 1.01 }),
 		"Routes.List[0].CanaryFraction": with(func(w *Route) { w.CanaryFraction = -0.01 }),
 		"Routes.List[1].Tenant":         Routes{Rev: 6, List: []Route{{Tenant: 1}, {Tenant: 1}}},
-		"Routes.List[1].ID":             Routes{Rev: 6, List: []Route{canaryOf(0, 1), {Tenant: 1, ID: 9}}},
+		"Routes.List[1].ID":             Routes{Rev: 6, List: []Route{canaryRoute(0, 1), {Tenant: 1, ID: 9}}},
 		"CanaryLease.Until":             CanaryLease{Until: math.NaN()},
 		"BudgetGrant.ID":                BudgetGrant{Units: 1},
 		"BudgetGrant.Units":             BudgetGrant{ID: 9, Units: -1},
 		"BudgetGrant.MaxIdle":           BudgetGrant{ID: 9, Units: 1, MaxIdle: -1},
 	} {
-		w := canaryOf(1, 1)
+		w := canaryRoute(1, 1)
 		w.Budgeted = true
-		g := routed(t, w)
-		g.do(BudgetGrant{ID: 9, Units: 3, MaxIdle: 3})
+		g := newRoutedHarness(t, w)
+		g.handle(BudgetGrant{ID: 9, Units: 3, MaxIdle: 3})
 		ways := g.b.routes
 		if acts, err := g.b.Handle(g.now, ev); err == nil || !strings.Contains(err.Error(), want) || len(acts) > 0 {
 			t.Errorf("%+v: error %v, want one of %q", ev, err, want)
@@ -78,7 +78,7 @@
 		if &g.b.routes[0] != &ways[0] || g.b.rev != 5 || g.b.CanaryBudgets()[0].Granted != 3 {
 			t.Errorf("%+v changed the balancer", ev)
 		}
-		if _, a := g.send(safeClass); !a.ToCanary || a.RoutesRev != 5 || a.CanaryID != 9 {
+		if _, a := g.sendForTenant(idempotentClass); !a.ToCanary || a.RoutesRev != 5 || a.CanaryID != 9 {
 			t.Errorf("%+v: then %+v", ev, a)
 		}
 	}
@@ -86,11 +86,11 @@
 
 // A share grows, a key comes again at another process: who preferred the canary still does.
 func TestRoutes_stableKeys(t *testing.T) {
-	var rigs []*rig
+	var rigs []*harness
 	for seed := range uint64(3) {
-		cfg := tenantsConfig()
+		cfg := tenantConfig()
 		cfg.Seed, cfg.Number = seed, int(seed)
-		rigs = append(rigs, newRig(t, cfg, fleet(8)...))
+		rigs = append(rigs, newHarness(t, cfg, identicalServers(8)...))
 	}
 	last, many := map[uint64]bool{}, 2000
 	for _, share := range []float64{0, 0.01, 0.05, 0.25, 0.5, 1} {
@@ -103,7 +103,7 @@
 			side := false
 			for i, g := range rigs {
 				g.b.canaryLease = math.Inf(1)
-				w := canaryOf(share, 1)
+				w := canaryRoute(share, 1)
 				here := g.b.prefersCanary(&tenantRoute{Route: w}, &request{Request: r})
 				if i > 0 && here != side || last[key] && !here {
 					t.Fatalf("key %d at share %v changes its side", key, share)
@@ -130,10 +130,10 @@
 			for f := range fleets {
 				hits := 0
 				for i := range sidecars {
-					cfg := tenantsConfig()
+					cfg := tenantConfig()
 					cfg.Seed, cfg.Number = uint64(f), i
 					b := mustNew(t, cfg)
-					if _, err := b.Handle(1, Routes{Rev: 1, List: []Route{canaryOf(share, 1)}}); err != nil {
+					if _, err := b.Handle(1, Routes{Rev: 1, List: []Route{canaryRoute(share, 1)}}); err != nil {
 						t.Fatal(err)
 					}
 					b.canaryLease = math.Inf(1)
@@ -162,7 +162,7 @@
 
 // Whatever is wrong with a canary, its requests go elsewhere at once; a base goes there only when nobody else is left.
 func TestRoutes_unusableServers(t *testing.T) {
-	all := fleet(8)
+	all := identicalServers(8)
 	list := func(state ServerState, ids ...ServerID) ServerList {
 		l := slices.Clone(all)
 		for _, id := range ids {
@@ -170,7 +170,7 @@
 		}
 		return ServerList{Kind: ListFull, Servers: l}
 	}
-	rest := func(g *rig, ids ...ServerID) {
+	rest := func(g *harness, ids ...ServerID) {
 		for _, id := range ids {
 			g.b.byID[id].ejectedUntil = g.now + 1e6
 		}
@@ -179,62 +179,62 @@
 	far := Subset{IDs: others}
 	for name, c := range map[string]struct {
 		share   float64
-		trouble func(*rig)
+		trouble func(*harness)
 		canary  bool
 		to      []ServerID
 	}{
-		"sound":         {1, func(*rig) {}, true, []ServerID{1, 2}},
-		"base":          {0, func(*rig) {}, false, []ServerID{3, 4}},
-		"one drains":    {1, func(g *rig) { g.do(list(Draining, 1)) }, true, []ServerID{2}},
-		"draining":      {1, func(g *rig) { g.do(list(Draining, 1, 2)) }, false, []ServerID{3, 4}},
-		"gone":          {1, func(g *rig) { g.do(list(Gone, 1, 2)) }, false, []ServerID{3, 4}},
-		"never there":   {1, func(g *rig) { g.do(ServerList{Kind: ListFull, Servers: all[4:]}) }, false, others[2:]},
-		"resting":       {1, func(g *rig) { rest(g, 1, 2) }, false, []ServerID{3, 4}},
-		"loaded":        {1, func(g *rig) { g.b.byID[1].inFlight, g.b.byID[2].inFlight = 9, 9 }, false, []ServerID{3, 4}},
-		"base gone too": {1, func(g *rig) { g.do(list(Gone, 1, 2, 3, 4)) }, false, others[2:]},
-		"base resting":  {0, func(g *rig) { rest(g, 3, 4) }, false, others[2:]},
-		"canary left":   {0, func(g *rig) { rest(g, others...) }, false, []ServerID{1, 2}},
-		"all rest":      {1, func(g *rig) { rest(g, 1, 2, 3, 4, 5, 6, 7, 8) }, false, []ServerID{3, 4}},
-		"all loaded": {1, func(g *rig) {
+		"sound":         {1, func(*harness) {}, true, []ServerID{1, 2}},
+		"base":          {0, func(*harness) {}, false, []ServerID{3, 4}},
+		"one drains":    {1, func(g *harness) { g.handle(list(Draining, 1)) }, true, []ServerID{2}},
+		"draining":      {1, func(g *harness) { g.handle(list(Draining, 1, 2)) }, false, []ServerID{3, 4}},
+		"gone":          {1, func(g *harness) { g.handle(list(Gone, 1, 2)) }, false, []ServerID{3, 4}},
+		"never there":   {1, func(g *harness) { g.handle(ServerList{Kind: ListFull, Servers: all[4:]}) }, false, others[2:]},
+		"resting":       {1, func(g *harness) { rest(g, 1, 2) }, false, []ServerID{3, 4}},
+		"loaded":        {1, func(g *harness) { g.b.byID[1].inFlight, g.b.byID[2].inFlight = 9, 9 }, false, []ServerID{3, 4}},
+		"base gone too": {1, func(g *harness) { g.handle(list(Gone, 1, 2, 3, 4)) }, false, others[2:]},
+		"base resting":  {0, func(g *harness) { rest(g, 3, 4) }, false, others[2:]},
+		"canary left":   {0, func(g *harness) { rest(g, others...) }, false, []ServerID{1, 2}},
+		"all rest":      {1, func(g *harness) { rest(g, 1, 2, 3, 4, 5, 6, 7, 8) }, false, []ServerID{3, 4}},
+		"all loaded": {1, func(g *harness) {
 			for _, s := range g.b.servers {
 				s.inFlight = 9
 			}
 		}, true, []ServerID{1}}, // who holds least, of equals the first
-		"base loaded": {0, func(g *rig) {
+		"base loaded": {0, func(g *harness) {
 			for _, id := range others {
 				g.b.byID[id].inFlight = 9
 			}
 		}, false, []ServerID{1, 2}},
-		"base loaded, units spent": {0, func(g *rig) {
-			w := canaryOf(0, 1, 2)
+		"base loaded, units spent": {0, func(g *harness) {
+			w := canaryRoute(0, 1, 2)
 			w.Budgeted = true
-			g.do(Routes{Rev: 6, List: []Route{w}})
-			g.do(BudgetGrant{ID: 9, Units: 1, MaxIdle: 1})
+			g.handle(Routes{Rev: 6, List: []Route{w}})
+			g.handle(BudgetGrant{ID: 9, Units: 1, MaxIdle: 1})
 			g.b.canaryBudget(9).Reserve()
 			g.b.canaryBudget(9).Settle(true)
 			for _, id := range others {
 				g.b.byID[id].inFlight = 9
 			}
 		}, false, []ServerID{3}},
-		"permission over": {1, func(g *rig) { g.do(CanaryLease{Until: g.now}) }, false, []ServerID{3, 4}},
-		"no canary":       {1, func(g *rig) { g.do(Routes{Rev: 6, List: []Route{{Base: far}}}) }, false, others},
-		"other class": {1, func(g *rig) {
-			w := canaryOf(1, 1, 2)
-			w.Classes = []int{unsafeClass}
-			g.do(Routes{Rev: 6, List: []Route{w}})
+		"permission over": {1, func(g *harness) { g.handle(CanaryLease{Until: g.now}) }, false, []ServerID{3, 4}},
+		"no canary":       {1, func(g *harness) { g.handle(Routes{Rev: 6, List: []Route{{Base: far}}}) }, false, others},
+		"other class": {1, func(g *harness) {
+			w := canaryRoute(1, 1, 2)
+			w.Classes = []int{nonIdempotentClass}
+			g.handle(Routes{Rev: 6, List: []Route{w}})
 		}, false, others},
 	} {
 		t.Run(name, func(t *testing.T) {
-			w := canaryOf(c.share, 2, 1)
+			w := canaryRoute(c.share, 2, 1)
 			w.Base = Subset{IDs: []ServerID{1, 3, 4}}
-			g := routed(t, w)
+			g := newRoutedHarness(t, w)
 			if c.trouble(g); name == "never there" {
-				g.do(list(Gone, 1, 2, 3, 4))
+				g.handle(list(Gone, 1, 2, 3, 4))
 			}
 			seen := map[ServerID]bool{}
 			for range 16 {
 				before := g.b.servers[0].inFlight
-				id, a := g.send(safeClass)
+				id, a := g.sendForTenant(idempotentClass)
 				if seen[a.Server] = true; a.ToCanary != c.canary {
 					t.Errorf("to the canary: %v (%+v)", a.ToCanary, a)
 				}
@@ -242,9 +242,9 @@
 				if permitted != (a.RoutesRev > 0) || (permitted && name != "no canary") != (a.CanaryID > 0) {
 					t.Errorf("acts on %d of %d", a.CanaryID, a.RoutesRev)
 				}
-				g.answer(id, 0, NotSent, 0)
-				g.do(ClientGone{Request: id})
-				g.finish(id)
+				g.endAttempt(id, 0, NotSent, 0)
+				g.handle(ClientGone{Request: id})
+				g.cancelAttempts(id)
 				g.b.servers[0].inFlight = before
 			}
 			for s := range seen {
@@ -260,32 +260,32 @@
 }
 
 // finish ends what is still out for a request as if it had never been.
-func (g *rig) finish(id RequestID) {
+func (g *harness) cancelAttempts(id RequestID) {
 	for r := g.b.reqs[id]; r != nil && r.liveAttempts > 0; r = g.b.reqs[id] {
-		g.answer(id, slices.IndexFunc(r.attempts, func(a attempt) bool { return a.live }), NotSent, 0)
+		g.endAttempt(id, slices.IndexFunc(r.attempts, func(a attempt) bool { return a.live }), NotSent, 0)
 	}
 }
 
 // A request stays on its side: the healthiest untried server of the canary, then of the base, then of the rest.
 func TestRoutes_retryPlacement(t *testing.T) {
-	w := canaryOf(1, 1, 2, 3)
+	w := canaryRoute(1, 1, 2, 3)
 	w.Base = Subset{IDs: []ServerID{4, 5}}
-	g := routed(t, w)
+	g := newRoutedHarness(t, w)
 	g.b.byID[2].consecutiveErrors, g.b.byID[2].lastErrorAt = 1, g.now
 	g.b.byID[5].consecutiveErrors, g.b.byID[5].lastErrorAt = 1, g.now
 	g.b.byID[1].inFlight = 20
-	id, a := g.send(safeClass)
+	id, a := g.sendForTenant(idempotentClass)
 	if a.Server != 3 || !a.ToCanary {
 		t.Fatalf("first to %+v", a)
 	}
 	g.b.byID[1].inFlight = 0
 	for i, want := range []ServerID{1, 2, 4} {
 		g.b.reqs[id].stats.n = 0
-		if a = g.mustSend(g.answer(id, i, Rejected, 1)); a.Server != want || a.ToCanary != (want < 4) {
+		if a = g.requireSend(g.endAttempt(id, i, Rejected, 1)); a.Server != want || a.ToCanary != (want < 4) {
 			t.Errorf("repeat %d: %+v, want %d", i+1, a, want)
 		}
 		if i == 1 { // the newest routes count
-			g.do(Routes{Rev: 8, List: []Route{w}})
+			g.handle(Routes{Rev: 8, List: []Route{w}})
 		}
 	}
 	if a.RoutesRev != 8 {
@@ -295,19 +295,19 @@
 
 // A void attempt counts for nothing, three times; then as one that never began.
 func TestRoutes_revokedAttempt(t *testing.T) {
-	cfg := tenantsConfig()
+	cfg := tenantConfig()
 	cfg.MaxAttempts = 2
-	g := newRig(t, cfg, fleet(1)...)
-	g.do(Routes{Rev: 5, List: []Route{canaryOf(1, 1)}})
-	g.do(CanaryLease{Until: math.Inf(1)})
-	id, _ := g.send(unsafeClass)
+	g := newHarness(t, cfg, identicalServers(1)...)
+	g.handle(Routes{Rev: 5, List: []Route{canaryRoute(1, 1)}})
+	g.handle(CanaryLease{Until: math.Inf(1)})
+	id, _ := g.sendForTenant(nonIdempotentClass)
 	for i := range maxRevokedAttempts {
-		a := g.mustSend(g.do(Outcome{Request: id, Attempt: i, Server: 1, Result: Failed, RouteRevoked: true}))
+		a := g.requireSend(g.handle(Outcome{Request: id, Attempt: i, Server: 1, Result: Failed, RouteRevoked: true}))
 		if a.Server != 1 || g.b.byID[1].consecutiveErrors != 0 {
 			t.Fatalf("after %d: %+v, %d errors", i+1, a, g.b.byID[1].consecutiveErrors)
 		}
 	}
-	if acts := g.do(Outcome{Request: id, Attempt: maxRevokedAttempts, Server: 1, Result: Failed, RouteRevoked: true}); has(acts, Send) {
+	if acts := g.handle(Outcome{Request: id, Attempt: maxRevokedAttempts, Server: 1, Result: Failed, RouteRevoked: true}); hasAction(acts, Send) {
 		t.Errorf("after the last: %+v", acts)
 	}
 	if g.b.byID[1].consecutiveErrors != 0 || g.b.byID[1].inFlight != 0 || g.b.reqs[id].sends() != 1 {
@@ -317,22 +317,22 @@
 
 // Servers that warm up and have nothing left for now are no reason to use one that rests.
 func TestRoutes_ejectedDuringSlowStart(t *testing.T) {
-	g := routed(t, canaryOf(0, 8))
+	g := newRoutedHarness(t, canaryRoute(0, 8))
 	for _, s := range g.b.servers {
 		s.slowStartAt, s.tokens, s.tokensAt = g.now, -100, g.now
 	}
 	g.b.byID[8].slowStartAt, g.b.byID[8].ejectedUntil = math.Inf(-1), math.Inf(1)
-	if _, acts := g.ask(safeClass); has(acts, Send) {
+	if _, acts := g.sendRequest(idempotentClass); hasAction(acts, Send) {
 		t.Errorf("%+v", acts)
 	}
 }
 
 // A pick leaves nothing behind that another request sees.
 func TestRoutes_pickSideEffects(t *testing.T) {
-	w := canaryOf(0.5, 1, 2)
+	w := canaryRoute(0.5, 1, 2)
 	w.Base = Subset{Zones: []int{1}}
-	g := routed(t, w)
-	r := &request{class: &g.b.cfg.Classes[safeClass], stats: &g.b.classes[safeClass], tenant: g.b.tenant(0)}
+	g := newRoutedHarness(t, w)
+	r := &request{class: &g.b.cfg.Classes[idempotentClass], stats: &g.b.classes[idempotentClass], tenant: g.b.tenant(0)}
 	if n := testing.AllocsPerRun(100, func() { r.placeDrawn = false; g.b.pick(r, false) }); n > 0 {
 		t.Errorf("%v allocations", n)
 	}
@@ -352,10 +352,10 @@
 func BenchmarkPick(b *testing.B) {
 	for name, routed := range map[string]bool{"off": false, "on": true} {
 		b.Run(name, func(b *testing.B) {
-			bal := mustNew(b, tenantsConfig())
-			bal.Handle(1000, ServerList{Kind: ListFull, Servers: fleet(100)})
+			bal := mustNew(b, tenantConfig())
+			bal.Handle(1000, ServerList{Kind: ListFull, Servers: identicalServers(100)})
 			if routed {
-				w := canaryOf(0.1, 1, 2, 3, 4, 5)
+				w := canaryRoute(0.1, 1, 2, 3, 4, 5)
 				bal.Handle(1000, Routes{Rev: 1, List: []Route{w}})
 				bal.Handle(1000, CanaryLease{Until: math.Inf(1)})
 			}
--- a/balance/settings_test.go
+++ b/balance/settings_test.go
@@ -14,7 +14,7 @@
 		"hundreds":    func(_ *Config, n *int) { *n = 300 },
 		"one attempt": func(c *Config, _ *int) { c.MaxAttempts = 1 },
 		"no cancels":  func(c *Config, _ *int) { c.Cancel, c.Hedging = false, false },
-		"streams":     func(c *Config, _ *int) { c.Classes[safeClass].Stream = true },
+		"streams":     func(c *Config, _ *int) { c.Classes[idempotentClass].Stream = true },
 		"tenants":     func(c *Config, _ *int) { c.Tenants = []Tenant{{Quota: 0.9}, {Quota: 0.1}, {}} },
 		"no cold rule": func(c *Config, _ *int) {
 			c.SlowStartTime, c.OverloadTime, c.OverloadMultiple, c.SlowStartCapacity = 0, 0, 0, 0
@@ -28,16 +28,16 @@
 		},
 		"piggyback": func(c *Config, _ *int) { c.Reports, c.Fields = ReportPiggyback, []Field{FieldUtil, FieldRate} },
 		"aims of zero": func(c *Config, _ *int) {
-			c.Classes[safeClass].LatencyObjective, c.Classes[unsafeClass].PriorityWeight = 0, 0
+			c.Classes[idempotentClass].LatencyObjective, c.Classes[nonIdempotentClass].PriorityWeight = 0, 0
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
 			cfg, n := baseConfig(), 6
 			change(&cfg, &n)
-			w := newWorld(t, rand.New(rand.NewSource(7)), cfg)
-			list := fleet(n)
+			w := newSimulation(t, rand.New(rand.NewSource(7)), cfg)
+			list := identicalServers(n)
 			for i := range list {
-				w.servers[list[i].ID], w.told[list[i].ID] = &list[i], true
+				w.servers[list[i].ID], w.usable[list[i].ID] = &list[i], true
 			}
 			w.handle(ServerList{Kind: ListFull, Servers: list})
 			sent := 0
@@ -45,23 +45,23 @@
 				w.now += 9
 				w.fireTimers()
 				class := int(id) % len(cfg.Classes)
-				w.open[id] = &openRequest{class: class, deadline: w.now + 300}
+				w.requests[id] = &simulatedRequest{class: class, deadline: w.now + 300}
 				w.handle(Request{ID: id, Class: class, Tenant: int(id) % 5, Remaining: 300})
-				for len(w.probes) > 0 {
-					s := w.probes[0]
-					w.probes = w.probes[1:]
+				for len(w.healthChecks) > 0 {
+					s := w.healthChecks[0]
+					w.healthChecks = w.healthChecks[1:]
 					w.handle(HealthCheckResult{Server: s, Report: []float32{1}})
 				}
-				sent += len(w.open[id].tries)
+				sent += len(w.requests[id].attempts)
 				if id > 2 {
-					w.serve(id - 2)
+					w.answer(id - 2)
 				}
 			}
-			for w.now += 1000; w.anyOpen() && len(w.timers) > 0; w.now += 1000 {
+			for w.now += 1000; w.hasUnanswered() && len(w.timers) > 0; w.now += 1000 {
 				w.fireTimers()
 			}
-			if w.anyOpen() || sent < 300 {
-				t.Fatalf("unanswered requests: %v; %d of 400 sent", w.anyOpen(), sent)
+			if w.hasUnanswered() || sent < 300 {
+				t.Fatalf("unanswered requests: %v; %d of 400 sent", w.hasUnanswered(), sent)
 			}
 		})
 	}
--- a/balance/slow_start_test.go
+++ b/balance/slow_start_test.go
@@ -9,18 +9,18 @@
 // A route that all sidecars follow to one cold server at once pushes it over no more than the ordinary way does.
 func TestSlowStart_routedFleet(t *testing.T) {
 	const sidecars, servers, gap = 120, 30, 250.0
-	cfg := tenantsConfig()
-	all := fleet(servers)
+	cfg := tenantConfig()
+	all := identicalServers(servers)
 	all[0].StartedAt = 1000
-	var rigs []*rig
+	var rigs []*harness
 	for i := range sidecars {
 		cfg.Seed, cfg.Number = uint64(i), i
-		g := newRig(t, cfg, all[1:]...)
+		g := newHarness(t, cfg, all[1:]...)
 		for _, s := range g.b.servers {
 			s.rank = g.b.rank(s)
 		}
-		g.do(CanaryLease{Until: math.Inf(1)})
-		g.do(Routes{Rev: 1, List: []Route{canaryOf(1, 1)}})
+		g.handle(CanaryLease{Until: math.Inf(1)})
+		g.handle(Routes{Rev: 1, List: []Route{canaryRoute(1, 1)}})
 		rigs = append(rigs, g)
 	}
 	sent := make([]int, 20) // a second each
@@ -28,13 +28,13 @@
 		for i, g := range rigs {
 			g.now = now + gap*float64(i)/sidecars
 			if now == 1000 {
-				g.do(ServerList{Kind: ListFull, Servers: all})
+				g.handle(ServerList{Kind: ListFull, Servers: all})
 			}
-			id, a := g.send(safeClass)
+			id, a := g.sendForTenant(idempotentClass)
 			if a.Server == 1 {
 				sent[int((now-1000)/1000)]++
 			}
-			g.answer(id, 0, OK, 20)
+			g.endAttempt(id, 0, OK, 20)
 		}
 	}
 	for at, n := range sent {
@@ -53,14 +53,14 @@
 	toCold := 0
 	for n := range sidecars {
 		cfg.Seed, cfg.Number = uint64(n+1), n
-		servers := fleet(5)
-		g := newRig(t, cfg, servers...)
+		servers := identicalServers(5)
+		g := newHarness(t, cfg, servers...)
 		for i := range perSecond * seconds {
 			if i == perSecond*3 { // half-way one server restarts
 				servers[0].StartedAt = g.now
-				g.do(ServerList{Kind: ListDelta, Servers: servers[:1]})
+				g.handle(ServerList{Kind: ListDelta, Servers: servers[:1]})
 			}
-			id, acts := g.ask(safeClass)
+			id, acts := g.sendRequest(idempotentClass)
 			s, ok := sentTo(acts)
 			if !ok {
 				t.Fatal("nothing sent")
@@ -68,7 +68,7 @@
 			if s == 1 && i >= perSecond*3 && i < perSecond*4 {
 				toCold++
 			}
-			g.answer(id, 0, OK, 10)
+			g.endAttempt(id, 0, OK, 10)
 			g.now += 1000 / perSecond
 		}
 	}
@@ -82,18 +82,18 @@
 
 // A server that could not be reached and then answers has restarted, whatever the list says.
 func TestSlowStart_unreachableThenBack(t *testing.T) {
-	g := newRig(t, baseConfig(), fleet(2)...)
-	id, acts := g.ask(safeClass)
+	g := newHarness(t, baseConfig(), identicalServers(2)...)
+	id, acts := g.sendRequest(idempotentClass)
 	s, _ := sentTo(acts)
-	g.answer(id, 0, ConnectFailed, 150)
+	g.endAttempt(id, 0, ConnectFailed, 150)
 	g.now += 60000
 	for range 8 {
-		id, acts = g.ask(safeClass)
+		id, acts = g.sendRequest(idempotentClass)
 		if again, _ := sentTo(acts); again == s {
-			g.answer(id, 0, OK, 10)
+			g.endAttempt(id, 0, OK, 10)
 			break
 		}
-		g.answer(id, 0, OK, 10)
+		g.endAttempt(id, 0, OK, 10)
 	}
 	if !g.b.warmingUp(g.b.byID[s]) {
 		t.Fatal("the server is held to be warm")
@@ -104,15 +104,15 @@
 // not how little this sidecar used that one before. With nothing sent nothing is learned either.
 func TestSlowStart_smallServer(t *testing.T) {
 	cfg := baseConfig()
-	list := fleet(4)
-	g := newRig(t, cfg, list...)
+	list := identicalServers(4)
+	g := newHarness(t, cfg, list...)
 	g.b.byID[1].size = -maxSize
 	var open []RequestID
 	serve := func(ms int) int { // 200 requests a second, 8 in flight, as full servers have
 		toCold := 0
 		for range ms / 5 {
 			g.now += 5
-			id, acts := g.ask(safeClass)
+			id, acts := g.sendRequest(idempotentClass)
 			if s, sent := sentTo(acts); sent {
 				open = append(open, id)
 				if s == 1 {
@@ -120,7 +120,7 @@
 				}
 			}
 			if len(open) > 8 {
-				g.answer(open[0], 0, OK, 40)
+				g.endAttempt(open[0], 0, OK, 40)
 				open = open[1:]
 			}
 		}
@@ -128,7 +128,7 @@
 	}
 	serve(2000)
 	list[0].StartedAt = g.now
-	g.do(ServerList{Kind: ListDelta, Servers: list[:1]})
+	g.handle(ServerList{Kind: ListDelta, Servers: list[:1]})
 	serve(4000)
 	sent := serve(4000)
 	// In these 4 s it can do 0.36 to 0.52 of its quarter of 800, and falls at FallMultiple times that.
@@ -140,12 +140,12 @@
 // Answers assumed for small sidecars counted in the budget of cold servers too, and together
 // they pushed one over. A sidecar that has seen no answers may hardly send anything to a cold server.
 func TestSlowStart_assumedAnswers(t *testing.T) {
-	g := newRig(t, baseConfig(), fleet(4)...)
+	g := newHarness(t, baseConfig(), identicalServers(4)...)
 	entry := g.b.servers[0].Server
 	entry.StartedAt = g.now
-	g.do(ServerList{Kind: ListDelta, Servers: []Server{entry}})
+	g.handle(ServerList{Kind: ListDelta, Servers: []Server{entry}})
 	g.now += 2000
-	g.ask(safeClass) // sets the weights
+	g.sendRequest(idempotentClass) // sets the weights
 	s := g.b.servers[0]
 	s.tokens, s.tokensAt = 0, g.now-2000
 	if g.b.slowStartBudget(s); s.tokens > 0.2 { // with ten assumed: 1
@@ -163,13 +163,13 @@
 // The two processes of a sidecar during an upgrade assume the few answers together.
 func TestSlowStart_processCount(t *testing.T) {
 	budget := func(parts int) float64 {
-		g := newRig(t, baseConfig(), fleet(4)...)
-		g.do(ProcessCount{Processes: parts})
+		g := newHarness(t, baseConfig(), identicalServers(4)...)
+		g.handle(ProcessCount{Processes: parts})
 		entry := g.b.servers[0].Server
 		entry.StartedAt = g.now
-		g.do(ServerList{Kind: ListDelta, Servers: []Server{entry}})
+		g.handle(ServerList{Kind: ListDelta, Servers: []Server{entry}})
 		g.now += 2000
-		g.ask(safeClass) // sets the weights
+		g.sendRequest(idempotentClass) // sets the weights
 		s := g.b.servers[0]
 		s.tokens, s.tokensAt = 0, g.now-2000
 		g.b.slowStartBudget(s)
@@ -187,10 +187,10 @@
 	for _, c := range []struct{ sidecars, servers int }{{3, 6}, {200, 20}, {600, 60}} {
 		cfg := baseConfig()
 		rnd := rand.New(rand.NewSource(5))
-		rigs := make([]*rig, c.sidecars)
+		rigs := make([]*harness, c.sidecars)
 		for i := range rigs {
 			cfg.Number, cfg.Peers, cfg.Seed = i, c.sidecars, uint64(i)
-			rigs[i] = newRig(t, cfg, fleet(c.servers)...)
+			rigs[i] = newHarness(t, cfg, identicalServers(c.servers)...)
 			for _, s := range rigs[i].b.servers {
 				s.rank = rigs[i].b.rank(s)
 			}
@@ -200,16 +200,16 @@
 		gap := 1000 / perServer / float64(c.servers)
 		var cold []float64
 		before := 0.0
-		restarted := fleet(1)[0]
+		restarted := identicalServers(1)[0]
 		restarted.StartedAt = warm
 		for now := 1000.0; now < end; now += gap {
 			g := rigs[rnd.Intn(len(rigs))]
 			g.now = now
-			g.acts = g.acts[:0]
+			g.actions = g.actions[:0]
 			if s := g.b.byID[1]; now >= warm && s.StartedAt != warm {
-				g.do(ServerList{Kind: ListDelta, Servers: []Server{restarted}})
+				g.handle(ServerList{Kind: ListDelta, Servers: []Server{restarted}})
 			}
-			id, acts := g.ask(safeClass)
+			id, acts := g.sendRequest(idempotentClass)
 			to, ok := sentTo(acts)
 			if !ok {
 				continue
@@ -219,7 +219,7 @@
 			} else if to == 1 {
 				before += 1000 / (warm - 1000)
 			}
-			g.answer(id, 0, OK, 5)
+			g.endAttempt(id, 0, OK, 5)
 		}
 		for i, from := range cold {
 			n := 0
--- a/balance/wallclock_test.go
+++ b/balance/wallclock_test.go
@@ -8,14 +8,14 @@
 
 // A start in the future is of a clock that is off; the server is cold for its time and no longer.
 func TestWallClock_startInFuture(t *testing.T) {
-	g := listRig(t, nil)
+	g := newListHarness(t, nil)
 	list := ServerList{Kind: ListFull, Rev: 2, Servers: []Server{{ID: 1, StartedAt: g.now + 3.6e6}}}
-	g.do(list)
+	g.handle(list)
 	if !g.b.warmingUp(g.b.byID[1]) {
 		t.Error("a server that has just started is not cold")
 	}
 	g.now += g.b.cfg.SlowStartTime
-	g.do(list) // told again: it has not started again
+	g.handle(list) // told again: it has not started again
 	if g.b.warmingUp(g.b.byID[1]) {
 		t.Error("it is still cold")
 	}
@@ -28,30 +28,30 @@
 
 // clockRig has one service, as on the platform, and servers 1 to 3 that started long ago. Server 4 started an hour and
 // a half before.
-func clockRig(t *testing.T) *rig {
+func newClockHarness(t *testing.T) *harness {
 	t.Helper()
-	g := &rig{t: t, b: mustNew(t, baseConfig()), now: testBoot}
-	g.do(ServerList{Kind: ListFull, Rev: 10, Servers: append(fleet(3), Server{ID: 4, StartedAt: testBoot - 1.5*testHour})})
+	g := &harness{t: t, b: mustNew(t, baseConfig()), now: testBoot}
+	g.handle(ServerList{Kind: ListFull, Rev: 10, Servers: append(identicalServers(3), Server{ID: 4, StartedAt: testBoot - 1.5*testHour})})
 	return g
 }
 
 // told takes in a change of server 4, or of another.
-func (g *rig) told(rev int64, s Server) *server {
+func (g *harness) updateServer(rev int64, s Server) *server {
 	g.t.Helper()
-	g.do(ServerList{Kind: ListDelta, Rev: rev, Servers: []Server{s}})
+	g.handle(ServerList{Kind: ListDelta, Rev: rev, Servers: []Server{s}})
 	return g.b.byID[s.ID]
 }
 
 // pass lets time go by in which a service says that it is there.
-func (g *rig) pass(ms float64) {
+func (g *harness) passTime(ms float64) {
 	g.t.Helper()
 	g.now += ms
-	g.do(ServerList{Kind: ListAlive})
+	g.handle(ServerList{Kind: ListAlive})
 }
 
-func (g *rig) step(offset float64) {
+func (g *harness) stepClock(offset float64) {
 	g.t.Helper()
-	g.do(ClockStepped{Offset: offset})
+	g.handle(ClockStepped{Offset: offset})
 	g.now += 50
 }
 
@@ -60,16 +60,16 @@
 	for _, step := range []float64{-testHour, -30e3, -1e3, 1e3, 30e3, testHour} {
 		for name, id := range map[string]ServerID{"a new one": 9, "a restart": 4, "a restart of long ago": 2} {
 			t.Run(fmt.Sprintf("%v s, %s", step/1000, name), func(t *testing.T) {
-				g := clockRig(t)
+				g := newClockHarness(t)
 				g.now += 60e3
-				g.step(step)
+				g.stepClock(step)
 				g.now += 8e3
 				started := g.now - 200
-				s := g.told(11, Server{ID: id, StartedAt: started + step})
+				s := g.updateServer(11, Server{ID: id, StartedAt: started + step})
 				if !g.b.warmingUp(s) || s.slowStartAt < started-futureSlack || s.slowStartAt > g.now {
 					t.Fatalf("started %.0f ms ago, taken for %.0f", g.now-started, g.now-s.slowStartAt)
 				}
-				g.pass(g.b.cfg.SlowStartTime + 1)
+				g.passTime(g.b.cfg.SlowStartTime + 1)
 				if g.b.warmingUp(s) {
 					t.Error("it stays cold")
 				}
@@ -81,24 +81,24 @@
 // Machines' clocks are not stepped together: another one's stays as it is, or is stepped before this process's.
 func TestWallClock_otherMachine(t *testing.T) {
 	for _, step := range []float64{-testHour, -30e3, -1e3, 1e3, 30e3, testHour} {
-		check := func(g *rig, began, told float64) {
+		check := func(g *harness, began, told float64) {
 			t.Helper()
 			g.now += 500
-			if s := g.told(11, Server{ID: 9, StartedAt: told}); !g.b.warmingUp(s) || s.slowStartAt < began-futureSlack {
+			if s := g.updateServer(11, Server{ID: 9, StartedAt: told}); !g.b.warmingUp(s) || s.slowStartAt < began-futureSlack {
 				t.Errorf("step %v s: started %.0f ms ago, taken for %.0f", step/1000, g.now-began, g.now-s.slowStartAt)
 			}
 		}
 		t.Run("not stepped", func(t *testing.T) {
-			g := clockRig(t)
-			g.step(step)
+			g := newClockHarness(t)
+			g.stepClock(step)
 			g.now += 2 * testHour
 			check(g, g.now, g.now)
 		})
 		t.Run("stepped before", func(t *testing.T) {
-			g := clockRig(t)
+			g := newClockHarness(t)
 			began := g.now
 			g.now += 5000
-			g.step(step)
+			g.stepClock(step)
 			check(g, began, began+step)
 		})
 	}
@@ -107,16 +107,16 @@
 // Two steps that cancel each other out leave what was told between them an hour off.
 func TestWallClock_stepForthAndBack(t *testing.T) {
 	for _, step := range []float64{-testHour, testHour} {
-		g := clockRig(t)
-		g.step(step)
-		s := g.told(11, Server{ID: 4, StartedAt: g.now + step})
-		g.pass(2 * g.b.cfg.SlowStartTime)
+		g := newClockHarness(t)
+		g.stepClock(step)
+		s := g.updateServer(11, Server{ID: 4, StartedAt: g.now + step})
+		g.passTime(2 * g.b.cfg.SlowStartTime)
 		if g.b.warmingUp(s) {
 			t.Fatalf("%v: a warm server is cold", step)
 		}
-		g.step(0)
+		g.stepClock(0)
 		g.now += 1000
-		if s = g.told(12, Server{ID: 4, StartedAt: g.now - 100}); !g.b.warmingUp(s) || s.slowStartAt < g.now-1100 {
+		if s = g.updateServer(12, Server{ID: 4, StartedAt: g.now - 100}); !g.b.warmingUp(s) || s.slowStartAt < g.now-1100 {
 			t.Errorf("%v: a restart behind the second step is %v ms old", step, g.now-s.slowStartAt)
 		}
 	}
@@ -136,12 +136,12 @@
 		"the same":                                {[]float64{-1.5 * testHour}, false},
 	} {
 		t.Run(name, func(t *testing.T) {
-			g := clockRig(t)
+			g := newClockHarness(t)
 			var s *server
 			for i, start := range c.told {
-				g.pass(2 * g.b.cfg.SlowStartTime)
+				g.passTime(2 * g.b.cfg.SlowStartTime)
 				g.now += 100
-				s = g.told(int64(11+i), Server{ID: 4, StartedAt: testBoot + start})
+				s = g.updateServer(int64(11+i), Server{ID: 4, StartedAt: testBoot + start})
 			}
 			if g.b.warmingUp(s) != c.cold || c.cold && s.slowStartAt < g.now-200 {
 				t.Errorf("cold %v since %v ms", g.b.warmingUp(s), g.now-s.slowStartAt)
@@ -160,12 +160,12 @@
 		"a start not known":  {Kind: ListFull, Rev: 11},
 	} {
 		t.Run(name, func(t *testing.T) {
-			g := clockRig(t)
-			list.Servers = append(fleet(3), Server{ID: 4, StartedAt: testBoot - 2*testHour})
+			g := newClockHarness(t)
+			list.Servers = append(identicalServers(3), Server{ID: 4, StartedAt: testBoot - 2*testHour})
 			if list.Rev == 11 {
 				list.Servers[3].StartedAt = 0
 			}
-			g.do(list)
+			g.handle(list)
 			if g.b.warmingUp(g.b.byID[4]) || g.b.stepped {
 				t.Errorf("a restart is seen: %+v", g.b.byID[4])
 			}
@@ -176,13 +176,13 @@
 // Of two servers in one place the one that started later is there, though a step back came between the two starts.
 func TestWallClock_sharedAddress(t *testing.T) {
 	for _, step := range []float64{-testHour, -30e3} {
-		g := clockRig(t)
-		g.do(ServerList{Kind: ListFull, Rev: 11, Servers: []Server{{ID: 1, AddressKey: 6, StartedAt: g.now - 20e3}}})
-		g.step(step)
+		g := newClockHarness(t)
+		g.handle(ServerList{Kind: ListFull, Rev: 11, Servers: []Server{{ID: 1, AddressKey: 6, StartedAt: g.now - 20e3}}})
+		g.stepClock(step)
 		g.now += 1000
-		g.do(ServerList{Kind: ListFull, Rev: 12, Servers: []Server{
+		g.handle(ServerList{Kind: ListFull, Rev: 12, Servers: []Server{
 			{ID: 1, AddressKey: 6, StartedAt: testBoot - 20e3}, {ID: 2, AddressKey: 6, StartedAt: g.now - 100 + step}}})
-		g.wantUsed(fmt.Sprintf("%v s", step/1000), "2")
+		g.requireUsable(fmt.Sprintf("%v s", step/1000), "2")
 	}
 }
 
@@ -190,15 +190,15 @@
 // time. Nor do offsets grow in number.
 func TestWallClock_manySteps(t *testing.T) {
 	for seed := range uint64(200) {
-		g, offset, rev, draw := clockRig(t), 0.0, int64(10), seed
+		g, offset, rev, draw := newClockHarness(t), 0.0, int64(10), seed
 		for range 30 {
 			draw = mix(draw + 1)
 			g.now += 10e3 + float64(draw%7)*10e3
 			offset += []float64{1e3, -1e3, 30e3, -30e3, testHour, -testHour}[mix(draw)%6]
-			g.step(offset)
+			g.stepClock(offset)
 			g.now += 1000
 			rev++
-			s := g.told(rev, Server{ID: 4, StartedAt: g.now - 100 + offset})
+			s := g.updateServer(rev, Server{ID: 4, StartedAt: g.now - 100 + offset})
 			if !g.b.warmingUp(s) || s.slowStartAt > g.now || s.slowStartAt < g.now-2000 {
 				t.Fatalf("seed %d, offset %v: started %v ms ago", seed, offset, g.now-s.slowStartAt)
 			}
@@ -211,10 +211,10 @@
 
 // Without a step no start is read otherwise than it is told.
 func TestWallClock_noStep(t *testing.T) {
-	g := clockRig(t)
+	g := newClockHarness(t)
 	for rev, start := range []float64{-30e3, -100, 500} {
-		g.pass(60e3)
-		s := g.told(int64(11+rev), Server{ID: 4, StartedAt: g.now + start})
+		g.passTime(60e3)
+		s := g.updateServer(int64(11+rev), Server{ID: 4, StartedAt: g.now + start})
 		if s.slowStartAt != g.now+start || g.b.stepped {
 			t.Errorf("%v: since %v", start, s.slowStartAt-g.now)
 		}
