--- a/balance/canary_budget_test.go
+++ b/balance/canary_budget_test.go
@@ -17,29 +17,29 @@
 
 func TestCanaryBudget_property(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		var p CanaryBudget
-		var told int64
+		var budget CanaryBudget
+		var granted int64
 		for range rapid.IntRange(1, 200).Draw(t, "events") {
 			switch rapid.IntRange(0, 3).Draw(t, "event") {
 			case 0:
-				if free := p.Free(); p.Reserve() != (free > 0) {
-					t.Fatalf("%d free: %+v", free, p)
+				if free := budget.Free(); budget.Reserve() != (free > 0) {
+					t.Fatalf("%d free: %+v", free, budget)
 				}
 			case 1, 2:
-				if p.Reserved > 0 {
-					p.Settle(rapid.Bool().Draw(t, "failed"))
+				if budget.Reserved > 0 {
+					budget.Settle(rapid.Bool().Draw(t, "failed"))
 				}
 			case 3: // late and repeated ones among them
 				units := rapid.Int64Range(0, 20).Draw(t, "units")
-				keep := rapid.Int64Range(0, 5).Draw(t, "keep")
-				idle := max(told, units) - told + p.Free()
-				told = max(told, units)
-				if p.Grant(units, keep); p.Free() != min(idle, keep) {
-					t.Fatalf("%d idle, %d to keep: %+v", idle, keep, p)
+				maxIdle := rapid.Int64Range(0, 5).Draw(t, "keep")
+				idle := max(granted, units) - granted + budget.Free()
+				granted = max(granted, units)
+				if budget.Grant(units, maxIdle); budget.Free() != min(idle, maxIdle) {
+					t.Fatalf("%d idle, %d to keep: %+v", idle, maxIdle, budget)
 				}
 			}
-			if p.Free() < 0 || p.Reserved < 0 || p.Granted != told || p.Spent+p.Returned+p.Reserved > told {
-				t.Fatalf("%+v after %d were granted", p, told)
+			if budget.Free() < 0 || budget.Reserved < 0 || budget.Granted != granted || budget.Spent+budget.Returned+budget.Reserved > granted {
+				t.Fatalf("%+v after %d were granted", budget, granted)
 			}
 		}
 	})
@@ -47,18 +47,18 @@
 
 // How an attempt may end, and what that costs: in a request's answer, in a stream, for a late one.
 func TestCanaryBudget_attemptCost(t *testing.T) {
-	end := func(res Result, took float64) func(*harness, RequestID) {
-		return func(g *harness, id RequestID) {
-			g.handle(Outcome{Request: id, Result: res, Elapsed: took, Finished: true})
+	end := func(res Result, elapsed float64) func(*harness, RequestID) {
+		return func(h *harness, id RequestID) {
+			h.handle(Outcome{Request: id, Result: res, Elapsed: elapsed, Finished: true})
 		}
 	}
-	stream := func(took float64, res Result) func(*harness, RequestID) {
-		return func(g *harness, id RequestID) {
-			g.handle(AnswerStarted{Request: id, Elapsed: took})
-			if p := g.b.CanaryBudgets()[0]; p.Reserved != 1 || p.Spent != 0 {
-				t.Errorf("as the answer begins: %+v", p)
+	stream := func(elapsed float64, res Result) func(*harness, RequestID) {
+		return func(h *harness, id RequestID) {
+			h.handle(AnswerStarted{Request: id, Elapsed: elapsed})
+			if budget := h.b.CanaryBudgets()[0]; budget.Reserved != 1 || budget.Spent != 0 {
+				t.Errorf("as the answer begins: %+v", budget)
 			}
-			end(res, took)(g, id)
+			end(res, elapsed)(h, id)
 		}
 	}
 	for _, late := range []bool{false, true} {
@@ -77,31 +77,31 @@
 			"broken":          {idempotentClass, end(WriteFailed, 1), true},
 			"moot":            {idempotentClass, end(NotSent, 1), false},
 			"its client left": {idempotentClass, end(Cancelled, 1), false},
-			"void": {idempotentClass, func(g *harness, id RequestID) {
-				g.handle(Outcome{Request: id, Result: Failed, RouteRevoked: true, Finished: true})
+			"void": {idempotentClass, func(h *harness, id RequestID) {
+				h.handle(Outcome{Request: id, Result: Failed, RouteRevoked: true, Finished: true})
 			}, false},
-			"hung": {idempotentClass, func(g *harness, id RequestID) {
-				g.now += 1500
-				g.handle(Timer{Token: uint64(id)})
-				end(Cancelled, 1500)(g, id)
+			"hung": {idempotentClass, func(h *harness, id RequestID) {
+				h.now += 1500
+				h.handle(Timer{Token: uint64(id)})
+				end(Cancelled, 1500)(h, id)
 			}, true},
-			"hung up, then gone": {idempotentClass, func(g *harness, id RequestID) {
-				g.handle(ClientGone{Request: id})
-				end(Cancelled, 1500)(g, id)
+			"hung up, then gone": {idempotentClass, func(h *harness, id RequestID) {
+				h.handle(ClientGone{Request: id})
+				end(Cancelled, 1500)(h, id)
 			}, false},
-			"left after the aim": {idempotentClass, func(g *harness, id RequestID) {
-				g.now += 310
-				g.handle(ClientGone{Request: id})
-				end(Cancelled, 310)(g, id)
+			"left after the aim": {idempotentClass, func(h *harness, id RequestID) {
+				h.now += 310
+				h.handle(ClientGone{Request: id})
+				end(Cancelled, 310)(h, id)
 			}, late},
-			"left just before its time": {idempotentClass, func(g *harness, id RequestID) {
-				g.now += 1400
-				g.handle(ClientGone{Request: id})
-				end(Cancelled, 1400)(g, id)
+			"left just before its time": {idempotentClass, func(h *harness, id RequestID) {
+				h.now += 1400
+				h.handle(ClientGone{Request: id})
+				end(Cancelled, 1400)(h, id)
 			}, true},
-			"the process ends": {idempotentClass, func(g *harness, id RequestID) {
-				g.handle(Shutdown{})
-				end(Cancelled, 10)(g, id)
+			"the process ends": {idempotentClass, func(h *harness, id RequestID) {
+				h.handle(Shutdown{})
+				end(Cancelled, 10)(h, id)
 			}, false},
 			"stream":             {streamClass, stream(300, OK), false},
 			"stream begins late": {streamClass, stream(301, OK), late},
@@ -109,27 +109,27 @@
 			"stream breaks":      {streamClass, stream(10, Reset), true},
 			"stream, left":       {streamClass, stream(10, Cancelled), false},
 		} {
-			w := canaryRoute(1, 1, 2)
-			w.Budgeted, w.LateIsFailure = true, late
-			g := newRoutedHarness(t, w)
-			g.handle(BudgetGrant{ID: 9, Units: 1, MaxIdle: 1})
-			id, a := g.sendForTenant(c.class)
-			if _, b := g.sendForTenant(c.class); !a.ToCanary || b.ToCanary || b.Server <= 2 {
+			route := canaryRoute(1, 1, 2)
+			route.Budgeted, route.LateIsFailure = true, late
+			h := newRoutedHarness(t, route)
+			h.handle(BudgetGrant{ID: 9, Units: 1, MaxIdle: 1})
+			id, a := h.sendForTenant(c.class)
+			if _, b := h.sendForTenant(c.class); !a.ToCanary || b.ToCanary || b.Server <= 2 {
 				t.Fatalf("%s: one unit, sent as %+v and %+v", name, a, b)
 			}
-			if p := g.b.CanaryBudgets()[0]; p != (CanaryBudget{ID: 9, Granted: 1, Reserved: 1, Denied: 1}) {
-				t.Errorf("%s: while it is out %+v", name, p)
+			if budget := h.b.CanaryBudgets()[0]; budget != (CanaryBudget{ID: 9, Granted: 1, Reserved: 1, Denied: 1}) {
+				t.Errorf("%s: while it is out %+v", name, budget)
 			}
-			c.end(g, id)
+			c.end(h, id)
 			want := CanaryBudget{ID: 9, Granted: 1, Denied: 1}
 			if c.failed {
 				want.Spent = 1
 			}
-			if p := g.b.CanaryBudgets()[0]; p != want {
-				t.Errorf("%s, late answers fail %v: %+v, want %+v", name, late, p, want)
+			if budget := h.b.CanaryBudgets()[0]; budget != want {
+				t.Errorf("%s, late answers fail %v: %+v, want %+v", name, late, budget, want)
 			}
-			if !g.b.shutdown {
-				if _, a := g.sendForTenant(idempotentClass); a.ToCanary == c.failed {
+			if !h.b.shutdown {
+				if _, a := h.sendForTenant(idempotentClass); a.ToCanary == c.failed {
 					t.Errorf("%s: then %+v", name, a)
 				}
 			}
@@ -138,27 +138,27 @@
 }
 
 func TestCanaryBudget_endedRoutes(t *testing.T) {
-	w := canaryRoute(1, 1)
-	w.Budgeted = true
-	g := newRoutedHarness(t, w)
-	g.handle(BudgetGrant{ID: 9, Units: 4, MaxIdle: 4})
-	id, _ := g.sendForTenant(idempotentClass)
-	g.handle(Routes{Rev: 6})
+	route := canaryRoute(1, 1)
+	route.Budgeted = true
+	h := newRoutedHarness(t, route)
+	h.handle(BudgetGrant{ID: 9, Units: 4, MaxIdle: 4})
+	id, _ := h.sendForTenant(idempotentClass)
+	h.handle(Routes{Rev: 6})
 	for i := range uint64(3 * maxEndedBudgets) {
-		g.handle(BudgetGrant{ID: 100 + i, Units: 1, MaxIdle: 1})
+		h.handle(BudgetGrant{ID: 100 + i, Units: 1, MaxIdle: 1})
 	}
 	at := func() int {
-		return slices.IndexFunc(g.b.CanaryBudgets(), func(p CanaryBudget) bool { return p.ID == 9 })
+		return slices.IndexFunc(h.b.CanaryBudgets(), func(p CanaryBudget) bool { return p.ID == 9 })
 	}
-	if all := g.b.CanaryBudgets(); len(all) != maxEndedBudgets+1 || at() != 0 || all[maxEndedBudgets].ID != 100+3*maxEndedBudgets-1 {
+	if all := h.b.CanaryBudgets(); len(all) != maxEndedBudgets+1 || at() != 0 || all[maxEndedBudgets].ID != 100+3*maxEndedBudgets-1 {
 		t.Fatalf("%d purses: %+v", len(all), all)
 	}
-	g.endAttempt(id, 0, Failed, 1)
-	if p := g.b.CanaryBudgets()[at()]; p.Spent != 1 || p.Reserved != 0 {
+	h.endAttempt(id, 0, Failed, 1)
+	if p := h.b.CanaryBudgets()[at()]; p.Spent != 1 || p.Reserved != 0 {
 		t.Errorf("after its route is gone: %+v", p)
 	}
-	g.handle(Routes{Rev: 7, List: []Route{w}})
-	if p := g.b.CanaryBudgets()[at()]; p.Spent != 1 || p.Granted != 4 {
+	h.handle(Routes{Rev: 7, List: []Route{route}})
+	if p := h.b.CanaryBudgets()[at()]; p.Spent != 1 || p.Granted != 4 {
 		t.Errorf("its route is back: %+v", p)
 	}
 }
--- a/balance/endpoint_list_test.go
+++ b/balance/endpoint_list_test.go
@@ -23,13 +23,13 @@
 
 // A change leaves the servers in the same order, and as many ready in each zone, as a look at all of them finds.
 func TestEndpointList_incrementalChanges(t *testing.T) {
-	for _, routed := range []bool{false, true} {
-		t.Run(fmt.Sprint("routes ", routed), func(t *testing.T) {
+	for _, withRoutes := range []bool{false, true} {
+		t.Run(fmt.Sprint("routes ", withRoutes), func(t *testing.T) {
 			cfg := baseConfig()
 			cfg.Prices.CrossZone = 0.1 // else rank does not depend on the zone
 			b := mustNew(t, cfg)
 			b.Start(1000)
-			if routed {
+			if withRoutes {
 				routes := Routes{Rev: 1, List: []Route{{Tenant: -1, Base: Subset{Zones: []int{1}}}}}
 				if _, err := b.Handle(1000, routes); err != nil {
 					t.Fatal(err)
@@ -85,82 +85,82 @@
 	return newHarness(t, cfg, servers...)
 }
 
-func (g *harness) usableServers() string {
+func (h *harness) usableServers() string {
 	var out []string
 	for id := ServerID(1); id < 20; id++ {
-		if _, ok := g.b.UsableServer(id); ok {
+		if _, ok := h.b.UsableServer(id); ok {
 			out = append(out, fmt.Sprint(id))
 		}
 	}
 	return strings.Join(out, " ")
 }
 
-func (g *harness) requireUsable(what, want string) {
-	g.t.Helper()
-	if got := g.usableServers(); got != want {
-		g.t.Fatalf("%s: used %q, want %q", what, got, want)
+func (h *harness) requireUsable(what, want string) {
+	h.t.Helper()
+	if got := h.usableServers(); got != want {
+		h.t.Fatalf("%s: used %q, want %q", what, got, want)
 	}
 }
 
 // timer fires a timer of the list.
-func (g *harness) fireTimer(token uint64) []Action { return g.handle(Timer{Token: token}) }
+func (h *harness) fireTimer(token uint64) []Action { return h.handle(Timer{Token: token}) }
 
 func TestEndpointList_olderRevision(t *testing.T) {
-	g := newListHarness(t, nil)
-	g.handle(ServerList{Kind: ListFull, Rev: 10, Servers: identicalServers(4)})
-	acts := g.handle(ServerList{Kind: ListFull, Rev: 8, Source: 1, Servers: identicalServers(6)})
-	g.requireUsable("an older list", "1 2 3 4")
-	if g.b.ListStatus(g.now).Rev != 10 || !g.b.ListStatus(g.now).Rejected || !hasAction(acts, SetTimer) {
-		t.Fatalf("an older list: %+v, %+v", g.b.ListStatus(g.now), acts)
+	h := newListHarness(t, nil)
+	h.handle(ServerList{Kind: ListFull, Rev: 10, Servers: identicalServers(4)})
+	acts := h.handle(ServerList{Kind: ListFull, Rev: 8, Source: 1, Servers: identicalServers(6)})
+	h.requireUsable("an older list", "1 2 3 4")
+	if h.b.ListStatus(h.now).Rev != 10 || !h.b.ListStatus(h.now).Rejected || !hasAction(acts, SetTimer) {
+		t.Fatalf("an older list: %+v, %+v", h.b.ListStatus(h.now), acts)
 	}
-	if w := findAction(g.fireTimer(listTimer), Watch); w == nil || w.Source != 1 || w.After != 10 {
+	if w := findAction(h.fireTimer(listTimer), Watch); w == nil || w.Source != 1 || w.After != 10 {
 		t.Fatalf("the next service is not watched from what is held: %+v", w)
 	}
-	g.handle(ServerList{Kind: ListDelta, Rev: 9, Servers: []Server{{ID: 7}}})
-	g.handle(ServerList{Kind: ListDelta, Rev: 10, Servers: []Server{{ID: 7}}})
-	g.requireUsable("older changes", "1 2 3 4")
-	g.handle(ServerList{Kind: ListDelta, Rev: 12, Servers: []Server{{ID: 7}}})
-	g.requireUsable("newer changes", "1 2 3 4 7")
-	if g.b.ListStatus(g.now).Rejected {
+	h.handle(ServerList{Kind: ListDelta, Rev: 9, Servers: []Server{{ID: 7}}})
+	h.handle(ServerList{Kind: ListDelta, Rev: 10, Servers: []Server{{ID: 7}}})
+	h.requireUsable("older changes", "1 2 3 4")
+	h.handle(ServerList{Kind: ListDelta, Rev: 12, Servers: []Server{{ID: 7}}})
+	h.requireUsable("newer changes", "1 2 3 4 7")
+	if h.b.ListStatus(h.now).Rejected {
 		t.Error("still refused")
 	}
 
 	// What an old list says of a server that goes is true, unless it has started again since.
-	g.handle(ServerList{Kind: ListDelta, Rev: 13, Servers: []Server{{ID: 1, StartedAt: 900}, {ID: 2, StartedAt: 900}}})
-	g.handle(ServerList{Kind: ListFull, Rev: 5, Source: 1, Servers: []Server{
+	h.handle(ServerList{Kind: ListDelta, Rev: 13, Servers: []Server{{ID: 1, StartedAt: 900}, {ID: 2, StartedAt: 900}}})
+	h.handle(ServerList{Kind: ListFull, Rev: 5, Source: 1, Servers: []Server{
 		{ID: 1, State: Draining}, {ID: 2, State: Draining, StartedAt: 900}, {ID: 3, State: Gone}}})
-	g.requireUsable("an older list that names some who go", "1 4 7")
+	h.requireUsable("an older list that names some who go", "1 4 7")
 
 	// A later history is taken at once; an earlier one only when there has been nothing else for long.
-	g.handle(ServerList{Kind: ListFull, Rev: 1 << epochBits, Servers: identicalServers(4)})
-	g.handle(ServerList{Kind: ListDelta, Rev: 2<<epochBits + 5, Servers: []Server{{ID: 9}}})
-	g.requireUsable("changes of a history whose beginning is not known", "1 2 3 4")
+	h.handle(ServerList{Kind: ListFull, Rev: 1 << epochBits, Servers: identicalServers(4)})
+	h.handle(ServerList{Kind: ListDelta, Rev: 2<<epochBits + 5, Servers: []Server{{ID: 9}}})
+	h.requireUsable("changes of a history whose beginning is not known", "1 2 3 4")
 }
 
 func TestEndpointList_olderHistory(t *testing.T) {
-	g := newListHarness(t, func(c *Config) { c.SuspectFraction = 0 }, identicalServers(4)...)
-	g.handle(ServerList{Kind: ListFull, Rev: 3 << epochBits, Servers: identicalServers(4)})
+	h := newListHarness(t, func(c *Config) { c.SuspectFraction = 0 }, identicalServers(4)...)
+	h.handle(ServerList{Kind: ListFull, Rev: 3 << epochBits, Servers: identicalServers(4)})
 	old := ServerList{Kind: ListFull, Rev: 1 << epochBits, Servers: identicalServers(2)}
 	var pauses []float64
-	for began := g.now; g.now-began <= historyTime; {
-		pauses = append(pauses, findAction(g.handle(old), SetTimer).At)
-		g.requireUsable("an earlier history", "1 2 3 4")
-		g.now += 3000
+	for start := h.now; h.now-start <= historyTime; {
+		pauses = append(pauses, findAction(h.handle(old), SetTimer).At)
+		h.requireUsable("an earlier history", "1 2 3 4")
+		h.now += 3000
 	}
 	if last := len(pauses) - 1; pauses[last] < 2*pauses[0] {
 		t.Errorf("refused lists are asked for again as often as ever: %v", pauses)
 	}
-	g.handle(old)
-	g.requireUsable("nothing but an earlier history for long", "1 2")
+	h.handle(old)
+	h.requireUsable("nothing but an earlier history for long", "1 2")
 }
 
 func TestEndpointList_suspectedServers(t *testing.T) {
 	without := func(from, to int) []Server { f := identicalServers(9); return append(f[:from:from], f[to:]...) }
 	for name, c := range map[string]struct {
-		share   float64
-		list    []Server
-		used    string
-		doubted int
+		suspectFraction float64
+		list            []Server
+		usable          string
+		suspected       int
 	}{
 		"a few are gone":       {0.3, without(0, 2), "3 4 5 6 7 8 9", 0},
 		"many are doubted":     {0.3, without(0, 3), "1 2 3 4 5 6 7 8 9", 3},
@@ -170,49 +170,49 @@
 		"who goes is obeyed":   {0.3, []Server{{ID: 1, State: Draining}, {ID: 2, State: Gone}}, "3 4 5 6 7 8 9", 7},
 		"half, and one drains": {0.3, append(without(4, 9), Server{ID: 5, State: Draining}), "1 2 3 4 6 7 8 9", 4},
 	} {
-		g := newListHarness(t, func(c2 *Config) { c2.SuspectFraction = c.share }, identicalServers(9)...)
-		g.handle(ServerList{Kind: ListFull, Rev: 2, Servers: c.list})
-		if got := g.b.ListStatus(g.now).Suspected; g.usableServers() != c.used || got != c.doubted {
-			t.Errorf("%s: used %q, doubted %d; want %q, %d", name, g.usableServers(), got, c.used, c.doubted)
+		h := newListHarness(t, func(c2 *Config) { c2.SuspectFraction = c.suspectFraction }, identicalServers(9)...)
+		h.handle(ServerList{Kind: ListFull, Rev: 2, Servers: c.list})
+		if got := h.b.ListStatus(h.now).Suspected; h.usableServers() != c.usable || got != c.suspected {
+			t.Errorf("%s: used %q, doubted %d; want %q, %d", name, h.usableServers(), got, c.usable, c.suspected)
 		}
 	}
 }
 
 func TestEndpointList_suspicionEnds(t *testing.T) {
-	begin := func(list ...Server) *harness {
-		g := newListHarness(t, nil, identicalServers(6)...)
-		if g.handle(ServerList{Kind: ListFull, Rev: 2, Servers: list}); g.b.ListStatus(g.now).Suspected == 0 {
+	newSuspicion := func(list ...Server) *harness {
+		h := newListHarness(t, nil, identicalServers(6)...)
+		if h.handle(ServerList{Kind: ListFull, Rev: 2, Servers: list}); h.b.ListStatus(h.now).Suspected == 0 {
 			t.Fatal("nothing is doubted")
 		}
-		return g
+		return h
 	}
 	t.Run("by a word", func(t *testing.T) {
-		g := begin()
-		g.handle(ServerList{Kind: ListDelta, Rev: 3, Servers: []Server{{ID: 1, State: Draining}, {ID: 2, State: Gone}, {ID: 3}}})
-		g.requireUsable("named", "3 4 5 6")
-		if got := g.b.ListStatus(g.now).Suspected; got != 3 {
+		h := newSuspicion()
+		h.handle(ServerList{Kind: ListDelta, Rev: 3, Servers: []Server{{ID: 1, State: Draining}, {ID: 2, State: Gone}, {ID: 3}}})
+		h.requireUsable("named", "3 4 5 6")
+		if got := h.b.ListStatus(h.now).Suspected; got != 3 {
 			t.Errorf("%d are doubted", got)
 		}
 	})
 	t.Run("by a list that names them", func(t *testing.T) {
-		g := begin()
-		g.handle(ServerList{Kind: ListFull, Rev: 3, Servers: identicalServers(5)})
-		if g.requireUsable("a sound list", "1 2 3 4 5"); g.b.ListStatus(g.now).Suspected != 0 {
+		h := newSuspicion()
+		h.handle(ServerList{Kind: ListFull, Rev: 3, Servers: identicalServers(5)})
+		if h.requireUsable("a sound list", "1 2 3 4 5"); h.b.ListStatus(h.now).Suspected != 0 {
 			t.Error("still doubted")
 		}
 	})
 	t.Run("by a refused connection", func(t *testing.T) {
-		g := begin()
-		id, acts := g.sendRequest(idempotentClass)
+		h := newSuspicion()
+		id, acts := h.sendRequest(idempotentClass)
 		first, _ := sentTo(acts)
-		acts = g.endAttempt(id, 0, ConnectFailed, 5)
+		acts = h.endAttempt(id, 0, ConnectFailed, 5)
 		if f := findAction(acts, Forget); f == nil || f.Server != first {
 			t.Fatalf("it is not forgotten: %+v", acts)
 		}
 		if next, ok := sentTo(acts); !ok || next == first {
 			t.Errorf("the request is not sent on: %+v", acts)
 		}
-		if _, ok := g.b.UsableServer(first); ok {
+		if _, ok := h.b.UsableServer(first); ok {
 			t.Error("it is still used")
 		}
 	})
@@ -222,11 +222,11 @@
 			if !empty {
 				list = identicalServers(2)
 			}
-			g := begin(list...)
-			g.now += suspectLimit
-			g.fireTimer(suspectTimer)
-			if want := map[bool]string{true: "1 2 3 4 5 6", false: "1 2"}[empty]; g.usableServers() != want {
-				t.Errorf("empty %v: used %q", empty, g.usableServers())
+			h := newSuspicion(list...)
+			h.now += suspectLimit
+			h.fireTimer(suspectTimer)
+			if want := map[bool]string{true: "1 2 3 4 5 6", false: "1 2"}[empty]; h.usableServers() != want {
+				t.Errorf("empty %v: used %q", empty, h.usableServers())
 			}
 		}
 	})
@@ -234,8 +234,8 @@
 
 func TestEndpointList_badEntries(t *testing.T) {
 	for name, c := range map[string]struct {
-		list []Server
-		used string
+		list   []Server
+		usable string
 	}{
 		"twice, one drains":           {[]Server{{ID: 1, State: Draining}, {ID: 1}, {ID: 2}}, "2"},
 		"twice, one is gone":          {[]Server{{ID: 1}, {ID: 1, State: Gone}, {ID: 2}}, "2"},
@@ -246,21 +246,21 @@
 		"nowhere":                     {[]Server{{ID: 1, AddressKey: NoAddress}, {ID: 2, AddressKey: NoAddress, State: Draining}, {ID: 3, AddressKey: 1}}, "3"},
 		"no size":                     {[]Server{{ID: 1, Rating: -1}, {ID: 2, Rating: 0}}, "1 2"},
 	} {
-		g := newListHarness(t, func(c *Config) { c.SuspectFraction = 0 })
-		g.handle(ServerList{Kind: ListFull, Rev: 2, Servers: c.list})
-		if g.usableServers() != c.used {
-			t.Errorf("%s: used %q, want %q", name, g.usableServers(), c.used)
+		h := newListHarness(t, func(c *Config) { c.SuspectFraction = 0 })
+		h.handle(ServerList{Kind: ListFull, Rev: 2, Servers: c.list})
+		if h.usableServers() != c.usable {
+			t.Errorf("%s: used %q, want %q", name, h.usableServers(), c.usable)
 		}
-		for _, s := range g.b.servers {
+		for _, s := range h.b.servers {
 			if !(s.Rating > 0) {
 				t.Errorf("%s: a server of the size %v", name, s.Rating)
 			}
 		}
 	}
 	if s, _ := func() (Server, bool) {
-		g := newListHarness(t, nil)
-		g.handle(ServerList{Kind: ListFull, Rev: 2, Servers: []Server{{ID: 1, AddressKey: 6, StartedAt: 1}, {ID: 1, AddressKey: 5, StartedAt: 2}}})
-		return g.b.UsableServer(1)
+		h := newListHarness(t, nil)
+		h.handle(ServerList{Kind: ListFull, Rev: 2, Servers: []Server{{ID: 1, AddressKey: 6, StartedAt: 1}, {ID: 1, AddressKey: 5, StartedAt: 2}}})
+		return h.b.UsableServer(1)
 	}(); s.AddressKey != 5 {
 		t.Errorf("of two entries the older counts: %+v", s)
 	}
@@ -268,19 +268,19 @@
 
 // Another address is another way to a server: what failed on the old one is not held against it. Another zone moves it.
 func TestEndpointList_addressChange(t *testing.T) {
-	g := newListHarness(t, nil, Server{ID: 1, AddressKey: 4}, Server{ID: 2, AddressKey: 5})
+	h := newListHarness(t, nil, Server{ID: 1, AddressKey: 4}, Server{ID: 2, AddressKey: 5})
 	for range 4 {
-		id, acts := g.sendRequest(idempotentClass)
+		id, acts := h.sendRequest(idempotentClass)
 		if s, _ := sentTo(acts); s == 1 {
-			g.endAttempt(id, 0, ConnectFailed, 5)
+			h.endAttempt(id, 0, ConnectFailed, 5)
 			break
 		}
 	}
-	if !g.b.ejected(g.b.byID[1]) {
+	if !h.b.ejected(h.b.byID[1]) {
 		t.Fatal("it does not rest")
 	}
-	g.handle(ServerList{Kind: ListDelta, Rev: 3, Servers: []Server{{ID: 1, AddressKey: 9, Zone: 3}}})
-	if s := g.b.byID[1]; g.b.ejected(s) || s.Zone != 3 || g.b.warmingUp(s) {
+	h.handle(ServerList{Kind: ListDelta, Rev: 3, Servers: []Server{{ID: 1, AddressKey: 9, Zone: 3}}})
+	if s := h.b.byID[1]; h.b.ejected(s) || s.Zone != 3 || h.b.warmingUp(s) {
 		t.Errorf("after it moved: %+v", s)
 	}
 }
@@ -338,20 +338,20 @@
 }
 
 func TestEndpointList_drainingServer(t *testing.T) {
-	g := newHarness(t, baseConfig(), identicalServers(2)...)
+	h := newHarness(t, baseConfig(), identicalServers(2)...)
 	gone := identicalServers(1)[0]
 	gone.State = Draining
-	g.handle(ServerList{Kind: ListDelta, Servers: []Server{gone}})
+	h.handle(ServerList{Kind: ListDelta, Servers: []Server{gone}})
 	for range 20 {
-		id, acts := g.sendRequest(idempotentClass)
+		id, acts := h.sendRequest(idempotentClass)
 		if s, _ := sentTo(acts); s != 2 {
 			t.Fatalf("sent to %d", s)
 		}
-		g.endAttempt(id, 0, OK, 10)
+		h.endAttempt(id, 0, OK, 10)
 	}
 	gone.State = Ready
-	g.handle(ServerList{Kind: ListFull, Servers: []Server{gone}}) // the other is left out: it has gone
-	id, acts := g.sendRequest(idempotentClass)
+	h.handle(ServerList{Kind: ListFull, Servers: []Server{gone}}) // the other is left out: it has gone
+	id, acts := h.sendRequest(idempotentClass)
 	if s, _ := sentTo(acts); s != 1 {
 		t.Fatalf("sent to %d of request %d", s, id)
 	}
--- a/balance/fleet_size_test.go
+++ b/balance/fleet_size_test.go
@@ -36,16 +36,16 @@
 			now += passed
 			s := FleetSize{Known: rapid.IntRange(-1, 3000).Draw(t, "known"), Admitted: true}
 			s.Reachable = rapid.IntRange(0, max(0, s.Known)).Draw(t, "heard")
-			part := c.Quota(now, s)
-			require.Positive(t, part)
-			require.LessOrEqual(t, part, 1/math.Max(1, float64(s.Known)))
+			quota := c.Quota(now, s)
+			require.Positive(t, quota)
+			require.LessOrEqual(t, quota, 1/math.Max(1, float64(s.Known)))
 			if i > 0 {
-				require.LessOrEqual(t, part, last*math.Exp2(math.Max(passed, 0)/1e4)*(1+1e-9))
+				require.LessOrEqual(t, quota, last*math.Exp2(math.Max(passed, 0)/1e4)*(1+1e-9))
 			}
 			if i > 0 && 2*s.Reachable <= s.Known {
-				require.LessOrEqual(t, part, last)
+				require.LessOrEqual(t, quota, last)
 			}
-			last = part
+			last = quota
 		}
 		assert.Equal(t, 0.5, c.Quota(now+1e7, FleetSize{Known: 2, Reachable: 2, Admitted: true}))
 	})
@@ -63,15 +63,15 @@
 		}
 		var all []*process
 		now := 0.0
-		tell := func(p *process, admitted bool) {
+		update := func(p *process, admitted bool) {
 			known := len(all) + p.extra
 			p.part = p.Quota(now, FleetSize{Known: known, Reachable: rapid.IntRange(1, known).Draw(t, "heard"), Admitted: admitted})
 		}
-		sum := func(also float64) float64 {
+		sum := func(extra float64) float64 {
 			for _, p := range all {
-				also += p.part
+				extra += p.part
 			}
-			return also
+			return extra
 		}
 		for range rapid.IntRange(1, 40).Draw(t, "steps") {
 			now += rapid.Float64Range(0, 20000).Draw(t, "passed")
@@ -83,10 +83,10 @@
 				}
 				all = append(all, fresh)
 				for _, p := range all {
-					tell(p, p != fresh)
+					update(p, p != fresh)
 				}
 				require.Zero(t, fresh.part)
-				tell(fresh, true)
+				update(fresh, true)
 			case 1: // one ends, and the others know it still
 				if len(all) > 1 {
 					all = all[:len(all)-1]
@@ -97,7 +97,7 @@
 			default:
 				for _, p := range all {
 					p.extra = rapid.IntRange(0, p.extra).Draw(t, "extra")
-					tell(p, true)
+					update(p, true)
 				}
 			}
 			require.LessOrEqual(t, sum(0), 1+1e-9)
@@ -112,18 +112,18 @@
 	rapid.Check(t, func(t *rapid.T) {
 		cfg := baseConfig()
 		cfg.Peers, cfg.Seed = rapid.IntRange(1, 3000).Draw(t, "peers"), rapid.Uint64().Draw(t, "seed")
-		var bs [3]*Balancer // untold, told of the settings' number, told of a tenth
-		for i := range bs {
+		var balancers [3]*Balancer // untold, told of the settings' number, told of a tenth
+		for i := range balancers {
 			b, err := New(cfg)
 			require.NoError(t, err)
-			bs[i] = b
+			balancers[i] = b
 		}
 		now, next := 1000.0, RequestID(0)
-		tries := map[RequestID]int{}
-		var out []Action
+		attempts := map[RequestID]int{}
+		var inFlight []Action
 		do := func(ev Event) {
 			var acts [3][]Action
-			for i, b := range bs {
+			for i, b := range balancers {
 				got, err := b.Handle(now, ev)
 				if i < 2 {
 					require.NoError(t, err)
@@ -134,9 +134,9 @@
 			differed = differed || cmp.Diff(acts[0], acts[2]) != ""
 			for _, a := range acts[0] {
 				if a.Kind == Send {
-					a.Attempt = tries[a.Request]
-					tries[a.Request]++
-					out = append(out, a)
+					a.Attempt = attempts[a.Request]
+					attempts[a.Request]++
+					inFlight = append(inFlight, a)
 				}
 			}
 		}
@@ -146,7 +146,7 @@
 				servers[i].StartedAt = now
 			}
 		}
-		for _, b := range bs {
+		for _, b := range balancers {
 			b.Start(now)
 		}
 		do(ServerList{Kind: ListFull, Servers: servers})
@@ -154,18 +154,18 @@
 			now += rapid.Float64Range(0, 300).Draw(t, "passed")
 			for i, known := range []int{0, cfg.Peers, max(1, cfg.Peers/10)} {
 				if i > 0 {
-					_, err := bs[i].Handle(now, FleetSize{Known: known, Reachable: known, Admitted: true})
+					_, err := balancers[i].Handle(now, FleetSize{Known: known, Reachable: known, Admitted: true})
 					require.NoError(t, err)
 				}
 			}
-			require.InDelta(t, bs[0].assumedAnswers, bs[1].assumedAnswers, 1e-12)
-			if len(out) == 0 || rapid.Bool().Draw(t, "asks") {
+			require.InDelta(t, balancers[0].assumedAnswers, balancers[1].assumedAnswers, 1e-12)
+			if len(inFlight) == 0 || rapid.Bool().Draw(t, "asks") {
 				next++
 				do(Request{ID: next, Class: rapid.IntRange(0, 4).Draw(t, "class"), Remaining: 1500})
 				continue
 			}
-			a := out[0]
-			out = out[1:]
+			a := inFlight[0]
+			inFlight = inFlight[1:]
 			res := rapid.SampledFrom([]Result{OK, OK, OK, Failed, ConnectFailed}).Draw(t, "result")
 			do(Outcome{Request: a.Request, Attempt: a.Attempt, Server: a.Server, Result: res, Elapsed: 20, Finished: res == OK})
 		}
--- a/balance/harness_test.go
+++ b/balance/harness_test.go
@@ -36,14 +36,14 @@
 )
 
 func newHarness(t *testing.T, cfg Config, servers ...Server) *harness {
-	g := &harness{t: t, b: mustNew(t, cfg), now: 1000}
-	g.actions = append(g.actions, g.b.Start(g.now)...)
-	g.handle(ServerList{Kind: ListCached, Servers: servers})
-	for _, s := range g.b.servers {
+	h := &harness{t: t, b: mustNew(t, cfg), now: 1000}
+	h.actions = append(h.actions, h.b.Start(h.now)...)
+	h.handle(ServerList{Kind: ListCached, Servers: servers})
+	for _, s := range h.b.servers {
 		s.running, s.rank = 0, float64(s.ID) // the random start and order would hide the sequence
 	}
-	g.b.dropGone() // sorts
-	return g
+	h.b.dropGone() // sorts
+	return h
 }
 
 func mustNew(t testing.TB, cfg Config) *Balancer {
@@ -64,30 +64,30 @@
 	return list
 }
 
-func (g *harness) handle(event Event) []Action {
-	g.t.Helper()
-	actions, err := g.b.Handle(g.now, event)
+func (h *harness) handle(event Event) []Action {
+	h.t.Helper()
+	actions, err := h.b.Handle(h.now, event)
 	if err != nil {
-		g.t.Fatalf("%#v: %v", event, err)
+		h.t.Fatalf("%#v: %v", event, err)
 	}
 	actions = append([]Action(nil), actions...)
-	g.actions = append(g.actions, actions...)
+	h.actions = append(h.actions, actions...)
 	return actions
 }
 
 // ask brings a request and returns its ID with what was done at once.
-func (g *harness) sendRequest(class int) (RequestID, []Action) {
-	g.t.Helper()
-	g.lastID++
-	return g.lastID, g.handle(Request{ID: g.lastID, Class: class, Remaining: g.b.cfg.Classes[class].Deadline})
+func (h *harness) sendRequest(class int) (RequestID, []Action) {
+	h.t.Helper()
+	h.lastID++
+	return h.lastID, h.handle(Request{ID: h.lastID, Class: class, Remaining: h.b.cfg.Classes[class].Deadline})
 }
 
 // answer ends an attempt with a result.
-func (g *harness) endAttempt(id RequestID, attempt int, result Result, elapsed float64) []Action {
-	g.t.Helper()
-	s := g.b.reqs[id].attempts[attempt].server
-	done := result == OK || g.b.reqs[id].done
-	return g.handle(Outcome{Request: id, Attempt: attempt, Server: s.ID, Result: result, Elapsed: elapsed, Finished: done})
+func (h *harness) endAttempt(id RequestID, attempt int, result Result, elapsed float64) []Action {
+	h.t.Helper()
+	s := h.b.reqs[id].attempts[attempt].server
+	done := result == OK || h.b.reqs[id].done
+	return h.handle(Outcome{Request: id, Attempt: attempt, Server: s.ID, Result: result, Elapsed: elapsed, Finished: done})
 }
 
 func sentTo(acts []Action) (ServerID, bool) {
@@ -118,17 +118,17 @@
 }
 
 // sequence sends n safe requests one after the other, each answered before the next.
-func sendSequence(g *harness, n int) []ServerID {
+func sendSequence(h *harness, n int) []ServerID {
 	var ids []ServerID
 	for range n {
-		id, acts := g.sendRequest(idempotentClass)
+		id, acts := h.sendRequest(idempotentClass)
 		s, ok := sentTo(acts)
 		if !ok {
-			g.t.Fatal("nothing was sent")
+			h.t.Fatal("nothing was sent")
 		}
 		ids = append(ids, s)
-		g.b.reqs[id].stats.n = 0 // no learning from these answers
-		g.endAttempt(id, 0, OK, 10)
+		h.b.reqs[id].stats.n = 0 // no learning from these answers
+		h.endAttempt(id, 0, OK, 10)
 	}
 	return ids
 }
--- a/balance/limits_test.go
+++ b/balance/limits_test.go
@@ -73,23 +73,23 @@
 // With sixteen times the servers neither a request nor a change of the list takes as many times as long: nobody walks
 // over all servers. The least of several times in turn is compared, as the machine may be busy.
 func TestLimits_costInLargeFleet(t *testing.T) {
-	const tries, rounds, most = 7, 400, 5
+	const samples, rounds, maxRatio = 7, 400, 5
 	for name, do := range map[string]func(testing.TB, *Balancer, int){"request": requestOnce, "change": changeListOnce} {
 		t.Run(name, func(t *testing.T) {
-			least := map[int]time.Duration{200: math.MaxInt64, 3200: math.MaxInt64}
-			for range tries {
-				for n := range least {
+			fastest := map[int]time.Duration{200: math.MaxInt64, 3200: math.MaxInt64}
+			for range samples {
+				for n := range fastest {
 					b := newLargeBalancer(t, n)
-					began := time.Now()
+					start := time.Now()
 					for i := range rounds {
 						do(t, b, i)
 					}
-					least[n] = min(least[n], time.Since(began))
+					fastest[n] = min(fastest[n], time.Since(start))
 				}
 			}
-			if least[3200] > most*least[200] {
-				t.Errorf("%d rounds took %v with 3200 servers and %v with 200, over %d times as long", rounds, least[3200],
-					least[200], most)
+			if fastest[3200] > maxRatio*fastest[200] {
+				t.Errorf("%d rounds took %v with 3200 servers and %v with 200, over %d times as long", rounds, fastest[3200],
+					fastest[200], maxRatio)
 			}
 		})
 	}
@@ -184,24 +184,24 @@
 
 // What has ended is forgotten: requests, servers that are gone, probes that are waited for.
 func TestLimits_memory(t *testing.T) {
-	g := newHarness(t, healthCheckConfig(), identicalServers(5)...)
+	h := newHarness(t, healthCheckConfig(), identicalServers(5)...)
 	for i := range 20000 {
-		g.actions = g.actions[:0]
-		g.now += 5
-		id, acts := g.sendRequest(idempotentClass)
-		acts = append(acts, g.answerHealthChecks(acts, 0, nil)...)
+		h.actions = h.actions[:0]
+		h.now += 5
+		id, acts := h.sendRequest(idempotentClass)
+		acts = append(acts, h.answerHealthChecks(acts, 0, nil)...)
 		if _, ok := sentTo(acts); ok {
-			g.endAttempt(id, 0, OK, 5)
+			h.endAttempt(id, 0, OK, 5)
 		}
 		if i%20 == 0 { // a rolling deploy: new names all the time
 			list := identicalServers(5)
 			for k := range list {
 				list[k].ID = ServerID(i + k + 1)
 			}
-			g.handle(ServerList{Kind: ListFull, Servers: list})
+			h.handle(ServerList{Kind: ListFull, Servers: list})
 		}
 	}
-	b := g.b
+	b := h.b
 	if len(b.reqs) > 1 || len(b.servers) != 5 || len(b.byID) != 5 || len(b.waitingForChecks) > 1 || cap(b.out) > 100 {
 		t.Fatalf("%d requests, %d servers, %d by ID, %d waiting, room for %d actions",
 			len(b.reqs), len(b.servers), len(b.byID), len(b.waitingForChecks), cap(b.out))
@@ -211,9 +211,9 @@
 func BenchmarkRequest(b *testing.B) {
 	for _, n := range []int{12, 100, 300} {
 		b.Run(fmt.Sprintf("%d-servers", n), func(b *testing.B) {
-			bal := mustNew(b, baseConfig())
-			bal.Start(0)
-			if _, err := bal.Handle(0, ServerList{Kind: ListFull, Servers: identicalServers(n)}); err != nil {
+			balancer := mustNew(b, baseConfig())
+			balancer.Start(0)
+			if _, err := balancer.Handle(0, ServerList{Kind: ListFull, Servers: identicalServers(n)}); err != nil {
 				b.Fatal(err)
 			}
 			b.ReportAllocs()
@@ -221,14 +221,14 @@
 			for i := range b.N {
 				now += 5
 				id := RequestID(i + 1)
-				acts, err := bal.Handle(now, Request{ID: id, Remaining: 1500})
+				acts, err := balancer.Handle(now, Request{ID: id, Remaining: 1500})
 				if err != nil || len(acts) == 0 {
 					b.Fatal(err, acts)
 				}
 				if acts[0].Kind != Send {
 					continue
 				}
-				if _, err := bal.Handle(now+4, Outcome{Request: id, Server: acts[0].Server, Elapsed: 4, Finished: true}); err != nil {
+				if _, err := balancer.Handle(now+4, Outcome{Request: id, Server: acts[0].Server, Elapsed: 4, Finished: true}); err != nil {
 					b.Fatal(err)
 				}
 			}
--- a/balance/locality_test.go
+++ b/balance/locality_test.go
@@ -8,17 +8,17 @@
 
 // Where crossing zones has a price, the own zone gets more, and others still take their part.
 func TestLocality_crossZonePrice(t *testing.T) {
-	for price, least := range map[float64]int{0: 10, 0.05: 25} {
+	for price, minOwn := range map[float64]int{0: 10, 0.05: 25} {
 		cfg := baseConfig()
 		cfg.Prices.CrossZone, cfg.Zone = price, 1
-		g := newHarness(t, cfg, identicalServers(8)...)
+		h := newHarness(t, cfg, identicalServers(8)...)
 		own := 0
-		for _, s := range sendSequence(g, 40) {
+		for _, s := range sendSequence(h, 40) {
 			if s > 4 {
 				own++
 			}
 		}
-		if own < least || own > 38 || price == 0 && own > 20 {
+		if own < minOwn || own > 38 || price == 0 && own > 20 {
 			t.Errorf("price %v: %d of 40 in the own zone", price, own)
 		}
 	}
@@ -38,31 +38,31 @@
 			list = append(list, Server{ID: ServerID(len(list) + 1), Rating: 1, Cell: len(list), Zone: zone})
 		}
 	}
-	g := newHarness(t, cfg, list...)
+	h := newHarness(t, cfg, list...)
 	for range 40 { // it knows its demand, and so all servers
-		g.now += 5
-		id, _ := g.sendRequest(idempotentClass)
-		g.endAttempt(id, 0, OK, 50)
+		h.now += 5
+		id, _ := h.sendRequest(idempotentClass)
+		h.endAttempt(id, 0, OK, 50)
 	}
-	return g
+	return h
 }
 
 // zoneOf is the zone of the last attempt of a request.
-func (g *harness) lastZone(id RequestID) int {
-	r := g.b.reqs[id]
+func (h *harness) lastZone(id RequestID) int {
+	r := h.b.reqs[id]
 	return r.attempts[len(r.attempts)-1].server.Zone
 }
 
 // play answers requests in turn, by the verdict on the server of each attempt, and returns how many first sends went to
 // each zone.
-func (g *harness) playRequests(n int, every float64, verdict func(s *server) Result) map[int]int {
-	g.t.Helper()
+func (h *harness) playRequests(n int, every float64, verdict func(s *server) Result) map[int]int {
+	h.t.Helper()
 	first := map[int]int{}
 	for range n {
-		g.now += every
-		id, _ := g.sendRequest(idempotentClass)
-		for attempt := 0; g.b.reqs[id] != nil && attempt < len(g.b.reqs[id].attempts); attempt++ {
-			s := g.b.reqs[id].attempts[attempt].server
+		h.now += every
+		id, _ := h.sendRequest(idempotentClass)
+		for attempt := 0; h.b.reqs[id] != nil && attempt < len(h.b.reqs[id].attempts); attempt++ {
+			s := h.b.reqs[id].attempts[attempt].server
 			if attempt == 0 {
 				first[s.Zone]++
 			}
@@ -70,8 +70,8 @@
 			if res == ConnectFailed {
 				took = 120
 			}
-			g.now += took
-			g.endAttempt(id, attempt, res, took)
+			h.now += took
+			h.endAttempt(id, attempt, res, took)
 		}
 	}
 	return first
@@ -90,31 +90,31 @@
 
 func TestLocality_deadZone(t *testing.T) {
 	for _, change := range []func(*Config){nil, func(c *Config) { c.Zone = 1 }} {
-		g := newZoneHarness(t, change, 8, 8)
-		met := map[ServerID]bool{}
-		g.playRequests(5, 20, func(s *server) Result { // less time than the first pause
+		h := newZoneHarness(t, change, 8, 8)
+		tried := map[ServerID]bool{}
+		h.playRequests(5, 20, func(s *server) Result { // less time than the first pause
 			if s.Zone == 0 {
-				met[s.ID] = true
+				tried[s.ID] = true
 			}
 			return failZone(0)(s)
 		})
-		left := g.b.ZoneStatus().Left == 1
+		left := h.b.ZoneStatus().Left == 1
 		// From its own zone a sidecar meets it at once; from another one it has no need to.
-		if near := g.b.cfg.Zone == 0; near && (!left || len(met) != 2) || !near && len(met) > 2 {
-			t.Errorf("own zone %d: %d servers of the dead zone were met, left %v", g.b.cfg.Zone, len(met), left)
+		if near := h.b.cfg.Zone == 0; near && (!left || len(tried) != 2) || !near && len(tried) > 2 {
+			t.Errorf("own zone %d: %d servers of the dead zone were met, left %v", h.b.cfg.Zone, len(tried), left)
 		}
 	}
 }
 
 func TestLocality_allZonesFail(t *testing.T) {
-	g := newZoneHarness(t, nil, 6, 6, 6)
-	g.playRequests(60, 100, func(*server) Result { return ConnectFailed })
-	if z := g.b.ZoneStatus(); z.Left != 0 || z.Evidence == 0 {
+	h := newZoneHarness(t, nil, 6, 6, 6)
+	h.playRequests(60, 100, func(*server) Result { return ConnectFailed })
+	if z := h.b.ZoneStatus(); z.Left != 0 || z.Evidence == 0 {
 		t.Errorf("%+v", z)
 	}
 	// As soon as one answers again, the others are known by it.
-	g.playRequests(60, 100, failZone(0))
-	if z := g.b.ZoneStatus(); z.Left != 1 {
+	h.playRequests(60, 100, failZone(0))
+	if z := h.b.ZoneStatus(); z.Left != 1 {
 		t.Errorf("one zone answers and another does not: %+v", z)
 	}
 }
@@ -122,38 +122,38 @@
 // Servers that refuse are there, and one that fails says little: half as much.
 func TestLocality_partialEvidence(t *testing.T) {
 	for _, c := range []struct {
-		result Result
-		took   float64
-		need   int
+		result        Result
+		elapsed       float64
+		serversNeeded int
 	}{{ConnectFailed, 120, 2}, {ConnectFailed, 1, 4}, {Reset, 30, 4}, {Failed, 5, 4}} {
-		g := newZoneHarness(t, nil, 8, 8)
-		g.b.zones[0].answer, g.b.zones[1].answer = g.now, g.now+1
+		h := newZoneHarness(t, nil, 8, 8)
+		h.b.zones[0].answer, h.b.zones[1].answer = h.now, h.now+1
 		n := 0
-		for _, s := range g.b.servers {
-			if s.Zone != 0 || g.b.zones[0].left {
+		for _, s := range h.b.servers {
+			if s.Zone != 0 || h.b.zones[0].left {
 				continue
 			}
-			g.now++
-			g.b.now = g.now
+			h.now++
+			h.b.now = h.now
 			weight := partialEvidence
-			if c.result == ConnectFailed && c.took >= 60 {
+			if c.result == ConnectFailed && c.elapsed >= 60 {
 				weight = 1
 			}
-			g.b.recordFailure(s, c.result == ConnectFailed, weight)
-			g.b.recordFailure(s, c.result == ConnectFailed, weight) // a server is one witness, however often it fails
-			g.b.answered(g.b.zones[1], false, 0.1)
+			h.b.recordFailure(s, c.result == ConnectFailed, weight)
+			h.b.recordFailure(s, c.result == ConnectFailed, weight) // a server is one witness, however often it fails
+			h.b.answered(h.b.zones[1], false, 0.1)
 			n++
 		}
-		if n != c.need || !g.b.zones[0].left {
-			t.Errorf("%+v: left %v after %d servers", c, g.b.zones[0].left, n)
+		if n != c.serversNeeded || !h.b.zones[0].left {
+			t.Errorf("%+v: left %v after %d servers", c, h.b.zones[0].left, n)
 		}
 	}
 }
 
 func TestLocality_answerClearsEvidence(t *testing.T) {
-	g := newZoneHarness(t, nil, 8, 8)
+	h := newZoneHarness(t, nil, 8, 8)
 	n := 0
-	g.playRequests(200, 50, func(s *server) Result {
+	h.playRequests(200, 50, func(s *server) Result {
 		if s.Zone == 0 {
 			if n++; n%2 == 0 {
 				return ConnectFailed
@@ -161,7 +161,7 @@
 		}
 		return OK
 	})
-	if z := g.b.ZoneStatus(); z.Left != 0 {
+	if z := h.b.ZoneStatus(); z.Left != 0 {
 		t.Errorf("a zone of which every second request is answered was left: %+v", z)
 	}
 }
@@ -169,46 +169,46 @@
 // A zone that is most of the fleet needs more against it: what is left could not bear the load.
 func TestLocality_largeZone(t *testing.T) {
 	for _, c := range []struct{ own, other, need int }{{4, 12, 2}, {8, 8, 2}, {12, 4, 4}, {15, 1, 4}} {
-		g := newZoneHarness(t, nil, c.own, c.other)
-		met := map[ServerID]bool{}
-		g.playRequests(c.need+2, 20, func(s *server) Result {
+		h := newZoneHarness(t, nil, c.own, c.other)
+		tried := map[ServerID]bool{}
+		h.playRequests(c.need+2, 20, func(s *server) Result {
 			if s.Zone == 0 {
-				met[s.ID] = true
+				tried[s.ID] = true
 			}
 			return failZone(0)(s)
 		})
-		if len(met) != c.need {
-			t.Errorf("%d of %d servers: left after %d of them", c.own, c.own+c.other, len(met))
+		if len(tried) != c.need {
+			t.Errorf("%d of %d servers: left after %d of them", c.own, c.own+c.other, len(tried))
 		}
 	}
 }
 
 func TestLocality_zoneReturn(t *testing.T) {
-	g := newZoneHarness(t, nil, 8, 8)
-	g.playRequests(20, 20, failZone(0))
-	z := g.b.zones[0]
+	h := newZoneHarness(t, nil, 8, 8)
+	h.playRequests(20, 20, failZone(0))
+	z := h.b.zones[0]
 	if z.id != 0 || !z.left {
 		t.Fatalf("%+v", z)
 	}
-	g.now = z.leftUntil + 1
-	for _, s := range g.b.servers {
+	h.now = z.leftUntil + 1
+	for _, s := range h.b.servers {
 		s.ejectedUntil = 0
 	}
-	if id, _ := g.sendRequest(nonIdempotentClass); g.lastZone(id) != 1 {
+	if id, _ := h.sendRequest(nonIdempotentClass); h.lastZone(id) != 1 {
 		t.Error("an unsafe request tries a zone that was left")
 	}
-	var there []RequestID
+	var inZone []RequestID
 	fill := func() (n int) {
 		for range 20 {
-			id, acts := g.sendRequest(idempotentClass)
+			id, acts := h.sendRequest(idempotentClass)
 			if !hasAction(acts, Send) {
 				continue
 			}
-			if g.lastZone(id) != 0 {
-				g.endAttempt(id, 0, OK, 50)
+			if h.lastZone(id) != 0 {
+				h.endAttempt(id, 0, OK, 50)
 				continue
 			}
-			there = append(there, id)
+			inZone = append(inZone, id)
 			n++
 		}
 		return n
@@ -217,9 +217,9 @@
 		t.Fatalf("%d requests try the zone at first", n)
 	}
 	for want := 1; want < 8 && z.left; want++ {
-		g.now += 50
-		g.endAttempt(there[0], 0, OK, 50)
-		there = there[1:]
+		h.now += 50
+		h.endAttempt(inZone[0], 0, OK, 50)
+		inZone = inZone[1:]
 		fill()
 		if z.left && int(z.out) != want {
 			t.Fatalf("after %d good answers %g requests are there", want, z.out)
@@ -228,8 +228,8 @@
 	if !z.left {
 		t.Fatal("it was in full use before its answers were as many as its servers")
 	}
-	g.now += 50
-	g.endAttempt(there[0], 0, OK, 50)
+	h.now += 50
+	h.endAttempt(inZone[0], 0, OK, 50)
 	if z.left {
 		t.Errorf("it is not in full use after eight good answers: %+v", z)
 	}
@@ -239,14 +239,14 @@
 func TestLocality_returnBackoff(t *testing.T) {
 	seen := map[string]bool{}
 	for seed := range uint64(5) {
-		g := newZoneHarness(t, func(c *Config) { c.Seed = seed }, 8, 8)
+		h := newZoneHarness(t, func(c *Config) { c.Seed = seed }, 8, 8)
 		var pauses []float64
 		var last float64
 		for range 2000 {
-			g.playRequests(1, 30, failZone(0))
-			if z := g.b.zones[0]; z.left && z.leftUntil != last {
+			h.playRequests(1, 30, failZone(0))
+			if z := h.b.zones[0]; z.left && z.leftUntil != last {
 				last = z.leftUntil
-				pauses = append(pauses, z.leftUntil-g.now)
+				pauses = append(pauses, z.leftUntil-h.now)
 			}
 		}
 		if len(pauses) < 5 {
@@ -267,55 +267,55 @@
 // The head of zones.go states how often a zone is left by chance: in q² of cases, when a part q of its servers is sick
 // and requests meet them at random while another zone answers. It is held to it from both sides.
 func TestLocality_falseAlarmRate(t *testing.T) {
-	const servers, sick, meetings = 64, 8, 100000
-	g := newZoneHarness(t, nil, servers, servers)
-	z, other := g.b.zone(0), g.b.zone(1)
+	const servers, failing, trials = 64, 8, 100000
+	h := newZoneHarness(t, nil, servers, servers)
+	z, other := h.b.zone(0), h.b.zone(1)
 	r := rand.New(rand.NewPCG(1, 2))
 	left := 0
-	for range meetings {
-		g.b.now++
-		g.b.answered(other, false, 0.1)
-		if s := g.b.byID[ServerID(1+r.IntN(servers))]; s.ID <= sick {
-			g.b.addEvidence(s, 1)
+	for range trials {
+		h.b.now++
+		h.b.answered(other, false, 0.1)
+		if s := h.b.byID[ServerID(1+r.IntN(servers))]; s.ID <= failing {
+			h.b.addEvidence(s, 1)
 		} else {
-			g.b.answered(z, false, 0.1)
+			h.b.answered(z, false, 0.1)
 		}
 		if z.left {
 			left++
-			z.left, z.evidence, z.cleared = false, 0, g.b.now
+			z.left, z.evidence, z.cleared = false, 0, h.b.now
 		}
 	}
-	const q = float64(sick) / servers
-	if share := float64(left) / meetings; share > q*q || share < q*q/2 {
-		t.Errorf("left in %.2f %% of meetings, not in about %.2f", 100*share, 100*q*q)
+	const q = float64(failing) / servers
+	if rate := float64(left) / trials; rate > q*q || rate < q*q/2 {
+		t.Errorf("left in %.2f %% of meetings, not in about %.2f", 100*rate, 100*q*q)
 	}
 }
 
 func TestLocality_noNeedlessCrossing(t *testing.T) {
-	g := newZoneHarness(t, nil, 8, 8)
-	if first := g.playRequests(500, 20, alwaysOK); first[1] > 5 {
+	h := newZoneHarness(t, nil, 8, 8)
+	if first := h.playRequests(500, 20, alwaysOK); first[1] > 5 {
 		t.Errorf("first sends by zone: %v", first)
 	}
 }
 
 // What near servers cannot take crosses, in steps, and comes back.
 func TestLocality_spillover(t *testing.T) {
-	g := newZoneHarness(t, nil, 8, 8)
-	slow := 220.0
+	h := newZoneHarness(t, nil, 8, 8)
+	nearLatency := 220.0
 	load := func(n int) (far int) {
 		for range n {
-			g.now += 20
-			id, acts := g.sendRequest(idempotentClass)
+			h.now += 20
+			id, acts := h.sendRequest(idempotentClass)
 			if !hasAction(acts, Send) {
 				continue
 			}
 			took := 50.0
-			if g.lastZone(id) == 0 {
-				took = slow
+			if h.lastZone(id) == 0 {
+				took = nearLatency
 			} else {
 				far++
 			}
-			g.endAttempt(id, 0, OK, took)
+			h.endAttempt(id, 0, OK, took)
 		}
 		return far
 	}
@@ -323,7 +323,7 @@
 	if first > 3 || later < 150 {
 		t.Errorf("near answers are slow: %d of 10 crossed at first, %d of 300 later", first, later)
 	}
-	slow = 50
+	nearLatency = 50
 	load(400)
 	if back := load(100); back > 10 {
 		t.Errorf("near answers are quick again: %d of 100 cross", back)
@@ -331,20 +331,20 @@
 }
 
 func TestLocality_regionOrder(t *testing.T) {
-	g := newZoneHarness(t, func(c *Config) { c.Regions, c.RegionCost = []int{0, 0, 1}, 3 }, 4, 4, 4)
-	if first := g.playRequests(200, 20, alwaysOK); first[0] < 195 {
+	h := newZoneHarness(t, func(c *Config) { c.Regions, c.RegionCost = []int{0, 0, 1}, 3 }, 4, 4, 4)
+	if first := h.playRequests(200, 20, alwaysOK); first[0] < 195 {
 		t.Errorf("calm: %v", first)
 	}
-	if first := g.playRequests(100, 20, failZone(0)); first[1] < 85 || first[2] > 5 {
+	if first := h.playRequests(100, 20, failZone(0)); first[1] < 85 || first[2] > 5 {
 		t.Errorf("the own zone is dead: %v", first)
 	}
-	g.playRequests(20, 20, func(s *server) Result {
+	h.playRequests(20, 20, func(s *server) Result {
 		if s.Zone < 2 {
 			return ConnectFailed
 		}
 		return OK
 	})
-	if first := g.playRequests(100, 20, func(s *server) Result {
+	if first := h.playRequests(100, 20, func(s *server) Result {
 		if s.Zone < 2 {
 			return ConnectFailed
 		}
@@ -356,24 +356,24 @@
 
 // A long answer that has begun has told all about its zone: the next trial does not wait for its end.
 func TestLocality_zoneReturnOfStreams(t *testing.T) {
-	g := newZoneHarness(t, nil, 8, 8)
-	g.playRequests(5, 20, failZone(0))
-	z := g.b.zones[0]
-	g.now = z.leftUntil + 1
-	for _, s := range g.b.servers {
+	h := newZoneHarness(t, nil, 8, 8)
+	h.playRequests(5, 20, failZone(0))
+	z := h.b.zones[0]
+	h.now = z.leftUntil + 1
+	for _, s := range h.b.servers {
 		s.ejectedUntil = 0
 	}
 	for n := 1; n < 8; n++ {
 		for i := 0; z.out == 0 && i < 20; i++ {
-			id, acts := g.sendRequest(idempotentClass)
-			if hasAction(acts, Send) && g.lastZone(id) != 0 {
-				g.endAttempt(id, 0, OK, 50)
+			id, acts := h.sendRequest(idempotentClass)
+			if hasAction(acts, Send) && h.lastZone(id) != 0 {
+				h.endAttempt(id, 0, OK, 50)
 			}
 		}
 		if z.out != 1 {
 			t.Fatalf("%g trials out after %d long answers have begun", z.out, n-1)
 		}
-		g.handle(AnswerStarted{Request: g.lastID, Server: g.b.reqs[g.lastID].attempts[0].server.ID, Elapsed: 50})
+		h.handle(AnswerStarted{Request: h.lastID, Server: h.b.reqs[h.lastID].attempts[0].server.ID, Elapsed: 50})
 		if z.out != 0 || z.admitLimit != float64(n) {
 			t.Fatalf("%+v after %d answers have begun", z, n)
 		}
--- a/balance/retry_test.go
+++ b/balance/retry_test.go
@@ -10,33 +10,33 @@
 func TestRetry_afterFirstAttempt(t *testing.T) {
 	for _, class := range []int{idempotentClass, nonIdempotentClass, cellKeyClass, globalKeyClass, zoneKeyClass} {
 		for _, res := range []Result{Failed, Rejected, TimedOut, ConnectFailed, Reset, Cancelled, WriteFailed} {
-			for _, late := range []bool{false, true} {
-				t.Run(fmt.Sprintf("class%d/result%d/late=%v", class, res, late), func(t *testing.T) {
-					checkAfterFirstAttempt(t, class, res, late)
+			for _, afterWindow := range []bool{false, true} {
+				t.Run(fmt.Sprintf("class%d/result%d/late=%v", class, res, afterWindow), func(t *testing.T) {
+					checkAfterFirstAttempt(t, class, res, afterWindow)
 				})
 			}
 		}
 	}
 }
 
-func checkAfterFirstAttempt(t *testing.T, class int, res Result, late bool) {
+func checkAfterFirstAttempt(t *testing.T, class int, res Result, afterWindow bool) {
 	cfg := baseConfig()
 	for i := range cfg.Classes {
 		cfg.Classes[i].LatencyObjective = cfg.Classes[i].Deadline // a re-route is worth its while to the end
 		cfg.Classes[i].KeyWindow = 200
 	}
-	g := newHarness(t, cfg, identicalServers(8)...)
-	id, acts := g.sendRequest(class)
+	h := newHarness(t, cfg, identicalServers(8)...)
+	id, acts := h.sendRequest(class)
 	first, ok := sentTo(acts)
 	if !ok {
 		t.Fatal("the request was not sent")
 	}
-	if g.now += 100; late {
-		g.now += 200
+	if h.now += 100; afterWindow {
+		h.now += 200
 	}
-	acts = g.endAttempt(id, 0, res, 100)
+	acts = h.endAttempt(id, 0, res, 100)
 	c := cfg.Classes[class]
-	mayResend := c.Idempotency == Idempotent || res.NeverRan() || c.Idempotency == IdempotentWithKey && !late
+	mayResend := c.Idempotency == Idempotent || res.NeverRan() || c.Idempotency == IdempotentWithKey && !afterWindow
 	second, sent := sentTo(acts)
 	if sent != mayResend {
 		t.Fatalf("sent again: %v, want %v (%+v)", sent, mayResend, acts)
@@ -48,7 +48,7 @@
 		}
 		return
 	}
-	a, b := g.b.byID[first], g.b.byID[second]
+	a, b := h.b.byID[first], h.b.byID[second]
 	dirty := !res.NeverRan()
 	if a == b || dirty && class == cellKeyClass && a.Cell != b.Cell || dirty && class == zoneKeyClass && a.Zone != b.Zone {
 		t.Fatalf("sent to %+v after %+v", b.Server, a.Server)
@@ -67,10 +67,10 @@
 	}
 	for _, class := range []int{idempotentClass, cellKeyClass, globalKeyClass, zoneKeyClass} {
 		for _, after := range []float64{0, 100, window - connect - 1, window - connect, window - 1, window, window + 1} {
-			g := newHarness(t, cfg, identicalServers(8)...)
-			id, _ := g.sendRequest(class)
-			g.now += after
-			acts := g.endAttempt(id, 0, Failed, after)
+			h := newHarness(t, cfg, identicalServers(8)...)
+			id, _ := h.sendRequest(class)
+			h.now += after
+			acts := h.endAttempt(id, 0, Failed, after)
 			if sent, may := hasAction(acts, Send), class == idempotentClass || after+connect < window; sent != may {
 				t.Errorf("class %d, failed after %v ms: sent again %v, want %v", class, after, sent, may)
 			}
@@ -83,24 +83,24 @@
 	cfg := baseConfig()
 	cfg.ConnectTimeout = 120
 	cfg.Classes[globalKeyClass].KeyWindow = 200
-	g := newHarness(t, cfg, identicalServers(8)...)
-	id, _ := g.sendRequest(globalKeyClass)
-	g.now += 250
-	if !hasAction(g.endAttempt(id, 0, ConnectFailed, 250), Send) {
+	h := newHarness(t, cfg, identicalServers(8)...)
+	id, _ := h.sendRequest(globalKeyClass)
+	h.now += 250
+	if !hasAction(h.endAttempt(id, 0, ConnectFailed, 250), Send) {
 		t.Fatal("not sent again after a connect that failed")
 	}
-	g.now += 70
-	if !hasAction(g.endAttempt(id, 1, Failed, 70), Send) {
+	h.now += 70
+	if !hasAction(h.endAttempt(id, 1, Failed, 70), Send) {
 		t.Error("not repeated within the window of the attempt that may have run")
 	}
 }
 
 func TestRetry_deadlineAfterSend(t *testing.T) {
-	g := newHarness(t, baseConfig(), identicalServers(4)...)
+	h := newHarness(t, baseConfig(), identicalServers(4)...)
 	for _, class := range []int{nonIdempotentClass, cellKeyClass, zoneKeyClass} {
-		id, _ := g.sendRequest(class)
-		g.now = g.b.reqs[id].deadline
-		acts := g.handle(Timer{Token: uint64(id)})
+		id, _ := h.sendRequest(class)
+		h.now = h.b.reqs[id].deadline
+		acts := h.handle(Timer{Token: uint64(id)})
 		if hasAction(acts, Reject) || !hasAction(acts, Fail) {
 			t.Errorf("class %d at its deadline with an attempt out: %+v", class, acts)
 		}
@@ -108,8 +108,8 @@
 }
 
 func TestRetry_noTimeLeft(t *testing.T) {
-	g := newHarness(t, baseConfig(), identicalServers(4)...)
-	acts := g.handle(Request{ID: 1, Class: nonIdempotentClass, Remaining: 0})
+	h := newHarness(t, baseConfig(), identicalServers(4)...)
+	acts := h.handle(Request{ID: 1, Class: nonIdempotentClass, Remaining: 0})
 	if !hasAction(acts, Reject) || hasAction(acts, Send) {
 		t.Fatalf("a request without time left: %+v", acts)
 	}
@@ -121,18 +121,18 @@
 		drained[i].State = Draining
 	}
 	for name, servers := range map[string][]Server{"empty": nil, "draining": drained} {
-		g := newHarness(t, baseConfig(), servers...)
-		id, acts := g.sendRequest(nonIdempotentClass)
+		h := newHarness(t, baseConfig(), servers...)
+		id, acts := h.sendRequest(nonIdempotentClass)
 		if hasAction(acts, Send) || !hasAction(acts, SetTimer) {
 			t.Fatalf("%s: %+v", name, acts)
 		}
-		refused := false
-		for g.now < 1000+baseConfig().Classes[nonIdempotentClass].Deadline {
-			g.now += 10
-			refused = refused || hasAction(g.handle(Timer{Token: uint64(id)}), Reject)
+		rejected := false
+		for h.now < 1000+baseConfig().Classes[nonIdempotentClass].Deadline {
+			h.now += 10
+			rejected = rejected || hasAction(h.handle(Timer{Token: uint64(id)}), Reject)
 		}
-		if !refused || len(g.b.reqs) != 0 {
-			t.Fatalf("%s: refused %v, %d requests left", name, refused, len(g.b.reqs))
+		if !rejected || len(h.b.reqs) != 0 {
+			t.Fatalf("%s: refused %v, %d requests left", name, rejected, len(h.b.reqs))
 		}
 	}
 }
@@ -140,9 +140,9 @@
 func TestRetry_attemptLimit(t *testing.T) {
 	cfg := baseConfig()
 	cfg.MaxAttempts = 1
-	g := newHarness(t, cfg, identicalServers(4)...)
-	id, _ := g.sendRequest(idempotentClass)
-	if acts := g.endAttempt(id, 0, Rejected, 1); hasAction(acts, Send) || !hasAction(acts, Reject) {
+	h := newHarness(t, cfg, identicalServers(4)...)
+	id, _ := h.sendRequest(idempotentClass)
+	if acts := h.endAttempt(id, 0, Rejected, 1); hasAction(acts, Send) || !hasAction(acts, Reject) {
 		t.Fatalf("after the only attempt allowed: %+v", acts)
 	}
 }
@@ -151,63 +151,63 @@
 func TestRetry_startedStream(t *testing.T) {
 	cfg := baseConfig()
 	cfg.Classes[idempotentClass].Stream = true
-	g := newHarness(t, cfg, identicalServers(3)...)
-	id, acts := g.sendRequest(idempotentClass)
+	h := newHarness(t, cfg, identicalServers(3)...)
+	id, acts := h.sendRequest(idempotentClass)
 	s, _ := sentTo(acts)
-	g.handle(AnswerStarted{Request: id, Server: s, Elapsed: 20})
-	if a := g.b.reqs[id].attempts[0]; a.server.inFlight != 0 || g.b.classes[idempotentClass].mean != 20 {
-		t.Errorf("the server holds %d, answers take %v", a.server.inFlight, g.b.classes[idempotentClass].mean)
+	h.handle(AnswerStarted{Request: id, Server: s, Elapsed: 20})
+	if a := h.b.reqs[id].attempts[0]; a.server.inFlight != 0 || h.b.classes[idempotentClass].mean != 20 {
+		t.Errorf("the server holds %d, answers take %v", a.server.inFlight, h.b.classes[idempotentClass].mean)
 	}
-	g.now += 5000
-	if acts := g.handle(Timer{Token: uint64(id)}); hasAction(acts, Fail) || hasAction(acts, Reject) || hasAction(acts, Send) {
+	h.now += 5000
+	if acts := h.handle(Timer{Token: uint64(id)}); hasAction(acts, Fail) || hasAction(acts, Reject) || hasAction(acts, Send) {
 		t.Fatalf("a running stream got %+v", acts)
 	}
-	g.handle(Outcome{Request: id, Server: s, Result: Reset, Elapsed: 5000, Finished: true})
-	if len(g.b.reqs) != 0 {
+	h.handle(Outcome{Request: id, Server: s, Result: Reset, Elapsed: 5000, Finished: true})
+	if len(h.b.reqs) != 0 {
 		t.Fatal("an ended stream is remembered")
 	}
-	if server := g.b.byID[s]; server.consecutiveErrors != 1 || server.inFlight != 0 {
+	if server := h.b.byID[s]; server.consecutiveErrors != 1 || server.inFlight != 0 {
 		t.Errorf("after a break: %d errors, %d held", server.consecutiveErrors, server.inFlight)
 	}
 }
 
 // While a body comes no time passes, for the request or its server; from its last byte on both count.
 func TestRetry_streamingBodyDeadline(t *testing.T) {
-	g := newHarness(t, baseConfig(), identicalServers(3)...)
-	g.lastID++
-	id := g.lastID
-	g.handle(Request{ID: id, Class: nonIdempotentClass, Remaining: 600, BodyStreaming: true})
-	r := g.b.reqs[id]
+	h := newHarness(t, baseConfig(), identicalServers(3)...)
+	h.lastID++
+	id := h.lastID
+	h.handle(Request{ID: id, Class: nonIdempotentClass, Remaining: 600, BodyStreaming: true})
+	r := h.b.reqs[id]
 	if len(r.attempts) != 1 {
 		t.Fatal("it is not sent at once")
 	}
-	g.now += 60000
-	if acts := g.handle(Timer{Token: uint64(id)}); len(acts) > 0 || r.attempts[0].server.consecutiveErrors > 0 || g.b.inFlightLoad > 0 {
-		t.Fatalf("while its body comes: %+v, %d errors, load %v", acts, r.attempts[0].server.consecutiveErrors, g.b.inFlightLoad)
+	h.now += 60000
+	if acts := h.handle(Timer{Token: uint64(id)}); len(acts) > 0 || r.attempts[0].server.consecutiveErrors > 0 || h.b.inFlightLoad > 0 {
+		t.Fatalf("while its body comes: %+v, %d errors, load %v", acts, r.attempts[0].server.consecutiveErrors, h.b.inFlightLoad)
 	}
-	if acts := g.handle(BodyComplete{Request: id, Remaining: 600}); !hasAction(acts, SetTimer) || g.b.inFlightLoad == 0 {
-		t.Fatalf("at its last byte: %+v, load %v", acts, g.b.inFlightLoad)
+	if acts := h.handle(BodyComplete{Request: id, Remaining: 600}); !hasAction(acts, SetTimer) || h.b.inFlightLoad == 0 {
+		t.Fatalf("at its last byte: %+v, load %v", acts, h.b.inFlightLoad)
 	}
-	g.now += 601
-	if acts := g.handle(Timer{Token: uint64(id)}); !hasAction(acts, Fail) {
+	h.now += 601
+	if acts := h.handle(Timer{Token: uint64(id)}); !hasAction(acts, Fail) {
 		t.Errorf("at its deadline: %+v", acts)
 	}
-	g.endAttempt(id, 0, Cancelled, 601)
-	if g.b.inFlightLoad != 0 {
-		t.Errorf("load %v is left", g.b.inFlightLoad)
+	h.endAttempt(id, 0, Cancelled, 601)
+	if h.b.inFlightLoad != 0 {
+		t.Errorf("load %v is left", h.b.inFlightLoad)
 	}
 }
 
 // What never ran is sent again only while its body is held.
 func TestRetry_consumedBody(t *testing.T) {
-	for _, spent := range []bool{false, true} {
-		g := newHarness(t, baseConfig(), identicalServers(3)...)
-		g.lastID++
-		g.handle(Request{ID: g.lastID, Class: nonIdempotentClass, Remaining: 600, BodyStreaming: true})
-		s := g.b.reqs[g.lastID].attempts[0].server.ID
-		acts := g.handle(Outcome{Request: g.lastID, Server: s, Result: Rejected, Elapsed: 5, BodyConsumed: spent})
-		if hasAction(acts, Send) == spent || hasAction(acts, Reject) != spent {
-			t.Errorf("spent %v: %+v", spent, acts)
+	for _, consumed := range []bool{false, true} {
+		h := newHarness(t, baseConfig(), identicalServers(3)...)
+		h.lastID++
+		h.handle(Request{ID: h.lastID, Class: nonIdempotentClass, Remaining: 600, BodyStreaming: true})
+		s := h.b.reqs[h.lastID].attempts[0].server.ID
+		acts := h.handle(Outcome{Request: h.lastID, Server: s, Result: Rejected, Elapsed: 5, BodyConsumed: consumed})
+		if hasAction(acts, Send) == consumed || hasAction(acts, Reject) != consumed {
+			t.Errorf("spent %v: %+v", consumed, acts)
 		}
 	}
 }
@@ -216,10 +216,10 @@
 // run is re-routed once at most.
 func TestRetry_rerouteLimit(t *testing.T) {
 	for res, sends := range map[Result]int{ConnectFailed: 4, WriteFailed: 4, Rejected: 4, Failed: 2} {
-		g := newHarness(t, baseConfig(), identicalServers(8)...)
-		id, _ := g.sendRequest(idempotentClass)
+		h := newHarness(t, baseConfig(), identicalServers(8)...)
+		id, _ := h.sendRequest(idempotentClass)
 		n := 1
-		for ; hasAction(g.endAttempt(id, n-1, res, 1), Send); n++ {
+		for ; hasAction(h.endAttempt(id, n-1, res, 1), Send); n++ {
 		}
 		if n != sends {
 			t.Errorf("result %v: %d attempts, want %d of at most %d", res, n, sends, baseConfig().MaxAttempts)
--- a/balance/rotation_test.go
+++ b/balance/rotation_test.go
@@ -12,35 +12,35 @@
 // A pick that passes over the servers outside the rotation leaves each as a pick that looks at all of them does.
 func TestRotation_skippedServers(t *testing.T) {
 	for _, c := range []struct {
-		name   string
-		rating float64 // small: the sum of weights is under what servers begin with
-		routed bool
+		name      string
+		rating    float64 // small: the sum of weights is under what servers begin with
+		withRoute bool
 	}{{"usual ratings", 1, false}, {"small ratings", 0.05, false}, {"with a route", 1, true}} {
 		t.Run(c.name, func(t *testing.T) {
 			cfg := baseConfig()
 			cfg.Tenants = []Tenant{{Allowance: 100, Quota: 0.5}, {Allowance: 100, Quota: 0.5}}
-			quick, thorough := mustNew(t, cfg), mustNew(t, cfg)
-			tell := func(now float64, ev Event) []Action {
+			bounded, exhaustive := mustNew(t, cfg), mustNew(t, cfg)
+			handle := func(now float64, ev Event) []Action {
 				t.Helper()
-				thorough.maxOtherRunning = math.Inf(1) // it looks at all of them
-				want, err := thorough.Handle(now, ev)
-				got, again := quick.Handle(now, ev)
+				exhaustive.maxOtherRunning = math.Inf(1) // it looks at all of them
+				want, err := exhaustive.Handle(now, ev)
+				got, again := bounded.Handle(now, ev)
 				if err != nil || again != nil || !reflect.DeepEqual(want, got) {
 					t.Fatalf("%#v: %v %v, at all %v %v", ev, got, again, want, err)
 				}
-				for i, s := range thorough.servers {
-					if q := quick.servers[i]; q.ID != s.ID || q.running != s.running || q.weight != s.weight {
+				for i, s := range exhaustive.servers {
+					if q := bounded.servers[i]; q.ID != s.ID || q.running != s.running || q.weight != s.weight {
 						t.Fatalf("%#v: server %d runs at %v, at all %v", ev, s.ID, q.running, s.running)
 					}
 				}
 				return slices.Clone(got)
 			}
-			quick.Start(1000)
-			thorough.Start(1000)
-			if c.routed {
-				tell(1000, Routes{Rev: 1, List: []Route{{Tenant: 1, Base: Subset{Zones: []int{1}}}}})
+			bounded.Start(1000)
+			exhaustive.Start(1000)
+			if c.withRoute {
+				handle(1000, Routes{Rev: 1, List: []Route{{Tenant: 1, Base: Subset{Zones: []int{1}}}}})
 			}
-			playRandomEvents(tell, c.rating)
+			playRandomEvents(handle, c.rating)
 		})
 	}
 }
@@ -80,20 +80,20 @@
 	for i := range list {
 		list[i].Rating = 0.05
 	}
-	g := newHarness(t, baseConfig(), list...)
+	h := newHarness(t, baseConfig(), list...)
 	const nowhere = 99
-	g.handle(Routes{Rev: 1, List: []Route{{Tenant: -1, Base: Subset{Zones: []int{nowhere}}}}})
-	if _, acts := g.sendRequest(idempotentClass); !hasAction(acts, Send) {
+	h.handle(Routes{Rev: 1, List: []Route{{Tenant: -1, Base: Subset{Zones: []int{nowhere}}}}})
+	if _, acts := h.sendRequest(idempotentClass); !hasAction(acts, Send) {
 		t.Fatalf("not sent: %v", acts)
 	}
 	total := 0.0
-	for _, s := range g.b.candidates {
+	for _, s := range h.b.candidates {
 		total += s.weight
 	}
-	if len(g.b.candidates) >= len(list) {
+	if len(h.b.candidates) >= len(list) {
 		t.Fatal("all servers are in the rotation")
 	}
-	for _, s := range g.b.servers {
+	for _, s := range h.b.servers {
 		if running := s.placements[0].running[baseSide]; running > total {
 			t.Errorf("server %d runs at %v, the weights are %v in all", s.ID, running, total)
 		}
@@ -108,18 +108,18 @@
 	used := func(number, seed int) map[ServerID]int {
 		cfg := baseConfig()
 		cfg.Number, cfg.Peers, cfg.Seed = number, sidecars, uint64(seed)
-		g := newHarness(t, cfg, identicalServers(servers)...)
-		for _, s := range g.b.servers {
-			s.rank = g.b.rank(s)
+		h := newHarness(t, cfg, identicalServers(servers)...)
+		for _, s := range h.b.servers {
+			s.rank = h.b.rank(s)
 		}
-		g.b.dropGone()
+		h.b.dropGone()
 		hits := map[ServerID]int{}
 		for range 60 {
-			g.now += 1000
-			id, acts := g.sendRequest(idempotentClass)
+			h.now += 1000
+			id, acts := h.sendRequest(idempotentClass)
 			s, _ := sentTo(acts)
 			hits[s]++
-			g.endAttempt(id, 0, OK, 10)
+			h.endAttempt(id, 0, OK, 10)
 		}
 		return hits
 	}
@@ -144,23 +144,23 @@
 
 // A busy sidecar goes over as many servers as it visits often, and over others when some of its own fail.
 func TestRotation_growth(t *testing.T) {
-	g := newHarness(t, baseConfig(), identicalServers(60)...)
+	h := newHarness(t, baseConfig(), identicalServers(60)...)
 	count := func(gap float64, n int) int {
 		hits := map[ServerID]bool{}
 		for range n {
-			g.now += gap
-			id, acts := g.sendRequest(idempotentClass)
+			h.now += gap
+			id, acts := h.sendRequest(idempotentClass)
 			s, _ := sentTo(acts)
 			hits[s] = true
-			g.endAttempt(id, 0, OK, 10)
+			h.endAttempt(id, 0, OK, 10)
 		}
 		return len(hits)
 	}
 	if n := count(1000, 30); n != minRotation {
 		t.Fatalf("%d servers for one request a second", n)
 	}
-	for _, s := range g.b.servers[:2] {
-		g.b.recordFailure(s, true, partialEvidence)
+	for _, s := range h.b.servers[:2] {
+		h.b.recordFailure(s, true, partialEvidence)
 	}
 	if n := count(50, 6); n < minRotation {
 		t.Fatalf("%d servers when two of the first rest", n)
--- a/balance/routes_property_test.go
+++ b/balance/routes_property_test.go
@@ -41,7 +41,7 @@
 		cfg.Seed = rapid.Uint64().Draw(rt, "seed")
 		both := [2]*Balancer{mustNew(t, cfg), mustNew(t, cfg)}
 		now, next := 1000.0, RequestID(0)
-		tell := func(b *Balancer, ev Event) []Action {
+		handle := func(b *Balancer, ev Event) []Action {
 			acts, err := b.Handle(now, ev)
 			if err != nil {
 				rt.Fatalf("%+v: %v", ev, err)
@@ -52,21 +52,21 @@
 		own := Route{Tenant: 1, Base: Subset{Zones: []int{1}}, Canary: Subset{Zones: []int{2}}, CanaryFraction: 0.3, ID: 77}
 		for _, b := range both {
 			b.Start(now)
-			tell(b, ServerList{Kind: ListFull, Servers: servers})
+			handle(b, ServerList{Kind: ListFull, Servers: servers})
 		}
 		busy := rapid.Bool().Draw(rt, "tenant 0 asks")
 		routedToo := rapid.Bool().Draw(rt, "tenant 1 has a route")
 		other := func(b *Balancer, ev Event) { // the own route stays as it is, and the permission with it
-			r, isRoutes := ev.(Routes)
-			if p, isPermit := ev.(CanaryLease); isPermit && routedToo {
-				p.Until = math.Inf(1)
-				ev = p
+			routes, isRoutes := ev.(Routes)
+			if lease, isLease := ev.(CanaryLease); isLease && routedToo {
+				lease.Until = math.Inf(1)
+				ev = lease
 			}
 			if isRoutes && routedToo {
-				r.Rev, r.List = 5, append(r.List, own)
-				ev = r
+				routes.Rev, routes.List = 5, append(routes.List, own)
+				ev = routes
 			}
-			tell(b, ev)
+			handle(b, ev)
 		}
 		for _, b := range both {
 			other(b, Routes{Rev: 5, List: []Route{canaryRoute(0, 1)}})
@@ -82,9 +82,9 @@
 			class := rapid.IntRange(0, zoneKeyClass).Draw(rt, "class")
 			if next++; busy {
 				for _, b := range both {
-					tell(b, Request{ID: next, Class: class, Remaining: 500})
+					handle(b, Request{ID: next, Class: class, Remaining: 500})
 					if b.reqs[next].liveAttempts == 1 {
-						tell(b, Outcome{Request: next, Result: NotSent, Finished: true})
+						handle(b, Outcome{Request: next, Result: NotSent, Finished: true})
 					}
 				}
 				next++
@@ -94,9 +94,9 @@
 				var acts [2][]Action
 				for i, b := range both {
 					if attempt < 0 {
-						acts[i] = tell(b, Request{ID: next, Class: class, Tenant: 1, Remaining: 500})
+						acts[i] = handle(b, Request{ID: next, Class: class, Tenant: 1, Remaining: 500})
 					} else {
-						acts[i] = tell(b, Outcome{
+						acts[i] = handle(b, Outcome{
 							Request: next, Attempt: attempt, Result: res, Elapsed: 40, Finished: attempt == 2 || res == OK,
 						})
 					}
@@ -115,8 +115,8 @@
 }
 
 // named tells whether a subset, as anyRoutes draws it, has a server.
-func subsetContains(u Subset, s *server) bool {
-	return (len(u.IDs) == 0 || slices.Contains(u.IDs, s.ID)) && (len(u.Zones) == 0 || slices.Contains(u.Zones, s.Zone))
+func subsetContains(subset Subset, s *server) bool {
+	return (len(subset.IDs) == 0 || slices.Contains(subset.IDs, s.ID)) && (len(subset.Zones) == 0 || slices.Contains(subset.Zones, s.Zone))
 }
 
 // Whatever happens in whatever order: an attempt to a canary is permitted, of a class and a server that the newest
@@ -125,79 +125,79 @@
 	rapid.Check(t, func(rt *rapid.T) {
 		cfg := tenantConfig()
 		cfg.Seed, cfg.MaxAttempts = rapid.Uint64().Draw(rt, "seed"), 3
-		g := newHarness(t, cfg, identicalServers(12)...)
+		h := newHarness(t, cfg, identicalServers(12)...)
 		type out struct {
 			id      RequestID
 			attempt int
 			server  ServerID
-			purse   uint64
+			budget  uint64
 		}
-		var live []out
+		var inFlight []out
 		var routes Routes
-		permit := 0.0
-		tries := map[RequestID]int{}
-		took := func(before map[uint64]CanaryBudget, acts []Action) {
+		leaseUntil := 0.0
+		attempts := map[RequestID]int{}
+		checkSends := func(before map[uint64]CanaryBudget, acts []Action) {
 			for _, a := range acts {
 				if a.Kind != Send {
 					continue
 				}
-				o := out{id: a.Request, attempt: tries[a.Request], server: a.Server}
-				tries[a.Request]++
-				if s := g.b.byID[a.Server]; s == nil || s.State != Ready {
+				o := out{id: a.Request, attempt: attempts[a.Request], server: a.Server}
+				attempts[a.Request]++
+				if s := h.b.byID[a.Server]; s == nil || s.State != Ready {
 					rt.Fatalf("sent to server %d", a.Server)
 				}
-				permitted := g.now < permit && len(routes.List) > 0
+				permitted := h.now < leaseUntil && len(routes.List) > 0
 				if (a.RoutesRev != 0) != permitted || permitted && (a.RoutesRev != routes.Rev || a.CanaryID != routes.List[0].ID) {
 					rt.Fatalf("%+v under %+v, permitted %v", a, routes, permitted)
 				}
 				if a.ToCanary {
-					w := routes.List[0]
-					r := g.b.reqs[a.Request]
-					if !permitted || w.ID == 0 || w.CanaryFraction == 0 || !subsetContains(w.Canary, g.b.byID[a.Server]) ||
-						len(w.Classes) > 0 && !slices.Contains(w.Classes, r.Class) {
+					route := routes.List[0]
+					r := h.b.reqs[a.Request]
+					if !permitted || route.ID == 0 || route.CanaryFraction == 0 || !subsetContains(route.Canary, h.b.byID[a.Server]) ||
+						len(route.Classes) > 0 && !slices.Contains(route.Classes, r.Class) {
 						rt.Fatalf("%+v under %+v", a, routes)
 					}
-					if w.Budgeted {
-						if p := before[w.ID]; p.Free() <= 0 {
+					if route.Budgeted {
+						if p := before[route.ID]; p.Free() <= 0 {
 							rt.Fatalf("no unit is free: %+v", p)
 						}
-						o.purse = w.ID
+						o.budget = route.ID
 					}
 				}
-				live = append(live, o)
+				inFlight = append(inFlight, o)
 			}
 		}
-		purses := func() map[uint64]CanaryBudget {
+		budgets := func() map[uint64]CanaryBudget {
 			all := map[uint64]CanaryBudget{}
-			for _, p := range g.b.CanaryBudgets() {
+			for _, p := range h.b.CanaryBudgets() {
 				all[p.ID] = p
 			}
 			return all
 		}
 		for range rapid.IntRange(20, 120).Draw(rt, "events") {
-			g.now += rapid.Float64Range(0, 100).Draw(rt, "pause")
-			before := purses()
+			h.now += rapid.Float64Range(0, 100).Draw(rt, "pause")
+			before := budgets()
 			switch k := rapid.IntRange(0, 9).Draw(rt, "event"); {
 			case k < 4:
 				class := rapid.IntRange(0, zoneKeyClass).Draw(rt, "class")
-				g.lastID++
-				took(before, g.handle(Request{ID: g.lastID, Class: class, Remaining: 1e6}))
-			case k < 8 && len(live) > 0:
-				i := rapid.IntRange(0, len(live)-1).Draw(rt, "which")
-				o := live[i]
-				live = slices.Delete(live, i, i+1)
+				h.lastID++
+				checkSends(before, h.handle(Request{ID: h.lastID, Class: class, Remaining: 1e6}))
+			case k < 8 && len(inFlight) > 0:
+				i := rapid.IntRange(0, len(inFlight)-1).Draw(rt, "which")
+				o := inFlight[i]
+				inFlight = slices.Delete(inFlight, i, i+1)
 				ev := Outcome{
 					Request: o.id, Attempt: o.attempt, Server: o.server, Elapsed: 40,
 					Result:       Result(rapid.IntRange(0, int(WriteFailed)).Draw(rt, "result")),
 					RouteRevoked: rapid.IntRange(0, 3).Draw(rt, "void") == 0,
 				}
 				ev.Finished = ev.Result == OK && !ev.RouteRevoked
-				p := before[o.purse]
+				p := before[o.budget]
 				p.Settle(!ev.RouteRevoked && ev.Result != OK && ev.Result != Cancelled && ev.Result != NotSent)
-				before[o.purse] = p
-				acts := g.handle(ev)
-				took(before, acts)
-				if after, ok := purses()[o.purse]; o.purse > 0 && (!ok || after.Spent != p.Spent) {
+				before[o.budget] = p
+				acts := h.handle(ev)
+				checkSends(before, acts)
+				if after, ok := budgets()[o.budget]; o.budget > 0 && (!ok || after.Spent != p.Spent) {
 					rt.Fatalf("%+v: %+v, not %+v", ev, after, p)
 				}
 			case k == 8:
@@ -205,26 +205,26 @@
 				for i := range servers {
 					servers[i].State = ServerState(rapid.IntRange(0, 5).Draw(rt, "state") / 4)
 				}
-				g.handle(ServerList{Kind: ListFull, Servers: servers})
+				h.handle(ServerList{Kind: ListFull, Servers: servers})
 			default:
 				switch ev := drawRouteEvent(rt).(type) {
 				case Routes:
 					if routes = ev; rapid.IntRange(0, 4).Draw(rt, "none") == 0 {
 						routes.List = nil
 					}
-					g.handle(routes)
+					h.handle(routes)
 				case CanaryLease:
-					permit = ev.Until
-					g.handle(ev)
+					leaseUntil = ev.Until
+					h.handle(ev)
 				default:
-					g.handle(ev)
+					h.handle(ev)
 				}
 			}
 			units := map[uint64]int64{}
-			for _, o := range live {
-				units[o.purse]++
+			for _, o := range inFlight {
+				units[o.budget]++
 			}
-			for id, p := range purses() {
+			for id, p := range budgets() {
 				if p.Free() < 0 || p.Reserved != units[id] || p.Spent+p.Returned+p.Reserved > p.Granted {
 					rt.Fatalf("%+v with %d out", p, units[id])
 				}
--- a/balance/settings_test.go
+++ b/balance/settings_test.go
@@ -34,34 +34,34 @@
 		t.Run(name, func(t *testing.T) {
 			cfg, n := baseConfig(), 6
 			change(&cfg, &n)
-			w := newSimulation(t, rand.New(rand.NewSource(7)), cfg)
+			sim := newSimulation(t, rand.New(rand.NewSource(7)), cfg)
 			list := identicalServers(n)
 			for i := range list {
-				w.servers[list[i].ID], w.usable[list[i].ID] = &list[i], true
+				sim.servers[list[i].ID], sim.usable[list[i].ID] = &list[i], true
 			}
-			w.handle(ServerList{Kind: ListFull, Servers: list})
+			sim.handle(ServerList{Kind: ListFull, Servers: list})
 			sent := 0
 			for id := RequestID(1); id <= 400; id++ {
-				w.now += 9
-				w.fireTimers()
+				sim.now += 9
+				sim.fireTimers()
 				class := int(id) % len(cfg.Classes)
-				w.requests[id] = &simulatedRequest{class: class, deadline: w.now + 300}
-				w.handle(Request{ID: id, Class: class, Tenant: int(id) % 5, Remaining: 300})
-				for len(w.healthChecks) > 0 {
-					s := w.healthChecks[0]
-					w.healthChecks = w.healthChecks[1:]
-					w.handle(HealthCheckResult{Server: s, Report: []float32{1}})
+				sim.requests[id] = &simulatedRequest{class: class, deadline: sim.now + 300}
+				sim.handle(Request{ID: id, Class: class, Tenant: int(id) % 5, Remaining: 300})
+				for len(sim.healthChecks) > 0 {
+					s := sim.healthChecks[0]
+					sim.healthChecks = sim.healthChecks[1:]
+					sim.handle(HealthCheckResult{Server: s, Report: []float32{1}})
 				}
-				sent += len(w.requests[id].attempts)
+				sent += len(sim.requests[id].attempts)
 				if id > 2 {
-					w.answer(id - 2)
+					sim.answer(id - 2)
 				}
 			}
-			for w.now += 1000; w.hasUnanswered() && len(w.timers) > 0; w.now += 1000 {
-				w.fireTimers()
+			for sim.now += 1000; sim.hasUnanswered() && len(sim.timers) > 0; sim.now += 1000 {
+				sim.fireTimers()
 			}
-			if w.hasUnanswered() || sent < 300 {
-				t.Fatalf("unanswered requests: %v; %d of 400 sent", w.hasUnanswered(), sent)
+			if sim.hasUnanswered() || sent < 300 {
+				t.Fatalf("unanswered requests: %v; %d of 400 sent", sim.hasUnanswered(), sent)
 			}
 		})
 	}
--- a/balance/slow_start_fleet_test.go
+++ b/balance/slow_start_fleet_test.go
@@ -7,66 +7,66 @@
 
 func fleetScenarios() []fleetScenario {
 	base := fleetScenario{servers: 10, cores: 2, meanWork: 85, load: 0.6, restartFraction: 0.2, notifySpread: 2000, mixedSpeeds: true}
-	with := func(name string, change func(c *fleetScenario)) fleetScenario {
+	scenario := func(name string, change func(c *fleetScenario)) fleetScenario {
 		c := base
 		c.name = name
 		change(&c)
 		return c
 	}
 	return []fleetScenario{
-		with("even", func(c *fleetScenario) {}),
-		with("overload", func(c *fleetScenario) { c.load = 1.3 }),
-		with("one busy", func(c *fleetScenario) { c.busyFraction = 0.8 }),
-		with("idle then burst", func(c *fleetScenario) { c.idleBeforeBurst, c.load = true, 1 }),
-		with("burst", func(c *fleetScenario) { c.burstFactor = 2.5 }),
-		with("half forget before", func(c *fleetScenario) { c.resetFraction, c.resetAt = 0.5, serverStartAt-500 }),
-		with("half forget after", func(c *fleetScenario) { c.resetFraction, c.resetAt = 0.5, serverStartAt+3000 }),
-		with("all forget after", func(c *fleetScenario) { c.resetFraction, c.resetAt = 1, serverStartAt+3000 }),
-		with("all forget in a burst", func(c *fleetScenario) { c.resetFraction, c.resetAt, c.burstFactor = 1, burstAt, 2.5 }),
-		with("known too few", func(c *fleetScenario) { c.fleetSizeFactor = 0.25 }),
-		with("known too many", func(c *fleetScenario) { c.fleetSizeFactor = 4 }),
-		with("upgrade", func(c *fleetScenario) { c.upgrade = true }),
-		with("told again", func(c *fleetScenario) { c.notifications = 5 }),
-		with("down before", func(c *fleetScenario) { c.downtime = 4000 }),
-		with("half restart", func(c *fleetScenario) { c.restartFraction = 0.5 }),
-		with("most restart", func(c *fleetScenario) { c.restartFraction, c.load = 0.8, 0.8 }),
-		with("all restart", func(c *fleetScenario) { c.restartFraction, c.load = 1, 0.8 }),
-		with("join in a burst", func(c *fleetScenario) { c.restartFraction, c.newServers, c.burstFactor = 0.3, 3, 2.5 }),
-		with("slow servers", func(c *fleetScenario) { c.cores, c.meanWork = 1, 250 }),
-		with("slow servers in a burst", func(c *fleetScenario) { c.cores, c.meanWork, c.burstFactor = 1, 250, 2.5 }),
-		with("few slow servers idle then burst", func(c *fleetScenario) {
+		scenario("even", func(c *fleetScenario) {}),
+		scenario("overload", func(c *fleetScenario) { c.load = 1.3 }),
+		scenario("one busy", func(c *fleetScenario) { c.busyFraction = 0.8 }),
+		scenario("idle then burst", func(c *fleetScenario) { c.idleBeforeBurst, c.load = true, 1 }),
+		scenario("burst", func(c *fleetScenario) { c.burstFactor = 2.5 }),
+		scenario("half forget before", func(c *fleetScenario) { c.resetFraction, c.resetAt = 0.5, serverStartAt-500 }),
+		scenario("half forget after", func(c *fleetScenario) { c.resetFraction, c.resetAt = 0.5, serverStartAt+3000 }),
+		scenario("all forget after", func(c *fleetScenario) { c.resetFraction, c.resetAt = 1, serverStartAt+3000 }),
+		scenario("all forget in a burst", func(c *fleetScenario) { c.resetFraction, c.resetAt, c.burstFactor = 1, burstAt, 2.5 }),
+		scenario("known too few", func(c *fleetScenario) { c.fleetSizeFactor = 0.25 }),
+		scenario("known too many", func(c *fleetScenario) { c.fleetSizeFactor = 4 }),
+		scenario("upgrade", func(c *fleetScenario) { c.upgrade = true }),
+		scenario("told again", func(c *fleetScenario) { c.notifications = 5 }),
+		scenario("down before", func(c *fleetScenario) { c.downtime = 4000 }),
+		scenario("half restart", func(c *fleetScenario) { c.restartFraction = 0.5 }),
+		scenario("most restart", func(c *fleetScenario) { c.restartFraction, c.load = 0.8, 0.8 }),
+		scenario("all restart", func(c *fleetScenario) { c.restartFraction, c.load = 1, 0.8 }),
+		scenario("join in a burst", func(c *fleetScenario) { c.restartFraction, c.newServers, c.burstFactor = 0.3, 3, 2.5 }),
+		scenario("slow servers", func(c *fleetScenario) { c.cores, c.meanWork = 1, 250 }),
+		scenario("slow servers in a burst", func(c *fleetScenario) { c.cores, c.meanWork, c.burstFactor = 1, 250, 2.5 }),
+		scenario("few slow servers idle then burst", func(c *fleetScenario) {
 			c.servers, c.cores, c.meanWork, c.idleBeforeBurst, c.load = 4, 1, 250, true, 1.5
 		}),
-		with("most restart in a burst", func(c *fleetScenario) { c.restartFraction, c.burstFactor = 0.8, 2.5 }),
-		with("all restart in a burst", func(c *fleetScenario) { c.restartFraction, c.burstFactor = 1, 2.5 }),
-		with("all restart, told at once", func(c *fleetScenario) { c.restartFraction, c.load, c.notifySpread = 1, 1, 1 }),
-		with("all like, all restart at once", func(c *fleetScenario) { c.restartFraction, c.load, c.notifySpread, c.mixedSpeeds = 1, 1, 1, false }),
-		with("all like, all restart, overload", func(c *fleetScenario) { c.restartFraction, c.load, c.mixedSpeeds = 1, 1.5, false }),
-		with("all like, slow, all restart", func(c *fleetScenario) {
+		scenario("most restart in a burst", func(c *fleetScenario) { c.restartFraction, c.burstFactor = 0.8, 2.5 }),
+		scenario("all restart in a burst", func(c *fleetScenario) { c.restartFraction, c.burstFactor = 1, 2.5 }),
+		scenario("all restart, told at once", func(c *fleetScenario) { c.restartFraction, c.load, c.notifySpread = 1, 1, 1 }),
+		scenario("all like, all restart at once", func(c *fleetScenario) { c.restartFraction, c.load, c.notifySpread, c.mixedSpeeds = 1, 1, 1, false }),
+		scenario("all like, all restart, overload", func(c *fleetScenario) { c.restartFraction, c.load, c.mixedSpeeds = 1, 1.5, false }),
+		scenario("all like, slow, all restart", func(c *fleetScenario) {
 			c.restartFraction, c.load, c.cores, c.meanWork, c.mixedSpeeds = 1, 0.8, 1, 250, false
 		}),
-		with("all restart under overload", func(c *fleetScenario) { c.restartFraction, c.load = 1, 1.5 }),
-		with("half down before a burst", func(c *fleetScenario) { c.restartFraction, c.downtime, c.burstFactor = 0.5, 4000, 2.5 }),
-		with("most down before", func(c *fleetScenario) { c.restartFraction, c.downtime = 0.8, 4000 }),
-		with("all down before", func(c *fleetScenario) { c.restartFraction, c.downtime = 1, 4000 }),
-		with("most slow restart in a burst", func(c *fleetScenario) { c.restartFraction, c.cores, c.meanWork, c.burstFactor = 0.8, 1, 250, 2.5 }),
-		with("half restart, all forget in a burst", func(c *fleetScenario) {
+		scenario("all restart under overload", func(c *fleetScenario) { c.restartFraction, c.load = 1, 1.5 }),
+		scenario("half down before a burst", func(c *fleetScenario) { c.restartFraction, c.downtime, c.burstFactor = 0.5, 4000, 2.5 }),
+		scenario("most down before", func(c *fleetScenario) { c.restartFraction, c.downtime = 0.8, 4000 }),
+		scenario("all down before", func(c *fleetScenario) { c.restartFraction, c.downtime = 1, 4000 }),
+		scenario("most slow restart in a burst", func(c *fleetScenario) { c.restartFraction, c.cores, c.meanWork, c.burstFactor = 0.8, 1, 250, 2.5 }),
+		scenario("half restart, all forget in a burst", func(c *fleetScenario) {
 			c.restartFraction, c.resetFraction, c.resetAt, c.burstFactor = 0.5, 1, burstAt, 2.5
 		}),
-		with("all restart, all forget", func(c *fleetScenario) { c.restartFraction, c.resetFraction, c.resetAt = 1, 1, burstAt }),
-		with("drains for a while", func(c *fleetScenario) { c.drainTime = 9000 }),
-		with("slow servers drain for a while", func(c *fleetScenario) { c.cores, c.meanWork, c.drainTime = 1, 250, 9000 }),
-		with("slow servers drain, overload", func(c *fleetScenario) { c.cores, c.meanWork, c.drainTime, c.load = 1, 250, 12000, 1.5 }),
-		with("cut off for a while", func(c *fleetScenario) { c.unreachableTime = 9000 }),
-		with("slow servers cut off, burst", func(c *fleetScenario) { c.cores, c.meanWork, c.unreachableTime, c.burstFactor = 1, 250, 9000, 2.5 }),
-		with("tiny servers", func(c *fleetScenario) { c.servers, c.cores, c.meanWork = 3, 1, 500 }),
-		with("tiny servers idle then burst", func(c *fleetScenario) { c.servers, c.cores, c.meanWork, c.idleBeforeBurst, c.load = 3, 1, 500, true, 2 }),
-		with("tiny servers all restart", func(c *fleetScenario) { c.servers, c.cores, c.meanWork, c.restartFraction, c.load = 4, 1, 500, 1, 1 }),
-		with("tiny servers, all forget in a burst", func(c *fleetScenario) {
+		scenario("all restart, all forget", func(c *fleetScenario) { c.restartFraction, c.resetFraction, c.resetAt = 1, 1, burstAt }),
+		scenario("drains for a while", func(c *fleetScenario) { c.drainTime = 9000 }),
+		scenario("slow servers drain for a while", func(c *fleetScenario) { c.cores, c.meanWork, c.drainTime = 1, 250, 9000 }),
+		scenario("slow servers drain, overload", func(c *fleetScenario) { c.cores, c.meanWork, c.drainTime, c.load = 1, 250, 12000, 1.5 }),
+		scenario("cut off for a while", func(c *fleetScenario) { c.unreachableTime = 9000 }),
+		scenario("slow servers cut off, burst", func(c *fleetScenario) { c.cores, c.meanWork, c.unreachableTime, c.burstFactor = 1, 250, 9000, 2.5 }),
+		scenario("tiny servers", func(c *fleetScenario) { c.servers, c.cores, c.meanWork = 3, 1, 500 }),
+		scenario("tiny servers idle then burst", func(c *fleetScenario) { c.servers, c.cores, c.meanWork, c.idleBeforeBurst, c.load = 3, 1, 500, true, 2 }),
+		scenario("tiny servers all restart", func(c *fleetScenario) { c.servers, c.cores, c.meanWork, c.restartFraction, c.load = 4, 1, 500, 1, 1 }),
+		scenario("tiny servers, all forget in a burst", func(c *fleetScenario) {
 			c.servers, c.cores, c.meanWork, c.resetFraction, c.resetAt, c.burstFactor = 4, 1, 500, 1, burstAt, 3
 		}),
-		with("few servers all restart", func(c *fleetScenario) { c.servers, c.restartFraction = 3, 1 }),
-		with("few servers", func(c *fleetScenario) { c.servers = 3 }),
+		scenario("few servers all restart", func(c *fleetScenario) { c.servers, c.restartFraction = 3, 1 }),
+		scenario("few servers", func(c *fleetScenario) { c.servers = 3 }),
 	}
 }
 
--- a/balance/wallclock_test.go
+++ b/balance/wallclock_test.go
@@ -8,15 +8,15 @@
 
 // A start in the future is of a clock that is off; the server is cold for its time and no longer.
 func TestWallClock_startInFuture(t *testing.T) {
-	g := newListHarness(t, nil)
-	list := ServerList{Kind: ListFull, Rev: 2, Servers: []Server{{ID: 1, StartedAt: g.now + 3.6e6}}}
-	g.handle(list)
-	if !g.b.warmingUp(g.b.byID[1]) {
+	h := newListHarness(t, nil)
+	list := ServerList{Kind: ListFull, Rev: 2, Servers: []Server{{ID: 1, StartedAt: h.now + 3.6e6}}}
+	h.handle(list)
+	if !h.b.warmingUp(h.b.byID[1]) {
 		t.Error("a server that has just started is not cold")
 	}
-	g.now += g.b.cfg.SlowStartTime
-	g.handle(list) // told again: it has not started again
-	if g.b.warmingUp(g.b.byID[1]) {
+	h.now += h.b.cfg.SlowStartTime
+	h.handle(list) // told again: it has not started again
+	if h.b.warmingUp(h.b.byID[1]) {
 		t.Error("it is still cold")
 	}
 }
@@ -30,29 +30,29 @@
 // a half before.
 func newClockHarness(t *testing.T) *harness {
 	t.Helper()
-	g := &harness{t: t, b: mustNew(t, baseConfig()), now: testBoot}
-	g.handle(ServerList{Kind: ListFull, Rev: 10, Servers: append(identicalServers(3), Server{ID: 4, StartedAt: testBoot - 1.5*testHour})})
-	return g
+	h := &harness{t: t, b: mustNew(t, baseConfig()), now: testBoot}
+	h.handle(ServerList{Kind: ListFull, Rev: 10, Servers: append(identicalServers(3), Server{ID: 4, StartedAt: testBoot - 1.5*testHour})})
+	return h
 }
 
 // told takes in a change of server 4, or of another.
-func (g *harness) updateServer(rev int64, s Server) *server {
-	g.t.Helper()
-	g.handle(ServerList{Kind: ListDelta, Rev: rev, Servers: []Server{s}})
-	return g.b.byID[s.ID]
+func (h *harness) updateServer(rev int64, s Server) *server {
+	h.t.Helper()
+	h.handle(ServerList{Kind: ListDelta, Rev: rev, Servers: []Server{s}})
+	return h.b.byID[s.ID]
 }
 
 // pass lets time go by in which a service says that it is there.
-func (g *harness) passTime(ms float64) {
-	g.t.Helper()
-	g.now += ms
-	g.handle(ServerList{Kind: ListAlive})
+func (h *harness) passTime(ms float64) {
+	h.t.Helper()
+	h.now += ms
+	h.handle(ServerList{Kind: ListAlive})
 }
 
-func (g *harness) stepClock(offset float64) {
-	g.t.Helper()
-	g.handle(ClockStepped{Offset: offset})
-	g.now += 50
+func (h *harness) stepClock(offset float64) {
+	h.t.Helper()
+	h.handle(ClockStepped{Offset: offset})
+	h.now += 50
 }
 
 // A server that starts behind a step that this process has noticed is cold from its true start on.
@@ -60,17 +60,17 @@
 	for _, step := range []float64{-testHour, -30e3, -1e3, 1e3, 30e3, testHour} {
 		for name, id := range map[string]ServerID{"a new one": 9, "a restart": 4, "a restart of long ago": 2} {
 			t.Run(fmt.Sprintf("%v s, %s", step/1000, name), func(t *testing.T) {
-				g := newClockHarness(t)
-				g.now += 60e3
-				g.stepClock(step)
-				g.now += 8e3
-				started := g.now - 200
-				s := g.updateServer(11, Server{ID: id, StartedAt: started + step})
-				if !g.b.warmingUp(s) || s.slowStartAt < started-futureSlack || s.slowStartAt > g.now {
-					t.Fatalf("started %.0f ms ago, taken for %.0f", g.now-started, g.now-s.slowStartAt)
+				h := newClockHarness(t)
+				h.now += 60e3
+				h.stepClock(step)
+				h.now += 8e3
+				started := h.now - 200
+				s := h.updateServer(11, Server{ID: id, StartedAt: started + step})
+				if !h.b.warmingUp(s) || s.slowStartAt < started-futureSlack || s.slowStartAt > h.now {
+					t.Fatalf("started %.0f ms ago, taken for %.0f", h.now-started, h.now-s.slowStartAt)
 				}
-				g.passTime(g.b.cfg.SlowStartTime + 1)
-				if g.b.warmingUp(s) {
+				h.passTime(h.b.cfg.SlowStartTime + 1)
+				if h.b.warmingUp(s) {
 					t.Error("it stays cold")
 				}
 			})
@@ -81,25 +81,25 @@
 // Machines' clocks are not stepped together: another one's stays as it is, or is stepped before this process's.
 func TestWallClock_otherMachine(t *testing.T) {
 	for _, step := range []float64{-testHour, -30e3, -1e3, 1e3, 30e3, testHour} {
-		check := func(g *harness, began, told float64) {
+		check := func(h *harness, started, listed float64) {
 			t.Helper()
-			g.now += 500
-			if s := g.updateServer(11, Server{ID: 9, StartedAt: told}); !g.b.warmingUp(s) || s.slowStartAt < began-futureSlack {
-				t.Errorf("step %v s: started %.0f ms ago, taken for %.0f", step/1000, g.now-began, g.now-s.slowStartAt)
+			h.now += 500
+			if s := h.updateServer(11, Server{ID: 9, StartedAt: listed}); !h.b.warmingUp(s) || s.slowStartAt < started-futureSlack {
+				t.Errorf("step %v s: started %.0f ms ago, taken for %.0f", step/1000, h.now-started, h.now-s.slowStartAt)
 			}
 		}
 		t.Run("not stepped", func(t *testing.T) {
-			g := newClockHarness(t)
-			g.stepClock(step)
-			g.now += 2 * testHour
-			check(g, g.now, g.now)
+			h := newClockHarness(t)
+			h.stepClock(step)
+			h.now += 2 * testHour
+			check(h, h.now, h.now)
 		})
 		t.Run("stepped before", func(t *testing.T) {
-			g := newClockHarness(t)
-			began := g.now
-			g.now += 5000
-			g.stepClock(step)
-			check(g, began, began+step)
+			h := newClockHarness(t)
+			started := h.now
+			h.now += 5000
+			h.stepClock(step)
+			check(h, started, started+step)
 		})
 	}
 }
@@ -107,17 +107,17 @@
 // Two steps that cancel each other out leave what was told between them an hour off.
 func TestWallClock_stepForthAndBack(t *testing.T) {
 	for _, step := range []float64{-testHour, testHour} {
-		g := newClockHarness(t)
-		g.stepClock(step)
-		s := g.updateServer(11, Server{ID: 4, StartedAt: g.now + step})
-		g.passTime(2 * g.b.cfg.SlowStartTime)
-		if g.b.warmingUp(s) {
+		h := newClockHarness(t)
+		h.stepClock(step)
+		s := h.updateServer(11, Server{ID: 4, StartedAt: h.now + step})
+		h.passTime(2 * h.b.cfg.SlowStartTime)
+		if h.b.warmingUp(s) {
 			t.Fatalf("%v: a warm server is cold", step)
 		}
-		g.stepClock(0)
-		g.now += 1000
-		if s = g.updateServer(12, Server{ID: 4, StartedAt: g.now - 100}); !g.b.warmingUp(s) || s.slowStartAt < g.now-1100 {
-			t.Errorf("%v: a restart behind the second step is %v ms old", step, g.now-s.slowStartAt)
+		h.stepClock(0)
+		h.now += 1000
+		if s = h.updateServer(12, Server{ID: 4, StartedAt: h.now - 100}); !h.b.warmingUp(s) || s.slowStartAt < h.now-1100 {
+			t.Errorf("%v: a restart behind the second step is %v ms old", step, h.now-s.slowStartAt)
 		}
 	}
 }
@@ -125,8 +125,8 @@
 // What this process did not notice shows in starts that cannot be.
 func TestWallClock_implausibleStarts(t *testing.T) {
 	for name, c := range map[string]struct {
-		told []float64 // starts of server 4, one list after the other, on the time of the test
-		cold bool
+		starts    []float64 // starts of server 4, one list after the other, on the time of the test
+		warmingUp bool
 	}{
 		"in the future":                           {[]float64{testHour}, true},
 		"smaller than before":                     {[]float64{-2 * testHour}, true},
@@ -136,15 +136,15 @@
 		"the same":                                {[]float64{-1.5 * testHour}, false},
 	} {
 		t.Run(name, func(t *testing.T) {
-			g := newClockHarness(t)
+			h := newClockHarness(t)
 			var s *server
-			for i, start := range c.told {
-				g.passTime(2 * g.b.cfg.SlowStartTime)
-				g.now += 100
-				s = g.updateServer(int64(11+i), Server{ID: 4, StartedAt: testBoot + start})
+			for i, start := range c.starts {
+				h.passTime(2 * h.b.cfg.SlowStartTime)
+				h.now += 100
+				s = h.updateServer(int64(11+i), Server{ID: 4, StartedAt: testBoot + start})
 			}
-			if g.b.warmingUp(s) != c.cold || c.cold && s.slowStartAt < g.now-200 {
-				t.Errorf("cold %v since %v ms", g.b.warmingUp(s), g.now-s.slowStartAt)
+			if h.b.warmingUp(s) != c.warmingUp || c.warmingUp && s.slowStartAt < h.now-200 {
+				t.Errorf("cold %v since %v ms", h.b.warmingUp(s), h.now-s.slowStartAt)
 			}
 		})
 	}
@@ -160,14 +160,14 @@
 		"a start not known":  {Kind: ListFull, Rev: 11},
 	} {
 		t.Run(name, func(t *testing.T) {
-			g := newClockHarness(t)
+			h := newClockHarness(t)
 			list.Servers = append(identicalServers(3), Server{ID: 4, StartedAt: testBoot - 2*testHour})
 			if list.Rev == 11 {
 				list.Servers[3].StartedAt = 0
 			}
-			g.handle(list)
-			if g.b.warmingUp(g.b.byID[4]) || g.b.stepped {
-				t.Errorf("a restart is seen: %+v", g.b.byID[4])
+			h.handle(list)
+			if h.b.warmingUp(h.b.byID[4]) || h.b.stepped {
+				t.Errorf("a restart is seen: %+v", h.b.byID[4])
 			}
 		})
 	}
@@ -176,13 +176,13 @@
 // Of two servers in one place the one that started later is there, though a step back came between the two starts.
 func TestWallClock_sharedAddress(t *testing.T) {
 	for _, step := range []float64{-testHour, -30e3} {
-		g := newClockHarness(t)
-		g.handle(ServerList{Kind: ListFull, Rev: 11, Servers: []Server{{ID: 1, AddressKey: 6, StartedAt: g.now - 20e3}}})
-		g.stepClock(step)
-		g.now += 1000
-		g.handle(ServerList{Kind: ListFull, Rev: 12, Servers: []Server{
-			{ID: 1, AddressKey: 6, StartedAt: testBoot - 20e3}, {ID: 2, AddressKey: 6, StartedAt: g.now - 100 + step}}})
-		g.requireUsable(fmt.Sprintf("%v s", step/1000), "2")
+		h := newClockHarness(t)
+		h.handle(ServerList{Kind: ListFull, Rev: 11, Servers: []Server{{ID: 1, AddressKey: 6, StartedAt: h.now - 20e3}}})
+		h.stepClock(step)
+		h.now += 1000
+		h.handle(ServerList{Kind: ListFull, Rev: 12, Servers: []Server{
+			{ID: 1, AddressKey: 6, StartedAt: testBoot - 20e3}, {ID: 2, AddressKey: 6, StartedAt: h.now - 100 + step}}})
+		h.requireUsable(fmt.Sprintf("%v s", step/1000), "2")
 	}
 }
 
@@ -190,20 +190,20 @@
 // time. Nor do offsets grow in number.
 func TestWallClock_manySteps(t *testing.T) {
 	for seed := range uint64(200) {
-		g, offset, rev, draw := newClockHarness(t), 0.0, int64(10), seed
+		h, offset, rev, draw := newClockHarness(t), 0.0, int64(10), seed
 		for range 30 {
 			draw = mix(draw + 1)
-			g.now += 10e3 + float64(draw%7)*10e3
+			h.now += 10e3 + float64(draw%7)*10e3
 			offset += []float64{1e3, -1e3, 30e3, -30e3, testHour, -testHour}[mix(draw)%6]
-			g.stepClock(offset)
-			g.now += 1000
+			h.stepClock(offset)
+			h.now += 1000
 			rev++
-			s := g.updateServer(rev, Server{ID: 4, StartedAt: g.now - 100 + offset})
-			if !g.b.warmingUp(s) || s.slowStartAt > g.now || s.slowStartAt < g.now-2000 {
-				t.Fatalf("seed %d, offset %v: started %v ms ago", seed, offset, g.now-s.slowStartAt)
+			s := h.updateServer(rev, Server{ID: 4, StartedAt: h.now - 100 + offset})
+			if !h.b.warmingUp(s) || s.slowStartAt > h.now || s.slowStartAt < h.now-2000 {
+				t.Fatalf("seed %d, offset %v: started %v ms ago", seed, offset, h.now-s.slowStartAt)
 			}
-			if len(g.b.offsets) > maxOffsets {
-				t.Fatal(len(g.b.offsets), "offsets are kept")
+			if len(h.b.offsets) > maxOffsets {
+				t.Fatal(len(h.b.offsets), "offsets are kept")
 			}
 		}
 	}
@@ -211,15 +211,15 @@
 
 // Without a step no start is read otherwise than it is told.
 func TestWallClock_noStep(t *testing.T) {
-	g := newClockHarness(t)
+	h := newClockHarness(t)
 	for rev, start := range []float64{-30e3, -100, 500} {
-		g.passTime(60e3)
-		s := g.updateServer(int64(11+rev), Server{ID: 4, StartedAt: g.now + start})
-		if s.slowStartAt != g.now+start || g.b.stepped {
-			t.Errorf("%v: since %v", start, s.slowStartAt-g.now)
+		h.passTime(60e3)
+		s := h.updateServer(int64(11+rev), Server{ID: 4, StartedAt: h.now + start})
+		if s.slowStartAt != h.now+start || h.b.stepped {
+			t.Errorf("%v: since %v", start, s.slowStartAt-h.now)
 		}
 	}
-	if s := g.b.byID[1]; !math.IsInf(s.slowStartAt, -1) {
+	if s := h.b.byID[1]; !math.IsInf(s.slowStartAt, -1) {
 		t.Errorf("started long ago: since %v", s.slowStartAt)
 	}
 }
