--- a/balance/admission_load_test.go
+++ b/balance/admission_load_test.go
@@ -5,20 +5,21 @@
 	"testing"
 )
 
-// lateConnects plays requests of which a third waits in vain for its first connection, at a load that the servers
-// answer in a sixth of the aim. It returns how many are refused.
+// rejectedWithLateConnects plays 4000 requests, of which each third waits for its first connection until the connect
+// timeout, at a load that servers answer in a sixth of the latency objective. It returns the number of rejected
+// requests.
 func rejectedWithLateConnects(t *testing.T, reported bool) (rejected int) {
 	cfg := baseConfig()
 	cfg.ConnectTimeout = 160
 	h := newHarness(t, cfg, identicalServers(12)...)
-	const step, answer = 25, 50 // ms
-	type out struct {
+	const step, latency = 25, 50 // ms
+	type attemptInFlight struct {
 		id      RequestID
 		attempt int
 		end     float64
 		result  Result
 	}
-	var running []out
+	var running []attemptInFlight
 	send := func(id RequestID, attempt int, acts []Action, late bool) {
 		if hasAction(acts, Reject) {
 			rejected++
@@ -26,7 +27,7 @@
 		if _, sent := sentTo(acts); !sent {
 			return
 		}
-		o := out{id, attempt, h.now + answer, OK}
+		o := attemptInFlight{id, attempt, h.now + latency, OK}
 		if late {
 			o.end, o.result = h.now+cfg.ConnectTimeout, ConnectFailed
 			if reported {
@@ -37,17 +38,17 @@
 	}
 	for n := range 4000 {
 		h.now += step
-		var still []out
+		var still []attemptInFlight
 		for _, o := range running {
 			if o.end > h.now {
 				still = append(still, o)
 				continue
 			}
-			took := answer
+			elapsed := latency
 			if o.result == ConnectFailed {
-				took = int(cfg.ConnectTimeout)
+				elapsed = int(cfg.ConnectTimeout)
 			}
-			acts := h.endAttempt(o.id, o.attempt, o.result, float64(took))
+			acts := h.endAttempt(o.id, o.attempt, o.result, float64(elapsed))
 			if o.result == ConnectFailed {
 				running = nil
 				send(o.id, o.attempt+1, acts, false)
@@ -61,42 +62,42 @@
 	return rejected
 }
 
-// An attempt that waits for its connection is no work of a server's: with it in the estimate of how long answers
-// take, load was refused while servers had room.
+// An attempt that waits for its connection uses no server capacity, so it must not count as load: otherwise requests
+// are rejected while servers have free capacity.
 func TestAdmission_lateConnectsExcluded(t *testing.T) {
 	if rejected := rejectedWithLateConnects(t, true); rejected > 0 {
-		t.Errorf("%d of 4000 requests are refused while servers have room", rejected)
+		t.Errorf("%d of 4000 requests are rejected while servers have free capacity", rejected)
 	}
 	if rejected := rejectedWithLateConnects(t, false); rejected == 0 {
 		t.Error("the load is too small to show a wrong estimate")
 	}
 }
 
-// Clients that leave long before the aim say nothing of how long answers take: with their time in the estimate and
-// no answer of theirs in the rate, load was refused while servers had room.
+// Requests whose client leaves before the answer say nothing about the latency of answers. If their time counted as
+// load, requests would be rejected while servers have free capacity.
 func TestAdmission_clientAbortsExcluded(t *testing.T) {
 	cfg := baseConfig()
 	h := newHarness(t, cfg, identicalServers(12)...)
-	const step, answer, leaves = 30, 75, 70 // ms
-	type out struct {
+	const step, latency, leaveAfter = 30, 75, 70 // ms
+	type attemptInFlight struct {
 		id   RequestID
 		end  float64
 		gone bool
 	}
-	var running []out
+	var running []attemptInFlight
 	rejected := 0
 	for n := range 4000 {
 		h.now += step
-		var still []out
+		var still []attemptInFlight
 		for _, o := range running {
 			switch {
 			case o.end > h.now:
 				still = append(still, o)
 			case o.gone:
 				h.handle(ClientGone{Request: o.id})
-				h.endAttempt(o.id, 0, Cancelled, leaves)
+				h.endAttempt(o.id, 0, Cancelled, leaveAfter)
 			default:
-				h.endAttempt(o.id, 0, OK, answer)
+				h.endAttempt(o.id, 0, OK, latency)
 			}
 		}
 		running = still
@@ -105,18 +106,18 @@
 			rejected++
 			continue
 		}
-		o := out{id, h.now + answer, n%2 == 0}
+		o := attemptInFlight{id, h.now + latency, n%2 == 0}
 		if o.gone {
-			o.end = h.now + leaves
+			o.end = h.now + leaveAfter
 		}
 		running = append(running, o)
 	}
 	if rejected > 0 {
-		t.Errorf("%d of 4000 requests are refused while servers have room", rejected)
+		t.Errorf("%d of 4000 requests are rejected while servers have free capacity", rejected)
 	}
 }
 
-// What is overdue at a server that rests is no load any more: it hangs, and that is no overload of the others.
+// Overdue attempts at an ejected server do not count as load: one hung server is no overload of the others.
 func TestAdmission_ejectedServerExcluded(t *testing.T) {
 	h := newHarness(t, baseConfig(), identicalServers(1)...)
 	var ids []RequestID
@@ -125,20 +126,20 @@
 		ids = append(ids, id)
 	}
 	before := h.b.inFlightLoad
-	h.now += baseConfig().Classes[idempotentClass].LatencyObjective / 2 // few answers are known: then an attempt is overdue
+	h.now += baseConfig().Classes[idempotentClass].LatencyObjective / 2 // with few answers known, an attempt is overdue then
 	for _, id := range ids {
 		h.handle(Timer{Token: uint64(id)})
 	}
 	if _, avoided := h.b.CountServers(h.now); avoided != 1 {
-		t.Fatalf("%d servers rest", avoided)
+		t.Fatalf("%d servers are avoided, want 1", avoided)
 	}
 	if h.b.inFlightLoad >= before {
-		t.Errorf("the load is %v, and was %v before the server was found to hang", h.b.inFlightLoad, before)
+		t.Errorf("the load is %v after the ejection, and was %v before", h.b.inFlightLoad, before)
 	}
 }
 
-// A hung server is passed over at once, for what it holds, and rested after several strikes;
-// what is stuck there must not look like overload of the whole fleet.
+// A server that hangs is avoided at once for what it has in flight, and ejected after errorsToEject failures. Its
+// pending attempts must not be taken for an overload of the fleet.
 func TestAdmission_hungServer(t *testing.T) {
 	h := newHarness(t, baseConfig(), identicalServers(6)...)
 	hung := 0
@@ -150,7 +151,7 @@
 		id, acts := h.sendRequest(idempotentClass)
 		s, ok := sentTo(acts)
 		if !ok {
-			t.Fatalf("request %d was refused: shed %v", id, h.b.lastingShed)
+			t.Fatalf("request %d was rejected: shed %v", id, h.b.lastingShed)
 		}
 		if s == 1 {
 			hung++
@@ -160,11 +161,11 @@
 		h.endAttempt(id, 0, OK, 10)
 	}
 	if hung > 40 {
-		t.Fatalf("the hung server got %d of 900", hung)
+		t.Fatalf("the hung server got %d of 900 requests", hung)
 	}
 }
 
-// due returns the timers of open requests that have come.
+// dueTimers returns the timers of unanswered requests whose time has come.
 func (h *harness) dueTimers() []Timer {
 	var list []Timer
 	for id := RequestID(1); id <= h.lastID; id++ {
@@ -175,7 +176,7 @@
 	return list
 }
 
-// What hangs is its server's trouble and must not shed load for seconds: it counts for one aim.
+// A pending attempt counts as load for one latency objective at most, so that a hung server does not shed load.
 func TestAdmission_overdueAttemptExcluded(t *testing.T) {
 	h := newHarness(t, baseConfig(), identicalServers(2)...)
 	id, _ := h.sendRequest(idempotentClass)
@@ -187,11 +188,11 @@
 	h.handle(Timer{Token: uint64(id)})
 	h.endAttempt(id, 0, OK, 300)
 	if want := 1.0 / 300; math.Abs(h.b.inFlightLoad-want) > 1e-12 {
-		t.Fatalf("load %v when one has taken its aim and ended, want %v", h.b.inFlightLoad, want)
+		t.Fatalf("load %v after one of them ended at its objective, want %v", h.b.inFlightLoad, want)
 	}
 }
 
-// A handful of requests that meet by chance is no overload.
+// A few requests that arrive together are no overload.
 func TestAdmission_smallBurst(t *testing.T) {
 	h := newHarness(t, baseConfig(), identicalServers(4)...)
 	for range 40 {
@@ -200,7 +201,7 @@
 		for range 4 {
 			id, acts := h.sendRequest(idempotentClass)
 			if hasAction(acts, Reject) {
-				t.Fatalf("request %d was refused", id)
+				t.Fatalf("request %d was rejected", id)
 			}
 			inFlight = append(inFlight, id)
 		}
@@ -211,13 +212,13 @@
 	}
 }
 
-// Traffic grew sevenfold within seconds on an enlarged fleet; answers stayed fast, but the attempts
-// in flight were set against the rate of answers of some time before, and half was refused.
+// Traffic that grows tenfold within nine seconds is no overload while answers stay fast: the load in flight must not
+// be compared with an answer rate of the past.
 func TestAdmission_fastTrafficGrowth(t *testing.T) {
 	h := newHarness(t, baseConfig(), identicalServers(12)...)
 	var inFlight []RequestID
 	rejected := 0
-	for gap := 20.0; gap > 2; gap *= 0.998 { // tenfold in some nine seconds
+	for gap := 20.0; gap > 2; gap *= 0.998 { // tenfold within nine seconds
 		h.now += gap
 		id, acts := h.sendRequest(idempotentClass)
 		if hasAction(acts, Reject) {
@@ -231,6 +232,6 @@
 		}
 	}
 	if rejected > 0 {
-		t.Fatalf("%d requests were refused", rejected)
+		t.Fatalf("%d requests were rejected", rejected)
 	}
 }
--- a/balance/admission_test.go
+++ b/balance/admission_test.go
@@ -6,22 +6,21 @@
 	"testing"
 )
 
-// Clients whose requests are shed are told when to return, where they listen; a request that failed at a
-// server may return at once.
+// A rejected request carries a retry pause if the settings allow it. A request that failed at servers carries none.
 func TestAdmission_retryAfter(t *testing.T) {
 	for _, test := range []struct {
-		listen                  bool
-		maxPause                float64
-		minPause, maxRetryAfter float64
+		enabled            bool
+		maxRetryAfter      float64
+		minPause, maxPause float64
 	}{
 		{true, 1000, 1, 300}, {true, 7, 7, 7}, {false, 1000, 0, 0},
 	} {
 		cfg := baseConfig()
-		cfg.RetryAfter, cfg.MaxRetryAfter = test.listen, test.maxPause
+		cfg.RetryAfter, cfg.MaxRetryAfter = test.enabled, test.maxRetryAfter
 		h := newHarness(t, cfg, identicalServers(2)...)
 		rejected := 0
 		var inFlight []RequestID
-		for range 500 { // answers take nearly all of the aim
+		for range 500 { // answers take nearly the whole latency objective
 			h.now += 5
 			id, acts := h.sendRequest(idempotentClass)
 			if _, sent := sentTo(acts); sent {
@@ -34,14 +33,14 @@
 			for _, a := range acts {
 				if a.Kind == Reject {
 					rejected++
-					if a.At < test.minPause || a.At > test.maxRetryAfter {
-						t.Errorf("%+v: told to stay away for %v ms", test, a.At)
+					if a.At < test.minPause || a.At > test.maxPause {
+						t.Errorf("%+v: the retry pause is %v ms", test, a.At)
 					}
 				}
 			}
 		}
 		if rejected == 0 {
-			t.Errorf("%+v: nothing was shed", test)
+			t.Errorf("%+v: no request was rejected", test)
 		}
 	}
 	h := newHarness(t, baseConfig(), identicalServers(2)...)
@@ -49,13 +48,13 @@
 	h.endAttempt(id, 0, Failed, 10)
 	for _, a := range h.endAttempt(id, 1, Failed, 10) {
 		if a.Kind == Reject && a.At != 0 {
-			t.Errorf("a failed request is told to stay away for %v ms", a.At)
+			t.Errorf("the retry pause after a failure is %v ms, want none", a.At)
 		}
 	}
 }
 
-// In overload every queue filled and all answers came late. What cannot be answered in time is
-// refused before it is sent, least worth first.
+// In overload, requests that cannot be answered in time are rejected before they are sent, those of low priority
+// weight first.
 func TestAdmission_lowPriorityFirst(t *testing.T) {
 	h := newHarness(t, baseConfig(), identicalServers(4)...)
 	rejected := map[int]int{}
@@ -75,11 +74,11 @@
 		}
 	}
 	if rejected[idempotentClass] < 100 || rejected[nonIdempotentClass] >= rejected[idempotentClass] {
-		t.Fatalf("refused %d of low worth and %d of high worth", rejected[idempotentClass], rejected[nonIdempotentClass])
+		t.Fatalf("rejected %d of low priority weight and %d of high weight", rejected[idempotentClass], rejected[nonIdempotentClass])
 	}
 }
 
-// After a crash a sidecar of two requests a second took eight seconds to shed, and what was left choked.
+// A sidecar with two requests a second sheds at least half of the excess after three seconds of overload.
 func TestAdmission_lowTrafficOverload(t *testing.T) {
 	h := newHarness(t, baseConfig(), identicalServers(4)...)
 	for range 6 {
@@ -93,8 +92,8 @@
 	}
 }
 
-// crowd sets the lasting part to shed and fills the fleet so that answers take the given part of the
-// aim longer than they may.
+// setOverload sets the lasting part of the load to shed, and a load in flight with which answers take this part of
+// the latency objective longer than they may.
 func (h *harness) setOverload(lasting, over float64) {
 	full := h.b.quickest + spareObjective*(1-h.b.quickest)
 	if h.b.lastingShed = lasting; lasting > 0 {
@@ -106,8 +105,8 @@
 	h.b.meanInFlightLoad = h.b.inFlightLoad
 }
 
-// shedding brings 4000 requests, drawn from turns of (class, tenant), of which 0.4 of the work is to be shed,
-// and returns the part refused of each class and of each tenant.
+// rejectedFractions brings 4000 requests, drawn from arrivals of (class, tenant), while 0.4 of the work is to be
+// shed. It returns the rejected part of each class and of each tenant.
 func rejectedFractions(t *testing.T, cfg Config, arrivals ...[2]int) (byClass, byTenant [5]float64) {
 	t.Helper()
 	h := newHarness(t, cfg, identicalServers(4)...)
@@ -135,13 +134,12 @@
 	return byClass, byTenant
 }
 
-// Busy sidecars let queues grow for seconds before enough was shed, and crowded servers
-// stayed slow. What is shed follows the load at once, between nothing and twice the lasting part; a
-// sidecar that has not shed lately refuses nothing, as its few requests may crowd by chance.
+// The rejected part follows the current load, from nothing to twice the lasting part. Without a lasting part, nearly
+// nothing is rejected: a short peak is no overload.
 func TestAdmission_shedFollowsLoad(t *testing.T) {
 	for _, c := range []struct {
-		lasting, over            float64 // over: of the aim, beyond what answers may take
-		minRejected, maxRejected float64 // part refused
+		lasting, over            float64 // over: part of the objective beyond what answers may take
+		minRejected, maxRejected float64 // part of the requests
 	}{{0, 0.5, 0, 0.05}, {0.4, 0, 0.3, 0.5}, {0.4, 0.5, 0.7, 0.9}, {0.4, -0.3, 0, 0}} {
 		h := newHarness(t, baseConfig(), identicalServers(4)...)
 		for range 100 {
@@ -157,58 +155,58 @@
 			}
 		}
 		if rejected /= 200; rejected < c.minRejected || rejected > c.maxRejected {
-			t.Errorf("%+v: %.2f were refused", c, rejected)
+			t.Errorf("%+v: %.2f were rejected", c, rejected)
 		}
 	}
 }
 
-// Of two tenants with equal shares the one that asks three times as much loses what is beyond its
-// share; when both ask for the same they lose the same.
+// Of two tenants with equal quotas, the one with three times the traffic loses the part over its quota. With equal
+// traffic both lose the same part.
 func TestAdmission_tenantOverQuota(t *testing.T) {
 	cfg := baseConfig()
 	cfg.Tenants = []Tenant{{Quota: 0.5}, {Quota: 0.5}}
 	_, rejected := rejectedFractions(t, cfg, [2]int{0, 0}, [2]int{0, 0}, [2]int{0, 0}, [2]int{0, 1})
 	if rejected[0] < 0.4 || rejected[1] > 0.1 {
-		t.Fatalf("refused %.2f of the tenant with much traffic, %.2f of the other", rejected[0], rejected[1])
+		t.Fatalf("rejected %.2f of the tenant over its quota, %.2f of the other", rejected[0], rejected[1])
 	}
 	_, rejected = rejectedFractions(t, cfg, [2]int{0, 0}, [2]int{0, 1})
 	if math.Abs(rejected[0]-rejected[1]) > 0.15 {
-		t.Fatalf("of equal tenants %.2f and %.2f are refused", rejected[0], rejected[1])
+		t.Fatalf("of equal tenants %.2f and %.2f are rejected", rejected[0], rejected[1])
 	}
 }
 
-// The class of least worth was refused wholly although the worst-served class weighs much
-// in the goal. Then the classes come near each other; without such a weight the least goes first.
+// A goal that counts the worst-served class brings the rejected parts of the classes near each other. Without it the
+// class of lowest priority weight is rejected first.
 func TestAdmission_worstClassGoal(t *testing.T) {
 	cfg := baseConfig()
 	arrivals := [][2]int{{idempotentClass, 0}, {nonIdempotentClass, 0}}
 	cfg.Goal = Goal{Overall: 1}
 	if rejected, _ := rejectedFractions(t, cfg, arrivals...); rejected[idempotentClass] < 0.7 || rejected[nonIdempotentClass] > 0.1 {
-		t.Fatalf("without the weight %.2f and %.2f are refused", rejected[idempotentClass], rejected[nonIdempotentClass])
+		t.Fatalf("without the weight in the goal, %.2f and %.2f are rejected", rejected[idempotentClass], rejected[nonIdempotentClass])
 	}
 	cfg.Goal = Goal{Overall: 0.3, WorstClass: 0.7}
 	if rejected, _ := rejectedFractions(t, cfg, arrivals...); rejected[idempotentClass] > 0.5 || rejected[nonIdempotentClass] < 0.3 {
-		t.Fatalf("with the weight %.2f and %.2f are refused", rejected[idempotentClass], rejected[nonIdempotentClass])
+		t.Fatalf("with the weight in the goal, %.2f and %.2f are rejected", rejected[idempotentClass], rejected[nonIdempotentClass])
 	}
 }
 
-// A tenant beyond its share is not starved where the worst-served tenant weighs in the goal.
+// A goal that counts the worst-served tenant keeps a tenant over its quota served.
 func TestAdmission_worstTenantGoal(t *testing.T) {
 	cfg := baseConfig()
 	cfg.Tenants = []Tenant{{Quota: 0.8}, {Quota: 0.2}}
 	arrivals := [][2]int{{0, 0}, {0, 1}}
 	cfg.Goal = Goal{Overall: 1}
 	if _, rejected := rejectedFractions(t, cfg, arrivals...); rejected[0] > 0.1 || rejected[1] < 0.7 {
-		t.Fatalf("without the weight %.2f and %.2f are refused", rejected[0], rejected[1])
+		t.Fatalf("without the weight in the goal, %.2f and %.2f are rejected", rejected[0], rejected[1])
 	}
 	cfg.Goal = Goal{Overall: 0.3, WorstTenant: 0.7}
 	if _, rejected := rejectedFractions(t, cfg, arrivals...); math.Abs(rejected[0]-rejected[1]) > 0.15 {
-		t.Fatalf("with the weight %.2f and %.2f are refused", rejected[0], rejected[1])
+		t.Fatalf("with the weight in the goal, %.2f and %.2f are rejected", rejected[0], rejected[1])
 	}
 }
 
-// In full queues everything served was late. While load is shed an unsafe request is given up at its aim,
-// which is no error of the server's; others are not, as their clients would try again.
+// While load is shed, an attempt of a non-idempotent class ends at its latency objective, which counts as no error of
+// its server. Other classes get no such timeout, as their clients would retry.
 func TestAdmission_nonIdempotentTimeout(t *testing.T) {
 	for class, timesOut := range map[int]bool{nonIdempotentClass: true, idempotentClass: false, cellKeyClass: false} {
 		for _, lasting := range []float64{0, 0.2} {
@@ -229,13 +227,13 @@
 			}
 			for _, a := range acts {
 				if a.Kind == Send && a.At != want {
-					t.Errorf("class %d, %v shed: given up at %v, want %v", class, lasting, a.At, want)
+					t.Errorf("class %d, %v shed: the attempt ends at %v, want %v", class, lasting, a.At, want)
 				}
 			}
 			if want > 0 {
 				h.now += 200
 				if h.endAttempt(id, 0, TimedOut, 200); h.b.byID[s].consecutiveErrors != 0 {
-					t.Error("an attempt that was cut is held against its server")
+					t.Error("the timeout counts as an error of the server")
 				}
 			}
 		}
--- a/balance/ejection_test.go
+++ b/balance/ejection_test.go
@@ -6,7 +6,8 @@
 	"testing"
 )
 
-// A server whose connection came up after all is there: it neither rests nor stands against its zone, nor is it cold.
+// A server whose connection is ready after the connect timeout is up: it is not ejected, is no evidence against its
+// zone, and does not start slowly.
 func TestEjection_lateConnection(t *testing.T) {
 	cfg := baseConfig()
 	cfg.ConnectTimeout = 120
@@ -42,17 +43,17 @@
 		return left, avoided, warmingUp
 	}
 	if left, avoided, warmingUp := play(true); left+avoided+warmingUp > 0 {
-		t.Errorf("connections come up late: %d zones left, %d servers avoided, %d cold", left, avoided, warmingUp)
+		t.Errorf("late connections: %d zones left, %d servers avoided, %d in slow start", left, avoided, warmingUp)
 	}
 	if left, _, _ := play(false); left == 0 {
-		t.Error("they never come up, and the zone is not left")
+		t.Error("no connection is ready, and the zone is not left")
 	}
 }
 
-// A server that drops without a word what it cannot answer in the time that is left is not held at fault: it is
-// neither rested nor weighed less, and each request gets one answer after one attempt at most.
+// A server that does not answer within a very short deadline is not at fault: it is neither ejected nor gets a lower
+// weight, and each request gets one answer after at most one attempt.
 func TestEjection_shortTimeout(t *testing.T) {
-	for class, name := range map[int]string{idempotentClass: "safe", nonIdempotentClass: "unsafe", globalKeyClass: "keyed"} {
+	for class, name := range map[int]string{idempotentClass: "idempotent", nonIdempotentClass: "non-idempotent", globalKeyClass: "with key"} {
 		for _, left := range []float64{1, 2, 5, 10, 20} {
 			t.Run(fmt.Sprint(name, ", ", left, " ms"), func(t *testing.T) {
 				h := newHarness(t, baseConfig(), identicalServers(4)...)
@@ -66,7 +67,7 @@
 					id := h.lastID
 					acts := h.handle(Request{ID: id, Class: class, Remaining: left})
 					if _, sent := sentTo(acts); !sent {
-						continue // refused: there is no time for it
+						continue // rejected, as the time is too short
 					}
 					h.now += left
 					acts = h.handle(Timer{Token: uint64(id)})
@@ -81,7 +82,7 @@
 				}
 				for _, s := range h.b.servers {
 					if s.consecutiveErrors > 0 || s.ejections > 0 || h.b.ejected(s) || h.b.health(s) < 1 {
-						t.Errorf("%v ms: server %d is held at fault: %d errors, %d rests", left, s.ID, s.consecutiveErrors, s.ejections)
+						t.Errorf("%v ms: server %d has %d errors and %d ejections", left, s.ID, s.consecutiveErrors, s.ejections)
 					}
 				}
 			})
@@ -89,7 +90,7 @@
 	}
 }
 
-// A server that has had the time that answers take, and is silent, is at fault as before.
+// A server that has not answered in more than the mean latency of its class has failed.
 func TestEjection_timeoutBeyondMean(t *testing.T) {
 	h := newHarness(t, baseConfig(), identicalServers(4)...)
 	for range 100 {
@@ -108,7 +109,8 @@
 	}
 }
 
-// A server to which there is no way is rested as one that is gone, but it does not start again: it stays warm.
+// A server without a network path is ejected like one whose process is down. As its process has not restarted, it
+// does not start slowly when it is back.
 func TestEjection_unreachableServer(t *testing.T) {
 	for _, test := range []struct {
 		result    Result
@@ -119,7 +121,7 @@
 		server, _ := sentTo(acts)
 		s := h.b.byID[server]
 		if acts = h.endAttempt(id, 0, test.result, 1); !hasAction(acts, Send) || !h.b.ejected(s) {
-			t.Errorf("result %v: %+v, resting %v, want another attempt and a rest", test.result, acts, h.b.ejected(s))
+			t.Errorf("result %v: %+v, ejected %v, want another attempt and an ejection", test.result, acts, h.b.ejected(s))
 		}
 		h.now = s.ejectedUntil
 		for h.b.ejected(s) || s.consecutiveErrors > 0 { // until it answers again
@@ -131,31 +133,33 @@
 			h.endAttempt(id, 0, OK, 10)
 		}
 		if warmingUp := h.b.warmingUp(s); warmingUp != test.warmingUp {
-			t.Errorf("result %v: it starts anew: %v, want %v", test.result, warmingUp, test.warmingUp)
+			t.Errorf("result %v: slow start %v, want %v", test.result, warmingUp, test.warmingUp)
 		}
 	}
 }
 
+// The health score falls by penaltyPerError for each error down to healthFloor, recovers by half in a half-life, and
+// is restored by one success.
 func TestEjection_healthScore(t *testing.T) {
 	h := newHarness(t, baseConfig(), identicalServers(2)...)
 	s := h.b.servers[0]
 	if m := h.b.health(s); m != 1 {
-		t.Fatalf("m without errors is %v", m)
+		t.Fatalf("health without errors is %v", m)
 	}
 	s.consecutiveErrors, s.lastErrorAt = 2, h.now
 	if m := h.b.health(s); math.Abs(m-(1-2*penaltyPerError)) > 1e-9 {
-		t.Fatalf("m after two errors is %v", m)
+		t.Fatalf("health after two errors is %v", m)
 	}
 	h.b.now += halfLife
 	if m := h.b.health(s); math.Abs(m-(1-penaltyPerError)) > 1e-9 {
-		t.Fatalf("m after a half-life is %v", m)
+		t.Fatalf("health after a half-life is %v", m)
 	}
 	s.consecutiveErrors = 1000
 	if m := h.b.health(s); m != healthFloor {
-		t.Fatalf("m after very many errors is %v, want the floor", m)
+		t.Fatalf("health after 1000 errors is %v, want the floor", m)
 	}
 	if m := h.b.health(h.b.servers[1]); m != 1 {
-		t.Fatalf("another server's errors moved m to %v", m)
+		t.Fatalf("another server's errors moved the health to %v", m)
 	}
 	s.consecutiveErrors = 2
 	id, _ := h.sendRequest(idempotentClass)
@@ -163,24 +167,24 @@
 	s.inFlight, h.b.servers[1].inFlight = 1, 0
 	h.endAttempt(id, 0, OK, 10)
 	if m := h.b.health(s); m != 1 {
-		t.Fatalf("m after a success is %v", m)
+		t.Fatalf("health after a success is %v", m)
 	}
 }
 
-// A connection that broke under a request tells nothing of the process: after resets all over the network,
-// a whole warm fleet was held to have restarted, and was sent next to nothing for the time of a warm-up.
+// A connection that breaks while a request is written counts as one error. It is no evidence of a restart: the server
+// does not start slowly.
 func TestEjection_brokenConnection(t *testing.T) {
 	h := newHarness(t, baseConfig(), identicalServers(2)...)
 	id, acts := h.sendRequest(nonIdempotentClass)
 	s, _ := sentTo(acts)
 	next, sent := sentTo(h.endAttempt(id, 0, WriteFailed, 1))
 	if !sent || next == s {
-		t.Fatalf("re-routed %v, to %d: it never ran", sent, next)
+		t.Fatalf("sent again %v, to server %d: want another server, as the request never ran", sent, next)
 	}
 	h.endAttempt(id, 1, OK, 10)
 	server := h.b.byID[s]
 	if h.b.ejected(server) || h.b.health(server) == 1 {
-		t.Errorf("rested %v, health %v: one error counts, but doesn't take it out", h.b.ejected(server), h.b.health(server))
+		t.Errorf("ejected %v, health %v: want one error and no ejection", h.b.ejected(server), h.b.health(server))
 	}
 	h.now += 60000
 	for range 8 {
@@ -188,12 +192,11 @@
 		h.endAttempt(id, 0, OK, 10)
 	}
 	if h.b.warmingUp(server) {
-		t.Error("held to have restarted")
+		t.Error("the server is in slow start")
 	}
 }
 
-// Crowded servers turn slow and stay so until they have been idle for a while: a reported wait beyond the
-// aim rests a server.
+// A reported queue with a wait beyond the latency objective ejects the server.
 func TestEjection_reportedQueue(t *testing.T) {
 	cfg := baseConfig()
 	cfg.Reports, cfg.Fields = ReportPiggyback, []Field{FieldErrorRate, FieldLatency, FieldQueue}
@@ -204,13 +207,13 @@
 		h.now += 200
 		h.handle(Outcome{Request: id, Server: s, Elapsed: 200, Finished: true, Report: []float32{0, 50, queue}})
 		if got := h.b.ejected(h.b.byID[s]); got != ejected {
-			t.Errorf("%v waiting for 50 ms each, aim 300 ms: resting %v", queue, got)
+			t.Errorf("a queue of %v at 50 ms each, objective 300 ms: ejected %v", queue, got)
 		}
 	}
 }
 
-// A busy sidecar rested a crowded server for a whole aim on one report, and crowded the others: the rest is
-// one turn of the rotation.
+// An ejection for a reported queue lasts one period of the rotation, so that a busy sidecar does not overload the
+// other servers meanwhile.
 func TestEjection_reportedQueueDuration(t *testing.T) {
 	cfg := baseConfig()
 	cfg.Reports, cfg.Fields = ReportPiggyback, []Field{FieldLatency, FieldQueue}
@@ -226,12 +229,12 @@
 	s := h.b.byID[to]
 	h.handle(Outcome{Request: id, Server: to, Elapsed: 5, Finished: true, Report: []float32{50, 40}})
 	if duration := s.ejectedUntil - h.now; duration < 10 || duration > 60 {
-		t.Fatalf("rests for %.0f ms, a turn over three servers takes 30", duration)
+		t.Fatalf("ejected for %.0f ms, a period of the rotation takes 30", duration)
 	}
 }
 
-// In a congested fleet all answers are late, and that is no server's fault: once the class is
-// known to take long, an attempt of 430 ms with an aim of 300 is no error.
+// In a congested fleet, late answers are no server's fault: once the mean latency of a class is high, an attempt of
+// 430 ms with an objective of 300 ms is no error. An attempt far beyond all others still is.
 func TestEjection_congestedFleet(t *testing.T) {
 	h := newHarness(t, baseConfig(), identicalServers(4)...)
 	times := []float64{370, 430, 400}
@@ -247,7 +250,7 @@
 		}
 		h.now = end
 		if i > 30 && h.b.reqs[id].attempts[0].overdue {
-			t.Fatalf("attempt %d of %v ms is held to be overdue after %v", i, times[i%3], h.b.overdueAfter(h.b.reqs[id]))
+			t.Fatalf("attempt %d of %v ms counts as overdue after %v", i, times[i%3], h.b.overdueAfter(h.b.reqs[id]))
 		}
 		h.endAttempt(id, 0, OK, times[i%3])
 	}
@@ -256,32 +259,33 @@
 	r := h.b.reqs[id]
 	for !r.attempts[0].overdue {
 		if h.now = r.wakeAt; h.now >= r.deadline {
-			t.Fatal("nothing looks at the attempt before its deadline")
+			t.Fatal("no timer checks the attempt before its deadline")
 		}
 		h.handle(Timer{Token: uint64(id)})
 	}
 	if r.attempts[0].server.consecutiveErrors == 0 {
-		t.Fatal("an attempt far beyond all others is no error")
+		t.Fatal("an attempt far beyond all others counts as no error")
 	}
 }
 
-// A restarted server starts afresh: nothing of its rests, nor that it was dark, is left.
+// A restart clears the ejections and the failed health check of a server.
 func TestEjection_clearedByRestart(t *testing.T) {
 	h := newHarness(t, baseConfig(), identicalServers(2)...)
 	s := h.b.servers[0]
 	h.handle(HealthCheckResult{Server: s.ID, Result: TimedOut})
 	if !s.healthCheckFailed || !h.b.ejected(s) {
-		t.Fatal("a probe without answer does not rest the server")
+		t.Fatal("a health check without an answer does not eject the server")
 	}
 	entry := s.Server
 	entry.StartedAt = h.now
 	h.handle(ServerList{Kind: ListDelta, Servers: []Server{entry}})
 	if s.healthCheckFailed || s.ejections != 0 || h.b.ejected(s) {
-		t.Fatalf("after the restart: dark %v, rests %d", s.healthCheckFailed, s.ejections)
+		t.Fatalf("after the restart: health check failed %v, %d ejections", s.healthCheckFailed, s.ejections)
 	}
 }
 
-// A server that leaves several attempts unanswered is rested, and used again after an answer.
+// A server is ejected after errorsToEject consecutive errors, gets no request meanwhile, and is used again after one
+// answer.
 func TestEjection_consecutiveErrors(t *testing.T) {
 	h := newHarness(t, baseConfig(), identicalServers(3)...)
 	s := h.b.servers[0]
@@ -289,16 +293,16 @@
 		h.b.recordFailure(s, false, partialEvidence)
 	}
 	if h.b.ejected(s) {
-		t.Fatal("rested before the last strike")
+		t.Fatal("ejected before the last error")
 	}
 	h.b.recordFailure(s, false, partialEvidence)
 	if !h.b.ejected(s) {
-		t.Fatal("not rested after the last strike")
+		t.Fatal("not ejected after the last error")
 	}
 	for range 12 {
 		id, acts := h.sendRequest(idempotentClass)
 		if to, _ := sentTo(acts); to == s.ID {
-			t.Fatal("a resting server got a request")
+			t.Fatal("an ejected server got a request")
 		}
 		h.endAttempt(id, 0, OK, 10)
 	}
@@ -310,10 +314,10 @@
 			return
 		}
 	}
-	t.Fatal("the server was not tried after its rest")
+	t.Fatal("the server was not used after its ejection")
 }
 
-// When all servers rest the cause is hardly theirs.
+// When all servers are ejected, requests are sent nevertheless.
 func TestEjection_allServersEjected(t *testing.T) {
 	h := newHarness(t, baseConfig(), identicalServers(3)...)
 	for _, s := range h.b.servers {
@@ -324,23 +328,23 @@
 	}
 }
 
-// Who is avoided now: servers that rest, for as long as they do, and those that drain.
+// CountServers counts ejected servers, as long as their ejection lasts, and draining ones as avoided.
 func TestEjection_serverCounts(t *testing.T) {
 	servers := identicalServers(4)
 	servers[3].State = Draining
 	h := newHarness(t, baseConfig(), servers...)
-	wants := func(listed, avoided int) {
+	expect := func(listed, avoided int) {
 		t.Helper()
 		if l, a := h.b.CountServers(h.now); l != listed || a != avoided {
 			t.Errorf("%d listed, %d avoided; want %d, %d", l, a, listed, avoided)
 		}
 	}
-	wants(4, 1)
+	expect(4, 1)
 	id, _ := h.sendRequest(idempotentClass)
 	h.endAttempt(id, 0, ConnectFailed, 1)
-	wants(4, 2)
+	expect(4, 2)
 	h.now += 60000
-	wants(4, 1)
+	expect(4, 1)
 	h.handle(ServerList{Kind: ListFull, Servers: servers[:2]})
-	wants(2, 0)
+	expect(2, 0)
 }
--- a/balance/harness_test.go
+++ b/balance/harness_test.go
@@ -2,16 +2,17 @@
 
 import "testing"
 
-// rig drives one balancer by a script of events and keeps what it asked for.
+// harness drives one balancer by a script of events and keeps all actions that it returned.
 type harness struct {
 	t          *testing.T
 	b          *Balancer
 	now        float64
 	actions    []Action
 	lastID     RequestID
-	unanswered []RequestID // whose attempts are out
+	unanswered []RequestID // requests with a pending attempt
 }
 
+// baseConfig returns settings with one class per kind of idempotency; the constants below name the classes.
 func baseConfig() Config {
 	return Config{
 		Seed: 1, Peers: 3, MaxAttempts: 4, Hedging: true, Cancel: true, RetryAfter: true, MaxRetryAfter: 1000,
@@ -35,17 +36,19 @@
 	zoneKeyClass
 )
 
+// newHarness starts a balancer at 1000 ms with these servers, in the order of their IDs.
 func newHarness(t *testing.T, cfg Config, servers ...Server) *harness {
 	h := &harness{t: t, b: mustNew(t, cfg), now: 1000}
 	h.actions = append(h.actions, h.b.Start(h.now)...)
 	h.handle(ServerList{Kind: ListCached, Servers: servers})
 	for _, s := range h.b.servers {
-		s.running, s.rank = 0, float64(s.ID) // the random start and order would hide the sequence
+		s.running, s.rank = 0, float64(s.ID) // without the random start and order, the sequence is known
 	}
-	h.b.dropGone() // sorts
+	h.b.dropGone() // it sorts the servers
 	return h
 }
 
+// mustNew returns a balancer with these settings, or ends the test.
 func mustNew(t testing.TB, cfg Config) *Balancer {
 	t.Helper()
 	b, err := New(cfg)
@@ -55,7 +58,7 @@
 	return b
 }
 
-// fleet is n like servers with IDs from 1, two to a cell, four to a zone.
+// identicalServers returns n servers of equal rating with IDs from 1, two to a cell and four to a zone.
 func identicalServers(n int) []Server {
 	list := make([]Server, n)
 	for i := range list {
@@ -64,6 +67,7 @@
 	return list
 }
 
+// handle brings an event and returns a copy of the actions. An error ends the test.
 func (h *harness) handle(event Event) []Action {
 	h.t.Helper()
 	actions, err := h.b.Handle(h.now, event)
@@ -75,14 +79,14 @@
 	return actions
 }
 
-// ask brings a request and returns its ID with what was done at once.
+// sendRequest brings a request with its whole deadline left, and returns its ID and the actions.
 func (h *harness) sendRequest(class int) (RequestID, []Action) {
 	h.t.Helper()
 	h.lastID++
 	return h.lastID, h.handle(Request{ID: h.lastID, Class: class, Remaining: h.b.cfg.Classes[class].Deadline})
 }
 
-// answer ends an attempt with a result.
+// endAttempt ends an attempt with a result.
 func (h *harness) endAttempt(id RequestID, attempt int, result Result, elapsed float64) []Action {
 	h.t.Helper()
 	s := h.b.reqs[id].attempts[attempt].server
@@ -90,6 +94,7 @@
 	return h.handle(Outcome{Request: id, Attempt: attempt, Server: s.ID, Result: result, Elapsed: elapsed, Finished: done})
 }
 
+// sentTo returns the server of the first Send among the actions.
 func sentTo(acts []Action) (ServerID, bool) {
 	for _, a := range acts {
 		if a.Kind == Send {
@@ -99,6 +104,7 @@
 	return 0, false
 }
 
+// hasAction reports whether an action of this kind is among the actions.
 func hasAction(acts []Action, kind ActionKind) bool {
 	for _, a := range acts {
 		if a.Kind == kind {
@@ -108,6 +114,7 @@
 	return false
 }
 
+// findAction returns the first action of this kind, or nil.
 func findAction(acts []Action, kind ActionKind) *Action {
 	for i := range acts {
 		if acts[i].Kind == kind {
@@ -117,7 +124,7 @@
 	return nil
 }
 
-// sequence sends n safe requests one after the other, each answered before the next.
+// sendSequence sends n idempotent requests, each answered before the next, and returns their servers.
 func sendSequence(h *harness, n int) []ServerID {
 	var ids []ServerID
 	for range n {
--- a/balance/slow_start_fleet_test.go
+++ b/balance/slow_start_fleet_test.go
@@ -5,6 +5,7 @@
 	"testing"
 )
 
+// fleetScenarios returns all scenarios, as changes of one base scenario.
 func fleetScenarios() []fleetScenario {
 	base := fleetScenario{servers: 10, cores: 2, meanWork: 85, load: 0.6, restartFraction: 0.2, notifySpread: 2000, mixedSpeeds: true}
 	scenario := func(name string, change func(c *fleetScenario)) fleetScenario {
@@ -19,14 +20,14 @@
 		scenario("one busy", func(c *fleetScenario) { c.busyFraction = 0.8 }),
 		scenario("idle then burst", func(c *fleetScenario) { c.idleBeforeBurst, c.load = true, 1 }),
 		scenario("burst", func(c *fleetScenario) { c.burstFactor = 2.5 }),
-		scenario("half forget before", func(c *fleetScenario) { c.resetFraction, c.resetAt = 0.5, serverStartAt-500 }),
-		scenario("half forget after", func(c *fleetScenario) { c.resetFraction, c.resetAt = 0.5, serverStartAt+3000 }),
-		scenario("all forget after", func(c *fleetScenario) { c.resetFraction, c.resetAt = 1, serverStartAt+3000 }),
-		scenario("all forget in a burst", func(c *fleetScenario) { c.resetFraction, c.resetAt, c.burstFactor = 1, burstAt, 2.5 }),
-		scenario("known too few", func(c *fleetScenario) { c.fleetSizeFactor = 0.25 }),
-		scenario("known too many", func(c *fleetScenario) { c.fleetSizeFactor = 4 }),
+		scenario("half reset before", func(c *fleetScenario) { c.resetFraction, c.resetAt = 0.5, serverStartAt-500 }),
+		scenario("half reset after", func(c *fleetScenario) { c.resetFraction, c.resetAt = 0.5, serverStartAt+3000 }),
+		scenario("all reset after", func(c *fleetScenario) { c.resetFraction, c.resetAt = 1, serverStartAt+3000 }),
+		scenario("all reset in a burst", func(c *fleetScenario) { c.resetFraction, c.resetAt, c.burstFactor = 1, burstAt, 2.5 }),
+		scenario("too few processes known", func(c *fleetScenario) { c.fleetSizeFactor = 0.25 }),
+		scenario("too many processes known", func(c *fleetScenario) { c.fleetSizeFactor = 4 }),
 		scenario("upgrade", func(c *fleetScenario) { c.upgrade = true }),
-		scenario("told again", func(c *fleetScenario) { c.notifications = 5 }),
+		scenario("notified again", func(c *fleetScenario) { c.notifications = 5 }),
 		scenario("down before", func(c *fleetScenario) { c.downtime = 4000 }),
 		scenario("half restart", func(c *fleetScenario) { c.restartFraction = 0.5 }),
 		scenario("most restart", func(c *fleetScenario) { c.restartFraction, c.load = 0.8, 0.8 }),
@@ -39,10 +40,10 @@
 		}),
 		scenario("most restart in a burst", func(c *fleetScenario) { c.restartFraction, c.burstFactor = 0.8, 2.5 }),
 		scenario("all restart in a burst", func(c *fleetScenario) { c.restartFraction, c.burstFactor = 1, 2.5 }),
-		scenario("all restart, told at once", func(c *fleetScenario) { c.restartFraction, c.load, c.notifySpread = 1, 1, 1 }),
-		scenario("all like, all restart at once", func(c *fleetScenario) { c.restartFraction, c.load, c.notifySpread, c.mixedSpeeds = 1, 1, 1, false }),
-		scenario("all like, all restart, overload", func(c *fleetScenario) { c.restartFraction, c.load, c.mixedSpeeds = 1, 1.5, false }),
-		scenario("all like, slow, all restart", func(c *fleetScenario) {
+		scenario("all restart, notified at once", func(c *fleetScenario) { c.restartFraction, c.load, c.notifySpread = 1, 1, 1 }),
+		scenario("equal servers, all restart at once", func(c *fleetScenario) { c.restartFraction, c.load, c.notifySpread, c.mixedSpeeds = 1, 1, 1, false }),
+		scenario("equal servers, all restart, overload", func(c *fleetScenario) { c.restartFraction, c.load, c.mixedSpeeds = 1, 1.5, false }),
+		scenario("equal slow servers, all restart", func(c *fleetScenario) {
 			c.restartFraction, c.load, c.cores, c.meanWork, c.mixedSpeeds = 1, 0.8, 1, 250, false
 		}),
 		scenario("all restart under overload", func(c *fleetScenario) { c.restartFraction, c.load = 1, 1.5 }),
@@ -50,10 +51,10 @@
 		scenario("most down before", func(c *fleetScenario) { c.restartFraction, c.downtime = 0.8, 4000 }),
 		scenario("all down before", func(c *fleetScenario) { c.restartFraction, c.downtime = 1, 4000 }),
 		scenario("most slow restart in a burst", func(c *fleetScenario) { c.restartFraction, c.cores, c.meanWork, c.burstFactor = 0.8, 1, 250, 2.5 }),
-		scenario("half restart, all forget in a burst", func(c *fleetScenario) {
+		scenario("half restart, all reset in a burst", func(c *fleetScenario) {
 			c.restartFraction, c.resetFraction, c.resetAt, c.burstFactor = 0.5, 1, burstAt, 2.5
 		}),
-		scenario("all restart, all forget", func(c *fleetScenario) { c.restartFraction, c.resetFraction, c.resetAt = 1, 1, burstAt }),
+		scenario("all restart, all reset", func(c *fleetScenario) { c.restartFraction, c.resetFraction, c.resetAt = 1, 1, burstAt }),
 		scenario("drains for a while", func(c *fleetScenario) { c.drainTime = 9000 }),
 		scenario("slow servers drain for a while", func(c *fleetScenario) { c.cores, c.meanWork, c.drainTime = 1, 250, 9000 }),
 		scenario("slow servers drain, overload", func(c *fleetScenario) { c.cores, c.meanWork, c.drainTime, c.load = 1, 250, 12000, 1.5 }),
@@ -62,7 +63,7 @@
 		scenario("tiny servers", func(c *fleetScenario) { c.servers, c.cores, c.meanWork = 3, 1, 500 }),
 		scenario("tiny servers idle then burst", func(c *fleetScenario) { c.servers, c.cores, c.meanWork, c.idleBeforeBurst, c.load = 3, 1, 500, true, 2 }),
 		scenario("tiny servers all restart", func(c *fleetScenario) { c.servers, c.cores, c.meanWork, c.restartFraction, c.load = 4, 1, 500, 1, 1 }),
-		scenario("tiny servers, all forget in a burst", func(c *fleetScenario) {
+		scenario("tiny servers, all reset in a burst", func(c *fleetScenario) {
 			c.servers, c.cores, c.meanWork, c.resetFraction, c.resetAt, c.burstFactor = 4, 1, 500, 1, burstAt, 3
 		}),
 		scenario("few servers all restart", func(c *fleetScenario) { c.servers, c.restartFraction = 3, 1 }),
@@ -70,8 +71,8 @@
 	}
 }
 
-// The sends of all processes to a cold server stay within what it bears in any window, whatever the number of
-// processes, however they share the traffic, and whatever they forget or believe to know.
+// The attempts of all processes to a server in slow start stay within its budget in each window, for any number of
+// processes, distribution of traffic, and state of their memory.
 func TestSlowStart_fleetWithinBudget(t *testing.T) {
 	for _, c := range fleetScenarios() {
 		t.Run(c.name, func(t *testing.T) {
@@ -80,17 +81,17 @@
 				worst := worstPeak(t, c, processes, 2)
 				t.Logf("%2d processes: %s", processes, worst)
 				if worst.fraction > 1 {
-					t.Errorf("%d processes: over what it bears: %s", processes, worst)
+					t.Errorf("%d processes: over the budget: %s", processes, worst)
 				}
 				if worst.total == 0 {
-					t.Errorf("%d processes: cold servers get nothing", processes)
+					t.Errorf("%d processes: servers in slow start get nothing", processes)
 				}
 			}
 		})
 	}
 }
 
-// worstColdPeak plays a case with a few seeds.
+// worstPeak runs a scenario with several seeds and returns the largest use of a budget.
 func worstPeak(t *testing.T, c fleetScenario, processes, seeds int) budgetPeak {
 	worst := budgetPeak{}
 	for seed := range uint64(seeds) {
@@ -107,29 +108,29 @@
 	return worst
 }
 
-// Answers of a while ago tell what warm servers did: where nearly all start at once under overload a server was sent
-// more than it bears.
+// The answer rate of the last seconds was measured on warm servers. It must not raise the budgets when nearly all
+// servers start at once under overload.
 func TestSlowStart_simultaneousStarts(t *testing.T) {
 	for _, processes := range []int{2, 3} {
 		if worst := worstPeak(t, scenarioByName("all restart under overload"), processes, 8); worst.fraction > 1 {
-			t.Errorf("%d processes: over what it bears: %s", processes, worst)
+			t.Errorf("%d processes: over the budget: %s", processes, worst)
 		}
 	}
 }
 
-// The check can fail: a few processes that know of no budget push servers over when all start at once, and many do that
-// hold servers in slow start to be warm.
+// The check of these tests can fail: without budgets, or without slow start, servers get more than allowed.
 func TestSlowStart_fleetCheckDetectsOverload(t *testing.T) {
-	unbound, warm := scenarioByName("all restart under overload"), scenarioByName("overload")
-	unbound.noBudget, warm.noSlowStart = true, true
-	if worst := worstPeak(t, unbound, 2, 8); worst.fraction <= 1 {
+	noBudget, noSlowStart := scenarioByName("all restart under overload"), scenarioByName("overload")
+	noBudget.noBudget, noSlowStart.noSlowStart = true, true
+	if worst := worstPeak(t, noBudget, 2, 8); worst.fraction <= 1 {
 		t.Errorf("2 processes without a budget: %s", worst)
 	}
-	if worst := worstPeak(t, warm, 30, 2); worst.fraction <= 1 {
+	if worst := worstPeak(t, noSlowStart, 30, 2); worst.fraction <= 1 {
 		t.Errorf("30 processes without slow start: %s", worst)
 	}
 }
 
+// scenarioByName returns the scenario of this name.
 func scenarioByName(name string) fleetScenario {
 	return fleetScenarios()[slices.IndexFunc(fleetScenarios(), func(c fleetScenario) bool { return c.name == name })]
 }
--- a/balance/slow_start_simulation_test.go
+++ b/balance/slow_start_simulation_test.go
@@ -9,8 +9,8 @@
 	"testing"
 )
 
-// coldFleet is a fleet of balancers on one clock before servers of which some start cold. All balancers are real; the
-// world around them is a simple model: servers of a few cores with one queue, clients that try again.
+// fleetSimulation runs the balancers of a fleet on one clock in front of servers of which some start slowly. The
+// balancers are real. Servers are a model of a few cores with one queue, and clients retry.
 type fleetSimulation struct {
 	t         *testing.T
 	scenario  fleetScenario
@@ -25,39 +25,40 @@
 	processCount int
 }
 
-// coldCase is one scenario.
+// fleetScenario is the set of parameters of one simulation. Times are in ms.
 type fleetScenario struct {
 	name            string
 	servers         int
 	cores           int
-	meanWork        float64 // mean of a request, ms of a core of speed 1
-	load            float64 // of the warm capacity of all servers
-	busyFraction    float64 // share of the traffic that one process has; 0: all have the same
+	meanWork        float64 // mean of a request, ms of a core at speed 1
+	load            float64 // traffic as a part of the warm capacity of all servers
+	busyFraction    float64 // part of the traffic that goes to one process; 0: all get the same
 	idleBeforeBurst bool    // no traffic until the burst
-	burstFactor     float64 // multiple of the traffic from burstAt on; 0: 1
-	restartFraction float64 // share of the servers that start at coldAt
-	newServers      int     // servers that are new at coldAt
-	downtime        float64 // how long those that restart were down before
-	notifySpread    float64 // between the first process that hears of a start and the last
-	notifications   int     // how often each start is told; 0: once
-	resetFraction   float64 // share of the processes that restart with empty memory at forgetAt
+	burstFactor     float64 // multiple of the traffic from burstAt on; 0: no burst
+	restartFraction float64 // part of the servers that restart at serverStartAt
+	newServers      int     // number of servers that join at serverStartAt
+	downtime        float64 // of servers that restart, before their start
+	notifySpread    float64 // time between the first notified process and the last
+	notifications   int     // how often each start is notified; 0: once
+	resetFraction   float64 // part of the processes that restart without memory at resetAt
 	resetAt         float64
-	fleetSizeFactor float64 // processes that are known of, as a multiple of those that are; 0: nothing is told
-	upgrade         bool    // each process tells that it shares with another one
-	drainTime       float64 // how long those that start drain from 1 s after it; 0: not
-	unreachableTime float64 // how long those that start cannot be reached from 1 s after it
-	mixedSpeeds     bool    // the speeds of servers differ
-	noBudget        bool    // processes know of no budget
-	noSlowStart     bool    // processes hold all servers to be warm
+	fleetSizeFactor float64 // reported number of processes over the true one; 0: no report
+	upgrade         bool    // each process runs beside a second one of its sidecar
+	drainTime       float64 // how long started servers drain, 3 s after the start; 0: not at all
+	unreachableTime float64 // how long started servers cannot be reached, 1 s after the start
+	mixedSpeeds     bool    // servers differ in speed
+	noBudget        bool    // processes apply no slow-start budget
+	noSlowStart     bool    // processes apply no slow start
 }
 
 const (
-	serverStartAt = 20000.0 // when servers start
-	simulationEnd = 36000.0 // when a run ends
-	warmUpTime    = 24000.0 // ms of a warm-up
+	serverStartAt = 20000.0
+	simulationEnd = 36000.0
+	warmUpTime    = 24000.0
 	burstAt       = serverStartAt + 2500
 )
 
+// simulatedServer is a server with a queue in front of its cores.
 type simulatedServer struct {
 	entry          Server
 	speed          float64
@@ -66,14 +67,15 @@
 	running        []*serverJob
 	queue          []*serverJob
 	slowStartSends []slowStartSend
-	incarnations   int
 }
 
+// slowStartSend is an attempt to a server in slow start; notified tells whether its sender knew of the start.
 type slowStartSend struct {
 	at       float64
 	notified bool
 }
 
+// serverJob is an attempt at a server.
 type serverJob struct {
 	process     *simulatedProcess
 	incarnation int
@@ -85,21 +87,24 @@
 	done        bool
 }
 
+// simulatedProcess is a sidecar process with its balancer.
 type simulatedProcess struct {
 	number        int
 	balancer      *Balancer
 	incarnation   int
-	notifiedStart map[ServerID]float64 // the newest start that it was told of
+	notifiedStart map[ServerID]float64 // the latest start of each server that it was notified of
 	jobs          map[RequestID][]*serverJob
-	clientRetries map[RequestID]int // the client's tries of a request that is out
+	clientRetries map[RequestID]int // of each request in flight
 }
 
+// scheduledEvent is a step of the simulation; order decides between equal times.
 type scheduledEvent struct {
 	at    float64
 	order int
 	do    func()
 }
 
+// eventQueue is a heap of events by time.
 type eventQueue []scheduledEvent
 
 func (e eventQueue) Len() int { return len(e) }
@@ -119,11 +124,13 @@
 	return last
 }
 
+// schedule plans a step of the simulation.
 func (f *fleetSimulation) schedule(when float64, do func()) {
 	f.scheduled++
 	heap.Push(&f.events, scheduledEvent{when, f.scheduled, do})
 }
 
+// config returns the settings of one process.
 func (c *fleetScenario) config(number, procs int, seed uint64) Config {
 	cfg := baseConfig()
 	cfg.Seed, cfg.Number, cfg.Peers = seed*1000+uint64(number), number, procs
@@ -142,6 +149,7 @@
 	return cfg
 }
 
+// newFleetSimulation prepares a scenario with so many processes.
 func newFleetSimulation(t *testing.T, c fleetScenario, procs int, seed uint64) *fleetSimulation {
 	f := &fleetSimulation{t: t, scenario: c, rnd: rand.New(rand.NewPCG(seed, 0x636f6c64)), now: 1000, processCount: procs}
 	for i := range c.servers + c.newServers {
@@ -170,7 +178,7 @@
 	return f
 }
 
-// begin starts a process with empty memory and the list as it is.
+// startProcess starts a process with no memory and the current list.
 func (f *fleetSimulation) startProcess(p *simulatedProcess, seed uint64) {
 	p.balancer = mustNew(f.t, f.scenario.config(p.number, f.processCount, seed))
 	p.notifiedStart, p.jobs, p.clientRetries = map[ServerID]float64{}, map[RequestID][]*serverJob{}, map[RequestID]int{}
@@ -192,7 +200,7 @@
 	}
 }
 
-// planStarts plans which servers start cold, and who hears of it when.
+// scheduleStarts plans the stops and starts of servers.
 func (f *fleetSimulation) scheduleStarts() {
 	restarts := int(math.Ceil(f.scenario.restartFraction * float64(f.scenario.servers)))
 	for i, s := range f.servers {
@@ -208,7 +216,7 @@
 	}
 }
 
-// planFlap plans that a server that has just started drains or cannot be reached for a while.
+// scheduleOutage plans that a server drains or cannot be reached for a while after its start.
 func (f *fleetSimulation) scheduleOutage(s *simulatedServer) {
 	if f.scenario.drainTime > 0 {
 		f.schedule(serverStartAt+3000, func() { s.entry.State = Draining; f.notifyAll(s, 1) })
@@ -220,9 +228,9 @@
 	}
 }
 
+// stopServer ends a server's process and resets all that it had in flight.
 func (f *fleetSimulation) stopServer(s *simulatedServer) {
 	s.up = false
-	s.incarnations++
 	lost := append(s.running, s.queue...)
 	s.running, s.queue = nil, nil
 	for _, j := range lost {
@@ -230,13 +238,14 @@
 	}
 }
 
+// startServer starts a server's process and notifies the fleet.
 func (f *fleetSimulation) startServer(s *simulatedServer) {
 	s.up, s.startedAt = true, f.now
 	s.entry.StartedAt = f.now
 	f.notifyAll(s, max(1, f.scenario.notifications))
 }
 
-// list tells all processes of a server, so many times.
+// notifyAll notifies each process of a server's entry, each at a random time within notifySpread.
 func (f *fleetSimulation) notifyAll(s *simulatedServer, times int) {
 	for range times {
 		for _, p := range f.sidecars {
@@ -249,6 +258,7 @@
 	}
 }
 
+// arrivalRate returns the requests per ms of all clients.
 func (f *fleetSimulation) arrivalRate() float64 {
 	capacity := 0.0
 	for _, s := range f.servers[:f.scenario.servers] {
@@ -261,11 +271,12 @@
 	return rate
 }
 
-// capacity of a warm server, in requests a millisecond.
+// capacity returns the requests per ms that a warm server can answer.
 func (f *fleetSimulation) capacity(s *simulatedServer) float64 {
 	return float64(f.scenario.cores) * s.speed / f.scenario.meanWork
 }
 
+// arrive brings a client's request to a random process and plans the next one.
 func (f *fleetSimulation) arrive() {
 	f.schedule(f.now+f.rnd.ExpFloat64()/f.arrivalRate(), f.arrive)
 	if f.scenario.idleBeforeBurst && f.now < burstAt {
@@ -278,6 +289,7 @@
 	f.sendRequest(p, 0)
 }
 
+// sendRequest brings a request, which its client has already retried so often.
 func (f *fleetSimulation) sendRequest(p *simulatedProcess, retries int) {
 	f.lastID++
 	class := 0
@@ -288,6 +300,7 @@
 	f.handle(p, Request{ID: f.lastID, Class: class, Remaining: p.balancer.cfg.Classes[class].Deadline})
 }
 
+// handle brings an event to a process and carries out its actions.
 func (f *fleetSimulation) handle(p *simulatedProcess, ev Event) {
 	acts, err := p.balancer.Handle(f.now, ev)
 	if err != nil {
@@ -296,6 +309,7 @@
 	f.carryOut(p, acts)
 }
 
+// carryOut does what a sidecar does with the actions of its balancer.
 func (f *fleetSimulation) carryOut(p *simulatedProcess, acts []Action) {
 	for _, a := range slices.Clone(acts) {
 		incarnation := p.incarnation
@@ -320,6 +334,7 @@
 	}
 }
 
+// startAttempt sends an attempt to its server and plans its timeout.
 func (f *fleetSimulation) startAttempt(p *simulatedProcess, a Action) {
 	s := f.servers[a.Server-1]
 	j := &serverJob{process: p, incarnation: p.incarnation, request: a.Request, attempt: len(p.jobs[a.Request]), server: s, sentAt: f.now,
@@ -334,6 +349,7 @@
 	}
 }
 
+// deliver puts an attempt into its server's queue.
 func (f *fleetSimulation) deliver(j *serverJob) {
 	switch s := j.server; {
 	case j.done:
@@ -345,7 +361,7 @@
 	}
 }
 
-// work starts what a server has free cores for.
+// startJobs starts queued jobs on free cores.
 func (f *fleetSimulation) startJobs(s *simulatedServer) {
 	for len(s.running) < f.scenario.cores && len(s.queue) > 0 {
 		j := s.queue[0]
@@ -360,17 +376,19 @@
 	}
 }
 
+// capacityFraction returns the part of its warm capacity that a server has: a linear ramp from its start on.
 func (f *fleetSimulation) capacityFraction(s *simulatedServer, at float64) float64 {
 	return 0.17 + 0.83*bound((at-s.startedAt)/warmUpTime, 0, 1)
 }
 
-// leave takes a job from its server.
+// remove takes a job from its server.
 func (f *fleetSimulation) remove(j *serverJob) {
 	is := func(other *serverJob) bool { return other == j }
 	j.server.running, j.server.queue = slices.DeleteFunc(j.server.running, is), slices.DeleteFunc(j.server.queue, is)
 	f.startJobs(j.server)
 }
 
+// abort ends a job early with a result.
 func (f *fleetSimulation) abort(j *serverJob, res Result) {
 	if !j.done {
 		f.remove(j)
@@ -378,6 +396,7 @@
 	}
 }
 
+// finish reports the result of an attempt to its process, unless that has restarted since.
 func (f *fleetSimulation) finish(j *serverJob, res Result) {
 	if j.done {
 		return
@@ -390,6 +409,7 @@
 		Finished: res == OK || j.process.balancer.reqs[j.request].done})
 }
 
+// run plays the scenario until simulationEnd.
 func (f *fleetSimulation) run() {
 	for len(f.events) > 0 {
 		e := heap.Pop(&f.events).(scheduledEvent)
@@ -400,16 +420,16 @@
 	}
 }
 
-// coldPeak is the largest share of what a cold server bears that any was sent.
+// budgetPeak is the largest use of a slow-start budget in any window.
 type budgetPeak struct {
 	fraction, age  float64
 	sends, allowed float64
-	notifiedSends  float64 // of the sends
+	notifiedSends  float64 // sends of processes that knew of the start
 	total          int
 }
 
-// peak looks at each window that begins with a send to a cold server: all sends where over two thirds came from
-// processes that had been told of the start, else those of these processes.
+// maxBudgetUse looks at each window of OverloadTime that begins with a send to a server in slow start. All sends
+// count if over two thirds of them came from notified processes; otherwise only those of notified processes do.
 func (f *fleetSimulation) maxBudgetUse() budgetPeak {
 	var out budgetPeak
 	for _, s := range f.servers {
@@ -437,7 +457,8 @@
 	return out
 }
 
-// coldBears is what a server in slow start may be sent when n is its budget: chance brings a few more together.
+// allowedSends returns the sends that a window may have under a budget: independent senders exceed it by a few
+// standard deviations.
 func allowedSends(budget float64) float64 {
 	if budget < 30 {
 		return budget + 3*math.Sqrt(budget) + 3
@@ -446,6 +467,6 @@
 }
 
 func (p budgetPeak) String() string {
-	return fmt.Sprintf("%.2f, %.0f sends (%.0f of processes that had been told) of %.0f that it bears, %.1f s after its start",
+	return fmt.Sprintf("%.2f: %.0f sends (%.0f of notified processes) of %.0f allowed, %.1f s after the start",
 		p.fraction, p.sends, p.notifiedSends, p.allowed, p.age/1000)
 }
