--- a/balance/canary_budget_test.go
+++ b/balance/canary_budget_test.go
@@ -7,14 +7,16 @@
 	"pgregory.net/rapid"
 )
 
-// An attempt to a canary that this machine could not send costs no unit.
+// An attempt to a canary that this machine could not send spends no unit; an unreachable canary spends one.
 func TestCanaryBudget_localFailure(t *testing.T) {
 	a := &attempt{}
 	if a.spendsUnit(&request{}, Outcome{Result: LocalFailure}) || !a.spendsUnit(&request{}, Outcome{Result: Unreachable}) {
-		t.Error("want a unit spent on a canary out of reach, and none on a failure of this machine")
+		t.Error("want a unit spent on an unreachable canary, and none on a failure of this machine")
 	}
 }
 
+// Reserve, Settle and Grant in any order never overdraw the budget, and a grant that comes late or twice adds no
+// units twice. Idle units over the limit are returned.
 func TestCanaryBudget_property(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var budget CanaryBudget
@@ -29,13 +31,13 @@
 				if budget.Reserved > 0 {
 					budget.Settle(rapid.Bool().Draw(t, "failed"))
 				}
-			case 3: // late and repeated ones among them
+			case 3: // grants may come late or twice
 				units := rapid.Int64Range(0, 20).Draw(t, "units")
 				maxIdle := rapid.Int64Range(0, 5).Draw(t, "keep")
 				idle := max(granted, units) - granted + budget.Free()
 				granted = max(granted, units)
 				if budget.Grant(units, maxIdle); budget.Free() != min(idle, maxIdle) {
-					t.Fatalf("%d idle, %d to keep: %+v", idle, maxIdle, budget)
+					t.Fatalf("%d idle, at most %d idle: %+v", idle, maxIdle, budget)
 				}
 			}
 			if budget.Free() < 0 || budget.Reserved < 0 || budget.Granted != granted || budget.Spent+budget.Returned+budget.Reserved > granted {
@@ -45,7 +47,8 @@
 	})
 }
 
-// How an attempt may end, and what that costs: in a request's answer, in a stream, for a late one.
+// Checks which results of an attempt spend a unit of the budget, for plain and for streamed answers, and for late
+// answers when these count as failures.
 func TestCanaryBudget_attemptCost(t *testing.T) {
 	end := func(res Result, elapsed float64) func(*harness, RequestID) {
 		return func(h *harness, id RequestID) {
@@ -56,7 +59,7 @@
 		return func(h *harness, id RequestID) {
 			h.handle(AnswerStarted{Request: id, Elapsed: elapsed})
 			if budget := h.b.CanaryBudgets()[0]; budget.Reserved != 1 || budget.Spent != 0 {
-				t.Errorf("as the answer begins: %+v", budget)
+				t.Errorf("when the answer starts: %+v", budget)
 			}
 			end(res, elapsed)(h, id)
 		}
@@ -67,17 +70,17 @@
 			end    func(*harness, RequestID)
 			failed bool
 		}{
-			"good":            {idempotentClass, end(OK, 300), false},
-			"late":            {idempotentClass, end(OK, 301), late},
-			"failed":          {idempotentClass, end(Failed, 1), true},
-			"full":            {idempotentClass, end(Rejected, 1), true},
-			"timed out":       {idempotentClass, end(TimedOut, 1), true},
-			"connect failed":  {idempotentClass, end(ConnectFailed, 1), true},
-			"reset":           {idempotentClass, end(Reset, 1), true},
-			"broken":          {idempotentClass, end(WriteFailed, 1), true},
-			"moot":            {idempotentClass, end(NotSent, 1), false},
-			"its client left": {idempotentClass, end(Cancelled, 1), false},
-			"void": {idempotentClass, func(h *harness, id RequestID) {
+			"ok":             {idempotentClass, end(OK, 300), false},
+			"late":           {idempotentClass, end(OK, 301), late},
+			"failed":         {idempotentClass, end(Failed, 1), true},
+			"rejected":       {idempotentClass, end(Rejected, 1), true},
+			"timed out":      {idempotentClass, end(TimedOut, 1), true},
+			"connect failed": {idempotentClass, end(ConnectFailed, 1), true},
+			"reset":          {idempotentClass, end(Reset, 1), true},
+			"write failed":   {idempotentClass, end(WriteFailed, 1), true},
+			"not sent":       {idempotentClass, end(NotSent, 1), false},
+			"client left":    {idempotentClass, end(Cancelled, 1), false},
+			"route revoked": {idempotentClass, func(h *harness, id RequestID) {
 				h.handle(Outcome{Request: id, Result: Failed, RouteRevoked: true, Finished: true})
 			}, false},
 			"hung": {idempotentClass, func(h *harness, id RequestID) {
@@ -85,29 +88,29 @@
 				h.handle(Timer{Token: uint64(id)})
 				end(Cancelled, 1500)(h, id)
 			}, true},
-			"hung up, then gone": {idempotentClass, func(h *harness, id RequestID) {
+			"client left, then hung": {idempotentClass, func(h *harness, id RequestID) {
 				h.handle(ClientGone{Request: id})
 				end(Cancelled, 1500)(h, id)
 			}, false},
-			"left after the aim": {idempotentClass, func(h *harness, id RequestID) {
+			"client left after the objective": {idempotentClass, func(h *harness, id RequestID) {
 				h.now += 310
 				h.handle(ClientGone{Request: id})
 				end(Cancelled, 310)(h, id)
 			}, late},
-			"left just before its time": {idempotentClass, func(h *harness, id RequestID) {
+			"client left just before the deadline": {idempotentClass, func(h *harness, id RequestID) {
 				h.now += 1400
 				h.handle(ClientGone{Request: id})
 				end(Cancelled, 1400)(h, id)
 			}, true},
-			"the process ends": {idempotentClass, func(h *harness, id RequestID) {
+			"shutdown": {idempotentClass, func(h *harness, id RequestID) {
 				h.handle(Shutdown{})
 				end(Cancelled, 10)(h, id)
 			}, false},
-			"stream":             {streamClass, stream(300, OK), false},
-			"stream begins late": {streamClass, stream(301, OK), late},
-			"late, client left":  {streamClass, stream(301, Cancelled), late},
-			"stream breaks":      {streamClass, stream(10, Reset), true},
-			"stream, left":       {streamClass, stream(10, Cancelled), false},
+			"stream":                   {streamClass, stream(300, OK), false},
+			"stream begins late":       {streamClass, stream(301, OK), late},
+			"stream late, client left": {streamClass, stream(301, Cancelled), late},
+			"stream reset":             {streamClass, stream(10, Reset), true},
+			"stream, client left":      {streamClass, stream(10, Cancelled), false},
 		} {
 			route := canaryRoute(1, 1, 2)
 			route.Budgeted, route.LateIsFailure = true, late
@@ -115,10 +118,10 @@
 			h.handle(BudgetGrant{ID: 9, Units: 1, MaxIdle: 1})
 			id, a := h.sendForTenant(c.class)
 			if _, b := h.sendForTenant(c.class); !a.ToCanary || b.ToCanary || b.Server <= 2 {
-				t.Fatalf("%s: one unit, sent as %+v and %+v", name, a, b)
+				t.Fatalf("%s: with one unit, sent as %+v and %+v", name, a, b)
 			}
 			if budget := h.b.CanaryBudgets()[0]; budget != (CanaryBudget{ID: 9, Granted: 1, Reserved: 1, Denied: 1}) {
-				t.Errorf("%s: while it is out %+v", name, budget)
+				t.Errorf("%s: while the attempt is pending: %+v", name, budget)
 			}
 			c.end(h, id)
 			want := CanaryBudget{ID: 9, Granted: 1, Denied: 1}
@@ -130,13 +133,15 @@
 			}
 			if !h.b.shutdown {
 				if _, a := h.sendForTenant(idempotentClass); a.ToCanary == c.failed {
-					t.Errorf("%s: then %+v", name, a)
+					t.Errorf("%s: the next attempt: %+v", name, a)
 				}
 			}
 		}
 	}
 }
 
+// The budget of a route that has ended stays as long as an attempt holds a unit of it. Of other ended budgets only
+// the latest maxEndedBudgets stay.
 func TestCanaryBudget_endedRoutes(t *testing.T) {
 	route := canaryRoute(1, 1)
 	route.Budgeted = true
@@ -151,14 +156,14 @@
 		return slices.IndexFunc(h.b.CanaryBudgets(), func(p CanaryBudget) bool { return p.ID == 9 })
 	}
 	if all := h.b.CanaryBudgets(); len(all) != maxEndedBudgets+1 || at() != 0 || all[maxEndedBudgets].ID != 100+3*maxEndedBudgets-1 {
-		t.Fatalf("%d purses: %+v", len(all), all)
+		t.Fatalf("%d budgets: %+v", len(all), all)
 	}
 	h.endAttempt(id, 0, Failed, 1)
 	if p := h.b.CanaryBudgets()[at()]; p.Spent != 1 || p.Reserved != 0 {
-		t.Errorf("after its route is gone: %+v", p)
+		t.Errorf("after the end of its route: %+v", p)
 	}
 	h.handle(Routes{Rev: 7, List: []Route{route}})
 	if p := h.b.CanaryBudgets()[at()]; p.Spent != 1 || p.Granted != 4 {
-		t.Errorf("its route is back: %+v", p)
+		t.Errorf("after its route is back: %+v", p)
 	}
 }
--- a/balance/digest_test.go
+++ b/balance/digest_test.go
@@ -37,7 +37,7 @@
 	sends        map[RequestID]int
 }
 
-// digestAttempt is an attempt that has no outcome yet.
+// digestAttempt is an attempt without an outcome.
 type digestAttempt struct {
 	request RequestID
 	number  int
@@ -45,6 +45,8 @@
 	sent    float64
 }
 
+// TestActionDigest feeds seeded random events to balancers of varied settings and compares the hash of all their
+// actions and status values.
 func TestActionDigest(t *testing.T) {
 	if runtime.GOARCH != "amd64" {
 		t.Skip("other architectures may fuse floating-point operations, which changes last digits")
@@ -105,6 +107,8 @@
 	return cfg
 }
 
+// step brings one event: a request with this ID, an outcome, a list, a health check result, a client that leaves, or
+// a rarer one.
 func (d *digestDriver) step(id RequestID) {
 	switch n := d.rnd.Intn(40); {
 	case n < 16:
@@ -126,6 +130,7 @@
 	}
 }
 
+// sendRequest brings a request of a random class and tenant.
 func (d *digestDriver) sendRequest(id RequestID) {
 	class := d.rnd.Intn(len(d.cfg.Classes))
 	r := Request{
@@ -138,11 +143,12 @@
 	d.handle(r)
 }
 
+// report returns a random load report.
 func (d *digestDriver) report() []float32 {
 	return []float32{float32(d.rnd.Intn(6)), float32(d.rnd.Intn(4)), float32(d.rnd.Intn(200))}
 }
 
-// endAttempt gives one attempt, mostly an old one, its outcome.
+// endAttempt gives one attempt, mostly an old one, a random outcome.
 func (d *digestDriver) endAttempt() {
 	if len(d.live) == 0 {
 		return
@@ -160,6 +166,7 @@
 	})
 }
 
+// sendList brings a random list event.
 func (d *digestDriver) sendList() {
 	kind := []ListKind{ListFull, ListFull, ListCached, ListDelta, ListDelta, ListDelta, ListFailed, ListAlive}[d.rnd.Intn(8)]
 	ev := ServerList{Kind: kind, Busy: d.rnd.Intn(3) == 0, FromFetch: d.rnd.Intn(4) == 0}
@@ -183,7 +190,7 @@
 	d.handle(ev)
 }
 
-// special brings one of the rarer events.
+// rareEvent brings one of the rarer events.
 func (d *digestDriver) rareEvent() {
 	switch d.rnd.Intn(13) {
 	case 0:
@@ -227,6 +234,7 @@
 	}
 }
 
+// sendRoutes brings random routes.
 func (d *digestDriver) sendRoutes() {
 	ev := Routes{Rev: 1 + int64(d.rnd.Intn(100))}
 	for tenant := -1; tenant < len(d.cfg.Tenants); tenant++ {
@@ -241,6 +249,7 @@
 	d.handle(ev)
 }
 
+// handle brings an event and records the actions.
 func (d *digestDriver) handle(ev Event) {
 	acts, err := d.b.Handle(d.now, ev)
 	if err != nil {
@@ -249,7 +258,7 @@
 	d.record(acts)
 }
 
-// take hashes actions and keeps what has to be answered. Texts of log lines are left out.
+// record hashes actions and notes what has to be answered. Texts of log lines are left out.
 func (d *digestDriver) record(acts []Action) {
 	for _, a := range acts {
 		d.hash(a)
@@ -265,6 +274,7 @@
 	}
 }
 
+// hash adds an action to the digest.
 func (d *digestDriver) hash(a Action) {
 	flag := uint64(0)
 	if a.ToCanary {
@@ -276,7 +286,7 @@
 	)
 }
 
-// status hashes what the balancer tells of itself.
+// status adds the balancer's status values to the digest.
 func (d *digestDriver) status() {
 	l, z := d.b.ListStatus(d.now), d.b.ZoneStatus()
 	listed, avoided := d.b.CountServers(d.now)
@@ -296,6 +306,7 @@
 	}
 }
 
+// words adds numbers to the digest.
 func (d *digestDriver) words(values ...uint64) {
 	for _, v := range values {
 		var word [8]byte
@@ -304,7 +315,7 @@
 	}
 }
 
-// fire brings the timers that are due, each at its own time.
+// fireTimers fires the timers that are due, each at its own time.
 func (d *digestDriver) fireTimers() {
 	end := d.now
 	for {
--- a/balance/endpoint_list_test.go
+++ b/balance/endpoint_list_test.go
@@ -10,8 +10,8 @@
 	"pgregory.net/rapid"
 )
 
-// randomEntries are changes as a list service may tell them: servers that come, drain, go, restart and move to another
-// zone, and such that nobody knew.
+// randomEntries returns random list changes: servers that join, drain, go, restart or change their zone, and removals
+// of unknown ones.
 func randomEntries(rng *rand.Rand, maxID int) []Server {
 	list := make([]Server, 1+rng.IntN(4))
 	for i := range list {
@@ -21,12 +21,12 @@
 	return list
 }
 
-// A change leaves the servers in the same order, and as many ready in each zone, as a look at all of them finds.
+// An incremental change gives the same order of servers and the same ready count per zone as a full rebuild.
 func TestEndpointList_incrementalChanges(t *testing.T) {
 	for _, withRoutes := range []bool{false, true} {
 		t.Run(fmt.Sprint("routes ", withRoutes), func(t *testing.T) {
 			cfg := baseConfig()
-			cfg.Prices.CrossZone = 0.1 // else rank does not depend on the zone
+			cfg.Prices.CrossZone = 0.1 // otherwise the rank does not depend on the zone
 			b := mustNew(t, cfg)
 			b.Start(1000)
 			if withRoutes {
@@ -43,13 +43,13 @@
 				requireSettled(t, b)
 			}
 			if len(b.servers) == 0 {
-				t.Error("no server is left: the changes test nothing")
+				t.Error("no server is left, so the changes test nothing")
 			}
 		})
 	}
 }
 
-// checkSettled finds out whether a look at all servers changes anything.
+// requireSettled fails if a full rebuild of the server list changes anything.
 func requireSettled(t *testing.T, b *Balancer) {
 	t.Helper()
 	servers, known := slices.Clone(b.servers), len(b.byID)
@@ -62,20 +62,21 @@
 	}
 	b.dropGone()
 	if !slices.Equal(servers, b.servers) || known != len(b.byID) {
-		t.Fatalf("%d servers by a change, %d by a look at all, or in another order", len(servers), len(b.servers))
+		t.Fatalf("%d servers by a change, %d by a rebuild, or in another order", len(servers), len(b.servers))
 	}
 	for _, z := range b.zones {
 		if z.ready != ready[z.id] {
-			t.Fatalf("zone %d: %d ready by changes, %d by a look at all", z.id, ready[z.id], z.ready)
+			t.Fatalf("zone %d: %d ready by changes, %d by a rebuild", z.id, ready[z.id], z.ready)
 		}
 	}
 	for _, s := range b.servers {
 		if !slices.Equal(placements[s.ID], s.placements) {
-			t.Fatalf("server %d: %v by a change, %v by a look at all", s.ID, placements[s.ID], s.placements)
+			t.Fatalf("server %d: %v by a change, %v by a rebuild", s.ID, placements[s.ID], s.placements)
 		}
 	}
 }
 
+// newListHarness returns a harness that watches two list services.
 func newListHarness(t *testing.T, change func(*Config), servers ...Server) *harness {
 	cfg := baseConfig()
 	cfg.Subscribe, cfg.ListServices, cfg.SuspectFraction, cfg.StaleAfter = true, 2, 0.3, 5000
@@ -85,6 +86,7 @@
 	return newHarness(t, cfg, servers...)
 }
 
+// usableServers returns the IDs of all servers that may get requests, separated by blanks.
 func (h *harness) usableServers() string {
 	var out []string
 	for id := ServerID(1); id < 20; id++ {
@@ -95,16 +97,19 @@
 	return strings.Join(out, " ")
 }
 
+// requireUsable fails unless exactly these servers may get requests.
 func (h *harness) requireUsable(what, want string) {
 	h.t.Helper()
 	if got := h.usableServers(); got != want {
-		h.t.Fatalf("%s: used %q, want %q", what, got, want)
+		h.t.Fatalf("%s: usable %q, want %q", what, got, want)
 	}
 }
 
-// timer fires a timer of the list.
+// fireTimer fires the timer of this token.
 func (h *harness) fireTimer(token uint64) []Action { return h.handle(Timer{Token: token}) }
 
+// A list or a change with an older revision is rejected, except that servers which it names as draining or gone are
+// removed. The next service is then watched from the current revision.
 func TestEndpointList_olderRevision(t *testing.T) {
 	h := newListHarness(t, nil)
 	h.handle(ServerList{Kind: ListFull, Rev: 10, Servers: identicalServers(4)})
@@ -114,7 +119,7 @@
 		t.Fatalf("an older list: %+v, %+v", h.b.ListStatus(h.now), acts)
 	}
 	if w := findAction(h.fireTimer(listTimer), Watch); w == nil || w.Source != 1 || w.After != 10 {
-		t.Fatalf("the next service is not watched from what is held: %+v", w)
+		t.Fatalf("the next service is not watched from the current revision: %+v", w)
 	}
 	h.handle(ServerList{Kind: ListDelta, Rev: 9, Servers: []Server{{ID: 7}}})
 	h.handle(ServerList{Kind: ListDelta, Rev: 10, Servers: []Server{{ID: 7}}})
@@ -122,21 +127,23 @@
 	h.handle(ServerList{Kind: ListDelta, Rev: 12, Servers: []Server{{ID: 7}}})
 	h.requireUsable("newer changes", "1 2 3 4 7")
 	if h.b.ListStatus(h.now).Rejected {
-		t.Error("still refused")
+		t.Error("the last list still counts as rejected")
 	}
 
-	// What an old list says of a server that goes is true, unless it has started again since.
+	// An older list removes servers that it names as going, unless they have restarted since.
 	h.handle(ServerList{Kind: ListDelta, Rev: 13, Servers: []Server{{ID: 1, StartedAt: 900}, {ID: 2, StartedAt: 900}}})
 	h.handle(ServerList{Kind: ListFull, Rev: 5, Source: 1, Servers: []Server{
 		{ID: 1, State: Draining}, {ID: 2, State: Draining, StartedAt: 900}, {ID: 3, State: Gone}}})
-	h.requireUsable("an older list that names some who go", "1 4 7")
+	h.requireUsable("an older list with removals", "1 4 7")
 
-	// A later history is taken at once; an earlier one only when there has been nothing else for long.
+	// A newer epoch is accepted with a full list only.
 	h.handle(ServerList{Kind: ListFull, Rev: 1 << epochBits, Servers: identicalServers(4)})
 	h.handle(ServerList{Kind: ListDelta, Rev: 2<<epochBits + 5, Servers: []Server{{ID: 9}}})
-	h.requireUsable("changes of a history whose beginning is not known", "1 2 3 4")
+	h.requireUsable("changes of an unknown epoch", "1 2 3 4")
 }
 
+// A list of an older epoch is accepted only when no other list has come for historyTime. Until then it is polled with
+// growing pauses.
 func TestEndpointList_olderHistory(t *testing.T) {
 	h := newListHarness(t, func(c *Config) { c.SuspectFraction = 0 }, identicalServers(4)...)
 	h.handle(ServerList{Kind: ListFull, Rev: 3 << epochBits, Servers: identicalServers(4)})
@@ -144,16 +151,18 @@
 	var pauses []float64
 	for start := h.now; h.now-start <= historyTime; {
 		pauses = append(pauses, findAction(h.handle(old), SetTimer).At)
-		h.requireUsable("an earlier history", "1 2 3 4")
+		h.requireUsable("an older epoch", "1 2 3 4")
 		h.now += 3000
 	}
 	if last := len(pauses) - 1; pauses[last] < 2*pauses[0] {
-		t.Errorf("refused lists are asked for again as often as ever: %v", pauses)
+		t.Errorf("rejected lists are polled without a growing pause: %v", pauses)
 	}
 	h.handle(old)
-	h.requireUsable("nothing but an earlier history for long", "1 2")
+	h.requireUsable("only an older epoch for historyTime", "1 2")
 }
 
+// When a full list leaves out more than SuspectFraction of the servers, the missing ones are suspected and stay in
+// use. Servers that a list names as draining or gone are removed in any case.
 func TestEndpointList_suspectedServers(t *testing.T) {
 	without := func(from, to int) []Server { f := identicalServers(9); return append(f[:from:from], f[to:]...) }
 	for name, c := range map[string]struct {
@@ -162,61 +171,63 @@
 		usable          string
 		suspected       int
 	}{
-		"a few are gone":       {0.3, without(0, 2), "3 4 5 6 7 8 9", 0},
-		"many are doubted":     {0.3, without(0, 3), "1 2 3 4 5 6 7 8 9", 3},
-		"empty":                {0.3, nil, "1 2 3 4 5 6 7 8 9", 9},
-		"taken at its word":    {0, nil, "", 0},
-		"new ones are used":    {0.3, []Server{{ID: 12}}, "1 2 3 4 5 6 7 8 9 12", 9},
-		"who goes is obeyed":   {0.3, []Server{{ID: 1, State: Draining}, {ID: 2, State: Gone}}, "3 4 5 6 7 8 9", 7},
-		"half, and one drains": {0.3, append(without(4, 9), Server{ID: 5, State: Draining}), "1 2 3 4 6 7 8 9", 4},
+		"few missing":      {0.3, without(0, 2), "3 4 5 6 7 8 9", 0},
+		"many missing":     {0.3, without(0, 3), "1 2 3 4 5 6 7 8 9", 3},
+		"empty list":       {0.3, nil, "1 2 3 4 5 6 7 8 9", 9},
+		"suspicion off":    {0, nil, "", 0},
+		"new server":       {0.3, []Server{{ID: 12}}, "1 2 3 4 5 6 7 8 9 12", 9},
+		"named as going":   {0.3, []Server{{ID: 1, State: Draining}, {ID: 2, State: Gone}}, "3 4 5 6 7 8 9", 7},
+		"half, one drains": {0.3, append(without(4, 9), Server{ID: 5, State: Draining}), "1 2 3 4 6 7 8 9", 4},
 	} {
 		h := newListHarness(t, func(c2 *Config) { c2.SuspectFraction = c.suspectFraction }, identicalServers(9)...)
 		h.handle(ServerList{Kind: ListFull, Rev: 2, Servers: c.list})
 		if got := h.b.ListStatus(h.now).Suspected; h.usableServers() != c.usable || got != c.suspected {
-			t.Errorf("%s: used %q, doubted %d; want %q, %d", name, h.usableServers(), got, c.usable, c.suspected)
+			t.Errorf("%s: usable %q, suspected %d; want %q, %d", name, h.usableServers(), got, c.usable, c.suspected)
 		}
 	}
 }
 
+// A suspected server is removed by a list event that names it, by a refused connection, or after suspectLimit unless
+// the list is empty. A list that names it again clears the suspicion.
 func TestEndpointList_suspicionEnds(t *testing.T) {
 	newSuspicion := func(list ...Server) *harness {
 		h := newListHarness(t, nil, identicalServers(6)...)
 		if h.handle(ServerList{Kind: ListFull, Rev: 2, Servers: list}); h.b.ListStatus(h.now).Suspected == 0 {
-			t.Fatal("nothing is doubted")
+			t.Fatal("no server is suspected")
 		}
 		return h
 	}
-	t.Run("by a word", func(t *testing.T) {
+	t.Run("by an entry", func(t *testing.T) {
 		h := newSuspicion()
 		h.handle(ServerList{Kind: ListDelta, Rev: 3, Servers: []Server{{ID: 1, State: Draining}, {ID: 2, State: Gone}, {ID: 3}}})
-		h.requireUsable("named", "3 4 5 6")
+		h.requireUsable("changes that name them", "3 4 5 6")
 		if got := h.b.ListStatus(h.now).Suspected; got != 3 {
-			t.Errorf("%d are doubted", got)
+			t.Errorf("%d are suspected, want 3", got)
 		}
 	})
-	t.Run("by a list that names them", func(t *testing.T) {
+	t.Run("by a full list", func(t *testing.T) {
 		h := newSuspicion()
 		h.handle(ServerList{Kind: ListFull, Rev: 3, Servers: identicalServers(5)})
-		if h.requireUsable("a sound list", "1 2 3 4 5"); h.b.ListStatus(h.now).Suspected != 0 {
-			t.Error("still doubted")
+		if h.requireUsable("a full list with nearly all", "1 2 3 4 5"); h.b.ListStatus(h.now).Suspected != 0 {
+			t.Error("a server is still suspected")
 		}
 	})
-	t.Run("by a refused connection", func(t *testing.T) {
+	t.Run("by a failed connection", func(t *testing.T) {
 		h := newSuspicion()
 		id, acts := h.sendRequest(idempotentClass)
 		first, _ := sentTo(acts)
 		acts = h.endAttempt(id, 0, ConnectFailed, 5)
 		if f := findAction(acts, Forget); f == nil || f.Server != first {
-			t.Fatalf("it is not forgotten: %+v", acts)
+			t.Fatalf("no Forget for the server: %+v", acts)
 		}
 		if next, ok := sentTo(acts); !ok || next == first {
-			t.Errorf("the request is not sent on: %+v", acts)
+			t.Errorf("the request does not go to another server: %+v", acts)
 		}
 		if _, ok := h.b.UsableServer(first); ok {
-			t.Error("it is still used")
+			t.Error("the server is still used")
 		}
 	})
-	t.Run("by time, unless the list is empty", func(t *testing.T) {
+	t.Run("by time unless empty", func(t *testing.T) {
 		for _, empty := range []bool{true, false} {
 			var list []Server
 			if !empty {
@@ -226,34 +237,37 @@
 			h.now += suspectLimit
 			h.fireTimer(suspectTimer)
 			if want := map[bool]string{true: "1 2 3 4 5 6", false: "1 2"}[empty]; h.usableServers() != want {
-				t.Errorf("empty %v: used %q", empty, h.usableServers())
+				t.Errorf("empty list %v: usable %q", empty, h.usableServers())
 			}
 		}
 	})
 }
 
+// Inconsistent entries: of duplicates the newest start counts and a removal wins; of servers at one address, the
+// ready one with the newest start stays; servers without an address are not used; a rating that is not positive gets
+// a default.
 func TestEndpointList_badEntries(t *testing.T) {
 	for name, c := range map[string]struct {
 		list   []Server
 		usable string
 	}{
-		"twice, one drains":           {[]Server{{ID: 1, State: Draining}, {ID: 1}, {ID: 2}}, "2"},
-		"twice, one is gone":          {[]Server{{ID: 1}, {ID: 1, State: Gone}, {ID: 2}}, "2"},
-		"twice, both ready":           {[]Server{{ID: 1, AddressKey: 5, StartedAt: 2}, {ID: 1, AddressKey: 6, StartedAt: 1}}, "1"},
-		"two in one place":            {[]Server{{ID: 1, AddressKey: 5}, {ID: 2, AddressKey: 5, StartedAt: 7}, {ID: 3, AddressKey: 6}}, "2 3"},
-		"two in one place, alike":     {[]Server{{ID: 2, AddressKey: 5}, {ID: 1, AddressKey: 5}}, "1"},
-		"one in one place, one drain": {[]Server{{ID: 2, AddressKey: 5}, {ID: 1, AddressKey: 5, State: Draining, StartedAt: 9}}, "2"},
-		"nowhere":                     {[]Server{{ID: 1, AddressKey: NoAddress}, {ID: 2, AddressKey: NoAddress, State: Draining}, {ID: 3, AddressKey: 1}}, "3"},
-		"no size":                     {[]Server{{ID: 1, Rating: -1}, {ID: 2, Rating: 0}}, "1 2"},
+		"twice, one drains":         {[]Server{{ID: 1, State: Draining}, {ID: 1}, {ID: 2}}, "2"},
+		"twice, one is gone":        {[]Server{{ID: 1}, {ID: 1, State: Gone}, {ID: 2}}, "2"},
+		"twice, both ready":         {[]Server{{ID: 1, AddressKey: 5, StartedAt: 2}, {ID: 1, AddressKey: 6, StartedAt: 1}}, "1"},
+		"two at one address":        {[]Server{{ID: 1, AddressKey: 5}, {ID: 2, AddressKey: 5, StartedAt: 7}, {ID: 3, AddressKey: 6}}, "2 3"},
+		"two at one address, equal": {[]Server{{ID: 2, AddressKey: 5}, {ID: 1, AddressKey: 5}}, "1"},
+		"two at one address, drain": {[]Server{{ID: 2, AddressKey: 5}, {ID: 1, AddressKey: 5, State: Draining, StartedAt: 9}}, "2"},
+		"no address":                {[]Server{{ID: 1, AddressKey: NoAddress}, {ID: 2, AddressKey: NoAddress, State: Draining}, {ID: 3, AddressKey: 1}}, "3"},
+		"no rating":                 {[]Server{{ID: 1, Rating: -1}, {ID: 2, Rating: 0}}, "1 2"},
 	} {
 		h := newListHarness(t, func(c *Config) { c.SuspectFraction = 0 })
 		h.handle(ServerList{Kind: ListFull, Rev: 2, Servers: c.list})
 		if h.usableServers() != c.usable {
-			t.Errorf("%s: used %q, want %q", name, h.usableServers(), c.usable)
+			t.Errorf("%s: usable %q, want %q", name, h.usableServers(), c.usable)
 		}
 		for _, s := range h.b.servers {
 			if !(s.Rating > 0) {
-				t.Errorf("%s: a server of the size %v", name, s.Rating)
+				t.Errorf("%s: a server with the rating %v", name, s.Rating)
 			}
 		}
 	}
@@ -262,11 +276,12 @@
 		h.handle(ServerList{Kind: ListFull, Rev: 2, Servers: []Server{{ID: 1, AddressKey: 6, StartedAt: 1}, {ID: 1, AddressKey: 5, StartedAt: 2}}})
 		return h.b.UsableServer(1)
 	}(); s.AddressKey != 5 {
-		t.Errorf("of two entries the older counts: %+v", s)
+		t.Errorf("of two entries the older one counts: %+v", s)
 	}
 }
 
-// Another address is another way to a server: what failed on the old one is not held against it. Another zone moves it.
+// A new address clears the ejection of a server, as failures of the old address say nothing about the new one. A new
+// zone moves the server.
 func TestEndpointList_addressChange(t *testing.T) {
 	h := newListHarness(t, nil, Server{ID: 1, AddressKey: 4}, Server{ID: 2, AddressKey: 5})
 	for range 4 {
@@ -277,21 +292,21 @@
 		}
 	}
 	if !h.b.ejected(h.b.byID[1]) {
-		t.Fatal("it does not rest")
+		t.Fatal("the server is not ejected")
 	}
 	h.handle(ServerList{Kind: ListDelta, Rev: 3, Servers: []Server{{ID: 1, AddressKey: 9, Zone: 3}}})
 	if s := h.b.byID[1]; h.b.ejected(s) || s.Zone != 3 || h.b.warmingUp(s) {
-		t.Errorf("after it moved: %+v", s)
+		t.Errorf("after the change of address: %+v", s)
 	}
 }
 
-// Whatever several services tell, in whatever order: the list goes back only where nothing newer comes for long, who is
-// told to go is not used, however old the list, and requests go to those in use alone.
+// For any sequence of lists from several services: the revision goes back only after a rejected list, a server that
+// is named as draining or gone is not used, and requests go to usable servers alone.
 func TestEndpointList_property(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		cfg := baseConfig()
-		cfg.Subscribe, cfg.ListServices = true, rapid.IntRange(2, 3).Draw(rt, "lists")
-		cfg.SuspectFraction = rapid.SampledFrom([]float64{0, 0.3}).Draw(rt, "doubt")
+		cfg.Subscribe, cfg.ListServices = true, rapid.IntRange(2, 3).Draw(rt, "services")
+		cfg.SuspectFraction = rapid.SampledFrom([]float64{0, 0.3}).Draw(rt, "suspect fraction")
 		b := mustNew(t, cfg)
 		now := 1000.0
 		b.Start(now)
@@ -304,7 +319,7 @@
 			for range rapid.IntRange(0, 5).Draw(rt, "entries") {
 				ev.Servers = append(ev.Servers, Server{ID: ServerID(rapid.IntRange(1, 6).Draw(rt, "id")),
 					State:     rapid.SampledFrom([]ServerState{Ready, Ready, Draining, Gone}).Draw(rt, "state"),
-					StartedAt: float64(rapid.IntRange(0, 3).Draw(rt, "start")), AddressKey: uint64(rapid.IntRange(0, 4).Draw(rt, "place"))})
+					StartedAt: float64(rapid.IntRange(0, 3).Draw(rt, "start")), AddressKey: uint64(rapid.IntRange(0, 4).Draw(rt, "address"))})
 			}
 			if ev.Kind == ListFailed || ev.Kind == ListAlive {
 				ev.Servers = nil
@@ -320,7 +335,7 @@
 			for _, e := range b.normalizeEntries(ev.Servers) {
 				s, used := b.UsableServer(e.ID)
 				if used && e.State != Ready && e.StartedAt >= s.StartedAt {
-					rt.Fatalf("%+v is used although it was told to go: %+v", s, e)
+					rt.Fatalf("%+v is used although an entry removes it: %+v", s, e)
 				}
 			}
 			next++
@@ -330,13 +345,14 @@
 			}
 			if to, ok := sentTo(acts); ok {
 				if _, used := b.UsableServer(to); !used {
-					rt.Fatalf("a request goes to %d, which is not in use", to)
+					rt.Fatalf("a request goes to server %d, which may not be used", to)
 				}
 			}
 		}
 	})
 }
 
+// A draining server gets no new requests, and a full list removes servers that it leaves out.
 func TestEndpointList_drainingServer(t *testing.T) {
 	h := newHarness(t, baseConfig(), identicalServers(2)...)
 	gone := identicalServers(1)[0]
@@ -350,9 +366,9 @@
 		h.endAttempt(id, 0, OK, 10)
 	}
 	gone.State = Ready
-	h.handle(ServerList{Kind: ListFull, Servers: []Server{gone}}) // the other is left out: it has gone
+	h.handle(ServerList{Kind: ListFull, Servers: []Server{gone}}) // the list leaves the other one out
 	id, acts := h.sendRequest(idempotentClass)
 	if s, _ := sentTo(acts); s != 1 {
-		t.Fatalf("sent to %d of request %d", s, id)
+		t.Fatalf("sent to %d, request %d", s, id)
 	}
 }
--- a/balance/events_test.go
+++ b/balance/events_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-// At the end of a process each request gets its one answer, and none is sent any more.
+// On Shutdown each request gets its one answer; later requests are rejected and nothing is sent.
 func TestEvents_shutdown(t *testing.T) {
 	h := newHarness(t, baseConfig(), identicalServers(4)...)
 	idempotent, _ := h.sendRequest(idempotentClass)
@@ -18,20 +18,20 @@
 		t.Errorf("not answered: %v in %v", want, acts)
 	}
 	if _, acts := h.sendRequest(idempotentClass); len(acts) != 1 || acts[0].Kind != Reject {
-		t.Errorf("after the end a request gets %v", acts)
+		t.Errorf("after the shutdown a request gets %v", acts)
 	}
 	if acts := h.endAttempt(idempotent, 0, ConnectFailed, 1); hasAction(acts, Send) {
-		t.Errorf("sent again after the end: %v", acts)
+		t.Errorf("sent again after the shutdown: %v", acts)
 	}
 }
 
-// In overload an alarm came a rounding error before its time and was not set again, so that the
-// request got no answer at its deadline.
+// A timer that fires a rounding error too early is set again, so that the request still gets its answer at the
+// deadline.
 func TestEvents_earlyTimer(t *testing.T) {
 	h := newHarness(t, baseConfig(), identicalServers(4)...)
 	id, _ := h.sendRequest(nonIdempotentClass)
 	h.now = h.b.reqs[id].wakeAt - 1e-4
 	if acts := h.handle(Timer{Token: uint64(id)}); !hasAction(acts, SetTimer) {
-		t.Fatalf("no timer after an early alarm: %+v", acts)
+		t.Fatalf("no timer is set after an early one: %+v", acts)
 	}
 }
--- a/balance/fleet_size_test.go
+++ b/balance/fleet_size_test.go
@@ -10,32 +10,34 @@
 	"pgregory.net/rapid"
 )
 
+// A larger process count is taken over at once. With a smaller one the estimate falls by half in 10 s, but not while
+// half or more of the processes are silent. A process that is not admitted has no quota.
 func TestFleetEstimate_growthAndDecay(t *testing.T) {
 	var c FleetEstimate
 	all := func(n int) FleetSize { return FleetSize{Known: n, Reachable: n, Admitted: true} }
 	assert.Equal(t, 1.0/10, c.Quota(1000, all(10)))
-	assert.Equal(t, 1.0/40, c.Quota(1000, all(40)), "more are believed at once")
-	assert.InDelta(t, 2.0/40, c.Quota(11000, all(10)), 1e-12, "fewer by half in 10 s")
+	assert.Equal(t, 1.0/40, c.Quota(1000, all(40)), "a larger count is accepted at once")
+	assert.InDelta(t, 2.0/40, c.Quota(11000, all(10)), 1e-12, "a smaller count halves the estimate in 10 s")
 	silent := FleetSize{Known: 10, Reachable: 5, Admitted: true}
-	assert.InDelta(t, 2.0/40, c.Quota(21000, silent), 1e-12, "not while half are silent")
+	assert.InDelta(t, 2.0/40, c.Quota(21000, silent), 1e-12, "no change while half are silent")
 	assert.InDelta(t, 4.0/40, c.Quota(31000, FleetSize{Known: 10, Reachable: 6, Admitted: true}), 1e-12)
-	assert.Zero(t, c.Quota(31000, FleetSize{Known: 10, Reachable: 10}), "a newcomer has no part")
+	assert.Zero(t, c.Quota(31000, FleetSize{Known: 10, Reachable: 10}), "a process that is not admitted has no quota")
 	for _, none := range []int{0, -3} {
-		assert.Equal(t, 1.0, c.Quota(1e9, FleetSize{Known: none, Reachable: 1, Admitted: true}), "no more than one process's part")
+		assert.Equal(t, 1.0, c.Quota(1e9, FleetSize{Known: none, Reachable: 1, Admitted: true}), "at most the quota of a single process")
 	}
 }
 
-// Whatever comes, a part is a number from 0 to that of all that are known, grows at most as the count may fall, and
-// does not grow while half or more are silent. A clock that goes back for a while gives nobody more, and is got over.
+// The quota is over 0 and at most one part of all known processes, grows at most as fast as the count may decay, and
+// does not grow while half or more are silent. A clock that goes back for a while gives no larger quota.
 func TestFleetEstimate_property(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var c FleetEstimate
 		now, last := rapid.Float64Range(0, 1e7).Draw(t, "now"), 0.0
-		for i := range rapid.IntRange(1, 30).Draw(t, "news") {
+		for i := range rapid.IntRange(1, 30).Draw(t, "updates") {
 			passed := rapid.Float64Range(-60000, 60000).Draw(t, "passed")
 			now += passed
 			s := FleetSize{Known: rapid.IntRange(-1, 3000).Draw(t, "known"), Admitted: true}
-			s.Reachable = rapid.IntRange(0, max(0, s.Known)).Draw(t, "heard")
+			s.Reachable = rapid.IntRange(0, max(0, s.Known)).Draw(t, "reachable")
 			quota := c.Quota(now, s)
 			require.Positive(t, quota)
 			require.LessOrEqual(t, quota, 1/math.Max(1, float64(s.Known)))
@@ -51,21 +53,21 @@
 	})
 }
 
-// The parts of processes that each know at least all that are admitted add up to no more than one, however late and
-// differently they learn of those that are gone. One that admits itself too early breaks it: the check can fail.
+// The quotas of processes add up to at most one, if each knows at least all admitted ones, however late it learns of
+// ended ones. A process that admits itself too early exceeds it, which shows that the check can fail.
 func TestFleetEstimate_quotasSumToOne(t *testing.T) {
 	broken := 0.0
 	rapid.Check(t, func(t *rapid.T) {
 		type process struct {
 			FleetEstimate
 			part  float64
-			extra int // gone ones that it still knows
+			extra int // ended processes that it still counts
 		}
 		var all []*process
 		now := 0.0
 		update := func(p *process, admitted bool) {
 			known := len(all) + p.extra
-			p.part = p.Quota(now, FleetSize{Known: known, Reachable: rapid.IntRange(1, known).Draw(t, "heard"), Admitted: admitted})
+			p.part = p.Quota(now, FleetSize{Known: known, Reachable: rapid.IntRange(1, known).Draw(t, "reachable"), Admitted: admitted})
 		}
 		sum := func(extra float64) float64 {
 			for _, p := range all {
@@ -76,7 +78,7 @@
 		for range rapid.IntRange(1, 40).Draw(t, "steps") {
 			now += rapid.Float64Range(0, 20000).Draw(t, "passed")
 			switch rapid.IntRange(0, 3).Draw(t, "what") {
-			case 0: // one starts: counted by all before it counts itself
+			case 0: // one starts: all others count it before it is admitted
 				fresh := &process{}
 				if len(all) > 0 {
 					broken = math.Max(broken, sum(1/float64(len(all))))
@@ -87,7 +89,7 @@
 				}
 				require.Zero(t, fresh.part)
 				update(fresh, true)
-			case 1: // one ends, and the others know it still
+			case 1: // one ends, and the others still count it
 				if len(all) > 1 {
 					all = all[:len(all)-1]
 					for _, p := range all {
@@ -106,13 +108,13 @@
 	assert.Greater(t, broken, 1.0)
 }
 
-// A balancer that is told of just as many as the settings name does what it does untold; of another number it does not.
+// A reported process count equal to Config.Peers changes no action; another count does.
 func TestFleetEstimate_equalToSettings(t *testing.T) {
 	differed := false
 	rapid.Check(t, func(t *rapid.T) {
 		cfg := baseConfig()
 		cfg.Peers, cfg.Seed = rapid.IntRange(1, 3000).Draw(t, "peers"), rapid.Uint64().Draw(t, "seed")
-		var balancers [3]*Balancer // untold, told of the settings' number, told of a tenth
+		var balancers [3]*Balancer // without a report, with the count of the settings, with a tenth of it
 		for i := range balancers {
 			b, err := New(cfg)
 			require.NoError(t, err)
@@ -142,7 +144,7 @@
 		}
 		servers := identicalServers(rapid.IntRange(2, 12).Draw(t, "servers"))
 		for i := range servers {
-			if rapid.Bool().Draw(t, "cold") {
+			if rapid.Bool().Draw(t, "starting") {
 				servers[i].StartedAt = now
 			}
 		}
@@ -159,7 +161,7 @@
 				}
 			}
 			require.InDelta(t, balancers[0].assumedAnswers, balancers[1].assumedAnswers, 1e-12)
-			if len(inFlight) == 0 || rapid.Bool().Draw(t, "asks") {
+			if len(inFlight) == 0 || rapid.Bool().Draw(t, "request") {
 				next++
 				do(Request{ID: next, Class: rapid.IntRange(0, 4).Draw(t, "class"), Remaining: 1500})
 				continue
@@ -170,5 +172,5 @@
 			do(Outcome{Request: a.Request, Attempt: a.Attempt, Server: a.Server, Result: res, Elapsed: 20, Finished: res == OK})
 		}
 	})
-	assert.True(t, differed, "a balancer told of a tenth never did anything else")
+	assert.True(t, differed, "a tenth of the count never changed an action")
 }
--- a/balance/health_check_test.go
+++ b/balance/health_check_test.go
@@ -2,24 +2,26 @@
 
 import "testing"
 
-// A probe that this machine could not send says nothing of its server.
+// A health check that this machine could not send says nothing about the server.
 func TestHealthCheck_localFailure(t *testing.T) {
 	h := newHarness(t, baseConfig(), identicalServers(8)...)
 	before := h.recordOf(3)
 	h.b.byID[3].checkPending = true
 	h.handle(HealthCheckResult{Server: 3, Result: LocalFailure, Elapsed: 0.1})
 	if after := h.recordOf(3); after != before || h.b.byID[3].checkPending {
-		t.Errorf("%+v, was %+v; it may be probed again: %v", after, before, !h.b.byID[3].checkPending)
+		t.Errorf("%+v, was %+v; a further check is possible: %v", after, before, !h.b.byID[3].checkPending)
 	}
 }
 
+// healthCheckConfig returns settings with health checks that report the requests in flight.
 func healthCheckConfig() Config {
 	cfg := baseConfig()
 	cfg.HealthChecks, cfg.Reports, cfg.Fields = true, ReportHealthCheck, []Field{FieldInFlight}
 	return cfg
 }
 
-// probes answers the probes of acts: servers in dark give no answer, the others hold n requests.
+// answerHealthChecks answers the health checks among the actions: unreachable servers time out, others report n
+// requests in flight.
 func (h *harness) answerHealthChecks(acts []Action, n float32, unreachable map[ServerID]bool) []Action {
 	var after []Action
 	for _, a := range acts {
@@ -35,22 +37,22 @@
 	return after
 }
 
-// Links were cut and most probes lost, and the servers next in turn, which nobody could use,
-// were probed again for every request.
+// Servers that do not answer health checks are ejected, so that they are not checked again for each request, and are
+// used again when they answer.
 func TestHealthCheck_unreachableServers(t *testing.T) {
 	h := newHarness(t, healthCheckConfig(), identicalServers(3)...)
 	unreachable := map[ServerID]bool{1: true, 2: true}
 	for i := range 4 {
 		id, acts := h.sendRequest(idempotentClass)
 		if checked := len(acts) - 1; i > 0 && checked > 1 {
-			t.Fatalf("request %d: %d servers probed though two are out of reach", id, checked)
+			t.Fatalf("request %d: %d servers are checked, want at most 1 while two are ejected", id, checked)
 		}
 		if s, ok := sentTo(h.answerHealthChecks(acts, 0, unreachable)); !ok || s != 3 {
 			t.Fatalf("request %d went to %d", id, s)
 		}
 		h.endAttempt(id, 0, OK, 10)
 	}
-	h.now += 10000 // their rest is over and they answer again
+	h.now += 10000 // the ejections have ended and the servers answer again
 	used := map[ServerID]bool{}
 	for range 6 {
 		id, acts := h.sendRequest(idempotentClass)
@@ -59,25 +61,27 @@
 		h.endAttempt(id, 0, OK, 10)
 	}
 	if !used[1] || !used[2] {
-		t.Fatalf("used %v after they came back", used)
+		t.Fatalf("used %v after they answer again", used)
 	}
 }
 
-// A sidecar with little traffic cannot know from its own requests what others fill.
+// A request waits for its health checks and goes to the server with the fewest reported requests, as a sidecar with
+// little traffic does not see the load of others.
 func TestHealthCheck_reportedQueue(t *testing.T) {
 	h := newHarness(t, healthCheckConfig(), identicalServers(3)...)
-	h.b.servers[0].running = 1000 // its turn
+	h.b.servers[0].running = 1000 // next in the rotation
 	id, acts := h.sendRequest(idempotentClass)
 	if hasAction(acts, Send) {
-		t.Fatal("sent before the probes were answered")
+		t.Fatal("sent before the health checks were answered")
 	}
 	h.handle(HealthCheckResult{Server: 1, Report: []float32{5}})
 	h.handle(HealthCheckResult{Server: 2, Report: []float32{0}})
 	if s, ok := sentTo(h.handle(HealthCheckResult{Server: 3, Report: []float32{4}})); !ok || s != 2 {
-		t.Fatalf("request %d went to %d, want the empty server", id, s)
+		t.Fatalf("request %d went to %d, want the idle server", id, s)
 	}
 }
 
+// A request waits for health checks for a tenth of its latency objective at most.
 func TestHealthCheck_waitLimit(t *testing.T) {
 	h := newHarness(t, healthCheckConfig(), identicalServers(3)...)
 	id, _ := h.sendRequest(idempotentClass)
@@ -87,7 +91,7 @@
 	}
 }
 
-// Probes cost: in quiet hours a few find an idle server, in busy ones all are asked.
+// Few servers are checked per request while servers are idle, and all while they are busy: a check has a cost.
 func TestHealthCheck_countFollowsLoad(t *testing.T) {
 	h := newHarness(t, healthCheckConfig(), identicalServers(12)...)
 	checksSent := func(inFlight float32) int {
@@ -108,6 +112,6 @@
 	}
 	idle := checksSent(0)
 	if busy := checksSent(1); idle > 3 || busy != 12 {
-		t.Fatalf("%d servers probed when all are idle, %d when all are busy", idle, busy)
+		t.Fatalf("%d servers checked when all are idle, %d when all are busy", idle, busy)
 	}
 }
--- a/balance/idle_period_test.go
+++ b/balance/idle_period_test.go
@@ -1,34 +1,33 @@
 package balance
 
 import (
-	"fmt"
 	"math"
 	"testing"
 )
 
 const idlePeriod = 600_000 // ms without a request
 
-// before are the states in which the quiet time may begin.
+// priorStates are the states of a balancer in which the idle period begins.
 var priorStates = map[string]func(*harness){
-	"calm": func(g *harness) { g.serveRequests(200, 50) },
-	"overload": func(g *harness) {
-		g.serveRequests(200, 50)
+	"calm": func(h *harness) { h.serveRequests(200, 50) },
+	"overload": func(h *harness) {
+		h.serveRequests(200, 50)
 		for range 2000 {
-			id, acts := g.sendRequest(idempotentClass)
+			id, acts := h.sendRequest(idempotentClass)
 			if _, sent := sentTo(acts); sent {
-				g.unanswered = append(g.unanswered, id)
+				h.unanswered = append(h.unanswered, id)
 			}
-			g.now += 5
+			h.now += 5
 		}
-		g.timeOutUnanswered()
+		h.timeOutUnanswered()
 	},
-	"all fail": func(g *harness) {
-		g.serveRequests(200, 50)
-		g.failRequests(100)
+	"all fail": func(h *harness) {
+		h.serveRequests(200, 50)
+		h.failRequests(100)
 	},
 }
 
-// serve plays requests one after another that are answered well.
+// serveRequests plays n requests one after another, each answered after this time.
 func (h *harness) serveRequests(n int, elapsed float64) {
 	h.t.Helper()
 	for range n {
@@ -39,7 +38,7 @@
 	}
 }
 
-// fail plays requests all of whose attempts fail at once, and reports how many attempts they had.
+// failRequests plays n requests whose attempts all fail after 1 ms, and returns the number of attempts.
 func (h *harness) failRequests(n int) (attempts int) {
 	h.t.Helper()
 	for range n {
@@ -54,7 +53,7 @@
 	return attempts
 }
 
-// endLate ends all attempts that are out as timed out.
+// timeOutUnanswered ends all pending attempts as timed out.
 func (h *harness) timeOutUnanswered() {
 	h.now += 10_000
 	for _, id := range h.unanswered {
@@ -66,7 +65,7 @@
 	h.unanswered = nil
 }
 
-// fresh is a balancer that has just started, and rested one that has had a quiet time after what came before.
+// afterIdlePeriod returns a balancer that has just started, and one that was in this state before an idle period.
 func afterIdlePeriod(t *testing.T, state string) (newProcess, idleProcess *harness) {
 	t.Helper()
 	newProcess, idleProcess = newHarness(t, baseConfig(), identicalServers(4)...), newHarness(t, baseConfig(), identicalServers(4)...)
@@ -76,8 +75,8 @@
 	return newProcess, idleProcess
 }
 
-// After ten minutes without a request a burst is taken as by a sidecar that has just started: nothing that was shed,
-// counted or held against servers before is left.
+// After ten minutes without a request, a burst is admitted as by a process that has just started: no earlier
+// shedding, count or ejection has an effect.
 func TestAdmission_burstAfterIdlePeriod(t *testing.T) {
 	for state := range priorStates {
 		t.Run(state, func(t *testing.T) {
@@ -95,13 +94,13 @@
 				}
 			}
 			if rejected[1] > rejected[0] {
-				t.Errorf("%d of 40 requests are refused after the quiet time, %d by a new sidecar", rejected[1], rejected[0])
+				t.Errorf("%d of 40 requests are rejected after the idle period, %d by a new process", rejected[1], rejected[0])
 			}
 		})
 	}
 }
 
-// Servers that begin to fail after a quiet time are judged as by a sidecar that has just started.
+// Servers that begin to fail after an idle period are treated as by a process that has just started.
 func TestEjection_failuresAfterIdlePeriod(t *testing.T) {
 	for state := range priorStates {
 		t.Run(state, func(t *testing.T) {
@@ -109,24 +108,25 @@
 			for _, h := range []*harness{newProcess, idleProcess} {
 				id, acts := h.sendRequest(idempotentClass)
 				if !hasAction(acts, Send) {
-					t.Fatal("the first request after the quiet time is not sent")
+					t.Fatal("the first request after the idle period is not sent")
 				}
 				h.now++
 				s := h.b.reqs[id].attempts[0].server
 				h.endAttempt(id, 0, Failed, 1)
 				if m := h.b.health(s); math.Abs(m-(1-penaltyPerError)) > 1e-9 || h.b.ejected(s) {
-					t.Errorf("after one error: multiplier %v, resting %v", m, h.b.ejected(s))
+					t.Errorf("after one error: health %v, ejected %v", m, h.b.ejected(s))
 				}
 			}
-			// What was learned of answers stays, so what is shed while nobody answers may differ a little.
+			// Learned latencies stay, so shedding may differ a little while no server answers.
 			if a, b := newProcess.failRequests(50), idleProcess.failRequests(50); 5*b < 4*a || 5*b > 6*a {
-				t.Errorf("%d attempts after the quiet time, %d by a new sidecar", b, a)
+				t.Errorf("%d attempts after the idle period, %d by a new process", b, a)
 			}
 		})
 	}
 }
 
-// A list that changes after a quiet time counts at once: who drains gets nothing, who starts is warmed up.
+// A list event after an idle period takes effect at once: a draining server gets no request, and a started one is in
+// slow start.
 func TestEndpointList_changeAfterIdlePeriod(t *testing.T) {
 	for state := range priorStates {
 		t.Run(state, func(t *testing.T) {
@@ -136,7 +136,7 @@
 			starting := Server{ID: 9, Rating: 1, Cell: 9, Zone: 9, StartedAt: h.now}
 			h.handle(ServerList{Kind: ListDelta, Rev: 2, Servers: []Server{draining, starting}})
 			if s := h.b.byID[9]; s == nil || !h.b.warmingUp(s) {
-				t.Fatal("the server that starts is not warmed up")
+				t.Fatal("the started server is not in slow start")
 			}
 			sent := map[ServerID]int{}
 			for range 100 {
@@ -148,7 +148,7 @@
 				}
 			}
 			if sent[draining.ID] > 0 || sent[2]+sent[3]+sent[4] < 50 {
-				t.Error(fmt.Sprint("sent by server: ", sent))
+				t.Errorf("attempts by server: %v", sent)
 			}
 		})
 	}
--- a/balance/limits_test.go
+++ b/balance/limits_test.go
@@ -11,7 +11,7 @@
 	"time"
 )
 
-// newGrown is a balancer with so many servers in three zones.
+// newLargeBalancer returns a balancer with n servers in three zones.
 func newLargeBalancer(t testing.TB, n int) *Balancer {
 	t.Helper()
 	b := mustNew(t, baseConfig())
@@ -26,7 +26,7 @@
 	return b
 }
 
-// changeOne lets a server drain, go and come again in turn.
+// changeListOnce brings one list change: a server that drains, goes and joins again in turn.
 func changeListOnce(t testing.TB, b *Balancer, round int) {
 	t.Helper()
 	one := identicalServers(1)
@@ -36,7 +36,7 @@
 	}
 }
 
-// askOne brings a request, one of 20 a second, and its answer.
+// requestOnce brings a request, at 20 a second, and its answer after 20 ms.
 func requestOnce(t testing.TB, b *Balancer, round int) {
 	t.Helper()
 	now, id := 1000+50*float64(round), RequestID(round+1)
@@ -53,12 +53,13 @@
 	}
 }
 
-// BenchmarkListChange is what one change of the list costs with few and with many servers.
+// BenchmarkListChange measures one list change with 200 and with 3200 servers.
 func BenchmarkListChange(b *testing.B) { benchmarkFleetSizes(b, changeListOnce) }
 
-// BenchmarkRequestInFleet is what a request costs with few and with many servers.
+// BenchmarkRequestInFleet measures one request with 200 and with 3200 servers.
 func BenchmarkRequestInFleet(b *testing.B) { benchmarkFleetSizes(b, requestOnce) }
 
+// benchmarkFleetSizes runs a step with 200 and with 3200 servers.
 func benchmarkFleetSizes(b *testing.B, do func(testing.TB, *Balancer, int)) {
 	for _, n := range []int{200, 3200} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
@@ -70,8 +71,8 @@
 	}
 }
 
-// With sixteen times the servers neither a request nor a change of the list takes as many times as long: nobody walks
-// over all servers. The least of several times in turn is compared, as the machine may be busy.
+// Neither a request nor a list change may visit all servers: with 16 times the servers, each takes at most 5 times as
+// long. The fastest of several samples counts, as the machine may be busy.
 func TestLimits_costInLargeFleet(t *testing.T) {
 	const samples, rounds, maxRatio = 7, 400, 5
 	for name, do := range map[string]func(testing.TB, *Balancer, int){"request": requestOnce, "change": changeListOnce} {
@@ -95,19 +96,19 @@
 	}
 }
 
-// Limits of a file of decisions, so that each has one subject and can be read in one sitting.
+// Limits of a source file, so that each has one subject.
 const (
-	maxLines         = 400 // that are not blank
+	maxLines         = 400 // without blank lines
 	maxPolicyColumns = 110 // of a file of decisions
-	maxColumns       = 120 // of any other file of the package
+	maxColumns       = 120 // of any other file
 )
 
-// bookkeeping are the files that take no decisions.
+// nonPolicyFiles are the files that take no decisions.
 var nonPolicyFiles = []string{
 	"api.go", "balance.go", "canary_budget.go", "events.go", "route_state.go", "settings.go", "state.go", "status.go",
 }
 
-// Each file of decisions is listed as policy in the deploy file, and stays short.
+// Each file of decisions is listed as policy in the deploy file, and no file is too long.
 func TestLimits_policyFiles(t *testing.T) {
 	deploy, err := os.ReadFile("../deploy/balancer.toml")
 	if err != nil {
@@ -135,17 +136,18 @@
 			columns = maxPolicyColumns
 		}
 		if slices.Contains(listed, name) == slices.Contains(nonPolicyFiles, name) {
-			t.Errorf("%s is listed both as policy and as bookkeeping, or as neither", name)
+			t.Errorf("%s must be either policy in the deploy file or one of nonPolicyFiles", name)
 		}
 		checkLength(t, name, columns)
 	}
 	for _, name := range listed {
 		if !slices.Contains(files, name) {
-			t.Errorf("%s is listed as policy, and there is no such file", name)
+			t.Errorf("%s is listed as policy, but does not exist", name)
 		}
 	}
 }
 
+// checkLength checks the number of lines of a file and their width.
 func checkLength(t *testing.T, name string, columns int) {
 	t.Helper()
 	text, err := os.ReadFile(name)
@@ -166,7 +168,7 @@
 	}
 }
 
-// The use example of README is the tested one.
+// README shows the tested example word for word.
 func TestLimits_readmeExample(t *testing.T) {
 	example, err := os.ReadFile("example_test.go")
 	if err != nil {
@@ -178,11 +180,11 @@
 	}
 	_, body, found := strings.Cut(string(example), "\nfunc Example() {")
 	if !found || !strings.Contains(string(readme), "```go\nfunc Example() {"+body+"```") {
-		t.Fatal("README does not hold the text of Example")
+		t.Fatal("README does not show the text of Example")
 	}
 }
 
-// What has ended is forgotten: requests, servers that are gone, probes that are waited for.
+// Ended requests, removed servers and answered health checks are forgotten.
 func TestLimits_memory(t *testing.T) {
 	h := newHarness(t, healthCheckConfig(), identicalServers(5)...)
 	for i := range 20000 {
@@ -193,7 +195,7 @@
 		if _, ok := sentTo(acts); ok {
 			h.endAttempt(id, 0, OK, 5)
 		}
-		if i%20 == 0 { // a rolling deploy: new names all the time
+		if i%20 == 0 { // a rolling deploy with new names
 			list := identicalServers(5)
 			for k := range list {
 				list[k].ID = ServerID(i + k + 1)
@@ -203,11 +205,12 @@
 	}
 	b := h.b
 	if len(b.reqs) > 1 || len(b.servers) != 5 || len(b.byID) != 5 || len(b.waitingForChecks) > 1 || cap(b.out) > 100 {
-		t.Fatalf("%d requests, %d servers, %d by ID, %d waiting, room for %d actions",
+		t.Fatalf("%d requests, %d servers, %d by ID, %d waiting, capacity for %d actions",
 			len(b.reqs), len(b.servers), len(b.byID), len(b.waitingForChecks), cap(b.out))
 	}
 }
 
+// BenchmarkRequest measures one answered request.
 func BenchmarkRequest(b *testing.B) {
 	for _, n := range []int{12, 100, 300} {
 		b.Run(fmt.Sprintf("%d-servers", n), func(b *testing.B) {
--- a/balance/list_watch_test.go
+++ b/balance/list_watch_test.go
@@ -6,59 +6,63 @@
 	"testing"
 )
 
+// After a failed call the next service is tried; the pause grows only after all of them have failed. A failed check
+// of another service does not switch the watch.
 func TestEndpointList_serviceFailover(t *testing.T) {
 	h := newListHarness(t, func(c *Config) { c.ListServices = 3 }, identicalServers(3)...)
 	var order []int
 	for i := range 6 {
 		acts := h.handle(ServerList{Kind: ListFailed, Source: h.b.list.source})
 		if at := findAction(acts, SetTimer).At; i < 3 && at > pollBackoff {
-			t.Errorf("call %d is made %v ms later", i, at)
+			t.Errorf("call %d waits %v ms", i, at)
 		}
 		h.now += findAction(acts, SetTimer).At
 		order = append(order, findAction(h.fireTimer(listTimer), Watch).Source)
 	}
 	if fmt.Sprint(order) != "[1 2 0 1 2 0]" {
-		t.Errorf("asked in the order %v", order)
+		t.Errorf("services are tried in the order %v", order)
 	}
 	if h.handle(ServerList{Kind: ListFailed, FromFetch: true}); h.b.list.source != 0 {
-		t.Error("a look that failed moves the watch")
+		t.Error("a failed check switches the watch")
 	}
 }
 
+// When a check finds a newer revision at another service than the watch delivers within its time, the watch switches
+// to that service. It returns to the nearer one after backChecks successful checks.
 func TestEndpointList_stuckWatch(t *testing.T) {
 	h := newListHarness(t, nil, identicalServers(3)...)
 	h.handle(ServerList{Kind: ListFull, Rev: 5, Servers: identicalServers(3)})
 	expectCheck := func(source int) {
 		t.Helper()
 		if f := findAction(h.fireTimer(checkTimer), Fetch); f == nil || f.Source != source {
-			t.Fatalf("a look at %+v, want at service %d", f, source)
+			t.Fatalf("a check of %+v, want service %d", f, source)
 		}
 	}
 	expectCheck(1)
 	acts := h.handle(ServerList{Kind: ListFull, Rev: 8, Source: 1, FromFetch: true, Servers: identicalServers(4)})
-	if h.requireUsable("a newer list elsewhere", "1 2 3 4"); findAction(acts, SetTimer) == nil {
-		t.Fatal("the watch is given no time")
+	if h.requireUsable("a newer list at another service", "1 2 3 4"); findAction(acts, SetTimer) == nil {
+		t.Fatal("no timer is set for the watch to deliver it")
 	}
 	h.handle(ServerList{Kind: ListDelta, Rev: 8, Servers: identicalServers(4)})
 	if hasAction(h.fireTimer(stuckTimer), Watch) {
-		t.Fatal("a watch that told it is left")
+		t.Fatal("a watch that has delivered the revision is left")
 	}
 	expectCheck(1)
 	h.handle(ServerList{Kind: ListFull, Rev: 9, Source: 1, FromFetch: true, Servers: identicalServers(5)})
 	h.handle(ServerList{Kind: ListAlive})
 	if w := findAction(h.fireTimer(stuckTimer), Watch); w == nil || w.Source != 1 {
-		t.Fatalf("a watch whose changes have stopped is kept: %+v", w)
+		t.Fatalf("a stuck watch is not left: %+v", w)
 	}
 	for i := range backChecks {
 		expectCheck(0)
 		w := findAction(h.handle(ServerList{Kind: ListFull, Rev: 9, FromFetch: true, Servers: identicalServers(5)}), Watch)
 		if last := i == backChecks-1; (w != nil) != last || last && w.Source != 0 {
-			t.Fatalf("look %d at the nearer one: %+v", i, w)
+			t.Fatalf("check %d of the nearer service: %+v", i, w)
 		}
 	}
 }
 
-// Looks begin when there is a second service, end when there is none, and are never made twice.
+// Checks of other services begin with the second service, end without one, and are never scheduled twice.
 func TestEndpointList_checksByServiceCount(t *testing.T) {
 	h := newListHarness(t, func(c *Config) { c.ListServices = 1 }, identicalServers(3)...)
 	scheduledChecks := func(acts []Action) (n int) {
@@ -77,15 +81,16 @@
 		{ListServices{Count: 1}, 0}, {Timer{Token: checkTimer}, 0}, {ListServices{Count: 2}, 1},
 	} {
 		if got := scheduledChecks(h.handle(c.ev)); got != c.want {
-			t.Errorf("step %d, %+v: %d looks are to come, want %d", i, c.ev, got, c.want)
+			t.Errorf("step %d, %+v: %d checks are scheduled, want %d", i, c.ev, got, c.want)
 		}
 	}
 	if scheduledChecks(h.actions) != 3 {
-		t.Errorf("%d looks in all", scheduledChecks(h.actions))
+		t.Errorf("%d checks in all, want 3", scheduledChecks(h.actions))
 	}
 }
 
-// Once the list is stale a server that refuses connections stays out for longer and longer.
+// While the list is stale, a server that refuses connections is ejected for longer. A sign of life of the watch ends
+// this.
 func TestEndpointList_stale(t *testing.T) {
 	h := newListHarness(t, nil, identicalServers(1)...)
 	h.handle(ServerList{Kind: ListFull, Rev: 2, Servers: identicalServers(1)})
@@ -99,15 +104,14 @@
 	beforeStale := ejectionTime()
 	h.now += h.b.cfg.StaleAfter + 1
 	if h.fireTimer(listTimer); !h.b.ListStatus(h.now).Stale || ejectionTime() <= beforeStale {
-		t.Errorf("stale %v: it rests for %v ms, before for %v", h.b.ListStatus(h.now).Stale, ejectionTime(), beforeStale)
+		t.Errorf("stale %v: ejected for %v ms, before for %v", h.b.ListStatus(h.now).Stale, ejectionTime(), beforeStale)
 	}
 	if acts := h.handle(ServerList{Kind: ListAlive}); h.b.ListStatus(h.now).Stale || !hasAction(acts, Log) || ejectionTime() != beforeStale {
-		t.Error("the list is heard of again, and still stale")
+		t.Error("after a sign of life the list is still stale")
 	}
 }
 
-// A watch that speaks, if only to say that nothing has changed, ends a row of failed calls: the next pause is the
-// first one again.
+// A watch that delivers anything, even without a change, ends the backoff: the next pause is the first one again.
 func TestEndpointList_backoffReset(t *testing.T) {
 	cfg := baseConfig()
 	cfg.Subscribe = true
@@ -118,7 +122,7 @@
 				return a.At
 			}
 		}
-		t.Fatal("no call is to be made again")
+		t.Fatal("no further call is scheduled")
 		return 0
 	}
 	var last float64
@@ -126,22 +130,23 @@
 		last = pause()
 	}
 	if last <= pollBackoff {
-		t.Fatalf("the fourth pause in a row is %v ms", last)
+		t.Fatalf("the fourth pause is %v ms", last)
 	}
 	h.handle(ServerList{Kind: ListAlive})
 	if got := pause(); got > pollBackoff {
-		t.Errorf("after a word the next pause is %v ms, want at most %v", got, pollBackoff)
+		t.Errorf("after a sign of life the next pause is %v ms, want at most %v", got, pollBackoff)
 	}
 }
 
-// A watch that begins from the list known at the start has nothing to tell until that changes.
+// A watch that starts from the cached revision and delivers nothing is stuck only when another service has a newer
+// revision.
 func TestEndpointList_quietWatch(t *testing.T) {
 	h := newListHarness(t, nil)
 	h.handle(ServerList{Kind: ListCached, Rev: 5, Servers: identicalServers(4)})
 	h.handle(ServerList{Kind: ListAlive})
 	acts := h.handle(ServerList{Kind: ListFull, Rev: 5, Source: 1, FromFetch: true, Servers: identicalServers(4)})
 	if hasAction(acts, SetTimer) || hasAction(h.fireTimer(stuckTimer), Watch) {
-		t.Fatal("a watch that has nothing to tell beyond what was known counts as stuck")
+		t.Fatal("a watch without a newer revision counts as stuck")
 	}
 	h.handle(ServerList{Kind: ListFull, Rev: 6, Source: 1, FromFetch: true, Servers: identicalServers(4)})
 	if w := findAction(h.fireTimer(stuckTimer), Watch); w == nil || w.Source != 1 {
@@ -149,14 +154,14 @@
 	}
 }
 
-// LongestPause bounds each pause, whatever AskWithin allows and the service says.
+// MaxPollBackoff bounds each pause, whatever PollInterval and the service's retry pause say.
 func TestEndpointList_maxPollBackoff(t *testing.T) {
 	for _, pollInterval := range []float64{0, 10000, 600000} {
 		cfg := baseConfig()
 		cfg.Subscribe, cfg.PollInterval, cfg.MaxPollBackoff = true, pollInterval, 4500
 		for name, failure := range map[string]ServerList{
-			"nobody there": {Kind: ListFailed}, "turned away": {Kind: ListFailed, Busy: true},
-			"told to come in an hour": {Kind: ListFailed, Busy: true, RetryAfter: 3.6e6},
+			"unreachable": {Kind: ListFailed}, "busy": {Kind: ListFailed, Busy: true},
+			"busy for an hour": {Kind: ListFailed, Busy: true, RetryAfter: 3.6e6},
 		} {
 			h := newHarness(t, cfg, identicalServers(3)...)
 			maxPause := 0.0
@@ -167,24 +172,25 @@
 				h.fireTimer(listTimer)
 			}
 			if maxPause > cfg.MaxPollBackoff || maxPause < cfg.MaxPollBackoff/2 && (pollInterval != 10000 || failure.Busy) {
-				t.Errorf("%s, AskWithin %v: the longest of 40 pauses is %v ms", name, pollInterval, maxPause)
+				t.Errorf("%s, PollInterval %v: the largest of 40 pauses is %v ms", name, pollInterval, maxPause)
 			}
 		}
 	}
 }
 
-// Failed list calls keep the old list and are made again, ever later, within the limit.
+// Failed list calls keep the current list and are repeated with growing pauses up to a limit. The limit is larger for
+// a service that is busy, and a retry pause that the service names is kept.
 func TestEndpointList_pollBackoff(t *testing.T) {
 	cfg := baseConfig()
 	cfg.Subscribe = true
 	h := newHarness(t, cfg, identicalServers(3)...)
 	if !hasAction(h.actions, Watch) {
-		t.Fatal("not subscribed at once")
+		t.Fatal("the watch does not start at once")
 	}
 	for _, c := range []struct {
 		busy     bool
 		maxPause float64
-	}{{false, cfg.PollInterval / 3}, {true, 3 * cfg.PollInterval}} { // who is there and turns calls away has too many
+	}{{false, cfg.PollInterval / 3}, {true, 3 * cfg.PollInterval}} { // a busy service has too many callers
 		h.handle(ServerList{Kind: ListFull, Servers: identicalServers(3)})
 		var pauses []float64
 		for range 6 {
@@ -195,16 +201,16 @@
 			pauses = append(pauses, acts[0].At)
 			h.now += acts[0].At
 			if !hasAction(h.handle(Timer{Token: listTimer}), Watch) {
-				t.Fatal("not asked again")
+				t.Fatal("the call is not repeated")
 			}
 		}
 		if pauses[5] < c.maxPause/2 || pauses[0] > pollBackoff || len(h.b.servers) != 3 {
 			t.Fatalf("busy %v: pauses %v, %d servers", c.busy, pauses, len(h.b.servers))
 		}
 	}
-	for range 20 { // who says when is believed
+	for range 20 { // the service's retry pause is kept
 		if at := findAction(h.handle(ServerList{Kind: ListFailed, Busy: true, RetryAfter: 700}), SetTimer).At; at < 700 || at > 1400 {
-			t.Fatalf("told to come in 700 ms it comes in %v", at)
+			t.Fatalf("with a retry pause of 700 ms the next call comes in %v", at)
 		}
 	}
 }
--- a/balance/local_failure_test.go
+++ b/balance/local_failure_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// judged is what may be held against a server.
+// serverRecord is all that failures may change of a server.
 type serverRecord struct {
 	consecutiveErrors, ejections    int
 	ejectedUntil, slowStartAt, size float64
@@ -13,27 +13,28 @@
 	zoneEvidence                    float64
 }
 
+// recordOf returns the record of a server.
 func (h *harness) recordOf(id ServerID) serverRecord {
 	s := h.b.byID[id]
 	return serverRecord{s.consecutiveErrors, s.ejections, s.ejectedUntil, s.slowStartAt, s.size, s.processDown, s.healthCheckFailed, s.zone.evidence}
 }
 
-// wait lets the time of a request's next timer come, and tells how long that was.
+// fireNextTimer moves the clock to a request's next timer, fires it, and returns the actions and the time waited.
 func (h *harness) fireNextTimer(id RequestID) (acts []Action, waited float64) {
 	h.t.Helper()
 	due := h.b.reqs[id].wakeAt
 	if math.IsInf(due, 1) {
-		h.t.Fatalf("request %d waits for nothing", id)
+		h.t.Fatalf("request %d has no timer", id)
 	}
 	waited = due - h.now
 	h.now = due
 	return h.handle(Timer{Token: uint64(id)}), waited
 }
 
-// A failure of this machine is held against no server, uses up no attempt, and the request goes on after a pause that
-// doubles, even one that must not run twice.
+// A failure of this machine counts against no server and uses up no attempt. The request is sent again after a pause
+// that doubles, whatever its idempotency.
 func TestRetry_localFailure(t *testing.T) {
-	for name, class := range map[string]int{"safe": idempotentClass, "unsafe": nonIdempotentClass, "keyed": cellKeyClass} {
+	for name, class := range map[string]int{"idempotent": idempotentClass, "non-idempotent": nonIdempotentClass, "with key": cellKeyClass} {
 		t.Run(name, func(t *testing.T) {
 			h := newHarness(t, baseConfig(), identicalServers(8)...)
 			id, acts := h.sendRequest(class)
@@ -55,20 +56,20 @@
 				}
 			}
 			sends := 0
-			for n := 4; hasAction(acts, Send); n++ { // all of its attempts are left
+			for n := 4; hasAction(acts, Send); n++ { // all attempts are left
 				sends++
 				acts = h.endAttempt(id, n, ConnectFailed, 0.1)
 			}
 			if sends != baseConfig().MaxAttempts || !hasAction(acts, Reject) {
-				t.Errorf("%d further attempts, then %+v, want %d and a refusal", sends, acts, baseConfig().MaxAttempts)
+				t.Errorf("%d further attempts, then %+v, want %d and a rejection", sends, acts, baseConfig().MaxAttempts)
 			}
 		})
 	}
 }
 
-// However long this machine fails, the request is refused when its time is up, after few tries.
+// A request whose attempts all fail on this machine is rejected at its deadline, after at most 12 attempts.
 func TestRetry_localFailureUntilDeadline(t *testing.T) {
-	for name, class := range map[string]int{"safe": idempotentClass, "unsafe": nonIdempotentClass, "keyed": globalKeyClass} {
+	for name, class := range map[string]int{"idempotent": idempotentClass, "non-idempotent": nonIdempotentClass, "with key": globalKeyClass} {
 		t.Run(name, func(t *testing.T) {
 			h := newHarness(t, baseConfig(), identicalServers(8)...)
 			earliestStart, n := h.now, 0
@@ -81,17 +82,17 @@
 					acts, _ = h.fireNextTimer(id)
 				}
 				if hasAction(acts, Fail) {
-					t.Fatalf("%+v, want a refusal", acts)
+					t.Fatalf("%+v, want a rejection", acts)
 				}
 			}
 			if elapsed := h.now - earliestStart; elapsed > h.b.cfg.Classes[class].Deadline || n > 12 {
-				t.Errorf("refused after %v ms and %d tries, want at its time and within 12", elapsed, n)
+				t.Errorf("rejected after %v ms and %d attempts, want by the deadline and at most 12", elapsed, n)
 			}
 		})
 	}
 }
 
-// Where no time bounds it, as the body is still coming, the number of failures does.
+// While the body of a request still arrives there is no deadline; maxLocalFailures then bounds the attempts.
 func TestRetry_localFailureLimit(t *testing.T) {
 	h := newHarness(t, baseConfig(), identicalServers(8)...)
 	h.lastID++
@@ -99,7 +100,7 @@
 	acts := h.handle(Request{ID: id, Class: idempotentClass, Remaining: 500, BodyStreaming: true})
 	for !hasAction(acts, Reject) {
 		if n > maxLocalFailures+h.b.cfg.MaxAttempts {
-			t.Fatalf("%d tries and no end", n)
+			t.Fatalf("%d attempts and no answer", n)
 		}
 		if hasAction(acts, Send) {
 			acts = h.endAttempt(id, n, LocalFailure, 0.1)
--- a/balance/locality_test.go
+++ b/balance/locality_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// Where crossing zones has a price, the own zone gets more, and others still take their part.
+// With a price on crossing zones, the own zone gets more requests and other zones still get some.
 func TestLocality_crossZonePrice(t *testing.T) {
 	for price, minOwn := range map[float64]int{0: 10, 0.05: 25} {
 		cfg := baseConfig()
@@ -24,7 +24,8 @@
 	}
 }
 
-// zoned is a rig whose sidecar lies in zone 0 and pays for crossing; each zone has so many servers, IDs from 1.
+// newZoneHarness returns a harness in zone 0 with a price on crossing zones. Each zone has so many servers, with IDs
+// from 1, and the demand is known.
 func newZoneHarness(t *testing.T, change func(*Config), zones ...int) *harness {
 	t.Helper()
 	cfg := baseConfig()
@@ -39,7 +40,7 @@
 		}
 	}
 	h := newHarness(t, cfg, list...)
-	for range 40 { // it knows its demand, and so all servers
+	for range 40 { // the demand is known, so all servers are in the rotation
 		h.now += 5
 		id, _ := h.sendRequest(idempotentClass)
 		h.endAttempt(id, 0, OK, 50)
@@ -47,14 +48,14 @@
 	return h
 }
 
-// zoneOf is the zone of the last attempt of a request.
+// lastZone returns the zone of a request's last attempt.
 func (h *harness) lastZone(id RequestID) int {
 	r := h.b.reqs[id]
 	return r.attempts[len(r.attempts)-1].server.Zone
 }
 
-// play answers requests in turn, by the verdict on the server of each attempt, and returns how many first sends went to
-// each zone.
+// playRequests plays n requests, one each so many ms; the verdict decides the result of each attempt by its server.
+// It returns the number of first attempts by zone.
 func (h *harness) playRequests(n int, every float64, verdict func(s *server) Result) map[int]int {
 	h.t.Helper()
 	first := map[int]int{}
@@ -77,6 +78,7 @@
 	return first
 }
 
+// failZone returns a verdict that no server of this zone can be reached.
 func failZone(zone int) func(*server) Result {
 	return func(s *server) Result {
 		if s.Zone == zone {
@@ -86,40 +88,45 @@
 	}
 }
 
+// alwaysOK is the verdict that each attempt succeeds.
 func alwaysOK(*server) Result { return OK }
 
+// The own zone is left after connect timeouts at two of its servers. A dead remote zone costs attempts at two servers
+// at most.
 func TestLocality_deadZone(t *testing.T) {
 	for _, change := range []func(*Config){nil, func(c *Config) { c.Zone = 1 }} {
 		h := newZoneHarness(t, change, 8, 8)
 		tried := map[ServerID]bool{}
-		h.playRequests(5, 20, func(s *server) Result { // less time than the first pause
+		h.playRequests(5, 20, func(s *server) Result { // within the first pause
 			if s.Zone == 0 {
 				tried[s.ID] = true
 			}
 			return failZone(0)(s)
 		})
 		left := h.b.ZoneStatus().Left == 1
-		// From its own zone a sidecar meets it at once; from another one it has no need to.
+		// A dead own zone is found at once. A dead remote zone needs no attempts.
 		if near := h.b.cfg.Zone == 0; near && (!left || len(tried) != 2) || !near && len(tried) > 2 {
-			t.Errorf("own zone %d: %d servers of the dead zone were met, left %v", h.b.cfg.Zone, len(tried), left)
+			t.Errorf("own zone %d: %d servers of the dead zone were tried, left %v", h.b.cfg.Zone, len(tried), left)
 		}
 	}
 }
 
+// No zone is left when all of them fail. As soon as one answers, those that still fail are left.
 func TestLocality_allZonesFail(t *testing.T) {
 	h := newZoneHarness(t, nil, 6, 6, 6)
 	h.playRequests(60, 100, func(*server) Result { return ConnectFailed })
 	if z := h.b.ZoneStatus(); z.Left != 0 || z.Evidence == 0 {
 		t.Errorf("%+v", z)
 	}
-	// As soon as one answers again, the others are known by it.
+	// When one zone answers again, the zone that still fails is left.
 	h.playRequests(60, 100, failZone(0))
 	if z := h.b.ZoneStatus(); z.Left != 1 {
 		t.Errorf("one zone answers and another does not: %+v", z)
 	}
 }
 
-// Servers that refuse are there, and one that fails says little: half as much.
+// A connect timeout is full evidence against a zone. A refused connection, a reset or a failure is half as much, and
+// a server counts once however often it fails.
 func TestLocality_partialEvidence(t *testing.T) {
 	for _, c := range []struct {
 		result        Result
@@ -140,7 +147,7 @@
 				weight = 1
 			}
 			h.b.recordFailure(s, c.result == ConnectFailed, weight)
-			h.b.recordFailure(s, c.result == ConnectFailed, weight) // a server is one witness, however often it fails
+			h.b.recordFailure(s, c.result == ConnectFailed, weight) // a server counts once
 			h.b.answered(h.b.zones[1], false, 0.1)
 			n++
 		}
@@ -150,6 +157,7 @@
 	}
 }
 
+// An answer clears the evidence against its zone: a zone that answers every second request is not left.
 func TestLocality_answerClearsEvidence(t *testing.T) {
 	h := newZoneHarness(t, nil, 8, 8)
 	n := 0
@@ -162,11 +170,11 @@
 		return OK
 	})
 	if z := h.b.ZoneStatus(); z.Left != 0 {
-		t.Errorf("a zone of which every second request is answered was left: %+v", z)
+		t.Errorf("a zone that answers every second request was left: %+v", z)
 	}
 }
 
-// A zone that is most of the fleet needs more against it: what is left could not bear the load.
+// A zone with most of the servers needs more evidence to be left, as the other zones could not bear its load.
 func TestLocality_largeZone(t *testing.T) {
 	for _, c := range []struct{ own, other, need int }{{4, 12, 2}, {8, 8, 2}, {12, 4, 4}, {15, 1, 4}} {
 		h := newZoneHarness(t, nil, c.own, c.other)
@@ -183,6 +191,8 @@
 	}
 }
 
+// A zone that was left gets one idempotent request at first, then as many in flight as it has answered. It is in full
+// use after as many answers as it has servers.
 func TestLocality_zoneReturn(t *testing.T) {
 	h := newZoneHarness(t, nil, 8, 8)
 	h.playRequests(20, 20, failZone(0))
@@ -195,7 +205,7 @@
 		s.ejectedUntil = 0
 	}
 	if id, _ := h.sendRequest(nonIdempotentClass); h.lastZone(id) != 1 {
-		t.Error("an unsafe request tries a zone that was left")
+		t.Error("a non-idempotent request tries a zone that was left")
 	}
 	var inZone []RequestID
 	fill := func() (n int) {
@@ -222,20 +232,21 @@
 		inZone = inZone[1:]
 		fill()
 		if z.left && int(z.out) != want {
-			t.Fatalf("after %d good answers %g requests are there", want, z.out)
+			t.Fatalf("after %d answers %g requests are in flight in the zone", want, z.out)
 		}
 	}
 	if !z.left {
-		t.Fatal("it was in full use before its answers were as many as its servers")
+		t.Fatal("the zone was in full use too early")
 	}
 	h.now += 50
 	h.endAttempt(inZone[0], 0, OK, 50)
 	if z.left {
-		t.Errorf("it is not in full use after eight good answers: %+v", z)
+		t.Errorf("the zone is not in full use after eight answers: %+v", z)
 	}
 }
 
-// A zone that fails on its return waits longer each time, and sidecars do not come back together.
+// A zone that fails on its return stays left for longer each time. The pauses of sidecars differ, so that they do not
+// return together.
 func TestLocality_returnBackoff(t *testing.T) {
 	seen := map[string]bool{}
 	for seed := range uint64(5) {
@@ -264,8 +275,8 @@
 	}
 }
 
-// The head of zones.go states how often a zone is left by chance: in q² of cases, when a part q of its servers is sick
-// and requests meet them at random while another zone answers. It is held to it from both sides.
+// With a fraction q of a zone's servers failing, random requests, and another zone that answers, the zone is left in
+// q² of the cases, as zones.go states. The rate is checked from both sides.
 func TestLocality_falseAlarmRate(t *testing.T) {
 	const servers, failing, trials = 64, 8, 100000
 	h := newZoneHarness(t, nil, servers, servers)
@@ -287,18 +298,19 @@
 	}
 	const q = float64(failing) / servers
 	if rate := float64(left) / trials; rate > q*q || rate < q*q/2 {
-		t.Errorf("left in %.2f %% of meetings, not in about %.2f", 100*rate, 100*q*q)
+		t.Errorf("left in %.2f %% of the trials, want about %.2f", 100*rate, 100*q*q)
 	}
 }
 
+// Without a need, nearly no request crosses zones.
 func TestLocality_noNeedlessCrossing(t *testing.T) {
 	h := newZoneHarness(t, nil, 8, 8)
 	if first := h.playRequests(500, 20, alwaysOK); first[1] > 5 {
-		t.Errorf("first sends by zone: %v", first)
+		t.Errorf("first attempts by zone: %v", first)
 	}
 }
 
-// What near servers cannot take crosses, in steps, and comes back.
+// Load that the near servers cannot bear moves to another zone in steps, and comes back when they can.
 func TestLocality_spillover(t *testing.T) {
 	h := newZoneHarness(t, nil, 8, 8)
 	nearLatency := 220.0
@@ -321,22 +333,23 @@
 	}
 	first, later := load(10), load(300)
 	if first > 3 || later < 150 {
-		t.Errorf("near answers are slow: %d of 10 crossed at first, %d of 300 later", first, later)
+		t.Errorf("near servers are slow: %d of 10 cross at first, %d of 300 later", first, later)
 	}
 	nearLatency = 50
 	load(400)
 	if back := load(100); back > 10 {
-		t.Errorf("near answers are quick again: %d of 100 cross", back)
+		t.Errorf("near servers are fast again: %d of 100 cross", back)
 	}
 }
 
+// The own zone is used first, then the own region, then other regions.
 func TestLocality_regionOrder(t *testing.T) {
 	h := newZoneHarness(t, func(c *Config) { c.Regions, c.RegionCost = []int{0, 0, 1}, 3 }, 4, 4, 4)
 	if first := h.playRequests(200, 20, alwaysOK); first[0] < 195 {
-		t.Errorf("calm: %v", first)
+		t.Errorf("all zones answer: first attempts by zone: %v", first)
 	}
 	if first := h.playRequests(100, 20, failZone(0)); first[1] < 85 || first[2] > 5 {
-		t.Errorf("the own zone is dead: %v", first)
+		t.Errorf("the own zone fails: first attempts by zone: %v", first)
 	}
 	h.playRequests(20, 20, func(s *server) Result {
 		if s.Zone < 2 {
@@ -350,11 +363,11 @@
 		}
 		return OK
 	}); first[2] < 85 {
-		t.Errorf("the own region is dead: %v", first)
+		t.Errorf("the own region fails: first attempts by zone: %v", first)
 	}
 }
 
-// A long answer that has begun has told all about its zone: the next trial does not wait for its end.
+// A streamed answer counts for its zone as soon as it starts: the next trial does not wait for its end.
 func TestLocality_zoneReturnOfStreams(t *testing.T) {
 	h := newZoneHarness(t, nil, 8, 8)
 	h.playRequests(5, 20, failZone(0))
@@ -371,11 +384,11 @@
 			}
 		}
 		if z.out != 1 {
-			t.Fatalf("%g trials out after %d long answers have begun", z.out, n-1)
+			t.Fatalf("%g trials in flight after %d started answers", z.out, n-1)
 		}
 		h.handle(AnswerStarted{Request: h.lastID, Server: h.b.reqs[h.lastID].attempts[0].server.ID, Elapsed: 50})
 		if z.out != 0 || z.admitLimit != float64(n) {
-			t.Fatalf("%+v after %d answers have begun", z, n)
+			t.Fatalf("%+v after %d started answers", z, n)
 		}
 	}
 }
--- a/balance/picker_test.go
+++ b/balance/picker_test.go
@@ -2,6 +2,7 @@
 
 import "testing"
 
+// Smooth weighted round robin: a server with five times the weight gets five of seven requests, spread evenly.
 func TestPicker_weights(t *testing.T) {
 	servers := identicalServers(3)
 	servers[0].Rating = 5
@@ -14,6 +15,7 @@
 	}
 }
 
+// A server at the health floor still gets some requests.
 func TestPicker_healthFloor(t *testing.T) {
 	h := newHarness(t, baseConfig(), identicalServers(4)...)
 	hits := 0
@@ -28,33 +30,33 @@
 	}
 }
 
+// A further attempt goes to the healthiest server that the request has not used yet, whatever the rotation says.
 func TestPicker_rerouteByHealth(t *testing.T) {
 	h := newHarness(t, baseConfig(), identicalServers(4)...)
 	for _, s := range h.b.servers {
 		s.consecutiveErrors, s.lastErrorAt = 2, h.now
 	}
 	h.b.servers[2].consecutiveErrors = 1
-	h.b.servers[1].running = 1000 // its turn, though it is not the healthiest
+	h.b.servers[1].running = 1000 // next in the rotation, but not the healthiest
 	id, acts := h.sendRequest(idempotentClass)
 	if s, _ := sentTo(acts); s != 2 {
 		t.Fatalf("first sent to %d, want 2", s)
 	}
-	h.b.servers[3].running = 1000 // next in turn, which must not count for a re-route
+	h.b.servers[3].running = 1000 // next in the rotation, which must not count for a further attempt
 	if s, ok := sentTo(h.endAttempt(id, 0, Rejected, 1)); !ok || s != 3 {
-		t.Fatalf("re-routed to %d, want 3", s)
+		t.Fatalf("the second attempt goes to %d, want 3", s)
 	}
 }
 
-// Where every server holds far more than its share a first send goes to the one that holds least for
-// its weight: the next in turn was crowded further; a re-route still goes by m. While one is
-// not over its share, the turn decides.
+// When each server has far more in flight than its part, a first attempt goes to the one with the least for its
+// weight, and a further attempt goes by health. While one server is not over its part, the rotation decides.
 func TestPicker_allServersLoaded(t *testing.T) {
 	for _, c := range []struct {
 		inFlight [4]int
 		want     ServerID
 	}{
-		{[4]int{4, 3, 4, 4}, 2}, // all are over
-		{[4]int{4, 4, 1, 0}, 3}, // 3 and 4 are not over, and it is the turn of 3
+		{[4]int{4, 3, 4, 4}, 2}, // all are over their part
+		{[4]int{4, 4, 1, 0}, 3}, // 3 and 4 are not over, and 3 is next in the rotation
 	} {
 		h := newHarness(t, baseConfig(), identicalServers(4)...)
 		for i, s := range h.b.servers {
@@ -64,19 +66,19 @@
 		r := &request{class: &h.b.cfg.Classes[idempotentClass], stats: &h.b.classes[idempotentClass]}
 		if c.want == 2 {
 			if s := h.b.pick(r, true); s.ID == 2 {
-				t.Errorf("%v: the re-route went to the server of lowest m", c.inFlight)
+				t.Errorf("%v: the further attempt went to the server of lowest health", c.inFlight)
 			}
 			for i, s := range h.b.servers {
 				s.running = float64(10 * (4 - i))
 			}
 		}
 		if s := h.b.pick(r, false); s.ID != c.want {
-			t.Errorf("%v: sent to %d, not %d", c.inFlight, s.ID, c.want)
+			t.Errorf("%v: sent to %d, want %d", c.inFlight, s.ID, c.want)
 		}
 	}
 }
 
-// Twice as fast a server is found to be larger, and its kind with it.
+// Servers that answer twice as fast get a larger learned capacity, and so does their kind.
 func TestPicker_learnedCapacity(t *testing.T) {
 	servers := identicalServers(4)
 	servers[2].Kind, servers[3].Kind = 1, 1
@@ -90,14 +92,15 @@
 		h.endAttempt(id, 0, OK, map[bool]float64{true: 20, false: 40}[s > 2])
 	}
 	if sends[3]+sends[4] < 3*(sends[1]+sends[2])/2 {
-		t.Fatalf("hits %v", sends)
+		t.Fatalf("attempts by server: %v", sends)
 	}
 	if h.b.kindSizes[1] <= h.b.kindSizes[0] {
-		t.Fatalf("kinds %v", h.b.kindSizes)
+		t.Fatalf("capacities by kind: %v", h.b.kindSizes)
 	}
 }
 
-// A restarted sidecar with few requests used slow servers as much as fast ones for a minute.
+// The first answers change the learned capacity faster than later ones, so that a restarted sidecar with little
+// traffic soon knows slow servers.
 func TestPicker_capacityLearningRate(t *testing.T) {
 	h := newHarness(t, baseConfig(), identicalServers(2)...)
 	fast, slow := h.b.servers[0], h.b.servers[1]
@@ -106,7 +109,7 @@
 		h.b.learnSize(slow, 1.5)
 	}
 	early := fast.size - slow.size
-	for range 2000 { // much later, of two servers alike, one turns fast
+	for range 2000 { // much later, one of two equal servers becomes faster
 		h.b.learnSize(fast, 1)
 		h.b.learnSize(slow, 1)
 	}
--- a/balance/random_events_test.go
+++ b/balance/random_events_test.go
@@ -5,7 +5,8 @@
 	"testing"
 )
 
-// world feeds one balancer random but legal events and checks rules 1 to 3 at every action.
+// simulation feeds one balancer random but legal events and checks each action: no attempt after the answer, at
+// servers that may not be used, beyond the attempt limit, or where an earlier one may have run; one answer in time.
 type simulation struct {
 	t            *testing.T
 	rnd          *rand.Rand
@@ -13,12 +14,13 @@
 	cfg          Config
 	now          float64
 	servers      map[ServerID]*Server
-	usable       map[ServerID]bool // may be sent to
+	usable       map[ServerID]bool // servers that may get requests
 	requests     map[RequestID]*simulatedRequest
 	timers       []pendingTimer
 	healthChecks []ServerID
 }
 
+// simulatedRequest is what the simulation knows of a request.
 type simulatedRequest struct {
 	class    int
 	deadline float64
@@ -26,19 +28,22 @@
 	attempts []simulatedAttempt
 }
 
+// simulatedAttempt is what the simulation knows of an attempt.
 type simulatedAttempt struct {
-	localFailure bool // this machine could not send it
+	localFailure bool // a failure of this machine
 	server       Server
 	sent         float64
 	live         bool
 	neverRan     bool
 }
 
+// pendingTimer is a timer that has not fired yet.
 type pendingTimer struct {
 	at    float64
 	token uint64
 }
 
+// newSimulation starts a balancer at 5000 ms.
 func newSimulation(t *testing.T, rnd *rand.Rand, cfg Config) *simulation {
 	sim := &simulation{
 		t: t, rnd: rnd, b: mustNew(t, cfg), cfg: cfg, now: 5000, servers: map[ServerID]*Server{},
@@ -48,6 +53,8 @@
 	return sim
 }
 
+// Random sequences of events keep the rules of simulation for 40 seeds and several settings, and each request gets an
+// answer.
 func TestEvents_randomSequences(t *testing.T) {
 	for seed := range int64(40) {
 		rnd := rand.New(rand.NewSource(seed))
@@ -75,6 +82,8 @@
 	}
 }
 
+// randomEvent brings one event: a request with this ID, an outcome, a list, a health check result or a client that
+// leaves.
 func (sim *simulation) randomEvent(id RequestID) {
 	switch n := sim.rnd.Intn(20); {
 	case n < 9:
@@ -96,7 +105,7 @@
 			sim.handle(HealthCheckResult{Server: s, Elapsed: 1, Report: []float32{float32(sim.rnd.Intn(6)), 0, 0.5}})
 		}
 	default:
-		gone := id - RequestID(sim.rnd.Intn(20)) // may never have been or have ended: ignored then
+		gone := id - RequestID(sim.rnd.Intn(20)) // an unknown or ended request is ignored
 		if r := sim.requests[gone]; r != nil {
 			r.answered = true
 		}
@@ -104,7 +113,7 @@
 	}
 }
 
-// endOne ends one live attempt of some request at random.
+// endRandomAttempt ends one pending attempt of a recent request with a random result.
 func (sim *simulation) endRandomAttempt(before RequestID) {
 	for id := before; id > 0 && id+60 > before; id-- {
 		r := sim.requests[id]
@@ -127,6 +136,7 @@
 	}
 }
 
+// sendList brings a list in which some servers have changed and some are missing.
 func (sim *simulation) sendList(kind ListKind) {
 	var entries []Server
 	for i := range 10 {
@@ -152,6 +162,7 @@
 	sim.handle(ServerList{Kind: kind, Servers: entries})
 }
 
+// handle brings an event and checks the actions.
 func (sim *simulation) handle(ev Event) {
 	acts, err := sim.b.Handle(sim.now, ev)
 	if err != nil {
@@ -160,6 +171,7 @@
 	sim.checkActions(acts)
 }
 
+// checkActions checks each action and notes what has to be answered.
 func (sim *simulation) checkActions(acts []Action) {
 	for _, a := range acts {
 		switch a.Kind {
@@ -167,7 +179,7 @@
 			sim.timers = append(sim.timers, pendingTimer{sim.now + a.At, a.Token})
 		case HealthCheck:
 			if !sim.cfg.HealthChecks {
-				sim.t.Fatal("probed where probes are not allowed")
+				sim.t.Fatal("a health check without Config.HealthChecks")
 			}
 			sim.healthChecks = append(sim.healthChecks, a.Server)
 		case Send:
@@ -182,22 +194,23 @@
 	}
 }
 
+// checkSend checks that an attempt is allowed.
 func (sim *simulation) checkSend(a Action) {
 	r, class := sim.requests[a.Request], sim.cfg.Classes[sim.requests[a.Request].class]
 	switch {
 	case r.answered:
 		sim.t.Fatalf("request %d was sent after its answer", a.Request)
 	case !sim.usable[a.Server]:
-		sim.t.Fatalf("request %d was sent to server %d, which drains or is gone", a.Request, a.Server)
+		sim.t.Fatalf("request %d was sent to server %d, which is draining or gone", a.Request, a.Server)
 	case r.countedAttempts() >= sim.cfg.MaxAttempts:
-		sim.t.Fatalf("request %d was sent too often", a.Request)
+		sim.t.Fatalf("request %d has more attempts than allowed", a.Request)
 	case len(r.attempts) >= sim.cfg.MaxAttempts+maxLocalFailures:
-		sim.t.Fatalf("request %d was tried without end", a.Request)
+		sim.t.Fatalf("request %d has too many local failures", a.Request)
 	}
 	to := *sim.servers[a.Server]
 	for _, p := range r.attempts {
 		if p.live && !sim.cfg.Hedging {
-			sim.t.Fatalf("request %d is out twice", a.Request)
+			sim.t.Fatalf("request %d has two attempts in flight without hedging", a.Request)
 		}
 		if p.neverRan || class.Idempotency == Idempotent {
 			continue
@@ -210,7 +223,7 @@
 	r.attempts = append(r.attempts, simulatedAttempt{server: to, sent: sim.now, live: true})
 }
 
-// counted is how many attempts of a request are no failures of this machine.
+// countedAttempts returns the attempts that are no failures of this machine.
 func (r *simulatedRequest) countedAttempts() int {
 	n := 0
 	for i := range r.attempts {
@@ -221,6 +234,7 @@
 	return n
 }
 
+// checkAnswer checks that an answer is the first one, is in time, and rejects only what cannot have run.
 func (sim *simulation) checkAnswer(a Action) {
 	r, class := sim.requests[a.Request], sim.cfg.Classes[sim.requests[a.Request].class]
 	if r.answered || sim.now > r.deadline+sim.cfg.AnswerSlack {
@@ -232,12 +246,12 @@
 	}
 	for _, p := range r.attempts {
 		if !p.neverRan {
-			sim.t.Fatalf("request %d may have run and was refused", a.Request)
+			sim.t.Fatalf("request %d may have run and was rejected", a.Request)
 		}
 	}
 }
 
-// fireTimers brings the alarms that are due, each at its own time.
+// fireTimers fires the timers that are due, each at its own time.
 func (sim *simulation) fireTimers() {
 	end := sim.now
 	for {
@@ -258,6 +272,7 @@
 	sim.now = end
 }
 
+// hasUnanswered reports whether a request has no answer yet.
 func (sim *simulation) hasUnanswered() bool {
 	for _, r := range sim.requests {
 		if !r.answered {
@@ -267,7 +282,7 @@
 	return false
 }
 
-// serve answers what is out for a request, if anything is.
+// answer ends a request's pending attempts with OK.
 func (sim *simulation) answer(id RequestID) {
 	r := sim.requests[id]
 	for i := range r.attempts {
--- a/balance/retry_test.go
+++ b/balance/retry_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// What may follow the end of a first attempt, for each effect, group and result, within the
-// window and after it: another send, a refusal, a failure.
+// What may follow the end of a first attempt, for each kind of idempotency, key scope and result, within the key
+// window and after it: another attempt, a rejection or a failure.
 func TestRetry_afterFirstAttempt(t *testing.T) {
 	for _, class := range []int{idempotentClass, nonIdempotentClass, cellKeyClass, globalKeyClass, zoneKeyClass} {
 		for _, res := range []Result{Failed, Rejected, TimedOut, ConnectFailed, Reset, Cancelled, WriteFailed} {
@@ -19,10 +19,11 @@
 	}
 }
 
+// checkAfterFirstAttempt checks one combination. A second attempt must also keep to the key scope.
 func checkAfterFirstAttempt(t *testing.T, class int, res Result, afterWindow bool) {
 	cfg := baseConfig()
 	for i := range cfg.Classes {
-		cfg.Classes[i].LatencyObjective = cfg.Classes[i].Deadline // a re-route is worth its while to the end
+		cfg.Classes[i].LatencyObjective = cfg.Classes[i].Deadline // retries are useful until the deadline
 		cfg.Classes[i].KeyWindow = 200
 	}
 	h := newHarness(t, cfg, identicalServers(8)...)
@@ -44,7 +45,7 @@
 	if !sent {
 		mayReject := c.Idempotency == IdempotentWithKey && c.KeyScope == KeyScopeAll
 		if hasAction(acts, Reject) != mayReject || hasAction(acts, Fail) == mayReject {
-			t.Fatalf("refusal allowed: %v, got %+v", mayReject, acts)
+			t.Fatalf("rejection allowed: %v, got %+v", mayReject, acts)
 		}
 		return
 	}
@@ -55,14 +56,14 @@
 	}
 }
 
-// A repeat may wait for a new connection before its first byte leaves, as long as connects may take: one that was
-// decided within the window left after it, when servers may have forgotten its key.
+// A further attempt must reach its server within the key window. It may wait for a connection for up to the connect
+// timeout first, so that time is subtracted from the window.
 func TestRetry_keyWindow(t *testing.T) {
 	const connect, window = 120.0, 300.0
 	cfg := baseConfig()
 	cfg.ConnectTimeout = connect
 	for i := range cfg.Classes {
-		cfg.Classes[i].LatencyObjective = cfg.Classes[i].Deadline // a re-route is worth its while to the end
+		cfg.Classes[i].LatencyObjective = cfg.Classes[i].Deadline // retries are useful until the deadline
 		cfg.Classes[i].KeyWindow = window
 	}
 	for _, class := range []int{idempotentClass, cellKeyClass, globalKeyClass, zoneKeyClass} {
@@ -78,7 +79,7 @@
 	}
 }
 
-// The window begins with the first attempt that may have run: what never ran uses up none of it.
+// The key window starts with the first attempt that may have run: attempts that never ran use up none of it.
 func TestRetry_keyWindowStart(t *testing.T) {
 	cfg := baseConfig()
 	cfg.ConnectTimeout = 120
@@ -91,10 +92,12 @@
 	}
 	h.now += 70
 	if !hasAction(h.endAttempt(id, 1, Failed, 70), Send) {
-		t.Error("not repeated within the window of the attempt that may have run")
+		t.Error("not sent again within the window of the attempt that may have run")
 	}
 }
 
+// At its deadline, a request with a pending attempt that may run fails: it may not be rejected, which would promise
+// that nothing ran.
 func TestRetry_deadlineAfterSend(t *testing.T) {
 	h := newHarness(t, baseConfig(), identicalServers(4)...)
 	for _, class := range []int{nonIdempotentClass, cellKeyClass, zoneKeyClass} {
@@ -102,11 +105,12 @@
 		h.now = h.b.reqs[id].deadline
 		acts := h.handle(Timer{Token: uint64(id)})
 		if hasAction(acts, Reject) || !hasAction(acts, Fail) {
-			t.Errorf("class %d at its deadline with an attempt out: %+v", class, acts)
+			t.Errorf("class %d at its deadline with a pending attempt: %+v", class, acts)
 		}
 	}
 }
 
+// A request without time left is rejected at once.
 func TestRetry_noTimeLeft(t *testing.T) {
 	h := newHarness(t, baseConfig(), identicalServers(4)...)
 	acts := h.handle(Request{ID: 1, Class: nonIdempotentClass, Remaining: 0})
@@ -115,6 +119,7 @@
 	}
 }
 
+// Without a usable server a request waits until its deadline, and is then rejected and forgotten.
 func TestRetry_noUsableServer(t *testing.T) {
 	drained := identicalServers(3)
 	for i := range drained {
@@ -132,11 +137,12 @@
 			rejected = rejected || hasAction(h.handle(Timer{Token: uint64(id)}), Reject)
 		}
 		if !rejected || len(h.b.reqs) != 0 {
-			t.Fatalf("%s: refused %v, %d requests left", name, rejected, len(h.b.reqs))
+			t.Fatalf("%s: rejected %v, %d requests remembered", name, rejected, len(h.b.reqs))
 		}
 	}
 }
 
+// After MaxAttempts attempts that never ran, a request is rejected.
 func TestRetry_attemptLimit(t *testing.T) {
 	cfg := baseConfig()
 	cfg.MaxAttempts = 1
@@ -147,7 +153,8 @@
 	}
 }
 
-// Once a streamed answer has begun the client owns it: no deadline, no repeat, no answer of ours.
+// A streamed answer that has started belongs to the client: no deadline, retry or answer of the sidecar follows. Its
+// server counts as answered, and a break counts as an error.
 func TestRetry_startedStream(t *testing.T) {
 	cfg := baseConfig()
 	cfg.Classes[idempotentClass].Stream = true
@@ -156,22 +163,23 @@
 	s, _ := sentTo(acts)
 	h.handle(AnswerStarted{Request: id, Server: s, Elapsed: 20})
 	if a := h.b.reqs[id].attempts[0]; a.server.inFlight != 0 || h.b.classes[idempotentClass].mean != 20 {
-		t.Errorf("the server holds %d, answers take %v", a.server.inFlight, h.b.classes[idempotentClass].mean)
+		t.Errorf("%d in flight at the server, mean latency %v", a.server.inFlight, h.b.classes[idempotentClass].mean)
 	}
 	h.now += 5000
 	if acts := h.handle(Timer{Token: uint64(id)}); hasAction(acts, Fail) || hasAction(acts, Reject) || hasAction(acts, Send) {
-		t.Fatalf("a running stream got %+v", acts)
+		t.Fatalf("a started stream got %+v", acts)
 	}
 	h.handle(Outcome{Request: id, Server: s, Result: Reset, Elapsed: 5000, Finished: true})
 	if len(h.b.reqs) != 0 {
 		t.Fatal("an ended stream is remembered")
 	}
 	if server := h.b.byID[s]; server.consecutiveErrors != 1 || server.inFlight != 0 {
-		t.Errorf("after a break: %d errors, %d held", server.consecutiveErrors, server.inFlight)
+		t.Errorf("after a reset: %d errors, %d in flight", server.consecutiveErrors, server.inFlight)
 	}
 }
 
-// While a body comes no time passes, for the request or its server; from its last byte on both count.
+// While the body of a request arrives, neither its deadline nor the server's time runs, and it counts as no load.
+// Both start with its last byte.
 func TestRetry_streamingBodyDeadline(t *testing.T) {
 	h := newHarness(t, baseConfig(), identicalServers(3)...)
 	h.lastID++
@@ -179,11 +187,11 @@
 	h.handle(Request{ID: id, Class: nonIdempotentClass, Remaining: 600, BodyStreaming: true})
 	r := h.b.reqs[id]
 	if len(r.attempts) != 1 {
-		t.Fatal("it is not sent at once")
+		t.Fatal("the request is not sent at once")
 	}
 	h.now += 60000
 	if acts := h.handle(Timer{Token: uint64(id)}); len(acts) > 0 || r.attempts[0].server.consecutiveErrors > 0 || h.b.inFlightLoad > 0 {
-		t.Fatalf("while its body comes: %+v, %d errors, load %v", acts, r.attempts[0].server.consecutiveErrors, h.b.inFlightLoad)
+		t.Fatalf("while the body arrives: %+v, %d errors, load %v", acts, r.attempts[0].server.consecutiveErrors, h.b.inFlightLoad)
 	}
 	if acts := h.handle(BodyComplete{Request: id, Remaining: 600}); !hasAction(acts, SetTimer) || h.b.inFlightLoad == 0 {
 		t.Fatalf("at its last byte: %+v, load %v", acts, h.b.inFlightLoad)
@@ -198,7 +206,7 @@
 	}
 }
 
-// What never ran is sent again only while its body is held.
+// A request that never ran is sent again only while its body is still held.
 func TestRetry_consumedBody(t *testing.T) {
 	for _, consumed := range []bool{false, true} {
 		h := newHarness(t, baseConfig(), identicalServers(3)...)
@@ -207,13 +215,12 @@
 		s := h.b.reqs[h.lastID].attempts[0].server.ID
 		acts := h.handle(Outcome{Request: h.lastID, Server: s, Result: Rejected, Elapsed: 5, BodyConsumed: consumed})
 		if hasAction(acts, Send) == consumed || hasAction(acts, Reject) != consumed {
-			t.Errorf("spent %v: %+v", consumed, acts)
+			t.Errorf("body consumed %v: %+v", consumed, acts)
 		}
 	}
 }
 
-// After a crash two failed connects refused a request although attempts and time were left; what may have
-// run is re-routed once at most.
+// Attempts that never ran are repeated up to MaxAttempts. A request that may have run is sent again once at most.
 func TestRetry_rerouteLimit(t *testing.T) {
 	for res, sends := range map[Result]int{ConnectFailed: 4, WriteFailed: 4, Rejected: 4, Failed: 2} {
 		h := newHarness(t, baseConfig(), identicalServers(8)...)
--- a/balance/rotation_test.go
+++ b/balance/rotation_test.go
@@ -9,11 +9,12 @@
 	"testing"
 )
 
-// A pick that passes over the servers outside the rotation leaves each as a pick that looks at all of them does.
+// A pick that skips the servers outside the rotation leaves each server's running value as a pick over all servers
+// does.
 func TestRotation_skippedServers(t *testing.T) {
 	for _, c := range []struct {
 		name      string
-		rating    float64 // small: the sum of weights is under what servers begin with
+		rating    float64 // if small, the sum of weights is less than the initial running values
 		withRoute bool
 	}{{"usual ratings", 1, false}, {"small ratings", 0.05, false}, {"with a route", 1, true}} {
 		t.Run(c.name, func(t *testing.T) {
@@ -22,15 +23,15 @@
 			bounded, exhaustive := mustNew(t, cfg), mustNew(t, cfg)
 			handle := func(now float64, ev Event) []Action {
 				t.Helper()
-				exhaustive.maxOtherRunning = math.Inf(1) // it looks at all of them
+				exhaustive.maxOtherRunning = math.Inf(1) // no server is skipped
 				want, err := exhaustive.Handle(now, ev)
 				got, again := bounded.Handle(now, ev)
 				if err != nil || again != nil || !reflect.DeepEqual(want, got) {
-					t.Fatalf("%#v: %v %v, at all %v %v", ev, got, again, want, err)
+					t.Fatalf("%#v: %v %v, without skipping %v %v", ev, got, again, want, err)
 				}
 				for i, s := range exhaustive.servers {
 					if q := bounded.servers[i]; q.ID != s.ID || q.running != s.running || q.weight != s.weight {
-						t.Fatalf("%#v: server %d runs at %v, at all %v", ev, s.ID, q.running, s.running)
+						t.Fatalf("%#v: server %d has the running value %v, without skipping %v", ev, s.ID, q.running, s.running)
 					}
 				}
 				return slices.Clone(got)
@@ -45,7 +46,7 @@
 	}
 }
 
-// playAtRandom tells of requests, ends of their attempts and changes of the list.
+// playRandomEvents brings random requests, results of their attempts, and list changes.
 func playRandomEvents(handle func(now float64, ev Event) []Action, rating float64) {
 	rng := rand.New(rand.NewPCG(3, 4))
 	for i := range 4000 {
@@ -73,8 +74,8 @@
 	}
 }
 
-// Along a route the running values of each group are kept at most at its sum of weights, too, though the group before
-// had no server at all.
+// Along a route, the running values of a group are bounded by its own sum of weights, even when the preferred group
+// has no server at all.
 func TestRotation_skippedServersOfRoute(t *testing.T) {
 	list := identicalServers(20)
 	for i := range list {
@@ -95,13 +96,13 @@
 	}
 	for _, s := range h.b.servers {
 		if running := s.placements[0].running[baseSide]; running > total {
-			t.Errorf("server %d runs at %v, the weights are %v in all", s.ID, running, total)
+			t.Errorf("server %d has the running value %v, the sum of weights is %v", s.ID, running, total)
 		}
 	}
 }
 
-// A thousand sidecars with a connection to each server filled all connection tables. Each goes over few
-// servers, all together over all alike, and a restarted one comes back to the same.
+// A sidecar with little traffic uses minRotation servers, so that a large fleet does not fill the servers' connection
+// tables. All sidecars together use all servers evenly, and a restarted one uses the same as before.
 func TestRotation_lowTraffic(t *testing.T) {
 	sidecars, servers := 400, 60
 	all := map[ServerID]int{}
@@ -137,12 +138,12 @@
 	}
 	for s, k := range all {
 		if mean := 60 * sidecars / servers; k < mean/2 || k > 2*mean {
-			t.Errorf("server %d got %d of a mean of %d", s, k, mean)
+			t.Errorf("server %d got %d requests, the mean is %d", s, k, mean)
 		}
 	}
 }
 
-// A busy sidecar goes over as many servers as it visits often, and over others when some of its own fail.
+// The rotation grows with traffic, up to all servers, and replaces servers that are ejected.
 func TestRotation_growth(t *testing.T) {
 	h := newHarness(t, baseConfig(), identicalServers(60)...)
 	count := func(gap float64, n int) int {
@@ -163,7 +164,7 @@
 		h.b.recordFailure(s, true, partialEvidence)
 	}
 	if n := count(50, 6); n < minRotation {
-		t.Fatalf("%d servers when two of the first rest", n)
+		t.Fatalf("%d servers when two of the first are ejected", n)
 	}
 	if n := count(10, 3000); n != 60 {
 		t.Fatalf("%d servers of 60 for a hundred requests a second", n)
--- a/balance/routes_property_test.go
+++ b/balance/routes_property_test.go
@@ -8,7 +8,7 @@
 	"pgregory.net/rapid"
 )
 
-// anyRoutes draws what tenant 0 is told.
+// drawRouteEvent draws a lease, a grant or a route of tenant 0.
 func drawRouteEvent(t *rapid.T) Event {
 	server := rapid.Custom(func(t *rapid.T) ServerID { return ServerID(rapid.IntRange(1, 12).Draw(t, "server")) })
 	subset := func(name string) Subset {
@@ -33,8 +33,8 @@
 	}}}
 }
 
-// One tenant's routes, purse and permission change no pick of another's: two balancers are told different things of
-// tenant 0, and the same of tenant 1, whose answers are the same. Tenant 0 has requests, too, in half of the runs.
+// Routes, budget and lease of one tenant change no pick of another. Two balancers get different events for tenant 0
+// and the same requests of tenant 1, whose actions are equal. In half of the runs tenant 0 has requests as well.
 func TestRoutes_tenantIsolation(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		cfg := tenantConfig()
@@ -114,13 +114,13 @@
 	})
 }
 
-// named tells whether a subset, as anyRoutes draws it, has a server.
+// subsetContains reports whether a subset, as drawRouteEvent draws it, contains a server.
 func subsetContains(subset Subset, s *server) bool {
 	return (len(subset.IDs) == 0 || slices.Contains(subset.IDs, s.ID)) && (len(subset.Zones) == 0 || slices.Contains(subset.Zones, s.Zone))
 }
 
-// Whatever happens in whatever order: an attempt to a canary is permitted, of a class and a server that the newest
-// routes name, and has a unit; what is out and spent is what the attempts say; a request gets its answer.
+// For any order of events: an attempt to a canary has a lease, a class and server that the newest route names, and a
+// unit of the budget. Reserved and spent units are those of the attempts.
 func TestRoutes_property(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		cfg := tenantConfig()
--- a/balance/routes_test.go
+++ b/balance/routes_test.go
@@ -7,6 +7,7 @@
 	"testing"
 )
 
+// tenantConfig returns settings with two tenants and a class of streamed answers.
 func tenantConfig() Config {
 	cfg := baseConfig()
 	cfg.Tenants = []Tenant{{Allowance: 1, Quota: 0.5}, {Allowance: 1, Quota: 0.5}}
@@ -14,14 +15,15 @@
 	return cfg
 }
 
+// streamClass is the class of streamed answers in tenantConfig.
 const streamClass = zoneKeyClass + 1
 
-// canaryOf is a route of tenant 0 whose canary is these servers.
+// canaryRoute returns a route of tenant 0 whose canary is these servers.
 func canaryRoute(fraction float64, ids ...ServerID) Route {
 	return Route{Tenant: 0, Canary: Subset{IDs: ids}, CanaryFraction: fraction, ID: 9}
 }
 
-// routed begins with eight servers, a route and a permission.
+// newRoutedHarness returns a harness with eight servers, this route and a lease without end.
 func newRoutedHarness(t *testing.T, route Route) *harness {
 	h := newHarness(t, tenantConfig(), identicalServers(8)...)
 	h.handle(Routes{Rev: 5, List: []Route{route}})
@@ -29,13 +31,14 @@
 	return h
 }
 
-// send brings a request of tenant 0 and returns its first attempt.
+// sendForTenant brings a request of tenant 0 and returns its first attempt.
 func (h *harness) sendForTenant(class int) (RequestID, Action) {
 	h.t.Helper()
 	h.lastID++
 	return h.lastID, h.requireSend(h.handle(Request{ID: h.lastID, Class: class, Remaining: h.b.cfg.Classes[class].Deadline}))
 }
 
+// requireSend returns the first Send among the actions, and fails without one.
 func (h *harness) requireSend(acts []Action) Action {
 	h.t.Helper()
 	i := slices.IndexFunc(acts, func(a Action) bool { return a.Kind == Send })
@@ -45,6 +48,7 @@
 	return acts[i]
 }
 
+// An invalid event is an error that names field and value, and changes nothing.
 func TestRoutes_invalid(t *testing.T) {
 	with := func(change func(*Route)) Routes {
 		route := canaryRoute(0.5, 1)
@@ -84,7 +88,7 @@
 	}
 }
 
-// A share grows, a key comes again at another process: who preferred the canary still does.
+// A key that prefers the canary at some fraction does so at every larger one, and in every process.
 func TestRoutes_stableKeys(t *testing.T) {
 	var harnesses []*harness
 	for seed := range uint64(3) {
@@ -120,7 +124,8 @@
 	}
 }
 
-// 300 sidecars with n requests each: the standard error that routes.go states.
+// The part of canary requests of 300 sidecars with n requests each stays within the standard error that routes.go
+// states.
 func TestRoutes_canaryFraction(t *testing.T) {
 	const sidecars = 300
 	for _, n := range []int{1, 10, 40} {
@@ -160,7 +165,8 @@
 	}
 }
 
-// Whatever is wrong with a canary, its requests go elsewhere at once; a base goes there only when nobody else is left.
+// When the canary cannot take a request, the request goes to the base or to other servers at once. Requests of the
+// base go to the canary only when no other server is left.
 func TestRoutes_unusableServers(t *testing.T) {
 	all := identicalServers(8)
 	list := func(state ServerState, ids ...ServerID) ServerList {
@@ -259,14 +265,15 @@
 	}
 }
 
-// finish ends what is still out for a request as if it had never been.
+// cancelAttempts ends all pending attempts of a request as not sent.
 func (h *harness) cancelAttempts(id RequestID) {
 	for r := h.b.reqs[id]; r != nil && r.liveAttempts > 0; r = h.b.reqs[id] {
 		h.endAttempt(id, slices.IndexFunc(r.attempts, func(a attempt) bool { return a.live }), NotSent, 0)
 	}
 }
 
-// A request stays on its side: the healthiest untried server of the canary, then of the base, then of the rest.
+// Further attempts stay in the group of the first one: the healthiest unused server of the canary, then of the base,
+// then of the other servers.
 func TestRoutes_retryPlacement(t *testing.T) {
 	route := canaryRoute(1, 1, 2, 3)
 	route.Base = Subset{IDs: []ServerID{4, 5}}
@@ -293,7 +300,7 @@
 	}
 }
 
-// A void attempt counts for nothing, three times; then as one that never began.
+// An attempt whose route was revoked counts neither as an attempt nor as an error, up to maxRevokedAttempts times.
 func TestRoutes_revokedAttempt(t *testing.T) {
 	cfg := tenantConfig()
 	cfg.MaxAttempts = 2
@@ -315,7 +322,7 @@
 	}
 }
 
-// Servers that warm up and have nothing left for now are no reason to use one that rests.
+// An ejected server is not used because all others are in slow start and have no budget left.
 func TestRoutes_ejectedDuringSlowStart(t *testing.T) {
 	h := newRoutedHarness(t, canaryRoute(0, 8))
 	for _, s := range h.b.servers {
@@ -327,7 +334,7 @@
 	}
 }
 
-// A pick leaves nothing behind that another request sees.
+// A pick along a route allocates nothing and leaves no state behind that another request would see.
 func TestRoutes_pickSideEffects(t *testing.T) {
 	route := canaryRoute(0.5, 1, 2)
 	route.Base = Subset{Zones: []int{1}}
@@ -348,7 +355,7 @@
 	}
 }
 
-// The cost of a pick with and without a route, over as many servers as a busy sidecar has.
+// BenchmarkPick measures a request with and without a route, over 100 servers.
 func BenchmarkPick(b *testing.B) {
 	for name, routed := range map[string]bool{"off": false, "on": true} {
 		b.Run(name, func(b *testing.B) {
--- a/balance/settings_test.go
+++ b/balance/settings_test.go
@@ -7,7 +7,8 @@
 	"testing"
 )
 
-// Settings that the first deployments do not use. Each run checks rules 1 to 3 as it goes.
+// Settings that the deployment does not use keep the rules of simulation, answer each request, and send nearly all of
+// them.
 func TestSettings_variants(t *testing.T) {
 	for name, change := range map[string]func(*Config, *int){
 		"one server":  func(_ *Config, n *int) { *n = 1 },
@@ -67,7 +68,7 @@
 	}
 }
 
-// A caller's settings that cannot be are an error, never a balancer that misbehaves later.
+// New returns an error for invalid settings that names the field.
 func TestSettings_invalid(t *testing.T) {
 	for name, spoil := range map[string]func(*Config){
 		"Classes":                     func(c *Config) { c.Classes = nil },
--- a/balance/slow_start_test.go
+++ b/balance/slow_start_test.go
@@ -6,7 +6,8 @@
 	"testing"
 )
 
-// A route that all sidecars follow to one cold server at once pushes it over no more than the ordinary way does.
+// A route that leads all sidecars to one server in slow start exceeds its budget no more than an unrouted rotation
+// may.
 func TestSlowStart_routedFleet(t *testing.T) {
 	const sidecars, servers, gap = 120, 30, 250.0
 	cfg := tenantConfig()
@@ -46,7 +47,8 @@
 	t.Logf("sent in each second: %v", sent)
 }
 
-// A cold server was pushed over when the budget followed what clients asked, repeats included.
+// A server that restarts under load gets no more than OverloadMultiple times its capacity from all sidecars in its
+// first second. The budget counts answers, not requests, which clients repeat.
 func TestSlowStart_restartUnderLoad(t *testing.T) {
 	const sidecars, perSecond, seconds = 4, 150, 6
 	cfg := baseConfig()
@@ -80,7 +82,7 @@
 	}
 }
 
-// A server that could not be reached and then answers has restarted, whatever the list says.
+// A server that could not be connected and then answers has restarted, whatever the list says, and is in slow start.
 func TestSlowStart_unreachableThenBack(t *testing.T) {
 	h := newHarness(t, baseConfig(), identicalServers(2)...)
 	id, acts := h.sendRequest(idempotentClass)
@@ -100,8 +102,8 @@
 	}
 }
 
-// A sidecar that prefers others still uses a server that restarted: its budget follows what servers can do,
-// not how little this sidecar used that one before. With nothing sent nothing is learned either.
+// The budget of a restarted server depends on what servers can answer, and not on how little this sidecar used that
+// one before: it gets requests even if its learned capacity is the lowest.
 func TestSlowStart_smallServer(t *testing.T) {
 	cfg := baseConfig()
 	list := identicalServers(4)
@@ -137,8 +139,8 @@
 	}
 }
 
-// Answers assumed for small sidecars counted in the budget of cold servers too, and together
-// they pushed one over. A sidecar that has seen no answers may hardly send anything to a cold server.
+// The answers that are assumed for sidecars with little traffic give no budget for servers in slow start, as they
+// would add up over the fleet. Observed answers do.
 func TestSlowStart_assumedAnswers(t *testing.T) {
 	h := newHarness(t, baseConfig(), identicalServers(4)...)
 	entry := h.b.servers[0].Server
@@ -160,7 +162,7 @@
 	}
 }
 
-// The two processes of a sidecar during an upgrade assume the few answers together.
+// The two processes of a sidecar during an upgrade share the assumed answers.
 func TestSlowStart_processCount(t *testing.T) {
 	budget := func(processes int) float64 {
 		h := newHarness(t, baseConfig(), identicalServers(4)...)
@@ -180,9 +182,9 @@
 	}
 }
 
-// Many sidecars that know only themselves must not push a cold server over: in any window of the stated length
-// all of them together send it less than the stated multiple of what it can do at that moment, with a little
-// slack for chance. What it got while warm is taken to be its capacity: the least that this can be.
+// In any window of OverloadTime, all sidecars together send a server in slow start at most OverloadMultiple times
+// what it can answer at that moment, plus one standard deviation. Its warm traffic counts as its capacity, which is
+// the least that this can be.
 func TestSlowStart_manySidecars(t *testing.T) {
 	for _, c := range []struct{ sidecars, servers int }{{3, 6}, {200, 20}, {600, 60}} {
 		cfg := baseConfig()
--- a/balance/wallclock_test.go
+++ b/balance/wallclock_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// A start in the future is of a clock that is off; the server is cold for its time and no longer.
+// A start in the future comes from a clock that is off: the server is in slow start for SlowStartTime and no longer.
 func TestWallClock_startInFuture(t *testing.T) {
 	h := newListHarness(t, nil)
 	list := ServerList{Kind: ListFull, Rev: 2, Servers: []Server{{ID: 1, StartedAt: h.now + 3.6e6}}}
@@ -26,8 +26,8 @@
 	testBoot = 1.7e12 // a time as servers' starts are told
 )
 
-// clockRig has one service, as on the platform, and servers 1 to 3 that started long ago. Server 4 started an hour and
-// a half before.
+// newClockHarness returns a harness with one list service and servers 1 to 3 that started long ago. Server 4 started
+// 90 minutes before.
 func newClockHarness(t *testing.T) *harness {
 	t.Helper()
 	h := &harness{t: t, b: mustNew(t, baseConfig()), now: testBoot}
@@ -35,27 +35,28 @@
 	return h
 }
 
-// told takes in a change of server 4, or of another.
+// updateServer brings a list change of one server and returns its state.
 func (h *harness) updateServer(rev int64, s Server) *server {
 	h.t.Helper()
 	h.handle(ServerList{Kind: ListDelta, Rev: rev, Servers: []Server{s}})
 	return h.b.byID[s.ID]
 }
 
-// pass lets time go by in which a service says that it is there.
+// passTime lets time pass, at the end of which the list service gives a sign of life.
 func (h *harness) passTime(ms float64) {
 	h.t.Helper()
 	h.now += ms
 	h.handle(ServerList{Kind: ListAlive})
 }
 
+// stepClock steps this machine's wall clock to this offset in all.
 func (h *harness) stepClock(offset float64) {
 	h.t.Helper()
 	h.handle(ClockStepped{Offset: offset})
 	h.now += 50
 }
 
-// A server that starts behind a step that this process has noticed is cold from its true start on.
+// After a noticed step of the wall clock, the slow start of a server begins at its true start.
 func TestWallClock_startAfterStep(t *testing.T) {
 	for _, step := range []float64{-testHour, -30e3, -1e3, 1e3, 30e3, testHour} {
 		for name, id := range map[string]ServerID{"a new one": 9, "a restart": 4, "a restart of long ago": 2} {
@@ -78,7 +79,8 @@
 	}
 }
 
-// Machines' clocks are not stepped together: another one's stays as it is, or is stepped before this process's.
+// Clocks of machines are not stepped together: the one that stamped a start may not be stepped, or be stepped before
+// this one.
 func TestWallClock_otherMachine(t *testing.T) {
 	for _, step := range []float64{-testHour, -30e3, -1e3, 1e3, 30e3, testHour} {
 		check := func(h *harness, started, listed float64) {
@@ -104,7 +106,8 @@
 	}
 }
 
-// Two steps that cancel each other out leave what was told between them an hour off.
+// After two steps that cancel each other out, a start that was stamped between them is an hour off, and a later
+// restart is still noticed.
 func TestWallClock_stepForthAndBack(t *testing.T) {
 	for _, step := range []float64{-testHour, testHour} {
 		h := newClockHarness(t)
@@ -122,7 +125,8 @@
 	}
 }
 
-// What this process did not notice shows in starts that cannot be.
+// A step that this process did not notice shows in implausible starts, which count as restarts now. Plausible ones
+// are taken as they are.
 func TestWallClock_implausibleStarts(t *testing.T) {
 	for name, c := range map[string]struct {
 		starts    []float64 // starts of server 4, one list after the other, on the time of the test
@@ -150,7 +154,7 @@
 	}
 }
 
-// A list that is not later than the one held tells of no restart, however small its starts are.
+// A list that is not newer than the current one is no evidence of a restart, however old the starts that it names.
 func TestWallClock_olderLists(t *testing.T) {
 	for name, list := range map[string]ServerList{
 		"the same revision":  {Kind: ListFull, Rev: 10},
@@ -173,7 +177,7 @@
 	}
 }
 
-// Of two servers in one place the one that started later is there, though a step back came between the two starts.
+// Of two servers at one address the one that started later is used, even if a step back came between the starts.
 func TestWallClock_sharedAddress(t *testing.T) {
 	for _, step := range []float64{-testHour, -30e3} {
 		h := newClockHarness(t)
@@ -186,8 +190,8 @@
 	}
 }
 
-// Whatever steps there were, a server that has started is never taken for warm, and none stays cold for longer than its
-// time. Nor do offsets grow in number.
+// After any number of steps, a restarted server is in slow start from about its true start on, and the number of
+// remembered offsets is bounded.
 func TestWallClock_manySteps(t *testing.T) {
 	for seed := range uint64(200) {
 		h, offset, rev, draw := newClockHarness(t), 0.0, int64(10), seed
@@ -209,7 +213,7 @@
 	}
 }
 
-// Without a step no start is read otherwise than it is told.
+// Without a step, starts are taken as they are listed.
 func TestWallClock_noStep(t *testing.T) {
 	h := newClockHarness(t)
 	for rev, start := range []float64{-30e3, -100, 500} {
