--- a/balance/digest_test.go
+++ b/balance/digest_test.go
@@ -15,7 +15,7 @@
 // other one: a change that only rearranges code leaves it as it is.
 const wantDigest = "11be903de6e33704fcd380a0c12e45e67196b45b5921888b2bce5e44490d0362"
 
-// digestRuns is how many seeded runs the digest covers, and digestSteps how many events each of them has.
+// The digest covers digestRuns seeded runs of digestSteps events each.
 const (
 	digestRuns  = 24
 	digestSteps = 4000
--- a/balance/routes_property_test.go
+++ b/balance/routes_property_test.go
@@ -17,19 +17,19 @@
 			Zones: rapid.SliceOfN(rapid.IntRange(0, 2), 0, 2).Draw(t, name+" zones"),
 		}
 	}
-	switch rapid.IntRange(0, 3).Draw(t, "told") {
+	switch rapid.IntRange(0, 3).Draw(t, "event kind") {
 	case 0:
 		return CanaryLease{Until: rapid.Float64Range(0, 20000).Draw(t, "until")}
 	case 1:
 		return BudgetGrant{
 			ID: rapid.Uint64Range(1, 3).Draw(t, "id"), Units: rapid.Int64Range(0, 30).Draw(t, "units"),
-			MaxIdle: rapid.Int64Range(0, 5).Draw(t, "keep"),
+			MaxIdle: rapid.Int64Range(0, 5).Draw(t, "max idle"),
 		}
 	}
 	return Routes{Rev: rapid.Int64Range(1, 99).Draw(t, "rev"), List: []Route{{
 		Classes: rapid.SliceOfN(rapid.IntRange(0, 5), 0, 2).Draw(t, "classes"), Base: subset("base"),
-		Canary: subset("canary"), CanaryFraction: rapid.Float64Range(0, 1).Draw(t, "share"),
-		ID: rapid.Uint64Range(0, 3).Draw(t, "id"), Budgeted: rapid.Bool().Draw(t, "purse"), LateIsFailure: rapid.Bool().Draw(t, "late"),
+		Canary: subset("canary"), CanaryFraction: rapid.Float64Range(0, 1).Draw(t, "fraction"),
+		ID: rapid.Uint64Range(0, 3).Draw(t, "id"), Budgeted: rapid.Bool().Draw(t, "budgeted"), LateIsFailure: rapid.Bool().Draw(t, "late"),
 	}}}
 }
 
@@ -54,9 +54,9 @@
 			b.Start(now)
 			handle(b, ServerList{Kind: ListFull, Servers: servers})
 		}
-		busy := rapid.Bool().Draw(rt, "tenant 0 asks")
+		busy := rapid.Bool().Draw(rt, "tenant 0 has requests")
 		routedToo := rapid.Bool().Draw(rt, "tenant 1 has a route")
-		other := func(b *Balancer, ev Event) { // the own route stays as it is, and the permission with it
+		other := func(b *Balancer, ev Event) { // tenant 1's own route and lease stay
 			routes, isRoutes := ev.(Routes)
 			if lease, isLease := ev.(CanaryLease); isLease && routedToo {
 				lease.Until = math.Inf(1)
@@ -75,7 +75,7 @@
 		for range rapid.IntRange(10, 60).Draw(rt, "events") {
 			now += rapid.Float64Range(0, 50).Draw(rt, "pause")
 			for _, b := range both {
-				if rapid.Bool().Draw(rt, "tell") {
+				if rapid.Bool().Draw(rt, "event") {
 					other(b, drawRouteEvent(rt))
 				}
 			}
@@ -148,7 +148,7 @@
 				}
 				permitted := h.now < leaseUntil && len(routes.List) > 0
 				if (a.RoutesRev != 0) != permitted || permitted && (a.RoutesRev != routes.Rev || a.CanaryID != routes.List[0].ID) {
-					rt.Fatalf("%+v under %+v, permitted %v", a, routes, permitted)
+					rt.Fatalf("%+v under %+v, lease held %v", a, routes, permitted)
 				}
 				if a.ToCanary {
 					route := routes.List[0]
@@ -189,7 +189,7 @@
 				ev := Outcome{
 					Request: o.id, Attempt: o.attempt, Server: o.server, Elapsed: 40,
 					Result:       Result(rapid.IntRange(0, int(WriteFailed)).Draw(rt, "result")),
-					RouteRevoked: rapid.IntRange(0, 3).Draw(rt, "void") == 0,
+					RouteRevoked: rapid.IntRange(0, 3).Draw(rt, "revoked") == 0,
 				}
 				ev.Finished = ev.Result == OK && !ev.RouteRevoked
 				p := before[o.budget]
@@ -198,7 +198,7 @@
 				acts := h.handle(ev)
 				checkSends(before, acts)
 				if after, ok := budgets()[o.budget]; o.budget > 0 && (!ok || after.Spent != p.Spent) {
-					rt.Fatalf("%+v: %+v, not %+v", ev, after, p)
+					rt.Fatalf("%+v: %+v, want %+v", ev, after, p)
 				}
 			case k == 8:
 				servers := identicalServers(12)
@@ -226,7 +226,7 @@
 			}
 			for id, p := range budgets() {
 				if p.Free() < 0 || p.Reserved != units[id] || p.Spent+p.Returned+p.Reserved > p.Granted {
-					rt.Fatalf("%+v with %d out", p, units[id])
+					rt.Fatalf("%+v with %d in flight", p, units[id])
 				}
 			}
 		}
--- a/balance/routes_test.go
+++ b/balance/routes_test.go
@@ -77,13 +77,13 @@
 		h.handle(BudgetGrant{ID: 9, Units: 3, MaxIdle: 3})
 		routes := h.b.routes
 		if acts, err := h.b.Handle(h.now, ev); err == nil || !strings.Contains(err.Error(), want) || len(acts) > 0 {
-			t.Errorf("%+v: error %v, want one of %q", ev, err, want)
+			t.Errorf("%+v: error %v, want one with %q", ev, err, want)
 		}
 		if &h.b.routes[0] != &routes[0] || h.b.rev != 5 || h.b.CanaryBudgets()[0].Granted != 3 {
 			t.Errorf("%+v changed the balancer", ev)
 		}
 		if _, a := h.sendForTenant(idempotentClass); !a.ToCanary || a.RoutesRev != 5 || a.CanaryID != 9 {
-			t.Errorf("%+v: then %+v", ev, a)
+			t.Errorf("%+v: the next attempt is %+v", ev, a)
 		}
 	}
 }
@@ -110,7 +110,7 @@
 				route := canaryRoute(fraction, 1)
 				here := h.b.prefersCanary(&tenantRoute{Route: route}, &request{Request: r})
 				if i > 0 && here != side || last[key] && !here {
-					t.Fatalf("key %d at share %v changes its side", key, fraction)
+					t.Fatalf("key %d at fraction %v changes its side", key, fraction)
 				}
 				side = here
 			}
@@ -119,7 +119,7 @@
 			}
 		}
 		if d := math.Abs(float64(n)/float64(keys) - fraction); d > 4*math.Sqrt(fraction*(1-fraction)/float64(keys)) {
-			t.Errorf("%d of %d keys at share %v", n, keys, fraction)
+			t.Errorf("%d of %d keys at fraction %v", n, keys, fraction)
 		}
 	}
 }
@@ -157,9 +157,9 @@
 				sum += d * d
 			}
 			measured, stated := math.Sqrt(sum/fleets), 1/(float64(n)*math.Sqrt(sidecars))
-			t.Logf("%d requests each, share %v: standard error %.5f, stated %.5f", n, fraction, measured, stated)
+			t.Logf("%d requests each, fraction %v: standard error %.5f, stated %.5f", n, fraction, measured, stated)
 			if measured > stated {
-				t.Errorf("%d requests each, share %v: standard error %.5f, stated %.5f", n, fraction, measured, stated)
+				t.Errorf("%d requests each, fraction %v: standard error %.5f, stated %.5f", n, fraction, measured, stated)
 			}
 		}
 	}
@@ -189,23 +189,23 @@
 		canary   bool
 		to       []ServerID
 	}{
-		"sound":         {1, func(*harness) {}, true, []ServerID{1, 2}},
-		"base":          {0, func(*harness) {}, false, []ServerID{3, 4}},
-		"one drains":    {1, func(h *harness) { h.handle(list(Draining, 1)) }, true, []ServerID{2}},
-		"draining":      {1, func(h *harness) { h.handle(list(Draining, 1, 2)) }, false, []ServerID{3, 4}},
-		"gone":          {1, func(h *harness) { h.handle(list(Gone, 1, 2)) }, false, []ServerID{3, 4}},
-		"never there":   {1, func(h *harness) { h.handle(ServerList{Kind: ListFull, Servers: all[4:]}) }, false, others[2:]},
-		"resting":       {1, func(h *harness) { eject(h, 1, 2) }, false, []ServerID{3, 4}},
-		"loaded":        {1, func(h *harness) { h.b.byID[1].inFlight, h.b.byID[2].inFlight = 9, 9 }, false, []ServerID{3, 4}},
-		"base gone too": {1, func(h *harness) { h.handle(list(Gone, 1, 2, 3, 4)) }, false, others[2:]},
-		"base resting":  {0, func(h *harness) { eject(h, 3, 4) }, false, others[2:]},
-		"canary left":   {0, func(h *harness) { eject(h, others...) }, false, []ServerID{1, 2}},
-		"all rest":      {1, func(h *harness) { eject(h, 1, 2, 3, 4, 5, 6, 7, 8) }, false, []ServerID{3, 4}},
+		"healthy":      {1, func(*harness) {}, true, []ServerID{1, 2}},
+		"base":         {0, func(*harness) {}, false, []ServerID{3, 4}},
+		"one draining": {1, func(h *harness) { h.handle(list(Draining, 1)) }, true, []ServerID{2}},
+		"draining":     {1, func(h *harness) { h.handle(list(Draining, 1, 2)) }, false, []ServerID{3, 4}},
+		"gone":         {1, func(h *harness) { h.handle(list(Gone, 1, 2)) }, false, []ServerID{3, 4}},
+		"not listed":   {1, func(h *harness) { h.handle(ServerList{Kind: ListFull, Servers: all[4:]}) }, false, others[2:]},
+		"ejected":      {1, func(h *harness) { eject(h, 1, 2) }, false, []ServerID{3, 4}},
+		"loaded":       {1, func(h *harness) { h.b.byID[1].inFlight, h.b.byID[2].inFlight = 9, 9 }, false, []ServerID{3, 4}},
+		"base gone":    {1, func(h *harness) { h.handle(list(Gone, 1, 2, 3, 4)) }, false, others[2:]},
+		"base ejected": {0, func(h *harness) { eject(h, 3, 4) }, false, others[2:]},
+		"canary left":  {0, func(h *harness) { eject(h, others...) }, false, []ServerID{1, 2}},
+		"all ejected":  {1, func(h *harness) { eject(h, 1, 2, 3, 4, 5, 6, 7, 8) }, false, []ServerID{3, 4}},
 		"all loaded": {1, func(h *harness) {
 			for _, s := range h.b.servers {
 				s.inFlight = 9
 			}
-		}, true, []ServerID{1}}, // who holds least, of equals the first
+		}, true, []ServerID{1}}, // the one with the least in flight, of equals the first
 		"base loaded": {0, func(h *harness) {
 			for _, id := range others {
 				h.b.byID[id].inFlight = 9
@@ -222,8 +222,8 @@
 				h.b.byID[id].inFlight = 9
 			}
 		}, false, []ServerID{3}},
-		"permission over": {1, func(h *harness) { h.handle(CanaryLease{Until: h.now}) }, false, []ServerID{3, 4}},
-		"no canary":       {1, func(h *harness) { h.handle(Routes{Rev: 6, List: []Route{{Base: far}}}) }, false, others},
+		"lease expired": {1, func(h *harness) { h.handle(CanaryLease{Until: h.now}) }, false, []ServerID{3, 4}},
+		"no canary":     {1, func(h *harness) { h.handle(Routes{Rev: 6, List: []Route{{Base: far}}}) }, false, others},
 		"other class": {1, func(h *harness) {
 			route := canaryRoute(1, 1, 2)
 			route.Classes = []int{nonIdempotentClass}
@@ -234,7 +234,7 @@
 			route := canaryRoute(c.fraction, 2, 1)
 			route.Base = Subset{IDs: []ServerID{1, 3, 4}}
 			h := newRoutedHarness(t, route)
-			if c.fault(h); name == "never there" {
+			if c.fault(h); name == "not listed" {
 				h.handle(list(Gone, 1, 2, 3, 4))
 			}
 			seen := map[ServerID]bool{}
@@ -244,9 +244,9 @@
 				if seen[a.Server] = true; a.ToCanary != c.canary {
 					t.Errorf("to the canary: %v (%+v)", a.ToCanary, a)
 				}
-				leaseHeld := name != "permission over"
+				leaseHeld := name != "lease expired"
 				if leaseHeld != (a.RoutesRev > 0) || (leaseHeld && name != "no canary") != (a.CanaryID > 0) {
-					t.Errorf("acts on %d of %d", a.CanaryID, a.RoutesRev)
+					t.Errorf("has canary %d and revision %d", a.CanaryID, a.RoutesRev)
 				}
 				h.endAttempt(id, 0, NotSent, 0)
 				h.handle(ClientGone{Request: id})
@@ -255,7 +255,7 @@
 			}
 			for s := range seen {
 				if !slices.Contains(c.to, s) {
-					t.Errorf("sent to %d, not one of %v", s, c.to)
+					t.Errorf("sent to %d, want one of %v", s, c.to)
 				}
 			}
 			if len(seen) < min(2, len(c.to)) {
@@ -283,20 +283,20 @@
 	h.b.byID[1].inFlight = 20
 	id, a := h.sendForTenant(idempotentClass)
 	if a.Server != 3 || !a.ToCanary {
-		t.Fatalf("first to %+v", a)
+		t.Fatalf("the first attempt is %+v", a)
 	}
 	h.b.byID[1].inFlight = 0
 	for i, want := range []ServerID{1, 2, 4} {
 		h.b.reqs[id].stats.n = 0
 		if a = h.requireSend(h.endAttempt(id, i, Rejected, 1)); a.Server != want || a.ToCanary != (want < 4) {
-			t.Errorf("repeat %d: %+v, want %d", i+1, a, want)
+			t.Errorf("retry %d: %+v, want %d", i+1, a, want)
 		}
-		if i == 1 { // the newest routes count
+		if i == 1 { // the newest revision counts
 			h.handle(Routes{Rev: 8, List: []Route{route}})
 		}
 	}
 	if a.RoutesRev != 8 {
-		t.Errorf("the last acts on %d", a.RoutesRev)
+		t.Errorf("the last attempt has revision %d", a.RoutesRev)
 	}
 }
 
--- a/balance/settings_test.go
+++ b/balance/settings_test.go
@@ -17,18 +17,18 @@
 		"no cancels":  func(c *Config, _ *int) { c.Cancel, c.Hedging = false, false },
 		"streams":     func(c *Config, _ *int) { c.Classes[idempotentClass].Stream = true },
 		"tenants":     func(c *Config, _ *int) { c.Tenants = []Tenant{{Quota: 0.9}, {Quota: 0.1}, {}} },
-		"no cold rule": func(c *Config, _ *int) {
+		"no slow start": func(c *Config, _ *int) {
 			c.SlowStartTime, c.OverloadTime, c.OverloadMultiple, c.SlowStartCapacity = 0, 0, 0, 0
 		},
-		"probes, free": func(c *Config, _ *int) {
+		"health checks, free": func(c *Config, _ *int) {
 			c.HealthChecks, c.Reports, c.Fields = true, ReportHealthCheck, []Field{FieldInFlight}
 		},
-		"probes, dear": func(c *Config, _ *int) { c.HealthChecks, c.Reports, c.Prices.HealthCheck = true, ReportHealthCheck, 10 },
-		"probes, no field": func(c *Config, _ *int) {
+		"health checks, costly": func(c *Config, _ *int) { c.HealthChecks, c.Reports, c.Prices.HealthCheck = true, ReportHealthCheck, 10 },
+		"health checks, no field": func(c *Config, _ *int) {
 			c.HealthChecks, c.Reports, c.Fields = true, ReportHealthCheck, []Field{FieldUnknown}
 		},
 		"piggyback": func(c *Config, _ *int) { c.Reports, c.Fields = ReportPiggyback, []Field{FieldUtil, FieldRate} },
-		"aims of zero": func(c *Config, _ *int) {
+		"zero objective and weight": func(c *Config, _ *int) {
 			c.Classes[idempotentClass].LatencyObjective, c.Classes[nonIdempotentClass].PriorityWeight = 0, 0
 		},
 	} {
--- a/balance/slow_start_test.go
+++ b/balance/slow_start_test.go
@@ -24,7 +24,7 @@
 		h.handle(Routes{Rev: 1, List: []Route{canaryRoute(1, 1)}})
 		harnesses = append(harnesses, h)
 	}
-	sent := make([]int, 20) // a second each
+	sent := make([]int, 20) // in each second
 	for now := 1000.0; now < 21000; now += gap {
 		for i, h := range harnesses {
 			h.now = now + gap*float64(i)/sidecars
@@ -41,7 +41,7 @@
 	for at, n := range sent {
 		warmth := cfg.SlowStartCapacity + (1-cfg.SlowStartCapacity)*float64(at+1)*1000/cfg.SlowStartTime
 		if fair := sidecars * 1000 / gap / servers * warmth; float64(n) > cfg.OverloadMultiple*fair {
-			t.Errorf("second %d: %d requests, its part is %.1f", at, n, fair)
+			t.Errorf("second %d: %d requests, an equal part is %.1f", at, n, fair)
 		}
 	}
 	t.Logf("sent in each second: %v", sent)
@@ -58,14 +58,14 @@
 		servers := identicalServers(5)
 		h := newHarness(t, cfg, servers...)
 		for i := range perSecond * seconds {
-			if i == perSecond*3 { // half-way one server restarts
+			if i == perSecond*3 { // one server restarts half-way
 				servers[0].StartedAt = h.now
 				h.handle(ServerList{Kind: ListDelta, Servers: servers[:1]})
 			}
 			id, acts := h.sendRequest(idempotentClass)
 			s, ok := sentTo(acts)
 			if !ok {
-				t.Fatal("nothing sent")
+				t.Fatal("the request was not sent")
 			}
 			if s == 1 && i >= perSecond*3 && i < perSecond*4 {
 				sends++
@@ -74,11 +74,11 @@
 			h.now += 1000 / perSecond
 		}
 	}
-	// A warm server gets a fifth of the traffic; the cold one can do ColdFrom of that and a little
-	// more as it warms, and falls at FallMultiple times what it can do.
+	// A warm server gets a fifth of the traffic. A started one can answer SlowStartCapacity of that, a little
+	// more as it warms up, and fails at OverloadMultiple times that.
 	limit := float64(sidecars*perSecond) / 5 * cfg.OverloadMultiple * (cfg.SlowStartCapacity + 0.05)
 	if sends == 0 || float64(sends) > limit {
-		t.Fatalf("%d sends to a cold server in its first second, want 1 to %.0f", sends, limit)
+		t.Fatalf("%d attempts in the first second of a slow start, want 1 to %.0f", sends, limit)
 	}
 }
 
@@ -98,7 +98,7 @@
 		h.endAttempt(id, 0, OK, 10)
 	}
 	if !h.b.warmingUp(h.b.byID[s]) {
-		t.Fatal("the server is held to be warm")
+		t.Fatal("the server is not in slow start")
 	}
 }
 
@@ -110,7 +110,7 @@
 	h := newHarness(t, cfg, list...)
 	h.b.byID[1].size = -maxSize
 	var inFlight []RequestID
-	serve := func(ms int) int { // 200 requests a second, 8 in flight, as full servers have
+	serve := func(ms int) int { // 200 requests a second, 8 in flight: busy servers
 		sends := 0
 		for range ms / 5 {
 			h.now += 5
@@ -133,7 +133,7 @@
 	h.handle(ServerList{Kind: ListDelta, Servers: list[:1]})
 	serve(4000)
 	sent := serve(4000)
-	// In these 4 s it can do 0.36 to 0.52 of its quarter of 800, and falls at FallMultiple times that.
+	// In these 4 s it can answer 0.36 to 0.52 of its quarter of 800, and fails at OverloadMultiple times that.
 	if sent < 30 || float64(sent) > cfg.OverloadMultiple*0.36*200 {
 		t.Errorf("%d of 800 requests to a server at two fifths of its capacity", sent)
 	}
@@ -150,15 +150,15 @@
 	h.sendRequest(idempotentClass) // sets the weights
 	s := h.b.servers[0]
 	s.tokens, s.tokensAt = 0, h.now-2000
-	if h.b.slowStartBudget(s); s.tokens > 0.2 { // with ten assumed: 1
-		t.Fatalf("%.2f sends in two seconds", s.tokens)
+	if h.b.slowStartBudget(s); s.tokens > 0.2 { // would be 1 with ten assumed answers
+		t.Fatalf("%.2f attempts in two seconds", s.tokens)
 	}
-	for range 400 { // of two hundred answers a second it may have its part
+	for range 400 { // 200 observed answers a second
 		h.b.answers.add(h.now, rateSpanObjectives*h.b.maxObjective)
 	}
 	s.tokens, s.tokensAt = 0, h.now-2000
 	if h.b.slowStartBudget(s); s.tokens < 0.5 {
-		t.Fatalf("%.2f sends in two seconds for a busy sidecar", s.tokens)
+		t.Fatalf("%.2f attempts in two seconds for a busy sidecar", s.tokens)
 	}
 }
 
@@ -178,7 +178,7 @@
 		return s.tokens
 	}
 	if one, two := budget(1), budget(2); two > 0.51*one || two == 0 {
-		t.Errorf("%v sends for each of two processes, %v for one", two, one)
+		t.Errorf("%v attempts for each of two processes, %v for one", two, one)
 	}
 }
 
@@ -230,11 +230,11 @@
 			}
 			capacity := warmRate * (cfg.SlowStartCapacity + (1-cfg.SlowStartCapacity)*(from-warm)/cfg.SlowStartTime)
 			if limit := cfg.OverloadMultiple * capacity * cfg.OverloadTime / 1000; float64(n) > limit+math.Sqrt(limit) {
-				t.Fatalf("%d sidecars, %d servers: %d sends in a window, %.1f allowed", c.sidecars, c.servers, n, limit)
+				t.Fatalf("%d sidecars, %d servers: %d attempts in a window, %.1f allowed", c.sidecars, c.servers, n, limit)
 			}
 		}
 		if len(sendTimes) == 0 {
-			t.Errorf("%d sidecars, %d servers: the cold server gets nothing", c.sidecars, c.servers)
+			t.Errorf("%d sidecars, %d servers: the server in slow start gets nothing", c.sidecars, c.servers)
 		}
 	}
 }
--- a/balance/wallclock_test.go
+++ b/balance/wallclock_test.go
@@ -12,18 +12,18 @@
 	list := ServerList{Kind: ListFull, Rev: 2, Servers: []Server{{ID: 1, StartedAt: h.now + 3.6e6}}}
 	h.handle(list)
 	if !h.b.warmingUp(h.b.byID[1]) {
-		t.Error("a server that has just started is not cold")
+		t.Error("a started server is not in slow start")
 	}
 	h.now += h.b.cfg.SlowStartTime
-	h.handle(list) // told again: it has not started again
+	h.handle(list) // the same start again is no restart
 	if h.b.warmingUp(h.b.byID[1]) {
-		t.Error("it is still cold")
+		t.Error("the server is still in slow start")
 	}
 }
 
 const (
 	testHour = 3.6e6
-	testBoot = 1.7e12 // a time as servers' starts are told
+	testBoot = 1.7e12 // start time in ms since 1970, as lists have it
 )
 
 // newClockHarness returns a harness with one list service and servers 1 to 3 that started long ago. Server 4 started
@@ -59,7 +59,7 @@
 // After a noticed step of the wall clock, the slow start of a server begins at its true start.
 func TestWallClock_startAfterStep(t *testing.T) {
 	for _, step := range []float64{-testHour, -30e3, -1e3, 1e3, 30e3, testHour} {
-		for name, id := range map[string]ServerID{"a new one": 9, "a restart": 4, "a restart of long ago": 2} {
+		for name, id := range map[string]ServerID{"new": 9, "restarted": 4, "restarted, started long ago": 2} {
 			t.Run(fmt.Sprintf("%v s, %s", step/1000, name), func(t *testing.T) {
 				h := newClockHarness(t)
 				h.now += 60e3
@@ -68,11 +68,11 @@
 				started := h.now - 200
 				s := h.updateServer(11, Server{ID: id, StartedAt: started + step})
 				if !h.b.warmingUp(s) || s.slowStartAt < started-futureSlack || s.slowStartAt > h.now {
-					t.Fatalf("started %.0f ms ago, taken for %.0f", h.now-started, h.now-s.slowStartAt)
+					t.Fatalf("started %.0f ms ago, slow start is %.0f ms old", h.now-started, h.now-s.slowStartAt)
 				}
 				h.passTime(h.b.cfg.SlowStartTime + 1)
 				if h.b.warmingUp(s) {
-					t.Error("it stays cold")
+					t.Error("the slow start does not end")
 				}
 			})
 		}
@@ -87,7 +87,7 @@
 			t.Helper()
 			h.now += 500
 			if s := h.updateServer(11, Server{ID: 9, StartedAt: listed}); !h.b.warmingUp(s) || s.slowStartAt < started-futureSlack {
-				t.Errorf("step %v s: started %.0f ms ago, taken for %.0f", step/1000, h.now-started, h.now-s.slowStartAt)
+				t.Errorf("step %v s: started %.0f ms ago, slow start is %.0f ms old", step/1000, h.now-started, h.now-s.slowStartAt)
 			}
 		}
 		t.Run("not stepped", func(t *testing.T) {
@@ -115,12 +115,12 @@
 		s := h.updateServer(11, Server{ID: 4, StartedAt: h.now + step})
 		h.passTime(2 * h.b.cfg.SlowStartTime)
 		if h.b.warmingUp(s) {
-			t.Fatalf("%v: a warm server is cold", step)
+			t.Fatalf("%v: a warm server is in slow start", step)
 		}
 		h.stepClock(0)
 		h.now += 1000
 		if s = h.updateServer(12, Server{ID: 4, StartedAt: h.now - 100}); !h.b.warmingUp(s) || s.slowStartAt < h.now-1100 {
-			t.Errorf("%v: a restart behind the second step is %v ms old", step, h.now-s.slowStartAt)
+			t.Errorf("%v: after a restart behind the second step, the slow start is %v ms old", step, h.now-s.slowStartAt)
 		}
 	}
 }
@@ -129,15 +129,15 @@
 // are taken as they are.
 func TestWallClock_implausibleStarts(t *testing.T) {
 	for name, c := range map[string]struct {
-		starts    []float64 // starts of server 4, one list after the other, on the time of the test
+		starts    []float64 // listed starts of server 4, one after the other, after testBoot
 		warmingUp bool
 	}{
-		"in the future":                           {[]float64{testHour}, true},
-		"smaller than before":                     {[]float64{-2 * testHour}, true},
-		"smaller than one in the future":          {[]float64{testHour, -100}, true},
-		"later than before, long before it ended": {[]float64{-testHour}, true},
-		"plausible":                               {[]float64{10e3}, false},
-		"the same":                                {[]float64{-1.5 * testHour}, false},
+		"in the future":                     {[]float64{testHour}, true},
+		"before the known one":              {[]float64{-2 * testHour}, true},
+		"before one in the future":          {[]float64{testHour, -100}, true},
+		"after the known one, but long ago": {[]float64{-testHour}, true},
+		"plausible":                         {[]float64{10e3}, false},
+		"the same":                          {[]float64{-1.5 * testHour}, false},
 	} {
 		t.Run(name, func(t *testing.T) {
 			h := newClockHarness(t)
@@ -148,7 +148,7 @@
 				s = h.updateServer(int64(11+i), Server{ID: 4, StartedAt: testBoot + start})
 			}
 			if h.b.warmingUp(s) != c.warmingUp || c.warmingUp && s.slowStartAt < h.now-200 {
-				t.Errorf("cold %v since %v ms", h.b.warmingUp(s), h.now-s.slowStartAt)
+				t.Errorf("slow start %v, %v ms old", h.b.warmingUp(s), h.now-s.slowStartAt)
 			}
 		})
 	}
@@ -158,10 +158,10 @@
 func TestWallClock_olderLists(t *testing.T) {
 	for name, list := range map[string]ServerList{
 		"the same revision":  {Kind: ListFull, Rev: 10},
-		"an older one":       {Kind: ListFull, Rev: 9},
-		"another history":    {Kind: ListFull, Rev: 1<<epochBits + 20},
+		"an older revision":  {Kind: ListFull, Rev: 9},
+		"another epoch":      {Kind: ListFull, Rev: 1<<epochBits + 20},
 		"without a revision": {Kind: ListFull},
-		"a start not known":  {Kind: ListFull, Rev: 11},
+		"unknown start":      {Kind: ListFull, Rev: 11},
 	} {
 		t.Run(name, func(t *testing.T) {
 			h := newClockHarness(t)
@@ -171,7 +171,7 @@
 			}
 			h.handle(list)
 			if h.b.warmingUp(h.b.byID[4]) || h.b.stepped {
-				t.Errorf("a restart is seen: %+v", h.b.byID[4])
+				t.Errorf("a restart is assumed: %+v", h.b.byID[4])
 			}
 		})
 	}
@@ -207,7 +207,7 @@
 				t.Fatalf("seed %d, offset %v: started %v ms ago", seed, offset, h.now-s.slowStartAt)
 			}
 			if len(h.b.offsets) > maxOffsets {
-				t.Fatal(len(h.b.offsets), "offsets are kept")
+				t.Fatal(len(h.b.offsets), "offsets are remembered")
 			}
 		}
 	}
@@ -220,10 +220,10 @@
 		h.passTime(60e3)
 		s := h.updateServer(int64(11+rev), Server{ID: 4, StartedAt: h.now + start})
 		if s.slowStartAt != h.now+start || h.b.stepped {
-			t.Errorf("%v: since %v", start, s.slowStartAt-h.now)
+			t.Errorf("start %v: slow start begins at %v", start, s.slowStartAt-h.now)
 		}
 	}
 	if s := h.b.byID[1]; !math.IsInf(s.slowStartAt, -1) {
-		t.Errorf("started long ago: since %v", s.slowStartAt)
+		t.Errorf("started long ago: slow start begins at %v", s.slowStartAt)
 	}
 }
