--- a/balance/endpoint_list_test.go
+++ b/balance/endpoint_list_test.go
@@ -355,9 +355,9 @@
 // A draining server gets no new requests, and a full list removes servers that it leaves out.
 func TestEndpointList_drainingServer(t *testing.T) {
 	h := newHarness(t, baseConfig(), identicalServers(2)...)
-	gone := identicalServers(1)[0]
-	gone.State = Draining
-	h.handle(ServerList{Kind: ListDelta, Servers: []Server{gone}})
+	draining := identicalServers(1)[0]
+	draining.State = Draining
+	h.handle(ServerList{Kind: ListDelta, Servers: []Server{draining}})
 	for range 20 {
 		id, acts := h.sendRequest(idempotentClass)
 		if s, _ := sentTo(acts); s != 2 {
@@ -365,8 +365,8 @@
 		}
 		h.endAttempt(id, 0, OK, 10)
 	}
-	gone.State = Ready
-	h.handle(ServerList{Kind: ListFull, Servers: []Server{gone}}) // the list leaves the other one out
+	draining.State = Ready
+	h.handle(ServerList{Kind: ListFull, Servers: []Server{draining}}) // the list leaves the other one out
 	id, acts := h.sendRequest(idempotentClass)
 	if s, _ := sentTo(acts); s != 1 {
 		t.Fatalf("sent to %d, request %d", s, id)
--- a/balance/fleet_size_test.go
+++ b/balance/fleet_size_test.go
@@ -56,56 +56,56 @@
 // The quotas of processes add up to at most one, if each knows at least all admitted ones, however late it learns of
 // ended ones. A process that admits itself too early exceeds it, which shows that the check can fail.
 func TestFleetEstimate_quotasSumToOne(t *testing.T) {
-	broken := 0.0
+	maxSumTooEarly := 0.0
 	rapid.Check(t, func(t *rapid.T) {
 		type process struct {
 			FleetEstimate
-			part  float64
-			extra int // ended processes that it still counts
+			quota float64
+			ended int // ended processes that it still counts
 		}
 		var all []*process
 		now := 0.0
 		update := func(p *process, admitted bool) {
-			known := len(all) + p.extra
-			p.part = p.Quota(now, FleetSize{Known: known, Reachable: rapid.IntRange(1, known).Draw(t, "reachable"), Admitted: admitted})
+			known := len(all) + p.ended
+			p.quota = p.Quota(now, FleetSize{Known: known, Reachable: rapid.IntRange(1, known).Draw(t, "reachable"), Admitted: admitted})
 		}
-		sum := func(extra float64) float64 {
+		sum := func(ended float64) float64 {
 			for _, p := range all {
-				extra += p.part
+				ended += p.quota
 			}
-			return extra
+			return ended
 		}
 		for range rapid.IntRange(1, 40).Draw(t, "steps") {
 			now += rapid.Float64Range(0, 20000).Draw(t, "passed")
 			switch rapid.IntRange(0, 3).Draw(t, "what") {
 			case 0: // one starts: all others count it before it is admitted
-				fresh := &process{}
+				started := &process{}
 				if len(all) > 0 {
-					broken = math.Max(broken, sum(1/float64(len(all))))
+					maxSumTooEarly = math.Max(maxSumTooEarly, sum(1/float64(len(all))))
 				}
-				all = append(all, fresh)
+				all = append(all, started)
 				for _, p := range all {
-					update(p, p != fresh)
+					update(p, p != started)
 				}
-				require.Zero(t, fresh.part)
-				update(fresh, true)
+				require.Zero(t, started.quota)
+				update(started, true)
 			case 1: // one ends, and the others still count it
 				if len(all) > 1 {
 					all = all[:len(all)-1]
 					for _, p := range all {
-						p.extra++
+						p.ended++
 					}
 				}
 			default:
 				for _, p := range all {
-					p.extra = rapid.IntRange(0, p.extra).Draw(t, "extra")
+					p.ended = rapid.IntRange(0, p.ended).Draw(t, "extra")
 					update(p, true)
 				}
 			}
 			require.LessOrEqual(t, sum(0), 1+1e-9)
 		}
 	})
-	assert.Greater(t, broken, 1.0)
+	assert.Greater(t, maxSumTooEarly, 1.0)
 }
 
 // A reported process count equal to Config.Peers changes no action; another count does.
--- a/balance/locality_test.go
+++ b/balance/locality_test.go
@@ -67,12 +67,12 @@
 			if attempt == 0 {
 				first[s.Zone]++
 			}
-			res, took := verdict(s), 50.0
-			if res == ConnectFailed {
-				took = 120
+			result, elapsed := verdict(s), 50.0
+			if result == ConnectFailed {
+				elapsed = 120
 			}
-			h.now += took
-			h.endAttempt(id, attempt, res, took)
+			h.now += elapsed
+			h.endAttempt(id, attempt, result, elapsed)
 		}
 	}
 	return first
@@ -208,7 +208,7 @@
 		t.Error("a non-idempotent request tries a zone that was left")
 	}
 	var inZone []RequestID
-	fill := func() (n int) {
+	sendRound := func() (n int) {
 		for range 20 {
 			id, acts := h.sendRequest(idempotentClass)
 			if !hasAction(acts, Send) {
@@ -223,14 +223,14 @@
 		}
 		return n
 	}
-	if n := fill(); n != 1 {
+	if n := sendRound(); n != 1 {
 		t.Fatalf("%d requests try the zone at first", n)
 	}
 	for want := 1; want < 8 && z.left; want++ {
 		h.now += 50
 		h.endAttempt(inZone[0], 0, OK, 50)
 		inZone = inZone[1:]
-		fill()
+		sendRound()
 		if z.left && int(z.out) != want {
 			t.Fatalf("after %d answers %g requests are in flight in the zone", want, z.out)
 		}
@@ -314,22 +314,22 @@
 func TestLocality_spillover(t *testing.T) {
 	h := newZoneHarness(t, nil, 8, 8)
 	nearLatency := 220.0
-	load := func(n int) (far int) {
+	load := func(n int) (crossed int) {
 		for range n {
 			h.now += 20
 			id, acts := h.sendRequest(idempotentClass)
 			if !hasAction(acts, Send) {
 				continue
 			}
-			took := 50.0
+			elapsed := 50.0
 			if h.lastZone(id) == 0 {
-				took = nearLatency
+				elapsed = nearLatency
 			} else {
-				far++
+				crossed++
 			}
-			h.endAttempt(id, 0, OK, took)
+			h.endAttempt(id, 0, OK, elapsed)
 		}
-		return far
+		return crossed
 	}
 	first, later := load(10), load(300)
 	if first > 3 || later < 150 {
--- a/balance/picker_test.go
+++ b/balance/picker_test.go
@@ -18,15 +18,15 @@
 // A server at the health floor still gets some requests.
 func TestPicker_healthFloor(t *testing.T) {
 	h := newHarness(t, baseConfig(), identicalServers(4)...)
-	hits := 0
+	sends := 0
 	for range 40 { // a success resets the errors, so they are set again each time
 		h.b.servers[2].consecutiveErrors, h.b.servers[2].lastErrorAt = 1000, h.now
 		if sendSequence(h, 1)[0] == 3 {
-			hits++
+			sends++
 		}
 	}
-	if hits == 0 || hits >= 10 {
-		t.Fatalf("the server at the floor got %d of 40", hits)
+	if sends == 0 || sends >= 10 {
+		t.Fatalf("the server at the floor got %d of 40", sends)
 	}
 }
 
--- a/balance/random_events_test.go
+++ b/balance/random_events_test.go
@@ -105,11 +105,11 @@
 			sim.handle(HealthCheckResult{Server: s, Elapsed: 1, Report: []float32{float32(sim.rnd.Intn(6)), 0, 0.5}})
 		}
 	default:
-		gone := id - RequestID(sim.rnd.Intn(20)) // an unknown or ended request is ignored
-		if r := sim.requests[gone]; r != nil {
+		left := id - RequestID(sim.rnd.Intn(20)) // an unknown or ended request is ignored
+		if r := sim.requests[left]; r != nil {
 			r.answered = true
 		}
-		sim.handle(ClientGone{Request: gone})
+		sim.handle(ClientGone{Request: left})
 	}
 }
 
--- a/balance/retry_test.go
+++ b/balance/retry_test.go
@@ -9,10 +9,10 @@
 // window and after it: another attempt, a rejection or a failure.
 func TestRetry_afterFirstAttempt(t *testing.T) {
 	for _, class := range []int{idempotentClass, nonIdempotentClass, cellKeyClass, globalKeyClass, zoneKeyClass} {
-		for _, res := range []Result{Failed, Rejected, TimedOut, ConnectFailed, Reset, Cancelled, WriteFailed} {
+		for _, result := range []Result{Failed, Rejected, TimedOut, ConnectFailed, Reset, Cancelled, WriteFailed} {
 			for _, afterWindow := range []bool{false, true} {
-				t.Run(fmt.Sprintf("class%d/result%d/late=%v", class, res, afterWindow), func(t *testing.T) {
-					checkAfterFirstAttempt(t, class, res, afterWindow)
+				t.Run(fmt.Sprintf("class%d/result%d/late=%v", class, result, afterWindow), func(t *testing.T) {
+					checkAfterFirstAttempt(t, class, result, afterWindow)
 				})
 			}
 		}
@@ -20,7 +20,7 @@
 }
 
 // checkAfterFirstAttempt checks one combination. A second attempt must also keep to the key scope.
-func checkAfterFirstAttempt(t *testing.T, class int, res Result, afterWindow bool) {
+func checkAfterFirstAttempt(t *testing.T, class int, result Result, afterWindow bool) {
 	cfg := baseConfig()
 	for i := range cfg.Classes {
 		cfg.Classes[i].LatencyObjective = cfg.Classes[i].Deadline // retries are useful until the deadline
@@ -35,9 +35,9 @@
 	if h.now += 100; afterWindow {
 		h.now += 200
 	}
-	acts = h.endAttempt(id, 0, res, 100)
+	acts = h.endAttempt(id, 0, result, 100)
 	c := cfg.Classes[class]
-	mayResend := c.Idempotency == Idempotent || res.NeverRan() || c.Idempotency == IdempotentWithKey && !afterWindow
+	mayResend := c.Idempotency == Idempotent || result.NeverRan() || c.Idempotency == IdempotentWithKey && !afterWindow
 	second, sent := sentTo(acts)
 	if sent != mayResend {
 		t.Fatalf("sent again: %v, want %v (%+v)", sent, mayResend, acts)
@@ -50,8 +50,8 @@
 		return
 	}
 	a, b := h.b.byID[first], h.b.byID[second]
-	dirty := !res.NeverRan()
-	if a == b || dirty && class == cellKeyClass && a.Cell != b.Cell || dirty && class == zoneKeyClass && a.Zone != b.Zone {
+	mayHaveRun := !result.NeverRan()
+	if a == b || mayHaveRun && class == cellKeyClass && a.Cell != b.Cell || mayHaveRun && class == zoneKeyClass && a.Zone != b.Zone {
 		t.Fatalf("sent to %+v after %+v", b.Server, a.Server)
 	}
 }
@@ -72,8 +72,8 @@
 			id, _ := h.sendRequest(class)
 			h.now += after
 			acts := h.endAttempt(id, 0, Failed, after)
-			if sent, may := hasAction(acts, Send), class == idempotentClass || after+connect < window; sent != may {
-				t.Errorf("class %d, failed after %v ms: sent again %v, want %v", class, after, sent, may)
+			if sent, allowed := hasAction(acts, Send), class == idempotentClass || after+connect < window; sent != allowed {
+				t.Errorf("class %d, failed after %v ms: sent again %v, want %v", class, after, sent, allowed)
 			}
 		}
 	}
--- a/balance/rotation_test.go
+++ b/balance/rotation_test.go
@@ -106,7 +106,7 @@
 func TestRotation_lowTraffic(t *testing.T) {
 	sidecars, servers := 400, 60
 	all := map[ServerID]int{}
-	used := func(number, seed int) map[ServerID]int {
+	sendsByServer := func(number, seed int) map[ServerID]int {
 		cfg := baseConfig()
 		cfg.Number, cfg.Peers, cfg.Seed = number, sidecars, uint64(seed)
 		h := newHarness(t, cfg, identicalServers(servers)...)
@@ -114,31 +114,31 @@
 			s.rank = h.b.rank(s)
 		}
 		h.b.dropGone()
-		hits := map[ServerID]int{}
+		sends := map[ServerID]int{}
 		for range 60 {
 			h.now += 1000
 			id, acts := h.sendRequest(idempotentClass)
 			s, _ := sentTo(acts)
-			hits[s]++
+			sends[s]++
 			h.endAttempt(id, 0, OK, 10)
 		}
-		return hits
+		return sends
 	}
 	for n := range sidecars {
-		hits := used(n, n)
-		if len(hits) != minRotation {
-			t.Fatalf("sidecar %d uses %d servers", n, len(hits))
+		sends := sendsByServer(n, n)
+		if len(sends) != minRotation {
+			t.Fatalf("sidecar %d uses %d servers", n, len(sends))
 		}
-		for s, k := range hits {
-			all[s] += k
+		for s, requests := range sends {
+			all[s] += requests
 		}
-		if n == 0 && !maps.Equal(hits, used(0, 77)) {
+		if n == 0 && !maps.Equal(sends, sendsByServer(0, 77)) {
 			t.Fatal("a restarted sidecar uses other servers")
 		}
 	}
-	for s, k := range all {
-		if mean := 60 * sidecars / servers; k < mean/2 || k > 2*mean {
-			t.Errorf("server %d got %d requests, the mean is %d", s, k, mean)
+	for s, requests := range all {
+		if mean := 60 * sidecars / servers; requests < mean/2 || requests > 2*mean {
+			t.Errorf("server %d got %d requests, the mean is %d", s, requests, mean)
 		}
 	}
 }
@@ -146,27 +146,27 @@
 // The rotation grows with traffic, up to all servers, and replaces servers that are ejected.
 func TestRotation_growth(t *testing.T) {
 	h := newHarness(t, baseConfig(), identicalServers(60)...)
-	count := func(gap float64, n int) int {
-		hits := map[ServerID]bool{}
+	usedServers := func(gap float64, n int) int {
+		used := map[ServerID]bool{}
 		for range n {
 			h.now += gap
 			id, acts := h.sendRequest(idempotentClass)
 			s, _ := sentTo(acts)
-			hits[s] = true
+			used[s] = true
 			h.endAttempt(id, 0, OK, 10)
 		}
-		return len(hits)
+		return len(used)
 	}
-	if n := count(1000, 30); n != minRotation {
+	if n := usedServers(1000, 30); n != minRotation {
 		t.Fatalf("%d servers for one request a second", n)
 	}
 	for _, s := range h.b.servers[:2] {
 		h.b.recordFailure(s, true, partialEvidence)
 	}
-	if n := count(50, 6); n < minRotation {
+	if n := usedServers(50, 6); n < minRotation {
 		t.Fatalf("%d servers when two of the first are ejected", n)
 	}
-	if n := count(10, 3000); n != 60 {
+	if n := usedServers(10, 3000); n != 60 {
 		t.Fatalf("%d servers of 60 for a hundred requests a second", n)
 	}
 }
--- a/balance/routes_property_test.go
+++ b/balance/routes_property_test.go
@@ -126,13 +126,13 @@
 		cfg := tenantConfig()
 		cfg.Seed, cfg.MaxAttempts = rapid.Uint64().Draw(rt, "seed"), 3
 		h := newHarness(t, cfg, identicalServers(12)...)
-		type out struct {
+		type attemptInFlight struct {
 			id      RequestID
 			attempt int
 			server  ServerID
 			budget  uint64
 		}
-		var inFlight []out
+		var inFlight []attemptInFlight
 		var routes Routes
 		leaseUntil := 0.0
 		attempts := map[RequestID]int{}
@@ -141,19 +141,19 @@
 				if a.Kind != Send {
 					continue
 				}
-				o := out{id: a.Request, attempt: attempts[a.Request], server: a.Server}
+				o := attemptInFlight{id: a.Request, attempt: attempts[a.Request], server: a.Server}
 				attempts[a.Request]++
 				if s := h.b.byID[a.Server]; s == nil || s.State != Ready {
 					rt.Fatalf("sent to server %d", a.Server)
 				}
-				permitted := h.now < leaseUntil && len(routes.List) > 0
-				if (a.RoutesRev != 0) != permitted || permitted && (a.RoutesRev != routes.Rev || a.CanaryID != routes.List[0].ID) {
-					rt.Fatalf("%+v under %+v, lease held %v", a, routes, permitted)
+				leaseHeld := h.now < leaseUntil && len(routes.List) > 0
+				if (a.RoutesRev != 0) != leaseHeld || leaseHeld && (a.RoutesRev != routes.Rev || a.CanaryID != routes.List[0].ID) {
+					rt.Fatalf("%+v under %+v, lease held %v", a, routes, leaseHeld)
 				}
 				if a.ToCanary {
 					route := routes.List[0]
 					r := h.b.reqs[a.Request]
-					if !permitted || route.ID == 0 || route.CanaryFraction == 0 || !subsetContains(route.Canary, h.b.byID[a.Server]) ||
+					if !leaseHeld || route.ID == 0 || route.CanaryFraction == 0 || !subsetContains(route.Canary, h.b.byID[a.Server]) ||
 						len(route.Classes) > 0 && !slices.Contains(route.Classes, r.Class) {
 						rt.Fatalf("%+v under %+v", a, routes)
 					}
--- a/balance/routes_test.go
+++ b/balance/routes_test.go
@@ -108,11 +108,11 @@
 			for i, h := range harnesses {
 				h.b.canaryLease = math.Inf(1)
 				route := canaryRoute(fraction, 1)
-				here := h.b.prefersCanary(&tenantRoute{Route: route}, &request{Request: r})
-				if i > 0 && here != side || last[key] && !here {
+				preferred := h.b.prefersCanary(&tenantRoute{Route: route}, &request{Request: r})
+				if i > 0 && preferred != side || last[key] && !preferred {
 					t.Fatalf("key %d at fraction %v changes its side", key, fraction)
 				}
-				side = here
+				side = preferred
 			}
 			if last[key] = side; side {
 				n++
@@ -133,7 +133,7 @@
 			sum := 0.0
 			const fleets = 10
 			for f := range fleets {
-				hits := 0
+				canaryRequests := 0
 				for i := range sidecars {
 					cfg := tenantConfig()
 					cfg.Seed, cfg.Number = uint64(f), i
@@ -146,14 +146,14 @@
 						r := &request{}
 						first := b.prefersCanary(b.routeOf(r), r)
 						if first {
-							hits++
+							canaryRequests++
 						}
 						if again := b.prefersCanary(b.routeOf(r), r); again != first {
 							t.Fatal("a request changed its side")
 						}
 					}
 				}
-				d := float64(hits)/float64(n*sidecars) - fraction
+				d := float64(canaryRequests)/float64(n*sidecars) - fraction
 				sum += d * d
 			}
 			measured, stated := math.Sqrt(sum/fleets), 1/(float64(n)*math.Sqrt(sidecars))
@@ -182,7 +182,7 @@
 		}
 	}
 	others := []ServerID{3, 4, 5, 6, 7, 8}
-	far := Subset{IDs: others}
+	otherServers := Subset{IDs: others}
 	for name, c := range map[string]struct {
 		fraction float64
 		fault    func(*harness)
@@ -223,7 +223,7 @@
 			}
 		}, false, []ServerID{3}},
 		"lease expired": {1, func(h *harness) { h.handle(CanaryLease{Until: h.now}) }, false, []ServerID{3, 4}},
-		"no canary":     {1, func(h *harness) { h.handle(Routes{Rev: 6, List: []Route{{Base: far}}}) }, false, others},
+		"no canary":     {1, func(h *harness) { h.handle(Routes{Rev: 6, List: []Route{{Base: otherServers}}}) }, false, others},
 		"other class": {1, func(h *harness) {
 			route := canaryRoute(1, 1, 2)
 			route.Classes = []int{nonIdempotentClass}
