--- a/balance/ejection_test.go
+++ b/balance/ejection_test.go
@@ -53,7 +53,9 @@
 // A server that does not answer within a very short deadline is not at fault: it is neither ejected nor gets a lower
 // weight, and each request gets one answer after at most one attempt.
 func TestEjection_shortTimeout(t *testing.T) {
-	for class, name := range map[int]string{idempotentClass: "idempotent", nonIdempotentClass: "non-idempotent", globalKeyClass: "with key"} {
+	for class, name := range map[int]string{
+		idempotentClass: "idempotent", nonIdempotentClass: "non-idempotent", globalKeyClass: "with key",
+	} {
 		for _, left := range []float64{1, 2, 5, 10, 20} {
 			t.Run(fmt.Sprint(name, ", ", left, " ms"), func(t *testing.T) {
 				h := newHarness(t, baseConfig(), identicalServers(4)...)
--- a/balance/fleet_size_test.go
+++ b/balance/fleet_size_test.go
@@ -69,11 +69,11 @@
 			known := len(all) + p.ended
 			p.quota = p.Quota(now, FleetSize{Known: known, Reachable: rapid.IntRange(1, known).Draw(t, "reachable"), Admitted: admitted})
 		}
-		sum := func(ended float64) float64 {
+		sum := func(start float64) float64 {
 			for _, p := range all {
-				ended += p.quota
+				start += p.quota
 			}
-			return ended
+			return start
 		}
 		for range rapid.IntRange(1, 40).Draw(t, "steps") {
 			now += rapid.Float64Range(0, 20000).Draw(t, "passed")
--- a/balance/local_failure_test.go
+++ b/balance/local_failure_test.go
@@ -34,7 +34,9 @@
 // A failure of this machine counts against no server and uses up no attempt. The request is sent again after a pause
 // that doubles, whatever its idempotency.
 func TestRetry_localFailure(t *testing.T) {
-	for name, class := range map[string]int{"idempotent": idempotentClass, "non-idempotent": nonIdempotentClass, "with key": cellKeyClass} {
+	for name, class := range map[string]int{
+		"idempotent": idempotentClass, "non-idempotent": nonIdempotentClass, "with key": cellKeyClass,
+	} {
 		t.Run(name, func(t *testing.T) {
 			h := newHarness(t, baseConfig(), identicalServers(8)...)
 			id, acts := h.sendRequest(class)
@@ -69,7 +71,9 @@
 
 // A request whose attempts all fail on this machine is rejected at its deadline, after at most 12 attempts.
 func TestRetry_localFailureUntilDeadline(t *testing.T) {
-	for name, class := range map[string]int{"idempotent": idempotentClass, "non-idempotent": nonIdempotentClass, "with key": globalKeyClass} {
+	for name, class := range map[string]int{
+		"idempotent": idempotentClass, "non-idempotent": nonIdempotentClass, "with key": globalKeyClass,
+	} {
 		t.Run(name, func(t *testing.T) {
 			h := newHarness(t, baseConfig(), identicalServers(8)...)
 			earliestStart, n := h.now, 0
--- a/balance/routes_test.go
+++ b/balance/routes_test.go
@@ -11,7 +11,9 @@
 func tenantConfig() Config {
 	cfg := baseConfig()
 	cfg.Tenants = []Tenant{{Allowance: 1, Quota: 0.5}, {Allowance: 1, Quota: 0.5}}
-	cfg.Classes = append(cfg.Classes, Class{Idempotency: Idempotent, LatencyObjective: 300, Deadline: 1500, PriorityWeight: 1, Stream: true})
+	cfg.Classes = append(cfg.Classes, Class{
+		Idempotency: Idempotent, LatencyObjective: 300, Deadline: 1500, PriorityWeight: 1, Stream: true,
+	})
 	return cfg
 }
 
@@ -314,7 +316,8 @@
 			t.Fatalf("after %d: %+v, %d errors", i+1, a, h.b.byID[1].consecutiveErrors)
 		}
 	}
-	if acts := h.handle(Outcome{Request: id, Attempt: maxRevokedAttempts, Server: 1, Result: Failed, RouteRevoked: true}); hasAction(acts, Send) {
+	last := Outcome{Request: id, Attempt: maxRevokedAttempts, Server: 1, Result: Failed, RouteRevoked: true}
+	if acts := h.handle(last); hasAction(acts, Send) {
 		t.Errorf("after the last: %+v", acts)
 	}
 	if h.b.byID[1].consecutiveErrors != 0 || h.b.byID[1].inFlight != 0 || h.b.reqs[id].sends() != 1 {
--- a/balance/slow_start_fleet_test.go
+++ b/balance/slow_start_fleet_test.go
@@ -7,7 +7,9 @@
 
 // fleetScenarios returns all scenarios, as changes of one base scenario.
 func fleetScenarios() []fleetScenario {
-	base := fleetScenario{servers: 10, cores: 2, meanWork: 85, load: 0.6, restartFraction: 0.2, notifySpread: 2000, mixedSpeeds: true}
+	base := fleetScenario{
+		servers: 10, cores: 2, meanWork: 85, load: 0.6, restartFraction: 0.2, notifySpread: 2000, mixedSpeeds: true,
+	}
 	scenario := func(name string, change func(c *fleetScenario)) fleetScenario {
 		c := base
 		c.name = name
@@ -23,7 +25,9 @@
 		scenario("half reset before", func(c *fleetScenario) { c.resetFraction, c.resetAt = 0.5, serverStartAt-500 }),
 		scenario("half reset after", func(c *fleetScenario) { c.resetFraction, c.resetAt = 0.5, serverStartAt+3000 }),
 		scenario("all reset after", func(c *fleetScenario) { c.resetFraction, c.resetAt = 1, serverStartAt+3000 }),
-		scenario("all reset in a burst", func(c *fleetScenario) { c.resetFraction, c.resetAt, c.burstFactor = 1, burstAt, 2.5 }),
+		scenario("all reset in a burst", func(c *fleetScenario) {
+			c.resetFraction, c.resetAt, c.burstFactor = 1, burstAt, 2.5
+		}),
 		scenario("too few processes known", func(c *fleetScenario) { c.fleetSizeFactor = 0.25 }),
 		scenario("too many processes known", func(c *fleetScenario) { c.fleetSizeFactor = 4 }),
 		scenario("upgrade", func(c *fleetScenario) { c.upgrade = true }),
@@ -32,7 +36,9 @@
 		scenario("half restart", func(c *fleetScenario) { c.restartFraction = 0.5 }),
 		scenario("most restart", func(c *fleetScenario) { c.restartFraction, c.load = 0.8, 0.8 }),
 		scenario("all restart", func(c *fleetScenario) { c.restartFraction, c.load = 1, 0.8 }),
-		scenario("join in a burst", func(c *fleetScenario) { c.restartFraction, c.newServers, c.burstFactor = 0.3, 3, 2.5 }),
+		scenario("join in a burst", func(c *fleetScenario) {
+			c.restartFraction, c.newServers, c.burstFactor = 0.3, 3, 2.5
+		}),
 		scenario("slow servers", func(c *fleetScenario) { c.cores, c.meanWork = 1, 250 }),
 		scenario("slow servers in a burst", func(c *fleetScenario) { c.cores, c.meanWork, c.burstFactor = 1, 250, 2.5 }),
 		scenario("few slow servers idle then burst", func(c *fleetScenario) {
@@ -40,29 +46,51 @@
 		}),
 		scenario("most restart in a burst", func(c *fleetScenario) { c.restartFraction, c.burstFactor = 0.8, 2.5 }),
 		scenario("all restart in a burst", func(c *fleetScenario) { c.restartFraction, c.burstFactor = 1, 2.5 }),
-		scenario("all restart, notified at once", func(c *fleetScenario) { c.restartFraction, c.load, c.notifySpread = 1, 1, 1 }),
-		scenario("equal servers, all restart at once", func(c *fleetScenario) { c.restartFraction, c.load, c.notifySpread, c.mixedSpeeds = 1, 1, 1, false }),
-		scenario("equal servers, all restart, overload", func(c *fleetScenario) { c.restartFraction, c.load, c.mixedSpeeds = 1, 1.5, false }),
+		scenario("all restart, notified at once", func(c *fleetScenario) {
+			c.restartFraction, c.load, c.notifySpread = 1, 1, 1
+		}),
+		scenario("equal servers, all restart at once", func(c *fleetScenario) {
+			c.restartFraction, c.load, c.notifySpread, c.mixedSpeeds = 1, 1, 1, false
+		}),
+		scenario("equal servers, all restart, overload", func(c *fleetScenario) {
+			c.restartFraction, c.load, c.mixedSpeeds = 1, 1.5, false
+		}),
 		scenario("equal slow servers, all restart", func(c *fleetScenario) {
 			c.restartFraction, c.load, c.cores, c.meanWork, c.mixedSpeeds = 1, 0.8, 1, 250, false
 		}),
 		scenario("all restart under overload", func(c *fleetScenario) { c.restartFraction, c.load = 1, 1.5 }),
-		scenario("half down before a burst", func(c *fleetScenario) { c.restartFraction, c.downtime, c.burstFactor = 0.5, 4000, 2.5 }),
+		scenario("half down before a burst", func(c *fleetScenario) {
+			c.restartFraction, c.downtime, c.burstFactor = 0.5, 4000, 2.5
+		}),
 		scenario("most down before", func(c *fleetScenario) { c.restartFraction, c.downtime = 0.8, 4000 }),
 		scenario("all down before", func(c *fleetScenario) { c.restartFraction, c.downtime = 1, 4000 }),
-		scenario("most slow restart in a burst", func(c *fleetScenario) { c.restartFraction, c.cores, c.meanWork, c.burstFactor = 0.8, 1, 250, 2.5 }),
+		scenario("most slow restart in a burst", func(c *fleetScenario) {
+			c.restartFraction, c.cores, c.meanWork, c.burstFactor = 0.8, 1, 250, 2.5
+		}),
 		scenario("half restart, all reset in a burst", func(c *fleetScenario) {
 			c.restartFraction, c.resetFraction, c.resetAt, c.burstFactor = 0.5, 1, burstAt, 2.5
 		}),
-		scenario("all restart, all reset", func(c *fleetScenario) { c.restartFraction, c.resetFraction, c.resetAt = 1, 1, burstAt }),
+		scenario("all restart, all reset", func(c *fleetScenario) {
+			c.restartFraction, c.resetFraction, c.resetAt = 1, 1, burstAt
+		}),
 		scenario("drains for a while", func(c *fleetScenario) { c.drainTime = 9000 }),
-		scenario("slow servers drain for a while", func(c *fleetScenario) { c.cores, c.meanWork, c.drainTime = 1, 250, 9000 }),
-		scenario("slow servers drain, overload", func(c *fleetScenario) { c.cores, c.meanWork, c.drainTime, c.load = 1, 250, 12000, 1.5 }),
+		scenario("slow servers drain for a while", func(c *fleetScenario) {
+			c.cores, c.meanWork, c.drainTime = 1, 250, 9000
+		}),
+		scenario("slow servers drain, overload", func(c *fleetScenario) {
+			c.cores, c.meanWork, c.drainTime, c.load = 1, 250, 12000, 1.5
+		}),
 		scenario("cut off for a while", func(c *fleetScenario) { c.unreachableTime = 9000 }),
-		scenario("slow servers cut off, burst", func(c *fleetScenario) { c.cores, c.meanWork, c.unreachableTime, c.burstFactor = 1, 250, 9000, 2.5 }),
+		scenario("slow servers cut off, burst", func(c *fleetScenario) {
+			c.cores, c.meanWork, c.unreachableTime, c.burstFactor = 1, 250, 9000, 2.5
+		}),
 		scenario("tiny servers", func(c *fleetScenario) { c.servers, c.cores, c.meanWork = 3, 1, 500 }),
-		scenario("tiny servers idle then burst", func(c *fleetScenario) { c.servers, c.cores, c.meanWork, c.idleBeforeBurst, c.load = 3, 1, 500, true, 2 }),
-		scenario("tiny servers all restart", func(c *fleetScenario) { c.servers, c.cores, c.meanWork, c.restartFraction, c.load = 4, 1, 500, 1, 1 }),
+		scenario("tiny servers idle then burst", func(c *fleetScenario) {
+			c.servers, c.cores, c.meanWork, c.idleBeforeBurst, c.load = 3, 1, 500, true, 2
+		}),
+		scenario("tiny servers all restart", func(c *fleetScenario) {
+			c.servers, c.cores, c.meanWork, c.restartFraction, c.load = 4, 1, 500, 1, 1
+		}),
 		scenario("tiny servers, all reset in a burst", func(c *fleetScenario) {
 			c.servers, c.cores, c.meanWork, c.resetFraction, c.resetAt, c.burstFactor = 4, 1, 500, 1, burstAt, 3
 		}),
--- a/balance/slow_start_simulation_test.go
+++ b/balance/slow_start_simulation_test.go
@@ -337,8 +337,10 @@
 // startAttempt sends an attempt to its server and plans its timeout.
 func (f *fleetSimulation) startAttempt(p *simulatedProcess, a Action) {
 	s := f.servers[a.Server-1]
-	j := &serverJob{process: p, incarnation: p.incarnation, request: a.Request, attempt: len(p.jobs[a.Request]), server: s, sentAt: f.now,
-		work: f.scenario.meanWork * (0.3 + 0.7*f.rnd.ExpFloat64())}
+	j := &serverJob{
+		process: p, incarnation: p.incarnation, request: a.Request, attempt: len(p.jobs[a.Request]), server: s,
+		sentAt: f.now, work: f.scenario.meanWork * (0.3 + 0.7*f.rnd.ExpFloat64()),
+	}
 	p.jobs[a.Request] = append(p.jobs[a.Request], j)
 	if f.now < s.startedAt+warmUpTime && f.now >= s.startedAt {
 		s.slowStartSends = append(s.slowStartSends, slowStartSend{f.now, p.notifiedStart[s.entry.ID] == s.entry.StartedAt})
@@ -405,8 +407,10 @@
 	if j.process.incarnation != j.incarnation {
 		return
 	}
-	f.handle(j.process, Outcome{Request: j.request, Attempt: j.attempt, Server: j.server.entry.ID, Result: res, Elapsed: f.now - j.sentAt,
-		Finished: res == OK || j.process.balancer.reqs[j.request].done})
+	f.handle(j.process, Outcome{
+		Request: j.request, Attempt: j.attempt, Server: j.server.entry.ID, Result: res, Elapsed: f.now - j.sentAt,
+		Finished: res == OK || j.process.balancer.reqs[j.request].done,
+	})
 }
 
 // run plays the scenario until simulationEnd.
@@ -450,7 +454,8 @@
 			}
 			n := 4 * f.capacity(s) * f.capacityFraction(s, first.at) * 3000
 			if fraction := all / allowedSends(n); fraction > out.fraction {
-				out.fraction, out.age, out.sends, out.allowed, out.notifiedSends = fraction, first.at-s.startedAt, all, allowedSends(n), notified
+				out.fraction, out.age = fraction, first.at-s.startedAt
+				out.sends, out.allowed, out.notifiedSends = all, allowedSends(n), notified
 			}
 		}
 	}
--- a/balance/wallclock_test.go
+++ b/balance/wallclock_test.go
@@ -31,7 +31,8 @@
 func newClockHarness(t *testing.T) *harness {
 	t.Helper()
 	h := &harness{t: t, b: mustNew(t, baseConfig()), now: testBoot}
-	h.handle(ServerList{Kind: ListFull, Rev: 10, Servers: append(identicalServers(3), Server{ID: 4, StartedAt: testBoot - 1.5*testHour})})
+	servers := append(identicalServers(3), Server{ID: 4, StartedAt: testBoot - 1.5*testHour})
+	h.handle(ServerList{Kind: ListFull, Rev: 10, Servers: servers})
 	return h
 }
 
