--- a/balance/digest_test.go
+++ b/balance/digest_test.go
@@ -15,7 +15,7 @@
 // other one: a change that only rearranges code leaves it as it is.
 const wantDigest = "11be903de6e33704fcd380a0c12e45e67196b45b5921888b2bce5e44490d0362"
 
-// digestRuns is how many seeded runs the digest covers, and digestSteps how many events each of them has.
+// The digest covers digestRuns seeded runs of digestSteps events each.
 const (
 	digestRuns  = 24
 	digestSteps = 4000
@@ -23,21 +23,21 @@
 
 // digestDriver feeds one balancer random events of every type, and hashes the actions that it returns.
 type digestDriver struct {
-	t      *testing.T
-	rnd    *rand.Rand
-	sum    hash.Hash
-	b      *Balancer
-	cfg    Config
-	now    float64
-	rev    int64
-	live   []digestAttempt
-	open   []RequestID // requests whose body is still coming
-	timers []pendingTimer
-	probes []ServerID
-	sends  map[RequestID]int
+	t            *testing.T
+	rnd          *rand.Rand
+	sum          hash.Hash
+	b            *Balancer
+	cfg          Config
+	now          float64
+	rev          int64
+	live         []digestAttempt
+	streaming    []RequestID // requests whose body is still coming
+	timers       []pendingTimer
+	healthChecks []ServerID
+	sends        map[RequestID]int
 }
 
-// digestAttempt is an attempt that has no outcome yet.
+// digestAttempt is an attempt without an outcome.
 type digestAttempt struct {
 	request RequestID
 	number  int
@@ -45,6 +45,8 @@
 	sent    float64
 }
 
+// TestActionDigest feeds seeded random events to balancers of varied settings and compares the hash of all their
+// actions and status values.
 func TestActionDigest(t *testing.T) {
 	if runtime.GOARCH != "amd64" {
 		t.Skip("other architectures may fuse floating-point operations, which changes last digits")
@@ -56,21 +58,21 @@
 			sends: map[RequestID]int{},
 		}
 		d.b = mustNew(t, d.cfg)
-		d.take(d.b.Start(d.now))
-		d.list()
+		d.record(d.b.Start(d.now))
+		d.sendList()
 		for id := RequestID(1); id <= digestSteps; id++ {
 			d.now += d.rnd.ExpFloat64() * 6
 			if d.rnd.Intn(digestSteps/2) == 0 {
 				d.now += 2 * quietTime
 			}
-			d.fire()
+			d.fireTimers()
 			d.step(id)
 			if id%100 == 0 {
 				d.status()
 			}
 		}
 		d.now += 2 * suspectLimit
-		d.fire()
+		d.fireTimers()
 		d.handle(Shutdown{})
 		d.status()
 	}
@@ -105,44 +107,48 @@
 	return cfg
 }
 
+// step brings one event: a request with this ID, an outcome, a list, a health check result, a client that leaves, or
+// a rarer one.
 func (d *digestDriver) step(id RequestID) {
 	switch n := d.rnd.Intn(40); {
 	case n < 16:
-		d.request(id)
+		d.sendRequest(id)
 	case n < 30:
 		d.endAttempt()
 	case n < 32:
-		d.list()
+		d.sendList()
 	case n < 34:
-		if len(d.probes) > 0 {
-			s := d.probes[0]
-			d.probes = d.probes[1:]
+		if len(d.healthChecks) > 0 {
+			s := d.healthChecks[0]
+			d.healthChecks = d.healthChecks[1:]
 			d.handle(HealthCheckResult{Server: s, Result: []Result{OK, OK, OK, TimedOut}[d.rnd.Intn(4)], Elapsed: 1, Report: d.report()})
 		}
 	case n < 35:
 		d.handle(ClientGone{Request: id - RequestID(d.rnd.Intn(20))})
 	default:
-		d.special()
+		d.rareEvent()
 	}
 }
 
-func (d *digestDriver) request(id RequestID) {
+// sendRequest brings a request of a random class and tenant.
+func (d *digestDriver) sendRequest(id RequestID) {
 	class := d.rnd.Intn(len(d.cfg.Classes))
 	r := Request{
 		ID: id, Class: class, Tenant: d.rnd.Intn(3) - 1, Remaining: d.cfg.Classes[class].Deadline * d.rnd.Float64(),
 		IdempotencyKey: uint64(d.rnd.Intn(50)), BodyStreaming: d.rnd.Intn(12) == 0, RouteKey: uint64(d.rnd.Intn(20)),
 	}
 	if r.BodyStreaming {
-		d.open = append(d.open, id)
+		d.streaming = append(d.streaming, id)
 	}
 	d.handle(r)
 }
 
+// report returns a random load report.
 func (d *digestDriver) report() []float32 {
 	return []float32{float32(d.rnd.Intn(6)), float32(d.rnd.Intn(4)), float32(d.rnd.Intn(200))}
 }
 
-// endAttempt gives one attempt, mostly an old one, its outcome.
+// endAttempt gives one attempt, mostly an old one, a random outcome.
 func (d *digestDriver) endAttempt() {
 	if len(d.live) == 0 {
 		return
@@ -160,7 +166,8 @@
 	})
 }
 
-func (d *digestDriver) list() {
+// sendList brings a random list event.
+func (d *digestDriver) sendList() {
 	kind := []ListKind{ListFull, ListFull, ListCached, ListDelta, ListDelta, ListDelta, ListFailed, ListAlive}[d.rnd.Intn(8)]
 	ev := ServerList{Kind: kind, Busy: d.rnd.Intn(3) == 0, FromFetch: d.rnd.Intn(4) == 0}
 	if d.cfg.ListServices > 1 {
@@ -183,8 +190,8 @@
 	d.handle(ev)
 }
 
-// special brings one of the rarer events.
-func (d *digestDriver) special() {
+// rareEvent brings one of the rarer events.
+func (d *digestDriver) rareEvent() {
 	switch d.rnd.Intn(13) {
 	case 0:
 		d.handle(FleetSize{Known: 1 + d.rnd.Intn(40), Reachable: 1 + d.rnd.Intn(40), Admitted: d.rnd.Intn(5) > 0})
@@ -212,13 +219,13 @@
 			d.handle(AnswerStarted{Request: a.request, Attempt: a.number, Server: a.server, Elapsed: d.now - a.sent})
 		}
 	case 8, 9:
-		if len(d.open) > 0 {
-			id := d.open[0]
-			d.open = d.open[1:]
+		if len(d.streaming) > 0 {
+			id := d.streaming[0]
+			d.streaming = d.streaming[1:]
 			d.handle(BodyComplete{Request: id, Remaining: 200 + 800*d.rnd.Float64()})
 		}
 	case 10:
-		d.routes()
+		d.sendRoutes()
 	case 11:
 		d.handle(CanaryLease{Until: d.now + 2000*d.rnd.Float64()})
 	case 12:
@@ -227,7 +234,8 @@
 	}
 }
 
-func (d *digestDriver) routes() {
+// sendRoutes brings random routes.
+func (d *digestDriver) sendRoutes() {
 	ev := Routes{Rev: 1 + int64(d.rnd.Intn(100))}
 	for tenant := -1; tenant < len(d.cfg.Tenants); tenant++ {
 		if d.rnd.Intn(2) == 0 {
@@ -241,16 +249,17 @@
 	d.handle(ev)
 }
 
+// handle brings an event and records the actions.
 func (d *digestDriver) handle(ev Event) {
 	acts, err := d.b.Handle(d.now, ev)
 	if err != nil {
 		d.t.Fatalf("%#v: %v", ev, err)
 	}
-	d.take(acts)
+	d.record(acts)
 }
 
-// take hashes actions and keeps what has to be answered. Texts of log lines are left out.
-func (d *digestDriver) take(acts []Action) {
+// record hashes actions and notes what has to be answered. Texts of log lines are left out.
+func (d *digestDriver) record(acts []Action) {
 	for _, a := range acts {
 		d.hash(a)
 		switch a.Kind {
@@ -260,11 +269,12 @@
 		case SetTimer:
 			d.timers = append(d.timers, pendingTimer{d.now + a.At, a.Token})
 		case HealthCheck:
-			d.probes = append(d.probes, a.Server)
+			d.healthChecks = append(d.healthChecks, a.Server)
 		}
 	}
 }
 
+// hash adds an action to the digest.
 func (d *digestDriver) hash(a Action) {
 	flag := uint64(0)
 	if a.ToCanary {
@@ -276,7 +286,7 @@
 	)
 }
 
-// status hashes what the balancer tells of itself.
+// status adds the balancer's status values to the digest.
 func (d *digestDriver) status() {
 	l, z := d.b.ListStatus(d.now), d.b.ZoneStatus()
 	listed, avoided := d.b.CountServers(d.now)
@@ -296,6 +306,7 @@
 	}
 }
 
+// words adds numbers to the digest.
 func (d *digestDriver) words(values ...uint64) {
 	for _, v := range values {
 		var word [8]byte
@@ -304,8 +315,8 @@
 	}
 }
 
-// fire brings the timers that are due, each at its own time.
-func (d *digestDriver) fire() {
+// fireTimers fires the timers that are due, each at its own time.
+func (d *digestDriver) fireTimers() {
 	end := d.now
 	for {
 		next := -1
--- /dev/null
+++ b/balance/ejection_test.go
@@ -0,0 +1,352 @@
+package balance
+
+import (
+	"fmt"
+	"math"
+	"testing"
+)
+
+// A server whose connection is ready after the connect timeout is up: it is not ejected, is no evidence against its
+// zone, and does not start slowly.
+func TestEjection_lateConnection(t *testing.T) {
+	cfg := baseConfig()
+	cfg.ConnectTimeout = 120
+	play := func(comesUp bool) (left, avoided, warmingUp int) {
+		h := newHarness(t, cfg, identicalServers(8)...) // two zones of four
+		failed := map[ServerID]bool{}
+		for range 40 {
+			h.now += 30
+			id, acts := h.sendRequest(idempotentClass)
+			for attempt := 0; ; attempt++ {
+				s, sent := sentTo(acts)
+				if !sent {
+					break
+				}
+				if h.b.byID[s].Zone != 0 || failed[s] && comesUp {
+					h.endAttempt(id, attempt, OK, 20)
+					break
+				}
+				failed[s] = true
+				acts = h.endAttempt(id, attempt, ConnectFailed, cfg.ConnectTimeout)
+				if comesUp {
+					h.handle(ConnectionReady{Server: s})
+				}
+			}
+			left = max(left, h.b.ZoneStatus().Left)
+		}
+		_, avoided = h.b.CountServers(h.now)
+		for s := range failed {
+			if h.b.warmingUp(h.b.byID[s]) {
+				warmingUp++
+			}
+		}
+		return left, avoided, warmingUp
+	}
+	if left, avoided, warmingUp := play(true); left+avoided+warmingUp > 0 {
+		t.Errorf("late connections: %d zones left, %d servers avoided, %d in slow start", left, avoided, warmingUp)
+	}
+	if left, _, _ := play(false); left == 0 {
+		t.Error("no connection is ready, and the zone is not left")
+	}
+}
+
+// A server that does not answer within a very short deadline is not at fault: it is neither ejected nor gets a lower
+// weight, and each request gets one answer after at most one attempt.
+func TestEjection_shortTimeout(t *testing.T) {
+	for class, name := range map[int]string{
+		idempotentClass: "idempotent", nonIdempotentClass: "non-idempotent", globalKeyClass: "with key",
+	} {
+		for _, left := range []float64{1, 2, 5, 10, 20} {
+			t.Run(fmt.Sprint(name, ", ", left, " ms"), func(t *testing.T) {
+				h := newHarness(t, baseConfig(), identicalServers(4)...)
+				for range 100 { // answers take 60 ms
+					id, _ := h.sendRequest(class)
+					h.now += 60
+					h.endAttempt(id, 0, OK, 60)
+				}
+				for range 20 {
+					h.lastID++
+					id := h.lastID
+					acts := h.handle(Request{ID: id, Class: class, Remaining: left})
+					if _, sent := sentTo(acts); !sent {
+						continue // rejected, as the time is too short
+					}
+					h.now += left
+					acts = h.handle(Timer{Token: uint64(id)})
+					if !hasAction(acts, Fail) && !hasAction(acts, Reject) {
+						t.Fatalf("%v ms: no answer at the deadline: %+v", left, acts)
+					}
+					if hasAction(acts, Send) {
+						t.Errorf("%v ms: a second attempt", left)
+					}
+					h.endAttempt(id, 0, TimedOut, left)
+					h.now += 50
+				}
+				for _, s := range h.b.servers {
+					if s.consecutiveErrors > 0 || s.ejections > 0 || h.b.ejected(s) || h.b.health(s) < 1 {
+						t.Errorf("%v ms: server %d has %d errors and %d ejections", left, s.ID, s.consecutiveErrors, s.ejections)
+					}
+				}
+			})
+		}
+	}
+}
+
+// A server that has not answered in more than the mean latency of its class has failed.
+func TestEjection_timeoutBeyondMean(t *testing.T) {
+	h := newHarness(t, baseConfig(), identicalServers(4)...)
+	for range 100 {
+		id, _ := h.sendRequest(idempotentClass)
+		h.now += 60
+		h.endAttempt(id, 0, OK, 60)
+	}
+	h.lastID++
+	h.handle(Request{ID: h.lastID, Class: idempotentClass, Remaining: 61})
+	h.now += 61
+	h.handle(Timer{Token: uint64(h.lastID)})
+	s := h.b.reqs[h.lastID].attempts[0].server
+	h.endAttempt(h.lastID, 0, TimedOut, 61)
+	if s.consecutiveErrors != 1 {
+		t.Errorf("%d errors, want 1", s.consecutiveErrors)
+	}
+}
+
+// A server without a network path is ejected like one whose process is down. As its process has not restarted, it
+// does not start slowly when it is back.
+func TestEjection_unreachableServer(t *testing.T) {
+	for _, test := range []struct {
+		result    Result
+		warmingUp bool
+	}{{ConnectFailed, true}, {Unreachable, false}} {
+		h := newHarness(t, baseConfig(), identicalServers(8)...)
+		id, acts := h.sendRequest(idempotentClass)
+		server, _ := sentTo(acts)
+		s := h.b.byID[server]
+		if acts = h.endAttempt(id, 0, test.result, 1); !hasAction(acts, Send) || !h.b.ejected(s) {
+			t.Errorf("result %v: %+v, ejected %v, want another attempt and an ejection", test.result, acts, h.b.ejected(s))
+		}
+		h.now = s.ejectedUntil
+		for h.b.ejected(s) || s.consecutiveErrors > 0 { // until it answers again
+			h.now += 10
+			id, acts := h.sendRequest(idempotentClass)
+			if to, sent := sentTo(acts); !sent || to == 0 {
+				t.Fatalf("%+v", acts)
+			}
+			h.endAttempt(id, 0, OK, 10)
+		}
+		if warmingUp := h.b.warmingUp(s); warmingUp != test.warmingUp {
+			t.Errorf("result %v: slow start %v, want %v", test.result, warmingUp, test.warmingUp)
+		}
+	}
+}
+
+// The health score falls by penaltyPerError for each error down to healthFloor, recovers by half in a half-life, and
+// is restored by one success.
+func TestEjection_healthScore(t *testing.T) {
+	h := newHarness(t, baseConfig(), identicalServers(2)...)
+	s := h.b.servers[0]
+	if m := h.b.health(s); m != 1 {
+		t.Fatalf("health without errors is %v", m)
+	}
+	s.consecutiveErrors, s.lastErrorAt = 2, h.now
+	if m := h.b.health(s); math.Abs(m-(1-2*penaltyPerError)) > 1e-9 {
+		t.Fatalf("health after two errors is %v", m)
+	}
+	h.b.now += halfLife
+	if m := h.b.health(s); math.Abs(m-(1-penaltyPerError)) > 1e-9 {
+		t.Fatalf("health after a half-life is %v", m)
+	}
+	s.consecutiveErrors = 1000
+	if m := h.b.health(s); m != healthFloor {
+		t.Fatalf("health after 1000 errors is %v, want the floor", m)
+	}
+	if m := h.b.health(h.b.servers[1]); m != 1 {
+		t.Fatalf("another server's errors moved the health to %v", m)
+	}
+	s.consecutiveErrors = 2
+	id, _ := h.sendRequest(idempotentClass)
+	h.b.reqs[id].attempts[0].server = s
+	s.inFlight, h.b.servers[1].inFlight = 1, 0
+	h.endAttempt(id, 0, OK, 10)
+	if m := h.b.health(s); m != 1 {
+		t.Fatalf("health after a success is %v", m)
+	}
+}
+
+// A connection that breaks while a request is written counts as one error. It is no evidence of a restart: the server
+// does not start slowly.
+func TestEjection_brokenConnection(t *testing.T) {
+	h := newHarness(t, baseConfig(), identicalServers(2)...)
+	id, acts := h.sendRequest(nonIdempotentClass)
+	s, _ := sentTo(acts)
+	next, sent := sentTo(h.endAttempt(id, 0, WriteFailed, 1))
+	if !sent || next == s {
+		t.Fatalf("sent again %v, to server %d: want another server, as the request never ran", sent, next)
+	}
+	h.endAttempt(id, 1, OK, 10)
+	server := h.b.byID[s]
+	if h.b.ejected(server) || h.b.health(server) == 1 {
+		t.Errorf("ejected %v, health %v: want one error and no ejection", h.b.ejected(server), h.b.health(server))
+	}
+	h.now += 60000
+	for range 8 {
+		id, _ = h.sendRequest(idempotentClass)
+		h.endAttempt(id, 0, OK, 10)
+	}
+	if h.b.warmingUp(server) {
+		t.Error("the server is in slow start")
+	}
+}
+
+// A reported queue with a wait beyond the latency objective ejects the server.
+func TestEjection_reportedQueue(t *testing.T) {
+	cfg := baseConfig()
+	cfg.Reports, cfg.Fields = ReportPiggyback, []Field{FieldErrorRate, FieldLatency, FieldQueue}
+	for queue, ejected := range map[float32]bool{2: false, 8: true} {
+		h := newHarness(t, cfg, identicalServers(3)...)
+		id, acts := h.sendRequest(idempotentClass)
+		s, _ := sentTo(acts)
+		h.now += 200
+		h.handle(Outcome{Request: id, Server: s, Elapsed: 200, Finished: true, Report: []float32{0, 50, queue}})
+		if got := h.b.ejected(h.b.byID[s]); got != ejected {
+			t.Errorf("a queue of %v at 50 ms each, objective 300 ms: ejected %v", queue, got)
+		}
+	}
+}
+
+// An ejection for a reported queue lasts one period of the rotation, so that a busy sidecar does not overload the
+// other servers meanwhile.
+func TestEjection_reportedQueueDuration(t *testing.T) {
+	cfg := baseConfig()
+	cfg.Reports, cfg.Fields = ReportPiggyback, []Field{FieldLatency, FieldQueue}
+	h := newHarness(t, cfg, identicalServers(3)...)
+	for range 400 { // a hundred requests a second
+		h.now += 10
+		id, acts := h.sendRequest(idempotentClass)
+		to, _ := sentTo(acts)
+		h.handle(Outcome{Request: id, Server: to, Elapsed: 5, Finished: true, Report: []float32{50, 0}})
+	}
+	id, acts := h.sendRequest(idempotentClass)
+	to, _ := sentTo(acts)
+	s := h.b.byID[to]
+	h.handle(Outcome{Request: id, Server: to, Elapsed: 5, Finished: true, Report: []float32{50, 40}})
+	if duration := s.ejectedUntil - h.now; duration < 10 || duration > 60 {
+		t.Fatalf("ejected for %.0f ms, a period of the rotation takes 30", duration)
+	}
+}
+
+// In a congested fleet, late answers are no server's fault: once the mean latency of a class is high, an attempt of
+// 430 ms with an objective of 300 ms is no error. An attempt far beyond all others still is.
+func TestEjection_congestedFleet(t *testing.T) {
+	h := newHarness(t, baseConfig(), identicalServers(4)...)
+	times := []float64{370, 430, 400}
+	for i := range 60 {
+		id, acts := h.sendRequest(nonIdempotentClass)
+		if !hasAction(acts, Send) {
+			continue
+		}
+		end := h.now + times[i%3]
+		for r := h.b.reqs[id]; !r.done && r.wakeAt < end; {
+			h.now = r.wakeAt
+			h.handle(Timer{Token: uint64(id)})
+		}
+		h.now = end
+		if i > 30 && h.b.reqs[id].attempts[0].overdue {
+			t.Fatalf("attempt %d of %v ms counts as overdue after %v", i, times[i%3], h.b.overdueAfter(h.b.reqs[id]))
+		}
+		h.endAttempt(id, 0, OK, times[i%3])
+	}
+	h.b.lastingShed = 0
+	id, _ := h.sendRequest(nonIdempotentClass)
+	r := h.b.reqs[id]
+	for !r.attempts[0].overdue {
+		if h.now = r.wakeAt; h.now >= r.deadline {
+			t.Fatal("no timer checks the attempt before its deadline")
+		}
+		h.handle(Timer{Token: uint64(id)})
+	}
+	if r.attempts[0].server.consecutiveErrors == 0 {
+		t.Fatal("an attempt far beyond all others counts as no error")
+	}
+}
+
+// A restart clears the ejections and the failed health check of a server.
+func TestEjection_clearedByRestart(t *testing.T) {
+	h := newHarness(t, baseConfig(), identicalServers(2)...)
+	s := h.b.servers[0]
+	h.handle(HealthCheckResult{Server: s.ID, Result: TimedOut})
+	if !s.healthCheckFailed || !h.b.ejected(s) {
+		t.Fatal("a health check without an answer does not eject the server")
+	}
+	entry := s.Server
+	entry.StartedAt = h.now
+	h.handle(ServerList{Kind: ListDelta, Servers: []Server{entry}})
+	if s.healthCheckFailed || s.ejections != 0 || h.b.ejected(s) {
+		t.Fatalf("after the restart: health check failed %v, %d ejections", s.healthCheckFailed, s.ejections)
+	}
+}
+
+// A server is ejected after errorsToEject consecutive errors, gets no request meanwhile, and is used again after one
+// answer.
+func TestEjection_consecutiveErrors(t *testing.T) {
+	h := newHarness(t, baseConfig(), identicalServers(3)...)
+	s := h.b.servers[0]
+	for range errorsToEject - 1 {
+		h.b.recordFailure(s, false, partialEvidence)
+	}
+	if h.b.ejected(s) {
+		t.Fatal("ejected before the last error")
+	}
+	h.b.recordFailure(s, false, partialEvidence)
+	if !h.b.ejected(s) {
+		t.Fatal("not ejected after the last error")
+	}
+	for range 12 {
+		id, acts := h.sendRequest(idempotentClass)
+		if to, _ := sentTo(acts); to == s.ID {
+			t.Fatal("an ejected server got a request")
+		}
+		h.endAttempt(id, 0, OK, 10)
+	}
+	h.now = s.ejectedUntil
+	for range 12 {
+		id, acts := h.sendRequest(idempotentClass)
+		to, _ := sentTo(acts)
+		if h.endAttempt(id, 0, OK, 10); to == s.ID && s.ejectedUntil == 0 && s.consecutiveErrors == 0 {
+			return
+		}
+	}
+	t.Fatal("the server was not used after its ejection")
+}
+
+// When all servers are ejected, requests are sent nevertheless.
+func TestEjection_allServersEjected(t *testing.T) {
+	h := newHarness(t, baseConfig(), identicalServers(3)...)
+	for _, s := range h.b.servers {
+		h.b.recordFailure(s, true, partialEvidence)
+	}
+	if _, acts := h.sendRequest(idempotentClass); !hasAction(acts, Send) {
+		t.Fatalf("nothing was sent: %+v", acts)
+	}
+}
+
+// CountServers counts ejected servers, as long as their ejection lasts, and draining ones as avoided.
+func TestEjection_serverCounts(t *testing.T) {
+	servers := identicalServers(4)
+	servers[3].State = Draining
+	h := newHarness(t, baseConfig(), servers...)
+	expect := func(listed, avoided int) {
+		t.Helper()
+		if l, a := h.b.CountServers(h.now); l != listed || a != avoided {
+			t.Errorf("%d listed, %d avoided; want %d, %d", l, a, listed, avoided)
+		}
+	}
+	expect(4, 1)
+	id, _ := h.sendRequest(idempotentClass)
+	h.endAttempt(id, 0, ConnectFailed, 1)
+	expect(4, 2)
+	h.now += 60000
+	expect(4, 1)
+	h.handle(ServerList{Kind: ListFull, Servers: servers[:2]})
+	expect(2, 0)
+}
--- a/balance/limits_test.go
+++ b/balance/limits_test.go
@@ -1,27 +1,115 @@
 package balance
 
 import (
+	"fmt"
+	"math"
 	"os"
 	"path/filepath"
 	"slices"
 	"strings"
 	"testing"
+	"time"
 )
 
-// Limits of a file of decisions, so that each has one subject and can be read in one sitting.
+// newLargeBalancer returns a balancer with n servers in three zones.
+func newLargeBalancer(t testing.TB, n int) *Balancer {
+	t.Helper()
+	b := mustNew(t, baseConfig())
+	b.Start(1000)
+	list := ServerList{Kind: ListFull, Servers: identicalServers(n)}
+	for i := range list.Servers {
+		list.Servers[i].Zone %= 3
+	}
+	if _, err := b.Handle(1000, list); err != nil {
+		t.Fatal(err)
+	}
+	return b
+}
+
+// changeListOnce brings one list change: a server that drains, goes and joins again in turn.
+func changeListOnce(t testing.TB, b *Balancer, round int) {
+	t.Helper()
+	one := identicalServers(1)
+	one[0].State = ServerState(round % 3)
+	if _, err := b.Handle(1000, ServerList{Kind: ListDelta, Servers: one}); err != nil {
+		t.Fatal(err)
+	}
+}
+
+// requestOnce brings a request, at 20 a second, and its answer after 20 ms.
+func requestOnce(t testing.TB, b *Balancer, round int) {
+	t.Helper()
+	now, id := 1000+50*float64(round), RequestID(round+1)
+	acts, err := b.Handle(now, Request{ID: id, Class: idempotentClass, Remaining: 1500})
+	if err != nil {
+		t.Fatal(err)
+	}
+	if acts[0].Kind != Send {
+		return
+	}
+	answer := Outcome{Request: id, Server: acts[0].Server, Result: OK, Elapsed: 20, Finished: true}
+	if _, err := b.Handle(now+20, answer); err != nil {
+		t.Fatal(err)
+	}
+}
+
+// BenchmarkListChange measures one list change with 200 and with 3200 servers.
+func BenchmarkListChange(b *testing.B) { benchmarkFleetSizes(b, changeListOnce) }
+
+// BenchmarkRequestInFleet measures one request with 200 and with 3200 servers.
+func BenchmarkRequestInFleet(b *testing.B) { benchmarkFleetSizes(b, requestOnce) }
+
+// benchmarkFleetSizes runs a step with 200 and with 3200 servers.
+func benchmarkFleetSizes(b *testing.B, do func(testing.TB, *Balancer, int)) {
+	for _, n := range []int{200, 3200} {
+		b.Run(fmt.Sprint(n), func(b *testing.B) {
+			balancer := newLargeBalancer(b, n)
+			for i := 0; b.Loop(); i++ {
+				do(b, balancer, i)
+			}
+		})
+	}
+}
+
+// Neither a request nor a list change may visit all servers: with 16 times the servers, each takes at most 5 times as
+// long. The fastest of several samples counts, as the machine may be busy.
+func TestLimits_costInLargeFleet(t *testing.T) {
+	const samples, rounds, maxRatio = 7, 400, 5
+	for name, do := range map[string]func(testing.TB, *Balancer, int){"request": requestOnce, "change": changeListOnce} {
+		t.Run(name, func(t *testing.T) {
+			fastest := map[int]time.Duration{200: math.MaxInt64, 3200: math.MaxInt64}
+			for range samples {
+				for n := range fastest {
+					b := newLargeBalancer(t, n)
+					start := time.Now()
+					for i := range rounds {
+						do(t, b, i)
+					}
+					fastest[n] = min(fastest[n], time.Since(start))
+				}
+			}
+			if fastest[3200] > maxRatio*fastest[200] {
+				t.Errorf("%d rounds took %v with 3200 servers and %v with 200, over %d times as long", rounds, fastest[3200],
+					fastest[200], maxRatio)
+			}
+		})
+	}
+}
+
+// Limits of a source file, so that each has one subject.
 const (
-	mostLines         = 400 // that are not blank
-	mostColumns       = 110 // of a file of decisions
-	mostColumnsOfRest = 120 // of any other file of the package
+	maxLines         = 400 // without blank lines
+	maxPolicyColumns = 110 // of a file of decisions
+	maxColumns       = 120 // of any other file
 )
 
-// bookkeeping are the files that take no decisions.
-var bookkeeping = []string{
+// nonPolicyFiles are the files that take no decisions.
+var nonPolicyFiles = []string{
 	"api.go", "balance.go", "canary_budget.go", "events.go", "route_state.go", "settings.go", "state.go", "status.go",
 }
 
-// Each file of decisions is listed as policy in the deploy file, and stays short.
-func TestDecisionsAreListedAndShort(t *testing.T) {
+// Each file of decisions is listed as policy in the deploy file, and no file is too long.
+func TestLimits_policyFiles(t *testing.T) {
 	deploy, err := os.ReadFile("../deploy/balancer.toml")
 	if err != nil {
 		t.Fatal(err)
@@ -43,22 +131,23 @@
 		if strings.HasSuffix(name, "_test.go") {
 			continue
 		}
-		columns := mostColumnsOfRest
+		columns := maxColumns
 		if slices.Contains(listed, name) {
-			columns = mostColumns
+			columns = maxPolicyColumns
 		}
-		if slices.Contains(listed, name) == slices.Contains(bookkeeping, name) {
-			t.Errorf("%s is listed both as policy and as bookkeeping, or as neither", name)
+		if slices.Contains(listed, name) == slices.Contains(nonPolicyFiles, name) {
+			t.Errorf("%s must be either policy in the deploy file or one of nonPolicyFiles", name)
 		}
 		checkLength(t, name, columns)
 	}
 	for _, name := range listed {
 		if !slices.Contains(files, name) {
-			t.Errorf("%s is listed as policy, and there is no such file", name)
+			t.Errorf("%s is listed as policy, but does not exist", name)
 		}
 	}
 }
 
+// checkLength checks the number of lines of a file and their width.
 func checkLength(t *testing.T, name string, columns int) {
 	t.Helper()
 	text, err := os.ReadFile(name)
@@ -74,13 +163,13 @@
 			t.Errorf("%s: line %d is %d columns wide", name, i+1, width)
 		}
 	}
-	if lines == 0 || lines > mostLines {
-		t.Errorf("%s: %d lines, at most %d", name, lines, mostLines)
+	if lines == 0 || lines > maxLines {
+		t.Errorf("%s: %d lines, at most %d", name, lines, maxLines)
 	}
 }
 
-// The use example of README is the tested one.
-func TestReadmeShowsTheTestedExample(t *testing.T) {
+// README shows the tested example word for word.
+func TestLimits_readmeExample(t *testing.T) {
 	example, err := os.ReadFile("example_test.go")
 	if err != nil {
 		t.Fatal(err)
@@ -91,50 +180,61 @@
 	}
 	_, body, found := strings.Cut(string(example), "\nfunc Example() {")
 	if !found || !strings.Contains(string(readme), "```go\nfunc Example() {"+body+"```") {
-		t.Fatal("README does not hold the text of Example")
+		t.Fatal("README does not show the text of Example")
 	}
 }
 
-// At the end of a process each request gets its one answer, and none is sent any more.
-func TestEndAnswersAll(t *testing.T) {
-	g := newRig(t, baseConfig(), fleet(4)...)
-	safe, _ := g.ask(safeClass)
-	unsafe, _ := g.ask(unsafeClass)
-	acts := g.do(Shutdown{})
-	want := map[RequestID]ActionKind{safe: Reject, unsafe: Fail}
-	for _, a := range acts {
-		if kind, asked := want[a.Request]; asked && a.Kind == kind {
-			delete(want, a.Request)
+// Ended requests, removed servers and answered health checks are forgotten.
+func TestLimits_memory(t *testing.T) {
+	h := newHarness(t, healthCheckConfig(), identicalServers(5)...)
+	for i := range 20000 {
+		h.actions = h.actions[:0]
+		h.now += 5
+		id, acts := h.sendRequest(idempotentClass)
+		acts = append(acts, h.answerHealthChecks(acts, 0, nil)...)
+		if _, ok := sentTo(acts); ok {
+			h.endAttempt(id, 0, OK, 5)
+		}
+		if i%20 == 0 { // a rolling deploy with new names
+			list := identicalServers(5)
+			for k := range list {
+				list[k].ID = ServerID(i + k + 1)
+			}
+			h.handle(ServerList{Kind: ListFull, Servers: list})
 		}
 	}
-	if len(want) > 0 {
-		t.Errorf("not answered: %v in %v", want, acts)
-	}
-	if _, acts := g.ask(safeClass); len(acts) != 1 || acts[0].Kind != Reject {
-		t.Errorf("after the end a request gets %v", acts)
-	}
-	if acts := g.answer(safe, 0, ConnectFailed, 1); has(acts, Send) {
-		t.Errorf("sent again after the end: %v", acts)
+	b := h.b
+	if len(b.reqs) > 1 || len(b.servers) != 5 || len(b.byID) != 5 || len(b.waitingForChecks) > 1 || cap(b.out) > 100 {
+		t.Fatalf("%d requests, %d servers, %d by ID, %d waiting, capacity for %d actions",
+			len(b.reqs), len(b.servers), len(b.byID), len(b.waitingForChecks), cap(b.out))
 	}
 }
 
-// What is overdue at a server that rests is no load any more: it hangs, and that is no overload of the others.
-func TestWhatHangsIsNoLoad(t *testing.T) {
-	g := newRig(t, baseConfig(), fleet(1)...)
-	var ids []RequestID
-	for range errorsToEject {
-		id, _ := g.ask(safeClass)
-		ids = append(ids, id)
-	}
-	before := g.b.inFlightLoad
-	g.now += baseConfig().Classes[safeClass].LatencyObjective / 2 // few answers are known: then an attempt is overdue
-	for _, id := range ids {
-		g.do(Timer{Token: uint64(id)})
-	}
-	if _, avoided := g.b.CountServers(g.now); avoided != 1 {
-		t.Fatalf("%d servers rest", avoided)
-	}
-	if g.b.inFlightLoad >= before {
-		t.Errorf("the load is %v, and was %v before the server was found to hang", g.b.inFlightLoad, before)
+// BenchmarkRequest measures one answered request.
+func BenchmarkRequest(b *testing.B) {
+	for _, n := range []int{12, 100, 300} {
+		b.Run(fmt.Sprintf("%d-servers", n), func(b *testing.B) {
+			balancer := mustNew(b, baseConfig())
+			balancer.Start(0)
+			if _, err := balancer.Handle(0, ServerList{Kind: ListFull, Servers: identicalServers(n)}); err != nil {
+				b.Fatal(err)
+			}
+			b.ReportAllocs()
+			now := 0.0
+			for i := range b.N {
+				now += 5
+				id := RequestID(i + 1)
+				acts, err := balancer.Handle(now, Request{ID: id, Remaining: 1500})
+				if err != nil || len(acts) == 0 {
+					b.Fatal(err, acts)
+				}
+				if acts[0].Kind != Send {
+					continue
+				}
+				if _, err := balancer.Handle(now+4, Outcome{Request: id, Server: acts[0].Server, Elapsed: 4, Finished: true}); err != nil {
+					b.Fatal(err)
+				}
+			}
+		})
 	}
 }
--- /dev/null
+++ b/balance/locality_test.go
@@ -0,0 +1,394 @@
+package balance
+
+import (
+	"fmt"
+	"math/rand/v2"
+	"testing"
+)
+
+// With a price on crossing zones, the own zone gets more requests and other zones still get some.
+func TestLocality_crossZonePrice(t *testing.T) {
+	for price, minOwn := range map[float64]int{0: 10, 0.05: 25} {
+		cfg := baseConfig()
+		cfg.Prices.CrossZone, cfg.Zone = price, 1
+		h := newHarness(t, cfg, identicalServers(8)...)
+		own := 0
+		for _, s := range sendSequence(h, 40) {
+			if s > 4 {
+				own++
+			}
+		}
+		if own < minOwn || own > 38 || price == 0 && own > 20 {
+			t.Errorf("price %v: %d of 40 in the own zone", price, own)
+		}
+	}
+}
+
+// newZoneHarness returns a harness in zone 0 with a price on crossing zones. Each zone has so many servers, with IDs
+// from 1, and the demand is known.
+func newZoneHarness(t *testing.T, change func(*Config), zones ...int) *harness {
+	t.Helper()
+	cfg := baseConfig()
+	cfg.Prices.CrossZone, cfg.ConnectTimeout, cfg.SlowStartTime, cfg.MaxAttempts = 0.1, 120, 0, 3
+	if change != nil {
+		change(&cfg)
+	}
+	var list []Server
+	for zone, n := range zones {
+		for range n {
+			list = append(list, Server{ID: ServerID(len(list) + 1), Rating: 1, Cell: len(list), Zone: zone})
+		}
+	}
+	h := newHarness(t, cfg, list...)
+	for range 40 { // the demand is known, so all servers are in the rotation
+		h.now += 5
+		id, _ := h.sendRequest(idempotentClass)
+		h.endAttempt(id, 0, OK, 50)
+	}
+	return h
+}
+
+// lastZone returns the zone of a request's last attempt.
+func (h *harness) lastZone(id RequestID) int {
+	r := h.b.reqs[id]
+	return r.attempts[len(r.attempts)-1].server.Zone
+}
+
+// playRequests plays n requests, one each so many ms; the verdict decides the result of each attempt by its server.
+// It returns the number of first attempts by zone.
+func (h *harness) playRequests(n int, every float64, verdict func(s *server) Result) map[int]int {
+	h.t.Helper()
+	first := map[int]int{}
+	for range n {
+		h.now += every
+		id, _ := h.sendRequest(idempotentClass)
+		for attempt := 0; h.b.reqs[id] != nil && attempt < len(h.b.reqs[id].attempts); attempt++ {
+			s := h.b.reqs[id].attempts[attempt].server
+			if attempt == 0 {
+				first[s.Zone]++
+			}
+			result, elapsed := verdict(s), 50.0
+			if result == ConnectFailed {
+				elapsed = 120
+			}
+			h.now += elapsed
+			h.endAttempt(id, attempt, result, elapsed)
+		}
+	}
+	return first
+}
+
+// failZone returns a verdict that no server of this zone can be reached.
+func failZone(zone int) func(*server) Result {
+	return func(s *server) Result {
+		if s.Zone == zone {
+			return ConnectFailed
+		}
+		return OK
+	}
+}
+
+// alwaysOK is the verdict that each attempt succeeds.
+func alwaysOK(*server) Result { return OK }
+
+// The own zone is left after connect timeouts at two of its servers. A dead remote zone costs attempts at two servers
+// at most.
+func TestLocality_deadZone(t *testing.T) {
+	for _, change := range []func(*Config){nil, func(c *Config) { c.Zone = 1 }} {
+		h := newZoneHarness(t, change, 8, 8)
+		tried := map[ServerID]bool{}
+		h.playRequests(5, 20, func(s *server) Result { // within the first pause
+			if s.Zone == 0 {
+				tried[s.ID] = true
+			}
+			return failZone(0)(s)
+		})
+		left := h.b.ZoneStatus().Left == 1
+		// A dead own zone is found at once. A dead remote zone needs no attempts.
+		if near := h.b.cfg.Zone == 0; near && (!left || len(tried) != 2) || !near && len(tried) > 2 {
+			t.Errorf("own zone %d: %d servers of the dead zone were tried, left %v", h.b.cfg.Zone, len(tried), left)
+		}
+	}
+}
+
+// No zone is left when all of them fail. As soon as one answers, those that still fail are left.
+func TestLocality_allZonesFail(t *testing.T) {
+	h := newZoneHarness(t, nil, 6, 6, 6)
+	h.playRequests(60, 100, func(*server) Result { return ConnectFailed })
+	if z := h.b.ZoneStatus(); z.Left != 0 || z.Evidence == 0 {
+		t.Errorf("%+v", z)
+	}
+	// When one zone answers again, the zone that still fails is left.
+	h.playRequests(60, 100, failZone(0))
+	if z := h.b.ZoneStatus(); z.Left != 1 {
+		t.Errorf("one zone answers and another does not: %+v", z)
+	}
+}
+
+// A connect timeout is full evidence against a zone. A refused connection, a reset or a failure is half as much, and
+// a server counts once however often it fails.
+func TestLocality_partialEvidence(t *testing.T) {
+	for _, c := range []struct {
+		result        Result
+		elapsed       float64
+		serversNeeded int
+	}{{ConnectFailed, 120, 2}, {ConnectFailed, 1, 4}, {Reset, 30, 4}, {Failed, 5, 4}} {
+		h := newZoneHarness(t, nil, 8, 8)
+		h.b.zones[0].answer, h.b.zones[1].answer = h.now, h.now+1
+		n := 0
+		for _, s := range h.b.servers {
+			if s.Zone != 0 || h.b.zones[0].left {
+				continue
+			}
+			h.now++
+			h.b.now = h.now
+			weight := partialEvidence
+			if c.result == ConnectFailed && c.elapsed >= 60 {
+				weight = 1
+			}
+			h.b.recordFailure(s, c.result == ConnectFailed, weight)
+			h.b.recordFailure(s, c.result == ConnectFailed, weight) // a server counts once
+			h.b.answered(h.b.zones[1], false, 0.1)
+			n++
+		}
+		if n != c.serversNeeded || !h.b.zones[0].left {
+			t.Errorf("%+v: left %v after %d servers", c, h.b.zones[0].left, n)
+		}
+	}
+}
+
+// An answer clears the evidence against its zone: a zone that answers every second request is not left.
+func TestLocality_answerClearsEvidence(t *testing.T) {
+	h := newZoneHarness(t, nil, 8, 8)
+	n := 0
+	h.playRequests(200, 50, func(s *server) Result {
+		if s.Zone == 0 {
+			if n++; n%2 == 0 {
+				return ConnectFailed
+			}
+		}
+		return OK
+	})
+	if z := h.b.ZoneStatus(); z.Left != 0 {
+		t.Errorf("a zone that answers every second request was left: %+v", z)
+	}
+}
+
+// A zone with most of the servers needs more evidence to be left, as the other zones could not bear its load.
+func TestLocality_largeZone(t *testing.T) {
+	for _, c := range []struct{ own, other, need int }{{4, 12, 2}, {8, 8, 2}, {12, 4, 4}, {15, 1, 4}} {
+		h := newZoneHarness(t, nil, c.own, c.other)
+		tried := map[ServerID]bool{}
+		h.playRequests(c.need+2, 20, func(s *server) Result {
+			if s.Zone == 0 {
+				tried[s.ID] = true
+			}
+			return failZone(0)(s)
+		})
+		if len(tried) != c.need {
+			t.Errorf("%d of %d servers: left after %d of them", c.own, c.own+c.other, len(tried))
+		}
+	}
+}
+
+// A zone that was left gets one idempotent request at first, then as many in flight as it has answered. It is in full
+// use after as many answers as it has servers.
+func TestLocality_zoneReturn(t *testing.T) {
+	h := newZoneHarness(t, nil, 8, 8)
+	h.playRequests(20, 20, failZone(0))
+	z := h.b.zones[0]
+	if z.id != 0 || !z.left {
+		t.Fatalf("%+v", z)
+	}
+	h.now = z.leftUntil + 1
+	for _, s := range h.b.servers {
+		s.ejectedUntil = 0
+	}
+	if id, _ := h.sendRequest(nonIdempotentClass); h.lastZone(id) != 1 {
+		t.Error("a non-idempotent request tries a zone that was left")
+	}
+	var inZone []RequestID
+	sendRound := func() (n int) {
+		for range 20 {
+			id, acts := h.sendRequest(idempotentClass)
+			if !hasAction(acts, Send) {
+				continue
+			}
+			if h.lastZone(id) != 0 {
+				h.endAttempt(id, 0, OK, 50)
+				continue
+			}
+			inZone = append(inZone, id)
+			n++
+		}
+		return n
+	}
+	if n := sendRound(); n != 1 {
+		t.Fatalf("%d requests try the zone at first", n)
+	}
+	for want := 1; want < 8 && z.left; want++ {
+		h.now += 50
+		h.endAttempt(inZone[0], 0, OK, 50)
+		inZone = inZone[1:]
+		sendRound()
+		if z.left && int(z.out) != want {
+			t.Fatalf("after %d answers %g requests are in flight in the zone", want, z.out)
+		}
+	}
+	if !z.left {
+		t.Fatal("the zone was in full use too early")
+	}
+	h.now += 50
+	h.endAttempt(inZone[0], 0, OK, 50)
+	if z.left {
+		t.Errorf("the zone is not in full use after eight answers: %+v", z)
+	}
+}
+
+// A zone that fails on its return stays left for longer each time. The pauses of sidecars differ, so that they do not
+// return together.
+func TestLocality_returnBackoff(t *testing.T) {
+	seen := map[string]bool{}
+	for seed := range uint64(5) {
+		h := newZoneHarness(t, func(c *Config) { c.Seed = seed }, 8, 8)
+		var pauses []float64
+		var last float64
+		for range 2000 {
+			h.playRequests(1, 30, failZone(0))
+			if z := h.b.zones[0]; z.left && z.leftUntil != last {
+				last = z.leftUntil
+				pauses = append(pauses, z.leftUntil-h.now)
+			}
+		}
+		if len(pauses) < 5 {
+			t.Fatalf("%d pauses", len(pauses))
+		}
+		for i := 1; i <= maxEjections; i++ {
+			if pauses[i] < 1.1*pauses[i-1] {
+				t.Errorf("seed %d: pauses %v", seed, pauses[:5])
+			}
+		}
+		seen[fmt.Sprintf("%.0f", pauses[0])] = true
+	}
+	if len(seen) < 3 {
+		t.Errorf("five sidecars have the pauses %v", seen)
+	}
+}
+
+// With a fraction q of a zone's servers failing, random requests, and another zone that answers, the zone is left in
+// q² of the cases, as zones.go states. The rate is checked from both sides.
+func TestLocality_falseAlarmRate(t *testing.T) {
+	const servers, failing, trials = 64, 8, 100000
+	h := newZoneHarness(t, nil, servers, servers)
+	z, other := h.b.zone(0), h.b.zone(1)
+	r := rand.New(rand.NewPCG(1, 2))
+	left := 0
+	for range trials {
+		h.b.now++
+		h.b.answered(other, false, 0.1)
+		if s := h.b.byID[ServerID(1+r.IntN(servers))]; s.ID <= failing {
+			h.b.addEvidence(s, 1)
+		} else {
+			h.b.answered(z, false, 0.1)
+		}
+		if z.left {
+			left++
+			z.left, z.evidence, z.cleared = false, 0, h.b.now
+		}
+	}
+	const q = float64(failing) / servers
+	if rate := float64(left) / trials; rate > q*q || rate < q*q/2 {
+		t.Errorf("left in %.2f %% of the trials, want about %.2f", 100*rate, 100*q*q)
+	}
+}
+
+// Without a need, nearly no request crosses zones.
+func TestLocality_noNeedlessCrossing(t *testing.T) {
+	h := newZoneHarness(t, nil, 8, 8)
+	if first := h.playRequests(500, 20, alwaysOK); first[1] > 5 {
+		t.Errorf("first attempts by zone: %v", first)
+	}
+}
+
+// Load that the near servers cannot bear moves to another zone in steps, and comes back when they can.
+func TestLocality_spillover(t *testing.T) {
+	h := newZoneHarness(t, nil, 8, 8)
+	nearLatency := 220.0
+	load := func(n int) (crossed int) {
+		for range n {
+			h.now += 20
+			id, acts := h.sendRequest(idempotentClass)
+			if !hasAction(acts, Send) {
+				continue
+			}
+			elapsed := 50.0
+			if h.lastZone(id) == 0 {
+				elapsed = nearLatency
+			} else {
+				crossed++
+			}
+			h.endAttempt(id, 0, OK, elapsed)
+		}
+		return crossed
+	}
+	first, later := load(10), load(300)
+	if first > 3 || later < 150 {
+		t.Errorf("near servers are slow: %d of 10 cross at first, %d of 300 later", first, later)
+	}
+	nearLatency = 50
+	load(400)
+	if back := load(100); back > 10 {
+		t.Errorf("near servers are fast again: %d of 100 cross", back)
+	}
+}
+
+// The own zone is used first, then the own region, then other regions.
+func TestLocality_regionOrder(t *testing.T) {
+	h := newZoneHarness(t, func(c *Config) { c.Regions, c.RegionCost = []int{0, 0, 1}, 3 }, 4, 4, 4)
+	if first := h.playRequests(200, 20, alwaysOK); first[0] < 195 {
+		t.Errorf("all zones answer: first attempts by zone: %v", first)
+	}
+	if first := h.playRequests(100, 20, failZone(0)); first[1] < 85 || first[2] > 5 {
+		t.Errorf("the own zone fails: first attempts by zone: %v", first)
+	}
+	h.playRequests(20, 20, func(s *server) Result {
+		if s.Zone < 2 {
+			return ConnectFailed
+		}
+		return OK
+	})
+	if first := h.playRequests(100, 20, func(s *server) Result {
+		if s.Zone < 2 {
+			return ConnectFailed
+		}
+		return OK
+	}); first[2] < 85 {
+		t.Errorf("the own region fails: first attempts by zone: %v", first)
+	}
+}
+
+// A streamed answer counts for its zone as soon as it starts: the next trial does not wait for its end.
+func TestLocality_zoneReturnOfStreams(t *testing.T) {
+	h := newZoneHarness(t, nil, 8, 8)
+	h.playRequests(5, 20, failZone(0))
+	z := h.b.zones[0]
+	h.now = z.leftUntil + 1
+	for _, s := range h.b.servers {
+		s.ejectedUntil = 0
+	}
+	for n := 1; n < 8; n++ {
+		for i := 0; z.out == 0 && i < 20; i++ {
+			id, acts := h.sendRequest(idempotentClass)
+			if hasAction(acts, Send) && h.lastZone(id) != 0 {
+				h.endAttempt(id, 0, OK, 50)
+			}
+		}
+		if z.out != 1 {
+			t.Fatalf("%g trials in flight after %d started answers", z.out, n-1)
+		}
+		h.handle(AnswerStarted{Request: h.lastID, Server: h.b.reqs[h.lastID].attempts[0].server.ID, Elapsed: 50})
+		if z.out != 0 || z.admitLimit != float64(n) {
+			t.Fatalf("%+v after %d started answers", z, n)
+		}
+	}
+}
--- a/balance/rotation_test.go
+++ b/balance/rotation_test.go
@@ -3,196 +3,170 @@
 import (
 	"maps"
 	"math"
+	"math/rand/v2"
+	"reflect"
+	"slices"
 	"testing"
 )
 
-// sequence sends n safe requests one after the other, each answered before the next.
-func sequence(g *rig, n int) []ServerID {
-	var ids []ServerID
-	for range n {
-		id, acts := g.ask(safeClass)
-		s, ok := sentTo(acts)
-		if !ok {
-			g.t.Fatal("nothing was sent")
-		}
-		ids = append(ids, s)
-		g.b.reqs[id].stats.n = 0 // no learning from these answers
-		g.answer(id, 0, OK, 10)
+// A pick that skips the servers outside the rotation leaves each server's running value as a pick over all servers
+// does.
+func TestRotation_skippedServers(t *testing.T) {
+	for _, c := range []struct {
+		name      string
+		rating    float64 // if small, the sum of weights is less than the initial running values
+		withRoute bool
+	}{{"usual ratings", 1, false}, {"small ratings", 0.05, false}, {"with a route", 1, true}} {
+		t.Run(c.name, func(t *testing.T) {
+			cfg := baseConfig()
+			cfg.Tenants = []Tenant{{Allowance: 100, Quota: 0.5}, {Allowance: 100, Quota: 0.5}}
+			bounded, exhaustive := mustNew(t, cfg), mustNew(t, cfg)
+			handle := func(now float64, ev Event) []Action {
+				t.Helper()
+				exhaustive.maxOtherRunning = math.Inf(1) // no server is skipped
+				want, err := exhaustive.Handle(now, ev)
+				got, again := bounded.Handle(now, ev)
+				if err != nil || again != nil || !reflect.DeepEqual(want, got) {
+					t.Fatalf("%#v: %v %v, without skipping %v %v", ev, got, again, want, err)
+				}
+				for i, s := range exhaustive.servers {
+					if q := bounded.servers[i]; q.ID != s.ID || q.running != s.running || q.weight != s.weight {
+						t.Fatalf("%#v: server %d has the running value %v, without skipping %v", ev, s.ID, q.running, s.running)
+					}
+				}
+				return slices.Clone(got)
+			}
+			bounded.Start(1000)
+			exhaustive.Start(1000)
+			if c.withRoute {
+				handle(1000, Routes{Rev: 1, List: []Route{{Tenant: 1, Base: Subset{Zones: []int{1}}}}})
+			}
+			playRandomEvents(handle, c.rating)
+		})
 	}
-	return ids
 }
 
-func TestRotationFollowsWeights(t *testing.T) {
-	servers := fleet(3)
-	servers[0].Rating = 5
-	got := sequence(newRig(t, baseConfig(), servers...), 7)
-	want := []ServerID{1, 1, 2, 1, 3, 1, 1}
-	for i := range want {
-		if got[i] != want[i] {
-			t.Fatalf("sequence %v, want %v", got, want)
+// playRandomEvents brings random requests, results of their attempts, and list changes.
+func playRandomEvents(handle func(now float64, ev Event) []Action, rating float64) {
+	rng := rand.New(rand.NewPCG(3, 4))
+	for i := range 4000 {
+		now := 1000 + 40*float64(i)
+		if i%5 == 0 {
+			entries := randomEntries(rng, 60)
+			for k := range entries {
+				entries[k].Rating = rating * rng.Float64()
+			}
+			handle(now, ServerList{Kind: ListDelta, Servers: entries})
 		}
-	}
-}
-
-func TestMultiplierFallsDecaysAndHasAFloor(t *testing.T) {
-	g := newRig(t, baseConfig(), fleet(2)...)
-	s := g.b.servers[0]
-	if m := g.b.health(s); m != 1 {
-		t.Fatalf("m without errors is %v", m)
-	}
-	s.consecutiveErrors, s.lastErrorAt = 2, g.now
-	if m := g.b.health(s); math.Abs(m-(1-2*penaltyPerError)) > 1e-9 {
-		t.Fatalf("m after two errors is %v", m)
-	}
-	g.b.now += halfLife
-	if m := g.b.health(s); math.Abs(m-(1-penaltyPerError)) > 1e-9 {
-		t.Fatalf("m after a half-life is %v", m)
-	}
-	s.consecutiveErrors = 1000
-	if m := g.b.health(s); m != healthFloor {
-		t.Fatalf("m after very many errors is %v, want the floor", m)
-	}
-	if m := g.b.health(g.b.servers[1]); m != 1 {
-		t.Fatalf("another server's errors moved m to %v", m)
-	}
-	s.consecutiveErrors = 2
-	id, _ := g.ask(safeClass)
-	g.b.reqs[id].attempts[0].server = s
-	s.inFlight, g.b.servers[1].inFlight = 1, 0
-	g.answer(id, 0, OK, 10)
-	if m := g.b.health(s); m != 1 {
-		t.Fatalf("m after a success is %v", m)
-	}
-}
-
-func TestNoServerStarvesAtTheFloor(t *testing.T) {
-	g := newRig(t, baseConfig(), fleet(4)...)
-	hits := 0
-	for range 40 { // a success resets the errors, so they are set again each time
-		g.b.servers[2].consecutiveErrors, g.b.servers[2].lastErrorAt = 1000, g.now
-		if sequence(g, 1)[0] == 3 {
-			hits++
+		id := RequestID(i + 1)
+		acts := handle(now, Request{ID: id, Class: rng.IntN(2), Tenant: rng.IntN(2), Remaining: 600})
+		for attempt, sent := 0, true; sent; attempt++ {
+			sent = false
+			for _, a := range acts {
+				if a.Kind == Send && a.Request == id {
+					result := []Result{OK, OK, OK, Failed, ConnectFailed}[rng.IntN(5)]
+					acts, sent = handle(now+20, Outcome{Request: id, Attempt: attempt, Server: a.Server, Result: result,
+						Elapsed: 20, Finished: result == OK}), true
+					break
+				}
+			}
 		}
 	}
-	if hits == 0 || hits >= 10 {
-		t.Fatalf("the server at the floor got %d of 40", hits)
-	}
-}
-
-func TestRerouteTakesTheHealthiestUntried(t *testing.T) {
-	g := newRig(t, baseConfig(), fleet(4)...)
-	for _, s := range g.b.servers {
-		s.consecutiveErrors, s.lastErrorAt = 2, g.now
-	}
-	g.b.servers[2].consecutiveErrors = 1
-	g.b.servers[1].running = 1000 // its turn, though it is not the healthiest
-	id, acts := g.ask(safeClass)
-	if s, _ := sentTo(acts); s != 2 {
-		t.Fatalf("first sent to %d, want 2", s)
-	}
-	g.b.servers[3].running = 1000 // next in turn, which must not count for a re-route
-	if s, ok := sentTo(g.answer(id, 0, Rejected, 1)); !ok || s != 3 {
-		t.Fatalf("re-routed to %d, want 3", s)
-	}
 }
 
-// Where every server holds far more than its share a first send goes to the one that holds least for
-// its weight: the next in turn was crowded further; a re-route still goes by m. While one is
-// not over its share, the turn decides.
-func TestFirstSendGoesToTheLeastCrowdedOfCrowdedServers(t *testing.T) {
-	for _, c := range []struct {
-		holds [4]int
-		want  ServerID
-	}{
-		{[4]int{4, 3, 4, 4}, 2}, // all are over
-		{[4]int{4, 4, 1, 0}, 3}, // 3 and 4 are not over, and it is the turn of 3
-	} {
-		g := newRig(t, baseConfig(), fleet(4)...)
-		for i, s := range g.b.servers {
-			s.inFlight, s.running = c.holds[i], float64(10*(4-i))
-		}
-		g.b.servers[1].consecutiveErrors, g.b.servers[1].lastErrorAt = 1, g.now-5000
-		r := &request{class: &g.b.cfg.Classes[safeClass], stats: &g.b.classes[safeClass]}
-		if c.want == 2 {
-			if s := g.b.pick(r, true); s.ID == 2 {
-				t.Errorf("%v: the re-route went to the server of lowest m", c.holds)
-			}
-			for i, s := range g.b.servers {
-				s.running = float64(10 * (4 - i))
-			}
-		}
-		if s := g.b.pick(r, false); s.ID != c.want {
-			t.Errorf("%v: sent to %d, not %d", c.holds, s.ID, c.want)
+// Along a route, the running values of a group are bounded by its own sum of weights, even when the preferred group
+// has no server at all.
+func TestRotation_skippedServersOfRoute(t *testing.T) {
+	list := identicalServers(20)
+	for i := range list {
+		list[i].Rating = 0.05
+	}
+	h := newHarness(t, baseConfig(), list...)
+	const nowhere = 99
+	h.handle(Routes{Rev: 1, List: []Route{{Tenant: -1, Base: Subset{Zones: []int{nowhere}}}}})
+	if _, acts := h.sendRequest(idempotentClass); !hasAction(acts, Send) {
+		t.Fatalf("not sent: %v", acts)
+	}
+	total := 0.0
+	for _, s := range h.b.candidates {
+		total += s.weight
+	}
+	if len(h.b.candidates) >= len(list) {
+		t.Fatal("all servers are in the rotation")
+	}
+	for _, s := range h.b.servers {
+		if running := s.placements[0].running[baseSide]; running > total {
+			t.Errorf("server %d has the running value %v, the sum of weights is %v", s.ID, running, total)
 		}
 	}
 }
 
-// A thousand sidecars with a connection to each server filled all connection tables. Each goes over few
-// servers, all together over all alike, and a restarted one comes back to the same.
-func TestSmallSidecarsTakeTurnsOverFewServers(t *testing.T) {
+// A sidecar with little traffic uses minRotation servers, so that a large fleet does not fill the servers' connection
+// tables. All sidecars together use all servers evenly, and a restarted one uses the same as before.
+func TestRotation_lowTraffic(t *testing.T) {
 	sidecars, servers := 400, 60
 	all := map[ServerID]int{}
-	used := func(number, seed int) map[ServerID]int {
+	sendsByServer := func(number, seed int) map[ServerID]int {
 		cfg := baseConfig()
 		cfg.Number, cfg.Peers, cfg.Seed = number, sidecars, uint64(seed)
-		g := newRig(t, cfg, fleet(servers)...)
-		for _, s := range g.b.servers {
-			s.rank = g.b.rank(s)
+		h := newHarness(t, cfg, identicalServers(servers)...)
+		for _, s := range h.b.servers {
+			s.rank = h.b.rank(s)
 		}
-		g.b.dropGone()
-		hits := map[ServerID]int{}
+		h.b.dropGone()
+		sends := map[ServerID]int{}
 		for range 60 {
-			g.now += 1000
-			id, acts := g.ask(safeClass)
+			h.now += 1000
+			id, acts := h.sendRequest(idempotentClass)
 			s, _ := sentTo(acts)
-			hits[s]++
-			g.answer(id, 0, OK, 10)
+			sends[s]++
+			h.endAttempt(id, 0, OK, 10)
 		}
-		return hits
+		return sends
 	}
 	for n := range sidecars {
-		hits := used(n, n)
-		if len(hits) != minRotation {
-			t.Fatalf("sidecar %d uses %d servers", n, len(hits))
+		sends := sendsByServer(n, n)
+		if len(sends) != minRotation {
+			t.Fatalf("sidecar %d uses %d servers", n, len(sends))
 		}
-		for s, k := range hits {
-			all[s] += k
+		for s, requests := range sends {
+			all[s] += requests
 		}
-		if n == 0 && !maps.Equal(hits, used(0, 77)) {
+		if n == 0 && !maps.Equal(sends, sendsByServer(0, 77)) {
 			t.Fatal("a restarted sidecar uses other servers")
 		}
 	}
-	for s, k := range all {
-		if mean := 60 * sidecars / servers; k < mean/2 || k > 2*mean {
-			t.Errorf("server %d got %d of a mean of %d", s, k, mean)
+	for s, requests := range all {
+		if mean := 60 * sidecars / servers; requests < mean/2 || requests > 2*mean {
+			t.Errorf("server %d got %d requests, the mean is %d", s, requests, mean)
 		}
 	}
 }
 
-// A busy sidecar goes over as many servers as it visits often, and over others when some of its own fail.
-func TestRotationGrowsWithTrafficAndWithFailures(t *testing.T) {
-	g := newRig(t, baseConfig(), fleet(60)...)
-	count := func(gap float64, n int) int {
-		hits := map[ServerID]bool{}
+// The rotation grows with traffic, up to all servers, and replaces servers that are ejected.
+func TestRotation_growth(t *testing.T) {
+	h := newHarness(t, baseConfig(), identicalServers(60)...)
+	usedServers := func(gap float64, n int) int {
+		used := map[ServerID]bool{}
 		for range n {
-			g.now += gap
-			id, acts := g.ask(safeClass)
+			h.now += gap
+			id, acts := h.sendRequest(idempotentClass)
 			s, _ := sentTo(acts)
-			hits[s] = true
-			g.answer(id, 0, OK, 10)
+			used[s] = true
+			h.endAttempt(id, 0, OK, 10)
 		}
-		return len(hits)
+		return len(used)
 	}
-	if n := count(1000, 30); n != minRotation {
+	if n := usedServers(1000, 30); n != minRotation {
 		t.Fatalf("%d servers for one request a second", n)
 	}
-	for _, s := range g.b.servers[:2] {
-		g.b.recordFailure(s, true, partialEvidence)
+	for _, s := range h.b.servers[:2] {
+		h.b.recordFailure(s, true, partialEvidence)
 	}
-	if n := count(50, 6); n < minRotation {
-		t.Fatalf("%d servers when two of the first rest", n)
+	if n := usedServers(50, 6); n < minRotation {
+		t.Fatalf("%d servers when two of the first are ejected", n)
 	}
-	if n := count(10, 3000); n != 60 {
+	if n := usedServers(10, 3000); n != 60 {
 		t.Fatalf("%d servers of 60 for a hundred requests a second", n)
 	}
 }
--- a/balance/settings_test.go
+++ b/balance/settings_test.go
@@ -1,140 +1,75 @@
 package balance
 
 import (
-	"fmt"
 	"math"
 	"math/rand"
 	"strings"
 	"testing"
 )
 
-// Settings that the first deployments do not use. Each run checks rules 1 to 3 as it goes.
-func TestOtherSettings(t *testing.T) {
+// Settings that the deployment does not use keep the rules of simulation, answer each request, and send nearly all of
+// them.
+func TestSettings_variants(t *testing.T) {
 	for name, change := range map[string]func(*Config, *int){
 		"one server":  func(_ *Config, n *int) { *n = 1 },
 		"hundreds":    func(_ *Config, n *int) { *n = 300 },
 		"one attempt": func(c *Config, _ *int) { c.MaxAttempts = 1 },
 		"no cancels":  func(c *Config, _ *int) { c.Cancel, c.Hedging = false, false },
-		"streams":     func(c *Config, _ *int) { c.Classes[safeClass].Stream = true },
+		"streams":     func(c *Config, _ *int) { c.Classes[idempotentClass].Stream = true },
 		"tenants":     func(c *Config, _ *int) { c.Tenants = []Tenant{{Quota: 0.9}, {Quota: 0.1}, {}} },
-		"no cold rule": func(c *Config, _ *int) {
+		"no slow start": func(c *Config, _ *int) {
 			c.SlowStartTime, c.OverloadTime, c.OverloadMultiple, c.SlowStartCapacity = 0, 0, 0, 0
 		},
-		"probes, free": func(c *Config, _ *int) {
+		"health checks, free": func(c *Config, _ *int) {
 			c.HealthChecks, c.Reports, c.Fields = true, ReportHealthCheck, []Field{FieldInFlight}
 		},
-		"probes, dear": func(c *Config, _ *int) { c.HealthChecks, c.Reports, c.Prices.HealthCheck = true, ReportHealthCheck, 10 },
-		"probes, no field": func(c *Config, _ *int) {
+		"health checks, costly": func(c *Config, _ *int) { c.HealthChecks, c.Reports, c.Prices.HealthCheck = true, ReportHealthCheck, 10 },
+		"health checks, no field": func(c *Config, _ *int) {
 			c.HealthChecks, c.Reports, c.Fields = true, ReportHealthCheck, []Field{FieldUnknown}
 		},
 		"piggyback": func(c *Config, _ *int) { c.Reports, c.Fields = ReportPiggyback, []Field{FieldUtil, FieldRate} },
-		"aims of zero": func(c *Config, _ *int) {
-			c.Classes[safeClass].LatencyObjective, c.Classes[unsafeClass].PriorityWeight = 0, 0
+		"zero objective and weight": func(c *Config, _ *int) {
+			c.Classes[idempotentClass].LatencyObjective, c.Classes[nonIdempotentClass].PriorityWeight = 0, 0
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
 			cfg, n := baseConfig(), 6
 			change(&cfg, &n)
-			w := newWorld(t, rand.New(rand.NewSource(7)), cfg)
-			list := fleet(n)
+			sim := newSimulation(t, rand.New(rand.NewSource(7)), cfg)
+			list := identicalServers(n)
 			for i := range list {
-				w.servers[list[i].ID], w.told[list[i].ID] = &list[i], true
+				sim.servers[list[i].ID], sim.usable[list[i].ID] = &list[i], true
 			}
-			w.handle(ServerList{Kind: ListFull, Servers: list})
+			sim.handle(ServerList{Kind: ListFull, Servers: list})
 			sent := 0
 			for id := RequestID(1); id <= 400; id++ {
-				w.now += 9
-				w.fireTimers()
+				sim.now += 9
+				sim.fireTimers()
 				class := int(id) % len(cfg.Classes)
-				w.open[id] = &openRequest{class: class, deadline: w.now + 300}
-				w.handle(Request{ID: id, Class: class, Tenant: int(id) % 5, Remaining: 300})
-				for len(w.probes) > 0 {
-					s := w.probes[0]
-					w.probes = w.probes[1:]
-					w.handle(HealthCheckResult{Server: s, Report: []float32{1}})
+				sim.requests[id] = &simulatedRequest{class: class, deadline: sim.now + 300}
+				sim.handle(Request{ID: id, Class: class, Tenant: int(id) % 5, Remaining: 300})
+				for len(sim.healthChecks) > 0 {
+					s := sim.healthChecks[0]
+					sim.healthChecks = sim.healthChecks[1:]
+					sim.handle(HealthCheckResult{Server: s, Report: []float32{1}})
 				}
-				sent += len(w.open[id].tries)
+				sent += len(sim.requests[id].attempts)
 				if id > 2 {
-					w.serve(id - 2)
+					sim.answer(id - 2)
 				}
 			}
-			for w.now += 1000; w.anyOpen() && len(w.timers) > 0; w.now += 1000 {
-				w.fireTimers()
+			for sim.now += 1000; sim.hasUnanswered() && len(sim.timers) > 0; sim.now += 1000 {
+				sim.fireTimers()
 			}
-			if w.anyOpen() || sent < 300 {
-				t.Fatalf("unanswered requests: %v; %d of 400 sent", w.anyOpen(), sent)
+			if sim.hasUnanswered() || sent < 300 {
+				t.Fatalf("unanswered requests: %v; %d of 400 sent", sim.hasUnanswered(), sent)
 			}
 		})
 	}
 }
 
-// serve answers what is out for a request, if anything is.
-func (w *world) serve(id RequestID) {
-	o := w.open[id]
-	for i := range o.tries {
-		if a := &o.tries[i]; a.live {
-			a.live, o.answered = false, true
-			w.handle(Outcome{Request: id, Attempt: i, Server: a.server.ID, Elapsed: w.now - a.sent, Finished: true})
-		}
-	}
-}
-
-// What has ended is forgotten: requests, servers that are gone, probes that are waited for.
-func TestMemoryStaysFlat(t *testing.T) {
-	g := newRig(t, probeConfig(), fleet(5)...)
-	for i := range 20000 {
-		g.acts = g.acts[:0]
-		g.now += 5
-		id, acts := g.ask(safeClass)
-		acts = append(acts, g.probes(acts, 0, nil)...)
-		if _, ok := sentTo(acts); ok {
-			g.answer(id, 0, OK, 5)
-		}
-		if i%20 == 0 { // a rolling deploy: new names all the time
-			list := fleet(5)
-			for k := range list {
-				list[k].ID = ServerID(i + k + 1)
-			}
-			g.do(ServerList{Kind: ListFull, Servers: list})
-		}
-	}
-	b := g.b
-	if len(b.reqs) > 1 || len(b.servers) != 5 || len(b.byID) != 5 || len(b.waitingForChecks) > 1 || cap(b.out) > 100 {
-		t.Fatalf("%d requests, %d servers, %d by ID, %d waiting, room for %d actions",
-			len(b.reqs), len(b.servers), len(b.byID), len(b.waitingForChecks), cap(b.out))
-	}
-}
-
-func BenchmarkRequest(b *testing.B) {
-	for _, n := range []int{12, 100, 300} {
-		b.Run(fmt.Sprintf("%d-servers", n), func(b *testing.B) {
-			bal := mustNew(b, baseConfig())
-			bal.Start(0)
-			if _, err := bal.Handle(0, ServerList{Kind: ListFull, Servers: fleet(n)}); err != nil {
-				b.Fatal(err)
-			}
-			b.ReportAllocs()
-			now := 0.0
-			for i := range b.N {
-				now += 5
-				id := RequestID(i + 1)
-				acts, err := bal.Handle(now, Request{ID: id, Remaining: 1500})
-				if err != nil || len(acts) == 0 {
-					b.Fatal(err, acts)
-				}
-				if acts[0].Kind != Send {
-					continue
-				}
-				if _, err := bal.Handle(now+4, Outcome{Request: id, Server: acts[0].Server, Elapsed: 4, Finished: true}); err != nil {
-					b.Fatal(err)
-				}
-			}
-		})
-	}
-}
-
-// A caller's settings that cannot be are an error, never a balancer that misbehaves later.
-func TestSettingsThatCannotBe(t *testing.T) {
+// New returns an error for invalid settings that names the field.
+func TestSettings_invalid(t *testing.T) {
 	for name, spoil := range map[string]func(*Config){
 		"Classes":                     func(c *Config) { c.Classes = nil },
 		"Idempotency":                 func(c *Config) { c.Classes[1].Idempotency = 9 },
