--- a/cmd/marblelane/lab.go
+++ b/cmd/marblelane/lab.go
@@ -193,7 +193,7 @@
 	})
 	fmt.Fprintf(a.out, "%s: %s\nseed %d: %d sidecars (the busiest has %.0f%% of the traffic), %d servers in %d pods, capacity %.1f cores\n"+
 		"%d requests in %v (%.1f/s), %d faults\n", s.Name, s.Title, p.Seed, len(p.Sidecars), 100*busiest.Weight, s.Servers.Count,
-		len(p.Pods), p.Capacity, len(p.Arrivals), s.Length.Of(), p.Rate, len(p.Faults))
+		len(p.Pods), p.Capacity, len(p.Arrivals), s.Length.Duration(), p.Rate, len(p.Faults))
 	return nil
 }
 
--- a/internal/lab/cold.go
+++ b/internal/lab/cold.go
@@ -9,7 +9,7 @@
 // coldStart is what the plan's servers may be sent while they are cold, by the figures that the sidecars are told.
 func coldStart(p *scenario.Plan) invariant.ColdStart {
 	rules := &p.Scenario.Rules
-	f := invariant.ColdStart{From: rules.ColdFrom, Time: rules.Cold.Of(), Window: rules.FallTime.Of(), Multiple: rules.FallMultiple}
+	f := invariant.ColdStart{From: rules.ColdFrom, Time: rules.Cold.Duration(), Window: rules.FallTime.Duration(), Multiple: rules.FallMultiple}
 	mean := p.Scenario.MeanWork()
 	for i := range p.Servers {
 		spec := stock.SpecOf(p, i)
--- a/internal/lab/fault_steps.go
+++ b/internal/lab/fault_steps.go
@@ -198,7 +198,7 @@
 		return links(func(rules *relay.Rules, on bool) {
 			if on {
 				before = *rules
-				rules.Latency = f.Latency.Of()
+				rules.Latency = f.Latency.Duration()
 			} else {
 				rules.Latency = before.Latency
 			}
--- a/internal/lab/lab.go
+++ b/internal/lab/lab.go
@@ -227,7 +227,7 @@
 	l := r.links[key]
 	if l == nil {
 		between := r.s.Network.Latency(r.plan.Sidecars[sidecar].Zone, r.plan.Servers[server].Zone)
-		rules := relay.Rules{Latency: between.Of(), Jitter: r.s.Network.Jitter}
+		rules := relay.Rules{Latency: between.Duration(), Jitter: r.s.Network.Jitter}
 		l = relay.NewLink(rules, r.plan.Seed^uint64(sidecar)<<32^uint64(server))
 		r.links[key] = l
 	}
@@ -386,7 +386,7 @@
 		select {
 		case <-t.C:
 			fmt.Fprintf(r.o.Progress, "%5.1f of %.0f s, %d requests under way\n",
-				(r.log.Now() - began).Seconds(), r.s.Length.Of().Seconds(), r.load.Live())
+				(r.log.Now() - began).Seconds(), r.s.Length.Duration().Seconds(), r.load.Live())
 		case <-ctx.Done():
 			return
 		}
--- a/internal/lab/measure/measure.go
+++ b/internal/lab/measure/measure.go
@@ -111,10 +111,10 @@
 // Of measures a run from its records; worked is the work that all servers did.
 func Of(p *scenario.Plan, events []record.Event, worked float64) *Result {
 	s := p.Scenario
-	step := max(s.Length.Of()/60, 250*time.Millisecond).Round(50 * time.Millisecond)
+	step := max(s.Length.Duration()/60, 250*time.Millisecond).Round(50 * time.Millisecond)
 	out := &Result{
 		Servers: make([]int, len(p.Servers)), Sidecars: make([]Party, len(p.Sidecars)), window: step,
-		Timeline: make([]Window, int(s.Length.Of()/step)+1),
+		Timeline: make([]Window, int(s.Length.Duration()/step)+1),
 	}
 	for i := range out.Sidecars {
 		out.Sidecars[i].Name = p.Sidecars[i].Name
@@ -123,7 +123,7 @@
 	for i := range out.Timeline {
 		out.Timeline[i].From = (time.Duration(i) * step).Seconds()
 	}
-	warm := s.WarmUp.Of()
+	warm := s.WarmUp.Duration()
 	requests := make([]request, len(p.Arrivals))
 	windows := make([]*hdrhistogram.Histogram, len(out.Timeline))
 	tries := make([]int, len(out.Timeline))
@@ -204,7 +204,7 @@
 		}
 	}
 	for i := range rss {
-		out.Sidecars[i].Growth = growth(rss[i], s.Length.Of()/2)
+		out.Sidecars[i].Growth = growth(rss[i], s.Length.Duration()/2)
 	}
 	all := newHistogram()
 	classes := make([]*hdrhistogram.Histogram, len(s.Classes))
--- a/internal/lab/members.go
+++ b/internal/lab/members.go
@@ -91,9 +91,9 @@
 func (m *members) between(i, j int) time.Duration {
 	s, n := m.r.s, len(m.r.plan.Sidecars)
 	if i >= n || j >= n {
-		return s.Network.Same.Of()
+		return s.Network.Same.Duration()
 	}
-	return s.Network.Latency(m.r.plan.Sidecars[i].Zone, m.r.plan.Sidecars[j].Zone).Of()
+	return s.Network.Latency(m.r.plan.Sidecars[i].Zone, m.r.plan.Sidecars[j].Zone).Duration()
 }
 
 // open makes a front. It is dead until a process is about to be there.
@@ -299,7 +299,7 @@
 		case f.Kind == "members-lose" && (from || to):
 			lose = max(lose, f.Size)
 		case f.Kind == "members-slow" && (from || to):
-			slow = max(slow, f.Latency.Of())
+			slow = max(slow, f.Latency.Duration())
 		case from == to:
 		case f.Kind == "members-refuse":
 			lost = true
@@ -350,10 +350,10 @@
 		out["seeds"] = seeds
 	}
 	if s.Members.Interval > 0 {
-		out["interval"] = s.Members.Interval.Of().String()
+		out["interval"] = s.Members.Interval.Duration().String()
 	}
 	if s.Members.AdmitWithin > 0 {
-		out["admit_within"] = s.Members.AdmitWithin.Of().String()
+		out["admit_within"] = s.Members.AdmitWithin.Duration().String()
 	}
 	if s.Members.BelieveRefused != nil {
 		out["believe_refused"] = *s.Members.BelieveRefused
@@ -434,7 +434,7 @@
 	if len(late) == 0 {
 		return nil
 	}
-	return []step{{m.r.s.Members.LateAt.Of(), fmt.Sprintf("sidecars %v start", late), 0, func(ctx context.Context) error {
+	return []step{{m.r.s.Members.LateAt.Duration(), fmt.Sprintf("sidecars %v start", late), 0, func(ctx context.Context) error {
 		return m.r.each(late, func(i int) error { return m.r.sidecars[i].begin(ctx) })
 	}}}
 }
--- a/internal/lab/members_result.go
+++ b/internal/lab/members_result.go
@@ -413,13 +413,13 @@
 	}{
 		{"noticed", e.Noticed, &o.Noticed}, {"counted_out", e.CountedOut, &o.CountedOut}, {"admitted", e.Admitted, &o.Admitted},
 	} {
-		if one.want != nil && (one.t.Cases == 0 || one.t.Never > 0 || one.t.Max > one.want.MS()) {
-			out = append(out, fmt.Sprintf("%s: %v, expected at most %v", one.name, *one.t, one.want.Of()))
+		if one.want != nil && (one.t.Cases == 0 || one.t.Never > 0 || one.t.Max > one.want.Milliseconds()) {
+			out = append(out, fmt.Sprintf("%s: %v, expected at most %v", one.name, *one.t, one.want.Duration()))
 		}
 	}
-	if e.Agree != nil && (o.AgreeMS < 0 || o.AgreeMS > e.Agree.MS()) {
+	if e.Agree != nil && (o.AgreeMS < 0 || o.AgreeMS > e.Agree.Milliseconds()) {
 		out = append(out, fmt.Sprintf("members agree after %.0f ms (-1: not within the run), expected at most %v",
-			o.AgreeMS, e.Agree.Of()))
+			o.AgreeMS, e.Agree.Duration()))
 	}
 	return out
 }
--- a/internal/lab/outcome.go
+++ b/internal/lab/outcome.go
@@ -67,9 +67,9 @@
 func newReport(p *scenario.Plan, all []record.Event, worked float64, routes *invariant.Routes, stalls []invariant.Span) *Report {
 	s := p.Scenario
 	facts := invariant.Facts{
-		MaxAttempts: s.Rules.MaxAttempts, DrainGrace: s.Rules.DrainGrace.Of(),
+		MaxAttempts: s.Rules.MaxAttempts, DrainGrace: s.Rules.DrainGrace.Duration(),
 		MemoryMB: s.Sidecars.MemoryMB, Sockets: s.Sidecars.Sockets, SparedTerm: scenario.SparedTerm,
-		Routes: routes, Latency: p.LongestLatency(), Held: heldBack(p), Stalls: stalls, ReadyWithin: s.Rules.ReadyWithin.Of(),
+		Routes: routes, Latency: p.LongestLatency(), Held: heldBack(p), Stalls: stalls, ReadyWithin: s.Rules.ReadyWithin.Duration(),
 		Cold: coldStart(p),
 	}
 	for _, c := range s.Classes {
@@ -77,7 +77,7 @@
 	}
 	return &Report{
 		Scenario: s.Name, Title: s.Title, Seed: p.Seed, Sidecars: len(p.Sidecars), Servers: s.Servers.Count,
-		Rate: p.Rate, LengthS: s.Length.Of().Seconds(), Events: len(all),
+		Rate: p.Rate, LengthS: s.Length.Duration().Seconds(), Events: len(all),
 		Result: measure.Of(p, all, worked), Verdict: invariant.Check(all, facts),
 	}
 }
@@ -140,7 +140,7 @@
 	most("cross_zone", e.CrossZone, f.CrossZone)
 	most("waste", e.Waste, f.Waste)
 	if e.P99 != nil {
-		want := e.P99.MS()
+		want := e.P99.Milliseconds()
 		most("p99 (ms)", &want, f.P99)
 	}
 	for _, p := range r.Result.Sidecars {
--- a/internal/lab/registry.go
+++ b/internal/lab/registry.go
@@ -150,7 +150,7 @@
 		c.spec.Dir = dir
 		config := filepath.Join(dir, "registry.toml")
 		text := fmt.Sprintf("name = %q\nlisten = %q\nraft = %q\ndir = %q\nbeat = %q\nmost_stale = %q\nlab_faults = %q\n%s%s", c.name, c.serve, c.raft,
-			filepath.Join(dir, "data"), rr.reg.Beat.Of(), rr.reg.MostStale.Of(), c.faults(), rr.routesKeys(), peers.String())
+			filepath.Join(dir, "data"), rr.reg.Beat.Duration(), rr.reg.MostStale.Duration(), c.faults(), rr.routesKeys(), peers.String())
 		if err := os.WriteFile(config, []byte(text), 0o644); err != nil {
 			return err
 		}
@@ -243,7 +243,7 @@
 // play lets writers, watchers and faults go on for the run's length, then heals all and compares.
 func (rr *registryRun) play(ctx context.Context) (*Report, error) {
 	began := rr.log.Now()
-	playing, done := context.WithTimeout(ctx, rr.s.Length.Of())
+	playing, done := context.WithTimeout(ctx, rr.s.Length.Duration())
 	defer done()
 	watching, unwatch := context.WithCancel(ctx)
 	defer unwatch()
@@ -293,7 +293,7 @@
 			n := len(rr.acks)
 			rr.mu.Unlock()
 			fmt.Fprintf(rr.o.Progress, "%5.1f of %.0f s, %d writes acknowledged, %d lines told\n",
-				(rr.log.Now() - began).Seconds(), rr.s.Length.Of().Seconds(), n, rr.lines.Load())
+				(rr.log.Now() - began).Seconds(), rr.s.Length.Duration().Seconds(), n, rr.lines.Load())
 		}
 	}
 }
--- a/internal/lab/registry_faults.go
+++ b/internal/lab/registry_faults.go
@@ -321,7 +321,7 @@
 			return err
 		}
 		text := fmt.Sprintf("name = %q\nlisten = %q\nraft = %q\nadvertise = %q\ndir = %q\nbeat = %q\njoin = true\n%s", c.name, c.serve,
-			c.raft, c.port.Addr(0), filepath.Join(c.spec.Dir, "data"), rr.reg.Beat.Of(), rr.routesKeys())
+			c.raft, c.port.Addr(0), filepath.Join(c.spec.Dir, "data"), rr.reg.Beat.Duration(), rr.routesKeys())
 		if err := os.WriteFile(filepath.Join(c.spec.Dir, "registry.toml"), []byte(text), 0o644); err != nil {
 			return err
 		}
--- a/internal/lab/registry_result.go
+++ b/internal/lab/registry_result.go
@@ -102,7 +102,7 @@
 		out.Parties = append(out.Parties, p)
 	}
 	slices.Sort(lag)
-	rep := &Report{Scenario: rr.s.Name, Title: rr.s.Title, Seed: rr.plan.Seed, LengthS: rr.s.Length.Of().Seconds(),
+	rep := &Report{Scenario: rr.s.Name, Title: rr.s.Title, Seed: rr.plan.Seed, LengthS: rr.s.Length.Duration().Seconds(),
 		Registry: out, Verdict: &invariant.Verdict{Counts: rr.counts, Breaches: rr.breaches,
 			Checked: map[string]int{"linearizable": len(rr.ops), "watchers-agree": int(out.Lines), "age-told": len(rr.reads),
 				"disk-honest": rr.disks}}}
--- a/internal/lab/routes.go
+++ b/internal/lab/routes.go
@@ -87,7 +87,7 @@
 			newest := o.newest
 			o.mu.Unlock()
 			now := o.r.log.Now() - o.began
-			o.ask(ctx, newest, now-a.Before.Of(), now)
+			o.ask(ctx, newest, now-a.Before.Duration(), now)
 		})
 	}
 	o.wg.Wait()
@@ -113,7 +113,7 @@
 }
 
 func (o *rollouts) until(ctx context.Context, at scenario.Duration) bool {
-	return sleep(ctx, o.began+at.Of()-o.r.log.Now())
+	return sleep(ctx, o.began+at.Duration()-o.r.log.Now())
 }
 
 func (o *rollouts) miss(format string, args ...any) {
@@ -244,7 +244,7 @@
 	}
 	body := posted{To: p.To, Classes: p.Classes, Budget: p.Budget, Late: p.Late, AtEnd: p.AtEnd}
 	for _, st := range p.Steps {
-		body.Steps = append(body.Steps, rollout.Step{Share: st.Share, HoldMS: st.Hold.Of().Milliseconds(), Requests: st.Requests})
+		body.Steps = append(body.Steps, rollout.Step{Share: st.Share, HoldMS: st.Hold.Duration().Milliseconds(), Requests: st.Requests})
 	}
 	o.mu.Lock()
 	o.after[n] = o.newest
@@ -285,7 +285,7 @@
 	}
 	code, text := o.call(ctx, http.MethodPost, path, body)
 	if code != 0 && (code != http.StatusOK) != d.Refused {
-		o.miss("the order %s at %v is answered %d %s", d.Do, d.At.Of(), code, strings.TrimSpace(string(text)))
+		o.miss("the order %s at %v is answered %d %s", d.Do, d.At.Duration(), code, strings.TrimSpace(string(text)))
 	}
 }
 
--- a/internal/lab/routes_config.go
+++ b/internal/lab/routes_config.go
@@ -35,7 +35,7 @@
 	file := map[string]any{}
 	for key, d := range map[string]scenario.Duration{"term": o.Term, "behind_after": o.BehindAfter, "shut_after": o.ShutAfter, "gone_after": o.GoneAfter} {
 		if d > 0 {
-			file[key] = d.Of().String()
+			file[key] = d.Duration().String()
 		}
 	}
 	if o.BehindShare > 0 {
--- a/internal/lab/scale.go
+++ b/internal/lab/scale.go
@@ -108,7 +108,7 @@
 // stand-ins and writes nothing down, by the lab's clients without sidecars, and by the lab's clients through the
 // sidecars. The difference of the first two is the lab's own overhead.
 func MeasureOverhead(ctx context.Context, s *scenario.Scenario, o Options) ([]Overhead, error) {
-	work := s.Classes[0].Work.MS() / s.Traffic.Pace / s.Servers.Kinds[0].Speed[0]
+	work := s.Classes[0].Work.Milliseconds() / s.Traffic.Pace / s.Servers.Kinds[0].Speed[0]
 	plain, err := plainClient(ctx, s, o)
 	if err != nil {
 		return nil, fmt.Errorf("overhead: %w", err)
@@ -177,7 +177,7 @@
 			took := time.Since(began.Add(a.At))
 			mu.Lock()
 			defer mu.Unlock()
-			if err == nil && a.At >= sized.WarmUp.Of() {
+			if err == nil && a.At >= sized.WarmUp.Duration() {
 				_ = h.RecordValue(took.Microseconds()) // over a minute: not here
 			}
 			idle[addr] = append(idle[addr], c)
--- a/internal/lab/scenario/draw.go
+++ b/internal/lab/scenario/draw.go
@@ -85,7 +85,7 @@
 func (p *Plan) drawFaults(r *rand.Rand) {
 	s := p.Scenario
 	for _, f := range s.Faults {
-		one := FaultPlan{Fault: f, At: f.At.Of(), Until: f.At.Of() + f.For.Of()}
+		one := FaultPlan{Fault: f, At: f.At.Duration(), Until: f.At.Duration() + f.For.Duration()}
 		if f.Servers != "" {
 			one.Servers = p.pick(r, f.Servers, s.Servers.Count, true)
 			if f.Zone != "" {
@@ -98,7 +98,7 @@
 		if faultForms()[f.Kind].turns {
 			for k, i := range one.Sidecars {
 				turn := one
-				turn.At += time.Duration(k) * f.Every.Of()
+				turn.At += time.Duration(k) * f.Every.Duration()
 				turn.Until, turn.Sidecars = turn.At, []int{i}
 				p.Faults = append(p.Faults, turn)
 			}
@@ -113,11 +113,11 @@
 		}
 		// Half of each period it is there, half of it not; what happens at once happens each time.
 		form := faultForms()[f.Kind]
-		for at := one.At; at < f.At.Of()+f.For.Of(); at += f.Every.Of() {
+		for at := one.At; at < f.At.Duration()+f.For.Duration(); at += f.Every.Duration() {
 			again := one
 			again.At, again.Until = at, at
 			if form.lasts {
-				again.Until = min(at+f.Every.Of()/2, one.Until)
+				again.Until = min(at+f.Every.Duration()/2, one.Until)
 			}
 			p.Faults = append(p.Faults, again)
 		}
@@ -210,7 +210,7 @@
 		}
 	}
 	// A Poisson process of changing rate by thinning (Lewis and Shedler, 1979).
-	length := s.Length.Of()
+	length := s.Length.Duration()
 	for at := 0.0; ; {
 		at += r.ExpFloat64() / highest
 		t := time.Duration(at*1e6) * time.Microsecond
@@ -253,7 +253,7 @@
 	case c.CV > 0:
 		w = lognormal(r, c.CV)
 	}
-	a.Work = math.Round(c.Work.MS()/s.Traffic.Pace*w*1000) / 1000
+	a.Work = math.Round(c.Work.Milliseconds()/s.Traffic.Pace*w*1000) / 1000
 	return a
 }
 
--- a/internal/lab/scenario/members.go
+++ b/internal/lab/scenario/members.go
@@ -112,7 +112,7 @@
 
 // hasStarted gives the sidecar that takes a request: one that has not started yet leaves it to another.
 func (p *Plan) hasStarted(sidecar int, at time.Duration) int {
-	if m := p.Scenario.Members; p.Scenario.Late(sidecar) && at < m.LateAt.Of()+lateReady {
+	if m := p.Scenario.Members; p.Scenario.Late(sidecar) && at < m.LateAt.Duration()+lateReady {
 		return sidecar % (len(p.Sidecars) - m.Late)
 	}
 	return sidecar
@@ -120,7 +120,7 @@
 
 // withoutLate leaves out the sidecars that do not run yet at a time.
 func (p *Plan) withoutLate(sidecars []int, kind string, at time.Duration) []int {
-	if m := p.Scenario.Members; m == nil || !strings.HasPrefix(kind, "sidecar-") || at >= m.LateAt.Of() {
+	if m := p.Scenario.Members; m == nil || !strings.HasPrefix(kind, "sidecar-") || at >= m.LateAt.Duration() {
 		return sidecars
 	}
 	return slices.DeleteFunc(sidecars, p.Scenario.Late)
--- a/internal/lab/scenario/members_test.go
+++ b/internal/lab/scenario/members_test.go
@@ -68,7 +68,7 @@
 	after := 0
 	for _, a := range p.Arrivals {
 		if s.Late(a.Sidecar) {
-			assert.GreaterOrEqual(t, a.At, s.Members.LateAt.Of())
+			assert.GreaterOrEqual(t, a.At, s.Members.LateAt.Duration())
 			after++
 		}
 	}
--- a/internal/lab/scenario/plan.go
+++ b/internal/lab/scenario/plan.go
@@ -121,7 +121,7 @@
 			capacity[s.Zone] += float64(p.Scenario.Servers.Kinds[s.Kind].Cores) * s.Speed * p.Pods[s.Pod].Limit
 		}
 	}
-	windows := int(p.Scenario.Length.Of()/crossWindow) + 1
+	windows := int(p.Scenario.Length.Duration()/crossWindow) + 1
 	asked := make([]float64, windows*zones)
 	all, over := 0.0, 0.0
 	for i := range p.Arrivals {
@@ -214,7 +214,7 @@
 func (s *Scenario) MeanWork() float64 {
 	shares, mean := s.classShares(), 0.0
 	for _, c := range s.Classes {
-		mean += c.Share / shares * c.Work.MS() / s.Traffic.Pace
+		mean += c.Share / shares * c.Work.Milliseconds() / s.Traffic.Pace
 	}
 	return mean
 }
@@ -284,12 +284,12 @@
 // LongestLatency is the longest time one way between a sidecar and a server in the run, faults counted in.
 func (p *Plan) LongestLatency() time.Duration {
 	n := &p.Scenario.Network
-	longest := max(n.Same.Of(), n.Cross.Of())
+	longest := max(n.Same.Duration(), n.Cross.Duration())
 	if len(n.Regions) > 0 {
-		longest = max(longest, n.Far.Of())
+		longest = max(longest, n.Far.Duration())
 	}
 	for _, f := range p.Faults {
-		longest = max(longest, f.Fault.Latency.Of())
+		longest = max(longest, f.Fault.Latency.Duration())
 	}
 	return time.Duration(float64(longest) * (1 + n.Jitter))
 }
@@ -325,11 +325,11 @@
 		"quantum_ms": 5.0, "report": map[string]any{"fields": []string{}, "via": "silent"},
 		"result_mix": map[string]any{"whole": 0.3, "worst_class": 0.3, "worst_tenant": 0.1, "worst_window": 0.3},
 		"penalties":  map[string]any{"cross_zone": s.Rules.CrossPrice, "late_fail": 0.036, "probe": 0.01, "waste": 0.2},
-		"limits": map[string]any{"cancel": true, "conn_idle_ms": s.Servers.Idle.MS(), "connect_timeout_ms": ConnectTimeoutMS,
+		"limits": map[string]any{"cancel": true, "conn_idle_ms": s.Servers.Idle.Milliseconds(), "connect_timeout_ms": ConnectTimeoutMS,
 			"max_attempts": s.Rules.MaxAttempts, "max_retry_after_ms": 3000.0, "may_tell": false, "open_cap": 25000,
 			"parallel_tries": false, "probes": s.Rules.Probes, "retry_after": true},
-		"rules": map[string]any{"answer_slack_ms": s.Rules.AnswerSlack.MS(), "ask_within_ms": 10000.0,
-			"cold_from": s.Rules.ColdFrom, "cold_ms": s.Rules.Cold.MS(), "drain_grace_ms": s.Rules.DrainGrace.MS(),
-			"fall_ms": s.Rules.FallTime.MS(), "fall_multiple": s.Rules.FallMultiple},
+		"rules": map[string]any{"answer_slack_ms": s.Rules.AnswerSlack.Milliseconds(), "ask_within_ms": 10000.0,
+			"cold_from": s.Rules.ColdFrom, "cold_ms": s.Rules.Cold.Milliseconds(), "drain_grace_ms": s.Rules.DrainGrace.Milliseconds(),
+			"fall_ms": s.Rules.FallTime.Milliseconds(), "fall_multiple": s.Rules.FallMultiple},
 	}
 }
--- a/internal/lab/scenario/scenario_test.go
+++ b/internal/lab/scenario/scenario_test.go
@@ -153,7 +153,7 @@
 		p := s.Plan(rapid.Uint64Range(1, 1<<60).Draw(t, "seed"))
 		last := p.Arrivals[0].At
 		for _, a := range p.Arrivals {
-			if a.At < last || a.At >= s.Length.Of() || a.Work < 0 || a.Sidecar >= len(p.Sidecars) {
+			if a.At < last || a.At >= s.Length.Duration() || a.Work < 0 || a.Sidecar >= len(p.Sidecars) {
 				t.Fatalf("arrival %+v after %v", a, last)
 			}
 			last = a.At
--- a/internal/lab/server_faults.go
+++ b/internal/lab/server_faults.go
@@ -49,10 +49,10 @@
 // publish tells of a server's state after the notice that this news takes.
 func (r *run) publish(i int, state string, notice scenario.Duration) {
 	if r.service != nil {
-		r.service.publish(r.entry(i, state, r.boots[i].Load()), notice.Of())
+		r.service.publish(r.entry(i, state, r.boots[i].Load()), notice.Duration())
 	}
 	for _, a := range r.agents {
-		a.Publish(r.entry(i, state, r.boots[i].Load()), notice.Of(), r.s.Discovery.Spread.Of())
+		a.Publish(r.entry(i, state, r.boots[i].Load()), notice.Duration(), r.s.Discovery.Spread.Duration())
 	}
 }
 
@@ -84,7 +84,7 @@
 	if stay {
 		return nil
 	}
-	wait := r.s.Discovery.Notice.Of() + r.s.Discovery.Spread.Of() + r.s.Rules.DrainGrace.Of()
+	wait := r.s.Discovery.Notice.Duration() + r.s.Discovery.Spread.Duration() + r.s.Rules.DrainGrace.Duration()
 	if !sleep(ctx, wait) {
 		return nil
 	}
@@ -115,7 +115,7 @@
 		r.note(record.ServerState, record.Nobody, i, "is replaced")
 		r.publish(i, agent.Terminating, r.s.Discovery.Notice)
 	}
-	if !sleep(ctx, r.s.Discovery.Notice.Of()+r.s.Discovery.Spread.Of()+r.s.Rules.DrainGrace.Of()+deadFor) {
+	if !sleep(ctx, r.s.Discovery.Notice.Duration()+r.s.Discovery.Spread.Duration()+r.s.Rules.DrainGrace.Duration()+deadFor) {
 		return nil
 	}
 	for _, i := range p.Servers {
--- a/internal/lab/sidecar_process.go
+++ b/internal/lab/sidecar_process.go
@@ -220,7 +220,7 @@
 			}
 			lists = append(lists, one)
 		}
-		config["lists"], config["list_doubt_share"], config["list_stale_ms"] = lists, d.DoubtShare, d.Stale.MS()
+		config["lists"], config["list_doubt_share"], config["list_stale_ms"] = lists, d.DoubtShare, d.Stale.Milliseconds()
 	}
 	if section := r.routesOf(s.number); section != nil {
 		config["routes"] = section
--- a/internal/lab/simulate/faults.go
+++ b/internal/lab/simulate/faults.go
@@ -103,7 +103,7 @@
 	case "latency":
 		return links(func(l *link, on bool) {
 			if l.latency = 0; on {
-				l.latency = f.Latency.MS()
+				l.latency = f.Latency.Milliseconds()
 			}
 		})
 	case "lose":
@@ -142,7 +142,7 @@
 // drain ends servers in order: they tell that they drain, turn away what is new once all sidecars know and their grace
 // is over, and end.
 func (w *world) drain(numbers []int, then func(*server)) {
-	wait := w.s.Discovery.Notice.MS() + w.s.Discovery.Spread.MS() + w.s.Rules.DrainGrace.MS()
+	wait := w.s.Discovery.Notice.Milliseconds() + w.s.Discovery.Spread.Milliseconds() + w.s.Rules.DrainGrace.Milliseconds()
 	w.eachServer(numbers, func(s *server) {
 		w.tellDrain(s)
 		w.After(wait, func() { s.drain = true })
--- a/internal/lab/simulate/members.go
+++ b/internal/lab/simulate/members.go
@@ -221,7 +221,7 @@
 	r := &m.result
 	r.sum, r.n = r.sum+sum, r.n+1
 	r.Most, r.Mean = math.Max(r.Most, sum), r.sum/r.n
-	if m.w.Now() < begin+ms(m.w.s.Length.Of()) {
+	if m.w.Now() < begin+ms(m.w.s.Length.Duration()) {
 		m.w.After(sampled, m.sample)
 	}
 }
@@ -241,16 +241,16 @@
 // topples tells whether one more request is too much for a cold server: N + 3√N + 3 of mean work in the fall time.
 func (m *members) topples(s *server) bool {
 	r, now, boot := &m.w.s.Rules, m.w.Now(), s.entry.StartedAt
-	if s.warming == nil || now-boot >= r.Cold.MS() {
+	if s.warming == nil || now-boot >= r.Cold.Milliseconds() {
 		return false
 	}
-	window := r.FallTime.MS()
+	window := r.FallTime.Milliseconds()
 	sends := append(s.warming.sends, now)
 	for sends[0] < now-window {
 		sends = sends[1:]
 	}
 	s.warming.sends = sends
-	age := math.Max(0, now-window-boot) / r.Cold.MS()
+	age := math.Max(0, now-window-boot) / r.Cold.Milliseconds()
 	sp := &m.w.plan.Servers[s.number]
 	capacity := float64(m.w.s.Servers.Kinds[sp.Kind].Cores) * sp.Speed * m.w.plan.Pods[sp.Pod].Limit / m.MeanWork
 	n := r.FallMultiple * capacity * (r.ColdFrom + (1-r.ColdFrom)*math.Min(age, 1)) * window
--- a/internal/lab/simulate/simulate.go
+++ b/internal/lab/simulate/simulate.go
@@ -142,7 +142,7 @@
 		a := &plan.Arrivals[i]
 		w.At(begin+ms(a.At), func() { w.arrive(i, a) })
 	}
-	end := begin + ms(s.Length.Of())
+	end := begin + ms(s.Length.Duration())
 	for n := 0; w.Step(end + tail); n++ {
 		if n%4096 == 0 {
 			if err := ctx.Err(); err != nil {
@@ -330,7 +330,7 @@
 	if l := s.links[c.number]; l != nil && l.latency > 0 {
 		return l.latency
 	}
-	base := w.s.Network.Latency(w.plan.Sidecars[c.number].Zone, s.entry.Zone).MS()
+	base := w.s.Network.Latency(w.plan.Sidecars[c.number].Zone, s.entry.Zone).Milliseconds()
 	return base * (1 + w.s.Network.Jitter*(2*w.rng.Float64()-1))
 }
 
@@ -361,14 +361,14 @@
 	e, boot, news := s.entry, s.bootMS, s.listChanges
 	e.State = state
 	if w.members != nil {
-		w.After(notice.MS(), func() {
+		w.After(notice.Milliseconds(), func() {
 			if news > s.listedNews {
 				s.listed, s.listedNews = e, news
 			}
 		})
 	}
 	for i, c := range w.sidecars {
-		wait := notice.MS() + w.s.Discovery.Spread.MS()*float64(i)/float64(len(w.sidecars))
+		wait := notice.Milliseconds() + w.s.Discovery.Spread.Milliseconds()*float64(i)/float64(len(w.sidecars))
 		w.After(wait, func() {
 			if c.down || news < c.heard[s.number] {
 				return
--- a/internal/lab/simulate/try.go
+++ b/internal/lab/simulate/try.go
@@ -200,7 +200,7 @@
 	case s.down || l.refuse:
 		w.After(2*once, func() { a.lost(balance.ConnectFailed) })
 	default:
-		w.After(3*once, func() { a.arrive(w.s.Servers.Handshake.MS() / w.s.Traffic.Pace) })
+		w.After(3*once, func() { a.arrive(w.s.Servers.Handshake.Milliseconds() / w.s.Traffic.Pace) })
 	}
 }
 
@@ -290,7 +290,7 @@
 // keep leaves the connection open for the next request.
 func (a *attempt) keep() {
 	w := a.t.ask.w
-	a.t.c.idle[a.s.number] = append(a.t.c.idle[a.s.number], w.Now()+w.s.Servers.Idle.MS()-2)
+	a.t.c.idle[a.s.number] = append(a.t.c.idle[a.s.number], w.Now()+w.s.Servers.Idle.Milliseconds()-2)
 }
 
 // served is a good answer.
--- a/internal/lab/simulate/zones.go
+++ b/internal/lab/simulate/zones.go
@@ -132,7 +132,7 @@
 	}
 	o.Back = -1
 	usual := float64(beforeInto) / float64(max(before, 1))
-	for at := until; at+backWindow <= ms(p.Scenario.Length.Of()); at += backStep {
+	for at := until; at+backWindow <= ms(p.Scenario.Length.Duration()); at += backStep {
 		all, there := 0, 0
 		for _, s := range sends {
 			if s.First && s.At >= at && s.At < at+backWindow {
--- a/internal/lab/stock/spec.go
+++ b/internal/lab/stock/spec.go
@@ -12,8 +12,8 @@
 	k, drawn := &s.Servers.Kinds[sp.Kind], &p.Kinds[sp.Kind]
 	spec := Spec{
 		Cores: k.Cores, Speed: sp.Speed, Slots: drawn.Slots, Queue: k.Queue, MaxConns: s.Servers.MaxConns,
-		Handshake: s.Servers.Handshake.MS() / s.Traffic.Pace, Idle: s.Servers.Idle.Of(), NoCancel: s.Servers.NoCancel,
-		ColdFrom: k.ColdFrom, ColdTime: k.Cold.Of(), FallMultiple: s.Rules.FallMultiple, FallTime: s.Rules.FallTime.Of(),
+		Handshake: s.Servers.Handshake.Milliseconds() / s.Traffic.Pace, Idle: s.Servers.Idle.Duration(), NoCancel: s.Servers.NoCancel,
+		ColdFrom: k.ColdFrom, ColdTime: k.Cold.Duration(), FallMultiple: s.Rules.FallMultiple, FallTime: s.Rules.FallTime.Duration(),
 		Pause: Pause{
 			Every: time.Duration(drawn.PauseEvery * float64(time.Second)),
 			Most:  s.Pace(scenario.Duration(drawn.Pause * float64(time.Millisecond))),
--- a/internal/registry/operators.go
+++ b/internal/registry/operators.go
@@ -240,7 +240,7 @@
 func boundText(e validator.FieldError) string {
 	value := fmt.Sprint(e.Value())
 	if d, ok := e.Value().(tomlfile.Duration); ok {
-		value = d.Of().String()
+		value = d.Duration().String()
 	}
 	if len(value) > 40 {
 		value = strings.ToValidUTF8(value[:40], "") + "..."
@@ -282,7 +282,7 @@
 	}{{&out.Term, o.Term}, {&out.BehindAfter, o.BehindAfter}, {&out.ShutAfter, o.ShutAfter}, {&out.GoneAfter, o.GoneAfter},
 		{&out.Remember, o.Remember}} {
 		if d.from > 0 {
-			*d.to = d.from.Of().Milliseconds()
+			*d.to = d.from.Duration().Milliseconds()
 		}
 	}
 	for _, f := range []struct {
--- a/internal/tomlfile/duration.go
+++ b/internal/tomlfile/duration.go
@@ -24,8 +24,8 @@
 // MarshalText writes a duration in the form that UnmarshalText reads.
 func (d Duration) MarshalText() ([]byte, error) { return []byte(time.Duration(d).String()), nil }
 
-// Of is the duration as a time.Duration.
-func (d Duration) Of() time.Duration { return time.Duration(d) }
+// Duration returns the duration as a time.Duration.
+func (d Duration) Duration() time.Duration { return time.Duration(d) }
 
-// MS is the duration in milliseconds.
-func (d Duration) MS() float64 { return float64(d) / float64(time.Millisecond) }
+// Milliseconds returns the duration in milliseconds.
+func (d Duration) Milliseconds() float64 { return float64(d) / float64(time.Millisecond) }
