--- a/internal/tomlfile/tomlfile_test.go
+++ b/internal/tomlfile/tomlfile_test.go
@@ -14,7 +14,7 @@
 	Length  Duration  `toml:"length"`
 	Grace   *Duration `toml:"grace"`
 	Count   int       `toml:"count"`
-	Share   float64   // its key is the name of the field
+	Ratio   float64   // its key is the name of the field
 	Servers struct {
 		Every Duration `toml:"every"`
 	} `toml:"servers"`
@@ -28,7 +28,7 @@
 const validFile = `length = "5s"
 grace = "250ms"
 count = 8
-share = 0.5
+ratio = 0.5
 
 [servers]
 every = "1m"
@@ -62,11 +62,11 @@
 			t.Errorf("%s is %v, want %v", test.key, time.Duration(test.got), test.want)
 		}
 	}
-	if file.Count != 8 || file.Share != 0.5 || file.Fault[1].Size != 3 {
-		t.Errorf("count %d, share %v, size %v, want 8, 0.5 and 3", file.Count, file.Share, file.Fault[1].Size)
+	if file.Count != 8 || file.Ratio != 0.5 || file.Fault[1].Size != 3 {
+		t.Errorf("count %d, ratio %v, size %v, want 8, 0.5 and 3", file.Count, file.Ratio, file.Fault[1].Size)
 	}
 	for key, want := range map[string]int{
-		"length": 1, "share": 4, "servers": 6, "servers.every": 7, "fault[0]": 9, "fault[0].at": 11, "fault[1].size": 15,
+		"length": 1, "ratio": 4, "servers": 6, "servers.every": 7, "fault[0]": 9, "fault[0].at": 11, "fault[1].size": 15,
 		"fault[1].absent": 13, "servers.absent.deeper": 6, "absent": 0, "": 0,
 	} {
 		if got := index.Line(key); got != want {
