--- a/internal/sidecar/acceptance_test.go
+++ b/internal/sidecar/acceptance_test.go
@@ -9,19 +9,24 @@
 	"sync/atomic"
 	"testing"
 	"time"
+
+	"marblelane/internal/sidecar/configtest"
+	"marblelane/internal/sidecar/endpointlist"
+	"marblelane/internal/sidecar/inflight"
+	"marblelane/internal/sidecar/sidecartest"
 )
 
 // Clients that stop in the middle of a request and stay get an error or a close within 3 s of connecting, and those
 // that send 60 MB within 6 s; with the program's own bounds on a connection.
 func TestClientsThatStopAreSentAwayInTime(t *testing.T) {
 	const owed, owedLarge = 3 * time.Second, 6 * time.Second
-	before := wireRequest("1", "Content-Length: 1000\r\n", "")
-	chunked := wireRequest("2", "Transfer-Encoding: chunked\r\n", "")
-	large := wireRequest("3", "Content-Length: 60000000\r\n", "")
-	b := newBackend(t, "a", ok)
-	s := start(t, newConf(newRegistry(t).addr(), b.target))
+	before := sidecartest.WireRequest("1", "Content-Length: 1000\r\n", "")
+	chunked := sidecartest.WireRequest("2", "Transfer-Encoding: chunked\r\n", "")
+	large := sidecartest.WireRequest("3", "Content-Length: 60000000\r\n", "")
+	b := sidecartest.NewBackend(t, "a", sidecartest.OK)
+	s := start(t, configtest.NewConf(sidecartest.NewRegistry(t).Addr(), b.Target))
 	var clients sync.WaitGroup
-	lag := machineLag(t)
+	lag := sidecartest.MachineLag(t)
 	for name, test := range map[string]struct {
 		text  string
 		more  io.Reader
@@ -42,9 +47,9 @@
 		"half a chunk":               {text: chunked + "10\r\nbbbb", owed: owed},
 		"chunks without the last":    {text: chunked + "4\r\nbbbb\r\n", owed: owed},
 		"chunks without their end":   {text: chunked + "4\r\nbbbb\r\n0\r\n", owed: owed},
-		"60 MB":                      {text: large, more: io.LimitReader(zeros{}, 60_000_000), owed: owedLarge},
-		"60 MB that stops at 1 MB":   {text: large, more: io.LimitReader(zeros{}, 1_000_000), owed: owedLarge},
-		"60 MB that stops at 100 kB": {text: large, more: io.LimitReader(zeros{}, 100_000), owed: owedLarge},
+		"60 MB":                      {text: large, more: io.LimitReader(sidecartest.Zeros{}, 60_000_000), owed: owedLarge},
+		"60 MB that stops at 1 MB":   {text: large, more: io.LimitReader(sidecartest.Zeros{}, 1_000_000), owed: owedLarge},
+		"60 MB that stops at 100 kB": {text: large, more: io.LimitReader(sidecartest.Zeros{}, 100_000), owed: owedLarge},
 	} {
 		clients.Go(func() {
 			began := time.Now()
@@ -61,7 +66,7 @@
 					io.Copy(c, test.more)
 				}
 			}()
-			c.SetReadDeadline(began.Add(patience))
+			c.SetReadDeadline(began.Add(sidecartest.Patience))
 			c.Read(make([]byte, 1)) // an error or a close
 			if took := time.Since(began); took > test.owed+lag() {
 				t.Errorf("%s: an answer or an end after %v, owed within %v", name, took, test.owed)
@@ -69,7 +74,7 @@
 		})
 	}
 	clients.Wait()
-	if n := b.requests.Load(); n != 0 {
+	if n := b.Requests.Load(); n != 0 {
 		t.Errorf("%d whole requests reached the server, want none", n)
 	}
 }
@@ -78,14 +83,14 @@
 // attempt, and the server is used as before.
 func TestLittleTimeIsAnsweredInTime(t *testing.T) {
 	var seen sync.Map // attempts by request id
-	b := newBackend(t, "a", func(c net.Conn, r *http.Request, body string) bool {
+	b := sidecartest.NewBackend(t, "a", func(c net.Conn, r *http.Request, body string) bool {
 		n, _ := seen.LoadOrStore(r.Header.Get("X-Request-ID"), new(atomic.Int64))
 		n.(*atomic.Int64).Add(1)
-		return len(r.Header.Get("X-Timeout-Ms")) < 3 || ok(c, r, body)
+		return len(r.Header.Get("X-Timeout-Ms")) < 3 || sidecartest.OK(c, r, body)
 	})
-	s := start(t, newConf(newRegistry(t).addr(), b.target))
+	s := start(t, configtest.NewConf(sidecartest.NewRegistry(t).Addr(), b.Target))
 	const slack = 500 * time.Millisecond // later it is lost
-	lag := machineLag(t)
+	lag := sidecartest.MachineLag(t)
 	for _, class := range []string{"lookup", "reserve", "charge"} {
 		for _, left := range []time.Duration{1, 2, 5, 10, 20} {
 			got := s.do(s.request(class, left*time.Millisecond))
@@ -115,13 +120,13 @@
 		"short":               {100, 1, 0},
 		"short, in pieces":    {100, 5, 0},
 		"short, slow":         {100, 5, 40 * time.Millisecond},
-		"held whole":          {holdMost, 4, 0},
-		"long":                {4 * holdMost, 4, 0},
-		"long, slow":          {4 * holdMost, 4, 40 * time.Millisecond},
-		"long, late and slow": {2 * holdMost, 2, 200 * time.Millisecond},
+		"held whole":          {inflight.MaxHeldBody, 4, 0},
+		"long":                {4 * inflight.MaxHeldBody, 4, 0},
+		"long, slow":          {4 * inflight.MaxHeldBody, 4, 40 * time.Millisecond},
+		"long, late and slow": {2 * inflight.MaxHeldBody, 2, 200 * time.Millisecond},
 	} {
 		t.Run(name, func(t *testing.T) {
-			b := newBackend(t, "a", func(c net.Conn, _ *http.Request, _ string) bool {
+			b := sidecartest.NewBackend(t, "a", func(c net.Conn, _ *http.Request, _ string) bool {
 				io.WriteString(c, "HTTP/1.1 200 OK\r\n\r\n")
 				for range test.parts {
 					time.Sleep(test.pause)
@@ -129,7 +134,7 @@
 				}
 				return false
 			})
-			s := start(t, newConf(newRegistry(t).addr(), b.target))
+			s := start(t, configtest.NewConf(sidecartest.NewRegistry(t).Addr(), b.Target))
 			const asked = 10
 			var answers []<-chan result
 			for i := range asked {
@@ -137,7 +142,7 @@
 			}
 			whole := 0
 			for _, answer := range answers {
-				if got := receive(t, "an answer", answer); got.status == 200 && len(got.body) == test.size {
+				if got := sidecartest.Receive(t, "an answer", answer); got.status == 200 && len(got.body) == test.size {
 					whole++
 				}
 			}
@@ -150,28 +155,28 @@
 
 // Idle connections that a server ends in order or by a reset cost no request, not even one that must not run twice.
 func TestIdleConnectionsThatServersEnd(t *testing.T) {
-	for name, end := range ends {
+	for name, end := range sidecartest.Ends {
 		t.Run(name, func(t *testing.T) {
-			b := newBackend(t, "a", ok)
-			s := start(t, newConf(newRegistry(t).addr(), b.target))
+			b := sidecartest.NewBackend(t, "a", sidecartest.OK)
+			s := start(t, configtest.NewConf(sidecartest.NewRegistry(t).Addr(), b.Target))
 			for range 5 {
 				var answers []<-chan result
 				for range 4 { // so that several connections are idle
 					answers = append(answers, s.goDo(s.request("charge", time.Second)))
 				}
 				for _, answer := range answers {
-					if got := receive(t, "an answer", answer); got.status != 200 {
+					if got := sidecartest.Receive(t, "an answer", answer); got.status != 200 {
 						t.Errorf("%+v", got)
 					}
 				}
-				b.mu.Lock()
-				for c := range b.open {
+				b.Mu.Lock()
+				for c := range b.Open {
 					end(c.(*net.TCPConn))
 				}
-				clear(b.open)
-				b.mu.Unlock()
+				clear(b.Open)
+				b.Mu.Unlock()
 			}
-			if n := b.requests.Load(); n != 20 {
+			if n := b.Requests.Load(); n != 20 {
 				t.Errorf("%d requests at the server, want 20", n)
 			}
 		})
@@ -181,8 +186,8 @@
 // Attempts that fail at once, each in its way, end in one answer and no more attempts than the settings allow, of which
 // those of a class that must not run twice are one.
 func TestRetriesThatFailAtOnce(t *testing.T) {
-	for name, serve := range map[string]serveOne{
-		"error": respond("HTTP/1.1 500 Oh\r\nContent-Length: 0\r\n\r\n", true),
+	for name, serve := range map[string]sidecartest.ServeOne{
+		"error": sidecartest.Respond("HTTP/1.1 500 Oh\r\nContent-Length: 0\r\n\r\n", true),
 		"close": func(net.Conn, *http.Request, string) bool { return false },
 		"reset": func(c net.Conn, _ *http.Request, _ string) bool {
 			c.(*net.TCPConn).SetLinger(0)
@@ -192,17 +197,17 @@
 		t.Run(name, func(t *testing.T) {
 			var mu sync.Mutex
 			attempts := map[string]int{}
-			var servers []target
+			var servers []endpointlist.Target
 			for _, uid := range []string{"a", "b", "c", "d"} {
-				b := newBackend(t, uid, func(c net.Conn, r *http.Request, body string) bool {
+				b := sidecartest.NewBackend(t, uid, func(c net.Conn, r *http.Request, body string) bool {
 					mu.Lock()
 					attempts[r.Header.Get("X-Request-ID")]++
 					mu.Unlock()
 					return serve(c, r, body)
 				})
-				servers = append(servers, b.target)
+				servers = append(servers, b.Target)
 			}
-			s := start(t, newConf(newRegistry(t).addr(), servers...))
+			s := start(t, configtest.NewConf(sidecartest.NewRegistry(t).Addr(), servers...))
 			for _, class := range []string{"lookup", "reserve", "charge"} {
 				most := 3
 				if class == "charge" {
--- a/internal/sidecar/body_test.go
+++ b/internal/sidecar/body_test.go
@@ -3,7 +3,6 @@
 import (
 	"bufio"
 	"bytes"
-	"errors"
 	"fmt"
 	"hash/fnv"
 	"io"
@@ -14,18 +13,13 @@
 	"sync"
 	"testing"
 	"time"
-)
 
-// pattern is a body of so many bytes that no part of is like another.
-func pattern(n int) []byte {
-	b := make([]byte, n)
-	x := uint32(n)
-	for i := range b {
-		x = x*1664525 + 1013904223
-		b[i] = byte(x >> 24)
-	}
-	return b
-}
+	"marblelane/internal/sidecar/clientserver"
+	"marblelane/internal/sidecar/configtest"
+	"marblelane/internal/sidecar/endpointlist"
+	"marblelane/internal/sidecar/inflight"
+	"marblelane/internal/sidecar/sidecartest"
+)
 
 func sum(b []byte) string {
 	h := fnv.New64a()
@@ -33,42 +27,14 @@
 	return fmt.Sprintf("%d bytes, %x", len(b), h.Sum64())
 }
 
-// rawBackend is a server that does as the test says with each connection from its first byte on.
-func rawBackend(t *testing.T, uid string, serve func(c net.Conn, in *bufio.Reader)) target {
-	t.Helper()
-	l, err := net.Listen("tcp", loopback)
-	if err != nil {
-		t.Fatal(err)
-	}
-	var ended sync.WaitGroup
-	ended.Go(func() {
-		for {
-			c, err := l.Accept()
-			if err != nil {
-				return
-			}
-			ended.Go(func() {
-				defer c.Close()
-				c.SetDeadline(time.Now().Add(patience))
-				serve(c, bufio.NewReader(c))
-			})
-		}
-	})
-	t.Cleanup(func() {
-		l.Close()
-		ended.Wait()
-	})
-	return ready(uid, l.Addr().String())
-}
-
 // Bodies and answers of all sizes and framings pass unchanged.
 func TestSizes(t *testing.T) {
-	for _, size := range []int{0, 1, holdMost, holdMost + 1, holdMore + 1, maxBody} {
+	for _, size := range []int{0, 1, inflight.MaxHeldBody, inflight.MaxHeldBody + 1, clientserver.HoldMore + 1, inflight.MaxBody} {
 		for _, chunked := range []bool{false, true} {
 			t.Run(fmt.Sprintf("%d, chunked %v", size, chunked), func(t *testing.T) {
-				want := pattern(size)
-				b := newBackend(t, "a", func(c net.Conn, r *http.Request, body string) bool {
-					if got := sum([]byte(body)); got != sum(want) || (r.ContentLength < 0) != (chunked && size > holdMost) {
+				want := sidecartest.Pattern(size)
+				b := sidecartest.NewBackend(t, "a", func(c net.Conn, r *http.Request, body string) bool {
+					if got := sum([]byte(body)); got != sum(want) || (r.ContentLength < 0) != (chunked && size > inflight.MaxHeldBody) {
 						t.Errorf("the server got %s %s with %s of length %d, %v", r.Method, r.URL, got, r.ContentLength, r.Header)
 					}
 					resp := http.Response{
@@ -80,8 +46,8 @@
 					}
 					return resp.Write(c) == nil
 				})
-				s := start(t, newConf(newRegistry(t).addr(), b.target))
-				req := s.request("charge", patience)
+				s := start(t, configtest.NewConf(sidecartest.NewRegistry(t).Addr(), b.Target))
+				req := s.request("charge", sidecartest.Patience)
 				req.Body, req.ContentLength = io.NopCloser(bytes.NewReader(want)), int64(size)
 				if chunked {
 					req.ContentLength = -1
@@ -99,19 +65,19 @@
 
 // The client's time counts from its last byte, however long the body takes.
 func TestTimeCountsFromTheLastByte(t *testing.T) {
-	b := newBackend(t, "a", ok)
-	s := start(t, newConf(newRegistry(t).addr(), b.target).
-		setting(`"on_time_ms": 500, "hard_limit_ms": 1000}]`, `"on_time_ms": 50, "hard_limit_ms": 100}]`))
+	b := sidecartest.NewBackend(t, "a", sidecartest.OK)
+	s := start(t, configtest.NewConf(sidecartest.NewRegistry(t).Addr(), b.Target).
+		Setting(`"on_time_ms": 500, "hard_limit_ms": 1000}]`, `"on_time_ms": 50, "hard_limit_ms": 100}]`))
 	in, out := io.Pipe()
 	req := s.request("charge", 100*time.Millisecond)
 	req.Body, req.ContentLength = in, -1
 	done := s.goDo(req)
 	for range 4 {
-		out.Write(make([]byte, holdMost/2))
+		out.Write(make([]byte, inflight.MaxHeldBody/2))
 		time.Sleep(60 * time.Millisecond) // longer than the deadline, all in all
 	}
 	out.Close()
-	if got := receive(t, "the answer", done); got.status != 200 {
+	if got := sidecartest.Receive(t, "the answer", done); got.status != 200 {
 		t.Errorf("%+v", got)
 	}
 }
@@ -130,7 +96,7 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { c.Close() })
-	c.SetDeadline(time.Now().Add(max(patience, wait)))
+	c.SetDeadline(time.Now().Add(max(sidecartest.Patience, wait)))
 	_, err = fmt.Fprintf(c, "POST /api HTTP/1.1\r\nHost: b\r\nX-Request-ID: %d\r\nX-Priority-Class: charge\r\n"+
 		"X-Tenant-Id: kita\r\nX-Timeout-Ms: %d\r\n%s\r\n\r\n%s", requestIDs.Add(1), wait.Milliseconds(), framing, body)
 	if err != nil {
@@ -142,7 +108,7 @@
 // A body that is cut short, malformed, too large or never comes reaches no server as a request; the client gets a
 // 4xx or a close.
 func TestBodiesThatAreNotWhole(t *testing.T) {
-	part := strings.Repeat("x", 3*holdMost)
+	part := strings.Repeat("x", 3*inflight.MaxHeldBody)
 	chunk := fmt.Sprintf("%x\r\n%s\r\n", len(part), part)
 	for name, test := range map[string]struct {
 		framing, body string
@@ -156,13 +122,13 @@
 		"malformed chunk":     {"Transfer-Encoding: chunked", chunk + "no number\r\n", nil, 400},
 		"silent":              {"Content-Length: 1000000", part, nil, 408},
 		"silent, held":        {"Content-Length: 100", "x", nil, 408},
-		"too large":           {fmt.Sprintf("Content-Length: %d", maxBody+1), "", nil, 413},
+		"too large":           {fmt.Sprintf("Content-Length: %d", inflight.MaxBody+1), "", nil, 413},
 		"too large, unframed": {"Content-Length: 99999999999999999999", part, nil, 400},
 	} {
 		t.Run(name, func(t *testing.T) {
 			gone := make(chan string, 4)
 			whole := make(chan bool, 4)
-			at := rawBackend(t, "a", func(c net.Conn, in *bufio.Reader) {
+			at := sidecartest.RawBackend(t, "a", func(c net.Conn, in *bufio.Reader) {
 				req, err := http.ReadRequest(in)
 				if err != nil {
 					return
@@ -172,7 +138,7 @@
 				}
 				gone <- "gone"
 			})
-			s := start(t, newConf(newRegistry(t).addr(), at), func(s *Sidecar) { s.frontend.peerWait = 300 * time.Millisecond })
+			s := start(t, configtest.NewConf(sidecartest.NewRegistry(t).Addr(), at), func(s *Sidecar) { s.clients.ReadTimeout = 300 * time.Millisecond })
 			c := s.upload(t, test.framing, test.body)
 			if test.end != nil {
 				test.end(c)
@@ -183,7 +149,7 @@
 					t.Errorf("%+v, %v, want %d", resp, err, test.want)
 				}
 			}
-			until(t, "it to be over", func() bool { return s.frontend.taken.Load() == 0 })
+			sidecartest.Until(t, "it to be over", func() bool { return s.clients.Requests.Load() == 0 })
 			select {
 			case <-whole:
 				t.Error("the server got a whole request")
@@ -195,7 +161,7 @@
 
 // A server that turns a request away before its body is whole: it goes elsewhere as long as all of it is held.
 func TestTurnedAwayUnderABody(t *testing.T) {
-	size := 8 * holdMost
+	size := 8 * inflight.MaxHeldBody
 	for _, held := range []bool{true, false} {
 		t.Run(fmt.Sprintf("held %v", held), func(t *testing.T) {
 			away := func(c net.Conn, in *bufio.Reader) {
@@ -204,34 +170,34 @@
 					return
 				}
 				if !held {
-					io.CopyN(io.Discard, req.Body, holdMost+1)
+					io.CopyN(io.Discard, req.Body, inflight.MaxHeldBody+1)
 				}
 				io.WriteString(c, "HTTP/1.1 503 Full\r\nX-Not-Processed: 1\r\nContent-Length: 0\r\nConnection: close\r\n\r\n")
 				c.(*net.TCPConn).CloseWrite()
 				io.Copy(io.Discard, in)
 			}
-			c := newConf(newRegistry(t).addr(), rawBackend(t, "a", away), rawBackend(t, "b", away))
-			good := newBackend(t, "c", func(c net.Conn, r *http.Request, body string) bool {
+			c := configtest.NewConf(sidecartest.NewRegistry(t).Addr(), sidecartest.RawBackend(t, "a", away), sidecartest.RawBackend(t, "b", away))
+			good := sidecartest.NewBackend(t, "c", func(c net.Conn, r *http.Request, body string) bool {
 				if len(body) != size {
 					t.Errorf("the server got %d bytes", len(body))
 				}
-				return ok(c, r, body)
+				return sidecartest.OK(c, r, body)
 			})
 			if held { // the third to be asked
-				c["known"] = list{Rev: 1, All: true, Targets: append(c["known"].(list).Targets, good.target)}
+				c["known"] = endpointlist.List{Rev: 1, All: true, Targets: append(c["known"].(endpointlist.List).Targets, good.Target)}
 			}
 			s := start(t, c)
-			conn := s.upload(t, "Transfer-Encoding: chunked", fmt.Sprintf("%x\r\n%s\r\n", holdMost+1, strings.Repeat("x", holdMost+1)))
+			conn := s.upload(t, "Transfer-Encoding: chunked", fmt.Sprintf("%x\r\n%s\r\n", inflight.MaxHeldBody+1, strings.Repeat("x", inflight.MaxHeldBody+1)))
 			if held { // the others have turned it away by now
-				until(t, "the good server to be asked", func() bool { return good.conns.Load() > 0 })
+				sidecartest.Until(t, "the good server to be asked", func() bool { return good.Conns.Load() > 0 })
 			}
-			more := strings.Repeat("x", size-holdMost-1)
+			more := strings.Repeat("x", size-inflight.MaxHeldBody-1)
 			fmt.Fprintf(conn, "%x\r\n%s\r\n0\r\n\r\n", len(more), more)
 			resp, err := http.ReadResponse(bufio.NewReader(conn), nil)
 			if err != nil {
 				t.Fatal(err)
 			}
-			if want := map[bool]int{true: 200, false: statusRefused}[held]; resp.StatusCode != want {
+			if want := map[bool]int{true: 200, false: inflight.StatusRejected}[held]; resp.StatusCode != want {
 				t.Errorf("%s, want %d", resp.Status, want)
 			}
 		})
@@ -244,8 +210,8 @@
 		t.Run(fmt.Sprintf("chunked %v", chunked), func(t *testing.T) {
 			goOn := make(chan struct{})
 			release := sync.OnceFunc(func() { close(goOn) })
-			first, rest := pattern(1000), pattern(4*holdMost)
-			at := rawBackend(t, "a", func(c net.Conn, in *bufio.Reader) {
+			first, rest := sidecartest.Pattern(1000), sidecartest.Pattern(4*inflight.MaxHeldBody)
+			at := sidecartest.RawBackend(t, "a", func(c net.Conn, in *bufio.Reader) {
 				if _, err := http.ReadRequest(in); err != nil {
 					return
 				}
@@ -262,7 +228,7 @@
 				}
 			})
 			t.Cleanup(release)
-			s := start(t, newConf(newRegistry(t).addr(), at))
+			s := start(t, configtest.NewConf(sidecartest.NewRegistry(t).Addr(), at))
 			deadline := 200 * time.Millisecond
 			began := time.Now()
 			resp, err := s.client.Do(s.request("charge", deadline))
@@ -287,19 +253,19 @@
 // A long answer that breaks off ends so that the client can tell, whatever its framing.
 func TestLongAnswerThatBreaksOff(t *testing.T) {
 	for name, answer := range map[string]string{
-		"length":  "HTTP/1.1 200 OK\r\nContent-Length: 1000000\r\n\r\n" + string(pattern(holdMost+1)),
-		"chunked": fmt.Sprintf("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n%x\r\n%s\r\n", 2*holdMost, pattern(2*holdMost)),
+		"length":  "HTTP/1.1 200 OK\r\nContent-Length: 1000000\r\n\r\n" + string(sidecartest.Pattern(inflight.MaxHeldBody+1)),
+		"chunked": fmt.Sprintf("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n%x\r\n%s\r\n", 2*inflight.MaxHeldBody, sidecartest.Pattern(2*inflight.MaxHeldBody)),
 	} {
 		for _, proto := range []string{"HTTP/1.1", "HTTP/1.0"} {
 			t.Run(name+" "+proto, func(t *testing.T) {
-				b := newBackend(t, "a", respond(answer, false))
-				s := start(t, newConf(newRegistry(t).addr(), b.target))
+				b := sidecartest.NewBackend(t, "a", sidecartest.Respond(answer, false))
+				s := start(t, configtest.NewConf(sidecartest.NewRegistry(t).Addr(), b.Target))
 				c, err := net.Dial("tcp", s.Addr())
 				if err != nil {
 					t.Fatal(err)
 				}
 				defer c.Close()
-				c.SetDeadline(time.Now().Add(patience))
+				c.SetDeadline(time.Now().Add(sidecartest.Patience))
 				fmt.Fprintf(c, "GET /api %s\r\nHost: b\r\nX-Request-ID: 1\r\nX-Priority-Class: lookup\r\nX-Tenant-Id: kita\r\n\r\n", proto)
 				resp, err := http.ReadResponse(bufio.NewReader(c), nil)
 				if err == nil {
@@ -311,8 +277,8 @@
 				if err == nil {
 					t.Error("the answer looks whole")
 				}
-				until(t, "it to be over", func() bool { return s.frontend.taken.Load() == 0 })
-				if n := b.requests.Load(); n != 1 {
+				sidecartest.Until(t, "it to be over", func() bool { return s.clients.Requests.Load() == 0 })
+				if n := b.Requests.Load(); n != 1 {
 					t.Errorf("%d attempts", n)
 				}
 			})
@@ -322,19 +288,19 @@
 
 // An answer without end is cut off, and the client can tell.
 func TestAnswerWithoutEnd(t *testing.T) {
-	at := rawBackend(t, "a", func(c net.Conn, in *bufio.Reader) {
+	at := sidecartest.RawBackend(t, "a", func(c net.Conn, in *bufio.Reader) {
 		if _, err := http.ReadRequest(in); err == nil {
 			io.WriteString(c, "HTTP/1.1 200 OK\r\n\r\n")
-			io.Copy(c, zeros{})
+			io.Copy(c, sidecartest.Zeros{})
 		}
 	})
-	s := start(t, newConf(newRegistry(t).addr(), at))
+	s := start(t, configtest.NewConf(sidecartest.NewRegistry(t).Addr(), at))
 	resp, err := s.client.Do(s.request("charge", time.Second))
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer resp.Body.Close()
-	if n, err := io.Copy(io.Discard, resp.Body); err == nil || n > maxBody {
+	if n, err := io.Copy(io.Discard, resp.Body); err == nil || n > inflight.MaxBody {
 		t.Errorf("%d bytes, %v", n, err)
 	}
 }
@@ -344,7 +310,7 @@
 	const at, size = 48, 4 << 20 // more took a busy machine longer than the requests' time
 	released := make(chan struct{})
 	release := sync.OnceFunc(func() { close(released) })
-	server := rawBackend(t, "a", func(c net.Conn, in *bufio.Reader) {
+	server := sidecartest.RawBackend(t, "a", func(c net.Conn, in *bufio.Reader) {
 		req, err := http.ReadRequest(in)
 		if err != nil {
 			return
@@ -352,26 +318,26 @@
 		<-released // it reads nothing, then all
 		io.Copy(io.Discard, req.Body)
 		fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\nConnection: close\r\n\r\n", size)
-		io.CopyN(c, zeros{}, size)
+		io.CopyN(c, sidecartest.Zeros{}, size)
 	})
 	// A dial that a busy machine makes slow is no matter of memory.
-	s := start(t, newConf(newRegistry(t).addr(), server).setting(`"connect_timeout_ms": 100`, `"connect_timeout_ms": 60000`))
+	s := start(t, configtest.NewConf(sidecartest.NewRegistry(t).Addr(), server).Setting(`"connect_timeout_ms": 100`, `"connect_timeout_ms": 60000`))
 	t.Cleanup(release)
 	var sent sync.WaitGroup
 	var conns []net.Conn
 	for range at {
 		c := s.uploadWithin(t, 2*time.Minute, fmt.Sprintf("Content-Length: %d", size), "")
 		conns = append(conns, c)
-		sent.Go(func() { io.CopyN(c, zeros{}, size) })
+		sent.Go(func() { io.CopyN(c, sidecartest.Zeros{}, size) })
 	}
-	until(t, "all at the server", func() bool { return s.frontend.taken.Load() == at })
+	sidecartest.Until(t, "all at the server", func() bool { return s.clients.Requests.Load() == at })
 	heap := func() uint64 {
 		var m runtime.MemStats
 		runtime.GC()
 		runtime.ReadMemStats(&m)
 		return m.HeapAlloc >> 20
 	}
-	const most = at * 4 * holdMost >> 20
+	const most = at * 4 * inflight.MaxHeldBody >> 20
 	if mb := heap(); mb > most {
 		t.Errorf("%d MB are held on the way to the server, at most %d of %d are allowed", mb, most, at*size>>20)
 	}
@@ -394,9 +360,9 @@
 // Requests at a time are bounded by memory where there are more sockets than it would do for.
 func TestMemoryBoundsRequests(t *testing.T) {
 	for mb, want := range map[int]int{0: 432, 32: 170, 192: 432} {
-		c := newConf("127.0.0.1:1")
+		c := configtest.NewConf("127.0.0.1:1")
 		c["limits"] = map[string]any{"sockets": 1024, "memory_mb": mb}
-		cfg, err := c.load(t)
+		cfg, err := c.Load(t)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -405,38 +371,8 @@
 			t.Fatal(err)
 		}
 		s.listener.Close()
-		if got := s.budget.taken; got != want {
+		if got := s.budget.requests; got != want {
 			t.Errorf("%d MB: %d requests at a time, want %d", mb, got, want)
 		}
 	}
 }
-
-type zeros struct{}
-
-func (zeros) Read(p []byte) (int, error) { return len(p), nil }
-
-// Only the time spent waiting for the client counts, and only what it sends buys more.
-func TestPacedBody(t *testing.T) {
-	var until time.Time
-	p := &pacedBody{
-		body: zeros{}, left: 100 * time.Millisecond,
-		until: func(t time.Time) error { until = t; return nil },
-	}
-	p.Read(make([]byte, slowestBody))
-	if wait := time.Until(until); wait > 100*time.Millisecond {
-		t.Errorf("%v for the first byte", wait)
-	}
-	p.Read(make([]byte, 1))
-	if wait := time.Until(until); wait < time.Second || wait > 1200*time.Millisecond {
-		t.Errorf("%v after what takes a second", wait)
-	}
-	p.waited = 900 * time.Millisecond
-	p.Read(make([]byte, 1))
-	if wait := time.Until(until); wait > 250*time.Millisecond {
-		t.Errorf("%v after 900 ms", wait)
-	}
-	p.read = maxBody
-	if _, err := p.Read(make([]byte, 1)); !errors.Is(err, errBodyLarge) {
-		t.Errorf("above the most: %v", err)
-	}
-}
--- a/internal/sidecar/client_gone_test.go
+++ b/internal/sidecar/client_gone_test.go
@@ -7,7 +7,6 @@
 	"io"
 	"net"
 	"net/http"
-	"sync"
 	"sync/atomic"
 	"syscall"
 	"testing"
@@ -16,41 +15,42 @@
 	"golang.org/x/sys/unix"
 
 	"marblelane/balance"
+	"marblelane/internal/sidecar/clientserver"
+	"marblelane/internal/sidecar/configtest"
+	"marblelane/internal/sidecar/discovery"
+	"marblelane/internal/sidecar/endpointlist"
+	"marblelane/internal/sidecar/eventloop"
+	"marblelane/internal/sidecar/inflight"
+	"marblelane/internal/sidecar/netcall"
+	"marblelane/internal/sidecar/sidecartest"
 )
 
 // never is a time between looks that no test lives to see.
 const never = time.Hour
 
-// ends are the ways in which a client leaves.
-var ends = map[string]func(*net.TCPConn){
-	"close":      func(c *net.TCPConn) { c.Close() },
-	"half-close": func(c *net.TCPConn) { c.CloseWrite() },
-	"reset":      func(c *net.TCPConn) { c.SetLinger(0); c.Close() },
-}
-
 // leaver is a client that sends one request and leaves before its answer.
 type leaver struct {
 	*net.TCPConn
 	t    *testing.T
-	host *clientConn // its connection in the sidecar
+	host *clientserver.ClientConn // its connection in the sidecar
 }
 
 // leave sends a request and returns the client once the sidecar works at it.
 func (r *running) leaver(t *testing.T, class, proto, lines, body string) *leaver {
 	t.Helper()
-	before := r.frontend.taken.Load()
-	known := map[*clientConn]bool{}
-	r.listener.mu.Lock()
-	for g := range r.listener.conns {
+	before := r.clients.Requests.Load()
+	known := map[*clientserver.ClientConn]bool{}
+	r.listener.Mu.Lock()
+	for g := range r.listener.Conns {
 		known[g] = true
 	}
-	r.listener.mu.Unlock()
+	r.listener.Mu.Unlock()
 	c, err := net.Dial("tcp", r.Addr())
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { c.Close() })
-	c.SetDeadline(time.Now().Add(patience))
+	c.SetDeadline(time.Now().Add(sidecartest.Patience))
 	method := "POST"
 	if class == "lookup" {
 		method = "GET"
@@ -60,11 +60,11 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	until(t, "the request to be taken", func() bool { return r.frontend.taken.Load() > before })
+	sidecartest.Until(t, "the request to be taken", func() bool { return r.clients.Requests.Load() > before })
 	l := &leaver{TCPConn: c.(*net.TCPConn), t: t}
-	r.listener.mu.Lock()
-	defer r.listener.mu.Unlock()
-	for g := range r.listener.conns {
+	r.listener.Mu.Lock()
+	defer r.listener.Mu.Unlock()
+	for g := range r.listener.Conns {
 		if !known[g] {
 			l.host = g
 		}
@@ -76,49 +76,27 @@
 // net/http reads while a request is at work.
 func (l *leaver) sendAhead() {
 	l.t.Helper()
-	heard := l.host.heard.Load()
+	heard := l.host.LastRead.Load()
 	if _, err := io.WriteString(l, "\r"); err != nil {
 		l.t.Fatal(err)
 	}
-	until(l.t, "a byte to be read ahead", func() bool { return l.host.heard.Load() > heard })
+	sidecartest.Until(l.t, "a byte to be read ahead", func() bool { return l.host.LastRead.Load() > heard })
 	if _, err := io.WriteString(l, "\nGET"); err != nil {
 		l.t.Fatal(err)
 	}
-	until(l.t, "more bytes to come", func() bool { _, unread := peek(l.host.Conn); return unread })
+	sidecartest.Until(l.t, "more bytes to come", func() bool { _, unread := netcall.Peek(l.host.Conn); return unread })
 }
 
 // leave ends the connection in one of the ways and returns once the system of the sidecar knows.
 func (l *leaver) leave(end func(*net.TCPConn)) {
 	l.t.Helper()
 	end(l.TCPConn)
-	until(l.t, "the end to arrive", func() bool {
-		state, err := systemStates.state(l.host.Conn)
+	sidecartest.Until(l.t, "the end to arrive", func() bool {
+		state, err := netcall.SystemConnStates.State(l.host.Conn)
 		return err != nil || state != unix.BPF_TCP_ESTABLISHED
 	})
 }
 
-// barrier holds whoever passes until it is opened.
-type barrier struct {
-	waiting atomic.Int64
-	open    chan struct{}
-	once    sync.Once
-}
-
-func newBarrier() *barrier { return &barrier{open: make(chan struct{})} }
-
-func (g *barrier) pass() {
-	g.waiting.Add(1)
-	<-g.open
-}
-
-func (g *barrier) release() { g.once.Do(func() { close(g.open) }) }
-
-// waitFor returns once so many wait at the gate.
-func (g *barrier) waitFor(t *testing.T, n int64) {
-	t.Helper()
-	until(t, "the gate to be reached", func() bool { return g.waiting.Load() >= n })
-}
-
 // Settings under which a request waits for a connection, or for a server to ask, longer than any test.
 const (
 	longDial = `"connect_timeout_ms": 60000`
@@ -126,32 +104,32 @@
 )
 
 // atDial starts a sidecar with one server, to which connections come up only once the gate is open.
-func atDial(t *testing.T, poll time.Duration) (*running, *backend, *barrier) {
+func atDial(t *testing.T, poll time.Duration) (*running, *sidecartest.Backend, *sidecartest.Barrier) {
 	t.Helper()
-	b, g := newBackend(t, "a", ok), newBarrier()
-	c := newConf(newRegistry(t).addr(), b.target).setting(`"connect_timeout_ms": 100`, longDial)
+	b, g := sidecartest.NewBackend(t, "a", sidecartest.OK), sidecartest.NewBarrier()
+	c := configtest.NewConf(sidecartest.NewRegistry(t).Addr(), b.Target).Setting(`"connect_timeout_ms": 100`, longDial)
 	s := start(t, c, func(s *Sidecar) {
-		s.frontend.clientPoll = poll
-		s.loop.pool.dialer.Control = func(string, string, syscall.RawConn) error { g.pass(); return nil }
+		s.clients.ClientPoll = poll
+		s.loop.Pool.Dialer.Control = func(string, string, syscall.RawConn) error { g.Pass(); return nil }
 	})
-	t.Cleanup(g.release) // before the sidecar ends
+	t.Cleanup(g.Release) // before the sidecar ends
 	return s, b, g
 }
 
 // nothingSent returns once all requests are over, and fails if a server got one of them.
-func (r *running) nothingSent(t *testing.T, servers ...*backend) {
+func (r *running) nothingSent(t *testing.T, servers ...*sidecartest.Backend) {
 	t.Helper()
-	until(t, "the request to be over", func() bool { return r.frontend.taken.Load() == 0 })
+	sidecartest.Until(t, "the request to be over", func() bool { return r.clients.Requests.Load() == 0 })
 	before := int64(0)
 	for _, b := range servers {
-		before += b.requests.Load()
+		before += b.Requests.Load()
 	}
-	if got := r.do(r.request("lookup", patience)); got.status != 200 { // servers have read all by then
+	if got := r.do(r.request("lookup", sidecartest.Patience)); got.status != 200 { // servers have read all by then
 		t.Errorf("another client gets %+v", got)
 	}
 	after := int64(-1)
 	for _, b := range servers {
-		after += b.requests.Load()
+		after += b.Requests.Load()
 	}
 	if after > 0 || before > 0 {
 		t.Errorf("servers got %d requests of a client that had gone", max(after, before))
@@ -160,15 +138,15 @@
 
 // A client that leaves behind bytes that nobody reads is seen by the attempt right before its first byte.
 func TestNoFirstByteForAClientThatHasGone(t *testing.T) {
-	for name, end := range ends {
+	for name, end := range sidecartest.Ends {
 		for _, proto := range []string{"HTTP/1.1", "HTTP/1.0"} {
 			t.Run(name+" "+proto, func(t *testing.T) {
 				s, b, dialing := atDial(t, never)
 				client := s.leaver(t, "lookup", proto, "", "")
-				dialing.waitFor(t, 1)
+				dialing.WaitFor(t, 1)
 				client.sendAhead()
 				client.leave(end)
-				dialing.release()
+				dialing.Release()
 				s.nothingSent(t, b)
 			})
 		}
@@ -178,34 +156,33 @@
 // A client that leaves behind unread bytes while its request waits ends it long before its time is over: it does not
 // count as load, and a connection that was on its way for it is kept for others.
 func TestWaitingRequestEndsWithItsClient(t *testing.T) {
-	for name, end := range ends {
+	for name, end := range sidecartest.Ends {
 		t.Run("held, "+name, func(t *testing.T) {
-			registry := newRegistry(t)
-			s := start(t, newConf(registry.addr()).setting(`"on_time_ms": 750, "hard_limit_ms": 2500`, longWait))
-			watch := receive(t, "a call", registry.calls)
+			registry := sidecartest.NewRegistry(t)
+			s := start(t, configtest.NewConf(registry.Addr()).Setting(`"on_time_ms": 750, "hard_limit_ms": 2500`, longWait))
+			watch := sidecartest.Receive(t, "a call", registry.Calls)
 			client := s.leaver(t, "lookup", "HTTP/1.1", "", "")
 			client.sendAhead()
 			client.leave(end)
-			until(t, "the request to be over", func() bool { return s.frontend.taken.Load() == 0 })
-			b := newBackend(t, "a", ok)
-			watch.send(t, list{Rev: 2, All: true, Targets: []target{b.target}})
+			sidecartest.Until(t, "the request to be over", func() bool { return s.clients.Requests.Load() == 0 })
+			b := sidecartest.NewBackend(t, "a", sidecartest.OK)
+			watch.Send(t, endpointlist.List{Rev: 2, All: true, Targets: []endpointlist.Target{b.Target}})
 			s.nothingSent(t, b)
 		})
 		t.Run("dialing, "+name, func(t *testing.T) {
 			s, b, dialing := atDial(t, 0)
 			client := s.leaver(t, "lookup", "HTTP/1.1", "", "")
-			dialing.waitFor(t, 1)
+			dialing.WaitFor(t, 1)
 			client.sendAhead()
 			client.leave(end)
-			until(t, "the request to be over", func() bool { return s.frontend.taken.Load() == 0 })
-			dialing.release()
-			until(t, "the connection to be kept", func() bool {
-				s.loop.pool.mu.Lock()
-				defer s.loop.pool.mu.Unlock()
-				return len(s.loop.pool.kept) == 1
+			sidecartest.Until(t, "the request to be over", func() bool { return s.clients.Requests.Load() == 0 })
+			dialing.Release()
+			sidecartest.Until(t, "the connection to be kept", func() bool {
+				_, idle := s.loop.Pool.Counts()
+				return idle == 1
 			})
 			s.nothingSent(t, b)
-			if n := b.conns.Load(); n != 1 {
+			if n := b.Conns.Load(); n != 1 {
 				t.Errorf("%d connections, want the one that was on its way", n)
 			}
 		})
@@ -215,17 +192,17 @@
 // A request that nobody could be asked for is not sent to a server that is told of after its client has left, however
 // soon that is.
 func TestHeldRequestIsNotSentForAClientThatHasGone(t *testing.T) {
-	for name, end := range ends {
+	for name, end := range sidecartest.Ends {
 		t.Run(name, func(t *testing.T) {
-			registry := newRegistry(t)
-			c := newConf(registry.addr()).setting(`"on_time_ms": 750, "hard_limit_ms": 2500`, longWait)
-			s := start(t, c, func(s *Sidecar) { s.frontend.clientPoll = never })
-			watch := receive(t, "a call", registry.calls)
+			registry := sidecartest.NewRegistry(t)
+			c := configtest.NewConf(registry.Addr()).Setting(`"on_time_ms": 750, "hard_limit_ms": 2500`, longWait)
+			s := start(t, c, func(s *Sidecar) { s.clients.ClientPoll = never })
+			watch := sidecartest.Receive(t, "a call", registry.Calls)
 			client := s.leaver(t, "lookup", "HTTP/1.1", "", "")
 			client.sendAhead()
 			client.leave(end)
-			b := newBackend(t, "a", ok)
-			watch.send(t, list{Rev: 2, All: true, Targets: []target{b.target}})
+			b := sidecartest.NewBackend(t, "a", sidecartest.OK)
+			watch.Send(t, endpointlist.List{Rev: 2, All: true, Targets: []endpointlist.Target{b.Target}})
 			s.nothingSent(t, b)
 		})
 	}
@@ -233,36 +210,36 @@
 
 // No further attempt begins for a client that left during the one before, however that ended.
 func TestNoFurtherAttemptForAClientThatHasGone(t *testing.T) {
-	for how, first := range map[string]serveOne{
-		"turned away": respond("HTTP/1.1 503 No\r\nX-Not-Processed: 1\r\nContent-Length: 0\r\n\r\n", true),
-		"failed":      respond("HTTP/1.1 500 Oh\r\nContent-Length: 0\r\n\r\n", true),
+	for how, first := range map[string]sidecartest.ServeOne{
+		"turned away": sidecartest.Respond("HTTP/1.1 503 No\r\nX-Not-Processed: 1\r\nContent-Length: 0\r\n\r\n", true),
+		"failed":      sidecartest.Respond("HTTP/1.1 500 Oh\r\nContent-Length: 0\r\n\r\n", true),
 		"reset": func(c net.Conn, _ *http.Request, _ string) bool {
 			c.(*net.TCPConn).SetLinger(0)
 			return false
 		},
 	} {
-		for name, end := range ends {
+		for name, end := range sidecartest.Ends {
 			t.Run(how+", "+name, func(t *testing.T) {
-				answer := newBarrier()
+				answer := sidecartest.NewBarrier()
 				var asked atomic.Int64
 				serve := func(c net.Conn, r *http.Request, body string) bool {
 					if asked.Add(1) > 1 {
-						return ok(c, r, body)
+						return sidecartest.OK(c, r, body)
 					}
-					answer.pass()
+					answer.Pass()
 					return first(c, r, body)
 				}
-				b, other := newBackend(t, "a", serve), newBackend(t, "b", serve)
-				s := start(t, newConf(newRegistry(t).addr(), b.target, other.target), func(s *Sidecar) {
-					s.frontend.clientPoll = never
+				b, other := sidecartest.NewBackend(t, "a", serve), sidecartest.NewBackend(t, "b", serve)
+				s := start(t, configtest.NewConf(sidecartest.NewRegistry(t).Addr(), b.Target, other.Target), func(s *Sidecar) {
+					s.clients.ClientPoll = never
 				})
-				t.Cleanup(answer.release)
+				t.Cleanup(answer.Release)
 				client := s.leaver(t, "lookup", "HTTP/1.1", "", "")
-				answer.waitFor(t, 1)
+				answer.WaitFor(t, 1)
 				client.sendAhead()
 				client.leave(end)
-				answer.release()
-				until(t, "the request to be over", func() bool { return s.frontend.taken.Load() == 0 })
+				answer.Release()
+				sidecartest.Until(t, "the request to be over", func() bool { return s.clients.Requests.Load() == 0 })
 				if got := s.do(s.request("lookup", time.Second)); got.status != 200 {
 					t.Errorf("another client gets %+v", got)
 				}
@@ -276,16 +253,16 @@
 
 // The same holds for a body that is passed on, whole or not when its client leaves.
 func TestNoFirstByteOfAnUploadForAClientThatHasGone(t *testing.T) {
-	const length = holdMost / 2 // that the system takes in whole
+	const length = inflight.MaxHeldBody / 2 // that the system takes in whole
 	for _, sent := range []int{length / 2, length} {
-		for name, end := range ends {
+		for name, end := range sidecartest.Ends {
 			t.Run(fmt.Sprintf("%d bytes, %s", sent, name), func(t *testing.T) {
 				s, b, dialing := atDial(t, never)
-				s.frontend.memory.set(0) // nothing more than the least is held
-				client := s.leaver(t, "charge", "HTTP/1.1", fmt.Sprintf("Content-Length: %d\r\n", length), string(pattern(sent)))
-				dialing.waitFor(t, 1)
+				s.clients.Memory.SetLimit(0) // nothing more than the least is held
+				client := s.leaver(t, "charge", "HTTP/1.1", fmt.Sprintf("Content-Length: %d\r\n", length), string(sidecartest.Pattern(sent)))
+				dialing.WaitFor(t, 1)
 				client.leave(end)
-				dialing.release()
+				dialing.Release()
 				s.nothingSent(t, b)
 			})
 		}
@@ -298,15 +275,15 @@
 		t.Run(fmt.Sprintf("more sent %v", ahead), func(t *testing.T) {
 			s, _, dialing := atDial(t, 0)
 			client := s.leaver(t, "charge", "HTTP/1.1", "", "")
-			dialing.waitFor(t, 1)
+			dialing.WaitFor(t, 1)
 			if ahead {
 				client.sendAhead()
 			}
-			client.leave(ends["half-close"])
+			client.leave(sidecartest.Ends["half-close"])
 			in := bufio.NewReader(client)
 			resp, err := http.ReadResponse(in, nil)
-			if err != nil || resp.StatusCode != statusFailed || !resp.Close {
-				t.Fatalf("%+v, %v, want %d and the end", resp, err, statusFailed)
+			if err != nil || resp.StatusCode != inflight.StatusFailed || !resp.Close {
+				t.Fatalf("%+v, %v, want %d and the end", resp, err, inflight.StatusFailed)
 			}
 			io.Copy(io.Discard, resp.Body)
 			if more, _ := io.ReadAll(in); len(more) > 0 { // its end may be a reset
@@ -316,95 +293,22 @@
 	}
 }
 
-// tcpPair returns both sides of a connection.
-func tcpPair(t *testing.T) (client *net.TCPConn, server net.Conn) {
-	t.Helper()
-	l, err := net.Listen("tcp", loopback)
-	if err != nil {
-		t.Fatal(err)
-	}
-	defer l.Close()
-	c, err := net.Dial("tcp", l.Addr().String())
-	if err != nil {
-		t.Fatal(err)
-	}
-	t.Cleanup(func() { c.Close() })
-	server, err = l.Accept()
-	if err != nil {
-		t.Fatal(err)
-	}
-	t.Cleanup(func() { server.Close() })
-	return c.(*net.TCPConn), server
-}
-
-// Where the state of a connection cannot be had, or is that of something else, an end is seen as far as a look at what
-// is unread shows it, and a client that is there is never taken for one that has gone.
-func TestPeerGone(t *testing.T) {
-	type call = func(int) (uint8, error)
-	unknown := func(int) (uint8, error) { return 0, syscall.ENOPROTOOPT }
-	wrong := func(int) (uint8, error) { return unix.BPF_TCP_CLOSE, nil }
-	nothing := func(int) (uint8, error) { return 0, nil }
-	for name, test := range map[string]struct {
-		call   call
-		behind bool // an end behind unread bytes is seen
-	}{
-		"known":                 {tcpState, true},
-		"unknown":               {unknown, false},
-		"about something else":  {wrong, false},
-		"answered with nothing": {nothing, false},
-	} {
-		for how, end := range ends {
-			for _, unread := range []bool{false, true} {
-				t.Run(fmt.Sprintf("%s, %s, unread %v", name, how, unread), func(t *testing.T) {
-					states := &connStates{tcpState: test.call}
-					client, server := tcpPair(t)
-					states.learn(server)
-					if states.peerGone(server) {
-						t.Fatal("a client that is there has gone")
-					}
-					if unread {
-						if _, err := io.WriteString(client, "x"); err != nil {
-							t.Fatal(err)
-						}
-						until(t, "a byte", func() bool { _, unread := peek(server); return unread })
-						if states.peerGone(server) {
-							t.Fatal("a client that has sent something has gone")
-						}
-					}
-					end(client)
-					until(t, "the end to arrive", func() bool {
-						state, err := systemStates.state(server)
-						return err == nil && state != unix.BPF_TCP_ESTABLISHED
-					})
-					want := test.behind || !unread
-					if got := states.peerGone(server); got != want {
-						t.Errorf("gone: %v, want %v", got, want)
-					}
-				})
-			}
-		}
-	}
-	if client, _ := net.Pipe(); systemStates.peerGone(client) {
-		t.Error("what is no connection of the system has gone")
-	}
-}
-
 // Where states cannot be had, requests of clients with pipelined bytes are served as before, and the end of one
 // without is still seen right before the first byte.
 func TestClientGoneWithoutStates(t *testing.T) {
 	blind := func(s *Sidecar) {
-		s.frontend.states = &connStates{tcpState: func(int) (uint8, error) { return 0, syscall.ENOPROTOOPT }}
+		s.clients.States = &netcall.ConnStates{Query: func(int) (uint8, error) { return 0, syscall.ENOPROTOOPT }}
 	}
 	t.Run("pipelined", func(t *testing.T) {
-		b := newBackend(t, "a", ok)
-		s := start(t, newConf(newRegistry(t).addr(), b.target), blind)
+		b := sidecartest.NewBackend(t, "a", sidecartest.OK)
+		s := start(t, configtest.NewConf(sidecartest.NewRegistry(t).Addr(), b.Target), blind)
 		c, err := net.Dial("tcp", s.Addr())
 		if err != nil {
 			t.Fatal(err)
 		}
 		defer c.Close()
-		c.SetDeadline(time.Now().Add(patience))
-		io.WriteString(c, wireRequest("1", "", "")+wireRequest("2", "", ""))
+		c.SetDeadline(time.Now().Add(sidecartest.Patience))
+		io.WriteString(c, sidecartest.WireRequest("1", "", "")+sidecartest.WireRequest("2", "", ""))
 		in := bufio.NewReader(c)
 		for range 2 {
 			resp, err := http.ReadResponse(in, nil)
@@ -414,14 +318,14 @@
 			io.Copy(io.Discard, resp.Body)
 		}
 	})
-	for name, end := range ends {
+	for name, end := range sidecartest.Ends {
 		t.Run(name, func(t *testing.T) {
 			s, b, dialing := atDial(t, never)
 			blind(s.Sidecar)
 			client := s.leaver(t, "lookup", "HTTP/1.1", "", "")
-			dialing.waitFor(t, 1)
+			dialing.WaitFor(t, 1)
 			client.leave(end)
-			dialing.release()
+			dialing.Release()
 			s.nothingSent(t, b)
 		})
 	}
@@ -432,8 +336,8 @@
 func TestAttemptAndHangUpCross(t *testing.T) {
 	for name, frontendFirst := range map[string]bool{"the attempt first": false, "the client's end first": true} {
 		t.Run(name, func(t *testing.T) {
-			b, other := newBackend(t, "a", ok), newBackend(t, "b", ok)
-			cfg, err := newConf(newRegistry(t).addr(), b.target, other.target).load(t)
+			b, other := sidecartest.NewBackend(t, "a", sidecartest.OK), sidecartest.NewBackend(t, "b", sidecartest.OK)
+			cfg, err := configtest.NewConf(sidecartest.NewRegistry(t).Addr(), b.Target, other.Target).Load(t)
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -445,17 +349,17 @@
 			ctx, cancel := context.WithCancel(t.Context())
 			t.Cleanup(func() {
 				cancel()
-				close(l.stopped)
-				l.workers.Wait()
-				l.pool.closeAll()
+				close(l.Stopped)
+				l.Workers.Wait()
+				l.Pool.Close()
 				s.listener.Close()
 			})
-			l.ctx = ctx
-			now := l.clock.ms(time.Now())
-			l.act(now, l.bal.Start(now))
-			l.takeListEvent(now, listEvent{kind: balance.ListCached, list: cfg.known})
-			left, looked := newBarrier(), &atomic.Int64{}
-			t.Cleanup(left.release)
+			l.Ctx = ctx
+			now := l.Clock.Millis(time.Now())
+			l.Act(now, l.Balancer.Start(now))
+			l.TakeListEvent(now, discovery.ListEvent{Kind: balance.ListCached, List: cfg.Known})
+			left, looked := sidecartest.NewBarrier(), &atomic.Int64{}
+			t.Cleanup(left.Release)
 			r, err := http.NewRequest(http.MethodGet, "http://h/api", nil)
 			if err != nil {
 				t.Fatal(err)
@@ -465,34 +369,34 @@
 			} {
 				r.Header.Set(name, value)
 			}
-			c, _, err := s.frontend.parse(nil, r)
+			c, _, err := s.clients.Parse(nil, r)
 			if err != nil {
 				t.Fatal(err)
 			}
-			c.clientGone = func() bool { looked.Add(1); left.pass(); return true }
-			l.take(now, arrival{c})
-			open := l.calls[c.ev.ID]
-			left.waitFor(t, 1) // the attempt has passed all other checks
-			if frontendFirst && !c.finish() {
+			c.ClientGone = func() bool { looked.Add(1); left.Pass(); return true }
+			l.Take(now, clientserver.Arrival{Call: c})
+			open := l.Calls[c.Request.ID]
+			left.WaitFor(t, 1) // the attempt has passed all other checks
+			if frontendFirst && !c.Finish() {
 				t.Fatal("the call is over before its end")
 			}
-			left.release()
+			left.Release()
 			for over := false; !over; {
-				ev := receive(t, "the attempt's outcome", l.inbox)
-				_, over = ev.(outcome)
-				l.take(l.clock.ms(time.Now()), ev)
+				ev := sidecartest.Receive(t, "the attempt's outcome", l.Inbox)
+				_, over = ev.(eventloop.AttemptDone)
+				l.Take(l.Clock.Millis(time.Now()), ev)
 			}
-			if told := len(c.answers) == 1; told == frontendFirst || !c.final.Load() {
-				t.Errorf("the loop ends the call: %v, final %v", told, c.final.Load())
+			if told := len(c.Answers) == 1; told == frontendFirst || !c.Final.Load() {
+				t.Errorf("the loop ends the call: %v, final %v", told, c.Final.Load())
 			}
-			l.take(l.clock.ms(time.Now()), clientGoneEvent{c}) // late, or twice
-			if n := len(l.calls); n != 0 {
+			l.Take(l.Clock.Millis(time.Now()), clientserver.ClientGone{Call: c}) // late, or twice
+			if n := len(l.Calls); n != 0 {
 				t.Errorf("%d calls are left", n)
 			}
-			if n := looked.Load(); n != 1 || len(open.attempts) != 1 {
-				t.Errorf("%d attempts, want 1", len(open.attempts))
+			if n := looked.Load(); n != 1 || len(open.Attempts) != 1 {
+				t.Errorf("%d attempts, want 1", len(open.Attempts))
 			}
-			if n := b.requests.Load() + other.requests.Load(); n != 0 {
+			if n := b.Requests.Load() + other.Requests.Load(); n != 0 {
 				t.Errorf("servers got %d requests", n)
 			}
 		})
--- a/internal/sidecar/body.go
+++ b/internal/sidecar/clientserver/body.go
@@ -1,4 +1,4 @@
-package sidecar
+package clientserver
 
 import (
 	"errors"
@@ -7,11 +7,15 @@
 	"os"
 	"sync"
 	"time"
+
+	"marblelane/internal/sidecar/framing"
+	"marblelane/internal/sidecar/inflight"
+	"marblelane/internal/sidecar/netcall"
 )
 
 const (
-	// holdMore is the longest body of a request that is held whole while there is memory for it.
-	holdMore = 1 << 20
+	// HoldMore is the longest body of a request that is held whole while there is memory for it.
+	HoldMore = 1 << 20
 
 	// A client may send its body at 64 kB a second. This part of that is asked for, beside the time for a request.
 	slowestBody = 48 << 10
@@ -27,32 +31,32 @@
 	errServiceEnded = errors.New("the service ended before the body was whole")
 )
 
-// memory is what all bodies that are held take together.
-type memory struct {
-	mu         sync.Mutex
-	most, used int64
+// Memory is what all bodies that are held take together.
+type Memory struct {
+	mu          sync.Mutex
+	limit, used int64
 }
 
-// take reports whether there is room for n more bytes, and takes it.
-func (m *memory) take(n int) bool {
+// reserve reports whether there is room for n more bytes, and takes it.
+func (m *Memory) reserve(n int) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if m.used+int64(n) > m.most {
+	if m.used+int64(n) > m.limit {
 		return false
 	}
 	m.used += int64(n)
 	return true
 }
 
-func (m *memory) give(n int) {
+func (m *Memory) release(n int) {
 	m.mu.Lock()
 	m.used -= int64(n)
 	m.mu.Unlock()
 }
 
-func (m *memory) set(most int64) {
+func (m *Memory) SetLimit(most int64) {
 	m.mu.Lock()
-	m.most = most
+	m.limit = most
 	m.mu.Unlock()
 }
 
@@ -60,7 +64,7 @@
 // the client counts.
 type pacedBody struct {
 	body   io.Reader
-	held   *heldBodies           // those that it is one of; nil: it is passed on
+	held   *HeldBodies           // those that it is one of; nil: it is passed on
 	until  func(time.Time) error // sets the read deadline
 	left   time.Duration         // for waiting, beside what the bytes so far allow
 	waited time.Duration
@@ -69,8 +73,8 @@
 
 func newPacedBody(w http.ResponseWriter, r *http.Request, wait time.Duration) *pacedBody {
 	left := wait
-	if c, ok := r.Context().Value(connKey{}).(*headConn); ok {
-		left = max(wait-time.Since(c.began()), min(wait, bodyWait))
+	if c, ok := r.Context().Value(connKey{}).(*framing.HeadConn); ok {
+		left = max(wait-time.Since(c.StartedAt()), min(wait, bodyWait))
 	}
 	return &pacedBody{body: r.Body, until: http.NewResponseController(w).SetReadDeadline, left: left}
 }
@@ -88,7 +92,7 @@
 	p.waited += time.Since(began)
 	p.read += int64(n)
 	switch {
-	case p.read > maxBody:
+	case p.read > inflight.MaxBody:
 		return 0, errBodyLarge
 	case err == io.EOF:
 		p.until(time.Time{})
@@ -100,14 +104,14 @@
 	return n, err
 }
 
-// heldBodies are the bodies that are being read before their requests begin. The end of service ends them.
-type heldBodies struct {
+// HeldBodies are the bodies that are being read before their requests begin. The end of service ends them.
+type HeldBodies struct {
 	mu    sync.Mutex
 	open  map[*pacedBody]struct{}
 	ended bool
 }
 
-func (h *heldBodies) add(p *pacedBody) {
+func (h *HeldBodies) add(p *pacedBody) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if h.open == nil {
@@ -117,7 +121,7 @@
 }
 
 // remove lets a body go on by itself.
-func (h *heldBodies) remove(p *pacedBody) {
+func (h *HeldBodies) remove(p *pacedBody) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	delete(h.open, p)
@@ -125,7 +129,7 @@
 }
 
 // limit sets the time by which more of a body has to come, and reports false after the end.
-func (h *heldBodies) limit(p *pacedBody, by time.Time) bool {
+func (h *HeldBodies) limit(p *pacedBody, by time.Time) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if !h.ended {
@@ -134,18 +138,18 @@
 	return !h.ended
 }
 
-func (h *heldBodies) over() bool {
+func (h *HeldBodies) over() bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.ended
 }
 
-// end breaks off all that are open; what comes after it is broken off too.
-func (h *heldBodies) end() {
+// End breaks off all that are open; what comes after it is broken off too.
+func (h *HeldBodies) End() {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	for p := range h.open {
-		p.until(pastDeadline)
+		p.until(netcall.PastDeadline)
 	}
 	h.ended = true
 }
--- a/internal/sidecar/conn_limiter.go
+++ b/internal/sidecar/clientserver/conn_limiter.go
@@ -1,4 +1,4 @@
-package sidecar
+package clientserver
 
 import (
 	"math"
@@ -9,6 +9,7 @@
 	"time"
 
 	listening "marblelane/internal/listener"
+	"marblelane/internal/sidecar/netcall"
 )
 
 const (
@@ -19,24 +20,24 @@
 	newConnGrace = time.Second
 	// keepAliveAtLeast is how long a connection without a request is always kept (TERMS), unless nothing else is left.
 	keepAliveAtLeast = 2 * time.Second
-	// closeWindow is how long a request may be on its way: on a new connection after its client's connect, and once more
+	// CloseWindow is how long a request may be on its way: on a new connection after its client's connect, and once more
 	// on a new one after the end of its old one crossed it.
-	closeWindow = 200 * time.Millisecond
+	CloseWindow = 200 * time.Millisecond
 )
 
-// connLimiter is a listener that holds so many connections and no more. At the bound whoever has been silent longest
+// Limiter is a listener that holds so many connections and no more. At the bound whoever has been silent longest
 // with no request at work makes room for who comes next: crowds that say nothing cannot shut others out.
-type connLimiter struct {
+type Limiter struct {
 	net.Listener
-	left   chan struct{} // a token: somebody left, or the bound grew
-	closed chan struct{}
-	close  sync.Once
-	last   atomic.Bool // nobody is on the way in any more
-	read   func(fd int, p []byte) (n int, err error)
-
-	mu    sync.Mutex
-	most  int
-	conns map[*clientConn]struct{}
+	placeFreed   chan struct{} // a token: somebody left, or the bound grew
+	closed       chan struct{}
+	close        sync.Once
+	acceptsEnded atomic.Bool // nobody is on the way in any more
+	Read         func(fd int, p []byte) (n int, err error)
+
+	Mu    sync.Mutex
+	limit int
+	Conns map[*ClientConn]struct{}
 }
 
 // inputClosed stands for the time a clientConn was heard: nothing that it says counts any more.
@@ -44,36 +45,36 @@
 
 var epoch = time.Now()
 
-func newConnLimiter(l net.Listener, most int) *connLimiter {
-	return &connLimiter{
-		Listener: l, most: most, conns: map[*clientConn]struct{}{},
-		left: make(chan struct{}, 1), closed: make(chan struct{}), read: syscall.Read,
+func NewLimiter(l net.Listener, most int) *Limiter {
+	return &Limiter{
+		Listener: l, limit: most, Conns: map[*ClientConn]struct{}{},
+		placeFreed: make(chan struct{}, 1), closed: make(chan struct{}), Read: syscall.Read,
 	}
 }
 
-func (r *connLimiter) Accept() (net.Conn, error) {
+func (r *Limiter) Accept() (net.Conn, error) {
 	c, err := r.Listener.Accept()
 	if err != nil {
 		select {
 		case <-r.closed:
-			r.last.Store(true)
+			r.acceptsEnded.Store(true)
 		default:
 		}
 		return nil, err
 	}
-	g := &clientConn{Conn: c, limiter: r, since: time.Now()}
-	r.enter(g)
+	g := &ClientConn{Conn: c, limiter: r, since: time.Now()}
+	r.admit(g)
 	return g, nil
 }
 
 // acceptsFailed reports whether accepts have failed of late, so that a connection may have waited to be accepted.
-func (r *connLimiter) acceptsFailed() bool {
+func (r *Limiter) acceptsFailed() bool {
 	l, ok := r.Listener.(*listening.Listener)
-	return ok && l.FailedWithin(acceptFailureMemory)
+	return ok && l.FailedWithin(netcall.AcceptFailureMemory)
 }
 
-// enter waits until there is a place, or the listener is closed.
-func (r *connLimiter) enter(g *clientConn) {
+// admit waits until there is a place, or the listener is closed.
+func (r *Limiter) admit(g *ClientConn) {
 	for {
 		victim, wait := r.place(g)
 		switch {
@@ -83,13 +84,13 @@
 			return
 		default:
 			select {
-			case <-r.left:
+			case <-r.placeFreed:
 			case <-time.After(wait):
 			case <-r.closed:
 				// It came before the end and knows nothing of it: one more is let in.
-				r.mu.Lock()
-				r.conns[g] = struct{}{}
-				r.mu.Unlock()
+				r.Mu.Lock()
+				r.Conns[g] = struct{}{}
+				r.Mu.Unlock()
 				return
 			}
 		}
@@ -97,17 +98,17 @@
 }
 
 // place takes a newcomer in, or tells who has to go for it, or how long to wait at most until somebody may.
-func (r *connLimiter) place(g *clientConn) (victim *clientConn, wait time.Duration) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	if len(r.conns) < r.most {
-		r.conns[g] = struct{}{}
+func (r *Limiter) place(g *ClientConn) (victim *ClientConn, wait time.Duration) {
+	r.Mu.Lock()
+	defer r.Mu.Unlock()
+	if len(r.Conns) < r.limit {
+		r.Conns[g] = struct{}{}
 		return nil, 0
 	}
-	spared := map[*clientConn]bool{} // their bytes are on the way to their handler
+	spared := map[*ClientConn]bool{} // their bytes are on the way to their handler
 	for {
 		victim = r.longestSilent(spared)
-		if victim == nil || victim.leave() {
+		if victim == nil || victim.closeInput() {
 			return victim, evictAfterSilence
 		}
 		spared[victim] = true
@@ -115,14 +116,14 @@
 }
 
 // longestSilent is the first to make room, but for those that are spared; nil: nobody may.
-func (r *connLimiter) longestSilent(spared map[*clientConn]bool) (first *clientConn) {
+func (r *Limiter) longestSilent(spared map[*ClientConn]bool) (first *ClientConn) {
 	now := time.Now()
 	least, oldest := 0, time.Time{}
-	for g := range r.conns {
-		if g.busy && g.told.IsZero() || spared[g] {
+	for g := range r.Conns {
+		if g.busy && g.endSentAt.IsZero() || spared[g] {
 			continue
 		}
-		order, last := g.order(now)
+		order, last := g.evictionOrder(now)
 		if now.Sub(last) < evictAfterSilence {
 			continue
 		}
@@ -142,69 +143,73 @@
 	young           // may have begun, or be about to
 )
 
-// setMost changes the bound; who is over it leaves in time.
-func (r *connLimiter) setMost(most int) {
-	r.mu.Lock()
-	r.most = most
-	r.mu.Unlock()
-	r.hint()
+// Limit is how many connections there may be.
+func (r *Limiter) Limit() int {
+	r.Mu.Lock()
+	defer r.Mu.Unlock()
+	return r.limit
 }
 
-// empty tells that the room is closed, nobody is in it and nobody on the way in.
-func (r *connLimiter) empty() bool {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	return r.last.Load() && len(r.conns) == 0
+// SetLimit changes the bound; who is over it leaves in time.
+func (r *Limiter) SetLimit(most int) {
+	r.Mu.Lock()
+	r.limit = most
+	r.Mu.Unlock()
+	r.wakeAdmit()
 }
 
-// closeIdle ends the connections on which nothing was sent since their last request, and reports whether a client
+// Empty tells that the room is closed, nobody is in it and nobody on the way in.
+func (r *Limiter) Empty() bool {
+	r.Mu.Lock()
+	defer r.Mu.Unlock()
+	return r.acceptsEnded.Load() && len(r.Conns) == 0
+}
+
+// CloseIdle ends the connections on which nothing was sent since their last request, and reports whether a client
 // may yet need a new connection for a request that crosses such an end: not all who came before a time, and whose
 // answers may not have ended their connections, have been told. Each is told by half a close and goes with its
 // client: what crosses it is read and dropped, as a reset could take an answer with it that is not read yet.
-func (r *connLimiter) closeIdle(before time.Time) (more bool) {
-	var end []*clientConn
+func (r *Limiter) CloseIdle(before time.Time) (more bool) {
+	var end []*ClientConn
 	now := time.Now()
-	r.mu.Lock()
-	for g := range r.conns {
-		_, begun := g.begun()
+	r.Mu.Lock()
+	for g := range r.Conns {
+		_, begun := g.requestStarted()
 		switch {
-		case !g.told.IsZero():
-			if more = true; now.Sub(g.told) >= closeWindow {
+		case !g.endSentAt.IsZero():
+			if more = true; now.Sub(g.endSentAt) >= CloseWindow {
 				end = append(end, g)
 			}
 		case g.busy:
 			more = more || g.since.Before(before)
 		case begun: // its answer ends it
-		case !g.kept && now.Sub(g.since) < closeWindow:
+		case !g.reused && now.Sub(g.since) < CloseWindow:
 			more = more || g.since.Before(before)
 		default:
 			more = true
-			switch left, told := g.tellEnd(); {
+			switch left, told := g.sendEnd(); {
 			case told:
-				g.told = now
+				g.endSentAt = now
 			case left:
 				end = append(end, g)
 			}
 		}
 	}
-	r.mu.Unlock()
+	r.Mu.Unlock()
 	for _, g := range end {
 		g.end()
 	}
 	return more
 }
 
-func (r *connLimiter) hint() {
+func (r *Limiter) wakeAdmit() {
 	select {
-	case r.left <- struct{}{}:
+	case r.placeFreed <- struct{}{}:
 	default:
 	}
 }
 
-func (r *connLimiter) Close() error {
+func (r *Limiter) Close() error {
 	r.close.Do(func() { close(r.closed) })
 	return r.Listener.Close()
 }
-
-// unaccepted is how many connections are completed and wait to be accepted, see listenQueue.
-func unaccepted(l *net.TCPListener) (waiting int) { return systemQueue.waiting(l) }
--- a/internal/sidecar/conn_limiter_shutdown_test.go
+++ b/internal/sidecar/clientserver/conn_limiter_shutdown_test.go
@@ -1,4 +1,4 @@
-package sidecar
+package clientserver
 
 import (
 	"bufio"
@@ -9,6 +9,10 @@
 	"syscall"
 	"testing"
 	"time"
+
+	"marblelane/internal/sidecar/framing"
+	"marblelane/internal/sidecar/netcall"
+	"marblelane/internal/sidecar/sidecartest"
 )
 
 // gate holds up whoever comes to it until the test lets it go on. One that is not held lets all pass.
@@ -62,40 +66,40 @@
 }
 
 // accepted is a client's connection and its clientConn in a room of so many places.
-func accepted(t *testing.T, places int) (*connLimiter, net.Conn, *clientConn) {
+func accepted(t *testing.T, places int) (*Limiter, net.Conn, *ClientConn) {
 	t.Helper()
-	l, err := net.Listen("tcp", loopback)
+	l, err := net.Listen("tcp", sidecartest.Loopback)
 	if err != nil {
 		t.Fatal(err)
 	}
-	r := newConnLimiter(l, places)
+	r := NewLimiter(l, places)
 	t.Cleanup(func() { r.Close() })
 	c, err := net.Dial("tcp", l.Addr().String())
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { c.Close() })
-	c.SetDeadline(time.Now().Add(patience))
+	c.SetDeadline(time.Now().Add(sidecartest.Patience))
 	g, err := r.Accept()
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { g.Close() })
-	g.SetDeadline(time.Now().Add(patience))
-	return r, c, g.(*clientConn)
+	g.SetDeadline(time.Now().Add(sidecartest.Patience))
+	return r, c, g.(*ClientConn)
 }
 
-func (r *connLimiter) isTold(g *clientConn) bool {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	return !g.told.IsZero()
+func (r *Limiter) isTold(g *ClientConn) bool {
+	r.Mu.Lock()
+	defer r.Mu.Unlock()
+	return !g.endSentAt.IsZero()
 }
 
 // A request that has been taken from the system counts, also where nobody has been told of it when idle connections
 // are ended.
 func TestShutdownAsARequestIsTaken(t *testing.T) {
 	r, c, g := accepted(t, 2)
-	g.rest()
+	g.RequestAnswered()
 	taken := newGate()
 	g.Conn = gatedConn{g.Conn.(*net.TCPConn), taken}
 	read := make(chan int, 1)
@@ -106,13 +110,13 @@
 	if _, err := c.Write(make([]byte, 8)); err != nil {
 		t.Fatal(err)
 	}
-	receive(t, "the bytes to be taken", taken.reached)
-	r.closeIdle(time.Now())
+	sidecartest.Receive(t, "the bytes to be taken", taken.reached)
+	r.CloseIdle(time.Now())
 	if r.isTold(g) {
 		t.Error("an end is told after a request was taken")
 	}
 	close(taken.passed)
-	if n := receive(t, "the bytes", read); n != 8 {
+	if n := sidecartest.Receive(t, "the bytes", read); n != 8 {
 		t.Errorf("%d bytes of a request are passed on", n)
 	}
 }
@@ -131,45 +135,45 @@
 // From the decision that a connection ends to the client's being told so nothing is taken from it.
 func TestShutdownTakesNothingWhileItTells(t *testing.T) {
 	r, _, g := accepted(t, 2)
-	g.rest()
-	g.holding = false // as when net/http reads again
+	g.RequestAnswered()
+	g.unprocessed = false // as when net/http reads again
 	told := false
 	g.Conn = tellingConn{g.Conn.(*net.TCPConn), func() {
 		told = true
-		if g.taking.TryLock() {
-			g.taking.Unlock()
+		if g.readLock.TryLock() {
+			g.readLock.Unlock()
 			t.Error("a request may be taken and dropped before its client is told")
 		}
 	}}
-	r.closeIdle(time.Now())
+	r.CloseIdle(time.Now())
 	if !told {
 		t.Error("nobody was told")
 	}
 }
 
 // serveRoom serves a room through net/http, as the sidecar does.
-func serveRoom(t *testing.T, r *connLimiter, hold func(net.Conn, http.ConnState), answer http.HandlerFunc) {
+func serveRoom(t *testing.T, r *Limiter, hold func(net.Conn, http.ConnState), answer http.HandlerFunc) {
 	t.Helper()
-	srv := followConns(&http.Server{
-		Handler: answer, ConnContext: withConn, ReadHeaderTimeout: patience,
+	srv := FollowConnections(&http.Server{
+		Handler: answer, ConnContext: withConn, ReadHeaderTimeout: sidecartest.Patience,
 		ConnState: func(c net.Conn, state http.ConnState) {
 			if state == http.StateIdle {
-				c.(*headConn).next()
+				c.(*framing.HeadConn).NextRequest()
 			}
 			hold(c, state)
 		},
 	})
 	ended := make(chan error, 1)
-	go func() { ended <- srv.Serve(headListener{r}) }()
+	go func() { ended <- srv.Serve(HeadListener{r}) }()
 	t.Cleanup(func() {
 		srv.Close()
 		<-ended
 	})
 }
 
-func openRoom(t *testing.T) (*connLimiter, net.Conn) {
+func openRoom(t *testing.T) (*Limiter, net.Conn) {
 	t.Helper()
-	l, err := net.Listen("tcp", loopback)
+	l, err := net.Listen("tcp", sidecartest.Loopback)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -178,8 +182,8 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { c.Close() })
-	c.SetDeadline(time.Now().Add(patience))
-	return newConnLimiter(l, 1), c
+	c.SetDeadline(time.Now().Add(sidecartest.Patience))
+	return NewLimiter(l, 1), c
 }
 
 const plain = "GET /%s HTTP/1.1\r\nHost: a\r\n\r\n"
@@ -201,37 +205,37 @@
 		if _, err := io.WriteString(c, fmt.Sprintf(plain, "a")+second); err != nil {
 			t.Fatal(err)
 		}
-		receive(t, "the first request's end", between.reached)
-		r.closeIdle(time.Now())
-		r.mu.Lock()
-		for g := range r.conns {
+		sidecartest.Receive(t, "the first request's end", between.reached)
+		r.CloseIdle(time.Now())
+		r.Mu.Lock()
+		for g := range r.Conns {
 			g.since = time.Now().Add(-time.Hour)
 		}
-		r.mu.Unlock()
-		if victim, _ := r.place(&clientConn{}); victim != nil {
+		r.Mu.Unlock()
+		if victim, _ := r.place(&ClientConn{}); victim != nil {
 			t.Error("it makes room")
 		}
-		r.mu.Lock()
-		for g := range r.conns {
+		r.Mu.Lock()
+		for g := range r.Conns {
 			g.since = time.Now()
 		}
-		r.mu.Unlock()
+		r.Mu.Unlock()
 		close(between.passed)
 		in := bufio.NewReader(c)
 		for _, want := range []string{"/a", "/b"} {
 			if want == "/b" && second != whole {
 				// Half of it waits for the rest, and is no idle connection either.
-				until(t, "half a request", func() bool {
-					r.mu.Lock()
-					defer r.mu.Unlock()
-					for g := range r.conns {
-						if _, begun := g.begun(); begun {
+				sidecartest.Until(t, "half a request", func() bool {
+					r.Mu.Lock()
+					defer r.Mu.Unlock()
+					for g := range r.Conns {
+						if _, begun := g.requestStarted(); begun {
 							return true
 						}
 					}
 					return false
 				})
-				r.closeIdle(time.Now())
+				r.CloseIdle(time.Now())
 				if _, err := io.WriteString(c, whole[len(second):]); err != nil {
 					t.Fatal(err)
 				}
@@ -292,19 +296,19 @@
 		handled.come() // before it says that it is at work
 		io.WriteString(w, r.URL.Path)
 	})
-	receive(t, "the wait for a head", reads)
+	sidecartest.Receive(t, "the wait for a head", reads)
 	if _, err := fmt.Fprintf(c, plain, "a"); err != nil {
 		t.Fatal(err)
 	}
-	receive(t, "the handler", handled.reached)
-	receive(t, "the wait for what comes behind", reads)
-	r.mu.Lock()
-	for g := range r.conns {
+	sidecartest.Receive(t, "the handler", handled.reached)
+	sidecartest.Receive(t, "the wait for what comes behind", reads)
+	r.Mu.Lock()
+	for g := range r.Conns {
 		g.since = time.Now().Add(-time.Hour)
-		g.heard.Store(int64(time.Since(epoch) - time.Minute))
+		g.LastRead.Store(int64(time.Since(epoch) - time.Minute))
 	}
-	r.mu.Unlock()
-	if victim, _ := r.place(&clientConn{}); victim != nil {
+	r.Mu.Unlock()
+	if victim, _ := r.place(&ClientConn{}); victim != nil {
 		t.Error("it makes room")
 	}
 	close(handled.passed)
@@ -316,11 +320,11 @@
 }
 
 // unreadBytes tells whether bytes of a client wait in the system.
-func (r *connLimiter) unreadBytes() bool {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	for g := range r.conns {
-		if _, unread := peek(g.Conn); unread {
+func (r *Limiter) unreadBytes() bool {
+	r.Mu.Lock()
+	defer r.Mu.Unlock()
+	for g := range r.Conns {
+		if _, unread := netcall.Peek(g.Conn); unread {
 			return true
 		}
 	}
@@ -346,11 +350,11 @@
 			if _, err := io.WriteString(c, text); err != nil {
 				t.Fatal(err)
 			}
-			receive(t, "the handler", handled.reached)
+			sidecartest.Receive(t, "the handler", handled.reached)
 			if _, err := c.Write(make([]byte, 100_000)); err != nil {
 				t.Fatal(err)
 			}
-			until(t, "unread bytes", r.unreadBytes)
+			sidecartest.Until(t, "unread bytes", r.unreadBytes)
 			close(handled.passed)
 			in := bufio.NewReader(c)
 			resp, err := http.ReadResponse(in, nil)
@@ -364,10 +368,10 @@
 				t.Errorf("not just the connection's end but %q, %v", rest, err)
 			}
 			// It still makes room, and does not stay for ever.
-			until(t, "its place", func() bool {
-				r.mu.Lock()
-				defer r.mu.Unlock()
-				return len(r.conns) == 0
+			sidecartest.Until(t, "its place", func() bool {
+				r.Mu.Lock()
+				defer r.Mu.Unlock()
+				return len(r.Conns) == 0
 			})
 		})
 	}
--- a/internal/sidecar/conn_limiter_test.go
+++ b/internal/sidecar/clientserver/conn_limiter_test.go
@@ -1,55 +1,58 @@
-package sidecar
+package clientserver
 
 import (
 	"io"
 	"net"
 	"testing"
 	"time"
+
+	"marblelane/internal/sidecar/netcall"
+	"marblelane/internal/sidecar/sidecartest"
 )
 
 // Who makes room, and in which order: nobody with a request, nobody who only just came.
 func TestWhoMakesRoom(t *testing.T) {
 	now := time.Now()
 	ago := func(d time.Duration) time.Time { return now.Add(-d) }
-	heard := func(g *clientConn, at time.Time) *clientConn {
-		g.heard.Store(int64(at.Sub(epoch)))
+	heard := func(g *ClientConn, at time.Time) *ClientConn {
+		g.LastRead.Store(int64(at.Sub(epoch)))
 		return g
 	}
-	named := map[string]*clientConn{
+	named := map[string]*ClientConn{
 		"silent":       {since: ago(2 * time.Second)},
 		"silent later": {since: ago(3 * time.Second / 2)},
 		"newcomer":     {since: ago(time.Second / 2)},
-		"slow head":    heard(&clientConn{since: ago(time.Second / 4)}, ago(time.Second/5)),
-		"idle long":    {since: ago(3 * time.Second), kept: true},
-		"half":         heard(&clientConn{since: ago(3 * time.Second)}, ago(2*time.Second)),
-		"half, later":  heard(&clientConn{since: ago(2 * time.Second)}, ago(time.Second)),
-		"idle":         {since: ago(time.Second), kept: true},
+		"slow head":    heard(&ClientConn{since: ago(time.Second / 4)}, ago(time.Second/5)),
+		"idle long":    {since: ago(3 * time.Second), reused: true},
+		"half":         heard(&ClientConn{since: ago(3 * time.Second)}, ago(2*time.Second)),
+		"half, later":  heard(&ClientConn{since: ago(2 * time.Second)}, ago(time.Second)),
+		"idle":         {since: ago(time.Second), reused: true},
 		"at work":      {since: ago(time.Hour), busy: true},
 		"new":          {since: now.Add(time.Hour)},
 	}
-	r := newConnLimiter(nil, len(named))
+	r := NewLimiter(nil, len(named))
 	for _, g := range named {
-		r.conns[g] = struct{}{}
+		r.Conns[g] = struct{}{}
 	}
 	for _, want := range []string{"silent", "silent later", "idle long", "half", "half, later", "idle", "newcomer", "slow head"} {
-		victim, _ := r.place(&clientConn{})
+		victim, _ := r.place(&ClientConn{})
 		if victim == nil || victim != named[want] {
 			t.Fatalf("not %q but %+v goes next", want, victim)
 		}
-		delete(r.conns, victim)
-		r.most--
+		delete(r.Conns, victim)
+		r.limit--
 	}
-	if victim, wait := r.place(&clientConn{}); victim != nil || wait == 0 {
+	if victim, wait := r.place(&ClientConn{}); victim != nil || wait == 0 {
 		t.Errorf("%+v has to go", victim)
 	}
 }
 
 func TestRoomIsLeftAndClosed(t *testing.T) {
-	l, err := net.Listen("tcp", loopback)
+	l, err := net.Listen("tcp", sidecartest.Loopback)
 	if err != nil {
 		t.Fatal(err)
 	}
-	r := newConnLimiter(l, 1)
+	r := NewLimiter(l, 1)
 	for range 2 {
 		c, err := net.Dial("tcp", l.Addr().String())
 		if err != nil {
@@ -61,27 +64,27 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	first.(*clientConn).work()
+	first.(*ClientConn).RequestRead()
 	came := make(chan error, 2)
 	go func() {
 		c, err := r.Accept()
 		if err == nil {
-			c.(*clientConn).work()
+			c.(*ClientConn).RequestRead()
 		}
 		came <- err
 	}()
 	first.Close()
-	if err := receive(t, "the second", came); err != nil {
+	if err := sidecartest.Receive(t, "the second", came); err != nil {
 		t.Error(err)
 	}
 	// Who had come before the end and waits for a place is let in; nobody comes after it.
 	go func() {
-		r.enter(&clientConn{since: time.Now(), busy: true})
+		r.admit(&ClientConn{since: time.Now(), busy: true})
 		came <- nil
 	}()
 	r.Close()
-	if err := receive(t, "the end", came); err != nil || len(r.conns) != 2 {
-		t.Errorf("%d in the room after the end, %v", len(r.conns), err)
+	if err := sidecartest.Receive(t, "the end", came); err != nil || len(r.Conns) != 2 {
+		t.Errorf("%d in the room after the end, %v", len(r.Conns), err)
 	}
 	if _, err := r.Accept(); err == nil {
 		t.Error("a connection was taken after the end")
@@ -90,26 +93,26 @@
 
 // An end between requests is told by half a close: nothing that comes after it counts, what came before it does.
 func TestEndsBetweenRequests(t *testing.T) {
-	l, err := net.Listen("tcp", loopback)
+	l, err := net.Listen("tcp", sidecartest.Loopback)
 	if err != nil {
 		t.Fatal(err)
 	}
-	r := newConnLimiter(l, 3)
+	r := NewLimiter(l, 3)
 	t.Cleanup(func() { r.Close() })
-	pair := func() (net.Conn, *clientConn) {
+	pair := func() (net.Conn, *ClientConn) {
 		c, err := net.Dial("tcp", l.Addr().String())
 		if err != nil {
 			t.Fatal(err)
 		}
 		t.Cleanup(func() { c.Close() })
-		c.SetDeadline(time.Now().Add(patience))
+		c.SetDeadline(time.Now().Add(sidecartest.Patience))
 		g, err := r.Accept()
 		if err != nil {
 			t.Fatal(err)
 		}
-		g.SetDeadline(time.Now().Add(patience))
-		g.(*clientConn).rest()
-		return c, g.(*clientConn)
+		g.SetDeadline(time.Now().Add(sidecartest.Patience))
+		g.(*ClientConn).RequestAnswered()
+		return c, g.(*ClientConn)
 	}
 	buf := make([]byte, 8)
 	idle, deafened := pair()
@@ -117,14 +120,14 @@
 	if _, err := sent.Write(buf); err != nil {
 		t.Fatal(err)
 	}
-	until(t, "its bytes", func() bool { _, some := peek(unread.Conn); return some })
+	sidecartest.Until(t, "its bytes", func() bool { _, some := netcall.Peek(unread.Conn); return some })
 	read := make(chan int, 1)
 	go func() {
 		n, _ := deafened.Read(make([]byte, 8))
 		read <- n
 	}()
-	until(t, "a reader, as an idle connection has", deafened.isRead)
-	if !r.closeIdle(time.Now()) {
+	sidecartest.Until(t, "a reader, as an idle connection has", deafened.isRead)
+	if !r.CloseIdle(time.Now()) {
 		t.Error("nobody's request may cross an end")
 	}
 	if n, err := idle.Read(buf); n != 0 || err != io.EOF {
@@ -137,30 +140,24 @@
 	if n, err := unread.Read(buf); n == 0 || err != nil {
 		t.Errorf("what came before is read as %d, %v", n, err)
 	}
-	if left, told := unread.tellEnd(); left || told {
+	if left, told := unread.sendEnd(); left || told {
 		t.Error("who has been heard is told its end")
 	}
-	if unread.leave() {
+	if unread.closeInput() {
 		t.Error("who has been heard makes room, though nothing has become of what it sent")
 	}
-	until(t, "those that do not go to be closed", func() bool {
-		r.closeIdle(time.Now())
-		return len(r.conns) == 1
+	sidecartest.Until(t, "those that do not go to be closed", func() bool {
+		r.CloseIdle(time.Now())
+		return len(r.Conns) == 1
 	})
-	if n := receive(t, "the end", read); n != 0 {
+	if n := sidecartest.Receive(t, "the end", read); n != 0 {
 		t.Errorf("%d bytes came after the end", n)
 	}
 }
 
 // isRead tells that whoever serves the connection has nothing of it left and waits for more.
-func (g *clientConn) isRead() bool {
-	g.taking.Lock()
-	defer g.taking.Unlock()
-	return !g.holding
-}
-
-func (r *connLimiter) bound() int {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	return r.most
+func (g *ClientConn) isRead() bool {
+	g.readLock.Lock()
+	defer g.readLock.Unlock()
+	return !g.unprocessed
 }
--- a/internal/sidecar/client_framing.go
+++ b/internal/sidecar/clientserver/framing.go
@@ -1,6 +1,4 @@
-package sidecar
-
-// This file joins the connections of clients to net/http: heads are kept, and the limiter follows the requests.
+package clientserver
 
 import (
 	"context"
@@ -8,30 +6,33 @@
 	"net"
 	"net/http"
 	"time"
+
+	"marblelane/internal/sidecar/framing"
+	"marblelane/internal/sidecar/netcall"
 )
 
 var errFraming = errors.New("Transfer-Encoding beside Content-Length, or in a request whose head was not seen")
 
-// headListener makes connections keep the head of the request that is being read.
-type headListener struct{ net.Listener }
+// HeadListener makes connections keep the head of the request that is being read.
+type HeadListener struct{ net.Listener }
 
-func (l headListener) Accept() (net.Conn, error) {
+func (l HeadListener) Accept() (net.Conn, error) {
 	c, err := l.Listener.Accept()
 	if err != nil {
 		return nil, err
 	}
 	late := false
-	if g, ok := c.(*clientConn); ok {
-		systemStates.learn(g.Conn)
-		late = g.limiter.acceptsFailed() && sinceLastData(g.Conn) >= lateAccept
+	if g, ok := c.(*ClientConn); ok {
+		netcall.SystemConnStates.Learn(g.Conn)
+		late = g.limiter.acceptsFailed() && netcall.SinceLastData(g.Conn) >= netcall.LateAccept
 	}
-	return newClientHeadConn(c, late), nil
+	return framing.NewClientHeadConn(c, late), nil
 }
 
 // receivedAt is when the last byte of a request came that has just been read.
 func receivedAt(r *http.Request) time.Time {
-	if c, ok := r.Context().Value(connKey{}).(*headConn); ok {
-		return c.received()
+	if c, ok := r.Context().Value(connKey{}).(*framing.HeadConn); ok {
+		return c.ReceivedAt()
 	}
 	return time.Now()
 }
@@ -49,32 +50,32 @@
 	if len(r.TransferEncoding) == 0 && r.ProtoAtLeast(1, 1) {
 		return nil
 	}
-	c, ok := r.Context().Value(connKey{}).(*headConn)
+	c, ok := r.Context().Value(connKey{}).(*framing.HeadConn)
 	if !ok {
 		return errFraming
 	}
-	switch chunked, length, err := c.lengths(); {
+	switch chunked, length, err := c.LengthHeaders(); {
 	case err != nil, chunked != (len(r.TransferEncoding) > 0), chunked && length:
 		return errFraming
 	}
 	return nil
 }
 
-// followConns lets the room know what net/http does with its connections. A request is at work once its head has been
+// FollowConnections lets the room know what net/http does with its connections. A request is at work once its head has been
 // read: from then on net/http reads ahead, and its handler may not have run yet.
-func followConns(srv *http.Server) *http.Server {
+func FollowConnections(srv *http.Server) *http.Server {
 	changed, handler := srv.ConnState, srv.Handler
 	srv.ConnState = func(c net.Conn, state http.ConnState) {
-		if c, ok := c.(*headConn); ok && state == http.StateActive {
-			c.work()
+		if c, ok := c.(*framing.HeadConn); ok && state == http.StateActive {
+			c.RequestRead()
 		}
 		changed(c, state)
 	}
 	srv.Handler = http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		whole := false
 		defer func() {
-			if c, ok := r.Context().Value(connKey{}).(*headConn); ok && !whole {
-				c.Conn.(*clientConn).cutOff()
+			if c, ok := r.Context().Value(connKey{}).(*framing.HeadConn); ok && !whole {
+				c.Conn.(*ClientConn).cutOff()
 			}
 		}()
 		handler.ServeHTTP(w, r)
--- a/internal/sidecar/request_parser.go
+++ b/internal/sidecar/clientserver/request_parser.go
@@ -1,6 +1,4 @@
-package sidecar
-
-// This file reads a client's request: headers, class, deadline, and as much of its body as is held.
+package clientserver
 
 import (
 	"errors"
@@ -12,65 +10,69 @@
 	"time"
 
 	"marblelane/balance"
+	"marblelane/internal/sidecar/clock"
+	"marblelane/internal/sidecar/config"
+	"marblelane/internal/sidecar/inflight"
+	"marblelane/internal/sidecar/routing"
 )
 
-// parse takes in a request; one that is malformed reaches neither the module nor a server. Of a body that is not
+// Parse takes in a request; one that is malformed reaches neither the module nor a server. Of a body that is not
 // held whole the rest is still to be read.
-func (f *frontend) parse(w http.ResponseWriter, r *http.Request) (*call, io.Reader, error) {
+func (f *Server) Parse(w http.ResponseWriter, r *http.Request) (*inflight.Call, io.Reader, error) {
 	c, err := f.call(r)
 	if err != nil {
 		return nil, nil, err
 	}
-	c.out = &outbound{method: r.Method, url: r.URL, host: r.Host, header: endToEnd(r.Header)}
-	if f.cfg.routes != nil { // those are the sidecar's to say
-		c.out.header.Del(revHeader)
-		c.out.header.Del(canaryHeader)
+	c.Outbound = &inflight.Outbound{Method: r.Method, URL: r.URL, Host: r.Host, Header: endToEnd(r.Header)}
+	if f.Config.Routes != nil { // those are the sidecar's to say
+		c.Outbound.Header.Del(routing.RevisionHeader)
+		c.Outbound.Header.Del(routing.CanaryHeader)
 	}
 	var rest io.Reader
 	if r.ContentLength != 0 {
 		if rest, err = f.readBody(w, r, c); err != nil {
-			f.memory.give(c.held)
+			f.Memory.release(c.HeldBytes)
 			return nil, nil, fmt.Errorf("body: %w", err)
 		}
 	}
 	if rest == nil {
-		c.deadline = receivedAt(r).Add(c.wait) // the client's time counts from its last byte
+		c.Deadline = receivedAt(r).Add(c.Timeout) // the client's time counts from its last byte
 	}
-	if r.Method == http.MethodGet && (rest != nil || len(c.out.body) > 0) {
-		f.memory.give(c.held)
+	if r.Method == http.MethodGet && (rest != nil || len(c.Outbound.Body) > 0) {
+		f.Memory.release(c.HeldBytes)
 		return nil, nil, errors.New("GET with a body")
 	}
 	return c, rest, nil
 }
 
 // readBody reads as much of a body as is held.
-func (f *frontend) readBody(w http.ResponseWriter, r *http.Request, c *call) (rest io.Reader, err error) {
+func (f *Server) readBody(w http.ResponseWriter, r *http.Request, c *inflight.Call) (rest io.Reader, err error) {
 	length := r.ContentLength
-	if length > maxBody {
+	if length > inflight.MaxBody {
 		return nil, errBodyLarge
 	}
-	most := holdMost
-	if length >= 0 && length <= holdMore {
+	most := inflight.MaxHeldBody
+	if length >= 0 && length <= HoldMore {
 		most = int(length)
 	}
-	if f.memory.take(most) {
-		c.held = most
+	if f.Memory.reserve(most) {
+		c.HeldBytes = most
 	} else {
-		most = min(most, holdLeast)
+		most = min(most, inflight.MinHeldBody)
 	}
-	body := newPacedBody(w, r, f.peerWait)
-	f.bodies.add(body)
-	defer f.bodies.remove(body)
+	body := newPacedBody(w, r, f.ReadTimeout)
+	f.Bodies.add(body)
+	defer f.Bodies.remove(body)
 	if length >= 0 {
 		first := make([]byte, min(int(length), most))
 		if _, err := io.ReadFull(body, first); err != nil {
 			return nil, err
 		}
 		if len(first) == int(length) {
-			c.out.body = first
+			c.Outbound.Body = first
 			return nil, nil
 		}
-		c.out.upload = newUpload(length, first)
+		c.Outbound.Upload = inflight.NewUpload(length, first)
 		return body, nil
 	}
 	first, err := io.ReadAll(io.LimitReader(body, int64(most)+1))
@@ -78,14 +80,14 @@
 		return nil, err
 	}
 	if len(first) <= most {
-		c.out.body = first
+		c.Outbound.Body = first
 		return nil, nil
 	}
-	c.out.upload = newUpload(length, first)
+	c.Outbound.Upload = inflight.NewUpload(length, first)
 	return body, nil
 }
 
-func (f *frontend) call(r *http.Request) (*call, error) {
+func (f *Server) call(r *http.Request) (*inflight.Call, error) {
 	if r.Header.Get("X-Request-ID") == "" {
 		return nil, errors.New("no X-Request-ID")
 	}
@@ -94,22 +96,22 @@
 	}
 	ev := balance.Request{ClientRetry: r.Header.Get("X-Retried") == "1"}
 	var ok bool
-	if ev.Class, ok = f.cfg.classes[r.Header.Get("X-Priority-Class")]; !ok {
+	if ev.Class, ok = f.Config.Classes[r.Header.Get("X-Priority-Class")]; !ok {
 		return nil, errors.New("unknown X-Priority-Class")
 	}
-	if len(f.cfg.tenants) > 0 {
-		if ev.Tenant, ok = f.cfg.tenants[r.Header.Get("X-Tenant-Id")]; !ok {
+	if len(f.Config.Tenants) > 0 {
+		if ev.Tenant, ok = f.Config.Tenants[r.Header.Get("X-Tenant-Id")]; !ok {
 			return nil, errors.New("unknown X-Tenant-Id")
 		}
 	}
-	class := &f.cfg.balance.Classes[ev.Class]
+	class := &f.Config.Balance.Classes[ev.Class]
 	if err := checkMethod(class.Idempotency, r); err != nil {
 		return nil, err
 	}
-	wait := millis(class.Deadline)
+	wait := clock.Duration(class.Deadline)
 	if v := r.Header.Get("X-Timeout-Ms"); v != "" {
 		ms, err := strconv.ParseUint(v, 10, 32)
-		if wait = time.Duration(ms) * time.Millisecond; err != nil || ms == 0 || wait > maxWait {
+		if wait = time.Duration(ms) * time.Millisecond; err != nil || ms == 0 || wait > inflight.MaxTimeout {
 			return nil, errors.New("X-Timeout-Ms is not a number of milliseconds that can be")
 		}
 	}
@@ -121,12 +123,12 @@
 		ev.WorkHint = us / 1e3
 	}
 	if k, err := r.Cookie("k"); err == nil {
-		ev.IdempotencyKey = hashOf(k.Value)
+		ev.IdempotencyKey = config.Hash(k.Value)
 	}
-	if f.cfg.routes != nil {
-		ev.RouteKey = f.cfg.routes.key(r.Header)
+	if f.Config.Routes != nil {
+		ev.RouteKey = f.Config.Routes.RouteKey(r.Header)
 	}
-	return &call{ev: ev, wait: wait, answers: make(chan answer, 1)}, nil
+	return &inflight.Call{Request: ev, Timeout: wait, Answers: make(chan inflight.Answer, 1)}, nil
 }
 
 // checkMethod: the method follows from the class. A keyed request without its key would run twice.
--- a/internal/sidecar/response_writer.go
+++ b/internal/sidecar/clientserver/response_writer.go
@@ -1,6 +1,4 @@
-package sidecar
-
-// This file writes answers to clients: whole, as they come, and errors.
+package clientserver
 
 import (
 	"errors"
@@ -9,29 +7,32 @@
 	"net/http"
 	"strconv"
 	"time"
+
+	"marblelane/internal/sidecar/framing"
+	"marblelane/internal/sidecar/inflight"
 )
 
 // pass writes an answer as it comes. One that breaks off ends its connection, so that the client can tell.
-func (f *frontend) pass(w http.ResponseWriter, r *http.Request, c *call, a answer) {
+func (f *Server) pass(w http.ResponseWriter, r *http.Request, c *inflight.Call, a inflight.Answer) {
 	control := http.NewResponseController(w)
-	s, h := a.stream, w.Header()
-	if conn, ok := r.Context().Value(connKey{}).(*headConn); ok {
-		conn.limitBuffer()
+	s, h := a.Stream, w.Header()
+	if conn, ok := r.Context().Value(connKey{}).(*framing.HeadConn); ok {
+		conn.LimitBuffer()
 	}
 	setContentType(h, a)
-	if s.length >= 0 {
-		h.Set("Content-Length", strconv.FormatInt(s.length, 10))
+	if s.Length >= 0 {
+		h.Set("Content-Length", strconv.FormatInt(s.Length, 10))
 	}
-	w.WriteHeader(a.status)
-	buf := buffers.Get().(*[]byte)
-	defer buffers.Put(buf)
+	w.WriteHeader(a.Status)
+	buf := inflight.CopyBuffers.Get().(*[]byte)
+	defer inflight.CopyBuffers.Put(buf)
 	var end error
-	for part := s.first; ; {
+	for part := s.First; ; {
 		if len(part) > 0 {
 			f.limitWrite(w)
 			if _, err := w.Write(part); err != nil || control.Flush() != nil {
-				s.ended <- errClient
-				f.figures.count(c.ev.Class, statusFailed)
+				s.Ended <- inflight.ErrClientGone
+				f.Metrics.CountAnswer(c.Request.Class, inflight.StatusFailed)
 				panic(http.ErrAbortHandler)
 			}
 		}
@@ -39,44 +40,44 @@
 			break
 		}
 		var n int
-		n, end = s.rest.Read(*buf)
+		n, end = s.Rest.Read(*buf)
 		part = (*buf)[:n]
 	}
 	if end != io.EOF {
-		s.ended <- end
-		f.figures.count(c.ev.Class, statusFailed)
-		if conn, ok := r.Context().Value(connKey{}).(*headConn); ok && !r.ProtoAtLeast(1, 1) {
-			conn.reset() // the end of the connection would be the end of the answer
+		s.Ended <- end
+		f.Metrics.CountAnswer(c.Request.Class, inflight.StatusFailed)
+		if conn, ok := r.Context().Value(connKey{}).(*framing.HeadConn); ok && !r.ProtoAtLeast(1, 1) {
+			conn.Reset() // the end of the connection would be the end of the answer
 		}
 		panic(http.ErrAbortHandler)
 	}
-	s.ended <- nil
-	f.figures.count(c.ev.Class, a.status)
+	s.Ended <- nil
+	f.Metrics.CountAnswer(c.Request.Class, a.Status)
 }
 
 // limitWrite bounds the time for an answer from now on: a client that does not read would hold its place
 // among those taken for ever.
-func (f *frontend) limitWrite(w http.ResponseWriter) {
-	if err := http.NewResponseController(w).SetWriteDeadline(time.Now().Add(f.writeWait)); err != nil {
+func (f *Server) limitWrite(w http.ResponseWriter) {
+	if err := http.NewResponseController(w).SetWriteDeadline(time.Now().Add(f.WriteTimeout)); err != nil {
 		slog.Error("no bound on writing", "error", err)
 	}
 }
 
-func write(w http.ResponseWriter, a answer) {
+func write(w http.ResponseWriter, a inflight.Answer) {
 	h := w.Header()
 	setContentType(h, a)
-	if a.retryAfter > 0 {
-		h.Set("Retry-After", strconv.FormatFloat(a.retryAfter/1e3, 'f', 3, 64))
+	if a.RetryAfter > 0 {
+		h.Set("Retry-After", strconv.FormatFloat(a.RetryAfter/1e3, 'f', 3, 64))
 	}
-	h.Set("Content-Length", strconv.Itoa(len(a.body)))
-	w.WriteHeader(a.status)
-	w.Write(a.body)
+	h.Set("Content-Length", strconv.Itoa(len(a.Body)))
+	w.WriteHeader(a.Status)
+	w.Write(a.Body)
 }
 
-func setContentType(h http.Header, a answer) {
+func setContentType(h http.Header, a inflight.Answer) {
 	h["Content-Type"] = nil
-	if a.contentType != "" {
-		h.Set("Content-Type", a.contentType)
+	if a.ContentType != "" {
+		h.Set("Content-Type", a.ContentType)
 	}
 }
 
@@ -102,7 +103,7 @@
 	case errors.Is(err, errBodySlow):
 		return http.StatusRequestTimeout
 	case errors.Is(err, errServiceEnded):
-		return statusRefused
+		return inflight.StatusRejected
 	default:
 		return http.StatusBadRequest
 	}
@@ -110,7 +111,7 @@
 
 // endAfter ends a connection between requests only: the one at work is answered first, and so is what has come with it.
 func endAfter(w http.ResponseWriter, r *http.Request) {
-	if c, ok := r.Context().Value(connKey{}).(*headConn); !ok || !c.behind(r.ContentLength) {
+	if c, ok := r.Context().Value(connKey{}).(*framing.HeadConn); !ok || !c.NextMayFollow(r.ContentLength) {
 		w.Header().Set("Connection", "close")
 	}
 }
--- a/internal/sidecar/frontend.go
+++ b/internal/sidecar/clientserver/server.go
@@ -1,4 +1,4 @@
-package sidecar
+package clientserver
 
 import (
 	"cmp"
@@ -9,53 +9,61 @@
 	"net/http"
 	"sync/atomic"
 	"time"
+
+	"marblelane/internal/sidecar/checkpoint"
+	"marblelane/internal/sidecar/clock"
+	"marblelane/internal/sidecar/config"
+	"marblelane/internal/sidecar/framing"
+	"marblelane/internal/sidecar/inflight"
+	"marblelane/internal/sidecar/metrics"
+	"marblelane/internal/sidecar/netcall"
 )
 
 const (
 	apiPath   = "/api"
-	readyPath = "/health/ready"
+	ReadyPath = "/health/ready"
 
 	// overdueWait is how long past deadline and answer slack the module is waited for; sockets allow 50 ms.
 	overdueWait = 25 * time.Millisecond
-	// peerWait is for a whole request, from when its connection or its first byte came: who says nothing or
+	// DefaultReadTimeout is for a whole request, from when its connection or its first byte came: who says nothing or
 	// stops halfway is owed an end within 3 s of connecting.
-	peerWait  = 2500 * time.Millisecond
-	writeWait = 5 * time.Second
+	DefaultReadTimeout  = 2500 * time.Millisecond
+	DefaultWriteTimeout = 5 * time.Second
 )
 
-// frontend is the application's side.
-type frontend struct {
-	cfg      *Config
-	figures  *figures
-	memory   memory // for bodies
-	bodies   heldBodies
-	post     func(any)
-	draining atomic.Bool
-	conns    atomic.Int64
-	taken    atomic.Int64
-	maxConns atomic.Int64 // from here on connections are not kept
-	maxTaken atomic.Int64 // requests at a time
+// Server is the application's side.
+type Server struct {
+	Config       *config.Config
+	Metrics      *metrics.Metrics
+	Memory       Memory // for bodies
+	Bodies       HeldBodies
+	Post         func(any)
+	Draining     atomic.Bool
+	Conns        atomic.Int64
+	Requests     atomic.Int64
+	MaxKeptConns atomic.Int64 // from here on connections are not kept
+	MaxRequests  atomic.Int64 // requests at a time
 
-	peerWait, writeWait time.Duration
+	ReadTimeout, WriteTimeout time.Duration
 
-	states     *connStates   // of clients' connections; nil: systemStates
-	clientPoll time.Duration // 0: clientPoll
-	hook       checkpointHook
+	States      *netcall.ConnStates // of clients' connections; nil: systemStates
+	ClientPoll  time.Duration       // 0: clientPoll
+	Checkpoints checkpoint.Hook
 }
 
-func (f *frontend) server() *http.Server {
+func (f *Server) HTTPServer() *http.Server {
 	return &http.Server{
-		Handler: f, ReadHeaderTimeout: f.peerWait, MaxHeaderBytes: maxHeader, ConnContext: withConn,
+		Handler: f, ReadHeaderTimeout: f.ReadTimeout, MaxHeaderBytes: framing.MaxHeader, ConnContext: withConn,
 		ConnState: func(c net.Conn, state http.ConnState) {
 			switch state {
 			case http.StateIdle:
-				if c, ok := c.(*headConn); ok {
-					c.next()
+				if c, ok := c.(*framing.HeadConn); ok {
+					c.NextRequest()
 				}
 			case http.StateNew:
-				f.conns.Add(1)
+				f.Conns.Add(1)
 			case http.StateClosed, http.StateHijacked:
-				f.conns.Add(-1)
+				f.Conns.Add(-1)
 			}
 		},
 		ErrorLog: slog.NewLogLogger(slog.Default().Handler(), slog.LevelDebug),
@@ -63,11 +71,11 @@
 }
 
 // ServeHTTP answers the ready check and passes requests to the loop.
-func (f *frontend) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	if c, ok := r.Context().Value(connKey{}).(*headConn); ok {
-		c.work()
+func (f *Server) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+	if c, ok := r.Context().Value(connKey{}).(*framing.HeadConn); ok {
+		c.RequestRead()
 	}
-	if f.draining.Load() || f.conns.Load() >= f.maxConns.Load() {
+	if f.Draining.Load() || f.Conns.Load() >= f.MaxKeptConns.Load() {
 		endAfter(w, r)
 	}
 	f.limitWrite(w)
@@ -77,7 +85,7 @@
 	}
 	switch r.URL.Path {
 	case apiPath:
-	case readyPath:
+	case ReadyPath:
 		f.ready(w, r)
 		return
 	default:
@@ -89,7 +97,7 @@
 		http.Error(w, "method not allowed", http.StatusMethodNotAllowed)
 		return
 	}
-	c, body, err := f.parse(w, r)
+	c, body, err := f.Parse(w, r)
 	if err != nil {
 		large := errors.Is(err, errBodyLarge)
 		if large {
@@ -101,26 +109,26 @@
 		}
 		return
 	}
-	defer f.memory.give(c.held)
+	defer f.Memory.release(c.HeldBytes)
 	// Bounds what is open together with goroutines and connections to servers. Nothing has been sent, so a
 	// refusal is true.
-	if f.taken.Add(1) > f.maxTaken.Load() {
-		f.taken.Add(-1)
-		f.figures.count(c.ev.Class, statusRefused)
-		write(w, answer{status: statusRefused})
+	if f.Requests.Add(1) > f.MaxRequests.Load() {
+		f.Requests.Add(-1)
+		f.Metrics.CountAnswer(c.Request.Class, inflight.StatusRejected)
+		write(w, inflight.Answer{Status: inflight.StatusRejected})
 		return
 	}
-	defer f.taken.Add(-1)
+	defer f.Requests.Add(-1)
 	f.serve(w, r, c, body)
 }
 
-func (f *frontend) ready(w http.ResponseWriter, r *http.Request) {
+func (f *Server) ready(w http.ResponseWriter, r *http.Request) {
 	if r.Method != http.MethodGet && r.Method != http.MethodHead {
 		w.Header().Set("Allow", "GET, HEAD")
 		http.Error(w, "method not allowed", http.StatusMethodNotAllowed)
 		return
 	}
-	if f.draining.Load() {
+	if f.Draining.Load() {
 		http.Error(w, "draining", http.StatusServiceUnavailable)
 		return
 	}
@@ -128,47 +136,47 @@
 }
 
 // serve waits for the one answer; body is what is still to come of a request that is passed on.
-func (f *frontend) serve(w http.ResponseWriter, r *http.Request, c *call, body io.Reader) {
+func (f *Server) serve(w http.ResponseWriter, r *http.Request, c *inflight.Call, body io.Reader) {
 	control := http.NewResponseController(w)
 	guard := time.NewTimer(time.Hour)
 	defer guard.Stop()
 	counted := int64(0)
 	taken := func(received time.Time) { // its last byte is here
-		guard.Reset(time.Until(received.Add(c.wait)) + millis(f.cfg.balance.AnswerSlack) + overdueWait)
+		guard.Reset(time.Until(received.Add(c.Timeout)) + clock.Duration(f.Config.Balance.AnswerSlack) + overdueWait)
 		counted = 1
-		f.figures.inFlight.Add(1)
+		f.Metrics.InFlight.Add(1)
 	}
-	defer func() { f.figures.inFlight.Add(-counted) }()
-	watch := newClientWatch(f.watchClient(r, c), cmp.Or(f.clientPoll, clientPoll))
+	defer func() { f.Metrics.InFlight.Add(-counted) }()
+	watch := newClientWatch(f.watchClient(r, c), cmp.Or(f.ClientPoll, clientPoll))
 	defer watch.stop()
 	var fed chan error // nil: the body is whole
-	if u := c.out.upload; u != nil {
+	if u := c.Outbound.Upload; u != nil {
 		control.EnableFullDuplex()
 		fed = make(chan error, 1)
-		go func() { fed <- u.feed(body) }()
+		go func() { fed <- u.Feed(body) }()
 		defer func() {
-			u.drop()
+			u.Abort()
 			if fed != nil {
 				<-fed // nobody may read when this request is over
 			}
 		}()
 	} else {
-		taken(c.deadline.Add(-c.wait))
+		taken(c.Deadline.Add(-c.Timeout))
 	}
-	f.hook.at(requestRead)
-	f.post(arrival{c})
-	var a answer
+	f.Checkpoints.At(checkpoint.RequestRead)
+	f.Post(Arrival{c})
+	var a inflight.Answer
 	var failed error // it was no request after all
 	var unheard bool // its client has gone
 	for decided := false; !decided; {
 		select {
-		case a = <-c.answers:
+		case a = <-c.Answers:
 			decided = true
 			continue
 		case err := <-fed:
 			fed = nil
 			if err == nil {
-				taken(c.out.upload.whole())
+				taken(c.Outbound.Upload.CompletedAt())
 				continue
 			}
 			failed = err
@@ -184,34 +192,34 @@
 			unheard = true
 		case <-guard.C:
 			// The module owes an answer and gave none: a bug, but the client is not left without one.
-			a = answer{status: statusTimedOut}
+			a = inflight.Answer{Status: inflight.StatusTimedOut}
 		}
 		decided = true
-		if !c.finish() {
-			a, unheard = <-c.answers, false
+		if !c.Finish() {
+			a, unheard = <-c.Answers, false
 			continue
 		}
-		f.post(clientGoneEvent{c})
-		if a.status != 0 {
+		f.Post(ClientGone{c})
+		if a.Status != 0 {
 			slog.Error("no answer from the module in time", "request", r.Header.Get("X-Request-ID"))
 		}
 	}
-	if unheard || a.clientLeft {
+	if unheard || a.ClientLeft {
 		if fed != nil { // who broke off tells how
-			c.out.upload.drop()
+			c.Outbound.Upload.Abort()
 			failed, fed = <-fed, nil
 		}
 		// Half a close leaves a reader, to whom a return without an answer would be 200.
-		a = answer{status: statusFailed}
+		a = inflight.Answer{Status: inflight.StatusFailed}
 		w.Header().Set("Connection", "close")
 	}
-	f.hook.at(answerDecided)
+	f.Checkpoints.At(checkpoint.AnswerDecided)
 	// An attempt that passed its last check before the answer was decided may still be writing.
-	c.writing.Lock()
+	c.Writing.Lock()
 	//lint:ignore SA2001 it only waits for the one that holds it
-	c.writing.Unlock()
+	c.Writing.Unlock()
 	f.limitWrite(w)
-	if failed == nil && c.out.upload != nil && c.out.upload.broken() { // the attempt was quicker to tell
+	if failed == nil && c.Outbound.Upload != nil && c.Outbound.Upload.Broken() { // the attempt was quicker to tell
 		failed, fed = <-fed, nil
 	}
 	if failed != nil {
@@ -220,14 +228,14 @@
 	}
 	if fed != nil {
 		w.Header().Set("Connection", "close")
-	} else if f.draining.Load() { // it may have been told to end since the request came
+	} else if f.Draining.Load() { // it may have been told to end since the request came
 		endAfter(w, r)
 	}
-	if a.stream != nil {
+	if a.Stream != nil {
 		f.pass(w, r, c, a)
 		return
 	}
-	f.figures.count(c.ev.Class, a.status)
+	f.Metrics.CountAnswer(c.Request.Class, a.Status)
 	write(w, a)
 	if fed != nil {
 		control.Flush() // the client may be sending for long
@@ -235,15 +243,15 @@
 }
 
 // watchClient lets a call learn that its client has gone.
-func (f *frontend) watchClient(r *http.Request, c *call) *headConn {
-	conn, ok := r.Context().Value(connKey{}).(*headConn)
+func (f *Server) watchClient(r *http.Request, c *inflight.Call) *framing.HeadConn {
+	conn, ok := r.Context().Value(connKey{}).(*framing.HeadConn)
 	if !ok {
 		return nil
 	}
-	states := f.states
+	states := f.States
 	if states == nil {
-		states = systemStates
+		states = netcall.SystemConnStates
 	}
-	c.clientGone = func() bool { return r.Context().Err() != nil || clientGone(conn, states) }
+	c.ClientGone = func() bool { return r.Context().Err() != nil || clientGone(conn, states) }
 	return conn
 }
--- /dev/null
+++ b/internal/sidecar/clock/step_detector_test.go
@@ -0,0 +1,56 @@
+package clock
+
+import (
+	"fmt"
+	"math"
+	"testing"
+	"time"
+)
+
+func TestStepsAreNoticed(t *testing.T) {
+	type reading struct {
+		apart time.Duration // of the wall clock from the monotonic one
+		held  bool          // between the two
+	}
+	const ahead, back = time.Hour, -30 * time.Second
+	const fifth, tenth = 200 * time.Millisecond, 100 * time.Millisecond
+	at := func(apart time.Duration) reading { return reading{apart, false} }
+	held := func(apart time.Duration) reading { return reading{apart, true} }
+	for name, c := range map[string]struct {
+		readings []reading // in order; each look takes one, or two where the first seems to be stepped
+		looks    int
+		told     []float64 // offsets in ms
+	}{
+		"none":                {[]reading{at(0), at(0), at(0)}, 3, nil},
+		"ahead, and back":     {[]reading{at(ahead), at(ahead), at(ahead), at(0), at(0)}, 3, []float64{3.6e6, 0}},
+		"back":                {[]reading{at(back), at(back), at(back)}, 2, []float64{-30e3}},
+		"a second":            {[]reading{at(time.Second), at(time.Second)}, 1, []float64{1e3}},
+		"held up once":        {[]reading{at(-time.Second), at(0), at(0)}, 2, nil},
+		"held up twice":       {[]reading{at(-time.Second), at(-2 * time.Second), at(0)}, 2, nil},
+		"held up, and known":  {[]reading{held(ahead), at(0)}, 2, nil},
+		"held up over a step": {[]reading{at(ahead), held(ahead), at(ahead), at(ahead)}, 2, []float64{3.6e6}},
+		"less than counts":    {[]reading{at(tenth), at(-tenth)}, 2, nil},
+		"little by little":    {[]reading{at(fifth), at(2 * fifth), at(2 * fifth)}, 2, []float64{400}},
+	} {
+		t.Run(name, func(t *testing.T) {
+			began := time.Now()
+			w := NewStepDetector(Clock{start: began, base: UnixMillis(began)}, nil)
+			next := 0
+			w.read = func() (wall, at time.Time, ok bool) {
+				r := c.readings[next]
+				next++
+				at = began.Add(time.Duration(next) * time.Second)
+				return at.Add(r.apart), at, !r.held
+			}
+			var told []float64
+			for range c.looks {
+				if step, stepped := w.Check(); stepped {
+					told = append(told, math.Round(step.Offset))
+				}
+			}
+			if fmt.Sprint(told) != fmt.Sprint(c.told) || next != len(c.readings) {
+				t.Errorf("told %v, want %v, with %d of %d readings", told, c.told, next, len(c.readings))
+			}
+		})
+	}
+}
--- a/internal/sidecar/config.go
+++ b/internal/sidecar/config/config.go
@@ -1,6 +1,4 @@
-// Package sidecar runs the decision module of package balance on real sockets: applications in front,
-// servers behind, discovery beside. All decisions are the module's.
-package sidecar
+package config
 
 import (
 	"context"
@@ -19,6 +17,9 @@
 	"marblelane/balance"
 	"marblelane/internal/fault"
 	"marblelane/internal/retry"
+	"marblelane/internal/sidecar/clock"
+	"marblelane/internal/sidecar/discovery"
+	"marblelane/internal/sidecar/endpointlist"
 	"marblelane/internal/wire"
 )
 
@@ -35,31 +36,31 @@
 	MemoryMB   int // 0: no limit
 	Sockets    int // descriptors in all
 
-	balance     balance.Config
-	classes     map[string]int
-	classNames  []string
-	tenants     map[string]int // empty: the site has none
-	zones       map[string]int
-	kinds       map[string]int
-	reportNames []string // of a load report's figures, in the order of balance.Config.Fields
-	connIdle    time.Duration
-	maxOpen     int
-	known       list
-	tempDir     string         // shared with the processes before and after this one; empty: none
-	routes      *routesConfig  // nil: off
-	members     *membersConfig // nil: off
-	faults      *fault.Plan    // the lab's; nil: none
+	Balance     balance.Config
+	Classes     map[string]int
+	ClassNames  []string
+	Tenants     map[string]int // empty: the site has none
+	Zones       map[string]int
+	Kinds       map[string]int
+	ReportNames []string // of a load report's figures, in the order of balance.Config.Fields
+	ConnIdle    time.Duration
+	MaxOpen     int
+	Known       endpointlist.List
+	tempDir     string      // shared with the processes before and after this one; empty: none
+	Routes      *Routes     // nil: off
+	Membership  *Membership // nil: off
+	Faults      *fault.Plan // the lab's; nil: none
 }
 
 // defaultSockets holds where the configuration sets no limit.
 const defaultSockets = 1024
 
-// fewestReserve is the least number of sockets that the listeners, discovery, the log, the runtime and the management
+// MinReserve is the least number of sockets that the listeners, discovery, the log, the runtime and the management
 // address need.
-const fewestReserve = 24
+const MinReserve = 24
 
-// fewestSockets is the least that leaves connections for clients and servers beside the reserve.
-const fewestSockets = 2 * fewestReserve
+// MinSockets is the least that leaves connections for clients and servers beside the reserve.
+const MinSockets = 2 * MinReserve
 
 // Limits beyond these are mistakes, and are more than the arithmetic of the limits holds.
 const (
@@ -83,7 +84,7 @@
 		MemoryMB int     `json:"memory_mb"`
 		Sockets  int     `json:"sockets"`
 	} `json:"limits"`
-	Known list `json:"known"`
+	Known endpointlist.List `json:"known"`
 	// Keys that the platform never sets.
 	Lists []struct {
 		Addr string `json:"addr"`
@@ -148,15 +149,15 @@
 	return nil
 }
 
-// LoadConfig reads the configuration file that NODE_CONFIG names. NODE_NAME, NODE_LISTEN,
+// Load reads the configuration file that NODE_CONFIG names. NODE_NAME, NODE_LISTEN,
 // NODE_DISCOVERY and NODE_MANAGEMENT, where set, win over the file. A file that cannot be opened or read for a moment is
 // tried again, for up to retry.StartLimit; errors name the file, and the key where there is one.
-func LoadConfig(getenv func(string) string) (*Config, error) {
-	return loadConfig(getenv, patientRead(retry.NewStart(context.Background(), nil), os.ReadFile))
+func Load(getenv func(string) string) (*Config, error) {
+	return LoadWith(getenv, RetryingRead(retry.NewStart(context.Background(), nil), os.ReadFile))
 }
 
-// patientRead reads files as a start may: what fails for a moment is tried again.
-func patientRead(start *retry.Start, readFile func(path string) ([]byte, error)) func(path string) ([]byte, error) {
+// RetryingRead reads files as a start may: what fails for a moment is tried again.
+func RetryingRead(start *retry.Start, readFile func(path string) ([]byte, error)) func(path string) ([]byte, error) {
 	return func(path string) (data []byte, err error) {
 		err = start.Do("read "+path, func() (failed error) {
 			data, failed = readFile(path)
@@ -166,8 +167,8 @@
 	}
 }
 
-// loadConfig reads the file with the given call, which gives its bytes as os.ReadFile does.
-func loadConfig(getenv func(string) string, readFile func(path string) ([]byte, error)) (*Config, error) {
+// LoadWith reads the file with the given call, which gives its bytes as os.ReadFile does.
+func LoadWith(getenv func(string) string, readFile func(path string) ([]byte, error)) (*Config, error) {
 	path := getenv("NODE_CONFIG")
 	if path == "" {
 		return nil, errors.New("NODE_CONFIG is not set")
@@ -193,8 +194,8 @@
 		return nil, fmt.Errorf("configuration %s: %w", path, err)
 	}
 	cfg.tempDir = getenv("TMPDIR")
-	if cfg.routes != nil {
-		cfg.routes.digest = fmt.Sprintf("%x", sha256.Sum256(data))
+	if cfg.Routes != nil {
+		cfg.Routes.Digest = fmt.Sprintf("%x", sha256.Sum256(data))
 	}
 	return cfg, nil
 }
@@ -230,15 +231,15 @@
 	cfg := &Config{
 		Name: f.Name, Listen: f.Listen, Discovery: f.Discovery, Management: f.Manage,
 		Cores: f.Limits.Cores, MemoryMB: f.Limits.MemoryMB, Sockets: f.Limits.Sockets,
-		balance: settings, zones: index(n.Zones), kinds: index(n.Kinds), reportNames: n.Report.Fields,
-		connIdle: millis(n.Limits.ConnIdle), maxOpen: n.Limits.MaxOpen, known: f.Known,
+		Balance: settings, Zones: index(n.Zones), Kinds: index(n.Kinds), ReportNames: n.Report.Fields,
+		ConnIdle: clock.Duration(n.Limits.ConnIdle), MaxOpen: n.Limits.MaxOpen, Known: f.Known,
 	}
 	if cfg.Sockets == 0 {
 		cfg.Sockets = defaultSockets
 	}
 	switch {
-	case cfg.Sockets < fewestSockets:
-		return nil, fmt.Errorf("limits.sockets is %d, at least %d", cfg.Sockets, fewestSockets)
+	case cfg.Sockets < MinSockets:
+		return nil, fmt.Errorf("limits.sockets is %d, at least %d", cfg.Sockets, MinSockets)
 	case cfg.MemoryMB < 0 || cfg.MemoryMB > mostMemoryMB:
 		return nil, fmt.Errorf("limits.memory_mb is %d, not between 0 and %d", cfg.MemoryMB, mostMemoryMB)
 	case !(cfg.Cores >= 0 && cfg.Cores <= mostCores):
@@ -254,41 +255,41 @@
 			}
 		}
 	}
-	cfg.balance.ListServices, cfg.balance.SuspectFraction, cfg.balance.StaleAfter = len(cfg.Lists), f.DoubtShare, f.StaleMS
-	cfg.balance.MaxPollBackoff = float64(longestPause.Milliseconds())
-	cfg.balance.Subscribe = cfg.balance.Subscribe || len(cfg.Lists) > 0 // the module decides which one is called
+	cfg.Balance.ListServices, cfg.Balance.SuspectFraction, cfg.Balance.StaleAfter = len(cfg.Lists), f.DoubtShare, f.StaleMS
+	cfg.Balance.MaxPollBackoff = float64(discovery.MaxPollBackoff.Milliseconds())
+	cfg.Balance.Subscribe = cfg.Balance.Subscribe || len(cfg.Lists) > 0 // the module decides which one is called
 	if !(f.DoubtShare >= 0 && f.DoubtShare <= 1) {
 		return nil, fmt.Errorf("list_doubt_share: %v is not between 0 and 1", f.DoubtShare)
 	}
 	if !(f.StaleMS >= 0) {
 		return nil, fmt.Errorf("list_stale_ms: %v is negative", f.StaleMS)
 	}
-	if cfg.balance.Regions, err = f.regions(n.Zones); err != nil {
+	if cfg.Balance.Regions, err = f.regions(n.Zones); err != nil {
 		return nil, err
 	}
-	if cfg.balance.RegionCost = f.RegionCost; f.RegionCost == 0 {
-		cfg.balance.RegionCost = defaultRegionCost
+	if cfg.Balance.RegionCost = f.RegionCost; f.RegionCost == 0 {
+		cfg.Balance.RegionCost = defaultRegionCost
 	}
-	if cfg.classes, err = indexNamed("classes", n.Classes); err != nil {
+	if cfg.Classes, err = indexNamed("classes", n.Classes); err != nil {
 		return nil, err
 	}
 	for _, c := range n.Classes {
-		cfg.classNames = append(cfg.classNames, c.Name)
+		cfg.ClassNames = append(cfg.ClassNames, c.Name)
 	}
-	if cfg.tenants, err = indexNamed("tenants", n.Tenants); err != nil {
+	if cfg.Tenants, err = indexNamed("tenants", n.Tenants); err != nil {
 		return nil, err
 	}
-	if cfg.routes, err = f.routes(cfg.lists()); err != nil {
+	if cfg.Routes, err = f.routes(cfg.ListAddrs()); err != nil {
 		return nil, err
 	}
 	zone := ""
 	if n.Zone >= 0 && n.Zone < len(n.Zones) {
 		zone = n.Zones[n.Zone]
 	}
-	if cfg.members, err = f.members(zone, settings.Peers); err != nil {
+	if cfg.Membership, err = f.members(zone, settings.Peers); err != nil {
 		return nil, err
 	}
-	if cfg.faults, err = fault.Open(f.Faults); err != nil {
+	if cfg.Faults, err = fault.Open(f.Faults); err != nil {
 		return nil, err
 	}
 	return cfg, nil
@@ -341,8 +342,8 @@
 	return m, nil
 }
 
-// lists are the addresses of all list services, in order of preference.
-func (cfg *Config) lists() []string {
+// ListAddrs are the addresses of all list services, in order of preference.
+func (cfg *Config) ListAddrs() []string {
 	if len(cfg.Lists) > 0 {
 		return cfg.Lists
 	}
--- /dev/null
+++ b/internal/sidecar/config/doc.go
@@ -0,0 +1,2 @@
+// Package config reads the configuration file of a sidecar.
+package config
--- a/internal/sidecar/config_meeting.go
+++ b/internal/sidecar/config/handover_socket.go
@@ -1,4 +1,4 @@
-package sidecar
+package config
 
 import (
 	"fmt"
@@ -8,9 +8,9 @@
 	"path/filepath"
 )
 
-// meetingPlace is where two processes for the same address meet; empty: they cannot. Without a management
+// HandoverSocket is where two processes for the same address meet; empty: they cannot. Without a management
 // address nobody upgrades, and an address of the system's choice is never the same.
-func (cfg *Config) meetingPlace() string {
+func (cfg *Config) HandoverSocket() string {
 	_, port, err := net.SplitHostPort(cfg.Listen)
 	if cfg.Management == "" || cfg.tempDir == "" || err != nil || port == "0" {
 		return ""
--- /dev/null
+++ b/internal/sidecar/config/members_test.go
@@ -0,0 +1,48 @@
+package config_test
+
+import (
+	"strings"
+	"testing"
+
+	"github.com/stretchr/testify/require"
+
+	"marblelane/internal/sidecar/config"
+	"marblelane/internal/sidecar/configtest"
+	"marblelane/internal/sidecar/sidecartest"
+)
+
+func TestMembersConfiguration(t *testing.T) {
+	for name, test := range map[string]struct {
+		change func(configtest.Conf)
+		says   string // "": it is good
+	}{
+		"absent":      {func(c configtest.Conf) { delete(c, "members") }, ""},
+		"null":        {func(c configtest.Conf) { c["members"] = nil }, ""},
+		"no name":     {func(c configtest.Conf) { c["name"] = "" }, "name: empty"},
+		"no fleet":    {func(c configtest.Conf) { c["members"].(map[string]any)["fleet"] = "" }, "members.fleet: "},
+		"bad address": {func(c configtest.Conf) { c["members"].(map[string]any)["bind"] = "x" }, "members.bind: "},
+		"name":        {func(c configtest.Conf) { c["name"] = "side car" }, "members.name: "},
+		"long name":   {func(c configtest.Conf) { c["name"] = strings.Repeat("n", 65) }, "members.name: "},
+		"zone":        {func(c configtest.Conf) { c.Setting(`["z"]`, `["z\u00a0"]`) }, "members.zone: "},
+		"no host":     {func(c configtest.Conf) { c["members"].(map[string]any)["bind"] = ":0" }, "members.bind: "},
+		"unknown key": {func(c configtest.Conf) { c["members"].(map[string]any)["bnd"] = "x" }, `members: json: unknown field "bnd"`},
+	} {
+		t.Run(name, func(t *testing.T) {
+			c := configtest.Joining(configtest.NewConf("127.0.0.1:1"), "n", sidecartest.Loopback)
+			test.change(c)
+			cfg, err := c.Load(t)
+			if test.says != "" {
+				require.ErrorContains(t, err, test.says)
+				return
+			}
+			require.NoError(t, err)
+			require.Nil(t, cfg.Membership)
+		})
+	}
+	cfg, err := configtest.Joining(configtest.NewConf("127.0.0.1:1"), "n", sidecartest.Loopback).Setting(`"zones"`, `"peers_total": 7, "zones"`).Load(t)
+	require.NoError(t, err)
+	g := cfg.Membership.Group
+	require.Equal(t, []any{"n", "z", config.RoleSidecar, 7}, []any{g.Name, g.Zone, g.Role, g.Peers})
+	require.True(t, config.SameMembership(cfg.Membership, cfg.Membership))
+	require.False(t, config.SameMembership(cfg.Membership, nil))
+}
--- a/internal/sidecar/config_members.go
+++ b/internal/sidecar/config/membership.go
@@ -1,6 +1,4 @@
-package sidecar
-
-// This file is the section members of the configuration, see docs/membership.md.
+package config
 
 import (
 	"bytes"
@@ -14,22 +12,22 @@
 )
 
 const (
-	roleSidecar = "sidecar"
-	// longestVersion is what a member may say.
-	longestVersion = 64
+	RoleSidecar = "sidecar"
+	// maxVersion is what a member may say.
+	maxVersion = 64
 )
 
-// manageWait is for a whole call of the management address, and for its answer to be taken.
-const manageWait = 2 * time.Second
+// ManagementTimeout is for a whole call of the management address, and for its answer to be taken.
+const ManagementTimeout = 2 * time.Second
 
-// membersConfig is the section members.
-type membersConfig struct {
-	group membership.Config
+// Membership is the section members.
+type Membership struct {
+	Group membership.Config
 	text  string // of the section
 }
 
 // members reads the section; nil: there is none.
-func (f *file) members(zone string, peers int) (*membersConfig, error) {
+func (f *file) members(zone string, peers int) (*Membership, error) {
 	if len(f.Members) == 0 || bytes.Equal(f.Members, []byte("null")) {
 		return nil, nil
 	}
@@ -50,15 +48,15 @@
 	if err := json.Compact(&text, f.Members); err != nil {
 		return nil, fmt.Errorf("members: %w", err)
 	}
-	group.Name, group.Zone, group.Role, group.Peers = f.Name, zone, roleSidecar, peers
-	group.Version = fmt.Sprintf("%.*s", longestVersion, version())
+	group.Name, group.Zone, group.Role, group.Peers = f.Name, zone, RoleSidecar, peers
+	group.Version = fmt.Sprintf("%.*s", maxVersion, ProgramVersion())
 	if err := addrcheck.Check(group); err != nil {
 		return nil, fmt.Errorf("this sidecar as a member: %w", err)
 	}
-	return &membersConfig{group, text.String()}, nil
+	return &Membership{group, text.String()}, nil
 }
 
-// sameMembers tells whether two configurations mean the same members.
-func sameMembers(a, b *membersConfig) bool {
+// SameMembership tells whether two configurations mean the same members.
+func SameMembership(a, b *Membership) bool {
 	return a == nil && b == nil || a != nil && b != nil && a.text == b.text
 }
--- a/internal/sidecar/config_routes.go
+++ b/internal/sidecar/config/routes.go
@@ -1,6 +1,4 @@
-package sidecar
-
-// This file is the section routes of the configuration, see docs/routes.md.
+package config
 
 import (
 	"bytes"
@@ -21,17 +19,17 @@
 const (
 	defaultKeyHeader = "X-Route-Key"
 
-	mostCopies  = 16
-	mostHeader  = 100 // bytes of a header's name
-	headerChars = "-0123456789ABCDEFGHIJKLMNOPQRSTUVWXYZabcdefghijklmnopqrstuvwxyz"
+	MaxEndpoints    = 16
+	maxHeaderName   = 100 // bytes of a header's name
+	headerNameChars = "-0123456789ABCDEFGHIJKLMNOPQRSTUVWXYZabcdefghijklmnopqrstuvwxyz"
 )
 
-// routesConfig is the section routes.
-type routesConfig struct {
-	addrs     []string
-	schemas   []int
-	keyHeader string
-	digest    string // of the whole file
+// Routes is the section routes.
+type Routes struct {
+	Addrs     []string
+	Schemas   []int
+	KeyHeader string
+	Digest    string // of the whole file
 }
 
 // routesFile is its JSON form.
@@ -42,7 +40,7 @@
 }
 
 // routes reads the section; nil: there is none. The digest is for who has the text.
-func (f *file) routes(lists []string) (*routesConfig, error) {
+func (f *file) routes(lists []string) (*Routes, error) {
 	if len(f.Routes) == 0 || bytes.Equal(f.Routes, []byte("null")) {
 		return nil, nil
 	}
@@ -55,8 +53,8 @@
 	if f.Name == "" {
 		return nil, errors.New("name: empty, and a sidecar with routes is known by it")
 	}
-	if len(in.Addrs) > mostCopies {
-		return nil, fmt.Errorf("routes.addrs: %d addresses, more than %d", len(in.Addrs), mostCopies)
+	if len(in.Addrs) > MaxEndpoints {
+		return nil, fmt.Errorf("routes.addrs: %d addresses, more than %d", len(in.Addrs), MaxEndpoints)
 	}
 	for i, addr := range in.Addrs {
 		if _, _, err := net.SplitHostPort(addr); err != nil {
@@ -71,36 +69,36 @@
 	if in.KeyHeader == "" {
 		in.KeyHeader = defaultKeyHeader
 	}
-	if len(in.KeyHeader) > mostHeader || strings.Trim(in.KeyHeader, headerChars) != "" {
+	if len(in.KeyHeader) > maxHeaderName || strings.Trim(in.KeyHeader, headerNameChars) != "" {
 		return nil, fmt.Errorf("routes.key_header: %.100q is no name of a header", in.KeyHeader)
 	}
-	cfg := &routesConfig{addrs: in.Addrs, schemas: in.Schemas, keyHeader: http.CanonicalHeaderKey(in.KeyHeader)}
-	if len(cfg.addrs) == 0 {
-		cfg.addrs = lists
+	cfg := &Routes{Addrs: in.Addrs, Schemas: in.Schemas, KeyHeader: http.CanonicalHeaderKey(in.KeyHeader)}
+	if len(cfg.Addrs) == 0 {
+		cfg.Addrs = lists
 	}
 	for schema := 1; len(in.Schemas) == 0 && schema <= route.Newest; schema++ {
-		cfg.schemas = append(cfg.schemas, schema)
+		cfg.Schemas = append(cfg.Schemas, schema)
 	}
 	return cfg, nil
 }
 
-// key is a request's route key as the module takes it; 0: it has none.
-func (c *routesConfig) key(h http.Header) uint64 {
-	v := h.Get(c.keyHeader)
+// RouteKey is a request's route key as the module takes it; 0: it has none.
+func (c *Routes) RouteKey(h http.Header) uint64 {
+	v := h.Get(c.KeyHeader)
 	if v == "" {
 		return 0
 	}
-	return max(hashOf(v), 1)
+	return max(Hash(v), 1)
 }
 
-func hashOf(text string) uint64 {
+func Hash(text string) uint64 {
 	h := fnv.New64a()
 	io.WriteString(h, text)
 	return h.Sum64()
 }
 
-// version names the program in reports.
-func version() string {
+// ProgramVersion names the program in reports.
+func ProgramVersion() string {
 	info, ok := debug.ReadBuildInfo()
 	if !ok || info.Main.Version == "" {
 		return "unknown"
--- a/internal/sidecar/config_test.go
+++ b/internal/sidecar/config_test.go
@@ -2,112 +2,25 @@
 
 import (
 	"os"
-	"path/filepath"
 	"strings"
 	"testing"
 	"time"
-)
-
-// loadText loads a configuration file of that text, and gives its error without the file's place.
-func loadText(t *testing.T, text string) (*Config, string, error) {
-	t.Helper()
-	path := filepath.Join(t.TempDir(), "config.json")
-	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
-		t.Fatal(err)
-	}
-	cfg, err := LoadConfig(func(name string) string {
-		if name == "NODE_CONFIG" {
-			return path
-		}
-		return ""
-	})
-	if err == nil {
-		return cfg, "", nil
-	}
-	said, named := strings.CutPrefix(err.Error(), "configuration "+path+": ")
-	if !named {
-		t.Errorf("the error does not name the file: %v", err)
-	}
-	return nil, said, err
-}
 
-// Whatever is wrong in a configuration is told on one line that names the file, the key and the word, in the file's own
-// terms.
-func TestErrorsNameFileAndKey(t *testing.T) {
-	whole, err := os.ReadFile(newConf("127.0.0.1:1", ready("a", "127.0.0.1:2")).write(t))
-	if err != nil {
-		t.Fatal(err)
-	}
-	for _, c := range []struct{ old, to, want string }{
-		{`"seed":"8c1f30d27a5be964"`, `"seed":"zz"`, "seed: "}, {`"seed":"8c1f30d27a5be964"`, `"seed":5`, "seed: a number"},
-		{`"sockets":1024`, `"sockets":"many"`, "limits.sockets: a string"}, {`"sockets":1024`, `"sockets":-5`, "limits.sockets is -5"},
-		{`"memory_mb":192`, `"memory_mb":-1`, "limits.memory_mb is -1"}, {`"memory_mb":192`, `"memory_mb":99999999999999`, "limits.memory_mb is 9"},
-		{`"cores":1`, `"cores":-1`, "limits.cores is -1"}, {`"cores":1`, `"cores":1e300`, "limits.cores is 1e+300"},
-		{`"listen":"127.64.0.1:0"`, `"listen":"there"`, "listen: "}, {`"discovery":"127.0.0.1:1"`, `"discovery":"there"`, "discovery: "},
-		{`"discovery":"127.0.0.1:1"`, `"discovery":""`, "discovery: "}, {`"discovery":"127.0.0.1:1"`, `"discovery":":8500"`, `discovery: address ":8500"`},
-		{`"discovery":"127.0.0.1:1"`, `"discovery":"127.0.0.1:99999"`, `discovery: address "127.0.0.1:99999"`},
-		{`"discovery":"127.0.0.1:1"`, `"discovery":"127.0.0.1:"`, `discovery: address "127.0.0.1:"`},
-		{`"discovery":"127.0.0.1:1"`, `"discovery":"a b%%:1"`, `discovery: address "a b%%:1"`},
-		{`"known":{`, `"known":[`, "byte 42: "}, {`"boot_ms":0`, `"boot_ms":"x"`, "known.targets.boot_ms: a string"},
-		{`"quantum_ms":2`, `"quantum_ms":"x"`, "settings: quantum_ms: a string"},
-		{`"conn_idle_ms":10000`, `"conn_idle_ms":-1`, "settings: limits.conn_idle_ms is -1"},
-		{`"open_cap":20000`, `"open_cap":-1`, "settings: limits.open_cap is -1"}, {`"open_cap":20000`, `"open_cap":1.5`, "settings: limits.open_cap: "},
-		{`"effect":"read_like"`, `"effect":"odd"`, `settings: classes[0].effect: unknown word "odd"`},
-		{`"group":"all"`, `"group":"moon"`, `settings: classes[0].group: unknown word "moon"`},
-		{`"on_time_ms":750`, `"on_time_ms":-1`, "settings: classes[0].on_time_ms is -1"},
-		{`"on_time_ms":750`, `"on_time_ms":[]`, "settings: classes.on_time_ms: a array"},
-		{`"hard_limit_ms":2500`, `"hard_limit_ms":0`, "settings: classes[0].hard_limit_ms is 0"},
-		{`"window_ms":2000`, `"window_ms":-1`, "settings: classes[1].window_ms is -1"},
-		{`"max_attempts":6`, `"max_attempts":0`, "settings: limits.max_attempts is 0"},
-		{`"worth":3`, `"worth":-1`, "settings: classes[0].worth is -1"}, {`"share":1`, `"share":-1`, "settings: tenants[0].share is -1"},
-		{`"allowance_per_s":100`, `"allowance_per_s":-1`, "settings: tenants[0].allowance_per_s is -1"},
-		{`"name":"kita"`, `"name":""`, "settings: tenants: entry 0"}, {`"zones":["z"]`, `"zones":["z","z"]`, `settings: zones: "z"`},
-		{`"discovery":"subscribe"`, `"discovery":"guess"`, `settings: discovery: unknown word "guess"`},
-		{`"via":"piggyback"`, `"via":"pigeon"`, `settings: report.via: unknown word "pigeon"`},
-		{`"zones":["z"]`, `"zones":"z"`, "settings: zones: a string"}, {`"drain_grace_ms":250`, `"drain_grace_ms":-1`, "settings: rules.drain_grace_ms is -1"},
-		{`"rules":{`, `"penalties":{"waste":-1},"rules":{`, "settings: penalties.waste is -1"},
-		{`"settings":{`, `"settings":null,"x":{`, "settings: no classes"},
-	} {
-		text := strings.Replace(string(whole), c.old, c.to, 1)
-		if text == string(whole) {
-			t.Fatalf("the configuration lacks %s", c.old)
-		}
-		_, said, err := loadText(t, text)
-		if err == nil || !strings.HasPrefix(said, c.want) || strings.ContainsAny(said, "\n") || strings.Contains(said, "Go ") {
-			t.Errorf("%s: error %q, want %q first", c.to, said, c.want)
-		}
-	}
-	for text, want := range map[string]string{
-		"": "byte 0: ", "{": "byte 1: ", string(whole[:len(whole)/2]): "byte ", "[]": "", "null": "listen: ", `{"name":"n0"}{`: "byte 14: ",
-	} {
-		if _, said, err := loadText(t, text); err == nil || !strings.HasPrefix(said, want) {
-			t.Errorf("%.20q: error %q, want %q first", text, said, want)
-		}
-	}
-}
-
-// Times that no duration holds are as good as for ever, not negative.
-func TestTimesBeyondAllDurations(t *testing.T) {
-	for _, ms := range []float64{1e13, 1e18, 1e300} {
-		if d := millis(ms); d != longestTime {
-			t.Errorf("%v ms is %v", ms, d)
-		}
-	}
-	if got := millis(1500); got != 1500*time.Millisecond {
-		t.Errorf("1500 ms is %v", got)
-	}
-}
+	"marblelane/internal/sidecar/configtest"
+	"marblelane/internal/sidecar/endpointlist"
+	"marblelane/internal/sidecar/sidecartest"
+)
 
 // A configuration that cannot be used leaves everything as it was at SIGHUP: no call moves, and the error names the file.
 func TestReloadOfABadFileChangesNothing(t *testing.T) {
 	for _, mode := range []string{"subscribe", "automatic"} {
 		t.Run(mode, func(t *testing.T) {
-			b, r, other := newBackend(t, "a", ok), newRegistry(t), newRegistry(t)
-			c := newConf(r.addr(), b.target).setting(`"discovery": "subscribe"`, `"discovery": "`+mode+`"`)
-			s := start(t, c, func(s *Sidecar) { s.loop.disc.lag = time.Hour })
-			watch := receive(t, "the watch", r.calls)
-			c["discovery"] = other.addr()
-			path := c.write(t)
+			b, r, other := sidecartest.NewBackend(t, "a", sidecartest.OK), sidecartest.NewRegistry(t), sidecartest.NewRegistry(t)
+			c := configtest.NewConf(r.Addr(), b.Target).Setting(`"discovery": "subscribe"`, `"discovery": "`+mode+`"`)
+			s := start(t, c, func(s *Sidecar) { s.loop.Discovery.PushedDelay = time.Hour })
+			watch := sidecartest.Receive(t, "the watch", r.Calls)
+			c["discovery"] = other.Addr()
+			path := c.Write(t)
 			whole, err := os.ReadFile(path)
 			if err != nil {
 				t.Fatal(err)
@@ -117,8 +30,8 @@
 			}
 			bad := map[string]string{
 				"half written": string(whole[:len(whole)/2]), "empty": "", "no discovery": strings.Replace(string(whole), `"discovery":"127`, `"x":"127`, 1),
-				"port of no use": strings.Replace(string(whole), other.addr(), "127.0.0.1:99999", 1),
-				"other type":     strings.Replace(string(whole), `"`+other.addr()+`"`, "5", 1),
+				"port of no use": strings.Replace(string(whole), other.Addr(), "127.0.0.1:99999", 1),
+				"other type":     strings.Replace(string(whole), `"`+other.Addr()+`"`, "5", 1),
 			}
 			for name, text := range bad {
 				if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
@@ -135,18 +48,18 @@
 				t.Errorf("missing: error %v", err)
 			}
 			rev := int64(41)
-			watch.send(t, list{Rev: rev, Targets: []target{b.target}}) // the first watch goes on
-			until(t, "the list", func() bool { return s.loop.disc.rev.Load() == rev })
+			watch.Send(t, endpointlist.List{Rev: rev, Targets: []endpointlist.Target{b.Target}}) // the first watch goes on
+			sidecartest.Until(t, "the list", func() bool { return s.loop.Discovery.Revision.Load() == rev })
 			if err := os.WriteFile(path, whole, 0o600); err != nil {
 				t.Fatal(err)
 			}
 			if err := reload(); err != nil {
 				t.Fatal(err)
 			}
-			if call := receive(t, "the call after a whole file", other.calls); call.query != "watch=1&after=41" {
-				t.Errorf("asked %q", call.query)
+			if call := sidecartest.Receive(t, "the call after a whole file", other.Calls); call.Query != "watch=1&after=41" {
+				t.Errorf("asked %q", call.Query)
 			}
-			if len(r.calls)+len(other.calls) > 0 {
+			if len(r.Calls)+len(other.Calls) > 0 {
 				t.Error("a bad file made a call")
 			}
 		})
@@ -157,48 +70,48 @@
 func TestReloadsAtOnceAndBack(t *testing.T) {
 	for _, mode := range []string{"subscribe", "automatic"} {
 		t.Run(mode, func(t *testing.T) {
-			first, second, third := newRegistry(t), newRegistry(t), newRegistry(t)
-			c := newConf(first.addr()).setting(`"discovery": "subscribe"`, `"discovery": "`+mode+`"`)
-			s := start(t, c, func(s *Sidecar) { s.loop.disc.lag = time.Hour })
-			begun := receive(t, "the watch, before any answer", first.calls)
-			paths := map[*registry]string{}
-			for _, r := range []*registry{first, second, third} {
-				paths[r] = withDiscovery(c, r.addr()).write(t)
-			}
-			reload := func(r *registry) error {
+			first, second, third := sidecartest.NewRegistry(t), sidecartest.NewRegistry(t), sidecartest.NewRegistry(t)
+			c := configtest.NewConf(first.Addr()).Setting(`"discovery": "subscribe"`, `"discovery": "`+mode+`"`)
+			s := start(t, c, func(s *Sidecar) { s.loop.Discovery.PushedDelay = time.Hour })
+			begun := sidecartest.Receive(t, "the watch, before any answer", first.Calls)
+			paths := map[*sidecartest.Registry]string{}
+			for _, r := range []*sidecartest.Registry{first, second, third} {
+				paths[r] = withDiscovery(c, r.Addr()).Write(t)
+			}
+			reload := func(r *sidecartest.Registry) error {
 				path := paths[r]
 				return s.Reload(func(name string) string { return map[string]string{"NODE_CONFIG": path}[name] })
 			}
 			ended := make(chan error, 2)
-			for _, r := range []*registry{second, third} {
+			for _, r := range []*sidecartest.Registry{second, third} {
 				go func() { ended <- reload(r) }()
 			}
 			for range 2 {
-				if err := receive(t, "the reloads", ended); err != nil {
+				if err := sidecartest.Receive(t, "the reloads", ended); err != nil {
 					t.Fatal(err)
 				}
 			}
-			receive(t, "the watch at the first address to end", begun.gone)
+			sidecartest.Receive(t, "the watch at the first address to end", begun.Gone)
 			if err := reload(first); err != nil {
 				t.Fatal(err)
 			}
-			back := receive(t, "the watch back at the first address", first.calls)
-			back.send(t, list{Rev: 9, All: true})
-			until(t, "the list", func() bool { return s.loop.disc.rev.Load() == 9 })
-			for _, r := range []*registry{second, third} {
-				for len(r.calls) > 0 {
-					receive(t, "what was begun between to end", (<-r.calls).gone)
+			back := sidecartest.Receive(t, "the watch back at the first address", first.Calls)
+			back.Send(t, endpointlist.List{Rev: 9, All: true})
+			sidecartest.Until(t, "the list", func() bool { return s.loop.Discovery.Revision.Load() == 9 })
+			for _, r := range []*sidecartest.Registry{second, third} {
+				for len(r.Calls) > 0 {
+					sidecartest.Receive(t, "what was begun between to end", (<-r.Calls).Gone)
 				}
 			}
-			if len(first.calls) > 0 {
+			if len(first.Calls) > 0 {
 				t.Error("a second watch at the first address")
 			}
 		})
 	}
 }
 
-func withDiscovery(c conf, addr string) conf {
-	out := conf{}
+func withDiscovery(c configtest.Conf, addr string) configtest.Conf {
+	out := configtest.Conf{}
 	for key, value := range c {
 		out[key] = value
 	}
--- /dev/null
+++ b/internal/sidecar/configtest/doc.go
@@ -0,0 +1,2 @@
+// Package configtest makes configuration files for the tests of the sidecar.
+package configtest
--- /dev/null
+++ b/internal/sidecar/discovery/errno_test.go
@@ -0,0 +1,100 @@
+package discovery
+
+import (
+	"context"
+	"errors"
+	"io"
+	"net"
+	"net/http"
+	"slices"
+	"syscall"
+	"testing"
+
+	"marblelane/balance"
+	"marblelane/internal/sidecar/endpointlist"
+	"marblelane/internal/sidecar/netcall"
+	"marblelane/internal/sidecar/sidecartest"
+)
+
+// failingDials makes the calls to discovery fail for the first times.
+func (d *Client) failingDials(times int32, err error) {
+	transport := d.client.Transport.(*http.Transport)
+	dial, fail := transport.DialContext, sidecartest.FailTimes(times, err)
+	transport.DialContext = func(ctx context.Context, network, addr string) (net.Conn, error) {
+		if err := fail(); err != nil {
+			return nil, err
+		}
+		return dial(ctx, network, addr)
+	}
+}
+
+// A call to discovery that this machine cannot make is made again soon, and no service has failed; any other failure is
+// the service's, and is told at once.
+func TestErrnoOfACallToDiscovery(t *testing.T) {
+	const failures = 3
+	services := netcall.Errnos{syscall.ECONNREFUSED, syscall.EHOSTUNREACH, syscall.ETIMEDOUT, syscall.ECONNRESET}
+	for _, errno := range slices.Concat(netcall.LocalErrnos, services) {
+		t.Run(errno.Error(), func(t *testing.T) {
+			r := sidecartest.NewRegistry(t)
+			d, heard := hearing(t, r.Addr())
+			d.failingDials(failures, sidecartest.OpError("connect", errno))
+			d.Watch(t.Context(), 0)
+			if slices.Contains(services, errno) {
+				if n := sidecartest.Receive(t, "the failure", heard); n.Kind != balance.ListFailed {
+					t.Errorf("%+v, want that the service has failed", n)
+				}
+				return
+			}
+			sidecartest.Receive(t, "the call", r.Calls).Send(t, endpointlist.List{Rev: 7})
+			if n := sidecartest.Receive(t, "the list", heard); n.Kind != balance.ListDelta || n.List.Rev != 7 {
+				t.Errorf("%+v, want the list alone", n)
+			}
+		})
+	}
+}
+
+// So is a call to an agent that pushes lists.
+func TestErrnoOfACallToTheAgent(t *testing.T) {
+	for _, errno := range netcall.LocalErrnos {
+		t.Run(errno.Error(), func(t *testing.T) {
+			r := sidecartest.NewRegistry(t)
+			d, heard := hearing(t, r.Addr())
+			d.PushedDelay = minPushedDelay
+			d.failingDials(3, sidecartest.OpError("connect", errno))
+			ctx, cancel := context.WithCancel(t.Context())
+			t.Cleanup(cancel)
+			d.Subscribe(ctx)
+			sidecartest.Receive(t, "the call", r.Calls).Send(t, endpointlist.List{Rev: 7})
+			if n := sidecartest.Receive(t, "the list", heard); n.Kind != balance.ListDelta || n.List.Rev != 7 {
+				t.Errorf("%+v, want the list alone", n)
+			}
+		})
+	}
+}
+
+// The same holds for what discovery answers.
+func TestReadErrnoAtEachByteOfAList(t *testing.T) {
+	const text = "HTTP/1.1 200 OK\r\nContent-Length: 24\r\nConnection: close\r\n\r\n{\"rev\": 7, \"all\": true}\n"
+	for errno, whole := range map[syscall.Errno]bool{syscall.ECONNRESET: false, syscall.ENOMEM: true} {
+		t.Run(errno.Error(), func(t *testing.T) {
+			b := sidecartest.NewBackend(t, "a", sidecartest.Respond(text, false))
+			for n := range len(text) - 1 { // the last byte is an empty rest
+				d, heard := hearing(t, b.Target.Endpoint)
+				transport := d.client.Transport.(*http.Transport)
+				var dialer net.Dialer
+				transport.DialContext = dialReporting(func(ctx context.Context, network, addr string) (net.Conn, error) {
+					c, err := dialer.DialContext(ctx, network, addr)
+					if err != nil {
+						return nil, err
+					}
+					fail := sidecartest.FailNth(int32(n+1), sidecartest.OpError("read", errno))
+					return &sidecartest.FaultyConn{TCPConn: c.(*net.TCPConn), ByteAtATime: true, FailRead: fail}, nil
+				})
+				err := d.read(t.Context(), "", ListEvent{}, unclaimed, sidecartest.Patience, sidecartest.Patience)
+				if got := len(heard) == 1 && (<-heard).List.Rev == 7 && errors.Is(err, io.EOF); got != whole {
+					t.Errorf("at byte %d: the list was told: %v, %v", n, got, err)
+				}
+			}
+		})
+	}
+}
--- a/internal/sidecar/list_reader.go
+++ b/internal/sidecar/discovery/object_reader.go
@@ -1,6 +1,4 @@
-package sidecar
-
-// This file splits the answer of discovery into its objects.
+package discovery
 
 import (
 	"bufio"
@@ -10,7 +8,7 @@
 
 // readObject gives the next object, which may be spread over lines, or nothing for an empty line before it. At the end
 // of the answer it gives what is left and io.EOF.
-func (d *discovery) readObject(in *bufio.Reader) ([]byte, error) {
+func (d *Client) readObject(in *bufio.Reader) ([]byte, error) {
 	var text []byte
 	var open nesting
 	for {
@@ -18,8 +16,8 @@
 		text = append(text, part...)
 		open.add(part)
 		switch {
-		case len(text) > d.most:
-			return nil, errLineBig
+		case len(text) > d.maxLine:
+			return nil, errLineTooLong
 		case err == bufio.ErrBufferFull:
 		case err == io.EOF && open.depth > 0:
 			return nil, io.ErrUnexpectedEOF
--- a/internal/sidecar/drain_test.go
+++ b/internal/sidecar/drain_test.go
@@ -5,38 +5,42 @@
 	"net/http"
 	"testing"
 	"time"
+
+	"marblelane/internal/sidecar/configtest"
+	"marblelane/internal/sidecar/inflight"
+	"marblelane/internal/sidecar/sidecartest"
 )
 
 // A request whose time outlasts the process gets its answer before SIGKILL may come: failed where it may have run,
 // refused where trying again does no harm.
 func TestWhatOutlastsTheProcessIsAnswered(t *testing.T) {
 	asked := make(chan string, 4)
-	b := newBackend(t, "hung", func(_ net.Conn, req *http.Request, _ string) bool {
+	b := sidecartest.NewBackend(t, "hung", func(_ net.Conn, req *http.Request, _ string) bool {
 		asked <- req.Header.Get("X-Priority-Class")
 		return true // and says nothing
 	})
 	// The classes' longest deadline is 2.5 s: what a client allows beyond it is not waited for.
-	s := start(t, newConf(newRegistry(t).addr(), b.target))
-	until(t, "a server", func() bool { return s.loop.figures.servers.Load().ready > 0 })
+	s := start(t, configtest.NewConf(sidecartest.NewRegistry(t).Addr(), b.Target))
+	sidecartest.Until(t, "a server", func() bool { return s.loop.Metrics.Servers.Load().Ready > 0 })
 	charge := s.goDo(s.request("charge", 5*time.Second))
 	lookup := s.goDo(s.request("lookup", 5*time.Second))
 	for range 2 {
-		receive(t, "an attempt", asked)
+		sidecartest.Receive(t, "an attempt", asked)
 	}
 	began := time.Now()
 	s.term()
 	for class, want := range map[string]struct {
 		done   <-chan result
 		status int
-	}{"charge": {charge, statusFailed}, "lookup": {lookup, statusRefused}} {
-		if got := receive(t, class, want.done); got.status != want.status {
+	}{"charge": {charge, inflight.StatusFailed}, "lookup": {lookup, inflight.StatusRejected}} {
+		if got := sidecartest.Receive(t, class, want.done); got.status != want.status {
 			t.Errorf("%s: %d, want %d", class, got.status, want.status)
 		}
 	}
 	if took := time.Since(began); took > s.killTime() {
 		t.Errorf("answered %v after the signal, SIGKILL may come after %v", took, s.killTime())
 	}
-	if err := receive(t, "the end", s.ended); err != nil {
+	if err := sidecartest.Receive(t, "the end", s.ended); err != nil {
 		t.Error(err)
 	}
 	s.ended <- nil
--- /dev/null
+++ b/internal/sidecar/endpointlist/doc.go
@@ -0,0 +1,2 @@
+// Package endpointlist is the JSON form in which discovery names servers.
+package endpointlist
--- a/internal/sidecar/errno_random_test.go
+++ b/internal/sidecar/errno_random_test.go
@@ -15,6 +15,13 @@
 	"testing"
 	"testing/iotest"
 	"time"
+
+	"marblelane/internal/sidecar/configtest"
+	"marblelane/internal/sidecar/endpointlist"
+	"marblelane/internal/sidecar/inflight"
+	"marblelane/internal/sidecar/netcall"
+	"marblelane/internal/sidecar/sidecartest"
+	"marblelane/internal/sidecar/upstream"
 )
 
 // schedule draws which system calls fail, and how. It is safe for concurrent use.
@@ -24,13 +31,13 @@
 }
 
 // draw fails a call with one of some errnos, in so many of a thousand cases.
-func (s *schedule) draw(call string, perMille int, from errnos) error {
+func (s *schedule) draw(call string, perMille int, from netcall.Errnos) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.rnd.IntN(1000) >= perMille {
 		return nil
 	}
-	return opError(call, from[s.rnd.IntN(len(from))])
+	return sidecartest.OpError(call, from[s.rnd.IntN(len(from))])
 }
 
 // randomConn fails reads and writes, takes and gives single bytes, and writes in part, as its schedule says.
@@ -41,7 +48,7 @@
 }
 
 func (c *randomConn) Read(p []byte) (int, error) {
-	if err := c.schedule.draw("read", 20, append(momentaryErrnos, endedErrnos...)); err != nil {
+	if err := c.schedule.draw("read", 20, append(netcall.MomentaryErrnos, netcall.EndedErrnos...)); err != nil {
 		return 0, err
 	}
 	if c.byteAtATime && len(p) > 1 {
@@ -51,10 +58,10 @@
 }
 
 func (c *randomConn) Write(p []byte) (int, error) {
-	if err := c.schedule.draw("write", 30, append(localErrnos, endedErrnos...)); err != nil {
+	if err := c.schedule.draw("write", 30, append(netcall.LocalErrnos, netcall.EndedErrnos...)); err != nil {
 		return 0, err
 	}
-	if err := c.schedule.draw("write", 30, append(localErrnos, endedErrnos...)); err != nil {
+	if err := c.schedule.draw("write", 30, append(netcall.LocalErrnos, netcall.EndedErrnos...)); err != nil {
 		n, _ := c.TCPConn.Write(p[:len(p)/2])
 		return n, err
 	}
@@ -70,21 +77,22 @@
 }
 
 // disturb lets the schedule say how dials and connections fail.
-func (s *schedule) disturb(p *upstreams) {
-	dial := p.dialContext
-	dialErrnos := append(append(errnos{syscall.ECONNREFUSED, syscall.ECONNRESET}, localErrnos...), unreachableErrnos...)
-	p.dialContext = func(ctx context.Context, network, addr string) (net.Conn, error) {
-		if err := s.draw("connect", 150, dialErrnos); err != nil {
-			return nil, err
-		}
-		c, err := dial(ctx, network, addr)
-		if err != nil {
-			return nil, err
+func (s *schedule) disturb(p *upstream.Pool) {
+	dialErrnos := append(append(netcall.Errnos{syscall.ECONNREFUSED, syscall.ECONNRESET}, netcall.LocalErrnos...), netcall.UnreachableErrnos...)
+	p.WrapDial(func(dial netcall.DialFunc) netcall.DialFunc {
+		return func(ctx context.Context, network, addr string) (net.Conn, error) {
+			if err := s.draw("connect", 150, dialErrnos); err != nil {
+				return nil, err
+			}
+			c, err := dial(ctx, network, addr)
+			if err != nil {
+				return nil, err
+			}
+			s.mu.Lock()
+			defer s.mu.Unlock()
+			return &randomConn{TCPConn: c.(*net.TCPConn), schedule: s, byteAtATime: s.rnd.IntN(4) == 0}, nil
 		}
-		s.mu.Lock()
-		defer s.mu.Unlock()
-		return &randomConn{TCPConn: c.(*net.TCPConn), schedule: s, byteAtATime: s.rnd.IntN(4) == 0}, nil
-	}
+	})
 }
 
 // runs counts how often each request was read whole by a server, by its X-Request-ID.
@@ -103,7 +111,7 @@
 	if err != nil || left < 1 || left > int(scheduleWait.Milliseconds()) {
 		r.t.Errorf("a server is told %q ms, %v", req.Header.Get("X-Timeout-Ms"), err)
 	}
-	return ok(c, req, body)
+	return sidecartest.OK(c, req, body)
 }
 
 func (r *runs) of(id string) int {
@@ -124,13 +132,13 @@
 	r.t.Helper()
 	n := r.of(id)
 	switch {
-	case status != 200 && status != statusRefused && status != statusFailed && status != statusTimedOut:
+	case status != 200 && status != inflight.StatusRejected && status != inflight.StatusFailed && status != inflight.StatusTimedOut:
 		r.t.Errorf("%s %s: status %d", class, id, status)
 	case n > scheduleAttempts:
 		r.t.Errorf("%s %s: ran %d times, at most %d", class, id, n, scheduleAttempts)
 	case class == "charge" && n > 1:
 		r.t.Errorf("%s %s: ran %d times", class, id, n)
-	case class == "charge" && n > 0 && status == statusRefused:
+	case class == "charge" && n > 0 && status == inflight.StatusRejected:
 		r.t.Errorf("%s %s: refused, but it ran", class, id)
 	case status == 200 && n == 0:
 		r.t.Errorf("%s %s: answered, but it did not run", class, id)
@@ -174,23 +182,23 @@
 	seed := uint64(time.Now().UnixNano())
 	t.Logf("seed %d", seed)
 	counted := &runs{t: t, by: map[string]int{}}
-	servers := make([]*backend, 4)
-	known := make([]target, len(servers))
+	servers := make([]*sidecartest.Backend, 4)
+	known := make([]endpointlist.Target, len(servers))
 	for i := range servers {
-		servers[i] = newBackend(t, fmt.Sprintf("s%d", i), counted.serve)
-		known[i] = servers[i].target
+		servers[i] = sidecartest.NewBackend(t, fmt.Sprintf("s%d", i), counted.serve)
+		known[i] = servers[i].Target
 	}
-	discovery := newRegistry(t)
-	c := newConf(discovery.addr(), known...).
-		setting(`"max_attempts": 6`, fmt.Sprintf(`"max_attempts": %d`, scheduleAttempts)).
-		setting(`"parallel_tries": true`, `"parallel_tries": false`)
-	c["management"] = loopback // so that the figures of servers are made
+	discovery := sidecartest.NewRegistry(t)
+	c := configtest.NewConf(discovery.Addr(), known...).
+		Setting(`"max_attempts": 6`, fmt.Sprintf(`"max_attempts": %d`, scheduleAttempts)).
+		Setting(`"parallel_tries": true`, `"parallel_tries": false`)
+	c["management"] = sidecartest.Loopback // so that the figures of servers are made
 	faults := &schedule{rnd: rand.New(rand.NewPCG(seed, 0))}
 	s := start(t, c, func(s *Sidecar) {
-		faults.disturb(s.loop.pool)
-		s.loop.disc.callWait, s.loop.disc.silence = time.Hour, time.Hour // the test says nothing for a while
+		faults.disturb(s.loop.Pool)
+		s.loop.Discovery.CallTimeout, s.loop.Discovery.WatchTimeout = time.Hour, time.Hour // the test says nothing for a while
 	})
-	watch := receive(t, "the call to discovery", discovery.calls)
+	watch := sidecartest.Receive(t, "the call to discovery", discovery.Calls)
 
 	const all = scheduleClients * scheduleRequests
 	served := counted.phase(s, seed)
@@ -200,38 +208,27 @@
 	}
 
 	drains := servers[0]
-	leaving := drains.target
+	leaving := drains.Target
 	leaving.State = "Terminating"
-	watch.send(t, list{Rev: 2, Targets: []target{leaving}})
-	until(t, "the drain to be known", func() bool { return s.loop.figures.servers.Load().ready == len(servers)-1 })
-	before := drains.requests.Load()
+	watch.Send(t, endpointlist.List{Rev: 2, Targets: []endpointlist.Target{leaving}})
+	sidecartest.Until(t, "the drain to be known", func() bool { return s.loop.Metrics.Servers.Load().Ready == len(servers)-1 })
+	before := drains.Requests.Load()
 	served = counted.phase(s, seed+scheduleClients)
 	t.Logf("served %d of %d beside a server that drains", served, all)
-	if n := drains.requests.Load() - before; n > 0 {
+	if n := drains.Requests.Load() - before; n > 0 {
 		t.Errorf("%d requests reached a server that drains", n)
 	}
 	if 2*served < all {
 		t.Errorf("served %d of %d beside a server that drains, want most of them", served, all)
 	}
-	until(t, "connections to be idle or closed", func() bool { return s.loop.pool.allIdle() })
-}
-
-// allIdle reports whether each connection that is counted is idle.
-func (p *upstreams) allIdle() bool {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	idle := 0
-	for up := range p.kept {
-		idle += len(up.idle)
-	}
-	return idle == p.open
+	sidecartest.Until(t, "connections to be idle or closed", func() bool { open, idle := s.loop.Pool.Counts(); return idle == open })
 }
 
 // Single bytes in both directions, on connections to a server and of a client: all of a long body arrives, and so does
 // the answer.
 func TestByteAtATime(t *testing.T) {
-	body := string(pattern(20_000))
-	b := newBackend(t, "a", func(c net.Conn, _ *http.Request, got string) bool {
+	body := string(sidecartest.Pattern(20_000))
+	b := sidecartest.NewBackend(t, "a", func(c net.Conn, _ *http.Request, got string) bool {
 		text := fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(got), got)
 		for i := range len(text) {
 			if _, err := io.WriteString(c, text[i:i+1]); err != nil {
@@ -240,8 +237,8 @@
 		}
 		return true
 	})
-	s := start(t, newConf(newRegistry(t).addr(), b.target), func(s *Sidecar) {
-		s.loop.pool.dialing(succeed, faultyConn{byteAtATime: true})
+	s := start(t, configtest.NewConf(sidecartest.NewRegistry(t).Addr(), b.Target), func(s *Sidecar) {
+		sidecartest.Dialing(s.loop.Pool, sidecartest.Succeed, sidecartest.FaultyConn{ByteAtATime: true})
 	})
 	client, err := net.Dial("tcp", s.Addr())
 	if err != nil {
@@ -260,7 +257,7 @@
 			t.Fatal(err)
 		}
 	}
-	client.SetReadDeadline(time.Now().Add(patience))
+	client.SetReadDeadline(time.Now().Add(sidecartest.Patience))
 	got, err := http.ReadResponse(bufio.NewReaderSize(iotest.OneByteReader(client), 16), req)
 	if err != nil {
 		t.Fatal(err)
@@ -270,7 +267,7 @@
 	if err != nil || got.StatusCode != 200 || string(answer) != body {
 		t.Errorf("%d with %d bytes, %v, want the %d bytes that were sent", got.StatusCode, len(answer), err, len(body))
 	}
-	if n := b.requests.Load(); n != 1 {
+	if n := b.Requests.Load(); n != 1 {
 		t.Errorf("%d requests at the server, want 1", n)
 	}
 }
--- a/internal/sidecar/timers.go
+++ b/internal/sidecar/eventloop/timers.go
@@ -1,4 +1,4 @@
-package sidecar
+package eventloop
 
 // This file is the heap of timers that the module has set.
 
--- a/internal/sidecar/members.go
+++ b/internal/sidecar/fleet/membership.go
@@ -1,7 +1,4 @@
-package sidecar
-
-// This file is a sidecar's side of membership, see docs/membership.md. Without the section of the configuration nothing
-// of it runs.
+package fleet
 
 import (
 	"context"
@@ -18,58 +15,60 @@
 	"marblelane/balance"
 	"marblelane/internal/membership"
 	"marblelane/internal/membership/roster"
+	"marblelane/internal/sidecar/config"
+	"marblelane/internal/sidecar/metrics"
 	"marblelane/internal/streamlimit"
 )
 
 const (
-	membersPath = "/members"
-	leavePath   = membersPath + "/leave"
-	// mostWatchers of /members may be there at once: the management address has few places.
-	mostWatchers = 2
+	MembersPath = "/members"
+	LeavePath   = MembersPath + "/leave"
+	// MaxWatchers of /members may be there at once: the management address has few places.
+	MaxWatchers = 2
 
-	// leaveWait is how long the end of the process waits at most until it is told that it leaves.
-	leaveWait = 300 * time.Millisecond
+	// leaveTimeout is how long the end of the process waits at most until it is told that it leaves.
+	leaveTimeout = 300 * time.Millisecond
 	// An address that cannot be bound is tried again after bindSoon, and then after twice as long each time, bindLate at
 	// most; after bindBeside while the process before this one may have it.
-	bindSoon   = 100 * time.Millisecond
-	bindLate   = 10 * time.Second
-	bindBeside = 250 * time.Millisecond
+	minBindPause        = 100 * time.Millisecond
+	maxBindPause        = 10 * time.Second
+	maxBindPauseUpgrade = 250 * time.Millisecond
 )
 
-// members is the loop's part; nil where there is none.
-type members struct {
-	cfg    membership.Config
-	beside func() bool // the process before this one is still there
+// Membership is the loop's part; nil where there is none.
+type Membership struct {
+	Config           membership.Config
+	predecessorAlive func() bool // the process before this one is still there
 
-	latest   atomic.Pointer[roster.View] // the newest wins: the loop is never waited for
-	wake     chan struct{}               // of 1: the loop has not looked at latest
-	news     chan struct{}               // of 1: nor has the duty
-	believed atomic.Uint64               // bits of what the module goes by
-	left     atomic.Bool                 // told to leave by an operator: it takes no part any more
-	group    atomic.Pointer[membership.Group]
-	watchers streamlimit.Limiter
+	Latest      atomic.Pointer[roster.View] // the newest wins: the loop is never waited for
+	wake        chan struct{}               // of 1: the loop has not looked at latest
+	viewChanged chan struct{}               // of 1: nor has the duty
+	estimate    atomic.Uint64               // bits of what the module goes by
+	Left        atomic.Bool                 // told to leave by an operator: it takes no part any more
+	group       atomic.Pointer[membership.Group]
+	watchers    streamlimit.Limiter
 
-	departs sync.Once
-	within  time.Duration // for the group to say so; set before quit is closed
-	quit    chan struct{}
-	ended   chan struct{}
+	leaveOnce    sync.Once
+	leaveTimeout time.Duration // for the group to say so; set before quit is closed
+	quit         chan struct{}
+	ended        chan struct{}
 }
 
-func newMembers(cfg *membersConfig, beside func() bool) *members {
-	m := &members{
-		cfg: cfg.group, beside: beside, wake: make(chan struct{}, 1), news: make(chan struct{}, 1),
-		quit: make(chan struct{}), ended: make(chan struct{}), watchers: streamlimit.Limiter{MaxOpen: mostWatchers, WriteTimeout: manageWait},
+func New(cfg *config.Membership, beside func() bool) *Membership {
+	m := &Membership{
+		Config: cfg.Group, predecessorAlive: beside, wake: make(chan struct{}, 1), viewChanged: make(chan struct{}, 1),
+		quit: make(chan struct{}), ended: make(chan struct{}), watchers: streamlimit.Limiter{MaxOpen: MaxWatchers, WriteTimeout: config.ManagementTimeout},
 	}
-	m.cfg.Believed = func() float64 { return math.Float64frombits(m.believed.Load()) }
-	m.cfg.Changed = m.changed
-	m.cfg.Log = slog.Default()
+	m.Config.Believed = func() float64 { return math.Float64frombits(m.estimate.Load()) }
+	m.Config.Changed = m.changed
+	m.Config.Log = slog.Default()
 	return m
 }
 
-func (m *members) changed(v roster.View) {
-	m.latest.Store(&v)
+func (m *Membership) changed(v roster.View) {
+	m.Latest.Store(&v)
 	signal(m.wake)
-	signal(m.news)
+	signal(m.viewChanged)
 }
 
 // signal never waits: one that is there already says the same.
@@ -80,37 +79,37 @@
 	}
 }
 
-// woken is the channel that tells of news; nil: membership is off.
-func (m *members) woken() <-chan struct{} {
+// Woken is the channel that tells of news; nil: membership is off.
+func (m *Membership) Woken() <-chan struct{} {
 	if m == nil {
 		return nil
 	}
 	return m.wake
 }
 
-// setBelieved notes the number of processes that the module goes by.
-func (m *members) setBelieved(size float64) { m.believed.Store(math.Float64bits(size)) }
+// SetEstimate notes the number of processes that the module goes by.
+func (m *Membership) SetEstimate(size float64) { m.estimate.Store(math.Float64bits(size)) }
 
-// start begins the duty. It ends with the loop, if it has not before.
-func (m *members) start() (end func()) {
+// Start begins the duty. It ends with the loop, if it has not before.
+func (m *Membership) Start() (end func()) {
 	if m == nil {
 		return func() {}
 	}
 	go m.run()
-	return func() { m.leave(time.Now().Add(leaveWait)) }
+	return func() { m.Leave(time.Now().Add(leaveTimeout)) }
 }
 
-// told is what the module is to go by; false: nothing yet, it goes by the settings.
-func (m *members) told() (balance.FleetSize, bool) {
-	v := m.latest.Load()
+// Size is what the module is to go by; false: nothing yet, it goes by the settings.
+func (m *Membership) Size() (balance.FleetSize, bool) {
+	v := m.Latest.Load()
 	if v == nil {
-		return balance.FleetSize{Known: max(m.cfg.Peers, 1), Reachable: 1, Admitted: true}, false
+		return balance.FleetSize{Known: max(m.Config.Peers, 1), Reachable: 1, Admitted: true}, false
 	}
-	return balance.FleetSize{Known: v.Known, Reachable: v.Heard, Admitted: v.Admitted && !m.left.Load()}, true
+	return balance.FleetSize{Known: v.Known, Reachable: v.Heard, Admitted: v.Admitted && !m.Left.Load()}, true
 }
 
 // run is the duty: it joins, says in the log whether this process takes its part, and leaves.
-func (m *members) run() {
+func (m *Membership) run() {
 	defer close(m.ended)
 	g := m.open()
 	if g == nil {
@@ -126,13 +125,13 @@
 	admitted := false
 	for {
 		select {
-		case <-m.news:
+		case <-m.viewChanged:
 			if v := g.View(); v.Admitted != admitted { // all else the group says itself
 				admitted = v.Admitted
 				slog.Info("members: takes its part", "admitted", admitted, "known", v.Known, "heard", v.Heard, "forced", v.Forced)
 			}
 		case <-m.quit:
-			ctx, cancel := context.WithTimeout(context.Background(), m.within)
+			ctx, cancel := context.WithTimeout(context.Background(), m.leaveTimeout)
 			defer cancel()
 			if err := g.Leave(ctx); err != nil {
 				slog.Info("members: others may not know that this process leaves", "error", err)
@@ -144,55 +143,55 @@
 
 // open binds, however often it takes; nil: the end came first. Until then this process works as one without members,
 // but takes no part beside the process before it, whose address it may need.
-func (m *members) open() *membership.Group {
-	wait := bindSoon
+func (m *Membership) open() *membership.Group {
+	wait := minBindPause
 	for first := true; ; first = false {
-		g, err := membership.Open(m.cfg)
+		g, err := membership.Open(m.Config)
 		if err == nil {
 			if !first {
-				slog.Info("members: the address is bound after all", "bind", m.cfg.Bind)
+				slog.Info("members: the address is bound after all", "bind", m.Config.Bind)
 			}
 			return g
 		}
-		beside := m.beside()
+		beside := m.predecessorAlive()
 		switch {
 		case first && beside:
-			slog.Info("members: the address is not free yet, tried again", "bind", m.cfg.Bind, "error", err)
+			slog.Info("members: the address is not free yet, tried again", "bind", m.Config.Bind, "error", err)
 		case first:
-			slog.Error("members: this process goes on without, and tries again", "bind", m.cfg.Bind, "error", err)
+			slog.Error("members: this process goes on without, and tries again", "bind", m.Config.Bind, "error", err)
 		}
-		m.changed(roster.View{Known: max(m.cfg.Peers, 1), Heard: 1, Admitted: !beside})
+		m.changed(roster.View{Known: max(m.Config.Peers, 1), Heard: 1, Admitted: !beside})
 		if beside {
-			wait = min(wait, bindBeside)
+			wait = min(wait, maxBindPauseUpgrade)
 		}
 		select {
 		case <-time.After(wait):
-			wait = min(2*wait, bindLate)
+			wait = min(2*wait, maxBindPause)
 		case <-m.quit:
 			return nil
 		}
 	}
 }
 
-// depart begins to leave. Nothing may be sent to servers any more: who has left counts for nobody. The group has two
+// BeginLeave begins to leave. Nothing may be sent to servers any more: who has left counts for nobody. The group has two
 // thirds of the time to say so; the rest is for its end, so that who waits for all of it is not told falsely that it
 // took too long.
-func (m *members) depart(within time.Duration) {
+func (m *Membership) BeginLeave(within time.Duration) {
 	if m != nil {
-		m.departs.Do(func() {
-			m.within = within * 2 / 3
+		m.leaveOnce.Do(func() {
+			m.leaveTimeout = within * 2 / 3
 			close(m.quit)
 		})
 	}
 }
 
-// leave departs and waits for it, to a time and no longer than leaveWait.
-func (m *members) leave(by time.Time) {
+// Leave departs and waits for it, to a time and no longer than leaveWait.
+func (m *Membership) Leave(by time.Time) {
 	if m == nil {
 		return
 	}
-	within := min(max(time.Until(by), 0), leaveWait)
-	m.depart(within)
+	within := min(max(time.Until(by), 0), leaveTimeout)
+	m.BeginLeave(within)
 	select {
 	case <-m.ended:
 		return
@@ -205,8 +204,8 @@
 	}
 }
 
-// serve passes a call of the management address on to the group.
-func (m *members) serve(w http.ResponseWriter, r *http.Request) {
+// ServeHTTP passes a call of the management address on to the group.
+func (m *Membership) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	if m == nil {
 		http.NotFound(w, r)
 		return
@@ -220,18 +219,18 @@
 		m.watchers.Serve(w, r, g.Handler())
 		return
 	}
-	if r.Method != http.MethodPost || r.URL.Path != leavePath {
+	if r.Method != http.MethodPost || r.URL.Path != LeavePath {
 		g.Handler().ServeHTTP(w, r)
 		return
 	}
 	// It takes no part any more before others count it out.
-	m.left.Store(true)
+	m.Left.Store(true)
 	signal(m.wake)
-	ctx, cancel := context.WithTimeout(r.Context(), manageWait/2) // the answer has to come in its time
+	ctx, cancel := context.WithTimeout(r.Context(), config.ManagementTimeout/2) // the answer has to come in its time
 	defer cancel()
 	told := &answered{ResponseWriter: w}
 	if g.Handler().ServeHTTP(told, r.WithContext(ctx)); told.status >= http.StatusMultipleChoices {
-		m.left.Store(false)
+		m.Left.Store(false)
 		signal(m.wake)
 	}
 }
@@ -250,12 +249,12 @@
 // Unwrap lets the group flush.
 func (w *answered) Unwrap() http.ResponseWriter { return w.ResponseWriter }
 
-// write gives the figures of members.
-func (m *members) write(w io.Writer) {
+// WriteMetrics gives the figures of members.
+func (m *Membership) WriteMetrics(w io.Writer) {
 	if m == nil {
 		return
 	}
-	told, _ := m.told()
+	told, _ := m.Size()
 	var r membership.Report
 	if g := m.group.Load(); g != nil {
 		r = g.Report()
@@ -277,8 +276,8 @@
 		value      float64
 	}{
 		{"known", "gauge", float64(told.Known)},
-		{"believed", "gauge", math.Float64frombits(m.believed.Load())},
-		{"admitted", "gauge", float64(flag(told.Admitted))},
+		{"believed", "gauge", math.Float64frombits(m.estimate.Load())},
+		{"admitted", "gauge", float64(metrics.Bool(told.Admitted))},
 		{"changes_total", "counter", float64(r.Changes)},
 		{"dropped_total", "counter", float64(r.Dropped)},
 		{"oldest_unheard_seconds", "gauge", float64(oldest) / 1e3},
@@ -287,7 +286,7 @@
 	}
 }
 
-// isMembers tells whether a path is the group's.
-func isMembers(path string) bool {
-	return path == membersPath || strings.HasPrefix(path, membersPath+"/")
+// IsMembersPath tells whether a path is the group's.
+func IsMembersPath(path string) bool {
+	return path == MembersPath || strings.HasPrefix(path, MembersPath+"/")
 }
--- /dev/null
+++ b/internal/sidecar/fleet/membership_test.go
@@ -0,0 +1,53 @@
+package fleet
+
+import (
+	"testing"
+	"time"
+
+	"github.com/stretchr/testify/require"
+
+	"marblelane/internal/membership"
+	"marblelane/internal/membership/roster"
+	"marblelane/internal/sidecar/config"
+	"marblelane/internal/sidecar/sidecartest"
+)
+
+// Leaving is waited for no longer than it may take.
+func TestMembersLeaveIsBounded(t *testing.T) {
+	m := New(&config.Membership{}, nil) // whose duty never ends
+	began := time.Now()
+	m.Leave(began.Add(time.Hour))
+	require.GreaterOrEqual(t, time.Since(began), leaveTimeout)
+	require.Less(t, time.Since(began), sidecartest.Patience)
+	require.Equal(t, leaveTimeout*2/3, m.leaveTimeout)
+	m.Leave(began) // too late
+
+	m.changed(roster.View{Known: 2, Heard: 2, Admitted: true})
+	s, _ := m.Size()
+	require.True(t, s.Admitted)
+	m.Left.Store(true) // an operator's word comes before what the group says last
+	s, _ = m.Size()
+	require.False(t, s.Admitted)
+}
+
+// Who leaves has left when the wait is over, also where the library takes all the time that it is given.
+func TestMembersLeaveInTime(t *testing.T) {
+	open := func(name string, seeds ...string) *Membership {
+		cfg := membership.Config{Name: name, Fleet: "f", Bind: sidecartest.Loopback, Seeds: seeds, Peers: 2}
+		m := New(&config.Membership{Group: cfg}, func() bool { return false })
+		go m.run()
+		sidecartest.Until(t, "the group", func() bool { g := m.group.Load(); return g != nil && len(g.Report().Members) > 0 })
+		return m
+	}
+	a := open("a")
+	b := open("b", a.group.Load().Report().Members[0].Addr)
+	sidecartest.Until(t, "both", func() bool { return a.group.Load().View().Heard == 2 && b.group.Load().View().Heard == 2 })
+	for _, m := range []*Membership{a, b} {
+		m.Leave(time.Now().Add(time.Hour))
+		select {
+		case <-m.ended:
+		default:
+			t.Error("it is not done, and says so falsely")
+		}
+	}
+}
--- /dev/null
+++ b/internal/sidecar/framing/errno_test.go
@@ -0,0 +1,49 @@
+package framing
+
+import (
+	"bufio"
+	"io"
+	"net"
+	"net/http"
+	"syscall"
+	"testing"
+	"time"
+
+	"marblelane/internal/sidecar/sidecartest"
+)
+
+// A read fails once at any byte of a client's request: the request is whole or none.
+func TestReadErrnoAtEachByteOfARequest(t *testing.T) {
+	const text = "POST /api HTTP/1.1\r\nHost: b\r\nX-Timeout-Ms: 1000\r\nContent-Length: 4\r\n\r\ndone"
+	for errno, whole := range map[syscall.Errno]bool{syscall.ECONNRESET: false, syscall.EINTR: true} {
+		t.Run(errno.Error(), func(t *testing.T) {
+			b := sidecartest.NewBackend(t, "a", sidecartest.Respond(text, true)) // it says to whoever calls what a client would
+			for n := range len(text) {
+				c, err := net.Dial("tcp", b.Target.Endpoint)
+				if err != nil {
+					t.Fatal(err)
+				}
+				t.Cleanup(func() { c.Close() })
+				if _, err := io.WriteString(c, "GET / HTTP/1.1\r\nHost: b\r\n\r\n"); err != nil {
+					t.Fatal(err)
+				}
+				fail := sidecartest.FailNth(int32(n+1), sidecartest.OpError("read", errno))
+				client := &HeadConn{Conn: &sidecartest.FaultyConn{TCPConn: c.(*net.TCPConn), ByteAtATime: true, FailRead: fail}}
+				client.SetReadDeadline(time.Now().Add(sidecartest.Patience))
+				if got := wholeRequest(client); got != whole {
+					t.Errorf("at byte %d: a request was read: %v", n, got)
+				}
+			}
+		})
+	}
+}
+
+// wholeRequest reports whether a request with its body can be read.
+func wholeRequest(conn net.Conn) bool {
+	req, err := http.ReadRequest(bufio.NewReader(conn))
+	if err != nil {
+		return false
+	}
+	_, err = io.ReadAll(req.Body)
+	return err == nil
+}
--- a/internal/sidecar/framing_test.go
+++ b/internal/sidecar/framing_test.go
@@ -10,17 +10,16 @@
 	"sync"
 	"testing"
 	"time"
-)
 
-// wireRequest is a request of class charge as bytes; head lines go before the empty line.
-func wireRequest(id, lines, body string) string {
-	return "POST /api HTTP/1.1\r\nHost: h\r\nX-Request-ID: " + id + "\r\nX-Priority-Class: charge\r\n" +
-		"X-Tenant-Id: kita\r\nX-Timeout-Ms: 1000\r\n" + lines + "\r\n" + body
-}
+	"marblelane/internal/sidecar/clientserver"
+	"marblelane/internal/sidecar/configtest"
+	"marblelane/internal/sidecar/inflight"
+	"marblelane/internal/sidecar/sidecartest"
+)
 
 // A message ends where all its headers say, or it is refused: what stands in a body is never a request.
 func TestWhereRequestsEnd(t *testing.T) {
-	inner := wireRequest("inner", "Content-Length: 0\r\n", "")
+	inner := sidecartest.WireRequest("inner", "Content-Length: 0\r\n", "")
 	http10 := func(s string) string { return strings.Replace(s, "HTTP/1.1", "HTTP/1.0", 1) }
 	for name, test := range map[string]struct {
 		bytes  string
@@ -28,74 +27,74 @@
 		bodies string // of what reaches the server
 		closed bool
 	}{
-		"length":          {wireRequest("1", "Content-Length: 3\r\n", "abc"), []int{200}, "[abc]", false},
-		"chunks":          {wireRequest("1", "Transfer-Encoding: chunked\r\n", "3\r\nabc\r\n0\r\n\r\n"), []int{200}, "[abc]", false},
-		"chunks and tail": {wireRequest("1", "Transfer-Encoding: chunked\r\nTrailer: X-A\r\n", "3\r\nabc\r\n0\r\nX-A: b\r\n\r\n"), []int{200}, "[abc]", false},
-		"no body":         {wireRequest("1", "", ""), []int{200}, "[]", false},
+		"length":          {sidecartest.WireRequest("1", "Content-Length: 3\r\n", "abc"), []int{200}, "[abc]", false},
+		"chunks":          {sidecartest.WireRequest("1", "Transfer-Encoding: chunked\r\n", "3\r\nabc\r\n0\r\n\r\n"), []int{200}, "[abc]", false},
+		"chunks and tail": {sidecartest.WireRequest("1", "Transfer-Encoding: chunked\r\nTrailer: X-A\r\n", "3\r\nabc\r\n0\r\nX-A: b\r\n\r\n"), []int{200}, "[abc]", false},
+		"no body":         {sidecartest.WireRequest("1", "", ""), []int{200}, "[]", false},
 		"one length, twice": {
-			wireRequest("1", "Content-Length: 3\r\nContent-Length: 3\r\n", "abc"), []int{200}, "[abc]", false,
+			sidecartest.WireRequest("1", "Content-Length: 3\r\nContent-Length: 3\r\n", "abc"), []int{200}, "[abc]", false,
 		},
 		"a request as body": {
-			wireRequest("1", "Content-Length: "+strconv.Itoa(len(inner))+"\r\n", inner), []int{200}, "[" + inner + "]", false,
+			sidecartest.WireRequest("1", "Content-Length: "+strconv.Itoa(len(inner))+"\r\n", inner), []int{200}, "[" + inner + "]", false,
 		},
 		"pipelined": {
-			wireRequest("1", "Content-Length: 3\r\n", "abc") + wireRequest("2", "Content-Length: 2\r\n", "de"),
+			sidecartest.WireRequest("1", "Content-Length: 3\r\n", "abc") + sidecartest.WireRequest("2", "Content-Length: 2\r\n", "de"),
 			[]int{200, 200}, "[abc][de]", false,
 		},
 		"length, then chunks": {
-			wireRequest("1", "Content-Length: "+strconv.Itoa(5+len(inner))+"\r\nTransfer-Encoding: chunked\r\n", "0\r\n\r\n"+inner),
+			sidecartest.WireRequest("1", "Content-Length: "+strconv.Itoa(5+len(inner))+"\r\nTransfer-Encoding: chunked\r\n", "0\r\n\r\n"+inner),
 			[]int{400}, "", true,
 		},
 		"chunks, then length": {
-			wireRequest("1", "transfer-encoding: chunked\r\ncontent-length: "+strconv.Itoa(5+len(inner))+"\r\n", "0\r\n\r\n"+inner),
+			sidecartest.WireRequest("1", "transfer-encoding: chunked\r\ncontent-length: "+strconv.Itoa(5+len(inner))+"\r\n", "0\r\n\r\n"+inner),
 			[]int{400}, "", true,
 		},
 		"both behind another": {
-			wireRequest("0", "Content-Length: 3\r\n", "abc") +
-				wireRequest("1", "Transfer-Encoding: chunked\r\nContent-Length: "+strconv.Itoa(5+len(inner))+"\r\n", "0\r\n\r\n"+inner),
+			sidecartest.WireRequest("0", "Content-Length: 3\r\n", "abc") +
+				sidecartest.WireRequest("1", "Transfer-Encoding: chunked\r\nContent-Length: "+strconv.Itoa(5+len(inner))+"\r\n", "0\r\n\r\n"+inner),
 			[]int{200, 400}, "[abc]", true,
 		},
 		"both, bare line feeds": {
-			strings.ReplaceAll(wireRequest("1", "Content-Length: 5\r\nTransfer-Encoding: chunked\r\n", ""), "\r\n", "\n") + "0\r\n\r\n" + inner,
+			strings.ReplaceAll(sidecartest.WireRequest("1", "Content-Length: 5\r\nTransfer-Encoding: chunked\r\n", ""), "\r\n", "\n") + "0\r\n\r\n" + inner,
 			[]int{400}, "", true,
 		},
 		"both by HTTP/1.0": {
-			http10(wireRequest("1", "Connection: keep-alive\r\nContent-Length: 5\r\nTransfer-Encoding: chunked\r\n", "0\r\n\r\n"+inner)),
+			http10(sidecartest.WireRequest("1", "Connection: keep-alive\r\nContent-Length: 5\r\nTransfer-Encoding: chunked\r\n", "0\r\n\r\n"+inner)),
 			[]int{400}, "", true,
 		},
-		"two lengths":       {wireRequest("1", "Content-Length: 3\r\nContent-Length: 4\r\n", "abc"+inner), []int{400}, "", true},
-		"length is no word": {wireRequest("1", "Content-Length: ten\r\n", "abc"+inner), []int{400}, "", true},
-		"length below 0":    {wireRequest("1", "Content-Length: -3\r\n", "abc"+inner), []int{400}, "", true},
-		"other coding":      {wireRequest("1", "Transfer-Encoding: gzip, chunked\r\n", "0\r\n\r\n"+inner), []int{501}, "", true},
-		"chunk is no chunk": {wireRequest("1", "Transfer-Encoding: chunked\r\n", "zz\r\n"+inner), []int{400}, "", true},
+		"two lengths":       {sidecartest.WireRequest("1", "Content-Length: 3\r\nContent-Length: 4\r\n", "abc"+inner), []int{400}, "", true},
+		"length is no word": {sidecartest.WireRequest("1", "Content-Length: ten\r\n", "abc"+inner), []int{400}, "", true},
+		"length below 0":    {sidecartest.WireRequest("1", "Content-Length: -3\r\n", "abc"+inner), []int{400}, "", true},
+		"other coding":      {sidecartest.WireRequest("1", "Transfer-Encoding: gzip, chunked\r\n", "0\r\n\r\n"+inner), []int{501}, "", true},
+		"chunk is no chunk": {sidecartest.WireRequest("1", "Transfer-Encoding: chunked\r\n", "zz\r\n"+inner), []int{400}, "", true},
 		"oversized": {
-			wireRequest("1", "Content-Length: "+strconv.Itoa(maxBody+1+len(inner))+"\r\n", strings.Repeat("x", maxBody+1)+inner),
+			sidecartest.WireRequest("1", "Content-Length: "+strconv.Itoa(inflight.MaxBody+1+len(inner))+"\r\n", strings.Repeat("x", inflight.MaxBody+1)+inner),
 			[]int{413}, "", true,
 		},
 		"a malformed one before": {
 			strings.Replace(inner, "X-Request-ID: inner\r\n", "", 1) + inner, []int{400}, "", true,
 		},
 		"GET with a body": {
-			strings.NewReplacer("POST", "GET", "charge", "lookup").Replace(wireRequest("1", "Content-Length: "+strconv.Itoa(len(inner))+"\r\n", "")) + inner,
+			strings.NewReplacer("POST", "GET", "charge", "lookup").Replace(sidecartest.WireRequest("1", "Content-Length: "+strconv.Itoa(len(inner))+"\r\n", "")) + inner,
 			[]int{400}, "", true,
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
 			var mu sync.Mutex
 			bodies := ""
-			b := newBackend(t, "a", func(c net.Conn, r *http.Request, body string) bool {
+			b := sidecartest.NewBackend(t, "a", func(c net.Conn, r *http.Request, body string) bool {
 				mu.Lock()
 				bodies += "[" + body + "]"
 				mu.Unlock()
-				return ok(c, r, body)
+				return sidecartest.OK(c, r, body)
 			})
-			s := start(t, newConf(newRegistry(t).addr(), b.target))
+			s := start(t, configtest.NewConf(sidecartest.NewRegistry(t).Addr(), b.Target))
 			conn, err := net.Dial("tcp", s.Addr())
 			if err != nil {
 				t.Fatal(err)
 			}
 			defer conn.Close()
-			conn.SetDeadline(time.Now().Add(patience))
+			conn.SetDeadline(time.Now().Add(sidecartest.Patience))
 			if _, err := io.WriteString(conn, test.bytes); err != nil {
 				t.Fatal(err)
 			}
@@ -131,13 +130,13 @@
 
 // Who says nothing, or stops before a request is whole, or sends it too slowly, is sent away.
 func TestPeersThatNeverFinish(t *testing.T) {
-	if peerWait >= 3*time.Second {
-		t.Errorf("peers wait %v for their end, 3 s are allowed", peerWait)
+	if clientserver.DefaultReadTimeout >= 3*time.Second {
+		t.Errorf("peers wait %v for their end, 3 s are allowed", clientserver.DefaultReadTimeout)
 	}
-	head := wireRequest("1", "Content-Length: 1000\r\n", "")
-	whole := wireRequest("0", "Content-Length: 3\r\n", "abc")
-	b := newBackend(t, "a", ok)
-	s := start(t, newConf(newRegistry(t).addr(), b.target), func(s *Sidecar) { s.frontend.peerWait = 200 * time.Millisecond })
+	head := sidecartest.WireRequest("1", "Content-Length: 1000\r\n", "")
+	whole := sidecartest.WireRequest("0", "Content-Length: 3\r\n", "abc")
+	b := sidecartest.NewBackend(t, "a", sidecartest.OK)
+	s := start(t, configtest.NewConf(sidecartest.NewRegistry(t).Addr(), b.Target), func(s *Sidecar) { s.clients.ReadTimeout = 200 * time.Millisecond })
 	for name, test := range map[string]struct{ first, then string }{
 		"silent":            {"", ""},
 		"half a head":       {head[:40], ""},
@@ -145,7 +144,7 @@
 		"half a body":       {head + "abc", ""},
 		"head by letters":   {head[:40], "x"},
 		"body by letters":   {head, "x"},
-		"chunks by letters": {wireRequest("1", "Transfer-Encoding: chunked\r\n", "fff\r\n"), "x"},
+		"chunks by letters": {sidecartest.WireRequest("1", "Transfer-Encoding: chunked\r\n", "fff\r\n"), "x"},
 		"after a whole one": {whole + head, "x"},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -156,7 +155,7 @@
 			}
 			defer conn.Close()
 			began := time.Now()
-			conn.SetDeadline(began.Add(patience))
+			conn.SetDeadline(began.Add(sidecartest.Patience))
 			if _, err := io.WriteString(conn, test.first); err != nil {
 				t.Fatal(err)
 			}
@@ -170,7 +169,7 @@
 			for {
 				select {
 				case <-ended:
-					if took := time.Since(began); took > 15*s.frontend.peerWait {
+					if took := time.Since(began); took > 15*s.clients.ReadTimeout {
 						t.Errorf("it took %v", took)
 					}
 					return
@@ -207,16 +206,16 @@
 		"turned away, two ends": {"HTTP/1.1 503 No\r\nX-Not-Processed: 1\r\nContent-Length: 4\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n", 502, false},
 	} {
 		t.Run(name, func(t *testing.T) {
-			b := newBackend(t, "a", respond(test.answer, true))
-			s := start(t, newConf(newRegistry(t).addr(), b.target))
+			b := sidecartest.NewBackend(t, "a", sidecartest.Respond(test.answer, true))
+			s := start(t, configtest.NewConf(sidecartest.NewRegistry(t).Addr(), b.Target))
 			for range 2 {
 				got := s.do(s.request("charge", time.Second))
 				if got.status != test.status || got.status == 200 && got.body != "done" {
 					t.Errorf("%d %q, want %d", got.status, got.body, test.status)
 				}
 			}
-			if kept := b.conns.Load() == 1; kept != test.kept || b.requests.Load() != 2 {
-				t.Errorf("connection kept: %v, want %v; %d requests", kept, test.kept, b.requests.Load())
+			if kept := b.Conns.Load() == 1; kept != test.kept || b.Requests.Load() != 2 {
+				t.Errorf("connection kept: %v, want %v; %d requests", kept, test.kept, b.Requests.Load())
 			}
 		})
 	}
--- a/internal/sidecar/frontend_test.go
+++ b/internal/sidecar/frontend_test.go
@@ -8,15 +8,20 @@
 	"io"
 	"net"
 	"net/http"
-	"net/http/httptest"
 	"strings"
 	"testing"
 	"time"
+
+	"marblelane/internal/sidecar/clientserver"
+	"marblelane/internal/sidecar/config"
+	"marblelane/internal/sidecar/configtest"
+	"marblelane/internal/sidecar/inflight"
+	"marblelane/internal/sidecar/sidecartest"
 )
 
 func TestReadyCheck(t *testing.T) {
-	s := start(t, newConf(newRegistry(t).addr()))
-	resp, err := s.client.Get("http://" + s.Addr() + readyPath)
+	s := start(t, configtest.NewConf(sidecartest.NewRegistry(t).Addr()))
+	resp, err := s.client.Get("http://" + s.Addr() + clientserver.ReadyPath)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -28,8 +33,8 @@
 
 // What is malformed is told apart from a refusal and reaches no server.
 func TestMalformedRequests(t *testing.T) {
-	b := newBackend(t, "a", ok)
-	s := start(t, newConf(newRegistry(t).addr(), b.target))
+	b := sidecartest.NewBackend(t, "a", sidecartest.OK)
+	s := start(t, configtest.NewConf(sidecartest.NewRegistry(t).Addr(), b.Target))
 	for name, test := range map[string]struct {
 		class  string
 		change func(*http.Request)
@@ -54,12 +59,12 @@
 		}, 400},
 		"other method":        {"charge", func(r *http.Request) { r.Method = "PUT" }, 405},
 		"other path":          {"charge", func(r *http.Request) { r.URL.Path = "/other" }, 404},
-		"ready check by POST": {"charge", func(r *http.Request) { r.URL.Path = readyPath }, 405},
+		"ready check by POST": {"charge", func(r *http.Request) { r.URL.Path = clientserver.ReadyPath }, 405},
 		"body too large": {"charge", func(r *http.Request) {
-			r.Body, r.ContentLength = io.NopCloser(bytes.NewReader(make([]byte, maxBody+1))), maxBody+1
+			r.Body, r.ContentLength = io.NopCloser(bytes.NewReader(make([]byte, inflight.MaxBody+1))), inflight.MaxBody+1
 		}, 413},
 		"body too large, chunked": {"charge", func(r *http.Request) {
-			r.Body, r.ContentLength = io.NopCloser(bytes.NewReader(make([]byte, maxBody+1))), -1
+			r.Body, r.ContentLength = io.NopCloser(bytes.NewReader(make([]byte, inflight.MaxBody+1))), -1
 		}, 413},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -70,11 +75,11 @@
 			}
 		})
 	}
-	if n := b.requests.Load(); n != 0 {
+	if n := b.Requests.Load(); n != 0 {
 		t.Errorf("%d requests reached the server", n)
 	}
 	req := s.request("charge", time.Second)
-	req.Body, req.ContentLength = io.NopCloser(bytes.NewReader(make([]byte, maxBody))), maxBody
+	req.Body, req.ContentLength = io.NopCloser(bytes.NewReader(make([]byte, inflight.MaxBody))), inflight.MaxBody
 	if got := s.do(req); got.status != 200 {
 		t.Errorf("the largest body: %+v", got)
 	}
@@ -85,11 +90,11 @@
 
 // Without X-Timeout-Ms a client is taken to wait for its class's limit.
 func TestTimeWithoutHeader(t *testing.T) {
-	s := start(t, newConf(newRegistry(t).addr()).setting(`"hard_limit_ms": 2500`, `"hard_limit_ms": 100`).
-		setting(`"on_time_ms": 750`, `"on_time_ms": 100`))
+	s := start(t, configtest.NewConf(sidecartest.NewRegistry(t).Addr()).Setting(`"hard_limit_ms": 2500`, `"hard_limit_ms": 100`).
+		Setting(`"on_time_ms": 750`, `"on_time_ms": 100`))
 	req := s.request("lookup", time.Second)
 	req.Header.Del("X-Timeout-Ms")
-	if got := s.do(req); got.status != statusRefused || got.took > 900*time.Millisecond {
+	if got := s.do(req); got.status != inflight.StatusRejected || got.took > 900*time.Millisecond {
 		t.Errorf("%+v, want a refusal after 100 ms", got)
 	}
 }
@@ -98,27 +103,27 @@
 // those taken are served.
 func TestOverloadIsAnswered(t *testing.T) {
 	release := make(chan struct{})
-	b := newBackend(t, "a", func(c net.Conn, r *http.Request, body string) bool {
+	b := sidecartest.NewBackend(t, "a", func(c net.Conn, r *http.Request, body string) bool {
 		<-release
-		return ok(c, r, body)
+		return sidecartest.OK(c, r, body)
 	})
-	c := newConf(newRegistry(t).addr(), b.target)
-	c["limits"] = map[string]any{"sockets": fewestSockets, "memory_mb": 64}
-	c.setting(`"open_cap": 20000`, `"open_cap": 5`)
+	c := configtest.NewConf(sidecartest.NewRegistry(t).Addr(), b.Target)
+	c["limits"] = map[string]any{"sockets": config.MinSockets, "memory_mb": 64}
+	c.Setting(`"open_cap": 20000`, `"open_cap": 5`)
 	s := start(t, c)
 	var held []<-chan result
 	for range 5 {
 		held = append(held, s.goDo(s.request("reserve", time.Second)))
 	}
-	until(t, "five requests at the server", func() bool { return b.requests.Load() == 5 })
+	sidecartest.Until(t, "five requests at the server", func() bool { return b.Requests.Load() == 5 })
 	for range 3 {
-		if got := s.do(s.request("charge", time.Second)); got.status != statusRefused || got.took > 500*time.Millisecond {
+		if got := s.do(s.request("charge", time.Second)); got.status != inflight.StatusRejected || got.took > 500*time.Millisecond {
 			t.Errorf("%+v, want a refusal at once", got)
 		}
 	}
 	close(release)
 	for _, h := range held {
-		if got := receive(t, "an answer", h); got.status != 200 {
+		if got := sidecartest.Receive(t, "an answer", h); got.status != 200 {
 			t.Errorf("%+v", got)
 		}
 	}
@@ -126,17 +131,17 @@
 
 // Where many client connections are open they are not kept, so that idle ones never shut others out.
 func TestManyClientConnectionsAreNotKept(t *testing.T) {
-	b := newBackend(t, "a", ok)
-	c := newConf(newRegistry(t).addr(), b.target)
-	c["limits"] = map[string]any{"sockets": fewestSockets}
+	b := sidecartest.NewBackend(t, "a", sidecartest.OK)
+	c := configtest.NewConf(sidecartest.NewRegistry(t).Addr(), b.Target)
+	c["limits"] = map[string]any{"sockets": config.MinSockets}
 	s := start(t, c)
-	for i := range 2 * fewestSockets {
+	for i := range 2 * config.MinSockets {
 		conn, err := net.Dial("tcp", s.Addr())
 		if err != nil {
 			t.Fatal(err)
 		}
 		defer conn.Close()
-		conn.SetDeadline(time.Now().Add(patience))
+		conn.SetDeadline(time.Now().Add(sidecartest.Patience))
 		req := s.request("charge", time.Second)
 		if err := req.Write(conn); err != nil {
 			t.Fatal(err)
@@ -154,93 +159,49 @@
 
 // A client that does not read its answers loses its connection; it holds no place for ever.
 func TestClientThatDoesNotRead(t *testing.T) {
-	body := strings.Repeat("x", maxBody)
-	b := newBackend(t, "a", respond(fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body), body), true))
-	s := start(t, newConf(newRegistry(t).addr(), b.target))
-	s.frontend.writeWait = 100 * time.Millisecond
+	body := strings.Repeat("x", inflight.MaxBody)
+	b := sidecartest.NewBackend(t, "a", sidecartest.Respond(fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body), body), true))
+	s := start(t, configtest.NewConf(sidecartest.NewRegistry(t).Addr(), b.Target))
+	s.clients.WriteTimeout = 100 * time.Millisecond
 	conn, err := net.Dial("tcp", s.Addr())
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer conn.Close()
 	conn.(*net.TCPConn).SetReadBuffer(4096)
-	conn.SetDeadline(time.Now().Add(patience))
+	conn.SetDeadline(time.Now().Add(sidecartest.Patience))
 	for range 1000 { // more answers than the buffers between hold
 		if err := s.request("lookup", time.Second).Write(conn); err != nil {
 			break
 		}
 	}
-	until(t, "the connection to end", func() bool {
-		return s.frontend.conns.Load() == 0 && s.frontend.taken.Load() == 0
+	sidecartest.Until(t, "the connection to end", func() bool {
+		return s.clients.Conns.Load() == 0 && s.clients.Requests.Load() == 0
 	})
 }
 
-// A module that never answers is a bug, but the client gets one failed answer in time.
-func TestModuleThatNeverAnswers(t *testing.T) {
-	cfg, err := newConf("127.0.0.1:1").load(t)
-	if err != nil {
-		t.Fatal(err)
-	}
-	posted := make(chan any, 4)
-	f := &frontend{cfg: cfg, figures: newFigures(cfg.classNames), post: func(ev any) { posted <- ev }, writeWait: patience}
-	f.maxConns.Store(10)
-	f.maxTaken.Store(10)
-	srv := httptest.NewServer(f)
-	defer srv.Close()
-	req, err := http.NewRequest("GET", srv.URL+apiPath, nil)
-	if err != nil {
-		t.Fatal(err)
-	}
-	req.Header.Set("X-Request-ID", "1")
-	req.Header.Set("X-Priority-Class", "lookup")
-	req.Header.Set("X-Tenant-Id", "kita")
-	req.Header.Set("X-Timeout-Ms", "50")
-	resp, err := http.DefaultClient.Do(req)
-	if err != nil {
-		t.Fatal(err)
-	}
-	resp.Body.Close()
-	if resp.StatusCode != statusTimedOut {
-		t.Errorf("%s", resp.Status)
-	}
-	c := (<-posted).(arrival).call
-	if gone, is := (<-posted).(clientGoneEvent); !is || gone.call != c || c.finish() {
-		t.Error("the loop is not told that the request is over")
-	}
-	http.DefaultClient.CloseIdleConnections()
-}
-
-// Advice to stay away goes to the client in seconds.
-func TestRetryAfter(t *testing.T) {
-	w := httptest.NewRecorder()
-	write(w, answer{status: statusRefused, retryAfter: 1250})
-	if got := w.Header().Get("Retry-After"); got != "1.250" {
-		t.Errorf("Retry-After: %q", got)
-	}
-}
-
 // At SIGTERM what is open is served, new connections are still taken for a while, and every connection is
 // closed after an answer. The address can be bound again.
 func TestDrain(t *testing.T) {
 	release, got := make(chan struct{}), make(chan struct{}, 1)
-	b := newBackend(t, "a", func(c net.Conn, r *http.Request, body string) bool {
+	b := sidecartest.NewBackend(t, "a", func(c net.Conn, r *http.Request, body string) bool {
 		if r.URL.RawQuery == "slow" {
 			got <- struct{}{}
 			<-release
 		}
-		return ok(c, r, body)
+		return sidecartest.OK(c, r, body)
 	})
-	conf := newConf(newRegistry(t).addr(), b.target)
+	conf := configtest.NewConf(sidecartest.NewRegistry(t).Addr(), b.Target)
 	s := start(t, conf)
 	s.drainAccept = time.Second
 	s.do(s.request("charge", time.Second)) // leaves a kept connection
 	slow := s.request("lookup", 2500*time.Millisecond)
 	slow.URL.RawQuery = "slow"
 	held := s.goDo(slow)
-	receive(t, "the slow request", got)
+	sidecartest.Receive(t, "the slow request", got)
 
 	s.term()
-	until(t, "the drain", s.frontend.draining.Load)
+	sidecartest.Until(t, "the drain", s.clients.Draining.Load)
 	late := s.request("charge", time.Second)
 	if r := s.do(late); r.status != 200 {
 		t.Errorf("on a kept connection while draining: %+v", r)
@@ -255,10 +216,10 @@
 		t.Errorf("on a new connection while draining: %s, closed %v", resp.Status, resp.Close)
 	}
 	time.AfterFunc(1200*time.Millisecond, func() { close(release) }) // after the last connection was taken
-	if r := receive(t, "the slow answer", held); r.status != 200 {
+	if r := sidecartest.Receive(t, "the slow answer", held); r.status != 200 {
 		t.Errorf("%+v", r)
 	}
-	if err := receive(t, "the end", s.ended); err != nil {
+	if err := sidecartest.Receive(t, "the end", s.ended); err != nil {
 		t.Error(err)
 	}
 	s.ended <- nil
@@ -272,8 +233,8 @@
 
 // Clients that go on for a while after SIGTERM, as they may, lose nothing.
 func TestDrainUnderLoad(t *testing.T) {
-	b := newBackend(t, "a", ok)
-	s := start(t, newConf(newRegistry(t).addr(), b.target))
+	b := sidecartest.NewBackend(t, "a", sidecartest.OK)
+	s := start(t, configtest.NewConf(sidecartest.NewRegistry(t).Addr(), b.Target))
 	s.drainAccept = 2 * time.Second
 	stop := make(chan struct{})
 	served := make(chan int)
@@ -294,18 +255,18 @@
 			}
 		}()
 	}
-	until(t, "some load", func() bool { return b.requests.Load() > 50 })
+	sidecartest.Until(t, "some load", func() bool { return b.Requests.Load() > 50 })
 	s.term()
-	until(t, "the drain", s.frontend.draining.Load)
-	before := b.requests.Load()
-	until(t, "requests during the drain", func() bool { return b.requests.Load() > before+50 })
+	sidecartest.Until(t, "the drain", s.clients.Draining.Load)
+	before := b.Requests.Load()
+	sidecartest.Until(t, "requests during the drain", func() bool { return b.Requests.Load() > before+50 })
 	close(stop)
 	for range 8 {
-		if n := receive(t, "a client", served); n == 0 {
+		if n := sidecartest.Receive(t, "a client", served); n == 0 {
 			t.Error("a client was served nothing")
 		}
 	}
-	if err := receive(t, "the end", s.ended); err != nil {
+	if err := sidecartest.Receive(t, "the end", s.ended); err != nil {
 		t.Error(err)
 	}
 	s.ended <- nil
@@ -313,16 +274,16 @@
 
 // A connection on which nothing came does not hold a drain up beyond the longest deadline.
 func TestDrainWithUnusedConnection(t *testing.T) {
-	s := start(t, newConf(newRegistry(t).addr()).setting(`"hard_limit_ms": 2500`, `"hard_limit_ms": 1000`))
+	s := start(t, configtest.NewConf(sidecartest.NewRegistry(t).Addr()).Setting(`"hard_limit_ms": 2500`, `"hard_limit_ms": 1000`))
 	conn, err := net.Dial("tcp", s.Addr())
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer conn.Close()
-	until(t, "the connection", func() bool { return s.frontend.conns.Load() == 1 })
+	sidecartest.Until(t, "the connection", func() bool { return s.clients.Conns.Load() == 1 })
 	began := time.Now()
 	s.term()
-	err = receive(t, "the end", s.ended)
+	err = sidecartest.Receive(t, "the end", s.ended)
 	if took := time.Since(began); err != nil || took > 3*time.Second {
 		t.Errorf("%v after %v", err, took)
 	}
@@ -331,9 +292,9 @@
 
 // Requests beside each other, some of which hang up, leave nothing behind.
 func TestNothingIsLeftBehind(t *testing.T) {
-	b := newBackend(t, "a", ok)
-	b2 := newBackend(t, "b", respond("HTTP/1.1 503 No\r\nX-Not-Processed: 1\r\nContent-Length: 0\r\n\r\n", false))
-	s := start(t, newConf(newRegistry(t).addr(), b.target, b2.target))
+	b := sidecartest.NewBackend(t, "a", sidecartest.OK)
+	b2 := sidecartest.NewBackend(t, "b", sidecartest.Respond("HTTP/1.1 503 No\r\nX-Not-Processed: 1\r\nContent-Length: 0\r\n\r\n", false))
+	s := start(t, configtest.NewConf(sidecartest.NewRegistry(t).Addr(), b.Target, b2.Target))
 	var all []<-chan result
 	for i := range 60 {
 		req := s.request([]string{"lookup", "reserve", "charge"}[i%3], time.Second)
@@ -348,30 +309,30 @@
 		all = append(all, s.goDo(req))
 	}
 	for _, r := range all {
-		if got := receive(t, "an answer", r); got.status != 200 && got.status != statusRefused {
+		if got := sidecartest.Receive(t, "an answer", r); got.status != 200 && got.status != inflight.StatusRejected {
 			t.Errorf("%+v", got)
 		}
 	}
-	until(t, "all requests to be over", func() bool { return s.frontend.taken.Load() == 0 })
+	sidecartest.Until(t, "all requests to be over", func() bool { return s.clients.Requests.Load() == 0 })
 	s.term()
-	if err := receive(t, "the end", s.ended); err != nil {
+	if err := sidecartest.Receive(t, "the end", s.ended); err != nil {
 		t.Error(err)
 	}
 	s.ended <- nil
-	if n := len(s.loop.calls); n != 0 {
+	if n := len(s.loop.Calls); n != 0 {
 		t.Errorf("%d requests are still in the table", n)
 	}
-	if s.loop.pool.open != 0 {
-		t.Errorf("%d connections are counted as open", s.loop.pool.open)
+	if open, _ := s.loop.Pool.Counts(); open != 0 {
+		t.Errorf("%d connections are counted as open", open)
 	}
 }
 
 // A second sidecar on a taken address says so.
 func TestAddressInUse(t *testing.T) {
-	s := start(t, newConf(newRegistry(t).addr()))
-	c := newConf("127.0.0.1:1")
+	s := start(t, configtest.NewConf(sidecartest.NewRegistry(t).Addr()))
+	c := configtest.NewConf("127.0.0.1:1")
 	c["listen"] = s.Addr()
-	cfg, err := c.load(t)
+	cfg, err := c.Load(t)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -379,46 +340,3 @@
 		t.Errorf("error %v", err)
 	}
 }
-
-func TestConfigurationsThatCannotBe(t *testing.T) {
-	for name, test := range map[string]struct {
-		change func(conf)
-		want   string
-	}{
-		"listen":         {func(c conf) { c["listen"] = "here" }, "listen"},
-		"discovery":      {func(c conf) { delete(c, "discovery") }, "discovery"},
-		"seed":           {func(c conf) { c["seed"] = "xyz" }, "seed"},
-		"no settings":    {func(c conf) { delete(c, "settings") }, "no settings"},
-		"no classes":     {func(c conf) { c["settings"] = map[string]any{} }, "no classes"},
-		"unknown effect": {func(c conf) { c.setting("non_idempotent", "other") }, "effect"},
-		"class names":    {func(c conf) { c.setting(`"name": "charge"`, `"name": "lookup"`) }, "classes"},
-		"tenant names":   {func(c conf) { c.setting(`"name": "kita"`, `"name": ""`) }, "tenants"},
-		"sockets":        {func(c conf) { c["limits"] = map[string]any{"sockets": 10} }, "sockets"},
-		"wrong type":     {func(c conf) { c["limits"] = 3 }, "limits"},
-	} {
-		t.Run(name, func(t *testing.T) {
-			c := newConf("127.0.0.1:1")
-			test.change(c)
-			_, err := c.load(t)
-			if err == nil || !strings.Contains(err.Error(), test.want) || strings.Contains(err.Error(), "\n") {
-				t.Errorf("error %q, want one line that names %s", fmt.Sprint(err), test.want)
-			}
-		})
-	}
-	if _, err := LoadConfig(func(string) string { return "" }); err == nil {
-		t.Error("no error without NODE_CONFIG")
-	}
-}
-
-// The environment wins over the file.
-func TestEnvironment(t *testing.T) {
-	path := newConf("127.0.0.1:1").write(t)
-	env := map[string]string{"NODE_CONFIG": path, "NODE_NAME": "n7", "NODE_LISTEN": "127.0.0.1:2", "NODE_DISCOVERY": "127.0.0.1:3"}
-	cfg, err := LoadConfig(func(name string) string { return env[name] })
-	if err != nil {
-		t.Fatal(err)
-	}
-	if cfg.Name != "n7" || cfg.Listen != "127.0.0.1:2" || cfg.Discovery != "127.0.0.1:3" {
-		t.Errorf("%+v", cfg)
-	}
-}
