--- a/internal/sidecar/handover.go
+++ b/internal/sidecar/handover/handover.go
@@ -1,4 +1,4 @@
-package sidecar
+package handover
 
 import (
 	"context"
@@ -17,6 +17,8 @@
 
 	"marblelane/internal/fault"
 	"marblelane/internal/listener"
+	"marblelane/internal/sidecar/config"
+	"marblelane/internal/sidecar/netcall"
 )
 
 // At an upgrade the platform starts a second process beside this one. The two meet at a Unix socket in the
@@ -25,16 +27,16 @@
 // and share what one of them may use.
 
 const (
-	meetWait  = time.Second // for the older process to answer: it may hang, or not be one of ours
-	servesNow = 's'         // the newer one's word that it takes requests
-	endsNow   = 'e'         // and that it soon does not, as it was told to end
-	// listWait is how long the newer process waits for discovery when it knows a list that may be old: the other
+	meetTimeout = time.Second // for the older process to answer: it may hang, or not be one of ours
+	servingByte = 's'         // the newer one's word that it takes requests
+	EndingByte  = 'e'         // and that it soon does not, as it was told to end
+	// ListTimeout is how long the newer process waits for discovery when it knows a list that may be old: the other
 	// one serves meanwhile.
-	listWait = 1500 * time.Millisecond
+	ListTimeout = 1500 * time.Millisecond
 )
 
-// listen binds the clients' address so that a process without a predecessor to ask can share it too.
-func listen(cfg *Config) (net.Listener, error) {
+// Listen binds the clients' address so that a process without a predecessor to ask can share it too.
+func Listen(cfg *config.Config) (net.Listener, error) {
 	var lc net.ListenConfig
 	if cfg.Management != "" {
 		lc.Control = func(_, _ string, c syscall.RawConn) error {
@@ -48,24 +50,24 @@
 	return lc.Listen(context.Background(), "tcp", cfg.Listen)
 }
 
-// predecessor is the process that served before this one, as long as it lives; nil: there is none.
-type predecessor struct{ conn *net.UnixConn }
+// Predecessor is the process that served before this one, as long as it lives; nil: there is none.
+type Predecessor struct{ Conn *net.UnixConn }
 
-// findPredecessor asks the process that serves the address, if any, for its listening socket. What is left of one that is
+// FindPredecessor asks the process that serves the address, if any, for its listening socket. What is left of one that is
 // gone, or is no socket at all, is nobody.
-func findPredecessor(cfg *Config) (*predecessor, net.Listener, error) {
-	place := cfg.meetingPlace()
+func FindPredecessor(cfg *config.Config) (*Predecessor, net.Listener, error) {
+	place := cfg.HandoverSocket()
 	if place == "" {
 		return nil, nil, nil
 	}
 	if _, err := os.Lstat(place); errors.Is(err, os.ErrNotExist) {
 		return nil, nil, nil
 	}
-	c, err := net.DialTimeout("unix", place, meetWait)
+	c, err := net.DialTimeout("unix", place, meetTimeout)
 	if err != nil {
 		return nil, nil, fmt.Errorf("nobody there: %w", err)
 	}
-	p := &predecessor{conn: c.(*net.UnixConn)}
+	p := &Predecessor{Conn: c.(*net.UnixConn)}
 	l, err := p.take()
 	if err == nil && l.Addr().String() != cfg.Listen {
 		l.Close()
@@ -78,37 +80,37 @@
 	return p, l, nil
 }
 
-func (p *predecessor) take() (net.Listener, error) {
-	p.conn.SetReadDeadline(time.Now().Add(meetWait))
-	defer p.conn.SetReadDeadline(time.Time{})
+func (p *Predecessor) take() (net.Listener, error) {
+	p.Conn.SetReadDeadline(time.Now().Add(meetTimeout))
+	defer p.Conn.SetReadDeadline(time.Time{})
 	buf, rights := make([]byte, 1), make([]byte, unix.CmsgSpace(4))
 	var n, flags int
-	err := repeatCall(func() (failed error) {
-		_, n, flags, _, failed = p.conn.ReadMsgUnix(buf, rights)
+	err := netcall.RetryCall(func() (failed error) {
+		_, n, flags, _, failed = p.Conn.ReadMsgUnix(buf, rights)
 		return failed
 	})
 	if err != nil {
 		return nil, err
 	}
-	return handedListener(rights[:n], flags)
+	return receivedListener(rights[:n], flags)
 }
 
-// errNotHanded is of a message of the process before this one that brings no listening socket.
-var errNotHanded = errors.New("no listening socket came")
+// errNoListener is of a message of the process before this one that brings no listening socket.
+var errNoListener = errors.New("no listening socket came")
 
-// handedListener is the listener whose descriptor a message brought, as the only one. The system cuts the descriptor
+// receivedListener is the listener whose descriptor a message brought, as the only one. The system cuts the descriptor
 // off where this process may not have one more.
-func handedListener(rights []byte, flags int) (net.Listener, error) {
+func receivedListener(rights []byte, flags int) (net.Listener, error) {
 	if flags&unix.MSG_CTRUNC != 0 {
-		return nil, fmt.Errorf("%w: it was cut off: %w", errNotHanded, syscall.EMFILE)
+		return nil, fmt.Errorf("%w: it was cut off: %w", errNoListener, syscall.EMFILE)
 	}
 	messages, err := unix.ParseSocketControlMessage(rights)
 	if err != nil || len(messages) != 1 {
-		return nil, errors.Join(errNotHanded, err)
+		return nil, errors.Join(errNoListener, err)
 	}
 	fds, err := unix.ParseUnixRights(&messages[0])
 	if err != nil || len(fds) != 1 {
-		return nil, errors.Join(errNotHanded, err)
+		return nil, errors.Join(errNoListener, err)
 	}
 	unix.CloseOnExec(fds[0])
 	f := os.NewFile(uintptr(fds[0]), "listener")
@@ -116,31 +118,34 @@
 	return net.FileListener(f)
 }
 
-// serves tells the predecessor that it may go.
-func (p *predecessor) serves() {
-	if _, err := (patientConn{p.conn}).Write([]byte{servesNow}); err != nil {
+// AnnounceServing tells the predecessor that it may go.
+func (p *Predecessor) AnnounceServing() {
+	if _, err := (netcall.RetryingConn{Conn: p.Conn}).Write([]byte{servingByte}); err != nil {
 		slog.Info("upgrade: the process before is gone", "error", err)
 	}
 }
 
-// ends tells the predecessor that it may not count on this process any more; nobody: there is none, or it is gone.
-func (p *predecessor) ends() {
+// AnnounceEnd tells the predecessor that it may not count on this process any more; nobody: there is none, or it is gone.
+func (p *Predecessor) AnnounceEnd() {
 	if p != nil {
-		_, _ = patientConn{p.conn}.Write([]byte{endsNow})
+		_, _ = netcall.RetryingConn{Conn: p.Conn}.Write([]byte{EndingByte})
 	}
 }
 
-// gone waits for its end.
-func (p *predecessor) gone() { _, _ = io.Copy(io.Discard, patientConn{p.conn}) }
+// Close ends the connection to the predecessor.
+func (p *Predecessor) Close() error { return p.Conn.Close() }
 
-// successors lets newer processes meet this one.
-type successors struct {
-	give     *net.TCPListener
-	changed  func(alive int) // how many there are now
-	faults   *fault.Plan     // the lab's; nil: none
-	serve    atomic.Int64    // those that serve
-	listener net.Listener
-	bind     func(network string, at *net.UnixAddr) (*net.UnixListener, error)
+// AwaitEnd waits for its end.
+func (p *Predecessor) AwaitEnd() { _, _ = io.Copy(io.Discard, netcall.RetryingConn{Conn: p.Conn}) }
+
+// Successors lets newer processes meet this one.
+type Successors struct {
+	Listener *net.TCPListener
+	Changed  func(alive int) // how many there are now
+	Faults   *fault.Plan     // the lab's; nil: none
+	Serving  atomic.Int64    // those that serve
+	meeting  net.Listener
+	Bind     func(network string, at *net.UnixAddr) (*net.UnixListener, error)
 
 	ended  sync.WaitGroup
 	mu     sync.Mutex
@@ -148,12 +153,12 @@
 	conns  map[net.Conn]struct{}
 }
 
-// await takes the meeting place over from whoever was there, and waits for newer processes.
-func (s *successors) await(place string) error {
+// Await takes the meeting place over from whoever was there, and waits for newer processes.
+func (s *Successors) Await(place string) error {
 	// Bound under a name of its own first: at the place there is always somebody or nobody, never half.
 	fresh := fmt.Sprintf("%s.%d", place, os.Getpid())
 	os.Remove(fresh)
-	l, err := s.bind("unix", &net.UnixAddr{Name: fresh, Net: "unix"})
+	l, err := s.Bind("unix", &net.UnixAddr{Name: fresh, Net: "unix"})
 	if err != nil {
 		return err
 	}
@@ -163,13 +168,13 @@
 		os.Remove(fresh)
 		return err
 	}
-	s.listener, s.conns = listener.Wrap(plant(l, s.faults), "upgrade", nil), map[net.Conn]struct{}{}
-	s.ended.Go(func() { s.accept(s.listener) })
+	s.meeting, s.conns = listener.Wrap(netcall.WithFaults(l, s.Faults), "upgrade", nil), map[net.Conn]struct{}{}
+	s.ended.Go(func() { s.accept(s.meeting) })
 	return nil
 }
 
 // accept meets newer processes until the listener is closed, or its socket is lost.
-func (s *successors) accept(l net.Listener) {
+func (s *Successors) accept(l net.Listener) {
 	for {
 		c, err := l.Accept()
 		if errors.Is(err, net.ErrClosed) {
@@ -185,7 +190,7 @@
 	}
 }
 
-func (s *successors) add(c net.Conn) bool {
+func (s *Successors) add(c net.Conn) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.closed {
@@ -193,29 +198,29 @@
 		return false
 	}
 	s.conns[c] = struct{}{}
-	s.changed(len(s.conns))
+	s.Changed(len(s.conns))
 	return true
 }
 
-// shares reports whether a newer process may have the listening socket.
-func (s *successors) shares() bool {
+// ShareListener reports whether a newer process may have the listening socket.
+func (s *Successors) ShareListener() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return len(s.conns) > 0
 }
 
 // follow gives the listening socket to a newer process and stays with it to its end.
-func (s *successors) follow(c *net.UnixConn) {
-	if err := s.hand(c); err != nil {
+func (s *Successors) follow(c *net.UnixConn) {
+	if err := s.SendListener(c); err != nil {
 		slog.Warn("upgrade: the listening socket was not handed over", "error", err)
 	} else {
 		var word [1]byte
-		next := patientConn{c}
-		if _, err := io.ReadFull(next, word[:]); err == nil && word[0] == servesNow {
+		next := netcall.RetryingConn{Conn: c}
+		if _, err := io.ReadFull(next, word[:]); err == nil && word[0] == servingByte {
 			slog.Info("upgrade: the next process serves")
-			s.serve.Add(1)
+			s.Serving.Add(1)
 			_, _ = io.ReadFull(next, word[:]) // it ends, or is gone
-			s.serve.Add(-1)
+			s.Serving.Add(-1)
 			_, _ = io.Copy(io.Discard, next)
 		}
 	}
@@ -224,28 +229,28 @@
 	defer s.mu.Unlock()
 	delete(s.conns, c)
 	if !s.closed {
-		s.changed(len(s.conns))
+		s.Changed(len(s.conns))
 	}
 }
 
-func (s *successors) hand(c *net.UnixConn) error {
-	raw, err := s.give.SyscallConn()
+func (s *Successors) SendListener(c *net.UnixConn) error {
+	raw, err := s.Listener.SyscallConn()
 	if err != nil {
 		return err
 	}
-	return repeatCall(func() error {
+	return netcall.RetryCall(func() error {
 		var failed error
 		// Within Control: a descriptor of its own, made for this, would turn the socket to blocking.
 		err := raw.Control(func(fd uintptr) {
-			_, _, failed = c.WriteMsgUnix([]byte{servesNow}, unix.UnixRights(int(fd)), nil)
+			_, _, failed = c.WriteMsgUnix([]byte{servingByte}, unix.UnixRights(int(fd)), nil)
 		})
 		return errors.Join(err, failed)
 	})
 }
 
-// close ends the meetings: to a newer process this one is gone.
-func (s *successors) close() {
-	s.listener.Close()
+// Close ends the meetings: to a newer process this one is gone.
+func (s *Successors) Close() {
+	s.meeting.Close()
 	s.mu.Lock()
 	s.closed = true
 	for c := range s.conns {
--- /dev/null
+++ b/internal/sidecar/handover/rawcalls_test.go
@@ -0,0 +1,65 @@
+package handover
+
+import (
+	"errors"
+	"io"
+	"net"
+	"strings"
+	"testing"
+
+	"golang.org/x/sys/unix"
+
+	"marblelane/internal/sidecar/netcall"
+	"marblelane/internal/sidecar/sidecartest"
+)
+
+// failingConn fails a few times on each side before it works.
+type failingConn struct {
+	net.Conn
+	failure func() error
+}
+
+func (c failingConn) Read(p []byte) (int, error) {
+	if err := c.failure(); err != nil {
+		return 0, err
+	}
+	return c.Conn.Read(p)
+}
+
+func (c failingConn) Write(p []byte) (int, error) {
+	if err := c.failure(); err != nil {
+		return 0, err
+	}
+	return c.Conn.Write(p)
+}
+
+// Words between two processes at an upgrade outlast calls that fail for a moment.
+func TestWordsOutlastFailures(t *testing.T) {
+	for _, errno := range sidecartest.ResourceErrnos {
+		t.Run(unix.ErrnoName(errno), func(t *testing.T) {
+			one, other := net.Pipe()
+			go func() {
+				netcall.RetryingConn{Conn: failingConn{one, sidecartest.FailFirst(3, errno)}}.Write([]byte{servingByte})
+				one.Close()
+			}()
+			words, err := io.ReadAll(netcall.RetryingConn{Conn: failingConn{other, sidecartest.FailFirst(3, errno)}})
+			if err != nil || string(words) != string(servingByte) {
+				t.Errorf("%q, %v", words, err)
+			}
+		})
+	}
+}
+
+// A message whose descriptor the system has cut off, as where none is left, is asked for again; one without is not.
+func TestHandedListenerThatDidNotCome(t *testing.T) {
+	if _, err := receivedListener(nil, unix.MSG_CTRUNC); !errors.Is(err, errNoListener) || !errors.Is(err, unix.EMFILE) {
+		t.Errorf("cut off: %v", err)
+	}
+	whole := unix.UnixRights(0)
+	for name, rights := range map[string][]byte{"nothing": nil, "half": whole[:len(whole)/2], "two": unix.UnixRights(0, 0)} {
+		_, err := receivedListener(rights, 0)
+		if !errors.Is(err, errNoListener) || errors.Is(err, unix.EMFILE) || strings.Contains(err.Error(), "cut off") {
+			t.Errorf("%s: %v", name, err)
+		}
+	}
+}
--- a/internal/sidecar/handover_shutdown_test.go
+++ b/internal/sidecar/handover_shutdown_test.go
@@ -6,26 +6,29 @@
 	"net/http"
 	"testing"
 	"time"
+
+	"marblelane/internal/sidecar/handover"
+	"marblelane/internal/sidecar/sidecartest"
 )
 
 // Both processes of an upgrade are told to end: while the newer one drains, which may be short, the older one does not
 // leave new connections to it.
 func TestShutdownOfBothProcesses(t *testing.T) {
-	b := newBackend(t, "a", ok)
-	c := upgradable(t, newRegistry(t).addr(), b.target)
-	old := start(t, c, func(s *Sidecar) { s.drainAccept = patience })
-	until(t, "the older process", func() bool { return old.healthy(t) })
-	next := start(t, c, func(s *Sidecar) { s.listWait, s.drainAccept = 0, patience })
-	until(t, "its word", func() bool { return old.after.serve.Load() == 1 })
+	b := sidecartest.NewBackend(t, "a", sidecartest.OK)
+	c := upgradable(t, sidecartest.NewRegistry(t).Addr(), b.Target)
+	old := start(t, c, func(s *Sidecar) { s.drainAccept = sidecartest.Patience })
+	sidecartest.Until(t, "the older process", func() bool { return old.healthy(t) })
+	next := start(t, c, func(s *Sidecar) { s.listTimeout, s.drainAccept = 0, sidecartest.Patience })
+	sidecartest.Until(t, "its word", func() bool { return old.successors.Serving.Load() == 1 })
 	next.term()
-	until(t, "its other word", func() bool { return old.after.serve.Load() == 0 })
-	if got, want := old.listener.bound(), old.budget.clients/2; got != want {
+	sidecartest.Until(t, "its other word", func() bool { return old.successors.Serving.Load() == 0 })
+	if got, want := old.listener.Limit(), old.budget.clients/2; got != want {
 		t.Errorf("the older process may hold %d clients beside the one that ends, want %d", got, want)
 	}
 	old.term()
-	until(t, "its drain", old.frontend.draining.Load)
+	sidecartest.Until(t, "its drain", old.clients.Draining.Load)
 	for range 4 {
-		client := &http.Client{Transport: &http.Transport{DisableKeepAlives: true}, Timeout: patience}
+		client := &http.Client{Transport: &http.Transport{DisableKeepAlives: true}, Timeout: sidecartest.Patience}
 		resp, err := client.Do(old.request("charge", time.Second))
 		if err != nil {
 			t.Fatal(err)
@@ -39,22 +42,22 @@
 
 // A newer process that is told to end before it serves never says that it does: the older one goes on.
 func TestShutdownBeforeItServes(t *testing.T) {
-	c := upgradable(t, newRegistry(t).addr())
-	cfg, err := c.load(t)
+	c := upgradable(t, sidecartest.NewRegistry(t).Addr())
+	cfg, err := c.Load(t)
 	if err != nil {
 		t.Fatal(err)
 	}
-	shared, err := listen(cfg)
+	shared, err := handover.Listen(cfg)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer shared.Close()
-	place, err := net.ListenUnix("unix", &net.UnixAddr{Name: cfg.meetingPlace(), Net: "unix"})
+	place, err := net.ListenUnix("unix", &net.UnixAddr{Name: cfg.HandoverSocket(), Net: "unix"})
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer place.Close()
-	place.SetDeadline(time.Now().Add(patience))
+	place.SetDeadline(time.Now().Add(sidecartest.Patience))
 	words := make(chan string, 1)
 	go func() { // the older process
 		c, err := place.AcceptUnix()
@@ -63,20 +66,20 @@
 			return
 		}
 		defer c.Close()
-		c.SetDeadline(time.Now().Add(patience))
-		if err := (&successors{give: shared.(*net.TCPListener)}).hand(c); err != nil {
+		c.SetDeadline(time.Now().Add(sidecartest.Patience))
+		if err := (&handover.Successors{Listener: shared.(*net.TCPListener)}).SendListener(c); err != nil {
 			words <- err.Error()
 			return
 		}
 		said, _ := io.ReadAll(c)
 		words <- string(said)
 	}()
-	next := start(t, c, func(s *Sidecar) { s.listWait = time.Hour }) // it waits for a server
-	if next.before == nil {
+	next := start(t, c, func(s *Sidecar) { s.listTimeout = time.Hour }) // it waits for a server
+	if next.predecessor == nil {
 		t.Fatal("it has met nobody")
 	}
 	next.end(t)
-	if said := receive(t, "its words", words); said != string([]byte{endsNow}) {
+	if said := sidecartest.Receive(t, "its words", words); said != string([]byte{handover.EndingByte}) {
 		t.Errorf("it said %q", said)
 	}
 }
--- a/internal/sidecar/handover_test.go
+++ b/internal/sidecar/handover_test.go
@@ -13,11 +13,16 @@
 	"time"
 
 	"golang.org/x/sys/unix"
+
+	"marblelane/internal/sidecar/configtest"
+	"marblelane/internal/sidecar/endpointlist"
+	"marblelane/internal/sidecar/handover"
+	"marblelane/internal/sidecar/sidecartest"
 )
 
 // upgradable is a configuration whose address two processes can share. The port is the system's choice and held
 // for the test by a socket that does not listen.
-func upgradable(t *testing.T, discovery string, known ...target) conf {
+func upgradable(t *testing.T, discovery string, known ...endpointlist.Target) configtest.Conf {
 	t.Helper()
 	fd, err := unix.Socket(unix.AF_INET, unix.SOCK_STREAM|unix.SOCK_CLOEXEC, 0)
 	if err != nil {
@@ -34,7 +39,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	c := managed(newConf(discovery, known...))
+	c := configtest.Managed(configtest.NewConf(discovery, known...))
 	c["listen"] = fmt.Sprintf("127.0.0.1:%d", addr.(*unix.SockaddrInet4).Port)
 	c["TMPDIR"] = t.TempDir()
 	return c
@@ -48,7 +53,7 @@
 func (r *running) end(t *testing.T) {
 	t.Helper()
 	r.term()
-	err := receive(t, "the end", r.ended)
+	err := sidecartest.Receive(t, "the end", r.ended)
 	if err != nil {
 		t.Error(err)
 	}
@@ -57,17 +62,17 @@
 
 // While one process follows the other, each request on a connection of its own and on kept ones is served.
 func TestUpgradeTurnsNobodyBack(t *testing.T) {
-	b := newBackend(t, "a", ok)
-	c := upgradable(t, newRegistry(t).addr(), b.target)
-	quick := func(s *Sidecar) { s.drainAccept, s.listWait = 50*time.Millisecond, 0 }
+	b := sidecartest.NewBackend(t, "a", sidecartest.OK)
+	c := upgradable(t, sidecartest.NewRegistry(t).Addr(), b.Target)
+	quick := func(s *Sidecar) { s.drainAccept, s.listTimeout = 50*time.Millisecond, 0 }
 	old := start(t, c, quick)
-	until(t, "the first process", func() bool { return old.healthy(t) })
+	sidecartest.Until(t, "the first process", func() bool { return old.healthy(t) })
 
 	stop := make(chan struct{})
 	var served atomic.Int64
 	var clients sync.WaitGroup
 	for i := range 4 {
-		client := &http.Client{Transport: &http.Transport{DisableKeepAlives: i%2 == 0}, Timeout: patience}
+		client := &http.Client{Transport: &http.Transport{DisableKeepAlives: i%2 == 0}, Timeout: sidecartest.Patience}
 		clients.Go(func() {
 			defer client.CloseIdleConnections()
 			for {
@@ -92,20 +97,20 @@
 	process := old
 	for range 3 { // each is the old one of the next
 		next := start(t, c, quick)
-		until(t, "the next process", func() bool { return next.healthy(t) })
-		until(t, "its word", func() bool { return process.after.serve.Load() == 1 })
-		if got, want := process.listener.bound(), process.budget.clients/2; got != want {
+		sidecartest.Until(t, "the next process", func() bool { return next.healthy(t) })
+		sidecartest.Until(t, "its word", func() bool { return process.successors.Serving.Load() == 1 })
+		if got, want := process.listener.Limit(), process.budget.clients/2; got != want {
 			t.Errorf("the older process may hold %d clients, want %d", got, want)
 		}
-		if got, want := next.frontend.maxTaken.Load(), int64(next.budget.taken/2); got != want {
+		if got, want := next.clients.MaxRequests.Load(), int64(next.budget.requests/2); got != want {
 			t.Errorf("the newer process may take %d requests, want %d", got, want)
 		}
 		process.end(t)
-		until(t, "all of the limits for the newer process", func() bool {
-			return next.listener.bound() == next.budget.clients
+		sidecartest.Until(t, "all of the limits for the newer process", func() bool {
+			return next.listener.Limit() == next.budget.clients
 		})
 		before := served.Load()
-		until(t, "requests to go on", func() bool { return served.Load() > before+10 })
+		sidecartest.Until(t, "requests to go on", func() bool { return served.Load() > before+10 })
 		process = next
 	}
 	close(stop)
@@ -114,14 +119,14 @@
 
 // Connections that wait to be accepted when the process ends are the next one's.
 func TestWhatWaitsIsHandedOver(t *testing.T) {
-	b := newBackend(t, "a", ok)
-	c := upgradable(t, newRegistry(t).addr(), b.target)
+	b := sidecartest.NewBackend(t, "a", sidecartest.OK)
+	c := upgradable(t, sidecartest.NewRegistry(t).Addr(), b.Target)
 	deaf := func(s *Sidecar) { // it accepts nobody
 		s.drainAccept = 0
 		s.listener.Listener = refuser{s.listener.Listener, new(sync.Once), make(chan struct{})}
 	}
 	old := start(t, c, deaf)
-	until(t, "the first process", func() bool { return old.healthy(t) })
+	sidecartest.Until(t, "the first process", func() bool { return old.healthy(t) })
 	var waiting []net.Conn
 	for range 10 {
 		conn, err := net.Dial("tcp", old.Addr())
@@ -129,14 +134,14 @@
 			t.Fatal(err)
 		}
 		defer conn.Close()
-		conn.SetDeadline(time.Now().Add(patience))
+		conn.SetDeadline(time.Now().Add(sidecartest.Patience))
 		if err := old.request("charge", 5*time.Second).Write(conn); err != nil {
 			t.Fatal(err)
 		}
 		waiting = append(waiting, conn)
 	}
-	next := start(t, c, func(s *Sidecar) { s.listWait = 0 })
-	until(t, "its word", func() bool { return old.after.serve.Load() == 1 })
+	next := start(t, c, func(s *Sidecar) { s.listTimeout = 0 })
+	sidecartest.Until(t, "its word", func() bool { return old.successors.Serving.Load() == 1 })
 	old.end(t)
 	for _, conn := range waiting {
 		resp, err := http.ReadResponse(bufio.NewReader(conn), nil)
@@ -147,7 +152,7 @@
 			t.Error(resp.Status)
 		}
 	}
-	until(t, "all of the limits", func() bool { return next.listener.bound() == next.budget.clients })
+	sidecartest.Until(t, "all of the limits", func() bool { return next.listener.Limit() == next.budget.clients })
 }
 
 // refuser is a listener whose accept only ends with it.
@@ -169,22 +174,22 @@
 
 // A process that ends before it serves leaves the older one as it was.
 func TestNextProcessThatDoesNotCome(t *testing.T) {
-	b := newBackend(t, "a", ok)
-	c := upgradable(t, newRegistry(t).addr(), b.target)
+	b := sidecartest.NewBackend(t, "a", sidecartest.OK)
+	c := upgradable(t, sidecartest.NewRegistry(t).Addr(), b.Target)
 	old := start(t, c)
-	until(t, "the process", func() bool { return old.healthy(t) })
-	cfg, err := c.load(t)
+	sidecartest.Until(t, "the process", func() bool { return old.healthy(t) })
+	cfg, err := c.Load(t)
 	if err != nil {
 		t.Fatal(err)
 	}
-	p, l, err := findPredecessor(cfg)
+	p, l, err := handover.FindPredecessor(cfg)
 	if err != nil || p == nil {
 		t.Fatal(p, err)
 	}
-	until(t, "limits to be shared", func() bool { return old.listener.bound() == old.budget.clients/2 })
+	sidecartest.Until(t, "limits to be shared", func() bool { return old.listener.Limit() == old.budget.clients/2 })
 	l.Close()
-	p.conn.Close()
-	until(t, "limits to be whole again", func() bool { return old.listener.bound() == old.budget.clients })
+	p.Conn.Close()
+	sidecartest.Until(t, "limits to be whole again", func() bool { return old.listener.Limit() == old.budget.clients })
 	if got := old.do(old.request("charge", time.Second)); got.status != 200 {
 		t.Errorf("%+v", got)
 	}
@@ -206,21 +211,21 @@
 		"nothing":     func(string) error { return nil },
 	} {
 		t.Run(name, func(t *testing.T) {
-			b := newBackend(t, "a", ok)
-			c := upgradable(t, newRegistry(t).addr(), b.target)
-			cfg, err := c.load(t)
+			b := sidecartest.NewBackend(t, "a", sidecartest.OK)
+			c := upgradable(t, sidecartest.NewRegistry(t).Addr(), b.Target)
+			cfg, err := c.Load(t)
 			if err != nil {
 				t.Fatal(err)
 			}
-			if err := leave(cfg.meetingPlace()); err != nil {
+			if err := leave(cfg.HandoverSocket()); err != nil {
 				t.Fatal(err)
 			}
 			s := start(t, c)
-			until(t, "the process", func() bool { return s.healthy(t) })
+			sidecartest.Until(t, "the process", func() bool { return s.healthy(t) })
 			if got := s.do(s.request("charge", time.Second)); got.status != 200 {
 				t.Errorf("%+v", got)
 			}
-			if got := s.listener.bound(); got != s.budget.clients {
+			if got := s.listener.Limit(); got != s.budget.clients {
 				t.Errorf("it holds %d clients, want %d", got, s.budget.clients)
 			}
 		})
--- a/internal/sidecar/kill_time_test.go
+++ b/internal/sidecar/kill_time_test.go
@@ -17,18 +17,10 @@
 	"sync/atomic"
 	"testing"
 	"time"
-)
-
-const (
-	hold          = 150 * time.Millisecond // for which a process may be held up
-	newClientsFor = 400 * time.Millisecond // after SIGTERM
-	lateMachine   = 20 * time.Millisecond  // for which this process had no processor: that is a second hold
-	mostRounds    = 6                      // of a shutdown on a machine that is late
 
-	// What a client has sent when its sidecar is told to end.
-	resting     = "resting"
-	partialHead = "partial head"
-	partialBody = "partial body"
+	"marblelane/internal/sidecar/checkpoint"
+	"marblelane/internal/sidecar/configtest"
+	"marblelane/internal/sidecar/sidecartest"
 )
 
 // lateSends are the times before SIGKILL at which clients complete a request on a connection that is open.
@@ -38,7 +30,7 @@
 
 // shutdown is one sidecar that is told to end while it is held up at one checkpoint.
 type shutdown struct {
-	held    checkpoint
+	held    checkpoint.Checkpoint
 	s       *Sidecar
 	stop    context.CancelFunc
 	ended   chan error
@@ -56,37 +48,37 @@
 	lag atomic.Int64 // the most that a timer was late from SIGTERM to SIGKILL, in ns
 }
 
-func newShutdown(t *testing.T, longest time.Duration, held checkpoint) *shutdown {
+func newShutdown(t *testing.T, longest time.Duration, held checkpoint.Checkpoint) *shutdown {
 	t.Helper()
 	d := &shutdown{
 		held: held, longest: longest, ended: make(chan error, 1), begun: make(chan struct{}),
 		arrived: map[string]time.Time{},
 	}
-	b := newBackend(t, "a", func(c net.Conn, req *http.Request, _ string) bool {
+	b := sidecartest.NewBackend(t, "a", func(c net.Conn, req *http.Request, _ string) bool {
 		d.mu.Lock()
 		d.arrived[req.Header.Get("X-Request-ID")] = time.Now()
 		d.mu.Unlock()
-		return req.URL.RawQuery == "hang" || ok(c, req, "")
+		return req.URL.RawQuery == "hang" || sidecartest.OK(c, req, "")
 	})
-	c := newConf("127.0.0.1:1", b.target) // nobody is there
+	c := configtest.NewConf("127.0.0.1:1", b.Target) // nobody is there
 	c["settings"] = json.RawMessage(fmt.Sprintf(`{"classes": [
 	 {"name": "lookup", "effect": "read_like", "on_time_ms": %[1]d, "hard_limit_ms": %[1]d},
 	 {"name": "charge", "effect": "non_idempotent", "on_time_ms": %[1]d, "hard_limit_ms": %[1]d}],
 	 "zones": ["z"], "kinds": ["k"], "quantum_ms": 2,
 	 "limits": {"cancel": true, "connect_timeout_ms": 100, "max_attempts": 3}}`, longest.Milliseconds()))
-	cfg, err := c.load(t)
+	cfg, err := c.Load(t)
 	if err != nil {
 		t.Fatal(err)
 	}
 	if d.s, err = New(cfg); err != nil {
 		t.Fatal(err)
 	}
-	hook := func(c checkpoint) {
+	hook := func(c checkpoint.Checkpoint) {
 		if c == held && d.holding.Load() {
-			time.Sleep(hold)
+			time.Sleep(sidecartest.Hold)
 		}
 	}
-	d.s.hook, d.s.frontend.hook, d.s.loop.pool.hook = hook, hook, hook
+	d.s.hook, d.s.clients.Checkpoints, d.s.loop.Pool.Hook = hook, hook, hook
 	ctx, cancel := context.WithCancel(context.Background())
 	d.stop = cancel
 	go func() { d.ended <- d.s.Run(ctx) }()
@@ -94,7 +86,7 @@
 		cancel()
 		d.clients.Wait()
 	})
-	until(t, "a server", func() bool { return d.s.loop.figures.servers.Load().ready > 0 })
+	sidecartest.Until(t, "a server", func() bool { return d.s.loop.Metrics.Servers.Load().Ready > 0 })
 	return d
 }
 
@@ -130,7 +122,7 @@
 
 // answer reads a whole answer, which has to come before SIGKILL may; io.EOF: the connection ended without one.
 func (c *caller) answer() (last bool, err error) {
-	c.SetReadDeadline(time.Now().Add(patience))
+	c.SetReadDeadline(time.Now().Add(sidecartest.Patience))
 	if _, err := c.in.Peek(1); err == io.EOF {
 		return true, err
 	}
@@ -190,7 +182,7 @@
 	for time.Now().Before(d.kill) {
 		var err error
 		if c == nil {
-			if time.Since(d.term) > newClientsFor {
+			if time.Since(d.term) > sidecartest.NewClientsFor {
 				return
 			}
 			if c, err = d.dial(what); err != nil {
@@ -244,7 +236,7 @@
 	case got = <-answered:
 	case <-time.After(time.Until(d.kill.Add(-before))):
 		io.WriteString(c, rest)
-		excused = c.what == resting
+		excused = c.what == sidecartest.Resting
 		got = <-answered
 	}
 	switch {
@@ -257,44 +249,25 @@
 	}
 }
 
-// followLag keeps the most that this process's timers were late, in ns, until there is an end.
-func followLag(most *atomic.Int64, ended func() bool) {
-	const step = 2 * time.Millisecond
-	for last := time.Now(); !ended(); {
-		time.Sleep(step)
-		now := time.Now()
-		most.Store(max(most.Load(), int64(now.Sub(last)-step)))
-		last = now
-	}
-}
-
-// machineLag tells how late this process's timers have been since the call: nothing that is timed can be held to less.
-func machineLag(t *testing.T) func() time.Duration {
-	t.Helper()
-	most := new(atomic.Int64)
-	go followLag(most, func() bool { return t.Context().Err() != nil })
-	return func() time.Duration { return time.Duration(most.Load()) }
-}
-
 // begin connects a client and sends what it has sent when its sidecar is told to end; the rest is for later.
 func (d *shutdown) begin(what string) (c *caller, rest string, err error) {
 	if c, err = d.dial(what); err != nil {
 		return nil, "", err
 	}
 	method := "GET"
-	if what == partialBody {
+	if what == sidecartest.PartialBody {
 		method = "POST"
 	}
 	_, text := d.request(method, "")
 	cut := 0
 	switch what {
-	case resting:
+	case sidecartest.Resting:
 		_, first := d.request(method, "")
 		io.WriteString(c, first)
 		_, err = c.answer()
-	case partialHead:
+	case sidecartest.PartialHead:
 		cut = len(text) / 2
-	case partialBody:
+	case sidecartest.PartialBody:
 		cut = len(text) - 3
 	}
 	io.WriteString(c, text[:cut])
@@ -313,7 +286,7 @@
 	}
 	var late []func()
 	for _, before := range lateSends {
-		for _, what := range []string{resting, partialHead, partialBody} {
+		for _, what := range []string{sidecartest.Resting, sidecartest.PartialHead, sidecartest.PartialBody} {
 			if c, rest, err := d.begin(what); err != nil {
 				d.errorf("%s: %v", what, err)
 			} else {
@@ -326,7 +299,7 @@
 	d.holding.Store(true)
 	close(d.begun)
 	d.stop()
-	d.clients.Go(func() { followLag(&d.lag, func() bool { return time.Now().After(d.kill) }) })
+	d.clients.Go(func() { sidecartest.FollowLag(&d.lag, func() bool { return time.Now().After(d.kill) }) })
 	for _, complete := range late {
 		d.clients.Go(complete)
 	}
@@ -353,12 +326,12 @@
 			longest := time.Duration(ms) * time.Millisecond
 			t.Run(longest.String(), func(t *testing.T) {
 				t.Parallel()
-				held := slices.Concat([]checkpoint{""}, checkpoints)
-				if longest > longestDrain { // SIGKILL comes no later
-					held = []checkpoint{"", serviceEnding}
+				held := slices.Concat([]checkpoint.Checkpoint{""}, checkpoints)
+				if longest > maxDrain { // SIGKILL comes no later
+					held = []checkpoint.Checkpoint{"", checkpoint.ServiceEnding}
 				}
 				for round := 1; len(held) > 0; round++ {
-					held = playShutdowns(t, longest, held, round == mostRounds)
+					held = playShutdowns(t, longest, held, round == sidecartest.MostRounds)
 				}
 			})
 		}
@@ -368,7 +341,7 @@
 
 // playShutdowns ends one sidecar for each checkpoint at which it is held up, and gives those whose failures say nothing
 // because the machine was late on top of the hold. In the last round they count all the same.
-func playShutdowns(t *testing.T, longest time.Duration, held []checkpoint, last bool) (again []checkpoint) {
+func playShutdowns(t *testing.T, longest time.Duration, held []checkpoint.Checkpoint, last bool) (again []checkpoint.Checkpoint) {
 	t.Helper()
 	var all []*shutdown
 	for _, c := range held {
@@ -383,7 +356,7 @@
 		lag := time.Duration(d.lag.Load())
 		switch {
 		case len(d.failures) == 0:
-		case lag > lateMachine && !last:
+		case lag > sidecartest.LateMachine && !last:
 			t.Logf("held at %q: %d failures, the machine was %v late: once more", d.held, len(d.failures), lag)
 			again = append(again, d.held)
 		default:
@@ -393,6 +366,6 @@
 	return again
 }
 
-var checkpoints = []checkpoint{
-	requestRead, attemptDecided, clockRead, answerDecided, drainSignalled, serviceEnding, waitingEnding,
+var checkpoints = []checkpoint.Checkpoint{
+	checkpoint.RequestRead, checkpoint.AttemptDecided, checkpoint.ClockRead, checkpoint.AnswerDecided, checkpoint.DrainSignalled, checkpoint.ServiceEnding, checkpoint.WaitingEnding,
 }
--- a/internal/sidecar/limits.go
+++ b/internal/sidecar/limits.go
@@ -1,7 +1,5 @@
 package sidecar
 
-// This file divides what a sidecar may use, by its configuration, among its processes.
-
 import (
 	"log/slog"
 	"math"
@@ -9,61 +7,62 @@
 	"runtime/debug"
 
 	"marblelane/balance"
+	"marblelane/internal/sidecar/config"
 )
 
 // budget is what all processes of a sidecar may use together.
-type budget struct{ manage, clients, servers, taken int }
+type budget struct{ management, clients, servers, requests int }
 
-// share divides what this sidecar may use among its processes.
-func (s *Sidecar) share() {
+// divideLimits divides what this sidecar may use among its processes.
+func (s *Sidecar) divideLimits() {
 	parts := 1 + s.older + s.newer
 	if s.older+s.newer > 0 {
 		slog.Info("upgrade: this sidecar shares its limits", "processes", parts)
 	}
-	if s.manager != nil {
-		s.manager.setMost(max(s.budget.manage/parts, 1))
+	if s.management != nil {
+		s.management.SetLimit(max(s.budget.management/parts, 1))
 	}
 	clients := s.budget.clients / parts
-	s.listener.setMost(clients)
-	s.frontend.maxConns.Store(int64(float64(clients) * keepShare))
-	s.frontend.maxTaken.Store(int64(max(s.budget.taken/parts, 1)))
-	s.loop.pool.setMost(s.budget.servers / parts)
-	s.frontend.memory.set(s.cfg.bodyMemory() / int64(parts))
-	s.loop.post(balance.ProcessCount{Processes: parts})
+	s.listener.SetLimit(clients)
+	s.clients.MaxKeptConns.Store(int64(float64(clients) * keepAliveFraction))
+	s.clients.MaxRequests.Store(int64(max(s.budget.requests/parts, 1)))
+	s.loop.Pool.SetLimit(s.budget.servers / parts)
+	s.clients.Memory.SetLimit(s.cfg.BodyMemory() / int64(parts))
+	s.loop.Post(balance.ProcessCount{Processes: parts})
 	limitMemory(s.cfg, parts)
 }
 
-// follows tells whether the process before this one is still there.
-func (s *Sidecar) follows() bool {
-	s.sharing.Lock()
-	defer s.sharing.Unlock()
+// predecessorAlive tells whether the process before this one is still there.
+func (s *Sidecar) predecessorAlive() bool {
+	s.siblings.Lock()
+	defer s.siblings.Unlock()
 	return s.older > 0
 }
 
-// beside takes in how many older or newer processes are alive beside this one.
-func (s *Sidecar) beside(which *int, alive int) {
-	s.sharing.Lock()
-	defer s.sharing.Unlock()
+// setSiblings takes in how many older or newer processes are alive beside this one.
+func (s *Sidecar) setSiblings(which *int, alive int) {
+	s.siblings.Lock()
+	defer s.siblings.Unlock()
 	*which = alive
-	s.share()
+	s.divideLimits()
 }
 
 // Limit tells the runtime what the configuration allows this process.
-func Limit(cfg *Config) {
+func Limit(cfg *config.Config) {
 	debug.SetGCPercent(gcPercent)
-	debug.SetMemoryLimit(cfg.memory(1))
+	debug.SetMemoryLimit(cfg.MemoryLimit(1))
 	if cfg.Cores > 0 {
 		runtime.GOMAXPROCS(int(math.Ceil(cfg.Cores)))
 	}
 }
 
 // limitMemory holds to a part what Limit has limited.
-func limitMemory(cfg *Config, parts int) {
+func limitMemory(cfg *config.Config, parts int) {
 	before := debug.SetMemoryLimit(-1)
-	if before == math.MaxInt64 || before == cfg.memory(parts) {
+	if before == math.MaxInt64 || before == cfg.MemoryLimit(parts) {
 		return
 	}
-	debug.SetMemoryLimit(cfg.memory(parts))
+	debug.SetMemoryLimit(cfg.MemoryLimit(parts))
 	if parts > 1 {
 		debug.FreeOSMemory()
 	}
--- a/internal/sidecar/listener_shutdown_test.go
+++ b/internal/sidecar/listener_shutdown_test.go
@@ -9,6 +9,10 @@
 	"syscall"
 	"testing"
 	"time"
+
+	"marblelane/internal/sidecar/configtest"
+	"marblelane/internal/sidecar/netcall"
+	"marblelane/internal/sidecar/sidecartest"
 )
 
 // heldListener accepts nobody before the test lets it.
@@ -30,18 +34,18 @@
 
 // Connections that the system has completed are accepted and answered before the listener closes.
 func TestShutdownWhileConnectionsWaitToBeAccepted(t *testing.T) {
-	b := newBackend(t, "a", ok)
+	b := sidecartest.NewBackend(t, "a", sidecartest.OK)
 	held := make(chan struct{})
 	var closed, asked atomic.Bool
-	s := start(t, newConf(newRegistry(t).addr(), b.target), func(s *Sidecar) {
+	s := start(t, configtest.NewConf(sidecartest.NewRegistry(t).Addr(), b.Target), func(s *Sidecar) {
 		s.listener.Listener = heldListener{s.tcp, held, &closed}
 		s.unaccepted = func(l *net.TCPListener) int {
-			n := unaccepted(l)
+			n := netcall.Unaccepted(l)
 			asked.Store(true)
 			return n
 		}
 	})
-	until(t, "a server", func() bool { return s.loop.figures.servers.Load().ready > 0 })
+	sidecartest.Until(t, "a server", func() bool { return s.loop.Metrics.Servers.Load().Ready > 0 })
 	var waiting []net.Conn
 	for range 10 {
 		c, err := net.Dial("tcp", s.Addr())
@@ -49,14 +53,14 @@
 			t.Fatal(err)
 		}
 		defer c.Close()
-		c.SetDeadline(time.Now().Add(patience))
+		c.SetDeadline(time.Now().Add(sidecartest.Patience))
 		if err := s.request("charge", 5*time.Second).Write(c); err != nil {
 			t.Fatal(err)
 		}
 		waiting = append(waiting, c)
 	}
 	s.term()
-	until(t, "the listener to close, or to wait for them", func() bool { return closed.Load() || asked.Load() })
+	sidecartest.Until(t, "the listener to close, or to wait for them", func() bool { return closed.Load() || asked.Load() })
 	close(held)
 	for _, c := range waiting {
 		resp, err := http.ReadResponse(bufio.NewReader(c), nil)
@@ -68,7 +72,7 @@
 		}
 		c.Close()
 	}
-	if err := receive(t, "the end", s.ended); err != nil {
+	if err := sidecartest.Receive(t, "the end", s.ended); err != nil {
 		t.Error(err)
 	}
 	s.ended <- nil
@@ -81,7 +85,7 @@
 func TestShutdownWhileNobodyAccepts(t *testing.T) {
 	held := make(chan struct{})
 	var closed atomic.Bool
-	s := start(t, newConf(newRegistry(t).addr()), func(s *Sidecar) {
+	s := start(t, configtest.NewConf(sidecartest.NewRegistry(t).Addr()), func(s *Sidecar) {
 		s.listener.Listener = heldListener{s.tcp, held, &closed}
 	})
 	c, err := net.Dial("tcp", s.Addr())
@@ -90,6 +94,6 @@
 	}
 	defer c.Close()
 	s.term()
-	until(t, "the listener's end", closed.Load)
+	sidecartest.Until(t, "the listener's end", closed.Load)
 	close(held)
 }
--- a/internal/sidecar/management.go
+++ b/internal/sidecar/management.go
@@ -5,6 +5,10 @@
 	"log/slog"
 	"net"
 	"net/http"
+
+	"marblelane/internal/sidecar/clientserver"
+	"marblelane/internal/sidecar/config"
+	"marblelane/internal/sidecar/fleet"
 )
 
 const (
@@ -14,15 +18,15 @@
 	maxManageHead = 8 << 10
 )
 
-// management serves the platform's address. It has descriptors of its own and reads only what others left for
+// managementServer serves the platform's address. It has descriptors of its own and reads only what others left for
 // it, so that it answers under any load.
-func (s *Sidecar) management() *http.Server {
+func (s *Sidecar) managementServer() *http.Server {
 	srv := &http.Server{
-		Handler: http.HandlerFunc(s.manage), ReadTimeout: manageWait, WriteTimeout: manageWait,
+		Handler: http.HandlerFunc(s.manage), ReadTimeout: config.ManagementTimeout, WriteTimeout: config.ManagementTimeout,
 		MaxHeaderBytes: maxManageHead,
 		ConnState: func(c net.Conn, state http.ConnState) {
-			if g, ok := c.(*clientConn); ok && state == http.StateActive {
-				g.work() // its time is short in any case
+			if g, ok := c.(*clientserver.ClientConn); ok && state == http.StateActive {
+				g.RequestRead() // its time is short in any case
 			}
 		},
 		ErrorLog: slog.NewLogLogger(slog.Default().Handler(), slog.LevelDebug),
@@ -32,8 +36,8 @@
 }
 
 func (s *Sidecar) manage(w http.ResponseWriter, r *http.Request) {
-	if isMembers(r.URL.Path) {
-		s.loop.members.serve(w, r)
+	if fleet.IsMembersPath(r.URL.Path) {
+		s.loop.Members.ServeHTTP(w, r)
 		return
 	}
 	if r.URL.Path != healthPath && r.URL.Path != statsPath {
@@ -47,16 +51,16 @@
 	}
 	if r.URL.Path == statsPath {
 		w.Header().Set("Content-Type", "text/plain; version=0.0.4; charset=utf-8")
-		s.loop.figures.write(w)
-		s.loop.members.write(w)
+		s.loop.Metrics.Write(w)
+		s.loop.Members.WriteMetrics(w)
 		return
 	}
 	switch {
-	case s.frontend.draining.Load():
+	case s.clients.Draining.Load():
 		http.Error(w, "draining", http.StatusServiceUnavailable)
 	case !s.serving.Load():
 		http.Error(w, "not serving yet", http.StatusServiceUnavailable)
-	case s.loop.figures.servers.Load().ready == 0:
+	case s.loop.Metrics.Servers.Load().Ready == 0:
 		http.Error(w, "no server is known to be ready", http.StatusServiceUnavailable)
 	default:
 		io.WriteString(w, "ok\n")
--- a/internal/sidecar/management_test.go
+++ b/internal/sidecar/management_test.go
@@ -7,6 +7,12 @@
 	"strings"
 	"testing"
 	"time"
+
+	"marblelane/internal/sidecar/config"
+	"marblelane/internal/sidecar/configtest"
+	"marblelane/internal/sidecar/endpointlist"
+	"marblelane/internal/sidecar/inflight"
+	"marblelane/internal/sidecar/sidecartest"
 )
 
 func (r *running) manage(t *testing.T, method, path string) (int, string) {
@@ -30,20 +36,15 @@
 	return resp.StatusCode, string(body)
 }
 
-func managed(c conf) conf {
-	c["management"] = loopback
-	return c
-}
-
 func TestHealthcheckWaitsForAList(t *testing.T) {
-	discovery := newRegistry(t)
-	s := start(t, managed(newConf(discovery.addr())))
+	discovery := sidecartest.NewRegistry(t)
+	s := start(t, configtest.Managed(configtest.NewConf(discovery.Addr())))
 	if status, text := s.manage(t, "GET", healthPath); status != 503 {
 		t.Errorf("without a list: %d %q", status, text)
 	}
-	call := receive(t, "the watch", discovery.calls)
-	call.send(t, list{Rev: 2, All: true, Targets: []target{ready("a", "127.0.0.1:1")}})
-	until(t, "the list to count", func() bool {
+	call := sidecartest.Receive(t, "the watch", discovery.Calls)
+	call.Send(t, endpointlist.List{Rev: 2, All: true, Targets: []endpointlist.Target{sidecartest.Ready("a", "127.0.0.1:1")}})
+	sidecartest.Until(t, "the list to count", func() bool {
 		status, _ := s.manage(t, "GET", healthPath)
 		return status == 200
 	})
@@ -55,7 +56,7 @@
 			t.Errorf("%s %s: %d, want %d", test.method, test.path, status, test.want)
 		}
 	}
-	s.frontend.draining.Store(true)
+	s.clients.Draining.Store(true)
 	if status, _ := s.manage(t, "GET", healthPath); status != 503 {
 		t.Errorf("while it drains: %d", status)
 	}
@@ -63,24 +64,24 @@
 
 func TestStats(t *testing.T) {
 	release := make(chan struct{})
-	b := newBackend(t, "a", func(c net.Conn, r *http.Request, body string) bool {
+	b := sidecartest.NewBackend(t, "a", func(c net.Conn, r *http.Request, body string) bool {
 		if r.Header.Get("X-Priority-Class") == "charge" {
-			return respond("HTTP/1.1 500 Oops\r\nContent-Length: 0\r\n\r\n", true)(c, r, body)
+			return sidecartest.Respond("HTTP/1.1 500 Oops\r\nContent-Length: 0\r\n\r\n", true)(c, r, body)
 		}
 		if r.Header.Get("X-Priority-Class") == "reserve" {
 			<-release
 		}
-		return ok(c, r, body)
+		return sidecartest.OK(c, r, body)
 	})
-	draining := ready("b", "127.0.0.1:1")
+	draining := sidecartest.Ready("b", "127.0.0.1:1")
 	draining.State = "Terminating"
-	c := managed(newConf(newRegistry(t).addr(), b.target, draining)).setting(`"lookup"`, `"look\"up"`).
-		setting(`"open_cap": 20000`, `"open_cap": 1`)
+	c := configtest.Managed(configtest.NewConf(sidecartest.NewRegistry(t).Addr(), b.Target, draining)).Setting(`"lookup"`, `"look\"up"`).
+		Setting(`"open_cap": 20000`, `"open_cap": 1`)
 	s := start(t, c)
 	wants := func(lines ...string) {
 		t.Helper()
 		text := ""
-		until(t, strings.Join(lines, ", "), func() bool {
+		sidecartest.Until(t, strings.Join(lines, ", "), func() bool {
 			_, text = s.manage(t, "GET", statsPath)
 			for _, line := range lines {
 				if !strings.Contains(text, line+"\n") {
@@ -98,7 +99,7 @@
 			t.Errorf("%+v", got)
 		}
 	}
-	if got := s.do(s.request("charge", time.Second)); got.status != statusFailed {
+	if got := s.do(s.request("charge", time.Second)); got.status != inflight.StatusFailed {
 		t.Errorf("%+v", got)
 	}
 	if got := s.do(s.request("nope", time.Second)); got.status != 400 {
@@ -106,11 +107,11 @@
 	}
 	held := s.goDo(s.request("reserve", time.Second))
 	wants("svc_inflight 1", "svc_backend_calls 5")
-	if got := s.do(s.request("charge", time.Second)); got.status != statusRefused {
+	if got := s.do(s.request("charge", time.Second)); got.status != inflight.StatusRejected {
 		t.Errorf("%+v", got)
 	}
 	close(release)
-	if got := receive(t, "an answer", held); got.status != 200 {
+	if got := sidecartest.Receive(t, "an answer", held); got.status != 200 {
 		t.Errorf("%+v", got)
 	}
 	wants(`svc_success{tier="look\"up"} 3`, `svc_success{tier="reserve"} 1`, `svc_success{tier="charge"} 0`,
@@ -120,8 +121,8 @@
 
 // Callers that hold connections and say nothing, or half of a call, shut nobody out.
 func TestManagementAnswersBesideSilentCallers(t *testing.T) {
-	s := start(t, managed(newConf(newRegistry(t).addr(), ready("a", "127.0.0.1:1"))))
-	for i := range 3 * s.manager.most {
+	s := start(t, configtest.Managed(configtest.NewConf(sidecartest.NewRegistry(t).Addr(), sidecartest.Ready("a", "127.0.0.1:1"))))
+	for i := range 3 * s.management.Limit() {
 		c, err := net.Dial("tcp", s.ManagementAddr())
 		if err != nil {
 			t.Fatal(err)
@@ -132,24 +133,24 @@
 		}
 	}
 	began := time.Now()
-	if status, _ := s.manage(t, "GET", healthPath); status != 200 || time.Since(began) > manageWait {
+	if status, _ := s.manage(t, "GET", healthPath); status != 200 || time.Since(began) > config.ManagementTimeout {
 		t.Errorf("%d after %v", status, time.Since(began))
 	}
 }
 
 func TestManagementThatCannotBe(t *testing.T) {
-	c := newConf("127.0.0.1:1")
+	c := configtest.NewConf("127.0.0.1:1")
 	c["management"] = "nowhere"
-	if _, err := c.load(t); err == nil || !strings.Contains(err.Error(), "management") {
+	if _, err := c.Load(t); err == nil || !strings.Contains(err.Error(), "management") {
 		t.Errorf("an address that cannot be read: %v", err)
 	}
-	taken, err := net.Listen("tcp", loopback)
+	taken, err := net.Listen("tcp", sidecartest.Loopback)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer taken.Close()
 	c["management"] = taken.Addr().String()
-	cfg, err := c.load(t)
+	cfg, err := c.Load(t)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -159,7 +160,7 @@
 }
 
 func TestNoManagementUnlessAskedFor(t *testing.T) {
-	s := start(t, newConf(newRegistry(t).addr()))
+	s := start(t, configtest.NewConf(sidecartest.NewRegistry(t).Addr()))
 	if s.ManagementAddr() != "" {
 		t.Errorf("it listens at %s", s.ManagementAddr())
 	}
--- a/internal/sidecar/conn_state.go
+++ b/internal/sidecar/netcall/conn_state.go
@@ -1,6 +1,4 @@
-package sidecar
-
-// This file asks the system whether the peer of a connection is still there.
+package netcall
 
 import (
 	"errors"
@@ -13,17 +11,17 @@
 
 var errNoTCP = errors.New("no TCP connection of the system")
 
-// connStates tells whether the peer of a connection has closed, half-closed or reset it, also behind bytes that
+// ConnStates tells whether the peer of a connection has closed, half-closed or reset it, also behind bytes that
 // nobody has read, without taking any of them.
-type connStates struct {
-	tcpState func(fd int) (uint8, error)
+type ConnStates struct {
+	Query func(fd int) (uint8, error)
 	// trusted: tcpState has told of an established connection. Where something stands between this process and the
 	// system, and does not know the call, an answer may be about something else.
 	trusted atomic.Bool
 }
 
-// systemStates are those of this process's connections.
-var systemStates = &connStates{tcpState: tcpState}
+// SystemConnStates are those of this process's connections.
+var SystemConnStates = &ConnStates{Query: tcpState}
 
 // tcpState asks the system for the state of a connection, one of unix.BPF_TCP_*.
 func tcpState(fd int) (uint8, error) {
@@ -34,15 +32,15 @@
 	return info.State, nil
 }
 
-// learn finds out on a live connection whether states can be trusted.
-func (s *connStates) learn(c net.Conn) {
+// Learn finds out on a live connection whether states can be trusted.
+func (s *ConnStates) Learn(c net.Conn) {
 	if !s.trusted.Load() {
-		s.state(c)
+		s.State(c)
 	}
 }
 
-// state is the state of a connection; a query that fails for a moment is repeated.
-func (s *connStates) state(c net.Conn) (state uint8, err error) {
+// State is the state of a connection; a query that fails for a moment is repeated.
+func (s *ConnStates) State(c net.Conn) (state uint8, err error) {
 	tcp, ok := c.(syscall.Conn)
 	if !ok {
 		return 0, errNoTCP
@@ -53,8 +51,8 @@
 	}
 	var failed error
 	err = raw.Control(func(fd uintptr) {
-		failed = repeatQuery(func() (err error) {
-			state, err = s.tcpState(int(fd))
+		failed = RetryQuery(func() (err error) {
+			state, err = s.Query(int(fd))
 			return err
 		})
 	})
@@ -67,10 +65,10 @@
 	return state, nil
 }
 
-// peerGone reports whether the peer is known to have gone. Where the state of a connection cannot be had it is read as
+// PeerGone reports whether the peer is known to have gone. Where the state of a connection cannot be had it is read as
 // far as that takes nothing: an end behind unread bytes is not seen then.
-func (s *connStates) peerGone(c net.Conn) bool {
-	state, err := s.state(c)
+func (s *ConnStates) PeerGone(c net.Conn) bool {
+	state, err := s.State(c)
 	if err == nil && s.trusted.Load() {
 		switch state {
 		case unix.BPF_TCP_CLOSE_WAIT, unix.BPF_TCP_LAST_ACK, unix.BPF_TCP_CLOSING, unix.BPF_TCP_TIME_WAIT,
--- a/internal/sidecar/peek.go
+++ b/internal/sidecar/netcall/peek.go
@@ -1,25 +1,27 @@
-package sidecar
-
-// This file looks at what a connection holds without taking any of it.
+package netcall
 
 import (
 	"net"
 	"syscall"
+	"time"
 )
 
+// PastDeadline as a deadline ends whatever waits on a connection.
+var PastDeadline = time.Unix(1, 0)
+
 // sendBuffer keeps the system from taking megabytes for a slow peer, and from waking a writer only once a third of them
 // is gone.
 const sendBuffer = 64 << 10
 
-// limitBuffer bounds what the system takes for a peer that does not read.
-func limitBuffer(c net.Conn) {
+// LimitBuffer bounds what the system takes for a peer that does not read.
+func LimitBuffer(c net.Conn) {
 	if tcp, ok := c.(interface{ SetWriteBuffer(int) error }); ok {
 		tcp.SetWriteBuffer(sendBuffer)
 	}
 }
 
-// peek tells whether a connection is known to be open, and whether it holds what nobody has read yet.
-func peek(c net.Conn) (open, unread bool) {
+// Peek tells whether a connection is known to be open, and whether it holds what nobody has read yet.
+func Peek(c net.Conn) (open, unread bool) {
 	state := peekState(c)
 	return state == peekQuiet || state == peekUnread, state == peekUnread
 }
@@ -34,8 +36,8 @@
 	peekEnded                     // its other end has closed or broken it, or this one has closed it
 )
 
-// mostPeeks is how often a look that is interrupted is made.
-const mostPeeks = 10
+// maxPeeks is how often a look that is interrupted is made.
+const maxPeeks = 10
 
 // peekState looks at a connection.
 func peekState(c net.Conn) peekResult {
@@ -64,7 +66,7 @@
 
 // peekWith looks with a call that tells how many bytes there are, up to one, and leaves them to be read.
 func peekWith(receive func() (int, error)) peekResult {
-	for range mostPeeks {
+	for range maxPeeks {
 		n, err := receive()
 		switch {
 		case err == syscall.EINTR:
@@ -73,7 +75,7 @@
 			return peekQuiet
 		case n > 0:
 			return peekUnread
-		case err == nil, endedErrnos.has(err):
+		case err == nil, EndedErrnos.Has(err):
 			return peekEnded
 		default:
 			return peekUnknown
--- a/internal/sidecar/rawcalls.go
+++ b/internal/sidecar/netcall/retry.go
@@ -1,6 +1,7 @@
-package sidecar
+package netcall
 
 import (
+	"context"
 	"net"
 	"syscall"
 	"time"
@@ -10,25 +11,28 @@
 	"marblelane/internal/retry"
 )
 
+// Unaccepted is how many connections are completed and wait to be accepted, see listenQueue.
+func Unaccepted(l *net.TCPListener) (waiting int) { return systemQueue.waiting(l) }
+
 const (
-	// queryTries is how often a system call about a socket is made in all that fails for a moment.
-	queryTries = 3
+	// maxQueries is how often a system call about a socket is made in all that fails for a moment.
+	maxQueries = 3
 	// Reads and writes of an open connection that fail for a moment are repeated after pauses of shortestCallPause to
 	// longestCallPause, for callLimit in all.
-	shortestCallPause = time.Millisecond
-	longestCallPause  = 20 * time.Millisecond
-	callLimit         = time.Second
-	// lateAccept is from when on a connection counts as accepted late: the longest pause between two accepts. A shorter
+	minCallPause = time.Millisecond
+	maxCallPause = 20 * time.Millisecond
+	maxCallTime  = time.Second
+	// LateAccept is from when on a connection counts as accepted late: the longest pause between two accepts. A shorter
 	// wait, as on a busy machine, is within the slack of the time that servers are told.
-	lateAccept = 100 * time.Millisecond
-	// acceptFailureMemory is for how long after a failed accept those that are accepted may have waited in the queue.
-	acceptFailureMemory = 5 * time.Second
+	LateAccept = 100 * time.Millisecond
+	// AcceptFailureMemory is for how long after a failed accept those that are accepted may have waited in the queue.
+	AcceptFailureMemory = 5 * time.Second
 )
 
-// repeatQuery makes a system call again, at once and a few times, while the system is short of resources for it.
-func repeatQuery(call func() error) error {
+// RetryQuery makes a system call again, at once and a few times, while the system is short of resources for it.
+func RetryQuery(call func() error) error {
 	var err error
-	for range queryTries {
+	for range maxQueries {
 		if err = call(); !retry.ShortOfResources(err) {
 			return err
 		}
@@ -36,25 +40,25 @@
 	return err
 }
 
-// repeatCall makes a call again for up to callLimit while the system is short of resources for it.
-func repeatCall(call func() error) error {
+// RetryCall makes a call again for up to callLimit while the system is short of resources for it.
+func RetryCall(call func() error) error {
 	err := call()
 	if !retry.ShortOfResources(err) {
 		return err
 	}
-	backoff := retry.Backoff{Min: shortestCallPause, Max: longestCallPause}
-	for began := time.Now(); retry.ShortOfResources(err) && time.Since(began) < callLimit; err = call() {
+	backoff := retry.Backoff{Min: minCallPause, Max: maxCallPause}
+	for began := time.Now(); retry.ShortOfResources(err) && time.Since(began) < maxCallTime; err = call() {
 		time.Sleep(backoff.Next())
 	}
 	return err
 }
 
-// patientConn repeats reads and writes for which the system is short of resources.
-type patientConn struct{ net.Conn }
+// RetryingConn repeats reads and writes for which the system is short of resources.
+type RetryingConn struct{ net.Conn }
 
 // Read reads what has come.
-func (c patientConn) Read(p []byte) (n int, err error) {
-	err = repeatCall(func() (failed error) {
+func (c RetryingConn) Read(p []byte) (n int, err error) {
+	err = RetryCall(func() (failed error) {
 		n, failed = c.Conn.Read(p)
 		return failed
 	})
@@ -62,8 +66,8 @@
 }
 
 // Write writes all of p, or gives an error.
-func (c patientConn) Write(p []byte) (n int, err error) {
-	err = repeatCall(func() error {
+func (c RetryingConn) Write(p []byte) (n int, err error) {
+	err = RetryCall(func() error {
 		written, failed := c.Conn.Write(p[n:])
 		n += written
 		return failed
@@ -71,9 +75,9 @@
 	return n, err
 }
 
-// sinceLastData is how long ago the system got the last bytes from the peer of a connection, or, before any, the
+// SinceLastData is how long ago the system got the last bytes from the peer of a connection, or, before any, the
 // connection; in steps of its clock, some milliseconds. It is 0 where the system does not tell.
-func sinceLastData(conn net.Conn) time.Duration {
+func SinceLastData(conn net.Conn) time.Duration {
 	tcp, ok := conn.(syscall.Conn)
 	if !ok {
 		return 0
@@ -85,7 +89,7 @@
 	var info *unix.TCPInfo
 	var failed error
 	err = raw.Control(func(fd uintptr) {
-		failed = repeatQuery(func() (err error) {
+		failed = RetryQuery(func() (err error) {
 			info, err = systemQueue.tcpInfo(int(fd))
 			return err
 		})
@@ -126,7 +130,7 @@
 
 func (q listenQueue) waitingAt(fd int) int {
 	var info *unix.TCPInfo
-	err := repeatQuery(func() (failed error) {
+	err := RetryQuery(func() (failed error) {
 		info, failed = q.tcpInfo(fd)
 		return failed
 	})
@@ -143,7 +147,7 @@
 func (q listenQueue) ready(fd int) int {
 	fds := []unix.PollFd{{Fd: int32(fd), Events: unix.POLLIN}}
 	var ready int
-	err := repeatQuery(func() (failed error) {
+	err := RetryQuery(func() (failed error) {
 		ready, failed = q.poll(fds, 0)
 		return failed
 	})
@@ -152,3 +156,17 @@
 	}
 	return min(ready, 1)
 }
+
+// WriteNow writes what the system takes without waiting: a client that does not read gets nothing.
+func WriteNow(c net.Conn, text string) {
+	conn, ok := c.(syscall.Conn)
+	if !ok {
+		return
+	}
+	if raw, err := conn.SyscallConn(); err == nil {
+		raw.Control(func(fd uintptr) { syscall.Write(int(fd), []byte(text)) })
+	}
+}
+
+// DialFunc opens a connection, as net.Dialer.DialContext does.
+type DialFunc = func(ctx context.Context, network, addr string) (net.Conn, error)
--- a/internal/sidecar/pipeline_test.go
+++ b/internal/sidecar/pipeline_test.go
@@ -9,73 +9,19 @@
 	"strings"
 	"testing"
 	"time"
-)
 
-// A drain that comes between two requests that were sent at once does not take the connection for one that rests: the
-// second has been read, so that it is answered.
-func TestDrainBetweenPipelinedRequests(t *testing.T) {
-	l, err := net.Listen("tcp", loopback)
-	if err != nil {
-		t.Fatal(err)
-	}
-	guests := newConnLimiter(l, 3)
-	served := 0
-	f := &frontend{peerWait: patience, writeWait: patience}
-	srv := f.server()
-	srv.Handler = http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		if c, ok := r.Context().Value(connKey{}).(*headConn); ok {
-			c.work()
-		}
-		served++
-		io.WriteString(w, "done")
-	})
-	state := srv.ConnState
-	srv.ConnState = func(c net.Conn, to http.ConnState) {
-		state(c, to)
-		if to == http.StateIdle && served == 1 { // the first is answered, the second not yet looked at
-			guests.closeIdle(time.Now())
-		}
-	}
-	ended := make(chan error, 1)
-	go func() { ended <- srv.Serve(headListener{guests}) }()
-	t.Cleanup(func() { srv.Close(); <-ended })
-	c, err := net.Dial("tcp", l.Addr().String())
-	if err != nil {
-		t.Fatal(err)
-	}
-	t.Cleanup(func() { c.Close() })
-	c.SetDeadline(time.Now().Add(patience))
-	if _, err := io.WriteString(c, wireRequest("1", "", "")+wireRequest("2", "", "")); err != nil {
-		t.Fatal(err)
-	}
-	in := bufio.NewReader(c)
-	for i := range 2 {
-		resp, err := http.ReadResponse(in, nil)
-		if err != nil || resp.StatusCode != 200 {
-			t.Fatalf("answer %d: %+v, %v", i+1, resp, err)
-		}
-		io.Copy(io.Discard, resp.Body)
-	}
-	until(t, "the connection to be at rest, and told its end", func() bool {
-		guests.closeIdle(time.Now())
-		guests.mu.Lock()
-		defer guests.mu.Unlock()
-		for g := range guests.conns {
-			return !g.told.IsZero()
-		}
-		return true
-	})
-	if _, err := in.ReadByte(); err != io.EOF {
-		t.Errorf("after the last answer: %v, want the end", err)
-	}
-}
+	"marblelane/internal/sidecar/configtest"
+	"marblelane/internal/sidecar/framing"
+	"marblelane/internal/sidecar/netcall"
+	"marblelane/internal/sidecar/sidecartest"
+)
 
 // Where many connections are open, one that carries many requests at once is not closed before the last is answered.
 func TestCrowdedPipelineIsAnswered(t *testing.T) {
 	const requests = 5
-	b := newBackend(t, "a", ok)
-	s := start(t, newConf(newRegistry(t).addr(), b.target))
-	s.frontend.maxConns.Store(0) // every one is too many
+	b := sidecartest.NewBackend(t, "a", sidecartest.OK)
+	s := start(t, configtest.NewConf(sidecartest.NewRegistry(t).Addr(), b.Target))
+	s.clients.MaxKeptConns.Store(0) // every one is too many
 	for name, body := range map[string]string{"no bodies": "", "bodies": "abc"} {
 		t.Run(name, func(t *testing.T) {
 			c, err := net.Dial("tcp", s.Addr())
@@ -83,8 +29,8 @@
 				t.Fatal(err)
 			}
 			defer c.Close()
-			c.SetDeadline(time.Now().Add(patience))
-			request := wireRequest("1", fmt.Sprintf("Content-Length: %d\r\n", len(body)), body)
+			c.SetDeadline(time.Now().Add(sidecartest.Patience))
+			request := sidecartest.WireRequest("1", fmt.Sprintf("Content-Length: %d\r\n", len(body)), body)
 			if _, err := io.WriteString(c, strings.Repeat(request, requests)); err != nil {
 				t.Fatal(err)
 			}
@@ -109,27 +55,27 @@
 
 // All of a pipeline that had been read when the drain began is answered before its connection ends.
 func TestDrainedPipelineIsAnswered(t *testing.T) {
-	answer := newBarrier()
-	b := newBackend(t, "a", func(c net.Conn, r *http.Request, body string) bool {
-		answer.pass()
-		return ok(c, r, body)
+	answer := sidecartest.NewBarrier()
+	b := sidecartest.NewBackend(t, "a", func(c net.Conn, r *http.Request, body string) bool {
+		answer.Pass()
+		return sidecartest.OK(c, r, body)
 	})
-	s := start(t, newConf(newRegistry(t).addr(), b.target))
-	t.Cleanup(answer.release)
+	s := start(t, configtest.NewConf(sidecartest.NewRegistry(t).Addr(), b.Target))
+	t.Cleanup(answer.Release)
 	c, err := net.Dial("tcp", s.Addr())
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer c.Close()
-	c.SetDeadline(time.Now().Add(patience))
+	c.SetDeadline(time.Now().Add(sidecartest.Patience))
 	const requests = 3
-	if _, err := io.WriteString(c, strings.Repeat(wireRequest("1", "", ""), requests)); err != nil {
+	if _, err := io.WriteString(c, strings.Repeat(sidecartest.WireRequest("1", "", ""), requests)); err != nil {
 		t.Fatal(err)
 	}
-	answer.waitFor(t, 1)
+	answer.WaitFor(t, 1)
 	s.term()
-	until(t, "the drain", s.frontend.draining.Load)
-	answer.release()
+	sidecartest.Until(t, "the drain", s.clients.Draining.Load)
+	answer.Release()
 	in := bufio.NewReader(c)
 	for i := range requests {
 		resp, err := http.ReadResponse(in, nil)
@@ -151,23 +97,23 @@
 	}{
 		"no request":  {"no request\r\n\r\n", http.StatusBadRequest},
 		"no id":       {"GET /api HTTP/1.1\r\nHost: h\r\n\r\n", http.StatusBadRequest},
-		"head no end": {"GET /api HTTP/1.1\r\nX: " + strings.Repeat("x", 3*maxHeader), http.StatusRequestHeaderFieldsTooLarge},
+		"head no end": {"GET /api HTTP/1.1\r\nX: " + strings.Repeat("x", 3*framing.MaxHeader), http.StatusRequestHeaderFieldsTooLarge},
 	} {
 		t.Run(name, func(t *testing.T) {
-			answer := newBarrier()
-			b := newBackend(t, "a", func(c net.Conn, r *http.Request, body string) bool {
-				answer.pass()
-				return ok(c, r, body)
+			answer := sidecartest.NewBarrier()
+			b := sidecartest.NewBackend(t, "a", func(c net.Conn, r *http.Request, body string) bool {
+				answer.Pass()
+				return sidecartest.OK(c, r, body)
 			})
-			s := start(t, newConf(newRegistry(t).addr(), b.target))
-			t.Cleanup(answer.release)
+			s := start(t, configtest.NewConf(sidecartest.NewRegistry(t).Addr(), b.Target))
+			t.Cleanup(answer.Release)
 			client := s.leaver(t, "lookup", "HTTP/1.1", "", "")
-			answer.waitFor(t, 1)
+			answer.WaitFor(t, 1)
 			if _, err := io.WriteString(client, test.next); err != nil {
 				t.Fatal(err)
 			}
-			until(t, "it to come", func() bool { _, unread := peek(client.host.Conn); return unread })
-			answer.release()
+			sidecartest.Until(t, "it to come", func() bool { _, unread := netcall.Peek(client.host.Conn); return unread })
+			answer.Release()
 			in := bufio.NewReader(client)
 			for _, want := range []int{200, test.want} {
 				resp, err := http.ReadResponse(in, nil)
@@ -179,7 +125,7 @@
 			if more, _ := io.ReadAll(in); len(more) > 0 { // its end may be a reset
 				t.Errorf("%q after the last answer", more)
 			}
-			if n := b.requests.Load(); n != 1 {
+			if n := b.Requests.Load(); n != 1 {
 				t.Errorf("%d requests reached the server", n)
 			}
 		})
--- a/internal/sidecar/planted_test.go
+++ b/internal/sidecar/planted_test.go
@@ -13,30 +13,20 @@
 
 	"marblelane/internal/fault"
 	"marblelane/internal/listener"
+	"marblelane/internal/sidecar/clientserver"
+	"marblelane/internal/sidecar/configtest"
+	"marblelane/internal/sidecar/handover"
+	"marblelane/internal/sidecar/sidecartest"
 )
 
-// failureCounter counts the accepts that fail.
-type failureCounter struct {
-	net.Listener
-	failures *atomic.Int64
-}
-
-func (c failureCounter) Accept() (net.Conn, error) {
-	conn, err := c.Listener.Accept()
-	if err != nil {
-		c.failures.Add(1)
-	}
-	return conn, err
-}
-
 // countFailures counts below the listener that goes on after them.
-func countFailures(t *testing.T, l *connLimiter, failures *atomic.Int64) {
+func countFailures(t *testing.T, l *clientserver.Limiter, failures *atomic.Int64) {
 	t.Helper()
 	wrapped, ok := l.Listener.(*listener.Listener)
 	if !ok {
 		t.Fatalf("the listener is a %T, which ends at the first failure", l.Listener)
 	}
-	wrapped.Listener = failureCounter{Listener: wrapped.Listener, failures: failures}
+	wrapped.Listener = sidecartest.FailureCounter{Listener: wrapped.Listener, Failures: failures}
 }
 
 // Failing accepts, of which net/http takes few for temporary, do not end the process; once they work it serves.
@@ -45,14 +35,14 @@
 		"ENOBUFS", "ENOMEM", "EPROTO", "ENETUNREACH", "EHOSTUNREACH", "ENETDOWN", "EPERM", "EMFILE", "ENFILE",
 	} {
 		t.Run(errno, func(t *testing.T) {
-			b := newBackend(t, "a", ok)
+			b := sidecartest.NewBackend(t, "a", sidecartest.OK)
 			path := filepath.Join(t.TempDir(), "faults.toml")
 			plan(t, path, fault.CallAccept, errno)
-			c := newConf(newRegistry(t).addr(), b.target)
+			c := configtest.NewConf(sidecartest.NewRegistry(t).Addr(), b.Target)
 			c["faults"] = path
 			var failures atomic.Int64
 			s := start(t, c, func(s *Sidecar) { countFailures(t, s.listener, &failures) })
-			until(t, "accepts that fail", func() bool { return failures.Load() >= 3 })
+			sidecartest.Until(t, "accepts that fail", func() bool { return failures.Load() >= 3 })
 			if err := (fault.Set{}).Write(path); err != nil {
 				t.Fatal(err)
 			}
@@ -73,70 +63,70 @@
 
 // The platform's address and the place where a newer process meets this one stay, too.
 func TestOtherAcceptsThatFailForAMoment(t *testing.T) {
-	b := newBackend(t, "a", ok)
-	c := upgradable(t, newRegistry(t).addr(), b.target)
+	b := sidecartest.NewBackend(t, "a", sidecartest.OK)
+	c := upgradable(t, sidecartest.NewRegistry(t).Addr(), b.Target)
 	path := filepath.Join(t.TempDir(), "faults.toml")
 	plan(t, path, fault.CallAccept, "EPROTO")
 	c["faults"] = path
 	var failures atomic.Int64
-	old := start(t, c, func(s *Sidecar) { countFailures(t, s.manager, &failures) })
-	until(t, "accepts that fail", func() bool { return failures.Load() >= 3 })
-	cfg, err := c.load(t)
+	old := start(t, c, func(s *Sidecar) { countFailures(t, s.management, &failures) })
+	sidecartest.Until(t, "accepts that fail", func() bool { return failures.Load() >= 3 })
+	cfg, err := c.Load(t)
 	if err != nil {
 		t.Fatal(err)
 	}
 	var met sync.WaitGroup
-	until(t, "the meeting place", func() bool {
-		_, err := os.Lstat(cfg.meetingPlace())
+	sidecartest.Until(t, "the meeting place", func() bool {
+		_, err := os.Lstat(cfg.HandoverSocket())
 		return err == nil
 	})
 	met.Go(func() {
-		p, l, err := findPredecessor(cfg)
+		p, l, err := handover.FindPredecessor(cfg)
 		if err != nil || p == nil {
 			t.Errorf("a newer process meets %v: %v", p, err)
 			return
 		}
 		l.Close()
-		p.conn.Close()
+		p.Conn.Close()
 	})
-	until(t, "more accepts that fail", func() bool { return failures.Load() >= 6 })
+	sidecartest.Until(t, "more accepts that fail", func() bool { return failures.Load() >= 6 })
 	if err := (fault.Set{}).Write(path); err != nil {
 		t.Fatal(err)
 	}
-	until(t, "the platform's address", func() bool { return old.healthy(t) })
+	sidecartest.Until(t, "the platform's address", func() bool { return old.healthy(t) })
 	met.Wait()
 }
 
 // The time of a request that waits until its connection is accepted counts: its server is told what is left.
 func TestTimeBeforeAcceptCounts(t *testing.T) {
 	told := make(chan string, 1)
-	b := newBackend(t, "a", func(c net.Conn, r *http.Request, body string) bool {
+	b := sidecartest.NewBackend(t, "a", func(c net.Conn, r *http.Request, body string) bool {
 		told <- r.Header.Get("X-Timeout-Ms")
-		return ok(c, r, body)
+		return sidecartest.OK(c, r, body)
 	})
 	path := filepath.Join(t.TempDir(), "faults.toml")
 	plan(t, path, fault.CallAccept, "ENOMEM")
-	c := newConf(newRegistry(t).addr(), b.target)
+	c := configtest.NewConf(sidecartest.NewRegistry(t).Addr(), b.Target)
 	c["faults"] = path
 	var failures atomic.Int64
 	s := start(t, c, func(s *Sidecar) { countFailures(t, s.listener, &failures) })
-	until(t, "accepts that fail", func() bool { return failures.Load() > 0 })
+	sidecartest.Until(t, "accepts that fail", func() bool { return failures.Load() > 0 })
 	conn, err := net.Dial("tcp", s.Addr())
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer conn.Close()
-	conn.SetDeadline(time.Now().Add(patience))
+	conn.SetDeadline(time.Now().Add(sidecartest.Patience))
 	const wait, waited, coarse = 5 * time.Second, 300 * time.Millisecond, 20 * time.Millisecond
 	if err := s.request("charge", wait).Write(conn); err != nil {
 		t.Fatal(err)
 	}
 	sent := time.Now()
-	until(t, "some of its time to pass", func() bool { return time.Since(sent) >= waited })
+	sidecartest.Until(t, "some of its time to pass", func() bool { return time.Since(sent) >= waited })
 	if err := (fault.Set{}).Write(path); err != nil {
 		t.Fatal(err)
 	}
-	left, err := strconv.Atoi(receive(t, "the attempt", told))
+	left, err := strconv.Atoi(sidecartest.Receive(t, "the attempt", told))
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/sidecar/reload.go
+++ b/internal/sidecar/reload.go
@@ -7,33 +7,35 @@
 	"time"
 
 	"marblelane/internal/retry"
+	"marblelane/internal/sidecar/config"
+	"marblelane/internal/sidecar/netcall"
 )
 
 // The pauses between two readings of a configuration that cannot be read, or is malformed. The longest leaves discovery
 // well within 4 s to move where the file is whole 2 s after the signal.
 const (
-	shortestReloadPause = 20 * time.Millisecond
-	longestReloadPause  = 500 * time.Millisecond
+	minReloadPause = 20 * time.Millisecond
+	maxReloadPause = 500 * time.Millisecond
 )
 
 // Reload takes in a configuration file that was replaced: the address of discovery. The environment still
 // names the address that this process was started with, so the file counts. An error names the file, and the key where
 // there is one; nothing has changed then.
 func (s *Sidecar) Reload(getenv func(string) string) error {
-	cfg, err := loadConfig(func(name string) string {
+	cfg, err := config.LoadWith(func(name string) string {
 		if name == "NODE_DISCOVERY" {
 			return ""
 		}
 		return getenv(name)
-	}, func(path string) ([]byte, error) { return plantedRead(path, s.cfg.faults) })
+	}, func(path string) ([]byte, error) { return netcall.ReadFile(path, s.cfg.Faults) })
 	if err != nil {
 		return err
 	}
-	s.loop.disc.move(cfg.lists())
-	if s.loop.routing != nil && cfg.routes != nil { // the section itself comes and goes with a process
-		s.loop.routing.client.Move(cfg.routes.addrs)
+	s.loop.Discovery.Move(cfg.ListAddrs())
+	if s.loop.Routing != nil && cfg.Routes != nil { // the section itself comes and goes with a process
+		s.loop.Routing.Client.Move(cfg.Routes.Addrs)
 	}
-	if !sameMembers(s.cfg.members, cfg.members) {
+	if !config.SameMembership(s.cfg.Membership, cfg.Membership) {
 		slog.Warn("reload: the section members has changed; that holds from the next start")
 	}
 	return nil
@@ -56,7 +58,7 @@
 // reloadUntilDone repeats a reload until it succeeds or ctx ends, and reports whether another signal came before that.
 // The first failure is logged, and later ones once each retry.LogInterval.
 func reloadUntilDone(ctx context.Context, signals <-chan os.Signal, reload func() error) (again bool) {
-	backoff := retry.Backoff{Min: shortestReloadPause, Max: longestReloadPause}
+	backoff := retry.Backoff{Min: minReloadPause, Max: maxReloadPause}
 	var limiter retry.LogLimiter
 	for attempts := 1; ; attempts++ {
 		err := reload()
--- a/internal/sidecar/reload_test.go
+++ b/internal/sidecar/reload_test.go
@@ -12,6 +12,8 @@
 	"time"
 
 	"marblelane/internal/fault"
+	"marblelane/internal/sidecar/configtest"
+	"marblelane/internal/sidecar/sidecartest"
 )
 
 // failingReload fails until a time, and counts its calls.
@@ -35,7 +37,7 @@
 		if again := reloadUntilDone(t.Context(), nil, file.reload); again {
 			t.Error("a signal came")
 		}
-		if late := time.Since(file.until); late < 0 || late > longestReloadPause {
+		if late := time.Since(file.until); late < 0 || late > maxReloadPause {
 			t.Errorf("taken in %v after the file was whole", late)
 		}
 		if file.calls > 12 {
@@ -80,13 +82,13 @@
 		"empty":                            {text: ""},
 	} {
 		t.Run(name, func(t *testing.T) {
-			before, after := newRegistry(t), newRegistry(t)
+			before, after := sidecartest.NewRegistry(t), sidecartest.NewRegistry(t)
 			faults := filepath.Join(t.TempDir(), "faults.toml")
-			c := newConf(before.addr())
+			c := configtest.NewConf(before.Addr())
 			c["faults"] = faults
 			s := start(t, c)
-			receive(t, "the watch", before.calls)
-			path := withDiscovery(c, after.addr()).write(t)
+			sidecartest.Receive(t, "the watch", before.Calls)
+			path := withDiscovery(c, after.Addr()).Write(t)
 			whole, err := os.ReadFile(path)
 			if err != nil {
 				t.Fatal(err)
@@ -120,12 +122,12 @@
 				s.ReloadOnSignal(ctx, signals, env)
 			}()
 			signals <- syscall.SIGHUP
-			until(t, "a second reading after the signal", func() bool { return reads.Load() >= 3 })
+			sidecartest.Until(t, "a second reading after the signal", func() bool { return reads.Load() >= 3 })
 			if err := (fault.Set{}).Write(faults); err != nil {
 				t.Fatal(err)
 			}
 			replace(whole)
-			receive(t, "the watch at the new address", after.calls)
+			sidecartest.Receive(t, "the watch at the new address", after.Calls)
 			cancel()
 			<-ended
 		})
--- a/internal/sidecar/routes_test.go
+++ b/internal/sidecar/routes_test.go
@@ -21,6 +21,11 @@
 
 	"marblelane/balance"
 	"marblelane/internal/route"
+	"marblelane/internal/sidecar/configtest"
+	"marblelane/internal/sidecar/inflight"
+	"marblelane/internal/sidecar/routing"
+	"marblelane/internal/sidecar/sidecartest"
+	"marblelane/internal/sidecar/upstream"
 )
 
 // steering is a stand-in list service with routes: one copy, which leads.
@@ -112,16 +117,16 @@
 
 // witness is a server that keeps what the headers of routes say.
 type witness struct {
-	*backend
+	*sidecartest.Backend
 	mu   sync.Mutex
 	seen []string
 }
 
-func newWitness(t *testing.T, uid string, serve serveOne) *witness {
+func newWitness(t *testing.T, uid string, serve sidecartest.ServeOne) *witness {
 	w := &witness{}
-	w.backend = newBackend(t, uid, func(c net.Conn, r *http.Request, body string) bool {
+	w.Backend = sidecartest.NewBackend(t, uid, func(c net.Conn, r *http.Request, body string) bool {
 		w.mu.Lock()
-		w.seen = append(w.seen, r.Header.Get(revHeader)+"/"+r.Header.Get(canaryHeader))
+		w.seen = append(w.seen, r.Header.Get(routing.RevisionHeader)+"/"+r.Header.Get(routing.CanaryHeader))
 		w.mu.Unlock()
 		return serve(c, r, body)
 	})
@@ -143,11 +148,11 @@
 const longTerm = 60_000 // ms
 
 // routed starts a sidecar with routes, a base of two servers and a canary.
-func routed(t *testing.T, s *steering, serve serveOne, changes ...func(conf)) (r *running, base, canary *witness) {
+func routed(t *testing.T, s *steering, serve sidecartest.ServeOne, changes ...func(configtest.Conf)) (r *running, base, canary *witness) {
 	t.Helper()
-	base, canary = newWitness(t, "b", ok), newWitness(t, "c", serve)
-	c := newConf("127.0.0.1:1", base.target, canary.target)
-	c["routes"], c["management"] = map[string]any{"addrs": []string{s.Listener.Addr().String()}}, loopback
+	base, canary = newWitness(t, "b", sidecartest.OK), newWitness(t, "c", serve)
+	c := configtest.NewConf("127.0.0.1:1", base.Target, canary.Target)
+	c["routes"], c["management"] = map[string]any{"addrs": []string{s.Listener.Addr().String()}}, sidecartest.Loopback
 	for _, change := range changes {
 		change(c)
 	}
@@ -158,12 +163,12 @@
 // acts waits until a revision is acted on, with permission or without.
 func (r *running) acts(rev int64, permitted bool) {
 	r.t.Helper()
-	until(r.t, fmt.Sprint("revision ", rev), func() bool {
-		s := r.loop.routing.client.Status()
+	sidecartest.Until(r.t, fmt.Sprint("revision ", rev), func() bool {
+		s := r.loop.Routing.Client.Status()
 		return s.Acts == rev && s.Permitted == permitted
 	})
 	if permitted { // the loop has taken it in, too
-		until(r.t, "the figures", func() bool {
+		sidecartest.Until(r.t, "the figures", func() bool {
 			_, text := r.manage(r.t, "GET", statsPath)
 			return strings.Contains(text, "svc_steer_permitted 1\n") && strings.Contains(text, fmt.Sprintf("svc_steer_revision %d\n", rev))
 		})
@@ -180,15 +185,15 @@
 func (r *running) keyed(key string) *http.Request {
 	req := r.request("lookup", 5*time.Second)
 	req.Header.Set("X-Route-Key", key)
-	req.Header.Set(revHeader, "99") // not the client's to say
-	req.Header.Set(canaryHeader, "7")
+	req.Header.Set(routing.RevisionHeader, "99") // not the client's to say
+	req.Header.Set(routing.CanaryHeader, "7")
 	return req
 }
 
 // A key stays on its side, the share of the keys is met, and servers and the service are told the same.
 func TestRoutedByShare(t *testing.T) {
 	s := newSteering(t, longTerm, 0)
-	r, base, canary := routed(t, s, ok)
+	r, base, canary := routed(t, s, sidecartest.OK)
 	s.tell(t, 5, toCanary(0.5, false))
 	r.acts(5, true)
 	const keys = 40
@@ -196,16 +201,16 @@
 	for round := range 2 {
 		for i := range keys {
 			key := fmt.Sprint("key-", i)
-			before := canary.requests.Load()
+			before := canary.Requests.Load()
 			require.Equal(t, 200, r.do(r.keyed(key)).status)
-			if went := canary.requests.Load() - before; round == 0 {
+			if went := canary.Requests.Load() - before; round == 0 {
 				side[key] = went
 			} else {
 				require.Equal(t, side[key], went, key)
 			}
 		}
 	}
-	n := canary.requests.Load()
+	n := canary.Requests.Load()
 	require.InDelta(t, keys, n, keys/2)
 	require.Equal(t, []string{"5/1"}, slices.Compact(canary.all()))
 	require.Equal(t, []string{"5/"}, slices.Compact(base.all()))
@@ -215,7 +220,7 @@
 	}
 	s.set(func() { s.term = 500 }) // as of the next report, which comes soon after the revision, they come often
 	s.tell(t, 6)
-	until(t, "the counts", func() bool { return maps.Equal(want, s.counts()) })
+	sidecartest.Until(t, "the counts", func() bool { return maps.Equal(want, s.counts()) })
 	s.set(func() {
 		require.Equal(t, "n0", s.report.Name)
 		require.Len(t, s.report.Config, 64)
@@ -225,7 +230,7 @@
 // What a canary for some classes is compared with is of those classes alone.
 func TestOthersAreNotCompared(t *testing.T) {
 	s := newSteering(t, 500, 0)
-	r, base, _ := routed(t, s, ok)
+	r, base, _ := routed(t, s, sidecartest.OK)
 	one := toCanary(0, false)
 	one.Classes = []string{"charge"}
 	s.tell(t, 5, one)
@@ -236,25 +241,25 @@
 	}
 	require.Len(t, base.all(), 6)
 	want := route.Count{Rev: 5, Tenant: "kita", Begun: 6, Ended: 3}
-	until(t, "the counts", func() bool { return s.counts()["5 kita false"] == want })
+	sidecartest.Until(t, "the counts", func() bool { return s.counts()["5 kita false"] == want })
 }
 
 // When the service is silent canaries end with the term, and all goes on with the base.
 func TestPermissionEnds(t *testing.T) {
 	s := newSteering(t, 400, 0)
-	r, base, canary := routed(t, s, ok)
+	r, base, canary := routed(t, s, sidecartest.OK)
 	s.tell(t, 5, toCanary(1, false))
 	r.acts(5, true)
-	until(t, "a canary", func() bool { return r.do(r.keyed("k")).status == 200 && canary.requests.Load() > 0 })
+	sidecartest.Until(t, "a canary", func() bool { return r.do(r.keyed("k")).status == 200 && canary.Requests.Load() > 0 })
 	s.set(func() { s.term = 0 })
 	r.acts(5, false)
-	n, b, v := canary.requests.Load(), base.requests.Load(), r.voids()
+	n, b, v := canary.Requests.Load(), base.Requests.Load(), r.voids()
 	for range 20 {
 		require.Equal(t, 200, r.do(r.keyed("k")).status)
 	}
-	require.Equal(t, []int64{n, b + 20}, []int64{canary.requests.Load(), base.requests.Load()})
+	require.Equal(t, []int64{n, b + 20}, []int64{canary.Requests.Load(), base.Requests.Load()})
 	require.Equal(t, "/", base.all()[b])
-	until(t, "the count without permission", func() bool { return s.counts()["0 kita false"].Ended >= 20 })
+	sidecartest.Until(t, "the count without permission", func() bool { return s.counts()["0 kita false"].Ended >= 20 })
 	require.Equal(t, v, r.voids(), "the module decides with a permission that is over")
 }
 
@@ -272,14 +277,14 @@
 		t.Run(name, func(t *testing.T) {
 			s := newSteering(t, longTerm, 0)
 			dials, release := make(chan string, 10), make(chan struct{})
-			base, canary := newWitness(t, "b", ok), newWitness(t, "c", ok)
-			c := newConf("127.0.0.1:1", base.target, canary.target).setting(`"connect_timeout_ms": 100`, `"connect_timeout_ms": 9000`).
-				setting(`"parallel_tries": true`, `"parallel_tries": false`).setting(`"max_attempts": 6`, `"max_attempts": 1`)
-			c["routes"], c["management"] = map[string]any{"addrs": []string{s.Listener.Addr().String()}}, loopback
+			base, canary := newWitness(t, "b", sidecartest.OK), newWitness(t, "c", sidecartest.OK)
+			c := configtest.NewConf("127.0.0.1:1", base.Target, canary.Target).Setting(`"connect_timeout_ms": 100`, `"connect_timeout_ms": 9000`).
+				Setting(`"parallel_tries": true`, `"parallel_tries": false`).Setting(`"max_attempts": 6`, `"max_attempts": 1`)
+			c["routes"], c["management"] = map[string]any{"addrs": []string{s.Listener.Addr().String()}}, sidecartest.Loopback
 			r := start(t, c, func(s *Sidecar) {
-				s.loop.pool.dialer.Control = func(_, addr string, _ syscall.RawConn) error {
+				s.loop.Pool.Dialer.Control = func(_, addr string, _ syscall.RawConn) error {
 					dials <- addr
-					if addr == canary.target.Endpoint {
+					if addr == canary.Target.Endpoint {
 						<-release
 					}
 					return nil
@@ -288,13 +293,13 @@
 			s.tell(t, 5, toCanary(1, false))
 			r.acts(5, true)
 			answer := r.goDo(send(r))
-			require.Equal(t, canary.target.Endpoint, receive(t, "the dial", dials))
+			require.Equal(t, canary.Target.Endpoint, sidecartest.Receive(t, "the dial", dials))
 			s.tell(t, 6)
 			r.acts(6, true)
 			close(release)
-			require.Equal(t, 200, receive(t, "the answer", answer).status)
-			require.Equal(t, []int64{0, 1}, []int64{canary.requests.Load(), base.requests.Load()})
-			until(t, "the void", func() bool { return r.voids() == 1 })
+			require.Equal(t, 200, sidecartest.Receive(t, "the answer", answer).status)
+			require.Equal(t, []int64{0, 1}, []int64{canary.Requests.Load(), base.Requests.Load()})
+			sidecartest.Until(t, "the void", func() bool { return r.voids() == 1 })
 		})
 	}
 }
@@ -303,30 +308,30 @@
 // not counted: one whose head can be written anew begins without permission.
 func TestVoidUploadIsNotCounted(t *testing.T) {
 	s := newSteering(t, 700, 0)
-	r, _, _ := routed(t, s, ok)
+	r, _, _ := routed(t, s, sidecartest.OK)
 	s.tell(t, 5, toCanary(0, false))
 	r.acts(5, true)
 	due := time.NewTimer(time.Hour)
 	defer due.Stop()
-	duty := &routing{client: r.loop.routing.client, tenants: []string{"kita"}, routed: map[int]routedBy{0: {}}, due: due}
-	passedOn, held := &call{out: &outbound{upload: newUpload(-1, nil)}}, &call{out: &outbound{}}
-	var looks []*routeCheck
-	for _, c := range []*call{passedOn, held} {
-		k := duty.check(0, c, &balance.Action{RoutesRev: 5})
-		require.EqualValues(t, 5, k.expect())
+	duty := &routing.Router{Client: r.loop.Routing.Client, Tenants: []string{"kita"}, Routed: map[int]routing.RoutedTenant{0: {}}, SampleTimer: due}
+	passedOn, held := &inflight.Call{Outbound: &inflight.Outbound{Upload: inflight.NewUpload(-1, nil)}}, &inflight.Call{Outbound: &inflight.Outbound{}}
+	var looks []*routing.Check
+	for _, c := range []*inflight.Call{passedOn, held} {
+		k := duty.Check(0, c, &balance.Action{RoutesRev: 5})
+		require.EqualValues(t, 5, k.Expect())
 		looks = append(looks, k)
 	}
 	s.set(func() { s.term = 0 })
 	r.acts(5, false)
 	out, in := net.Pipe()
 	defer in.Close()
-	_, err := (&sender{conn: &upConn{Conn: out}, look: looks[0], expected: 5}).Write([]byte("x"))
-	require.ErrorIs(t, err, errVoid)
-	require.False(t, looks[0].begun)
-	under, err := looks[1].begin()
+	_, err := (&upstream.RequestWriter{Conn: &upstream.ServerConn{Conn: out}, RouteCheck: looks[0], HeaderRevision: 5}).Write([]byte("x"))
+	require.ErrorIs(t, err, routing.ErrRevoked)
+	require.False(t, looks[0].Started)
+	under, err := looks[1].Begin()
 	require.NoError(t, err)
 	require.Zero(t, under)
-	until(t, "the count", func() bool { return s.counts()["0 kita false"].Begun > 0 })
+	sidecartest.Until(t, "the count", func() bool { return s.counts()["0 kita false"].Begun > 0 })
 	require.Equal(t, map[string]route.Count{"0 kita false": {Tenant: "kita", Begun: 1}}, s.counts())
 }
 
@@ -336,21 +341,21 @@
 	const aim = 100 * time.Millisecond
 	s := newSteering(t, 1000, 3)
 	release := make(chan struct{})
-	r, _, canary := routed(t, s, func(net.Conn, *http.Request, string) bool { <-release; return false }, func(c conf) {
-		c.setting(`"parallel_tries": true`, `"parallel_tries": false`).setting(`"max_attempts": 6`, `"max_attempts": 1`).
-			setting(`"on_time_ms": 750`, fmt.Sprint(`"on_time_ms": `, aim.Milliseconds()))
+	r, _, canary := routed(t, s, func(net.Conn, *http.Request, string) bool { <-release; return false }, func(c configtest.Conf) {
+		c.Setting(`"parallel_tries": true`, `"parallel_tries": false`).Setting(`"max_attempts": 6`, `"max_attempts": 1`).
+			Setting(`"on_time_ms": 750`, fmt.Sprint(`"on_time_ms": `, aim.Milliseconds()))
 	})
 	t.Cleanup(sync.OnceFunc(func() { close(release) }))
 	one := toCanary(1, true)
 	one.Late = true
 	s.tell(t, 5, one)
 	r.acts(5, true)
-	until(t, "units", func() bool {
+	sidecartest.Until(t, "units", func() bool {
 		_, text := r.manage(t, "GET", statsPath)
 		return !strings.Contains(text, "svc_steer_units_free 0\n")
 	})
 	leave := func(after time.Duration) {
-		before := canary.requests.Load()
+		before := canary.Requests.Load()
 		ctx, cancel := context.WithCancel(context.Background())
 		defer cancel()
 		gone := make(chan struct{})
@@ -360,18 +365,18 @@
 				resp.Body.Close()
 			}
 		}()
-		until(t, "the attempt", func() bool { return canary.requests.Load() > before })
+		sidecartest.Until(t, "the attempt", func() bool { return canary.Requests.Load() > before })
 		sent := time.Now()
-		until(t, "the client's patience", func() bool { return time.Since(sent) >= after })
+		sidecartest.Until(t, "the client's patience", func() bool { return time.Since(sent) >= after })
 		cancel()
-		receive(t, "the client's end", gone)
+		sidecartest.Receive(t, "the client's end", gone)
 	}
 	leave(0)
-	until(t, "the count of who left early", func() bool { return s.counts()["5 kita true"].Begun == 1 })
+	sidecartest.Until(t, "the count of who left early", func() bool { return s.counts()["5 kita true"].Begun == 1 })
 	leave(aim + 50*time.Millisecond)
 	want := route.Count{Rev: 5, Tenant: "kita", Canary: true, Begun: 2, Ended: 1, Late: 1}
-	until(t, "the counts", func() bool { return s.counts()["5 kita true"] == want })
-	until(t, "the unit", func() bool {
+	sidecartest.Until(t, "the counts", func() bool { return s.counts()["5 kita true"] == want })
+	sidecartest.Until(t, "the unit", func() bool {
 		s.mu.Lock()
 		defer s.mu.Unlock()
 		return s.ask.Purses[0].Spent == 1
@@ -382,7 +387,7 @@
 func TestUnitsBoundFailures(t *testing.T) {
 	const units = 3
 	s := newSteering(t, longTerm, units)
-	fails := respond("HTTP/1.1 500 Internal Server Error\r\nContent-Length: 0\r\n\r\n", true)
+	fails := sidecartest.Respond("HTTP/1.1 500 Internal Server Error\r\nContent-Length: 0\r\n\r\n", true)
 	r, _, canary := routed(t, s, fails)
 	s.tell(t, 5, toCanary(1, true))
 	r.acts(5, true)
@@ -394,16 +399,16 @@
 		}
 		return n
 	}
-	until(t, "all units spent", func() bool {
+	sidecartest.Until(t, "all units spent", func() bool {
 		require.Equal(t, 200, r.do(r.keyed("k")).status)
 		return spent() == units
 	})
 	for range 30 {
 		require.Equal(t, 200, r.do(r.keyed("k")).status)
 	}
-	require.EqualValues(t, units, canary.requests.Load())
+	require.EqualValues(t, units, canary.Requests.Load())
 	s.set(func() { s.budget = 1 })
-	until(t, "another unit told of", func() bool {
+	sidecartest.Until(t, "another unit told of", func() bool {
 		s.mu.Lock()
 		defer s.mu.Unlock()
 		return s.ask.Purses[0].Granted == units+1
@@ -411,29 +416,29 @@
 	r.term()
 	r.ended <- <-r.ended
 	require.Equal(t, []int64{units, 1}, []int64{s.ask.Purses[0].Spent, s.ask.Purses[0].Returned})
-	until(t, "the last report", func() bool { return s.counts()["5 kita true"].Failed == units })
+	sidecartest.Until(t, "the last report", func() bool { return s.counts()["5 kita true"].Failed == units })
 }
 
 // Without the section nothing is called and nothing added, and a client's headers are passed on as any.
 func TestRoutesAreOff(t *testing.T) {
 	s := newSteering(t, longTerm, 0)
-	b := newWitness(t, "b", ok)
-	c := newConf("127.0.0.1:1", b.target)
+	b := newWitness(t, "b", sidecartest.OK)
+	c := configtest.NewConf("127.0.0.1:1", b.Target)
 	c["lists"] = []map[string]any{{"addr": s.Listener.Addr().String()}}
 	r := start(t, c)
 	require.Equal(t, 200, r.do(r.keyed("k")).status)
-	require.Nil(t, r.loop.routing)
+	require.Nil(t, r.loop.Routing)
 	require.Equal(t, []string{"99/7"}, b.all())
-	until(t, "the call for the list", func() bool { return s.calls.Load() > 0 })
+	sidecartest.Until(t, "the call for the list", func() bool { return s.calls.Load() > 0 })
 	s.set(func() { require.Empty(t, s.report.Name) })
 }
 
 func TestReloadMovesRoutes(t *testing.T) {
 	before, after := newSteering(t, longTerm, 0), newSteering(t, longTerm, 0)
 	var path string
-	r, _, _ := routed(t, before, ok, func(c conf) {
+	r, _, _ := routed(t, before, sidecartest.OK, func(c configtest.Conf) {
 		c["routes"] = map[string]any{"addrs": []string{after.Listener.Addr().String()}}
-		path = c.write(t)
+		path = c.Write(t)
 		c["routes"] = map[string]any{"addrs": []string{before.Listener.Addr().String()}, "schemas": []int{1}}
 	})
 	before.tell(t, 5, toCanary(1, false))
@@ -442,33 +447,3 @@
 	after.tell(t, 6)
 	r.acts(6, true)
 }
-
-func TestRoutesSection(t *testing.T) {
-	for text, want := range map[string]string{
-		`null`: "off",
-		`{}`:   "[127.0.0.1:1] [1 2] X-Route-Key",
-		`{"addrs": ["127.0.0.1:2"], "schemas": [1], "key_header": "x-side"}`: "[127.0.0.1:2] [1] X-Side",
-		`{"addrs": ["127.0.0.1:2", "there"]}`:                                "routes.addrs[1]: ",
-		`{"addrs": [` + strings.Repeat(`"a:1",`, mostCopies) + `"a:1"]}`:     "routes.addrs: 17 addresses",
-		`{"schemas": [2, 3]}`:   "routes.schemas[1]: 3 ",
-		`{"schemas": [2, 2]}`:   "routes.schemas[1]: 2 ",
-		`{"key_header": "a b"}`: `routes.key_header: "a b"`,
-		`{"adrs": []}`:          `routes: json: unknown field "adrs"`,
-		`[]`:                    "routes: json: ",
-	} {
-		c := newConf("127.0.0.1:1")
-		c["routes"] = json.RawMessage(text)
-		cfg, err := c.load(t)
-		got := fmt.Sprint(err)
-		if err == nil {
-			if got = "off"; cfg.routes != nil {
-				got = fmt.Sprint(cfg.routes.addrs, cfg.routes.schemas, " ", cfg.routes.keyHeader)
-			}
-		}
-		require.Contains(t, got, want, text)
-	}
-	c := newConf("127.0.0.1:1")
-	c["routes"], c["name"] = map[string]any{}, ""
-	_, err := c.load(t)
-	require.ErrorContains(t, err, "name: ")
-}
--- a/internal/sidecar/shutdown.go
+++ b/internal/sidecar/shutdown.go
@@ -1,7 +1,5 @@
 package sidecar
 
-// This file is the graceful shutdown.
-
 import (
 	"errors"
 	"fmt"
@@ -12,6 +10,9 @@
 	"time"
 
 	"marblelane/balance"
+	"marblelane/internal/sidecar/checkpoint"
+	"marblelane/internal/sidecar/clientserver"
+	"marblelane/internal/sidecar/clock"
 )
 
 // drain ends the service. Where a newer process serves, what comes is its own at once; otherwise new connections
@@ -22,45 +23,45 @@
 // answers that have begun are passed on to their end. docs/on-call.md says it by the states that a client's
 // connection can be in.
 func (s *Sidecar) drain(srv *http.Server) error {
-	s.hook.at(drainSignalled)
+	s.hook.At(checkpoint.DrainSignalled)
 	began := time.Now()
-	s.frontend.draining.Store(true)
-	s.before.ends()
+	s.clients.Draining.Store(true)
+	s.predecessor.AnnounceEnd()
 	slog.Info("draining")
 	end := began.Add(s.killTime() - finalAnswerMargin)
 	// A request that crosses the end of an idle connection has to come again before the listener closes.
-	idleEnd := began.Add(min(s.drainAccept, end.Sub(began)-closeWindow))
+	idleEnd := began.Add(min(s.drainAccept, end.Sub(began)-clientserver.CloseWindow))
 	crossed := began // when a request was last likely to come again
-	for open, told := true, false; open || !s.listener.empty(); time.Sleep(drainStep) {
+	for open, told := true, false; open || !s.listener.Empty(); time.Sleep(drainStep) {
 		now := time.Now()
-		if !now.Before(idleEnd) && s.listener.closeIdle(began) {
+		if !now.Before(idleEnd) && s.listener.CloseIdle(began) {
 			crossed = now
 		}
 		tail := now.Sub(end)
 		if !told && tail >= 0 {
 			told = true
-			s.hook.at(serviceEnding)
-			s.loop.post(balance.Shutdown{})
-			s.loop.members.depart(finalAnswerMargin) // nothing is sent to servers from here on
-			s.hook.at(waitingEnding)
+			s.hook.At(checkpoint.ServiceEnding)
+			s.loop.Post(balance.Shutdown{})
+			s.loop.Members.BeginLeave(finalAnswerMargin) // nothing is sent to servers from here on
+			s.hook.At(checkpoint.WaitingEnding)
 		}
-		if open && (s.after.serve.Load() > 0 || told ||
-			!now.Before(idleEnd) && now.Sub(crossed) >= closeWindow) {
+		if open && (s.successors.Serving.Load() > 0 || told ||
+			!now.Before(idleEnd) && now.Sub(crossed) >= clientserver.CloseWindow) {
 			open = !s.stopAccepting(tail >= finalAnswerMargin)
 		}
 		if told {
-			endWaiting(s.listener)
-			s.frontend.bodies.end()
+			clientserver.EndWaiting(s.listener)
+			s.clients.Bodies.End()
 		}
-		if tail >= finalAnswerMargin && !open && s.frontend.taken.Load() == 0 || tail >= longestTail {
+		if tail >= finalAnswerMargin && !open && s.clients.Requests.Load() == 0 || tail >= maxAnswerTail {
 			break // what is left has never sent a whole request
 		}
 	}
 	err := srv.Close()
-	for closed := time.Now(); !s.listener.empty() && time.Since(closed) < closeWindow; {
+	for closed := time.Now(); !s.listener.Empty() && time.Since(closed) < clientserver.CloseWindow; {
 		time.Sleep(drainStep) // answers that have just been written are being read
 	}
-	s.loop.members.leave(end.Add(finalAnswerMargin))
+	s.loop.Members.Leave(end.Add(finalAnswerMargin))
 	if err != nil && !errors.Is(err, net.ErrClosed) {
 		return fmt.Errorf("drain: %w", err)
 	}
@@ -71,7 +72,7 @@
 // stopAccepting closes the listener, and reports whether it has. What waits in it to be accepted would be reset: it is
 // waited for, unless it has to be now, or a newer process has the socket too and takes it.
 func (s *Sidecar) stopAccepting(now bool) bool {
-	if !now && !s.after.shares() && s.unaccepted(s.tcp) > 0 {
+	if !now && !s.successors.ShareListener() && s.unaccepted(s.tcp) > 0 {
 		return false
 	}
 	s.listener.Close()
@@ -81,8 +82,8 @@
 // killTime is how long after SIGTERM SIGKILL may come.
 func (s *Sidecar) killTime() time.Duration {
 	longest := 0.0
-	for i := range s.cfg.balance.Classes {
-		longest = math.Max(longest, s.cfg.balance.Classes[i].Deadline)
+	for i := range s.cfg.Balance.Classes {
+		longest = math.Max(longest, s.cfg.Balance.Classes[i].Deadline)
 	}
-	return min(millis(longest), longestDrain) + killAfter
+	return min(clock.Duration(longest), maxDrain) + killAfter
 }
--- /dev/null
+++ b/internal/sidecar/sidecartest/body.go
@@ -0,0 +1,54 @@
+package sidecartest
+
+import (
+	"bufio"
+	"net"
+	"sync"
+	"testing"
+	"time"
+
+	"marblelane/internal/sidecar/endpointlist"
+)
+
+// Pattern is a body of so many bytes that no part of is like another.
+func Pattern(n int) []byte {
+	b := make([]byte, n)
+	x := uint32(n)
+	for i := range b {
+		x = x*1664525 + 1013904223
+		b[i] = byte(x >> 24)
+	}
+	return b
+}
+
+// RawBackend is a server that does as the test says with each connection from its first byte on.
+func RawBackend(t *testing.T, uid string, serve func(c net.Conn, in *bufio.Reader)) endpointlist.Target {
+	t.Helper()
+	l, err := net.Listen("tcp", Loopback)
+	if err != nil {
+		t.Fatal(err)
+	}
+	var ended sync.WaitGroup
+	ended.Go(func() {
+		for {
+			c, err := l.Accept()
+			if err != nil {
+				return
+			}
+			ended.Go(func() {
+				defer c.Close()
+				c.SetDeadline(time.Now().Add(Patience))
+				serve(c, bufio.NewReader(c))
+			})
+		}
+	})
+	t.Cleanup(func() {
+		l.Close()
+		ended.Wait()
+	})
+	return Ready(uid, l.Addr().String())
+}
+
+type Zeros struct{}
+
+func (Zeros) Read(p []byte) (int, error) { return len(p), nil }
--- /dev/null
+++ b/internal/sidecar/sidecartest/errno.go
@@ -0,0 +1,149 @@
+package sidecartest
+
+import (
+	"context"
+	"net"
+	"os"
+	"sync/atomic"
+	"syscall"
+
+	"marblelane/balance"
+	"marblelane/internal/sidecar/inflight"
+)
+
+// OpError is the failure of a system call as package net gives it.
+func OpError(call string, errno syscall.Errno) error {
+	return &net.OpError{Op: call, Net: "tcp", Err: os.NewSyscallError(call, errno)}
+}
+
+// FaultyConn fails reads and writes as a test says; a nil function fails none.
+type FaultyConn struct {
+	*net.TCPConn
+	FailRead, failWrite func() error
+	ByteAtATime         bool // the system takes and gives one byte with each call
+}
+
+func (c *FaultyConn) Read(p []byte) (int, error) {
+	if c.FailRead != nil {
+		if err := c.FailRead(); err != nil {
+			return 0, err
+		}
+	}
+	if c.ByteAtATime && len(p) > 1 {
+		p = p[:1]
+	}
+	return c.TCPConn.Read(p)
+}
+
+func (c *FaultyConn) Write(p []byte) (int, error) {
+	if c.failWrite != nil {
+		if err := c.failWrite(); err != nil {
+			return 0, err
+		}
+	}
+	return c.TCPConn.Write(p)
+}
+
+// FailTimes fails with an error so many times, and then not any more.
+func FailTimes(n int32, err error) func() error {
+	var left atomic.Int32
+	left.Store(n)
+	return func() error {
+		if left.Add(-1) >= 0 {
+			return err
+		}
+		return nil
+	}
+}
+
+// dialWrapper is a pool whose dialing a test can change.
+type dialWrapper interface {
+	WrapDial(wrap func(func(context.Context, string, string) (net.Conn, error)) func(context.Context, string, string) (net.Conn, error))
+}
+
+// Dialing makes the dialer of a pool fail as a test says, and gives connections that fail so.
+func Dialing(p dialWrapper, failDial func() error, conn FaultyConn) {
+	p.WrapDial(func(dial func(context.Context, string, string) (net.Conn, error)) func(context.Context, string, string) (net.Conn, error) {
+		return func(ctx context.Context, network, addr string) (net.Conn, error) {
+			if err := failDial(); err != nil {
+				return nil, err
+			}
+			c, err := dial(ctx, network, addr)
+			if err != nil {
+				return nil, err
+			}
+			faulty := conn
+			faulty.TCPConn = c.(*net.TCPConn)
+			return &faulty, nil
+		}
+	})
+}
+
+// Succeed is the failure of a call that does not fail.
+func Succeed() error { return nil }
+
+// Always is more failures than any test waits for.
+const Always = 1 << 30
+
+// ErrnoCase says what is made of the failure of a system call on the way to a server.
+type ErrnoCase struct {
+	Call   string
+	Errno  syscall.Errno
+	Result balance.Result // for the server
+	Status int            // of the answer to the client, where the call fails once and there is no other server
+}
+
+// ErrnoCases are the errors that socket(2), connect(2) and send(2) list for Linux, with those of a local filter, of
+// epoll_ctl(2) and of the network. Each fails before the last byte of a request was written.
+func ErrnoCases() []ErrnoCase {
+	var cases []ErrnoCase
+	add := func(call string, result balance.Result, status int, errnos ...syscall.Errno) {
+		for _, errno := range errnos {
+			cases = append(cases, ErrnoCase{call, errno, result, status})
+		}
+	}
+	// This machine's trouble: no attempt is used up, and the request goes on in time.
+	add("socket", balance.LocalFailure, 200,
+		syscall.EACCES, syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM, syscall.EPERM)
+	add("connect", balance.LocalFailure, 200,
+		syscall.EACCES, syscall.EPERM, syscall.EADDRINUSE, syscall.EADDRNOTAVAIL, syscall.EAGAIN, syscall.EINTR,
+		syscall.ENETUNREACH, syscall.ENETDOWN, syscall.ENOBUFS, syscall.ENOMEM)
+	add("epoll_ctl", balance.LocalFailure, 200, syscall.ENOSPC, syscall.ENOMEM)
+	add("write", balance.LocalFailure, 200,
+		syscall.EACCES, syscall.EPERM, syscall.EAGAIN, syscall.EINTR, syscall.ENOBUFS, syscall.ENOMEM,
+		syscall.ENETUNREACH, syscall.ENETDOWN)
+	// The server's failure, or what this program or its settings do wrong with it.
+	add("socket", balance.ConnectFailed, inflight.StatusRejected,
+		syscall.EAFNOSUPPORT, syscall.EINVAL, syscall.EPROTONOSUPPORT)
+	add("connect", balance.ConnectFailed, inflight.StatusRejected,
+		syscall.ECONNREFUSED, syscall.EAFNOSUPPORT, syscall.EALREADY, syscall.EBADF, syscall.EFAULT,
+		syscall.EINPROGRESS, syscall.EISCONN, syscall.ENOTSOCK, syscall.EPROTOTYPE, syscall.EINVAL)
+	add("connect", balance.Unreachable, inflight.StatusRejected, syscall.EHOSTUNREACH, syscall.ETIMEDOUT, syscall.EHOSTDOWN)
+	add("connect", balance.WriteFailed, inflight.StatusRejected, syscall.ECONNRESET)
+	add("write", balance.WriteFailed, inflight.StatusRejected,
+		syscall.ECONNRESET, syscall.EPIPE, syscall.ETIMEDOUT, syscall.EHOSTUNREACH, syscall.EALREADY, syscall.EBADF,
+		syscall.EDESTADDRREQ, syscall.EFAULT, syscall.EINVAL, syscall.EISCONN, syscall.EMSGSIZE, syscall.ENOTCONN,
+		syscall.ENOTSOCK, syscall.EOPNOTSUPP)
+	return cases
+}
+
+// Failing makes the pool's calls fail as the case says, so many times.
+func (c *ErrnoCase) Failing(p dialWrapper, times int32) {
+	fail := FailTimes(times, OpError(c.Call, c.Errno))
+	if c.Call == "write" {
+		Dialing(p, Succeed, FaultyConn{failWrite: fail})
+		return
+	}
+	Dialing(p, fail, FaultyConn{})
+}
+
+// FailNth fails the nth call, counted from 1, and no other.
+func FailNth(n int32, err error) func() error {
+	var calls atomic.Int32
+	return func() error {
+		if calls.Add(1) == n {
+			return err
+		}
+		return nil
+	}
+}
--- /dev/null
+++ b/internal/sidecar/sidecartest/planted.go
@@ -0,0 +1,20 @@
+package sidecartest
+
+import (
+	"net"
+	"sync/atomic"
+)
+
+// FailureCounter counts the accepts that fail.
+type FailureCounter struct {
+	net.Listener
+	Failures *atomic.Int64
+}
+
+func (c FailureCounter) Accept() (net.Conn, error) {
+	conn, err := c.Listener.Accept()
+	if err != nil {
+		c.Failures.Add(1)
+	}
+	return conn, err
+}
--- /dev/null
+++ b/internal/sidecar/sidecartest/watch.go
@@ -0,0 +1,52 @@
+package sidecartest
+
+import (
+	"bufio"
+	"net"
+	"net/http"
+	"sync"
+	"testing"
+)
+
+// agent is discovery by hand: each connection that it accepts is the test's.
+type agent struct{ Conns chan net.Conn }
+
+func NewHandAgent(t *testing.T) (*agent, string) {
+	ln, err := net.Listen("tcp", Loopback)
+	if err != nil {
+		t.Fatal(err)
+	}
+	a := &agent{Conns: make(chan net.Conn, 1024)}
+	var accepting sync.WaitGroup
+	accepting.Go(func() {
+		for {
+			c, err := ln.Accept()
+			if err != nil {
+				return
+			}
+			a.Conns <- c
+		}
+	})
+	t.Cleanup(func() {
+		ln.Close()
+		accepting.Wait()
+		close(a.Conns)
+		for c := range a.Conns {
+			c.Close()
+		}
+	})
+	return a, ln.Addr().String()
+}
+
+// Next gives the next call, its head read.
+func (a *agent) Next(t *testing.T) net.Conn {
+	t.Helper()
+	c := Receive(t, "a call", a.Conns)
+	t.Cleanup(func() { c.Close() })
+	if _, err := http.ReadRequest(bufio.NewReader(c)); err != nil {
+		t.Fatal(err)
+	}
+	return c
+}
+
+const WatchHead = "HTTP/1.1 200 OK\r\nContent-Type: application/json\r\n\r\n"
--- a/internal/sidecar/sites_test.go
+++ b/internal/sidecar/sites_test.go
@@ -8,6 +8,11 @@
 	"sync"
 	"testing"
 	"time"
+
+	"marblelane/internal/sidecar/config"
+	"marblelane/internal/sidecar/configtest"
+	"marblelane/internal/sidecar/inflight"
+	"marblelane/internal/sidecar/sidecartest"
 )
 
 // otherSettings are of a site with nothing in common with that of testSettings.
@@ -21,20 +26,20 @@
 
 // site is a deployment with a server of its own, and what of the other one it must not know.
 type site struct {
-	conf    conf
-	backend *backend
+	conf    configtest.Conf
+	backend *sidecartest.Backend
 	class   string
 	tenant  string
 	foreign map[string]string // header and value that only the other site's settings name
 }
 
 func twoSites(t *testing.T) []*site {
-	a, b := newBackend(t, "same-uid", ok), newBackend(t, "same-uid", ok) // one name, two servers
-	first, second := newConf("127.0.0.1:1", a.target), newConf("127.0.0.1:1", b.target)
+	a, b := sidecartest.NewBackend(t, "same-uid", sidecartest.OK), sidecartest.NewBackend(t, "same-uid", sidecartest.OK) // one name, two servers
+	first, second := configtest.NewConf("127.0.0.1:1", a.Target), configtest.NewConf("127.0.0.1:1", b.Target)
 	second["settings"] = json.RawMessage(otherSettings)
 	second["limits"] = map[string]any{"cores": 1, "memory_mb": 64, "sockets": 128}
-	for _, c := range []conf{first, second} {
-		c["management"] = loopback
+	for _, c := range []configtest.Conf{first, second} {
+		c["management"] = sidecartest.Loopback
 	}
 	return []*site{
 		{first, a, "reserve", "kita", map[string]string{"X-Priority-Class": "search", "X-Tenant-Id": "hort"}},
@@ -61,20 +66,20 @@
 func (p *site) check(t *testing.T, s *running) {
 	t.Helper()
 	const requests = 20
-	before := p.backend.requests.Load()
+	before := p.backend.Requests.Load()
 	for range requests {
 		if got := s.do(p.request(s, "", "")); got.status != http.StatusOK {
 			t.Errorf("%s: %+v", p.class, got)
 		}
 	}
-	if got := p.backend.requests.Load() - before; got != requests {
+	if got := p.backend.Requests.Load() - before; got != requests {
 		t.Errorf("%s: its own server got %d of %d requests", p.class, got, requests)
 	}
 	class := p.foreign["X-Priority-Class"]
 	if got := s.do(p.request(s, "X-Priority-Class", class)); got.status/100 != 4 {
 		t.Errorf("the other site's class %s: %+v", class, got)
 	}
-	if _, known := s.loop.cfg.tenants[p.foreign["X-Tenant-Id"]]; known {
+	if _, known := s.loop.Cfg.Tenants[p.foreign["X-Tenant-Id"]]; known {
 		t.Errorf("%s knows the other site's tenant", p.class)
 	}
 	_, text := s.manage(t, "GET", statsPath)
@@ -112,7 +117,7 @@
 		if a, b := running[0].budget, running[1].budget; a == b || a.clients <= b.clients {
 			t.Errorf("limits of 1,024 and of 128 sockets: %+v, %+v", a, b)
 		}
-		if a, b := running[0].loop.disc.lag, running[1].loop.disc.lag; a == b {
+		if a, b := running[0].loop.Discovery.PushedDelay, running[1].loop.Discovery.PushedDelay; a == b {
 			t.Errorf("drain graces of 250 ms and 2 s give the same lag %v", a)
 		}
 	})
@@ -124,8 +129,8 @@
 	for i := range many {
 		many[i] = fmt.Sprintf(`{"name": "extra%d", "effect": "read_like", "on_time_ms": %d, "hard_limit_ms": %d}`, i, 100+i, 1000+i)
 	}
-	set := func(old, to string) func(conf) { return func(c conf) { c.setting(old, to) } }
-	for name, changes := range map[string][]func(conf){
+	set := func(old, to string) func(configtest.Conf) { return func(c configtest.Conf) { c.Setting(old, to) } }
+	for name, changes := range map[string][]func(configtest.Conf){
 		"short aim and deadline": {set(`"on_time_ms": 750, "hard_limit_ms": 2500`, `"on_time_ms": 20, "hard_limit_ms": 50`),
 			set(`"on_time_ms": 500, "hard_limit_ms": 1000`, `"on_time_ms": 20, "hard_limit_ms": 50`),
 			set(`"on_time_ms": 500, "hard_limit_ms": 1000`, `"on_time_ms": 20, "hard_limit_ms": 50`)},
@@ -142,9 +147,9 @@
 		"one attempt":                     {set(`"max_attempts": 6`, `"max_attempts": 1`)},
 		"no attempts named":               {set(`"max_attempts": 6, `, ``)},
 		"one request open":                {set(`"open_cap": 20000`, `"open_cap": 1`)},
-		"fewest sockets":                  {func(c conf) { c["limits"] = map[string]any{"sockets": fewestSockets, "memory_mb": 32} }},
-		"no limits":                       {func(c conf) { delete(c, "limits") }},
-		"a hundredth of a core, 1 MB":     {func(c conf) { c["limits"] = map[string]any{"cores": 0.01, "memory_mb": 1, "sockets": 1024} }},
+		"fewest sockets":                  {func(c configtest.Conf) { c["limits"] = map[string]any{"sockets": config.MinSockets, "memory_mb": 32} }},
+		"no limits":                       {func(c configtest.Conf) { delete(c, "limits") }},
+		"a hundredth of a core, 1 MB":     {func(c configtest.Conf) { c["limits"] = map[string]any{"cores": 0.01, "memory_mb": 1, "sockets": 1024} }},
 		"no tenants":                      {set(`"tenants": [{"name": "kita", "share": 1, "allowance_per_s": 100}],`, ``)},
 		"no zones":                        {set(`"zones": ["z"], `, ``)},
 		"a zone of no name":               {set(`"zones": ["z"], `, `"zones": ["z"], "zone": 7, `)},
@@ -155,14 +160,14 @@
 		"no reports and no probes":        {set(`"report": {"via": "piggyback", "fields": ["busy", "rate"]},`, ``), set(`"probes": true`, `"probes": false`)},
 	} {
 		t.Run(name, func(t *testing.T) {
-			b, r := newBackend(t, "a", ok), newAgent(t)
-			c := newConf(r.addr(), b.target)
+			b, r := sidecartest.NewBackend(t, "a", sidecartest.OK), sidecartest.NewAgent(t)
+			c := configtest.NewConf(r.Addr(), b.Target)
 			for _, change := range changes {
 				change(c)
 			}
 			s := start(t, c)
 			for _, class := range []string{"lookup", "reserve", "charge", "lookup"} {
-				if got := s.do(s.request(class, 5*time.Second)); got.status != http.StatusOK && got.status != statusTimedOut && got.status != statusRefused {
+				if got := s.do(s.request(class, 5*time.Second)); got.status != http.StatusOK && got.status != inflight.StatusTimedOut && got.status != inflight.StatusRejected {
 					t.Errorf("%s: %+v", class, got)
 				}
 			}
--- a/internal/sidecar/start_test.go
+++ b/internal/sidecar/start_test.go
@@ -10,6 +10,8 @@
 	"testing"
 
 	"marblelane/internal/retry"
+	"marblelane/internal/sidecar/configtest"
+	"marblelane/internal/sidecar/sidecartest"
 )
 
 // logSignal tells of each line that is logged.
@@ -32,9 +34,9 @@
 				t.Fatal(err)
 			}
 			defer holder.Close()
-			c := newConf("127.0.0.1:1")
+			c := configtest.NewConf("127.0.0.1:1")
 			c[key] = holder.Addr().String()
-			cfg, err := c.load(t)
+			cfg, err := c.Load(t)
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -44,14 +46,14 @@
 				if err == nil {
 					s.listener.Close()
 				}
-				if err == nil && s.manager != nil {
-					s.manager.Close()
+				if err == nil && s.management != nil {
+					s.management.Close()
 				}
 				bound <- err
 			}()
-			receive(t, "a bind that fails", failed)
+			sidecartest.Receive(t, "a bind that fails", failed)
 			holder.Close()
-			if err := receive(t, "the start", bound); err != nil {
+			if err := sidecartest.Receive(t, "the start", bound); err != nil {
 				t.Error(err)
 			}
 		})
@@ -62,9 +64,9 @@
 func TestAddressThatIsNotOurs(t *testing.T) {
 	for _, key := range []string{"listen", "management"} {
 		t.Run(key, func(t *testing.T) {
-			c := newConf("127.0.0.1:1")
+			c := configtest.NewConf("127.0.0.1:1")
 			c[key] = "192.0.2.1:0" // TEST-NET-1 (RFC 5737)
-			cfg, err := c.load(t)
+			cfg, err := c.Load(t)
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -77,47 +79,27 @@
 	}
 }
 
-func TestConfigurationThatCannotBeReadForAMoment(t *testing.T) {
-	path := newConf("127.0.0.1:1").write(t)
-	env := func(name string) string { return map[string]string{"NODE_CONFIG": path}[name] }
-	for _, errno := range []syscall.Errno{syscall.ENFILE, syscall.EMFILE, syscall.ENOMEM, syscall.EINTR, syscall.EIO} {
-		t.Run(errno.Error(), func(t *testing.T) {
-			tries := 0
-			read := func(path string) ([]byte, error) {
-				if tries++; tries < 3 {
-					return nil, &os.PathError{Op: "open", Path: path, Err: errno}
-				}
-				return os.ReadFile(path)
-			}
-			start := retry.NewStart(t.Context(), slog.New(slog.DiscardHandler))
-			if _, err := loadConfig(env, patientRead(start, read)); err != nil || tries != 3 {
-				t.Errorf("%v after %d tries", err, tries)
-			}
-		})
-	}
-}
-
 // The place where a newer process meets this one is bound a moment later, too.
 func TestMeetingPlaceThatCannotBeBoundForAMoment(t *testing.T) {
-	c := upgradable(t, newRegistry(t).addr(), newBackend(t, "a", ok).target)
-	failure := failTimes(3, syscall.ENFILE)
+	c := upgradable(t, sidecartest.NewRegistry(t).Addr(), sidecartest.NewBackend(t, "a", sidecartest.OK).Target)
+	failure := sidecartest.FailTimes(3, syscall.ENFILE)
 	old := start(t, c, func(s *Sidecar) {
-		s.after.bind = func(network string, at *net.UnixAddr) (*net.UnixListener, error) {
+		s.successors.Bind = func(network string, at *net.UnixAddr) (*net.UnixListener, error) {
 			if err := failure(); err != nil {
 				return nil, err
 			}
 			return net.ListenUnix(network, at)
 		}
 	})
-	cfg, err := c.load(t)
+	cfg, err := c.Load(t)
 	if err != nil {
 		t.Fatal(err)
 	}
-	until(t, "the meeting place", func() bool {
-		_, err := os.Lstat(cfg.meetingPlace())
+	sidecartest.Until(t, "the meeting place", func() bool {
+		_, err := os.Lstat(cfg.HandoverSocket())
 		return err == nil
 	})
-	next := start(t, c, func(s *Sidecar) { s.listWait = 0 })
-	until(t, "the next process's word", func() bool { return old.after.serve.Load() == 1 })
+	next := start(t, c, func(s *Sidecar) { s.listTimeout = 0 })
+	sidecartest.Until(t, "the next process's word", func() bool { return old.successors.Serving.Load() == 1 })
 	next.end(t)
 }
--- a/internal/sidecar/answer.go
+++ b/internal/sidecar/upstream/answer.go
@@ -1,6 +1,4 @@
-package sidecar
-
-// This file reads the answers of servers: whole, or as they come where they are long.
+package upstream
 
 import (
 	"bufio"
@@ -15,44 +13,47 @@
 	"time"
 
 	"marblelane/balance"
+	"marblelane/internal/sidecar/framing"
+	"marblelane/internal/sidecar/inflight"
+	"marblelane/internal/sidecar/netcall"
 )
 
 const (
 	// A server that sends a head without end must not fill the memory.
-	mostAnswer = maxHeader + 2*holdMost
+	maxHeldAnswer = framing.MaxHeader + 2*inflight.MaxHeldBody
 	// holdTime is how long the beginning of an answer of unknown length is held: it may be short.
 	holdTime = 25 * time.Millisecond
 )
 
 var (
-	errNotHTTP1 = errors.New("an answer in a protocol that was not asked for")
-	errTwoEnds  = errors.New("an answer with Transfer-Encoding beside Content-Length")
+	errNotHTTP1          = errors.New("an answer in a protocol that was not asked for")
+	errConflictingLength = errors.New("an answer with Transfer-Encoding beside Content-Length")
 	// errAnswerLarge is for answers above 32 MB, and long ones that nobody is served with.
 	errAnswerLarge = errors.New("body too large")
 )
 
-// turnedAway reads the answer of a server that did not wait for the whole request.
-func (p *upstreams) turnedAway(conn *upConn, req *http.Request) bool {
-	conn.SetDeadline(time.Now().Add(probeWait))
+// rejectedEarly reads the answer of a server that did not wait for the whole request.
+func (p *Pool) rejectedEarly(conn *ServerConn, req *http.Request) bool {
+	conn.SetDeadline(time.Now().Add(healthCheckTimeout))
 	resp, err := http.ReadResponse(conn.in, req)
-	return err == nil && notRun(resp)
+	return err == nil && rejectedUnprocessed(resp)
 }
 
-func notRun(resp *http.Response) bool {
+func rejectedUnprocessed(resp *http.Response) bool {
 	return resp.Header.Get("X-Not-Processed") == "1" &&
 		(resp.StatusCode == http.StatusServiceUnavailable || resp.StatusCode == http.StatusGatewayTimeout)
 }
 
 // readReply reads the answer to a request that was written whole: what breaks from here on may have run.
-func (p *upstreams) readReply(ctx context.Context, conn *upConn, cut time.Time, req *http.Request, a *attempt,
-	idle time.Duration) (reply, bool) {
+func (p *Pool) readReply(ctx context.Context, conn *ServerConn, cut time.Time, req *http.Request, a *Attempt,
+	idle time.Duration) (inflight.Reply, bool) {
 	resp, err := http.ReadResponse(conn.in, req)
 	interim := false
 	for err == nil && resp.StatusCode < 200 && resp.StatusCode != http.StatusSwitchingProtocols {
 		interim = true
 		resp, err = http.ReadResponse(conn.in, req)
 	}
-	lost := conn.left.N == mostAnswer // without a byte
+	lost := conn.readLimit.N == maxHeldAnswer // without a byte
 	if err == nil {
 		err = checkAnswer(conn, resp, interim)
 	}
@@ -60,30 +61,30 @@
 	if err == nil {
 		var more bool
 		if body, more, err = readBody(ctx, conn, cut, resp, a != nil); more {
-			p.ages.note(time.Now(), idle, false)
+			p.idleAges.note(time.Now(), idle, false)
 			return p.passAnswer(ctx, conn, resp, a, body)
 		}
 	}
-	r := reply{result: broken(ctx, err)}
-	p.ages.note(time.Now(), idle, r.result == balance.Reset && lost)
+	r := inflight.Reply{Result: resultOf(ctx, err)}
+	p.idleAges.note(time.Now(), idle, r.Result == balance.Reset && lost)
 	if err != nil {
 		return r, false
 	}
-	r.report = parseReport(resp.Header.Get("X-Server-Load"), p.reportNames)
+	r.Report = parseReport(resp.Header.Get("X-Server-Load"), p.reportNames)
 	switch {
 	case resp.StatusCode == http.StatusOK:
-		r.answer = answer{status: http.StatusOK, contentType: resp.Header.Get("Content-Type"), body: body}
-	case notRun(resp):
-		r.result = balance.Rejected
+		r.Answer = inflight.Answer{Status: http.StatusOK, ContentType: resp.Header.Get("Content-Type"), Body: body}
+	case rejectedUnprocessed(resp):
+		r.Result = balance.Rejected
 	default: // also 503 without the mark: it may have run
-		r.result = balance.Failed
+		r.Result = balance.Failed
 	}
 	return r, !resp.Close && conn.in.Buffered() == 0
 }
 
-// broken is the result of an answer that ended with an error. Only os.ErrDeadlineExceeded is this process's own
+// resultOf is the result of an answer that ended with an error. Only os.ErrDeadlineExceeded is this process's own
 // deadline: the system's ETIMEDOUT reports Timeout as well, and is a connection that broke.
-func broken(ctx context.Context, err error) balance.Result {
+func resultOf(ctx context.Context, err error) balance.Result {
 	switch {
 	case err == nil:
 		return balance.OK
@@ -97,23 +98,23 @@
 }
 
 // passAnswer offers an answer that has begun to the client and stays until all of it was passed on.
-func (p *upstreams) passAnswer(ctx context.Context, conn *upConn, resp *http.Response, a *attempt, first []byte) (reply, bool) {
-	s := &stream{
-		length: resp.ContentLength, first: first, rest: &streamReader{ctx, conn, atOnce(conn, resp), maxBody - int64(len(first))}, ended: make(chan error, 1),
+func (p *Pool) passAnswer(ctx context.Context, conn *ServerConn, resp *http.Response, a *Attempt, first []byte) (inflight.Reply, bool) {
+	s := &inflight.AnswerStream{
+		Length: resp.ContentLength, First: first, Rest: &streamReader{ctx, conn, unbuffered(conn, resp), inflight.MaxBody - int64(len(first))}, Ended: make(chan error, 1),
 	}
-	p.offer(answerStarted{a, answer{status: http.StatusOK, contentType: resp.Header.Get("Content-Type"), stream: s}})
+	p.Post(AnswerStarted{a, inflight.Answer{Status: http.StatusOK, ContentType: resp.Header.Get("Content-Type"), Stream: s}})
 	var err error
 	select {
-	case err = <-s.ended:
-	case <-p.stopped: // nobody takes the offer any more
-		err = errUnwanted
+	case err = <-s.Ended:
+	case <-p.Stopped: // nobody takes the offer any more
+		err = inflight.ErrBodyUnwanted
 	}
-	r := reply{report: parseReport(resp.Header.Get("X-Server-Load"), p.reportNames)}
+	r := inflight.Reply{Report: parseReport(resp.Header.Get("X-Server-Load"), p.reportNames)}
 	switch {
-	case err == errUnwanted, err == errClient:
-		r.result = balance.Cancelled
+	case err == inflight.ErrBodyUnwanted, err == inflight.ErrClientGone:
+		r.Result = balance.Cancelled
 	default:
-		r.result = broken(ctx, err)
+		r.Result = resultOf(ctx, err)
 	}
 	return r, err == nil && !resp.Close && conn.in.Buffered() == 0
 }
@@ -121,13 +122,13 @@
 // streamReader reads an answer that may be slow, but must go on.
 type streamReader struct {
 	ctx  context.Context
-	conn *upConn
+	conn *ServerConn
 	body io.Reader
 	left int64 // of the longest answer
 }
 
 func (r *streamReader) Read(p []byte) (int, error) {
-	r.conn.SetReadDeadline(time.Now().Add(streamWait))
+	r.conn.SetReadDeadline(time.Now().Add(streamTimeout))
 	if err := r.ctx.Err(); err != nil { // the line above may have undone the cancel
 		return 0, err
 	}
@@ -139,7 +140,7 @@
 }
 
 // checkAnswer refuses what net/http reads all the same, but would leave the connection out of step.
-func checkAnswer(conn *upConn, resp *http.Response, interim bool) error {
+func checkAnswer(conn *ServerConn, resp *http.Response, interim bool) error {
 	if resp.ProtoMajor != 1 || resp.StatusCode == http.StatusSwitchingProtocols {
 		return errNotHTTP1
 	}
@@ -150,8 +151,8 @@
 		resp.Close = true // the head kept is the first one's
 		return nil
 	}
-	if _, length, err := conn.head.lengths(); err != nil || length {
-		return errTwoEnds
+	if _, length, err := conn.head.LengthHeaders(); err != nil || length {
+		return errConflictingLength
 	}
 	return nil
 }
@@ -161,20 +162,20 @@
 
 // readBody reads all of a body, or fails: what is cut short is never passed on as whole. More tells that there is
 // more of it than is held: its beginning may be passed on. An answer other than 200 is never longer.
-func readBody(ctx context.Context, conn *upConn, cut time.Time, resp *http.Response, mayPass bool) (first []byte, more bool, err error) {
+func readBody(ctx context.Context, conn *ServerConn, cut time.Time, resp *http.Response, mayPass bool) (first []byte, more bool, err error) {
 	length := resp.ContentLength
 	unframed := length < 0 && len(resp.TransferEncoding) == 0 // it ends with its connection
 	mayPass = mayPass && resp.StatusCode == http.StatusOK
-	if length >= 0 && length <= holdMost {
+	if length >= 0 && length <= inflight.MaxHeldBody {
 		first = make([]byte, length)
 		_, err = io.ReadFull(resp.Body, first)
 		return first, false, err
 	}
-	if length > maxBody || length > holdMost && !mayPass {
+	if length > inflight.MaxBody || length > inflight.MaxHeldBody && !mayPass {
 		return nil, false, errAnswerLarge
 	}
-	conn.left.N = math.MaxInt64 // from here on nothing is held without a bound
-	body := atOnce(conn, resp)
+	conn.readLimit.N = math.MaxInt64 // from here on nothing is held without a bound
+	body := unbuffered(conn, resp)
 	for begin := time.Now(); ; {
 		if len(first) == cap(first) {
 			first = append(first, make([]byte, max(4<<10, len(first)))...)[:len(first)]
@@ -197,9 +198,9 @@
 			return first, false, nil
 		case err != nil:
 			return nil, false, err
-		case !mayPass && len(first) > holdMost:
+		case !mayPass && len(first) > inflight.MaxHeldBody:
 			return nil, false, errAnswerLarge
-		case mayPass && len(first) > 0 && (length > holdMost || len(first) > holdMost):
+		case mayPass && len(first) > 0 && (length > inflight.MaxHeldBody || len(first) > inflight.MaxHeldBody):
 			return first, true, nil
 		}
 	}
@@ -228,9 +229,9 @@
 	return report
 }
 
-// atOnce gives a body's bytes as they come. The reader of chunks goes on until it has filled what it is given, or
+// unbuffered gives a body's bytes as they come. The reader of chunks goes on until it has filled what it is given, or
 // a chunk has ended, and holds back what a slow server has sent.
-func atOnce(conn *upConn, resp *http.Response) io.Reader {
+func unbuffered(conn *ServerConn, resp *http.Response) io.Reader {
 	if len(resp.TransferEncoding) == 0 {
 		return resp.Body
 	}
@@ -266,7 +267,7 @@
 
 // moreBy waits for the next bytes, or the end, until a time and no longer than cut. It leaves them to be read, but
 // not an error: the system tells that only once.
-func (c *upConn) moreBy(ctx context.Context, until, cut time.Time) (bool, error) {
+func (c *ServerConn) moreBy(ctx context.Context, until, cut time.Time) (bool, error) {
 	if c.in.Buffered() > 0 || until.After(cut) {
 		return true, nil
 	}
@@ -274,7 +275,7 @@
 	_, err := c.in.Peek(1)
 	c.SetReadDeadline(cut)
 	if ctx.Err() != nil { // the lines above may have undone the cancel
-		c.SetReadDeadline(pastDeadline)
+		c.SetReadDeadline(netcall.PastDeadline)
 	}
 	switch {
 	case err == nil, err == io.EOF:
--- a/internal/sidecar/dial.go
+++ b/internal/sidecar/upstream/dial.go
@@ -1,6 +1,4 @@
-package sidecar
-
-// This file opens new connections to servers and hands each to the attempt that has waited longest.
+package upstream
 
 import (
 	"bufio"
@@ -10,11 +8,14 @@
 	"os"
 	"slices"
 	"time"
+
+	"marblelane/internal/sidecar/framing"
+	"marblelane/internal/sidecar/netcall"
 )
 
-// lateConnect is how long a new connection may take to come up (STANDING). Nobody waits that long for it: it is kept for
+// maxConnectTime is how long a new connection may take to come up (STANDING). Nobody waits that long for it: it is kept for
 // who comes next.
-const lateConnect = time.Second
+const maxConnectTime = time.Second
 
 var errNoSocket = errors.New("no socket is free")
 
@@ -24,23 +25,23 @@
 
 // dialResult is what a waiter gets.
 type dialResult struct {
-	conn *upConn
+	conn *ServerConn
 	err  error
 }
 
-// get takes a kept connection, or dials. Whether a kept one is still good the sender asks right before it
+// acquire takes a kept connection, or dials. Whether a kept one is still good the sender asks right before it
 // writes. Dialing is bounded by the settings and by the time that the request has left; the loop is told of it, unless
 // it is for a probe.
-func (p *upstreams) get(ctx context.Context, up *upstream, cut time.Time, a *attempt) (*upConn, bool, error) {
-	if up.retired.Load() || !time.Now().Before(cut) {
+func (p *Pool) acquire(ctx context.Context, up *Server, cut time.Time, a *Attempt) (*ServerConn, bool, error) {
+	if up.Retired.Load() || !time.Now().Before(cut) {
 		return nil, false, errNotNeeded
 	}
-	for connIdle := p.ages.within(p.connIdle); ; {
+	for connIdle := p.idleAges.within(p.connIdle); ; {
 		conn := p.takeIdle(up)
 		if conn == nil {
 			break
 		}
-		if time.Since(conn.since) < connIdle {
+		if time.Since(conn.idleSince) < connIdle {
 			return conn, true, nil
 		}
 		p.discard(conn)
@@ -49,21 +50,21 @@
 		return nil, false, errNoSocket
 	}
 	if a != nil {
-		p.offer(connecting{a, false})
+		p.Post(Connecting{a, false})
 	}
-	conn, err := p.await(ctx, up, cut)
+	conn, err := p.awaitConnection(ctx, up, cut)
 	if err != nil {
 		return nil, false, err
 	}
 	if a != nil {
-		p.offer(connecting{a, true})
+		p.Post(Connecting{a, true})
 	}
 	return conn, false, nil
 }
 
-// await begins a new connection, for which room is reserved, and takes the first that comes up. One that comes up too
+// awaitConnection begins a new connection, for which room is reserved, and takes the first that comes up. One that comes up too
 // late for this attempt serves a later one.
-func (p *upstreams) await(ctx context.Context, up *upstream, cut time.Time) (*upConn, error) {
+func (p *Pool) awaitConnection(ctx context.Context, up *Server, cut time.Time) (*ServerConn, error) {
 	w := &connWaiter{done: make(chan dialResult, 1)}
 	p.mu.Lock()
 	up.waiting = append(up.waiting, w)
@@ -95,47 +96,47 @@
 }
 
 // dial brings one connection up, for whoever waits first.
-func (p *upstreams) dial(up *upstream) {
-	c, err := p.dialContext(p.dials, "tcp", up.endpoint)
+func (p *Pool) dial(up *Server) {
+	c, err := p.dialContext(p.dials, "tcp", up.Endpoint)
 	p.mu.Lock()
 	up.dialing--
 	if err != nil {
 		p.open--
 		switch { // if nothing is on its way for one of them
 		case len(up.waiting) <= up.dialing:
-		case localErrnos.has(err):
-			up.newest() <- dialResult{err: err}
+		case netcall.LocalErrnos.Has(err):
+			up.newestWaiter() <- dialResult{err: err}
 		default:
-			up.next() <- dialResult{err: err}
+			up.nextWaiter() <- dialResult{err: err}
 		}
 		p.mu.Unlock()
 		return
 	}
-	head := newHeadConn(c)
+	head := framing.NewHeadConn(c)
 	left := &io.LimitedReader{R: head}
-	conn := &upConn{Conn: c, in: bufio.NewReader(left), left: left, head: head, up: up, since: time.Now()}
+	conn := &ServerConn{Conn: c, in: bufio.NewReader(left), readLimit: left, head: head, server: up, idleSince: time.Now()}
 	wanted := len(up.waiting) > 0
 	if wanted {
-		up.next() <- dialResult{conn: conn}
+		up.nextWaiter() <- dialResult{conn: conn}
 	} else {
 		p.keep(conn)
 	}
 	p.mu.Unlock()
 	if !wanted { // not under the lock: the loop may be waiting for it
-		p.offer(connectionReady{up})
+		p.Post(ConnectionReady{up})
 	}
 }
 
-// next takes the first waiter out of the line; the caller holds the lock.
-func (up *upstream) next() chan<- dialResult {
+// nextWaiter takes the first waiter out of the line; the caller holds the lock.
+func (up *Server) nextWaiter() chan<- dialResult {
 	w := up.waiting[0]
 	up.waiting = slices.Delete(up.waiting, 0, 1)
 	return w.done
 }
 
-// newest takes the last waiter out of the line, which has waited least and goes elsewhere soonest; the caller holds the
+// newestWaiter takes the last waiter out of the line, which has waited least and goes elsewhere soonest; the caller holds the
 // lock. What is on its way is left for those before it.
-func (up *upstream) newest() chan<- dialResult {
+func (up *Server) newestWaiter() chan<- dialResult {
 	last := len(up.waiting) - 1
 	w := up.waiting[last]
 	up.waiting = slices.Delete(up.waiting, last, last+1)
--- /dev/null
+++ b/internal/sidecar/upstream/exchange_test.go
@@ -0,0 +1,230 @@
+package upstream
+
+import (
+	"context"
+	"errors"
+	"io"
+	"net"
+	"net/http"
+	"net/url"
+	"os"
+	"syscall"
+	"testing"
+	"time"
+
+	"marblelane/balance"
+	"marblelane/internal/sidecar/configtest"
+	"marblelane/internal/sidecar/inflight"
+	"marblelane/internal/sidecar/sidecartest"
+)
+
+// exchanging sets up an attempt on a live connection, one step before its first byte.
+func exchanging(t *testing.T, b *sidecartest.Backend) (*Pool, *Attempt, *ServerConn, *http.Request) {
+	t.Helper()
+	cfg, err := configtest.NewConf("127.0.0.1:1").Load(t)
+	if err != nil {
+		t.Fatal(err)
+	}
+	p := NewPool(cfg, 10)
+	t.Cleanup(p.Close)
+	up := &Server{ID: 1, Endpoint: b.Target.Endpoint}
+	a := &Attempt{Call: &inflight.Call{Outbound: &inflight.Outbound{}}, Server: up, Deadline: time.Now().Add(sidecartest.Patience)}
+	a.Context, a.Cancel = context.WithCancel(t.Context())
+	t.Cleanup(a.Cancel)
+	conn, _, err := p.acquire(a.Context, up, a.Deadline, nil)
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() { conn.Close() })
+	req := &http.Request{Method: "GET", URL: &url.URL{Path: "/api"}, Host: "b", Header: http.Header{}}
+	return p, a, conn, req
+}
+
+// Between decision and first byte the list may change or the request may be answered: nothing is sent then,
+// and the server is not blamed.
+func TestLastCheckBeforeTheFirstByte(t *testing.T) {
+	for name, change := range map[string]func(*Pool, *Attempt){
+		"server retired":   func(p *Pool, a *Attempt) { p.Retire(a.Server) },
+		"request answered": func(_ *Pool, a *Attempt) { a.Call.Finish() },
+		"time is over":     func(_ *Pool, a *Attempt) { a.Deadline = time.Now() },
+	} {
+		t.Run(name, func(t *testing.T) {
+			b := sidecartest.NewBackend(t, "a", sidecartest.OK)
+			p, a, conn, req := exchanging(t, b)
+			change(p, a)
+			all, err := (&RequestWriter{Conn: conn}).write(a.Deadline, req, a)
+			if all || err != errNotNeeded || unsentResult(a.Context, a.Deadline, err) != balance.NotSent {
+				t.Errorf("written %v, error %v", all, err)
+			}
+			conn.Close()
+			if b.Requests.Load() != 0 {
+				t.Error("the server got a request")
+			}
+		})
+	}
+}
+
+// A write that ends short proves that nothing ran.
+func TestShortWriteNeverRan(t *testing.T) {
+	b := sidecartest.NewBackend(t, "a", sidecartest.OK)
+	_, a, conn, req := exchanging(t, b)
+	conn.Conn.(*net.TCPConn).CloseWrite()
+	all, err := (&RequestWriter{Conn: conn}).write(a.Deadline, req, a)
+	if got := unsentResult(a.Context, a.Deadline, err); all || got != balance.WriteFailed {
+		t.Errorf("written %v, %v, result %v", all, err, got)
+	}
+	if a.Written.Load() {
+		t.Error("counted as sent")
+	}
+}
+
+// Only what no process answered is a connect that failed: a reset tells that something is there.
+func TestConnectFailedOrBroken(t *testing.T) {
+	op := func(op string, err error) error {
+		return &net.OpError{Op: op, Net: "tcp", Err: os.NewSyscallError(op, err)}
+	}
+	for _, test := range []struct {
+		err  error
+		want balance.Result
+	}{
+		{op("connect", syscall.ECONNREFUSED), balance.ConnectFailed},
+		{&net.OpError{Op: "dial", Net: "tcp", Err: os.ErrDeadlineExceeded}, balance.ConnectFailed},
+		{op("connect", syscall.ECONNRESET), balance.WriteFailed},
+		{op("write", syscall.ECONNRESET), balance.WriteFailed},
+		{op("write", syscall.EPIPE), balance.WriteFailed},
+		{op("socket", syscall.EMFILE), balance.LocalFailure},
+		{op("socket", syscall.ENFILE), balance.LocalFailure},
+		{op("connect", syscall.EADDRNOTAVAIL), balance.LocalFailure},
+		{op("connect", syscall.EADDRINUSE), balance.LocalFailure},
+		{op("write", syscall.ENOBUFS), balance.LocalFailure},
+		{op("connect", syscall.EHOSTUNREACH), balance.Unreachable},
+		{errNotNeeded, balance.NotSent},
+		{errNoSocket, balance.NotSent},
+	} {
+		if got := unsentResult(t.Context(), time.Now().Add(time.Hour), test.err); got != test.want || !got.NeverRan() {
+			t.Errorf("%v: result %v, want %v", test.err, got, test.want)
+		}
+	}
+}
+
+// A kept connection that breaks under the write moves the request to a new one: nothing of it has run, and
+// the server is not blamed.
+func TestWriteBreaksOnKeptConnection(t *testing.T) {
+	b := sidecartest.NewBackend(t, "a", sidecartest.OK)
+	p, a, conn, _ := exchanging(t, b)
+	a.Call.Outbound = &inflight.Outbound{
+		Method: "POST", URL: &url.URL{Path: "/api"}, Host: "b", Header: http.Header{}, Body: []byte("plate 12-34"),
+	}
+	conn.Conn.(*net.TCPConn).CloseWrite() // it still looks open for reading
+	p.put(conn)
+	if r := p.Send(a); r.Result != balance.OK {
+		t.Errorf("result %v", r.Result)
+	}
+	if n := b.Requests.Load(); n != 1 {
+		t.Errorf("%d sends, want 1", n)
+	}
+}
+
+// Connections are bounded over all servers; an idle one of another server makes room.
+func TestConnectionsAreBounded(t *testing.T) {
+	b, other := sidecartest.NewBackend(t, "a", sidecartest.OK), sidecartest.NewBackend(t, "b", sidecartest.OK)
+	p, a, conn, _ := exchanging(t, b)
+	p.limit = 1
+	up := &Server{ID: 2, Endpoint: other.Target.Endpoint}
+	if _, _, err := p.acquire(a.Context, up, a.Deadline, nil); err != errNoSocket || unsentResult(a.Context, a.Deadline, err) != balance.NotSent {
+		t.Fatalf("a second connection: %v", err)
+	}
+	p.put(conn)
+	second, kept, err := p.acquire(a.Context, up, a.Deadline, nil)
+	if err != nil || kept {
+		t.Fatalf("with an idle one to close: %v", err)
+	}
+	p.put(second)
+	if p.open != 1 {
+		t.Errorf("%d connections are counted", p.open)
+	}
+}
+
+// Idle connections are closed before the server does it.
+func TestIdleConnectionsAreReaped(t *testing.T) {
+	b := sidecartest.NewBackend(t, "a", sidecartest.OK)
+	p, _, conn, _ := exchanging(t, b)
+	p.put(conn)
+	p.ReapIdle(time.Now().Add(8 * time.Second))
+	if p.open != 1 {
+		t.Error("reaped early")
+	}
+	p.ReapIdle(time.Now().Add(9 * time.Second))
+	if p.open != 0 || len(p.idleServers) != 0 {
+		t.Error("not reaped in time")
+	}
+}
+
+func TestProbe(t *testing.T) {
+	paths := make(chan string, 1)
+	b := sidecartest.NewBackend(t, "a", func(c net.Conn, r *http.Request, _ string) bool {
+		paths <- r.URL.Path
+		_, err := io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: 15\r\n\r\nbusy=0.5,rate=7")
+		return err == nil
+	})
+	p, a, conn, _ := exchanging(t, b)
+	p.put(conn)
+	r := p.HealthCheck(a.Context, a.Server)
+	if r.Result != balance.OK || len(r.Report) != 2 || r.Report[0] != 0.5 || r.Report[1] != 7 {
+		t.Errorf("%+v", r)
+	}
+	if path := <-paths; path != "/stats" {
+		t.Errorf("asked %s", path)
+	}
+}
+
+// A connection that comes up too late for its attempt serves whoever waits then, or is kept for who comes next.
+func TestLateConnectionServesTheNext(t *testing.T) {
+	cfg, err := configtest.NewConf("127.0.0.1:1").Load(t)
+	if err != nil {
+		t.Fatal(err)
+	}
+	b := sidecartest.NewBackend(t, "a", sidecartest.OK)
+	p := NewPool(cfg, 10)
+	t.Cleanup(p.Close)
+	handshake := make(chan struct{}) // each connection waits for one
+	p.Dialer.Control = func(string, string, syscall.RawConn) error { <-handshake; return nil }
+	up := &Server{ID: 1, Endpoint: b.Target.Endpoint}
+	cut := time.Now().Add(sidecartest.Patience)
+
+	if _, _, err := p.acquire(t.Context(), up, cut, nil); unsentResult(t.Context(), cut, err) != balance.ConnectFailed {
+		t.Fatalf("an attempt whose connection is late ends with %v", err)
+	}
+	p.connectWait = sidecartest.Patience
+	got := make(chan error, 1)
+	go func() {
+		conn, kept, err := p.acquire(t.Context(), up, cut, nil)
+		if err == nil && kept {
+			err = errors.New("the waiting attempt got a kept connection")
+		}
+		if err == nil {
+			p.discard(conn)
+		}
+		got <- err
+	}()
+	sidecartest.Until(t, "the second attempt to wait", func() bool {
+		p.mu.Lock()
+		defer p.mu.Unlock()
+		return len(up.waiting) == 1 && up.dialing == 2
+	})
+	handshake <- struct{}{} // of either: the attempt takes the first that comes up
+	if err := sidecartest.Receive(t, "a connection", got); err != nil {
+		t.Error(err)
+	}
+	handshake <- struct{}{}
+	sidecartest.Until(t, "the other to be kept", func() bool {
+		p.mu.Lock()
+		defer p.mu.Unlock()
+		return len(up.idle) == 1 && up.dialing == 0
+	})
+	next, kept, err := p.acquire(t.Context(), up, cut, nil)
+	if !kept || err != nil {
+		t.Fatalf("the next attempt dials: %v", err)
+	}
+	p.discard(next)
+}
--- a/internal/sidecar/idle.go
+++ b/internal/sidecar/upstream/idle.go
@@ -1,4 +1,4 @@
-package sidecar
+package upstream
 
 import (
 	"math"
--- a/internal/sidecar/watch_ways_test.go
+++ b/internal/sidecar/watch_ways_test.go
@@ -9,26 +9,27 @@
 	"net/http"
 	"strings"
 	"sync"
-	"sync/atomic"
 	"testing"
 	"time"
 
-	"marblelane/balance"
+	"marblelane/internal/sidecar/configtest"
+	"marblelane/internal/sidecar/endpointlist"
+	"marblelane/internal/sidecar/sidecartest"
 )
 
 // faults are what becomes of a watch that discovery has accepted, before the change.
 var faults = map[string]func(c net.Conn, held string){
 	"silent at once": func(net.Conn, string) {},
-	"head, no line":  func(c net.Conn, _ string) { io.WriteString(c, watchHead) },
-	"silent late":    func(c net.Conn, held string) { io.WriteString(c, watchHead+held+"\n\n") },
+	"head, no line":  func(c net.Conn, _ string) { io.WriteString(c, sidecartest.WatchHead) },
+	"silent late":    func(c net.Conn, held string) { io.WriteString(c, sidecartest.WatchHead+held+"\n\n") },
 	"stops in a line": func(c net.Conn, held string) {
-		io.WriteString(c, watchHead+held+"\n"+held[:len(held)/2])
+		io.WriteString(c, sidecartest.WatchHead+held+"\n"+held[:len(held)/2])
 	},
 	"empty lines in a line that stops": func(c net.Conn, held string) {
-		io.WriteString(c, watchHead+held+"\n"+held[:len(held)/2]+"\n\n\n")
+		io.WriteString(c, sidecartest.WatchHead+held+"\n"+held[:len(held)/2]+"\n\n\n")
 	},
 	"reset": func(c net.Conn, held string) {
-		io.WriteString(c, watchHead+held+"\n")
+		io.WriteString(c, sidecartest.WatchHead+held+"\n")
 		c.(*net.TCPConn).SetLinger(0)
 		c.Close()
 	},
@@ -37,11 +38,11 @@
 		c.Close()
 	},
 	"ended early": func(c net.Conn, held string) {
-		io.WriteString(c, watchHead+held+"\n")
+		io.WriteString(c, sidecartest.WatchHead+held+"\n")
 		c.Close()
 	},
 	"ended in place of telling": func(c net.Conn, _ string) {
-		io.WriteString(c, watchHead)
+		io.WriteString(c, sidecartest.WatchHead)
 		c.Close()
 	},
 	"turned away": func(c net.Conn, _ string) {
@@ -49,17 +50,17 @@
 		c.Close()
 	},
 	"a line that is no list": func(c net.Conn, held string) {
-		io.WriteString(c, watchHead+held+"\n"+`{"rev": 42, "targets": [{"uid": 5, "boot_ms": "now"}]}`+"\n"+held+"\n")
+		io.WriteString(c, sidecartest.WatchHead+held+"\n"+`{"rev": 42, "targets": [{"uid": 5, "boot_ms": "now"}]}`+"\n"+held+"\n")
 	},
-	"a line that is no JSON": func(c net.Conn, held string) { io.WriteString(c, watchHead+held+"\n}{ gone\n") },
+	"a line that is no JSON": func(c net.Conn, held string) { io.WriteString(c, sidecartest.WatchHead+held+"\n}{ gone\n") },
 }
 
 // forms are how the change then comes, as the answer to the next call.
 var forms = map[string]func(c net.Conn, text string){
-	"whole":    func(c net.Conn, text string) { io.WriteString(c, watchHead+text+"\n") },
-	"indented": func(c net.Conn, text string) { io.WriteString(c, watchHead+indent(text)+"\n") },
+	"whole":    func(c net.Conn, text string) { io.WriteString(c, sidecartest.WatchHead+text+"\n") },
+	"indented": func(c net.Conn, text string) { io.WriteString(c, sidecartest.WatchHead+indent(text)+"\n") },
 	"in pieces": func(c net.Conn, text string) {
-		for _, b := range []byte(watchHead + indent(text) + "\n") {
+		for _, b := range []byte(sidecartest.WatchHead + indent(text) + "\n") {
 			if _, err := c.Write([]byte{b}); err != nil {
 				return
 			}
@@ -97,12 +98,12 @@
 			turn++
 			t.Run(mode+"/"+fault+"/"+form, func(t *testing.T) {
 				t.Parallel()
-				a, b := newBackend(t, "a", ok), newBackend(t, "b", ok)
+				a, b := sidecartest.NewBackend(t, "a", sidecartest.OK), sidecartest.NewBackend(t, "b", sidecartest.OK)
 				var answering sync.WaitGroup
 				t.Cleanup(answering.Wait) // once the sidecar and discovery are closed, in that order
-				disc, addr := newHandAgent(t)
-				c := newConf(addr, a.target, b.target).setting(`"discovery": "subscribe"`, `"discovery": "`+mode+`"`)
-				cfg, err := c.load(t)
+				disc, addr := sidecartest.NewHandAgent(t)
+				c := configtest.NewConf(addr, a.Target, b.Target).Setting(`"discovery": "subscribe"`, `"discovery": "`+mode+`"`)
+				cfg, err := c.Load(t)
 				if err != nil {
 					t.Fatal(err)
 				}
@@ -111,11 +112,11 @@
 					t.Fatal(err)
 				}
 				s.drainAccept = 0
-				s.loop.disc.lag, s.loop.disc.callWait, s.loop.disc.silence = 100*time.Millisecond, 300*time.Millisecond, 300*time.Millisecond
+				s.loop.Discovery.PushedDelay, s.loop.Discovery.CallTimeout, s.loop.Discovery.WatchTimeout = 100*time.Millisecond, 300*time.Millisecond, 300*time.Millisecond
 				ctx, end := context.WithCancel(context.Background())
 				ended := make(chan error, 1)
 				go func() { ended <- s.Run(ctx) }()
-				r := &running{Sidecar: s, t: t, client: &http.Client{Transport: &http.Transport{}, Timeout: patience}}
+				r := &running{Sidecar: s, t: t, client: &http.Client{Transport: &http.Transport{}, Timeout: sidecartest.Patience}}
 				t.Cleanup(func() {
 					r.client.CloseIdleConnections()
 					end()
@@ -123,15 +124,15 @@
 						t.Error(err)
 					}
 				})
-				held, left := mustJSON(t, list{Rev: 41, All: true, Targets: []target{a.target, b.target}}), mustJSON(t, list{Rev: 43, All: true, Targets: []target{b.target}})
-				misbehave(disc.next(t), held)
+				held, left := mustJSON(t, endpointlist.List{Rev: 41, All: true, Targets: []endpointlist.Target{a.Target, b.Target}}), mustJSON(t, endpointlist.List{Rev: 43, All: true, Targets: []endpointlist.Target{b.Target}})
+				misbehave(disc.Next(t), held)
 				for range 4 { // whatever became of the watch
 					if got := r.do(r.request("charge", time.Second)); got.status != http.StatusOK {
 						t.Errorf("after the fault: %+v", got)
 					}
 				}
 				answering.Go(func() {
-					for conn := range disc.conns {
+					for conn := range disc.Conns {
 						answering.Go(func() {
 							defer conn.Close()
 							if _, err := http.ReadRequest(bufio.NewReader(conn)); err == nil {
@@ -141,14 +142,14 @@
 						})
 					}
 				})
-				until(t, "the whole list", func() bool { return s.loop.disc.rev.Load() == 43 })
-				before := a.requests.Load()
+				sidecartest.Until(t, "the whole list", func() bool { return s.loop.Discovery.Revision.Load() == 43 })
+				before := a.Requests.Load()
 				for range 8 {
 					if got := r.do(r.request("charge", time.Second)); got.status != http.StatusOK {
 						t.Errorf("after the list: %+v", got)
 					}
 				}
-				if got := a.requests.Load() - before; got > 0 {
+				if got := a.Requests.Load() - before; got > 0 {
 					t.Errorf("what the whole list left out got %d requests", got)
 				}
 			})
@@ -164,66 +165,3 @@
 	}
 	return string(text)
 }
-
-// heldDial lets the first connection wait until it is released, and says that it waits.
-func heldDial(d *discovery) (waits chan struct{}, release chan struct{}) {
-	transport := d.client.Transport.(*http.Transport)
-	dial := transport.DialContext
-	waits, release = make(chan struct{}), make(chan struct{})
-	var begun atomic.Bool
-	transport.DialContext = func(ctx context.Context, network, addr string) (net.Conn, error) {
-		if begun.CompareAndSwap(false, true) {
-			close(waits)
-			<-release
-		}
-		return dial(ctx, network, addr)
-	}
-	return waits, release
-}
-
-// A move between the moment at which a call has taken the old address and the one at which its connection is up, and one
-// after that, before any answer: the call goes on at the new address at once and tells what is there, once.
-func TestMoveUnderACallThatBegins(t *testing.T) {
-	begin := map[string]func(context.Context, *discovery){
-		"asked":  func(ctx context.Context, d *discovery) { d.watch(ctx, 0) },
-		"pushed": func(ctx context.Context, d *discovery) { d.subscribe(ctx) },
-	}
-	for mode, watch := range begin {
-		t.Run(mode, func(t *testing.T) {
-			before, after := newAgent(t), newAgent(t)
-			d, heard := hearing(t, before.addr())
-			d.lag = time.Hour // one call at a time
-			ctx, cancel := context.WithCancel(t.Context())
-			defer cancel()
-			waits, release := heldDial(d)
-			watch(ctx, d)
-			receive(t, "the connection to begin", waits)
-			d.move([]string{after.addr()})
-			first := receive(t, "the call at the new address", after.calls)
-			close(release) // the old connection comes up only now
-			d.move([]string{before.addr()})
-			receive(t, "the call before its answer to end", first.gone)
-			second := receive(t, "the call back at the first address", before.calls)
-			second.send(t, list{Rev: 7})
-			if n := receive(t, "what is there", heard); n.kind != balance.ListDelta || n.list.Rev != 7 {
-				t.Errorf("%+v", n)
-			}
-			if len(heard) > 0 {
-				t.Errorf("something else is heard: %+v", <-heard)
-			}
-		})
-	}
-}
-
-// What is wrong in a line is told by its key.
-func TestMalformedLineIsNamed(t *testing.T) {
-	for text, want := range map[string]string{
-		`{"rev": "x"}`: "list: rev: a string", `{"rev": 1, "targets": [{"boot_ms": "now"}]}`: "list: targets.boot_ms: a string", `}`: "list: byte 1: ",
-	} {
-		d, heard := serving(t, text)
-		err := d.read(t.Context(), d.changes(), listEvent{}, alone, time.Hour, time.Hour)
-		if err == nil || !strings.Contains(err.Error(), want) || len(heard) > 0 {
-			t.Errorf("%s: error %v, want %q; %d heard", text, err, want, len(heard))
-		}
-	}
-}
--- a/internal/wallclock/wallclock_test.go
+++ b/internal/wallclock/wallclock_test.go
@@ -117,20 +117,20 @@
 	"internal/routeclient/reporter.go": {
 		"r.s.cfg.Now": {1, "time.Now but in tests; its monotonic part counts"},
 	},
-	"internal/sidecar/exchange.go": {
+	"internal/sidecar/clock/step_detector.go": {
+		"faults.Now":  {1, "is held against the monotonic clock to notice steps"},
+		"t.UnixMicro": {1, "as above; and the begin of the sidecar's clock, monotonic from there on"},
+	},
+	"internal/sidecar/netcall/peek.go": {
 		"time.Unix": {1, "is constant: a deadline that is long past, whatever the clock says"},
 	},
-	"internal/sidecar/routes.go": {
-		"cfg.faults.Now":            {1, "a process's start; one below another of its name is raised, see docs/routes.md"},
-		"cfg.faults.Now().UnixNano": {1, "as above"},
+	"internal/sidecar/routing/router.go": {
+		"cfg.Faults.Now":            {1, "a process's start; one below another of its name is raised, see docs/routes.md"},
+		"cfg.Faults.Now().UnixNano": {1, "as above"},
 	},
 	"internal/sidecar/sidecar.go": {
-		"cfg.faults.Now":             {1, "a member's start, as internal/membership/config.go"},
-		"cfg.faults.Now().UnixMilli": {1, "as above"},
-	},
-	"internal/sidecar/wallclock.go": {
-		"faults.Now":  {1, "is held against the monotonic clock to notice steps"},
-		"t.UnixMicro": {1, "as above; and the begin of the sidecar's clock, monotonic from there on"},
+		"cfg.Faults.Now":             {1, "a member's start, as internal/membership/config.go"},
+		"cfg.Faults.Now().UnixMilli": {1, "as above"},
 	},
 	"internal/snapshot/crashcheck/crashcheck.go": {
 		"time.UnixMilli": {1, "is shown to people alone"},
