--- a/internal/sidecar/client_gone_test.go
+++ b/internal/sidecar/client_gone_test.go
@@ -356,7 +356,7 @@
 			})
 			l.Ctx = ctx
 			now := l.Clock.Millis(time.Now())
-			l.Act(now, l.Balancer.Start(now))
+			l.Execute(now, l.Balancer.Start(now))
 			l.TakeListEvent(now, discovery.ListEvent{Kind: balance.ListCached, List: cfg.Known})
 			left, looked := sidecartest.NewBarrier(), &atomic.Int64{}
 			t.Cleanup(left.Release)
--- a/internal/sidecar/eventloop/actions.go
+++ b/internal/sidecar/eventloop/actions.go
@@ -1,7 +1,6 @@
 package eventloop
 
 import (
-	"container/heap"
 	"context"
 	"log/slog"
 	"math"
@@ -11,83 +10,93 @@
 	"marblelane/internal/sidecar/upstream"
 )
 
-func (l *Loop) Act(now float64, actions []balance.Action) {
+// Execute carries out actions of the balancer, in order.
+func (l *Loop) Execute(now float64, actions []balance.Action) {
 	for i := range actions {
-		act := &actions[i]
-		switch act.Kind {
-		case balance.Send:
-			l.send(now, act)
-		case balance.Reject, balance.Fail:
-			l.answer(now, act)
-		case balance.Cancel:
-			if c := l.Calls[act.Request]; c != nil && act.Attempt < len(c.Attempts) {
-				c.Attempts[act.Attempt].Cancel()
-			}
-		case balance.SetTimer:
-			heap.Push(&l.timers, timer{due: now + math.Max(act.At, 0), token: act.Token})
-		case balance.HealthCheck:
-			l.probe(now, act.Server)
-		case balance.CloseIdle:
-			if up := l.servers[act.Server]; up != nil {
-				l.Pool.CloseIdle(up)
-			}
-		case balance.Log:
-			slog.Info("module", "text", act.Text)
-		case balance.Watch:
-			l.Discovery.Revision.Store(act.After)
-			l.Discovery.Watch(l.Ctx, act.Source)
-		case balance.Fetch:
-			l.Discovery.Fetch(l.Ctx, act.Source)
-		case balance.Forget:
-			l.retire(l.servers[act.Server])
-		default:
-			slog.Error("the module asks for what this sidecar cannot do", "action", act.Kind)
+		l.execute(now, &actions[i])
+	}
+}
+
+func (l *Loop) execute(now float64, action *balance.Action) {
+	switch action.Kind {
+	case balance.Send:
+		l.startAttempt(now, action)
+	case balance.Reject, balance.Fail:
+		l.endCall(now, action)
+	case balance.Cancel:
+		if c := l.Calls[action.Request]; c != nil && action.Attempt < len(c.Attempts) {
+			c.Attempts[action.Attempt].Cancel()
+		}
+	case balance.SetTimer:
+		l.timers.set(timer{due: now + math.Max(action.At, 0), token: action.Token})
+	case balance.HealthCheck:
+		l.healthCheck(now, action.Server)
+	case balance.CloseIdle:
+		if server := l.servers[action.Server]; server != nil {
+			l.Pool.CloseIdle(server)
 		}
+	case balance.Log:
+		slog.Info("balancer: " + action.Text)
+	case balance.Watch:
+		l.Discovery.Revision.Store(action.After)
+		l.Discovery.Watch(l.Ctx, action.Source)
+	case balance.Fetch:
+		l.Discovery.Fetch(l.Ctx, action.Source)
+	case balance.Forget:
+		l.retireServer(l.servers[action.Server])
+	default:
+		slog.Error("eventloop: unknown action of the balancer", "action", action.Kind)
 	}
 }
 
-func (l *Loop) send(now float64, act *balance.Action) {
-	c := l.Calls[act.Request]
+// startAttempt sends a call to a server, in a goroutine that ends with the attempt.
+func (l *Loop) startAttempt(now float64, action *balance.Action) {
+	c := l.Calls[action.Request]
 	if c == nil {
 		return
 	}
-	cut := c.Deadline
-	if act.At > 0 {
-		if at := l.Clock.Time(act.At); at.Before(cut) {
-			cut = at
+	deadline := c.Deadline
+	if action.At > 0 {
+		if at := l.Clock.Time(action.At); at.Before(deadline) {
+			deadline = at
 		}
 	}
-	up := l.servers[act.Server]
-	if up == nil { // hardly: the module sends to ready servers of the same list
-		up = &upstream.Server{ID: act.Server}
-		up.Retired.Store(true)
+	a := &upstream.Attempt{
+		Call: c.Call, Number: len(c.Attempts), Server: l.serverOf(action.Server),
+		RouteCheck: l.Routing.Check(now, c.Call, action), StartedAt: now, Deadline: deadline,
 	}
-	a := &upstream.Attempt{Call: c.Call, Number: len(c.Attempts), Server: up, RouteCheck: l.Routing.Check(now, c.Call, act), StartedAt: now, Deadline: cut}
 	a.Context, a.Cancel = context.WithCancel(l.Ctx)
 	c.Attempts = append(c.Attempts, a)
-	c.live++
+	c.liveAttempts++
 	l.Workers.Go(func() { l.Post(AttemptDone{a, l.Pool.Send(a)}) })
 }
 
-func (l *Loop) probe(now float64, id balance.ServerID) {
-	up := l.servers[id]
-	if up == nil {
-		up = &upstream.Server{ID: id}
-		up.Retired.Store(true)
+// healthCheck asks a server how it is, in a goroutine that ends with the answer.
+func (l *Loop) healthCheck(now float64, id balance.ServerID) {
+	server := l.serverOf(id)
+	l.Workers.Go(func() { l.Post(healthCheckDone{server, now, l.Pool.HealthCheck(l.Ctx, server)}) })
+}
+
+// serverOf gives the server of an ID. One that is not in the table is retired: nothing is sent to it.
+func (l *Loop) serverOf(id balance.ServerID) *upstream.Server {
+	if server := l.servers[id]; server != nil {
+		return server
 	}
-	l.Workers.Go(func() { l.Post(healthCheckDone{up, now, l.Pool.HealthCheck(l.Ctx, up)}) })
+	server := &upstream.Server{ID: id}
+	server.Retired.Store(true)
+	return server
 }
 
-// answer gives a call up: refused, where a later try does no harm, or failed.
-func (l *Loop) answer(now float64, act *balance.Action) {
-	c := l.Calls[act.Request]
+// endCall gives a client the balancer's own answer: rejected, where a retry does no harm, or failed.
+func (l *Loop) endCall(now float64, action *balance.Action) {
+	c := l.Calls[action.Request]
 	if c == nil || !c.Finish() {
 		return
 	}
 	l.cancelUnwritten(c.Call)
 	switch {
-	case act.Kind == balance.Reject:
-		c.Answers <- inflight.Answer{Status: inflight.StatusRejected, RetryAfter: act.At}
+	case action.Kind == balance.Reject:
+		c.Answers <- inflight.Answer{Status: inflight.StatusRejected, RetryAfter: action.At}
 	case !c.Deadline.IsZero() && now >= l.Clock.Millis(c.Deadline):
 		c.Answers <- inflight.Answer{Status: inflight.StatusTimedOut}
 	default:
--- a/internal/sidecar/eventloop/list.go
+++ b/internal/sidecar/eventloop/list.go
@@ -9,55 +9,72 @@
 	"marblelane/internal/sidecar/upstream"
 )
 
-// TakeListEvent lets the module decide what is believed, and brings the table of servers in line before anything else is
-// done, so that attempts on their way see at their first byte what the module sees.
-func (l *Loop) TakeListEvent(now float64, n discovery.ListEvent) {
+// TakeListEvent lets the balancer decide which entries it accepts, and brings the table of servers in line before any
+// other message is taken, so that attempts on their way see at their first byte what the balancer sees.
+func (l *Loop) TakeListEvent(now float64, event discovery.ListEvent) {
 	l.checkClock(now)
-	l.listReceived = l.listReceived || n.Kind == balance.ListFull || n.Kind == balance.ListDelta
-	ev := balance.ServerList{Kind: n.Kind, Rev: n.List.Rev, Source: n.Source, FromFetch: n.FromFetch, Busy: n.Busy, RetryAfter: n.RetryAfter,
-		Servers: make([]balance.Server, 0, len(n.List.Targets))}
-	for i := range n.List.Targets {
-		if n.List.Targets[i].UID != "" { // nobody
-			ev.Servers = append(ev.Servers, l.Cfg.Server(&n.List.Targets[i]))
-		}
-	}
-	actions, err := l.Balancer.Handle(now, ev)
+	l.listReceived = l.listReceived || event.Kind == balance.ListFull || event.Kind == balance.ListDelta
+	actions, err := l.Balancer.Handle(now, l.serverList(event))
 	if err != nil {
-		slog.Error("the module refuses a list", "error", err)
+		slog.Error("eventloop: the balancer rejects a list", "err", err)
 		return
 	}
 	l.Discovery.Revision.Store(l.Balancer.ListRev())
-	for i := range n.List.Targets {
-		l.alignServer(&n.List.Targets[i])
-	}
-	if n.Kind != balance.ListDelta {
-		for id, up := range l.servers {
-			if _, used := l.Balancer.UsableServer(id); !used {
-				l.retire(up)
-			}
+	for i := range event.List.Targets {
+		l.alignServer(&event.List.Targets[i])
+	}
+	if event.Kind != balance.ListDelta {
+		l.retireUnused()
+	}
+	l.Execute(now, actions)
+}
+
+// serverList converts what discovery has said to the balancer's event. Targets without a UID are left out.
+func (l *Loop) serverList(event discovery.ListEvent) balance.ServerList {
+	list := balance.ServerList{
+		Kind: event.Kind, Rev: event.List.Rev, Source: event.Source, FromFetch: event.FromFetch, Busy: event.Busy,
+		RetryAfter: event.RetryAfter, Servers: make([]balance.Server, 0, len(event.List.Targets)),
+	}
+	for i := range event.List.Targets {
+		if target := &event.List.Targets[i]; target.UID != "" {
+			list.Servers = append(list.Servers, l.Cfg.Server(target))
 		}
 	}
-	l.Act(now, actions)
+	return list
 }
 
-// alignServer brings one server of the table in line with what the module makes of its entry.
-func (l *Loop) alignServer(t *endpointlist.Target) {
-	s, used := l.Balancer.UsableServer(endpointlist.ServerID(t.UID))
-	old := l.servers[s.ID]
-	switch {
-	case !used:
-		l.retire(l.servers[endpointlist.ServerID(t.UID)])
-	case s.AddressKey != endpointlist.AddressKey(t.Endpoint) || s.StartedAt != t.BootMS: // another entry of this name counts, or an older list
-	case old == nil || old.Endpoint != t.Endpoint || old.BootMS != t.BootMS:
-		l.retire(old)
-		l.servers[s.ID] = &upstream.Server{ID: s.ID, Endpoint: t.Endpoint, BootMS: t.BootMS}
+// retireUnused retires the servers of the table that the balancer does not use any more.
+func (l *Loop) retireUnused() {
+	for id, server := range l.servers {
+		if _, used := l.Balancer.UsableServer(id); !used {
+			l.retireServer(server)
+		}
+	}
+}
+
+// alignServer brings one server of the table in line with what the balancer makes of its entry. A restart or another
+// address makes a new server.
+func (l *Loop) alignServer(target *endpointlist.Target) {
+	id := endpointlist.ServerID(target.UID)
+	entry, used := l.Balancer.UsableServer(id)
+	if !used {
+		l.retireServer(l.servers[id])
+		return
+	}
+	if entry.AddressKey != endpointlist.AddressKey(target.Endpoint) || entry.StartedAt != target.BootMS {
+		return // another entry of this UID counts, or an older list
+	}
+	old := l.servers[id]
+	if old == nil || old.Endpoint != target.Endpoint || old.BootMS != target.BootMS {
+		l.retireServer(old)
+		l.servers[id] = &upstream.Server{ID: id, Endpoint: target.Endpoint, BootMS: target.BootMS}
 	}
 }
 
-// retire ends a server's process as this sidecar knew it: nothing new goes to it, its connections go.
-func (l *Loop) retire(up *upstream.Server) {
-	if up != nil {
-		delete(l.servers, up.ID)
-		l.Pool.Retire(up)
+// retireServer takes a server's process out of the table: nothing new goes to it, and its connections are closed.
+func (l *Loop) retireServer(server *upstream.Server) {
+	if server != nil {
+		delete(l.servers, server.ID)
+		l.Pool.Retire(server)
 	}
 }
--- a/internal/sidecar/eventloop/loop.go
+++ b/internal/sidecar/eventloop/loop.go
@@ -1,7 +1,6 @@
 package eventloop
 
 import (
-	"container/heap"
 	"context"
 	"log/slog"
 	"sync"
@@ -19,10 +18,10 @@
 	"marblelane/internal/sidecar/upstream"
 )
 
-// publishInterval is how far the figures of servers may lag: 0.5 s is allowed.
+// publishInterval is how far the figures of servers may lag.
 const publishInterval = 100 * time.Millisecond
 
-// inboxSize lets socket goroutines hand over what they have while the loop is at work.
+// inboxSize lets socket goroutines hand over messages while the loop is at work.
 const inboxSize = 1024
 
 // AttemptDone is the end of an attempt.
@@ -34,267 +33,200 @@
 // healthCheckDone is the end of a health check.
 type healthCheckDone struct {
 	server    *upstream.Server
-	startedAt float64
+	startedAt float64 // ms
 	reply     inflight.Reply
 }
 
-// openCall is a call that is not ended, with its attempts in order.
+// openCall is a call that has not ended.
 type openCall struct {
 	*inflight.Call
-	Attempts []*upstream.Attempt
-	live     int // Attempts without an outcome
+	Attempts     []*upstream.Attempt // in order
+	liveAttempts int                 // without an outcome
 }
 
-// Loop is the one owner of the module, its timers and the table of requests. Nothing in it blocks on I/O.
+// Loop is the one owner of the balancer, its timers and the table of calls. Nothing in it blocks on I/O. What is not set by
+// New is set before Run.
 type Loop struct {
-	Cfg        *config.Config
-	Clock      clock.Clock
-	clockSteps *clock.StepDetector
-	Balancer   *balance.Balancer
-	Pool       *upstream.Pool
-	Discovery  *discovery.Client
-	Metrics    *metrics.Metrics
-	Inbox      chan any
-	Stopped    chan struct{}
-
-	Ctx     context.Context // ends all attempts and probes
-	Workers sync.WaitGroup
-
-	Calls        map[balance.RequestID]*openCall
-	lastID       balance.RequestID
-	servers      map[balance.ServerID]*upstream.Server // those that are ready
-	timers       timers
-	timersRan    float64 // when timers last woke the loop
-	listReceived bool    // discovery has sent a list
-
-	Routing *routing.Router   // nil: off
-	Members *fleet.Membership // nil: off
-}
-
-func New(cfg *config.Config, bal *balance.Balancer, ups *upstream.Pool) *Loop {
+	Cfg       *config.Config
+	Clock     clock.Clock
+	Balancer  *balance.Balancer
+	Pool      *upstream.Pool
+	Discovery *discovery.Client
+	Metrics   *metrics.Metrics
+	Routing   *routing.Router   // nil: off
+	Members   *fleet.Membership // nil: off
+
+	Inbox   chan any        // messages of Post; never closed
+	Stopped chan struct{}   // closed by Run at its end
+	Ctx     context.Context // ends all attempts and health checks
+	Workers sync.WaitGroup  // goroutines that Run waits for
+
+	Calls         map[balance.RequestID]*openCall
+	lastID        balance.RequestID
+	servers       map[balance.ServerID]*upstream.Server // those that are ready
+	timers        timerHeap
+	lastTimerWake float64 // ms; when timers last woke the loop
+	listReceived  bool    // from discovery
+	clockSteps    *clock.StepDetector
+}
+
+// New gives a loop for a balancer that sends by a pool of connections.
+func New(cfg *config.Config, balancer *balance.Balancer, pool *upstream.Pool) *Loop {
 	c := clock.New(cfg.Faults)
 	l := &Loop{
-		Cfg: cfg, Clock: c, clockSteps: clock.NewStepDetector(c, cfg.Faults), Balancer: bal, Pool: ups, Metrics: ups.Metrics,
-		Inbox: make(chan any, inboxSize), Stopped: make(chan struct{}),
+		Cfg: cfg, Clock: c, clockSteps: clock.NewStepDetector(c, cfg.Faults), Balancer: balancer, Pool: pool,
+		Metrics: pool.Metrics, Inbox: make(chan any, inboxSize), Stopped: make(chan struct{}),
 		Calls: map[balance.RequestID]*openCall{}, servers: map[balance.ServerID]*upstream.Server{},
 	}
-	ups.Post, ups.Stopped = l.Post, l.Stopped
+	pool.Post, pool.Stopped = l.Post, l.Stopped
 	return l
 }
 
-// Post hands the loop something; after its end it is dropped.
-func (l *Loop) Post(ev any) {
+// Post hands the loop a message; Take has the types. After the loop's end messages are dropped.
+func (l *Loop) Post(message any) {
 	select {
-	case l.Inbox <- ev:
+	case l.Inbox <- message:
 	case <-l.Stopped:
 	}
 }
 
-// Run works until ctx ends. What is waiting makes one batch with one reading of the clock. Timers wake the
-// loop no more often than the quantum; what comes from sockets is never made to wait for it.
+// Run works until ctx ends, and then waits for the goroutines that the loop has started. All messages that are there make
+// one batch with one reading of the clock. Timers wake the loop no more often than the quantum of the settings; messages
+// are not delayed by it.
 func (l *Loop) Run(ctx context.Context) {
 	defer l.Workers.Wait()
 	defer close(l.Stopped)
 	l.Ctx = ctx
-	now := l.Clock.Millis(time.Now())
-	l.Act(now, l.Balancer.Start(now))
+	now := l.now()
+	l.Execute(now, l.Balancer.Start(now))
 	l.TakeListEvent(now, discovery.ListEvent{Kind: balance.ListCached, List: l.Cfg.Known})
-	l.publish(now)
+	l.publishMetrics(now)
 	defer l.Routing.Start(func(f func()) { l.Workers.Go(f) })()
 	defer l.Members.Start()()
 	alarm := time.NewTimer(time.Hour)
 	defer alarm.Stop()
-	var publish <-chan time.Time
+	var publish <-chan time.Time // nil: nobody reads the figures
 	if l.Cfg.Management != "" {
 		ticker := time.NewTicker(publishInterval)
 		defer ticker.Stop()
 		publish = ticker.C
 	}
 	for {
-		if len(l.timers) > 0 {
-			next := max(l.timers[0].due, l.timersRan+l.Cfg.Balance.Quantum)
-			alarm.Reset(clock.Duration(next - l.Clock.Millis(time.Now())))
-		}
+		l.setAlarm(alarm)
 		select {
 		case <-ctx.Done():
 			return
-		case ev := <-l.Inbox:
-			now := l.Clock.Millis(time.Now())
-			l.fireTimers(now)
-			l.Take(now, ev)
-			for n := len(l.Inbox); n > 0; n-- {
-				l.Take(now, <-l.Inbox)
-			}
+		case message := <-l.Inbox:
+			l.takeBatch(message)
 		case <-alarm.C:
-			l.timersRan = l.Clock.Millis(time.Now())
-			l.fireTimers(l.timersRan)
+			l.lastTimerWake = l.now()
+			l.fireTimers(l.lastTimerWake)
 		case <-l.Routing.Woken():
-			l.Routing.Take(l.Clock.Millis(time.Now()))
+			l.Routing.Take(l.now())
 		case <-l.Members.Woken():
-			l.takeMembers(l.Clock.Millis(time.Now()))
+			l.takeFleetSize(l.now())
 		case <-publish:
-			l.checkClock(l.Clock.Millis(time.Now()))
-			l.publish(l.Clock.Millis(time.Now()))
+			l.checkClock(l.now())
+			l.publishMetrics(l.now())
 		}
 	}
 }
 
-// publish leaves what the module knows of the servers where the management address reads it.
-func (l *Loop) publish(now float64) {
+// now is the balancer's time in ms.
+func (l *Loop) now() float64 { return l.Clock.Millis(time.Now()) }
+
+// setAlarm sets the alarm to the next timer.
+func (l *Loop) setAlarm(alarm *time.Timer) {
+	if len(l.timers) == 0 {
+		return
+	}
+	next := max(l.timers[0].due, l.lastTimerWake+l.Cfg.Balance.Quantum)
+	alarm.Reset(clock.Duration(next - l.now()))
+}
+
+// takeBatch takes a message and those that wait behind it.
+func (l *Loop) takeBatch(first any) {
+	now := l.now()
+	l.fireTimers(now)
+	l.Take(now, first)
+	for n := len(l.Inbox); n > 0; n-- {
+		l.Take(now, <-l.Inbox)
+	}
+}
+
+// publishMetrics leaves what the balancer knows of the servers where the management address reads it.
+func (l *Loop) publishMetrics(now float64) {
 	listed, avoided := l.Balancer.CountServers(now)
-	l.Metrics.Servers.Store(&metrics.ServerMetrics{Listed: listed, Avoided: avoided, Ready: len(l.servers), ListReceived: l.listReceived, List: l.Balancer.ListStatus(now), Zones: l.Balancer.ZoneStatus(),
-		Routes: l.Routing.Figures()})
+	l.Metrics.Servers.Store(&metrics.ServerMetrics{
+		Listed: listed, Avoided: avoided, Ready: len(l.servers), ListReceived: l.listReceived,
+		List: l.Balancer.ListStatus(now), Zones: l.Balancer.ZoneStatus(), Routes: l.Routing.Figures(),
+	})
 }
 
-// fireTimers delivers the timers that are due; one that is set meanwhile waits for the next batch.
+// fireTimers delivers the timers that are due. A timer that is set meanwhile waits for the next batch.
 func (l *Loop) fireTimers(now float64) {
-	var due []timer
-	for len(l.timers) > 0 && l.timers[0].due <= now {
-		due = append(due, heap.Pop(&l.timers).(timer))
-	}
-	for _, t := range due {
-		l.Tell(now, balance.Timer{Token: t.token})
+	for _, t := range l.timers.takeDue(now) {
+		l.HandleEvent(now, balance.Timer{Token: t.token})
 	}
 }
 
-func (l *Loop) Take(now float64, ev any) {
-	switch ev := ev.(type) {
+// Take takes one message.
+func (l *Loop) Take(now float64, message any) {
+	switch m := message.(type) {
 	case clientserver.Arrival:
-		l.lastID++
-		ev.Call.Request.ID = l.lastID
-		l.Calls[l.lastID] = &openCall{Call: ev.Call}
-		request := ev.Call.Request
-		if request.BodyStreaming = ev.Call.Outbound.Upload != nil; request.BodyStreaming {
-			request.Remaining = float64(ev.Call.Timeout) / float64(time.Millisecond)
-		} else {
-			request.Remaining = l.Clock.Millis(ev.Call.Deadline) - now
-		}
-		l.Tell(now, request)
+		l.takeArrival(now, m.Call)
+	case clientserver.ClientGone:
+		l.takeClientGone(now, m.Call)
 	case upstream.BodyComplete:
-		c := ev.Call
-		c.Deadline = c.Outbound.Upload.CompletedAt().Add(c.Timeout)
-		if open := l.Calls[c.Request.ID]; open != nil {
-			for _, a := range open.Attempts {
-				a.StartedAt = now
-			}
-		}
-		l.Tell(now, balance.BodyComplete{Request: c.Request.ID, Remaining: l.Clock.Millis(c.Deadline) - now})
+		l.takeBodyComplete(now, m.Call)
 	case upstream.AnswerStarted:
-		l.takeAnswerStarted(now, ev.Attempt, ev.Answer)
+		l.takeAnswerStarted(now, m.Attempt, m.Answer)
 	case upstream.Connecting:
-		l.Tell(now, balance.Connecting{Request: ev.Attempt.Call.Request.ID, Attempt: ev.Attempt.Number, Established: ev.Established})
+		l.HandleEvent(now, balance.Connecting{
+			Request: m.Attempt.Call.Request.ID, Attempt: m.Attempt.Number, Established: m.Established,
+		})
 	case upstream.ConnectionReady:
-		if l.servers[ev.Server.ID] == ev.Server {
-			l.Tell(now, balance.ConnectionReady{Server: ev.Server.ID})
+		if l.servers[m.Server.ID] == m.Server {
+			l.HandleEvent(now, balance.ConnectionReady{Server: m.Server.ID})
 		}
-	case clientserver.ClientGone:
-		l.takeClientGone(now, ev.Call)
 	case AttemptDone:
-		l.takeOutcome(now, ev.attempt, ev.reply)
+		l.takeAttemptDone(now, m.attempt, m.reply)
 	case healthCheckDone:
-		l.Tell(now, balance.HealthCheckResult{
-			Server: ev.server.ID, Result: ev.reply.Result, Elapsed: now - ev.startedAt, Report: ev.reply.Report,
+		l.HandleEvent(now, balance.HealthCheckResult{
+			Server: m.server.ID, Result: m.reply.Result, Elapsed: now - m.startedAt, Report: m.reply.Report,
 		})
 	case discovery.ListEvent:
-		l.TakeListEvent(now, ev)
+		l.TakeListEvent(now, m)
 	case balance.ProcessCount:
-		l.Tell(now, ev)
+		l.HandleEvent(now, m)
 	case balance.ListServices:
-		l.Tell(now, ev)
+		l.HandleEvent(now, m)
 	case balance.Shutdown:
-		l.Tell(now, ev)
-	}
-}
-
-// takeMembers brings what is known of the fleet to the module.
-func (l *Loop) takeMembers(now float64) {
-	if size, known := l.Members.Size(); known {
-		l.Tell(now, size)
-		l.Members.SetEstimate(l.Balancer.FleetSize())
-	}
-}
-
-// takeClientGone ends a call to which nobody listens any more.
-func (l *Loop) takeClientGone(now float64, c *inflight.Call) {
-	l.cancelUnwritten(c)
-	l.Tell(now, balance.ClientGone{Request: c.Request.ID})
-	l.release(c)
-}
-
-// takeAnswerStarted makes an answer that has begun the client's.
-func (l *Loop) takeAnswerStarted(now float64, a *upstream.Attempt, with inflight.Answer) {
-	c := a.Call
-	if !c.Finish() {
-		with.Stream.Ended <- inflight.ErrBodyUnwanted
-		return
-	}
-	a.FirstByteAfter = now - a.StartedAt
-	c.Answers <- with
-	l.cancelUnwritten(c)
-	l.Tell(now, balance.AnswerStarted{Request: c.Request.ID, Attempt: a.Number, Server: a.Server.ID, Elapsed: a.FirstByteAfter})
-}
-
-// takeOutcome passes on the one outcome of an attempt. The first that is served is the client's answer.
-func (l *Loop) takeOutcome(now float64, a *upstream.Attempt, r inflight.Reply) {
-	a.Cancel()
-	c := a.Call
-	if open := l.Calls[c.Request.ID]; open != nil {
-		open.live--
-	}
-	if r.Result == balance.OK && c.Finish() {
-		c.Answers <- r.Answer
-		l.cancelUnwritten(c)
-	}
-	if c.Left.Load() && c.Finish() { // the attempt saw it: no other is made
-		c.Answers <- inflight.Answer{ClientLeft: true}
-		l.takeClientGone(now, c)
-	}
-	took := now - a.StartedAt
-	if a.FirstByteAfter > 0 {
-		took = a.FirstByteAfter
+		l.HandleEvent(now, m)
 	}
-	if a.RouteCheck != nil {
-		l.Routing.CountOutcome(now, a.RouteCheck, c, &r, took, a.FirstByteAfter > 0)
-	}
-	l.Tell(now, balance.Outcome{
-		Request: c.Request.ID, Attempt: a.Number, Server: a.Server.ID, Result: r.Result, Elapsed: took,
-		Finished: c.Final.Load(), Report: r.Report, BodyConsumed: r.BodyConsumed, RouteRevoked: r.RouteRevoked,
-	})
-	l.release(c)
 }
 
-// cancelUnwritten stops what has not been sent yet: after the final answer nothing more is.
-func (l *Loop) cancelUnwritten(c *inflight.Call) {
-	open := l.Calls[c.Request.ID]
-	if open == nil {
-		return
-	}
-	for _, a := range open.Attempts {
-		if !a.Written.Load() {
-			a.Cancel()
-		}
-	}
-}
-
-// release drops a call that is answered and has nothing out.
-func (l *Loop) release(c *inflight.Call) {
-	if open := l.Calls[c.Request.ID]; open != nil && open.live == 0 && c.Final.Load() {
-		delete(l.Calls, c.Request.ID)
-	}
-}
-
-func (l *Loop) Tell(now float64, ev balance.Event) {
-	actions, err := l.Balancer.Handle(now, ev)
+// HandleEvent hands the balancer an event and carries out its actions.
+func (l *Loop) HandleEvent(now float64, event balance.Event) {
+	actions, err := l.Balancer.Handle(now, event)
 	if err != nil {
-		slog.Error("the module refuses an event", "error", err)
+		slog.Error("eventloop: the balancer rejects an event", "err", err)
 		return
 	}
-	l.Act(now, actions)
+	l.Execute(now, actions)
 }
 
-// checkClock tells the module of a step.
+// checkClock tells the balancer of a step of the wall clock.
 func (l *Loop) checkClock(now float64) {
 	if step, stepped := l.clockSteps.Check(); stepped {
-		l.Tell(now, step)
+		l.HandleEvent(now, step)
+	}
+}
+
+// takeFleetSize hands the balancer the number of processes in the fleet.
+func (l *Loop) takeFleetSize(now float64) {
+	if size, known := l.Members.Size(); known {
+		l.HandleEvent(now, size)
+		l.Members.SetEstimate(l.Balancer.FleetSize())
 	}
 }
--- a/internal/sidecar/eventloop/timers.go
+++ b/internal/sidecar/eventloop/timers.go
@@ -1,25 +1,43 @@
 package eventloop
 
-// This file is the heap of timers that the module has set.
+import "container/heap"
 
-// timer is a SetTimer of the module.
+// timer is a timer that the balancer has set.
 type timer struct {
-	due   float64
+	due   float64 // ms
 	token uint64
 }
 
-type timers []timer
+// timerHeap holds timers, the earliest first.
+type timerHeap []timer
 
-func (t timers) Len() int { return len(t) }
+// set adds a timer.
+func (h *timerHeap) set(t timer) { heap.Push(h, t) }
 
-func (t timers) Less(i, j int) bool { return t[i].due < t[j].due }
+// takeDue removes the timers that are due and gives them in order.
+func (h *timerHeap) takeDue(now float64) []timer {
+	var due []timer
+	for len(*h) > 0 && (*h)[0].due <= now {
+		due = append(due, heap.Pop(h).(timer))
+	}
+	return due
+}
+
+// Len is part of heap.Interface.
+func (h timerHeap) Len() int { return len(h) }
+
+// Less is part of heap.Interface.
+func (h timerHeap) Less(i, j int) bool { return h[i].due < h[j].due }
 
-func (t timers) Swap(i, j int) { t[i], t[j] = t[j], t[i] }
+// Swap is part of heap.Interface.
+func (h timerHeap) Swap(i, j int) { h[i], h[j] = h[j], h[i] }
 
-func (t *timers) Push(v any) { *t = append(*t, v.(timer)) }
+// Push is part of heap.Interface.
+func (h *timerHeap) Push(v any) { *h = append(*h, v.(timer)) }
 
-func (t *timers) Pop() any {
-	last := (*t)[len(*t)-1]
-	*t = (*t)[:len(*t)-1]
+// Pop is part of heap.Interface.
+func (h *timerHeap) Pop() any {
+	last := (*h)[len(*h)-1]
+	*h = (*h)[:len(*h)-1]
 	return last
 }
--- a/internal/sidecar/limits.go
+++ b/internal/sidecar/limits.go
@@ -10,36 +10,69 @@
 	"marblelane/internal/sidecar/config"
 )
 
-// budget is what all processes of a sidecar may use together.
+const (
+	// A part of the sockets is reserved for the listeners, discovery, the log, the runtime and the management address.
+	reserveFraction    = 1. / 6
+	maxReserve         = 64
+	managementFraction = 0.25 // of the reserve, for connections to the management address
+	clientFraction     = 0.55 // of the rest, for clients; servers have what is left
+	keepAliveFraction  = 0.75 // of the client connections: beyond it they are closed between requests
+
+	requestFraction = 0.5      // of the memory limit, for all but held bodies of requests
+	requestMemory   = 96 << 10 // bytes that a long body or answer takes on its way: buffers, connections and stacks
+	bytesPerMB      = 1 << 20
+	gcPercent       = 400 // garbage is small beside the limit, and there is one core
+)
+
+// budget is what all processes of a sidecar may use together: connections, and requests at a time.
 type budget struct{ management, clients, servers, requests int }
 
-// divideLimits divides what this sidecar may use among its processes.
+// newBudget divides the limits of the configuration.
+func newBudget(cfg *config.Config) budget {
+	reserve := min(max(int(float64(cfg.Sockets)*reserveFraction), config.MinReserve), maxReserve)
+	free := cfg.Sockets - reserve
+	b := budget{
+		management: int(float64(reserve) * managementFraction),
+		clients:    int(float64(free) * clientFraction),
+	}
+	b.servers = free - b.clients
+	b.requests = b.servers
+	if cfg.MemoryMB > 0 {
+		b.requests = min(b.requests, int(float64(cfg.MemoryMB)*requestFraction*bytesPerMB/requestMemory))
+	}
+	if cfg.MaxOpen > 0 {
+		b.requests = min(b.requests, cfg.MaxOpen)
+	}
+	return b
+}
+
+// divideLimits divides the budget among the processes of this sidecar. The caller holds siblings, or is alone.
 func (s *Sidecar) divideLimits() {
-	parts := 1 + s.older + s.newer
-	if s.older+s.newer > 0 {
-		slog.Info("upgrade: this sidecar shares its limits", "processes", parts)
+	processes := 1 + s.older + s.newer
+	if processes > 1 {
+		slog.Info("upgrade: this sidecar shares its limits", "processes", processes)
 	}
 	if s.management != nil {
-		s.management.SetLimit(max(s.budget.management/parts, 1))
+		s.management.SetLimit(max(s.budget.management/processes, 1))
 	}
-	clients := s.budget.clients / parts
+	clients := s.budget.clients / processes
 	s.listener.SetLimit(clients)
 	s.clients.MaxKeptConns.Store(int64(float64(clients) * keepAliveFraction))
-	s.clients.MaxRequests.Store(int64(max(s.budget.requests/parts, 1)))
-	s.loop.Pool.SetLimit(s.budget.servers / parts)
-	s.clients.Memory.SetLimit(s.cfg.BodyMemory() / int64(parts))
-	s.loop.Post(balance.ProcessCount{Processes: parts})
-	limitMemory(s.cfg, parts)
+	s.clients.MaxRequests.Store(int64(max(s.budget.requests/processes, 1)))
+	s.loop.Pool.SetLimit(s.budget.servers / processes)
+	s.clients.Memory.SetLimit(s.cfg.BodyMemory() / int64(processes))
+	s.loop.Post(balance.ProcessCount{Processes: processes})
+	limitMemory(s.cfg, processes)
 }
 
-// predecessorAlive tells whether the process before this one is still there.
+// predecessorAlive reports whether the predecessor still runs.
 func (s *Sidecar) predecessorAlive() bool {
 	s.siblings.Lock()
 	defer s.siblings.Unlock()
 	return s.older > 0
 }
 
-// setSiblings takes in how many older or newer processes are alive beside this one.
+// setSiblings sets older or newer, and divides the limits anew.
 func (s *Sidecar) setSiblings(which *int, alive int) {
 	s.siblings.Lock()
 	defer s.siblings.Unlock()
@@ -56,14 +89,14 @@
 	}
 }
 
-// limitMemory holds to a part what Limit has limited.
-func limitMemory(cfg *config.Config, parts int) {
-	before := debug.SetMemoryLimit(-1)
-	if before == math.MaxInt64 || before == cfg.MemoryLimit(parts) {
+// limitMemory sets the runtime's limit to this process's part, if Limit has set one.
+func limitMemory(cfg *config.Config, processes int) {
+	current := debug.SetMemoryLimit(-1) // a negative value only reads it
+	if current == math.MaxInt64 || current == cfg.MemoryLimit(processes) {
 		return
 	}
-	debug.SetMemoryLimit(cfg.MemoryLimit(parts))
-	if parts > 1 {
+	debug.SetMemoryLimit(cfg.MemoryLimit(processes))
+	if processes > 1 {
 		debug.FreeOSMemory()
 	}
 }
--- a/internal/sidecar/routing/check.go
+++ b/internal/sidecar/routing/check.go
@@ -34,45 +34,45 @@
 var ErrRevoked = errors.New("its route is not acted on any more")
 
 // Begin is the last look.
-func (k *Check) Begin() (under int64, err error) {
-	if k.fixed {
-		if !k.client.BeginAs(k.rev, k.tenant, k.canary, k.headerRevision) {
+func (check *Check) Begin() (under int64, err error) {
+	if check.fixed {
+		if !check.client.BeginAs(check.rev, check.tenant, check.canary, check.headerRevision) {
 			return 0, ErrRevoked
 		}
-		k.Started, k.countedRevision = true, k.headerRevision
-		return k.headerRevision, nil
+		check.Started, check.countedRevision = true, check.headerRevision
+		return check.headerRevision, nil
 	}
-	under, ok := k.client.Begin(k.rev, k.tenant, k.canary)
+	under, ok := check.client.Begin(check.rev, check.tenant, check.canary)
 	if !ok {
 		return 0, ErrRevoked
 	}
-	k.Started, k.countedRevision = true, under
+	check.Started, check.countedRevision = true, under
 	return under, nil
 }
 
 // Expect is what begin would say now, and what the head says.
-func (k *Check) Expect() int64 {
-	k.headerRevision = k.client.Under(k.rev)
-	return k.headerRevision
+func (check *Check) Expect() int64 {
+	check.headerRevision = check.client.Under(check.rev)
+	return check.headerRevision
 }
 
 // RecordEnd counts an attempt whose connection never came up as begun: it tells of the server as one that failed does.
-func (k *Check) RecordEnd(r inflight.Reply) inflight.Reply {
-	if k != nil && !k.Started && (r.Result == balance.ConnectFailed || r.Result == balance.Unreachable) {
-		k.fixed = false // no head was written
-		k.Begin()       // not ok: it stays uncounted
+func (check *Check) RecordEnd(r inflight.Reply) inflight.Reply {
+	if check != nil && !check.Started && (r.Result == balance.ConnectFailed || r.Result == balance.Unreachable) {
+		check.fixed = false // no head was written
+		check.Begin()       // not ok: it stays uncounted
 	}
 	return r
 }
 
 // SetHeaders tells a server what an attempt counts under.
-func (k *Check) SetHeaders(h http.Header, under int64) {
+func (check *Check) SetHeaders(h http.Header, under int64) {
 	h.Del(RevisionHeader)
 	h.Del(CanaryHeader)
 	if under > 0 {
 		h.Set(RevisionHeader, strconv.FormatInt(under, 10))
 	}
-	if k.canary {
+	if check.canary {
 		h.Set(CanaryHeader, "1")
 	}
 }
--- a/internal/sidecar/routing/router.go
+++ b/internal/sidecar/routing/router.go
@@ -53,16 +53,16 @@
 
 // EventLoop is the event loop as routing needs it.
 type EventLoop interface {
-	Tell(now float64, ev balance.Event)
-	Act(now float64, actions []balance.Action)
+	HandleEvent(now float64, ev balance.Event)
+	Execute(now float64, actions []balance.Action)
 }
 
 // Router is the loop's part; nil where there is none.
 type Router struct {
-	loop    EventLoop
-	bal     *balance.Balancer
-	clock   clock.Clock
-	classes []balance.Class
+	loop     EventLoop
+	balancer *balance.Balancer
+	clock    clock.Clock
+	classes  []balance.Class
 
 	Client  *routeclient.Client
 	wake    chan struct{} // of 1: steer has news, or a sample is due
@@ -109,7 +109,7 @@
 // Attach gives the loop that routing belongs to, before start.
 func (r *Router) Attach(loop EventLoop, bal *balance.Balancer, c clock.Clock, classes []balance.Class) {
 	if r != nil {
-		r.loop, r.bal, r.clock, r.classes = loop, bal, c, classes
+		r.loop, r.balancer, r.clock, r.classes = loop, bal, c, classes
 	}
 }
 
@@ -132,8 +132,8 @@
 	return func() {
 		r.SampleTimer.Stop()
 		now := r.clock.Millis(time.Now())
-		for _, p := range r.bal.CanaryBudgets() {
-			r.loop.Tell(now, balance.BudgetGrant{ID: p.ID, Units: p.Granted, MaxIdle: 0})
+		for _, budget := range r.balancer.CanaryBudgets() {
+			r.loop.HandleEvent(now, balance.BudgetGrant{ID: budget.ID, Units: budget.Granted, MaxIdle: 0})
 		}
 		r.sample(now)
 		cancel()
@@ -142,19 +142,19 @@
 
 // Take takes in what the duties have, and offers a sample that is due.
 func (r *Router) Take(now float64) {
-	if got, fresh := r.Client.Take(); fresh {
+	if update, fresh := r.Client.Take(); fresh {
 		until := 0.
-		if !got.Until.IsZero() {
-			until = r.clock.Millis(got.Until) - leaseMargin
+		if !update.Until.IsZero() {
+			until = r.clock.Millis(update.Until) - leaseMargin
 		}
-		r.loop.Tell(now, balance.CanaryLease{Until: until})
-		if got.Table != nil {
-			r.takeTable(now, got.Table)
+		r.loop.HandleEvent(now, balance.CanaryLease{Until: until})
+		if update.Table != nil {
+			r.takeTable(now, update.Table)
 		}
-		for _, g := range got.Grants {
+		for _, g := range update.Grants {
 			id := route.RolloutID(g.Tenant, g.Rollout)
 			if slices.ContainsFunc(r.canaries, func(c canary) bool { return c.id == id }) {
-				r.loop.Tell(now, balance.BudgetGrant{ID: id, Units: g.Granted, MaxIdle: g.Keep})
+				r.loop.HandleEvent(now, balance.BudgetGrant{ID: id, Units: g.Granted, MaxIdle: g.Keep})
 			}
 		}
 		r.sampleSoon = true
@@ -177,7 +177,7 @@
 	for _, text := range skipped {
 		slog.Warn("routes: a part is not acted on", "revision", t.Rev, "why", text)
 	}
-	actions, err := r.bal.Handle(now, routes)
+	actions, err := r.balancer.Handle(now, routes)
 	if err != nil {
 		slog.Error("routes: the module refuses a table", "revision", t.Rev, "error", err)
 		r.Client.Refused(t.Rev)
@@ -186,15 +186,15 @@
 	r.Client.ActOn(t.Rev)
 	before := r.canaries
 	r.canaries, r.Routed = nil, make(map[int]RoutedTenant, len(routes.List))
-	purses := map[uint64]bool{}
+	budgeted := map[uint64]bool{}
 	for _, b := range routes.List {
 		r.Routed[b.Tenant] = RoutedTenant{b.Classes, b.LateIsFailure}
-		purses[b.ID] = b.Budgeted
+		budgeted[b.ID] = b.Budgeted
 	}
 	for i := range t.Routes {
 		from := &t.Routes[i]
 		id := route.RolloutID(from.Tenant, from.Rollout)
-		if !purses[id] {
+		if !budgeted[id] {
 			continue
 		}
 		c := canary{id: id, tenant: from.Tenant, rollout: from.Rollout}
@@ -214,7 +214,7 @@
 			r.canaries = append(r.canaries, old)
 		}
 	}
-	r.loop.Act(now, actions)
+	r.loop.Execute(now, actions)
 }
 
 // changed makes a change known soon.
@@ -227,29 +227,29 @@
 
 // sample offers the state of this moment to the duties.
 func (r *Router) sample(now float64) {
-	s := routeclient.Sample{List: r.bal.ListRev(), Counts: make([]route.Count, 0, len(r.counts))}
+	s := routeclient.Sample{List: r.balancer.ListRev(), Counts: make([]route.Count, 0, len(r.counts))}
 	for _, c := range r.counts {
 		s.Counts = append(s.Counts, *c)
 	}
 	held := map[uint64]balance.CanaryBudget{}
 	r.freeUnits = 0
-	for _, p := range r.bal.CanaryBudgets() {
-		held[p.ID] = p
-		r.freeUnits += p.Free()
+	for _, budget := range r.balancer.CanaryBudgets() {
+		held[budget.ID] = budget
+		r.freeUnits += budget.Free()
 	}
-	fade := math.Exp2(-(now - r.sampledAt) / 1e3)
+	decay := math.Exp2(-(now - r.sampledAt) / 1e3)
 	r.canaries = slices.DeleteFunc(r.canaries, func(c canary) bool {
 		return c.endedAt > 0 && now > c.endedAt+settleTime && held[c.id].Reserved == 0
 	})
 	for i := range r.canaries {
 		c := &r.canaries[i]
-		p := held[c.id]
-		missed := p.Denied - c.denied
+		budget := held[c.id]
+		missed := budget.Denied - c.denied
 		// What was missed within one sample was hardly out at once: the want doubles until nothing is.
-		c.denied, c.peakReserved = p.Denied, max(c.peakReserved*fade, float64(p.Reserved+min(missed, p.Reserved+1)))
+		c.denied, c.peakReserved = budget.Denied, max(c.peakReserved*decay, float64(budget.Reserved+min(missed, budget.Reserved+1)))
 		s.Short = s.Short || missed > 0
 		state := route.PurseState{
-			Tenant: c.tenant, Rollout: c.rollout, Granted: p.Granted, Spent: p.Spent, Returned: p.Returned,
+			Tenant: c.tenant, Rollout: c.rollout, Granted: budget.Granted, Spent: budget.Spent, Returned: budget.Returned,
 		}
 		if c.endedAt == 0 {
 			state.Want = int64(min(1+math.Ceil(c.peakReserved), maxWantedUnits))
@@ -265,48 +265,48 @@
 	if r == nil {
 		return nil
 	}
-	by, ok := r.Routed[c.Request.Tenant]
+	tenant, ok := r.Routed[c.Request.Tenant]
 	if !ok {
-		by, ok = r.Routed[-1]
+		tenant, ok = r.Routed[-1]
 	}
 	if act.RoutesRev == 0 && !ok {
 		return nil
 	}
 	r.changed(now)
-	k := &Check{client: r.Client, rev: act.RoutesRev, canary: act.ToCanary, lateIsFailure: by.lateIsFailure, fixed: c.Outbound.Upload != nil,
-		comparable: len(by.classes) == 0 || slices.Contains(by.classes, c.Request.Class)}
+	check := &Check{client: r.Client, rev: act.RoutesRev, canary: act.ToCanary, lateIsFailure: tenant.lateIsFailure, fixed: c.Outbound.Upload != nil,
+		comparable: len(tenant.classes) == 0 || slices.Contains(tenant.classes, c.Request.Class)}
 	if c.Request.Tenant < len(r.Tenants) {
-		k.tenant = r.Tenants[c.Request.Tenant]
+		check.tenant = r.Tenants[c.Request.Tenant]
 	}
-	return k
+	return check
 }
 
 // CountOutcome takes in how an attempt of a call has ended that a route had a say in. Streamed: its answer had begun.
-func (r *Router) CountOutcome(now float64, k *Check, c *inflight.Call, reply *inflight.Reply, took float64, streamed bool) {
+func (r *Router) CountOutcome(now float64, check *Check, c *inflight.Call, reply *inflight.Reply, elapsed float64, streamed bool) {
 	r.changed(now)
 	if reply.RouteRevoked {
 		r.revokedAttempts++
 	}
-	aim := r.classes[c.Request.Class].LatencyObjective
+	objective := r.classes[c.Request.Class].LatencyObjective
 	// As the module judges it: a client that left nearly at the end of its time has waited in vain.
 	overdue := !c.Deadline.IsZero() && now >= r.clock.Millis(c.Deadline.Add(-time.Duration(float64(c.Timeout)*(1-waitedInVain))))
-	left := reply.Result == balance.Cancelled && !overdue
-	late := took > aim
+	abandoned := reply.Result == balance.Cancelled && !overdue
+	late := elapsed > objective
 	// A client that left after the aim has seen a failure where late answers are: it cost the canary's unit, too.
-	told := !left || k.lateIsFailure && late && !streamed
-	unsent := reply.Result == balance.NotSent || reply.Result == balance.LocalFailure
-	if !k.Started || unsent || !told || !k.canary && !k.comparable {
+	conclusive := !abandoned || check.lateIsFailure && late && !streamed
+	neverSent := reply.Result == balance.NotSent || reply.Result == balance.LocalFailure
+	if !check.Started || neverSent || !conclusive || !check.canary && !check.comparable {
 		return // it says nothing of the server, or of what the canary is compared with
 	}
-	n := r.countFor(countKey{k.countedRevision, k.tenant, k.canary})
-	n.Ended++
+	count := r.countFor(countKey{check.countedRevision, check.tenant, check.canary})
+	count.Ended++
 	switch {
-	case left:
-		n.Late++
+	case abandoned:
+		count.Late++
 	case reply.Result != balance.OK:
-		n.Failed++
+		count.Failed++
 	case late:
-		n.Late++
+		count.Late++
 	}
 }
 
@@ -324,9 +324,9 @@
 		}
 		r.revs = slices.Insert(r.revs, at, key.rev)
 		if len(r.revs) > maxCountedRevisions {
-			for k := range r.counts {
-				if k.rev == r.revs[0] {
-					delete(r.counts, k)
+			for check := range r.counts {
+				if check.rev == r.revs[0] {
+					delete(r.counts, check)
 				}
 			}
 			r.revs = slices.Delete(r.revs, 0, 1)
--- a/internal/sidecar/shutdown.go
+++ b/internal/sidecar/shutdown.go
@@ -15,53 +15,72 @@
 	"marblelane/internal/sidecar/clock"
 )
 
-// drain ends the service. Where a newer process serves, what comes is its own at once; otherwise new connections
-// are taken for as long as clients may not know, and then for as long as a request may come again on a new one,
-// because the end of its old one crossed it. Each answer ends its connection; those that stay without a request are
-// ended once no more come, as nobody is turned back by that. At the end of service, before SIGKILL may come, nothing
-// more is taken: what would outlast this process gets its answer, whoever is in the middle of a request included, and
-// answers that have begun are passed on to their end. docs/on-call.md says it by the states that a client's
-// connection can be in.
+const (
+	// drainAccept is how long connections are accepted after SIGTERM.
+	drainAccept = 500 * time.Millisecond
+	drainStep   = 5 * time.Millisecond
+	// SIGKILL comes no earlier than killAfter beyond the longest deadline, of which maxDrain counts at most.
+	maxDrain  = 3 * time.Second
+	killAfter = 700 * time.Millisecond
+	// finalAnswerMargin is how long before SIGKILL service ends and all open requests are answered: a client without an
+	// answer cannot tell a request that may be sent again from one that ran. It covers a process that is held up for
+	// 0.15 s, after SIGTERM before it reads its clock, or after that before it writes the answers.
+	finalAnswerMargin = 250 * time.Millisecond
+	// maxAnswerTail is how long answers that have started are passed on where no SIGKILL comes.
+	maxAnswerTail = 30 * time.Second
+)
+
+// drainPhase is how far a graceful shutdown has come.
+type drainPhase uint8
+
+const (
+	drainServing  drainPhase = iota // requests that come are still served
+	drainAnswered                   // service has ended: all that is open is answered, or its answer is passed on
+)
+
+func (p drainPhase) String() string {
+	return [...]string{"serving", "answered"}[p]
+}
+
+// drainState is a graceful shutdown under way; docs/on-call.md has it by the states of a client's connection.
+//
+// Where a newer process serves, what comes is that one's at once. Otherwise connections are accepted for drainAccept, and
+// then while a request may come again on a new connection because the end of its old one crossed it. Each answer ends its
+// connection; connections without a request are ended after drainAccept. At the end of service, finalAnswerMargin before
+// SIGKILL may come, all open requests get their answers, those included of which only a part has come, and answers that
+// have started are passed on to their end.
+type drainState struct {
+	s          *Sidecar
+	startedAt  time.Time
+	serviceEnd time.Time // when service ends
+	idleEnd    time.Time // when connections without a request are ended
+	crossedAt  time.Time // when a request was last likely to come again
+	accepting  bool
+	phase      drainPhase
+}
+
+// drain ends the service gracefully.
 func (s *Sidecar) drain(srv *http.Server) error {
 	s.hook.At(checkpoint.DrainSignalled)
-	began := time.Now()
+	startedAt := time.Now()
 	s.clients.Draining.Store(true)
 	s.predecessor.AnnounceEnd()
 	slog.Info("draining")
-	end := began.Add(s.killTime() - finalAnswerMargin)
-	// A request that crosses the end of an idle connection has to come again before the listener closes.
-	idleEnd := began.Add(min(s.drainAccept, end.Sub(began)-clientserver.CloseWindow))
-	crossed := began // when a request was last likely to come again
-	for open, told := true, false; open || !s.listener.Empty(); time.Sleep(drainStep) {
-		now := time.Now()
-		if !now.Before(idleEnd) && s.listener.CloseIdle(began) {
-			crossed = now
-		}
-		tail := now.Sub(end)
-		if !told && tail >= 0 {
-			told = true
-			s.hook.At(checkpoint.ServiceEnding)
-			s.loop.Post(balance.Shutdown{})
-			s.loop.Members.BeginLeave(finalAnswerMargin) // nothing is sent to servers from here on
-			s.hook.At(checkpoint.WaitingEnding)
-		}
-		if open && (s.successors.Serving.Load() > 0 || told ||
-			!now.Before(idleEnd) && now.Sub(crossed) >= clientserver.CloseWindow) {
-			open = !s.stopAccepting(tail >= finalAnswerMargin)
-		}
-		if told {
-			clientserver.EndWaiting(s.listener)
-			s.clients.Bodies.End()
-		}
-		if tail >= finalAnswerMargin && !open && s.clients.Requests.Load() == 0 || tail >= maxAnswerTail {
-			break // what is left has never sent a whole request
+	untilEnd := s.killTime() - finalAnswerMargin
+	d := &drainState{
+		s: s, startedAt: startedAt, serviceEnd: startedAt.Add(untilEnd), crossedAt: startedAt, accepting: true,
+		// A request that crosses the end of an idle connection has to come again before the listener closes.
+		idleEnd: startedAt.Add(min(s.drainAccept, untilEnd-clientserver.CloseWindow)),
+	}
+	for d.accepting || !s.listener.Empty() {
+		if done := d.step(time.Now()); done {
+			break
 		}
+		time.Sleep(drainStep)
 	}
 	err := srv.Close()
-	for closed := time.Now(); !s.listener.Empty() && time.Since(closed) < clientserver.CloseWindow; {
-		time.Sleep(drainStep) // answers that have just been written are being read
-	}
-	s.loop.Members.Leave(end.Add(finalAnswerMargin))
+	s.awaitClosedConns()
+	s.loop.Members.Leave(d.serviceEnd.Add(finalAnswerMargin))
 	if err != nil && !errors.Is(err, net.ErrClosed) {
 		return fmt.Errorf("drain: %w", err)
 	}
@@ -69,8 +88,52 @@
 	return nil
 }
 
-// stopAccepting closes the listener, and reports whether it has. What waits in it to be accepted would be reset: it is
-// waited for, unless it has to be now, or a newer process has the socket too and takes it.
+// step does what is due, and reports whether nothing is left to wait for.
+func (d *drainState) step(now time.Time) (done bool) {
+	if !now.Before(d.idleEnd) && d.s.listener.CloseIdle(d.startedAt) {
+		d.crossedAt = now
+	}
+	sinceEnd := now.Sub(d.serviceEnd)
+	if d.phase == drainServing && sinceEnd >= 0 {
+		d.endService()
+	}
+	if d.accepting && d.mayStopAccepting(now) {
+		d.accepting = !d.s.stopAccepting(sinceEnd >= finalAnswerMargin)
+	}
+	if d.phase == drainAnswered {
+		clientserver.EndWaiting(d.s.listener)
+		d.s.clients.Bodies.End()
+	}
+	// The connections that are left then have never sent a complete request.
+	answered := sinceEnd >= finalAnswerMargin && !d.accepting && d.s.clients.Requests.Load() == 0
+	return answered || sinceEnd >= maxAnswerTail
+}
+
+// endService lets the balancer answer all open requests. Nothing is sent to servers from here on.
+func (d *drainState) endService() {
+	d.phase = drainAnswered
+	d.s.hook.At(checkpoint.ServiceEnding)
+	d.s.loop.Post(balance.Shutdown{})
+	d.s.loop.Members.BeginLeave(finalAnswerMargin)
+	d.s.hook.At(checkpoint.WaitingEnding)
+}
+
+// mayStopAccepting reports whether no request needs this process's listener any more.
+func (d *drainState) mayStopAccepting(now time.Time) bool {
+	newerServes := d.s.successors.Serving.Load() > 0
+	noneCrosses := !now.Before(d.idleEnd) && now.Sub(d.crossedAt) >= clientserver.CloseWindow
+	return newerServes || d.phase == drainAnswered || noneCrosses
+}
+
+// awaitClosedConns waits a moment for clients to read answers that have just been written.
+func (s *Sidecar) awaitClosedConns() {
+	for startedAt := time.Now(); !s.listener.Empty() && time.Since(startedAt) < clientserver.CloseWindow; {
+		time.Sleep(drainStep)
+	}
+}
+
+// stopAccepting closes the listener, and reports whether it has. Connections that wait to be accepted would be reset: it
+// waits for them, unless it has to close now, or a newer process has the socket too and accepts them.
 func (s *Sidecar) stopAccepting(now bool) bool {
 	if !now && !s.successors.ShareListener() && s.unaccepted(s.tcp) > 0 {
 		return false
@@ -79,7 +142,7 @@
 	return true
 }
 
-// killTime is how long after SIGTERM SIGKILL may come.
+// killTime is the time from SIGTERM to the earliest SIGKILL.
 func (s *Sidecar) killTime() time.Duration {
 	longest := 0.0
 	for i := range s.cfg.Balance.Classes {
--- a/internal/sidecar/sidecar.go
+++ b/internal/sidecar/sidecar.go
@@ -5,6 +5,7 @@
 	"fmt"
 	"log/slog"
 	"net"
+	"net/http"
 	"os"
 	"sync"
 	"sync/atomic"
@@ -25,53 +26,33 @@
 	"marblelane/internal/sidecar/upstream"
 )
 
-const (
-	// A part of the sockets is for the listeners, discovery, the log, the runtime and the management address.
-	reserveFraction    = 1. / 6
-	maxReserve         = 64
-	managementFraction = 0.25 // of the reserve, for connections to the management address
-	clientFraction     = 0.55 // of the rest, for clients; servers have what is left
-	keepAliveFraction  = 0.75 // of the client connections: beyond it they are closed between requests
+// reapInterval is how often idle connections to servers are closed that have become too old.
+const reapInterval = time.Second
 
-	requestFraction = 0.5      // of the limit, for all else of requests at a time
-	requestMemory   = 96 << 10 // that a long body or answer takes on its way: buffers, connections and stacks
-	gcPercent       = 400      // garbage is small beside the limit, and there is one core
-
-	// drainAccept is how long connections are taken after SIGTERM: new ones come for up to 0.4 s.
-	drainAccept = 500 * time.Millisecond
-	drainStep   = 5 * time.Millisecond
-	// SIGKILL comes no earlier than killAfter beyond the longest deadline, of which longestDrain counts at most.
-	maxDrain  = 3 * time.Second
-	killAfter = 700 * time.Millisecond
-	// finalAnswerMargin is how long before that service ends and all that is open is given up: a client that hears nothing
-	// cannot tell a request that may be sent again from one that ran. It covers a process that is held up for 0.15 s,
-	// after SIGTERM before it reads its clock, or after that before it writes the answers.
-	finalAnswerMargin = 250 * time.Millisecond
-	// maxAnswerTail is how long answers that have begun are passed on where no SIGKILL comes.
-	maxAnswerTail = 30 * time.Second
-	reapInterval  = time.Second
-)
+// serversPollInterval is how often a newer process looks whether it knows servers.
+const serversPollInterval = 10 * time.Millisecond
 
 // Sidecar is one running sidecar.
 type Sidecar struct {
 	cfg         *config.Config
-	tcp         *net.TCPListener
-	listener    *clientserver.Limiter
+	tcp         *net.TCPListener      // under listener
+	listener    *clientserver.Limiter // of clients
 	management  *clientserver.Limiter // nil: no management address
 	loop        *eventloop.Loop
 	clients     *clientserver.Server
 	predecessor *handover.Predecessor // nil: none
 	successors  handover.Successors
-
 	serving     atomic.Bool
-	drainAccept time.Duration
-	listTimeout time.Duration
-	unaccepted  func(*net.TCPListener) int
+	budget      budget
+
+	// Tests change these before Run.
+	drainAccept time.Duration              // how long connections are accepted after SIGTERM
+	listTimeout time.Duration              // how long a newer process waits for discovery
+	unaccepted  func(*net.TCPListener) int // how many connections wait to be accepted
 	hook        checkpoint.Hook
 
-	siblings     sync.Mutex
-	older, newer int // processes of this sidecar beside this one
-	budget       budget
+	siblings     sync.Mutex // guards older and newer
+	older, newer int        // processes of this sidecar beside this one
 }
 
 // Open reads the configuration as LoadConfig does, tells the runtime its limits and prepares a sidecar as New does. What
@@ -93,88 +74,109 @@
 }
 
 func newSidecar(cfg *config.Config, start *retry.Start) (*Sidecar, error) {
-	bal, err := balance.New(cfg.Balance)
+	balancer, err := balance.New(cfg.Balance)
 	if err != nil {
 		return nil, fmt.Errorf("settings: %w", err)
 	}
-	var router *routing.Router
-	if cfg.Routes != nil {
-		if router, err = routing.New(cfg); err != nil {
-			return nil, fmt.Errorf("routes: %w", err)
-		}
-	}
-	reserve := min(max(int(float64(cfg.Sockets)*reserveFraction), config.MinReserve), maxReserve)
-	var manager *clientserver.Limiter
-	if cfg.Management != "" {
-		var listener net.Listener
-		if err := start.Do("management", func() (failed error) {
-			listener, failed = net.Listen("tcp", cfg.Management)
-			return failed
-		}); err != nil {
-			return nil, fmt.Errorf("management: %w", err)
-		}
-		manager = clientserver.NewLimiter(listening.Wrap(netcall.WithFaults(listener, cfg.Faults), "management", nil), 1)
+	router, err := newRouter(cfg)
+	if err != nil {
+		return nil, fmt.Errorf("routes: %w", err)
 	}
-	var before *handover.Predecessor
-	var listener net.Listener
-	if err := start.Do("upgrade", func() (failed error) {
-		before, listener, failed = handover.FindPredecessor(cfg)
-		return failed
-	}); err != nil {
-		slog.Info("upgrade: no process before this one", "error", err)
+	management, err := listenManagement(cfg, start)
+	if err != nil {
+		return nil, fmt.Errorf("management: %w", err)
 	}
-	if listener == nil {
-		if err := start.Do("listen", func() (failed error) {
-			listener, failed = handover.Listen(cfg)
-			return failed
-		}); err != nil {
-			if manager != nil {
-				manager.Close()
-			}
-			return nil, fmt.Errorf("listen: %w", err)
+	predecessor, listener, err := listenClients(cfg, start)
+	if err != nil {
+		if management != nil {
+			management.Close()
 		}
+		return nil, fmt.Errorf("listen: %w", err)
 	}
-	free := cfg.Sockets - reserve
-	all := budget{management: int(float64(reserve) * managementFraction), clients: int(float64(free) * clientFraction)}
-	all.servers = free - all.clients
-	all.requests = all.servers
-	if cfg.MemoryMB > 0 {
-		all.requests = min(all.requests, int(float64(cfg.MemoryMB)*requestFraction*(1<<20)/requestMemory))
-	}
-	if cfg.MaxOpen > 0 {
-		all.requests = min(all.requests, cfg.MaxOpen)
-	}
-	l := eventloop.New(cfg, bal, upstream.NewPool(cfg, all.servers))
-	l.Routing = router
-	l.Routing.Attach(l, bal, l.Clock, cfg.Balance.Classes)
-	l.Discovery = discovery.New(cfg.ListAddrs(), cfg.MemoryMB, l.Post, func(f func()) { l.Workers.Go(f) })
-	if cfg.Balance.DrainGrace > 0 {
-		l.Discovery.PushedDelay = discovery.PushedDelay(cfg.Balance.DrainGrace)
-	}
+	limits := newBudget(cfg)
+	loop := newLoop(cfg, balancer, router, limits.servers)
+	accepted := listening.Wrap(netcall.WithFaults(listener, cfg.Faults), "clients", nil)
 	s := &Sidecar{
-		cfg: cfg, tcp: listener.(*net.TCPListener), listener: clientserver.NewLimiter(listening.Wrap(netcall.WithFaults(listener, cfg.Faults), "clients", nil), all.clients),
-		management: manager, loop: l,
-		predecessor: before, budget: all, drainAccept: drainAccept, listTimeout: handover.ListTimeout,
-		unaccepted: netcall.Unaccepted,
+		cfg: cfg, tcp: listener.(*net.TCPListener), listener: clientserver.NewLimiter(accepted, limits.clients),
+		management: management, loop: loop, predecessor: predecessor, budget: limits,
+		drainAccept: drainAccept, listTimeout: handover.ListTimeout, unaccepted: netcall.Unaccepted,
 		clients: &clientserver.Server{
-			Config: cfg, Post: l.Post, Metrics: l.Metrics, ReadTimeout: clientserver.DefaultReadTimeout, WriteTimeout: clientserver.DefaultWriteTimeout,
+			Config: cfg, Post: loop.Post, Metrics: loop.Metrics,
+			ReadTimeout: clientserver.DefaultReadTimeout, WriteTimeout: clientserver.DefaultWriteTimeout,
 		},
 	}
 	s.successors = handover.Successors{
 		Listener: s.tcp, Faults: cfg.Faults, Bind: net.ListenUnix,
 		Changed: func(alive int) { s.setSiblings(&s.newer, alive) },
 	}
-	if before != nil {
+	if predecessor != nil {
 		s.older = 1
 	}
 	if cfg.Membership != nil {
-		l.Members = fleet.New(cfg.Membership, s.predecessorAlive)
-		l.Members.Config.Start = cfg.Faults.Now().UnixMilli()
+		loop.Members = fleet.New(cfg.Membership, s.predecessorAlive)
+		loop.Members.Config.Start = cfg.Faults.Now().UnixMilli()
 	}
 	s.divideLimits()
 	return s, nil
 }
 
+// newRouter gives the router of the section routes; nil: there is no such section.
+func newRouter(cfg *config.Config) (*routing.Router, error) {
+	if cfg.Routes == nil {
+		return nil, nil
+	}
+	return routing.New(cfg)
+}
+
+// listenManagement binds the management address; nil: there is none.
+func listenManagement(cfg *config.Config, start *retry.Start) (*clientserver.Limiter, error) {
+	if cfg.Management == "" {
+		return nil, nil
+	}
+	var listener net.Listener
+	err := start.Do("management", func() (failed error) {
+		listener, failed = net.Listen("tcp", cfg.Management)
+		return failed
+	})
+	if err != nil {
+		return nil, err
+	}
+	return clientserver.NewLimiter(listening.Wrap(netcall.WithFaults(listener, cfg.Faults), "management", nil), 1), nil
+}
+
+// listenClients takes the clients' listening socket over from the process that serves now, or binds the address.
+func listenClients(cfg *config.Config, start *retry.Start) (*handover.Predecessor, net.Listener, error) {
+	var predecessor *handover.Predecessor
+	var listener net.Listener
+	err := start.Do("upgrade", func() (failed error) {
+		predecessor, listener, failed = handover.FindPredecessor(cfg)
+		return failed
+	})
+	if err != nil {
+		slog.Info("upgrade: no process before this one", "err", err)
+	}
+	if listener != nil {
+		return predecessor, listener, nil
+	}
+	err = start.Do("listen", func() (failed error) {
+		listener, failed = handover.Listen(cfg)
+		return failed
+	})
+	return predecessor, listener, err
+}
+
+// newLoop joins the event loop with connections to servers, of which there may be so many, and with discovery.
+func newLoop(cfg *config.Config, balancer *balance.Balancer, router *routing.Router, servers int) *eventloop.Loop {
+	loop := eventloop.New(cfg, balancer, upstream.NewPool(cfg, servers))
+	loop.Routing = router
+	router.Attach(loop, balancer, loop.Clock, cfg.Balance.Classes)
+	loop.Discovery = discovery.New(cfg.ListAddrs(), cfg.MemoryMB, loop.Post, func(f func()) { loop.Workers.Go(f) })
+	if cfg.Balance.DrainGrace > 0 {
+		loop.Discovery.PushedDelay = discovery.PushedDelay(cfg.Balance.DrainGrace)
+	}
+	return loop
+}
+
 // ManagementAddr is the address for the platform; empty: there is none.
 func (s *Sidecar) ManagementAddr() string {
 	if s.management == nil {
@@ -188,6 +190,22 @@
 
 // Run serves until ctx ends, goes on while clients still come, answers all it took and returns.
 func (s *Sidecar) Run(ctx context.Context) error {
+	defer s.startWork()()
+	failed := make(chan error, 2) // one for each server of net/http
+	defer s.serveManagement(failed)()
+	defer s.awaitTakeover(ctx)()
+	srv := s.serveClients(ctx, failed)
+	defer s.acceptSuccessors(ctx)()
+	select {
+	case err := <-failed:
+		return fmt.Errorf("serve: %w", err)
+	case <-ctx.Done():
+	}
+	return s.drain(srv)
+}
+
+// startWork starts the event loop, the calls to discovery and the reaper of idle connections. Its result ends them all.
+func (s *Sidecar) startWork() (end func()) {
 	work, stop := context.WithCancel(context.Background())
 	ended := make(chan struct{})
 	go func() {
@@ -197,42 +215,60 @@
 	if !s.cfg.Balance.Subscribe {
 		s.loop.Discovery.Subscribe(work)
 	}
-	reaper := time.NewTicker(reapInterval)
-	defer reaper.Stop()
-	s.loop.Workers.Go(func() {
-		for {
-			select {
-			case <-work.Done():
-				return
-			case now := <-reaper.C:
-				s.loop.Pool.ReapIdle(now)
-			}
-		}
-	})
-	defer func() {
+	s.loop.Workers.Go(func() { s.reapIdle(work) })
+	return func() {
 		stop()
 		<-ended
 		s.loop.Pool.Close()
-	}()
+	}
+}
 
-	failed := make(chan error, 2)
-	if s.management != nil {
-		manager := s.managementServer()
-		go func() { failed <- manager.Serve(s.management) }()
-		defer manager.Close()
+// reapIdle closes old idle connections to servers until ctx ends.
+func (s *Sidecar) reapIdle(ctx context.Context) {
+	ticker := time.NewTicker(reapInterval)
+	defer ticker.Stop()
+	for {
+		select {
+		case <-ctx.Done():
+			return
+		case now := <-ticker.C:
+			s.loop.Pool.ReapIdle(now)
+		}
 	}
-	var meetings sync.WaitGroup
-	defer meetings.Wait()
-	if s.predecessor != nil {
-		gone := make(chan struct{})
-		meetings.Go(func() {
-			s.predecessor.AwaitEnd()
-			close(gone)
-			s.setSiblings(&s.older, 0)
-		})
-		defer s.predecessor.Close()
-		s.awaitServers(ctx, gone)
+}
+
+// serveManagement serves the management address, if there is one.
+func (s *Sidecar) serveManagement(failed chan<- error) (end func()) {
+	if s.management == nil {
+		return func() {}
+	}
+	srv := s.managementServer()
+	go func() { failed <- srv.Serve(s.management) }()
+	return func() { srv.Close() }
+}
+
+// awaitTakeover waits until this process can take over from its predecessor, if there is one, and follows that to its
+// end.
+func (s *Sidecar) awaitTakeover(ctx context.Context) (end func()) {
+	if s.predecessor == nil {
+		return func() {}
+	}
+	var followed sync.WaitGroup
+	gone := make(chan struct{})
+	followed.Go(func() {
+		s.predecessor.AwaitEnd()
+		close(gone)
+		s.setSiblings(&s.older, 0)
+	})
+	s.awaitServers(ctx, gone)
+	return func() {
+		s.predecessor.Close()
+		followed.Wait()
 	}
+}
+
+// serveClients begins to serve, and says so in the log and to the predecessor.
+func (s *Sidecar) serveClients(ctx context.Context, failed chan<- error) *http.Server {
 	srv := clientserver.FollowConnections(s.clients.HTTPServer())
 	go func() { failed <- srv.Serve(clientserver.HeadListener{Listener: s.listener}) }()
 	s.serving.Store(true)
@@ -240,35 +276,36 @@
 	if s.predecessor != nil && ctx.Err() == nil {
 		s.predecessor.AnnounceServing()
 	}
-	if place := s.cfg.HandoverSocket(); place != "" {
-		start := retry.NewStart(ctx, nil)
-		if err := start.Do("upgrade", func() error { return s.successors.Await(place) }); err != nil {
-			slog.Warn("upgrade: a newer process cannot meet this one", "error", err)
-		} else {
-			defer s.successors.Close()
-		}
+	return srv
+}
+
+// acceptSuccessors lets newer processes meet this one.
+func (s *Sidecar) acceptSuccessors(ctx context.Context) (end func()) {
+	socket := s.cfg.HandoverSocket()
+	if socket == "" {
+		return func() {}
 	}
-	select {
-	case err := <-failed:
-		return fmt.Errorf("serve: %w", err)
-	case <-ctx.Done():
+	start := retry.NewStart(ctx, nil)
+	if err := start.Do("upgrade", func() error { return s.successors.Await(socket) }); err != nil {
+		slog.Warn("upgrade: a newer process cannot meet this one", "err", err)
+		return func() {}
 	}
-	return s.drain(srv)
+	return s.successors.Close
 }
 
-// awaitServers waits until this process is fit to take over: it knows servers, from discovery or, after a while,
-// from the list it was started with. The process before serves meanwhile.
+// awaitServers waits until this process knows servers: from discovery or, after listTimeout, from the list that it was
+// started with. The predecessor serves meanwhile; gone is closed at its end.
 func (s *Sidecar) awaitServers(ctx context.Context, gone <-chan struct{}) {
-	began := time.Now()
-	tick := time.NewTicker(10 * time.Millisecond)
-	defer tick.Stop()
+	startedAt := time.Now()
+	ticker := time.NewTicker(serversPollInterval)
+	defer ticker.Stop()
 	for {
 		servers := s.loop.Metrics.Servers.Load()
-		if servers.Ready > 0 && (servers.ListReceived || time.Since(began) >= s.listTimeout) {
+		if servers.Ready > 0 && (servers.ListReceived || time.Since(startedAt) >= s.listTimeout) {
 			return
 		}
 		select {
-		case <-tick.C:
+		case <-ticker.C:
 		case <-gone:
 			return
 		case <-ctx.Done():
