--- a/internal/sidecar/config/config.go
+++ b/internal/sidecar/config/config.go
@@ -23,63 +23,72 @@
 	"marblelane/internal/wire"
 )
 
-// Config is what a sidecar is told at its start.
+// Config is the configuration of a sidecar.
 type Config struct {
-	Name      string
-	Listen    string // where the application connects
-	Discovery string
-	// Lists are the addresses of several list services, in order of preference; empty: Discovery alone.
-	Lists []string
-	// Management is the second address, for the platform; empty: there is none.
-	Management string
-	Cores      float64
-	MemoryMB   int // 0: no limit
-	Sockets    int // descriptors in all
+	Name       string
+	Listen     string   // where the application connects
+	Discovery  string   // address of discovery
+	Lists      []string // addresses of several list services, in order of preference; empty: Discovery alone
+	Management string   // address for the platform; empty: there is none
+	Cores      float64  // 0: no limit
+	MemoryMB   int      // 0: no limit
+	Sockets    int      // descriptors in all
 
 	Balance     balance.Config
-	Classes     map[string]int
-	ClassNames  []string
-	Tenants     map[string]int // empty: the site has none
+	Classes     map[string]int // number by name
+	ClassNames  []string       // by number
+	Tenants     map[string]int // number by name; empty: the site has none
 	Zones       map[string]int
 	Kinds       map[string]int
-	ReportNames []string // of a load report's figures, in the order of balance.Config.Fields
-	ConnIdle    time.Duration
-	MaxOpen     int
-	Known       endpointlist.List
-	tempDir     string      // shared with the processes before and after this one; empty: none
-	Routes      *Routes     // nil: off
-	Membership  *Membership // nil: off
-	Faults      *fault.Plan // the lab's; nil: none
+	ReportNames []string          // of a load report's figures, in the order of balance.Config.Fields
+	ConnIdle    time.Duration     // after which a server closes an idle connection
+	MaxOpen     int               // requests at a time; 0: no limit of the settings
+	Known       endpointlist.List // the last list of this sidecar, which may be old
+	Routes      *Routes           // nil: off
+	Membership  *Membership       // nil: off
+	Faults      *fault.Plan       // planted by the lab; nil: none
+
+	tempDir string // shared with the processes before and after this one; empty: none
 }
 
-// defaultSockets holds where the configuration sets no limit.
+// defaultSockets is the limit where the configuration sets none.
 const defaultSockets = 1024
 
 // MinReserve is the least number of sockets that the listeners, discovery, the log, the runtime and the management
 // address need.
 const MinReserve = 24
 
-// MinSockets is the least that leaves connections for clients and servers beside the reserve.
+// MinSockets is the least limit that leaves connections for clients and servers beside the reserve.
 const MinSockets = 2 * MinReserve
 
 // Limits beyond these are mistakes, and are more than the arithmetic of the limits holds.
 const (
-	mostMemoryMB = 1 << 30
-	mostCores    = 1 << 20
+	maxMemoryMB = 1 << 30
+	maxCores    = 1 << 20
 )
 
+// maxRegionCost bounds region_cost.
+const maxRegionCost = 1000
+
+// defaultRegionCost is the cost of crossing regions where the configuration names none.
+const defaultRegionCost = 2
+
+// ManagementTimeout bounds a complete call of the management address, and the time for its answer to be taken.
+const ManagementTimeout = 2 * time.Second
+
+// named is an entry of the settings that has a name.
 type named struct {
 	Name string `json:"name"`
 }
 
 // file is the configuration's JSON form.
 type file struct {
-	Name      string `json:"name"`
-	Listen    string `json:"listen"`
-	Discovery string `json:"discovery"`
-	Manage    string `json:"management"`
-	Seed      string `json:"seed"`
-	Limits    struct {
+	Name       string `json:"name"`
+	Listen     string `json:"listen"`
+	Discovery  string `json:"discovery"`
+	Management string `json:"management"`
+	Seed       string `json:"seed"`
+	Limits     struct {
 		Cores    float64 `json:"cores"`
 		MemoryMB int     `json:"memory_mb"`
 		Sockets  int     `json:"sockets"`
@@ -89,9 +98,9 @@
 	Lists []struct {
 		Addr string `json:"addr"`
 		Zone string `json:"zone"`
-	} `json:"lists"` // those of the own zone come first, else as they stand
-	DoubtShare float64 `json:"list_doubt_share"`
-	StaleMS    float64 `json:"list_stale_ms"`
+	} `json:"lists"` // services of the own zone are preferred, the others keep their order
+	SuspectFraction float64 `json:"list_doubt_share"`
+	StaleMS         float64 `json:"list_stale_ms"`
 	// Regions groups the settings' zones by name, and RegionCost is what an answer from another region costs, as a
 	// multiple of one from another zone; 0: defaultRegionCost.
 	Regions    map[string][]string `json:"regions"`
@@ -102,8 +111,8 @@
 	Settings   json.RawMessage     `json:"settings"`
 }
 
-// names is what the sidecar itself reads of the settings: names of what the module counts, and its limits.
-type names struct {
+// siteSettings is what the sidecar itself reads of the settings: names of what the balancer numbers, and limits.
+type siteSettings struct {
 	Classes []named  `json:"classes"`
 	Tenants []named  `json:"tenants"`
 	Zones   []string `json:"zones"`
@@ -118,23 +127,35 @@
 	} `json:"limits"`
 }
 
-// check refuses what the sidecar alone would read wrong.
-func (n *names) check() error {
-	if n.Limits.ConnIdle < 0 {
-		return fmt.Errorf("limits.conn_idle_ms is %v", n.Limits.ConnIdle)
+// parseSiteSettings reads and checks what the sidecar itself needs of the settings.
+func parseSiteSettings(text json.RawMessage) (*siteSettings, error) {
+	var s siteSettings
+	if err := json.Unmarshal(text, &s); err != nil {
+		return nil, wire.KeyError(err)
 	}
-	if n.Limits.MaxOpen < 0 {
-		return fmt.Errorf("limits.open_cap is %d", n.Limits.MaxOpen)
+	if s.Limits.ConnIdle < 0 {
+		return nil, fmt.Errorf("limits.conn_idle_ms is %v", s.Limits.ConnIdle)
 	}
-	for i, zone := range n.Zones {
-		if slices.Index(n.Zones, zone) != i {
-			return fmt.Errorf("zones: %q stands there twice", zone)
+	if s.Limits.MaxOpen < 0 {
+		return nil, fmt.Errorf("limits.open_cap is %d", s.Limits.MaxOpen)
+	}
+	for i, zone := range s.Zones {
+		if slices.Index(s.Zones, zone) != i {
+			return nil, fmt.Errorf("zones: %q stands there twice", zone)
 		}
 	}
-	return nil
+	return &s, nil
 }
 
-// checkServiceAddr refuses an address that cannot be called. SIGHUP would move a sidecar there for good.
+// zoneName is the name of the own zone, if the settings have one.
+func (s *siteSettings) zoneName() (name string, ok bool) {
+	if s.Zone < 0 || s.Zone >= len(s.Zones) {
+		return "", false
+	}
+	return s.Zones[s.Zone], true
+}
+
+// checkServiceAddr rejects an address that cannot be called.
 func checkServiceAddr(addr string) error {
 	host, port, err := net.SplitHostPort(addr)
 	if err != nil {
@@ -149,14 +170,14 @@
 	return nil
 }
 
-// Load reads the configuration file that NODE_CONFIG names. NODE_NAME, NODE_LISTEN,
-// NODE_DISCOVERY and NODE_MANAGEMENT, where set, win over the file. A file that cannot be opened or read for a moment is
-// tried again, for up to retry.StartLimit; errors name the file, and the key where there is one.
+// Load reads the configuration file that NODE_CONFIG names. NODE_NAME, NODE_LISTEN, NODE_DISCOVERY and NODE_MANAGEMENT,
+// where set, take precedence over the file. A file that cannot be opened or read for a moment is read again, for up to
+// retry.StartLimit. Errors name the file, and the key where there is one.
 func Load(getenv func(string) string) (*Config, error) {
 	return LoadWith(getenv, RetryingRead(retry.NewStart(context.Background(), nil), os.ReadFile))
 }
 
-// RetryingRead reads files as a start may: what fails for a moment is tried again.
+// RetryingRead gives a reader of files that retries, within the limits of a start, what fails for a moment.
 func RetryingRead(start *retry.Start, readFile func(path string) ([]byte, error)) func(path string) ([]byte, error) {
 	return func(path string) (data []byte, err error) {
 		err = start.Do("read "+path, func() (failed error) {
@@ -167,7 +188,7 @@
 	}
 }
 
-// LoadWith reads the file with the given call, which gives its bytes as os.ReadFile does.
+// LoadWith is Load with a reader of files in place of os.ReadFile.
 func LoadWith(getenv func(string) string, readFile func(path string) ([]byte, error)) (*Config, error) {
 	path := getenv("NODE_CONFIG")
 	if path == "" {
@@ -183,7 +204,7 @@
 	}
 	for name, field := range map[string]*string{
 		"NODE_NAME": &f.Name, "NODE_LISTEN": &f.Listen, "NODE_DISCOVERY": &f.Discovery,
-		"NODE_MANAGEMENT": &f.Manage,
+		"NODE_MANAGEMENT": &f.Management,
 	} {
 		if v := getenv(name); v != "" {
 			*field = v
@@ -200,15 +221,10 @@
 	return cfg, nil
 }
 
+// config checks the file and gives the configuration that it stands for. Errors name the key.
 func (f *file) config() (*Config, error) {
-	if _, _, err := net.SplitHostPort(f.Listen); err != nil {
-		return nil, fmt.Errorf("listen: %w", err)
-	}
-	if _, _, err := net.SplitHostPort(f.Manage); err != nil && f.Manage != "" {
-		return nil, fmt.Errorf("management: %w", err)
-	}
-	if err := checkServiceAddr(f.Discovery); err != nil {
-		return nil, fmt.Errorf("discovery: %w", err)
+	if err := f.checkAddrs(); err != nil {
+		return nil, err
 	}
 	seed, err := strconv.ParseUint(f.Seed, 16, 64)
 	if err != nil {
@@ -221,92 +237,126 @@
 	if err != nil {
 		return nil, err
 	}
-	var n names
-	if err := json.Unmarshal(f.Settings, &n); err != nil {
-		return nil, fmt.Errorf("settings: %w", wire.KeyError(err))
-	}
-	if err := n.check(); err != nil {
+	site, err := parseSiteSettings(f.Settings)
+	if err != nil {
 		return nil, fmt.Errorf("settings: %w", err)
 	}
 	cfg := &Config{
-		Name: f.Name, Listen: f.Listen, Discovery: f.Discovery, Management: f.Manage,
+		Name: f.Name, Listen: f.Listen, Discovery: f.Discovery, Management: f.Management,
 		Cores: f.Limits.Cores, MemoryMB: f.Limits.MemoryMB, Sockets: f.Limits.Sockets,
-		Balance: settings, Zones: index(n.Zones), Kinds: index(n.Kinds), ReportNames: n.Report.Fields,
-		ConnIdle: clock.Duration(n.Limits.ConnIdle), MaxOpen: n.Limits.MaxOpen, Known: f.Known,
+		Balance: settings, Zones: numberByName(site.Zones), Kinds: numberByName(site.Kinds),
+		ReportNames: site.Report.Fields, ConnIdle: clock.Duration(site.Limits.ConnIdle),
+		MaxOpen: site.Limits.MaxOpen, Known: f.Known,
+	}
+	for _, step := range []func(*Config, *siteSettings) error{
+		f.setLimits, f.setListServices, f.setRegions, f.setNames, f.setSections,
+	} {
+		if err := step(cfg, site); err != nil {
+			return nil, err
+		}
+	}
+	return cfg, nil
+}
+
+func (f *file) checkAddrs() error {
+	if _, _, err := net.SplitHostPort(f.Listen); err != nil {
+		return fmt.Errorf("listen: %w", err)
+	}
+	if _, _, err := net.SplitHostPort(f.Management); err != nil && f.Management != "" {
+		return fmt.Errorf("management: %w", err)
+	}
+	if err := checkServiceAddr(f.Discovery); err != nil {
+		return fmt.Errorf("discovery: %w", err)
 	}
+	return nil
+}
+
+func (f *file) setLimits(cfg *Config, _ *siteSettings) error {
 	if cfg.Sockets == 0 {
 		cfg.Sockets = defaultSockets
 	}
 	switch {
 	case cfg.Sockets < MinSockets:
-		return nil, fmt.Errorf("limits.sockets is %d, at least %d", cfg.Sockets, MinSockets)
-	case cfg.MemoryMB < 0 || cfg.MemoryMB > mostMemoryMB:
-		return nil, fmt.Errorf("limits.memory_mb is %d, not between 0 and %d", cfg.MemoryMB, mostMemoryMB)
-	case !(cfg.Cores >= 0 && cfg.Cores <= mostCores):
-		return nil, fmt.Errorf("limits.cores is %v, not between 0 and %d", cfg.Cores, mostCores)
-	}
-	for _, own := range []bool{true, false} {
-		for i, l := range f.Lists {
-			if err := checkServiceAddr(l.Addr); err != nil {
-				return nil, fmt.Errorf("lists[%d].addr: %w", i, err)
-			}
-			if own == (n.Zone >= 0 && n.Zone < len(n.Zones) && l.Zone == n.Zones[n.Zone]) {
-				cfg.Lists = append(cfg.Lists, l.Addr)
-			}
+		return fmt.Errorf("limits.sockets is %d, at least %d", cfg.Sockets, MinSockets)
+	case cfg.MemoryMB < 0 || cfg.MemoryMB > maxMemoryMB:
+		return fmt.Errorf("limits.memory_mb is %d, not between 0 and %d", cfg.MemoryMB, maxMemoryMB)
+	case !(cfg.Cores >= 0 && cfg.Cores <= maxCores):
+		return fmt.Errorf("limits.cores is %v, not between 0 and %d", cfg.Cores, maxCores)
+	}
+	return nil
+}
+
+// setListServices orders the list services, those of the own zone first, and sets how their lists are taken.
+func (f *file) setListServices(cfg *Config, site *siteSettings) error {
+	zone, hasZone := site.zoneName()
+	var elsewhere []string
+	for i, l := range f.Lists {
+		if err := checkServiceAddr(l.Addr); err != nil {
+			return fmt.Errorf("lists[%d].addr: %w", i, err)
+		}
+		if hasZone && l.Zone == zone {
+			cfg.Lists = append(cfg.Lists, l.Addr)
+		} else {
+			elsewhere = append(elsewhere, l.Addr)
 		}
 	}
-	cfg.Balance.ListServices, cfg.Balance.SuspectFraction, cfg.Balance.StaleAfter = len(cfg.Lists), f.DoubtShare, f.StaleMS
-	cfg.Balance.MaxPollBackoff = float64(discovery.MaxPollBackoff.Milliseconds())
-	cfg.Balance.Subscribe = cfg.Balance.Subscribe || len(cfg.Lists) > 0 // the module decides which one is called
-	if !(f.DoubtShare >= 0 && f.DoubtShare <= 1) {
-		return nil, fmt.Errorf("list_doubt_share: %v is not between 0 and 1", f.DoubtShare)
+	cfg.Lists = append(cfg.Lists, elsewhere...)
+	if !(f.SuspectFraction >= 0 && f.SuspectFraction <= 1) {
+		return fmt.Errorf("list_doubt_share: %v is not between 0 and 1", f.SuspectFraction)
 	}
 	if !(f.StaleMS >= 0) {
-		return nil, fmt.Errorf("list_stale_ms: %v is negative", f.StaleMS)
+		return fmt.Errorf("list_stale_ms: %v is negative", f.StaleMS)
 	}
-	if cfg.Balance.Regions, err = f.regions(n.Zones); err != nil {
-		return nil, err
+	b := &cfg.Balance
+	b.ListServices, b.SuspectFraction, b.StaleAfter = len(cfg.Lists), f.SuspectFraction, f.StaleMS
+	b.MaxPollBackoff = float64(discovery.MaxPollBackoff.Milliseconds())
+	b.Subscribe = b.Subscribe || len(cfg.Lists) > 0 // the balancer decides which service is called
+	return nil
+}
+
+func (f *file) setRegions(cfg *Config, site *siteSettings) (err error) {
+	if cfg.Balance.Regions, err = f.regions(site.Zones); err != nil {
+		return err
 	}
 	if cfg.Balance.RegionCost = f.RegionCost; f.RegionCost == 0 {
 		cfg.Balance.RegionCost = defaultRegionCost
 	}
-	if cfg.Classes, err = indexNamed("classes", n.Classes); err != nil {
-		return nil, err
+	return nil
+}
+
+func (f *file) setNames(cfg *Config, site *siteSettings) (err error) {
+	if cfg.Classes, err = numberUnique("classes", site.Classes); err != nil {
+		return err
 	}
-	for _, c := range n.Classes {
+	for _, c := range site.Classes {
 		cfg.ClassNames = append(cfg.ClassNames, c.Name)
 	}
-	if cfg.Tenants, err = indexNamed("tenants", n.Tenants); err != nil {
-		return nil, err
-	}
+	cfg.Tenants, err = numberUnique("tenants", site.Tenants)
+	return err
+}
+
+// setSections reads the sections that are off unless the file has them.
+func (f *file) setSections(cfg *Config, site *siteSettings) (err error) {
 	if cfg.Routes, err = f.routes(cfg.ListAddrs()); err != nil {
-		return nil, err
-	}
-	zone := ""
-	if n.Zone >= 0 && n.Zone < len(n.Zones) {
-		zone = n.Zones[n.Zone]
-	}
-	if cfg.Membership, err = f.members(zone, settings.Peers); err != nil {
-		return nil, err
+		return err
 	}
-	if cfg.Faults, err = fault.Open(f.Faults); err != nil {
-		return nil, err
+	zone, _ := site.zoneName()
+	if cfg.Membership, err = f.members(zone, cfg.Balance.Peers); err != nil {
+		return err
 	}
-	return cfg, nil
+	cfg.Faults, err = fault.Open(f.Faults)
+	return err
 }
 
-// defaultRegionCost is the cost of crossing regions where the configuration names none.
-const defaultRegionCost = 2
-
 // regions gives each of the settings' zones the number of its region; nil where there are none.
 func (f *file) regions(zones []string) ([]int, error) {
-	if !(f.RegionCost == 0 || f.RegionCost >= 1 && f.RegionCost <= 1000) {
-		return nil, fmt.Errorf("region_cost: %v is not between 1 and 1000", f.RegionCost)
+	if !(f.RegionCost == 0 || f.RegionCost >= 1 && f.RegionCost <= maxRegionCost) {
+		return nil, fmt.Errorf("region_cost: %v is not between 1 and %d", f.RegionCost, maxRegionCost)
 	}
 	if len(f.Regions) == 0 {
 		return nil, nil
 	}
-	known, out := index(zones), make([]int, len(zones))
+	known, out := numberByName(zones), make([]int, len(zones))
 	for number, name := range slices.Sorted(maps.Keys(f.Regions)) {
 		for _, zone := range f.Regions[name] {
 			i, ok := known[zone]
@@ -322,24 +372,25 @@
 	return out, nil
 }
 
-func index(names []string) map[string]int {
-	m := make(map[string]int, len(names))
-	for i, n := range names {
-		m[n] = i
+// numberByName numbers names in order.
+func numberByName(names []string) map[string]int {
+	numbers := make(map[string]int, len(names))
+	for i, name := range names {
+		numbers[name] = i
 	}
-	return m
+	return numbers
 }
 
-// indexNamed also refuses names by which a request could not tell one class or tenant from another.
-func indexNamed(what string, entries []named) (map[string]int, error) {
-	m := make(map[string]int, len(entries))
-	for i, e := range entries {
-		if _, twice := m[e.Name]; twice || e.Name == "" {
-			return nil, fmt.Errorf("settings: %s: entry %d has no name of its own: %q", what, i, e.Name)
+// numberUnique numbers entries in order, and rejects a name that is empty or given twice.
+func numberUnique(key string, entries []named) (map[string]int, error) {
+	numbers := make(map[string]int, len(entries))
+	for i, entry := range entries {
+		if _, twice := numbers[entry.Name]; twice || entry.Name == "" {
+			return nil, fmt.Errorf("settings: %s: entry %d has no name of its own: %q", key, i, entry.Name)
 		}
-		m[e.Name] = i
+		numbers[entry.Name] = i
 	}
-	return m, nil
+	return numbers, nil
 }
 
 // ListAddrs are the addresses of all list services, in order of preference.
--- a/internal/sidecar/config/handover_socket.go
+++ b/internal/sidecar/config/handover_socket.go
@@ -8,8 +8,8 @@
 	"path/filepath"
 )
 
-// HandoverSocket is where two processes for the same address meet; empty: they cannot. Without a management
-// address nobody upgrades, and an address of the system's choice is never the same.
+// HandoverSocket is the path of the Unix socket where two processes for the same address meet at an upgrade; empty: they
+// cannot, as there is no management address or no shared directory, or the system chooses the port.
 func (cfg *Config) HandoverSocket() string {
 	_, port, err := net.SplitHostPort(cfg.Listen)
 	if cfg.Management == "" || cfg.tempDir == "" || err != nil || port == "0" {
--- a/internal/sidecar/config/membership.go
+++ b/internal/sidecar/config/membership.go
@@ -5,25 +5,21 @@
 	"encoding/json"
 	"errors"
 	"fmt"
-	"time"
 
 	"marblelane/internal/membership"
 	"marblelane/internal/membership/addrcheck"
 )
 
 const (
+	// RoleSidecar is the role of a sidecar among the members.
 	RoleSidecar = "sidecar"
-	// maxVersion is what a member may say.
-	maxVersion = 64
+	maxVersion  = 64 // bytes of a member's version
 )
 
-// ManagementTimeout is for a whole call of the management address, and for its answer to be taken.
-const ManagementTimeout = 2 * time.Second
-
 // Membership is the section members.
 type Membership struct {
 	Group membership.Config
-	text  string // of the section
+	text  string // the section in compact form
 }
 
 // members reads the section; nil: there is none.
@@ -56,7 +52,7 @@
 	return &Membership{group, text.String()}, nil
 }
 
-// SameMembership tells whether two configurations mean the same members.
+// SameMembership reports whether two sections are the same.
 func SameMembership(a, b *Membership) bool {
 	return a == nil && b == nil || a != nil && b != nil && a.text == b.text
 }
--- a/internal/sidecar/config/memory.go
+++ b/internal/sidecar/config/memory.go
@@ -1,26 +1,25 @@
 package config
 
-import (
-	"math"
-)
+import "math"
 
 const (
-	heapFraction = 0.75 // of the limit; the rest is for what the runtime does not count
-	bodyFraction = 0.15 // of the limit, for bodies of requests that are held
+	heapFraction = 0.75 // of the memory limit; the rest is for what the runtime does not count
+	bodyFraction = 0.15 // of the memory limit, for held bodies of requests
+	bytesPerMB   = 1 << 20
 )
 
-// MemoryLimit is the part of the limit that the runtime of each of so many processes is held to.
-func (cfg *Config) MemoryLimit(parts int) int64 {
+// MemoryLimit is the limit, in bytes, of the runtime in each of so many processes of this sidecar.
+func (cfg *Config) MemoryLimit(processes int) int64 {
 	if cfg.MemoryMB == 0 {
 		return math.MaxInt64
 	}
-	return int64(float64(cfg.MemoryMB) * heapFraction * (1 << 20) / float64(parts))
+	return int64(float64(cfg.MemoryMB) * heapFraction * bytesPerMB / float64(processes))
 }
 
-// BodyMemory is what bodies that are held may take, of all processes.
+// BodyMemory is how many bytes held bodies may take in all processes of this sidecar together.
 func (cfg *Config) BodyMemory() int64 {
 	if cfg.MemoryMB == 0 {
 		return math.MaxInt32
 	}
-	return int64(float64(cfg.MemoryMB) * bodyFraction * (1 << 20))
+	return int64(float64(cfg.MemoryMB) * bodyFraction * bytesPerMB)
 }
--- a/internal/sidecar/config/routes.go
+++ b/internal/sidecar/config/routes.go
@@ -19,27 +19,28 @@
 const (
 	defaultKeyHeader = "X-Route-Key"
 
+	// MaxEndpoints bounds the addresses of the section.
 	MaxEndpoints    = 16
-	maxHeaderName   = 100 // bytes of a header's name
+	maxHeaderName   = 100 // bytes
 	headerNameChars = "-0123456789ABCDEFGHIJKLMNOPQRSTUVWXYZabcdefghijklmnopqrstuvwxyz"
 )
 
 // Routes is the section routes.
 type Routes struct {
-	Addrs     []string
-	Schemas   []int
-	KeyHeader string
-	Digest    string // of the whole file
+	Addrs     []string // of the list services
+	Schemas   []int    // of routes that this sidecar reads
+	KeyHeader string   // header of a request's route key, in canonical form
+	Digest    string   // SHA-256 of the configuration file, in hex
 }
 
-// routesFile is its JSON form.
+// routesFile is the JSON form of the section.
 type routesFile struct {
 	Addrs     []string `json:"addrs"`   // of the list services; empty: those of the server list
 	Schemas   []int    `json:"schemas"` // that are read; empty: all that this program reads
 	KeyHeader string   `json:"key_header"`
 }
 
-// routes reads the section; nil: there is none. The digest is for who has the text.
+// routes reads the section, without Digest; nil: there is none.
 func (f *file) routes(lists []string) (*Routes, error) {
 	if len(f.Routes) == 0 || bytes.Equal(f.Routes, []byte("null")) {
 		return nil, nil
@@ -82,7 +83,7 @@
 	return cfg, nil
 }
 
-// RouteKey is a request's route key as the module takes it; 0: it has none.
+// RouteKey is the route key of a request as the balancer takes it; 0: it has none.
 func (c *Routes) RouteKey(h http.Header) uint64 {
 	v := h.Get(c.KeyHeader)
 	if v == "" {
@@ -91,13 +92,14 @@
 	return max(Hash(v), 1)
 }
 
+// Hash is the FNV-1a hash of a text.
 func Hash(text string) uint64 {
 	h := fnv.New64a()
 	io.WriteString(h, text)
 	return h.Sum64()
 }
 
-// ProgramVersion names the program in reports.
+// ProgramVersion is the version of this program as reports name it.
 func ProgramVersion() string {
 	info, ok := debug.ReadBuildInfo()
 	if !ok || info.Main.Version == "" {
