--- a/internal/registry/listen_test.go
+++ b/internal/registry/listen_test.go
@@ -27,7 +27,7 @@
 }
 
 // An address that another process gives up a moment later is bound.
-func TestAddressThatIsFreeAMomentLater(t *testing.T) {
+func TestStart_AddressFreedLater(t *testing.T) {
 	for _, key := range []string{"listen", "raft"} {
 		t.Run(key, func(t *testing.T) {
 			holder, err := net.Listen("tcp", "127.0.0.1:0")
@@ -61,7 +61,7 @@
 }
 
 // What cannot heal ends the start at once, and the error names the address.
-func TestAddressThatIsNotOurs(t *testing.T) {
+func TestStart_ForeignAddress(t *testing.T) {
 	const foreign = "192.0.2.1:7001" // TEST-NET-1 (RFC 5737)
 	for _, key := range []string{"listen", "raft"} {
 		t.Run(key, func(t *testing.T) {
@@ -129,7 +129,7 @@
 }
 
 // A configuration that cannot be opened for a moment, as with no descriptor left in the system, is read a moment later.
-func TestConfigurationThatCannotBeReadForAMoment(t *testing.T) {
+func TestLoad_TransientReadFailure(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "copy.toml")
 	text := "name = \"r0\"\nlisten = \"127.0.0.1:0\"\nraft = \"127.0.0.1:0\"\n"
 	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
--- a/internal/sidecar/clock/clock_test.go
+++ b/internal/sidecar/clock/clock_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// Times that no duration holds are as good as for ever, not negative.
-func TestTimesBeyondAllDurations(t *testing.T) {
+// A time that is too long for a duration is cut to maxDuration, and is not negative.
+func TestDuration_TooLong(t *testing.T) {
 	for _, ms := range []float64{1e13, 1e18, 1e300} {
 		if d := Duration(ms); d != maxDuration {
 			t.Errorf("%v ms is %v", ms, d)
--- a/internal/sidecar/clock/step_detector_test.go
+++ b/internal/sidecar/clock/step_detector_test.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-func TestStepsAreNoticed(t *testing.T) {
+func TestStepDetector(t *testing.T) {
 	type reading struct {
 		apart time.Duration // of the wall clock from the monotonic one
 		held  bool          // between the two
@@ -17,9 +17,9 @@
 	at := func(apart time.Duration) reading { return reading{apart, false} }
 	held := func(apart time.Duration) reading { return reading{apart, true} }
 	for name, c := range map[string]struct {
-		readings []reading // in order; each look takes one, or two where the first seems to be stepped
-		looks    int
-		told     []float64 // offsets in ms
+		readings []reading // in order; each check takes one, or two where the first seems to be stepped
+		checks   int
+		steps    []float64 // offsets in ms
 	}{
 		"none":                {[]reading{at(0), at(0), at(0)}, 3, nil},
 		"ahead, and back":     {[]reading{at(ahead), at(ahead), at(ahead), at(0), at(0)}, 3, []float64{3.6e6, 0}},
@@ -33,23 +33,23 @@
 		"little by little":    {[]reading{at(fifth), at(2 * fifth), at(2 * fifth)}, 2, []float64{400}},
 	} {
 		t.Run(name, func(t *testing.T) {
-			began := time.Now()
-			w := NewStepDetector(Clock{start: began, base: UnixMillis(began)}, nil)
+			start := time.Now()
+			w := NewStepDetector(Clock{start: start, base: UnixMillis(start)}, nil)
 			next := 0
 			w.read = func() (wall, at time.Time, ok bool) {
 				r := c.readings[next]
 				next++
-				at = began.Add(time.Duration(next) * time.Second)
+				at = start.Add(time.Duration(next) * time.Second)
 				return at.Add(r.apart), at, !r.held
 			}
-			var told []float64
-			for range c.looks {
+			var steps []float64
+			for range c.checks {
 				if step, stepped := w.Check(); stepped {
-					told = append(told, math.Round(step.Offset))
+					steps = append(steps, math.Round(step.Offset))
 				}
 			}
-			if fmt.Sprint(told) != fmt.Sprint(c.told) || next != len(c.readings) {
-				t.Errorf("told %v, want %v, with %d of %d readings", told, c.told, next, len(c.readings))
+			if fmt.Sprint(steps) != fmt.Sprint(c.steps) || next != len(c.readings) {
+				t.Errorf("steps %v, want %v, with %d of %d readings", steps, c.steps, next, len(c.readings))
 			}
 		})
 	}
--- a/internal/sidecar/config/config_test.go
+++ b/internal/sidecar/config/config_test.go
@@ -34,10 +34,10 @@
 	return nil, said, err
 }
 
-// Whatever is wrong in a configuration is told on one line that names the file, the key and the word, in the file's own
+// Each mistake in a configuration is one line that names the file, the key and the word, in the file's own
 // terms.
 func TestErrorsNameFileAndKey(t *testing.T) {
-	whole, err := os.ReadFile(configtest.NewConf("127.0.0.1:1", sidecartest.Ready("a", "127.0.0.1:2")).Write(t))
+	valid, err := os.ReadFile(configtest.NewConf("127.0.0.1:1", sidecartest.Ready("a", "127.0.0.1:2")).Write(t))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -46,7 +46,7 @@
 		{`"sockets":1024`, `"sockets":"many"`, "limits.sockets: a string"}, {`"sockets":1024`, `"sockets":-5`, "limits.sockets is -5"},
 		{`"memory_mb":192`, `"memory_mb":-1`, "limits.memory_mb is -1"}, {`"memory_mb":192`, `"memory_mb":99999999999999`, "limits.memory_mb is 9"},
 		{`"cores":1`, `"cores":-1`, "limits.cores is -1"}, {`"cores":1`, `"cores":1e300`, "limits.cores is 1e+300"},
-		{`"listen":"127.64.0.1:0"`, `"listen":"there"`, "listen: "}, {`"discovery":"127.0.0.1:1"`, `"discovery":"there"`, "discovery: "},
+		{`"listen":"` + sidecartest.Loopback + `"`, `"listen":"there"`, "listen: "}, {`"discovery":"127.0.0.1:1"`, `"discovery":"there"`, "discovery: "},
 		{`"discovery":"127.0.0.1:1"`, `"discovery":""`, "discovery: "}, {`"discovery":"127.0.0.1:1"`, `"discovery":":8500"`, `discovery: address ":8500"`},
 		{`"discovery":"127.0.0.1:1"`, `"discovery":"127.0.0.1:99999"`, `discovery: address "127.0.0.1:99999"`},
 		{`"discovery":"127.0.0.1:1"`, `"discovery":"127.0.0.1:"`, `discovery: address "127.0.0.1:"`},
@@ -71,8 +71,8 @@
 		{`"rules":{`, `"penalties":{"waste":-1},"rules":{`, "settings: penalties.waste is -1"},
 		{`"settings":{`, `"settings":null,"x":{`, "settings: no classes"},
 	} {
-		text := strings.Replace(string(whole), c.old, c.to, 1)
-		if text == string(whole) {
+		text := strings.Replace(string(valid), c.old, c.to, 1)
+		if text == string(valid) {
 			t.Fatalf("the configuration lacks %s", c.old)
 		}
 		_, said, err := loadText(t, text)
@@ -81,7 +81,7 @@
 		}
 	}
 	for text, want := range map[string]string{
-		"": "byte 0: ", "{": "byte 1: ", string(whole[:len(whole)/2]): "byte ", "[]": "", "null": "listen: ", `{"name":"n0"}{`: "byte 14: ",
+		"": "byte 0: ", "{": "byte 1: ", string(valid[:len(valid)/2]): "byte ", "[]": "", "null": "listen: ", `{"name":"n0"}{`: "byte 14: ",
 	} {
 		if _, said, err := loadText(t, text); err == nil || !strings.HasPrefix(said, want) {
 			t.Errorf("%.20q: error %q, want %q first", text, said, want)
--- a/internal/sidecar/config/environment_test.go
+++ b/internal/sidecar/config/environment_test.go
@@ -9,7 +9,7 @@
 	"marblelane/internal/sidecar/configtest"
 )
 
-func TestConfigurationsThatCannotBe(t *testing.T) {
+func TestLoad_Invalid(t *testing.T) {
 	for name, test := range map[string]struct {
 		change func(configtest.Conf)
 		want   string
--- a/internal/sidecar/config/watch_sums_test.go
+++ b/internal/sidecar/config/watch_sums_test.go
@@ -16,7 +16,7 @@
 // rowOfFailures is more calls in a row than pauses grow over.
 const rowOfFailures = 12
 
-// worstPause gives the longest pause that the real module makes in a row of such failures, as the sidecar reports them.
+// worstPause gives the longest pause that the real balancer makes in a row of such failures, as the sidecar reports them.
 func worstPause(t *testing.T, settings string, row int, err error) time.Duration {
 	t.Helper()
 	c := configtest.NewConf("127.0.0.1:1").Setting(`"ask_within_ms": 10000, `, settings)
@@ -49,17 +49,17 @@
 	return clock.Duration(worst)
 }
 
-// Where lists are asked for, each way from the moment at which discovery could be reached to the next call is shorter
-// than the time after which a change counts as told, whatever the settings say of pauses.
-func TestAskedListsAreKnownInTime(t *testing.T) {
+// Where lists are polled, each way from the moment at which discovery could be reached to the next call is shorter
+// than the time after which a change counts as notified, whatever the settings say of pauses.
+func TestPolledLists_KnownInTime(t *testing.T) {
 	away := &discovery.RejectedError{Status: "503"}
 	hold := &discovery.RejectedError{Status: "429", RetryAfter: time.Hour.Seconds() * 1000}
 	for name, settings := range map[string]string{
-		"as on the sites":    `"ask_within_ms": 10000, `,
-		"asked seldom":       `"ask_within_ms": 600000, `,
-		"asked often":        `"ask_within_ms": 300, `,
-		"no word on that":    ``,
-		"asked never at all": `"ask_within_ms": 0, `,
+		"as on the sites": `"ask_within_ms": 10000, `,
+		"polled seldom":   `"ask_within_ms": 600000, `,
+		"polled often":    `"ask_within_ms": 300, `,
+		"no word on that": ``,
+		"never polled":    `"ask_within_ms": 0, `,
 	} {
 		t.Run(name, func(t *testing.T) {
 			pause := func(row int, err error) time.Duration { return worstPause(t, settings, row, err) }
@@ -74,7 +74,7 @@
 				"calls end at once":                 discovery.DialTimeout + pause(rowOfFailures, io.ErrUnexpectedEOF),
 			} {
 				if sum >= discovery.NotifiedWithin {
-					t.Errorf("%s: the next call begins %v after discovery could be reached, and the change counts as told after %v", way, sum, discovery.NotifiedWithin)
+					t.Errorf("%s: the next call begins %v after discovery could be reached, and the change counts as notified after %v", way, sum, discovery.NotifiedWithin)
 				}
 			}
 		})
@@ -91,13 +91,13 @@
 	for _, settings := range []string{`"ask_within_ms": 10000, `, `"ask_within_ms": 600000, `, ``} {
 		again := discovery.CallTimeout + worstPause(t, settings, rowOfFailures, discovery.ErrSilent)
 		if again >= discovery.NotifiedWithin {
-			t.Errorf("%q: the next call begins %v after one that stayed silent, and a change counts as told after %v", settings, again, discovery.NotifiedWithin)
+			t.Errorf("%q: the next call begins %v after one that stayed silent, and a change counts as notified after %v", settings, again, discovery.NotifiedWithin)
 		}
 		if late := max(afterSignal, discovery.CallTimeout+afterWait); again >= late {
-			t.Errorf("%q: after SIGHUP it begins after %v, and what is there counts as told after %v", settings, again, late)
+			t.Errorf("%q: after SIGHUP it begins after %v, and what is there counts as notified after %v", settings, again, late)
 		}
 		if late := discovery.WatchTimeout + worstPause(t, settings, 1, discovery.ErrStopped) + again; late >= discovery.WatchTimeout+discovery.SilentCallPause+discovery.CallTimeout+afterWait {
-			t.Errorf("%q: what a silent watch missed is asked for twice in %v", settings, late)
+			t.Errorf("%q: what a silent watch missed is requested twice in %v", settings, late)
 		}
 	}
 }
--- a/internal/sidecar/config_test.go
+++ b/internal/sidecar/config_test.go
@@ -12,7 +12,7 @@
 )
 
 // A configuration that cannot be used leaves everything as it was at SIGHUP: no call moves, and the error names the file.
-func TestReloadOfABadFileChangesNothing(t *testing.T) {
+func TestReload_BadFile(t *testing.T) {
 	for _, mode := range []string{"subscribe", "automatic"} {
 		t.Run(mode, func(t *testing.T) {
 			b, r, other := sidecartest.NewBackend(t, "a", sidecartest.OK), sidecartest.NewRegistry(t), sidecartest.NewRegistry(t)
@@ -21,7 +21,7 @@
 			watch := sidecartest.Receive(t, "the watch", r.Calls)
 			c["discovery"] = other.Addr()
 			path := c.Write(t)
-			whole, err := os.ReadFile(path)
+			text, err := os.ReadFile(path)
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -29,9 +29,9 @@
 				return s.Reload(func(name string) string { return map[string]string{"NODE_CONFIG": path}[name] })
 			}
 			bad := map[string]string{
-				"half written": string(whole[:len(whole)/2]), "empty": "", "no discovery": strings.Replace(string(whole), `"discovery":"127`, `"x":"127`, 1),
-				"port of no use": strings.Replace(string(whole), other.Addr(), "127.0.0.1:99999", 1),
-				"other type":     strings.Replace(string(whole), `"`+other.Addr()+`"`, "5", 1),
+				"half written": string(text[:len(text)/2]), "empty": "", "no discovery": strings.Replace(string(text), `"discovery":"127`, `"x":"127`, 1),
+				"port of no use": strings.Replace(string(text), other.Addr(), "127.0.0.1:99999", 1),
+				"other type":     strings.Replace(string(text), `"`+other.Addr()+`"`, "5", 1),
 			}
 			for name, text := range bad {
 				if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
@@ -50,14 +50,14 @@
 			rev := int64(41)
 			watch.Send(t, endpointlist.List{Rev: rev, Targets: []endpointlist.Target{b.Target}}) // the first watch goes on
 			sidecartest.Until(t, "the list", func() bool { return s.loop.Discovery.Revision.Load() == rev })
-			if err := os.WriteFile(path, whole, 0o600); err != nil {
+			if err := os.WriteFile(path, text, 0o600); err != nil {
 				t.Fatal(err)
 			}
 			if err := reload(); err != nil {
 				t.Fatal(err)
 			}
-			if call := sidecartest.Receive(t, "the call after a whole file", other.Calls); call.Query != "watch=1&after=41" {
-				t.Errorf("asked %q", call.Query)
+			if call := sidecartest.Receive(t, "the call after a complete file", other.Calls); call.Query != "watch=1&after=41" {
+				t.Errorf("query %q", call.Query)
 			}
 			if len(r.Calls)+len(other.Calls) > 0 {
 				t.Error("a bad file made a call")
@@ -67,13 +67,13 @@
 }
 
 // Two reloads at once, and one back to the first address, each leave one watch, at the address of the last.
-func TestReloadsAtOnceAndBack(t *testing.T) {
+func TestReload_Repeated(t *testing.T) {
 	for _, mode := range []string{"subscribe", "automatic"} {
 		t.Run(mode, func(t *testing.T) {
 			first, second, third := sidecartest.NewRegistry(t), sidecartest.NewRegistry(t), sidecartest.NewRegistry(t)
 			c := configtest.NewConf(first.Addr()).Setting(`"discovery": "subscribe"`, `"discovery": "`+mode+`"`)
 			s := start(t, c, func(s *Sidecar) { s.loop.Discovery.PushedDelay = time.Hour })
-			begun := sidecartest.Receive(t, "the watch, before any answer", first.Calls)
+			started := sidecartest.Receive(t, "the watch, before any answer", first.Calls)
 			paths := map[*sidecartest.Registry]string{}
 			for _, r := range []*sidecartest.Registry{first, second, third} {
 				paths[r] = withDiscovery(c, r.Addr()).Write(t)
@@ -91,7 +91,7 @@
 					t.Fatal(err)
 				}
 			}
-			sidecartest.Receive(t, "the watch at the first address to end", begun.Gone)
+			sidecartest.Receive(t, "the watch at the first address to end", started.Gone)
 			if err := reload(first); err != nil {
 				t.Fatal(err)
 			}
@@ -100,7 +100,7 @@
 			sidecartest.Until(t, "the list", func() bool { return s.loop.Discovery.Revision.Load() == 9 })
 			for _, r := range []*sidecartest.Registry{second, third} {
 				for len(r.Calls) > 0 {
-					sidecartest.Receive(t, "what was begun between to end", (<-r.Calls).Gone)
+					sidecartest.Receive(t, "what was started between to end", (<-r.Calls).Gone)
 				}
 			}
 			if len(first.Calls) > 0 {
--- a/internal/sidecar/configtest/sidecar.go
+++ b/internal/sidecar/configtest/sidecar.go
@@ -25,9 +25,10 @@
  "rules": {"answer_slack_ms": 8, "ask_within_ms": 10000, "cold_from": 0.12, "cold_ms": 24000,
   "drain_grace_ms": 250, "fall_ms": 3000, "fall_multiple": 2.5}}`
 
-// Conf is a configuration file under change.
+// Conf is a configuration file that a test changes.
 type Conf map[string]any
 
+// NewConf gives a configuration with an address of discovery and a last known list.
 func NewConf(discovery string, known ...endpointlist.Target) Conf {
 	return Conf{
 		"name": "n0", "listen": sidecartest.Loopback, "discovery": discovery, "seed": "8c1f30d27a5be964",
@@ -47,6 +48,7 @@
 	return c
 }
 
+// Write writes the file and gives its path.
 func (c Conf) Write(t *testing.T) string {
 	t.Helper()
 	data, err := json.Marshal(c)
@@ -60,6 +62,7 @@
 	return path
 }
 
+// Load writes the file and loads it.
 func (c Conf) Load(t *testing.T) (*config.Config, error) {
 	path := c.Write(t)
 	return config.Load(func(name string) string {
--- a/internal/sidecar/drain_test.go
+++ b/internal/sidecar/drain_test.go
@@ -13,21 +13,21 @@
 
 // A request whose time outlasts the process gets its answer before SIGKILL may come: failed where it may have run,
 // refused where trying again does no harm.
-func TestWhatOutlastsTheProcessIsAnswered(t *testing.T) {
-	asked := make(chan string, 4)
+func TestDrain_OpenRequestsAnswered(t *testing.T) {
+	received := make(chan string, 4)
 	b := sidecartest.NewBackend(t, "hung", func(_ net.Conn, req *http.Request, _ string) bool {
-		asked <- req.Header.Get("X-Priority-Class")
+		received <- req.Header.Get("X-Priority-Class")
 		return true // and says nothing
 	})
-	// The classes' longest deadline is 2.5 s: what a client allows beyond it is not waited for.
+	// The classes' latest deadline is 2.5 s: what a client allows beyond it is not waited for.
 	s := start(t, configtest.NewConf(sidecartest.NewRegistry(t).Addr(), b.Target))
 	sidecartest.Until(t, "a server", func() bool { return s.loop.Metrics.Servers.Load().Ready > 0 })
 	charge := s.goDo(s.request("charge", 5*time.Second))
 	lookup := s.goDo(s.request("lookup", 5*time.Second))
 	for range 2 {
-		sidecartest.Receive(t, "an attempt", asked)
+		sidecartest.Receive(t, "an attempt", received)
 	}
-	began := time.Now()
+	startedAt := time.Now()
 	s.term()
 	for class, want := range map[string]struct {
 		done   <-chan result
@@ -37,7 +37,7 @@
 			t.Errorf("%s: %d, want %d", class, got.status, want.status)
 		}
 	}
-	if took := time.Since(began); took > s.killTime() {
+	if took := time.Since(startedAt); took > s.killTime() {
 		t.Errorf("answered %v after the signal, SIGKILL may come after %v", took, s.killTime())
 	}
 	if err := sidecartest.Receive(t, "the end", s.ended); err != nil {
--- a/internal/sidecar/eventloop/calls.go
+++ b/internal/sidecar/eventloop/calls.go
@@ -23,7 +23,7 @@
 	l.HandleEvent(now, request)
 }
 
-// takeBodyComplete starts the times of a call, and of its attempts, whose body was passed on to its end.
+// takeBodyComplete starts the times of a call, and of its attempts, whose body has been forwarded to its end.
 func (l *Loop) takeBodyComplete(now float64, c *inflight.Call) {
 	c.Deadline = c.Outbound.Upload.CompletedAt().Add(c.Timeout)
 	if open := l.Calls[c.Request.ID]; open != nil {
@@ -41,7 +41,7 @@
 	l.release(c)
 }
 
-// takeAnswerStarted gives the client an answer that is passed on as it comes.
+// takeAnswerStarted gives the client an answer that is forwarded as it comes.
 func (l *Loop) takeAnswerStarted(now float64, a *upstream.Attempt, answer inflight.Answer) {
 	c := a.Call
 	if !c.Finish() {
--- a/internal/sidecar/eventloop/loop.go
+++ b/internal/sidecar/eventloop/loop.go
@@ -105,7 +105,7 @@
 	defer l.Members.Start()()
 	alarm := time.NewTimer(time.Hour)
 	defer alarm.Stop()
-	var publish <-chan time.Time // nil: nobody reads the figures
+	var publish <-chan time.Time // nil: the figures are not read
 	if l.Cfg.Management != "" {
 		ticker := time.NewTicker(publishInterval)
 		defer ticker.Stop()
--- a/internal/sidecar/fleet/membership.go
+++ b/internal/sidecar/fleet/membership.go
@@ -20,44 +20,51 @@
 	"marblelane/internal/streamlimit"
 )
 
+// Paths of the management address.
 const (
 	MembersPath = "/members"
 	LeavePath   = MembersPath + "/leave"
-	// MaxWatchers of /members may be there at once: the management address has few places.
-	MaxWatchers = 2
+)
 
-	// leaveTimeout is how long the end of the process waits at most until it is told that it leaves.
+const (
+	// MaxWatchers bounds the watches of MembersPath at a time, as the management address has few connections.
+	MaxWatchers = 2
+	// leaveTimeout bounds how long the end of the process waits until the others know that it leaves.
 	leaveTimeout = 300 * time.Millisecond
-	// An address that cannot be bound is tried again after bindSoon, and then after twice as long each time, bindLate at
-	// most; after bindBeside while the process before this one may have it.
+	// An address that cannot be bound is tried again after minBindPause, and then after twice as long each time, up to
+	// maxBindPause, or to maxBindPauseUpgrade while the predecessor may have it.
 	minBindPause        = 100 * time.Millisecond
 	maxBindPause        = 10 * time.Second
 	maxBindPauseUpgrade = 250 * time.Millisecond
 )
 
-// Membership is the loop's part; nil where there is none.
+// Membership is this process's part in the membership. Its goroutine is run, which ends with Leave. nil: there is no
+// section members.
 type Membership struct {
 	Config           membership.Config
-	predecessorAlive func() bool // the process before this one is still there
+	predecessorAlive func() bool
 
-	Latest      atomic.Pointer[roster.View] // the newest wins: the loop is never waited for
-	wake        chan struct{}               // of 1: the loop has not looked at latest
-	viewChanged chan struct{}               // of 1: nor has the duty
-	estimate    atomic.Uint64               // bits of what the module goes by
-	Left        atomic.Bool                 // told to leave by an operator: it takes no part any more
+	Latest      atomic.Pointer[roster.View] // replaced by each newer view, so that nothing waits for the loop
+	wake        chan struct{}               // capacity 1: the loop has not read Latest
+	viewChanged chan struct{}               // capacity 1: run has not seen the change
+	estimate    atomic.Uint64               // bits of the fleet size that the balancer goes by
+	Left        atomic.Bool                 // an operator made it leave
 	group       atomic.Pointer[membership.Group]
 	watchers    streamlimit.Limiter
 
 	leaveOnce    sync.Once
-	leaveTimeout time.Duration // for the group to say so; set before quit is closed
-	quit         chan struct{}
-	ended        chan struct{}
+	leaveTimeout time.Duration // for the group to say that it leaves; set before quit is closed
+	quit         chan struct{} // closed by BeginLeave
+	ended        chan struct{} // closed by run
 }
 
-func New(cfg *config.Membership, beside func() bool) *Membership {
+// New gives the part of a process whose predecessor may still be alive.
+func New(cfg *config.Membership, predecessorAlive func() bool) *Membership {
 	m := &Membership{
-		Config: cfg.Group, predecessorAlive: beside, wake: make(chan struct{}, 1), viewChanged: make(chan struct{}, 1),
-		quit: make(chan struct{}), ended: make(chan struct{}), watchers: streamlimit.Limiter{MaxOpen: MaxWatchers, WriteTimeout: config.ManagementTimeout},
+		Config: cfg.Group, predecessorAlive: predecessorAlive,
+		wake: make(chan struct{}, 1), viewChanged: make(chan struct{}, 1),
+		quit: make(chan struct{}), ended: make(chan struct{}),
+		watchers: streamlimit.Limiter{MaxOpen: MaxWatchers, WriteTimeout: config.ManagementTimeout},
 	}
 	m.Config.Believed = func() float64 { return math.Float64frombits(m.estimate.Load()) }
 	m.Config.Changed = m.changed
@@ -65,13 +72,14 @@
 	return m
 }
 
+// changed publishes a new view.
 func (m *Membership) changed(v roster.View) {
 	m.Latest.Store(&v)
 	signal(m.wake)
 	signal(m.viewChanged)
 }
 
-// signal never waits: one that is there already says the same.
+// signal sends without waiting: a signal that is there already says the same.
 func signal(c chan<- struct{}) {
 	select {
 	case c <- struct{}{}:
@@ -79,7 +87,7 @@
 	}
 }
 
-// Woken is the channel that tells of news; nil: membership is off.
+// Woken says when Size has changed; nil: membership is off.
 func (m *Membership) Woken() <-chan struct{} {
 	if m == nil {
 		return nil
@@ -87,10 +95,10 @@
 	return m.wake
 }
 
-// SetEstimate notes the number of processes that the module goes by.
+// SetEstimate sets the fleet size that the balancer goes by, which the group sends to other members and the figures show.
 func (m *Membership) SetEstimate(size float64) { m.estimate.Store(math.Float64bits(size)) }
 
-// Start begins the duty. It ends with the loop, if it has not before.
+// Start joins in the background. Its result leaves, unless Leave was called before.
 func (m *Membership) Start() (end func()) {
 	if m == nil {
 		return func() {}
@@ -99,69 +107,70 @@
 	return func() { m.Leave(time.Now().Add(leaveTimeout)) }
 }
 
-// Size is what the module is to go by; false: nothing yet, it goes by the settings.
+// Size is the fleet size for the balancer; false: nothing is known yet, and the settings count.
 func (m *Membership) Size() (balance.FleetSize, bool) {
-	v := m.Latest.Load()
-	if v == nil {
+	view := m.Latest.Load()
+	if view == nil {
 		return balance.FleetSize{Known: max(m.Config.Peers, 1), Reachable: 1, Admitted: true}, false
 	}
-	return balance.FleetSize{Known: v.Known, Reachable: v.Heard, Admitted: v.Admitted && !m.Left.Load()}, true
+	return balance.FleetSize{Known: view.Known, Reachable: view.Heard, Admitted: view.Admitted && !m.Left.Load()}, true
 }
 
-// run is the duty: it joins, says in the log whether this process takes its part, and leaves.
+// run joins, logs whether this process is admitted, and leaves.
 func (m *Membership) run() {
 	defer close(m.ended)
-	g := m.open()
-	if g == nil {
+	group := m.open()
+	if group == nil {
 		return
 	}
-	m.group.Store(g)
+	m.group.Store(group)
 	defer func() {
 		m.group.Store(nil)
-		if err := g.Close(); err != nil {
-			slog.Info("members: close", "error", err)
+		if err := group.Close(); err != nil {
+			slog.Info("members: close failed", "err", err)
 		}
 	}()
 	admitted := false
 	for {
 		select {
 		case <-m.viewChanged:
-			if v := g.View(); v.Admitted != admitted { // all else the group says itself
-				admitted = v.Admitted
-				slog.Info("members: takes its part", "admitted", admitted, "known", v.Known, "heard", v.Heard, "forced", v.Forced)
+			if view := group.View(); view.Admitted != admitted { // the group logs all other changes
+				admitted = view.Admitted
+				slog.Info("members: admission changed", "admitted", admitted, "known", view.Known,
+					"reachable", view.Heard, "forced", view.Forced)
 			}
 		case <-m.quit:
 			ctx, cancel := context.WithTimeout(context.Background(), m.leaveTimeout)
 			defer cancel()
-			if err := g.Leave(ctx); err != nil {
-				slog.Info("members: others may not know that this process leaves", "error", err)
+			if err := group.Leave(ctx); err != nil {
+				slog.Info("members: others may not know that this process leaves", "err", err)
 			}
 			return
 		}
 	}
 }
 
-// open binds, however often it takes; nil: the end came first. Until then this process works as one without members,
-// but takes no part beside the process before it, whose address it may need.
+// open binds the address and joins, however often it takes; nil: the process ends first. Until then this process works
+// without members, but is not admitted beside its predecessor, whose address it may need.
 func (m *Membership) open() *membership.Group {
 	wait := minBindPause
 	for first := true; ; first = false {
-		g, err := membership.Open(m.Config)
+		group, err := membership.Open(m.Config)
 		if err == nil {
 			if !first {
-				slog.Info("members: the address is bound after all", "bind", m.Config.Bind)
+				slog.Info("members: the address is bound", "addr", m.Config.Bind)
 			}
-			return g
+			return group
 		}
-		beside := m.predecessorAlive()
+		upgrading := m.predecessorAlive()
 		switch {
-		case first && beside:
-			slog.Info("members: the address is not free yet, tried again", "bind", m.Config.Bind, "error", err)
+		case first && upgrading:
+			slog.Info("members: the address is not free yet, it is tried again", "addr", m.Config.Bind, "err", err)
 		case first:
-			slog.Error("members: this process goes on without, and tries again", "bind", m.Config.Bind, "error", err)
+			slog.Error("members: the address cannot be bound, it is tried again", "addr", m.Config.Bind, "err", err)
 		}
-		m.changed(roster.View{Known: max(m.Config.Peers, 1), Heard: 1, Admitted: !beside})
-		if beside {
+		m.changed(roster.View{Known: max(m.Config.Peers, 1), Heard: 1, Admitted: !upgrading})
+		if upgrading {
 			wait = min(wait, maxBindPauseUpgrade)
 		}
 		select {
@@ -173,9 +182,8 @@
 	}
 }
 
-// BeginLeave begins to leave. Nothing may be sent to servers any more: who has left counts for nobody. The group has two
-// thirds of the time to say so; the rest is for its end, so that who waits for all of it is not told falsely that it
-// took too long.
+// BeginLeave starts to leave. Nothing may be sent to servers from here on, as others no longer count this process. The
+// group has two thirds of the time to tell them; the rest is for its end.
 func (m *Membership) BeginLeave(within time.Duration) {
 	if m != nil {
 		m.leaveOnce.Do(func() {
@@ -185,7 +193,7 @@
 	}
 }
 
-// Leave departs and waits for it, to a time and no longer than leaveWait.
+// Leave leaves and waits until it has left, but not beyond a time, nor for longer than leaveTimeout.
 func (m *Membership) Leave(by time.Time) {
 	if m == nil {
 		return
@@ -204,64 +212,70 @@
 	}
 }
 
-// ServeHTTP passes a call of the management address on to the group.
+// ServeHTTP answers calls of MembersPath.
 func (m *Membership) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	if m == nil {
 		http.NotFound(w, r)
 		return
 	}
-	g := m.group.Load()
-	if g == nil {
+	group := m.group.Load()
+	if group == nil {
 		http.Error(w, "members: the address is not bound", http.StatusServiceUnavailable)
 		return
 	}
 	if r.Method != http.MethodPost && r.URL.Query().Get("watch") != "" {
-		m.watchers.Serve(w, r, g.Handler())
+		m.watchers.Serve(w, r, group.Handler())
 		return
 	}
 	if r.Method != http.MethodPost || r.URL.Path != LeavePath {
-		g.Handler().ServeHTTP(w, r)
+		group.Handler().ServeHTTP(w, r)
 		return
 	}
-	// It takes no part any more before others count it out.
+	m.serveLeave(w, r, group)
+}
+
+// serveLeave lets an operator make this process leave. It is not admitted any more before others stop counting it.
+func (m *Membership) serveLeave(w http.ResponseWriter, r *http.Request, group *membership.Group) {
 	m.Left.Store(true)
 	signal(m.wake)
-	ctx, cancel := context.WithTimeout(r.Context(), config.ManagementTimeout/2) // the answer has to come in its time
+	ctx, cancel := context.WithTimeout(r.Context(), config.ManagementTimeout/2) // the rest is for the answer
 	defer cancel()
-	told := &answered{ResponseWriter: w}
-	if g.Handler().ServeHTTP(told, r.WithContext(ctx)); told.status >= http.StatusMultipleChoices {
+	recorder := &statusRecorder{ResponseWriter: w}
+	group.Handler().ServeHTTP(recorder, r.WithContext(ctx))
+	if recorder.status >= http.StatusMultipleChoices {
 		m.Left.Store(false)
 		signal(m.wake)
 	}
 }
 
-// answered keeps the status of an answer; 0: the default.
-type answered struct {
+// statusRecorder records the status of an answer; 0: the default.
+type statusRecorder struct {
 	http.ResponseWriter
 	status int
 }
 
-func (w *answered) WriteHeader(status int) {
+// WriteHeader records the status.
+func (w *statusRecorder) WriteHeader(status int) {
 	w.status = status
 	w.ResponseWriter.WriteHeader(status)
 }
 
-// Unwrap lets the group flush.
-func (w *answered) Unwrap() http.ResponseWriter { return w.ResponseWriter }
+// Unwrap lets http.ResponseController reach the writer.
+func (w *statusRecorder) Unwrap() http.ResponseWriter { return w.ResponseWriter }
 
-// WriteMetrics gives the figures of members.
+// WriteMetrics writes the figures of members in Prometheus's text form.
 func (m *Membership) WriteMetrics(w io.Writer) {
 	if m == nil {
 		return
 	}
-	told, _ := m.Size()
-	var r membership.Report
-	if g := m.group.Load(); g != nil {
-		r = g.Report()
+	size, _ := m.Size()
+	var report membership.Report
+	if group := m.group.Load(); group != nil {
+		report = group.Report()
 	}
 	states := []membership.MemberState{membership.Alive, membership.Suspected, membership.Silent, membership.Gone}
 	count, oldest := map[membership.MemberState]int{}, int64(0)
-	for _, one := range r.Members {
+	for _, one := range report.Members {
 		count[one.State]++
 		if one.State == membership.Silent {
 			oldest = max(oldest, one.SinceMS)
@@ -275,18 +289,18 @@
 		name, kind string
 		value      float64
 	}{
-		{"known", "gauge", float64(told.Known)},
+		{"known", "gauge", float64(size.Known)},
 		{"believed", "gauge", math.Float64frombits(m.estimate.Load())},
-		{"admitted", "gauge", float64(metrics.Bool(told.Admitted))},
-		{"changes_total", "counter", float64(r.Changes)},
-		{"dropped_total", "counter", float64(r.Dropped)},
+		{"admitted", "gauge", float64(metrics.Bool(size.Admitted))},
+		{"changes_total", "counter", float64(report.Changes)},
+		{"dropped_total", "counter", float64(report.Dropped)},
 		{"oldest_unheard_seconds", "gauge", float64(oldest) / 1e3},
 	} {
 		fmt.Fprintf(w, "# TYPE svc_members_%s %s\nsvc_members_%s %g\n", one.name, one.kind, one.name, one.value)
 	}
 }
 
-// IsMembersPath tells whether a path is the group's.
+// IsMembersPath reports whether ServeHTTP answers a path.
 func IsMembersPath(path string) bool {
 	return path == MembersPath || strings.HasPrefix(path, MembersPath+"/")
 }
--- a/internal/sidecar/fleet/membership_test.go
+++ b/internal/sidecar/fleet/membership_test.go
@@ -15,12 +15,12 @@
 // Leaving is waited for no longer than it may take.
 func TestMembersLeaveIsBounded(t *testing.T) {
 	m := New(&config.Membership{}, nil) // whose duty never ends
-	began := time.Now()
-	m.Leave(began.Add(time.Hour))
-	require.GreaterOrEqual(t, time.Since(began), leaveTimeout)
-	require.Less(t, time.Since(began), sidecartest.Patience)
+	startedAt := time.Now()
+	m.Leave(startedAt.Add(time.Hour))
+	require.GreaterOrEqual(t, time.Since(startedAt), leaveTimeout)
+	require.Less(t, time.Since(startedAt), sidecartest.Patience)
 	require.Equal(t, leaveTimeout*2/3, m.leaveTimeout)
-	m.Leave(began) // too late
+	m.Leave(startedAt) // too late
 
 	m.changed(roster.View{Known: 2, Heard: 2, Admitted: true})
 	s, _ := m.Size()
--- a/internal/sidecar/handover/rawcalls_test.go
+++ b/internal/sidecar/handover/rawcalls_test.go
@@ -50,15 +50,17 @@
 	}
 }
 
-// A message whose descriptor the system has cut off, as where none is left, is asked for again; one without is not.
-func TestHandedListenerThatDidNotCome(t *testing.T) {
-	if _, err := receivedListener(nil, unix.MSG_CTRUNC); !errors.Is(err, errNoListener) || !errors.Is(err, unix.EMFILE) {
-		t.Errorf("cut off: %v", err)
+// A message that the system has truncated, as this process may not open one more descriptor, is requested again; a message
+// without a descriptor is not.
+func TestReceivedListener_Invalid(t *testing.T) {
+	if _, err := receivedListener(nil, unix.MSG_CTRUNC); !errors.Is(err, errNoListener) || !errors.Is(err, unix.EMFILE) ||
+		!strings.Contains(err.Error(), "truncated") {
+		t.Errorf("truncated: %v", err)
 	}
-	whole := unix.UnixRights(0)
-	for name, rights := range map[string][]byte{"nothing": nil, "half": whole[:len(whole)/2], "two": unix.UnixRights(0, 0)} {
+	one := unix.UnixRights(0)
+	for name, rights := range map[string][]byte{"nothing": nil, "half": one[:len(one)/2], "two": unix.UnixRights(0, 0)} {
 		_, err := receivedListener(rights, 0)
-		if !errors.Is(err, errNoListener) || errors.Is(err, unix.EMFILE) || strings.Contains(err.Error(), "cut off") {
+		if !errors.Is(err, errNoListener) || errors.Is(err, unix.EMFILE) || strings.Contains(err.Error(), "truncated") {
 			t.Errorf("%s: %v", name, err)
 		}
 	}
--- a/internal/sidecar/handover_shutdown_test.go
+++ b/internal/sidecar/handover_shutdown_test.go
@@ -11,7 +11,7 @@
 	"marblelane/internal/sidecar/sidecartest"
 )
 
-// Both processes of an upgrade are told to end: while the newer one drains, which may be short, the older one does not
+// Both processes of an upgrade are terminated: while the newer one drains, which may be short, the older one does not
 // leave new connections to it.
 func TestShutdownOfBothProcesses(t *testing.T) {
 	b := sidecartest.NewBackend(t, "a", sidecartest.OK)
@@ -40,7 +40,7 @@
 	}
 }
 
-// A newer process that is told to end before it serves never says that it does: the older one goes on.
+// A newer process that is terminated before it serves never says that it does: the older one goes on.
 func TestShutdownBeforeItServes(t *testing.T) {
 	c := upgradable(t, sidecartest.NewRegistry(t).Addr())
 	cfg, err := c.Load(t)
@@ -76,7 +76,7 @@
 	}()
 	next := start(t, c, func(s *Sidecar) { s.listTimeout = time.Hour }) // it waits for a server
 	if next.predecessor == nil {
-		t.Fatal("it has met nobody")
+		t.Fatal("it has no predecessor")
 	}
 	next.end(t)
 	if said := sidecartest.Receive(t, "its words", words); said != string([]byte{handover.EndingByte}) {
--- a/internal/sidecar/handover_test.go
+++ b/internal/sidecar/handover_test.go
@@ -61,7 +61,7 @@
 }
 
 // While one process follows the other, each request on a connection of its own and on kept ones is served.
-func TestUpgradeTurnsNobodyBack(t *testing.T) {
+func TestUpgrade_NoRequestRejected(t *testing.T) {
 	b := sidecartest.NewBackend(t, "a", sidecartest.OK)
 	c := upgradable(t, sidecartest.NewRegistry(t).Addr(), b.Target)
 	quick := func(s *Sidecar) { s.drainAccept, s.listTimeout = 50*time.Millisecond, 0 }
@@ -118,7 +118,7 @@
 }
 
 // Connections that wait to be accepted when the process ends are the next one's.
-func TestWhatWaitsIsHandedOver(t *testing.T) {
+func TestUpgrade_QueueHandedOver(t *testing.T) {
 	b := sidecartest.NewBackend(t, "a", sidecartest.OK)
 	c := upgradable(t, sidecartest.NewRegistry(t).Addr(), b.Target)
 	deaf := func(s *Sidecar) { // it accepts nobody
@@ -173,7 +173,7 @@
 }
 
 // A process that ends before it serves leaves the older one as it was.
-func TestNextProcessThatDoesNotCome(t *testing.T) {
+func TestUpgrade_SuccessorFails(t *testing.T) {
 	b := sidecartest.NewBackend(t, "a", sidecartest.OK)
 	c := upgradable(t, sidecartest.NewRegistry(t).Addr(), b.Target)
 	old := start(t, c)
@@ -188,7 +188,7 @@
 	}
 	sidecartest.Until(t, "limits to be shared", func() bool { return old.listener.Limit() == old.budget.clients/2 })
 	l.Close()
-	p.Conn.Close()
+	p.Close()
 	sidecartest.Until(t, "limits to be whole again", func() bool { return old.listener.Limit() == old.budget.clients })
 	if got := old.do(old.request("charge", time.Second)); got.status != 200 {
 		t.Errorf("%+v", got)
@@ -196,7 +196,7 @@
 }
 
 // What lies at the meeting place may be left by a process that is gone, or by anybody else.
-func TestStaleMeetingPlace(t *testing.T) {
+func TestUpgrade_StaleSocket(t *testing.T) {
 	for name, leave := range map[string]func(place string) error{
 		"a dead process's socket": func(place string) error {
 			l, err := net.ListenUnix("unix", &net.UnixAddr{Name: place, Net: "unix"})
--- a/internal/sidecar/kill_time_test.go
+++ b/internal/sidecar/kill_time_test.go
@@ -28,18 +28,18 @@
 	300 * time.Millisecond, 220 * time.Millisecond, 140 * time.Millisecond, 20 * time.Millisecond,
 }
 
-// shutdown is one sidecar that is told to end while it is held up at one checkpoint.
+// shutdown is one sidecar that is terminated while it is held up at one checkpoint.
 type shutdown struct {
-	held    checkpoint.Checkpoint
-	s       *Sidecar
-	stop    context.CancelFunc
-	ended   chan error
-	begun   chan struct{} // closed: term and kill are set
-	term    time.Time
-	kill    time.Time
-	longest time.Duration
-	holding atomic.Bool
-	clients sync.WaitGroup
+	held        checkpoint.Checkpoint
+	s           *Sidecar
+	stop        context.CancelFunc
+	ended       chan error
+	started     chan struct{} // closed: term and kill are set
+	term        time.Time
+	kill        time.Time
+	maxDeadline time.Duration
+	holding     atomic.Bool
+	clients     sync.WaitGroup
 
 	mu       sync.Mutex
 	arrived  map[string]time.Time // at the server, by request id
@@ -48,10 +48,10 @@
 	lag atomic.Int64 // the most that a timer was late from SIGTERM to SIGKILL, in ns
 }
 
-func newShutdown(t *testing.T, longest time.Duration, held checkpoint.Checkpoint) *shutdown {
+func newShutdown(t *testing.T, maxDeadline time.Duration, held checkpoint.Checkpoint) *shutdown {
 	t.Helper()
 	d := &shutdown{
-		held: held, longest: longest, ended: make(chan error, 1), begun: make(chan struct{}),
+		held: held, maxDeadline: maxDeadline, ended: make(chan error, 1), started: make(chan struct{}),
 		arrived: map[string]time.Time{},
 	}
 	b := sidecartest.NewBackend(t, "a", func(c net.Conn, req *http.Request, _ string) bool {
@@ -65,7 +65,7 @@
 	 {"name": "lookup", "effect": "read_like", "on_time_ms": %[1]d, "hard_limit_ms": %[1]d},
 	 {"name": "charge", "effect": "non_idempotent", "on_time_ms": %[1]d, "hard_limit_ms": %[1]d}],
 	 "zones": ["z"], "kinds": ["k"], "quantum_ms": 2,
-	 "limits": {"cancel": true, "connect_timeout_ms": 100, "max_attempts": 3}}`, longest.Milliseconds()))
+	 "limits": {"cancel": true, "connect_timeout_ms": 100, "max_attempts": 3}}`, maxDeadline.Milliseconds()))
 	cfg, err := c.Load(t)
 	if err != nil {
 		t.Fatal(err)
@@ -120,7 +120,7 @@
 	return errors.As(err, &timeout) && timeout.Timeout()
 }
 
-// answer reads a whole answer, which has to come before SIGKILL may; io.EOF: the connection ended without one.
+// answer reads a complete answer, which has to come before SIGKILL may; io.EOF: the connection ended without one.
 func (c *caller) answer() (last bool, err error) {
 	c.SetReadDeadline(time.Now().Add(sidecartest.Patience))
 	if _, err := c.in.Peek(1); err == io.EOF {
@@ -168,7 +168,7 @@
 	id = fmt.Sprint(requestIDs.Add(1))
 	return id, fmt.Sprintf("%s /api?%s HTTP/1.1\r\nHost: a\r\nX-Request-ID: %s\r\nX-Priority-Class: %s\r\n"+
 		"X-Timeout-Ms: %d\r\nContent-Length: %d\r\n\r\n%s",
-		method, query, id, class, d.longest.Milliseconds(), len(body), body)
+		method, query, id, class, d.maxDeadline.Milliseconds(), len(body), body)
 }
 
 // keepSending sends request after request, on a new connection as long as new ones come, to the end.
@@ -219,23 +219,23 @@
 }
 
 // completeLate completes a request so long before SIGKILL, unless the sidecar has answered or ended its connection.
-func (d *shutdown) completeLate(c *caller, rest string, before time.Duration) {
+func (d *shutdown) completeLate(c *caller, remainder string, before time.Duration) {
 	defer c.Close()
-	type heard struct {
+	type received struct {
 		last bool
 		err  error
 	}
-	answered := make(chan heard, 1)
+	answered := make(chan received, 1)
 	go func() {
 		last, err := c.answer()
-		answered <- heard{last, err}
+		answered <- received{last, err}
 	}()
 	excused := true // it may end without an answer
-	var got heard
+	var got received
 	select {
 	case got = <-answered:
 	case <-time.After(time.Until(d.kill.Add(-before))):
-		io.WriteString(c, rest)
+		io.WriteString(c, remainder)
 		excused = c.what == sidecartest.Resting
 		got = <-answered
 	}
@@ -249,8 +249,8 @@
 	}
 }
 
-// begin connects a client and sends what it has sent when its sidecar is told to end; the rest is for later.
-func (d *shutdown) begin(what string) (c *caller, rest string, err error) {
+// begin connects a client and sends what it has sent when its sidecar is terminated; the remainder is for later.
+func (d *shutdown) begin(what string) (c *caller, remainder string, err error) {
 	if c, err = d.dial(what); err != nil {
 		return nil, "", err
 	}
@@ -279,7 +279,7 @@
 	for _, query := range []string{"", "hang"} {
 		for _, method := range []string{"GET", "POST"} {
 			d.clients.Go(func() {
-				<-d.begun
+				<-d.started
 				d.keepSending(method+" "+query, method, query)
 			})
 		}
@@ -287,17 +287,17 @@
 	var late []func()
 	for _, before := range lateSends {
 		for _, what := range []string{sidecartest.Resting, sidecartest.PartialHead, sidecartest.PartialBody} {
-			if c, rest, err := d.begin(what); err != nil {
+			if c, remainder, err := d.begin(what); err != nil {
 				d.errorf("%s: %v", what, err)
 			} else {
-				late = append(late, func() { d.completeLate(c, rest, before) })
+				late = append(late, func() { d.completeLate(c, remainder, before) })
 			}
 		}
 	}
 	d.term = time.Now()
 	d.kill = d.term.Add(d.s.killTime())
 	d.holding.Store(true)
-	close(d.begun)
+	close(d.started)
 	d.stop()
 	d.clients.Go(func() { sidecartest.FollowLag(&d.lag, func() bool { return time.Now().After(d.kill) }) })
 	for _, complete := range late {
@@ -319,19 +319,19 @@
 
 // What was taken is answered when SIGKILL may come, whatever the longest deadline is, though servers hang, clients
 // send to the end, and the process is held up at any one step. What is read after a connection's end is not forwarded.
-func TestNothingIsUnansweredAtTheKill(t *testing.T) {
+func TestKillTime_AllAnswered(t *testing.T) {
 	before := runtime.NumGoroutine()
 	t.Run("longest deadline", func(t *testing.T) {
 		for _, ms := range []int{50, 100, 250, 500, 1000, 2000, 3000, 5000, 10_000} {
-			longest := time.Duration(ms) * time.Millisecond
-			t.Run(longest.String(), func(t *testing.T) {
+			maxDeadline := time.Duration(ms) * time.Millisecond
+			t.Run(maxDeadline.String(), func(t *testing.T) {
 				t.Parallel()
 				held := slices.Concat([]checkpoint.Checkpoint{""}, checkpoints)
-				if longest > maxDrain { // SIGKILL comes no later
+				if maxDeadline > maxDrain { // SIGKILL comes no later
 					held = []checkpoint.Checkpoint{"", checkpoint.ServiceEnding}
 				}
 				for round := 1; len(held) > 0; round++ {
-					held = playShutdowns(t, longest, held, round == sidecartest.MostRounds)
+					held = playShutdowns(t, maxDeadline, held, round == sidecartest.MostRounds)
 				}
 			})
 		}
@@ -341,11 +341,11 @@
 
 // playShutdowns ends one sidecar for each checkpoint at which it is held up, and gives those whose failures say nothing
 // because the machine was late on top of the hold. In the last round they count all the same.
-func playShutdowns(t *testing.T, longest time.Duration, held []checkpoint.Checkpoint, last bool) (again []checkpoint.Checkpoint) {
+func playShutdowns(t *testing.T, maxDeadline time.Duration, held []checkpoint.Checkpoint, last bool) (again []checkpoint.Checkpoint) {
 	t.Helper()
 	var all []*shutdown
 	for _, c := range held {
-		all = append(all, newShutdown(t, longest, c))
+		all = append(all, newShutdown(t, maxDeadline, c))
 	}
 	var played sync.WaitGroup
 	for _, d := range all {
--- a/internal/sidecar/listener_shutdown_test.go
+++ b/internal/sidecar/listener_shutdown_test.go
@@ -36,12 +36,12 @@
 func TestShutdownWhileConnectionsWaitToBeAccepted(t *testing.T) {
 	b := sidecartest.NewBackend(t, "a", sidecartest.OK)
 	held := make(chan struct{})
-	var closed, asked atomic.Bool
+	var closed, queried atomic.Bool
 	s := start(t, configtest.NewConf(sidecartest.NewRegistry(t).Addr(), b.Target), func(s *Sidecar) {
 		s.listener.Listener = heldListener{s.tcp, held, &closed}
 		s.unaccepted = func(l *net.TCPListener) int {
 			n := netcall.Unaccepted(l)
-			asked.Store(true)
+			queried.Store(true)
 			return n
 		}
 	})
@@ -60,7 +60,7 @@
 		waiting = append(waiting, c)
 	}
 	s.term()
-	sidecartest.Until(t, "the listener to close, or to wait for them", func() bool { return closed.Load() || asked.Load() })
+	sidecartest.Until(t, "the listener to close, or to wait for them", func() bool { return closed.Load() || queried.Load() })
 	close(held)
 	for _, c := range waiting {
 		resp, err := http.ReadResponse(bufio.NewReader(c), nil)
@@ -82,7 +82,7 @@
 }
 
 // What never is accepted does not keep the process.
-func TestShutdownWhileNobodyAccepts(t *testing.T) {
+func TestShutdown_AcceptStalled(t *testing.T) {
 	held := make(chan struct{})
 	var closed atomic.Bool
 	s := start(t, configtest.NewConf(sidecartest.NewRegistry(t).Addr()), func(s *Sidecar) {
--- a/internal/sidecar/management.go
+++ b/internal/sidecar/management.go
@@ -15,18 +15,18 @@
 	healthPath = "/healthcheck"
 	statsPath  = "/stats"
 
-	maxManageHead = 8 << 10
+	maxManagementHead = 8 << 10 // bytes
 )
 
-// managementServer serves the platform's address. It has descriptors of its own and reads only what others left for
-// it, so that it answers under any load.
+// managementServer serves the address for the platform. It has descriptors of its own and reads only what others have
+// published, so that it answers under any load.
 func (s *Sidecar) managementServer() *http.Server {
 	srv := &http.Server{
 		Handler: http.HandlerFunc(s.manage), ReadTimeout: config.ManagementTimeout, WriteTimeout: config.ManagementTimeout,
-		MaxHeaderBytes: maxManageHead,
+		MaxHeaderBytes: maxManagementHead,
 		ConnState: func(c net.Conn, state http.ConnState) {
-			if g, ok := c.(*clientserver.ClientConn); ok && state == http.StateActive {
-				g.RequestRead() // its time is short in any case
+			if conn, ok := c.(*clientserver.ClientConn); ok && state == http.StateActive {
+				conn.RequestRead() // ManagementTimeout bounds it in any case
 			}
 		},
 		ErrorLog: slog.NewLogLogger(slog.Default().Handler(), slog.LevelDebug),
@@ -35,6 +35,7 @@
 	return srv
 }
 
+// manage answers one call of the management address.
 func (s *Sidecar) manage(w http.ResponseWriter, r *http.Request) {
 	if fleet.IsMembersPath(r.URL.Path) {
 		s.loop.Members.ServeHTTP(w, r)
@@ -55,6 +56,11 @@
 		s.loop.Members.WriteMetrics(w)
 		return
 	}
+	s.answerHealth(w)
+}
+
+// answerHealth says whether this process can serve.
+func (s *Sidecar) answerHealth(w http.ResponseWriter) {
 	switch {
 	case s.clients.Draining.Load():
 		http.Error(w, "draining", http.StatusServiceUnavailable)
--- a/internal/sidecar/management_test.go
+++ b/internal/sidecar/management_test.go
@@ -132,13 +132,13 @@
 			io.WriteString(c, "GET /stats HT")
 		}
 	}
-	began := time.Now()
-	if status, _ := s.manage(t, "GET", healthPath); status != 200 || time.Since(began) > config.ManagementTimeout {
-		t.Errorf("%d after %v", status, time.Since(began))
+	startedAt := time.Now()
+	if status, _ := s.manage(t, "GET", healthPath); status != 200 || time.Since(startedAt) > config.ManagementTimeout {
+		t.Errorf("%d after %v", status, time.Since(startedAt))
 	}
 }
 
-func TestManagementThatCannotBe(t *testing.T) {
+func TestManagement_InvalidAddress(t *testing.T) {
 	c := configtest.NewConf("127.0.0.1:1")
 	c["management"] = "nowhere"
 	if _, err := c.Load(t); err == nil || !strings.Contains(err.Error(), "management") {
@@ -159,7 +159,7 @@
 	}
 }
 
-func TestNoManagementUnlessAskedFor(t *testing.T) {
+func TestManagement_Off(t *testing.T) {
 	s := start(t, configtest.NewConf(sidecartest.NewRegistry(t).Addr()))
 	if s.ManagementAddr() != "" {
 		t.Errorf("it listens at %s", s.ManagementAddr())
--- a/internal/sidecar/members_test.go
+++ b/internal/sidecar/members_test.go
@@ -53,7 +53,7 @@
 	})
 }
 
-// Without the section there is nothing of it: no goroutine, no page, no figure, and the module is told nothing.
+// Without the section there is nothing of it: no goroutine, no page, no figure, and the balancer gets no event.
 func TestMembersOff(t *testing.T) {
 	b := sidecartest.NewBackend(t, "a", sidecartest.OK)
 	s := start(t, configtest.Managed(configtest.NewConf(sidecartest.NewRegistry(t).Addr(), b.Target)))
@@ -82,9 +82,9 @@
 		one.shows(t, "svc_members_admitted 1")
 		one.shows(t, "svc_members_believed 3") // more are believed at once
 	}
-	began := time.Now()
+	startedAt := time.Now()
 	b.end(t)
-	if took := time.Since(began); took > b.killTime() {
+	if took := time.Since(startedAt); took > b.killTime() {
 		t.Errorf("the end took %v, SIGKILL may come after %v", took, b.killTime())
 	}
 	a.shows(t, "svc_members_known 2")
@@ -136,7 +136,7 @@
 	require.Equal(t, 503, status)
 	s.shows(t, "svc_members_believed 3")
 	s.shows(t, "svc_members_known 3")
-	s.shows(t, "svc_members_admitted 1") // the module was told so: its part is that of the settings
+	s.shows(t, "svc_members_admitted 1") // the balancer was notified: its part is that of the settings
 	require.True(t, s.loop.Members.Latest.Load().Admitted)
 	require.NoError(t, l.Close())
 	require.Equal(t, l.Addr().String(), s.gossips(t))
--- a/internal/sidecar/metrics/metrics.go
+++ b/internal/sidecar/metrics/metrics.go
@@ -12,82 +12,86 @@
 	"marblelane/internal/sidecar/routing"
 )
 
-// Metrics count from the start of the process. Each request counts once, by the answer that was decided for it.
+// Metrics counts from the start of the process. Each request counts once, by the answer that was decided for it.
 type Metrics struct {
-	classes     []classFigures
-	ServerCalls atomic.Int64 // attempts written whole
-	InFlight    atomic.Int64 // requests taken and not ended
+	ServerCalls atomic.Int64 // attempts of which the last byte was written
+	InFlight    atomic.Int64 // requests that were accepted and have not ended
 	Servers     atomic.Pointer[ServerMetrics]
+	classes     []classCounters
 }
 
-type classFigures struct {
-	name                  string // escaped for a label
-	served, busy, failure atomic.Int64
+// classCounters counts the answers of a class.
+type classCounters struct {
+	name                     string // escaped for a label
+	served, rejected, failed atomic.Int64
 }
 
-// ServerMetrics is what the loop last published.
+// ServerMetrics is what the event loop last published of servers and lists.
 type ServerMetrics struct {
 	Listed, Avoided, Ready int
-	ListReceived           bool // by discovery, since the start
+	ListReceived           bool // from discovery, since the start
 	List                   balance.ListStatus
 	Zones                  balance.ZoneStatus
 	Routes                 *routing.Figures // nil: off
 }
 
+// figure is one line of the text form, without the prefix svc_.
 type figure struct {
 	name, kind string
 	value      int64
 }
 
+// New gives metrics of classes by name.
 func New(classes []string) *Metrics {
-	f := &Metrics{classes: make([]classFigures, len(classes))}
+	m := &Metrics{classes: make([]classCounters, len(classes))}
 	label := strings.NewReplacer(`\`, `\\`, `"`, `\"`, "\n", `\n`)
 	for i, name := range classes {
-		f.classes[i].name = label.Replace(name)
+		m.classes[i].name = label.Replace(name)
 	}
-	f.Servers.Store(&ServerMetrics{})
-	return f
+	m.Servers.Store(&ServerMetrics{})
+	return m
 }
 
-// CountAnswer takes in the final answer of a request.
-func (f *Metrics) CountAnswer(class, status int) {
-	c := &f.classes[class]
+// CountAnswer counts the final answer of a request, by its HTTP status.
+func (m *Metrics) CountAnswer(class, status int) {
+	c := &m.classes[class]
 	switch status {
 	case http.StatusOK:
 		c.served.Add(1)
 	case inflight.StatusRejected:
-		c.busy.Add(1)
+		c.rejected.Add(1)
 	default:
-		c.failure.Add(1)
+		c.failed.Add(1)
 	}
 }
 
-func Bool(is bool) int64 {
-	if is {
+// Bool is 1 for true and 0 for false.
+func Bool(value bool) int64 {
+	if value {
 		return 1
 	}
 	return 0
 }
 
-// Write gives all figures in Prometheus's text form.
-func (f *Metrics) Write(w io.Writer) {
+// Write writes all figures in Prometheus's text form.
+func (m *Metrics) Write(w io.Writer) {
 	for _, by := range []struct {
 		name string
-		of   func(*classFigures) int64
+		of   func(*classCounters) int64
 	}{
-		{"success", func(c *classFigures) int64 { return c.served.Load() }},
-		{"busy", func(c *classFigures) int64 { return c.busy.Load() }},
-		{"failure", func(c *classFigures) int64 { return c.failure.Load() }},
+		{"success", func(c *classCounters) int64 { return c.served.Load() }},
+		{"busy", func(c *classCounters) int64 { return c.rejected.Load() }},
+		{"failure", func(c *classCounters) int64 { return c.failed.Load() }},
 	} {
 		fmt.Fprintf(w, "# TYPE svc_%s counter\n", by.name)
-		for i := range f.classes {
-			fmt.Fprintf(w, "svc_%s{tier=\"%s\"} %d\n", by.name, f.classes[i].name, by.of(&f.classes[i]))
+		for i := range m.classes {
+			fmt.Fprintf(w, "svc_%s{tier=\"%s\"} %d\n", by.name, m.classes[i].name, by.of(&m.classes[i]))
 		}
 	}
-	servers := f.Servers.Load()
-	list := []figure{
-		{"backend_calls", "counter", f.ServerCalls.Load()},
-		{"inflight", "gauge", f.InFlight.Load()},
+	servers := m.Servers.Load()
+	figures := []figure{
+		{"backend_calls", "counter", m.ServerCalls.Load()},
+		{"inflight", "gauge", m.InFlight.Load()},
 		{"hosts_listed", "gauge", int64(servers.Listed)},
 		{"hosts_down", "gauge", int64(servers.Avoided)},
 		{"hosts_doubted", "gauge", int64(servers.List.Suspected)},
@@ -101,7 +105,7 @@
 		{"region_spill_percent", "gauge", int64(100 * servers.Zones.FarSpill)},
 	}
 	if s := servers.Routes; s != nil {
-		list = append(list,
+		figures = append(figures,
 			figure{"steer_revision", "gauge", s.Acts},
 			figure{"steer_unread_revision", "gauge", s.Unread},
 			figure{"steer_permitted", "gauge", Bool(s.Permitted)},
@@ -110,7 +114,7 @@
 			figure{"steer_samples_lost", "counter", s.Lost},
 		)
 	}
-	for _, one := range list {
+	for _, one := range figures {
 		fmt.Fprintf(w, "# TYPE svc_%s %s\nsvc_%s %d\n", one.name, one.kind, one.name, one.value)
 	}
 }
--- a/internal/sidecar/planted_test.go
+++ b/internal/sidecar/planted_test.go
@@ -30,7 +30,7 @@
 }
 
 // Failing accepts, of which net/http takes few for temporary, do not end the process; once they work it serves.
-func TestAcceptThatFailsForAMoment(t *testing.T) {
+func TestAccept_TransientFailure(t *testing.T) {
 	for _, errno := range []string{
 		"ENOBUFS", "ENOMEM", "EPROTO", "ENETUNREACH", "EHOSTUNREACH", "ENETDOWN", "EPERM", "EMFILE", "ENFILE",
 	} {
@@ -62,7 +62,7 @@
 }
 
 // The platform's address and the place where a newer process meets this one stay, too.
-func TestOtherAcceptsThatFailForAMoment(t *testing.T) {
+func TestAccept_OtherListeners(t *testing.T) {
 	b := sidecartest.NewBackend(t, "a", sidecartest.OK)
 	c := upgradable(t, sidecartest.NewRegistry(t).Addr(), b.Target)
 	path := filepath.Join(t.TempDir(), "faults.toml")
@@ -75,33 +75,33 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	var met sync.WaitGroup
+	var successor sync.WaitGroup
 	sidecartest.Until(t, "the meeting place", func() bool {
 		_, err := os.Lstat(cfg.HandoverSocket())
 		return err == nil
 	})
-	met.Go(func() {
+	successor.Go(func() {
 		p, l, err := handover.FindPredecessor(cfg)
 		if err != nil || p == nil {
 			t.Errorf("a newer process meets %v: %v", p, err)
 			return
 		}
 		l.Close()
-		p.Conn.Close()
+		p.Close()
 	})
 	sidecartest.Until(t, "more accepts that fail", func() bool { return failures.Load() >= 6 })
 	if err := (fault.Set{}).Write(path); err != nil {
 		t.Fatal(err)
 	}
 	sidecartest.Until(t, "the platform's address", func() bool { return old.healthy(t) })
-	met.Wait()
+	successor.Wait()
 }
 
-// The time of a request that waits until its connection is accepted counts: its server is told what is left.
+// The time of a request that waits until its connection is accepted counts: its server gets what is left.
 func TestTimeBeforeAcceptCounts(t *testing.T) {
-	told := make(chan string, 1)
+	timeouts := make(chan string, 1)
 	b := sidecartest.NewBackend(t, "a", func(c net.Conn, r *http.Request, body string) bool {
-		told <- r.Header.Get("X-Timeout-Ms")
+		timeouts <- r.Header.Get("X-Timeout-Ms")
 		return sidecartest.OK(c, r, body)
 	})
 	path := filepath.Join(t.TempDir(), "faults.toml")
@@ -126,11 +126,11 @@
 	if err := (fault.Set{}).Write(path); err != nil {
 		t.Fatal(err)
 	}
-	left, err := strconv.Atoi(sidecartest.Receive(t, "the attempt", told))
+	left, err := strconv.Atoi(sidecartest.Receive(t, "the attempt", timeouts))
 	if err != nil {
 		t.Fatal(err)
 	}
-	if most := wait - waited + coarse; time.Duration(left)*time.Millisecond > most {
-		t.Errorf("the server is told of %d ms, want %v at most", left, most)
+	if limit := wait - waited + coarse; time.Duration(left)*time.Millisecond > limit {
+		t.Errorf("the server got %d ms, want %v at most", left, limit)
 	}
 }
--- a/internal/sidecar/reload.go
+++ b/internal/sidecar/reload.go
@@ -12,14 +12,14 @@
 )
 
 // The pauses between two readings of a configuration that cannot be read, or is malformed. The longest leaves discovery
-// well within 4 s to move where the file is whole 2 s after the signal.
+// well within 4 s to move where the file is complete 2 s after the signal.
 const (
 	minReloadPause = 20 * time.Millisecond
 	maxReloadPause = 500 * time.Millisecond
 )
 
-// Reload takes in a configuration file that was replaced: the address of discovery. The environment still
-// names the address that this process was started with, so the file counts. An error names the file, and the key where
+// Reload applies a configuration file that was replaced: the addresses of discovery and of the routes. NODE_DISCOVERY is
+// ignored, as it still names the address that this process was started with. An error names the file, and the key where
 // there is one; nothing has changed then.
 func (s *Sidecar) Reload(getenv func(string) string) error {
 	cfg, err := config.LoadWith(func(name string) string {
@@ -32,7 +32,7 @@
 		return err
 	}
 	s.loop.Discovery.Move(cfg.ListAddrs())
-	if s.loop.Routing != nil && cfg.Routes != nil { // the section itself comes and goes with a process
+	if s.loop.Routing != nil && cfg.Routes != nil { // the section itself is added or removed by a restart
 		s.loop.Routing.Client.Move(cfg.Routes.Addrs)
 	}
 	if !config.SameMembership(s.cfg.Membership, cfg.Membership) {
@@ -41,8 +41,8 @@
 	return nil
 }
 
-// ReloadOnSignal reloads at each signal until ctx ends. A configuration that cannot be taken in is read again, at
-// intervals of 20 ms that double to 500 ms, until it can be or the next signal begins anew.
+// ReloadOnSignal reloads at each signal until ctx ends. A configuration that cannot be applied is read again, after pauses
+// that double from minReloadPause to maxReloadPause, until it can be or the next signal starts anew.
 func (s *Sidecar) ReloadOnSignal(ctx context.Context, signals <-chan os.Signal, getenv func(string) string) {
 	for {
 		select {
@@ -69,7 +69,7 @@
 			return false
 		}
 		if ok, suppressed := limiter.Allow(); ok {
-			slog.Error("reload: the configuration stays as it was; it is read again", "error", err, "suppressed", suppressed)
+			slog.Error("reload: the configuration stays as it was; it is read again", "err", err, "suppressed", suppressed)
 		}
 		pause := time.NewTimer(backoff.Next())
 		select {
--- a/internal/sidecar/reload_test.go
+++ b/internal/sidecar/reload_test.go
@@ -30,15 +30,15 @@
 	return nil
 }
 
-func TestReloadGoesOnUntilTheFileIsWhole(t *testing.T) {
+func TestReload_RetriesUntilComplete(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		began := time.Now()
-		file := failingReload{until: began.Add(2 * time.Second)}
+		startedAt := time.Now()
+		file := failingReload{until: startedAt.Add(2 * time.Second)}
 		if again := reloadUntilDone(t.Context(), nil, file.reload); again {
 			t.Error("a signal came")
 		}
 		if late := time.Since(file.until); late < 0 || late > maxReloadPause {
-			t.Errorf("taken in %v after the file was whole", late)
+			t.Errorf("taken in %v after the file was complete", late)
 		}
 		if file.calls > 12 {
 			t.Errorf("read %d times in 2 s", file.calls)
@@ -46,32 +46,32 @@
 	})
 }
 
-func TestNewerSignalBeginsReloadAnew(t *testing.T) {
+func TestReload_NewerSignal(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		signals := make(chan os.Signal, 1)
 		file := failingReload{until: time.Now().Add(time.Hour)}
 		time.AfterFunc(10*time.Second+time.Millisecond, func() { signals <- syscall.SIGHUP })
-		began := time.Now()
-		if again := reloadUntilDone(t.Context(), signals, file.reload); !again || time.Since(began) != 10*time.Second+time.Millisecond {
-			t.Errorf("again: %v after %v, want at the signal", again, time.Since(began))
+		startedAt := time.Now()
+		if again := reloadUntilDone(t.Context(), signals, file.reload); !again || time.Since(startedAt) != 10*time.Second+time.Millisecond {
+			t.Errorf("again: %v after %v, want at the signal", again, time.Since(startedAt))
 		}
 	})
 }
 
-func TestReloadEndsWithItsContext(t *testing.T) {
+func TestReload_ContextEnds(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithTimeout(t.Context(), time.Minute)
 		defer cancel()
 		file := failingReload{until: time.Now().Add(time.Hour)}
-		began := time.Now()
-		if again := reloadUntilDone(ctx, nil, file.reload); again || time.Since(began) != time.Minute {
-			t.Errorf("again: %v after %v, want at the end of the context", again, time.Since(began))
+		startedAt := time.Now()
+		if again := reloadUntilDone(ctx, nil, file.reload); again || time.Since(startedAt) != time.Minute {
+			t.Errorf("again: %v after %v, want at the end of the context", again, time.Since(startedAt))
 		}
 	})
 }
 
 // One signal is enough: what cannot be opened, or is half written, is read again, and then discovery moves.
-func TestDiscoveryMovesOnceTheFileCanBeRead(t *testing.T) {
+func TestReload_MovesOnceReadable(t *testing.T) {
 	for name, failure := range map[string]struct {
 		errno string // of the opening
 		text  string // in the file's place
@@ -89,7 +89,7 @@
 			s := start(t, c)
 			sidecartest.Receive(t, "the watch", before.Calls)
 			path := withDiscovery(c, after.Addr()).Write(t)
-			whole, err := os.ReadFile(path)
+			text, err := os.ReadFile(path)
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -126,7 +126,7 @@
 			if err := (fault.Set{}).Write(faults); err != nil {
 				t.Fatal(err)
 			}
-			replace(whole)
+			replace(text)
 			sidecartest.Receive(t, "the watch at the new address", after.Calls)
 			cancel()
 			<-ended
--- a/internal/sidecar/routes_test.go
+++ b/internal/sidecar/routes_test.go
@@ -40,7 +40,7 @@
 	budget  int64 // units left
 	granted int64
 	report  route.Report   // the newest
-	ask     route.UnitsAsk // the newest
+	request route.UnitsAsk // the newest
 }
 
 func newSteering(t *testing.T, term, budget int64) *steering {
@@ -92,15 +92,15 @@
 		json.NewDecoder(r.Body).Decode(&s.report)
 		json.NewEncoder(w).Encode(route.Answer{TermMS: s.term})
 	case route.UnitsPath:
-		var ask route.UnitsAsk
-		json.NewDecoder(r.Body).Decode(&ask)
+		var request route.UnitsAsk
+		json.NewDecoder(r.Body).Decode(&request)
 		var a route.UnitsAnswer
-		for _, p := range ask.Purses {
+		for _, p := range request.Purses {
 			more := min(max(p.Want-(s.granted-p.Spent-p.Returned), 0), s.budget)
 			s.budget, s.granted = s.budget-more, s.granted+more
 			a.Purses = append(a.Purses, route.PurseGrant{Tenant: p.Tenant, Rollout: p.Rollout, Granted: s.granted, Keep: 100})
 		}
-		s.ask = ask
+		s.request = request
 		json.NewEncoder(w).Encode(a)
 	}
 }
@@ -115,15 +115,15 @@
 	return out
 }
 
-// witness is a server that keeps what the headers of routes say.
-type witness struct {
+// headerRecorder is a server that keeps what the headers of routes say.
+type headerRecorder struct {
 	*sidecartest.Backend
 	mu   sync.Mutex
 	seen []string
 }
 
-func newWitness(t *testing.T, uid string, serve sidecartest.ServeOne) *witness {
-	w := &witness{}
+func newHeaderRecorder(t *testing.T, uid string, serve sidecartest.ServeOne) *headerRecorder {
+	w := &headerRecorder{}
 	w.Backend = sidecartest.NewBackend(t, uid, func(c net.Conn, r *http.Request, body string) bool {
 		w.mu.Lock()
 		w.seen = append(w.seen, r.Header.Get(routing.RevisionHeader)+"/"+r.Header.Get(routing.CanaryHeader))
@@ -133,24 +133,24 @@
 	return w
 }
 
-func (w *witness) all() []string {
+func (w *headerRecorder) all() []string {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return slices.Clone(w.seen)
 }
 
-func toCanary(share float64, budget bool) route.Route {
+func toCanary(fraction float64, budget bool) route.Route {
 	return route.Route{
-		Tenant: "kita", Canary: route.Subset{UID: []string{"c"}}, Share: share, Rollout: "r1", Budget: budget,
+		Tenant: "kita", Canary: route.Subset{UID: []string{"c"}}, Share: fraction, Rollout: "r1", Budget: budget,
 	}
 }
 
 const longTerm = 60_000 // ms
 
 // routed starts a sidecar with routes, a base of two servers and a canary.
-func routed(t *testing.T, s *steering, serve sidecartest.ServeOne, changes ...func(configtest.Conf)) (r *running, base, canary *witness) {
+func routed(t *testing.T, s *steering, serve sidecartest.ServeOne, changes ...func(configtest.Conf)) (r *running, base, canary *headerRecorder) {
 	t.Helper()
-	base, canary = newWitness(t, "b", sidecartest.OK), newWitness(t, "c", serve)
+	base, canary = newHeaderRecorder(t, "b", sidecartest.OK), newHeaderRecorder(t, "c", serve)
 	c := configtest.NewConf("127.0.0.1:1", base.Target, canary.Target)
 	c["routes"], c["management"] = map[string]any{"addrs": []string{s.Listener.Addr().String()}}, sidecartest.Loopback
 	for _, change := range changes {
@@ -182,7 +182,7 @@
 	return n
 }
 
-func (r *running) keyed(key string) *http.Request {
+func (r *running) keyedRequest(key string) *http.Request {
 	req := r.request("lookup", 5*time.Second)
 	req.Header.Set("X-Route-Key", key)
 	req.Header.Set(routing.RevisionHeader, "99") // not the client's to say
@@ -190,8 +190,8 @@
 	return req
 }
 
-// A key stays on its side, the share of the keys is met, and servers and the service are told the same.
-func TestRoutedByShare(t *testing.T) {
+// A key stays on its side, the share of the keys is met, and servers and the list service see the same.
+func TestRoutes_CanaryFraction(t *testing.T) {
 	s := newSteering(t, longTerm, 0)
 	r, base, canary := routed(t, s, sidecartest.OK)
 	s.tell(t, 5, toCanary(0.5, false))
@@ -202,7 +202,7 @@
 		for i := range keys {
 			key := fmt.Sprint("key-", i)
 			before := canary.Requests.Load()
-			require.Equal(t, 200, r.do(r.keyed(key)).status)
+			require.Equal(t, 200, r.do(r.keyedRequest(key)).status)
 			if went := canary.Requests.Load() - before; round == 0 {
 				side[key] = went
 			} else {
@@ -228,7 +228,7 @@
 }
 
 // What a canary for some classes is compared with is of those classes alone.
-func TestOthersAreNotCompared(t *testing.T) {
+func TestRoutes_OthersNotCompared(t *testing.T) {
 	s := newSteering(t, 500, 0)
 	r, base, _ := routed(t, s, sidecartest.OK)
 	one := toCanary(0, false)
@@ -250,12 +250,12 @@
 	r, base, canary := routed(t, s, sidecartest.OK)
 	s.tell(t, 5, toCanary(1, false))
 	r.acts(5, true)
-	sidecartest.Until(t, "a canary", func() bool { return r.do(r.keyed("k")).status == 200 && canary.Requests.Load() > 0 })
+	sidecartest.Until(t, "a canary", func() bool { return r.do(r.keyedRequest("k")).status == 200 && canary.Requests.Load() > 0 })
 	s.set(func() { s.term = 0 })
 	r.acts(5, false)
 	n, b, v := canary.Requests.Load(), base.Requests.Load(), r.voids()
 	for range 20 {
-		require.Equal(t, 200, r.do(r.keyed("k")).status)
+		require.Equal(t, 200, r.do(r.keyedRequest("k")).status)
 	}
 	require.Equal(t, []int64{n, b + 20}, []int64{canary.Requests.Load(), base.Requests.Load()})
 	require.Equal(t, "/", base.all()[b])
@@ -277,7 +277,7 @@
 		t.Run(name, func(t *testing.T) {
 			s := newSteering(t, longTerm, 0)
 			dials, release := make(chan string, 10), make(chan struct{})
-			base, canary := newWitness(t, "b", sidecartest.OK), newWitness(t, "c", sidecartest.OK)
+			base, canary := newHeaderRecorder(t, "b", sidecartest.OK), newHeaderRecorder(t, "c", sidecartest.OK)
 			c := configtest.NewConf("127.0.0.1:1", base.Target, canary.Target).Setting(`"connect_timeout_ms": 100`, `"connect_timeout_ms": 9000`).
 				Setting(`"parallel_tries": true`, `"parallel_tries": false`).Setting(`"max_attempts": 6`, `"max_attempts": 1`)
 			c["routes"], c["management"] = map[string]any{"addrs": []string{s.Listener.Addr().String()}}, sidecartest.Loopback
@@ -306,7 +306,7 @@
 
 // An upload whose permission ends after its head was written, and before a byte of it was sent, does not begin, and is
 // not counted: one whose head can be written anew begins without permission.
-func TestVoidUploadIsNotCounted(t *testing.T) {
+func TestRoutes_RevokedUpload(t *testing.T) {
 	s := newSteering(t, 700, 0)
 	r, _, _ := routed(t, s, sidecartest.OK)
 	s.tell(t, 5, toCanary(0, false))
@@ -315,35 +315,35 @@
 	defer due.Stop()
 	duty := &routing.Router{Client: r.loop.Routing.Client, Tenants: []string{"kita"}, Routed: map[int]routing.RoutedTenant{0: {}}, SampleTimer: due}
 	passedOn, held := &inflight.Call{Outbound: &inflight.Outbound{Upload: inflight.NewUpload(-1, nil)}}, &inflight.Call{Outbound: &inflight.Outbound{}}
-	var looks []*routing.Check
+	var checks []*routing.Check
 	for _, c := range []*inflight.Call{passedOn, held} {
 		k := duty.Check(0, c, &balance.Action{RoutesRev: 5})
 		require.EqualValues(t, 5, k.Expect())
-		looks = append(looks, k)
+		checks = append(checks, k)
 	}
 	s.set(func() { s.term = 0 })
 	r.acts(5, false)
 	out, in := net.Pipe()
 	defer in.Close()
-	_, err := (&upstream.RequestWriter{Conn: &upstream.ServerConn{Conn: out}, RouteCheck: looks[0], HeaderRevision: 5}).Write([]byte("x"))
+	_, err := (&upstream.RequestWriter{Conn: &upstream.ServerConn{Conn: out}, RouteCheck: checks[0], HeaderRevision: 5}).Write([]byte("x"))
 	require.ErrorIs(t, err, routing.ErrRevoked)
-	require.False(t, looks[0].Started)
-	under, err := looks[1].Begin()
+	require.False(t, checks[0].Started)
+	under, err := checks[1].Begin()
 	require.NoError(t, err)
 	require.Zero(t, under)
 	sidecartest.Until(t, "the count", func() bool { return s.counts()["0 kita false"].Begun > 0 })
 	require.Equal(t, map[string]route.Count{"0 kita false": {Tenant: "kita", Begun: 1}}, s.counts())
 }
 
-// A client that leaves after the aim, and long before the end of its time, has met a failure of a canary whose late
+// A client that leaves after the latency objective, and long before the end of its time, has met a failure of a canary whose late
 // answers are failures: it costs a unit, and is compared. One that leaves earlier tells nothing.
 func TestLateAndLeft(t *testing.T) {
-	const aim = 100 * time.Millisecond
+	const objective = 100 * time.Millisecond
 	s := newSteering(t, 1000, 3)
 	release := make(chan struct{})
 	r, _, canary := routed(t, s, func(net.Conn, *http.Request, string) bool { <-release; return false }, func(c configtest.Conf) {
 		c.Setting(`"parallel_tries": true`, `"parallel_tries": false`).Setting(`"max_attempts": 6`, `"max_attempts": 1`).
-			Setting(`"on_time_ms": 750`, fmt.Sprint(`"on_time_ms": `, aim.Milliseconds()))
+			Setting(`"on_time_ms": 750`, fmt.Sprint(`"on_time_ms": `, objective.Milliseconds()))
 	})
 	t.Cleanup(sync.OnceFunc(func() { close(release) }))
 	one := toCanary(1, true)
@@ -373,17 +373,17 @@
 	}
 	leave(0)
 	sidecartest.Until(t, "the count of who left early", func() bool { return s.counts()["5 kita true"].Begun == 1 })
-	leave(aim + 50*time.Millisecond)
+	leave(objective + 50*time.Millisecond)
 	want := route.Count{Rev: 5, Tenant: "kita", Canary: true, Begun: 2, Ended: 1, Late: 1}
 	sidecartest.Until(t, "the counts", func() bool { return s.counts()["5 kita true"] == want })
 	sidecartest.Until(t, "the unit", func() bool {
 		s.mu.Lock()
 		defer s.mu.Unlock()
-		return s.ask.Purses[0].Spent == 1
+		return s.request.Purses[0].Spent == 1
 	})
 }
 
-// Failures of the canary stay within the units, cost no request its answer, and are told; what is left is given back.
+// Failures of the canary stay within the units, cost no request its answer, and are reported; what is left is given back.
 func TestUnitsBoundFailures(t *testing.T) {
 	const units = 3
 	s := newSteering(t, longTerm, units)
@@ -394,39 +394,39 @@
 	spent := func() (n int64) {
 		s.mu.Lock()
 		defer s.mu.Unlock()
-		for _, p := range s.ask.Purses {
+		for _, p := range s.request.Purses {
 			n = p.Spent
 		}
 		return n
 	}
 	sidecartest.Until(t, "all units spent", func() bool {
-		require.Equal(t, 200, r.do(r.keyed("k")).status)
+		require.Equal(t, 200, r.do(r.keyedRequest("k")).status)
 		return spent() == units
 	})
 	for range 30 {
-		require.Equal(t, 200, r.do(r.keyed("k")).status)
+		require.Equal(t, 200, r.do(r.keyedRequest("k")).status)
 	}
 	require.EqualValues(t, units, canary.Requests.Load())
 	s.set(func() { s.budget = 1 })
-	sidecartest.Until(t, "another unit told of", func() bool {
+	sidecartest.Until(t, "another unit granted", func() bool {
 		s.mu.Lock()
 		defer s.mu.Unlock()
-		return s.ask.Purses[0].Granted == units+1
+		return s.request.Purses[0].Granted == units+1
 	})
 	r.term()
 	r.ended <- <-r.ended
-	require.Equal(t, []int64{units, 1}, []int64{s.ask.Purses[0].Spent, s.ask.Purses[0].Returned})
+	require.Equal(t, []int64{units, 1}, []int64{s.request.Purses[0].Spent, s.request.Purses[0].Returned})
 	sidecartest.Until(t, "the last report", func() bool { return s.counts()["5 kita true"].Failed == units })
 }
 
 // Without the section nothing is called and nothing added, and a client's headers are passed on as any.
 func TestRoutesAreOff(t *testing.T) {
 	s := newSteering(t, longTerm, 0)
-	b := newWitness(t, "b", sidecartest.OK)
+	b := newHeaderRecorder(t, "b", sidecartest.OK)
 	c := configtest.NewConf("127.0.0.1:1", b.Target)
 	c["lists"] = []map[string]any{{"addr": s.Listener.Addr().String()}}
 	r := start(t, c)
-	require.Equal(t, 200, r.do(r.keyed("k")).status)
+	require.Equal(t, 200, r.do(r.keyedRequest("k")).status)
 	require.Nil(t, r.loop.Routing)
 	require.Equal(t, []string{"99/7"}, b.all())
 	sidecartest.Until(t, "the call for the list", func() bool { return s.calls.Load() > 0 })
--- a/internal/sidecar/routing/router.go
+++ b/internal/sidecar/routing/router.go
@@ -17,16 +17,16 @@
 )
 
 const (
-	minSampleInterval = 50 * time.Millisecond // least time between two samples
-	maxSampleInterval = time.Second           // most time
-	// leaseMargin is how much earlier the module's permission ends, in ms: what it still decides as it runs out would
-	// only be decided again.
+	minSampleInterval = 50 * time.Millisecond
+	maxSampleInterval = time.Second
+	// leaseMargin is how many ms earlier the balancer's lease ends than this process's: what it decided in the last
+	// moment would be revoked before its first byte.
 	leaseMargin         = 1.
-	waitedInVain        = 0.9  // of a client's time; package balance has the same
+	waitedInVain        = 0.9  // part of a client's time after which its leaving counts; package balance has the same
 	maxCountedRevisions = 64   // revisions whose ended attempts are counted
-	maxWantedUnits      = 1024 // units of one purse that are asked for
-	settleTime          = 1e4  // for so long a canary that is gone is settled
-	maxSettling         = 64   // of them
+	maxWantedUnits      = 1024 // units of one budget that are requested
+	settleTime          = 1e4  // ms for which the budget of a canary that is gone is settled
+	maxSettling         = 64   // canaries that are gone and being settled
 )
 
 // countKey names one count of attempts.
@@ -36,28 +36,29 @@
 	canary bool
 }
 
-// canary is one with a budget, of the table that is acted on.
+// canary is a canary with a budget, of the table that is acted on.
 type canary struct {
 	id              uint64
 	tenant, rollout string
-	peakReserved    float64 // units out at once, with those missing; halved each second
-	denied          int64   // as the module counted it at the last sample
-	endedAt         float64 // when its route was gone; 0: it is there
+	peakReserved    float64 // units reserved at once, with those denied; halved each second
+	denied          int64   // as the balancer counted it at the last sample
+	endedAt         float64 // ms, when its route was gone; 0: it is there
 }
 
-// RoutedTenant is what attempts of a tenant with a route are counted by.
+// RoutedTenant is how attempts of a tenant with a route are counted.
 type RoutedTenant struct {
 	classes       []int // that may go to the canary; none: all
-	lateIsFailure bool  // an answer after the aim is a failure of the canary
+	lateIsFailure bool  // an answer after the latency objective is a failure of the canary
 }
 
-// EventLoop is the event loop as routing needs it.
+// EventLoop is the event loop as the router needs it.
 type EventLoop interface {
-	HandleEvent(now float64, ev balance.Event)
+	HandleEvent(now float64, event balance.Event)
 	Execute(now float64, actions []balance.Action)
 }
 
-// Router is the loop's part; nil where there is none.
+// Router brings routes, leases and grants to the balancer, and counts attempts for the list service. Only the event loop
+// calls it, but for Woken's sender. nil: there is no section routes.
 type Router struct {
 	loop     EventLoop
 	balancer *balance.Balancer
@@ -65,21 +66,22 @@
 	classes  []balance.Class
 
 	Client  *routeclient.Client
-	wake    chan struct{} // of 1: steer has news, or a sample is due
+	wake    chan struct{} // capacity 1: the client has an update, or a sample is due
 	names   route.Names
 	Tenants []string // by number; empty: requests name none
 
 	canaries        []canary
 	Routed          map[int]RoutedTenant // by tenant; -1: all requests
 	counts          map[countKey]*route.Count
-	revs            []int64 // of counts, growing; without 0
+	revs            []int64 // of counts, ascending; without 0
 	SampleTimer     *time.Timer
-	sampleSoon      bool // what has changed since the last sample is due soon
-	sampledAt       float64
+	sampleSoon      bool    // something has changed since the last sample
+	sampledAt       float64 // ms
 	revokedAttempts int64
-	freeUnits       int64 // units
+	freeUnits       int64
 }
 
+// New gives a router for the section routes of a configuration.
 func New(cfg *config.Config) (*Router, error) {
 	r := &Router{
 		wake: make(chan struct{}, 1), Tenants: make([]string, len(cfg.Tenants)), counts: map[countKey]*route.Count{},
@@ -98,7 +100,7 @@
 	return r, err
 }
 
-// signal makes the loop look; it never waits.
+// signal wakes the loop; it never waits.
 func (r *Router) signal() {
 	select {
 	case r.wake <- struct{}{}:
@@ -106,14 +108,14 @@
 	}
 }
 
-// Attach gives the loop that routing belongs to, before start.
-func (r *Router) Attach(loop EventLoop, bal *balance.Balancer, c clock.Clock, classes []balance.Class) {
+// Attach sets the loop and the balancer that the router works for. It is called before Start.
+func (r *Router) Attach(loop EventLoop, balancer *balance.Balancer, c clock.Clock, classes []balance.Class) {
 	if r != nil {
-		r.loop, r.balancer, r.clock, r.classes = loop, bal, c, classes
+		r.loop, r.balancer, r.clock, r.classes = loop, balancer, c, classes
 	}
 }
 
-// Woken is the channel that tells of news; nil: routing is off.
+// Woken says when to call Take; nil: routing is off.
 func (r *Router) Woken() <-chan struct{} {
 	if r == nil {
 		return nil
@@ -121,7 +123,7 @@
 	return r.wake
 }
 
-// Start begins the duties. They end, when the loop does, with a last sample.
+// Start starts the client. Its result, called as the loop ends, returns what is idle and sends a last sample.
 func (r *Router) Start(run func(func())) (end func()) {
 	if r == nil {
 		return func() {}
@@ -140,23 +142,10 @@
 	}
 }
 
-// Take takes in what the duties have, and offers a sample that is due.
+// Take applies what the client has received, and offers it a sample that is due.
 func (r *Router) Take(now float64) {
 	if update, fresh := r.Client.Take(); fresh {
-		until := 0.
-		if !update.Until.IsZero() {
-			until = r.clock.Millis(update.Until) - leaseMargin
-		}
-		r.loop.HandleEvent(now, balance.CanaryLease{Until: until})
-		if update.Table != nil {
-			r.takeTable(now, update.Table)
-		}
-		for _, g := range update.Grants {
-			id := route.RolloutID(g.Tenant, g.Rollout)
-			if slices.ContainsFunc(r.canaries, func(c canary) bool { return c.id == id }) {
-				r.loop.HandleEvent(now, balance.BudgetGrant{ID: id, Units: g.Granted, MaxIdle: g.Keep})
-			}
-		}
+		r.apply(now, update)
 		r.sampleSoon = true
 	}
 	wait := maxSampleInterval
@@ -171,7 +160,25 @@
 	r.SampleTimer.Reset(maxSampleInterval)
 }
 
-// takeTable brings a table to the module. Steer is told before anything that was decided on it can begin.
+// apply brings an update of the client to the balancer.
+func (r *Router) apply(now float64, update routeclient.Update) {
+	until := 0.
+	if !update.Until.IsZero() {
+		until = r.clock.Millis(update.Until) - leaseMargin
+	}
+	r.loop.HandleEvent(now, balance.CanaryLease{Until: until})
+	if update.Table != nil {
+		r.takeTable(now, update.Table)
+	}
+	for _, g := range update.Grants {
+		id := route.RolloutID(g.Tenant, g.Rollout)
+		if indexOfCanary(r.canaries, id) >= 0 {
+			r.loop.HandleEvent(now, balance.BudgetGrant{ID: id, Units: g.Granted, MaxIdle: g.Keep})
+		}
+	}
+}
+
+// takeTable brings a table to the balancer. The client knows of it before an attempt that was decided on it can start.
 func (r *Router) takeTable(now float64, t *route.Table) {
 	routes, skipped := route.Bind(t, r.names)
 	for _, text := range skipped {
@@ -179,17 +186,24 @@
 	}
 	actions, err := r.balancer.Handle(now, routes)
 	if err != nil {
-		slog.Error("routes: the module refuses a table", "revision", t.Rev, "error", err)
+		slog.Error("routes: the balancer rejects a table", "revision", t.Rev, "err", err)
 		r.Client.Refused(t.Rev)
 		return
 	}
 	r.Client.ActOn(t.Rev)
+	r.setCanaries(now, t, routes)
+	r.loop.Execute(now, actions)
+}
+
+// setCanaries takes over the canaries and routed tenants of a table that the balancer has accepted as routes. A canary that
+// has gone is kept for a while, until its budget is settled.
+func (r *Router) setCanaries(now float64, t *route.Table, routes balance.Routes) {
 	before := r.canaries
 	r.canaries, r.Routed = nil, make(map[int]RoutedTenant, len(routes.List))
 	budgeted := map[uint64]bool{}
-	for _, b := range routes.List {
-		r.Routed[b.Tenant] = RoutedTenant{b.Classes, b.LateIsFailure}
-		budgeted[b.ID] = b.Budgeted
+	for _, one := range routes.List {
+		r.Routed[one.Tenant] = RoutedTenant{one.Classes, one.LateIsFailure}
+		budgeted[one.ID] = one.Budgeted
 	}
 	for i := range t.Routes {
 		from := &t.Routes[i]
@@ -198,7 +212,7 @@
 			continue
 		}
 		c := canary{id: id, tenant: from.Tenant, rollout: from.Rollout}
-		if i := slices.IndexFunc(before, func(old canary) bool { return old.id == id }); i >= 0 {
+		if i := indexOfCanary(before, id); i >= 0 {
 			c = before[i]
 			c.endedAt = 0
 		}
@@ -206,18 +220,22 @@
 	}
 	live := len(r.canaries)
 	for _, old := range before {
-		gone := !slices.ContainsFunc(r.canaries, func(c canary) bool { return c.id == old.id })
-		if gone && len(r.canaries)-live < maxSettling {
-			if old.endedAt == 0 {
-				old.endedAt = now
-			}
-			r.canaries = append(r.canaries, old)
+		if indexOfCanary(r.canaries, old.id) >= 0 || len(r.canaries)-live >= maxSettling {
+			continue
 		}
+		if old.endedAt == 0 {
+			old.endedAt = now
+		}
+		r.canaries = append(r.canaries, old)
 	}
-	r.loop.Execute(now, actions)
 }
 
-// changed makes a change known soon.
+// indexOfCanary is the index of the canary with an ID; -1: there is none.
+func indexOfCanary(canaries []canary, id uint64) int {
+	return slices.IndexFunc(canaries, func(c canary) bool { return c.id == id })
+}
+
+// changed makes the next sample due soon.
 func (r *Router) changed(now float64) {
 	if !r.sampleSoon {
 		r.sampleSoon = true
@@ -225,7 +243,7 @@
 	}
 }
 
-// sample offers the state of this moment to the duties.
+// sample offers the client the state of this moment.
 func (r *Router) sample(now float64) {
 	s := routeclient.Sample{List: r.balancer.ListRev(), Counts: make([]route.Count, 0, len(r.counts))}
 	for _, c := range r.counts {
@@ -245,8 +263,10 @@
 		c := &r.canaries[i]
 		budget := held[c.id]
 		missed := budget.Denied - c.denied
-		// What was missed within one sample was hardly out at once: the want doubles until nothing is.
-		c.denied, c.peakReserved = budget.Denied, max(c.peakReserved*decay, float64(budget.Reserved+min(missed, budget.Reserved+1)))
+		c.denied = budget.Denied
+		// Attempts that were denied within one sample were hardly in flight at once: the wanted units at most double.
+		wanted := budget.Reserved + min(missed, budget.Reserved+1)
+		c.peakReserved = max(c.peakReserved*decay, float64(wanted))
 		s.Short = s.Short || missed > 0
 		state := route.PurseState{
 			Tenant: c.tenant, Rollout: c.rollout, Granted: budget.Granted, Spent: budget.Spent, Returned: budget.Returned,
@@ -260,8 +280,8 @@
 	r.Client.Offer(s)
 }
 
-// Check is of an attempt that a route has a say in; nil: none has.
-func (r *Router) Check(now float64, c *inflight.Call, act *balance.Action) *Check {
+// Check gives the check of an attempt that follows a route, or is compared with those that do; nil: it needs none.
+func (r *Router) Check(now float64, c *inflight.Call, action *balance.Action) *Check {
 	if r == nil {
 		return nil
 	}
@@ -269,30 +289,34 @@
 	if !ok {
 		tenant, ok = r.Routed[-1]
 	}
-	if act.RoutesRev == 0 && !ok {
+	if action.RoutesRev == 0 && !ok {
 		return nil
 	}
 	r.changed(now)
-	check := &Check{client: r.Client, rev: act.RoutesRev, canary: act.ToCanary, lateIsFailure: tenant.lateIsFailure, fixed: c.Outbound.Upload != nil,
-		comparable: len(tenant.classes) == 0 || slices.Contains(tenant.classes, c.Request.Class)}
+	check := &Check{
+		client: r.Client, rev: action.RoutesRev, canary: action.ToCanary, lateIsFailure: tenant.lateIsFailure,
+		fixed:      c.Outbound.Upload != nil,
+		comparable: len(tenant.classes) == 0 || slices.Contains(tenant.classes, c.Request.Class),
+	}
 	if c.Request.Tenant < len(r.Tenants) {
 		check.tenant = r.Tenants[c.Request.Tenant]
 	}
 	return check
 }
 
-// CountOutcome takes in how an attempt of a call has ended that a route had a say in. Streamed: its answer had begun.
+// CountOutcome counts how an attempt that has a check ended. Streamed: its answer had started.
 func (r *Router) CountOutcome(now float64, check *Check, c *inflight.Call, reply *inflight.Reply, elapsed float64, streamed bool) {
 	r.changed(now)
 	if reply.RouteRevoked {
 		r.revokedAttempts++
 	}
 	objective := r.classes[c.Request.Class].LatencyObjective
-	// As the module judges it: a client that left nearly at the end of its time has waited in vain.
-	overdue := !c.Deadline.IsZero() && now >= r.clock.Millis(c.Deadline.Add(-time.Duration(float64(c.Timeout)*(1-waitedInVain))))
+	// As the balancer judges it: a client that left nearly at the end of its time has waited in vain.
+	overdueAt := c.Deadline.Add(-time.Duration(float64(c.Timeout) * (1 - waitedInVain)))
+	overdue := !c.Deadline.IsZero() && now >= r.clock.Millis(overdueAt)
 	abandoned := reply.Result == balance.Cancelled && !overdue
 	late := elapsed > objective
-	// A client that left after the aim has seen a failure where late answers are: it cost the canary's unit, too.
+	// Where late answers are failures, a client that left after the objective has seen one: it cost a unit, too.
 	conclusive := !abandoned || check.lateIsFailure && late && !streamed
 	neverSent := reply.Result == balance.NotSent || reply.Result == balance.LocalFailure
 	if !check.Started || neverSent || !conclusive || !check.canary && !check.comparable {
@@ -310,7 +334,7 @@
 	}
 }
 
-// countFor gives a count; those of the oldest revisions make room.
+// countFor gives the count of a key. Counts of the oldest revisions are dropped for new ones.
 func (r *Router) countFor(key countKey) *route.Count {
 	c := r.counts[key]
 	if c != nil {
@@ -320,13 +344,13 @@
 	at, known := slices.BinarySearch(r.revs, key.rev)
 	if key.rev > 0 && !known {
 		if len(r.revs) == maxCountedRevisions && at == 0 {
-			return c // it has gone already
+			return c // older than all that are counted
 		}
 		r.revs = slices.Insert(r.revs, at, key.rev)
 		if len(r.revs) > maxCountedRevisions {
-			for check := range r.counts {
-				if check.rev == r.revs[0] {
-					delete(r.counts, check)
+			for counted := range r.counts {
+				if counted.rev == r.revs[0] {
+					delete(r.counts, counted)
 				}
 			}
 			r.revs = slices.Delete(r.revs, 0, 1)
@@ -336,12 +360,14 @@
 	return c
 }
 
-// Figures are those of routes.
+// Figures are the figures of routes.
 type Figures struct {
 	routeclient.Status
-	RevokedAttempts, FreeUnits int64
+	RevokedAttempts int64
+	FreeUnits       int64 // of all canary budgets
 }
 
+// Figures gives the figures of routes; nil: routing is off.
 func (r *Router) Figures() *Figures {
 	if r == nil {
 		return nil
--- a/internal/sidecar/shutdown.go
+++ b/internal/sidecar/shutdown.go
@@ -26,7 +26,7 @@
 	// answer cannot tell a request that may be sent again from one that ran. It covers a process that is held up for
 	// 0.15 s, after SIGTERM before it reads its clock, or after that before it writes the answers.
 	finalAnswerMargin = 250 * time.Millisecond
-	// maxAnswerTail is how long answers that have started are passed on where no SIGKILL comes.
+	// maxAnswerTail is how long answers that have started are forwarded where no SIGKILL comes.
 	maxAnswerTail = 30 * time.Second
 )
 
@@ -35,7 +35,7 @@
 
 const (
 	drainServing  drainPhase = iota // requests that come are still served
-	drainAnswered                   // service has ended: all that is open is answered, or its answer is passed on
+	drainAnswered                   // service has ended: all that is open is answered, or its answer is being forwarded
 )
 
 func (p drainPhase) String() string {
@@ -48,7 +48,7 @@
 // then while a request may come again on a new connection because the end of its old one crossed it. Each answer ends its
 // connection; connections without a request are ended after drainAccept. At the end of service, finalAnswerMargin before
 // SIGKILL may come, all open requests get their answers, those included of which only a part has come, and answers that
-// have started are passed on to their end.
+// have started are forwarded to their end.
 type drainState struct {
 	s          *Sidecar
 	startedAt  time.Time
@@ -144,9 +144,9 @@
 
 // killTime is the time from SIGTERM to the earliest SIGKILL.
 func (s *Sidecar) killTime() time.Duration {
-	longest := 0.0
+	latest := 0.0
 	for i := range s.cfg.Balance.Classes {
-		longest = math.Max(longest, s.cfg.Balance.Classes[i].Deadline)
+		latest = math.Max(latest, s.cfg.Balance.Classes[i].Deadline)
 	}
-	return min(clock.Duration(longest), maxDrain) + killAfter
+	return min(clock.Duration(latest), maxDrain) + killAfter
 }
--- a/internal/sidecar/sidecar_test.go
+++ b/internal/sidecar/sidecar_test.go
@@ -100,7 +100,7 @@
 
 func (r *running) do(req *http.Request) result {
 	r.t.Helper()
-	began := time.Now()
+	startedAt := time.Now()
 	resp, err := r.client.Do(req)
 	if err != nil {
 		r.t.Error(err)
@@ -111,7 +111,7 @@
 	if err != nil {
 		r.t.Error(err)
 	}
-	return result{resp.StatusCode, resp.Header, string(body), time.Since(began)}
+	return result{resp.StatusCode, resp.Header, string(body), time.Since(startedAt)}
 }
 
 // goDo makes a request beside the test.
--- a/internal/sidecar/sidecartest/body.go
+++ b/internal/sidecar/sidecartest/body.go
@@ -10,7 +10,7 @@
 	"marblelane/internal/sidecar/endpointlist"
 )
 
-// Pattern is a body of so many bytes that no part of is like another.
+// Pattern is a body of n bytes, no part of which is like another.
 func Pattern(n int) []byte {
 	b := make([]byte, n)
 	x := uint32(n)
@@ -21,7 +21,7 @@
 	return b
 }
 
-// RawBackend is a server that does as the test says with each connection from its first byte on.
+// RawBackend is a server that hands each connection to serve.
 func RawBackend(t *testing.T, uid string, serve func(c net.Conn, in *bufio.Reader)) endpointlist.Target {
 	t.Helper()
 	l, err := net.Listen("tcp", Loopback)
@@ -49,6 +49,8 @@
 	return Ready(uid, l.Addr().String())
 }
 
+// Zeros is a reader of zero bytes without end.
 type Zeros struct{}
 
+// Read is part of io.Reader.
 func (Zeros) Read(p []byte) (int, error) { return len(p), nil }
--- a/internal/sidecar/sidecartest/client_gone.go
+++ b/internal/sidecar/sidecartest/client_gone.go
@@ -14,24 +14,27 @@
 	"reset":      func(c *net.TCPConn) { c.SetLinger(0); c.Close() },
 }
 
-// Barrier holds whoever passes until it is opened.
+// Barrier blocks all goroutines that pass it until it is released.
 type Barrier struct {
 	waiting atomic.Int64
 	open    chan struct{}
 	once    sync.Once
 }
 
+// NewBarrier gives a barrier that blocks.
 func NewBarrier() *Barrier { return &Barrier{open: make(chan struct{})} }
 
+// Pass waits for Release.
 func (g *Barrier) Pass() {
 	g.waiting.Add(1)
 	<-g.open
 }
 
+// Release opens the barrier for good.
 func (g *Barrier) Release() { g.once.Do(func() { close(g.open) }) }
 
-// WaitFor returns once so many wait at the gate.
+// WaitFor returns once n goroutines have come to the barrier.
 func (g *Barrier) WaitFor(t *testing.T, n int64) {
 	t.Helper()
-	Until(t, "the gate to be reached", func() bool { return g.waiting.Load() >= n })
+	Until(t, "the barrier to be reached", func() bool { return g.waiting.Load() >= n })
 }
--- a/internal/sidecar/sidecartest/errno.go
+++ b/internal/sidecar/sidecartest/errno.go
@@ -23,6 +23,7 @@
 	ByteAtATime         bool // the system takes and gives one byte with each call
 }
 
+// Read reads, or fails as the test says.
 func (c *FaultyConn) Read(p []byte) (int, error) {
 	if c.FailRead != nil {
 		if err := c.FailRead(); err != nil {
@@ -35,6 +36,7 @@
 	return c.TCPConn.Read(p)
 }
 
+// Write writes, or fails as the test says.
 func (c *FaultyConn) Write(p []byte) (int, error) {
 	if c.failWrite != nil {
 		if err := c.failWrite(); err != nil {
@@ -56,14 +58,17 @@
 	}
 }
 
+// DialFunc opens a connection, as net.Dialer.DialContext does.
+type DialFunc = func(ctx context.Context, network, addr string) (net.Conn, error)
+
 // dialWrapper is a pool whose dialing a test can change.
 type dialWrapper interface {
-	WrapDial(wrap func(func(context.Context, string, string) (net.Conn, error)) func(context.Context, string, string) (net.Conn, error))
+	WrapDial(wrap func(DialFunc) DialFunc)
 }
 
 // Dialing makes the dialer of a pool fail as a test says, and gives connections that fail so.
 func Dialing(p dialWrapper, failDial func() error, conn FaultyConn) {
-	p.WrapDial(func(dial func(context.Context, string, string) (net.Conn, error)) func(context.Context, string, string) (net.Conn, error) {
+	p.WrapDial(func(dial DialFunc) DialFunc {
 		return func(ctx context.Context, network, addr string) (net.Conn, error) {
 			if err := failDial(); err != nil {
 				return nil, err
@@ -79,7 +84,7 @@
 	})
 }
 
-// Succeed is the failure of a call that does not fail.
+// Succeed is for a call that does not fail.
 func Succeed() error { return nil }
 
 // Always is more failures than any test waits for.
@@ -102,7 +107,7 @@
 			cases = append(cases, ErrnoCase{call, errno, result, status})
 		}
 	}
-	// This machine's trouble: no attempt is used up, and the request goes on in time.
+	// Failures of this machine: no attempt is used up, and the request goes on in time.
 	add("socket", balance.LocalFailure, 200,
 		syscall.EACCES, syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM, syscall.EPERM)
 	add("connect", balance.LocalFailure, 200,
@@ -112,7 +117,7 @@
 	add("write", balance.LocalFailure, 200,
 		syscall.EACCES, syscall.EPERM, syscall.EAGAIN, syscall.EINTR, syscall.ENOBUFS, syscall.ENOMEM,
 		syscall.ENETUNREACH, syscall.ENETDOWN)
-	// The server's failure, or what this program or its settings do wrong with it.
+	// Failures of the server, or mistakes of this program or its settings.
 	add("socket", balance.ConnectFailed, inflight.StatusRejected,
 		syscall.EAFNOSUPPORT, syscall.EINVAL, syscall.EPROTONOSUPPORT)
 	add("connect", balance.ConnectFailed, inflight.StatusRejected,
--- a/internal/sidecar/sidecartest/planted.go
+++ b/internal/sidecar/sidecartest/planted.go
@@ -11,6 +11,7 @@
 	Failures *atomic.Int64
 }
 
+// Accept accepts, and counts a failure.
 func (c FailureCounter) Accept() (net.Conn, error) {
 	conn, err := c.Listener.Accept()
 	if err != nil {
--- a/internal/sidecar/sidecartest/sidecar.go
+++ b/internal/sidecar/sidecartest/sidecar.go
@@ -3,10 +3,14 @@
 import (
 	"bufio"
 	"encoding/json"
+	"fmt"
+	"hash/fnv"
 	"io"
 	"net"
 	"net/http"
 	"net/http/httptest"
+	"os"
+	"path/filepath"
 	"runtime"
 	"sync"
 	"sync/atomic"
@@ -19,11 +23,20 @@
 // Patience bounds every wait of the tests; none is expected to last.
 const Patience = 10 * time.Second
 
-// Loopback is where these tests listen: an address of their own, as tests of other packages, which run at the same
-// time, go on calling ports of 127.0.0.1 that they have given up, and the system gives those to whoever asks next.
-const Loopback = "127.64.0.1:0"
+// Loopback is where the tests of a package listen, on a port of the system's choice. Each package has an address of its
+// own: tests of other packages run at the same time and go on calling ports that they have closed, and the system may give
+// such a port to another listener of the same address.
+var Loopback = packageLoopback(filepath.Base(os.Args[0]))
+
+// packageLoopback gives an address of 127.64.0.0/16 for the test program of a package.
+func packageLoopback(program string) string {
+	h := fnv.New32a()
+	io.WriteString(h, program)
+	sum := h.Sum32()
+	return fmt.Sprintf("127.64.%d.%d:0", sum>>8&0xff, 1+sum%254)
+}
 
-// Until polls what has no event of its own.
+// Until waits for a state that has no event, by polling.
 func Until(t *testing.T, what string, done func() bool) {
 	t.Helper()
 	for end := time.Now().Add(Patience); !done(); time.Sleep(time.Millisecond) {
@@ -34,6 +47,7 @@
 	}
 }
 
+// Receive receives a value, or fails the test after Patience.
 func Receive[T any](t *testing.T, what string, from <-chan T) T {
 	t.Helper()
 	select {
@@ -49,16 +63,17 @@
 type Backend struct {
 	net.Listener
 	Target   endpointlist.Target
-	Requests atomic.Int64
-	Conns    atomic.Int64
+	Requests atomic.Int64 // read completely
+	Conns    atomic.Int64 // accepted
 
-	Mu   sync.Mutex
+	Mu   sync.Mutex // guards Open
 	Open map[net.Conn]bool
 }
 
-// ServeOne handles one request that was read whole; false ends the connection.
+// ServeOne answers one request that was read completely; false ends the connection.
 type ServeOne func(c net.Conn, req *http.Request, body string) bool
 
+// NewBackend starts a server that answers with serve.
 func NewBackend(t *testing.T, uid string, serve ServeOne) *Backend {
 	t.Helper()
 	ln, err := net.Listen("tcp", Loopback)
@@ -117,10 +132,12 @@
 	clear(b.Open)
 }
 
+// Ready is the entry of a server that is ready.
 func Ready(uid, addr string) endpointlist.Target {
 	return endpointlist.Target{UID: uid, Endpoint: addr, Zone: "z", Model: "k", PodGroup: 1, State: "Ready", Capacity: 1}
 }
 
+// OK answers with status 200 and a load report.
 func OK(c net.Conn, _ *http.Request, _ string) bool {
 	_, err := io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: 4\r\nX-Server-Load: busy=0.5,rate=7\r\n\r\ndone")
 	return err == nil
@@ -134,23 +151,25 @@
 	}
 }
 
-// Registry is discovery: each call takes what the test gives it next.
+// Registry is discovery: a test answers each call by hand.
 type Registry struct {
 	*httptest.Server
-	Calls chan registryCall
+	Calls chan RegistryCall
 }
 
-type registryCall struct {
+// RegistryCall is a call to discovery that waits for its answer.
+type RegistryCall struct {
 	Query string
 	Lines chan string // closed: the answer ends
 	Fail  chan int    // a status instead of lines
 	Gone  <-chan struct{}
 }
 
+// NewRegistry starts discovery.
 func NewRegistry(t *testing.T) *Registry {
-	r := &Registry{Calls: make(chan registryCall, 16)}
+	r := &Registry{Calls: make(chan RegistryCall, 16)}
 	r.Server = httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, req *http.Request) {
-		call := registryCall{
+		call := RegistryCall{
 			Query: req.URL.RawQuery, Lines: make(chan string), Fail: make(chan int), Gone: req.Context().Done(),
 		}
 		r.Calls <- call
@@ -174,9 +193,11 @@
 	return r
 }
 
+// Addr is the address of discovery.
 func (r *Registry) Addr() string { return r.Listener.Addr().String() }
 
-func (c registryCall) Send(t *testing.T, l endpointlist.List) {
+// Send answers with a list.
+func (c RegistryCall) Send(t *testing.T, l endpointlist.List) {
 	t.Helper()
 	data, err := json.Marshal(l)
 	if err != nil {
@@ -185,7 +206,8 @@
 	c.Line(t, string(data))
 }
 
-func (c registryCall) Line(t *testing.T, text string) {
+// Line answers with one line.
+func (c RegistryCall) Line(t *testing.T, text string) {
 	t.Helper()
 	select {
 	case c.Lines <- text:
--- a/internal/sidecar/sidecartest/watch.go
+++ b/internal/sidecar/sidecartest/watch.go
@@ -8,15 +8,16 @@
 	"testing"
 )
 
-// agent is discovery by hand: each connection that it accepts is the test's.
-type agent struct{ Conns chan net.Conn }
+// Agent is discovery whose connections a test serves by hand.
+type Agent struct{ Conns chan net.Conn }
 
-func NewHandAgent(t *testing.T) (*agent, string) {
+// NewHandAgent starts an agent and gives its address.
+func NewHandAgent(t *testing.T) (*Agent, string) {
 	ln, err := net.Listen("tcp", Loopback)
 	if err != nil {
 		t.Fatal(err)
 	}
-	a := &agent{Conns: make(chan net.Conn, 1024)}
+	a := &Agent{Conns: make(chan net.Conn, 1024)}
 	var accepting sync.WaitGroup
 	accepting.Go(func() {
 		for {
@@ -39,7 +40,7 @@
 }
 
 // Next gives the next call, its head read.
-func (a *agent) Next(t *testing.T) net.Conn {
+func (a *Agent) Next(t *testing.T) net.Conn {
 	t.Helper()
 	c := Receive(t, "a call", a.Conns)
 	t.Cleanup(func() { c.Close() })
@@ -49,4 +50,5 @@
 	return c
 }
 
+// WatchHead is the head of the answer to a watch.
 const WatchHead = "HTTP/1.1 200 OK\r\nContent-Type: application/json\r\n\r\n"
--- a/internal/sidecar/sites_test.go
+++ b/internal/sidecar/sites_test.go
@@ -90,7 +90,7 @@
 
 // Two sidecars of different sites in one program, one after the other and at the same time, have nothing of each other:
 // no class, tenant, limit, server or figure, though a server of each has the other's name.
-func TestSitesShareNothing(t *testing.T) {
+func TestSites_Independent(t *testing.T) {
 	t.Run("one after the other", func(t *testing.T) {
 		sites := twoSites(t)
 		for i := range 4 {
@@ -131,33 +131,33 @@
 	}
 	set := func(old, to string) func(configtest.Conf) { return func(c configtest.Conf) { c.Setting(old, to) } }
 	for name, changes := range map[string][]func(configtest.Conf){
-		"short aim and deadline": {set(`"on_time_ms": 750, "hard_limit_ms": 2500`, `"on_time_ms": 20, "hard_limit_ms": 50`),
+		"short objective and deadline": {set(`"on_time_ms": 750, "hard_limit_ms": 2500`, `"on_time_ms": 20, "hard_limit_ms": 50`),
 			set(`"on_time_ms": 500, "hard_limit_ms": 1000`, `"on_time_ms": 20, "hard_limit_ms": 50`),
 			set(`"on_time_ms": 500, "hard_limit_ms": 1000`, `"on_time_ms": 20, "hard_limit_ms": 50`)},
-		"long aim and deadline": {set(`"on_time_ms": 750, "hard_limit_ms": 2500`, `"on_time_ms": 20000, "hard_limit_ms": 60000`),
+		"long objective and deadline": {set(`"on_time_ms": 750, "hard_limit_ms": 2500`, `"on_time_ms": 20000, "hard_limit_ms": 60000`),
 			set(`"on_time_ms": 500, "hard_limit_ms": 1000`, `"on_time_ms": 20000, "hard_limit_ms": 60000`)},
-		"deadline beyond all":             {set(`"hard_limit_ms": 2500`, `"hard_limit_ms": 1e300`)},
-		"window shorter than an attempt":  {set(`"window_ms": 2000`, `"window_ms": 1`)},
-		"no window":                       {set(`"window_ms": 2000`, `"window_ms": 0`)},
-		"quantum of nothing":              {set(`"quantum_ms": 2`, `"quantum_ms": 0`)},
-		"long quantum":                    {set(`"quantum_ms": 2`, `"quantum_ms": 500`)},
-		"no idle connections":             {set(`"conn_idle_ms": 10000`, `"conn_idle_ms": 0`)},
-		"connections idle for ever":       {set(`"conn_idle_ms": 10000`, `"conn_idle_ms": 1e300`)},
-		"no word on connecting":           {set(`"connect_timeout_ms": 100, `, ``)},
-		"one attempt":                     {set(`"max_attempts": 6`, `"max_attempts": 1`)},
-		"no attempts named":               {set(`"max_attempts": 6, `, ``)},
-		"one request open":                {set(`"open_cap": 20000`, `"open_cap": 1`)},
-		"fewest sockets":                  {func(c configtest.Conf) { c["limits"] = map[string]any{"sockets": config.MinSockets, "memory_mb": 32} }},
-		"no limits":                       {func(c configtest.Conf) { delete(c, "limits") }},
-		"a hundredth of a core, 1 MB":     {func(c configtest.Conf) { c["limits"] = map[string]any{"cores": 0.01, "memory_mb": 1, "sockets": 1024} }},
-		"no tenants":                      {set(`"tenants": [{"name": "kita", "share": 1, "allowance_per_s": 100}],`, ``)},
-		"no zones":                        {set(`"zones": ["z"], `, ``)},
-		"a zone of no name":               {set(`"zones": ["z"], `, `"zones": ["z"], "zone": 7, `)},
-		"many classes":                    {set(`"classes": [`, `"classes": [`+strings.Join(many, ",")+`,`)},
-		"no rules":                        {set(`"rules": {"answer_slack_ms": 8, "ask_within_ms": 10000, "cold_from": 0.12, "cold_ms": 24000,`+"\n"+`  "drain_grace_ms": 250, "fall_ms": 3000, "fall_multiple": 2.5}`, `"rules": {}`)},
-		"a grace of nothing, lists asked": {set(`"drain_grace_ms": 250`, `"drain_grace_ms": 0`)},
-		"pushed, a grace of a minute":     {set(`"drain_grace_ms": 250`, `"drain_grace_ms": 60000`), set(`"discovery": "subscribe"`, `"discovery": "automatic"`)},
-		"no reports and no probes":        {set(`"report": {"via": "piggyback", "fields": ["busy", "rate"]},`, ``), set(`"probes": true`, `"probes": false`)},
+		"deadline beyond all":            {set(`"hard_limit_ms": 2500`, `"hard_limit_ms": 1e300`)},
+		"window shorter than an attempt": {set(`"window_ms": 2000`, `"window_ms": 1`)},
+		"no window":                      {set(`"window_ms": 2000`, `"window_ms": 0`)},
+		"quantum of nothing":             {set(`"quantum_ms": 2`, `"quantum_ms": 0`)},
+		"long quantum":                   {set(`"quantum_ms": 2`, `"quantum_ms": 500`)},
+		"no idle connections":            {set(`"conn_idle_ms": 10000`, `"conn_idle_ms": 0`)},
+		"connections idle for ever":      {set(`"conn_idle_ms": 10000`, `"conn_idle_ms": 1e300`)},
+		"no word on connecting":          {set(`"connect_timeout_ms": 100, `, ``)},
+		"one attempt":                    {set(`"max_attempts": 6`, `"max_attempts": 1`)},
+		"no attempts named":              {set(`"max_attempts": 6, `, ``)},
+		"one request open":               {set(`"open_cap": 20000`, `"open_cap": 1`)},
+		"fewest sockets":                 {func(c configtest.Conf) { c["limits"] = map[string]any{"sockets": config.MinSockets, "memory_mb": 32} }},
+		"no limits":                      {func(c configtest.Conf) { delete(c, "limits") }},
+		"a hundredth of a core, 1 MB":    {func(c configtest.Conf) { c["limits"] = map[string]any{"cores": 0.01, "memory_mb": 1, "sockets": 1024} }},
+		"no tenants":                     {set(`"tenants": [{"name": "kita", "share": 1, "allowance_per_s": 100}],`, ``)},
+		"no zones":                       {set(`"zones": ["z"], `, ``)},
+		"a zone of no name":              {set(`"zones": ["z"], `, `"zones": ["z"], "zone": 7, `)},
+		"many classes":                   {set(`"classes": [`, `"classes": [`+strings.Join(many, ",")+`,`)},
+		"no rules":                       {set(`"rules": {"answer_slack_ms": 8, "ask_within_ms": 10000, "cold_from": 0.12, "cold_ms": 24000,`+"\n"+`  "drain_grace_ms": 250, "fall_ms": 3000, "fall_multiple": 2.5}`, `"rules": {}`)},
+		"no drain grace, polled lists":   {set(`"drain_grace_ms": 250`, `"drain_grace_ms": 0`)},
+		"pushed, a grace of a minute":    {set(`"drain_grace_ms": 250`, `"drain_grace_ms": 60000`), set(`"discovery": "subscribe"`, `"discovery": "automatic"`)},
+		"no reports and no probes":       {set(`"report": {"via": "piggyback", "fields": ["busy", "rate"]},`, ``), set(`"probes": true`, `"probes": false`)},
 	} {
 		t.Run(name, func(t *testing.T) {
 			b, r := sidecartest.NewBackend(t, "a", sidecartest.OK), sidecartest.NewAgent(t)
--- a/internal/sidecar/start_test.go
+++ b/internal/sidecar/start_test.go
@@ -26,7 +26,7 @@
 }
 
 // An address that another process gives up a moment later is bound.
-func TestAddressThatIsFreeAMomentLater(t *testing.T) {
+func TestStart_AddressFreedLater(t *testing.T) {
 	for _, key := range []string{"listen", "management"} {
 		t.Run(key, func(t *testing.T) {
 			holder, err := net.Listen("tcp", "127.0.0.1:0")
@@ -61,7 +61,7 @@
 }
 
 // What cannot heal ends the start at once, and the error names the key.
-func TestAddressThatIsNotOurs(t *testing.T) {
+func TestStart_ForeignAddress(t *testing.T) {
 	for _, key := range []string{"listen", "management"} {
 		t.Run(key, func(t *testing.T) {
 			c := configtest.NewConf("127.0.0.1:1")
@@ -80,7 +80,7 @@
 }
 
 // The place where a newer process meets this one is bound a moment later, too.
-func TestMeetingPlaceThatCannotBeBoundForAMoment(t *testing.T) {
+func TestStart_HandoverSocketRetry(t *testing.T) {
 	c := upgradable(t, sidecartest.NewRegistry(t).Addr(), sidecartest.NewBackend(t, "a", sidecartest.OK).Target)
 	failure := sidecartest.FailTimes(3, syscall.ENFILE)
 	old := start(t, c, func(s *Sidecar) {
--- a/internal/sidecar/wallclock_test.go
+++ b/internal/sidecar/wallclock_test.go
@@ -12,8 +12,8 @@
 	"marblelane/internal/sidecar/sidecartest"
 )
 
-// A server that started behind a step of the wall clock gets a cold server's part, whichever way the step was.
-func TestServerThatStartsBehindAStepIsCold(t *testing.T) {
+// A server that started behind a step of the wall clock gets a warming up server's part, whichever way the step was.
+func TestClockStep_SlowStart(t *testing.T) {
 	for _, step := range []time.Duration{-time.Hour, -30 * time.Second, time.Hour} {
 		t.Run(step.String(), func(t *testing.T) {
 			a, b := sidecartest.NewBackend(t, "a", sidecartest.OK), sidecartest.NewBackend(t, "b", sidecartest.OK)
@@ -38,7 +38,7 @@
 				}
 			}
 			if n := b.Requests.Load(); n > 15 {
-				t.Errorf("%d of 60 requests reached the cold server, %d the warm one", n, a.Requests.Load())
+				t.Errorf("%d of 60 requests reached the warming up server, %d the warm one", n, a.Requests.Load())
 			}
 		})
 	}
