--- /dev/null
+++ b/internal/sidecar/eventloop/actions.go
@@ -0,0 +1,106 @@
+package eventloop
+
+import (
+	"context"
+	"log/slog"
+	"math"
+
+	"marblelane/balance"
+	"marblelane/internal/sidecar/inflight"
+	"marblelane/internal/sidecar/upstream"
+)
+
+// Execute carries out actions of the balancer, in order.
+func (l *Loop) Execute(now float64, actions []balance.Action) {
+	for i := range actions {
+		l.execute(now, &actions[i])
+	}
+}
+
+func (l *Loop) execute(now float64, action *balance.Action) {
+	switch action.Kind {
+	case balance.Send:
+		l.startAttempt(now, action)
+	case balance.Reject, balance.Fail:
+		l.endCall(now, action)
+	case balance.Cancel:
+		if c := l.Calls[action.Request]; c != nil && action.Attempt < len(c.Attempts) {
+			c.Attempts[action.Attempt].Cancel()
+		}
+	case balance.SetTimer:
+		l.timers.set(timer{due: now + math.Max(action.At, 0), token: action.Token})
+	case balance.HealthCheck:
+		l.healthCheck(now, action.Server)
+	case balance.CloseIdle:
+		if server := l.servers[action.Server]; server != nil {
+			l.Pool.CloseIdle(server)
+		}
+	case balance.Log:
+		slog.Info("balancer: " + action.Text)
+	case balance.Watch:
+		l.Discovery.Revision.Store(action.After)
+		l.Discovery.Watch(l.Ctx, action.Source)
+	case balance.Fetch:
+		l.Discovery.Fetch(l.Ctx, action.Source)
+	case balance.Forget:
+		l.retireServer(l.servers[action.Server])
+	default:
+		slog.Error("eventloop: unknown action of the balancer", "action", action.Kind)
+	}
+}
+
+// startAttempt sends a call to a server, in a goroutine that ends with the attempt.
+func (l *Loop) startAttempt(now float64, action *balance.Action) {
+	c := l.Calls[action.Request]
+	if c == nil {
+		return
+	}
+	deadline := c.Deadline
+	if action.At > 0 {
+		if at := l.Clock.Time(action.At); at.Before(deadline) {
+			deadline = at
+		}
+	}
+	a := &upstream.Attempt{
+		Call: c.Call, Number: len(c.Attempts), Server: l.serverOf(action.Server),
+		RouteCheck: l.Routing.Check(now, c.Call, action), StartedAt: now, Deadline: deadline,
+	}
+	a.Context, a.Cancel = context.WithCancel(l.Ctx)
+	c.Attempts = append(c.Attempts, a)
+	c.liveAttempts++
+	l.Workers.Go(func() { l.Post(AttemptDone{a, l.Pool.Send(a)}) })
+}
+
+// healthCheck asks a server how it is, in a goroutine that ends with the answer.
+func (l *Loop) healthCheck(now float64, id balance.ServerID) {
+	server := l.serverOf(id)
+	l.Workers.Go(func() { l.Post(healthCheckDone{server, now, l.Pool.HealthCheck(l.Ctx, server)}) })
+}
+
+// serverOf gives the server of an ID. One that is not in the table is retired: nothing is sent to it.
+func (l *Loop) serverOf(id balance.ServerID) *upstream.Server {
+	if server := l.servers[id]; server != nil {
+		return server
+	}
+	server := &upstream.Server{ID: id}
+	server.Retired.Store(true)
+	return server
+}
+
+// endCall gives a client the balancer's own answer: rejected, where a retry does no harm, or failed.
+func (l *Loop) endCall(now float64, action *balance.Action) {
+	c := l.Calls[action.Request]
+	if c == nil || !c.Finish() {
+		return
+	}
+	l.cancelUnwritten(c.Call)
+	switch {
+	case action.Kind == balance.Reject:
+		c.Answers <- inflight.Answer{Status: inflight.StatusRejected, RetryAfter: action.At}
+	case !c.Deadline.IsZero() && now >= l.Clock.Millis(c.Deadline):
+		c.Answers <- inflight.Answer{Status: inflight.StatusTimedOut}
+	default:
+		c.Answers <- inflight.Answer{Status: inflight.StatusFailed}
+	}
+	l.release(c.Call)
+}
--- a/internal/sidecar/management.go
+++ b/internal/sidecar/management.go
@@ -5,24 +5,28 @@
 	"log/slog"
 	"net"
 	"net/http"
+
+	"marblelane/internal/sidecar/clientserver"
+	"marblelane/internal/sidecar/config"
+	"marblelane/internal/sidecar/fleet"
 )
 
 const (
 	healthPath = "/healthcheck"
 	statsPath  = "/stats"
 
-	maxManageHead = 8 << 10
+	maxManagementHead = 8 << 10 // bytes
 )
 
-// management serves the platform's address. It has descriptors of its own and reads only what others left for
-// it, so that it answers under any load.
-func (s *Sidecar) management() *http.Server {
+// managementServer serves the address for the platform. It has descriptors of its own and reads only what others have
+// published, so that it answers under any load.
+func (s *Sidecar) managementServer() *http.Server {
 	srv := &http.Server{
-		Handler: http.HandlerFunc(s.manage), ReadTimeout: manageWait, WriteTimeout: manageWait,
-		MaxHeaderBytes: maxManageHead,
+		Handler: http.HandlerFunc(s.manage), ReadTimeout: config.ManagementTimeout, WriteTimeout: config.ManagementTimeout,
+		MaxHeaderBytes: maxManagementHead,
 		ConnState: func(c net.Conn, state http.ConnState) {
-			if g, ok := c.(*clientConn); ok && state == http.StateActive {
-				g.work() // its time is short in any case
+			if conn, ok := c.(*clientserver.ClientConn); ok && state == http.StateActive {
+				conn.RequestRead() // ManagementTimeout bounds it in any case
 			}
 		},
 		ErrorLog: slog.NewLogLogger(slog.Default().Handler(), slog.LevelDebug),
@@ -31,9 +35,10 @@
 	return srv
 }
 
+// manage answers one call of the management address.
 func (s *Sidecar) manage(w http.ResponseWriter, r *http.Request) {
-	if isMembers(r.URL.Path) {
-		s.loop.members.serve(w, r)
+	if fleet.IsMembersPath(r.URL.Path) {
+		s.loop.Members.ServeHTTP(w, r)
 		return
 	}
 	if r.URL.Path != healthPath && r.URL.Path != statsPath {
@@ -47,16 +52,21 @@
 	}
 	if r.URL.Path == statsPath {
 		w.Header().Set("Content-Type", "text/plain; version=0.0.4; charset=utf-8")
-		s.loop.figures.write(w)
-		s.loop.members.write(w)
+		s.loop.Metrics.Write(w)
+		s.loop.Members.WriteMetrics(w)
 		return
 	}
+	s.answerHealth(w)
+}
+
+// answerHealth says whether this process can serve.
+func (s *Sidecar) answerHealth(w http.ResponseWriter) {
 	switch {
-	case s.frontend.draining.Load():
+	case s.clients.Draining.Load():
 		http.Error(w, "draining", http.StatusServiceUnavailable)
 	case !s.serving.Load():
 		http.Error(w, "not serving yet", http.StatusServiceUnavailable)
-	case s.loop.figures.servers.Load().ready == 0:
+	case s.loop.Metrics.Servers.Load().Ready == 0:
 		http.Error(w, "no server is known to be ready", http.StatusServiceUnavailable)
 	default:
 		io.WriteString(w, "ok\n")
--- a/internal/sidecar/reload_test.go
+++ b/internal/sidecar/reload_test.go
@@ -12,6 +12,8 @@
 	"time"
 
 	"marblelane/internal/fault"
+	"marblelane/internal/sidecar/configtest"
+	"marblelane/internal/sidecar/sidecartest"
 )
 
 // failingReload fails until a time, and counts its calls.
@@ -28,15 +30,15 @@
 	return nil
 }
 
-func TestReloadGoesOnUntilTheFileIsWhole(t *testing.T) {
+func TestReload_RetriesUntilComplete(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		began := time.Now()
-		file := failingReload{until: began.Add(2 * time.Second)}
+		startedAt := time.Now()
+		file := failingReload{until: startedAt.Add(2 * time.Second)}
 		if again := reloadUntilDone(t.Context(), nil, file.reload); again {
 			t.Error("a signal came")
 		}
-		if late := time.Since(file.until); late < 0 || late > longestReloadPause {
-			t.Errorf("taken in %v after the file was whole", late)
+		if late := time.Since(file.until); late < 0 || late > maxReloadPause {
+			t.Errorf("taken in %v after the file was complete", late)
 		}
 		if file.calls > 12 {
 			t.Errorf("read %d times in 2 s", file.calls)
@@ -44,32 +46,32 @@
 	})
 }
 
-func TestNewerSignalBeginsReloadAnew(t *testing.T) {
+func TestReload_NewerSignal(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		signals := make(chan os.Signal, 1)
 		file := failingReload{until: time.Now().Add(time.Hour)}
 		time.AfterFunc(10*time.Second+time.Millisecond, func() { signals <- syscall.SIGHUP })
-		began := time.Now()
-		if again := reloadUntilDone(t.Context(), signals, file.reload); !again || time.Since(began) != 10*time.Second+time.Millisecond {
-			t.Errorf("again: %v after %v, want at the signal", again, time.Since(began))
+		startedAt := time.Now()
+		if again := reloadUntilDone(t.Context(), signals, file.reload); !again || time.Since(startedAt) != 10*time.Second+time.Millisecond {
+			t.Errorf("again: %v after %v, want at the signal", again, time.Since(startedAt))
 		}
 	})
 }
 
-func TestReloadEndsWithItsContext(t *testing.T) {
+func TestReload_ContextEnds(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithTimeout(t.Context(), time.Minute)
 		defer cancel()
 		file := failingReload{until: time.Now().Add(time.Hour)}
-		began := time.Now()
-		if again := reloadUntilDone(ctx, nil, file.reload); again || time.Since(began) != time.Minute {
-			t.Errorf("again: %v after %v, want at the end of the context", again, time.Since(began))
+		startedAt := time.Now()
+		if again := reloadUntilDone(ctx, nil, file.reload); again || time.Since(startedAt) != time.Minute {
+			t.Errorf("again: %v after %v, want at the end of the context", again, time.Since(startedAt))
 		}
 	})
 }
 
 // One signal is enough: what cannot be opened, or is half written, is read again, and then discovery moves.
-func TestDiscoveryMovesOnceTheFileCanBeRead(t *testing.T) {
+func TestReload_MovesOnceReadable(t *testing.T) {
 	for name, failure := range map[string]struct {
 		errno string // of the opening
 		text  string // in the file's place
@@ -80,14 +82,14 @@
 		"empty":                            {text: ""},
 	} {
 		t.Run(name, func(t *testing.T) {
-			before, after := newRegistry(t), newRegistry(t)
+			before, after := sidecartest.NewRegistry(t), sidecartest.NewRegistry(t)
 			faults := filepath.Join(t.TempDir(), "faults.toml")
-			c := newConf(before.addr())
+			c := configtest.NewConf(before.Addr())
 			c["faults"] = faults
 			s := start(t, c)
-			receive(t, "the watch", before.calls)
-			path := withDiscovery(c, after.addr()).write(t)
-			whole, err := os.ReadFile(path)
+			sidecartest.Receive(t, "the watch", before.Calls)
+			path := withDiscovery(c, after.Addr()).Write(t)
+			text, err := os.ReadFile(path)
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -120,12 +122,12 @@
 				s.ReloadOnSignal(ctx, signals, env)
 			}()
 			signals <- syscall.SIGHUP
-			until(t, "a second reading after the signal", func() bool { return reads.Load() >= 3 })
+			sidecartest.Until(t, "a second reading after the signal", func() bool { return reads.Load() >= 3 })
 			if err := (fault.Set{}).Write(faults); err != nil {
 				t.Fatal(err)
 			}
-			replace(whole)
-			receive(t, "the watch at the new address", after.calls)
+			replace(text)
+			sidecartest.Receive(t, "the watch at the new address", after.Calls)
 			cancel()
 			<-ended
 		})
--- a/internal/sidecar/sidecar.go
+++ b/internal/sidecar/sidecar.go
@@ -5,6 +5,7 @@
 	"fmt"
 	"log/slog"
 	"net"
+	"net/http"
 	"os"
 	"sync"
 	"sync/atomic"
@@ -13,62 +14,52 @@
 	"marblelane/balance"
 	listening "marblelane/internal/listener"
 	"marblelane/internal/retry"
+	"marblelane/internal/sidecar/checkpoint"
+	"marblelane/internal/sidecar/clientserver"
+	"marblelane/internal/sidecar/config"
+	"marblelane/internal/sidecar/discovery"
+	"marblelane/internal/sidecar/eventloop"
+	"marblelane/internal/sidecar/fleet"
+	"marblelane/internal/sidecar/handover"
+	"marblelane/internal/sidecar/netcall"
+	"marblelane/internal/sidecar/routing"
+	"marblelane/internal/sidecar/upstream"
 )
 
-const (
-	// A part of the sockets is for the listeners, discovery, the log, the runtime and the management address.
-	reservedShare = 1. / 6
-	mostReserve   = 64
-	manageShare   = 0.25 // of the reserve, for connections to the management address
-	clientShare   = 0.55 // of the rest, for clients; servers have what is left
-	keepShare     = 0.75 // of the client connections: beyond it they are closed between requests
+// reapInterval is how often idle connections to servers are closed that have become too old.
+const reapInterval = time.Second
 
-	takenShare = 0.5      // of the limit, for all else of requests at a time
-	takenCost  = 96 << 10 // that a long body or answer takes on its way: buffers, connections and stacks
-	gcPercent  = 400      // garbage is small beside the limit, and there is one core
-
-	// drainAccept is how long connections are taken after SIGTERM: new ones come for up to 0.4 s.
-	drainAccept = 500 * time.Millisecond
-	drainStep   = 5 * time.Millisecond
-	// SIGKILL comes no earlier than killAfter beyond the longest deadline, of which longestDrain counts at most.
-	longestDrain = 3 * time.Second
-	killAfter    = 700 * time.Millisecond
-	// finalAnswerMargin is how long before that service ends and all that is open is given up: a client that hears nothing
-	// cannot tell a request that may be sent again from one that ran. It covers a process that is held up for 0.15 s,
-	// after SIGTERM before it reads its clock, or after that before it writes the answers.
-	finalAnswerMargin = 250 * time.Millisecond
-	// longestTail is how long answers that have begun are passed on where no SIGKILL comes.
-	longestTail = 30 * time.Second
-	reapEvery   = time.Second
-)
+// serversPollInterval is how often a newer process looks whether it knows servers.
+const serversPollInterval = 10 * time.Millisecond
 
 // Sidecar is one running sidecar.
 type Sidecar struct {
-	cfg      *Config
-	tcp      *net.TCPListener
-	listener *connLimiter
-	manager  *connLimiter // nil: no management address
-	loop     *loop
-	frontend *frontend
-	before   *predecessor // nil: none
-	after    successors
-
+	cfg         *config.Config
+	tcp         *net.TCPListener      // under listener
+	listener    *clientserver.Limiter // of clients
+	management  *clientserver.Limiter // nil: no management address
+	loop        *eventloop.Loop
+	clients     *clientserver.Server
+	predecessor *handover.Predecessor // nil: none
+	successors  handover.Successors
 	serving     atomic.Bool
-	drainAccept time.Duration
-	listWait    time.Duration
-	unaccepted  func(*net.TCPListener) int
-	hook        checkpointHook
+	budget      budget
 
-	sharing      sync.Mutex
-	older, newer int // processes of this sidecar beside this one
-	budget       budget
+	// Tests change these before Run.
+	drainAccept time.Duration              // how long connections are accepted after SIGTERM
+	listTimeout time.Duration              // how long a newer process waits for discovery
+	unaccepted  func(*net.TCPListener) int // how many connections wait to be accepted
+	hook        checkpoint.Hook
+
+	siblings     sync.Mutex // guards older and newer
+	older, newer int        // processes of this sidecar beside this one
 }
 
 // Open reads the configuration as LoadConfig does, tells the runtime its limits and prepares a sidecar as New does. What
 // fails for a moment is tried again, for retry.StartLimit in all, and not beyond the end of ctx.
 func Open(ctx context.Context, getenv func(string) string) (*Sidecar, error) {
 	start := retry.NewStart(ctx, nil)
-	cfg, err := loadConfig(getenv, patientRead(start, os.ReadFile))
+	cfg, err := config.LoadWith(getenv, config.RetryingRead(start, os.ReadFile))
 	if err != nil {
 		return nil, err
 	}
@@ -78,99 +69,120 @@
 
 // New prepares a sidecar and binds its addresses. An address that cannot be bound for a moment is tried again, for up to
 // retry.StartLimit; the error names the key of the address.
-func New(cfg *Config) (*Sidecar, error) {
+func New(cfg *config.Config) (*Sidecar, error) {
 	return newSidecar(cfg, retry.NewStart(context.Background(), nil))
 }
 
-func newSidecar(cfg *Config, start *retry.Start) (*Sidecar, error) {
-	bal, err := balance.New(cfg.balance)
+func newSidecar(cfg *config.Config, start *retry.Start) (*Sidecar, error) {
+	balancer, err := balance.New(cfg.Balance)
 	if err != nil {
 		return nil, fmt.Errorf("settings: %w", err)
 	}
-	var routing *routing
-	if cfg.routes != nil {
-		if routing, err = newRouting(cfg); err != nil {
-			return nil, fmt.Errorf("routes: %w", err)
-		}
-	}
-	reserve := min(max(int(float64(cfg.Sockets)*reservedShare), fewestReserve), mostReserve)
-	var manager *connLimiter
-	if cfg.Management != "" {
-		var listener net.Listener
-		if err := start.Do("management", func() (failed error) {
-			listener, failed = net.Listen("tcp", cfg.Management)
-			return failed
-		}); err != nil {
-			return nil, fmt.Errorf("management: %w", err)
-		}
-		manager = newConnLimiter(listening.Wrap(plant(listener, cfg.faults), "management", nil), 1)
+	router, err := newRouter(cfg)
+	if err != nil {
+		return nil, fmt.Errorf("routes: %w", err)
 	}
-	var before *predecessor
-	var listener net.Listener
-	if err := start.Do("upgrade", func() (failed error) {
-		before, listener, failed = findPredecessor(cfg)
-		return failed
-	}); err != nil {
-		slog.Info("upgrade: no process before this one", "error", err)
+	management, err := listenManagement(cfg, start)
+	if err != nil {
+		return nil, fmt.Errorf("management: %w", err)
 	}
-	if listener == nil {
-		if err := start.Do("listen", func() (failed error) {
-			listener, failed = listen(cfg)
-			return failed
-		}); err != nil {
-			if manager != nil {
-				manager.Close()
-			}
-			return nil, fmt.Errorf("listen: %w", err)
+	predecessor, listener, err := listenClients(cfg, start)
+	if err != nil {
+		if management != nil {
+			management.Close()
 		}
+		return nil, fmt.Errorf("listen: %w", err)
 	}
-	free := cfg.Sockets - reserve
-	all := budget{manage: int(float64(reserve) * manageShare), clients: int(float64(free) * clientShare)}
-	all.servers = free - all.clients
-	all.taken = all.servers
-	if cfg.MemoryMB > 0 {
-		all.taken = min(all.taken, int(float64(cfg.MemoryMB)*takenShare*(1<<20)/takenCost))
-	}
-	if cfg.maxOpen > 0 {
-		all.taken = min(all.taken, cfg.maxOpen)
-	}
-	l := newLoop(cfg, bal, newUpstreams(cfg, all.servers))
-	l.routing = routing
-	l.routing.attach(l, bal, l.clock, cfg.balance.Classes)
-	l.disc = newDiscovery(cfg.lists(), cfg.MemoryMB, l.post, func(f func()) { l.workers.Go(f) })
-	if cfg.balance.DrainGrace > 0 {
-		l.disc.lag = lagOf(cfg.balance.DrainGrace)
-	}
+	limits := newBudget(cfg)
+	loop := newLoop(cfg, balancer, router, limits.servers)
+	accepted := listening.Wrap(netcall.WithFaults(listener, cfg.Faults), "clients", nil)
 	s := &Sidecar{
-		cfg: cfg, tcp: listener.(*net.TCPListener), listener: newConnLimiter(listening.Wrap(plant(listener, cfg.faults), "clients", nil), all.clients),
-		manager: manager, loop: l,
-		before: before, budget: all, drainAccept: drainAccept, listWait: listWait,
-		unaccepted: unaccepted,
-		frontend: &frontend{
-			cfg: cfg, post: l.post, figures: l.figures, peerWait: peerWait, writeWait: writeWait,
+		cfg: cfg, tcp: listener.(*net.TCPListener), listener: clientserver.NewLimiter(accepted, limits.clients),
+		management: management, loop: loop, predecessor: predecessor, budget: limits,
+		drainAccept: drainAccept, listTimeout: handover.ListTimeout, unaccepted: netcall.Unaccepted,
+		clients: &clientserver.Server{
+			Config: cfg, Post: loop.Post, Metrics: loop.Metrics,
+			ReadTimeout: clientserver.DefaultReadTimeout, WriteTimeout: clientserver.DefaultWriteTimeout,
 		},
 	}
-	s.after = successors{
-		give: s.tcp, faults: cfg.faults, bind: net.ListenUnix,
-		changed: func(alive int) { s.beside(&s.newer, alive) },
+	s.successors = handover.Successors{
+		Listener: s.tcp, Faults: cfg.Faults, Bind: net.ListenUnix,
+		Changed: func(alive int) { s.setSiblings(&s.newer, alive) },
 	}
-	if before != nil {
+	if predecessor != nil {
 		s.older = 1
 	}
-	if cfg.members != nil {
-		l.members = newMembers(cfg.members, s.follows)
-		l.members.cfg.Start = cfg.faults.Now().UnixMilli()
+	if cfg.Membership != nil {
+		loop.Members = fleet.New(cfg.Membership, s.predecessorAlive)
+		loop.Members.Config.Start = cfg.Faults.Now().UnixMilli()
 	}
-	s.share()
+	s.divideLimits()
 	return s, nil
 }
 
+// newRouter gives the router of the section routes; nil: there is no such section.
+func newRouter(cfg *config.Config) (*routing.Router, error) {
+	if cfg.Routes == nil {
+		return nil, nil
+	}
+	return routing.New(cfg)
+}
+
+// listenManagement binds the management address; nil: there is none.
+func listenManagement(cfg *config.Config, start *retry.Start) (*clientserver.Limiter, error) {
+	if cfg.Management == "" {
+		return nil, nil
+	}
+	var listener net.Listener
+	err := start.Do("management", func() (failed error) {
+		listener, failed = net.Listen("tcp", cfg.Management)
+		return failed
+	})
+	if err != nil {
+		return nil, err
+	}
+	return clientserver.NewLimiter(listening.Wrap(netcall.WithFaults(listener, cfg.Faults), "management", nil), 1), nil
+}
+
+// listenClients takes the clients' listening socket over from the process that serves now, or binds the address.
+func listenClients(cfg *config.Config, start *retry.Start) (*handover.Predecessor, net.Listener, error) {
+	var predecessor *handover.Predecessor
+	var listener net.Listener
+	err := start.Do("upgrade", func() (failed error) {
+		predecessor, listener, failed = handover.FindPredecessor(cfg)
+		return failed
+	})
+	if err != nil {
+		slog.Info("upgrade: no process before this one", "err", err)
+	}
+	if listener != nil {
+		return predecessor, listener, nil
+	}
+	err = start.Do("listen", func() (failed error) {
+		listener, failed = handover.Listen(cfg)
+		return failed
+	})
+	return predecessor, listener, err
+}
+
+// newLoop joins the event loop with connections to servers, of which there may be so many, and with discovery.
+func newLoop(cfg *config.Config, balancer *balance.Balancer, router *routing.Router, servers int) *eventloop.Loop {
+	loop := eventloop.New(cfg, balancer, upstream.NewPool(cfg, servers))
+	loop.Routing = router
+	router.Attach(loop, balancer, loop.Clock, cfg.Balance.Classes)
+	loop.Discovery = discovery.New(cfg.ListAddrs(), cfg.MemoryMB, loop.Post, func(f func()) { loop.Workers.Go(f) })
+	if cfg.Balance.DrainGrace > 0 {
+		loop.Discovery.PushedDelay = discovery.PushedDelay(cfg.Balance.DrainGrace)
+	}
+	return loop
+}
+
 // ManagementAddr is the address for the platform; empty: there is none.
 func (s *Sidecar) ManagementAddr() string {
-	if s.manager == nil {
+	if s.management == nil {
 		return ""
 	}
-	return s.manager.Addr().String()
+	return s.management.Addr().String()
 }
 
 // Addr is the address where clients connect.
@@ -178,87 +190,122 @@
 
 // Run serves until ctx ends, goes on while clients still come, answers all it took and returns.
 func (s *Sidecar) Run(ctx context.Context) error {
+	defer s.startWork()()
+	failed := make(chan error, 2) // one for each server of net/http
+	defer s.serveManagement(failed)()
+	defer s.awaitTakeover(ctx)()
+	srv := s.serveClients(ctx, failed)
+	defer s.acceptSuccessors(ctx)()
+	select {
+	case err := <-failed:
+		return fmt.Errorf("serve: %w", err)
+	case <-ctx.Done():
+	}
+	return s.drain(srv)
+}
+
+// startWork starts the event loop, the calls to discovery and the reaper of idle connections. Its result ends them all.
+func (s *Sidecar) startWork() (end func()) {
 	work, stop := context.WithCancel(context.Background())
 	ended := make(chan struct{})
 	go func() {
 		defer close(ended)
-		s.loop.run(work)
+		s.loop.Run(work)
 	}()
-	if !s.cfg.balance.Subscribe {
-		s.loop.disc.subscribe(work)
+	if !s.cfg.Balance.Subscribe {
+		s.loop.Discovery.Subscribe(work)
 	}
-	reaper := time.NewTicker(reapEvery)
-	defer reaper.Stop()
-	s.loop.workers.Go(func() {
-		for {
-			select {
-			case <-work.Done():
-				return
-			case now := <-reaper.C:
-				s.loop.pool.reap(now)
-			}
-		}
-	})
-	defer func() {
+	s.loop.Workers.Go(func() { s.reapIdle(work) })
+	return func() {
 		stop()
 		<-ended
-		s.loop.pool.closeAll()
-	}()
+		s.loop.Pool.Close()
+	}
+}
+
+// reapIdle closes old idle connections to servers until ctx ends.
+func (s *Sidecar) reapIdle(ctx context.Context) {
+	ticker := time.NewTicker(reapInterval)
+	defer ticker.Stop()
+	for {
+		select {
+		case <-ctx.Done():
+			return
+		case now := <-ticker.C:
+			s.loop.Pool.ReapIdle(now)
+		}
+	}
+}
+
+// serveManagement serves the management address, if there is one.
+func (s *Sidecar) serveManagement(failed chan<- error) (end func()) {
+	if s.management == nil {
+		return func() {}
+	}
+	srv := s.managementServer()
+	go func() { failed <- srv.Serve(s.management) }()
+	return func() { srv.Close() }
+}
 
-	failed := make(chan error, 2)
-	if s.manager != nil {
-		manager := s.management()
-		go func() { failed <- manager.Serve(s.manager) }()
-		defer manager.Close()
+// awaitTakeover waits until this process can take over from its predecessor, if there is one, and follows that to its
+// end.
+func (s *Sidecar) awaitTakeover(ctx context.Context) (end func()) {
+	if s.predecessor == nil {
+		return func() {}
 	}
-	var meetings sync.WaitGroup
-	defer meetings.Wait()
-	if s.before != nil {
-		gone := make(chan struct{})
-		meetings.Go(func() {
-			s.before.gone()
-			close(gone)
-			s.beside(&s.older, 0)
-		})
-		defer s.before.conn.Close()
-		s.prepare(ctx, gone)
+	var followed sync.WaitGroup
+	gone := make(chan struct{})
+	followed.Go(func() {
+		s.predecessor.AwaitEnd()
+		close(gone)
+		s.setSiblings(&s.older, 0)
+	})
+	s.awaitServers(ctx, gone)
+	return func() {
+		s.predecessor.Close()
+		followed.Wait()
 	}
-	srv := followConns(s.frontend.server())
-	go func() { failed <- srv.Serve(headListener{s.listener}) }()
+}
+
+// serveClients begins to serve, and says so in the log and to the predecessor.
+func (s *Sidecar) serveClients(ctx context.Context, failed chan<- error) *http.Server {
+	srv := clientserver.FollowConnections(s.clients.HTTPServer())
+	go func() { failed <- srv.Serve(clientserver.HeadListener{Listener: s.listener}) }()
 	s.serving.Store(true)
 	slog.Info("ready", "name", s.cfg.Name, "management", s.ManagementAddr(), "listen", s.Addr())
-	if s.before != nil && ctx.Err() == nil {
-		s.before.serves()
+	if s.predecessor != nil && ctx.Err() == nil {
+		s.predecessor.AnnounceServing()
 	}
-	if place := s.cfg.meetingPlace(); place != "" {
-		start := retry.NewStart(ctx, nil)
-		if err := start.Do("upgrade", func() error { return s.after.await(place) }); err != nil {
-			slog.Warn("upgrade: a newer process cannot meet this one", "error", err)
-		} else {
-			defer s.after.close()
-		}
+	return srv
+}
+
+// acceptSuccessors lets newer processes meet this one.
+func (s *Sidecar) acceptSuccessors(ctx context.Context) (end func()) {
+	socket := s.cfg.HandoverSocket()
+	if socket == "" {
+		return func() {}
 	}
-	select {
-	case err := <-failed:
-		return fmt.Errorf("serve: %w", err)
-	case <-ctx.Done():
+	start := retry.NewStart(ctx, nil)
+	if err := start.Do("upgrade", func() error { return s.successors.Await(socket) }); err != nil {
+		slog.Warn("upgrade: a newer process cannot meet this one", "err", err)
+		return func() {}
 	}
-	return s.drain(srv)
+	return s.successors.Close
 }
 
-// prepare waits until this process is fit to take over: it knows servers, from discovery or, after a while,
-// from the list it was started with. The process before serves meanwhile.
-func (s *Sidecar) prepare(ctx context.Context, gone <-chan struct{}) {
-	began := time.Now()
-	tick := time.NewTicker(10 * time.Millisecond)
-	defer tick.Stop()
+// awaitServers waits until this process knows servers: from discovery or, after listTimeout, from the list that it was
+// started with. The predecessor serves meanwhile; gone is closed at its end.
+func (s *Sidecar) awaitServers(ctx context.Context, gone <-chan struct{}) {
+	startedAt := time.Now()
+	ticker := time.NewTicker(serversPollInterval)
+	defer ticker.Stop()
 	for {
-		servers := s.loop.figures.servers.Load()
-		if servers.ready > 0 && (servers.told || time.Since(began) >= s.listWait) {
+		servers := s.loop.Metrics.Servers.Load()
+		if servers.Ready > 0 && (servers.ListReceived || time.Since(startedAt) >= s.listTimeout) {
 			return
 		}
 		select {
-		case <-tick.C:
+		case <-ticker.C:
 		case <-gone:
 			return
 		case <-ctx.Done():
