--- a/cmd/sidecar/drain_test.go
+++ b/cmd/sidecar/drain_test.go
@@ -21,33 +21,33 @@
 	"golang.org/x/sys/unix"
 )
 
-// These tests hold the table of docs/on-call.md: what a process owes from SIGTERM to its end.
+// These tests check the table of docs/on-call.md: what a process does from SIGTERM to its end.
 
 const (
-	longest  = 400 * time.Millisecond // the one deadline of the settings
-	killAt   = longest + 700*time.Millisecond
-	giveUp   = 250 * time.Millisecond // service ends so long before SIGKILL may come
-	giveUpAt = killAt - giveUp
-	stayOpen = 500 * time.Millisecond
-	patience = 20 * time.Second // bounds every wait; none is expected to last
-
-	held   = 1000    // bytes of a body that is held whole
-	passed = 2 << 20 // of one that is passed on as it comes
-	long   = 200_000 // of an answer that is passed on as it comes
+	deadline     = 400 * time.Millisecond // of all classes of the settings
+	killAt       = deadline + 700*time.Millisecond
+	finalMargin  = 250 * time.Millisecond // from the end of service to the earliest SIGKILL
+	serviceEndAt = killAt - finalMargin
+	stayOpen     = 500 * time.Millisecond
+	patience     = 20 * time.Second // bounds every wait; none is expected to last
+
+	heldBody     = 1000    // bytes of a body that is held
+	streamedBody = 2 << 20 // of a body that is forwarded as it comes
+	longAnswer   = 200_000 // of an answer that is forwarded as it comes
 )
 
-// stock is a stand-in server. By the request's query it answers at once, in two pieces, or never.
-type stock struct {
+// standInServer answers, by the query of the request, at once, in two parts, or never.
+type standInServer struct {
 	*httptest.Server
-	asked chan string   // the ids of requests whose head has come
-	rest  chan struct{} // closed: second pieces are sent
+	received       chan string   // the IDs of requests whose head was read
+	sendSecondPart chan struct{} // closed: second parts are sent
 
-	mu  sync.Mutex
-	ran map[string]int // requests that have come whole, by id
+	mu        sync.Mutex
+	completed map[string]int // requests that were read completely, by ID
 }
 
-func newStock(t *testing.T) *stock {
-	s := &stock{asked: make(chan string, 100), rest: make(chan struct{}), ran: map[string]int{}}
+func newStandInServer(t *testing.T) *standInServer {
+	s := &standInServer{received: make(chan string, 100), sendSecondPart: make(chan struct{}), completed: map[string]int{}}
 	s.Server = httptest.NewServer(s)
 	t.Cleanup(func() {
 		s.CloseClientConnections()
@@ -56,66 +56,66 @@
 	return s
 }
 
-func (s *stock) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+func (s *standInServer) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	id := r.Header.Get("X-Request-ID")
-	s.asked <- id
+	s.received <- id
 	if _, err := io.Copy(io.Discard, r.Body); err != nil {
 		return
 	}
 	s.mu.Lock()
-	s.ran[id]++
+	s.completed[id]++
 	s.mu.Unlock()
 	switch r.URL.RawQuery {
 	case "hang":
 		<-r.Context().Done()
 	case "pieces":
-		w.Header().Set("Content-Length", fmt.Sprint(long))
-		w.Write(make([]byte, long/2))
+		w.Header().Set("Content-Length", fmt.Sprint(longAnswer))
+		w.Write(make([]byte, longAnswer/2))
 		w.(http.Flusher).Flush()
 		select {
-		case <-s.rest:
-			w.Write(make([]byte, long/2))
+		case <-s.sendSecondPart:
+			w.Write(make([]byte, longAnswer/2))
 		case <-r.Context().Done():
 		}
 	case "short":
-		w.Write(make([]byte, long/4))
+		w.Write(make([]byte, longAnswer/4))
 	default:
 		io.WriteString(w, "done")
 	}
 }
 
-// got waits for the head of a request.
-func (s *stock) got(t *testing.T) {
+// awaitRequest waits for the head of a request.
+func (s *standInServer) awaitRequest(t *testing.T) {
 	t.Helper()
 	select {
-	case <-s.asked:
+	case <-s.received:
 	case <-time.After(patience):
 		t.Fatal("no request came")
 	}
 }
 
-func (s *stock) times(id string) int {
+func (s *standInServer) timesRun(id string) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.ran[id]
+	return s.completed[id]
 }
 
-// process is a sidecar that is about to be told to end.
+// process is a sidecar that a test terminates.
 type process struct {
-	t     *testing.T
-	cmd   *exec.Cmd
-	addr  string
-	log   chan string // its lines
-	stock *stock
-	term  time.Time
-	lag   atomic.Int64 // the most that a timer of the test was late since then, in ns
+	t         *testing.T
+	cmd       *exec.Cmd
+	addr      string
+	log       chan string // lines of its log
+	server    *standInServer
+	sigtermAt time.Time
+	lag       atomic.Int64 // by how many ns a timer of the test was late at most since SIGTERM
 }
 
 type conf map[string]any
 
-func settings(aim, deadline time.Duration) conf {
+func settings(objective, deadline time.Duration) conf {
 	class := func(name, effect string) conf {
-		return conf{"name": name, "effect": effect, "on_time_ms": aim.Milliseconds(), "hard_limit_ms": deadline.Milliseconds()}
+		return conf{"name": name, "effect": effect, "on_time_ms": objective.Milliseconds(), "hard_limit_ms": deadline.Milliseconds()}
 	}
 	return conf{
 		"classes": []conf{class("safe", "read_like"), class("unsafe", "non_idempotent")},
@@ -131,16 +131,16 @@
 	return p
 }
 
-// launched also gives the line that says so.
+// launched also gives the log line that says that it is ready.
 func launched(t *testing.T, changes conf) (p *process, ready string) {
 	t.Helper()
-	s := newStock(t)
+	s := newStandInServer(t)
 	c := conf{
 		"name": "n", "listen": "127.0.0.1:0", "discovery": "127.0.0.1:1", "seed": "1",
 		"known": conf{"rev": 1, "all": true, "targets": []conf{{
 			"uid": "s", "endpoint": s.Listener.Addr().String(), "az": "z", "model": "m", "state": "Ready", "capacity_hint": 1,
 		}}},
-		"settings": settings(longest*3/4, longest),
+		"settings": settings(deadline*3/4, deadline),
 	}
 	for key, value := range changes {
 		c[key] = value
@@ -161,20 +161,20 @@
 	if err := cmd.Start(); err != nil {
 		t.Fatal(err)
 	}
-	p = &process{t: t, cmd: cmd, log: make(chan string, 1000), stock: s}
+	p = &process{t: t, cmd: cmd, log: make(chan string, 1000), server: s}
 	go func() {
 		defer close(p.log)
 		for lines := bufio.NewScanner(out); lines.Scan(); {
 			p.log <- lines.Text()
 		}
 	}()
-	ready = p.line("listen=")
+	ready = p.awaitLine("listen=")
 	_, p.addr, _ = strings.Cut(ready, "listen=")
 	return p, ready
 }
 
-// line waits for a line of the log.
-func (p *process) line(with string) string {
+// awaitLine waits for a line of the log.
+func (p *process) awaitLine(with string) string {
 	p.t.Helper()
 	var seen []string
 	for limit := time.After(patience); ; {
@@ -194,15 +194,15 @@
 
 func (p *process) sigterm() {
 	p.t.Helper()
-	p.term = time.Now()
+	p.sigtermAt = time.Now()
 	go p.followLag()
 	if err := p.cmd.Process.Signal(syscall.SIGTERM); err != nil {
 		p.t.Fatal(err)
 	}
-	p.line("draining")
+	p.awaitLine("draining")
 }
 
-// followLag measures how late the machine is: nothing that is timed can be held to less.
+// followLag measures how late timers are: no time limit can be checked closer.
 func (p *process) followLag() {
 	const step = 2 * time.Millisecond
 	for last := time.Now(); p.t.Context().Err() == nil; {
@@ -213,25 +213,25 @@
 	}
 }
 
-// notBefore holds what has just been seen to a time after SIGTERM.
+// notBefore checks that what has just happened was not too early after SIGTERM.
 func (p *process) notBefore(d time.Duration, what string) {
 	p.t.Helper()
-	if after := time.Since(p.term); after < d {
-		p.t.Errorf("%s after %v, not before %v is owed", what, after, d)
+	if after := time.Since(p.sigtermAt); after < d {
+		p.t.Errorf("%s after %v, want not before %v", what, after, d)
 	}
 }
 
-// between holds what has just been seen to a time after SIGTERM.
+// between checks that what has just happened was in time after SIGTERM.
 func (p *process) between(from, to time.Duration, what string) {
 	p.t.Helper()
 	p.notBefore(from, what)
-	if after, lag := time.Since(p.term), time.Duration(p.lag.Load()); after > to+lag {
-		p.t.Errorf("%s after %v, owed until %v, and the machine at most %v late", what, after, to, lag)
+	if after, lag := time.Since(p.sigtermAt), time.Duration(p.lag.Load()); after > to+lag {
+		p.t.Errorf("%s after %v, want at most %v, with timers at most %v late", what, after, to, lag)
 	}
 }
 
-// refuses waits until no new connection is taken.
-func (p *process) refuses() {
+// awaitRejectedConnections waits until new connections are rejected.
+func (p *process) awaitRejectedConnections() {
 	p.t.Helper()
 	for limit := time.Now().Add(patience); time.Now().Before(limit); time.Sleep(time.Millisecond) {
 		c, err := net.Dial("tcp", p.addr)
@@ -240,13 +240,13 @@
 		}
 		c.Close()
 	}
-	p.t.Fatal("new connections are still taken")
+	p.t.Fatal("new connections are still accepted")
 }
 
-// ended waits for the process's end.
-func (p *process) ended() {
+// awaitEnd waits for the process's end.
+func (p *process) awaitEnd() {
 	p.t.Helper()
-	p.line("drained")
+	p.awaitLine("drained")
 	for range p.log {
 	}
 	if err := p.cmd.Wait(); err != nil {
@@ -274,7 +274,7 @@
 
 var ids atomic.Int64
 
-// request is a request's text. The time it allows is beyond all that is waited for here.
+// request is the text of a request. Its timeout is longer than all waits of these tests.
 func request(class, query string, body int) (id, text string) {
 	method := "GET"
 	if class == "unsafe" {
@@ -292,16 +292,16 @@
 	}
 }
 
-// ask sends a request and leaves its answer for later.
-func (c *client) ask(class, query string) (id string) {
+// request sends a request without waiting for its answer.
+func (c *client) request(class, query string) (id string) {
 	c.t.Helper()
 	id, text := request(class, query, 0)
 	c.send(text)
 	return id
 }
 
-// answer reads an answer to its last byte; last: it has to end the connection.
-func (c *client) answer(status int, last bool) []byte {
+// expectAnswer reads a complete answer; last: it has to end the connection.
+func (c *client) expectAnswer(status int, last bool) []byte {
 	c.t.Helper()
 	resp, err := http.ReadResponse(c.in, nil)
 	if err != nil {
@@ -316,231 +316,231 @@
 		if !resp.Close {
 			c.t.Error("the answer does not say that it ends the connection")
 		}
-		c.over()
+		c.expectEnd()
 	}
 	return body
 }
 
-// over waits for the orderly end of the connection, with nothing before it.
-func (c *client) over() {
+// expectEnd waits for the orderly end of the connection, with nothing before it.
+func (c *client) expectEnd() {
 	c.t.Helper()
-	if rest, err := io.ReadAll(c.in); err != nil || len(rest) > 0 {
-		c.t.Errorf("not just the connection's end but %q, %v", rest, err)
+	if remainder, err := io.ReadAll(c.in); err != nil || len(remainder) > 0 {
+		c.t.Errorf("not just the connection's end but %q, %v", remainder, err)
 	}
 }
 
-// kept is a connection that has had a request.
-func (p *process) kept() *client {
+// idleClient is a connection that has had a request.
+func (p *process) idleClient() *client {
 	p.t.Helper()
 	c := p.dial()
-	c.ask("safe", "")
-	c.answer(200, false)
+	c.request("safe", "")
+	c.expectAnswer(200, false)
 	return c
 }
 
 // halves are a request's two parts, cut in its head or so many bytes before its end.
-func halves(text string, left int) (first, rest string) {
+func halves(text string, left int) (first, second string) {
 	return text[:len(text)-left], text[len(text)-left:]
 }
 
-// rows are the states of a connection; each has a process of its own and tells it to end.
-var rows = map[string]func(*process){
+// connectionStates tests the states of a connection; each has a process of its own and terminates it.
+var connectionStates = map[string]func(*process){
 	"new": func(p *process) {
 		p.sigterm()
 		c := p.dial()
-		c.ask("unsafe", "")
-		c.answer(200, true)
-		p.ended()
+		c.request("unsafe", "")
+		c.expectAnswer(200, true)
+		p.awaitEnd()
 		if c, err := net.Dial("tcp", p.addr); err == nil {
 			c.Close()
-			p.t.Error("somebody still accepts after the end")
+			p.t.Error("connections are accepted after the end")
 		}
 	},
 	"new, after the end of service": func(p *process) {
 		c := p.dial()
-		c.ask("unsafe", "hang")
-		p.stock.got(p.t)
+		c.request("unsafe", "hang")
+		p.server.awaitRequest(p.t)
 		p.sigterm()
-		c.answer(502, false)
-		p.refuses()
-		p.between(giveUpAt, killAt, "new connections were refused")
+		c.expectAnswer(502, false)
+		p.awaitRejectedConnections()
+		p.between(serviceEndAt, killAt, "new connections were refused")
 		c.Close()
-		p.ended()
+		p.awaitEnd()
 	},
 	"idle": func(p *process) {
-		used, left, silent := p.kept(), p.kept(), p.dial()
+		used, left, silent := p.idleClient(), p.idleClient(), p.dial()
 		p.sigterm()
-		used.ask("unsafe", "")
-		used.answer(200, true)
-		silent.over()
+		used.request("unsafe", "")
+		used.expectAnswer(200, true)
+		silent.expectEnd()
 		p.notBefore(stayOpen, "a silent connection ended")
-		left.over()
-		p.notBefore(stayOpen, "a kept connection ended")
+		left.expectEnd()
+		p.notBefore(stayOpen, "an idle connection ended")
 		left.Close()
 		silent.Close()
-		p.ended()
+		p.awaitEnd()
 	},
 	"idle, and its client does not go": func(p *process) {
-		left := p.kept()
+		left := p.idleClient()
 		p.sigterm()
-		left.over()
-		p.ended()
+		left.expectEnd()
+		p.awaitEnd()
 	},
 	"head half read": func(p *process) {
-		c, never, idle := p.dial(), p.dial(), p.kept()
+		c, never, idle := p.dial(), p.dial(), p.idleClient()
 		p.sigterm()
 		_, text := request("unsafe", "", 0)
-		first, rest := halves(text, 20)
+		first, second := halves(text, 20)
 		c.send(first)
 		never.send(first)
-		idle.over()
-		c.send(rest)
-		c.answer(200, true)
-		never.answer(503, true)
-		p.between(giveUpAt, killAt, "half a head was answered")
-		p.ended()
+		idle.expectEnd()
+		c.send(second)
+		c.expectAnswer(200, true)
+		never.expectAnswer(503, true)
+		p.between(serviceEndAt, killAt, "half a head was answered")
+		p.awaitEnd()
 	},
-	"head half read, after all was given up": func(p *process) {
+	"head half read, after the end of service": func(p *process) {
 		hung, c, stream := p.dial(), p.dial(), p.dial()
-		stream.ask("safe", "pieces")
-		hung.ask("unsafe", "hang")
-		p.stock.got(p.t)
-		p.stock.got(p.t)
+		stream.request("safe", "pieces")
+		hung.request("unsafe", "hang")
+		p.server.awaitRequest(p.t)
+		p.server.awaitRequest(p.t)
 		p.sigterm()
 		id, text := request("unsafe", "", 0)
-		first, rest := halves(text, 20)
+		first, second := halves(text, 20)
 		c.send(first)
-		hung.answer(502, false)
-		c.send(rest)
-		c.answer(503, true)
-		if p.stock.times(id) != 0 {
-			p.t.Error("a request was sent to a server after all was given up")
+		hung.expectAnswer(502, false)
+		c.send(second)
+		c.expectAnswer(503, true)
+		if p.server.timesRun(id) != 0 {
+			p.t.Error("a request was sent to a server after the end of service")
 		}
-		close(p.stock.rest)
-		stream.answer(200, false)
+		close(p.server.sendSecondPart)
+		stream.expectAnswer(200, false)
 		stream.Close()
-		p.ended()
+		p.awaitEnd()
 	},
-	"body half read, held whole": func(p *process) {
-		c, never, idle := p.dial(), p.dial(), p.kept()
-		_, text := request("unsafe", "", held)
-		first, rest := halves(text, held/2)
+	"body half read, held": func(p *process) {
+		c, never, idle := p.dial(), p.dial(), p.idleClient()
+		_, text := request("unsafe", "", heldBody)
+		first, second := halves(text, heldBody/2)
 		p.sigterm()
 		c.send(first)
-		neverID, text := request("unsafe", "", held)
-		first, _ = halves(text, held/2)
+		neverID, text := request("unsafe", "", heldBody)
+		first, _ = halves(text, heldBody/2)
 		never.send(first)
-		idle.over()
-		c.send(rest)
-		c.answer(200, true)
-		never.answer(503, true)
-		p.between(giveUpAt, killAt, "half a body was answered")
-		p.ended()
-		if p.stock.times(neverID) != 0 {
+		idle.expectEnd()
+		c.send(second)
+		c.expectAnswer(200, true)
+		never.expectAnswer(503, true)
+		p.between(serviceEndAt, killAt, "half a body was answered")
+		p.awaitEnd()
+		if p.server.timesRun(neverID) != 0 {
 			p.t.Error("half a request has run")
 		}
 	},
-	"body half read, passed on": func(p *process) {
-		c, never, idle := p.dial(), p.dial(), p.kept()
-		p.stock.got(p.t)
-		_, text := request("unsafe", "", passed)
-		first, rest := halves(text, passed/4)
-		neverID, text := request("unsafe", "", passed)
-		neverFirst, _ := halves(text, passed/4)
+	"body half read, forwarded": func(p *process) {
+		c, never, idle := p.dial(), p.dial(), p.idleClient()
+		p.server.awaitRequest(p.t)
+		_, text := request("unsafe", "", streamedBody)
+		first, second := halves(text, streamedBody/4)
+		neverID, text := request("unsafe", "", streamedBody)
+		neverFirst, _ := halves(text, streamedBody/4)
 		p.sigterm()
 		c.send(first)
 		never.send(neverFirst)
-		p.stock.got(p.t)
-		p.stock.got(p.t)
-		idle.over()
-		c.send(rest)
-		c.answer(200, true)
-		never.answer(502, false)
-		p.between(giveUpAt, killAt, "half a body was answered")
+		p.server.awaitRequest(p.t)
+		p.server.awaitRequest(p.t)
+		idle.expectEnd()
+		c.send(second)
+		c.expectAnswer(200, true)
+		never.expectAnswer(502, false)
+		p.between(serviceEndAt, killAt, "half a body was answered")
 		never.Close()
-		p.ended()
-		if p.stock.times(neverID) != 0 {
+		p.awaitEnd()
+		if p.server.timesRun(neverID) != 0 {
 			p.t.Error("half a request has run")
 		}
 	},
 	"out at a server": func(p *process) {
-		safe, unsafe := p.dial(), p.dial()
-		safe.ask("safe", "hang")
-		unsafe.ask("unsafe", "hang")
-		p.stock.got(p.t)
-		p.stock.got(p.t)
+		idempotent, nonIdempotent := p.dial(), p.dial()
+		idempotent.request("safe", "hang")
+		nonIdempotent.request("unsafe", "hang")
+		p.server.awaitRequest(p.t)
+		p.server.awaitRequest(p.t)
 		p.sigterm()
-		safe.answer(503, false)
-		p.between(giveUpAt, killAt, "a request was given up")
-		unsafe.answer(502, false)
-		safe.Close()
-		unsafe.Close()
-		p.ended()
+		idempotent.expectAnswer(503, false)
+		p.between(serviceEndAt, killAt, "a request was given up")
+		nonIdempotent.expectAnswer(502, false)
+		idempotent.Close()
+		nonIdempotent.Close()
+		p.awaitEnd()
 	},
 	"answer half written": func(p *process) {
 		c := p.dial()
-		c.ask("safe", "pieces")
+		c.request("safe", "pieces")
 		if _, err := c.in.Peek(1); err != nil {
 			p.t.Fatal(err)
 		}
 		p.sigterm()
-		time.AfterFunc(time.Until(p.term.Add(killAt+stayOpen)), func() { close(p.stock.rest) })
-		if body := c.answer(200, false); len(body) != long {
-			p.t.Errorf("%d bytes of an answer of %d", len(body), long)
+		time.AfterFunc(time.Until(p.sigtermAt.Add(killAt+stayOpen)), func() { close(p.server.sendSecondPart) })
+		if body := c.expectAnswer(200, false); len(body) != longAnswer {
+			p.t.Errorf("%d bytes of an answer of %d", len(body), longAnswer)
 		}
 		c.Close()
-		p.ended()
+		p.awaitEnd()
 	},
 	"answer written and not read": func(p *process) {
 		c := p.dial()
 		c.SetReadBuffer(4096)
-		id := c.ask("safe", "short")
-		if _, err := c.in.Peek(1); err != nil || p.stock.times(id) != 1 {
+		id := c.request("safe", "short")
+		if _, err := c.in.Peek(1); err != nil || p.server.timesRun(id) != 1 {
 			p.t.Fatal("no answer begins", err)
 		}
 		p.sigterm()
-		p.ended()
-		if body := c.answer(200, false); len(body) != long/4 {
-			p.t.Errorf("%d bytes of an answer of %d", len(body), long/4)
+		p.awaitEnd()
+		if body := c.expectAnswer(200, false); len(body) != longAnswer/4 {
+			p.t.Errorf("%d bytes of an answer of %d", len(body), longAnswer/4)
 		}
-		c.over()
+		c.expectEnd()
 	},
 	"kept alive, a request crosses the close": func(p *process) {
-		busy, c := p.dial(), p.kept()
-		busy.ask("unsafe", "hang") // its answer will leave an idle connection: so new ones are taken to the end
+		busy, c := p.dial(), p.idleClient()
+		busy.request("unsafe", "hang") // its answer will leave an idle connection: so new ones are taken to the end
 		p.sigterm()
-		c.over()
+		c.expectEnd()
 		id, text := request("unsafe", "", 0)
 		c.send(text) // to the process this is as if it had not seen the end yet
 		again := p.dial()
 		again.send(text)
-		again.answer(200, true)
-		busy.answer(502, false)
+		again.expectAnswer(200, true)
+		busy.expectAnswer(502, false)
 		busy.Close()
-		p.ended()
-		if n := p.stock.times(id); n != 1 {
+		p.awaitEnd()
+		if n := p.server.timesRun(id); n != 1 {
 			p.t.Errorf("the request has run %d times", n)
 		}
 	},
 	"kept alive, a request crosses the last close": func(p *process) {
-		c := p.kept()
+		c := p.idleClient()
 		p.sigterm()
-		c.over()
+		c.expectEnd()
 		id, text := request("unsafe", "", 0)
 		c.send(text)
 		again := p.dial()
 		again.send(text)
-		again.answer(200, true)
-		p.ended()
-		if n := p.stock.times(id); n != 1 {
+		again.expectAnswer(200, true)
+		p.awaitEnd()
+		if n := p.server.timesRun(id); n != 1 {
 			p.t.Errorf("the request has run %d times", n)
 		}
 	},
 }
 
-func TestEachStateAtTheEnd(t *testing.T) {
+func TestShutdown_connectionStates(t *testing.T) {
 	t.Parallel()
-	for name, row := range rows {
+	for name, row := range connectionStates {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			row(launch(t, nil))
@@ -550,7 +550,7 @@
 
 // Where deadlines are short there is little time between SIGTERM and SIGKILL: what crosses the end of an idle
 // connection is still answered on a new one, and what is out is given up in time.
-func TestShortDeadlinesAtTheEnd(t *testing.T) {
+func TestShutdown_shortDeadlines(t *testing.T) {
 	t.Parallel()
 	for _, deadline := range []time.Duration{50 * time.Millisecond, 100 * time.Millisecond, 250 * time.Millisecond} {
 		for _, row := range []string{
@@ -558,41 +558,42 @@
 		} {
 			t.Run(fmt.Sprint(deadline, ", ", row), func(t *testing.T) {
 				t.Parallel()
-				rows[row](launch(t, conf{"settings": settings(deadline, deadline)}))
+				connectionStates[row](launch(t, conf{"settings": settings(deadline, deadline)}))
 			})
 		}
 		t.Run(fmt.Sprint(deadline, ", out at a server"), func(t *testing.T) {
 			t.Parallel()
 			p := launch(t, conf{"settings": settings(deadline, deadline)})
 			c := p.dial()
-			c.ask("unsafe", "hang")
-			p.stock.got(t)
+			c.request("unsafe", "hang")
+			p.server.awaitRequest(t)
 			p.sigterm()
-			c.answer(502, false)
+			c.expectAnswer(502, false)
 			kill := deadline + 700*time.Millisecond
-			p.between(kill-giveUp, kill, "a request was given up")
+			p.between(kill-finalMargin, kill, "a request was given up")
 			c.Close()
-			p.ended()
+			p.awaitEnd()
 		})
 	}
 }
 
-// What the module holds, as nobody can be asked, is refused like what is out. Of a longest deadline 3 s count.
-func TestHeldByTheModuleAtTheEnd(t *testing.T) {
+// A request that the balancer holds, as no server can be used, is rejected like one that is in flight. Of a deadline 3 s
+// count at most.
+func TestShutdown_requestWithoutServer(t *testing.T) {
 	t.Parallel()
 	p := launch(t, conf{"settings": settings(patience, patience), "known": conf{"rev": 1, "all": true, "targets": []conf{{
 		"uid": "s", "endpoint": bound(t, 0), "az": "z", "model": "m", "state": "Ready", "capacity_hint": 1,
 	}}}})
-	safe, unsafe := p.dial(), p.dial()
-	safe.ask("safe", "")
-	unsafe.ask("unsafe", "")
+	idempotent, nonIdempotent := p.dial(), p.dial()
+	idempotent.request("safe", "")
+	nonIdempotent.request("unsafe", "")
 	p.sigterm()
-	safe.answer(503, false)
-	p.between(3700*time.Millisecond-giveUp, 3700*time.Millisecond, "a request was given up")
-	unsafe.answer(503, false) // it was never sent
-	safe.Close()
-	unsafe.Close()
-	p.ended()
+	idempotent.expectAnswer(503, false)
+	p.between(3700*time.Millisecond-finalMargin, 3700*time.Millisecond, "a request was given up")
+	nonIdempotent.expectAnswer(503, false) // it was never sent
+	idempotent.Close()
+	nonIdempotent.Close()
+	p.awaitEnd()
 }
 
 // bound is an address that is held for the test, bound and not listening, with an option set on its socket; 0: none.
@@ -618,7 +619,7 @@
 	return fmt.Sprintf("127.0.0.1:%d", addr.(*unix.SockaddrInet4).Port)
 }
 
-// shortDir is one whose name leaves room for a socket's: the test's own does not.
+// shortDir is a directory whose path is short enough for that of a Unix socket.
 func shortDir(t *testing.T) string {
 	t.Helper()
 	dir, err := os.MkdirTemp("", "")
@@ -641,7 +642,7 @@
 	older.meets(dir)
 	return older, func() *process {
 		newer := launch(t, c)
-		older.line("the next process serves")
+		older.awaitLine("the next process serves")
 		return newer
 	}
 }
@@ -654,56 +655,56 @@
 			return
 		}
 		if time.Now().After(limit) {
-			p.t.Fatal("nobody can meet it")
+			p.t.Fatal("its socket does not appear")
 		}
 	}
 }
 
-func TestEachStateAtAnUpgrade(t *testing.T) {
+func TestUpgrade_connectionStates(t *testing.T) {
 	t.Parallel()
 	for name, row := range map[string]func(older *process, next func() *process){
 		"new": func(older *process, next func() *process) {
 			newer := next()
 			older.sigterm()
-			older.ended() // nothing is open
+			older.awaitEnd() // nothing is open
 			newer.answers()
 		},
 		"idle, a request crosses the close": func(older *process, next func() *process) {
-			used, c := older.kept(), older.kept()
+			used, c := older.idleClient(), older.idleClient()
 			newer := next()
 			older.sigterm()
-			used.ask("unsafe", "")
-			used.answer(200, true)
-			c.over()
-			older.notBefore(stayOpen, "a kept connection ended")
+			used.request("unsafe", "")
+			used.expectAnswer(200, true)
+			c.expectEnd()
+			older.notBefore(stayOpen, "an idle connection ended")
 			id, text := request("unsafe", "", 0)
 			c.send(text)
 			again := newer.dial()
 			again.send(text)
-			again.answer(200, false)
-			older.ended()
-			if o, n := older.stock.times(id), newer.stock.times(id); o != 0 || n != 1 {
+			again.expectAnswer(200, false)
+			older.awaitEnd()
+			if o, n := older.server.timesRun(id), newer.server.timesRun(id); o != 0 || n != 1 {
 				older.t.Errorf("the request has run %d times by the older process and %d by the newer one", o, n)
 			}
 		},
 		"out at a server, and answer half written": func(older *process, next func() *process) {
 			hung, stream := older.dial(), older.dial()
-			hung.ask("unsafe", "hang")
-			stream.ask("safe", "pieces")
-			older.stock.got(older.t)
-			older.stock.got(older.t)
+			hung.request("unsafe", "hang")
+			stream.request("safe", "pieces")
+			older.server.awaitRequest(older.t)
+			older.server.awaitRequest(older.t)
 			newer := next()
 			older.sigterm()
 			newer.answers()
-			hung.answer(502, false)
-			older.between(giveUpAt, killAt, "a request was given up")
-			time.AfterFunc(time.Until(older.term.Add(killAt+stayOpen)), func() { close(older.stock.rest) })
-			if body := stream.answer(200, false); len(body) != long {
-				older.t.Errorf("%d bytes of an answer of %d", len(body), long)
+			hung.expectAnswer(502, false)
+			older.between(serviceEndAt, killAt, "a request was given up")
+			time.AfterFunc(time.Until(older.sigtermAt.Add(killAt+stayOpen)), func() { close(older.server.sendSecondPart) })
+			if body := stream.expectAnswer(200, false); len(body) != longAnswer {
+				older.t.Errorf("%d bytes of an answer of %d", len(body), longAnswer)
 			}
 			hung.Close()
 			stream.Close()
-			older.ended()
+			older.awaitEnd()
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -713,20 +714,20 @@
 	}
 }
 
-// answers asks on new connections until this process has one. Another one that is about to stop accepting may take
-// some; each is answered.
+// answers sends requests on new connections until this process has answered one. Another process that is about to stop
+// accepting may answer some.
 func (p *process) answers() {
 	p.t.Helper()
 	for limit := time.Now().Add(patience); ; {
 		c := p.dial()
-		id := c.ask("unsafe", "")
-		c.answer(200, false)
+		id := c.request("unsafe", "")
+		c.expectAnswer(200, false)
 		c.Close()
-		if p.stock.times(id) == 1 {
+		if p.server.timesRun(id) == 1 {
 			return
 		}
 		if time.Now().After(limit) {
-			p.t.Fatal("others answer")
+			p.t.Fatal("other processes answer all requests")
 		}
 	}
 }
--- a/cmd/sidecar/main_test.go
+++ b/cmd/sidecar/main_test.go
@@ -52,7 +52,7 @@
 	return cmd, log
 }
 
-func TestBadConfigurationEndsTheStart(t *testing.T) {
+func TestStart_badConfiguration(t *testing.T) {
 	cmd, log := program(t, `{"listen":"127.0.0.1:0","discovery":"127.0.0.1:1","seed":"1","settings":{}}`)
 	err := cmd.Run()
 	exit, is := err.(*exec.ExitError)
@@ -64,7 +64,7 @@
 	}
 }
 
-func TestTermEndsItCleanly(t *testing.T) {
+func TestShutdown_clean(t *testing.T) {
 	cmd, _ := program(t, `{"listen":"127.0.0.1:0","discovery":"127.0.0.1:1","seed":"1","settings":
 		{"classes":[{"name":"c","effect":"read_like","on_time_ms":50,"hard_limit_ms":100}]}}`)
 	cmd.Stderr = nil
@@ -134,7 +134,7 @@
 }
 
 // One SIGHUP is enough where the file cannot be opened for a moment, or is half written.
-func TestHangUpReadsAgainUntilTheFileIsWhole(t *testing.T) {
+func TestReload_retriesUntilComplete(t *testing.T) {
 	for name, failure := range map[string]struct {
 		errno string // of the opening; empty: the file is half written
 		logs  string
@@ -145,10 +145,10 @@
 		"half written": {"", "unexpected end of JSON input"},
 	} {
 		t.Run(name, func(t *testing.T) {
-			asked := make(chan string, 10)
+			calls := make(chan string, 10)
 			discovery := func(name string) string {
 				srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-					asked <- name
+					calls <- name
 					w.(http.Flusher).Flush()
 					<-r.Context().Done()
 				}))
@@ -172,14 +172,14 @@
 				t.Fatal(err)
 			}
 			log := lines(stderr)
-			until := func(want string) { // a silent service is asked more than once
+			until := func(want string) { // a silent service is called more than once
 				t.Helper()
 				late := time.After(10 * time.Second)
 				for name := ""; name != want; {
 					select {
-					case name = <-asked:
+					case name = <-calls:
 					case <-late:
-						t.Fatalf("%s was not asked", want)
+						t.Fatalf("%s was not called", want)
 					}
 				}
 			}
@@ -214,11 +214,11 @@
 }
 
 // The platform replaces the file and sends SIGHUP; the environment still holds the address of the start.
-func TestHangUpReadsTheNewAddress(t *testing.T) {
-	asked := make(chan string, 10)
+func TestReload_newAddress(t *testing.T) {
+	calls := make(chan string, 10)
 	registry := func(name string) string {
 		srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-			asked <- name
+			calls <- name
 			w.(http.Flusher).Flush()
 			<-r.Context().Done()
 		}))
@@ -237,14 +237,14 @@
 	}
 	next := func() string {
 		select {
-		case name := <-asked:
+		case name := <-calls:
 			return name
 		case <-time.After(10 * time.Second):
 			return "nobody"
 		}
 	}
 	if name := next(); name != "before" {
-		t.Errorf("%s was asked first", name)
+		t.Errorf("%s was called first", name)
 	}
 	for i, text := range []string{"no configuration", config(after)} {
 		path := strings.TrimPrefix(cmd.Env[len(cmd.Env)-2], "NODE_CONFIG=")
@@ -256,7 +256,7 @@
 		}
 	}
 	if name := next(); name != "after" {
-		t.Errorf("%s was asked after the signal", name)
+		t.Errorf("%s was called after the signal", name)
 	}
 	if err := cmd.Process.Signal(syscall.SIGTERM); err != nil {
 		t.Fatal(err)
@@ -306,7 +306,7 @@
 	return holder
 }
 
-func TestStartWaitsForItsAddress(t *testing.T) {
+func TestStart_waitsForAddress(t *testing.T) {
 	holder := holdAddress(t)
 	cmd, log := startOn(t, holder)
 	holder.Close()
@@ -314,7 +314,7 @@
 	endOf(t, cmd, log)
 }
 
-func TestTermEndsAStartThatWaits(t *testing.T) {
+func TestStart_sigtermWhileWaiting(t *testing.T) {
 	cmd, log := startOn(t, holdAddress(t))
 	endOf(t, cmd, log)
 }
--- a/cmd/sidecar/members_test.go
+++ b/cmd/sidecar/members_test.go
@@ -86,12 +86,12 @@
 	}
 }
 
-// counts waits until it knows, and hears, so many.
-func (m *member) counts(known, heard int) {
+// counts waits until it knows, and reaches, so many members.
+func (m *member) counts(known, received int) {
 	m.t.Helper()
-	m.waits(fmt.Sprintf("%d known and %d heard", known, heard), func() bool {
+	m.waits(fmt.Sprintf("%d known and %d heard", known, received), func() bool {
 		v := m.report().View
-		return v.Known == known && v.Heard == heard && v.Admitted
+		return v.Known == known && v.Heard == received && v.Admitted
 	})
 }
 
@@ -102,7 +102,7 @@
 	}
 }
 
-func TestMembersOnRealProcesses(t *testing.T) {
+func TestMembers_processes(t *testing.T) {
 	t.Parallel()
 	fleet := []*member{joined(t, "m0", nil)}
 	seed := fleet[0].gossips()
@@ -126,25 +126,25 @@
 	// Frozen: silent for as long as it is, and counted.
 	fleet[2].signal(syscall.SIGSTOP)
 	a.waits("the frozen one to be silent", func() bool { return a.stands("m2", 0).State == membership.Silent })
-	for began := time.Now(); time.Since(began) < time.Second; time.Sleep(10 * time.Millisecond) {
+	for startedAt := time.Now(); time.Since(startedAt) < time.Second; time.Sleep(10 * time.Millisecond) {
 		if v := a.report().View; v.Known != 4 {
 			t.Fatalf("a frozen process does not count: %+v", v)
 		}
 	}
 	fleet[2].signal(syscall.SIGCONT)
 	a.counts(4, 4)
-	// Told to end: it counts as long as it may send something, and then says that it leaves.
+	// Terminated: it counts as long as it may send something, and then says that it leaves.
 	hung := fleet[3].dial()
-	hung.ask("safe", "hang")
-	fleet[3].stock.got(t)
+	hung.request("safe", "hang")
+	fleet[3].server.awaitRequest(t)
 	term := time.Now()
 	fleet[3].signal(syscall.SIGTERM)
-	for is := a.stands("m3", 0); time.Since(term) < giveUpAt; is = a.stands("m3", 0) {
+	for is := a.stands("m3", 0); time.Since(term) < serviceEndAt; is = a.stands("m3", 0) {
 		if is.State == membership.Gone {
 			t.Fatal("it has left while it still serves")
 		}
 	}
-	hung.answer(503, false)
+	hung.expectAnswer(503, false)
 	hung.Close()
 	for _, m := range []*member{a, fleet[2], fleet[4]} {
 		m.waits("the one that leaves to be gone", func() bool {
@@ -159,7 +159,7 @@
 }
 
 // Where the failure detector's word is taken for a proof, the check above sees it.
-func TestMembersDefectIsSeen(t *testing.T) {
+func TestMembers_plantedDefect(t *testing.T) {
 	t.Parallel()
 	a := joined(t, "a", conf{"defect": "trust-detector"})
 	b := joined(t, "b", nil, a.gossips())
@@ -169,7 +169,7 @@
 }
 
 // In an upgrade there are two processes of a name, which count as one; when the older leaves, the name stays.
-func TestMembersUpgrade(t *testing.T) {
+func TestMembers_upgrade(t *testing.T) {
 	t.Parallel()
 	a := joined(t, "a", nil)
 	c := conf{"listen": bound(t, unix.SO_REUSEPORT), "TMPDIR": shortDir(t)}
--- a/cmd/sidecar/signal_shutdown_test.go
+++ b/cmd/sidecar/signal_shutdown_test.go
@@ -12,19 +12,19 @@
 )
 
 // Signals that come once the work is done do not make a crash of an orderly end.
-func TestShutdownStandsSignalsToItsLastMoment(t *testing.T) {
+func TestShutdown_signalsToTheEnd(t *testing.T) {
 	t.Setenv(signalsAtTheEnd, "1")
 	p := launch(t, nil)
 	p.sigterm()
-	p.ended()
+	p.awaitEnd()
 }
 
 // Neither a second SIGTERM nor SIGHUP ends a drain early or undoes it.
-func TestShutdownGoesOnThroughMoreSignals(t *testing.T) {
+func TestShutdown_repeatedSignals(t *testing.T) {
 	p := launch(t, nil)
 	hung := p.dial()
-	hung.ask("unsafe", "hang")
-	p.stock.got(p.t)
+	hung.request("unsafe", "hang")
+	p.server.awaitRequest(p.t)
 	p.sigterm()
 	for _, s := range []syscall.Signal{syscall.SIGHUP, syscall.SIGTERM, syscall.SIGHUP, syscall.SIGINT} {
 		if err := p.cmd.Process.Signal(s); err != nil {
@@ -32,25 +32,25 @@
 		}
 	}
 	c := p.dial()
-	c.ask("unsafe", "")
-	c.answer(200, true)
-	hung.answer(502, false)
-	p.between(giveUpAt, killAt, "a request was given up")
+	c.request("unsafe", "")
+	c.expectAnswer(200, true)
+	hung.expectAnswer(502, false)
+	p.between(serviceEndAt, killAt, "a request was given up")
 	hung.Close()
-	p.ended()
+	p.awaitEnd()
 }
 
 // Of several configurations in quick succession the last one counts, also where an older one is still being read when
 // it comes.
-func TestLastOfSeveralConfigurationsCounts(t *testing.T) {
+func TestReload_lastOfSeveral(t *testing.T) {
 	t.Parallel()
-	asked := make(chan string, 100)
+	calls := make(chan string, 100)
 	registry := func(name string) string {
 		srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-			asked <- name
+			calls <- name
 			w.(http.Flusher).Flush()
 			<-r.Context().Done()
-			asked <- name + " left"
+			calls <- name + " left"
 		}))
 		t.Cleanup(srv.Close)
 		return `{"listen":"127.0.0.1:0","discovery":"` + srv.Listener.Addr().String() + `","seed":"1","settings":
@@ -61,11 +61,11 @@
 	if err := cmd.Start(); err != nil {
 		t.Fatal(err)
 	}
-	heard := func(want string) {
+	received := func(want string) {
 		t.Helper()
 		for limit := time.After(patience); ; {
 			select {
-			case name := <-asked:
+			case name := <-calls:
 				if name == want {
 					return
 				}
@@ -74,7 +74,7 @@
 			}
 		}
 	}
-	heard("first")
+	received("first")
 	hangUp := func() {
 		t.Helper()
 		if err := cmd.Process.Signal(syscall.SIGHUP); err != nil {
@@ -113,11 +113,11 @@
 		t.Fatal(err)
 	}
 	slow.Close()
-	heard("last")
+	received("last")
 	select {
-	case name := <-asked:
+	case name := <-calls:
 		if name != "last" && !strings.HasSuffix(name, " left") {
-			t.Errorf("%q is asked after the last address", name)
+			t.Errorf("%q is called after the last address", name)
 		}
 	case <-time.After(300 * time.Millisecond):
 	}
