--- a/balance/admission.go
+++ b/balance/admission.go
@@ -1,87 +1,140 @@
 package balance
 
-// This file decides which requests are admitted, and sheds load that the fleet cannot answer in time.
-
 import "math"
 
+// Fractions of load are of what the fleet can answer in time. Latencies are multiples of the latency
+// objective.
 const (
-	spareObjective     = 0.25 // part of the aim beyond the quickest answers that queues may take
-	initialLatency     = 0.33 // held to be the quickest until answers tell
-	meanWindow         = 50   // answers or reports over which a mean is taken
-	shedNow            = 1.5  // part of the load to shed at once, per aim that answers take too long
-	shedRate           = 0.04 // ... and lastingly, more for each request
-	shedTime           = 1500 // ms after which it is all, per aim
-	shedStep           = 0.34 // ... but no more for one request
-	shedTolerance      = 0.1  // of the lasting part is not shed: small sidecars gather it by chance
-	maxShed            = 0.95 // never all: answers are needed to see that the load is gone
-	rateSpanObjectives = 8    // span of the rate of answers, in longest aims
-	minSpanFraction    = 0.05 // of a span that a rate is taken over, however short the time since the start
-	fewAnswers         = 3    // assumed beside the recent answers, and over which the load is averaged
-	fairBound          = 2    // a tenant counts as at most this far under its share
-	shedValueBand      = 1.25 // values within this factor are shed alike
+	spareObjective     = 0.25 // part of the objective beyond the minimum latency that queues may take
+	initialLatency     = 0.33 // minimum latency until answers tell
+	meanWindow         = 50   // answers or load reports over which a mean is taken
+	maxLatency         = 2    // later answers count as this late
+	shedPerExcess      = 1.5  // part of the load shed at once, per excess latency
+	shedRate           = 0.04 // growth of the lasting part per excess latency, with each request ...
+	shedStep           = 0.34 // ... and its bound, for requests that are far apart
+	shedTolerance      = 0.1  // of the lasting part that is not shed: chance fluctuations of few requests
+	maxShed            = 0.95 // some answers are needed to see that the load has gone
+	rateSpanObjectives = 8    // span of the rate of answers, in longest objectives
+	priorAnswers       = 3    // answers assumed beside the recent ones, and over which the load is averaged
+	maxQuotaCredit     = 2    // factor by which a tenant counts as under its quota at most
+	shedValueBand      = 1.25 // requests whose values differ by less than this factor are shed alike
 )
 
-// admit sheds load that the fleet cannot answer within the aims. What is in flight over the rate of answers
-// tells how long answers take (Little's law), sooner than they do. What is shed lastingly moves with each
-// request, of small sidecars by time: they took seconds to shed when servers were lost.
-func (b *Balancer) admit(r *request) bool {
-	parted := b.abandonedRate()
-	rate := b.answerRate(fewAnswers) + parted
-	b.trackInFlight(0, rate)
-	// As a part of the aim; those assumed are quick.
-	b.estimatedLatency = b.meanInFlightLoad/rate + b.quickest*(1-(b.answerRate(0)+parted)/rate)
-	full := b.quickest + spareObjective*(1-b.quickest) // the work itself and a part of the rest
-	over := math.Min(b.estimatedLatency, 2) - full
-	step := math.Max(shedRate, bound((b.now-b.admitAt)/shedTime, 0, shedStep))
-	b.admitAt = b.now
-	b.lastingShed = bound(b.lastingShed+step*over, 0, maxShed+shedTolerance)
-	lasting := b.lastingShed - shedTolerance
-	shed := bound(lasting+shedNow*over, 0, math.Min(maxShed, 2*lasting))
-	return shed == 0 || b.random() >= b.shedPart(r, shed)
+// shedTime is the time between two requests after which the lasting part moves by the whole excess latency.
+const shedTime milliseconds = 1500
+
+// admission decides which requests are admitted. It estimates by Little's law how long answers will take,
+// from the load in flight and the rate of answers, and sheds load that the fleet cannot answer within the
+// objectives.
+type admission struct {
+	*shared
+	demand *demand
+
+	lastRequestAt milliseconds
+	lastingShed   float64 // part of the load that is shed for as long as latencies stay high
+
+	// Latencies as multiples of the objective.
+	meanLatency      float64 // of recent answers
+	latencySamples   float64 // answers that meanLatency is taken over
+	minMeanLatency   float64 // smallest meanLatency so far
+	estimatedLatency float64 // by Little's law
+
+	answers       decayingCounter // answers within rateSpanObjectives objectives
+	recentAnswers decayingCounter // answers within the last objective
+	abandoned     decayingCounter // parts of answers whose clients left
+
+	inFlightLoad     float64 // sum over the attempts in flight of 1 / objective
+	meanInFlightLoad float64 // exponentially weighted mean of it
+	inFlightLoadAt   milliseconds
 }
 
-// trackInFlight follows what is in flight, each attempt as one over its aim and for no longer than that: what
-// hangs is no overload. The mean is over the time of a few answers: a small sidecar's few crowd by chance.
-func (b *Balancer) trackInFlight(more, rate float64) {
-	passed := -math.Expm1((b.inFlightLoadAt - b.now) * rate / fewAnswers)
-	b.meanInFlightLoad += (b.inFlightLoad - b.meanInFlightLoad) * passed
-	b.inFlightLoad, b.inFlightLoadAt = b.inFlightLoad+more, b.now
+func newAdmission(s *shared, demand *demand) *admission {
+	return &admission{shared: s, demand: demand, minMeanLatency: initialLatency}
 }
 
-// answerRate is the rate of answers, some assumed; or that surely seen over the last aim: traffic may grow
-// fast.
-func (b *Balancer) answerRate(assumed float64) float64 {
-	long := b.answers.rate(b.now, b.started, rateSpanObjectives*b.maxObjective, assumed)
-	n := b.latest.rate(b.now, b.now-1e9, b.maxObjective, 0) * b.maxObjective
-	return math.Max(long, (n-2*math.Sqrt(n))/b.maxObjective)
+// admit reports whether a request is admitted.
+//
+// Little's law: latency = load in flight / rate of answers. The excess is what the estimated latency has
+// above a target between the minimum latency and the objective. Part of the load is shed at once, by the
+// present excess, and part lastingly, by the sum of all excesses; this is an integral controller.
+func (l *admission) admit(r *request) bool {
+	abandoned := l.abandonedRate()
+	rate := l.answerRate(priorAnswers) + abandoned
+	l.addLoad(0, rate)
+	// Assumed answers count with the minimum latency.
+	assumed := 1 - (l.answerRate(0)+abandoned)/rate
+	l.estimatedLatency = l.meanInFlightLoad/rate + l.minMeanLatency*assumed
+	target := l.minMeanLatency + spareObjective*(1-l.minMeanLatency)
+	excess := math.Min(l.estimatedLatency, maxLatency) - target
+	l.lastingShed = bound(l.lastingShed+l.step(l.lastRequestAt)*excess, 0, maxShed+shedTolerance)
+	l.lastRequestAt = l.now
+	lasting := l.lastingShed - shedTolerance
+	shed := bound(lasting+shedPerExcess*excess, 0, math.Min(maxShed, 2*lasting))
+	return shed == 0 || l.random() >= l.rejectChance(r, shed)
 }
 
-// shedPart spreads the load to shed over classes and tenants, those first whose answers add least to the
-// goal for their work; the worst-served weigh on their own. Of a tenant counts what is in its share.
-func (b *Balancer) shedPart(r *request, shed float64) float64 {
-	all, goal := b.summarizeDemand(), b.cfg.Goal
-	value := func(class *classStats, tenant *requestCounts) float64 {
-		v := (goal.Overall + goal.WorstWindow) * class.priorityWeight / all.weight
-		if class == all.weakClass {
-			v += goal.WorstClass / class.arrived
-		}
-		if tenant.quota > 0 {
-			over := b.cfg.OverQuotaWeight
-			v *= over + (1-over)*math.Min(tenant.quota*all.arrived/tenant.arrived, fairBound)
-		}
-		if tenant == all.weakTenant {
-			v += goal.WorstTenant * class.priorityWeight / all.weight * all.arrived / tenant.arrived
-		}
-		return v / math.Max(class.mean, 1e-3)
+// step is the weight of a new excess in an integral controller whose last step was at the time last.
+func (s *shared) step(last milliseconds) float64 {
+	return math.Max(shedRate, bound((s.now-last)/shedTime, 0, shedStep))
+}
+
+// overloaded reports whether load is shed lastingly.
+func (l *admission) overloaded() bool { return l.lastingShed > shedTolerance }
+
+// idle reports whether the last request is so long ago that what is known of the load is out of date.
+func (l *admission) idle() bool {
+	return l.now-l.lastRequestAt > math.Max(idleTime, rateSpanObjectives*l.maxObjective)
+}
+
+// forgetLoad ends shedding after an idle time.
+func (l *admission) forgetLoad() { l.lastingShed = 0 }
+
+// startLoad counts an attempt in the load from now on.
+func (l *admission) startLoad(r *request, a *attempt) {
+	a.inLoad = true
+	l.addLoad(1/r.class.LatencyObjective, l.answerRate(priorAnswers))
+}
+
+// endLoad takes an attempt off the load, if it is still counted.
+func (l *admission) endLoad(r *request, a *attempt) {
+	if a.inLoad {
+		a.inLoad = false
+		l.addLoad(-1/r.class.LatencyObjective, l.answerRate(priorAnswers))
 	}
-	total, below, like, own := 0.0, 0.0, 1e-3, value(r.stats, r.tenant)
-	for c := range b.classes {
-		for t := range b.tenants {
-			work := b.classes[c].arrived * b.classes[c].mean * b.tenants[t].arrived
+}
+
+// addLoad changes the load in flight and moves its mean on to now. The mean is exponentially weighted over
+// the time of priorAnswers answers at the given rate.
+func (l *admission) addLoad(change, rate float64) {
+	weight := -math.Expm1((l.inFlightLoadAt - l.now) * rate / priorAnswers)
+	l.meanInFlightLoad += (l.inFlightLoad - l.meanInFlightLoad) * weight
+	l.inFlightLoad, l.inFlightLoadAt = l.inFlightLoad+change, l.now
+}
+
+// answerRate is the number of answers a millisecond, with so many assumed. A rate over the last objective
+// that is higher by two standard deviations counts instead: traffic may grow fast.
+func (l *admission) answerRate(assumed float64) float64 {
+	long := l.answers.rate(l.now, l.started, rateSpanObjectives*l.maxObjective, assumed)
+	recent := l.recentAnswers.rate(l.now, l.now-1e9, l.maxObjective, 0) * l.maxObjective
+	return math.Max(long, (recent-2*math.Sqrt(recent))/l.maxObjective)
+}
+
+// rejectChance spreads the part of the load to be shed over classes and tenants, and returns the chance that
+// the request is rejected: 0 or less for none, 1 or more for all of its value.
+//
+// The value of a class and tenant is what an answer adds to Config.Goal, per ms of work. All load of a
+// smaller value is shed first, then that of about the same value.
+func (l *admission) rejectChance(r *request, shed float64) float64 {
+	all := l.demand.summarize()
+	total, below, like, own := 0.0, 0.0, 1e-3, l.value(&all, r.stats, r.tenant)
+	for c := range l.demand.classes {
+		for t := range l.demand.tenants {
+			class, tenant := &l.demand.classes[c], &l.demand.tenants[t]
+			work := class.arrived * class.mean * tenant.arrived
 			total += work
-			if v := value(&b.classes[c], &b.tenants[t]); v*shedValueBand < own {
+			if value := l.value(&all, class, tenant); value*shedValueBand < own {
 				below += work
-			} else if v < own*shedValueBand {
+			} else if value < own*shedValueBand {
 				like += work
 			}
 		}
@@ -89,60 +142,46 @@
 	return (shed*total - below) / like
 }
 
-// weaker: a smaller part of what it asked for was served in time.
-func (t *requestCounts) weaker(than *requestCounts) bool {
-	return t.served*than.arrived < than.served*t.arrived
-}
-
-// demandSummary is what all requests of this sidecar ask for, and who is served the least part of it.
-type demandSummary struct {
-	arrived, weight float64
-	weakClass       *classStats
-	weakTenant      *requestCounts
-}
-
-func (b *Balancer) summarizeDemand() demandSummary {
-	all := demandSummary{weight: 1e-9, weakClass: &b.classes[0], weakTenant: &b.tenants[0]}
-	for c := range b.classes {
-		all.arrived += b.classes[c].arrived
-		all.weight += b.classes[c].arrived * b.classes[c].priorityWeight
-		if b.classes[c].weaker(&all.weakClass.requestCounts) {
-			all.weakClass = &b.classes[c]
-		}
+// value is what an answer to a request of the class and tenant adds to Config.Goal, per ms of work. The part
+// of a tenant's demand above its quota counts less; the class and the tenant served worst count for
+// themselves as well.
+func (l *admission) value(all *demandSummary, class *classStats, tenant *requestCounts) float64 {
+	goal := &l.cfg.Goal
+	v := (goal.Overall + goal.WorstWindow) * class.priorityWeight / all.weight
+	if class == all.weakClass {
+		v += goal.WorstClass / class.arrived
 	}
-	for t := range b.tenants {
-		if b.tenants[t].weaker(all.weakTenant) {
-			all.weakTenant = &b.tenants[t]
-		}
+	if tenant.quota > 0 {
+		over := l.cfg.OverQuotaWeight
+		v *= over + (1-over)*math.Min(tenant.quota*all.arrived/tenant.arrived, maxQuotaCredit)
 	}
-	return all
-}
-
-// recordAbandoned takes in the time that an attempt had until its client left, as the part of an answer that
-// it is by the estimate: neither its time nor its missing answer moves that.
-func (b *Balancer) recordAbandoned(r *request, a *attempt) {
-	if !a.outOfLoad && !a.endsAtObjective {
-		had := (b.now - a.sent) / (r.class.LatencyObjective * math.Max(b.estimatedLatency, b.quickest))
-		b.abandoned.addPart(b.now, rateSpanObjectives*b.maxObjective, math.Min(had, 1))
+	if tenant == all.weakTenant {
+		v += goal.WorstTenant * class.priorityWeight / all.weight * all.arrived / tenant.arrived
 	}
+	return v / math.Max(class.mean, 1e-3)
 }
 
-func (b *Balancer) abandonedRate() float64 {
-	return b.abandoned.rate(b.now, b.started, rateSpanObjectives*b.maxObjective, 0)
+// recordAnswer takes in a good answer and its latency as a multiple of the objective.
+func (l *admission) recordAnswer(latency float64) {
+	l.answers.add(l.now, rateSpanObjectives*l.maxObjective)
+	l.recentAnswers.add(l.now, l.maxObjective)
+	l.latencySamples = math.Min(l.latencySamples+1, meanWindow)
+	l.meanLatency += (math.Min(latency, maxLatency) - l.meanLatency) / l.latencySamples
+	if l.latencySamples == meanWindow {
+		l.minMeanLatency = math.Min(l.minMeanLatency, l.meanLatency)
+	}
 }
 
-// recordLatency follows how long answers take, as a part of their aim, and the least it has been.
-func (b *Balancer) recordLatency(took float64) {
-	b.slowN = math.Min(b.slowN+1, meanWindow)
-	b.slowness += (math.Min(took, 2) - b.slowness) / b.slowN
-	if b.slowN == meanWindow {
-		b.quickest = math.Min(b.quickest, b.slowness)
+// recordAbandoned counts an attempt whose client left as the part of an answer that fits into the time it
+// had, by the estimated latency. So neither its load nor its missing answer moves the estimate.
+func (l *admission) recordAbandoned(r *request, a *attempt) {
+	if a.inLoad && !a.endsAtObjective {
+		expected := r.class.LatencyObjective * math.Max(l.estimatedLatency, l.minMeanLatency)
+		part := (l.now - a.sentAt) / expected
+		l.abandoned.addPart(l.now, rateSpanObjectives*l.maxObjective, math.Min(part, 1))
 	}
 }
 
-func (b *Balancer) stopCountingLoad(r *request, a *attempt) {
-	if !a.outOfLoad {
-		a.outOfLoad = true
-		b.trackInFlight(-1/r.class.LatencyObjective, b.answerRate(fewAnswers))
-	}
+func (l *admission) abandonedRate() float64 {
+	return l.abandoned.rate(l.now, l.started, rateSpanObjectives*l.maxObjective, 0)
 }
--- a/balance/admission_load_test.go
+++ b/balance/admission_load_test.go
@@ -124,7 +124,7 @@
 		id, _ := g.sendRequest(idempotentClass)
 		ids = append(ids, id)
 	}
-	before := g.b.inFlightLoad
+	before := g.b.admission.inFlightLoad
 	g.now += baseConfig().Classes[idempotentClass].LatencyObjective / 2 // few answers are known: then an attempt is overdue
 	for _, id := range ids {
 		g.handle(Timer{Token: uint64(id)})
@@ -132,8 +132,8 @@
 	if _, avoided := g.b.CountServers(g.now); avoided != 1 {
 		t.Fatalf("%d servers rest", avoided)
 	}
-	if g.b.inFlightLoad >= before {
-		t.Errorf("the load is %v, and was %v before the server was found to hang", g.b.inFlightLoad, before)
+	if g.b.admission.inFlightLoad >= before {
+		t.Errorf("the load is %v, and was %v before the server was found to hang", g.b.admission.inFlightLoad, before)
 	}
 }
 
@@ -150,7 +150,7 @@
 		id, acts := g.sendRequest(idempotentClass)
 		s, ok := sentTo(acts)
 		if !ok {
-			t.Fatalf("request %d was refused: shed %v", id, g.b.lastingShed)
+			t.Fatalf("request %d was refused: shed %v", id, g.b.admission.lastingShed)
 		}
 		if s == 1 {
 			hung++
@@ -168,7 +168,7 @@
 func (g *harness) dueTimers() []Timer {
 	var list []Timer
 	for id := RequestID(1); id <= g.lastID; id++ {
-		if r := g.b.reqs[id]; r != nil && r.wakeAt <= g.now && !r.done {
+		if r := g.b.requests[id]; r != nil && r.wakeAt <= g.now && r.state != requestAnswered {
 			list = append(list, Timer{Token: uint64(id)})
 		}
 	}
@@ -180,14 +180,14 @@
 	g := newHarness(t, baseConfig(), identicalServers(2)...)
 	id, _ := g.sendRequest(idempotentClass)
 	g.sendRequest(idempotentClass)
-	if want := 2.0 / 300; g.b.inFlightLoad != want {
-		t.Fatalf("load %v of two requests, want %v", g.b.inFlightLoad, want)
+	if want := 2.0 / 300; g.b.admission.inFlightLoad != want {
+		t.Fatalf("load %v of two requests, want %v", g.b.admission.inFlightLoad, want)
 	}
 	g.now += 300
 	g.handle(Timer{Token: uint64(id)})
 	g.endAttempt(id, 0, OK, 300)
-	if want := 1.0 / 300; math.Abs(g.b.inFlightLoad-want) > 1e-12 {
-		t.Fatalf("load %v when one has taken its aim and ended, want %v", g.b.inFlightLoad, want)
+	if want := 1.0 / 300; math.Abs(g.b.admission.inFlightLoad-want) > 1e-12 {
+		t.Fatalf("load %v when one has taken its aim and ended, want %v", g.b.admission.inFlightLoad, want)
 	}
 }
 
@@ -225,7 +225,7 @@
 			continue
 		}
 		open = append(open, id)
-		for len(open) > 0 && g.b.reqs[open[0]].arrived <= g.now-80 { // each answer takes about 80 ms
+		for len(open) > 0 && g.b.requests[open[0]].arrivedAt <= g.now-80 { // each answer takes about 80 ms
 			g.endAttempt(open[0], 0, OK, 80)
 			open = open[1:]
 		}
--- a/balance/admission_test.go
+++ b/balance/admission_test.go
@@ -83,27 +83,27 @@
 func TestAdmission_lowTrafficOverload(t *testing.T) {
 	g := newHarness(t, baseConfig(), identicalServers(4)...)
 	for range 6 {
-		g.setOverload(g.b.lastingShed, 0.8)
+		g.setOverload(g.b.admission.lastingShed, 0.8)
 		g.now += 500
-		g.b.inFlightLoadAt = g.now
+		g.b.admission.inFlightLoadAt = g.now
 		g.sendRequest(idempotentClass)
 	}
-	if g.b.lastingShed < 0.5 {
-		t.Fatalf("%.2f is shed after three seconds of overload", g.b.lastingShed)
+	if g.b.admission.lastingShed < 0.5 {
+		t.Fatalf("%.2f is shed after three seconds of overload", g.b.admission.lastingShed)
 	}
 }
 
 // crowd sets the lasting part to shed and fills the fleet so that answers take the given part of the
 // aim longer than they may.
 func (g *harness) setOverload(lasting, over float64) {
-	full := g.b.quickest + spareObjective*(1-g.b.quickest)
-	if g.b.lastingShed = lasting; lasting > 0 {
-		g.b.lastingShed += shedTolerance
-	}
-	rate := g.b.answerRate(fewAnswers)
-	assumed := g.b.quickest * (1 - g.b.answerRate(0)/rate)
-	g.b.inFlightLoad, g.b.inFlightLoadAt = (full+over-assumed)*rate, g.now
-	g.b.meanInFlightLoad = g.b.inFlightLoad
+	full := g.b.admission.minMeanLatency + spareObjective*(1-g.b.admission.minMeanLatency)
+	if g.b.admission.lastingShed = lasting; lasting > 0 {
+		g.b.admission.lastingShed += shedTolerance
+	}
+	rate := g.b.admission.answerRate(priorAnswers)
+	assumed := g.b.admission.minMeanLatency * (1 - g.b.admission.answerRate(0)/rate)
+	g.b.admission.inFlightLoad, g.b.admission.inFlightLoadAt = (full+over-assumed)*rate, g.now
+	g.b.admission.meanInFlightLoad = g.b.admission.inFlightLoad
 }
 
 // shedding brings 4000 requests, drawn from turns of (class, tenant), of which 0.4 of the work is to be shed,
@@ -213,9 +213,9 @@
 	for class, cuts := range map[int]bool{nonIdempotentClass: true, idempotentClass: false, cellKeyClass: false} {
 		for _, lasting := range []float64{0, 0.2} {
 			g := newHarness(t, baseConfig(), identicalServers(4)...)
-			g.b.lastingShed = lasting
+			g.b.admission.lastingShed = lasting
 			if lasting > 0 {
-				g.b.lastingShed += shedTolerance
+				g.b.admission.lastingShed += shedTolerance
 			}
 			id, acts := g.sendRequest(class)
 			s, ok := sentTo(acts)
--- /dev/null
+++ b/balance/balancer.go
@@ -0,0 +1,163 @@
+package balance
+
+import "math"
+
+// Tokens of the timers of the endpoint list. Timers of requests have the request's ID, which is below 2^52.
+const (
+	listTimer = 1<<60 + iota
+	checkTimer
+	stuckTimer
+	suspectTimer
+)
+
+// Balancer decides for one sidecar. It holds one value for each decision, dispatches events to them and returns the
+// actions. It is not safe for concurrent use.
+type Balancer struct {
+	*shared
+	demand    *demand
+	admission *admission
+	slowStart *slowStart
+	capacity  *capacityModel
+	locality  *locality
+	clock     *wallClock
+	list      *endpointList
+	outliers  *outlierDetector
+	health    *healthChecker
+	picker    *picker
+	canary    *canaryRouter
+	retry     *retryPolicy
+
+	requests map[RequestID]*request // without a final answer, or with attempts that have not ended
+	shutdown bool                   // this process goes: nothing more is sent
+}
+
+// New returns a balancer with the given settings; call Start before Handle. It keeps the slices of cfg, which must not
+// change afterwards. Settings that cannot be are a *ConfigError.
+func New(cfg Config) (*Balancer, error) {
+	if err := cfg.check(); err != nil {
+		return nil, err
+	}
+	s := newShared(cfg)
+	demand := newDemand(s)
+	admission := newAdmission(s, demand)
+	slowStart := newSlowStart(s, admission)
+	capacity := newCapacityModel(s, slowStart)
+	locality := &locality{shared: s, admission: admission, demand: demand}
+	clock := &wallClock{shared: s}
+	list := &endpointList{
+		shared: s, locality: locality, slowStart: slowStart, clock: clock, confirmedAt: math.Inf(-1),
+	}
+	outliers := &outlierDetector{shared: s, locality: locality, capacity: capacity, list: list}
+	health := &healthChecker{shared: s, outliers: outliers, busy: 1}
+	picker := &picker{
+		shared: s, demand: demand, slowStart: slowStart, capacity: capacity, locality: locality, outliers: outliers,
+		reports: health,
+	}
+	return &Balancer{
+		shared: s, demand: demand, admission: admission, slowStart: slowStart, capacity: capacity, locality: locality,
+		clock: clock, list: list, outliers: outliers, health: health, picker: picker,
+		canary:   &canaryRouter{shared: s, picker: picker},
+		retry:    &retryPolicy{shared: s, admission: admission, health: health},
+		requests: map[RequestID]*request{},
+	}, nil
+}
+
+// Start returns the first actions. They are valid until the next call.
+func (b *Balancer) Start(now float64) []Action {
+	b.startEvent(now)
+	b.started = now
+	b.list.start()
+	return b.actions
+}
+
+// Handle takes one event and returns what to do. The actions are valid until the next call. An event that cannot be
+// is an *EventError, and leaves the balancer unchanged.
+func (b *Balancer) Handle(now float64, ev Event) ([]Action, error) {
+	b.startEvent(now)
+	err := b.dispatch(ev)
+	if b.list.goneServers {
+		b.list.goneServers = false
+		b.dropGone()
+	}
+	return b.actions, err
+}
+
+func (b *Balancer) dispatch(ev Event) error {
+	switch ev := ev.(type) {
+	case Request:
+		return b.onRequest(ev)
+	case BodyComplete:
+		b.onBodyComplete(ev)
+	case Connecting:
+		b.onConnecting(ev)
+	case AnswerStarted:
+		b.onAnswerStarted(ev)
+	case Outcome:
+		return b.onOutcome(ev)
+	case ClientGone:
+		b.onClientGone(ev)
+	case Timer:
+		b.onTimer(ev)
+	case HealthCheckResult:
+		if b.health.onResult(ev) {
+			b.health.advanceWaiting(b.advance)
+		}
+	case ConnectionReady:
+		b.outliers.onConnectionReady(ev)
+	case ServerList:
+		b.onList(ev)
+	case ListServices:
+		b.list.onListServices(ev)
+	case ClockStepped:
+		b.clock.onClockStepped(ev)
+	case ProcessCount:
+		b.slowStart.onProcessCount(ev)
+	case FleetSize:
+		b.slowStart.onFleetSize(ev)
+	case Routes:
+		return b.canary.onRoutes(ev)
+	case CanaryLease:
+		return b.canary.onCanaryLease(ev)
+	case BudgetGrant:
+		return b.canary.onBudgetGrant(ev)
+	case Shutdown:
+		b.onShutdown()
+	}
+	return nil
+}
+
+func (b *Balancer) onTimer(ev Timer) {
+	switch ev.Token {
+	case listTimer:
+		b.list.updateStaleness()
+		b.list.watch()
+		return
+	case checkTimer:
+		b.list.updateStaleness()
+		b.list.checkService()
+		return
+	case stuckTimer:
+		b.list.onStuckTimer()
+		return
+	case suspectTimer:
+		b.list.onSuspectTimer()
+		return
+	}
+	if r := b.requests[RequestID(ev.Token)]; r != nil {
+		r.wakeAt = math.Inf(1) // not compared with the clock: a timer may come a rounding error early
+		b.advance(r)
+	}
+}
+
+func (b *Balancer) onList(ev ServerList) {
+	if b.list.onEvent(ev) {
+		b.picker.admitNewServers()
+		b.canary.onServersChanged()
+	}
+}
+
+// dropGone forgets the servers that are gone.
+func (b *Balancer) dropGone() {
+	b.list.dropGone()
+	b.canary.onServersChanged()
+}
--- a/balance/canary_budget.go
+++ b/balance/canary_budget.go
@@ -1,121 +1,118 @@
 package balance
 
-import (
-	"fmt"
-	"slices"
-)
+import "slices"
 
-// mostEnded bounds the purses that are kept of canaries whose route is gone. A canary that comes back after so many
-// others have ended begins with an empty purse.
+// maxEndedBudgets bounds the budgets that are kept of canaries whose route has ended. A canary that comes back after
+// so many others have ended starts with an empty budget.
 const maxEndedBudgets = 64
 
-// CanaryBudget is the budget that this process holds for one canary, in units since its start. An attempt sets one
-// aside before it is sent; a good answer, and whatever says nothing of the canary, lays it back; a failure spends it.
-// What was granted and neither spent nor returned is this process's alone to use, so no failure is beyond what was
-// granted.
+// CanaryBudget is the budget that this process holds for one canary, in units since its start. An attempt reserves a
+// unit before it is sent. A failure spends the unit; a good answer, and an end that tells nothing of the canary,
+// releases it. What was granted and neither spent nor returned is this process's alone to use, so failures never
+// exceed what was granted.
 type CanaryBudget struct {
 	ID                       uint64
 	Granted, Spent, Returned int64
-	Reserved                 int64 // set aside by attempts that are out
+	Reserved                 int64 // by attempts in flight
 	Denied                   int64 // attempts that went elsewhere for want of a unit
 }
 
-// Free is how many units can be set aside.
-func (p *CanaryBudget) Free() int64 { return p.Granted - p.Spent - p.Returned - p.Reserved }
+// Free is how many units can be reserved.
+func (c *CanaryBudget) Free() int64 { return c.Granted - c.Spent - c.Returned - c.Reserved }
 
-// Take sets a unit aside.
-func (p *CanaryBudget) Reserve() bool {
-	if p.Free() <= 0 {
-		p.Denied++
+// Reserve reserves a unit, if one is free.
+func (c *CanaryBudget) Reserve() bool {
+	if c.Free() <= 0 {
+		c.Denied++
 		return false
 	}
-	p.Reserved++
+	c.Reserved++
 	return true
 }
 
-// Settle ends an attempt that set a unit aside.
-func (p *CanaryBudget) Settle(failed bool) {
-	p.Reserved--
+// Settle ends an attempt that reserved a unit.
+func (c *CanaryBudget) Settle(failed bool) {
+	c.Reserved--
 	if failed {
-		p.Spent++
+		c.Spent++
 	}
 }
 
-// Grant takes in what was granted in all, and gives back what is idle beyond keep.
-func (p *CanaryBudget) Grant(units, keep int64) {
-	p.Granted = max(p.Granted, units)
-	if idle := p.Free(); idle > keep {
-		p.Returned += idle - keep
+// Grant takes in how many units were granted in all, and returns those that are free beyond maxIdle.
+func (c *CanaryBudget) Grant(units, maxIdle int64) {
+	c.Granted = max(c.Granted, units)
+	if idle := c.Free(); idle > maxIdle {
+		c.Returned += idle - maxIdle
 	}
 }
 
-// CanaryBudgets are those of all canaries that need one or were granted units, the newest state of each; of the
-// canaries whose route is gone the last 64 that ended.
-func (b *Balancer) CanaryBudgets() []CanaryBudget {
-	out := make([]CanaryBudget, len(b.canaryBudgets))
-	for i, p := range b.canaryBudgets {
-		out[i] = *p
-	}
-	return out
-}
+// exhausted reports whether units were spent on failures and none is left.
+func (c *CanaryBudget) exhausted() bool { return c.Spent > 0 && c.Free() <= 0 }
 
-func (b *Balancer) onBudgetGrant(ev BudgetGrant) error {
-	switch {
-	case ev.ID == 0:
-		return fmt.Errorf("BudgetGrant.ID is 0")
-	case ev.Units < 0:
-		return fmt.Errorf("BudgetGrant.Units is %d", ev.Units)
-	case ev.MaxIdle < 0:
-		return fmt.Errorf("BudgetGrant.MaxIdle is %d", ev.MaxIdle)
-	}
-	b.canaryBudget(ev.ID).Grant(ev.Units, ev.MaxIdle)
-	b.dropEndedBudgets()
-	return nil
-}
+// canaryBudgets are the budgets of all canaries, in the order in which their routes ended and then of those that have
+// a route.
+type canaryBudgets []*CanaryBudget
 
-// canaryBudget returns the purse of a canary; it begins empty.
-func (b *Balancer) canaryBudget(id uint64) *CanaryBudget {
-	for _, p := range b.canaryBudgets {
-		if p.ID == id {
-			return p
+// get returns the budget of a canary; it starts empty.
+func (c *canaryBudgets) get(id uint64) *CanaryBudget {
+	for _, budget := range *c {
+		if budget.ID == id {
+			return budget
 		}
 	}
-	p := &CanaryBudget{ID: id}
-	b.canaryBudgets = append(b.canaryBudgets, p)
-	return p
+	budget := &CanaryBudget{ID: id}
+	*c = append(*c, budget)
+	return budget
 }
 
-// dropEndedBudgets forgets the oldest of too many whose canary is gone, with nothing out.
-func (b *Balancer) dropEndedBudgets() {
+// dropEnded drops the oldest of too many budgets whose canary has no route and that no attempt has reserved from.
+func (c *canaryBudgets) dropEnded(routes []*tenantRoute) {
 	routed := make(map[uint64]bool)
-	for _, w := range b.routes {
-		if w != nil {
-			routed[w.ID] = true
+	for _, route := range routes {
+		if route != nil {
+			routed[route.ID] = true
 		}
 	}
-	var ended, live []*CanaryBudget // in the order in which they ended, so that the oldest go first
-	over := -maxEndedBudgets
-	for _, p := range b.canaryBudgets {
-		if routed[p.ID] {
-			live = append(live, p)
-		} else if ended = append(ended, p); p.Reserved == 0 {
-			over++
+	var ended, live []*CanaryBudget
+	excess := -maxEndedBudgets
+	for _, budget := range *c {
+		if routed[budget.ID] {
+			live = append(live, budget)
+			continue
+		}
+		ended = append(ended, budget)
+		if budget.Reserved == 0 {
+			excess++
 		}
 	}
-	ended = slices.DeleteFunc(ended, func(p *CanaryBudget) bool {
-		drop := over > 0 && p.Reserved == 0
+	ended = slices.DeleteFunc(ended, func(budget *CanaryBudget) bool {
+		drop := excess > 0 && budget.Reserved == 0
 		if drop {
-			over--
+			excess--
 		}
 		return drop
 	})
-	b.canaryBudgets = append(ended, live...)
+	*c = append(ended, live...)
 }
 
-// settle ends an attempt's use of its purse.
-func (a *attempt) settle(r *request, ev Outcome) {
-	if a.budget != nil {
-		a.budget.Settle(a.spendsUnit(r, ev))
-		a.budget = nil
+// snapshot copies the newest state of each budget.
+func (c canaryBudgets) snapshot() []CanaryBudget {
+	copies := make([]CanaryBudget, len(c))
+	for i, budget := range c {
+		copies[i] = *budget
 	}
+	return copies
+}
+
+// check returns an error if the grant cannot be.
+func (ev *BudgetGrant) check() error {
+	switch {
+	case ev.ID == 0:
+		return &EventError{Event: "BudgetGrant", Field: "ID", Value: ev.ID}
+	case ev.Units < 0:
+		return &EventError{Event: "BudgetGrant", Field: "Units", Value: ev.Units}
+	case ev.MaxIdle < 0:
+		return &EventError{Event: "BudgetGrant", Field: "MaxIdle", Value: ev.MaxIdle}
+	}
+	return nil
 }
--- a/balance/digest_test.go
+++ b/balance/digest_test.go
@@ -61,7 +61,7 @@
 		for id := RequestID(1); id <= digestSteps; id++ {
 			d.now += d.rnd.ExpFloat64() * 6
 			if d.rnd.Intn(digestSteps/2) == 0 {
-				d.now += 2 * quietTime
+				d.now += 2 * idleTime
 			}
 			d.fireTimers()
 			d.step(id)
--- a/balance/ejection_test.go
+++ b/balance/ejection_test.go
@@ -35,7 +35,7 @@
 		}
 		_, avoided = g.b.CountServers(g.now)
 		for s := range failed {
-			if g.b.warmingUp(g.b.byID[s]) {
+			if g.b.slowStart.warmingUp(g.b.byID[s]) {
 				cold++
 			}
 		}
@@ -80,7 +80,7 @@
 					g.now += 50
 				}
 				for _, s := range g.b.servers {
-					if s.consecutiveErrors > 0 || s.ejections > 0 || g.b.ejected(s) || g.b.health(s) < 1 {
+					if s.consecutiveErrors > 0 || s.ejections > 0 || g.b.outliers.ejected(s) || g.b.picker.health(s) < 1 {
 						t.Errorf("%v ms: server %d is held at fault: %d errors, %d rests", left, s.ID, s.consecutiveErrors, s.ejections)
 					}
 				}
@@ -101,7 +101,7 @@
 	g.handle(Request{ID: g.lastID, Class: idempotentClass, Remaining: 61})
 	g.now += 61
 	g.handle(Timer{Token: uint64(g.lastID)})
-	s := g.b.reqs[g.lastID].attempts[0].server
+	s := g.b.requests[g.lastID].attempts[0].server
 	g.endAttempt(g.lastID, 0, TimedOut, 61)
 	if s.consecutiveErrors != 1 {
 		t.Errorf("%d errors, want 1", s.consecutiveErrors)
@@ -118,11 +118,11 @@
 		id, acts := g.sendRequest(idempotentClass)
 		server, _ := sentTo(acts)
 		s := g.b.byID[server]
-		if acts = g.endAttempt(id, 0, test.result, 1); !hasAction(acts, Send) || !g.b.ejected(s) {
-			t.Errorf("result %v: %+v, resting %v, want another attempt and a rest", test.result, acts, g.b.ejected(s))
+		if acts = g.endAttempt(id, 0, test.result, 1); !hasAction(acts, Send) || !g.b.outliers.ejected(s) {
+			t.Errorf("result %v: %+v, resting %v, want another attempt and a rest", test.result, acts, g.b.outliers.ejected(s))
 		}
 		g.now = s.ejectedUntil
-		for g.b.ejected(s) || s.consecutiveErrors > 0 { // until it answers again
+		for g.b.outliers.ejected(s) || s.consecutiveErrors > 0 { // until it answers again
 			g.now += 10
 			id, acts := g.sendRequest(idempotentClass)
 			if to, sent := sentTo(acts); !sent || to == 0 {
@@ -130,7 +130,7 @@
 			}
 			g.endAttempt(id, 0, OK, 10)
 		}
-		if cold := g.b.warmingUp(s); cold != test.cold {
+		if cold := g.b.slowStart.warmingUp(s); cold != test.cold {
 			t.Errorf("result %v: it starts anew: %v, want %v", test.result, cold, test.cold)
 		}
 	}
@@ -139,30 +139,30 @@
 func TestEjection_healthScore(t *testing.T) {
 	g := newHarness(t, baseConfig(), identicalServers(2)...)
 	s := g.b.servers[0]
-	if m := g.b.health(s); m != 1 {
+	if m := g.b.picker.health(s); m != 1 {
 		t.Fatalf("m without errors is %v", m)
 	}
 	s.consecutiveErrors, s.lastErrorAt = 2, g.now
-	if m := g.b.health(s); math.Abs(m-(1-2*penaltyPerError)) > 1e-9 {
+	if m := g.b.picker.health(s); math.Abs(m-(1-2*penaltyPerError)) > 1e-9 {
 		t.Fatalf("m after two errors is %v", m)
 	}
 	g.b.now += halfLife
-	if m := g.b.health(s); math.Abs(m-(1-penaltyPerError)) > 1e-9 {
+	if m := g.b.picker.health(s); math.Abs(m-(1-penaltyPerError)) > 1e-9 {
 		t.Fatalf("m after a half-life is %v", m)
 	}
 	s.consecutiveErrors = 1000
-	if m := g.b.health(s); m != healthFloor {
+	if m := g.b.picker.health(s); m != minHealth {
 		t.Fatalf("m after very many errors is %v, want the floor", m)
 	}
-	if m := g.b.health(g.b.servers[1]); m != 1 {
+	if m := g.b.picker.health(g.b.servers[1]); m != 1 {
 		t.Fatalf("another server's errors moved m to %v", m)
 	}
 	s.consecutiveErrors = 2
 	id, _ := g.sendRequest(idempotentClass)
-	g.b.reqs[id].attempts[0].server = s
+	g.b.requests[id].attempts[0].server = s
 	s.inFlight, g.b.servers[1].inFlight = 1, 0
 	g.endAttempt(id, 0, OK, 10)
-	if m := g.b.health(s); m != 1 {
+	if m := g.b.picker.health(s); m != 1 {
 		t.Fatalf("m after a success is %v", m)
 	}
 }
@@ -179,15 +179,15 @@
 	}
 	g.endAttempt(id, 1, OK, 10)
 	server := g.b.byID[s]
-	if g.b.ejected(server) || g.b.health(server) == 1 {
-		t.Errorf("rested %v, health %v: one error counts, but doesn't take it out", g.b.ejected(server), g.b.health(server))
+	if g.b.outliers.ejected(server) || g.b.picker.health(server) == 1 {
+		t.Errorf("rested %v, health %v: one error counts, but doesn't take it out", g.b.outliers.ejected(server), g.b.picker.health(server))
 	}
 	g.now += 60000
 	for range 8 {
 		id, _ = g.sendRequest(idempotentClass)
 		g.endAttempt(id, 0, OK, 10)
 	}
-	if g.b.warmingUp(server) {
+	if g.b.slowStart.warmingUp(server) {
 		t.Error("held to have restarted")
 	}
 }
@@ -203,7 +203,7 @@
 		s, _ := sentTo(acts)
 		g.now += 200
 		g.handle(Outcome{Request: id, Server: s, Elapsed: 200, Finished: true, Report: []float32{0, 50, queue}})
-		if got := g.b.ejected(g.b.byID[s]); got != rests {
+		if got := g.b.outliers.ejected(g.b.byID[s]); got != rests {
 			t.Errorf("%v waiting for 50 ms each, aim 300 ms: resting %v", queue, got)
 		}
 	}
@@ -241,19 +241,19 @@
 			continue
 		}
 		end := g.now + times[i%3]
-		for r := g.b.reqs[id]; !r.done && r.wakeAt < end; {
+		for r := g.b.requests[id]; r.state != requestAnswered && r.wakeAt < end; {
 			g.now = r.wakeAt
 			g.handle(Timer{Token: uint64(id)})
 		}
 		g.now = end
-		if i > 30 && g.b.reqs[id].attempts[0].overdue {
-			t.Fatalf("attempt %d of %v ms is held to be overdue after %v", i, times[i%3], g.b.overdueAfter(g.b.reqs[id]))
+		if i > 30 && g.b.requests[id].attempts[0].overdue {
+			t.Fatalf("attempt %d of %v ms is held to be overdue after %v", i, times[i%3], g.b.outliers.overdueAfter(g.b.requests[id]))
 		}
 		g.endAttempt(id, 0, OK, times[i%3])
 	}
-	g.b.lastingShed = 0
+	g.b.admission.lastingShed = 0
 	id, _ := g.sendRequest(nonIdempotentClass)
-	r := g.b.reqs[id]
+	r := g.b.requests[id]
 	for !r.attempts[0].overdue {
 		if g.now = r.wakeAt; g.now >= r.deadline {
 			t.Fatal("nothing looks at the attempt before its deadline")
@@ -270,13 +270,13 @@
 	g := newHarness(t, baseConfig(), identicalServers(2)...)
 	s := g.b.servers[0]
 	g.handle(HealthCheckResult{Server: s.ID, Result: TimedOut})
-	if !s.healthCheckFailed || !g.b.ejected(s) {
+	if !s.healthCheckFailed || !g.b.outliers.ejected(s) {
 		t.Fatal("a probe without answer does not rest the server")
 	}
 	entry := s.Server
 	entry.StartedAt = g.now
 	g.handle(ServerList{Kind: ListDelta, Servers: []Server{entry}})
-	if s.healthCheckFailed || s.ejections != 0 || g.b.ejected(s) {
+	if s.healthCheckFailed || s.ejections != 0 || g.b.outliers.ejected(s) {
 		t.Fatalf("after the restart: dark %v, rests %d", s.healthCheckFailed, s.ejections)
 	}
 }
@@ -286,13 +286,13 @@
 	g := newHarness(t, baseConfig(), identicalServers(3)...)
 	s := g.b.servers[0]
 	for range errorsToEject - 1 {
-		g.b.recordFailure(s, false, partialEvidence)
+		g.b.outliers.recordFailure(s, false, partialEvidence)
 	}
-	if g.b.ejected(s) {
+	if g.b.outliers.ejected(s) {
 		t.Fatal("rested before the last strike")
 	}
-	g.b.recordFailure(s, false, partialEvidence)
-	if !g.b.ejected(s) {
+	g.b.outliers.recordFailure(s, false, partialEvidence)
+	if !g.b.outliers.ejected(s) {
 		t.Fatal("not rested after the last strike")
 	}
 	for range 12 {
@@ -317,7 +317,7 @@
 func TestEjection_allServersEjected(t *testing.T) {
 	g := newHarness(t, baseConfig(), identicalServers(3)...)
 	for _, s := range g.b.servers {
-		g.b.recordFailure(s, true, partialEvidence)
+		g.b.outliers.recordFailure(s, true, partialEvidence)
 	}
 	if _, acts := g.sendRequest(idempotentClass); !hasAction(acts, Send) {
 		t.Fatalf("nothing was sent: %+v", acts)
--- a/balance/endpoint_list_test.go
+++ b/balance/endpoint_list_test.go
@@ -54,7 +54,7 @@
 	t.Helper()
 	servers, known := slices.Clone(b.servers), len(b.byID)
 	ready, placements := map[int]int{}, map[ServerID][]routePlacement{}
-	for _, z := range b.zones {
+	for _, z := range b.locality.zones {
 		ready[z.id] = z.ready
 	}
 	for _, s := range b.servers {
@@ -64,7 +64,7 @@
 	if !slices.Equal(servers, b.servers) || known != len(b.byID) {
 		t.Fatalf("%d servers by a change, %d by a look at all, or in another order", len(servers), len(b.servers))
 	}
-	for _, z := range b.zones {
+	for _, z := range b.locality.zones {
 		if z.ready != ready[z.id] {
 			t.Fatalf("zone %d: %d ready by changes, %d by a look at all", z.id, ready[z.id], z.ready)
 		}
@@ -276,11 +276,11 @@
 			break
 		}
 	}
-	if !g.b.ejected(g.b.byID[1]) {
+	if !g.b.outliers.ejected(g.b.byID[1]) {
 		t.Fatal("it does not rest")
 	}
 	g.handle(ServerList{Kind: ListDelta, Rev: 3, Servers: []Server{{ID: 1, AddressKey: 9, Zone: 3}}})
-	if s := g.b.byID[1]; g.b.ejected(s) || s.Zone != 3 || g.b.warmingUp(s) {
+	if s := g.b.byID[1]; g.b.outliers.ejected(s) || s.Zone != 3 || g.b.slowStart.warmingUp(s) {
 		t.Errorf("after it moved: %+v", s)
 	}
 }
@@ -317,7 +317,7 @@
 			if after.Rev < before.Rev && after.Rev != 0 && !before.Rejected {
 				rt.Fatalf("the list went back from %d to %d", before.Rev, after.Rev)
 			}
-			for _, e := range b.normalizeEntries(ev.Servers) {
+			for _, e := range b.list.normalizeEntries(ev.Servers) {
 				s, used := b.UsableServer(e.ID)
 				if used && e.State != Ready && e.StartedAt >= s.StartedAt {
 					rt.Fatalf("%+v is used although it was told to go: %+v", s, e)
--- a/balance/events_test.go
+++ b/balance/events_test.go
@@ -30,7 +30,7 @@
 func TestEvents_earlyTimer(t *testing.T) {
 	g := newHarness(t, baseConfig(), identicalServers(4)...)
 	id, _ := g.sendRequest(nonIdempotentClass)
-	g.now = g.b.reqs[id].wakeAt - 1e-4
+	g.now = g.b.requests[id].wakeAt - 1e-4
 	if acts := g.handle(Timer{Token: uint64(id)}); !hasAction(acts, SetTimer) {
 		t.Fatalf("no timer after an early alarm: %+v", acts)
 	}
--- a/balance/fleet_size_test.go
+++ b/balance/fleet_size_test.go
@@ -158,7 +158,7 @@
 					require.NoError(t, err)
 				}
 			}
-			require.InDelta(t, bs[0].assumedAnswers, bs[1].assumedAnswers, 1e-12)
+			require.InDelta(t, bs[0].slowStart.assumedAnswers, bs[1].slowStart.assumedAnswers, 1e-12)
 			if len(out) == 0 || rapid.Bool().Draw(t, "asks") {
 				next++
 				do(Request{ID: next, Class: rapid.IntRange(0, 4).Draw(t, "class"), Remaining: 1500})
--- a/balance/harness_test.go
+++ b/balance/harness_test.go
@@ -85,8 +85,8 @@
 // answer ends an attempt with a result.
 func (g *harness) endAttempt(id RequestID, attempt int, result Result, elapsed float64) []Action {
 	g.t.Helper()
-	s := g.b.reqs[id].attempts[attempt].server
-	done := result == OK || g.b.reqs[id].done
+	s := g.b.requests[id].attempts[attempt].server
+	done := result == OK || g.b.requests[id].state == requestAnswered
 	return g.handle(Outcome{Request: id, Attempt: attempt, Server: s.ID, Result: result, Elapsed: elapsed, Finished: done})
 }
 
@@ -127,7 +127,7 @@
 			g.t.Fatal("nothing was sent")
 		}
 		ids = append(ids, s)
-		g.b.reqs[id].stats.n = 0 // no learning from these answers
+		g.b.requests[id].stats.samples = 0 // no learning from these answers
 		g.endAttempt(id, 0, OK, 10)
 	}
 	return ids
--- a/balance/health_check.go
+++ b/balance/health_check.go
@@ -1,27 +1,45 @@
 package balance
 
-// This file decides which servers are health-checked, and what their load reports say.
-
-import "math"
+import (
+	"math"
+	"slices"
+)
 
 const (
-	maxHealthCheckCost = 0.03 // part of the result that probes for each request may cost
-	reportValidity     = 0.05 // part of the objective for which a first send waits, and a report is valid
-	allBusyChance      = 0.01 // chance that all probed servers are busy, at which no more are probed
+	maxHealthCheckCost = 0.03 // part of the result that the health checks of a request may cost
+	reportValidity     = 0.05 // part of the objective for which a load report is valid, or is waited for
+	allBusyChance      = 0.01 // accepted chance that all servers that are checked are busy
 )
 
-// probeCandidates asks those next in turn before a first send, where servers tell only when probed: so many
-// that hardly ever all are busy, within what it may cost.
-func (b *Balancer) checkCandidates(r *request) {
-	if !b.cfg.HealthChecks || b.cfg.Reports != ReportHealthCheck {
+// healthChecker decides which servers are health-checked, and takes in load reports.
+type healthChecker struct {
+	*shared
+	outliers *outlierDetector
+	busy     float64    // mean part of the reports in which a server had requests in flight
+	waiting  []*request // that wait for health checks before their first attempt
+}
+
+// healthReport is what health checks and load reports tell of a server.
+type healthReport struct {
+	checkPending    bool
+	reportedLoad    float64      // requests in flight at the last load report
+	reportedAt      milliseconds // 0: never
+	sentSinceReport float64      // attempts of this process since
+}
+
+// checkCandidates checks the next servers in turn before a first attempt, where servers report their load
+// only to health checks. With n checks all are busy in busy^n of cases; n is so large that this is rare,
+// within the cost allowed.
+func (h *healthChecker) checkCandidates(r *request, eligible func(*request, *server) bool) {
+	if !h.cfg.HealthChecks || h.cfg.Reports != ReportHealthCheck {
 		return
 	}
-	fan := math.Ceil(math.Log(allBusyChance) / math.Log(bound(b.busy, 0.01, 0.99)))
-	fan = math.Min(fan, maxHealthCheckCost/math.Max(b.cfg.Prices.HealthCheck, 1e-3))
-	for len(r.checked) < int(fan) {
+	count := math.Ceil(math.Log(allBusyChance) / math.Log(bound(h.busy, 0.01, 0.99)))
+	count = math.Min(count, maxHealthCheckCost/math.Max(h.cfg.Prices.HealthCheck, 1e-3))
+	for len(r.checked) < int(count) {
 		var next *server
-		for _, s := range b.servers {
-			free := b.eligible(r, s) && !b.ejected(s) && !r.hasChecked(s)
+		for _, s := range h.servers {
+			free := eligible(r, s) && !h.outliers.ejected(s) && !slices.Contains(r.checked, s)
 			if free && (next == nil || s.running > next.running) {
 				next = s
 			}
@@ -30,89 +48,87 @@
 			break
 		}
 		r.checked = append(r.checked, next)
-		b.healthCheck(next)
-		r.holdUntil = b.now + reportValidity*r.class.LatencyObjective
+		h.check(next)
+		r.checksUntil = h.now + reportValidity*r.class.LatencyObjective
 	}
 	if len(r.checked) > 0 {
-		b.waitingForChecks = append(b.waitingForChecks, r)
+		h.waiting = append(h.waiting, r)
 	}
 }
 
-func (b *Balancer) recordHealthCheck(s *server, ev HealthCheckResult) {
-	if ev.Result != OK { // out of reach, though the process may run
-		b.eject(s)
+// check starts a health check, unless one is pending.
+func (h *healthChecker) check(s *server) {
+	if !s.checkPending {
+		s.checkPending = true
+		h.emit(Action{Kind: HealthCheck, Server: s.ID})
+	}
+}
+
+// onResult takes in the result of a health check and reports whether requests may wait for it.
+func (h *healthChecker) onResult(ev HealthCheckResult) bool {
+	s := h.byID[ev.Server]
+	if s == nil {
+		return false
+	}
+	s.checkPending = false
+	switch {
+	case ev.Result == LocalFailure:
+	case ev.Result != OK: // it cannot be reached, though the process may run
+		h.outliers.eject(s)
 		s.healthCheckFailed = true
-	} else if b.takeLoadReport(s, ev.Report); s.healthCheckFailed {
-		s.healthCheckFailed, s.ejections, s.ejectedUntil = false, 0, 0
+	default:
+		h.takeReport(s, ev.Report)
+		if s.healthCheckFailed {
+			s.healthCheckFailed, s.ejections, s.ejectedUntil = false, 0, 0
+		}
 	}
+	return true
 }
 
-// takeLoadReport takes in a load report and returns the wait that it tells of: what waits, times the service
-// time.
-func (b *Balancer) takeLoadReport(s *server, report []float32) float64 {
-	queue, took := 0.0, 0.0
-	for i, f := range b.cfg.Fields {
+// takeReport takes in a load report and returns the wait that it tells of: its queue times its service time.
+func (h *healthChecker) takeReport(s *server, report []float32) milliseconds {
+	queue, serviceTime := 0.0, 0.0
+	for i, f := range h.cfg.Fields {
 		if i >= len(report) {
 			continue
 		}
 		switch v := float64(report[i]); f {
 		case FieldInFlight:
-			s.reported, s.reportedAt, s.sentSince = v, b.now, 0
-			b.busy += (math.Min(s.reported, 1) - b.busy) / meanWindow
+			s.reportedLoad, s.reportedAt, s.sentSinceReport = v, h.now, 0
+			h.busy += (math.Min(s.reportedLoad, 1) - h.busy) / meanWindow
 		case FieldQueue:
 			queue = v
 		case FieldLatency:
-			took = v
+			serviceTime = v
 		}
 	}
-	return queue * took
+	return queue * serviceTime
 }
 
-// probe asks a server, unless an answer is still to come.
-func (b *Balancer) healthCheck(s *server) {
-	if !s.checkPending {
-		s.checkPending = true
-		b.emit(Action{Kind: HealthCheck, Server: s.ID})
-	}
-}
-
-// stepHeld takes up the requests that wait for probes and keeps those that still do.
-func (b *Balancer) advanceWaiting() {
-	held := b.waitingForChecks
-	b.waitingForChecks = held[:0]
-	for _, r := range held {
-		b.advance(r)
-		if !r.done && r.holdUntil > b.now {
-			b.waitingForChecks = append(b.waitingForChecks, r)
-		}
-	}
+// fresh reports whether the last load report of a server is still valid.
+func (h *healthChecker) fresh(s *server) bool {
+	return s.reportedAt > 0 && h.now-s.reportedAt <= reportValidity*h.maxObjective
 }
 
-func (b *Balancer) waitsForChecks(r *request) bool {
+// holds reports whether a request still waits for a health check.
+func (h *healthChecker) holds(r *request) bool {
 	for _, s := range r.checked {
-		if s.checkPending && b.now < r.holdUntil { // never for long
+		if s.checkPending && h.now < r.checksUntil {
 			return true
 		}
 	}
-	r.holdUntil = 0
+	r.checksUntil = 0
 	return false
 }
 
-func (b *Balancer) onHealthCheckResult(ev HealthCheckResult) {
-	if s := b.byID[ev.Server]; s != nil {
-		s.checkPending = false
-		if ev.Result != LocalFailure {
-			b.recordHealthCheck(s, ev)
+// advanceWaiting calls advance for the requests that wait, and keeps those that still do.
+func (h *healthChecker) advanceWaiting(advance func(*request)) {
+	requests := h.waiting
+	h.waiting = requests[:0]
+	for _, r := range requests {
+		advance(r)
+		if r.state != requestAnswered && r.checksUntil > h.now {
+			h.waiting = append(h.waiting, r)
 		}
-		b.advanceWaiting()
 	}
 }
-
-func (r *request) hasChecked(s *server) bool {
-	for _, p := range r.checked {
-		if p == s {
-			return true
-		}
-	}
-	return false
-}
--- a/balance/health_check_test.go
+++ b/balance/health_check_test.go
@@ -81,7 +81,7 @@
 func TestHealthCheck_waitLimit(t *testing.T) {
 	g := newHarness(t, healthCheckConfig(), identicalServers(3)...)
 	id, _ := g.sendRequest(idempotentClass)
-	g.now = g.b.reqs[id].wakeAt
+	g.now = g.b.requests[id].wakeAt
 	if acts := g.handle(Timer{Token: uint64(id)}); !hasAction(acts, Send) || g.now > 1000+0.1*300 {
 		t.Fatalf("at %v: %+v", g.now, acts)
 	}
--- a/balance/idle_period_test.go
+++ b/balance/idle_period_test.go
@@ -59,7 +59,7 @@
 	g.now += 10_000
 	for _, id := range g.unanswered {
 		g.handle(Timer{Token: uint64(id)})
-		if r := g.b.reqs[id]; r != nil && r.liveAttempts > 0 {
+		if r := g.b.requests[id]; r != nil && r.liveAttempts > 0 {
 			g.endAttempt(id, 0, TimedOut, 10_000)
 		}
 	}
@@ -112,10 +112,10 @@
 					t.Fatal("the first request after the quiet time is not sent")
 				}
 				g.now++
-				s := g.b.reqs[id].attempts[0].server
+				s := g.b.requests[id].attempts[0].server
 				g.endAttempt(id, 0, Failed, 1)
-				if m := g.b.health(s); math.Abs(m-(1-penaltyPerError)) > 1e-9 || g.b.ejected(s) {
-					t.Errorf("after one error: multiplier %v, resting %v", m, g.b.ejected(s))
+				if m := g.b.picker.health(s); math.Abs(m-(1-penaltyPerError)) > 1e-9 || g.b.outliers.ejected(s) {
+					t.Errorf("after one error: multiplier %v, resting %v", m, g.b.outliers.ejected(s))
 				}
 			}
 			// What was learned of answers stays, so what is shed while nobody answers may differ a little.
@@ -135,7 +135,7 @@
 			drains.State = Draining
 			starts := Server{ID: 9, Rating: 1, Cell: 9, Zone: 9, StartedAt: g.now}
 			g.handle(ServerList{Kind: ListDelta, Rev: 2, Servers: []Server{drains, starts}})
-			if s := g.b.byID[9]; s == nil || !g.b.warmingUp(s) {
+			if s := g.b.byID[9]; s == nil || !g.b.slowStart.warmingUp(s) {
 				t.Fatal("the server that starts is not warmed up")
 			}
 			sent := map[ServerID]int{}
--- a/balance/learning.go
+++ b/balance/learning.go
@@ -1,48 +1,48 @@
 package balance
 
-// This file learns from answers how large servers are and how long the answers of each class take.
-
 import "math"
 
 const (
-	learnRate     = 0.01 // step of a server's size for each answer; its kind and zone move with half of it
-	maxSize       = 2.5  // bound of each learned logarithm of size
-	memory        = 300  // answers over which a class's mean and deviation are taken
-	earlyLearning = 24   // times faster that sizes are learned at first: restarted sidecars know none
+	sizeStep        = 0.01 // of a server's logarithm of size per answer; kind and zone move by half of it
+	maxSize         = 2.5  // bound of each learned logarithm of size
+	driftSamples    = 200  // answers over which the mean step of all servers is taken
+	initialSpeedUp  = 24   // factor by which steps are larger at the start, when no size is known; it fades
+	maxRelativeTime = 3    // time of a failed attempt, as a multiple of the mean of its class
 )
 
-// learnSize moves sizes until answers take equally long everywhere. What all servers share is load, not size.
-func (b *Balancer) learnSize(s *server, took float64) {
-	if b.warmingUp(s) {
-		return
-	}
-	step := math.Max(-2, 1-took)
-	b.drift += (step - b.drift) / 200
-	b.learned++
-	step = learnRate * (1 + earlyLearning/(1+b.learned/meanWindow)) * (step - b.drift)
-	s.size = bound(s.size+step, -maxSize, maxSize)
-	b.kindSizes[s.Kind] = bound(b.kindSizes[s.Kind]+step/2, -maxSize, maxSize)
-	b.zoneSizes[s.Zone] = bound(b.zoneSizes[s.Zone]+step/2, -maxSize, maxSize)
+// capacityModel learns from answers how large servers are. A size is the sum of three logarithms: of the
+// server, its kind and its zone. Each answer moves them by a step towards equal latencies; the mean step of
+// all servers, which comes from load and not from size, is taken off.
+type capacityModel struct {
+	*shared
+	slowStart *slowStart
+	kindSizes map[int]float64 // learned logarithm of size by kind
+	zoneSizes map[int]float64 // learned logarithm of size by zone
+	samples   float64         // answers learned from
+	drift     float64         // exponentially weighted mean of the steps
 }
 
-// add takes in an answer: of many the newest count, and each fades alike.
-func (c *classStats) add(took float64) {
-	c.n = math.Min(c.n+1, memory)
-	c.mean += (took - c.mean) / c.n
-	c.dev += (math.Abs(took-c.mean) - c.dev) / c.n
+func newCapacityModel(s *shared, slowStart *slowStart) *capacityModel {
+	return &capacityModel{
+		shared: s, slowStart: slowStart, kindSizes: map[int]float64{}, zoneSizes: map[int]float64{},
+	}
 }
 
-// decayingCounter counts events and forgets them exponentially.
-type decayingCounter struct{ n, at float64 }
-
-func (m *decayingCounter) add(now, span float64) { m.addPart(now, span, 1) }
-
-func (m *decayingCounter) addPart(now, span, part float64) {
-	m.n, m.at = m.n*math.Exp((m.at-now)/span)+part, now
+// learn takes in an answer whose latency is given as a multiple of the mean of its class.
+func (m *capacityModel) learn(s *server, relativeLatency float64) {
+	if m.slowStart.warmingUp(s) {
+		return
+	}
+	step := math.Max(-2, 1-relativeLatency)
+	m.drift += (step - m.drift) / driftSamples
+	m.samples++
+	step = sizeStep * (1 + initialSpeedUp/(1+m.samples/meanWindow)) * (step - m.drift)
+	s.size = bound(s.size+step, -maxSize, maxSize)
+	m.kindSizes[s.Kind] = bound(m.kindSizes[s.Kind]+step/2, -maxSize, maxSize)
+	m.zoneSizes[s.Zone] = bound(m.zoneSizes[s.Zone]+step/2, -maxSize, maxSize)
 }
 
-// rate is the number a millisecond since the start, some assumed ones included.
-func (m *decayingCounter) rate(now, start, span, assumed float64) float64 {
-	seen := math.Max(-math.Expm1((start-now)/span), minSpanFraction)
-	return (m.n*math.Exp((m.at-now)/span)/seen + assumed) / span
+// size is the learned size of a server; 1 where nothing is known.
+func (m *capacityModel) size(s *server) float64 {
+	return math.Exp(s.size + m.kindSizes[s.Kind] + m.zoneSizes[s.Zone])
 }
--- a/balance/limits_test.go
+++ b/balance/limits_test.go
@@ -104,7 +104,8 @@
 
 // bookkeeping are the files that take no decisions.
 var nonPolicyFiles = []string{
-	"api.go", "balance.go", "canary_budget.go", "events.go", "route_state.go", "settings.go", "state.go", "status.go",
+	"api.go", "balance.go", "balancer.go", "canary_budget.go", "errors.go", "request.go", "request_events.go", "route_state.go",
+	"server.go", "settings.go", "shared.go", "status.go",
 }
 
 // Each file of decisions is listed as policy in the deploy file, and stays short.
@@ -202,9 +203,9 @@
 		}
 	}
 	b := g.b
-	if len(b.reqs) > 1 || len(b.servers) != 5 || len(b.byID) != 5 || len(b.waitingForChecks) > 1 || cap(b.out) > 100 {
+	if len(b.requests) > 1 || len(b.servers) != 5 || len(b.byID) != 5 || len(b.health.waiting) > 1 || cap(b.actions) > 100 {
 		t.Fatalf("%d requests, %d servers, %d by ID, %d waiting, room for %d actions",
-			len(b.reqs), len(b.servers), len(b.byID), len(b.waitingForChecks), cap(b.out))
+			len(b.requests), len(b.servers), len(b.byID), len(b.health.waiting), cap(b.actions))
 	}
 }
 
--- a/balance/list.go
+++ b/balance/list.go
@@ -1,16 +1,16 @@
 package balance
 
-// This file decides what is believed of a server list, and which list service is asked. The list is the one
-// thing that all sidecars share: a wrong one empties a fleet faster than any crash.
+// This file decides what is believed of an endpoint list. All sidecars share the list, so a wrong one can
+// empty a fleet faster than any crash.
 //
-// Promise. What a list service tells of a server by name is obeyed, always: Gone and Terminating end new
-// sends at once. What a whole list leaves out is gone, too, unless Config.DoubtShare is set: then a list that
-// leaves out more than that share of the servers in use is doubted, and those stay in use for as long as
-// their own outcomes are good. With several list services (Config.Lists) the list never goes back in
-// revision: a copy that lags is left for the next.
+// What a list service says of a server by name is obeyed, always: Gone and Draining end new attempts at once.
+// What a full list leaves out is gone, too, unless Config.SuspectFraction is set. Then a list that leaves out
+// more than that fraction of the servers in use is suspect, and those servers stay in use for as long as
+// their own outcomes are good. With several list services (Config.ListServices) the list never goes back in
+// revision: a service that lags is left for the next.
 //
-// The way not taken: to ask several services and believe the majority. A half-loaded list is half-loaded
-// everywhere, and the calls would multiply with the fleet.
+// Alternative that was not taken: to ask several services and believe the majority. A list that is half
+// loaded is half loaded everywhere, and the calls would multiply with the size of the fleet.
 
 import (
 	"fmt"
@@ -20,389 +20,292 @@
 )
 
 const (
-	epochBits    = 28    // of a revision count within an epoch, as the list service numbers them; see EpochOf
-	minSuspected = 2     // servers that a list may leave out without being doubted
-	suspectLimit = 6e5   // ms for which a server that no list names is used; an empty list is never meant
-	historyTime  = 3e4   // ms of nothing but older lists after which they are another history, and taken
-	checkTime    = 15000 // ms between two looks at another list service, jittered by half
-	stuckTime    = 2000  // ms that a watch may take to tell what another service has told
-	backChecks   = 2     // good looks in a row before a watch returns to a nearer service
-	futureSlack  = 1000  // ms that a server's start may lie ahead of this sidecar's clock
+	epochBits    = 28 // of a revision that count within an epoch; see EpochOf
+	minSuspected = 2  // servers that a list must leave out to be suspect
+)
+
+const (
+	suspectLimit milliseconds = 600_000 // for which a server that no list names is used
+	historyTime  milliseconds = 30_000  // of nothing but older lists after which they count as a new history
+	futureSlack  milliseconds = 1000    // by which a server's start may lie ahead of this sidecar's clock
 )
 
 // EpochOf is the history that a revision belongs to: revisions of one epoch can be compared.
 func EpochOf(rev int64) int64 { return rev >> epochBits }
 
-// startList begins to ask: the nearest service is watched, and now and then another one is looked at.
-func (b *Balancer) startList() {
-	b.list.lastContact = b.now
-	if b.cfg.Subscribe {
-		b.watchList()
-	}
-	b.scheduleCheck()
-}
-
-func (b *Balancer) scheduleCheck() {
-	if b.cfg.ListServices <= 1 || b.list.checkScheduled {
-		return
-	}
-	b.list.checkScheduled = true
-	b.emit(Action{Kind: SetTimer, Token: checkTimer, At: checkTime * (0.5 + b.random())})
-}
+// endpointList decides what is believed of a server list, and which list service is watched.
+type endpointList struct {
+	*shared
+	locality  *locality
+	slowStart *slowStart
+	clock     *wallClock
 
-// check looks at another service: a watch that is alive but whose changes have stopped shows in nothing else,
-// and a nearer service that is back is found out before the watch returns to it.
-func (b *Balancer) check() {
-	if b.list.checkScheduled = false; b.cfg.ListServices <= 1 {
-		return
-	}
-	other := 0
-	if b.list.source == 0 {
-		other = 1 + int(b.random()*float64(b.cfg.ListServices-1))
-	}
-	b.emit(Action{Kind: Fetch, Source: other, After: -1})
-	b.scheduleCheck()
-}
+	rev           int64        // of the list held
+	lastContact   milliseconds // when a service last said anything
+	confirmedAt   milliseconds // when the service watched last said that it is the newest; -Inf: not yet
+	rejectedSince milliseconds // since when only older lists have come; 0: they have not
+	namedNone     bool         // the last complete list named no server
+	stale         bool         // no service has said anything for Config.StaleAfter
+	goneServers   bool         // servers are gone that must still be dropped, though no list said so
 
-// onStuckTimer: a look has found more than the watch had told, and it has had the time to tell it.
-func (b *Balancer) onStuckTimer() {
-	if b.list.aheadRev > b.list.watchRev {
-		b.switchWatch(b.list.aheadSource, "its changes have stopped")
-	}
+	source         int   // the service watched, by preference
+	watchRev       int64 // the newest revision from the service watched
+	failedPolls    int   // in a row
+	checkScheduled bool  // the timer of the next check of another service runs
+	aheadRev       int64 // the newest revision found at a check of another service ...
+	aheadSource    int   // ... and which service it was
+	goodChecks     int   // in a row, at which a nearer service was not behind
 }
 
-func (b *Balancer) switchWatch(source int, why string) {
-	b.log(fmt.Sprintf("list: watches service %d in place of %d: %s", source, b.list.source, why))
-	b.list.source, b.list.goodChecks, b.list.aheadRev, b.list.confirmedAt = source, 0, 0, math.Inf(-1)
-	b.watchList()
+// listing is a server's state in the endpoint list.
+type listing struct {
+	rank           float64      // position in this sidecar's own order
+	ownStart       milliseconds // its start on the balancer's clock
+	suspectedSince milliseconds // since when no list has named it; 0: one does
 }
 
-// onList takes in what a list service says.
-func (b *Balancer) onList(ev ServerList) {
+// onEvent takes in a list event and reports whether servers may have changed.
+func (l *endpointList) onEvent(ev ServerList) (changed bool) {
 	if ev.Kind == ListFailed {
-		if !ev.FromFetch { // a look that failed tells nothing
-			b.pollAgain(&ev)
+		if !ev.FromFetch {
+			l.pollAgain(&ev)
 		}
-		return
+		return false
 	}
 	if ev.Kind != ListCached {
-		b.list.lastContact = b.now
+		l.lastContact = l.now
 	}
-	b.updateStaleness()
+	l.updateStaleness()
 	if ev.Kind == ListAlive {
-		if !ev.FromFetch { // calls are answered again
-			b.list.failedPolls, b.list.confirmedAt = 0, b.now
+		if !ev.FromFetch {
+			l.failedPolls, l.confirmedAt = 0, l.now
 		}
-		return
+		return false
 	}
-	entries := b.normalizeEntries(ev.Servers)
-	later := ev.Rev > b.list.rev && EpochOf(ev.Rev) == EpochOf(b.list.rev)
-	if !b.acceptsList(&ev) {
-		b.applyRemovals(entries)
-		b.dropGone()
-		return
+	entries := l.normalizeEntries(ev.Servers)
+	sameHistory := ev.Rev > l.rev && EpochOf(ev.Rev) == EpochOf(l.rev)
+	if !l.accepts(&ev) {
+		l.applyRemovals(entries)
+		l.dropGone()
+		return true
 	}
-	if ev.Kind != ListDelta {
-		b.markUnlisted(entries, ev.Kind == ListFull)
+	l.hold(&ev)
+	if ev.Kind == ListDelta {
+		l.applyChanges(entries, sameHistory)
+	} else {
+		l.replace(entries, ev.Kind == ListFull, sameHistory)
 	}
-	b.takeIn(entries, later, ev.Kind == ListDelta)
 	if ev.Kind != ListCached {
-		b.list.confirmedAt = b.now
+		l.confirmedAt = l.now
 	}
+	return true
 }
 
-// acceptsList tells whether a list is newer than the one held. With one service it is at its word: its agent
-// knows best.
-func (b *Balancer) acceptsList(ev *ServerList) bool {
-	l := &b.list
-	if !ev.FromFetch { // from a list that is known at the start the watch begins, too
-		l.watchRev = max(l.watchRev, ev.Rev)
-	}
-	if ev.FromFetch {
-		if ev.Rev > l.aheadRev {
-			l.aheadRev, l.aheadSource = ev.Rev, ev.Source
-		}
-		if l.aheadRev > l.watchRev {
-			b.emit(Action{Kind: SetTimer, Token: stuckTimer, At: stuckTime})
-		}
-		if l.goodChecks++; ev.Rev < l.rev || ev.Source >= l.source { // it may be watched by now
-			l.goodChecks = 0
-		}
-		if l.goodChecks >= backChecks {
-			b.switchWatch(ev.Source, "the nearer one has all")
-		}
-	}
-	later := ev.Rev > l.rev && (ev.Kind == ListFull || EpochOf(ev.Rev) == EpochOf(l.rev))
-	if b.cfg.ListServices <= 1 || ev.Kind == ListCached || later {
-		return b.takeList(ev)
+// accepts reports whether a list replaces or changes the one held. With one list service all do.
+func (l *endpointList) accepts(ev *ServerList) bool {
+	l.compareServices(ev)
+	newer := ev.Rev > l.rev && (ev.Kind == ListFull || EpochOf(ev.Rev) == EpochOf(l.rev))
+	if l.cfg.ListServices <= 1 || ev.Kind == ListCached || newer {
+		return true
 	}
 	switch {
-	case ev.Rev == l.rev && ev.Kind == ListFull: // the same, told again; it may end a doubt
-		return b.takeList(ev)
+	case ev.Rev == l.rev && ev.Kind == ListFull: // the same list again: it may end a suspicion
+		return true
 	case ev.FromFetch || ev.Rev == l.rev:
-	case ev.Rev > l.rev: // changes of a history that this sidecar has not seen the beginning of
+	case ev.Rev > l.rev: // changes of a history whose beginning this sidecar does not hold
 		l.rev = 0
-		b.watchList()
-	case ev.Kind == ListFull && l.rejectedSince > 0 && b.now-l.rejectedSince > historyTime:
-		b.log(fmt.Sprintf("list: revision %d after %d, as nobody has a newer one", ev.Rev, l.rev))
-		l.watchRev, l.aheadRev = ev.Rev, ev.Rev
-		return b.takeList(ev)
+		l.watch()
 	case ev.Kind == ListFull:
-		if l.rejectedSince == 0 {
-			l.rejectedSince = b.now
-			b.log(fmt.Sprintf("list: service %d has an older one, %d before %d", ev.Source, ev.Rev, l.rev))
-		}
-		b.pollAgain(ev)
+		return l.acceptsOlder(ev)
 	}
 	return false
 }
 
-// pollAgain calls the next service after a growing, jittered pause; of several each is tried before it grows.
-// One that turns calls away has too many callers: pauses grow to three of the four times AskWithin that the
-// rules allow then. Config.LongestPause bounds all: on sockets a change soon counts as told, whatever failed.
-func (b *Balancer) pollAgain(ev *ServerList) {
-	lists := max(b.cfg.ListServices, 1)
-	round := b.list.failedPolls / lists
-	pause, maxPause := pollBackoff*float64(int(1)<<min(round, 4)), b.cfg.PollInterval/3
-	if ev.Busy {
-		pause, maxPause = pollBackoff*float64(int(1)<<min(2*round, 6)), 3*b.cfg.PollInterval
-	}
-	if ev.RetryAfter > 0 { // it says itself when
-		pause = 2 * ev.RetryAfter
+// acceptsOlder reports whether an older list is accepted. It is once no service has had a newer one for
+// historyTime: then the services have started a new history.
+func (l *endpointList) acceptsOlder(ev *ServerList) bool {
+	if l.rejectedSince > 0 && l.now-l.rejectedSince > historyTime {
+		l.log(fmt.Sprintf("list: revision %d accepted after %d: no service has a newer one", ev.Rev, l.rev))
+		l.watchRev, l.aheadRev = ev.Rev, ev.Rev
+		return true
 	}
-	for _, bound := range []float64{maxPause, b.cfg.MaxPollBackoff} {
-		if bound > 0 {
-			pause = math.Min(pause, bound)
-		}
+	if l.rejectedSince == 0 {
+		l.rejectedSince = l.now
+		l.log(fmt.Sprintf("list: revision %d of service %d rejected, %d is held", ev.Rev, ev.Source, l.rev))
 	}
-	b.list.failedPolls++
-	b.list.source = (b.list.source + 1) % lists
-	b.emit(Action{Kind: SetTimer, Token: listTimer, At: pause * (0.5 + b.random()/2)})
+	l.pollAgain(ev)
+	return false
 }
 
-// applyRemovals takes from a list that is not taken what it says of servers that go, unless they have started
-// again since: a start that is over never comes back, so this is true however old the list is.
-func (b *Balancer) applyRemovals(entries []Server) {
-	for i := range entries {
-		e := &entries[i]
-		if s := b.byID[e.ID]; s != nil && e.State > s.State && e.StartedAt >= s.StartedAt {
-			s.State = e.State
-		}
+// hold notes that a list was accepted.
+func (l *endpointList) hold(ev *ServerList) {
+	l.rev, l.rejectedSince = ev.Rev, 0
+	if !ev.FromFetch && ev.Kind != ListCached {
+		l.failedPolls = 0
 	}
 }
 
-// normalizeEntries leaves one entry of each server, and of each place but one that is ready: one bad entry
-// never costs the list. Of two with one name the one that wants less counts (Gone, Draining, Ready), else the
-// later start. Of two names in one place the one that started later is there; the other is used no more until
-// it has a place of its own. What has no place cannot be called: it is as good as draining.
-func (b *Balancer) normalizeEntries(servers []Server) []Server {
-	out := make([]Server, 0, len(servers))
-	at := make(map[ServerID]int, len(servers))
-	for _, s := range servers {
-		if s.AddressKey == NoAddress && s.State == Ready {
-			s.State = Draining
-		}
-		if !(s.Rating > 0) || math.IsInf(s.Rating, 0) {
-			s.Rating = 1
-		}
-		i, twice := at[s.ID]
-		switch {
-		case !twice:
-			at[s.ID] = len(out)
-			out = append(out, s)
-		case s.State > out[i].State || s.State == out[i].State && b.startOf(&s) > b.startOf(&out[i]):
-			out[i] = s
-		}
-	}
-	holder := make(map[uint64]int, len(out))
-	for i := range out {
-		s := &out[i]
-		if s.State != Ready || s.AddressKey == 0 {
-			continue
-		}
-		j, taken := holder[s.AddressKey]
-		switch other := &out[max(j, 0)]; {
-		case !taken:
-			holder[s.AddressKey] = i
-		case b.startOf(s) > b.startOf(other) || b.startOf(s) == b.startOf(other) && s.ID < other.ID:
-			other.State, holder[s.AddressKey] = Draining, i
-		default:
-			s.State = Draining
-		}
+// replace puts the entries of a complete list in place of those held.
+func (l *endpointList) replace(entries []Server, maySuspect, sameHistory bool) {
+	l.markUnlisted(entries, maySuspect)
+	for i := range entries {
+		l.update(&entries[i], sameHistory)
 	}
-	return out
+	l.dropGone()
 }
 
-// markUnlisted: what a whole list does not name is gone, or doubted.
-func (b *Balancer) markUnlisted(entries []Server, maySuspect bool) {
-	listed := make(map[ServerID]bool, len(entries))
+// applyChanges takes in changed entries. It leaves servers and zones as dropGone would, but walks over the
+// named servers alone: a fleet has thousands.
+func (l *endpointList) applyChanges(entries []Server, sameHistory bool) {
 	for i := range entries {
-		listed[entries[i].ID] = true
+		l.applyChange(&entries[i], sameHistory)
 	}
-	left, used := 0, 0
-	for _, s := range b.servers {
+}
+
+// applyChange takes in one changed entry and moves its server alone.
+func (l *endpointList) applyChange(entry *Server, sameHistory bool) {
+	s, at := l.byID[entry.ID], len(l.servers)
+	known, oldRank := s != nil, 0.0
+	if known {
+		at, oldRank = l.indexOf(s), s.rank
 		if s.State == Ready {
-			if used++; !listed[s.ID] {
-				left++
-			}
+			s.zone.ready--
 		}
 	}
-	b.list.namedNone = len(entries) == 0
-	limit := b.cfg.SuspectFraction * float64(used)
-	maySuspect = maySuspect && limit > 0 && left >= minSuspected && float64(left) > limit
-	if maySuspect {
-		b.log(fmt.Sprintf("list: %d of %d servers are left out; they stay while they answer", left, used))
-		b.emit(Action{Kind: SetTimer, Token: suspectTimer, At: suspectLimit})
+	l.update(entry, sameHistory)
+	if s = l.byID[entry.ID]; s == nil { // gone before it was known
+		return
 	}
-	for _, s := range b.servers {
-		switch {
-		case listed[s.ID]:
-		case !maySuspect || s.State != Ready:
-			s.State = Gone
-		case s.suspectedSince == 0:
-			s.suspectedSince = b.now
-		}
+	if s.State == Ready {
+		s.zone.ready++
 	}
-}
-
-// endDoubt drops a doubted server: the list was right about it.
-func (b *Balancer) endSuspicion(s *server) {
-	s.State = Gone
-	b.list.removalPending = true
-	b.emit(Action{Kind: Forget, Server: s.ID})
-}
-
-// onDoubtTimer drops what no list has named for long, unless the list names nobody at all.
-func (b *Balancer) onSuspectTimer() {
-	for _, s := range b.servers {
-		if s.suspectedSince > 0 && b.now-s.suspectedSince >= suspectLimit && !b.list.namedNone {
-			b.endSuspicion(s)
-		}
+	if known && s.State != Gone && s.rank == oldRank {
+		return
 	}
-}
-
-// freshen follows whether the list is stale.
-func (b *Balancer) updateStaleness() {
-	stale := b.cfg.StaleAfter > 0 && b.now-b.list.lastContact > b.cfg.StaleAfter
-	if stale != b.list.stale {
-		b.list.stale = stale
-		b.log(fmt.Sprintf("list: stale %v, nothing heard for %.1f s", stale, (b.now-b.list.lastContact)/1000))
+	l.servers = slices.Delete(l.servers, at, at+1)
+	if s.State == Gone {
+		delete(l.byID, s.ID)
+		return
 	}
+	at = sort.Search(len(l.servers), func(i int) bool { return l.servers[i].rank > s.rank })
+	l.servers = slices.Insert(l.servers, at, s)
 }
 
-// update takes in one entry. A restart clears what was held against it, another place what was held against
-// the old one. A start that lies in the future is of a clock that is off: the server counts as started now.
-func (b *Balancer) update(entry *Server, later bool) {
-	s := b.byID[entry.ID]
+// update takes in one entry. A restart clears what was held against the server, another address what was held
+// against the old one.
+func (l *endpointList) update(entry *Server, sameHistory bool) {
+	s := l.byID[entry.ID]
 	if s == nil {
 		if entry.State == Gone {
 			return
 		}
-		// A random start keeps sidecars that begin together from choosing in step.
-		s = &server{
-			running: maxInitialRunning * b.random(), slowStartAt: math.Inf(-1), evidenceAt: math.Inf(-1),
-		}
-		b.byID[entry.ID] = s
-		b.servers = append(b.servers, s)
+		s = l.add(entry.ID)
 	}
-	if since, again := b.restarted(s, entry, later); again {
+	if since, again := l.clock.restarted(s, entry, l.confirmedAt, sameHistory); again {
 		s.pardon()
 		s.running = 0
-		b.beginSlowStart(s, since)
+		l.slowStart.begin(s, since)
 	} else if entry.AddressKey != s.AddressKey {
 		s.pardon()
 	}
-	s.Server, s.suspectedSince, s.zone = *entry, 0, b.zone(entry.Zone)
-	s.rank = b.rank(s)
+	s.Server, s.suspectedSince, s.zone = *entry, 0, l.locality.zone(entry.Zone)
+	s.rank = l.rankOf(s)
 }
 
-const (
-	pollBackoff = 500 // ms before a failed list call is made again; grows each time
-)
-
-// listState is what a balancer knows of its list services.
-type listState struct {
-	rev            int64   // of the list held
-	lastContact    float64 // when a service said anything last
-	confirmedAt    float64 // when the service watched last told that this list is the newest; -Inf: not yet
-	source         int     // the service watched, by preference
-	watchRev       int64   // the last revision that the watch told
-	aheadRev       int64   // the newest revision that another service had at a look
-	aheadSource    int     // ... and which one
-	goodChecks     int     // looks in a row at which a nearer service had all
-	rejectedSince  float64 // since when only older lists have come; 0: they have not
-	namedNone      bool    // the last whole list named nobody
-	stale          bool    // it has been said that the list is stale
-	removalPending bool    // servers are gone that no list told of
-	checkScheduled bool    // the timer of the next look at another service runs
-	failedPolls    int     // failed list calls in a row
+// add starts to keep a server. Its random running value keeps sidecars that start together from picking in
+// step.
+func (l *endpointList) add(id ServerID) *server {
+	s := &server{evidenceAt: math.Inf(-1)}
+	s.running = maxInitialRunning * l.random()
+	s.slowStartAt = math.Inf(-1)
+	l.byID[id] = s
+	l.servers = append(l.servers, s)
+	return s
 }
 
-// takeIn takes in entries. Of changes it leaves servers and zones as dropGone would, without a look at those
-// that are not named: with thousands of servers a walk over all of them at each change was most of what a
-// sidecar did.
-func (b *Balancer) takeIn(entries []Server, later, changes bool) {
-	b.maxOtherRunning = math.Max(b.maxOtherRunning, maxInitialRunning)
-	if !changes {
-		for i := range entries {
-			b.update(&entries[i], later)
+// dropGone forgets servers that are gone, sorts the others by rank and counts the ready servers of each zone.
+func (l *endpointList) dropGone() {
+	for _, z := range l.locality.zones {
+		z.ready = 0
+	}
+	remaining := l.servers[:0]
+	for _, s := range l.servers {
+		if s.State == Gone {
+			delete(l.byID, s.ID)
+			continue
+		}
+		remaining = append(remaining, s)
+		if s.State == Ready {
+			s.zone.ready++
 		}
-		b.dropGone()
-		return
-	}
-	for i := range entries {
-		b.change(&entries[i], later)
 	}
-	if b.routes != nil {
-		b.regroup(b.routes)
+	l.servers = remaining
+	sort.Slice(remaining, func(i, j int) bool { return remaining[i].rank < remaining[j].rank })
+}
+
+// indexOf finds a server among those listed.
+func (l *endpointList) indexOf(s *server) int {
+	at := sort.Search(len(l.servers), func(i int) bool { return l.servers[i].rank >= s.rank })
+	for l.servers[at] != s { // another one of the same rank
+		at++
 	}
+	return at
 }
 
-// change takes in one changed entry and moves its server alone.
-func (b *Balancer) change(entry *Server, later bool) {
-	s, at := b.byID[entry.ID], len(b.servers)
-	known, rank := s != nil, 0.0
-	if known {
-		at, rank = b.indexOf(s), s.rank
+// markUnlisted takes in which servers a complete list leaves out: they are gone, or suspected.
+func (l *endpointList) markUnlisted(entries []Server, maySuspect bool) {
+	listed := make(map[ServerID]bool, len(entries))
+	for i := range entries {
+		listed[entries[i].ID] = true
+	}
+	unlisted, inUse := 0, 0
+	for _, s := range l.servers {
 		if s.State == Ready {
-			s.zone.ready--
+			if inUse++; !listed[s.ID] {
+				unlisted++
+			}
 		}
 	}
-	b.update(entry, later)
-	if s = b.byID[entry.ID]; s == nil { // gone before it was known
-		return
+	l.namedNone = len(entries) == 0
+	limit := l.cfg.SuspectFraction * float64(inUse)
+	suspect := maySuspect && limit > 0 && unlisted >= minSuspected && float64(unlisted) > limit
+	if suspect {
+		l.log(fmt.Sprintf("list: %d of %d servers are left out, and stay while they answer", unlisted, inUse))
+		l.emit(Action{Kind: SetTimer, Token: suspectTimer, At: suspectLimit})
 	}
-	if s.State == Ready {
-		s.zone.ready++
-	}
-	if known && s.State != Gone && s.rank == rank {
-		return
-	}
-	b.servers = slices.Delete(b.servers, at, at+1)
-	if s.State == Gone {
-		delete(b.byID, s.ID)
-		return
+	for _, s := range l.servers {
+		switch {
+		case listed[s.ID]:
+		case !suspect || s.State != Ready:
+			s.State = Gone
+		case s.suspectedSince == 0:
+			s.suspectedSince = l.now
+		}
 	}
-	at = sort.Search(len(b.servers), func(i int) bool { return b.servers[i].rank > s.rank })
-	b.servers = slices.Insert(b.servers, at, s)
 }
 
-func (b *Balancer) takeList(ev *ServerList) bool {
-	b.list.rev, b.list.rejectedSince = ev.Rev, 0
-	if !ev.FromFetch && ev.Kind != ListCached {
-		b.list.failedPolls = 0
-	}
-	return true
+// endSuspicion drops a suspected server: the list was right about it.
+func (l *endpointList) endSuspicion(s *server) {
+	s.State = Gone
+	l.goneServers = true
+	l.emit(Action{Kind: Forget, Server: s.ID})
 }
 
-func (b *Balancer) watchList() {
-	b.list.watchRev = b.list.rev
-	b.emit(Action{Kind: Watch, Source: b.list.source, After: b.list.rev})
+// onSuspectTimer drops the servers that no list has named for suspectLimit, unless the list names none at
+// all: an empty list is never meant.
+func (l *endpointList) onSuspectTimer() {
+	for _, s := range l.servers {
+		if s.suspectedSince > 0 && l.now-s.suspectedSince >= suspectLimit && !l.namedNone {
+			l.endSuspicion(s)
+		}
+	}
 }
 
-// setServiceCount takes in that there are more or fewer services.
-func (b *Balancer) setServiceCount(lists int) {
-	b.cfg.ListServices = lists
-	b.list.source = min(b.list.source, max(lists-1, 0))
-	b.scheduleCheck()
+// updateStaleness follows whether the list is stale.
+func (l *endpointList) updateStaleness() {
+	stale := l.cfg.StaleAfter > 0 && l.now-l.lastContact > l.cfg.StaleAfter
+	if stale != l.stale {
+		l.stale = stale
+		l.log(fmt.Sprintf("list: stale %v, last contact %.1f s ago", stale, (l.now-l.lastContact)/1000))
+	}
 }
--- /dev/null
+++ b/balance/list_entries.go
@@ -0,0 +1,78 @@
+package balance
+
+import "math"
+
+// normalizeEntries returns one entry for each server, and at most one ready server for each address, so that
+// a bad entry never costs the list. A server without an address cannot be called and counts as draining.
+func (l *endpointList) normalizeEntries(servers []Server) []Server {
+	entries := make([]Server, 0, len(servers))
+	index := make(map[ServerID]int, len(servers))
+	for _, s := range servers {
+		if s.AddressKey == NoAddress && s.State == Ready {
+			s.State = Draining
+		}
+		if !(s.Rating > 0) || math.IsInf(s.Rating, 0) {
+			s.Rating = 1
+		}
+		i, repeated := index[s.ID]
+		switch {
+		case !repeated:
+			index[s.ID] = len(entries)
+			entries = append(entries, s)
+		case l.replaces(&s, &entries[i]):
+			entries[i] = s
+		}
+	}
+	l.separateAddresses(entries)
+	return entries
+}
+
+// replaces reports whether an entry counts in place of another one with the same ID: if it is further on its
+// way out (Gone before Draining before Ready), or else started later.
+func (l *endpointList) replaces(entry, other *Server) bool {
+	return entry.State > other.State || entry.State == other.State && l.startOf(entry) > l.startOf(other)
+}
+
+// separateAddresses leaves one ready server for each address: the one that started last. The others count as
+// draining until they have an address of their own.
+func (l *endpointList) separateAddresses(entries []Server) {
+	holders := make(map[uint64]int, len(entries))
+	for i := range entries {
+		s := &entries[i]
+		if s.State != Ready || s.AddressKey == 0 {
+			continue
+		}
+		j, held := holders[s.AddressKey]
+		switch other := &entries[max(j, 0)]; {
+		case !held:
+			holders[s.AddressKey] = i
+		case l.startOf(s) > l.startOf(other) || l.startOf(s) == l.startOf(other) && s.ID < other.ID:
+			other.State, holders[s.AddressKey] = Draining, i
+		default:
+			s.State = Draining
+		}
+	}
+}
+
+// startOf returns the start by which an entry is compared with others: as the list has it, or on the
+// balancer's own clock once a step of the wall clock was noticed.
+func (l *endpointList) startOf(entry *Server) milliseconds {
+	if !l.clock.known() {
+		return entry.StartedAt
+	}
+	if s := l.byID[entry.ID]; s != nil && s.StartedAt == entry.StartedAt {
+		return s.ownStart
+	}
+	return l.clock.latestStart(entry.StartedAt)
+}
+
+// applyRemovals takes in which servers go by a list that was not accepted, unless they have started again
+// since. A server never comes back from the end of a start, so this holds however old the list is.
+func (l *endpointList) applyRemovals(entries []Server) {
+	for i := range entries {
+		e := &entries[i]
+		if s := l.byID[e.ID]; s != nil && e.State > s.State && e.StartedAt >= s.StartedAt {
+			s.State = e.State
+		}
+	}
+}
--- a/balance/list_watch_test.go
+++ b/balance/list_watch_test.go
@@ -11,7 +11,7 @@
 	var order []int
 	for i := range 6 {
 		acts := g.handle(ServerList{Kind: ListFailed, Source: g.b.list.source})
-		if at := findAction(acts, SetTimer).At; i < 3 && at > pollBackoff {
+		if at := findAction(acts, SetTimer).At; i < 3 && at > minPollBackoff {
 			t.Errorf("call %d is made %v ms later", i, at)
 		}
 		g.now += findAction(acts, SetTimer).At
@@ -49,10 +49,10 @@
 	if w := findAction(g.fireTimer(stuckTimer), Watch); w == nil || w.Source != 1 {
 		t.Fatalf("a watch whose changes have stopped is kept: %+v", w)
 	}
-	for i := range backChecks {
+	for i := range goodChecksToReturn {
 		look(0)
 		w := findAction(g.handle(ServerList{Kind: ListFull, Rev: 9, FromFetch: true, Servers: identicalServers(5)}), Watch)
-		if last := i == backChecks-1; (w != nil) != last || last && w.Source != 0 {
+		if last := i == goodChecksToReturn-1; (w != nil) != last || last && w.Source != 0 {
 			t.Fatalf("look %d at the nearer one: %+v", i, w)
 		}
 	}
@@ -93,7 +93,7 @@
 	rest := func() float64 {
 		s.ejections, s.processDown = 10, true
 		g.b.now = g.now
-		g.b.eject(s)
+		g.b.outliers.eject(s)
 		return s.ejectedUntil - g.now
 	}
 	fresh := rest()
@@ -125,12 +125,12 @@
 	for range 4 {
 		last = pause()
 	}
-	if last <= pollBackoff {
+	if last <= minPollBackoff {
 		t.Fatalf("the fourth pause in a row is %v ms", last)
 	}
 	g.handle(ServerList{Kind: ListAlive})
-	if got := pause(); got > pollBackoff {
-		t.Errorf("after a word the next pause is %v ms, want at most %v", got, pollBackoff)
+	if got := pause(); got > minPollBackoff {
+		t.Errorf("after a word the next pause is %v ms, want at most %v", got, minPollBackoff)
 	}
 }
 
@@ -198,7 +198,7 @@
 				t.Fatal("not asked again")
 			}
 		}
-		if pauses[5] < c.most/2 || pauses[0] > pollBackoff || len(g.b.servers) != 3 {
+		if pauses[5] < c.most/2 || pauses[0] > minPollBackoff || len(g.b.servers) != 3 {
 			t.Fatalf("busy %v: pauses %v, %d servers", c.busy, pauses, len(g.b.servers))
 		}
 	}
--- a/balance/local_failure_test.go
+++ b/balance/local_failure_test.go
@@ -21,7 +21,7 @@
 // wait lets the time of a request's next timer come, and tells how long that was.
 func (g *harness) fireNextTimer(id RequestID) (acts []Action, waited float64) {
 	g.t.Helper()
-	due := g.b.reqs[id].wakeAt
+	due := g.b.requests[id].wakeAt
 	if math.IsInf(due, 1) {
 		g.t.Fatalf("request %d waits for nothing", id)
 	}
--- a/balance/locality_test.go
+++ b/balance/locality_test.go
@@ -49,7 +49,7 @@
 
 // zoneOf is the zone of the last attempt of a request.
 func (g *harness) lastZone(id RequestID) int {
-	r := g.b.reqs[id]
+	r := g.b.requests[id]
 	return r.attempts[len(r.attempts)-1].server.Zone
 }
 
@@ -61,8 +61,8 @@
 	for range n {
 		g.now += every
 		id, _ := g.sendRequest(idempotentClass)
-		for attempt := 0; g.b.reqs[id] != nil && attempt < len(g.b.reqs[id].attempts); attempt++ {
-			s := g.b.reqs[id].attempts[attempt].server
+		for attempt := 0; g.b.requests[id] != nil && attempt < len(g.b.requests[id].attempts); attempt++ {
+			s := g.b.requests[id].attempts[attempt].server
 			if attempt == 0 {
 				first[s.Zone]++
 			}
@@ -127,10 +127,10 @@
 		need   int
 	}{{ConnectFailed, 120, 2}, {ConnectFailed, 1, 4}, {Reset, 30, 4}, {Failed, 5, 4}} {
 		g := newZoneHarness(t, nil, 8, 8)
-		g.b.zones[0].answer, g.b.zones[1].answer = g.now, g.now+1
+		g.b.locality.zones[0].answeredAt, g.b.locality.zones[1].answeredAt = g.now, g.now+1
 		n := 0
 		for _, s := range g.b.servers {
-			if s.Zone != 0 || g.b.zones[0].left {
+			if s.Zone != 0 || g.b.locality.zones[0].left {
 				continue
 			}
 			g.now++
@@ -139,13 +139,13 @@
 			if c.result == ConnectFailed && c.took >= 60 {
 				weight = 1
 			}
-			g.b.recordFailure(s, c.result == ConnectFailed, weight)
-			g.b.recordFailure(s, c.result == ConnectFailed, weight) // a server is one witness, however often it fails
-			g.b.answered(g.b.zones[1], false, 0.1)
+			g.b.outliers.recordFailure(s, c.result == ConnectFailed, weight)
+			g.b.outliers.recordFailure(s, c.result == ConnectFailed, weight) // a server is one witness, however often it fails
+			g.b.locality.recordAnswer(g.b.locality.zones[1], false, 0.1)
 			n++
 		}
-		if n != c.need || !g.b.zones[0].left {
-			t.Errorf("%+v: left %v after %d servers", c, g.b.zones[0].left, n)
+		if n != c.need || !g.b.locality.zones[0].left {
+			t.Errorf("%+v: left %v after %d servers", c, g.b.locality.zones[0].left, n)
 		}
 	}
 }
@@ -186,7 +186,7 @@
 func TestLocality_zoneReturn(t *testing.T) {
 	g := newZoneHarness(t, nil, 8, 8)
 	g.playRequests(20, 20, failZone(0))
-	z := g.b.zones[0]
+	z := g.b.locality.zones[0]
 	if z.id != 0 || !z.left {
 		t.Fatalf("%+v", z)
 	}
@@ -221,8 +221,8 @@
 		g.endAttempt(there[0], 0, OK, 50)
 		there = there[1:]
 		fill()
-		if z.left && int(z.out) != want {
-			t.Fatalf("after %d good answers %g requests are there", want, z.out)
+		if z.left && int(z.trials) != want {
+			t.Fatalf("after %d good answers %g requests are there", want, z.trials)
 		}
 	}
 	if !z.left {
@@ -244,7 +244,7 @@
 		var last float64
 		for range 2000 {
 			g.playRequests(1, 30, failZone(0))
-			if z := g.b.zones[0]; z.left && z.leftUntil != last {
+			if z := g.b.locality.zones[0]; z.left && z.leftUntil != last {
 				last = z.leftUntil
 				pauses = append(pauses, z.leftUntil-g.now)
 			}
@@ -269,20 +269,20 @@
 func TestLocality_falseAlarmRate(t *testing.T) {
 	const servers, sick, meetings = 64, 8, 100000
 	g := newZoneHarness(t, nil, servers, servers)
-	z, other := g.b.zone(0), g.b.zone(1)
+	z, other := g.b.locality.zone(0), g.b.locality.zone(1)
 	r := rand.New(rand.NewPCG(1, 2))
 	left := 0
 	for range meetings {
 		g.b.now++
-		g.b.answered(other, false, 0.1)
+		g.b.locality.recordAnswer(other, false, 0.1)
 		if s := g.b.byID[ServerID(1+r.IntN(servers))]; s.ID <= sick {
-			g.b.addEvidence(s, 1)
+			g.b.locality.addEvidence(s, 1)
 		} else {
-			g.b.answered(z, false, 0.1)
+			g.b.locality.recordAnswer(z, false, 0.1)
 		}
 		if z.left {
 			left++
-			z.left, z.evidence, z.cleared = false, 0, g.b.now
+			z.left, z.evidence, z.clearedAt = false, 0, g.b.now
 		}
 	}
 	const q = float64(sick) / servers
@@ -358,23 +358,23 @@
 func TestLocality_zoneReturnOfStreams(t *testing.T) {
 	g := newZoneHarness(t, nil, 8, 8)
 	g.playRequests(5, 20, failZone(0))
-	z := g.b.zones[0]
+	z := g.b.locality.zones[0]
 	g.now = z.leftUntil + 1
 	for _, s := range g.b.servers {
 		s.ejectedUntil = 0
 	}
 	for n := 1; n < 8; n++ {
-		for i := 0; z.out == 0 && i < 20; i++ {
+		for i := 0; z.trials == 0 && i < 20; i++ {
 			id, acts := g.sendRequest(idempotentClass)
 			if hasAction(acts, Send) && g.lastZone(id) != 0 {
 				g.endAttempt(id, 0, OK, 50)
 			}
 		}
-		if z.out != 1 {
-			t.Fatalf("%g trials out after %d long answers have begun", z.out, n-1)
+		if z.trials != 1 {
+			t.Fatalf("%g trials out after %d long answers have begun", z.trials, n-1)
 		}
-		g.handle(AnswerStarted{Request: g.lastID, Server: g.b.reqs[g.lastID].attempts[0].server.ID, Elapsed: 50})
-		if z.out != 0 || z.admitLimit != float64(n) {
+		g.handle(AnswerStarted{Request: g.lastID, Server: g.b.requests[g.lastID].attempts[0].server.ID, Elapsed: 50})
+		if z.trials != 0 || z.admitLimit != float64(n) {
 			t.Fatalf("%+v after %d answers have begun", z, n)
 		}
 	}
--- a/balance/pick.go
+++ b/balance/pick.go
@@ -1,67 +1,143 @@
 package balance
 
-// This file picks the server of an attempt: smooth weighted round robin, and for a retry the healthiest
-// untried one.
+import "math"
 
-import (
-	"math"
-	"sort"
+const (
+	penaltyPerError = 0.2  // of the multiplier m for each consecutive error
+	minHealth       = 0.25 // of the multiplier m, so that a server that has recovered is found again
+	loadHeadroom    = 0.4  // multiple of its share of the load above which a server is passed over
+	minRotation     = 4    // servers in the rotation
 )
 
 const (
-	halfLife        = 5000 // ms; errors lose half their weight in this time: faults last seconds
-	penaltyPerError = 0.2  // m lost for each consecutive error
-	healthFloor     = 0.25 // m never falls below this, so that a recovered server is found again
-	loadHeadroom    = 0.4  // a server above this multiple of its share in flight is passed over
-	rotationPeriod  = 1000 // ms in which each server of the rotation should get a request
-	minRotation     = 4    // servers in the rotation of the least sidecar
-	zonePreference  = 200  // how much earlier servers of a nearer tier come in the order, times the price
+	halfLife       milliseconds = 5000 // of the weight of an error and of the latency of a tier
+	rotationPeriod milliseconds = 1000 // in which each server of the rotation should get a request
 )
 
-// pick chooses the server of an attempt: by smooth weighted round robin, or for a retry the healthiest
-// untried server. It returns nil while no server may get the request.
-func (b *Balancer) pick(r *request, retry bool) *server {
-	begin := 0
-	if !retry {
-		begin = b.startTier()
-	}
-	if w := b.routeOf(r); w != nil {
-		return b.pickAlong(&routePick{tenantRoute: w, r: r, retry: retry, startTier: begin})
-	}
-	total := b.weighCandidates(r, retry, false)
+// picker picks the server of an attempt. First attempts go by smooth weighted round robin (SWRR): at each
+// pick the running value of each candidate grows by its weight, the largest is picked and loses the sum of
+// all weights. A retry goes to the healthiest server that the request has not tried. Bounded load passes over
+// servers that hold more than their share of the requests in flight.
+type picker struct {
+	*shared
+	demand    *demand
+	slowStart *slowStart
+	capacity  *capacityModel
+	locality  *locality
+	outliers  *outlierDetector
+	reports   *healthChecker
+
+	candidates      []*server     // of the last pick: those with a weight, in the order of servers
+	pool            candidatePool // sums over the candidates of the last first attempt
+	maxOtherRunning float64       // no running value of the other servers is above it
+	alongRoute      bool          // a pick along a route is under way
+}
+
+// candidacy is a server's part in the current pick.
+type candidacy struct {
+	running      float64 // SWRR running value
+	weight       float64 // 0: it is no candidate
+	loadKnown    bool    // its load is known as well as that of any candidate
+	outsideGroup bool    // it is in another group of the route
+	savedRunning float64 // running value outside routes
+}
+
+// candidatePool sums up the candidates of first attempts.
+type candidatePool struct {
+	weight    float64 // sum of weights
+	maxWarmth float64 // largest mean warmth of late; it decays to the present one
+	cooling   float64 // mean warmth as a part of maxWarmth
+	at        milliseconds
+}
+
+// update takes in the candidates of one more first attempt.
+func (p *candidatePool) update(now, span milliseconds, weight, warmth float64) {
+	p.maxWarmth = warmth + math.Max(0, p.maxWarmth-warmth)*math.Exp((p.at-now)/span)
+	p.weight, p.at, p.cooling = weight, now, warmth/p.maxWarmth
+}
+
+// pick returns the server for an attempt of a request, nil if there is none now.
+func (p *picker) pick(r *request, retry bool, firstTier int) *server {
+	total := p.weighCandidates(r, retry, false)
 	if total == 0 { // all are ejected: the cause is hardly theirs
-		total = b.weighCandidates(r, retry, true)
+		total = p.weighCandidates(r, retry, true)
 	}
-	best, _ := b.chooseCandidate(r, retry, begin, total)
+	best, _ := p.chooseCandidate(r, retry, firstTier, total)
 	return best
 }
 
-// chooseCandidate picks one of the servers that weighCandidates has weighed, and returns its level (see
-// level).
-func (b *Balancer) chooseCandidate(r *request, retry bool, begin int, total float64) (*server, int) {
-	held, knownWeight := 1.0, 0.0
-	for _, s := range b.candidates {
-		if s.loadKnown {
-			held += b.holds(s)
-			knownWeight += s.weight
+// rotationSize is how many servers the rotation goes over at a rate of requests: the first ones by rank, so
+// many that each is used often. It bounds the connections of a sidecar and lets it learn about its servers.
+func rotationSize(rate float64) int {
+	return max(minRotation, int(rotationPeriod*rate))
+}
+
+// weighCandidates sets the weights for a pick and returns their sum. For a first attempt it lets the running
+// values grow. For a retry as many servers again come from zones without evidence against them.
+func (p *picker) weighCandidates(r *request, retry, withEjected bool) float64 {
+	size := rotationSize(p.demand.rate())
+	remaining, remainingHealthyZones := size, size
+	total, warmTotal := 0.0, 0.0
+	p.clearCandidates()
+	for _, s := range p.servers {
+		if remaining == 0 && (!retry || remainingHealthyZones == 0) {
+			break
+		}
+		places := &remaining
+		if retry && s.zone.evidence == 0 {
+			places = &remainingHealthyZones
+		}
+		unfit := p.outliers.ejected(s) || !p.locality.admits(r, s.zone)
+		if s.outsideGroup || *places == 0 || !p.eligible(r, s) || unfit && !withEjected {
+			continue
 		}
+		*places--
+		s.weight = p.weight(s)
+		p.candidates = append(p.candidates, s)
+		total += s.weight
+		warmTotal += s.weight / p.slowStart.warmth(s)
+	}
+	p.markKnownLoads()
+	if !retry {
+		p.grow(total, warmTotal)
+	}
+	return total
+}
+
+// markKnownLoads marks the candidates with a fresh load report; without any, this process's own requests in
+// flight are all that is known of each.
+func (p *picker) markKnownLoads() {
+	reported := false
+	for _, s := range p.candidates {
+		s.loadKnown = p.reports.fresh(s)
+		reported = reported || s.loadKnown
 	}
+	for _, s := range p.candidates {
+		s.loadKnown = s.loadKnown || !reported
+	}
+}
+
+// chooseCandidate picks one of the candidates and returns its level (see locality.level).
+func (p *picker) chooseCandidate(r *request, retry bool, firstTier int, total float64) (*server, int) {
+	knownLoad, knownWeight := p.sumKnownLoads()
 	var best *server
 	lowestLevel := 0
-	for _, s := range b.candidates {
-		if b.warmingUp(s) && !b.slowStartBudget(s) {
+	for _, s := range p.candidates {
+		if p.slowStart.warmingUp(s) && !p.withinBudget(s) {
 			continue
 		}
-		// Bounded load: a server that holds more than its share is slow, hung or filled by others, whatever
-		// its errors say. It is passed over and keeps its running value for later.
-		over := !s.loadKnown || b.holds(s)+1 > math.Ceil(loadHeadroom*held*s.weight/knownWeight)
+		// Bounded load: a server above its share is slow, hung or filled by others, whatever its errors say.
+		// It keeps its running value for later.
+		load := p.load(s)
+		overShare := !s.loadKnown || load+1 > math.Ceil(loadHeadroom*knownLoad*s.weight/knownWeight)
 		level := 0
 		if !retry {
-			level = b.level(r, s, begin, over)
-		} else if over {
+			level = p.locality.level(r, s, firstTier, overShare, load)
+		} else if overShare {
 			level = 1
 		}
-		if best == nil || level < lowestLevel || level == lowestLevel && b.preferred(s, best, retry, over) {
+		better := best == nil || level < lowestLevel
+		if better || level == lowestLevel && p.preferred(s, best, retry, overShare) {
 			best, lowestLevel = s, level
 		}
 	}
@@ -71,76 +147,50 @@
 	return best, lowestLevel
 }
 
-// rotationSize is how many servers the rotation goes over, the first in the sidecar's own order: as many as
-// it visits often. With all in, a thousand sidecars filled all connection tables and knew no server.
-func (b *Balancer) rotationSize() int {
-	return max(minRotation, int(rotationPeriod*b.demand()))
-}
-
-// weighCandidates sets the weights of this pick, grows the running values and returns the sum of weights.
-// For a retry as many servers again come from zones without evidence against them.
-func (b *Balancer) weighCandidates(r *request, retry, all bool) float64 {
-	total, warm, fresh, remaining := 0.0, 0.0, false, [2]int{b.rotationSize(), b.rotationSize()}
-	b.clearCandidates()
-	for _, s := range b.servers {
-		if remaining[0] == 0 && (!retry || remaining[1] == 0) {
-			break
-		}
-		left := &remaining[0]
-		if retry && s.zone.evidence == 0 {
-			left = &remaining[1]
-		}
-		unfit := b.ejected(s) || !b.admits(r, s.zone)
-		if s.outsideGroup || *left == 0 || !b.eligible(r, s) || unfit && !all {
-			continue
+// sumKnownLoads returns the sum of the known loads, the attempt to be sent included, and that of their
+// weights.
+func (p *picker) sumKnownLoads() (load, weight float64) {
+	load = 1
+	for _, s := range p.candidates {
+		if s.loadKnown {
+			load += p.load(s)
+			weight += s.weight
 		}
-		*left--
-		s.weight = b.weight(s)
-		b.candidates = append(b.candidates, s)
-		total += s.weight
-		warm += s.weight / b.warmth(s)
-		s.loadKnown = b.reportFresh(s)
-		fresh = fresh || s.loadKnown
-	}
-	for _, s := range b.candidates {
-		s.loadKnown = s.loadKnown || !fresh // without any report, the own requests in flight are all there is
-	}
-	if !retry {
-		b.grow(total, warm)
 	}
-	return total
+	return load, weight
 }
 
-// preferred reports whether s goes before best on the same level. Where all hold more than their share of the
-// requests in flight, the one that holds least for its weight goes first.
-func (b *Balancer) preferred(s, best *server, retry, over bool) bool {
-	if over && !retry {
-		return (b.holds(s)+1)*best.weight < (b.holds(best)+1)*s.weight
+// preferred reports whether s goes before best on the same level. If both are over their share, the one with
+// the lower load for its weight goes first.
+func (p *picker) preferred(s, best *server, retry, overShare bool) bool {
+	if overShare && !retry {
+		return (p.load(s)+1)*best.weight < (p.load(best)+1)*s.weight
 	}
-	if ms, mb := b.health(s), b.health(best); retry && ms != mb {
-		return ms > mb
+	if health, bestHealth := p.health(s), p.health(best); retry && health != bestHealth {
+		return health > bestHealth
 	}
-	if zs, zb := s.zone, best.zone; retry && zs != zb && zs.evidence != zb.evidence {
-		return zs.evidence < zb.evidence
+	if retry && s.zone != best.zone && s.zone.evidence != best.zone.evidence {
+		return s.zone.evidence < best.zone.evidence
 	}
 	return s.running > best.running
 }
 
-// eligible reports whether the rules let the request go to a server now. One that may have run goes only
-// where its idempotency key is known.
-func (b *Balancer) eligible(r *request, s *server) bool {
+// eligible reports whether a request may go to a server now. A request that may have run on another one goes
+// only where its idempotency key is known.
+func (p *picker) eligible(r *request, s *server) bool {
 	if s.State != Ready {
 		return false
 	}
+	latestStart := p.now + p.cfg.ConnectTimeout
 	for i := range r.attempts {
-		a, earliestStart := &r.attempts[i], b.now+b.cfg.ConnectTimeout // as in noMoreAttempts
+		a := &r.attempts[i]
 		if a.server == s && !a.uncounted {
 			return false
 		}
 		if a.neverRan || r.class.Idempotency != IdempotentWithKey {
 			continue
 		}
-		if earliestStart >= a.sent+r.class.KeyWindow ||
+		if latestStart >= a.sentAt+r.class.KeyWindow ||
 			r.class.KeyScope == KeyScopeCell && a.server.Cell != s.Cell ||
 			r.class.KeyScope == KeyScopeZone && a.server.Zone != s.Zone {
 			return false
@@ -150,99 +200,82 @@
 }
 
 // weight is size × m, lowered while the server warms up.
-func (b *Balancer) weight(s *server) float64 {
-	size := 100 * s.Rating * math.Exp(s.size+b.kindSizes[s.Kind]+b.zoneSizes[s.Zone])
-	return math.Max(size*b.health(s)*b.warmth(s), 1e-6)
-}
-
-// rank is weighted rendezvous hashing: a server that comes or goes moves no other, nor does a restart.
-func (b *Balancer) rank(s *server) float64 {
-	u := -math.Log(float64(mix(mix(uint64(b.cfg.Number)+1)^uint64(s.ID))>>11+1) / (1 << 53))
-	favour := 1 + zonePreference*b.cfg.Prices.CrossZone
-	return u * [tiers]float64{1 / favour, 1, favour}[s.zone.tier]
+func (p *picker) weight(s *server) float64 {
+	size := 100 * s.Rating * p.capacity.size(s)
+	return math.Max(size*p.health(s)*p.slowStart.warmth(s), 1e-6)
 }
 
-// health is the multiplier m of a server: 1 without errors, lower by a penalty that decays, and never below
-// healthFloor.
-func (b *Balancer) health(s *server) float64 {
-	effective := float64(s.consecutiveErrors) * math.Exp(-math.Ln2*(b.now-s.lastErrorAt)/halfLife)
-	return bound(1-penaltyPerError*effective, healthFloor, 1)
+// health is the multiplier m of a server: 1 without errors, lower by a penalty that decays exponentially.
+func (p *picker) health(s *server) float64 {
+	errors := float64(s.consecutiveErrors) * math.Exp(-math.Ln2*(p.now-s.lastErrorAt)/halfLife)
+	return bound(1-penaltyPerError*errors, minHealth, 1)
 }
 
-// holds is how many requests a server has in flight: by a fresh load report and what was sent since, or else
+// load is how many requests a server has in flight: by a fresh load report and what was sent since, or else
 // this process's own.
-func (b *Balancer) holds(s *server) float64 {
-	if b.reportFresh(s) {
-		return s.reported + s.sentSince
+func (p *picker) load(s *server) float64 {
+	if p.reports.fresh(s) {
+		return s.reportedLoad + s.sentSinceReport
 	}
 	return float64(s.inFlight)
 }
 
-// fresh reports whether the last load report of a server can still be believed.
-func (b *Balancer) reportFresh(s *server) bool {
-	return s.reportedAt > 0 && b.now-s.reportedAt <= reportValidity*b.maxObjective
-}
-
-// demand is the rate of requests, in requests a millisecond.
-func (b *Balancer) demand() float64 {
-	return b.arrivals.rate(b.now, b.started-rotationPeriod, 2*rotationPeriod, 0)
-}
-
-// pool sums up the candidates of the last first attempt.
-type pool struct {
-	weight float64 // sum of weights
-	warm   float64 // the most that their mean warmth was in the time of pace; it fades
-	at     float64
-	cooled float64 // the mean warmth now, as a part of that
-}
-
-// follow takes in the candidates of one more first attempt.
-func (p *pool) follow(now, span, weight, warm float64) {
-	p.warm = warm + math.Max(0, p.warm-warm)*math.Exp((p.at-now)/span)
-	p.weight, p.at, p.cooled = weight, now, warm/p.warm
+func (p *picker) withinBudget(s *server) bool {
+	return p.slowStart.withinBudget(s, &p.pool, p.alongRoute)
 }
 
-// grow raises the running values of those that have entered by their weights, to the sum of all at most, and
-// follows what a first pick chose from.
-func (b *Balancer) grow(total, warm float64) {
-	for _, s := range b.candidates {
+// grow raises the running values of the candidates by their weights, but not above the sum of weights.
+func (p *picker) grow(total, warmTotal float64) {
+	for _, s := range p.candidates {
 		s.running = math.Min(s.running+s.weight, total)
 	}
-	b.capOthers(total)
+	p.limitOthers(total)
 	if total > 0 {
-		b.pool.follow(b.now, rateSpanObjectives*b.maxObjective, total, total/warm)
+		p.pool.update(p.now, rateSpanObjectives*p.maxObjective, total, total/warmTotal)
 	}
 }
 
-// capOthers keeps the running values of those that have not entered at most at the sum of weights. Mostly all
-// are below it anyway, and a pick need not look at thousands of servers that are not in the rotation.
-func (b *Balancer) capOthers(total float64) {
-	if total >= b.maxOtherRunning && !b.pickingAlongRoute { // along a route the values are those of its side
+// limitOthers keeps the running values of the other servers within the sum of weights. The bound
+// maxOtherRunning mostly spares a walk over all servers.
+func (p *picker) limitOthers(total float64) {
+	if total >= p.maxOtherRunning && !p.alongRoute { // along a route the running values are those of its side
 		return
 	}
-	b.maxOtherRunning = math.Inf(-1)
-	for _, s := range b.servers {
+	p.maxOtherRunning = math.Inf(-1)
+	for _, s := range p.servers {
 		if s.weight == 0 {
 			s.running = math.Min(s.running, total)
-			b.maxOtherRunning = math.Max(b.maxOtherRunning, s.running)
+			p.maxOtherRunning = math.Max(p.maxOtherRunning, s.running)
 		}
 	}
 }
 
-// clearEntered ends the pick before: nobody has a weight.
-func (b *Balancer) clearCandidates() {
-	for _, s := range b.candidates {
+// admitNewServers takes in that servers may have been added, with running values up to maxInitialRunning.
+func (p *picker) admitNewServers() {
+	p.maxOtherRunning = math.Max(p.maxOtherRunning, maxInitialRunning)
+}
+
+// clearCandidates ends the pick before.
+func (p *picker) clearCandidates() {
+	for _, s := range p.candidates {
 		s.weight = 0
-		b.maxOtherRunning = math.Max(b.maxOtherRunning, s.running)
+		p.maxOtherRunning = math.Max(p.maxOtherRunning, s.running)
 	}
-	b.candidates = b.candidates[:0]
+	p.candidates = p.candidates[:0]
 }
 
-// indexOf finds a server among those in order.
-func (b *Balancer) indexOf(s *server) int {
-	at := sort.Search(len(b.servers), func(i int) bool { return b.servers[i].rank >= s.rank })
-	for b.servers[at] != s { // another one of the same rank
-		at++
+// saveRunning keeps the running values and the pool from a pick along a route. The function that it returns
+// restores them.
+func (p *picker) saveRunning() (restore func()) {
+	for _, s := range p.servers {
+		s.savedRunning = s.running
+	}
+	pool := p.pool
+	p.alongRoute = true
+	return func() {
+		p.alongRoute, p.pool, p.maxOtherRunning = false, pool, math.Inf(1)
+		for _, s := range p.servers {
+			s.running, s.outsideGroup = s.savedRunning, false
+		}
 	}
-	return at
 }
--- a/balance/picker_test.go
+++ b/balance/picker_test.go
@@ -61,7 +61,7 @@
 			s.inFlight, s.running = c.holds[i], float64(10*(4-i))
 		}
 		g.b.servers[1].consecutiveErrors, g.b.servers[1].lastErrorAt = 1, g.now-5000
-		r := &request{class: &g.b.cfg.Classes[idempotentClass], stats: &g.b.classes[idempotentClass]}
+		r := &request{class: &g.b.cfg.Classes[idempotentClass], stats: &g.b.demand.classes[idempotentClass]}
 		if c.want == 2 {
 			if s := g.b.pick(r, true); s.ID == 2 {
 				t.Errorf("%v: the re-route went to the server of lowest m", c.holds)
@@ -92,8 +92,8 @@
 	if hits[3]+hits[4] < 3*(hits[1]+hits[2])/2 {
 		t.Fatalf("hits %v", hits)
 	}
-	if g.b.kindSizes[1] <= g.b.kindSizes[0] {
-		t.Fatalf("kinds %v", g.b.kindSizes)
+	if g.b.capacity.kindSizes[1] <= g.b.capacity.kindSizes[0] {
+		t.Fatalf("kinds %v", g.b.capacity.kindSizes)
 	}
 }
 
@@ -102,18 +102,18 @@
 	g := newHarness(t, baseConfig(), identicalServers(2)...)
 	fast, slow := g.b.servers[0], g.b.servers[1]
 	for range 20 {
-		g.b.learnSize(fast, 0.5)
-		g.b.learnSize(slow, 1.5)
+		g.b.capacity.learn(fast, 0.5)
+		g.b.capacity.learn(slow, 1.5)
 	}
 	early := fast.size - slow.size
 	for range 2000 { // much later, of two servers alike, one turns fast
-		g.b.learnSize(fast, 1)
-		g.b.learnSize(slow, 1)
+		g.b.capacity.learn(fast, 1)
+		g.b.capacity.learn(slow, 1)
 	}
 	before := fast.size - slow.size
 	for range 20 {
-		g.b.learnSize(fast, 0.5)
-		g.b.learnSize(slow, 1.5)
+		g.b.capacity.learn(fast, 0.5)
+		g.b.capacity.learn(slow, 1.5)
 	}
 	if late := fast.size - slow.size - before; early < 3*late || late <= 0 {
 		t.Fatalf("learned %.3f at first and %.3f later", early, late)
--- /dev/null
+++ b/balance/request_events.go
@@ -0,0 +1,324 @@
+package balance
+
+// This file keeps count of requests and attempts as events tell of them. It takes no decisions: each event goes to the
+// decisions that need it.
+
+import (
+	"fmt"
+	"maps"
+	"math"
+	"slices"
+)
+
+// idleTime is the time without a request after which what is known of the load is out of date.
+const idleTime milliseconds = 60_000
+
+// maxInitialRunning is the highest SWRR running value that a server starts with.
+const maxInitialRunning = 100
+
+func (b *Balancer) onRequest(ev Request) error {
+	if ev.Class < 0 || ev.Class >= len(b.cfg.Classes) {
+		return &EventError{
+			Event: "Request", Field: "Class", Value: ev.Class, Reason: fmt.Sprintf("there are %d", len(b.cfg.Classes)),
+		}
+	}
+	r := &request{
+		Request: ev, class: &b.cfg.Classes[ev.Class], stats: &b.demand.classes[ev.Class],
+		tenant: b.demand.tenant(ev.Tenant), arrivedAt: b.now, deadline: b.now + ev.Remaining, wakeAt: math.Inf(1),
+	}
+	b.requests[ev.ID] = r
+	if b.admission.idle() {
+		b.admission.forgetLoad()
+		b.outliers.forgetErrors()
+	}
+	admitted := !b.shutdown && b.admission.admit(r)
+	b.demand.recordArrival(r) // after admit: else its own class would seem to be served a little worse
+	if !admitted {
+		b.answer(r, b.retry.retryAfter(r))
+		return nil
+	}
+	b.health.checkCandidates(r, b.picker.eligible)
+	b.advance(r)
+	return nil
+}
+
+// onBodyComplete lets the time of a request and of its attempts begin: the server has the whole request only now.
+func (b *Balancer) onBodyComplete(ev BodyComplete) {
+	r := b.requests[ev.Request]
+	if r == nil || r.state == requestAnswered || !r.BodyStreaming {
+		return
+	}
+	r.BodyStreaming = false
+	r.restart(b.now, ev.Remaining)
+	for i := range r.attempts {
+		if a := &r.attempts[i]; a.state != attemptEnded {
+			a.sentAt = b.now
+			b.admission.startLoad(r, a)
+		}
+	}
+	b.advance(r)
+}
+
+// onConnecting keeps an attempt out of the load while it waits for a connection: it is no work for the server.
+func (b *Balancer) onConnecting(ev Connecting) {
+	r := b.requests[ev.Request]
+	if r == nil {
+		return
+	}
+	a := r.liveAttempt(ev.Attempt)
+	switch {
+	case a == nil:
+	case !ev.Established && a.inLoad && a.become(attemptConnecting):
+		b.admission.endLoad(r, a)
+	case ev.Established && a.state == attemptConnecting && a.become(attemptSent):
+		if b.now < a.sentAt+r.class.LatencyObjective {
+			b.admission.startLoad(r, a)
+		}
+	}
+}
+
+// onAnswerStarted ends the balancer's part in a request: the client owns the answer now, without deadline or retry.
+// The server has done its work; how long the rest takes depends on the client, too.
+func (b *Balancer) onAnswerStarted(ev AnswerStarted) {
+	r := b.requests[ev.Request]
+	if r == nil || r.state == requestAnswered || r.state == requestAnswering {
+		return
+	}
+	a := r.liveAttempt(ev.Attempt)
+	if a == nil {
+		return
+	}
+	r.become(requestAnswering)
+	b.cancelOthers(r, ev.Attempt)
+	a.server.inFlight--
+	b.admission.endLoad(r, a)
+	answer := Outcome{Result: OK, Elapsed: ev.Elapsed}
+	b.recordAnswer(r, a, answer)
+	a.missedForCanary = a.spendsUnit(r, answer)
+	a.become(attemptAnswering)
+	a.endTrial()
+}
+
+func (b *Balancer) onOutcome(ev Outcome) error {
+	r := b.requests[ev.Request]
+	if r == nil {
+		return &EventError{Event: "Outcome", Field: "Request", Value: ev.Request, Reason: "which is not known"}
+	}
+	a := r.liveAttempt(ev.Attempt)
+	if a == nil {
+		return &EventError{
+			Event: "Outcome", Field: "Attempt", Value: ev.Attempt,
+			Reason: fmt.Sprintf("which is not in flight for request %d", ev.Request),
+		}
+	}
+	answerStarted := a.state == attemptAnswering
+	if ev.RouteRevoked && !answerStarted {
+		ev.Result = NotSent
+		r.uncountRevoked(a)
+	}
+	if ev.Result == LocalFailure {
+		b.retry.recordLocalFailure(r, a)
+	}
+	a.settle(r, ev)
+	a.neverRan = ev.Result.NeverRan()
+	r.end(a)
+	r.bodyConsumed = r.bodyConsumed || ev.BodyConsumed
+	if r.BodyStreaming { // a next attempt has all of its time
+		r.restart(b.now, r.Remaining)
+	}
+	if !answerStarted {
+		a.server.inFlight--
+		if ev.Result == Cancelled {
+			b.admission.recordAbandoned(r, a)
+		}
+		b.admission.endLoad(r, a)
+	}
+	b.recordOutcome(r, a, ev, answerStarted)
+	a.endTrial()
+	if r.state == requestAnswered || r.state == requestAnswering || ev.Finished {
+		b.close(r)
+	}
+	b.advance(r)
+	return nil
+}
+
+// recordOutcome passes the end of an attempt on to the decisions that learn from it.
+func (b *Balancer) recordOutcome(r *request, a *attempt, ev Outcome, answerStarted bool) {
+	switch {
+	case ev.Result == Cancelled || ev.Result == NotSent || ev.Result == LocalFailure: // they tell nothing
+	case ev.Result == OK && !answerStarted:
+		b.recordAnswer(r, a, ev)
+	case ev.Result == OK: // recorded when the answer started
+	case answerStarted: // the answer broke off
+		b.outliers.recordFailure(a.server, false, partialEvidence)
+	default:
+		b.outliers.recordFailedAttempt(r, a, ev)
+	}
+}
+
+// recordAnswer passes a good answer on to the decisions that learn from it.
+func (b *Balancer) recordAnswer(r *request, a *attempt, ev Outcome) {
+	s, latency := a.server, ev.Elapsed/r.class.LatencyObjective
+	if s.processDown && !b.slowStart.warmingUp(s) { // a restart that the list has yet to tell
+		b.slowStart.begin(s, b.now)
+	}
+	s.pardon()
+	if b.health.takeReport(s, ev.Report) > r.class.LatencyObjective {
+		b.outliers.ejectForQueue(s, b.demand.rate())
+	}
+	b.admission.recordAnswer(latency)
+	if b.now <= r.arrivedAt+r.class.LatencyObjective {
+		b.demand.recordServed(r)
+	}
+	b.locality.recordAnswer(s.zone, a.zoneTrial, latency)
+	if r.stats.samples > 0 {
+		b.capacity.learn(s, ev.Elapsed/r.stats.mean)
+	}
+	r.stats.add(ev.Elapsed)
+}
+
+func (b *Balancer) onClientGone(ev ClientGone) {
+	if r := b.requests[ev.Request]; r != nil {
+		b.canary.recordMissed(r)
+		b.close(r)
+	}
+}
+
+// onShutdown answers all requests without a final answer: this process will not see their outcomes.
+func (b *Balancer) onShutdown() {
+	b.shutdown = true
+	for _, id := range slices.Sorted(maps.Keys(b.requests)) {
+		r := b.requests[id]
+		if r.state == requestQueued || r.state == requestAttempting {
+			b.answer(r, 0)
+		}
+	}
+}
+
+// advance takes the next step for a request: an attempt, its final answer, or a wait.
+func (b *Balancer) advance(r *request) {
+	if r.state == requestAnswering || r.state == requestAnswered {
+		return
+	}
+	b.checkAttempts(r)
+	switch b.retry.next(r) {
+	case stepGiveUp:
+		b.answer(r, 0)
+		return
+	case stepAttempt:
+		if s := b.pick(r, r.countedAttempts() > 0); s != nil {
+			b.send(r, s)
+		}
+	}
+	b.wake(r)
+}
+
+// pick returns the server for an attempt of a request, nil if there is none now.
+func (b *Balancer) pick(r *request, retry bool) *server {
+	firstTier := 0
+	if !retry {
+		firstTier = b.locality.startTier()
+	}
+	if route := b.canary.routeOf(r); route != nil {
+		return b.canary.pick(route, r, retry, firstTier)
+	}
+	return b.picker.pick(r, retry, firstTier)
+}
+
+// send makes an attempt and counts it. While the body is still coming neither its time nor its load counts.
+func (b *Balancer) send(r *request, s *server) {
+	s.tokens--
+	s.inFlight++
+	s.sentSinceReport++
+	r.liveAttempts++
+	route := b.canary.takeNext()
+	a := attempt{
+		server: s, sentAt: b.now, endsAtObjective: b.retry.endsAtObjective(r), zoneTrial: s.zone.left,
+		lateIsFailure: route.lateIsFailure, budget: route.budget,
+	}
+	if a.zoneTrial {
+		s.zone.trials++
+	}
+	if r.BodyStreaming {
+		a.sentAt, r.deadline, r.arrivedAt = math.Inf(1), math.Inf(1), math.Inf(1)
+	} else {
+		b.admission.startLoad(r, &a)
+	}
+	r.attempts = append(r.attempts, a)
+	r.become(requestAttempting)
+	act := Action{
+		Kind: Send, Request: r.ID, Server: s.ID,
+		RoutesRev: route.rev, CanaryID: route.canaryID, ToCanary: route.toCanary,
+	}
+	if a.endsAtObjective {
+		act.At = r.arrivedAt + r.class.LatencyObjective
+	}
+	b.emit(act)
+}
+
+// checkAttempts looks for attempts that are overdue. It takes off the load those that have had their latency
+// objective, and those that hang at an ejected server. It returns when to check again.
+func (b *Balancer) checkAttempts(r *request) (next milliseconds) {
+	next = r.deadline
+	for i := range r.attempts {
+		a := &r.attempts[i]
+		if a.state == attemptEnded {
+			continue
+		}
+		objectiveEnd := a.sentAt + r.class.LatencyObjective
+		if b.now >= objectiveEnd || a.overdue && b.outliers.ejected(a.server) {
+			b.admission.endLoad(r, a)
+		} else {
+			next = math.Min(next, objectiveEnd)
+		}
+		b.outliers.checkOverdue(r, a)
+		if !a.overdue {
+			next = math.Min(next, b.outliers.overdueAt(r, a))
+		}
+	}
+	return next
+}
+
+// wake sets the timer for the next time at which something may be due for a request.
+func (b *Balancer) wake(r *request) {
+	next := b.checkAttempts(r)
+	if hold := math.Max(r.checksUntil, r.retryAt); hold > b.now {
+		next = math.Min(next, hold)
+	} else if r.state == requestQueued {
+		next = math.Min(next, b.now+math.Max(b.cfg.Quantum, r.class.LatencyObjective/20))
+	}
+	if next < r.wakeAt {
+		r.wakeAt = next
+		b.emit(Action{Kind: SetTimer, Token: uint64(r.ID), At: math.Max(0, next-b.now)})
+	}
+}
+
+// answer ends a request without a server's answer: rejected where a retry does no harm, else failed. A client that is
+// rejected may return after retryAfter; 0: at once.
+func (b *Balancer) answer(r *request, retryAfter milliseconds) {
+	act := Action{Kind: Fail, Request: r.ID}
+	if r.safeToRetry() {
+		act.Kind, act.At = Reject, retryAfter
+	}
+	b.emit(act)
+	b.canary.recordMissed(r)
+	b.close(r)
+}
+
+// close marks a request as answered and gives up its attempts in flight.
+func (b *Balancer) close(r *request) {
+	r.become(requestAnswered)
+	b.cancelOthers(r, -1)
+	if r.liveAttempts == 0 {
+		delete(b.requests, r.ID)
+	}
+}
+
+// cancelOthers gives up the attempts of a request that are in flight, except one; -1: all.
+func (b *Balancer) cancelOthers(r *request, except int) {
+	for i := range r.attempts {
+		if r.attempts[i].state != attemptEnded && i != except && b.cfg.Cancel {
+			b.emit(Action{Kind: Cancel, Request: r.ID, Attempt: i})
+		}
+	}
+}
--- a/balance/retry.go
+++ b/balance/retry.go
@@ -1,99 +1,102 @@
 package balance
 
-// This file decides after each event of a request whether it gets another attempt, waits, or gets its final
-// answer. A request that this machine could not send goes on after a backoff; its time bounds how long that
-// is tried, and where its body is still coming the number of failures does.
-
 import "math"
 
 const (
-	firstRetryPause  = 5   // ms before the first retry; each pause is twice the one before
-	maxRetryPause    = 100 // ms
-	maxRetries       = 1   // of a request that may have run: more of them multiply a load that is too high
-	maxLocalFailures = 50  // attempts of a request that may fail so and count as none; more of them count
+	maxRetries       = 1  // of a request that may have run: more of them multiply a load that is too high
+	maxLocalFailures = 50 // attempts of a request that this machine could not send and that count as none
 )
 
-// retryLater takes an attempt that this machine could not begin out of the count, and lets the next one wait.
-func (b *Balancer) retryLater(r *request, a *attempt) {
-	r.retryAt = b.now + math.Min(math.Ldexp(firstRetryPause, int(r.localFailures)), maxRetryPause)
-	if r.localFailures < maxLocalFailures {
-		r.localFailures++
-		a.uncounted = true
-	}
+const (
+	firstRetryBackoff milliseconds = 5 // doubles with each failure that counts as no attempt
+	maxRetryBackoff   milliseconds = 100
+)
+
+// requestStep is what is to be done next for a request.
+type requestStep uint8
+
+const (
+	stepWait requestStep = iota
+	stepAttempt
+	stepGiveUp
+)
+
+func (s requestStep) String() string { return [...]string{"wait", "attempt", "give up"}[s] }
+
+// retryPolicy decides whether a request gets another attempt, waits, or gets its final answer. A request that
+// this machine could not send is tried again after a backoff, within the client's time; where its body is
+// still coming, and no time counts, the number of such failures is bounded.
+type retryPolicy struct {
+	*shared
+	admission *admission
+	health    *healthChecker
 }
 
-// advance looks at a request afresh: it gets an attempt or its final answer, or it waits.
-func (b *Balancer) advance(r *request) {
-	if r.done || r.answerStarted {
-		return
+// next decides what is to be done next for a request without a final answer.
+func (p *retryPolicy) next(r *request) requestStep {
+	switch {
+	case p.now >= r.deadline:
+		return stepGiveUp
+	case r.state != requestQueued:
+		return stepWait
+	case p.exhausted(r):
+		return stepGiveUp
+	case p.now < r.retryAt || p.health.holds(r):
+		return stepWait
 	}
-	b.checkOverdue(r)
-	if b.now >= r.deadline || r.liveAttempts == 0 && b.noMoreAttempts(r) {
-		b.answer(r, 0)
-		return
-	}
-	if r.liveAttempts == 0 && b.now >= r.retryAt && !b.waitsForChecks(r) {
-		if s := b.pick(r, r.sends() > 0); s != nil {
-			// Exception: while load is shed an unsafe request is given up at its aim. In full queues all that
-			// is served is late; clients try the others again, and that is more load.
-			overloaded := b.lastingShed > shedTolerance && !r.BodyStreaming
-			b.send(r, s, r.class.Idempotency == NonIdempotent && overloaded)
-		}
-	}
-	b.wake(r)
+	return stepAttempt
 }
 
-// noMoreAttempts reports whether nothing more can be sent for a request, or waiting is no use.
-func (b *Balancer) noMoreAttempts(r *request) bool {
-	ran, earliestStart := 0, b.now+b.cfg.ConnectTimeout // at the latest: it may need a new connection
+// exhausted reports whether no attempt may follow, or waiting for one is no use.
+func (p *retryPolicy) exhausted(r *request) bool {
+	mayHaveRun := 0
+	latestStart := p.now + p.cfg.ConnectTimeout // of a next attempt: it may need a new connection
 	for i := range r.attempts {
 		a := &r.attempts[i]
 		if a.neverRan {
 			continue
 		}
-		ran++
+		mayHaveRun++
 		keyed := r.class.Idempotency == IdempotentWithKey
-		if r.class.Idempotency == NonIdempotent || keyed && earliestStart >= a.sent+r.class.KeyWindow {
+		if r.class.Idempotency == NonIdempotent || keyed && latestStart >= a.sentAt+r.class.KeyWindow {
 			return true
 		}
 	}
-	// What never ran uses up no retry: after a crash two failed connects refused a request.
-	spent := r.bodyConsumed || r.sends() >= b.cfg.MaxAttempts || ran > maxRetries
-	return spent || b.now >= r.arrived+r.class.LatencyObjective && b.safeToRetry(r)
+	if r.bodyConsumed || r.countedAttempts() >= p.cfg.MaxAttempts || mayHaveRun > maxRetries {
+		return true
+	}
+	return p.now >= r.arrivedAt+r.class.LatencyObjective && r.safeToRetry()
 }
 
-// retryAfter is when a client whose request was shed should return: after the time of a quick answer a place
-// is free again, and what comes then can still be in time. Longer ones cost more than they spared.
-func (b *Balancer) retryAfter(r *request) float64 {
-	if !b.cfg.RetryAfter {
-		return 0
-	}
-	return math.Min(r.class.LatencyObjective*b.quickest, b.cfg.MaxRetryAfter)
+// endsAtObjective reports whether the next attempt is given up at the latency objective, though it cannot be
+// repeated then. It is while load is shed: in full queues all answers are late, and a client that waits tries
+// other servers.
+func (p *retryPolicy) endsAtObjective(r *request) bool {
+	overloaded := p.admission.overloaded() && !r.BodyStreaming
+	return r.class.Idempotency == NonIdempotent && overloaded
 }
 
-// answer ends a request without a server's answer: rejected where a retry does no harm, else failed. A client
-// that is rejected is told to return after retryAfter ms; 0: at once.
-func (b *Balancer) answer(r *request, retryAfter float64) {
-	act := Action{Kind: Fail, Request: r.ID}
-	if b.safeToRetry(r) {
-		act.Kind, act.At = Reject, retryAfter
+// recordLocalFailure takes an attempt that this machine could not send out of the count, and delays the next
+// one.
+func (p *retryPolicy) recordLocalFailure(r *request, a *attempt) {
+	r.retryAt = p.now + math.Min(math.Ldexp(firstRetryBackoff, int(r.localFailures)), maxRetryBackoff)
+	if r.localFailures < maxLocalFailures {
+		r.localFailures++
+		a.uncounted = true
 	}
-	b.emit(act)
-	b.recordMissed(r)
-	b.close(r)
 }
 
-// close marks a request as answered and gives up what is still out for it.
-func (b *Balancer) close(r *request) {
-	r.done = true
-	b.cancelOthers(r, -1)
-	if r.liveAttempts == 0 {
-		delete(b.reqs, r.ID)
+// retryAfter is how long a client whose request was shed should wait: after the time of a quick answer there
+// is capacity again, and a request can still be answered in time.
+func (p *retryPolicy) retryAfter(r *request) milliseconds {
+	if !p.cfg.RetryAfter {
+		return 0
 	}
+	return math.Min(r.class.LatencyObjective*p.admission.minMeanLatency, p.cfg.MaxRetryAfter)
 }
 
-// safeToReject reports whether the client may send the request again without harm.
-func (b *Balancer) safeToRetry(r *request) bool {
+// safeToRetry reports whether the client may send the request again without harm.
+func (r *request) safeToRetry() bool {
 	keyed := r.class.Idempotency == IdempotentWithKey
 	if r.class.Idempotency == Idempotent || keyed && r.class.KeyScope == KeyScopeAll {
 		return true
@@ -105,26 +108,3 @@
 	}
 	return true
 }
-
-// wake sets the timer for the next time at which something may be due for a request.
-func (b *Balancer) wake(r *request) {
-	next := b.checkOverdue(r)
-	if hold := math.Max(r.holdUntil, r.retryAt); hold > b.now {
-		next = math.Min(next, hold)
-	} else if r.liveAttempts == 0 {
-		next = math.Min(next, b.now+math.Max(b.cfg.Quantum, r.class.LatencyObjective/20))
-	}
-	if next < r.wakeAt {
-		r.wakeAt = next
-		b.emit(Action{Kind: SetTimer, Token: uint64(r.ID), At: math.Max(0, next-b.now)})
-	}
-}
-
-// cancelOthers gives up the attempts of a request that are in flight, but for one; -1: all.
-func (b *Balancer) cancelOthers(r *request, keep int) {
-	for i := range r.attempts {
-		if r.attempts[i].live && i != keep && b.cfg.Cancel {
-			b.emit(Action{Kind: Cancel, Request: r.ID, Attempt: i})
-		}
-	}
-}
--- a/balance/retry_test.go
+++ b/balance/retry_test.go
@@ -99,7 +99,7 @@
 	g := newHarness(t, baseConfig(), identicalServers(4)...)
 	for _, class := range []int{nonIdempotentClass, cellKeyClass, zoneKeyClass} {
 		id, _ := g.sendRequest(class)
-		g.now = g.b.reqs[id].deadline
+		g.now = g.b.requests[id].deadline
 		acts := g.handle(Timer{Token: uint64(id)})
 		if hasAction(acts, Reject) || !hasAction(acts, Fail) {
 			t.Errorf("class %d at its deadline with an attempt out: %+v", class, acts)
@@ -131,8 +131,8 @@
 			g.now += 10
 			refused = refused || hasAction(g.handle(Timer{Token: uint64(id)}), Reject)
 		}
-		if !refused || len(g.b.reqs) != 0 {
-			t.Fatalf("%s: refused %v, %d requests left", name, refused, len(g.b.reqs))
+		if !refused || len(g.b.requests) != 0 {
+			t.Fatalf("%s: refused %v, %d requests left", name, refused, len(g.b.requests))
 		}
 	}
 }
@@ -155,15 +155,15 @@
 	id, acts := g.sendRequest(idempotentClass)
 	s, _ := sentTo(acts)
 	g.handle(AnswerStarted{Request: id, Server: s, Elapsed: 20})
-	if a := g.b.reqs[id].attempts[0]; a.server.inFlight != 0 || g.b.classes[idempotentClass].mean != 20 {
-		t.Errorf("the server holds %d, answers take %v", a.server.inFlight, g.b.classes[idempotentClass].mean)
+	if a := g.b.requests[id].attempts[0]; a.server.inFlight != 0 || g.b.demand.classes[idempotentClass].mean != 20 {
+		t.Errorf("the server holds %d, answers take %v", a.server.inFlight, g.b.demand.classes[idempotentClass].mean)
 	}
 	g.now += 5000
 	if acts := g.handle(Timer{Token: uint64(id)}); hasAction(acts, Fail) || hasAction(acts, Reject) || hasAction(acts, Send) {
 		t.Fatalf("a running stream got %+v", acts)
 	}
 	g.handle(Outcome{Request: id, Server: s, Result: Reset, Elapsed: 5000, Finished: true})
-	if len(g.b.reqs) != 0 {
+	if len(g.b.requests) != 0 {
 		t.Fatal("an ended stream is remembered")
 	}
 	if server := g.b.byID[s]; server.consecutiveErrors != 1 || server.inFlight != 0 {
@@ -177,24 +177,24 @@
 	g.lastID++
 	id := g.lastID
 	g.handle(Request{ID: id, Class: nonIdempotentClass, Remaining: 600, BodyStreaming: true})
-	r := g.b.reqs[id]
+	r := g.b.requests[id]
 	if len(r.attempts) != 1 {
 		t.Fatal("it is not sent at once")
 	}
 	g.now += 60000
-	if acts := g.handle(Timer{Token: uint64(id)}); len(acts) > 0 || r.attempts[0].server.consecutiveErrors > 0 || g.b.inFlightLoad > 0 {
-		t.Fatalf("while its body comes: %+v, %d errors, load %v", acts, r.attempts[0].server.consecutiveErrors, g.b.inFlightLoad)
+	if acts := g.handle(Timer{Token: uint64(id)}); len(acts) > 0 || r.attempts[0].server.consecutiveErrors > 0 || g.b.admission.inFlightLoad > 0 {
+		t.Fatalf("while its body comes: %+v, %d errors, load %v", acts, r.attempts[0].server.consecutiveErrors, g.b.admission.inFlightLoad)
 	}
-	if acts := g.handle(BodyComplete{Request: id, Remaining: 600}); !hasAction(acts, SetTimer) || g.b.inFlightLoad == 0 {
-		t.Fatalf("at its last byte: %+v, load %v", acts, g.b.inFlightLoad)
+	if acts := g.handle(BodyComplete{Request: id, Remaining: 600}); !hasAction(acts, SetTimer) || g.b.admission.inFlightLoad == 0 {
+		t.Fatalf("at its last byte: %+v, load %v", acts, g.b.admission.inFlightLoad)
 	}
 	g.now += 601
 	if acts := g.handle(Timer{Token: uint64(id)}); !hasAction(acts, Fail) {
 		t.Errorf("at its deadline: %+v", acts)
 	}
 	g.endAttempt(id, 0, Cancelled, 601)
-	if g.b.inFlightLoad != 0 {
-		t.Errorf("load %v is left", g.b.inFlightLoad)
+	if g.b.admission.inFlightLoad != 0 {
+		t.Errorf("load %v is left", g.b.admission.inFlightLoad)
 	}
 }
 
@@ -204,7 +204,7 @@
 		g := newHarness(t, baseConfig(), identicalServers(3)...)
 		g.lastID++
 		g.handle(Request{ID: g.lastID, Class: nonIdempotentClass, Remaining: 600, BodyStreaming: true})
-		s := g.b.reqs[g.lastID].attempts[0].server.ID
+		s := g.b.requests[g.lastID].attempts[0].server.ID
 		acts := g.handle(Outcome{Request: g.lastID, Server: s, Result: Rejected, Elapsed: 5, BodyConsumed: spent})
 		if hasAction(acts, Send) == spent || hasAction(acts, Reject) != spent {
 			t.Errorf("spent %v: %+v", spent, acts)
--- a/balance/rotation_test.go
+++ b/balance/rotation_test.go
@@ -22,7 +22,7 @@
 			quick, thorough := mustNew(t, cfg), mustNew(t, cfg)
 			tell := func(now float64, ev Event) []Action {
 				t.Helper()
-				thorough.maxOtherRunning = math.Inf(1) // it looks at all of them
+				thorough.picker.maxOtherRunning = math.Inf(1) // it looks at all of them
 				want, err := thorough.Handle(now, ev)
 				got, again := quick.Handle(now, ev)
 				if err != nil || again != nil || !reflect.DeepEqual(want, got) {
@@ -87,10 +87,10 @@
 		t.Fatalf("not sent: %v", acts)
 	}
 	total := 0.0
-	for _, s := range g.b.candidates {
+	for _, s := range g.b.picker.candidates {
 		total += s.weight
 	}
-	if len(g.b.candidates) >= len(list) {
+	if len(g.b.picker.candidates) >= len(list) {
 		t.Fatal("all servers are in the rotation")
 	}
 	for _, s := range g.b.servers {
@@ -110,7 +110,7 @@
 		cfg.Number, cfg.Peers, cfg.Seed = number, sidecars, uint64(seed)
 		g := newHarness(t, cfg, identicalServers(servers)...)
 		for _, s := range g.b.servers {
-			s.rank = g.b.rank(s)
+			s.rank = g.b.rankOf(s)
 		}
 		g.b.dropGone()
 		hits := map[ServerID]int{}
@@ -160,7 +160,7 @@
 		t.Fatalf("%d servers for one request a second", n)
 	}
 	for _, s := range g.b.servers[:2] {
-		g.b.recordFailure(s, true, partialEvidence)
+		g.b.outliers.recordFailure(s, true, partialEvidence)
 	}
 	if n := count(50, 6); n < minRotation {
 		t.Fatalf("%d servers when two of the first rest", n)
--- a/balance/route_state.go
+++ b/balance/route_state.go
@@ -1,7 +1,5 @@
 package balance
 
-// This file holds what a balancer remembers of routes. It takes no decisions: those are in routes.go.
-
 import (
 	"fmt"
 	"math"
@@ -11,9 +9,9 @@
 // tenantRoute is a route with what this process keeps for it.
 type tenantRoute struct {
 	Route
-	slot   int           // of its lane in each server
-	last   float64       // place drawn last without a key
-	budget *CanaryBudget // nil: attempts need no unit
+	slot         int           // of its placement in each server
+	lastPosition float64       // drawn last without a key
+	budget       *CanaryBudget // nil: attempts need no unit
 }
 
 // routePlacement is a server's place in a route, by side.
@@ -25,165 +23,166 @@
 // attemptRoute is what an attempt acts on; see Action.
 type attemptRoute struct {
 	rev           int64
-	route         uint64
-	canary        bool
+	canaryID      uint64
+	toCanary      bool
 	lateIsFailure bool
-	budget        *CanaryBudget // that it has a unit of
+	budget        *CanaryBudget // that a unit is reserved from; nil: none is
 }
 
 // onRoutes puts routes in place of those before.
-func (b *Balancer) onRoutes(ev Routes) error {
-	if err := b.checkRoutes(&ev); err != nil {
+func (c *canaryRouter) onRoutes(ev Routes) error {
+	if err := ev.check(&c.cfg); err != nil {
 		return err
 	}
-	old := b.routes
-	b.rev, b.routes = ev.Rev, nil
+	old := c.routes
+	c.rev, c.routes = ev.Rev, nil
 	if len(ev.List) > 0 {
-		b.routes = make([]*tenantRoute, len(b.cfg.Tenants)+1)
+		c.routes = make([]*tenantRoute, len(c.cfg.Tenants)+1)
 	}
 	for i := range ev.List {
-		w := &tenantRoute{Route: ev.List[i].clone(), slot: i}
-		w.last = b.chance(w.ID, 0)
-		for _, o := range old {
-			if o != nil && o.ID == w.ID {
-				w.last = o.last
+		route := &tenantRoute{Route: ev.List[i].clone(), slot: i}
+		route.lastPosition = c.randomFor(route.ID, 0)
+		for _, before := range old {
+			if before != nil && before.ID == route.ID {
+				route.lastPosition = before.lastPosition
 			}
 		}
-		if w.ID != 0 && w.Budgeted {
-			w.budget = b.canaryBudget(w.ID)
+		if route.ID != 0 && route.Budgeted {
+			route.budget = c.budgets.get(route.ID)
 		}
-		b.routes[w.Tenant+1] = w
+		c.routes[route.Tenant+1] = route
 	}
-	b.regroup(old)
-	b.dropEndedBudgets()
+	c.placeServers(old)
+	c.budgets.dropEnded(c.routes)
 	return nil
 }
 
-// checkRoutes tells which field of the routes cannot be, if any.
-func (b *Balancer) checkRoutes(ev *Routes) error {
-	if ev.Rev < 1 && len(ev.List) > 0 {
-		return fmt.Errorf("Routes.Rev is %d", ev.Rev)
-	}
-	tenants, ids := map[int]bool{}, map[uint64]bool{}
-	for i := range ev.List {
-		w, name := &ev.List[i], fmt.Sprintf("Routes.List[%d].", i)
-		switch {
-		case w.Tenant < -1 || w.Tenant >= len(b.cfg.Tenants):
-			return fmt.Errorf("%sTenant is %d, there are %d", name, w.Tenant, len(b.cfg.Tenants))
-		case tenants[w.Tenant]:
-			return fmt.Errorf("%sTenant: %d has a route already", name, w.Tenant)
-		case w.ID != 0 && ids[w.ID]:
-			return fmt.Errorf("%sID: %d is another route's already", name, w.ID)
-		case !(w.CanaryFraction >= 0 && w.CanaryFraction <= 1):
-			return fmt.Errorf("%sCanaryFraction is %v, not 0 to 1", name, w.CanaryFraction)
-		}
-		for _, c := range w.Classes {
-			if c < 0 || c >= len(b.cfg.Classes) {
-				return fmt.Errorf("%sClasses has %d, there are %d", name, c, len(b.cfg.Classes))
-			}
-		}
-		tenants[w.Tenant], ids[w.ID] = true, true
-	}
-	return nil
-}
-
-func (b *Balancer) onCanaryLease(ev CanaryLease) error {
+func (c *canaryRouter) onCanaryLease(ev CanaryLease) error {
 	if math.IsNaN(ev.Until) {
-		return fmt.Errorf("CanaryLease.Until is %v", ev.Until)
+		return &EventError{Event: "CanaryLease", Field: "Until", Value: ev.Until}
 	}
-	b.canaryLease = ev.Until
+	c.leaseUntil = ev.Until
 	return nil
 }
 
-func (w *Route) clone() Route {
-	out := *w
-	out.Classes = slices.Clone(w.Classes)
-	for _, s := range []*Subset{&out.Base, &out.Canary} {
-		s.Kinds, s.Cells, s.Zones = slices.Clone(s.Kinds), slices.Clone(s.Cells), slices.Clone(s.Zones)
-		s.IDs = slices.Clone(s.IDs)
-		slices.Sort(s.IDs)
-	}
-	return out
-}
-
-// has tells whether a server is in the subset; IDs are sorted.
-func (u *Subset) has(s *Server) bool {
-	in := func(list []int, v int) bool { return len(list) == 0 || slices.Contains(list, v) }
-	if !in(u.Kinds, s.Kind) || !in(u.Cells, s.Cell) || !in(u.Zones, s.Zone) {
-		return false
+func (c *canaryRouter) onBudgetGrant(ev BudgetGrant) error {
+	if err := ev.check(); err != nil {
+		return err
 	}
-	_, found := slices.BinarySearch(u.IDs, s.ID)
-	return found || len(u.IDs) == 0
+	c.budgets.get(ev.ID).Grant(ev.Units, ev.MaxIdle)
+	c.budgets.dropEnded(c.routes)
+	return nil
 }
 
-// routeOf gives the route of a request, nil if it has none.
-func (b *Balancer) routeOf(r *request) *tenantRoute {
-	if b.routes == nil {
-		return nil
+// onServersChanged places servers in the routes after a change of the endpoint list.
+func (c *canaryRouter) onServersChanged() {
+	if c.routes != nil {
+		c.placeServers(c.routes)
 	}
-	if i := r.Tenant + 1; i > 0 && i < len(b.routes) && b.routes[i] != nil {
-		return b.routes[i]
-	}
-	return b.routes[0]
 }
 
-// regroup puts each server in its place in each route, after the routes or the servers have changed. Where a tenant
-// had a route before, the running values stay.
-func (b *Balancer) regroup(old []*tenantRoute) {
+// placeServers sets the place of each server in each route, after the routes or the servers have changed. Where a
+// tenant had a route before, the running values stay.
+func (c *canaryRouter) placeServers(old []*tenantRoute) {
 	slots := 0
-	for _, w := range b.routes {
-		if w != nil {
+	for _, route := range c.routes {
+		if route != nil {
 			slots++
 		}
 	}
-	for _, s := range b.servers {
+	for _, s := range c.servers {
 		before := s.placements
-		if s.placements = nil; slots == 0 {
+		s.placements = nil
+		if slots == 0 {
 			continue
 		}
 		s.placements = make([]routePlacement, slots)
-		for i, w := range b.routes {
-			if w == nil {
+		for i, route := range c.routes {
+			if route == nil {
 				continue
 			}
-			l := &s.placements[w.slot]
-			l.group = w.groupsOf(&s.Server)
+			placement := &s.placements[route.slot]
+			placement.group = route.groupsOf(&s.Server)
 			if i < len(old) && old[i] != nil && old[i].slot < len(before) {
-				l.running = before[old[i].slot].running
+				placement.running = before[old[i].slot].running
 				continue
 			}
-			for side := range l.running {
-				l.running[side] = 100 * b.chance(uint64(s.ID), uint64(sides*i+side)+1)
+			for side := range placement.running {
+				placement.running[side] = 100 * c.randomFor(uint64(s.ID), uint64(sides*i+side)+1)
 			}
 		}
 	}
 }
 
-// chance is a random number of this process from 0 to 1 that moves no other: the same for the same a and c.
-func (b *Balancer) chance(a, c uint64) float64 {
-	return unit(mix(mix(mix(b.cfg.Seed)^uint64(b.cfg.Number)) ^ mix(a+c*0x9e3779b97f4a7c15)))
+// storeRunning keeps the running values that a pick has left for the side of a route.
+func (c *canaryRouter) storeRunning(route *tenantRoute, side int) {
+	for _, s := range c.servers {
+		if !s.outsideGroup {
+			s.placements[route.slot].running[side] = s.running
+		}
+	}
 }
 
-// setAside keeps what other requests see from a pick along a route; the result puts it back.
-func (b *Balancer) saveRunning() func() {
-	for _, s := range b.servers {
-		s.savedRunning = s.running
-	}
-	pool := b.pool
-	b.pickingAlongRoute = true
-	return func() {
-		b.pickingAlongRoute, b.pool, b.maxOtherRunning = false, pool, math.Inf(1)
-		for _, s := range b.servers {
-			s.running, s.outsideGroup = s.savedRunning, false
+// check returns an error for the first field of the routes that cannot be.
+func (ev *Routes) check(cfg *Config) error {
+	if ev.Rev < 1 && len(ev.List) > 0 {
+		return &EventError{Event: "Routes", Field: "Rev", Value: ev.Rev}
+	}
+	tenants, ids := map[int]bool{}, map[uint64]bool{}
+	for i := range ev.List {
+		route, path := &ev.List[i], fmt.Sprintf("List[%d].", i)
+		if err := route.check(path, cfg); err != nil {
+			return err
+		}
+		switch {
+		case tenants[route.Tenant]:
+			return routeError(path+"Tenant", route.Tenant, "which has a route already")
+		case route.ID != 0 && ids[route.ID]:
+			return routeError(path+"ID", route.ID, "which is another route's already")
 		}
+		tenants[route.Tenant], ids[route.ID] = true, true
 	}
+	return nil
 }
 
-// keep takes over the running values that a pick has left.
-func (b *Balancer) storeRunning(w *tenantRoute, side int) {
-	for _, s := range b.servers {
-		if !s.outsideGroup {
-			s.placements[w.slot].running[side] = s.running
+// check returns an error for the first field of a route that cannot be by itself.
+func (r *Route) check(path string, cfg *Config) error {
+	if r.Tenant < -1 || r.Tenant >= len(cfg.Tenants) {
+		return routeError(path+"Tenant", r.Tenant, fmt.Sprintf("there are %d", len(cfg.Tenants)))
+	}
+	if !(r.CanaryFraction >= 0 && r.CanaryFraction <= 1) {
+		return routeError(path+"CanaryFraction", r.CanaryFraction, "not 0 to 1")
+	}
+	for i, class := range r.Classes {
+		if class < 0 || class >= len(cfg.Classes) {
+			path += fmt.Sprintf("Classes[%d]", i)
+			return routeError(path, class, fmt.Sprintf("there are %d", len(cfg.Classes)))
 		}
 	}
+	return nil
+}
+
+func routeError(field string, value any, reason string) *EventError {
+	return &EventError{Event: "Routes", Field: field, Value: value, Reason: reason}
+}
+
+func (r *Route) clone() Route {
+	out := *r
+	out.Classes = slices.Clone(r.Classes)
+	for _, s := range []*Subset{&out.Base, &out.Canary} {
+		s.Kinds, s.Cells, s.Zones = slices.Clone(s.Kinds), slices.Clone(s.Cells), slices.Clone(s.Zones)
+		s.IDs = slices.Clone(s.IDs)
+		slices.Sort(s.IDs)
+	}
+	return out
+}
+
+// contains reports whether a server is in the subset; IDs are sorted.
+func (u *Subset) contains(s *Server) bool {
+	matches := func(list []int, v int) bool { return len(list) == 0 || slices.Contains(list, v) }
+	if !matches(u.Kinds, s.Kind) || !matches(u.Cells, s.Cell) || !matches(u.Zones, s.Zone) {
+		return false
+	}
+	_, found := slices.BinarySearch(u.IDs, s.ID)
+	return found || len(u.IDs) == 0
 }
--- a/balance/routes.go
+++ b/balance/routes.go
@@ -1,17 +1,18 @@
 package balance
 
-// This file decides which servers a tenant's requests prefer, and what an attempt to a canary costs its
-// budget: docs/routes.md. What it remembers is in route_state.go.
+// This file decides which servers a tenant's requests prefer, and when an attempt may go to a canary:
+// docs/routes.md. What it remembers is in route_state.go.
 //
-// The share. A place in [0, 1) is drawn once for a request, and those below the share prefer the canary: a
-// share that grows moves nobody back. With a key all sidecars draw the same place, so the share is as exact
-// as keys are many. Without, a process goes through its places by the golden ratio from a start by chance:
-// over S processes that had n requests each, up to a thousand, the share that is met has a standard error of
-// at most 1 / (n √S), with 300 and ten requests each 0.6 % of all requests.
+// Canary fraction. A position in [0, 1) is drawn once for a request, and those below the fraction prefer the
+// canary: a fraction that grows moves nobody back. With a key all sidecars draw the same position, so the
+// fraction is as exact as there are many keys. Without a key a process goes through its positions by the
+// golden ratio from a random start: over S processes with n requests each, up to a thousand, the fraction
+// that results has a standard error of at most 1 / (n √S); with 300 processes and ten requests each that is
+// 0.6 % of all requests.
 //
-// The budget. An attempt that acts on the canary has a unit aside, so what fails is within what was granted,
-// and a process without units makes no such attempt. The canary's servers are the last resort of all others,
-// too; that is no attempt to the canary and costs no unit.
+// Budget. An attempt that counts for the canary has a unit reserved, so failures never exceed what was
+// granted, and a process without units sends no such attempt. The canary's servers are also the last resort
+// of all other requests; such an attempt does not count for the canary and costs no unit.
 
 import (
 	"math"
@@ -19,9 +20,9 @@
 )
 
 const (
-	golden             = 0.6180339887498949 // the step whose multiples fill a circle most evenly
+	goldenRatio        = 0.6180339887498949 // step whose multiples cover [0, 1) most evenly
 	maxRevokedAttempts = 3                  // attempts of a request that count as none; more of them count
-	nearlyAll          = 0.9                // of a client's time: one that left later has waited in vain
+	nearlyAll          = 0.9                // of a client's time: a client that left later has waited in vain
 )
 
 // The sides of a request, and the groups of servers that each tries one after the other.
@@ -32,92 +33,127 @@
 	groups = 3
 )
 
-// groupsOf is the group of a server on each side.
-func (w *tenantRoute) groupsOf(s *Server) [sides]uint8 {
-	canary := w.ID != 0 && w.Canary.has(s)
+// canaryRouter decides which servers the requests of a tenant prefer, and holds the canary budgets.
+type canaryRouter struct {
+	*shared
+	picker *picker
+
+	rev        int64          // of the routes
+	routes     []*tenantRoute // by tenant, from -1 on; nil: there are no routes
+	leaseUntil milliseconds   // until when canaries may be acted on
+	budgets    canaryBudgets
+	next       attemptRoute // what the attempt of the last pick acts on
+}
+
+// groupsOf returns the group of a server on each side.
+func (t *tenantRoute) groupsOf(s *Server) [sides]uint8 {
+	canary := t.ID != 0 && t.Canary.contains(s)
 	switch {
 	case canary:
 		return [sides]uint8{2, 0}
-	case w.Base.has(s):
+	case t.Base.contains(s):
 		return [sides]uint8{0, 1}
 	}
 	return [sides]uint8{1, 2}
 }
 
-// prefersCanary looks at the newest routes and the permission, at each pick afresh.
-func (b *Balancer) prefersCanary(w *tenantRoute, r *request) bool {
-	if w.ID == 0 || b.now >= b.canaryLease || len(w.Classes) > 0 && !slices.Contains(w.Classes, r.Class) {
+// routeOf returns the route of a request, nil if it has none.
+func (c *canaryRouter) routeOf(r *request) *tenantRoute {
+	if c.routes == nil {
+		return nil
+	}
+	if i := r.Tenant + 1; i > 0 && i < len(c.routes) && c.routes[i] != nil {
+		return c.routes[i]
+	}
+	return c.routes[0]
+}
+
+// prefersCanary reports whether a request prefers the canary by the newest routes and lease. Each pick asks
+// again.
+func (c *canaryRouter) prefersCanary(route *tenantRoute, r *request) bool {
+	if route.ID == 0 || c.now >= c.leaseUntil {
+		return false
+	}
+	if len(route.Classes) > 0 && !slices.Contains(route.Classes, r.Class) {
 		return false
 	}
-	if !r.placeDrawn {
-		r.placeDrawn, r.routePlace = true, w.draw(r)
+	if !r.positionDrawn {
+		r.positionDrawn, r.canaryPosition = true, route.drawPosition(r)
 	}
-	return r.routePlace < w.CanaryFraction
+	return r.canaryPosition < route.CanaryFraction
 }
 
-func (w *tenantRoute) draw(r *request) float64 {
+func (t *tenantRoute) drawPosition(r *request) float64 {
 	key := r.RouteKey
 	if key == 0 {
 		key = r.IdempotencyKey
 	}
 	if key != 0 {
-		return unit(mix(mix(w.ID) ^ key))
+		return unit(mix(mix(t.ID) ^ key))
 	}
-	_, w.last = math.Modf(w.last + golden)
-	return w.last
+	_, t.lastPosition = math.Modf(t.lastPosition + goldenRatio)
+	return t.lastPosition
 }
 
 // routePick is one pick of a request that has a route.
 type routePick struct {
 	*tenantRoute
-	r               *request
-	retry           bool
-	startTier       int
-	totalWeight     float64 // sum of weights of all groups so far
-	ignoreEjections bool    // all servers rest
+	request     *request
+	retry       bool
+	firstTier   int
+	totalWeight float64 // sum of weights of all groups so far
+	withEjected bool    // no other server is left
 }
 
-// pickAlong picks for a request that has a route. Where all rest the cause is hardly the canary's: it is
-// spared.
-func (b *Balancer) pickAlong(t *routePick) *server {
-	defer b.saveRunning()()
+// pick returns the server for an attempt of a request that has a route, nil if there is none now.
+func (c *canaryRouter) pick(route *tenantRoute, r *request, retry bool, firstTier int) *server {
+	defer c.picker.saveRunning()()
+	p := routePick{tenantRoute: route, request: r, retry: retry, firstTier: firstTier}
 	side := baseSide
-	if b.prefersCanary(t.tenantRoute, t.r) {
+	if c.prefersCanary(route, r) {
 		side = canarySide
 	}
-	s, group := b.pickSide(t, side)
-	canary := side == canarySide && group == 0
-	if canary && t.budget != nil && !t.budget.Reserve() {
-		canary, side = false, baseSide
-		s, _ = b.pickSide(t, side)
+	s, group := c.pickSide(&p, side)
+	toCanary := side == canarySide && group == 0
+	if toCanary && route.budget != nil && !route.budget.Reserve() {
+		toCanary, side = false, baseSide
+		s, _ = c.pickSide(&p, side)
 	}
-	if t.totalWeight == 0 {
-		side, t.ignoreEjections = baseSide, true
-		s, _ = b.pickSide(t, side)
+	if p.totalWeight == 0 { // all are ejected: the cause is hardly the canary's
+		side, p.withEjected = baseSide, true
+		s, _ = c.pickSide(&p, side)
 	}
 	if s == nil {
 		return nil
 	}
-	b.storeRunning(t.tenantRoute, side)
-	if b.now < b.canaryLease {
-		b.nextRoute = attemptRoute{rev: b.rev, route: t.ID, canary: canary}
+	c.storeRunning(route, side)
+	if c.now < c.leaseUntil {
+		c.next = attemptRoute{rev: c.rev, canaryID: route.ID, toCanary: toCanary}
 	}
-	if canary {
-		b.nextRoute.lateIsFailure, b.nextRoute.budget = t.LateIsFailure, t.budget
+	if toCanary {
+		c.next.lateIsFailure, c.next.budget = route.LateIsFailure, route.budget
 	}
 	return s
 }
 
+// takeNext returns what the attempt of the last pick acts on.
+func (c *canaryRouter) takeNext() attemptRoute {
+	next := c.next
+	c.next = attemptRoute{}
+	return next
+}
+
 // pickSide goes through the groups of a side and takes the first that has a server for the request. A first
-// send passes over those whose servers cannot take one more, unless it is so everywhere. A canary whose units
-// were spent on failures takes no load of the base: it is for who finds nobody else.
-func (b *Balancer) pickSide(t *routePick, side int) (*server, int) {
-	for _, loaded := range [2]bool{t.retry, true} {
+// attempt passes over a group whose servers cannot take one more request, unless that is so in all groups. A
+// canary whose units were spent on failures gets requests of the base only if no other server is left.
+func (c *canaryRouter) pickSide(p *routePick, side int) (*server, int) {
+	for _, acceptFull := range [2]bool{p.retry, true} {
 		for group := range groups {
-			if !loaded && group == groups-1 && side == baseSide && t.failed() {
+			lastResort := group == groups-1 && side == baseSide
+			if !acceptFull && lastResort && p.budget != nil && p.budget.exhausted() {
 				continue
 			}
-			if s, level := b.pickGroup(t, side, uint8(group)); s != nil && (loaded || level < full) {
+			if s, level := c.pickGroup(p, side, uint8(group)); s != nil && (acceptFull || level < full) {
 				return s, group
 			}
 		}
@@ -125,25 +161,20 @@
 	return nil, groups
 }
 
-// pickGroup is the ordinary way within a group, with the running values of the side.
-func (b *Balancer) pickGroup(t *routePick, side int, group uint8) (*server, int) {
-	for _, s := range b.servers {
-		l := &s.placements[t.slot]
-		s.running, s.outsideGroup = l.running[side], l.group[side] != group
-	}
-	total := b.weighCandidates(t.r, t.retry, t.ignoreEjections)
-	t.totalWeight += total
-	return b.chooseCandidate(t.r, t.retry, t.startTier, total)
-}
-
-// failed: units were spent, and none is left.
-func (w *tenantRoute) failed() bool {
-	return w.budget != nil && w.budget.Spent > 0 && w.budget.Free() <= 0
+// pickGroup picks within a group, with the running values of the side.
+func (c *canaryRouter) pickGroup(p *routePick, side int, group uint8) (*server, int) {
+	for _, s := range c.servers {
+		placement := &s.placements[p.slot]
+		s.running, s.outsideGroup = placement.running[side], placement.group[side] != group
+	}
+	total := c.picker.weighCandidates(p.request, p.retry, p.withEjected)
+	p.totalWeight += total
+	return c.picker.chooseCandidate(p.request, p.retry, p.firstTier, total)
 }
 
-// spends tells whether the end of an attempt costs its unit, or at its beginning whether a streamed answer
-// will. A client that left tells nothing; one whose time ran out does. What never began costs nothing, but a
-// canary that refuses or cannot be reached has failed.
+// spendsUnit reports whether the end of an attempt costs its unit; for a streamed answer it is asked at its
+// start. A client that left tells nothing, a client whose time ran out does. An attempt that was not sent
+// costs nothing, but a canary that rejects or cannot be reached has failed.
 func (a *attempt) spendsUnit(r *request, ev Outcome) bool {
 	switch ev.Result {
 	case NotSent, LocalFailure:
@@ -151,25 +182,37 @@
 	case Cancelled:
 		return a.missedForCanary
 	case OK:
-		return a.missedForCanary || a.lateIsFailure && !a.started && ev.Elapsed > r.class.LatencyObjective
+		late := ev.Elapsed > r.class.LatencyObjective
+		return a.missedForCanary || a.lateIsFailure && a.state != attemptAnswering && late
 	}
 	return true
 }
 
-// miss notes of what is out that its answer did not come in the client's time, or in the aim where that
-// counts: that the client has left, or is about to, is no reason then.
-func (b *Balancer) recordMissed(r *request) {
-	over := b.now >= r.arrived+nearlyAll*(r.deadline-r.arrived)
+// settle ends an attempt's use of its budget.
+func (a *attempt) settle(r *request, ev Outcome) {
+	if a.budget != nil {
+		a.budget.Settle(a.spendsUnit(r, ev))
+		a.budget = nil
+	}
+}
+
+// recordMissed marks the attempts in flight whose answer did not come in the client's time, or within the
+// objective where that counts. That the client has left, or is about to be answered, is no excuse for those.
+func (c *canaryRouter) recordMissed(r *request) {
+	timeOver := c.now >= r.arrivedAt+nearlyAll*(r.deadline-r.arrivedAt)
 	for i := range r.attempts {
 		a := &r.attempts[i]
-		late := a.lateIsFailure && !a.started && b.now > a.sent+r.class.LatencyObjective
-		a.missedForCanary = a.missedForCanary || a.live && (over || late)
+		if a.state == attemptEnded {
+			continue
+		}
+		late := a.lateIsFailure && a.state != attemptAnswering && c.now > a.sentAt+r.class.LatencyObjective
+		a.missedForCanary = a.missedForCanary || timeOver || late
 	}
 }
 
-// void takes an attempt out of the count: its route was closed before it began. Routes that change faster
-// than requests are sent could go on with it for ever.
-func (b *Balancer) uncountRevoked(r *request, a *attempt) {
+// uncountRevoked takes an attempt out of the count whose route was revoked before it started. The bound keeps
+// a request from going on for ever where routes change faster than it is sent.
+func (r *request) uncountRevoked(a *attempt) {
 	if r.revokedAttempts < maxRevokedAttempts {
 		r.revokedAttempts++
 		a.uncounted = true
--- a/balance/routes_property_test.go
+++ b/balance/routes_property_test.go
@@ -83,7 +83,7 @@
 			if next++; busy {
 				for _, b := range both {
 					tell(b, Request{ID: next, Class: class, Remaining: 500})
-					if b.reqs[next].liveAttempts == 1 {
+					if b.requests[next].liveAttempts == 1 {
 						tell(b, Outcome{Request: next, Result: NotSent, Finished: true})
 					}
 				}
@@ -152,7 +152,7 @@
 				}
 				if a.ToCanary {
 					w := routes.List[0]
-					r := g.b.reqs[a.Request]
+					r := g.b.requests[a.Request]
 					if !permitted || w.ID == 0 || w.CanaryFraction == 0 || !subsetContains(w.Canary, g.b.byID[a.Server]) ||
 						len(w.Classes) > 0 && !slices.Contains(w.Classes, r.Class) {
 						rt.Fatalf("%+v under %+v", a, routes)
--- a/balance/routes_test.go
+++ b/balance/routes_test.go
@@ -56,7 +56,7 @@
 		"Routes.List[0].Tenant":         with(func(w *Route) { w.Tenant = 2 }),
 		"List[0].Tenant is -2":          with(func(w *Route) { w.Tenant = -2 }),
 		"Routes.List[0].Classes":        with(func(w *Route) { w.Classes = []int{0, 6} }),
-		"Classes has -1":                with(func(w *Route) { w.Classes = []int{-1} }),
+		"Classes[0] is -1":              with(func(w *Route) { w.Classes = []int{-1} }),
 		"CanaryFraction is NaN":         with(func(w *Route) { w.CanaryFraction = math.NaN() }),
 		"CanaryFraction is 1.01":        with(func(w *Route) { w.CanaryFraction = 1.01 }),
 		"Routes.List[0].CanaryFraction": with(func(w *Route) { w.CanaryFraction = -0.01 }),
@@ -71,11 +71,11 @@
 		w.Budgeted = true
 		g := newRoutedHarness(t, w)
 		g.handle(BudgetGrant{ID: 9, Units: 3, MaxIdle: 3})
-		ways := g.b.routes
+		ways := g.b.canary.routes
 		if acts, err := g.b.Handle(g.now, ev); err == nil || !strings.Contains(err.Error(), want) || len(acts) > 0 {
 			t.Errorf("%+v: error %v, want one of %q", ev, err, want)
 		}
-		if &g.b.routes[0] != &ways[0] || g.b.rev != 5 || g.b.CanaryBudgets()[0].Granted != 3 {
+		if &g.b.canary.routes[0] != &ways[0] || g.b.canary.rev != 5 || g.b.CanaryBudgets()[0].Granted != 3 {
 			t.Errorf("%+v changed the balancer", ev)
 		}
 		if _, a := g.sendForTenant(idempotentClass); !a.ToCanary || a.RoutesRev != 5 || a.CanaryID != 9 {
@@ -102,9 +102,9 @@
 			}
 			side := false
 			for i, g := range rigs {
-				g.b.canaryLease = math.Inf(1)
+				g.b.canary.leaseUntil = math.Inf(1)
 				w := canaryRoute(share, 1)
-				here := g.b.prefersCanary(&tenantRoute{Route: w}, &request{Request: r})
+				here := g.b.canary.prefersCanary(&tenantRoute{Route: w}, &request{Request: r})
 				if i > 0 && here != side || last[key] && !here {
 					t.Fatalf("key %d at share %v changes its side", key, share)
 				}
@@ -136,14 +136,14 @@
 					if _, err := b.Handle(1, Routes{Rev: 1, List: []Route{canaryRoute(share, 1)}}); err != nil {
 						t.Fatal(err)
 					}
-					b.canaryLease = math.Inf(1)
+					b.canary.leaseUntil = math.Inf(1)
 					for range n {
 						r := &request{}
-						first := b.prefersCanary(b.routeOf(r), r)
+						first := b.canary.prefersCanary(b.canary.routeOf(r), r)
 						if first {
 							hits++
 						}
-						if again := b.prefersCanary(b.routeOf(r), r); again != first {
+						if again := b.canary.prefersCanary(b.canary.routeOf(r), r); again != first {
 							t.Fatal("a request changed its side")
 						}
 					}
@@ -210,8 +210,8 @@
 			w.Budgeted = true
 			g.handle(Routes{Rev: 6, List: []Route{w}})
 			g.handle(BudgetGrant{ID: 9, Units: 1, MaxIdle: 1})
-			g.b.canaryBudget(9).Reserve()
-			g.b.canaryBudget(9).Settle(true)
+			g.b.canary.budgets.get(9).Reserve()
+			g.b.canary.budgets.get(9).Settle(true)
 			for _, id := range others {
 				g.b.byID[id].inFlight = 9
 			}
@@ -261,8 +261,8 @@
 
 // finish ends what is still out for a request as if it had never been.
 func (g *harness) cancelAttempts(id RequestID) {
-	for r := g.b.reqs[id]; r != nil && r.liveAttempts > 0; r = g.b.reqs[id] {
-		g.endAttempt(id, slices.IndexFunc(r.attempts, func(a attempt) bool { return a.live }), NotSent, 0)
+	for r := g.b.requests[id]; r != nil && r.liveAttempts > 0; r = g.b.requests[id] {
+		g.endAttempt(id, slices.IndexFunc(r.attempts, func(a attempt) bool { return a.state != attemptEnded }), NotSent, 0)
 	}
 }
 
@@ -280,7 +280,7 @@
 	}
 	g.b.byID[1].inFlight = 0
 	for i, want := range []ServerID{1, 2, 4} {
-		g.b.reqs[id].stats.n = 0
+		g.b.requests[id].stats.samples = 0
 		if a = g.requireSend(g.endAttempt(id, i, Rejected, 1)); a.Server != want || a.ToCanary != (want < 4) {
 			t.Errorf("repeat %d: %+v, want %d", i+1, a, want)
 		}
@@ -310,7 +310,7 @@
 	if acts := g.handle(Outcome{Request: id, Attempt: maxRevokedAttempts, Server: 1, Result: Failed, RouteRevoked: true}); hasAction(acts, Send) {
 		t.Errorf("after the last: %+v", acts)
 	}
-	if g.b.byID[1].consecutiveErrors != 0 || g.b.byID[1].inFlight != 0 || g.b.reqs[id].sends() != 1 {
+	if g.b.byID[1].consecutiveErrors != 0 || g.b.byID[1].inFlight != 0 || g.b.requests[id].countedAttempts() != 1 {
 		t.Errorf("%d errors, %d in flight", g.b.byID[1].consecutiveErrors, g.b.byID[1].inFlight)
 	}
 }
@@ -332,18 +332,18 @@
 	w := canaryRoute(0.5, 1, 2)
 	w.Base = Subset{Zones: []int{1}}
 	g := newRoutedHarness(t, w)
-	r := &request{class: &g.b.cfg.Classes[idempotentClass], stats: &g.b.classes[idempotentClass], tenant: g.b.tenant(0)}
-	if n := testing.AllocsPerRun(100, func() { r.placeDrawn = false; g.b.pick(r, false) }); n > 0 {
+	r := &request{class: &g.b.cfg.Classes[idempotentClass], stats: &g.b.demand.classes[idempotentClass], tenant: g.b.demand.tenant(0)}
+	if n := testing.AllocsPerRun(100, func() { r.positionDrawn = false; g.b.pick(r, false) }); n > 0 {
 		t.Errorf("%v allocations", n)
 	}
-	g.b.pool.weight = 321
+	g.b.picker.pool.weight = 321
 	for i, s := range g.b.servers {
 		s.running = float64(i)
 	}
 	g.b.pick(r, false)
 	for i, s := range g.b.servers {
-		if s.running != float64(i) || s.outsideGroup || g.b.pool.weight != 321 || g.b.pickingAlongRoute {
-			t.Errorf("after a pick %+v, pool %v", s, g.b.pool)
+		if s.running != float64(i) || s.outsideGroup || g.b.picker.pool.weight != 321 || g.b.picker.alongRoute {
+			t.Errorf("after a pick %+v, pool %v", s, g.b.picker.pool)
 		}
 	}
 }
--- a/balance/settings.go
+++ b/balance/settings.go
@@ -1,20 +1,50 @@
 package balance
 
-// This file checks the settings that a balancer is made with.
-
 import (
-	"errors"
 	"fmt"
 	"math"
 )
 
-// check tells which field of the settings cannot be, if any.
+// configField is one number of the settings, by the path of its field.
+type configField struct {
+	path  string
+	value float64
+}
+
+// check returns an error for the first setting that cannot be.
 func (c *Config) check() error {
-	type figure struct {
-		name string
-		v    float64
+	if len(c.Classes) == 0 {
+		return &ConfigError{Field: "Classes", Value: c.Classes, Reason: "at least one is needed"}
+	}
+	for i := range c.Classes {
+		if err := c.Classes[i].check(fmt.Sprintf("Classes[%d].", i)); err != nil {
+			return err
+		}
+	}
+	for _, f := range c.numbers() {
+		if !(f.value >= 0) || math.IsInf(f.value, 0) {
+			return &ConfigError{Field: f.path, Value: f.value}
+		}
+	}
+	return nil
+}
+
+// check returns an error if the idempotency, the key scope or the deadline cannot be.
+func (c *Class) check(path string) error {
+	switch {
+	case c.Idempotency > NonIdempotent:
+		return &ConfigError{Field: path + "Idempotency", Value: c.Idempotency, Reason: "there is no such value"}
+	case c.KeyScope > KeyScopeCell:
+		return &ConfigError{Field: path + "KeyScope", Value: c.KeyScope, Reason: "there is no such value"}
+	case !(c.Deadline > 0):
+		return &ConfigError{Field: path + "Deadline", Value: c.Deadline, Reason: "not above 0"}
 	}
-	list := []figure{
+	return nil
+}
+
+// numbers lists the settings that must be finite and not negative.
+func (c *Config) numbers() []configField {
+	list := []configField{
 		{"Quantum", c.Quantum}, {"MaxAttempts", float64(c.MaxAttempts)}, {"MaxRetryAfter", c.MaxRetryAfter},
 		{"ConnectTimeout", c.ConnectTimeout}, {"DrainGrace", c.DrainGrace}, {"SlowStartCapacity", c.SlowStartCapacity},
 		{"SlowStartTime", c.SlowStartTime}, {"OverloadMultiple", c.OverloadMultiple}, {"OverloadTime", c.OverloadTime},
@@ -28,34 +58,25 @@
 		{"Prices.Handshake", c.Prices.Handshake}, {"Prices.HealthCheck", c.Prices.HealthCheck},
 		{"Prices.Peer", c.Prices.Peer}, {"Prices.LateFail", c.Prices.LateFail},
 	}
-	if len(c.Classes) == 0 {
-		return errors.New("no Classes")
-	}
 	for i := range c.Classes {
-		k, name := &c.Classes[i], fmt.Sprintf("Classes[%d].", i)
-		if k.Idempotency > NonIdempotent || k.KeyScope > KeyScopeCell || !(k.Deadline > 0) {
-			return fmt.Errorf("%sIdempotency, KeyScope or Deadline cannot be: %+v", name, *k)
-		}
+		class, path := &c.Classes[i], fmt.Sprintf("Classes[%d].", i)
 		list = append(list,
-			figure{name + "LatencyObjective", k.LatencyObjective}, figure{name + "Deadline", k.Deadline},
-			figure{name + "PriorityWeight", k.PriorityWeight}, figure{name + "LateWeight", k.LateWeight},
-			figure{name + "ObjectiveStretch", k.ObjectiveStretch},
-			figure{name + "KeyWindow", math.Min(k.KeyWindow, math.MaxFloat64)})
+			configField{path + "LatencyObjective", class.LatencyObjective},
+			configField{path + "Deadline", class.Deadline},
+			configField{path + "PriorityWeight", class.PriorityWeight},
+			configField{path + "LateWeight", class.LateWeight},
+			configField{path + "ObjectiveStretch", class.ObjectiveStretch},
+			configField{path + "KeyWindow", math.Min(class.KeyWindow, math.MaxFloat64)})
 	}
 	for i := range c.Tenants {
-		name := fmt.Sprintf("Tenants[%d].", i)
+		path := fmt.Sprintf("Tenants[%d].", i)
 		list = append(list,
-			figure{name + "Allowance", c.Tenants[i].Allowance}, figure{name + "Quota", c.Tenants[i].Quota})
+			configField{path + "Allowance", c.Tenants[i].Allowance}, configField{path + "Quota", c.Tenants[i].Quota})
 	}
-	for _, f := range list {
-		if !(f.v >= 0) || math.IsInf(f.v, 0) {
-			return fmt.Errorf("%s is %v", f.name, f.v)
-		}
-	}
-	return nil
+	return list
 }
 
-// region of a zone; one that the settings do not know is in the first.
+// region returns the region of a zone; a zone that the settings do not name is in region 0.
 func (c *Config) region(zone int) int {
 	if zone >= 0 && zone < len(c.Regions) {
 		return c.Regions[zone]
--- a/balance/slow_start_simulation_test.go
+++ b/balance/slow_start_simulation_test.go
@@ -387,7 +387,7 @@
 		return
 	}
 	f.handle(j.process, Outcome{Request: j.request, Attempt: j.attempt, Server: j.server.entry.ID, Result: res, Elapsed: f.now - j.sentAt,
-		Finished: res == OK || j.process.balancer.reqs[j.request].done})
+		Finished: res == OK || j.process.balancer.requests[j.request].state == requestAnswered})
 }
 
 func (f *fleetSimulation) run() {
--- a/balance/slow_start_test.go
+++ b/balance/slow_start_test.go
@@ -17,7 +17,7 @@
 		cfg.Seed, cfg.Number = uint64(i), i
 		g := newHarness(t, cfg, all[1:]...)
 		for _, s := range g.b.servers {
-			s.rank = g.b.rank(s)
+			s.rank = g.b.rankOf(s)
 		}
 		g.handle(CanaryLease{Until: math.Inf(1)})
 		g.handle(Routes{Rev: 1, List: []Route{canaryRoute(1, 1)}})
@@ -95,7 +95,7 @@
 		}
 		g.endAttempt(id, 0, OK, 10)
 	}
-	if !g.b.warmingUp(g.b.byID[s]) {
+	if !g.b.slowStart.warmingUp(g.b.byID[s]) {
 		t.Fatal("the server is held to be warm")
 	}
 }
@@ -148,14 +148,14 @@
 	g.sendRequest(idempotentClass) // sets the weights
 	s := g.b.servers[0]
 	s.tokens, s.tokensAt = 0, g.now-2000
-	if g.b.slowStartBudget(s); s.tokens > 0.2 { // with ten assumed: 1
+	if g.b.picker.withinBudget(s); s.tokens > 0.2 { // with ten assumed: 1
 		t.Fatalf("%.2f sends in two seconds", s.tokens)
 	}
 	for range 400 { // of two hundred answers a second it may have its part
-		g.b.answers.add(g.now, rateSpanObjectives*g.b.maxObjective)
+		g.b.admission.answers.add(g.now, rateSpanObjectives*g.b.maxObjective)
 	}
 	s.tokens, s.tokensAt = 0, g.now-2000
-	if g.b.slowStartBudget(s); s.tokens < 0.5 {
+	if g.b.picker.withinBudget(s); s.tokens < 0.5 {
 		t.Fatalf("%.2f sends in two seconds for a busy sidecar", s.tokens)
 	}
 }
@@ -172,7 +172,7 @@
 		g.sendRequest(idempotentClass) // sets the weights
 		s := g.b.servers[0]
 		s.tokens, s.tokensAt = 0, g.now-2000
-		g.b.slowStartBudget(s)
+		g.b.picker.withinBudget(s)
 		return s.tokens
 	}
 	if one, two := budget(1), budget(2); two > 0.51*one || two == 0 {
@@ -192,7 +192,7 @@
 			cfg.Number, cfg.Peers, cfg.Seed = i, c.sidecars, uint64(i)
 			rigs[i] = newHarness(t, cfg, identicalServers(c.servers)...)
 			for _, s := range rigs[i].b.servers {
-				s.rank = rigs[i].b.rank(s)
+				s.rank = rigs[i].b.rankOf(s)
 			}
 			rigs[i].b.dropGone()
 		}
--- a/balance/status.go
+++ b/balance/status.go
@@ -16,7 +16,7 @@
 
 // List tells what is made of the list.
 func (b *Balancer) ListStatus(now float64) ListStatus {
-	l := &b.list
+	l := b.list
 	out := ListStatus{
 		Rev: l.rev, Age: now - l.lastContact, Source: l.source, Stale: l.stale, Rejected: l.rejectedSince > 0,
 	}
@@ -40,7 +40,7 @@
 }
 
 // FleetSize tells how many processes this one believes to share what the fleet allows together; 0: nobody told it.
-func (b *Balancer) FleetSize() float64 { return b.fleet.n }
+func (b *Balancer) FleetSize() float64 { return b.slowStart.fleet.size }
 
 // ZoneState is what a balancer makes of zones, for who watches over it.
 type ZoneStatus struct {
@@ -52,8 +52,8 @@
 
 // Zones tells what is made of zones.
 func (b *Balancer) ZoneStatus() ZoneStatus {
-	out := ZoneStatus{Spill: b.spill[0], FarSpill: b.spill[1]}
-	for _, z := range b.zones {
+	out := ZoneStatus{Spill: b.locality.spill[0], FarSpill: b.locality.spill[1]}
+	for _, z := range b.locality.zones {
 		if z.left {
 			out.Left++
 		}
@@ -66,9 +66,13 @@
 func (b *Balancer) CountServers(now float64) (listed, avoided int) {
 	b.now = now
 	for _, s := range b.servers {
-		if s.State != Ready || b.ejected(s) {
+		if s.State != Ready || b.outliers.ejected(s) {
 			avoided++
 		}
 	}
 	return len(b.servers), avoided
 }
+
+// CanaryBudgets returns the newest state of the budgets of all canaries that need one or were granted units; of the
+// canaries whose route has ended, the last 64.
+func (b *Balancer) CanaryBudgets() []CanaryBudget { return b.canary.budgets.snapshot() }
--- a/balance/wallclock_test.go
+++ b/balance/wallclock_test.go
@@ -11,12 +11,12 @@
 	g := newListHarness(t, nil)
 	list := ServerList{Kind: ListFull, Rev: 2, Servers: []Server{{ID: 1, StartedAt: g.now + 3.6e6}}}
 	g.handle(list)
-	if !g.b.warmingUp(g.b.byID[1]) {
+	if !g.b.slowStart.warmingUp(g.b.byID[1]) {
 		t.Error("a server that has just started is not cold")
 	}
 	g.now += g.b.cfg.SlowStartTime
 	g.handle(list) // told again: it has not started again
-	if g.b.warmingUp(g.b.byID[1]) {
+	if g.b.slowStart.warmingUp(g.b.byID[1]) {
 		t.Error("it is still cold")
 	}
 }
@@ -66,11 +66,11 @@
 				g.now += 8e3
 				started := g.now - 200
 				s := g.updateServer(11, Server{ID: id, StartedAt: started + step})
-				if !g.b.warmingUp(s) || s.slowStartAt < started-futureSlack || s.slowStartAt > g.now {
+				if !g.b.slowStart.warmingUp(s) || s.slowStartAt < started-futureSlack || s.slowStartAt > g.now {
 					t.Fatalf("started %.0f ms ago, taken for %.0f", g.now-started, g.now-s.slowStartAt)
 				}
 				g.passTime(g.b.cfg.SlowStartTime + 1)
-				if g.b.warmingUp(s) {
+				if g.b.slowStart.warmingUp(s) {
 					t.Error("it stays cold")
 				}
 			})
@@ -84,7 +84,7 @@
 		check := func(g *harness, began, told float64) {
 			t.Helper()
 			g.now += 500
-			if s := g.updateServer(11, Server{ID: 9, StartedAt: told}); !g.b.warmingUp(s) || s.slowStartAt < began-futureSlack {
+			if s := g.updateServer(11, Server{ID: 9, StartedAt: told}); !g.b.slowStart.warmingUp(s) || s.slowStartAt < began-futureSlack {
 				t.Errorf("step %v s: started %.0f ms ago, taken for %.0f", step/1000, g.now-began, g.now-s.slowStartAt)
 			}
 		}
@@ -111,12 +111,12 @@
 		g.stepClock(step)
 		s := g.updateServer(11, Server{ID: 4, StartedAt: g.now + step})
 		g.passTime(2 * g.b.cfg.SlowStartTime)
-		if g.b.warmingUp(s) {
+		if g.b.slowStart.warmingUp(s) {
 			t.Fatalf("%v: a warm server is cold", step)
 		}
 		g.stepClock(0)
 		g.now += 1000
-		if s = g.updateServer(12, Server{ID: 4, StartedAt: g.now - 100}); !g.b.warmingUp(s) || s.slowStartAt < g.now-1100 {
+		if s = g.updateServer(12, Server{ID: 4, StartedAt: g.now - 100}); !g.b.slowStart.warmingUp(s) || s.slowStartAt < g.now-1100 {
 			t.Errorf("%v: a restart behind the second step is %v ms old", step, g.now-s.slowStartAt)
 		}
 	}
@@ -143,8 +143,8 @@
 				g.now += 100
 				s = g.updateServer(int64(11+i), Server{ID: 4, StartedAt: testBoot + start})
 			}
-			if g.b.warmingUp(s) != c.cold || c.cold && s.slowStartAt < g.now-200 {
-				t.Errorf("cold %v since %v ms", g.b.warmingUp(s), g.now-s.slowStartAt)
+			if g.b.slowStart.warmingUp(s) != c.cold || c.cold && s.slowStartAt < g.now-200 {
+				t.Errorf("cold %v since %v ms", g.b.slowStart.warmingUp(s), g.now-s.slowStartAt)
 			}
 		})
 	}
@@ -166,7 +166,7 @@
 				list.Servers[3].StartedAt = 0
 			}
 			g.handle(list)
-			if g.b.warmingUp(g.b.byID[4]) || g.b.stepped {
+			if g.b.slowStart.warmingUp(g.b.byID[4]) || g.b.clock.stepped {
 				t.Errorf("a restart is seen: %+v", g.b.byID[4])
 			}
 		})
@@ -199,11 +199,11 @@
 			g.now += 1000
 			rev++
 			s := g.updateServer(rev, Server{ID: 4, StartedAt: g.now - 100 + offset})
-			if !g.b.warmingUp(s) || s.slowStartAt > g.now || s.slowStartAt < g.now-2000 {
+			if !g.b.slowStart.warmingUp(s) || s.slowStartAt > g.now || s.slowStartAt < g.now-2000 {
 				t.Fatalf("seed %d, offset %v: started %v ms ago", seed, offset, g.now-s.slowStartAt)
 			}
-			if len(g.b.offsets) > maxOffsets {
-				t.Fatal(len(g.b.offsets), "offsets are kept")
+			if len(g.b.clock.offsets) > maxOffsets {
+				t.Fatal(len(g.b.clock.offsets), "offsets are kept")
 			}
 		}
 	}
@@ -215,7 +215,7 @@
 	for rev, start := range []float64{-30e3, -100, 500} {
 		g.passTime(60e3)
 		s := g.updateServer(int64(11+rev), Server{ID: 4, StartedAt: g.now + start})
-		if s.slowStartAt != g.now+start || g.b.stepped {
+		if s.slowStartAt != g.now+start || g.b.clock.stepped {
 			t.Errorf("%v: since %v", start, s.slowStartAt-g.now)
 		}
 	}
--- a/balance/zones.go
+++ b/balance/zones.go
@@ -1,212 +1,272 @@
 package balance
 
+// This file decides which zones and regions get requests. It has three rules, each from what this sidecar's
+// own requests met.
+//
+// Nearest first. Servers are taken by tier: the own zone, the own region, elsewhere. A near server is passed
+// over only if its requests, one after another, would take more than maxHeldObjective of the objective. What
+// the near tiers cannot take spills over: the part of first attempts that begin one tier further moves by
+// small steps. It grows while near answers take longer than those elsewhere by more than the price of
+// crossing is worth, and falls as they get quicker.
+//
+// Leaving a zone. A server that failed since its zone last answered is evidence against the zone: full
+// evidence if its connection never came up, partial evidence otherwise, as single servers restart and fail
+// now and then. With evidence of evidenceToLeave, and another zone that answers meanwhile, the zone is left.
+// If a part q of the servers is faulty on its own, two failures in a row without an answer between them come
+// by chance in q² of cases: 1.6 % for one in eight. A zone larger than the rest needs up to twice the
+// evidence. Where no other zone answers, the fault is nearer, and no zone is left.
+//
+// Returning. After a pause, longer each time and randomised, one request that may be repeated tries the zone.
+// Each good answer admits one more at a time, until they are as many as the servers in the rotation. A
+// failure begins the next pause.
+
 import (
 	"fmt"
 	"math"
 )
 
-// This file says what is made of zones and regions. Three rules, each from what this sidecar's own requests
-// met:
-//
-// Close first. Servers are taken by tier: the own zone, the own region, elsewhere. A near one is passed
-// over only if its requests could not be answered within holdAim of the aim, one after another. What the
-// near tiers cannot take spills: the part of first sends that begin one tier further moves by small steps
-// while near answers take longer than those elsewhere by more than the price is worth, and comes back as
-// they get quicker.
-//
-// Leaving. A server that failed since its zone last answered is a witness against the zone: a whole one
-// when its connection never came up, half a one otherwise, as single servers restart and stumble. With two
-// (four halves) and another zone that answers meanwhile the zone is left. With a part q of the servers sick
-// on their own, two in a row and no answer between them come by chance in q² of cases: 1.6 % with one in
-// eight. A zone larger than the rest needs up to twice as many. Where no other zone answers the fault is
-// nearer, and none is left.
-//
-// Returning. After a pause, longer each time and never the same for two sidecars, one request that may be
-// repeated tries the zone. Each good answer lets one more be there at a time, until they are as many as the
-// servers that get any; a failure begins the next pause.
-
 const (
-	maxHeldObjective = 0.33 // part of the aim that a near server's requests may take one after another
+	maxHeldObjective = 0.33 // part of the objective that a near server's requests may take one after another
 	halfPrice        = 0.1  // price of crossing at which half of the spare objective is used before it
-	spillPart        = 0.5  // of the step of shedding: both follow the same answers, and one must be slower
-	maxSpill         = 0.9  // near answers are needed to see that the near servers can take more again
-	tierAnswers      = 20   // answers over which a tier's time is taken
-	evidenceToLeave  = 2    // servers against a zone that is left
-	partialEvidence  = 0.5  // what counts one whose failure may be its own
-	stableObjectives = 20   // longest aims in use after which a zone's pauses begin anew
-	tiers            = 3
-	full             = 4*tiers + 1 // level of a server that cannot take one more
+	spillStepPart    = 0.5  // of the step of shedding: both follow the same answers, and one must be slower
+	maxSpill         = 0.9  // some near answers are needed to see that the near servers can take more again
+	tierSamples      = 20   // answers over which a tier's latency is taken
+	evidenceToLeave  = 2    // evidence against a zone at which it is left
+	fullEvidence     = 1
+	partialEvidence  = 0.5
+	stableObjectives = 20          // longest objectives in use after which the pauses of a zone start again
+	tiers            = 3           // own zone, own region, elsewhere
+	full             = 4*tiers + 1 // level of a server that cannot take one more request
 )
 
-// tier is how far a zone is away. Where crossing costs nothing all are alike.
-func (b *Balancer) tier(id int) int {
+// locality decides which zones and tiers requests may go to.
+type locality struct {
+	*shared
+	admission *admission
+	demand    *demand
+
+	zones         []*zone // in the order in which they were first listed
+	tierLatencies [tiers]tierLatency
+	spill         [tiers]float64 // part of first attempts that begin beyond each tier
+	spillDue      [tiers]float64 // attempts that are due to begin beyond it
+	spillAt       milliseconds   // when spill was last moved
+}
+
+// zone is what this sidecar knows of a zone as a whole.
+type zone struct {
+	id            int
+	tier          int
+	ready         int          // servers listed as ready
+	answeredAt    milliseconds // when it last answered
+	clearedAt     milliseconds // when the evidence against it was last dropped
+	evidence      float64      // since then
+	evidenceSince milliseconds // the first of it
+
+	left       bool         // it gets nothing, or is being tried again
+	leftUntil  milliseconds // end of the pause
+	timesLeft  int          // in a row
+	returnedAt milliseconds // when it was last in full use again
+	admitLimit float64      // requests in flight at a time while it is being tried
+	trials     float64      // such requests in flight
+}
+
+// tierLatency is the mean latency of a tier's answers, as a multiple of the objective. Failures count as
+// maxLatency.
+type tierLatency struct {
+	mean    float64
+	samples float64 // answers that mean is taken over
+	at      milliseconds
+}
+
+// zone returns what is known of a zone.
+func (l *locality) zone(id int) *zone {
+	for _, z := range l.zones {
+		if z.id == id {
+			return z
+		}
+	}
+	z := &zone{id: id, tier: l.tier(id), returnedAt: math.Inf(-1)}
+	l.zones = append(l.zones, z)
+	return z
+}
+
+// tier is how far a zone is away. Where crossing costs nothing all zones are alike.
+func (l *locality) tier(id int) int {
 	switch {
-	case b.cfg.Prices.CrossZone == 0 || id == b.cfg.Zone:
+	case l.cfg.Prices.CrossZone == 0 || id == l.cfg.Zone:
 		return 0
-	case b.cfg.region(id) == b.cfg.region(b.cfg.Zone):
+	case l.cfg.region(id) == l.cfg.region(l.cfg.Zone):
 		return 1
 	}
 	return 2
 }
 
-func (b *Balancer) pressure(t int) float64 {
-	e := &b.tierLatencies[t]
-	return b.quickest + (e.took-b.quickest)*math.Exp2((e.at-b.now)/halfLife)
+// latency is the mean latency of a tier. Without answers it decays to the minimum of all.
+func (l *locality) latency(tier int) float64 {
+	t := &l.tierLatencies[tier]
+	return l.admission.minMeanLatency + (t.mean-l.admission.minMeanLatency)*math.Exp2((t.at-l.now)/halfLife)
 }
 
-func (b *Balancer) recordTierLatency(t int, took float64) {
-	e := &b.tierLatencies[t]
-	e.took, e.at = b.pressure(t), b.now
-	e.n = math.Min(e.n+1, tierAnswers)
-	e.took += (math.Min(took, 2) - e.took) / (e.n + fewAnswers)
+// recordLatency takes in the latency of an answer of a tier.
+func (l *locality) recordLatency(tier int, latency float64) {
+	t := &l.tierLatencies[tier]
+	t.mean, t.at = l.latency(tier), l.now
+	t.samples = math.Min(t.samples+1, tierSamples)
+	t.mean += (math.Min(latency, maxLatency) - t.mean) / (t.samples + priorAnswers)
 }
 
-// startTier is the tier that a first send begins at.
-func (b *Balancer) startTier() int {
-	var there [tiers]bool
-	for _, z := range b.zones {
-		if z.ready > 0 && (!z.left || b.now >= z.leftUntil) {
-			there[z.tier] = true
-		}
-	}
-	step := math.Max(shedRate, bound((b.now-b.spillAt)/shedTime, 0, shedStep))
-	price := b.cfg.Prices.CrossZone
-	t := 0
-	for ; t+1 < tiers; t++ {
+// startTier moves the spill of all tiers and returns the tier that a first attempt begins at.
+func (l *locality) startTier() int {
+	usable := l.usableTiers()
+	step := l.step(l.spillAt)
+	price := l.cfg.Prices.CrossZone
+	for t := 0; t+1 < tiers; t++ {
 		further := t + 1
-		if further+1 < tiers && !there[further] {
+		if further+1 < tiers && !usable[further] {
 			further++
 		}
-		if !there[t] || !there[further] {
-			b.spill[t], b.spilled[t] = 0, 0
+		if !usable[t] || !usable[further] {
+			l.spill[t], l.spillDue[t] = 0, 0
 			continue
 		}
-		spare := spareObjective * price / (price + halfPrice) * (1 - b.quickest)
-		over := b.pressure(t) - math.Max(b.quickest, b.pressure(further)) - spare
-		b.spill[t] = bound(b.spill[t]+spillPart*step*bound(over/spare, -1, 1), 0, maxSpill)
-		price *= math.Max(1, b.cfg.RegionCost)
-	}
-	b.spillAt = b.now
-	for t = 0; t+1 < tiers; t++ {
-		if b.spilled[t] += b.spill[t]; b.spilled[t] < 1 {
+		l.moveSpill(t, further, step, price)
+		price *= math.Max(1, l.cfg.RegionCost)
+	}
+	l.spillAt = l.now
+	return l.takeSpill()
+}
+
+// usableTiers reports which tiers have a ready server in a zone that is in use.
+func (l *locality) usableTiers() [tiers]bool {
+	var usable [tiers]bool
+	for _, z := range l.zones {
+		if z.ready > 0 && (!z.left || l.now >= z.leftUntil) {
+			usable[z.tier] = true
+		}
+	}
+	return usable
+}
+
+// moveSpill moves the spill of a tier by the latency that it has above that of a further tier. The price of
+// crossing allows for part of the spare objective.
+func (l *locality) moveSpill(t, further int, step, price float64) {
+	spare := spareObjective * price / (price + halfPrice) * (1 - l.admission.minMeanLatency)
+	excess := l.latency(t) - math.Max(l.admission.minMeanLatency, l.latency(further)) - spare
+	l.spill[t] = bound(l.spill[t]+spillStepPart*step*bound(excess/spare, -1, 1), 0, maxSpill)
+}
+
+// takeSpill returns the first tier that is not due to be passed over.
+func (l *locality) takeSpill() int {
+	t := 0
+	for ; t+1 < tiers; t++ {
+		if l.spillDue[t] += l.spill[t]; l.spillDue[t] < 1 {
 			break
 		}
-		b.spilled[t]--
+		l.spillDue[t]--
 	}
 	return t
 }
 
-// answered takes in a good answer of a zone, and what it says of others.
-func (b *Balancer) answered(z *zone, trial bool, took float64) {
-	b.recordTierLatency(z.tier, took)
-	// It seemed dead as well: what failed meanwhile says nothing of others.
-	common := z.evidence >= evidenceToLeave
-	z.answer, z.cleared, z.evidence = b.now, b.now, 0
+// recordAnswer takes in a good answer of a zone, and what it says of the other zones.
+func (l *locality) recordAnswer(z *zone, trial bool, latency float64) {
+	l.recordLatency(z.tier, latency)
+	// If this zone seemed to have failed, too, the failures in other zones meanwhile had a common cause.
+	commonCause := z.evidence >= evidenceToLeave
+	z.answeredAt, z.clearedAt, z.evidence = l.now, l.now, 0
 	if z.left && trial {
-		if z.admitLimit++; z.admitLimit >= math.Min(float64(z.ready), float64(b.rotationSize())) {
-			z.left, z.back = false, b.now
-			b.log(fmt.Sprintf("zones: zone %d is in full use again", z.id))
-		}
+		l.admitMore(z)
 	}
-	for _, other := range b.zones {
-		if other != z && common {
-			other.cleared, other.evidence = b.now, 0
+	for _, other := range l.zones {
+		if other != z && commonCause {
+			other.clearedAt, other.evidence = l.now, 0
 		} else if other != z {
-			b.judgeZone(other)
+			l.judge(other)
 		}
 	}
 }
 
-// addEvidence takes in that a server failed, as a witness against its zone.
-func (b *Balancer) addEvidence(s *server, weight float64) {
+// admitMore raises the number of requests to a zone that is being tried. It ends the trial once they are as
+// many as the servers in the rotation.
+func (l *locality) admitMore(z *zone) {
+	z.admitLimit++
+	if z.admitLimit >= math.Min(float64(z.ready), float64(rotationSize(l.demand.rate()))) {
+		z.left, z.returnedAt = false, l.now
+		l.log(fmt.Sprintf("zones: zone %d is in full use again", z.id))
+	}
+}
+
+// addEvidence counts the failure of a server as evidence against its zone.
+func (l *locality) addEvidence(s *server, weight float64) {
 	z := s.zone
-	if z.left && b.now >= z.leftUntil {
-		b.leave(z)
+	if z.left && l.now >= z.leftUntil {
+		l.leave(z)
 	}
-	if s.evidenceAt >= z.cleared {
+	if s.evidenceAt >= z.clearedAt {
 		return
 	}
-	if s.evidenceAt = b.now; z.evidence == 0 {
-		z.since = b.now
+	s.evidenceAt = l.now
+	if z.evidence == 0 {
+		z.evidenceSince = l.now
 	}
 	z.evidence += weight
-	b.judgeZone(z)
+	l.judge(z)
 }
 
-// withdrawEvidence takes back that a server is a witness against its zone.
-func (b *Balancer) withdrawEvidence(s *server) {
-	if z := s.zone; s.evidenceAt >= z.cleared {
-		s.evidenceAt, z.evidence = math.Inf(-1), math.Max(0, z.evidence-1)
+// withdrawEvidence takes back the full evidence of a server against its zone.
+func (l *locality) withdrawEvidence(s *server) {
+	if z := s.zone; s.evidenceAt >= z.clearedAt {
+		s.evidenceAt, z.evidence = math.Inf(-1), math.Max(0, z.evidence-fullEvidence)
 	}
 }
 
-// judgeZone leaves a zone that has enough against it while another one answers.
-func (b *Balancer) judgeZone(z *zone) {
-	others, answers := 0, false
-	for _, other := range b.zones {
+// judge leaves a zone with enough evidence against it, if another one has answered since the first of it.
+func (l *locality) judge(z *zone) {
+	otherServers, otherAnswers := 0, false
+	for _, other := range l.zones {
 		if other != z && !other.left {
-			others += other.ready
-			answers = answers || other.ready > 0 && other.answer >= z.since
+			otherServers += other.ready
+			otherAnswers = otherAnswers || other.ready > 0 && other.answeredAt >= z.evidenceSince
 		}
 	}
-	need := evidenceToLeave * bound(float64(z.ready)/math.Max(float64(others), 1), 1, 2)
-	if !z.left && answers && z.evidence >= need {
-		b.log(fmt.Sprintf("zones: zone %d is left: %g witnesses, and others answer", z.id, z.evidence))
-		if b.now > z.back+stableObjectives*b.maxObjective {
-			z.timesLeft = 0
-		}
-		b.leave(z)
+	needed := evidenceToLeave * bound(float64(z.ready)/math.Max(float64(otherServers), 1), 1, 2)
+	if z.left || !otherAnswers || z.evidence < needed {
+		return
 	}
+	l.log(fmt.Sprintf("zones: zone %d is left: evidence %g, and other zones answer", z.id, z.evidence))
+	if l.now > z.returnedAt+stableObjectives*l.maxObjective {
+		z.timesLeft = 0
+	}
+	l.leave(z)
 }
 
 // leave begins a pause of a zone.
-func (b *Balancer) leave(z *zone) {
+func (l *locality) leave(z *zone) {
 	z.left, z.admitLimit = true, 0
-	z.leftUntil = b.now + b.maxObjective*float64(int(1)<<min(z.timesLeft, maxEjections))*(0.75+b.random()/2)
+	z.leftUntil = l.now + l.maxObjective*float64(int(1)<<min(z.timesLeft, maxEjections))*(0.75+l.random()/2)
 	z.timesLeft++
 }
 
-// admits tells whether a request may go to a zone: one that returns is tried by few, and first by those
-// that may be repeated.
-func (b *Balancer) admits(r *request, z *zone) bool {
-	return !z.left || b.now >= z.leftUntil && z.out < math.Max(1, z.admitLimit) && !r.BodyStreaming &&
+// admits reports whether a request may go to a zone. One that is being tried gets few requests, and at first
+// only those that may be repeated.
+func (l *locality) admits(r *request, z *zone) bool {
+	return !z.left || l.now >= z.leftUntil && z.trials < math.Max(1, z.admitLimit) && !r.BodyStreaming &&
 		(r.class.Idempotency != NonIdempotent || z.admitLimit >= evidenceToLeave)
 }
 
-// level orders servers for a first send that begins at a tier: the tiers by how far they are from it, in
-// each those within their share before those that can take one more.
-func (b *Balancer) level(r *request, s *server, begin int, over bool) int {
-	away := 2 * (s.zone.tier - begin)
-	if away < 0 {
-		away = -away - 1
+// level orders servers for a first attempt that begins at a tier: the lowest level goes first. Tiers are
+// ordered by how far they are from the first one, and in each the servers within their share of the load come
+// before those that can take one more request. inFlight is what the server holds.
+func (l *locality) level(r *request, s *server, firstTier int, overShare bool, inFlight float64) int {
+	distance := 2 * (s.zone.tier - firstTier)
+	if distance < 0 {
+		distance = -distance - 1
 	}
-	switch {
-	case !over:
-		return 2 * away
-	case (b.holds(s)+1)*math.Max(r.stats.mean/r.class.LatencyObjective, b.quickest) <= maxHeldObjective:
-		return 2*away + 1
+	if !overShare {
+		return 2 * distance
+	}
+	latency := math.Max(r.stats.mean/r.class.LatencyObjective, l.admission.minMeanLatency)
+	if (inFlight+1)*latency <= maxHeldObjective {
+		return 2*distance + 1
 	}
 	return full
 }
-
-// zone is what this sidecar knows of a zone as a whole.
-type zone struct {
-	id       int
-	tier     int
-	ready    int     // servers listed
-	answer   float64 // when it last answered
-	cleared  float64 // ... or was cleared of what was said against it
-	evidence float64 // witnesses since then
-	since    float64 // the first of them
-
-	left       bool
-	leftUntil  float64
-	timesLeft  int
-	back       float64 // when it was last in full use again
-	admitLimit float64 // requests that may be there at a time while it returns
-	out        float64 // ... and are
-}
-
-// tierLatency follows how long answers of a tier take, as a part of their aim; what failed took twice it. It
-// fades.
-type tierLatency struct{ took, n, at float64 }
