--- a/balance/admission_test.go
+++ b/balance/admission_test.go
@@ -6,126 +6,125 @@
 	"testing"
 )
 
-// Clients whose requests are shed are told when to return, where they listen; a request that failed at a
-// server may return at once.
+// A rejected request carries a retry pause if the settings allow it. A request that failed at servers carries none.
 func TestAdmission_retryAfter(t *testing.T) {
 	for _, test := range []struct {
-		listen      bool
-		most        float64
-		least, want float64
+		enabled            bool
+		maxRetryAfter      float64
+		minPause, maxPause float64
 	}{
 		{true, 1000, 1, 300}, {true, 7, 7, 7}, {false, 1000, 0, 0},
 	} {
 		cfg := baseConfig()
-		cfg.RetryAfter, cfg.MaxRetryAfter = test.listen, test.most
-		g := newHarness(t, cfg, identicalServers(2)...)
-		refused := 0
-		var open []RequestID
-		for range 500 { // answers take nearly all of the aim
-			g.now += 5
-			id, acts := g.sendRequest(idempotentClass)
+		cfg.RetryAfter, cfg.MaxRetryAfter = test.enabled, test.maxRetryAfter
+		h := newHarness(t, cfg, identicalServers(2)...)
+		rejected := 0
+		var inFlight []RequestID
+		for range 500 { // answers take nearly the whole latency objective
+			h.now += 5
+			id, acts := h.sendRequest(idempotentClass)
 			if _, sent := sentTo(acts); sent {
-				open = append(open, id)
+				inFlight = append(inFlight, id)
 			}
-			if len(open) > 55 {
-				g.endAttempt(open[0], 0, OK, 275)
-				open = open[1:]
+			if len(inFlight) > 55 {
+				h.endAttempt(inFlight[0], 0, OK, 275)
+				inFlight = inFlight[1:]
 			}
 			for _, a := range acts {
 				if a.Kind == Reject {
-					refused++
-					if a.At < test.least || a.At > test.want {
-						t.Errorf("%+v: told to stay away for %v ms", test, a.At)
+					rejected++
+					if a.At < test.minPause || a.At > test.maxPause {
+						t.Errorf("%+v: the retry pause is %v ms", test, a.At)
 					}
 				}
 			}
 		}
-		if refused == 0 {
-			t.Errorf("%+v: nothing was shed", test)
+		if rejected == 0 {
+			t.Errorf("%+v: no request was rejected", test)
 		}
 	}
-	g := newHarness(t, baseConfig(), identicalServers(2)...)
-	id, _ := g.sendRequest(idempotentClass)
-	g.endAttempt(id, 0, Failed, 10)
-	for _, a := range g.endAttempt(id, 1, Failed, 10) {
+	h := newHarness(t, baseConfig(), identicalServers(2)...)
+	id, _ := h.sendRequest(idempotentClass)
+	h.endAttempt(id, 0, Failed, 10)
+	for _, a := range h.endAttempt(id, 1, Failed, 10) {
 		if a.Kind == Reject && a.At != 0 {
-			t.Errorf("a failed request is told to stay away for %v ms", a.At)
+			t.Errorf("the retry pause after a failure is %v ms, want none", a.At)
 		}
 	}
 }
 
-// In overload every queue filled and all answers came late. What cannot be answered in time is
-// refused before it is sent, least worth first.
+// In overload, requests that cannot be answered in time are rejected before they are sent, those of low priority
+// weight first.
 func TestAdmission_lowPriorityFirst(t *testing.T) {
-	g := newHarness(t, baseConfig(), identicalServers(4)...)
-	refused := map[int]int{}
-	var open []RequestID
+	h := newHarness(t, baseConfig(), identicalServers(4)...)
+	rejected := map[int]int{}
+	var inFlight []RequestID
 	for i := range 2000 {
-		g.now += 2
+		h.now += 2
 		class := []int{idempotentClass, nonIdempotentClass}[i%2]
-		id, acts := g.sendRequest(class)
+		id, acts := h.sendRequest(class)
 		if hasAction(acts, Reject) {
-			refused[class]++
+			rejected[class]++
 			continue
 		}
-		open = append(open, id)
-		if len(open) > 150 { // answers take 300 ms and more
-			g.endAttempt(open[0], 0, OK, 300)
-			open = open[1:]
+		inFlight = append(inFlight, id)
+		if len(inFlight) > 150 { // answers take 300 ms and more
+			h.endAttempt(inFlight[0], 0, OK, 300)
+			inFlight = inFlight[1:]
 		}
 	}
-	if refused[idempotentClass] < 100 || refused[nonIdempotentClass] >= refused[idempotentClass] {
-		t.Fatalf("refused %d of low worth and %d of high worth", refused[idempotentClass], refused[nonIdempotentClass])
+	if rejected[idempotentClass] < 100 || rejected[nonIdempotentClass] >= rejected[idempotentClass] {
+		t.Fatalf("rejected %d of low priority weight and %d of high weight", rejected[idempotentClass], rejected[nonIdempotentClass])
 	}
 }
 
-// After a crash a sidecar of two requests a second took eight seconds to shed, and what was left choked.
+// A sidecar with two requests a second sheds at least half of the excess after three seconds of overload.
 func TestAdmission_lowTrafficOverload(t *testing.T) {
-	g := newHarness(t, baseConfig(), identicalServers(4)...)
+	h := newHarness(t, baseConfig(), identicalServers(4)...)
 	for range 6 {
-		g.setOverload(g.b.admission.lastingShed, 0.8)
-		g.now += 500
-		g.b.admission.inFlightLoadAt = g.now
-		g.sendRequest(idempotentClass)
+		h.setOverload(h.b.admission.lastingShed, 0.8)
+		h.now += 500
+		h.b.admission.inFlightLoadAt = h.now
+		h.sendRequest(idempotentClass)
 	}
-	if g.b.admission.lastingShed < 0.5 {
-		t.Fatalf("%.2f is shed after three seconds of overload", g.b.admission.lastingShed)
+	if h.b.admission.lastingShed < 0.5 {
+		t.Fatalf("%.2f is shed after three seconds of overload", h.b.admission.lastingShed)
 	}
 }
 
-// crowd sets the lasting part to shed and fills the fleet so that answers take the given part of the
-// aim longer than they may.
-func (g *harness) setOverload(lasting, over float64) {
-	full := g.b.admission.minMeanLatency + spareObjective*(1-g.b.admission.minMeanLatency)
-	if g.b.admission.lastingShed = lasting; lasting > 0 {
-		g.b.admission.lastingShed += shedTolerance
-	}
-	rate := g.b.admission.answerRate(priorAnswers)
-	assumed := g.b.admission.minMeanLatency * (1 - g.b.admission.answerRate(0)/rate)
-	g.b.admission.inFlightLoad, g.b.admission.inFlightLoadAt = (full+over-assumed)*rate, g.now
-	g.b.admission.meanInFlightLoad = g.b.admission.inFlightLoad
+// setOverload sets the lasting part of the load to shed, and a load in flight with which answers take this part of
+// the latency objective longer than they may.
+func (h *harness) setOverload(lasting, over float64) {
+	full := h.b.admission.minMeanLatency + spareObjective*(1-h.b.admission.minMeanLatency)
+	if h.b.admission.lastingShed = lasting; lasting > 0 {
+		h.b.admission.lastingShed += shedTolerance
+	}
+	rate := h.b.admission.answerRate(priorAnswers)
+	assumed := h.b.admission.minMeanLatency * (1 - h.b.admission.answerRate(0)/rate)
+	h.b.admission.inFlightLoad, h.b.admission.inFlightLoadAt = (full+over-assumed)*rate, h.now
+	h.b.admission.meanInFlightLoad = h.b.admission.inFlightLoad
 }
 
-// shedding brings 4000 requests, drawn from turns of (class, tenant), of which 0.4 of the work is to be shed,
-// and returns the part refused of each class and of each tenant.
+// rejectedFractions brings 4000 requests, drawn from arrivals of (class, tenant), while 0.4 of the work is to be
+// shed. It returns the rejected part of each class and of each tenant.
 func rejectedFractions(t *testing.T, cfg Config, arrivals ...[2]int) (byClass, byTenant [5]float64) {
 	t.Helper()
-	g := newHarness(t, cfg, identicalServers(4)...)
+	h := newHarness(t, cfg, identicalServers(4)...)
 	var arrived [2][5]float64
 	draw := rand.New(rand.NewPCG(1, 2))
 	for i := range 4000 {
 		arrival := arrivals[draw.IntN(len(arrivals))]
-		g.now++
-		g.setOverload(0.4, 0)
+		h.now++
+		h.setOverload(0.4, 0)
 		arrived[0][arrival[0]]++
 		arrived[1][arrival[1]]++
 		id := RequestID(i + 1)
-		acts := g.handle(Request{ID: id, Class: arrival[0], Tenant: arrival[1], Remaining: cfg.Classes[arrival[0]].Deadline})
+		acts := h.handle(Request{ID: id, Class: arrival[0], Tenant: arrival[1], Remaining: cfg.Classes[arrival[0]].Deadline})
 		if hasAction(acts, Reject) {
 			byClass[arrival[0]]++
 			byTenant[arrival[1]]++
 		} else {
-			g.endAttempt(id, 0, OK, 50)
+			h.endAttempt(id, 0, OK, 50)
 		}
 	}
 	for i := range 5 {
@@ -135,107 +134,106 @@
 	return byClass, byTenant
 }
 
-// Busy sidecars let queues grow for seconds before enough was shed, and crowded servers
-// stayed slow. What is shed follows the load at once, between nothing and twice the lasting part; a
-// sidecar that has not shed lately refuses nothing, as its few requests may crowd by chance.
+// The rejected part follows the current load, from nothing to twice the lasting part. Without a lasting part, nearly
+// nothing is rejected: a short peak is no overload.
 func TestAdmission_shedFollowsLoad(t *testing.T) {
 	for _, c := range []struct {
-		lasting, over float64 // over: of the aim, beyond what answers may take
-		least, most   float64 // part refused
+		lasting, over            float64 // over: part of the objective beyond what answers may take
+		minRejected, maxRejected float64 // part of the requests
 	}{{0, 0.5, 0, 0.05}, {0.4, 0, 0.3, 0.5}, {0.4, 0.5, 0.7, 0.9}, {0.4, -0.3, 0, 0}} {
-		g := newHarness(t, baseConfig(), identicalServers(4)...)
+		h := newHarness(t, baseConfig(), identicalServers(4)...)
 		for range 100 {
-			id, _ := g.sendRequest(idempotentClass)
-			g.now += 5
-			g.endAttempt(id, 0, OK, 50)
+			id, _ := h.sendRequest(idempotentClass)
+			h.now += 5
+			h.endAttempt(id, 0, OK, 50)
 		}
-		refused := 0.0
+		rejected := 0.0
 		for range 200 {
-			g.setOverload(c.lasting, c.over)
-			if _, acts := g.sendRequest(idempotentClass); hasAction(acts, Reject) {
-				refused++
+			h.setOverload(c.lasting, c.over)
+			if _, acts := h.sendRequest(idempotentClass); hasAction(acts, Reject) {
+				rejected++
 			}
 		}
-		if refused /= 200; refused < c.least || refused > c.most {
-			t.Errorf("%+v: %.2f were refused", c, refused)
+		if rejected /= 200; rejected < c.minRejected || rejected > c.maxRejected {
+			t.Errorf("%+v: %.2f were rejected", c, rejected)
 		}
 	}
 }
 
-// Of two tenants with equal shares the one that asks three times as much loses what is beyond its
-// share; when both ask for the same they lose the same.
+// Of two tenants with equal quotas, the one with three times the traffic loses the part over its quota. With equal
+// traffic both lose the same part.
 func TestAdmission_tenantOverQuota(t *testing.T) {
 	cfg := baseConfig()
 	cfg.Tenants = []Tenant{{Quota: 0.5}, {Quota: 0.5}}
-	_, refused := rejectedFractions(t, cfg, [2]int{0, 0}, [2]int{0, 0}, [2]int{0, 0}, [2]int{0, 1})
-	if refused[0] < 0.4 || refused[1] > 0.1 {
-		t.Fatalf("refused %.2f of the tenant with much traffic, %.2f of the other", refused[0], refused[1])
+	_, rejected := rejectedFractions(t, cfg, [2]int{0, 0}, [2]int{0, 0}, [2]int{0, 0}, [2]int{0, 1})
+	if rejected[0] < 0.4 || rejected[1] > 0.1 {
+		t.Fatalf("rejected %.2f of the tenant over its quota, %.2f of the other", rejected[0], rejected[1])
 	}
-	_, refused = rejectedFractions(t, cfg, [2]int{0, 0}, [2]int{0, 1})
-	if math.Abs(refused[0]-refused[1]) > 0.15 {
-		t.Fatalf("of equal tenants %.2f and %.2f are refused", refused[0], refused[1])
+	_, rejected = rejectedFractions(t, cfg, [2]int{0, 0}, [2]int{0, 1})
+	if math.Abs(rejected[0]-rejected[1]) > 0.15 {
+		t.Fatalf("of equal tenants %.2f and %.2f are rejected", rejected[0], rejected[1])
 	}
 }
 
-// The class of least worth was refused wholly although the worst-served class weighs much
-// in the goal. Then the classes come near each other; without such a weight the least goes first.
+// A goal that counts the worst-served class brings the rejected parts of the classes near each other. Without it the
+// class of lowest priority weight is rejected first.
 func TestAdmission_worstClassGoal(t *testing.T) {
 	cfg := baseConfig()
-	turns := [][2]int{{idempotentClass, 0}, {nonIdempotentClass, 0}}
+	arrivals := [][2]int{{idempotentClass, 0}, {nonIdempotentClass, 0}}
 	cfg.Goal = Goal{Overall: 1}
-	if refused, _ := rejectedFractions(t, cfg, turns...); refused[idempotentClass] < 0.7 || refused[nonIdempotentClass] > 0.1 {
-		t.Fatalf("without the weight %.2f and %.2f are refused", refused[idempotentClass], refused[nonIdempotentClass])
+	if rejected, _ := rejectedFractions(t, cfg, arrivals...); rejected[idempotentClass] < 0.7 || rejected[nonIdempotentClass] > 0.1 {
+		t.Fatalf("without the weight in the goal, %.2f and %.2f are rejected", rejected[idempotentClass], rejected[nonIdempotentClass])
 	}
 	cfg.Goal = Goal{Overall: 0.3, WorstClass: 0.7}
-	if refused, _ := rejectedFractions(t, cfg, turns...); refused[idempotentClass] > 0.5 || refused[nonIdempotentClass] < 0.3 {
-		t.Fatalf("with the weight %.2f and %.2f are refused", refused[idempotentClass], refused[nonIdempotentClass])
+	if rejected, _ := rejectedFractions(t, cfg, arrivals...); rejected[idempotentClass] > 0.5 || rejected[nonIdempotentClass] < 0.3 {
+		t.Fatalf("with the weight in the goal, %.2f and %.2f are rejected", rejected[idempotentClass], rejected[nonIdempotentClass])
 	}
 }
 
-// A tenant beyond its share is not starved where the worst-served tenant weighs in the goal.
+// A goal that counts the worst-served tenant keeps a tenant over its quota served.
 func TestAdmission_worstTenantGoal(t *testing.T) {
 	cfg := baseConfig()
 	cfg.Tenants = []Tenant{{Quota: 0.8}, {Quota: 0.2}}
-	turns := [][2]int{{0, 0}, {0, 1}}
+	arrivals := [][2]int{{0, 0}, {0, 1}}
 	cfg.Goal = Goal{Overall: 1}
-	if _, refused := rejectedFractions(t, cfg, turns...); refused[0] > 0.1 || refused[1] < 0.7 {
-		t.Fatalf("without the weight %.2f and %.2f are refused", refused[0], refused[1])
+	if _, rejected := rejectedFractions(t, cfg, arrivals...); rejected[0] > 0.1 || rejected[1] < 0.7 {
+		t.Fatalf("without the weight in the goal, %.2f and %.2f are rejected", rejected[0], rejected[1])
 	}
 	cfg.Goal = Goal{Overall: 0.3, WorstTenant: 0.7}
-	if _, refused := rejectedFractions(t, cfg, turns...); math.Abs(refused[0]-refused[1]) > 0.15 {
-		t.Fatalf("with the weight %.2f and %.2f are refused", refused[0], refused[1])
+	if _, rejected := rejectedFractions(t, cfg, arrivals...); math.Abs(rejected[0]-rejected[1]) > 0.15 {
+		t.Fatalf("with the weight in the goal, %.2f and %.2f are rejected", rejected[0], rejected[1])
 	}
 }
 
-// In full queues everything served was late. While load is shed an unsafe request is given up at its aim,
-// which is no error of the server's; others are not, as their clients would try again.
+// While load is shed, an attempt of a non-idempotent class ends at its latency objective, which counts as no error of
+// its server. Other classes get no such timeout, as their clients would retry.
 func TestAdmission_nonIdempotentTimeout(t *testing.T) {
-	for class, cuts := range map[int]bool{nonIdempotentClass: true, idempotentClass: false, cellKeyClass: false} {
+	for class, timesOut := range map[int]bool{nonIdempotentClass: true, idempotentClass: false, cellKeyClass: false} {
 		for _, lasting := range []float64{0, 0.2} {
-			g := newHarness(t, baseConfig(), identicalServers(4)...)
-			g.b.admission.lastingShed = lasting
+			h := newHarness(t, baseConfig(), identicalServers(4)...)
+			h.b.admission.lastingShed = lasting
 			if lasting > 0 {
-				g.b.admission.lastingShed += shedTolerance
+				h.b.admission.lastingShed += shedTolerance
 			}
-			id, acts := g.sendRequest(class)
+			id, acts := h.sendRequest(class)
 			s, ok := sentTo(acts)
 			for n := 0; !ok && n < 50; n++ {
-				id, acts = g.sendRequest(class)
+				id, acts = h.sendRequest(class)
 				s, ok = sentTo(acts)
 			}
 			want := 0.0
-			if cuts && lasting > 0 {
-				want = g.now + g.b.cfg.Classes[class].LatencyObjective
+			if timesOut && lasting > 0 {
+				want = h.now + h.b.cfg.Classes[class].LatencyObjective
 			}
 			for _, a := range acts {
 				if a.Kind == Send && a.At != want {
-					t.Errorf("class %d, %v shed: given up at %v, want %v", class, lasting, a.At, want)
+					t.Errorf("class %d, %v shed: the attempt ends at %v, want %v", class, lasting, a.At, want)
 				}
 			}
 			if want > 0 {
-				g.now += 200
-				if g.endAttempt(id, 0, TimedOut, 200); g.b.byID[s].consecutiveErrors != 0 {
-					t.Error("an attempt that was cut is held against its server")
+				h.now += 200
+				if h.endAttempt(id, 0, TimedOut, 200); h.b.byID[s].consecutiveErrors != 0 {
+					t.Error("the timeout counts as an error of the server")
 				}
 			}
 		}
--- a/balance/pick.go
+++ b/balance/pick.go
@@ -129,15 +129,15 @@
 		// Bounded load: a server above its share is slow, hung or filled by others, whatever its errors say.
 		// It keeps its running value for later.
 		load := p.load(s)
-		overShare := !s.loadKnown || load+1 > math.Ceil(loadHeadroom*knownLoad*s.weight/knownWeight)
+		overLimit := !s.loadKnown || load+1 > math.Ceil(loadHeadroom*knownLoad*s.weight/knownWeight)
 		level := 0
 		if !retry {
-			level = p.locality.level(r, s, firstTier, overShare, load)
-		} else if overShare {
+			level = p.locality.level(r, s, firstTier, overLimit, load)
+		} else if overLimit {
 			level = 1
 		}
 		better := best == nil || level < lowestLevel
-		if better || level == lowestLevel && p.preferred(s, best, retry, overShare) {
+		if better || level == lowestLevel && p.preferred(s, best, retry, overLimit) {
 			best, lowestLevel = s, level
 		}
 	}
@@ -162,8 +162,8 @@
 
 // preferred reports whether s goes before best on the same level. If both are over their share, the one with
 // the lower load for its weight goes first.
-func (p *picker) preferred(s, best *server, retry, overShare bool) bool {
-	if overShare && !retry {
+func (p *picker) preferred(s, best *server, retry, overLimit bool) bool {
+	if overLimit && !retry {
 		return (p.load(s)+1)*best.weight < (p.load(best)+1)*s.weight
 	}
 	if health, bestHealth := p.health(s), p.health(best); retry && health != bestHealth {
--- a/balance/request_events.go
+++ b/balance/request_events.go
@@ -297,7 +297,7 @@
 // rejected may return after retryAfter; 0: at once.
 func (b *Balancer) answer(r *request, retryAfter milliseconds) {
 	act := Action{Kind: Fail, Request: r.ID}
-	if r.safeToRetry() {
+	if r.clientMayRetry() {
 		act.Kind, act.At = Reject, retryAfter
 	}
 	b.emit(act)
--- a/balance/retry.go
+++ b/balance/retry.go
@@ -57,15 +57,15 @@
 			continue
 		}
 		mayHaveRun++
-		keyed := r.class.Idempotency == IdempotentWithKey
-		if r.class.Idempotency == NonIdempotent || keyed && latestStart >= a.sentAt+r.class.KeyWindow {
+		withKey := r.class.Idempotency == IdempotentWithKey
+		if r.class.Idempotency == NonIdempotent || withKey && latestStart >= a.sentAt+r.class.KeyWindow {
 			return true
 		}
 	}
 	if r.bodyConsumed || r.countedAttempts() >= p.cfg.MaxAttempts || mayHaveRun > maxRetries {
 		return true
 	}
-	return p.now >= r.arrivedAt+r.class.LatencyObjective && r.safeToRetry()
+	return p.now >= r.arrivedAt+r.class.LatencyObjective && r.clientMayRetry()
 }
 
 // endsAtObjective reports whether the next attempt is given up at the latency objective, though it cannot be
@@ -95,10 +95,10 @@
 	return math.Min(r.class.LatencyObjective*p.admission.minMeanLatency, p.cfg.MaxRetryAfter)
 }
 
-// safeToRetry reports whether the client may send the request again without harm.
-func (r *request) safeToRetry() bool {
-	keyed := r.class.Idempotency == IdempotentWithKey
-	if r.class.Idempotency == Idempotent || keyed && r.class.KeyScope == KeyScopeAll {
+// clientMayRetry reports whether the client may send the request again without harm.
+func (r *request) clientMayRetry() bool {
+	withKey := r.class.Idempotency == IdempotentWithKey
+	if r.class.Idempotency == Idempotent || withKey && r.class.KeyScope == KeyScopeAll {
 		return true
 	}
 	for i := range r.attempts {
--- a/balance/settings_test.go
+++ b/balance/settings_test.go
@@ -7,7 +7,8 @@
 	"testing"
 )
 
-// Settings that the first deployments do not use. Each run checks rules 1 to 3 as it goes.
+// Settings that the deployment does not use keep the rules of simulation, answer each request, and send nearly all of
+// them.
 func TestSettings_variants(t *testing.T) {
 	for name, change := range map[string]func(*Config, *int){
 		"one server":  func(_ *Config, n *int) { *n = 1 },
@@ -34,40 +35,40 @@
 		t.Run(name, func(t *testing.T) {
 			cfg, n := baseConfig(), 6
 			change(&cfg, &n)
-			w := newSimulation(t, rand.New(rand.NewSource(7)), cfg)
+			sim := newSimulation(t, rand.New(rand.NewSource(7)), cfg)
 			list := identicalServers(n)
 			for i := range list {
-				w.servers[list[i].ID], w.usable[list[i].ID] = &list[i], true
+				sim.servers[list[i].ID], sim.usable[list[i].ID] = &list[i], true
 			}
-			w.handle(ServerList{Kind: ListFull, Servers: list})
+			sim.handle(ServerList{Kind: ListFull, Servers: list})
 			sent := 0
 			for id := RequestID(1); id <= 400; id++ {
-				w.now += 9
-				w.fireTimers()
+				sim.now += 9
+				sim.fireTimers()
 				class := int(id) % len(cfg.Classes)
-				w.requests[id] = &simulatedRequest{class: class, deadline: w.now + 300}
-				w.handle(Request{ID: id, Class: class, Tenant: int(id) % 5, Remaining: 300})
-				for len(w.healthChecks) > 0 {
-					s := w.healthChecks[0]
-					w.healthChecks = w.healthChecks[1:]
-					w.handle(HealthCheckResult{Server: s, Report: []float32{1}})
+				sim.requests[id] = &simulatedRequest{class: class, deadline: sim.now + 300}
+				sim.handle(Request{ID: id, Class: class, Tenant: int(id) % 5, Remaining: 300})
+				for len(sim.healthChecks) > 0 {
+					s := sim.healthChecks[0]
+					sim.healthChecks = sim.healthChecks[1:]
+					sim.handle(HealthCheckResult{Server: s, Report: []float32{1}})
 				}
-				sent += len(w.requests[id].attempts)
+				sent += len(sim.requests[id].attempts)
 				if id > 2 {
-					w.answer(id - 2)
+					sim.answer(id - 2)
 				}
 			}
-			for w.now += 1000; w.hasUnanswered() && len(w.timers) > 0; w.now += 1000 {
-				w.fireTimers()
+			for sim.now += 1000; sim.hasUnanswered() && len(sim.timers) > 0; sim.now += 1000 {
+				sim.fireTimers()
 			}
-			if w.hasUnanswered() || sent < 300 {
-				t.Fatalf("unanswered requests: %v; %d of 400 sent", w.hasUnanswered(), sent)
+			if sim.hasUnanswered() || sent < 300 {
+				t.Fatalf("unanswered requests: %v; %d of 400 sent", sim.hasUnanswered(), sent)
 			}
 		})
 	}
 }
 
-// A caller's settings that cannot be are an error, never a balancer that misbehaves later.
+// New returns an error for invalid settings that names the field.
 func TestSettings_invalid(t *testing.T) {
 	for name, spoil := range map[string]func(*Config){
 		"Classes":                     func(c *Config) { c.Classes = nil },
--- a/balance/status.go
+++ b/balance/status.go
@@ -1,37 +1,35 @@
 package balance
 
-// This file tells who watches over a balancer what it makes of things. It changes nothing.
-
 import "math"
 
-// ListState is what a balancer makes of its list, for who watches over it.
+// ListStatus is the state of the server list, for monitoring.
 type ListStatus struct {
 	Rev       int64
-	Age       float64 // ms since a list service said anything
+	Age       float64 // ms since a list service last said anything
 	Source    int     // the service watched, by preference
-	Suspected int     // servers that are used though the last whole list left them out
+	Suspected int     // servers in use that the last full list left out
 	Stale     bool    // outcomes count more than the list
-	Rejected  bool    // lists are older than the one held, and not taken
+	Rejected  bool    // the lists that come are older than the one held
 }
 
-// List tells what is made of the list.
+// ListStatus returns the state of the server list.
 func (b *Balancer) ListStatus(now float64) ListStatus {
 	l := b.list
-	out := ListStatus{
+	status := ListStatus{
 		Rev: l.rev, Age: now - l.lastContact, Source: l.source, Stale: l.stale, Rejected: l.rejectedSince > 0,
 	}
 	for _, s := range b.servers {
 		if s.suspectedSince > 0 {
-			out.Suspected++
+			status.Suspected++
 		}
 	}
-	return out
+	return status
 }
 
-// ListRev is the revision of the list held, without a look at the servers; 0: none, or one without revisions.
+// ListRev returns the revision of the list held; 0: there is no list, or it has no revisions.
 func (b *Balancer) ListRev() int64 { return b.list.rev }
 
-// Used gives a server that requests may be sent to, as its newest entry that counts has it.
+// UsableServer returns the entry of a server that requests may be sent to.
 func (b *Balancer) UsableServer(id ServerID) (Server, bool) {
 	if s := b.byID[id]; s != nil && s.State == Ready {
 		return s.Server, true
@@ -39,30 +37,31 @@
 	return Server{}, false
 }
 
-// FleetSize tells how many processes this one believes to share what the fleet allows together; 0: nobody told it.
+// FleetSize returns the estimated number of processes that share what the fleet allows together; 0: not known.
 func (b *Balancer) FleetSize() float64 { return b.slowStart.fleet.size }
 
-// ZoneState is what a balancer makes of zones, for who watches over it.
+// ZoneStatus is the state of zones, for monitoring.
 type ZoneStatus struct {
 	Left     int     // zones that get nothing, or are being tried
-	Spill    float64 // part of first sends that begin beyond the own zone
-	FarSpill float64 // ... beyond the own region
-	Evidence float64 // against the zone that has most against it
+	Spill    float64 // part of first attempts that begin beyond the own zone
+	FarSpill float64 // part of first attempts that begin beyond the own region
+	Evidence float64 // highest evidence against a zone
 }
 
-// Zones tells what is made of zones.
+// ZoneStatus returns the state of zones.
 func (b *Balancer) ZoneStatus() ZoneStatus {
-	out := ZoneStatus{Spill: b.locality.spill[0], FarSpill: b.locality.spill[1]}
+	status := ZoneStatus{Spill: b.locality.spill[0], FarSpill: b.locality.spill[1]}
 	for _, z := range b.locality.zones {
 		if z.left {
-			out.Left++
+			status.Left++
 		}
-		out.Evidence = math.Max(out.Evidence, z.evidence)
+		status.Evidence = math.Max(status.Evidence, z.evidence)
 	}
-	return out
+	return status
 }
 
-// Avoided tells how many servers are listed, and how many of those get nothing now: they drain or rest.
+// CountServers returns how many servers are listed, and how many of them get no requests now, as they drain or are
+// ejected.
 func (b *Balancer) CountServers(now float64) (listed, avoided int) {
 	b.now = now
 	for _, s := range b.servers {
--- a/balance/zones.go
+++ b/balance/zones.go
@@ -129,7 +129,7 @@
 			l.spill[t], l.spillDue[t] = 0, 0
 			continue
 		}
-		l.moveSpill(t, further, step, price)
+		l.adjustSpill(t, further, step, price)
 		price *= math.Max(1, l.cfg.RegionCost)
 	}
 	l.spillAt = l.now
@@ -147,9 +147,9 @@
 	return usable
 }
 
-// moveSpill moves the spill of a tier by the latency that it has above that of a further tier. The price of
+// adjustSpill moves the spill of a tier by the latency that it has above that of a further tier. The price of
 // crossing allows for part of the spare objective.
-func (l *locality) moveSpill(t, further int, step, price float64) {
+func (l *locality) adjustSpill(t, further int, step, price float64) {
 	spare := spareObjective * price / (price + halfPrice) * (1 - l.admission.minMeanLatency)
 	excess := l.latency(t) - math.Max(l.admission.minMeanLatency, l.latency(further)) - spare
 	l.spill[t] = bound(l.spill[t]+spillStepPart*step*bound(excess/spare, -1, 1), 0, maxSpill)
@@ -256,12 +256,12 @@
 // level orders servers for a first attempt that begins at a tier: the lowest level goes first. Tiers are
 // ordered by how far they are from the first one, and in each the servers within their share of the load come
 // before those that can take one more request. inFlight is what the server holds.
-func (l *locality) level(r *request, s *server, firstTier int, overShare bool, inFlight float64) int {
+func (l *locality) level(r *request, s *server, firstTier int, overLimit bool, inFlight float64) int {
 	distance := 2 * (s.zone.tier - firstTier)
 	if distance < 0 {
 		distance = -distance - 1
 	}
-	if !overShare {
+	if !overLimit {
 		return 2 * distance
 	}
 	latency := math.Max(r.stats.mean/r.class.LatencyObjective, l.admission.minMeanLatency)
