--- a/balance/admission.go
+++ b/balance/admission.go
@@ -20,8 +20,12 @@
 	shedValueBand      = 1.25 // requests whose values differ by less than this factor are shed alike
 )
 
-// shedTime is the time between two requests after which the lasting part moves by the whole excess latency.
-const shedTime milliseconds = 1500
+const (
+	shedTime milliseconds = 1500   // between two requests after which lastingShed moves by the whole excess
+	idleTime milliseconds = 60_000 // without a request, after which what is known of the load is out of date
+	longAgo  milliseconds = 1e9    // start of a rate whose span has passed
+	minWork  milliseconds = 1e-3   // least mean latency of a class that its value is divided by
+)
 
 // admission decides which requests are admitted. It estimates by Little's law how long answers will take,
 // from the load in flight and the rate of answers, and sheds load that the fleet cannot answer within the
@@ -115,7 +119,7 @@
 // that is higher by two standard deviations counts instead: traffic may grow fast.
 func (l *admission) answerRate(assumed float64) float64 {
 	long := l.answers.rate(l.now, l.started, rateSpanObjectives*l.maxObjective, assumed)
-	recent := l.recentAnswers.rate(l.now, l.now-1e9, l.maxObjective, 0) * l.maxObjective
+	recent := l.recentAnswers.rate(l.now, l.now-longAgo, l.maxObjective, 0) * l.maxObjective
 	return math.Max(long, (recent-2*math.Sqrt(recent))/l.maxObjective)
 }
 
@@ -158,7 +162,7 @@
 	if tenant == all.weakTenant {
 		v += goal.WorstTenant * class.priorityWeight / all.weight * all.arrived / tenant.arrived
 	}
-	return v / math.Max(class.mean, 1e-3)
+	return v / math.Max(class.mean, minWork)
 }
 
 // recordAnswer takes in a good answer and its latency as a multiple of the objective.
--- a/balance/api.go
+++ b/balance/api.go
@@ -25,7 +25,7 @@
 	StartedAt        float64 // 0: long ago
 	Rating           float64 // relative size; 1 where nothing is known
 	Cell, Zone, Kind int
-	AddressKey       uint64 // tells addresses apart; 0: they are not told apart, NoAddress: there is none
+	AddressKey       uint64 // identifies the address; 0: addresses are not known, NoAddress: it cannot be read
 }
 
 // NoAddress is the AddressKey of a server whose address cannot be read.
--- a/balance/demand.go
+++ b/balance/demand.go
@@ -3,8 +3,8 @@
 import "math"
 
 const (
-	latencySamples  = 300  // answers over which the mean and deviation of a class are taken
-	minSpanFraction = 0.05 // of a span that a rate is taken over, however short the time since the start
+	maxLatencySamples = 300  // answers over which the mean and deviation of a class are taken
+	minSpanFraction   = 0.05 // of a span that a rate is taken over, however short the time since the start
 )
 
 // demand counts the requests of this sidecar, by class and by tenant, and follows how long answers of a class
@@ -103,10 +103,10 @@
 	priorityWeight float64
 }
 
-// add takes in the latency of an answer: a running mean of the first latencySamples answers, an exponentially
-// weighted one from then on.
+// add takes in the latency of an answer: a running mean of the first maxLatencySamples answers, an
+// exponentially weighted one from then on.
 func (c *classStats) add(latency milliseconds) {
-	c.samples = math.Min(c.samples+1, latencySamples)
+	c.samples = math.Min(c.samples+1, maxLatencySamples)
 	c.mean += (latency - c.mean) / c.samples
 	c.deviation += (math.Abs(latency-c.mean) - c.deviation) / c.samples
 }
--- a/balance/ejection.go
+++ b/balance/ejection.go
@@ -3,11 +3,11 @@
 import "math"
 
 const (
-	overdueDeviations = 4 // mean deviations above the mean of its class at which an attempt is overdue
-	minLatencySamples = 5 // answers of a class from which its mean and deviation count
-	errorsToEject     = 2 // consecutive errors before a server is ejected
-	maxEjections      = 3 // doublings of an ejection
-	maxEjectionsStale = 6 // doublings for refused connections while the list is stale
+	overdueDeviations      = 4 // mean deviations above the mean of its class at which an attempt is overdue
+	minLatencySamples      = 5 // answers of a class from which its mean and deviation count
+	errorsToEject          = 2 // consecutive errors before a server is ejected
+	maxPauseDoublings      = 3 // of an ejection, or of the pause of a zone
+	maxPauseDoublingsStale = 6 // of an ejection for refused connections while the list is stale
 )
 
 // outlierDetector judges servers by the outcomes of attempts. It ejects those that fail or cannot be reached:
@@ -45,9 +45,9 @@
 // tell that a server which refuses connections is gone.
 func (d *outlierDetector) ejectionLimit(s *server) int {
 	if d.list.stale && s.processDown {
-		return maxEjectionsStale
+		return maxPauseDoublingsStale
 	}
-	return maxEjections
+	return maxPauseDoublings
 }
 
 // ejectForQueue ejects a server with a long queue for one round of requests, as it stays slow until the queue
@@ -63,7 +63,7 @@
 	s.lastErrorAt = d.now
 	d.locality.recordLatency(s.zone.tier, maxLatency)
 	d.locality.addEvidence(s, weight)
-	d.capacity.learn(s, maxRelativeTime)
+	d.capacity.learn(s, maxRelativeLatency)
 	if away || s.consecutiveErrors >= errorsToEject {
 		d.eject(s)
 		if s.suspectedSince > 0 {
--- a/balance/learning.go
+++ b/balance/learning.go
@@ -3,11 +3,11 @@
 import "math"
 
 const (
-	sizeStep        = 0.01 // of a server's logarithm of size per answer; kind and zone move by half of it
-	maxSize         = 2.5  // bound of each learned logarithm of size
-	driftSamples    = 200  // answers over which the mean step of all servers is taken
-	initialSpeedUp  = 24   // factor by which steps are larger at the start, when no size is known; it fades
-	maxRelativeTime = 3    // time of a failed attempt, as a multiple of the mean of its class
+	sizeStep           = 0.01 // of a server's logarithm of size per answer; kind and zone move by half of it
+	maxSize            = 2.5  // bound of each learned logarithm of size
+	driftSamples       = 200  // answers over which the mean step of all servers is taken
+	initialSpeedUp     = 24   // factor by which steps are larger at the start: no size is known
+	maxRelativeLatency = 3    // latency as which failures and slower answers count
 )
 
 // capacityModel learns from answers how large servers are. A size is the sum of three logarithms: of the
@@ -33,7 +33,7 @@
 	if m.slowStart.warmingUp(s) {
 		return
 	}
-	step := math.Max(-2, 1-relativeLatency)
+	step := 1 - math.Min(relativeLatency, maxRelativeLatency)
 	m.drift += (step - m.drift) / driftSamples
 	m.samples++
 	step = sizeStep * (1 + initialSpeedUp/(1+m.samples/meanWindow)) * (step - m.drift)
--- a/balance/list.go
+++ b/balance/list.go
@@ -1,16 +1,16 @@
 package balance
 
-// This file decides what is believed of an endpoint list. All sidecars share the list, so a wrong one can
-// empty a fleet faster than any crash.
+// This file decides which lists and entries of a list service are accepted. All sidecars share the list, so a
+// wrong one can empty a fleet faster than any crash.
 //
-// What a list service says of a server by name is obeyed, always: Gone and Draining end new attempts at once.
+// What a list service says of a server by name always counts: Gone and Draining end new attempts at once.
 // What a full list leaves out is gone, too, unless Config.SuspectFraction is set. Then a list that leaves out
 // more than that fraction of the servers in use is suspect, and those servers stay in use for as long as
 // their own outcomes are good. With several list services (Config.ListServices) the list never goes back in
 // revision: a service that lags is left for the next.
 //
-// Alternative that was not taken: to ask several services and believe the majority. A list that is half
-// loaded is half loaded everywhere, and the calls would multiply with the size of the fleet.
+// Alternative that was not taken: to request the list of several services and accept the majority. A list
+// that is half loaded is half loaded everywhere, and the calls would multiply with the size of the fleet.
 
 import (
 	"fmt"
@@ -33,7 +33,7 @@
 // EpochOf is the history that a revision belongs to: revisions of one epoch can be compared.
 func EpochOf(rev int64) int64 { return rev >> epochBits }
 
-// endpointList decides what is believed of a server list, and which list service is watched.
+// endpointList decides which lists are accepted, and which list service is watched.
 type endpointList struct {
 	*shared
 	locality  *locality
--- a/balance/locality_test.go
+++ b/balance/locality_test.go
@@ -263,7 +263,7 @@
 		if len(pauses) < 5 {
 			t.Fatalf("%d pauses", len(pauses))
 		}
-		for i := 1; i <= maxEjections; i++ {
+		for i := 1; i <= maxPauseDoublings; i++ {
 			if pauses[i] < 1.1*pauses[i-1] {
 				t.Errorf("seed %d: pauses %v", seed, pauses[:5])
 			}
--- a/balance/pick.go
+++ b/balance/pick.go
@@ -7,6 +7,10 @@
 	minHealth       = 0.25 // of the multiplier m, so that a server that has recovered is found again
 	loadHeadroom    = 0.4  // multiple of its share of the load above which a server is passed over
 	minRotation     = 4    // servers in the rotation
+
+	baseWeight        = 100  // weight of a server of size 1
+	minWeight         = 1e-6 // so that each candidate has one
+	maxInitialRunning = 100  // highest SWRR running value that a server starts with
 )
 
 const (
@@ -201,8 +205,8 @@
 
 // weight is size × m, lowered while the server warms up.
 func (p *picker) weight(s *server) float64 {
-	size := 100 * s.Rating * p.capacity.size(s)
-	return math.Max(size*p.health(s)*p.slowStart.warmth(s), 1e-6)
+	size := baseWeight * s.Rating * p.capacity.size(s)
+	return math.Max(size*p.health(s)*p.slowStart.warmth(s), minWeight)
 }
 
 // health is the multiplier m of a server: 1 without errors, lower by a penalty that decays exponentially.
--- a/balance/request_events.go
+++ b/balance/request_events.go
@@ -10,11 +10,8 @@
 	"slices"
 )
 
-// idleTime is the time without a request after which what is known of the load is out of date.
-const idleTime milliseconds = 60_000
-
-// maxInitialRunning is the highest SWRR running value that a server starts with.
-const maxInitialRunning = 100
+// pollsPerObjective is how often within its latency objective a request that has found no server looks for one.
+const pollsPerObjective = 20
 
 func (b *Balancer) onRequest(ev Request) error {
 	if ev.Class < 0 || ev.Class >= len(b.cfg.Classes) {
@@ -285,7 +282,7 @@
 	if hold := math.Max(r.checksUntil, r.retryAt); hold > b.now {
 		next = math.Min(next, hold)
 	} else if r.state == requestQueued {
-		next = math.Min(next, b.now+math.Max(b.cfg.Quantum, r.class.LatencyObjective/20))
+		next = math.Min(next, b.now+math.Max(b.cfg.Quantum, r.class.LatencyObjective/pollsPerObjective))
 	}
 	if next < r.wakeAt {
 		r.wakeAt = next
--- a/balance/retry.go
+++ b/balance/retry.go
@@ -69,8 +69,8 @@
 }
 
 // endsAtObjective reports whether the next attempt is given up at the latency objective, though it cannot be
-// repeated then. It is while load is shed: in full queues all answers are late, and a client that waits tries
-// other servers.
+// repeated then. It is while load is shed: in full queues all answers are late, and clients send again what
+// takes long, which adds to the load.
 func (p *retryPolicy) endsAtObjective(r *request) bool {
 	overloaded := p.admission.overloaded() && !r.BodyStreaming
 	return r.class.Idempotency == NonIdempotent && overloaded
--- a/balance/route_state.go
+++ b/balance/route_state.go
@@ -108,7 +108,7 @@
 				continue
 			}
 			for side := range placement.running {
-				placement.running[side] = 100 * c.randomFor(uint64(s.ID), uint64(sides*i+side)+1)
+				placement.running[side] = maxInitialRunning * c.randomFor(uint64(s.ID), uint64(sides*i+side)+1)
 			}
 		}
 	}
--- a/balance/routes.go
+++ b/balance/routes.go
@@ -4,7 +4,7 @@
 // docs/routes.md. What it remembers is in route_state.go.
 //
 // Canary fraction. A position in [0, 1) is drawn once for a request, and those below the fraction prefer the
-// canary: a fraction that grows moves nobody back. With a key all sidecars draw the same position, so the
+// canary: a fraction that grows moves no request back. With a key all sidecars draw the same position, so the
 // fraction is as exact as there are many keys. Without a key a process goes through its positions by the
 // golden ratio from a random start: over S processes with n requests each, up to a thousand, the fraction
 // that results has a standard error of at most 1 / (n √S); with 300 processes and ten requests each that is
@@ -25,14 +25,16 @@
 	nearlyAll          = 0.9                // of a client's time: a client that left later has waited in vain
 )
 
-// The sides of a request, and the groups of servers that each tries one after the other.
+// The sides of a request, and the groups of servers that are used for each, one after the other.
 const (
 	baseSide = iota
 	canarySide
 	sides
-	groups = 3
 )
 
+// groups is how many groups of servers each side has.
+const groups = 3
+
 // canaryRouter decides which servers the requests of a tenant prefer, and holds the canary budgets.
 type canaryRouter struct {
 	*shared
@@ -153,7 +155,7 @@
 			if !acceptFull && lastResort && p.budget != nil && p.budget.exhausted() {
 				continue
 			}
-			if s, level := c.pickGroup(p, side, uint8(group)); s != nil && (acceptFull || level < full) {
+			if s, level := c.pickGroup(p, side, uint8(group)); s != nil && (acceptFull || level < fullLevel) {
 				return s, group
 			}
 		}
--- a/balance/slow_start.go
+++ b/balance/slow_start.go
@@ -5,6 +5,11 @@
 // fleetHalfLife is the time in which the estimated size of the fleet halves at most.
 const fleetHalfLife milliseconds = 10_000
 
+const (
+	overloadReserve = 2 // the budget fills at OverloadMultiple divided by this
+	budgetParts     = 4 // the bucket holds the tokens of OverloadTime divided by this
+)
+
 // slowStart bounds what is sent to servers that have just started, by all processes of the fleet together.
 type slowStart struct {
 	*shared
@@ -41,16 +46,16 @@
 // withinBudget reports whether a server that warms up may get one more attempt, retries included. The budget
 // is a token bucket.
 //
-// It fills at half of OverloadMultiple times the rate of answers that warm servers of the same size give to
-// this sidecar, lowered by the server's warmth, but at least at the rate that it would have if all servers
-// were alike. Answers count rather than requests, as clients repeat requests that fail. The rate is of a
-// while ago; pool.cooling lowers it where servers were warmer then.
+// It fills at OverloadMultiple / overloadReserve times the rate of answers that warm servers of the same size
+// give to this sidecar, lowered by the server's warmth, but at least at the rate that it would have if all
+// servers were alike. Answers count rather than requests, as clients repeat requests that fail. The rate is
+// of a while ago; pool.cooling lowers it where servers were warmer then.
 //
 // Along a route only the rate of equal servers counts, and idle time adds little: a route may bring all
 // sidecars to a server at once.
 func (w *slowStart) withinBudget(s *server, pool *candidatePool, alongRoute bool) bool {
 	fraction := s.weight / math.Max(pool.weight, s.weight) * pool.cooling
-	fraction *= math.Max(1, w.cfg.OverloadMultiple/2)
+	fraction *= math.Max(1, w.cfg.OverloadMultiple/overloadReserve)
 	span := w.now - s.tokensAt
 	if alongRoute {
 		fraction, span = 0, math.Min(span, w.cfg.OverloadTime)
@@ -58,7 +63,7 @@
 	equalRate := w.admission.answerRate(w.assumedAnswers/w.processes) * w.warmth(s) / float64(len(w.servers))
 	ownRate := w.admission.answerRate(math.Min(w.assumedAnswers, 1)/w.processes) * fraction
 	rate := math.Max(ownRate, equalRate)
-	s.tokens = math.Min(s.tokens+rate*span, math.Max(1, rate*w.cfg.OverloadTime/4))
+	s.tokens = math.Min(s.tokens+rate*span, math.Max(1, rate*w.cfg.OverloadTime/budgetParts))
 	s.tokensAt = w.now
 	return s.tokens >= 1
 }
@@ -71,7 +76,7 @@
 	w.assumedAnswers = float64(w.cfg.Peers) * w.fleet.Quota(w.now, ev)
 }
 
-// FleetEstimate is how many processes share what the fleet allows together, as far as one of them may believe
+// FleetEstimate is how many processes share what the fleet allows together, as far as one of them may rely on
 // it.
 type FleetEstimate struct {
 	size float64
--- a/balance/zones.go
+++ b/balance/zones.go
@@ -7,7 +7,7 @@
 // over only if its requests, one after another, would take more than maxHeldObjective of the objective. What
 // the near tiers cannot take spills over: the part of first attempts that begin one tier further moves by
 // small steps. It grows while near answers take longer than those elsewhere by more than the price of
-// crossing is worth, and falls as they get quicker.
+// crossing allows for, and falls as they get quicker.
 //
 // Leaving a zone. A server that failed since its zone last answered is evidence against the zone: full
 // evidence if its connection never came up, partial evidence otherwise, as single servers restart and fail
@@ -16,8 +16,8 @@
 // by chance in q² of cases: 1.6 % for one in eight. A zone larger than the rest needs up to twice the
 // evidence. Where no other zone answers, the fault is nearer, and no zone is left.
 //
-// Returning. After a pause, longer each time and randomised, one request that may be repeated tries the zone.
-// Each good answer admits one more at a time, until they are as many as the servers in the rotation. A
+// Returning. After a pause, longer each time and randomised, one request that may be repeated goes to the
+// zone. Each good answer admits one more at a time, until they are as many as the servers in the rotation. A
 // failure begins the next pause.
 
 import (
@@ -36,7 +36,7 @@
 	partialEvidence  = 0.5
 	stableObjectives = 20          // longest objectives in use after which the pauses of a zone start again
 	tiers            = 3           // own zone, own region, elsewhere
-	full             = 4*tiers + 1 // level of a server that cannot take one more request
+	fullLevel        = 4*tiers + 1 // level of a server that cannot take one more request
 )
 
 // locality decides which zones and tiers requests may go to.
@@ -239,10 +239,12 @@
 	l.leave(z)
 }
 
-// leave begins a pause of a zone.
+// leave begins a pause of a zone. Jitter makes it up to a quarter shorter or longer.
 func (l *locality) leave(z *zone) {
 	z.left, z.admitLimit = true, 0
-	z.leftUntil = l.now + l.maxObjective*float64(int(1)<<min(z.timesLeft, maxEjections))*(0.75+l.random()/2)
+	longer := float64(int(1) << min(z.timesLeft, maxPauseDoublings))
+	jitter := 0.75 + l.random()/2
+	z.leftUntil = l.now + l.maxObjective*longer*jitter
 	z.timesLeft++
 }
 
@@ -268,5 +270,5 @@
 	if (inFlight+1)*latency <= maxHeldObjective {
 		return 2*distance + 1
 	}
-	return full
+	return fullLevel
 }
