--- a/balance/admission.go
+++ b/balance/admission.go
@@ -6,7 +6,7 @@
 // objective.
 const (
 	spareObjective     = 0.25 // part of the objective beyond the minimum latency that queues may take
-	initialLatency     = 0.33 // minimum latency until answers tell
+	initialLatency     = 0.33 // minimum latency until there are enough answers
 	meanWindow         = 50   // answers or load reports over which a mean is taken
 	maxLatency         = 2    // later answers count as this late
 	shedPerExcess      = 1.5  // part of the load shed at once, per excess latency
@@ -165,7 +165,7 @@
 	return v / math.Max(class.mean, minWork)
 }
 
-// recordAnswer takes in a good answer and its latency as a multiple of the objective.
+// recordAnswer records a good answer and its latency as a multiple of the objective.
 func (l *admission) recordAnswer(latency float64) {
 	l.answers.add(l.now, rateSpanObjectives*l.maxObjective)
 	l.recentAnswers.add(l.now, l.maxObjective)
--- a/balance/balancer.go
+++ b/balance/balancer.go
@@ -32,7 +32,7 @@
 }
 
 // New returns a balancer with the given settings; call Start before Handle. It keeps the slices of cfg, which must not
-// change afterwards. Settings that cannot be are a *ConfigError.
+// change afterwards. The error for invalid settings is a *ConfigError.
 func New(cfg Config) (*Balancer, error) {
 	if err := cfg.check(); err != nil {
 		return nil, err
@@ -70,8 +70,8 @@
 	return b.actions
 }
 
-// Handle takes one event and returns what to do. The actions are valid until the next call. An event that cannot be
-// is an *EventError, and leaves the balancer unchanged.
+// Handle takes one event and returns what to do. The actions are valid until the next call. The error for an invalid
+// event is an *EventError; the balancer is unchanged then.
 func (b *Balancer) Handle(now float64, ev Event) ([]Action, error) {
 	b.startEvent(now)
 	err := b.dispatch(ev)
--- a/balance/canary_budget.go
+++ b/balance/canary_budget.go
@@ -7,9 +7,9 @@
 const maxEndedBudgets = 64
 
 // CanaryBudget is the budget that this process holds for one canary, in units since its start. An attempt reserves a
-// unit before it is sent. A failure spends the unit; a good answer, and an end that tells nothing of the canary,
-// releases it. What was granted and neither spent nor returned is this process's alone to use, so failures never
-// exceed what was granted.
+// unit before it is sent. A failure spends the unit; a good answer, and an end that says nothing about the canary,
+// releases it. What was granted and neither spent nor returned is this process's alone to use, so failures never exceed
+// what was granted.
 type CanaryBudget struct {
 	ID                       uint64
 	Granted, Spent, Returned int64
@@ -38,7 +38,7 @@
 	}
 }
 
-// Grant takes in how many units were granted in all, and returns those that are free beyond maxIdle.
+// Grant records how many units were granted in all, and returns those that are free beyond maxIdle.
 func (c *CanaryBudget) Grant(units, maxIdle int64) {
 	c.Granted = max(c.Granted, units)
 	if idle := c.Free(); idle > maxIdle {
@@ -104,7 +104,7 @@
 	return copies
 }
 
-// check returns an error if the grant cannot be.
+// check returns an error if the grant is invalid.
 func (ev *BudgetGrant) check() error {
 	switch {
 	case ev.ID == 0:
--- a/balance/config_check.go
+++ b/balance/config_check.go
@@ -11,7 +11,7 @@
 	value float64
 }
 
-// check returns an error for the first setting that cannot be.
+// check returns an error for the first invalid setting.
 func (c *Config) check() error {
 	if len(c.Classes) == 0 {
 		return &ConfigError{Field: "Classes", Value: c.Classes, Reason: "at least one is needed"}
@@ -29,7 +29,7 @@
 	return nil
 }
 
-// check returns an error if the idempotency, the key scope or the deadline cannot be.
+// check returns an error if the idempotency, the key scope or the deadline is invalid.
 func (c *Class) check(path string) error {
 	switch {
 	case c.Idempotency > NonIdempotent:
--- a/balance/errors.go
+++ b/balance/errors.go
@@ -2,7 +2,7 @@
 
 import "fmt"
 
-// EventError says that an event cannot be. The balancer is unchanged by such an event. Callers find it in the error of
+// EventError says that an event is invalid. The balancer is unchanged by such an event. Callers find it in the error of
 // Handle with errors.As.
 type EventError struct {
 	Event  string // name of the event's type
@@ -15,7 +15,7 @@
 	return describeValue(e.Event+"."+e.Field, e.Value, e.Reason)
 }
 
-// ConfigError says that a setting cannot be. Callers find it in the error of New with errors.As.
+// ConfigError says that a setting is invalid. Callers find it in the error of New with errors.As.
 type ConfigError struct {
 	Field  string // path of the field, such as "Classes[0].Deadline"
 	Value  any    // what the field holds
--- a/balance/health_check.go
+++ b/balance/health_check.go
@@ -11,7 +11,7 @@
 	allBusyChance      = 0.01 // accepted chance that all servers that are checked are busy
 )
 
-// healthChecker decides which servers are health-checked, and takes in load reports.
+// healthChecker decides which servers are health-checked, and records load reports.
 type healthChecker struct {
 	*shared
 	outliers *outlierDetector
@@ -19,7 +19,7 @@
 	waiting  []*request // that wait for health checks before their first attempt
 }
 
-// healthReport is what health checks and load reports tell of a server.
+// healthReport is what health checks and load reports say about a server.
 type healthReport struct {
 	checkPending    bool
 	reportedLoad    float64      // requests in flight at the last load report
@@ -64,7 +64,7 @@
 	}
 }
 
-// onResult takes in the result of a health check and reports whether requests may wait for it.
+// onResult records the result of a health check and reports whether requests may wait for it.
 func (h *healthChecker) onResult(ev HealthCheckResult) bool {
 	s := h.byID[ev.Server]
 	if s == nil {
@@ -85,7 +85,8 @@
 	return true
 }
 
-// takeReport takes in a load report and returns the wait that it tells of: its queue times its service time.
+// takeReport records a load report and returns the wait that follows from it: queue length times service
+// time.
 func (h *healthChecker) takeReport(s *server, report []float32) milliseconds {
 	queue, serviceTime := 0.0, 0.0
 	for i, f := range h.cfg.Fields {
--- a/balance/learning.go
+++ b/balance/learning.go
@@ -28,7 +28,7 @@
 	}
 }
 
-// learn takes in an answer whose latency is given as a multiple of the mean of its class.
+// learn updates the sizes by an answer whose latency is given as a multiple of the mean of its class.
 func (m *capacityModel) learn(s *server, relativeLatency float64) {
 	if m.slowStart.warmingUp(s) {
 		return
--- a/balance/list.go
+++ b/balance/list.go
@@ -9,7 +9,7 @@
 // their own outcomes are good. With several list services (Config.ListServices) the list never goes back in
 // revision: a service that lags is left for the next.
 //
-// Alternative that was not taken: to request the list of several services and accept the majority. A list
+// Rejected alternative: to request the list of several services and accept the majority. A list
 // that is half loaded is half loaded everywhere, and the calls would multiply with the size of the fleet.
 
 import (
@@ -64,7 +64,7 @@
 	suspectedSince milliseconds // since when no list has named it; 0: one does
 }
 
-// onEvent takes in a list event and reports whether servers may have changed.
+// onEvent applies a list event and reports whether servers may have changed.
 func (l *endpointList) onEvent(ev ServerList) (changed bool) {
 	if ev.Kind == ListFailed {
 		if !ev.FromFetch {
@@ -154,7 +154,7 @@
 	l.dropGone()
 }
 
-// applyChanges takes in changed entries. It leaves servers and zones as dropGone would, but walks over the
+// applyChanges applies changed entries. It leaves servers and zones as dropGone would, but walks over the
 // named servers alone: a fleet has thousands.
 func (l *endpointList) applyChanges(entries []Server, sameHistory bool) {
 	for i := range entries {
@@ -162,7 +162,7 @@
 	}
 }
 
-// applyChange takes in one changed entry and moves its server alone.
+// applyChange applies one changed entry and moves its server alone.
 func (l *endpointList) applyChange(entry *Server, sameHistory bool) {
 	s, at := l.byID[entry.ID], len(l.servers)
 	known, oldRank := s != nil, 0.0
@@ -191,7 +191,7 @@
 	l.servers = slices.Insert(l.servers, at, s)
 }
 
-// update takes in one entry. A restart clears what was held against the server, another address what was held
+// update applies one entry. A restart clears what was held against the server, another address what was held
 // against the old one.
 func (l *endpointList) update(entry *Server, sameHistory bool) {
 	s := l.byID[entry.ID]
@@ -252,7 +252,7 @@
 	return at
 }
 
-// markUnlisted takes in which servers a complete list leaves out: they are gone, or suspected.
+// markUnlisted marks the servers that a complete list leaves out as gone or as suspected.
 func (l *endpointList) markUnlisted(entries []Server, maySuspect bool) {
 	listed := make(map[ServerID]bool, len(entries))
 	for i := range entries {
--- a/balance/list_entries.go
+++ b/balance/list_entries.go
@@ -66,8 +66,9 @@
 	return l.clock.latestStart(entry.StartedAt)
 }
 
-// applyRemovals takes in which servers go by a list that was not accepted, unless they have started again
-// since. A server never comes back from the end of a start, so this holds however old the list is.
+// applyRemovals applies what a list that was not accepted says of servers that drain or are gone, unless they
+// have started again since. A server never comes back from the end of a start, so this holds however old the
+// list is.
 func (l *endpointList) applyRemovals(entries []Server) {
 	for i := range entries {
 		e := &entries[i]
--- a/balance/list_services.go
+++ b/balance/list_services.go
@@ -17,7 +17,7 @@
 
 const (
 	maxBackoffDoublings     = 4 // of minPollBackoff
-	maxBusyBackoffDoublings = 6 // ... if the service turns calls away
+	maxBusyBackoffDoublings = 6 // ... if the service rejects calls
 	goodChecksToReturn      = 2 // in a row before the watch returns to a nearer service
 )
 
@@ -41,7 +41,7 @@
 	l.watch()
 }
 
-// onListServices takes in how many services there are.
+// onListServices applies a new number of list services.
 func (l *endpointList) onListServices(ev ListServices) {
 	l.cfg.ListServices = ev.Count
 	l.source = min(l.source, max(ev.Count-1, 0))
@@ -100,7 +100,7 @@
 }
 
 // pollAgain calls the next service after a backoff with jitter, which grows once each service was called. A
-// service that turns calls away has too many callers: the backoff grows faster then, up to three times
+// service that rejects calls has too many callers: the backoff grows faster then, up to three times
 // PollInterval. Config.MaxPollBackoff bounds all backoffs.
 func (l *endpointList) pollAgain(ev *ServerList) {
 	services := max(l.cfg.ListServices, 1)
--- a/balance/pick.go
+++ b/balance/pick.go
@@ -54,7 +54,7 @@
 	at        milliseconds
 }
 
-// update takes in the candidates of one more first attempt.
+// update records the candidates of one more first attempt.
 func (p *candidatePool) update(now, span milliseconds, weight, warmth float64) {
 	p.maxWarmth = warmth + math.Max(0, p.maxWarmth-warmth)*math.Exp((p.at-now)/span)
 	p.weight, p.at, p.cooling = weight, now, warmth/p.maxWarmth
@@ -254,7 +254,7 @@
 	}
 }
 
-// admitNewServers takes in that servers may have been added, with running values up to maxInitialRunning.
+// admitNewServers accounts for servers that may have been added, with running values up to maxInitialRunning.
 func (p *picker) admitNewServers() {
 	p.maxOtherRunning = math.Max(p.maxOtherRunning, maxInitialRunning)
 }
--- a/balance/request_events.go
+++ b/balance/request_events.go
@@ -39,7 +39,7 @@
 	return nil
 }
 
-// onBodyComplete lets the time of a request and of its attempts begin: the server has the whole request only now.
+// onBodyComplete starts the time of a request and of its attempts: the server has the complete request only now.
 func (b *Balancer) onBodyComplete(ev BodyComplete) {
 	r := b.requests[ev.Request]
 	if r == nil || r.state == requestAnswered || !r.BodyStreaming {
@@ -142,7 +142,7 @@
 // recordOutcome passes the end of an attempt on to the decisions that learn from it.
 func (b *Balancer) recordOutcome(r *request, a *attempt, ev Outcome, answerStarted bool) {
 	switch {
-	case ev.Result == Cancelled || ev.Result == NotSent || ev.Result == LocalFailure: // they tell nothing
+	case ev.Result == Cancelled || ev.Result == NotSent || ev.Result == LocalFailure: // nothing about the server
 	case ev.Result == OK && !answerStarted:
 		b.recordAnswer(r, a, ev)
 	case ev.Result == OK: // recorded when the answer started
@@ -156,7 +156,7 @@
 // recordAnswer passes a good answer on to the decisions that learn from it.
 func (b *Balancer) recordAnswer(r *request, a *attempt, ev Outcome) {
 	s, latency := a.server, ev.Elapsed/r.class.LatencyObjective
-	if s.processDown && !b.slowStart.warmingUp(s) { // a restart that the list has yet to tell
+	if s.processDown && !b.slowStart.warmingUp(s) { // a restart that is not listed yet
 		b.slowStart.begin(s, b.now)
 	}
 	s.pardon()
--- /dev/null
+++ b/balance/request_test.go
@@ -0,0 +1,38 @@
+package balance
+
+import "testing"
+
+// Requests and attempts change their state only along the transitions, and each state has a name.
+func TestRequest_states(t *testing.T) {
+	for _, test := range []struct {
+		from, to requestState
+		want     bool
+	}{
+		{requestQueued, requestAttempting, true}, {requestAttempting, requestQueued, true},
+		{requestAttempting, requestAnswering, true}, {requestAnswering, requestAnswered, true},
+		{requestQueued, requestAnswering, false}, {requestAnswering, requestQueued, false},
+		{requestAnswered, requestQueued, false}, {requestAnswered, requestAttempting, false},
+	} {
+		r := request{state: test.from}
+		if got := r.become(test.to); got != test.want || (r.state == test.to) != test.want {
+			t.Errorf("%v to %v: %v, state %v", test.from, test.to, got, r.state)
+		}
+	}
+	for _, test := range []struct {
+		from, to attemptState
+		want     bool
+	}{
+		{attemptSent, attemptConnecting, true}, {attemptConnecting, attemptSent, true},
+		{attemptConnecting, attemptAnswering, true}, {attemptAnswering, attemptEnded, true},
+		{attemptAnswering, attemptConnecting, false}, {attemptAnswering, attemptSent, false},
+		{attemptEnded, attemptSent, false}, {attemptEnded, attemptAnswering, false},
+	} {
+		a := attempt{state: test.from}
+		if got := a.become(test.to); got != test.want || (a.state == test.to) != test.want {
+			t.Errorf("%v to %v: %v, state %v", test.from, test.to, got, a.state)
+		}
+	}
+	if len(requestTransitions) != int(requestAnswered)+1 || len(attemptTransitions) != int(attemptEnded)+1 {
+		t.Error("a state has no transitions listed")
+	}
+}
--- a/balance/route_state.go
+++ b/balance/route_state.go
@@ -123,7 +123,7 @@
 	}
 }
 
-// check returns an error for the first field of the routes that cannot be.
+// check returns an error for the first invalid field of the routes.
 func (ev *Routes) check(cfg *Config) error {
 	if ev.Rev < 1 && len(ev.List) > 0 {
 		return &EventError{Event: "Routes", Field: "Rev", Value: ev.Rev}
@@ -145,7 +145,7 @@
 	return nil
 }
 
-// check returns an error for the first field of a route that cannot be by itself.
+// check returns an error for the first field of a route that is invalid by itself.
 func (r *Route) check(path string, cfg *Config) error {
 	if r.Tenant < -1 || r.Tenant >= len(cfg.Tenants) {
 		return routeError(path+"Tenant", r.Tenant, fmt.Sprintf("there are %d", len(cfg.Tenants)))
--- a/balance/routes.go
+++ b/balance/routes.go
@@ -22,7 +22,7 @@
 const (
 	goldenRatio        = 0.6180339887498949 // step whose multiples cover [0, 1) most evenly
 	maxRevokedAttempts = 3                  // attempts of a request that count as none; more of them count
-	nearlyAll          = 0.9                // of a client's time: a client that left later has waited in vain
+	missedFraction     = 0.9                // of a client's time: a client that left later has waited in vain
 )
 
 // The sides of a request, and the groups of servers that are used for each, one after the other.
@@ -70,8 +70,8 @@
 	return c.routes[0]
 }
 
-// prefersCanary reports whether a request prefers the canary by the newest routes and lease. Each pick asks
-// again.
+// prefersCanary reports whether a request prefers the canary by the newest routes and lease. Each pick
+// decides anew.
 func (c *canaryRouter) prefersCanary(route *tenantRoute, r *request) bool {
 	if route.ID == 0 || c.now >= c.leaseUntil {
 		return false
@@ -174,9 +174,9 @@
 	return c.picker.chooseCandidate(p.request, p.retry, p.firstTier, total)
 }
 
-// spendsUnit reports whether the end of an attempt costs its unit; for a streamed answer it is asked at its
-// start. A client that left tells nothing, a client whose time ran out does. An attempt that was not sent
-// costs nothing, but a canary that rejects or cannot be reached has failed.
+// spendsUnit reports whether the end of an attempt costs its unit; for a streamed answer it is decided at its
+// start. That the client left says nothing about the canary; that its time ran out does. An attempt that was
+// not sent costs nothing, but a canary that rejects or cannot be reached has failed.
 func (a *attempt) spendsUnit(r *request, ev Outcome) bool {
 	switch ev.Result {
 	case NotSent, LocalFailure:
@@ -201,7 +201,7 @@
 // recordMissed marks the attempts in flight whose answer did not come in the client's time, or within the
 // objective where that counts. That the client has left, or is about to be answered, is no excuse for those.
 func (c *canaryRouter) recordMissed(r *request) {
-	timeOver := c.now >= r.arrivedAt+nearlyAll*(r.deadline-r.arrivedAt)
+	timeOver := c.now >= r.arrivedAt+missedFraction*(r.deadline-r.arrivedAt)
 	for i := range r.attempts {
 		a := &r.attempts[i]
 		if a.state == attemptEnded {
--- a/balance/slow_start.go
+++ b/balance/slow_start.go
@@ -83,9 +83,9 @@
 	at   milliseconds
 }
 
-// Quota takes in a FleetSize and returns the part of this process; 0: others do not know of it yet. A larger
-// fleet counts at once. A smaller one counts by and by, and not while half of the processes or more are
-// silent: this one may be cut off.
+// Quota updates the estimate by a FleetSize and returns the part of this process; 0: others do not know of it
+// yet. A larger fleet counts at once. A smaller one counts gradually, and not while half of the processes or
+// more are silent: this one may be cut off.
 func (e *FleetEstimate) Quota(now milliseconds, size FleetSize) float64 {
 	if 2*size.Reachable > size.Known {
 		e.size *= math.Exp2(math.Min(e.at-now, 0) / fleetHalfLife)
--- a/balance/wallclock.go
+++ b/balance/wallclock.go
@@ -7,9 +7,9 @@
 // server that is taken for one that warms up costs little; a server that is taken for warm too early may fall
 // over.
 //
-// Until a step is noticed, here or by a start that cannot be, starts are taken as the list has them.
+// Until a step is noticed, here or by an impossible start, starts are taken as the list has them.
 //
-// Alternative that was not taken: to infer the offset of another machine's clock from the starts in the list.
+// Rejected alternative: to infer the offset of another machine's clock from the starts in the list.
 // A start gives an offset only if it is known when the server did start, and then no offset is needed.
 
 import (
--- a/balance/zones.go
+++ b/balance/zones.go
@@ -107,7 +107,7 @@
 	return l.admission.minMeanLatency + (t.mean-l.admission.minMeanLatency)*math.Exp2((t.at-l.now)/halfLife)
 }
 
-// recordLatency takes in the latency of an answer of a tier.
+// recordLatency records the latency of an answer of a tier.
 func (l *locality) recordLatency(tier int, latency float64) {
 	t := &l.tierLatencies[tier]
 	t.mean, t.at = l.latency(tier), l.now
@@ -167,7 +167,7 @@
 	return t
 }
 
-// recordAnswer takes in a good answer of a zone, and what it says of the other zones.
+// recordAnswer records a good answer of a zone, and judges the other zones by it.
 func (l *locality) recordAnswer(z *zone, trial bool, latency float64) {
 	l.recordLatency(z.tier, latency)
 	// If this zone seemed to have failed, too, the failures in other zones meanwhile had a common cause.
