--- a/cmd/adapter/main.go
+++ b/cmd/adapter/main.go
@@ -1,5 +1,5 @@
-// Command adapter hosts instances of the decision module for the simulator: frames
-// come in on standard input, one reply to each goes out on standard output.
+// Command adapter hosts instances of the balancer for the simulator. It reads frames from standard input and writes
+// one reply to each to standard output.
 package main
 
 import (
@@ -39,12 +39,13 @@
 	}
 }
 
-// host keeps the instances of this process; they share nothing.
+// host holds the balancers of this process by instance; they share nothing.
 type host struct {
 	instances map[uint16]*balance.Balancer
 	reply     wire.Reply
 }
 
+// handle brings one record to its instance and adds the actions to the reply. A panic is reported as a fault.
 func (h *host) handle(clock float64, rec wire.Record) (err error) {
 	defer func() {
 		if p := recover(); p != nil {
@@ -52,10 +53,10 @@
 		}
 	}()
 	switch ev := rec.Event.(type) {
-	case wire.Begin:
+	case wire.InstanceStart:
 		cfg, err := wire.ParseSettings(ev.Seed, ev.Settings)
 		if err != nil {
-			h.instances[rec.Instance] = nil // its further events are ignored
+			h.instances[rec.Instance] = nil // later events of it are ignored
 			h.reply.Fault(rec.Instance, err.Error())
 			return nil
 		}
@@ -67,15 +68,15 @@
 		}
 		h.instances[rec.Instance] = b
 		h.reply.Add(rec.Instance, b.Start(clock))
-	case wire.Down:
+	case wire.InstanceStop:
 		delete(h.instances, rec.Instance)
 	case balance.Event:
-		b, begun := h.instances[rec.Instance]
-		if b == nil && begun {
+		b, known := h.instances[rec.Instance]
+		if b == nil && known {
 			return nil
 		}
 		if b == nil {
-			return fmt.Errorf("event for instance %d, which has not begun", rec.Instance)
+			return fmt.Errorf("event for instance %d, which was not started", rec.Instance)
 		}
 		actions, err := b.Handle(clock, ev)
 		if err != nil {
--- a/cmd/adapter/main_test.go
+++ b/cmd/adapter/main_test.go
@@ -8,10 +8,11 @@
 	"testing"
 )
 
-// script builds frames for the adapter.
-type script struct{ bytes.Buffer }
+// frameScript builds the frames of a test.
+type frameScript struct{ bytes.Buffer }
 
-func (s *script) frame(clock float64, records ...[]byte) {
+// frame appends a frame with these records.
+func (s *frameScript) frame(clock float64, records ...[]byte) {
 	size := 16
 	for _, r := range records {
 		size += len(r)
@@ -23,7 +24,7 @@
 	}
 }
 
-// record packs its fields big-endian.
+// record packs its fields in big-endian order.
 func record(fields ...any) []byte {
 	var b bytes.Buffer
 	for _, f := range fields {
@@ -32,14 +33,17 @@
 	return b.Bytes()
 }
 
+// settings is a valid profile with one class.
 const settings = `{"classes": [{"effect": "read_like", "on_time_ms": 300, "hard_limit_ms": 1500}],
 	"limits": {"max_attempts": 3}}`
 
-func begin(instance uint16, seed uint64, profile string) []byte {
+// startRecord starts an instance.
+func startRecord(instance uint16, seed uint64, profile string) []byte {
 	return record(uint16(1070), instance, seed, uint32(len(profile)), []byte(profile))
 }
 
-func sheet(n int) []byte {
+// tableRecord is a table of n servers.
+func tableRecord(n int) []byte {
 	b := record(uint16(1000), uint16(0), uint32(n))
 	for i := range n {
 		b = append(b, record(0.0, uint8(0), uint32(i+1), uint16(80), float32(1), uint16(i), uint8(0), uint8(0))...)
@@ -47,15 +51,18 @@
 	return b
 }
 
-func cached(instance uint16) []byte {
+// cachedListRecord brings the table as a cached list.
+func cachedListRecord(instance uint16) []byte {
 	return record(uint16(1040), instance, uint8(1), uint32(1), uint16(0))
 }
 
-func ask(instance uint16, id uint64) []byte {
+// requestRecord brings a request.
+func requestRecord(instance uint16, id uint64) []byte {
 	return record(uint16(1010), instance, id, uint16(0), 0.0, uint16(0), uint64(0), 1500.0, uint16(0))
 }
 
-func mustRun(t *testing.T, s *script) []byte {
+// mustRun runs the adapter over the frames and returns its replies.
+func mustRun(t *testing.T, s *frameScript) []byte {
 	t.Helper()
 	var out bytes.Buffer
 	if err := run(&s.Buffer, &out); err != nil {
@@ -64,8 +71,8 @@
 	return out.Bytes()
 }
 
-// sends counts the records of code 1000 in replies whose records are sends and timers only.
-func sends(t *testing.T, replies []byte) map[uint16]int {
+// countSends counts attempts by instance, in replies that hold attempts and timers only.
+func countSends(t *testing.T, replies []byte) map[uint16]int {
 	t.Helper()
 	n := map[uint16]int{}
 	for len(replies) > 0 {
@@ -86,17 +93,18 @@
 	return n
 }
 
-func TestSameActionsInOneProcessAndInThree(t *testing.T) {
+// An instance acts the same whether it runs alone or beside others.
+func TestRun_instanceIsolation(t *testing.T) {
 	play := func(instances ...uint16) []byte {
-		s := &script{}
+		s := &frameScript{}
 		var first [][]byte
 		for _, i := range instances {
-			first = append(first, begin(i, uint64(i)*7, settings), sheet(5), cached(i))
+			first = append(first, startRecord(i, uint64(i)*7, settings), tableRecord(5), cachedListRecord(i))
 		}
 		s.frame(1000, first...)
 		for id := range uint64(60) {
 			for _, i := range instances {
-				s.frame(1001+float64(id), ask(i, id))
+				s.frame(1001+float64(id), requestRecord(i, id))
 			}
 		}
 		return mustRun(t, s)
@@ -104,7 +112,7 @@
 	together := play(1, 2, 3)
 	for _, i := range []uint16{1, 2, 3} {
 		apart := play(i)
-		if n, m := sends(t, together)[i], sends(t, apart)[i]; n != 60 || m != 60 {
+		if n, m := countSends(t, together)[i], countSends(t, apart)[i]; n != 60 || m != 60 {
 			t.Fatalf("instance %d sent %d together, %d alone", i, n, m)
 		}
 		if !bytes.Equal(actionsOf(together, i), actionsOf(apart, i)) {
@@ -113,7 +121,7 @@
 	}
 }
 
-// actionsOf picks one instance's sends and timers out of replies.
+// actionsOf returns the records of one instance.
 func actionsOf(replies []byte, instance uint16) []byte {
 	var out []byte
 	for len(replies) > 0 {
@@ -133,31 +141,34 @@
 	return out
 }
 
-func TestRestartWithinABatch(t *testing.T) {
-	s := &script{}
-	s.frame(1000, begin(1, 7, settings), sheet(3), cached(1), ask(1, 5),
-		record(uint16(1060), uint16(1)), begin(1, 8, settings), cached(1), ask(1, 6))
-	s.frame(1001, record(uint16(1020), uint16(1), uint64(5))) // a timer of the life before: ignored
-	if n := sends(t, mustRun(t, s)); n[1] != 2 {
-		t.Fatalf("%d sends, want one in each life", n[1])
+// An instance may stop and start again within one frame.
+func TestRun_restartWithinFrame(t *testing.T) {
+	s := &frameScript{}
+	s.frame(1000, startRecord(1, 7, settings), tableRecord(3), cachedListRecord(1), requestRecord(1, 5),
+		record(uint16(1060), uint16(1)), startRecord(1, 8, settings), cachedListRecord(1), requestRecord(1, 6))
+	s.frame(1001, record(uint16(1020), uint16(1), uint64(5))) // a timer of the stopped instance is ignored
+	if n := countSends(t, mustRun(t, s)); n[1] != 2 {
+		t.Fatalf("%d sends, want one of each incarnation", n[1])
 	}
 }
 
-func TestUnusableSettingsAreReported(t *testing.T) {
-	s := &script{}
-	s.frame(1000, begin(1, 7, `{"classes": []}`), sheet(1), cached(1))
+// Invalid settings are reported as a fault of the instance.
+func TestRun_invalidSettings(t *testing.T) {
+	s := &frameScript{}
+	s.frame(1000, startRecord(1, 7, `{"classes": []}`), tableRecord(1), cachedListRecord(1))
 	out := mustRun(t, s)
 	if len(out) < 8 || binary.BigEndian.Uint16(out[4:]) != 1090 || !strings.Contains(string(out), "no classes") {
 		t.Fatalf("reply %q", out)
 	}
 }
 
-func TestWrongInputEndsTheAdapter(t *testing.T) {
-	notBegun := &script{}
-	notBegun.frame(1000, ask(4, 1))
-	short := &script{}
+// A record for an unknown instance or an invalid frame ends the adapter with an error.
+func TestRun_invalidInput(t *testing.T) {
+	notStarted := &frameScript{}
+	notStarted.frame(1000, requestRecord(4, 1))
+	short := &frameScript{}
 	short.frame(math.Inf(1))
-	for name, s := range map[string]*script{"instance not begun": notBegun, "clock": short} {
+	for name, s := range map[string]*frameScript{"instance not started": notStarted, "clock": short} {
 		var out bytes.Buffer
 		if err := run(&s.Buffer, &out); err == nil || out.Len() > 0 {
 			t.Errorf("%s: error %v, %d bytes of reply", name, err, out.Len())
--- a/internal/wire/decode.go
+++ b/internal/wire/decode.go
@@ -1,5 +1,5 @@
-// Package wire translates the simulator's binary frames and settings to the types
-// of package balance and back. It takes no decisions.
+// Package wire translates the simulator's binary frames and settings to the types of package balance and back. It
+// takes no decisions.
 package wire
 
 import (
@@ -15,53 +15,54 @@
 
 // Event codes.
 const (
-	codeSheet   = 1000
-	codeAsk     = 1010
-	codeAlarm   = 1020
-	codeStarted = 1030
-	codeList    = 1040
-	codeHeard   = 1050
-	codeDown    = 1060
-	codeBegin   = 1070
-	codeProbed  = 1080
-	codeEnded   = 1090
-	codeHangup  = 1100
+	codeServerTable       = 1000
+	codeRequest           = 1010
+	codeTimerFired        = 1020
+	codeAnswerStarted     = 1030
+	codeServerList        = 1040
+	codeMessage           = 1050
+	codeInstanceStop      = 1060
+	codeInstanceStart     = 1070
+	codeHealthCheckResult = 1080
+	codeOutcome           = 1090
+	codeClientGone        = 1100
 )
 
 const (
-	headerSize = 16
-	entrySize  = 23
-	maxFrame   = 1 << 28 // far above any batch of the simulator
-	maxTables  = 16
+	headerSize   = 16      // bytes of a frame header
+	entrySize    = 23      // bytes of a server in a table
+	maxFrameSize = 1 << 28 // far above any batch of the simulator
+	maxTables    = 16
 )
 
-var results = map[uint16]balance.Result{
+// resultsByCode maps the result codes of the protocol.
+var resultsByCode = map[uint16]balance.Result{
 	0: balance.OK, 13: balance.Failed, 8: balance.Rejected, 4: balance.TimedOut,
 	14: balance.ConnectFailed, 10: balance.Reset, 1: balance.Cancelled, 9: balance.NotSent,
 }
 
-// Begin starts an instance; Settings is the raw profile for ParseSettings.
-type Begin struct {
+// InstanceStart starts an instance of the balancer. Settings is the raw profile for ParseSettings.
+type InstanceStart struct {
 	Seed     uint64
 	Settings []byte
 }
 
-// Down says that an instance was killed.
-type Down struct{}
+// InstanceStop says that an instance was killed.
+type InstanceStop struct{}
 
-// Record is one event for one instance: a Begin, a Down or a balance.Event.
+// Record is one event for one instance: an InstanceStart, an InstanceStop or a balance.Event.
 type Record struct {
 	Instance uint16
 	Event    any
 }
 
-// Reader reads frames. Server tables live across frames.
+// Reader reads frames. The server tables of a frame stay valid for later frames.
 type Reader struct {
-	in     io.Reader
-	buf    bytes.Buffer
-	tables [maxTables][]balance.Server
-	known  [maxTables]bool
-	report []float32
+	in        io.Reader
+	buf       bytes.Buffer
+	tables    [maxTables][]balance.Server
+	tableSent [maxTables]bool
+	report    []float32
 }
 
 // NewReader returns a reader of the frames of in, which should be buffered.
@@ -81,8 +82,8 @@
 	count := binary.BigEndian.Uint32(head[0:])
 	size := binary.BigEndian.Uint32(head[4:])
 	clock := math.Float64frombits(binary.BigEndian.Uint64(head[8:]))
-	if size < headerSize || size > maxFrame {
-		return fmt.Errorf("frame length %d: want %d to %d", size, headerSize, maxFrame)
+	if size < headerSize || size > maxFrameSize {
+		return fmt.Errorf("frame length %d: want %d to %d", size, headerSize, maxFrameSize)
 	}
 	if math.IsNaN(clock) || math.IsInf(clock, 0) {
 		return fmt.Errorf("frame clock is %v", clock)
@@ -92,10 +93,10 @@
 	if n, err := io.CopyN(&r.buf, r.in, int64(size-headerSize)); err != nil {
 		return fmt.Errorf("frame of %d bytes cut short after %d: %w", size, n+headerSize, err)
 	}
-	f := fields{data: r.buf.Bytes()}
+	f := fieldReader{data: r.buf.Bytes()}
 	for i := uint32(0); i < count; i++ {
 		at := f.pos
-		rec, err := r.record(&f)
+		rec, err := r.readRecord(&f)
 		if err != nil {
 			return fmt.Errorf("record %d at byte %d: %w", i, at+headerSize, err)
 		}
@@ -112,45 +113,46 @@
 	return nil
 }
 
-func (r *Reader) record(f *fields) (Record, error) {
+// readRecord reads the next record. A server table has no event.
+func (r *Reader) readRecord(f *fieldReader) (Record, error) {
 	code, first := f.u16(), f.u16()
-	if f.bad {
-		return Record{}, errShort
+	if f.truncated {
+		return Record{}, errTruncated
 	}
 	rec := Record{Instance: first}
 	var err error
 	switch code {
-	case codeSheet:
-		err = r.sheet(f, first)
-	case codeBegin:
+	case codeServerTable:
+		err = r.readServerTable(f, first)
+	case codeInstanceStart:
 		seed := f.u64()
-		rec.Event = Begin{Seed: seed, Settings: f.bytes(f.u32())}
-	case codeDown:
-		rec.Event = Down{}
-	case codeList:
-		rec.Event, err = r.list(f)
-	case codeAsk:
-		rec.Event = ask(f)
-	case codeAlarm:
+		rec.Event = InstanceStart{Seed: seed, Settings: f.bytes(f.u32())}
+	case codeInstanceStop:
+		rec.Event = InstanceStop{}
+	case codeServerList:
+		rec.Event, err = r.readServerList(f)
+	case codeRequest:
+		rec.Event = readRequest(f)
+	case codeTimerFired:
 		rec.Event = balance.Timer{Token: f.u64()}
-	case codeStarted:
+	case codeAnswerStarted:
 		ev := balance.AnswerStarted{Request: balance.RequestID(f.u64()), Attempt: int(f.u8()), Server: f.server()}
 		ev.Elapsed = f.f64()
 		rec.Event = ev
-	case codeEnded:
-		rec.Event, err = r.ended(f)
-	case codeHangup:
+	case codeOutcome:
+		rec.Event, err = r.readOutcome(f)
+	case codeClientGone:
 		rec.Event = balance.ClientGone{Request: balance.RequestID(f.u64())}
-	case codeProbed:
-		rec.Event, err = r.probed(f)
-	case codeHeard:
+	case codeHealthCheckResult:
+		rec.Event, err = r.readHealthCheckResult(f)
+	case codeMessage:
 		from := int(f.u16())
 		rec.Event = balance.Message{From: from, Data: f.bytes(uint32(f.u16()))}
 	default:
 		return rec, fmt.Errorf("unknown event code %d", code)
 	}
-	if err == nil && f.bad {
-		err = errShort
+	if err == nil && f.truncated {
+		err = errTruncated
 	}
 	if err != nil {
 		return rec, fmt.Errorf("event code %d: %w", code, err)
@@ -158,13 +160,14 @@
 	return rec, nil
 }
 
-func (r *Reader) sheet(f *fields, table uint16) error {
+// readServerTable stores a table of servers for later list events.
+func (r *Reader) readServerTable(f *fieldReader, table uint16) error {
 	if table >= maxTables {
 		return fmt.Errorf("server table %d: want 0 to %d", table, maxTables-1)
 	}
 	n := f.u32()
 	if uint64(n)*entrySize > uint64(len(f.data)-f.pos) {
-		return fmt.Errorf("%d entries: %w", n, errShort)
+		return fmt.Errorf("%d entries: %w", n, errTruncated)
 	}
 	list := make([]balance.Server, n)
 	for i := range list {
@@ -184,17 +187,18 @@
 		s.Rating = float64(f.f32())
 		s.Cell, s.Zone, s.Kind = int(f.u16()), int(f.u8()), int(f.u8())
 	}
-	r.tables[table], r.known[table] = list, true
+	r.tables[table], r.tableSent[table] = list, true
 	return nil
 }
 
-func (r *Reader) list(f *fields) (any, error) {
-	how, _, table := f.u8(), f.u32(), f.u16()
-	if f.bad {
-		return nil, errShort
+// readServerList reads a list event, which refers to a server table.
+func (r *Reader) readServerList(f *fieldReader) (any, error) {
+	kind, _, table := f.u8(), f.u32(), f.u16()
+	if f.truncated {
+		return nil, errTruncated
 	}
 	ev := balance.ServerList{}
-	switch how {
+	switch kind {
 	case 0:
 		ev.Kind = balance.ListFull
 	case 1:
@@ -204,16 +208,17 @@
 	case 2:
 		return balance.ServerList{Kind: balance.ListFailed, Busy: true}, nil
 	default:
-		return nil, fmt.Errorf("unknown list kind %d", how)
+		return nil, fmt.Errorf("unknown list kind %d", kind)
 	}
-	if table >= maxTables || !r.known[table] {
+	if table >= maxTables || !r.tableSent[table] {
 		return nil, fmt.Errorf("server table %d was never sent", table)
 	}
 	ev.Servers = r.tables[table]
 	return ev, nil
 }
 
-func ask(f *fields) balance.Request {
+// readRequest reads a request of the application.
+func readRequest(f *fieldReader) balance.Request {
 	ev := balance.Request{ID: balance.RequestID(f.u64()), Tenant: int(f.u16())}
 	hint, bits := f.f64(), f.u16()
 	if bits&1 != 0 {
@@ -225,34 +230,38 @@
 	return ev
 }
 
-func (r *Reader) ended(f *fields) (any, error) {
+// readOutcome reads the end of an attempt.
+func (r *Reader) readOutcome(f *fieldReader) (any, error) {
 	ev := balance.Outcome{Request: balance.RequestID(f.u64()), Attempt: int(f.u8()), Server: f.server()}
 	code := f.u16()
 	ev.Elapsed, ev.Finished = f.f64(), f.u8() != 0
-	ev.Report = r.floats(f)
+	ev.Report = r.readReport(f)
 	var err error
-	ev.Result, err = result(code, f)
+	ev.Result, err = readResult(code, f)
 	return ev, err
 }
 
-func (r *Reader) probed(f *fields) (any, error) {
+// readHealthCheckResult reads the answer to a health check.
+func (r *Reader) readHealthCheckResult(f *fieldReader) (any, error) {
 	ev := balance.HealthCheckResult{Elapsed: f.f64()}
 	code := f.u16()
-	ev.Server, ev.Report = f.server(), r.floats(f)
+	ev.Server, ev.Report = f.server(), r.readReport(f)
 	var err error
-	ev.Result, err = result(code, f)
+	ev.Result, err = readResult(code, f)
 	return ev, err
 }
 
-func result(code uint16, f *fields) (balance.Result, error) {
-	res, ok := results[code]
-	if !ok && !f.bad {
+// readResult translates a result code.
+func readResult(code uint16, f *fieldReader) (balance.Result, error) {
+	res, ok := resultsByCode[code]
+	if !ok && !f.truncated {
 		return 0, fmt.Errorf("unknown result %d", code)
 	}
 	return res, nil
 }
 
-func (r *Reader) floats(f *fields) []float32 {
+// readReport reads a load report. The slice is reused by the next one.
+func (r *Reader) readReport(f *fieldReader) []float32 {
 	r.report = r.report[:0]
 	for n := f.u8(); n > 0; n-- {
 		r.report = append(r.report, f.f32())
@@ -260,54 +269,56 @@
 	return r.report
 }
 
-var errShort = errors.New("record runs past the end of the frame")
+// errTruncated is the error of a record that runs past the end of its frame.
+var errTruncated = errors.New("record runs past the end of the frame")
 
-// fields takes values off a frame. A read past the end sets bad and gives zero.
-type fields struct {
-	data []byte
-	pos  int
-	bad  bool
+// fieldReader reads fields from a frame. A read past the end sets truncated and returns zero.
+type fieldReader struct {
+	data      []byte
+	pos       int
+	truncated bool
 }
 
-func (f *fields) bytes(n uint32) []byte {
+// bytes returns the next n bytes, or nil past the end.
+func (f *fieldReader) bytes(n uint32) []byte {
 	if uint64(n) > uint64(len(f.data)-f.pos) {
-		f.bad, f.pos = true, len(f.data)
+		f.truncated, f.pos = true, len(f.data)
 		return nil
 	}
 	f.pos += int(n)
 	return f.data[f.pos-int(n) : f.pos : f.pos]
 }
 
-func (f *fields) u8() uint8 {
+func (f *fieldReader) u8() uint8 {
 	if b := f.bytes(1); b != nil {
 		return b[0]
 	}
 	return 0
 }
 
-func (f *fields) u16() uint16 {
+func (f *fieldReader) u16() uint16 {
 	if b := f.bytes(2); b != nil {
 		return binary.BigEndian.Uint16(b)
 	}
 	return 0
 }
 
-func (f *fields) u32() uint32 {
+func (f *fieldReader) u32() uint32 {
 	if b := f.bytes(4); b != nil {
 		return binary.BigEndian.Uint32(b)
 	}
 	return 0
 }
 
-func (f *fields) u64() uint64 {
+func (f *fieldReader) u64() uint64 {
 	if b := f.bytes(8); b != nil {
 		return binary.BigEndian.Uint64(b)
 	}
 	return 0
 }
 
-// f64 reads a number; what is no finite number counts as absent.
-func (f *fields) f64() float64 {
+// f64 reads a number; one that is not finite counts as absent.
+func (f *fieldReader) f64() float64 {
 	v := math.Float64frombits(f.u64())
 	if math.IsNaN(v) || math.IsInf(v, 0) {
 		return 0
@@ -315,7 +326,8 @@
 	return v
 }
 
-func (f *fields) f32() float32 {
+// f32 reads a number; one that is not finite counts as absent.
+func (f *fieldReader) f32() float32 {
 	v := math.Float32frombits(f.u32())
 	if v != v || math.IsInf(float64(v), 0) {
 		return 0
@@ -323,8 +335,8 @@
 	return v
 }
 
-// server packs four bytes of address and a port into an ID.
-func (f *fields) server() balance.ServerID {
+// server reads four bytes of address and a port, which make up an ID.
+func (f *fieldReader) server() balance.ServerID {
 	host := f.u32()
 	return balance.ServerID(uint64(host)<<16 | uint64(f.u16()))
 }
--- a/internal/wire/encode.go
+++ b/internal/wire/encode.go
@@ -10,28 +10,28 @@
 
 // Action codes.
 const (
-	codeSend    = 1000
-	codeRefuse  = 1010
-	codeFail    = 1020
-	codeCancel  = 1030
-	codeTimer   = 1040
-	codeProbe   = 1050
-	codeClose   = 1060
-	codePost    = 1070
-	codeTrace   = 1080
-	codeFault   = 1090
-	codeWatch   = 1100
-	codeFetch   = 1110
-	everyPeer   = 0xffffffff
-	maxText     = 0xffff
-	replyHeader = 4
+	codeSend        = 1000
+	codeReject      = 1010
+	codeFail        = 1020
+	codeCancel      = 1030
+	codeTimer       = 1040
+	codeHealthCheck = 1050
+	codeCloseIdle   = 1060
+	codeSendMessage = 1070
+	codeLog         = 1080
+	codeFault       = 1090
+	codeWatch       = 1100
+	codeFetch       = 1110
+	allPeers        = 0xffffffff
+	maxTextSize     = 0xffff
+	replyHeaderSize = 4
 )
 
-// Reply gathers the actions that answer one frame.
+// Reply collects the actions that answer one frame.
 type Reply struct{ buf []byte }
 
 // Reset empties the reply.
-func (r *Reply) Reset() { r.buf = append(r.buf[:0], 0, 0, 0, 0) }
+func (r *Reply) Reset() { r.buf = append(r.buf[:0], make([]byte, replyHeaderSize)...) }
 
 // WriteTo writes the reply as one frame.
 func (r *Reply) WriteTo(w io.Writer) (int64, error) {
@@ -47,12 +47,13 @@
 	}
 }
 
-// Fault reports that an instance's decision code broke.
+// Fault reports that an instance failed: by invalid settings, an invalid event, or a panic.
 func (r *Reply) Fault(instance uint16, text string) {
 	r.head(codeFault, instance)
 	r.text([]byte(text))
 }
 
+// add appends one action as a record.
 func (r *Reply) add(instance uint16, a *balance.Action) {
 	switch a.Kind {
 	case balance.Send:
@@ -61,7 +62,7 @@
 		r.f64(a.At)
 		r.server(a.Server)
 	case balance.Reject:
-		r.head(codeRefuse, instance)
+		r.head(codeReject, instance)
 		r.u64(uint64(a.Request))
 		r.f64(a.At)
 	case balance.Fail:
@@ -76,21 +77,21 @@
 		r.u64(a.Token)
 		r.f64(a.At)
 	case balance.HealthCheck:
-		r.head(codeProbe, instance)
+		r.head(codeHealthCheck, instance)
 		r.server(a.Server)
 	case balance.CloseIdle:
-		r.head(codeClose, instance)
+		r.head(codeCloseIdle, instance)
 		r.server(a.Server)
 	case balance.SendMessage:
-		r.head(codePost, instance)
-		peer := uint32(everyPeer)
+		r.head(codeSendMessage, instance)
+		peer := uint32(allPeers)
 		if a.Peer >= 0 {
 			peer = uint32(a.Peer)
 		}
 		r.buf = binary.BigEndian.AppendUint32(r.buf, peer)
 		r.text(a.Data)
 	case balance.Log:
-		r.head(codeTrace, instance)
+		r.head(codeLog, instance)
 		r.text([]byte(a.Text))
 	case balance.Watch:
 		r.head(codeWatch, instance)
@@ -100,6 +101,7 @@
 	}
 }
 
+// head appends the head of a record.
 func (r *Reply) head(code, instance uint16) {
 	r.buf = binary.BigEndian.AppendUint16(r.buf, code)
 	r.buf = binary.BigEndian.AppendUint16(r.buf, instance)
@@ -108,14 +110,16 @@
 func (r *Reply) u64(v uint64)  { r.buf = binary.BigEndian.AppendUint64(r.buf, v) }
 func (r *Reply) f64(v float64) { r.u64(math.Float64bits(v)) }
 
+// server appends an ID as four bytes of address and a port.
 func (r *Reply) server(id balance.ServerID) {
 	r.buf = binary.BigEndian.AppendUint32(r.buf, uint32(id>>16))
 	r.buf = binary.BigEndian.AppendUint16(r.buf, uint16(id))
 }
 
+// text appends a text with its length, cut to maxTextSize.
 func (r *Reply) text(b []byte) {
-	if len(b) > maxText {
-		b = b[:maxText]
+	if len(b) > maxTextSize {
+		b = b[:maxTextSize]
 	}
 	r.buf = binary.BigEndian.AppendUint16(r.buf, uint16(len(b)))
 	r.buf = append(r.buf, b...)
--- a/internal/wire/settings.go
+++ b/internal/wire/settings.go
@@ -9,12 +9,12 @@
 	"marblelane/balance"
 )
 
-// settings mirrors the profile; keys that are not here are skipped.
+// settings is the JSON form of the profile. Other keys are skipped.
 type settings struct {
 	Classes []struct {
-		Effect           string   `json:"effect"`
-		Group            string   `json:"group"`
-		Window           *float64 `json:"window_ms"`
+		Idempotency      string   `json:"effect"`
+		KeyScope         string   `json:"group"`
+		KeyWindow        *float64 `json:"window_ms"`
 		LatencyObjective float64  `json:"on_time_ms"`
 		ObjectiveStretch float64  `json:"aim_stretch"`
 		Deadline         float64  `json:"hard_limit_ms"`
@@ -27,13 +27,13 @@
 		Quota     float64 `json:"share"`
 	} `json:"tenants"`
 	Discovery       string   `json:"discovery"`
-	Me              int      `json:"my_number"`
+	Number          int      `json:"my_number"`
 	Peers           int      `json:"peers_total"`
 	Zone            int      `json:"zone"`
 	OverQuotaWeight *float64 `json:"over_share_worth"`
 	Quantum         float64  `json:"quantum_ms"`
 	Report          struct {
-		Via    string   `json:"via"`
+		Source string   `json:"via"`
 		Fields []string `json:"fields"`
 	} `json:"report"`
 	Limits struct {
@@ -55,7 +55,7 @@
 		OverloadTime      float64  `json:"fall_ms"`
 		OverloadMultiple  float64  `json:"fall_multiple"`
 	} `json:"rules"`
-	Goal struct { // in the order of balance.Goal, to which it converts; so is Prices
+	Goal struct { // fields in the order of balance.Goal, to which it converts; Prices likewise
 		Overall     float64 `json:"whole"`
 		WorstWindow float64 `json:"worst_window"`
 		WorstClass  float64 `json:"worst_class"`
@@ -71,38 +71,43 @@
 	} `json:"penalties"`
 }
 
-var effects = map[string]balance.Idempotency{
+// idempotencyByWord maps the words of a class's key effect.
+var idempotencyByWord = map[string]balance.Idempotency{
 	"read_like": balance.Idempotent, "idempotency_key": balance.IdempotentWithKey, "non_idempotent": balance.NonIdempotent,
 }
 
-var groups = map[string]balance.KeyScope{
+// keyScopeByWord maps the words of a class's key group.
+var keyScopeByWord = map[string]balance.KeyScope{
 	"": balance.KeyScopeAll, "all": balance.KeyScopeAll, "zone": balance.KeyScopeZone, "cell": balance.KeyScopeCell,
 }
 
-var reportWays = map[string]balance.ReportSource{
+// reportSourceByWord maps the words of report.via.
+var reportSourceByWord = map[string]balance.ReportSource{
 	"": balance.ReportNone, "silent": balance.ReportNone,
 	"piggyback": balance.ReportPiggyback, "pull": balance.ReportHealthCheck,
 }
 
-var reportFields = map[string]balance.Field{
+// fieldByWord maps the words of report.fields; others are fields that balance does not know.
+var fieldByWord = map[string]balance.Field{
 	"rif": balance.FieldInFlight, "q": balance.FieldQueue, "busy": balance.FieldUtil,
 	"lat_ms": balance.FieldLatency, "rate": balance.FieldRate, "fail_rate": balance.FieldErrorRate,
 }
 
-// ParseSettings turns the profile of a Begin into a Config.
+// ParseSettings turns the profile of an InstanceStart into a Config.
 func ParseSettings(seed uint64, profile []byte) (balance.Config, error) {
 	var s settings
 	if err := json.Unmarshal(profile, &s); err != nil {
 		return balance.Config{}, fmt.Errorf("settings: %w", KeyError(err))
 	}
 	cfg := balance.Config{
-		Seed: seed, Number: s.Me, Peers: max(s.Peers, 1), Zone: s.Zone,
-		OverQuotaWeight: or(s.OverQuotaWeight, 1), Quantum: s.Quantum,
+		Seed: seed, Number: s.Number, Peers: max(s.Peers, 1), Zone: s.Zone,
+		OverQuotaWeight: valueOr(s.OverQuotaWeight, 1), Quantum: s.Quantum,
 		Hedging: s.Limits.Hedging, Cancel: s.Limits.Cancel, HealthChecks: s.Limits.HealthChecks,
 		Messages: s.Limits.Messages, RetryAfter: s.Limits.RetryAfter,
 		MaxRetryAfter: s.Limits.MaxRetryAfter, ConnectTimeout: s.Limits.ConnectTimeout,
-		MaxAttempts: or(s.Limits.MaxAttempts, 1),
-		DrainGrace:  s.Rules.DrainGrace, SlowStartCapacity: or(s.Rules.SlowStartCapacity, 1), SlowStartTime: s.Rules.SlowStartTime,
+		MaxAttempts:       valueOr(s.Limits.MaxAttempts, 1),
+		DrainGrace:        s.Rules.DrainGrace,
+		SlowStartCapacity: valueOr(s.Rules.SlowStartCapacity, 1), SlowStartTime: s.Rules.SlowStartTime,
 		OverloadMultiple: s.Rules.OverloadMultiple, OverloadTime: s.Rules.OverloadTime,
 		PollInterval: s.Rules.PollInterval, AnswerSlack: s.Rules.AnswerSlack,
 		Goal:   balance.Goal(s.Goal),
@@ -115,88 +120,99 @@
 	default:
 		return cfg, fmt.Errorf("settings: discovery: unknown word %q", s.Discovery)
 	}
-	for _, f := range []struct {
-		key string
-		v   float64
-	}{
-		{"quantum_ms", s.Quantum}, {"over_share_worth", cfg.OverQuotaWeight},
-		{"limits.connect_timeout_ms", s.Limits.ConnectTimeout}, {"limits.max_attempts", float64(cfg.MaxAttempts)},
-		{"limits.max_retry_after_ms", s.Limits.MaxRetryAfter}, {"rules.answer_slack_ms", s.Rules.AnswerSlack},
-		{"rules.ask_within_ms", s.Rules.PollInterval}, {"rules.cold_from", cfg.SlowStartCapacity},
-		{"rules.cold_ms", s.Rules.SlowStartTime}, {"rules.drain_grace_ms", s.Rules.DrainGrace},
-		{"rules.fall_ms", s.Rules.OverloadTime}, {"rules.fall_multiple", s.Rules.OverloadMultiple},
-		{"result_mix.whole", s.Goal.Overall}, {"result_mix.worst_window", s.Goal.WorstWindow},
-		{"result_mix.worst_class", s.Goal.WorstClass}, {"result_mix.worst_tenant", s.Goal.WorstTenant},
-		{"penalties.cross_zone", s.Prices.CrossZone}, {"penalties.probe", s.Prices.HealthCheck},
-		{"penalties.waste", s.Prices.Waste}, {"penalties.handshake", s.Prices.Handshake},
-		{"penalties.peer", s.Prices.Peer}, {"penalties.late_fail", s.Prices.LateFail},
-	} {
-		if f.v < 0 {
-			return cfg, negative(f.key, f.v)
-		}
+	if err := s.checkNumbers(&cfg); err != nil {
+		return cfg, err
 	}
 	if cfg.MaxAttempts == 0 {
 		return cfg, errors.New("settings: limits.max_attempts is 0, at least 1: no request could be sent")
 	}
 	var ok bool
-	if cfg.Reports, ok = reportWays[s.Report.Via]; !ok {
-		return cfg, fmt.Errorf("settings: report.via: unknown word %q", s.Report.Via)
+	if cfg.Reports, ok = reportSourceByWord[s.Report.Source]; !ok {
+		return cfg, fmt.Errorf("settings: report.via: unknown word %q", s.Report.Source)
 	}
 	for _, name := range s.Report.Fields {
-		cfg.Fields = append(cfg.Fields, reportFields[name])
+		cfg.Fields = append(cfg.Fields, fieldByWord[name])
 	}
 	for i, t := range s.Tenants {
 		if t.Allowance < 0 {
-			return cfg, negative(fmt.Sprintf("tenants[%d].allowance_per_s", i), t.Allowance)
+			return cfg, negativeError(fmt.Sprintf("tenants[%d].allowance_per_s", i), t.Allowance)
 		}
 		if t.Quota < 0 {
-			return cfg, negative(fmt.Sprintf("tenants[%d].share", i), t.Quota)
+			return cfg, negativeError(fmt.Sprintf("tenants[%d].share", i), t.Quota)
 		}
 		cfg.Tenants = append(cfg.Tenants, balance.Tenant{Allowance: t.Allowance, Quota: t.Quota})
 	}
 	return cfg, s.addClasses(&cfg)
 }
 
+// checkNumbers returns an error for the first number that is negative.
+func (s *settings) checkNumbers(cfg *balance.Config) error {
+	for _, number := range []struct {
+		key   string
+		value float64
+	}{
+		{"quantum_ms", s.Quantum}, {"over_share_worth", cfg.OverQuotaWeight},
+		{"limits.connect_timeout_ms", s.Limits.ConnectTimeout}, {"limits.max_attempts", float64(cfg.MaxAttempts)},
+		{"limits.max_retry_after_ms", s.Limits.MaxRetryAfter}, {"rules.answer_slack_ms", s.Rules.AnswerSlack},
+		{"rules.ask_within_ms", s.Rules.PollInterval}, {"rules.cold_from", cfg.SlowStartCapacity},
+		{"rules.cold_ms", s.Rules.SlowStartTime}, {"rules.drain_grace_ms", s.Rules.DrainGrace},
+		{"rules.fall_ms", s.Rules.OverloadTime}, {"rules.fall_multiple", s.Rules.OverloadMultiple},
+		{"result_mix.whole", s.Goal.Overall}, {"result_mix.worst_window", s.Goal.WorstWindow},
+		{"result_mix.worst_class", s.Goal.WorstClass}, {"result_mix.worst_tenant", s.Goal.WorstTenant},
+		{"penalties.cross_zone", s.Prices.CrossZone}, {"penalties.probe", s.Prices.HealthCheck},
+		{"penalties.waste", s.Prices.Waste}, {"penalties.handshake", s.Prices.Handshake},
+		{"penalties.peer", s.Prices.Peer}, {"penalties.late_fail", s.Prices.LateFail},
+	} {
+		if number.value < 0 {
+			return negativeError(number.key, number.value)
+		}
+	}
+	return nil
+}
+
+// addClasses translates the request classes.
 func (s *settings) addClasses(cfg *balance.Config) error {
 	if len(s.Classes) == 0 {
 		return fmt.Errorf("settings: no classes")
 	}
 	for i, c := range s.Classes {
 		key := func(name string) string { return fmt.Sprintf("classes[%d].%s", i, name) }
-		effect, ok := effects[c.Effect]
+		idempotency, ok := idempotencyByWord[c.Idempotency]
 		if !ok {
-			return fmt.Errorf("settings: %s: unknown word %q", key("effect"), c.Effect)
+			return fmt.Errorf("settings: %s: unknown word %q", key("effect"), c.Idempotency)
 		}
-		group, ok := groups[c.Group]
+		keyScope, ok := keyScopeByWord[c.KeyScope]
 		if !ok {
-			return fmt.Errorf("settings: %s: unknown word %q", key("group"), c.Group)
+			return fmt.Errorf("settings: %s: unknown word %q", key("group"), c.KeyScope)
 		}
 		if !(c.Deadline > 0) {
 			return fmt.Errorf("settings: %s is %v, not over 0", key("hard_limit_ms"), c.Deadline)
 		}
 		for name, v := range map[string]float64{
-			"on_time_ms": c.LatencyObjective, "aim_stretch": c.ObjectiveStretch, "worth": or(c.PriorityWeight, 0), "late_worth": c.LateWeight,
-			"window_ms": or(c.Window, 0),
+			"on_time_ms": c.LatencyObjective, "aim_stretch": c.ObjectiveStretch, "worth": valueOr(c.PriorityWeight, 0),
+			"late_worth": c.LateWeight, "window_ms": valueOr(c.KeyWindow, 0),
 		} {
 			if v < 0 {
-				return negative(key(name), v)
+				return negativeError(key(name), v)
 			}
 		}
-		aim := c.LatencyObjective
-		if aim == 0 {
-			aim = c.Deadline
+		objective := c.LatencyObjective
+		if objective == 0 {
+			objective = c.Deadline
 		}
 		cfg.Classes = append(cfg.Classes, balance.Class{
-			Idempotency: effect, KeyScope: group, KeyWindow: or(c.Window, math.Inf(1)), LatencyObjective: aim, ObjectiveStretch: c.ObjectiveStretch,
-			Deadline: c.Deadline, PriorityWeight: or(c.PriorityWeight, 1), LateWeight: c.LateWeight, Stream: c.Stream,
+			Idempotency: idempotency, KeyScope: keyScope, KeyWindow: valueOr(c.KeyWindow, math.Inf(1)),
+			LatencyObjective: objective, ObjectiveStretch: c.ObjectiveStretch,
+			Deadline: c.Deadline, PriorityWeight: valueOr(c.PriorityWeight, 1), LateWeight: c.LateWeight, Stream: c.Stream,
 		})
 	}
 	return nil
 }
 
-func negative(key string, v float64) error { return fmt.Errorf("settings: %s is %v", key, v) }
+// negativeError names the key of a negative number.
+func negativeError(key string, v float64) error { return fmt.Errorf("settings: %s is %v", key, v) }
 
-// KeyError says of an error of encoding/json where in the text it is: the key, or the byte where there is no key.
+// KeyError adds to an error of encoding/json where in the text it is: the key, or the byte if there is no key.
 func KeyError(err error) error {
 	var mistyped *json.UnmarshalTypeError
 	var syntax *json.SyntaxError
@@ -209,7 +225,8 @@
 	return err
 }
 
-func or[T any](v *T, otherwise T) T {
+// valueOr returns the value, or otherwise if its key is left out.
+func valueOr[T any](v *T, otherwise T) T {
 	if v == nil {
 		return otherwise
 	}
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -10,8 +10,8 @@
 	"marblelane/balance"
 )
 
-// unhex joins hex text with spaces and line breaks.
-func unhex(t testing.TB, text string) []byte {
+// decodeHex decodes hex text with spaces and line breaks.
+func decodeHex(t testing.TB, text string) []byte {
 	t.Helper()
 	b, err := hex.DecodeString(strings.Join(strings.Fields(text), ""))
 	if err != nil {
@@ -20,6 +20,7 @@
 	return b
 }
 
+// readAll reads all frames and returns their records and the clock of the last one.
 func readAll(r *Reader) ([]Record, float64, error) {
 	var recs []Record
 	var at float64
@@ -37,6 +38,7 @@
 	}
 }
 
+// Frames of the protocol's examples.
 const (
 	emptyFrame  = "00000000 00000010 40c06e2000000000"
 	eventsFrame = `00000003 00000052 40c06e2000000000
@@ -52,8 +54,9 @@
 		0442 0003 0002978f5d3a91c4 00 0a124a07 232b 0000 4032800000000000 01 00`
 )
 
-func TestDecodesTheProtocolsExamples(t *testing.T) {
-	in := unhex(t, emptyFrame+eventsFrame+listFrame+endedFrame)
+// The examples of the protocol are decoded as it says.
+func TestReader_protocolExamples(t *testing.T) {
+	in := decodeHex(t, emptyFrame+eventsFrame+listFrame+endedFrame)
 	recs, clock, err := readAll(NewReader(bytes.NewReader(in)))
 	if err != nil {
 		t.Fatal(err)
@@ -61,16 +64,16 @@
 	if clock != 8412.25 || len(recs) != 5 {
 		t.Fatalf("clock %v, %d records", clock, len(recs))
 	}
-	ask, ok := recs[0].Event.(balance.Request)
+	request, ok := recs[0].Event.(balance.Request)
 	want := balance.Request{ID: 0x2978f5d3a91c4, WorkHint: 12, IdempotencyKey: 0x91f03b7c55d20a64, Remaining: 240}
-	if !ok || ask != want || recs[0].Instance != 3 {
-		t.Errorf("ask: %+v", recs[0])
+	if !ok || request != want || recs[0].Instance != 3 {
+		t.Errorf("request: %+v", recs[0])
 	}
 	if ev := recs[1].Event; ev != any(balance.Timer{Token: 77}) {
-		t.Errorf("alarm: %+v", ev)
+		t.Errorf("timer: %+v", ev)
 	}
 	if ev := recs[2].Event; ev != any(balance.ClientGone{Request: 0xb677a0e6f2b19}) || recs[2].Instance != 5 {
-		t.Errorf("hangup: %+v", recs[2])
+		t.Errorf("client gone: %+v", recs[2])
 	}
 	list := recs[3].Event.(balance.ServerList)
 	if list.Kind != balance.ListCached || len(list.Servers) != 2 {
@@ -78,16 +81,17 @@
 	}
 	second := balance.Server{ID: 0x0a9011f22354, StartedAt: 6100, Rating: 1.5, Zone: 1}
 	if list.Servers[0].ID != 0x0a124a07232b || list.Servers[1] != second {
-		t.Errorf("entries: %+v", list.Servers)
+		t.Errorf("servers: %+v", list.Servers)
 	}
-	ended := recs[4].Event.(balance.Outcome)
-	if ended.Request != 0x2978f5d3a91c4 || ended.Server != 0x0a124a07232b || ended.Elapsed != 18.5 ||
-		!ended.Finished || ended.Result != balance.OK {
-		t.Errorf("ended: %+v", ended)
+	outcome := recs[4].Event.(balance.Outcome)
+	if outcome.Request != 0x2978f5d3a91c4 || outcome.Server != 0x0a124a07232b || outcome.Elapsed != 18.5 ||
+		!outcome.Finished || outcome.Result != balance.OK {
+		t.Errorf("outcome: %+v", outcome)
 	}
 }
 
-func TestEncodesTheProtocolsExamples(t *testing.T) {
+// Actions are encoded as in the protocol's example.
+func TestReply_protocolExamples(t *testing.T) {
 	var r Reply
 	r.Reset()
 	r.Add(3, []balance.Action{
@@ -100,7 +104,7 @@
 	if _, err := r.WriteTo(&out); err != nil {
 		t.Fatal(err)
 	}
-	want := unhex(t, `00000057
+	want := decodeHex(t, `00000057
 		03e8 0003 0002978f5d3a91c4 40c0960000000000 0a124a07232b
 		0410 0003 000000000000004d 407f400000000000
 		0438 0005 0011 74776f2073657276657273206b6e6f776e
@@ -110,7 +114,8 @@
 	}
 }
 
-func TestMalformedFramesAreErrors(t *testing.T) {
+// A malformed frame is an error.
+func TestReader_malformedFrames(t *testing.T) {
 	for name, frame := range map[string]string{
 		"header cut short":     "00000000 0000",
 		"length under header":  "00000000 0000000f 40c06e2000000000",
@@ -128,14 +133,15 @@
 		"unknown result":       strings.Replace(endedFrame, "232b 0000", "232b 0055", 1),
 		"more records claimed": strings.Replace(endedFrame, "00000001", "00000002", 1),
 	} {
-		recs, _, err := readAll(NewReader(bytes.NewReader(unhex(t, frame))))
+		recs, _, err := readAll(NewReader(bytes.NewReader(decodeHex(t, frame))))
 		if err == nil {
 			t.Errorf("%s: no error, records %+v", name, recs)
 		}
 	}
 }
 
-func TestSettings(t *testing.T) {
+// Settings are translated with their defaults, and an invalid one is an error that names its key.
+func TestParseSettings(t *testing.T) {
 	cfg, err := ParseSettings(9, []byte(`{"classes": [
 		{"effect": "read_like", "on_time_ms": 300, "hard_limit_ms": 1500, "worth": 2, "late_worth": 0.3},
 		{"effect": "idempotency_key", "group": "cell", "hard_limit_ms": 600, "window_ms": 700}],
@@ -160,7 +166,8 @@
 		t.Errorf("prices %+v", cfg.Prices)
 	}
 	second := cfg.Classes[1]
-	if second.Idempotency != balance.IdempotentWithKey || second.KeyScope != balance.KeyScopeCell || second.LatencyObjective != 600 || second.PriorityWeight != 1 {
+	if second.Idempotency != balance.IdempotentWithKey || second.KeyScope != balance.KeyScopeCell ||
+		second.LatencyObjective != 600 || second.PriorityWeight != 1 {
 		t.Errorf("a class with keys left out: %+v", second)
 	}
 	if cfg.Reports != balance.ReportHealthCheck || len(cfg.Fields) != 3 || cfg.Fields[1] != balance.FieldUnknown {
@@ -191,12 +198,12 @@
 	}
 }
 
-// The seed corpus runs in CI as an ordinary test.
+// No input makes the reader panic. The seed corpus runs in CI as an ordinary test.
 func FuzzReader(f *testing.F) {
 	for _, frame := range []string{emptyFrame, eventsFrame, listFrame, endedFrame, eventsFrame + listFrame} {
-		f.Add(unhex(f, frame))
+		f.Add(decodeHex(f, frame))
 	}
-	f.Add(unhex(f, "00000001 00000018 40c06e2000000000 03e8 0000 ffffffff"))
+	f.Add(decodeHex(f, "00000001 00000018 40c06e2000000000 03e8 0000 ffffffff"))
 	f.Fuzz(func(t *testing.T, in []byte) {
 		recs, _, err := readAll(NewReader(bytes.NewReader(in)))
 		if err == nil && len(in) > 0 && len(in) < headerSize {
