--- a/balance/admission_load_test.go
+++ b/balance/admission_load_test.go
@@ -125,7 +125,7 @@
 		id, _ := h.sendRequest(idempotentClass)
 		ids = append(ids, id)
 	}
-	before := h.b.inFlightLoad
+	before := h.b.admission.inFlightLoad
 	h.now += baseConfig().Classes[idempotentClass].LatencyObjective / 2 // with few answers known, an attempt is overdue then
 	for _, id := range ids {
 		h.handle(Timer{Token: uint64(id)})
@@ -133,8 +133,8 @@
 	if _, avoided := h.b.CountServers(h.now); avoided != 1 {
 		t.Fatalf("%d servers are avoided, want 1", avoided)
 	}
-	if h.b.inFlightLoad >= before {
-		t.Errorf("the load is %v after the ejection, and was %v before", h.b.inFlightLoad, before)
+	if h.b.admission.inFlightLoad >= before {
+		t.Errorf("the load is %v after the ejection, and was %v before", h.b.admission.inFlightLoad, before)
 	}
 }
 
@@ -151,7 +151,7 @@
 		id, acts := h.sendRequest(idempotentClass)
 		s, ok := sentTo(acts)
 		if !ok {
-			t.Fatalf("request %d was rejected: shed %v", id, h.b.lastingShed)
+			t.Fatalf("request %d was rejected: shed %v", id, h.b.admission.lastingShed)
 		}
 		if s == 1 {
 			hung++
@@ -169,7 +169,7 @@
 func (h *harness) dueTimers() []Timer {
 	var list []Timer
 	for id := RequestID(1); id <= h.lastID; id++ {
-		if r := h.b.reqs[id]; r != nil && r.wakeAt <= h.now && !r.done {
+		if r := h.b.requests[id]; r != nil && r.wakeAt <= h.now && r.state != requestAnswered {
 			list = append(list, Timer{Token: uint64(id)})
 		}
 	}
@@ -181,14 +181,14 @@
 	h := newHarness(t, baseConfig(), identicalServers(2)...)
 	id, _ := h.sendRequest(idempotentClass)
 	h.sendRequest(idempotentClass)
-	if want := 2.0 / 300; h.b.inFlightLoad != want {
-		t.Fatalf("load %v of two requests, want %v", h.b.inFlightLoad, want)
+	if want := 2.0 / 300; h.b.admission.inFlightLoad != want {
+		t.Fatalf("load %v of two requests, want %v", h.b.admission.inFlightLoad, want)
 	}
 	h.now += 300
 	h.handle(Timer{Token: uint64(id)})
 	h.endAttempt(id, 0, OK, 300)
-	if want := 1.0 / 300; math.Abs(h.b.inFlightLoad-want) > 1e-12 {
-		t.Fatalf("load %v after one of them ended at its objective, want %v", h.b.inFlightLoad, want)
+	if want := 1.0 / 300; math.Abs(h.b.admission.inFlightLoad-want) > 1e-12 {
+		t.Fatalf("load %v after one of them ended at its objective, want %v", h.b.admission.inFlightLoad, want)
 	}
 }
 
@@ -226,7 +226,7 @@
 			continue
 		}
 		inFlight = append(inFlight, id)
-		for len(inFlight) > 0 && h.b.reqs[inFlight[0]].arrived <= h.now-80 { // each answer takes about 80 ms
+		for len(inFlight) > 0 && h.b.requests[inFlight[0]].arrivedAt <= h.now-80 { // each answer takes about 80 ms
 			h.endAttempt(inFlight[0], 0, OK, 80)
 			inFlight = inFlight[1:]
 		}
--- a/balance/admission_test.go
+++ b/balance/admission_test.go
@@ -82,27 +82,27 @@
 func TestAdmission_lowTrafficOverload(t *testing.T) {
 	h := newHarness(t, baseConfig(), identicalServers(4)...)
 	for range 6 {
-		h.setOverload(h.b.lastingShed, 0.8)
+		h.setOverload(h.b.admission.lastingShed, 0.8)
 		h.now += 500
-		h.b.inFlightLoadAt = h.now
+		h.b.admission.inFlightLoadAt = h.now
 		h.sendRequest(idempotentClass)
 	}
-	if h.b.lastingShed < 0.5 {
-		t.Fatalf("%.2f is shed after three seconds of overload", h.b.lastingShed)
+	if h.b.admission.lastingShed < 0.5 {
+		t.Fatalf("%.2f is shed after three seconds of overload", h.b.admission.lastingShed)
 	}
 }
 
 // setOverload sets the lasting part of the load to shed, and a load in flight with which answers take this part of
 // the latency objective longer than they may.
 func (h *harness) setOverload(lasting, over float64) {
-	full := h.b.quickest + spareObjective*(1-h.b.quickest)
-	if h.b.lastingShed = lasting; lasting > 0 {
-		h.b.lastingShed += shedTolerance
-	}
-	rate := h.b.answerRate(fewAnswers)
-	assumed := h.b.quickest * (1 - h.b.answerRate(0)/rate)
-	h.b.inFlightLoad, h.b.inFlightLoadAt = (full+over-assumed)*rate, h.now
-	h.b.meanInFlightLoad = h.b.inFlightLoad
+	full := h.b.admission.minMeanLatency + spareObjective*(1-h.b.admission.minMeanLatency)
+	if h.b.admission.lastingShed = lasting; lasting > 0 {
+		h.b.admission.lastingShed += shedTolerance
+	}
+	rate := h.b.admission.answerRate(priorAnswers)
+	assumed := h.b.admission.minMeanLatency * (1 - h.b.admission.answerRate(0)/rate)
+	h.b.admission.inFlightLoad, h.b.admission.inFlightLoadAt = (full+over-assumed)*rate, h.now
+	h.b.admission.meanInFlightLoad = h.b.admission.inFlightLoad
 }
 
 // rejectedFractions brings 4000 requests, drawn from arrivals of (class, tenant), while 0.4 of the work is to be
@@ -211,9 +211,9 @@
 	for class, timesOut := range map[int]bool{nonIdempotentClass: true, idempotentClass: false, cellKeyClass: false} {
 		for _, lasting := range []float64{0, 0.2} {
 			h := newHarness(t, baseConfig(), identicalServers(4)...)
-			h.b.lastingShed = lasting
+			h.b.admission.lastingShed = lasting
 			if lasting > 0 {
-				h.b.lastingShed += shedTolerance
+				h.b.admission.lastingShed += shedTolerance
 			}
 			id, acts := h.sendRequest(class)
 			s, ok := sentTo(acts)
--- a/balance/api.go
+++ b/balance/api.go
@@ -1,130 +1,17 @@
 package balance
 
-// This file is the interface of the module: settings and events in, actions out.
-// It takes no decisions; those are in balance.go, list.go, zones.go and routes.go. Times are milliseconds.
+// This file is the interface of the package: events in, actions out. The settings are in config.go. Times are in ms.
 
-// ServerID names a server; it carries no meaning beyond identity.
+// ServerID identifies a server.
 type ServerID uint64
 
-// RequestID names a request; a client's later try has another.
+// RequestID identifies a request; a client's retry has an ID of its own.
 type RequestID uint64
 
-// Effect says whether a request may run more than once.
-type Idempotency uint8
-
-// The three effects a class of requests can have.
-const (
-	Idempotent        Idempotency = iota // may be repeated at will
-	IdempotentWithKey                    // servers of one group drop repeats within a window
-	NonIdempotent                        // must never run twice
-)
-
-// Group says which servers recognise a repeat of a keyed request.
-type KeyScope uint8
-
-// The reach of a key.
-const (
-	KeyScopeAll KeyScope = iota
-	KeyScopeZone
-	KeyScopeCell
-)
-
-// Class describes one class of requests.
-type Class struct {
-	Idempotency      Idempotency
-	KeyScope         KeyScope
-	KeyWindow        float64 // how long a group remembers a key, from the first send that may have run
-	LatencyObjective float64 // an answer within this earns full worth
-	ObjectiveStretch float64 // the aim grows by this multiple of the request's own work
-	Deadline         float64 // the client's longest wait over all its tries
-	PriorityWeight   float64
-	LateWeight       float64 // fraction of Worth that an answer after the aim still earns
-	Stream           bool
-}
-
-// Tenant is one customer of the service.
-type Tenant struct {
-	Allowance float64 // requests a second within its share, over all sidecars
-	Quota     float64 // its fraction of the service
-}
-
-// ReportVia says how load reports reach a sidecar.
-type ReportSource uint8
-
-// The ways of load reports.
-const (
-	ReportNone ReportSource = iota
-	ReportPiggyback
-	ReportHealthCheck
-)
-
-// Field is one figure of a load report.
-type Field uint8
-
-// The figures a load report can hold; FieldUnknown is skipped.
-const (
-	FieldUnknown   Field = iota
-	FieldInFlight        // requests being handled
-	FieldQueue           // requests waiting
-	FieldUtil            // fraction of CPU in use
-	FieldLatency         // recent service time
-	FieldRate            // requests served a second
-	FieldErrorRate       // errors a second
-)
-
-// Config holds the settings that one sidecar starts with.
-type Config struct {
-	Seed            uint64
-	Number, Peers   int // this sidecar's number, and how many there are
-	Zone            int
-	Regions         []int   // the region of each zone; empty: there is one
-	RegionCost      float64 // of an answer from another region, as a multiple of one from another zone
-	Classes         []Class
-	Tenants         []Tenant
-	OverQuotaWeight float64 // worth of a request beyond its tenant's share, as a fraction
-	Quantum         float64 // least time between two batches of events
-
-	Subscribe bool         // the server list must be asked for
-	Reports   ReportSource // how load reports come
-	Fields    []Field      // what they hold, in order
-
-	MaxAttempts    int
-	Hedging        bool    // two attempts of a request may be in flight together
-	Cancel         bool    // attempts may be cancelled
-	HealthChecks   bool    // servers may be probed
-	Messages       bool    // sidecars may message each other
-	RetryAfter     bool    // clients are told how long to hold off
-	MaxRetryAfter  float64 // the longest hold-off a client obeys
-	ConnectTimeout float64
-
-	DrainGrace        float64 // sends to a draining or gone server must stop within this
-	SlowStartCapacity float64 // a server starts at this fraction of its capacity or more
-	SlowStartTime     float64 // and is warm after this
-	OverloadMultiple  float64 // a cold server sent more than this multiple of its capacity ...
-	OverloadTime      float64 // ... for this long falls over
-	PollInterval      float64 // without a subscription the list must be asked for this often
-	MaxPollBackoff    float64 // ms at most between a failed list call and the next; 0: AskWithin alone bounds it
-
-	// Lists is how many list services can be asked, in order of preference; 0 and 1: one, which is taken at its word.
-	ListServices    int
-	SuspectFraction float64 // a complete list that leaves out more of the servers in use is suspect; 0: none
-	StaleAfter      float64 // from this age of the list on outcomes count more than it; 0: never
-	AnswerSlack     float64 // an answer this long after the client's deadline still counts
-
-	Goal   Goal
-	Prices Prices
-}
-
-// Goal weighs the parts of the result; what is refused in overload goes by it.
-type Goal struct{ Overall, WorstWindow, WorstClass, WorstTenant float64 }
-
-// Prices are taken off the result, each per unit of its own.
-type Prices struct{ CrossZone, Waste, Handshake, HealthCheck, Peer, LateFail float64 }
-
-// State is what discovery knows of a server.
+// ServerState is the state of a server in the server list.
 type ServerState uint8
 
-// A server's states.
+// The states of a server.
 const (
 	Ready ServerState = iota
 	Draining
@@ -138,100 +25,92 @@
 	StartedAt        float64 // 0: long ago
 	Rating           float64 // relative size; 1 where nothing is known
 	Cell, Zone, Kind int
-	// Place tells one address from another; 0: they are not told apart, Nowhere: it cannot be called.
-	AddressKey uint64
+	AddressKey       uint64 // identifies the address; 0: addresses are not known, NoAddress: it cannot be read
 }
 
-// Nowhere is the place of a server whose address cannot be read.
+// NoAddress is the AddressKey of a server whose address cannot be read.
 const NoAddress = ^uint64(0)
 
-// Event is anything that a sidecar is told: one of the types below.
+// Event is an input of the balancer: one of the types below.
 type Event interface{ event() }
 
 // ListKind says how a server list is to be read.
 type ListKind uint8
 
-// The kinds of news from discovery.
+// The kinds of list events.
 const (
-	ListFull   ListKind = iota // everything there is
-	ListCached                 // everything there was when last seen
+	ListFull   ListKind = iota // all servers
+	ListCached                 // all servers as last seen, before a restart
 	ListDelta                  // changed entries only
 	ListFailed                 // a call failed, or the subscription ended; nothing else changed
 	ListAlive                  // nothing has changed
 )
 
-// ServerList is news from discovery. Servers is not kept.
+// ServerList is a list event. Servers is not kept.
 type ServerList struct {
-	Kind      ListKind
-	Servers   []Server
-	Rev       int64 // of the list; 0 where there are none
-	Source    int   // the service, by preference
-	FromFetch bool  // it answers a Fetch, not the watch
-	// Of a call that failed: the service is there, and turned it away or let it wait in vain; and in how many ms it
-	// wants the next one, 0 where it does not say.
-	Busy       bool
-	RetryAfter float64
+	Kind       ListKind
+	Servers    []Server
+	Rev        int64   // revision of the list; 0 where there are none
+	Source     int     // the list service, by preference
+	FromFetch  bool    // it answers a Fetch, not the Watch
+	Busy       bool    // with ListFailed: the service is there, but rejected the call or let it wait in vain
+	RetryAfter float64 // with ListFailed: when the service wants the next call; 0: it does not say
 }
 
-// End says that this process is about to go, before its requests' time is over: each needs its answer now.
+// Shutdown says that this process ends before its requests' time is over: each needs its final answer now.
 type Shutdown struct{}
 
-// ClockStepped says that the wall clock was stepped, on which lists tell the starts of servers. Before the first of
-// them it shows the time that events are handled at.
+// ClockStepped says that the wall clock was stepped, on which lists give the starts of servers. Before the first step
+// it agrees with the time of events.
 type ClockStepped struct {
-	Offset float64 // ms by which the wall clock is ahead of the time of events from now on; negative: behind it
+	Offset float64 // by which the wall clock is ahead of the time of events from now on; negative: behind it
 }
 
-// FleetSize says how many processes of the fleet share what it allows together (docs/membership.md). Until the first of
-// them comes, as many as Config.Peers names do.
+// FleetSize says how many processes of the fleet share what it allows together (docs/membership.md). Until the first
+// one comes, they are as many as Config.Peers.
 type FleetSize struct {
-	Known, Reachable int  // not proved gone, and of these heard of now; this one is among both
-	Admitted         bool // all that are known know of this one
+	Known, Reachable int  // not known to be gone, and in contact now; this process is among both
+	Admitted         bool // all known processes know this one
 }
 
-// Sources says how many list services there are from now on.
+// ListServices says how many list services there are from now on.
 type ListServices struct{ Count int }
 
-// Request is a client's request; it is owed one final answer.
+// Request is a client's request. Each gets one final answer.
 type Request struct {
 	ID             RequestID
 	Class, Tenant  int
-	WorkHint       float64 // expected work, 0 if unknown
+	WorkHint       float64 // expected work; 0: unknown
 	IdempotencyKey uint64
-	Remaining      float64 // time until the client gives this try up
-	ClientRetry    bool    // the client says that it tried before
+	Remaining      float64 // time until the client gives it up
+	ClientRetry    bool    // the client marks it as a retry
 	Write          bool
-	// Open: the body is still coming and is passed on as it comes. Until Complete tells that it is whole, no time
-	// of the client's passes, and no server's.
-	BodyStreaming bool
-	// Route tells which of a route's subsets it prefers: the same on each try of one client. 0: not told, Key counts.
-	RouteKey uint64
+	BodyStreaming  bool   // its body is still coming and is forwarded meanwhile; no time counts until BodyComplete
+	RouteKey       uint64 // equal for all retries of one client; chooses the subset of a route. 0: IdempotencyKey does
 }
 
-// Complete says that an open request's last byte was passed on. Its time counts from now.
+// BodyComplete says that the last byte of a streamed request body was forwarded. The request's time begins now.
 type BodyComplete struct {
 	Request   RequestID
 	Remaining float64
 }
 
-// Result is how an attempt or a probe ended.
+// Result is how an attempt or a health check ended.
 type Result uint8
 
-// The results; NeverRan tells which of them prove that nothing ran.
+// The results. NeverRan reports which of them prove that nothing ran.
 const (
 	OK Result = iota
 	Failed
 	Rejected
 	TimedOut
-	ConnectFailed // refused, or never came up: no process is there
+	ConnectFailed // refused, or not established in time: no process is there
 	Reset
 	Cancelled
 	NotSent
-	WriteFailed // the connection broke before the whole request was written; the process may well run
-	// LocalFailure says that this machine could not begin the attempt: it lacks a socket, a port, a route or memory, or
-	// a filter of its own forbids it. It tells nothing of the server and uses up no attempt.
-	LocalFailure
-	Unreachable // the network reports that there is no way to the server; the process may well run
+	WriteFailed  // the connection broke before the whole request was written
+	LocalFailure // this machine could not start the attempt, for want of a socket, port, route, memory or permission
+	Unreachable  // the network reports that there is no way to the server, whose process may well run
 )
 
 // NeverRan reports whether the result proves that the attempt was not executed.
@@ -243,7 +122,7 @@
 	return false
 }
 
-// away reports whether the result says that its server cannot be had at present.
+// away reports whether the result says that the server cannot be reached at present.
 func (r Result) away() bool { return r == ConnectFailed || r == Unreachable }
 
 // Outcome is the end of an attempt; each attempt gets one.
@@ -253,13 +132,13 @@
 	Server       ServerID
 	Result       Result
 	Elapsed      float64
-	Finished     bool      // the request needs no answer (any more)
+	Finished     bool      // the request needs no answer any more
 	Report       []float32 // load report, empty if none; not kept
 	BodyConsumed bool      // the request's body is used up: it cannot be sent again
-	RouteRevoked bool      // the route was revoked before the first byte was due: it counts as no attempt
+	RouteRevoked bool      // the route was revoked before the first byte was sent: it counts as no attempt
 }
 
-// Started says that a streamed answer has begun; the client owns the attempt now. The attempt's Outcome follows
+// AnswerStarted says that a streamed answer has started; the client owns the attempt now. The attempt's Outcome follows
 // when the answer has ended.
 type AnswerStarted struct {
 	Request RequestID
@@ -268,66 +147,64 @@
 	Elapsed float64
 }
 
-// Connecting says that an attempt waits for a new connection, or that this has come up. Meanwhile it is no work of
-// the server's. Where connections open unseen it never comes.
+// Connecting says that an attempt waits for a new connection, or that this is established. Meanwhile the attempt is no
+// work for the server. It never comes where connections are opened out of sight.
 type Connecting struct {
 	Request     RequestID
 	Attempt     int
 	Established bool
 }
 
-// ConnectionReady says that a connection to a server came up that no attempt waits for any more.
+// ConnectionReady says that a connection to a server was established that no attempt waits for any more.
 type ConnectionReady struct{ Server ServerID }
 
-// Sharing says that this sidecar now consists of so many processes with a balancer each: during an upgrade, the
-// one that goes and the one that comes.
+// ProcessCount says how many processes, each with a balancer, this sidecar consists of now. During an upgrade there are
+// two: the one that ends and its successor.
 type ProcessCount struct{ Processes int }
 
-// Routes are what tenants' requests prefer from now on, in place of those before; a canary that stays keeps its purse.
-// Without any, nothing of a pick changes. A tenant has one route at most, a canary belongs to one, and what has a route
-// has a revision above 0. List is not kept.
+// Routes replace the routes of before. A canary that stays keeps its budget. A tenant has one route at most, and a
+// canary belongs to one route. Routes have a revision above 0. List is not kept.
 type Routes struct {
 	Rev  int64
 	List []Route
 }
 
-// Route is what the requests of a tenant prefer. In its base and its canary the ordinary way of picking holds; servers
-// outside are for what those cannot take. While there is a canary the base leaves its servers out.
+// Route is what the requests of a tenant prefer. Within the base and within the canary, servers are picked as without
+// a route; servers outside both get what those cannot take. While there is a canary the base leaves its servers out.
 type Route struct {
-	Tenant         int    // as Request has it; -1: all requests, where the settings name no tenants
+	Tenant         int    // as in Request; -1: all requests, where the settings name no tenants
 	Classes        []int  // those that may go to the canary; empty: all
-	Base           Subset // preferred by all that do not go to the canary
+	Base           Subset // preferred by all requests that do not go to the canary
 	Canary         Subset
 	CanaryFraction float64 // of the requests that prefer the canary, 0 to 1
-	ID             uint64  // names the canary over its whole life; 0: there is none
-	Budgeted       bool    // an attempt to the canary needs a unit of its purse
-	LateIsFailure  bool    // an answer after the aim is a failure of the canary
+	ID             uint64  // identifies the canary; 0: there is none
+	Budgeted       bool    // an attempt to the canary needs a unit of its budget
+	LateIsFailure  bool    // an answer after the latency objective is a failure of the canary
 }
 
-// Subset selects servers: those that match each list that is not empty. The zero Subset is all.
+// Subset selects servers: those that match each list that is not empty. The zero Subset is all servers.
 type Subset struct {
 	Kinds, Cells, Zones []int
 	IDs                 []ServerID
 }
 
-// CanaryLease says until when canaries may be acted on: after it this sidecar acts on the bases alone.
+// CanaryLease says until when canaries may be acted on. After it this sidecar acts on the bases alone.
 type CanaryLease struct{ Until float64 }
 
-// BudgetGrant says how many units this process has been given for a canary since its start, in all, and how many it may
-// keep that no attempt needs: what is beyond is given back.
+// BudgetGrant says how many units this process was granted for a canary since its start, in all.
 type BudgetGrant struct {
 	ID      uint64
 	Units   int64
-	MaxIdle int64
+	MaxIdle int64 // units that may stay free; those beyond are returned
 }
 
-// ClientGone says that the client is gone; no answer is owed.
+// ClientGone says that the client is gone: no answer is needed.
 type ClientGone struct{ Request RequestID }
 
-// Timer is a timer set by SetTimer that came due.
+// Timer says that a timer set by SetTimer is due.
 type Timer struct{ Token uint64 }
 
-// ProbeResult is what a probe found.
+// HealthCheckResult is the result of a health check.
 type HealthCheckResult struct {
 	Server  ServerID
 	Result  Result
@@ -364,20 +241,20 @@
 // ActionKind says what to do.
 type ActionKind uint8
 
-// The actions; the comment names the fields of Action that count.
+// The kinds of actions. The comments name the fields of Action that count.
 const (
-	Send        ActionKind = iota // Request, Server, At: the attempt is dropped then (0: the client's deadline); Routes
-	Reject                        // Request, At: how long to hold off; a final answer: a retry does no harm
+	Send        ActionKind = iota // Request, Server, At: when it is given up (0: the client's deadline); routes
+	Reject                        // Request, At: how long to wait; a final answer: a retry does no harm
 	Fail                          // Request; a final answer that promises nothing
 	Cancel                        // Request, Attempt
 	SetTimer                      // Token, At: time from now
 	HealthCheck                   // Server
-	CloseIdle                     // Server
+	CloseIdle                     // Server: close its idle connections
 	SendMessage                   // Peer (-1: all), Data
 	Log                           // Text
-	Watch                         // Source, After: follow the server list, in place of the watch before
-	Fetch                         // Source: ask for the whole list once
-	Forget                        // Server: it is gone, though no list has told so
+	Watch                         // Source, After: watch the server list, in place of the watch before
+	Fetch                         // Source: request the full list once
+	Forget                        // Server: it is gone, though no list said so
 )
 
 // Action is one thing to do, in the order given.
@@ -394,7 +271,7 @@
 	Source  int   // list service, by preference
 	After   int64 // revision of the list held; 0: none
 
-	// Of a Send, what it acts on under permission. The base of a route that is acted on without permission has 0.
+	// With Send: what the attempt acts on under the lease. Without a lease these are zero.
 	RoutesRev int64  // revision of the routes; 0: none
 	CanaryID  uint64 // the canary that the route has; 0: none
 	ToCanary  bool   // it goes to the canary, and counts for it
--- a/balance/ejection_test.go
+++ b/balance/ejection_test.go
@@ -36,7 +36,7 @@
 		}
 		_, avoided = h.b.CountServers(h.now)
 		for s := range failed {
-			if h.b.warmingUp(h.b.byID[s]) {
+			if h.b.slowStart.warmingUp(h.b.byID[s]) {
 				warmingUp++
 			}
 		}
@@ -83,7 +83,7 @@
 					h.now += 50
 				}
 				for _, s := range h.b.servers {
-					if s.consecutiveErrors > 0 || s.ejections > 0 || h.b.ejected(s) || h.b.health(s) < 1 {
+					if s.consecutiveErrors > 0 || s.ejections > 0 || h.b.outliers.ejected(s) || h.b.picker.health(s) < 1 {
 						t.Errorf("%v ms: server %d has %d errors and %d ejections", left, s.ID, s.consecutiveErrors, s.ejections)
 					}
 				}
@@ -104,7 +104,7 @@
 	h.handle(Request{ID: h.lastID, Class: idempotentClass, Remaining: 61})
 	h.now += 61
 	h.handle(Timer{Token: uint64(h.lastID)})
-	s := h.b.reqs[h.lastID].attempts[0].server
+	s := h.b.requests[h.lastID].attempts[0].server
 	h.endAttempt(h.lastID, 0, TimedOut, 61)
 	if s.consecutiveErrors != 1 {
 		t.Errorf("%d errors, want 1", s.consecutiveErrors)
@@ -122,11 +122,11 @@
 		id, acts := h.sendRequest(idempotentClass)
 		server, _ := sentTo(acts)
 		s := h.b.byID[server]
-		if acts = h.endAttempt(id, 0, test.result, 1); !hasAction(acts, Send) || !h.b.ejected(s) {
-			t.Errorf("result %v: %+v, ejected %v, want another attempt and an ejection", test.result, acts, h.b.ejected(s))
+		if acts = h.endAttempt(id, 0, test.result, 1); !hasAction(acts, Send) || !h.b.outliers.ejected(s) {
+			t.Errorf("result %v: %+v, ejected %v, want another attempt and an ejection", test.result, acts, h.b.outliers.ejected(s))
 		}
 		h.now = s.ejectedUntil
-		for h.b.ejected(s) || s.consecutiveErrors > 0 { // until it answers again
+		for h.b.outliers.ejected(s) || s.consecutiveErrors > 0 { // until it answers again
 			h.now += 10
 			id, acts := h.sendRequest(idempotentClass)
 			if to, sent := sentTo(acts); !sent || to == 0 {
@@ -134,41 +134,41 @@
 			}
 			h.endAttempt(id, 0, OK, 10)
 		}
-		if warmingUp := h.b.warmingUp(s); warmingUp != test.warmingUp {
+		if warmingUp := h.b.slowStart.warmingUp(s); warmingUp != test.warmingUp {
 			t.Errorf("result %v: slow start %v, want %v", test.result, warmingUp, test.warmingUp)
 		}
 	}
 }
 
-// The health score falls by penaltyPerError for each error down to healthFloor, recovers by half in a half-life, and
+// The health score falls by penaltyPerError for each error down to minHealth, recovers by half in a half-life, and
 // is restored by one success.
 func TestEjection_healthScore(t *testing.T) {
 	h := newHarness(t, baseConfig(), identicalServers(2)...)
 	s := h.b.servers[0]
-	if m := h.b.health(s); m != 1 {
+	if m := h.b.picker.health(s); m != 1 {
 		t.Fatalf("health without errors is %v", m)
 	}
 	s.consecutiveErrors, s.lastErrorAt = 2, h.now
-	if m := h.b.health(s); math.Abs(m-(1-2*penaltyPerError)) > 1e-9 {
+	if m := h.b.picker.health(s); math.Abs(m-(1-2*penaltyPerError)) > 1e-9 {
 		t.Fatalf("health after two errors is %v", m)
 	}
 	h.b.now += halfLife
-	if m := h.b.health(s); math.Abs(m-(1-penaltyPerError)) > 1e-9 {
+	if m := h.b.picker.health(s); math.Abs(m-(1-penaltyPerError)) > 1e-9 {
 		t.Fatalf("health after a half-life is %v", m)
 	}
 	s.consecutiveErrors = 1000
-	if m := h.b.health(s); m != healthFloor {
+	if m := h.b.picker.health(s); m != minHealth {
 		t.Fatalf("health after 1000 errors is %v, want the floor", m)
 	}
-	if m := h.b.health(h.b.servers[1]); m != 1 {
+	if m := h.b.picker.health(h.b.servers[1]); m != 1 {
 		t.Fatalf("another server's errors moved the health to %v", m)
 	}
 	s.consecutiveErrors = 2
 	id, _ := h.sendRequest(idempotentClass)
-	h.b.reqs[id].attempts[0].server = s
+	h.b.requests[id].attempts[0].server = s
 	s.inFlight, h.b.servers[1].inFlight = 1, 0
 	h.endAttempt(id, 0, OK, 10)
-	if m := h.b.health(s); m != 1 {
+	if m := h.b.picker.health(s); m != 1 {
 		t.Fatalf("health after a success is %v", m)
 	}
 }
@@ -185,15 +185,15 @@
 	}
 	h.endAttempt(id, 1, OK, 10)
 	server := h.b.byID[s]
-	if h.b.ejected(server) || h.b.health(server) == 1 {
-		t.Errorf("ejected %v, health %v: want one error and no ejection", h.b.ejected(server), h.b.health(server))
+	if h.b.outliers.ejected(server) || h.b.picker.health(server) == 1 {
+		t.Errorf("ejected %v, health %v: want one error and no ejection", h.b.outliers.ejected(server), h.b.picker.health(server))
 	}
 	h.now += 60000
 	for range 8 {
 		id, _ = h.sendRequest(idempotentClass)
 		h.endAttempt(id, 0, OK, 10)
 	}
-	if h.b.warmingUp(server) {
+	if h.b.slowStart.warmingUp(server) {
 		t.Error("the server is in slow start")
 	}
 }
@@ -208,7 +208,7 @@
 		s, _ := sentTo(acts)
 		h.now += 200
 		h.handle(Outcome{Request: id, Server: s, Elapsed: 200, Finished: true, Report: []float32{0, 50, queue}})
-		if got := h.b.ejected(h.b.byID[s]); got != ejected {
+		if got := h.b.outliers.ejected(h.b.byID[s]); got != ejected {
 			t.Errorf("a queue of %v at 50 ms each, objective 300 ms: ejected %v", queue, got)
 		}
 	}
@@ -246,19 +246,19 @@
 			continue
 		}
 		end := h.now + times[i%3]
-		for r := h.b.reqs[id]; !r.done && r.wakeAt < end; {
+		for r := h.b.requests[id]; r.state != requestAnswered && r.wakeAt < end; {
 			h.now = r.wakeAt
 			h.handle(Timer{Token: uint64(id)})
 		}
 		h.now = end
-		if i > 30 && h.b.reqs[id].attempts[0].overdue {
-			t.Fatalf("attempt %d of %v ms counts as overdue after %v", i, times[i%3], h.b.overdueAfter(h.b.reqs[id]))
+		if i > 30 && h.b.requests[id].attempts[0].overdue {
+			t.Fatalf("attempt %d of %v ms counts as overdue after %v", i, times[i%3], h.b.outliers.overdueAfter(h.b.requests[id]))
 		}
 		h.endAttempt(id, 0, OK, times[i%3])
 	}
-	h.b.lastingShed = 0
+	h.b.admission.lastingShed = 0
 	id, _ := h.sendRequest(nonIdempotentClass)
-	r := h.b.reqs[id]
+	r := h.b.requests[id]
 	for !r.attempts[0].overdue {
 		if h.now = r.wakeAt; h.now >= r.deadline {
 			t.Fatal("no timer checks the attempt before its deadline")
@@ -275,13 +275,13 @@
 	h := newHarness(t, baseConfig(), identicalServers(2)...)
 	s := h.b.servers[0]
 	h.handle(HealthCheckResult{Server: s.ID, Result: TimedOut})
-	if !s.healthCheckFailed || !h.b.ejected(s) {
+	if !s.healthCheckFailed || !h.b.outliers.ejected(s) {
 		t.Fatal("a health check without an answer does not eject the server")
 	}
 	entry := s.Server
 	entry.StartedAt = h.now
 	h.handle(ServerList{Kind: ListDelta, Servers: []Server{entry}})
-	if s.healthCheckFailed || s.ejections != 0 || h.b.ejected(s) {
+	if s.healthCheckFailed || s.ejections != 0 || h.b.outliers.ejected(s) {
 		t.Fatalf("after the restart: health check failed %v, %d ejections", s.healthCheckFailed, s.ejections)
 	}
 }
@@ -292,13 +292,13 @@
 	h := newHarness(t, baseConfig(), identicalServers(3)...)
 	s := h.b.servers[0]
 	for range errorsToEject - 1 {
-		h.b.recordFailure(s, false, partialEvidence)
+		h.b.outliers.recordFailure(s, false, partialEvidence)
 	}
-	if h.b.ejected(s) {
+	if h.b.outliers.ejected(s) {
 		t.Fatal("ejected before the last error")
 	}
-	h.b.recordFailure(s, false, partialEvidence)
-	if !h.b.ejected(s) {
+	h.b.outliers.recordFailure(s, false, partialEvidence)
+	if !h.b.outliers.ejected(s) {
 		t.Fatal("not ejected after the last error")
 	}
 	for range 12 {
@@ -323,7 +323,7 @@
 func TestEjection_allServersEjected(t *testing.T) {
 	h := newHarness(t, baseConfig(), identicalServers(3)...)
 	for _, s := range h.b.servers {
-		h.b.recordFailure(s, true, partialEvidence)
+		h.b.outliers.recordFailure(s, true, partialEvidence)
 	}
 	if _, acts := h.sendRequest(idempotentClass); !hasAction(acts, Send) {
 		t.Fatalf("nothing was sent: %+v", acts)
--- a/balance/events_test.go
+++ b/balance/events_test.go
@@ -30,7 +30,7 @@
 func TestEvents_earlyTimer(t *testing.T) {
 	h := newHarness(t, baseConfig(), identicalServers(4)...)
 	id, _ := h.sendRequest(nonIdempotentClass)
-	h.now = h.b.reqs[id].wakeAt - 1e-4
+	h.now = h.b.requests[id].wakeAt - 1e-4
 	if acts := h.handle(Timer{Token: uint64(id)}); !hasAction(acts, SetTimer) {
 		t.Fatalf("no timer is set after an early one: %+v", acts)
 	}
--- a/balance/harness_test.go
+++ b/balance/harness_test.go
@@ -89,8 +89,8 @@
 // endAttempt ends an attempt with a result.
 func (h *harness) endAttempt(id RequestID, attempt int, result Result, elapsed float64) []Action {
 	h.t.Helper()
-	s := h.b.reqs[id].attempts[attempt].server
-	done := result == OK || h.b.reqs[id].done
+	s := h.b.requests[id].attempts[attempt].server
+	done := result == OK || h.b.requests[id].state == requestAnswered
 	return h.handle(Outcome{Request: id, Attempt: attempt, Server: s.ID, Result: result, Elapsed: elapsed, Finished: done})
 }
 
@@ -134,7 +134,7 @@
 			h.t.Fatal("nothing was sent")
 		}
 		ids = append(ids, s)
-		h.b.reqs[id].stats.n = 0 // no learning from these answers
+		h.b.requests[id].stats.samples = 0 // no learning from these answers
 		h.endAttempt(id, 0, OK, 10)
 	}
 	return ids
--- a/balance/idle_period_test.go
+++ b/balance/idle_period_test.go
@@ -58,7 +58,7 @@
 	h.now += 10_000
 	for _, id := range h.unanswered {
 		h.handle(Timer{Token: uint64(id)})
-		if r := h.b.reqs[id]; r != nil && r.liveAttempts > 0 {
+		if r := h.b.requests[id]; r != nil && r.liveAttempts > 0 {
 			h.endAttempt(id, 0, TimedOut, 10_000)
 		}
 	}
@@ -111,10 +111,10 @@
 					t.Fatal("the first request after the idle period is not sent")
 				}
 				h.now++
-				s := h.b.reqs[id].attempts[0].server
+				s := h.b.requests[id].attempts[0].server
 				h.endAttempt(id, 0, Failed, 1)
-				if m := h.b.health(s); math.Abs(m-(1-penaltyPerError)) > 1e-9 || h.b.ejected(s) {
-					t.Errorf("after one error: health %v, ejected %v", m, h.b.ejected(s))
+				if m := h.b.picker.health(s); math.Abs(m-(1-penaltyPerError)) > 1e-9 || h.b.outliers.ejected(s) {
+					t.Errorf("after one error: health %v, ejected %v", m, h.b.outliers.ejected(s))
 				}
 			}
 			// Learned latencies stay, so shedding may differ a little while no server answers.
@@ -135,7 +135,7 @@
 			draining.State = Draining
 			starting := Server{ID: 9, Rating: 1, Cell: 9, Zone: 9, StartedAt: h.now}
 			h.handle(ServerList{Kind: ListDelta, Rev: 2, Servers: []Server{draining, starting}})
-			if s := h.b.byID[9]; s == nil || !h.b.warmingUp(s) {
+			if s := h.b.byID[9]; s == nil || !h.b.slowStart.warmingUp(s) {
 				t.Fatal("the started server is not in slow start")
 			}
 			sent := map[ServerID]int{}
--- a/balance/routes_property_test.go
+++ b/balance/routes_property_test.go
@@ -83,7 +83,7 @@
 			if next++; busy {
 				for _, b := range both {
 					handle(b, Request{ID: next, Class: class, Remaining: 500})
-					if b.reqs[next].liveAttempts == 1 {
+					if b.requests[next].liveAttempts == 1 {
 						handle(b, Outcome{Request: next, Result: NotSent, Finished: true})
 					}
 				}
@@ -152,7 +152,7 @@
 				}
 				if a.ToCanary {
 					route := routes.List[0]
-					r := h.b.reqs[a.Request]
+					r := h.b.requests[a.Request]
 					if !leaseHeld || route.ID == 0 || route.CanaryFraction == 0 || !subsetContains(route.Canary, h.b.byID[a.Server]) ||
 						len(route.Classes) > 0 && !slices.Contains(route.Classes, r.Class) {
 						rt.Fatalf("%+v under %+v", a, routes)
--- a/balance/routes_test.go
+++ b/balance/routes_test.go
@@ -62,7 +62,7 @@
 		"Routes.List[0].Tenant":         with(func(route *Route) { route.Tenant = 2 }),
 		"List[0].Tenant is -2":          with(func(route *Route) { route.Tenant = -2 }),
 		"Routes.List[0].Classes":        with(func(route *Route) { route.Classes = []int{0, 6} }),
-		"Classes has -1":                with(func(route *Route) { route.Classes = []int{-1} }),
+		"Classes[0] is -1":              with(func(route *Route) { route.Classes = []int{-1} }),
 		"CanaryFraction is NaN":         with(func(route *Route) { route.CanaryFraction = math.NaN() }),
 		"CanaryFraction is 1.01":        with(func(route *Route) { route.CanaryFraction = 1.01 }),
 		"Routes.List[0].CanaryFraction": with(func(route *Route) { route.CanaryFraction = -0.01 }),
@@ -77,11 +77,11 @@
 		route.Budgeted = true
 		h := newRoutedHarness(t, route)
 		h.handle(BudgetGrant{ID: 9, Units: 3, MaxIdle: 3})
-		routes := h.b.routes
+		routes := h.b.canary.routes
 		if acts, err := h.b.Handle(h.now, ev); err == nil || !strings.Contains(err.Error(), want) || len(acts) > 0 {
 			t.Errorf("%+v: error %v, want one with %q", ev, err, want)
 		}
-		if &h.b.routes[0] != &routes[0] || h.b.rev != 5 || h.b.CanaryBudgets()[0].Granted != 3 {
+		if &h.b.canary.routes[0] != &routes[0] || h.b.canary.rev != 5 || h.b.CanaryBudgets()[0].Granted != 3 {
 			t.Errorf("%+v changed the balancer", ev)
 		}
 		if _, a := h.sendForTenant(idempotentClass); !a.ToCanary || a.RoutesRev != 5 || a.CanaryID != 9 {
@@ -108,9 +108,9 @@
 			}
 			side := false
 			for i, h := range harnesses {
-				h.b.canaryLease = math.Inf(1)
+				h.b.canary.leaseUntil = math.Inf(1)
 				route := canaryRoute(fraction, 1)
-				preferred := h.b.prefersCanary(&tenantRoute{Route: route}, &request{Request: r})
+				preferred := h.b.canary.prefersCanary(&tenantRoute{Route: route}, &request{Request: r})
 				if i > 0 && preferred != side || last[key] && !preferred {
 					t.Fatalf("key %d at fraction %v changes its side", key, fraction)
 				}
@@ -143,14 +143,14 @@
 					if _, err := b.Handle(1, Routes{Rev: 1, List: []Route{canaryRoute(fraction, 1)}}); err != nil {
 						t.Fatal(err)
 					}
-					b.canaryLease = math.Inf(1)
+					b.canary.leaseUntil = math.Inf(1)
 					for range n {
 						r := &request{}
-						first := b.prefersCanary(b.routeOf(r), r)
+						first := b.canary.prefersCanary(b.canary.routeOf(r), r)
 						if first {
 							canaryRequests++
 						}
-						if again := b.prefersCanary(b.routeOf(r), r); again != first {
+						if again := b.canary.prefersCanary(b.canary.routeOf(r), r); again != first {
 							t.Fatal("a request changed its side")
 						}
 					}
@@ -218,8 +218,8 @@
 			route.Budgeted = true
 			h.handle(Routes{Rev: 6, List: []Route{route}})
 			h.handle(BudgetGrant{ID: 9, Units: 1, MaxIdle: 1})
-			h.b.canaryBudget(9).Reserve()
-			h.b.canaryBudget(9).Settle(true)
+			h.b.canary.budgets.get(9).Reserve()
+			h.b.canary.budgets.get(9).Settle(true)
 			for _, id := range others {
 				h.b.byID[id].inFlight = 9
 			}
@@ -269,8 +269,8 @@
 
 // cancelAttempts ends all pending attempts of a request as not sent.
 func (h *harness) cancelAttempts(id RequestID) {
-	for r := h.b.reqs[id]; r != nil && r.liveAttempts > 0; r = h.b.reqs[id] {
-		h.endAttempt(id, slices.IndexFunc(r.attempts, func(a attempt) bool { return a.live }), NotSent, 0)
+	for r := h.b.requests[id]; r != nil && r.liveAttempts > 0; r = h.b.requests[id] {
+		h.endAttempt(id, slices.IndexFunc(r.attempts, func(a attempt) bool { return a.state != attemptEnded }), NotSent, 0)
 	}
 }
 
@@ -289,7 +289,7 @@
 	}
 	h.b.byID[1].inFlight = 0
 	for i, want := range []ServerID{1, 2, 4} {
-		h.b.reqs[id].stats.n = 0
+		h.b.requests[id].stats.samples = 0
 		if a = h.requireSend(h.endAttempt(id, i, Rejected, 1)); a.Server != want || a.ToCanary != (want < 4) {
 			t.Errorf("retry %d: %+v, want %d", i+1, a, want)
 		}
@@ -320,7 +320,7 @@
 	if acts := h.handle(last); hasAction(acts, Send) {
 		t.Errorf("after the last: %+v", acts)
 	}
-	if h.b.byID[1].consecutiveErrors != 0 || h.b.byID[1].inFlight != 0 || h.b.reqs[id].sends() != 1 {
+	if h.b.byID[1].consecutiveErrors != 0 || h.b.byID[1].inFlight != 0 || h.b.requests[id].countedAttempts() != 1 {
 		t.Errorf("%d errors, %d in flight", h.b.byID[1].consecutiveErrors, h.b.byID[1].inFlight)
 	}
 }
@@ -342,18 +342,18 @@
 	route := canaryRoute(0.5, 1, 2)
 	route.Base = Subset{Zones: []int{1}}
 	h := newRoutedHarness(t, route)
-	r := &request{class: &h.b.cfg.Classes[idempotentClass], stats: &h.b.classes[idempotentClass], tenant: h.b.tenant(0)}
-	if n := testing.AllocsPerRun(100, func() { r.placeDrawn = false; h.b.pick(r, false) }); n > 0 {
+	r := &request{class: &h.b.cfg.Classes[idempotentClass], stats: &h.b.demand.classes[idempotentClass], tenant: h.b.demand.tenant(0)}
+	if n := testing.AllocsPerRun(100, func() { r.positionDrawn = false; h.b.pick(r, false) }); n > 0 {
 		t.Errorf("%v allocations", n)
 	}
-	h.b.pool.weight = 321
+	h.b.picker.pool.weight = 321
 	for i, s := range h.b.servers {
 		s.running = float64(i)
 	}
 	h.b.pick(r, false)
 	for i, s := range h.b.servers {
-		if s.running != float64(i) || s.outsideGroup || h.b.pool.weight != 321 || h.b.pickingAlongRoute {
-			t.Errorf("after a pick %+v, pool %v", s, h.b.pool)
+		if s.running != float64(i) || s.outsideGroup || h.b.picker.pool.weight != 321 || h.b.picker.alongRoute {
+			t.Errorf("after a pick %+v, pool %v", s, h.b.picker.pool)
 		}
 	}
 }
--- a/balance/slow_start_test.go
+++ b/balance/slow_start_test.go
@@ -18,7 +18,7 @@
 		cfg.Seed, cfg.Number = uint64(i), i
 		h := newHarness(t, cfg, all[1:]...)
 		for _, s := range h.b.servers {
-			s.rank = h.b.rank(s)
+			s.rank = h.b.rankOf(s)
 		}
 		h.handle(CanaryLease{Until: math.Inf(1)})
 		h.handle(Routes{Rev: 1, List: []Route{canaryRoute(1, 1)}})
@@ -97,7 +97,7 @@
 		}
 		h.endAttempt(id, 0, OK, 10)
 	}
-	if !h.b.warmingUp(h.b.byID[s]) {
+	if !h.b.slowStart.warmingUp(h.b.byID[s]) {
 		t.Fatal("the server is not in slow start")
 	}
 }
@@ -150,14 +150,14 @@
 	h.sendRequest(idempotentClass) // sets the weights
 	s := h.b.servers[0]
 	s.tokens, s.tokensAt = 0, h.now-2000
-	if h.b.slowStartBudget(s); s.tokens > 0.2 { // would be 1 with ten assumed answers
+	if h.b.picker.withinBudget(s); s.tokens > 0.2 { // would be 1 with ten assumed answers
 		t.Fatalf("%.2f attempts in two seconds", s.tokens)
 	}
 	for range 400 { // 200 observed answers a second
-		h.b.answers.add(h.now, rateSpanObjectives*h.b.maxObjective)
+		h.b.admission.answers.add(h.now, rateSpanObjectives*h.b.maxObjective)
 	}
 	s.tokens, s.tokensAt = 0, h.now-2000
-	if h.b.slowStartBudget(s); s.tokens < 0.5 {
+	if h.b.picker.withinBudget(s); s.tokens < 0.5 {
 		t.Fatalf("%.2f attempts in two seconds for a busy sidecar", s.tokens)
 	}
 }
@@ -174,7 +174,7 @@
 		h.sendRequest(idempotentClass) // sets the weights
 		s := h.b.servers[0]
 		s.tokens, s.tokensAt = 0, h.now-2000
-		h.b.slowStartBudget(s)
+		h.b.picker.withinBudget(s)
 		return s.tokens
 	}
 	if one, two := budget(1), budget(2); two > 0.51*one || two == 0 {
@@ -194,7 +194,7 @@
 			cfg.Number, cfg.Peers, cfg.Seed = i, c.sidecars, uint64(i)
 			harnesses[i] = newHarness(t, cfg, identicalServers(c.servers)...)
 			for _, s := range harnesses[i].b.servers {
-				s.rank = harnesses[i].b.rank(s)
+				s.rank = harnesses[i].b.rankOf(s)
 			}
 			harnesses[i].b.dropGone()
 		}
--- a/balance/wallclock_test.go
+++ b/balance/wallclock_test.go
@@ -11,12 +11,12 @@
 	h := newListHarness(t, nil)
 	list := ServerList{Kind: ListFull, Rev: 2, Servers: []Server{{ID: 1, StartedAt: h.now + 3.6e6}}}
 	h.handle(list)
-	if !h.b.warmingUp(h.b.byID[1]) {
+	if !h.b.slowStart.warmingUp(h.b.byID[1]) {
 		t.Error("a started server is not in slow start")
 	}
 	h.now += h.b.cfg.SlowStartTime
 	h.handle(list) // the same start again is no restart
-	if h.b.warmingUp(h.b.byID[1]) {
+	if h.b.slowStart.warmingUp(h.b.byID[1]) {
 		t.Error("the server is still in slow start")
 	}
 }
@@ -68,11 +68,11 @@
 				h.now += 8e3
 				started := h.now - 200
 				s := h.updateServer(11, Server{ID: id, StartedAt: started + step})
-				if !h.b.warmingUp(s) || s.slowStartAt < started-futureSlack || s.slowStartAt > h.now {
+				if !h.b.slowStart.warmingUp(s) || s.slowStartAt < started-futureSlack || s.slowStartAt > h.now {
 					t.Fatalf("started %.0f ms ago, slow start is %.0f ms old", h.now-started, h.now-s.slowStartAt)
 				}
 				h.passTime(h.b.cfg.SlowStartTime + 1)
-				if h.b.warmingUp(s) {
+				if h.b.slowStart.warmingUp(s) {
 					t.Error("the slow start does not end")
 				}
 			})
@@ -87,7 +87,7 @@
 		check := func(h *harness, started, listed float64) {
 			t.Helper()
 			h.now += 500
-			if s := h.updateServer(11, Server{ID: 9, StartedAt: listed}); !h.b.warmingUp(s) || s.slowStartAt < started-futureSlack {
+			if s := h.updateServer(11, Server{ID: 9, StartedAt: listed}); !h.b.slowStart.warmingUp(s) || s.slowStartAt < started-futureSlack {
 				t.Errorf("step %v s: started %.0f ms ago, slow start is %.0f ms old", step/1000, h.now-started, h.now-s.slowStartAt)
 			}
 		}
@@ -115,12 +115,12 @@
 		h.stepClock(step)
 		s := h.updateServer(11, Server{ID: 4, StartedAt: h.now + step})
 		h.passTime(2 * h.b.cfg.SlowStartTime)
-		if h.b.warmingUp(s) {
+		if h.b.slowStart.warmingUp(s) {
 			t.Fatalf("%v: a warm server is in slow start", step)
 		}
 		h.stepClock(0)
 		h.now += 1000
-		if s = h.updateServer(12, Server{ID: 4, StartedAt: h.now - 100}); !h.b.warmingUp(s) || s.slowStartAt < h.now-1100 {
+		if s = h.updateServer(12, Server{ID: 4, StartedAt: h.now - 100}); !h.b.slowStart.warmingUp(s) || s.slowStartAt < h.now-1100 {
 			t.Errorf("%v: after a restart behind the second step, the slow start is %v ms old", step, h.now-s.slowStartAt)
 		}
 	}
@@ -148,8 +148,8 @@
 				h.now += 100
 				s = h.updateServer(int64(11+i), Server{ID: 4, StartedAt: testBoot + start})
 			}
-			if h.b.warmingUp(s) != c.warmingUp || c.warmingUp && s.slowStartAt < h.now-200 {
-				t.Errorf("slow start %v, %v ms old", h.b.warmingUp(s), h.now-s.slowStartAt)
+			if h.b.slowStart.warmingUp(s) != c.warmingUp || c.warmingUp && s.slowStartAt < h.now-200 {
+				t.Errorf("slow start %v, %v ms old", h.b.slowStart.warmingUp(s), h.now-s.slowStartAt)
 			}
 		})
 	}
@@ -171,7 +171,7 @@
 				list.Servers[3].StartedAt = 0
 			}
 			h.handle(list)
-			if h.b.warmingUp(h.b.byID[4]) || h.b.stepped {
+			if h.b.slowStart.warmingUp(h.b.byID[4]) || h.b.clock.stepped {
 				t.Errorf("a restart is assumed: %+v", h.b.byID[4])
 			}
 		})
@@ -204,11 +204,11 @@
 			h.now += 1000
 			rev++
 			s := h.updateServer(rev, Server{ID: 4, StartedAt: h.now - 100 + offset})
-			if !h.b.warmingUp(s) || s.slowStartAt > h.now || s.slowStartAt < h.now-2000 {
+			if !h.b.slowStart.warmingUp(s) || s.slowStartAt > h.now || s.slowStartAt < h.now-2000 {
 				t.Fatalf("seed %d, offset %v: started %v ms ago", seed, offset, h.now-s.slowStartAt)
 			}
-			if len(h.b.offsets) > maxOffsets {
-				t.Fatal(len(h.b.offsets), "offsets are remembered")
+			if len(h.b.clock.offsets) > maxOffsets {
+				t.Fatal(len(h.b.clock.offsets), "offsets are remembered")
 			}
 		}
 	}
@@ -220,7 +220,7 @@
 	for rev, start := range []float64{-30e3, -100, 500} {
 		h.passTime(60e3)
 		s := h.updateServer(int64(11+rev), Server{ID: 4, StartedAt: h.now + start})
-		if s.slowStartAt != h.now+start || h.b.stepped {
+		if s.slowStartAt != h.now+start || h.b.clock.stepped {
 			t.Errorf("start %v: slow start begins at %v", start, s.slowStartAt-h.now)
 		}
 	}
