--- a/balance/canary_budget_test.go
+++ b/balance/canary_budget_test.go
@@ -65,11 +65,7 @@
 		}
 	}
 	for _, late := range []bool{false, true} {
-		for name, c := range map[string]struct {
-			class  int
-			end    func(*harness, RequestID)
-			failed bool
-		}{
+		for name, c := range map[string]attemptEnd{
 			"ok":             {idempotentClass, end(OK, 300), false},
 			"late":           {idempotentClass, end(OK, 301), late},
 			"failed":         {idempotentClass, end(Failed, 1), true},
@@ -112,30 +108,43 @@
 			"stream reset":             {streamClass, stream(10, Reset), true},
 			"stream, client left":      {streamClass, stream(10, Cancelled), false},
 		} {
-			route := canaryRoute(1, 1, 2)
-			route.Budgeted, route.LateIsFailure = true, late
-			h := newRoutedHarness(t, route)
-			h.handle(BudgetGrant{ID: 9, Units: 1, MaxIdle: 1})
-			id, a := h.sendForTenant(c.class)
-			if _, b := h.sendForTenant(c.class); !a.ToCanary || b.ToCanary || b.Server <= 2 {
-				t.Fatalf("%s: with one unit, sent as %+v and %+v", name, a, b)
-			}
-			if budget := h.b.CanaryBudgets()[0]; budget != (CanaryBudget{ID: 9, Granted: 1, Reserved: 1, Denied: 1}) {
-				t.Errorf("%s: while the attempt is pending: %+v", name, budget)
-			}
-			c.end(h, id)
-			want := CanaryBudget{ID: 9, Granted: 1, Denied: 1}
-			if c.failed {
-				want.Spent = 1
-			}
-			if budget := h.b.CanaryBudgets()[0]; budget != want {
-				t.Errorf("%s, late answers fail %v: %+v, want %+v", name, late, budget, want)
-			}
-			if !h.b.shutdown {
-				if _, a := h.sendForTenant(idempotentClass); a.ToCanary == c.failed {
-					t.Errorf("%s: the next attempt: %+v", name, a)
-				}
-			}
+			checkAttemptCost(t, name, c, late)
+		}
+	}
+}
+
+// attemptEnd is a way in which an attempt ends; failed tells whether it spends the unit.
+type attemptEnd struct {
+	class  int
+	end    func(*harness, RequestID)
+	failed bool
+}
+
+// checkAttemptCost sends an attempt to a canary with one unit, ends it, and compares the budget.
+func checkAttemptCost(t *testing.T, name string, c attemptEnd, late bool) {
+	t.Helper()
+	route := canaryRoute(1, 1, 2)
+	route.Budgeted, route.LateIsFailure = true, late
+	h := newRoutedHarness(t, route)
+	h.handle(BudgetGrant{ID: 9, Units: 1, MaxIdle: 1})
+	id, a := h.sendForTenant(c.class)
+	if _, b := h.sendForTenant(c.class); !a.ToCanary || b.ToCanary || b.Server <= 2 {
+		t.Fatalf("%s: with one unit, sent as %+v and %+v", name, a, b)
+	}
+	if budget := h.b.CanaryBudgets()[0]; budget != (CanaryBudget{ID: 9, Granted: 1, Reserved: 1, Denied: 1}) {
+		t.Errorf("%s: while the attempt is pending: %+v", name, budget)
+	}
+	c.end(h, id)
+	want := CanaryBudget{ID: 9, Granted: 1, Denied: 1}
+	if c.failed {
+		want.Spent = 1
+	}
+	if budget := h.b.CanaryBudgets()[0]; budget != want {
+		t.Errorf("%s, late answers fail %v: %+v, want %+v", name, late, budget, want)
+	}
+	if !h.b.shutdown {
+		if _, a := h.sendForTenant(idempotentClass); a.ToCanary == c.failed {
+			t.Errorf("%s: the next attempt: %+v", name, a)
 		}
 	}
 }
--- a/balance/routes_property_test.go
+++ b/balance/routes_property_test.go
@@ -119,116 +119,158 @@
 	return (len(subset.IDs) == 0 || slices.Contains(subset.IDs, s.ID)) && (len(subset.Zones) == 0 || slices.Contains(subset.Zones, s.Zone))
 }
 
+// routeSimulation plays random events of routes, and checks each attempt and all budgets.
+type routeSimulation struct {
+	rt         *rapid.T
+	h          *harness
+	routes     Routes
+	leaseUntil float64
+	inFlight   []routedAttempt
+	attempts   map[RequestID]int
+}
+
+// routedAttempt is a pending attempt; budget is 0 if it holds no unit.
+type routedAttempt struct {
+	id      RequestID
+	attempt int
+	server  ServerID
+	budget  uint64
+}
+
 // For any order of events: an attempt to a canary has a lease, a class and server that the newest route names, and a
 // unit of the budget. Reserved and spent units are those of the attempts.
 func TestRoutes_property(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		cfg := tenantConfig()
 		cfg.Seed, cfg.MaxAttempts = rapid.Uint64().Draw(rt, "seed"), 3
-		h := newHarness(t, cfg, identicalServers(12)...)
-		type attemptInFlight struct {
-			id      RequestID
-			attempt int
-			server  ServerID
-			budget  uint64
-		}
-		var inFlight []attemptInFlight
-		var routes Routes
-		leaseUntil := 0.0
-		attempts := map[RequestID]int{}
-		checkSends := func(before map[uint64]CanaryBudget, acts []Action) {
-			for _, a := range acts {
-				if a.Kind != Send {
-					continue
-				}
-				o := attemptInFlight{id: a.Request, attempt: attempts[a.Request], server: a.Server}
-				attempts[a.Request]++
-				if s := h.b.byID[a.Server]; s == nil || s.State != Ready {
-					rt.Fatalf("sent to server %d", a.Server)
-				}
-				leaseHeld := h.now < leaseUntil && len(routes.List) > 0
-				if (a.RoutesRev != 0) != leaseHeld || leaseHeld && (a.RoutesRev != routes.Rev || a.CanaryID != routes.List[0].ID) {
-					rt.Fatalf("%+v under %+v, lease held %v", a, routes, leaseHeld)
-				}
-				if a.ToCanary {
-					route := routes.List[0]
-					r := h.b.requests[a.Request]
-					if !leaseHeld || route.ID == 0 || route.CanaryFraction == 0 || !subsetContains(route.Canary, h.b.byID[a.Server]) ||
-						len(route.Classes) > 0 && !slices.Contains(route.Classes, r.Class) {
-						rt.Fatalf("%+v under %+v", a, routes)
-					}
-					if route.Budgeted {
-						if p := before[route.ID]; p.Free() <= 0 {
-							rt.Fatalf("no unit is free: %+v", p)
-						}
-						o.budget = route.ID
-					}
-				}
-				inFlight = append(inFlight, o)
-			}
-		}
-		budgets := func() map[uint64]CanaryBudget {
-			all := map[uint64]CanaryBudget{}
-			for _, p := range h.b.CanaryBudgets() {
-				all[p.ID] = p
-			}
-			return all
+		sim := &routeSimulation{
+			rt: rt, h: newHarness(t, cfg, identicalServers(12)...), attempts: map[RequestID]int{},
 		}
 		for range rapid.IntRange(20, 120).Draw(rt, "events") {
-			h.now += rapid.Float64Range(0, 100).Draw(rt, "pause")
-			before := budgets()
-			switch k := rapid.IntRange(0, 9).Draw(rt, "event"); {
-			case k < 4:
-				class := rapid.IntRange(0, zoneKeyClass).Draw(rt, "class")
-				h.lastID++
-				checkSends(before, h.handle(Request{ID: h.lastID, Class: class, Remaining: 1e6}))
-			case k < 8 && len(inFlight) > 0:
-				i := rapid.IntRange(0, len(inFlight)-1).Draw(rt, "which")
-				o := inFlight[i]
-				inFlight = slices.Delete(inFlight, i, i+1)
-				ev := Outcome{
-					Request: o.id, Attempt: o.attempt, Server: o.server, Elapsed: 40,
-					Result:       Result(rapid.IntRange(0, int(WriteFailed)).Draw(rt, "result")),
-					RouteRevoked: rapid.IntRange(0, 3).Draw(rt, "revoked") == 0,
-				}
-				ev.Finished = ev.Result == OK && !ev.RouteRevoked
-				p := before[o.budget]
-				p.Settle(!ev.RouteRevoked && ev.Result != OK && ev.Result != Cancelled && ev.Result != NotSent)
-				before[o.budget] = p
-				acts := h.handle(ev)
-				checkSends(before, acts)
-				if after, ok := budgets()[o.budget]; o.budget > 0 && (!ok || after.Spent != p.Spent) {
-					rt.Fatalf("%+v: %+v, want %+v", ev, after, p)
-				}
-			case k == 8:
-				servers := identicalServers(12)
-				for i := range servers {
-					servers[i].State = ServerState(rapid.IntRange(0, 5).Draw(rt, "state") / 4)
-				}
-				h.handle(ServerList{Kind: ListFull, Servers: servers})
-			default:
-				switch ev := drawRouteEvent(rt).(type) {
-				case Routes:
-					if routes = ev; rapid.IntRange(0, 4).Draw(rt, "none") == 0 {
-						routes.List = nil
-					}
-					h.handle(routes)
-				case CanaryLease:
-					leaseUntil = ev.Until
-					h.handle(ev)
-				default:
-					h.handle(ev)
-				}
-			}
-			units := map[uint64]int64{}
-			for _, o := range inFlight {
-				units[o.budget]++
-			}
-			for id, p := range budgets() {
-				if p.Free() < 0 || p.Reserved != units[id] || p.Spent+p.Returned+p.Reserved > p.Granted {
-					rt.Fatalf("%+v with %d in flight", p, units[id])
-				}
-			}
+			sim.h.now += rapid.Float64Range(0, 100).Draw(rt, "pause")
+			sim.randomEvent()
+			sim.checkBudgets()
 		}
 	})
 }
+
+// randomEvent brings a request, an outcome, a list, or an event of routes.
+func (sim *routeSimulation) randomEvent() {
+	before := sim.budgets()
+	switch k := rapid.IntRange(0, 9).Draw(sim.rt, "event"); {
+	case k < 4:
+		class := rapid.IntRange(0, zoneKeyClass).Draw(sim.rt, "class")
+		sim.h.lastID++
+		sim.checkSends(before, sim.h.handle(Request{ID: sim.h.lastID, Class: class, Remaining: 1e6}))
+	case k < 8 && len(sim.inFlight) > 0:
+		sim.endAttempt(before)
+	case k == 8:
+		servers := identicalServers(12)
+		for i := range servers {
+			servers[i].State = ServerState(rapid.IntRange(0, 5).Draw(sim.rt, "state") / 4)
+		}
+		sim.h.handle(ServerList{Kind: ListFull, Servers: servers})
+	default:
+		sim.sendRouteEvent()
+	}
+}
+
+// endAttempt ends a pending attempt, and checks what that costs its budget.
+func (sim *routeSimulation) endAttempt(before map[uint64]CanaryBudget) {
+	i := rapid.IntRange(0, len(sim.inFlight)-1).Draw(sim.rt, "which")
+	a := sim.inFlight[i]
+	sim.inFlight = slices.Delete(sim.inFlight, i, i+1)
+	ev := Outcome{
+		Request: a.id, Attempt: a.attempt, Server: a.server, Elapsed: 40,
+		Result:       Result(rapid.IntRange(0, int(WriteFailed)).Draw(sim.rt, "result")),
+		RouteRevoked: rapid.IntRange(0, 3).Draw(sim.rt, "revoked") == 0,
+	}
+	ev.Finished = ev.Result == OK && !ev.RouteRevoked
+	budget := before[a.budget]
+	budget.Settle(!ev.RouteRevoked && ev.Result != OK && ev.Result != Cancelled && ev.Result != NotSent)
+	before[a.budget] = budget
+	sim.checkSends(before, sim.h.handle(ev))
+	if after, ok := sim.budgets()[a.budget]; a.budget > 0 && (!ok || after.Spent != budget.Spent) {
+		sim.rt.Fatalf("%+v: %+v, want %+v", ev, after, budget)
+	}
+}
+
+// sendRouteEvent brings routes, possibly none, a lease or a grant.
+func (sim *routeSimulation) sendRouteEvent() {
+	switch ev := drawRouteEvent(sim.rt).(type) {
+	case Routes:
+		if sim.routes = ev; rapid.IntRange(0, 4).Draw(sim.rt, "none") == 0 {
+			sim.routes.List = nil
+		}
+		sim.h.handle(sim.routes)
+	case CanaryLease:
+		sim.leaseUntil = ev.Until
+		sim.h.handle(ev)
+	default:
+		sim.h.handle(ev)
+	}
+}
+
+// checkSends checks the attempts among the actions against the routes, and notes them.
+func (sim *routeSimulation) checkSends(before map[uint64]CanaryBudget, acts []Action) {
+	for _, a := range acts {
+		if a.Kind != Send {
+			continue
+		}
+		sent := routedAttempt{id: a.Request, attempt: sim.attempts[a.Request], server: a.Server}
+		sim.attempts[a.Request]++
+		if s := sim.h.b.byID[a.Server]; s == nil || s.State != Ready {
+			sim.rt.Fatalf("sent to server %d", a.Server)
+		}
+		leaseHeld := sim.h.now < sim.leaseUntil && len(sim.routes.List) > 0
+		if (a.RoutesRev != 0) != leaseHeld ||
+			leaseHeld && (a.RoutesRev != sim.routes.Rev || a.CanaryID != sim.routes.List[0].ID) {
+			sim.rt.Fatalf("%+v under %+v, lease held %v", a, sim.routes, leaseHeld)
+		}
+		if a.ToCanary {
+			sent.budget = sim.checkCanary(before, a, leaseHeld)
+		}
+		sim.inFlight = append(sim.inFlight, sent)
+	}
+}
+
+// checkCanary checks an attempt to the canary, and returns the budget of which it holds a unit, if any.
+func (sim *routeSimulation) checkCanary(before map[uint64]CanaryBudget, a Action, leaseHeld bool) (budget uint64) {
+	if !leaseHeld {
+		sim.rt.Fatalf("%+v under %+v", a, sim.routes)
+	}
+	route, r := sim.routes.List[0], sim.h.b.requests[a.Request]
+	if route.ID == 0 || route.CanaryFraction == 0 || !subsetContains(route.Canary, sim.h.b.byID[a.Server]) ||
+		len(route.Classes) > 0 && !slices.Contains(route.Classes, r.Class) {
+		sim.rt.Fatalf("%+v under %+v", a, sim.routes)
+	}
+	if !route.Budgeted {
+		return 0
+	}
+	if b := before[route.ID]; b.Free() <= 0 {
+		sim.rt.Fatalf("no unit is free: %+v", b)
+	}
+	return route.ID
+}
+
+// budgets returns the budgets of all canaries by ID.
+func (sim *routeSimulation) budgets() map[uint64]CanaryBudget {
+	all := map[uint64]CanaryBudget{}
+	for _, budget := range sim.h.b.CanaryBudgets() {
+		all[budget.ID] = budget
+	}
+	return all
+}
+
+// checkBudgets checks that reserved units are those of the pending attempts, and that no budget is overdrawn.
+func (sim *routeSimulation) checkBudgets() {
+	units := map[uint64]int64{}
+	for _, a := range sim.inFlight {
+		units[a.budget]++
+	}
+	for id, budget := range sim.budgets() {
+		if budget.Free() < 0 || budget.Reserved != units[id] || budget.Spent+budget.Returned+budget.Reserved > budget.Granted {
+			sim.rt.Fatalf("%+v with %d in flight", budget, units[id])
+		}
+	}
+}
