--- a/balance/routes_property_test.go
+++ b/balance/routes_property_test.go
@@ -101,9 +101,7 @@
 						})
 					}
 				}
-				if !slices.EqualFunc(acts[0], acts[1], func(a, b Action) bool {
-					return a.Kind == b.Kind && a.Server == b.Server && a.At == b.At && a.RoutesRev == b.RoutesRev && a.ToCanary == b.ToCanary
-				}) {
+				if !slices.EqualFunc(acts[0], acts[1], equalPlacement) {
 					rt.Fatalf("tenant 1 got %+v and %+v", acts[0], acts[1])
 				}
 				if !hasAction(acts[0], Send) {
@@ -114,6 +112,11 @@
 	})
 }
 
+// equalPlacement reports whether two actions do the same with a request.
+func equalPlacement(a, b Action) bool {
+	return a.Kind == b.Kind && a.Server == b.Server && a.At == b.At && a.RoutesRev == b.RoutesRev && a.ToCanary == b.ToCanary
+}
+
 // subsetContains reports whether a subset, as drawRouteEvent draws it, contains a server.
 func subsetContains(subset Subset, s *server) bool {
 	return (len(subset.IDs) == 0 || slices.Contains(subset.IDs, s.ID)) && (len(subset.Zones) == 0 || slices.Contains(subset.Zones, s.Zone))
--- a/balance/routes_test.go
+++ b/balance/routes_test.go
@@ -185,18 +185,16 @@
 	}
 	others := []ServerID{3, 4, 5, 6, 7, 8}
 	otherServers := Subset{IDs: others}
-	for name, c := range map[string]struct {
-		fraction float64
-		fault    func(*harness)
-		canary   bool
-		to       []ServerID
-	}{
+	for name, c := range map[string]placementCase{
 		"healthy":      {1, func(*harness) {}, true, []ServerID{1, 2}},
 		"base":         {0, func(*harness) {}, false, []ServerID{3, 4}},
 		"one draining": {1, func(h *harness) { h.handle(list(Draining, 1)) }, true, []ServerID{2}},
 		"draining":     {1, func(h *harness) { h.handle(list(Draining, 1, 2)) }, false, []ServerID{3, 4}},
 		"gone":         {1, func(h *harness) { h.handle(list(Gone, 1, 2)) }, false, []ServerID{3, 4}},
-		"not listed":   {1, func(h *harness) { h.handle(ServerList{Kind: ListFull, Servers: all[4:]}) }, false, others[2:]},
+		"not listed": {1, func(h *harness) {
+			h.handle(ServerList{Kind: ListFull, Servers: all[4:]})
+			h.handle(list(Gone, 1, 2, 3, 4))
+		}, false, others[2:]},
 		"ejected":      {1, func(h *harness) { eject(h, 1, 2) }, false, []ServerID{3, 4}},
 		"loaded":       {1, func(h *harness) { h.b.byID[1].inFlight, h.b.byID[2].inFlight = 9, 9 }, false, []ServerID{3, 4}},
 		"base gone":    {1, func(h *harness) { h.handle(list(Gone, 1, 2, 3, 4)) }, false, others[2:]},
@@ -233,40 +231,52 @@
 		}, false, others},
 	} {
 		t.Run(name, func(t *testing.T) {
-			route := canaryRoute(c.fraction, 2, 1)
-			route.Base = Subset{IDs: []ServerID{1, 3, 4}}
-			h := newRoutedHarness(t, route)
-			if c.fault(h); name == "not listed" {
-				h.handle(list(Gone, 1, 2, 3, 4))
-			}
-			seen := map[ServerID]bool{}
-			for range 16 {
-				before := h.b.servers[0].inFlight
-				id, a := h.sendForTenant(idempotentClass)
-				if seen[a.Server] = true; a.ToCanary != c.canary {
-					t.Errorf("to the canary: %v (%+v)", a.ToCanary, a)
-				}
-				leaseHeld := name != "lease expired"
-				if leaseHeld != (a.RoutesRev > 0) || (leaseHeld && name != "no canary") != (a.CanaryID > 0) {
-					t.Errorf("has canary %d and revision %d", a.CanaryID, a.RoutesRev)
-				}
-				h.endAttempt(id, 0, NotSent, 0)
-				h.handle(ClientGone{Request: id})
-				h.cancelAttempts(id)
-				h.b.servers[0].inFlight = before
-			}
-			for s := range seen {
-				if !slices.Contains(c.to, s) {
-					t.Errorf("sent to %d, want one of %v", s, c.to)
-				}
-			}
-			if len(seen) < min(2, len(c.to)) {
-				t.Errorf("all went to %v of %v", seen, c.to)
-			}
+			checkPlacement(t, name, c)
 		})
 	}
 }
 
+// placementCase is a state of the servers, and where requests go then: to the canary or not, and to which servers.
+type placementCase struct {
+	fraction float64
+	fault    func(*harness)
+	canary   bool
+	to       []ServerID
+}
+
+// checkPlacement sends 16 requests along a route with canary 1 and 2 and base 1, 3 and 4.
+func checkPlacement(t *testing.T, name string, c placementCase) {
+	t.Helper()
+	route := canaryRoute(c.fraction, 2, 1)
+	route.Base = Subset{IDs: []ServerID{1, 3, 4}}
+	h := newRoutedHarness(t, route)
+	c.fault(h)
+	seen := map[ServerID]bool{}
+	for range 16 {
+		before := h.b.servers[0].inFlight
+		id, a := h.sendForTenant(idempotentClass)
+		if seen[a.Server] = true; a.ToCanary != c.canary {
+			t.Errorf("to the canary: %v (%+v)", a.ToCanary, a)
+		}
+		leaseHeld := name != "lease expired"
+		if leaseHeld != (a.RoutesRev > 0) || (leaseHeld && name != "no canary") != (a.CanaryID > 0) {
+			t.Errorf("has canary %d and revision %d", a.CanaryID, a.RoutesRev)
+		}
+		h.endAttempt(id, 0, NotSent, 0)
+		h.handle(ClientGone{Request: id})
+		h.cancelAttempts(id)
+		h.b.servers[0].inFlight = before
+	}
+	for s := range seen {
+		if !slices.Contains(c.to, s) {
+			t.Errorf("sent to %d, want one of %v", s, c.to)
+		}
+	}
+	if len(seen) < min(2, len(c.to)) {
+		t.Errorf("all went to %v of %v", seen, c.to)
+	}
+}
+
 // cancelAttempts ends all pending attempts of a request as not sent.
 func (h *harness) cancelAttempts(id RequestID) {
 	for r := h.b.requests[id]; r != nil && r.liveAttempts > 0; r = h.b.requests[id] {
