--- a/balance/routes_property_test.go
+++ b/balance/routes_property_test.go
@@ -33,85 +33,111 @@
 	}}}
 }
 
+// tenantPair is two balancers that get different events for tenant 0 and the same requests of tenant 1.
+type tenantPair struct {
+	rt        *rapid.T
+	balancers [2]*Balancer
+	now       float64
+	lastID    RequestID
+	routed    bool // tenant 1 has a route of its own
+}
+
 // Routes, budget and lease of one tenant change no pick of another. Two balancers get different events for tenant 0
 // and the same requests of tenant 1, whose actions are equal. In half of the runs tenant 0 has requests as well.
 func TestRoutes_tenantIsolation(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		cfg := tenantConfig()
 		cfg.Seed = rapid.Uint64().Draw(rt, "seed")
-		both := [2]*Balancer{mustNew(t, cfg), mustNew(t, cfg)}
-		now, next := 1000.0, RequestID(0)
-		handle := func(b *Balancer, ev Event) []Action {
-			acts, err := b.Handle(now, ev)
-			if err != nil {
-				rt.Fatalf("%+v: %v", ev, err)
-			}
-			return slices.Clone(acts)
-		}
+		pair := &tenantPair{rt: rt, balancers: [2]*Balancer{mustNew(t, cfg), mustNew(t, cfg)}, now: 1000}
 		servers := identicalServers(12)
-		own := Route{Tenant: 1, Base: Subset{Zones: []int{1}}, Canary: Subset{Zones: []int{2}}, CanaryFraction: 0.3, ID: 77}
-		for _, b := range both {
-			b.Start(now)
-			handle(b, ServerList{Kind: ListFull, Servers: servers})
+		for _, b := range pair.balancers {
+			b.Start(pair.now)
+			pair.handle(b, ServerList{Kind: ListFull, Servers: servers})
 		}
 		busy := rapid.Bool().Draw(rt, "tenant 0 has requests")
-		routedToo := rapid.Bool().Draw(rt, "tenant 1 has a route")
-		other := func(b *Balancer, ev Event) { // tenant 1's own route and lease stay
-			routes, isRoutes := ev.(Routes)
-			if lease, isLease := ev.(CanaryLease); isLease && routedToo {
-				lease.Until = math.Inf(1)
-				ev = lease
-			}
-			if isRoutes && routedToo {
-				routes.Rev, routes.List = 5, append(routes.List, own)
-				ev = routes
-			}
-			handle(b, ev)
-		}
-		for _, b := range both {
-			other(b, Routes{Rev: 5, List: []Route{canaryRoute(0, 1)}})
-			other(b, CanaryLease{Until: 1e9})
+		pair.routed = rapid.Bool().Draw(rt, "tenant 1 has a route")
+		for _, b := range pair.balancers {
+			pair.sendRouteEvent(b, Routes{Rev: 5, List: []Route{canaryRoute(0, 1)}})
+			pair.sendRouteEvent(b, CanaryLease{Until: 1e9})
 		}
 		for range rapid.IntRange(10, 60).Draw(rt, "events") {
-			now += rapid.Float64Range(0, 50).Draw(rt, "pause")
-			for _, b := range both {
+			pair.now += rapid.Float64Range(0, 50).Draw(rt, "pause")
+			for _, b := range pair.balancers {
 				if rapid.Bool().Draw(rt, "event") {
-					other(b, drawRouteEvent(rt))
+					pair.sendRouteEvent(b, drawRouteEvent(rt))
 				}
 			}
 			class := rapid.IntRange(0, zoneKeyClass).Draw(rt, "class")
-			if next++; busy {
-				for _, b := range both {
-					handle(b, Request{ID: next, Class: class, Remaining: 500})
-					if b.requests[next].liveAttempts == 1 {
-						handle(b, Outcome{Request: next, Result: NotSent, Finished: true})
-					}
-				}
-				next++
-			}
-			res := rapid.SampledFrom([]Result{OK, OK, OK, Failed, Rejected, Cancelled}).Draw(rt, "result")
-			for attempt := -1; attempt < 3; attempt++ {
-				var acts [2][]Action
-				for i, b := range both {
-					if attempt < 0 {
-						acts[i] = handle(b, Request{ID: next, Class: class, Tenant: 1, Remaining: 500})
-					} else {
-						acts[i] = handle(b, Outcome{
-							Request: next, Attempt: attempt, Result: res, Elapsed: 40, Finished: attempt == 2 || res == OK,
-						})
-					}
-				}
-				if !slices.EqualFunc(acts[0], acts[1], equalPlacement) {
-					rt.Fatalf("tenant 1 got %+v and %+v", acts[0], acts[1])
-				}
-				if !hasAction(acts[0], Send) {
-					break
-				}
+			if busy {
+				pair.requestOfTenant0(class)
 			}
+			pair.compareTenant1(class)
 		}
 	})
 }
 
+// handle brings an event to one balancer.
+func (p *tenantPair) handle(b *Balancer, ev Event) []Action {
+	acts, err := b.Handle(p.now, ev)
+	if err != nil {
+		p.rt.Fatalf("%+v: %v", ev, err)
+	}
+	return slices.Clone(acts)
+}
+
+// sendRouteEvent brings an event for tenant 0. Tenant 1 keeps its own route and a lease, if it has a route.
+func (p *tenantPair) sendRouteEvent(b *Balancer, ev Event) {
+	if p.routed {
+		switch e := ev.(type) {
+		case CanaryLease:
+			e.Until = math.Inf(1)
+			ev = e
+		case Routes:
+			own := Route{
+				Tenant: 1, Base: Subset{Zones: []int{1}}, Canary: Subset{Zones: []int{2}}, CanaryFraction: 0.3, ID: 77,
+			}
+			e.Rev, e.List = 5, append(e.List, own)
+			ev = e
+		}
+	}
+	p.handle(b, ev)
+}
+
+// requestOfTenant0 brings a request of tenant 0 to both, which is not sent.
+func (p *tenantPair) requestOfTenant0(class int) {
+	p.lastID++
+	for _, b := range p.balancers {
+		p.handle(b, Request{ID: p.lastID, Class: class, Remaining: 500})
+		if b.requests[p.lastID].liveAttempts == 1 {
+			p.handle(b, Outcome{Request: p.lastID, Result: NotSent, Finished: true})
+		}
+	}
+}
+
+// compareTenant1 brings a request of tenant 1 to both, ends its attempts, and compares the actions.
+func (p *tenantPair) compareTenant1(class int) {
+	p.lastID++
+	result := rapid.SampledFrom([]Result{OK, OK, OK, Failed, Rejected, Cancelled}).Draw(p.rt, "result")
+	for attempt := -1; attempt < 3; attempt++ {
+		var acts [2][]Action
+		for i, b := range p.balancers {
+			if attempt < 0 {
+				acts[i] = p.handle(b, Request{ID: p.lastID, Class: class, Tenant: 1, Remaining: 500})
+			} else {
+				acts[i] = p.handle(b, Outcome{
+					Request: p.lastID, Attempt: attempt, Result: result, Elapsed: 40, Finished: attempt == 2 || result == OK,
+				})
+			}
+		}
+		if !slices.EqualFunc(acts[0], acts[1], equalPlacement) {
+			p.rt.Fatalf("tenant 1 got %+v and %+v", acts[0], acts[1])
+		}
+		if !hasAction(acts[0], Send) {
+			break
+		}
+	}
+}
+
 // equalPlacement reports whether two actions do the same with a request.
 func equalPlacement(a, b Action) bool {
 	return a.Kind == b.Kind && a.Server == b.Server && a.At == b.At && a.RoutesRev == b.RoutesRev && a.ToCanary == b.ToCanary
