--- a/balance/admission.go
+++ b/balance/admission.go
@@ -70,15 +70,16 @@
 	l.estimatedLatency = l.meanInFlightLoad/rate + l.minMeanLatency*assumed
 	target := l.minMeanLatency + spareObjective*(1-l.minMeanLatency)
 	excess := math.Min(l.estimatedLatency, maxLatency) - target
-	l.lastingShed = bound(l.lastingShed+l.step(l.lastRequestAt)*excess, 0, maxShed+shedTolerance)
+	l.lastingShed = bound(l.lastingShed+l.controllerStep(l.lastRequestAt)*excess, 0, maxShed+shedTolerance)
 	l.lastRequestAt = l.now
 	lasting := l.lastingShed - shedTolerance
 	shed := bound(lasting+shedPerExcess*excess, 0, math.Min(maxShed, 2*lasting))
 	return shed == 0 || l.random() >= l.rejectChance(r, shed)
 }
 
-// step is the weight of a new excess in an integral controller whose last step was at the time last.
-func (s *shared) step(last milliseconds) float64 {
+// controllerStep is the weight of a new excess in an integral controller whose last step was at the time
+// last.
+func (s *shared) controllerStep(last milliseconds) float64 {
 	return math.Max(shedRate, bound((s.now-last)/shedTime, 0, shedStep))
 }
 
--- a/balance/zones.go
+++ b/balance/zones.go
@@ -34,6 +34,8 @@
 	evidenceToLeave  = 2    // evidence against a zone at which it is left
 	fullEvidence     = 1
 	partialEvidence  = 0.5
+
+	answersToTrust   = 2           // good answers of a zone on trial before it gets non-idempotent requests
 	stableObjectives = 20          // longest objectives in use after which the pauses of a zone start again
 	tiers            = 3           // own zone, own region, elsewhere
 	fullLevel        = 4*tiers + 1 // level of a server that cannot take one more request
@@ -70,6 +72,12 @@
 	trials     float64      // such requests in flight
 }
 
+// paused reports whether the zone gets no requests at all.
+func (z *zone) paused(now milliseconds) bool { return z.left && now < z.leftUntil }
+
+// onTrial reports whether the zone gets a few requests after a pause.
+func (z *zone) onTrial(now milliseconds) bool { return z.left && now >= z.leftUntil }
+
 // tierLatency is the mean latency of a tier's answers, as a multiple of the objective. Failures count as
 // maxLatency.
 type tierLatency struct {
@@ -118,7 +126,7 @@
 // startTier moves the spill of all tiers and returns the tier that a first attempt begins at.
 func (l *locality) startTier() int {
 	usable := l.usableTiers()
-	step := l.step(l.spillAt)
+	step := l.controllerStep(l.spillAt)
 	price := l.cfg.Prices.CrossZone
 	for t := 0; t+1 < tiers; t++ {
 		further := t + 1
@@ -140,7 +148,7 @@
 func (l *locality) usableTiers() [tiers]bool {
 	var usable [tiers]bool
 	for _, z := range l.zones {
-		if z.ready > 0 && (!z.left || l.now >= z.leftUntil) {
+		if z.ready > 0 && !z.paused(l.now) {
 			usable[z.tier] = true
 		}
 	}
@@ -198,7 +206,7 @@
 // addEvidence counts the failure of a server as evidence against its zone.
 func (l *locality) addEvidence(s *server, weight float64) {
 	z := s.zone
-	if z.left && l.now >= z.leftUntil {
+	if z.onTrial(l.now) {
 		l.leave(z)
 	}
 	if s.evidenceAt >= z.clearedAt {
@@ -251,8 +259,13 @@
 // admits reports whether a request may go to a zone. One that is being tried gets few requests, and at first
 // only those that may be repeated.
 func (l *locality) admits(r *request, z *zone) bool {
-	return !z.left || l.now >= z.leftUntil && z.trials < math.Max(1, z.admitLimit) && !r.BodyStreaming &&
-		(r.class.Idempotency != NonIdempotent || z.admitLimit >= evidenceToLeave)
+	switch {
+	case !z.left:
+		return true
+	case z.paused(l.now) || z.trials >= math.Max(1, z.admitLimit) || r.BodyStreaming:
+		return false
+	}
+	return r.class.Idempotency != NonIdempotent || z.admitLimit >= answersToTrust
 }
 
 // level orders servers for a first attempt that begins at a tier: the lowest level goes first. Tiers are
