--- a/balance/health_check_test.go
+++ b/balance/health_check_test.go
@@ -85,7 +85,7 @@
 func TestHealthCheck_waitLimit(t *testing.T) {
 	h := newHarness(t, healthCheckConfig(), identicalServers(3)...)
 	id, _ := h.sendRequest(idempotentClass)
-	h.now = h.b.reqs[id].wakeAt
+	h.now = h.b.requests[id].wakeAt
 	if acts := h.handle(Timer{Token: uint64(id)}); !hasAction(acts, Send) || h.now > 1000+0.1*300 {
 		t.Fatalf("at %v: %+v", h.now, acts)
 	}
--- a/balance/list_watch_test.go
+++ b/balance/list_watch_test.go
@@ -13,7 +13,7 @@
 	var order []int
 	for i := range 6 {
 		acts := h.handle(ServerList{Kind: ListFailed, Source: h.b.list.source})
-		if at := findAction(acts, SetTimer).At; i < 3 && at > pollBackoff {
+		if at := findAction(acts, SetTimer).At; i < 3 && at > minPollBackoff {
 			t.Errorf("call %d waits %v ms", i, at)
 		}
 		h.now += findAction(acts, SetTimer).At
@@ -28,7 +28,7 @@
 }
 
 // When a check finds a newer revision at another service than the watch delivers within its time, the watch switches
-// to that service. It returns to the nearer one after backChecks successful checks.
+// to that service. It returns to the nearer one after goodChecksToReturn successful checks.
 func TestEndpointList_stuckWatch(t *testing.T) {
 	h := newListHarness(t, nil, identicalServers(3)...)
 	h.handle(ServerList{Kind: ListFull, Rev: 5, Servers: identicalServers(3)})
@@ -53,10 +53,10 @@
 	if w := findAction(h.fireTimer(stuckTimer), Watch); w == nil || w.Source != 1 {
 		t.Fatalf("a stuck watch is not left: %+v", w)
 	}
-	for i := range backChecks {
+	for i := range goodChecksToReturn {
 		expectCheck(0)
 		w := findAction(h.handle(ServerList{Kind: ListFull, Rev: 9, FromFetch: true, Servers: identicalServers(5)}), Watch)
-		if last := i == backChecks-1; (w != nil) != last || last && w.Source != 0 {
+		if last := i == goodChecksToReturn-1; (w != nil) != last || last && w.Source != 0 {
 			t.Fatalf("check %d of the nearer service: %+v", i, w)
 		}
 	}
@@ -98,7 +98,7 @@
 	ejectionTime := func() float64 {
 		s.ejections, s.processDown = 10, true
 		h.b.now = h.now
-		h.b.eject(s)
+		h.b.outliers.eject(s)
 		return s.ejectedUntil - h.now
 	}
 	beforeStale := ejectionTime()
@@ -129,12 +129,12 @@
 	for range 4 {
 		last = pause()
 	}
-	if last <= pollBackoff {
+	if last <= minPollBackoff {
 		t.Fatalf("the fourth pause is %v ms", last)
 	}
 	h.handle(ServerList{Kind: ListAlive})
-	if got := pause(); got > pollBackoff {
-		t.Errorf("after a sign of life the next pause is %v ms, want at most %v", got, pollBackoff)
+	if got := pause(); got > minPollBackoff {
+		t.Errorf("after a sign of life the next pause is %v ms, want at most %v", got, minPollBackoff)
 	}
 }
 
@@ -204,7 +204,7 @@
 				t.Fatal("the call is not repeated")
 			}
 		}
-		if pauses[5] < c.maxPause/2 || pauses[0] > pollBackoff || len(h.b.servers) != 3 {
+		if pauses[5] < c.maxPause/2 || pauses[0] > minPollBackoff || len(h.b.servers) != 3 {
 			t.Fatalf("busy %v: pauses %v, %d servers", c.busy, pauses, len(h.b.servers))
 		}
 	}
--- a/balance/local_failure_test.go
+++ b/balance/local_failure_test.go
@@ -22,7 +22,7 @@
 // fireNextTimer moves the clock to a request's next timer, fires it, and returns the actions and the time waited.
 func (h *harness) fireNextTimer(id RequestID) (acts []Action, waited float64) {
 	h.t.Helper()
-	due := h.b.reqs[id].wakeAt
+	due := h.b.requests[id].wakeAt
 	if math.IsInf(due, 1) {
 		h.t.Fatalf("request %d has no timer", id)
 	}
--- a/balance/locality_test.go
+++ b/balance/locality_test.go
@@ -50,7 +50,7 @@
 
 // lastZone returns the zone of a request's last attempt.
 func (h *harness) lastZone(id RequestID) int {
-	r := h.b.reqs[id]
+	r := h.b.requests[id]
 	return r.attempts[len(r.attempts)-1].server.Zone
 }
 
@@ -62,8 +62,8 @@
 	for range n {
 		h.now += every
 		id, _ := h.sendRequest(idempotentClass)
-		for attempt := 0; h.b.reqs[id] != nil && attempt < len(h.b.reqs[id].attempts); attempt++ {
-			s := h.b.reqs[id].attempts[attempt].server
+		for attempt := 0; h.b.requests[id] != nil && attempt < len(h.b.requests[id].attempts); attempt++ {
+			s := h.b.requests[id].attempts[attempt].server
 			if attempt == 0 {
 				first[s.Zone]++
 			}
@@ -134,10 +134,10 @@
 		serversNeeded int
 	}{{ConnectFailed, 120, 2}, {ConnectFailed, 1, 4}, {Reset, 30, 4}, {Failed, 5, 4}} {
 		h := newZoneHarness(t, nil, 8, 8)
-		h.b.zones[0].answer, h.b.zones[1].answer = h.now, h.now+1
+		h.b.locality.zones[0].answeredAt, h.b.locality.zones[1].answeredAt = h.now, h.now+1
 		n := 0
 		for _, s := range h.b.servers {
-			if s.Zone != 0 || h.b.zones[0].left {
+			if s.Zone != 0 || h.b.locality.zones[0].left {
 				continue
 			}
 			h.now++
@@ -146,13 +146,13 @@
 			if c.result == ConnectFailed && c.elapsed >= 60 {
 				weight = 1
 			}
-			h.b.recordFailure(s, c.result == ConnectFailed, weight)
-			h.b.recordFailure(s, c.result == ConnectFailed, weight) // a server counts once
-			h.b.answered(h.b.zones[1], false, 0.1)
+			h.b.outliers.recordFailure(s, c.result == ConnectFailed, weight)
+			h.b.outliers.recordFailure(s, c.result == ConnectFailed, weight) // a server counts once
+			h.b.locality.recordAnswer(h.b.locality.zones[1], false, 0.1)
 			n++
 		}
-		if n != c.serversNeeded || !h.b.zones[0].left {
-			t.Errorf("%+v: left %v after %d servers", c, h.b.zones[0].left, n)
+		if n != c.serversNeeded || !h.b.locality.zones[0].left {
+			t.Errorf("%+v: left %v after %d servers", c, h.b.locality.zones[0].left, n)
 		}
 	}
 }
@@ -196,7 +196,7 @@
 func TestLocality_zoneReturn(t *testing.T) {
 	h := newZoneHarness(t, nil, 8, 8)
 	h.playRequests(20, 20, failZone(0))
-	z := h.b.zones[0]
+	z := h.b.locality.zones[0]
 	if z.id != 0 || !z.left {
 		t.Fatalf("%+v", z)
 	}
@@ -231,8 +231,8 @@
 		h.endAttempt(inZone[0], 0, OK, 50)
 		inZone = inZone[1:]
 		sendRound()
-		if z.left && int(z.out) != want {
-			t.Fatalf("after %d answers %g requests are in flight in the zone", want, z.out)
+		if z.left && int(z.trials) != want {
+			t.Fatalf("after %d answers %g requests are in flight in the zone", want, z.trials)
 		}
 	}
 	if !z.left {
@@ -255,7 +255,7 @@
 		var last float64
 		for range 2000 {
 			h.playRequests(1, 30, failZone(0))
-			if z := h.b.zones[0]; z.left && z.leftUntil != last {
+			if z := h.b.locality.zones[0]; z.left && z.leftUntil != last {
 				last = z.leftUntil
 				pauses = append(pauses, z.leftUntil-h.now)
 			}
@@ -263,7 +263,7 @@
 		if len(pauses) < 5 {
 			t.Fatalf("%d pauses", len(pauses))
 		}
-		for i := 1; i <= maxEjections; i++ {
+		for i := 1; i <= maxPauseDoublings; i++ {
 			if pauses[i] < 1.1*pauses[i-1] {
 				t.Errorf("seed %d: pauses %v", seed, pauses[:5])
 			}
@@ -280,20 +280,20 @@
 func TestLocality_falseAlarmRate(t *testing.T) {
 	const servers, failing, trials = 64, 8, 100000
 	h := newZoneHarness(t, nil, servers, servers)
-	z, other := h.b.zone(0), h.b.zone(1)
+	z, other := h.b.locality.zone(0), h.b.locality.zone(1)
 	r := rand.New(rand.NewPCG(1, 2))
 	left := 0
 	for range trials {
 		h.b.now++
-		h.b.answered(other, false, 0.1)
+		h.b.locality.recordAnswer(other, false, 0.1)
 		if s := h.b.byID[ServerID(1+r.IntN(servers))]; s.ID <= failing {
-			h.b.addEvidence(s, 1)
+			h.b.locality.addEvidence(s, 1)
 		} else {
-			h.b.answered(z, false, 0.1)
+			h.b.locality.recordAnswer(z, false, 0.1)
 		}
 		if z.left {
 			left++
-			z.left, z.evidence, z.cleared = false, 0, h.b.now
+			z.left, z.evidence, z.clearedAt = false, 0, h.b.now
 		}
 	}
 	const q = float64(failing) / servers
@@ -371,23 +371,23 @@
 func TestLocality_zoneReturnOfStreams(t *testing.T) {
 	h := newZoneHarness(t, nil, 8, 8)
 	h.playRequests(5, 20, failZone(0))
-	z := h.b.zones[0]
+	z := h.b.locality.zones[0]
 	h.now = z.leftUntil + 1
 	for _, s := range h.b.servers {
 		s.ejectedUntil = 0
 	}
 	for n := 1; n < 8; n++ {
-		for i := 0; z.out == 0 && i < 20; i++ {
+		for i := 0; z.trials == 0 && i < 20; i++ {
 			id, acts := h.sendRequest(idempotentClass)
 			if hasAction(acts, Send) && h.lastZone(id) != 0 {
 				h.endAttempt(id, 0, OK, 50)
 			}
 		}
-		if z.out != 1 {
-			t.Fatalf("%g trials in flight after %d started answers", z.out, n-1)
+		if z.trials != 1 {
+			t.Fatalf("%g trials in flight after %d started answers", z.trials, n-1)
 		}
-		h.handle(AnswerStarted{Request: h.lastID, Server: h.b.reqs[h.lastID].attempts[0].server.ID, Elapsed: 50})
-		if z.out != 0 || z.admitLimit != float64(n) {
+		h.handle(AnswerStarted{Request: h.lastID, Server: h.b.requests[h.lastID].attempts[0].server.ID, Elapsed: 50})
+		if z.trials != 0 || z.admitLimit != float64(n) {
 			t.Fatalf("%+v after %d started answers", z, n)
 		}
 	}
--- a/balance/picker_test.go
+++ b/balance/picker_test.go
@@ -63,7 +63,7 @@
 			s.inFlight, s.running = c.inFlight[i], float64(10*(4-i))
 		}
 		h.b.servers[1].consecutiveErrors, h.b.servers[1].lastErrorAt = 1, h.now-5000
-		r := &request{class: &h.b.cfg.Classes[idempotentClass], stats: &h.b.classes[idempotentClass]}
+		r := &request{class: &h.b.cfg.Classes[idempotentClass], stats: &h.b.demand.classes[idempotentClass]}
 		if c.want == 2 {
 			if s := h.b.pick(r, true); s.ID == 2 {
 				t.Errorf("%v: the further attempt went to the server of lowest health", c.inFlight)
@@ -94,8 +94,8 @@
 	if sends[3]+sends[4] < 3*(sends[1]+sends[2])/2 {
 		t.Fatalf("attempts by server: %v", sends)
 	}
-	if h.b.kindSizes[1] <= h.b.kindSizes[0] {
-		t.Fatalf("capacities by kind: %v", h.b.kindSizes)
+	if h.b.capacity.kindSizes[1] <= h.b.capacity.kindSizes[0] {
+		t.Fatalf("capacities by kind: %v", h.b.capacity.kindSizes)
 	}
 }
 
@@ -105,18 +105,18 @@
 	h := newHarness(t, baseConfig(), identicalServers(2)...)
 	fast, slow := h.b.servers[0], h.b.servers[1]
 	for range 20 {
-		h.b.learnSize(fast, 0.5)
-		h.b.learnSize(slow, 1.5)
+		h.b.capacity.learn(fast, 0.5)
+		h.b.capacity.learn(slow, 1.5)
 	}
 	early := fast.size - slow.size
 	for range 2000 { // much later, one of two equal servers becomes faster
-		h.b.learnSize(fast, 1)
-		h.b.learnSize(slow, 1)
+		h.b.capacity.learn(fast, 1)
+		h.b.capacity.learn(slow, 1)
 	}
 	before := fast.size - slow.size
 	for range 20 {
-		h.b.learnSize(fast, 0.5)
-		h.b.learnSize(slow, 1.5)
+		h.b.capacity.learn(fast, 0.5)
+		h.b.capacity.learn(slow, 1.5)
 	}
 	if late := fast.size - slow.size - before; early < 3*late || late <= 0 {
 		t.Fatalf("learned %.3f at first and %.3f later", early, late)
--- a/balance/retry_test.go
+++ b/balance/retry_test.go
@@ -102,7 +102,7 @@
 	h := newHarness(t, baseConfig(), identicalServers(4)...)
 	for _, class := range []int{nonIdempotentClass, cellKeyClass, zoneKeyClass} {
 		id, _ := h.sendRequest(class)
-		h.now = h.b.reqs[id].deadline
+		h.now = h.b.requests[id].deadline
 		acts := h.handle(Timer{Token: uint64(id)})
 		if hasAction(acts, Reject) || !hasAction(acts, Fail) {
 			t.Errorf("class %d at its deadline with a pending attempt: %+v", class, acts)
@@ -136,8 +136,8 @@
 			h.now += 10
 			rejected = rejected || hasAction(h.handle(Timer{Token: uint64(id)}), Reject)
 		}
-		if !rejected || len(h.b.reqs) != 0 {
-			t.Fatalf("%s: rejected %v, %d requests remembered", name, rejected, len(h.b.reqs))
+		if !rejected || len(h.b.requests) != 0 {
+			t.Fatalf("%s: rejected %v, %d requests remembered", name, rejected, len(h.b.requests))
 		}
 	}
 }
@@ -162,15 +162,15 @@
 	id, acts := h.sendRequest(idempotentClass)
 	s, _ := sentTo(acts)
 	h.handle(AnswerStarted{Request: id, Server: s, Elapsed: 20})
-	if a := h.b.reqs[id].attempts[0]; a.server.inFlight != 0 || h.b.classes[idempotentClass].mean != 20 {
-		t.Errorf("%d in flight at the server, mean latency %v", a.server.inFlight, h.b.classes[idempotentClass].mean)
+	if a := h.b.requests[id].attempts[0]; a.server.inFlight != 0 || h.b.demand.classes[idempotentClass].mean != 20 {
+		t.Errorf("%d in flight at the server, mean latency %v", a.server.inFlight, h.b.demand.classes[idempotentClass].mean)
 	}
 	h.now += 5000
 	if acts := h.handle(Timer{Token: uint64(id)}); hasAction(acts, Fail) || hasAction(acts, Reject) || hasAction(acts, Send) {
 		t.Fatalf("a started stream got %+v", acts)
 	}
 	h.handle(Outcome{Request: id, Server: s, Result: Reset, Elapsed: 5000, Finished: true})
-	if len(h.b.reqs) != 0 {
+	if len(h.b.requests) != 0 {
 		t.Fatal("an ended stream is remembered")
 	}
 	if server := h.b.byID[s]; server.consecutiveErrors != 1 || server.inFlight != 0 {
@@ -185,24 +185,24 @@
 	h.lastID++
 	id := h.lastID
 	h.handle(Request{ID: id, Class: nonIdempotentClass, Remaining: 600, BodyStreaming: true})
-	r := h.b.reqs[id]
+	r := h.b.requests[id]
 	if len(r.attempts) != 1 {
 		t.Fatal("the request is not sent at once")
 	}
 	h.now += 60000
-	if acts := h.handle(Timer{Token: uint64(id)}); len(acts) > 0 || r.attempts[0].server.consecutiveErrors > 0 || h.b.inFlightLoad > 0 {
-		t.Fatalf("while the body arrives: %+v, %d errors, load %v", acts, r.attempts[0].server.consecutiveErrors, h.b.inFlightLoad)
+	if acts := h.handle(Timer{Token: uint64(id)}); len(acts) > 0 || r.attempts[0].server.consecutiveErrors > 0 || h.b.admission.inFlightLoad > 0 {
+		t.Fatalf("while the body arrives: %+v, %d errors, load %v", acts, r.attempts[0].server.consecutiveErrors, h.b.admission.inFlightLoad)
 	}
-	if acts := h.handle(BodyComplete{Request: id, Remaining: 600}); !hasAction(acts, SetTimer) || h.b.inFlightLoad == 0 {
-		t.Fatalf("at its last byte: %+v, load %v", acts, h.b.inFlightLoad)
+	if acts := h.handle(BodyComplete{Request: id, Remaining: 600}); !hasAction(acts, SetTimer) || h.b.admission.inFlightLoad == 0 {
+		t.Fatalf("at its last byte: %+v, load %v", acts, h.b.admission.inFlightLoad)
 	}
 	h.now += 601
 	if acts := h.handle(Timer{Token: uint64(id)}); !hasAction(acts, Fail) {
 		t.Errorf("at its deadline: %+v", acts)
 	}
 	h.endAttempt(id, 0, Cancelled, 601)
-	if h.b.inFlightLoad != 0 {
-		t.Errorf("load %v is left", h.b.inFlightLoad)
+	if h.b.admission.inFlightLoad != 0 {
+		t.Errorf("load %v is left", h.b.admission.inFlightLoad)
 	}
 }
 
@@ -212,7 +212,7 @@
 		h := newHarness(t, baseConfig(), identicalServers(3)...)
 		h.lastID++
 		h.handle(Request{ID: h.lastID, Class: nonIdempotentClass, Remaining: 600, BodyStreaming: true})
-		s := h.b.reqs[h.lastID].attempts[0].server.ID
+		s := h.b.requests[h.lastID].attempts[0].server.ID
 		acts := h.handle(Outcome{Request: h.lastID, Server: s, Result: Rejected, Elapsed: 5, BodyConsumed: consumed})
 		if hasAction(acts, Send) == consumed || hasAction(acts, Reject) != consumed {
 			t.Errorf("body consumed %v: %+v", consumed, acts)
--- a/balance/rotation_test.go
+++ b/balance/rotation_test.go
@@ -23,7 +23,7 @@
 			bounded, exhaustive := mustNew(t, cfg), mustNew(t, cfg)
 			handle := func(now float64, ev Event) []Action {
 				t.Helper()
-				exhaustive.maxOtherRunning = math.Inf(1) // no server is skipped
+				exhaustive.picker.maxOtherRunning = math.Inf(1) // no server is skipped
 				want, err := exhaustive.Handle(now, ev)
 				got, again := bounded.Handle(now, ev)
 				if err != nil || again != nil || !reflect.DeepEqual(want, got) {
@@ -88,10 +88,10 @@
 		t.Fatalf("not sent: %v", acts)
 	}
 	total := 0.0
-	for _, s := range h.b.candidates {
+	for _, s := range h.b.picker.candidates {
 		total += s.weight
 	}
-	if len(h.b.candidates) >= len(list) {
+	if len(h.b.picker.candidates) >= len(list) {
 		t.Fatal("all servers are in the rotation")
 	}
 	for _, s := range h.b.servers {
@@ -111,7 +111,7 @@
 		cfg.Number, cfg.Peers, cfg.Seed = number, sidecars, uint64(seed)
 		h := newHarness(t, cfg, identicalServers(servers)...)
 		for _, s := range h.b.servers {
-			s.rank = h.b.rank(s)
+			s.rank = h.b.rankOf(s)
 		}
 		h.b.dropGone()
 		sends := map[ServerID]int{}
@@ -161,7 +161,7 @@
 		t.Fatalf("%d servers for one request a second", n)
 	}
 	for _, s := range h.b.servers[:2] {
-		h.b.recordFailure(s, true, partialEvidence)
+		h.b.outliers.recordFailure(s, true, partialEvidence)
 	}
 	if n := usedServers(50, 6); n < minRotation {
 		t.Fatalf("%d servers when two of the first are ejected", n)
