--- a/internal/sidecar/clientserver/request_parser.go
+++ b/internal/sidecar/clientserver/request_parser.go
@@ -18,20 +18,20 @@
 
 // Parse takes in a request; one that is malformed reaches neither the module nor a server. Of a body that is not
 // held whole the rest is still to be read.
-func (f *Server) Parse(w http.ResponseWriter, r *http.Request) (*inflight.Call, io.Reader, error) {
-	c, err := f.call(r)
+func (s *Server) Parse(w http.ResponseWriter, r *http.Request) (*inflight.Call, io.Reader, error) {
+	c, err := s.call(r)
 	if err != nil {
 		return nil, nil, err
 	}
 	c.Outbound = &inflight.Outbound{Method: r.Method, URL: r.URL, Host: r.Host, Header: endToEnd(r.Header)}
-	if f.Config.Routes != nil { // those are the sidecar's to say
+	if s.Config.Routes != nil { // those are the sidecar's to say
 		c.Outbound.Header.Del(routing.RevisionHeader)
 		c.Outbound.Header.Del(routing.CanaryHeader)
 	}
 	var rest io.Reader
 	if r.ContentLength != 0 {
-		if rest, err = f.readBody(w, r, c); err != nil {
-			f.Memory.release(c.HeldBytes)
+		if rest, err = s.readBody(w, r, c); err != nil {
+			s.Memory.release(c.HeldBytes)
 			return nil, nil, fmt.Errorf("body: %w", err)
 		}
 	}
@@ -39,14 +39,14 @@
 		c.Deadline = receivedAt(r).Add(c.Timeout) // the client's time counts from its last byte
 	}
 	if r.Method == http.MethodGet && (rest != nil || len(c.Outbound.Body) > 0) {
-		f.Memory.release(c.HeldBytes)
+		s.Memory.release(c.HeldBytes)
 		return nil, nil, errors.New("GET with a body")
 	}
 	return c, rest, nil
 }
 
 // readBody reads as much of a body as is held.
-func (f *Server) readBody(w http.ResponseWriter, r *http.Request, c *inflight.Call) (rest io.Reader, err error) {
+func (s *Server) readBody(w http.ResponseWriter, r *http.Request, c *inflight.Call) (rest io.Reader, err error) {
 	length := r.ContentLength
 	if length > inflight.MaxBody {
 		return nil, errBodyLarge
@@ -55,14 +55,14 @@
 	if length >= 0 && length <= HoldMore {
 		most = int(length)
 	}
-	if f.Memory.reserve(most) {
+	if s.Memory.reserve(most) {
 		c.HeldBytes = most
 	} else {
 		most = min(most, inflight.MinHeldBody)
 	}
-	body := newPacedBody(w, r, f.ReadTimeout)
-	f.Bodies.add(body)
-	defer f.Bodies.remove(body)
+	body := newPacedBody(w, r, s.ReadTimeout)
+	s.Bodies.add(body)
+	defer s.Bodies.remove(body)
 	if length >= 0 {
 		first := make([]byte, min(int(length), most))
 		if _, err := io.ReadFull(body, first); err != nil {
@@ -87,7 +87,7 @@
 	return body, nil
 }
 
-func (f *Server) call(r *http.Request) (*inflight.Call, error) {
+func (s *Server) call(r *http.Request) (*inflight.Call, error) {
 	if r.Header.Get("X-Request-ID") == "" {
 		return nil, errors.New("no X-Request-ID")
 	}
@@ -96,15 +96,15 @@
 	}
 	ev := balance.Request{ClientRetry: r.Header.Get("X-Retried") == "1"}
 	var ok bool
-	if ev.Class, ok = f.Config.Classes[r.Header.Get("X-Priority-Class")]; !ok {
+	if ev.Class, ok = s.Config.Classes[r.Header.Get("X-Priority-Class")]; !ok {
 		return nil, errors.New("unknown X-Priority-Class")
 	}
-	if len(f.Config.Tenants) > 0 {
-		if ev.Tenant, ok = f.Config.Tenants[r.Header.Get("X-Tenant-Id")]; !ok {
+	if len(s.Config.Tenants) > 0 {
+		if ev.Tenant, ok = s.Config.Tenants[r.Header.Get("X-Tenant-Id")]; !ok {
 			return nil, errors.New("unknown X-Tenant-Id")
 		}
 	}
-	class := &f.Config.Balance.Classes[ev.Class]
+	class := &s.Config.Balance.Classes[ev.Class]
 	if err := checkMethod(class.Idempotency, r); err != nil {
 		return nil, err
 	}
@@ -125,8 +125,8 @@
 	if k, err := r.Cookie("k"); err == nil {
 		ev.IdempotencyKey = config.Hash(k.Value)
 	}
-	if f.Config.Routes != nil {
-		ev.RouteKey = f.Config.Routes.RouteKey(r.Header)
+	if s.Config.Routes != nil {
+		ev.RouteKey = s.Config.Routes.RouteKey(r.Header)
 	}
 	return &inflight.Call{Request: ev, Timeout: wait, Answers: make(chan inflight.Answer, 1)}, nil
 }
--- a/internal/sidecar/clientserver/response_writer.go
+++ b/internal/sidecar/clientserver/response_writer.go
@@ -13,26 +13,26 @@
 )
 
 // pass writes an answer as it comes. One that breaks off ends its connection, so that the client can tell.
-func (f *Server) pass(w http.ResponseWriter, r *http.Request, c *inflight.Call, a inflight.Answer) {
+func (s *Server) pass(w http.ResponseWriter, r *http.Request, c *inflight.Call, a inflight.Answer) {
 	control := http.NewResponseController(w)
-	s, h := a.Stream, w.Header()
+	stream, h := a.Stream, w.Header()
 	if conn, ok := r.Context().Value(connKey{}).(*framing.HeadConn); ok {
 		conn.LimitBuffer()
 	}
 	setContentType(h, a)
-	if s.Length >= 0 {
-		h.Set("Content-Length", strconv.FormatInt(s.Length, 10))
+	if stream.Length >= 0 {
+		h.Set("Content-Length", strconv.FormatInt(stream.Length, 10))
 	}
 	w.WriteHeader(a.Status)
 	buf := inflight.CopyBuffers.Get().(*[]byte)
 	defer inflight.CopyBuffers.Put(buf)
 	var end error
-	for part := s.First; ; {
+	for part := stream.First; ; {
 		if len(part) > 0 {
-			f.limitWrite(w)
+			s.limitWrite(w)
 			if _, err := w.Write(part); err != nil || control.Flush() != nil {
-				s.Ended <- inflight.ErrClientGone
-				f.Metrics.CountAnswer(c.Request.Class, inflight.StatusFailed)
+				stream.Ended <- inflight.ErrClientGone
+				s.Metrics.CountAnswer(c.Request.Class, inflight.StatusFailed)
 				panic(http.ErrAbortHandler)
 			}
 		}
@@ -40,25 +40,25 @@
 			break
 		}
 		var n int
-		n, end = s.Rest.Read(*buf)
+		n, end = stream.Rest.Read(*buf)
 		part = (*buf)[:n]
 	}
 	if end != io.EOF {
-		s.Ended <- end
-		f.Metrics.CountAnswer(c.Request.Class, inflight.StatusFailed)
+		stream.Ended <- end
+		s.Metrics.CountAnswer(c.Request.Class, inflight.StatusFailed)
 		if conn, ok := r.Context().Value(connKey{}).(*framing.HeadConn); ok && !r.ProtoAtLeast(1, 1) {
 			conn.Reset() // the end of the connection would be the end of the answer
 		}
 		panic(http.ErrAbortHandler)
 	}
-	s.Ended <- nil
-	f.Metrics.CountAnswer(c.Request.Class, a.Status)
+	stream.Ended <- nil
+	s.Metrics.CountAnswer(c.Request.Class, a.Status)
 }
 
 // limitWrite bounds the time for an answer from now on: a client that does not read would hold its place
 // among those taken for ever.
-func (f *Server) limitWrite(w http.ResponseWriter) {
-	if err := http.NewResponseController(w).SetWriteDeadline(time.Now().Add(f.WriteTimeout)); err != nil {
+func (s *Server) limitWrite(w http.ResponseWriter) {
+	if err := http.NewResponseController(w).SetWriteDeadline(time.Now().Add(s.WriteTimeout)); err != nil {
 		slog.Error("no bound on writing", "error", err)
 	}
 }
