--- a/internal/sidecar/body_test.go
+++ b/internal/sidecar/body_test.go
@@ -29,7 +29,7 @@
 
 // Bodies and answers of all sizes and framings pass unchanged.
 func TestSizes(t *testing.T) {
-	for _, size := range []int{0, 1, inflight.MaxHeldBody, inflight.MaxHeldBody + 1, clientserver.HoldMore + 1, inflight.MaxBody} {
+	for _, size := range []int{0, 1, inflight.MaxHeldBody, inflight.MaxHeldBody + 1, clientserver.MaxHeldIfMemory + 1, inflight.MaxBody} {
 		for _, chunked := range []bool{false, true} {
 			t.Run(fmt.Sprintf("%d, chunked %v", size, chunked), func(t *testing.T) {
 				want := sidecartest.Pattern(size)
@@ -138,7 +138,7 @@
 				}
 				gone <- "gone"
 			})
-			s := start(t, configtest.NewConf(sidecartest.NewRegistry(t).Addr(), at), func(s *Sidecar) { s.clients.ReadTimeout = 300 * time.Millisecond })
+			s := start(t, configtest.NewConf(sidecartest.NewRegistry(t).Addr(), at), func(s *Sidecar) { s.setReadTimeout(300 * time.Millisecond) })
 			c := s.upload(t, test.framing, test.body)
 			if test.end != nil {
 				test.end(c)
@@ -149,7 +149,7 @@
 					t.Errorf("%+v, %v, want %d", resp, err, test.want)
 				}
 			}
-			sidecartest.Until(t, "it to be over", func() bool { return s.clients.Requests.Load() == 0 })
+			sidecartest.Until(t, "it to be over", func() bool { return s.clients.OpenRequests() == 0 })
 			select {
 			case <-whole:
 				t.Error("the server got a whole request")
@@ -277,7 +277,7 @@
 				if err == nil {
 					t.Error("the answer looks whole")
 				}
-				sidecartest.Until(t, "it to be over", func() bool { return s.clients.Requests.Load() == 0 })
+				sidecartest.Until(t, "it to be over", func() bool { return s.clients.OpenRequests() == 0 })
 				if n := b.Requests.Load(); n != 1 {
 					t.Errorf("%d attempts", n)
 				}
@@ -330,7 +330,7 @@
 		conns = append(conns, c)
 		sent.Go(func() { io.CopyN(c, sidecartest.Zeros{}, size) })
 	}
-	sidecartest.Until(t, "all at the server", func() bool { return s.clients.Requests.Load() == at })
+	sidecartest.Until(t, "all at the server", func() bool { return s.clients.OpenRequests() == at })
 	heap := func() uint64 {
 		var m runtime.MemStats
 		runtime.GC()
--- a/internal/sidecar/client_gone_test.go
+++ b/internal/sidecar/client_gone_test.go
@@ -7,6 +7,7 @@
 	"io"
 	"net"
 	"net/http"
+	"net/url"
 	"sync/atomic"
 	"syscall"
 	"testing"
@@ -28,6 +29,11 @@
 // never is a time between looks that no test lives to see.
 const never = time.Hour
 
+// setClientPoll sets the time between two checks whether a client has gone.
+func (s *Sidecar) setClientPoll(interval time.Duration) {
+	s.clients.Configure(func(o *clientserver.Options) { o.ClientPoll = interval })
+}
+
 // leaver is a client that sends one request and leaves before its answer.
 type leaver struct {
 	*net.TCPConn
@@ -38,13 +44,9 @@
 // leave sends a request and returns the client once the sidecar works at it.
 func (r *running) leaver(t *testing.T, class, proto, lines, body string) *leaver {
 	t.Helper()
-	before := r.clients.Requests.Load()
+	before := r.clients.OpenRequests()
 	known := map[*clientserver.ClientConn]bool{}
-	r.listener.Mu.Lock()
-	for g := range r.listener.Conns {
-		known[g] = true
-	}
-	r.listener.Mu.Unlock()
+	r.listener.Each(func(conn *clientserver.ClientConn) { known[conn] = true })
 	c, err := net.Dial("tcp", r.Addr())
 	if err != nil {
 		t.Fatal(err)
@@ -60,15 +62,13 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	sidecartest.Until(t, "the request to be taken", func() bool { return r.clients.Requests.Load() > before })
+	sidecartest.Until(t, "the request to be taken", func() bool { return r.clients.OpenRequests() > before })
 	l := &leaver{TCPConn: c.(*net.TCPConn), t: t}
-	r.listener.Mu.Lock()
-	defer r.listener.Mu.Unlock()
-	for g := range r.listener.Conns {
-		if !known[g] {
-			l.host = g
+	r.listener.Each(func(conn *clientserver.ClientConn) {
+		if !known[conn] {
+			l.host = conn
 		}
-	}
+	})
 	return l
 }
 
@@ -76,11 +76,11 @@
 // net/http reads while a request is at work.
 func (l *leaver) sendAhead() {
 	l.t.Helper()
-	heard := l.host.LastRead.Load()
+	before := l.host.LastRead()
 	if _, err := io.WriteString(l, "\r"); err != nil {
 		l.t.Fatal(err)
 	}
-	sidecartest.Until(l.t, "a byte to be read ahead", func() bool { return l.host.LastRead.Load() > heard })
+	sidecartest.Until(l.t, "a byte to be read ahead", func() bool { return l.host.LastRead().After(before) })
 	if _, err := io.WriteString(l, "\nGET"); err != nil {
 		l.t.Fatal(err)
 	}
@@ -109,7 +109,7 @@
 	b, g := sidecartest.NewBackend(t, "a", sidecartest.OK), sidecartest.NewBarrier()
 	c := configtest.NewConf(sidecartest.NewRegistry(t).Addr(), b.Target).Setting(`"connect_timeout_ms": 100`, longDial)
 	s := start(t, c, func(s *Sidecar) {
-		s.clients.ClientPoll = poll
+		s.setClientPoll(poll)
 		s.loop.Pool.Dialer.Control = func(string, string, syscall.RawConn) error { g.Pass(); return nil }
 	})
 	t.Cleanup(g.Release) // before the sidecar ends
@@ -119,7 +119,7 @@
 // nothingSent returns once all requests are over, and fails if a server got one of them.
 func (r *running) nothingSent(t *testing.T, servers ...*sidecartest.Backend) {
 	t.Helper()
-	sidecartest.Until(t, "the request to be over", func() bool { return r.clients.Requests.Load() == 0 })
+	sidecartest.Until(t, "the request to be over", func() bool { return r.clients.OpenRequests() == 0 })
 	before := int64(0)
 	for _, b := range servers {
 		before += b.Requests.Load()
@@ -164,7 +164,7 @@
 			client := s.leaver(t, "lookup", "HTTP/1.1", "", "")
 			client.sendAhead()
 			client.leave(end)
-			sidecartest.Until(t, "the request to be over", func() bool { return s.clients.Requests.Load() == 0 })
+			sidecartest.Until(t, "the request to be over", func() bool { return s.clients.OpenRequests() == 0 })
 			b := sidecartest.NewBackend(t, "a", sidecartest.OK)
 			watch.Send(t, endpointlist.List{Rev: 2, All: true, Targets: []endpointlist.Target{b.Target}})
 			s.nothingSent(t, b)
@@ -175,7 +175,7 @@
 			dialing.WaitFor(t, 1)
 			client.sendAhead()
 			client.leave(end)
-			sidecartest.Until(t, "the request to be over", func() bool { return s.clients.Requests.Load() == 0 })
+			sidecartest.Until(t, "the request to be over", func() bool { return s.clients.OpenRequests() == 0 })
 			dialing.Release()
 			sidecartest.Until(t, "the connection to be kept", func() bool {
 				_, idle := s.loop.Pool.Counts()
@@ -196,7 +196,7 @@
 		t.Run(name, func(t *testing.T) {
 			registry := sidecartest.NewRegistry(t)
 			c := configtest.NewConf(registry.Addr()).Setting(`"on_time_ms": 750, "hard_limit_ms": 2500`, longWait)
-			s := start(t, c, func(s *Sidecar) { s.clients.ClientPoll = never })
+			s := start(t, c, func(s *Sidecar) { s.setClientPoll(never) })
 			watch := sidecartest.Receive(t, "a call", registry.Calls)
 			client := s.leaver(t, "lookup", "HTTP/1.1", "", "")
 			client.sendAhead()
@@ -231,7 +231,7 @@
 				}
 				b, other := sidecartest.NewBackend(t, "a", serve), sidecartest.NewBackend(t, "b", serve)
 				s := start(t, configtest.NewConf(sidecartest.NewRegistry(t).Addr(), b.Target, other.Target), func(s *Sidecar) {
-					s.clients.ClientPoll = never
+					s.setClientPoll(never)
 				})
 				t.Cleanup(answer.Release)
 				client := s.leaver(t, "lookup", "HTTP/1.1", "", "")
@@ -239,7 +239,7 @@
 				client.sendAhead()
 				client.leave(end)
 				answer.Release()
-				sidecartest.Until(t, "the request to be over", func() bool { return s.clients.Requests.Load() == 0 })
+				sidecartest.Until(t, "the request to be over", func() bool { return s.clients.OpenRequests() == 0 })
 				if got := s.do(s.request("lookup", time.Second)); got.status != 200 {
 					t.Errorf("another client gets %+v", got)
 				}
@@ -258,7 +258,7 @@
 		for name, end := range sidecartest.Ends {
 			t.Run(fmt.Sprintf("%d bytes, %s", sent, name), func(t *testing.T) {
 				s, b, dialing := atDial(t, never)
-				s.clients.Memory.SetLimit(0) // nothing more than the least is held
+				s.clients.SetBodyMemory(0) // nothing more than the least is held
 				client := s.leaver(t, "charge", "HTTP/1.1", fmt.Sprintf("Content-Length: %d\r\n", length), string(sidecartest.Pattern(sent)))
 				dialing.WaitFor(t, 1)
 				client.leave(end)
@@ -297,7 +297,9 @@
 // without is still seen right before the first byte.
 func TestClientGoneWithoutStates(t *testing.T) {
 	blind := func(s *Sidecar) {
-		s.clients.States = &netcall.ConnStates{Query: func(int) (uint8, error) { return 0, syscall.ENOPROTOOPT }}
+		s.clients.Configure(func(o *clientserver.Options) {
+			o.ConnStates = &netcall.ConnStates{Query: func(int) (uint8, error) { return 0, syscall.ENOPROTOOPT }}
+		})
 	}
 	t.Run("pipelined", func(t *testing.T) {
 		b := sidecartest.NewBackend(t, "a", sidecartest.OK)
@@ -360,18 +362,12 @@
 			l.TakeListEvent(now, discovery.ListEvent{Kind: balance.ListCached, List: cfg.Known})
 			left, looked := sidecartest.NewBarrier(), &atomic.Int64{}
 			t.Cleanup(left.Release)
-			r, err := http.NewRequest(http.MethodGet, "http://h/api", nil)
-			if err != nil {
-				t.Fatal(err)
-			}
-			for name, value := range map[string]string{
-				"X-Request-ID": "1", "X-Priority-Class": "lookup", "X-Tenant-Id": "kita", "X-Timeout-Ms": "3600000",
-			} {
-				r.Header.Set(name, value)
-			}
-			c, _, err := s.clients.Parse(nil, r)
-			if err != nil {
-				t.Fatal(err)
+			c := &inflight.Call{
+				Request: balance.Request{Class: cfg.Classes["lookup"], Tenant: cfg.Tenants["kita"]},
+				Outbound: &inflight.Outbound{
+					Method: http.MethodGet, URL: &url.URL{Path: "/api"}, Host: "h", Header: http.Header{"X-Request-Id": {"1"}},
+				},
+				Timeout: time.Hour, Deadline: time.Now().Add(time.Hour), Answers: make(chan inflight.Answer, 1),
 			}
 			c.ClientGone = func() bool { looked.Add(1); left.Pass(); return true }
 			l.Take(now, clientserver.Arrival{Call: c})
--- a/internal/sidecar/clientserver/body.go
+++ b/internal/sidecar/clientserver/body.go
@@ -8,148 +8,159 @@
 	"sync"
 	"time"
 
-	"marblelane/internal/sidecar/framing"
 	"marblelane/internal/sidecar/inflight"
 	"marblelane/internal/sidecar/netcall"
 )
 
 const (
-	// HoldMore is the longest body of a request that is held whole while there is memory for it.
-	HoldMore = 1 << 20
-
-	// A client may send its body at 64 kB a second. This part of that is asked for, beside the time for a request.
-	slowestBody = 48 << 10
-	bodyWait    = time.Second     // at least, after the head
-	stallWait   = 2 * time.Second // for the next bytes of a body
-	largeWait   = time.Second     // for the rest of one that is too large: it may be 60 MB
+	// MaxHeldIfMemory is the longest body of a request that is held completely while there is memory for it, in bytes.
+	MaxHeldIfMemory = 1 << 20
+
+	// minBodyRate is in bytes a second: part of the 64 kB a second at which a client may send.
+	minBodyRate = 48 << 10
+	// minBodyWait is for waiting for a body in any case, however long its head took.
+	minBodyWait = time.Second
+	// maxStall is for the next bytes of a body.
+	maxStall = 2 * time.Second
+	// discardWait is for reading on behind a body that is too large.
+	discardWait = time.Second
 )
 
+// The texts of these errors go to clients.
 var (
-	errBodyLarge = errors.New("the body is larger than 32 MB")
-	errBodySlow  = errors.New("the body does not come")
+	errBodyTooLarge = errors.New("the body is larger than 32 MB")
+	errBodyTooSlow  = errors.New("the body does not come")
 	// errServiceEnded: nothing of the request has run.
 	errServiceEnded = errors.New("the service ended before the body was whole")
 )
 
-// Memory is what all bodies that are held take together.
-type Memory struct {
+// bodyMemory bounds what all bodies that are held take together.
+type bodyMemory struct {
 	mu          sync.Mutex
-	limit, used int64
+	limit, used int64 // bytes
 }
 
-// reserve reports whether there is room for n more bytes, and takes it.
-func (m *Memory) reserve(n int) bool {
+// reserve takes memory for a body, and reports whether there is as much.
+func (m *bodyMemory) reserve(bytes int) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if m.used+int64(n) > m.limit {
+	if m.used+int64(bytes) > m.limit {
 		return false
 	}
-	m.used += int64(n)
+	m.used += int64(bytes)
 	return true
 }
 
-func (m *Memory) release(n int) {
+// release gives back what reserve has taken.
+func (m *bodyMemory) release(bytes int) {
 	m.mu.Lock()
-	m.used -= int64(n)
+	m.used -= int64(bytes)
 	m.mu.Unlock()
 }
 
-func (m *Memory) SetLimit(most int64) {
+// setLimit changes the bound. What is reserved stays so.
+func (m *bodyMemory) setLimit(bytes int64) {
 	m.mu.Lock()
-	m.limit = most
+	m.limit = bytes
 	m.mu.Unlock()
 }
 
-// pacedBody reads a client's body in time: it may be slow, but must go on. Only the time that is spent waiting for
-// the client counts.
+// pacedBody reads a client's body, which may come slowly but has to go on. Only the time that is spent waiting for the
+// client counts, and each byte buys more of it.
 type pacedBody struct {
-	body   io.Reader
-	held   *HeldBodies           // those that it is one of; nil: it is passed on
-	until  func(time.Time) error // sets the read deadline
-	left   time.Duration         // for waiting, beside what the bytes so far allow
-	waited time.Duration
-	read   int64
+	body        io.Reader
+	open        *openBodies           // nil: AbortBodies does not concern it
+	setDeadline func(time.Time) error // for the next read
+	allowance   time.Duration         // for waiting, beside what the bytes so far have bought
+	waited      time.Duration
+	received    int64 // bytes
 }
 
-func newPacedBody(w http.ResponseWriter, r *http.Request, wait time.Duration) *pacedBody {
-	left := wait
-	if c, ok := r.Context().Value(connKey{}).(*framing.HeadConn); ok {
-		left = max(wait-time.Since(c.StartedAt()), min(wait, bodyWait))
+func newPacedBody(w http.ResponseWriter, r *http.Request, timeout time.Duration) *pacedBody {
+	allowance := timeout
+	if conn := headConn(r); conn != nil {
+		allowance = max(timeout-time.Since(conn.StartedAt()), min(timeout, minBodyWait))
 	}
-	return &pacedBody{body: r.Body, until: http.NewResponseController(w).SetReadDeadline, left: left}
+	return &pacedBody{body: r.Body, setDeadline: http.NewResponseController(w).SetReadDeadline, allowance: allowance}
 }
 
+// Read reads what has come of the body, and fails where it is too slow or too large, or was aborted.
 func (p *pacedBody) Read(b []byte) (int, error) {
-	began := time.Now()
-	allowed := p.left + time.Duration(float64(p.read)/slowestBody*float64(time.Second)) - p.waited
-	limit := began.Add(min(allowed, stallWait))
-	if p.held == nil {
-		p.until(limit)
-	} else if !p.held.limit(p, limit) {
+	startedAt := time.Now()
+	deadline := startedAt.Add(min(p.waitLeft(), maxStall))
+	if p.open == nil {
+		p.setDeadline(deadline)
+	} else if !p.open.setDeadline(p, deadline) {
 		return 0, errServiceEnded
 	}
 	n, err := p.body.Read(b)
-	p.waited += time.Since(began)
-	p.read += int64(n)
+	p.waited += time.Since(startedAt)
+	p.received += int64(n)
 	switch {
-	case p.read > inflight.MaxBody:
-		return 0, errBodyLarge
+	case p.received > inflight.MaxBody:
+		return 0, errBodyTooLarge
 	case err == io.EOF:
-		p.until(time.Time{})
-	case err != nil && p.held != nil && p.held.over():
+		p.setDeadline(time.Time{})
+	case err != nil && p.open != nil && p.open.isAborted():
 		err = errServiceEnded
 	case errors.Is(err, os.ErrDeadlineExceeded):
-		err = errBodySlow
+		err = errBodyTooSlow
 	}
 	return n, err
 }
 
-// HeldBodies are the bodies that are being read before their requests begin. The end of service ends them.
-type HeldBodies struct {
-	mu    sync.Mutex
-	open  map[*pacedBody]struct{}
-	ended bool
+// waitLeft is for how much longer the client is waited for, if it sends nothing more.
+func (p *pacedBody) waitLeft() time.Duration {
+	bought := time.Duration(float64(p.received) / minBodyRate * float64(time.Second))
+	return p.allowance + bought - p.waited
 }
 
-func (h *HeldBodies) add(p *pacedBody) {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	if h.open == nil {
-		h.open = map[*pacedBody]struct{}{}
+// openBodies are the bodies that are being read before the event loop knows their requests.
+type openBodies struct {
+	mu      sync.Mutex
+	bodies  map[*pacedBody]struct{}
+	aborted bool
+}
+
+func (o *openBodies) add(p *pacedBody) {
+	o.mu.Lock()
+	defer o.mu.Unlock()
+	if o.bodies == nil {
+		o.bodies = map[*pacedBody]struct{}{}
 	}
-	h.open[p], p.held = struct{}{}, h
+	o.bodies[p], p.open = struct{}{}, o
 }
 
-// remove lets a body go on by itself.
-func (h *HeldBodies) remove(p *pacedBody) {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	delete(h.open, p)
-	p.held = nil
+// remove makes a body independent of abort.
+func (o *openBodies) remove(p *pacedBody) {
+	o.mu.Lock()
+	defer o.mu.Unlock()
+	delete(o.bodies, p)
+	p.open = nil
 }
 
-// limit sets the time by which more of a body has to come, and reports false after the end.
-func (h *HeldBodies) limit(p *pacedBody, by time.Time) bool {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	if !h.ended {
-		p.until(by)
+// setDeadline sets the time by which more of a body has to come, and reports false after abort.
+func (o *openBodies) setDeadline(p *pacedBody, deadline time.Time) bool {
+	o.mu.Lock()
+	defer o.mu.Unlock()
+	if !o.aborted {
+		p.setDeadline(deadline)
 	}
-	return !h.ended
+	return !o.aborted
 }
 
-func (h *HeldBodies) over() bool {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	return h.ended
+func (o *openBodies) isAborted() bool {
+	o.mu.Lock()
+	defer o.mu.Unlock()
+	return o.aborted
 }
 
-// End breaks off all that are open; what comes after it is broken off too.
-func (h *HeldBodies) End() {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	for p := range h.open {
-		p.until(netcall.PastDeadline)
+// abort ends the reads of all bodies, also of those that are added later.
+func (o *openBodies) abort() {
+	o.mu.Lock()
+	defer o.mu.Unlock()
+	for p := range o.bodies {
+		p.setDeadline(netcall.PastDeadline)
 	}
-	h.ended = true
+	o.aborted = true
 }
--- a/internal/sidecar/clientserver/body_test.go
+++ b/internal/sidecar/clientserver/body_test.go
@@ -2,7 +2,11 @@
 
 import (
 	"errors"
+	"net"
+	"os"
+	"syscall"
 	"testing"
+	"testing/iotest"
 	"time"
 
 	"marblelane/internal/sidecar/inflight"
@@ -10,27 +14,48 @@
 )
 
 // Only the time spent waiting for the client counts, and only what it sends buys more.
-func TestPacedBody(t *testing.T) {
-	var until time.Time
+func TestPacedBody_deadlines(t *testing.T) {
+	var deadline time.Time
 	p := &pacedBody{
-		body: sidecartest.Zeros{}, left: 100 * time.Millisecond,
-		until: func(t time.Time) error { until = t; return nil },
+		body: sidecartest.Zeros{}, allowance: 100 * time.Millisecond,
+		setDeadline: func(t time.Time) error { deadline = t; return nil },
 	}
-	p.Read(make([]byte, slowestBody))
-	if wait := time.Until(until); wait > 100*time.Millisecond {
+	p.Read(make([]byte, minBodyRate))
+	if wait := time.Until(deadline); wait > 100*time.Millisecond {
 		t.Errorf("%v for the first byte", wait)
 	}
 	p.Read(make([]byte, 1))
-	if wait := time.Until(until); wait < time.Second || wait > 1200*time.Millisecond {
-		t.Errorf("%v after what takes a second", wait)
+	if wait := time.Until(deadline); wait < time.Second || wait > 1200*time.Millisecond {
+		t.Errorf("%v after bytes that buy a second", wait)
 	}
 	p.waited = 900 * time.Millisecond
 	p.Read(make([]byte, 1))
-	if wait := time.Until(until); wait > 250*time.Millisecond {
+	if wait := time.Until(deadline); wait > 250*time.Millisecond {
 		t.Errorf("%v after 900 ms", wait)
 	}
-	p.read = inflight.MaxBody
-	if _, err := p.Read(make([]byte, 1)); !errors.Is(err, errBodyLarge) {
-		t.Errorf("above the most: %v", err)
+	p.received = inflight.MaxBody
+	if _, err := p.Read(make([]byte, 1)); !errors.Is(err, errBodyTooLarge) {
+		t.Errorf("above the limit: %v", err)
+	}
+}
+
+// A client's body is slow only if the deadline set here ended the read, however long the read took.
+func TestPacedBody_errors(t *testing.T) {
+	for _, test := range []struct {
+		err  error
+		slow bool
+	}{
+		{sidecartest.OpError("read", syscall.ECONNRESET), false},
+		{sidecartest.OpError("read", syscall.ETIMEDOUT), false},
+		{sidecartest.OpError("read", syscall.EHOSTUNREACH), false},
+		{&net.OpError{Op: "read", Net: "tcp", Err: os.ErrDeadlineExceeded}, true},
+	} {
+		t.Run(test.err.Error(), func(t *testing.T) {
+			body := &pacedBody{body: iotest.ErrReader(test.err), setDeadline: func(time.Time) error { return nil }}
+			_, err := body.Read(make([]byte, 1))
+			if errors.Is(err, errBodyTooSlow) != test.slow || !test.slow && err != test.err {
+				t.Errorf("error %v, want one of a slow body: %v", err, test.slow)
+			}
+		})
 	}
 }
--- a/internal/sidecar/clientserver/client_conn.go
+++ b/internal/sidecar/clientserver/client_conn.go
@@ -3,6 +3,7 @@
 import (
 	"errors"
 	"io"
+	"math"
 	"net"
 	"os"
 	"sync"
@@ -14,30 +15,45 @@
 	"marblelane/internal/sidecar/netcall"
 )
 
-// ClientConn is a connection in the room.
+// epoch is what ClientConn.lastRead counts from, by the monotonic clock.
+var epoch = time.Now()
+
+// inputClosed in place of a time of ClientConn.lastRead: what the client sends from now on is discarded.
+const inputClosed = math.MinInt64
+
+// ClientConn is the connection of a client.
 type ClientConn struct {
 	net.Conn
 	limiter  *Limiter
-	LastRead atomic.Int64 // when it last sent something, in ns since the room's epoch; 0: nothing yet; or deaf
+	lastRead atomic.Int64 // when bytes were last read, in ns since epoch; 0: never; or inputClosed
 
-	// readLock is held while bytes are taken from the system, and while the end of the connection is decided and told:
-	// what comes is either read before that, and counts, or after it, and does not. It may be taken under the room's
-	// lock, not the other way round.
+	// readLock is held while bytes are read from the system, and while the end of the connection is decided and sent.
+	// What the client sends is either read before that, and becomes a request, or after it, and is discarded. It may be
+	// locked while Limiter.mu is held, not the other way round.
 	readLock    sync.Mutex
-	unprocessed bool // net/http may hold bytes that it has not begun a request with
-	working     bool // as busy
+	unprocessed bool // net/http may hold bytes that it has not started a request with
+	working     bool // like busy, under this lock
 
-	since        time.Time // it came, or its last request ended; under the room's lock, as are these:
+	// Limiter.mu guards the fields below.
+	since        time.Time // the connection was accepted, or its last request was answered
 	reused       bool      // it has had a request
 	busy         bool      // a request is at work
 	answerCutOff bool      // its answer broke off
-	endSentAt    time.Time // when the end of the connection was sent; zero: it was not
+	endSentAt    time.Time // when the client was notified of the end of the connection; zero: it was not
 }
 
-// Read drops what comes on a connection whose input is closed, up to the client's end. While the system is short of
-// memory for it the bytes stay where they are and are read again, for up to callLimit.
-func (g *ClientConn) Read(p []byte) (int, error) {
-	conn, ok := g.Conn.(syscall.Conn)
+// LastRead is when bytes were last read from the client; zero: there were none, or its input is closed.
+func (c *ClientConn) LastRead() time.Time {
+	if at := c.lastRead.Load(); at != 0 && at != inputClosed {
+		return epoch.Add(time.Duration(at))
+	}
+	return time.Time{}
+}
+
+// Read discards what comes on a connection whose input is closed, up to the client's end. While the system is short of
+// memory the bytes stay in it and are read again, until netcall.RetryCall gives up.
+func (c *ClientConn) Read(p []byte) (int, error) {
+	conn, ok := c.Conn.(syscall.Conn)
 	if !ok {
 		return 0, errors.ErrUnsupported
 	}
@@ -45,15 +61,16 @@
 	if err != nil {
 		return 0, err
 	}
-	g.readLock.Lock()
-	g.unprocessed = g.working // it reads on when it has nothing left of what it has read
-	g.readLock.Unlock()
+	c.readLock.Lock()
+	c.unprocessed = c.working // net/http reads on when it has used up what it has read
+	c.readLock.Unlock()
 	var n int
 	var failed error
-	// As a wait for more bytes would not end with those that have come, a failure leaves raw.Read first.
+	// raw.Read waits for more bytes only after EAGAIN: a wait after another error would not end with the bytes that are
+	// there already.
 	_ = netcall.RetryCall(func() error {
 		err = raw.Read(func(fd uintptr) (done bool) {
-			n, failed = g.take(int(fd), p)
+			n, failed = c.readAvailable(int(fd), p)
 			return failed != syscall.EAGAIN
 		})
 		if err != nil {
@@ -63,10 +80,10 @@
 	})
 	switch {
 	case err != nil:
-		return 0, readError(err)
+		return 0, asReadError(err)
 	case failed != nil:
 		return 0, &net.OpError{
-			Op: "read", Net: "tcp", Source: g.LocalAddr(), Addr: g.RemoteAddr(), Err: os.NewSyscallError("read", failed),
+			Op: "read", Net: "tcp", Source: c.LocalAddr(), Addr: c.RemoteAddr(), Err: os.NewSyscallError("read", failed),
 		}
 	case n == 0 && len(p) > 0:
 		return 0, io.EOF
@@ -74,12 +91,12 @@
 	return n, nil
 }
 
-// take reads what there is; EAGAIN: nothing.
-func (g *ClientConn) take(fd int, p []byte) (n int, err error) {
-	g.readLock.Lock()
-	defer g.readLock.Unlock()
+// readAvailable reads the bytes that are there; EAGAIN: none.
+func (c *ClientConn) readAvailable(fd int, p []byte) (n int, err error) {
+	c.readLock.Lock()
+	defer c.readLock.Unlock()
 	for {
-		n, err = g.limiter.Read(fd, p)
+		n, err = c.limiter.readCall(fd, p)
 		switch {
 		case err == syscall.EINTR:
 			continue
@@ -87,17 +104,17 @@
 			return 0, err
 		case n == 0:
 			return 0, nil
-		case g.LastRead.Load() == inputClosed:
+		case c.lastRead.Load() == inputClosed:
 			continue
 		}
-		g.LastRead.Store(int64(time.Since(epoch)))
-		g.unprocessed = true
+		c.lastRead.Store(int64(time.Since(epoch)))
+		c.unprocessed = true
 		return n, nil
 	}
 }
 
-// readError names an error as that of a read: net/http tells by it that nobody is there to be answered.
-func readError(err error) error {
+// asReadError names an error as that of a read: net/http answers no client whose connection failed while it was read.
+func asReadError(err error) error {
 	var op *net.OpError
 	if errors.As(err, &op) {
 		op.Op = "read"
@@ -105,159 +122,179 @@
 	return err
 }
 
-// SetReadDeadline also tells that a request has begun, of which all may have come with the one before: net/http sets a
-// bound for the head from its first bytes on, and none between requests.
-func (g *ClientConn) SetReadDeadline(t time.Time) error {
-	g.readLock.Lock()
-	if !t.IsZero() && !g.working && g.LastRead.Load() != inputClosed && g.LastRead.Load() != 0 {
-		g.LastRead.Store(int64(time.Since(epoch)))
+// SetReadDeadline also shows that a request has started, all of which may have come with the one before: net/http sets a
+// deadline for a head from its first bytes on, and none between requests.
+func (c *ClientConn) SetReadDeadline(t time.Time) error {
+	c.readLock.Lock()
+	if !t.IsZero() && !c.working && c.lastRead.Load() != inputClosed && c.lastRead.Load() != 0 {
+		c.lastRead.Store(int64(time.Since(epoch)))
 	}
-	g.readLock.Unlock()
-	return g.Conn.SetReadDeadline(t)
+	c.readLock.Unlock()
+	return c.Conn.SetReadDeadline(t)
 }
 
-// Close ends the connection. Where an answer has just been written it is half closed, and closed when its client has
-// gone, 0.2 s later at most: a close over bytes that nobody has read resets the connection, and the answer is lost.
-func (g *ClientConn) Close() error {
-	if !g.halfClose() {
-		return g.end()
+// Close ends the connection. Where an answer has just been written it half-closes it, and closes it when the client has
+// gone or CloseWindow is over: a close over unread bytes resets the connection, and the answer is lost.
+func (c *ClientConn) Close() error {
+	if !c.halfCloseAfterAnswer() {
+		return c.end()
 	}
-	go g.discardInput()
+	go c.discardInput()
 	return nil
 }
 
-// halfClose half closes the connection, if it has an answer that its client may not have read.
-func (g *ClientConn) halfClose() bool {
-	g.limiter.Mu.Lock()
-	defer g.limiter.Mu.Unlock()
-	if !g.busy || g.answerCutOff || !g.endSentAt.IsZero() {
+// halfCloseAfterAnswer half-closes the connection, if it has an answer that its client may not have read.
+func (c *ClientConn) halfCloseAfterAnswer() bool {
+	c.limiter.mu.Lock()
+	defer c.limiter.mu.Unlock()
+	if !c.busy || c.answerCutOff || !c.endSentAt.IsZero() {
 		return false
 	}
-	g.readLock.Lock()
-	defer g.readLock.Unlock()
-	if open, unread := netcall.Peek(g.Conn); !open && !unread {
+	c.readLock.Lock()
+	defer c.readLock.Unlock()
+	if open, unread := netcall.Peek(c.Conn); !open && !unread {
 		return false
 	}
-	half, ok := g.Conn.(interface{ CloseWrite() error })
-	if !ok || half.CloseWrite() != nil {
+	if !c.closeWrite() {
 		return false
 	}
-	g.LastRead.Store(inputClosed)
-	g.unprocessed = false
-	g.endSentAt = time.Now()
+	c.lastRead.Store(inputClosed)
+	c.unprocessed = false
+	c.endSentAt = time.Now()
 	return true
 }
 
+// closeWrite half-closes the connection, and reports whether it has.
+func (c *ClientConn) closeWrite() bool {
+	conn, ok := c.Conn.(interface{ CloseWrite() error })
+	return ok && conn.CloseWrite() == nil
+}
+
 // discardInput reads what still comes, up to the client's end, and closes the connection.
-func (g *ClientConn) discardInput() {
-	late := time.AfterFunc(CloseWindow, func() { g.end() })
-	defer late.Stop()
-	g.Conn.SetReadDeadline(time.Time{})
+func (c *ClientConn) discardInput() {
+	timeout := time.AfterFunc(CloseWindow, func() { c.end() })
+	defer timeout.Stop()
+	c.Conn.SetReadDeadline(time.Time{})
 	buf := inflight.CopyBuffers.Get().(*[]byte)
 	defer inflight.CopyBuffers.Put(buf)
 	for {
-		if _, err := g.Conn.Read(*buf); err != nil {
+		if _, err := c.Conn.Read(*buf); err != nil {
 			break
 		}
 	}
-	g.end()
+	c.end()
 }
 
-// cutOff makes the connection end at once when it is closed: its answer is not whole.
-func (g *ClientConn) cutOff() {
-	g.limiter.Mu.Lock()
-	g.answerCutOff = true
-	g.limiter.Mu.Unlock()
+// cutOff makes Close end the connection at once: its answer is not complete.
+func (c *ClientConn) cutOff() {
+	c.limiter.mu.Lock()
+	c.answerCutOff = true
+	c.limiter.mu.Unlock()
 }
 
-// end closes the connection, and gives its place free.
-func (g *ClientConn) end() error {
-	g.limiter.Mu.Lock()
-	delete(g.limiter.Conns, g)
-	g.limiter.Mu.Unlock()
-	g.limiter.wakeAdmit()
-	return g.Conn.Close()
+// end closes the connection and frees its slot.
+func (c *ClientConn) end() error {
+	c.limiter.mu.Lock()
+	delete(c.limiter.conns, c)
+	c.limiter.mu.Unlock()
+	c.limiter.wakeAdmit()
+	return c.Conn.Close()
 }
 
-// RequestRead tells that a whole request is there: from now on the connection is nobody's to close.
-func (g *ClientConn) RequestRead() {
-	g.limiter.Mu.Lock()
-	g.busy = true
-	g.limiter.Mu.Unlock()
-	g.readLock.Lock()
-	g.working = true
-	g.readLock.Unlock()
+// RequestRead tells that a head is complete: the limiter does not close the connection before its answer.
+func (c *ClientConn) RequestRead() {
+	c.limiter.mu.Lock()
+	c.busy = true
+	c.limiter.mu.Unlock()
+	c.readLock.Lock()
+	c.working = true
+	c.readLock.Unlock()
 }
 
-// RequestAnswered tells that its request is answered.
-func (g *ClientConn) RequestAnswered() {
-	g.readLock.Lock()
-	g.working, g.unprocessed = false, true // the next one may have come with it
-	g.readLock.Unlock()
-	g.limiter.Mu.Lock()
-	g.busy, g.reused, g.since = false, true, time.Now()
-	g.limiter.Mu.Unlock()
+// RequestAnswered tells that the request is answered.
+func (c *ClientConn) RequestAnswered() {
+	c.readLock.Lock()
+	c.working, c.unprocessed = false, true // the next request may have come with this one
+	c.readLock.Unlock()
+	c.limiter.mu.Lock()
+	c.busy, c.reused, c.since = false, true, time.Now()
+	c.limiter.mu.Unlock()
 }
 
-// Transport gives the connection of the system.
-func (g *ClientConn) Transport() net.Conn { return g.Conn }
+// Transport is the connection of the system.
+func (c *ClientConn) Transport() net.Conn { return c.Conn }
 
-// requestStarted tells whether some of a request has come since the last one, and when the connection was last heard of.
-func (g *ClientConn) requestStarted() (last time.Time, begun bool) {
-	if at := g.LastRead.Load(); at != 0 && at != inputClosed {
-		if heard := epoch.Add(time.Duration(at)); heard.After(g.since) {
-			return heard, true
-		}
+// requestStarted reports whether some of a request has come since the last one, and since when the client is silent.
+// Limiter.mu is held.
+func (c *ClientConn) requestStarted() (silentSince time.Time, started bool) {
+	if lastRead := c.LastRead(); lastRead.After(c.since) {
+		return lastRead, true
 	}
-	return g.since, false
+	return c.since, false
 }
 
-func (g *ClientConn) evictionOrder(now time.Time) (order int, last time.Time) {
-	last, begun := g.requestStarted()
-	quiet := now.Sub(last)
+// evictionRank says how early the connection is evicted, and since when it is silent. Limiter.mu is held.
+func (c *ClientConn) evictionRank(now time.Time) (rank evictionRank, silentSince time.Time) {
+	silentSince, started := c.requestStarted()
+	silence := now.Sub(silentSince)
 	switch {
-	case !g.endSentAt.IsZero():
-		return silent, g.endSentAt
-	case (begun || !g.reused) && quiet < newConnGrace:
-		return young, g.since
-	case begun:
-		return halfSent, last
-	case !g.reused:
-		return silent, last
-	case quiet >= keepAliveAtLeast:
-		return idleLong, last
+	case !c.endSentAt.IsZero():
+		return evictSilent, c.endSentAt
+	case (started || !c.reused) && silence < newConnGrace:
+		return evictNew, c.since
+	case started:
+		return evictPartial, silentSince
+	case !c.reused:
+		return evictSilent, silentSince
+	case silence >= keepAliveAtLeast:
+		return evictIdleLong, silentSince
 	default:
-		return idle, last
+		return evictIdle, silentSince
 	}
 }
 
-// closeInput closes the input of the connection, unless something has come on it that has not become a request: that is
-// either read and answered, or never runs and its client sends it again.
-func (g *ClientConn) closeInput() bool {
-	g.readLock.Lock()
-	defer g.readLock.Unlock()
-	return g.closeInputLocked()
+// closeInput closes the input of the connection, unless bytes have come on it that have not become a request: those are
+// read and answered. What comes after it never runs, and its client sends it again.
+func (c *ClientConn) closeInput() bool {
+	c.readLock.Lock()
+	defer c.readLock.Unlock()
+	return c.closeInputLocked()
 }
 
-func (g *ClientConn) closeInputLocked() bool {
-	if g.unprocessed {
+// closeInputLocked is closeInput with readLock held.
+func (c *ClientConn) closeInputLocked() bool {
+	if c.unprocessed {
 		return false
 	}
-	if _, unread := netcall.Peek(g.Conn); unread {
+	if _, unread := netcall.Peek(c.Conn); unread {
 		return false
 	}
-	g.LastRead.Store(inputClosed)
+	c.lastRead.Store(inputClosed)
 	return true
 }
 
-// sendEnd closes the input of the connection as leave does, unless half a request has come on it, and tells the client
-// so by half a close. Nothing is read from it in between.
-func (g *ClientConn) sendEnd() (left, told bool) {
-	g.readLock.Lock()
-	defer g.readLock.Unlock()
-	if _, begun := g.requestStarted(); begun || !g.closeInputLocked() {
+// sendEnd closes the input of the connection as closeInput does, unless part of a request has come on it, and notifies
+// the client by a half-close. Nothing is read from it in between. Limiter.mu is held.
+func (c *ClientConn) sendEnd() (inputEnded, notified bool) {
+	c.readLock.Lock()
+	defer c.readLock.Unlock()
+	if _, started := c.requestStarted(); started || !c.closeInputLocked() {
 		return false, false
 	}
-	half, ok := g.Conn.(interface{ CloseWrite() error })
-	return true, ok && half.CloseWrite() == nil
+	return true, c.closeWrite()
+}
+
+// rejectPartial answers part of a request, if there is one, and notifies the client of the end of the connection. It
+// reports whether it has: not where bytes of the client are on the way to a handler. Limiter.mu is held.
+func (c *ClientConn) rejectPartial() bool {
+	c.readLock.Lock()
+	defer c.readLock.Unlock()
+	_, started := c.requestStarted()
+	if c.working || !c.closeInputLocked() {
+		return false
+	}
+	if started {
+		netcall.WriteNow(c.Conn, partialAnswer)
+	}
+	return c.closeWrite()
 }
--- a/internal/sidecar/clientserver/client_gone.go
+++ b/internal/sidecar/clientserver/client_gone.go
@@ -1,6 +1,7 @@
 package clientserver
 
 import (
+	"net/http"
 	"time"
 
 	"marblelane/internal/sidecar/framing"
@@ -8,31 +9,42 @@
 	"marblelane/internal/sidecar/netcall"
 )
 
-// clientPoll is how often a client is looked at whose connection nobody reads. No attempt depends on it, as each asks
-// before its first byte: it bounds how long a request counts as load after its client has gone.
-const clientPoll = 50 * time.Millisecond
+// defaultClientPoll is the time between two checks of a client whose connection is not being read. It bounds how long a
+// request counts as load after its client has gone; attempts check by themselves before their first byte.
+const defaultClientPoll = 50 * time.Millisecond
+
+// watchClient lets a call learn that its client has gone, and returns the connection to watch; nil: it is not known.
+func (s *Server) watchClient(r *http.Request, call *inflight.Call) *framing.HeadConn {
+	conn := headConn(r)
+	if conn == nil {
+		return nil
+	}
+	states := s.options.ConnStates
+	call.ClientGone = func() bool { return r.Context().Err() != nil || clientGone(conn, states) }
+	return conn
+}
 
 // clientGone reports whether the client of a connection is known to have gone.
-func clientGone(c *framing.HeadConn, states *netcall.ConnStates) bool {
-	tracked, ok := c.Conn.(framing.TrackedConn)
+func clientGone(conn *framing.HeadConn, states *netcall.ConnStates) bool {
+	tracked, ok := conn.Conn.(framing.TrackedConn)
 	return ok && states.PeerGone(tracked.Transport())
 }
 
-// clientWatch tells when to look whether the client of a request has gone. net/http sees an end only while it reads:
-// once it has taken a byte that follows a request it reads no more until that is answered.
+// clientWatch says when to check whether the client of a request has gone. net/http sees the end of a connection only
+// while it reads: once it has read a byte behind a request it stops until that request is answered.
 type clientWatch struct {
-	conn  *framing.HeadConn // nil: not known
-	every time.Duration
-	timer *time.Timer
-	look  <-chan time.Time // it is time to
-	ahead <-chan struct{}  // something was read
+	conn     *framing.HeadConn // nil: not known
+	interval time.Duration
+	timer    *time.Timer
+	due      <-chan time.Time // a check is due
+	received <-chan struct{}  // something was read from the connection
 }
 
-func newClientWatch(conn *framing.HeadConn, every time.Duration) *clientWatch {
-	w := &clientWatch{conn: conn, every: every}
+func newClientWatch(conn *framing.HeadConn, interval time.Duration) *clientWatch {
+	w := &clientWatch{conn: conn, interval: interval}
 	if conn != nil {
-		w.timer = time.NewTimer(every)
-		w.look, w.ahead = w.timer.C, conn.Ahead
+		w.timer = time.NewTimer(interval)
+		w.due, w.received = w.timer.C, conn.Received()
 	}
 	return w
 }
@@ -43,18 +55,18 @@
 	}
 }
 
-// again sets the time for the next look.
-func (w *clientWatch) again() { w.timer.Reset(w.every) }
+// schedule sets the time of the next check.
+func (w *clientWatch) schedule() { w.timer.Reset(w.interval) }
 
-// gone reports whether the call's client has gone. While its connection is being read that is for who reads to tell,
-// and the next look comes after something was read.
-func (w *clientWatch) gone(c *inflight.Call) bool {
+// clientGone reports whether the call's client has gone. While the connection is being read its reader sees the end, and
+// the next check is scheduled when something was read.
+func (w *clientWatch) clientGone(call *inflight.Call) bool {
 	if w.conn.Reading() {
 		return false
 	}
-	if c.ClientLeft() {
+	if call.ClientLeft() {
 		return true
 	}
-	w.again()
+	w.schedule()
 	return false
 }
--- a/internal/sidecar/clientserver/conn_limiter.go
+++ b/internal/sidecar/clientserver/conn_limiter.go
@@ -1,7 +1,6 @@
 package clientserver
 
 import (
-	"math"
 	"net"
 	"sync"
 	"sync/atomic"
@@ -13,203 +12,253 @@
 )
 
 const (
-	// evictAfterSilence is how long a peer may say nothing before it makes room for others: who has a request to send
-	// does so at once, but this process must get to read it.
+	// evictAfterSilence is how long a connection must have been silent before it is evicted: a client with a request to
+	// send does so at once, but this process must get to read it.
 	evictAfterSilence = 50 * time.Millisecond
-	// newConnGrace is how long a peer may pause in its request: it may take 2 s for a head.
+	// newConnGrace is how long a client may pause within its request: it may take 2 s for a head.
 	newConnGrace = time.Second
-	// keepAliveAtLeast is how long a connection without a request is always kept (TERMS), unless nothing else is left.
+	// keepAliveAtLeast is how long a connection without a request is kept, unless all others have gone.
 	keepAliveAtLeast = 2 * time.Second
 	// CloseWindow is how long a request may be on its way: on a new connection after its client's connect, and once more
 	// on a new one after the end of its old one crossed it.
 	CloseWindow = 200 * time.Millisecond
 )
 
-// Limiter is a listener that holds so many connections and no more. At the bound whoever has been silent longest
-// with no request at work makes room for who comes next: crowds that say nothing cannot shut others out.
+// partialAnswer tells a client that is in the middle of a head that nothing of its request has run.
+const partialAnswer = "HTTP/1.1 503 Service Unavailable\r\nConnection: close\r\nContent-Length: 0\r\n\r\n"
+
+// Limiter is a listener that bounds the connections it has open. At the limit the connection that has been silent for
+// longest, and has no request at work, is closed for a new one: silent clients cannot shut others out.
 type Limiter struct {
 	net.Listener
-	placeFreed   chan struct{} // a token: somebody left, or the bound grew
-	closed       chan struct{}
-	close        sync.Once
-	acceptsEnded atomic.Bool // nobody is on the way in any more
-	Read         func(fd int, p []byte) (n int, err error)
+	slotFreed    chan struct{} // a token: a connection ended, or the limit grew; never closed
+	closed       chan struct{} // closed by Close
+	closeOnce    sync.Once
+	acceptsEnded atomic.Bool // after Close: no connection is waiting in Accept any more
+	readCall     func(fd int, p []byte) (n int, err error)
 
-	Mu    sync.Mutex
+	mu    sync.Mutex
 	limit int
-	Conns map[*ClientConn]struct{}
+	conns map[*ClientConn]struct{}
 }
 
-// inputClosed stands for the time a clientConn was heard: nothing that it says counts any more.
-const inputClosed = math.MinInt64
-
-var epoch = time.Now()
-
-func NewLimiter(l net.Listener, most int) *Limiter {
+// NewLimiter bounds the connections of a listener.
+func NewLimiter(listener net.Listener, limit int) *Limiter {
 	return &Limiter{
-		Listener: l, limit: most, Conns: map[*ClientConn]struct{}{},
-		placeFreed: make(chan struct{}, 1), closed: make(chan struct{}), Read: syscall.Read,
+		Listener: listener, limit: limit, conns: map[*ClientConn]struct{}{},
+		slotFreed: make(chan struct{}, 1), closed: make(chan struct{}), readCall: syscall.Read,
 	}
 }
 
-func (r *Limiter) Accept() (net.Conn, error) {
-	c, err := r.Listener.Accept()
+// SetReadCall replaces the system call that reads from connections, so that tests can make it fail. It has to come
+// before the first Accept.
+func (l *Limiter) SetReadCall(read func(fd int, p []byte) (n int, err error)) { l.readCall = read }
+
+// Accept waits for the next connection and until there is a slot for it.
+func (l *Limiter) Accept() (net.Conn, error) {
+	accepted, err := l.Listener.Accept()
 	if err != nil {
 		select {
-		case <-r.closed:
-			r.acceptsEnded.Store(true)
+		case <-l.closed:
+			l.acceptsEnded.Store(true)
 		default:
 		}
 		return nil, err
 	}
-	g := &ClientConn{Conn: c, limiter: r, since: time.Now()}
-	r.admit(g)
-	return g, nil
+	conn := &ClientConn{Conn: accepted, limiter: l, since: time.Now()}
+	l.admit(conn)
+	return conn, nil
 }
 
 // acceptsFailed reports whether accepts have failed of late, so that a connection may have waited to be accepted.
-func (r *Limiter) acceptsFailed() bool {
-	l, ok := r.Listener.(*listening.Listener)
-	return ok && l.FailedWithin(netcall.AcceptFailureMemory)
+func (l *Limiter) acceptsFailed() bool {
+	listener, ok := l.Listener.(*listening.Listener)
+	return ok && listener.FailedWithin(netcall.AcceptFailureMemory)
 }
 
-// admit waits until there is a place, or the listener is closed.
-func (r *Limiter) admit(g *ClientConn) {
+// admit waits until there is a slot for a connection, or the listener is closed.
+func (l *Limiter) admit(conn *ClientConn) {
 	for {
-		victim, wait := r.place(g)
-		switch {
-		case victim != nil:
+		admitted, victim := l.tryAdmit(conn)
+		if admitted {
+			return
+		}
+		if victim != nil {
 			victim.end()
-		case wait == 0:
+			continue
+		}
+		select {
+		case <-l.slotFreed:
+		case <-time.After(evictAfterSilence):
+		case <-l.closed:
+			// The client connected before the end and does not know of it: its connection is one above the limit.
+			l.mu.Lock()
+			l.conns[conn] = struct{}{}
+			l.mu.Unlock()
 			return
-		default:
-			select {
-			case <-r.placeFreed:
-			case <-time.After(wait):
-			case <-r.closed:
-				// It came before the end and knows nothing of it: one more is let in.
-				r.Mu.Lock()
-				r.Conns[g] = struct{}{}
-				r.Mu.Unlock()
-				return
-			}
 		}
 	}
 }
 
-// place takes a newcomer in, or tells who has to go for it, or how long to wait at most until somebody may.
-func (r *Limiter) place(g *ClientConn) (victim *ClientConn, wait time.Duration) {
-	r.Mu.Lock()
-	defer r.Mu.Unlock()
-	if len(r.Conns) < r.limit {
-		r.Conns[g] = struct{}{}
-		return nil, 0
+// tryAdmit gives a new connection a slot, or returns the connection to close for it; nil: there is none yet.
+func (l *Limiter) tryAdmit(conn *ClientConn) (admitted bool, victim *ClientConn) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	if len(l.conns) < l.limit {
+		l.conns[conn] = struct{}{}
+		return true, nil
 	}
-	spared := map[*ClientConn]bool{} // their bytes are on the way to their handler
+	spared := map[*ClientConn]bool{} // bytes from their clients are on the way to a handler
 	for {
-		victim = r.longestSilent(spared)
+		victim = l.evictionCandidate(spared)
 		if victim == nil || victim.closeInput() {
-			return victim, evictAfterSilence
+			return false, victim
 		}
 		spared[victim] = true
 	}
 }
 
-// longestSilent is the first to make room, but for those that are spared; nil: nobody may.
-func (r *Limiter) longestSilent(spared map[*ClientConn]bool) (first *ClientConn) {
+// evictionCandidate is the first connection to evict, but for those that are spared; nil: there is none.
+func (l *Limiter) evictionCandidate(spared map[*ClientConn]bool) *ClientConn {
 	now := time.Now()
-	least, oldest := 0, time.Time{}
-	for g := range r.Conns {
-		if g.busy && g.endSentAt.IsZero() || spared[g] {
+	var first *ClientConn
+	var firstRank evictionRank
+	var firstSilentSince time.Time
+	for conn := range l.conns {
+		if conn.busy && conn.endSentAt.IsZero() || spared[conn] {
 			continue
 		}
-		order, last := g.evictionOrder(now)
-		if now.Sub(last) < evictAfterSilence {
+		rank, silentSince := conn.evictionRank(now)
+		if now.Sub(silentSince) < evictAfterSilence {
 			continue
 		}
-		if first == nil || order < least || order == least && last.Before(oldest) {
-			first, least, oldest = g, order, last
+		if first == nil || rank < firstRank || rank == firstRank && silentSince.Before(firstSilentSince) {
+			first, firstRank, firstSilentSince = conn, rank, silentSince
 		}
 	}
 	return first
 }
 
-// Who makes room, the first first. A newcomer that is closed loses its request; one between requests loses nothing.
+// evictionRank orders connections for eviction, the first to be closed first. A client that is closed out before its
+// request is read loses that request; one between two requests loses nothing.
+type evictionRank int
+
 const (
-	silent   = iota // has never said a word
-	idleLong        // kept, and without a request for long
-	halfSent        // stopped in the middle
-	idle            // kept
-	young           // may have begun, or be about to
+	evictSilent   evictionRank = iota // has never sent a byte, or was notified of its end
+	evictIdleLong                     // has been without a request for keepAliveAtLeast
+	evictPartial                      // stopped in the middle of a request
+	evictIdle                         // is between two requests
+	evictNew                          // is new, or started a request a moment ago
 )
 
+// String names the rank for logs and tests.
+func (r evictionRank) String() string {
+	switch r {
+	case evictSilent:
+		return "silent"
+	case evictIdleLong:
+		return "idle for long"
+	case evictPartial:
+		return "partial request"
+	case evictIdle:
+		return "idle"
+	case evictNew:
+		return "new"
+	default:
+		return "unknown"
+	}
+}
+
 // Limit is how many connections there may be.
-func (r *Limiter) Limit() int {
-	r.Mu.Lock()
-	defer r.Mu.Unlock()
-	return r.limit
+func (l *Limiter) Limit() int {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	return l.limit
+}
+
+// SetLimit changes the limit. Connections above it are not closed for that.
+func (l *Limiter) SetLimit(limit int) {
+	l.mu.Lock()
+	l.limit = limit
+	l.mu.Unlock()
+	l.wakeAdmit()
 }
 
-// SetLimit changes the bound; who is over it leaves in time.
-func (r *Limiter) SetLimit(most int) {
-	r.Mu.Lock()
-	r.limit = most
-	r.Mu.Unlock()
-	r.wakeAdmit()
+// Each calls a function with each open connection, under the limiter's lock.
+func (l *Limiter) Each(visit func(*ClientConn)) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	for conn := range l.conns {
+		visit(conn)
+	}
 }
 
-// Empty tells that the room is closed, nobody is in it and nobody on the way in.
-func (r *Limiter) Empty() bool {
-	r.Mu.Lock()
-	defer r.Mu.Unlock()
-	return r.acceptsEnded.Load() && len(r.Conns) == 0
+// Empty reports whether the limiter is closed, and no connection is open or about to be.
+func (l *Limiter) Empty() bool {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	return l.acceptsEnded.Load() && len(l.conns) == 0
 }
 
-// CloseIdle ends the connections on which nothing was sent since their last request, and reports whether a client
-// may yet need a new connection for a request that crosses such an end: not all who came before a time, and whose
-// answers may not have ended their connections, have been told. Each is told by half a close and goes with its
-// client: what crosses it is read and dropped, as a reset could take an answer with it that is not read yet.
-func (r *Limiter) CloseIdle(before time.Time) (more bool) {
-	var end []*ClientConn
+// CloseIdle ends the connections on which nothing was sent since their last request. It reports whether a client may yet
+// need a new connection for a request that crosses such an end: some connection that was open before the given time, and
+// whose answers may not have ended it, has not gone. Each is notified by a half-close and goes with its client: what
+// crosses that is read and discarded, as a reset could destroy an answer that the client has not read yet.
+func (l *Limiter) CloseIdle(before time.Time) (more bool) {
+	var ending []*ClientConn
 	now := time.Now()
-	r.Mu.Lock()
-	for g := range r.Conns {
-		_, begun := g.requestStarted()
+	l.mu.Lock()
+	for conn := range l.conns {
+		_, started := conn.requestStarted()
 		switch {
-		case !g.endSentAt.IsZero():
-			if more = true; now.Sub(g.endSentAt) >= CloseWindow {
-				end = append(end, g)
+		case !conn.endSentAt.IsZero():
+			if more = true; now.Sub(conn.endSentAt) >= CloseWindow {
+				ending = append(ending, conn)
 			}
-		case g.busy:
-			more = more || g.since.Before(before)
-		case begun: // its answer ends it
-		case !g.reused && now.Sub(g.since) < CloseWindow:
-			more = more || g.since.Before(before)
+		case conn.busy:
+			more = more || conn.since.Before(before)
+		case started: // its answer ends it
+		case !conn.reused && now.Sub(conn.since) < CloseWindow:
+			more = more || conn.since.Before(before)
 		default:
 			more = true
-			switch left, told := g.sendEnd(); {
-			case told:
-				g.endSentAt = now
-			case left:
-				end = append(end, g)
+			switch inputEnded, notified := conn.sendEnd(); {
+			case notified:
+				conn.endSentAt = now
+			case inputEnded:
+				ending = append(ending, conn)
 			}
 		}
 	}
-	r.Mu.Unlock()
-	for _, g := range end {
-		g.end()
+	l.mu.Unlock()
+	for _, conn := range ending {
+		conn.end()
 	}
 	return more
 }
 
-func (r *Limiter) wakeAdmit() {
+// RejectPartial ends the connections without a complete head. Those from which part of one has come get a 503, all are
+// notified by a half-close, and what still comes is read and discarded. CloseIdle closes them later.
+func (l *Limiter) RejectPartial() {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	for conn := range l.conns {
+		if !conn.busy && conn.endSentAt.IsZero() && conn.rejectPartial() {
+			conn.endSentAt = time.Now()
+		}
+	}
+}
+
+// wakeAdmit makes a connection that waits for a slot look again.
+func (l *Limiter) wakeAdmit() {
 	select {
-	case r.placeFreed <- struct{}{}:
+	case l.slotFreed <- struct{}{}:
 	default:
 	}
 }
 
-func (r *Limiter) Close() error {
-	r.close.Do(func() { close(r.closed) })
-	return r.Listener.Close()
+// Close closes the listener. Connections stay open, and one that waits for a slot gets it.
+func (l *Limiter) Close() error {
+	l.closeOnce.Do(func() { close(l.closed) })
+	return l.Listener.Close()
 }
--- a/internal/sidecar/clientserver/conn_limiter_shutdown_test.go
+++ b/internal/sidecar/clientserver/conn_limiter_shutdown_test.go
@@ -15,15 +15,16 @@
 	"marblelane/internal/sidecar/sidecartest"
 )
 
-// gate holds up whoever comes to it until the test lets it go on. One that is not held lets all pass.
+// gate holds a goroutine up until the test lets it go on. After that it lets all pass.
 type gate struct {
 	reached chan struct{}
-	passed  chan struct{}
+	passed  chan struct{} // closed by the test
 }
 
 func newGate() *gate { return &gate{reached: make(chan struct{}), passed: make(chan struct{})} }
 
-func (g *gate) come() {
+// pass tells the test, and waits until it closes passed.
+func (g *gate) pass() {
 	select {
 	case g.reached <- struct{}{}:
 		<-g.passed
@@ -31,212 +32,198 @@
 	}
 }
 
-// gatedConn comes to a gate whenever it has taken bytes from the system, before anybody is told of them.
+// gatedConn passes a gate whenever it has read bytes from the system, before it returns them.
 type gatedConn struct {
 	*net.TCPConn
-	taken *gate
+	read *gate
 }
 
 func (c gatedConn) Read(p []byte) (int, error) {
 	n, err := c.TCPConn.Read(p)
 	if n > 0 {
-		c.taken.come()
+		c.read.pass()
 	}
 	return n, err
 }
 
 func (c gatedConn) SyscallConn() (syscall.RawConn, error) {
 	raw, err := c.TCPConn.SyscallConn()
-	return gatedRaw{raw, c.taken}, err
+	return gatedRawConn{raw, c.read}, err
 }
 
-type gatedRaw struct {
+type gatedRawConn struct {
 	syscall.RawConn
-	taken *gate
+	read *gate
 }
 
-func (r gatedRaw) Read(f func(fd uintptr) bool) error {
+func (r gatedRawConn) Read(f func(fd uintptr) bool) error {
 	return r.RawConn.Read(func(fd uintptr) bool {
 		done := f(fd)
 		if done {
-			r.taken.come()
+			r.read.pass()
 		}
 		return done
 	})
 }
 
-// accepted is a client's connection and its clientConn in a room of so many places.
-func accepted(t *testing.T, places int) (*Limiter, net.Conn, *ClientConn) {
+// acceptOne is a limiter, a client that has connected to it, and its connection here.
+func acceptOne(t *testing.T, limit int) (*Limiter, net.Conn, *ClientConn) {
 	t.Helper()
-	l, err := net.Listen("tcp", sidecartest.Loopback)
+	listener, err := net.Listen("tcp", sidecartest.Loopback)
 	if err != nil {
 		t.Fatal(err)
 	}
-	r := NewLimiter(l, places)
-	t.Cleanup(func() { r.Close() })
-	c, err := net.Dial("tcp", l.Addr().String())
+	limiter := NewLimiter(listener, limit)
+	t.Cleanup(func() { limiter.Close() })
+	client, err := net.Dial("tcp", listener.Addr().String())
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { c.Close() })
-	c.SetDeadline(time.Now().Add(sidecartest.Patience))
-	g, err := r.Accept()
+	t.Cleanup(func() { client.Close() })
+	client.SetDeadline(time.Now().Add(sidecartest.Patience))
+	accepted, err := limiter.Accept()
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { g.Close() })
-	g.SetDeadline(time.Now().Add(sidecartest.Patience))
-	return r, c, g.(*ClientConn)
+	t.Cleanup(func() { accepted.Close() })
+	accepted.SetDeadline(time.Now().Add(sidecartest.Patience))
+	return limiter, client, accepted.(*ClientConn)
 }
 
-func (r *Limiter) isTold(g *ClientConn) bool {
-	r.Mu.Lock()
-	defer r.Mu.Unlock()
-	return !g.endSentAt.IsZero()
+// endSent reports whether the client of a connection was notified of its end.
+func (l *Limiter) endSent(conn *ClientConn) bool {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	return !conn.endSentAt.IsZero()
 }
 
-// A request that has been taken from the system counts, also where nobody has been told of it when idle connections
-// are ended.
-func TestShutdownAsARequestIsTaken(t *testing.T) {
-	r, c, g := accepted(t, 2)
-	g.RequestAnswered()
-	taken := newGate()
-	g.Conn = gatedConn{g.Conn.(*net.TCPConn), taken}
+// Bytes that were read from the system become a request, though they are not returned yet when idle connections are
+// closed.
+func TestCloseIdle_whileBytesAreRead(t *testing.T) {
+	limiter, client, conn := acceptOne(t, 2)
+	conn.RequestAnswered()
+	bytesRead := newGate()
+	conn.Conn = gatedConn{conn.Conn.(*net.TCPConn), bytesRead}
 	read := make(chan int, 1)
 	go func() {
-		n, _ := g.Read(make([]byte, 8))
+		n, _ := conn.Read(make([]byte, 8))
 		read <- n
 	}()
-	if _, err := c.Write(make([]byte, 8)); err != nil {
+	if _, err := client.Write(make([]byte, 8)); err != nil {
 		t.Fatal(err)
 	}
-	sidecartest.Receive(t, "the bytes to be taken", taken.reached)
-	r.CloseIdle(time.Now())
-	if r.isTold(g) {
-		t.Error("an end is told after a request was taken")
+	sidecartest.Receive(t, "the bytes to be read", bytesRead.reached)
+	limiter.CloseIdle(time.Now())
+	if limiter.endSent(conn) {
+		t.Error("the client is notified of an end after its request was read")
 	}
-	close(taken.passed)
+	close(bytesRead.passed)
 	if n := sidecartest.Receive(t, "the bytes", read); n != 8 {
-		t.Errorf("%d bytes of a request are passed on", n)
+		t.Errorf("%d bytes of a request are returned", n)
 	}
 }
 
-// tellingConn runs a function within the half close.
-type tellingConn struct {
+// closeWriteConn calls a function within the half-close.
+type closeWriteConn struct {
 	*net.TCPConn
-	telling func()
+	within func()
 }
 
-func (c tellingConn) CloseWrite() error {
-	c.telling()
+func (c closeWriteConn) CloseWrite() error {
+	c.within()
 	return c.TCPConn.CloseWrite()
 }
 
-// From the decision that a connection ends to the client's being told so nothing is taken from it.
-func TestShutdownTakesNothingWhileItTells(t *testing.T) {
-	r, _, g := accepted(t, 2)
-	g.RequestAnswered()
-	g.unprocessed = false // as when net/http reads again
-	told := false
-	g.Conn = tellingConn{g.Conn.(*net.TCPConn), func() {
-		told = true
-		if g.readLock.TryLock() {
-			g.readLock.Unlock()
-			t.Error("a request may be taken and dropped before its client is told")
+// From the decision that a connection ends until its client is notified nothing is read from it.
+func TestCloseIdle_readsNothingWhileNotifying(t *testing.T) {
+	limiter, _, conn := acceptOne(t, 2)
+	conn.RequestAnswered()
+	conn.unprocessed = false // as when net/http reads again
+	notified := false
+	conn.Conn = closeWriteConn{conn.Conn.(*net.TCPConn), func() {
+		notified = true
+		if conn.readLock.TryLock() {
+			conn.readLock.Unlock()
+			t.Error("a request may be read and discarded before its client is notified")
 		}
 	}}
-	r.CloseIdle(time.Now())
-	if !told {
-		t.Error("nobody was told")
+	limiter.CloseIdle(time.Now())
+	if !notified {
+		t.Error("the client was not notified")
 	}
 }
 
-// serveRoom serves a room through net/http, as the sidecar does.
-func serveRoom(t *testing.T, r *Limiter, hold func(net.Conn, http.ConnState), answer http.HandlerFunc) {
+// serveLimiter serves the connections of a limiter through net/http, as the sidecar does.
+func serveLimiter(t *testing.T, limiter *Limiter, stateChanged func(net.Conn, http.ConnState), handler http.HandlerFunc) {
 	t.Helper()
-	srv := FollowConnections(&http.Server{
-		Handler: answer, ConnContext: withConn, ReadHeaderTimeout: sidecartest.Patience,
-		ConnState: func(c net.Conn, state http.ConnState) {
+	server := FollowConnections(&http.Server{
+		Handler: handler, ConnContext: withConn, ReadHeaderTimeout: sidecartest.Patience,
+		ConnState: func(conn net.Conn, state http.ConnState) {
 			if state == http.StateIdle {
-				c.(*framing.HeadConn).NextRequest()
+				conn.(*framing.HeadConn).NextRequest()
 			}
-			hold(c, state)
+			stateChanged(conn, state)
 		},
 	})
 	ended := make(chan error, 1)
-	go func() { ended <- srv.Serve(HeadListener{r}) }()
+	go func() { ended <- server.Serve(HeadListener{limiter}) }()
 	t.Cleanup(func() {
-		srv.Close()
+		server.Close()
 		<-ended
 	})
 }
 
-func openRoom(t *testing.T) (*Limiter, net.Conn) {
+// newLimiterOfOne is a limiter for one connection, and a client that has connected to it.
+func newLimiterOfOne(t *testing.T) (*Limiter, net.Conn) {
 	t.Helper()
-	l, err := net.Listen("tcp", sidecartest.Loopback)
+	listener, err := net.Listen("tcp", sidecartest.Loopback)
 	if err != nil {
 		t.Fatal(err)
 	}
-	c, err := net.Dial("tcp", l.Addr().String())
+	client, err := net.Dial("tcp", listener.Addr().String())
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { c.Close() })
-	c.SetDeadline(time.Now().Add(sidecartest.Patience))
-	return NewLimiter(l, 1), c
+	t.Cleanup(func() { client.Close() })
+	client.SetDeadline(time.Now().Add(sidecartest.Patience))
+	return NewLimiter(listener, 1), client
 }
 
-const plain = "GET /%s HTTP/1.1\r\nHost: a\r\n\r\n"
+// plainRequest has the place of the path.
+const plainRequest = "GET /%s HTTP/1.1\r\nHost: a\r\n\r\n"
 
-// A request that came together with the one before is at work or waits in net/http's buffer between the two: its
-// connection is not idle, and makes no room either.
-func TestShutdownBetweenPipelinedRequests(t *testing.T) {
-	whole := fmt.Sprintf(plain, "b")
-	for _, second := range []string{whole, whole[:len(whole)/2]} {
-		r, c := openRoom(t)
+// A request that came together with the one before is at work, or waits in net/http's buffer between the two: its
+// connection is not idle, and is not evicted.
+func TestCloseIdle_betweenPipelinedRequests(t *testing.T) {
+	complete := fmt.Sprintf(plainRequest, "b")
+	for _, second := range []string{complete, complete[:len(complete)/2]} {
+		limiter, client := newLimiterOfOne(t)
 		between := newGate()
 		first := true
-		serveRoom(t, r, func(_ net.Conn, state http.ConnState) {
+		serveLimiter(t, limiter, func(_ net.Conn, state http.ConnState) {
 			if state == http.StateIdle && first {
 				first = false
-				between.come()
+				between.pass()
 			}
 		}, func(w http.ResponseWriter, r *http.Request) { io.WriteString(w, r.URL.Path) })
-		if _, err := io.WriteString(c, fmt.Sprintf(plain, "a")+second); err != nil {
+		if _, err := io.WriteString(client, fmt.Sprintf(plainRequest, "a")+second); err != nil {
 			t.Fatal(err)
 		}
 		sidecartest.Receive(t, "the first request's end", between.reached)
-		r.CloseIdle(time.Now())
-		r.Mu.Lock()
-		for g := range r.Conns {
-			g.since = time.Now().Add(-time.Hour)
+		limiter.CloseIdle(time.Now())
+		limiter.Each(func(conn *ClientConn) { conn.since = time.Now().Add(-time.Hour) })
+		if _, victim := limiter.tryAdmit(&ClientConn{}); victim != nil {
+			t.Error("it is evicted")
 		}
-		r.Mu.Unlock()
-		if victim, _ := r.place(&ClientConn{}); victim != nil {
-			t.Error("it makes room")
-		}
-		r.Mu.Lock()
-		for g := range r.Conns {
-			g.since = time.Now()
-		}
-		r.Mu.Unlock()
+		limiter.Each(func(conn *ClientConn) { conn.since = time.Now() })
 		close(between.passed)
-		in := bufio.NewReader(c)
+		in := bufio.NewReader(client)
 		for _, want := range []string{"/a", "/b"} {
-			if want == "/b" && second != whole {
-				// Half of it waits for the rest, and is no idle connection either.
-				sidecartest.Until(t, "half a request", func() bool {
-					r.Mu.Lock()
-					defer r.Mu.Unlock()
-					for g := range r.Conns {
-						if _, begun := g.requestStarted(); begun {
-							return true
-						}
-					}
-					return false
-				})
-				r.CloseIdle(time.Now())
-				if _, err := io.WriteString(c, whole[len(second):]); err != nil {
+			if want == "/b" && second != complete {
+				// Half of it waits for the other half, and its connection is not idle either.
+				sidecartest.Until(t, "half a request", limiter.requestStarted)
+				limiter.CloseIdle(time.Now())
+				if _, err := io.WriteString(client, complete[len(second):]); err != nil {
 					t.Fatal(err)
 				}
 			}
@@ -251,112 +238,116 @@
 	}
 }
 
-// readsListener tells of each wait for bytes that begins on its connections.
-type readsListener struct {
+// requestStarted reports whether some connection has part of a request.
+func (l *Limiter) requestStarted() (started bool) {
+	l.Each(func(conn *ClientConn) {
+		_, has := conn.requestStarted()
+		started = started || has
+	})
+	return started
+}
+
+// signalListener signals each wait for bytes that starts on its connections.
+type signalListener struct {
 	net.Listener
 	reads chan struct{}
 }
 
-func (l readsListener) Accept() (net.Conn, error) {
-	c, err := l.Listener.Accept()
+func (l signalListener) Accept() (net.Conn, error) {
+	conn, err := l.Listener.Accept()
 	if err != nil {
 		return nil, err
 	}
-	return readsConn{c.(*net.TCPConn), l.reads}, nil
+	return signalConn{conn.(*net.TCPConn), l.reads}, nil
 }
 
-type readsConn struct {
+type signalConn struct {
 	*net.TCPConn
 	reads chan struct{}
 }
 
-func (c readsConn) SyscallConn() (syscall.RawConn, error) {
+func (c signalConn) SyscallConn() (syscall.RawConn, error) {
 	raw, err := c.TCPConn.SyscallConn()
-	return readsRaw{raw, c.reads}, err
+	return signalRawConn{raw, c.reads}, err
 }
 
-type readsRaw struct {
+type signalRawConn struct {
 	syscall.RawConn
 	reads chan struct{}
 }
 
-func (r readsRaw) Read(f func(fd uintptr) bool) error {
+func (r signalRawConn) Read(f func(fd uintptr) bool) error {
 	r.reads <- struct{}{}
 	return r.RawConn.Read(f)
 }
 
-// Who has sent a whole request that net/http has read makes no room, though its handler has not run for long and
-// net/http waits for what comes behind it.
-func TestNoRoomIsMadeByAReadRequest(t *testing.T) {
-	r, c := openRoom(t)
+// A connection with a complete request that net/http has read is not evicted, though its handler has not run for long and
+// net/http waits for what comes behind the request.
+func TestLimiter_readRequestStays(t *testing.T) {
+	limiter, client := newLimiterOfOne(t)
 	reads := make(chan struct{}, 10)
-	r.Listener = readsListener{r.Listener, reads}
+	limiter.Listener = signalListener{limiter.Listener, reads}
 	handled := newGate()
-	serveRoom(t, r, func(net.Conn, http.ConnState) {}, func(w http.ResponseWriter, r *http.Request) {
-		handled.come() // before it says that it is at work
+	serveLimiter(t, limiter, func(net.Conn, http.ConnState) {}, func(w http.ResponseWriter, r *http.Request) {
+		handled.pass() // before the server's handler would call RequestRead
 		io.WriteString(w, r.URL.Path)
 	})
 	sidecartest.Receive(t, "the wait for a head", reads)
-	if _, err := fmt.Fprintf(c, plain, "a"); err != nil {
+	if _, err := fmt.Fprintf(client, plainRequest, "a"); err != nil {
 		t.Fatal(err)
 	}
 	sidecartest.Receive(t, "the handler", handled.reached)
 	sidecartest.Receive(t, "the wait for what comes behind", reads)
-	r.Mu.Lock()
-	for g := range r.Conns {
-		g.since = time.Now().Add(-time.Hour)
-		g.LastRead.Store(int64(time.Since(epoch) - time.Minute))
-	}
-	r.Mu.Unlock()
-	if victim, _ := r.place(&ClientConn{}); victim != nil {
-		t.Error("it makes room")
+	limiter.Each(func(conn *ClientConn) {
+		conn.since = time.Now().Add(-time.Hour)
+		conn.lastRead.Store(int64(time.Since(epoch) - time.Minute))
+	})
+	if _, victim := limiter.tryAdmit(&ClientConn{}); victim != nil {
+		t.Error("it is evicted")
 	}
 	close(handled.passed)
-	resp, err := http.ReadResponse(bufio.NewReader(c), nil)
+	resp, err := http.ReadResponse(bufio.NewReader(client), nil)
 	if err != nil {
 		t.Fatal(err)
 	}
 	resp.Body.Close()
 }
 
-// unreadBytes tells whether bytes of a client wait in the system.
-func (r *Limiter) unreadBytes() bool {
-	r.Mu.Lock()
-	defer r.Mu.Unlock()
-	for g := range r.Conns {
-		if _, unread := netcall.Peek(g.Conn); unread {
-			return true
-		}
-	}
-	return false
+// unreadBytes reports whether bytes of a client wait in the system.
+func (l *Limiter) unreadBytes() (some bool) {
+	l.Each(func(conn *ClientConn) {
+		_, unread := netcall.Peek(conn.Conn)
+		some = some || unread
+	})
+	return some
 }
 
 // The last answer on a connection reaches a client that has sent more than was read, and so does the connection's end.
-func TestShutdownOverUnreadBytes(t *testing.T) {
-	for name, text := range map[string]string{
-		"asked to close": "GET /a HTTP/1.1\r\nHost: a\r\nConnection: close\r\n\r\n",
-		"told to close":  "GET /last HTTP/1.1\r\nHost: a\r\n\r\n",
+func TestClose_overUnreadBytes(t *testing.T) {
+	for name, request := range map[string]string{
+		"client asks to close":  "GET /a HTTP/1.1\r\nHost: a\r\nConnection: close\r\n\r\n",
+		"handler asks to close": "GET /last HTTP/1.1\r\nHost: a\r\n\r\n",
 	} {
 		t.Run(name, func(t *testing.T) {
-			r, c := openRoom(t)
+			limiter, client := newLimiterOfOne(t)
 			handled := newGate()
-			serveRoom(t, r, func(net.Conn, http.ConnState) {}, func(w http.ResponseWriter, r *http.Request) {
-				handled.come()
+			serveLimiter(t, limiter, func(net.Conn, http.ConnState) {}, func(w http.ResponseWriter, r *http.Request) {
+				handled.pass()
 				if r.URL.Path == "/last" {
 					w.Header().Set("Connection", "close")
 				}
 				io.WriteString(w, r.URL.Path)
 			})
-			if _, err := io.WriteString(c, text); err != nil {
+			if _, err := io.WriteString(client, request); err != nil {
 				t.Fatal(err)
 			}
 			sidecartest.Receive(t, "the handler", handled.reached)
-			if _, err := c.Write(make([]byte, 100_000)); err != nil {
+			if _, err := client.Write(make([]byte, 100_000)); err != nil {
 				t.Fatal(err)
 			}
-			sidecartest.Until(t, "unread bytes", r.unreadBytes)
+			sidecartest.Until(t, "unread bytes", limiter.unreadBytes)
 			close(handled.passed)
-			in := bufio.NewReader(c)
+			in := bufio.NewReader(client)
 			resp, err := http.ReadResponse(in, nil)
 			if err != nil {
 				t.Fatal(err)
@@ -364,14 +355,13 @@
 			if _, err := io.ReadAll(resp.Body); err != nil || !resp.Close {
 				t.Errorf("close: %v, %v", resp.Close, err)
 			}
-			if rest, err := io.ReadAll(in); err != nil || len(rest) > 0 {
-				t.Errorf("not just the connection's end but %q, %v", rest, err)
+			if behind, err := io.ReadAll(in); err != nil || len(behind) > 0 {
+				t.Errorf("not just the connection's end but %q, %v", behind, err)
 			}
-			// It still makes room, and does not stay for ever.
-			sidecartest.Until(t, "its place", func() bool {
-				r.Mu.Lock()
-				defer r.Mu.Unlock()
-				return len(r.Conns) == 0
+			sidecartest.Until(t, "its slot to be freed", func() bool {
+				limiter.mu.Lock()
+				defer limiter.mu.Unlock()
+				return len(limiter.conns) == 0
 			})
 		})
 	}
--- a/internal/sidecar/clientserver/conn_limiter_test.go
+++ b/internal/sidecar/clientserver/conn_limiter_test.go
@@ -10,154 +10,167 @@
 	"marblelane/internal/sidecar/sidecartest"
 )
 
-// Who makes room, and in which order: nobody with a request, nobody who only just came.
-func TestWhoMakesRoom(t *testing.T) {
+// Connections are evicted by rank, and within a rank by their silence. None with a request at work is, and none that is
+// just accepted.
+func TestLimiter_evictionOrder(t *testing.T) {
 	now := time.Now()
 	ago := func(d time.Duration) time.Time { return now.Add(-d) }
-	heard := func(g *ClientConn, at time.Time) *ClientConn {
-		g.LastRead.Store(int64(at.Sub(epoch)))
-		return g
+	lastRead := func(conn *ClientConn, at time.Time) *ClientConn {
+		conn.lastRead.Store(int64(at.Sub(epoch)))
+		return conn
 	}
 	named := map[string]*ClientConn{
 		"silent":       {since: ago(2 * time.Second)},
 		"silent later": {since: ago(3 * time.Second / 2)},
-		"newcomer":     {since: ago(time.Second / 2)},
-		"slow head":    heard(&ClientConn{since: ago(time.Second / 4)}, ago(time.Second/5)),
+		"new":          {since: ago(time.Second / 2)},
+		"slow head":    lastRead(&ClientConn{since: ago(time.Second / 4)}, ago(time.Second/5)),
 		"idle long":    {since: ago(3 * time.Second), reused: true},
-		"half":         heard(&ClientConn{since: ago(3 * time.Second)}, ago(2*time.Second)),
-		"half, later":  heard(&ClientConn{since: ago(2 * time.Second)}, ago(time.Second)),
+		"half":         lastRead(&ClientConn{since: ago(3 * time.Second)}, ago(2*time.Second)),
+		"half, later":  lastRead(&ClientConn{since: ago(2 * time.Second)}, ago(time.Second)),
 		"idle":         {since: ago(time.Second), reused: true},
-		"at work":      {since: ago(time.Hour), busy: true},
-		"new":          {since: now.Add(time.Hour)},
+		"busy":         {since: ago(time.Hour), busy: true},
+		"just now":     {since: now.Add(time.Hour)},
 	}
-	r := NewLimiter(nil, len(named))
-	for _, g := range named {
-		r.Conns[g] = struct{}{}
+	limiter := NewLimiter(nil, len(named))
+	for _, conn := range named {
+		limiter.conns[conn] = struct{}{}
 	}
-	for _, want := range []string{"silent", "silent later", "idle long", "half", "half, later", "idle", "newcomer", "slow head"} {
-		victim, _ := r.place(&ClientConn{})
+	for _, want := range []string{"silent", "silent later", "idle long", "half", "half, later", "idle", "new", "slow head"} {
+		_, victim := limiter.tryAdmit(&ClientConn{})
 		if victim == nil || victim != named[want] {
-			t.Fatalf("not %q but %+v goes next", want, victim)
+			t.Fatalf("not %q but %+v is evicted next", want, victim)
 		}
-		delete(r.Conns, victim)
-		r.limit--
+		delete(limiter.conns, victim)
+		limiter.limit--
 	}
-	if victim, wait := r.place(&ClientConn{}); victim != nil || wait == 0 {
-		t.Errorf("%+v has to go", victim)
+	if admitted, victim := limiter.tryAdmit(&ClientConn{}); victim != nil || admitted {
+		t.Errorf("%+v is evicted, or a connection above the limit is admitted: %v", victim, admitted)
 	}
 }
 
-func TestRoomIsLeftAndClosed(t *testing.T) {
-	l, err := net.Listen("tcp", sidecartest.Loopback)
+func TestEvictionRank_String(t *testing.T) {
+	seen := map[string]bool{}
+	for rank := evictSilent; rank <= evictNew; rank++ {
+		if name := rank.String(); name == "unknown" || seen[name] {
+			t.Errorf("rank %d is %q", int(rank), name)
+		} else {
+			seen[name] = true
+		}
+	}
+}
+
+// A freed slot goes to a connection that waits for one. At Close a waiting connection is admitted; none comes after it.
+func TestLimiter_slotFreedAndClose(t *testing.T) {
+	listener, err := net.Listen("tcp", sidecartest.Loopback)
 	if err != nil {
 		t.Fatal(err)
 	}
-	r := NewLimiter(l, 1)
+	limiter := NewLimiter(listener, 1)
 	for range 2 {
-		c, err := net.Dial("tcp", l.Addr().String())
+		client, err := net.Dial("tcp", listener.Addr().String())
 		if err != nil {
 			t.Fatal(err)
 		}
-		defer c.Close()
+		defer client.Close()
 	}
-	first, err := r.Accept()
+	first, err := limiter.Accept()
 	if err != nil {
 		t.Fatal(err)
 	}
 	first.(*ClientConn).RequestRead()
-	came := make(chan error, 2)
+	admitted := make(chan error, 2)
 	go func() {
-		c, err := r.Accept()
+		conn, err := limiter.Accept()
 		if err == nil {
-			c.(*ClientConn).RequestRead()
+			conn.(*ClientConn).RequestRead()
 		}
-		came <- err
+		admitted <- err
 	}()
 	first.Close()
-	if err := sidecartest.Receive(t, "the second", came); err != nil {
+	if err := sidecartest.Receive(t, "the second connection", admitted); err != nil {
 		t.Error(err)
 	}
-	// Who had come before the end and waits for a place is let in; nobody comes after it.
 	go func() {
-		r.admit(&ClientConn{since: time.Now(), busy: true})
-		came <- nil
+		limiter.admit(&ClientConn{since: time.Now(), busy: true})
+		admitted <- nil
 	}()
-	r.Close()
-	if err := sidecartest.Receive(t, "the end", came); err != nil || len(r.Conns) != 2 {
-		t.Errorf("%d in the room after the end, %v", len(r.Conns), err)
+	limiter.Close()
+	if err := sidecartest.Receive(t, "the waiting connection", admitted); err != nil || len(limiter.conns) != 2 {
+		t.Errorf("%d connections after Close, %v", len(limiter.conns), err)
 	}
-	if _, err := r.Accept(); err == nil {
-		t.Error("a connection was taken after the end")
+	if _, err := limiter.Accept(); err == nil {
+		t.Error("a connection was accepted after Close")
 	}
 }
 
-// An end between requests is told by half a close: nothing that comes after it counts, what came before it does.
-func TestEndsBetweenRequests(t *testing.T) {
-	l, err := net.Listen("tcp", sidecartest.Loopback)
+// CloseIdle notifies idle clients by a half-close: what they send after it is discarded, what they sent before it is
+// read.
+func TestLimiter_CloseIdle(t *testing.T) {
+	listener, err := net.Listen("tcp", sidecartest.Loopback)
 	if err != nil {
 		t.Fatal(err)
 	}
-	r := NewLimiter(l, 3)
-	t.Cleanup(func() { r.Close() })
+	limiter := NewLimiter(listener, 3)
+	t.Cleanup(func() { limiter.Close() })
 	pair := func() (net.Conn, *ClientConn) {
-		c, err := net.Dial("tcp", l.Addr().String())
+		client, err := net.Dial("tcp", listener.Addr().String())
 		if err != nil {
 			t.Fatal(err)
 		}
-		t.Cleanup(func() { c.Close() })
-		c.SetDeadline(time.Now().Add(sidecartest.Patience))
-		g, err := r.Accept()
+		t.Cleanup(func() { client.Close() })
+		client.SetDeadline(time.Now().Add(sidecartest.Patience))
+		accepted, err := limiter.Accept()
 		if err != nil {
 			t.Fatal(err)
 		}
-		g.SetDeadline(time.Now().Add(sidecartest.Patience))
-		g.(*ClientConn).RequestAnswered()
-		return c, g.(*ClientConn)
+		accepted.SetDeadline(time.Now().Add(sidecartest.Patience))
+		accepted.(*ClientConn).RequestAnswered()
+		return client, accepted.(*ClientConn)
 	}
 	buf := make([]byte, 8)
-	idle, deafened := pair()
-	sent, unread := pair()
-	if _, err := sent.Write(buf); err != nil {
+	idleClient, idle := pair()
+	sendingClient, unread := pair()
+	if _, err := sendingClient.Write(buf); err != nil {
 		t.Fatal(err)
 	}
-	sidecartest.Until(t, "its bytes", func() bool { _, some := netcall.Peek(unread.Conn); return some })
+	sidecartest.Until(t, "the bytes of the sending client", func() bool { _, some := netcall.Peek(unread.Conn); return some })
 	read := make(chan int, 1)
 	go func() {
-		n, _ := deafened.Read(make([]byte, 8))
+		n, _ := idle.Read(make([]byte, 8))
 		read <- n
 	}()
-	sidecartest.Until(t, "a reader, as an idle connection has", deafened.isRead)
-	if !r.CloseIdle(time.Now()) {
-		t.Error("nobody's request may cross an end")
+	sidecartest.Until(t, "a reader, as an idle connection has", idle.isRead)
+	if !limiter.CloseIdle(time.Now()) {
+		t.Error("no request is said to be able to cross an end")
 	}
-	if n, err := idle.Read(buf); n != 0 || err != io.EOF {
+	if n, err := idleClient.Read(buf); n != 0 || err != io.EOF {
 		t.Errorf("an idle client reads %d, %v", n, err)
 	}
-	if _, err := idle.Write(buf); err != nil {
+	if _, err := idleClient.Write(buf); err != nil {
 		t.Fatal(err)
 	}
-	// A reader may have taken bytes just before it is looked whether there are any.
+	// A reader may have read bytes just before the limiter checks whether there are any.
 	if n, err := unread.Read(buf); n == 0 || err != nil {
 		t.Errorf("what came before is read as %d, %v", n, err)
 	}
-	if left, told := unread.sendEnd(); left || told {
-		t.Error("who has been heard is told its end")
+	if inputEnded, notified := unread.sendEnd(); inputEnded || notified {
+		t.Error("a client that has sent part of a request is notified of its end")
 	}
 	if unread.closeInput() {
-		t.Error("who has been heard makes room, though nothing has become of what it sent")
+		t.Error("a connection is evicted, though nothing has become of what its client sent")
 	}
-	sidecartest.Until(t, "those that do not go to be closed", func() bool {
-		r.CloseIdle(time.Now())
-		return len(r.Conns) == 1
+	sidecartest.Until(t, "the connections that do not go to be closed", func() bool {
+		limiter.CloseIdle(time.Now())
+		return len(limiter.conns) == 1
 	})
 	if n := sidecartest.Receive(t, "the end", read); n != 0 {
 		t.Errorf("%d bytes came after the end", n)
 	}
 }
 
-// isRead tells that whoever serves the connection has nothing of it left and waits for more.
-func (g *ClientConn) isRead() bool {
-	g.readLock.Lock()
-	defer g.readLock.Unlock()
-	return !g.unprocessed
+// isRead reports whether the reader of the connection has used up its bytes and waits for more.
+func (c *ClientConn) isRead() bool {
+	c.readLock.Lock()
+	defer c.readLock.Unlock()
+	return !c.unprocessed
 }
--- /dev/null
+++ b/internal/sidecar/clientserver/drain_test.go
@@ -0,0 +1,68 @@
+package clientserver
+
+import (
+	"bufio"
+	"io"
+	"net"
+	"net/http"
+	"testing"
+	"time"
+
+	"marblelane/internal/sidecar/sidecartest"
+)
+
+// A drain between two requests that were sent at once does not take the connection for an idle one: the second has been
+// read, and is answered.
+func TestDrain_betweenPipelinedRequests(t *testing.T) {
+	listener, err := net.Listen("tcp", sidecartest.Loopback)
+	if err != nil {
+		t.Fatal(err)
+	}
+	limiter := NewLimiter(listener, 3)
+	served := 0
+	s := New(Options{ReadTimeout: sidecartest.Patience, WriteTimeout: sidecartest.Patience})
+	httpServer := s.HTTPServer()
+	httpServer.Handler = http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+		if conn := headConn(r); conn != nil {
+			conn.RequestRead()
+		}
+		served++
+		io.WriteString(w, "done")
+	})
+	connState := httpServer.ConnState
+	httpServer.ConnState = func(conn net.Conn, state http.ConnState) {
+		connState(conn, state)
+		if state == http.StateIdle && served == 1 { // the first is answered, the second is not parsed yet
+			limiter.CloseIdle(time.Now())
+		}
+	}
+	ended := make(chan error, 1)
+	go func() { ended <- httpServer.Serve(HeadListener{limiter}) }()
+	t.Cleanup(func() { httpServer.Close(); <-ended })
+	c, err := net.Dial("tcp", listener.Addr().String())
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() { c.Close() })
+	c.SetDeadline(time.Now().Add(sidecartest.Patience))
+	if _, err := io.WriteString(c, sidecartest.WireRequest("1", "", "")+sidecartest.WireRequest("2", "", "")); err != nil {
+		t.Fatal(err)
+	}
+	in := bufio.NewReader(c)
+	for i := range 2 {
+		resp, err := http.ReadResponse(in, nil)
+		if err != nil || resp.StatusCode != 200 {
+			t.Fatalf("answer %d: %+v, %v", i+1, resp, err)
+		}
+		io.Copy(io.Discard, resp.Body)
+	}
+	sidecartest.Until(t, "the connection to be idle, and the client notified of its end", func() bool {
+		limiter.CloseIdle(time.Now())
+		allNotified := true
+		limiter.Each(func(conn *ClientConn) { allNotified = allNotified && !conn.endSentAt.IsZero() })
+		return allNotified
+	})
+	if _, err := in.ReadByte(); err != io.EOF {
+		t.Errorf("after the last answer: %v, want the end", err)
+	}
+}
--- a/internal/sidecar/clientserver/events.go
+++ b/internal/sidecar/clientserver/events.go
@@ -4,10 +4,9 @@
 	"marblelane/internal/sidecar/inflight"
 )
 
-// This file has what clients' connections tell the event loop.
-
-// Arrival is a new request.
+// Arrival tells the event loop of a new request.
 type Arrival struct{ Call *inflight.Call }
 
-// ClientGone tells that the client is gone, or its answer was overdue.
+// ClientGone tells the event loop that a request needs no answer any more: its client has gone, its body could not be
+// received, or its answer was overdue.
 type ClientGone struct{ Call *inflight.Call }
--- a/internal/sidecar/clientserver/framing.go
+++ b/internal/sidecar/clientserver/framing.go
@@ -11,75 +11,83 @@
 	"marblelane/internal/sidecar/netcall"
 )
 
+// errFraming goes to clients.
 var errFraming = errors.New("Transfer-Encoding beside Content-Length, or in a request whose head was not seen")
 
 // HeadListener makes connections keep the head of the request that is being read.
 type HeadListener struct{ net.Listener }
 
+// Accept waits for the next connection.
 func (l HeadListener) Accept() (net.Conn, error) {
-	c, err := l.Listener.Accept()
+	conn, err := l.Listener.Accept()
 	if err != nil {
 		return nil, err
 	}
-	late := false
-	if g, ok := c.(*ClientConn); ok {
-		netcall.SystemConnStates.Learn(g.Conn)
-		late = g.limiter.acceptsFailed() && netcall.SinceLastData(g.Conn) >= netcall.LateAccept
+	acceptedLate := false
+	if client, ok := conn.(*ClientConn); ok {
+		netcall.SystemConnStates.Learn(client.Conn)
+		acceptedLate = client.limiter.acceptsFailed() && netcall.SinceLastData(client.Conn) >= netcall.LateAccept
 	}
-	return framing.NewClientHeadConn(c, late), nil
+	return framing.NewClientHeadConn(conn, acceptedLate), nil
+}
+
+type connKey struct{}
+
+// withConn lets handlers find their connection.
+func withConn(ctx context.Context, conn net.Conn) context.Context {
+	return context.WithValue(ctx, connKey{}, conn)
+}
+
+// headConn is the connection of a request; nil: it did not come through a HeadListener.
+func headConn(r *http.Request) *framing.HeadConn {
+	conn, _ := r.Context().Value(connKey{}).(*framing.HeadConn)
+	return conn
 }
 
 // receivedAt is when the last byte of a request came that has just been read.
 func receivedAt(r *http.Request) time.Time {
-	if c, ok := r.Context().Value(connKey{}).(*framing.HeadConn); ok {
-		return c.ReceivedAt()
+	if conn := headConn(r); conn != nil {
+		return conn.ReceivedAt()
 	}
 	return time.Now()
 }
 
-type connKey struct{}
-
-// withConn lets handlers find their connection.
-func withConn(ctx context.Context, c net.Conn) context.Context {
-	return context.WithValue(ctx, connKey{}, c)
-}
-
-// checkFraming refuses a request whose end two headers tell (RFC 9112, 6.3). HTTP/1.0 knows no chunks, and
-// net/http reads such a request by its Content-Length alone.
+// checkFraming fails for a request whose length two headers give (RFC 9112, 6.3). HTTP/1.0 has no chunks, and net/http
+// reads such a request by its Content-Length alone.
 func checkFraming(r *http.Request) error {
 	if len(r.TransferEncoding) == 0 && r.ProtoAtLeast(1, 1) {
 		return nil
 	}
-	c, ok := r.Context().Value(connKey{}).(*framing.HeadConn)
-	if !ok {
+	conn := headConn(r)
+	if conn == nil {
 		return errFraming
 	}
-	switch chunked, length, err := c.LengthHeaders(); {
+	switch chunked, length, err := conn.LengthHeaders(); {
 	case err != nil, chunked != (len(r.TransferEncoding) > 0), chunked && length:
 		return errFraming
 	}
 	return nil
 }
 
-// FollowConnections lets the room know what net/http does with its connections. A request is at work once its head has been
-// read: from then on net/http reads ahead, and its handler may not have run yet.
-func FollowConnections(srv *http.Server) *http.Server {
-	changed, handler := srv.ConnState, srv.Handler
-	srv.ConnState = func(c net.Conn, state http.ConnState) {
-		if c, ok := c.(*framing.HeadConn); ok && state == http.StateActive {
-			c.RequestRead()
+// FollowConnections lets a Limiter know what net/http does with its connections. A request is at work once its head has
+// been read: from then on net/http reads ahead, and the handler may not have run yet.
+func FollowConnections(server *http.Server) *http.Server {
+	connState, handler := server.ConnState, server.Handler
+	server.ConnState = func(conn net.Conn, state http.ConnState) {
+		if conn, ok := conn.(*framing.HeadConn); ok && state == http.StateActive {
+			conn.RequestRead()
 		}
-		changed(c, state)
+		connState(conn, state)
 	}
-	srv.Handler = http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		whole := false
+	server.Handler = http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+		answered := false
 		defer func() {
-			if c, ok := r.Context().Value(connKey{}).(*framing.HeadConn); ok && !whole {
-				c.Conn.(*ClientConn).cutOff()
+			if conn := headConn(r); conn != nil && !answered { // the handler has panicked
+				conn.Conn.(*ClientConn).cutOff()
 			}
 		}()
 		handler.ServeHTTP(w, r)
-		whole = true
+		answered = true
 	})
-	return srv
+	return server
 }
--- a/internal/sidecar/clientserver/pending_call.go
+++ b/internal/sidecar/clientserver/pending_call.go
@@ -1,7 +1,6 @@
 package clientserver
 
 import (
-	"cmp"
 	"io"
 	"log/slog"
 	"net/http"
@@ -91,7 +90,7 @@
 	p := s.newPendingCall(w, r, call)
 	defer p.release()
 	p.receiveBody(body)
-	s.Checkpoints.At(checkpoint.RequestRead)
+	s.options.Checkpoints.At(checkpoint.RequestRead)
 	p.submit()
 	for p.state == callPending {
 		p.awaitEvent()
@@ -99,7 +98,7 @@
 	if p.state == callClientGone {
 		p.failForClientGone()
 	}
-	s.Checkpoints.At(checkpoint.AnswerDecided)
+	s.options.Checkpoints.At(checkpoint.AnswerDecided)
 	p.awaitAttemptWriter()
 	s.limitWrite(w)
 	p.receiveUploadFailure()
@@ -110,7 +109,7 @@
 	return &pendingCall{
 		server: s, writer: w, request: r, control: http.NewResponseController(w), call: call,
 		overdue: time.NewTimer(unarmed),
-		watch:   newClientWatch(s.watchClient(r, call), cmp.Or(s.ClientPoll, clientPoll)),
+		watch:   newClientWatch(s.watchClient(r, call), s.options.ClientPoll),
 	}
 }
 
@@ -124,7 +123,7 @@
 	}
 	p.watch.stop()
 	if p.counted {
-		p.server.Metrics.InFlight.Add(-1)
+		p.server.options.Metrics.InFlight.Add(-1)
 	}
 	p.overdue.Stop()
 }
@@ -144,15 +143,15 @@
 
 // bodyReceived starts the client's time: the last byte of the request came at the given time.
 func (p *pendingCall) bodyReceived(at time.Time) {
-	p.overdue.Reset(time.Until(at.Add(p.call.Timeout)) + clock.Duration(p.server.Config.Balance.AnswerSlack) + overdueWait)
+	p.overdue.Reset(time.Until(at.Add(p.call.Timeout)) + clock.Duration(p.server.options.Config.Balance.AnswerSlack) + overdueWait)
 	p.counted = true
-	p.server.Metrics.InFlight.Add(1)
+	p.server.options.Metrics.InFlight.Add(1)
 }
 
 // submit gives the request to the event loop.
 func (p *pendingCall) submit() {
 	p.state = callPending
-	p.server.Post(Arrival{p.call})
+	p.server.options.Post(Arrival{p.call})
 }
 
 // awaitEvent waits for the next thing that happens to a pending request, and takes it in.
@@ -164,10 +163,10 @@
 		p.takeUploadEnd(err)
 	case <-p.request.Context().Done():
 		p.conclude(callClientGone, inflight.Answer{})
-	case <-p.watch.ahead:
-		p.watch.again()
-	case <-p.watch.look:
-		if p.watch.gone(p.call) {
+	case <-p.watch.received:
+		p.watch.schedule()
+	case <-p.watch.due:
+		if p.watch.clientGone(p.call) {
 			p.conclude(callClientGone, inflight.Answer{})
 		}
 	case <-p.overdue.C:
@@ -206,7 +205,7 @@
 		p.takeAnswer(<-p.call.Answers)
 		return false
 	}
-	p.server.Post(ClientGone{p.call})
+	p.server.options.Post(ClientGone{p.call})
 	p.state, p.answer = state, answer
 	return true
 }
@@ -241,21 +240,21 @@
 // respond writes the answer.
 func (p *pendingCall) respond() {
 	if p.uploadErr != nil {
-		reject(p.writer, p.uploadErr, badStatus(p.uploadErr))
+		writeError(p.writer, p.uploadErr, errorStatus(p.uploadErr))
 		return
 	}
 	bodyComing := p.uploadEnded != nil
 	if bodyComing {
 		p.writer.Header().Set("Connection", "close")
-	} else if p.server.Draining.Load() { // the drain may have begun since the head was read
-		endAfter(p.writer, p.request)
+	} else if p.server.Draining() { // the drain may have begun since the head was read
+		closeAfterAnswer(p.writer, p.request)
 	}
 	if p.answer.Stream != nil {
-		p.server.pass(p.writer, p.request, p.call, p.answer)
+		p.server.streamAnswer(p.writer, p.request, p.call, p.answer)
 		return
 	}
-	p.server.Metrics.CountAnswer(p.call.Request.Class, p.answer.Status)
-	write(p.writer, p.answer)
+	p.server.options.Metrics.CountAnswer(p.call.Request.Class, p.answer.Status)
+	writeAnswer(p.writer, p.answer)
 	if bodyComing {
 		p.control.Flush() // the client may go on sending for long
 	}
--- a/internal/sidecar/clientserver/request_parser.go
+++ b/internal/sidecar/clientserver/request_parser.go
@@ -16,138 +16,165 @@
 	"marblelane/internal/sidecar/routing"
 )
 
-// Parse takes in a request; one that is malformed reaches neither the module nor a server. Of a body that is not
-// held whole the rest is still to be read.
-func (s *Server) Parse(w http.ResponseWriter, r *http.Request) (*inflight.Call, io.Reader, error) {
-	c, err := s.call(r)
+// maxCost bounds X-Cost, in microseconds.
+const maxCost = 1e12
+
+// parse reads a request; a malformed one reaches neither the event loop nor a server. Where the body is not held
+// completely the reader gives what is still to come of it. The caller releases the call's HeldBytes.
+func (s *Server) parse(w http.ResponseWriter, r *http.Request) (*inflight.Call, io.Reader, error) {
+	call, err := s.parseHead(r)
 	if err != nil {
 		return nil, nil, err
 	}
-	c.Outbound = &inflight.Outbound{Method: r.Method, URL: r.URL, Host: r.Host, Header: endToEnd(r.Header)}
-	if s.Config.Routes != nil { // those are the sidecar's to say
-		c.Outbound.Header.Del(routing.RevisionHeader)
-		c.Outbound.Header.Del(routing.CanaryHeader)
+	call.Outbound = &inflight.Outbound{Method: r.Method, URL: r.URL, Host: r.Host, Header: endToEnd(r.Header)}
+	if s.options.Config.Routes != nil { // the sidecar alone sets these
+		call.Outbound.Header.Del(routing.RevisionHeader)
+		call.Outbound.Header.Del(routing.CanaryHeader)
 	}
-	var rest io.Reader
+	var remaining io.Reader
 	if r.ContentLength != 0 {
-		if rest, err = s.readBody(w, r, c); err != nil {
-			s.Memory.release(c.HeldBytes)
+		if remaining, err = s.readBody(w, r, call); err != nil {
+			s.bodyMemory.release(call.HeldBytes)
 			return nil, nil, fmt.Errorf("body: %w", err)
 		}
 	}
-	if rest == nil {
-		c.Deadline = receivedAt(r).Add(c.Timeout) // the client's time counts from its last byte
+	if remaining == nil {
+		call.Deadline = receivedAt(r).Add(call.Timeout) // the client's time counts from its last byte
 	}
-	if r.Method == http.MethodGet && (rest != nil || len(c.Outbound.Body) > 0) {
-		s.Memory.release(c.HeldBytes)
+	if r.Method == http.MethodGet && (remaining != nil || len(call.Outbound.Body) > 0) {
+		s.bodyMemory.release(call.HeldBytes)
 		return nil, nil, errors.New("GET with a body")
 	}
-	return c, rest, nil
+	return call, remaining, nil
 }
 
 // readBody reads as much of a body as is held.
-func (s *Server) readBody(w http.ResponseWriter, r *http.Request, c *inflight.Call) (rest io.Reader, err error) {
+func (s *Server) readBody(w http.ResponseWriter, r *http.Request, call *inflight.Call) (remaining io.Reader, err error) {
 	length := r.ContentLength
 	if length > inflight.MaxBody {
-		return nil, errBodyLarge
-	}
-	most := inflight.MaxHeldBody
-	if length >= 0 && length <= HoldMore {
-		most = int(length)
-	}
-	if s.Memory.reserve(most) {
-		c.HeldBytes = most
-	} else {
-		most = min(most, inflight.MinHeldBody)
-	}
-	body := newPacedBody(w, r, s.ReadTimeout)
-	s.Bodies.add(body)
-	defer s.Bodies.remove(body)
+		return nil, errBodyTooLarge
+	}
+	held := s.reserveBody(length, call)
+	body := newPacedBody(w, r, s.options.ReadTimeout)
+	s.bodies.add(body)
+	defer s.bodies.remove(body)
+	var first []byte
+	complete := false
 	if length >= 0 {
-		first := make([]byte, min(int(length), most))
-		if _, err := io.ReadFull(body, first); err != nil {
-			return nil, err
-		}
-		if len(first) == int(length) {
-			c.Outbound.Body = first
-			return nil, nil
-		}
-		c.Outbound.Upload = inflight.NewUpload(length, first)
-		return body, nil
+		first = make([]byte, min(int(length), held))
+		_, err = io.ReadFull(body, first)
+		complete = len(first) == int(length)
+	} else {
+		first, err = io.ReadAll(io.LimitReader(body, int64(held)+1))
+		complete = len(first) <= held
 	}
-	first, err := io.ReadAll(io.LimitReader(body, int64(most)+1))
 	if err != nil {
 		return nil, err
 	}
-	if len(first) <= most {
-		c.Outbound.Body = first
+	if complete {
+		call.Outbound.Body = first
 		return nil, nil
 	}
-	c.Outbound.Upload = inflight.NewUpload(length, first)
+	call.Outbound.Upload = inflight.NewUpload(length, first)
 	return body, nil
 }
 
-func (s *Server) call(r *http.Request) (*inflight.Call, error) {
+// reserveBody reserves memory for a body, and returns how many bytes of it are held.
+func (s *Server) reserveBody(length int64, call *inflight.Call) int {
+	held := inflight.MaxHeldBody
+	if length >= 0 && length <= MaxHeldIfMemory {
+		held = int(length)
+	}
+	if !s.bodyMemory.reserve(held) {
+		return min(held, inflight.MinHeldBody)
+	}
+	call.HeldBytes = held
+	return held
+}
+
+// parseHead reads from the head what the balancer and the client's deadline need. The texts of its errors go to clients.
+func (s *Server) parseHead(r *http.Request) (*inflight.Call, error) {
 	if r.Header.Get("X-Request-ID") == "" {
 		return nil, errors.New("no X-Request-ID")
 	}
 	if r.Host == "" {
 		return nil, errors.New("no Host")
 	}
-	ev := balance.Request{ClientRetry: r.Header.Get("X-Retried") == "1"}
+	cfg := s.options.Config
+	request := balance.Request{ClientRetry: r.Header.Get("X-Retried") == "1"}
 	var ok bool
-	if ev.Class, ok = s.Config.Classes[r.Header.Get("X-Priority-Class")]; !ok {
+	if request.Class, ok = cfg.Classes[r.Header.Get("X-Priority-Class")]; !ok {
 		return nil, errors.New("unknown X-Priority-Class")
 	}
-	if len(s.Config.Tenants) > 0 {
-		if ev.Tenant, ok = s.Config.Tenants[r.Header.Get("X-Tenant-Id")]; !ok {
+	if len(cfg.Tenants) > 0 {
+		if request.Tenant, ok = cfg.Tenants[r.Header.Get("X-Tenant-Id")]; !ok {
 			return nil, errors.New("unknown X-Tenant-Id")
 		}
 	}
-	class := &s.Config.Balance.Classes[ev.Class]
+	class := &cfg.Balance.Classes[request.Class]
 	if err := checkMethod(class.Idempotency, r); err != nil {
 		return nil, err
 	}
-	wait := clock.Duration(class.Deadline)
-	if v := r.Header.Get("X-Timeout-Ms"); v != "" {
-		ms, err := strconv.ParseUint(v, 10, 32)
-		if wait = time.Duration(ms) * time.Millisecond; err != nil || ms == 0 || wait > inflight.MaxTimeout {
-			return nil, errors.New("X-Timeout-Ms is not a number of milliseconds that can be")
-		}
+	timeout, err := parseTimeout(r, clock.Duration(class.Deadline))
+	if err != nil {
+		return nil, err
 	}
-	if v := r.Header.Get("X-Cost"); v != "" {
-		us, err := strconv.ParseFloat(v, 64)
-		if err != nil || !(us >= 0 && us < 1e12) {
-			return nil, errors.New("X-Cost is not a number of microseconds")
-		}
-		ev.WorkHint = us / 1e3
+	if request.WorkHint, err = parseCost(r); err != nil {
+		return nil, err
+	}
+	if key, err := r.Cookie("k"); err == nil {
+		request.IdempotencyKey = config.Hash(key.Value)
 	}
-	if k, err := r.Cookie("k"); err == nil {
-		ev.IdempotencyKey = config.Hash(k.Value)
+	if cfg.Routes != nil {
+		request.RouteKey = cfg.Routes.RouteKey(r.Header)
+	}
+	return &inflight.Call{Request: request, Timeout: timeout, Answers: make(chan inflight.Answer, 1)}, nil
+}
+
+// parseTimeout is how long the client waits: what X-Timeout-Ms says, or the limit of its class.
+func parseTimeout(r *http.Request, classLimit time.Duration) (time.Duration, error) {
+	value := r.Header.Get("X-Timeout-Ms")
+	if value == "" {
+		return classLimit, nil
+	}
+	ms, err := strconv.ParseUint(value, 10, 32)
+	timeout := time.Duration(ms) * time.Millisecond
+	if err != nil || ms == 0 || timeout > inflight.MaxTimeout {
+		return 0, errors.New("X-Timeout-Ms is not a number of milliseconds that can be")
+	}
+	return timeout, nil
+}
+
+// parseCost is the work of a request as X-Cost says it in microseconds, in milliseconds; 0: it says nothing.
+func parseCost(r *http.Request) (milliseconds float64, err error) {
+	value := r.Header.Get("X-Cost")
+	if value == "" {
+		return 0, nil
 	}
-	if s.Config.Routes != nil {
-		ev.RouteKey = s.Config.Routes.RouteKey(r.Header)
+	microseconds, err := strconv.ParseFloat(value, 64)
+	if err != nil || !(microseconds >= 0 && microseconds < maxCost) {
+		return 0, errors.New("X-Cost is not a number of microseconds")
 	}
-	return &inflight.Call{Request: ev, Timeout: wait, Answers: make(chan inflight.Answer, 1)}, nil
+	return microseconds / 1e3, nil
 }
 
-// checkMethod: the method follows from the class. A keyed request without its key would run twice.
-func checkMethod(effect balance.Idempotency, r *http.Request) error {
-	keyed := r.Header.Get("Idempotency-Key") != ""
+// checkMethod checks that the method and the idempotency key are those of the class.
+func checkMethod(idempotency balance.Idempotency, r *http.Request) error {
+	hasKey := r.Header.Get("Idempotency-Key") != ""
 	switch {
-	case effect == balance.Idempotent && r.Method != http.MethodGet:
+	case idempotency == balance.Idempotent && r.Method != http.MethodGet:
 		return errors.New("the class is sent with GET")
-	case effect != balance.Idempotent && r.Method != http.MethodPost:
+	case idempotency != balance.Idempotent && r.Method != http.MethodPost:
 		return errors.New("the class is sent with POST")
-	case effect == balance.IdempotentWithKey && !keyed:
+	case idempotency == balance.IdempotentWithKey && !hasKey: // it would run twice
 		return errors.New("no Idempotency-Key")
-	case effect == balance.NonIdempotent && keyed:
+	case idempotency == balance.NonIdempotent && hasKey:
 		return errors.New("the class takes no Idempotency-Key")
 	}
 	return nil
 }
 
-// endToEnd leaves out what concerns the client's connection only.
+// endToEnd leaves out the headers that concern the client's connection only.
 func endToEnd(h http.Header) http.Header {
 	out := h.Clone()
 	for _, line := range h["Connection"] {
--- a/internal/sidecar/clientserver/response_writer.go
+++ b/internal/sidecar/clientserver/response_writer.go
@@ -8,99 +8,108 @@
 	"strconv"
 	"time"
 
-	"marblelane/internal/sidecar/framing"
 	"marblelane/internal/sidecar/inflight"
 )
 
-// pass writes an answer as it comes. One that breaks off ends its connection, so that the client can tell.
-func (s *Server) pass(w http.ResponseWriter, r *http.Request, c *inflight.Call, a inflight.Answer) {
+// streamAnswer writes an answer as it comes. One that breaks off makes net/http close the connection, by a panic with
+// http.ErrAbortHandler, so that the client can tell.
+func (s *Server) streamAnswer(w http.ResponseWriter, r *http.Request, call *inflight.Call, answer inflight.Answer) {
 	control := http.NewResponseController(w)
-	stream, h := a.Stream, w.Header()
-	if conn, ok := r.Context().Value(connKey{}).(*framing.HeadConn); ok {
+	stream, header := answer.Stream, w.Header()
+	conn := headConn(r)
+	if conn != nil {
 		conn.LimitBuffer()
 	}
-	setContentType(h, a)
+	setContentType(header, answer)
 	if stream.Length >= 0 {
-		h.Set("Content-Length", strconv.FormatInt(stream.Length, 10))
+		header.Set("Content-Length", strconv.FormatInt(stream.Length, 10))
 	}
-	w.WriteHeader(a.Status)
+	w.WriteHeader(answer.Status)
 	buf := inflight.CopyBuffers.Get().(*[]byte)
 	defer inflight.CopyBuffers.Put(buf)
-	var end error
+	var readErr error
 	for part := stream.First; ; {
 		if len(part) > 0 {
 			s.limitWrite(w)
 			if _, err := w.Write(part); err != nil || control.Flush() != nil {
-				stream.Ended <- inflight.ErrClientGone
-				s.Metrics.CountAnswer(c.Request.Class, inflight.StatusFailed)
+				s.recordBreakOff(stream, call, inflight.ErrClientGone)
 				panic(http.ErrAbortHandler)
 			}
 		}
-		if end != nil {
+		if readErr != nil {
 			break
 		}
 		var n int
-		n, end = stream.Rest.Read(*buf)
+		n, readErr = stream.Rest.Read(*buf)
 		part = (*buf)[:n]
 	}
-	if end != io.EOF {
-		stream.Ended <- end
-		s.Metrics.CountAnswer(c.Request.Class, inflight.StatusFailed)
-		if conn, ok := r.Context().Value(connKey{}).(*framing.HeadConn); ok && !r.ProtoAtLeast(1, 1) {
-			conn.Reset() // the end of the connection would be the end of the answer
+	if readErr != io.EOF {
+		s.recordBreakOff(stream, call, readErr)
+		if conn != nil && !r.ProtoAtLeast(1, 1) {
+			conn.Reset() // an orderly end of the connection would be the end of the answer
 		}
 		panic(http.ErrAbortHandler)
 	}
 	stream.Ended <- nil
-	s.Metrics.CountAnswer(c.Request.Class, a.Status)
+	s.options.Metrics.CountAnswer(call.Request.Class, answer.Status)
 }
 
-// limitWrite bounds the time for an answer from now on: a client that does not read would hold its place
-// among those taken for ever.
+// recordBreakOff tells the attempt why its answer broke off, and counts the request as failed.
+func (s *Server) recordBreakOff(stream *inflight.AnswerStream, call *inflight.Call, cause error) {
+	stream.Ended <- cause
+	s.options.Metrics.CountAnswer(call.Request.Class, inflight.StatusFailed)
+}
+
+// limitWrite bounds the time for the next part of an answer: a client that does not read must not keep its connection
+// and its place among the requests.
 func (s *Server) limitWrite(w http.ResponseWriter) {
-	if err := http.NewResponseController(w).SetWriteDeadline(time.Now().Add(s.WriteTimeout)); err != nil {
-		slog.Error("no bound on writing", "error", err)
+	if err := http.NewResponseController(w).SetWriteDeadline(time.Now().Add(s.options.WriteTimeout)); err != nil {
+		slog.Error("clients: the write deadline could not be set", "err", err)
 	}
 }
 
-func write(w http.ResponseWriter, a inflight.Answer) {
-	h := w.Header()
-	setContentType(h, a)
-	if a.RetryAfter > 0 {
-		h.Set("Retry-After", strconv.FormatFloat(a.RetryAfter/1e3, 'f', 3, 64))
+// writeAnswer writes an answer that is held completely.
+func writeAnswer(w http.ResponseWriter, answer inflight.Answer) {
+	header := w.Header()
+	setContentType(header, answer)
+	if answer.RetryAfter > 0 {
+		header.Set("Retry-After", strconv.FormatFloat(answer.RetryAfter/1e3, 'f', 3, 64))
 	}
-	h.Set("Content-Length", strconv.Itoa(len(a.Body)))
-	w.WriteHeader(a.Status)
-	w.Write(a.Body)
+	header.Set("Content-Length", strconv.Itoa(len(answer.Body)))
+	w.WriteHeader(answer.Status)
+	w.Write(answer.Body)
 }
 
-func setContentType(h http.Header, a inflight.Answer) {
-	h["Content-Type"] = nil
-	if a.ContentType != "" {
-		h.Set("Content-Type", a.ContentType)
+// setContentType sets the type that the server gave, and keeps net/http from guessing one.
+func setContentType(header http.Header, answer inflight.Answer) {
+	header["Content-Type"] = nil
+	if answer.ContentType != "" {
+		header.Set("Content-Type", answer.ContentType)
 	}
 }
 
-// reject answers what is not a proper request. What may follow on its connection cannot be trusted to be one.
-func reject(w http.ResponseWriter, err error, status int) {
+// writeError answers a request that is malformed or was not received completely, and ends its connection: what may follow
+// cannot be trusted to be a request.
+func writeError(w http.ResponseWriter, err error, status int) {
 	w.Header().Set("Connection", "close")
 	http.Error(w, err.Error(), status)
 }
 
-// linger lets a client that is still sending see its answer: a connection that is closed with something unread
-// takes the answer with it.
-func linger(w http.ResponseWriter, r *http.Request) {
+// discardBody reads on for a while, so that a client that is still sending sees its answer: a connection that is closed
+// over unread bytes is reset, and the answer may be lost.
+func discardBody(w http.ResponseWriter, r *http.Request) {
 	control := http.NewResponseController(w)
 	control.Flush()
-	control.SetReadDeadline(time.Now().Add(largeWait))
+	control.SetReadDeadline(time.Now().Add(discardWait))
 	io.Copy(io.Discard, r.Body)
 }
 
-func badStatus(err error) int {
+// errorStatus is the status for a request that could not be read.
+func errorStatus(err error) int {
 	switch {
-	case errors.Is(err, errBodyLarge):
+	case errors.Is(err, errBodyTooLarge):
 		return http.StatusRequestEntityTooLarge
-	case errors.Is(err, errBodySlow):
+	case errors.Is(err, errBodyTooSlow):
 		return http.StatusRequestTimeout
 	case errors.Is(err, errServiceEnded):
 		return inflight.StatusRejected
@@ -109,9 +118,9 @@
 	}
 }
 
-// endAfter ends a connection between requests only: the one at work is answered first, and so is what has come with it.
-func endAfter(w http.ResponseWriter, r *http.Request) {
-	if c, ok := r.Context().Value(connKey{}).(*framing.HeadConn); !ok || !c.NextMayFollow(r.ContentLength) {
+// closeAfterAnswer ends a connection after the answer to its request, unless a further request may have come with it.
+func closeAfterAnswer(w http.ResponseWriter, r *http.Request) {
+	if conn := headConn(r); conn == nil || !conn.NextMayFollow(r.ContentLength) {
 		w.Header().Set("Connection", "close")
 	}
 }
--- a/internal/sidecar/clientserver/server_test.go
+++ b/internal/sidecar/clientserver/server_test.go
@@ -11,19 +11,21 @@
 	"marblelane/internal/sidecar/sidecartest"
 )
 
-// A module that never answers is a bug, but the client gets one failed answer in time.
-func TestModuleThatNeverAnswers(t *testing.T) {
+// An event loop that never answers is a bug, but the client gets one failed answer in time.
+func TestServer_overdueAnswer(t *testing.T) {
 	cfg, err := configtest.NewConf("127.0.0.1:1").Load(t)
 	if err != nil {
 		t.Fatal(err)
 	}
 	posted := make(chan any, 4)
-	f := &Server{Config: cfg, Metrics: metrics.New(cfg.ClassNames), Post: func(ev any) { posted <- ev }, WriteTimeout: sidecartest.Patience}
-	f.MaxKeptConns.Store(10)
-	f.MaxRequests.Store(10)
-	srv := httptest.NewServer(f)
-	defer srv.Close()
-	req, err := http.NewRequest("GET", srv.URL+apiPath, nil)
+	s := New(Options{
+		Config: cfg, Metrics: metrics.New(cfg.ClassNames), Post: func(ev any) { posted <- ev }, WriteTimeout: sidecartest.Patience,
+	})
+	s.SetKeepAliveLimit(10)
+	s.SetRequestLimit(10)
+	httpServer := httptest.NewServer(s)
+	defer httpServer.Close()
+	req, err := http.NewRequest("GET", httpServer.URL+apiPath, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -39,17 +41,17 @@
 	if resp.StatusCode != inflight.StatusTimedOut {
 		t.Errorf("%s", resp.Status)
 	}
-	c := (<-posted).(Arrival).Call
-	if gone, is := (<-posted).(ClientGone); !is || gone.Call != c || c.Finish() {
-		t.Error("the loop is not told that the request is over")
+	call := (<-posted).(Arrival).Call
+	if gone, is := (<-posted).(ClientGone); !is || gone.Call != call || call.Finish() {
+		t.Error("the event loop is not notified that the request is over")
 	}
 	http.DefaultClient.CloseIdleConnections()
 }
 
-// Advice to stay away goes to the client in seconds.
-func TestRetryAfter(t *testing.T) {
+// Retry-After goes to the client in seconds.
+func TestWriteAnswer_retryAfter(t *testing.T) {
 	w := httptest.NewRecorder()
-	write(w, inflight.Answer{Status: inflight.StatusRejected, RetryAfter: 1250})
+	writeAnswer(w, inflight.Answer{Status: inflight.StatusRejected, RetryAfter: 1250})
 	if got := w.Header().Get("Retry-After"); got != "1.250" {
 		t.Errorf("Retry-After: %q", got)
 	}
--- a/internal/sidecar/framing/framing.go
+++ b/internal/sidecar/framing/framing.go
@@ -14,68 +14,81 @@
 // MaxHeader bounds the head of a request or an answer, in bytes.
 const MaxHeader = 32 << 10
 
-// TrackedConn is a connection that follows what becomes of the requests on it.
+// TrackedConn is a connection that follows the requests on it.
 type TrackedConn interface {
 	net.Conn
-	RequestRead()        // a request was read whole
+	RequestRead()        // the head of a request is complete
 	RequestAnswered()    // its answer was written
 	Transport() net.Conn // the connection of the system
 }
 
-// NewHeadConn keeps the heads of what is read from a connection.
-func NewHeadConn(c net.Conn) *HeadConn { return &HeadConn{Conn: c} }
-
-// NewClientHeadConn keeps the heads of a client's requests, and tells in a channel that something was read. Late: the
-// first request may have waited before the connection was accepted.
-func NewClientHeadConn(c net.Conn, late bool) *HeadConn {
-	return &HeadConn{Conn: c, startedAt: time.Now(), Ahead: make(chan struct{}, 1), acceptedLate: late}
-}
-
-// HeadConn keeps a request's head as it came. net/http drops a Content-Length that stands beside a
-// Transfer-Encoding and reads on behind the last chunk, so what the sender holds for the rest of its body
-// would be taken as a request of its own.
+// HeadConn keeps the head of the message that is being read, as it came. net/http drops a Content-Length beside a
+// Transfer-Encoding and reads on behind the last chunk: what the sender means as the rest of its body would be taken as
+// a request of its own.
 type HeadConn struct {
 	net.Conn
-	steady netcall.RetryingReader // of who reads: there is one at a time
+	reader netcall.RetryingReader // of the goroutine that reads: there is one at a time
 
-	mu        sync.Mutex // net/http also reads while a handler works
-	head      []byte
-	complete  bool
-	startedAt time.Time // the request's begin: its first byte, or the connection's begin
-	reads     int       // that are waiting
-	// acceptedLate: the first request may have waited for a while before its connection was accepted.
-	acceptedLate bool
+	mu           sync.Mutex // guards the fields below: net/http also reads while a handler works
+	head         []byte
+	complete     bool
+	startedAt    time.Time // the first byte of the message, or the start of the connection; zero: not yet
+	reads        int       // that are waiting
+	acceptedLate bool      // the first request may have waited before its connection was accepted
 
-	Ahead chan struct{} // a token: something was read; nil: nobody wants to know
+	received chan struct{} // a token: something was read; never closed; nil: nobody waits for it
 }
 
+// NewHeadConn keeps the heads of what is read from a connection.
+func NewHeadConn(c net.Conn) *HeadConn { return &HeadConn{Conn: c} }
+
+// NewClientHeadConn keeps the heads of a client's requests, and says when something was read. acceptedLate is true where
+// the first request may have waited before the connection was accepted.
+func NewClientHeadConn(c net.Conn, acceptedLate bool) *HeadConn {
+	return &HeadConn{Conn: c, startedAt: time.Now(), received: make(chan struct{}, 1), acceptedLate: acceptedLate}
+}
+
+// Received gives a token after something was read. It is nil for the connection of a server.
+func (c *HeadConn) Received() <-chan struct{} { return c.received }
+
+// Read reads from the connection, and keeps what belongs to the head.
 func (c *HeadConn) Read(p []byte) (int, error) {
 	c.mu.Lock()
 	c.reads++
 	c.mu.Unlock()
-	n, err := c.steady.Read(c.Conn, p)
+	n, err := c.reader.Read(c.Conn, p)
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.reads--
 	if n > 0 {
-		select {
-		case c.Ahead <- struct{}{}:
-		default:
-		}
+		c.notifyReceived()
 	}
 	if n > 0 && c.startedAt.IsZero() {
 		c.startedAt = time.Now()
 	}
 	if !c.complete {
-		seen := max(len(c.head)-3, 0) // the empty line may have come in two parts
-		c.head = append(c.head, p[:n]...)
-		c.complete = bytes.Contains(c.head[seen:], []byte("\n\r\n")) || bytes.Contains(c.head[seen:], []byte("\n\n")) ||
-			len(c.head) > 2*MaxHeader
+		c.appendHead(p[:n])
 	}
 	return n, err
 }
 
-// Reading reports whether somebody waits for what comes, and so sees an end.
+// notifyReceived leaves a token, unless one is there or nobody waits for it.
+func (c *HeadConn) notifyReceived() {
+	select {
+	case c.received <- struct{}{}:
+	default:
+	}
+}
+
+// appendHead adds bytes to the head until it has its empty line, or is too long to be one.
+func (c *HeadConn) appendHead(p []byte) {
+	seen := max(len(c.head)-3, 0) // the empty line may have come in two parts
+	c.head = append(c.head, p...)
+	c.complete = bytes.Contains(c.head[seen:], []byte("\n\r\n")) || bytes.Contains(c.head[seen:], []byte("\n\n")) ||
+		len(c.head) > 2*MaxHeader
+}
+
+// Reading reports whether a read is waiting, which would see the end of the connection.
 func (c *HeadConn) Reading() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -93,41 +106,40 @@
 	c.mu.Unlock()
 }
 
-// RequestRead tells that the head is whole and its request at work.
+// RequestRead tells the connection below that the head is complete and its request at work.
 func (c *HeadConn) RequestRead() {
 	if tracked, ok := c.Conn.(TrackedConn); ok {
 		tracked.RequestRead()
 	}
 }
 
-// LimitBuffer keeps the system from taking megabytes of an answer for a slow client.
+// LimitBuffer keeps the system from buffering megabytes of an answer for a slow client.
 func (c *HeadConn) LimitBuffer() {
 	if tracked, ok := c.Conn.(TrackedConn); ok {
 		netcall.LimitBuffer(tracked.Transport())
 	}
 }
 
-// Reset makes the connection end with an error.
+// Reset makes the connection end with an error when it is closed.
 func (c *HeadConn) Reset() {
 	if tracked, ok := c.Conn.(TrackedConn); ok {
 		if tcp, ok := tracked.Transport().(interface{ SetLinger(seconds int) error }); ok {
-			_ = netcall.RetryQuery(func() error { return tcp.SetLinger(0) }) // at worst the end is an orderly one
+			_ = netcall.RetryQuery(func() error { return tcp.SetLinger(0) }) // if that fails the end is an orderly one
 		}
 	}
 }
 
-// NextMayFollow reports whether a next request has come behind the one at work, or may have, as this came behind another.
-// length is that of its body. It does not see what comes behind a body that is still on its way.
-func (c *HeadConn) NextMayFollow(length int64) bool {
+// NextMayFollow reports whether another request has come behind the one at work, or may have. bodyLength is that of the
+// body of the one at work; what comes behind a body that is still on its way is not seen.
+func (c *HeadConn) NextMayFollow(bodyLength int64) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if !c.complete {
-		return true
+		return true // it came together with the one before, and so may others
 	}
-	end := headEnd(c.head)
-	extra := int64(len(c.head) - end)
-	if extra != length {
-		return length >= 0 && extra > length
+	behindHead := int64(len(c.head) - headEnd(c.head))
+	if behindHead != bodyLength {
+		return bodyLength >= 0 && behindHead > bodyLength
 	}
 	tracked, ok := c.Conn.(TrackedConn)
 	if !ok {
@@ -137,17 +149,18 @@
 	return unread
 }
 
-// headEnd is the length of a head with its empty line, which it has.
+// headEnd is the length of a head with its empty line; all of the bytes where there is none.
 func headEnd(head []byte) int {
 	end := len(head)
-	for _, empty := range []string{"\n\r\n", "\n\n"} {
-		if i := bytes.Index(head, []byte(empty)); i >= 0 {
-			end = min(end, i+len(empty))
+	for _, emptyLine := range []string{"\n\r\n", "\n\n"} {
+		if i := bytes.Index(head, []byte(emptyLine)); i >= 0 {
+			end = min(end, i+len(emptyLine))
 		}
 	}
 	return end
 }
 
+// StartedAt is when the first byte of the message came; for the first message it is the start of the connection.
 func (c *HeadConn) StartedAt() time.Time {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -157,8 +170,8 @@
 	return c.startedAt
 }
 
-// ReceivedAt is when the last byte of a request came that has just been read. It is now, but for the first request of a
-// connection that was accepted late: the client's time has run since the system has had it.
+// ReceivedAt is when the last byte of a request came that has just been read. That is now, but for the first request of a
+// connection that was accepted late: its client's time has run since the system has had it.
 func (c *HeadConn) ReceivedAt() time.Time {
 	now := time.Now()
 	c.mu.Lock()
@@ -174,14 +187,14 @@
 	return now
 }
 
-// LengthHeaders tells by which headers the head says where its message ends.
+// LengthHeaders reports which of the headers Transfer-Encoding and Content-Length the head has.
 func (c *HeadConn) LengthHeaders() (chunked, length bool, err error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	in := textproto.NewReader(bufio.NewReader(bytes.NewReader(c.head)))
-	if _, err := in.ReadLine(); err != nil {
+	reader := textproto.NewReader(bufio.NewReader(bytes.NewReader(c.head)))
+	if _, err := reader.ReadLine(); err != nil {
 		return false, false, err
 	}
-	head, err := in.ReadMIMEHeader()
+	head, err := reader.ReadMIMEHeader()
 	return head["Transfer-Encoding"] != nil, head["Content-Length"] != nil, err
 }
--- a/internal/sidecar/framing/errno_test.go
+++ b/internal/sidecar/framing/framing_test.go
@@ -12,14 +12,14 @@
 	"marblelane/internal/sidecar/sidecartest"
 )
 
-// A read fails once at any byte of a client's request: the request is whole or none.
-func TestReadErrnoAtEachByteOfARequest(t *testing.T) {
+// Where a read fails once at any byte of a client's request, the request is complete or there is none.
+func TestHeadConnRead_errnoAtEachByte(t *testing.T) {
 	const text = "POST /api HTTP/1.1\r\nHost: b\r\nX-Timeout-Ms: 1000\r\nContent-Length: 4\r\n\r\ndone"
-	for errno, whole := range map[syscall.Errno]bool{syscall.ECONNRESET: false, syscall.EINTR: true} {
+	for errno, complete := range map[syscall.Errno]bool{syscall.ECONNRESET: false, syscall.EINTR: true} {
 		t.Run(errno.Error(), func(t *testing.T) {
-			b := sidecartest.NewBackend(t, "a", sidecartest.Respond(text, true)) // it says to whoever calls what a client would
+			sender := sidecartest.NewBackend(t, "a", sidecartest.Respond(text, true)) // sends to its caller what a client would
 			for n := range len(text) {
-				c, err := net.Dial("tcp", b.Target.Endpoint)
+				c, err := net.Dial("tcp", sender.Target.Endpoint)
 				if err != nil {
 					t.Fatal(err)
 				}
@@ -30,7 +30,7 @@
 				fail := sidecartest.FailNth(int32(n+1), sidecartest.OpError("read", errno))
 				client := &HeadConn{Conn: &sidecartest.FaultyConn{TCPConn: c.(*net.TCPConn), ByteAtATime: true, FailRead: fail}}
 				client.SetReadDeadline(time.Now().Add(sidecartest.Patience))
-				if got := wholeRequest(client); got != whole {
+				if got := readsRequest(client); got != complete {
 					t.Errorf("at byte %d: a request was read: %v", n, got)
 				}
 			}
@@ -38,8 +38,8 @@
 	}
 }
 
-// wholeRequest reports whether a request with its body can be read.
-func wholeRequest(conn net.Conn) bool {
+// readsRequest reports whether a request with its body can be read.
+func readsRequest(conn net.Conn) bool {
 	req, err := http.ReadRequest(bufio.NewReader(conn))
 	if err != nil {
 		return false
--- a/internal/sidecar/framing_test.go
+++ b/internal/sidecar/framing_test.go
@@ -128,15 +128,21 @@
 	}
 }
 
+// setReadTimeout sets the time for a complete request.
+func (s *Sidecar) setReadTimeout(timeout time.Duration) {
+	s.clients.Configure(func(o *clientserver.Options) { o.ReadTimeout = timeout })
+}
+
 // Who says nothing, or stops before a request is whole, or sends it too slowly, is sent away.
 func TestPeersThatNeverFinish(t *testing.T) {
 	if clientserver.DefaultReadTimeout >= 3*time.Second {
 		t.Errorf("peers wait %v for their end, 3 s are allowed", clientserver.DefaultReadTimeout)
 	}
+	const readTimeout = 200 * time.Millisecond
 	head := sidecartest.WireRequest("1", "Content-Length: 1000\r\n", "")
 	whole := sidecartest.WireRequest("0", "Content-Length: 3\r\n", "abc")
 	b := sidecartest.NewBackend(t, "a", sidecartest.OK)
-	s := start(t, configtest.NewConf(sidecartest.NewRegistry(t).Addr(), b.Target), func(s *Sidecar) { s.clients.ReadTimeout = 200 * time.Millisecond })
+	s := start(t, configtest.NewConf(sidecartest.NewRegistry(t).Addr(), b.Target), func(s *Sidecar) { s.setReadTimeout(readTimeout) })
 	for name, test := range map[string]struct{ first, then string }{
 		"silent":            {"", ""},
 		"half a head":       {head[:40], ""},
@@ -169,7 +175,7 @@
 			for {
 				select {
 				case <-ended:
-					if took := time.Since(began); took > 15*s.clients.ReadTimeout {
+					if took := time.Since(began); took > 15*readTimeout {
 						t.Errorf("it took %v", took)
 					}
 					return
--- a/internal/sidecar/frontend_test.go
+++ b/internal/sidecar/frontend_test.go
@@ -162,7 +162,7 @@
 	body := strings.Repeat("x", inflight.MaxBody)
 	b := sidecartest.NewBackend(t, "a", sidecartest.Respond(fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body), body), true))
 	s := start(t, configtest.NewConf(sidecartest.NewRegistry(t).Addr(), b.Target))
-	s.clients.WriteTimeout = 100 * time.Millisecond
+	s.clients.Configure(func(o *clientserver.Options) { o.WriteTimeout = 100 * time.Millisecond })
 	conn, err := net.Dial("tcp", s.Addr())
 	if err != nil {
 		t.Fatal(err)
@@ -176,7 +176,7 @@
 		}
 	}
 	sidecartest.Until(t, "the connection to end", func() bool {
-		return s.clients.Conns.Load() == 0 && s.clients.Requests.Load() == 0
+		return s.clients.OpenConns() == 0 && s.clients.OpenRequests() == 0
 	})
 }
 
@@ -201,7 +201,7 @@
 	sidecartest.Receive(t, "the slow request", got)
 
 	s.term()
-	sidecartest.Until(t, "the drain", s.clients.Draining.Load)
+	sidecartest.Until(t, "the drain", s.clients.Draining)
 	late := s.request("charge", time.Second)
 	if r := s.do(late); r.status != 200 {
 		t.Errorf("on a kept connection while draining: %+v", r)
@@ -257,7 +257,7 @@
 	}
 	sidecartest.Until(t, "some load", func() bool { return b.Requests.Load() > 50 })
 	s.term()
-	sidecartest.Until(t, "the drain", s.clients.Draining.Load)
+	sidecartest.Until(t, "the drain", s.clients.Draining)
 	before := b.Requests.Load()
 	sidecartest.Until(t, "requests during the drain", func() bool { return b.Requests.Load() > before+50 })
 	close(stop)
@@ -280,7 +280,7 @@
 		t.Fatal(err)
 	}
 	defer conn.Close()
-	sidecartest.Until(t, "the connection", func() bool { return s.clients.Conns.Load() == 1 })
+	sidecartest.Until(t, "the connection", func() bool { return s.clients.OpenConns() == 1 })
 	began := time.Now()
 	s.term()
 	err = sidecartest.Receive(t, "the end", s.ended)
@@ -313,7 +313,7 @@
 			t.Errorf("%+v", got)
 		}
 	}
-	sidecartest.Until(t, "all requests to be over", func() bool { return s.clients.Requests.Load() == 0 })
+	sidecartest.Until(t, "all requests to be over", func() bool { return s.clients.OpenRequests() == 0 })
 	s.term()
 	if err := sidecartest.Receive(t, "the end", s.ended); err != nil {
 		t.Error(err)
--- a/internal/sidecar/handover_shutdown_test.go
+++ b/internal/sidecar/handover_shutdown_test.go
@@ -26,7 +26,7 @@
 		t.Errorf("the older process may hold %d clients beside the one that ends, want %d", got, want)
 	}
 	old.term()
-	sidecartest.Until(t, "its drain", old.clients.Draining.Load)
+	sidecartest.Until(t, "its drain", old.clients.Draining)
 	for range 4 {
 		client := &http.Client{Transport: &http.Transport{DisableKeepAlives: true}, Timeout: sidecartest.Patience}
 		resp, err := client.Do(old.request("charge", time.Second))
--- a/internal/sidecar/handover_test.go
+++ b/internal/sidecar/handover_test.go
@@ -102,7 +102,7 @@
 		if got, want := process.listener.Limit(), process.budget.clients/2; got != want {
 			t.Errorf("the older process may hold %d clients, want %d", got, want)
 		}
-		if got, want := next.clients.MaxRequests.Load(), int64(next.budget.requests/2); got != want {
+		if got, want := next.clients.RequestLimit(), next.budget.requests/2; got != want {
 			t.Errorf("the newer process may take %d requests, want %d", got, want)
 		}
 		process.end(t)
--- a/internal/sidecar/held_up_test.go
+++ b/internal/sidecar/held_up_test.go
@@ -26,12 +26,12 @@
 			t.Run(name+", "+string(at), func(t *testing.T) {
 				b, held := sidecartest.NewBackend(t, "a", sidecartest.OK), sidecartest.NewBarrier()
 				s := start(t, configtest.NewConf(sidecartest.NewRegistry(t).Addr(), b.Target), func(s *Sidecar) {
-					s.clients.ClientPoll = never
+					s.setClientPoll(never)
 					s.loop.Pool.Hook = holdAt(at, held)
 				})
 				t.Cleanup(held.Release)
 				if body != "" {
-					s.clients.Memory.SetLimit(0) // nothing more than the least is held
+					s.clients.SetBodyMemory(0) // nothing more than the least is held
 				}
 				client := s.leaver(t, "charge", "HTTP/1.1", "Content-Length: "+strconv.Itoa(len(body))+"\r\n", body)
 				held.WaitFor(t, 1)
--- a/internal/sidecar/kill_time_test.go
+++ b/internal/sidecar/kill_time_test.go
@@ -19,6 +19,7 @@
 	"time"
 
 	"marblelane/internal/sidecar/checkpoint"
+	"marblelane/internal/sidecar/clientserver"
 	"marblelane/internal/sidecar/configtest"
 	"marblelane/internal/sidecar/sidecartest"
 )
@@ -78,7 +79,8 @@
 			time.Sleep(sidecartest.Hold)
 		}
 	}
-	d.s.hook, d.s.clients.Checkpoints, d.s.loop.Pool.Hook = hook, hook, hook
+	d.s.hook, d.s.loop.Pool.Hook = hook, hook
+	d.s.clients.Configure(func(o *clientserver.Options) { o.Checkpoints = hook })
 	ctx, cancel := context.WithCancel(context.Background())
 	d.stop = cancel
 	go func() { d.ended <- d.s.Run(ctx) }()
--- a/internal/sidecar/limits.go
+++ b/internal/sidecar/limits.go
@@ -24,10 +24,10 @@
 	}
 	clients := s.budget.clients / parts
 	s.listener.SetLimit(clients)
-	s.clients.MaxKeptConns.Store(int64(float64(clients) * keepAliveFraction))
-	s.clients.MaxRequests.Store(int64(max(s.budget.requests/parts, 1)))
+	s.clients.SetKeepAliveLimit(int(float64(clients) * keepAliveFraction))
+	s.clients.SetRequestLimit(max(s.budget.requests/parts, 1))
 	s.loop.Pool.SetLimit(s.budget.servers / parts)
-	s.clients.Memory.SetLimit(s.cfg.BodyMemory() / int64(parts))
+	s.clients.SetBodyMemory(s.cfg.BodyMemory() / int64(parts))
 	s.loop.Post(balance.ProcessCount{Processes: parts})
 	limitMemory(s.cfg, parts)
 }
--- a/internal/sidecar/management.go
+++ b/internal/sidecar/management.go
@@ -56,7 +56,7 @@
 		return
 	}
 	switch {
-	case s.clients.Draining.Load():
+	case s.clients.Draining():
 		http.Error(w, "draining", http.StatusServiceUnavailable)
 	case !s.serving.Load():
 		http.Error(w, "not serving yet", http.StatusServiceUnavailable)
--- a/internal/sidecar/management_test.go
+++ b/internal/sidecar/management_test.go
@@ -56,7 +56,7 @@
 			t.Errorf("%s %s: %d, want %d", test.method, test.path, status, test.want)
 		}
 	}
-	s.clients.Draining.Store(true)
+	s.clients.StartDraining()
 	if status, _ := s.manage(t, "GET", healthPath); status != 503 {
 		t.Errorf("while it drains: %d", status)
 	}
--- a/internal/sidecar/pipeline_test.go
+++ b/internal/sidecar/pipeline_test.go
@@ -21,7 +21,7 @@
 	const requests = 5
 	b := sidecartest.NewBackend(t, "a", sidecartest.OK)
 	s := start(t, configtest.NewConf(sidecartest.NewRegistry(t).Addr(), b.Target))
-	s.clients.MaxKeptConns.Store(0) // every one is too many
+	s.clients.SetKeepAliveLimit(0) // every one is too many
 	for name, body := range map[string]string{"no bodies": "", "bodies": "abc"} {
 		t.Run(name, func(t *testing.T) {
 			c, err := net.Dial("tcp", s.Addr())
@@ -74,7 +74,7 @@
 	}
 	answer.WaitFor(t, 1)
 	s.term()
-	sidecartest.Until(t, "the drain", s.clients.Draining.Load)
+	sidecartest.Until(t, "the drain", s.clients.Draining)
 	answer.Release()
 	in := bufio.NewReader(c)
 	for i := range requests {
--- a/internal/sidecar/rawcalls_test.go
+++ b/internal/sidecar/rawcalls_test.go
@@ -17,12 +17,12 @@
 		t.Run(unix.ErrnoName(errno), func(t *testing.T) {
 			var failures atomic.Int64
 			s := start(t, configtest.NewConf(sidecartest.NewRegistry(t).Addr(), sidecartest.NewBackend(t, "a", sidecartest.OK).Target), func(s *Sidecar) {
-				s.listener.Read = func(fd int, p []byte) (int, error) {
+				s.listener.SetReadCall(func(fd int, p []byte) (int, error) {
 					if failures.Add(1) <= 3 {
 						return 0, errno
 					}
 					return syscall.Read(fd, p)
-				}
+				})
 			})
 			if got := s.do(s.request("charge", sidecartest.Patience)); got.status != 200 {
 				t.Errorf("%+v", got)
--- a/internal/sidecar/shutdown.go
+++ b/internal/sidecar/shutdown.go
@@ -25,7 +25,7 @@
 func (s *Sidecar) drain(srv *http.Server) error {
 	s.hook.At(checkpoint.DrainSignalled)
 	began := time.Now()
-	s.clients.Draining.Store(true)
+	s.clients.StartDraining()
 	s.predecessor.AnnounceEnd()
 	slog.Info("draining")
 	end := began.Add(s.killTime() - finalAnswerMargin)
@@ -50,10 +50,10 @@
 			open = !s.stopAccepting(tail >= finalAnswerMargin)
 		}
 		if told {
-			clientserver.EndWaiting(s.listener)
-			s.clients.Bodies.End()
+			s.listener.RejectPartial()
+			s.clients.AbortBodies()
 		}
-		if tail >= finalAnswerMargin && !open && s.clients.Requests.Load() == 0 || tail >= maxAnswerTail {
+		if tail >= finalAnswerMargin && !open && s.clients.OpenRequests() == 0 || tail >= maxAnswerTail {
 			break // what is left has never sent a whole request
 		}
 	}
--- a/internal/sidecar/sidecar.go
+++ b/internal/sidecar/sidecar.go
@@ -156,9 +156,7 @@
 		management: manager, loop: l,
 		predecessor: before, budget: all, drainAccept: drainAccept, listTimeout: handover.ListTimeout,
 		unaccepted: netcall.Unaccepted,
-		clients: &clientserver.Server{
-			Config: cfg, Post: l.Post, Metrics: l.Metrics, ReadTimeout: clientserver.DefaultReadTimeout, WriteTimeout: clientserver.DefaultWriteTimeout,
-		},
+		clients:    clientserver.New(clientserver.Options{Config: cfg, Post: l.Post, Metrics: l.Metrics}),
 	}
 	s.successors = handover.Successors{
 		Listener: s.tcp, Faults: cfg.Faults, Bind: net.ListenUnix,
