--- a/internal/sidecar/client_gone_test.go
+++ b/internal/sidecar/client_gone_test.go
@@ -382,8 +382,8 @@
 				_, over = ev.(eventloop.AttemptDone)
 				l.Take(l.Clock.Millis(time.Now()), ev)
 			}
-			if told := len(c.Answers) == 1; told == frontendFirst || !c.Final.Load() {
-				t.Errorf("the loop ends the call: %v, final %v", told, c.Final.Load())
+			if told := len(c.Answers) == 1; told == frontendFirst || !c.Finished() {
+				t.Errorf("the loop ends the call: %v, final %v", told, c.Finished())
 			}
 			l.Take(l.Clock.Millis(time.Now()), clientserver.ClientGone{Call: c}) // late, or twice
 			if n := len(l.Calls); n != 0 {
--- a/internal/sidecar/clientserver/client_conn.go
+++ b/internal/sidecar/clientserver/client_conn.go
@@ -246,7 +246,7 @@
 		return evictPartial, silentSince
 	case !c.reused:
 		return evictSilent, silentSince
-	case silence >= keepAliveAtLeast:
+	case silence >= minKeepAlive:
 		return evictIdleLong, silentSince
 	default:
 		return evictIdle, silentSince
--- a/internal/sidecar/clientserver/conn_limiter.go
+++ b/internal/sidecar/clientserver/conn_limiter.go
@@ -17,8 +17,8 @@
 	evictAfterSilence = 50 * time.Millisecond
 	// newConnGrace is how long a client may pause within its request: it may take 2 s for a head.
 	newConnGrace = time.Second
-	// keepAliveAtLeast is how long a connection without a request is kept, unless all others have gone.
-	keepAliveAtLeast = 2 * time.Second
+	// minKeepAlive is how long a connection without a request is kept, unless all others have gone.
+	minKeepAlive = 2 * time.Second
 	// CloseWindow is how long a request may be on its way: on a new connection after its client's connect, and once more
 	// on a new one after the end of its old one crossed it.
 	CloseWindow = 200 * time.Millisecond
@@ -79,7 +79,7 @@
 // admit waits until there is a slot for a connection, or the listener is closed.
 func (l *Limiter) admit(conn *ClientConn) {
 	for {
-		admitted, victim := l.tryAdmit(conn)
+		admitted, victim := l.claimSlot(conn)
 		if admitted {
 			return
 		}
@@ -100,8 +100,8 @@
 	}
 }
 
-// tryAdmit gives a new connection a slot, or returns the connection to close for it; nil: there is none yet.
-func (l *Limiter) tryAdmit(conn *ClientConn) (admitted bool, victim *ClientConn) {
+// claimSlot claims a slot for a new connection. Where all are taken it returns the connection to close; nil: none yet.
+func (l *Limiter) claimSlot(conn *ClientConn) (admitted bool, victim *ClientConn) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if len(l.conns) < l.limit {
@@ -145,7 +145,7 @@
 
 const (
 	evictSilent   evictionRank = iota // has never sent a byte, or was notified of its end
-	evictIdleLong                     // has been without a request for keepAliveAtLeast
+	evictIdleLong                     // has been without a request for minKeepAlive
 	evictPartial                      // stopped in the middle of a request
 	evictIdle                         // is between two requests
 	evictNew                          // is new, or started a request a moment ago
--- a/internal/sidecar/clientserver/conn_limiter_shutdown_test.go
+++ b/internal/sidecar/clientserver/conn_limiter_shutdown_test.go
@@ -212,7 +212,7 @@
 		sidecartest.Receive(t, "the first request's end", between.reached)
 		limiter.CloseIdle(time.Now())
 		limiter.Each(func(conn *ClientConn) { conn.since = time.Now().Add(-time.Hour) })
-		if _, victim := limiter.tryAdmit(&ClientConn{}); victim != nil {
+		if _, victim := limiter.claimSlot(&ClientConn{}); victim != nil {
 			t.Error("it is evicted")
 		}
 		limiter.Each(func(conn *ClientConn) { conn.since = time.Now() })
@@ -302,7 +302,7 @@
 		conn.since = time.Now().Add(-time.Hour)
 		conn.lastRead.Store(int64(time.Since(epoch) - time.Minute))
 	})
-	if _, victim := limiter.tryAdmit(&ClientConn{}); victim != nil {
+	if _, victim := limiter.claimSlot(&ClientConn{}); victim != nil {
 		t.Error("it is evicted")
 	}
 	close(handled.passed)
--- a/internal/sidecar/clientserver/conn_limiter_test.go
+++ b/internal/sidecar/clientserver/conn_limiter_test.go
@@ -36,14 +36,14 @@
 		limiter.conns[conn] = struct{}{}
 	}
 	for _, want := range []string{"silent", "silent later", "idle long", "half", "half, later", "idle", "new", "slow head"} {
-		_, victim := limiter.tryAdmit(&ClientConn{})
+		_, victim := limiter.claimSlot(&ClientConn{})
 		if victim == nil || victim != named[want] {
 			t.Fatalf("not %q but %+v is evicted next", want, victim)
 		}
 		delete(limiter.conns, victim)
 		limiter.limit--
 	}
-	if admitted, victim := limiter.tryAdmit(&ClientConn{}); victim != nil || admitted {
+	if admitted, victim := limiter.claimSlot(&ClientConn{}); victim != nil || admitted {
 		t.Errorf("%+v is evicted, or a connection above the limit is admitted: %v", victim, admitted)
 	}
 }
--- a/internal/sidecar/clientserver/pending_call.go
+++ b/internal/sidecar/clientserver/pending_call.go
@@ -27,7 +27,7 @@
 	callAnswered                    // a server's answer goes to the client
 	callRejected                    // 503: running it again does no harm
 	callFailed                      // 502, 504, or the status of a body that was not received as announced
-	callClientGone                  // nobody is there to be answered
+	callClientGone                  // no client is left to be answered
 )
 
 // String names the state for logs and tests.
--- a/internal/sidecar/clientserver/response_writer.go
+++ b/internal/sidecar/clientserver/response_writer.go
@@ -40,7 +40,7 @@
 			break
 		}
 		var n int
-		n, readErr = stream.Rest.Read(*buf)
+		n, readErr = stream.Remaining.Read(*buf)
 		part = (*buf)[:n]
 	}
 	if readErr != io.EOF {
--- a/internal/sidecar/clientserver/server.go
+++ b/internal/sidecar/clientserver/server.go
@@ -26,7 +26,7 @@
 	ReadyPath = "/health/ready"
 
 	// DefaultReadTimeout is for a complete request, from when its connection or its first byte came. A client that sends
-	// nothing or stops halfway is owed an end within 3 s of connecting.
+	// nothing or stops halfway gets an end within 3 s of connecting.
 	DefaultReadTimeout = 2500 * time.Millisecond
 	// DefaultWriteTimeout is for each part of an answer.
 	DefaultWriteTimeout = 5 * time.Second
--- a/internal/sidecar/eventloop/loop.go
+++ b/internal/sidecar/eventloop/loop.go
@@ -245,7 +245,7 @@
 		c.Answers <- r.Answer
 		l.cancelUnwritten(c)
 	}
-	if c.Left.Load() && c.Finish() { // the attempt saw it: no other is made
+	if c.SeenGone() && c.Finish() { // the attempt saw it: no other is made
 		c.Answers <- inflight.Answer{ClientLeft: true}
 		l.takeClientGone(now, c)
 	}
@@ -258,7 +258,7 @@
 	}
 	l.Tell(now, balance.Outcome{
 		Request: c.Request.ID, Attempt: a.Number, Server: a.Server.ID, Result: r.Result, Elapsed: took,
-		Finished: c.Final.Load(), Report: r.Report, BodyConsumed: r.BodyConsumed, RouteRevoked: r.RouteRevoked,
+		Finished: c.Finished(), Report: r.Report, BodyConsumed: r.BodyConsumed, RouteRevoked: r.RouteRevoked,
 	})
 	l.release(c)
 }
@@ -278,7 +278,7 @@
 
 // release drops a call that is answered and has nothing out.
 func (l *Loop) release(c *inflight.Call) {
-	if open := l.Calls[c.Request.ID]; open != nil && open.live == 0 && c.Final.Load() {
+	if open := l.Calls[c.Request.ID]; open != nil && open.live == 0 && c.Finished() {
 		delete(l.Calls, c.Request.ID)
 	}
 }
--- a/internal/sidecar/inflight/call.go
+++ b/internal/sidecar/inflight/call.go
@@ -9,8 +9,8 @@
 	"marblelane/balance"
 )
 
-// Final answers other than 200. 429 and 503 tell the client that trying again is harmless, so nothing else
-// here may answer with them.
+// Final answers other than 200. 429 and 503 promise the client that a retry does no harm, so that no other answer of the
+// sidecar may have those statuses.
 const (
 	StatusRejected = http.StatusServiceUnavailable
 	StatusFailed   = http.StatusBadGateway
@@ -20,47 +20,45 @@
 // MaxTimeout is the longest X-Timeout-Ms.
 const MaxTimeout = time.Hour
 
-// Call is a client's request. Who sets final owes the client the one answer.
+// Call is a client's request. Whoever finishes it decides the one answer.
 type Call struct {
 	Request   balance.Request
 	Outbound  *Outbound
 	HeldBytes int           // of the memory for bodies
 	Timeout   time.Duration // the client's, from its last byte
-	Deadline  time.Time     // zero while its body is still coming
-	Answers   chan Answer   // takes the loop's answer without blocking
+	Deadline  time.Time     // zero while the body is still coming
+	Answers   chan Answer   // has the event loop's answer: one at most, with a buffer for it; never closed
 
-	ClientGone func() bool // reports without waiting whether the client is known to have gone; nil: unknown
-	Left       atomic.Bool // it has
+	// ClientGone reports without waiting whether the client is known to have gone; nil: that cannot be known.
+	ClientGone func() bool
+	seenGone   atomic.Bool
 
-	Final   atomic.Bool
-	Writing sync.Mutex // HeldBytes from the last check before an attempt's first byte to its last byte
+	finished atomic.Bool
+	// Writing is held from the last check before an attempt's first byte to its last byte.
+	Writing sync.Mutex
 }
 
-// Finish reports whether the caller is the one to answer.
-func (c *Call) Finish() bool { return c.Final.CompareAndSwap(false, true) }
+// Finish finishes the call, and reports whether the caller is the one to answer: the first one is.
+func (c *Call) Finish() bool { return c.finished.CompareAndSwap(false, true) }
 
-// ClientLeft reports whether the client is known to have gone. One that has does not come back.
+// Finished reports whether the answer is decided.
+func (c *Call) Finished() bool { return c.finished.Load() }
+
+// ClientLeft checks whether the client is known to have gone. One that has does not come back.
 func (c *Call) ClientLeft() bool {
-	if c.ClientGone != nil && !c.Left.Load() && c.ClientGone() {
-		c.Left.Store(true)
+	if c.ClientGone != nil && !c.seenGone.Load() && c.ClientGone() {
+		c.seenGone.Store(true)
 	}
-	return c.Left.Load()
+	return c.seenGone.Load()
 }
 
-// UploadTimeLeft is the time that the client of a body that is passed on has left: all of it until the last byte has come.
+// SeenGone reports whether some ClientLeft was true, and does not check again.
+func (c *Call) SeenGone() bool { return c.seenGone.Load() }
+
+// UploadTimeLeft is the time that the client of a streamed body has left: all of it until the last byte has come.
 func (c *Call) UploadTimeLeft() time.Duration {
-	if received := c.Outbound.Upload.CompletedAt(); !received.IsZero() {
-		return time.Until(received.Add(c.Timeout))
+	if completedAt := c.Outbound.Upload.CompletedAt(); !completedAt.IsZero() {
+		return time.Until(completedAt.Add(c.Timeout))
 	}
 	return c.Timeout
 }
-
-// Answer is what the client gets.
-type Answer struct {
-	Status      int
-	RetryAfter  float64 // ms; 0: none
-	ContentType string
-	Body        []byte
-	Stream      *AnswerStream // in place of body: it is passed on as it comes
-	ClientLeft  bool          // in place of all else: the client has gone
-}
--- a/internal/sidecar/inflight/outbound.go
+++ b/internal/sidecar/inflight/outbound.go
@@ -13,8 +13,9 @@
 	Host   string
 	Header http.Header // end-to-end headers only
 	Body   []byte
-	Upload *Upload // in place of body: it is passed on as it comes
-	// The first bytes of the latest attempt, and of the first that may have run; zero: none. Its attempts follow each
-	// other, so there is no lock.
+	Upload *Upload // in place of Body: it is streamed
+
+	// LastFirstByte is when the latest attempt sent its first byte, and MayRunSince when the first attempt did that may
+	// have run; zero: none. The attempts of a request follow each other, so that there is no lock.
 	LastFirstByte, MayRunSince time.Time
 }
--- a/internal/sidecar/inflight/reply.go
+++ b/internal/sidecar/inflight/reply.go
@@ -4,11 +4,11 @@
 	"marblelane/balance"
 )
 
-// Reply is how an attempt or probe ended.
+// Reply is how an attempt or a health check ended.
 type Reply struct {
 	Result       balance.Result
 	Answer       Answer
-	Report       []float32
-	BodyConsumed bool // the request's body is used up
-	RouteRevoked bool // its route is not acted on any more
+	Report       []float32 // the server's load report
+	BodyConsumed bool      // the request's body cannot be sent again
+	RouteRevoked bool      // the request's route does not hold any more
 }
--- a/internal/sidecar/inflight/upload.go
+++ b/internal/sidecar/inflight/upload.go
@@ -8,153 +8,156 @@
 )
 
 const (
-	MaxBody = 32 << 20 // of requests and answers
-	// MaxHeldBody is the longest body, of a request or an answer, that is always held whole: then a request can be
-	// sent again, and an answer that is cut short is a failed attempt and not the client's.
+	// MaxBody is the longest body of a request or an answer, in bytes.
+	MaxBody = 32 << 20
+	// MaxHeldBody is the longest body, of a request or an answer, that is always held completely, in bytes: such a
+	// request can be sent again, and such an answer, if it is cut short, is a failed attempt that the client does not see.
 	MaxHeldBody = 64 << 10
-	MinHeldBody = 4 << 10 // of a body where there is no memory left
-	CopySize    = 16 << 10
+	// MinHeldBody is how much of a body is held where there is no memory left, in bytes.
+	MinHeldBody = 4 << 10
 
-	lingerWait = 3 * time.Second // for the rest of a body, after its answer
+	// discardWait is for reading on behind the answer to a body.
+	discardWait = 3 * time.Second
 )
 
+// ErrBodyUnwanted ends a body after which the request was answered, or an answer after which its call was.
 var ErrBodyUnwanted = errors.New("nobody wants the body any more")
 
-var CopyBuffers = sync.Pool{New: func() any { b := make([]byte, CopySize); return &b }}
-
-// Upload is a request's body that is passed on as it comes. Its first part is held, and until more of it has gone
-// out it can be sent again.
+// Upload is a request's body that is streamed to the server. Its first part is held: until more of it has been sent it
+// can be sent again.
 type Upload struct {
-	Length int64 // -1: not known
+	Length int64 // bytes; -1: not known
 	first  []byte
 
-	Mu       sync.Mutex
-	changed  sync.Cond
-	next     []byte // what came after the first part and waits to go out
-	used     bool   // some of that has gone out
-	dropped  bool   // nothing more goes out
-	ended    error  // io.EOF: it is whole
-	Received time.Time
+	mu          sync.Mutex // guards the fields below
+	changed     sync.Cond
+	next        []byte // behind the first part, not sent yet
+	consumed    bool   // some bytes behind the first part were sent
+	aborted     bool   // nothing more is sent
+	ended       error  // io.EOF: the body is complete; nil: more of it comes
+	completedAt time.Time
 }
 
+// NewUpload is a body of which the first part has come.
 func NewUpload(length int64, first []byte) *Upload {
 	u := &Upload{Length: length, first: first}
-	u.changed.L = &u.Mu
+	u.changed.L = &u.mu
 	return u
 }
 
-// Feed passes the rest on until it ends. What nobody wants is read all the same, for a while: a client that is
+// Feed streams what is still to come of the body until it ends. After Abort it reads on for discardWait: a client that is
 // still sending would not see its answer.
 func (u *Upload) Feed(body io.Reader) error {
 	buf := CopyBuffers.Get().(*[]byte)
 	defer CopyBuffers.Put(buf)
-	var unwanted time.Time
+	var abortedAt time.Time
 	for {
 		n, err := body.Read(*buf)
-		if !u.Put((*buf)[:n], err) && unwanted.IsZero() {
-			unwanted = time.Now()
+		if !u.Put((*buf)[:n], err) && abortedAt.IsZero() {
+			abortedAt = time.Now()
 		}
 		switch {
 		case err == io.EOF:
 			return nil
 		case err != nil:
 			return err
-		case !unwanted.IsZero() && time.Since(unwanted) > lingerWait:
+		case !abortedAt.IsZero() && time.Since(abortedAt) > discardWait:
 			return ErrBodyUnwanted
 		}
 	}
 }
 
-// Put hands bytes on and waits until they are taken.
+// Put gives bytes to the reader and waits until it has read them. A non-nil error ends the body; io.EOF: it is complete.
+// Put reports false after Abort.
 func (u *Upload) Put(b []byte, err error) bool {
-	u.Mu.Lock()
-	defer u.Mu.Unlock()
+	u.mu.Lock()
+	defer u.mu.Unlock()
 	u.next = b
 	if err != nil {
-		u.ended, u.Received = err, time.Now()
+		u.ended, u.completedAt = err, time.Now()
 	}
 	u.changed.Broadcast()
-	for len(u.next) > 0 && !u.dropped {
+	for len(u.next) > 0 && !u.aborted {
 		u.changed.Wait()
 	}
-	return !u.dropped
+	return !u.aborted
 }
 
-// Abort ends the passing on.
+// Abort makes readers fail and Put return.
 func (u *Upload) Abort() {
-	u.Mu.Lock()
-	u.dropped = true
+	u.mu.Lock()
+	u.aborted = true
 	u.changed.Broadcast()
-	u.Mu.Unlock()
+	u.mu.Unlock()
 }
 
+// Consumed reports whether more than the first part was sent, so that the body cannot be sent again.
 func (u *Upload) Consumed() bool {
-	u.Mu.Lock()
-	defer u.Mu.Unlock()
-	return u.used
+	u.mu.Lock()
+	defer u.mu.Unlock()
+	return u.consumed
 }
 
-// Broken tells that the client did not send all of it.
+// Broken reports whether the client did not send all of the body.
 func (u *Upload) Broken() bool {
-	u.Mu.Lock()
-	defer u.Mu.Unlock()
+	u.mu.Lock()
+	defer u.mu.Unlock()
 	return u.ended != nil && u.ended != io.EOF
 }
 
-// CompletedAt tells when the last byte came.
+// CompletedAt is when the last byte came; zero: not yet.
 func (u *Upload) CompletedAt() time.Time {
-	u.Mu.Lock()
-	defer u.Mu.Unlock()
-	return u.Received
+	u.mu.Lock()
+	defer u.mu.Unlock()
+	return u.completedAt
+}
+
+// SetCompletedAt changes the time of the last byte, so that tests can let a client's time pass.
+func (u *Upload) SetCompletedAt(at time.Time) {
+	u.mu.Lock()
+	u.completedAt = at
+	u.mu.Unlock()
 }
 
-// UploadReader gives the whole body to one attempt.
+// UploadReader reads the body, from its first byte, for one attempt.
 type UploadReader struct {
 	*Upload
 	first   []byte
-	stopped bool
+	stopped bool // under Upload.mu
 }
 
+// NewReader is a reader for the next attempt. There is one at a time.
 func (u *Upload) NewReader() *UploadReader { return &UploadReader{Upload: u, first: u.first} }
 
+// Read waits for bytes of the body. It fails with ErrBodyUnwanted after Stop or Abort.
 func (r *UploadReader) Read(p []byte) (int, error) {
-	r.Mu.Lock()
-	defer r.Mu.Unlock()
+	r.mu.Lock()
+	defer r.mu.Unlock()
 	if len(r.first) > 0 && !r.stopped {
 		n := copy(p, r.first)
 		r.first = r.first[n:]
 		return n, nil
 	}
-	for len(r.next) == 0 && r.ended == nil && !r.stopped && !r.dropped {
+	for len(r.next) == 0 && r.ended == nil && !r.stopped && !r.aborted {
 		r.changed.Wait()
 	}
 	switch {
-	case r.stopped || r.dropped:
+	case r.stopped || r.aborted:
 		return 0, ErrBodyUnwanted
 	case len(r.next) == 0:
 		return 0, r.ended
 	}
 	n := copy(p, r.next)
 	r.next = r.next[n:]
-	r.used = true
+	r.consumed = true
 	r.changed.Broadcast()
 	return n, nil
 }
 
-// Stop ends a reading that may be waiting.
+// Stop ends a Read that may be waiting.
 func (r *UploadReader) Stop() {
-	r.Mu.Lock()
+	r.mu.Lock()
 	r.stopped = true
 	r.changed.Broadcast()
-	r.Mu.Unlock()
+	r.mu.Unlock()
 }
-
-// AnswerStream is an answer that is passed on as it comes. Whoever writes it to the client tells how that ended.
-type AnswerStream struct {
-	Length int64 // -1: not known
-	First  []byte
-	Rest   io.Reader
-	Ended  chan error // nil: all of it was passed on
-}
-
-var ErrClientGone = errors.New("the client does not take the answer")
--- a/internal/sidecar/upstream/answer.go
+++ b/internal/sidecar/upstream/answer.go
@@ -100,7 +100,7 @@
 // passAnswer offers an answer that has begun to the client and stays until all of it was passed on.
 func (p *Pool) passAnswer(ctx context.Context, conn *ServerConn, resp *http.Response, a *Attempt, first []byte) (inflight.Reply, bool) {
 	s := &inflight.AnswerStream{
-		Length: resp.ContentLength, First: first, Rest: &streamReader{ctx, conn, unbuffered(conn, resp), inflight.MaxBody - int64(len(first))}, Ended: make(chan error, 1),
+		Length: resp.ContentLength, First: first, Remaining: &streamReader{ctx, conn, unbuffered(conn, resp), inflight.MaxBody - int64(len(first))}, Ended: make(chan error, 1),
 	}
 	p.Post(AnswerStarted{a, inflight.Answer{Status: http.StatusOK, ContentType: resp.Header.Get("Content-Type"), Stream: s}})
 	var err error
--- a/internal/sidecar/upstream/attempt_test.go
+++ b/internal/sidecar/upstream/attempt_test.go
@@ -229,9 +229,7 @@
 			go func() { done <- p.Send(a) }()
 			sidecartest.Until(t, "the connection to be taken", func() bool { return idleOf(p, a.Server) == 0 })
 			u := a.Call.Outbound.Upload
-			u.Mu.Lock()
-			u.Received = u.Received.Add(-test.passed)
-			u.Mu.Unlock()
+			u.SetCompletedAt(u.CompletedAt().Add(-test.passed))
 			a.Call.Writing.Unlock()
 			r := sidecartest.Receive(t, "the end", done)
 			if n := len(offered); n != map[bool]int{true: 2, false: 1}[test.sent] {
--- a/internal/sidecar/upstream/request_writer.go
+++ b/internal/sidecar/upstream/request_writer.go
@@ -110,7 +110,7 @@
 	if a != nil {
 		a.Call.Writing.Lock()
 		defer a.Call.Writing.Unlock()
-		if a.Call.Final.Load() {
+		if a.Call.Finished() {
 			return false, errNotNeeded
 		}
 	}
