--- a/internal/sidecar/acceptance_test.go
+++ b/internal/sidecar/acceptance_test.go
@@ -16,10 +16,10 @@
 	"marblelane/internal/sidecar/sidecartest"
 )
 
-// Clients that stop in the middle of a request and stay get an error or a close within 3 s of connecting, and those
-// that send 60 MB within 6 s; with the program's own bounds on a connection.
-func TestClientsThatStopAreSentAwayInTime(t *testing.T) {
-	const owed, owedLarge = 3 * time.Second, 6 * time.Second
+// With the default timeouts, clients that stop in the middle of a request and stay get an error or a close within 3 s of
+// connecting, and those that send 60 MB within 6 s.
+func TestReadTimeout_acceptance(t *testing.T) {
+	const limit, limitLarge = 3 * time.Second, 6 * time.Second
 	before := sidecartest.WireRequest("1", "Content-Length: 1000\r\n", "")
 	chunked := sidecartest.WireRequest("2", "Transfer-Encoding: chunked\r\n", "")
 	large := sidecartest.WireRequest("3", "Content-Length: 60000000\r\n", "")
@@ -30,29 +30,29 @@
 	for name, test := range map[string]struct {
 		text  string
 		more  io.Reader
-		owed  time.Duration
+		limit time.Duration
 		pause time.Duration // before the first byte
 	}{
-		"nothing":                    {owed: owed},
-		"one byte":                   {text: before[:1], owed: owed},
-		"one byte, late":             {text: before[:1], owed: owed, pause: 2 * time.Second},
-		"a request line":             {text: before[:strings.Index(before, "\r\n")+2], owed: owed},
-		"a header name":              {text: before[:60], owed: owed},
-		"a head, one byte short":     {text: before[:len(before)-1], owed: owed},
-		"a head":                     {text: before, owed: owed},
-		"a head, late":               {text: before, owed: owed, pause: time.Second},
-		"half a body":                {text: before + strings.Repeat("b", 500), owed: owed},
-		"a body, one byte short":     {text: before + strings.Repeat("b", 999), owed: owed},
-		"half the size of a chunk":   {text: chunked + "1", owed: owed},
-		"half a chunk":               {text: chunked + "10\r\nbbbb", owed: owed},
-		"chunks without the last":    {text: chunked + "4\r\nbbbb\r\n", owed: owed},
-		"chunks without their end":   {text: chunked + "4\r\nbbbb\r\n0\r\n", owed: owed},
-		"60 MB":                      {text: large, more: io.LimitReader(sidecartest.Zeros{}, 60_000_000), owed: owedLarge},
-		"60 MB that stops at 1 MB":   {text: large, more: io.LimitReader(sidecartest.Zeros{}, 1_000_000), owed: owedLarge},
-		"60 MB that stops at 100 kB": {text: large, more: io.LimitReader(sidecartest.Zeros{}, 100_000), owed: owedLarge},
+		"nothing":                    {limit: limit},
+		"one byte":                   {text: before[:1], limit: limit},
+		"one byte, late":             {text: before[:1], limit: limit, pause: 2 * time.Second},
+		"a request line":             {text: before[:strings.Index(before, "\r\n")+2], limit: limit},
+		"a header name":              {text: before[:60], limit: limit},
+		"a head, one byte short":     {text: before[:len(before)-1], limit: limit},
+		"a head":                     {text: before, limit: limit},
+		"a head, late":               {text: before, limit: limit, pause: time.Second},
+		"half a body":                {text: before + strings.Repeat("b", 500), limit: limit},
+		"a body, one byte short":     {text: before + strings.Repeat("b", 999), limit: limit},
+		"half the size of a chunk":   {text: chunked + "1", limit: limit},
+		"half a chunk":               {text: chunked + "10\r\nbbbb", limit: limit},
+		"chunks without the last":    {text: chunked + "4\r\nbbbb\r\n", limit: limit},
+		"chunks without their end":   {text: chunked + "4\r\nbbbb\r\n0\r\n", limit: limit},
+		"60 MB":                      {text: large, more: io.LimitReader(sidecartest.Zeros{}, 60_000_000), limit: limitLarge},
+		"60 MB that stops at 1 MB":   {text: large, more: io.LimitReader(sidecartest.Zeros{}, 1_000_000), limit: limitLarge},
+		"60 MB that stops at 100 kB": {text: large, more: io.LimitReader(sidecartest.Zeros{}, 100_000), limit: limitLarge},
 	} {
 		clients.Go(func() {
-			began := time.Now()
+			startedAt := time.Now()
 			c, err := net.Dial("tcp", s.Addr())
 			if err != nil {
 				t.Errorf("%s: %v", name, err)
@@ -66,22 +66,22 @@
 					io.Copy(c, test.more)
 				}
 			}()
-			c.SetReadDeadline(began.Add(sidecartest.Patience))
+			c.SetReadDeadline(startedAt.Add(sidecartest.Patience))
 			c.Read(make([]byte, 1)) // an error or a close
-			if took := time.Since(began); took > test.owed+lag() {
-				t.Errorf("%s: an answer or an end after %v, owed within %v", name, took, test.owed)
+			if took := time.Since(startedAt); took > test.limit+lag() {
+				t.Errorf("%s: an answer or an end after %v, want within %v", name, took, test.limit)
 			}
 		})
 	}
 	clients.Wait()
 	if n := b.Requests.Load(); n != 0 {
-		t.Errorf("%d whole requests reached the server, want none", n)
+		t.Errorf("%d complete requests reached the server, want none", n)
 	}
 }
 
-// A request with very little time left, which its server drops without a word, has one answer in time and at most one
-// attempt, and the server is used as before.
-func TestLittleTimeIsAnsweredInTime(t *testing.T) {
+// A request with a very short timeout whose server closes the connection without an answer gets one answer in time, from
+// one attempt at most, and the server stays in use.
+func TestTimeout_short(t *testing.T) {
 	var seen sync.Map // attempts by request id
 	b := sidecartest.NewBackend(t, "a", func(c net.Conn, r *http.Request, body string) bool {
 		n, _ := seen.LoadOrStore(r.Header.Get("X-Request-ID"), new(atomic.Int64))
@@ -89,7 +89,7 @@
 		return len(r.Header.Get("X-Timeout-Ms")) < 3 || sidecartest.OK(c, r, body)
 	})
 	s := start(t, configtest.NewConf(sidecartest.NewRegistry(t).Addr(), b.Target))
-	const slack = 500 * time.Millisecond // later it is lost
+	const slack = 500 * time.Millisecond // after the timeout; the client waits no longer
 	lag := sidecartest.MachineLag(t)
 	for _, class := range []string{"lookup", "reserve", "charge"} {
 		for _, left := range []time.Duration{1, 2, 5, 10, 20} {
@@ -110,8 +110,8 @@
 	}
 }
 
-// Answers with no length that come whole are forwarded, whatever their size and pace.
-func TestAnswersWithoutLengthAreForwarded(t *testing.T) {
+// Complete answers without a length are forwarded, whatever their size and pace.
+func TestAnswer_withoutLength(t *testing.T) {
 	for name, test := range map[string]struct {
 		size  int
 		parts int
@@ -120,7 +120,7 @@
 		"short":               {100, 1, 0},
 		"short, in pieces":    {100, 5, 0},
 		"short, slow":         {100, 5, 40 * time.Millisecond},
-		"held whole":          {inflight.MaxHeldBody, 4, 0},
+		"held":                {inflight.MaxHeldBody, 4, 0},
 		"long":                {4 * inflight.MaxHeldBody, 4, 0},
 		"long, slow":          {4 * inflight.MaxHeldBody, 4, 40 * time.Millisecond},
 		"long, late and slow": {2 * inflight.MaxHeldBody, 2, 200 * time.Millisecond},
@@ -135,26 +135,26 @@
 				return false
 			})
 			s := start(t, configtest.NewConf(sidecartest.NewRegistry(t).Addr(), b.Target))
-			const asked = 10
+			const requests = 10
 			var answers []<-chan result
-			for i := range asked {
+			for i := range requests {
 				answers = append(answers, s.goDo(s.request([]string{"lookup", "charge"}[i%2], 2*time.Second)))
 			}
-			whole := 0
+			complete := 0
 			for _, answer := range answers {
 				if got := sidecartest.Receive(t, "an answer", answer); got.status == 200 && len(got.body) == test.size {
-					whole++
+					complete++
 				}
 			}
-			if 2*whole < asked {
-				t.Errorf("%d of %d whole answers are forwarded, want half at least", whole, asked)
+			if 2*complete < requests {
+				t.Errorf("%d of %d complete answers are forwarded, want half at least", complete, requests)
 			}
 		})
 	}
 }
 
-// Idle connections that a server ends in order or by a reset cost no request, not even one that must not run twice.
-func TestIdleConnectionsThatServersEnd(t *testing.T) {
+// Idle connections that a server closes or resets cost no request, not even one that is not idempotent.
+func TestIdleConn_closedByServer(t *testing.T) {
 	for name, end := range sidecartest.Ends {
 		t.Run(name, func(t *testing.T) {
 			b := sidecartest.NewBackend(t, "a", sidecartest.OK)
@@ -183,9 +183,9 @@
 	}
 }
 
-// Attempts that fail at once, each in its way, end in one answer and no more attempts than the settings allow, of which
-// those of a class that must not run twice are one.
-func TestRetriesThatFailAtOnce(t *testing.T) {
+// A request whose attempts all fail at once gets one answer after no more attempts than the settings allow: one where it
+// is not idempotent.
+func TestRetry_immediateFailures(t *testing.T) {
 	for name, serve := range map[string]sidecartest.ServeOne{
 		"error": sidecartest.Respond("HTTP/1.1 500 Oh\r\nContent-Length: 0\r\n\r\n", true),
 		"close": func(net.Conn, *http.Request, string) bool { return false },
@@ -209,9 +209,9 @@
 			}
 			s := start(t, configtest.NewConf(sidecartest.NewRegistry(t).Addr(), servers...))
 			for _, class := range []string{"lookup", "reserve", "charge"} {
-				most := 3
+				maxAttempts := 3
 				if class == "charge" {
-					most = 1
+					maxAttempts = 1
 				}
 				for range 10 {
 					req := s.request(class, 500*time.Millisecond)
@@ -219,8 +219,8 @@
 						t.Errorf("%s: %d after %v", class, got.status, got.took)
 					}
 					mu.Lock()
-					if n := attempts[req.Header.Get("X-Request-ID")]; n > most {
-						t.Errorf("%s: %d attempts, want %d at most", class, n, most)
+					if n := attempts[req.Header.Get("X-Request-ID")]; n > maxAttempts {
+						t.Errorf("%s: %d attempts, want %d at most", class, n, maxAttempts)
 					}
 					mu.Unlock()
 				}
--- a/internal/sidecar/body_test.go
+++ b/internal/sidecar/body_test.go
@@ -21,20 +21,21 @@
 	"marblelane/internal/sidecar/sidecartest"
 )
 
-func sum(b []byte) string {
+// checksum is short enough for the message of a failed test.
+func checksum(b []byte) string {
 	h := fnv.New64a()
 	h.Write(b)
 	return fmt.Sprintf("%d bytes, %x", len(b), h.Sum64())
 }
 
-// Bodies and answers of all sizes and framings pass unchanged.
-func TestSizes(t *testing.T) {
+// Bodies of requests and answers arrive unchanged, whatever their size and framing.
+func TestBody_sizes(t *testing.T) {
 	for _, size := range []int{0, 1, inflight.MaxHeldBody, inflight.MaxHeldBody + 1, clientserver.MaxHeldIfMemory + 1, inflight.MaxBody} {
 		for _, chunked := range []bool{false, true} {
 			t.Run(fmt.Sprintf("%d, chunked %v", size, chunked), func(t *testing.T) {
 				want := sidecartest.Pattern(size)
 				b := sidecartest.NewBackend(t, "a", func(c net.Conn, r *http.Request, body string) bool {
-					if got := sum([]byte(body)); got != sum(want) || (r.ContentLength < 0) != (chunked && size > inflight.MaxHeldBody) {
+					if got := checksum([]byte(body)); got != checksum(want) || (r.ContentLength < 0) != (chunked && size > inflight.MaxHeldBody) {
 						t.Errorf("the server got %s %s with %s of length %d, %v", r.Method, r.URL, got, r.ContentLength, r.Header)
 					}
 					resp := http.Response{
@@ -55,16 +56,16 @@
 					req.Body = http.NoBody
 				}
 				got := s.do(req)
-				if got.status != 200 || sum([]byte(got.body)) != sum(want) || got.header.Get("Content-Type") != "x/y" {
-					t.Errorf("%d, %s", got.status, sum([]byte(got.body)))
+				if got.status != 200 || checksum([]byte(got.body)) != checksum(want) || got.header.Get("Content-Type") != "x/y" {
+					t.Errorf("%d, %s", got.status, checksum([]byte(got.body)))
 				}
 			})
 		}
 	}
 }
 
-// The client's time counts from its last byte, however long the body takes.
-func TestTimeCountsFromTheLastByte(t *testing.T) {
+// The client's timeout counts from its last byte, however long the body takes.
+func TestTimeout_fromLastByte(t *testing.T) {
 	b := sidecartest.NewBackend(t, "a", sidecartest.OK)
 	s := start(t, configtest.NewConf(sidecartest.NewRegistry(t).Addr(), b.Target).
 		Setting(`"on_time_ms": 500, "hard_limit_ms": 1000}]`, `"on_time_ms": 50, "hard_limit_ms": 100}]`))
@@ -74,7 +75,7 @@
 	done := s.goDo(req)
 	for range 4 {
 		out.Write(make([]byte, inflight.MaxHeldBody/2))
-		time.Sleep(60 * time.Millisecond) // longer than the deadline, all in all
+		time.Sleep(60 * time.Millisecond) // in sum longer than the deadline
 	}
 	out.Close()
 	if got := sidecartest.Receive(t, "the answer", done); got.status != 200 {
@@ -82,32 +83,32 @@
 	}
 }
 
-// upload writes the head of a request with a body and some of the body.
+// upload writes the head of a request with a body, and part of the body.
 func (r *running) upload(t *testing.T, framing, body string) net.Conn {
 	t.Helper()
 	return r.uploadWithin(t, 900*time.Millisecond, framing, body)
 }
 
-// uploadWithin is upload by a client that waits for so long behind its last byte.
-func (r *running) uploadWithin(t *testing.T, wait time.Duration, framing, body string) net.Conn {
+// uploadWithin is upload by a client with the given timeout.
+func (r *running) uploadWithin(t *testing.T, timeout time.Duration, framing, body string) net.Conn {
 	t.Helper()
 	c, err := net.Dial("tcp", r.Addr())
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { c.Close() })
-	c.SetDeadline(time.Now().Add(max(sidecartest.Patience, wait)))
+	c.SetDeadline(time.Now().Add(max(sidecartest.Patience, timeout)))
 	_, err = fmt.Fprintf(c, "POST /api HTTP/1.1\r\nHost: b\r\nX-Request-ID: %d\r\nX-Priority-Class: charge\r\n"+
-		"X-Tenant-Id: kita\r\nX-Timeout-Ms: %d\r\n%s\r\n\r\n%s", requestIDs.Add(1), wait.Milliseconds(), framing, body)
+		"X-Tenant-Id: kita\r\nX-Timeout-Ms: %d\r\n%s\r\n\r\n%s", requestIDs.Add(1), timeout.Milliseconds(), framing, body)
 	if err != nil {
 		t.Fatal(err)
 	}
 	return c
 }
 
-// A body that is cut short, malformed, too large or never comes reaches no server as a request; the client gets a
-// 4xx or a close.
-func TestBodiesThatAreNotWhole(t *testing.T) {
+// A body that is cut short, malformed, too large or missing reaches no server as a complete request. The client gets a
+// 4xx or the end of its connection.
+func TestBody_incomplete(t *testing.T) {
 	part := strings.Repeat("x", 3*inflight.MaxHeldBody)
 	chunk := fmt.Sprintf("%x\r\n%s\r\n", len(part), part)
 	for name, test := range map[string]struct {
@@ -127,14 +128,14 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			gone := make(chan string, 4)
-			whole := make(chan bool, 4)
+			complete := make(chan bool, 4)
 			at := sidecartest.RawBackend(t, "a", func(c net.Conn, in *bufio.Reader) {
 				req, err := http.ReadRequest(in)
 				if err != nil {
 					return
 				}
 				if _, err := io.Copy(io.Discard, req.Body); err == nil {
-					whole <- true
+					complete <- true
 				}
 				gone <- "gone"
 			})
@@ -149,22 +150,22 @@
 					t.Errorf("%+v, %v, want %d", resp, err, test.want)
 				}
 			}
-			sidecartest.Until(t, "it to be over", func() bool { return s.clients.OpenRequests() == 0 })
+			sidecartest.Until(t, "the request to be over", func() bool { return s.clients.OpenRequests() == 0 })
 			select {
-			case <-whole:
-				t.Error("the server got a whole request")
+			case <-complete:
+				t.Error("the server got a complete request")
 			default:
 			}
 		})
 	}
 }
 
-// A server that turns a request away before its body is whole: it goes elsewhere as long as all of it is held.
-func TestTurnedAwayUnderABody(t *testing.T) {
+// A request that its server rejects before its body is complete goes to another server, while all of the body is held.
+func TestBody_rejectedByServer(t *testing.T) {
 	size := 8 * inflight.MaxHeldBody
 	for _, held := range []bool{true, false} {
 		t.Run(fmt.Sprintf("held %v", held), func(t *testing.T) {
-			away := func(c net.Conn, in *bufio.Reader) {
+			reject := func(c net.Conn, in *bufio.Reader) {
 				req, err := http.ReadRequest(in)
 				if err != nil {
 					return
@@ -176,20 +177,20 @@
 				c.(*net.TCPConn).CloseWrite()
 				io.Copy(io.Discard, in)
 			}
-			c := configtest.NewConf(sidecartest.NewRegistry(t).Addr(), sidecartest.RawBackend(t, "a", away), sidecartest.RawBackend(t, "b", away))
+			c := configtest.NewConf(sidecartest.NewRegistry(t).Addr(), sidecartest.RawBackend(t, "a", reject), sidecartest.RawBackend(t, "b", reject))
 			good := sidecartest.NewBackend(t, "c", func(c net.Conn, r *http.Request, body string) bool {
 				if len(body) != size {
 					t.Errorf("the server got %d bytes", len(body))
 				}
 				return sidecartest.OK(c, r, body)
 			})
-			if held { // the third to be asked
+			if held { // the third to get the request
 				c["known"] = endpointlist.List{Rev: 1, All: true, Targets: append(c["known"].(endpointlist.List).Targets, good.Target)}
 			}
 			s := start(t, c)
 			conn := s.upload(t, "Transfer-Encoding: chunked", fmt.Sprintf("%x\r\n%s\r\n", inflight.MaxHeldBody+1, strings.Repeat("x", inflight.MaxHeldBody+1)))
-			if held { // the others have turned it away by now
-				sidecartest.Until(t, "the good server to be asked", func() bool { return good.Conns.Load() > 0 })
+			if held { // the others have rejected it by then
+				sidecartest.Until(t, "the good server to get the request", func() bool { return good.Conns.Load() > 0 })
 			}
 			more := strings.Repeat("x", size-inflight.MaxHeldBody-1)
 			fmt.Fprintf(conn, "%x\r\n%s\r\n0\r\n\r\n", len(more), more)
@@ -204,54 +205,54 @@
 	}
 }
 
-// The first bytes of a long answer go on at once, and the rest goes on after the client's deadline.
-func TestLongAnswerIsPassedOn(t *testing.T) {
+// The first bytes of a long answer are written at once, and the remaining ones also after the client's deadline.
+func TestAnswer_streamed(t *testing.T) {
 	for _, chunked := range []bool{false, true} {
 		t.Run(fmt.Sprintf("chunked %v", chunked), func(t *testing.T) {
-			goOn := make(chan struct{})
-			release := sync.OnceFunc(func() { close(goOn) })
-			first, rest := sidecartest.Pattern(1000), sidecartest.Pattern(4*inflight.MaxHeldBody)
+			released := make(chan struct{})
+			release := sync.OnceFunc(func() { close(released) })
+			first, remaining := sidecartest.Pattern(1000), sidecartest.Pattern(4*inflight.MaxHeldBody)
 			at := sidecartest.RawBackend(t, "a", func(c net.Conn, in *bufio.Reader) {
 				if _, err := http.ReadRequest(in); err != nil {
 					return
 				}
 				if chunked { // in the middle of a chunk
-					fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n%x\r\n%s", len(first)+len(rest), first)
+					fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n%x\r\n%s", len(first)+len(remaining), first)
 				} else {
-					fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(first)+len(rest), first)
+					fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(first)+len(remaining), first)
 				}
-				<-goOn
+				<-released
 				if chunked {
-					fmt.Fprintf(c, "%s\r\n0\r\n\r\n", rest)
+					fmt.Fprintf(c, "%s\r\n0\r\n\r\n", remaining)
 				} else {
-					c.Write(rest)
+					c.Write(remaining)
 				}
 			})
 			t.Cleanup(release)
 			s := start(t, configtest.NewConf(sidecartest.NewRegistry(t).Addr(), at))
 			deadline := 200 * time.Millisecond
-			began := time.Now()
+			startedAt := time.Now()
 			resp, err := s.client.Do(s.request("charge", deadline))
 			if err != nil {
 				t.Fatal(err)
 			}
 			defer resp.Body.Close()
 			got := make([]byte, len(first))
-			if _, err := io.ReadFull(resp.Body, got); err != nil || sum(got) != sum(first) {
-				t.Fatalf("the first bytes: %s, %v", sum(got), err)
+			if _, err := io.ReadFull(resp.Body, got); err != nil || checksum(got) != checksum(first) {
+				t.Fatalf("the first bytes: %s, %v", checksum(got), err)
 			}
-			time.Sleep(time.Until(began.Add(2 * deadline)))
+			time.Sleep(time.Until(startedAt.Add(2 * deadline)))
 			release()
 			got, err = io.ReadAll(resp.Body)
-			if err != nil || sum(got) != sum(rest) {
-				t.Errorf("the rest: %s, %v", sum(got), err)
+			if err != nil || checksum(got) != checksum(remaining) {
+				t.Errorf("the remaining bytes: %s, %v", checksum(got), err)
 			}
 		})
 	}
 }
 
-// A long answer that breaks off ends so that the client can tell, whatever its framing.
-func TestLongAnswerThatBreaksOff(t *testing.T) {
+// A client can tell that a long answer was cut short, whatever its framing.
+func TestAnswer_cutShort(t *testing.T) {
 	for name, answer := range map[string]string{
 		"length":  "HTTP/1.1 200 OK\r\nContent-Length: 1000000\r\n\r\n" + string(sidecartest.Pattern(inflight.MaxHeldBody+1)),
 		"chunked": fmt.Sprintf("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n%x\r\n%s\r\n", 2*inflight.MaxHeldBody, sidecartest.Pattern(2*inflight.MaxHeldBody)),
@@ -275,9 +276,9 @@
 					_, err = io.Copy(io.Discard, resp.Body)
 				}
 				if err == nil {
-					t.Error("the answer looks whole")
+					t.Error("the answer looks complete")
 				}
-				sidecartest.Until(t, "it to be over", func() bool { return s.clients.OpenRequests() == 0 })
+				sidecartest.Until(t, "the request to be over", func() bool { return s.clients.OpenRequests() == 0 })
 				if n := b.Requests.Load(); n != 1 {
 					t.Errorf("%d attempts", n)
 				}
@@ -286,8 +287,8 @@
 	}
 }
 
-// An answer without end is cut off, and the client can tell.
-func TestAnswerWithoutEnd(t *testing.T) {
+// An endless answer is cut off at inflight.MaxBody, and the client can tell.
+func TestAnswer_endless(t *testing.T) {
 	at := sidecartest.RawBackend(t, "a", func(c net.Conn, in *bufio.Reader) {
 		if _, err := http.ReadRequest(in); err == nil {
 			io.WriteString(c, "HTTP/1.1 200 OK\r\n\r\n")
@@ -305,9 +306,9 @@
 	}
 }
 
-// Bodies of many requests at a time are never held together, however slow either side is.
-func TestMemoryIsBounded(t *testing.T) {
-	const at, size = 48, 4 << 20 // more took a busy machine longer than the requests' time
+// The memory for the bodies of many requests at a time is bounded, however slow clients and servers are.
+func TestBodyMemory_bounded(t *testing.T) {
+	const uploads, size = 48, 4 << 20
 	released := make(chan struct{})
 	release := sync.OnceFunc(func() { close(released) })
 	server := sidecartest.RawBackend(t, "a", func(c net.Conn, in *bufio.Reader) {
@@ -315,36 +316,36 @@
 		if err != nil {
 			return
 		}
-		<-released // it reads nothing, then all
+		<-released // until then it reads nothing
 		io.Copy(io.Discard, req.Body)
 		fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\nConnection: close\r\n\r\n", size)
 		io.CopyN(c, sidecartest.Zeros{}, size)
 	})
-	// A dial that a busy machine makes slow is no matter of memory.
+	// A dial may be slow on a busy machine, which this test is not about.
 	s := start(t, configtest.NewConf(sidecartest.NewRegistry(t).Addr(), server).Setting(`"connect_timeout_ms": 100`, `"connect_timeout_ms": 60000`))
 	t.Cleanup(release)
 	var sent sync.WaitGroup
 	var conns []net.Conn
-	for range at {
+	for range uploads {
 		c := s.uploadWithin(t, 2*time.Minute, fmt.Sprintf("Content-Length: %d", size), "")
 		conns = append(conns, c)
 		sent.Go(func() { io.CopyN(c, sidecartest.Zeros{}, size) })
 	}
-	sidecartest.Until(t, "all at the server", func() bool { return s.clients.OpenRequests() == at })
+	sidecartest.Until(t, "all requests to be read", func() bool { return s.clients.OpenRequests() == uploads })
 	heap := func() uint64 {
 		var m runtime.MemStats
 		runtime.GC()
 		runtime.ReadMemStats(&m)
 		return m.HeapAlloc >> 20
 	}
-	const most = at * 4 * inflight.MaxHeldBody >> 20
-	if mb := heap(); mb > most {
-		t.Errorf("%d MB are held on the way to the server, at most %d of %d are allowed", mb, most, at*size>>20)
+	const maxMB = uploads * 4 * inflight.MaxHeldBody >> 20
+	if mb := heap(); mb > maxMB {
+		t.Errorf("%d MB are held on the way to the server, at most %d of %d are allowed", mb, maxMB, uploads*size>>20)
 	}
 	release()
 	sent.Wait()
-	if mb := heap(); mb > most {
-		t.Errorf("%d MB are held on the way back, at most %d of %d are allowed", mb, most, at*size>>20)
+	if mb := heap(); mb > maxMB {
+		t.Errorf("%d MB are held on the way back, at most %d of %d are allowed", mb, maxMB, uploads*size>>20)
 	}
 	for _, c := range conns {
 		resp, err := http.ReadResponse(bufio.NewReader(c), nil)
@@ -357,8 +358,8 @@
 	}
 }
 
-// Requests at a time are bounded by memory where there are more sockets than it would do for.
-func TestMemoryBoundsRequests(t *testing.T) {
+// The memory limit bounds the requests at a time where the sockets allow more of them.
+func TestRequestLimit_byMemory(t *testing.T) {
 	for mb, want := range map[int]int{0: 432, 32: 170, 192: 432} {
 		c := configtest.NewConf("127.0.0.1:1")
 		c["limits"] = map[string]any{"sockets": 1024, "memory_mb": mb}
--- a/internal/sidecar/client_gone_test.go
+++ b/internal/sidecar/client_gone_test.go
@@ -26,23 +26,23 @@
 	"marblelane/internal/sidecar/sidecartest"
 )
 
-// never is a time between looks that no test lives to see.
-const never = time.Hour
+// noClientPoll is an interval between two checks of a client that is longer than any test.
+const noClientPoll = time.Hour
 
 // setClientPoll sets the time between two checks whether a client has gone.
 func (s *Sidecar) setClientPoll(interval time.Duration) {
 	s.clients.Configure(func(o *clientserver.Options) { o.ClientPoll = interval })
 }
 
-// leaver is a client that sends one request and leaves before its answer.
-type leaver struct {
+// leavingClient is a client that sends one request and leaves before its answer.
+type leavingClient struct {
 	*net.TCPConn
-	t    *testing.T
-	host *clientserver.ClientConn // its connection in the sidecar
+	t        *testing.T
+	accepted *clientserver.ClientConn // its connection in the sidecar
 }
 
-// leave sends a request and returns the client once the sidecar works at it.
-func (r *running) leaver(t *testing.T, class, proto, lines, body string) *leaver {
+// newLeavingClient sends a request, and returns the client once the sidecar works at it.
+func (r *running) newLeavingClient(t *testing.T, class, proto, lines, body string) *leavingClient {
 	t.Helper()
 	before := r.clients.OpenRequests()
 	known := map[*clientserver.ClientConn]bool{}
@@ -62,69 +62,69 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	sidecartest.Until(t, "the request to be taken", func() bool { return r.clients.OpenRequests() > before })
-	l := &leaver{TCPConn: c.(*net.TCPConn), t: t}
+	sidecartest.Until(t, "the request to be read", func() bool { return r.clients.OpenRequests() > before })
+	client := &leavingClient{TCPConn: c.(*net.TCPConn), t: t}
 	r.listener.Each(func(conn *clientserver.ClientConn) {
 		if !known[conn] {
-			l.host = conn
+			client.accepted = conn
 		}
 	})
-	return l
+	return client
 }
 
-// sendAhead sends what may be the beginning of a next request, and returns once the one byte of it is read that
-// net/http reads while a request is at work.
-func (l *leaver) sendAhead() {
-	l.t.Helper()
-	before := l.host.LastRead()
-	if _, err := io.WriteString(l, "\r"); err != nil {
-		l.t.Fatal(err)
+// sendAhead sends what may be the start of a next request, and returns once net/http has read its first byte, behind
+// which it reads no more while a request is at work.
+func (c *leavingClient) sendAhead() {
+	c.t.Helper()
+	before := c.accepted.LastRead()
+	if _, err := io.WriteString(c, "\r"); err != nil {
+		c.t.Fatal(err)
 	}
-	sidecartest.Until(l.t, "a byte to be read ahead", func() bool { return l.host.LastRead().After(before) })
-	if _, err := io.WriteString(l, "\nGET"); err != nil {
-		l.t.Fatal(err)
+	sidecartest.Until(c.t, "a byte to be read ahead", func() bool { return c.accepted.LastRead().After(before) })
+	if _, err := io.WriteString(c, "\nGET"); err != nil {
+		c.t.Fatal(err)
 	}
-	sidecartest.Until(l.t, "more bytes to come", func() bool { _, unread := netcall.Peek(l.host.Conn); return unread })
+	sidecartest.Until(c.t, "more bytes to come", func() bool { _, unread := netcall.Peek(c.accepted.Conn); return unread })
 }
 
-// leave ends the connection in one of the ways and returns once the system of the sidecar knows.
-func (l *leaver) leave(end func(*net.TCPConn)) {
-	l.t.Helper()
-	end(l.TCPConn)
-	sidecartest.Until(l.t, "the end to arrive", func() bool {
-		state, err := netcall.SystemConnStates.State(l.host.Conn)
+// leave ends the connection, and returns once the system of the sidecar knows it.
+func (c *leavingClient) leave(end func(*net.TCPConn)) {
+	c.t.Helper()
+	end(c.TCPConn)
+	sidecartest.Until(c.t, "the end to arrive", func() bool {
+		state, err := netcall.SystemConnStates.State(c.accepted.Conn)
 		return err != nil || state != unix.BPF_TCP_ESTABLISHED
 	})
 }
 
-// Settings under which a request waits for a connection, or for a server to ask, longer than any test.
+// Settings under which a request waits for a connection, or for a server, longer than any test.
 const (
 	longDial = `"connect_timeout_ms": 60000`
 	longWait = `"on_time_ms": 60000, "hard_limit_ms": 60000`
 )
 
-// atDial starts a sidecar with one server, to which connections come up only once the gate is open.
-func atDial(t *testing.T, poll time.Duration) (*running, *sidecartest.Backend, *sidecartest.Barrier) {
+// startHeldDial starts a sidecar with one server, to which connections are set up only once the barrier is released.
+func startHeldDial(t *testing.T, poll time.Duration) (*running, *sidecartest.Backend, *sidecartest.Barrier) {
 	t.Helper()
-	b, g := sidecartest.NewBackend(t, "a", sidecartest.OK), sidecartest.NewBarrier()
+	b, dialing := sidecartest.NewBackend(t, "a", sidecartest.OK), sidecartest.NewBarrier()
 	c := configtest.NewConf(sidecartest.NewRegistry(t).Addr(), b.Target).Setting(`"connect_timeout_ms": 100`, longDial)
 	s := start(t, c, func(s *Sidecar) {
 		s.setClientPoll(poll)
-		s.loop.Pool.Dialer.Control = func(string, string, syscall.RawConn) error { g.Pass(); return nil }
+		s.loop.Pool.Dialer.Control = func(string, string, syscall.RawConn) error { dialing.Pass(); return nil }
 	})
-	t.Cleanup(g.Release) // before the sidecar ends
-	return s, b, g
+	t.Cleanup(dialing.Release) // before the sidecar ends
+	return s, b, dialing
 }
 
-// nothingSent returns once all requests are over, and fails if a server got one of them.
-func (r *running) nothingSent(t *testing.T, servers ...*sidecartest.Backend) {
+// expectNothingSent returns once all requests are over, and fails if a server got one of them.
+func (r *running) expectNothingSent(t *testing.T, servers ...*sidecartest.Backend) {
 	t.Helper()
 	sidecartest.Until(t, "the request to be over", func() bool { return r.clients.OpenRequests() == 0 })
 	before := int64(0)
 	for _, b := range servers {
 		before += b.Requests.Load()
 	}
-	if got := r.do(r.request("lookup", sidecartest.Patience)); got.status != 200 { // servers have read all by then
+	if got := r.do(r.request("lookup", sidecartest.Patience)); got.status != 200 { // by its answer servers have read all that was sent
 		t.Errorf("another client gets %+v", got)
 	}
 	after := int64(-1)
@@ -132,87 +132,87 @@
 		after += b.Requests.Load()
 	}
 	if after > 0 || before > 0 {
-		t.Errorf("servers got %d requests of a client that had gone", max(after, before))
+		t.Errorf("servers got %d requests of a client that has gone", max(after, before))
 	}
 }
 
-// A client that leaves behind bytes that nobody reads is seen by the attempt right before its first byte.
-func TestNoFirstByteForAClientThatHasGone(t *testing.T) {
+// Right before its first byte an attempt sees that its client has gone, though unread bytes hide the end of the
+// connection.
+func TestClientGone_beforeFirstByte(t *testing.T) {
 	for name, end := range sidecartest.Ends {
 		for _, proto := range []string{"HTTP/1.1", "HTTP/1.0"} {
 			t.Run(name+" "+proto, func(t *testing.T) {
-				s, b, dialing := atDial(t, never)
-				client := s.leaver(t, "lookup", proto, "", "")
+				s, b, dialing := startHeldDial(t, noClientPoll)
+				client := s.newLeavingClient(t, "lookup", proto, "", "")
 				dialing.WaitFor(t, 1)
 				client.sendAhead()
 				client.leave(end)
 				dialing.Release()
-				s.nothingSent(t, b)
+				s.expectNothingSent(t, b)
 			})
 		}
 	}
 }
 
-// A client that leaves behind unread bytes while its request waits ends it long before its time is over: it does not
-// count as load, and a connection that was on its way for it is kept for others.
-func TestWaitingRequestEndsWithItsClient(t *testing.T) {
+// A request whose client leaves while it waits ends long before its deadline, though unread bytes hide the end of the
+// connection: it does not count as load, and the connection that was being set up for it stays in the pool for others.
+func TestClientGone_whileWaiting(t *testing.T) {
 	for name, end := range sidecartest.Ends {
-		t.Run("held, "+name, func(t *testing.T) {
+		t.Run("without a server, "+name, func(t *testing.T) {
 			registry := sidecartest.NewRegistry(t)
 			s := start(t, configtest.NewConf(registry.Addr()).Setting(`"on_time_ms": 750, "hard_limit_ms": 2500`, longWait))
 			watch := sidecartest.Receive(t, "a call", registry.Calls)
-			client := s.leaver(t, "lookup", "HTTP/1.1", "", "")
+			client := s.newLeavingClient(t, "lookup", "HTTP/1.1", "", "")
 			client.sendAhead()
 			client.leave(end)
 			sidecartest.Until(t, "the request to be over", func() bool { return s.clients.OpenRequests() == 0 })
 			b := sidecartest.NewBackend(t, "a", sidecartest.OK)
 			watch.Send(t, endpointlist.List{Rev: 2, All: true, Targets: []endpointlist.Target{b.Target}})
-			s.nothingSent(t, b)
+			s.expectNothingSent(t, b)
 		})
 		t.Run("dialing, "+name, func(t *testing.T) {
-			s, b, dialing := atDial(t, 0)
-			client := s.leaver(t, "lookup", "HTTP/1.1", "", "")
+			s, b, dialing := startHeldDial(t, 0)
+			client := s.newLeavingClient(t, "lookup", "HTTP/1.1", "", "")
 			dialing.WaitFor(t, 1)
 			client.sendAhead()
 			client.leave(end)
 			sidecartest.Until(t, "the request to be over", func() bool { return s.clients.OpenRequests() == 0 })
 			dialing.Release()
-			sidecartest.Until(t, "the connection to be kept", func() bool {
+			sidecartest.Until(t, "the connection to be idle in the pool", func() bool {
 				_, idle := s.loop.Pool.Counts()
 				return idle == 1
 			})
-			s.nothingSent(t, b)
+			s.expectNothingSent(t, b)
 			if n := b.Conns.Load(); n != 1 {
-				t.Errorf("%d connections, want the one that was on its way", n)
+				t.Errorf("%d connections, want the one that was being set up", n)
 			}
 		})
 	}
 }
 
-// A request that nobody could be asked for is not sent to a server that is told of after its client has left, however
-// soon that is.
-func TestHeldRequestIsNotSentForAClientThatHasGone(t *testing.T) {
+// A request without a server is not sent to one that a list event names right after its client has left.
+func TestClientGone_beforeListEvent(t *testing.T) {
 	for name, end := range sidecartest.Ends {
 		t.Run(name, func(t *testing.T) {
 			registry := sidecartest.NewRegistry(t)
 			c := configtest.NewConf(registry.Addr()).Setting(`"on_time_ms": 750, "hard_limit_ms": 2500`, longWait)
-			s := start(t, c, func(s *Sidecar) { s.setClientPoll(never) })
+			s := start(t, c, func(s *Sidecar) { s.setClientPoll(noClientPoll) })
 			watch := sidecartest.Receive(t, "a call", registry.Calls)
-			client := s.leaver(t, "lookup", "HTTP/1.1", "", "")
+			client := s.newLeavingClient(t, "lookup", "HTTP/1.1", "", "")
 			client.sendAhead()
 			client.leave(end)
 			b := sidecartest.NewBackend(t, "a", sidecartest.OK)
 			watch.Send(t, endpointlist.List{Rev: 2, All: true, Targets: []endpointlist.Target{b.Target}})
-			s.nothingSent(t, b)
+			s.expectNothingSent(t, b)
 		})
 	}
 }
 
-// No further attempt begins for a client that left during the one before, however that ended.
-func TestNoFurtherAttemptForAClientThatHasGone(t *testing.T) {
+// No retry starts for a client that left during the attempt before, however that ended.
+func TestClientGone_noRetry(t *testing.T) {
 	for how, first := range map[string]sidecartest.ServeOne{
-		"turned away": sidecartest.Respond("HTTP/1.1 503 No\r\nX-Not-Processed: 1\r\nContent-Length: 0\r\n\r\n", true),
-		"failed":      sidecartest.Respond("HTTP/1.1 500 Oh\r\nContent-Length: 0\r\n\r\n", true),
+		"rejected": sidecartest.Respond("HTTP/1.1 503 No\r\nX-Not-Processed: 1\r\nContent-Length: 0\r\n\r\n", true),
+		"failed":   sidecartest.Respond("HTTP/1.1 500 Oh\r\nContent-Length: 0\r\n\r\n", true),
 		"reset": func(c net.Conn, _ *http.Request, _ string) bool {
 			c.(*net.TCPConn).SetLinger(0)
 			return false
@@ -221,9 +221,9 @@
 		for name, end := range sidecartest.Ends {
 			t.Run(how+", "+name, func(t *testing.T) {
 				answer := sidecartest.NewBarrier()
-				var asked atomic.Int64
+				var attempts atomic.Int64
 				serve := func(c net.Conn, r *http.Request, body string) bool {
-					if asked.Add(1) > 1 {
+					if attempts.Add(1) > 1 {
 						return sidecartest.OK(c, r, body)
 					}
 					answer.Pass()
@@ -231,10 +231,10 @@
 				}
 				b, other := sidecartest.NewBackend(t, "a", serve), sidecartest.NewBackend(t, "b", serve)
 				s := start(t, configtest.NewConf(sidecartest.NewRegistry(t).Addr(), b.Target, other.Target), func(s *Sidecar) {
-					s.setClientPoll(never)
+					s.setClientPoll(noClientPoll)
 				})
 				t.Cleanup(answer.Release)
-				client := s.leaver(t, "lookup", "HTTP/1.1", "", "")
+				client := s.newLeavingClient(t, "lookup", "HTTP/1.1", "", "")
 				answer.WaitFor(t, 1)
 				client.sendAhead()
 				client.leave(end)
@@ -243,7 +243,7 @@
 				if got := s.do(s.request("lookup", time.Second)); got.status != 200 {
 					t.Errorf("another client gets %+v", got)
 				}
-				if n := asked.Load(); n != 2 { // one attempt for either client
+				if n := attempts.Load(); n != 2 { // one attempt for either client
 					t.Errorf("%d attempts, want 2", n)
 				}
 			})
@@ -251,30 +251,31 @@
 	}
 }
 
-// The same holds for a body that is passed on, whole or not when its client leaves.
-func TestNoFirstByteOfAnUploadForAClientThatHasGone(t *testing.T) {
-	const length = inflight.MaxHeldBody / 2 // that the system takes in whole
+// An attempt with a streamed body sees before its first byte that its client has gone, whether the body is complete or
+// not.
+func TestClientGone_beforeUpload(t *testing.T) {
+	const length = inflight.MaxHeldBody / 2 // which fits into the buffers of the system
 	for _, sent := range []int{length / 2, length} {
 		for name, end := range sidecartest.Ends {
 			t.Run(fmt.Sprintf("%d bytes, %s", sent, name), func(t *testing.T) {
-				s, b, dialing := atDial(t, never)
-				s.clients.SetBodyMemory(0) // nothing more than the least is held
-				client := s.leaver(t, "charge", "HTTP/1.1", fmt.Sprintf("Content-Length: %d\r\n", length), string(sidecartest.Pattern(sent)))
+				s, b, dialing := startHeldDial(t, noClientPoll)
+				s.clients.SetBodyMemory(0) // of a body only inflight.MinHeldBody is held
+				client := s.newLeavingClient(t, "charge", "HTTP/1.1", fmt.Sprintf("Content-Length: %d\r\n", length), string(sidecartest.Pattern(sent)))
 				dialing.WaitFor(t, 1)
 				client.leave(end)
 				dialing.Release()
-				s.nothingSent(t, b)
+				s.expectNothingSent(t, b)
 			})
 		}
 	}
 }
 
-// A client that has half-closed has gone, but may still read: it is told that its request failed, and nothing else.
-func TestHalfClosedClientIsToldOfFailure(t *testing.T) {
+// A client that has half-closed counts as gone, but may still read: it gets a failure, and nothing else.
+func TestClientGone_halfClose(t *testing.T) {
 	for _, ahead := range []bool{false, true} {
 		t.Run(fmt.Sprintf("more sent %v", ahead), func(t *testing.T) {
-			s, _, dialing := atDial(t, 0)
-			client := s.leaver(t, "charge", "HTTP/1.1", "", "")
+			s, _, dialing := startHeldDial(t, 0)
+			client := s.newLeavingClient(t, "charge", "HTTP/1.1", "", "")
 			dialing.WaitFor(t, 1)
 			if ahead {
 				client.sendAhead()
@@ -293,17 +294,17 @@
 	}
 }
 
-// Where states cannot be had, requests of clients with pipelined bytes are served as before, and the end of one
-// without is still seen right before the first byte.
-func TestClientGoneWithoutStates(t *testing.T) {
-	blind := func(s *Sidecar) {
+// Where the state of a connection is unavailable, pipelined requests are served all the same, and the end of a client
+// that has sent nothing more is still seen right before the first byte.
+func TestClientGone_withoutConnStates(t *testing.T) {
+	withoutConnStates := func(s *Sidecar) {
 		s.clients.Configure(func(o *clientserver.Options) {
 			o.ConnStates = &netcall.ConnStates{Query: func(int) (uint8, error) { return 0, syscall.ENOPROTOOPT }}
 		})
 	}
 	t.Run("pipelined", func(t *testing.T) {
 		b := sidecartest.NewBackend(t, "a", sidecartest.OK)
-		s := start(t, configtest.NewConf(sidecartest.NewRegistry(t).Addr(), b.Target), blind)
+		s := start(t, configtest.NewConf(sidecartest.NewRegistry(t).Addr(), b.Target), withoutConnStates)
 		c, err := net.Dial("tcp", s.Addr())
 		if err != nil {
 			t.Fatal(err)
@@ -322,21 +323,21 @@
 	})
 	for name, end := range sidecartest.Ends {
 		t.Run(name, func(t *testing.T) {
-			s, b, dialing := atDial(t, never)
-			blind(s.Sidecar)
-			client := s.leaver(t, "lookup", "HTTP/1.1", "", "")
+			s, b, dialing := startHeldDial(t, noClientPoll)
+			withoutConnStates(s.Sidecar)
+			client := s.newLeavingClient(t, "lookup", "HTTP/1.1", "", "")
 			dialing.WaitFor(t, 1)
 			client.leave(end)
 			dialing.Release()
-			s.nothingSent(t, b)
+			s.expectNothingSent(t, b)
 		})
 	}
 }
 
-// An attempt that sees that its client has gone and the client's own end cross: the call ends once, whoever is first,
-// and no further attempt is made.
-func TestAttemptAndHangUpCross(t *testing.T) {
-	for name, frontendFirst := range map[string]bool{"the attempt first": false, "the client's end first": true} {
+// The outcome of an attempt that sees that its client has gone crosses the ClientGone of the client's handler: the call
+// ends once, whichever comes first, and there is no retry.
+func TestClientGone_crossesAttempt(t *testing.T) {
+	for name, handlerFirst := range map[string]bool{"outcome first": false, "ClientGone first": true} {
 		t.Run(name, func(t *testing.T) {
 			b, other := sidecartest.NewBackend(t, "a", sidecartest.OK), sidecartest.NewBackend(t, "b", sidecartest.OK)
 			cfg, err := configtest.NewConf(sidecartest.NewRegistry(t).Addr(), b.Target, other.Target).Load(t)
@@ -347,7 +348,7 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			l := s.loop // led by this test, in place of run
+			l := s.loop // this test calls it in place of Loop.Run
 			ctx, cancel := context.WithCancel(t.Context())
 			t.Cleanup(func() {
 				cancel()
@@ -360,8 +361,8 @@
 			now := l.Clock.Millis(time.Now())
 			l.Act(now, l.Balancer.Start(now))
 			l.TakeListEvent(now, discovery.ListEvent{Kind: balance.ListCached, List: cfg.Known})
-			left, looked := sidecartest.NewBarrier(), &atomic.Int64{}
-			t.Cleanup(left.Release)
+			checking, checks := sidecartest.NewBarrier(), &atomic.Int64{}
+			t.Cleanup(checking.Release)
 			c := &inflight.Call{
 				Request: balance.Request{Class: cfg.Classes["lookup"], Tenant: cfg.Tenants["kita"]},
 				Outbound: &inflight.Outbound{
@@ -369,27 +370,27 @@
 				},
 				Timeout: time.Hour, Deadline: time.Now().Add(time.Hour), Answers: make(chan inflight.Answer, 1),
 			}
-			c.ClientGone = func() bool { looked.Add(1); left.Pass(); return true }
+			c.ClientGone = func() bool { checks.Add(1); checking.Pass(); return true }
 			l.Take(now, clientserver.Arrival{Call: c})
 			open := l.Calls[c.Request.ID]
-			left.WaitFor(t, 1) // the attempt has passed all other checks
-			if frontendFirst && !c.Finish() {
+			checking.WaitFor(t, 1) // the attempt has passed all other checks
+			if handlerFirst && !c.Finish() {
 				t.Fatal("the call is over before its end")
 			}
-			left.Release()
+			checking.Release()
 			for over := false; !over; {
 				ev := sidecartest.Receive(t, "the attempt's outcome", l.Inbox)
 				_, over = ev.(eventloop.AttemptDone)
 				l.Take(l.Clock.Millis(time.Now()), ev)
 			}
-			if told := len(c.Answers) == 1; told == frontendFirst || !c.Finished() {
-				t.Errorf("the loop ends the call: %v, final %v", told, c.Finished())
+			if byLoop := len(c.Answers) == 1; byLoop == handlerFirst || !c.Finished() {
+				t.Errorf("the event loop ends the call: %v, finished %v", byLoop, c.Finished())
 			}
 			l.Take(l.Clock.Millis(time.Now()), clientserver.ClientGone{Call: c}) // late, or twice
 			if n := len(l.Calls); n != 0 {
 				t.Errorf("%d calls are left", n)
 			}
-			if n := looked.Load(); n != 1 || len(open.Attempts) != 1 {
+			if n := checks.Load(); n != 1 || len(open.Attempts) != 1 {
 				t.Errorf("%d attempts, want 1", len(open.Attempts))
 			}
 			if n := b.Requests.Load() + other.Requests.Load(); n != 0 {
--- a/internal/sidecar/frontend_test.go
+++ b/internal/sidecar/clientserver_test.go
@@ -31,7 +31,7 @@
 	}
 }
 
-// What is malformed is told apart from a refusal and reaches no server.
+// A malformed request gets a 4xx, not a rejection, and reaches no server.
 func TestMalformedRequests(t *testing.T) {
 	b := sidecartest.NewBackend(t, "a", sidecartest.OK)
 	s := start(t, configtest.NewConf(sidecartest.NewRegistry(t).Addr(), b.Target))
@@ -40,21 +40,21 @@
 		change func(*http.Request)
 		want   int
 	}{
-		"no id":              {"charge", func(r *http.Request) { r.Header.Del("X-Request-ID") }, 400},
-		"no class":           {"charge", func(r *http.Request) { r.Header.Del("X-Priority-Class") }, 400},
-		"unknown class":      {"charge", func(r *http.Request) { r.Header.Set("X-Priority-Class", "nope") }, 400},
-		"no tenant":          {"charge", func(r *http.Request) { r.Header.Del("X-Tenant-Id") }, 400},
-		"unknown tenant":     {"charge", func(r *http.Request) { r.Header.Set("X-Tenant-Id", "nope") }, 400},
-		"time is no number":  {"charge", func(r *http.Request) { r.Header.Set("X-Timeout-Ms", "soon") }, 400},
-		"no time":            {"charge", func(r *http.Request) { r.Header.Set("X-Timeout-Ms", "0") }, 400},
-		"time below nothing": {"charge", func(r *http.Request) { r.Header.Set("X-Timeout-Ms", "-5") }, 400},
-		"endless time":       {"charge", func(r *http.Request) { r.Header.Set("X-Timeout-Ms", "4294967295") }, 400},
-		"cost is no number":  {"charge", func(r *http.Request) { r.Header.Set("X-Cost", "NaN") }, 400},
-		"keyed, no key":      {"reserve", func(r *http.Request) { r.Header.Del("Idempotency-Key") }, 400},
-		"unsafe with a key":  {"charge", func(r *http.Request) { r.Header.Set("Idempotency-Key", "1") }, 400},
-		"unsafe by GET":      {"charge", func(r *http.Request) { r.Method, r.Body, r.ContentLength = "GET", nil, 0 }, 400},
-		"safe by POST":       {"lookup", func(r *http.Request) { r.Method = "POST" }, 400},
-		"safe with a body": {"lookup", func(r *http.Request) {
+		"no id":                {"charge", func(r *http.Request) { r.Header.Del("X-Request-ID") }, 400},
+		"no class":             {"charge", func(r *http.Request) { r.Header.Del("X-Priority-Class") }, 400},
+		"unknown class":        {"charge", func(r *http.Request) { r.Header.Set("X-Priority-Class", "nope") }, 400},
+		"no tenant":            {"charge", func(r *http.Request) { r.Header.Del("X-Tenant-Id") }, 400},
+		"unknown tenant":       {"charge", func(r *http.Request) { r.Header.Set("X-Tenant-Id", "nope") }, 400},
+		"timeout not a number": {"charge", func(r *http.Request) { r.Header.Set("X-Timeout-Ms", "soon") }, 400},
+		"timeout zero":         {"charge", func(r *http.Request) { r.Header.Set("X-Timeout-Ms", "0") }, 400},
+		"timeout negative":     {"charge", func(r *http.Request) { r.Header.Set("X-Timeout-Ms", "-5") }, 400},
+		"timeout too long":     {"charge", func(r *http.Request) { r.Header.Set("X-Timeout-Ms", "4294967295") }, 400},
+		"cost not a number":    {"charge", func(r *http.Request) { r.Header.Set("X-Cost", "NaN") }, 400},
+		"with key, no key":     {"reserve", func(r *http.Request) { r.Header.Del("Idempotency-Key") }, 400},
+		"not idempotent, key":  {"charge", func(r *http.Request) { r.Header.Set("Idempotency-Key", "1") }, 400},
+		"not idempotent, GET":  {"charge", func(r *http.Request) { r.Method, r.Body, r.ContentLength = "GET", nil, 0 }, 400},
+		"idempotent, POST":     {"lookup", func(r *http.Request) { r.Method = "POST" }, 400},
+		"idempotent, body": {"lookup", func(r *http.Request) {
 			r.Body, r.ContentLength = io.NopCloser(strings.NewReader("x")), 1
 		}, 400},
 		"other method":        {"charge", func(r *http.Request) { r.Method = "PUT" }, 405},
@@ -84,24 +84,23 @@
 		t.Errorf("the largest body: %+v", got)
 	}
 	if got := s.do(s.request("reserve", time.Second)); got.status != 200 {
-		t.Errorf("a keyed request: %+v", got)
+		t.Errorf("a request with a key: %+v", got)
 	}
 }
 
-// Without X-Timeout-Ms a client is taken to wait for its class's limit.
-func TestTimeWithoutHeader(t *testing.T) {
+// Without X-Timeout-Ms the timeout is the limit of the class.
+func TestTimeout_classDefault(t *testing.T) {
 	s := start(t, configtest.NewConf(sidecartest.NewRegistry(t).Addr()).Setting(`"hard_limit_ms": 2500`, `"hard_limit_ms": 100`).
 		Setting(`"on_time_ms": 750`, `"on_time_ms": 100`))
 	req := s.request("lookup", time.Second)
 	req.Header.Del("X-Timeout-Ms")
 	if got := s.do(req); got.status != inflight.StatusRejected || got.took > 900*time.Millisecond {
-		t.Errorf("%+v, want a refusal after 100 ms", got)
+		t.Errorf("%+v, want a rejection after 100 ms", got)
 	}
 }
 
-// More requests at a time than there are connections to servers are refused at once, not dropped, and
-// those taken are served.
-func TestOverloadIsAnswered(t *testing.T) {
+// Requests above the limit are rejected at once, not dropped, and the others are served.
+func TestRequestLimit_rejects(t *testing.T) {
 	release := make(chan struct{})
 	b := sidecartest.NewBackend(t, "a", func(c net.Conn, r *http.Request, body string) bool {
 		<-release
@@ -118,7 +117,7 @@
 	sidecartest.Until(t, "five requests at the server", func() bool { return b.Requests.Load() == 5 })
 	for range 3 {
 		if got := s.do(s.request("charge", time.Second)); got.status != inflight.StatusRejected || got.took > 500*time.Millisecond {
-			t.Errorf("%+v, want a refusal at once", got)
+			t.Errorf("%+v, want a rejection at once", got)
 		}
 	}
 	close(release)
@@ -129,8 +128,8 @@
 	}
 }
 
-// Where many client connections are open they are not kept, so that idle ones never shut others out.
-func TestManyClientConnectionsAreNotKept(t *testing.T) {
+// Above the keep-alive limit connections end with their answers, so that idle ones do not shut others out.
+func TestKeepAliveLimit(t *testing.T) {
 	b := sidecartest.NewBackend(t, "a", sidecartest.OK)
 	c := configtest.NewConf(sidecartest.NewRegistry(t).Addr(), b.Target)
 	c["limits"] = map[string]any{"sockets": config.MinSockets}
@@ -157,8 +156,8 @@
 	}
 }
 
-// A client that does not read its answers loses its connection; it holds no place for ever.
-func TestClientThatDoesNotRead(t *testing.T) {
+// A client that does not read its answers loses its connection, and its place among the requests.
+func TestWriteTimeout(t *testing.T) {
 	body := strings.Repeat("x", inflight.MaxBody)
 	b := sidecartest.NewBackend(t, "a", sidecartest.Respond(fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body), body), true))
 	s := start(t, configtest.NewConf(sidecartest.NewRegistry(t).Addr(), b.Target))
@@ -180,8 +179,8 @@
 	})
 }
 
-// At SIGTERM what is open is served, new connections are still taken for a while, and every connection is
-// closed after an answer. The address can be bound again.
+// After SIGTERM open requests are served, new connections are accepted for a while, and each connection is closed after
+// an answer. The address can be bound again.
 func TestDrain(t *testing.T) {
 	release, got := make(chan struct{}), make(chan struct{}, 1)
 	b := sidecartest.NewBackend(t, "a", func(c net.Conn, r *http.Request, body string) bool {
@@ -194,7 +193,7 @@
 	conf := configtest.NewConf(sidecartest.NewRegistry(t).Addr(), b.Target)
 	s := start(t, conf)
 	s.drainAccept = time.Second
-	s.do(s.request("charge", time.Second)) // leaves a kept connection
+	s.do(s.request("charge", time.Second)) // leaves an idle connection
 	slow := s.request("lookup", 2500*time.Millisecond)
 	slow.URL.RawQuery = "slow"
 	held := s.goDo(slow)
@@ -204,7 +203,7 @@
 	sidecartest.Until(t, "the drain", s.clients.Draining)
 	late := s.request("charge", time.Second)
 	if r := s.do(late); r.status != 200 {
-		t.Errorf("on a kept connection while draining: %+v", r)
+		t.Errorf("on an idle connection while draining: %+v", r)
 	}
 	fresh := &http.Client{Transport: &http.Transport{DisableKeepAlives: false}}
 	resp, err := fresh.Do(s.request("charge", time.Second))
@@ -215,7 +214,7 @@
 	if resp.StatusCode != 200 || !resp.Close {
 		t.Errorf("on a new connection while draining: %s, closed %v", resp.Status, resp.Close)
 	}
-	time.AfterFunc(1200*time.Millisecond, func() { close(release) }) // after the last connection was taken
+	time.AfterFunc(1200*time.Millisecond, func() { close(release) }) // after the last connection was accepted
 	if r := sidecartest.Receive(t, "the slow answer", held); r.status != 200 {
 		t.Errorf("%+v", r)
 	}
@@ -231,8 +230,8 @@
 	}
 }
 
-// Clients that go on for a while after SIGTERM, as they may, lose nothing.
-func TestDrainUnderLoad(t *testing.T) {
+// Clients that send requests for a while after SIGTERM, as they may, lose none.
+func TestDrain_underLoad(t *testing.T) {
 	b := sidecartest.NewBackend(t, "a", sidecartest.OK)
 	s := start(t, configtest.NewConf(sidecartest.NewRegistry(t).Addr(), b.Target))
 	s.drainAccept = 2 * time.Second
@@ -272,8 +271,8 @@
 	s.ended <- nil
 }
 
-// A connection on which nothing came does not hold a drain up beyond the longest deadline.
-func TestDrainWithUnusedConnection(t *testing.T) {
+// A connection without a request does not delay a drain beyond the longest deadline.
+func TestDrain_unusedConnection(t *testing.T) {
 	s := start(t, configtest.NewConf(sidecartest.NewRegistry(t).Addr()).Setting(`"hard_limit_ms": 2500`, `"hard_limit_ms": 1000`))
 	conn, err := net.Dial("tcp", s.Addr())
 	if err != nil {
@@ -281,21 +280,21 @@
 	}
 	defer conn.Close()
 	sidecartest.Until(t, "the connection", func() bool { return s.clients.OpenConns() == 1 })
-	began := time.Now()
+	startedAt := time.Now()
 	s.term()
 	err = sidecartest.Receive(t, "the end", s.ended)
-	if took := time.Since(began); err != nil || took > 3*time.Second {
+	if took := time.Since(startedAt); err != nil || took > 3*time.Second {
 		t.Errorf("%v after %v", err, took)
 	}
 	s.ended <- nil
 }
 
-// Requests beside each other, some of which hang up, leave nothing behind.
-func TestNothingIsLeftBehind(t *testing.T) {
+// Concurrent requests, some of whose clients leave, release calls and connections.
+func TestRequest_releasesAll(t *testing.T) {
 	b := sidecartest.NewBackend(t, "a", sidecartest.OK)
 	b2 := sidecartest.NewBackend(t, "b", sidecartest.Respond("HTTP/1.1 503 No\r\nX-Not-Processed: 1\r\nContent-Length: 0\r\n\r\n", false))
 	s := start(t, configtest.NewConf(sidecartest.NewRegistry(t).Addr(), b.Target, b2.Target))
-	var all []<-chan result
+	var answers []<-chan result
 	for i := range 60 {
 		req := s.request([]string{"lookup", "reserve", "charge"}[i%3], time.Second)
 		if i%5 == 0 {
@@ -306,9 +305,9 @@
 			}
 			continue
 		}
-		all = append(all, s.goDo(req))
+		answers = append(answers, s.goDo(req))
 	}
-	for _, r := range all {
+	for _, r := range answers {
 		if got := sidecartest.Receive(t, "an answer", r); got.status != 200 && got.status != inflight.StatusRejected {
 			t.Errorf("%+v", got)
 		}
@@ -327,7 +326,7 @@
 	}
 }
 
-// A second sidecar on a taken address says so.
+// The error of a sidecar whose address is in use names the key of the address.
 func TestAddressInUse(t *testing.T) {
 	s := start(t, configtest.NewConf(sidecartest.NewRegistry(t).Addr()))
 	c := configtest.NewConf("127.0.0.1:1")
--- a/internal/sidecar/framing_test.go
+++ b/internal/sidecar/framing_test.go
@@ -17,8 +17,8 @@
 	"marblelane/internal/sidecar/sidecartest"
 )
 
-// A message ends where all its headers say, or it is refused: what stands in a body is never a request.
-func TestWhereRequestsEnd(t *testing.T) {
+// A request ends where all its headers say, or gets an error: bytes of a body are never a request.
+func TestFraming_requests(t *testing.T) {
 	inner := sidecartest.WireRequest("inner", "Content-Length: 0\r\n", "")
 	http10 := func(s string) string { return strings.Replace(s, "HTTP/1.1", "HTTP/1.0", 1) }
 	for name, test := range map[string]struct {
@@ -62,16 +62,16 @@
 			http10(sidecartest.WireRequest("1", "Connection: keep-alive\r\nContent-Length: 5\r\nTransfer-Encoding: chunked\r\n", "0\r\n\r\n"+inner)),
 			[]int{400}, "", true,
 		},
-		"two lengths":       {sidecartest.WireRequest("1", "Content-Length: 3\r\nContent-Length: 4\r\n", "abc"+inner), []int{400}, "", true},
-		"length is no word": {sidecartest.WireRequest("1", "Content-Length: ten\r\n", "abc"+inner), []int{400}, "", true},
-		"length below 0":    {sidecartest.WireRequest("1", "Content-Length: -3\r\n", "abc"+inner), []int{400}, "", true},
-		"other coding":      {sidecartest.WireRequest("1", "Transfer-Encoding: gzip, chunked\r\n", "0\r\n\r\n"+inner), []int{501}, "", true},
-		"chunk is no chunk": {sidecartest.WireRequest("1", "Transfer-Encoding: chunked\r\n", "zz\r\n"+inner), []int{400}, "", true},
+		"two lengths":         {sidecartest.WireRequest("1", "Content-Length: 3\r\nContent-Length: 4\r\n", "abc"+inner), []int{400}, "", true},
+		"length not a number": {sidecartest.WireRequest("1", "Content-Length: ten\r\n", "abc"+inner), []int{400}, "", true},
+		"length negative":     {sidecartest.WireRequest("1", "Content-Length: -3\r\n", "abc"+inner), []int{400}, "", true},
+		"other coding":        {sidecartest.WireRequest("1", "Transfer-Encoding: gzip, chunked\r\n", "0\r\n\r\n"+inner), []int{501}, "", true},
+		"malformed chunk":     {sidecartest.WireRequest("1", "Transfer-Encoding: chunked\r\n", "zz\r\n"+inner), []int{400}, "", true},
 		"oversized": {
 			sidecartest.WireRequest("1", "Content-Length: "+strconv.Itoa(inflight.MaxBody+1+len(inner))+"\r\n", strings.Repeat("x", inflight.MaxBody+1)+inner),
 			[]int{413}, "", true,
 		},
-		"a malformed one before": {
+		"behind a malformed one": {
 			strings.Replace(inner, "X-Request-ID: inner\r\n", "", 1) + inner, []int{400}, "", true,
 		},
 		"GET with a body": {
@@ -111,7 +111,7 @@
 				}
 			}
 			if closed != test.closed {
-				t.Errorf("said to close: %v, want %v", closed, test.closed)
+				t.Errorf("announced close: %v, want %v", closed, test.closed)
 			}
 			if closed {
 				// The end may be a reset: there is more to read that never will be.
@@ -133,25 +133,25 @@
 	s.clients.Configure(func(o *clientserver.Options) { o.ReadTimeout = timeout })
 }
 
-// Who says nothing, or stops before a request is whole, or sends it too slowly, is sent away.
-func TestPeersThatNeverFinish(t *testing.T) {
+// A client that sends nothing, stops before its request is complete or sends it too slowly loses its connection.
+func TestReadTimeout(t *testing.T) {
 	if clientserver.DefaultReadTimeout >= 3*time.Second {
-		t.Errorf("peers wait %v for their end, 3 s are allowed", clientserver.DefaultReadTimeout)
+		t.Errorf("clients wait %v for their end, 3 s are allowed", clientserver.DefaultReadTimeout)
 	}
 	const readTimeout = 200 * time.Millisecond
 	head := sidecartest.WireRequest("1", "Content-Length: 1000\r\n", "")
-	whole := sidecartest.WireRequest("0", "Content-Length: 3\r\n", "abc")
+	complete := sidecartest.WireRequest("0", "Content-Length: 3\r\n", "abc")
 	b := sidecartest.NewBackend(t, "a", sidecartest.OK)
 	s := start(t, configtest.NewConf(sidecartest.NewRegistry(t).Addr(), b.Target), func(s *Sidecar) { s.setReadTimeout(readTimeout) })
 	for name, test := range map[string]struct{ first, then string }{
-		"silent":            {"", ""},
-		"half a head":       {head[:40], ""},
-		"head, no body":     {head, ""},
-		"half a body":       {head + "abc", ""},
-		"head by letters":   {head[:40], "x"},
-		"body by letters":   {head, "x"},
-		"chunks by letters": {sidecartest.WireRequest("1", "Transfer-Encoding: chunked\r\n", "fff\r\n"), "x"},
-		"after a whole one": {whole + head, "x"},
+		"silent":               {"", ""},
+		"half a head":          {head[:40], ""},
+		"head, no body":        {head, ""},
+		"half a body":          {head + "abc", ""},
+		"head byte by byte":    {head[:40], "x"},
+		"body byte by byte":    {head, "x"},
+		"chunks byte by byte":  {sidecartest.WireRequest("1", "Transfer-Encoding: chunked\r\n", "fff\r\n"), "x"},
+		"after a complete one": {complete + head, "x"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -160,8 +160,8 @@
 				t.Fatal(err)
 			}
 			defer conn.Close()
-			began := time.Now()
-			conn.SetDeadline(began.Add(sidecartest.Patience))
+			startedAt := time.Now()
+			conn.SetDeadline(startedAt.Add(sidecartest.Patience))
 			if _, err := io.WriteString(conn, test.first); err != nil {
 				t.Fatal(err)
 			}
@@ -175,7 +175,7 @@
 			for {
 				select {
 				case <-ended:
-					if took := time.Since(began); took > 15*readTimeout {
+					if took := time.Since(startedAt); took > 15*readTimeout {
 						t.Errorf("it took %v", took)
 					}
 					return
@@ -187,29 +187,29 @@
 	}
 }
 
-// An answer ends where all its headers say, or the attempt has failed and may have run: it is neither passed
-// on nor is its connection used again.
-func TestWhereAnswersEnd(t *testing.T) {
+// An answer ends where all its headers say, or the attempt has failed and may have run: then the answer is not forwarded
+// and its connection not reused.
+func TestFraming_answers(t *testing.T) {
 	const done = "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\ndone"
 	const chunks = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4\r\ndone\r\n0\r\n\r\n"
 	for name, test := range map[string]struct {
 		answer string
 		status int
-		kept   bool
+		reused bool
 	}{
-		"length":                {done, 200, true},
-		"chunks":                {chunks, 200, true},
-		"after an interim one":  {"HTTP/1.1 103 Early Hints\r\nLink: x\r\n\r\n" + done, 200, true},
-		"chunks after interim":  {"HTTP/1.1 100 Continue\r\n\r\n" + chunks, 200, false},
-		"two answers":           {done + done, 200, false},
-		"HTTP/1.0":              {strings.Replace(done, "1.1", "1.0", 1), 200, false},
-		"length, then chunks":   {strings.Replace(chunks, "Transfer", "Content-Length: 4\r\nTransfer", 1), 502, false},
-		"chunks, then length":   {strings.Replace(chunks, "chunked", "chunked\r\ncontent-length: 4", 1), 502, false},
-		"two lengths":           {strings.Replace(done, "Length: 4", "Length: 4\r\nContent-Length: 5", 1), 502, false},
-		"other coding":          {strings.Replace(chunks, "chunked", "gzip, chunked", 1), 502, false},
-		"other protocol":        {"HTTP/1.1 101 Switching Protocols\r\nUpgrade: x\r\n\r\n" + done, 502, false},
-		"other version":         {strings.Replace(done, "1.1", "2.0", 1), 502, false},
-		"turned away, two ends": {"HTTP/1.1 503 No\r\nX-Not-Processed: 1\r\nContent-Length: 4\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n", 502, false},
+		"length":               {done, 200, true},
+		"chunks":               {chunks, 200, true},
+		"after an interim one": {"HTTP/1.1 103 Early Hints\r\nLink: x\r\n\r\n" + done, 200, true},
+		"chunks after interim": {"HTTP/1.1 100 Continue\r\n\r\n" + chunks, 200, false},
+		"two answers":          {done + done, 200, false},
+		"HTTP/1.0":             {strings.Replace(done, "1.1", "1.0", 1), 200, false},
+		"length, then chunks":  {strings.Replace(chunks, "Transfer", "Content-Length: 4\r\nTransfer", 1), 502, false},
+		"chunks, then length":  {strings.Replace(chunks, "chunked", "chunked\r\ncontent-length: 4", 1), 502, false},
+		"two lengths":          {strings.Replace(done, "Length: 4", "Length: 4\r\nContent-Length: 5", 1), 502, false},
+		"other coding":         {strings.Replace(chunks, "chunked", "gzip, chunked", 1), 502, false},
+		"other protocol":       {"HTTP/1.1 101 Switching Protocols\r\nUpgrade: x\r\n\r\n" + done, 502, false},
+		"other version":        {strings.Replace(done, "1.1", "2.0", 1), 502, false},
+		"rejected, two ends":   {"HTTP/1.1 503 No\r\nX-Not-Processed: 1\r\nContent-Length: 4\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n", 502, false},
 	} {
 		t.Run(name, func(t *testing.T) {
 			b := sidecartest.NewBackend(t, "a", sidecartest.Respond(test.answer, true))
@@ -220,8 +220,8 @@
 					t.Errorf("%d %q, want %d", got.status, got.body, test.status)
 				}
 			}
-			if kept := b.Conns.Load() == 1; kept != test.kept || b.Requests.Load() != 2 {
-				t.Errorf("connection kept: %v, want %v; %d requests", kept, test.kept, b.Requests.Load())
+			if reused := b.Conns.Load() == 1; reused != test.reused || b.Requests.Load() != 2 {
+				t.Errorf("connection reused: %v, want %v; %d requests", reused, test.reused, b.Requests.Load())
 			}
 		})
 	}
--- a/internal/sidecar/held_up_test.go
+++ b/internal/sidecar/held_up_test.go
@@ -26,18 +26,18 @@
 			t.Run(name+", "+string(at), func(t *testing.T) {
 				b, held := sidecartest.NewBackend(t, "a", sidecartest.OK), sidecartest.NewBarrier()
 				s := start(t, configtest.NewConf(sidecartest.NewRegistry(t).Addr(), b.Target), func(s *Sidecar) {
-					s.setClientPoll(never)
+					s.setClientPoll(noClientPoll)
 					s.loop.Pool.Hook = holdAt(at, held)
 				})
 				t.Cleanup(held.Release)
 				if body != "" {
 					s.clients.SetBodyMemory(0) // nothing more than the least is held
 				}
-				client := s.leaver(t, "charge", "HTTP/1.1", "Content-Length: "+strconv.Itoa(len(body))+"\r\n", body)
+				client := s.newLeavingClient(t, "charge", "HTTP/1.1", "Content-Length: "+strconv.Itoa(len(body))+"\r\n", body)
 				held.WaitFor(t, 1)
 				client.leave(sidecartest.Ends["close"])
 				held.Release()
-				s.nothingSent(t, b)
+				s.expectNothingSent(t, b)
 			})
 		}
 	}
--- a/internal/sidecar/pipeline_test.go
+++ b/internal/sidecar/pipeline_test.go
@@ -16,12 +16,12 @@
 	"marblelane/internal/sidecar/sidecartest"
 )
 
-// Where many connections are open, one that carries many requests at once is not closed before the last is answered.
-func TestCrowdedPipelineIsAnswered(t *testing.T) {
+// Above the keep-alive limit a connection with pipelined requests is closed only after the last answer.
+func TestPipeline_overKeepAliveLimit(t *testing.T) {
 	const requests = 5
 	b := sidecartest.NewBackend(t, "a", sidecartest.OK)
 	s := start(t, configtest.NewConf(sidecartest.NewRegistry(t).Addr(), b.Target))
-	s.clients.SetKeepAliveLimit(0) // every one is too many
+	s.clients.SetKeepAliveLimit(0) // each connection is above it
 	for name, body := range map[string]string{"no bodies": "", "bodies": "abc"} {
 		t.Run(name, func(t *testing.T) {
 			c, err := net.Dial("tcp", s.Addr())
@@ -53,8 +53,8 @@
 	}
 }
 
-// All of a pipeline that had been read when the drain began is answered before its connection ends.
-func TestDrainedPipelineIsAnswered(t *testing.T) {
+// All pipelined requests that were read before the drain are answered before their connection ends.
+func TestPipeline_drain(t *testing.T) {
 	answer := sidecartest.NewBarrier()
 	b := sidecartest.NewBackend(t, "a", func(c net.Conn, r *http.Request, body string) bool {
 		answer.Pass()
@@ -89,15 +89,15 @@
 	}
 }
 
-// What comes behind a request at work, and is none, is answered as such behind its answer.
-func TestMalformedBehindAPipeline(t *testing.T) {
+// Bytes behind a request at work that are no request get an error after the answer to that request.
+func TestPipeline_malformedNext(t *testing.T) {
 	for name, test := range map[string]struct {
 		next string
 		want int
 	}{
-		"no request":  {"no request\r\n\r\n", http.StatusBadRequest},
-		"no id":       {"GET /api HTTP/1.1\r\nHost: h\r\n\r\n", http.StatusBadRequest},
-		"head no end": {"GET /api HTTP/1.1\r\nX: " + strings.Repeat("x", 3*framing.MaxHeader), http.StatusRequestHeaderFieldsTooLarge},
+		"no request":   {"no request\r\n\r\n", http.StatusBadRequest},
+		"no id":        {"GET /api HTTP/1.1\r\nHost: h\r\n\r\n", http.StatusBadRequest},
+		"endless head": {"GET /api HTTP/1.1\r\nX: " + strings.Repeat("x", 3*framing.MaxHeader), http.StatusRequestHeaderFieldsTooLarge},
 	} {
 		t.Run(name, func(t *testing.T) {
 			answer := sidecartest.NewBarrier()
@@ -107,12 +107,12 @@
 			})
 			s := start(t, configtest.NewConf(sidecartest.NewRegistry(t).Addr(), b.Target))
 			t.Cleanup(answer.Release)
-			client := s.leaver(t, "lookup", "HTTP/1.1", "", "")
+			client := s.newLeavingClient(t, "lookup", "HTTP/1.1", "", "")
 			answer.WaitFor(t, 1)
 			if _, err := io.WriteString(client, test.next); err != nil {
 				t.Fatal(err)
 			}
-			sidecartest.Until(t, "it to come", func() bool { _, unread := netcall.Peek(client.host.Conn); return unread })
+			sidecartest.Until(t, "the next bytes to come", func() bool { _, unread := netcall.Peek(client.accepted.Conn); return unread })
 			answer.Release()
 			in := bufio.NewReader(client)
 			for _, want := range []int{200, test.want} {
