--- a/internal/sidecar/client_gone_test.go
+++ b/internal/sidecar/client_gone_test.go
@@ -104,14 +104,15 @@
 )
 
 // startHeldDial starts a sidecar with one server, to which connections are set up only once the barrier is released.
-func startHeldDial(t *testing.T, poll time.Duration) (*running, *sidecartest.Backend, *sidecartest.Barrier) {
+func startHeldDial(t *testing.T, poll time.Duration, changes ...func(*Sidecar)) (*running, *sidecartest.Backend, *sidecartest.Barrier) {
 	t.Helper()
 	b, dialing := sidecartest.NewBackend(t, "a", sidecartest.OK), sidecartest.NewBarrier()
 	c := configtest.NewConf(sidecartest.NewRegistry(t).Addr(), b.Target).Setting(`"connect_timeout_ms": 100`, longDial)
-	s := start(t, c, func(s *Sidecar) {
+	changes = append(changes, func(s *Sidecar) {
 		s.setClientPoll(poll)
 		s.loop.Pool.Dialer.Control = func(string, string, syscall.RawConn) error { dialing.Pass(); return nil }
 	})
+	s := start(t, c, changes...)
 	t.Cleanup(dialing.Release) // before the sidecar ends
 	return s, b, dialing
 }
@@ -323,8 +324,7 @@
 	})
 	for name, end := range sidecartest.Ends {
 		t.Run(name, func(t *testing.T) {
-			s, b, dialing := startHeldDial(t, noClientPoll)
-			withoutConnStates(s.Sidecar)
+			s, b, dialing := startHeldDial(t, noClientPoll, withoutConnStates)
 			client := s.newLeavingClient(t, "lookup", "HTTP/1.1", "", "")
 			dialing.WaitFor(t, 1)
 			client.leave(end)
--- a/internal/sidecar/clientserver/doc.go
+++ b/internal/sidecar/clientserver/doc.go
@@ -8,7 +8,7 @@
 // has one more, which feeds the body to the attempt and ends before the request's handler returns. A connection that is
 // closed after an answer has one that discards input until the client closes too, CloseWindow at most.
 //
-// Locks: Limiter.mu guards the connections and what they say about their requests; ClientConn.readLock guards the input
-// of one connection and may be taken while Limiter.mu is held, not the other way round. Server holds locks for its
-// counters of body memory and for the bodies that are being read; neither is held while another lock is taken.
+// Locks: Limiter.mu guards the connections and what they say about their requests. ClientConn.readLock guards the input
+// of one connection. openBodies.mu guards the bodies that are being read, and bodyMemory.mu the memory for bodies. Only
+// readLock may be taken while another one is held, which is Limiter.mu or openBodies.mu; nothing is locked under it.
 package clientserver
--- a/internal/sidecar/clientserver/pending_call.go
+++ b/internal/sidecar/clientserver/pending_call.go
@@ -81,7 +81,7 @@
 
 	// uploadEnded has the result of the goroutine that feeds the upload. It is nil where there is no upload, or where
 	// the result was received.
-	uploadEnded chan error
+	uploadEnded <-chan error
 	uploadErr   error // why the body could not be received
 }
 
--- a/internal/sidecar/clientserver/server.go
+++ b/internal/sidecar/clientserver/server.go
@@ -65,7 +65,7 @@
 	return s
 }
 
-// Configure changes options. No request may be at work meanwhile.
+// Configure changes options. It has to come before HTTPServer and the first request.
 func (s *Server) Configure(change func(*Options)) {
 	change(&s.options)
 	s.options.ReadTimeout = cmp.Or(s.options.ReadTimeout, DefaultReadTimeout)
--- a/internal/sidecar/clientserver_test.go
+++ b/internal/sidecar/clientserver_test.go
@@ -160,8 +160,9 @@
 func TestWriteTimeout(t *testing.T) {
 	body := strings.Repeat("x", inflight.MaxBody)
 	b := sidecartest.NewBackend(t, "a", sidecartest.Respond(fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body), body), true))
-	s := start(t, configtest.NewConf(sidecartest.NewRegistry(t).Addr(), b.Target))
-	s.clients.Configure(func(o *clientserver.Options) { o.WriteTimeout = 100 * time.Millisecond })
+	s := start(t, configtest.NewConf(sidecartest.NewRegistry(t).Addr(), b.Target), func(s *Sidecar) {
+		s.clients.Configure(func(o *clientserver.Options) { o.WriteTimeout = 100 * time.Millisecond })
+	})
 	conn, err := net.Dial("tcp", s.Addr())
 	if err != nil {
 		t.Fatal(err)
