--- a/internal/sidecar/clientserver/conn_limiter_shutdown_test.go
+++ b/internal/sidecar/clientserver/conn_limiter_shutdown_test.go
@@ -99,7 +99,7 @@
 
 // Bytes that were read from the system become a request, though they are not returned yet when idle connections are
 // closed.
-func TestCloseIdle_whileBytesAreRead(t *testing.T) {
+func TestCloseIdle_reading(t *testing.T) {
 	limiter, client, conn := acceptOne(t, 2)
 	conn.RequestAnswered()
 	bytesRead := newGate()
@@ -135,7 +135,7 @@
 }
 
 // From the decision that a connection ends until its client is notified nothing is read from it.
-func TestCloseIdle_readsNothingWhileNotifying(t *testing.T) {
+func TestCloseIdle_notifying(t *testing.T) {
 	limiter, _, conn := acceptOne(t, 2)
 	conn.RequestAnswered()
 	conn.unprocessed = false // as when net/http reads again
--- a/internal/sidecar/clientserver/pending_call.go
+++ b/internal/sidecar/clientserver/pending_call.go
@@ -246,7 +246,7 @@
 	bodyComing := p.uploadEnded != nil
 	if bodyComing {
 		p.writer.Header().Set("Connection", "close")
-	} else if p.server.Draining() { // the drain may have begun since the head was read
+	} else if p.server.Draining() { // the drain may have started after the head was read
 		closeAfterAnswer(p.writer, p.request)
 	}
 	if p.answer.Stream != nil {
--- a/internal/sidecar/framing/framing.go
+++ b/internal/sidecar/framing/framing.go
@@ -23,7 +23,7 @@
 }
 
 // HeadConn keeps the head of the message that is being read, as it came. net/http drops a Content-Length beside a
-// Transfer-Encoding and reads on behind the last chunk: what the sender means as the rest of its body would be taken as
+// Transfer-Encoding and reads on behind the last chunk: what the sender means as more of its body would be read as
 // a request of its own.
 type HeadConn struct {
 	net.Conn
@@ -36,7 +36,7 @@
 	reads        int       // that are waiting
 	acceptedLate bool      // the first request may have waited before its connection was accepted
 
-	received chan struct{} // a token: something was read; never closed; nil: nobody waits for it
+	received chan struct{} // a token: something was read; never closed; nil: no goroutine waits for it
 }
 
 // NewHeadConn keeps the heads of what is read from a connection.
@@ -72,7 +72,7 @@
 	return n, err
 }
 
-// notifyReceived leaves a token, unless one is there or nobody waits for it.
+// notifyReceived leaves a token, unless one is there or no goroutine waits for it.
 func (c *HeadConn) notifyReceived() {
 	select {
 	case c.received <- struct{}{}:
--- a/internal/sidecar/framing/framing_test.go
+++ b/internal/sidecar/framing/framing_test.go
@@ -13,7 +13,7 @@
 )
 
 // Where a read fails once at any byte of a client's request, the request is complete or there is none.
-func TestHeadConnRead_errnoAtEachByte(t *testing.T) {
+func TestHeadConnRead_errno(t *testing.T) {
 	const text = "POST /api HTTP/1.1\r\nHost: b\r\nX-Timeout-Ms: 1000\r\nContent-Length: 4\r\n\r\ndone"
 	for errno, complete := range map[syscall.Errno]bool{syscall.ECONNRESET: false, syscall.EINTR: true} {
 		t.Run(errno.Error(), func(t *testing.T) {
--- a/internal/sidecar/inflight/call.go
+++ b/internal/sidecar/inflight/call.go
@@ -20,7 +20,7 @@
 // MaxTimeout is the longest X-Timeout-Ms.
 const MaxTimeout = time.Hour
 
-// Call is a client's request. Whoever finishes it decides the one answer.
+// Call is a client's request. The goroutine whose Finish is true decides the one answer.
 type Call struct {
 	Request   balance.Request
 	Outbound  *Outbound
