--- a/internal/sidecar/eventloop/calls.go
+++ b/internal/sidecar/eventloop/calls.go
@@ -67,7 +67,7 @@
 		c.Answers <- reply.Answer
 		l.cancelUnwritten(c)
 	}
-	if c.Left.Load() && c.Finish() { // the attempt has seen that the client left: no other is made
+	if c.SeenGone() && c.Finish() { // the attempt has seen that the client left: no other is made
 		c.Answers <- inflight.Answer{ClientLeft: true}
 		l.takeClientGone(now, c)
 	}
@@ -81,7 +81,7 @@
 	}
 	l.HandleEvent(now, balance.Outcome{
 		Request: c.Request.ID, Attempt: a.Number, Server: a.Server.ID, Result: reply.Result, Elapsed: elapsed,
-		Finished: c.Final.Load(), Report: reply.Report, BodyConsumed: reply.BodyConsumed,
+		Finished: c.Finished(), Report: reply.Report, BodyConsumed: reply.BodyConsumed,
 		RouteRevoked: reply.RouteRevoked,
 	})
 	l.release(c)
@@ -102,7 +102,7 @@
 
 // release drops a call that is answered and has no live attempt.
 func (l *Loop) release(c *inflight.Call) {
-	if open := l.Calls[c.Request.ID]; open != nil && open.liveAttempts == 0 && c.Final.Load() {
+	if open := l.Calls[c.Request.ID]; open != nil && open.liveAttempts == 0 && c.Finished() {
 		delete(l.Calls, c.Request.ID)
 	}
 }
--- a/internal/sidecar/limits.go
+++ b/internal/sidecar/limits.go
@@ -57,10 +57,10 @@
 	}
 	clients := s.budget.clients / processes
 	s.listener.SetLimit(clients)
-	s.clients.MaxKeptConns.Store(int64(float64(clients) * keepAliveFraction))
-	s.clients.MaxRequests.Store(int64(max(s.budget.requests/processes, 1)))
+	s.clients.SetKeepAliveLimit(int(float64(clients) * keepAliveFraction))
+	s.clients.SetRequestLimit(max(s.budget.requests/processes, 1))
 	s.loop.Pool.SetLimit(s.budget.servers / processes)
-	s.clients.Memory.SetLimit(s.cfg.BodyMemory() / int64(processes))
+	s.clients.SetBodyMemory(s.cfg.BodyMemory() / int64(processes))
 	s.loop.Post(balance.ProcessCount{Processes: processes})
 	limitMemory(s.cfg, processes)
 }
--- a/internal/sidecar/management.go
+++ b/internal/sidecar/management.go
@@ -62,7 +62,7 @@
 // answerHealth says whether this process can serve.
 func (s *Sidecar) answerHealth(w http.ResponseWriter) {
 	switch {
-	case s.clients.Draining.Load():
+	case s.clients.Draining():
 		http.Error(w, "draining", http.StatusServiceUnavailable)
 	case !s.serving.Load():
 		http.Error(w, "not serving yet", http.StatusServiceUnavailable)
--- a/internal/sidecar/shutdown.go
+++ b/internal/sidecar/shutdown.go
@@ -63,7 +63,7 @@
 func (s *Sidecar) drain(srv *http.Server) error {
 	s.hook.At(checkpoint.DrainSignalled)
 	startedAt := time.Now()
-	s.clients.Draining.Store(true)
+	s.clients.StartDraining()
 	s.predecessor.AnnounceEnd()
 	slog.Info("draining")
 	untilEnd := s.killTime() - finalAnswerMargin
@@ -101,11 +101,11 @@
 		d.accepting = !d.s.stopAccepting(sinceEnd >= finalAnswerMargin)
 	}
 	if d.phase == drainAnswered {
-		clientserver.EndWaiting(d.s.listener)
-		d.s.clients.Bodies.End()
+		d.s.listener.RejectPartial()
+		d.s.clients.AbortBodies()
 	}
 	// The connections that are left then have never sent a complete request.
-	answered := sinceEnd >= finalAnswerMargin && !d.accepting && d.s.clients.Requests.Load() == 0
+	answered := sinceEnd >= finalAnswerMargin && !d.accepting && d.s.clients.OpenRequests() == 0
 	return answered || sinceEnd >= maxAnswerTail
 }
 
--- a/internal/sidecar/sidecar.go
+++ b/internal/sidecar/sidecar.go
@@ -100,10 +100,7 @@
 		cfg: cfg, tcp: listener.(*net.TCPListener), listener: clientserver.NewLimiter(accepted, limits.clients),
 		management: management, loop: loop, predecessor: predecessor, budget: limits,
 		drainAccept: drainAccept, listTimeout: handover.ListTimeout, unaccepted: netcall.Unaccepted,
-		clients: &clientserver.Server{
-			Config: cfg, Post: loop.Post, Metrics: loop.Metrics,
-			ReadTimeout: clientserver.DefaultReadTimeout, WriteTimeout: clientserver.DefaultWriteTimeout,
-		},
+		clients: clientserver.New(clientserver.Options{Config: cfg, Post: loop.Post, Metrics: loop.Metrics}),
 	}
 	s.successors = handover.Successors{
 		Listener: s.tcp, Faults: cfg.Faults, Bind: net.ListenUnix,
