--- a/internal/sidecar/netcall/rawcalls_test.go
+++ b/internal/sidecar/netcall/rawcalls_test.go
@@ -86,6 +86,7 @@
 			}}
 			client, server := tcpPair(t)
 			states.Learn(server)
+			SystemConnStates.Learn(server)
 			if _, err := io.WriteString(client, "x"); err != nil {
 				t.Fatal(err)
 			}
