--- a/internal/sidecar/client_gone_test.go
+++ b/internal/sidecar/client_gone_test.go
@@ -110,7 +110,7 @@
 	c := configtest.NewConf(sidecartest.NewRegistry(t).Addr(), b.Target).Setting(`"connect_timeout_ms": 100`, longDial)
 	s := start(t, c, func(s *Sidecar) {
 		s.clients.ClientPoll = poll
-		s.loop.Pool.Dialer.Control = func(string, string, syscall.RawConn) error { g.Pass(); return nil }
+		s.loop.Pool.SetDialControl(func(string, string, syscall.RawConn) error { g.Pass(); return nil })
 	})
 	t.Cleanup(g.Release) // before the sidecar ends
 	return s, b, g
--- a/internal/sidecar/eventloop/loop.go
+++ b/internal/sidecar/eventloop/loop.go
@@ -74,11 +74,11 @@
 func New(cfg *config.Config, bal *balance.Balancer, ups *upstream.Pool) *Loop {
 	c := clock.New(cfg.Faults)
 	l := &Loop{
-		Cfg: cfg, Clock: c, clockSteps: clock.NewStepDetector(c, cfg.Faults), Balancer: bal, Pool: ups, Metrics: ups.Metrics,
+		Cfg: cfg, Clock: c, clockSteps: clock.NewStepDetector(c, cfg.Faults), Balancer: bal, Pool: ups, Metrics: ups.Metrics(),
 		Inbox: make(chan any, inboxSize), Stopped: make(chan struct{}),
 		Calls: map[balance.RequestID]*openCall{}, servers: map[balance.ServerID]*upstream.Server{},
 	}
-	ups.Post, ups.Stopped = l.Post, l.Stopped
+	ups.ReportTo(l.Post, l.Stopped)
 	return l
 }
 
--- a/internal/sidecar/held_up_test.go
+++ b/internal/sidecar/held_up_test.go
@@ -27,7 +27,7 @@
 				b, held := sidecartest.NewBackend(t, "a", sidecartest.OK), sidecartest.NewBarrier()
 				s := start(t, configtest.NewConf(sidecartest.NewRegistry(t).Addr(), b.Target), func(s *Sidecar) {
 					s.clients.ClientPoll = never
-					s.loop.Pool.Hook = holdAt(at, held)
+					s.loop.Pool.SetHook(holdAt(at, held))
 				})
 				t.Cleanup(held.Release)
 				if body != "" {
@@ -48,7 +48,7 @@
 	a, b, held := sidecartest.NewBackend(t, "a", sidecartest.OK), sidecartest.NewBackend(t, "b", sidecartest.OK), sidecartest.NewBarrier()
 	registry := sidecartest.NewRegistry(t)
 	s := start(t, configtest.NewConf(registry.Addr(), a.Target), func(s *Sidecar) {
-		s.loop.Pool.Hook = holdAt(checkpoint.AttemptDecided, held)
+		s.loop.Pool.SetHook(holdAt(checkpoint.AttemptDecided, held))
 	})
 	t.Cleanup(held.Release)
 	watch := sidecartest.Receive(t, "the watch", registry.Calls)
--- a/internal/sidecar/kill_time_test.go
+++ b/internal/sidecar/kill_time_test.go
@@ -78,7 +78,8 @@
 			time.Sleep(sidecartest.Hold)
 		}
 	}
-	d.s.hook, d.s.clients.Checkpoints, d.s.loop.Pool.Hook = hook, hook, hook
+	d.s.hook, d.s.clients.Checkpoints = hook, hook
+	d.s.loop.Pool.SetHook(hook)
 	ctx, cancel := context.WithCancel(context.Background())
 	d.stop = cancel
 	go func() { d.ended <- d.s.Run(ctx) }()
--- a/internal/sidecar/routes_test.go
+++ b/internal/sidecar/routes_test.go
@@ -282,13 +282,13 @@
 				Setting(`"parallel_tries": true`, `"parallel_tries": false`).Setting(`"max_attempts": 6`, `"max_attempts": 1`)
 			c["routes"], c["management"] = map[string]any{"addrs": []string{s.Listener.Addr().String()}}, sidecartest.Loopback
 			r := start(t, c, func(s *Sidecar) {
-				s.loop.Pool.Dialer.Control = func(_, addr string, _ syscall.RawConn) error {
+				s.loop.Pool.SetDialControl(func(_, addr string, _ syscall.RawConn) error {
 					dials <- addr
 					if addr == canary.Target.Endpoint {
 						<-release
 					}
 					return nil
-				}
+				})
 			})
 			s.tell(t, 5, toCanary(1, false))
 			r.acts(5, true)
@@ -325,7 +325,7 @@
 	r.acts(5, false)
 	out, in := net.Pipe()
 	defer in.Close()
-	_, err := (&upstream.RequestWriter{Conn: &upstream.ServerConn{Conn: out}, RouteCheck: looks[0], HeaderRevision: 5}).Write([]byte("x"))
+	_, err := upstream.NewStreamWriter(out, looks[0], 5).Write([]byte("x"))
 	require.ErrorIs(t, err, routing.ErrRevoked)
 	require.False(t, looks[0].Started)
 	under, err := looks[1].Begin()
--- a/internal/sidecar/upstream/attempt_test.go
+++ b/internal/sidecar/upstream/attempt_test.go
@@ -103,7 +103,7 @@
 // keyedWindow makes an attempt one of a class whose key servers know for so long.
 func keyedWindow(p *Pool, a *Attempt, window time.Duration, body []byte) {
 	a.Call.Request.Class = 1
-	p.windows[1] = window
+	p.retryWindows[1] = window
 	a.Call.Outbound = outboundPost(body)
 }
 
@@ -222,7 +222,7 @@
 			p, a, conn, _ := exchanging(t, b)
 			p.put(conn)
 			offered := make(chan any, 4)
-			p.Post = func(ev any) { offered <- ev }
+			p.post = func(ev any) { offered <- ev }
 			wholeUpload(t, a, wait)
 			a.Call.Writing.Lock() // the attempt waits here
 			done := make(chan inflight.Reply, 1)
--- a/internal/sidecar/upstream/dial.go
+++ b/internal/sidecar/upstream/dial.go
@@ -1,144 +1,158 @@
 package upstream
 
 import (
-	"bufio"
 	"context"
-	"errors"
-	"io"
 	"os"
 	"slices"
 	"time"
 
-	"marblelane/internal/sidecar/framing"
 	"marblelane/internal/sidecar/netcall"
 )
 
-// maxConnectTime is how long a new connection may take to come up (STANDING). Nobody waits that long for it: it is kept for
-// who comes next.
+// maxConnectTime is how long a new connection may take to come up. An attempt does not wait that long: a late connection is
+// there for the next attempt.
 const maxConnectTime = time.Second
 
-var errNoSocket = errors.New("no socket is free")
-
-// connWaiter is an attempt that waits for a new connection: its own, or one that was begun for another. One that has just
-// carried an answer it does not get: servers close some of those right then, and what is written to them is lost.
-type connWaiter struct{ done chan dialResult }
+// connWaiter is an attempt that waits for a new connection: its own, or one that was dialed for another attempt. It does not
+// get one that has just carried an answer: some servers close those right then, and what is written to them is lost.
+type connWaiter struct {
+	result chan dialResult // has room for the one result; never closed
+}
 
-// dialResult is what a waiter gets.
+// dialResult is the connection that a waiter gets, or the error of a dial.
 type dialResult struct {
-	conn *ServerConn
+	conn *serverConn
 	err  error
 }
 
-// acquire takes a kept connection, or dials. Whether a kept one is still good the sender asks right before it
-// writes. Dialing is bounded by the settings and by the time that the request has left; the loop is told of it, unless
-// it is for a probe.
-func (p *Pool) acquire(ctx context.Context, up *Server, cut time.Time, a *Attempt) (*ServerConn, bool, error) {
-	if up.Retired.Load() || !time.Now().Before(cut) {
+// acquire returns an idle connection, or dials a new one. The request writer checks an idle one right before it writes.
+// Dialing is bounded by the settings and the deadline. The event loop gets Connecting for an attempt that dials; attempt is
+// nil for a health check.
+func (p *Pool) acquire(ctx context.Context, server *Server, deadline time.Time, attempt *Attempt) (conn *serverConn, reused bool, err error) {
+	if server.Retired.Load() || !time.Now().Before(deadline) {
 		return nil, false, errNotNeeded
 	}
-	for connIdle := p.idleAges.within(p.connIdle); ; {
-		conn := p.takeIdle(up)
-		if conn == nil {
-			break
-		}
-		if time.Since(conn.idleSince) < connIdle {
-			return conn, true, nil
-		}
-		p.discard(conn)
+	if conn := p.takeFreshIdle(server); conn != nil {
+		return conn, true, nil
 	}
 	if !p.reserve() {
 		return nil, false, errNoSocket
 	}
-	if a != nil {
-		p.Post(Connecting{a, false})
+	if attempt != nil {
+		p.post(Connecting{attempt, false})
 	}
-	conn, err := p.awaitConnection(ctx, up, cut)
+	conn, err = p.awaitConnection(ctx, server, deadline)
 	if err != nil {
 		return nil, false, err
 	}
-	if a != nil {
-		p.Post(Connecting{a, true})
+	if attempt != nil {
+		p.post(Connecting{attempt, true})
 	}
 	return conn, false, nil
 }
 
-// awaitConnection begins a new connection, for which room is reserved, and takes the first that comes up. One that comes up too
-// late for this attempt serves a later one.
-func (p *Pool) awaitConnection(ctx context.Context, up *Server, cut time.Time) (*ServerConn, error) {
-	w := &connWaiter{done: make(chan dialResult, 1)}
+// takeFreshIdle takes an idle connection that its server has not closed for its age yet, and closes older ones. It returns
+// nil if there is none.
+func (p *Pool) takeFreshIdle(server *Server) *serverConn {
+	maxIdle := p.idleAges.bound(p.maxIdle)
+	for {
+		conn := p.takeIdle(server)
+		if conn == nil || time.Since(conn.idleSince) < maxIdle {
+			return conn
+		}
+		p.discard(conn)
+	}
+}
+
+// awaitConnection dials a connection that reserve has counted, and takes the first one to the server that comes up. One that
+// is too late for this attempt serves a later one.
+func (p *Pool) awaitConnection(ctx context.Context, server *Server, deadline time.Time) (*serverConn, error) {
+	waiter := &connWaiter{result: make(chan dialResult, 1)}
 	p.mu.Lock()
-	up.waiting = append(up.waiting, w)
-	up.dialing++
+	server.waiting = append(server.waiting, waiter)
+	server.dialing++
 	p.mu.Unlock()
-	p.dialers.Go(func() { p.dial(up) })
-	late := time.NewTimer(min(p.connectWait, time.Until(cut)))
+	p.dialers.Go(func() { p.dial(server) })
+	late := time.NewTimer(min(p.connectWait, time.Until(deadline)))
 	defer late.Stop()
-	var err error
 	select {
-	case got := <-w.done:
+	case got := <-waiter.result:
 		return got.conn, got.err
 	case <-late.C:
-		err = os.ErrDeadlineExceeded
+		return p.stopWaiting(server, waiter, os.ErrDeadlineExceeded)
 	case <-ctx.Done():
-		err = ctx.Err()
+		return p.stopWaiting(server, waiter, ctx.Err())
 	}
+}
+
+// stopWaiting takes an attempt out of the line. It may have got its connection at the same moment.
+func (p *Pool) stopWaiting(server *Server, waiter *connWaiter, cause error) (*serverConn, error) {
 	p.mu.Lock()
-	if i := slices.Index(up.waiting, w); i >= 0 {
-		up.waiting = slices.Delete(up.waiting, i, i+1)
+	if i := slices.Index(server.waiting, waiter); i >= 0 {
+		server.waiting = slices.Delete(server.waiting, i, i+1)
 	}
 	p.mu.Unlock()
-	select { // it was served at the same moment
-	case got := <-w.done:
+	select {
+	case got := <-waiter.result:
 		return got.conn, got.err
 	default:
-		return nil, err
+		return nil, cause
 	}
 }
 
-// dial brings one connection up, for whoever waits first.
-func (p *Pool) dial(up *Server) {
-	c, err := p.dialContext(p.dials, "tcp", up.Endpoint)
-	p.mu.Lock()
-	up.dialing--
+// dial opens one connection for the attempt that has waited longest.
+func (p *Pool) dial(server *Server) {
+	raw, err := p.dialContext(p.dialsContext, "tcp", server.Endpoint)
 	if err != nil {
-		p.open--
-		switch { // if nothing is on its way for one of them
-		case len(up.waiting) <= up.dialing:
-		case netcall.LocalErrnos.Has(err):
-			up.newestWaiter() <- dialResult{err: err}
-		default:
-			up.nextWaiter() <- dialResult{err: err}
-		}
-		p.mu.Unlock()
+		p.failDial(server, err)
 		return
 	}
-	head := framing.NewHeadConn(c)
-	left := &io.LimitedReader{R: head}
-	conn := &ServerConn{Conn: c, in: bufio.NewReader(left), readLimit: left, head: head, server: up, idleSince: time.Now()}
-	wanted := len(up.waiting) > 0
-	if wanted {
-		up.nextWaiter() <- dialResult{conn: conn}
-	} else {
-		p.keep(conn)
+	conn := newServerConn(raw, server)
+	if p.handOver(conn) {
+		return
 	}
-	p.mu.Unlock()
-	if !wanted { // not under the lock: the loop may be waiting for it
-		p.Post(ConnectionReady{up})
+	p.post(ConnectionReady{server}) // not under the lock, for which the event loop may be waiting
+}
+
+// failDial ends one attempt with the error of a dial, unless as many dials are running as attempts wait.
+func (p *Pool) failDial(server *Server, err error) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	server.dialing--
+	p.open--
+	switch {
+	case len(server.waiting) <= server.dialing:
+	case netcall.LocalErrnos.Has(err):
+		server.popLastWaiter().result <- dialResult{err: err}
+	default:
+		server.popFirstWaiter().result <- dialResult{err: err}
 	}
 }
 
-// nextWaiter takes the first waiter out of the line; the caller holds the lock.
-func (up *Server) nextWaiter() chan<- dialResult {
-	w := up.waiting[0]
-	up.waiting = slices.Delete(up.waiting, 0, 1)
-	return w.done
+// handOver gives a new connection to the attempt that has waited longest, or keeps it idle if none waits. It reports whether
+// one did.
+func (p *Pool) handOver(conn *serverConn) bool {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	conn.server.dialing--
+	if len(conn.server.waiting) == 0 {
+		p.addIdle(conn)
+		return false
+	}
+	conn.server.popFirstWaiter().result <- dialResult{conn: conn}
+	return true
 }
 
-// newestWaiter takes the last waiter out of the line, which has waited least and goes elsewhere soonest; the caller holds the
-// lock. What is on its way is left for those before it.
-func (up *Server) newestWaiter() chan<- dialResult {
-	last := len(up.waiting) - 1
-	w := up.waiting[last]
-	up.waiting = slices.Delete(up.waiting, last, last+1)
-	return w.done
+// popFirstWaiter removes the attempt that has waited longest; the caller holds the lock of the pool.
+func (s *Server) popFirstWaiter() *connWaiter { return s.popWaiter(0) }
+
+// popLastWaiter removes the attempt that has waited least and so has most time to go elsewhere; the caller holds the lock of
+// the pool. The dials that are running are left for those before it.
+func (s *Server) popLastWaiter() *connWaiter { return s.popWaiter(len(s.waiting) - 1) }
+
+// popWaiter removes the waiter with an index; the caller holds the lock of the pool.
+func (s *Server) popWaiter(i int) *connWaiter {
+	waiter := s.waiting[i]
+	s.waiting = slices.Delete(s.waiting, i, i+1)
+	return waiter
 }
--- a/internal/sidecar/upstream/errno_test.go
+++ b/internal/sidecar/upstream/errno_test.go
@@ -16,7 +16,7 @@
 )
 
 // faulty puts a connection that can fail in place of a kept connection's own.
-func faulty(t *testing.T, conn *ServerConn) *sidecartest.FaultyConn {
+func faulty(t *testing.T, conn *serverConn) *sidecartest.FaultyConn {
 	t.Helper()
 	c := &sidecartest.FaultyConn{TCPConn: conn.Conn.(*net.TCPConn)}
 	conn.Conn, conn.head.Conn = c, c
@@ -168,7 +168,7 @@
 			a.Call.Outbound = outboundPost([]byte("plate 12-34"))
 			stopped := make(chan struct{}) // nobody takes an answer that is passed on as it comes
 			close(stopped)
-			p.Stopped = stopped
+			p.stopped = stopped
 			dial := p.dialContext
 			for n := range len(text) {
 				p.dialContext = dial
--- a/internal/sidecar/upstream/events.go
+++ b/internal/sidecar/upstream/events.go
@@ -4,22 +4,20 @@
 	"marblelane/internal/sidecar/inflight"
 )
 
-// This file has what connections to servers tell the event loop.
-
-// BodyComplete tells that a call's body has come to its end.
+// BodyComplete is posted to the event loop when the last byte of a forwarded body has arrived.
 type BodyComplete struct{ Call *inflight.Call }
 
-// AnswerStarted offers an answer that is passed on as it comes.
+// AnswerStarted is posted to the event loop with an answer that is forwarded as it arrives.
 type AnswerStarted struct {
 	Attempt *Attempt
 	Answer  inflight.Answer
 }
 
-// Connecting tells that an attempt has no kept connection, or has the new one.
+// Connecting is posted to the event loop when an attempt starts to wait for a new connection, and again when it has one.
 type Connecting struct {
 	Attempt     *Attempt
-	Established bool
+	Established bool // the attempt has its connection
 }
 
-// ConnectionReady tells of a connection that nobody waits for any more.
+// ConnectionReady is posted to the event loop for a new connection that no attempt waits for any more.
 type ConnectionReady struct{ Server *Server }
--- a/internal/sidecar/upstream/exchange.go
+++ b/internal/sidecar/upstream/exchange.go
@@ -6,23 +6,81 @@
 	"net"
 	"net/http"
 	"net/url"
-	"syscall"
 	"time"
 
 	"marblelane/balance"
 	"marblelane/internal/sidecar/checkpoint"
 	"marblelane/internal/sidecar/clock"
 	"marblelane/internal/sidecar/inflight"
-	"marblelane/internal/sidecar/netcall"
 	"marblelane/internal/sidecar/routing"
 )
 
 const (
-	streamTimeout      = 5 * time.Second // for the next bytes of a streamed body, either way
+	// streamTimeout bounds the wait for the next bytes of a body that is forwarded as it arrives, in either direction.
+	streamTimeout      = 5 * time.Second
 	healthCheckTimeout = 250 * time.Millisecond
+	// earlyAnswerTimeout bounds the reading of an answer that came before the whole request was written.
+	earlyAnswerTimeout = healthCheckTimeout
 )
 
-// retryWindow is for how long servers know a class's key; 0: it has none, or no end that matters.
+// Send carries out an attempt and returns how it ended.
+func (p *Pool) Send(attempt *Attempt) inflight.Reply {
+	p.hook.At(checkpoint.AttemptDecided)
+	reply := p.exchangeCall(attempt)
+	if out := attempt.Call.Outbound; out.MayRunSince.IsZero() && !reply.Result.NeverRan() {
+		out.MayRunSince = out.LastFirstByte
+	}
+	return attempt.RouteCheck.RecordEnd(reply)
+}
+
+// HealthCheck sends a request of the sidecar's own that reads a server's state and load report.
+func (p *Pool) HealthCheck(ctx context.Context, server *Server) inflight.Reply {
+	x := &exchange{pool: p, server: server, deadline: time.Now().Add(healthCheckTimeout), request: &http.Request{
+		Method: http.MethodGet, URL: &url.URL{Path: p.healthCheckPath}, Host: server.Endpoint, Header: http.Header{},
+	}}
+	reply := x.run(ctx)
+	if len(reply.Report) == 0 {
+		reply.Report = parseReport(string(reply.Answer.Body), p.reportNames)
+	}
+	return reply
+}
+
+// exchangeCall sends the client's request within the client's time.
+func (p *Pool) exchangeCall(attempt *Attempt) inflight.Reply {
+	x := &exchange{pool: p, server: attempt.Server, deadline: attempt.Deadline, attempt: attempt,
+		request: outboundRequest(attempt.Call.Outbound)}
+	upload := attempt.upload()
+	if upload == nil {
+		return x.run(attempt.Context)
+	}
+	x.request.ContentLength = upload.Length
+	x.deadline = p.uploadDeadline(attempt.Call)
+	reply := x.run(attempt.Context)
+	reply.BodyConsumed = upload.Consumed()
+	return reply
+}
+
+// outboundRequest returns a request for one attempt, with headers of its own.
+func outboundRequest(out *inflight.Outbound) *http.Request {
+	return &http.Request{
+		Method: out.Method, URL: out.URL, Host: out.Host, Header: out.Header.Clone(), ContentLength: int64(len(out.Body)),
+	}
+}
+
+// uploadDeadline is when a call with a forwarded body ends. A body whose last byte arrived while no attempt was reading it
+// has not been reported to the event loop yet.
+func (p *Pool) uploadDeadline(call *inflight.Call) time.Time {
+	deadline := time.Now().Add(inflight.MaxTimeout)
+	upload := call.Outbound.Upload
+	if received := upload.CompletedAt(); !received.IsZero() && !upload.Broken() {
+		deadline = received.Add(call.Timeout)
+		p.post(BodyComplete{call})
+	}
+	return deadline
+}
+
+// retryWindow is how long servers remember an idempotency key of a class. It is 0 if the class has no key, or if the window
+// is longer than any request lasts.
 func retryWindow(class *balance.Class) time.Duration {
 	if class.Idempotency != balance.IdempotentWithKey || class.KeyWindow >= float64(inflight.MaxTimeout/time.Millisecond) {
 		return 0
@@ -30,151 +88,121 @@
 	return max(clock.Duration(class.KeyWindow), 1)
 }
 
-// Send makes one attempt and tells how it ended.
-func (p *Pool) Send(a *Attempt) inflight.Reply {
-	p.Hook.At(checkpoint.AttemptDecided)
-	r := p.exchangeCall(a)
-	if out := a.Call.Outbound; out.MayRunSince.IsZero() && !r.Result.NeverRan() {
-		out.MayRunSince = out.LastFirstByte
+// retryBefore is when the last byte of an attempt must have been written, as servers then forget the idempotency key of an
+// earlier attempt that may have run. It is zero if there is no such bound.
+func (p *Pool) retryBefore(attempt *Attempt) time.Time {
+	if attempt == nil || attempt.Call.Outbound.MayRunSince.IsZero() || p.retryWindows[attempt.Call.Request.Class] == 0 {
+		return time.Time{}
 	}
-	return a.RouteCheck.RecordEnd(r)
+	return attempt.Call.Outbound.MayRunSince.Add(p.retryWindows[attempt.Call.Request.Class])
 }
 
-// retryBefore is when the last byte of an attempt has to be out, as servers forget its key; zero: whenever.
-func (p *Pool) retryBefore(a *Attempt) time.Time {
-	if a == nil || a.Call.Outbound.MayRunSince.IsZero() || p.windows[a.Call.Request.Class] == 0 {
-		return time.Time{}
-	}
-	return a.Call.Outbound.MayRunSince.Add(p.windows[a.Call.Request.Class])
+// exchange writes a request once and reads its answer. net/http's Transport would send a request again by itself when a
+// reused connection breaks, which would be one more attempt. Here a request moves to another connection only while its last
+// byte has not been written.
+type exchange struct {
+	pool     *Pool
+	server   *Server
+	request  *http.Request
+	attempt  *Attempt  // nil for a health check
+	deadline time.Time // for the answer; of a forwarded body, set anew once its last byte has arrived
+	writeBy  time.Time // for the last byte of the request, see retryBefore; zero if there is no bound
+	sendBy   time.Time // the earlier of the two
 }
 
-// exchangeCall is exchange with the client's request and its times.
-func (p *Pool) exchangeCall(a *Attempt) inflight.Reply {
-	c := a.Call
-	req := &http.Request{
-		Method: c.Outbound.Method, URL: c.Outbound.URL, Host: c.Outbound.Host, Header: c.Outbound.Header.Clone(),
-		ContentLength: int64(len(c.Outbound.Body)),
-	}
-	if u := c.Outbound.Upload; u != nil {
-		req.ContentLength = u.Length
-		cut := time.Now().Add(inflight.MaxTimeout)
-		if received := u.CompletedAt(); !received.IsZero() && !u.Broken() {
-			// It came to its end while nobody took it, so nobody has told the loop.
-			cut = received.Add(c.Timeout)
-			p.Post(BodyComplete{c})
+// run sends the request, over a second connection if the first one was stale.
+func (x *exchange) run(ctx context.Context) inflight.Reply {
+	x.sendBy, x.writeBy = x.deadline, x.pool.retryBefore(x.attempt)
+	if !x.writeBy.IsZero() && x.writeBy.Before(x.deadline) {
+		x.sendBy = x.writeBy
+	}
+	for {
+		reply, stale := x.runOnConnection(ctx)
+		if !stale {
+			return reply
 		}
-		r := p.exchange(a.Context, a.Server, cut, req, a)
-		r.BodyConsumed = u.Consumed()
-		return r
 	}
-	return p.exchange(a.Context, a.Server, a.Deadline, req, a)
 }
 
-// HealthCheck asks a server how it is.
-func (p *Pool) HealthCheck(ctx context.Context, up *Server) inflight.Reply {
-	req := &http.Request{
-		Method: http.MethodGet, URL: &url.URL{Path: p.probePath}, Host: up.Endpoint, Header: http.Header{},
+// runOnConnection sends the request over one connection. It reports a stale one if nothing of the request has run and the
+// request may move to another connection.
+func (x *exchange) runOnConnection(ctx context.Context) (reply inflight.Reply, stale bool) {
+	conn, reused, err := x.pool.acquire(ctx, x.server, x.sendBy, x.attempt)
+	if err != nil {
+		return inflight.Reply{Result: unsentResult(ctx, x.sendBy, err)}, false
+	}
+	conn.head.NextRequest()
+	conn.readLimit.N = maxHeldAnswer
+	writer := &requestWriter{conn: conn, reused: reused, writeBy: x.writeBy, hook: x.pool.hook}
+	detach := context.AfterFunc(ctx, writer.stop)
+	if x.attempt.upload() == nil {
+		writer.limit(x.deadline)
 	}
-	r := p.exchange(ctx, up, time.Now().Add(healthCheckTimeout), req, nil)
-	if len(r.Report) == 0 {
-		r.Report = parseReport(string(r.Answer.Body), p.reportNames)
+	written, err := writer.write(x.deadline, x.request, x.attempt)
+	if !written {
+		detach()
+		return x.endUnwritten(ctx, writer, err)
 	}
-	return r
+	x.recordWritten(writer)
+	reply, reusable := x.readReply(ctx, conn, idleTime(conn, reused))
+	if detach() && reusable {
+		x.pool.put(conn)
+	} else {
+		x.pool.discard(conn)
+	}
+	return reply, false
 }
 
-// exchange writes a request once and reads its answer; a is nil for a probe. net/http's Transport would
-// send again by itself on a broken kept connection, which is one more attempt; here a request moves to
-// another connection only while its last byte has not been written.
-func (p *Pool) exchange(ctx context.Context, up *Server, cut time.Time, req *http.Request, a *Attempt) inflight.Reply {
-	until := p.retryBefore(a)
-	sendBy := cut
-	if !until.IsZero() && until.Before(cut) {
-		sendBy = until
+// recordWritten counts an attempt whose last byte is written. The time for the answer to a forwarded body starts here.
+func (x *exchange) recordWritten(writer *requestWriter) {
+	if x.attempt == nil {
+		return
 	}
-	for {
-		conn, kept, err := p.acquire(ctx, up, sendBy, a)
-		if err != nil {
-			return inflight.Reply{Result: unsentResult(ctx, sendBy, err)}
-		}
-		conn.head.NextRequest()
-		conn.readLimit.N = maxHeldAnswer
-		out := &RequestWriter{Conn: conn, reused: kept, writeBy: until, hook: p.Hook}
-		stop := context.AfterFunc(ctx, out.stop)
-		if a == nil || a.Call.Outbound.Upload == nil {
-			out.limit(cut)
-		}
-		all, err := out.write(cut, req, a)
-		if all && a != nil {
-			p.Metrics.ServerCalls.Add(1)
-		}
-		if !all {
-			stop()
-			result := balance.Rejected
-			if !out.answered || !p.rejectedEarly(conn, req) {
-				result = unwrittenResult(ctx, sendBy, err)
-			}
-			p.discard(conn)
-			if errors.Is(err, routing.ErrRevoked) {
-				return inflight.Reply{Result: balance.NotSent, RouteRevoked: true}
-			}
-			unfit := err == errStaleConn || errors.As(err, new(*net.OpError))
-			elsewhere := result != balance.Rejected && result != balance.LocalFailure
-			if kept && elsewhere && ctx.Err() == nil && unfit &&
-				time.Now().Before(sendBy) && (a == nil || a.Call.Outbound.Upload == nil || !a.Call.Outbound.Upload.Consumed()) {
-				continue // the server closed it while idle; nothing of the request has run
-			}
-			return inflight.Reply{Result: result}
-		}
-		if a != nil && a.Call.Outbound.Upload != nil {
-			cut = a.Call.Outbound.Upload.CompletedAt().Add(a.Call.Timeout)
-			out.limit(cut)
-			p.Post(BodyComplete{a.Call})
-			<-out.answerPeeked
-		}
-		idle := time.Duration(0)
-		if kept {
-			idle = time.Since(conn.idleSince)
-		}
-		r, keep := p.readReply(ctx, conn, cut, req, a, idle)
-		if stop() && keep {
-			p.put(conn)
-		} else {
-			p.discard(conn)
-		}
-		return r
+	x.pool.metrics.ServerCalls.Add(1)
+	upload := x.attempt.upload()
+	if upload == nil {
+		return
 	}
+	x.deadline = upload.CompletedAt().Add(x.attempt.Call.Timeout)
+	writer.limit(x.deadline)
+	x.pool.post(BodyComplete{x.attempt.Call})
+	<-writer.early.peeked
 }
 
-// errNotNeeded: between decision and first byte the request was concluded, its client left, its time ran out or its server
-// was retired. It is checked last of all, as dialing takes time in which the list changes.
-var errNotNeeded = errors.New("not to be sent any more")
-
-// errStaleConn: a kept connection was closed by its server while it was idle, or holds bytes that answer nothing.
-var errStaleConn = errors.New("the kept connection is closed or out of step")
-
-// unsentResult is the result where no connection came up.
-func unsentResult(ctx context.Context, cut time.Time, err error) balance.Result {
-	switch {
-	case ctx.Err() != nil, err == errNotNeeded, err == errNoSocket, !time.Now().Before(cut):
-		return balance.NotSent // no fault of the server
-	case errors.Is(err, syscall.ECONNRESET), errors.Is(err, syscall.EPIPE):
-		return balance.WriteFailed // something answered
-	case netcall.LocalErrnos.Has(err):
-		return balance.LocalFailure
-	case netcall.UnreachableErrnos.Has(err):
-		return balance.Unreachable
-	default:
-		return balance.ConnectFailed
+// idleTime is how long a connection was idle before this request; 0 for a new one.
+func idleTime(conn *serverConn, reused bool) time.Duration {
+	if !reused {
+		return 0
 	}
+	return time.Since(conn.idleSince)
 }
 
-// unwrittenResult is the result where the last byte was not written to a connection that was up. The system's errors, but for
-// this machine's own trouble, tell then that it is over, and not that nobody is there.
-func unwrittenResult(ctx context.Context, cut time.Time, err error) balance.Result {
-	result := unsentResult(ctx, cut, err)
-	failed := result == balance.Unreachable || result == balance.ConnectFailed
-	if failed && errors.As(err, new(syscall.Errno)) {
-		return balance.WriteFailed
+// endUnwritten ends a request whose last byte was not written, or reports that its connection was stale.
+func (x *exchange) endUnwritten(ctx context.Context, writer *requestWriter, cause error) (reply inflight.Reply, stale bool) {
+	result := balance.Rejected
+	if !writer.answeredEarly() || !rejectedEarly(writer.conn, x.request) {
+		result = unwrittenResult(ctx, x.sendBy, cause)
+	}
+	x.pool.discard(writer.conn)
+	if errors.Is(cause, routing.ErrRevoked) {
+		return inflight.Reply{Result: balance.NotSent, RouteRevoked: true}, false
+	}
+	if writer.reused && x.mayUseAnother(ctx, result, cause) {
+		return inflight.Reply{}, true
+	}
+	return inflight.Reply{Result: result}, false
+}
+
+// mayUseAnother reports whether a request that was not written to a reused connection may be written to another one: the server
+// has closed the first while it was idle, and there is time and a body left.
+func (x *exchange) mayUseAnother(ctx context.Context, result balance.Result, cause error) bool {
+	if result == balance.Rejected || result == balance.LocalFailure || ctx.Err() != nil {
+		return false
+	}
+	connFailed := cause == errStaleConn || errors.As(cause, new(*net.OpError))
+	if !connFailed || !time.Now().Before(x.sendBy) {
+		return false
 	}
-	return result
+	upload := x.attempt.upload()
+	return upload == nil || !upload.Consumed()
 }
--- a/internal/sidecar/upstream/exchange_test.go
+++ b/internal/sidecar/upstream/exchange_test.go
@@ -19,7 +19,7 @@
 )
 
 // exchanging sets up an attempt on a live connection, one step before its first byte.
-func exchanging(t *testing.T, b *sidecartest.Backend) (*Pool, *Attempt, *ServerConn, *http.Request) {
+func exchanging(t *testing.T, b *sidecartest.Backend) (*Pool, *Attempt, *serverConn, *http.Request) {
 	t.Helper()
 	cfg, err := configtest.NewConf("127.0.0.1:1").Load(t)
 	if err != nil {
@@ -52,7 +52,7 @@
 			b := sidecartest.NewBackend(t, "a", sidecartest.OK)
 			p, a, conn, req := exchanging(t, b)
 			change(p, a)
-			all, err := (&RequestWriter{Conn: conn}).write(a.Deadline, req, a)
+			all, err := (&requestWriter{conn: conn}).write(a.Deadline, req, a)
 			if all || err != errNotNeeded || unsentResult(a.Context, a.Deadline, err) != balance.NotSent {
 				t.Errorf("written %v, error %v", all, err)
 			}
@@ -69,7 +69,7 @@
 	b := sidecartest.NewBackend(t, "a", sidecartest.OK)
 	_, a, conn, req := exchanging(t, b)
 	conn.Conn.(*net.TCPConn).CloseWrite()
-	all, err := (&RequestWriter{Conn: conn}).write(a.Deadline, req, a)
+	all, err := (&requestWriter{conn: conn}).write(a.Deadline, req, a)
 	if got := unsentResult(a.Context, a.Deadline, err); all || got != balance.WriteFailed {
 		t.Errorf("written %v, %v, result %v", all, err, got)
 	}
@@ -188,7 +188,7 @@
 	p := NewPool(cfg, 10)
 	t.Cleanup(p.Close)
 	handshake := make(chan struct{}) // each connection waits for one
-	p.Dialer.Control = func(string, string, syscall.RawConn) error { <-handshake; return nil }
+	p.dialer.Control = func(string, string, syscall.RawConn) error { <-handshake; return nil }
 	up := &Server{ID: 1, Endpoint: b.Target.Endpoint}
 	cut := time.Now().Add(sidecartest.Patience)
 
@@ -210,7 +210,7 @@
 	sidecartest.Until(t, "the second attempt to wait", func() bool {
 		p.mu.Lock()
 		defer p.mu.Unlock()
-		return len(up.waiting) == 1 && up.dialing == 2
+		return len(up.waiting) == 1 && up.dialsContext == 2
 	})
 	handshake <- struct{}{} // of either: the attempt takes the first that comes up
 	if err := sidecartest.Receive(t, "a connection", got); err != nil {
@@ -220,7 +220,7 @@
 	sidecartest.Until(t, "the other to be kept", func() bool {
 		p.mu.Lock()
 		defer p.mu.Unlock()
-		return len(up.idle) == 1 && up.dialing == 0
+		return len(up.idle) == 1 && up.dialsContext == 0
 	})
 	next, kept, err := p.acquire(t.Context(), up, cut, nil)
 	if !kept || err != nil {
--- a/internal/sidecar/upstream/held_up_test.go
+++ b/internal/sidecar/upstream/held_up_test.go
@@ -31,14 +31,14 @@
 				})
 				p, a, conn, _ := exchanging(t, b)
 				p.put(conn)
-				p.Post = func(any) {}
+				p.post = func(any) {}
 				a.Call.Outbound = outboundPost([]byte("plate 12-34"))
 				if upload {
 					wholeUpload(t, a, sidecartest.Patience)
 					a.Deadline = a.Call.Outbound.Upload.CompletedAt().Add(sidecartest.Patience)
 				}
 				cut = a.Deadline
-				p.Hook = func(c checkpoint.Checkpoint) {
+				p.hook = func(c checkpoint.Checkpoint) {
 					if c == at {
 						time.Sleep(sidecartest.Hold)
 					}
@@ -65,7 +65,7 @@
 			if r := p.Send(a); r.Result != balance.Failed {
 				t.Fatalf("the first attempt: result %v", r.Result)
 			}
-			p.Hook = func(c checkpoint.Checkpoint) {
+			p.hook = func(c checkpoint.Checkpoint) {
 				if c == at {
 					<-time.After(time.Until(a.Call.Outbound.MayRunSince.Add(sidecartest.Hold)))
 					time.Sleep(20 * time.Millisecond) // the deadline on the connection has passed, too
--- a/internal/sidecar/upstream/idle_age.go
+++ b/internal/sidecar/upstream/idle_age.go
@@ -7,93 +7,113 @@
 )
 
 const (
-	ageSteps  = 48               // two to a doubling from 1 ms on: beyond an hour
-	ageSpan   = 30 * time.Second // in which what was seen fades: the network may change
-	ageProof  = 6.0              // log-likelihood by which two rates of loss must explain more than one
-	ageFactor = 3                // and times by which the older connections must be lost more often
+	// ageBuckets is the number of counts by idle time: two to a doubling from 1 ms on, the last one beyond an hour.
+	ageBuckets = 48
+	// ageDecayTime is the time constant of the counts: the network may change.
+	ageDecayTime = 30 * time.Second
+	// minLikelihoodGain is by how much two loss rates must explain the counts better than one, as a log-likelihood ratio.
+	minLikelihoodGain = 6.0
+	// minLossRatio is how many times more often the older connections must be lost than the younger ones.
+	minLossRatio = 3
 )
 
-// idleAges learns how long a connection may be idle. Something on the way may forget one sooner than its
-// server closes it and say nothing: then a request written to it ends as a reset, which may have run.
+// idleAges learns how long a connection may be idle. Something on the way may forget a connection sooner than its server
+// closes it, without a sign: a request written to it then ends as a reset, after which it may have run.
+//
+// It counts requests and losses by the idle time of their connection, as exponentially decayed sums. The bound is the idle
+// time at which a model with two loss rates (below and from there on) has the highest likelihood, if that is enough more
+// than the likelihood of a single rate.
 type idleAges struct {
-	mu         sync.Mutex
-	used, lost [ageSteps]float64 // by the time that a connection was idle; 0: new ones
-	at         time.Time         // when these were last made to fade
-	bound      time.Duration     // 0: none seen
+	mu         sync.Mutex          // guards all
+	used, lost [ageBuckets]float64 // requests and losses by idle time; 0: new connections
+	decayedAt  time.Time           // when these last decayed
+	learned    time.Duration       // the bound; 0: there is none
 }
 
-func ageStep(idle time.Duration) int {
-	if idle <= 0 { // of a negative time there is no logarithm, and no index
+// ageBucket returns the index of an idle time; a negative one counts as that of a new connection.
+func ageBucket(idle time.Duration) int {
+	if idle <= 0 {
 		return 0
 	}
-	return int(min(max(2*math.Log2(float64(idle)/float64(time.Millisecond))+1, 0), ageSteps-1))
+	return int(min(max(2*math.Log2(float64(idle)/float64(time.Millisecond))+1, 0), ageBuckets-1))
 }
 
-// note takes in how a request fared on a connection that was idle for that long; 0: a new one.
-func (a *idleAges) note(now time.Time, idle time.Duration, lost bool) {
+// bucketStart is the least idle time of a bucket above 0.
+func bucketStart(bucket int) time.Duration {
+	return time.Duration(math.Exp2(float64(bucket-1)/2) * float64(time.Millisecond))
+}
+
+// record counts a request on a connection that was idle for a time, 0 for a new one, and whether the connection was lost.
+func (a *idleAges) record(now time.Time, idle time.Duration, lost bool) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	fade := 1.0
-	if !a.at.IsZero() {
-		fade = math.Exp(-float64(now.Sub(a.at)) / float64(ageSpan))
+	a.decay(now)
+	bucket := ageBucket(idle)
+	a.used[bucket]++
+	if lost {
+		a.lost[bucket]++
 	}
-	a.at = now
-	for i := range a.used {
-		a.used[i] *= fade
-		a.lost[i] *= fade
+	if lost || a.learned > 0 {
+		a.learned = a.estimate()
 	}
-	i := ageStep(idle)
-	a.used[i]++
-	if lost {
-		a.lost[i]++
+}
+
+// decay takes from the counts what is due since the last time; the caller holds the lock.
+func (a *idleAges) decay(now time.Time) {
+	factor := 1.0
+	if !a.decayedAt.IsZero() {
+		factor = math.Exp(-float64(now.Sub(a.decayedAt)) / float64(ageDecayTime))
 	}
-	if lost || a.bound > 0 {
-		a.bound = a.find()
+	a.decayedAt = now
+	for i := range a.used {
+		a.used[i] *= factor
+		a.lost[i] *= factor
 	}
 }
 
-// find looks for the age from which on connections are lost far more often: there are losses at any age.
-func (a *idleAges) find() time.Duration {
+// estimate returns the idle time from which on connections are lost far more often, or 0: some are lost at any idle time. The
+// caller holds the lock.
+func (a *idleAges) estimate() time.Duration {
 	var used, lost float64
 	for i := range a.used {
 		used += a.used[i]
 		lost += a.lost[i]
 	}
-	whole := logLikelihood(used, lost)
-	best, from := ageProof, 0
+	single := logLikelihood(used, lost)
+	maxGain, bound := minLikelihoodGain, 0
 	var usedBelow, lostBelow float64
-	for i := 1; i < ageSteps; i++ {
+	for i := 1; i < ageBuckets; i++ {
 		usedBelow += a.used[i-1]
 		lostBelow += a.lost[i-1]
 		usedFrom, lostFrom := used-usedBelow, lost-lostBelow
-		if lostFrom*(usedBelow+1) < ageFactor*(lostBelow+1)*usedFrom {
+		if lostFrom*(usedBelow+1) < minLossRatio*(lostBelow+1)*usedFrom {
 			continue
 		}
-		if gain := logLikelihood(usedBelow, lostBelow) + logLikelihood(usedFrom, lostFrom) - whole; gain > best {
-			best, from = gain, i
+		if gain := logLikelihood(usedBelow, lostBelow) + logLikelihood(usedFrom, lostFrom) - single; gain > maxGain {
+			maxGain, bound = gain, i
 		}
 	}
-	if from == 0 {
+	if bound == 0 {
 		return 0
 	}
-	return time.Duration(math.Exp2(float64(from-1)/2) * float64(time.Millisecond))
+	return bucketStart(bound)
 }
 
-// logLikelihood of losses at their own rate.
+// logLikelihood is the log-likelihood of so many losses among so many requests, at their own loss rate.
 func logLikelihood(used, lost float64) float64 {
-	kept := used - lost
-	if lost <= 0 || kept <= 0 {
+	survived := used - lost
+	if lost <= 0 || survived <= 0 {
 		return 0
 	}
-	return lost*math.Log(lost/used) + kept*math.Log(kept/used)
+	return lost*math.Log(lost/used) + survived*math.Log(survived/used)
 }
 
-// within is the shorter of a time and what was learned.
-func (a *idleAges) within(idle time.Duration) time.Duration {
+// bound returns the shorter of an idle time and the learned bound.
+func (a *idleAges) bound(idle time.Duration) time.Duration {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	if a.bound > 0 {
-		return min(idle, a.bound)
+	if a.learned > 0 {
+		return min(idle, a.learned)
 	}
 	return idle
 }
--- a/internal/sidecar/upstream/idle_age_test.go
+++ b/internal/sidecar/upstream/idle_age_test.go
@@ -9,7 +9,7 @@
 func noteRun(a *idleAges, now *time.Time, idle time.Duration, uses, nth int) {
 	for i := 1; i <= uses; i++ {
 		*now = now.Add(5 * time.Millisecond)
-		a.note(*now, idle, nth > 0 && i%nth == 0)
+		a.record(*now, idle, nth > 0 && i%nth == 0)
 	}
 }
 
@@ -46,7 +46,7 @@
 			for _, r := range test.runs {
 				noteRun(&a, &now, r.idle, r.uses, r.nth)
 			}
-			if got := a.within(idle); got < test.least || got > test.most {
+			if got := a.bound(idle); got < test.least || got > test.most {
 				t.Errorf("%v, want %v to %v", got, test.least, test.most)
 			}
 		})
@@ -59,12 +59,12 @@
 	now := time.Unix(1e9, 0)
 	noteRun(&a, &now, 20*time.Millisecond, 200, 0)
 	noteRun(&a, &now, time.Second, 10, 1)
-	if got := a.within(4 * time.Second); got > time.Second {
+	if got := a.bound(4 * time.Second); got > time.Second {
 		t.Fatalf("%v: nothing learned", got)
 	}
-	now = now.Add(10 * ageSpan)
+	now = now.Add(10 * ageDecayTime)
 	noteRun(&a, &now, 20*time.Millisecond, 1, 0)
-	if got := a.within(4 * time.Second); got != 4*time.Second {
+	if got := a.bound(4 * time.Second); got != 4*time.Second {
 		t.Errorf("%v: not forgotten", got)
 	}
 }
@@ -75,9 +75,9 @@
 		idle time.Duration
 		want int
 	}{
-		{-time.Hour, 0}, {-1, 0}, {0, 0}, {1, 0}, {time.Millisecond, 1}, {2 * time.Millisecond, 3}, {1000 * time.Hour, ageSteps - 1},
+		{-time.Hour, 0}, {-1, 0}, {0, 0}, {1, 0}, {time.Millisecond, 1}, {2 * time.Millisecond, 3}, {1000 * time.Hour, ageBuckets - 1},
 	} {
-		if got := ageStep(test.idle); got != test.want {
+		if got := ageBucket(test.idle); got != test.want {
 			t.Errorf("%v: step %d, want %d", test.idle, got, test.want)
 		}
 	}
--- a/internal/sidecar/upstream/pool.go
+++ b/internal/sidecar/upstream/pool.go
@@ -1,121 +1,125 @@
 package upstream
 
 import (
-	"bufio"
 	"context"
-	"io"
 	"net"
 	"slices"
 	"sync"
-	"sync/atomic"
+	"syscall"
 	"time"
 
 	"marblelane/balance"
 	"marblelane/internal/sidecar/checkpoint"
 	"marblelane/internal/sidecar/clock"
 	"marblelane/internal/sidecar/config"
-	"marblelane/internal/sidecar/framing"
 	"marblelane/internal/sidecar/metrics"
 	"marblelane/internal/sidecar/netcall"
 )
 
 const (
-	idleFraction = 0.85 // of the time after which a server closes an idle connection
-	// reuseDelay is for how long a connection that has just carried an answer is left alone where others are idle: a
-	// second answer may come some milliseconds late (STANDING), and nothing tells it from that to the next request.
+	// idleFraction is the part of the time after which a server closes an idle connection for which it is reused.
+	idleFraction = 0.85
+	// reuseDelay is how long a connection that has just carried an answer is left alone while others are idle: a second
+	// answer may come some milliseconds late, and nothing tells it from that to the next request.
 	reuseDelay = 10 * time.Millisecond
 )
 
-// Server is one life of a server's process, as discovery told of it. A restart or another address makes
-// a new one, so that no connection or decision outlives the process that it was made for.
-type Server struct {
-	ID       balance.ServerID
-	Endpoint string
-	BootMS   float64
-	Retired  atomic.Bool   // draining, gone or restarted: nothing new goes there
-	idle     []*ServerConn // oldest first; under the lock of upstreams, as are these:
-	waiting  []*connWaiter // attempts that wait for a connection, in turn
-	dialing  int           // connections on their way
-}
-
-// ServerConn is a kept connection; it carries one request at a time.
-type ServerConn struct {
-	net.Conn
-	in        *bufio.Reader
-	readLimit *io.LimitedReader // under in: bounds an answer, headers included
-	head      *framing.HeadConn // under left: keeps the head of an answer
-	server    *Server
-	idleSince time.Time // idle since
-}
-
-// Pool holds the kept connections to all servers and bounds how many there are.
+// Pool has the connections to all servers and bounds how many there are.
 type Pool struct {
-	Dialer      net.Dialer
-	dialContext netcall.DialFunc // by the dialer; tests put connections that fail in its place
-	connectWait time.Duration    // of an attempt
-	connIdle    time.Duration
-	reportNames []string
-	probePath   string
-	windows     []time.Duration // by class: for how long it may be sent again; 0: nothing to watch
-	idleAges    idleAges
-	Metrics     *metrics.Metrics
-	Post        func(any)       // hands an answer that has begun to the loop
-	Stopped     <-chan struct{} // the loop has ended
-	Hook        checkpoint.Hook
-
-	dials   context.Context // its end is that of what is on its way
-	endDial context.CancelFunc
-	dialers sync.WaitGroup
-
-	mu          sync.Mutex
+	dialer          net.Dialer
+	dialContext     netcall.DialFunc // dials with dialer, and with what WrapDial puts around it
+	connectWait     time.Duration    // of an attempt for a new connection
+	maxIdle         time.Duration    // after which an idle connection is closed
+	reportNames     []string         // the figures of a load report, in order
+	healthCheckPath string
+	retryWindows    []time.Duration // by class, see retryWindow
+	idleAges        idleAges
+	metrics         *metrics.Metrics
+	hook            checkpoint.Hook
+
+	post    func(any)       // hands an event to the event loop
+	stopped <-chan struct{} // closed by the event loop at its end
+
+	dialsContext context.Context // of all dials, which may outlast the attempt that started them
+	cancelDials  context.CancelFunc
+	dialers      sync.WaitGroup // the goroutines of dial
+
+	mu          sync.Mutex           // guards the fields below and those of each Server that say so
 	idleServers map[*Server]struct{} // those with idle connections
-	open        int
-	limit       int
+	open        int                  // connections that are open or being dialed
+	limit       int                  // of open
 }
 
-func NewPool(cfg *config.Config, most int) *Pool {
-	wait := clock.Duration(cfg.Balance.ConnectTimeout)
-	if wait <= 0 {
-		wait = maxConnectTime
+// NewPool returns a pool of up to limit connections. Its events go nowhere until ReportTo is called.
+func NewPool(cfg *config.Config, limit int) *Pool {
+	connectWait := clock.Duration(cfg.Balance.ConnectTimeout)
+	if connectWait <= 0 {
+		connectWait = maxConnectTime
 	}
 	p := &Pool{
-		Dialer: net.Dialer{Timeout: max(wait, maxConnectTime), KeepAlive: -1}, connectWait: wait,
-		connIdle:    time.Duration(float64(cfg.ConnIdle) * idleFraction),
-		reportNames: cfg.ReportNames, probePath: "/health/live",
-		idleServers: map[*Server]struct{}{}, limit: most, Post: func(any) {}, Metrics: metrics.New(cfg.ClassNames),
+		dialer: net.Dialer{Timeout: max(connectWait, maxConnectTime), KeepAlive: -1}, connectWait: connectWait,
+		maxIdle:     time.Duration(float64(cfg.ConnIdle) * idleFraction),
+		reportNames: cfg.ReportNames, healthCheckPath: "/health/live",
+		idleServers: map[*Server]struct{}{}, limit: limit, post: func(any) {}, metrics: metrics.New(cfg.ClassNames),
 	}
 	for i := range cfg.Balance.Classes {
-		p.windows = append(p.windows, retryWindow(&cfg.Balance.Classes[i]))
+		p.retryWindows = append(p.retryWindows, retryWindow(&cfg.Balance.Classes[i]))
 	}
 	p.dialContext = func(ctx context.Context, network, addr string) (net.Conn, error) {
-		return p.Dialer.DialContext(ctx, network, addr)
+		return p.dialer.DialContext(ctx, network, addr)
 	}
-	p.dials, p.endDial = context.WithCancel(context.Background())
+	p.dialsContext, p.cancelDials = context.WithCancel(context.Background())
 	if cfg.Balance.Reports != balance.ReportNone {
-		p.probePath = "/stats"
+		p.healthCheckPath = "/stats"
 	}
 	return p
 }
 
+// ReportTo sets where events go, and the channel that is closed at the event loop's end. It is called before the first
+// attempt.
+func (p *Pool) ReportTo(post func(any), stopped <-chan struct{}) { p.post, p.stopped = post, stopped }
+
+// Metrics returns the figures of the process, in which attempts are counted.
+func (p *Pool) Metrics() *metrics.Metrics { return p.metrics }
+
 // WrapDial puts wrap around the dialing of new connections. It is called before the first attempt.
 func (p *Pool) WrapDial(wrap func(netcall.DialFunc) netcall.DialFunc) {
 	p.dialContext = wrap(p.dialContext)
 }
 
-// Counts gives how many connections are open or being opened, and how many of them are idle.
+// SetDialControl sets what is called with each new socket before it connects, as net.Dialer.Control. It is called before the
+// first attempt, by tests.
+func (p *Pool) SetDialControl(control func(network, addr string, c syscall.RawConn) error) {
+	p.dialer.Control = control
+}
+
+// SetHook sets what is called at each checkpoint of an attempt. It is called before the first attempt, by tests.
+func (p *Pool) SetHook(hook checkpoint.Hook) { p.hook = hook }
+
+// Counts returns how many connections are open or being dialed, and how many of them are idle.
 func (p *Pool) Counts() (open, idle int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	for up := range p.idleServers {
-		idle += len(up.idle)
+	for server := range p.idleServers {
+		idle += len(server.idle)
 	}
 	return p.open, idle
 }
 
-// keep holds an idle connection; the caller holds the lock.
-func (p *Pool) keep(conn *ServerConn) {
-	closed := conn.server.Retired.Load() || p.dials.Err() != nil // retire or closeAll has closed the idle ones
-	if closed || p.open > p.limit {                              // or setMost has, while this one was at work
+// put gives back a connection that can carry another request.
+func (p *Pool) put(conn *serverConn) {
+	conn.SetDeadline(time.Time{})
+	conn.idleSince = time.Now()
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	p.addIdle(conn)
+}
+
+// addIdle keeps an idle connection. It closes one whose server was retired, or whose pool was closed or got a lower limit
+// meanwhile: Retire, Close and SetLimit have closed only those that were idle. The caller holds the lock.
+func (p *Pool) addIdle(conn *serverConn) {
+	ended := conn.server.Retired.Load() || p.dialsContext.Err() != nil
+	if ended || p.open > p.limit {
 		conn.Close()
 		p.open--
 		return
@@ -124,37 +128,37 @@
 	p.idleServers[conn.server] = struct{}{}
 }
 
-// quiet tells that a kept connection is open with nothing to read. A server may have closed it while it
-// was idle; a request written to it would end as a reset, which may have run.
-func (c *ServerConn) quiet() bool {
-	if c.in.Buffered() > 0 {
-		return false
-	}
-	open, unread := netcall.Peek(c.Conn)
-	return open && !unread
-}
-
-// takeIdle takes the newest connection that has rested, or the one that has rested longest; nil: there is none.
-func (p *Pool) takeIdle(up *Server) *ServerConn {
+// takeIdle takes the connection that was used last, but for those within reuseDelay of their last answer; if there are only
+// such, it takes the one that has been idle for longest. It returns nil if none is idle.
+func (p *Pool) takeIdle(server *Server) *serverConn {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if len(up.idle) == 0 {
+	if len(server.idle) == 0 {
 		return nil
 	}
-	rested := time.Now().Add(-reuseDelay)
-	newest := len(up.idle) - 1
-	for newest > 0 && up.idle[newest].idleSince.After(rested) {
+	reusableSince := time.Now().Add(-reuseDelay)
+	newest := len(server.idle) - 1
+	for newest > 0 && server.idle[newest].idleSince.After(reusableSince) {
 		newest--
 	}
-	conn := up.idle[newest]
-	up.idle = slices.Delete(up.idle, newest, newest+1) // which clears the last place: it would hold its buffers
-	if len(up.idle) == 0 {
-		delete(p.idleServers, up)
+	conn := server.idle[newest]
+	server.idle = slices.Delete(server.idle, newest, newest+1) // which clears the last element, or it would hold its buffers
+	if len(server.idle) == 0 {
+		delete(p.idleServers, server)
 	}
 	return conn
 }
 
-// reserve counts one more connection in; at the bound the longest idle one makes room.
+// discard closes a connection that was taken.
+func (p *Pool) discard(conn *serverConn) {
+	conn.Close()
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	p.open--
+}
+
+// reserve counts one more connection. At the limit it closes the one that has been idle for longest; it returns false if
+// none is idle.
 func (p *Pool) reserve() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -165,27 +169,21 @@
 	return true
 }
 
-// SetLimit changes the bound. Idle connections over it go at once.
-func (p *Pool) SetLimit(most int) {
+// SetLimit changes the limit of connections. Idle connections over it are closed at once.
+func (p *Pool) SetLimit(limit int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.limit = most
+	p.limit = limit
 	for p.open > p.limit && p.evict() {
 	}
 }
 
-func (p *Pool) release() {
-	p.mu.Lock()
-	p.open--
-	p.mu.Unlock()
-}
-
-// evict closes the longest idle connection; the caller holds the lock.
+// evict closes the connection that has been idle for longest; the caller holds the lock. It returns false if none is idle.
 func (p *Pool) evict() bool {
 	var oldest *Server
-	for up := range p.idleServers {
-		if oldest == nil || up.idle[0].idleSince.Before(oldest.idle[0].idleSince) {
-			oldest = up
+	for server := range p.idleServers {
+		if oldest == nil || server.idle[0].idleSince.Before(oldest.idle[0].idleSince) {
+			oldest = server
 		}
 	}
 	if oldest == nil {
@@ -195,63 +193,52 @@
 	return true
 }
 
-// closeOldest closes the n longest idle connections of a server; the caller holds the lock.
-func (p *Pool) closeOldest(up *Server, n int) {
-	for _, conn := range up.idle[:n] {
+// closeOldest closes the n connections of a server that have been idle for longest; the caller holds the lock.
+func (p *Pool) closeOldest(server *Server, n int) {
+	for _, conn := range server.idle[:n] {
 		conn.Close()
 	}
 	p.open -= n
-	up.idle = slices.Delete(up.idle, 0, n)
-	if len(up.idle) == 0 {
-		delete(p.idleServers, up)
+	server.idle = slices.Delete(server.idle, 0, n)
+	if len(server.idle) == 0 {
+		delete(p.idleServers, server)
 	}
 }
 
-func (p *Pool) put(conn *ServerConn) {
-	conn.SetDeadline(time.Time{})
-	conn.idleSince = time.Now()
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	p.keep(conn)
-}
-
-func (p *Pool) discard(conn *ServerConn) {
-	conn.Close()
-	p.release()
-}
-
-// Retire marks a server's process as over and drops its idle connections; busy ones go when they end.
-func (p *Pool) Retire(up *Server) {
-	up.Retired.Store(true)
-	p.CloseIdle(up)
+// Retire marks a server's process as over and closes its idle connections; busy ones are closed after their answer.
+func (p *Pool) Retire(server *Server) {
+	server.Retired.Store(true)
+	p.CloseIdle(server)
 }
 
-func (p *Pool) CloseIdle(up *Server) {
+// CloseIdle closes the idle connections of a server.
+func (p *Pool) CloseIdle(server *Server) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.closeOldest(up, len(up.idle))
+	p.closeOldest(server, len(server.idle))
 }
 
-// ReapIdle closes connections before their servers would.
+// ReapIdle closes idle connections before their servers would.
 func (p *Pool) ReapIdle(now time.Time) {
-	connIdle := p.idleAges.within(p.connIdle)
+	maxIdle := p.idleAges.bound(p.maxIdle)
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	for up := range p.idleServers {
-		n := 0
-		for n < len(up.idle) && now.Sub(up.idle[n].idleSince) >= connIdle {
-			n++
+	for server := range p.idleServers {
+		expired := 0
+		for expired < len(server.idle) && now.Sub(server.idle[expired].idleSince) >= maxIdle {
+			expired++
 		}
-		p.closeOldest(up, n)
+		p.closeOldest(server, expired)
 	}
 }
 
+// Close cancels all dials, waits for them and closes the idle connections.
 func (p *Pool) Close() {
-	p.endDial()
+	p.cancelDials()
 	p.dialers.Wait()
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	for up := range p.idleServers {
-		p.closeOldest(up, len(up.idle))
+	for server := range p.idleServers {
+		p.closeOldest(server, len(server.idle))
 	}
 }
--- a/internal/sidecar/upstream/pool_test.go
+++ b/internal/sidecar/upstream/pool_test.go
@@ -96,8 +96,8 @@
 		if _, kept := p.idleServers[up]; kept != (len(up.idle) > 0) {
 			t.Errorf("server %d has %d idle connections, and kept says %v", i, len(up.idle), kept)
 		}
-		if up.dialing != 0 || len(up.waiting) != 0 {
-			t.Errorf("server %d: %d dials, %d waiting", i, up.dialing, len(up.waiting))
+		if up.dialsContext != 0 || len(up.waiting) != 0 {
+			t.Errorf("server %d: %d dials, %d waiting", i, up.dialsContext, len(up.waiting))
 		}
 		if up.Retired.Load() && len(up.idle) > 0 {
 			t.Errorf("retired server %d keeps %d connections", i, len(up.idle))
@@ -259,7 +259,7 @@
 			up := &Server{}
 			p := &Pool{idleServers: map[*Server]struct{}{up: {}}}
 			for _, age := range test.ages {
-				up.idle = append(up.idle, &ServerConn{idleSince: now.Add(-age)})
+				up.idle = append(up.idle, &serverConn{idleSince: now.Add(-age)})
 			}
 			all := slices.Clone(up.idle)
 			if got := slices.Index(all, p.takeIdle(up)); got != test.want {
@@ -276,7 +276,7 @@
 func TestNoDescriptorLeft(t *testing.T) {
 	b := sidecartest.NewBackend(t, "a", sidecartest.OK)
 	p, a, _, _ := exchanging(t, b)
-	p.Dialer.Control = func(string, string, syscall.RawConn) error {
+	p.dialer.Control = func(string, string, syscall.RawConn) error {
 		return os.NewSyscallError("socket", syscall.EMFILE)
 	}
 	a.Call.Outbound = outboundPost([]byte("plate 12-34"))
@@ -293,7 +293,7 @@
 	ends := map[string]func(*Pool, *Server){
 		"server retired": func(p *Pool, up *Server) { p.Retire(up) },
 		"all closed": func(p *Pool, _ *Server) {
-			p.endDial() // as closeAll does first: it waits for dials
+			p.cancelDials() // as closeAll does first: it waits for dials
 		},
 	}
 	for name, end := range ends {
@@ -314,7 +314,7 @@
 			p, a, conn, _ := exchanging(t, b)
 			p.discard(conn)
 			handshake := make(chan struct{})
-			p.Dialer.Control = func(string, string, syscall.RawConn) error { <-handshake; return nil }
+			p.dialer.Control = func(string, string, syscall.RawConn) error { <-handshake; return nil }
 			ctx, giveUp := context.WithCancel(t.Context())
 			got := make(chan error, 1)
 			go func() {
@@ -348,7 +348,7 @@
 	ctx, giveUp := context.WithCancel(t.Context())
 	got := make(chan error, 1)
 	handshake := make(chan struct{})
-	p.Dialer.Control = func(string, string, syscall.RawConn) error { <-handshake; return nil }
+	p.dialer.Control = func(string, string, syscall.RawConn) error { <-handshake; return nil }
 	go func() {
 		conn, _, err := p.acquire(ctx, a.Server, a.Deadline, nil)
 		if err == nil {
--- a/internal/sidecar/upstream/request_writer.go
+++ b/internal/sidecar/upstream/request_writer.go
@@ -1,15 +1,11 @@
 package upstream
 
 import (
-	"bufio"
 	"bytes"
-	"errors"
 	"io"
 	"net/http"
 	"strconv"
 	"sync"
-	"sync/atomic"
-	"syscall"
 	"time"
 
 	"marblelane/internal/sidecar/checkpoint"
@@ -18,225 +14,193 @@
 	"marblelane/internal/sidecar/routing"
 )
 
-// RequestWriter writes a request to a connection, until it is stopped.
-type RequestWriter struct {
-	Conn           *ServerConn
-	reused         bool           // the connection has carried requests before
-	answerPeeked   chan struct{}  // while a body is passed on: the server has begun to answer, or the connection is over
-	answered       bool           // it answered before the body was whole
-	RouteCheck     *routing.Check // nil: it was looked already, or no route has a say
-	HeaderRevision int64          // what the head says that it counts under
-	writeBy        time.Time      // by when the last byte has to be out; zero: by when the answer has
-	call           *inflight.Call // nil: its first byte is written, or it is a probe's
-	hook           checkpoint.Hook
-
-	mu          sync.Mutex
-	stopped     bool
-	interrupted bool // nothing more of the body is passed on
+// timeoutHeader carries to a server the time that the client has left, in ms.
+const timeoutHeader = "X-Timeout-Ms"
+
+// requestWriter writes one request to a connection. Another goroutine may stop it at any time.
+type requestWriter struct {
+	conn    *serverConn
+	reused  bool      // the connection has carried requests before
+	writeBy time.Time // when the last byte must have been written; zero: when the answer must have been read
+	hook    checkpoint.Hook
+
+	routeCheck     *routing.Check // nil if no route applies
+	headerRevision int64          // the revision of the routes in the head that was rendered
+	call           *inflight.Call // of a forwarded body; nil otherwise
+	streamStarted  bool           // the first byte of a request with a forwarded body has been written
+	early          *earlyAnswer   // nil until a body is forwarded
+
+	mu          sync.Mutex // guards the fields below and the deadlines of conn
+	stopped     bool       // nothing more is written or read
+	interrupted bool       // nothing more of the body is forwarded
 	body        *inflight.UploadReader
 }
 
-// stop breaks off whatever waits on the connection, for good.
-func (s *RequestWriter) stop() {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	s.stopped = true
-	s.Conn.SetDeadline(netcall.PastDeadline)
-	if s.body != nil {
-		s.body.Stop()
+// stop ends every read and write of the connection, now and later.
+func (w *requestWriter) stop() {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	w.stopped = true
+	w.conn.SetDeadline(netcall.PastDeadline)
+	if w.body != nil {
+		w.body.Stop()
 	}
 }
 
-// interrupt ends the passing on of a body. The connection can still be read once a new limit is set.
-func (s *RequestWriter) interrupt() {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	s.interrupted = true
-	s.Conn.SetDeadline(netcall.PastDeadline)
-	s.body.Stop()
+// interrupt ends the forwarding of a body. The connection can be read again after limit.
+func (w *requestWriter) interrupt() {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	w.interrupted = true
+	w.conn.SetDeadline(netcall.PastDeadline)
+	w.body.Stop()
 }
 
-// limit sets the time by which all has to be done.
-func (s *RequestWriter) limit(cut time.Time) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	if !s.stopped {
-		s.Conn.SetDeadline(cut)
-		if !s.writeBy.IsZero() && s.writeBy.Before(cut) {
-			s.Conn.SetWriteDeadline(s.writeBy)
-		}
+// limit sets the deadline of the connection.
+func (w *requestWriter) limit(deadline time.Time) {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	if w.stopped {
+		return
+	}
+	w.conn.SetDeadline(deadline)
+	if !w.writeBy.IsZero() && w.writeBy.Before(deadline) {
+		w.conn.SetWriteDeadline(w.writeBy)
 	}
 }
 
-// checkBeforeFirstByte is the last look before the first byte. What a kept connection holds by now cannot answer this request.
-func (s *RequestWriter) checkBeforeFirstByte() error {
-	if !s.writeBy.IsZero() && !time.Now().Before(s.writeBy) {
-		return errNotNeeded
+// write reports whether the last byte was written: only then may the request run. attempt is nil for a health check.
+func (w *requestWriter) write(deadline time.Time, req *http.Request, attempt *Attempt) (written bool, err error) {
+	if attempt != nil {
+		attempt.Call.Writing.Lock()
+		defer attempt.Call.Writing.Unlock()
+		if attempt.Call.Final.Load() {
+			return false, errNotNeeded
+		}
 	}
-	if s.reused && !s.Conn.quiet() {
-		return errStaleConn
+	timeLeft := time.Until(deadline)
+	if w.conn.server.Retired.Load() || timeLeft <= 0 {
+		return false, errNotNeeded
 	}
-	return nil
+	omitUserAgent(req.Header)
+	w.expectRoute(req.Header, attempt)
+	if attempt.upload() != nil {
+		written, err = w.writeStreamed(req, attempt)
+	} else {
+		written, err = w.writeHeld(req, attempt, timeLeft)
+	}
+	if written && attempt != nil {
+		attempt.Written.Store(true)
+	}
+	return written, err
 }
 
-// Write is for a body that is passed on: a server may be slow to read it, but must go on.
-func (s *RequestWriter) Write(p []byte) (int, error) {
-	s.mu.Lock()
-	if s.stopped || s.interrupted {
-		s.mu.Unlock()
-		return 0, errNotNeeded
-	}
-	by := time.Now().Add(streamTimeout)
-	if !s.writeBy.IsZero() && s.writeBy.Before(by) {
-		by = s.writeBy
-	}
-	s.Conn.SetWriteDeadline(by)
-	s.mu.Unlock()
-	if s.call != nil && s.call.ClientLeft() {
-		return 0, errNotNeeded
-	}
-	s.call = nil
-	if s.RouteCheck != nil {
-		if under, err := s.RouteCheck.Begin(); err != nil || under != s.HeaderRevision {
-			return 0, routing.ErrRevoked // what the head says cannot be taken back
-		}
-		s.RouteCheck = nil
+// omitUserAgent keeps net/http from adding a User-Agent of its own.
+func omitUserAgent(header http.Header) {
+	if _, ok := header["User-Agent"]; !ok {
+		header["User-Agent"] = nil
 	}
-	return s.Conn.Write(p)
 }
 
-// write reports whether the last byte was written: only then may the request run.
-func (s *RequestWriter) write(cut time.Time, req *http.Request, a *Attempt) (bool, error) {
-	if a != nil {
-		a.Call.Writing.Lock()
-		defer a.Call.Writing.Unlock()
-		if a.Call.Final.Load() {
-			return false, errNotNeeded
-		}
+// setTimeLeft states the client's time to the server, at least 1 ms.
+func setTimeLeft(header http.Header, timeLeft time.Duration) {
+	header.Set(timeoutHeader, strconv.FormatInt(max(timeLeft.Milliseconds(), 1), 10))
+}
+
+// expectRoute writes into the head what the attempt's route is expected to count it under.
+func (w *requestWriter) expectRoute(header http.Header, attempt *Attempt) {
+	if attempt == nil || attempt.RouteCheck == nil {
+		return
 	}
-	left := time.Until(cut)
-	if s.Conn.server.Retired.Load() || left <= 0 {
+	w.routeCheck, w.headerRevision = attempt.RouteCheck, attempt.RouteCheck.Expect()
+	attempt.RouteCheck.SetHeaders(header, w.headerRevision)
+}
+
+// writeHeld writes a request whose body is held in memory. The checks come in the order in which what they check may become
+// wrong last, and the route's comes right before the first byte.
+func (w *requestWriter) writeHeld(req *http.Request, attempt *Attempt, timeLeft time.Duration) (written bool, err error) {
+	setTimeLeft(req.Header, timeLeft)
+	var text bytes.Buffer
+	if err := render(&text, req, attempt); err != nil {
 		return false, errNotNeeded
 	}
-	if _, ok := req.Header["User-Agent"]; !ok {
-		req.Header["User-Agent"] = nil // none of our own
-	}
-	if a != nil && a.RouteCheck != nil {
-		s.RouteCheck, s.HeaderRevision = a.RouteCheck, a.RouteCheck.Expect()
-		a.RouteCheck.SetHeaders(req.Header, s.HeaderRevision)
+	if err := w.checkConnection(); err != nil {
+		return false, err
 	}
-	if a != nil && a.Call.Outbound.Upload != nil {
-		s.call = a.Call
-		if left = a.Call.UploadTimeLeft(); left <= 0 {
+	if attempt != nil {
+		w.recordFirstByte(attempt.Call.Outbound)
+		if attempt.Call.ClientLeft() {
 			return false, errNotNeeded
 		}
-		req.Header.Set("X-Timeout-Ms", strconv.FormatInt(max(left.Milliseconds(), 1), 10))
-		if err := s.checkBeforeFirstByte(); err != nil {
-			return false, err
-		}
-		a.Call.Outbound.LastFirstByte = time.Now()
-		s.hook.At(checkpoint.ClockRead)
-		err := s.stream(req, a.Call.Outbound.Upload)
-		if err == nil {
-			a.Written.Store(true)
-		}
-		return err == nil, err
 	}
-	req.Header.Set("X-Timeout-Ms", strconv.FormatInt(max(left.Milliseconds(), 1), 10))
-	var buf bytes.Buffer
-	if err := render(&buf, req, a); err != nil {
+	if err := w.startOnRoute(&text, req, attempt); err != nil {
+		return false, err
+	}
+	n, err := w.conn.Write(text.Bytes())
+	return n == text.Len(), err
+}
+
+// writeStreamed writes a request whose body is forwarded as it arrives. Write makes the checks of the client and the route.
+func (w *requestWriter) writeStreamed(req *http.Request, attempt *Attempt) (written bool, err error) {
+	w.call = attempt.Call
+	timeLeft := attempt.Call.UploadTimeLeft()
+	if timeLeft <= 0 {
 		return false, errNotNeeded
 	}
-	if err := s.checkBeforeFirstByte(); err != nil {
+	setTimeLeft(req.Header, timeLeft)
+	if err := w.checkConnection(); err != nil {
 		return false, err
 	}
-	if a != nil {
-		a.Call.Outbound.LastFirstByte = time.Now()
-		s.hook.At(checkpoint.ClockRead)
-		if a.Call.ClientLeft() { // after the clock: a process may be held up from there on
-			return false, errNotNeeded
-		}
-	}
-	if s.RouteCheck != nil { // the last look, right before the first byte
-		under, err := s.RouteCheck.Begin()
-		if err != nil {
-			return false, err
-		}
-		if under != s.HeaderRevision {
-			s.RouteCheck.SetHeaders(req.Header, under)
-			buf.Reset()
-			if err := render(&buf, req, a); err != nil {
-				return false, errNotNeeded
-			}
-		}
+	w.recordFirstByte(attempt.Call.Outbound)
+	err = w.stream(req, attempt.upload())
+	return err == nil, err
+}
+
+// checkConnection checks that the last byte may still be written and that the connection is in step: what a reused one holds
+// already cannot answer this request.
+func (w *requestWriter) checkConnection() error {
+	if !w.writeBy.IsZero() && !time.Now().Before(w.writeBy) {
+		return errNotNeeded
 	}
-	n, err := s.Conn.Write(buf.Bytes())
-	all := n == buf.Len()
-	if all && a != nil {
-		a.Written.Store(true)
+	if w.reused && !w.conn.quiet() {
+		return errStaleConn
 	}
-	return all, err
+	return nil
 }
 
-// render gives the text of a request whose body is held whole.
-func render(buf *bytes.Buffer, req *http.Request, a *Attempt) error {
-	req.Body = http.NoBody
-	if a != nil && len(a.Call.Outbound.Body) > 0 {
-		// Anew each time: the write before has used it up, and the request could not move on.
-		req.Body = io.NopCloser(bytes.NewReader(a.Call.Outbound.Body))
-	}
-	return req.Write(buf)
+// recordFirstByte reads the clock for the first byte. The process may be held up at any point after this.
+func (w *requestWriter) recordFirstByte(out *inflight.Outbound) {
+	out.LastFirstByte = time.Now()
+	w.hook.At(checkpoint.ClockRead)
 }
 
-// stream writes a request whose body is still coming. A server that answers before it is whole wants no more.
-func (s *RequestWriter) stream(req *http.Request, u *inflight.Upload) error {
-	netcall.LimitBuffer(s.Conn.Conn)
-	body := u.NewReader()
-	s.mu.Lock()
-	s.body = body
-	if s.stopped {
-		body.Stop()
-	}
-	s.mu.Unlock()
-	var done atomic.Bool
-	var early error
-	s.answerPeeked = make(chan struct{})
-	go func() {
-		defer close(s.answerPeeked)
-		_, err := s.Conn.in.Peek(1)
-		if done.CompareAndSwap(false, true) {
-			s.answered, early = err == nil, err
-			s.interrupt()
-		}
-	}()
-	req.Body = io.NopCloser(body)
-	if u.Length >= 0 {
-		// net/http asks for more behind the last byte. An error there would tell of a whole request that it was not.
-		req.Body = io.NopCloser(io.LimitReader(body, u.Length))
-	}
-	size := inflight.CopySize / 2
-	if s.RouteCheck != nil {
-		size = inflight.MinHeldBody // less than what is held: what is void must not have used up the body
-	}
-	out := bufio.NewWriterSize(s, size)
-	err := req.Write(out)
-	if err == nil {
-		err = out.Flush()
-	}
-	first := done.CompareAndSwap(false, true)
-	if err == nil {
-		if !first {
-			<-s.answerPeeked // the answer came with the last byte: its interrupt has to come before the next limit
-		}
+// startOnRoute starts the attempt on its route. If that counts it under another revision than expected, the request is
+// rendered again.
+func (w *requestWriter) startOnRoute(text *bytes.Buffer, req *http.Request, attempt *Attempt) error {
+	if w.routeCheck == nil {
+		return nil
+	}
+	revision, err := w.routeCheck.Begin()
+	if err != nil {
+		return err
+	}
+	if revision == w.headerRevision {
 		return nil
 	}
-	s.stop()
-	<-s.answerPeeked
-	switch {
-	case u.Broken(): // the client's fault
+	w.routeCheck.SetHeaders(req.Header, revision)
+	text.Reset()
+	if err := render(text, req, attempt); err != nil {
 		return errNotNeeded
-	case !first && early != nil: // the connection broke
-		return errors.Join(early, syscall.EPIPE)
 	}
-	return err
+	return nil
+}
+
+// render writes the bytes of a request whose body is held in memory.
+func render(text *bytes.Buffer, req *http.Request, attempt *Attempt) error {
+	req.Body = http.NoBody
+	if attempt != nil && len(attempt.Call.Outbound.Body) > 0 {
+		// A new reader each time: an earlier rendering has used up its own.
+		req.Body = io.NopCloser(bytes.NewReader(attempt.Call.Outbound.Body))
+	}
+	return req.Write(text)
 }
