--- a/internal/sidecar/upstream/exchange_test.go
+++ b/internal/sidecar/upstream/exchange_test.go
@@ -210,7 +210,7 @@
 	sidecartest.Until(t, "the second attempt to wait", func() bool {
 		p.mu.Lock()
 		defer p.mu.Unlock()
-		return len(up.waiting) == 1 && up.dialsContext == 2
+		return len(up.waiting) == 1 && up.dialing == 2
 	})
 	handshake <- struct{}{} // of either: the attempt takes the first that comes up
 	if err := sidecartest.Receive(t, "a connection", got); err != nil {
@@ -220,7 +220,7 @@
 	sidecartest.Until(t, "the other to be kept", func() bool {
 		p.mu.Lock()
 		defer p.mu.Unlock()
-		return len(up.idle) == 1 && up.dialsContext == 0
+		return len(up.idle) == 1 && up.dialing == 0
 	})
 	next, kept, err := p.acquire(t.Context(), up, cut, nil)
 	if !kept || err != nil {
--- a/internal/sidecar/upstream/pool_test.go
+++ b/internal/sidecar/upstream/pool_test.go
@@ -96,8 +96,8 @@
 		if _, kept := p.idleServers[up]; kept != (len(up.idle) > 0) {
 			t.Errorf("server %d has %d idle connections, and kept says %v", i, len(up.idle), kept)
 		}
-		if up.dialsContext != 0 || len(up.waiting) != 0 {
-			t.Errorf("server %d: %d dials, %d waiting", i, up.dialsContext, len(up.waiting))
+		if up.dialing != 0 || len(up.waiting) != 0 {
+			t.Errorf("server %d: %d dials, %d waiting", i, up.dialing, len(up.waiting))
 		}
 		if up.Retired.Load() && len(up.idle) > 0 {
 			t.Errorf("retired server %d keeps %d connections", i, len(up.idle))
