--- a/internal/sidecar/config_test.go
+++ b/internal/sidecar/config_test.go
@@ -7,6 +7,7 @@
 	"time"
 
 	"marblelane/internal/sidecar/configtest"
+	"marblelane/internal/sidecar/discovery"
 	"marblelane/internal/sidecar/endpointlist"
 	"marblelane/internal/sidecar/sidecartest"
 )
@@ -17,7 +18,7 @@
 		t.Run(mode, func(t *testing.T) {
 			b, r, other := sidecartest.NewBackend(t, "a", sidecartest.OK), sidecartest.NewRegistry(t), sidecartest.NewRegistry(t)
 			c := configtest.NewConf(r.Addr(), b.Target).Setting(`"discovery": "subscribe"`, `"discovery": "`+mode+`"`)
-			s := start(t, c, func(s *Sidecar) { s.loop.Discovery.PushedDelay = time.Hour })
+			s := start(t, c, func(s *Sidecar) { s.loop.Discovery.SetTimeouts(discovery.Timeouts{PushedDelay: time.Hour}) })
 			watch := sidecartest.Receive(t, "the watch", r.Calls)
 			c["discovery"] = other.Addr()
 			path := c.Write(t)
@@ -72,7 +73,7 @@
 		t.Run(mode, func(t *testing.T) {
 			first, second, third := sidecartest.NewRegistry(t), sidecartest.NewRegistry(t), sidecartest.NewRegistry(t)
 			c := configtest.NewConf(first.Addr()).Setting(`"discovery": "subscribe"`, `"discovery": "`+mode+`"`)
-			s := start(t, c, func(s *Sidecar) { s.loop.Discovery.PushedDelay = time.Hour })
+			s := start(t, c, func(s *Sidecar) { s.loop.Discovery.SetTimeouts(discovery.Timeouts{PushedDelay: time.Hour}) })
 			begun := sidecartest.Receive(t, "the watch, before any answer", first.Calls)
 			paths := map[*sidecartest.Registry]string{}
 			for _, r := range []*sidecartest.Registry{first, second, third} {
--- a/internal/sidecar/discovery/discovery_test.go
+++ b/internal/sidecar/discovery/discovery_test.go
@@ -19,7 +19,7 @@
 	var work sync.WaitGroup
 	d := New([]string{addr}, 0, func(ev any) { heard <- ev.(ListEvent) }, func(f func()) { work.Go(f) })
 	t.Cleanup(func() {
-		d.stop()
+		d.stopWatch()
 		work.Wait()
 	})
 	return d, heard
@@ -94,7 +94,7 @@
 func TestSilentWatchHasEnded(t *testing.T) {
 	r := sidecartest.NewRegistry(t)
 	d, heard := hearing(t, r.Addr())
-	d.WatchTimeout = 50 * time.Millisecond
+	d.timeouts.Watch = 50 * time.Millisecond
 	d.Watch(t.Context(), 0)
 	call := sidecartest.Receive(t, "the call", r.Calls)
 	call.Send(t, endpointlist.List{Rev: 1})
@@ -117,7 +117,7 @@
 	}
 	defer ln.Close()
 	d, heard := hearing(t, ln.Addr().String())
-	d.CallTimeout = 50 * time.Millisecond
+	d.timeouts.Call = 50 * time.Millisecond
 	d.Watch(t.Context(), 0)
 	if n := sidecartest.Receive(t, "the failure", heard); n.Kind != balance.ListFailed || !n.Busy {
 		t.Errorf("%+v", n)
--- a/internal/sidecar/discovery/errno_test.go
+++ b/internal/sidecar/discovery/errno_test.go
@@ -17,8 +17,8 @@
 )
 
 // failingDials makes the calls to discovery fail for the first times.
-func (d *Client) failingDials(times int32, err error) {
-	transport := d.client.Transport.(*http.Transport)
+func (c *Client) failingDials(times int32, err error) {
+	transport := c.http.Transport.(*http.Transport)
 	dial, fail := transport.DialContext, sidecartest.FailTimes(times, err)
 	transport.DialContext = func(ctx context.Context, network, addr string) (net.Conn, error) {
 		if err := fail(); err != nil {
@@ -59,7 +59,7 @@
 		t.Run(errno.Error(), func(t *testing.T) {
 			r := sidecartest.NewRegistry(t)
 			d, heard := hearing(t, r.Addr())
-			d.PushedDelay = minPushedDelay
+			d.timeouts.PushedDelay = minPushedDelay
 			d.failingDials(3, sidecartest.OpError("connect", errno))
 			ctx, cancel := context.WithCancel(t.Context())
 			t.Cleanup(cancel)
@@ -80,7 +80,7 @@
 			b := sidecartest.NewBackend(t, "a", sidecartest.Respond(text, false))
 			for n := range len(text) - 1 { // the last byte is an empty rest
 				d, heard := hearing(t, b.Target.Endpoint)
-				transport := d.client.Transport.(*http.Transport)
+				transport := d.http.Transport.(*http.Transport)
 				var dialer net.Dialer
 				transport.DialContext = dialReporting(func(ctx context.Context, network, addr string) (net.Conn, error) {
 					c, err := dialer.DialContext(ctx, network, addr)
@@ -90,7 +90,7 @@
 					fail := sidecartest.FailNth(int32(n+1), sidecartest.OpError("read", errno))
 					return &sidecartest.FaultyConn{TCPConn: c.(*net.TCPConn), ByteAtATime: true, FailRead: fail}, nil
 				})
-				err := d.read(t.Context(), "", ListEvent{}, unclaimed, sidecartest.Patience, sidecartest.Patience)
+				err := (&call{client: d, kind: fetchCall, claim: unclaimed, firstTimeout: sidecartest.Patience, nextTimeout: sidecartest.Patience}).run(t.Context())
 				if got := len(heard) == 1 && (<-heard).List.Rev == 7 && errors.Is(err, io.EOF); got != whole {
 					t.Errorf("at byte %d: the list was told: %v, %v", n, got, err)
 				}
--- a/internal/sidecar/discovery/lists_test.go
+++ b/internal/sidecar/discovery/lists_test.go
@@ -1,7 +1,6 @@
 package discovery
 
 import (
-	"bufio"
 	"context"
 	"errors"
 	"io"
@@ -20,20 +19,20 @@
 func TestLongLineEndsTheCall(t *testing.T) {
 	for _, c := range []struct {
 		memoryMB, most int
-	}{{0, maxLineBytes}, {1 << 10, maxLineBytes}, {64, 4 << 20}, {8, minLineBytes}} {
+	}{{0, maxObjectBytes}, {1 << 10, maxObjectBytes}, {64, 4 << 20}, {8, minObjectBytes}} {
 		d := New([]string{"127.0.0.1:1"}, c.memoryMB, func(any) {}, func(func()) {})
-		if d.maxLine != c.most {
-			t.Errorf("with %d MB a line may have %d bytes, want %d", c.memoryMB, d.maxLine, c.most)
+		if d.maxObject != c.most {
+			t.Errorf("with %d MB a line may have %d bytes, want %d", c.memoryMB, d.maxObject, c.most)
 		}
 		if c.memoryMB != 8 {
 			continue
 		}
-		line, err := d.readObject(bufio.NewReader(strings.NewReader(strings.Repeat("x", 2*c.most))))
+		line, err := newObjectReader(strings.NewReader(strings.Repeat("x", 2*c.most)), d.maxObject).next()
 		if !errors.Is(err, errLineTooLong) || line != nil {
 			t.Errorf("%d bytes, %v", len(line), err)
 		}
-		many := bufio.NewReader(strings.NewReader(strings.Repeat("{\n", c.most)))
-		if _, err := d.readObject(many); !errors.Is(err, errLineTooLong) {
+		many := newObjectReader(strings.NewReader(strings.Repeat("{\n", c.most)), d.maxObject)
+		if _, err := many.next(); !errors.Is(err, errLineTooLong) {
 			t.Errorf("over many lines: %v", err)
 		}
 	}
@@ -116,7 +115,7 @@
 func TestAgentReturns(t *testing.T) {
 	r := sidecartest.NewAgent(t)
 	d, heard := hearing(t, r.Addr())
-	d.PushedDelay, d.CallTimeout = 5*time.Millisecond, time.Hour
+	d.timeouts.PushedDelay, d.timeouts.Call = 5*time.Millisecond, time.Hour
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
 	d.Subscribe(ctx)
@@ -133,7 +132,7 @@
 func TestSilentAgentIsCalledAnew(t *testing.T) {
 	r := sidecartest.NewAgent(t)
 	d, heard := hearing(t, r.Addr())
-	d.PushedDelay, d.WatchTimeout = 50*time.Millisecond, 50*time.Millisecond
+	d.timeouts.PushedDelay, d.timeouts.Watch = 50*time.Millisecond, 50*time.Millisecond
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
 	d.Subscribe(ctx)
@@ -153,7 +152,7 @@
 func TestSlowAgentIsWaitedFor(t *testing.T) {
 	r := sidecartest.NewAgent(t)
 	d, heard := hearing(t, r.Addr())
-	d.PushedDelay, d.CallTimeout, d.WatchTimeout = 5*time.Millisecond, time.Hour, time.Hour
+	d.timeouts.PushedDelay, d.timeouts.Call, d.timeouts.Watch = 5*time.Millisecond, time.Hour, time.Hour
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
 	d.Subscribe(ctx)
@@ -175,7 +174,7 @@
 func TestPausesOfThePushedDoNotGrow(t *testing.T) {
 	r := sidecartest.NewAgent(t)
 	d, _ := hearing(t, r.Addr())
-	d.PushedDelay = 5 * time.Millisecond
+	d.timeouts.PushedDelay = 5 * time.Millisecond
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
 	d.Subscribe(ctx)
@@ -196,7 +195,7 @@
 func TestBeatenCallIsNotHeard(t *testing.T) {
 	d, heard := serving(t, `{"rev":7}`)
 	never := func() bool { return false }
-	if err := d.read(t.Context(), d.changes(), ListEvent{}, never, time.Hour, time.Hour); err != errSuperseded || len(heard) > 0 {
+	if err := (&call{client: d, kind: watchCall, claim: never, firstTimeout: time.Hour, nextTimeout: time.Hour}).run(t.Context()); err != errSuperseded || len(heard) > 0 {
 		t.Errorf("%v, %d heard", err, len(heard))
 	}
 }
--- a/internal/sidecar/discovery/silence_guard.go
+++ b/internal/sidecar/discovery/silence_guard.go
@@ -9,58 +9,63 @@
 	"marblelane/internal/sidecar/netcall"
 )
 
-// silenceGuard ends a call that falls silent. Any bytes, of the head too, are a sign of life until the first object is
-// whole, as an answer may come in small pieces; afterwards only whole objects and empty lines between them are.
+// silenceGuard ends a call that falls silent. Until the first object is complete any bytes, of the head too, show that the
+// list service is alive, as an answer may come in small pieces. Afterwards only complete objects and the empty lines between
+// them do.
 type silenceGuard struct {
-	mu       sync.Mutex
+	mu       sync.Mutex // guards all
 	timer    *time.Timer
-	timeout  time.Duration // before the first object is whole
-	end      time.Time     // when it has to be whole
-	complete bool
+	timeout  time.Duration // between two reads, before the first object is complete
+	deadline time.Time     // for the first object
+	complete bool          // the first object
 }
 
-func newSilenceGuard(quiet, most time.Duration, fire func()) *silenceGuard {
-	return &silenceGuard{timer: time.AfterFunc(quiet, fire), timeout: quiet, end: time.Now().Add(most)}
+// newSilenceGuard calls expire when no byte comes for timeout, or when the first object is not complete within limit.
+func newSilenceGuard(timeout, limit time.Duration, expire func()) *silenceGuard {
+	return &silenceGuard{timer: time.AfterFunc(timeout, expire), timeout: timeout, deadline: time.Now().Add(limit)}
 }
 
+// received notes that bytes came.
 func (g *silenceGuard) received() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if !g.complete {
-		g.timer.Reset(min(g.timeout, time.Until(g.end)))
+		g.timer.Reset(min(g.timeout, time.Until(g.deadline)))
 	}
 }
 
-// objectRead notes an object or an empty line; the next one has to come in time.
-func (g *silenceGuard) objectRead(next time.Duration) {
+// objectRead notes an object or an empty line; the next one has to come within a time.
+func (g *silenceGuard) objectRead(nextTimeout time.Duration) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.complete = true
-	g.timer.Reset(next)
+	g.timer.Reset(nextTimeout)
 }
 
+// stop ends the guard.
 func (g *silenceGuard) stop() { g.timer.Stop() }
 
-// receivedKey is the key of a request's context under which stands what to call when bytes come.
+// receivedKey is the key in a request's context of the function that reportingConn calls.
 type receivedKey struct{}
 
-// reportingConn reports that bytes have come.
+// reportingConn reports each read that got bytes.
 type reportingConn struct {
 	net.Conn
-	steady   *netcall.RetryingReader
+	retrying *netcall.RetryingReader
 	received func()
 }
 
+// Read implements net.Conn.
 func (c reportingConn) Read(b []byte) (int, error) {
-	n, err := c.steady.Read(c.Conn, b)
+	n, err := c.retrying.Read(c.Conn, b)
 	if n > 0 {
 		c.received()
 	}
 	return n, err
 }
 
-// dialReporting makes connections tell the request that they are made for of each read. Without kept connections one
-// connection serves one request.
+// dialReporting makes a connection report its reads to the request that it was dialed for. Without keep-alives it serves no
+// other.
 func dialReporting(dial netcall.DialFunc) netcall.DialFunc {
 	return func(ctx context.Context, network, addr string) (net.Conn, error) {
 		conn, err := dial(ctx, network, addr)
--- a/internal/sidecar/discovery/watch_test.go
+++ b/internal/sidecar/discovery/watch_test.go
@@ -82,7 +82,7 @@
 func TestAnswerInPiecesIsHeardOut(t *testing.T) {
 	a, addr := sidecartest.NewHandAgent(t)
 	d, heard := hearing(t, addr)
-	d.PushedDelay, d.CallTimeout, d.WatchTimeout = 400*time.Millisecond, time.Hour, time.Hour
+	d.timeouts.PushedDelay, d.timeouts.Call, d.timeouts.Watch = 400*time.Millisecond, time.Hour, time.Hour
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
 	d.Subscribe(ctx)
@@ -96,7 +96,7 @@
 			return
 		case c := <-a.Conns:
 			defer c.Close()
-			inPieces(c, 2*d.PushedDelay, sidecartest.WatchHead+`{"rev": 7, "all": true, "targets": []}`)
+			inPieces(c, 2*d.timeouts.PushedDelay, sidecartest.WatchHead+`{"rev": 7, "all": true, "targets": []}`)
 		case <-end:
 			t.Fatal("no answer in pieces is heard out")
 		}
--- a/internal/sidecar/discovery/watch_ways_test.go
+++ b/internal/sidecar/discovery/watch_ways_test.go
@@ -16,7 +16,7 @@
 
 // heldDial lets the first connection wait until it is released, and says that it waits.
 func heldDial(d *Client) (waits chan struct{}, release chan struct{}) {
-	transport := d.client.Transport.(*http.Transport)
+	transport := d.http.Transport.(*http.Transport)
 	dial := transport.DialContext
 	waits, release = make(chan struct{}), make(chan struct{})
 	var begun atomic.Bool
@@ -41,7 +41,7 @@
 		t.Run(mode, func(t *testing.T) {
 			before, after := sidecartest.NewAgent(t), sidecartest.NewAgent(t)
 			d, heard := hearing(t, before.Addr())
-			d.PushedDelay = time.Hour // one call at a time
+			d.timeouts.PushedDelay = time.Hour // one call at a time
 			ctx, cancel := context.WithCancel(t.Context())
 			defer cancel()
 			waits, release := heldDial(d)
@@ -70,7 +70,7 @@
 		`{"rev": "x"}`: "list: rev: a string", `{"rev": 1, "targets": [{"boot_ms": "now"}]}`: "list: targets.boot_ms: a string", `}`: "list: byte 1: ",
 	} {
 		d, heard := serving(t, text)
-		err := d.read(t.Context(), d.changes(), ListEvent{}, unclaimed, time.Hour, time.Hour)
+		err := (&call{client: d, kind: watchCall, claim: unclaimed, firstTimeout: time.Hour, nextTimeout: time.Hour}).run(t.Context())
 		if err == nil || !strings.Contains(err.Error(), want) || len(heard) > 0 {
 			t.Errorf("%s: error %v, want %q; %d heard", text, err, want, len(heard))
 		}
--- a/internal/sidecar/discovery_test.go
+++ b/internal/sidecar/discovery_test.go
@@ -10,6 +10,7 @@
 	"time"
 
 	"marblelane/internal/sidecar/configtest"
+	"marblelane/internal/sidecar/discovery"
 	"marblelane/internal/sidecar/endpointlist"
 	"marblelane/internal/sidecar/sidecartest"
 )
@@ -22,7 +23,7 @@
 			b := sidecartest.NewBackend(t, "a", sidecartest.OK)
 			before, after := sidecartest.NewRegistry(t), sidecartest.NewRegistry(t)
 			c := configtest.NewConf(before.Addr()).Setting(`"discovery": "subscribe"`, `"discovery": "`+mode+`"`)
-			s := start(t, c, func(s *Sidecar) { s.loop.Discovery.PushedDelay = time.Hour }) // one call at a time
+			s := start(t, c, func(s *Sidecar) { s.loop.Discovery.SetTimeouts(discovery.Timeouts{PushedDelay: time.Hour}) }) // one call at a time
 			first := sidecartest.Receive(t, "the watch", before.Calls)
 			first.Send(t, endpointlist.List{Rev: 41, All: true})
 			sidecartest.Until(t, "the list to be taken", func() bool { return s.loop.Discovery.Revision.Load() == 41 })
--- a/internal/sidecar/errno_random_test.go
+++ b/internal/sidecar/errno_random_test.go
@@ -17,6 +17,7 @@
 	"time"
 
 	"marblelane/internal/sidecar/configtest"
+	"marblelane/internal/sidecar/discovery"
 	"marblelane/internal/sidecar/endpointlist"
 	"marblelane/internal/sidecar/inflight"
 	"marblelane/internal/sidecar/netcall"
@@ -188,17 +189,17 @@
 		servers[i] = sidecartest.NewBackend(t, fmt.Sprintf("s%d", i), counted.serve)
 		known[i] = servers[i].Target
 	}
-	discovery := sidecartest.NewRegistry(t)
-	c := configtest.NewConf(discovery.Addr(), known...).
+	registry := sidecartest.NewRegistry(t)
+	c := configtest.NewConf(registry.Addr(), known...).
 		Setting(`"max_attempts": 6`, fmt.Sprintf(`"max_attempts": %d`, scheduleAttempts)).
 		Setting(`"parallel_tries": true`, `"parallel_tries": false`)
 	c["management"] = sidecartest.Loopback // so that the figures of servers are made
 	faults := &schedule{rnd: rand.New(rand.NewPCG(seed, 0))}
 	s := start(t, c, func(s *Sidecar) {
 		faults.disturb(s.loop.Pool)
-		s.loop.Discovery.CallTimeout, s.loop.Discovery.WatchTimeout = time.Hour, time.Hour // the test says nothing for a while
+		s.loop.Discovery.SetTimeouts(discovery.Timeouts{Call: time.Hour, Watch: time.Hour}) // the test says nothing for a while
 	})
-	watch := sidecartest.Receive(t, "the call to discovery", discovery.Calls)
+	watch := sidecartest.Receive(t, "the call to discovery", registry.Calls)
 
 	const all = scheduleClients * scheduleRequests
 	served := counted.phase(s, seed)
--- a/internal/sidecar/sidecar.go
+++ b/internal/sidecar/sidecar.go
@@ -149,7 +149,7 @@
 	l.Routing.Attach(l, bal, l.Clock, cfg.Balance.Classes)
 	l.Discovery = discovery.New(cfg.ListAddrs(), cfg.MemoryMB, l.Post, func(f func()) { l.Workers.Go(f) })
 	if cfg.Balance.DrainGrace > 0 {
-		l.Discovery.PushedDelay = discovery.PushedDelay(cfg.Balance.DrainGrace)
+		l.Discovery.SetTimeouts(discovery.Timeouts{PushedDelay: discovery.PushedDelay(cfg.Balance.DrainGrace)})
 	}
 	s := &Sidecar{
 		cfg: cfg, tcp: listener.(*net.TCPListener), listener: clientserver.NewLimiter(listening.Wrap(netcall.WithFaults(listener, cfg.Faults), "clients", nil), all.clients),
--- a/internal/sidecar/sites_test.go
+++ b/internal/sidecar/sites_test.go
@@ -117,7 +117,7 @@
 		if a, b := running[0].budget, running[1].budget; a == b || a.clients <= b.clients {
 			t.Errorf("limits of 1,024 and of 128 sockets: %+v, %+v", a, b)
 		}
-		if a, b := running[0].loop.Discovery.PushedDelay, running[1].loop.Discovery.PushedDelay; a == b {
+		if a, b := running[0].loop.Discovery.Timeouts().PushedDelay, running[1].loop.Discovery.Timeouts().PushedDelay; a == b {
 			t.Errorf("drain graces of 250 ms and 2 s give the same lag %v", a)
 		}
 	})
--- a/internal/sidecar/watch_ways_test.go
+++ b/internal/sidecar/watch_ways_test.go
@@ -13,6 +13,7 @@
 	"time"
 
 	"marblelane/internal/sidecar/configtest"
+	"marblelane/internal/sidecar/discovery"
 	"marblelane/internal/sidecar/endpointlist"
 	"marblelane/internal/sidecar/sidecartest"
 )
@@ -112,7 +113,7 @@
 					t.Fatal(err)
 				}
 				s.drainAccept = 0
-				s.loop.Discovery.PushedDelay, s.loop.Discovery.CallTimeout, s.loop.Discovery.WatchTimeout = 100*time.Millisecond, 300*time.Millisecond, 300*time.Millisecond
+				s.loop.Discovery.SetTimeouts(discovery.Timeouts{PushedDelay: 100 * time.Millisecond, Call: 300 * time.Millisecond, Watch: 300 * time.Millisecond})
 				ctx, end := context.WithCancel(context.Background())
 				ended := make(chan error, 1)
 				go func() { ended <- s.Run(ctx) }()
