--- a/internal/sidecar/discovery/agent_watch.go
+++ b/internal/sidecar/discovery/agent_watch.go
@@ -15,7 +15,7 @@
 	c.start(func() {
 		for ctx.Err() == nil {
 			err := c.followAgent(ctx)
-			if err == errMoved {
+			if err == errAddrChanged {
 				continue
 			}
 			slog.Warn("discovery: agent's watch ended", "err", err)
--- a/internal/sidecar/discovery/client.go
+++ b/internal/sidecar/discovery/client.go
@@ -80,16 +80,16 @@
 // Timeouts returns the timeouts that hold.
 func (c *Client) Timeouts() Timeouts { return c.timeouts }
 
-// Move makes all calls go to other addresses. Calls to the old ones end, as those may close them at any time or fall silent; a
+// SetAddrs makes all calls go to other addresses. Calls to the old ones end, as those may close them at any time or fall silent; a
 // watch goes on at the new address with what changed since.
-func (c *Client) Move(addrs []string) {
+func (c *Client) SetAddrs(addrs []string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if slices.Equal(addrs, c.addrs) {
 		return
 	}
 	slog.Info("discovery: address changed", "addr", strings.Join(addrs, " "))
-	c.endAddress(errMoved)
+	c.endAddress(errAddrChanged)
 	if len(addrs) != len(c.addrs) {
 		c.post(balance.ListServices{Count: len(addrs)})
 	}
--- a/internal/sidecar/discovery/events.go
+++ b/internal/sidecar/discovery/events.go
@@ -15,7 +15,7 @@
 
 	errSuperseded  = errors.New("another call was answered first")
 	errLineTooLong = errors.New("line too long")
-	errMoved       = errors.New("the list service has another address now")
+	errAddrChanged = errors.New("the list service has another address now")
 )
 
 // RejectedError is an answer of a list service that is no list.
--- a/internal/sidecar/discovery/watch.go
+++ b/internal/sidecar/discovery/watch.go
@@ -63,7 +63,7 @@
 		watch := &call{client: c, kind: watchCall, source: source, claim: unclaimed,
 			firstTimeout: c.timeouts.Call, nextTimeout: c.timeouts.Watch}
 		err := watch.run(ctx)
-		if err != errMoved || ctx.Err() != nil {
+		if err != errAddrChanged || ctx.Err() != nil {
 			return address, err
 		}
 	}
--- a/internal/sidecar/discovery/watch_test.go
+++ b/internal/sidecar/discovery/watch_test.go
@@ -41,14 +41,14 @@
 			}
 			for sidecartest.Receive(t, "the failure", heard).Kind != balance.ListFailed {
 			}
-			d.Move([]string{after.Addr()})
+			d.SetAddrs([]string{after.Addr()})
 			call := sidecartest.Receive(t, "the call at the new address", after.Calls)
 			call.Send(t, endpointlist.List{Rev: 7})
 			if n := sidecartest.Receive(t, "what it has", heard); n.List.Rev != 7 {
 				t.Errorf("%+v", n)
 			}
 			close(call.Lines) // the module's own next call is due: a second report would make it call twice
-			d.Move([]string{third.Addr()})
+			d.SetAddrs([]string{third.Addr()})
 			sidecartest.Receive(t, "the call after the second move", third.Calls)
 			if len(heard) > 0 {
 				t.Errorf("a second failure is reported: %+v", <-heard)
--- a/internal/sidecar/discovery/watch_ways_test.go
+++ b/internal/sidecar/discovery/watch_ways_test.go
@@ -47,10 +47,10 @@
 			waits, release := heldDial(d)
 			watch(ctx, d)
 			sidecartest.Receive(t, "the connection to begin", waits)
-			d.Move([]string{after.Addr()})
+			d.SetAddrs([]string{after.Addr()})
 			first := sidecartest.Receive(t, "the call at the new address", after.Calls)
 			close(release) // the old connection comes up only now
-			d.Move([]string{before.Addr()})
+			d.SetAddrs([]string{before.Addr()})
 			sidecartest.Receive(t, "the call before its answer to end", first.Gone)
 			second := sidecartest.Receive(t, "the call back at the first address", before.Calls)
 			second.Send(t, endpointlist.List{Rev: 7})
--- a/internal/sidecar/endpointlist/doc.go
+++ b/internal/sidecar/endpointlist/doc.go
@@ -1,2 +1,2 @@
-// Package endpointlist is the JSON form in which discovery names servers.
+// Package endpointlist is the JSON form in which list services name servers. It has no goroutines and no locks.
 package endpointlist
--- a/internal/sidecar/endpointlist/list.go
+++ b/internal/sidecar/endpointlist/list.go
@@ -9,16 +9,17 @@
 	"marblelane/balance"
 )
 
-// List is the form in which discovery tells of servers.
+// List is one object of a list service's answer: the whole list, or what changed.
 type List struct {
 	Rev     int64    `json:"rev"`
-	All     bool     `json:"all"`
+	All     bool     `json:"all"` // Targets are all servers
 	Targets []Target `json:"targets"`
 }
 
+// Target is the entry of a server.
 type Target struct {
 	UID      string  `json:"uid"`
-	Endpoint string  `json:"endpoint"`
+	Endpoint string  `json:"endpoint"` // host:port
 	Zone     string  `json:"az"`
 	Model    string  `json:"model"`
 	PodGroup int     `json:"pod_group"`
@@ -27,26 +28,30 @@
 	BootMS   float64 `json:"boot_ms"` // on the scale of the sidecar's clock, which starts at Unix time
 }
 
+// ServerID returns the number by which the balancer knows a server, a hash of its name.
 func ServerID(uid string) balance.ServerID {
-	h := fnv.New64a()
-	io.WriteString(h, uid)
-	return balance.ServerID(h.Sum64())
+	return balance.ServerID(hash(uid))
 }
 
-// AddressKey tells one address from another.
+// AddressKey returns a number that tells one address from another, or balance.NoAddress if endpoint is no host with a port.
 func AddressKey(endpoint string) uint64 {
 	host, port, err := net.SplitHostPort(endpoint)
 	if n, bad := strconv.ParseUint(port, 10, 16); err != nil || bad != nil || n == 0 || host == "" {
 		return balance.NoAddress
 	}
+	return hash(endpoint)
+}
+
+// hash is FNV-1a in 64 bits.
+func hash(text string) uint64 {
 	h := fnv.New64a()
-	io.WriteString(h, endpoint)
+	io.WriteString(h, text)
 	return h.Sum64()
 }
 
-// IndexOf gives -1 for a name that the settings lack.
-func IndexOf(m map[string]int, name string) int {
-	if i, ok := m[name]; ok {
+// IndexOf returns the index of a zone or model, or -1 for one that the settings lack.
+func IndexOf(indexes map[string]int, name string) int {
+	if i, ok := indexes[name]; ok {
 		return i
 	}
 	return -1
--- a/internal/sidecar/netcall/conn_state.go
+++ b/internal/sidecar/netcall/conn_state.go
@@ -9,37 +9,44 @@
 	"golang.org/x/sys/unix"
 )
 
+// errNoTCP reports a connection without a descriptor of the system.
 var errNoTCP = errors.New("no TCP connection of the system")
 
-// ConnStates tells whether the peer of a connection has closed, half-closed or reset it, also behind bytes that
-// nobody has read, without taking any of them.
+// ConnStates reports whether the peer of a connection has closed, half-closed or reset it, also behind unread bytes, and
+// reads none of them.
 type ConnStates struct {
+	// Query returns the state of a connection, one of unix.BPF_TCP_*.
 	Query func(fd int) (uint8, error)
-	// trusted: tcpState has told of an established connection. Where something stands between this process and the
-	// system, and does not know the call, an answer may be about something else.
+	// trusted is set once Query has reported an established connection. Where something stands between this process and
+	// the system and does not know the call, an answer may be about something else.
 	trusted atomic.Bool
 }
 
-// SystemConnStates are those of this process's connections.
+// SystemConnStates queries the system.
 var SystemConnStates = &ConnStates{Query: tcpState}
 
-// tcpState asks the system for the state of a connection, one of unix.BPF_TCP_*.
+// tcpState queries the system for the state of a connection, one of unix.BPF_TCP_*.
 func tcpState(fd int) (uint8, error) {
-	info, err := unix.GetsockoptTCPInfo(fd, unix.IPPROTO_TCP, unix.TCP_INFO)
+	info, err := tcpInfo(fd)
 	if err != nil {
 		return 0, err
 	}
 	return info.State, nil
 }
 
-// Learn finds out on a live connection whether states can be trusted.
+// tcpInfo queries the system for what it knows of a socket.
+func tcpInfo(fd int) (*unix.TCPInfo, error) {
+	return unix.GetsockoptTCPInfo(fd, unix.IPPROTO_TCP, unix.TCP_INFO)
+}
+
+// Learn finds out with an established connection whether states can be trusted.
 func (s *ConnStates) Learn(c net.Conn) {
 	if !s.trusted.Load() {
 		s.State(c)
 	}
 }
 
-// State is the state of a connection; a query that fails for a moment is repeated.
+// State returns the state of a connection; a query for which the system is short of resources is repeated.
 func (s *ConnStates) State(c net.Conn) (state uint8, err error) {
 	tcp, ok := c.(syscall.Conn)
 	if !ok {
@@ -65,20 +72,24 @@
 	return state, nil
 }
 
-// PeerGone reports whether the peer is known to have gone. Where the state of a connection cannot be had it is read as
-// far as that takes nothing: an end behind unread bytes is not seen then.
+// PeerGone reports whether the peer is known to have gone. Where the state of a connection cannot be had the connection is
+// peeked at: that does not see an end behind unread bytes.
 func (s *ConnStates) PeerGone(c net.Conn) bool {
 	state, err := s.State(c)
 	if err == nil && s.trusted.Load() {
-		switch state {
-		case unix.BPF_TCP_CLOSE_WAIT, unix.BPF_TCP_LAST_ACK, unix.BPF_TCP_CLOSING, unix.BPF_TCP_TIME_WAIT,
-			unix.BPF_TCP_CLOSE:
-			return true
-		}
-		return false
+		return closedByPeer(state)
 	}
 	if errors.Is(err, errNoTCP) {
 		return false
 	}
 	return peekState(c) == peekEnded
 }
+
+// closedByPeer reports whether a connection in a state gets nothing more from its peer.
+func closedByPeer(state uint8) bool {
+	switch state {
+	case unix.BPF_TCP_CLOSE_WAIT, unix.BPF_TCP_LAST_ACK, unix.BPF_TCP_CLOSING, unix.BPF_TCP_TIME_WAIT, unix.BPF_TCP_CLOSE:
+		return true
+	}
+	return false
+}
--- a/internal/sidecar/netcall/faults.go
+++ b/internal/sidecar/netcall/faults.go
@@ -7,13 +7,13 @@
 	"marblelane/internal/fault"
 )
 
-// faultyListener fails as the lab has planned before it accepts.
+// faultyListener fails as planned before it accepts.
 type faultyListener struct {
 	net.Listener
 	faults *fault.Plan
 }
 
-// WithFaults makes a listener's accepts fail as planned; without a plan it stays as it is.
+// WithFaults makes a listener's accepts fail as planned; without a plan it returns the listener itself.
 func WithFaults(l net.Listener, faults *fault.Plan) net.Listener {
 	if faults == nil {
 		return l
@@ -21,7 +21,7 @@
 	return faultyListener{Listener: l, faults: faults}
 }
 
-// Accept gives the planned failure, or the next connection.
+// Accept returns the planned failure, or the next connection.
 func (l faultyListener) Accept() (net.Conn, error) {
 	if err := l.faults.Call(fault.CallAccept); err != nil {
 		return nil, &net.OpError{Op: "accept", Net: l.Addr().Network(), Addr: l.Addr(), Err: err}
@@ -29,7 +29,7 @@
 	return l.Listener.Accept()
 }
 
-// ReadFile reads a file, or fails at its opening as planned.
+// ReadFile reads a file, or fails as planned when it is opened.
 func ReadFile(path string, faults *fault.Plan) ([]byte, error) {
 	if err := faults.Call(fault.CallOpen); err != nil {
 		return nil, &os.PathError{Op: "open", Path: path, Err: err}
--- a/internal/sidecar/netcall/peek.go
+++ b/internal/sidecar/netcall/peek.go
@@ -3,43 +3,41 @@
 import (
 	"net"
 	"syscall"
-	"time"
 )
 
-// PastDeadline as a deadline ends whatever waits on a connection.
-var PastDeadline = time.Unix(1, 0)
-
-// sendBuffer keeps the system from taking megabytes for a slow peer, and from waking a writer only once a third of them
-// is gone.
-const sendBuffer = 64 << 10
-
-// LimitBuffer bounds what the system takes for a peer that does not read.
-func LimitBuffer(c net.Conn) {
-	if tcp, ok := c.(interface{ SetWriteBuffer(int) error }); ok {
-		tcp.SetWriteBuffer(sendBuffer)
-	}
-}
-
-// Peek tells whether a connection is known to be open, and whether it holds what nobody has read yet.
+// Peek reports whether a connection is known to be open, and whether it holds unread bytes.
 func Peek(c net.Conn) (open, unread bool) {
 	state := peekState(c)
 	return state == peekQuiet || state == peekUnread, state == peekUnread
 }
 
-// peekResult is what a look at a connection tells, which takes nothing from it.
+// peekResult is what peeking at a connection shows.
 type peekResult uint8
 
 const (
-	peekUnknown peekResult = iota // the look itself failed
+	peekUnknown peekResult = iota // peeking failed
 	peekQuiet                     // open, with nothing to read
-	peekUnread                    // it holds what nobody has read yet
+	peekUnread                    // it holds unread bytes
 	peekEnded                     // its other end has closed or broken it, or this one has closed it
 )
 
-// maxPeeks is how often a look that is interrupted is made.
+// String returns the name of the result.
+func (r peekResult) String() string {
+	switch r {
+	case peekQuiet:
+		return "quiet"
+	case peekUnread:
+		return "unread"
+	case peekEnded:
+		return "ended"
+	}
+	return "unknown"
+}
+
+// maxPeeks is how often a call that is interrupted is made in all.
 const maxPeeks = 10
 
-// peekState looks at a connection.
+// peekState peeks at a connection, which loses no bytes by it.
 func peekState(c net.Conn) peekResult {
 	tcp, ok := c.(syscall.Conn)
 	if !ok {
@@ -50,7 +48,7 @@
 		return peekUnknown
 	}
 	var state peekResult
-	// Control, as a reader may be waiting on the connection.
+	// Control and not Read, as another goroutine may be reading the connection.
 	err = raw.Control(func(fd uintptr) {
 		var first [1]byte
 		state = peekWith(func() (int, error) {
@@ -64,7 +62,7 @@
 	return state
 }
 
-// peekWith looks with a call that tells how many bytes there are, up to one, and leaves them to be read.
+// peekWith peeks with a call that returns how many bytes there are, up to one, and leaves them to be read.
 func peekWith(receive func() (int, error)) peekResult {
 	for range maxPeeks {
 		n, err := receive()
--- a/internal/sidecar/reload.go
+++ b/internal/sidecar/reload.go
@@ -31,7 +31,7 @@
 	if err != nil {
 		return err
 	}
-	s.loop.Discovery.Move(cfg.ListAddrs())
+	s.loop.Discovery.SetAddrs(cfg.ListAddrs())
 	if s.loop.Routing != nil && cfg.Routes != nil { // the section itself comes and goes with a process
 		s.loop.Routing.Client.Move(cfg.Routes.Addrs)
 	}
--- a/internal/wallclock/wallclock_test.go
+++ b/internal/wallclock/wallclock_test.go
@@ -121,7 +121,7 @@
 		"faults.Now":  {1, "is held against the monotonic clock to notice steps"},
 		"t.UnixMicro": {1, "as above; and the begin of the sidecar's clock, monotonic from there on"},
 	},
-	"internal/sidecar/netcall/peek.go": {
+	"internal/sidecar/netcall/conn.go": {
 		"time.Unix": {1, "is constant: a deadline that is long past, whatever the clock says"},
 	},
 	"internal/sidecar/routing/router.go": {
