--- a/internal/sidecar/discovery/discovery_test.go
+++ b/internal/sidecar/discovery/discovery_test.go
@@ -13,93 +13,96 @@
 	"marblelane/internal/sidecar/sidecartest"
 )
 
-// hearing is a discovery whose reports the test takes in place of the loop.
-func hearing(t *testing.T, addr string) (*Client, chan ListEvent) {
-	heard := make(chan ListEvent, 16)
+// newTestClient returns a client whose events the test takes in place of the event loop.
+func newTestClient(t *testing.T, addr string) (*Client, chan ListEvent) {
+	events := make(chan ListEvent, 16)
 	var work sync.WaitGroup
-	d := New([]string{addr}, 0, func(ev any) { heard <- ev.(ListEvent) }, func(f func()) { work.Go(f) })
+	d := New([]string{addr}, 0, func(ev any) { events <- ev.(ListEvent) }, func(f func()) { work.Go(f) })
 	t.Cleanup(func() {
 		d.stopWatch()
 		work.Wait()
 	})
-	return d, heard
+	return d, events
 }
 
-func TestWatchTellsEachKindOfNews(t *testing.T) {
+// A watch posts changes, signs of life, full lists and its end.
+func TestWatch_eventKinds(t *testing.T) {
 	r := sidecartest.NewRegistry(t)
-	d, heard := hearing(t, r.Addr())
+	d, events := newTestClient(t, r.Addr())
 	d.Revision.Store(41)
 	d.Watch(t.Context(), 0)
 	call := sidecartest.Receive(t, "the call", r.Calls)
 	if call.Query != "watch=1&after=41" {
-		t.Errorf("asked %q", call.Query)
+		t.Errorf("query %q", call.Query)
 	}
 	call.Send(t, endpointlist.List{Rev: 43, Targets: []endpointlist.Target{sidecartest.Ready("a", "127.0.0.1:1")}})
-	if n := sidecartest.Receive(t, "the change", heard); n.Kind != balance.ListDelta || n.List.Rev != 43 || n.List.Targets[0].UID != "a" {
+	if n := sidecartest.Receive(t, "the change", events); n.Kind != balance.ListDelta || n.List.Rev != 43 || n.List.Targets[0].UID != "a" {
 		t.Errorf("%+v", n)
 	}
 	call.Line(t, "")
-	if n := sidecartest.Receive(t, "that it is alive", heard); n.Kind != balance.ListAlive {
+	if n := sidecartest.Receive(t, "that it is alive", events); n.Kind != balance.ListAlive {
 		t.Errorf("%+v", n)
 	}
 	call.Send(t, endpointlist.List{Rev: 44, All: true})
-	if n := sidecartest.Receive(t, "the list", heard); n.Kind != balance.ListFull {
+	if n := sidecartest.Receive(t, "the list", events); n.Kind != balance.ListFull {
 		t.Errorf("%+v", n)
 	}
 	close(call.Lines)
-	if n := sidecartest.Receive(t, "the end", heard); n.Kind != balance.ListFailed {
+	if n := sidecartest.Receive(t, "the end", events); n.Kind != balance.ListFailed {
 		t.Errorf("%+v", n)
 	}
-	if len(heard)+len(r.Calls) > 0 {
+	if len(events)+len(r.Calls) > 0 {
 		t.Error("more than one report of the end, or a call by itself")
 	}
 }
 
-func TestFailedCallIsHeardOnce(t *testing.T) {
+// Each failed call is reported once and not repeated.
+func TestCall_failureReportedOnce(t *testing.T) {
 	r := sidecartest.NewRegistry(t)
-	d, heard := hearing(t, r.Addr())
+	d, events := newTestClient(t, r.Addr())
 	for name, call := range map[string]func(context.Context, int){"watch": d.Watch, "list": d.Fetch} {
 		call(t.Context(), 0)
 		sidecartest.Receive(t, "the call", r.Calls).Fail <- http.StatusServiceUnavailable
-		if n := sidecartest.Receive(t, "the failure", heard); n.Kind != balance.ListFailed {
+		if n := sidecartest.Receive(t, "the failure", events); n.Kind != balance.ListFailed {
 			t.Errorf("%s: %+v", name, n)
 		}
 	}
 	r.Close()
 	d.Watch(t.Context(), 0)
-	if n := sidecartest.Receive(t, "the refused connection", heard); n.Kind != balance.ListFailed {
+	if n := sidecartest.Receive(t, "the refused connection", events); n.Kind != balance.ListFailed {
 		t.Errorf("%+v", n)
 	}
-	if len(heard)+len(r.Calls) > 0 {
+	if len(events)+len(r.Calls) > 0 {
 		t.Error("more than one report of a failure, or a call by itself")
 	}
 }
 
-func TestFetchTellsTheWholeList(t *testing.T) {
+// A fetch posts the full list and nothing else.
+func TestFetch_fullList(t *testing.T) {
 	r := sidecartest.NewRegistry(t)
-	d, heard := hearing(t, r.Addr())
+	d, events := newTestClient(t, r.Addr())
 	d.Fetch(t.Context(), 0)
 	call := sidecartest.Receive(t, "the call", r.Calls)
 	call.Send(t, endpointlist.List{Rev: 7, All: true, Targets: []endpointlist.Target{sidecartest.Ready("a", "127.0.0.1:1")}})
 	close(call.Lines)
-	if n := sidecartest.Receive(t, "the list", heard); n.Kind != balance.ListFull || len(n.List.Targets) != 1 {
+	if n := sidecartest.Receive(t, "the list", events); n.Kind != balance.ListFull || len(n.List.Targets) != 1 {
 		t.Errorf("%+v", n)
 	}
-	if call.Query != "" || len(heard) > 0 {
-		t.Errorf("asked %q, heard %d more", call.Query, len(heard))
+	if call.Query != "" || len(events) > 0 {
+		t.Errorf("query %q, %d more events", call.Query, len(events))
 	}
 }
 
-// A watch without a line for well over the heartbeat has ended, though its connection stays open.
-func TestSilentWatchHasEnded(t *testing.T) {
+// A watch that gets no line for much longer than the heartbeat has ended, though its connection is open.
+func TestWatch_silentEnds(t *testing.T) {
 	r := sidecartest.NewRegistry(t)
-	d, heard := hearing(t, r.Addr())
+	d, events := newTestClient(t, r.Addr())
 	d.timeouts.Watch = 50 * time.Millisecond
 	d.Watch(t.Context(), 0)
 	call := sidecartest.Receive(t, "the call", r.Calls)
 	call.Send(t, endpointlist.List{Rev: 1})
-	sidecartest.Receive(t, "the first line", heard)
-	if n := sidecartest.Receive(t, "the end", heard); n.Kind != balance.ListFailed || n.Busy { // it is broken, not in demand
+	sidecartest.Receive(t, "the first line", events)
+	if n := sidecartest.Receive(t, "the end", events); n.Kind != balance.ListFailed || n.Busy { // it is broken, not busy
 		t.Errorf("%+v", n)
 	}
 	select {
@@ -109,32 +112,32 @@
 	}
 }
 
-// A call that discovery takes and never answers fails as well.
-func TestUnansweredCallFails(t *testing.T) {
+// A call that a list service accepts and never answers fails.
+func TestWatch_unanswered(t *testing.T) {
 	ln, err := net.Listen("tcp", sidecartest.Loopback)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer ln.Close()
-	d, heard := hearing(t, ln.Addr().String())
+	d, events := newTestClient(t, ln.Addr().String())
 	d.timeouts.Call = 50 * time.Millisecond
 	d.Watch(t.Context(), 0)
-	if n := sidecartest.Receive(t, "the failure", heard); n.Kind != balance.ListFailed || !n.Busy {
+	if n := sidecartest.Receive(t, "the failure", events); n.Kind != balance.ListFailed || !n.Busy {
 		t.Errorf("%+v", n)
 	}
 }
 
-// A watch that another replaced reports nothing any more.
-func TestReplacedWatchIsQuiet(t *testing.T) {
+// A watch that was replaced by another posts nothing more.
+func TestWatch_replaced(t *testing.T) {
 	r := sidecartest.NewRegistry(t)
-	d, heard := hearing(t, r.Addr())
+	d, events := newTestClient(t, r.Addr())
 	d.Watch(t.Context(), 0)
 	first := sidecartest.Receive(t, "the first call", r.Calls)
 	d.Watch(t.Context(), 0)
 	second := sidecartest.Receive(t, "the second call", r.Calls)
 	sidecartest.Receive(t, "the first to end", first.Gone)
 	second.Send(t, endpointlist.List{Rev: 2})
-	if n := sidecartest.Receive(t, "the second's line", heard); n.Kind != balance.ListDelta || len(heard) > 0 {
+	if n := sidecartest.Receive(t, "the second's line", events); n.Kind != balance.ListDelta || len(events) > 0 {
 		t.Errorf("%+v", n)
 	}
 }
--- a/internal/sidecar/discovery/errno_test.go
+++ b/internal/sidecar/discovery/errno_test.go
@@ -16,7 +16,7 @@
 	"marblelane/internal/sidecar/sidecartest"
 )
 
-// failingDials makes the calls to discovery fail for the first times.
+// failingDials makes the first dials of a client fail.
 func (c *Client) failingDials(times int32, err error) {
 	transport := c.http.Transport.(*http.Transport)
 	dial, fail := transport.DialContext, sidecartest.FailTimes(times, err)
@@ -28,58 +28,58 @@
 	}
 }
 
-// A call to discovery that this machine cannot make is made again soon, and no service has failed; any other failure is
-// the service's, and is told at once.
-func TestErrnoOfACallToDiscovery(t *testing.T) {
+// A call that this machine cannot make is made again soon, and no list service has failed. Any other failure is the list
+// service's and is reported at once.
+func TestErrno_callToListService(t *testing.T) {
 	const failures = 3
 	services := netcall.Errnos{syscall.ECONNREFUSED, syscall.EHOSTUNREACH, syscall.ETIMEDOUT, syscall.ECONNRESET}
 	for _, errno := range slices.Concat(netcall.LocalErrnos, services) {
 		t.Run(errno.Error(), func(t *testing.T) {
 			r := sidecartest.NewRegistry(t)
-			d, heard := hearing(t, r.Addr())
+			d, events := newTestClient(t, r.Addr())
 			d.failingDials(failures, sidecartest.OpError("connect", errno))
 			d.Watch(t.Context(), 0)
 			if slices.Contains(services, errno) {
-				if n := sidecartest.Receive(t, "the failure", heard); n.Kind != balance.ListFailed {
+				if n := sidecartest.Receive(t, "the failure", events); n.Kind != balance.ListFailed {
 					t.Errorf("%+v, want that the service has failed", n)
 				}
 				return
 			}
 			sidecartest.Receive(t, "the call", r.Calls).Send(t, endpointlist.List{Rev: 7})
-			if n := sidecartest.Receive(t, "the list", heard); n.Kind != balance.ListDelta || n.List.Rev != 7 {
+			if n := sidecartest.Receive(t, "the list", events); n.Kind != balance.ListDelta || n.List.Rev != 7 {
 				t.Errorf("%+v, want the list alone", n)
 			}
 		})
 	}
 }
 
-// So is a call to an agent that pushes lists.
-func TestErrnoOfACallToTheAgent(t *testing.T) {
+// A call to an agent that pushes lists is made again after an errno of this machine.
+func TestErrno_callToAgent(t *testing.T) {
 	for _, errno := range netcall.LocalErrnos {
 		t.Run(errno.Error(), func(t *testing.T) {
 			r := sidecartest.NewRegistry(t)
-			d, heard := hearing(t, r.Addr())
+			d, events := newTestClient(t, r.Addr())
 			d.timeouts.PushedDelay = minPushedDelay
 			d.failingDials(3, sidecartest.OpError("connect", errno))
 			ctx, cancel := context.WithCancel(t.Context())
 			t.Cleanup(cancel)
 			d.Subscribe(ctx)
 			sidecartest.Receive(t, "the call", r.Calls).Send(t, endpointlist.List{Rev: 7})
-			if n := sidecartest.Receive(t, "the list", heard); n.Kind != balance.ListDelta || n.List.Rev != 7 {
+			if n := sidecartest.Receive(t, "the list", events); n.Kind != balance.ListDelta || n.List.Rev != 7 {
 				t.Errorf("%+v, want the list alone", n)
 			}
 		})
 	}
 }
 
-// The same holds for what discovery answers.
-func TestReadErrnoAtEachByteOfAList(t *testing.T) {
+// One read fails at any byte of a list: after a momentary failure the list is complete, after any other there is none.
+func TestReadErrno_atEveryByteOfList(t *testing.T) {
 	const text = "HTTP/1.1 200 OK\r\nContent-Length: 24\r\nConnection: close\r\n\r\n{\"rev\": 7, \"all\": true}\n"
-	for errno, whole := range map[syscall.Errno]bool{syscall.ECONNRESET: false, syscall.ENOMEM: true} {
+	for errno, complete := range map[syscall.Errno]bool{syscall.ECONNRESET: false, syscall.ENOMEM: true} {
 		t.Run(errno.Error(), func(t *testing.T) {
 			b := sidecartest.NewBackend(t, "a", sidecartest.Respond(text, false))
-			for n := range len(text) - 1 { // the last byte is an empty rest
-				d, heard := hearing(t, b.Target.Endpoint)
+			for n := range len(text) - 1 { // behind the last byte only an empty line is left
+				d, events := newTestClient(t, b.Target.Endpoint)
 				transport := d.http.Transport.(*http.Transport)
 				var dialer net.Dialer
 				transport.DialContext = dialReporting(func(ctx context.Context, network, addr string) (net.Conn, error) {
@@ -91,8 +91,8 @@
 					return &sidecartest.FaultyConn{TCPConn: c.(*net.TCPConn), ByteAtATime: true, FailRead: fail}, nil
 				})
 				err := (&call{client: d, kind: fetchCall, claim: unclaimed, firstTimeout: sidecartest.Patience, nextTimeout: sidecartest.Patience}).run(t.Context())
-				if got := len(heard) == 1 && (<-heard).List.Rev == 7 && errors.Is(err, io.EOF); got != whole {
-					t.Errorf("at byte %d: the list was told: %v, %v", n, got, err)
+				if got := len(events) == 1 && (<-events).List.Rev == 7 && errors.Is(err, io.EOF); got != complete {
+					t.Errorf("at byte %d: the list was posted: %v, %v", n, got, err)
 				}
 			}
 		})
--- a/internal/sidecar/discovery/watch_test.go
+++ b/internal/sidecar/discovery/watch_test.go
@@ -14,12 +14,13 @@
 	"marblelane/internal/sidecar/sidecartest"
 )
 
-// After a failed call the module pauses for seconds. What discovery has counts as told 4 s after SIGHUP, so a move in the
-// pause calls the new address at once. Nothing but the move can make the second call here, as no module is there.
-func TestMoveEndsThePauseAfterAFailure(t *testing.T) {
+// After a failed call the balancer pauses for seconds. What a list service has counts as notified 4 s after SIGHUP, so a
+// change of the address during the pause calls the new one at once. There is no balancer here: nothing but the change can
+// make the second call.
+func TestSetAddrs_endsPauseAfterFailure(t *testing.T) {
 	for name, fail := range map[string]func(*testing.T, *sidecartest.Registry){
 		"refused": func(_ *testing.T, r *sidecartest.Registry) { r.Close() },
-		"turned away": func(t *testing.T, r *sidecartest.Registry) {
+		"rejected": func(t *testing.T, r *sidecartest.Registry) {
 			sidecartest.Receive(t, "the call", r.Calls).Fail <- http.StatusServiceUnavailable
 		},
 		"ended early": func(t *testing.T, r *sidecartest.Registry) { close(sidecartest.Receive(t, "the call", r.Calls).Lines) },
@@ -31,7 +32,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			before, after, third := sidecartest.NewRegistry(t), sidecartest.NewRegistry(t), sidecartest.NewRegistry(t)
-			d, heard := hearing(t, before.Addr())
+			d, events := newTestClient(t, before.Addr())
 			if name == "refused" {
 				fail(t, before)
 			}
@@ -39,33 +40,33 @@
 			if name != "refused" {
 				fail(t, before)
 			}
-			for sidecartest.Receive(t, "the failure", heard).Kind != balance.ListFailed {
+			for sidecartest.Receive(t, "the failure", events).Kind != balance.ListFailed {
 			}
 			d.SetAddrs([]string{after.Addr()})
 			call := sidecartest.Receive(t, "the call at the new address", after.Calls)
 			call.Send(t, endpointlist.List{Rev: 7})
-			if n := sidecartest.Receive(t, "what it has", heard); n.List.Rev != 7 {
+			if n := sidecartest.Receive(t, "what it has", events); n.List.Rev != 7 {
 				t.Errorf("%+v", n)
 			}
-			close(call.Lines) // the module's own next call is due: a second report would make it call twice
+			close(call.Lines) // the balancer's next call is due: a second report would make it call twice
 			d.SetAddrs([]string{third.Addr()})
-			sidecartest.Receive(t, "the call after the second move", third.Calls)
-			if len(heard) > 0 {
-				t.Errorf("a second failure is reported: %+v", <-heard)
+			sidecartest.Receive(t, "the call after the second change", third.Calls)
+			if len(events) > 0 {
+				t.Errorf("a second failure is reported: %+v", <-events)
 			}
 		})
 	}
 }
 
-// inPieces answers a call one byte at a time, for as long as is said; the list ends only then.
+// inPieces writes an answer one byte at a time; its list ends after duration at the earliest.
 func inPieces(c net.Conn, lasting time.Duration, text string) {
-	began := time.Now()
+	startedAt := time.Now()
 	pieces := time.NewTicker(2 * time.Millisecond)
 	defer pieces.Stop()
 	for i := 0; i < len(text); {
 		<-pieces.C
 		piece := text[i]
-		if i == len(text)-1 && time.Since(began) < lasting {
+		if i == len(text)-1 && time.Since(startedAt) < lasting {
 			piece = ' ' // before the end of the object
 		} else {
 			i++
@@ -77,11 +78,11 @@
 	io.WriteString(c, "\n")
 }
 
-// The patient call is from before the agent's return and stays silent; those beside it are answered in pieces, head and
-// list, over twice the time for which a silent agent is waited for. They have to be heard out.
-func TestAnswerInPiecesIsHeardOut(t *testing.T) {
+// The patient call is from before the agent's return and stays silent. The eager ones are answered in pieces, head and list,
+// over twice the time after which a silent agent is called again: they must be read to the end.
+func TestSubscribe_answerInPieces(t *testing.T) {
 	a, addr := sidecartest.NewHandAgent(t)
-	d, heard := hearing(t, addr)
+	d, events := newTestClient(t, addr)
 	d.timeouts.PushedDelay, d.timeouts.Call, d.timeouts.Watch = 400*time.Millisecond, time.Hour, time.Hour
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
@@ -89,7 +90,7 @@
 	a.Next(t) // silent for good
 	for end := time.After(sidecartest.Patience); ; {
 		select {
-		case n := <-heard:
+		case n := <-events:
 			if n.Kind != balance.ListFull || n.List.Rev != 7 {
 				t.Errorf("%+v", n)
 			}
@@ -98,14 +99,14 @@
 			defer c.Close()
 			inPieces(c, 2*d.timeouts.PushedDelay, sidecartest.WatchHead+`{"rev": 7, "all": true, "targets": []}`)
 		case <-end:
-			t.Fatal("no answer in pieces is heard out")
+			t.Fatal("no answer in pieces is read to its end")
 		}
 	}
 }
 
-// Bytes without end are no list: a call whose first object is not whole in callWait ends. One that stops in the middle
-// is given up as soon as one that never began.
-func TestPiecesWithoutEndAreGivenUp(t *testing.T) {
+// A call whose first object is not complete in time ends, though bytes keep coming. One that stops within the object ends as
+// soon as one that never started.
+func TestSilenceGuard(t *testing.T) {
 	var fired atomic.Bool
 	now := make(chan struct{}, 1)
 	g := newSilenceGuard(time.Hour, 0, func() { fired.Store(true); now <- struct{}{} })
@@ -114,7 +115,7 @@
 	g = newSilenceGuard(time.Millisecond, time.Hour, func() { now <- struct{}{} })
 	g.received()
 	sidecartest.Receive(t, "the end of a call that stopped", now)
-	g = newSilenceGuard(time.Hour, time.Hour, func() { t.Error("a watch that has told is ended by bytes") })
+	g = newSilenceGuard(time.Hour, time.Hour, func() { t.Error("a watch that has its first object is ended by bytes") })
 	g.objectRead(time.Hour)
 	g.timeout = 0
 	g.received()
--- a/internal/sidecar/discovery_test.go
+++ b/internal/sidecar/discovery_test.go
@@ -15,9 +15,9 @@
 	"marblelane/internal/sidecar/sidecartest"
 )
 
-// When discovery moves, the watch goes on at the new address at once, with what came after the list held,
-// and nobody hears of a failure.
-func TestDiscoveryMoves(t *testing.T) {
+// When the address of the list service changes, the watch goes on at the new one at once, with what came after the list that
+// is held, and no failure is reported.
+func TestDiscovery_addressChange(t *testing.T) {
 	for _, mode := range []string{"subscribe", "automatic"} {
 		t.Run(mode, func(t *testing.T) {
 			b := sidecartest.NewBackend(t, "a", sidecartest.OK)
@@ -36,7 +36,7 @@
 			}
 			second := sidecartest.Receive(t, "the watch at the new address", after.Calls)
 			if second.Query != "watch=1&after=41" {
-				t.Errorf("asked %q", second.Query)
+				t.Errorf("query %q", second.Query)
 			}
 			sidecartest.Receive(t, "the old watch to end", first.Gone)
 			second.Send(t, endpointlist.List{Rev: 42, Targets: []endpointlist.Target{b.Target}})
@@ -59,8 +59,8 @@
 	}
 }
 
-// The list from the configuration serves until discovery answers; the first call asks for what came after.
-func TestKnownListServesAtOnce(t *testing.T) {
+// The list of the configuration is used until the list service answers; the first call gets what came after it.
+func TestDiscovery_configuredList(t *testing.T) {
 	b := sidecartest.NewBackend(t, "a", sidecartest.OK)
 	r := sidecartest.NewRegistry(t)
 	s := start(t, configtest.NewConf(r.Addr(), b.Target))
@@ -68,11 +68,11 @@
 		t.Errorf("%+v", got)
 	}
 	if call := sidecartest.Receive(t, "the watch", r.Calls); !strings.HasPrefix(call.Query, "watch=1") {
-		t.Errorf("asked %q", call.Query)
+		t.Errorf("query %q", call.Query)
 	}
 }
 
-// toggled is a list of a and b with a in the given state.
+// toggled returns a list of a and b, with a in a state.
 func toggled(rev int64, a, b *sidecartest.Backend, state string) endpointlist.List {
 	first := a.Target
 	first.State = state
@@ -80,7 +80,7 @@
 }
 
 // A server that drains or is gone gets nothing new, and one that appears is used.
-func TestListChangesMoveTraffic(t *testing.T) {
+func TestDiscovery_stateChanges(t *testing.T) {
 	a, b := sidecartest.NewBackend(t, "a", sidecartest.OK), sidecartest.NewBackend(t, "b", sidecartest.OK)
 	r := sidecartest.NewRegistry(t)
 	s := start(t, configtest.NewConf(r.Addr(), a.Target))
@@ -106,9 +106,9 @@
 	}
 }
 
-// Connections to a process that is over are dropped when discovery tells of it, not when they age.
-func TestConnectionsOfAnEndedProcessAreDropped(t *testing.T) {
-	for name, news := range map[string]func(endpointlist.Target) endpointlist.List{
+// Connections to a process that is over are closed when the list event arrives and not by their age.
+func TestDiscovery_closesOldConnections(t *testing.T) {
+	for name, listAfter := range map[string]func(endpointlist.Target) endpointlist.List{
 		"restarted": func(s endpointlist.Target) endpointlist.List {
 			s.BootMS = float64(time.Now().UnixMilli())
 			return endpointlist.List{Rev: 2, Targets: []endpointlist.Target{s}}
@@ -125,7 +125,7 @@
 			s.Endpoint = "127.0.0.1:1"
 			return endpointlist.List{Rev: 2, Targets: []endpointlist.Target{s}}
 		},
-		"not in the whole list": func(endpointlist.Target) endpointlist.List { return endpointlist.List{Rev: 2, All: true} },
+		"not in the full list": func(endpointlist.Target) endpointlist.List { return endpointlist.List{Rev: 2, All: true} },
 	} {
 		t.Run(name, func(t *testing.T) {
 			closed := make(chan struct{}, 1)
@@ -143,18 +143,18 @@
 			if got := s.do(s.request("lookup", time.Second)); got.status != 200 {
 				t.Fatalf("%+v", got)
 			}
-			told := time.Now()
-			watch.Send(t, news(a.Target))
+			sentAt := time.Now()
+			watch.Send(t, listAfter(a.Target))
 			sidecartest.Receive(t, "the old connection to close", closed)
-			if took := time.Since(told); took > 5*time.Second {
+			if took := time.Since(sentAt); took > 5*time.Second {
 				t.Errorf("it closed after %v, by its age", took)
 			}
 		})
 	}
 }
 
-// Where lists are pushed the module asks for nothing: the sidecar keeps the watch by itself.
-func TestPushedListsAreFollowed(t *testing.T) {
+// Where lists are pushed the balancer does not poll: the sidecar keeps the watch by itself.
+func TestDiscovery_pushedLists(t *testing.T) {
 	b := sidecartest.NewBackend(t, "a", sidecartest.OK)
 	r := sidecartest.NewRegistry(t)
 	s := start(t, configtest.NewConf(r.Addr()).Setting(`"discovery": "subscribe"`, `"discovery": "automatic"`))
--- a/internal/sidecar/errno_random_test.go
+++ b/internal/sidecar/errno_random_test.go
@@ -9,6 +9,7 @@
 	"math/rand/v2"
 	"net"
 	"net/http"
+	"slices"
 	"strconv"
 	"sync"
 	"syscall"
@@ -31,7 +32,7 @@
 	rnd *rand.Rand
 }
 
-// draw fails a call with one of some errnos, in so many of a thousand cases.
+// draw fails a call with one of some errnos in perMille of a thousand cases.
 func (s *schedule) draw(call string, perMille int, from netcall.Errnos) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -41,7 +42,7 @@
 	return sidecartest.OpError(call, from[s.rnd.IntN(len(from))])
 }
 
-// randomConn fails reads and writes, takes and gives single bytes, and writes in part, as its schedule says.
+// randomConn fails reads and writes, transfers single bytes, and writes in part, as its schedule draws.
 type randomConn struct {
 	*net.TCPConn
 	schedule    *schedule
@@ -49,7 +50,7 @@
 }
 
 func (c *randomConn) Read(p []byte) (int, error) {
-	if err := c.schedule.draw("read", 20, append(netcall.MomentaryErrnos, netcall.EndedErrnos...)); err != nil {
+	if err := c.schedule.draw("read", 20, slices.Concat(netcall.MomentaryErrnos, netcall.EndedErrnos)); err != nil {
 		return 0, err
 	}
 	if c.byteAtATime && len(p) > 1 {
@@ -59,10 +60,10 @@
 }
 
 func (c *randomConn) Write(p []byte) (int, error) {
-	if err := c.schedule.draw("write", 30, append(netcall.LocalErrnos, netcall.EndedErrnos...)); err != nil {
+	if err := c.schedule.draw("write", 30, slices.Concat(netcall.LocalErrnos, netcall.EndedErrnos)); err != nil {
 		return 0, err
 	}
-	if err := c.schedule.draw("write", 30, append(netcall.LocalErrnos, netcall.EndedErrnos...)); err != nil {
+	if err := c.schedule.draw("write", 30, slices.Concat(netcall.LocalErrnos, netcall.EndedErrnos)); err != nil {
 		n, _ := c.TCPConn.Write(p[:len(p)/2])
 		return n, err
 	}
@@ -77,9 +78,9 @@
 	return len(p), nil
 }
 
-// disturb lets the schedule say how dials and connections fail.
+// disturb makes dials and connections of a pool fail as the schedule draws.
 func (s *schedule) disturb(p *upstream.Pool) {
-	dialErrnos := append(append(netcall.Errnos{syscall.ECONNREFUSED, syscall.ECONNRESET}, netcall.LocalErrnos...), netcall.UnreachableErrnos...)
+	dialErrnos := slices.Concat(netcall.Errnos{syscall.ECONNREFUSED, syscall.ECONNRESET}, netcall.LocalErrnos, netcall.UnreachableErrnos)
 	p.WrapDial(func(dial netcall.DialFunc) netcall.DialFunc {
 		return func(ctx context.Context, network, addr string) (net.Conn, error) {
 			if err := s.draw("connect", 150, dialErrnos); err != nil {
@@ -96,21 +97,21 @@
 	})
 }
 
-// runs counts how often each request was read whole by a server, by its X-Request-ID.
+// runs counts by X-Request-ID how often each request reached a server to its last byte.
 type runs struct {
 	t  *testing.T
 	mu sync.Mutex
 	by map[string]int
 }
 
-// serve counts a request, checks the time that it was told and answers it.
+// serve counts a request, checks its X-Timeout-Ms and answers it.
 func (r *runs) serve(c net.Conn, req *http.Request, body string) bool {
 	r.mu.Lock()
 	r.by[req.Header.Get("X-Request-ID")]++
 	r.mu.Unlock()
 	left, err := strconv.Atoi(req.Header.Get("X-Timeout-Ms"))
 	if err != nil || left < 1 || left > int(scheduleWait.Milliseconds()) {
-		r.t.Errorf("a server is told %q ms, %v", req.Header.Get("X-Timeout-Ms"), err)
+		r.t.Errorf("a server got %q ms, %v", req.Header.Get("X-Timeout-Ms"), err)
 	}
 	return sidecartest.OK(c, req, body)
 }
@@ -140,14 +141,14 @@
 	case class == "charge" && n > 1:
 		r.t.Errorf("%s %s: ran %d times", class, id, n)
 	case class == "charge" && n > 0 && status == inflight.StatusRejected:
-		r.t.Errorf("%s %s: refused, but it ran", class, id)
+		r.t.Errorf("%s %s: rejected, but it ran", class, id)
 	case status == 200 && n == 0:
 		r.t.Errorf("%s %s: answered, but it did not run", class, id)
 	}
 }
 
-// ask makes the requests of one client and counts those that are served.
-func (r *runs) ask(s *running, seed uint64) (served int) {
+// send makes the requests of one client and returns how many were served.
+func (r *runs) send(s *running, seed uint64) (served int) {
 	rnd := rand.New(rand.NewPCG(seed, 1))
 	for range scheduleRequests {
 		class := []string{"lookup", "reserve", "charge"}[rnd.IntN(3)]
@@ -162,12 +163,12 @@
 	return served
 }
 
-// phase lets all clients make their requests and tells how many were served.
+// phase makes the requests of all clients and returns how many were served.
 func (r *runs) phase(s *running, seed uint64) int {
 	var clients sync.WaitGroup
 	served := make([]int, scheduleClients)
 	for i := range served {
-		clients.Go(func() { served[i] = r.ask(s, seed+uint64(i)) })
+		clients.Go(func() { served[i] = r.send(s, seed+uint64(i)) })
 	}
 	clients.Wait()
 	all := 0
@@ -177,9 +178,9 @@
 	return all
 }
 
-// The rules hold while system calls fail at random: each request has one answer, one that must not run twice does not,
-// servers are told the time that is left, and one that drains gets nothing more.
-func TestRulesUnderRandomErrnos(t *testing.T) {
+// While system calls fail at random each request has one answer, a non-idempotent one runs once at most, servers get
+// the time that is left, and one that drains gets nothing more.
+func TestErrno_random(t *testing.T) {
 	seed := uint64(time.Now().UnixNano())
 	t.Logf("seed %d", seed)
 	counted := &runs{t: t, by: map[string]int{}}
@@ -197,7 +198,7 @@
 	faults := &schedule{rnd: rand.New(rand.NewPCG(seed, 0))}
 	s := start(t, c, func(s *Sidecar) {
 		faults.disturb(s.loop.Pool)
-		s.loop.Discovery.SetTimeouts(discovery.Timeouts{Call: time.Hour, Watch: time.Hour}) // the test says nothing for a while
+		s.loop.Discovery.SetTimeouts(discovery.Timeouts{Call: time.Hour, Watch: time.Hour}) // the list service is silent for a while
 	})
 	watch := sidecartest.Receive(t, "the call to discovery", registry.Calls)
 
@@ -225,9 +226,8 @@
 	sidecartest.Until(t, "connections to be idle or closed", func() bool { open, idle := s.loop.Pool.Counts(); return idle == open })
 }
 
-// Single bytes in both directions, on connections to a server and of a client: all of a long body arrives, and so does
-// the answer.
-func TestByteAtATime(t *testing.T) {
+// A long body and its answer arrive complete when both directions, to the client and to the server, transfer single bytes.
+func TestConnection_byteAtATime(t *testing.T) {
 	body := string(sidecartest.Pattern(20_000))
 	b := sidecartest.NewBackend(t, "a", func(c net.Conn, _ *http.Request, got string) bool {
 		text := fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(got), got)
--- a/internal/sidecar/errno_test.go
+++ b/internal/sidecar/errno_test.go
@@ -11,22 +11,22 @@
 	"marblelane/internal/sidecar/sidecartest"
 )
 
-// What a client gets where a system call fails once and there is one server: a request that must not run twice goes
-// on where the trouble is this machine's, and is refused where it is the server's. It runs once or not at all.
-// Refusals last as long as their client waits, so one errno of each call and result stands for the others of it.
-func TestAnswerAfterAnErrno(t *testing.T) {
-	type refusal struct {
+// The answer to a client where a system call fails once and there is one server. A non-idempotent request goes on if the
+// failure is this machine's, and is rejected if it is the server's; it runs once or not at all. Rejections last as long as
+// their client waits, so one errno of each call and result stands for the others.
+func TestErrno_answerToClient(t *testing.T) {
+	type rejection struct {
 		call   string
 		result balance.Result
 	}
-	refused := map[refusal]bool{}
+	rejected := map[rejection]bool{}
 	for _, test := range sidecartest.ErrnoCases() {
 		wait := time.Second
 		if test.Status != 200 {
-			if refused[refusal{test.Call, test.Result}] {
+			if rejected[rejection{test.Call, test.Result}] {
 				continue
 			}
-			refused[refusal{test.Call, test.Result}] = true
+			rejected[rejection{test.Call, test.Result}] = true
 			wait = 150 * time.Millisecond
 		}
 		t.Run(test.Call+" "+test.Errno.Error(), func(t *testing.T) {
@@ -46,8 +46,8 @@
 	}
 }
 
-// A request goes on as long as its time lasts, over more failures of this machine than it has attempts.
-func TestLocalFailuresUseUpNoAttempts(t *testing.T) {
+// A request goes on within its time over more failures of this machine than it has attempts.
+func TestErrno_localFailuresCostNoAttempt(t *testing.T) {
 	const failures = 9 // the settings allow 6 attempts
 	b := sidecartest.NewBackend(t, "a", sidecartest.OK)
 	fail := sidecartest.ErrnoCase{Call: "socket", Errno: syscall.EMFILE}
@@ -60,13 +60,13 @@
 	}
 }
 
-// A request that cannot be sent for as long as its time lasts is refused at its end, once.
-func TestLocalFailuresEndInARefusal(t *testing.T) {
+// A request that cannot be sent within its time is rejected at the end of it, once.
+func TestErrno_localFailuresUntilDeadline(t *testing.T) {
 	b := sidecartest.NewBackend(t, "a", sidecartest.OK)
 	fail := sidecartest.ErrnoCase{Call: "connect", Errno: syscall.EADDRNOTAVAIL}
 	s := start(t, configtest.NewConf(sidecartest.NewRegistry(t).Addr(), b.Target), func(s *Sidecar) { fail.Failing(s.loop.Pool, sidecartest.Always) })
 	got := s.do(s.request("charge", 300*time.Millisecond))
 	if got.status != inflight.StatusRejected || got.took < 250*time.Millisecond {
-		t.Errorf("%+v after %v, want a refusal when its time is up", got, got.took)
+		t.Errorf("%+v after %v, want a rejection when its time is over", got, got.took)
 	}
 }
--- a/internal/sidecar/exchange_test.go
+++ b/internal/sidecar/exchange_test.go
@@ -15,9 +15,9 @@
 	"marblelane/internal/sidecar/sidecartest"
 )
 
-// A kept connection that breaks under a request ends the attempt: an unsafe request is not sent again, and
-// its answer is a failure, as it may have run.
-func TestBrokenKeptConnectionIsNotResent(t *testing.T) {
+// A reused connection that breaks during a request ends the attempt: a non-idempotent request is not sent again, and its
+// answer is a failure, as it may have run.
+func TestReusedConn_brokenNotResent(t *testing.T) {
 	served := 0
 	b := sidecartest.NewBackend(t, "a", func(c net.Conn, r *http.Request, body string) bool {
 		served++
@@ -31,12 +31,12 @@
 		t.Errorf("second: %+v, want a failure", got)
 	}
 	if n, conns := b.Requests.Load(), b.Conns.Load(); n != 2 || conns != 1 {
-		t.Errorf("%d requests on %d connections reached the server, want 2 on one kept connection", n, conns)
+		t.Errorf("%d requests on %d connections reached the server, want 2 on one connection", n, conns)
 	}
 }
 
 // A connection that the server closed while it was idle is noticed before a request is written to it.
-func TestConnectionClosedWhileIdleIsNotUsed(t *testing.T) {
+func TestReusedConn_closedWhileIdle(t *testing.T) {
 	b := sidecartest.NewBackend(t, "a", sidecartest.OK)
 	s := start(t, configtest.NewConf(sidecartest.NewRegistry(t).Addr(), b.Target))
 	for i := range 3 {
@@ -50,7 +50,8 @@
 	}
 }
 
-func TestConnectionsAreKept(t *testing.T) {
+// Sequential requests use one connection.
+func TestReusedConn_sequentialRequests(t *testing.T) {
 	b := sidecartest.NewBackend(t, "a", sidecartest.OK)
 	s := start(t, configtest.NewConf(sidecartest.NewRegistry(t).Addr(), b.Target))
 	for range 5 {
@@ -61,33 +62,33 @@
 	}
 }
 
-// What is no proof that nothing ran, and what is.
-func TestOutcomesOfAnUnsafeRequest(t *testing.T) {
+// Which answers prove that nothing ran, and which do not.
+func TestAttempt_nonIdempotentOutcomes(t *testing.T) {
 	for name, test := range map[string]struct {
 		answer string
 		want   int
 	}{
-		"error":                 {"HTTP/1.1 500 Oh\r\nContent-Length: 0\r\n\r\n", inflight.StatusFailed},
-		"503 without mark":      {"HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n", inflight.StatusFailed},
-		"504 without mark":      {"HTTP/1.1 504 No\r\nContent-Length: 0\r\n\r\n", inflight.StatusFailed},
-		"429":                   {"HTTP/1.1 429 No\r\nContent-Length: 0\r\n\r\n", inflight.StatusFailed},
-		"500 with mark":         {"HTTP/1.1 500 No\r\nX-Not-Processed: 1\r\nContent-Length: 0\r\n\r\n", inflight.StatusFailed},
-		"503 with mark":         {"HTTP/1.1 503 No\r\nX-Not-Processed: 1\r\nContent-Length: 0\r\n\r\n", inflight.StatusRejected},
-		"504 with mark":         {"HTTP/1.1 504 No\r\nX-Not-Processed: 1\r\nContent-Length: 0\r\n\r\n", inflight.StatusRejected},
-		"body cut short":        {"HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\ndone", inflight.StatusFailed},
-		"chunks cut short":      {"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4\r\ndone\r\n", inflight.StatusFailed},
-		"no framing, no body":   {"HTTP/1.1 200 OK\r\n\r\n", inflight.StatusFailed},
-		"no framing":            {"HTTP/1.1 200\r\n\r\ndone", 200},
-		"headers without end":   {"HTTP/1.1 200 OK\r\n" + strings.Repeat("X-More: of the same\r\n", 20000) + "Content-Length: 4\r\n\r\ndone", inflight.StatusFailed},
-		"hints without end":     {strings.Repeat("HTTP/1.1 102 Wait\r\n\r\n", 20000), inflight.StatusFailed},
-		"not HTTP":              {"hello\r\n\r\n", inflight.StatusFailed},
-		"whole":                 {"HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\ndone", 200},
-		"whole after a hint":    {"HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\ndone", 200},
-		"whole, chunked":        {"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4\r\ndone\r\n0\r\n\r\n", 200},
-		"head cut short":        {"HTTP/1.1 200 OK\r\nConte", inflight.StatusFailed},
-		"error above the most":  {"HTTP/1.1 500 Oh\r\nContent-Length: 70000\r\n\r\n" + strings.Repeat("x", 70000), inflight.StatusFailed},
-		"answer above the most": {"HTTP/1.1 200 OK\r\nContent-Length: 33554433\r\n\r\n" + strings.Repeat("x", 70000), inflight.StatusFailed},
-		"error without end":     {"HTTP/1.1 500 Oh\r\nTransfer-Encoding: chunked\r\n\r\n20000\r\n" + strings.Repeat("x", 1<<17), inflight.StatusFailed},
+		"error":                  {"HTTP/1.1 500 Oh\r\nContent-Length: 0\r\n\r\n", inflight.StatusFailed},
+		"503 without mark":       {"HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n", inflight.StatusFailed},
+		"504 without mark":       {"HTTP/1.1 504 No\r\nContent-Length: 0\r\n\r\n", inflight.StatusFailed},
+		"429":                    {"HTTP/1.1 429 No\r\nContent-Length: 0\r\n\r\n", inflight.StatusFailed},
+		"500 with mark":          {"HTTP/1.1 500 No\r\nX-Not-Processed: 1\r\nContent-Length: 0\r\n\r\n", inflight.StatusFailed},
+		"503 with mark":          {"HTTP/1.1 503 No\r\nX-Not-Processed: 1\r\nContent-Length: 0\r\n\r\n", inflight.StatusRejected},
+		"504 with mark":          {"HTTP/1.1 504 No\r\nX-Not-Processed: 1\r\nContent-Length: 0\r\n\r\n", inflight.StatusRejected},
+		"body cut short":         {"HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\ndone", inflight.StatusFailed},
+		"chunks cut short":       {"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4\r\ndone\r\n", inflight.StatusFailed},
+		"no framing, no body":    {"HTTP/1.1 200 OK\r\n\r\n", inflight.StatusFailed},
+		"no framing":             {"HTTP/1.1 200\r\n\r\ndone", 200},
+		"headers without end":    {"HTTP/1.1 200 OK\r\n" + strings.Repeat("X-More: of the same\r\n", 20000) + "Content-Length: 4\r\n\r\ndone", inflight.StatusFailed},
+		"hints without end":      {strings.Repeat("HTTP/1.1 102 Wait\r\n\r\n", 20000), inflight.StatusFailed},
+		"not HTTP":               {"hello\r\n\r\n", inflight.StatusFailed},
+		"complete":               {"HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\ndone", 200},
+		"complete after a hint":  {"HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\ndone", 200},
+		"complete, chunked":      {"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4\r\ndone\r\n0\r\n\r\n", 200},
+		"head cut short":         {"HTTP/1.1 200 OK\r\nConte", inflight.StatusFailed},
+		"error above the limit":  {"HTTP/1.1 500 Oh\r\nContent-Length: 70000\r\n\r\n" + strings.Repeat("x", 70000), inflight.StatusFailed},
+		"answer above the limit": {"HTTP/1.1 200 OK\r\nContent-Length: 33554433\r\n\r\n" + strings.Repeat("x", 70000), inflight.StatusFailed},
+		"error without end":      {"HTTP/1.1 500 Oh\r\nTransfer-Encoding: chunked\r\n\r\n20000\r\n" + strings.Repeat("x", 1<<17), inflight.StatusFailed},
 	} {
 		t.Run(name, func(t *testing.T) {
 			b := sidecartest.NewBackend(t, "a", sidecartest.Respond(test.answer, false))
@@ -103,8 +104,8 @@
 	}
 }
 
-// An answer that ends with its connection is whole only if that ended in order.
-func TestAnswerUpToAReset(t *testing.T) {
+// An answer that ends with its connection is complete only if that ended in order.
+func TestAnswer_endsWithReset(t *testing.T) {
 	b := sidecartest.NewBackend(t, "a", func(c net.Conn, r *http.Request, body string) bool {
 		io.WriteString(c, "HTTP/1.1 200 OK\r\n\r\ndo")
 		c.(*net.TCPConn).SetLinger(0)
@@ -116,8 +117,8 @@
 	}
 }
 
-// A request turned away unseen, or that could not connect, goes to another server, even an unsafe one.
-func TestWhatNeverRanGoesElsewhere(t *testing.T) {
+// A request that was rejected unprocessed, or whose connect failed, goes to another server, also a non-idempotent one.
+func TestRetry_neverRan(t *testing.T) {
 	full := sidecartest.NewBackend(t, "a", sidecartest.Respond("HTTP/1.1 503 No\r\nX-Not-Processed: 1\r\nContent-Length: 0\r\n\r\n", true))
 	refusing := sidecartest.NewBackend(t, "c", sidecartest.OK)
 	refusing.Close()
@@ -133,8 +134,8 @@
 	}
 }
 
-// The request goes on as it came, with the sidecar's own time left.
-func TestWhatAServerGets(t *testing.T) {
+// A server gets the request as it came, with the time that is left.
+func TestAttempt_requestAtServer(t *testing.T) {
 	type seen struct {
 		req  *http.Request
 		body string
@@ -164,7 +165,7 @@
 	}
 }
 
-// A silent server: the client has one answer at its deadline, no refusal, and the connection is given up.
+// If the server is silent the client gets one answer at its deadline, not a rejection, and the connection is closed.
 func TestSilentServer(t *testing.T) {
 	closed := make(chan struct{})
 	b := sidecartest.NewBackend(t, "a", func(c net.Conn, _ *http.Request, _ string) bool {
@@ -180,7 +181,7 @@
 	sidecartest.Receive(t, "the connection to close", closed)
 }
 
-// unanswering listens, but its queue of connections is full: new ones never come up.
+// unanswering returns the address of a listener whose queue is full: new connections never come up.
 func unanswering(t *testing.T) string {
 	t.Helper()
 	fd, err := syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM|syscall.SOCK_CLOEXEC, 0)
@@ -208,8 +209,8 @@
 	}
 }
 
-// Dialing is bounded by the settings, and by the time that the request has left.
-func TestConnectionThatNeverComesUp(t *testing.T) {
+// Dialing is bounded by the settings and by the time that the request has left.
+func TestDial_neverConnects(t *testing.T) {
 	addr := unanswering(t)
 	t.Run("settings", func(t *testing.T) {
 		good := sidecartest.NewBackend(t, "b", sidecartest.OK)
@@ -231,8 +232,8 @@
 	})
 }
 
-// A client that goes away ends its attempt.
-func TestHangUpEndsTheAttempt(t *testing.T) {
+// A client that leaves ends its attempt.
+func TestAttempt_clientLeaves(t *testing.T) {
 	got, closed := make(chan struct{}), make(chan struct{})
 	b := sidecartest.NewBackend(t, "a", func(c net.Conn, _ *http.Request, _ string) bool {
 		close(got)
@@ -241,7 +242,7 @@
 		return false
 	})
 	s := start(t, configtest.NewConf(sidecartest.NewRegistry(t).Addr(), b.Target))
-	ctx, hangUp := context.WithCancel(context.Background())
+	ctx, leave := context.WithCancel(context.Background())
 	done := make(chan error, 1)
 	req := s.request("lookup", 2500*time.Millisecond).WithContext(ctx)
 	go func() {
@@ -249,13 +250,13 @@
 		done <- err
 	}()
 	sidecartest.Receive(t, "the request", got)
-	hangUp()
+	leave()
 	gone := time.Now()
 	sidecartest.Receive(t, "the connection to close", closed)
 	if took := time.Since(gone); took > time.Second {
 		t.Errorf("the attempt went on for %v", took)
 	}
 	if sidecartest.Receive(t, "the client", done) == nil {
-		t.Error("a client that hung up got an answer")
+		t.Error("a client that left got an answer")
 	}
 }
--- a/internal/sidecar/held_up_test.go
+++ b/internal/sidecar/held_up_test.go
@@ -10,7 +10,7 @@
 	"marblelane/internal/sidecar/sidecartest"
 )
 
-// holdAt holds up whoever comes to a checkpoint until the barrier is released.
+// holdAt holds up each caller at a checkpoint until the barrier is released.
 func holdAt(at checkpoint.Checkpoint, g *sidecartest.Barrier) checkpoint.Hook {
 	return func(c checkpoint.Checkpoint) {
 		if c == at {
@@ -19,9 +19,9 @@
 	}
 }
 
-// A client that leaves while its attempt is held up, after the clock was read for its first byte, is still seen.
-func TestNoFirstByteForAClientThatLeavesWhileHeldUp(t *testing.T) {
-	for name, body := range map[string]string{"held whole": "", "passed on": string(sidecartest.Pattern(inflight.MaxHeldBody / 2))} {
+// A client is noticed that leaves while its attempt is held up after it has read the clock for its first byte.
+func TestHeldUp_clientLeaves(t *testing.T) {
+	for name, body := range map[string]string{"held": "", "forwarded": string(sidecartest.Pattern(inflight.MaxHeldBody / 2))} {
 		for _, at := range []checkpoint.Checkpoint{checkpoint.AttemptDecided, checkpoint.ClockRead} {
 			t.Run(name+", "+string(at), func(t *testing.T) {
 				b, held := sidecartest.NewBackend(t, "a", sidecartest.OK), sidecartest.NewBarrier()
@@ -31,7 +31,7 @@
 				})
 				t.Cleanup(held.Release)
 				if body != "" {
-					s.clients.Memory.SetLimit(0) // nothing more than the least is held
+					s.clients.Memory.SetLimit(0) // only the minimum is held
 				}
 				client := s.leaver(t, "charge", "HTTP/1.1", "Content-Length: "+strconv.Itoa(len(body))+"\r\n", body)
 				held.WaitFor(t, 1)
@@ -43,8 +43,8 @@
 	}
 }
 
-// A server that begins to drain while an attempt is held up on its way to it gets nothing: another one does.
-func TestDrainIsToldWhileHeldUp(t *testing.T) {
+// A server that starts to drain while an attempt to it is held up gets nothing: another one does.
+func TestHeldUp_serverDrains(t *testing.T) {
 	a, b, held := sidecartest.NewBackend(t, "a", sidecartest.OK), sidecartest.NewBackend(t, "b", sidecartest.OK), sidecartest.NewBarrier()
 	registry := sidecartest.NewRegistry(t)
 	s := start(t, configtest.NewConf(registry.Addr(), a.Target), func(s *Sidecar) {
@@ -62,6 +62,6 @@
 		t.Errorf("%+v", got)
 	}
 	if n, m := a.Requests.Load(), b.Requests.Load(); n != 0 || m != 1 {
-		t.Errorf("the server that drains got %d requests, the other one %d", n, m)
+		t.Errorf("the draining server got %d requests, the other one %d", n, m)
 	}
 }
--- a/internal/sidecar/lists_test.go
+++ b/internal/sidecar/lists_test.go
@@ -12,7 +12,8 @@
 	"marblelane/internal/sidecar/sidecartest"
 )
 
-func WithLists(c configtest.Conf, addrs ...string) configtest.Conf {
+// withLists adds list services to a configuration.
+func withLists(c configtest.Conf, addrs ...string) configtest.Conf {
 	var lists []map[string]any
 	for _, a := range addrs {
 		lists = append(lists, map[string]any{"addr": a})
@@ -21,12 +22,12 @@
 	return c
 }
 
-// The second service is watched once the first fails; what it has from before the list held is not taken, a server that
-// is left out stays while it answers, and the figures say so.
-func TestSecondListService(t *testing.T) {
+// The second list service is watched once the first fails. What it has from before the list that is held is not accepted, a
+// server that it leaves out stays while it answers, and the figures say so.
+func TestListServices_failover(t *testing.T) {
 	a, b, c := sidecartest.NewBackend(t, "a", sidecartest.OK), sidecartest.NewBackend(t, "b", sidecartest.OK), sidecartest.NewBackend(t, "c", sidecartest.OK)
 	near, far := sidecartest.NewRegistry(t), sidecartest.NewRegistry(t)
-	cfg := WithLists(configtest.NewConf(near.Addr()), near.Addr(), far.Addr())
+	cfg := withLists(configtest.NewConf(near.Addr()), near.Addr(), far.Addr())
 	cfg["management"] = sidecartest.Loopback
 	s := start(t, cfg)
 	watch := sidecartest.Receive(t, "the watch", near.Calls)
@@ -35,10 +36,10 @@
 	close(watch.Lines)
 	second := sidecartest.Receive(t, "the watch at the second", far.Calls)
 	if second.Query != "watch=1&after=41" {
-		t.Errorf("asked %q", second.Query)
+		t.Errorf("query %q", second.Query)
 	}
 	second.Send(t, endpointlist.List{Rev: 40, All: true})
-	third := sidecartest.Receive(t, "the next try", near.Calls)
+	third := sidecartest.Receive(t, "the next attempt", near.Calls)
 	figure := func(want string) {
 		t.Helper()
 		sidecartest.Until(t, want, func() bool {
@@ -63,8 +64,8 @@
 	figure("svc_hosts_doubted 1")
 }
 
-// One bad entry never costs the list.
-func TestBadEntriesCostNobodyElse(t *testing.T) {
+// A bad entry never costs the rest of the list.
+func TestListServices_badEntries(t *testing.T) {
 	good, dup := sidecartest.NewBackend(t, "good", sidecartest.OK), sidecartest.NewBackend(t, "dup", sidecartest.OK)
 	r := sidecartest.NewRegistry(t)
 	s := start(t, configtest.NewConf(r.Addr()))
@@ -81,7 +82,7 @@
 			used = append(used, uid)
 		}
 	}
-	if fmt.Sprint(used) != "[twin good]" { // of two names in one place the one that started later
+	if fmt.Sprint(used) != "[twin good]" { // of two names at one address the one that started later
 		t.Errorf("used are %v", used)
 	}
 	for range 4 {
@@ -91,23 +92,23 @@
 	}
 }
 
-// The number of services may change with the configuration.
-func TestListsChangeWithTheConfiguration(t *testing.T) {
+// The number of list services may change with the configuration.
+func TestListServices_reload(t *testing.T) {
 	b := sidecartest.NewBackend(t, "a", sidecartest.OK)
 	one, two := sidecartest.NewRegistry(t), sidecartest.NewRegistry(t)
-	c := WithLists(configtest.NewConf(one.Addr(), b.Target), one.Addr())
+	c := withLists(configtest.NewConf(one.Addr(), b.Target), one.Addr())
 	s := start(t, c)
 	first := sidecartest.Receive(t, "the watch", one.Calls)
 	first.Send(t, endpointlist.List{Rev: 5, All: true, Targets: []endpointlist.Target{b.Target}})
 	sidecartest.Until(t, "the list", func() bool { return s.loop.Discovery.Revision.Load() == 5 })
-	path := WithLists(c, two.Addr(), one.Addr()).Write(t)
+	path := withLists(c, two.Addr(), one.Addr()).Write(t)
 	if err := s.Reload(func(name string) string { return map[string]string{"NODE_CONFIG": path}[name] }); err != nil {
 		t.Fatal(err)
 	}
-	moved := sidecartest.Receive(t, "the watch at the new first", two.Calls)
-	if moved.Query != "watch=1&after=5" {
-		t.Errorf("asked %q", moved.Query)
+	watch := sidecartest.Receive(t, "the watch at the new first", two.Calls)
+	if watch.Query != "watch=1&after=5" {
+		t.Errorf("query %q", watch.Query)
 	}
-	close(moved.Lines)
+	close(watch.Lines)
 	sidecartest.Receive(t, "the watch at the new second", one.Calls)
 }
--- a/internal/sidecar/netcall/conn_state_test.go
+++ b/internal/sidecar/netcall/conn_state_test.go
@@ -12,7 +12,7 @@
 	"marblelane/internal/sidecar/sidecartest"
 )
 
-// tcpPair returns both sides of a connection.
+// tcpPair returns both ends of a connection.
 func tcpPair(t *testing.T) (client *net.TCPConn, server net.Conn) {
 	t.Helper()
 	l, err := net.Listen("tcp", sidecartest.Loopback)
@@ -33,8 +33,8 @@
 	return c.(*net.TCPConn), server
 }
 
-// Where the state of a connection cannot be had, or is that of something else, an end is seen as far as a look at what
-// is unread shows it, and a client that is there is never taken for one that has gone.
+// Where the state of a connection cannot be had, or is that of something else, an end is seen as far as peeking shows it. A
+// peer that is there is never taken for one that has gone.
 func TestPeerGone(t *testing.T) {
 	type call = func(int) (uint8, error)
 	unknown := func(int) (uint8, error) { return 0, syscall.ENOPROTOOPT }
--- a/internal/sidecar/netcall/listen_queue.go
+++ b/internal/sidecar/netcall/listen_queue.go
@@ -9,7 +9,7 @@
 
 const (
 	// LateAccept is from when on a connection counts as accepted late: the longest pause between two accepts. A shorter
-	// wait, as on a busy machine, is within the tolerance of the time that servers are told.
+	// wait, as on a busy machine, is within the tolerance of the time that servers are given.
 	LateAccept = 100 * time.Millisecond
 	// AcceptFailureMemory is for how long after a failed accept the accepted connections may have waited in the queue.
 	AcceptFailureMemory = 5 * time.Second
--- a/internal/sidecar/netcall/peek_test.go
+++ b/internal/sidecar/netcall/peek_test.go
@@ -6,47 +6,47 @@
 	"testing"
 )
 
-// A look at a connection whose answer cannot be had says neither that it may be used nor that its other end has gone.
+// A connection that cannot be peeked at is neither reusable nor ended.
 func TestPeekResults(t *testing.T) {
-	type looked struct {
+	type callResult struct {
 		n   int
 		err error
 	}
-	endless := slices.Repeat([]looked{{-1, syscall.EINTR}}, maxPeeks)
+	endless := slices.Repeat([]callResult{{-1, syscall.EINTR}}, maxPeeks)
 	for name, test := range map[string]struct {
-		looks []looked
+		calls []callResult
 		want  peekResult
 	}{
-		"nothing there":          {[]looked{{-1, syscall.EAGAIN}}, peekQuiet},
-		"would block":            {[]looked{{-1, syscall.EWOULDBLOCK}}, peekQuiet},
-		"a byte":                 {[]looked{{1, nil}}, peekUnread},
-		"the end":                {[]looked{{0, nil}}, peekEnded},
-		"reset":                  {[]looked{{-1, syscall.ECONNRESET}}, peekEnded},
-		"timed out":              {[]looked{{-1, syscall.ETIMEDOUT}}, peekEnded},
-		"unreachable":            {[]looked{{-1, syscall.EHOSTUNREACH}}, peekEnded},
-		"refused":                {[]looked{{-1, syscall.ECONNREFUSED}}, peekEnded},
-		"not connected":          {[]looked{{-1, syscall.ENOTCONN}}, peekEnded},
-		"interrupted, a byte":    {[]looked{{-1, syscall.EINTR}, {1, nil}}, peekUnread},
-		"interrupted, the end":   {[]looked{{-1, syscall.EINTR}, {-1, syscall.EINTR}, {0, nil}}, peekEnded},
+		"nothing there":          {[]callResult{{-1, syscall.EAGAIN}}, peekQuiet},
+		"would block":            {[]callResult{{-1, syscall.EWOULDBLOCK}}, peekQuiet},
+		"a byte":                 {[]callResult{{1, nil}}, peekUnread},
+		"the end":                {[]callResult{{0, nil}}, peekEnded},
+		"reset":                  {[]callResult{{-1, syscall.ECONNRESET}}, peekEnded},
+		"timed out":              {[]callResult{{-1, syscall.ETIMEDOUT}}, peekEnded},
+		"unreachable":            {[]callResult{{-1, syscall.EHOSTUNREACH}}, peekEnded},
+		"refused":                {[]callResult{{-1, syscall.ECONNREFUSED}}, peekEnded},
+		"not connected":          {[]callResult{{-1, syscall.ENOTCONN}}, peekEnded},
+		"interrupted, a byte":    {[]callResult{{-1, syscall.EINTR}, {1, nil}}, peekUnread},
+		"interrupted, the end":   {[]callResult{{-1, syscall.EINTR}, {-1, syscall.EINTR}, {0, nil}}, peekEnded},
 		"interrupted for ever":   {endless, peekUnknown},
-		"no memory":              {[]looked{{-1, syscall.ENOMEM}}, peekUnknown},
-		"no buffers":             {[]looked{{-1, syscall.ENOBUFS}}, peekUnknown},
-		"not permitted":          {[]looked{{-1, syscall.EPERM}}, peekUnknown},
-		"no such call":           {[]looked{{-1, syscall.ENOSYS}}, peekUnknown},
-		"no descriptor":          {[]looked{{-1, syscall.EBADF}}, peekUnknown},
-		"no socket":              {[]looked{{-1, syscall.ENOTSOCK}}, peekUnknown},
-		"flags that cannot be":   {[]looked{{-1, syscall.EINVAL}}, peekUnknown},
-		"address that cannot be": {[]looked{{-1, syscall.EFAULT}}, peekUnknown},
+		"no memory":              {[]callResult{{-1, syscall.ENOMEM}}, peekUnknown},
+		"no buffers":             {[]callResult{{-1, syscall.ENOBUFS}}, peekUnknown},
+		"not permitted":          {[]callResult{{-1, syscall.EPERM}}, peekUnknown},
+		"no such call":           {[]callResult{{-1, syscall.ENOSYS}}, peekUnknown},
+		"no descriptor":          {[]callResult{{-1, syscall.EBADF}}, peekUnknown},
+		"no socket":              {[]callResult{{-1, syscall.ENOTSOCK}}, peekUnknown},
+		"flags that cannot be":   {[]callResult{{-1, syscall.EINVAL}}, peekUnknown},
+		"address that cannot be": {[]callResult{{-1, syscall.EFAULT}}, peekUnknown},
 	} {
 		t.Run(name, func(t *testing.T) {
 			next := 0
 			got := peekWith(func() (int, error) {
-				l := test.looks[next]
+				l := test.calls[next]
 				next++
 				return l.n, l.err
 			})
-			if got != test.want || next != len(test.looks) {
-				t.Errorf("%v after %d looks, want %v after %d", got, next, test.want, len(test.looks))
+			if got != test.want || next != len(test.calls) {
+				t.Errorf("%v after %d calls, want %v after %d", got, next, test.want, len(test.calls))
 			}
 		})
 	}
--- a/internal/sidecar/netcall/retry_test.go
+++ b/internal/sidecar/netcall/retry_test.go
@@ -14,8 +14,8 @@
 	"marblelane/internal/sidecar/sidecartest"
 )
 
-// While the length of a queue cannot be had, or only for a moment, nobody who waits in it is taken for nobody.
-func TestQueueThatCannotBeAsked(t *testing.T) {
+// While the length of a queue cannot be had, or only for a moment, connections that wait in it are not overlooked.
+func TestListenQueue_queryFails(t *testing.T) {
 	failing := func(errno syscall.Errno) func(int) (*unix.TCPInfo, error) {
 		return func(int) (*unix.TCPInfo, error) { return nil, errno }
 	}
@@ -34,7 +34,7 @@
 		empty, two, closed int
 	}
 	tests := map[string]test{
-		"asked":             {systemQueue, 0, 2, 0},
+		"known":             {systemQueue, 0, 2, 0},
 		"unknown call":      {listenQueue{failing(unix.ENOPROTOOPT), unix.Poll}, 0, 1, 0},
 		"neither call":      {listenQueue{failing(unix.EPERM), noPoll}, 1, 1, 0},
 		"of something else": {listenQueue{func(int) (*unix.TCPInfo, error) { return &unix.TCPInfo{}, nil }, noPoll}, 0, 0, 0},
@@ -52,7 +52,7 @@
 			defer l.Close()
 			tcp := l.(*net.TCPListener)
 			if got := test.queue.waiting(tcp); got != test.empty {
-				t.Errorf("nobody waits: %d, want %d", got, test.empty)
+				t.Errorf("none waits: %d, want %d", got, test.empty)
 			}
 			for range 2 {
 				c, err := net.Dial("tcp", l.Addr().String())
@@ -73,8 +73,8 @@
 	}
 }
 
-// An end behind unread bytes is seen though the first query of the connection's state fails.
-func TestPeerGoneThoughAQueryFails(t *testing.T) {
+// An end behind unread bytes is seen though the first queries of the connection's state fail.
+func TestPeerGone_queryFailsOnce(t *testing.T) {
 	for _, errno := range sidecartest.ResourceErrnos {
 		t.Run(unix.ErrnoName(errno), func(t *testing.T) {
 			failure := func() error { return nil }
@@ -100,12 +100,12 @@
 	}
 }
 
-// A call is repeated for callLimit at most.
-func TestRepeatedCallEnds(t *testing.T) {
+// A call is repeated for maxCallTime at most.
+func TestRetryCall_timeLimit(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		began := time.Now()
+		startedAt := time.Now()
 		err := RetryCall(func() error { return unix.ENOMEM })
-		if took := time.Since(began); !errors.Is(err, unix.ENOMEM) || took < maxCallTime || took > maxCallTime+maxCallPause {
+		if took := time.Since(startedAt); !errors.Is(err, unix.ENOMEM) || took < maxCallTime || took > maxCallTime+maxCallPause {
 			t.Errorf("%v after %v", err, took)
 		}
 	})
--- a/internal/sidecar/rawcalls_test.go
+++ b/internal/sidecar/rawcalls_test.go
@@ -12,7 +12,7 @@
 )
 
 // Bytes of a client that cannot be read for a moment are read and answered later.
-func TestReadThatFailsForAMoment(t *testing.T) {
+func TestClientRead_momentaryErrno(t *testing.T) {
 	for _, errno := range []syscall.Errno{unix.EINTR, unix.ENOBUFS, unix.ENOMEM} {
 		t.Run(unix.ErrnoName(errno), func(t *testing.T) {
 			var failures atomic.Int64
--- a/internal/sidecar/upstream/exchange_test.go
+++ b/internal/sidecar/upstream/exchange_test.go
@@ -18,8 +18,8 @@
 	"marblelane/internal/sidecar/sidecartest"
 )
 
-// exchanging sets up an attempt on a live connection, one step before its first byte.
-func exchanging(t *testing.T, b *sidecartest.Backend) (*Pool, *Attempt, *serverConn, *http.Request) {
+// newExchange sets up an attempt with an open connection, one step before its first byte.
+func newExchange(t *testing.T, b *sidecartest.Backend) (*Pool, *Attempt, *serverConn, *http.Request) {
 	t.Helper()
 	cfg, err := configtest.NewConf("127.0.0.1:1").Load(t)
 	if err != nil {
@@ -27,11 +27,11 @@
 	}
 	p := NewPool(cfg, 10)
 	t.Cleanup(p.Close)
-	up := &Server{ID: 1, Endpoint: b.Target.Endpoint}
-	a := &Attempt{Call: &inflight.Call{Outbound: &inflight.Outbound{}}, Server: up, Deadline: time.Now().Add(sidecartest.Patience)}
+	server := &Server{ID: 1, Endpoint: b.Target.Endpoint}
+	a := &Attempt{Call: &inflight.Call{Outbound: &inflight.Outbound{}}, Server: server, Deadline: time.Now().Add(sidecartest.Patience)}
 	a.Context, a.Cancel = context.WithCancel(t.Context())
 	t.Cleanup(a.Cancel)
-	conn, _, err := p.acquire(a.Context, up, a.Deadline, nil)
+	conn, _, err := p.acquire(a.Context, server, a.Deadline, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -40,9 +40,9 @@
 	return p, a, conn, req
 }
 
-// Between decision and first byte the list may change or the request may be answered: nothing is sent then,
-// and the server is not blamed.
-func TestLastCheckBeforeTheFirstByte(t *testing.T) {
+// Between the decision and the first byte the endpoint list may change or the request may be answered: nothing is sent then,
+// and it is no failure of the server.
+func TestWrite_checksBeforeFirstByte(t *testing.T) {
 	for name, change := range map[string]func(*Pool, *Attempt){
 		"server retired":   func(p *Pool, a *Attempt) { p.Retire(a.Server) },
 		"request answered": func(_ *Pool, a *Attempt) { a.Call.Finish() },
@@ -50,7 +50,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			b := sidecartest.NewBackend(t, "a", sidecartest.OK)
-			p, a, conn, req := exchanging(t, b)
+			p, a, conn, req := newExchange(t, b)
 			change(p, a)
 			all, err := (&requestWriter{conn: conn}).write(a.Deadline, req, a)
 			if all || err != errNotNeeded || unsentResult(a.Context, a.Deadline, err) != balance.NotSent {
@@ -65,21 +65,21 @@
 }
 
 // A write that ends short proves that nothing ran.
-func TestShortWriteNeverRan(t *testing.T) {
+func TestWrite_shortNeverRan(t *testing.T) {
 	b := sidecartest.NewBackend(t, "a", sidecartest.OK)
-	_, a, conn, req := exchanging(t, b)
+	_, a, conn, req := newExchange(t, b)
 	conn.Conn.(*net.TCPConn).CloseWrite()
 	all, err := (&requestWriter{conn: conn}).write(a.Deadline, req, a)
 	if got := unsentResult(a.Context, a.Deadline, err); all || got != balance.WriteFailed {
 		t.Errorf("written %v, %v, result %v", all, err, got)
 	}
 	if a.Written.Load() {
-		t.Error("counted as sent")
+		t.Error("it counts as written")
 	}
 }
 
-// Only what no process answered is a connect that failed: a reset tells that something is there.
-func TestConnectFailedOrBroken(t *testing.T) {
+// Only an error that no process answered is a failed connect: a reset shows that something is there.
+func TestUnsentResult(t *testing.T) {
 	op := func(op string, err error) error {
 		return &net.OpError{Op: op, Net: "tcp", Err: os.NewSyscallError(op, err)}
 	}
@@ -107,15 +107,15 @@
 	}
 }
 
-// A kept connection that breaks under the write moves the request to a new one: nothing of it has run, and
-// the server is not blamed.
-func TestWriteBreaksOnKeptConnection(t *testing.T) {
+// A request whose reused connection breaks during the write moves to a new one: nothing of it has run, and it is no failure
+// of the server.
+func TestReusedConn_writeBreaks(t *testing.T) {
 	b := sidecartest.NewBackend(t, "a", sidecartest.OK)
-	p, a, conn, _ := exchanging(t, b)
+	p, a, conn, _ := newExchange(t, b)
 	a.Call.Outbound = &inflight.Outbound{
 		Method: "POST", URL: &url.URL{Path: "/api"}, Host: "b", Header: http.Header{}, Body: []byte("plate 12-34"),
 	}
-	conn.Conn.(*net.TCPConn).CloseWrite() // it still looks open for reading
+	conn.Conn.(*net.TCPConn).CloseWrite() // peeking shows it open
 	p.put(conn)
 	if r := p.Send(a); r.Result != balance.OK {
 		t.Errorf("result %v", r.Result)
@@ -125,18 +125,18 @@
 	}
 }
 
-// Connections are bounded over all servers; an idle one of another server makes room.
-func TestConnectionsAreBounded(t *testing.T) {
+// Connections are limited over all servers; at the limit an idle one of another server is closed.
+func TestPool_limitOverAllServers(t *testing.T) {
 	b, other := sidecartest.NewBackend(t, "a", sidecartest.OK), sidecartest.NewBackend(t, "b", sidecartest.OK)
-	p, a, conn, _ := exchanging(t, b)
+	p, a, conn, _ := newExchange(t, b)
 	p.limit = 1
-	up := &Server{ID: 2, Endpoint: other.Target.Endpoint}
-	if _, _, err := p.acquire(a.Context, up, a.Deadline, nil); err != errNoSocket || unsentResult(a.Context, a.Deadline, err) != balance.NotSent {
+	server := &Server{ID: 2, Endpoint: other.Target.Endpoint}
+	if _, _, err := p.acquire(a.Context, server, a.Deadline, nil); err != errNoSocket || unsentResult(a.Context, a.Deadline, err) != balance.NotSent {
 		t.Fatalf("a second connection: %v", err)
 	}
 	p.put(conn)
-	second, kept, err := p.acquire(a.Context, up, a.Deadline, nil)
-	if err != nil || kept {
+	second, reused, err := p.acquire(a.Context, server, a.Deadline, nil)
+	if err != nil || reused {
 		t.Fatalf("with an idle one to close: %v", err)
 	}
 	p.put(second)
@@ -145,10 +145,10 @@
 	}
 }
 
-// Idle connections are closed before the server does it.
-func TestIdleConnectionsAreReaped(t *testing.T) {
+// Idle connections are closed before their server closes them.
+func TestPool_reapIdle(t *testing.T) {
 	b := sidecartest.NewBackend(t, "a", sidecartest.OK)
-	p, _, conn, _ := exchanging(t, b)
+	p, _, conn, _ := newExchange(t, b)
 	p.put(conn)
 	p.ReapIdle(time.Now().Add(8 * time.Second))
 	if p.open != 1 {
@@ -160,26 +160,27 @@
 	}
 }
 
-func TestProbe(t *testing.T) {
+// A health check returns the load report in the body of the answer.
+func TestHealthCheck_loadReport(t *testing.T) {
 	paths := make(chan string, 1)
 	b := sidecartest.NewBackend(t, "a", func(c net.Conn, r *http.Request, _ string) bool {
 		paths <- r.URL.Path
 		_, err := io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: 15\r\n\r\nbusy=0.5,rate=7")
 		return err == nil
 	})
-	p, a, conn, _ := exchanging(t, b)
+	p, a, conn, _ := newExchange(t, b)
 	p.put(conn)
 	r := p.HealthCheck(a.Context, a.Server)
 	if r.Result != balance.OK || len(r.Report) != 2 || r.Report[0] != 0.5 || r.Report[1] != 7 {
 		t.Errorf("%+v", r)
 	}
 	if path := <-paths; path != "/stats" {
-		t.Errorf("asked %s", path)
+		t.Errorf("the health check got %s", path)
 	}
 }
 
-// A connection that comes up too late for its attempt serves whoever waits then, or is kept for who comes next.
-func TestLateConnectionServesTheNext(t *testing.T) {
+// A connection that comes up too late for its attempt serves one that waits then, or is idle for the next one.
+func TestDial_lateConnectionServesNext(t *testing.T) {
 	cfg, err := configtest.NewConf("127.0.0.1:1").Load(t)
 	if err != nil {
 		t.Fatal(err)
@@ -189,18 +190,18 @@
 	t.Cleanup(p.Close)
 	handshake := make(chan struct{}) // each connection waits for one
 	p.dialer.Control = func(string, string, syscall.RawConn) error { <-handshake; return nil }
-	up := &Server{ID: 1, Endpoint: b.Target.Endpoint}
-	cut := time.Now().Add(sidecartest.Patience)
+	server := &Server{ID: 1, Endpoint: b.Target.Endpoint}
+	deadline := time.Now().Add(sidecartest.Patience)
 
-	if _, _, err := p.acquire(t.Context(), up, cut, nil); unsentResult(t.Context(), cut, err) != balance.ConnectFailed {
+	if _, _, err := p.acquire(t.Context(), server, deadline, nil); unsentResult(t.Context(), deadline, err) != balance.ConnectFailed {
 		t.Fatalf("an attempt whose connection is late ends with %v", err)
 	}
 	p.connectWait = sidecartest.Patience
 	got := make(chan error, 1)
 	go func() {
-		conn, kept, err := p.acquire(t.Context(), up, cut, nil)
-		if err == nil && kept {
-			err = errors.New("the waiting attempt got a kept connection")
+		conn, reused, err := p.acquire(t.Context(), server, deadline, nil)
+		if err == nil && reused {
+			err = errors.New("the waiting attempt got an idle connection")
 		}
 		if err == nil {
 			p.discard(conn)
@@ -210,20 +211,20 @@
 	sidecartest.Until(t, "the second attempt to wait", func() bool {
 		p.mu.Lock()
 		defer p.mu.Unlock()
-		return len(up.waiting) == 1 && up.dialing == 2
+		return len(server.waiting) == 1 && server.dialing == 2
 	})
 	handshake <- struct{}{} // of either: the attempt takes the first that comes up
 	if err := sidecartest.Receive(t, "a connection", got); err != nil {
 		t.Error(err)
 	}
 	handshake <- struct{}{}
-	sidecartest.Until(t, "the other to be kept", func() bool {
+	sidecartest.Until(t, "the other to be idle", func() bool {
 		p.mu.Lock()
 		defer p.mu.Unlock()
-		return len(up.idle) == 1 && up.dialing == 0
+		return len(server.idle) == 1 && server.dialing == 0
 	})
-	next, kept, err := p.acquire(t.Context(), up, cut, nil)
-	if !kept || err != nil {
+	next, reused, err := p.acquire(t.Context(), server, deadline, nil)
+	if !reused || err != nil {
 		t.Fatalf("the next attempt dials: %v", err)
 	}
 	p.discard(next)
--- a/internal/sidecar/upstream/held_up_test.go
+++ b/internal/sidecar/upstream/held_up_test.go
@@ -12,32 +12,32 @@
 	"marblelane/internal/sidecar/sidecartest"
 )
 
-// What a server is told that the client has left is too much by no more than one hold.
-func TestTimeToldWhileHeldUp(t *testing.T) {
+// While the process is held up once, the server gets at most that much more time than the client has left.
+func TestHeldUp_timeLeftHeader(t *testing.T) {
 	const slack = 50 * time.Millisecond // of sockets
-	for at, most := range map[checkpoint.Checkpoint]time.Duration{checkpoint.AttemptDecided: slack, checkpoint.ClockRead: sidecartest.Hold + slack} {
+	for at, maxExcess := range map[checkpoint.Checkpoint]time.Duration{checkpoint.AttemptDecided: slack, checkpoint.ClockRead: sidecartest.Hold + slack} {
 		for _, upload := range []bool{false, true} {
-			t.Run(string(at)+", passed on "+strconv.FormatBool(upload), func(t *testing.T) {
+			t.Run(string(at)+", forwarded "+strconv.FormatBool(upload), func(t *testing.T) {
 				lag := sidecartest.MachineLag(t)
 				excess := make(chan time.Duration, 1)
-				var cut time.Time
+				var deadline time.Time
 				b := sidecartest.NewBackend(t, "a", func(c net.Conn, r *http.Request, body string) bool {
 					ms, err := strconv.Atoi(r.Header.Get("X-Timeout-Ms"))
 					if err != nil {
 						t.Error(err)
 					}
-					excess <- time.Duration(ms)*time.Millisecond - time.Until(cut)
+					excess <- time.Duration(ms)*time.Millisecond - time.Until(deadline)
 					return sidecartest.OK(c, r, body)
 				})
-				p, a, conn, _ := exchanging(t, b)
+				p, a, conn, _ := newExchange(t, b)
 				p.put(conn)
 				p.post = func(any) {}
 				a.Call.Outbound = outboundPost([]byte("plate 12-34"))
 				if upload {
-					wholeUpload(t, a, sidecartest.Patience)
+					setReceivedUpload(t, a, sidecartest.Patience)
 					a.Deadline = a.Call.Outbound.Upload.CompletedAt().Add(sidecartest.Patience)
 				}
-				cut = a.Deadline
+				deadline = a.Deadline
 				p.hook = func(c checkpoint.Checkpoint) {
 					if c == at {
 						time.Sleep(sidecartest.Hold)
@@ -46,22 +46,22 @@
 				if r := p.Send(a); r.Result != balance.OK {
 					t.Fatalf("result %v", r.Result)
 				}
-				if over := <-excess; over > most+lag() {
-					t.Errorf("the server is told %v more than the client has left, want %v at most", over, most)
+				if over := <-excess; over > maxExcess+lag() {
+					t.Errorf("the server got %v more than the client has left, want %v at most", over, maxExcess)
 				}
 			})
 		}
 	}
 }
 
-// The window of a key that ends while a further attempt is held up ends the attempt: it is not written.
-func TestWindowOfAKeyEndsWhileHeldUp(t *testing.T) {
+// A retry that is held up until the window of its key is over is not sent.
+func TestHeldUp_keyWindowEnds(t *testing.T) {
 	for _, at := range []checkpoint.Checkpoint{checkpoint.AttemptDecided, checkpoint.ClockRead} {
 		t.Run(string(at), func(t *testing.T) {
 			b := sidecartest.NewBackend(t, "a", sidecartest.Respond("HTTP/1.1 500 Oh\r\nContent-Length: 0\r\n\r\n", true))
-			p, a, conn, _ := exchanging(t, b)
+			p, a, conn, _ := newExchange(t, b)
 			p.put(conn)
-			keyedWindow(p, a, sidecartest.Hold, []byte("plate 12-34"))
+			setKeyWindow(p, a, sidecartest.Hold, []byte("plate 12-34"))
 			if r := p.Send(a); r.Result != balance.Failed {
 				t.Fatalf("the first attempt: result %v", r.Result)
 			}
@@ -71,7 +71,7 @@
 					time.Sleep(20 * time.Millisecond) // the deadline on the connection has passed, too
 				}
 			}
-			if r := p.Send(further(a)); r.Result != balance.NotSent {
+			if r := p.Send(nextAttempt(a)); r.Result != balance.NotSent {
 				t.Errorf("result %v, want that nothing was sent", r.Result)
 			}
 			if n := b.Requests.Load(); n != 1 {
--- a/internal/sidecar/upstream/idle_age_test.go
+++ b/internal/sidecar/upstream/idle_age_test.go
@@ -5,23 +5,23 @@
 	"time"
 )
 
-// noteRun feeds uses at an age, of which every nth is lost; 0: none. Uses come 5 ms apart.
-func noteRun(a *idleAges, now *time.Time, idle time.Duration, uses, nth int) {
+// recordRun records requests at an idle time, 5 ms apart, of which every nth is lost; 0 for none.
+func recordRun(a *idleAges, now *time.Time, idle time.Duration, uses, nth int) {
 	for i := 1; i <= uses; i++ {
 		*now = now.Add(5 * time.Millisecond)
 		a.record(*now, idle, nth > 0 && i%nth == 0)
 	}
 }
 
-func TestIdleTimeIsLearned(t *testing.T) {
+func TestIdleAges_learnsBound(t *testing.T) {
 	const idle = 4 * time.Second
 	type run struct {
 		idle      time.Duration
 		uses, nth int
 	}
 	for name, test := range map[string]struct {
-		runs        []run
-		least, most time.Duration // of the bound
+		runs     []run
+		min, max time.Duration // of the bound
 	}{
 		"nothing":        {nil, idle, idle},
 		"no losses":      {[]run{{0, 50, 0}, {50 * time.Millisecond, 50, 0}, {time.Second, 50, 0}}, idle, idle},
@@ -44,33 +44,33 @@
 			var a idleAges
 			now := time.Unix(1e9, 0)
 			for _, r := range test.runs {
-				noteRun(&a, &now, r.idle, r.uses, r.nth)
+				recordRun(&a, &now, r.idle, r.uses, r.nth)
 			}
-			if got := a.bound(idle); got < test.least || got > test.most {
-				t.Errorf("%v, want %v to %v", got, test.least, test.most)
+			if got := a.bound(idle); got < test.min || got > test.max {
+				t.Errorf("%v, want %v to %v", got, test.min, test.max)
 			}
 		})
 	}
 }
 
-// What was learned fades: connections are kept again once the network has changed.
-func TestLearnedIdleTimeFades(t *testing.T) {
+// The learned bound decays: connections are reused for longer once the network has changed.
+func TestIdleAges_boundDecays(t *testing.T) {
 	var a idleAges
 	now := time.Unix(1e9, 0)
-	noteRun(&a, &now, 20*time.Millisecond, 200, 0)
-	noteRun(&a, &now, time.Second, 10, 1)
+	recordRun(&a, &now, 20*time.Millisecond, 200, 0)
+	recordRun(&a, &now, time.Second, 10, 1)
 	if got := a.bound(4 * time.Second); got > time.Second {
 		t.Fatalf("%v: nothing learned", got)
 	}
 	now = now.Add(10 * ageDecayTime)
-	noteRun(&a, &now, 20*time.Millisecond, 1, 0)
+	recordRun(&a, &now, 20*time.Millisecond, 1, 0)
 	if got := a.bound(4 * time.Second); got != 4*time.Second {
 		t.Errorf("%v: not forgotten", got)
 	}
 }
 
-// The figures of any age have a place, also where a clock has gone back.
-func TestAgeSteps(t *testing.T) {
+// Each idle time has a bucket, also a negative one after a clock went back.
+func TestAgeBucket(t *testing.T) {
 	for _, test := range []struct {
 		idle time.Duration
 		want int
--- a/internal/sidecar/watch_ways_test.go
+++ b/internal/sidecar/watch_ways_test.go
@@ -18,8 +18,8 @@
 	"marblelane/internal/sidecar/sidecartest"
 )
 
-// faults are what becomes of a watch that discovery has accepted, before the change.
-var faults = map[string]func(c net.Conn, held string){
+// watchFaults are what happens to a watch that the list service has accepted, before the change.
+var watchFaults = map[string]func(c net.Conn, held string){
 	"silent at once": func(net.Conn, string) {},
 	"head, no line":  func(c net.Conn, _ string) { io.WriteString(c, sidecartest.WatchHead) },
 	"silent late":    func(c net.Conn, held string) { io.WriteString(c, sidecartest.WatchHead+held+"\n\n") },
@@ -46,7 +46,7 @@
 		io.WriteString(c, sidecartest.WatchHead)
 		c.Close()
 	},
-	"turned away": func(c net.Conn, _ string) {
+	"rejected": func(c net.Conn, _ string) {
 		io.WriteString(c, "HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n")
 		c.Close()
 	},
@@ -56,9 +56,9 @@
 	"a line that is no JSON": func(c net.Conn, held string) { io.WriteString(c, sidecartest.WatchHead+held+"\n}{ gone\n") },
 }
 
-// forms are how the change then comes, as the answer to the next call.
-var forms = map[string]func(c net.Conn, text string){
-	"whole":    func(c net.Conn, text string) { io.WriteString(c, sidecartest.WatchHead+text+"\n") },
+// answerForms are how the change arrives, as the answer to the next call.
+var answerForms = map[string]func(c net.Conn, text string){
+	"complete": func(c net.Conn, text string) { io.WriteString(c, sidecartest.WatchHead+text+"\n") },
 	"indented": func(c net.Conn, text string) { io.WriteString(c, sidecartest.WatchHead+indent(text)+"\n") },
 	"in pieces": func(c net.Conn, text string) {
 		for _, b := range []byte(sidecartest.WatchHead + indent(text) + "\n") {
@@ -88,15 +88,15 @@
 	return string(out)
 }
 
-// Whatever becomes of a watch, the list held serves on, the next call is made, and what a whole list then leaves out gets
-// nothing more, though it still answers: where lists are pushed and where they are asked for.
-func TestEachWayToAChange(t *testing.T) {
-	formNames := []string{"whole", "indented", "in pieces", "chunked"}
-	turn := 0
+// Whatever happens to a watch, the list that is held is used, the next call is made, and a server that its full list leaves
+// out gets nothing more, though it still answers. So it is for pushed lists and for polled ones.
+func TestWatch_faultThenChange(t *testing.T) {
+	formNames := []string{"complete", "indented", "in pieces", "chunked"}
+	formIndex := 0
 	for _, mode := range []string{"subscribe", "automatic"} {
-		for fault, misbehave := range faults {
-			form := formNames[turn%len(formNames)]
-			turn++
+		for fault, misbehave := range watchFaults {
+			form := formNames[formIndex%len(formNames)]
+			formIndex++
 			t.Run(mode+"/"+fault+"/"+form, func(t *testing.T) {
 				t.Parallel()
 				a, b := sidecartest.NewBackend(t, "a", sidecartest.OK), sidecartest.NewBackend(t, "b", sidecartest.OK)
@@ -127,7 +127,7 @@
 				})
 				held, left := mustJSON(t, endpointlist.List{Rev: 41, All: true, Targets: []endpointlist.Target{a.Target, b.Target}}), mustJSON(t, endpointlist.List{Rev: 43, All: true, Targets: []endpointlist.Target{b.Target}})
 				misbehave(disc.Next(t), held)
-				for range 4 { // whatever became of the watch
+				for range 4 { // whatever happened to the watch
 					if got := r.do(r.request("charge", time.Second)); got.status != http.StatusOK {
 						t.Errorf("after the fault: %+v", got)
 					}
@@ -137,13 +137,13 @@
 						answering.Go(func() {
 							defer conn.Close()
 							if _, err := http.ReadRequest(bufio.NewReader(conn)); err == nil {
-								forms[form](conn, left)
+								answerForms[form](conn, left)
 								io.Copy(io.Discard, conn) // it stays until the sidecar ends it
 							}
 						})
 					}
 				})
-				sidecartest.Until(t, "the whole list", func() bool { return s.loop.Discovery.Revision.Load() == 43 })
+				sidecartest.Until(t, "the full list", func() bool { return s.loop.Discovery.Revision.Load() == 43 })
 				before := a.Requests.Load()
 				for range 8 {
 					if got := r.do(r.request("charge", time.Second)); got.status != http.StatusOK {
@@ -151,7 +151,7 @@
 					}
 				}
 				if got := a.Requests.Load() - before; got > 0 {
-					t.Errorf("what the whole list left out got %d requests", got)
+					t.Errorf("a server that the full list left out got %d requests", got)
 				}
 			})
 		}
