--- a/internal/sidecar/client_gone_test.go
+++ b/internal/sidecar/client_gone_test.go
@@ -110,7 +110,7 @@
 	c := configtest.NewConf(sidecartest.NewRegistry(t).Addr(), b.Target).Setting(`"connect_timeout_ms": 100`, longDial)
 	changes = append(changes, func(s *Sidecar) {
 		s.setClientPoll(poll)
-		s.loop.Pool.Dialer.Control = func(string, string, syscall.RawConn) error { dialing.Pass(); return nil }
+		s.loop.Pool.SetDialControl(func(string, string, syscall.RawConn) error { dialing.Pass(); return nil })
 	})
 	s := start(t, c, changes...)
 	t.Cleanup(dialing.Release) // before the sidecar ends
--- a/internal/sidecar/eventloop/loop.go
+++ b/internal/sidecar/eventloop/loop.go
@@ -75,10 +75,10 @@
 	c := clock.New(cfg.Faults)
 	l := &Loop{
 		Cfg: cfg, Clock: c, clockSteps: clock.NewStepDetector(c, cfg.Faults), Balancer: balancer, Pool: pool,
-		Metrics: pool.Metrics, Inbox: make(chan any, inboxSize), Stopped: make(chan struct{}),
+		Metrics: pool.Metrics(), Inbox: make(chan any, inboxSize), Stopped: make(chan struct{}),
 		Calls: map[balance.RequestID]*openCall{}, servers: map[balance.ServerID]*upstream.Server{},
 	}
-	pool.Post, pool.Stopped = l.Post, l.Stopped
+	pool.ReportTo(l.Post, l.Stopped)
 	return l
 }
 
--- a/internal/sidecar/kill_time_test.go
+++ b/internal/sidecar/kill_time_test.go
@@ -79,7 +79,8 @@
 			time.Sleep(sidecartest.Hold)
 		}
 	}
-	d.s.hook, d.s.loop.Pool.Hook = hook, hook
+	d.s.hook = hook
+	d.s.loop.Pool.SetHook(hook)
 	d.s.clients.Configure(func(o *clientserver.Options) { o.Checkpoints = hook })
 	ctx, cancel := context.WithCancel(context.Background())
 	d.stop = cancel
--- a/internal/sidecar/sidecar.go
+++ b/internal/sidecar/sidecar.go
@@ -169,7 +169,7 @@
 	router.Attach(loop, balancer, loop.Clock, cfg.Balance.Classes)
 	loop.Discovery = discovery.New(cfg.ListAddrs(), cfg.MemoryMB, loop.Post, func(f func()) { loop.Workers.Go(f) })
 	if cfg.Balance.DrainGrace > 0 {
-		loop.Discovery.PushedDelay = discovery.PushedDelay(cfg.Balance.DrainGrace)
+		loop.Discovery.SetTimeouts(discovery.Timeouts{PushedDelay: discovery.PushedDelay(cfg.Balance.DrainGrace)})
 	}
 	return loop
 }
