--- a/internal/sidecar/client_gone_test.go
+++ b/internal/sidecar/client_gone_test.go
@@ -2,12 +2,10 @@
 
 import (
 	"bufio"
-	"context"
 	"fmt"
 	"io"
 	"net"
 	"net/http"
-	"net/url"
 	"sync/atomic"
 	"syscall"
 	"testing"
@@ -15,12 +13,9 @@
 
 	"golang.org/x/sys/unix"
 
-	"marblelane/balance"
 	"marblelane/internal/sidecar/clientserver"
 	"marblelane/internal/sidecar/configtest"
-	"marblelane/internal/sidecar/discovery"
 	"marblelane/internal/sidecar/endpointlist"
-	"marblelane/internal/sidecar/eventloop"
 	"marblelane/internal/sidecar/inflight"
 	"marblelane/internal/sidecar/netcall"
 	"marblelane/internal/sidecar/sidecartest"
@@ -333,69 +328,3 @@
 		})
 	}
 }
-
-// The outcome of an attempt that sees that its client has gone crosses the ClientGone of the client's handler: the call
-// ends once, whichever comes first, and there is no retry.
-func TestClientGone_crossesAttempt(t *testing.T) {
-	for name, handlerFirst := range map[string]bool{"outcome first": false, "ClientGone first": true} {
-		t.Run(name, func(t *testing.T) {
-			b, other := sidecartest.NewBackend(t, "a", sidecartest.OK), sidecartest.NewBackend(t, "b", sidecartest.OK)
-			cfg, err := configtest.NewConf(sidecartest.NewRegistry(t).Addr(), b.Target, other.Target).Load(t)
-			if err != nil {
-				t.Fatal(err)
-			}
-			s, err := New(cfg)
-			if err != nil {
-				t.Fatal(err)
-			}
-			l := s.loop // this test calls it in place of Loop.Run
-			ctx, cancel := context.WithCancel(t.Context())
-			t.Cleanup(func() {
-				cancel()
-				close(l.Stopped)
-				l.Workers.Wait()
-				l.Pool.Close()
-				s.listener.Close()
-			})
-			l.Ctx = ctx
-			now := l.Clock.Millis(time.Now())
-			l.Execute(now, l.Balancer.Start(now))
-			l.TakeListEvent(now, discovery.ListEvent{Kind: balance.ListCached, List: cfg.Known})
-			checking, checks := sidecartest.NewBarrier(), &atomic.Int64{}
-			t.Cleanup(checking.Release)
-			c := &inflight.Call{
-				Request: balance.Request{Class: cfg.Classes["lookup"], Tenant: cfg.Tenants["kita"]},
-				Outbound: &inflight.Outbound{
-					Method: http.MethodGet, URL: &url.URL{Path: "/api"}, Host: "h", Header: http.Header{"X-Request-Id": {"1"}},
-				},
-				Timeout: time.Hour, Deadline: time.Now().Add(time.Hour), Answers: make(chan inflight.Answer, 1),
-			}
-			c.ClientGone = func() bool { checks.Add(1); checking.Pass(); return true }
-			l.Take(now, clientserver.Arrival{Call: c})
-			open := l.Calls[c.Request.ID]
-			checking.WaitFor(t, 1) // the attempt has passed all other checks
-			if handlerFirst && !c.Finish() {
-				t.Fatal("the call is over before its end")
-			}
-			checking.Release()
-			for over := false; !over; {
-				ev := sidecartest.Receive(t, "the attempt's outcome", l.Inbox)
-				_, over = ev.(eventloop.AttemptDone)
-				l.Take(l.Clock.Millis(time.Now()), ev)
-			}
-			if byLoop := len(c.Answers) == 1; byLoop == handlerFirst || !c.Finished() {
-				t.Errorf("the event loop ends the call: %v, finished %v", byLoop, c.Finished())
-			}
-			l.Take(l.Clock.Millis(time.Now()), clientserver.ClientGone{Call: c}) // late, or twice
-			if n := len(l.Calls); n != 0 {
-				t.Errorf("%d calls are left", n)
-			}
-			if n := checks.Load(); n != 1 || len(open.Attempts) != 1 {
-				t.Errorf("%d attempts, want 1", len(open.Attempts))
-			}
-			if n := b.Requests.Load() + other.Requests.Load(); n != 0 {
-				t.Errorf("servers got %d requests", n)
-			}
-		})
-	}
-}
--- a/internal/sidecar/clientserver_test.go
+++ b/internal/sidecar/clientserver_test.go
@@ -319,7 +319,7 @@
 		t.Error(err)
 	}
 	s.ended <- nil
-	if n := len(s.loop.Calls); n != 0 {
+	if n := s.loop.OpenCalls(); n != 0 {
 		t.Errorf("%d requests are still in the table", n)
 	}
 	if open, _ := s.loop.Pool.Counts(); open != 0 {
--- a/internal/sidecar/eventloop/actions.go
+++ b/internal/sidecar/eventloop/actions.go
@@ -24,8 +24,8 @@
 	case balance.Reject, balance.Fail:
 		l.endCall(now, action)
 	case balance.Cancel:
-		if c := l.Calls[action.Request]; c != nil && action.Attempt < len(c.Attempts) {
-			c.Attempts[action.Attempt].Cancel()
+		if c := l.calls[action.Request]; c != nil && action.Attempt < len(c.attempts) {
+			c.attempts[action.Attempt].Cancel()
 		}
 	case balance.SetTimer:
 		l.timers.set(timer{due: now + math.Max(action.At, 0), token: action.Token})
@@ -39,9 +39,9 @@
 		slog.Info("balancer: " + action.Text)
 	case balance.Watch:
 		l.Discovery.Revision.Store(action.After)
-		l.Discovery.Watch(l.Ctx, action.Source)
+		l.Discovery.Watch(l.ctx, action.Source)
 	case balance.Fetch:
-		l.Discovery.Fetch(l.Ctx, action.Source)
+		l.Discovery.Fetch(l.ctx, action.Source)
 	case balance.Forget:
 		l.retireServer(l.servers[action.Server])
 	default:
@@ -51,7 +51,7 @@
 
 // startAttempt sends a call to a server, in a goroutine that ends with the attempt.
 func (l *Loop) startAttempt(now float64, action *balance.Action) {
-	c := l.Calls[action.Request]
+	c := l.calls[action.Request]
 	if c == nil {
 		return
 	}
@@ -62,19 +62,19 @@
 		}
 	}
 	a := &upstream.Attempt{
-		Call: c.Call, Number: len(c.Attempts), Server: l.serverOf(action.Server),
+		Call: c.Call, Number: len(c.attempts), Server: l.serverOf(action.Server),
 		RouteCheck: l.Routing.Check(now, c.Call, action), StartedAt: now, Deadline: deadline,
 	}
-	a.Context, a.Cancel = context.WithCancel(l.Ctx)
-	c.Attempts = append(c.Attempts, a)
+	a.Context, a.Cancel = context.WithCancel(l.ctx)
+	c.attempts = append(c.attempts, a)
 	c.liveAttempts++
-	l.Workers.Go(func() { l.Post(AttemptDone{a, l.Pool.Send(a)}) })
+	l.Workers.Go(func() { l.Post(attemptDone{a, l.Pool.Send(a)}) })
 }
 
 // healthCheck asks a server how it is, in a goroutine that ends with the answer.
 func (l *Loop) healthCheck(now float64, id balance.ServerID) {
 	server := l.serverOf(id)
-	l.Workers.Go(func() { l.Post(healthCheckDone{server, now, l.Pool.HealthCheck(l.Ctx, server)}) })
+	l.Workers.Go(func() { l.Post(healthCheckDone{server, now, l.Pool.HealthCheck(l.ctx, server)}) })
 }
 
 // serverOf gives the server of an ID. One that is not in the table is retired: nothing is sent to it.
@@ -89,7 +89,7 @@
 
 // endCall gives a client the balancer's own answer: rejected, where a retry does no harm, or failed.
 func (l *Loop) endCall(now float64, action *balance.Action) {
-	c := l.Calls[action.Request]
+	c := l.calls[action.Request]
 	if c == nil || !c.Finish() {
 		return
 	}
--- a/internal/sidecar/eventloop/calls.go
+++ b/internal/sidecar/eventloop/calls.go
@@ -12,7 +12,7 @@
 func (l *Loop) takeArrival(now float64, c *inflight.Call) {
 	l.lastID++
 	c.Request.ID = l.lastID
-	l.Calls[l.lastID] = &openCall{Call: c}
+	l.calls[l.lastID] = &openCall{Call: c}
 	request := c.Request
 	request.BodyStreaming = c.Outbound.Upload != nil
 	if request.BodyStreaming {
@@ -26,8 +26,8 @@
 // takeBodyComplete starts the times of a call, and of its attempts, whose body has been forwarded to its end.
 func (l *Loop) takeBodyComplete(now float64, c *inflight.Call) {
 	c.Deadline = c.Outbound.Upload.CompletedAt().Add(c.Timeout)
-	if open := l.Calls[c.Request.ID]; open != nil {
-		for _, a := range open.Attempts {
+	if open := l.calls[c.Request.ID]; open != nil {
+		for _, a := range open.attempts {
 			a.StartedAt = now
 		}
 	}
@@ -60,7 +60,7 @@
 func (l *Loop) takeAttemptDone(now float64, a *upstream.Attempt, reply inflight.Reply) {
 	a.Cancel()
 	c := a.Call
-	if open := l.Calls[c.Request.ID]; open != nil {
+	if open := l.calls[c.Request.ID]; open != nil {
 		open.liveAttempts--
 	}
 	if reply.Result == balance.OK && c.Finish() {
@@ -89,11 +89,11 @@
 
 // cancelUnwritten cancels the attempts that are not written yet: after the final answer nothing more is sent.
 func (l *Loop) cancelUnwritten(c *inflight.Call) {
-	open := l.Calls[c.Request.ID]
+	open := l.calls[c.Request.ID]
 	if open == nil {
 		return
 	}
-	for _, a := range open.Attempts {
+	for _, a := range open.attempts {
 		if !a.Written.Load() {
 			a.Cancel()
 		}
@@ -102,7 +102,7 @@
 
 // release drops a call that is answered and has no live attempt.
 func (l *Loop) release(c *inflight.Call) {
-	if open := l.Calls[c.Request.ID]; open != nil && open.liveAttempts == 0 && c.Finished() {
-		delete(l.Calls, c.Request.ID)
+	if open := l.calls[c.Request.ID]; open != nil && open.liveAttempts == 0 && c.Finished() {
+		delete(l.calls, c.Request.ID)
 	}
 }
--- a/internal/sidecar/eventloop/list.go
+++ b/internal/sidecar/eventloop/list.go
@@ -9,17 +9,17 @@
 	"marblelane/internal/sidecar/upstream"
 )
 
-// TakeListEvent lets the balancer decide which entries it accepts, and brings the table of servers in line before any
+// takeListEvent lets the balancer decide which entries it accepts, and brings the table of servers in line before any
 // other message is taken, so that attempts on their way see at their first byte what the balancer sees.
-func (l *Loop) TakeListEvent(now float64, event discovery.ListEvent) {
+func (l *Loop) takeListEvent(now float64, event discovery.ListEvent) {
 	l.checkClock(now)
 	l.listReceived = l.listReceived || event.Kind == balance.ListFull || event.Kind == balance.ListDelta
-	actions, err := l.Balancer.Handle(now, l.serverList(event))
+	actions, err := l.balancer.Handle(now, l.serverList(event))
 	if err != nil {
 		slog.Error("eventloop: the balancer rejects a list", "err", err)
 		return
 	}
-	l.Discovery.Revision.Store(l.Balancer.ListRev())
+	l.Discovery.Revision.Store(l.balancer.ListRev())
 	for i := range event.List.Targets {
 		l.alignServer(&event.List.Targets[i])
 	}
@@ -37,7 +37,7 @@
 	}
 	for i := range event.List.Targets {
 		if target := &event.List.Targets[i]; target.UID != "" {
-			list.Servers = append(list.Servers, l.Cfg.Server(target))
+			list.Servers = append(list.Servers, l.cfg.Server(target))
 		}
 	}
 	return list
@@ -46,7 +46,7 @@
 // retireUnused retires the servers of the table that the balancer does not use any more.
 func (l *Loop) retireUnused() {
 	for id, server := range l.servers {
-		if _, used := l.Balancer.UsableServer(id); !used {
+		if _, used := l.balancer.UsableServer(id); !used {
 			l.retireServer(server)
 		}
 	}
@@ -56,7 +56,7 @@
 // address makes a new server.
 func (l *Loop) alignServer(target *endpointlist.Target) {
 	id := endpointlist.ServerID(target.UID)
-	entry, used := l.Balancer.UsableServer(id)
+	entry, used := l.balancer.UsableServer(id)
 	if !used {
 		l.retireServer(l.servers[id])
 		return
--- a/internal/sidecar/eventloop/loop.go
+++ b/internal/sidecar/eventloop/loop.go
@@ -24,8 +24,8 @@
 // inboxSize lets socket goroutines hand over messages while the loop is at work.
 const inboxSize = 1024
 
-// AttemptDone is the end of an attempt.
-type AttemptDone struct {
+// attemptDone is the end of an attempt.
+type attemptDone struct {
 	attempt *upstream.Attempt
 	reply   inflight.Reply
 }
@@ -40,28 +40,28 @@
 // openCall is a call that has not ended.
 type openCall struct {
 	*inflight.Call
-	Attempts     []*upstream.Attempt // in order
+	attempts     []*upstream.Attempt // in order
 	liveAttempts int                 // without an outcome
 }
 
 // Loop is the one owner of the balancer, its timers and the table of calls. Nothing in it blocks on I/O. What is not set by
 // New is set before Run.
 type Loop struct {
-	Cfg       *config.Config
 	Clock     clock.Clock
-	Balancer  *balance.Balancer
 	Pool      *upstream.Pool
 	Discovery *discovery.Client
 	Metrics   *metrics.Metrics
 	Routing   *routing.Router   // nil: off
 	Members   *fleet.Membership // nil: off
+	Workers   sync.WaitGroup    // goroutines that Run waits for
 
-	Inbox   chan any        // messages of Post; never closed
-	Stopped chan struct{}   // closed by Run at its end
-	Ctx     context.Context // ends all attempts and health checks
-	Workers sync.WaitGroup  // goroutines that Run waits for
+	cfg      *config.Config
+	balancer *balance.Balancer
+	inbox    chan any        // messages of Post; never closed
+	stopped  chan struct{}   // closed by Run at its end
+	ctx      context.Context // ends all attempts and health checks
 
-	Calls         map[balance.RequestID]*openCall
+	calls         map[balance.RequestID]*openCall
 	lastID        balance.RequestID
 	servers       map[balance.ServerID]*upstream.Server // those that are ready
 	timers        timerHeap
@@ -74,39 +74,45 @@
 func New(cfg *config.Config, balancer *balance.Balancer, pool *upstream.Pool) *Loop {
 	c := clock.New(cfg.Faults)
 	l := &Loop{
-		Cfg: cfg, Clock: c, clockSteps: clock.NewStepDetector(c, cfg.Faults), Balancer: balancer, Pool: pool,
-		Metrics: pool.Metrics(), Inbox: make(chan any, inboxSize), Stopped: make(chan struct{}),
-		Calls: map[balance.RequestID]*openCall{}, servers: map[balance.ServerID]*upstream.Server{},
+		cfg: cfg, Clock: c, clockSteps: clock.NewStepDetector(c, cfg.Faults), balancer: balancer, Pool: pool,
+		Metrics: pool.Metrics(), inbox: make(chan any, inboxSize), stopped: make(chan struct{}),
+		calls: map[balance.RequestID]*openCall{}, servers: map[balance.ServerID]*upstream.Server{},
 	}
-	pool.ReportTo(l.Post, l.Stopped)
+	pool.ReportTo(l.Post, l.stopped)
 	return l
 }
 
-// Post hands the loop a message; Take has the types. After the loop's end messages are dropped.
+// Post hands the loop a message; take has the types. After the loop's end messages are dropped.
 func (l *Loop) Post(message any) {
 	select {
-	case l.Inbox <- message:
-	case <-l.Stopped:
+	case l.inbox <- message:
+	case <-l.stopped:
 	}
 }
 
+// OpenCalls is how many calls have not ended. It is called after Run has returned.
+func (l *Loop) OpenCalls() int { return len(l.calls) }
+
+// Balancer gives the balancer for its status methods. They are called only while no message is being handled.
+func (l *Loop) Balancer() *balance.Balancer { return l.balancer }
+
 // Run works until ctx ends, and then waits for the goroutines that the loop has started. All messages that are there make
 // one batch with one reading of the clock. Timers wake the loop no more often than the quantum of the settings; messages
 // are not delayed by it.
 func (l *Loop) Run(ctx context.Context) {
 	defer l.Workers.Wait()
-	defer close(l.Stopped)
-	l.Ctx = ctx
+	defer close(l.stopped)
+	l.ctx = ctx
 	now := l.now()
-	l.Execute(now, l.Balancer.Start(now))
-	l.TakeListEvent(now, discovery.ListEvent{Kind: balance.ListCached, List: l.Cfg.Known})
+	l.Execute(now, l.balancer.Start(now))
+	l.takeListEvent(now, discovery.ListEvent{Kind: balance.ListCached, List: l.cfg.Known})
 	l.publishMetrics(now)
 	defer l.Routing.Start(func(f func()) { l.Workers.Go(f) })()
 	defer l.Members.Start()()
 	alarm := time.NewTimer(time.Hour)
 	defer alarm.Stop()
 	var publish <-chan time.Time // nil: the figures are not read
-	if l.Cfg.Management != "" {
+	if l.cfg.Management != "" {
 		ticker := time.NewTicker(publishInterval)
 		defer ticker.Stop()
 		publish = ticker.C
@@ -116,7 +122,7 @@
 		select {
 		case <-ctx.Done():
 			return
-		case message := <-l.Inbox:
+		case message := <-l.inbox:
 			l.takeBatch(message)
 		case <-alarm.C:
 			l.lastTimerWake = l.now()
@@ -140,7 +146,7 @@
 	if len(l.timers) == 0 {
 		return
 	}
-	next := max(l.timers[0].due, l.lastTimerWake+l.Cfg.Balance.Quantum)
+	next := max(l.timers[0].due, l.lastTimerWake+l.cfg.Balance.Quantum)
 	alarm.Reset(clock.Duration(next - l.now()))
 }
 
@@ -148,18 +154,18 @@
 func (l *Loop) takeBatch(first any) {
 	now := l.now()
 	l.fireTimers(now)
-	l.Take(now, first)
-	for n := len(l.Inbox); n > 0; n-- {
-		l.Take(now, <-l.Inbox)
+	l.take(now, first)
+	for n := len(l.inbox); n > 0; n-- {
+		l.take(now, <-l.inbox)
 	}
 }
 
 // publishMetrics leaves what the balancer knows of the servers where the management address reads it.
 func (l *Loop) publishMetrics(now float64) {
-	listed, avoided := l.Balancer.CountServers(now)
+	listed, avoided := l.balancer.CountServers(now)
 	l.Metrics.Servers.Store(&metrics.ServerMetrics{
 		Listed: listed, Avoided: avoided, Ready: len(l.servers), ListReceived: l.listReceived,
-		List: l.Balancer.ListStatus(now), Zones: l.Balancer.ZoneStatus(), Routes: l.Routing.Figures(),
+		List: l.balancer.ListStatus(now), Zones: l.balancer.ZoneStatus(), Routes: l.Routing.Figures(),
 	})
 }
 
@@ -170,8 +176,8 @@
 	}
 }
 
-// Take takes one message.
-func (l *Loop) Take(now float64, message any) {
+// take takes one message.
+func (l *Loop) take(now float64, message any) {
 	switch m := message.(type) {
 	case clientserver.Arrival:
 		l.takeArrival(now, m.Call)
@@ -189,14 +195,14 @@
 		if l.servers[m.Server.ID] == m.Server {
 			l.HandleEvent(now, balance.ConnectionReady{Server: m.Server.ID})
 		}
-	case AttemptDone:
+	case attemptDone:
 		l.takeAttemptDone(now, m.attempt, m.reply)
 	case healthCheckDone:
 		l.HandleEvent(now, balance.HealthCheckResult{
 			Server: m.server.ID, Result: m.reply.Result, Elapsed: now - m.startedAt, Report: m.reply.Report,
 		})
 	case discovery.ListEvent:
-		l.TakeListEvent(now, m)
+		l.takeListEvent(now, m)
 	case balance.ProcessCount:
 		l.HandleEvent(now, m)
 	case balance.ListServices:
@@ -208,7 +214,7 @@
 
 // HandleEvent hands the balancer an event and carries out its actions.
 func (l *Loop) HandleEvent(now float64, event balance.Event) {
-	actions, err := l.Balancer.Handle(now, event)
+	actions, err := l.balancer.Handle(now, event)
 	if err != nil {
 		slog.Error("eventloop: the balancer rejects an event", "err", err)
 		return
@@ -227,6 +233,6 @@
 func (l *Loop) takeFleetSize(now float64) {
 	if size, known := l.Members.Size(); known {
 		l.HandleEvent(now, size)
-		l.Members.SetEstimate(l.Balancer.FleetSize())
+		l.Members.SetEstimate(l.balancer.FleetSize())
 	}
 }
--- a/internal/sidecar/lists_test.go
+++ b/internal/sidecar/lists_test.go
@@ -78,7 +78,7 @@
 	sidecartest.Until(t, "the list", func() bool { return s.loop.Discovery.Revision.Load() == 41 })
 	var used []string
 	for _, uid := range []string{"x", "y", "z", "v", "", "twin", "dup", "good"} {
-		if _, ok := s.loop.Balancer.UsableServer(endpointlist.ServerID(uid)); ok { // the loop is idle: nothing has been sent yet
+		if _, ok := s.loop.Balancer().UsableServer(endpointlist.ServerID(uid)); ok { // the loop is idle: nothing has been sent yet
 			used = append(used, uid)
 		}
 	}
--- a/internal/sidecar/members_test.go
+++ b/internal/sidecar/members_test.go
@@ -69,7 +69,7 @@
 	_, figures := s.manage(t, "GET", statsPath)
 	require.NotContains(t, figures, "svc_members")
 	s.end(t)
-	require.Zero(t, s.loop.Balancer.FleetSize())
+	require.Zero(t, s.loop.Balancer().FleetSize())
 }
 
 func TestMembersTakePartUntilTheyLeave(t *testing.T) {
--- a/internal/sidecar/sites_test.go
+++ b/internal/sidecar/sites_test.go
@@ -79,7 +79,7 @@
 	if got := s.do(p.request(s, "X-Priority-Class", class)); got.status/100 != 4 {
 		t.Errorf("the other site's class %s: %+v", class, got)
 	}
-	if _, known := s.loop.Cfg.Tenants[p.foreign["X-Tenant-Id"]]; known {
+	if _, known := s.cfg.Tenants[p.foreign["X-Tenant-Id"]]; known {
 		t.Errorf("%s knows the other site's tenant", p.class)
 	}
 	_, text := s.manage(t, "GET", statsPath)
