--- /dev/null
+++ b/internal/membership/golden_test.go
@@ -0,0 +1,63 @@
+package membership
+
+import (
+	"os"
+	"testing"
+
+	"github.com/stretchr/testify/assert"
+	"github.com/stretchr/testify/require"
+
+	"marblelane/internal/membership/roster"
+)
+
+// The forms in which members exchange their state and describe themselves must not change: processes of several
+// versions share a fleet.
+
+func goldenEntries() []roster.Entry {
+	return []roster.Entry{
+		{Name: "process-0", Start: 1_700_000_000_000, Addr: "127.0.0.1:7946"},
+		{Name: "process-1", Start: 1_700_000_000_001, Gone: 1_700_000_000_001, Proof: roster.Refused, Addr: "127.0.0.2:7946"},
+		{Name: "process-2", Start: 1_700_000_000_002, Gone: 1_600_000_000_000, Proof: roster.Replaced, Addr: "[::1]:7946"},
+		{Name: "process-3-é", Start: 3, Gone: 3, Proof: roster.Told},
+		{Name: "process-4", Start: 4, Gone: 4, Proof: roster.Left, Addr: "127.0.0.4:1", Observer: true},
+	}
+}
+
+func TestGoldenMessages(t *testing.T) {
+	newcomer, known := ident{"process-0", 1_700_000_000_000}, ident{"process-2", 1_700_000_000_002}
+	asking := encodeEntries(kindAsk, goldenEntries()[0])
+	asking.By = newcomer
+	for name, want := range map[string]message{
+		"entries": encodeEntries(kindEntries, goldenEntries()...),
+		"ask":     asking,
+		"ack":     {Version: messageVersion, Kind: kindAck, By: known, To: newcomer, Digest: 1<<63 + 1},
+	} {
+		t.Run(name, func(t *testing.T) {
+			stored, err := os.ReadFile("testdata/golden/message-" + name + ".json")
+			require.NoError(t, err)
+			got, err := decodeMessage(stored, nil)
+			require.NoError(t, err)
+			assert.Equal(t, want, got)
+			assert.Equal(t, string(stored), string(got.bytes()), "the same message has the same bytes")
+		})
+	}
+}
+
+func TestGoldenMetadata(t *testing.T) {
+	for name, want := range map[string]meta{
+		"full": {Name: "process-0", Start: 1_700_000_000_000, Zone: "zone-é", Role: "sidecar", Version: "1.2.3",
+			Observer: true},
+		"empty": {Name: "p", Start: 1},
+	} {
+		t.Run(name, func(t *testing.T) {
+			stored, err := os.ReadFile("testdata/golden/meta-" + name + ".json")
+			require.NoError(t, err)
+			got, err := decodeMeta(stored)
+			require.NoError(t, err)
+			assert.Equal(t, want, got)
+			again, err := got.encode()
+			require.NoError(t, err)
+			assert.Equal(t, string(stored), string(again))
+		})
+	}
+}
--- /dev/null
+++ b/internal/rollout/golden_test.go
@@ -0,0 +1,78 @@
+package rollout_test
+
+import (
+	"encoding/json"
+	"os"
+	"testing"
+
+	"github.com/stretchr/testify/assert"
+	"github.com/stretchr/testify/require"
+
+	. "marblelane/internal/rollout"
+	"marblelane/internal/route"
+)
+
+// goldenState has tenants with a base alone, with rollouts under way and with some that ended, and an account of each kind.
+func goldenState(t *testing.T) *State {
+	s := NewState()
+	s.Begin(7)
+	everything := route.Subset{Model: []string{"new", "large <&>"}, PodGroup: []int{1, 2}, Zone: []string{"zone-é"},
+		UID: []string{"server-1"}}
+	steps := []Step{{Share: 0.125, HoldMS: 60_000, Requests: 100}, {Share: 1, HoldMS: 0}}
+	full := &Spec{Tenant: "checkout", Name: "full", To: "next", Canary: everything, Classes: []string{"lookup", "write"},
+		Steps: steps, Budget: 500, Late: true, AtEnd: Keep, Note: "a note"}
+	plain := func(tenant, name, atEnd string) *Spec {
+		return &Spec{Tenant: tenant, Name: name, To: "next", Canary: route.Subset{Model: []string{"new"}}, Steps: steps,
+			Budget: 10, AtEnd: atEnd}
+	}
+	account := func(tenant, rollout, process string, granted, spent, returned int64, gone bool) Command {
+		grant := Entry{Process: route.Process{Name: process, Start: 9}, Tenant: tenant, Rollout: rollout, Granted: granted}
+		settlement, end := grant, grant
+		settlement.Spent, settlement.Returned, end.Gone = spent, returned, gone
+		return Command{Op: OpLedger, AtMS: 1_700_000_004_000, Entries: []Entry{grant, settlement, end}}
+	}
+	for _, command := range []Command{
+		{Op: OpBase, AtMS: 1_700_000_000_000, Tenant: "checkout", Base: route.Subset{Model: []string{"old"}}},
+		{Op: OpPost, AtMS: 1_700_000_001_000, Spec: full},
+		account("checkout", "full", "process-a", 100, 20, 0, false),
+		account("checkout", "full", "process-b", 50, 5, 45, true),
+		{Op: OpForward, AtMS: 1_700_000_002_000, Tenant: "checkout", Name: "full", Step: 0},
+		{Op: OpPost, AtMS: 1_700_000_001_000, Spec: plain("paused", "one", Return)},
+		{Op: OpPause, AtMS: 1_700_000_002_000, Tenant: "paused", Name: "one", Why: "looked at"},
+		{Op: OpPost, AtMS: 1_700_000_001_000, Spec: plain("ended", "back", Return)},
+		account("ended", "back", "process-a", 10, 9, 0, false),
+		{Op: OpRollBack, AtMS: 1_700_000_002_000, Tenant: "ended", Name: "back", Why: WhySpent},
+		{Op: OpPost, AtMS: 1_700_000_003_000, Spec: plain("ended", "stopped", Return)},
+		{Op: OpStop, AtMS: 1_700_000_004_000, Tenant: "ended", Name: "stopped", Why: "by hand"},
+		{Op: OpPost, AtMS: 1_700_000_005_000, Spec: plain("ended", "done", Keep)},
+		{Op: OpForward, AtMS: 1_700_000_006_000, Tenant: "ended", Name: "done", Step: 0},
+		{Op: OpForward, AtMS: 1_700_000_007_000, Tenant: "ended", Name: "done", Step: 1},
+		{Op: OpBase, AtMS: 1_700_000_000_000, Tenant: "base alone", Base: everything},
+		{Op: OpClose, Rev: 7<<28 + 3},
+		{Op: OpSchema, Schema: 2},
+	} {
+		apply(t, s, command)
+	}
+	return s
+}
+
+// The stored form of rollouts, as it stands in the list service's snapshots, must not change.
+func TestGoldenState(t *testing.T) {
+	for name, want := range map[string]*State{"full": goldenState(t), "empty": NewState()} {
+		t.Run(name, func(t *testing.T) {
+			stored, err := os.ReadFile("testdata/golden/" + name + ".json")
+			require.NoError(t, err)
+			assert.Equal(t, string(stored), saved(t, want), "what the commands make")
+			got := NewState()
+			require.NoError(t, json.Unmarshal(stored, got))
+			assert.Equal(t, string(stored), saved(t, got), "what is written again")
+			assert.Equal(t, want.Table(), got.Table())
+			assert.Equal(t, want.Rollouts(), got.Rollouts())
+			assert.Equal(t, []int64{want.Rev(), want.Closed(), int64(want.MinSchema())},
+				[]int64{got.Rev(), got.Closed(), int64(got.MinSchema())})
+			granted, spent, returned := got.Held("checkout", "full")
+			wantGranted, wantSpent, wantReturned := want.Held("checkout", "full")
+			assert.Equal(t, []int64{wantGranted, wantSpent, wantReturned}, []int64{granted, spent, returned})
+		})
+	}
+}
