--- a/internal/snapshot/crash_test.go
+++ b/internal/snapshot/crash_test.go
@@ -10,9 +10,9 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
+	"marblelane/internal/fsys"
 	"marblelane/internal/snapshot"
 	"marblelane/internal/snapshot/crashcheck"
-	"marblelane/internal/snapshot/fsys"
 	"marblelane/internal/testutil/disk"
 )
 
--- a/internal/snapshot/crashcheck/crashcheck.go
+++ b/internal/snapshot/crashcheck/crashcheck.go
@@ -11,8 +11,8 @@
 
 	"github.com/google/go-cmp/cmp"
 
+	"marblelane/internal/fsys"
 	"marblelane/internal/snapshot"
-	"marblelane/internal/snapshot/fsys"
 	"marblelane/internal/testutil/disk"
 )
 
--- a/internal/snapshot/inspect.go
+++ b/internal/snapshot/inspect.go
@@ -6,7 +6,7 @@
 	"os"
 	"path/filepath"
 
-	"marblelane/internal/snapshot/fsys"
+	"marblelane/internal/fsys"
 )
 
 // Finding is what was found of one file.
--- a/internal/snapshot/store.go
+++ b/internal/snapshot/store.go
@@ -11,7 +11,7 @@
 	"path/filepath"
 	"sync"
 
-	"marblelane/internal/snapshot/fsys"
+	"marblelane/internal/fsys"
 )
 
 // Names of the files in a folder. A writing goes to the generation that does not hold the newest sound one.
--- a/internal/testutil/disk/careless.go
+++ b/internal/testutil/disk/careless.go
@@ -1,6 +1,6 @@
 package disk
 
-import "marblelane/internal/snapshot/fsys"
+import "marblelane/internal/fsys"
 
 // Careless is a file system through which a program leaves out what makes its files last: the defects that a proof by
 // Exhaust has to find.
--- a/internal/testutil/disk/disk.go
+++ b/internal/testutil/disk/disk.go
@@ -15,7 +15,7 @@
 	"sync"
 	"syscall"
 
-	"marblelane/internal/snapshot/fsys"
+	"marblelane/internal/fsys"
 )
 
 // Sector is how many bytes reach the disk together or not at all.
