--- a/internal/fsys/fsys.go
+++ b/internal/fsys/fsys.go
@@ -1,5 +1,5 @@
-// Package fsys is the little of a file system that state on disk is written by, so that a simulated disk can take its
-// place (internal/testutil/disk).
+// Package fsys is the part of a file system that durable state needs, as an interface, so that tests can replace the
+// operating system's files by a simulated disk (internal/testutil/disk).
 package fsys
 
 import (
@@ -8,43 +8,49 @@
 	"io/fs"
 )
 
-// ErrHeld says that another process has the lock.
-var ErrHeld = errors.New("held by another process")
+// ErrLocked says that another process holds the lock.
+var ErrLocked = errors.New("held by another process")
 
-// FS is a file system. Names are paths; errors name them.
+// FS is a file system. Names are paths, and errors name them.
 type FS interface {
-	// Open opens a file for reading. It follows no symbolic link and waits for nobody, a pipe's other end included.
+	// Open opens a file for reading. It follows no symbolic link and does not block, not even on a pipe without a writer.
 	Open(name string) (File, error)
-	// Create makes a file that is not there yet, for its owner alone.
+	// Create creates a file that its owner alone may read and write. It fails if the name exists.
 	Create(name string) (File, error)
-	// Rename gives a file another name of the same folder, in place of what has it.
+	// Rename renames a file within its folder and replaces a file that has the new name.
 	Rename(from, to string) error
+	// Remove removes a file.
 	Remove(name string) error
-	// Mkdir makes a folder for its owner alone.
+	// Mkdir creates a folder for its owner alone.
 	Mkdir(name string) error
-	// SyncDir makes the names in a folder last over a loss of power.
+	// SyncDir makes the names in a folder durable.
 	SyncDir(name string) error
-	// Lock takes a lock that ends with the process at the latest, or says ErrHeld. It makes the file if need be.
+	// Lock locks a file, which it creates if there is none, or returns ErrLocked. The lock ends with the process at the
+	// latest.
 	Lock(name string) (Lock, error)
 }
 
-// File is an open file. Sync makes what was written last over a loss of power; its name is SyncDir's.
+// File is an open file. Sync makes its content durable; SyncDir does so for its name.
 type File interface {
 	io.ReadWriteCloser
 	Sync() error
 	Stat() (Info, error)
 }
 
-// Info is what is known of a file without reading it.
+// Info describes a file.
 type Info struct {
 	Size  int64 // bytes
 	Mode  fs.FileMode
-	Owner int // its user's number
+	Owner int // number of its user; UnknownOwner: the system does not say
 }
 
-// Lock is a lock that is held.
+// UnknownOwner is the owner of a file whose system has no users.
+const UnknownOwner = -1
+
+// Lock is a lock that this process holds.
 type Lock interface {
-	// Current reports whether the file that is locked still has its name: else another process may lock another.
+	// Current reports whether the locked file still has its name. If not, another process may lock a new file there.
 	Current() bool
+	// Close releases the lock.
 	Close() error
 }
--- a/internal/fsys/os.go
+++ b/internal/fsys/os.go
@@ -7,19 +7,25 @@
 	"syscall"
 )
 
-// OS is the system's own file system.
+// OS is the operating system's file system.
 type OS struct{}
 
+// Permissions for the owner alone.
+const (
+	ownerFile   = 0o600
+	ownerFolder = 0o700
+)
+
 type osFile struct{ *os.File }
 
-// Stat tells size, mode and owner.
+// Stat implements File.
 func (f osFile) Stat() (Info, error) {
-	st, err := f.File.Stat()
+	stat, err := f.File.Stat()
 	if err != nil {
 		return Info{}, err
 	}
-	info := Info{Size: st.Size(), Mode: st.Mode(), Owner: -1}
-	if sys, ok := st.Sys().(*syscall.Stat_t); ok {
+	info := Info{Size: stat.Size(), Mode: stat.Mode(), Owner: UnknownOwner}
+	if sys, ok := stat.Sys().(*syscall.Stat_t); ok {
 		info.Owner = int(sys.Uid)
 	}
 	return info, nil
@@ -34,7 +40,7 @@
 func (OS) Create(name string) (File, error) { return open(name, os.O_WRONLY|os.O_CREATE|os.O_EXCL) }
 
 func open(name string, flags int) (File, error) {
-	f, err := os.OpenFile(name, flags, 0o600)
+	f, err := os.OpenFile(name, flags, ownerFile)
 	if err != nil {
 		return nil, err
 	}
@@ -48,29 +54,29 @@
 func (OS) Remove(name string) error { return os.Remove(name) }
 
 // Mkdir implements FS.
-func (OS) Mkdir(name string) error { return os.Mkdir(name, 0o700) }
+func (OS) Mkdir(name string) error { return os.Mkdir(name, ownerFolder) }
 
 // SyncDir implements FS.
 func (OS) SyncDir(name string) error {
-	d, err := os.Open(name)
+	folder, err := os.Open(name)
 	if err != nil {
 		return err
 	}
-	return errors.Join(d.Sync(), d.Close())
+	return errors.Join(folder.Sync(), folder.Close())
 }
 
 type osLock struct{ *os.File }
 
-// Lock implements FS by flock(2): the system gives it back when the process ends, however it ends.
+// Lock implements FS by flock(2), which the system releases when the process ends, however it ends.
 func (OS) Lock(name string) (Lock, error) {
-	f, err := os.OpenFile(name, os.O_RDWR|os.O_CREATE|syscall.O_NOFOLLOW, 0o600)
+	f, err := os.OpenFile(name, os.O_RDWR|os.O_CREATE|syscall.O_NOFOLLOW, ownerFile)
 	if err != nil {
 		return nil, err
 	}
 	if err := syscall.Flock(int(f.Fd()), syscall.LOCK_EX|syscall.LOCK_NB); err != nil {
 		f.Close()
 		if errors.Is(err, syscall.EWOULDBLOCK) {
-			err = ErrHeld
+			err = ErrLocked
 		}
 		return nil, fmt.Errorf("lock %s: %w", name, err)
 	}
@@ -79,13 +85,13 @@
 
 // Current implements Lock.
 func (l osLock) Current() bool {
-	own, err := l.Stat()
-	now, err2 := os.Stat(l.Name())
-	return err == nil && err2 == nil && os.SameFile(own, now)
+	locked, lockedErr := l.Stat()
+	named, namedErr := os.Stat(l.Name())
+	return lockedErr == nil && namedErr == nil && os.SameFile(locked, named)
 }
 
-// Close implements Lock. It unlocks by word: where the process is starting another one just now, that has the open file
-// too, and with it the lock, until it has become its own program.
+// Close implements Lock. It unlocks explicitly: a child process that is being started shares the open file, and thus the
+// lock, until it executes its program.
 func (l osLock) Close() error {
 	return errors.Join(syscall.Flock(int(l.Fd()), syscall.LOCK_UN), l.File.Close())
 }
--- a/internal/rollout/model/explore_test.go
+++ b/internal/rollout/model/explore_test.go
@@ -67,9 +67,9 @@
 		{GrantsClosed, NewTerms(GrantsClosed, 2, 1, 2, Faults{}), "is closed"},
 		{NoBarrier, NewTerms(NoBarrier, 2, 1, 2, change), "is closed"},
 	} {
-		states, err := explore.Run(c.w, explore.Options{Shortest: !raced})
+		states, err := explore.Run(c.w, explore.Options{BreadthFirst: !raced})
 		require.ErrorContains(t, err, c.want, "defect %d", c.d)
-		var b *explore.Breach
+		var b *explore.Violation
 		require.ErrorAs(t, err, &b)
 		t.Logf("defect %d, after %d states: %v", c.d, states, err)
 	}
--- a/internal/snapshot/age.go
+++ b/internal/snapshot/age.go
@@ -6,85 +6,104 @@
 	"time"
 )
 
-// Ageing says how fast what was learned goes out of date.
+// Ageing says how fast a state goes out of date.
 type Ageing struct {
-	Sizes  time.Duration // in which the trust in sizes halves
-	Most   time.Duration // beyond which no size is trusted at all
-	Rates  time.Duration // beyond which rates are dropped
-	Errors time.Duration // beyond which errors are dropped
-	Cold   time.Duration // in which a server warms up
-	// Slack is how far the clock may have gone back and it counts as no time away: clocks are set by a little.
-	Slack time.Duration
+	SizeHalfLife time.Duration // in which the weight of sizes halves
+	MaxSizeAge   time.Duration // beyond which sizes have no weight
+	MaxRateAge   time.Duration // beyond which rates are dropped
+	MaxErrorAge  time.Duration // beyond which errors are dropped
+	WarmUpTime   time.Duration // in which a server warms up
+	// ClockSlack is how far the wall clock may have gone back and the state still counts as just written.
+	ClockSlack time.Duration
 }
 
-// DefaultAgeing suits a fleet whose servers are replaced within hours and whose troubles last for seconds.
+// DefaultAgeing suits a fleet whose servers are replaced within hours and whose faults last for seconds.
 func DefaultAgeing() Ageing {
-	return Ageing{Sizes: time.Hour, Most: 24 * time.Hour, Rates: 30 * time.Second, Errors: 30 * time.Second,
-		Cold: 10 * time.Second, Slack: 2 * time.Second}
+	return Ageing{
+		SizeHalfLife: time.Hour,
+		MaxSizeAge:   24 * time.Hour,
+		MaxRateAge:   30 * time.Second,
+		MaxErrorAge:  30 * time.Second,
+		WarmUpTime:   10 * time.Second,
+		ClockSlack:   2 * time.Second,
+	}
 }
 
-// Age is how long a process was away.
+// Age is how old a state is.
 type Age struct {
-	Away  time.Duration
-	Known bool    // false: the clock has gone back, and nobody can say
-	Trust float64 // in sizes, from 0 to 1
+	Elapsed time.Duration // since the state was written
+	Known   bool          // false: the wall clock has gone back
+	Weight  float64       // of the sizes, from 0 to 1
 }
 
-// unknownTrust is the trust in sizes of unknown age: that of one halving.
-const unknownTrust = 0.5
+// unknownAgeWeight is the weight of sizes of unknown age: that after one half-life.
+const unknownAgeWeight = 0.5
 
-// Aged gives a state as it is now, by the wall time away. Sizes shrink towards what is assumed of strangers; rates and
-// errors are dropped in time; rests and warm-ups go on. The list stays as it is, with its age.
+// Aged returns the state as it is now. Sizes decay towards those of unknown servers, rates and errors are dropped in
+// time, ejections and warm-ups go on, and the list grows older.
 //
-// When the clock has gone back the age is unknown, and each thing is taken on its careful side: sizes at half trust, no
-// rates, and errors, rests and warm-ups as if no time had passed. These end by themselves within seconds; a server that
-// is pushed over while it is cold does not come back so soon.
-func (s *Snapshot) Aged(now time.Time, by Ageing) (*Snapshot, Age) {
-	age := Age{Away: now.Sub(s.Written), Known: true}
+// If the wall clock has gone back, the age is unknown, and each value is taken on its careful side: sizes have half
+// their weight, there are no rates, and errors, ejections and warm-ups are as if no time had passed. These end within
+// seconds, whereas a server that is overloaded while it warms up takes longer to recover.
+func (s *Snapshot) Aged(now time.Time, ageing Ageing) (*Snapshot, Age) {
+	age := ageing.ageOf(now.Sub(s.Written))
+	aged := *s
+	aged.List.Age += milliseconds(age.Elapsed)
+	aged.List.Servers = slices.Clone(s.List.Servers)
+	aged.Learned = Learned{Kinds: scaled(s.Learned.Kinds, age.Weight), Zones: scaled(s.Learned.Zones, age.Weight)}
+	if age.Known && age.Elapsed <= ageing.MaxRateAge {
+		aged.Learned.Rates = s.Learned.Rates
+	}
+	for _, server := range s.Learned.Servers {
+		aged.Learned.Servers = append(aged.Learned.Servers, server.aged(age, ageing))
+	}
+	return &aged, age
+}
+
+// ageOf returns the age of a state that the wall clock says was written so long ago.
+func (a Ageing) ageOf(elapsed time.Duration) Age {
 	switch {
-	case age.Away < -by.Slack:
-		age = Age{Trust: unknownTrust}
-	case age.Away > by.Most:
-	default:
-		age.Away = max(age.Away, 0)
-		age.Trust = math.Exp2(-age.Away.Seconds() / by.Sizes.Seconds())
+	case elapsed < -a.ClockSlack:
+		return Age{Weight: unknownAgeWeight}
+	case elapsed > a.MaxSizeAge:
+		return Age{Elapsed: elapsed, Known: true}
+	}
+	elapsed = max(elapsed, 0)
+	return Age{Elapsed: elapsed, Known: true, Weight: math.Exp2(-elapsed.Seconds() / a.SizeHalfLife.Seconds())}
+}
+
+// aged returns the server as it is now. Ejections in a row are forgotten once the last is over and no error counts.
+func (s Server) aged(age Age, ageing Ageing) Server {
+	elapsed := milliseconds(age.Elapsed)
+	s.Size *= age.Weight
+	s.ErrorAge += elapsed
+	if s.ErrorAge > milliseconds(ageing.MaxErrorAge) {
+		s.ConsecutiveErrors, s.Down = 0, false
+	}
+	if s.ConsecutiveErrors == 0 {
+		s.ErrorAge = 0
 	}
-	ms := float64(age.Away) / float64(time.Millisecond)
-	out := *s
-	out.List.Age += ms
-	out.List.Servers = slices.Clone(s.List.Servers)
-	out.Learned = Learned{Kinds: scaled(s.Learned.Kinds, age.Trust), Zones: scaled(s.Learned.Zones, age.Trust)}
-	if age.Known && age.Away <= by.Rates {
-		out.Learned.Rates = s.Learned.Rates
+	s.EjectionLeft = max(s.EjectionLeft-elapsed, 0)
+	if s.EjectionLeft == 0 && s.ConsecutiveErrors == 0 {
+		s.Ejections = 0
 	}
-	for _, v := range s.Learned.Servers {
-		v.Size *= age.Trust
-		if v.ErrorAge += ms; v.ErrorAge > millis(by.Errors) {
-			v.Errors, v.ErrorAge, v.Down = 0, 0, false
-		}
-		if v.Errors == 0 {
-			v.ErrorAge = 0
-		}
-		if v.RestLeft = max(v.RestLeft-ms, 0); v.RestLeft == 0 && v.Errors == 0 {
-			v.Rests = 0
-		}
-		if v.ColdAge += ms; !v.Cold || v.ColdAge > millis(by.Cold) {
-			v.Cold, v.ColdAge = false, 0
-		}
-		out.Learned.Servers = append(out.Learned.Servers, v)
+	s.WarmUpAge += elapsed
+	if !s.WarmingUp || s.WarmUpAge > milliseconds(ageing.WarmUpTime) {
+		s.WarmingUp, s.WarmUpAge = false, 0
 	}
-	return &out, age
+	return s
 }
 
-func millis(d time.Duration) float64 { return float64(d) / float64(time.Millisecond) }
+func milliseconds(d time.Duration) float64 { return float64(d) / float64(time.Millisecond) }
 
-func scaled(sizes map[string]float64, by float64) map[string]float64 {
+// scaled returns the sizes times a factor.
+func scaled(sizes map[string]float64, factor float64) map[string]float64 {
 	if sizes == nil {
 		return nil
 	}
 	out := make(map[string]float64, len(sizes))
-	for name, v := range sizes {
-		out[name] = v * by
+	for name, size := range sizes {
+		out[name] = size * factor
 	}
 	return out
 }
--- a/internal/snapshot/crash_test.go
+++ b/internal/snapshot/crash_test.go
@@ -18,19 +18,19 @@
 
 func TestEachCrashGivesTheNewestOrTheOneBefore(t *testing.T) {
 	t.Parallel()
-	images, err := crashcheck.Exhaust(func(d *disk.Disk) fsys.FS { return d })
+	images, err := crashcheck.CheckEveryCrash(func(d *disk.Disk) fsys.FS { return d })
 	require.NoError(t, err)
 	assert.Greater(t, images, 500)
 	t.Logf("%d different images", images)
 }
 
 func TestPlantedDefectsAreFound(t *testing.T) {
-	for say, defect := range map[string]disk.Careless{
+	for say, defect := range map[string]disk.UnsafeFS{
 		"lost: seq 1 had returned ([/s": {NoFileSync: true},
 		"lost: seq 1 had returned ([])": {NoDirSync: true},
 		"a generation is damaged":       {LateSync: true},
 	} {
-		images, err := crashcheck.Exhaust(func(d *disk.Disk) fsys.FS { f := defect; f.FS = d; return &f })
+		images, err := crashcheck.CheckEveryCrash(func(d *disk.Disk) fsys.FS { f := defect; f.FS = d; return &f })
 		require.ErrorContains(t, err, say)
 		t.Logf("%+v: at image %d: %v", defect, images, err)
 	}
@@ -44,9 +44,9 @@
 	require.NoError(t, err)
 	snap := crashcheck.State(1, 0)
 	require.NoError(t, st.Save(context.Background(), snap))
-	w := crashcheck.Allowed{States: []*snapshot.Snapshot{snap}, Least: 1}
-	for im := range d.Exhaust(d.Ops()) {
-		_, err := w.Judge(im)
+	w := crashcheck.Allowed{States: []*snapshot.Snapshot{snap}, MinSeq: 1}
+	for im := range d.CrashImages(d.OpCount()) {
+		_, err := w.Check(im)
 		require.NoError(t, err)
 	}
 }
@@ -54,14 +54,14 @@
 func TestCrashLoop(t *testing.T) {
 	t.Parallel()
 	for seed := range uint64(60) {
-		require.NoError(t, crashcheck.Loop(seed, 10))
+		require.NoError(t, crashcheck.CheckRestarts(seed, 10))
 	}
 }
 
 func TestFullDisk(t *testing.T) {
 	t.Parallel()
 	for space := range int64(len(encoded(t, 2))) {
-		require.NoError(t, crashcheck.Refuse(func(d *disk.Disk) { d.Space = space }, syscall.ENOSPC), "%d bytes", space)
+		require.NoError(t, crashcheck.CheckFailedSave(func(d *disk.Disk) { d.FreeBytes = space }, syscall.ENOSPC), "%d bytes", space)
 	}
 }
 
@@ -71,7 +71,7 @@
 		for _, kind := range []disk.Kind{disk.Create, disk.Write, disk.Sync, disk.Rename, disk.SyncDir} {
 			for _, once := range []bool{true, false} {
 				refused := false
-				require.NoError(t, crashcheck.Refuse(func(d *disk.Disk) {
+				require.NoError(t, crashcheck.CheckFailedSave(func(d *disk.Disk) {
 					d.Fail = func(_ int, op disk.Op) error {
 						if op.Kind == kind && !refused || refused && !once {
 							refused = true
@@ -108,9 +108,9 @@
 					require.ErrorIs(t, st.Save(t.Context(), next), refusal)
 					saved = append(saved, next)
 				}
-				allowed := crashcheck.Allowed{States: saved, Least: saved[0].Seq}
-				for image := range d.Exhaust(d.Ops()) {
-					_, err := allowed.Judge(image)
+				allowed := crashcheck.Allowed{States: saved, MinSeq: saved[0].Seq}
+				for image := range d.CrashImages(d.OpCount()) {
+					_, err := allowed.Check(image)
 					require.NoError(t, err)
 				}
 				d.Fail = nil
--- a/internal/snapshot/crashcheck/crashcheck.go
+++ b/internal/snapshot/crashcheck/crashcheck.go
@@ -1,5 +1,5 @@
-// Package crashcheck holds the store of package snapshot to its promise on a simulated disk: after a loss of power at any
-// moment the newest state whose Save returned is there, or one that was begun after it, whole.
+// Package crashcheck checks the promise of package snapshot on a simulated disk: after a loss of power at any moment, the
+// newest state whose Save returned can be loaded, or one whose save began later, and it is complete.
 package crashcheck
 
 import (
@@ -16,154 +16,193 @@
 	"marblelane/internal/testutil/disk"
 )
 
-// Dir is the folder that states are kept in.
+// Dir is the state folder on the simulated disk.
 const Dir = "/s"
 
-// Own is whose states they are.
-func Own() snapshot.Identity {
+// The reasons for which operations of the simulated disk fail.
+var (
+	errKilled    = errors.New("killed")
+	errPowerLost = errors.New("power is lost")
+)
+
+// Identity is the identity of all states here.
+func Identity() snapshot.Identity {
 	return snapshot.Identity{Site: "stock", Name: "one", Settings: "abc", Program: "test"}
 }
 
-// Open opens a store for states of Own; a nil file system is the real one.
-func Open(dir string, on fsys.FS) (*snapshot.Store, error) {
-	return snapshot.Open(dir, snapshot.Options{Identity: Own(), FS: on})
+// Open opens a store for states of Identity. A nil file system is the operating system's.
+func Open(dir string, files fsys.FS) (*snapshot.Store, error) {
+	return snapshot.Open(dir, snapshot.Options{Identity: Identity(), FS: files})
 }
 
-// State is a state that is unlike that of each other n in all its parts.
-func State(n, servers int) *snapshot.Snapshot {
-	s := &snapshot.Snapshot{Identity: Own(), Written: time.UnixMilli(1_700_000_000_000 + int64(n)).UTC()}
-	s.Learned.Kinds = map[string]float64{"big": float64(n) + 0.5}
-	s.Learned.Rates = snapshot.Rates{Asked: float64(n),
-		Classes: map[string]snapshot.Class{"read": {Answers: 3, Mean: float64(n), Dev: 1}}}
+// State returns a state of which each part differs from that of other numbers.
+func State(number, servers int) *snapshot.Snapshot {
+	s := &snapshot.Snapshot{Identity: Identity(), Written: time.UnixMilli(1_700_000_000_000 + int64(number)).UTC()}
+	s.Learned.Kinds = map[string]float64{"big": float64(number) + 0.5}
+	s.Learned.Rates = snapshot.Rates{Requests: float64(number),
+		Classes: map[string]snapshot.Class{"read": {Answers: 3, Mean: float64(number), Deviation: 1}}}
 	for i := range servers {
 		uid := fmt.Sprintf("server-%d", i)
 		s.Learned.Servers = append(s.Learned.Servers,
-			snapshot.Server{UID: uid, Size: float64(n) / 8, Errors: n, ErrorAge: 5})
+			snapshot.Server{UID: uid, Size: float64(number) / 8, ConsecutiveErrors: number, ErrorAge: 5})
 		s.List.Servers = append(s.List.Servers,
-			snapshot.Entry{UID: uid, Endpoint: "127.0.0.1:1", State: "Ready", Capacity: float64(n)})
+			snapshot.Entry{UID: uid, Endpoint: "127.0.0.1:1", State: "Ready", Capacity: float64(number)})
 	}
-	s.List.Rev, s.List.Epoch = int64(n), 7
+	s.List.Rev, s.List.Epoch = int64(number), 7
 	return s
 }
 
-// Allowed are the states that may be found.
+// Allowed describes the states that may be loaded after a crash.
 type Allowed struct {
 	States []*snapshot.Snapshot
-	Least  uint64 // seq of the last whose Save returned; 0: none has
+	MinSeq uint64 // of the last state whose Save returned; 0: none has
 }
 
-// Judge says what is wrong with what a disk holds, if anything, and else what is loaded from it.
-func (a Allowed) Judge(im disk.Image) (*snapshot.Snapshot, error) {
-	st, _ := Open(Dir, disk.New(im)) // a store that cannot save can load
-	got, asides := st.Load()
-	switch {
-	case got == nil && a.Least > 0:
-		return nil, fmt.Errorf("lost: seq %d had returned (%v)", a.Least, asides)
-	case got == nil:
-		return nil, nil
-	case got.Seq < a.Least:
-		return nil, fmt.Errorf("older: seq %d, and %d had returned (%v)", got.Seq, a.Least, asides)
-	case !slices.ContainsFunc(a.States, func(s *snapshot.Snapshot) bool { return cmp.Equal(s, got) }):
-		return nil, fmt.Errorf("mixture: seq %d is not what was written", got.Seq)
-	case len(asides) > 0:
-		return nil, fmt.Errorf("a generation is damaged: %v", asides)
+// AllowedAfter returns what may be loaded once a process has loaded a state, or nil, and has not saved another.
+func AllowedAfter(loaded *snapshot.Snapshot) Allowed {
+	if loaded == nil {
+		return Allowed{}
 	}
-	return got, nil
+	return Allowed{States: []*snapshot.Snapshot{loaded}, MinSeq: loaded.Seq}
 }
 
-// After is what may be found once a state was loaded and a process begins from there.
-func After(got *snapshot.Snapshot) Allowed {
-	if got == nil {
-		return Allowed{}
+// Check loads a state from a disk with this image. It returns the state, or how the image breaks the promise.
+func (a Allowed) Check(image disk.Image) (*snapshot.Snapshot, error) {
+	store, _ := Open(Dir, disk.New(image)) // a store that cannot save can load
+	loaded, unused := store.Load()
+	switch {
+	case loaded == nil && a.MinSeq > 0:
+		return nil, fmt.Errorf("lost: seq %d had returned (%v)", a.MinSeq, unused)
+	case loaded == nil:
+		return nil, nil
+	case loaded.Seq < a.MinSeq:
+		return nil, fmt.Errorf("older: seq %d, and %d had returned (%v)", loaded.Seq, a.MinSeq, unused)
+	case !slices.ContainsFunc(a.States, func(s *snapshot.Snapshot) bool { return cmp.Equal(s, loaded) }):
+		return nil, fmt.Errorf("mixture: seq %d is not what was written", loaded.Seq)
+	case len(unused) > 0:
+		return nil, fmt.Errorf("a generation is damaged: %v", unused)
 	}
-	return Allowed{States: []*snapshot.Snapshot{got}, Least: got.Seq}
+	return loaded, nil
 }
 
-// Exhaust plays four saves of a process, whole and with the process killed before each operation of the last and
-// another one going on. It judges all that may be left by a loss of power after each operation; and from each of these
-// states the save of a process that recovers, in the same way. It returns how many different images it judged.
-func Exhaust(through func(*disk.Disk) fsys.FS) (int, error) {
-	p := &prover{seen: map[string]bool{}, through: through}
-	for kill := -1; kill <= saveOps; kill++ {
-		if err := p.play(disk.New(disk.Image{"/": nil}), Allowed{}, 4, kill, true); err != nil {
-			return len(p.seen), fmt.Errorf("killed before operation %d of the last save (-1: never): %w", kill, err)
+const (
+	// savesOfProcess is how many states a process saves before the crash: each generation is written twice.
+	savesOfProcess = 4
+	// maxSaveOps is the highest number of operations of a save: remove, create, write, sync, rename, sync of the folder.
+	maxSaveOps = 6
+	// neverKilled as a number of operations is a process that ends by itself.
+	neverKilled = -1
+)
+
+// CheckEveryCrash runs a process that saves several states, once to its end and once for each operation of the last save
+// with the process killed before that operation and another process after it. It checks all images that a loss of power
+// may leave after each operation. From each of these images it runs a process that recovers and saves once more, and
+// checks that in the same way. It returns the number of different images that it checked. Processes use the disk through
+// the file system that wrap returns.
+func CheckEveryCrash(wrap func(*disk.Disk) fsys.FS) (images int, err error) {
+	c := &checker{seen: map[string]bool{}, wrap: wrap}
+	for killedBefore := neverKilled; killedBefore <= maxSaveOps; killedBefore++ {
+		run := processRun{saves: savesOfProcess, killedBefore: killedBefore}
+		if err := c.checkCrashes(disk.New(disk.Image{"/": nil}), Allowed{}, run, true); err != nil {
+			return len(c.seen), fmt.Errorf("killed before operation %d of the last save (-1: never): %w", killedBefore, err)
 		}
 	}
-	return len(p.seen), nil
+	return len(c.seen), nil
 }
 
-// saveOps is how many operations a save has at most: remove, create, write, sync, rename, sync of the folder.
-const saveOps = 6
+// processRun is what a process does: it opens the folder, loads and saves.
+type processRun struct {
+	saves        int
+	killedBefore int // operation of the last save, or neverKilled
+}
 
-type prover struct {
-	seen    map[string]bool // images by what was allowed at the least
-	through func(*disk.Disk) fsys.FS
-	number  int // of states
+type checker struct {
+	seen       map[string]bool // images by imageKey
+	wrap       func(*disk.Disk) fsys.FS
+	stateCount int // states saved so far
 }
 
-// play saves states and then judges what each loss of power leaves.
-func (p *prover) play(d *disk.Disk, from Allowed, saves, kill int, deeper bool) error {
-	on := p.through(d)
-	at, err := p.process(d, on, []Allowed{from}, saves, kill) // by the operations done
-	if err == nil && kill >= 0 {
-		at, err = p.process(d, on, at, 1, -1)
-	}
+// checkCrashes runs a process and checks each image that a loss of power may leave. If recovers is true, it continues
+// with a process that starts from the image.
+func (c *checker) checkCrashes(d *disk.Disk, before Allowed, run processRun, recovers bool) error {
+	allowedAt, err := c.runProcesses(d, before, run)
 	if err != nil {
 		return err
 	}
-	for n, allowed := range at {
-		for im := range d.Exhaust(n) {
-			key := fmt.Sprint(allowed.Least, deeper) + im.Key()
-			if p.seen[key] {
+	for opCount, allowed := range allowedAt {
+		for image := range d.CrashImages(opCount) {
+			key := imageKey(image, allowed, recovers)
+			if c.seen[key] {
 				continue
 			}
-			p.seen[key] = true
-			got, err := allowed.Judge(im)
-			if err == nil && deeper {
-				err = p.play(disk.New(im), After(got), 1, -1, false)
+			c.seen[key] = true
+			loaded, err := allowed.Check(image)
+			if err == nil && recovers {
+				recovery := processRun{saves: 1, killedBefore: neverKilled}
+				err = c.checkCrashes(disk.New(image), AllowedAfter(loaded), recovery, false)
 			}
 			if err != nil {
-				return fmt.Errorf("power lost after operation %d: %w", n, err)
+				return fmt.Errorf("power lost after operation %d: %w", opCount, err)
 			}
 		}
 	}
 	return nil
 }
 
-// process opens the folder, loads and saves, and is killed before an operation of its last save (-1: it ends). It notes
-// what is allowed from each operation on.
-func (p *prover) process(d *disk.Disk, on fsys.FS, at []Allowed, saves, kill int) ([]Allowed, error) {
-	until := func(a Allowed) {
-		for len(at) <= d.Ops() {
-			at = append(at, a)
+// imageKey identifies an image and what is checked of it.
+func imageKey(image disk.Image, allowed Allowed, recovers bool) string {
+	return fmt.Sprint(allowed.MinSeq, recovers) + image.Key()
+}
+
+// runProcesses runs a process and, if it is killed, another one that saves once. It returns what is allowed after each
+// number of operations.
+func (c *checker) runProcesses(d *disk.Disk, before Allowed, run processRun) ([]Allowed, error) {
+	files := c.wrap(d)
+	allowedAt, err := c.runProcess(d, files, []Allowed{before}, run)
+	if err != nil || run.killedBefore == neverKilled {
+		return allowedAt, err
+	}
+	return c.runProcess(d, files, allowedAt, processRun{saves: 1, killedBefore: neverKilled})
+}
+
+// runProcess runs a process and extends allowedAt by the operations that it does.
+func (c *checker) runProcess(d *disk.Disk, files fsys.FS, allowedAt []Allowed, run processRun) ([]Allowed, error) {
+	extend := func(allowed Allowed) {
+		for len(allowedAt) <= d.OpCount() {
+			allowedAt = append(allowedAt, allowed)
 		}
 	}
-	st, err := Open(Dir, on)
+	store, err := Open(Dir, files)
 	if err != nil {
 		return nil, err
 	}
-	st.Load()
-	for i := range saves {
-		if last := d.Ops() + kill; i == saves-1 && kill >= 0 {
-			d.Fail = func(done int, op disk.Op) error {
-				if op.Kind != disk.Open && done >= last {
-					return errors.New("killed")
-				}
-				return nil
-			}
+	store.Load()
+	for save := range run.saves {
+		if save == run.saves-1 && run.killedBefore != neverKilled {
+			killBefore(d, d.OpCount()+run.killedBefore)
 		}
-		now := at[len(at)-1]
-		until(now)
-		p.number++
-		snap := State(p.number, 6*(i%2)) // of one sector, and of three
-		err := st.Save(context.Background(), snap)
-		now.States = append(slices.Clip(now.States), snap)
-		until(now)
+		allowed := allowedAt[len(allowedAt)-1]
+		extend(allowed)
+		c.stateCount++
+		state := State(c.stateCount, 6*(save%2)) // files of one and of three sectors
+		err := store.Save(context.Background(), state)
+		allowed.States = append(slices.Clip(allowed.States), state)
+		extend(allowed)
 		if err == nil {
-			now.Least = snap.Seq
-			at[len(at)-1] = now
+			allowed.MinSeq = state.Seq
+			allowedAt[len(allowedAt)-1] = allowed
 		}
 	}
 	d.Fail = nil
-	return at, st.Close()
+	return allowedAt, store.Close()
+}
+
+// killBefore lets each operation fail that follows the first opCount ones, as if the process were killed. Open goes on.
+func killBefore(d *disk.Disk, opCount int) {
+	d.Fail = func(done int, op disk.Op) error {
+		if op.Kind != disk.Open && done >= opCount {
+			return errKilled
+		}
+		return nil
+	}
 }
--- /dev/null
+++ b/internal/snapshot/crashcheck/random.go
@@ -0,0 +1,89 @@
+package crashcheck
+
+import (
+	"context"
+	"errors"
+	"fmt"
+	"math/rand/v2"
+
+	"github.com/google/go-cmp/cmp"
+
+	"marblelane/internal/snapshot"
+	"marblelane/internal/testutil/disk"
+)
+
+// maxOpsOfProcess bounds how many operations a process does before the power fails: those of opening and of two saves.
+const maxOpsOfProcess = 12
+
+// CheckRestarts runs processes one after the other. The power fails at a random operation of each, and the next one
+// starts from a random image that may be left.
+func CheckRestarts(seed uint64, restarts int) error {
+	rng := rand.New(rand.NewPCG(seed, 13))
+	image := disk.Image{"/": nil}
+	var allowed Allowed
+	for restart := range restarts {
+		loaded, err := allowed.Check(image)
+		if err != nil {
+			return fmt.Errorf("seed %d, restart %d: %w", seed, restart, err)
+		}
+		allowed = AllowedAfter(loaded)
+		d := disk.New(image)
+		losePowerAfter(d, rng.IntN(maxOpsOfProcess))
+		store, _ := Open(Dir, d) // each Save tries again what failed
+		for save := range 2 {
+			state := State(10*restart+save, rng.IntN(5))
+			err := store.Save(context.Background(), state)
+			if state.Seq > 0 { // the save has begun
+				allowed.States = append(allowed.States, state)
+			}
+			if err != nil {
+				break
+			}
+			allowed.MinSeq = state.Seq
+		}
+		image = d.SampleCrash(d.OpCount(), rng)
+	}
+	return nil
+}
+
+// losePowerAfter lets each operation fail that follows the first opCount ones.
+func losePowerAfter(d *disk.Disk, opCount int) {
+	d.Fail = func(done int, _ disk.Op) error {
+		if done >= opCount {
+			return errPowerLost
+		}
+		return nil
+	}
+}
+
+// CheckFailedSave saves a state, lets breakDisk change the disk, and saves another state, which has to fail with want.
+// The first state has to survive a loss of power then, and once the disk works again, the next save has to succeed.
+func CheckFailedSave(breakDisk func(d *disk.Disk), want error) error {
+	d := disk.New(disk.Image{"/": nil})
+	store, err := Open(Dir, d)
+	if err != nil {
+		return err
+	}
+	first, second, third := State(1, 1), State(2, 1), State(3, 1)
+	if err := store.Save(context.Background(), first); err != nil {
+		return err
+	}
+	breakDisk(d)
+	if err := store.Save(context.Background(), second); !errors.Is(err, want) {
+		return fmt.Errorf("the save ends with %w, and not with %w", err, want)
+	}
+	d.Fail, d.FreeBytes = nil, disk.Unlimited
+	allowed := Allowed{States: []*snapshot.Snapshot{first, second}, MinSeq: first.Seq}
+	for image := range d.CrashImages(d.OpCount()) {
+		if _, err := allowed.Check(image); err != nil {
+			return err
+		}
+	}
+	if err := store.Save(context.Background(), third); err != nil {
+		return fmt.Errorf("save after the disk works again: %w", err)
+	}
+	if loaded, unused := store.Load(); len(unused) > 0 || !cmp.Equal(third, loaded) {
+		return fmt.Errorf("save after the disk works again: another state is loaded (%v)", unused)
+	}
+	return nil
+}
--- a/internal/snapshot/export_test.go
+++ b/internal/snapshot/export_test.go
@@ -1,20 +1,17 @@
 package snapshot
 
-// What tests of the format need to make files that this program does not write.
+// Tests of the format use these to make files that this program does not write.
 var (
-	Seal    = seal
-	Unframe = unframe
-
-	// ThreeSections is a header that tells no more than how many sections there are.
-	ThreeSections = header{sections: 3}
+	EncodeFile     = encodeFile
+	DecodeSections = decodeSections
 )
 
 type Section = section
 
-func NewSection(name string, must bool, body string) Section {
+func NewSection(name string, critical bool, body string) Section {
 	s := section{name: name, body: []byte(body)}
-	if must {
-		s.flags = flagMust
+	if critical {
+		s.flags = flagCritical
 	}
 	return s
 }
--- a/internal/snapshot/format.go
+++ b/internal/snapshot/format.go
@@ -14,36 +14,53 @@
 	"time"
 )
 
-// A file is a header, sections and a digest of all before it. Figures are big-endian.
+// A file is a header, sections and a digest of all before it. Integers are big-endian; sizes in parentheses are bytes.
 //
-//	header   magic (8 bytes), format (2), least (2), sections (4), bytes of the file (8), seq (8), CRC-32C of these (4)
-//	section  name (4), flags (4), bytes of the body (4), CRC-32C of these and of the body (4), body in JSON
+//	header   magic (8), format (2), oldest format that may read it (2), number of sections (4), size of the file (8),
+//	         sequence number (8), CRC-32C of these (4)
+//	section  name (4), flags (4), size of the body (4), CRC-32C of these and of the body (4), body in JSON
 //	digest   SHA-256 (32)
 //
-// The CRCs tell where a file is damaged; the digest is what it has to be whole by, as a CRC misses one in 2^32 of the
-// ways to put sectors of two writings together. Header and digest never change, whatever the format.
+// The CRCs tell where a file is damaged. The digest decides whether it is complete, as a CRC misses one in 2^32 mixtures
+// of sectors of two files. Header and digest are the same in every format.
 //
-// How programs of different age read each other's files:
-//   - a newer program reads each older format; a section or key that is not there has its zero value;
-//   - an older one refuses a file whose least format is beyond its own, whatever else is in it;
-//   - else it skips a section that it does not know, unless the section's flag says that it must be understood;
-//   - and a key that it does not know, unless the section's key "must" names it. What is within a key that is known can
+// Compatibility:
+//   - a newer program reads each older format; a section or key that is missing has its zero value;
+//   - an older program refuses a file whose oldest reader is newer than itself, whatever else is in it;
+//   - otherwise it skips a section that it does not know, unless the section has flagCritical;
+//   - and it skips a key that it does not know, unless the section's key "must" names it. The value of a known key can
 //     only gain keys that may be skipped.
 //
-// JSON, as people read these files in a bad hour, it has a reader everywhere, and its cost is paid off the event loop.
-// The way not taken: msgpack, half as long; length is bounded anyway.
+// The bodies are JSON so that an operator can read them without this program. msgpack would be half as long, but the
+// size is bounded anyway and files are written off the event loop.
 const (
 	// Format is the newest format that this program reads, and the one that it writes.
 	Format = 1
-	// least is the oldest program's format that may read what this one writes.
-	least = 1
+	// minReaderFormat is the oldest format whose programs may read what this one writes.
+	minReaderFormat = 1
 
-	headerBytes  = 36
-	sectionBytes = 16
-	digestBytes  = sha256.Size
-	maxSections  = 64
+	maxSections = 64
 
-	flagMust = 1 // a reader that does not know the section has to refuse the file
+	// flagCritical marks a section that a reader must know to use the file.
+	flagCritical = 1
+)
+
+// Sizes of the parts of a file, and offsets of fields in them, in bytes.
+const (
+	headerFormatAt    = 8
+	headerMinReaderAt = 10
+	headerSectionsAt  = 12
+	headerSizeAt      = 16
+	headerSeqAt       = 24
+	headerCRCAt       = 32
+	headerBytes       = 36
+
+	sectionFlagsAt = 4
+	sectionSizeAt  = 8
+	sectionCRCAt   = 12
+	sectionBytes   = 16 // without the body
+
+	digestBytes = sha256.Size
 )
 
 // magic begins each file: a byte beyond ASCII, and line ends that a transfer as text would change.
@@ -56,30 +73,39 @@
 	sectionList    = "list"
 )
 
+// Parts of a file in a DamageError, beside those for one section.
+const (
+	partHeader   = "header"
+	partSections = "sections"
+	partDigest   = "digest"
+)
+
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
 
-// ErrNewer says that a file is whole, and was written by a newer program in a way that this one must not read.
+// ErrNewer says that a file is complete, and that only a newer program may read it.
 var ErrNewer = errors.New("from a newer program")
 
-// DamageError says where a file is not what was written.
+// DamageError says where a file differs from what was written.
 type DamageError struct {
-	At  int64  // bytes from the file's start, of what was being read
-	In  string // part of the file
-	Err error
+	Offset int64  // of the part, in bytes from the start of the file
+	Part   string // of the file
+	Err    error
 }
 
 // Error implements error.
-func (e *DamageError) Error() string { return fmt.Sprintf("at byte %d, in %s: %v", e.At, e.In, e.Err) }
+func (e *DamageError) Error() string {
+	return fmt.Sprintf("at byte %d, in %s: %v", e.Offset, e.Part, e.Err)
+}
 
-// Unwrap gives the cause.
+// Unwrap returns the cause.
 func (e *DamageError) Unwrap() error { return e.Err }
 
-func damaged(at int, in, format string, args ...any) error {
-	return &DamageError{At: int64(at), In: in, Err: fmt.Errorf(format, args...)}
+func damagedAt(offset int, part, format string, args ...any) error {
+	return &DamageError{Offset: int64(offset), Part: part, Err: fmt.Errorf(format, args...)}
 }
 
-// head is the JSON of the first section.
-type head struct {
+// headSection is the body of the section sectionHead.
+type headSection struct {
 	Identity
 	WrittenMS int64 `json:"written_ms"` // Unix time
 }
@@ -90,126 +116,203 @@
 	body  []byte
 }
 
-// Encode gives the file of a state.
+// Encode returns the file of a state.
 func Encode(s *Snapshot) ([]byte, error) {
-	if err := s.Check(); err != nil {
+	if err := s.Validate(); err != nil {
 		return nil, err
 	}
 	parts := []struct {
 		name  string
 		flags uint32
-		v     any
+		value any
 	}{
-		{sectionHead, flagMust, head{s.Identity, s.Written.UnixMilli()}},
+		{sectionHead, flagCritical, headSection{s.Identity, s.Written.UnixMilli()}},
 		{sectionLearned, 0, &s.Learned},
 		{sectionList, 0, &s.List},
 	}
 	sections := make([]section, 0, len(parts))
-	for _, p := range parts {
-		body, err := json.Marshal(p.v)
+	for _, part := range parts {
+		body, err := json.Marshal(part.value)
 		if err != nil {
-			return nil, fmt.Errorf("section %s: %w", p.name, err)
+			return nil, fmt.Errorf("section %s: %w", part.name, err)
 		}
-		sections = append(sections, section{p.name, p.flags, body})
+		sections = append(sections, section{part.name, part.flags, body})
 	}
-	return seal(Format, least, s.Seq, sections), nil
+	return encodeFile(Format, minReaderFormat, s.Seq, sections), nil
 }
 
-// seal frames sections and puts the checksums in.
-func seal(format, least uint16, seq uint64, sections []section) []byte {
+// encodeFile returns a file with its header, checksums and digest.
+func encodeFile(format, minReader uint16, seq uint64, sections []section) []byte {
 	size := headerBytes + digestBytes
 	for _, s := range sections {
 		size += sectionBytes + len(s.body)
 	}
-	b := make([]byte, 0, size)
-	b = append(b, magic...)
-	b = binary.BigEndian.AppendUint16(b, format)
-	b = binary.BigEndian.AppendUint16(b, least)
-	b = binary.BigEndian.AppendUint32(b, uint32(len(sections)))
-	b = binary.BigEndian.AppendUint64(b, uint64(size))
-	b = binary.BigEndian.AppendUint64(b, seq)
-	b = binary.BigEndian.AppendUint32(b, crc32.Checksum(b, castagnoli))
+	file := make([]byte, 0, size)
+	file = append(file, magic...)
+	file = binary.BigEndian.AppendUint16(file, format)
+	file = binary.BigEndian.AppendUint16(file, minReader)
+	file = binary.BigEndian.AppendUint32(file, uint32(len(sections)))
+	file = binary.BigEndian.AppendUint64(file, uint64(size))
+	file = binary.BigEndian.AppendUint64(file, seq)
+	file = binary.BigEndian.AppendUint32(file, crc32.Checksum(file, castagnoli))
 	for _, s := range sections {
-		at := len(b)
-		b = append(b, s.name...)
-		b = binary.BigEndian.AppendUint32(b, s.flags)
-		b = binary.BigEndian.AppendUint32(b, uint32(len(s.body)))
-		sum := crc32.Update(crc32.Checksum(b[at:], castagnoli), castagnoli, s.body)
-		b = binary.BigEndian.AppendUint32(b, sum)
-		b = append(b, s.body...)
+		start := len(file)
+		file = append(file, s.name...)
+		file = binary.BigEndian.AppendUint32(file, s.flags)
+		file = binary.BigEndian.AppendUint32(file, uint32(len(s.body)))
+		file = binary.BigEndian.AppendUint32(file, sectionCRC(file[start:], s.body))
+		file = append(file, s.body...)
 	}
-	digest := sha256.Sum256(b)
-	return append(b, digest[:]...)
+	digest := sha256.Sum256(file)
+	return append(file, digest[:]...)
 }
 
-// header is what a file says of itself before anything else is read.
+// sectionCRC is the checksum of a section: of its head before the checksum, and of its body.
+func sectionCRC(head, body []byte) uint32 {
+	return crc32.Update(crc32.Checksum(head, castagnoli), castagnoli, body)
+}
+
+// header is the first part of a file.
 type header struct {
-	format, least uint16
-	sections      int
-	size, seq     uint64
+	format    uint16
+	minReader uint16 // oldest format whose programs may read the file
+	sections  int
+	size      uint64 // of the file
+	seq       uint64
 }
 
-func readHeader(b []byte) (h header, err error) {
+func decodeHeader(file []byte) (h header, err error) {
 	switch {
-	case len(b) == 0:
-		return h, damaged(0, "header", "the file is empty")
-	case len(b) < headerBytes:
-		return h, damaged(0, "header", "the file ends after %d bytes", len(b))
-	case string(b[:len(magic)]) != magic:
-		return h, damaged(0, "header", "it does not begin as a state does")
-	case binary.BigEndian.Uint32(b[32:]) != crc32.Checksum(b[:32], castagnoli):
-		return h, damaged(0, "header", "the checksum is not its own")
+	case len(file) == 0:
+		return h, damagedAt(0, partHeader, "the file is empty")
+	case len(file) < headerBytes:
+		return h, damagedAt(0, partHeader, "the file ends after %d bytes", len(file))
+	case string(file[:len(magic)]) != magic:
+		return h, damagedAt(0, partHeader, "it does not begin as a state does")
+	case binary.BigEndian.Uint32(file[headerCRCAt:]) != crc32.Checksum(file[:headerCRCAt], castagnoli):
+		return h, damagedAt(0, partHeader, "the checksum is not its own")
 	}
 	h = header{
-		format: binary.BigEndian.Uint16(b[8:]), least: binary.BigEndian.Uint16(b[10:]),
-		sections: int(binary.BigEndian.Uint32(b[12:])),
-		size:     binary.BigEndian.Uint64(b[16:]), seq: binary.BigEndian.Uint64(b[24:]),
+		format:    binary.BigEndian.Uint16(file[headerFormatAt:]),
+		minReader: binary.BigEndian.Uint16(file[headerMinReaderAt:]),
+		sections:  int(binary.BigEndian.Uint32(file[headerSectionsAt:])),
+		size:      binary.BigEndian.Uint64(file[headerSizeAt:]),
+		seq:       binary.BigEndian.Uint64(file[headerSeqAt:]),
 	}
-	if h.format == 0 || h.least > h.format {
-		return h, damaged(8, "header", "format %d, to be read from %d on, cannot be", h.format, h.least)
+	if h.format == 0 || h.minReader > h.format {
+		return h, damagedAt(headerFormatAt, partHeader, "format %d, to be read from %d on, cannot be", h.format, h.minReader)
 	}
 	return h, nil
 }
 
-// Decode reads a file. A DamageError says where it is not what was written, and ErrNewer that it is another program's.
-func Decode(b []byte) (*Snapshot, error) {
-	h, err := readHeader(b)
+// Decode reads a file. The error is a *DamageError if the file differs from what was written, or ErrNewer if only a
+// newer program may read it.
+func Decode(file []byte) (*Snapshot, error) {
+	h, err := decodeHeader(file)
+	if err != nil {
+		return nil, err
+	}
+	sections, err := checkedSections(file, h)
+	if err != nil {
+		return nil, err
+	}
+	s, err := decodeState(sections)
 	if err != nil {
 		return nil, err
 	}
-	if h.size != uint64(len(b)) {
-		return nil, damaged(16, "header", "it tells of %d bytes, and the file has %d", h.size, len(b))
+	s.Seq = h.seq
+	if err := s.Validate(); err != nil {
+		return nil, damagedAt(headerBytes, partSections, "the state cannot be: %w", err)
+	}
+	return s, nil
+}
+
+// checkedSections returns the sections of a file that is complete and that this program may read.
+func checkedSections(file []byte, h header) ([]section, error) {
+	if h.size != uint64(len(file)) {
+		return nil, damagedAt(headerSizeAt, partHeader, "it tells of %d bytes, and the file has %d", h.size, len(file))
 	}
-	if len(b) < headerBytes+digestBytes {
-		return nil, damaged(headerBytes, "digest", "the file ends after %d bytes", len(b))
+	if len(file) < headerBytes+digestBytes {
+		return nil, damagedAt(headerBytes, partDigest, "the file ends after %d bytes", len(file))
 	}
-	end := len(b) - digestBytes
+	end := len(file) - digestBytes
 	var sections []section
-	if h.least <= Format { // else what is between header and digest may be framed otherwise
-		if sections, err = unframe(b[:end], h); err != nil {
+	if h.minReader <= Format { // a file of a later format may have other parts between header and digest
+		var err error
+		if sections, err = decodeSections(file[:end], h.sections); err != nil {
 			return nil, err
 		}
 	}
-	if digest := sha256.Sum256(b[:end]); !bytes.Equal(digest[:], b[end:]) {
-		return nil, damaged(end, "digest", "it is not that of the bytes before it")
+	if digest := sha256.Sum256(file[:end]); !bytes.Equal(digest[:], file[end:]) {
+		return nil, damagedAt(end, partDigest, "it is not that of the bytes before it")
 	}
-	if h.least > Format {
+	if h.minReader > Format {
 		return nil, fmt.Errorf("%w: format %d, to be read from %d on; this one reads up to %d",
-			ErrNewer, h.format, h.least, Format)
+			ErrNewer, h.format, h.minReader, Format)
+	}
+	return sections, nil
+}
+
+// decodeSections splits a file without its digest into its sections.
+func decodeSections(file []byte, count int) ([]section, error) {
+	if count > maxSections {
+		return nil, damagedAt(headerSectionsAt, partHeader, "it tells of %d sections, and %d is the most", count, maxSections)
 	}
-	s := &Snapshot{Seq: h.seq}
-	var first *head
+	sections, offset := make([]section, 0, count), headerBytes
+	for i := range count {
+		s, size, err := decodeSection(file, offset, i)
+		if err != nil {
+			return nil, err
+		}
+		if slices.ContainsFunc(sections, func(earlier section) bool { return earlier.name == s.name }) {
+			return nil, damagedAt(offset, s.part(i), "it is there twice")
+		}
+		sections, offset = append(sections, s), offset+size
+	}
+	if offset != len(file) {
+		return nil, damagedAt(offset, partSections, "%d bytes are left over", len(file)-offset)
+	}
+	return sections, nil
+}
+
+// decodeSection reads the section with a number that begins at an offset. It returns how many bytes it has in the file.
+func decodeSection(file []byte, offset, number int) (s section, size int, err error) {
+	head := file[offset:]
+	if len(head) < sectionBytes {
+		return s, 0, damagedAt(offset, fmt.Sprintf("section %d", number), "the file ends")
+	}
+	head, rest := head[:sectionBytes], head[sectionBytes:]
+	s = section{name: string(head[:sectionFlagsAt]), flags: binary.BigEndian.Uint32(head[sectionFlagsAt:])}
+	bodySize := binary.BigEndian.Uint32(head[sectionSizeAt:])
+	if uint64(bodySize) > uint64(len(rest)) {
+		return s, 0, damagedAt(offset, s.part(number), "it tells of %d bytes, and %d are left", bodySize, len(rest))
+	}
+	s.body = rest[:bodySize]
+	if binary.BigEndian.Uint32(head[sectionCRCAt:]) != sectionCRC(head[:sectionCRCAt], s.body) {
+		return s, 0, damagedAt(offset, s.part(number), "the checksum is not its own")
+	}
+	return s, sectionBytes + int(bodySize), nil
+}
+
+// part names a section in a DamageError.
+func (s section) part(number int) string { return fmt.Sprintf("section %d (%q)", number, s.name) }
+
+// decodeState reads the bodies of the sections. It skips sections that this program does not know and may skip.
+func decodeState(sections []section) (*Snapshot, error) {
+	s := &Snapshot{}
+	var head *headSection
 	for _, part := range sections {
+		var err error
 		switch part.name {
 		case sectionHead:
-			first = &head{}
-			err = read(part, first)
+			head = &headSection{}
+			err = part.decodeBody(head)
 		case sectionLearned:
-			err = read(part, &s.Learned)
+			err = part.decodeBody(&s.Learned)
 		case sectionList:
-			err = read(part, &s.List)
+			err = part.decodeBody(&s.List)
 		default:
-			if part.flags&flagMust != 0 {
+			if part.flags&flagCritical != 0 {
 				err = fmt.Errorf("%w: section %q has to be understood", ErrNewer, part.name)
 			}
 		}
@@ -217,59 +320,24 @@
 			return nil, err
 		}
 	}
-	if first == nil {
-		return nil, damaged(headerBytes, "sections", "there is none named %s", sectionHead)
-	}
-	s.Identity, s.Written = first.Identity, time.UnixMilli(first.WrittenMS).UTC()
-	if err := s.Check(); err != nil {
-		return nil, damaged(headerBytes, "sections", "the state cannot be: %w", err)
+	if head == nil {
+		return nil, damagedAt(headerBytes, partSections, "there is none named %s", sectionHead)
 	}
+	s.Identity, s.Written = head.Identity, time.UnixMilli(head.WrittenMS).UTC()
 	return s, nil
 }
 
-// unframe takes a file without its digest apart.
-func unframe(b []byte, h header) ([]section, error) {
-	if h.sections > maxSections {
-		return nil, damaged(12, "header", "it tells of %d sections, and %d is the most", h.sections, maxSections)
-	}
-	list, at := make([]section, 0, h.sections), headerBytes
-	for i := range h.sections {
-		in := fmt.Sprintf("section %d", i)
-		if len(b)-at < sectionBytes {
-			return nil, damaged(at, in, "the file ends")
-		}
-		s := section{name: string(b[at : at+4]), flags: binary.BigEndian.Uint32(b[at+4:])}
-		in = fmt.Sprintf("section %d (%q)", i, s.name)
-		size, body := binary.BigEndian.Uint32(b[at+8:]), at+sectionBytes
-		if uint64(size) > uint64(len(b)-body) {
-			return nil, damaged(at, in, "it tells of %d bytes, and %d are left", size, len(b)-body)
-		}
-		s.body = b[body : body+int(size)]
-		sum := crc32.Update(crc32.Checksum(b[at:at+12], castagnoli), castagnoli, s.body)
-		if sum != binary.BigEndian.Uint32(b[at+12:]) {
-			return nil, damaged(at, in, "the checksum is not its own")
-		}
-		if slices.ContainsFunc(list, func(before section) bool { return before.name == s.name }) {
-			return nil, damaged(at, in, "it is there twice")
-		}
-		list, at = append(list, s), body+int(size)
-	}
-	if at != len(b) {
-		return nil, damaged(at, "sections", "%d bytes are left over", len(b)-at)
-	}
-	return list, nil
-}
-
-// read takes a section's JSON in, and refuses it where a key has to be understood that is not.
-func read(s section, into any) error {
-	var rule struct {
+// decodeBody reads a section's JSON. It returns ErrNewer if the section's key "must" names a key that this program does
+// not know.
+func (s section) decodeBody(into any) error {
+	var requirements struct {
 		Must []string `json:"must"`
 	}
-	if err := errors.Join(json.Unmarshal(s.body, &rule), json.Unmarshal(s.body, into)); err != nil {
-		return &DamageError{At: headerBytes, In: fmt.Sprintf("section %q", s.name), Err: err}
+	if err := errors.Join(json.Unmarshal(s.body, &requirements), json.Unmarshal(s.body, into)); err != nil {
+		return &DamageError{Offset: headerBytes, Part: fmt.Sprintf("section %q", s.name), Err: err}
 	}
-	known := keys(reflect.TypeOf(into).Elem())
-	for _, key := range rule.Must {
+	known := jsonKeys(reflect.TypeOf(into).Elem())
+	for _, key := range requirements.Must {
 		if !slices.Contains(known, key) {
 			return fmt.Errorf("%w: key %q of section %q has to be understood", ErrNewer, key, s.name)
 		}
@@ -277,17 +345,17 @@
 	return nil
 }
 
-// keys are the JSON keys of a struct.
-func keys(t reflect.Type) []string {
-	var list []string
-	for i := range t.NumField() {
-		f := t.Field(i)
-		if f.Anonymous {
-			list = append(list, keys(f.Type)...)
+// jsonKeys returns the JSON keys of a struct type.
+func jsonKeys(structType reflect.Type) []string {
+	var keys []string
+	for i := range structType.NumField() {
+		field := structType.Field(i)
+		if field.Anonymous {
+			keys = append(keys, jsonKeys(field.Type)...)
 			continue
 		}
-		name, _, _ := strings.Cut(f.Tag.Get("json"), ",")
-		list = append(list, name)
+		key, _, _ := strings.Cut(field.Tag.Get("json"), ",")
+		keys = append(keys, key)
 	}
-	return list
+	return keys
 }
--- a/internal/snapshot/format_test.go
+++ b/internal/snapshot/format_test.go
@@ -40,9 +40,9 @@
 	require.NoError(t, func() error { _, err := snapshot.Decode(b); return err }())
 	assert.Zero(t, unseen(b, func(b []byte) error { _, err := snapshot.Decode(b); return err }))
 	assert.NotZero(t, unseen(b, func(b []byte) error { // the planted defect: checksums that leave out the header
-		sections, err := snapshot.Unframe(b[:len(b)-32], snapshot.ThreeSections)
+		sections, err := snapshot.DecodeSections(b[:len(b)-digestBytes], stateSections)
 		if err == nil {
-			_, err = snapshot.Decode(snapshot.Seal(1, 1, uint64(b[31]), sections))
+			_, err = snapshot.Decode(snapshot.EncodeFile(1, 1, uint64(b[31]), sections))
 		}
 		return err
 	}))
@@ -81,7 +81,7 @@
 		"a key that has to be understood":     {7, 1, []snapshot.Section{listMust}, `key "x" of section "list"`},
 		"a key that has to be, and is":        {7, 1, []snapshot.Section{listKnown}, ""},
 	} {
-		s, err := snapshot.Decode(snapshot.Seal(c.format, c.least, 4, append([]snapshot.Section{head}, c.more...)))
+		s, err := snapshot.Decode(snapshot.EncodeFile(c.format, c.least, 4, append([]snapshot.Section{head}, c.more...)))
 		if c.refused != "" {
 			assert.ErrorIs(t, err, snapshot.ErrNewer, name)
 			assert.ErrorContains(t, err, c.refused, name)
@@ -91,9 +91,9 @@
 		assert.Equal(t, "stock", s.Identity.Site, name)
 		assert.EqualValues(t, 4, s.Seq, name)
 	}
-	_, err := snapshot.Decode(snapshot.Seal(1, 1, 4, []snapshot.Section{list}))
+	_, err := snapshot.Decode(snapshot.EncodeFile(1, 1, 4, []snapshot.Section{list}))
 	assert.ErrorContains(t, err, "none named head")
-	_, err = snapshot.Decode(snapshot.Seal(1, 1, 4, []snapshot.Section{head, section("list", false, `{"rev":"x"}`)}))
+	_, err = snapshot.Decode(snapshot.EncodeFile(1, 1, 4, []snapshot.Section{head, section("list", false, `{"rev":"x"}`)}))
 	assert.ErrorContains(t, err, `section "list"`)
 }
 
@@ -111,12 +111,12 @@
 func TestWhatIsWrittenIsRead(t *testing.T) {
 	figure := rapid.Float64Range(0, math.MaxFloat64)
 	rapid.Check(t, func(t *rapid.T) {
-		s := &snapshot.Snapshot{Seq: rapid.Uint64Range(0, 1<<53-1).Draw(t, "seq"), Identity: crashcheck.Own(),
+		s := &snapshot.Snapshot{Seq: rapid.Uint64Range(0, 1<<53-1).Draw(t, "seq"), Identity: crashcheck.Identity(),
 			Written: time.UnixMilli(rapid.Int64Range(1, 253402300799999).Draw(t, "written")).UTC()}
 		s.Learned.Zones = rapid.MapOfN(rapid.StringMatching(`[a-zé"\\]+`), figure, 1, 5).Draw(t, "zones")
 		for i, size := range rapid.SliceOfN(rapid.Float64(), 0, 5).Draw(t, "sizes") {
 			s.Learned.Servers = append(s.Learned.Servers, snapshot.Server{UID: string(rune('a' + i)), Size: size,
-				Cold: rapid.Bool().Draw(t, "cold"), RestLeft: figure.Draw(t, "left")})
+				WarmingUp: rapid.Bool().Draw(t, "cold"), EjectionLeft: figure.Draw(t, "left")})
 		}
 		b, err := snapshot.Encode(s)
 		require.NoError(t, err)
@@ -128,16 +128,16 @@
 
 func TestAgeing(t *testing.T) {
 	s := crashcheck.State(4, 1)
-	s.Learned.Servers[0] = snapshot.Server{UID: "a", Size: 2, Errors: 3, ErrorAge: 1000, Down: true, Rests: 2,
-		RestLeft: 5000, Cold: true, ColdAge: 4000}
+	s.Learned.Servers[0] = snapshot.Server{UID: "a", Size: 2, ConsecutiveErrors: 3, ErrorAge: 1000, Down: true, Ejections: 2,
+		EjectionLeft: 5000, WarmingUp: true, WarmUpAge: 4000}
 	by := snapshot.DefaultAgeing()
 	at := func(away time.Duration) (snapshot.Server, *snapshot.Snapshot, snapshot.Age) {
 		got, age := s.Aged(s.Written.Add(away), by)
 		return got.Learned.Servers[0], got, age
 	}
 	v, got, age := at(2 * time.Second)
-	assert.Equal(t, snapshot.Age{Away: 2 * time.Second, Known: true, Trust: math.Exp2(-2.0 / 3600)}, age)
-	assert.Equal(t, []float64{3000, 3000, 6000, 2000}, []float64{v.ErrorAge, v.RestLeft, v.ColdAge, got.List.Age})
+	assert.Equal(t, snapshot.Age{Elapsed: 2 * time.Second, Known: true, Weight: math.Exp2(-2.0 / 3600)}, age)
+	assert.Equal(t, []float64{3000, 3000, 6000, 2000}, []float64{v.ErrorAge, v.EjectionLeft, v.WarmUpAge, got.List.Age})
 	assert.Equal(t, s.Learned.Rates, got.Learned.Rates)
 	v, got, _ = at(time.Hour)
 	assert.Equal(t, snapshot.Server{UID: "a", Size: 1}, v, "half the size, and nothing of troubles")
@@ -147,12 +147,12 @@
 	assert.Zero(t, v.Size)
 	assert.True(t, age.Known)
 	_, _, age = at(-time.Second)
-	assert.Equal(t, snapshot.Age{Known: true, Trust: 1}, age, "clocks are set by a little")
+	assert.Equal(t, snapshot.Age{Known: true, Weight: 1}, age, "clocks are set by a little")
 	v, got, age = at(-time.Hour)
-	assert.Equal(t, snapshot.Age{Trust: 0.5}, age)
+	assert.Equal(t, snapshot.Age{Weight: 0.5}, age)
 	assert.Equal(t, 1.0, v.Size)
-	assert.Equal(t, s.Learned.Servers[0].RestLeft, v.RestLeft)
-	assert.Equal(t, s.Learned.Servers[0].ColdAge, v.ColdAge)
+	assert.Equal(t, s.Learned.Servers[0].EjectionLeft, v.EjectionLeft)
+	assert.Equal(t, s.Learned.Servers[0].WarmUpAge, v.WarmUpAge)
 	assert.Equal(t, snapshot.Rates{}, got.Learned.Rates)
 	assert.Equal(t, 2.0, s.Learned.Servers[0].Size, "what was read stays as it is")
 }
--- a/internal/snapshot/golden_test.go
+++ b/internal/snapshot/golden_test.go
@@ -15,8 +15,10 @@
 	"marblelane/internal/testutil/disk"
 )
 
-// goldenDigestBytes is the length of the digest at the end of a state file.
-const goldenDigestBytes = 32
+const (
+	digestBytes   = 32 // at the end of a state file
+	stateSections = 3  // of a state file
+)
 
 // golden reads a file of testdata/golden. Its files have the stored form of format 1 and must not change: a later
 // program has to read them.
@@ -35,14 +37,14 @@
 		Written:  time.UnixMilli(1_700_000_000_123).UTC(),
 		Learned: snapshot.Learned{
 			Servers: []snapshot.Server{
-				{UID: "server-0", Size: -0.125, Errors: 3, ErrorAge: 250.5, Rests: 2, RestLeft: 1500, Down: true, Cold: true,
-					ColdAge: 4000, BootUnixMS: 1_699_999_990_000},
+				{UID: "server-0", Size: -0.125, ConsecutiveErrors: 3, ErrorAge: 250.5, Ejections: 2, EjectionLeft: 1500, Down: true, WarmingUp: true,
+					WarmUpAge: 4000, BootUnixMS: 1_699_999_990_000},
 				{UID: "server-1"},
 			},
 			Kinds: map[string]float64{"large": 1.5, "small <&> \"kind\"": -2e-7},
 			Zones: map[string]float64{"zone-é": 0.25},
-			Rates: snapshot.Rates{Asked: 120.5, Answered: 118.25, Quickest: 0.75, Classes: map[string]snapshot.Class{
-				"lookup": {Answers: 1000, Mean: 12.5, Dev: 3.25}, "write": {}}},
+			Rates: snapshot.Rates{Requests: 120.5, Answers: 118.25, MinLatencyRatio: 0.75, Classes: map[string]snapshot.Class{
+				"lookup": {Answers: 1000, Mean: 12.5, Deviation: 3.25}, "write": {}}},
 		},
 		List: snapshot.List{Rev: 1<<28 + 5, Epoch: 1, Age: 1250, Source: "127.0.0.1:7000", Servers: []snapshot.Entry{
 			{UID: "server-0", Endpoint: "127.0.0.1:8080", Zone: "zone-é", Model: "large", PodGroup: 4, State: "Ready",
@@ -73,7 +75,7 @@
 	for _, name := range []string{"full", "empty"} {
 		t.Run(name, func(t *testing.T) {
 			stored := golden(t, name+".state")
-			sections, err := snapshot.Unframe(stored[:len(stored)-goldenDigestBytes], snapshot.ThreeSections)
+			sections, err := snapshot.DecodeSections(stored[:len(stored)-digestBytes], stateSections)
 			require.NoError(t, err)
 			assert.Equal(t, []snapshot.Section{
 				snapshot.NewSection("head", true, string(golden(t, name+".head.json"))),
@@ -99,7 +101,7 @@
 
 	written := disk.New(disk.Image{"/": nil})
 	require.NoError(t, open(written).Save(t.Context(), fullState()))
-	assert.Equal(t, disk.Image{"/": nil, dir: nil, dir + "/state.lock": {}, file: stored}, written.Now())
+	assert.Equal(t, disk.Image{"/": nil, dir: nil, dir + "/state.lock": {}, file: stored}, written.Visible())
 }
 
 func TestGoldenFormat1Rewritten(t *testing.T) {
--- a/internal/snapshot/inspect.go
+++ b/internal/snapshot/inspect.go
@@ -9,40 +9,44 @@
 	"marblelane/internal/fsys"
 )
 
-// Finding is what was found of one file.
+// Finding is the result of reading one state file.
 type Finding struct {
 	File  string
 	Bytes int64
-	State *Snapshot // nil: it is not sound
-	Err   error     // why; a DamageError where it is damaged, and ErrNewer where only a newer program may read it
+	State *Snapshot // nil: the file is not sound
+	Err   error     // a *DamageError if the file is damaged, ErrNewer if only a newer program may read it, or another
 }
 
-// Inspect reads a file, or both generations of a folder, whoever's they are. Its error says that there is none.
-func Inspect(path string, most int64) ([]Finding, error) {
+var errNoState = errors.New("there is none in this folder")
+
+// Inspect reads a state file, or both generations of a state folder, of any user and identity. It returns an error if
+// there is no file to read; what is wrong with a file is in its finding.
+func Inspect(path string, maxBytes int64) ([]Finding, error) {
 	info, err := os.Stat(path)
 	if err != nil {
 		return nil, err
 	}
 	if !info.IsDir() {
-		return []Finding{inspect(path, most)}, nil
+		return []Finding{inspectFile(path, maxBytes)}, nil
 	}
-	var list []Finding
+	var findings []Finding
 	for _, name := range generations {
-		if f := inspect(filepath.Join(path, name), most); !errors.Is(f.Err, fs.ErrNotExist) {
-			list = append(list, f)
+		finding := inspectFile(filepath.Join(path, name), maxBytes)
+		if !errors.Is(finding.Err, fs.ErrNotExist) {
+			findings = append(findings, finding)
 		}
 	}
-	if len(list) == 0 {
-		return nil, &fs.PathError{Op: "read state", Path: path, Err: errors.New("there is none in this folder")}
+	if len(findings) == 0 {
+		return nil, &fs.PathError{Op: "read state", Path: path, Err: errNoState}
 	}
-	return list, nil
+	return findings, nil
 }
 
-func inspect(name string, most int64) Finding {
-	b, err := readFile(fsys.OS{}, name, most, -1)
+func inspectFile(name string, maxBytes int64) Finding {
+	content, err := readFile(fsys.OS{}, name, maxBytes, AnyUser)
 	if err != nil {
 		return Finding{File: name, Err: err}
 	}
-	s, err := Decode(b)
-	return Finding{File: name, Bytes: int64(len(b)), State: s, Err: err}
+	state, err := Decode(content)
+	return Finding{File: name, Bytes: int64(len(content)), State: state, Err: err}
 }
--- a/internal/snapshot/snapshot.go
+++ b/internal/snapshot/snapshot.go
@@ -1,6 +1,6 @@
-// Package snapshot is what a process keeps on disk over restarts: what it has learned and cannot ask for, in one file,
-// written whole or not at all. A state that is lost, damaged, another's or too old costs a start as on the first day,
-// and never more: Load has no error. docs/recovery.md states the promise and which test proves which part.
+// Package snapshot stores on disk what a process has learned and cannot request again after a restart. A state file is
+// written completely or not at all. A state that is lost, damaged, another process's or too old costs a start without
+// one and nothing else, so Load returns no error. docs/recovery.md states the promise and the test of each part.
 package snapshot
 
 import (
@@ -11,73 +11,86 @@
 	"time"
 )
 
-// Snapshot is one state of a process. There are no requests in it: a client repeats what got no answer, and nobody may
-// do so in its place after a restart.
+// Snapshot is one state of a process. It holds no requests: a client retries a request that got no answer, and a process
+// must not retry it in the client's place after a restart.
 type Snapshot struct {
-	// Seq counts the writings in a folder; Save sets it.
+	// Seq counts the saves in a folder; Save sets it.
 	Seq      uint64
 	Identity Identity
-	// Written is the wall time of writing; ages are those of then. Kept to the millisecond.
+	// Written is the wall time of the save, to the millisecond. Ages in the state are relative to it.
 	Written time.Time
 	Learned Learned
 	List    List
 }
 
-// Identity says whose state it is. Site, Name and Settings have to be the reader's own.
+// Identity says which process a state belongs to. A process uses states of its own Site, Name and Settings alone.
 type Identity struct {
 	Site     string `json:"site"`     // the fleet
 	Name     string `json:"name"`     // the process
-	Settings string `json:"settings"` // digest of the settings by which what was learned counts
-	Program  string `json:"program"`  // version that wrote it; for people
+	Settings string `json:"settings"` // digest of the settings that the learned values depend on
+	Program  string `json:"program"`  // version that wrote the state; informative
 }
 
-// Learned is what was learned from answers. Sizes are natural logarithms of multiples: 0 is what is assumed.
+// accepts returns ErrForeign if a process of this identity must not use states of the other one. The program may differ.
+func (id Identity) accepts(other Identity) error {
+	for _, field := range []struct{ name, stored, own string }{
+		{"site", other.Site, id.Site}, {"name", other.Name, id.Name}, {"settings", other.Settings, id.Settings},
+	} {
+		if field.stored != field.own {
+			return fmt.Errorf("%w: its %s is %q, here it is %q", ErrForeign, field.name, field.stored, field.own)
+		}
+	}
+	return nil
+}
+
+// Learned is what was learned from answers. A size is the natural logarithm of a multiple; 0 is what is assumed of an
+// unknown server, kind or zone.
 type Learned struct {
 	Servers []Server           `json:"servers,omitempty"`
 	Kinds   map[string]float64 `json:"kinds,omitempty"` // sizes by name of the kind
-	Zones   map[string]float64 `json:"zones,omitempty"`
+	Zones   map[string]float64 `json:"zones,omitempty"` // sizes by name of the zone
 	Rates   Rates              `json:"rates"`
 }
 
-// Server is what was learned of one server. Ages and times left are in ms, at the time of writing.
+// Server is what was learned of one server. Ages and remaining times are in ms, at the time of the save.
 type Server struct {
-	UID        string  `json:"uid"`
-	Size       float64 `json:"size"`             // beyond its kind's and zone's
-	Errors     int     `json:"errors,omitempty"` // consecutive
-	ErrorAge   float64 `json:"error_age_ms,omitempty"`
-	Rests      int     `json:"rests,omitempty"` // in a row
-	RestLeft   float64 `json:"rest_left_ms,omitempty"`
-	Down       bool    `json:"down,omitempty"` // the last attempt could not connect
-	Cold       bool    `json:"cold,omitempty"` // it is warming up
-	ColdAge    float64 `json:"cold_age_ms,omitempty"`
-	BootUnixMS int64   `json:"boot_ms,omitempty"` // which start of it all this is about; 0: not told
+	UID               string  `json:"uid"`
+	Size              float64 `json:"size"` // on top of the sizes of its kind and zone
+	ConsecutiveErrors int     `json:"errors,omitempty"`
+	ErrorAge          float64 `json:"error_age_ms,omitempty"`
+	Ejections         int     `json:"rests,omitempty"` // in a row
+	EjectionLeft      float64 `json:"rest_left_ms,omitempty"`
+	Down              bool    `json:"down,omitempty"` // the last attempt could not connect
+	WarmingUp         bool    `json:"cold,omitempty"`
+	WarmUpAge         float64 `json:"cold_age_ms,omitempty"`
+	BootUnixMS        int64   `json:"boot_ms,omitempty"` // start of the server that all this belongs to; 0: unknown
 }
 
-// Rates are how fast the fleet answered.
+// Rates describe how fast the fleet answered.
 type Rates struct {
-	Asked    float64          `json:"asked_per_s,omitempty"`    // requests
-	Answered float64          `json:"answered_per_s,omitempty"` // answers of servers
-	Quickest float64          `json:"quickest,omitempty"`       // least mean time of answers, as a part of their aim
-	Classes  map[string]Class `json:"classes,omitempty"`
+	Requests        float64          `json:"asked_per_s,omitempty"`
+	Answers         float64          `json:"answered_per_s,omitempty"` // of servers
+	MinLatencyRatio float64          `json:"quickest,omitempty"`       // lowest mean latency, as a part of its objective
+	Classes         map[string]Class `json:"classes,omitempty"`
 }
 
-// Class is how long a class's answers took.
+// Class is the latency of a class of requests.
 type Class struct {
-	Answers float64 `json:"answers"` // that the mean is of
-	Mean    float64 `json:"mean_ms"`
-	Dev     float64 `json:"dev_ms"` // mean deviation
+	Answers   float64 `json:"answers"` // number of answers in Mean
+	Mean      float64 `json:"mean_ms"`
+	Deviation float64 `json:"dev_ms"` // mean deviation
 }
 
-// List is the server list that was gone by last.
+// List is the endpoint list that the process used last.
 type List struct {
 	Rev     int64   `json:"rev,omitempty"`
 	Epoch   int64   `json:"epoch,omitempty"`
-	Age     float64 `json:"age_ms,omitempty"` // since a list service said anything
-	Source  string  `json:"source,omitempty"` // address of that service
+	Age     float64 `json:"age_ms,omitempty"` // since the last contact with a list service
+	Source  string  `json:"source,omitempty"` // address of that list service
 	Servers []Entry `json:"servers,omitempty"`
 }
 
-// Entry is one server on the list, as discovery tells of it.
+// Entry is one server of the endpoint list.
 type Entry struct {
 	UID      string  `json:"uid"`
 	Endpoint string  `json:"endpoint"`
@@ -89,64 +102,83 @@
 	BootMS   float64 `json:"boot_ms,omitempty"`
 }
 
-// Check tells what of a state cannot be, if anything. Save refuses such a state, and Load sets it aside.
-func (s *Snapshot) Check() error {
+const (
+	maxUnixMS = 253402300799999 // the end of the year 9999
+	maxSeq    = 1<<53 - 1       // the largest integer that a JSON reader of any language holds
+)
+
+// Validate returns the first impossible value of a state. Save refuses such a state, and Load does not use it.
+func (s *Snapshot) Validate() error {
 	if ms := s.Written.UnixMilli(); ms <= 0 || ms > maxUnixMS {
 		return fmt.Errorf("written: %v cannot be", s.Written)
 	}
 	if s.Seq > maxSeq {
 		return fmt.Errorf("seq: %d cannot be", s.Seq)
 	}
-	seen := make(map[string]bool, max(len(s.Learned.Servers), len(s.List.Servers)))
-	for i, v := range s.Learned.Servers {
-		if v.UID == "" || seen[v.UID] {
-			return fmt.Errorf("learned.servers[%d]: uid %q is empty or there twice", i, v.UID)
+	if err := s.Learned.validate(); err != nil {
+		return err
+	}
+	return s.List.validate()
+}
+
+func (l *Learned) validate() error {
+	uids := make(map[string]bool, len(l.Servers))
+	for i, server := range l.Servers {
+		if server.UID == "" || uids[server.UID] {
+			return fmt.Errorf("learned.servers[%d]: uid %q is empty or there twice", i, server.UID)
 		}
-		seen[v.UID] = true
-		if bad(v.Size) || v.Errors < 0 || v.Rests < 0 || amiss(v.ErrorAge, v.RestLeft, v.ColdAge) {
-			return fmt.Errorf("learned.servers[%d] (%s): a figure cannot be", i, v.UID)
+		uids[server.UID] = true
+		if !server.valid() {
+			return fmt.Errorf("learned.servers[%d] (%s): a figure cannot be", i, server.UID)
 		}
 	}
-	for _, sizes := range []map[string]float64{s.Learned.Kinds, s.Learned.Zones} {
-		for name, v := range sizes {
-			if bad(v) {
-				return fmt.Errorf("learned: size %v of %q cannot be", v, name)
+	for _, sizes := range []map[string]float64{l.Kinds, l.Zones} {
+		for name, size := range sizes {
+			if !finite(size) {
+				return fmt.Errorf("learned: size %v of %q cannot be", size, name)
 			}
 		}
 	}
-	r := &s.Learned.Rates
-	if amiss(r.Asked, r.Answered, r.Quickest) {
+	return l.Rates.validate()
+}
+
+func (s *Server) valid() bool {
+	return finite(s.Size) && s.ConsecutiveErrors >= 0 && s.Ejections >= 0 &&
+		validAmounts(s.ErrorAge, s.EjectionLeft, s.WarmUpAge)
+}
+
+func (r *Rates) validate() error {
+	if !validAmounts(r.Requests, r.Answers, r.MinLatencyRatio) {
 		return errors.New("learned.rates: a figure cannot be")
 	}
-	for name, c := range r.Classes {
-		if amiss(c.Answers, c.Mean, c.Dev) {
+	for name, class := range r.Classes {
+		if !validAmounts(class.Answers, class.Mean, class.Deviation) {
 			return fmt.Errorf("learned.rates.classes[%q]: a figure cannot be", name)
 		}
 	}
-	clear(seen)
-	if s.List.Rev < 0 || s.List.Epoch < 0 || amiss(s.List.Age) {
+	return nil
+}
+
+func (l *List) validate() error {
+	if l.Rev < 0 || l.Epoch < 0 || !validAmounts(l.Age) {
 		return errors.New("list: a figure cannot be")
 	}
-	for i, e := range s.List.Servers {
-		if e.UID == "" || seen[e.UID] {
-			return fmt.Errorf("list.servers[%d]: uid %q is empty or there twice", i, e.UID)
+	uids := make(map[string]bool, len(l.Servers))
+	for i, entry := range l.Servers {
+		if entry.UID == "" || uids[entry.UID] {
+			return fmt.Errorf("list.servers[%d]: uid %q is empty or there twice", i, entry.UID)
 		}
-		seen[e.UID] = true
-		if amiss(e.Capacity, e.BootMS) {
-			return fmt.Errorf("list.servers[%d] (%s): a figure cannot be", i, e.UID)
+		uids[entry.UID] = true
+		if !validAmounts(entry.Capacity, entry.BootMS) {
+			return fmt.Errorf("list.servers[%d] (%s): a figure cannot be", i, entry.UID)
 		}
 	}
 	return nil
 }
 
-// maxUnixMS is in the year 9999, and maxSeq what a JSON reader of any language holds.
-const (
-	maxUnixMS = 253402300799999
-	maxSeq    = 1<<53 - 1
-)
-
-func bad(v float64) bool { return math.IsNaN(v) || math.IsInf(v, 0) }
+func finite(v float64) bool { return !math.IsNaN(v) && !math.IsInf(v, 0) }
 
-func amiss(list ...float64) bool {
-	return slices.ContainsFunc(list, func(v float64) bool { return bad(v) || v < 0 })
+// validAmounts reports whether all amounts are finite and not negative.
+func validAmounts(amounts ...float64) bool {
+	return !slices.ContainsFunc(amounts, func(v float64) bool { return !finite(v) || v < 0 })
 }
--- a/internal/snapshot/store.go
+++ b/internal/snapshot/store.go
@@ -14,84 +14,93 @@
 	"marblelane/internal/fsys"
 )
 
-// Names of the files in a folder. A writing goes to the generation that does not hold the newest sound one.
+// Files of a state folder. Two generations alternate: Save never writes the one that holds the newest sound state.
 const (
-	nameTemp = "state.tmp"
-	nameLock = "state.lock"
+	tempFile = "state.tmp"
+	lockFile = "state.lock"
 )
 
 var generations = [2]string{"state.0", "state.1"}
 
-// DefaultMost is how long a file may be, in bytes: ten times what 2,000 servers need.
-const DefaultMost = 8 << 20
+// noGeneration stands for an index into generations where no file holds a sound state.
+const noGeneration = -1
+
+// DefaultMaxBytes bounds a state file: ten times what 2,000 servers need.
+const DefaultMaxBytes = 8 << 20
+
+// Values of Options.User that are no user's number.
+const (
+	// CurrentUser accepts files of this process's user alone.
+	CurrentUser = 0
+	// AnyUser accepts files of all users.
+	AnyUser = -1
+)
 
 var (
-	// ErrHeld says that another process writes in the folder.
-	ErrHeld = fsys.ErrHeld
-	// ErrTooBig says that a file is longer than it may be.
-	ErrTooBig = errors.New("too long")
-	// ErrForeign says that a state is another fleet's, name's, user's, or of other settings.
+	// ErrLocked says that another process writes in the folder.
+	ErrLocked = fsys.ErrLocked
+	// ErrTooLarge says that a file or a state is longer than Options.MaxBytes.
+	ErrTooLarge = errors.New("too long")
+	// ErrForeign says that a state belongs to another fleet, process or user, or was learned under other settings.
 	ErrForeign = errors.New("another's")
 	// ErrClosed says that the store was closed.
 	ErrClosed = errors.New("the store is closed")
+
+	errNotRegular = errors.New("it is no regular file")
 )
 
-// Options are what a store is opened with.
+// Options configure a store.
 type Options struct {
-	Identity Identity // whose states are read; Save writes under it
-	Most     int64    // bytes of a file; 0: DefaultMost
-	FS       fsys.FS  // nil: the system's
-	User     int      // whose files are read; 0: those of this process's user alone, below 0: anybody's
+	Identity Identity // Load accepts states of this identity alone; Save writes it
+	MaxBytes int64    // bound of a file; 0: DefaultMaxBytes
+	FS       fsys.FS  // nil: the operating system's
+	User     int      // number of the user whose files are read, CurrentUser or AnyUser
 }
 
-// Aside says why a file was not taken.
-type Aside struct {
+// FileError says why a state file was not used.
+type FileError struct {
 	File string
 	Err  error
 }
 
 // Error implements error.
-func (a Aside) Error() string { return fmt.Sprintf("%s: %v", a.File, a.Err) }
+func (e FileError) Error() string { return fmt.Sprintf("%s: %v", e.File, e.Err) }
 
-// Unwrap gives the cause.
-func (a Aside) Unwrap() error { return a.Err }
+// Unwrap returns the cause.
+func (e FileError) Unwrap() error { return e.Err }
 
 // Store keeps the states of one process in a folder. It is safe for concurrent use.
 type Store struct {
-	dir string
-	o   Options
-	fs  fsys.FS
+	dir     string
+	options Options
+	files   fsys.FS
 
 	mu     sync.Mutex
-	lock   fsys.Lock // nil: not held
-	known  bool      // the two below are what is in the folder, and only this process writes there
-	keep   int       // generation that holds the newest sound state, and must not be written; -1: none does
-	newest [2]uint64 // seq of each generation, as far as its header tells
 	closed bool
+	lock   fsys.Lock // nil: not held
+	// scanned says that newest and seqs describe the folder. That needs the lock: without it another process may write.
+	scanned bool
+	newest  int       // generation that holds the newest sound state and must not be written, or noGeneration
+	seqs    [2]uint64 // sequence number of each generation, as far as its header can be read
 }
 
-// Open takes a folder for a process's states, and makes it where its parent is there. The store is there in any case,
-// and can Load; the error says why it cannot Save for now: ErrHeld, or what the system says. Each Save tries again, so
-// that a process whose predecessor still runs writes once that is gone.
-func Open(dir string, o Options) (*Store, error) {
-	if o.Most == 0 {
-		o.Most = DefaultMost
-	}
-	if o.User == 0 {
-		o.User = os.Geteuid()
+// Open opens a state folder and creates it if its parent exists. The store is returned in any case and can Load. The
+// error says why it cannot Save for now: ErrLocked, or an error of the file system. Each Save tries again, so that a
+// process whose predecessor still runs begins to write when the predecessor ends.
+func Open(dir string, options Options) (*Store, error) {
+	if options.MaxBytes == 0 {
+		options.MaxBytes = DefaultMaxBytes
 	}
-	s := &Store{dir: filepath.Clean(dir), o: o, fs: o.FS, keep: -1}
-	if s.fs == nil {
-		s.fs = fsys.OS{}
+	if options.User == CurrentUser {
+		options.User = os.Geteuid()
 	}
-	err := s.fs.Mkdir(s.dir)
-	if err == nil || errors.Is(err, fs.ErrExist) { // a process that made it may have been killed before it synced it
-		if err = s.fs.SyncDir(filepath.Dir(s.dir)); errors.Is(err, fs.ErrPermission) {
-			err = nil // so it was made by somebody else, and long ago
-		}
+	s := &Store{dir: filepath.Clean(dir), options: options, files: options.FS, newest: noGeneration}
+	if s.files == nil {
+		s.files = fsys.OS{}
 	}
+	err := s.createFolder()
 	if err == nil {
-		err = s.hold()
+		err = s.acquireLock()
 	}
 	if err != nil {
 		return s, fmt.Errorf("state folder %s: %w", s.dir, err)
@@ -99,214 +108,247 @@
 	return s, nil
 }
 
-// Close gives the folder up. States stay.
+// createFolder creates the folder and syncs its name. The name of an existing folder is synced too, as the process that
+// created it may have been killed before it did so.
+func (s *Store) createFolder() error {
+	if err := s.files.Mkdir(s.dir); err != nil && !errors.Is(err, fs.ErrExist) {
+		return err
+	}
+	err := s.files.SyncDir(filepath.Dir(s.dir))
+	if errors.Is(err, fs.ErrPermission) {
+		return nil // this user cannot have created the folder
+	}
+	return err
+}
+
+// Close releases the folder. The states stay.
 func (s *Store) Close() error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.closed = true
-	return s.release()
-}
-
-func (s *Store) release() error {
-	if s.lock == nil {
-		return nil
-	}
-	err := s.lock.Close()
-	s.lock, s.known = nil, false
-	return err
+	return s.releaseLock()
 }
 
-// hold sees to it that this process has the lock, and that it is the one that others would ask for: a folder may have
-// been put in the place of another.
-func (s *Store) hold() error {
+// acquireLock makes sure that this process holds the lock of the folder that has the name now. Another folder may have
+// been put in the place of the one that was opened.
+func (s *Store) acquireLock() error {
 	if s.lock != nil && s.lock.Current() {
 		return nil
 	}
-	if err := s.release(); err != nil {
+	if err := s.releaseLock(); err != nil {
 		return err
 	}
-	lock, err := s.fs.Lock(s.path(nameLock))
+	lock, err := s.files.Lock(s.path(lockFile))
 	if err != nil {
 		return err
 	}
-	if !lock.Current() { // it was replaced between being opened and locked; the next Save tries again
-		return errors.Join(fmt.Errorf("lock %s: replaced meanwhile", s.path(nameLock)), lock.Close())
+	if !lock.Current() { // the file was replaced after it was opened; the next Save tries again
+		return errors.Join(fmt.Errorf("lock %s: replaced meanwhile", s.path(lockFile)), lock.Close())
 	}
 	s.lock = lock
 	return nil
 }
 
+func (s *Store) releaseLock() error {
+	if s.lock == nil {
+		return nil
+	}
+	err := s.lock.Close()
+	s.lock, s.scanned = nil, false
+	return err
+}
+
 func (s *Store) path(name string) string { return filepath.Join(s.dir, name) }
 
-// Load gives the newest sound state that is this process's own, nil if there is none, and why files were set aside. It
-// reads no more than Options.Most of each, and writes nothing: what is set aside stays until a Save needs its place.
-func (s *Store) Load() (*Snapshot, []Aside) {
+// Load returns the newest sound state of the store's identity, or nil if there is none, and why other files were not
+// used. It reads at most Options.MaxBytes of each file and writes nothing: a file that was not used stays until a Save
+// replaces it.
+func (s *Store) Load() (*Snapshot, []FileError) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.load()
+	return s.scan()
 }
 
-func (s *Store) load() (*Snapshot, []Aside) {
-	var best *Snapshot
-	var asides []Aside
-	s.keep, s.newest = -1, [2]uint64{}
+// scan reads both generations and notes which is the newest sound one. The caller holds s.mu.
+func (s *Store) scan() (*Snapshot, []FileError) {
+	var newest *Snapshot
+	var unused []FileError
+	s.newest, s.seqs = noGeneration, [2]uint64{}
 	for i, name := range generations {
-		snap, seq, err := s.read(s.path(name))
-		s.newest[i] = seq
+		state, seq, err := s.readState(s.path(name))
+		s.seqs[i] = seq
 		switch {
 		case errors.Is(err, fs.ErrNotExist):
 		case err != nil:
-			asides = append(asides, Aside{File: s.path(name), Err: err})
-		case best == nil || snap.Seq > best.Seq:
-			best, s.keep = snap, i
+			unused = append(unused, FileError{File: s.path(name), Err: err})
+		case newest == nil || state.Seq > newest.Seq:
+			newest, s.newest = state, i
 		}
 	}
-	s.known = s.lock != nil // else another process may write after this
-	return best, asides
+	s.scanned = s.lock != nil
+	return newest, unused
 }
 
-// read reads one file, and its seq as far as the header tells it.
-func (s *Store) read(name string) (*Snapshot, uint64, error) {
-	b, err := readFile(s.fs, name, s.o.Most, s.o.User)
+// readState reads a state file. The sequence number is returned with an error too, if the header is sound.
+func (s *Store) readState(name string) (state *Snapshot, seq uint64, err error) {
+	content, err := readFile(s.files, name, s.options.MaxBytes, s.options.User)
 	if err != nil {
 		return nil, 0, err
 	}
-	h, err := readHeader(b)
+	header, err := decodeHeader(content)
 	if err != nil {
 		return nil, 0, err
 	}
-	seq := min(h.seq, maxSeq)
-	snap, err := Decode(b)
+	seq = min(header.seq, maxSeq)
+	state, err = Decode(content)
 	if err != nil {
 		return nil, seq, err
 	}
-	got, own := snap.Identity, s.o.Identity
-	for _, f := range [][3]string{
-		{"site", got.Site, own.Site}, {"name", got.Name, own.Name}, {"settings", got.Settings, own.Settings},
-	} {
-		if f[1] != f[2] {
-			return nil, seq, fmt.Errorf("%w: its %s is %q, here it is %q", ErrForeign, f[0], f[1], f[2])
-		}
+	if err := s.options.Identity.accepts(state.Identity); err != nil {
+		return nil, seq, err
 	}
-	return snap, seq, nil
+	return state, seq, nil
 }
 
-// readFile reads a regular file of at most so many bytes; of a longer one it reads nothing.
-func readFile(from fsys.FS, name string, most int64, user int) ([]byte, error) {
-	f, err := from.Open(name)
+// readFile reads a regular file of at most maxBytes that belongs to the user and that no other user may write. Of a
+// longer file it reads nothing.
+func readFile(files fsys.FS, name string, maxBytes int64, user int) ([]byte, error) {
+	file, err := files.Open(name)
+	if err != nil {
+		return nil, withoutPath(err)
+	}
+	defer file.Close()
+	info, err := file.Stat()
 	if err != nil {
-		return nil, cause(err)
+		return nil, withoutPath(err)
 	}
-	defer f.Close()
-	info, err := f.Stat()
+	if err := checkInfo(info, maxBytes, user); err != nil {
+		return nil, err
+	}
+	content := bytes.NewBuffer(make([]byte, 0, info.Size+bytes.MinRead))
+	if _, err := content.ReadFrom(io.LimitReader(file, info.Size)); err != nil {
+		return nil, withoutPath(err)
+	}
+	return content.Bytes(), nil
+}
+
+// writableByOthers are the permission bits that let other users write a file.
+const writableByOthers fs.FileMode = 0o022
+
+// checkInfo says why a file must not be read, if so.
+func checkInfo(info fsys.Info, maxBytes int64, user int) error {
+	permissions := info.Mode.Perm()
 	switch {
-	case err != nil:
-		return nil, cause(err)
 	case !info.Mode.IsRegular():
-		return nil, errors.New("it is no regular file")
+		return errNotRegular
 	case user >= 0 && info.Owner != user:
-		return nil, fmt.Errorf("%w: it belongs to user %d, this process to %d", ErrForeign, info.Owner, user)
-	case user >= 0 && info.Mode.Perm()&0o022 != 0:
-		return nil, fmt.Errorf("%w: other users may write it (mode %v)", ErrForeign, info.Mode.Perm())
-	case info.Size > most:
-		return nil, fmt.Errorf("%w: %d bytes, and %d is the most", ErrTooBig, info.Size, most)
+		return fmt.Errorf("%w: it belongs to user %d, this process to %d", ErrForeign, info.Owner, user)
+	case user >= 0 && permissions&writableByOthers != 0:
+		return fmt.Errorf("%w: other users may write it (mode %v)", ErrForeign, permissions)
 	}
-	b := bytes.NewBuffer(make([]byte, 0, info.Size+bytes.MinRead))
-	if _, err := b.ReadFrom(io.LimitReader(f, info.Size)); err != nil {
-		return nil, cause(err)
+	return checkSize(info.Size, maxBytes)
+}
+
+func checkSize(size, maxBytes int64) error {
+	if size > maxBytes {
+		return fmt.Errorf("%w: %d bytes, and %d is the most", ErrTooLarge, size, maxBytes)
 	}
-	return b.Bytes(), nil
+	return nil
 }
 
-// cause leaves the file's name out of an error that will name it again.
-func cause(err error) error {
-	if e := (*fs.PathError)(nil); errors.As(err, &e) {
-		return e.Err
+// withoutPath removes the file's name from an error that FileError puts it before again.
+func withoutPath(err error) error {
+	var pathError *fs.PathError
+	if errors.As(err, &pathError) {
+		return pathError.Err
 	}
 	return err
 }
 
-// Save writes a state: whole to a file of its own, which is synced, renamed over the older generation, and the folder
-// synced. Once it has returned without an error the state outlasts a loss of power. Else the one before it does; the
-// new one may be there, too, whole. It sets the state's Seq and Identity. How often it is called is the caller's
-// matter.
-func (s *Store) Save(ctx context.Context, snap *Snapshot) error {
+// Save writes a state to a temporary file, syncs it, renames it over the older generation and syncs the folder. When it
+// returns without an error, the state survives a loss of power. Otherwise the state before it does; the new one may be
+// there as well, and is then complete. Save sets Seq and Identity of the state. The caller decides how often to save.
+func (s *Store) Save(ctx context.Context, state *Snapshot) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if err := s.save(ctx, snap); err != nil {
+	if err := s.save(ctx, state); err != nil {
 		return fmt.Errorf("save a state in %s: %w", s.dir, err)
 	}
 	return nil
 }
 
-func (s *Store) save(ctx context.Context, snap *Snapshot) error {
+func (s *Store) save(ctx context.Context, state *Snapshot) error {
 	if s.closed {
 		return ErrClosed
 	}
-	if err := s.hold(); err != nil {
+	if err := s.acquireLock(); err != nil {
 		return err
 	}
-	if !s.known {
-		s.load()
+	if !s.scanned {
+		s.scan()
 	}
-	snap.Seq, snap.Identity = max(s.newest[0], s.newest[1])+1, s.o.Identity
-	b, err := Encode(snap)
+	state.Seq, state.Identity = max(s.seqs[0], s.seqs[1])+1, s.options.Identity
+	content, err := Encode(state)
 	if err != nil {
 		return err
 	}
-	if int64(len(b)) > s.o.Most {
-		return fmt.Errorf("%w: %d bytes, and %d is the most", ErrTooBig, len(b), s.o.Most)
+	if err := checkSize(int64(len(content)), s.options.MaxBytes); err != nil {
+		return err
 	}
 	if err := ctx.Err(); err != nil {
 		return err
 	}
-	into := s.older()
-	if err := s.write(b); err != nil {
-		return errors.Join(err, s.drop())
+	if err := s.writeTemp(content); err != nil {
+		return errors.Join(err, s.removeTemp())
 	}
-	// From here on the seq may be on the disk.
-	s.newest[into] = snap.Seq
-	if err := s.fs.Rename(s.path(nameTemp), s.path(generations[into])); err != nil {
-		s.known = false
-		return errors.Join(err, s.drop())
+	return s.replaceGeneration(s.nextGeneration(), state.Seq)
+}
+
+// replaceGeneration puts the temporary file in the place of a generation.
+func (s *Store) replaceGeneration(generation int, seq uint64) error {
+	s.seqs[generation] = seq // even after an error below the disk may have it
+	if err := s.files.Rename(s.path(tempFile), s.path(generations[generation])); err != nil {
+		s.scanned = false
+		return errors.Join(err, s.removeTemp())
 	}
-	if err := s.fs.SyncDir(s.dir); err != nil {
-		return err // the generation kept is still the one before: the next Save writes here again
+	if err := s.files.SyncDir(s.dir); err != nil {
+		return err // s.newest stays: the next Save writes the same generation again
 	}
-	s.keep = into
+	s.newest = generation
 	return nil
 }
 
-// older is the generation to write: not the newest sound one; of two that are not sound the one of the lower seq.
-func (s *Store) older() int {
-	if s.keep >= 0 {
-		return 1 - s.keep
+// nextGeneration is the one that the next Save replaces: never the newest sound one. If neither is sound, it is the one
+// of the lower sequence number.
+func (s *Store) nextGeneration() int {
+	if s.newest != noGeneration {
+		return 1 - s.newest
 	}
-	if s.newest[1] < s.newest[0] {
+	if s.seqs[1] < s.seqs[0] {
 		return 1
 	}
 	return 0
 }
 
-// write writes the temporary file and syncs it. After a sync that failed nobody knows what the disk has, so that a file
-// is never tried again: the next Save begins another.
-func (s *Store) write(b []byte) error {
-	if err := s.drop(); err != nil {
+// writeTemp writes and syncs the temporary file. It always creates a new file: after a failed sync nobody knows what the
+// disk holds of the old one.
+func (s *Store) writeTemp(content []byte) error {
+	if err := s.removeTemp(); err != nil {
 		return err
 	}
-	f, err := s.fs.Create(s.path(nameTemp))
+	file, err := s.files.Create(s.path(tempFile))
 	if err != nil {
 		return err
 	}
-	if _, err = f.Write(b); err == nil {
-		err = f.Sync()
+	if _, err = file.Write(content); err == nil {
+		err = file.Sync()
 	}
-	return errors.Join(err, f.Close())
+	return errors.Join(err, file.Close())
 }
 
-// drop removes a temporary file that a writing before has left.
-func (s *Store) drop() error {
-	if err := s.fs.Remove(s.path(nameTemp)); err != nil && !errors.Is(err, fs.ErrNotExist) {
+// removeTemp removes the temporary file that an earlier Save may have left.
+func (s *Store) removeTemp() error {
+	if err := s.files.Remove(s.path(tempFile)); err != nil && !errors.Is(err, fs.ErrNotExist) {
 		return err
 	}
 	return nil
--- a/internal/snapshot/store_test.go
+++ b/internal/snapshot/store_test.go
@@ -88,9 +88,9 @@
 }
 
 func TestFilesThatAreSetAside(t *testing.T) {
-	sound, err := snapshot.Encode(&snapshot.Snapshot{Seq: 9, Identity: crashcheck.Own(), Written: time.Unix(1, 0)})
+	sound, err := snapshot.Encode(&snapshot.Snapshot{Seq: 9, Identity: crashcheck.Identity(), Written: time.Unix(1, 0)})
 	require.NoError(t, err)
-	other := crashcheck.Own()
+	other := crashcheck.Identity()
 	other.Site = "elsewhere"
 	foreign, err := snapshot.Encode(&snapshot.Snapshot{Seq: 9, Identity: other, Written: time.Unix(1, 0)})
 	require.NoError(t, err)
@@ -103,7 +103,7 @@
 		"cut":       {file(sound[:len(sound)-1]), "it tells of"},
 		"long":      {file(append(append([]byte{}, sound...), 0)), "it tells of"},
 		"no state":  {file(make([]byte, 1<<20)), "it does not begin as a state does"},
-		"future":    {file(snapshot.Seal(3, 2, 9, nil)), "from a newer program: format 3"},
+		"future":    {file(snapshot.EncodeFile(3, 2, 9, nil)), "from a newer program: format 3"},
 		"elsewhere": {file(foreign), `another's: its site is "elsewhere", here it is "stock"`},
 		"writable": {func(n string) error {
 			_ = os.WriteFile(n, sound, 0o600)
@@ -143,7 +143,7 @@
 }
 
 func TestAnotherUsersState(t *testing.T) {
-	st, err := snapshot.Open(t.TempDir(), snapshot.Options{Identity: crashcheck.Own(), User: os.Geteuid() + 1})
+	st, err := snapshot.Open(t.TempDir(), snapshot.Options{Identity: crashcheck.Identity(), User: os.Geteuid() + 1})
 	require.NoError(t, err)
 	defer st.Close()
 	require.NoError(t, st.Save(context.Background(), crashcheck.State(1, 0)))
@@ -159,11 +159,11 @@
 	require.NoError(t, err)
 	require.NoError(t, older.Save(context.Background(), crashcheck.State(1, 0)))
 	newer, err := crashcheck.Open(dir, nil)
-	require.ErrorIs(t, err, snapshot.ErrHeld)
+	require.ErrorIs(t, err, snapshot.ErrLocked)
 	require.Contains(t, err.Error(), dir)
 	got, _ := newer.Load()
 	require.EqualValues(t, 1, got.Seq, "it reads")
-	require.ErrorIs(t, newer.Save(context.Background(), crashcheck.State(9, 0)), snapshot.ErrHeld)
+	require.ErrorIs(t, newer.Save(context.Background(), crashcheck.State(9, 0)), snapshot.ErrLocked)
 	require.NoError(t, older.Save(context.Background(), crashcheck.State(2, 0)))
 	require.NoError(t, older.Close())
 	require.ErrorIs(t, older.Save(context.Background(), crashcheck.State(9, 0)), snapshot.ErrClosed)
@@ -185,7 +185,7 @@
 	require.Empty(t, asides)
 	other, err := crashcheck.Open(dir, nil) // another process makes it anew
 	require.NoError(t, err)
-	require.ErrorIs(t, st.Save(context.Background(), crashcheck.State(2, 0)), snapshot.ErrHeld)
+	require.ErrorIs(t, st.Save(context.Background(), crashcheck.State(2, 0)), snapshot.ErrLocked)
 	require.NoError(t, other.Close())
 	require.NoError(t, st.Save(context.Background(), crashcheck.State(2, 0)))
 	require.NoError(t, st.Close())
@@ -195,10 +195,10 @@
 }
 
 func TestSaveRefusesWhatLoadWould(t *testing.T) {
-	st, err := snapshot.Open(t.TempDir(), snapshot.Options{Identity: crashcheck.Own(), Most: 1 << 10})
+	st, err := snapshot.Open(t.TempDir(), snapshot.Options{Identity: crashcheck.Identity(), MaxBytes: 1 << 10})
 	require.NoError(t, err)
 	defer st.Close()
-	require.ErrorIs(t, st.Save(context.Background(), crashcheck.State(1, 100)), snapshot.ErrTooBig)
+	require.ErrorIs(t, st.Save(context.Background(), crashcheck.State(1, 100)), snapshot.ErrTooLarge)
 	twice := crashcheck.State(1, 1)
 	twice.Learned.Servers = append(twice.Learned.Servers, twice.Learned.Servers[0])
 	require.ErrorContains(t, st.Save(context.Background(), twice), "learned.servers[1]")
--- a/internal/testutil/disk/crash.go
+++ b/internal/testutil/disk/crash.go
@@ -1,7 +1,6 @@
 package disk
 
 import (
-	"cmp"
 	"iter"
 	"maps"
 	"math/rand/v2"
@@ -9,161 +8,217 @@
 	"slices"
 )
 
-// Exhaust gives every image that may be left when the power fails after the first n operations. Their number grows as
-// two to the unsynced sectors and names: it is for small files.
-func (d *Disk) Exhaust(n int) iter.Seq[Image] {
+// chooser picks one of a number of outcomes, from 0 on.
+type chooser func(outcomes int) int
+
+// CrashImages returns every image that may be left when the power fails after the first opCount operations. Their number
+// is exponential in the unsynced sectors and names: it is for small files.
+func (d *Disk) CrashImages(opCount int) iter.Seq[Image] {
 	return func(yield func(Image) bool) {
-		var path, width []int // the choices taken, and out of how many
+		var choices outcomePath
 		for {
-			step := 0
-			im := d.crash(n, func(of int) int {
-				if step == len(path) {
-					path, width = append(path, 0), append(width, of)
-				}
-				step++
-				return path[step-1]
-			})
-			if !yield(im) {
+			if !yield(d.crash(opCount, choices.replay())) {
 				return
 			}
-			for len(path) > 0 && path[len(path)-1] == width[len(path)-1]-1 {
-				path, width = path[:len(path)-1], width[:len(width)-1]
-			}
-			if len(path) == 0 {
+			if !choices.advance() {
 				return
 			}
-			path[len(path)-1]++
 		}
 	}
 }
 
-// Sample gives one image that may be left when the power fails after the first n operations, by chance.
-func (d *Disk) Sample(n int, rng *rand.Rand) Image { return d.crash(n, rng.IntN) }
+// SampleCrash returns a random one of the images that may be left when the power fails after the first opCount
+// operations.
+func (d *Disk) SampleCrash(opCount int, rng *rand.Rand) Image { return d.crash(opCount, rng.IntN) }
+
+// outcomePath enumerates all sequences of choices, depth first.
+type outcomePath struct {
+	chosen   []int
+	outcomes []int // number of outcomes that each choice was out of
+}
+
+// replay returns a chooser that repeats the path and goes on with the first outcome of each choice beyond it.
+func (p *outcomePath) replay() chooser {
+	step := 0
+	return func(outcomes int) int {
+		if step == len(p.chosen) {
+			p.chosen, p.outcomes = append(p.chosen, 0), append(p.outcomes, outcomes)
+		}
+		step++
+		return p.chosen[step-1]
+	}
+}
+
+// advance goes to the next path. It returns false after the last one.
+func (p *outcomePath) advance() bool {
+	last := len(p.chosen) - 1
+	for last >= 0 && p.chosen[last] == p.outcomes[last]-1 {
+		last--
+	}
+	p.chosen, p.outcomes = p.chosen[:last+1], p.outcomes[:last+1]
+	if last < 0 {
+		return false
+	}
+	p.chosen[last]++
+	return true
+}
+
+// durableState is what is certainly on a disk, and the changes that may be.
+type durableState struct {
+	names       map[string]fileID
+	files       map[fileID]*durableFile
+	unsyncedOps []Op // changes of names
+}
 
-// kept is a file as the disk has it: what is synced, and what was written since.
-type kept struct {
-	synced []byte
-	since  []Op
+// durableFile is the synced content of a file, and the writes since. A folder has no content.
+type durableFile struct {
+	synced   []byte
+	unsynced []Op
 }
 
-// crash plays the first n operations and lets choose say what of the unsynced ones is left.
-func (d *Disk) crash(n int, choose func(of int) int) Image {
+// crash replays the first operations and lets choose decide which unsynced changes are left.
+func (d *Disk) crash(opCount int, choose chooser) Image {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	names, files := map[string]int{}, map[int]*kept{}
-	for i, name := range d.from.names() {
-		names[name], files[i] = i, &kept{synced: d.from[name]}
+	state := newDurableState(d.initial)
+	for _, op := range d.ops[:opCount] {
+		state.apply(op)
 	}
-	var since []Op // changes of names that are not synced
-	for _, op := range d.ops[:n] {
-		switch op.Kind {
-		case Create, Lock:
-			files[op.file] = &kept{synced: []byte{}}
-			since = append(since, op)
-		case Mkdir:
-			files[op.file] = &kept{}
-			since = append(since, op)
-		case Rename, Remove:
-			since = append(since, op)
-		case Write:
-			files[op.file].since = append(files[op.file].since, op)
-		case Sync:
-			f := files[op.file]
-			f.synced, f.since = f.after(f.since), nil
-		case SyncDir:
-			since = slices.DeleteFunc(since, func(c Op) bool {
-				if filepath.Dir(c.Name) != op.Name {
-					return false
-				}
-				name(names, c, 1)
-				return true
-			})
-		}
+	return state.survivor(choose)
+}
+
+func newDurableState(initial Image) *durableState {
+	state := &durableState{names: map[string]fileID{}, files: map[fileID]*durableFile{}}
+	for i, name := range initial.names() {
+		state.names[name], state.files[fileID(i)] = fileID(i), &durableFile{synced: initial[name]}
 	}
-	for _, op := range since {
-		of := 2
-		if op.Kind == Rename {
-			of = 3 // the new name may be there while the old one is still
-		}
-		name(names, op, choose(of))
+	return state
+}
+
+func (s *durableState) apply(op Op) {
+	switch op.Kind {
+	case Create, Lock:
+		s.files[op.file] = &durableFile{synced: []byte{}}
+		s.unsyncedOps = append(s.unsyncedOps, op)
+	case Mkdir:
+		s.files[op.file] = &durableFile{}
+		s.unsyncedOps = append(s.unsyncedOps, op)
+	case Rename, Remove:
+		s.unsyncedOps = append(s.unsyncedOps, op)
+	case Write:
+		s.files[op.file].unsynced = append(s.files[op.file].unsynced, op)
+	case Sync:
+		file := s.files[op.file]
+		file.synced, file.unsynced = file.withWrites(file.unsynced), nil
+	case SyncDir:
+		s.syncNames(op.Name)
 	}
-	im := Image{}
-	for _, name := range slices.Sorted(maps.Keys(names)) { // a folder comes before what is in it
-		if _, there := im[filepath.Dir(name)]; there || name == filepath.Dir(name) {
-			im[name] = files[names[name]].left(choose)
+}
+
+// syncNames makes the changes of names in a folder durable.
+func (s *durableState) syncNames(folder string) {
+	s.unsyncedOps = slices.DeleteFunc(s.unsyncedOps, func(op Op) bool {
+		if filepath.Dir(op.Name) != folder {
+			return false
 		}
+		s.changeName(op, changeComplete)
+		return true
+	})
+}
+
+// nameOutcome is what is left of a change of a name.
+type nameOutcome int
+
+const (
+	changeLost nameOutcome = iota
+	changeComplete
+	bothNames // of a Rename: the new name is there, and the old one still is
+)
+
+// nameOutcomes returns how many outcomes a change of a name has.
+func nameOutcomes(kind Kind) int {
+	if kind == Rename {
+		return int(bothNames) + 1
 	}
-	return im
+	return int(changeComplete) + 1
 }
 
-// name plays a change of a name: not at all (0), whole (1), or of a rename the new name alone (2).
-func name(names map[string]int, op Op, how int) {
+// changeName applies a change of a name with an outcome.
+func (s *durableState) changeName(op Op, outcome nameOutcome) {
 	switch {
-	case how == 0:
+	case outcome == changeLost:
 	case op.Kind == Remove:
-		delete(names, op.Name)
+		delete(s.names, op.Name)
 	case op.Kind == Rename:
-		names[op.To] = op.file
-		if how == 1 && names[op.Name] == op.file {
-			delete(names, op.Name)
+		s.names[op.To] = op.file
+		if outcome == changeComplete && s.names[op.Name] == op.file {
+			delete(s.names, op.Name)
 		}
 	default:
-		names[op.Name] = op.file
+		s.names[op.Name] = op.file
 	}
 }
 
-// after is the content when all of some writes have come.
-func (f *kept) after(writes []Op) []byte {
+// survivor returns an image that may be left. It uses up the state.
+func (s *durableState) survivor(choose chooser) Image {
+	for _, op := range s.unsyncedOps {
+		s.changeName(op, nameOutcome(choose(nameOutcomes(op.Kind))))
+	}
+	image := Image{}
+	for _, name := range slices.Sorted(maps.Keys(s.names)) { // a folder comes before what is in it
+		folder := filepath.Dir(name)
+		if _, exists := image[folder]; exists || name == folder {
+			image[name] = s.files[s.names[name]].survivor(choose)
+		}
+	}
+	return image
+}
+
+// withWrites returns the synced content after some writes.
+func (f *durableFile) withWrites(writes []Op) []byte {
 	content := slices.Clone(f.synced)
 	for _, op := range writes {
-		content = over(content, op)
+		content = applyWrite(content, op)
 	}
 	return content
 }
 
-// left is a content that may be on the disk: each sector as after any of the writes to it, the length as before, as
-// far as sectors came, or whole.
-func (f *kept) left(choose func(of int) int) []byte {
-	if len(f.since) == 0 {
+// survivor returns a content that may be left. Each sector is as after any of the unsynced writes to it, or as synced.
+// The length is that of the synced content, that up to the last sector that was written, or that after all writes.
+func (f *durableFile) survivor(choose chooser) []byte {
+	if len(f.unsynced) == 0 {
 		return slices.Clone(f.synced)
 	}
-	whole := f.after(f.since)
-	content := make([]byte, len(whole))
+	written := f.withWrites(f.unsynced)
+	content := make([]byte, len(written))
 	copy(content, f.synced)
 	reached := len(f.synced)
-	for at := 0; at < len(whole); at += Sector {
-		end := min(at+Sector, len(whole))
-		var here []Op
-		for _, op := range f.since {
-			if op.off < int64(end) && op.off+int64(len(op.data)) > int64(at) {
-				here = append(here, op)
-			}
-		}
-		if len(here) == 0 {
+	for start := 0; start < len(written); start += SectorBytes {
+		end := min(start+SectorBytes, len(written))
+		writes := f.writesTo(start, end)
+		if len(writes) == 0 {
 			continue
 		}
-		if n := choose(len(here) + 1); n > 0 {
-			state := f.after(here[:n])
-			end = min(end, len(state))
-			copy(content[at:end], state[at:end])
+		if n := choose(len(writes) + 1); n > 0 {
+			partly := f.withWrites(writes[:n])
+			end = min(end, len(partly))
+			copy(content[start:end], partly[start:end])
 			reached = max(reached, end)
 		}
 	}
-	lengths := []int{len(f.synced), reached, len(whole)}
+	lengths := []int{len(f.synced), reached, len(written)}
 	slices.Sort(lengths)
 	lengths = slices.Compact(lengths)
 	return content[:lengths[choose(len(lengths))]]
 }
 
-// names are the paths, in order.
-func (im Image) names() []string { return slices.SortedFunc(maps.Keys(im), cmp.Compare[string]) }
-
-// Key tells images apart: equal ones have the same.
-func (im Image) Key() string {
-	var b []byte
-	for _, name := range im.names() {
-		b = append(append(b, name...), 0)
-		b = append(append(b, im[name]...), 0)
+// writesTo returns the unsynced writes to a range of bytes.
+func (f *durableFile) writesTo(start, end int) []Op {
+	var writes []Op
+	for _, op := range f.unsynced {
+		if op.offset < int64(end) && op.end() > int64(start) {
+			writes = append(writes, op)
+		}
 	}
-	return string(b)
+	return writes
 }
--- a/internal/testutil/disk/disk_test.go
+++ b/internal/testutil/disk/disk_test.go
@@ -10,67 +10,83 @@
 	"github.com/stretchr/testify/require"
 )
 
-// write makes /f with two sectors in two writes, the second over a part of the first.
-func write(t *testing.T, d *Disk) {
-	f, err := d.Create("/f")
+var (
+	firstSector = strings.Repeat("a", SectorBytes)
+	secondPart  = strings.Repeat("b", 10)
+)
+
+// writeTwoSectors creates /f and writes to its first sector and then to a part of its second.
+func writeTwoSectors(t *testing.T, d *Disk) {
+	t.Helper()
+	file, err := d.Create("/f")
 	require.NoError(t, err)
-	for _, part := range []string{strings.Repeat("a", Sector), strings.Repeat("b", 10)} {
-		_, err = f.Write([]byte(part))
+	for _, part := range []string{firstSector, secondPart} {
+		_, err = file.Write([]byte(part))
 		require.NoError(t, err)
 	}
 }
 
-func TestExhaustLosesWhatIsNotSynced(t *testing.T) {
-	d := New(Image{"/": nil})
-	write(t, d)
+// described tells a missing file from an empty one.
+func described(image Image) string {
+	content, exists := image["/f"]
+	if !exists {
+		return "missing"
+	}
+	return "exists " + string(content)
+}
+
+func TestCrashImages_unsynced(t *testing.T) {
+	d := New(Image{root: nil})
+	writeTwoSectors(t, d)
 	seen := map[string]bool{}
-	for im := range d.Exhaust(d.Ops()) {
-		content, there := im["/f"]
-		seen[map[bool]string{true: "there "}[there]+string(content)] = true
+	for image := range d.CrashImages(d.OpCount()) {
+		seen[described(image)] = true
 	}
-	a, b, zeros := strings.Repeat("a", Sector), strings.Repeat("b", 10), strings.Repeat("\x00", Sector)
+	zeros := strings.Repeat("\x00", SectorBytes)
 	for name, want := range map[string]string{
-		"no name": "", "empty": "there ", "first alone": "there " + a, "first, and the length": "there " + a + zeros[:10],
-		"second alone": "there " + zeros + b, "length alone": "there " + zeros + zeros[:10], "whole": "there " + a + b,
+		"no name":               "missing",
+		"empty":                 "exists ",
+		"first alone":           "exists " + firstSector,
+		"first, and the length": "exists " + firstSector + zeros[:len(secondPart)],
+		"second alone":          "exists " + zeros + secondPart,
+		"length alone":          "exists " + zeros + zeros[:len(secondPart)],
+		"both":                  "exists " + firstSector + secondPart,
 	} {
 		assert.True(t, seen[want], name)
 	}
 	assert.Len(t, seen, 7)
-	by := rand.New(rand.NewPCG(1, 1))
+	rng := rand.New(rand.NewPCG(1, 1))
 	for range 20 {
-		content, there := d.Sample(d.Ops(), by)["/f"]
-		assert.True(t, seen[map[bool]string{true: "there "}[there]+string(content)])
+		assert.True(t, seen[described(d.SampleCrash(d.OpCount(), rng))])
 	}
 }
 
-func TestExhaustKeepsWhatIsSynced(t *testing.T) {
-	d := New(Image{"/": nil})
-	write(t, d)
-	f, err := d.Open("/f")
+func TestCrashImages_synced(t *testing.T) {
+	d := New(Image{root: nil})
+	writeTwoSectors(t, d)
+	file, err := d.Open("/f")
 	require.NoError(t, err)
-	require.NoError(t, f.Sync())
-	require.NoError(t, d.SyncDir("/"))
+	require.NoError(t, file.Sync())
+	require.NoError(t, d.SyncDir(root))
 	require.NoError(t, d.Rename("/f", "/g"))
-	whole := strings.Repeat("a", Sector) + strings.Repeat("b", 10)
-	var names []string
-	for im := range d.Exhaust(d.Ops()) {
-		var here []string
-		for _, name := range im.names()[1:] {
-			assert.Equal(t, whole, string(im[name]))
-			here = append(here, name)
+	var nameLists []string
+	for image := range d.CrashImages(d.OpCount()) {
+		names := image.names()[1:] // without the root
+		for _, name := range names {
+			assert.Equal(t, firstSector+secondPart, string(image[name]))
 		}
-		names = append(names, strings.Join(here, " "))
+		nameLists = append(nameLists, strings.Join(names, " "))
 	}
-	assert.ElementsMatch(t, []string{"/f", "/g", "/f /g"}, names)
+	assert.ElementsMatch(t, []string{"/f", "/g", "/f /g"}, nameLists)
 }
 
-func TestFullDisk(t *testing.T) {
-	d := New(Image{"/": nil})
-	d.Space = 3
-	f, err := d.Create("/f")
+func TestDisk_full(t *testing.T) {
+	d := New(Image{root: nil})
+	d.FreeBytes = 3
+	file, err := d.Create("/f")
 	require.NoError(t, err)
-	n, err := f.Write([]byte("12345"))
+	n, err := file.Write([]byte("12345"))
 	assert.Equal(t, 3, n)
 	assert.ErrorIs(t, err, syscall.ENOSPC)
-	assert.Equal(t, "123", string(d.Now()["/f"]))
+	assert.Equal(t, "123", string(d.Visible()["/f"]))
 }
--- /dev/null
+++ b/internal/testutil/disk/file.go
@@ -0,0 +1,112 @@
+package disk
+
+import (
+	"errors"
+	"io"
+	"os"
+	"slices"
+	"syscall"
+
+	"marblelane/internal/fsys"
+)
+
+var errIsFolder = errors.New("is a folder")
+
+// lock is a lock that is held.
+type lock struct {
+	disk *Disk
+	name string
+	id   fileID
+}
+
+// Current implements fsys.Lock.
+func (l *lock) Current() bool {
+	l.disk.mu.Lock()
+	defer l.disk.mu.Unlock()
+	id, exists := l.disk.names[l.name]
+	return exists && id == l.id
+}
+
+// Close implements fsys.Lock.
+func (l *lock) Close() error {
+	l.disk.mu.Lock()
+	defer l.disk.mu.Unlock()
+	if l.disk.locks[l.name] == l.id {
+		delete(l.disk.locks, l.name)
+	}
+	return nil
+}
+
+// file is an open file.
+type file struct {
+	disk   *Disk
+	name   string
+	id     fileID
+	offset int64 // of the next Read or Write
+}
+
+// Read implements io.Reader.
+func (f *file) Read(p []byte) (int, error) {
+	f.disk.mu.Lock()
+	defer f.disk.mu.Unlock()
+	content := f.disk.contents[f.id]
+	if f.offset >= int64(len(content)) {
+		return 0, io.EOF
+	}
+	n := copy(p, content[f.offset:])
+	f.offset += int64(n)
+	return n, nil
+}
+
+// Write implements io.Writer. When the disk becomes full, it writes what fits.
+func (f *file) Write(p []byte) (int, error) {
+	f.disk.mu.Lock()
+	defer f.disk.mu.Unlock()
+	var full error
+	if f.disk.FreeBytes >= 0 && int64(len(p)) > f.disk.FreeBytes {
+		p, full = p[:f.disk.FreeBytes], pathError(Write, f.name, syscall.ENOSPC)
+	}
+	op := Op{Kind: Write, Name: f.name, file: f.id, offset: f.offset, data: slices.Clone(p)}
+	if err := f.disk.record(op); err != nil {
+		return 0, err
+	}
+	f.disk.contents[f.id] = applyWrite(f.disk.contents[f.id], op)
+	f.offset += int64(len(p))
+	if f.disk.FreeBytes >= 0 {
+		f.disk.FreeBytes -= int64(len(p))
+	}
+	return len(p), full
+}
+
+// applyWrite returns a content after a write. It may change the content in place.
+func applyWrite(content []byte, write Op) []byte {
+	if missing := write.end() - int64(len(content)); missing > 0 {
+		content = append(content, make([]byte, missing)...)
+	}
+	copy(content[write.offset:], write.data)
+	return content
+}
+
+// end is the offset after the last byte of a write.
+func (op Op) end() int64 { return op.offset + int64(len(op.data)) }
+
+// Sync implements fsys.File.
+func (f *file) Sync() error {
+	f.disk.mu.Lock()
+	defer f.disk.mu.Unlock()
+	return f.disk.record(Op{Kind: Sync, Name: f.name, file: f.id})
+}
+
+// Stat implements fsys.File. All files belong to this process's user.
+func (f *file) Stat() (fsys.Info, error) {
+	f.disk.mu.Lock()
+	defer f.disk.mu.Unlock()
+	content := f.disk.contents[f.id]
+	if content == nil {
+		return fsys.Info{}, errIsFolder
+	}
+	return fsys.Info{Size: int64(len(content)), Mode: 0o600, Owner: os.Geteuid()}, nil
+}
+
+// Close implements io.Closer.
+func (f *file) Close() error { return nil }
--- a/internal/testutil/explore/explore.go
+++ b/internal/testutil/explore/explore.go
@@ -1,9 +1,9 @@
-// Package explore visits each state that a small world can reach, and finds the first that breaks a promise, with the way
-// there. A world that is small enough to be gone through proves what it is asked for all interleavings of what may
-// happen in it, where runs by chance show it for those that came.
+// Package explore is a small explicit-state model checker: it visits each state that a model can reach and finds the
+// first one that violates an invariant, with the events that lead to it. For a model that is small enough to be visited
+// completely this proves the invariant for all interleavings of its events.
 //
-// States are told apart by a hash of 128 bits of their keys, so that memory grows by some tens of bytes with each state,
-// and a state that is another one's twin is visited once.
+// States are identified by a hash of 128 bits of their keys, so that memory grows by some tens of bytes per state, and
+// two states with the same key are visited once.
 package explore
 
 import (
@@ -15,94 +15,117 @@
 	"strings"
 )
 
-// World is a state of a world. It is not changed once it was given to an exploration.
+// World is a state of the model. It must not change after it was passed to an exploration.
 type World interface {
-	// Key is all that matters for what may come of the state, and for Check: of two states with one key the second is
-	// passed over.
+	// Key holds everything that Check and later states depend on. Of two states with the same key the second is skipped.
 	Key() []byte
-	// Check tells which promise is broken here; nil: none is.
+	// Check returns the invariant that the state violates, or nil.
 	Check() error
-	// Next calls emit for each state that may come next, with what happens on the way to it.
-	Next(emit func(what string, w World))
+	// Next calls emit for each possible next state, with the event that leads to it.
+	Next(emit func(event string, w World))
 }
 
-// Options bound an exploration and give it an order.
+// Options bound and order an exploration.
 type Options struct {
-	// Shortest visits the oldest state first, so that no way to a breach is shorter than the one that is found. Otherwise
-	// the newest is first, with which few states wait.
-	Shortest bool
-	Most     int // states, beyond which the exploration ends with ErrMost; 0: no bound
+	// BreadthFirst visits the oldest state first, so that a trace is as short as possible. Otherwise the newest state is
+	// visited first, which keeps few states in memory.
+	BreadthFirst bool
+	// MaxStates ends an exploration of more states with ErrTooManyStates; 0: no bound.
+	MaxStates int
 }
 
-// ErrMost is that there are more states than an exploration may visit. What it has visited breaks no promise.
-var ErrMost = errors.New("explore: there are more states")
+// ErrTooManyStates says that the model has more states than Options.MaxStates. Those visited violate no invariant.
+var ErrTooManyStates = errors.New("explore: there are more states")
 
-// Breach is a state that breaks a promise.
-type Breach struct {
-	Trace []string // what happened on the way to it, from the first state on
-	Err   error    // what Check said
+// Violation is a state that violates an invariant.
+type Violation struct {
+	Trace []string // events that lead from the first state to this one
+	Err   error    // what Check returned
 }
 
-func (b *Breach) Error() string {
-	return strings.Join(append(slices.Clone(b.Trace), b.Err.Error()), ": ")
+// Error implements error.
+func (v *Violation) Error() string {
+	return strings.Join(append(slices.Clone(v.Trace), v.Err.Error()), ": ")
 }
 
-func (b *Breach) Unwrap() error { return b.Err }
+// Unwrap returns what Check returned.
+func (v *Violation) Unwrap() error { return v.Err }
 
-// visited is a state that was reached; its world is dropped once it was looked at, and its way kept.
-type visited struct {
-	w      World
-	what   string
-	before *visited
+// node is a state that was reached. Its world is released once it was visited; its predecessors stay, for the trace.
+type node struct {
+	world       World
+	event       string
+	predecessor *node
 }
 
-// Run visits each state that can be reached from w. It tells how many states it knows of: of an exploration without an
-// error that is how many there are. The error is a *Breach for the first state that breaks a promise, or ErrMost.
-func Run(w World, o Options) (states int, err error) {
-	seen := map[[16]byte]struct{}{}
-	var todo []*visited
-	full := false
-	add := func(v *visited) {
-		sum := sha256.Sum256(v.w.Key())
-		key := [16]byte(sum[:16])
-		if _, known := seen[key]; known {
-			return
-		}
-		if full = full || o.Most > 0 && len(seen) >= o.Most; !full {
-			seen[key] = struct{}{}
-			todo = append(todo, v)
+// stateKey identifies a state: the first 128 bits of a hash of World.Key.
+type stateKey [16]byte
+
+// explorer is one exploration.
+type explorer struct {
+	options Options
+	seen    map[stateKey]struct{}
+	pending []*node
+	full    bool // states were left out, as there are more than MaxStates
+}
+
+// Run visits each state that can be reached from the first. It returns the number of states that it knows, which is the
+// number of all states if there is no error. The error is a *Violation or ErrTooManyStates.
+func Run(first World, options Options) (states int, err error) {
+	e := &explorer{options: options, seen: map[stateKey]struct{}{}}
+	e.add(&node{world: first})
+	for len(e.pending) > 0 {
+		current := e.take()
+		if err := current.world.Check(); err != nil {
+			return len(e.seen), current.violation(err)
 		}
+		current.world.Next(func(event string, w World) { e.add(&node{w, event, current}) })
+		current.world = nil
 	}
-	add(&visited{w: w})
-	for len(todo) > 0 {
-		v := todo[len(todo)-1]
-		if o.Shortest {
-			v, todo = todo[0], todo[1:]
-		} else {
-			todo = todo[:len(todo)-1]
-		}
-		if err := v.w.Check(); err != nil {
-			return len(seen), v.breach(err)
-		}
-		v.w.Next(func(what string, w World) { add(&visited{w, what, v}) })
-		v.w = nil
+	if e.full {
+		return len(e.seen), fmt.Errorf("%w than %d", ErrTooManyStates, options.MaxStates)
 	}
-	if full {
-		return len(seen), fmt.Errorf("%w than %d", ErrMost, o.Most)
+	return len(e.seen), nil
+}
+
+// add notes a state to be visited, unless it is known or the bound is reached.
+func (e *explorer) add(n *node) {
+	sum := sha256.Sum256(n.world.Key())
+	key := stateKey(sum[:len(stateKey{})])
+	if _, known := e.seen[key]; known {
+		return
+	}
+	e.full = e.full || e.options.MaxStates > 0 && len(e.seen) >= e.options.MaxStates
+	if e.full {
+		return
+	}
+	e.seen[key] = struct{}{}
+	e.pending = append(e.pending, n)
+}
+
+// take removes the state to visit next.
+func (e *explorer) take() *node {
+	if e.options.BreadthFirst {
+		oldest := e.pending[0]
+		e.pending = e.pending[1:]
+		return oldest
 	}
-	return len(seen), nil
+	last := len(e.pending) - 1
+	newest := e.pending[last]
+	e.pending = e.pending[:last]
+	return newest
 }
 
-func (v *visited) breach(err error) *Breach {
-	b := &Breach{Err: err}
-	for ; v.before != nil; v = v.before {
-		b.Trace = append(b.Trace, v.what)
+func (n *node) violation(err error) *Violation {
+	v := &Violation{Err: err}
+	for ; n.predecessor != nil; n = n.predecessor {
+		v.Trace = append(v.Trace, n.event)
 	}
-	slices.Reverse(b.Trace)
-	return b
+	slices.Reverse(v.Trace)
+	return v
 }
 
-// Ints appends numbers to a key, so that no two lists of one length are written alike.
+// Ints appends integers to a key. Two different lists of the same length have different keys.
 func Ints(key []byte, values ...int64) []byte {
 	for _, v := range values {
 		key = binary.AppendVarint(key, v)
@@ -110,7 +133,7 @@
 	return key
 }
 
-// Bit is a truth as a number of a key.
+// Bit is a boolean as an integer of a key: 1 or 0.
 func Bit(b bool) int64 {
 	if b {
 		return 1
--- a/internal/testutil/explore/explore_test.go
+++ b/internal/testutil/explore/explore_test.go
@@ -7,49 +7,52 @@
 	"github.com/stretchr/testify/require"
 )
 
-// cans is the riddle of two cans, of 3 and 5 litres: a promise that nobody ever measures 4 is broken in six steps.
-type cans struct{ three, five, wanted int64 }
+// jugs is the water jug puzzle with jugs of 3 and 5 litres. The invariant says that five never holds the wanted amount;
+// it is violated after six events for 4 litres, and never for 6.
+type jugs struct{ three, five, wanted int64 }
 
 var errMeasured = errors.New("it is measured")
 
-func (c cans) Key() []byte { return Ints(nil, c.three, c.five) }
+func (j jugs) Key() []byte { return Ints(nil, j.three, j.five) }
 
-func (c cans) Check() error {
-	if c.five == c.wanted {
+func (j jugs) Check() error {
+	if j.five == j.wanted {
 		return errMeasured
 	}
 	return nil
 }
 
-func (c cans) Next(emit func(string, World)) {
-	over := min(c.three, 5-c.five)
-	back := min(c.five, 3-c.three)
-	for what, next := range map[string]cans{
-		"fill three": {3, c.five, c.wanted}, "fill five": {c.three, 5, c.wanted},
-		"empty three": {0, c.five, c.wanted}, "empty five": {c.three, 0, c.wanted},
-		"three to five": {c.three - over, c.five + over, c.wanted}, "five to three": {c.three + back, c.five - back, c.wanted},
+func (j jugs) Next(emit func(string, World)) {
+	toFive := min(j.three, 5-j.five)
+	toThree := min(j.five, 3-j.three)
+	for event, next := range map[string]jugs{
+		"fill three": {3, j.five, j.wanted}, "fill five": {j.three, 5, j.wanted},
+		"empty three": {0, j.five, j.wanted}, "empty five": {j.three, 0, j.wanted},
+		"three to five": {j.three - toFive, j.five + toFive, j.wanted},
+		"five to three": {j.three + toThree, j.five - toThree, j.wanted},
 	} {
-		emit(what, next)
+		emit(event, next)
 	}
 }
 
 func TestRun(t *testing.T) {
-	for _, shortest := range []bool{false, true} {
-		states, err := Run(cans{wanted: 6}, Options{Shortest: shortest})
+	for _, breadthFirst := range []bool{false, true} {
+		states, err := Run(jugs{wanted: 6}, Options{BreadthFirst: breadthFirst})
 		require.NoError(t, err)
-		require.Equal(t, 16, states, "one can is full or empty")
+		require.Equal(t, 16, states, "one jug is full or empty")
 	}
-	_, err := Run(cans{wanted: 4}, Options{Shortest: true})
-	var b *Breach
-	require.ErrorAs(t, err, &b)
+	_, err := Run(jugs{wanted: 4}, Options{BreadthFirst: true})
+	var violation *Violation
+	require.ErrorAs(t, err, &violation)
 	require.ErrorIs(t, err, errMeasured)
-	require.Equal(t, []string{"fill five", "five to three", "empty three", "five to three", "fill five", "five to three"}, b.Trace)
+	require.Equal(t, []string{"fill five", "five to three", "empty three", "five to three", "fill five", "five to three"},
+		violation.Trace)
 	require.EqualError(t, err, "fill five: five to three: empty three: five to three: fill five: five to three: it is measured")
 
-	states, err := Run(cans{wanted: 6}, Options{Most: 7})
-	require.ErrorIs(t, err, ErrMost)
+	states, err := Run(jugs{wanted: 6}, Options{MaxStates: 7})
+	require.ErrorIs(t, err, ErrTooManyStates)
 	require.ErrorContains(t, err, "than 7")
 	require.Equal(t, 7, states)
-	_, err = Run(cans{wanted: 0}, Options{})
+	_, err = Run(jugs{wanted: 0}, Options{})
 	require.EqualError(t, err, "it is measured", "at once")
 }
--- a/internal/wallclock/wallclock_test.go
+++ b/internal/wallclock/wallclock_test.go
@@ -136,13 +136,12 @@
 	},
 	"internal/snapshot/crashcheck/crashcheck.go": {
 		"time.UnixMilli": {1, "is shown to people alone"},
-		"time.UnixMilli(1_700_000_000_000 + int64(n)).UTC": {1, "is constant"},
+		"time.UnixMilli(1_700_000_000_000 + int64(number)).UTC": {1, "is constant"},
 	},
 	"internal/snapshot/format.go": {
-		"e.In":                                {1, "a field: the section of a file"},
-		"s.Written.UnixMilli":                 {1, "the time of writing; an age below 0 is unknown, see docs/recovery.md"},
-		"time.UnixMilli":                      {1, "as above"},
-		"time.UnixMilli(first.WrittenMS).UTC": {1, "as above"},
+		"s.Written.UnixMilli":                {1, "the time of writing; an age below 0 is unknown, see docs/recovery.md"},
+		"time.UnixMilli":                     {1, "as above"},
+		"time.UnixMilli(head.WrittenMS).UTC": {1, "as above"},
 	},
 	"internal/snapshot/snapshot.go": {
 		"s.Written.UnixMilli": {1, "is checked to be a time that can be"},
