--- /dev/null
+++ b/internal/snapshot/age_test.go
@@ -0,0 +1,47 @@
+package snapshot_test
+
+import (
+	"math"
+	"testing"
+	"time"
+
+	"github.com/stretchr/testify/assert"
+
+	"marblelane/internal/snapshot"
+	"marblelane/internal/snapshot/crashcheck"
+)
+
+func TestAged(t *testing.T) {
+	state := crashcheck.State(4, 1)
+	state.Learned.Servers[0] = snapshot.Server{UID: "a", Size: 2, ConsecutiveErrors: 3, ErrorAge: 1000, Down: true,
+		Ejections: 2, EjectionLeft: 5000, WarmingUp: true, WarmUpAge: 4000}
+	agedBy := func(elapsed time.Duration) (snapshot.Server, *snapshot.Snapshot, snapshot.Age) {
+		aged, age := state.Aged(state.Written.Add(elapsed), snapshot.DefaultAgeing())
+		return aged.Learned.Servers[0], aged, age
+	}
+	server, aged, age := agedBy(2 * time.Second)
+	assert.Equal(t, snapshot.Age{Elapsed: 2 * time.Second, Known: true, Weight: math.Exp2(-2.0 / 3600)}, age)
+	assert.Equal(t, []float64{3000, 3000, 6000, 2000},
+		[]float64{server.ErrorAge, server.EjectionLeft, server.WarmUpAge, aged.List.Age})
+	assert.Equal(t, state.Learned.Rates, aged.Learned.Rates)
+
+	server, aged, _ = agedBy(time.Hour)
+	assert.Equal(t, snapshot.Server{UID: "a", Size: 1}, server, "half the size, and no faults")
+	assert.Equal(t, snapshot.Rates{}, aged.Learned.Rates)
+	assert.Equal(t, 2.25, aged.Learned.Kinds["big"])
+
+	server, _, age = agedBy(25 * time.Hour)
+	assert.Zero(t, server.Size)
+	assert.True(t, age.Known)
+
+	_, _, age = agedBy(-time.Second)
+	assert.Equal(t, snapshot.Age{Known: true, Weight: 1}, age, "within the slack of the clock")
+
+	server, aged, age = agedBy(-time.Hour)
+	assert.Equal(t, snapshot.Age{Weight: 0.5}, age)
+	assert.Equal(t, 1.0, server.Size)
+	assert.Equal(t, state.Learned.Servers[0].EjectionLeft, server.EjectionLeft)
+	assert.Equal(t, state.Learned.Servers[0].WarmUpAge, server.WarmUpAge)
+	assert.Equal(t, snapshot.Rates{}, aged.Learned.Rates)
+	assert.Equal(t, 2.0, state.Learned.Servers[0].Size, "the state that was read is unchanged")
+}
--- a/internal/snapshot/crash_test.go
+++ b/internal/snapshot/crash_test.go
@@ -1,7 +1,6 @@
 package snapshot_test
 
 import (
-	"context"
 	"fmt"
 	"io/fs"
 	"syscall"
@@ -16,7 +15,10 @@
 	"marblelane/internal/testutil/disk"
 )
 
-func TestEachCrashGivesTheNewestOrTheOneBefore(t *testing.T) {
+// savingOps are the kinds of operations of a Save that may fail.
+var savingOps = []disk.Kind{disk.Create, disk.Write, disk.Sync, disk.Rename, disk.SyncDir}
+
+func TestCrash_allImages(t *testing.T) {
 	t.Parallel()
 	images, err := crashcheck.CheckEveryCrash(func(d *disk.Disk) fsys.FS { return d })
 	require.NoError(t, err)
@@ -24,101 +26,107 @@
 	t.Logf("%d different images", images)
 }
 
-func TestPlantedDefectsAreFound(t *testing.T) {
-	for say, defect := range map[string]disk.UnsafeFS{
+func TestCrash_plantedDefects(t *testing.T) {
+	for wantErr, defect := range map[string]disk.FaultyFS{
 		"lost: seq 1 had returned ([/s": {NoFileSync: true},
 		"lost: seq 1 had returned ([])": {NoDirSync: true},
 		"a generation is damaged":       {LateSync: true},
 	} {
-		images, err := crashcheck.CheckEveryCrash(func(d *disk.Disk) fsys.FS { f := defect; f.FS = d; return &f })
-		require.ErrorContains(t, err, say)
+		images, err := crashcheck.CheckEveryCrash(func(d *disk.Disk) fsys.FS {
+			faulty := defect
+			faulty.FS = d
+			return &faulty
+		})
+		require.ErrorContains(t, err, wantErr)
 		t.Logf("%+v: at image %d: %v", defect, images, err)
 	}
 }
 
-// A process that made the folder was killed before it synced its parent; the next one has to.
-func TestFolderOfAKilledProcess(t *testing.T) {
+// A process created the folder and was killed before it synced the parent. The next process has to sync it.
+func TestCrash_unsyncedFolder(t *testing.T) {
 	d := disk.New(disk.Image{"/": nil})
-	require.NoError(t, d.Mkdir("/s"))
-	st, err := crashcheck.Open(crashcheck.Dir, d)
+	require.NoError(t, d.Mkdir(crashcheck.Dir))
+	store, err := crashcheck.Open(crashcheck.Dir, d)
 	require.NoError(t, err)
-	snap := crashcheck.State(1, 0)
-	require.NoError(t, st.Save(context.Background(), snap))
-	w := crashcheck.Allowed{States: []*snapshot.Snapshot{snap}, MinSeq: 1}
-	for im := range d.CrashImages(d.OpCount()) {
-		_, err := w.Check(im)
+	state := crashcheck.State(1, 0)
+	require.NoError(t, store.Save(t.Context(), state))
+	requireAllowed(t, d, crashcheck.Allowed{States: []*snapshot.Snapshot{state}, MinSeq: 1})
+}
+
+// requireAllowed checks all images that a loss of power may leave now.
+func requireAllowed(t *testing.T, d *disk.Disk, allowed crashcheck.Allowed) {
+	t.Helper()
+	for image := range d.CrashImages(d.OpCount()) {
+		_, err := allowed.Check(image)
 		require.NoError(t, err)
 	}
 }
 
-func TestCrashLoop(t *testing.T) {
+func TestCrash_randomRestarts(t *testing.T) {
 	t.Parallel()
 	for seed := range uint64(60) {
 		require.NoError(t, crashcheck.CheckRestarts(seed, 10))
 	}
 }
 
-func TestFullDisk(t *testing.T) {
+func TestSave_diskFull(t *testing.T) {
 	t.Parallel()
-	for space := range int64(len(encoded(t, 2))) {
-		require.NoError(t, crashcheck.CheckFailedSave(func(d *disk.Disk) { d.FreeBytes = space }, syscall.ENOSPC), "%d bytes", space)
+	for free := range int64(len(encoded(t, 2))) {
+		require.NoError(t, crashcheck.CheckFailedSave(func(d *disk.Disk) { d.FreeBytes = free }, syscall.ENOSPC),
+			"%d bytes", free)
 	}
 }
 
-// The disk refuses an operation once, or from then on.
-func TestRefusingDisk(t *testing.T) {
-	for _, refusal := range []error{syscall.EROFS, fs.ErrPermission, syscall.EIO, syscall.ENOENT} {
-		for _, kind := range []disk.Kind{disk.Create, disk.Write, disk.Sync, disk.Rename, disk.SyncDir} {
+// An operation fails once, or each operation after it fails too.
+func TestSave_diskFails(t *testing.T) {
+	for _, failure := range []error{syscall.EROFS, fs.ErrPermission, syscall.EIO, syscall.ENOENT} {
+		for _, kind := range savingOps {
 			for _, once := range []bool{true, false} {
-				refused := false
+				failed := false
 				require.NoError(t, crashcheck.CheckFailedSave(func(d *disk.Disk) {
 					d.Fail = func(_ int, op disk.Op) error {
-						if op.Kind == kind && !refused || refused && !once {
-							refused = true
-							return refusal
+						if op.Kind == kind && !failed || failed && !once {
+							failed = true
+							return failure
 						}
 						return nil
 					}
-				}, refusal), "%v at %v, once: %v", refusal, kind, once)
+				}, failure), "%v at %v, once: %v", failure, kind, once)
 			}
 		}
 	}
 }
 
-// The disk refuses an operation for several Saves. Each leaves a sound state, and the first one after it works.
-func TestDiskThatFailsForAWhile(t *testing.T) {
+// An operation fails for several Saves. Each leaves a sound state, and the first Save after the fault succeeds.
+func TestSave_diskRecovers(t *testing.T) {
 	t.Parallel()
-	for _, refusal := range []error{syscall.ENOSPC, syscall.EIO} {
-		for _, kind := range []disk.Kind{disk.Create, disk.Write, disk.Sync, disk.Rename, disk.SyncDir} {
-			t.Run(fmt.Sprintf("%v at %v", refusal, kind), func(t *testing.T) {
+	for _, failure := range []error{syscall.ENOSPC, syscall.EIO} {
+		for _, kind := range savingOps {
+			t.Run(fmt.Sprintf("%v at %v", failure, kind), func(t *testing.T) {
 				d := disk.New(disk.Image{"/": nil})
-				st, err := crashcheck.Open(crashcheck.Dir, d)
+				store, err := crashcheck.Open(crashcheck.Dir, d)
 				require.NoError(t, err)
-				defer st.Close()
+				defer store.Close()
 				saved := []*snapshot.Snapshot{crashcheck.State(1, 1)}
-				require.NoError(t, st.Save(t.Context(), saved[0]))
+				require.NoError(t, store.Save(t.Context(), saved[0]))
 				d.Fail = func(_ int, op disk.Op) error {
 					if op.Kind == kind {
-						return refusal
+						return failure
 					}
 					return nil
 				}
 				for number := range 3 {
 					next := crashcheck.State(number+2, 1)
-					require.ErrorIs(t, st.Save(t.Context(), next), refusal)
+					require.ErrorIs(t, store.Save(t.Context(), next), failure)
 					saved = append(saved, next)
 				}
-				allowed := crashcheck.Allowed{States: saved, MinSeq: saved[0].Seq}
-				for image := range d.CrashImages(d.OpCount()) {
-					_, err := allowed.Check(image)
-					require.NoError(t, err)
-				}
+				requireAllowed(t, d, crashcheck.Allowed{States: saved, MinSeq: saved[0].Seq})
 				d.Fail = nil
 				last := crashcheck.State(9, 1)
-				require.NoError(t, st.Save(t.Context(), last))
-				got, asides := st.Load()
-				assert.Empty(t, asides)
-				assert.Equal(t, last, got)
+				require.NoError(t, store.Save(t.Context(), last))
+				loaded, unused := store.Load()
+				assert.Empty(t, unused)
+				assert.Equal(t, last, loaded)
 			})
 		}
 	}
--- a/internal/snapshot/crashcheck/random.go
+++ b/internal/snapshot/crashcheck/random.go
@@ -29,7 +29,7 @@
 		allowed = AllowedAfter(loaded)
 		d := disk.New(image)
 		losePowerAfter(d, rng.IntN(maxOpsOfProcess))
-		store, _ := Open(Dir, d) // each Save tries again what failed
+		store, _ := Open(Dir, d) // each Save retries what failed
 		for save := range 2 {
 			state := State(10*restart+save, rng.IntN(5))
 			err := store.Save(context.Background(), state)
--- a/internal/snapshot/format.go
+++ b/internal/snapshot/format.go
@@ -281,13 +281,13 @@
 	if len(head) < sectionBytes {
 		return s, 0, damagedAt(offset, fmt.Sprintf("section %d", number), "the file ends")
 	}
-	head, rest := head[:sectionBytes], head[sectionBytes:]
+	head, remaining := head[:sectionBytes], head[sectionBytes:]
 	s = section{name: string(head[:sectionFlagsAt]), flags: binary.BigEndian.Uint32(head[sectionFlagsAt:])}
 	bodySize := binary.BigEndian.Uint32(head[sectionSizeAt:])
-	if uint64(bodySize) > uint64(len(rest)) {
-		return s, 0, damagedAt(offset, s.part(number), "it tells of %d bytes, and %d are left", bodySize, len(rest))
+	if uint64(bodySize) > uint64(len(remaining)) {
+		return s, 0, damagedAt(offset, s.part(number), "it tells of %d bytes, and %d are left", bodySize, len(remaining))
 	}
-	s.body = rest[:bodySize]
+	s.body = remaining[:bodySize]
 	if binary.BigEndian.Uint32(head[sectionCRCAt:]) != sectionCRC(head[:sectionCRCAt], s.body) {
 		return s, 0, damagedAt(offset, s.part(number), "the checksum is not its own")
 	}
--- a/internal/snapshot/golden_test.go
+++ b/internal/snapshot/golden_test.go
@@ -95,8 +95,8 @@
 		t.Cleanup(func() { assert.NoError(t, store.Close()) })
 		return store
 	}
-	got, asides := open(disk.New(disk.Image{"/": nil, dir: nil, file: stored})).Load()
-	assert.Empty(t, asides)
+	got, unused := open(disk.New(disk.Image{"/": nil, dir: nil, file: stored})).Load()
+	assert.Empty(t, unused)
 	assert.Empty(t, cmp.Diff(want, got))
 
 	written := disk.New(disk.Image{"/": nil})
--- a/internal/snapshot/store.go
+++ b/internal/snapshot/store.go
@@ -85,8 +85,8 @@
 }
 
 // Open opens a state folder and creates it if its parent exists. The store is returned in any case and can Load. The
-// error says why it cannot Save for now: ErrLocked, or an error of the file system. Each Save tries again, so that a
-// process whose predecessor still runs begins to write when the predecessor ends.
+// error says why it cannot Save for now: ErrLocked, or an error of the file system. Each Save retries, so that a process
+// whose predecessor still runs begins to write when the predecessor ends.
 func Open(dir string, options Options) (*Store, error) {
 	if options.MaxBytes == 0 {
 		options.MaxBytes = DefaultMaxBytes
@@ -142,7 +142,7 @@
 	if err != nil {
 		return err
 	}
-	if !lock.Current() { // the file was replaced after it was opened; the next Save tries again
+	if !lock.Current() { // the file was replaced after it was opened; the next Save retries
 		return errors.Join(fmt.Errorf("lock %s: replaced meanwhile", s.path(lockFile)), lock.Close())
 	}
 	s.lock = lock
@@ -330,8 +330,8 @@
 	return 0
 }
 
-// writeTemp writes and syncs the temporary file. It always creates a new file: after a failed sync nobody knows what the
-// disk holds of the old one.
+// writeTemp writes and syncs the temporary file. It always creates a new file: after a failed sync it is unknown
+// what the disk holds of the old one.
 func (s *Store) writeTemp(content []byte) error {
 	if err := s.removeTemp(); err != nil {
 		return err
--- a/internal/snapshot/store_test.go
+++ b/internal/snapshot/store_test.go
@@ -3,7 +3,6 @@
 import (
 	"bufio"
 	"context"
-	"encoding/binary"
 	"fmt"
 	"io/fs"
 	"math/rand/v2"
@@ -23,216 +22,275 @@
 	"marblelane/internal/snapshot/crashcheck"
 )
 
-// helperDir names the folder in which this program, as a helper process, saves until it is killed.
-const helperDir = "SNAPSHOT_TEST_DIR"
+const (
+	// helperDirVar is the environment variable with the folder in which this program, as a helper process, saves states
+	// until it is killed.
+	helperDirVar = "SNAPSHOT_TEST_DIR"
+	// helperServers is how many servers the states of the helper process have.
+	helperServers = 20
+)
 
 func TestMain(m *testing.M) {
-	dir := os.Getenv(helperDir)
+	dir := os.Getenv(helperDirVar)
 	if dir == "" {
 		os.Exit(m.Run())
 	}
-	st, err := crashcheck.Open(dir, nil)
-	for err == nil {
-		s, _ := st.Load()
-		if s == nil {
-			s = &snapshot.Snapshot{}
+	fmt.Fprintln(os.Stderr, saveForever(dir))
+	os.Exit(1)
+}
+
+// saveForever saves states and prints the sequence number of each after its Save returned. It returns the first error.
+func saveForever(dir string) error {
+	store, err := crashcheck.Open(dir, nil)
+	if err != nil {
+		return err
+	}
+	for {
+		number := 1
+		if last, _ := store.Load(); last != nil {
+			number = int(last.Seq) + 1
 		}
-		s = crashcheck.State(int(s.Seq)+1, 20)
-		if err = st.Save(context.Background(), s); err == nil {
-			fmt.Println(s.Seq)
+		state := crashcheck.State(number, helperServers)
+		if err := store.Save(context.Background(), state); err != nil {
+			return err
 		}
+		fmt.Println(state.Seq)
 	}
-	fmt.Fprintln(os.Stderr, err)
-	os.Exit(1)
 }
 
-func TestKilledProcessLeavesASoundState(t *testing.T) {
-	for lane := range 4 {
-		t.Run(fmt.Sprint(lane), func(t *testing.T) {
+// openStore opens a store of a real folder for the time of the test.
+func openStore(t *testing.T, dir string) *snapshot.Store {
+	t.Helper()
+	store, err := crashcheck.Open(dir, nil)
+	require.NoError(t, err)
+	t.Cleanup(func() { _ = store.Close() })
+	return store
+}
+
+// save saves a new state without servers.
+func save(t *testing.T, store *snapshot.Store, number int) error {
+	t.Helper()
+	return store.Save(t.Context(), crashcheck.State(number, 0))
+}
+
+// runAndKill runs the helper process and kills it some time after its first save. It returns the sequence number of the
+// last save that the process reported.
+func runAndKill(t *testing.T, dir string, after time.Duration) (lastSeq uint64) {
+	t.Helper()
+	cmd := exec.Command(os.Args[0])
+	cmd.Env, cmd.Stderr = append(os.Environ(), helperDirVar+"="+dir), os.Stderr
+	out, err := cmd.StdoutPipe()
+	require.NoError(t, err)
+	require.NoError(t, cmd.Start())
+	lines := bufio.NewScanner(out)
+	require.True(t, lines.Scan(), "the helper saves")
+	timer := time.AfterFunc(after, func() { _ = cmd.Process.Kill() })
+	defer timer.Stop()
+	for more := true; more; more = lines.Scan() {
+		_, err := fmt.Sscan(lines.Text(), &lastSeq)
+		require.NoError(t, err)
+	}
+	_ = cmd.Wait()
+	return lastSeq
+}
+
+func TestSave_killedProcess(t *testing.T) {
+	const kills, maxRunMicroseconds = 30, 8000
+	for seed := range uint64(4) {
+		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			t.Parallel()
-			dir, rng, last := filepath.Join(t.TempDir(), "state"), rand.New(rand.NewPCG(uint64(lane), 1)), uint64(0)
-			amid := 0
-			for kill := range 30 {
-				cmd := exec.Command(os.Args[0])
-				cmd.Env, cmd.Stderr = append(os.Environ(), helperDir+"="+dir), os.Stderr
-				out, err := cmd.StdoutPipe()
-				require.NoError(t, err)
-				require.NoError(t, cmd.Start())
-				lines := bufio.NewScanner(out)
-				require.True(t, lines.Scan(), "the helper saves")
-				timer := time.AfterFunc(time.Duration(rng.IntN(8000))*time.Microsecond, func() { _ = cmd.Process.Kill() })
-				for more := true; more; more = lines.Scan() {
-					_, err := fmt.Sscan(lines.Text(), &last)
-					require.NoError(t, err)
-				}
-				_ = cmd.Wait()
-				timer.Stop()
+			dir, rng := filepath.Join(t.TempDir(), "state"), rand.New(rand.NewPCG(seed, 1))
+			lastSeq, killedInWrite := uint64(0), 0
+			for kill := range kills {
+				lastSeq = runAndKill(t, dir, time.Duration(rng.IntN(maxRunMicroseconds))*time.Microsecond)
 				if _, err := os.Stat(filepath.Join(dir, "state.tmp")); err == nil {
-					amid++
+					killedInWrite++
 				}
-				st, err := crashcheck.Open(dir, nil)
+				store, err := crashcheck.Open(dir, nil)
 				require.NoError(t, err, "kill %d", kill)
-				got, asides := st.Load()
-				require.NoError(t, st.Close())
-				require.Empty(t, asides, "kill %d", kill)
+				got, unused := store.Load()
+				require.NoError(t, store.Close())
+				require.Empty(t, unused, "kill %d", kill)
 				require.NotNil(t, got)
-				require.Contains(t, []uint64{last, last + 1}, got.Seq, "kill %d", kill)
-				want := crashcheck.State(int(got.Seq), 20)
+				require.Contains(t, []uint64{lastSeq, lastSeq + 1}, got.Seq, "kill %d", kill)
+				want := crashcheck.State(int(got.Seq), helperServers)
 				want.Seq = got.Seq
 				require.Empty(t, cmp.Diff(want, got))
 			}
-			assert.Greater(t, last, uint64(30))
-			t.Logf("%d saves, %d of 30 kills while a file was written", last, amid)
+			assert.Greater(t, lastSeq, uint64(kills))
+			t.Logf("%d saves, %d of %d kills while a file was written", lastSeq, killedInWrite, kills)
 		})
 	}
 }
 
-func TestFilesThatAreSetAside(t *testing.T) {
+// unusableFile is a file that Load must not use.
+type unusableFile struct {
+	create  func(name string) error
+	wantErr string
+}
+
+func unusableFiles(t *testing.T) map[string]unusableFile {
+	t.Helper()
 	sound, err := snapshot.Encode(&snapshot.Snapshot{Seq: 9, Identity: crashcheck.Identity(), Written: time.Unix(1, 0)})
 	require.NoError(t, err)
-	other := crashcheck.Identity()
-	other.Site = "elsewhere"
-	foreign, err := snapshot.Encode(&snapshot.Snapshot{Seq: 9, Identity: other, Written: time.Unix(1, 0)})
+	otherSite := crashcheck.Identity()
+	otherSite.Site = "elsewhere"
+	foreign, err := snapshot.Encode(&snapshot.Snapshot{Seq: 9, Identity: otherSite, Written: time.Unix(1, 0)})
 	require.NoError(t, err)
-	file := func(b []byte) func(string) error { return func(n string) error { return os.WriteFile(n, b, 0o600) } }
-	for name, c := range map[string]struct {
-		make func(string) error
-		want string
-	}{
-		"empty":     {file(nil), "the file is empty"},
-		"cut":       {file(sound[:len(sound)-1]), "it tells of"},
-		"long":      {file(append(append([]byte{}, sound...), 0)), "it tells of"},
-		"no state":  {file(make([]byte, 1<<20)), "it does not begin as a state does"},
-		"future":    {file(snapshot.EncodeFile(3, 2, 9, nil)), "from a newer program: format 3"},
-		"elsewhere": {file(foreign), `another's: its site is "elsewhere", here it is "stock"`},
-		"writable": {func(n string) error {
-			_ = os.WriteFile(n, sound, 0o600)
-			return os.Chmod(n, 0o666)
-		}, "other users may write it"},
-		"sparse": {func(n string) error {
-			_ = os.WriteFile(n, sound, 0o600)
-			return os.Truncate(n, 10<<30)
-		}, "too long: 10737418240 bytes"},
-		"link": {func(n string) error { return os.Symlink("/dev/zero", n) }, "too many levels of symbolic links"},
-		"pipe": {func(n string) error { return syscall.Mkfifo(n, 0o600) }, "it is no regular file"},
-	} {
+	write := func(content []byte) func(string) error {
+		return func(name string) error { return os.WriteFile(name, content, 0o600) }
+	}
+	writeThen := func(change func(name string) error) func(string) error {
+		return func(name string) error {
+			if err := os.WriteFile(name, sound, 0o600); err != nil {
+				return err
+			}
+			return change(name)
+		}
+	}
+	return map[string]unusableFile{
+		"empty":     {write(nil), "the file is empty"},
+		"cut":       {write(sound[:len(sound)-1]), "it tells of"},
+		"long":      {write(append(append([]byte{}, sound...), 0)), "it tells of"},
+		"no state":  {write(make([]byte, 1<<20)), "it does not begin as a state does"},
+		"future":    {write(snapshot.EncodeFile(3, 2, 9, nil)), "from a newer program: format 3"},
+		"elsewhere": {write(foreign), `another's: its site is "elsewhere", here it is "stock"`},
+		"writable": {writeThen(func(name string) error { return os.Chmod(name, 0o666) }),
+			"other users may write it"},
+		"sparse": {writeThen(func(name string) error { return os.Truncate(name, 10<<30) }),
+			"too long: 10737418240 bytes"},
+		"link": {func(name string) error { return os.Symlink("/dev/zero", name) }, "too many levels of symbolic links"},
+		"pipe": {func(name string) error { return syscall.Mkfifo(name, 0o600) }, "it is no regular file"},
+	}
+}
+
+func TestLoad_unusableFiles(t *testing.T) {
+	for name, c := range unusableFiles(t) {
 		t.Run(name, func(t *testing.T) {
 			dir := t.TempDir()
-			st, err := crashcheck.Open(dir, nil)
-			require.NoError(t, err)
-			defer st.Close()
+			store := openStore(t, dir)
 			first := crashcheck.State(1, 3)
-			require.NoError(t, st.Save(context.Background(), first))
-			bad := filepath.Join(dir, "state.1")
-			require.NoError(t, c.make(bad))
+			require.NoError(t, store.Save(t.Context(), first))
+			unusable := filepath.Join(dir, "state.1")
+			require.NoError(t, c.create(unusable))
+
 			var before, after runtime.MemStats
 			runtime.ReadMemStats(&before)
-			got, asides := st.Load()
+			got, unused := store.Load()
 			runtime.ReadMemStats(&after)
 			assert.Less(t, after.TotalAlloc-before.TotalAlloc, uint64(8<<20), "reading is bounded")
 			require.Empty(t, cmp.Diff(first, got))
-			require.Len(t, asides, 1)
-			assert.Contains(t, asides[0].Error(), bad+": ")
-			assert.Contains(t, asides[0].Error(), c.want)
-			require.NoError(t, st.Save(context.Background(), crashcheck.State(2, 3)))
-			got, asides = st.Load()
-			require.Empty(t, asides)
+			require.Len(t, unused, 1)
+			assert.Contains(t, unused[0].Error(), unusable+": ")
+			assert.Contains(t, unused[0].Error(), c.wantErr)
+
+			require.NoError(t, store.Save(t.Context(), crashcheck.State(2, 3)))
+			got, unused = store.Load()
+			require.Empty(t, unused)
 			assert.Equal(t, crashcheck.State(2, 3).List, got.List)
 		})
 	}
 }
 
-func TestAnotherUsersState(t *testing.T) {
-	st, err := snapshot.Open(t.TempDir(), snapshot.Options{Identity: crashcheck.Identity(), User: os.Geteuid() + 1})
+func TestLoad_otherUser(t *testing.T) {
+	options := snapshot.Options{Identity: crashcheck.Identity(), User: os.Geteuid() + 1}
+	store, err := snapshot.Open(t.TempDir(), options)
 	require.NoError(t, err)
-	defer st.Close()
-	require.NoError(t, st.Save(context.Background(), crashcheck.State(1, 0)))
-	got, asides := st.Load()
+	defer store.Close()
+	require.NoError(t, save(t, store, 1))
+	got, unused := store.Load()
 	assert.Nil(t, got)
-	require.Len(t, asides, 1)
-	assert.ErrorIs(t, asides[0], snapshot.ErrForeign)
+	require.Len(t, unused, 1)
+	assert.ErrorIs(t, unused[0], snapshot.ErrForeign)
 }
 
-func TestTwoProcessesInOneFolder(t *testing.T) {
+func TestStore_twoProcesses(t *testing.T) {
 	dir := filepath.Join(t.TempDir(), "state")
-	older, err := crashcheck.Open(dir, nil)
-	require.NoError(t, err)
-	require.NoError(t, older.Save(context.Background(), crashcheck.State(1, 0)))
+	older := openStore(t, dir)
+	require.NoError(t, save(t, older, 1))
 	newer, err := crashcheck.Open(dir, nil)
 	require.ErrorIs(t, err, snapshot.ErrLocked)
 	require.Contains(t, err.Error(), dir)
 	got, _ := newer.Load()
-	require.EqualValues(t, 1, got.Seq, "it reads")
-	require.ErrorIs(t, newer.Save(context.Background(), crashcheck.State(9, 0)), snapshot.ErrLocked)
-	require.NoError(t, older.Save(context.Background(), crashcheck.State(2, 0)))
+	require.EqualValues(t, 1, got.Seq, "the newer process can load")
+	require.ErrorIs(t, save(t, newer, 9), snapshot.ErrLocked)
+
+	require.NoError(t, save(t, older, 2))
 	require.NoError(t, older.Close())
-	require.ErrorIs(t, older.Save(context.Background(), crashcheck.State(9, 0)), snapshot.ErrClosed)
+	require.ErrorIs(t, save(t, older, 9), snapshot.ErrClosed)
 	third := crashcheck.State(3, 0)
-	require.NoError(t, newer.Save(context.Background(), third))
-	assert.EqualValues(t, 3, third.Seq, "it goes on from what the other wrote after its Load")
+	require.NoError(t, newer.Save(t.Context(), third))
+	assert.EqualValues(t, 3, third.Seq, "it continues from what the older process saved after its Load")
 	require.NoError(t, newer.Close())
 }
 
-func TestFolderThatVanishes(t *testing.T) {
+func TestStore_removedFolder(t *testing.T) {
 	dir := filepath.Join(t.TempDir(), "state")
-	st, err := crashcheck.Open(dir, nil)
-	require.NoError(t, err)
-	require.NoError(t, st.Save(context.Background(), crashcheck.State(1, 0)))
+	store := openStore(t, dir)
+	require.NoError(t, save(t, store, 1))
 	require.NoError(t, os.RemoveAll(dir))
-	require.ErrorIs(t, st.Save(context.Background(), crashcheck.State(2, 0)), fs.ErrNotExist)
-	got, asides := st.Load()
+	require.ErrorIs(t, save(t, store, 2), fs.ErrNotExist)
+	got, unused := store.Load()
 	require.Nil(t, got)
-	require.Empty(t, asides)
-	other, err := crashcheck.Open(dir, nil) // another process makes it anew
-	require.NoError(t, err)
-	require.ErrorIs(t, st.Save(context.Background(), crashcheck.State(2, 0)), snapshot.ErrLocked)
+	require.Empty(t, unused)
+
+	other := openStore(t, dir) // another process creates the folder anew
+	require.ErrorIs(t, save(t, store, 2), snapshot.ErrLocked)
 	require.NoError(t, other.Close())
-	require.NoError(t, st.Save(context.Background(), crashcheck.State(2, 0)))
-	require.NoError(t, st.Close())
-	none, err := crashcheck.Open(filepath.Join(dir, "not", "there"), nil)
+	require.NoError(t, save(t, store, 2))
+	require.NoError(t, store.Close())
+
+	withoutParent, err := crashcheck.Open(filepath.Join(dir, "not", "there"), nil)
 	require.ErrorIs(t, err, fs.ErrNotExist)
-	require.ErrorIs(t, none.Save(context.Background(), crashcheck.State(1, 0)), fs.ErrNotExist)
+	require.ErrorIs(t, save(t, withoutParent, 1), fs.ErrNotExist)
 }
 
-func TestSaveRefusesWhatLoadWould(t *testing.T) {
-	st, err := snapshot.Open(t.TempDir(), snapshot.Options{Identity: crashcheck.Identity(), MaxBytes: 1 << 10})
+func TestSave_invalidState(t *testing.T) {
+	store, err := snapshot.Open(t.TempDir(), snapshot.Options{Identity: crashcheck.Identity(), MaxBytes: 1 << 10})
 	require.NoError(t, err)
-	defer st.Close()
-	require.ErrorIs(t, st.Save(context.Background(), crashcheck.State(1, 100)), snapshot.ErrTooLarge)
-	twice := crashcheck.State(1, 1)
-	twice.Learned.Servers = append(twice.Learned.Servers, twice.Learned.Servers[0])
-	require.ErrorContains(t, st.Save(context.Background(), twice), "learned.servers[1]")
-	gone, cancel := context.WithCancel(context.Background())
+	defer store.Close()
+	require.ErrorIs(t, store.Save(t.Context(), crashcheck.State(1, 100)), snapshot.ErrTooLarge)
+	duplicate := crashcheck.State(1, 1)
+	duplicate.Learned.Servers = append(duplicate.Learned.Servers, duplicate.Learned.Servers[0])
+	require.ErrorContains(t, store.Save(t.Context(), duplicate), "learned.servers[1]")
+	canceled, cancel := context.WithCancel(t.Context())
 	cancel()
-	require.ErrorIs(t, st.Save(gone, crashcheck.State(1, 0)), context.Canceled)
+	require.ErrorIs(t, store.Save(canceled, crashcheck.State(1, 0)), context.Canceled)
+}
+
+// realisticState has names and figures as long as those of a fleet.
+func realisticState(servers int) *snapshot.Snapshot {
+	state := crashcheck.State(1, servers)
+	for i := range servers {
+		uid := fmt.Sprintf("stock-61626364-%04d", i)
+		state.Learned.Servers[i].UID = uid
+		state.Learned.Servers[i].Size = rand.NormFloat64()
+		state.List.Servers[i] = snapshot.Entry{UID: uid, Endpoint: "10.0.0.1:8080", Zone: "eu-west-1a",
+			Model: "m5.large", PodGroup: i, State: "Ready", Capacity: 1, BootMS: 1.7e12}
+	}
+	return state
 }
 
 func BenchmarkState(b *testing.B) {
 	for _, servers := range []int{200, 2000} {
-		st, err := crashcheck.Open(b.TempDir(), nil)
+		store, err := crashcheck.Open(b.TempDir(), nil)
 		require.NoError(b, err)
-		s := crashcheck.State(1, servers)
-		for i := range s.Learned.Servers {
-			s.Learned.Servers[i].UID = fmt.Sprintf("stock-%08x-%04d", binary.BigEndian.Uint32([]byte("abcd")), i)
-			s.Learned.Servers[i].Size = rand.NormFloat64()
-			s.List.Servers[i] = snapshot.Entry{UID: s.Learned.Servers[i].UID, Endpoint: "10.0.0.1:8080", Zone: "eu-west-1a",
-				Model: "m5.large", PodGroup: i, State: "Ready", Capacity: 1, BootMS: 1.7e12}
-		}
-		encoded, err := snapshot.Encode(s)
+		state := realisticState(servers)
+		file, err := snapshot.Encode(state)
 		require.NoError(b, err)
 		b.Run(fmt.Sprintf("Save/%d", servers), func(b *testing.B) {
 			for b.Loop() {
-				require.NoError(b, st.Save(context.Background(), s))
+				require.NoError(b, store.Save(context.Background(), state))
 			}
-			b.ReportMetric(float64(len(encoded)), "bytes")
+			b.ReportMetric(float64(len(file)), "bytes")
 		})
 		b.Run(fmt.Sprintf("Load/%d", servers), func(b *testing.B) { // of both generations
 			for b.Loop() {
-				if got, asides := st.Load(); got == nil || len(asides) > 0 {
-					b.Fatal(asides)
+				if got, unused := store.Load(); got == nil || len(unused) > 0 {
+					b.Fatal(unused)
 				}
 			}
 		})
-		require.NoError(b, st.Close())
+		require.NoError(b, store.Close())
 	}
 }
--- a/internal/testutil/disk/unsafe_fs.go
+++ b/internal/testutil/disk/faulty_fs.go
@@ -2,9 +2,9 @@
 
 import "marblelane/internal/fsys"
 
-// UnsafeFS is a file system that leaves out or delays syncs. Each of its defects has to be found by a test that checks
+// FaultyFS is a file system that leaves out or delays syncs. Each of its defects has to be found by a test that checks
 // CrashImages.
-type UnsafeFS struct {
+type FaultyFS struct {
 	fsys.FS
 	NoFileSync   bool // files are not synced
 	NoDirSync    bool // folders are not synced, except for the root
@@ -13,38 +13,38 @@
 }
 
 // Create implements fsys.FS.
-func (u *UnsafeFS) Create(name string) (fsys.File, error) {
-	file, err := u.FS.Create(name)
+func (f *FaultyFS) Create(name string) (fsys.File, error) {
+	file, err := f.FS.Create(name)
 	if err != nil {
 		return nil, err
 	}
-	return unsafeFile{file, u}, nil
+	return faultyFile{file, f}, nil
 }
 
 // Rename implements fsys.FS.
-func (u *UnsafeFS) Rename(from, to string) error {
-	err := u.FS.Rename(from, to)
-	if u.LateSync && err == nil {
-		err = u.lastUnsynced.Sync()
+func (f *FaultyFS) Rename(from, to string) error {
+	err := f.FS.Rename(from, to)
+	if f.LateSync && err == nil {
+		err = f.lastUnsynced.Sync()
 	}
 	return err
 }
 
 // SyncDir implements fsys.FS.
-func (u *UnsafeFS) SyncDir(name string) error {
-	if u.NoDirSync && name != root {
+func (f *FaultyFS) SyncDir(name string) error {
+	if f.NoDirSync && name != root {
 		return nil
 	}
-	return u.FS.SyncDir(name)
+	return f.FS.SyncDir(name)
 }
 
-type unsafeFile struct {
+type faultyFile struct {
 	fsys.File
-	fs *UnsafeFS
+	fs *FaultyFS
 }
 
 // Sync implements fsys.File.
-func (f unsafeFile) Sync() error {
+func (f faultyFile) Sync() error {
 	f.fs.lastUnsynced = f.File
 	if f.fs.NoFileSync || f.fs.LateSync {
 		return nil
