--- a/internal/sidecar/upstream/answer.go
+++ b/internal/sidecar/upstream/answer.go
@@ -38,8 +38,11 @@
 	}
 	var body []byte
 	if err == nil {
+		// Only a client's 200 is forwarded as it arrives.
+		mayForward := x.attempt != nil && resp.StatusCode == http.StatusOK
+		reader := &bodyReader{conn: conn, resp: resp, deadline: x.deadline, mayForward: mayForward}
 		var more bool
-		if body, more, err = readBody(ctx, conn, x.deadline, resp, x.attempt != nil); more {
+		if body, more, err = reader.read(ctx); more {
 			x.pool.idleAges.record(time.Now(), idle, false)
 			return x.forwardAnswer(ctx, conn, resp, body)
 		}
@@ -96,7 +99,8 @@
 }
 
 // forwardAnswer hands the start of an answer to the event loop for the client, and returns once the rest was forwarded.
-func (x *exchange) forwardAnswer(ctx context.Context, conn *serverConn, resp *http.Response, first []byte) (reply inflight.Reply, reusable bool) {
+func (x *exchange) forwardAnswer(ctx context.Context, conn *serverConn, resp *http.Response, first []byte) (reply inflight.Reply,
+	reusable bool) {
 	remainder := &streamReader{ctx: ctx, conn: conn, body: unbuffered(conn, resp), left: inflight.MaxBody - int64(len(first))}
 	stream := &inflight.AnswerStream{Length: resp.ContentLength, First: first, Rest: remainder, Ended: make(chan error, 1)}
 	x.pool.post(AnswerStarted{x.attempt, inflight.Answer{
--- a/internal/sidecar/upstream/answer_body.go
+++ b/internal/sidecar/upstream/answer_body.go
@@ -21,38 +21,37 @@
 	minBodyBuffer = 4 << 10
 )
 
-// readBody reads a body to its end, or returns an error: a body that is cut short is never taken for a complete one. more
-// reports that there is more of it than is held, and that its start may be forwarded to a client. That is so only if
-// mayForward is set and the answer is a 200.
-func readBody(ctx context.Context, conn *serverConn, deadline time.Time, resp *http.Response, mayForward bool) (held []byte, more bool, err error) {
-	mayForward = mayForward && resp.StatusCode == http.StatusOK
-	length := resp.ContentLength
+// bodyReader reads the body of an answer to its end, or up to where it may be forwarded to a client.
+type bodyReader struct {
+	conn       *serverConn
+	resp       *http.Response
+	deadline   time.Time // for the whole body, unless it is forwarded
+	mayForward bool      // a long body may be forwarded; otherwise it is an error
+
+	body      io.Reader
+	startedAt time.Time // of the read that got the first bytes
+	held      []byte
+}
+
+// read returns a body, or an error: one that is cut short is never taken for a complete one. more reports that there is more
+// of it than is held, and that its start is to be forwarded.
+func (r *bodyReader) read(ctx context.Context) (held []byte, more bool, err error) {
+	length := r.resp.ContentLength
 	switch {
 	case length >= 0 && length <= inflight.MaxHeldBody:
 		held = make([]byte, length)
-		_, err = io.ReadFull(resp.Body, held)
+		_, err = io.ReadFull(r.resp.Body, held)
 		return held, false, err
-	case length > inflight.MaxBody, length > inflight.MaxHeldBody && !mayForward:
+	case length > inflight.MaxBody, length > inflight.MaxHeldBody && !r.mayForward:
 		return nil, false, errAnswerLarge
 	}
-	conn.readLimit.N = math.MaxInt64 // from here on the body's own bounds hold
-	r := &bodyReader{conn: conn, deadline: deadline, resp: resp, body: unbuffered(conn, resp), mayForward: mayForward}
-	return r.read(ctx)
+	r.conn.readLimit.N = math.MaxInt64 // from here on the body's own bounds hold
+	r.body = unbuffered(r.conn, r.resp)
+	return r.readStart(ctx)
 }
 
-// bodyReader reads a body that is long or of unknown length.
-type bodyReader struct {
-	conn       *serverConn
-	deadline   time.Time
-	resp       *http.Response
-	body       io.Reader
-	mayForward bool
-	startedAt  time.Time // of the read that got the first bytes
-	held       []byte
-}
-
-// read reads until the end of the body, or until it may be forwarded.
-func (r *bodyReader) read(ctx context.Context) (held []byte, more bool, err error) {
+// readStart reads a body that is long or of unknown length until its end, or until it may be forwarded.
+func (r *bodyReader) readStart(ctx context.Context) (held []byte, more bool, err error) {
 	r.startedAt = time.Now()
 	for {
 		if r.mayForward && len(r.held) > 0 {
--- a/internal/sidecar/upstream/dial.go
+++ b/internal/sidecar/upstream/dial.go
@@ -28,7 +28,8 @@
 // acquire returns an idle connection, or dials a new one. The request writer checks an idle one right before it writes.
 // Dialing is bounded by the settings and the deadline. The event loop gets Connecting for an attempt that dials; attempt is
 // nil for a health check.
-func (p *Pool) acquire(ctx context.Context, server *Server, deadline time.Time, attempt *Attempt) (conn *serverConn, reused bool, err error) {
+func (p *Pool) acquire(ctx context.Context, server *Server, deadline time.Time, attempt *Attempt) (conn *serverConn, reused bool,
+	err error) {
 	if server.Retired.Load() || !time.Now().Before(deadline) {
 		return nil, false, errNotNeeded
 	}
--- a/internal/sidecar/watch_ways_test.go
+++ b/internal/sidecar/watch_faults_test.go
@@ -103,35 +103,11 @@
 				var answering sync.WaitGroup
 				t.Cleanup(answering.Wait) // once the sidecar and discovery are closed, in that order
 				disc, addr := sidecartest.NewHandAgent(t)
-				c := configtest.NewConf(addr, a.Target, b.Target).Setting(`"discovery": "subscribe"`, `"discovery": "`+mode+`"`)
-				cfg, err := c.Load(t)
-				if err != nil {
-					t.Fatal(err)
-				}
-				s, err := New(cfg)
-				if err != nil {
-					t.Fatal(err)
-				}
-				s.drainAccept = 0
-				s.loop.Discovery.SetTimeouts(discovery.Timeouts{PushedDelay: 100 * time.Millisecond, Call: 300 * time.Millisecond, Watch: 300 * time.Millisecond})
-				ctx, end := context.WithCancel(context.Background())
-				ended := make(chan error, 1)
-				go func() { ended <- s.Run(ctx) }()
-				r := &running{Sidecar: s, t: t, client: &http.Client{Transport: &http.Transport{}, Timeout: sidecartest.Patience}}
-				t.Cleanup(func() {
-					r.client.CloseIdleConnections()
-					end()
-					if err := <-ended; err != nil {
-						t.Error(err)
-					}
-				})
-				held, left := mustJSON(t, endpointlist.List{Rev: 41, All: true, Targets: []endpointlist.Target{a.Target, b.Target}}), mustJSON(t, endpointlist.List{Rev: 43, All: true, Targets: []endpointlist.Target{b.Target}})
+				r := startImpatient(t, configtest.NewConf(addr, a.Target, b.Target).Setting(`"discovery": "subscribe"`, `"discovery": "`+mode+`"`))
+				held := mustJSON(t, endpointlist.List{Rev: 41, All: true, Targets: []endpointlist.Target{a.Target, b.Target}})
+				left := mustJSON(t, endpointlist.List{Rev: 43, All: true, Targets: []endpointlist.Target{b.Target}})
 				misbehave(disc.Next(t), held)
-				for range 4 { // whatever happened to the watch
-					if got := r.do(r.request("charge", time.Second)); got.status != http.StatusOK {
-						t.Errorf("after the fault: %+v", got)
-					}
-				}
+				r.serveCharges(4, "after the fault")
 				answering.Go(func() {
 					for conn := range disc.Conns {
 						answering.Go(func() {
@@ -143,13 +119,9 @@
 						})
 					}
 				})
-				sidecartest.Until(t, "the full list", func() bool { return s.loop.Discovery.Revision.Load() == 43 })
+				sidecartest.Until(t, "the full list", func() bool { return r.loop.Discovery.Revision.Load() == 43 })
 				before := a.Requests.Load()
-				for range 8 {
-					if got := r.do(r.request("charge", time.Second)); got.status != http.StatusOK {
-						t.Errorf("after the list: %+v", got)
-					}
-				}
+				r.serveCharges(8, "after the list")
 				if got := a.Requests.Load() - before; got > 0 {
 					t.Errorf("a server that the full list left out got %d requests", got)
 				}
@@ -158,6 +130,45 @@
 	}
 }
 
+// startImpatient runs a sidecar whose calls to list services end early. It may run beside other tests.
+func startImpatient(t *testing.T, c configtest.Conf) *running {
+	t.Helper()
+	cfg, err := c.Load(t)
+	if err != nil {
+		t.Fatal(err)
+	}
+	s, err := New(cfg)
+	if err != nil {
+		t.Fatal(err)
+	}
+	s.drainAccept = 0
+	s.loop.Discovery.SetTimeouts(discovery.Timeouts{
+		PushedDelay: 100 * time.Millisecond, Call: 300 * time.Millisecond, Watch: 300 * time.Millisecond,
+	})
+	ctx, end := context.WithCancel(context.Background())
+	ended := make(chan error, 1)
+	go func() { ended <- s.Run(ctx) }()
+	r := &running{Sidecar: s, t: t, client: &http.Client{Transport: &http.Transport{}, Timeout: sidecartest.Patience}}
+	t.Cleanup(func() {
+		r.client.CloseIdleConnections()
+		end()
+		if err := <-ended; err != nil {
+			t.Error(err)
+		}
+	})
+	return r
+}
+
+// serveCharges sends requests of class charge, each of which has to be served.
+func (r *running) serveCharges(n int, when string) {
+	r.t.Helper()
+	for range n {
+		if got := r.do(r.request("charge", time.Second)); got.status != http.StatusOK {
+			r.t.Errorf("%s: %+v", when, got)
+		}
+	}
+}
+
 func mustJSON(t *testing.T, v any) string {
 	t.Helper()
 	text, err := json.Marshal(v)
