--- a/internal/sidecar/discovery/client_test.go
+++ b/internal/sidecar/discovery/client_test.go
@@ -17,20 +17,20 @@
 func newTestClient(t *testing.T, addr string) (*Client, chan ListEvent) {
 	events := make(chan ListEvent, 16)
 	var work sync.WaitGroup
-	d := New([]string{addr}, 0, func(ev any) { events <- ev.(ListEvent) }, func(f func()) { work.Go(f) })
+	client := New([]string{addr}, 0, func(ev any) { events <- ev.(ListEvent) }, func(f func()) { work.Go(f) })
 	t.Cleanup(func() {
-		d.stopWatch()
+		client.stopWatch()
 		work.Wait()
 	})
-	return d, events
+	return client, events
 }
 
 // A watch posts changes, signs of life, full lists and its end.
 func TestWatch_eventKinds(t *testing.T) {
 	r := sidecartest.NewRegistry(t)
-	d, events := newTestClient(t, r.Addr())
-	d.Revision.Store(41)
-	d.Watch(t.Context(), 0)
+	client, events := newTestClient(t, r.Addr())
+	client.Revision.Store(41)
+	client.Watch(t.Context(), 0)
 	call := sidecartest.Receive(t, "the call", r.Calls)
 	if call.Query != "watch=1&after=41" {
 		t.Errorf("query %q", call.Query)
@@ -59,8 +59,8 @@
 // Each failed call is reported once and not repeated.
 func TestCall_failureReportedOnce(t *testing.T) {
 	r := sidecartest.NewRegistry(t)
-	d, events := newTestClient(t, r.Addr())
-	for name, call := range map[string]func(context.Context, int){"watch": d.Watch, "list": d.Fetch} {
+	client, events := newTestClient(t, r.Addr())
+	for name, call := range map[string]func(context.Context, int){"watch": client.Watch, "list": client.Fetch} {
 		call(t.Context(), 0)
 		sidecartest.Receive(t, "the call", r.Calls).Fail <- http.StatusServiceUnavailable
 		if n := sidecartest.Receive(t, "the failure", events); n.Kind != balance.ListFailed {
@@ -68,7 +68,7 @@
 		}
 	}
 	r.Close()
-	d.Watch(t.Context(), 0)
+	client.Watch(t.Context(), 0)
 	if n := sidecartest.Receive(t, "the refused connection", events); n.Kind != balance.ListFailed {
 		t.Errorf("%+v", n)
 	}
@@ -80,8 +80,8 @@
 // A fetch posts the full list and nothing else.
 func TestFetch_fullList(t *testing.T) {
 	r := sidecartest.NewRegistry(t)
-	d, events := newTestClient(t, r.Addr())
-	d.Fetch(t.Context(), 0)
+	client, events := newTestClient(t, r.Addr())
+	client.Fetch(t.Context(), 0)
 	call := sidecartest.Receive(t, "the call", r.Calls)
 	call.Send(t, endpointlist.List{Rev: 7, All: true, Targets: []endpointlist.Target{sidecartest.Ready("a", "127.0.0.1:1")}})
 	close(call.Lines)
@@ -96,9 +96,9 @@
 // A watch that gets no line for much longer than the heartbeat has ended, though its connection is open.
 func TestWatch_silentEnds(t *testing.T) {
 	r := sidecartest.NewRegistry(t)
-	d, events := newTestClient(t, r.Addr())
-	d.timeouts.Watch = 50 * time.Millisecond
-	d.Watch(t.Context(), 0)
+	client, events := newTestClient(t, r.Addr())
+	client.timeouts.Watch = 50 * time.Millisecond
+	client.Watch(t.Context(), 0)
 	call := sidecartest.Receive(t, "the call", r.Calls)
 	call.Send(t, endpointlist.List{Rev: 1})
 	sidecartest.Receive(t, "the first line", events)
@@ -119,9 +119,9 @@
 		t.Fatal(err)
 	}
 	defer ln.Close()
-	d, events := newTestClient(t, ln.Addr().String())
-	d.timeouts.Call = 50 * time.Millisecond
-	d.Watch(t.Context(), 0)
+	client, events := newTestClient(t, ln.Addr().String())
+	client.timeouts.Call = 50 * time.Millisecond
+	client.Watch(t.Context(), 0)
 	if n := sidecartest.Receive(t, "the failure", events); n.Kind != balance.ListFailed || !n.Busy {
 		t.Errorf("%+v", n)
 	}
@@ -130,10 +130,10 @@
 // A watch that was replaced by another posts nothing more.
 func TestWatch_replaced(t *testing.T) {
 	r := sidecartest.NewRegistry(t)
-	d, events := newTestClient(t, r.Addr())
-	d.Watch(t.Context(), 0)
+	client, events := newTestClient(t, r.Addr())
+	client.Watch(t.Context(), 0)
 	first := sidecartest.Receive(t, "the first call", r.Calls)
-	d.Watch(t.Context(), 0)
+	client.Watch(t.Context(), 0)
 	second := sidecartest.Receive(t, "the second call", r.Calls)
 	sidecartest.Receive(t, "the first to end", first.Gone)
 	second.Send(t, endpointlist.List{Rev: 2})
--- a/internal/sidecar/discovery/errno_test.go
+++ b/internal/sidecar/discovery/errno_test.go
@@ -36,9 +36,9 @@
 	for _, errno := range slices.Concat(netcall.LocalErrnos, services) {
 		t.Run(errno.Error(), func(t *testing.T) {
 			r := sidecartest.NewRegistry(t)
-			d, events := newTestClient(t, r.Addr())
-			d.failingDials(failures, sidecartest.OpError("connect", errno))
-			d.Watch(t.Context(), 0)
+			client, events := newTestClient(t, r.Addr())
+			client.failingDials(failures, sidecartest.OpError("connect", errno))
+			client.Watch(t.Context(), 0)
 			if slices.Contains(services, errno) {
 				if n := sidecartest.Receive(t, "the failure", events); n.Kind != balance.ListFailed {
 					t.Errorf("%+v, want that the service has failed", n)
@@ -58,12 +58,12 @@
 	for _, errno := range netcall.LocalErrnos {
 		t.Run(errno.Error(), func(t *testing.T) {
 			r := sidecartest.NewRegistry(t)
-			d, events := newTestClient(t, r.Addr())
-			d.timeouts.PushedDelay = minPushedDelay
-			d.failingDials(3, sidecartest.OpError("connect", errno))
+			client, events := newTestClient(t, r.Addr())
+			client.timeouts.PushedDelay = minPushedDelay
+			client.failingDials(3, sidecartest.OpError("connect", errno))
 			ctx, cancel := context.WithCancel(t.Context())
 			t.Cleanup(cancel)
-			d.Subscribe(ctx)
+			client.Subscribe(ctx)
 			sidecartest.Receive(t, "the call", r.Calls).Send(t, endpointlist.List{Rev: 7})
 			if n := sidecartest.Receive(t, "the list", events); n.Kind != balance.ListDelta || n.List.Rev != 7 {
 				t.Errorf("%+v, want the list alone", n)
@@ -79,8 +79,8 @@
 		t.Run(errno.Error(), func(t *testing.T) {
 			b := sidecartest.NewBackend(t, "a", sidecartest.Respond(text, false))
 			for n := range len(text) - 1 { // behind the last byte only an empty line is left
-				d, events := newTestClient(t, b.Target.Endpoint)
-				transport := d.http.Transport.(*http.Transport)
+				client, events := newTestClient(t, b.Target.Endpoint)
+				transport := client.http.Transport.(*http.Transport)
 				var dialer net.Dialer
 				transport.DialContext = dialReporting(func(ctx context.Context, network, addr string) (net.Conn, error) {
 					c, err := dialer.DialContext(ctx, network, addr)
@@ -90,7 +90,7 @@
 					fail := sidecartest.FailNth(int32(n+1), sidecartest.OpError("read", errno))
 					return &sidecartest.FaultyConn{TCPConn: c.(*net.TCPConn), ByteAtATime: true, FailRead: fail}, nil
 				})
-				err := (&call{client: d, kind: fetchCall, claim: unclaimed, firstTimeout: sidecartest.Patience, nextTimeout: sidecartest.Patience}).run(t.Context())
+				err := (&call{client: client, kind: fetchCall, claim: unclaimed, firstTimeout: sidecartest.Patience, nextTimeout: sidecartest.Patience}).run(t.Context())
 				if got := len(events) == 1 && (<-events).List.Rev == 7 && errors.Is(err, io.EOF); got != complete {
 					t.Errorf("at byte %d: the list was posted: %v, %v", n, got, err)
 				}
--- a/internal/sidecar/discovery/lists_test.go
+++ b/internal/sidecar/discovery/lists_test.go
@@ -20,18 +20,18 @@
 	for _, c := range []struct {
 		memoryMB, maxBytes int
 	}{{0, maxObjectBytes}, {1 << 10, maxObjectBytes}, {64, 4 << 20}, {8, minObjectBytes}} {
-		d := New([]string{"127.0.0.1:1"}, c.memoryMB, func(any) {}, func(func()) {})
-		if d.maxObject != c.maxBytes {
-			t.Errorf("with %d MB an object may have %d bytes, want %d", c.memoryMB, d.maxObject, c.maxBytes)
+		client := New([]string{"127.0.0.1:1"}, c.memoryMB, func(any) {}, func(func()) {})
+		if client.maxObject != c.maxBytes {
+			t.Errorf("with %d MB an object may have %d bytes, want %d", c.memoryMB, client.maxObject, c.maxBytes)
 		}
 		if c.memoryMB != 8 {
 			continue
 		}
-		line, err := newObjectReader(strings.NewReader(strings.Repeat("x", 2*c.maxBytes)), d.maxObject).next()
+		line, err := newObjectReader(strings.NewReader(strings.Repeat("x", 2*c.maxBytes)), client.maxObject).next()
 		if !errors.Is(err, errLineTooLong) || line != nil {
 			t.Errorf("%d bytes, %v", len(line), err)
 		}
-		many := newObjectReader(strings.NewReader(strings.Repeat("{\n", c.maxBytes)), d.maxObject)
+		many := newObjectReader(strings.NewReader(strings.Repeat("{\n", c.maxBytes)), client.maxObject)
 		if _, err := many.next(); !errors.Is(err, errLineTooLong) {
 			t.Errorf("over many lines: %v", err)
 		}
@@ -55,8 +55,8 @@
 		"no end of last line": odd + "\n\n" + compact,
 	} {
 		t.Run(name, func(t *testing.T) {
-			d, events := clientOf(t, text)
-			d.Watch(t.Context(), 0)
+			client, events := clientOf(t, text)
+			client.Watch(t.Context(), 0)
 			if n := sidecartest.Receive(t, "the change", events); n.Kind != balance.ListDelta || n.List.Rev != 43 || n.List.Targets[0].UID != `a"}}}` {
 				t.Errorf("%+v", n)
 			}
@@ -72,15 +72,15 @@
 		})
 	}
 	t.Run("full list", func(t *testing.T) {
-		d, events := clientOf(t, odd)
-		d.Fetch(t.Context(), 0)
+		client, events := clientOf(t, odd)
+		client.Fetch(t.Context(), 0)
 		if n := sidecartest.Receive(t, "the list", events); n.List.Rev != 43 {
 			t.Errorf("%+v", n)
 		}
 	})
 	t.Run("cut off", func(t *testing.T) {
-		d, events := clientOf(t, odd[:len(odd)-2])
-		d.Watch(t.Context(), 0)
+		client, events := clientOf(t, odd[:len(odd)-2])
+		client.Watch(t.Context(), 0)
 		if n := sidecartest.Receive(t, "the failure", events); n.Kind != balance.ListFailed {
 			t.Errorf("%+v", n)
 		}
@@ -115,11 +115,11 @@
 // While an agent leaves calls unanswered others follow, and the first that is answered goes on as the one watch.
 func TestSubscribe_agentReturns(t *testing.T) {
 	r := sidecartest.NewAgent(t)
-	d, events := newTestClient(t, r.Addr())
-	d.timeouts.PushedDelay, d.timeouts.Call = 5*time.Millisecond, time.Hour
+	client, events := newTestClient(t, r.Addr())
+	client.timeouts.PushedDelay, client.timeouts.Call = 5*time.Millisecond, time.Hour
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
-	d.Subscribe(ctx)
+	client.Subscribe(ctx)
 	for range 8 { // it is away, and these are never answered
 		sidecartest.Receive(t, "another call", r.Calls)
 	}
@@ -132,11 +132,11 @@
 // A watch that falls silent is closed, and the agent is called again for what it missed.
 func TestSubscribe_silentAgent(t *testing.T) {
 	r := sidecartest.NewAgent(t)
-	d, events := newTestClient(t, r.Addr())
-	d.timeouts.PushedDelay, d.timeouts.Watch = 50*time.Millisecond, 50*time.Millisecond
+	client, events := newTestClient(t, r.Addr())
+	client.timeouts.PushedDelay, client.timeouts.Watch = 50*time.Millisecond, 50*time.Millisecond
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
-	d.Subscribe(ctx)
+	client.Subscribe(ctx)
 	first := sidecartest.Receive(t, "the watch", r.Calls)
 	first.Line(t, "")
 	if n := sidecartest.Receive(t, "that it is alive", events); n.Kind != balance.ListAlive {
@@ -152,11 +152,11 @@
 // A busy machine answers late: the first call waits for long, whatever becomes of the later ones, and is then the only one.
 func TestSubscribe_slowAgent(t *testing.T) {
 	r := sidecartest.NewAgent(t)
-	d, events := newTestClient(t, r.Addr())
-	d.timeouts.PushedDelay, d.timeouts.Call, d.timeouts.Watch = 5*time.Millisecond, time.Hour, time.Hour
+	client, events := newTestClient(t, r.Addr())
+	client.timeouts.PushedDelay, client.timeouts.Call, client.timeouts.Watch = 5*time.Millisecond, time.Hour, time.Hour
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
-	d.Subscribe(ctx)
+	client.Subscribe(ctx)
 	first := sidecartest.Receive(t, "the watch", r.Calls)
 	for range 3 {
 		sidecartest.Receive(t, "the eager call to end", sidecartest.Receive(t, "an eager call", r.Calls).Gone)
@@ -174,11 +174,11 @@
 // Pauses do not grow while the agent is away: a long one could start just before its return.
 func TestSubscribe_constantPauses(t *testing.T) {
 	r := sidecartest.NewAgent(t)
-	d, _ := newTestClient(t, r.Addr())
-	d.timeouts.PushedDelay = 5 * time.Millisecond
+	client, _ := newTestClient(t, r.Addr())
+	client.timeouts.PushedDelay = 5 * time.Millisecond
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
-	d.Subscribe(ctx)
+	client.Subscribe(ctx)
 	startedAt := time.Now()
 	for range 20 { // with pauses that grow to 2 s they take 27 s
 		call := sidecartest.Receive(t, "the next call", r.Calls)
@@ -194,9 +194,9 @@
 
 // Of two calls that are answered one is followed; the other posts nothing.
 func TestCall_superseded(t *testing.T) {
-	d, events := clientOf(t, `{"rev":7}`)
+	client, events := clientOf(t, `{"rev":7}`)
 	never := func() bool { return false }
-	if err := (&call{client: d, kind: watchCall, claim: never, firstTimeout: time.Hour, nextTimeout: time.Hour}).run(t.Context()); err != errSuperseded || len(events) > 0 {
+	if err := (&call{client: client, kind: watchCall, claim: never, firstTimeout: time.Hour, nextTimeout: time.Hour}).run(t.Context()); err != errSuperseded || len(events) > 0 {
 		t.Errorf("%v, %d events", err, len(events))
 	}
 }
--- a/internal/sidecar/discovery/set_addrs_test.go
+++ b/internal/sidecar/discovery/set_addrs_test.go
@@ -15,8 +15,8 @@
 )
 
 // heldDial holds up the first dial until it is released, and reports that it waits.
-func heldDial(d *Client) (waits chan struct{}, release chan struct{}) {
-	transport := d.http.Transport.(*http.Transport)
+func heldDial(client *Client) (waits chan struct{}, release chan struct{}) {
+	transport := client.http.Transport.(*http.Transport)
 	dial := transport.DialContext
 	waits, release = make(chan struct{}), make(chan struct{})
 	var held atomic.Bool
@@ -34,23 +34,23 @@
 // again before the answer. The call goes on at the new address at once and posts what is there, once.
 func TestSetAddrs_duringCallStart(t *testing.T) {
 	begin := map[string]func(context.Context, *Client){
-		"polled": func(ctx context.Context, d *Client) { d.Watch(ctx, 0) },
-		"pushed": func(ctx context.Context, d *Client) { d.Subscribe(ctx) },
+		"polled": func(ctx context.Context, client *Client) { client.Watch(ctx, 0) },
+		"pushed": func(ctx context.Context, client *Client) { client.Subscribe(ctx) },
 	}
 	for mode, watch := range begin {
 		t.Run(mode, func(t *testing.T) {
 			before, after := sidecartest.NewAgent(t), sidecartest.NewAgent(t)
-			d, events := newTestClient(t, before.Addr())
-			d.timeouts.PushedDelay = time.Hour // one call at a time
+			client, events := newTestClient(t, before.Addr())
+			client.timeouts.PushedDelay = time.Hour // one call at a time
 			ctx, cancel := context.WithCancel(t.Context())
 			defer cancel()
-			waits, release := heldDial(d)
-			watch(ctx, d)
+			waits, release := heldDial(client)
+			watch(ctx, client)
 			sidecartest.Receive(t, "the connection to begin", waits)
-			d.SetAddrs([]string{after.Addr()})
+			client.SetAddrs([]string{after.Addr()})
 			first := sidecartest.Receive(t, "the call at the new address", after.Calls)
 			close(release) // the old connection comes up only now
-			d.SetAddrs([]string{before.Addr()})
+			client.SetAddrs([]string{before.Addr()})
 			sidecartest.Receive(t, "the call before its answer to end", first.Gone)
 			second := sidecartest.Receive(t, "the call back at the first address", before.Calls)
 			second.Send(t, endpointlist.List{Rev: 7})
@@ -69,8 +69,8 @@
 	for text, want := range map[string]string{
 		`{"rev": "x"}`: "list: rev: a string", `{"rev": 1, "targets": [{"boot_ms": "now"}]}`: "list: targets.boot_ms: a string", `}`: "list: byte 1: ",
 	} {
-		d, events := clientOf(t, text)
-		err := (&call{client: d, kind: watchCall, claim: unclaimed, firstTimeout: time.Hour, nextTimeout: time.Hour}).run(t.Context())
+		client, events := clientOf(t, text)
+		err := (&call{client: client, kind: watchCall, claim: unclaimed, firstTimeout: time.Hour, nextTimeout: time.Hour}).run(t.Context())
 		if err == nil || !strings.Contains(err.Error(), want) || len(events) > 0 {
 			t.Errorf("%s: error %v, want %q; %d events", text, err, want, len(events))
 		}
--- a/internal/sidecar/discovery/watch_test.go
+++ b/internal/sidecar/discovery/watch_test.go
@@ -32,24 +32,24 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			before, after, third := sidecartest.NewRegistry(t), sidecartest.NewRegistry(t), sidecartest.NewRegistry(t)
-			d, events := newTestClient(t, before.Addr())
+			client, events := newTestClient(t, before.Addr())
 			if name == "refused" {
 				fail(t, before)
 			}
-			d.Watch(t.Context(), 0)
+			client.Watch(t.Context(), 0)
 			if name != "refused" {
 				fail(t, before)
 			}
 			for sidecartest.Receive(t, "the failure", events).Kind != balance.ListFailed {
 			}
-			d.SetAddrs([]string{after.Addr()})
+			client.SetAddrs([]string{after.Addr()})
 			call := sidecartest.Receive(t, "the call at the new address", after.Calls)
 			call.Send(t, endpointlist.List{Rev: 7})
 			if n := sidecartest.Receive(t, "what it has", events); n.List.Rev != 7 {
 				t.Errorf("%+v", n)
 			}
 			close(call.Lines) // the balancer's next call is due: a second report would make it call twice
-			d.SetAddrs([]string{third.Addr()})
+			client.SetAddrs([]string{third.Addr()})
 			sidecartest.Receive(t, "the call after the second change", third.Calls)
 			if len(events) > 0 {
 				t.Errorf("a second failure is reported: %+v", <-events)
@@ -82,11 +82,11 @@
 // over twice the time after which a silent agent is called again: they must be read to the end.
 func TestSubscribe_answerInPieces(t *testing.T) {
 	a, addr := sidecartest.NewHandAgent(t)
-	d, events := newTestClient(t, addr)
-	d.timeouts.PushedDelay, d.timeouts.Call, d.timeouts.Watch = 400*time.Millisecond, time.Hour, time.Hour
+	client, events := newTestClient(t, addr)
+	client.timeouts.PushedDelay, client.timeouts.Call, client.timeouts.Watch = 400*time.Millisecond, time.Hour, time.Hour
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
-	d.Subscribe(ctx)
+	client.Subscribe(ctx)
 	a.Next(t) // silent for good
 	for end := time.After(sidecartest.Patience); ; {
 		select {
@@ -97,7 +97,7 @@
 			return
 		case c := <-a.Conns:
 			defer c.Close()
-			inPieces(c, 2*d.timeouts.PushedDelay, sidecartest.WatchHead+`{"rev": 7, "all": true, "targets": []}`)
+			inPieces(c, 2*client.timeouts.PushedDelay, sidecartest.WatchHead+`{"rev": 7, "all": true, "targets": []}`)
 		case <-end:
 			t.Fatal("no answer in pieces is read to its end")
 		}
--- a/internal/sidecar/upstream/request_stream.go
+++ b/internal/sidecar/upstream/request_stream.go
@@ -80,7 +80,7 @@
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.body = body
-	if w.stopped {
+	if w.state == writerStopped {
 		body.Stop()
 	}
 	return body
@@ -131,7 +131,7 @@
 func (w *requestWriter) extendWriteDeadline() error {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if w.stopped || w.interrupted {
+	if w.state != writerRunning {
 		return errNotNeeded
 	}
 	deadline := time.Now().Add(streamTimeout)
--- a/internal/sidecar/upstream/request_writer.go
+++ b/internal/sidecar/upstream/request_writer.go
@@ -30,17 +30,36 @@
 	streamStarted  bool           // the first byte of a request with a forwarded body has been written
 	early          *earlyAnswer   // nil until a body is forwarded
 
-	mu          sync.Mutex // guards the fields below and the deadlines of conn
-	stopped     bool       // nothing more is written or read
-	interrupted bool       // nothing more of the body is forwarded
-	body        *inflight.UploadReader
+	mu    sync.Mutex // guards the fields below and the deadlines of conn
+	state writerState
+	body  *inflight.UploadReader // nil until a body is forwarded
+}
+
+// writerState is what a request writer may still do. It only grows.
+type writerState uint8
+
+const (
+	writerRunning     writerState = iota
+	writerInterrupted             // nothing more of the body is forwarded; the answer may be read
+	writerStopped                 // nothing more is written or read
+)
+
+// String returns the name of the state.
+func (s writerState) String() string {
+	switch s {
+	case writerInterrupted:
+		return "interrupted"
+	case writerStopped:
+		return "stopped"
+	}
+	return "running"
 }
 
 // stop ends every read and write of the connection, now and later.
 func (w *requestWriter) stop() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.stopped = true
+	w.state = writerStopped
 	w.conn.SetDeadline(netcall.PastDeadline)
 	if w.body != nil {
 		w.body.Stop()
@@ -51,7 +70,7 @@
 func (w *requestWriter) interrupt() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.interrupted = true
+	w.state = max(w.state, writerInterrupted)
 	w.conn.SetDeadline(netcall.PastDeadline)
 	w.body.Stop()
 }
@@ -60,7 +79,7 @@
 func (w *requestWriter) limit(deadline time.Time) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if w.stopped {
+	if w.state == writerStopped {
 		return
 	}
 	w.conn.SetDeadline(deadline)
@@ -116,8 +135,9 @@
 	attempt.RouteCheck.SetHeaders(header, w.headerRevision)
 }
 
-// writeHeld writes a request whose body is held in memory. The checks come in the order in which what they check may become
-// wrong last, and the route's comes right before the first byte.
+// writeHeld writes a request whose body is held in memory. The client and the route are checked after the clock was read for
+// the first byte, and the route last, right before it: an attempt that is held up in between must not be sent on what was
+// true before.
 func (w *requestWriter) writeHeld(req *http.Request, attempt *Attempt, timeLeft time.Duration) (written bool, err error) {
 	setTimeLeft(req.Header, timeLeft)
 	var text bytes.Buffer
