--- a/internal/sidecar/upstream/request_writer.go
+++ b/internal/sidecar/upstream/request_writer.go
@@ -136,8 +136,8 @@
 }
 
 // writeHeld writes a request whose body is held in memory. The client and the route are checked after the clock was read for
-// the first byte, and the route last, right before it: an attempt that is held up in between must not be sent on what was
-// true before.
+// the first byte, and the route last, right before it: an attempt that is held up in between must not be written by
+// outdated checks.
 func (w *requestWriter) writeHeld(req *http.Request, attempt *Attempt, timeLeft time.Duration) (written bool, err error) {
 	setTimeLeft(req.Header, timeLeft)
 	var text bytes.Buffer
