--- a/internal/sidecar/client_gone_test.go
+++ b/internal/sidecar/client_gone_test.go
@@ -87,7 +87,7 @@
 	c.t.Helper()
 	end(c.TCPConn)
 	sidecartest.Until(c.t, "the end to arrive", func() bool {
-		state, err := netcall.SystemConnStates.State(c.accepted.Conn)
+		state, err := netcall.NewConnStates().State(c.accepted.Conn)
 		return err != nil || state != unix.BPF_TCP_ESTABLISHED
 	})
 }
--- a/internal/sidecar/clientserver/conn_limiter_shutdown_test.go
+++ b/internal/sidecar/clientserver/conn_limiter_shutdown_test.go
@@ -166,7 +166,7 @@
 		},
 	})
 	ended := make(chan error, 1)
-	go func() { ended <- server.Serve(HeadListener{limiter}) }()
+	go func() { ended <- server.Serve(New(Options{}).HeadListener(limiter)) }()
 	t.Cleanup(func() {
 		server.Close()
 		<-ended
--- a/internal/sidecar/clientserver/drain_test.go
+++ b/internal/sidecar/clientserver/drain_test.go
@@ -37,7 +37,7 @@
 		}
 	}
 	ended := make(chan error, 1)
-	go func() { ended <- httpServer.Serve(HeadListener{limiter}) }()
+	go func() { ended <- httpServer.Serve(s.HeadListener(limiter)) }()
 	t.Cleanup(func() { httpServer.Close(); <-ended })
 	c, err := net.Dial("tcp", listener.Addr().String())
 	if err != nil {
--- a/internal/sidecar/clientserver/framing.go
+++ b/internal/sidecar/clientserver/framing.go
@@ -15,7 +15,15 @@
 var errFraming = errors.New("Transfer-Encoding beside Content-Length, or in a request whose head was not seen")
 
 // HeadListener makes connections keep the head of the request that is being read.
-type HeadListener struct{ net.Listener }
+type HeadListener struct {
+	net.Listener
+	connStates *netcall.ConnStates
+}
+
+// HeadListener wraps the listener from which the server is to be served.
+func (s *Server) HeadListener(listener net.Listener) HeadListener {
+	return HeadListener{Listener: listener, connStates: s.options.ConnStates}
+}
 
 // Accept waits for the next connection.
 func (l HeadListener) Accept() (net.Conn, error) {
@@ -25,7 +33,7 @@
 	}
 	acceptedLate := false
 	if client, ok := conn.(*ClientConn); ok {
-		netcall.SystemConnStates.Learn(client.Conn)
+		l.connStates.Learn(client.Conn)
 		acceptedLate = client.limiter.acceptsFailed() && netcall.SinceLastData(client.Conn) >= netcall.LateAccept
 	}
 	return framing.NewClientHeadConn(conn, acceptedLate), nil
--- a/internal/sidecar/clientserver/server.go
+++ b/internal/sidecar/clientserver/server.go
@@ -71,7 +71,9 @@
 	s.options.ReadTimeout = cmp.Or(s.options.ReadTimeout, DefaultReadTimeout)
 	s.options.WriteTimeout = cmp.Or(s.options.WriteTimeout, DefaultWriteTimeout)
 	s.options.ClientPoll = cmp.Or(s.options.ClientPoll, defaultClientPoll)
-	s.options.ConnStates = cmp.Or(s.options.ConnStates, netcall.SystemConnStates)
+	if s.options.ConnStates == nil {
+		s.options.ConnStates = netcall.NewConnStates()
+	}
 }
 
 // StartDraining makes the ready check fail, and connections end after the answers that they owe.
--- a/internal/sidecar/handover_test.go
+++ b/internal/sidecar/handover_test.go
@@ -121,7 +121,7 @@
 func TestUpgrade_QueueHandedOver(t *testing.T) {
 	b := sidecartest.NewBackend(t, "a", sidecartest.OK)
 	c := upgradable(t, sidecartest.NewRegistry(t).Addr(), b.Target)
-	deaf := func(s *Sidecar) { // it accepts nobody
+	deaf := func(s *Sidecar) { // it accepts no connection
 		s.drainAccept = 0
 		s.listener.Listener = refuser{s.listener.Listener, new(sync.Once), make(chan struct{})}
 	}
--- a/internal/sidecar/kill_time_test.go
+++ b/internal/sidecar/kill_time_test.go
@@ -61,7 +61,7 @@
 		d.mu.Unlock()
 		return req.URL.RawQuery == "hang" || sidecartest.OK(c, req, "")
 	})
-	c := configtest.NewConf("127.0.0.1:1", b.Target) // nobody is there
+	c := configtest.NewConf("127.0.0.1:1", b.Target) // no registry listens there
 	c["settings"] = json.RawMessage(fmt.Sprintf(`{"classes": [
 	 {"name": "lookup", "effect": "read_like", "on_time_ms": %[1]d, "hard_limit_ms": %[1]d},
 	 {"name": "charge", "effect": "non_idempotent", "on_time_ms": %[1]d, "hard_limit_ms": %[1]d}],
@@ -147,7 +147,7 @@
 func (c *caller) deaf() {
 	id, text := c.d.request("GET", "")
 	if _, err := io.WriteString(c, text); err != nil {
-		return // reset: nobody is there
+		return // reset: the peer has ended
 	}
 	c.d.clients.Go(func() {
 		<-time.After(time.Until(c.d.kill))
--- a/internal/sidecar/listener_shutdown_test.go
+++ b/internal/sidecar/listener_shutdown_test.go
@@ -15,7 +15,7 @@
 	"marblelane/internal/sidecar/sidecartest"
 )
 
-// heldListener accepts nobody before the test lets it.
+// heldListener accepts no connection before the test lets it.
 type heldListener struct {
 	*net.TCPListener
 	held   chan struct{}
--- a/internal/sidecar/management_test.go
+++ b/internal/sidecar/management_test.go
@@ -119,7 +119,7 @@
 		"svc_inflight 0", "svc_backend_calls 5")
 }
 
-// Callers that hold connections and say nothing, or half of a call, shut nobody out.
+// Callers that hold connections and say nothing, or half of a call, shut no other caller out.
 func TestManagementAnswersBesideSilentCallers(t *testing.T) {
 	s := start(t, configtest.Managed(configtest.NewConf(sidecartest.NewRegistry(t).Addr(), sidecartest.Ready("a", "127.0.0.1:1"))))
 	for i := range 3 * s.management.Limit() {
--- a/internal/sidecar/members_test.go
+++ b/internal/sidecar/members_test.go
@@ -80,7 +80,7 @@
 	for _, one := range []*running{a, b, c} {
 		one.shows(t, "svc_members_known 3")
 		one.shows(t, "svc_members_admitted 1")
-		one.shows(t, "svc_members_believed 3") // more are believed at once
+		one.shows(t, "svc_members_believed 3") // a rise is taken over at once
 	}
 	startedAt := time.Now()
 	b.end(t)
--- a/internal/sidecar/netcall/conn_state.go
+++ b/internal/sidecar/netcall/conn_state.go
@@ -22,8 +22,8 @@
 	trusted atomic.Bool
 }
 
-// SystemConnStates queries the system.
-var SystemConnStates = &ConnStates{Query: tcpState}
+// NewConnStates returns states that query the system, and trust it once it has reported an established connection.
+func NewConnStates() *ConnStates { return &ConnStates{Query: tcpState} }
 
 // tcpState queries the system for the state of a connection, one of unix.BPF_TCP_*.
 func tcpState(fd int) (uint8, error) {
--- a/internal/sidecar/netcall/conn_state_test.go
+++ b/internal/sidecar/netcall/conn_state_test.go
@@ -69,7 +69,7 @@
 					}
 					end(client)
 					sidecartest.Until(t, "the end to arrive", func() bool {
-						state, err := SystemConnStates.State(server)
+						state, err := NewConnStates().State(server)
 						return err == nil && state != unix.BPF_TCP_ESTABLISHED
 					})
 					want := test.behind || !unread
@@ -80,7 +80,7 @@
 			}
 		}
 	}
-	if client, _ := net.Pipe(); SystemConnStates.PeerGone(client) {
+	if client, _ := net.Pipe(); NewConnStates().PeerGone(client) {
 		t.Error("what is no connection of the system has gone")
 	}
 }
--- a/internal/sidecar/netcall/retry_test.go
+++ b/internal/sidecar/netcall/retry_test.go
@@ -86,12 +86,13 @@
 			}}
 			client, server := tcpPair(t)
 			states.Learn(server)
-			SystemConnStates.Learn(server)
+			system := NewConnStates()
+			system.Learn(server)
 			if _, err := io.WriteString(client, "x"); err != nil {
 				t.Fatal(err)
 			}
 			client.Close()
-			sidecartest.Until(t, "the end to arrive", func() bool { return SystemConnStates.PeerGone(server) })
+			sidecartest.Until(t, "the end to arrive", func() bool { return system.PeerGone(server) })
 			failure = sidecartest.FailFirst(maxQueries-1, errno)
 			if !states.PeerGone(server) {
 				t.Error("a client that has gone is taken for one that is there")
--- a/internal/sidecar/routes_test.go
+++ b/internal/sidecar/routes_test.go
@@ -182,7 +182,7 @@
 	return n
 }
 
-func (r *running) keyedRequest(key string) *http.Request {
+func (r *running) requestWithIdempotencyKey(key string) *http.Request {
 	req := r.request("lookup", 5*time.Second)
 	req.Header.Set("X-Route-Key", key)
 	req.Header.Set(routing.RevisionHeader, "99") // not the client's to say
@@ -202,7 +202,7 @@
 		for i := range keys {
 			key := fmt.Sprint("key-", i)
 			before := canary.Requests.Load()
-			require.Equal(t, 200, r.do(r.keyedRequest(key)).status)
+			require.Equal(t, 200, r.do(r.requestWithIdempotencyKey(key)).status)
 			if went := canary.Requests.Load() - before; round == 0 {
 				side[key] = went
 			} else {
@@ -250,12 +250,12 @@
 	r, base, canary := routed(t, s, sidecartest.OK)
 	s.tell(t, 5, toCanary(1, false))
 	r.acts(5, true)
-	sidecartest.Until(t, "a canary", func() bool { return r.do(r.keyedRequest("k")).status == 200 && canary.Requests.Load() > 0 })
+	sidecartest.Until(t, "a canary", func() bool { return r.do(r.requestWithIdempotencyKey("k")).status == 200 && canary.Requests.Load() > 0 })
 	s.set(func() { s.term = 0 })
 	r.acts(5, false)
 	n, b, v := canary.Requests.Load(), base.Requests.Load(), r.voids()
 	for range 20 {
-		require.Equal(t, 200, r.do(r.keyedRequest("k")).status)
+		require.Equal(t, 200, r.do(r.requestWithIdempotencyKey("k")).status)
 	}
 	require.Equal(t, []int64{n, b + 20}, []int64{canary.Requests.Load(), base.Requests.Load()})
 	require.Equal(t, "/", base.all()[b])
@@ -400,11 +400,11 @@
 		return n
 	}
 	sidecartest.Until(t, "all units spent", func() bool {
-		require.Equal(t, 200, r.do(r.keyedRequest("k")).status)
+		require.Equal(t, 200, r.do(r.requestWithIdempotencyKey("k")).status)
 		return spent() == units
 	})
 	for range 30 {
-		require.Equal(t, 200, r.do(r.keyedRequest("k")).status)
+		require.Equal(t, 200, r.do(r.requestWithIdempotencyKey("k")).status)
 	}
 	require.EqualValues(t, units, canary.Requests.Load())
 	s.set(func() { s.budget = 1 })
@@ -419,14 +419,14 @@
 	sidecartest.Until(t, "the last report", func() bool { return s.counts()["5 kita true"].Failed == units })
 }
 
-// Without the section nothing is called and nothing added, and a client's headers are passed on as any.
+// Without the section nothing is called and nothing added, and a client's headers are forwarded as any other.
 func TestRoutesAreOff(t *testing.T) {
 	s := newSteering(t, longTerm, 0)
 	b := newHeaderRecorder(t, "b", sidecartest.OK)
 	c := configtest.NewConf("127.0.0.1:1", b.Target)
 	c["lists"] = []map[string]any{{"addr": s.Listener.Addr().String()}}
 	r := start(t, c)
-	require.Equal(t, 200, r.do(r.keyedRequest("k")).status)
+	require.Equal(t, 200, r.do(r.requestWithIdempotencyKey("k")).status)
 	require.Nil(t, r.loop.Routing)
 	require.Equal(t, []string{"99/7"}, b.all())
 	sidecartest.Until(t, "the call for the list", func() bool { return s.calls.Load() > 0 })
