--- /dev/null
+++ b/internal/membership/wire_test.go
@@ -0,0 +1,73 @@
+package membership
+
+import (
+	"encoding/json"
+	"os"
+	"path/filepath"
+	"testing"
+	"time"
+
+	"github.com/stretchr/testify/require"
+
+	"marblelane/internal/membership/roster"
+)
+
+// TestWireForms compares what members and operators exchange with recorded bytes. The files in testdata/wire are the
+// contract with processes of other versions; a change of them is a change of the protocol.
+func TestWireForms(t *testing.T) {
+	joining := roster.Entry{Name: "side-1", Start: 1700000000123, Addr: "10.1.0.7:7946"}
+	ask := encodeEntries(kindAsk, joining)
+	ask.By, ask.Digest = ident{joining.Name, joining.Start}, 1<<63
+	metadata, err := meta{Name: "side-1", Start: 7, Zone: "zone-a", Role: "sidecar", Version: "1.2.3", Observer: true}.encode()
+	require.NoError(t, err)
+	for name, got := range map[string][]byte{
+		"entries.json": encodeEntries(kindEntries,
+			joining,
+			roster.Entry{Name: "side-2", Start: 5, Gone: 5, Proof: roster.Refused, Addr: "10.1.0.8:7946"},
+			roster.Entry{Name: "side-3", Start: 6, Gone: 6, Proof: roster.Replaced},
+			roster.Entry{Name: "side-4", Start: 7, Gone: 7, Proof: roster.Told},
+			roster.Entry{Name: "side-5", Start: 9, Gone: 8, Proof: roster.Left},
+			roster.Entry{Name: "copy-1", Start: 10, Observer: true}).bytes(),
+		"ask.json":  ask.bytes(),
+		"ack.json":  message{Kind: kindAck, By: ident{"side-2", 5}, To: ident{"side-1", 1700000000123}, Digest: 9}.bytes(),
+		"meta.json": metadata,
+		"report.json": marshal(t, Report{Self: roster.ID{Name: "side-1", Start: 7}, Fleet: "shannonside", UnixMS: 1700000000123,
+			View:    roster.View{Known: 3, Heard: 2, Admitted: true, Forced: true},
+			Changes: 4, Dropped: 5, Believed: 2.5,
+			Members: []Member{
+				{Name: "side-1", Start: 7, Addr: "10.1.0.7:7946", Zone: "zone-a", Role: "sidecar", Version: "1.2.3", State: Alive,
+					SinceMS: 10, Twin: true},
+				{Name: "side-2", Start: 1, State: Suspected, SinceMS: 11},
+				{Name: "side-3", Start: 1, State: Silent, SinceMS: 12, HeardMS: 13},
+				{Name: "side-4", Start: 1, State: Gone, Proof: proofText(roster.Refused), HeardMS: -1},
+				{Name: "side-5", Start: 1, State: Gone, Proof: proofText(roster.Replaced), HeardMS: -1},
+				{Name: "side-6", Start: 1, State: Gone, Proof: proofText(roster.Told), HeardMS: -1},
+				{Name: "side-7", Start: 1, State: Gone, Proof: proofText(roster.Left), HeardMS: -1},
+				{Name: "side-8", Start: 1, State: Gone, Proof: proofText(9), HeardMS: -1},
+			}}),
+		"digests.json": marshal(t, digests()),
+	} {
+		want, err := os.ReadFile(filepath.Join("testdata", "wire", name))
+		require.NoError(t, err)
+		require.Equal(t, string(want), string(got), name)
+	}
+}
+
+// digests returns a roster's digest while it waits, once it is admitted by timeout, and with two members known.
+func digests() []uint64 {
+	r := roster.New(0, roster.Options{Self: roster.ID{Name: "side-1", Start: 7}, AdmitWithin: time.Second})
+	all := []uint64{r.Digest()}
+	r.View(time.Second)
+	all = append(all, r.Digest())
+	r.Merge(time.Second, roster.Entry{Name: "side-2", Start: 5})
+	all = append(all, r.Digest())
+	r.Acknowledged(roster.ID{Name: "side-2", Start: 5}, r.Digest()|3)
+	return append(all, r.Digest())
+}
+
+func marshal(t *testing.T, v any) []byte {
+	t.Helper()
+	text, err := json.Marshal(v)
+	require.NoError(t, err)
+	return text
+}
