--- a/cmd/marblelane/members.go
+++ b/cmd/marblelane/members.go
@@ -107,7 +107,7 @@
 	if r.View.Forced {
 		admitted += " by time alone"
 	}
-	return fmt.Sprintf("%d known, %d heard, %s", r.View.Known, r.View.Heard, admitted)
+	return fmt.Sprintf("%d known, %d heard, %s", r.View.Known, r.View.Reachable, admitted)
 }
 
 // forText is a time in milliseconds as it is read.
--- a/cmd/sidecar/members_test.go
+++ b/cmd/sidecar/members_test.go
@@ -91,7 +91,7 @@
 	m.t.Helper()
 	m.waits(fmt.Sprintf("%d known and %d heard", known, heard), func() bool {
 		v := m.report().View
-		return v.Known == known && v.Heard == heard && v.Admitted
+		return v.Known == known && v.Reachable == heard && v.Admitted
 	})
 }
 
--- a/internal/lab/memberscale_fleet.go
+++ b/internal/lab/memberscale_fleet.go
@@ -46,9 +46,9 @@
 	if v == s.view {
 		return
 	}
-	s.silentMembers += max(s.view.Heard-v.Heard, 0)
+	s.silentMembers += max(s.view.Reachable-v.Reachable, 0)
 	s.out += max(s.view.Known-v.Known, 0)
-	s.most = max(s.most, v.Known-v.Heard)
+	s.most = max(s.most, v.Known-v.Reachable)
 	s.view = v
 	if s.traced {
 		s.trace = append(s.trace, seenView{time.Now(), v})
@@ -95,7 +95,7 @@
 		if err != nil {
 			return nil, errors.Join(err, f.close())
 		}
-		s := &scaleMember{port: port, view: roster.View{Known: n, Heard: 1}}
+		s := &scaleMember{port: port, view: roster.View{Known: n, Reachable: 1}}
 		cfg := membership.Config{Name: fmt.Sprintf("m%04d", i), Fleet: "scale", Zone: "here", Role: "sidecar", Peers: n,
 			Interval: m.Interval, BelieveRefused: true, Defect: m.Defect, Transport: port, Changed: s.changed}
 		for k := range min(3, n) {
@@ -153,7 +153,7 @@
 	n := len(f.members)
 	err := f.await(ctx, "does not agree", func(s *scaleMember) bool {
 		v := s.last()
-		return v.Known == n && v.Heard == n && (v.Admitted || !admitted)
+		return v.Known == n && v.Reachable == n && (v.Admitted || !admitted)
 	})
 	if err != nil {
 		return err
@@ -331,7 +331,7 @@
 	f.net.Split(part)
 	began := time.Now()
 	err := f.await(ctx, "hears the other side", func(s *scaleMember) bool {
-		return 2*side[s] < n || s.last().Heard == side[s]
+		return 2*side[s] < n || s.last().Reachable == side[s]
 	})
 	if err == nil {
 		out.Noticed = time.Since(began).Seconds()
@@ -339,7 +339,7 @@
 	for _, s := range f.members {
 		out.Out = max(out.Out, n-s.last().Known)
 		if side[s] == min(first, n-first) {
-			out.Hears = max(out.Hears, s.last().Heard)
+			out.Hears = max(out.Hears, s.last().Reachable)
 		}
 	}
 	f.net.Heal()
@@ -386,7 +386,7 @@
 		}
 		return at(0.5), at(0.99), at(1)
 	}
-	out.DetectP50, out.DetectP99, out.DetectAll = times(func(v roster.View) int { return v.Heard })
+	out.DetectP50, out.DetectP99, out.DetectAll = times(func(v roster.View) int { return v.Reachable })
 	out.GoneP50, out.GoneP99, out.GoneAll = times(func(v roster.View) int { return v.Known })
 	return out, context.Cause(ctx)
 }
--- a/internal/lab/requestcost_round.go
+++ b/internal/lab/requestcost_round.go
@@ -227,7 +227,7 @@
 		r, err := client.Report(ctx, management)
 		if err == nil {
 			last = r
-			if r.View.Admitted && r.View.Heard >= want {
+			if r.View.Admitted && r.View.Reachable >= want {
 				return nil
 			}
 		}
--- a/internal/membership/collect/collect.go
+++ b/internal/membership/collect/collect.go
@@ -69,7 +69,7 @@
 		admitted = 1
 	}
 	gauge(c.known, float64(r.View.Known))
-	gauge(c.heard, float64(r.View.Heard))
+	gauge(c.heard, float64(r.View.Reachable))
 	gauge(c.believed, r.Believed)
 	gauge(c.admitted, admitted)
 	gauge(c.unheard, float64(oldest)/1000)
--- a/internal/membership/group.go
+++ b/internal/membership/group.go
@@ -138,7 +138,7 @@
 	g.ring.most = ringWeight
 	g.queue = memberlist.TransmitLimitedQueue{RetransmitMult: 4, NumNodes: g.size}
 	g.peers.Store(&peerSnapshot{})
-	g.view.Store(&roster.View{Known: cfg.Peers, Heard: 1})
+	g.view.Store(&roster.View{Known: cfg.Peers, Reachable: 1})
 	if g.inner = cfg.Transport; g.inner == nil {
 		t, err := newTransport(transportConfig{Bind: cfg.Bind, Advertise: cfg.Advertise, Networks: cfg.Networks,
 			Log: cfg.Log, Dropped: g.figures.drop})
@@ -214,7 +214,7 @@
 			return
 		}
 		g.log.Warn("members: an operator says that a process is gone", "name", id.Name, "start", id.Start)
-		g.merge(g.now(), gone(id, roster.Told))
+		g.merge(g.now(), gone(id, roster.ProofOperator))
 		g.turnNow()
 	})
 	if err != nil {
@@ -235,7 +235,7 @@
 			within = max(min(within, time.Until(by)), time.Millisecond)
 		}
 		i := g.current.Load()
-		self := roster.Entry{Name: i.id.Name, Start: i.id.Start, Gone: i.id.Start, Proof: roster.Left, Addr: g.addr,
+		self := roster.Entry{Name: i.id.Name, Start: i.id.Start, Gone: i.id.Start, Proof: roster.ProofLeft, Addr: g.addr,
 			Observer: g.cfg.Observer}
 		g.queue.Reset()
 		g.merge(g.now(), self)
@@ -377,15 +377,15 @@
 			if n := c.node; was == nil {
 				e := g.room([]roster.Entry{{Name: c.id.Name, Start: c.id.Start, Addr: n.addr, Observer: n.meta.Observer}})
 				if g.merge(now, e...); len(e) > 0 {
-					g.roster.Heard(now, c.id, true)
+					g.roster.SetReachable(now, c.id, true)
 				}
 			}
 			continue
 		}
 		delete(g.live, c.id)
-		g.roster.Heard(now, c.id, false)
+		g.roster.SetReachable(now, c.id, false)
 		if g.cfg.Defect == DefectTrustDetector {
-			g.merge(now, gone(c.id, roster.Told))
+			g.merge(now, gone(c.id, roster.ProofOperator))
 		}
 	}
 }
--- a/internal/membership/group_identity.go
+++ b/internal/membership/group_identity.go
@@ -42,12 +42,12 @@
 	}
 	for _, e := range g.entries() {
 		has, ok := at[e.Addr]
-		if id := idOf(e); !ok || !e.Lives() || id == self || id == has {
+		if id := idOf(e); !ok || !e.Present() || id == self || id == has {
 			continue
 		}
 		later := has.Name == e.Name && has.Start > e.Start
 		if later || has.Name != e.Name && g.live[idOf(e)] == nil {
-			g.merge(now, gone(idOf(e), roster.Replaced))
+			g.merge(now, gone(idOf(e), roster.ProofAddressReused))
 		}
 	}
 }
@@ -67,11 +67,11 @@
 			g.later = now
 		}
 		if g.raises < raiseMost && now-g.met <= riseWithin*g.cfg.Interval &&
-			(!e.Lives() || e.Addr == g.addr || now-g.later >= riseAfter*g.cfg.Interval) {
+			(!e.Present() || e.Addr == g.addr || now-g.later >= riseAfter*g.cfg.Interval) {
 			g.raises++
 			g.log.Warn("members: this start seems earlier than the one before; the clock was set back", "name", self.Name,
 				"start", self.Start, "before", e.Start)
-			g.merge(now, gone(self, roster.Replaced))
+			g.merge(now, gone(self, roster.ProofAddressReused))
 			g.later = 0
 		}
 		return
@@ -83,7 +83,7 @@
 func (g *Group) part(now time.Duration) {
 	if self := g.roster.Self(); g.current.Load().takeConflict() {
 		g.log.Warn("members: another process has this one's name and start", "name", self.Name, "start", self.Start)
-		g.merge(now, gone(self, roster.Replaced))
+		g.merge(now, gone(self, roster.ProofAddressReused))
 	}
 }
 
@@ -127,7 +127,7 @@
 		most = max(most, len(g.live)/5)
 	}
 	g.same, g.differ = 0, 0
-	wanting := g.roster.Wanting(most)
+	wanting := g.roster.Unacknowledged(most)
 	if g.wanted = len(wanting) > 0; !g.wanted {
 		return
 	}
--- a/internal/membership/group_messages.go
+++ b/internal/membership/group_messages.go
@@ -89,12 +89,12 @@
 	fresh := g.roster.Merge(now, entries...)
 	for _, e := range fresh {
 		switch id := idOf(e); {
-		case !e.Lives():
+		case !e.Present():
 			g.tell(e)
 		case id != g.roster.Self() && g.live[id] == nil:
 			g.untold[id] = now
 		}
-		if m := g.marks[idOf(e)]; m != nil && !e.Lives() {
+		if m := g.marks[idOf(e)]; m != nil && !e.Present() {
 			g.log.Info("members: gone", "name", e.Name, "start", e.Gone, "proof", proofText(e.Proof))
 		}
 	}
@@ -110,7 +110,7 @@
 			continue
 		}
 		delete(g.untold, id)
-		if e, known := g.roster.Find(id); known && e.Lives() && g.live[id] == nil {
+		if e, known := g.roster.Find(id); known && e.Present() && g.live[id] == nil {
 			g.tell(e)
 		}
 	}
@@ -121,7 +121,7 @@
 	if !g.fresh {
 		k := &knowledge{entries: g.roster.Entries()}
 		for _, e := range k.entries {
-			if n := g.live[idOf(e)]; !e.Lives() || idOf(e) != g.roster.Self() && (n == nil || n.suspected || n.addr != e.Addr) {
+			if n := g.live[idOf(e)]; !e.Present() || idOf(e) != g.roster.Self() && (n == nil || n.suspected || n.addr != e.Addr) {
 				k.rest = append(k.rest, e)
 			}
 		}
--- a/internal/membership/group_test.go
+++ b/internal/membership/group_test.go
@@ -132,7 +132,7 @@
 	}
 	f.until("all know all", func() bool {
 		return !slices.ContainsFunc(all, func(g *Group) bool {
-			return g.View() != roster.View{Known: n, Heard: n, Admitted: true}
+			return g.View() != roster.View{Known: n, Reachable: n, Admitted: true}
 		})
 	})
 	return all
@@ -186,7 +186,7 @@
 	f := newFleet(t)
 	a := f.open("a", func(c *Config) { c.AdmitWithin = beat }, f.dead())
 	f.until("alone, it is admitted by time", func() bool {
-		return a.View() == roster.View{Known: 1, Heard: 1, Admitted: true, Forced: true}
+		return a.View() == roster.View{Known: 1, Reachable: 1, Admitted: true, Forced: true}
 	})
 	var sent atomic.Int64
 	b := f.open("b", func(c *Config) {
@@ -195,7 +195,7 @@
 		c.Transport = x
 	}, f.dead(), a.addr, f.dead(), "127.0.0.1:1")
 	f.until("both admitted", func() bool {
-		want := roster.View{Known: 2, Heard: 2, Admitted: true}
+		want := roster.View{Known: 2, Reachable: 2, Admitted: true}
 		return a.View() == want && b.View() == want
 	})
 	require.Equal(t, "alive", sees(a, "b"))
@@ -232,14 +232,14 @@
 		return sees(g[0], "p2") == "gone refused" && sees(g[1], "p2") == "gone refused"
 	})
 	f.until("the frozen one is silent, and counts", func() bool {
-		return sees(g[0], "p3") == "silent" && g[0].View() == roster.View{Known: 3, Heard: 2, Admitted: true}
+		return sees(g[0], "p3") == "silent" && g[0].View() == roster.View{Known: 3, Reachable: 2, Admitted: true}
 	})
 	calls := func() uint64 { return g[0].figures.failedJoins.Load() }
 	for n := calls(); calls() < n+2; time.Sleep(beat) { // it is called again and again, and proves nothing
 		require.Equal(t, 3, g[0].View().Known)
 	}
 	f.change(func() { clear(f.frozen) })
-	f.until("it is back", func() bool { return sees(g[0], "p3") == "alive" && g[3].View().Heard == 3 })
+	f.until("it is back", func() bool { return sees(g[0], "p3") == "alive" && g[3].View().Reachable == 3 })
 }
 
 func TestDefectTrustsTheDetector(t *testing.T) {
@@ -269,7 +269,7 @@
 	g := f.grow(2, func(c *Config) { c.Interval = 5 * beat }) // suspicion lasts for four intervals
 	f.change(func() { f.frozen[g[1].addr] = true })
 	f.until("suspected", func() bool { return sees(g[0], "p1") == "suspected" })
-	require.Equal(t, roster.View{Known: 2, Heard: 2, Admitted: true}, g[0].View())
+	require.Equal(t, roster.View{Known: 2, Reachable: 2, Admitted: true}, g[0].View())
 	f.change(func() { clear(f.frozen) })
 	f.until("refuted", func() bool { return sees(g[0], "p1") == "alive" })
 }
@@ -291,7 +291,7 @@
 					}
 				}, g[0].addr, g[1].addr)
 				f.until("it takes the place", func() bool {
-					return again.View() == roster.View{Known: 3, Heard: 3, Admitted: true} && g[0].View() == again.View()
+					return again.View() == roster.View{Known: 3, Reachable: 3, Admitted: true} && g[0].View() == again.View()
 				})
 				require.Greater(t, again.Report().Self.Start, was.Start)
 			})
@@ -333,7 +333,7 @@
 	require.NoError(t, g[0].Told(was))
 	f.until("it takes a greater start, and all know it", func() bool {
 		return g[2].Report().Self.Start > was.Start && !slices.ContainsFunc(g, func(g *Group) bool {
-			return g.View() != roster.View{Known: 3, Heard: 3, Admitted: true}
+			return g.View() != roster.View{Known: 3, Reachable: 3, Admitted: true}
 		})
 	})
 	require.EqualValues(t, 1, g[2].figures.risen.Load())
@@ -346,7 +346,7 @@
 	f.change(func() { f.side[g[2].addr], f.side[g[3].addr] = 1, 1 })
 	f.until("both sides see two of four", func() bool {
 		require.LessOrEqual(t, taken(g...), 1.)
-		return !slices.ContainsFunc(g, func(g *Group) bool { return g.View().Heard != 2 })
+		return !slices.ContainsFunc(g, func(g *Group) bool { return g.View().Reachable != 2 })
 	})
 	end := time.Now().Add(libConfig(&g[0].cfg).GossipToTheDeadTime + 10*beat)
 	f.until("the library has dropped the dead, and would never call them again", func() bool {
@@ -355,7 +355,7 @@
 	})
 	f.change(func() { clear(f.side) })
 	f.until("one fleet again", func() bool {
-		return !slices.ContainsFunc(g, func(g *Group) bool { return g.View().Heard != 4 || g.View().Known != 4 })
+		return !slices.ContainsFunc(g, func(g *Group) bool { return g.View().Reachable != 4 || g.View().Known != 4 })
 	})
 }
 
--- a/internal/membership/hostile_test.go
+++ b/internal/membership/hostile_test.go
@@ -29,8 +29,8 @@
 	g := f.grow(2, nil)
 	self := g[0].Report().Self
 	evil := encodeEntries(kindEntries,
-		roster.Entry{Name: self.Name, Start: maxStart - 1, Gone: maxStart - 1, Proof: roster.Told},
-		roster.Entry{Name: self.Name, Start: self.Start, Gone: self.Start, Proof: roster.Told}).bytes()
+		roster.Entry{Name: self.Name, Start: maxStart - 1, Gone: maxStart - 1, Proof: roster.ProofOperator},
+		roster.Entry{Name: self.Name, Start: self.Start, Gone: self.Start, Proof: roster.ProofOperator}).bytes()
 	require.NoError(t, g[1].current.Load().list.SendToAddress(memberlist.Address{Addr: g[0].addr}, evil))
 	f.until("it cannot begin again", func() bool { return g[0].current.Load().lease.over.Load() })
 	require.NoError(t, g[0].Leave(t.Context()))
--- a/internal/membership/probe.go
+++ b/internal/membership/probe.go
@@ -106,9 +106,9 @@
 	_ = g.do(g.ctx, func() { // not if it has ended
 		now := g.now()
 		g.listen(now)
-		for _, s := range g.roster.Silent(now) {
+		for _, s := range g.roster.Unreachable() {
 			if idOf(s) == idOf(e) {
-				g.merge(now, gone(idOf(e), roster.Refused))
+				g.merge(now, gone(idOf(e), roster.ProofRefused))
 			}
 		}
 		g.turnNow()
--- a/internal/membership/publish.go
+++ b/internal/membership/publish.go
@@ -61,13 +61,13 @@
 
 // stage sets the scene for joiner and prober.
 func (g *Group) stage(now time.Duration) {
-	s := &peerSnapshot{silent: g.roster.Silent(now), heard: make(map[string]bool, len(g.live))}
+	s := &peerSnapshot{silent: g.roster.Unreachable(), heard: make(map[string]bool, len(g.live))}
 	for _, n := range g.live {
 		s.heard[n.addr] = true
 	}
 	if len(g.live) == 0 {
 		for _, e := range g.entries() {
-			if e.Lives() && idOf(e) != g.roster.Self() && e.Addr != "" {
+			if e.Present() && idOf(e) != g.roster.Self() && e.Addr != "" {
 				s.living = append(s.living, e)
 			}
 		}
@@ -93,7 +93,7 @@
 		id := idOf(e)
 		n, state := g.live[id], Alive
 		switch {
-		case !e.Lives():
+		case !e.Present():
 			state = Gone
 		case id == g.self:
 		case n == nil:
@@ -238,8 +238,8 @@
 }
 
 func proofText(p roster.Proof) string {
-	if text, ok := map[roster.Proof]string{roster.None: "", roster.Refused: "refused", roster.Replaced: "replaced",
-		roster.Told: "told", roster.Left: "left"}[p]; ok {
+	if text, ok := map[roster.Proof]string{roster.ProofNone: "", roster.ProofRefused: "refused", roster.ProofAddressReused: "replaced",
+		roster.ProofOperator: "told", roster.ProofLeft: "left"}[p]; ok {
 		return text
 	}
 	return "proof-" + strconv.Itoa(int(p)) // a newer program's
--- a/internal/membership/roster/model/explore.go
+++ b/internal/membership/roster/model/explore.go
@@ -2,38 +2,39 @@
 
 import "fmt"
 
-type visited struct {
+// visitedState is a state with the event that led to it.
+type visitedState struct {
 	state  state
-	how    label
-	before int32
+	event  eventLabel
+	parent int32 // index of the state before; -1 for the first
 }
 
-// Explore visits each state that a world can come to, the nearest first, and says how many; up to the first that breaks
-// the invariant, with the way to it.
-func Explore(w World) (states int, err error) {
-	if len(w.Places) > MaxPlaces || w.Late > len(state{}.late) {
-		return 0, fmt.Errorf("%d places and %d late messages: at most %d and %d", len(w.Places), w.Late, MaxPlaces,
-			len(state{}.late))
+// Explore visits each reachable state of a scenario, breadth first, and returns their number. It stops at the first one
+// that breaks the invariant; the error wraps the violation in the events of the shortest way to it.
+func Explore(scenario Scenario) (states int, err error) {
+	if maxLate := len(state{}.late); len(scenario.Slots) > MaxSlots || scenario.Late > maxLate {
+		return 0, fmt.Errorf("%d slots and %d late messages: at most %d and %d", len(scenario.Slots), scenario.Late,
+			MaxSlots, maxLate)
 	}
-	x := newSearch(w)
+	x := newSearch(scenario)
 	seen := map[state]struct{}{}
-	var all []visited
-	now := int32(-1)
-	x.emit = func(how label, s state) {
-		if _, is := seen[s]; !is {
+	var all []visitedState
+	current := int32(-1)
+	x.emit = func(event eventLabel, s state) {
+		if _, known := seen[s]; !known {
 			seen[s] = struct{}{}
-			all = append(all, visited{s, how, now})
+			all = append(all, visitedState{s, event, current})
 		}
 	}
-	x.emit(label{}, x.first())
-	for now = 0; int(now) < len(all); now++ {
-		if err := x.check(all[now].state); err != nil {
-			for i := now; i > 0; i = all[i].before {
-				err = fmt.Errorf("%v: %w", all[i].how, err)
+	x.emit(eventLabel{}, x.first())
+	for current = 0; int(current) < len(all); current++ {
+		if err := x.check(all[current].state); err != nil {
+			for i := current; i > 0; i = all[i].parent {
+				err = fmt.Errorf("%v: %w", all[i].event, err)
 			}
 			return len(all), err
 		}
-		x.next(all[now].state)
+		x.next(all[current].state)
 	}
 	return len(all), nil
 }
--- a/internal/membership/roster/model/fleet.go
+++ b/internal/membership/roster/model/fleet.go
@@ -9,64 +9,66 @@
 	"marblelane/internal/membership/roster"
 )
 
-// Chance decides what happens: math/rand/v2 does, and so does what finds small counterexamples.
-type Chance interface {
-	IntN(n int) int // from 0 up to n, n excluded
+// Random decides what happens next. math/rand/v2 implements it, and so may a generator that shrinks counterexamples.
+type Random interface {
+	IntN(n int) int // in [0, n)
 }
 
-// Course says how a fleet is to fare.
-type Course struct {
+// FleetConfig configures a random run.
+type FleetConfig struct {
 	Size        int // processes at the beginning, none of which knows another
 	Peers       int
-	Newcomers   int           // names that may come beside
-	AdmitWithin time.Duration // 0: nobody is admitted for having waited
+	NewNames    int           // names that may join later
+	AdmitWithin time.Duration // 0: nobody is admitted by timeout
 	Defect      Defect
-	FalseProofs bool // a process that runs may be taken for gone
-	Proofs      int  // that are kept of one name; one that is forgotten may live again; 0: the default, all here
+	FalseProofs bool // a running process may be taken for gone
+	// MaxProofsPerName bounds the proofs as in roster.Options. A process whose proof is forgotten may be present again.
+	MaxProofsPerName int
 }
 
-// Fleet is processes with a roster and a balancer's Crowd each, and all that may happen to them.
+// Fleet is a set of processes, each with a roster and the balancer's estimate of the fleet's size, in one random run.
 type Fleet struct {
-	Course
-	chance  Chance
-	now     time.Duration
-	all     []*process
-	letters []parcel
-	names   int
-	cut     bool
-	founded bool     // somebody is admitted
-	Log     []string // what happened
+	FleetConfig
+	random      Random
+	now         time.Duration
+	processes   []*process // all that ever started
+	inFlight    []message
+	names       int
+	cut         bool
+	anyAdmitted bool     // some process was admitted
+	Log         []string // the events so far
 }
 
 type process struct {
-	roster *roster.Roster
-	crowd  balance.FleetEstimate
-	addr   string
-	runs   bool
-	leaves bool          // it has said so
-	right  bool          // the side of a cut that it is on
-	epoch  time.Duration // its clock began that long before
-	rate   float64       // and goes so fast
-	view   roster.View
-	gone   map[roster.ID]bool // that it knew as gone
-	undone bool               // one of these came to life
+	roster      *roster.Roster
+	estimate    balance.FleetEstimate
+	addr        string
+	running     bool
+	leaving     bool          // it has said that it leaves
+	rightSide   bool          // of a cut
+	clockOffset time.Duration // of its clock at the beginning of the run
+	clockRate   float64       // its seconds for each second of the run
+	view        roster.View
+	gone        map[roster.ID]bool // processes that it knew as gone
+	proofUndone bool               // one of these became present
 }
 
-type parcel struct {
+type message struct {
 	to      *process
 	by      roster.ID
 	digest  uint64
 	entries []roster.Entry // nil: a digest
 }
 
-const never = 1 << 50
+// neverAdmit stands for no admission by timeout, in nanoseconds.
+const neverAdmit = 1 << 50
 
 // NewFleet starts the first processes.
-func NewFleet(c Course, chance Chance) *Fleet {
+func NewFleet(c FleetConfig, random Random) *Fleet {
 	if c.AdmitWithin == 0 {
-		c.AdmitWithin = never
+		c.AdmitWithin = neverAdmit
 	}
-	f := &Fleet{Course: c, chance: chance}
+	f := &Fleet{FleetConfig: c, random: random}
 	for range c.Size {
 		f.names++
 		f.start(fmt.Sprintf("p%d", f.names))
@@ -75,43 +77,47 @@
 }
 
 func (f *Fleet) start(name string) *process {
-	p := &process{runs: true, gone: map[roster.ID]bool{}, addr: fmt.Sprintf("host:%d", len(f.all)+1),
-		right: f.cut && f.chance.IntN(2) == 0, epoch: time.Duration(f.chance.IntN(1e6)) * time.Second,
-		rate: 0.9 + 0.02*float64(f.chance.IntN(11))}
-	id := roster.ID{Name: name, Start: f.now.Milliseconds() + int64(len(f.all)) + 1}
+	p := &process{running: true, gone: map[roster.ID]bool{}, addr: fmt.Sprintf("host:%d", len(f.processes)+1)}
+	p.rightSide = f.cut && f.random.IntN(2) == 0
+	p.clockOffset = time.Duration(f.random.IntN(1e6)) * time.Second
+	p.clockRate = 0.9 + 0.02*float64(f.random.IntN(11))
+	id := roster.ID{Name: name, Start: f.now.Milliseconds() + int64(len(f.processes)) + 1}
 	p.roster = roster.New(f.clock(p), roster.Options{Self: id, Addr: p.addr, Peers: f.Peers, AdmitWithin: f.AdmitWithin,
-		Proofs: f.Proofs})
-	f.all = append(f.all, p)
+		MaxProofsPerName: f.MaxProofsPerName})
+	f.processes = append(f.processes, p)
 	return p
 }
 
-// clock is what a process's clock shows.
+// clock returns the time that a process's clock shows.
 func (f *Fleet) clock(p *process) time.Duration {
-	return p.epoch + time.Duration(p.rate*float64(f.now))
+	return p.clockOffset + time.Duration(p.clockRate*float64(f.now))
 }
 
-// Step lets something happen, and says what breaks the invariant.
+// Step plays one random event. It returns an error if the invariant is broken then.
 func (f *Fleet) Step() error {
-	f.happen()
+	f.playEvent()
 	return f.Check()
 }
 
-func (f *Fleet) note(format string, args ...any) { f.Log = append(f.Log, fmt.Sprintf(format, args...)) }
+func (f *Fleet) logEvent(format string, args ...any) {
+	f.Log = append(f.Log, fmt.Sprintf(format, args...))
+}
 
-func (f *Fleet) happen() {
-	p := f.any(func(p *process) bool { return p.runs })
+// playEvent draws one of 256 equally likely numbers, each of which stands for an event of a random process.
+func (f *Fleet) playEvent() {
+	p := f.pick(func(p *process) bool { return p.running })
 	if p == nil {
 		return
 	}
-	switch n := f.chance.IntN(256); {
+	switch n := f.random.IntN(256); {
 	case n < 12:
-		f.pass(time.Duration(1) << f.chance.IntN(36))
+		f.advance(time.Duration(1) << f.random.IntN(36))
 	case n < 14 || f.cut && n < 20:
-		f.turn()
+		f.toggleCut()
 	case n < 24:
-		f.come(p)
+		f.startNext(p)
 	case n < 26:
-		f.end(p)
+		f.stop(p)
 	case n < 46:
 		f.detect(p)
 	case n < 76:
@@ -119,119 +125,119 @@
 	case n < 110:
 		f.deliver()
 	default:
-		if q := f.any(func(q *process) bool { return f.meets(p, q) }); q != nil && n < 170 {
-			f.say(p, q)
+		if q := f.pick(func(q *process) bool { return f.canSend(p, q) }); q != nil && n < 170 {
+			f.send(p, q)
 		} else if q != nil {
 			f.exchange(p, q)
 		}
 	}
 }
 
-// any is one of those that are meant.
-func (f *Fleet) any(meant func(*process) bool) *process {
-	var some []*process
-	for _, p := range f.all {
-		if meant(p) {
-			some = append(some, p)
+// pick returns a random process that matches, or nil.
+func (f *Fleet) pick(match func(*process) bool) *process {
+	var matching []*process
+	for _, p := range f.processes {
+		if match(p) {
+			matching = append(matching, p)
 		}
 	}
-	if len(some) == 0 {
+	if len(matching) == 0 {
 		return nil
 	}
-	return some[f.chance.IntN(len(some))]
+	return matching[f.random.IntN(len(matching))]
 }
 
-func (f *Fleet) pass(d time.Duration) {
+func (f *Fleet) advance(d time.Duration) {
 	f.now += d
-	f.note("%v pass", d)
+	f.logEvent("%v pass", d)
 }
 
-// turn cuts the fleet in two, or heals it.
-func (f *Fleet) turn() {
+// toggleCut cuts the fleet in two, or heals it.
+func (f *Fleet) toggleCut() {
 	f.cut = !f.cut
-	for _, p := range f.all {
-		p.right = f.cut && f.chance.IntN(2) == 0
+	for _, p := range f.processes {
+		p.rightSide = f.cut && f.random.IntN(2) == 0
 	}
-	f.note("cut: %v", f.cut)
+	f.logEvent("cut: %v", f.cut)
 }
 
-// come starts a newcomer, or the next process of a name, which may run beside the one before.
-func (f *Fleet) come(p *process) {
-	waiting, run := 0, 0
-	for _, q := range f.all {
-		if q.runs && (!q.view.Admitted || q.view.Forced) {
+// startNext starts a process of a new name, or the next process of a name, beside the one before or after it.
+func (f *Fleet) startNext(p *process) {
+	waiting, running := 0, 0
+	for _, q := range f.processes {
+		if q.running && (!q.view.Admitted || q.view.Forced) {
 			waiting++
 		}
-		if q.runs && !q.leaves {
-			run++
+		if q.running && !q.leaving {
+			running++
 		}
 	}
-	if !f.founded || run > f.Size+f.Newcomers || waiting >= f.Peers-1 {
-		return // as many newcomers as the settings name could take themselves for the fleet
+	if !f.anyAdmitted || running > f.Size+f.NewNames || waiting >= f.Peers-1 {
+		return // as many joining processes as Peers could take themselves for the fleet
 	}
-	if gone := f.any(func(q *process) bool { return !q.runs }); gone != nil && f.chance.IntN(8) > 0 {
+	if gone := f.pick(func(q *process) bool { return !q.running }); gone != nil && f.random.IntN(8) > 0 {
 		p = gone
 	}
 	name := p.roster.Self().Name
-	if f.Newcomers > 0 && f.chance.IntN(2) == 0 {
-		f.Newcomers--
+	if f.NewNames > 0 && f.random.IntN(2) == 0 {
+		f.NewNames--
 		f.names++
 		name = fmt.Sprintf("p%d", f.names)
 	}
 	q := f.start(name)
-	f.note("%v starts", q.roster.Self())
+	f.logEvent("%v starts", q.roster.Self())
 }
 
-// end ends a process, which may say so before.
-func (f *Fleet) end(p *process) {
-	if f.chance.IntN(2) == 0 {
+// stop has a process say that it leaves, or crash.
+func (f *Fleet) stop(p *process) {
+	if f.random.IntN(2) == 0 {
 		self := p.roster.Self()
-		left := []roster.Entry{{Name: self.Name, Start: self.Start, Gone: self.Start, Proof: roster.Left}}
-		for _, q := range f.all {
-			if f.meets(p, q) {
-				f.letters = append(f.letters, parcel{to: q, by: self, entries: left})
+		left := goneEntry(self, roster.ProofLeft)
+		for _, q := range f.processes {
+			if f.canSend(p, q) {
+				f.inFlight = append(f.inFlight, message{to: q, by: self, entries: []roster.Entry{left}})
 			}
 		}
-		p.roster.Merge(f.clock(p), left...)
-		p.leaves = true
-		f.note("%v leaves", self)
-		return // it may run for a while
+		p.roster.Merge(f.clock(p), left)
+		p.leaving = true
+		f.logEvent("%v leaves", self)
+		return // it may run on for a while
 	}
-	p.runs = false
-	f.note("%v crashes", p.roster.Self())
+	p.running = false
+	f.logEvent("%v crashes", p.roster.Self())
 }
 
-// detect is a verdict of a process's failure detector, right or wrong.
+// detect gives a process a verdict of its failure detector, right or wrong.
 func (f *Fleet) detect(p *process) {
 	all := p.roster.Entries()
-	e := all[f.chance.IntN(len(all))]
-	alive := f.chance.IntN(2) == 0
+	e := all[f.random.IntN(len(all))]
+	alive := f.random.IntN(2) == 0
 	id := roster.ID{Name: e.Name, Start: e.Start}
-	f.note("%v hears %v: %v", p.roster.Self(), id, alive)
+	f.logEvent("%v detects %v as alive: %v", p.roster.Self(), id, alive)
 	if !alive && f.Defect == TrustDetector {
-		f.merge(p, roster.Entry{Name: id.Name, Start: id.Start, Gone: id.Start, Proof: roster.Refused})
+		f.merge(p, goneEntry(id, roster.ProofRefused))
 	}
-	p.roster.Heard(f.clock(p), id, alive)
+	p.roster.SetReachable(f.clock(p), id, alive)
 }
 
-// prove lets a process find out that one that it knows is gone.
+// prove has a process prove that another one is gone.
 func (f *Fleet) prove(p *process) {
-	gone := f.any(func(q *process) bool { return q != p && (!q.runs || f.FalseProofs) })
+	gone := f.pick(func(q *process) bool { return q != p && (!q.running || f.FalseProofs) })
 	if gone == nil {
 		return
 	}
 	id := gone.roster.Self()
-	f.note("%v finds %v gone", p.roster.Self(), id)
-	f.merge(p, roster.Entry{Name: id.Name, Start: id.Start, Gone: id.Start, Proof: roster.Refused})
+	f.logEvent("%v proves %v gone", p.roster.Self(), id)
+	f.merge(p, goneEntry(id, roster.ProofRefused))
 }
 
-// meets reports whether a message may be sent: one of both knows the other, or is a newcomer that asks one that is
-// admitted, or nobody ever was.
-func (f *Fleet) meets(p, q *process) bool {
-	if p == q || !p.runs || !q.runs || p.leaves || q.leaves || p.right != q.right {
+// canSend reports whether a message may be sent: one process knows the other, or one of them is admitted and so may be
+// a seed, or none ever was.
+func (f *Fleet) canSend(p, q *process) bool {
+	if p == q || !p.running || !q.running || p.leaving || q.leaving || p.rightSide != q.rightSide {
 		return false
 	}
-	return knows(p, q) || knows(q, p) || p.view.Admitted || q.view.Admitted || !f.founded
+	return knows(p, q) || knows(q, p) || p.view.Admitted || q.view.Admitted || !f.anyAdmitted
 }
 
 func knows(p, q *process) bool {
@@ -241,150 +247,151 @@
 	})
 }
 
-// say sends all that a process knows, or one entry, or a digest.
-func (f *Fleet) say(p, q *process) {
-	l := parcel{to: q, by: p.roster.Self(), digest: p.roster.Digest()}
+// send sends all entries of a process, or one entry, or its digest.
+func (f *Fleet) send(p, q *process) {
+	m := message{to: q, by: p.roster.Self(), digest: p.roster.Digest()}
 	all := p.roster.Entries()
-	switch f.chance.IntN(4) {
+	switch f.random.IntN(4) {
 	case 0, 1:
-		l.entries = all
+		m.entries = all
 	case 2:
-		i := f.chance.IntN(len(all))
-		l.entries = all[i : i+1]
+		i := f.random.IntN(len(all))
+		m.entries = all[i : i+1]
 	}
-	f.note("%v says %d entries, digest %x to %v", l.by, len(l.entries), l.digest, q.roster.Self())
-	f.letters = append(f.letters, l)
-	if f.chance.IntN(2) == 0 { // at once
-		f.arrive(l)
+	f.logEvent("%v sends %d entries, digest %x to %v", m.by, len(m.entries), m.digest, q.roster.Self())
+	f.inFlight = append(f.inFlight, m)
+	if f.random.IntN(2) == 0 { // at once
+		f.receive(m)
 	}
 }
 
-// exchange is two processes that tell each other all, and then acknowledge.
+// exchange has two processes exchange all entries, and then acknowledge each other.
 func (f *Fleet) exchange(p, q *process) {
-	f.note("%v and %v exchange", p.roster.Self(), q.roster.Self())
+	f.logEvent("%v and %v exchange", p.roster.Self(), q.roster.Self())
 	f.merge(q, p.roster.Entries()...)
 	f.merge(p, q.roster.Entries()...)
 	p.roster.Acknowledged(q.roster.Self(), q.roster.Digest())
 	q.roster.Acknowledged(p.roster.Self(), p.roster.Digest())
 }
 
-// deliver brings a message on its way, any of them; it may come again, or was lost.
+// deliver delivers, duplicates or drops a random message in flight.
 func (f *Fleet) deliver() {
-	if len(f.letters) == 0 {
+	if len(f.inFlight) == 0 {
 		return
 	}
-	i := f.chance.IntN(len(f.letters))
-	l := f.letters[i]
-	switch f.chance.IntN(4) {
-	case 0:
-		f.letters = slices.Delete(f.letters, i, i+1)
+	i := f.random.IntN(len(f.inFlight))
+	m := f.inFlight[i]
+	switch f.random.IntN(4) {
+	case 0: // lost
+		f.inFlight = slices.Delete(f.inFlight, i, i+1)
 		return
-	case 1:
+	case 1: // delivered, and will be again
 	default:
-		f.letters = slices.Delete(f.letters, i, i+1)
+		f.inFlight = slices.Delete(f.inFlight, i, i+1)
 	}
-	f.arrive(l)
+	f.receive(m)
 }
 
-func (f *Fleet) arrive(l parcel) {
-	if !l.to.runs {
+func (f *Fleet) receive(m message) {
+	if !m.to.running {
 		return
 	}
-	f.note("%v receives from %v", l.to.roster.Self(), l.by)
-	if l.entries == nil {
-		l.to.roster.Acknowledged(l.by, l.digest)
+	f.logEvent("%v receives from %v", m.to.roster.Self(), m.by)
+	if m.entries == nil {
+		m.to.roster.Acknowledged(m.by, m.digest)
 		return
 	}
-	f.merge(l.to, l.entries...)
+	f.merge(m.to, m.entries...)
 }
 
 func (f *Fleet) merge(p *process, entries ...roster.Entry) {
-	if f.Defect == SmallerGone {
-		p.roster = without(p.roster, f.clock(p), entries, roster.Options{Self: p.roster.Self(), Addr: p.addr, Peers: f.Peers,
+	if f.Defect == ProofUndone {
+		p.roster = withoutProofs(p.roster, f.clock(p), entries, roster.Options{Self: p.roster.Self(), Addr: p.addr, Peers: f.Peers,
 			AdmitWithin: f.AdmitWithin})
 	}
 	p.roster.Merge(f.clock(p), entries...)
-	if f.Proofs > 0 {
+	if f.MaxProofsPerName > 0 {
 		return
 	}
 	for _, e := range p.roster.Entries() {
 		id := roster.ID{Name: e.Name, Start: e.Start}
-		p.undone = p.undone || e.Lives() && p.gone[id]
-		p.gone[id] = !e.Lives()
+		p.proofUndone = p.proofUndone || e.Present() && p.gone[id]
+		p.gone[id] = !e.Present()
 	}
 }
 
-// Check holds the invariant: the parts of those that run and are not Forced add up to the whole at most, and what a
-// process knows as gone does not live again.
+// Check checks the invariant: the quotas of the running processes that are not Forced add up to at most 1, and a process
+// that another one knows as gone does not become present for it again.
 func (f *Fleet) Check() error {
-	if i := slices.IndexFunc(f.all, func(p *process) bool { return p.undone }); i >= 0 {
-		return fmt.Errorf("%v: %w", f.all[i].roster.Self(), ErrUndone)
+	if i := slices.IndexFunc(f.processes, func(p *process) bool { return p.proofUndone }); i >= 0 {
+		return fmt.Errorf("%v: %w", f.processes[i].roster.Self(), ErrProofUndone)
 	}
-	if sum := f.Sum(false); sum > 1+slack {
-		return fmt.Errorf("%w: %.4f", ErrTooMuch, sum)
+	if sum := f.Sum(false); sum > 1+sumTolerance {
+		return fmt.Errorf("%w: %.4f", ErrQuotaExceeded, sum)
 	}
 	return nil
 }
 
-// Sum tells each process's balancer how things stand, and adds up the parts; with those that are Forced, or without.
+// Sum updates each running process's estimate of the fleet's size and returns the sum of the quotas, with or without those
+// of Forced processes.
 func (f *Fleet) Sum(forced bool) float64 {
 	sum := 0.0
-	for _, p := range f.all {
-		if !p.runs {
+	for _, p := range f.processes {
+		if !p.running {
 			continue
 		}
 		now := f.clock(p)
 		p.view = p.roster.View(now)
-		f.founded = f.founded || p.view.Admitted
-		s := balance.FleetSize{Known: p.view.Known, Reachable: p.view.Heard, Admitted: p.view.Admitted}
+		f.anyAdmitted = f.anyAdmitted || p.view.Admitted
+		size := balance.FleetSize{Known: p.view.Known, Reachable: p.view.Reachable, Admitted: p.view.Admitted}
 		if f.Defect == NoAdmission {
-			s.Admitted = true
+			size.Admitted = true
 		}
-		if f.Defect == QuickCrowd {
-			s.Reachable = s.Known
+		if f.Defect == IgnoreUnreachable {
+			size.Reachable = size.Known
 		}
-		if part := p.crowd.Quota(float64(now)/float64(time.Millisecond), s); forced || !p.view.Forced {
-			sum += part
+		if quota := p.estimate.Quota(float64(now)/float64(time.Millisecond), size); forced || !p.view.Forced {
+			sum += quota
 		}
 	}
 	return sum
 }
 
-// Rest is what a fleet comes to when it is left in peace.
-type Rest struct {
-	Names, Admitted int // names with a process that runs, and processes that are admitted
-	Twins           int // processes that run beside a later one of their name
-	Sum             float64
+// Settled is what a fleet converges to without further faults.
+type Settled struct {
+	Names      int // names with a running process
+	Admitted   int // admitted processes
+	Duplicates int // processes that run together with a later one of their name
+	Sum        float64
 }
 
-// Settle heals the fleet, ends those that leave, and lets all tell each other all that there is to know, true proofs
-// included.
-func (f *Fleet) Settle() (r Rest) {
-	f.cut, f.letters = false, nil
-	for _, p := range f.all {
-		p.right, p.runs = false, p.runs && !p.leaves
+// Settle heals the cut, ends the leaving processes, and has all exchange all knowledge, true proofs included.
+func (f *Fleet) Settle() (r Settled) {
+	f.cut, f.inFlight = false, nil
+	for _, p := range f.processes {
+		p.rightSide, p.running = false, p.running && !p.leaving
 	}
 	for range 8 {
-		for _, p := range f.all {
-			for _, q := range f.all {
+		for _, p := range f.processes {
+			for _, q := range f.processes {
 				switch {
-				case p == q || !p.runs:
-				case q.runs:
+				case p == q || !p.running:
+				case q.running:
 					f.exchange(p, q)
-					p.roster.Heard(f.clock(p), q.roster.Self(), true)
+					p.roster.SetReachable(f.clock(p), q.roster.Self(), true)
 				default:
 					id := q.roster.Self()
-					f.merge(p, roster.Entry{Name: id.Name, Start: id.Start, Gone: id.Start, Proof: roster.Told})
+					f.merge(p, goneEntry(id, roster.ProofOperator))
 				}
 			}
 		}
-		f.pass(time.Minute)
+		f.advance(time.Minute)
 		r.Sum = f.Sum(true)
 	}
 	names := map[string]bool{}
-	for _, p := range f.all {
-		if p.runs {
-			r.Twins++
+	for _, p := range f.processes {
+		if p.running {
+			r.Duplicates++
 			names[p.roster.Self().Name] = true
 			if p.view.Admitted {
 				r.Admitted++
@@ -392,6 +399,6 @@
 		}
 	}
 	r.Names = len(names)
-	r.Twins -= r.Names
+	r.Duplicates -= r.Names
 	return r
 }
--- a/internal/membership/roster/model/norace_test.go
+++ b/internal/membership/roster/model/norace_test.go
@@ -2,5 +2,5 @@
 
 package model_test
 
-// raced tells that tests run with the race detector, several times slower.
-const raced = false
+// raceDetector reports whether the race detector is on, which makes tests several times slower.
+const raceDetector = false
--- a/internal/membership/roster/roster.go
+++ b/internal/membership/roster/roster.go
@@ -7,360 +7,380 @@
 )
 
 const (
-	// mostEntries are kept where Options say nothing.
-	mostEntries = 4096
-	// mostProofs are kept of one name where Options say nothing.
-	mostProofs = 64
-	// upgrade is for how long two processes of one name may be there side by side before they count as two.
-	upgrade = 10 * time.Second
-	// What is taken from others: bytes of a name and of an address, and the number of a start, which JSON can hold.
-	longestName = 64
-	longestAddr = 255
-	latestStart = 1 << 53
+	defaultMaxEntries       = 4096
+	defaultMaxProofsPerName = 64
+	// upgradeGracePeriod is how long two processes of one name may be present together before they count as two.
+	upgradeGracePeriod = 10 * time.Second
+
+	// Bounds of the entries that other processes send.
+	maxNameBytes = 64
+	maxAddrBytes = 255
+	maxStart     = 1 << 53 // the largest integer that JSON numbers carry exactly
 )
 
-// Roster is what one process knows of its fleet. It is not for concurrent use.
+// Roster is what one process knows of its fleet. It is not safe for concurrent use.
 type Roster struct {
-	o            Options
-	self         ID
-	left         bool // this process said that it leaves
-	names        map[string]*name
-	side         map[string]*name // of which several processes live
-	entries      int
-	deathRecords []deathRecord // in the order of going; some are forgotten since
-	deaths       uint64        // so many were proved gone
+	options    Options
+	self       ID
+	left       bool // this process said that it left
+	byName     map[string]*nameGroup
+	coexisting map[string]*nameGroup // names with several present processes
+	entryCount int
+	goneOrder  []goneRecord // oldest first; may hold processes that were forgotten since
+	goneCount  uint64       // processes that were ever proved gone
 
-	digest  uint64 // of all that live
-	sharing int    // names that are not an observer's
-	living  int    // of these, those of which a process lives
-	heard   int    // of these, those of which a process is heard or this one
-	others  int    // processes that live, without this one
-	acked   int    // of these, those that know this one
-	vouched int    // of these, those that were admitted when they said so
-	sure    int    // of these, those that were not Forced
+	totals totals
 
 	admitted, forced bool
-	admitBy          time.Duration
-	asked            ID // whom Wanting gave last
+	admitDeadline    time.Duration
+	lastRequested    ID // the last process that Unacknowledged returned
+}
+
+// totals are sums over all names. Roster.updateTotals keeps them current.
+type totals struct {
+	presentDigest  uint64 // exclusive or of the hashes of all present processes
+	memberNames    int    // names that are not an observer's
+	presentNames   int    // of these, names with a present process
+	reachableNames int    // of these, names with a reachable process, or this process
+	otherProcesses int    // present processes without this one
+	acks           int    // of these, processes that have acknowledged this one
+	acksByAdmitted int    // of these, processes that were admitted when they did
+	acksByUnforced int    // of these, processes that were not Forced when they did
 }
 
-// name holds what is known of the processes of one name, by start.
-type name struct {
-	all    []process
-	proofs int // so many of them are proved gone
+// nameGroup is what is known of the processes of one name, sorted by start.
+type nameGroup struct {
+	processes     []process
+	goneProcesses int // how many of them are proved gone
 }
 
-// deathRecord is a process that was proved gone, as the nth one.
-type deathRecord struct {
+// goneRecord notes that a process was proved gone. Records are numbered in that order.
+type goneRecord struct {
 	ID
-	nth uint64
+	sequence uint64
 }
 
 type process struct {
 	ID
-	addr    string
-	proof   Proof  // None: it lives
-	nth     uint64 // death
-	watches bool   // it is an observer
-	hash    uint64
-	heard   bool
-	acked   bool          // it knows this process
-	vouched bool          // and was admitted when it said so
-	sure    bool          // and not Forced
-	since   time.Duration // it has been heard, or has not
-	met     time.Duration
+	addr            string
+	proof           Proof  // ProofNone while it is present
+	goneSequence    uint64 // of its goneRecord
+	observer        bool
+	hash            uint64
+	reachable       bool          // by the failure detector's last verdict
+	acked           bool          // it has acknowledged this process
+	ackedByAdmitted bool          // and was admitted when it did
+	ackedByUnforced bool          // and was not Forced
+	reachableSet    time.Duration // when reachable changed last
+	firstSeen       time.Duration
 }
 
-func (p *process) lives() bool { return p.proof == None }
+func (p *process) present() bool { return p.proof == ProofNone }
 
 func (p *process) entry() Entry {
-	e := Entry{Name: p.Name, Start: p.Start, Proof: p.proof, Addr: p.addr, Observer: p.watches}
-	if !p.lives() {
+	e := Entry{Name: p.Name, Start: p.Start, Proof: p.proof, Addr: p.addr, Observer: p.observer}
+	if !p.present() {
 		e.Gone = p.Start
 	}
 	return e
 }
 
-// New is a roster that knows of nobody but its own process.
+// New returns a roster that knows only its own process.
 func New(now time.Duration, o Options) *Roster {
 	o.Peers = max(o.Peers, 1)
-	if o.Most <= 0 {
-		o.Most = mostEntries
+	if o.MaxEntries <= 0 {
+		o.MaxEntries = defaultMaxEntries
 	}
-	o.Most = max(o.Most, o.Peers)
-	if o.Proofs <= 0 {
-		o.Proofs = mostProofs
+	o.MaxEntries = max(o.MaxEntries, o.Peers)
+	if o.MaxProofsPerName <= 0 {
+		o.MaxProofsPerName = defaultMaxProofsPerName
 	}
-	r := &Roster{o: o, names: map[string]*name{}, side: map[string]*name{}}
-	r.begin(now, o.Self)
+	r := &Roster{options: o, byName: map[string]*nameGroup{}, coexisting: map[string]*nameGroup{}}
+	r.startIncarnation(now, o.Self)
 	return r
 }
 
-// begin makes this process a newcomer of that start.
-func (r *Roster) begin(now time.Duration, self ID) {
-	r.self, r.admitted, r.forced, r.admitBy = self, false, false, now+r.o.AdmitWithin
-	r.asked = self // not all begin with the same ones
-	for _, n := range r.names {
-		r.count(n, -1)
-		for i := range n.all {
-			n.all[i].acked, n.all[i].vouched, n.all[i].sure = false, false, false
+// startIncarnation makes this process a joining one with the given start.
+func (r *Roster) startIncarnation(now time.Duration, self ID) {
+	r.self, r.admitted, r.forced = self, false, false
+	r.admitDeadline = now + r.options.AdmitWithin
+	r.lastRequested = self // so that joining processes begin with different ones
+	for _, group := range r.byName {
+		r.updateTotals(group, -1)
+		for i := range group.processes {
+			p := &group.processes[i]
+			p.acked, p.ackedByAdmitted, p.ackedByUnforced = false, false, false
 		}
-		r.count(n, 1)
+		r.updateTotals(group, 1)
 	}
-	r.take(now, process{ID: self, addr: r.o.Addr, watches: r.o.Observer})
+	r.mergeProcess(now, process{ID: self, addr: r.options.Addr, observer: r.options.Observer})
 }
 
-// Merge takes in what another process or the caller says, and gives the entries that it changed, to be told on. Entries
-// that cannot be are left out.
+// Merge adds what another process or the caller knows, and returns the entries that changed, for the caller to send to others. Invalid
+// entries are ignored.
+//
+// Up to the bounds it is a join: the same entries, in any order and any number of times, give the same knowledge.
+// Beyond them (MaxEntries entries, or MaxProofsPerName proofs of one name) it holds that:
+//
+//   - a present process is never forgotten;
+//   - a process that is reported as present, and of which no proof is kept, is added;
+//   - a process that is known as gone stays so as long as its proof is kept;
+//   - a proof is forgotten after all earlier proofs of its name, or of the whole roster;
+//   - a proof of an unknown process is ignored if another would be forgotten for it, unless it is its name's latest.
 //
-// Up to the bounds it is a join: in any order and any number of times, the same entries come to the same knowledge.
-// Beyond them - Most entries, or Proofs of one name - only this holds: a process that lives is never forgotten; one
-// that is told of as living and of which no proof is kept is taken in; what is known as gone stays so for as long as its
-// proof is kept. A proof is forgotten after all of its name, or of all, that were proved before, and one of a start that
-// is not known is not taken if that would make another be forgotten, unless the start is its name's latest. So of two
-// that were told the same, one may have a proof that the other has not. A start whose proof is forgotten counts again if
-// somebody who has not heard of its end tells of it, until it is proved gone again: parts get smaller by that, never
-// greater. Where more starts of one name than Proofs are told of as living and proved gone at the same time, that may go
-// round for as long as somebody tells.
+// Two processes that received the same entries may therefore keep different proofs. A process whose proof is forgotten
+// counts again if somebody still reports it as present, until it is proved gone again; quotas get smaller by that,
+// never greater. Where more than MaxProofsPerName processes of one name are reported as present and as gone at the same
+// time, this may repeat for as long as the reports do.
 func (r *Roster) Merge(now time.Duration, entries ...Entry) []Entry {
-	var news []Entry
-	take := func(id ID, e Entry, proof Proof) {
-		said := process{ID: id, proof: proof, watches: e.Observer}
-		if id.Start == e.Start {
-			said.addr = e.Addr
-		}
-		if p := r.take(now, said); p != nil {
-			news = append(news, p.entry())
-		}
-	}
+	var changed []Entry
 	for _, e := range entries {
-		if !e.valid() {
-			continue
-		}
-		proof := None
-		if e.Gone > 0 {
-			proof = max(e.Proof, Refused)
-		}
-		if !e.Lives() {
-			take(ID{e.Name, e.Start}, e, proof)
-		} else {
-			take(ID{e.Name, e.Start}, e, None)
-		}
-		if e.Gone > 0 && e.Gone != e.Start {
-			take(ID{e.Name, e.Gone}, e, proof)
+		if e.valid() {
+			changed = r.mergeEntry(now, e, changed)
 		}
 	}
-	if p := r.find(r.self); p == nil || !p.lives() {
-		if p != nil && p.proof == Left {
+	if p := r.find(r.self); p == nil || !p.present() {
+		if p != nil && p.proof == ProofLeft {
 			r.left = true
 		} else if !r.left {
-			r.begin(now, r.again())
-			news = append(news, r.find(r.self).entry())
+			r.startIncarnation(now, r.nextIncarnation())
+			changed = append(changed, r.find(r.self).entry())
 		}
 	}
-	r.forget(entries)
-	r.admit()
-	return news
+	r.enforceBounds(entries)
+	r.updateAdmission()
+	return changed
 }
 
-func (e Entry) valid() bool {
-	return len(e.Name) > 0 && len(e.Name) <= longestName && len(e.Addr) <= longestAddr &&
-		e.Start > 0 && e.Start <= latestStart && e.Gone >= 0 && e.Gone <= latestStart
+// mergeEntry merges an entry and appends what changed. An entry speaks of two processes if Gone is not its Start.
+func (r *Roster) mergeEntry(now time.Duration, e Entry, changed []Entry) []Entry {
+	merge := func(start int64, proof Proof) {
+		update := process{ID: ID{e.Name, start}, proof: proof, observer: e.Observer}
+		if start == e.Start {
+			update.addr = e.Addr
+		}
+		if p := r.mergeProcess(now, update); p != nil {
+			changed = append(changed, p.entry())
+		}
+	}
+	proof := ProofNone
+	if e.Gone > 0 {
+		proof = max(e.Proof, ProofRefused)
+	}
+	if e.Present() {
+		merge(e.Start, ProofNone)
+	} else {
+		merge(e.Start, proof)
+	}
+	if e.Gone > 0 && e.Gone != e.Start {
+		merge(e.Gone, proof)
+	}
+	return changed
 }
 
-// again is this process with a start after all of its name. Another of its name may do the same at the same time, and
-// has another address.
-func (r *Roster) again() ID {
-	all := r.names[r.self.Name].all
-	apart := hash(ID{r.o.Addr, r.o.Self.Start}) % 1000
-	return ID{r.self.Name, max(r.self.Start, all[len(all)-1].Start) + 1 + int64(apart)}
+// nextIncarnation returns this process's name with a start later than all of that name. The offset differs by address,
+// as another process of the name may do the same at the same time.
+func (r *Roster) nextIncarnation() ID {
+	processes := r.byName[r.self.Name].processes
+	latest := processes[len(processes)-1].Start
+	offset := hashID(ID{r.options.Addr, r.options.Self.Start}) % 1000
+	return ID{r.self.Name, max(r.self.Start, latest) + 1 + int64(offset)}
 }
 
-// take merges what is said of one process, and gives what is known of it if that was news.
-func (r *Roster) take(now time.Duration, said process) *process {
-	n := r.names[said.Name]
-	i, is := 0, false
-	if n != nil {
-		i, is = n.search(said.Start)
+// mergeProcess merges an update of one process. It returns what is known of the process now, or nil if nothing changed.
+func (r *Roster) mergeProcess(now time.Duration, update process) *process {
+	group := r.byName[update.Name]
+	if group == nil {
+		group = &nameGroup{}
+	}
+	i, known := group.search(update.Start)
+	if !known {
+		return r.insertProcess(now, group, i, update)
+	}
+	p := &group.processes[i]
+	if update.addr <= p.addr && update.proof <= p.proof && (p.observer || !update.observer) {
+		return nil
 	}
-	if is {
-		p := &n.all[i]
-		if said.addr <= p.addr && said.proof <= p.proof && (p.watches || !said.watches) {
+	r.updateTotals(group, -1)
+	if p.present() && update.proof != ProofNone {
+		p.goneSequence = r.recordGone(group, p.ID)
+	}
+	p.addr, p.proof = max(p.addr, update.addr), max(p.proof, update.proof)
+	p.observer = p.observer || update.observer
+	r.updateTotals(group, 1)
+	return p
+}
+
+// insertProcess adds a process that was not known at its index. It returns nil for a proof beyond the bounds: another
+// one would be forgotten for it, reported again, and so on without an end.
+func (r *Roster) insertProcess(now time.Duration, group *nameGroup, index int, update process) *process {
+	if update.proof != ProofNone {
+		latest := index == len(group.processes)
+		nameFull := group.goneProcesses >= r.options.MaxProofsPerName && !latest
+		if r.entryCount >= r.options.MaxEntries || nameFull {
 			return nil
 		}
-		r.count(n, -1)
-		if p.lives() && said.proof != None {
-			p.nth = r.bury(n, p.ID)
-		}
-		p.addr, p.proof, p.watches = max(p.addr, said.addr), max(p.proof, said.proof), p.watches || said.watches
-		r.count(n, 1)
-	} else {
-		gone := said.proof != None
-		if gone && (r.entries >= r.o.Most || n != nil && n.proofs >= r.o.Proofs && i < len(n.all)) {
-			return nil // or another would be forgotten for it, told again, and so on without an end
-		}
-		if n == nil {
-			n = &name{}
-			r.names[said.Name] = n
-		}
-		if gone {
-			said.nth = r.bury(n, said.ID)
-		}
-		said.hash, said.since, said.met = hash(said.ID), now, now
-		r.count(n, -1)
-		n.all = slices.Insert(n.all, i, said)
-		r.entries++
-		r.count(n, 1)
+		update.goneSequence = r.recordGone(group, update.ID)
 	}
-	return &n.all[i]
+	r.byName[update.Name] = group
+	update.hash, update.reachableSet, update.firstSeen = hashID(update.ID), now, now
+	r.updateTotals(group, -1)
+	group.processes = slices.Insert(group.processes, index, update)
+	r.entryCount++
+	r.updateTotals(group, 1)
+	return &group.processes[index]
 }
 
-// bury notes that a process is proved gone now.
-func (r *Roster) bury(n *name, id ID) (nth uint64) {
-	n.proofs++
-	r.deaths++
-	r.deathRecords = append(r.deathRecords, deathRecord{id, r.deaths})
-	return r.deaths
+// recordGone notes that a process is proved gone, and returns the number of the record.
+func (r *Roster) recordGone(group *nameGroup, id ID) (sequence uint64) {
+	group.goneProcesses++
+	r.goneCount++
+	r.goneOrder = append(r.goneOrder, goneRecord{id, r.goneCount})
+	return r.goneCount
 }
 
-func (n *name) search(start int64) (int, bool) {
-	return slices.BinarySearchFunc(n.all, start, func(p process, s int64) int { return cmp.Compare(p.Start, s) })
+// search returns the index of a start, or where it would be inserted.
+func (g *nameGroup) search(start int64) (int, bool) {
+	return slices.BinarySearchFunc(g.processes, start, func(p process, s int64) int { return cmp.Compare(p.Start, s) })
 }
 
 func (r *Roster) find(id ID) *process {
-	if n := r.names[id.Name]; n != nil {
-		if i, is := n.search(id.Start); is {
-			return &n.all[i]
+	if group := r.byName[id.Name]; group != nil {
+		if i, known := group.search(id.Start); known {
+			return &group.processes[i]
 		}
 	}
 	return nil
 }
 
-// count adds a name to the sums, or takes it out of them.
-func (r *Roster) count(n *name, by int) {
-	living, heard, shares := 0, false, false
-	for i := range n.all {
-		p := &n.all[i]
-		shares = shares || !p.watches
-		if !p.lives() {
+// updateTotals adds a name to the totals (delta 1), or removes it (delta -1). A change of a name is made between a
+// removal and an addition.
+func (r *Roster) updateTotals(group *nameGroup, delta int) {
+	t := &r.totals
+	present, reachable, member := 0, false, false
+	for i := range group.processes {
+		p := &group.processes[i]
+		member = member || !p.observer
+		if !p.present() {
 			continue
 		}
-		r.digest ^= p.hash
-		if p.watches {
+		t.presentDigest ^= p.hash // adding twice removes
+		if p.observer {
 			continue
 		}
-		living++
+		present++
 		if p.ID == r.self {
-			heard = true
+			reachable = true
 			continue
 		}
-		r.others += by
-		heard = heard || p.heard
-		r.acked += by * int(bit(p.acked))
-		r.vouched += by * int(bit(p.vouched))
-		r.sure += by * int(bit(p.sure))
+		reachable = reachable || p.reachable
+		t.otherProcesses += delta
+		t.acks += delta * int(boolToByte(p.acked))
+		t.acksByAdmitted += delta * int(boolToByte(p.ackedByAdmitted))
+		t.acksByUnforced += delta * int(boolToByte(p.ackedByUnforced))
 	}
-	if shares {
-		r.sharing += by
+	if member {
+		t.memberNames += delta
 	}
-	if living > 0 {
-		r.living += by
+	if present > 0 {
+		t.presentNames += delta
 	}
-	if heard {
-		r.heard += by
+	if reachable {
+		t.reachableNames += delta
 	}
-	if living > 1 && by > 0 {
-		r.side[n.all[0].Name] = n
-	} else if living > 1 {
-		delete(r.side, n.all[0].Name)
+	if present > 1 && delta > 0 {
+		r.coexisting[group.processes[0].Name] = group
+	} else if present > 1 {
+		delete(r.coexisting, group.processes[0].Name)
 	}
 }
 
-// forget keeps the entries within bounds. Those that went first go first, and of them it is as if nobody had heard.
-func (r *Roster) forget(said []Entry) {
-	for _, e := range said {
-		for n := r.names[e.Name]; n != nil && n.proofs > r.o.Proofs; {
-			r.drop(n, n.first())
+// enforceBounds forgets the processes that were proved gone first, until the entries are within the bounds. The merged
+// entries name the groups that may have grown.
+func (r *Roster) enforceBounds(merged []Entry) {
+	for _, e := range merged {
+		group := r.byName[e.Name]
+		for group != nil && group.goneProcesses > r.options.MaxProofsPerName {
+			r.forget(group, group.firstGone())
 		}
 	}
-	for len(r.deathRecords) > 0 && r.entries > r.o.Most {
-		g := r.deathRecords[0]
-		r.deathRecords = r.deathRecords[1:]
-		if p := r.find(g.ID); p != nil && p.nth == g.nth {
-			n := r.names[g.Name]
-			i, _ := n.search(g.Start)
-			r.drop(n, i)
+	for len(r.goneOrder) > 0 && r.entryCount > r.options.MaxEntries {
+		oldest := r.goneOrder[0]
+		r.goneOrder = r.goneOrder[1:]
+		if r.isCurrent(oldest) {
+			group := r.byName[oldest.Name]
+			i, _ := group.search(oldest.Start)
+			r.forget(group, i)
 		}
 	}
-	if len(r.deathRecords) > 2*r.o.Most { // most of them were dropped for others of their name
-		r.deathRecords = slices.DeleteFunc(r.deathRecords, func(g deathRecord) bool {
-			p := r.find(g.ID)
-			return p == nil || p.nth != g.nth
-		})
+	if len(r.goneOrder) > 2*r.options.MaxEntries { // most of them were forgotten by the bound of their name
+		r.goneOrder = slices.DeleteFunc(r.goneOrder, func(g goneRecord) bool { return !r.isCurrent(g) })
 	}
 }
 
-// first is the one that was proved gone first, of a name of which some are.
-func (n *name) first() int {
+// isCurrent reports whether a record's process was neither forgotten nor proved gone anew since.
+func (r *Roster) isCurrent(g goneRecord) bool {
+	p := r.find(g.ID)
+	return p != nil && p.goneSequence == g.sequence
+}
+
+// firstGone returns the index of the process that was proved gone first, or -1 if none was.
+func (g *nameGroup) firstGone() int {
 	first := -1
-	for i := range n.all {
-		if p := &n.all[i]; !p.lives() && (first < 0 || p.nth < n.all[first].nth) {
+	for i := range g.processes {
+		if p := &g.processes[i]; !p.present() && (first < 0 || p.goneSequence < g.processes[first].goneSequence) {
 			first = i
 		}
 	}
 	return first
 }
 
-// drop forgets one that is proved gone.
-func (r *Roster) drop(n *name, i int) {
-	key := n.all[i].Name
-	r.count(n, -1)
-	n.all = slices.Delete(n.all, i, i+1)
-	n.proofs--
-	r.entries--
-	r.count(n, 1)
-	if len(n.all) == 0 {
-		delete(r.names, key)
+// forget removes a process that is proved gone.
+func (r *Roster) forget(group *nameGroup, index int) {
+	name := group.processes[index].Name
+	r.updateTotals(group, -1)
+	group.processes = slices.Delete(group.processes, index, index+1)
+	group.goneProcesses--
+	r.entryCount--
+	r.updateTotals(group, 1)
+	if len(group.processes) == 0 {
+		delete(r.byName, name)
 	}
 }
 
-// Heard takes in what the failure detector says of a process: that it is alive, or that it takes it for dead. Only the
-// first proves anything: that it is there.
-func (r *Roster) Heard(now time.Duration, id ID, alive bool) {
+// SetReachable records the failure detector's verdict on a process. Only that it is reachable proves anything, namely
+// that it is present.
+func (r *Roster) SetReachable(now time.Duration, id ID, reachable bool) {
 	if id == r.self {
 		return
 	}
-	if alive && r.find(id) == nil {
+	if reachable && r.find(id) == nil {
 		r.Merge(now, Entry{Name: id.Name, Start: id.Start})
 	}
-	if p := r.find(id); p != nil && p.heard != alive {
-		n := r.names[id.Name]
-		r.count(n, -1)
-		p.heard, p.since = alive, now
-		r.count(n, 1)
+	if p := r.find(id); p != nil && p.reachable != reachable {
+		group := r.byName[id.Name]
+		r.updateTotals(group, -1)
+		p.reachable, p.reachableSet = reachable, now
+		r.updateTotals(group, 1)
 	}
 }
 
-// The lowest bits of a digest say how its process stands itself.
-const (
-	countedIn = 1 << iota // it is admitted
-	surely                // and not Forced
-	standing  = countedIn | surely
-)
-
-func compare(a, b ID) int { return cmp.Or(cmp.Compare(a.Name, b.Name), cmp.Compare(a.Start, b.Start)) }
+func compareIDs(a, b ID) int {
+	return cmp.Or(cmp.Compare(a.Name, b.Name), cmp.Compare(a.Start, b.Start))
+}
 
-// hash is one that is as good as random, for sums in no order.
-func hash(id ID) uint64 {
-	h := uint64(14695981039346656037) // FNV-1a
+// hashID hashes a process's identity with 64-bit FNV-1a and SplitMix64. Digests of this form are compared between
+// processes, so it is part of the wire form.
+func hashID(id ID) uint64 {
+	const offsetBasis, prime = 14695981039346656037, 1099511628211
+	h := uint64(offsetBasis)
 	for i := range len(id.Name) {
-		h = (h ^ uint64(id.Name[i])) * 1099511628211
+		h = (h ^ uint64(id.Name[i])) * prime
 	}
-	return mix(mix(h) + uint64(id.Start))
+	return splitMix64(splitMix64(h) + uint64(id.Start))
 }
 
-// mix is SplitMix64.
-func mix(x uint64) uint64 {
+func splitMix64(x uint64) uint64 {
 	x += 0x9e3779b97f4a7c15
 	x = (x ^ x>>30) * 0xbf58476d1ce4e5b9
 	x = (x ^ x>>27) * 0x94d049bb133111eb
--- a/internal/membership/roster/roster_admission.go
+++ b/internal/membership/roster/roster_admission.go
@@ -1,70 +1,86 @@
 package roster
 
-// This file decides whether the fleet knows this process.
+// This file decides whether this process is admitted: whether the fleet has acknowledged it.
 
 import (
 	"cmp"
 	"slices"
 )
 
-// Digest stands for all that live by what is known here, in no order. Its two lowest bits say whether this process is
-// admitted, and not Forced; the others are the same for processes that know the same.
+// The lowest bits of a digest are the sender's own admission.
+const (
+	digestAdmitted = 1 << iota
+	digestUnforced // admitted and not Forced
+	digestFlags    = digestAdmitted | digestUnforced
+)
+
+// Digest identifies the set of present processes in its upper bits, which are equal for processes with the same
+// knowledge. Its two lowest bits say whether this process is admitted, and whether it is admitted and not Forced.
 func (r *Roster) Digest() uint64 {
-	return r.digest&^standing | uint64(bit(r.admitted))*countedIn | uint64(bit(r.admitted && !r.forced))*surely
+	admitted := uint64(boolToByte(r.admitted)) * digestAdmitted
+	unforced := uint64(boolToByte(r.admitted && !r.forced)) * digestUnforced
+	return r.totals.presentDigest&^digestFlags | admitted | unforced
 }
 
-// Acknowledged takes in that another process has this digest. If it is this one's, too, then that process knows all
-// that this one knows, and this one among them. False: they differ, an exchange is wanted.
+// Acknowledged handles another process's digest. If it matches, that process knows all that this one knows, and this
+// one among them. It returns false if they differ and should exchange their knowledge.
 func (r *Roster) Acknowledged(by ID, digest uint64) bool {
-	if (digest^r.digest)&^standing != 0 {
+	if (digest^r.totals.presentDigest)&^digestFlags != 0 {
 		return false
 	}
 	if p := r.find(by); p != nil && by != r.self {
-		n := r.names[by.Name]
-		r.count(n, -1)
-		p.acked, p.vouched, p.sure = true, p.vouched || digest&countedIn != 0, p.sure || digest&surely != 0
-		r.count(n, 1)
-		r.admit()
+		group := r.byName[by.Name]
+		r.updateTotals(group, -1)
+		p.acked = true
+		p.ackedByAdmitted = p.ackedByAdmitted || digest&digestAdmitted != 0
+		p.ackedByUnforced = p.ackedByUnforced || digest&digestUnforced != 0
+		r.updateTotals(group, 1)
+		r.updateAdmission()
 	}
 	return true
 }
 
-// admit counts this process in once all others know of it. That newcomers know each other is no evidence, as they may
-// know nobody else: one that is admitted must be among them, or as many as the settings name, which are more than one.
-// Who came in on the word of one that only waited long enough is no surer than that one; but where the settings name no
-// more than one, that is how every fleet begins.
-func (r *Roster) admit() {
-	if r.acked == 0 || r.acked < r.others {
+// updateAdmission admits this process once all others have acknowledged it. Acknowledgements of joining processes alone
+// are not enough, as these may know only each other: an admitted process must be among them, or as many names as Peers
+// if that is more than one. A process admitted by Forced ones is Forced itself. Where Peers is 1 it is not, as every
+// fleet starts that way.
+func (r *Roster) updateAdmission() {
+	t := &r.totals
+	if t.acks == 0 || t.acks < t.otherProcesses {
 		return
 	}
-	alone := r.o.Peers == 1
-	if r.sure > 0 || !alone && r.living >= r.o.Peers || alone && r.vouched > 0 {
+	ackedByAdmitted := t.acksByAdmitted > 0
+	fleetComplete := r.options.Peers > 1 && t.presentNames >= r.options.Peers
+	firstOfFleet := r.options.Peers == 1 && ackedByAdmitted
+	if t.acksByUnforced > 0 || fleetComplete || firstOfFleet {
 		r.admitted, r.forced = true, false
-	} else if r.vouched > 0 && !r.admitted {
+	} else if ackedByAdmitted && !r.admitted {
 		r.admitted, r.forced = true, true
 	}
 }
 
-// Wanting gives up to so many of the living others that have not acknowledged this process, those first whose turn is
-// next; nobody once it is admitted and not Forced.
-func (r *Roster) Wanting(most int) []Entry {
-	if r.admitted && !r.forced || r.left || r.o.Observer {
+// Unacknowledged returns at most limit of the other present processes that have not acknowledged this one. Successive
+// calls go round among them. It returns none once this process is admitted and not Forced.
+func (r *Roster) Unacknowledged(limit int) []Entry {
+	if r.admitted && !r.forced || r.left || r.options.Observer {
 		return nil
 	}
-	all := r.those(func(p *process) bool { return !p.watches && (!p.acked || r.sure == 0) })
+	all := r.selectOthers(func(p *process) bool {
+		return !p.observer && (!p.acked || r.totals.acksByUnforced == 0)
+	})
 	slices.SortFunc(all, func(a, b *process) int {
-		return cmp.Or(after(a.ID, r.asked)-after(b.ID, r.asked), compare(a.ID, b.ID))
+		return cmp.Or(roundRobinKey(a.ID, r.lastRequested)-roundRobinKey(b.ID, r.lastRequested), compareIDs(a.ID, b.ID))
 	})
-	all = all[:min(len(all), max(most, 0))]
+	all = all[:min(len(all), max(limit, 0))]
 	if len(all) > 0 {
-		r.asked = all[len(all)-1].ID
+		r.lastRequested = all[len(all)-1].ID
 	}
-	return entries(all)
+	return toEntries(all)
 }
 
-// after is 0 for those after an id, and 1 for those up to it.
-func after(a, id ID) int {
-	if compare(a, id) > 0 {
+// roundRobinKey sorts the processes after the last one of the round (0) before the others (1).
+func roundRobinKey(id, last ID) int {
+	if compareIDs(id, last) > 0 {
 		return 0
 	}
 	return 1
--- a/internal/membership/roster/roster_clone.go
+++ b/internal/membership/roster/roster_clone.go
@@ -1,6 +1,6 @@
 package roster
 
-// This file copies rosters and writes them down, for tests that try every order.
+// This file copies and encodes rosters, for tests that explore every order of events.
 
 import (
 	"encoding/binary"
@@ -8,34 +8,34 @@
 	"slices"
 )
 
-// Clone is a copy that goes its own way.
+// Clone returns an independent copy.
 func (r *Roster) Clone() *Roster {
 	c := *r
-	c.names, c.side = make(map[string]*name, len(r.names)), maps.Clone(r.side)
-	for k, n := range r.names {
-		c.names[k] = &name{slices.Clone(n.all), n.proofs}
-		if c.side[k] != nil {
-			c.side[k] = c.names[k]
+	c.byName, c.coexisting = make(map[string]*nameGroup, len(r.byName)), maps.Clone(r.coexisting)
+	for name, group := range r.byName {
+		c.byName[name] = &nameGroup{slices.Clone(group.processes), group.goneProcesses}
+		if c.coexisting[name] != nil {
+			c.coexisting[name] = c.byName[name]
 		}
 	}
-	c.deathRecords = slices.Clone(r.deathRecords)
+	c.goneOrder = slices.Clone(r.goneOrder)
 	return &c
 }
 
-// AppendKey appends what tells this roster from others of the same Options, but for times, for who is heard, and for the
-// order in which proofs will be forgotten.
+// AppendKey appends an encoding that is equal for rosters of the same Options in the same state. It leaves out times,
+// which processes are reachable, and the order in which proofs will be forgotten.
 func (r *Roster) AppendKey(b []byte) []byte {
 	b = binary.AppendVarint(b, r.self.Start)
-	b = append(b, bit(r.admitted)|bit(r.forced)<<1|bit(r.left)<<2)
-	waits := !r.admitted || r.forced // to be acknowledged
-	for _, k := range slices.Sorted(maps.Keys(r.names)) {
-		b = append(append(b, byte(len(k))), k...)
-		for i := range r.names[k].all {
-			p := &r.names[k].all[i]
+	b = append(b, boolToByte(r.admitted)|boolToByte(r.forced)<<1|boolToByte(r.left)<<2)
+	acksMatter := !r.admitted || r.forced
+	for _, name := range slices.Sorted(maps.Keys(r.byName)) {
+		b = append(append(b, byte(len(name))), name...)
+		for i := range r.byName[name].processes {
+			p := &r.byName[name].processes[i]
 			b = binary.AppendVarint(b, p.Start)
 			b = append(b, byte(p.proof))
-			if waits && p.lives() {
-				b = append(b, bit(p.acked)|bit(p.vouched)<<1|bit(p.sure)<<2)
+			if acksMatter && p.present() {
+				b = append(b, boolToByte(p.acked)|boolToByte(p.ackedByAdmitted)<<1|boolToByte(p.ackedByUnforced)<<2)
 			}
 		}
 		b = append(b, 0)
@@ -43,8 +43,7 @@
 	return b
 }
 
-// bit is 1 for what is so.
-func bit(b bool) byte {
+func boolToByte(b bool) byte {
 	if b {
 		return 1
 	}
--- a/internal/membership/roster/roster_view.go
+++ b/internal/membership/roster/roster_view.go
@@ -1,6 +1,6 @@
 package roster
 
-// This file says what a roster knows.
+// This file holds the queries of a roster.
 
 import (
 	"cmp"
@@ -9,79 +9,80 @@
 	"time"
 )
 
-// View is what follows from all this now.
+// View derives the counts and the admission as of now. It admits this process once its deadline is over.
 func (r *Roster) View(now time.Duration) View {
-	if !r.admitted && now >= r.admitBy {
+	if !r.admitted && now >= r.admitDeadline {
 		r.admitted, r.forced = true, true
 	}
-	v := View{Known: r.living + max(0, r.o.Peers-r.sharing), Heard: r.heard, Admitted: r.admitted}
-	for _, n := range r.side {
-		v.add(n.twins(now, r.self))
+	notYetObserved := max(0, r.options.Peers-r.totals.memberNames)
+	v := View{Known: r.totals.presentNames + notYetObserved, Reachable: r.totals.reachableNames, Admitted: r.admitted}
+	for _, group := range r.coexisting {
+		duplicates := group.duplicates(now, r.self)
+		v.Known += duplicates
+		v.Reachable += duplicates
 	}
-	if r.left || r.o.Observer || r.follows() {
+	if r.left || r.options.Observer || r.superseded() {
 		v.Admitted = false
 	}
 	v.Forced = v.Admitted && r.forced
 	return v
 }
 
-func (v *View) add(twins int) {
-	v.Known += twins
-	v.Heard += twins
-}
-
-// twins are the processes that have been there beside a later one of their name for longer than an upgrade takes.
-func (n *name) twins(now time.Duration, self ID) int {
-	twins, later := 0, time.Duration(math.MaxInt64) // a later one has been there since
-	for i := len(n.all) - 1; i >= 0; i-- {
-		p := &n.all[i]
-		if !p.lives() || p.watches {
+// duplicates counts the processes that have been reachable together with a later one of their name for longer than
+// upgradeGracePeriod.
+func (g *nameGroup) duplicates(now time.Duration, self ID) int {
+	duplicates := 0
+	laterSince := time.Duration(math.MaxInt64) // when the first of the later processes was seen
+	for i := len(g.processes) - 1; i >= 0; i-- {
+		p := &g.processes[i]
+		if !p.present() || p.observer {
 			continue
 		}
-		if (p.heard || p.ID == self) && now-max(p.since, later) > upgrade {
-			twins++
+		togetherSince := max(p.reachableSet, laterSince)
+		if (p.reachable || p.ID == self) && now-togetherSince > upgradeGracePeriod {
+			duplicates++
 		}
-		later = min(later, p.met)
+		laterSince = min(laterSince, p.firstSeen)
 	}
-	return twins
+	return duplicates
 }
 
-// follows reports whether a later process of this one's name lives. A name has one part of what the fleet allows, and
-// the later one takes it over: it has asked this one, too, before it counts itself in. An observer takes over nothing.
-func (r *Roster) follows() bool {
-	n := r.names[r.self.Name]
-	return n != nil && slices.ContainsFunc(n.all, func(p process) bool {
-		return p.lives() && !p.watches && p.Start > r.self.Start
+// superseded reports whether a later process of this one's name is present. A name has one quota, and the later process
+// takes it over: it waits for this one's acknowledgement before it is admitted. An observer takes over nothing.
+func (r *Roster) superseded() bool {
+	group := r.byName[r.self.Name]
+	return group != nil && slices.ContainsFunc(group.processes, func(p process) bool {
+		return p.present() && !p.observer && p.Start > r.self.Start
 	})
 }
 
-// Entries gives all that is known, by name and start.
+// Entries returns all that is known, by name and start.
 func (r *Roster) Entries() []Entry {
-	all := make([]Entry, 0, r.entries)
-	for _, n := range r.names {
-		for i := range n.all {
-			all = append(all, n.all[i].entry())
+	all := make([]Entry, 0, r.entryCount)
+	for _, group := range r.byName {
+		for i := range group.processes {
+			all = append(all, group.processes[i].entry())
 		}
 	}
-	slices.SortFunc(all, func(a, b Entry) int { return compare(ID{a.Name, a.Start}, ID{b.Name, b.Start}) })
+	slices.SortFunc(all, func(a, b Entry) int { return compareIDs(ID{a.Name, a.Start}, ID{b.Name, b.Start}) })
 	return all
 }
 
-// Silent gives the living others that are not heard of, those first that have been silent for longest.
-func (r *Roster) Silent(time.Duration) []Entry {
-	all := r.those(func(p *process) bool { return !p.heard })
+// Unreachable returns the other present processes that the failure detector does not reach, longest unreachable first.
+func (r *Roster) Unreachable() []Entry {
+	all := r.selectOthers(func(p *process) bool { return !p.reachable })
 	slices.SortFunc(all, func(a, b *process) int {
-		return cmp.Or(cmp.Compare(a.since, b.since), compare(a.ID, b.ID))
+		return cmp.Or(cmp.Compare(a.reachableSet, b.reachableSet), compareIDs(a.ID, b.ID))
 	})
-	return entries(all)
+	return toEntries(all)
 }
 
-// those gives the living others that are meant, in no order.
-func (r *Roster) those(meant func(*process) bool) []*process {
+// selectOthers returns the other present processes that match, in no order.
+func (r *Roster) selectOthers(match func(*process) bool) []*process {
 	var all []*process
-	for _, n := range r.names {
-		for i := range n.all {
-			if p := &n.all[i]; p.lives() && p.ID != r.self && meant(p) {
+	for _, group := range r.byName {
+		for i := range group.processes {
+			if p := &group.processes[i]; p.present() && p.ID != r.self && match(p) {
 				all = append(all, p)
 			}
 		}
@@ -89,7 +90,7 @@
 	return all
 }
 
-func entries(all []*process) []Entry {
+func toEntries(all []*process) []Entry {
 	out := make([]Entry, len(all))
 	for i, p := range all {
 		out[i] = p.entry()
@@ -97,10 +98,10 @@
 	return out
 }
 
-// Len is the number of entries.
-func (r *Roster) Len() int { return r.entries }
+// Len returns the number of entries.
+func (r *Roster) Len() int { return r.entryCount }
 
-// Find gives what is known of one process.
+// Find returns what is known of one process.
 func (r *Roster) Find(id ID) (Entry, bool) {
 	if p := r.find(id); p != nil {
 		return p.entry(), true
@@ -108,5 +109,5 @@
 	return Entry{}, false
 }
 
-// Self is this process. Its start is greater than it was begun with if that one was proved gone.
+// Self returns this process's identity. Its start is greater than that of Options if that one was proved gone.
 func (r *Roster) Self() ID { return r.self }
--- a/internal/membership/units_test.go
+++ b/internal/membership/units_test.go
@@ -105,7 +105,7 @@
 	ask.By, ask.Digest = ident{"a", 7}, 1<<63
 	f.Add(ask.bytes())
 	f.Add(message{Kind: kindAck, By: ident{"b", 1}, To: ident{"a", 7}, Digest: 9}.bytes())
-	f.Add(encodeEntries(kindEntries, gone(roster.ID{Name: "a", Start: 7}, roster.Left)).bytes())
+	f.Add(encodeEntries(kindEntries, gone(roster.ID{Name: "a", Start: 7}, roster.ProofLeft)).bytes())
 	f.Add([]byte(`{"v":1,"k":"later","x":{}}`))
 	f.Fuzz(func(t *testing.T, b []byte) {
 		m, err := decodeMessage(b, nil)
@@ -228,7 +228,7 @@
 				all = append(all, g)
 			}
 			for _, g := range all {
-				for g.View() != (roster.View{Known: n, Heard: n, Admitted: true}) {
+				for g.View() != (roster.View{Known: n, Reachable: n, Admitted: true}) {
 					time.Sleep(beat)
 				}
 			}
--- a/internal/sidecar/fleet/membership.go
+++ b/internal/sidecar/fleet/membership.go
@@ -113,7 +113,7 @@
 	if view == nil {
 		return balance.FleetSize{Known: max(m.Config.Peers, 1), Reachable: 1, Admitted: true}, false
 	}
-	return balance.FleetSize{Known: view.Known, Reachable: view.Heard, Admitted: view.Admitted && !m.Left.Load()}, true
+	return balance.FleetSize{Known: view.Known, Reachable: view.Reachable, Admitted: view.Admitted && !m.Left.Load()}, true
 }
 
 // run joins, logs whether this process is admitted, and leaves.
@@ -137,7 +137,7 @@
 			if view := group.View(); view.Admitted != admitted { // the group logs all other changes
 				admitted = view.Admitted
 				slog.Info("members: admission changed", "admitted", admitted, "known", view.Known,
-					"reachable", view.Heard, "forced", view.Forced)
+					"reachable", view.Reachable, "forced", view.Forced)
 			}
 		case <-m.quit:
 			ctx, cancel := context.WithTimeout(context.Background(), m.leaveTimeout)
@@ -169,7 +169,7 @@
 		case first:
 			slog.Error("members: the address cannot be bound, it is tried again", "addr", m.Config.Bind, "err", err)
 		}
-		m.changed(roster.View{Known: max(m.Config.Peers, 1), Heard: 1, Admitted: !upgrading})
+		m.changed(roster.View{Known: max(m.Config.Peers, 1), Reachable: 1, Admitted: !upgrading})
 		if upgrading {
 			wait = min(wait, maxBindPauseUpgrade)
 		}
--- a/internal/sidecar/fleet/membership_test.go
+++ b/internal/sidecar/fleet/membership_test.go
@@ -22,7 +22,7 @@
 	require.Equal(t, leaveTimeout*2/3, m.leaveTimeout)
 	m.Leave(startedAt) // too late
 
-	m.changed(roster.View{Known: 2, Heard: 2, Admitted: true})
+	m.changed(roster.View{Known: 2, Reachable: 2, Admitted: true})
 	s, _ := m.Size()
 	require.True(t, s.Admitted)
 	m.Left.Store(true) // an operator's word comes before what the group says last
@@ -41,7 +41,7 @@
 	}
 	a := open("a")
 	b := open("b", a.group.Load().Report().Members[0].Addr)
-	sidecartest.Until(t, "both", func() bool { return a.group.Load().View().Heard == 2 && b.group.Load().View().Heard == 2 })
+	sidecartest.Until(t, "both", func() bool { return a.group.Load().View().Reachable == 2 && b.group.Load().View().Reachable == 2 })
 	for _, m := range []*Membership{a, b} {
 		m.Leave(time.Now().Add(time.Hour))
 		select {
