--- a/cmd/marblelane/members.go
+++ b/cmd/marblelane/members.go
@@ -72,8 +72,8 @@
 
 func printMembers(w io.Writer, r *membership.Report) {
 	believed := ""
-	if r.Believed > 0 {
-		believed = fmt.Sprintf(", decides as one of %.3g", r.Believed)
+	if r.EstimatedSize > 0 {
+		believed = fmt.Sprintf(", decides as one of %.3g", r.EstimatedSize)
 	}
 	fmt.Fprintf(w, "%s in fleet %q: %s%s; %d changes, %d dropped\n", idText(r.Self), r.Fleet, viewText(r), believed,
 		r.Changes, r.Dropped)
@@ -81,14 +81,14 @@
 	fmt.Fprintln(t, "NAME\tSTART\tSTATE\tFOR\tHEARD\tROLE\tZONE\tVERSION\tADDRESS\tNOTE")
 	for _, m := range r.Members {
 		heard := "never"
-		if m.HeardMS >= 0 {
-			heard = forText(m.HeardMS) + " ago"
+		if m.LastAliveMS >= 0 {
+			heard = forText(m.LastAliveMS) + " ago"
 		}
 		var notes []string
 		if m.Proof != "" {
 			notes = append(notes, m.Proof)
 		}
-		if m.Twin {
+		if m.Duplicate {
 			notes = append(notes, "twin")
 		}
 		fmt.Fprintf(t, "%s\t%d\t%s\t%s\t%s\t%s\t%s\t%s\t%s\t%s\n", m.Name, m.Start, m.State, forText(m.SinceMS), heard,
--- a/internal/lab/memberscale_fleet.go
+++ b/internal/lab/memberscale_fleet.go
@@ -97,7 +97,7 @@
 		}
 		s := &scaleMember{port: port, view: roster.View{Known: n, Reachable: 1}}
 		cfg := membership.Config{Name: fmt.Sprintf("m%04d", i), Fleet: "scale", Zone: "here", Role: "sidecar", Peers: n,
-			Interval: m.Interval, BelieveRefused: true, Defect: m.Defect, Transport: port, Changed: s.changed}
+			Interval: m.Interval, TrustRefused: true, Defect: m.Defect, Transport: port, ViewChanged: s.changed}
 		for k := range min(3, n) {
 			if k != i {
 				cfg.Seeds = append(cfg.Seeds, gossip.Addr(k).String())
--- a/internal/membership/collect/collect.go
+++ b/internal/membership/collect/collect.go
@@ -53,7 +53,7 @@
 	count := func(d *prometheus.Desc, v uint64, labels ...string) {
 		to <- prometheus.MustNewConstMetric(d, prometheus.CounterValue, float64(v), labels...)
 	}
-	r, f := c.g.Report(), c.g.Figures()
+	r, f := c.g.Report(), c.g.Stats()
 	by, oldest := map[membership.MemberState]int{}, int64(0)
 	for _, m := range r.Members {
 		by[m.State]++
@@ -70,12 +70,12 @@
 	}
 	gauge(c.known, float64(r.View.Known))
 	gauge(c.heard, float64(r.View.Reachable))
-	gauge(c.believed, r.Believed)
+	gauge(c.believed, r.EstimatedSize)
 	gauge(c.admitted, admitted)
 	gauge(c.unheard, float64(oldest)/1000)
 	count(c.changes, r.Changes)
-	count(c.risen, f.BegunAgain)
-	count(c.joins, f.JoinsFailed)
+	count(c.risen, f.StartsRaised)
+	count(c.joins, f.FailedJoins)
 	for _, why := range slices.Sorted(maps.Keys(f.Dropped)) {
 		count(c.dropped, f.Dropped[why], why)
 	}
--- a/internal/membership/config.go
+++ b/internal/membership/config.go
@@ -17,50 +17,50 @@
 	"marblelane/internal/membership/roster"
 )
 
-// Defects that may be planted, to see that whoever checks a fleet finds them.
+// Defects that the lab plants to see that its checks find them.
 const (
-	DefectTrustDetector = "trust-detector" // whom the failure detector takes for dead is counted as gone at once
-	DefectNoAdmission   = "no-admission"   // a newcomer counts itself in at once
+	DefectTrustDetector = "trust-detector" // a member that is dead by the failure detector counts as gone
+	DefectNoAdmission   = "no-admission"   // a joining process is admitted at once
 )
 
-// Config is what a Group is opened with.
+// Config configures a Group.
 type Config struct {
 	Name, Fleet, Zone, Role, Version string
 
-	Start          int64          // Unix ms; 0: the wall clock's
-	Bind           string         // HOST:PORT, UDP and TCP; port 0: the system's choice
-	Advertise      string         // HOST:PORT that others are told; empty: Bind as it was bound
-	Networks       []netip.Prefix // members' addresses and callers must lie in one of them; empty: all
-	Seeds          []string
-	Peers          int           // sidecars that the settings name
-	Observer       bool          // it is there, and shares nothing of what the fleet allows together
-	Interval       time.Duration // between probes; 0: 1 s
-	AdmitWithin    time.Duration // 0: 5 s
-	BelieveRefused bool          // a refused connection proves a process gone
-	Defect         string        // planted, for the lab: DefectTrustDetector, DefectNoAdmission, "" none
-
-	Believed  func() float64    // what decisions go by, for reports; nil: nothing
-	Changed   func(roster.View) // told from one goroutine: at each change and at least once a second; must not block
-	Log       *slog.Logger
-	Transport memberlist.NodeAwareTransport // nil: sockets; its Shutdown may be called more than once
+	Start        int64          // Unix ms; 0: the wall clock's
+	Bind         string         // HOST:PORT, UDP and TCP; port 0: the system's choice
+	Advertise    string         // HOST:PORT that others call; empty: the bound address
+	Networks     []netip.Prefix // members' addresses and callers must lie in one of them; empty: all
+	Seeds        []string
+	Peers        int           // number of sidecars in the settings
+	Observer     bool          // it is a member without a part of the fleet's budgets
+	Interval     time.Duration // between two health checks; 0: 1 s
+	AdmitWithin  time.Duration // after which a joining process is admitted without all acknowledgements; 0: 5 s
+	TrustRefused bool          // a refused connection proves a process gone
+	Defect       string        // DefectTrustDetector, DefectNoAdmission or none
+
+	EstimatedSize func() float64    // the fleet's size that the balancer goes by, for reports; may be nil
+	ViewChanged   func(roster.View) // called by one goroutine at each change and once a second at least; must not block
+	Log           *slog.Logger
+	Transport     memberlist.NodeAwareTransport // nil: sockets; its Shutdown may be called more than once
 }
 
 // Section is the section `members` of a configuration file, in JSON or TOML. Durations are written as "1s".
 type Section struct {
-	Fleet          string   `json:"fleet" toml:"fleet"`
-	Bind           string   `json:"bind" toml:"bind"`
-	Advertise      string   `json:"advertise,omitempty" toml:"advertise,omitempty"`
-	Networks       []string `json:"networks,omitempty" toml:"networks,omitempty"`
-	Seeds          []string `json:"seeds,omitempty" toml:"seeds,omitempty"`
-	Interval       string   `json:"interval,omitempty" toml:"interval,omitempty"`
-	AdmitWithin    string   `json:"admit_within,omitempty" toml:"admit_within,omitempty"`
-	BelieveRefused *bool    `json:"believe_refused,omitempty" toml:"believe_refused,omitempty"` // nil: true
-	Defect         string   `json:"defect,omitempty" toml:"defect,omitempty"`
+	Fleet        string   `json:"fleet" toml:"fleet"`
+	Bind         string   `json:"bind" toml:"bind"`
+	Advertise    string   `json:"advertise,omitempty" toml:"advertise,omitempty"`
+	Networks     []string `json:"networks,omitempty" toml:"networks,omitempty"`
+	Seeds        []string `json:"seeds,omitempty" toml:"seeds,omitempty"`
+	Interval     string   `json:"interval,omitempty" toml:"interval,omitempty"`
+	AdmitWithin  string   `json:"admit_within,omitempty" toml:"admit_within,omitempty"`
+	TrustRefused *bool    `json:"believe_refused,omitempty" toml:"believe_refused,omitempty"` // nil: true
+	Defect       string   `json:"defect,omitempty" toml:"defect,omitempty"`
 }
 
-// The bounds of what a configuration may say. The texts of a member fit into its metadata together.
+// Bounds of the configuration. The texts of a member fit into the library's metadata together. Texts are in bytes.
 const (
-	maxName    = 64 // as package roster takes them
+	maxName    = 64 // as in package roster
 	maxZone    = 64
 	maxRole    = 32
 	maxVersion = 64
@@ -71,24 +71,24 @@
 	minInterval = 20 * time.Millisecond
 	maxInterval = time.Minute
 	maxAdmit    = 10 * time.Minute
-	maxStart    = 1 << 53 // what JSON carries exactly
+	maxStart    = 1 << 53 // the largest integer that JSON numbers carry exactly
 )
 
-// Config reads the section. An error names the key.
+// Config converts the section. An error names the key.
 func (s *Section) Config() (Config, error) {
 	c := Config{Fleet: s.Fleet, Bind: s.Bind, Advertise: s.Advertise, Seeds: s.Seeds, Defect: s.Defect,
-		BelieveRefused: s.BelieveRefused == nil || *s.BelieveRefused}
+		TrustRefused: s.TrustRefused == nil || *s.TrustRefused}
 	var errs []error
 	for i, text := range s.Networks {
 		p, err := netip.ParsePrefix(text)
 		if err != nil {
-			errs = append(errs, keyed(fmt.Sprintf("networks[%d]", i), fmt.Errorf("%q is no network as 10.0.0.0/8", text)))
+			errs = append(errs, withKey(fmt.Sprintf("networks[%d]", i), fmt.Errorf("%q is no network as 10.0.0.0/8", text)))
 		}
 		c.Networks = append(c.Networks, p.Masked())
 	}
 	for _, d := range []struct {
 		key, text string
-		to        *time.Duration
+		target    *time.Duration
 	}{{"interval", s.Interval, &c.Interval}, {"admit_within", s.AdmitWithin, &c.AdmitWithin}} {
 		if d.text == "" {
 			continue
@@ -98,9 +98,9 @@
 			err = errors.New("is not above 0")
 		}
 		if err != nil {
-			errs = append(errs, keyed(d.key, fmt.Errorf("%q is no time above 0 with its unit, as 1s", d.text)))
+			errs = append(errs, withKey(d.key, fmt.Errorf("%q is no time above 0 with its unit, as 1s", d.text)))
 		}
-		*d.to = v
+		*d.target = v
 	}
 	if len(errs) == 0 {
 		errs = append(errs, c.checkSection())
@@ -111,44 +111,45 @@
 	return c, nil
 }
 
-func keyed(key string, err error) error {
+// withKey adds the key to an error.
+func withKey(key string, err error) error {
 	if err == nil {
 		return nil
 	}
 	return fmt.Errorf("members.%s: %w", key, err)
 }
 
-// checkSection checks what the section of a file says.
+// checkSection checks the fields that a Section sets.
 func (c *Config) checkSection() error {
-	errs := []error{keyed("fleet", checkText(c.Fleet, 1, maxFleet)),
-		keyed("interval", between(c.Interval, minInterval, maxInterval)),
-		keyed("admit_within", between(c.AdmitWithin, time.Millisecond, maxAdmit))}
+	errs := []error{withKey("fleet", checkText(c.Fleet, 1, maxFleet)),
+		withKey("interval", checkRange(c.Interval, minInterval, maxInterval)),
+		withKey("admit_within", checkRange(c.AdmitWithin, time.Millisecond, maxAdmit))}
 	if c.Transport == nil || c.Bind != "" {
-		errs = append(errs, keyed("bind", checkHostPort(c.Bind, 0)))
+		errs = append(errs, withKey("bind", checkHostPort(c.Bind, 0)))
 	}
 	if c.Advertise != "" {
-		errs = append(errs, keyed("advertise", checkHostPort(c.Advertise, 0)))
+		errs = append(errs, withKey("advertise", checkHostPort(c.Advertise, 0)))
 	}
 	if len(c.Seeds) > maxSeeds {
-		errs = append(errs, keyed("seeds", fmt.Errorf("%d are more than %d", len(c.Seeds), maxSeeds)))
+		errs = append(errs, withKey("seeds", fmt.Errorf("%d are more than %d", len(c.Seeds), maxSeeds)))
 	}
 	for i, s := range c.Seeds {
-		errs = append(errs, keyed(fmt.Sprintf("seeds[%d]", i), checkHostPort(s, 1)))
+		errs = append(errs, withKey(fmt.Sprintf("seeds[%d]", i), checkHostPort(s, 1)))
 	}
 	switch c.Defect {
 	case "", DefectTrustDetector, DefectNoAdmission:
 	default:
-		errs = append(errs, keyed("defect",
+		errs = append(errs, withKey("defect",
 			fmt.Errorf("%q is none of %q and %q", c.Defect, DefectTrustDetector, DefectNoAdmission)))
 	}
 	return errors.Join(errs...)
 }
 
-// Check tells what Open would refuse, but for addresses that are taken. An error names the key.
-func (c Config) Check() error { return c.complete() }
+// Check finds what Open would reject, but for addresses that are in use. An error names the key.
+func (c Config) Check() error { return c.normalize() }
 
-// complete fills in what was left out and checks all of it.
-func (c *Config) complete() error {
+// normalize sets the defaults and checks all fields.
+func (c *Config) normalize() error {
 	if c.Interval == 0 {
 		c.Interval = time.Second
 	}
@@ -162,18 +163,19 @@
 		c.Log = slog.New(slog.DiscardHandler)
 	}
 	c.Peers = max(c.Peers, 1)
-	errs := []error{c.checkSection(), keyed("name", checkText(c.Name, 1, maxName)),
-		keyed("zone", checkText(c.Zone, 0, maxZone)), keyed("role", checkText(c.Role, 0, maxRole)), keyed("version", checkText(c.Version, 0, maxVersion))}
+	errs := []error{c.checkSection(), withKey("name", checkText(c.Name, 1, maxName)),
+		withKey("zone", checkText(c.Zone, 0, maxZone)), withKey("role", checkText(c.Role, 0, maxRole)), withKey("version", checkText(c.Version, 0, maxVersion))}
 	if c.Start < 0 || c.Start >= maxStart {
-		errs = append(errs, keyed("start", fmt.Errorf("%d is no time in Unix milliseconds", c.Start)))
+		errs = append(errs, withKey("start", fmt.Errorf("%d is no time in Unix milliseconds", c.Start)))
 	}
 	return errors.Join(errs...)
 }
 
-// checkText holds a text to what may stand in a node's name, a label and a line of a log, and in JSON as it is.
-func checkText(s string, least, most int) error {
-	if len(s) < least || len(s) > most {
-		return fmt.Errorf("%d bytes, not from %d to %d", len(s), least, most)
+// checkText checks a text's length and that it may be part of a node's name, a metric label and a log line, and needs no
+// escape in JSON.
+func checkText(s string, minBytes, maxBytes int) error {
+	if len(s) < minBytes || len(s) > maxBytes {
+		return fmt.Errorf("%d bytes, not from %d to %d", len(s), minBytes, maxBytes)
 	}
 	for _, r := range s {
 		if r == utf8.RuneError || strings.ContainsRune("\"\\<>&", r) || unicode.IsSpace(r) || !unicode.IsPrint(r) {
@@ -183,40 +185,42 @@
 	return nil
 }
 
-func checkHostPort(s string, least uint64) error {
+// checkHostPort checks a HOST:PORT. The host may be empty if the port may be 0.
+func checkHostPort(s string, minPort uint64) error {
 	host, port, err := net.SplitHostPort(s)
 	if err != nil {
 		return fmt.Errorf("%q is no HOST:PORT", s)
 	}
-	if n, err := strconv.ParseUint(port, 10, 16); err != nil || n < least {
-		return fmt.Errorf("%q has no port from %d to 65535", s, least)
+	if n, err := strconv.ParseUint(port, 10, 16); err != nil || n < minPort {
+		return fmt.Errorf("%q has no port from %d to 65535", s, minPort)
 	}
-	if least > 0 && host == "" {
+	if minPort > 0 && host == "" {
 		return fmt.Errorf("%q names no host", s)
 	}
 	return nil
 }
 
-func between(d, least, most time.Duration) error {
-	if d != 0 && (d < least || d > most) {
-		return fmt.Errorf("%v is not from %v to %v", d, least, most)
+// checkRange checks a duration, of which 0 stands for the default.
+func checkRange(d, minimum, maximum time.Duration) error {
+	if d != 0 && (d < minimum || d > maximum) {
+		return fmt.Errorf("%v is not from %v to %v", d, minimum, maximum)
 	}
 	return nil
 }
 
-// reachable reports whether members may have an address and others may call it.
-func reachable(networks []netip.Prefix, ip netip.Addr) error {
+// checkCallable checks that a member may have an address and that others can call it.
+func checkCallable(networks []netip.Prefix, ip netip.Addr) error {
 	if !ip.IsValid() || ip.IsUnspecified() || ip.IsMulticast() {
 		return fmt.Errorf("%v is no address to call", ip)
 	}
-	if !within(networks, ip) {
+	if !inNetworks(networks, ip) {
 		return fmt.Errorf("%v lies in none of the networks", ip)
 	}
 	return nil
 }
 
-// within reports whether members may have an address.
-func within(networks []netip.Prefix, ip netip.Addr) bool {
+// inNetworks reports whether an address lies in one of the networks, or there are none.
+func inNetworks(networks []netip.Prefix, ip netip.Addr) bool {
 	ip = ip.Unmap().WithZone("")
 	for _, n := range networks {
 		if n.Contains(ip) {
--- a/internal/membership/group_test.go
+++ b/internal/membership/group_test.go
@@ -24,56 +24,56 @@
 	"marblelane/internal/membership/roster"
 )
 
-const beat = 50 * time.Millisecond
+const testInterval = 50 * time.Millisecond
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// world is what lies between processes: what it cuts passes neither packets nor streams.
-type world struct {
+// testNetwork connects the processes of a test. Nothing passes between different sides.
+type testNetwork struct {
 	mu     sync.Mutex
-	side   map[string]int  // by address; different sides do not reach each other
-	frozen map[string]bool // connections come up there, and nothing is answered
+	sides  map[string]int  // by address
+	frozen map[string]bool // by address: connections are accepted there, and nothing is answered
 }
 
-func (w *world) change(f func()) {
+func (w *testNetwork) update(f func()) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	f()
 }
 
-// wire is one process's way into the world.
-type wire struct {
+// testTransport is the transport of one process in a testNetwork.
+type testTransport struct {
 	memberlist.NodeAwareTransport
-	w    *world
-	addr string
-	sent func(bytes int)
-	wrap func(net.Conn) net.Conn
+	network  *testNetwork
+	addr     string
+	onSend   func(bytes int)
+	wrapConn func(net.Conn) net.Conn
 }
 
-func (w *world) wire(t testing.TB, bind string) *wire {
+func (w *testNetwork) transport(t testing.TB, bind string) *testTransport {
 	tr, err := newTransport(transportConfig{Bind: bind})
 	require.NoError(t, err)
 	ip, port, err := tr.FinalAdvertiseAddr("", 0)
 	require.NoError(t, err)
-	return &wire{tr, w, netip.AddrPortFrom(netip.MustParseAddr(ip.String()), uint16(port)).String(), func(int) {},
+	return &testTransport{tr, w, netip.AddrPortFrom(netip.MustParseAddr(ip.String()), uint16(port)).String(), func(int) {},
 		func(c net.Conn) net.Conn { return c }}
 }
 
-func (x *wire) WriteToAddress(b []byte, a memberlist.Address) (time.Time, error) {
-	x.w.mu.Lock()
-	lost := x.w.side[x.addr] != x.w.side[a.Addr] || x.w.frozen[x.addr] || x.w.frozen[a.Addr]
-	x.w.mu.Unlock()
-	x.sent(len(b))
+func (x *testTransport) WriteToAddress(b []byte, a memberlist.Address) (time.Time, error) {
+	x.network.mu.Lock()
+	lost := x.network.sides[x.addr] != x.network.sides[a.Addr] || x.network.frozen[x.addr] || x.network.frozen[a.Addr]
+	x.network.mu.Unlock()
+	x.onSend(len(b))
 	if lost {
 		return time.Now(), nil
 	}
 	return x.NodeAwareTransport.WriteToAddress(b, a)
 }
 
-func (x *wire) DialAddressTimeout(a memberlist.Address, timeout time.Duration) (net.Conn, error) {
-	x.w.mu.Lock()
-	cut, mute := x.w.side[x.addr] != x.w.side[a.Addr] || x.w.frozen[x.addr], x.w.frozen[a.Addr]
-	x.w.mu.Unlock()
+func (x *testTransport) DialAddressTimeout(a memberlist.Address, timeout time.Duration) (net.Conn, error) {
+	x.network.mu.Lock()
+	cut, mute := x.network.sides[x.addr] != x.network.sides[a.Addr] || x.network.frozen[x.addr], x.network.frozen[a.Addr]
+	x.network.mu.Unlock()
 	switch {
 	case cut:
 		return nil, &net.OpError{Op: "dial", Net: "tcp", Err: os.ErrDeadlineExceeded}
@@ -85,44 +85,44 @@
 	if err != nil {
 		return nil, err
 	}
-	return x.wrap(conn), nil
+	return x.wrapConn(conn), nil
 }
 
-// fleet is the processes of a test.
-type fleet struct {
+// testFleet holds the processes of a test.
+type testFleet struct {
 	*testing.T
-	*world
-	ip  string // its own, so that no other test takes an address of one that is gone
-	all map[string]*Group
+	*testNetwork
+	ip     string // its own, so that no other test reuses an address of a process that is gone
+	groups map[string]*Group
 }
 
-func newFleet(t *testing.T) *fleet {
+func newTestFleet(t *testing.T) *testFleet {
 	ip := fmt.Sprintf("127.%d.%d.%d", 1+rand.IntN(250), rand.IntN(250), 1+rand.IntN(250))
-	return &fleet{t, &world{side: map[string]int{}, frozen: map[string]bool{}}, ip, map[string]*Group{}}
+	return &testFleet{t, &testNetwork{sides: map[string]int{}, frozen: map[string]bool{}}, ip, map[string]*Group{}}
 }
 
-func (f *fleet) open(name string, set func(*Config), seeds ...string) *Group {
+func (f *testFleet) open(name string, set func(*Config), seeds ...string) *Group {
 	f.Helper()
 	cfg := Config{Name: name, Fleet: "test", Zone: "z1", Role: "sidecar", Version: "1", Bind: f.ip + ":0", Seeds: seeds,
-		Interval: beat, AdmitWithin: time.Minute, BelieveRefused: true}
+		Interval: testInterval, AdmitWithin: time.Minute, TrustRefused: true}
 	if set != nil {
 		set(&cfg)
 	}
 	if cfg.Transport == nil {
-		cfg.Transport = f.wire(f.T, cfg.Bind)
+		cfg.Transport = f.transport(f.T, cfg.Bind)
 	}
 	g, err := Open(cfg)
 	require.NoError(f, err)
-	f.all[name] = g
+	f.groups[name] = g
 	f.Cleanup(func() { require.NoError(f, g.Close()) })
 	return g
 }
 
-// grow opens so many that know each other; the first alone, so that it must be admitted by time.
-func (f *fleet) grow(n int, set func(*Config)) []*Group {
+// openAll opens n groups and waits until all know each other. The first one is alone and is admitted by timeout.
+func (f *testFleet) openAll(n int, set func(*Config)) []*Group {
 	f.Helper()
 	all := []*Group{f.open("p0", func(c *Config) {
-		c.AdmitWithin = beat
+		c.AdmitWithin = testInterval
 		if set != nil {
 			set(c)
 		}
@@ -130,7 +130,7 @@
 	for i := range n - 1 {
 		all = append(all, f.open(fmt.Sprint("p", i+1), set, all[0].addr))
 	}
-	f.until("all know all", func() bool {
+	f.eventually("all know each other", func() bool {
 		return !slices.ContainsFunc(all, func(g *Group) bool {
 			return g.View() != roster.View{Known: n, Reachable: n, Admitted: true}
 		})
@@ -138,20 +138,21 @@
 	return all
 }
 
-func (f *fleet) until(what string, is func() bool) {
+// eventually waits for a condition.
+func (f *testFleet) eventually(what string, condition func() bool) {
 	f.Helper()
-	for end := time.Now().Add(20 * time.Second); !is(); time.Sleep(beat / 5) {
+	for end := time.Now().Add(20 * time.Second); !condition(); time.Sleep(testInterval / 5) {
 		if time.Now().After(end) {
-			for name, g := range f.all {
+			for name, g := range f.groups {
 				f.Logf("%s: %+v", name, g.Report())
 			}
-			f.Fatal("not: " + what)
+			f.Fatal("timeout: " + what)
 		}
 	}
 }
 
-// sees gives how a process stands in another's report, as "alive" or "gone left"; the latest of the name.
-func sees(g *Group, name string) string {
+// stateOf returns the state of the latest process of a name in a report, as "alive" or "gone left".
+func stateOf(g *Group, name string) string {
 	out := ""
 	for _, m := range g.Report().Members {
 		if m.Name == name {
@@ -161,8 +162,8 @@
 	return out
 }
 
-// taken is how much of what the fleet allows together these take, where each takes the part that its view gives it.
-func taken(all ...*Group) float64 {
+// quotaSum adds up the quotas that the groups derive from their views.
+func quotaSum(all ...*Group) float64 {
 	sum := 0.
 	for _, g := range all {
 		if v := g.View(); v.Admitted {
@@ -172,152 +173,154 @@
 	return sum
 }
 
-func known(g *Group, n int) func() bool { return func() bool { return g.View().Known == n } }
+// knows returns a condition on the number of known members.
+func knows(g *Group, n int) func() bool { return func() bool { return g.View().Known == n } }
 
-func (f *fleet) dead() string {
+// unusedAddr returns an address that refuses connections.
+func (f *testFleet) unusedAddr() string {
 	l, err := net.Listen("tcp", f.ip+":0")
 	require.NoError(f, err)
 	defer l.Close()
 	return l.Addr().String()
 }
 
-func TestJoinWhereSeedsAreDead(t *testing.T) {
+func TestGroup_JoinDeadSeeds(t *testing.T) {
 	t.Parallel()
-	f := newFleet(t)
-	a := f.open("a", func(c *Config) { c.AdmitWithin = beat }, f.dead())
-	f.until("alone, it is admitted by time", func() bool {
+	f := newTestFleet(t)
+	a := f.open("a", func(c *Config) { c.AdmitWithin = testInterval }, f.unusedAddr())
+	f.eventually("alone, it is admitted by timeout", func() bool {
 		return a.View() == roster.View{Known: 1, Reachable: 1, Admitted: true, Forced: true}
 	})
 	var sent atomic.Int64
 	b := f.open("b", func(c *Config) {
-		x := f.wire(t, c.Bind)
-		x.sent = func(int) { sent.Add(1) }
+		x := f.transport(t, c.Bind)
+		x.onSend = func(int) { sent.Add(1) }
 		c.Transport = x
-	}, f.dead(), a.addr, f.dead(), "127.0.0.1:1")
-	f.until("both admitted", func() bool {
+	}, f.unusedAddr(), a.addr, f.unusedAddr(), "127.0.0.1:1")
+	f.eventually("both admitted", func() bool {
 		want := roster.View{Known: 2, Reachable: 2, Admitted: true}
 		return a.View() == want && b.View() == want
 	})
-	require.Equal(t, "alive", sees(a, "b"))
+	require.Equal(t, "alive", stateOf(a, "b"))
 	for _, m := range a.Report().Members {
 		require.Equal(t, []string{"z1", "sidecar", "1"}, []string{m.Zone, m.Role, m.Version})
 	}
 	require.NoError(t, b.Leave(t.Context()))
-	said := sent.Load()
-	f.until("b left", func() bool { return sees(a, "b") == "gone left" && a.View().Known == 1 })
+	sentBefore := sent.Load()
+	f.eventually("b left", func() bool { return stateOf(a, "b") == "gone left" && a.View().Known == 1 })
 	require.False(t, b.View().Admitted)
-	require.Equal(t, "gone left", sees(b, "b"))
-	end := time.Now().Add(4 * beat) // several of its turns
-	f.until("who has left says nothing any more", func() bool { return time.Now().After(end) && said == sent.Load() })
+	require.Equal(t, "gone left", stateOf(b, "b"))
+	end := time.Now().Add(4 * testInterval) // several of its rounds
+	f.eventually("a process that left sends nothing", func() bool { return time.Now().After(end) && sentBefore == sent.Load() })
 }
 
-func TestNewcomerIsNotAdmittedBeforeItIsKnown(t *testing.T) {
+func TestGroup_AdmissionNeedsAcks(t *testing.T) {
 	t.Parallel()
-	f := newFleet(t)
-	g := f.grow(2, nil)
-	a := f.open("a", nil, f.dead())
-	defect := f.open("d", func(c *Config) { c.Defect = DefectNoAdmission }, f.dead())
-	f.until("the defect shows", func() bool { return taken(g[0], g[1], defect) > 1 })
+	f := newTestFleet(t)
+	g := f.openAll(2, nil)
+	a := f.open("a", nil, f.unusedAddr())
+	defect := f.open("d", func(c *Config) { c.Defect = DefectNoAdmission }, f.unusedAddr())
+	f.eventually("the defect breaks the invariant", func() bool { return quotaSum(g[0], g[1], defect) > 1 })
 	require.False(t, a.View().Admitted)
-	require.LessOrEqual(t, taken(g[0], g[1], a), 1.)
+	require.LessOrEqual(t, quotaSum(g[0], g[1], a), 1.)
 }
 
-func TestCrashIsProvedAndFreezeIsNot(t *testing.T) {
+func TestGroup_CrashAndFreeze(t *testing.T) {
 	t.Parallel()
-	f := newFleet(t)
-	g := f.grow(4, nil)
-	f.change(func() { f.frozen[g[3].addr] = true })
+	f := newTestFleet(t)
+	g := f.openAll(4, nil)
+	f.update(func() { f.frozen[g[3].addr] = true })
 	require.NoError(t, g[2].Close())
-	f.until("the crash is proved to all", func() bool {
-		return sees(g[0], "p2") == "gone refused" && sees(g[1], "p2") == "gone refused"
+	f.eventually("the crash is proved at all members", func() bool {
+		return stateOf(g[0], "p2") == "gone refused" && stateOf(g[1], "p2") == "gone refused"
 	})
-	f.until("the frozen one is silent, and counts", func() bool {
-		return sees(g[0], "p3") == "silent" && g[0].View() == roster.View{Known: 3, Reachable: 2, Admitted: true}
+	f.eventually("the frozen process is silent, and counts", func() bool {
+		return stateOf(g[0], "p3") == "silent" && g[0].View() == roster.View{Known: 3, Reachable: 2, Admitted: true}
 	})
-	calls := func() uint64 { return g[0].figures.failedJoins.Load() }
-	for n := calls(); calls() < n+2; time.Sleep(beat) { // it is called again and again, and proves nothing
+	failedJoins := func() uint64 { return g[0].counters.failedJoins.Load() }
+	for before := failedJoins(); failedJoins() < before+2; time.Sleep(testInterval) { // repeated calls prove nothing
 		require.Equal(t, 3, g[0].View().Known)
 	}
-	f.change(func() { clear(f.frozen) })
-	f.until("it is back", func() bool { return sees(g[0], "p3") == "alive" && g[3].View().Reachable == 3 })
+	f.update(func() { clear(f.frozen) })
+	f.eventually("it is back", func() bool { return stateOf(g[0], "p3") == "alive" && g[3].View().Reachable == 3 })
 }
 
-func TestDefectTrustsTheDetector(t *testing.T) {
+func TestGroup_DefectTrustDetector(t *testing.T) {
 	t.Parallel()
-	f := newFleet(t)
-	g := f.grow(2, func(c *Config) { c.Defect, c.BelieveRefused = DefectTrustDetector, false })
-	f.change(func() { f.side[g[1].addr] = 1 })
-	f.until("each side takes all", func() bool { return taken(g...) > 1 })
+	f := newTestFleet(t)
+	g := f.openAll(2, func(c *Config) { c.Defect, c.TrustRefused = DefectTrustDetector, false })
+	f.update(func() { f.sides[g[1].addr] = 1 })
+	f.eventually("each side takes the whole", func() bool { return quotaSum(g...) > 1 })
 }
 
-func TestRefusedIsNoProofWhereItIsNotBelieved(t *testing.T) {
+func TestGroup_RefusalNotTrusted(t *testing.T) {
 	t.Parallel()
-	f := newFleet(t)
-	g := f.grow(2, func(c *Config) { c.BelieveRefused = false })
+	f := newTestFleet(t)
+	g := f.openAll(2, func(c *Config) { c.TrustRefused = false })
 	require.NoError(t, g[1].Close())
-	f.until("silent", func() bool { return sees(g[0], "p1") == "silent" })
+	f.eventually("silent", func() bool { return stateOf(g[0], "p1") == "silent" })
 	require.Equal(t, 2, g[0].View().Known)
-	require.ErrorIs(t, g[0].Told(roster.ID{Name: "p1", Start: 1}), ErrUnknown)
-	require.NoError(t, g[0].Told(g[1].Report().Self))
-	require.Equal(t, "gone told", sees(g[0], "p1"))
+	require.ErrorIs(t, g[0].ConfirmGone(roster.ID{Name: "p1", Start: 1}), ErrUnknownMember)
+	require.NoError(t, g[0].ConfirmGone(g[1].Report().Self))
+	require.Equal(t, "gone told", stateOf(g[0], "p1"))
 	require.Equal(t, 1, g[0].View().Known)
 }
 
-func TestSuspicionIsRefuted(t *testing.T) {
+func TestGroup_SuspicionRefuted(t *testing.T) {
 	t.Parallel()
-	f := newFleet(t)
-	g := f.grow(2, func(c *Config) { c.Interval = 5 * beat }) // suspicion lasts for four intervals
-	f.change(func() { f.frozen[g[1].addr] = true })
-	f.until("suspected", func() bool { return sees(g[0], "p1") == "suspected" })
+	f := newTestFleet(t)
+	g := f.openAll(2, func(c *Config) { c.Interval = 5 * testInterval }) // suspicion lasts for four intervals
+	f.update(func() { f.frozen[g[1].addr] = true })
+	f.eventually("suspected", func() bool { return stateOf(g[0], "p1") == "suspected" })
 	require.Equal(t, roster.View{Known: 2, Reachable: 2, Admitted: true}, g[0].View())
-	f.change(func() { clear(f.frozen) })
-	f.until("refuted", func() bool { return sees(g[0], "p1") == "alive" })
+	f.update(func() { clear(f.frozen) })
+	f.eventually("refuted", func() bool { return stateOf(g[0], "p1") == "alive" })
 }
 
-func TestRestart(t *testing.T) {
+func TestGroup_Restart(t *testing.T) {
 	t.Parallel()
-	for _, same := range []bool{false, true} {
+	for _, sameAddr := range []bool{false, true} {
 		for _, back := range []int64{0, 2_000, 31_000, 1_000_000, 3_600_000} {
-			t.Run(fmt.Sprintf("same address %v, clock back %d", same, back), func(t *testing.T) {
+			t.Run(fmt.Sprintf("same address %v, clock back %d", sameAddr, back), func(t *testing.T) {
 				t.Parallel()
-				f := newFleet(t)
-				g := f.grow(3, nil)
-				was := g[2].Report().Self
+				f := newTestFleet(t)
+				g := f.openAll(3, nil)
+				before := g[2].Report().Self
 				require.NoError(t, g[2].Close())
-				again := f.open("p2", func(c *Config) {
-					c.Start = was.Start + 1000 - back
-					if same {
+				restarted := f.open("p2", func(c *Config) {
+					c.Start = before.Start + 1000 - back
+					if sameAddr {
 						c.Bind = g[2].addr
 					}
 				}, g[0].addr, g[1].addr)
-				f.until("it takes the place", func() bool {
-					return again.View() == roster.View{Known: 3, Reachable: 3, Admitted: true} && g[0].View() == again.View()
+				f.eventually("it takes the place of the process before", func() bool {
+					return restarted.View() == roster.View{Known: 3, Reachable: 3, Admitted: true} && g[0].View() == restarted.View()
 				})
-				require.Greater(t, again.Report().Self.Start, was.Start)
+				require.Greater(t, restarted.Report().Self.Start, before.Start)
 			})
 		}
 	}
 }
 
-func TestTwins(t *testing.T) {
+func TestGroup_Duplicates(t *testing.T) {
 	t.Parallel()
-	f := newFleet(t)
-	g := f.grow(2, nil)
-	twin := f.open("p1", func(c *Config) { c.Start = g[1].cfg.Start }, g[0].addr) // of the same start, even
-	f.until("they part", func() bool { return twin.Report().Self != g[1].Report().Self })
-	f.until("the later one is admitted, the earlier one follows", func() bool {
+	f := newTestFleet(t)
+	g := f.openAll(2, nil)
+	duplicate := f.open("p1", func(c *Config) { c.Start = g[1].cfg.Start }, g[0].addr) // even with the same start
+	f.eventually("their starts differ", func() bool { return duplicate.Report().Self != g[1].Report().Self })
+	f.eventually("only the later one is admitted", func() bool {
 		n := 0
-		for _, g := range []*Group{twin, g[1]} {
+		for _, g := range []*Group{duplicate, g[1]} {
 			if g.View().Admitted {
 				n++
 			}
 		}
 		return n == 1
 	})
-	f.until("said, and counted as two", func() bool {
+	f.eventually("both are reported as duplicates and counted", func() bool {
 		n := 0
 		for _, m := range g[0].Report().Members {
-			if m.Twin {
+			if m.Duplicate {
 				n++
 			}
 		}
@@ -325,61 +328,61 @@
 	})
 }
 
-func TestToldGoneComesBackAsNewcomer(t *testing.T) {
+func TestGroup_ConfirmGoneOfRunning(t *testing.T) {
 	t.Parallel()
-	f := newFleet(t)
-	g := f.grow(3, nil)
-	was := g[2].Report().Self
-	require.NoError(t, g[0].Told(was))
-	f.until("it takes a greater start, and all know it", func() bool {
-		return g[2].Report().Self.Start > was.Start && !slices.ContainsFunc(g, func(g *Group) bool {
+	f := newTestFleet(t)
+	g := f.openAll(3, nil)
+	before := g[2].Report().Self
+	require.NoError(t, g[0].ConfirmGone(before))
+	f.eventually("it takes a greater start, which all know", func() bool {
+		return g[2].Report().Self.Start > before.Start && !slices.ContainsFunc(g, func(g *Group) bool {
 			return g.View() != roster.View{Known: 3, Reachable: 3, Admitted: true}
 		})
 	})
-	require.EqualValues(t, 1, g[2].figures.risen.Load())
+	require.EqualValues(t, 1, g[2].counters.startsRaised.Load())
 }
 
-func TestSplitLongerThanTheLibraryRemembers(t *testing.T) {
+func TestGroup_LongSplit(t *testing.T) {
 	t.Parallel()
-	f := newFleet(t)
-	g := f.grow(4, nil)
-	f.change(func() { f.side[g[2].addr], f.side[g[3].addr] = 1, 1 })
-	f.until("both sides see two of four", func() bool {
-		require.LessOrEqual(t, taken(g...), 1.)
+	f := newTestFleet(t)
+	g := f.openAll(4, nil)
+	f.update(func() { f.sides[g[2].addr], f.sides[g[3].addr] = 1, 1 })
+	f.eventually("both sides see two of four", func() bool {
+		require.LessOrEqual(t, quotaSum(g...), 1.)
 		return !slices.ContainsFunc(g, func(g *Group) bool { return g.View().Reachable != 2 })
 	})
-	end := time.Now().Add(libConfig(&g[0].cfg).GossipToTheDeadTime + 10*beat)
-	f.until("the library has dropped the dead, and would never call them again", func() bool {
-		require.LessOrEqual(t, taken(g...), 1.)
+	end := time.Now().Add(libraryConfig(&g[0].cfg).GossipToTheDeadTime + 10*testInterval)
+	f.eventually("the library has forgotten the dead nodes", func() bool {
+		require.LessOrEqual(t, quotaSum(g...), 1.)
 		return time.Now().After(end)
 	})
-	f.change(func() { clear(f.side) })
-	f.until("one fleet again", func() bool {
+	f.update(func() { clear(f.sides) })
+	f.eventually("one fleet again", func() bool {
 		return !slices.ContainsFunc(g, func(g *Group) bool { return g.View().Reachable != 4 || g.View().Known != 4 })
 	})
 }
 
-func TestStrangers(t *testing.T) {
+func TestGroup_ForeignTraffic(t *testing.T) {
 	t.Parallel()
-	f := newFleet(t)
-	g := f.grow(2, func(c *Config) { c.Networks = []netip.Prefix{netip.MustParsePrefix(f.ip + "/32")} })
+	f := newTestFleet(t)
+	g := f.openAll(2, func(c *Config) { c.Networks = []netip.Prefix{netip.MustParsePrefix(f.ip + "/32")} })
 	other := f.open("o", func(c *Config) { c.Fleet = "other" }, g[0].addr)
 	f.open("x", func(c *Config) { c.Bind = "127.0.0.2:0" }, g[0].addr)
 	conn, err := net.Dial("udp", g[0].addr)
 	require.NoError(t, err)
 	defer conn.Close()
-	for range 20 { // the library's own kinds among them
-		junk := make([]byte, 1+rand.IntN(300))
-		for i := range junk {
-			junk[i] = byte(rand.Uint32())
+	for range 20 { // among them message types of the library
+		garbage := make([]byte, 1+rand.IntN(300))
+		for i := range garbage {
+			garbage[i] = byte(rand.Uint32())
 		}
-		_, _ = conn.Write(append([]byte{244, 4, 't', 'e', 's', 't'}, junk...))
+		_, _ = conn.Write(append([]byte{244, 4, 't', 'e', 's', 't'}, garbage...))
 	}
 	for _, m := range []string{"", "{}", `{"v":2}`, `{"v":1,"k":"entries","e":[{"n":"y","s":1,"a":"127.0.0.9:1"}]}`} {
-		require.NoError(t, g[1].current.Load().list.SendToAddress(memberlist.Address{Addr: g[0].addr}, []byte(m)))
+		require.NoError(t, g[1].current.Load().library.SendToAddress(memberlist.Address{Addr: g[0].addr}, []byte(m)))
 	}
-	f.until("refused and counted", func() bool {
-		d := g[0].figures.dropped()
+	f.eventually("dropped and counted", func() bool {
+		d := g[0].counters.dropped()
 		return d["label"] > 0 && d["node"] > 0 && d["message"] >= 4
 	})
 	require.Equal(t, 2, g[0].View().Known)
@@ -387,9 +390,9 @@
 	require.NotContains(t, fmt.Sprint(g[1].Report().Members), "127.0.0.2")
 }
 
-func TestCloseWhileJoining(t *testing.T) {
+func TestGroup_CloseWhileJoining(t *testing.T) {
 	t.Parallel()
-	l, err := net.Listen("tcp", "127.0.0.1:0") // takes connections, and says nothing
+	l, err := net.Listen("tcp", "127.0.0.1:0") // accepts connections and sends nothing
 	require.NoError(t, err)
 	defer l.Close()
 	g, err := Open(Config{Name: "a", Fleet: "test", Bind: "127.0.0.1:0", Seeds: []string{l.Addr().String()}})
@@ -408,10 +411,10 @@
 	require.ErrorIs(t, g.Leave(context.Background()), net.ErrClosed)
 }
 
-func TestHandlerAndFigures(t *testing.T) {
+func TestGroup_Handler(t *testing.T) {
 	t.Parallel()
-	f := newFleet(t)
-	g := f.grow(2, func(c *Config) { c.Believed = func() float64 { return 1.5 } })
+	f := newTestFleet(t)
+	g := f.openAll(2, func(c *Config) { c.EstimatedSize = func() float64 { return 1.5 } })
 	srv := httptest.NewServer(g[0].Handler())
 	defer srv.Close()
 	post := func(path, body string) int {
--- a/internal/membership/http.go
+++ b/internal/membership/http.go
@@ -1,6 +1,7 @@
 package membership
 
 import (
+	"context"
 	"encoding/json"
 	"errors"
 	"net"
@@ -11,13 +12,13 @@
 )
 
 const (
-	watchIdle = 2 * time.Second // a watch has a line at least so often
-	maxBody   = 4 << 10
+	// watchIdleInterval is how often a watch gets an empty line while nothing changes.
+	watchIdleInterval = 2 * time.Second
+	maxBodyBytes      = 4 << 10
 )
 
-// Handler serves what this process sees, and takes an operator's word: GET /members, with ?watch=1 a line at each change
-// and an empty one each 2 s; POST /members/leave; POST /members/gone with {"name", "start"}. Who may call it is up to who
-// serves it.
+// Handler serves reports and operators' requests: GET /members, with ?watch=1 a line at each change and an empty one each
+// 2 s; POST /members/leave; POST /members/gone with {"name", "start"}. It does no authentication.
 func (g *Group) Handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /members", g.serveReport)
@@ -30,28 +31,33 @@
 	w.Header().Set("Content-Type", "application/json")
 	out := json.NewEncoder(w)
 	if r.URL.Query().Get("watch") == "" {
-		_ = out.Encode(g.Report()) // the caller has gone, then
+		_ = out.Encode(g.Report()) // fails only if the caller has gone
 		return
 	}
+	g.watch(r.Context(), w, out)
+}
+
+// watch writes a report at each change until the caller or the owner has gone.
+func (g *Group) watch(ctx context.Context, w http.ResponseWriter, out *json.Encoder) {
 	flush := http.NewResponseController(w)
-	idle := time.NewTicker(watchIdle)
+	idle := time.NewTicker(watchIdleInterval)
 	defer idle.Stop()
 	for {
-		changed := g.changedNow()
+		changed := g.status.nextChange()
 		if out.Encode(g.Report()) != nil || flush.Flush() != nil {
 			return
 		}
-		for wait := true; wait; {
+		for waiting := true; waiting; {
 			select {
 			case <-changed:
-				wait = false
+				waiting = false
 			case <-idle.C:
 				if _, err := w.Write([]byte("\n")); err != nil || flush.Flush() != nil {
 					return
 				}
-			case <-g.ended:
+			case <-g.ownerDone:
 				return
-			case <-r.Context().Done():
+			case <-ctx.Done():
 				return
 			}
 		}
@@ -62,7 +68,7 @@
 
 func (g *Group) serveGone(w http.ResponseWriter, r *http.Request) {
 	var id roster.ID
-	in := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxBody))
+	in := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxBodyBytes))
 	in.DisallowUnknownFields()
 	if err := in.Decode(&id); err != nil {
 		http.Error(w, "body: "+err.Error(), http.StatusBadRequest)
@@ -72,14 +78,14 @@
 		http.Error(w, "body: "+err.Error(), http.StatusBadRequest)
 		return
 	}
-	answer(w, g.Told(id))
+	answer(w, g.ConfirmGone(id))
 }
 
 func answer(w http.ResponseWriter, err error) {
 	switch {
 	case err == nil:
 		w.WriteHeader(http.StatusNoContent)
-	case errors.Is(err, ErrUnknown):
+	case errors.Is(err, ErrUnknownMember):
 		http.Error(w, err.Error(), http.StatusNotFound)
 	case errors.Is(err, net.ErrClosed):
 		http.Error(w, "it has left, or is closed", http.StatusConflict)
--- a/internal/membership/join_limiter.go
+++ b/internal/membership/join_limiter.go
@@ -6,48 +6,55 @@
 	"golang.org/x/time/rate"
 )
 
-// The joiner's pace: a burst, and then so many calls in an interval; where calls fail or this process is late, fewer.
 const (
-	joinBurst   = 5
-	joinsMost   = 2
-	joinSlowest = 16 // of that, a share of one in so many
+	// joinBurst is how many calls the joiner may make at once.
+	joinBurst = 5
+	// joinsPerInterval is how many calls it may make in an interval after that.
+	joinsPerInterval = 2
+	// maxJoinSlowdown is the largest factor by which that rate is divided.
+	maxJoinSlowdown = 16
+	// The slowdown grows by these factors after a late timer and a failed call, and shrinks after a successful call.
+	lateTimerFactor   = 2
+	failedJoinFactor  = 1.25
+	joinSuccessFactor = 0.5
 )
 
-// joinLimiter bounds how often the joiner calls. All of a fleet that is short of processors take each other for dead, and
-// their calls would keep it short.
+// joinLimiter bounds the rate of the joiner's calls: a token bucket whose rate falls while calls fail or timers are late.
+// The members of a fleet that is short of processors take each other for dead, and their calls would keep it short.
 type joinLimiter struct {
-	bucket *rate.Limiter
-	full   rate.Limit
-	slow   float64
+	bucket   *rate.Limiter
+	fullRate rate.Limit
+	slowdown float64
 }
 
 func newJoinLimiter(interval time.Duration) *joinLimiter {
-	full := rate.Every(interval / joinsMost)
-	return &joinLimiter{bucket: rate.NewLimiter(full, joinBurst), full: full, slow: 1}
+	full := rate.Every(interval / joinsPerInterval)
+	return &joinLimiter{bucket: rate.NewLimiter(full, joinBurst), fullRate: full, slowdown: 1}
 }
 
-// wait takes a call, or tells how long there is none.
-func (p *joinLimiter) wait() time.Duration {
-	r := p.bucket.Reserve()
-	d := r.Delay()
-	if d > 0 {
-		r.Cancel()
+// wait takes a token for one call and returns 0, or returns how long there is none.
+func (l *joinLimiter) wait() time.Duration {
+	reservation := l.bucket.Reserve()
+	delay := reservation.Delay()
+	if delay > 0 {
+		reservation.Cancel()
 	}
-	return d
+	return delay
 }
 
-func (p *joinLimiter) slower() { p.set(p.slow * 2) }
+// lateTimer lowers the rate, as a late timer shows that the machine is short of processors.
+func (l *joinLimiter) lateTimer() { l.setSlowdown(l.slowdown * lateTimerFactor) }
 
-// said takes in how a call went.
-func (p *joinLimiter) said(err error) {
+// recordResult adapts the rate to the result of a call.
+func (l *joinLimiter) recordResult(err error) {
 	if err != nil {
-		p.set(p.slow * 1.25)
+		l.setSlowdown(l.slowdown * failedJoinFactor)
 	} else {
-		p.set(p.slow / 2)
+		l.setSlowdown(l.slowdown * joinSuccessFactor)
 	}
 }
 
-func (p *joinLimiter) set(slow float64) {
-	p.slow = min(max(slow, 1), joinSlowest)
-	p.bucket.SetLimit(p.full / rate.Limit(p.slow))
+func (l *joinLimiter) setSlowdown(slowdown float64) {
+	l.slowdown = min(max(slowdown, 1), maxJoinSlowdown)
+	l.bucket.SetLimit(l.fullRate / rate.Limit(l.slowdown))
 }
--- a/internal/membership/join_limiter_test.go
+++ b/internal/membership/join_limiter_test.go
@@ -10,34 +10,34 @@
 	"marblelane/internal/membership/roster"
 )
 
-func TestPace(t *testing.T) {
-	p := newJoinLimiter(time.Hour) // nothing is refilled meanwhile
+func TestJoinLimiter(t *testing.T) {
+	l := newJoinLimiter(time.Hour) // no token is added meanwhile
 	for range joinBurst {
-		require.Zero(t, p.wait())
+		require.Zero(t, l.wait())
 	}
-	first := p.wait()
-	require.InDelta(t, time.Hour/joinsMost, first, float64(time.Minute))
+	first := l.wait()
+	require.InDelta(t, time.Hour/joinsPerInterval, first, float64(time.Minute))
 	for range 20 {
-		p.slower()
-		p.said(errors.New("refused"))
+		l.lateTimer()
+		l.recordResult(errors.New("refused"))
 	}
-	require.InDelta(t, joinSlowest*time.Hour/joinsMost, p.wait(), float64(joinSlowest*time.Minute))
+	require.InDelta(t, maxJoinSlowdown*time.Hour/joinsPerInterval, l.wait(), float64(maxJoinSlowdown*time.Minute))
 	for range 5 {
-		p.said(nil)
+		l.recordResult(nil)
 	}
-	require.InDelta(t, first, p.wait(), float64(time.Minute), "it recovers")
+	require.InDelta(t, first, l.wait(), float64(time.Minute), "it recovers")
 }
 
-func TestPushPullSaysWhatTheLibraryDoesNot(t *testing.T) {
+func TestPushPull_UnreportedEntries(t *testing.T) {
 	t.Parallel()
-	f := newFleet(t)
-	g := f.grow(3, func(c *Config) { c.BelieveRefused = false })
+	f := newTestFleet(t)
+	g := f.openAll(3, func(c *Config) { c.TrustRefused = false })
 	require.Equal(t, `{"v":1,"k":"entries"}`, string(g[0].current.Load().LocalState(false)))
 	require.NoError(t, g[2].Close())
-	f.until("silent", func() bool { return sees(g[0], "p2") == "silent" })
+	f.eventually("silent", func() bool { return stateOf(g[0], "p2") == "silent" })
 	m, err := decodeMessage(g[0].current.Load().LocalState(false), nil)
 	require.NoError(t, err)
 	require.Equal(t, []roster.Entry{{Name: "p2", Start: g[2].cfg.Start, Addr: g[2].addr}}, m.roster())
-	n := f.open("p3", func(c *Config) { c.BelieveRefused = false }, g[0].addr)
-	f.until("a newcomer learns of the silent one", func() bool { return n.View().Known == 4 })
+	joining := f.open("p3", func(c *Config) { c.TrustRefused = false }, g[0].addr)
+	f.eventually("a joining process learns of the silent one", func() bool { return joining.View().Known == 4 })
 }
--- /dev/null
+++ b/internal/membership/joiner.go
@@ -0,0 +1,182 @@
+package membership
+
+import (
+	"context"
+	"math/rand/v2"
+	"net"
+	"net/netip"
+	"slices"
+	"time"
+
+	"github.com/cenkalti/backoff/v5"
+)
+
+const (
+	resolveTimeout = 2 * time.Second
+
+	// The pause between two attempts grows from a tenth of an interval to maxJoinPause intervals.
+	firstJoinPauseFraction = 10
+	maxJoinPause           = 15
+	joinPauseFactor        = 1.3
+	// aloneJoinPause is the longest pause, in intervals, of a process that reaches no other: no member would call it.
+	aloneJoinPause = 2
+	// lateTimerFraction: a timer that fires this part of an interval late shows that the machine is short of processors.
+	lateTimerFraction = 4
+)
+
+// joiner exchanges all knowledge (push/pull) with seeds and unreachable members, one at a time. The library never calls
+// a node again that it took for dead, so after a long split no member would. Reachable seeds are left alone.
+type joiner struct {
+	*shared
+	pause   *backoff.ExponentialBackOff
+	limiter *joinLimiter
+	due     time.Time // when the timer should fire
+	round   []string  // addresses to try before any is tried again
+	seeds   []string  // addresses as they were resolved last
+	// requested counts the exchanges that the owner requested.
+	requested int
+}
+
+func newJoiner(s *shared) *joiner {
+	pause := backoff.NewExponentialBackOff()
+	pause.InitialInterval = s.cfg.Interval / firstJoinPauseFraction
+	pause.MaxInterval = maxJoinPause * s.cfg.Interval
+	pause.Multiplier = joinPauseFactor
+	return &joiner{shared: s, pause: pause, limiter: newJoinLimiter(s.cfg.Interval)}
+}
+
+// run is the joiner's goroutine.
+func (j *joiner) run() {
+	timer := time.NewTimer(0)
+	defer timer.Stop()
+	j.due = time.Now()
+	for !j.left.Load() {
+		select {
+		case <-j.ctx.Done():
+			return
+		case r := <-j.exchanges:
+			_ = j.exchange(j.exchangeTarget(r)) // failures are counted
+		case <-j.joinWake:
+			timer.Reset(j.restart())
+		case <-timer.C:
+			timer.Reset(j.attemptNext())
+		}
+	}
+}
+
+// exchangeTarget returns the address for a requested exchange. Every other time it is a reachable seed, if there is one:
+// joining processes contact the seeds first, so seeds know most.
+func (j *joiner) exchangeTarget(r exchangeRequest) string {
+	j.requested++
+	if j.requested%2 == 1 && len(j.seeds) > 0 {
+		if seed := j.seeds[rand.IntN(len(j.seeds))]; j.peers.Load().reachable[seed] {
+			return seed
+		}
+	}
+	return r.addr
+}
+
+// restart begins a new round with short pauses. It returns a random time to wait, so that not all members call at once.
+func (j *joiner) restart() time.Duration {
+	j.pause.Reset()
+	j.round = nil
+	return j.schedule(time.Duration(rand.Int64N(int64(j.cfg.Interval))))
+}
+
+func (j *joiner) schedule(wait time.Duration) time.Duration {
+	j.due = time.Now().Add(wait)
+	return wait
+}
+
+// attemptNext exchanges with the next address of the round, and returns the time to wait after that.
+func (j *joiner) attemptNext() time.Duration {
+	if time.Since(j.due) > j.cfg.Interval/lateTimerFraction {
+		j.limiter.lateTimer()
+	}
+	if len(j.round) == 0 {
+		j.round, j.seeds = j.candidates()
+	}
+	reachable := j.peers.Load().reachable
+	for len(j.round) > 0 && reachable[j.round[0]] {
+		j.round = j.round[1:]
+	}
+	limited := time.Duration(0)
+	if len(j.round) > 0 {
+		if limited = j.limiter.wait(); limited == 0 {
+			err := j.exchange(j.round[0])
+			if j.limiter.recordResult(err); err == nil {
+				_ = j.do(j.ctx, scanMembers{}) // so that members that are reachable now are skipped
+			}
+			j.round = j.round[1:]
+		}
+	}
+	pause := j.pause.NextBackOff()
+	if len(reachable) == 0 {
+		pause = min(pause, aloneJoinPause*j.cfg.Interval)
+	}
+	return j.schedule(max(pause, limited))
+}
+
+// exchange performs a push/pull with another process.
+func (j *joiner) exchange(addr string) error {
+	if j.left.Load() || j.ctx.Err() != nil {
+		return nil
+	}
+	if _, err := j.current.Load().library.Join([]string{addr}); err != nil {
+		j.counters.failedJoins.Add(1)
+		j.log.Debug("members: join failed", "addr", addr, "err", err)
+		return err
+	}
+	return nil
+}
+
+// candidates returns the addresses to try: the seeds and members that are unreachable, or all that are known if none is
+// reachable. They are in random order, so that members do not call the same ones. It also returns the addresses of all
+// seeds.
+func (j *joiner) candidates() (all, seeds []string) {
+	peers := j.peers.Load()
+	add := func(addr string) {
+		if addr != "" && addr != j.addr && !peers.reachable[addr] && !slices.Contains(all, addr) {
+			all = append(all, addr)
+		}
+	}
+	for _, seed := range j.cfg.Seeds {
+		for _, addr := range j.resolve(seed) {
+			add(addr)
+			seeds = append(seeds, addr)
+		}
+	}
+	for _, e := range peers.unreachable {
+		add(e.Addr)
+	}
+	if len(peers.reachable) == 0 {
+		for _, e := range peers.present {
+			add(e.Addr)
+		}
+	}
+	rand.Shuffle(len(all), func(a, b int) { all[a], all[b] = all[b], all[a] })
+	return all, seeds
+}
+
+// resolve returns the addresses of a seed. The library's own look-up cannot be cancelled.
+func (j *joiner) resolve(seed string) []string {
+	if at, err := netip.ParseAddrPort(seed); err == nil {
+		return []string{netip.AddrPortFrom(at.Addr().Unmap(), at.Port()).String()}
+	}
+	host, port, err := net.SplitHostPort(seed)
+	if err != nil {
+		return nil // Config checks seeds
+	}
+	ctx, cancel := context.WithTimeout(j.ctx, resolveTimeout)
+	defer cancel()
+	ips, err := net.DefaultResolver.LookupNetIP(ctx, "ip", host)
+	if err != nil {
+		j.log.Debug("members: look-up of a seed failed", "seed", seed, "err", err)
+	}
+	var all []string
+	for _, ip := range ips {
+		all = append(all, net.JoinHostPort(ip.Unmap().String(), port))
+	}
+	slices.Sort(all)
+	return all
+}
--- /dev/null
+++ b/internal/membership/library_log.go
@@ -0,0 +1,84 @@
+package membership
+
+import (
+	"context"
+	"log"
+	"log/slog"
+	"strings"
+	"sync/atomic"
+
+	"golang.org/x/time/rate"
+)
+
+// libraryLog receives the library's log lines. They are the only place where it reports that it suspects a node or has
+// dropped a packet. Its warnings are logged at a limited rate, with the number of suppressed ones; all else at debug level.
+type libraryLog struct {
+	log        *slog.Logger
+	limit      *rate.Limiter
+	suppressed atomic.Uint64
+	suspect    func(node string)
+	dropped    func(reason string)
+}
+
+func newLibraryLog(log *slog.Logger, suspect, dropped func(string)) *libraryLog {
+	return &libraryLog{log: log, limit: rate.NewLimiter(1, 5), suspect: suspect, dropped: dropped}
+}
+
+// droppedLines are the beginnings of the library's lines about what it dropped, and the reasons under which they count.
+var droppedLines = [...]struct{ prefix, reason string }{
+	{"discarding packet with unacceptable label", "label"},
+	{"discarding stream with unacceptable label", "label"},
+	{"unexpected double", "label"},
+	{"failed to receive", "malformed"},
+	{"Failed to receive", "malformed"},
+	{"Failed to decode", "malformed"},
+	{"Failed to decompress", "malformed"},
+	{"Failed to read remote state", "malformed"},
+	{"Failed push/pull merge", "malformed"},
+	{"Compound request had", "malformed"},
+	{"Received invalid msgType", "malformed"},
+	{"Got invalid checksum", "malformed"},
+	{"cannot decode label", "malformed"},
+	{"label header cannot", "malformed"},
+	{"missing message type", "malformed"},
+	{"msg type (", "malformed"},
+	{"handler queue full", "queue"},
+	{"Too many pending push/pull", "queue"},
+}
+
+// Write receives one line, as log.Logger writes it.
+func (l *libraryLog) Write(b []byte) (int, error) {
+	level, text := "ERR", strings.TrimSpace(string(b))
+	if tagged, ok := strings.CutPrefix(text, "["); ok {
+		if tag, message, ok := strings.Cut(tagged, "] "); ok {
+			level, text = tag, strings.TrimPrefix(message, "memberlist: ")
+		}
+	}
+	if suspicion, ok := strings.CutPrefix(text, "Suspect "); ok && level == "INFO" {
+		if node, _, ok := strings.Cut(suspicion, " has failed"); ok {
+			l.suspect(node)
+		}
+	}
+	if strings.Contains(text, "stream label header: EOF") {
+		level = "DEBUG" // a caller sent nothing, as a prober does
+	}
+	for _, r := range droppedLines {
+		if level != "DEBUG" && strings.HasPrefix(text, r.prefix) {
+			l.dropped(r.reason)
+			break
+		}
+	}
+	switch {
+	case level == "DEBUG" || level == "INFO":
+		l.log.Log(context.Background(), slog.LevelDebug, "members: "+text)
+	case l.limit.Allow():
+		l.log.Warn("members: "+text, "suppressed", l.suppressed.Swap(0))
+	default:
+		l.suppressed.Add(1)
+		l.log.Debug("members: " + text)
+	}
+	return len(b), nil
+}
+
+// newStandardLogger returns the logger that the library wants.
+func newStandardLogger(l *libraryLog) *log.Logger { return log.New(l, "", 0) }
--- a/internal/membership/message.go
+++ b/internal/membership/message.go
@@ -8,39 +8,43 @@
 	"marblelane/internal/membership/roster"
 )
 
-// What processes say to each other in the library's user messages and in push/pull. Fields that a newer program adds are
-// passed over; one that would be misunderstood raises the version instead.
+// messageVersion is the version of the messages that processes send in the library's user messages and push/pull. Fields
+// that a newer program adds are ignored; a change that older ones would misunderstand raises the version.
 const messageVersion = 1
 
+// kind is the kind of a message. The texts are part of the wire form.
 type kind string
 
 const (
-	kindEntries kind = "entries" // what is known of some names
-	kindAsk     kind = "ask"     // by a newcomer, with its own entry: do you know me?
-	kindAck     kind = "ack"     // by who knows it, with the digest of all that it knows
+	kindEntries    kind = "entries" // entries of the sender's roster
+	kindAckRequest kind = "ask"     // a joining process's own entry, to be acknowledged
+	kindAck        kind = "ack"     // the answer of a process that knows it, with its digest
 )
 
-// The bounds of a message: a push/pull may carry all names of a large roster, a packet one entry.
+// Bounds of a message. A push/pull may carry all entries of a large roster.
 const (
-	maxMessage = 2 << 20
+	maxMessage = 2 << 20 // bytes
 	maxEntries = 8192
 )
 
+// message is what processes send to each other, in JSON.
 type message struct {
-	Version int     `json:"v"`
-	Kind    kind    `json:"k"`
-	Entries []entry `json:"e,omitempty"`
-	By      ident   `json:"b,omitzero"` // who asks or acknowledges
-	To      ident   `json:"t,omitzero"` // who is acknowledged
-	Digest  uint64  `json:"d,omitempty"`
+	Version int         `json:"v"`
+	Kind    kind        `json:"k"`
+	Entries []wireEntry `json:"e,omitempty"`
+	By      processID   `json:"b,omitzero"` // the sender of an acknowledgement or its request
+	To      processID   `json:"t,omitzero"` // the process that is acknowledged
+	Digest  uint64      `json:"d,omitempty"`
 }
 
-type ident struct {
+// processID is roster.ID on the wire.
+type processID struct {
 	Name  string `json:"n"`
 	Start int64  `json:"s"`
 }
 
-type entry struct {
+// wireEntry is roster.Entry on the wire.
+type wireEntry struct {
 	Name  string `json:"n"`
 	Start int64  `json:"s"`
 	Gone  int64  `json:"g,omitempty"`
@@ -51,24 +55,25 @@
 }
 
 func encodeEntries(k kind, entries ...roster.Entry) message {
-	m := message{Version: messageVersion, Kind: k, Entries: make([]entry, len(entries))}
+	m := message{Version: messageVersion, Kind: k, Entries: make([]wireEntry, len(entries))}
 	for i, e := range entries {
-		m.Entries[i] = entry{e.Name, e.Start, e.Gone, uint8(e.Proof), e.Addr, e.Observer}
+		m.Entries[i] = wireEntry{e.Name, e.Start, e.Gone, uint8(e.Proof), e.Addr, e.Observer}
 	}
 	return m
 }
 
+// bytes encodes the message in the current version.
 func (m message) bytes() []byte {
 	m.Version = messageVersion
 	b, err := json.Marshal(m)
 	if err != nil {
-		panic(fmt.Sprintf("a message that cannot be written: %v", err)) // it has nothing that could fail
+		panic(fmt.Sprintf("encode a message: %v", err)) // no field of it can fail
 	}
 	return b
 }
 
-// decodeMessage reads what another process says, or what was sent by anybody. A kind that is not known is no error: a newer
-// program may have more.
+// decodeMessage decodes and checks a message, which may come from any sender. An unknown kind is no error, as a newer program may have
+// more kinds.
 func decodeMessage(b []byte, networks []netip.Prefix) (message, error) {
 	var m message
 	if len(b) > maxMessage {
@@ -88,20 +93,38 @@
 			return message{}, fmt.Errorf("message: %w", err)
 		}
 	}
-	ids := map[kind][]ident{kindAsk: {m.By}, kindAck: {m.By, m.To}}[m.Kind]
+	if err := m.checkSender(); err != nil {
+		return message{}, fmt.Errorf("message %s: %w", m.Kind, err)
+	}
+	return m, nil
+}
+
+// checkSender checks the processes that a message of its kind must name.
+func (m message) checkSender() error {
+	var ids []processID
+	switch m.Kind {
+	case kindAckRequest:
+		ids = []processID{m.By}
+	case kindAck:
+		ids = []processID{m.By, m.To}
+	}
 	for _, id := range ids {
 		if err := checkID(roster.ID(id)); err != nil {
-			return message{}, fmt.Errorf("message %s: %w", m.Kind, err)
+			return err
 		}
 	}
-	if m.Kind == kindAsk && (len(m.Entries) != 1 || m.Entries[0].Name != m.By.Name || m.Entries[0].Start != m.By.Start ||
-		m.Entries[0].Addr == "") {
-		return message{}, fmt.Errorf("message ask: %s@%d does not say where it is", m.By.Name, m.By.Start)
+	if m.Kind == kindAckRequest && !m.hasOwnEntry() {
+		return fmt.Errorf("%s@%d does not say where it is", m.By.Name, m.By.Start)
 	}
-	return m, nil
+	return nil
+}
+
+// hasOwnEntry reports whether the message has one entry, which is its sender's and has an address.
+func (m message) hasOwnEntry() bool {
+	return len(m.Entries) == 1 && processID{m.Entries[0].Name, m.Entries[0].Start} == m.By && m.Entries[0].Addr != ""
 }
 
-func (e entry) check(networks []netip.Prefix) error {
+func (e wireEntry) check(networks []netip.Prefix) error {
 	if err := checkID(roster.ID{Name: e.Name, Start: e.Start}); err != nil {
 		return err
 	}
@@ -115,16 +138,17 @@
 	if err != nil || len(e.Addr) > maxAddr || at.Port() == 0 {
 		return fmt.Errorf("entry %q: %q is no IP:PORT", e.Name, e.Addr)
 	}
-	return keyedName(e.Name, reachable(networks, at.Addr()))
+	return withEntryName(e.Name, checkCallable(networks, at.Addr()))
 }
 
-func keyedName(name string, err error) error {
+func withEntryName(name string, err error) error {
 	if err == nil {
 		return nil
 	}
 	return fmt.Errorf("entry %q: %w", name, err)
 }
 
+// roster returns the entries in the form of package roster.
 func (m message) roster() []roster.Entry {
 	out := make([]roster.Entry, len(m.Entries))
 	for i, e := range m.Entries {
@@ -134,5 +158,5 @@
 	return out
 }
 
-// weight is what a message counts for in a ring.
+// weight is what a message counts for in a messageQueue.
 func (m message) weight() int { return 1 + len(m.Entries) }
--- /dev/null
+++ b/internal/membership/message_queue.go
@@ -0,0 +1,43 @@
+package membership
+
+import "sync"
+
+// maxQueueWeight is the capacity of a queue, in messages and entries together: four push/pulls with the most entries.
+const maxQueueWeight = 4 * maxEntries
+
+// messageQueue passes messages from the library's callbacks, which run under its locks and must not wait, to the owneq.
+// When it is full the oldest are dropped and counted; push/pull repeats what they said.
+type messageQueue struct {
+	maxWeight int
+
+	mu      sync.Mutex
+	items   []message
+	weight  int
+	dropped uint64
+}
+
+// push appends a message, and returns how many were dropped for it.
+func (q *messageQueue) push(m message) int {
+	q.mu.Lock()
+	defer q.mu.Unlock()
+	evicted := 0
+	for len(q.items) > 0 && q.weight+m.weight() > q.maxWeight {
+		q.weight -= q.items[0].weight()
+		q.items[0] = message{}
+		q.items = q.items[1:]
+		evicted++
+	}
+	q.items = append(q.items, m)
+	q.weight += m.weight()
+	q.dropped += uint64(evicted)
+	return evicted
+}
+
+// take removes and returns all messages, oldest first.
+func (q *messageQueue) take() []message {
+	q.mu.Lock()
+	defer q.mu.Unlock()
+	items := q.items
+	q.items, q.weight = nil, 0
+	return items
+}
--- a/internal/membership/node.go
+++ b/internal/membership/node.go
@@ -16,10 +16,10 @@
 	"marblelane/internal/membership/roster"
 )
 
-// nodeName is what the library calls a process: each start is a node of its own.
+// nodeName is the library's name of a process: each incarnation is a node of its own.
 func nodeName(id roster.ID) string { return id.Name + "@" + strconv.FormatInt(id.Start, 10) }
 
-// parseNode reads a node's name; only the one form that nodeName gives.
+// parseNode parses a node's name. It accepts only the form that nodeName gives.
 func parseNode(node string) (roster.ID, error) {
 	at := strings.LastIndexByte(node, '@')
 	if at < 0 {
@@ -33,6 +33,7 @@
 	return id, checkID(id)
 }
 
+// checkID checks a process's identity as it comes from others.
 func checkID(id roster.ID) error {
 	if id.Start <= 0 || id.Start >= maxStart {
 		return fmt.Errorf("start %d of %q is no time in Unix milliseconds", id.Start, id.Name)
@@ -40,8 +41,8 @@
 	return checkText(id.Name, 1, maxName)
 }
 
-// meta is what a process says of itself, in JSON: what a newer program adds is passed over by an older one, and what an
-// older one does not say is empty.
+// meta is a node's metadata, in JSON. Fields that a newer program adds are ignored, and those that an older one lacks are
+// empty.
 type meta struct {
 	Name    string `json:"n"`
 	Start   int64  `json:"s"`
@@ -72,22 +73,24 @@
 		checkText(m.Role, 0, maxRole), checkText(m.Version, 0, maxVersion))
 }
 
-// peer is a node as the library tells of it, checked.
+// peer is a checked node of the library.
 type peer struct {
 	id   roster.ID
 	addr string
 	meta meta
-	ip   net.IP // with the port and text, what it was read from
-	port uint16
-	text []byte
+	// What it was parsed from.
+	ip      net.IP
+	port    uint16
+	rawMeta []byte
 }
 
-// is reports whether the library tells the same.
-func (p *peer) is(n *memberlist.Node) bool {
-	return p.port == n.Port && p.ip.Equal(n.Addr) && bytes.Equal(p.text, n.Meta) // which has its name
+// matches reports whether a node is what this peer was parsed from. The metadata holds the name.
+func (p *peer) matches(n *memberlist.Node) bool {
+	return p.port == n.Port && p.ip.Equal(n.Addr) && bytes.Equal(p.rawMeta, n.Meta)
 }
 
-func readNode(n *memberlist.Node, networks []netip.Prefix) (peer, error) {
+// parsePeer checks a node that the library reports.
+func parsePeer(n *memberlist.Node, networks []netip.Prefix) (peer, error) {
 	id, err := parseNode(n.Name)
 	if err != nil {
 		return peer{}, err
@@ -103,13 +106,13 @@
 	if !ok || n.Port == 0 {
 		return peer{}, fmt.Errorf("node %s has no address", n.Name)
 	}
-	if err := reachable(networks, ip); err != nil {
+	if err := checkCallable(networks, ip); err != nil {
 		return peer{}, fmt.Errorf("node %s: %w", n.Name, err)
 	}
-	m.Name = id.Name // one copy for both
+	m.Name = id.Name // shares the memory of both
 	for _, s := range []*string{&m.Zone, &m.Role, &m.Version} {
-		*s = unique.Make(*s).Value() // one for the fleet
+		*s = unique.Make(*s).Value() // shares the memory with other members
 	}
 	return peer{id: id, addr: netip.AddrPortFrom(ip.Unmap(), n.Port).String(), meta: m, ip: n.Addr, port: n.Port,
-		text: n.Meta}, nil
+		rawMeta: n.Meta}, nil
 }
--- /dev/null
+++ b/internal/membership/owner_identity.go
@@ -0,0 +1,151 @@
+package membership
+
+// This file changes the incarnation under which this process is known, and finds addresses that were reused.
+
+import (
+	"fmt"
+	"time"
+
+	"marblelane/internal/membership/roster"
+)
+
+const (
+	// maxRestartLeaveTime bounds the library's broadcast that the old incarnation leaves.
+	maxRestartLeaveTime = 300 * time.Millisecond
+
+	// A process raises its start at most maxStartRaises times, and only within startRaiseWindow intervals after it first
+	// reached another member. The process with the later start must have been unreachable for startRaiseDelay intervals.
+	maxStartRaises   = 3
+	startRaiseWindow = 60
+	startRaiseDelay  = 5
+)
+
+// startRaise follows processes of this one's name with a later start (see owner.raiseStart).
+type startRaise struct {
+	count            int
+	firstReachableAt time.Duration // when another process was first reachable; 0: none was
+	laterSince       time.Duration // since when an unreachable process with a later start is known; 0: none is
+}
+
+// startInstance starts the library under an identity.
+func (o *owner) startInstance(id roster.ID) error {
+	m := o.meta
+	m.Start = id.Start
+	text, err := m.encode()
+	if err != nil {
+		return err
+	}
+	i := &instance{id: id, meta: text, networks: o.cfg.Networks, broadcasts: &o.broadcasts, pushPull: &o.pushPull,
+		received: &o.received, wake: o.wake, dropped: o.counters.drop}
+	if err := i.start(&o.cfg, o.transport, o.log); err != nil {
+		return err
+	}
+	if i.addr() == "" {
+		i.shutdown()
+		return fmt.Errorf("the node %s at %s was refused", nodeName(id), o.addr)
+	}
+	o.current.Store(i)
+	return nil
+}
+
+// proveReplaced proves a process gone if another one has its address: a later one of its name, or one of another name
+// while the process is unreachable. Of processes of different names the starts prove nothing, as their clocks differ.
+func (o *owner) proveReplaced(now time.Duration) {
+	self := o.roster.Self()
+	owners := map[string]roster.ID{o.addr: self} // by address
+	for id, n := range o.reachable {
+		if other, ok := owners[n.addr]; !ok || id.Start > other.Start {
+			owners[n.addr] = id
+		}
+	}
+	for _, e := range o.entries() {
+		id := idOf(e)
+		current, ok := owners[e.Addr]
+		if !ok || !e.Present() || id == self || id == current {
+			continue
+		}
+		sameName := current.Name == e.Name
+		if sameName && current.Start > e.Start || !sameName && o.reachable[id] == nil {
+			o.merge(now, goneEntry(id, roster.ProofAddressReused))
+		}
+	}
+}
+
+// raiseStart gives this process a start above that of an earlier process of its name that has ended, which happens when
+// the wall clock was set back. Only a process that joined lately does so: to one that has been there for long, the later
+// start is its own upgrade, which is cut off.
+func (o *owner) raiseStart(now time.Duration) {
+	if o.raise.firstReachableAt == 0 && len(o.reachable) > 0 {
+		o.raise.firstReachableAt = now
+	}
+	later, found := o.unreachableLaterStart()
+	if !found {
+		o.raise.laterSince = 0
+		return
+	}
+	if o.raise.laterSince == 0 {
+		o.raise.laterSince = now
+	}
+	mayRaise := o.raise.count < maxStartRaises && now-o.raise.firstReachableAt <= startRaiseWindow*o.cfg.Interval
+	hasEnded := !later.Present() || later.Addr == o.addr || now-o.raise.laterSince >= startRaiseDelay*o.cfg.Interval
+	if !mayRaise || !hasEnded {
+		return
+	}
+	self := o.roster.Self()
+	o.raise.count++
+	o.log.Warn("members: the start is raised, as an earlier process has a later one; the clock was set back",
+		"name", self.Name, "start", self.Start, "earlier_start", later.Start)
+	o.merge(now, goneEntry(self, roster.ProofAddressReused))
+	o.raise.laterSince = 0
+}
+
+// unreachableLaterStart returns the first unreachable process of this one's name with a later start.
+func (o *owner) unreachableLaterStart() (roster.Entry, bool) {
+	self := o.roster.Self()
+	for _, e := range o.entries() {
+		_, reachable := o.reachable[idOf(e)]
+		if !reachable && !e.Observer && e.Name == self.Name && e.Start > self.Start {
+			return e, true
+		}
+	}
+	return roster.Entry{}, false
+}
+
+// resolveConflict gives this process a new incarnation if another process has the same name and start.
+func (o *owner) resolveConflict(now time.Duration) {
+	if self := o.roster.Self(); o.current.Load().takeConflict() {
+		o.log.Warn("members: another process has the same name and start", "name", self.Name, "start", self.Start)
+		o.merge(now, goneEntry(self, roster.ProofAddressReused))
+	}
+}
+
+// restartInstance starts the library anew if this process was proved gone and has a new incarnation. The old node
+// leaves first, so that it is not taken for a duplicate.
+func (o *owner) restartInstance() {
+	id, old := o.roster.Self(), o.current.Load()
+	if id == old.id {
+		return
+	}
+	if !old.transport.closed.Load() {
+		o.counters.startsRaised.Add(1)
+		o.log.Warn("members: proved gone while running; joins again", "name", id.Name, "start", id.Start,
+			"earlier_start", old.id.Start)
+		o.publish(o.now()) // it gives up its quota first
+		if len(o.reachable) > 0 {
+			_ = old.library.Leave(maxRestartLeaveTime) // the others notice without it, only later
+		}
+		old.shutdown()
+	}
+	if err := o.startInstance(id); err != nil {
+		o.log.Warn("members: join again failed", "err", err) // the next round attempts it again
+		return
+	}
+	signal(o.joinWake)
+	for _, n := range o.reachable {
+		select {
+		case o.exchanges <- exchangeRequest{n.addr}: // any one of them knows the others
+		default:
+		}
+		break
+	}
+}
--- a/internal/membership/report.go
+++ b/internal/membership/report.go
@@ -1,44 +1,118 @@
 package membership
 
 import (
+	"cmp"
+	"context"
+	"slices"
+	"strconv"
+	"time"
+
 	"marblelane/internal/membership/roster"
 )
 
-// MemberState is how a process stands with another.
+// reportTimeout is how long a report waits for the owner.
+const reportTimeout = 100 * time.Millisecond
+
+// MemberState is the state of a process as another one sees it. The texts are part of the wire form.
 type MemberState string
 
-// The standings of a member, as one process sees it.
+// The states of a member.
 const (
 	Alive     MemberState = "alive"
-	Suspected MemberState = "suspected" // it did not answer, and may refute that
-	Silent    MemberState = "silent"    // taken for dead by the failure detector, but not proved gone: it counts
+	Suspected MemberState = "suspected" // it did not answer, and may refute the suspicion
+	Silent    MemberState = "silent"    // dead by the failure detector, but not proved gone: it counts
 	Gone      MemberState = "gone"      // proved gone
 )
 
-// Member is one process as another sees it.
+// Member is one process as another one sees it.
 type Member struct {
-	Name    string      `json:"name"`
-	Start   int64       `json:"start"`
-	Addr    string      `json:"addr,omitempty"`
-	Zone    string      `json:"zone,omitempty"`
-	Role    string      `json:"role,omitempty"`
-	Version string      `json:"version,omitempty"`
-	State   MemberState `json:"state"`
-	Proof   string      `json:"proof,omitempty"` // why it is known to be gone: refused, replaced, told, left
-	SinceMS int64       `json:"since_ms"`        // for so long it has stood so
-	HeardMS int64       `json:"heard_ms"`        // since it was last alive; -1: never
-	Twin    bool        `json:"twin,omitempty"`  // another process of its name is alive beside it
+	Name        string      `json:"name"`
+	Start       int64       `json:"start"`
+	Addr        string      `json:"addr,omitempty"`
+	Zone        string      `json:"zone,omitempty"`
+	Role        string      `json:"role,omitempty"`
+	Version     string      `json:"version,omitempty"`
+	State       MemberState `json:"state"`
+	Proof       string      `json:"proof,omitempty"` // why it is known to be gone: refused, replaced, told, left
+	SinceMS     int64       `json:"since_ms"`        // how long it has been in State
+	LastAliveMS int64       `json:"heard_ms"`        // time since it was last alive; -1: never
+	Duplicate   bool        `json:"twin,omitempty"`  // another process of its name has been alive with it for long
 }
 
-// Report is what one process says of its fleet; GET /members answers it.
+// Report is what one process sees of its fleet. GET /members answers it.
 type Report struct {
 	Self    roster.ID   `json:"self"`
 	Fleet   string      `json:"fleet"`
 	UnixMS  int64       `json:"unix_ms"`
 	View    roster.View `json:"view"`
-	Changes uint64      `json:"changes"` // how often what it sees has changed
-	Dropped uint64      `json:"dropped"` // packets and connections that were refused or not understood
-	// Believed is how many processes decisions go by; 0 where nothing is decided.
-	Believed float64  `json:"believed"`
-	Members  []Member `json:"members"` // by name and start, itself included
+	Changes uint64      `json:"changes"` // changes of the view or of a member's state
+	Dropped uint64      `json:"dropped"` // packets, streams, messages and nodes that were dropped
+	// EstimatedSize is the fleet's size that the balancer goes by; 0 where there is no balancer.
+	EstimatedSize float64  `json:"believed"`
+	Members       []Member `json:"members"` // by name and start, this process included
+}
+
+// Report returns all that this process sees now, or what it saw last if the owner is busy.
+func (g *Group) Report() Report {
+	ctx, cancel := context.WithTimeout(context.Background(), reportTimeout)
+	defer cancel()
+	_ = g.do(ctx, refreshStatus{}) // the last state is good enough
+	r := Report{Fleet: g.cfg.Fleet, Self: g.current.Load().id, UnixMS: time.Now().UnixMilli(),
+		Dropped: g.counters.droppedTotal(), View: g.View()}
+	if g.cfg.EstimatedSize != nil {
+		r.EstimatedSize = g.cfg.EstimatedSize()
+	}
+	g.status.fill(&r, g.now())
+	return r
+}
+
+// fill adds the members to a report.
+func (t *statusTable) fill(r *Report, now time.Duration) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	if t.self.Name != "" {
+		r.Self = t.self
+	}
+	r.Changes, r.Members = t.changes, make([]Member, 0, len(t.members))
+	for id, m := range t.members {
+		r.Members = append(r.Members, m.member(id, now))
+	}
+	slices.SortFunc(r.Members, func(a, b Member) int {
+		return cmp.Or(cmp.Compare(a.Name, b.Name), cmp.Compare(a.Start, b.Start))
+	})
+}
+
+// member returns the status in the form of a report.
+func (m *memberStatus) member(id roster.ID, now time.Duration) Member {
+	out := Member{Name: id.Name, Start: id.Start, Addr: m.addr, State: m.state, SinceMS: (now - m.since).Milliseconds(),
+		LastAliveMS: -1, Duplicate: m.duplicate}
+	if m.meta != nil {
+		out.Zone, out.Role, out.Version = m.meta.Zone, m.meta.Role, m.meta.Version
+	}
+	if m.alive() {
+		out.LastAliveMS = 0
+	} else if m.lastAlive >= 0 {
+		out.LastAliveMS = (now - m.lastAlive).Milliseconds()
+	}
+	if m.state == Gone {
+		out.Proof = proofText(m.proof)
+	}
+	return out
+}
+
+// proofText returns a proof's text in reports.
+func proofText(p roster.Proof) string {
+	switch p {
+	case roster.ProofNone:
+		return ""
+	case roster.ProofRefused:
+		return "refused"
+	case roster.ProofAddressReused:
+		return "replaced"
+	case roster.ProofOperator:
+		return "told"
+	case roster.ProofLeft:
+		return "left"
+	}
+	return "proof-" + strconv.Itoa(int(p)) // of a newer program
 }
--- /dev/null
+++ b/internal/membership/status.go
@@ -0,0 +1,243 @@
+package membership
+
+// This file keeps the state of each process as the owner sees it, and publishes what changed.
+
+import (
+	"maps"
+	"sync"
+	"time"
+
+	"marblelane/internal/membership/roster"
+)
+
+// duplicateAfter is how long two processes of one name are alive together before they are reported as duplicates. An
+// upgrade takes less.
+const duplicateAfter = 10 * time.Second
+
+// statusTable is the state of each known process. Only the owner changes it, under the lock; others read it under the
+// lock.
+type statusTable struct {
+	mu      sync.Mutex
+	changed chan struct{} // closed at a change
+	changes uint64
+	members map[roster.ID]*memberStatus
+	self    roster.ID // zero before the first scan
+	scan    uint64    // number of the latest scan
+}
+
+// memberStatus is the state of one process.
+type memberStatus struct {
+	state      MemberState
+	since      time.Duration // of state
+	aliveSince time.Duration // if it is alive
+	lastAlive  time.Duration // if it is not alive; negative: it never was
+	duplicate  bool
+	meta       *meta // nil: never received
+	addr       string
+	proof      roster.Proof
+	scan       uint64 // number of the last scan that found it
+}
+
+// alive reports whether the failure detector counts the process as alive.
+func (m *memberStatus) alive() bool { return m.state == Alive || m.state == Suspected }
+
+func newStatusTable() *statusTable {
+	return &statusTable{changed: make(chan struct{}), members: map[roster.ID]*memberStatus{}}
+}
+
+// notifyChange counts a change and wakes those that wait for it.
+func (t *statusTable) notifyChange() {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	t.changes++
+	close(t.changed)
+	t.changed = make(chan struct{})
+}
+
+// nextChange returns a channel that is closed at the next change.
+func (t *statusTable) nextChange() <-chan struct{} {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	return t.changed
+}
+
+// publish updates the view and, if a scan is due, the state of all members. It calls Config.ViewChanged at a change and
+// once in viewInterval.
+func (o *owner) publish(now time.Duration) {
+	view := o.roster.View(now)
+	if o.cfg.Defect == DefectNoAdmission && !o.left.Load() {
+		view.Admitted = true
+	}
+	before := o.view.Swap(&view)
+	changed := view != *before
+	if o.scanDue(now) {
+		o.publishPeers()
+		changed = o.updateStatus(now) || changed
+		o.scanNeeded, o.lastScan = false, now
+	}
+	if changed {
+		o.status.notifyChange()
+		o.viewSentAt = now - viewInterval
+	}
+	if now-o.viewSentAt >= viewInterval-viewIntervalSlack {
+		o.viewSentAt = now
+		if o.cfg.ViewChanged != nil {
+			o.cfg.ViewChanged(view)
+		}
+	}
+}
+
+// publishPeers gives joiner and prober what they go by, and wakes them if there is work.
+func (o *owner) publishPeers() {
+	entries := o.entries()
+	s := &peerSnapshot{unreachable: o.roster.Unreachable(), reachable: make(map[string]bool, len(o.reachable))}
+	for _, n := range o.reachable {
+		s.reachable[n.addr] = true
+	}
+	if len(o.reachable) == 0 {
+		for _, e := range entries {
+			if e.Present() && idOf(e) != o.roster.Self() && e.Addr != "" {
+				s.present = append(s.present, e)
+			}
+		}
+	}
+	before := o.peers.Swap(s)
+	lostAll := len(s.reachable) == 0 && len(before.reachable) > 0
+	if len(s.unreachable) > len(before.unreachable) || lostAll {
+		signal(o.joinWake)
+	}
+	if len(s.unreachable) > 0 {
+		signal(o.probeWake)
+	}
+}
+
+// updateStatus scans all processes. It reports whether the state of any has changed.
+func (o *owner) updateStatus(now time.Duration) bool {
+	t := o.status
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	t.scan++
+	self := o.roster.Self()
+	changed := t.self != self
+	t.self = self
+	entries := o.entries()
+	found := len(entries)
+	for _, e := range entries {
+		changed = o.updateMember(now, idOf(e), e, o.reachable[idOf(e)]) || changed
+	}
+	for id, n := range o.reachable { // nodes that do not fit into the roster
+		if !t.scanned(id) {
+			unknown := roster.Entry{Name: id.Name, Start: id.Start}
+			changed = o.updateMember(now, id, unknown, n) || changed
+			found++
+		}
+	}
+	if !t.scanned(self) {
+		changed = o.updateMember(now, self, roster.Entry{Name: self.Name, Start: self.Start}, nil) || changed
+		found++
+	}
+	if len(t.members) > found {
+		changed = true
+		maps.DeleteFunc(t.members, func(_ roster.ID, m *memberStatus) bool { return m.scan != t.scan })
+	}
+	return o.updateDuplicates(now, entries) || changed
+}
+
+// scanned reports whether the current scan has found a process.
+func (t *statusTable) scanned(id roster.ID) bool {
+	m := t.members[id]
+	return m != nil && m.scan == t.scan
+}
+
+// stateOf derives a process's state from its entry and its node, which is nil if it is not alive.
+func (o *owner) stateOf(e roster.Entry, n *aliveNode) MemberState {
+	switch {
+	case !e.Present():
+		return Gone
+	case idOf(e) == o.roster.Self():
+		return Alive
+	case n == nil:
+		return Silent
+	case n.suspected:
+		return Suspected
+	}
+	return Alive
+}
+
+// updateMember records what the current scan found of one process. It reports whether that has changed.
+func (o *owner) updateMember(now time.Duration, id roster.ID, e roster.Entry, n *aliveNode) bool {
+	t := o.status
+	m := t.members[id]
+	if m == nil {
+		m = &memberStatus{lastAlive: -1, aliveSince: now}
+		t.members[id] = m
+	}
+	m.scan, m.addr, m.proof = t.scan, e.Addr, e.Proof
+	state := o.stateOf(e, n)
+	changed := m.state != state
+	if changed {
+		if m.alive() {
+			m.lastAlive = now
+		} else if state == Alive {
+			m.aliveSince = now
+		}
+		m.state, m.since = state, now
+	}
+	latest := m.meta
+	switch {
+	case id == t.self:
+		m.addr, latest = o.addr, &o.meta
+	case n != nil:
+		m.addr, latest = n.addr, &n.meta
+	}
+	if m.meta != latest {
+		changed = changed || m.meta == nil || *m.meta != *latest
+		m.meta = latest
+	}
+	return changed
+}
+
+// updateDuplicates finds the processes of one name that have been alive together for long. It reports whether that has
+// changed. The entries are sorted by name.
+func (o *owner) updateDuplicates(now time.Duration, entries []roster.Entry) bool {
+	changed := false
+	o.namesCoexist = false
+	for len(entries) > 0 {
+		n := 1
+		for n < len(entries) && entries[n].Name == entries[0].Name {
+			n++
+		}
+		sameName := entries[:n]
+		entries = entries[n:]
+		if n > 1 || o.status.members[idOf(sameName[0])].duplicate {
+			changed = o.updateDuplicatesOfName(now, sameName) || changed
+		}
+	}
+	return changed
+}
+
+func (o *owner) updateDuplicatesOfName(now time.Duration, sameName []roster.Entry) bool {
+	alive, longAlive := 0, 0
+	for _, e := range sameName {
+		if m := o.status.members[idOf(e)]; m.alive() {
+			alive++
+			if now-m.aliveSince >= duplicateAfter {
+				longAlive++
+			}
+		}
+	}
+	o.namesCoexist = o.namesCoexist || alive > 1
+	changed := false
+	for _, e := range sameName {
+		m := o.status.members[idOf(e)]
+		duplicate := longAlive > 1 && m.alive()
+		if duplicate == m.duplicate {
+			continue
+		}
+		m.duplicate, changed = duplicate, true
+		if duplicate {
+			o.log.Warn("members: two processes of one name run side by side", "name", e.Name, "start", e.Start)
+		}
+	}
+	return changed
+}
--- a/internal/membership/transport.go
+++ b/internal/membership/transport.go
@@ -19,54 +19,53 @@
 	"marblelane/internal/retry"
 )
 
-// limits bound what callers can make a transport hold.
+// limits bound the memory and the time that callers can take.
 type limits struct {
-	packet  int           // bytes of a packet, either way
-	stream  int64         // bytes of a stream, each way
-	streams int           // incoming streams at a time
-	turn    time.Duration // how long a caller, and those behind it, wait for one to end before it is turned away
-	idle    time.Duration // how long a stream may send nothing while it is read
-	life    time.Duration // from a stream's opening to its end
+	maxPacketBytes int           // in either direction
+	maxStreamBytes int64         // in each direction
+	maxStreams     int           // incoming ones at a time
+	slotTimeout    time.Duration // how long an incoming stream waits for another one to end before it is dropped
+	idleTimeout    time.Duration // without a byte while the stream is read
+	streamLifetime time.Duration // from the opening of a stream to its end
 }
 
-// defaultLimits let a push/pull of 4,096 names through, with 1 KiB for each: of the library at most 512 bytes of
-// metadata and some 200 of its own, and of the roster some 200. The library's packets are at most 1,400 bytes long;
-// only a user message may be longer.
-var defaultLimits = limits{packet: 8 << 10, stream: 4096 << 10, streams: 32, turn: time.Second, idle: 5 * time.Second,
-	life: 15 * time.Second}
+// defaultLimits allow a push/pull of 4,096 names with 1 KiB for each: at most 512 bytes of metadata, about 200 bytes of
+// the library and about 200 of the roster. The library's packets have at most 1,400 bytes; only a user message may be
+// longer.
+var defaultLimits = limits{maxPacketBytes: 8 << 10, maxStreamBytes: 4096 << 10, maxStreams: 32, slotTimeout: time.Second, idleTimeout: 5 * time.Second,
+	streamLifetime: 15 * time.Second}
 
-// Why a packet or a connection was dropped.
+// Reasons for which a packet or a stream is dropped. They are values of a metric's label.
 const (
-	droppedNetwork = "network" // its other end lies in none of the networks
-	droppedLong    = "long"    // more bytes than the limit
-	droppedEmpty   = "empty"   // a packet of no bytes
-	droppedIdle    = "idle"    // a stream that sent nothing for long
-	droppedLate    = "late"    // a stream that did not end in time
-	droppedSwollen = "swollen" // would take more memory than it has bytes
-	droppedStreams = "streams" // too many streams at a time
+	droppedNetwork   = "network" // the other end lies in none of the networks
+	droppedLong      = "long"    // more bytes than its limit
+	droppedEmpty     = "empty"   // a packet without bytes
+	droppedIdle      = "idle"    // nothing arrived within idleTimeout
+	droppedLate      = "late"    // the stream did not end within streamLifetime
+	droppedOversized = "swollen" // it announces more than its limit, or is compressed
+	droppedStreams   = "streams" // maxStreams are open
 )
 
-// transportConfig says where a transport listens and whom it hears.
+// transportConfig configures a transport.
 type transportConfig struct {
 	Bind      string // HOST:PORT, UDP and TCP; port 0: the system's choice, the same for both
-	Advertise string // HOST:PORT that others are told, port 0: the bound one; empty: Bind as it was bound
+	Advertise string // HOST:PORT that others call, port 0: the bound one; empty: the bound address
 	Networks  []netip.Prefix
 	Log       *slog.Logger
-	Dropped   func(why string) // told of each drop, from many goroutines; nil: nothing
+	Dropped   func(reason string) // called for each drop, from many goroutines; may be nil
 }
 
 // transport carries memberlist's packets and streams.
 //
-// It is not built on the library's NetTransport: that hands on packets and connections from anywhere, bounds neither
-// the length of a stream nor how many there are, calls from an address of the system's choice, and has its
-// goroutines wait for the library without end.
+// It replaces the library's NetTransport, which accepts packets and streams from anywhere, bounds neither the length nor
+// the number of streams, calls from any local address, and has goroutines that wait for the library without a timeout.
 type transport struct {
 	limits
 	networks []netip.Prefix
 	log      *slog.Logger
-	dropped  func(why string)
+	dropped  func(reason string)
 
-	tcp       net.Listener // accepts TCP connections alone
+	tcp       net.Listener // of a TCP socket
 	udp       *net.UDPConn
 	bound     netip.AddrPort
 	advertise netip.AddrPort
@@ -74,28 +73,28 @@
 
 	packetCh chan *memberlist.Packet
 	streamCh chan net.Conn
-	slots    chan struct{} // one in it for each incoming stream
+	slots    chan struct{} // holds one element for each incoming stream
 
 	ctx    context.Context // ended by Shutdown
 	cancel func()
 	wg     sync.WaitGroup
 
-	mu     sync.Mutex
-	closed bool
-	open   map[*stream]struct{}
+	mu      sync.Mutex
+	closed  bool
+	streams map[*stream]struct{}
 }
 
 var _ memberlist.NodeAwareTransport = (*transport)(nil)
 
-// newTransport binds and begins to listen. Shutdown ends it; it returns after the transport's goroutines have.
+// newTransport binds and listens. Shutdown ends it, and returns once the transport's goroutines have ended.
 func newTransport(cfg transportConfig) (memberlist.NodeAwareTransport, error) {
 	return openTransport(cfg, defaultLimits)
 }
 
 func openTransport(cfg transportConfig, l limits) (*transport, error) {
 	t := &transport{limits: l, networks: cfg.Networks, log: cfg.Log, dropped: cfg.Dropped,
-		packetCh: make(chan *memberlist.Packet), streamCh: make(chan net.Conn), slots: make(chan struct{}, l.streams),
-		open: map[*stream]struct{}{}}
+		packetCh: make(chan *memberlist.Packet), streamCh: make(chan net.Conn), slots: make(chan struct{}, l.maxStreams),
+		streams: map[*stream]struct{}{}}
 	if t.log == nil {
 		t.log = slog.New(slog.DiscardHandler)
 	}
@@ -105,11 +104,11 @@
 	if err := t.bind(cfg.Bind); err != nil {
 		return nil, fmt.Errorf("bind %q: %w", cfg.Bind, err)
 	}
-	if err := t.announce(cfg.Advertise); err != nil {
+	if err := t.setAdvertise(cfg.Advertise); err != nil {
 		return nil, errors.Join(fmt.Errorf("advertise %q: %w", cfg.Advertise, err), t.tcp.Close(), t.udp.Close())
 	}
-	// Members tell each other by their addresses, so calls come from the one that is bound.
-	t.dialer = net.Dialer{KeepAlive: -1, Control: latePort}
+	// Members recognize each other by their addresses, so calls come from the bound one.
+	t.dialer = net.Dialer{KeepAlive: -1, Control: choosePortLate}
 	if ip := t.bound.Addr(); !ip.IsUnspecified() {
 		t.dialer.LocalAddr = net.TCPAddrFromAddrPort(netip.AddrPortFrom(ip, 0))
 	}
@@ -119,23 +118,23 @@
 	return t, nil
 }
 
-// latePort has the system choose the port of a bound call when it connects, when it may be one that another call
-// uses to another address. Where it cannot, the call takes a port of its own.
-func latePort(_, _ string, c syscall.RawConn) error {
+// choosePortLate has the system choose the local port when the call connects, so that calls to different addresses may
+// share a port. Where the system does not support it, each call takes a port of its own.
+func choosePortLate(_, _ string, c syscall.RawConn) error {
 	return c.Control(func(fd uintptr) {
 		_ = unix.SetsockoptInt(int(fd), unix.IPPROTO_IP, unix.IP_BIND_ADDRESS_NO_PORT, 1)
 	})
 }
 
-// bind takes a port of TCP and the same of UDP. Where the system chooses, the one it chose for TCP may be taken for
-// UDP; then it chooses again.
+// bind binds one port for TCP and UDP. If the system chooses the port, the one chosen for TCP may be in use for UDP; then
+// it chooses again.
 func (t *transport) bind(addr string) error {
-	const tries = 16
+	const maxAttempts = 16
 	at, err := net.ResolveTCPAddr("tcp", addr)
 	if err != nil {
 		return err
 	}
-	for range tries {
+	for range maxAttempts {
 		var tcp *net.TCPListener
 		if tcp, err = net.ListenTCP("tcp", at); err != nil {
 			return err
@@ -144,10 +143,10 @@
 		got := t.tcp.Addr().(*net.TCPAddr).AddrPort()
 		if t.udp, err = net.ListenUDP("udp", net.UDPAddrFromAddrPort(got)); err == nil {
 			t.bound = netip.AddrPortFrom(got.Addr().Unmap(), got.Port())
-			_ = t.udp.SetReadBuffer(1 << 20) // as much of it as the system allows
+			_ = t.udp.SetReadBuffer(1 << 20) // the system may allow less
 			return nil
 		}
-		_ = t.tcp.Close() // nobody was told of it
+		_ = t.tcp.Close() // it was not used yet
 		if at.Port != 0 || !errors.Is(err, syscall.EADDRINUSE) {
 			break
 		}
@@ -155,8 +154,8 @@
 	return err
 }
 
-// announce settles the address that others are told.
-func (t *transport) announce(addr string) error {
+// setAdvertise determines the address that others call.
+func (t *transport) setAdvertise(addr string) error {
 	t.advertise = t.bound
 	if addr != "" {
 		at, err := net.ResolveTCPAddr("tcp", addr)
@@ -172,52 +171,52 @@
 	if ip := t.advertise.Addr(); !ip.IsValid() || ip.IsUnspecified() {
 		return fmt.Errorf("others cannot call %v: an address is needed", t.bound)
 	}
-	if !within(t.networks, t.advertise.Addr()) {
+	if !inNetworks(t.networks, t.advertise.Addr()) {
 		return fmt.Errorf("%v lies in none of the networks %v", t.advertise, t.networks)
 	}
 	return nil
 }
 
-// TransportAddr is the address that was bound.
+// TransportAddr returns the bound address.
 func (t *transport) TransportAddr() netip.AddrPort { return t.bound }
 
-// FinalAdvertiseAddr is the address that others are told. What the library's configuration says of it does not count.
+// FinalAdvertiseAddr returns the address that others call. It ignores that of the library's configuration.
 func (t *transport) FinalAdvertiseAddr(string, int) (net.IP, int, error) {
 	return t.advertise.Addr().AsSlice(), int(t.advertise.Port()), nil
 }
 
-// callable reads an address to call or send to. Others name such addresses, so they are held to the networks as well:
-// else a member could have this one send to anybody.
-func (t *transport) callable(addr string) (netip.AddrPort, error) {
+// parseTarget parses an address to call or send to. Other members name such addresses, so they must lie in the networks,
+// too: a member could make this one send to anybody otherwise.
+func (t *transport) parseTarget(addr string) (netip.AddrPort, error) {
 	to, err := netip.ParseAddrPort(addr)
 	if err != nil {
 		return to, err
 	}
 	to = netip.AddrPortFrom(to.Addr().Unmap(), to.Port())
-	if !within(t.networks, to.Addr()) {
+	if !inNetworks(t.networks, to.Addr()) {
 		t.dropped(droppedNetwork)
 		return to, fmt.Errorf("%s lies in none of the networks %v", addr, t.networks)
 	}
 	return to, nil
 }
 
-// PacketCh gives the packets that came in.
+// PacketCh returns the channel of received packets.
 func (t *transport) PacketCh() <-chan *memberlist.Packet { return t.packetCh }
 
-// StreamCh gives the streams that others opened.
+// StreamCh returns the channel of accepted streams.
 func (t *transport) StreamCh() <-chan net.Conn { return t.streamCh }
 
 // WriteTo sends a packet.
 func (t *transport) WriteTo(b []byte, addr string) (time.Time, error) {
-	to, err := t.callable(addr)
+	to, err := t.parseTarget(addr)
 	if err != nil {
 		return time.Time{}, err
 	}
-	if len(b) > t.packet {
-		return time.Time{}, fmt.Errorf("packet to %s of %d bytes is longer than %d", addr, len(b), t.packet)
+	if len(b) > t.maxPacketBytes {
+		return time.Time{}, fmt.Errorf("packet to %s of %d bytes is longer than %d", addr, len(b), t.maxPacketBytes)
 	}
 	_, err = t.udp.WriteToUDPAddrPort(b, to)
-	return time.Now(), err // as it is: the library tells by its type whether the other end failed
+	return time.Now(), err // unwrapped: the library checks its type to see whether the other end failed
 }
 
 // WriteToAddress sends a packet.
@@ -227,15 +226,15 @@
 
 // DialTimeout opens a stream, from the bound address.
 func (t *transport) DialTimeout(addr string, timeout time.Duration) (net.Conn, error) {
-	to, err := t.callable(addr)
+	to, err := t.parseTarget(addr)
 	if err != nil {
 		return nil, err
 	}
-	ctx, cancel := context.WithTimeout(t.ctx, min(timeout, t.life))
+	ctx, cancel := context.WithTimeout(t.ctx, min(timeout, t.streamLifetime))
 	defer cancel()
 	conn, err := t.dialer.DialContext(ctx, "tcp", to.String())
 	if err != nil {
-		return nil, err // as it is, see WriteTo
+		return nil, err // unwrapped, see WriteTo
 	}
 	return t.newStream(conn, func() {})
 }
@@ -249,15 +248,15 @@
 func (t *transport) Shutdown() error {
 	t.mu.Lock()
 	var open []*stream
-	for s := range t.open {
+	for s := range t.streams {
 		open = append(open, s)
 	}
-	was := t.closed
+	wasClosed := t.closed
 	t.closed = true
 	t.mu.Unlock()
 	t.cancel()
 	var err error
-	if !was {
+	if !wasClosed {
 		err = errors.Join(t.tcp.Close(), t.udp.Close())
 	}
 	for _, s := range open {
@@ -267,45 +266,45 @@
 	return err
 }
 
-// readFailures paces the reading of packets after failures, and bounds their lines in the log.
+// readFailures holds the backoff after failed reads of packets, and the limit of their log lines.
 type readFailures struct {
 	backoff retry.Backoff
 	limiter retry.LogLimiter
 }
 
-// pause waits a moment after a failure of the packets' socket; false: the transport has ended.
-func (t *transport) pause(failures *readFailures, err error) bool {
+// backOff waits after a failed read of a packet. It returns false if the transport has ended.
+func (t *transport) backOff(failures *readFailures, err error) bool {
 	if t.ctx.Err() != nil {
 		return false
 	}
 	if ok, suppressed := failures.limiter.Allow(); ok {
-		t.log.Warn("members: read packets", "addr", t.bound, "error", err, "suppressed", suppressed)
+		t.log.Warn("members: read of a packet failed", "addr", t.bound, "err", err, "suppressed", suppressed)
 	}
 	return retry.Sleep(t.ctx, failures.backoff.Next()) == nil
 }
 
 func (t *transport) readPackets() {
-	buf := make([]byte, t.packet+1)
+	buf := make([]byte, t.maxPacketBytes+1)
 	failures := readFailures{backoff: retry.NewBackoff()}
 	for {
 		n, from, err := t.udp.ReadFromUDPAddrPort(buf)
 		at := time.Now()
 		if err != nil {
-			if !t.pause(&failures, err) {
+			if !t.backOff(&failures, err) {
 				return
 			}
 			continue
 		}
 		failures.backoff.Reset()
 		switch {
-		case !within(t.networks, from.Addr()):
+		case !inNetworks(t.networks, from.Addr()):
 			t.dropped(droppedNetwork)
-		case n > t.packet:
+		case n > t.maxPacketBytes:
 			t.dropped(droppedLong)
 		case n == 0:
 			t.dropped(droppedEmpty)
-		case swollen(buf[:n]):
-			t.dropped(droppedSwollen)
+		case mayExpand(buf[:n]):
+			t.dropped(droppedOversized)
 		default:
 			from = netip.AddrPortFrom(from.Addr().Unmap(), from.Port())
 			p := &memberlist.Packet{Buf: bytes.Clone(buf[:n]), From: net.UDPAddrFromAddrPort(from), Timestamp: at}
@@ -323,16 +322,16 @@
 		conn, err := t.tcp.Accept()
 		if err != nil {
 			if !errors.Is(err, net.ErrClosed) {
-				t.log.Error("members: no stream can be accepted any more", "addr", t.bound, "error", err)
+				t.log.Error("members: accept failed, no more streams are accepted", "addr", t.bound, "err", err)
 			}
 			return
 		}
-		if !within(t.networks, conn.RemoteAddr().(*net.TCPAddr).AddrPort().Addr()) {
+		if !inNetworks(t.networks, conn.RemoteAddr().(*net.TCPAddr).AddrPort().Addr()) {
 			t.dropped(droppedNetwork)
 			_ = conn.Close()
 			continue
 		}
-		if !t.takeSlot() {
+		if !t.acquireSlot() {
 			t.dropped(droppedStreams)
 			_ = conn.Close()
 			continue
@@ -349,19 +348,19 @@
 	}
 }
 
-// takeSlot waits for its turn: callers behind the one that waits are not accepted meanwhile.
-func (t *transport) takeSlot() bool {
+// acquireSlot waits for a free slot up to slotTimeout. No other stream is accepted meanwhile.
+func (t *transport) acquireSlot() bool {
 	select {
 	case t.slots <- struct{}{}:
 		return true
 	default:
 	}
-	turn := time.NewTimer(t.turn)
-	defer turn.Stop()
+	timeout := time.NewTimer(t.slotTimeout)
+	defer timeout.Stop()
 	select {
 	case t.slots <- struct{}{}:
 		return true
-	case <-turn.C:
+	case <-timeout.C:
 	case <-t.ctx.Done():
 	}
 	return false
--- a/internal/membership/transport_guard.go
+++ b/internal/membership/transport_guard.go
@@ -11,30 +11,30 @@
 	"github.com/hashicorp/go-msgpack/v2/codec"
 )
 
-// The library trusts its callers with memory: it unpacks what is compressed to 40 MiB, and makes room for as many
-// nodes (a million) and bytes (20 MiB) as a stream's first bytes announce, before any of them has come. So both are
-// looked through here. A member sends nothing compressed.
+// The library does not protect its memory: it decompresses up to 40 MiB, and allocates memory for as many nodes (a
+// million) and bytes (20 MiB) as the first bytes of a stream announce. This file rejects both. No member compresses.
 
-// The library's message types that matter here (net.go there).
+// Message types of the library (net.go there).
 const (
 	typePushPull   = 6
 	typeCompound   = 7
 	typeUser       = 8
 	typeCompressed = 9
-	typeChecked    = 12 // a checksum, then another message
+	typeChecked    = 12 // a checksum, followed by another message
 	typeLabel      = 244
 )
 
 const (
-	nodesMost  = 8192 // that a push/pull may announce: 4,096 names, each with two starts in an upgrade
-	headerMost = 256  // bytes of an announcement
+	maxAnnouncedNodes = 8192 // of a push/pull: 4,096 names, each with two processes during an upgrade
+	maxHeaderBytes    = 256  // of the part of a stream that announces sizes
+	maxLabelBytes     = 256  // of the label before it
 )
 
-var errSwollen = errors.New("announces more than it may bring")
+var errOversized = errors.New("announces more than it may bring")
 
-// swollen reports whether a packet holds what the library would unpack, or messages in messages as no member sends
-// them.
-func swollen(b []byte) bool {
+// mayExpand reports whether a packet is compressed, or has a compressed or compound message inside a compound one. No
+// member sends those.
+func mayExpand(b []byte) bool {
 	if len(b) >= 2 && b[0] == typeLabel {
 		b = b[min(2+int(b[1]), len(b)):]
 	}
@@ -47,73 +47,79 @@
 	if len(b) < 2 || len(b) < 2+2*int(b[1]) {
 		return true
 	}
-	lengths, rest := b[2:2+2*int(b[1])], b[2+2*int(b[1]):]
+	lengths, parts := b[2:2+2*int(b[1])], b[2+2*int(b[1]):]
 	for ; len(lengths) > 0; lengths = lengths[2:] {
-		n := min(int(binary.BigEndian.Uint16(lengths)), len(rest))
-		if n > 0 && (rest[0] == typeCompressed || rest[0] == typeCompound) {
+		n := min(int(binary.BigEndian.Uint16(lengths)), len(parts))
+		if n > 0 && (parts[0] == typeCompressed || parts[0] == typeCompound) {
 			return true
 		}
-		rest = rest[n:]
+		parts = parts[n:]
 	}
 	return false
 }
 
-// begin reads what the stream announces, and gives a reader of it all, from its first byte on.
-func (s *stream) begin() (io.Reader, error) {
-	in := bufio.NewReaderSize(readerFunc(s.bounded), headerMost)
+// checkedReader checks the sizes that the stream announces, and returns a reader of the whole stream.
+func (s *stream) checkedReader() (io.Reader, error) {
+	in := bufio.NewReaderSize(readerFunc(s.readBounded), maxHeaderBytes)
 	var seen bytes.Buffer
-	err := announced(io.LimitReader(io.TeeReader(in, &seen), headerMost+256), s.t.stream)
-	if errors.Is(err, errSwollen) {
-		s.t.dropped(droppedSwollen)
+	err := checkAnnouncement(io.LimitReader(io.TeeReader(in, &seen), maxHeaderBytes+maxLabelBytes), s.transport.maxStreamBytes)
+	if errors.Is(err, errOversized) {
+		s.transport.dropped(droppedOversized)
 		err = fmt.Errorf("read from %v: %w", s.RemoteAddr(), errors.Join(err, s.Close()))
 	}
 	return io.MultiReader(&seen, in), err
 }
 
-// announced reads the beginning of a stream.
-func announced(in io.Reader, most int64) error {
-	var first [2]byte
-	if _, err := io.ReadFull(in, first[:1]); err != nil {
+// checkAnnouncement reads the header of a stream and checks the sizes in it.
+func checkAnnouncement(in io.Reader, maxBytes int64) error {
+	messageType, err := readMessageType(in)
+	if err != nil {
 		return err
 	}
-	if first[0] == typeLabel {
-		if _, err := io.ReadFull(in, first[1:]); err != nil {
-			return err
-		}
-		if _, err := io.CopyN(io.Discard, in, int64(first[1])); err != nil {
-			return err
-		}
-		if _, err := io.ReadFull(in, first[:1]); err != nil {
-			return err
-		}
-	}
-	// As the library decodes them.
+	// The fields and their names are those of the library's encoding.
 	var header struct {
 		Nodes        int
 		UserStateLen int
 		Join         bool
 	}
 	var user struct{ UserMsgLen int }
-	var to any
-	switch first[0] {
+	var announcement any
+	switch messageType {
 	case typeCompressed:
-		return errSwollen
+		return errOversized
 	case typePushPull:
-		to = &header
+		announcement = &header
 	case typeUser:
-		to = &user
+		announcement = &user
 	default:
 		return nil
 	}
-	if err := codec.NewDecoder(in, &codec.MsgpackHandle{}).Decode(to); err != nil {
+	if err := codec.NewDecoder(in, &codec.MsgpackHandle{}).Decode(announcement); err != nil {
 		return err
 	}
-	if header.Nodes > nodesMost || int64(header.UserStateLen) > most || int64(user.UserMsgLen) > most {
-		return errSwollen
+	if header.Nodes > maxAnnouncedNodes || int64(header.UserStateLen) > maxBytes || int64(user.UserMsgLen) > maxBytes {
+		return errOversized
 	}
 	return nil
 }
 
+// readMessageType reads the type of the stream's first message, behind the label if there is one.
+func readMessageType(in io.Reader) (byte, error) {
+	var first [2]byte
+	if _, err := io.ReadFull(in, first[:1]); err != nil || first[0] != typeLabel {
+		return first[0], err
+	}
+	if _, err := io.ReadFull(in, first[1:]); err != nil {
+		return 0, err
+	}
+	if _, err := io.CopyN(io.Discard, in, int64(first[1])); err != nil {
+		return 0, err
+	}
+	_, err := io.ReadFull(in, first[:1])
+	return first[0], err
+}
+
+// readerFunc is a function that is an io.Reader.
 type readerFunc func([]byte) (int, error)
 
 func (f readerFunc) Read(b []byte) (int, error) { return f(b) }
--- a/internal/membership/units_test.go
+++ b/internal/membership/units_test.go
@@ -22,7 +22,7 @@
 	"marblelane/internal/membership/roster"
 )
 
-func TestSection(t *testing.T) {
+func TestSection_Config(t *testing.T) {
 	text := `{"fleet":"f","bind":":7946","networks":["10.1.2.3/8"],"seeds":["a:1"],"interval":"2s","believe_refused":false}`
 	var fromJSON, fromTOML Section
 	require.NoError(t, json.Unmarshal([]byte(text), &fromJSON))
@@ -58,17 +58,17 @@
 	}
 }
 
-func TestNodes(t *testing.T) {
+func TestParsePeer(t *testing.T) {
 	letter := rapid.Rune().Filter(func(r rune) bool { return checkText(string(r), 1, 4) == nil })
 	rapid.Check(t, func(t *rapid.T) {
 		m := meta{Start: rapid.Int64Range(1, maxStart-1).Draw(t, "start")}
 		for _, d := range []struct {
-			to   *string
-			most int
+			target   *string
+			maxBytes int
 		}{{&m.Name, maxName}, {&m.Zone, maxZone}, {&m.Role, maxRole}, {&m.Version, maxVersion}} {
-			*d.to = rapid.StringOfN(letter, 1, -1, d.most).Draw(t, "text")
+			*d.target = rapid.StringOfN(letter, 1, -1, d.maxBytes).Draw(t, "text")
 		}
-		text, err := m.encode() // whatever passes the checks fits
+		text, err := m.encode() // texts within the bounds fit
 		require.NoError(t, err)
 		back, err := decodeMeta(text)
 		require.NoError(t, err)
@@ -82,7 +82,7 @@
 		return &memberlist.Node{Name: name, Meta: []byte(meta), Addr: net.ParseIP(ip), Port: 1}
 	}
 	for text, n := range map[string]*memberlist.Node{
-		"":               node("a@7", `{"n":"a","s":7,"newer":[1]}`, "10.0.0.1"), // of a newer program; and of an older one
+		"":               node("a@7", `{"n":"a","s":7,"newer":[1]}`, "10.0.0.1"), // of a newer program, and of an older one
 		"no NAME@START":  node("a@07", `{"n":"a","s":7}`, "10.0.0.1"),
 		"says of itself": node("b@7", `{"n":"a","s":7}`, "10.0.0.1"),
 		"none of the":    node("a@7", `{"n":"a","s":7}`, "11.0.0.1"),
@@ -91,7 +91,7 @@
 		"more than 512":  node("a@7", `{"n":"a","s":7,"z":"`+strings.Repeat("z", 512)+`"}`, "10.0.0.1"),
 		"not from 0":     node("a@7", `{"n":"a","s":7,"z":"`+strings.Repeat("z", 65)+`"}`, "10.0.0.1"),
 	} {
-		_, err := readNode(n, nets)
+		_, err := parsePeer(n, nets)
 		if text == "" {
 			require.NoError(t, err)
 		} else {
@@ -101,11 +101,11 @@
 }
 
 func FuzzDecodeMessage(f *testing.F) {
-	ask := encodeEntries(kindAsk, roster.Entry{Name: "a", Start: 7, Addr: "127.0.0.1:1"})
-	ask.By, ask.Digest = ident{"a", 7}, 1<<63
-	f.Add(ask.bytes())
-	f.Add(message{Kind: kindAck, By: ident{"b", 1}, To: ident{"a", 7}, Digest: 9}.bytes())
-	f.Add(encodeEntries(kindEntries, gone(roster.ID{Name: "a", Start: 7}, roster.ProofLeft)).bytes())
+	request := encodeEntries(kindAckRequest, roster.Entry{Name: "a", Start: 7, Addr: "127.0.0.1:1"})
+	request.By, request.Digest = processID{"a", 7}, 1<<63
+	f.Add(request.bytes())
+	f.Add(message{Kind: kindAck, By: processID{"b", 1}, To: processID{"a", 7}, Digest: 9}.bytes())
+	f.Add(encodeEntries(kindEntries, goneEntry(roster.ID{Name: "a", Start: 7}, roster.ProofLeft)).bytes())
 	f.Add([]byte(`{"v":1,"k":"later","x":{}}`))
 	f.Fuzz(func(t *testing.T, b []byte) {
 		m, err := decodeMessage(b, nil)
@@ -120,7 +120,7 @@
 	})
 }
 
-func TestMessagesThatAreRefused(t *testing.T) {
+func TestDecodeMessage_Invalid(t *testing.T) {
 	for _, text := range []string{`{"v":1,"k":"ask","b":{"n":"a","s":1}}`, `{"v":1,"k":"ack","b":{"n":"a","s":1}}`,
 		`{"v":1,"e":[{"n":"a","s":0}]}`, `{"v":1,"e":[{"n":"a","s":1,"g":1}]}`, `{"v":1,"e":[{"n":"a","s":1,"a":"h:1"}]}`,
 		`{"v":1,"e":[{"n":"a","s":1,"a":"0.0.0.0:1"}]}`,
@@ -131,50 +131,50 @@
 	}
 }
 
-func TestRing(t *testing.T) {
+func TestMessageQueue(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		r := ring{most: rapid.IntRange(1, 20).Draw(t, "most")}
+		q := messageQueue{maxWeight: rapid.IntRange(1, 20).Draw(t, "max weight")}
 		var model []message
 		dropped := 0
 		for n := range rapid.IntRange(1, 60).Draw(t, "messages") {
-			m := message{Digest: uint64(n), Entries: make([]entry, rapid.IntRange(0, 4).Draw(t, "entries"))}
-			dropped += r.push(m)
+			m := message{Digest: uint64(n), Entries: make([]wireEntry, rapid.IntRange(0, 4).Draw(t, "entries"))}
+			dropped += q.push(m)
 			if model = append(model, m); rapid.IntRange(0, 9).Draw(t, "take") > 0 {
 				continue
 			}
-			got := r.take()
+			got := q.take()
 			require.Equal(t, model[dropped:], append([]message{}, got...), "the oldest are dropped, the newest is kept")
 			model, dropped = nil, 0
 		}
 	})
 }
 
-func TestMoreThanTheRingHolds(t *testing.T) {
+func TestMessageQueue_Overflow(t *testing.T) {
 	t.Parallel()
-	f := newFleet(t)
-	g := f.grow(2, func(c *Config) { c.BelieveRefused = false })
-	hold, held := make(chan struct{}), make(chan struct{})
-	go func() { _ = g[1].do(t.Context(), func() { close(held); <-hold }) }()
-	<-held
+	f := newTestFleet(t)
+	g := f.openAll(2, func(c *Config) { c.TrustRefused = false })
+	release, started := make(chan struct{}), make(chan struct{})
+	go func() { _ = g[1].do(t.Context(), holdOwner{started, release}) }()
+	<-started
 	const names = 2000
 	var all []roster.Entry
 	for i := range names {
 		all = append(all, roster.Entry{Name: fmt.Sprint("x", i), Start: 1, Addr: "127.0.0.1:1"})
 		g[1].current.Load().NotifyMsg(encodeEntries(kindEntries, all[i]).bytes())
 	}
-	for range ringWeight / 2 {
+	for range maxQueueWeight / 2 {
 		g[1].current.Load().NotifyMsg(encodeEntries(kindEntries, all[0]).bytes())
 	}
-	close(hold)
-	require.GreaterOrEqual(t, g[1].figures.dropped()["ring"], uint64(names))
+	close(release)
+	require.GreaterOrEqual(t, g[1].counters.dropped()["ring"], uint64(names))
 	g[0].current.Load().MergeRemoteState(encodeEntries(kindEntries, all...).bytes(), false)
-	f.until("push/pull tells again", func() bool { return known(g[0], names+2)() && known(g[1], names+2)() })
+	f.eventually("push/pull repeats the dropped entries", func() bool { return knows(g[0], names+2)() && knows(g[1], names+2)() })
 }
 
 func TestLibraryLog(t *testing.T) {
 	var out bytes.Buffer
 	var suspects, drops []string
-	lines := newLog(newLibLog(slog.New(slog.NewTextHandler(&out, nil)), func(s string) { suspects = append(suspects, s) },
+	lines := newStandardLogger(newLibraryLog(slog.New(slog.NewTextHandler(&out, nil)), func(s string) { suspects = append(suspects, s) },
 		func(s string) { drops = append(drops, s) }))
 	lines.Print("[INFO] memberlist: Suspect a@7 has failed, no acks received")
 	lines.Print(`[ERR] memberlist: discarding packet with unacceptable label "x": from`)
@@ -188,37 +188,37 @@
 	require.NotContains(t, out.String(), "Suspect")
 }
 
-// countedConn counts what goes both ways.
-type countedConn struct {
+// countingConn counts the bytes in both directions.
+type countingConn struct {
 	net.Conn
-	n *atomic.Int64
+	bytes *atomic.Int64
 }
 
-func (c countedConn) Read(b []byte) (int, error) {
+func (c countingConn) Read(b []byte) (int, error) {
 	n, err := c.Conn.Read(b)
-	c.n.Add(int64(n))
+	c.bytes.Add(int64(n))
 	return n, err
 }
 
-func (c countedConn) Write(b []byte) (int, error) {
-	c.n.Add(int64(len(b)))
+func (c countingConn) Write(b []byte) (int, error) {
+	c.bytes.Add(int64(len(b)))
 	return c.Conn.Write(b)
 }
 
-// BenchmarkIdle says what a member of an idle fleet costs in a second, as payload of packets and streams and as time of
-// the processor. Each round is a minute of the fleet's life, in which each member calls for one push/pull at least.
+// BenchmarkIdle measures what a member of an idle fleet costs in a second: payload of packets and streams, and CPU time. Each
+// iteration is a minute, in which each member starts one push/pull at least.
 func BenchmarkIdle(b *testing.B) {
 	for _, n := range []int{10, 50} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
-			w := &world{side: map[string]int{}, frozen: map[string]bool{}}
+			w := &testNetwork{sides: map[string]int{}, frozen: map[string]bool{}}
 			var sent atomic.Int64
 			var all []*Group
 			for i := range n {
-				x := w.wire(b, "127.0.0.1:0")
-				x.sent = func(n int) { sent.Add(int64(n)) }
-				x.wrap = func(c net.Conn) net.Conn { return countedConn{c, &sent} }
+				x := w.transport(b, "127.0.0.1:0")
+				x.onSend = func(n int) { sent.Add(int64(n)) }
+				x.wrapConn = func(c net.Conn) net.Conn { return countingConn{c, &sent} }
 				cfg := Config{Name: fmt.Sprint("p", i), Fleet: "bench", Zone: "zone-a", Role: "sidecar", Version: "1.2.3",
-					Transport: x, BelieveRefused: true}
+					Transport: x, TrustRefused: true}
 				if i > 0 {
 					cfg.Seeds = []string{all[0].addr}
 				}
@@ -229,24 +229,36 @@
 			}
 			for _, g := range all {
 				for g.View() != (roster.View{Known: n, Reachable: n, Admitted: true}) {
-					time.Sleep(beat)
+					time.Sleep(testInterval)
 				}
 			}
-			time.Sleep(95 * time.Second) // what was new is told, and push/pulls have begun
-			cpu, bytes := processor(b), sent.Load()
+			time.Sleep(95 * time.Second) // broadcasts are over and push/pulls have begun
+			cpu, bytes := cpuTime(b), sent.Load()
 			b.ResetTimer()
 			for range b.N {
 				time.Sleep(time.Minute)
 			}
-			per := float64(n*b.N) * 60
-			b.ReportMetric(float64(sent.Load()-bytes)/per, "B/member-s")
-			b.ReportMetric(float64((processor(b)-cpu).Microseconds())/per, "cpu-µs/member-s")
+			memberSeconds := float64(n*b.N) * 60
+			b.ReportMetric(float64(sent.Load()-bytes)/memberSeconds, "B/member-s")
+			b.ReportMetric(float64((cpuTime(b)-cpu).Microseconds())/memberSeconds, "cpu-µs/member-s")
 		})
 	}
 }
 
-func processor(b *testing.B) time.Duration {
+func cpuTime(b *testing.B) time.Duration {
 	var u syscall.Rusage
 	require.NoError(b, syscall.Getrusage(syscall.RUSAGE_SELF, &u))
 	return time.Duration(u.Utime.Nano() + u.Stime.Nano())
 }
+
+// holdOwner is a command that keeps the owner busy until release is closed.
+type holdOwner struct {
+	started chan<- struct{}
+	release <-chan struct{}
+}
+
+func (c holdOwner) execute(*owner) error {
+	close(c.started)
+	<-c.release
+	return nil
+}
--- a/internal/membership/wire_test.go
+++ b/internal/membership/wire_test.go
@@ -16,8 +16,8 @@
 // contract with processes of other versions; a change of them is a change of the protocol.
 func TestWireForms(t *testing.T) {
 	joining := roster.Entry{Name: "side-1", Start: 1700000000123, Addr: "10.1.0.7:7946"}
-	ask := encodeEntries(kindAsk, joining)
-	ask.By, ask.Digest = ident{joining.Name, joining.Start}, 1<<63
+	request := encodeEntries(kindAckRequest, joining)
+	request.By, request.Digest = processID{joining.Name, joining.Start}, 1<<63
 	metadata, err := meta{Name: "side-1", Start: 7, Zone: "zone-a", Role: "sidecar", Version: "1.2.3", Observer: true}.encode()
 	require.NoError(t, err)
 	for name, got := range map[string][]byte{
@@ -28,22 +28,22 @@
 			roster.Entry{Name: "side-4", Start: 7, Gone: 7, Proof: roster.ProofOperator},
 			roster.Entry{Name: "side-5", Start: 9, Gone: 8, Proof: roster.ProofLeft},
 			roster.Entry{Name: "copy-1", Start: 10, Observer: true}).bytes(),
-		"ask.json":  ask.bytes(),
-		"ack.json":  message{Kind: kindAck, By: ident{"side-2", 5}, To: ident{"side-1", 1700000000123}, Digest: 9}.bytes(),
+		"ask.json":  request.bytes(),
+		"ack.json":  message{Kind: kindAck, By: processID{"side-2", 5}, To: processID{"side-1", 1700000000123}, Digest: 9}.bytes(),
 		"meta.json": metadata,
 		"report.json": marshal(t, Report{Self: roster.ID{Name: "side-1", Start: 7}, Fleet: "shannonside", UnixMS: 1700000000123,
 			View:    roster.View{Known: 3, Reachable: 2, Admitted: true, Forced: true},
-			Changes: 4, Dropped: 5, Believed: 2.5,
+			Changes: 4, Dropped: 5, EstimatedSize: 2.5,
 			Members: []Member{
 				{Name: "side-1", Start: 7, Addr: "10.1.0.7:7946", Zone: "zone-a", Role: "sidecar", Version: "1.2.3", State: Alive,
-					SinceMS: 10, Twin: true},
+					SinceMS: 10, Duplicate: true},
 				{Name: "side-2", Start: 1, State: Suspected, SinceMS: 11},
-				{Name: "side-3", Start: 1, State: Silent, SinceMS: 12, HeardMS: 13},
-				{Name: "side-4", Start: 1, State: Gone, Proof: proofText(roster.ProofRefused), HeardMS: -1},
-				{Name: "side-5", Start: 1, State: Gone, Proof: proofText(roster.ProofAddressReused), HeardMS: -1},
-				{Name: "side-6", Start: 1, State: Gone, Proof: proofText(roster.ProofOperator), HeardMS: -1},
-				{Name: "side-7", Start: 1, State: Gone, Proof: proofText(roster.ProofLeft), HeardMS: -1},
-				{Name: "side-8", Start: 1, State: Gone, Proof: proofText(9), HeardMS: -1},
+				{Name: "side-3", Start: 1, State: Silent, SinceMS: 12, LastAliveMS: 13},
+				{Name: "side-4", Start: 1, State: Gone, Proof: proofText(roster.ProofRefused), LastAliveMS: -1},
+				{Name: "side-5", Start: 1, State: Gone, Proof: proofText(roster.ProofAddressReused), LastAliveMS: -1},
+				{Name: "side-6", Start: 1, State: Gone, Proof: proofText(roster.ProofOperator), LastAliveMS: -1},
+				{Name: "side-7", Start: 1, State: Gone, Proof: proofText(roster.ProofLeft), LastAliveMS: -1},
+				{Name: "side-8", Start: 1, State: Gone, Proof: proofText(9), LastAliveMS: -1},
 			}}),
 		"digests.json": marshal(t, digests()),
 	} {
--- a/internal/sidecar/fleet/membership.go
+++ b/internal/sidecar/fleet/membership.go
@@ -66,8 +66,8 @@
 		quit: make(chan struct{}), ended: make(chan struct{}),
 		watchers: streamlimit.Limiter{MaxOpen: MaxWatchers, WriteTimeout: config.ManagementTimeout},
 	}
-	m.Config.Believed = func() float64 { return math.Float64frombits(m.estimate.Load()) }
-	m.Config.Changed = m.changed
+	m.Config.EstimatedSize = func() float64 { return math.Float64frombits(m.estimate.Load()) }
+	m.Config.ViewChanged = m.changed
 	m.Config.Log = slog.Default()
 	return m
 }
