--- a/internal/membership/config.go
+++ b/internal/membership/config.go
@@ -34,7 +34,7 @@
 	Seeds        []string
 	Peers        int           // number of sidecars in the settings
 	Observer     bool          // it is a member without a part of the fleet's budgets
-	Interval     time.Duration // between two health checks; 0: 1 s
+	Interval     time.Duration // between two probes of the failure detector; 0: 1 s
 	AdmitWithin  time.Duration // after which a joining process is admitted without all acknowledgements; 0: 5 s
 	TrustRefused bool          // a refused connection proves a process gone
 	Defect       string        // DefectTrustDetector, DefectNoAdmission or none
--- a/internal/membership/instance.go
+++ b/internal/membership/instance.go
@@ -70,7 +70,7 @@
 	return nil
 }
 
-// libraryConfig scales the library's times by the interval between health checks.
+// libraryConfig scales the library's times by the interval between two probes.
 func libraryConfig(cfg *Config) *memberlist.Config {
 	c := memberlist.DefaultLANConfig()
 	c.Label = cfg.Fleet
