--- a/cmd/marblelane/members.go
+++ b/cmd/marblelane/members.go
@@ -42,7 +42,7 @@
 	if wait <= 0 {
 		return nil, fmt.Errorf("--wait %v: is not above 0", wait)
 	}
-	return &view.Client{Wait: wait}, nil
+	return &view.Client{Timeout: wait}, nil
 }
 
 // wrong names the argument that an error is of.
@@ -230,7 +230,7 @@
 		return fmt.Errorf("--yes: %s is %s at %s; it is needed for all but silent ones", idText(id), r.Members[at].State,
 			c.Addr)
 	}
-	if err := client.Gone(a.ctx, c.Addr, id); err != nil {
+	if err := client.ConfirmGone(a.ctx, c.Addr, id); err != nil {
 		return c.wrong(err)
 	}
 	fmt.Fprintf(a.out, "%s counts as gone\n", idText(id))
@@ -258,7 +258,7 @@
 	if err != nil {
 		return err
 	}
-	asked := client.Ask(a.ctx, c.Addrs, c.Apart)
+	asked := client.Observe(a.ctx, c.Addrs, c.Apart)
 	if err := a.ctx.Err(); err != nil {
 		return fmt.Errorf("diff: %w", err)
 	}
@@ -298,18 +298,18 @@
 	}
 	client, err := clientFor(c.Wait)
 	if err == nil {
-		client.Most = c.Most
+		client.MaxParallel = c.Most
 	}
 	return client, err
 }
 
 // diffOf compares what was said. Processes of several fleets cannot be compared.
-func diffOf(asked []view.Asked) (*viewDiff, error) {
+func diffOf(asked []view.Observation) (*viewDiff, error) {
 	d := &viewDiff{Digests: map[string]string{}, Unasked: map[string]string{}, Differences: view.Diff(asked)}
-	var one *view.Asked
+	var one *view.Observation
 	for i := range asked {
 		s := &asked[i]
-		if !s.Answered() {
+		if !s.Complete() {
 			d.Unasked[s.Addr] = s.Err.Error()
 			continue
 		}
@@ -322,7 +322,7 @@
 		d.Digests[s.Addr] = fmt.Sprintf("%016x", view.Digest(s.Second))
 	}
 	d.InAgreement = len(d.different()) < 2 &&
-		!slices.ContainsFunc(d.Differences, func(x view.Difference) bool { return x.Stage != view.Settled })
+		!slices.ContainsFunc(d.Differences, func(x view.Difference) bool { return x.Stage != view.Resolved })
 	return d, nil
 }
 
@@ -335,7 +335,7 @@
 	for _, x := range d.Differences {
 		fmt.Fprintf(w, "%s: %s\n", idText(x.Member), stageText(x))
 		t := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
-		for _, s := range x.Sayings {
+		for _, s := range x.Views {
 			since := "-"
 			if s.SinceMS >= 0 {
 				since = "for " + forText(s.SinceMS)
@@ -366,9 +366,9 @@
 
 func stageText(x view.Difference) string {
 	switch x.Stage {
-	case view.Lasting:
+	case view.Persistent:
 		return "they differ lastingly, for " + forText(x.ForMS)
-	case view.News:
+	case view.Emerging:
 		return "they differ, as news is on its way, for " + forText(x.ForMS)
 	}
 	return "they differed, and agree by now"
--- a/internal/membership/view/client.go
+++ b/internal/membership/view/client.go
@@ -20,41 +20,44 @@
 )
 
 const (
-	path = "/members"
+	membersPath = "/members"
 
-	defaultWait = 3 * time.Second
-	defaultMost = 16
-	// quiet is without how long of a word a watch is given up: a process says an empty line each 2 s.
-	quiet      = 7 * time.Second
-	mostAnswer = 16 << 20 // bytes of one report
-	mostReason = 1 << 10  // bytes of a refusal that are passed on
+	defaultTimeout     = 3 * time.Second
+	defaultMaxParallel = 16
+	// defaultIdleTimeout ends a watch that is silent. A process sends an empty line each 2 s.
+	defaultIdleTimeout = 7 * time.Second
+	maxReportBytes     = 16 << 20
+	maxErrorBytes      = 1 << 10 // of an error's text that are kept
 
-	firstPause, longestPause = 250 * time.Millisecond, 10 * time.Second
+	firstRetryPause = 250 * time.Millisecond
+	maxRetryPause   = 10 * time.Second
 )
 
-// Client asks processes at their management addresses, or copies of the list service at theirs. Its zero value is
+// Client calls processes at their management addresses, or copies of the list service at theirs. Its zero value is
 // ready.
 type Client struct {
-	Wait time.Duration // for a whole answer; 0: 3 s
-	Most int           // processes that Ask asks at a time; 0: 16
+	Timeout     time.Duration // for a whole answer; 0: defaultTimeout
+	MaxParallel int           // processes that Observe calls at a time; 0: defaultMaxParallel
 
-	pause, quiet time.Duration // before a watch begins again the first time, and its end by silence; 0: as above
+	retryPause  time.Duration // before a watch is restarted the first time; 0: firstRetryPause
+	idleTimeout time.Duration // after which a silent watch is restarted; 0: defaultIdleTimeout
 }
 
-// Refusal is an answer that is no good one.
-type Refusal struct {
+// StatusError is an answer with a status other than 2xx.
+type StatusError struct {
 	Code int
-	Text string // its reason, cut short
+	Text string // the beginning of the body
 }
 
-func (r *Refusal) Error() string {
-	if r.Code == http.StatusNotFound {
-		return fmt.Sprintf("answers 404: it has no section members, or knows no such process (%s)", r.Text)
+// Error returns the status and the text.
+func (e *StatusError) Error() string {
+	if e.Code == http.StatusNotFound {
+		return fmt.Sprintf("answers 404: it has no section members, or knows no such process (%s)", e.Text)
 	}
-	return fmt.Sprintf("answers %d: %s", r.Code, r.Text)
+	return fmt.Sprintf("answers %d: %s", e.Code, e.Text)
 }
 
-// CheckAddr finds what cannot be an address, before anybody is asked.
+// CheckAddr checks that an address is a HOST:PORT, before any call.
 func CheckAddr(addr string) error {
 	host, port, err := net.SplitHostPort(addr)
 	if err == nil && (host == "" || port == "") {
@@ -66,9 +69,9 @@
 	return nil
 }
 
-// call asks and gives the body of a good answer. Each call has a connection of its own, as management addresses
-// keep none.
-func (c *Client) call(ctx context.Context, method, url string, body []byte) (io.ReadCloser, error) {
+// open sends a request and returns the body of a 2xx answer. Each request has its own connection, as management
+// addresses keep none open.
+func (c *Client) open(ctx context.Context, method, url string, body []byte) (io.ReadCloser, error) {
 	req, err := http.NewRequestWithContext(ctx, method, url, bytes.NewReader(body))
 	if err != nil {
 		return nil, err
@@ -79,44 +82,45 @@
 	}
 	if resp.StatusCode/100 != 2 {
 		defer resp.Body.Close()
-		text, _ := io.ReadAll(io.LimitReader(resp.Body, mostReason)) // what there is of it
-		return nil, &Refusal{Code: resp.StatusCode, Text: string(bytes.TrimSpace(text))}
+		text, _ := io.ReadAll(io.LimitReader(resp.Body, maxErrorBytes)) // a part is enough
+		return nil, &StatusError{Code: resp.StatusCode, Text: string(bytes.TrimSpace(text))}
 	}
 	return resp.Body, nil
 }
 
-func (c *Client) once(ctx context.Context, method, url string, body []byte) ([]byte, error) {
-	ctx, cancel := context.WithTimeout(ctx, or(c.Wait, defaultWait))
+// fetch sends a request and returns the whole body of a 2xx answer.
+func (c *Client) fetch(ctx context.Context, method, url string, body []byte) ([]byte, error) {
+	ctx, cancel := context.WithTimeout(ctx, orDefault(c.Timeout, defaultTimeout))
 	defer cancel()
-	answer, err := c.call(ctx, method, url, body)
+	answer, err := c.open(ctx, method, url, body)
 	if err != nil {
 		return nil, err
 	}
 	defer answer.Close()
-	data, err := io.ReadAll(io.LimitReader(answer, mostAnswer+1))
-	if err == nil && len(data) > mostAnswer {
-		err = fmt.Errorf("its answer is longer than %d bytes", mostAnswer)
+	data, err := io.ReadAll(io.LimitReader(answer, maxReportBytes+1))
+	if err == nil && len(data) > maxReportBytes {
+		err = fmt.Errorf("its answer is longer than %d bytes", maxReportBytes)
 	}
 	return data, err
 }
 
-func or(d, otherwise time.Duration) time.Duration {
+func orDefault(d, byDefault time.Duration) time.Duration {
 	if d > 0 {
 		return d
 	}
-	return otherwise
+	return byDefault
 }
 
-// Report asks a process once.
+// Report gets the report of one process.
 func (c *Client) Report(ctx context.Context, addr string) (*membership.Report, error) {
-	data, err := c.once(ctx, http.MethodGet, "http://"+addr+path, nil)
+	data, err := c.fetch(ctx, http.MethodGet, "http://"+addr+membersPath, nil)
 	if err != nil {
 		return nil, err
 	}
-	return parse(data)
+	return parseReport(data)
 }
 
-func parse(data []byte) (*membership.Report, error) {
+func parseReport(data []byte) (*membership.Report, error) {
 	r := &membership.Report{}
 	if err := json.Unmarshal(data, r); err != nil {
 		return nil, fmt.Errorf("its answer is no report: %w", err)
@@ -127,86 +131,87 @@
 	return r, nil
 }
 
-// Leave asks a process to leave its fleet in order.
+// Leave has a process leave its fleet.
 func (c *Client) Leave(ctx context.Context, addr string) error {
-	_, err := c.once(ctx, http.MethodPost, "http://"+addr+path+"/leave", nil)
+	_, err := c.fetch(ctx, http.MethodPost, "http://"+addr+membersPath+"/leave", nil)
 	return err
 }
 
-// Gone tells a process that another one is gone.
-func (c *Client) Gone(ctx context.Context, addr string, id roster.ID) error {
+// ConfirmGone tells a process that another one is gone.
+func (c *Client) ConfirmGone(ctx context.Context, addr string, id roster.ID) error {
 	body, err := json.Marshal(id)
 	if err != nil {
 		return err
 	}
-	_, err = c.once(ctx, http.MethodPost, "http://"+addr+path+"/gone", body)
+	_, err = c.fetch(ctx, http.MethodPost, "http://"+addr+membersPath+"/gone", body)
 	return err
 }
 
-// Ask asks all at once, and those that answered once more when apart has passed since the last of them did. The
-// results stand in the order of the addresses.
-func (c *Client) Ask(ctx context.Context, addrs []string, apart time.Duration) []Asked {
-	out := make([]Asked, len(addrs))
+// Observe gets the reports of all processes at once, and once more the given time after the last of them answered, from
+// those that did. The results are in the order of the addresses.
+func (c *Client) Observe(ctx context.Context, addrs []string, apart time.Duration) []Observation {
+	out := make([]Observation, len(addrs))
 	for i, addr := range addrs {
 		out[i].Addr = addr
 	}
-	c.each(out, func(a *Asked) { a.First, a.Err = c.Report(ctx, a.Addr) })
+	c.forEach(out, func(o *Observation) { o.First, o.Err = c.Report(ctx, o.Addr) })
 	pause := time.NewTimer(apart)
 	defer pause.Stop()
 	select {
 	case <-pause.C:
 	case <-ctx.Done():
 	}
-	c.each(out, func(a *Asked) {
-		if a.Err == nil {
-			a.Second, a.Err = c.Report(ctx, a.Addr)
+	c.forEach(out, func(o *Observation) {
+		if o.Err == nil {
+			o.Second, o.Err = c.Report(ctx, o.Addr)
 		}
 	})
 	return out
 }
 
-func (c *Client) each(all []Asked, do func(*Asked)) {
-	most := c.Most
-	if most <= 0 {
-		most = defaultMost
+// forEach calls a function for each observation, at most MaxParallel at a time.
+func (c *Client) forEach(all []Observation, do func(*Observation)) {
+	limit := c.MaxParallel
+	if limit <= 0 {
+		limit = defaultMaxParallel
 	}
-	room := make(chan struct{}, most)
+	slots := make(chan struct{}, limit)
 	var wg sync.WaitGroup
 	for i := range all {
 		wg.Go(func() {
-			room <- struct{}{}
-			defer func() { <-room }()
+			slots <- struct{}{}
+			defer func() { <-slots }()
 			do(&all[i])
 		})
 	}
 	wg.Wait()
 }
 
-// Watch hands on what a process says as it changes, with the line that it said it in, until ctx ends. A watch that
-// ends or falls silent begins again after a pause that grows; lost is told of it. It gives up where it is refused
-// with a 4xx status, and where told gives an error.
-func (c *Client) Watch(ctx context.Context, addr string, told func(*membership.Report, []byte) error,
-	lost func(err error, again time.Duration)) error {
-	pause := backoff.NewExponentialBackOff()
-	pause.InitialInterval, pause.MaxInterval = or(c.pause, firstPause), longestPause
+// Watch calls onReport for each report that a process sends as it changes, with the line that it was parsed from, until
+// ctx ends. A watch that ends or is silent is restarted after a growing pause; onFailure is called before the pause. Watch
+// returns an error after an answer with a 4xx status other than 429, and the error of onReport if that fails.
+func (c *Client) Watch(ctx context.Context, addr string, onReport func(*membership.Report, []byte) error,
+	onFailure func(err error, pause time.Duration)) error {
+	pauses := backoff.NewExponentialBackOff()
+	pauses.InitialInterval, pauses.MaxInterval = orDefault(c.retryPause, firstRetryPause), maxRetryPause
 	for {
-		var stop *stopped
-		err := c.follow(ctx, addr, func(r *membership.Report, line []byte) error {
-			pause.Reset()
-			return told(r, line)
+		err := c.watchOnce(ctx, addr, func(r *membership.Report, line []byte) error {
+			pauses.Reset()
+			return onReport(r, line)
 		})
-		var no *Refusal
+		var fromCallback *callbackError
+		var status *StatusError
 		switch {
 		case ctx.Err() != nil:
 			return nil
-		case errors.As(err, &stop):
-			return stop.err
-		case errors.As(err, &no) && no.Code/100 == 4 && no.Code != http.StatusTooManyRequests:
+		case errors.As(err, &fromCallback):
+			return fromCallback.err
+		case errors.As(err, &status) && status.Code/100 == 4 && status.Code != http.StatusTooManyRequests:
 			return err
 		}
-		again := pause.NextBackOff()
-		lost(err, again)
-		timer := time.NewTimer(again)
+		pause := pauses.NextBackOff()
+		onFailure(err, pause)
+		timer := time.NewTimer(pause)
 		select {
 		case <-timer.C:
 		case <-ctx.Done():
@@ -216,47 +221,49 @@
 	}
 }
 
-// stopped is that the caller wants no more.
-type stopped struct{ err error }
+// callbackError is the error of Watch's onReport.
+type callbackError struct{ err error }
 
-func (s *stopped) Error() string { return s.err.Error() }
+// Error returns the text of the callback's error.
+func (e *callbackError) Error() string { return e.err.Error() }
 
-var errQuiet = errors.New("nothing came, not even the empty line that is due each 2 s")
+// errIdle means that a watch was silent for the idle timeout.
+var errIdle = errors.New("nothing came, not even the empty line that is due each 2 s")
 
-// follow is one watch, to its end.
-func (c *Client) follow(ctx context.Context, addr string, told func(*membership.Report, []byte) error) error {
+// watchOnce is one watch without restarts.
+func (c *Client) watchOnce(ctx context.Context, addr string, onReport func(*membership.Report, []byte) error) error {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
-	most := or(c.quiet, quiet)
-	alarm := time.AfterFunc(most, func() { cancel(errQuiet) })
-	defer alarm.Stop()
-	answer, err := c.call(ctx, http.MethodGet, "http://"+addr+path+"?watch=1", nil)
+	idleTimeout := orDefault(c.idleTimeout, defaultIdleTimeout)
+	idle := time.AfterFunc(idleTimeout, func() { cancel(errIdle) })
+	defer idle.Stop()
+	answer, err := c.open(ctx, http.MethodGet, "http://"+addr+membersPath+"?watch=1", nil)
 	if err != nil {
-		if errors.Is(context.Cause(ctx), errQuiet) {
-			return errQuiet
+		if errors.Is(context.Cause(ctx), errIdle) {
+			return errIdle
 		}
 		return err
 	}
 	defer answer.Close()
 	lines := bufio.NewScanner(answer)
-	lines.Buffer(nil, mostAnswer)
+	lines.Buffer(nil, maxReportBytes)
 	for lines.Scan() {
-		alarm.Reset(most)
+		idle.Reset(idleTimeout)
 		line := bytes.TrimSpace(lines.Bytes())
 		if len(line) == 0 {
 			continue
 		}
-		r, err := parse(line)
+		r, err := parseReport(line)
 		if err != nil {
 			return err
 		}
-		if err := told(r, line); err != nil {
-			return &stopped{err}
+		if err := onReport(r, line); err != nil {
+			return &callbackError{err}
 		}
 	}
 	switch {
-	case errors.Is(context.Cause(ctx), errQuiet):
-		return errQuiet
+	case errors.Is(context.Cause(ctx), errIdle):
+		return errIdle
 	case lines.Err() != nil:
 		return lines.Err()
 	}
--- a/internal/membership/view/diff.go
+++ b/internal/membership/view/diff.go
@@ -1,4 +1,4 @@
-// Package view asks processes what they see of their fleet, and says where they see it differently.
+// Package view gets the reports of several processes of a fleet and compares them.
 package view
 
 import (
@@ -14,136 +14,136 @@
 	"marblelane/internal/membership/roster"
 )
 
-// Unknown is how a member stands with a process that says nothing of it.
+// Unknown is the state of a member at a process whose report does not name it.
 const Unknown membership.MemberState = "unknown"
 
-// Asked is what a process said of its fleet at two moments.
-type Asked struct {
+// Observation is the reports of one process at two moments.
+type Observation struct {
 	Addr          string
-	First, Second *membership.Report // nil where it could not be asked
-	Err           error              // why it could not be asked
+	First, Second *membership.Report // nil if there was no answer
+	Err           error              // why there was none
 }
 
-// Answered reports whether it could be asked at both moments.
-func (a *Asked) Answered() bool { return a.First != nil && a.Second != nil }
+// Complete reports whether the process answered at both moments.
+func (o *Observation) Complete() bool { return o.First != nil && o.Second != nil }
 
-// Saying is what one process says of a member.
-type Saying struct {
+// MemberView is the state of a member at one process.
+type MemberView struct {
 	Addr    string                 `json:"addr"` // of the process
 	State   membership.MemberState `json:"state"`
 	Proof   string                 `json:"proof,omitempty"`
-	SinceMS int64                  `json:"since_ms"` // for so long; -1: Unknown
+	SinceMS int64                  `json:"since_ms"` // how long it has been in State; -1: Unknown
 }
 
-// Stage tells a difference that stays from one that is about to go.
+// Stage tells differences that persist from those that are about to end. The texts are part of the JSON form.
 type Stage string
 
 // The stages of a difference.
 const (
-	Lasting Stage = "lasting" // all said the same at both moments
-	News    Stage = "news"    // there at the second moment, and not, or another one, at the first: on its way
-	Settled Stage = "settled" // it was there at the first moment alone
+	Persistent Stage = "lasting" // no process changed its view between the two moments
+	Emerging   Stage = "news"    // it is there at the second moment, and some view has changed since the first
+	Resolved   Stage = "settled" // it was there at the first moment alone
 )
 
-// Difference is a member of whom processes say different things.
+// Difference is a member that has different states at different processes.
 type Difference struct {
 	Member roster.ID `json:"member"`
 	Stage  Stage     `json:"stage"`
-	// ForMS is for how long some two of them have differed as they do at the second moment; 0 where it is settled.
-	ForMS   int64    `json:"for_ms"`
-	Sayings []Saying `json:"sayings"` // of all that were asked at both moments, by address, at the second one
+	// ForMS is how long two of the processes have differed as they do at the second moment; 0 if Resolved.
+	ForMS int64        `json:"for_ms"`
+	Views []MemberView `json:"sayings"` // at the second moment, of all complete observations, by address
 }
 
-// Diff gives the members on whose standing the processes differ at either moment, by name and start. Those that
-// were not asked at both moments say nothing.
-func Diff(reports []Asked) []Difference {
-	var asked []Asked
-	for _, a := range reports {
-		if a.Answered() {
-			asked = append(asked, a)
+// Diff returns the members whose state differs between processes at either moment, by name and start. It ignores
+// incomplete observations.
+func Diff(observations []Observation) []Difference {
+	var complete []Observation
+	for _, o := range observations {
+		if o.Complete() {
+			complete = append(complete, o)
 		}
 	}
-	slices.SortStableFunc(asked, func(a, b Asked) int { return cmp.Compare(a.Addr, b.Addr) })
-	first := sayings(asked, func(a *Asked) *membership.Report { return a.First })
-	second := sayings(asked, func(a *Asked) *membership.Report { return a.Second })
-	ids := maps.Clone(second)
-	maps.Copy(ids, first)
+	slices.SortStableFunc(complete, func(a, b Observation) int { return cmp.Compare(a.Addr, b.Addr) })
+	first := viewsByMember(complete, func(o *Observation) *membership.Report { return o.First })
+	second := viewsByMember(complete, func(o *Observation) *membership.Report { return o.Second })
+	members := maps.Clone(second)
+	maps.Copy(members, first)
 	var out []Difference
-	for _, id := range slices.SortedFunc(maps.Keys(ids), compareIDs) {
-		before, after := said(first, id, asked), said(second, id, asked)
-		d := Difference{Member: id, Sayings: after}
+	for _, id := range slices.SortedFunc(maps.Keys(members), compareIDs) {
+		before, after := viewsOf(first, id, complete), viewsOf(second, id, complete)
+		d := Difference{Member: id, Views: after}
 		switch {
 		case !agree(after) && slices.EqualFunc(before, after, sameState):
-			d.Stage = Lasting
+			d.Stage = Persistent
 		case !agree(after):
-			d.Stage = News
+			d.Stage = Emerging
 		case !agree(before):
-			d.Stage = Settled
+			d.Stage = Resolved
 		default:
 			continue
 		}
-		if d.Stage != Settled {
-			d.ForMS = lasts(after, asked)
+		if d.Stage != Resolved {
+			d.ForMS = differenceAge(after, complete)
 		}
 		out = append(out, d)
 	}
 	return out
 }
 
-// sayings gives, for each member that some process names, what each process says of it.
-func sayings(asked []Asked, moment func(*Asked) *membership.Report) map[roster.ID][]Saying {
-	all := map[roster.ID][]Saying{}
-	for i := range asked {
-		for _, m := range moment(&asked[i]).Members {
+// viewsByMember returns the views of each member that some process names, in the order of the observations.
+func viewsByMember(observations []Observation, moment func(*Observation) *membership.Report) map[roster.ID][]MemberView {
+	all := map[roster.ID][]MemberView{}
+	for i := range observations {
+		for _, m := range moment(&observations[i]).Members {
 			id := roster.ID{Name: m.Name, Start: m.Start}
 			if all[id] == nil {
-				all[id] = nobody(asked)
+				all[id] = unknownViews(observations)
 			}
-			all[id][i] = Saying{Addr: asked[i].Addr, State: m.State, Proof: m.Proof, SinceMS: m.SinceMS}
+			all[id][i] = MemberView{Addr: observations[i].Addr, State: m.State, Proof: m.Proof, SinceMS: m.SinceMS}
 		}
 	}
 	return all
 }
 
-// nobody is that no process knows of a member.
-func nobody(asked []Asked) []Saying {
-	row := make([]Saying, len(asked))
-	for i := range asked {
-		row[i] = Saying{Addr: asked[i].Addr, State: Unknown, SinceMS: -1}
+// unknownViews returns the views of a member that no process names.
+func unknownViews(observations []Observation) []MemberView {
+	views := make([]MemberView, len(observations))
+	for i := range observations {
+		views[i] = MemberView{Addr: observations[i].Addr, State: Unknown, SinceMS: -1}
 	}
-	return row
+	return views
 }
 
-func said(all map[roster.ID][]Saying, id roster.ID, asked []Asked) []Saying {
-	if row := all[id]; row != nil {
-		return row
+func viewsOf(all map[roster.ID][]MemberView, id roster.ID, observations []Observation) []MemberView {
+	if views := all[id]; views != nil {
+		return views
 	}
-	return nobody(asked)
+	return unknownViews(observations)
 }
 
-func sameState(a, b Saying) bool { return a.State == b.State }
+func sameState(a, b MemberView) bool { return a.State == b.State }
 
-func agree(row []Saying) bool {
-	return !slices.ContainsFunc(row, func(s Saying) bool { return s.State != row[0].State })
+func agree(views []MemberView) bool {
+	return !slices.ContainsFunc(views, func(v MemberView) bool { return v.State != views[0].State })
 }
 
-// lasts gives for how long some two processes have said the different things that they say now. Two that differ
-// have done so for the shorter of both times, so it is the second longest of the times for which each state was
-// said by anybody. A process that does not know the member has not known it for as long as it is there itself.
-func lasts(row []Saying, asked []Asked) int64 {
-	longest := map[membership.MemberState]int64{}
-	for i, s := range row {
-		since := s.SinceMS
-		if s.State == Unknown {
-			since = ownAge(asked[i].Second)
+// differenceAge returns how long two of the processes have had their different views, in milliseconds. Two views differ
+// for the shorter of their ages, so the result is the second largest among the ages of the oldest view of each state. A
+// process that does not know the member has not known it for as long as it runs.
+func differenceAge(views []MemberView, observations []Observation) int64 {
+	oldest := map[membership.MemberState]int64{}
+	for i, v := range views {
+		age := v.SinceMS
+		if v.State == Unknown {
+			age = ownAge(observations[i].Second)
 		}
-		longest[s.State] = max(longest[s.State], since)
+		oldest[v.State] = max(oldest[v.State], age)
 	}
-	times := slices.Sorted(maps.Values(longest))
-	return times[len(times)-2]
+	ages := slices.Sorted(maps.Values(oldest))
+	return ages[len(ages)-2]
 }
 
-// ownAge is for how long a process has counted itself as it does, in milliseconds.
+// ownAge returns how long the reporting process has been in its state, in milliseconds.
 func ownAge(r *membership.Report) int64 {
 	for _, m := range r.Members {
 		if m.Name == r.Self.Name && m.Start == r.Self.Start {
@@ -157,11 +157,13 @@
 	return cmp.Or(cmp.Compare(a.Name, b.Name), cmp.Compare(a.Start, b.Start))
 }
 
-// Digest is the same for two reports exactly if they name the same processes and the same ones of them as gone,
-// but for collisions. How they hear them does not enter.
+func idOf(m membership.Member) roster.ID { return roster.ID{Name: m.Name, Start: m.Start} }
+
+// Digest is equal for two reports that name the same processes and the same ones of them as gone, whatever their other
+// states are. Reports that differ in that have different digests, but for collisions.
 func Digest(r *membership.Report) uint64 {
 	members := slices.SortedFunc(slices.Values(r.Members), func(a, b membership.Member) int {
-		return compareIDs(roster.ID{Name: a.Name, Start: a.Start}, roster.ID{Name: b.Name, Start: b.Start})
+		return compareIDs(idOf(a), idOf(b))
 	})
 	h := fnv.New64a()
 	for _, m := range members {
@@ -169,42 +171,39 @@
 		if m.State == membership.Gone {
 			gone = 1
 		}
-		fmt.Fprintf(h, "%d:", len(m.Name)) // so that no name can pass for another and a start
+		fmt.Fprintf(h, "%d:", len(m.Name)) // separates the name from the start
 		_, _ = io.WriteString(h, m.Name)
 		_, _ = h.Write(append(binary.BigEndian.AppendUint64(nil, uint64(m.Start)), gone))
 	}
 	return h.Sum64()
 }
 
-// Change is that a member stands otherwise with a process than it did.
+// Change is a change of a member's state between two reports of one process.
 type Change struct {
-	Member   membership.Member      // as it is now; as it was, where it is not named any more
-	From, To membership.MemberState // Unknown: it is not named
+	Member   membership.Member      // as in the later report that names it
+	From, To membership.MemberState // Unknown: the report does not name it
 }
 
-// Changes gives what has changed from one report of a process to a later one, by name and start.
+// Changes returns what changed from one report of a process to a later one, by name and start.
 func Changes(before, after []membership.Member) []Change {
-	was := map[roster.ID]membership.Member{}
+	removed := map[roster.ID]membership.Member{}
 	for _, m := range before {
-		was[roster.ID{Name: m.Name, Start: m.Start}] = m
+		removed[idOf(m)] = m
 	}
 	var out []Change
 	for _, m := range after {
-		id, from := roster.ID{Name: m.Name, Start: m.Start}, Unknown
-		if old, ok := was[id]; ok {
+		from := Unknown
+		if old, ok := removed[idOf(m)]; ok {
 			from = old.State
 		}
-		delete(was, id)
+		delete(removed, idOf(m))
 		if from != m.State {
 			out = append(out, Change{Member: m, From: from, To: m.State})
 		}
 	}
-	for _, m := range was {
+	for _, m := range removed {
 		out = append(out, Change{Member: m, From: m.State, To: Unknown})
 	}
-	slices.SortFunc(out, func(a, b Change) int {
-		return compareIDs(roster.ID{Name: a.Member.Name, Start: a.Member.Start}, roster.ID{Name: b.Member.Name,
-			Start: b.Member.Start})
-	})
+	slices.SortFunc(out, func(a, b Change) int { return compareIDs(idOf(a.Member), idOf(b.Member)) })
 	return out
 }
--- a/internal/membership/view/diff_test.go
+++ b/internal/membership/view/diff_test.go
@@ -14,15 +14,15 @@
 	"marblelane/internal/membership/roster"
 )
 
-var standings = []membership.MemberState{membership.Alive, membership.Suspected, membership.Silent, membership.Gone,
+var states = []membership.MemberState{membership.Alive, membership.Suspected, membership.Silent, membership.Gone,
 	Unknown}
 
-// drawReport makes a report that says something of a few members, and nothing of others.
+// drawReport draws a report that names some of a few members.
 func drawReport(t *rapid.T, self int) *membership.Report {
 	r := &membership.Report{Self: roster.ID{Name: fmt.Sprint("n", self), Start: 1}}
 	for _, name := range []string{"n0", "n1", "n2"} {
 		for start := int64(1); start <= 2; start++ {
-			if s := rapid.SampledFrom(standings).Draw(t, "state"); s != Unknown {
+			if s := rapid.SampledFrom(states).Draw(t, "state"); s != Unknown {
 				r.Members = append(r.Members, membership.Member{Name: name, Start: start, State: s,
 					SinceMS: rapid.Int64Range(0, 9).Draw(t, "since")})
 			}
@@ -31,10 +31,11 @@
 	return r
 }
 
-func drawAsked(t *rapid.T) []Asked {
-	var all []Asked
+// drawObservations draws observations, some of them incomplete, some without a change.
+func drawObservations(t *rapid.T) []Observation {
+	var all []Observation
 	for i := range rapid.IntRange(0, 4).Draw(t, "processes") {
-		a := Asked{Addr: fmt.Sprint("a", i), First: drawReport(t, i), Second: drawReport(t, i)}
+		a := Observation{Addr: fmt.Sprint("a", i), First: drawReport(t, i), Second: drawReport(t, i)}
 		switch rapid.IntRange(0, 3).Draw(t, "how") {
 		case 0:
 			a.First = nil
@@ -46,7 +47,7 @@
 	return all
 }
 
-// stateAt is what a process says of a member, looked up plainly.
+// stateAt returns the state of a member in a report.
 func stateAt(r *membership.Report, id roster.ID) membership.MemberState {
 	for _, m := range r.Members {
 		if m.Name == id.Name && m.Start == id.Start {
@@ -56,54 +57,54 @@
 	return Unknown
 }
 
-// incomplete compares each pair of processes on each member, and tells what diff has not said, or said wrongly.
-func incomplete(diff func([]Asked) []Difference, all []Asked) error {
-	stages, said := map[roster.ID]Stage{}, map[roster.ID]Stage{}
+// checkDiff compares each pair of processes on each member, and returns an error if diff misses or misstates a difference.
+func checkDiff(diff func([]Observation) []Difference, all []Observation) error {
+	want, got := map[roster.ID]Stage{}, map[roster.ID]Stage{}
 	for _, name := range []string{"n0", "n1", "n2"} {
 		for start := int64(1); start <= 2; start++ {
 			id := roster.ID{Name: name, Start: start}
-			before, after, moved := false, false, false
+			before, after, changed := false, false, false
 			for i := range all {
-				if !all[i].Answered() {
+				if !all[i].Complete() {
 					continue
 				}
-				moved = moved || stateAt(all[i].First, id) != stateAt(all[i].Second, id)
+				changed = changed || stateAt(all[i].First, id) != stateAt(all[i].Second, id)
 				for j := range all[:i] {
-					if all[j].Answered() {
+					if all[j].Complete() {
 						before = before || stateAt(all[i].First, id) != stateAt(all[j].First, id)
 						after = after || stateAt(all[i].Second, id) != stateAt(all[j].Second, id)
 					}
 				}
 			}
 			switch {
-			case after && !moved:
-				stages[id] = Lasting
+			case after && !changed:
+				want[id] = Persistent
 			case after:
-				stages[id] = News
+				want[id] = Emerging
 			case before:
-				stages[id] = Settled
+				want[id] = Resolved
 			}
 		}
 	}
 	for _, d := range diff(all) {
-		said[d.Member] = d.Stage
-		for _, s := range d.Sayings {
-			i := slices.IndexFunc(all, func(a Asked) bool { return a.Addr == s.Addr })
-			if s.State != stateAt(all[i].Second, d.Member) {
-				return fmt.Errorf("%s says something else of %v", s.Addr, d.Member)
+		got[d.Member] = d.Stage
+		for _, v := range d.Views {
+			i := slices.IndexFunc(all, func(a Observation) bool { return a.Addr == v.Addr })
+			if v.State != stateAt(all[i].Second, d.Member) {
+				return fmt.Errorf("%s has another view of %v", v.Addr, d.Member)
 			}
 		}
 	}
-	if text := cmp.Diff(stages, said); text != "" {
-		return fmt.Errorf("pairs differ as -, diff says +:\n%s", text)
+	if text := cmp.Diff(want, got); text != "" {
+		return fmt.Errorf("pairs differ as -, diff returns +:\n%s", text)
 	}
 	return nil
 }
 
-func TestDiffIsCompleteAndSymmetric(t *testing.T) {
+func TestDiff_CompleteAndSymmetric(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		all := drawAsked(t)
-		if err := incomplete(Diff, all); err != nil {
+		all := drawObservations(t)
+		if err := checkDiff(Diff, all); err != nil {
 			t.Fatal(err)
 		}
 		other := slices.Clone(all)
@@ -111,22 +112,22 @@
 			other[i], other[j] = other[j], other[i]
 		})
 		if text := cmp.Diff(Diff(all), Diff(other)); text != "" {
-			t.Fatal("another order of the processes gives another result:", text)
+			t.Fatal("the result depends on the order of the processes:", text)
 		}
 	})
 }
 
-func TestEqualViewsDoNotDiffer(t *testing.T) {
+func TestDiff_EqualViews(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		first, second := drawReport(t, 0), drawReport(t, 0)
-		var all []Asked
+		var all []Observation
 		for i := range 3 {
-			again := *second // heard at another time
-			again.Members = slices.Clone(second.Members)
-			for k := range again.Members {
-				again.Members[k].SinceMS += int64(i)
+			other := *second // with other times
+			other.Members = slices.Clone(second.Members)
+			for k := range other.Members {
+				other.Members[k].SinceMS += int64(i)
 			}
-			all = append(all, Asked{Addr: fmt.Sprint("a", i), First: first, Second: &again})
+			all = append(all, Observation{Addr: fmt.Sprint("a", i), First: first, Second: &other})
 		}
 		if d := Diff(all); len(d) > 0 || Digest(all[0].Second) != Digest(all[2].Second) {
 			t.Fatal(d)
@@ -134,21 +135,22 @@
 	})
 }
 
-// Planted: a diff that asks what others say of the first one's members alone, and one that takes news for lasting.
-func TestDefectsOfADiffAreFound(t *testing.T) {
+// Planted defects: a diff that misses members that the first process does not name, and one that takes an emerging
+// difference for a persistent one.
+func TestDiff_PlantedDefects(t *testing.T) {
 	one := &membership.Report{Members: []membership.Member{{Name: "n0", Start: 1, State: membership.Alive, SinceMS: 5}}}
 	none := &membership.Report{Members: []membership.Member{}}
-	all := []Asked{{Addr: "a0", First: none, Second: none}, {Addr: "a1", First: none, Second: one}}
-	assert.NoError(t, incomplete(Diff, all))
-	assert.Error(t, incomplete(func(a []Asked) []Difference { return Diff(a)[:0] }, all))
-	assert.Error(t, incomplete(func(a []Asked) []Difference {
+	all := []Observation{{Addr: "a0", First: none, Second: none}, {Addr: "a1", First: none, Second: one}}
+	assert.NoError(t, checkDiff(Diff, all))
+	assert.Error(t, checkDiff(func(a []Observation) []Difference { return Diff(a)[:0] }, all))
+	assert.Error(t, checkDiff(func(a []Observation) []Difference {
 		d := Diff(a)
-		d[0].Stage = Lasting
+		d[0].Stage = Persistent
 		return d
 	}, all))
 }
 
-func TestForHowLongAndDigest(t *testing.T) {
+func TestDiff_AgeAndDigest(t *testing.T) {
 	report := func(state membership.MemberState, since, age int64) *membership.Report {
 		return &membership.Report{Self: roster.ID{Name: "me", Start: 1}, Members: []membership.Member{
 			{Name: "me", Start: 1, State: membership.Alive, SinceMS: age}, {Name: "x", Start: 7, State: state, SinceMS: since}}}
@@ -156,16 +158,16 @@
 	alive, silent := report(membership.Alive, 90, 100), report(membership.Silent, 40, 100)
 	young := &membership.Report{Self: alive.Self, Members: []membership.Member{{Name: "me", Start: 1,
 		State: membership.Alive, SinceMS: 30}}}
-	ask := func(reports ...*membership.Report) (all []Asked) {
+	observe := func(reports ...*membership.Report) (all []Observation) {
 		for i, r := range reports {
-			all = append(all, Asked{Addr: fmt.Sprint("a", i), First: r, Second: r})
+			all = append(all, Observation{Addr: fmt.Sprint("a", i), First: r, Second: r})
 		}
 		return all
 	}
-	assert.EqualValues(t, 40, Diff(ask(alive, silent))[0].ForMS, "since one of them took it for silent")
-	assert.EqualValues(t, 30, Diff(ask(alive, young))[0].ForMS, "since one that does not know it is there")
-	assert.EqualValues(t, 40, Diff(ask(young, alive, silent))[0].ForMS)
-	assert.Equal(t, Digest(alive), Digest(silent), "how a process is heard does not enter")
+	assert.EqualValues(t, 40, Diff(observe(alive, silent))[0].ForMS, "since one of them has it as silent")
+	assert.EqualValues(t, 30, Diff(observe(alive, young))[0].ForMS, "since the one that does not know it runs")
+	assert.EqualValues(t, 40, Diff(observe(young, alive, silent))[0].ForMS)
+	assert.Equal(t, Digest(alive), Digest(silent), "reachability does not matter")
 	assert.NotEqual(t, Digest(alive), Digest(report(membership.Gone, 0, 0)))
 	assert.NotEqual(t, Digest(alive), Digest(young))
 }
--- a/internal/membership/view/wire_test.go
+++ b/internal/membership/view/wire_test.go
@@ -22,7 +22,7 @@
 	alive, gone := report("a", membership.Alive, ""), report("b", membership.Gone, "refused")
 	stillAlive := report("b", membership.Alive, "")
 	got := ""
-	for _, all := range [][]Asked{
+	for _, all := range [][]Observation{
 		{{Addr: "h:1", First: alive, Second: alive}, {Addr: "h:2", First: gone, Second: gone}},
 		{{Addr: "h:1", First: alive, Second: alive}, {Addr: "h:2", First: stillAlive, Second: gone}},
 		{{Addr: "h:1", First: alive, Second: alive}, {Addr: "h:2", First: gone, Second: stillAlive}},
