--- /dev/null
+++ b/internal/membership/collect/metrics_test.go
@@ -0,0 +1,26 @@
+package collect
+
+import (
+	"os"
+	"strings"
+	"testing"
+
+	"github.com/prometheus/client_golang/prometheus"
+	"github.com/stretchr/testify/require"
+
+	"marblelane/internal/membership"
+)
+
+// TestMetricNames compares names, help texts and labels, which operators' pages use, with a recorded list.
+func TestMetricNames(t *testing.T) {
+	descriptions := make(chan *prometheus.Desc, 100)
+	New((*membership.Group)(nil)).Describe(descriptions)
+	close(descriptions)
+	var got []string
+	for d := range descriptions {
+		got = append(got, d.String()+"\n")
+	}
+	want, err := os.ReadFile("testdata/metrics.txt")
+	require.NoError(t, err)
+	require.Equal(t, string(want), strings.Join(got, ""))
+}
