--- a/internal/membership/addrcheck/addrcheck.go
+++ b/internal/membership/addrcheck/addrcheck.go
@@ -1,5 +1,5 @@
-// Package addrcheck finds, when a configuration is read, what would keep its process out of the fleet for good: an address
-// that is taken is tried again, but what can never be joined with is an error of who wrote it.
+// Package addrcheck finds, when a configuration is read, what would keep its process out of the fleet for good. An address
+// that is in use is no such error, as binding is retried.
 package addrcheck
 
 import (
@@ -10,8 +10,8 @@
 	"marblelane/internal/membership"
 )
 
-// Check finds what membership.Open would refuse at each try. Names of hosts are not looked up: they may come to be
-// known. An error names the key.
+// Check finds what membership.Open would reject at each attempt. It does not look up host names, which may become
+// resolvable later. An error names the key.
 func Check(c membership.Config) error {
 	if err := c.Check(); err != nil {
 		return err
@@ -26,7 +26,7 @@
 	}
 	ip, err := netip.ParseAddr(host)
 	if err != nil && host != "" {
-		return nil // a name
+		return nil // a host name
 	}
 	if !ip.IsValid() || ip.IsUnspecified() || ip.IsMulticast() {
 		return fmt.Errorf("members.%s: %q names no address that others can call; advertise has to", key, addr)
--- a/internal/membership/addrcheck/addrcheck_test.go
+++ b/internal/membership/addrcheck/addrcheck_test.go
@@ -15,7 +15,7 @@
 	for _, test := range []struct {
 		bind, advertise string
 		networks        []netip.Prefix
-		says            string // "": it is good
+		wantErr         string // empty: valid
 	}{
 		{"10.1.0.7:7946", "", ten, ""},
 		{"127.0.0.1:0", "", nil, ""},
@@ -31,10 +31,10 @@
 	} {
 		c := membership.Config{Name: "n", Fleet: "f", Bind: test.bind, Advertise: test.advertise, Networks: test.networks}
 		err := Check(c)
-		if test.says == "" {
+		if test.wantErr == "" {
 			assert.NoError(t, err, test)
 		} else {
-			assert.ErrorContains(t, err, test.says)
+			assert.ErrorContains(t, err, test.wantErr)
 		}
 	}
 	for key, change := range map[string]func(*membership.Config){
--- a/internal/membership/collect/collect.go
+++ b/internal/membership/collect/collect.go
@@ -1,5 +1,5 @@
-// Package collect gives the figures of a membership.Group to a Prometheus registry. It stands apart so that a program
-// that shows them otherwise does not carry that library.
+// Package collect exports a membership.Group to Prometheus. It is a package of its own so that a program that exports the
+// figures otherwise does not link that library.
 package collect
 
 import (
@@ -11,72 +11,82 @@
 	"marblelane/internal/membership"
 )
 
-// New gives the figures: members, members_known and so on. Who registers it puts a prefix of its own before them
-// (prometheus.WrapRegistererWithPrefix).
+// New returns a collector of the metrics members, members_known and so on. The caller registers it under a prefix of its
+// own (prometheus.WrapRegistererWithPrefix).
 func New(g *membership.Group) prometheus.Collector {
 	desc := func(name, help string, labels ...string) *prometheus.Desc {
 		return prometheus.NewDesc("members"+name, help, labels, nil)
 	}
-	return &collector{g: g,
-		members:  desc("", "Processes of the fleet that are known, by how they stand.", "state"),
-		known:    desc("_known", "Processes that count: not proved gone."),
-		heard:    desc("_heard", "Of these, those that are heard of now."),
-		believed: desc("_believed", "Processes that decisions go by."),
-		admitted: desc("_admitted", "1 if this process counts itself in."),
-		changes:  desc("_changes_total", "How often what is seen of the fleet has changed."),
-		dropped:  desc("_dropped_total", "Packets, connections, messages and nodes that were refused.", "why"),
-		risen:    desc("_begun_again_total", "How often this process was proved gone and took a greater start."),
-		joins:    desc("_joins_failed_total", "Exchanges with a seed or a silent process that failed."),
-		unheard:  desc("_oldest_unheard_seconds", "For how long the process that is silent for longest has been."),
+	return &collector{group: g,
+		members:           desc("", "Processes of the fleet that are known, by how they stand.", "state"),
+		known:             desc("_known", "Processes that count: not proved gone."),
+		reachable:         desc("_heard", "Of these, those that are heard of now."),
+		estimatedSize:     desc("_believed", "Processes that decisions go by."),
+		admitted:          desc("_admitted", "1 if this process counts itself in."),
+		changes:           desc("_changes_total", "How often what is seen of the fleet has changed."),
+		dropped:           desc("_dropped_total", "Packets, connections, messages and nodes that were refused.", "why"),
+		startsRaised:      desc("_begun_again_total", "How often this process was proved gone and took a greater start."),
+		failedJoins:       desc("_joins_failed_total", "Exchanges with a seed or a silent process that failed."),
+		oldestUnreachable: desc("_oldest_unheard_seconds", "For how long the process that is silent for longest has been."),
 	}
 }
 
+// collector reads the group at each collection. The names and help texts of its metrics are those that operators know.
 type collector struct {
-	g *membership.Group
+	group *membership.Group
 
-	members, known, heard, believed, admitted, changes, dropped, risen, joins, unheard *prometheus.Desc
+	members           *prometheus.Desc
+	known             *prometheus.Desc
+	reachable         *prometheus.Desc
+	estimatedSize     *prometheus.Desc
+	admitted          *prometheus.Desc
+	changes           *prometheus.Desc
+	dropped           *prometheus.Desc
+	startsRaised      *prometheus.Desc
+	failedJoins       *prometheus.Desc
+	oldestUnreachable *prometheus.Desc
 }
 
-// Describe names the figures.
-func (c *collector) Describe(to chan<- *prometheus.Desc) {
-	for _, d := range []*prometheus.Desc{c.members, c.known, c.heard, c.believed, c.admitted, c.changes, c.dropped,
-		c.risen, c.joins, c.unheard} {
-		to <- d
+// Describe sends the descriptions of the metrics.
+func (c *collector) Describe(descriptions chan<- *prometheus.Desc) {
+	for _, d := range []*prometheus.Desc{c.members, c.known, c.reachable, c.estimatedSize, c.admitted, c.changes,
+		c.dropped, c.startsRaised, c.failedJoins, c.oldestUnreachable} {
+		descriptions <- d
 	}
 }
 
-// Collect gives the figures.
-func (c *collector) Collect(to chan<- prometheus.Metric) {
+// Collect sends the metrics.
+func (c *collector) Collect(metrics chan<- prometheus.Metric) {
 	gauge := func(d *prometheus.Desc, v float64, labels ...string) {
-		to <- prometheus.MustNewConstMetric(d, prometheus.GaugeValue, v, labels...)
+		metrics <- prometheus.MustNewConstMetric(d, prometheus.GaugeValue, v, labels...)
 	}
-	count := func(d *prometheus.Desc, v uint64, labels ...string) {
-		to <- prometheus.MustNewConstMetric(d, prometheus.CounterValue, float64(v), labels...)
+	counter := func(d *prometheus.Desc, v uint64, labels ...string) {
+		metrics <- prometheus.MustNewConstMetric(d, prometheus.CounterValue, float64(v), labels...)
 	}
-	r, f := c.g.Report(), c.g.Stats()
-	by, oldest := map[membership.MemberState]int{}, int64(0)
-	for _, m := range r.Members {
-		by[m.State]++
+	report, stats := c.group.Report(), c.group.Stats()
+	membersIn, oldestUnreachableMS := map[membership.MemberState]int{}, int64(0)
+	for _, m := range report.Members {
+		membersIn[m.State]++
 		if m.State == membership.Silent {
-			oldest = max(oldest, m.SinceMS)
+			oldestUnreachableMS = max(oldestUnreachableMS, m.SinceMS)
 		}
 	}
-	for _, s := range []membership.MemberState{membership.Alive, membership.Suspected, membership.Silent, membership.Gone} {
-		gauge(c.members, float64(by[s]), string(s))
+	for _, state := range []membership.MemberState{membership.Alive, membership.Suspected, membership.Silent, membership.Gone} {
+		gauge(c.members, float64(membersIn[state]), string(state))
 	}
-	admitted := 0.
-	if r.View.Admitted {
+	admitted := 0.0
+	if report.View.Admitted {
 		admitted = 1
 	}
-	gauge(c.known, float64(r.View.Known))
-	gauge(c.heard, float64(r.View.Reachable))
-	gauge(c.believed, r.EstimatedSize)
+	gauge(c.known, float64(report.View.Known))
+	gauge(c.reachable, float64(report.View.Reachable))
+	gauge(c.estimatedSize, report.EstimatedSize)
 	gauge(c.admitted, admitted)
-	gauge(c.unheard, float64(oldest)/1000)
-	count(c.changes, r.Changes)
-	count(c.risen, f.StartsRaised)
-	count(c.joins, f.FailedJoins)
-	for _, why := range slices.Sorted(maps.Keys(f.Dropped)) {
-		count(c.dropped, f.Dropped[why], why)
+	gauge(c.oldestUnreachable, float64(oldestUnreachableMS)/1000)
+	counter(c.changes, report.Changes)
+	counter(c.startsRaised, stats.StartsRaised)
+	counter(c.failedJoins, stats.FailedJoins)
+	for _, reason := range slices.Sorted(maps.Keys(stats.Dropped)) {
+		counter(c.dropped, stats.Dropped[reason], reason)
 	}
 }
--- a/internal/membership/collect/collect_test.go
+++ b/internal/membership/collect/collect_test.go
@@ -11,16 +11,16 @@
 	"marblelane/internal/membership"
 )
 
-// Each figure is there, under the prefix of who shows it.
-func TestFigures(t *testing.T) {
+// Each metric is exported under the prefix of its registerer.
+func TestCollector(t *testing.T) {
 	g, err := membership.Open(membership.Config{Name: "a", Fleet: "f", Bind: "127.0.0.1:0", Peers: 2})
 	require.NoError(t, err)
 	defer func() { require.NoError(t, g.Close()) }()
-	reg := prometheus.NewPedanticRegistry()
-	prometheus.WrapRegistererWithPrefix("svc_", reg).MustRegister(New(g))
-	got, err := reg.Gather()
+	registry := prometheus.NewPedanticRegistry()
+	prometheus.WrapRegistererWithPrefix("svc_", registry).MustRegister(New(g))
+	families, err := registry.Gather()
 	require.NoError(t, err)
-	text := fmt.Sprint(got)
+	text := fmt.Sprint(families)
 	for _, want := range []string{"members", "members_known", "members_believed", "members_admitted", "members_changes_total",
 		"members_begun_again_total", "members_oldest_unheard_seconds"} {
 		require.Contains(t, text, `name:"svc_`+want+`"`)
