--- a/architecture_test.go
+++ b/architecture_test.go
@@ -16,6 +16,7 @@
 		"internal/snapshot/fsys", "internal/membership/roster", "internal/wallclock"},
 	{"internal/wire", "internal/route", "internal/fault", "internal/listener", "internal/snapshot",
 		"internal/testutil/..."},
+	{"internal/membership/transport"},
 	{"internal/membership", "internal/audit", "internal/rollout", "internal/routeclient"},
 	{"internal/membership/addrcheck", "internal/membership/collect", "internal/membership/view",
 		"internal/membership/roster/model", "internal/rollout/model", "internal/snapshot/crashcheck"},
--- a/internal/membership/config.go
+++ b/internal/membership/config.go
@@ -15,6 +15,7 @@
 	"github.com/hashicorp/memberlist"
 
 	"marblelane/internal/membership/roster"
+	"marblelane/internal/membership/transport"
 )
 
 // Defects that the lab plants to see that its checks find them.
@@ -164,7 +165,8 @@
 	}
 	c.Peers = max(c.Peers, 1)
 	errs := []error{c.checkSection(), withKey("name", checkText(c.Name, 1, maxName)),
-		withKey("zone", checkText(c.Zone, 0, maxZone)), withKey("role", checkText(c.Role, 0, maxRole)), withKey("version", checkText(c.Version, 0, maxVersion))}
+		withKey("zone", checkText(c.Zone, 0, maxZone)), withKey("role", checkText(c.Role, 0, maxRole)),
+		withKey("version", checkText(c.Version, 0, maxVersion))}
 	if c.Start < 0 || c.Start >= maxStart {
 		errs = append(errs, withKey("start", fmt.Errorf("%d is no time in Unix milliseconds", c.Start)))
 	}
@@ -213,19 +215,8 @@
 	if !ip.IsValid() || ip.IsUnspecified() || ip.IsMulticast() {
 		return fmt.Errorf("%v is no address to call", ip)
 	}
-	if !inNetworks(networks, ip) {
+	if !transport.InNetworks(networks, ip) {
 		return fmt.Errorf("%v lies in none of the networks", ip)
 	}
 	return nil
 }
-
-// inNetworks reports whether an address lies in one of the networks, or there are none.
-func inNetworks(networks []netip.Prefix, ip netip.Addr) bool {
-	ip = ip.Unmap().WithZone("")
-	for _, n := range networks {
-		if n.Contains(ip) {
-			return true
-		}
-	}
-	return len(networks) == 0
-}
--- a/internal/membership/group.go
+++ b/internal/membership/group.go
@@ -22,6 +22,7 @@
 	"github.com/hashicorp/memberlist"
 
 	"marblelane/internal/membership/roster"
+	"marblelane/internal/membership/transport"
 )
 
 // ErrUnknownMember means that an operator named a process that is not known.
@@ -83,7 +84,7 @@
 	}
 	s := newShared(cfg)
 	if s.transport == nil {
-		t, err := newTransport(transportConfig{Bind: cfg.Bind, Advertise: cfg.Advertise, Networks: cfg.Networks,
+		t, err := transport.Open(transport.Config{Bind: cfg.Bind, Advertise: cfg.Advertise, Networks: cfg.Networks,
 			Log: cfg.Log, Dropped: s.counters.drop})
 		if err != nil {
 			return nil, fmt.Errorf("members: %w", err)
--- a/internal/membership/group_test.go
+++ b/internal/membership/group_test.go
@@ -22,6 +22,7 @@
 	"go.uber.org/goleak"
 
 	"marblelane/internal/membership/roster"
+	"marblelane/internal/membership/transport"
 )
 
 const testInterval = 50 * time.Millisecond
@@ -51,7 +52,7 @@
 }
 
 func (w *testNetwork) transport(t testing.TB, bind string) *testTransport {
-	tr, err := newTransport(transportConfig{Bind: bind})
+	tr, err := transport.Open(transport.Config{Bind: bind})
 	require.NoError(t, err)
 	ip, port, err := tr.FinalAdvertiseAddr("", 0)
 	require.NoError(t, err)
--- a/internal/membership/hostile_test.go
+++ b/internal/membership/hostile_test.go
@@ -19,7 +19,9 @@
 	f.eventually("a admitted", func() bool { return a.View().Admitted && g[0].View().Known == 3 })
 	require.NoError(t, a.Close())
 	b := f.open("b", func(c *Config) { c.Bind = a.addr }, g[0].addr)
-	f.eventually("a gone, b admitted", func() bool { return b.View().Admitted && b.View().Known == 3 && g[0].View().Known == 3 })
+	f.eventually("a gone, b admitted", func() bool {
+		return b.View().Admitted && b.View().Known == 3 && g[0].View().Known == 3
+	})
 	require.Zero(t, b.Stats().StartsRaised)
 }
 
--- a/internal/membership/message.go
+++ b/internal/membership/message.go
@@ -72,8 +72,8 @@
 	return b
 }
 
-// decodeMessage decodes and checks a message, which may come from any sender. An unknown kind is no error, as a newer program may have
-// more kinds.
+// decodeMessage decodes and checks a message, which may come from any sender. An unknown kind is no error, as a newer
+// program may have more kinds.
 func decodeMessage(b []byte, networks []netip.Prefix) (message, error) {
 	var m message
 	if len(b) > maxMessage {
--- a/internal/membership/roster/model/model_test.go
+++ b/internal/membership/roster/model/model_test.go
@@ -183,7 +183,11 @@
 }
 
 func TestPlantedDefects(t *testing.T) {
-	for d, want := range map[Defect]error{TrustDetector: ErrQuotaExceeded, NoAdmission: ErrQuotaExceeded, ProofUndone: ErrProofUndone} {
+	for d, want := range map[Defect]error{
+		TrustDetector: ErrQuotaExceeded,
+		NoAdmission:   ErrQuotaExceeded,
+		ProofUndone:   ErrProofUndone,
+	} {
 		states, err := Explore(Scenario{Slots: oneJoining, Peers: 3, Cuts: 1, Crashes: 1, Late: 1, Defect: d})
 		require.ErrorIs(t, err, want)
 		t.Logf("defect %d, after %d states: %v", d, states, err)
--- a/internal/membership/roster/roster.go
+++ b/internal/membership/roster/roster.go
@@ -116,8 +116,8 @@
 	r.mergeProcess(now, process{ID: self, addr: r.options.Addr, observer: r.options.Observer})
 }
 
-// Merge adds what another process or the caller knows, and returns the entries that changed, for the caller to send to others. Invalid
-// entries are ignored.
+// Merge adds what another process or the caller knows, and returns the entries that changed, for the caller to send to
+// others. Invalid entries are ignored.
 //
 // Up to the bounds it is a join: the same entries, in any order and any number of times, give the same knowledge.
 // Beyond them (MaxEntries entries, or MaxProofsPerName proofs of one name) it holds that:
--- a/internal/membership/roster/roster_test.go
+++ b/internal/membership/roster/roster_test.go
@@ -143,7 +143,8 @@
 	assert.False(t, c.View(0).Admitted)
 	c.View(admitWithin)
 	acknowledgeAll(0, c, d)
-	assert.Equal(t, View{Known: 3, Reachable: 1, Admitted: true, Forced: true}, d.View(0), "acknowledged by a forced process alone")
+	assert.Equal(t, View{Known: 3, Reachable: 1, Admitted: true, Forced: true}, d.View(0),
+		"acknowledged by a forced process alone")
 	assert.True(t, c.View(0).Forced)
 }
 
--- a/internal/membership/transport_guard.go
+++ b/internal/membership/transport/guard.go
@@ -1,4 +1,4 @@
-package membership
+package transport
 
 import (
 	"bufio"
--- a/internal/membership/transport_stream.go
+++ b/internal/membership/transport/stream.go
@@ -1,4 +1,4 @@
-package membership
+package transport
 
 import (
 	"errors"
@@ -15,7 +15,7 @@
 // stream is a connection whose bytes and lifetime are bounded, whatever deadlines its user sets.
 type stream struct {
 	net.Conn
-	transport    *transport
+	transport    *Transport
 	lastDeadline time.Time // no deadline is later
 	release      func()
 	closeOnce    sync.Once
@@ -28,7 +28,7 @@
 }
 
 // newStream wraps a connection, which Shutdown closes. release is called when it is closed.
-func (t *transport) newStream(conn net.Conn, release func()) (*stream, error) {
+func (t *Transport) newStream(conn net.Conn, release func()) (*stream, error) {
 	s := &stream{Conn: conn, transport: t, lastDeadline: time.Now().Add(t.streamLifetime), release: release,
 		readableBytes: t.maxStreamBytes, writableBytes: t.maxStreamBytes}
 	s.readDeadline = s.lastDeadline
--- a/internal/membership/transport.go
+++ b/internal/membership/transport/transport.go
@@ -1,4 +1,6 @@
-package membership
+// Package transport carries the packets and streams of hashicorp/memberlist. It accepts and calls only addresses of the
+// configured networks, and bounds the memory and the time that callers can take.
+package transport
 
 import (
 	"bytes"
@@ -32,8 +34,14 @@
 // defaultLimits allow a push/pull of 4,096 names with 1 KiB for each: at most 512 bytes of metadata, about 200 bytes of
 // the library and about 200 of the roster. The library's packets have at most 1,400 bytes; only a user message may be
 // longer.
-var defaultLimits = limits{maxPacketBytes: 8 << 10, maxStreamBytes: 4096 << 10, maxStreams: 32, slotTimeout: time.Second, idleTimeout: 5 * time.Second,
-	streamLifetime: 15 * time.Second}
+var defaultLimits = limits{
+	maxPacketBytes: 8 << 10,
+	maxStreamBytes: 4096 << 10,
+	maxStreams:     32,
+	slotTimeout:    time.Second,
+	idleTimeout:    5 * time.Second,
+	streamLifetime: 15 * time.Second,
+}
 
 // Reasons for which a packet or a stream is dropped. They are values of a metric's label.
 const (
@@ -46,8 +54,8 @@
 	droppedStreams   = "streams" // maxStreams are open
 )
 
-// transportConfig configures a transport.
-type transportConfig struct {
+// Config configures a transport.
+type Config struct {
 	Bind      string // HOST:PORT, UDP and TCP; port 0: the system's choice, the same for both
 	Advertise string // HOST:PORT that others call, port 0: the bound one; empty: the bound address
 	Networks  []netip.Prefix
@@ -55,11 +63,11 @@
 	Dropped   func(reason string) // called for each drop, from many goroutines; may be nil
 }
 
-// transport carries memberlist's packets and streams.
+// Transport carries memberlist's packets and streams.
 //
 // It replaces the library's NetTransport, which accepts packets and streams from anywhere, bounds neither the length nor
 // the number of streams, calls from any local address, and has goroutines that wait for the library without a timeout.
-type transport struct {
+type Transport struct {
 	limits
 	networks []netip.Prefix
 	log      *slog.Logger
@@ -84,15 +92,16 @@
 	streams map[*stream]struct{}
 }
 
-var _ memberlist.NodeAwareTransport = (*transport)(nil)
+var _ memberlist.NodeAwareTransport = (*Transport)(nil)
 
-// newTransport binds and listens. Shutdown ends it, and returns once the transport's goroutines have ended.
-func newTransport(cfg transportConfig) (memberlist.NodeAwareTransport, error) {
-	return openTransport(cfg, defaultLimits)
+// Open binds and listens. Shutdown ends it, and returns once the transport's goroutines have ended.
+func Open(cfg Config) (*Transport, error) {
+	return openWithLimits(cfg, defaultLimits)
 }
 
-func openTransport(cfg transportConfig, l limits) (*transport, error) {
-	t := &transport{limits: l, networks: cfg.Networks, log: cfg.Log, dropped: cfg.Dropped,
+// openWithLimits is Open with limits that tests choose.
+func openWithLimits(cfg Config, l limits) (*Transport, error) {
+	t := &Transport{limits: l, networks: cfg.Networks, log: cfg.Log, dropped: cfg.Dropped,
 		packetCh: make(chan *memberlist.Packet), streamCh: make(chan net.Conn), slots: make(chan struct{}, l.maxStreams),
 		streams: map[*stream]struct{}{}}
 	if t.log == nil {
@@ -128,7 +137,7 @@
 
 // bind binds one port for TCP and UDP. If the system chooses the port, the one chosen for TCP may be in use for UDP; then
 // it chooses again.
-func (t *transport) bind(addr string) error {
+func (t *Transport) bind(addr string) error {
 	const maxAttempts = 16
 	at, err := net.ResolveTCPAddr("tcp", addr)
 	if err != nil {
@@ -155,7 +164,7 @@
 }
 
 // setAdvertise determines the address that others call.
-func (t *transport) setAdvertise(addr string) error {
+func (t *Transport) setAdvertise(addr string) error {
 	t.advertise = t.bound
 	if addr != "" {
 		at, err := net.ResolveTCPAddr("tcp", addr)
@@ -171,29 +180,29 @@
 	if ip := t.advertise.Addr(); !ip.IsValid() || ip.IsUnspecified() {
 		return fmt.Errorf("others cannot call %v: an address is needed", t.bound)
 	}
-	if !inNetworks(t.networks, t.advertise.Addr()) {
+	if !InNetworks(t.networks, t.advertise.Addr()) {
 		return fmt.Errorf("%v lies in none of the networks %v", t.advertise, t.networks)
 	}
 	return nil
 }
 
 // TransportAddr returns the bound address.
-func (t *transport) TransportAddr() netip.AddrPort { return t.bound }
+func (t *Transport) TransportAddr() netip.AddrPort { return t.bound }
 
 // FinalAdvertiseAddr returns the address that others call. It ignores that of the library's configuration.
-func (t *transport) FinalAdvertiseAddr(string, int) (net.IP, int, error) {
+func (t *Transport) FinalAdvertiseAddr(string, int) (net.IP, int, error) {
 	return t.advertise.Addr().AsSlice(), int(t.advertise.Port()), nil
 }
 
 // parseTarget parses an address to call or send to. Other members name such addresses, so they must lie in the networks,
 // too: a member could make this one send to anybody otherwise.
-func (t *transport) parseTarget(addr string) (netip.AddrPort, error) {
+func (t *Transport) parseTarget(addr string) (netip.AddrPort, error) {
 	to, err := netip.ParseAddrPort(addr)
 	if err != nil {
 		return to, err
 	}
 	to = netip.AddrPortFrom(to.Addr().Unmap(), to.Port())
-	if !inNetworks(t.networks, to.Addr()) {
+	if !InNetworks(t.networks, to.Addr()) {
 		t.dropped(droppedNetwork)
 		return to, fmt.Errorf("%s lies in none of the networks %v", addr, t.networks)
 	}
@@ -201,13 +210,13 @@
 }
 
 // PacketCh returns the channel of received packets.
-func (t *transport) PacketCh() <-chan *memberlist.Packet { return t.packetCh }
+func (t *Transport) PacketCh() <-chan *memberlist.Packet { return t.packetCh }
 
 // StreamCh returns the channel of accepted streams.
-func (t *transport) StreamCh() <-chan net.Conn { return t.streamCh }
+func (t *Transport) StreamCh() <-chan net.Conn { return t.streamCh }
 
 // WriteTo sends a packet.
-func (t *transport) WriteTo(b []byte, addr string) (time.Time, error) {
+func (t *Transport) WriteTo(b []byte, addr string) (time.Time, error) {
 	to, err := t.parseTarget(addr)
 	if err != nil {
 		return time.Time{}, err
@@ -220,12 +229,12 @@
 }
 
 // WriteToAddress sends a packet.
-func (t *transport) WriteToAddress(b []byte, a memberlist.Address) (time.Time, error) {
+func (t *Transport) WriteToAddress(b []byte, a memberlist.Address) (time.Time, error) {
 	return t.WriteTo(b, a.Addr)
 }
 
 // DialTimeout opens a stream, from the bound address.
-func (t *transport) DialTimeout(addr string, timeout time.Duration) (net.Conn, error) {
+func (t *Transport) DialTimeout(addr string, timeout time.Duration) (net.Conn, error) {
 	to, err := t.parseTarget(addr)
 	if err != nil {
 		return nil, err
@@ -240,12 +249,12 @@
 }
 
 // DialAddressTimeout opens a stream, from the bound address.
-func (t *transport) DialAddressTimeout(a memberlist.Address, timeout time.Duration) (net.Conn, error) {
+func (t *Transport) DialAddressTimeout(a memberlist.Address, timeout time.Duration) (net.Conn, error) {
 	return t.DialTimeout(a.Addr, timeout)
 }
 
 // Shutdown closes the sockets and all streams.
-func (t *transport) Shutdown() error {
+func (t *Transport) Shutdown() error {
 	t.mu.Lock()
 	var open []*stream
 	for s := range t.streams {
@@ -273,7 +282,7 @@
 }
 
 // backOff waits after a failed read of a packet. It returns false if the transport has ended.
-func (t *transport) backOff(failures *readFailures, err error) bool {
+func (t *Transport) backOff(failures *readFailures, err error) bool {
 	if t.ctx.Err() != nil {
 		return false
 	}
@@ -283,7 +292,7 @@
 	return retry.Sleep(t.ctx, failures.backoff.Next()) == nil
 }
 
-func (t *transport) readPackets() {
+func (t *Transport) readPackets() {
 	buf := make([]byte, t.maxPacketBytes+1)
 	failures := readFailures{backoff: retry.NewBackoff()}
 	for {
@@ -297,7 +306,7 @@
 		}
 		failures.backoff.Reset()
 		switch {
-		case !inNetworks(t.networks, from.Addr()):
+		case !InNetworks(t.networks, from.Addr()):
 			t.dropped(droppedNetwork)
 		case n > t.maxPacketBytes:
 			t.dropped(droppedLong)
@@ -317,7 +326,7 @@
 	}
 }
 
-func (t *transport) acceptStreams() {
+func (t *Transport) acceptStreams() {
 	for {
 		conn, err := t.tcp.Accept()
 		if err != nil {
@@ -326,7 +335,7 @@
 			}
 			return
 		}
-		if !inNetworks(t.networks, conn.RemoteAddr().(*net.TCPAddr).AddrPort().Addr()) {
+		if !InNetworks(t.networks, conn.RemoteAddr().(*net.TCPAddr).AddrPort().Addr()) {
 			t.dropped(droppedNetwork)
 			_ = conn.Close()
 			continue
@@ -349,7 +358,7 @@
 }
 
 // acquireSlot waits for a free slot up to slotTimeout. No other stream is accepted meanwhile.
-func (t *transport) acquireSlot() bool {
+func (t *Transport) acquireSlot() bool {
 	select {
 	case t.slots <- struct{}{}:
 		return true
@@ -365,3 +374,14 @@
 	}
 	return false
 }
+
+// InNetworks reports whether an address lies in one of the networks, or there are none.
+func InNetworks(networks []netip.Prefix, ip netip.Addr) bool {
+	ip = ip.Unmap().WithZone("")
+	for _, n := range networks {
+		if n.Contains(ip) {
+			return true
+		}
+	}
+	return len(networks) == 0
+}
--- a/internal/membership/transport_test.go
+++ b/internal/membership/transport/transport_test.go
@@ -1,4 +1,4 @@
-package membership
+package transport
 
 import (
 	"bytes"
@@ -25,26 +25,29 @@
 	"marblelane/internal/retry"
 )
 
+func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
+
 // smallLimits are limits that a test can reach.
-var smallLimits = limits{maxPacketBytes: 100, maxStreamBytes: 1000, maxStreams: 2, slotTimeout: time.Minute, idleTimeout: time.Minute, streamLifetime: time.Minute}
+var smallLimits = limits{maxPacketBytes: 100, maxStreamBytes: 1000, maxStreams: 2, slotTimeout: time.Minute,
+	idleTimeout: time.Minute, streamLifetime: time.Minute}
 
 // openTestTransport returns a transport, and the reasons of its drops in order.
-func openTestTransport(t *testing.T, bind string, l limits, networks ...string) (*transport, <-chan string) {
+func openTestTransport(t *testing.T, bind string, l limits, networks ...string) (*Transport, <-chan string) {
 	t.Helper()
 	before := goleak.IgnoreCurrent()
 	t.Cleanup(func() { goleak.VerifyNone(t, before) })
 	drops := make(chan string, 1000)
-	cfg := transportConfig{Bind: bind, Dropped: func(reason string) { drops <- reason }}
+	cfg := Config{Bind: bind, Dropped: func(reason string) { drops <- reason }}
 	for _, n := range networks {
 		cfg.Networks = append(cfg.Networks, netip.MustParsePrefix(n))
 	}
-	tr, err := openTransport(cfg, l)
+	tr, err := openWithLimits(cfg, l)
 	require.NoError(t, err)
 	t.Cleanup(func() { assert.NoError(t, tr.Shutdown()) })
 	return tr, drops
 }
 
-func mustDial(t *testing.T, tr *transport) net.Conn {
+func mustDial(t *testing.T, tr *Transport) net.Conn {
 	t.Helper()
 	c, err := net.Dial("tcp", tr.bound.String())
 	require.NoError(t, err)
@@ -88,11 +91,11 @@
 		{"0.0.0.0:0", "", "", "an address is needed"},
 		{"127.0.0.9:0", "10.0.0.1:1", "127.0.0.0/8", "10.0.0.1:1 lies in none of the networks"},
 	} {
-		cfg := transportConfig{Bind: c.bind, Advertise: c.advertise}
+		cfg := Config{Bind: c.bind, Advertise: c.advertise}
 		if c.network != "" {
 			cfg.Networks = []netip.Prefix{netip.MustParsePrefix(c.network)}
 		}
-		_, err := newTransport(cfg)
+		_, err := Open(cfg)
 		require.ErrorContains(t, err, c.text)
 	}
 }
@@ -240,7 +243,7 @@
 // The library works while a stranger sends garbage.
 func TestTransportCarriesMemberlist(t *testing.T) {
 	var all []*memberlist.Memberlist
-	var at []*transport
+	var at []*Transport
 	for i := range 3 {
 		tr, _ := openTestTransport(t, fmt.Sprintf("127.0.0.%d:0", 7+i), defaultLimits)
 		c := memberlist.DefaultLocalConfig()
@@ -280,7 +283,7 @@
 func TestTransportReadFailures(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var text bytes.Buffer
-		tr := &transport{ctx: t.Context(), log: slog.New(slog.NewTextHandler(&text, nil))}
+		tr := &Transport{ctx: t.Context(), log: slog.New(slog.NewTextHandler(&text, nil))}
 		failures := readFailures{backoff: retry.NewBackoff()}
 		start := time.Now()
 		for range 35 {
--- a/internal/membership/units_test.go
+++ b/internal/membership/units_test.go
@@ -168,14 +168,17 @@
 	close(release)
 	require.GreaterOrEqual(t, g[1].counters.dropped()["ring"], uint64(names))
 	g[0].current.Load().MergeRemoteState(encodeEntries(kindEntries, all...).bytes(), false)
-	f.eventually("push/pull repeats the dropped entries", func() bool { return knows(g[0], names+2)() && knows(g[1], names+2)() })
+	f.eventually("push/pull repeats the dropped entries", func() bool {
+		return knows(g[0], names+2)() && knows(g[1], names+2)()
+	})
 }
 
 func TestLibraryLog(t *testing.T) {
 	var out bytes.Buffer
 	var suspects, drops []string
-	lines := newStandardLogger(newLibraryLog(slog.New(slog.NewTextHandler(&out, nil)), func(s string) { suspects = append(suspects, s) },
-		func(s string) { drops = append(drops, s) }))
+	lines := newStandardLogger(newLibraryLog(slog.New(slog.NewTextHandler(&out, nil)),
+		func(node string) { suspects = append(suspects, node) },
+		func(reason string) { drops = append(drops, reason) }))
 	lines.Print("[INFO] memberlist: Suspect a@7 has failed, no acks received")
 	lines.Print(`[ERR] memberlist: discarding packet with unacceptable label "x": from`)
 	lines.Print("[ERR] memberlist: failed to receive and remove the stream label header: EOF from")
@@ -205,8 +208,8 @@
 	return c.Conn.Write(b)
 }
 
-// BenchmarkIdle measures what a member of an idle fleet costs in a second: payload of packets and streams, and CPU time. Each
-// iteration is a minute, in which each member starts one push/pull at least.
+// BenchmarkIdle measures what a member of an idle fleet costs in a second: payload of packets and streams, and CPU time.
+// Each iteration is a minute, in which each member starts one push/pull at least.
 func BenchmarkIdle(b *testing.B) {
 	for _, n := range []int{10, 50} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
