--- a/cmd/marblelane/members.go
+++ b/cmd/marblelane/members.go
@@ -42,7 +42,7 @@
 	if wait <= 0 {
 		return nil, fmt.Errorf("--wait %v: is not above 0", wait)
 	}
-	return &view.Client{Wait: wait}, nil
+	return &view.Client{Timeout: wait}, nil
 }
 
 // wrong names the argument that an error is of.
@@ -72,8 +72,8 @@
 
 func printMembers(w io.Writer, r *membership.Report) {
 	believed := ""
-	if r.Believed > 0 {
-		believed = fmt.Sprintf(", decides as one of %.3g", r.Believed)
+	if r.EstimatedSize > 0 {
+		believed = fmt.Sprintf(", decides as one of %.3g", r.EstimatedSize)
 	}
 	fmt.Fprintf(w, "%s in fleet %q: %s%s; %d changes, %d dropped\n", idText(r.Self), r.Fleet, viewText(r), believed,
 		r.Changes, r.Dropped)
@@ -81,14 +81,14 @@
 	fmt.Fprintln(t, "NAME\tSTART\tSTATE\tFOR\tHEARD\tROLE\tZONE\tVERSION\tADDRESS\tNOTE")
 	for _, m := range r.Members {
 		heard := "never"
-		if m.HeardMS >= 0 {
-			heard = forText(m.HeardMS) + " ago"
+		if m.LastAliveMS >= 0 {
+			heard = forText(m.LastAliveMS) + " ago"
 		}
 		var notes []string
 		if m.Proof != "" {
 			notes = append(notes, m.Proof)
 		}
-		if m.Twin {
+		if m.Duplicate {
 			notes = append(notes, "twin")
 		}
 		fmt.Fprintf(t, "%s\t%d\t%s\t%s\t%s\t%s\t%s\t%s\t%s\t%s\n", m.Name, m.Start, m.State, forText(m.SinceMS), heard,
@@ -107,7 +107,7 @@
 	if r.View.Forced {
 		admitted += " by time alone"
 	}
-	return fmt.Sprintf("%d known, %d heard, %s", r.View.Known, r.View.Heard, admitted)
+	return fmt.Sprintf("%d known, %d heard, %s", r.View.Known, r.View.Reachable, admitted)
 }
 
 // forText is a time in milliseconds as it is read.
@@ -230,7 +230,7 @@
 		return fmt.Errorf("--yes: %s is %s at %s; it is needed for all but silent ones", idText(id), r.Members[at].State,
 			c.Addr)
 	}
-	if err := client.Gone(a.ctx, c.Addr, id); err != nil {
+	if err := client.ConfirmGone(a.ctx, c.Addr, id); err != nil {
 		return c.wrong(err)
 	}
 	fmt.Fprintf(a.out, "%s counts as gone\n", idText(id))
@@ -258,7 +258,7 @@
 	if err != nil {
 		return err
 	}
-	asked := client.Ask(a.ctx, c.Addrs, c.Apart)
+	asked := client.Observe(a.ctx, c.Addrs, c.Apart)
 	if err := a.ctx.Err(); err != nil {
 		return fmt.Errorf("diff: %w", err)
 	}
@@ -298,18 +298,18 @@
 	}
 	client, err := clientFor(c.Wait)
 	if err == nil {
-		client.Most = c.Most
+		client.MaxParallel = c.Most
 	}
 	return client, err
 }
 
 // diffOf compares what was said. Processes of several fleets cannot be compared.
-func diffOf(asked []view.Asked) (*viewDiff, error) {
+func diffOf(asked []view.Observation) (*viewDiff, error) {
 	d := &viewDiff{Digests: map[string]string{}, Unasked: map[string]string{}, Differences: view.Diff(asked)}
-	var one *view.Asked
+	var one *view.Observation
 	for i := range asked {
 		s := &asked[i]
-		if !s.Answered() {
+		if !s.Complete() {
 			d.Unasked[s.Addr] = s.Err.Error()
 			continue
 		}
@@ -322,7 +322,7 @@
 		d.Digests[s.Addr] = fmt.Sprintf("%016x", view.Digest(s.Second))
 	}
 	d.InAgreement = len(d.different()) < 2 &&
-		!slices.ContainsFunc(d.Differences, func(x view.Difference) bool { return x.Stage != view.Settled })
+		!slices.ContainsFunc(d.Differences, func(x view.Difference) bool { return x.Stage != view.Resolved })
 	return d, nil
 }
 
@@ -335,7 +335,7 @@
 	for _, x := range d.Differences {
 		fmt.Fprintf(w, "%s: %s\n", idText(x.Member), stageText(x))
 		t := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
-		for _, s := range x.Sayings {
+		for _, s := range x.Views {
 			since := "-"
 			if s.SinceMS >= 0 {
 				since = "for " + forText(s.SinceMS)
@@ -366,9 +366,9 @@
 
 func stageText(x view.Difference) string {
 	switch x.Stage {
-	case view.Lasting:
+	case view.Persistent:
 		return "they differ lastingly, for " + forText(x.ForMS)
-	case view.News:
+	case view.Emerging:
 		return "they differ, as news is on its way, for " + forText(x.ForMS)
 	}
 	return "they differed, and agree by now"
--- a/cmd/sidecar/members_test.go
+++ b/cmd/sidecar/members_test.go
@@ -87,11 +87,11 @@
 }
 
 // counts waits until it knows, and reaches, so many members.
-func (m *member) counts(known, received int) {
+func (m *member) counts(known, reachable int) {
 	m.t.Helper()
-	m.waits(fmt.Sprintf("%d known and %d heard", known, received), func() bool {
+	m.waits(fmt.Sprintf("%d known and %d reachable", known, reachable), func() bool {
 		v := m.report().View
-		return v.Known == known && v.Heard == received && v.Admitted
+		return v.Known == known && v.Reachable == reachable && v.Admitted
 	})
 }
 
--- a/internal/membership/golden_test.go
+++ b/internal/membership/golden_test.go
@@ -16,21 +16,21 @@
 func goldenEntries() []roster.Entry {
 	return []roster.Entry{
 		{Name: "process-0", Start: 1_700_000_000_000, Addr: "127.0.0.1:7946"},
-		{Name: "process-1", Start: 1_700_000_000_001, Gone: 1_700_000_000_001, Proof: roster.Refused, Addr: "127.0.0.2:7946"},
-		{Name: "process-2", Start: 1_700_000_000_002, Gone: 1_600_000_000_000, Proof: roster.Replaced, Addr: "[::1]:7946"},
-		{Name: "process-3-é", Start: 3, Gone: 3, Proof: roster.Told},
-		{Name: "process-4", Start: 4, Gone: 4, Proof: roster.Left, Addr: "127.0.0.4:1", Observer: true},
+		{Name: "process-1", Start: 1_700_000_000_001, Gone: 1_700_000_000_001, Proof: roster.ProofRefused, Addr: "127.0.0.2:7946"},
+		{Name: "process-2", Start: 1_700_000_000_002, Gone: 1_600_000_000_000, Proof: roster.ProofAddressReused, Addr: "[::1]:7946"},
+		{Name: "process-3-é", Start: 3, Gone: 3, Proof: roster.ProofOperator},
+		{Name: "process-4", Start: 4, Gone: 4, Proof: roster.ProofLeft, Addr: "127.0.0.4:1", Observer: true},
 	}
 }
 
 func TestGoldenMessages(t *testing.T) {
-	newcomer, known := ident{"process-0", 1_700_000_000_000}, ident{"process-2", 1_700_000_000_002}
-	asking := encodeEntries(kindAsk, goldenEntries()[0])
-	asking.By = newcomer
+	joining, known := processID{"process-0", 1_700_000_000_000}, processID{"process-2", 1_700_000_000_002}
+	request := encodeEntries(kindAckRequest, goldenEntries()[0])
+	request.By = joining
 	for name, want := range map[string]message{
 		"entries": encodeEntries(kindEntries, goldenEntries()...),
-		"ask":     asking,
-		"ack":     {Version: messageVersion, Kind: kindAck, By: known, To: newcomer, Digest: 1<<63 + 1},
+		"ask":     request,
+		"ack":     {Version: messageVersion, Kind: kindAck, By: known, To: joining, Digest: 1<<63 + 1},
 	} {
 		t.Run(name, func(t *testing.T) {
 			stored, err := os.ReadFile("testdata/golden/message-" + name + ".json")
--- /dev/null
+++ b/internal/membership/transport/transport.go
@@ -0,0 +1,387 @@
+// Package transport carries the packets and streams of hashicorp/memberlist. It accepts and calls only addresses of the
+// configured networks, and bounds the memory and the time that callers can take.
+package transport
+
+import (
+	"bytes"
+	"context"
+	"errors"
+	"fmt"
+	"log/slog"
+	"net"
+	"net/netip"
+	"sync"
+	"syscall"
+	"time"
+
+	"github.com/hashicorp/memberlist"
+	"golang.org/x/sys/unix"
+
+	"marblelane/internal/listener"
+	"marblelane/internal/retry"
+)
+
+// limits bound the memory and the time that callers can take.
+type limits struct {
+	maxPacketBytes int           // in either direction
+	maxStreamBytes int64         // in each direction
+	maxStreams     int           // incoming ones at a time
+	slotTimeout    time.Duration // how long an incoming stream waits for another one to end before it is dropped
+	idleTimeout    time.Duration // without a byte while the stream is read
+	streamLifetime time.Duration // from the opening of a stream to its end
+}
+
+// defaultLimits allow a push/pull of 4,096 names with 1 KiB for each: at most 512 bytes of metadata, about 200 bytes of
+// the library and about 200 of the roster. The library's packets have at most 1,400 bytes; only a user message may be
+// longer.
+var defaultLimits = limits{
+	maxPacketBytes: 8 << 10,
+	maxStreamBytes: 4096 << 10,
+	maxStreams:     32,
+	slotTimeout:    time.Second,
+	idleTimeout:    5 * time.Second,
+	streamLifetime: 15 * time.Second,
+}
+
+// Reasons for which a packet or a stream is dropped. They are values of a metric's label.
+const (
+	droppedNetwork   = "network" // the other end lies in none of the networks
+	droppedLong      = "long"    // more bytes than its limit
+	droppedEmpty     = "empty"   // a packet without bytes
+	droppedIdle      = "idle"    // nothing arrived within idleTimeout
+	droppedLate      = "late"    // the stream did not end within streamLifetime
+	droppedOversized = "swollen" // it announces more than its limit, or is compressed
+	droppedStreams   = "streams" // maxStreams are open
+)
+
+// Config configures a transport.
+type Config struct {
+	Bind      string // HOST:PORT, UDP and TCP; port 0: the system's choice, the same for both
+	Advertise string // HOST:PORT that others call, port 0: the bound one; empty: the bound address
+	Networks  []netip.Prefix
+	Log       *slog.Logger
+	Dropped   func(reason string) // called for each drop, from many goroutines; may be nil
+}
+
+// Transport carries memberlist's packets and streams.
+//
+// It replaces the library's NetTransport, which accepts packets and streams from anywhere, bounds neither the length nor
+// the number of streams, calls from any local address, and has goroutines that wait for the library without a timeout.
+type Transport struct {
+	limits
+	networks []netip.Prefix
+	log      *slog.Logger
+	dropped  func(reason string)
+
+	tcp       net.Listener // of a TCP socket
+	udp       *net.UDPConn
+	bound     netip.AddrPort
+	advertise netip.AddrPort
+	dialer    net.Dialer
+
+	packetCh chan *memberlist.Packet
+	streamCh chan net.Conn
+	slots    chan struct{} // holds one element for each incoming stream
+
+	ctx    context.Context // ended by Shutdown
+	cancel func()
+	wg     sync.WaitGroup
+
+	mu      sync.Mutex
+	closed  bool
+	streams map[*stream]struct{}
+}
+
+var _ memberlist.NodeAwareTransport = (*Transport)(nil)
+
+// Open binds and listens. Shutdown ends it, and returns once the transport's goroutines have ended.
+func Open(cfg Config) (*Transport, error) {
+	return openWithLimits(cfg, defaultLimits)
+}
+
+// openWithLimits is Open with limits that tests choose.
+func openWithLimits(cfg Config, l limits) (*Transport, error) {
+	t := &Transport{limits: l, networks: cfg.Networks, log: cfg.Log, dropped: cfg.Dropped,
+		packetCh: make(chan *memberlist.Packet), streamCh: make(chan net.Conn), slots: make(chan struct{}, l.maxStreams),
+		streams: map[*stream]struct{}{}}
+	if t.log == nil {
+		t.log = slog.New(slog.DiscardHandler)
+	}
+	if t.dropped == nil {
+		t.dropped = func(string) {}
+	}
+	if err := t.bind(cfg.Bind); err != nil {
+		return nil, fmt.Errorf("bind %q: %w", cfg.Bind, err)
+	}
+	if err := t.setAdvertise(cfg.Advertise); err != nil {
+		return nil, errors.Join(fmt.Errorf("advertise %q: %w", cfg.Advertise, err), t.tcp.Close(), t.udp.Close())
+	}
+	// Members recognize each other by their addresses, so calls come from the bound one.
+	t.dialer = net.Dialer{KeepAlive: -1, Control: choosePortLate}
+	if ip := t.bound.Addr(); !ip.IsUnspecified() {
+		t.dialer.LocalAddr = net.TCPAddrFromAddrPort(netip.AddrPortFrom(ip, 0))
+	}
+	t.ctx, t.cancel = context.WithCancel(context.Background())
+	t.wg.Go(t.readPackets)
+	t.wg.Go(t.acceptStreams)
+	return t, nil
+}
+
+// choosePortLate has the system choose the local port when the call connects, so that calls to different addresses may
+// share a port. Where the system does not support it, each call takes a port of its own.
+func choosePortLate(_, _ string, c syscall.RawConn) error {
+	return c.Control(func(fd uintptr) {
+		_ = unix.SetsockoptInt(int(fd), unix.IPPROTO_IP, unix.IP_BIND_ADDRESS_NO_PORT, 1)
+	})
+}
+
+// bind binds one port for TCP and UDP. If the system chooses the port, the one chosen for TCP may be in use for UDP; then
+// it chooses again.
+func (t *Transport) bind(addr string) error {
+	const maxAttempts = 16
+	at, err := net.ResolveTCPAddr("tcp", addr)
+	if err != nil {
+		return err
+	}
+	for range maxAttempts {
+		var tcp *net.TCPListener
+		if tcp, err = net.ListenTCP("tcp", at); err != nil {
+			return err
+		}
+		t.tcp = listener.Wrap(tcp, "members", t.log)
+		got := t.tcp.Addr().(*net.TCPAddr).AddrPort()
+		if t.udp, err = net.ListenUDP("udp", net.UDPAddrFromAddrPort(got)); err == nil {
+			t.bound = netip.AddrPortFrom(got.Addr().Unmap(), got.Port())
+			_ = t.udp.SetReadBuffer(1 << 20) // the system may allow less
+			return nil
+		}
+		_ = t.tcp.Close() // it was not used yet
+		if at.Port != 0 || !errors.Is(err, syscall.EADDRINUSE) {
+			break
+		}
+	}
+	return err
+}
+
+// setAdvertise determines the address that others call.
+func (t *Transport) setAdvertise(addr string) error {
+	t.advertise = t.bound
+	if addr != "" {
+		at, err := net.ResolveTCPAddr("tcp", addr)
+		if err != nil {
+			return err
+		}
+		ip, _ := netip.AddrFromSlice(at.IP)
+		t.advertise = netip.AddrPortFrom(ip.Unmap(), uint16(at.Port))
+		if at.Port == 0 {
+			t.advertise = netip.AddrPortFrom(ip.Unmap(), t.bound.Port())
+		}
+	}
+	if ip := t.advertise.Addr(); !ip.IsValid() || ip.IsUnspecified() {
+		return fmt.Errorf("others cannot call %v: an address is needed", t.bound)
+	}
+	if !InNetworks(t.networks, t.advertise.Addr()) {
+		return fmt.Errorf("%v lies in none of the networks %v", t.advertise, t.networks)
+	}
+	return nil
+}
+
+// TransportAddr returns the bound address.
+func (t *Transport) TransportAddr() netip.AddrPort { return t.bound }
+
+// FinalAdvertiseAddr returns the address that others call. It ignores that of the library's configuration.
+func (t *Transport) FinalAdvertiseAddr(string, int) (net.IP, int, error) {
+	return t.advertise.Addr().AsSlice(), int(t.advertise.Port()), nil
+}
+
+// parseTarget parses an address to call or send to. Other members name such addresses, so they must lie in the networks,
+// too: a member could make this one send to anybody otherwise.
+func (t *Transport) parseTarget(addr string) (netip.AddrPort, error) {
+	to, err := netip.ParseAddrPort(addr)
+	if err != nil {
+		return to, err
+	}
+	to = netip.AddrPortFrom(to.Addr().Unmap(), to.Port())
+	if !InNetworks(t.networks, to.Addr()) {
+		t.dropped(droppedNetwork)
+		return to, fmt.Errorf("%s lies in none of the networks %v", addr, t.networks)
+	}
+	return to, nil
+}
+
+// PacketCh returns the channel of received packets.
+func (t *Transport) PacketCh() <-chan *memberlist.Packet { return t.packetCh }
+
+// StreamCh returns the channel of accepted streams.
+func (t *Transport) StreamCh() <-chan net.Conn { return t.streamCh }
+
+// WriteTo sends a packet.
+func (t *Transport) WriteTo(b []byte, addr string) (time.Time, error) {
+	to, err := t.parseTarget(addr)
+	if err != nil {
+		return time.Time{}, err
+	}
+	if len(b) > t.maxPacketBytes {
+		return time.Time{}, fmt.Errorf("packet to %s of %d bytes is longer than %d", addr, len(b), t.maxPacketBytes)
+	}
+	_, err = t.udp.WriteToUDPAddrPort(b, to)
+	return time.Now(), err // unwrapped: the library checks its type to see whether the other end failed
+}
+
+// WriteToAddress sends a packet.
+func (t *Transport) WriteToAddress(b []byte, a memberlist.Address) (time.Time, error) {
+	return t.WriteTo(b, a.Addr)
+}
+
+// DialTimeout opens a stream, from the bound address.
+func (t *Transport) DialTimeout(addr string, timeout time.Duration) (net.Conn, error) {
+	to, err := t.parseTarget(addr)
+	if err != nil {
+		return nil, err
+	}
+	ctx, cancel := context.WithTimeout(t.ctx, min(timeout, t.streamLifetime))
+	defer cancel()
+	conn, err := t.dialer.DialContext(ctx, "tcp", to.String())
+	if err != nil {
+		return nil, err // unwrapped, see WriteTo
+	}
+	return t.newStream(conn, func() {})
+}
+
+// DialAddressTimeout opens a stream, from the bound address.
+func (t *Transport) DialAddressTimeout(a memberlist.Address, timeout time.Duration) (net.Conn, error) {
+	return t.DialTimeout(a.Addr, timeout)
+}
+
+// Shutdown closes the sockets and all streams.
+func (t *Transport) Shutdown() error {
+	t.mu.Lock()
+	var open []*stream
+	for s := range t.streams {
+		open = append(open, s)
+	}
+	wasClosed := t.closed
+	t.closed = true
+	t.mu.Unlock()
+	t.cancel()
+	var err error
+	if !wasClosed {
+		err = errors.Join(t.tcp.Close(), t.udp.Close())
+	}
+	for _, s := range open {
+		_ = s.Close()
+	}
+	t.wg.Wait()
+	return err
+}
+
+// readFailures holds the backoff after failed reads of packets, and the limit of their log lines.
+type readFailures struct {
+	backoff retry.Backoff
+	limiter retry.LogLimiter
+}
+
+// backOff waits after a failed read of a packet. It returns false if the transport has ended.
+func (t *Transport) backOff(failures *readFailures, err error) bool {
+	if t.ctx.Err() != nil {
+		return false
+	}
+	if ok, suppressed := failures.limiter.Allow(); ok {
+		t.log.Warn("members: read of a packet failed", "addr", t.bound, "err", err, "suppressed", suppressed)
+	}
+	return retry.Sleep(t.ctx, failures.backoff.Next()) == nil
+}
+
+func (t *Transport) readPackets() {
+	buf := make([]byte, t.maxPacketBytes+1)
+	failures := readFailures{backoff: retry.NewBackoff()}
+	for {
+		n, from, err := t.udp.ReadFromUDPAddrPort(buf)
+		at := time.Now()
+		if err != nil {
+			if !t.backOff(&failures, err) {
+				return
+			}
+			continue
+		}
+		failures.backoff.Reset()
+		switch {
+		case !InNetworks(t.networks, from.Addr()):
+			t.dropped(droppedNetwork)
+		case n > t.maxPacketBytes:
+			t.dropped(droppedLong)
+		case n == 0:
+			t.dropped(droppedEmpty)
+		case mayExpand(buf[:n]):
+			t.dropped(droppedOversized)
+		default:
+			from = netip.AddrPortFrom(from.Addr().Unmap(), from.Port())
+			p := &memberlist.Packet{Buf: bytes.Clone(buf[:n]), From: net.UDPAddrFromAddrPort(from), Timestamp: at}
+			select {
+			case t.packetCh <- p:
+			case <-t.ctx.Done():
+				return
+			}
+		}
+	}
+}
+
+func (t *Transport) acceptStreams() {
+	for {
+		conn, err := t.tcp.Accept()
+		if err != nil {
+			if !errors.Is(err, net.ErrClosed) {
+				t.log.Error("members: accept failed, no more streams are accepted", "addr", t.bound, "err", err)
+			}
+			return
+		}
+		if !InNetworks(t.networks, conn.RemoteAddr().(*net.TCPAddr).AddrPort().Addr()) {
+			t.dropped(droppedNetwork)
+			_ = conn.Close()
+			continue
+		}
+		if !t.acquireSlot() {
+			t.dropped(droppedStreams)
+			_ = conn.Close()
+			continue
+		}
+		s, err := t.newStream(conn, func() { <-t.slots })
+		if err != nil {
+			return // the transport has ended
+		}
+		select {
+		case t.streamCh <- s:
+		case <-t.ctx.Done():
+			return // Shutdown closes it
+		}
+	}
+}
+
+// acquireSlot waits for a free slot up to slotTimeout. No other stream is accepted meanwhile.
+func (t *Transport) acquireSlot() bool {
+	select {
+	case t.slots <- struct{}{}:
+		return true
+	default:
+	}
+	timeout := time.NewTimer(t.slotTimeout)
+	defer timeout.Stop()
+	select {
+	case t.slots <- struct{}{}:
+		return true
+	case <-timeout.C:
+	case <-t.ctx.Done():
+	}
+	return false
+}
+
+// InNetworks reports whether an address lies in one of the networks, or there are none.
+func InNetworks(networks []netip.Prefix, ip netip.Addr) bool {
+	ip = ip.Unmap().WithZone("")
+	for _, n := range networks {
+		if n.Contains(ip) {
+			return true
+		}
+	}
+	return len(networks) == 0
+}
