--- /dev/null
+++ b/internal/audit/golden_test.go
@@ -0,0 +1,60 @@
+package audit
+
+import (
+	"bytes"
+	"encoding/json"
+	"os"
+	"testing"
+
+	"github.com/stretchr/testify/require"
+
+	"marblelane/internal/route"
+)
+
+// requireGolden compares a value's JSON with the bytes of a file in testdata. These files are what earlier builds have
+// written; they are never written anew.
+func requireGolden(t *testing.T, file string, value any) {
+	t.Helper()
+	want, err := os.ReadFile("testdata/" + file)
+	require.NoError(t, err)
+	got, err := json.Marshal(value)
+	require.NoError(t, err)
+	require.Equal(t, string(bytes.TrimSpace(want)), string(got))
+}
+
+// goldenTransitions are one of each kind.
+func goldenTransitions() []Transition {
+	p := route.Process{Name: "sidecar-1", Start: 1764720000000000001}
+	return []Transition{
+		{Process: p, AtMS: 1000, Kind: Acts, Rev: 5, N: 1},
+		{Process: p, AtMS: 2000, Kind: Acted, Rev: 5, N: 40},
+		{Process: p, AtMS: 2000, Kind: Acts, Rev: 6},
+		{Process: p, AtMS: 3000, Kind: ShutOut, Rev: 6, N: 3, Note: "behind"},
+		{Process: p, AtMS: 4000, Kind: Back, Rev: 7},
+		{Process: p, AtMS: 5000, Kind: Gone, Rev: 7, N: 2},
+	}
+}
+
+func TestStoredForms_log(t *testing.T) {
+	var l Log
+	l.Add(goldenTransitions())
+	requireGolden(t, "log.golden.json", &l)
+	text, err := os.ReadFile("testdata/log.golden.json")
+	require.NoError(t, err)
+	var read Log
+	require.NoError(t, json.Unmarshal(text, &read))
+	require.Equal(t, goldenTransitions(), read.Since(0))
+}
+
+func TestStoredForms_answers(t *testing.T) {
+	const leader = "leader"
+	tracker := NewTracker(TrackerOptions{}, leader, 0)
+	p := route.Process{Name: "sidecar-1", Start: 9}
+	report := &route.Report{Process: p, Seq: 1, Echo: route.Moment{Leader: leader, MS: 50}, Have: 3, Unread: 4, Held: true,
+		List: 5, Version: "v", Config: "c", Schemas: []int{1, 2}, Counts: []route.Count{{Rev: 3, Begun: 2}}}
+	requireGolden(t, "transitions.golden.json", tracker.Report(100, 1000, report))
+	requireGolden(t, "shut_out.golden.json", tracker.AccessChanged(150, 1050, p, ShutOut, 3, "behind"))
+	tracker.Report(160, 1060, &route.Report{Process: route.Process{Name: "sidecar-1", Start: 10}, Seq: 1})
+	requireGolden(t, "present.golden.json", tracker.Present(200))
+	requireGolden(t, "summary.golden.json", tracker.Who(Query{Rev: 3, From: 60, To: 120, Committed: 60}, nil))
+}
--- /dev/null
+++ b/internal/rollout/golden_test.go
@@ -0,0 +1,95 @@
+package rollout_test
+
+import (
+	"bytes"
+	"encoding/json"
+	"os"
+	"testing"
+
+	"github.com/stretchr/testify/require"
+
+	. "marblelane/internal/rollout"
+	"marblelane/internal/route"
+)
+
+// requireGolden compares a value's JSON with the bytes of a file in testdata. These files are what earlier builds have
+// written; they are never written anew.
+func requireGolden(t *testing.T, file string, value any) {
+	t.Helper()
+	want, err := os.ReadFile("testdata/" + file)
+	require.NoError(t, err)
+	got, err := json.Marshal(value)
+	require.NoError(t, err)
+	require.Equal(t, string(bytes.TrimSpace(want)), string(got))
+}
+
+// goldenCommands are commands with every field of the stored form, in an order in which a state takes them.
+func goldenCommands() []Command {
+	revision := int64(7<<28 + 1)
+	process := route.Process{Name: "sidecar-1", Start: 1764720000000000001}
+	first := &Spec{
+		Tenant: "shannonside", Name: "v2", To: "new", Classes: []string{"look", "buy"}, Budget: 50, Late: true, AtEnd: Keep,
+		Note:   "second version",
+		Canary: route.Subset{Model: []string{"m2"}, PodGroup: []int{3}, Zone: []string{"z1"}, UID: []string{"u1"}},
+		Steps:  []Step{{Share: 0.01, HoldMS: 60000, Requests: 500}, {Share: 1}},
+	}
+	second := &Spec{Tenant: "shannonside", Name: "v3", To: "new", Budget: 5, AtEnd: Return,
+		Canary: route.Subset{Model: []string{"m3"}}, Steps: []Step{{Share: 0.25}}}
+	entry := Entry{Process: process, Tenant: "shannonside", Rollout: "v2", Granted: 4}
+	settled, gone := entry, entry
+	settled.Spent, settled.Returned = 1, 2
+	gone.Process.Name, gone.Gone = "sidecar-2", true
+	known := gone
+	known.Gone = false
+	return []Command{
+		{Op: OpBase, AtMS: 1000, Tenant: "shannonside", Base: route.Subset{Model: []string{"m1"}}, If: new(int64)},
+		{Op: OpPost, AtMS: 2000, Spec: first, If: &revision},
+		{Op: OpLedger, AtMS: 3000, Entries: []Entry{entry, known}},
+		{Op: OpLedger, AtMS: 3100, Entries: []Entry{settled, gone}},
+		{Op: OpForward, AtMS: 4000, Tenant: "shannonside", Name: "v2", Step: 0},
+		{Op: OpPause, AtMS: 5000, Tenant: "shannonside", Name: "v2", Why: WhyBehind},
+		{Op: OpResume, AtMS: 6000, Tenant: "shannonside", Name: "v2"},
+		{Op: OpForward, AtMS: 6500, Tenant: "shannonside", Name: "v2", Step: 1},
+		{Op: OpClose, AtMS: 7000, Rev: revision + 1},
+		{Op: OpSchema, AtMS: 8000, Schema: 2},
+		{Op: OpPost, AtMS: 9000, Spec: second},
+		{Op: OpLedger, AtMS: 9100, Entries: []Entry{{Process: process, Tenant: "shannonside", Rollout: "v3", Granted: 2}}},
+		{Op: OpRollBack, AtMS: 9200, Tenant: "gone", Name: "v1", Why: WhyWorse},
+		{Op: OpStop, AtMS: 9300, Tenant: "gone", Name: "v1", Why: "by hand"},
+	}
+}
+
+func TestStoredForms_commands(t *testing.T) {
+	requireGolden(t, "commands.golden.json", goldenCommands())
+	var read []Command
+	text, err := os.ReadFile("testdata/commands.golden.json")
+	require.NoError(t, err)
+	require.NoError(t, json.Unmarshal(text, &read))
+	require.Equal(t, goldenCommands(), read)
+}
+
+func TestStoredForms_state(t *testing.T) {
+	s := NewState()
+	s.Begin(7)
+	for _, c := range goldenCommands() {
+		if c.Tenant == "gone" {
+			continue
+		}
+		_, err := s.Apply(&c)
+		require.NoError(t, err, "%+v", c)
+	}
+	requireGolden(t, "state.golden.json", s)
+	requireGolden(t, "rollouts.golden.json", s.Rollouts())
+	text, err := os.ReadFile("testdata/state.golden.json")
+	require.NoError(t, err)
+	read := NewState()
+	require.NoError(t, json.Unmarshal(text, read))
+	requireGolden(t, "state.golden.json", read)
+}
+
+func TestStoredForms_processStatus(t *testing.T) {
+	d := NewController(Defaults(), 0)
+	d.Report(100, NewState(), &route.Report{Process: route.Process{Name: "sidecar-1", Start: 9}, Seq: 1, Have: 3, Unread: 4,
+		List: 5, Version: "v", Config: "c", Schemas: []int{1, 2}})
+	requireGolden(t, "processes.golden.json", d.Processes(200))
+}
--- /dev/null
+++ b/internal/route/protocol_test.go
@@ -0,0 +1,52 @@
+package route
+
+import (
+	"encoding/json"
+	"os"
+	"strings"
+	"testing"
+
+	"github.com/google/go-cmp/cmp"
+)
+
+// protocolMessages are the calls between sidecars and the list service, with every field set, and empty.
+func protocolMessages() []any {
+	p := Process{Name: "sidecar-1", Start: 1764720000000000001}
+	return []any{
+		&Report{
+			Process: p, Seq: 3, Echo: Moment{Leader: "a@1", MS: 50}, Version: "v", Config: "c0ffee", Schemas: []int{1, 2},
+			List: 4, Have: 5, Unread: 6, Held: true, Cut: true, Lost: 7,
+			Counts: []Count{{Rev: 5, Tenant: "t", Canary: true, Begun: 9, Ended: 8, Failed: 2, Late: 1}},
+		},
+		&Report{},
+		&Answer{
+			Stamp: Moment{Leader: "a@1", MS: 60}, Rev: 5, TermMS: 5000, Anew: true, Table: json.RawMessage(`{"schema":1}`),
+			Why: "a reason", Start: 8,
+		},
+		&Answer{},
+		&UnitsAsk{Process: p, Purses: []PurseState{{Tenant: "t", Rollout: "r@5", Granted: 5, Spent: 1, Returned: 2, Want: 3}}},
+		&UnitsAsk{},
+		&UnitsAnswer{Purses: []PurseGrant{{Tenant: "t", Rollout: "r@5", Granted: 6, Keep: 2}}},
+		&UnitsAnswer{},
+	}
+}
+
+// TestProtocolWireForm holds the JSON of each message to testdata/protocol.golden, one a line. The file is what earlier
+// builds have sent; it is never written anew.
+func TestProtocolWireForm(t *testing.T) {
+	text, err := os.ReadFile("testdata/protocol.golden")
+	if err != nil {
+		t.Fatal(err)
+	}
+	var got []string
+	for _, message := range protocolMessages() {
+		line, err := json.Marshal(message)
+		if err != nil {
+			t.Fatal(err)
+		}
+		got = append(got, string(line))
+	}
+	if diff := cmp.Diff(strings.Split(strings.TrimSpace(string(text)), "\n"), got); diff != "" {
+		t.Error(diff)
+	}
+}
