--- /dev/null
+++ b/internal/audit/facts.go
@@ -0,0 +1,253 @@
+package audit
+
+// This file holds what is known of the attempts of one process, as facts that hold in whatever order they came.
+
+import (
+	"cmp"
+	"slices"
+
+	"marblelane/internal/route"
+)
+
+// countHistory is what is known of the count under one revision.
+type countHistory struct {
+	rev                int64
+	steps              []countStep // with counts rising
+	final              int64       // the last count there will be; unknownFinal: not known
+	lastSeq, lastCount int64       // of the highest Seq that listed the revision
+	finalReported      bool        // the final count was returned as a transition
+}
+
+const unknownFinal = -1
+
+// countStep is two facts: the count is at least count from reachedBy on, and at most count up to heldUntil.
+type countStep struct{ count, reachedBy, heldUntil int64 }
+
+// zeroUntil says that the counts of fromRev and of all later revisions were 0 up to until. Those of a process are kept
+// with both fields rising; one that says less than another is left out.
+type zeroUntil struct{ fromRev, until int64 }
+
+// revisionRange is the revisions between two others, both left out. Of those that a process passed over, each without a
+// history has a final count of 0.
+type revisionRange struct{ above, below int64 }
+
+func (r revisionRange) contains(rev int64) bool { return r.above < rev && rev < r.below }
+
+// addSample takes in that the count was n at a moment from lo to hi, and reports whether that can be true beside what is
+// known. final says that there will be no other count.
+func (h *countHistory) addSample(seq, n, lo, hi int64, final bool) (consistent bool) {
+	falls := seq > h.lastSeq && n < h.lastCount || seq < h.lastSeq && n > h.lastCount
+	exceedsFinal := h.final >= 0 && n > h.final
+	if seq > h.lastSeq {
+		h.lastSeq, h.lastCount = seq, n
+	}
+	if final && h.final < 0 {
+		h.final = n
+	}
+	i, found := slices.BinarySearchFunc(h.steps, n, func(s countStep, n int64) int { return cmp.Compare(s.count, n) })
+	if !found {
+		h.steps = slices.Insert(h.steps, i, countStep{count: n, reachedBy: hi, heldUntil: lo})
+	}
+	step := &h.steps[i]
+	step.reachedBy, step.heldUntil = min(step.reachedBy, hi), max(step.heldUntil, lo)
+	return !falls && !exceedsFinal
+}
+
+// lastStep is the step of the highest known count. A history has at least one.
+func (h *countHistory) lastStep() countStep { return h.steps[len(h.steps)-1] }
+
+// forgetBefore drops the steps that only tell of times before cutoff, but for the newest of them.
+func (h *countHistory) forgetBefore(cutoff int64) {
+	old := 0
+	for old < len(h.steps)-1 && h.steps[old+1].reachedBy < cutoff &&
+		max(h.steps[old].reachedBy, h.steps[old].heldUntil) < cutoff {
+		old++
+	}
+	h.steps = slices.Delete(h.steps, 0, old)
+}
+
+// halve drops every second inner step, so that the times of the others become coarser.
+func (h *countHistory) halve() {
+	remaining := h.steps[:0]
+	for i, step := range h.steps {
+		if i%2 == 0 || i == len(h.steps)-1 {
+			remaining = append(remaining, step)
+		}
+	}
+	h.steps = remaining
+}
+
+// addZero takes in a fact, unless another says as much.
+func (p *processRecord) addZero(z zeroUntil, maxFacts int) {
+	for _, old := range p.zeros {
+		if old.fromRev <= z.fromRev && old.until >= z.until {
+			return
+		}
+	}
+	p.zeros = slices.DeleteFunc(p.zeros, func(old zeroUntil) bool { return old.fromRev >= z.fromRev && old.until <= z.until })
+	i, _ := slices.BinarySearchFunc(p.zeros, z.fromRev, func(old zeroUntil, rev int64) int {
+		return cmp.Compare(old.fromRev, rev)
+	})
+	p.zeros = slices.Insert(p.zeros, i, z)
+	if len(p.zeros) > maxFacts {
+		p.zeros = slices.Delete(p.zeros, 0, 1)
+	}
+}
+
+// addPassedOver takes in a range of revisions that were passed over, joined to those that it touches.
+func (p *processRecord) addPassedOver(r revisionRange, maxFacts int) {
+	if r.above+1 >= r.below {
+		return
+	}
+	p.passedOver = slices.DeleteFunc(p.passedOver, func(old revisionRange) bool {
+		if old.above >= r.below || r.above >= old.below {
+			return false
+		}
+		r.above, r.below = min(r.above, old.above), max(r.below, old.below)
+		return true
+	})
+	i, _ := slices.BinarySearchFunc(p.passedOver, r.above, func(old revisionRange, above int64) int {
+		return cmp.Compare(old.above, above)
+	})
+	p.passedOver = slices.Insert(p.passedOver, i, r)
+	if len(p.passedOver) > maxFacts {
+		p.passedOver = slices.Delete(p.passedOver, 0, 1)
+	}
+}
+
+// wasPassedOver reports whether the final count of a revision is 0, as the process made no attempt under it.
+func (p *processRecord) wasPassedOver(rev int64) bool {
+	if p.history(rev) != nil {
+		return false
+	}
+	return slices.ContainsFunc(p.passedOver, func(r revisionRange) bool { return r.contains(rev) })
+}
+
+// limitFacts drops steps until at most maxFacts are left. The longest history is halved, so that older times become
+// coarser than newer ones; where all are short, the history of the oldest revision is dropped.
+func (p *processRecord) limitFacts(maxFacts int) {
+	for {
+		total, largest := 0, 0
+		for i := range p.histories {
+			n := len(p.histories[i].steps)
+			total += n
+			if n > len(p.histories[largest].steps) {
+				largest = i
+			}
+		}
+		if total <= maxFacts {
+			return
+		}
+		if h := &p.histories[largest]; len(h.steps) > 2 {
+			h.halve()
+			continue
+		}
+		p.dropHistory(p.oldestHistory())
+	}
+}
+
+// oldestHistory is the history of the oldest revision, which is revision 0's only if there is no other.
+func (p *processRecord) oldestHistory() int {
+	if p.histories[0].rev == 0 && len(p.histories) > 1 {
+		return 1
+	}
+	return 0
+}
+
+// dropHistory drops a history. Its revision no longer is one of those that were passed over.
+func (p *processRecord) dropHistory(i int) {
+	rev := p.histories[i].rev
+	p.histories = slices.Delete(p.histories, i, i+1)
+	p.newestDroppedRev = max(p.newestDroppedRev, rev)
+	for i, r := range p.passedOver {
+		if r.contains(rev) {
+			p.passedOver[i].above = rev
+		}
+	}
+}
+
+// forgetBefore drops facts that only tell of times before cutoff.
+func (p *processRecord) forgetBefore(cutoff int64) {
+	for i := len(p.histories) - 1; i >= 0; i-- {
+		h := &p.histories[i]
+		h.forgetBefore(cutoff)
+		if h.final >= 0 && h.lastSeq < p.lastReport.Seq && h.lastStep().reachedBy < cutoff {
+			p.dropHistory(i)
+		}
+	}
+	p.zeros = slices.DeleteFunc(p.zeros, func(z zeroUntil) bool { return z.until < cutoff })
+}
+
+func (p *processRecord) historyIndex(rev int64) (int, bool) {
+	return slices.BinarySearchFunc(p.histories, rev, func(h countHistory, rev int64) int { return cmp.Compare(h.rev, rev) })
+}
+
+// history finds the history of a revision; nil: there is none.
+func (p *processRecord) history(rev int64) *countHistory {
+	if i, found := p.historyIndex(rev); found {
+		return &p.histories[i]
+	}
+	return nil
+}
+
+func (p *processRecord) historyOrNew(rev int64) *countHistory {
+	i, found := p.historyIndex(rev)
+	if !found {
+		p.histories = slices.Insert(p.histories, i, countHistory{rev: rev, final: unknownFinal})
+	}
+	return &p.histories[i]
+}
+
+// knownCount is the highest count that is known under a revision.
+func (p *processRecord) knownCount(rev int64) int64 {
+	if h := p.history(rev); h != nil {
+		return h.lastStep().count
+	}
+	return 0
+}
+
+// addUnlisted takes in what follows from the revisions that a report, sampled from lo to hi, does not list: see the
+// package comment.
+func (p *processRecord) addUnlisted(r *route.Report, listed []revisionCount, lo, hi int64, o TrackerOptions) {
+	zeroFrom, oldestListed, listedRevs := r.AcknowledgedRev, int64(0), 0
+	for _, c := range listed {
+		if c.rev >= zeroFrom && c.count > 0 {
+			zeroFrom = c.rev + 1
+		}
+		if c.rev > 0 {
+			if listedRevs == 0 {
+				oldestListed = c.rev
+			}
+			listedRevs++
+		}
+	}
+	complete := listedRevs < o.MinListedRevs && !r.CountsTruncated
+	if lo > minTime {
+		p.addZero(zeroUntil{fromRev: max(zeroFrom, 1), until: lo}, o.MaxFacts)
+		if complete && (len(listed) == 0 || listed[0].rev != 0) {
+			p.historyOrNew(0).addSample(r.Seq, 0, lo, hi, false)
+		}
+	}
+	switch {
+	case complete:
+		p.addPassedOver(revisionRange{above: 0, below: r.AcknowledgedRev}, o.MaxFacts)
+	case listedRevs > 0:
+		p.addPassedOver(revisionRange{above: oldestListed, below: r.AcknowledgedRev}, o.MaxFacts)
+	}
+}
+
+// revisionCount is the attempts under one revision.
+type revisionCount struct{ rev, count int64 }
+
+// countsByRevision adds up a report's attempts by revision, over tenants and sides.
+func countsByRevision(counts []route.Count) []revisionCount {
+	var out []revisionCount
+	for _, c := range counts {
+		i, found := slices.BinarySearchFunc(out, c.Rev, func(r revisionCount, rev int64) int { return cmp.Compare(r.rev, rev) })
+		if !found {
+			out = slices.Insert(out, i, revisionCount{rev: c.Rev})
+		}
+		out[i].count += c.Started
+	}
+	return out
+}
--- a/internal/audit/golden_test.go
+++ b/internal/audit/golden_test.go
@@ -26,12 +26,12 @@
 func goldenTransitions() []Transition {
 	p := route.Process{Name: "sidecar-1", Start: 1764720000000000001}
 	return []Transition{
-		{Process: p, AtMS: 1000, Kind: Acts, Rev: 5, N: 1},
-		{Process: p, AtMS: 2000, Kind: Acted, Rev: 5, N: 40},
-		{Process: p, AtMS: 2000, Kind: Acts, Rev: 6},
-		{Process: p, AtMS: 3000, Kind: ShutOut, Rev: 6, N: 3, Note: "behind"},
-		{Process: p, AtMS: 4000, Kind: Back, Rev: 7},
-		{Process: p, AtMS: 5000, Kind: Gone, Rev: 7, N: 2},
+		{Process: p, AtMS: 1000, Kind: FirstReport, Rev: 5, Attempts: 1},
+		{Process: p, AtMS: 2000, Kind: FinalCount, Rev: 5, Attempts: 40},
+		{Process: p, AtMS: 2000, Kind: FirstReport, Rev: 6},
+		{Process: p, AtMS: 3000, Kind: ShutOut, Rev: 6, Attempts: 3, Note: "behind"},
+		{Process: p, AtMS: 4000, Kind: Readmitted, Rev: 7},
+		{Process: p, AtMS: 5000, Kind: Gone, Rev: 7, Attempts: 2},
 	}
 }
 
@@ -56,5 +56,5 @@
 	requireGolden(t, "shut_out.golden.json", tracker.AccessChanged(150, 1050, p, ShutOut, 3, "behind"))
 	tracker.Report(160, 1060, &route.Report{Process: route.Process{Name: "sidecar-1", Start: 10}, Seq: 1})
 	requireGolden(t, "present.golden.json", tracker.Present(200))
-	requireGolden(t, "summary.golden.json", tracker.Who(Query{Rev: 3, From: 60, To: 120, Committed: 60}, nil))
+	requireGolden(t, "summary.golden.json", tracker.Summarize(Query{Rev: 3, From: 60, To: 120, CommittedAt: 60}, nil))
 }
--- a/internal/audit/log.go
+++ b/internal/audit/log.go
@@ -7,109 +7,107 @@
 	"marblelane/internal/route"
 )
 
-// Bounds of a Log. What falls out of them makes answers Unknown.
+// Bounds of a Log. A transition that is dropped makes answers Unknown.
 const (
-	LogMost  = 20_000                  // transitions
-	LogAgeMS = 7 * 24 * 60 * 60 * 1000 // before the one added last, by the wall clocks of leaders
+	MaxLogTransitions = 20_000
+	MaxLogAgeMS       = 7 * 24 * 60 * 60 * 1000 // before the newest transition, by the wall clocks of leaders
 )
 
-const logForm = 1
-
 // Log holds transitions in the order in which they were added. It is part of the replicated state: the same Adds make the
-// same Log everywhere, since its age is measured against what is added and not against a clock. The zero Log is empty and
-// ready. It is not safe for concurrent use.
+// same Log everywhere, as ages are measured against what is added and not against a clock. The zero Log is empty and ready
+// to use. It is not safe for concurrent use.
 //
-// What a copy adds beside is when it held what: see Mark. That is in its memory alone, and part of no state.
+// When this copy held a transition is in its memory only, and not part of the replicated state: see Mark.
 type Log struct {
-	all    []*entry
-	of     map[route.Process][]*entry // the same, by process
-	marked int                        // of all, from the first on
+	entries   []*logEntry
+	byProcess map[route.Process][]*logEntry
+	marked    int // of entries, from the first on
 }
 
-// entry is a transition that is held.
-type entry struct {
+type logEntry struct {
 	Transition
-	by int64 // it had come true by then, on the clock of this copy; always: not marked yet
+	trueBy int64 // the transition had happened by then, on this copy's clock; notMarked: not known
 }
 
-// Add takes transitions in and drops what is then beyond the bounds. One that says what is known changes nothing, so
-// that leaders may say a thing twice. A leader whose wall clock is far ahead drops older ones with what it adds.
-func (l *Log) Add(ts []Transition) {
-	if l.of == nil {
-		l.of = map[route.Process][]*entry{}
+// notMarked is the trueBy of an entry that Mark has not seen.
+const notMarked = maxTime
+
+// Add adds transitions, and drops old ones beyond the bounds. A transition that the log contains changes nothing, so that
+// leaders may add it twice. A leader whose wall clock is far ahead drops older transitions by what it adds.
+func (l *Log) Add(transitions []Transition) {
+	if l.byProcess == nil {
+		l.byProcess = map[route.Process][]*logEntry{}
 	}
-	for _, t := range ts {
-		if l.knows(&t) {
+	for _, t := range transitions {
+		if l.contains(&t) {
 			continue
 		}
-		e := &entry{t, always}
-		l.all = append(l.all, e)
-		l.of[t.Process] = append(l.of[t.Process], e)
-		for len(l.all) > LogMost || l.all[0].AtMS < t.AtMS-LogAgeMS {
-			l.dropFirst()
+		e := &logEntry{t, notMarked}
+		l.entries = append(l.entries, e)
+		l.byProcess[t.Process] = append(l.byProcess[t.Process], e)
+		for len(l.entries) > MaxLogTransitions || l.entries[0].AtMS < t.AtMS-MaxLogAgeMS {
+			l.dropOldest()
 		}
 	}
 }
 
-// Mark says that it is a moment now, in ms, rounded up, on the clock of this copy, which must be monotonic: what is held
-// has come true by then. A copy that marks often knows of each transition when it held it, also of those that another one
-// added as the leader; so it can say, once it leads itself, what was before which time. It costs what was added since.
+// Mark notes that all transitions held have happened by now, in ms, rounded up, on the clock of this copy, which must be
+// monotonic. A copy that marks often knows of each transition when it held it, also of those that another leader added; so
+// once it leads itself, it can tell what was before which time. The cost is that of the transitions since the last Mark.
 func (l *Log) Mark(now int64) {
-	for _, e := range l.all[l.marked:] {
-		e.by = now
+	for _, e := range l.entries[l.marked:] {
+		e.trueBy = now
 	}
-	l.marked = len(l.all)
+	l.marked = len(l.entries)
 }
 
-// Fresh is those of ts that Add would take now: what a leader need not replicate is left out.
-func (l *Log) Fresh(ts []Transition) []Transition {
+// Fresh is those transitions that Add would add now; the others need not be replicated.
+func (l *Log) Fresh(transitions []Transition) []Transition {
 	var out []Transition
-	for _, t := range ts {
-		if !l.knows(&t) {
+	for _, t := range transitions {
+		if !l.contains(&t) {
 			out = append(out, t)
 		}
 	}
 	return out
 }
 
-// knows tells whether t changes nothing: a revision's beginning or end at a process that is held already, or the
-// standing that the process has. Ends with another count are kept both, so that answers see that they contradict.
-func (l *Log) knows(t *Transition) bool {
-	held := l.of[t.Process]
-	for i := len(held) - 1; i >= 0; i-- {
-		h := held[i]
+// contains reports whether t changes nothing: a first report or a final count of a revision that the log has, or the
+// access that the process has. Two final counts of one revision are both kept, so that answers see the contradiction.
+func (l *Log) contains(t *Transition) bool {
+	entries := l.byProcess[t.Process]
+	for i := len(entries) - 1; i >= 0; i-- {
+		e := entries[i]
 		switch {
-		case t.Kind.standing():
-			if h.Kind.standing() {
-				return h.Kind == t.Kind
+		case t.Kind.isAccess():
+			if e.Kind.isAccess() {
+				return e.Kind == t.Kind
 			}
-		case h.Kind == t.Kind && h.Rev == t.Rev && (t.Kind != Acted || h.N == t.N):
+		case e.Kind == t.Kind && e.Rev == t.Rev && (t.Kind != FinalCount || e.Attempts == t.Attempts):
 			return true
 		}
 	}
-	return t.Kind == Back // of one that is not known to be away
+	return t.Kind == Readmitted // a process without a change of access has access
 }
 
-func (k Kind) standing() bool { return k == ShutOut || k == Back || k == Gone }
-
-func (l *Log) dropFirst() {
-	p := l.all[0].Process
-	l.all = l.all[1:]
+func (l *Log) dropOldest() {
+	process := l.entries[0].Process
+	l.entries = l.entries[1:]
 	l.marked = max(l.marked-1, 0)
-	if rest := l.of[p][1:]; len(rest) > 0 {
-		l.of[p] = rest
+	if remaining := l.byProcess[process][1:]; len(remaining) > 0 {
+		l.byProcess[process] = remaining
 	} else {
-		delete(l.of, p)
+		delete(l.byProcess, process)
 	}
 }
 
-// Len is how many transitions are held.
-func (l *Log) Len() int { return len(l.all) }
+// Len is the number of transitions.
+func (l *Log) Len() int { return len(l.entries) }
 
-// Since is what is held from a moment on, by the wall clocks of the leaders that added it, in the order of adding.
+// Since is the transitions from a moment on, by the wall clocks of the leaders that added them, in the order of adding.
 func (l *Log) Since(atMS int64) []Transition {
 	var out []Transition
-	for _, e := range l.all {
+	for _, e := range l.entries {
 		if e.AtMS >= atMS {
 			out = append(out, e.Transition)
 		}
@@ -117,42 +115,46 @@
 	return out
 }
 
-// Of is what is held of one process, in the order of adding.
+// Of is the transitions of one process, in the order of adding.
 func (l *Log) Of(p route.Process) []Transition {
 	var out []Transition
-	for _, e := range l.of[p] {
+	for _, e := range l.byProcess[p] {
 		out = append(out, e.Transition)
 	}
 	return out
 }
 
-type logDoc struct {
+// logForm is the number of the stored form; any other is rejected.
+const logForm = 1
+
+// savedLog is a log as a snapshot stores it.
+type savedLog struct {
 	Form        int          `json:"form"`
 	Transitions []Transition `json:"transitions"`
 }
 
-// MarshalJSON writes the whole log, with the number of its form.
+// MarshalJSON encodes the whole log.
 func (l *Log) MarshalJSON() ([]byte, error) {
-	return json.Marshal(logDoc{Form: logForm, Transitions: l.Since(never)})
+	return json.Marshal(savedLog{Form: logForm, Transitions: l.Since(minTime)})
 }
 
-// UnmarshalJSON replaces the log by what MarshalJSON wrote. It leaves the log as it is with an error, which names what
-// it cannot read. Nothing is marked then.
+// UnmarshalJSON replaces the log by a stored one, of which nothing is marked. After an error, which names what cannot be
+// read, the log is as it was.
 func (l *Log) UnmarshalJSON(data []byte) error {
-	var d logDoc
-	if err := json.Unmarshal(data, &d); err != nil {
+	var stored savedLog
+	if err := json.Unmarshal(data, &stored); err != nil {
 		return fmt.Errorf("the audit's log: %w", err)
 	}
-	if d.Form != logForm {
-		return fmt.Errorf("the audit's log: form is %d, this program reads %d", d.Form, logForm)
+	if stored.Form != logForm {
+		return fmt.Errorf("the audit's log: form is %d, this program reads %d", stored.Form, logForm)
 	}
-	for i, t := range d.Transitions {
-		if t.Kind != Acts && t.Kind != Acted && !t.Kind.standing() {
+	for i, t := range stored.Transitions {
+		if t.Kind != FirstReport && t.Kind != FinalCount && !t.Kind.isAccess() {
 			return fmt.Errorf("the audit's log: transitions[%d].kind is %q, which is not known", i, t.Kind)
 		}
 	}
-	fresh := Log{}
-	fresh.Add(d.Transitions)
-	*l = fresh
+	restored := Log{}
+	restored.Add(stored.Transitions)
+	*l = restored
 	return nil
 }
--- a/internal/audit/tracker.go
+++ b/internal/audit/tracker.go
@@ -2,7 +2,6 @@
 
 import (
 	"cmp"
-	"fmt"
 	"math"
 	"slices"
 
@@ -11,253 +10,263 @@
 
 // TrackerOptions bound a Tracker. A field of 0 takes its default.
 type TrackerOptions struct {
-	Keep      int64 // ms since a fact was last told; 1 h
-	Samples   int   // facts of each kind for one process; 512, at least 4
-	Processes int   // 5,000; the one not heard of for longest gives way
+	Retention    int64 // ms since a process last reported, and since a fact was last confirmed; 1 h
+	MaxFacts     int   // of each kind for one process; 512, at least 4
+	MaxProcesses int   // 5,000; the one that has not reported for the longest time is dropped
 
-	// Lists is how many revisions other than 0 a process lists before it leaves one out, unless its report says that it is
-	// cut: with fewer listed none has been
-	// left out, and what is not listed has no attempts. 0: no such promise.
-	Lists int
+	// MinListedRevs is how many revisions other than 0 a process lists at least before it leaves any out, unless its report
+	// says that its counts are truncated. With fewer listed, a revision that is not listed has no attempts. 0: no such
+	// promise.
+	MinListedRevs int
 }
 
-func (o TrackerOptions) orDefaults() TrackerOptions {
-	if o.Keep <= 0 {
-		o.Keep = 60 * 60 * 1000
+const (
+	defaultRetention    = 60 * 60 * 1000
+	defaultMaxFacts     = 512
+	minFacts            = 4
+	defaultMaxProcesses = 5000
+)
+
+func (o TrackerOptions) withDefaults() TrackerOptions {
+	if o.Retention <= 0 {
+		o.Retention = defaultRetention
 	}
-	if o.Samples <= 0 {
-		o.Samples = 512
+	if o.MaxFacts <= 0 {
+		o.MaxFacts = defaultMaxFacts
 	}
-	o.Samples = max(o.Samples, 4)
-	if o.Processes <= 0 {
-		o.Processes = 5000
+	o.MaxFacts = max(o.MaxFacts, minFacts)
+	if o.MaxProcesses <= 0 {
+		o.MaxProcesses = defaultMaxProcesses
 	}
 	return o
 }
 
-// Bounds of what a report may hold for the audit.
-const (
-	mostText    = 256 // bytes
-	mostSchemas = 64
-	mostCounts  = 1 << 14 // 256 revisions, both sides, 32 tenants
-	mostBegun   = 1 << 48 // so that no sum of a report's counts overflows
-)
-
+// Times that lie before and after all others.
 const (
-	never  = math.MinInt64
-	always = math.MaxInt64
+	minTime = math.MinInt64
+	maxTime = math.MaxInt64
 )
 
-// Tracker is what one leader has heard of processes, in its memory. It is not safe for concurrent use.
+// Tracker is what one leader knows of processes, in its memory. It is not safe for concurrent use.
 type Tracker struct {
-	o         TrackerOptions
-	leader    string
-	startedAt int64
-	now       int64 // the latest it was told
-	processes map[route.Process]*process
-	forgot    int64
+	options          TrackerOptions
+	leader           string
+	startedAt        int64
+	now              int64 // the latest time it was called with
+	processes        map[route.Process]*processRecord
+	droppedProcesses int64
 }
 
-// process is what is known of one start of one sidecar. All but last and what belongs to it is facts, which are true in
-// whatever order they came.
-type process struct {
-	last     route.Report // of the highest Seq, without its counts
-	heard    int64        // when that one came first
-	sampled  int64        // not before this
-	standing Kind
-	broken   bool     // its reports contradict each other
-	dropped  int64    // the newest revision whose series was dropped
-	series   []series // by revision, rising
-	none     []none
-	skipped  []skipped
-}
+// processRecord is what is known of one start of one sidecar. The facts are true in whatever order their reports came;
+// the other fields are those of the newest report.
+type processRecord struct {
+	lastReport   route.Report // of the highest Seq, without its counts
+	lastReportAt int64        // when it first arrived
+	sampledAfter int64        // it was sampled no earlier
+	access       TransitionKind
+	inconsistent bool // its reports contradict each other
 
-// NewTracker begins a leader's book. leader is what its answers' stamps have; now is ms on the same clock.
-func NewTracker(o TrackerOptions, leader string, now int64) *Tracker {
-	return &Tracker{o: o.orDefaults(), leader: leader, startedAt: now, now: now, processes: map[route.Process]*process{}}
+	// Facts; see facts.go.
+	histories        []countHistory // by revision, rising
+	zeros            []zeroUntil
+	passedOver       []revisionRange
+	newestDroppedRev int64 // the newest revision whose history was dropped
 }
 
-// Check tells what is wrong with a report, naming the field and the bound. Tracker.Report takes nothing from such a one.
-func Check(r *route.Report) error {
-	switch {
-	case r.Name == "" || len(r.Name) > mostText:
-		return fmt.Errorf("report: name has %d bytes, it has 1 to %d", len(r.Name), mostText)
-	case r.Seq < 1:
-		return fmt.Errorf("report of %s: seq is %d, it counts from 1", r.Name, r.Seq)
-	case r.AcknowledgedRev < 0:
-		return fmt.Errorf("report of %s: have is %d, it is not negative", r.Name, r.AcknowledgedRev)
-	case len(r.Version) > mostText || len(r.Config) > mostText:
-		return fmt.Errorf("report of %s: version and config have at most %d bytes each", r.Name, mostText)
-	case len(r.Schemas) > mostSchemas:
-		return fmt.Errorf("report of %s: schemas has %d entries, at most %d", r.Name, len(r.Schemas), mostSchemas)
-	case len(r.Counts) > mostCounts:
-		return fmt.Errorf("report of %s: counts has %d entries, at most %d", r.Name, len(r.Counts), mostCounts)
-	}
-	for i, c := range r.Counts {
-		if c.Rev < 0 {
-			return fmt.Errorf("report of %s: counts[%d].rev is %d, it is not negative", r.Name, i, c.Rev)
-		}
-		if c.Started < 0 || c.Started > mostBegun {
-			return fmt.Errorf("report of %s: counts[%d].begun is %d, it is 0 to %d", r.Name, i, c.Started, int64(mostBegun))
-		}
+// NewTracker begins a leader's tracker. leader is the name in the stamps of its answers, and now is ms on its clock.
+func NewTracker(o TrackerOptions, leader string, now int64) *Tracker {
+	return &Tracker{
+		options: o.withDefaults(), leader: leader, startedAt: now, now: now,
+		processes: map[route.Process]*processRecord{},
 	}
-	return nil
 }
 
 // Report takes in a report that arrives now, ms on the leader's clock, and returns the transitions to replicate, with
-// wall as their time: Acts when the process is first seen to act on its revision, Acted for each older one whose final
-// count is seen. A report may come twice, late or out of order, and of a start that is not the newest.
-func (b *Tracker) Report(now, wall int64, r *route.Report) []Transition {
-	b.now = max(b.now, now)
+// wall as their time: FirstReport when the process is first known to act on its revision, FinalCount for each older
+// revision whose final count is known. A report may come twice, late or out of order, and of a start that is not the
+// newest one.
+func (t *Tracker) Report(now, wall int64, r *route.Report) []Transition {
+	t.now = max(t.now, now)
 	if Check(r) != nil {
 		return nil
 	}
-	p := b.process(r.Process)
-	lo := int64(never)
-	if r.Echo.Leader == b.leader && r.Echo.MS <= now {
+	p := t.recordOf(r.Process)
+	lo := int64(minTime)
+	if r.Echo.Leader == t.leader && r.Echo.MS <= now {
 		lo = r.Echo.MS
 	}
-	before := p.last
-	p.newest(r, now, lo)
+	before := p.lastReport
+	p.acceptNewest(r, now, lo)
+	listed := countsByRevision(r.Counts)
+	transitions := p.addListed(r, listed, lo, now)
+	p.addUnlisted(r, listed, lo, now, t.options)
+	if r.Seq > before.Seq && r.AcknowledgedRev > before.AcknowledgedRev {
+		if p.endedWithoutAttempt(before.AcknowledgedRev) {
+			transitions = append(transitions, Transition{Process: r.Process, Kind: FinalCount, Rev: before.AcknowledgedRev})
+		}
+		transitions = append(transitions, Transition{
+			Process: r.Process, Kind: FirstReport, Rev: r.AcknowledgedRev, Attempts: p.knownCount(r.AcknowledgedRev),
+		})
+	}
+	p.limitFacts(t.options.MaxFacts)
+	if p.inconsistent {
+		return nil // another leader would rely on them
+	}
+	for i := range transitions {
+		transitions[i].AtMS = wall
+	}
+	return transitions
+}
 
-	listed := sums(r.Counts)
-	var out []Transition
+// addListed takes in the counts of a report that was sampled from lo to hi, and returns the final ones that are new.
+func (p *processRecord) addListed(r *route.Report, listed []revisionCount, lo, hi int64) (final []Transition) {
 	for _, c := range listed {
-		s := p.under(c.rev)
-		if !s.add(r.Seq, c.n, lo, now, c.rev != 0 && c.rev < r.AcknowledgedRev) {
-			p.broken = true
+		h := p.historyOrNew(c.rev)
+		if !h.addSample(r.Seq, c.count, lo, hi, c.rev != 0 && c.rev < r.AcknowledgedRev) {
+			p.inconsistent = true
 		}
-		if s.final >= 0 && !s.noted && c.rev > p.dropped {
-			s.noted = true
-			out = append(out, Transition{Process: r.Process, AtMS: wall, Kind: Acted, Rev: c.rev, N: c.n})
+		if h.final >= 0 && !h.finalReported && c.rev > p.newestDroppedRev {
+			h.finalReported = true
+			final = append(final, Transition{Process: r.Process, Kind: FinalCount, Rev: c.rev, Attempts: c.count})
 		}
 	}
-	p.unlisted(r, listed, lo, now, b.o)
-	if r.Seq > before.Seq && r.AcknowledgedRev > before.AcknowledgedRev {
-		// What it acted on before, and did not list as it made no attempt: its end is told nevertheless.
-		if s := p.find(before.AcknowledgedRev); before.AcknowledgedRev > 0 && s == nil && p.skips(before.AcknowledgedRev) {
-			out = append(out, Transition{Process: r.Process, AtMS: wall, Kind: Acted, Rev: before.AcknowledgedRev})
-		}
-		out = append(out, Transition{Process: r.Process, AtMS: wall, Kind: Acts, Rev: r.AcknowledgedRev, N: p.least(r.AcknowledgedRev)})
-	}
-	p.thin(b.o.Samples)
-	if p.broken {
-		return nil // another leader would take what it says of itself for true
-	}
-	return out
+	return final
 }
 
-// process finds a process or makes room for it.
-func (b *Tracker) process(key route.Process) *process {
-	if p := b.processes[key]; p != nil {
+// endedWithoutAttempt reports whether a revision that the process acted on before was never listed, as it has none.
+func (p *processRecord) endedWithoutAttempt(rev int64) bool {
+	return rev > 0 && p.history(rev) == nil && p.wasPassedOver(rev)
+}
+
+// recordOf finds the record of a process, or makes one; the process that has not reported for the longest time gives way
+// to it.
+func (t *Tracker) recordOf(key route.Process) *processRecord {
+	if p := t.processes[key]; p != nil {
 		return p
 	}
-	if len(b.processes) >= b.o.Processes {
-		var oldest route.Process
-		at := int64(always)
-		for k, p := range b.processes {
-			if p.heard < at || p.heard == at && compare(k, oldest) < 0 {
-				oldest, at = k, p.heard
-			}
-		}
-		delete(b.processes, oldest)
-		b.forgot++
+	if len(t.processes) >= t.options.MaxProcesses {
+		delete(t.processes, t.oldest())
+		t.droppedProcesses++
 	}
-	p := &process{sampled: never}
-	b.processes[key] = p
+	p := &processRecord{sampledAfter: minTime}
+	t.processes[key] = p
 	return p
 }
 
-func compare(a, b route.Process) int {
+// oldest is the process that has not reported for the longest time.
+func (t *Tracker) oldest() route.Process {
+	var oldest route.Process
+	at := int64(maxTime)
+	for key, p := range t.processes {
+		if p.lastReportAt < at || p.lastReportAt == at && compareProcesses(key, oldest) < 0 {
+			oldest, at = key, p.lastReportAt
+		}
+	}
+	return oldest
+}
+
+func compareProcesses(a, b route.Process) int {
 	return cmp.Or(cmp.Compare(a.Name, b.Name), cmp.Compare(a.Start, b.Start))
 }
 
-// newest keeps the report of the highest Seq. A revision that goes back as Seq rises is none that a process may report.
-func (p *process) newest(r *route.Report, now, lo int64) {
-	if r.Seq > p.last.Seq && r.AcknowledgedRev < p.last.AcknowledgedRev || r.Seq < p.last.Seq && r.AcknowledgedRev > p.last.AcknowledgedRev {
-		p.broken = true
+// acceptNewest keeps the report of the highest Seq. As Seq rises, the acknowledged revision must not fall.
+func (p *processRecord) acceptNewest(r *route.Report, now, lo int64) {
+	last := &p.lastReport
+	if r.Seq > last.Seq && r.AcknowledgedRev < last.AcknowledgedRev ||
+		r.Seq < last.Seq && r.AcknowledgedRev > last.AcknowledgedRev {
+		p.inconsistent = true
 	}
-	if r.Seq <= p.last.Seq {
+	if r.Seq <= last.Seq {
 		return
 	}
-	p.last = *r
-	p.last.Counts = nil
-	p.last.Schemas = slices.Clone(r.Schemas)
-	p.heard, p.sampled = now, lo
+	p.lastReport = *r
+	p.lastReport.Counts = nil
+	p.lastReport.Schemas = slices.Clone(r.Schemas)
+	p.lastReportAt, p.sampledAfter = now, lo
 }
 
-// Forget drops processes that were not heard of for Keep, and facts that are older; of a count that goes on the newest
-// of those stays, as what it grows from.
-func (b *Tracker) Forget(now int64) {
-	b.now = max(b.now, now)
-	cut := b.now - b.o.Keep
-	for key, p := range b.processes {
-		if p.heard < cut {
-			delete(b.processes, key)
+// Forget drops processes that have not reported for the retention, and facts that are older. Of a count that goes on,
+// the newest of these stays, as what the count grows from.
+func (t *Tracker) Forget(now int64) {
+	t.now = max(t.now, now)
+	cutoff := t.now - t.options.Retention
+	for key, p := range t.processes {
+		if p.lastReportAt < cutoff {
+			delete(t.processes, key)
 			continue
 		}
-		for i := len(p.series) - 1; i >= 0; i-- {
-			s := &p.series[i]
-			s.forget(cut)
-			if s.final >= 0 && s.seq < p.last.Seq && s.steps[len(s.steps)-1].by < cut {
-				p.drop(i)
-			}
-		}
-		p.none = slices.DeleteFunc(p.none, func(n none) bool { return n.until < cut })
+		p.forgetBefore(cutoff)
 	}
 }
 
-// AccessChanged notes that a process is shut out, back, or gone, and returns the transition to replicate, with the attempts
-// under rev that are known of by then; none when it stands so already, and for other kinds.
-func (b *Tracker) AccessChanged(now, wall int64, key route.Process, kind Kind, rev int64, note string) []Transition {
-	b.now = max(b.now, now)
-	if !kind.standing() {
+// AccessChanged notes that a process is shut out, readmitted or gone, and returns the transition to replicate, with the
+// attempts under rev that are known so far; none when nothing changes, and for other kinds.
+func (t *Tracker) AccessChanged(
+	now, wall int64, key route.Process, kind TransitionKind, rev int64, note string,
+) []Transition {
+	t.now = max(t.now, now)
+	if !kind.isAccess() {
 		return nil
 	}
-	t := Transition{Process: key, AtMS: wall, Kind: kind, Rev: rev, Note: note}
-	if p := b.processes[key]; p != nil {
-		if p.standing == kind {
+	transition := Transition{Process: key, AtMS: wall, Kind: kind, Rev: rev, Note: note}
+	if p := t.processes[key]; p != nil {
+		if p.access == kind {
 			return nil
 		}
-		p.standing = kind
-		t.N = p.least(rev)
+		p.access = kind
+		transition.Attempts = p.knownCount(rev)
 	}
-	return []Transition{t}
+	return []Transition{transition}
 }
 
-// Presence is what a process said of itself last.
+// Presence is a process by its newest report.
 type Presence struct {
 	route.Process
-	Have       int64  `json:"have"`   // revision of the routes that it acts on
-	Unread     int64  `json:"unread"` // see route.Report
-	Held       bool   `json:"held,omitempty"`
-	List       int64  `json:"list_rev"`
-	Version    string `json:"version"`
-	Config     string `json:"config"`
-	Schemas    []int  `json:"schemas"`
-	HeardMS    int64  `json:"heard_ms"`             // ago: when its newest report came
-	SampledMS  int64  `json:"sampled_ms"`           // ago at most: when it was true; -1: not known
-	Standing   Kind   `json:"standing,omitempty"`   // what it was told to be last; empty: nothing
-	Superseded bool   `json:"superseded,omitempty"` // a later start of its name has reported
+	AcknowledgedRev int64          `json:"have"`
+	UnreadableRev   int64          `json:"unread"`
+	NoLease         bool           `json:"held,omitempty"`
+	ListRev         int64          `json:"list_rev"`
+	Version         string         `json:"version"`
+	Config          string         `json:"config"`
+	Schemas         []int          `json:"schemas"`
+	LastReportAgoMS int64          `json:"heard_ms"`
+	SampledAgoMS    int64          `json:"sampled_ms"`           // at most; -1: not known
+	Access          TransitionKind `json:"standing,omitempty"`   // its last change of access; empty: none
+	Superseded      bool           `json:"superseded,omitempty"` // a later start of its name has reported
 }
 
-// Present lists the processes of the book by name and start. One that is superseded or gone may act all the same: it is
-// not to be counted on, and not ruled out.
-func (b *Tracker) Present(now int64) []Presence {
-	b.now = max(b.now, now)
-	out := make([]Presence, 0, len(b.processes))
-	for key, p := range b.processes {
-		r := &p.last
-		at := Presence{Process: key, Have: r.AcknowledgedRev, Unread: r.UnreadableRev, Held: r.NoLease, List: r.ListRev, Version: r.Version,
-			Config: r.Config, Schemas: slices.Clone(r.Schemas), HeardMS: b.now - p.heard, SampledMS: -1, Standing: p.standing}
-		if p.sampled > never {
-			at.SampledMS = b.now - p.sampled
-		}
-		out = append(out, at)
+// Present lists the known processes by name and start. One that is superseded or gone may still act: it is not to be
+// counted on, and not ruled out.
+func (t *Tracker) Present(now int64) []Presence {
+	t.now = max(t.now, now)
+	out := make([]Presence, 0, len(t.processes))
+	for key, p := range t.processes {
+		out = append(out, p.presence(key, t.now))
 	}
-	slices.SortFunc(out, func(a, b Presence) int { return compare(a.Process, b.Process) })
+	slices.SortFunc(out, func(a, b Presence) int { return compareProcesses(a.Process, b.Process) })
 	for i := 1; i < len(out); i++ {
 		out[i-1].Superseded = out[i-1].Name == out[i].Name
 	}
 	return out
 }
+
+func (p *processRecord) presence(key route.Process, now int64) Presence {
+	r := &p.lastReport
+	out := Presence{
+		Process:         key,
+		AcknowledgedRev: r.AcknowledgedRev,
+		UnreadableRev:   r.UnreadableRev,
+		NoLease:         r.NoLease,
+		ListRev:         r.ListRev,
+		Version:         r.Version,
+		Config:          r.Config,
+		Schemas:         slices.Clone(r.Schemas),
+		LastReportAgoMS: now - p.lastReportAt,
+		SampledAgoMS:    -1,
+		Access:          p.access,
+	}
+	if p.sampledAfter > minTime {
+		out.SampledAgoMS = now - p.sampledAfter
+	}
+	return out
+}
--- a/internal/registry/routes_lead.go
+++ b/internal/registry/routes_lead.go
@@ -174,7 +174,7 @@
 		refreshed: at, flushed: at, forgot: at, opens: at}
 	l.o.Leader, l.termMS = l.id, l.o.LeaseTerm
 	l.controller = rollout.NewController(l.o, r.planted.began(l.floor(at)))
-	l.book = audit.NewTracker(audit.TrackerOptions{Lists: leastLists}, l.id, l.floor(at))
+	l.book = audit.NewTracker(audit.TrackerOptions{MinListedRevs: leastLists}, l.id, l.floor(at))
 	return l
 }
 
@@ -224,7 +224,7 @@
 func (l *leadership) changed(all []rollout.AccessChange, now time.Time) []audit.Transition {
 	var out []audit.Transition
 	for _, s := range all {
-		kind := audit.Back
+		kind := audit.Readmitted
 		switch {
 		case s.Gone:
 			kind = audit.Gone
--- a/internal/registry/routes_test.go
+++ b/internal/registry/routes_test.go
@@ -652,12 +652,12 @@
 			if s.Answers[1].Verdict != audit.DidNot {
 				return false
 			}
-			assert.Equal(t, audit.Did, s.Answers[0].Verdict, s.Answers[0].Why)
+			assert.Equal(t, audit.Did, s.Answers[0].Verdict, s.Answers[0].Reason)
 			want := audit.Unknown
 			if planted != "" {
 				want = audit.DidNot
 			}
-			assert.Equal(t, want, s.Answers[2].Verdict, s.Answers[2].Why)
+			assert.Equal(t, want, s.Answers[2].Verdict, s.Answers[2].Reason)
 			return true
 		})
 		code, _ = call(t, "GET", one.cfg.Listen, fmt.Sprintf("/routes/audit?rev=%d&from=0&to=1", rev+1), "")
@@ -759,7 +759,7 @@
 	s := begun(10)
 	base := rollout.Command{Op: rollout.OpBase, Tenant: "a", Base: route.Subset{Model: []string{"m"}}}
 	for _, c := range []*Command{{Op: OpTerm, TermMS: 5}, {Op: OpRoutes, Routes: &base},
-		{Op: OpAudit, Audit: []audit.Transition{{Process: route.Process{Name: "p", Start: 1}, Kind: audit.Acts, Rev: 1}},
+		{Op: OpAudit, Audit: []audit.Transition{{Process: route.Process{Name: "p", Start: 1}, Kind: audit.FirstReport, Rev: 1}},
 			Seen: []SchemaSupport{{Process: route.Process{Name: "p", Start: 1}, Schemas: []int{1}}}}} {
 		before := s.Rev()
 		_, err := s.Apply(c)
--- a/internal/registry/routes_views.go
+++ b/internal/registry/routes_views.go
@@ -143,20 +143,20 @@
 	ms := func(wall int64) int64 { return wall - l.wallMS + l.floor(l.began) }
 	now := time.Now()
 	committed, closed := r.tables.when(rev)
-	q := audit.Query{Rev: rev, From: ms(from), To: ms(to), Committed: math.MinInt64, ClosedKnown: !closed.IsZero(), Now: l.ceil(now),
-		Slack: clockSlack, Ahead: l.ceil(r.opened)}
+	q := audit.Query{Rev: rev, From: ms(from), To: ms(to), CommittedAt: math.MinInt64, ClosedKnown: !closed.IsZero(), Now: l.ceil(now),
+		Slack: clockSlack, ClockAhead: l.ceil(r.opened)}
 	if !committed.IsZero() {
-		q.Committed = l.floor(committed)
+		q.CommittedAt = l.floor(committed)
 	}
 	if q.ClosedKnown {
-		q.Closed = l.ceil(closed)
+		q.ClosedAt = l.ceil(closed)
 	}
 	r.s.hub.read(func(s *State) {
 		if newest := s.routes.Rev(); rev > newest {
 			f = refusef(http.StatusNotFound, "rev", "%d is not committed; the newest is %d", rev, newest)
 			return
 		}
-		out = l.book.Who(q, s.audit)
+		out = l.book.Summarize(q, s.audit)
 	})
 	out.Answers = r.planted.answers(out.Answers)
 	return out, f
