--- a/internal/lab/routescale.go
+++ b/internal/lab/routescale.go
@@ -144,7 +144,7 @@
 
 // take does what a sidecar's loop does with news.
 func (p *puppet) take() {
-	news, ok := p.steer.Take()
+	news, ok := p.steer.TakeUpdate()
 	if !ok {
 		return
 	}
@@ -170,15 +170,15 @@
 func (p *puppet) offer(short bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	s := routeclient.Sample{Short: short}
+	s := routeclient.Sample{NeedsUnits: short}
 	if p.route != nil {
-		s.Purses = []route.BudgetState{{Tenant: p.route.Tenant, Rollout: p.route.Rollout, Granted: p.purse.Granted,
+		s.Budgets = []route.BudgetState{{Tenant: p.route.Tenant, Rollout: p.route.Rollout, Granted: p.purse.Granted,
 			Spent: p.purse.Spent, Returned: p.purse.Returned, Wanted: 2}}
 	}
 	if p.done.Rev == p.rev {
 		s.Counts = []route.Count{p.done}
 	}
-	p.steer.Offer(s)
+	p.steer.OfferSample(s)
 }
 
 // try sends one request to the canary if a unit can be set aside, and for the baseline in any case until it is told.
--- a/internal/routeclient/budgets.go
+++ b/internal/routeclient/budgets.go
@@ -1,6 +1,6 @@
 package routeclient
 
-// This file asks the list service for units of rollouts' budgets, and settles those that were spent.
+// This file requests units of rollouts' budgets, and settles what was spent and returned.
 
 import (
 	"context"
@@ -9,121 +9,150 @@
 	"marblelane/internal/route"
 )
 
-// budgetKey names one.
+// budgetKey names a budget.
 type budgetKey struct{ tenant, rollout string }
 
-// budgetHolder is the state of one duty.
+// budgetHolder is the state of the duty to hold budgets.
 type budgetHolder struct {
-	s       *Client
-	to      caller
-	spent   map[budgetKey]int64 // as the service was told
-	granted map[budgetKey]int64 // as it has told
-	last    time.Time           // of the last ask
-	gap     time.Duration       // least time to the next one
-	failing bool
+	client        *Client
+	caller        caller
+	reportedSpent map[budgetKey]int64 // as of the newest answered request
+	granted       map[budgetKey]int64 // as of its answer
+	lastRequestAt time.Time
+	minInterval   time.Duration // to the next request, while units are needed or requests fail
+	backoff       *boundedBackoff
+	failing       bool
 }
 
-// hold asks for units, and settles those that were spent or are given back.
-func (s *Client) hold(ctx context.Context) {
-	h := budgetHolder{s: s, to: caller{s: s}, gap: s.timings.holdSoon}
-	pause := s.newBackoff(s.timings.hold)
-	timer := time.NewTimer(s.timings.hold)
+// holdBudgets requests units, and settles what was spent or is returned, until ctx ends; then once more.
+func (c *Client) holdBudgets(ctx context.Context) {
+	h := budgetHolder{
+		client: c, caller: caller{client: c}, minInterval: c.timings.minBudgetInterval,
+		backoff: c.newBackoff(c.timings.budgetInterval),
+	}
+	timer := time.NewTimer(c.timings.budgetInterval)
 	defer timer.Stop()
 	for {
 		select {
 		case <-ctx.Done():
-			if purses, _, _ := h.purses(); len(purses) > 0 && !h.failing {
-				s.finally(ctx, func(ctx context.Context) error {
-					_, err := h.ask(ctx, purses)
-					return err
-				})
-			}
+			h.settleFinally(ctx)
 			return
 		case <-timer.C:
-		case <-s.offered:
+		case <-c.sampleOffered:
 		}
-		purses, short, more := h.purses()
-		if len(purses) == 0 {
+		demand := h.demand()
+		if len(demand.budgets) == 0 {
 			continue
 		}
-		if early := time.Until(h.last.Add(h.wait(short, more))); early > 0 {
+		if early := time.Until(h.lastRequestAt.Add(h.interval(demand))); early > 0 {
 			timer.Reset(early)
 			continue
 		}
-		gained, err := h.ask(ctx, purses)
-		h.last = time.Now()
-		timer.Reset(s.timings.hold)
-		switch {
-		case ctx.Err() != nil: // it tells nothing of the service
-		case err != nil:
-			if !h.failing {
-				s.cfg.Log.Warn("routes: an ask for units was not answered", "error", err)
-			}
-			h.failing, h.gap = true, pause.next()
-			timer.Reset(h.gap)
-		case gained || h.failing:
-			h.failing, h.gap = false, s.timings.holdSoon
-			pause.Reset()
-		case short: // there is nothing to be had just now
-			h.gap = min(2*h.gap, s.timings.hold)
-		}
+		timer.Reset(h.requestOnce(ctx, demand))
+	}
+}
+
+// settleFinally settles once more after ctx has ended.
+func (h *budgetHolder) settleFinally(ctx context.Context) {
+	budgets := h.demand().budgets
+	if len(budgets) == 0 || h.failing {
+		return
+	}
+	h.client.finalCall(ctx, func(ctx context.Context) error {
+		_, err := h.request(ctx, budgets)
+		return err
+	})
+}
+
+// budgetDemand is what the next request says, and why it is urgent.
+type budgetDemand struct {
+	budgets    []route.BudgetState
+	needsUnits bool // an attempt lacked a unit
+	unreported bool // more was spent than the service knows
+}
+
+func (h *budgetHolder) demand() budgetDemand {
+	c := h.client
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.drainSamples()
+	d := budgetDemand{budgets: c.newestSample.Budgets, needsUnits: c.needsUnits}
+	for _, b := range d.budgets {
+		d.unreported = d.unreported || b.Spent > h.reportedSpent[budgetKey{b.Tenant, b.Rollout}]
 	}
+	return d
 }
 
-// wait is how long after the last ask the next one comes.
-func (h *budgetHolder) wait(short, more bool) time.Duration {
+// interval is the time from the last request to the next one.
+func (h *budgetHolder) interval(d budgetDemand) time.Duration {
 	switch {
 	case h.failing:
-		return h.gap
-	case more:
-		return h.s.timings.holdSoon
-	case short:
-		return h.gap
+		return h.minInterval
+	case d.unreported:
+		return h.client.timings.minBudgetInterval
+	case d.needsUnits:
+		return h.minInterval
 	}
-	return h.s.timings.hold
+	return h.client.timings.budgetInterval
 }
 
-// purses are what the next ask says, and why it is urgent: one is short, or more was spent than was told.
-func (h *budgetHolder) purses() (purses []route.BudgetState, short, more bool) {
-	s := h.s
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	s.drain()
-	for _, p := range s.newest.Purses {
-		more = more || p.Spent > h.spent[budgetKey{p.Tenant, p.Rollout}]
+// requestOnce sends a request, and returns the time until the next one is looked at.
+func (h *budgetHolder) requestOnce(ctx context.Context, d budgetDemand) (next time.Duration) {
+	timings := &h.client.timings
+	gained, err := h.request(ctx, d.budgets)
+	h.lastRequestAt = time.Now()
+	next = timings.budgetInterval
+	switch {
+	case ctx.Err() != nil: // the error says nothing of the service
+	case err != nil:
+		if !h.failing {
+			h.client.cfg.Log.Warn("routes: budget request not answered", "err", err)
+		}
+		h.failing, h.minInterval = true, h.backoff.next()
+		next = h.minInterval
+	case gained || h.failing:
+		h.failing, h.minInterval = false, timings.minBudgetInterval
+		h.backoff.Reset()
+	case d.needsUnits: // no unit is left at present
+		h.minInterval = min(2*h.minInterval, timings.budgetInterval)
 	}
-	return s.newest.Purses, s.short, more
+	return next
 }
 
-// ask asks once, and reports whether more was granted than before.
-func (h *budgetHolder) ask(ctx context.Context, purses []route.BudgetState) (gained bool, err error) {
-	s := h.s
-	s.mu.Lock()
-	s.short = false // what is short from here on is said by the next ask
-	in := route.BudgetRequest{Process: route.Process{Name: s.cfg.Name, Start: s.start}, Budgets: purses}
-	s.mu.Unlock()
-	var a route.BudgetResponse
-	if err := h.to.post(ctx, route.BudgetsPath, &in, &a); err != nil {
+// request sends one request, and reports whether more was granted than before.
+func (h *budgetHolder) request(ctx context.Context, budgets []route.BudgetState) (gained bool, err error) {
+	c := h.client
+	c.mu.Lock()
+	c.needsUnits = false // a need from here on belongs to the next request
+	request := route.BudgetRequest{Process: route.Process{Name: c.cfg.Name, Start: c.start}, Budgets: budgets}
+	c.mu.Unlock()
+	var answer route.BudgetResponse
+	if err := h.caller.post(ctx, route.BudgetsPath, &request, &answer); err != nil {
 		return false, err
 	}
-	before := h.granted
-	h.spent, h.granted = map[budgetKey]int64{}, map[budgetKey]int64{}
-	for _, p := range purses {
-		id := budgetKey{p.Tenant, p.Rollout}
-		h.spent[id], h.granted[id] = p.Spent, before[id]
-	}
+	h.noteRequested(budgets)
 	var grants []route.BudgetGrant
-	for _, g := range a.Budgets {
-		id := budgetKey{g.Tenant, g.Rollout}
-		if have, asked := h.granted[id]; asked && g.Granted >= have {
-			gained = gained || g.Granted > have
-			h.granted[id] = g.Granted
-			g.MaxIdle = max(g.MaxIdle, 0)
-			grants = append(grants, g)
+	for _, grant := range answer.Budgets {
+		key := budgetKey{grant.Tenant, grant.Rollout}
+		if known, requested := h.granted[key]; requested && grant.Granted >= known {
+			gained = gained || grant.Granted > known
+			h.granted[key] = grant.Granted
+			grant.MaxIdle = max(grant.MaxIdle, 0)
+			grants = append(grants, grant)
 		}
 	}
 	if len(grants) > 0 {
-		s.grant(grants)
+		c.offerGrants(grants)
 	}
 	return gained, nil
 }
+
+// noteRequested notes what the service knows of budgets, and forgets those that were not part of the request.
+func (h *budgetHolder) noteRequested(budgets []route.BudgetState) {
+	before := h.granted
+	h.reportedSpent, h.granted = map[budgetKey]int64{}, map[budgetKey]int64{}
+	for _, b := range budgets {
+		key := budgetKey{b.Tenant, b.Rollout}
+		h.reportedSpent[key], h.granted[key] = b.Spent, before[key]
+	}
+}
--- a/internal/routeclient/caller.go
+++ b/internal/routeclient/caller.go
@@ -11,39 +11,41 @@
 	"net/http"
 )
 
-// caller asks the leader: by way of the copies, and once it is found directly.
+var errResponseTooLong = fmt.Errorf("an answer of more than %d bytes", maxResponseBytes)
+
+// caller calls the leader: by way of a copy that redirects to it, and directly once its address is known.
 type caller struct {
-	s     *Client
-	at    endpointCursor
-	found string // empty: not known
+	client     *Client
+	cursor     endpointCursor
+	leaderAddr string // empty: not known
 }
 
-// post asks once. Who fails is not asked again before another copy was.
-func (c *caller) post(ctx context.Context, path string, ask, into any) error {
-	c.s.mu.Lock()
-	if c.at.moves != c.s.moves {
-		c.found = ""
+// post makes one call. After a failure the next call goes to another copy.
+func (c *caller) post(ctx context.Context, path string, request, response any) error {
+	c.client.mu.Lock()
+	if c.cursor.addrsVersion != c.client.addrsVersion {
+		c.leaderAddr = ""
 	}
-	addr := c.at.addr(c.s)
-	c.s.mu.Unlock()
-	if c.found != "" {
-		addr = c.found
+	addr := c.cursor.addr(c.client)
+	c.client.mu.Unlock()
+	if c.leaderAddr != "" {
+		addr = c.leaderAddr
 	}
-	host, err := c.ask(ctx, addr, path, ask, into)
+	answeredBy, err := c.call(ctx, addr, path, request, response)
 	if err != nil {
-		c.at.next()
-		c.found = ""
+		c.cursor.next()
+		c.leaderAddr = ""
 		return fmt.Errorf("%s%s: %w", addr, path, err)
 	}
-	c.found = host
+	c.leaderAddr = answeredBy
 	return nil
 }
 
-// ask tells who has answered.
-func (c *caller) ask(ctx context.Context, addr, path string, ask, into any) (host string, err error) {
-	ctx, cancel := context.WithTimeout(ctx, c.s.timings.call)
+// call makes a call, and returns the address that has answered, after redirects.
+func (c *caller) call(ctx context.Context, addr, path string, request, response any) (answeredBy string, err error) {
+	ctx, cancel := context.WithTimeout(ctx, c.client.timings.callTimeout)
 	defer cancel()
-	body, err := json.Marshal(ask)
+	body, err := json.Marshal(request)
 	if err != nil {
 		return "", err
 	}
@@ -52,42 +54,42 @@
 		return "", err
 	}
 	req.Header.Set("Content-Type", "application/json")
-	resp, err := c.s.client.Do(req)
+	resp, err := c.client.httpClient.Do(req)
 	if err != nil {
 		return "", err
 	}
 	defer resp.Body.Close()
 	if resp.StatusCode != http.StatusOK {
-		return "", refusal(resp)
+		return "", statusError(resp)
 	}
-	text, err := io.ReadAll(io.LimitReader(resp.Body, mostAnswer+1))
+	text, err := io.ReadAll(io.LimitReader(resp.Body, maxResponseBytes+1))
 	switch {
 	case err != nil:
 		return "", err
-	case len(text) > mostAnswer:
-		return "", errBig
+	case len(text) > maxResponseBytes:
+		return "", errResponseTooLong
 	}
-	if err := json.Unmarshal(text, into); err != nil {
+	if err := json.Unmarshal(text, response); err != nil {
 		return "", fmt.Errorf("an answer that cannot be read: %w", err)
 	}
 	return resp.Request.URL.Host, nil
 }
 
-// endpointCursor is a place in the list of copies, which may be another list at any time.
-type endpointCursor struct{ number, moves int }
+// endpointCursor is a place in the list of copies, which may be replaced at any time.
+type endpointCursor struct{ index, addrsVersion int }
 
-// addr gives the address at the place; s.mu is held.
-func (c *endpointCursor) addr(s *Client) string {
-	if c.moves != s.moves {
-		c.number, c.moves = 0, s.moves
+// addr is the address at the place; client.mu is held.
+func (e *endpointCursor) addr(client *Client) string {
+	if e.addrsVersion != client.addrsVersion {
+		e.index, e.addrsVersion = 0, client.addrsVersion
 	}
-	return s.addrs[c.number%len(s.addrs)]
+	return client.addrs[e.index%len(client.addrs)]
 }
 
-func (c *endpointCursor) next() { c.number++ }
+func (e *endpointCursor) next() { e.index++ }
 
-// refusal is the error of an answer that is none.
-func refusal(resp *http.Response) error {
-	text, _ := io.ReadAll(io.LimitReader(resp.Body, 200))
-	return fmt.Errorf("%s answers %s: %s", resp.Request.URL.Host, resp.Status, bytes.TrimSpace(text))
+// statusError is the error of a response whose status is not 200, with the beginning of its body.
+func statusError(resp *http.Response) error {
+	reason, _ := io.ReadAll(io.LimitReader(resp.Body, maxReasonBytes))
+	return fmt.Errorf("%s answers %s: %s", resp.Request.URL.Host, resp.Status, bytes.TrimSpace(reason))
 }
--- a/internal/routeclient/counts.go
+++ b/internal/routeclient/counts.go
@@ -1,6 +1,6 @@
 package routeclient
 
-// This file counts the attempts of each revision, for the reports to the list service.
+// This file counts the attempts of each revision, and makes reports of the counts.
 
 import (
 	"cmp"
@@ -9,91 +9,110 @@
 	"marblelane/internal/route"
 )
 
-// side names a count within one revision.
-type side struct {
+// countKey names a count within one revision.
+type countKey struct {
 	tenant string
 	canary bool
 }
 
-// revision is what was counted under one.
-type revision struct {
-	counts map[side]*route.Count
-	told   bool // its last count of attempts begun was received
+// revisionCounts are the counts of one revision.
+type revisionCounts struct {
+	counts   map[countKey]*route.Count
+	received bool // the leader has the final counts of attempts started
 }
 
-// count gives the count of one side under a revision; s.mu is held.
-func (s *Client) count(rev int64, of side) *route.Count {
-	r := s.revs[rev]
-	if r == nil {
-		r = &revision{counts: map[side]*route.Count{}}
-		s.revs[rev] = r
+// countOf is the count of a tenant's side under a revision; c.mu is held.
+func (c *Client) countOf(rev int64, key countKey) *route.Count {
+	revision := c.revisions[rev]
+	if revision == nil {
+		revision = &revisionCounts{counts: map[countKey]*route.Count{}}
+		c.revisions[rev] = revision
 		if rev > 0 {
-			s.order = append(s.order, rev) // what is acted on only grows
+			c.revisionOrder = append(c.revisionOrder, rev) // the revision acted on only grows
 		}
 	}
-	c := r.counts[of]
-	if c == nil {
-		c = &route.Count{Rev: rev, Tenant: of.tenant, Canary: of.canary}
-		r.counts[of] = c
+	count := revision.counts[key]
+	if count == nil {
+		count = &route.Count{Rev: rev, Tenant: key.tenant, Canary: key.canary}
+		revision.counts[key] = count
 	}
-	return c
+	return count
 }
 
-// drain takes the samples in; s.mu is held. What ended under a revision that is kept no more is left out.
-func (s *Client) drain() {
+// drainSamples takes the samples out of the ring; c.mu is held. What ended under a revision that is no longer kept is left
+// out.
+func (c *Client) drainSamples() {
 	for {
-		sample, more := s.ring.take()
+		sample, more := c.samples.take()
 		if !more {
 			return
 		}
-		s.newest = sample
-		s.short = s.short || sample.Short
-		for _, c := range sample.Counts {
-			if r := s.revs[c.Rev]; r != nil && r.counts[side{c.Tenant, c.Canary}] != nil {
-				have := r.counts[side{c.Tenant, c.Canary}]
-				have.Ended, have.Failed, have.Late = c.Ended, c.Failed, c.Late
+		c.newestSample = sample
+		c.needsUnits = c.needsUnits || sample.NeedsUnits
+		for _, sampled := range sample.Counts {
+			if revision := c.revisions[sampled.Rev]; revision != nil {
+				revision.update(sampled)
 			}
 		}
 	}
 }
 
-// sample is a report of this moment: what is acted on, what is permitted and what was counted belong together.
-func (s *Client) sample(seq int64, echo route.Moment) route.Report {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	s.drain()
+// update takes in what the event loop has counted.
+func (r *revisionCounts) update(sampled route.Count) {
+	if count := r.counts[countKey{sampled.Tenant, sampled.Canary}]; count != nil {
+		count.Ended, count.Failed, count.Late = sampled.Ended, sampled.Failed, sampled.Late
+	}
+}
+
+// makeReport is a report of this moment: the revision acted on, the lease and the counts belong together.
+func (c *Client) makeReport(seq int64, echo route.Moment) route.Report {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.drainSamples()
 	r := route.Report{
-		Process: route.Process{Name: s.cfg.Name, Start: s.start}, Seq: seq, Echo: echo,
-		Version: s.cfg.Version, Config: s.cfg.Digest, Schemas: s.cfg.Schemas,
-		ListRev: s.newest.List, AcknowledgedRev: s.actingRevision, UnreadableRev: s.unread, NoLease: !s.cfg.Now().Before(s.until), LostSamples: s.ring.lost,
+		Process:         route.Process{Name: c.cfg.Name, Start: c.start},
+		Seq:             seq,
+		Echo:            echo,
+		Version:         c.cfg.Version,
+		Config:          c.cfg.ConfigDigest,
+		Schemas:         c.cfg.Schemas,
+		ListRev:         c.newestSample.ListRev,
+		AcknowledgedRev: c.actingRev,
+		UnreadableRev:   c.unreadableRev,
+		NoLease:         !c.hasLease(),
+		LostSamples:     c.samples.lost,
+		CountsTruncated: c.countsTruncated,
 	}
-	r.CountsTruncated = s.cut
-	for i := len(s.order) - 1; i >= 0; i-- {
-		of := s.revs[s.order[i]]
-		if s.order[i] < s.actingRevision && len(r.Counts)+len(of.counts) > mostCounts {
+	c.appendCounts(&r)
+	return r
+}
+
+// appendCounts adds counts to a report: the newest revisions first, as many as it may have, and revision 0.
+func (c *Client) appendCounts(r *route.Report) {
+	for _, rev := range slices.Backward(c.revisionOrder) {
+		revision := c.revisions[rev]
+		if rev < c.actingRev && len(r.Counts)+len(revision.counts) > maxCounts {
 			r.CountsTruncated = true
 			break
 		}
-		of.list(&r)
+		revision.appendTo(r)
+	}
+	if withoutLease := c.revisions[0]; withoutLease != nil {
+		withoutLease.appendTo(r)
 	}
-	s.revs[0].list(&r)
 	slices.SortFunc(r.Counts, func(a, b route.Count) int {
-		return cmp.Or(cmp.Compare(a.Rev, b.Rev), cmp.Compare(a.Tenant, b.Tenant), order(a.Canary, b.Canary))
+		return cmp.Or(cmp.Compare(a.Rev, b.Rev), cmp.Compare(a.Tenant, b.Tenant), compareBools(a.Canary, b.Canary))
 	})
-	return r
 }
 
-// list adds what was counted to a report.
-func (v *revision) list(r *route.Report) {
-	if v != nil {
-		for _, c := range v.counts {
-			r.Counts = append(r.Counts, *c)
-		}
+func (r *revisionCounts) appendTo(report *route.Report) {
+	for _, count := range r.counts {
+		report.Counts = append(report.Counts, *count)
 	}
 }
 
-// order puts false before true.
-func order(a, b bool) int {
+// compareBools orders false before true.
+func compareBools(a, b bool) int {
 	switch {
 	case a == b:
 		return 0
@@ -103,50 +122,26 @@
 	return 1
 }
 
-// received drops counts that are over and were received: those of the oldest revisions, beyond the last 16. Under a
-// revision before that of the report nothing has begun since, so its count was the last one. What a report had no room
-// for goes, too: else there would never be room.
-func (s *Client) received(r *route.Report) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	for _, c := range r.Counts {
-		if of := s.revs[c.Rev]; of != nil && c.Rev < r.AcknowledgedRev {
-			of.told = true
+// reportReceived notes that the leader has a report. Counts of the oldest revisions, beyond minRetainedRevs, are dropped if
+// they are final and received: under a revision before the report's nothing has begun since. Counts that a report had no
+// space for are dropped as well, as there would never be space for them.
+func (c *Client) reportReceived(r *route.Report) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	for _, count := range r.Counts {
+		if revision := c.revisions[count.Rev]; revision != nil && count.Rev < r.AcknowledgedRev {
+			revision.received = true
 		}
 	}
 	drop := 0
-	for len(s.order)-drop > keepRevs && (s.revs[s.order[drop]].told || r.CountsTruncated) && s.order[drop] < r.AcknowledgedRev {
-		s.cut = s.cut || !s.revs[s.order[drop]].told
-		delete(s.revs, s.order[drop])
+	for _, rev := range c.revisionOrder[:max(0, len(c.revisionOrder)-minRetainedRevs)] {
+		received := c.revisions[rev].received
+		if !received && !r.CountsTruncated || rev >= r.AcknowledgedRev {
+			break
+		}
+		c.countsTruncated = c.countsTruncated || !received
+		delete(c.revisions, rev)
 		drop++
 	}
-	s.order = slices.Delete(s.order, 0, drop)
-}
-
-// ring keeps the latest samples.
-type ring struct {
-	items       [ringSize]Sample
-	first, used int
-	lost        int64
-}
-
-func (r *ring) put(s Sample) {
-	if r.used == ringSize {
-		s.Short = s.Short || r.items[r.first].Short // a want is no total
-		r.take()
-		r.lost++
-	}
-	r.items[(r.first+r.used)%ringSize] = s
-	r.used++
-}
-
-func (r *ring) take() (Sample, bool) {
-	if r.used == 0 {
-		return Sample{}, false
-	}
-	s := r.items[r.first]
-	r.items[r.first] = Sample{}
-	r.first = (r.first + 1) % ringSize
-	r.used--
-	return s, true
+	c.revisionOrder = slices.Delete(c.revisionOrder, 0, drop)
 }
--- /dev/null
+++ b/internal/routeclient/counts_test.go
@@ -0,0 +1,110 @@
+package routeclient
+
+import (
+	"fmt"
+	"sync"
+	"sync/atomic"
+	"testing"
+	"time"
+
+	"github.com/stretchr/testify/require"
+
+	"marblelane/internal/route"
+)
+
+// TestReport_concurrentAttempts: under a revision before the acknowledged one nothing begins after the report was made,
+// and all that began before is counted in it.
+func TestReport_concurrentAttempts(t *testing.T) {
+	p := newLeasedClient(t, 1, time.Hour)
+	const last = 200
+	var started [last + 1]atomic.Int64
+	var attempts sync.WaitGroup
+	stop := make(chan struct{})
+	for range 4 {
+		attempts.Go(func() {
+			for {
+				select {
+				case <-stop:
+					return
+				default:
+				}
+				rev := p.Status().ActingRev
+				if under, ok := p.Begin(rev, "a", true); ok {
+					started[under].Add(1)
+				}
+			}
+		})
+	}
+	final := map[int64]int64{}
+	for rev := int64(2); rev <= last; rev++ {
+		p.ActOn(rev)
+		for _, c := range p.makeReport(rev, route.Moment{}).Counts {
+			if c.Rev < rev {
+				if have, said := final[c.Rev]; said {
+					require.Equal(t, have, c.Started, "attempts began under %d after a report", c.Rev)
+				}
+				final[c.Rev] = c.Started
+			}
+		}
+	}
+	close(stop)
+	attempts.Wait()
+	for rev := int64(1); rev < last; rev++ {
+		require.Equal(t, started[rev].Load(), final[rev], "revision %d", rev)
+	}
+}
+
+// TestSampleRing_full: a full ring drops and counts the oldest sample; the need of units stays, and totals lose nothing.
+func TestSampleRing_full(t *testing.T) {
+	p := newLeasedClient(t, 1, time.Hour)
+	p.Begin(1, "a", true)
+	for i := range int64(sampleRingSize + 3) {
+		p.OfferSample(Sample{ListRev: i, NeedsUnits: i == 1, Counts: []route.Count{{Rev: 1, Tenant: "a", Canary: true, Ended: i}}})
+	}
+	require.Equal(t, []int64{3, 10}, []int64{p.samples.items[p.samples.first].ListRev, p.samples.items[(p.samples.first+7)%8].ListRev})
+	r := p.makeReport(1, route.Moment{})
+	require.Equal(t, []int64{3, 10}, []int64{r.LostSamples, r.ListRev})
+	require.Equal(t, []route.Count{{Rev: 1, Tenant: "a", Canary: true, Started: 1, Ended: 10}}, r.Counts)
+	require.True(t, p.needsUnits)
+}
+
+// TestCounts_droppedOnceReceived: counts of old revisions stay until they are received; meanwhile, with too many of them,
+// no newer table is taken.
+func TestCounts_droppedOnceReceived(t *testing.T) {
+	p := newLeasedClient(t, 1, time.Hour)
+	rev := int64(0)
+	for range maxRevs {
+		rev++
+		require.NoError(t, p.offerTable(&route.Table{Rev: rev}))
+		p.ActOn(rev)
+		_, ok := p.Begin(rev, "a", false)
+		require.True(t, ok)
+	}
+	r := p.makeReport(1, route.Moment{})
+	require.Len(t, r.Counts, maxRevs)
+	require.ErrorIs(t, p.offerTable(&route.Table{Rev: rev + 1}), errTooManyRevisions)
+	p.reportReceived(&r)
+	require.NoError(t, p.offerTable(&route.Table{Rev: rev + 1}))
+	left := p.makeReport(2, route.Moment{}).Counts
+	require.Len(t, left, minRetainedRevs)
+	require.Equal(t, rev-minRetainedRevs+1, left[0].Rev)
+}
+
+// TestReport_boundedCounts: with many tenants a report has the newest revisions only, and says so; the others are dropped.
+func TestReport_boundedCounts(t *testing.T) {
+	p := newLeasedClient(t, 1, time.Hour)
+	for rev := int64(1); rev <= 2*maxRevs; rev++ {
+		require.NoError(t, p.offerTable(&route.Table{Rev: rev}), "revision %d", rev)
+		p.ActOn(rev)
+		for tenant := range 200 {
+			_, ok := p.Begin(rev, fmt.Sprint("tenant-", tenant), false)
+			require.True(t, ok)
+		}
+		r := p.makeReport(rev, route.Moment{})
+		require.LessOrEqual(t, len(r.Counts), maxCounts)
+		require.Equal(t, rev, r.Counts[len(r.Counts)-1].Rev)
+		require.Equal(t, rev > maxCounts/200, r.CountsTruncated)
+		p.reportReceived(&r)
+	}
+	require.LessOrEqual(t, len(p.revisions), minRetainedRevs+1)
+}
--- /dev/null
+++ b/internal/routeclient/helpers_test.go
@@ -0,0 +1,247 @@
+package routeclient
+
+import (
+	"context"
+	"encoding/json"
+	"fmt"
+	"io"
+	"log/slog"
+	"net/http"
+	"net/http/httptest"
+	"strings"
+	"sync"
+	"sync/atomic"
+	"testing"
+	"time"
+
+	"github.com/stretchr/testify/require"
+	"go.uber.org/goleak"
+
+	"marblelane/internal/route"
+)
+
+// waitLimit bounds every wait of the tests; none is expected to last.
+const waitLimit = 10 * time.Second
+
+func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
+
+// manualClock is a clock that a test advances.
+type manualClock struct {
+	mu  sync.Mutex
+	now time.Time
+}
+
+func (h *manualClock) Now() time.Time {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	return h.now
+}
+
+func (h *manualClock) advance(d time.Duration) {
+	h.mu.Lock()
+	h.now = h.now.Add(d)
+	h.mu.Unlock()
+}
+
+// fakeService is a copy of the list service. Each watch sends what the test writes to it.
+type fakeService struct {
+	*httptest.Server
+	watches chan fakeWatch
+	report  atomic.Pointer[func(route.Report) (int, any)] // nil: 503
+	budgets atomic.Pointer[func(route.BudgetRequest) (int, any)]
+	posts   atomic.Int64 // posts
+}
+
+type fakeWatch struct {
+	query string
+	text  chan string // closed: the response ends
+	ended <-chan struct{}
+}
+
+func newFakeService(t *testing.T) *fakeService {
+	c := &fakeService{watches: make(chan fakeWatch, 64)}
+	c.Server = httptest.NewServer(c)
+	t.Cleanup(func() {
+		c.CloseClientConnections()
+		c.Close()
+	})
+	return c
+}
+
+func (c *fakeService) addr() string { return c.Listener.Addr().String() }
+
+func (c *fakeService) answerReports(with route.ReportResponse) {
+	f := func(route.Report) (int, any) { return http.StatusOK, with }
+	c.report.Store(&f)
+}
+
+func (c *fakeService) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+	switch r.URL.Path {
+	case route.TablePath:
+		watch := fakeWatch{r.URL.RawQuery, make(chan string), r.Context().Done()}
+		w.(http.Flusher).Flush()
+		c.watches <- watch
+		for {
+			select {
+			case <-watch.ended:
+				return
+			case text, more := <-watch.text:
+				if !more {
+					return
+				}
+				io.WriteString(w, text)
+				w.(http.Flusher).Flush()
+			}
+		}
+	case route.ReportPath:
+		c.posts.Add(1)
+		servePost(w, r, c.report.Load())
+	case route.BudgetsPath:
+		c.posts.Add(1)
+		servePost(w, r, c.budgets.Load())
+	}
+}
+
+func servePost[T any](w http.ResponseWriter, r *http.Request, f *func(T) (int, any)) {
+	var in T
+	if err := json.NewDecoder(r.Body).Decode(&in); err != nil || f == nil || r.Method != http.MethodPost {
+		http.Error(w, "no leader", http.StatusServiceUnavailable)
+		return
+	}
+	status, answer := (*f)(in)
+	if to, ok := answer.(string); ok {
+		http.Redirect(w, r, to+r.URL.Path, status)
+		return
+	}
+	w.WriteHeader(status)
+	json.NewEncoder(w).Encode(answer)
+}
+
+func (w fakeWatch) write(t *testing.T, text string) {
+	t.Helper()
+	select {
+	case w.text <- text:
+	case <-time.After(waitLimit):
+		t.Fatal("the watch takes no line")
+	}
+}
+
+// testClient is a Client under test.
+type testClient struct {
+	*Client
+	t     *testing.T
+	clock *manualClock
+	wake  chan struct{}
+	log   *logBuffer
+	stop  func()
+}
+
+// logBuffer is a log.
+type logBuffer struct {
+	mu   sync.Mutex
+	text strings.Builder
+}
+
+func (l *logBuffer) Write(p []byte) (int, error) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	return l.text.Write(p)
+}
+
+func (l *logBuffer) count(text string) int {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	return strings.Count(l.text.String(), text)
+}
+
+// startClient runs a client with short times, after change has changed it. Without copies it does not run.
+func startClient(t *testing.T, change func(*Client), copies ...*fakeService) *testClient {
+	t.Helper()
+	p := &testClient{t: t, clock: &manualClock{now: time.Now()}, wake: make(chan struct{}, 1), log: &logBuffer{}}
+	var addrs []string
+	for _, c := range copies {
+		addrs = append(addrs, c.addr())
+	}
+	if addrs == nil {
+		addrs = []string{"127.0.0.1:1"}
+	}
+	s, err := New(Config{
+		Addrs: addrs, Name: "n0", Start: 7, Version: "v", ConfigDigest: "d", Schemas: []int{1, 2}, Now: p.clock.Now,
+		Wake: func() { signal(p.wake) }, Log: slog.New(slog.NewTextHandler(p.log, nil)),
+	})
+	require.NoError(t, err)
+	s.timings = timings{
+		watchSilence: time.Hour, minBackoff: time.Millisecond, maxBackoff: 4 * time.Millisecond, firstReportInterval: 4 * time.Millisecond,
+		minReportInterval: time.Millisecond, maxReportInterval: 4 * time.Millisecond, callTimeout: waitLimit, budgetInterval: 4 * time.Millisecond,
+		minBudgetInterval: time.Millisecond, finalCallTimeout: waitLimit,
+	}
+	if change != nil {
+		change(s)
+	}
+	p.Client = s
+	if copies == nil {
+		return p
+	}
+	ctx, cancel := context.WithCancel(context.Background())
+	ended := make(chan struct{})
+	go func() {
+		defer close(ended)
+		s.Run(ctx)
+	}()
+	p.stop = sync.OnceFunc(func() {
+		cancel()
+		receive(t, "end of Run", ended)
+	})
+	t.Cleanup(p.stop)
+	return p
+}
+
+func receive[T any](t *testing.T, what string, from <-chan T) T {
+	t.Helper()
+	select {
+	case v := <-from:
+		return v
+	case <-time.After(waitLimit):
+		t.Fatalf("no %s in time", what)
+		panic("unreachable")
+	}
+}
+
+// waitUpdate waits for an update that wanted accepts.
+func (p *testClient) waitUpdate(what string, wanted func(Update) bool) Update {
+	p.t.Helper()
+	for limit := time.After(waitLimit); ; {
+		if n, ok := p.TakeUpdate(); ok && wanted(n) {
+			return n
+		}
+		select {
+		case <-p.wake:
+		case <-limit:
+			p.t.Fatalf("no %s in time", what)
+		}
+	}
+}
+
+func (p *testClient) waitTable(rev int64) *route.Table {
+	p.t.Helper()
+	return p.waitUpdate(fmt.Sprint("revision ", rev), func(n Update) bool { return n.Table != nil && n.Table.Rev == rev }).Table
+}
+
+func document(t *testing.T, rev int64) string {
+	text, err := route.Write(&route.Table{Rev: rev}, route.Newest)
+	require.NoError(t, err)
+	return string(text)
+}
+
+// newLeasedClient makes a client that acts on a revision, with a lease for a term from now.
+func newLeasedClient(t *testing.T, rev int64, term time.Duration) *testClient {
+	p := startClient(t, nil)
+	p.ActOn(rev)
+	p.setLease(p.clock.Now(), term)
+	return p
+}
+
+func eventually(t *testing.T, what string, done func() bool) {
+	t.Helper()
+	require.Eventually(t, done, waitLimit, time.Millisecond, what)
+}
--- a/internal/routeclient/reporter.go
+++ b/internal/routeclient/reporter.go
@@ -1,6 +1,6 @@
 package routeclient
 
-// This file reports to the list service what this process acts on.
+// This file reports to the leader what this process acts on, and gets canary leases.
 
 import (
 	"context"
@@ -10,111 +10,107 @@
 	"marblelane/internal/route"
 )
 
-// reporter is the state of one duty.
+// reporter is the state of the duty to report.
 type reporter struct {
-	s    *Client
-	to   caller
-	seq  int64
-	echo route.Moment
-	term time.Duration // of the last answer; 0: none
-	why  string        // there was no permission, as logged
-	told bool          // the leader has taken this process for the newest of its name
+	client   *Client
+	caller   caller
+	seq      int64
+	echo     route.Moment  // stamp of the newest answer
+	term     time.Duration // of the newest answer's lease; 0: none
+	reason   string        // why there was no lease, as logged
+	accepted bool          // the leader has taken this process for the newest of its name
 }
 
-// report says what this process acts on, and takes in what it may.
-func (s *Client) report(ctx context.Context) {
-	r := reporter{s: s, to: caller{s: s}}
-	pause, failing := s.newBackoff(s.timings.first), false
+// reportPeriodically reports until ctx ends, and then once more.
+func (c *Client) reportPeriodically(ctx context.Context) {
+	r := reporter{client: c, caller: caller{client: c}}
+	backoff, failing := c.newBackoff(c.timings.firstReportInterval), false
 	for {
-		err := r.tell(ctx)
-		wait := s.timings.first
-		if r.term > 0 {
-			wait = min(max(r.term/5, s.timings.soon), s.timings.late)
-		}
+		err := r.report(ctx)
+		interval := r.interval()
 		switch {
 		case err == nil:
 			failing = false
-			pause.Reset()
+			backoff.Reset()
 		case ctx.Err() == nil:
-			wait = min(pause.next(), wait)
+			interval = min(backoff.next(), interval)
 			if !failing {
-				s.cfg.Log.Warn("routes: a report was not answered", "error", err)
+				c.cfg.Log.Warn("routes: report not answered", "err", err)
 			}
 			failing = true
 		}
-		// Soon after a later revision is acted on, so that the one before can be closed.
-		if !rest(ctx, s.timings.soon, nil) || !rest(ctx, wait-s.timings.soon, s.acted) {
+		// Report soon after a later revision is acted on, so that the one before can be closed.
+		shortest := c.timings.minReportInterval
+		if !wait(ctx, shortest, nil) || !wait(ctx, interval-shortest, c.actingRevChanged) {
 			break
 		}
 	}
 	if !failing {
-		s.finally(ctx, r.tell)
+		c.finalCall(ctx, r.report)
+	}
+}
+
+// interval is the time until the next report.
+func (r *reporter) interval() time.Duration {
+	timings := &r.client.timings
+	if r.term <= 0 {
+		return timings.firstReportInterval
 	}
+	return min(max(r.term/reportsPerTerm, timings.minReportInterval), timings.maxReportInterval)
 }
 
-// tell reports once.
-func (r *reporter) tell(ctx context.Context) error {
-	asked := r.s.cfg.Now() // the permission counts from here: whatever takes its time is on the safe side
+// report sends one report and takes in the answer.
+func (r *reporter) report(ctx context.Context) error {
+	requestedAt := r.client.cfg.Now() // the lease counts from here, before the report is made
 	r.seq++
-	report := r.s.sample(r.seq, r.echo)
-	var a route.ReportResponse
-	if err := r.to.post(ctx, route.ReportPath, &report, &a); err != nil {
+	report := r.client.makeReport(r.seq, r.echo)
+	var answer route.ReportResponse
+	if err := r.caller.post(ctx, route.ReportPath, &report, &answer); err != nil {
 		return err
 	}
-	r.echo = a.Stamp
-	r.term = time.Duration(min(max(a.LeaseMS, 0), longest.Milliseconds())) * time.Millisecond
-	if a.Reason != r.why && a.Reason != "" {
-		r.s.cfg.Log.Warn("routes: no permission", "why", a.Reason)
+	r.echo = answer.Stamp
+	r.term = time.Duration(min(max(answer.LeaseMS, 0), maxLeaseTerm.Milliseconds())) * time.Millisecond
+	if answer.Reason != r.reason && answer.Reason != "" {
+		r.client.cfg.Log.Warn("routes: no lease", "why", answer.Reason)
 	}
-	r.why = a.Reason
-	r.outdo(a.NewestStart)
-	r.s.received(&report)
-	r.s.permit(asked, r.term)
-	if a.Resync {
-		r.s.anew(a.Table)
+	r.reason = answer.Reason
+	r.raiseStart(answer.NewestStart)
+	r.client.reportReceived(&report)
+	r.client.setLease(requestedAt, r.term)
+	if answer.Resync {
+		r.client.resync(answer.Table)
 	}
 	return nil
 }
 
-// outdo says a later start than an earlier process of this name has said: the wall clock was stepped back between the two,
-// and whoever says the lower number counts as the one that has ended. It is for a process that was never taken for the
-// newest, which has counted nothing but what it began without permission, and was granted no units. One that was gives way
-// to a later one: it is being replaced.
-func (r *reporter) outdo(start int64) {
-	if start == 0 {
-		r.told = true
+// raiseStart raises this process's start above that of an earlier process of its name: the wall clock was stepped back
+// between the two, and the process with the lower start counts as the one that has ended. It is for a process that was
+// never accepted as the newest one, which has counted only attempts without a lease, and has no grants. An accepted process
+// gives way to a later one: it is being replaced.
+func (r *reporter) raiseStart(newest int64) {
+	if newest == 0 {
+		r.accepted = true
 	}
-	if r.told || start == math.MaxInt64 {
+	if r.accepted || newest == math.MaxInt64 {
 		return
 	}
-	s := r.s
-	s.mu.Lock()
-	was := s.start
-	s.start = max(was, start+1)
-	s.mu.Unlock()
-	if was <= start {
-		s.cfg.Log.Warn("routes: an earlier process of this name had a later start, this one is raised above it", "start", was, "above", start)
-		signal(s.acted) // the next report need not wait
-	}
-}
-
-// anew takes in a whole table and begins the watch anew.
-func (s *Client) anew(table []byte) {
-	if len(table) > 0 {
-		if err := s.read(table); err != nil {
-			s.cfg.Log.Warn("routes: the table of an answer is not taken", "error", err)
-		}
+	c := r.client
+	c.mu.Lock()
+	before := c.start
+	c.start = max(before, newest+1)
+	c.mu.Unlock()
+	if before <= newest {
+		c.cfg.Log.Warn("routes: start raised above that of an earlier process of this name",
+			"start", before, "above", newest)
+		signal(c.actingRevChanged) // the next report need not wait
 	}
-	s.mu.Lock()
-	s.breakWatch(errAnew)
-	s.mu.Unlock()
 }
 
-// finally says something once more after the end, for a short time: nobody waits for it.
-func (s *Client) finally(ctx context.Context, say func(context.Context) error) {
-	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), s.timings.last)
+// finalCall makes a call once more after ctx has ended, for a short time.
+func (c *Client) finalCall(ctx context.Context, call func(context.Context) error) {
+	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), c.timings.finalCallTimeout)
 	defer cancel()
-	if err := say(ctx); err != nil {
-		s.cfg.Log.Info("routes: the last word was not heard", "error", err)
+	if err := call(ctx); err != nil {
+		c.cfg.Log.Info("routes: final call failed", "err", err)
 	}
 }
--- a/internal/sidecar/metrics/metrics.go
+++ b/internal/sidecar/metrics/metrics.go
@@ -106,12 +106,12 @@
 	}
 	if s := servers.Routes; s != nil {
 		figures = append(figures,
-			figure{"steer_revision", "gauge", s.Acts},
-			figure{"steer_unread_revision", "gauge", s.Unread},
-			figure{"steer_permitted", "gauge", Bool(s.Permitted)},
+			figure{"steer_revision", "gauge", s.ActingRev},
+			figure{"steer_unread_revision", "gauge", s.UnreadableRev},
+			figure{"steer_permitted", "gauge", Bool(s.HasLease)},
 			figure{"steer_units_free", "gauge", s.FreeUnits},
 			figure{"steer_voids", "counter", s.RevokedAttempts},
-			figure{"steer_samples_lost", "counter", s.Lost},
+			figure{"steer_samples_lost", "counter", s.LostSamples},
 		)
 	}
 	for _, one := range figures {
--- a/internal/sidecar/reload.go
+++ b/internal/sidecar/reload.go
@@ -33,7 +33,7 @@
 	}
 	s.loop.Discovery.Move(cfg.ListAddrs())
 	if s.loop.Routing != nil && cfg.Routes != nil { // the section itself is added or removed by a restart
-		s.loop.Routing.Client.Move(cfg.Routes.Addrs)
+		s.loop.Routing.Client.SetAddrs(cfg.Routes.Addrs)
 	}
 	if !config.SameMembership(s.cfg.Membership, cfg.Membership) {
 		slog.Warn("reload: the section members has changed; that holds from the next start")
--- a/internal/sidecar/routes_test.go
+++ b/internal/sidecar/routes_test.go
@@ -165,7 +165,7 @@
 	r.t.Helper()
 	sidecartest.Until(r.t, fmt.Sprint("revision ", rev), func() bool {
 		s := r.loop.Routing.Client.Status()
-		return s.Acts == rev && s.Permitted == permitted
+		return s.ActingRev == rev && s.HasLease == permitted
 	})
 	if permitted { // the loop has taken it in, too
 		sidecartest.Until(r.t, "the figures", func() bool {
--- a/internal/sidecar/routing/check.go
+++ b/internal/sidecar/routing/check.go
@@ -54,7 +54,7 @@
 
 // Expect is the revision that Begin would give now, which the head names.
 func (check *Check) Expect() int64 {
-	check.headerRevision = check.client.Under(check.rev)
+	check.headerRevision = check.client.ExpectedRev(check.rev)
 	return check.headerRevision
 }
 
--- a/internal/sidecar/routing/router.go
+++ b/internal/sidecar/routing/router.go
@@ -95,7 +95,7 @@
 	var err error
 	r.Client, err = routeclient.New(routeclient.Config{
 		Addrs: cfg.Routes.Addrs, Name: cfg.Name, Start: cfg.Faults.Now().UnixNano(), Version: config.ProgramVersion(),
-		Digest: cfg.Routes.Digest, Schemas: cfg.Routes.Schemas, Wake: r.signal,
+		ConfigDigest: cfg.Routes.Digest, Schemas: cfg.Routes.Schemas, Wake: r.signal,
 	})
 	return r, err
 }
@@ -144,7 +144,7 @@
 
 // Take applies what the client has received, and offers it a sample that is due.
 func (r *Router) Take(now float64) {
-	if update, fresh := r.Client.Take(); fresh {
+	if update, fresh := r.Client.TakeUpdate(); fresh {
 		r.apply(now, update)
 		r.sampleSoon = true
 	}
@@ -163,8 +163,8 @@
 // apply brings an update of the client to the balancer.
 func (r *Router) apply(now float64, update routeclient.Update) {
 	until := 0.
-	if !update.Until.IsZero() {
-		until = r.clock.Millis(update.Until) - leaseMargin
+	if !update.LeaseUntil.IsZero() {
+		until = r.clock.Millis(update.LeaseUntil) - leaseMargin
 	}
 	r.loop.HandleEvent(now, balance.CanaryLease{Until: until})
 	if update.Table != nil {
@@ -187,7 +187,7 @@
 	actions, err := r.balancer.Handle(now, routes)
 	if err != nil {
 		slog.Error("routes: the balancer rejects a table", "revision", t.Rev, "err", err)
-		r.Client.Refused(t.Rev)
+		r.Client.RejectTable(t.Rev)
 		return
 	}
 	r.Client.ActOn(t.Rev)
@@ -245,7 +245,7 @@
 
 // sample offers the client the state of this moment.
 func (r *Router) sample(now float64) {
-	s := routeclient.Sample{List: r.balancer.ListRev(), Counts: make([]route.Count, 0, len(r.counts))}
+	s := routeclient.Sample{ListRev: r.balancer.ListRev(), Counts: make([]route.Count, 0, len(r.counts))}
 	for _, c := range r.counts {
 		s.Counts = append(s.Counts, *c)
 	}
@@ -267,17 +267,17 @@
 		// Attempts that were denied within one sample were hardly in flight at once: the wanted units at most double.
 		wanted := budget.Reserved + min(missed, budget.Reserved+1)
 		c.peakReserved = max(c.peakReserved*decay, float64(wanted))
-		s.Short = s.Short || missed > 0
+		s.NeedsUnits = s.NeedsUnits || missed > 0
 		state := route.BudgetState{
 			Tenant: c.tenant, Rollout: c.rollout, Granted: budget.Granted, Spent: budget.Spent, Returned: budget.Returned,
 		}
 		if c.endedAt == 0 {
 			state.Wanted = int64(min(1+math.Ceil(c.peakReserved), maxWantedUnits))
 		}
-		s.Purses = append(s.Purses, state)
+		s.Budgets = append(s.Budgets, state)
 	}
 	r.sampledAt, r.sampleSoon = now, false
-	r.Client.Offer(s)
+	r.Client.OfferSample(s)
 }
 
 // Check gives the check of an attempt that follows a route, or is compared with those that do; nil: it needs none.
