--- a/internal/audit/fleet_world_test.go
+++ b/internal/audit/fleet_world_test.go
@@ -74,9 +74,9 @@
 
 func (w *fleetWorld) clock(at int64) int64 { return at + w.leaderOffset }
 
-func (w *fleetWorld) attempt(p *trueProcess, permitted bool) {
+func (w *fleetWorld) attempt(p *trueProcess, leased bool) {
 	rev := int64(0)
-	if permitted && p.report.AcknowledgedRev > w.closedRev {
+	if leased && p.report.AcknowledgedRev > w.closedRev {
 		rev = p.report.AcknowledgedRev
 	}
 	p.started[rev]++
--- a/internal/registry/routes_table.go
+++ b/internal/registry/routes_table.go
@@ -182,9 +182,9 @@
 }
 
 func encodeTable(t *route.Table, reads []int) (tableText, error) {
-	version, verdict, findings := route.Choose(t, reads)
+	version, verdict, findings := route.ChooseSchema(t, reads)
 	out := tableText{verdict: verdict, findings: findings}
-	if verdict == route.Otherwise || verdict == route.NotRead {
+	if verdict == route.DifferentReading || verdict == route.NoReading {
 		return out, nil
 	}
 	text, err := route.Write(t, version)
--- a/internal/registry/routes_tenants.go
+++ b/internal/registry/routes_tenants.go
@@ -196,8 +196,8 @@
 func (r *routing) compare(l *leadership, table *route.Table) *refusal {
 	alike := true
 	for schema := 1; schema < route.Newest; schema++ {
-		_, v, _ := route.Choose(r.planted.meant(table, []int{schema}), []int{schema})
-		alike = alike && v <= route.AlikeWritten
+		_, v, _ := route.ChooseSchema(r.planted.meant(table, []int{schema}), []int{schema})
+		alike = alike && v <= route.SameWhenDowngraded
 	}
 	if alike { // whoever there is
 		return nil
@@ -210,7 +210,7 @@
 	out := &refusal{status: http.StatusConflict}
 	for _, p := range all {
 		reads := known(p.Schemas)
-		if _, v, findings := route.Choose(r.planted.meant(table, reads), reads); v > route.AlikeWritten {
+		if _, v, findings := route.ChooseSchema(r.planted.meant(table, reads), reads); v > route.SameWhenDowngraded {
 			if len(out.Processes) == 0 {
 				out.Findings = findings
 				out.Error = fmt.Sprintf("the routes would be %s by processes that are present or were within %v", v, l.remember())
--- a/internal/registry/routes_test.go
+++ b/internal/registry/routes_test.go
@@ -606,7 +606,7 @@
 		code, text := call(t, "GET", one.cfg.Listen, "/routes?schema=1", "")
 		return code == 409 && strings.Contains(text, "classes")
 	})
-	assert.Equal(t, route.Alike, must(encodeTable(ignorable.meant(&route.Table{Rev: 1, Routes: []route.Route{{Classes: []string{"x"},
+	assert.Equal(t, route.SameReading, must(encodeTable(ignorable.meant(&route.Table{Rev: 1, Routes: []route.Route{{Classes: []string{"x"},
 		Share: 1, Rollout: "r"}}}, []int{1}), []int{1})).verdict, "the planted defect shows nothing")
 }
 
--- a/internal/rollout/controller_test.go
+++ b/internal/rollout/controller_test.go
@@ -65,7 +65,7 @@
 	mustApply(t, f.state, Command{Op: OpForward, Tenant: tenantName, Name: rolloutName})
 	for now := int64(100); now <= 7000; now += 2300 {
 		for i := range f.sidecars {
-			require.Equal(t, int64(5000), f.report(now, i, i < 6).LeaseMS, "nobody is shut out")
+			require.Equal(t, int64(5000), f.report(now, i, i < 6).LeaseMS, "no process is shut out")
 		}
 	}
 	ops, _ := f.tick(t, 7000, 1)
--- a/internal/rollout/model/race_test.go
+++ b/internal/rollout/model/race_test.go
@@ -3,4 +3,4 @@
 package model
 
 // raceEnabled reports whether tests run with the race detector, which makes them several times slower.
-const raced = true
+const raceEnabled = true
--- a/internal/route/bind_test.go
+++ b/internal/route/bind_test.go
@@ -54,15 +54,15 @@
 	if diff := cmp.Diff(want, got); diff != "" {
 		t.Error(diff)
 	}
-	said := strings.Join(skipped, "\n")
+	messages := strings.Join(skipped, "\n")
 	for _, word := range []string{`"lost"`, `"m9"`, `"mars"`, `"nobody"`, "settings name tenants", "no requests go to the canary"} {
-		if !strings.Contains(said, word) {
-			t.Errorf("%s is not told of in\n%s", word, said)
+		if !strings.Contains(messages, word) {
+			t.Errorf("%s is missing in\n%s", word, messages)
 		}
 	}
 }
 
-func TestBindWithoutTenants(t *testing.T) {
+func TestBind_noTenants(t *testing.T) {
 	table := &Table{Rev: 1, Routes: []Route{{Base: Subset{UID: []string{"u"}}}, {Tenant: "a"}}}
 	got, skipped := Bind(table, Names{})
 	want := []balance.Route{{Tenant: -1, Base: balance.Subset{Kinds: []int{math.MinInt}}}}
@@ -71,8 +71,8 @@
 	}
 }
 
-// Names that the settings lack never make a subset or the classes of a canary all there are.
-func TestUnknownNamesNeverWiden(t *testing.T) {
+// TestBind_unknownNames: names that the settings lack never widen a subset, or the classes of a canary, to all.
+func TestBind_unknownNames(t *testing.T) {
 	names := Names{Tenants: testNames().Tenants}
 	for _, s := range []Subset{{Zone: []string{"east"}}, {Model: []string{"m4"}}, {UID: []string{"u"}}, {PodGroup: []int{1}}} {
 		table := &Table{Rev: 1, Routes: []Route{{Tenant: "a", Base: s, Canary: s, Share: 1, Rollout: "r"}}}
@@ -81,19 +81,19 @@
 			if len(got.Kinds)+len(got.Cells)+len(got.Zones)+len(got.IDs) == 0 {
 				t.Errorf("%+v became all servers", s)
 			}
-			if slices.Contains(append(got.Kinds, got.Zones...), -1) { // of every server whose own name is unknown
+			if slices.Contains(append(got.Kinds, got.Zones...), -1) { // matches each server whose own name is unknown
 				t.Errorf("%+v became %+v", s, got)
 			}
 		}
 	}
 }
 
-func TestBindTellsABoundedAmount(t *testing.T) {
+func TestBind_boundedSkips(t *testing.T) {
 	table := &Table{Rev: 1}
-	for i := range MostRoutes {
+	for i := range MaxEntries {
 		table.Routes = append(table.Routes, Route{Tenant: fmt.Sprint(i)})
 	}
-	if _, skipped := Bind(table, Names{}); len(skipped) != mostSkipped+1 || skipped[mostSkipped] != "and 9900 more" {
+	if _, skipped := Bind(table, Names{}); len(skipped) != maxSkipped+1 || skipped[maxSkipped] != "and 9900 more" {
 		t.Error(len(skipped), skipped[len(skipped)-1])
 	}
 }
@@ -108,6 +108,6 @@
 		seen[id] = fmt.Sprint(pair)
 	}
 	if id := RolloutID("acme", "m5-try"); id != 0x4a03ec50b49e2fa3 {
-		t.Errorf("%#x: processes of another version number it otherwise", id)
+		t.Errorf("%#x: processes of other versions have another number", id)
 	}
 }
--- /dev/null
+++ b/internal/route/checks.go
@@ -0,0 +1,83 @@
+package route
+
+// The checks of this file are shared by the readers of all schemas. Like the parser they are frozen.
+
+import (
+	"fmt"
+	"unicode/utf8"
+)
+
+// Bounds of a document. They belong to each schema: programs in the fleet reject what is beyond, so none of them may be
+// widened without a new schema.
+const (
+	MaxDocumentBytes = 1 << 20
+	MaxEntries       = 10000 // of each list
+	MaxNameBytes     = 200   // of a tenant, rollout, class, model, zone or uid
+	MaxNoteBytes     = 1000
+	maxShownBytes    = 60 // of an invalid value that an error shows
+)
+
+// checkName checks a name, which may be empty.
+func checkName(path, name string) error {
+	if len(name) > MaxNameBytes {
+		return fieldErrorf(path, "%q has %d bytes, more than %d", truncate(name), len(name), MaxNameBytes)
+	}
+	if !utf8.ValidString(name) {
+		return fieldErrorf(path, "%q is not UTF-8", truncate(name))
+	}
+	return nil
+}
+
+func checkNames(path string, names []string) error {
+	if len(names) > MaxEntries {
+		return fieldErrorf(path, "it has more than %d entries", MaxEntries)
+	}
+	for i, name := range names {
+		at := fmt.Sprintf("%s[%d]", path, i)
+		if name == "" {
+			return fieldErrorf(at, "it is empty")
+		}
+		if err := checkName(at, name); err != nil {
+			return err
+		}
+	}
+	return nil
+}
+
+// checkRevs checks the revisions of a table: the closed one is below the other, except in the table before any change.
+func checkRevs(rev, closed int64, routes int) error {
+	switch {
+	case rev < 0:
+		return fieldErrorf("rev", "%d is negative", rev)
+	case closed < 0:
+		return fieldErrorf("closed", "%d is negative", closed)
+	case rev == 0 && closed == 0 && routes == 0:
+		return nil
+	case closed >= rev:
+		return fieldErrorf("closed", "%d is not below rev, %d", closed, rev)
+	case routes > MaxEntries:
+		return fieldErrorf("routes", "it has more than %d entries", MaxEntries)
+	}
+	return nil
+}
+
+// checkSubset checks the four lists of a subset.
+func checkSubset(path string, model, zone, uid []string, groups []int) error {
+	if err := checkNames(path+".model", model); err != nil {
+		return err
+	}
+	if err := checkNames(path+".az", zone); err != nil {
+		return err
+	}
+	if len(groups) > MaxEntries {
+		return fieldErrorf(path+".pod_group", "it has more than %d entries", MaxEntries)
+	}
+	return checkNames(path+".uid", uid)
+}
+
+func checkFraction(path string, fraction float64) error {
+	if !(fraction >= 0 && fraction <= 1) {
+		return fieldErrorf(path, "%v is not between 0 and 1", fraction)
+	}
+	return nil
+}
--- a/internal/route/decisions_test.go
+++ b/internal/route/decisions_test.go
@@ -15,16 +15,16 @@
 	"marblelane/balance"
 )
 
-// The verdicts are about decisions: here balancers are fed with what readers of two schemas make of one table.
+// The verdicts are about decisions: here balancers get what readers of two schemas read of one table.
 
-// pair is two balancers that are told the same; one acts on the older reading of a table, one on the newer.
-type pair struct {
+// balancerPair is two balancers with the same events; one acts on the older reading of a table, one on the newer.
+type balancerPair struct {
 	older, newer *balance.Balancer
 	now          float64
-	rnd          *rand.Rand
-	out          []attempt
+	rng          *rand.Rand
+	inFlight     []attempt
 	timers       map[uint64]float64
-	tries        map[balance.RequestID]int
+	attempts     map[balance.RequestID]int
 	next         balance.RequestID
 	err          error
 }
@@ -36,7 +36,7 @@
 	sent    float64
 }
 
-func newPair(seed int64, tenants int) *pair {
+func newBalancerPair(seed int64, tenants int) *balancerPair {
 	cfg := balance.Config{
 		Seed: uint64(seed), Peers: 3, MaxAttempts: 3, Cancel: true, RetryAfter: true, MaxRetryAfter: 1000, Quantum: 4,
 		AnswerSlack: 16, SlowStartCapacity: 0.2, SlowStartTime: 20000, OverloadMultiple: 2.5, OverloadTime: 1000, DrainGrace: 2000,
@@ -47,7 +47,7 @@
 			{Idempotency: balance.Idempotent, LatencyObjective: 400, Deadline: 2000, PriorityWeight: 3},
 		},
 	}
-	p := &pair{now: 1000, rnd: rand.New(rand.NewSource(seed)), timers: map[uint64]float64{}, tries: map[balance.RequestID]int{}}
+	p := &balancerPair{now: 1000, rng: rand.New(rand.NewSource(seed)), timers: map[uint64]float64{}, attempts: map[balance.RequestID]int{}}
 	for _, b := range []**balance.Balancer{&p.older, &p.newer} {
 		made, err := balance.New(cfg)
 		if err != nil {
@@ -60,8 +60,8 @@
 	return p
 }
 
-// tell reports whether both do the same. The two events differ in routes alone.
-func (p *pair) tell(older, newer balance.Event) bool {
+// handleEach reports whether both do the same. The two events differ in routes only.
+func (p *balancerPair) handleEach(older, newer balance.Event) bool {
 	a, errA := p.older.Handle(p.now, older)
 	b, errB := p.newer.Handle(p.now, newer)
 	if errA != nil || errB != nil {
@@ -74,8 +74,8 @@
 	for _, act := range a {
 		switch act.Kind {
 		case balance.Send:
-			p.out = append(p.out, attempt{act.Request, p.tries[act.Request], act.Server, p.now})
-			p.tries[act.Request]++
+			p.inFlight = append(p.inFlight, attempt{act.Request, p.attempts[act.Request], act.Server, p.now})
+			p.attempts[act.Request]++
 		case balance.SetTimer:
 			p.timers[act.Token] = p.now + act.At
 		}
@@ -83,39 +83,39 @@
 	return true
 }
 
-func (p *pair) both(ev balance.Event) bool { return p.tell(ev, ev) }
+func (p *balancerPair) handle(ev balance.Event) bool { return p.handleEach(ev, ev) }
 
-// begin tells of the servers and the routes, and permits canaries.
-func (p *pair) begin(servers []balance.Server, older, newer balance.Routes) bool {
-	same := p.both(balance.ServerList{Kind: balance.ListFull, Servers: servers}) && p.tell(older, newer) &&
-		p.both(balance.CanaryLease{Until: p.now + 1e9})
+// start gives both the servers and the routes, and a canary lease.
+func (p *balancerPair) start(servers []balance.Server, older, newer balance.Routes) bool {
+	same := p.handle(balance.ServerList{Kind: balance.ListFull, Servers: servers}) && p.handleEach(older, newer) &&
+		p.handle(balance.CanaryLease{Until: p.now + 1e9})
 	for _, r := range append(slices.Clone(older.List), newer.List...) {
-		same = same && (r.ID == 0 || p.both(balance.BudgetGrant{ID: r.ID, Units: 1e6, MaxIdle: 1e6}))
+		same = same && (r.ID == 0 || p.handle(balance.BudgetGrant{ID: r.ID, Units: 1e6, MaxIdle: 1e6}))
 	}
 	return same
 }
 
-func (p *pair) ask(tenant, class int, key uint64) bool {
+func (p *balancerPair) request(tenant, class int, key uint64) bool {
 	p.next++
-	return p.both(balance.Request{ID: p.next, Tenant: tenant, Class: class, Remaining: 400, RouteKey: key})
+	return p.handle(balance.Request{ID: p.next, Tenant: tenant, Class: class, Remaining: 400, RouteKey: key})
 }
 
-// end ends the attempt at an index of those that are out.
-func (p *pair) end(i int, res balance.Result) bool {
-	a := p.out[i]
-	p.out = slices.Delete(p.out, i, i+1)
-	return p.both(balance.Outcome{
+// endAttempt ends the attempt at an index of those in flight.
+func (p *balancerPair) endAttempt(i int, res balance.Result) bool {
+	a := p.inFlight[i]
+	p.inFlight = slices.Delete(p.inFlight, i, i+1)
+	return p.handle(balance.Outcome{
 		Request: a.request, Attempt: a.number, Server: a.server, Result: res, Elapsed: p.now - a.sent, Finished: res == balance.OK,
 	})
 }
 
-// anything is one event of any kind.
-func (p *pair) anything(servers []balance.Server, older, newer balance.Routes) bool {
-	p.now += p.rnd.ExpFloat64() * 5
+// randomEvent is one event of any kind.
+func (p *balancerPair) randomEvent(servers []balance.Server, older, newer balance.Routes) bool {
+	p.now += p.rng.ExpFloat64() * 5
 	for _, token := range slices.Sorted(maps.Keys(p.timers)) {
 		if p.timers[token] <= p.now {
 			delete(p.timers, token)
-			if !p.both(balance.Timer{Token: token}) {
+			if !p.handle(balance.Timer{Token: token}) {
 				return false
 			}
 		}
@@ -123,52 +123,52 @@
 	results := []balance.Result{
 		balance.OK, balance.OK, balance.OK, balance.OK, balance.Failed, balance.Rejected, balance.ConnectFailed, balance.TimedOut,
 	}
-	switch n := p.rnd.Intn(100); {
+	switch n := p.rng.Intn(100); {
 	case n < 50:
-		return p.ask(p.rnd.Intn(4)-1, p.rnd.Intn(3), uint64(p.rnd.Intn(40))) // 0: by the process's own sequence
+		return p.request(p.rng.Intn(4)-1, p.rng.Intn(3), uint64(p.rng.Intn(40))) // 0: by the process's own sequence
 	case n < 92:
-		return len(p.out) == 0 || p.end(p.rnd.Intn(len(p.out)), results[p.rnd.Intn(len(results))])
+		return len(p.inFlight) == 0 || p.endAttempt(p.rng.Intn(len(p.inFlight)), results[p.rng.Intn(len(results))])
 	case n < 95:
-		s := servers[p.rnd.Intn(len(servers))]
-		s.State = balance.ServerState(p.rnd.Intn(2))
-		return p.both(balance.ServerList{Kind: balance.ListDelta, Servers: []balance.Server{s}})
+		s := servers[p.rng.Intn(len(servers))]
+		s.State = balance.ServerState(p.rng.Intn(2))
+		return p.handle(balance.ServerList{Kind: balance.ListDelta, Servers: []balance.Server{s}})
 	case n < 97:
-		return p.both(balance.CanaryLease{Until: p.now + float64(p.rnd.Intn(400))})
+		return p.handle(balance.CanaryLease{Until: p.now + float64(p.rng.Intn(400))})
 	case n < 98:
-		return p.both(balance.ClientGone{Request: p.next})
+		return p.handle(balance.ClientGone{Request: p.next})
 	case n < 99 && len(newer.List) > 0:
-		units, id := int64(p.rnd.Intn(100)), newer.List[p.rnd.Intn(len(newer.List))].ID
-		return id == 0 || p.both(balance.BudgetGrant{ID: id, Units: 1e6 + units, MaxIdle: units})
+		units, id := int64(p.rng.Intn(100)), newer.List[p.rng.Intn(len(newer.List))].ID
+		return id == 0 || p.handle(balance.BudgetGrant{ID: id, Units: 1e6 + units, MaxIdle: units})
 	}
-	return p.tell(older, newer)
+	return p.handleEach(older, newer)
 }
 
-// differOnAnything plays events of all kinds.
-func differOnAnything(seed int64, names Names, servers []balance.Server, older, newer balance.Routes) (bool, error) {
-	p := newPair(seed, len(names.Tenants))
-	same := p.err == nil && p.begin(servers, older, newer)
+// differOnRandomEvents reports whether the two readings differ on events of all kinds.
+func differOnRandomEvents(seed int64, names Names, servers []balance.Server, older, newer balance.Routes) (bool, error) {
+	p := newBalancerPair(seed, len(names.Tenants))
+	same := p.err == nil && p.start(servers, older, newer)
 	for range 400 {
-		same = same && p.anything(servers, older, newer)
+		same = same && p.randomEvent(servers, older, newer)
 	}
 	return !same, p.err
 }
 
-// differFor plays n requests of one tenant and a class, which are all answered, until a balancer does otherwise.
-func differFor(n uint64, tenant, class int, names Names, servers []balance.Server, older, newer balance.Routes) (bool, error) {
-	p := newPair(1, len(names.Tenants))
-	same := p.err == nil && p.begin(servers, older, newer)
+// differOnRequests reports whether the two readings differ on n requests of one tenant and class, which are all answered.
+func differOnRequests(n uint64, tenant, class int, names Names, servers []balance.Server, older, newer balance.Routes) (bool, error) {
+	p := newBalancerPair(1, len(names.Tenants))
+	same := p.err == nil && p.start(servers, older, newer)
 	for key := uint64(1); same && key <= n; key++ {
 		p.now += 10
-		same = p.ask(tenant, class, key)
-		for same && len(p.out) > 0 {
+		same = p.request(tenant, class, key)
+		for same && len(p.inFlight) > 0 {
 			p.now++
-			same = p.end(0, balance.OK)
+			same = p.endAttempt(0, balance.OK)
 		}
 	}
 	return !same, p.err
 }
 
-// allNames are settings that know each name of drawTable's but the class lost; the class other is in no table.
+// allNames are settings with each name of drawTable's but the class lost; the class other is in no table.
 func allNames() Names {
 	n := testNames()
 	n.Tenants["nobody"], n.Zones["mars"], n.Kinds["m9"] = 3, 2, 2
@@ -201,8 +201,8 @@
 	return list
 }
 
-// readings are what a reader of schema 1 and one of schema 2 make of a table, by the way that the verdict names. One
-// that is called otherwise is forced upon the older reader, as if its fields were not to be understood.
+// readings are what readers of schemas 1 and 2 read of a table, written in the schema that the verdict names. A table that
+// the older one reads differently is forced on it, as if its fields need not be understood.
 func readings(t *Table, v Verdict, fields []Field) (older, newer *Table, err error) {
 	text, err := write(t, 2, fields)
 	if err != nil {
@@ -212,47 +212,47 @@
 		return nil, nil, err
 	}
 	switch v {
-	case AlikeWritten:
+	case SameWhenDowngraded:
 		if text, err = write(t, 1, fields); err != nil {
 			return nil, nil, err
 		}
-	case Otherwise:
+	case DifferentReading:
 		text = bytes.Replace(text, []byte(`"reads":2`), []byte(`"reads":1`), 1)
 	}
 	older, err = Read(1, text)
 	return older, newer, err
 }
 
-// verdictHolds plays a table's two readings and reports where the verdict on it is wrong.
-func verdictHolds(t *Table, fields []Field, seed int64) error {
+// checkVerdict compares the decisions by the two readings of a table with the verdict on it.
+func checkVerdict(t *Table, fields []Field, seed int64) error {
 	v, found := compare(t, 1, fields)
 	a, b, err := readings(t, v, fields)
 	if err != nil {
 		return fmt.Errorf("%v: %w", v, err)
 	}
-	if v == Otherwise {
-		return otherwiseHolds(a, b, found)
+	if v == DifferentReading {
+		return checkDifferentReading(a, b, found)
 	}
 	for i, names := range []Names{testNames(), allNames()} {
 		older, _ := Bind(a, names)
 		newer, _ := Bind(b, names)
-		differ, err := differOnAnything(seed, names, serversFor(names, Subset{}), older, newer)
-		for j := 0; err == nil && !differ && j < len(b.Routes); j++ { // what would show that it is read otherwise
+		differ, err := differOnRandomEvents(seed, names, serversFor(names, Subset{}), older, newer)
+		for j := 0; err == nil && !differ && j < len(b.Routes); j++ { // requests that would show a different reading
 			if tenant, known := names.Tenants[b.Routes[j].Tenant]; known {
 				servers := serversFor(allNames(), b.Routes[j].Canary)
-				differ, err = differFor(200, tenant, names.Classes["other"], names, servers, older, newer)
+				differ, err = differOnRequests(200, tenant, names.Classes["other"], names, servers, older, newer)
 			}
 		}
 		if err != nil || differ {
-			return fmt.Errorf("%w: %v, names %d, decisions differ: %v", errWrong, v, i, err)
+			return fmt.Errorf("%w: %v, names %d, decisions differ: %v", errWrongVerdict, v, i, err)
 		}
 	}
 	return nil
 }
 
-var errWrong = errors.New("wrong verdict")
+var errWrongVerdict = errors.New("wrong verdict")
 
-func otherwiseHolds(a, b *Table, found []Finding) error {
+func checkDifferentReading(a, b *Table, found []Finding) error {
 	names := allNames()
 	older, _ := Bind(a, names)
 	newer, _ := Bind(b, names)
@@ -262,33 +262,33 @@
 			return fmt.Errorf("%s: %w", f.Path, err)
 		}
 		r := b.Routes[i]
-		differ, err := differFor(2000, names.Tenants[r.Tenant], names.Classes["other"], names, serversFor(names, r.Canary),
+		differ, err := differOnRequests(2000, names.Tenants[r.Tenant], names.Classes["other"], names, serversFor(names, r.Canary),
 			older, newer)
 		if err != nil || !differ {
-			return fmt.Errorf("%w: %s: called otherwise, decisions are the same: %v", errWrong, f.Path, err)
+			return fmt.Errorf("%w: %s: called a different reading, decisions are the same: %v", errWrongVerdict, f.Path, err)
 		}
 	}
 	return nil
 }
 
-func TestVerdictsAreAboutDecisions(t *testing.T) {
+func TestCompare_decisions(t *testing.T) {
 	seen := map[Verdict]int{}
 	rapid.Check(t, func(t *rapid.T) {
 		table, seed := drawTable(t), rapid.Int64Range(1, 1<<40).Draw(t, "seed")
 		v, _ := Compare(table, 1)
 		seen[v]++
-		if err := verdictHolds(table, Declared(), seed); err != nil {
+		if err := checkVerdict(table, Declared(), seed); err != nil {
 			t.Fatalf("%+v: %v", table.Routes, err)
 		}
 	})
-	if seen[Alike] == 0 || seen[AlikeWritten] == 0 || seen[Otherwise] == 0 || seen[NotRead] > 0 {
+	if seen[SameReading] == 0 || seen[SameWhenDowngraded] == 0 || seen[DifferentReading] == 0 || seen[NoReading] > 0 {
 		t.Errorf("tables by verdict: %v", seen)
 	}
 }
 
-// Planted: a field that is wrongly called ignorable, one that is wrongly said to matter, and one wrongly said to move no
-// decision. Each is caught by what balancers do.
-func TestWrongDeclarationsAreCaught(t *testing.T) {
+// TestCompare_wrongDeclarations plants a field that is wrongly called ignorable, one that is wrongly said to matter, and
+// one that is wrongly said to change no decision. Each is found by the decisions of balancers.
+func TestCompare_wrongDeclarations(t *testing.T) {
 	plant := func(path string, change func(f *Field)) []Field {
 		fields := Declared()
 		change(&fields[slices.IndexFunc(fields, func(f Field) bool { return f.Path == path })])
@@ -300,16 +300,16 @@
 		route  Route
 		fields []Field
 	}{
-		"classes may be ignored":  {canary, plant("routes[].classes", func(f *Field) { f.Rule = Ignorable })},
-		"classes are always idle": {canary, plant("routes[].classes", func(f *Field) { f.idle = func(*Route) bool { return true } })},
-		"a note matters":          {noted, plant("routes[].note", func(f *Field) { f.Rule = MustUnderstand })},
+		"classes may be ignored":    {canary, plant("routes[].classes", func(f *Field) { f.Rule = Ignorable })},
+		"classes are always unused": {canary, plant("routes[].classes", func(f *Field) { f.unused = func(*Route) bool { return true } })},
+		"a note matters":            {noted, plant("routes[].note", func(f *Field) { f.Rule = MustUnderstand })},
 	} {
 		table := &Table{Rev: 2, Routes: []Route{c.route}}
-		if err := verdictHolds(table, Declared(), 1); err != nil {
+		if err := checkVerdict(table, Declared(), 1); err != nil {
 			t.Errorf("as declared: %v", err)
 		}
-		if err := verdictHolds(table, c.fields, 1); !errors.Is(err, errWrong) {
-			t.Errorf("%s: not caught: %v", name, err)
+		if err := checkVerdict(table, c.fields, 1); !errors.Is(err, errWrongVerdict) {
+			t.Errorf("%s: not found: %v", name, err)
 		}
 	}
 }
--- a/internal/route/document_test.go
+++ b/internal/route/document_test.go
@@ -20,7 +20,7 @@
 
 var update = flag.Bool("update", false, "write testdata/readings.golden anew; only for documents that are new")
 
-func golden(t testing.TB, pattern string) map[string][]byte {
+func goldenDocuments(t testing.TB, pattern string) map[string][]byte {
 	t.Helper()
 	paths, err := filepath.Glob(filepath.Join("testdata", pattern))
 	if err != nil || len(paths) == 0 {
@@ -37,16 +37,16 @@
 	return docs
 }
 
-// What every frozen reader makes of every document stands in a file, so that a change of a reader shows.
-func TestFrozenReadersReadAsEver(t *testing.T) {
+// TestRead_frozenReaders compares what each frozen reader reads of each document with a file, so that a change shows.
+func TestRead_frozenReaders(t *testing.T) {
 	var got bytes.Buffer
 	for _, pattern := range []string{"*.json", "refused/*.json"} {
-		docs := golden(t, pattern)
+		docs := goldenDocuments(t, pattern)
 		for _, name := range slices.Sorted(maps.Keys(docs)) {
 			for version := 1; version <= Newest; version++ {
 				table, err := Read(version, docs[name])
-				if refused := strings.HasPrefix(pattern, "refused"); err == nil && refused {
-					t.Errorf("%s: a reader of schema %d takes it: %+v", name, version, table)
+				if invalid := strings.HasPrefix(pattern, "refused"); err == nil && invalid {
+					t.Errorf("%s: a reader of schema %d accepts it: %+v", name, version, table)
 				}
 				if (err == nil) == (table == nil) {
 					t.Errorf("%s: %+v with error %v", name, table, err)
@@ -82,7 +82,7 @@
 	}
 }
 
-// goldenTables are what the documents of these names say; they are written to the byte.
+// goldenTables are the contents of the documents with these names, which are written byte for byte.
 func goldenTables() map[string]*Table {
 	classes := fullRoute()
 	classes.Classes, classes.Note = []string{"gold", "silver"}, "n"
@@ -101,8 +101,8 @@
 	}
 }
 
-func TestGoldenDocumentsAreWrittenToTheByte(t *testing.T) {
-	docs := golden(t, "*.json")
+func TestWrite_goldenDocuments(t *testing.T) {
+	docs := goldenDocuments(t, "*.json")
 	for name, table := range goldenTables() {
 		version := int(name[0] - '0')
 		text, err := Write(table, version)
@@ -116,22 +116,22 @@
 		if err != nil {
 			t.Fatalf("%s: %v", name, err)
 		}
-		if diff := cmp.Diff(sorted(table), read); diff != "" {
+		if diff := cmp.Diff(sortedTable(table), read); diff != "" {
 			t.Errorf("%s: %s", name, diff)
 		}
 	}
 }
 
-func TestNewerSchemas(t *testing.T) {
-	docs := golden(t, "3-*.json")
+func TestRead_newerSchemas(t *testing.T) {
+	docs := goldenDocuments(t, "3-*.json")
 	for name, reads := range map[string]int{"3-reads1": 1, "3-reads2": 2, "3-reads3": 3} {
 		for version := 1; version <= Newest; version++ {
 			table, err := Read(version, docs[name])
-			var not NotReadable
+			var not UnreadableError
 			switch {
 			case reads <= version && (err != nil || len(table.Routes) != 1 || table.Routes[0].Tenant != "a"):
 				t.Errorf("%s: reader %d has %+v, %v", name, version, table, err)
-			case reads > version && (!errors.As(err, &not) || not != NotReadable{Schema: 3, Reads: reads}):
+			case reads > version && (!errors.As(err, &not) || not != UnreadableError{Schema: 3, Reads: reads}):
 				t.Errorf("%s: reader %d says %v", name, version, err)
 			}
 		}
@@ -146,20 +146,20 @@
 	}
 }
 
-// A document at its bounds is taken, one beyond them is not, by readers and by Write.
-func TestBounds(t *testing.T) {
+// TestDocument_bounds: readers and Write accept a document at its bounds, and none beyond them.
+func TestDocument_bounds(t *testing.T) {
 	many := &Table{Rev: 9}
-	for i := range MostRoutes {
+	for i := range MaxEntries {
 		many.Routes = append(many.Routes, Route{Tenant: fmt.Sprintf("t%05d", i)})
 	}
 	text, err := Write(many, Newest)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if table, err := Read(Newest, text); err != nil || len(table.Routes) != MostRoutes {
-		t.Fatalf("%d routes: %v", MostRoutes, err)
+	if table, err := Read(Newest, text); err != nil || len(table.Routes) != MaxEntries {
+		t.Fatalf("%d routes: %v", MaxEntries, err)
 	}
-	padded := append(bytes.Clone(text), bytes.Repeat([]byte{' '}, MostBytes-len(text))...)
+	padded := append(bytes.Clone(text), bytes.Repeat([]byte{' '}, MaxDocumentBytes-len(text))...)
 	if _, err := Read(1, padded); err != nil {
 		t.Errorf("%d bytes: %v", len(padded), err)
 	}
@@ -186,7 +186,7 @@
 			t.Errorf("%v, want %s", c.err, c.want)
 		}
 	}
-	if v, f := Compare(big, 1); v != NotRead || len(f) != 1 {
+	if v, f := Compare(big, 1); v != NoReading || len(f) != 1 {
 		t.Errorf("a table that is too large is %v: %v", v, f)
 	}
 }
@@ -198,7 +198,7 @@
 		for i := range t.NumField() {
 			f := t.Field(i)
 			name, _, _ := strings.Cut(f.Tag.Get("json"), ",")
-			at, inner := join(path, name), f.Type
+			at, inner := joinPath(path, name), f.Type
 			fields[at] = true
 			if inner.Kind() == reflect.Slice && inner.Elem().Kind() == reflect.Struct {
 				at, inner = at+"[]", inner.Elem()
@@ -212,8 +212,8 @@
 	return fields
 }
 
-// undeclared compares a schema's wire form with the declarations.
-func undeclared(doc any, schema int, fields []Field) (faults []string) {
+// declarationFaults compares a schema's wire form with the declarations.
+func declarationFaults(doc any, schema int, fields []Field) (faults []string) {
 	wire, known := wireFields(doc), map[string]bool{}
 	for _, f := range fields {
 		switch {
@@ -236,43 +236,43 @@
 	return faults
 }
 
-func TestEveryFieldIsDeclared(t *testing.T) {
-	for i, doc := range []any{doc1{}, doc2{}} {
-		for _, fault := range undeclared(doc, i+1, Declared()) {
+func TestFields_declared(t *testing.T) {
+	for i, doc := range []any{document1{}, document2{}} {
+		for _, fault := range declarationFaults(doc, i+1, Declared()) {
 			t.Errorf("schema %d: %s", i+1, fault)
 		}
 	}
 	// Planted: a field that is not declared, one that is not there, one that came later.
 	type planted struct {
-		doc2
+		document2
 		Hedge float64 `json:"hedge"`
 	}
 	without := slices.DeleteFunc(Declared(), func(f Field) bool { return f.Path == "routes[].note" })
 	with := append(Declared(), Field{Path: "routes[].hedge", Since: 2})
 	for name, faults := range map[string][]string{
-		"a new field": undeclared(planted{}, 2, Declared()), "a lost declaration": undeclared(doc2{}, 2, without),
-		"a lost field": undeclared(doc2{}, 2, with), "a field in an older schema": undeclared(doc2{}, 1, Declared()),
+		"a new field": declarationFaults(planted{}, 2, Declared()), "a lost declaration": declarationFaults(document2{}, 2, without),
+		"a lost field": declarationFaults(document2{}, 2, with), "a field in an older schema": declarationFaults(document2{}, 1, Declared()),
 	} {
 		if len(faults) == 0 {
-			t.Errorf("%s goes unseen", name)
+			t.Errorf("%s is not found", name)
 		}
 	}
 }
 
-func TestWritingDown(t *testing.T) {
+func TestWrite_olderSchema(t *testing.T) {
 	lossy := &Table{Rev: 2, Routes: []Route{
 		{Tenant: "b", Rollout: "r", Share: 0.5, Classes: []string{"gold", "silver"}}, {Tenant: "a", Note: "n"},
 	}}
 	_, err := Write(lossy, 1)
-	var not NotWritable
-	want := NotWritable{Version: 1, Fields: []Finding{{
+	var not UnwritableError
+	want := UnwritableError{Version: 1, Fields: []Finding{{
 		Path: "routes[1].classes", Field: "classes",
 		Effect: `tenant "b": a reader of schema 1 sends requests of all classes to the canary, not those of gold, silver alone`,
 	}}}
 	if !errors.As(err, &not) || !cmp.Equal(not, want) {
 		t.Errorf("%v", err)
 	}
-	docs := golden(t, "2-*.json")
+	docs := goldenDocuments(t, "2-*.json")
 	for name, want := range map[string]string{"2-note": "reads\":1", "2-plain": "reads\":1", "2-idle": "reads\":2"} {
 		table, err := Read(2, docs[name])
 		if err != nil || !strings.Contains(string(docs[name]), want) {
@@ -295,8 +295,8 @@
 	}
 }
 
-// Whatever can be written is read back, and written again to the same bytes from any order of routes.
-func TestWritingAndReadingAreInverse(t *testing.T) {
+// TestDocument_roundTrip: what is written is read back, and written again to the same bytes from any order of routes.
+func TestDocument_roundTrip(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		table := drawTable(t)
 		text, err := Write(table, Newest)
@@ -307,7 +307,7 @@
 		if err != nil {
 			t.Fatalf("%s: %v", text, err)
 		}
-		if diff := cmp.Diff(sorted(table), back); diff != "" {
+		if diff := cmp.Diff(sortedTable(table), back); diff != "" {
 			t.Fatal(diff)
 		}
 		mixed := *table
@@ -318,10 +318,10 @@
 	})
 }
 
-// Any bytes: an error, or a whole table that can be written and is then read as the same.
+// FuzzRead: any bytes give an error, or a table that can be written and is then read as the same.
 func FuzzRead(f *testing.F) {
 	for _, pattern := range []string{"*.json", "refused/*.json"} {
-		for _, text := range golden(f, pattern) {
+		for _, text := range goldenDocuments(f, pattern) {
 			f.Add(text)
 		}
 	}
--- a/internal/route/fields.go
+++ b/internal/route/fields.go
@@ -1,9 +1,8 @@
 package route
 
+// This file declares the fields of all schemas, and finds those that a reader of an older schema would miss.
+
 import (
-	"bytes"
-	"cmp"
-	"encoding/json"
 	"errors"
 	"fmt"
 	"reflect"
@@ -11,33 +10,30 @@
 	"strings"
 )
 
-// Newest is the newest schema that this program reads and writes.
-const Newest = 2
-
-// Rule says what becomes of a field at a reader that does not know it.
+// Rule says what it means for a reader not to know a field.
 type Rule int
 
 // The two rules.
 const (
-	MustUnderstand Rule = iota // who passes it over acts otherwise
-	Ignorable                  // it moves no decision
+	MustUnderstand Rule = iota // a reader that skips the field acts differently
+	Ignorable                  // the field changes no decision
 )
 
-// Field declares one field of the wire form. A field never leaves a newer schema, and never changes its meaning: a new
-// meaning gets a new name.
+// Field declares one field of the wire form. A field stays in all newer schemas, with the same meaning: a new meaning
+// gets a new name.
 type Field struct {
 	Path  string // such as routes[].share
-	Since int    // schema that brought it
+	Since int    // the first schema that has it
 	Rule  Rule
 
-	effect func(r *Route) string // on r, of not knowing it, as what such a reader does
-	idle   func(r *Route) bool   // though set it moves no decision of r; nil: it always may
+	effectOfLoss func(r *Route) string // what a reader that does not know the field does with r; nil: no words
+	unused       func(r *Route) bool   // the field is set but changes no decision of r; nil: it always may
 }
 
-// Declared are all fields of the newest schema. Those of an older one are its part up to that Since.
+// Declared are all fields of the newest schema. Those of an older schema are the ones with Since up to it.
 func Declared() []Field {
 	list := []Field{
-		{Path: "routes[].classes", Since: 2, Rule: MustUnderstand, idle: noCanary, effect: allClasses},
+		{Path: "routes[].classes", Since: 2, Rule: MustUnderstand, unused: hasNoCanary, effectOfLoss: classesLost},
 		{Path: "routes[].note", Since: 2, Rule: Ignorable},
 	}
 	for _, path := range []string{
@@ -54,140 +50,30 @@
 	return list
 }
 
-func noCanary(r *Route) bool { return r.Rollout == "" || r.Share == 0 }
+func hasNoCanary(r *Route) bool { return r.Rollout == "" || r.Share == 0 }
 
-func allClasses(r *Route) string {
+func classesLost(r *Route) string {
 	return "sends requests of all classes to the canary, not those of " + strings.Join(r.Classes, ", ") + " alone"
 }
 
-// NotReadable says that a document is for readers of a newer schema alone.
-type NotReadable struct {
-	Schema int // that it was written in
-	Reads  int // the oldest schema whose readers read it alike
-}
-
-func (e NotReadable) Error() string {
-	return fmt.Sprintf("document: it is of schema %d and needs a reader of schema %d or newer", e.Schema, e.Reads)
-}
-
-// NotWritable says that a table means what a schema cannot tell.
-type NotWritable struct {
-	Version int
-	Fields  []Finding
-}
-
-func (e NotWritable) Error() string {
-	var list []string
-	for _, f := range e.Fields {
-		list = append(list, f.Path+": "+f.Effect)
-	}
-	return fmt.Sprintf("schema %d cannot tell what the table means: %s", e.Version, strings.Join(list, "; "))
-}
-
-// Read reads a document as a reader of a schema does. It takes documents of its own schema and of older ones, and newer
-// ones that name it as reading them alike: then fields that it does not know are passed over. Anything else is an
-// error, a NotReadable or a FieldError; never is a part of a document taken.
-func Read(version int, text []byte) (*Table, error) {
-	if version < 1 || version > Newest {
-		return nil, fmt.Errorf("there is no reader of schema %d, only of 1 to %d", version, Newest)
-	}
-	var head struct {
-		Schema int `json:"schema"`
-		Reads  int `json:"reads"`
-	}
-	if err := parse(text, &head, true); err != nil {
-		return nil, err
-	}
-	switch {
-	case head.Schema < 1:
-		return nil, bad("schema", "%d is below 1", head.Schema)
-	case head.Reads < 1 || head.Reads > head.Schema:
-		return nil, bad("reads", "%d is not between 1 and schema, %d", head.Reads, head.Schema)
-	case head.Schema > version && head.Reads > version:
-		return nil, NotReadable{Schema: head.Schema, Reads: head.Reads}
-	}
-	newer := head.Schema > version
-	if min(head.Schema, version) == 1 {
-		return read1(text, newer)
-	}
-	return read2(text, newer)
-}
-
-// Write writes a table in a schema, sorted by tenant: of tables that mean the same it writes the same bytes. It gives a
-// NotWritable where the schema cannot tell what the table means, and a FieldError where the table itself cannot be.
-func Write(t *Table, version int) ([]byte, error) { return write(t, version, Declared()) }
-
-func write(t *Table, version int, fields []Field) ([]byte, error) {
-	if version < 1 || version > Newest {
-		return nil, fmt.Errorf("schema %d cannot be written, only 1 to %d", version, Newest)
-	}
-	t = sorted(t)
-	whole := form2(t)
-	if err := whole.check(); err != nil {
-		return nil, err
-	}
-	if lost, _ := losses(t, whole, version, fields); len(lost) > 0 {
-		return nil, NotWritable{Version: version, Fields: lost}
-	}
-	var doc any = whole
-	if version == 1 {
-		d := form1(t)
-		d.Reads, doc = oldest(d, fields), d
-	} else {
-		whole.Reads = oldest(whole, fields)
-	}
-	var text bytes.Buffer
-	enc := json.NewEncoder(&text)
-	enc.SetEscapeHTML(false)
-	if err := enc.Encode(doc); err != nil {
-		return nil, fmt.Errorf("writing schema %d: %w", version, err)
-	}
-	if text.Truncate(text.Len() - 1); text.Len() > MostBytes { // without the end of line
-		return nil, bad("", "it has %d bytes, more than %d", text.Len(), MostBytes)
-	}
-	return text.Bytes(), nil
-}
-
-func sorted(t *Table) *Table {
-	out := &Table{Rev: t.Rev, Closed: t.Closed, Routes: slices.Clone(t.Routes)}
-	slices.SortStableFunc(out.Routes, func(a, b Route) int { return cmp.Compare(a.Tenant, b.Tenant) })
-	for i := range out.Routes {
-		if out.Routes[i].Share == 0 {
-			out.Routes[i].Share = 0 // of -0
-		}
-	}
-	return out
-}
-
-// oldest is the oldest schema whose readers read a document alike.
-func oldest(doc any, fields []Field) int {
-	reads := 1
-	for _, u := range used(doc) {
-		if f := declared(fields, u.field); f.Rule == MustUnderstand {
-			reads = max(reads, f.Since)
-		}
-	}
-	return reads
-}
-
-// declared finds a field's declaration. One that has none is as new as can be, and must be understood.
-func declared(fields []Field, path string) *Field {
+// declarationOf finds the declaration of a field. An undeclared one counts as new, and as MustUnderstand.
+func declarationOf(fields []Field, path string) *Field {
 	if i := slices.IndexFunc(fields, func(f Field) bool { return f.Path == path }); i >= 0 {
 		return &fields[i]
 	}
 	return &Field{Path: path, Since: Newest, Rule: MustUnderstand}
 }
 
-// use is a field that a document has set.
-type use struct {
-	field string // as declared
-	path  string // in the document
-	route int    // index; -1: outside routes
+// fieldUse is a field that a document sets.
+type fieldUse struct {
+	declaredPath string // as Field.Path has it
+	path         string // in the document
+	route        int    // index in routes; outsideRoutes
 }
 
-// used lists the fields that a document has set.
-func used(doc any) []use {
-	var list []use
+// usedFields lists the fields that a document sets.
+func usedFields(doc any) []fieldUse {
+	var list []fieldUse
 	var walk func(v reflect.Value, field, path string, route int)
 	walk = func(v reflect.Value, field, path string, route int) {
 		for i := range v.NumField() {
@@ -196,59 +82,62 @@
 			if f.IsZero() || f.Kind() == reflect.Slice && f.Len() == 0 {
 				continue
 			}
-			u := use{join(field, name), join(path, name), route}
+			u := fieldUse{joinPath(field, name), joinPath(path, name), route}
 			list = append(list, u)
 			if f.Kind() == reflect.Struct {
-				walk(f, u.field, u.path, route)
+				walk(f, u.declaredPath, u.path, route)
 			}
 			if f.Kind() == reflect.Slice && f.Type().Elem().Kind() == reflect.Struct {
 				for j := range f.Len() {
-					walk(f.Index(j), u.field+"[]", fmt.Sprintf("%s[%d]", u.path, j), j)
+					walk(f.Index(j), u.declaredPath+"[]", fmt.Sprintf("%s[%d]", u.path, j), j)
 				}
 			}
 		}
 	}
-	walk(reflect.ValueOf(doc).Elem(), "", "", -1)
+	walk(reflect.ValueOf(doc).Elem(), "", "", outsideRoutes)
 	return list
 }
 
-// losses are the fields of a document that a reader of an older schema passes over and acts otherwise for, and how many
-// more there are that it would have to understand, but that move no decision as the routes are.
-func losses(t *Table, doc *doc2, older int, fields []Field) (lost []Finding, idle int) {
-	for _, u := range used(doc) {
-		f := declared(fields, u.field)
+// lostFields are the fields of a document that a reader of an older schema skips and acts differently for, and the number
+// of further ones that it would have to understand but that change no decision with these routes.
+func lostFields(t *Table, doc *document2, older int, fields []Field) (lost []Finding, unused int) {
+	for _, u := range usedFields(doc) {
+		f := declarationOf(fields, u.declaredPath)
 		if f.Since <= older || f.Rule == Ignorable {
 			continue
 		}
-		if u.route >= 0 && f.idle != nil && f.idle(&t.Routes[u.route]) {
-			idle++
+		if u.route >= 0 && f.unused != nil && f.unused(&t.Routes[u.route]) {
+			unused++
 			continue
 		}
-		lost = append(lost, finding(t, u, f, older))
+		lost = append(lost, lossFinding(t, u, f, older))
 	}
-	return lost, idle
+	return lost, unused
 }
 
-func finding(t *Table, u use, f *Field, older int) Finding {
-	does, whose := "passes this field over", ""
+func lossFinding(t *Table, u fieldUse, f *Field, older int) Finding {
+	effect, whose := "passes this field over", ""
 	if u.route >= 0 {
 		r := &t.Routes[u.route]
 		whose = fmt.Sprintf("tenant %q: ", r.Tenant)
-		if f.effect != nil {
-			does = f.effect(r)
+		if f.effectOfLoss != nil {
+			effect = f.effectOfLoss(r)
 		}
 	}
 	return Finding{
 		Path: u.path, Field: f.Path[strings.LastIndex(f.Path, ".")+1:],
-		Effect: fmt.Sprintf("%sa reader of schema %d %s", whose, older, does),
+		Effect: fmt.Sprintf("%sa reader of schema %d %s", whose, older, effect),
 	}
 }
 
-// asFinding tells of an error as a verdict does.
-func asFinding(err error) Finding {
+// errorFinding is an error as a finding.
+func errorFinding(err error) Finding {
 	var fe FieldError
 	if errors.As(err, &fe) {
 		return Finding{Path: fe.Path, Field: fe.Path[strings.LastIndex(fe.Path, ".")+1:], Effect: fe.Error()}
 	}
 	return Finding{Path: "schema", Field: "schema", Effect: err.Error()}
 }
+
+// outsideRoutes is the index of a field that belongs to no route.
+const outsideRoutes = -1
--- /dev/null
+++ b/internal/route/parser.go
@@ -0,0 +1,193 @@
+package route
+
+// This file parses documents, for all schemas.
+
+import (
+	"bytes"
+	"encoding/json"
+	"fmt"
+	"reflect"
+	"strconv"
+	"strings"
+	"unicode/utf8"
+)
+
+// parser reads a document into the structs of a schema. It is stricter than encoding/json, which accepts names in any
+// case, the last of two equal names, and null for any value: two programs could read such a document differently. All
+// frozen readers use it, so what it accepts may not change either; the golden documents hold it to that.
+type parser struct {
+	dec         *json.Decoder
+	skipUnknown bool // the document is of a newer schema: unknown fields are skipped
+	layouts     map[reflect.Type]structLayout
+}
+
+// structLayout has the fields of a struct by their names on the wire. Those without omitempty or omitzero are required.
+type structLayout struct {
+	index    map[string]int
+	required []string
+}
+
+// parseDocument reads text into the struct that into points to. newer says that unknown fields are skipped.
+func parseDocument(text []byte, into any, newer bool) error {
+	switch {
+	case len(text) == 0:
+		return fieldErrorf("", "it has 0 bytes")
+	case len(text) > MaxDocumentBytes:
+		return fieldErrorf("", "it has %d bytes, more than %d", len(text), MaxDocumentBytes)
+	case !utf8.Valid(text):
+		return fieldErrorf("", "it is not UTF-8")
+	}
+	var document json.RawMessage // finds text after the document, and nesting that is too deep
+	if err := json.Unmarshal(text, &document); err != nil {
+		return FieldError{"", fmt.Sprintf("it is not JSON: %v", err)}
+	}
+	p := &parser{dec: json.NewDecoder(bytes.NewReader(text)), skipUnknown: newer, layouts: map[reflect.Type]structLayout{}}
+	p.dec.UseNumber()
+	return p.value("", reflect.ValueOf(into).Elem())
+}
+
+func (p *parser) value(path string, v reflect.Value) error {
+	tok, err := p.dec.Token()
+	if err != nil {
+		return fieldErrorf(path, "%v", err)
+	}
+	switch v.Kind() {
+	case reflect.Struct:
+		if tok == json.Delim('{') {
+			return p.object(path, v)
+		}
+		return fieldErrorf(path, "%s is not an object", describe(tok))
+	case reflect.Slice:
+		if tok == json.Delim('[') {
+			return p.list(path, v)
+		}
+		return fieldErrorf(path, "%s is not a list", describe(tok))
+	case reflect.String:
+		if s, ok := tok.(string); ok {
+			v.SetString(s)
+			return nil
+		}
+		return fieldErrorf(path, "%s is not a string", describe(tok))
+	case reflect.Bool:
+		if b, ok := tok.(bool); ok {
+			v.SetBool(b)
+			return nil
+		}
+		return fieldErrorf(path, "%s is neither true nor false", describe(tok))
+	}
+	return parseNumber(path, tok, v)
+}
+
+func parseNumber(path string, tok json.Token, v reflect.Value) error {
+	n, ok := tok.(json.Number)
+	if !ok {
+		return fieldErrorf(path, "%s is not a number", describe(tok))
+	}
+	if v.Kind() == reflect.Float64 {
+		f, err := strconv.ParseFloat(n.String(), 64)
+		if err != nil {
+			return fieldErrorf(path, "%s is out of range", describe(tok))
+		}
+		v.SetFloat(f + 0) // makes 0 of -0
+		return nil
+	}
+	i, err := strconv.ParseInt(n.String(), 10, 64)
+	if err != nil || v.OverflowInt(i) {
+		return fieldErrorf(path, "%s is not a whole number of 64 bits", describe(tok))
+	}
+	v.SetInt(i)
+	return nil
+}
+
+func (p *parser) object(path string, v reflect.Value) error {
+	l := p.layoutOf(v.Type())
+	seen := map[string]bool{}
+	for p.dec.More() {
+		tok, err := p.dec.Token()
+		if err != nil {
+			return fieldErrorf(path, "%v", err)
+		}
+		name, _ := tok.(string)
+		at := joinPath(path, name)
+		if seen[name] {
+			return fieldErrorf(at, "it is there twice")
+		}
+		seen[name] = true
+		i, known := l.index[name]
+		switch {
+		case known:
+			err = p.value(at, v.Field(i))
+		case p.skipUnknown:
+			var skipped json.RawMessage
+			err = p.dec.Decode(&skipped)
+		default:
+			err = fieldErrorf(at, "there is no such field in this schema")
+		}
+		if err != nil {
+			return err
+		}
+	}
+	for _, name := range l.required {
+		if !seen[name] {
+			return fieldErrorf(joinPath(path, name), "it is missing")
+		}
+	}
+	_, err := p.dec.Token()
+	return err
+}
+
+func (p *parser) list(path string, v reflect.Value) error {
+	for i := 0; p.dec.More(); i++ {
+		if i == MaxEntries {
+			return fieldErrorf(path, "it has more than %d entries", MaxEntries)
+		}
+		v.Grow(1)
+		v.SetLen(i + 1)
+		if err := p.value(fmt.Sprintf("%s[%d]", path, i), v.Index(i)); err != nil {
+			return err
+		}
+	}
+	_, err := p.dec.Token()
+	return err
+}
+
+func (p *parser) layoutOf(t reflect.Type) structLayout {
+	if l, ok := p.layouts[t]; ok {
+		return l
+	}
+	l := structLayout{index: map[string]int{}}
+	for i := range t.NumField() {
+		name, options, _ := strings.Cut(t.Field(i).Tag.Get("json"), ",")
+		l.index[name] = i
+		if options == "" {
+			l.required = append(l.required, name)
+		}
+	}
+	p.layouts[t] = l
+	return l
+}
+
+func joinPath(path, name string) string {
+	if name = truncate(name); strings.ContainsFunc(name, func(c rune) bool { return c != '_' && (c < 'a' || c > 'z') }) {
+		name = strconv.Quote(name)
+	}
+	if path == "" {
+		return name
+	}
+	return path + "." + name
+}
+
+func describe(tok json.Token) string {
+	switch v := tok.(type) {
+	case nil:
+		return "null"
+	case json.Delim:
+		if v == '{' {
+			return "an object"
+		}
+		return "a list"
+	case string:
+		return strconv.Quote(truncate(v))
+	}
+	return truncate(fmt.Sprint(tok))
+}
--- a/internal/route/protocol_test.go
+++ b/internal/route/protocol_test.go
@@ -31,9 +31,9 @@
 	}
 }
 
-// TestProtocolWireForm holds the JSON of each message to testdata/protocol.golden, one a line. The file is what earlier
+// TestProtocol_wireForm holds the JSON of each message to testdata/protocol.golden, one a line. The file is what earlier
 // builds have sent; it is never written anew.
-func TestProtocolWireForm(t *testing.T) {
+func TestProtocol_wireForm(t *testing.T) {
 	text, err := os.ReadFile("testdata/protocol.golden")
 	if err != nil {
 		t.Fatal(err)
@@ -50,3 +50,11 @@
 		t.Error(diff)
 	}
 }
+
+// TestFinding_wireForm holds the JSON of a finding, whose keys are the names of its fields, as rejections have it.
+func TestFinding_wireForm(t *testing.T) {
+	text, err := json.Marshal(Finding{Path: "routes[0].classes", Field: "classes", Effect: "an effect"})
+	if want := `{"Path":"routes[0].classes","Field":"classes","Effect":"an effect"}`; err != nil || string(text) != want {
+		t.Errorf("%s, %v, want %s", text, err, want)
+	}
+}
--- a/internal/route/schema1.go
+++ b/internal/route/schema1.go
@@ -1,8 +1,8 @@
 package route
 
-// This file is schema 1 as programs in the fleet read it. It must never change: such a program cannot be told of a
-// change, and what is checked against this reader before it is committed must be what that program makes of it. What
-// is new goes to a newer schema, with structs of its own.
+// This file is schema 1 as programs in the fleet read it. It must never change: those programs stay as they are, and a
+// table is checked against this reader before it is committed, so that it reads what they read. New fields belong to a
+// newer schema, with structs of its own.
 
 import (
 	"cmp"
@@ -10,7 +10,7 @@
 	"slices"
 )
 
-type doc1 struct {
+type document1 struct {
 	Schema int      `json:"schema"`
 	Reads  int      `json:"reads"`
 	Rev    int64    `json:"rev"`
@@ -36,10 +36,10 @@
 	UID      []string `json:"uid,omitempty"`
 }
 
-// read1 reads a document of schema 1, or a newer one that tells that readers of schema 1 read it alike.
+// read1 reads a document of schema 1, or a newer one that says that readers of schema 1 read it the same.
 func read1(text []byte, newer bool) (*Table, error) {
-	var d doc1
-	if err := parse(text, &d, newer); err != nil {
+	var d document1
+	if err := parseDocument(text, &d, newer); err != nil {
 		return nil, err
 	}
 	if err := d.check(); err != nil {
@@ -57,7 +57,7 @@
 	return t, nil
 }
 
-func (d *doc1) check() error {
+func (d *document1) check() error {
 	if err := checkRevs(d.Rev, d.Closed, len(d.Routes)); err != nil {
 		return err
 	}
@@ -65,7 +65,7 @@
 	for i := range d.Routes {
 		path, r := fmt.Sprintf("routes[%d]", i), &d.Routes[i]
 		if first, twice := seen[r.Tenant]; twice {
-			return bad(path+".tenant", "%q has a route already, routes[%d]", cut(r.Tenant), first)
+			return fieldErrorf(path+".tenant", "%q has a route already, routes[%d]", truncate(r.Tenant), first)
 		}
 		seen[r.Tenant] = i
 		if err := r.check(path); err != nil {
@@ -85,11 +85,11 @@
 	if err := r.Canary.check(path + ".canary"); err != nil {
 		return err
 	}
-	if err := checkShare(path+".share", r.Share); err != nil {
+	if err := checkFraction(path+".share", r.Share); err != nil {
 		return err
 	}
 	if r.Step < 0 {
-		return bad(path+".step", "%d is negative", r.Step)
+		return fieldErrorf(path+".step", "%d is negative", r.Step)
 	}
 	return checkName(path+".rollout", r.Rollout)
 }
@@ -99,30 +99,30 @@
 }
 
 func (s *subset1) subset() Subset {
-	return Subset{Model: listed(s.Model), PodGroup: listed(s.PodGroup), Zone: listed(s.Zone), UID: listed(s.UID)}
+	return Subset{Model: nilIfEmpty(s.Model), PodGroup: nilIfEmpty(s.PodGroup), Zone: nilIfEmpty(s.Zone), UID: nilIfEmpty(s.UID)}
 }
 
-// listed gives a list its one form: without entries there is none.
-func listed[T any](list []T) []T {
+// nilIfEmpty makes an empty list nil, so that equal lists are deeply equal.
+func nilIfEmpty[T any](list []T) []T {
 	if len(list) == 0 {
 		return nil
 	}
 	return list
 }
 
-// form1 is the document of a table whose routes are sorted; what schema 1 lacks is left out.
-func form1(t *Table) *doc1 {
-	d := &doc1{Schema: 1, Rev: t.Rev, Closed: t.Closed, Routes: make([]route1, 0, len(t.Routes))}
+// newDocument1 is the document of a table whose routes are sorted; what schema 1 lacks is left out.
+func newDocument1(t *Table) *document1 {
+	d := &document1{Schema: 1, Rev: t.Rev, Closed: t.Closed, Routes: make([]route1, 0, len(t.Routes))}
 	for i := range t.Routes {
 		r := &t.Routes[i]
 		d.Routes = append(d.Routes, route1{
-			Tenant: r.Tenant, Base: formSubset1(&r.Base), Canary: formSubset1(&r.Canary), Share: r.Share,
+			Tenant: r.Tenant, Base: newSubset1(&r.Base), Canary: newSubset1(&r.Canary), Share: r.Share,
 			Rollout: r.Rollout, Step: r.Step, Budget: r.Budget, Late: r.Late,
 		})
 	}
 	return d
 }
 
-func formSubset1(s *Subset) subset1 {
-	return subset1{Model: listed(s.Model), PodGroup: listed(s.PodGroup), Zone: listed(s.Zone), UID: listed(s.UID)}
+func newSubset1(s *Subset) subset1 {
+	return subset1{Model: nilIfEmpty(s.Model), PodGroup: nilIfEmpty(s.PodGroup), Zone: nilIfEmpty(s.Zone), UID: nilIfEmpty(s.UID)}
 }
--- a/internal/route/schema2.go
+++ b/internal/route/schema2.go
@@ -1,8 +1,8 @@
 package route
 
 // This file is schema 2, which adds a route's classes and its note. Once a program that reads it is in the fleet it
-// must never change, as schema 1: what is new goes to a newer schema, with structs of its own. It shares none with
-// schema 1, so that nobody changes both at once.
+// must never change, like schema 1: new fields belong to a newer schema, with structs of its own. It shares no struct with
+// schema 1, so that no change can reach both.
 
 import (
 	"cmp"
@@ -11,7 +11,7 @@
 	"unicode/utf8"
 )
 
-type doc2 struct {
+type document2 struct {
 	Schema int      `json:"schema"`
 	Reads  int      `json:"reads"`
 	Rev    int64    `json:"rev"`
@@ -40,10 +40,10 @@
 	UID      []string `json:"uid,omitempty"`
 }
 
-// read2 reads a document of schema 2, or a newer one that tells that readers of schema 2 read it alike.
+// read2 reads a document of schema 2, or a newer one that says that readers of schema 2 read it the same.
 func read2(text []byte, newer bool) (*Table, error) {
-	var d doc2
-	if err := parse(text, &d, newer); err != nil {
+	var d document2
+	if err := parseDocument(text, &d, newer); err != nil {
 		return nil, err
 	}
 	if err := d.check(); err != nil {
@@ -55,14 +55,14 @@
 		t.Routes = append(t.Routes, Route{
 			Tenant: r.Tenant, Base: r.Base.subset(), Canary: r.Canary.subset(), Share: r.Share,
 			Rollout: r.Rollout, Step: r.Step, Budget: r.Budget, Late: r.Late,
-			Classes: listed(r.Classes), Note: r.Note,
+			Classes: nilIfEmpty(r.Classes), Note: r.Note,
 		})
 	}
 	slices.SortFunc(t.Routes, func(a, b Route) int { return cmp.Compare(a.Tenant, b.Tenant) })
 	return t, nil
 }
 
-func (d *doc2) check() error {
+func (d *document2) check() error {
 	if err := checkRevs(d.Rev, d.Closed, len(d.Routes)); err != nil {
 		return err
 	}
@@ -70,7 +70,7 @@
 	for i := range d.Routes {
 		path, r := fmt.Sprintf("routes[%d]", i), &d.Routes[i]
 		if first, twice := seen[r.Tenant]; twice {
-			return bad(path+".tenant", "%q has a route already, routes[%d]", cut(r.Tenant), first)
+			return fieldErrorf(path+".tenant", "%q has a route already, routes[%d]", truncate(r.Tenant), first)
 		}
 		seen[r.Tenant] = i
 		if err := r.check(path); err != nil {
@@ -90,11 +90,11 @@
 	if err := r.Canary.check(path + ".canary"); err != nil {
 		return err
 	}
-	if err := checkShare(path+".share", r.Share); err != nil {
+	if err := checkFraction(path+".share", r.Share); err != nil {
 		return err
 	}
 	if r.Step < 0 {
-		return bad(path+".step", "%d is negative", r.Step)
+		return fieldErrorf(path+".step", "%d is negative", r.Step)
 	}
 	if err := checkName(path+".rollout", r.Rollout); err != nil {
 		return err
@@ -102,8 +102,8 @@
 	if err := checkNames(path+".classes", r.Classes); err != nil {
 		return err
 	}
-	if len(r.Note) > MostNote || !utf8.ValidString(r.Note) {
-		return bad(path+".note", "%q has %d bytes, more than %d, or is not UTF-8", cut(r.Note), len(r.Note), MostNote)
+	if len(r.Note) > MaxNoteBytes || !utf8.ValidString(r.Note) {
+		return fieldErrorf(path+".note", "%q has %d bytes, more than %d, or is not UTF-8", truncate(r.Note), len(r.Note), MaxNoteBytes)
 	}
 	return nil
 }
@@ -113,23 +113,23 @@
 }
 
 func (s *subset2) subset() Subset {
-	return Subset{Model: listed(s.Model), PodGroup: listed(s.PodGroup), Zone: listed(s.Zone), UID: listed(s.UID)}
+	return Subset{Model: nilIfEmpty(s.Model), PodGroup: nilIfEmpty(s.PodGroup), Zone: nilIfEmpty(s.Zone), UID: nilIfEmpty(s.UID)}
 }
 
-// form2 is the document of a table whose routes are sorted.
-func form2(t *Table) *doc2 {
-	d := &doc2{Schema: 2, Rev: t.Rev, Closed: t.Closed, Routes: make([]route2, 0, len(t.Routes))}
+// newDocument2 is the document of a table whose routes are sorted.
+func newDocument2(t *Table) *document2 {
+	d := &document2{Schema: 2, Rev: t.Rev, Closed: t.Closed, Routes: make([]route2, 0, len(t.Routes))}
 	for i := range t.Routes {
 		r := &t.Routes[i]
 		d.Routes = append(d.Routes, route2{
-			Tenant: r.Tenant, Base: formSubset2(&r.Base), Canary: formSubset2(&r.Canary), Share: r.Share,
+			Tenant: r.Tenant, Base: newSubset2(&r.Base), Canary: newSubset2(&r.Canary), Share: r.Share,
 			Rollout: r.Rollout, Step: r.Step, Budget: r.Budget, Late: r.Late,
-			Classes: listed(r.Classes), Note: r.Note,
+			Classes: nilIfEmpty(r.Classes), Note: r.Note,
 		})
 	}
 	return d
 }
 
-func formSubset2(s *Subset) subset2 {
-	return subset2{Model: listed(s.Model), PodGroup: listed(s.PodGroup), Zone: listed(s.Zone), UID: listed(s.UID)}
+func newSubset2(s *Subset) subset2 {
+	return subset2{Model: nilIfEmpty(s.Model), PodGroup: nilIfEmpty(s.PodGroup), Zone: nilIfEmpty(s.Zone), UID: nilIfEmpty(s.UID)}
 }
