--- a/internal/audit/answers_test.go
+++ b/internal/audit/answers_test.go
@@ -254,87 +254,111 @@
 	}
 }
 
-// TestAnswers_plantedMistakes plants mistakes that a tracker could make: each gives wrong answers in the worlds in which
-// the tracker gives none.
-func TestAnswers_plantedMistakes(t *testing.T) {
-	widened := func(w *fleetWorld, q Query) []Answer {
-		q.From--
-		out := trackerAnswers(w, q)
-		for i := range out {
-			if out[i].Verdict == DidNot {
-				out[i].Verdict = Unknown
-			}
+// The mistakes below are ones that a tracker, or a process, could make.
+
+// sampleAtArrival takes the arrival of a report for the time of its sample.
+func sampleAtArrival(w *fleetWorld) {
+	w.onArrival = func(w *fleetWorld, r *route.Report) *route.Report {
+		late := *r
+		late.Echo = route.Moment{Leader: w.leader, MS: w.clock(w.now)}
+		return &late
+	}
+}
+
+// countsAsIncrements has reports carry what came on top of the one before, and the leader add that up.
+func countsAsIncrements(w *fleetWorld) {
+	sideKey := func(rev int64, i int) int64 { return rev*2 + int64(i%2) }
+	w.onSend = func(p *trueProcess, r *route.Report) {
+		for i := range r.Counts {
+			c, key := &r.Counts[i], sideKey(r.Counts[i].Rev, i)
+			total := c.Started
+			c.Started -= p.sent[key]
+			p.sent[key] = total
+		}
+	}
+	sums := map[route.Process]map[int64]int64{}
+	w.onArrival = func(w *fleetWorld, r *route.Report) *route.Report {
+		if sums[r.Process] == nil {
+			sums[r.Process] = map[int64]int64{}
+		}
+		total := *r
+		total.Counts = nil
+		for i, c := range r.Counts {
+			key := sideKey(c.Rev, i)
+			sums[r.Process][key] += max(c.Started, 0)
+			c.Started = sums[r.Process][key]
+			total.Counts = append(total.Counts, c)
 		}
-		return out
+		return &total
 	}
+}
+
+// anyEcho reads an echo of another leader as this one's.
+func anyEcho(w *fleetWorld) {
+	w.onArrival = func(w *fleetWorld, r *route.Report) *route.Report {
+		own := *r
+		own.Echo.Leader = w.leader
+		return &own
+	}
+	w.options.Retention = 1 << 40
+}
+
+// unpromisedLists has processes list fewer revisions than the tracker relies on.
+func unpromisedLists(w *fleetWorld) {
+	w.maxListedRevs, w.options.MinListedRevs = 1, 100
+	w.electLeader()
+}
+
+// silenceAsDidNot answers DidNot for a process that was silent.
+func silenceAsDidNot(w *fleetWorld, q Query) []Answer {
+	out := trackerAnswers(w, q)
+	for i := range out {
+		p := w.tracker.processes[out[i].Process]
+		if silent := p == nil || p.lastReportAt < q.From; out[i].Verdict == Unknown && silent {
+			out[i].Verdict = DidNot
+		}
+	}
+	return out
+}
+
+// widenedDid answers Did for a time that begins earlier.
+func widenedDid(w *fleetWorld, q Query) []Answer {
+	q.From--
+	out := trackerAnswers(w, q)
+	for i := range out {
+		if out[i].Verdict == DidNot {
+			out[i].Verdict = Unknown
+		}
+	}
+	return out
+}
+
+// markedTooEarly takes the log for marked before it was.
+func markedTooEarly(w *fleetWorld, q Query) []Answer {
+	q.ClockAhead -= 3
+	return trackerAnswers(w, q)
+}
+
+// TestAnswers_plantedMistakes plants mistakes: each gives wrong answers in the worlds in which the tracker gives none.
+func TestAnswers_plantedMistakes(t *testing.T) {
 	for name, c := range map[string]struct {
-		set     func(w *fleetWorld)
-		answers answerFunc
-		not     bool // there are wrong DidNot
-		did     bool // there are wrong Did
+		prepare     func(w *fleetWorld)
+		answers     answerFunc
+		wrongDidNot bool // there must be wrong DidNot
+		wrongDid    bool // there must be wrong Did
 	}{
-		"sample time is the arrival": {answers: trackerAnswers, not: true, did: true, set: func(w *fleetWorld) {
-			w.onArrival = func(w *fleetWorld, r *route.Report) *route.Report {
-				late := *r
-				late.Echo = route.Moment{Leader: w.leader, MS: w.clock(w.now)}
-				return &late
-			}
-		}},
-		"counts are increments": {answers: trackerAnswers, not: true, set: func(w *fleetWorld) {
-			sums := map[route.Process]map[int64]int64{}
-			w.onSend = func(p *trueProcess, r *route.Report) {
-				for i := range r.Counts {
-					c := &r.Counts[i]
-					total := c.Started
-					c.Started -= p.sent[c.Rev*2+int64(i%2)]
-					p.sent[c.Rev*2+int64(i%2)] = total
-				}
-			}
-			w.onArrival = func(w *fleetWorld, r *route.Report) *route.Report {
-				if sums[r.Process] == nil {
-					sums[r.Process] = map[int64]int64{}
-				}
-				total := *r
-				total.Counts = nil
-				for i, c := range r.Counts {
-					sums[r.Process][c.Rev*2+int64(i%2)] += max(c.Started, 0)
-					c.Started = sums[r.Process][c.Rev*2+int64(i%2)]
-					total.Counts = append(total.Counts, c)
-				}
-				return &total
-			}
-		}},
-		"silence is DidNot": {not: true, answers: func(w *fleetWorld, q Query) []Answer {
-			out := trackerAnswers(w, q)
-			for i := range out {
-				if p := w.tracker.processes[out[i].Process]; out[i].Verdict == Unknown && (p == nil || p.lastReportAt < q.From) {
-					out[i].Verdict = DidNot
-				}
-			}
-			return out
-		}},
-		"growth across the border is within": {did: true, answers: widened},
-		"unlisted revisions have no attempts": {not: true, answers: trackerAnswers, set: func(w *fleetWorld) {
-			w.maxListedRevs, w.options.MinListedRevs = 1, 100
-			w.electLeader()
-		}},
-		"log marked too early": {not: true, did: true, answers: func(w *fleetWorld, q Query) []Answer {
-			q.ClockAhead -= 3
-			return trackerAnswers(w, q)
-		}},
-		"echo of another leader": {not: true, answers: trackerAnswers, set: func(w *fleetWorld) {
-			w.onArrival = func(w *fleetWorld, r *route.Report) *route.Report {
-				own := *r
-				own.Echo.Leader = w.leader
-				return &own
-			}
-			w.options.Retention = 1 << 40
-		}},
+		"sample at arrival":        {prepare: sampleAtArrival, answers: trackerAnswers, wrongDidNot: true, wrongDid: true},
+		"counts are increments":    {prepare: countsAsIncrements, answers: trackerAnswers, wrongDidNot: true},
+		"silence is DidNot":        {answers: silenceAsDidNot, wrongDidNot: true},
+		"growth across the border": {answers: widenedDid, wrongDid: true},
+		"unlisted is no attempt":   {prepare: unpromisedLists, answers: trackerAnswers, wrongDidNot: true},
+		"log marked too early":     {answers: markedTooEarly, wrongDidNot: true, wrongDid: true},
+		"echo of another leader":   {prepare: anyEcho, answers: trackerAnswers, wrongDidNot: true},
 	} {
 		t.Run(name, func(t *testing.T) {
-			got := runSeeds(worldCount, c.set, c.answers)
+			got := runSeeds(worldCount, c.prepare, c.answers)
 			t.Logf("%+v", got)
-			if c.not && got.wrongDidNot == 0 || c.did && got.wrongDid == 0 {
+			if c.wrongDidNot && got.wrongDidNot == 0 || c.wrongDid && got.wrongDid == 0 {
 				t.Errorf("the mistake gives no wrong answer: %+v", got)
 			}
 		})
--- a/internal/audit/golden_test.go
+++ b/internal/audit/golden_test.go
@@ -50,7 +50,8 @@
 	const leader = "leader"
 	tracker := NewTracker(TrackerOptions{}, leader, 0)
 	p := route.Process{Name: "sidecar-1", Start: 9}
-	report := &route.Report{Process: p, Seq: 1, Echo: route.Moment{Leader: leader, MS: 50}, AcknowledgedRev: 3, UnreadableRev: 4, NoLease: true,
+	report := &route.Report{Process: p, Seq: 1, Echo: route.Moment{Leader: leader, MS: 50},
+		AcknowledgedRev: 3, UnreadableRev: 4, NoLease: true,
 		ListRev: 5, Version: "v", Config: "c", Schemas: []int{1, 2}, Counts: []route.Count{{Rev: 3, Started: 2}}}
 	requireGolden(t, "transitions.golden.json", tracker.Report(100, 1000, report))
 	requireGolden(t, "shut_out.golden.json", tracker.AccessChanged(150, 1050, p, ShutOut, 3, "behind"))
--- a/internal/audit/log_test.go
+++ b/internal/audit/log_test.go
@@ -52,7 +52,8 @@
 	for p := range l.byProcess {
 		sum += len(l.Of(p))
 	}
-	if l.Len() != MaxLogTransitions || sum != MaxLogTransitions || l.entries[0].Rev != 500 || len(l.Since(1000+MaxLogTransitions)) != 500 {
+	if l.Len() != MaxLogTransitions || sum != MaxLogTransitions || l.entries[0].Rev != 500 ||
+		len(l.Since(1000+MaxLogTransitions)) != 500 {
 		t.Errorf("%d transitions, %d by process, from %+v on", l.Len(), sum, l.entries[0])
 	}
 	l.Add([]Transition{{Process: testProcess("late"), AtMS: l.entries[50].AtMS + MaxLogAgeMS, Kind: FirstReport, Rev: 1}})
--- a/internal/audit/tracker_test.go
+++ b/internal/audit/tracker_test.go
@@ -85,7 +85,8 @@
 			t.Errorf("%+v, want %s: the revision of b fell", a, want)
 		}
 	}
-	if got := tracker.Present(12); len(got) != 2 || got[0].AcknowledgedRev != 7 || got[0].LastReportAgoMS != 3 || got[0].SampledAgoMS != -1 {
+	got := tracker.Present(12)
+	if len(got) != 2 || got[0].AcknowledgedRev != 7 || got[0].LastReportAgoMS != 3 || got[0].SampledAgoMS != -1 {
 		t.Errorf("%+v", got)
 	}
 	newer := newReport("a", 1, 7, 0)
@@ -97,7 +98,10 @@
 	for i, c := range []struct {
 		kind TransitionKind
 		want []string
-	}{{ShutOut, []string{"shut out 7 1"}}, {ShutOut, nil}, {Readmitted, []string{"back 7 1"}}, {Gone, []string{"gone 7 1"}}, {FirstReport, nil}} {
+	}{
+		{ShutOut, []string{"shut out 7 1"}}, {ShutOut, nil}, {Readmitted, []string{"back 7 1"}},
+		{Gone, []string{"gone 7 1"}}, {FirstReport, nil},
+	} {
 		if diff := cmp.Diff(c.want, kinds(tracker.AccessChanged(15, 15, testProcess("a"), c.kind, 7, ""))); diff != "" {
 			t.Errorf("%d: %s", i, diff)
 		}
--- a/internal/rollout/evidence_test.go
+++ b/internal/rollout/evidence_test.go
@@ -42,7 +42,8 @@
 	f := newTestFleet(t, 4, o, newSpec(MaxBudget))
 	counts := make([][2]route.Count, len(f.sidecars))
 	for i := range counts {
-		counts[i] = [2]route.Count{{Rev: f.state.Rev(), Tenant: tenantName, Canary: true}, {Rev: f.state.Rev(), Tenant: tenantName}}
+		rev := f.state.Rev()
+		counts[i] = [2]route.Count{{Rev: rev, Tenant: tenantName, Canary: true}, {Rev: rev, Tenant: tenantName}}
 	}
 	for sec := range seconds {
 		for i := range f.sidecars {
--- a/internal/rollout/ledger.go
+++ b/internal/rollout/ledger.go
@@ -110,7 +110,8 @@
 	r.totals = r.totals.add(old, -1).add(account, 1)
 }
 
-// ensureCapacity folds accounts of processes that are gone if the ledger is full, and reports whether there is space for one more.
+// ensureCapacity folds accounts of processes that are gone if the ledger is full, and reports whether there is space for
+// one more.
 func (r *rolloutState) ensureCapacity() bool {
 	if len(r.Ledger) >= MaxAccounts {
 		r.foldAccounts(func(a Account) bool { return a.Gone })
--- a/internal/rollout/spec.go
+++ b/internal/rollout/spec.go
@@ -114,7 +114,8 @@
 	}{{"model", s.Model}, {"az", s.Zone}, {"uid", s.UID}}
 	for _, list := range lists {
 		if len(list.values) > MaxSubsetValues {
-			return fmt.Errorf("%w: %s.%s has %d values, more than %d", ErrInvalid, field, list.name, len(list.values), MaxSubsetValues)
+			return fmt.Errorf("%w: %s.%s has %d values, more than %d",
+				ErrInvalid, field, list.name, len(list.values), MaxSubsetValues)
 		}
 		for i, value := range list.values {
 			if err := checkName(fmt.Sprintf("%s.%s[%d]", field, list.name, i), value); err != nil {
--- a/internal/rollout/state_test.go
+++ b/internal/rollout/state_test.go
@@ -56,13 +56,37 @@
 	require.ErrorIs(t, err, ErrExists)
 	_, err = s.Apply(&Command{Op: OpStop, Tenant: tenantName, Name: "none"})
 	require.ErrorIs(t, err, ErrUnknown)
+}
+
+// newCompletedState is a state with a base and a rollout that has completed its steps.
+func newCompletedState(t *testing.T) *State {
+	s := NewState()
+	s.BeginEpoch(7)
+	mustApply(t, s, Command{Op: OpBase, Tenant: tenantName, Base: route.Subset{Model: []string{"old"}}})
+	spec := newSpec(3)
+	spec.AtEnd = AtEndKeep
+	mustApply(t, s, Command{Op: OpPost, Spec: spec})
+	for step := range spec.Steps {
+		mustApply(t, s, Command{Op: OpForward, Tenant: tenantName, Name: rolloutName, Step: step})
+	}
+	require.Equal(t, Done, s.Phase(tenantName, rolloutName))
+	return s
+}
 
+func TestState_closedRevision(t *testing.T) {
+	s := newCompletedState(t)
 	mustApply(t, s, Command{Op: OpClose, Rev: s.Rev() + 5})
 	require.Equal(t, s.Rev()-1, s.Closed(), "what is newest is never closed")
 	mustApply(t, s, Command{Op: OpClose, Rev: 3})
 	require.Equal(t, s.Rev()-1, s.Closed())
+}
+
+func TestState_endedRollouts(t *testing.T) {
+	s := newCompletedState(t)
+	mustApply(t, s, Command{Op: OpClose, Rev: s.Rev() - 1})
 	for i := range 2*MaxEndedRollouts + 1 {
-		next := *keepSpec
+		next := *newSpec(3)
+		next.AtEnd = AtEndKeep
 		next.Name = fmt.Sprint(i)
 		mustApply(t, s, Command{Op: OpPost, Spec: &next})
 		mustApply(t, s, Command{Op: OpStop, Tenant: tenantName, Name: next.Name})
--- a/internal/route/protocol_test.go
+++ b/internal/route/protocol_test.go
@@ -20,7 +20,8 @@
 		},
 		&Report{},
 		&ReportResponse{
-			Stamp: Moment{Leader: "a@1", MS: 60}, NewestRev: 5, LeaseMS: 5000, Resync: true, Table: json.RawMessage(`{"schema":1}`),
+			Stamp: Moment{Leader: "a@1", MS: 60}, NewestRev: 5, LeaseMS: 5000, Resync: true,
+			Table:  json.RawMessage(`{"schema":1}`),
 			Reason: "a reason", NewestStart: 8,
 		},
 		&ReportResponse{},
--- a/internal/route/schema2.go
+++ b/internal/route/schema2.go
@@ -103,7 +103,8 @@
 		return err
 	}
 	if len(r.Note) > MaxNoteBytes || !utf8.ValidString(r.Note) {
-		return fieldErrorf(path+".note", "%q has %d bytes, more than %d, or is not UTF-8", truncate(r.Note), len(r.Note), MaxNoteBytes)
+		return fieldErrorf(path+".note", "%q has %d bytes, more than %d, or is not UTF-8",
+			truncate(r.Note), len(r.Note), MaxNoteBytes)
 	}
 	return nil
 }
--- a/internal/routeclient/counts_test.go
+++ b/internal/routeclient/counts_test.go
@@ -59,9 +59,11 @@
 	p := newLeasedClient(t, 1, time.Hour)
 	p.Begin(1, "a", true)
 	for i := range int64(sampleRingSize + 3) {
-		p.OfferSample(Sample{ListRev: i, NeedsUnits: i == 1, Counts: []route.Count{{Rev: 1, Tenant: "a", Canary: true, Ended: i}}})
+		counts := []route.Count{{Rev: 1, Tenant: "a", Canary: true, Ended: i}}
+		p.OfferSample(Sample{ListRev: i, NeedsUnits: i == 1, Counts: counts})
 	}
-	require.Equal(t, []int64{3, 10}, []int64{p.samples.items[p.samples.first].ListRev, p.samples.items[(p.samples.first+7)%8].ListRev})
+	oldest, newest := p.samples.items[p.samples.first], p.samples.items[(p.samples.first+7)%8]
+	require.Equal(t, []int64{3, 10}, []int64{oldest.ListRev, newest.ListRev})
 	r := p.makeReport(1, route.Moment{})
 	require.Equal(t, []int64{3, 10}, []int64{r.LostSamples, r.ListRev})
 	require.Equal(t, []route.Count{{Rev: 1, Tenant: "a", Canary: true, Started: 1, Ended: 10}}, r.Counts)
--- a/internal/routeclient/helpers_test.go
+++ b/internal/routeclient/helpers_test.go
@@ -171,9 +171,16 @@
 	})
 	require.NoError(t, err)
 	s.timings = timings{
-		watchSilence: time.Hour, minBackoff: time.Millisecond, maxBackoff: 4 * time.Millisecond, firstReportInterval: 4 * time.Millisecond,
-		minReportInterval: time.Millisecond, maxReportInterval: 4 * time.Millisecond, callTimeout: waitLimit, budgetInterval: 4 * time.Millisecond,
-		minBudgetInterval: time.Millisecond, finalCallTimeout: waitLimit,
+		watchSilence:        time.Hour,
+		minBackoff:          time.Millisecond,
+		maxBackoff:          4 * time.Millisecond,
+		firstReportInterval: 4 * time.Millisecond,
+		minReportInterval:   time.Millisecond,
+		maxReportInterval:   4 * time.Millisecond,
+		callTimeout:         waitLimit,
+		budgetInterval:      4 * time.Millisecond,
+		minBudgetInterval:   time.Millisecond,
+		finalCallTimeout:    waitLimit,
 	}
 	if change != nil {
 		change(s)
@@ -224,7 +231,8 @@
 
 func (p *testClient) waitTable(rev int64) *route.Table {
 	p.t.Helper()
-	return p.waitUpdate(fmt.Sprint("revision ", rev), func(n Update) bool { return n.Table != nil && n.Table.Rev == rev }).Table
+	isTable := func(u Update) bool { return u.Table != nil && u.Table.Rev == rev }
+	return p.waitUpdate(fmt.Sprint("revision ", rev), isTable).Table
 }
 
 func document(t *testing.T, rev int64) string {
--- a/internal/routeclient/reporter_test.go
+++ b/internal/routeclient/reporter_test.go
@@ -30,7 +30,9 @@
 		return http.StatusOK, route.ReportResponse{LeaseMS: 1000}
 	}
 	c.report.Store(&answer)
-	client := startClient(t, func(s *Client) { s.timings.firstReportInterval, s.timings.maxReportInterval = time.Hour, time.Hour }, c) // the second report follows from the rejection
+	client := startClient(t, func(s *Client) { // the second report follows from the rejection
+		s.timings.firstReportInterval, s.timings.maxReportInterval = time.Hour, time.Hour
+	}, c)
 	require.EqualValues(t, 7, receive(t, "first report", starts))
 	require.Equal(t, newest+1, receive(t, "second report", starts))
 	client.waitUpdate("lease", func(n Update) bool { return !n.LeaseUntil.IsZero() })
--- a/internal/routeclient/watch_test.go
+++ b/internal/routeclient/watch_test.go
@@ -48,7 +48,9 @@
 	p.waitTable(5)
 	newer := `{"schema":9,"reads":9,"rev":6,"closed":0,"routes":[]}` + "\n"
 	watch.write(t, newer+newer+`{"schema":2,"reads":1,"rev":7,"closed":0,"routes":[{"tenant":"a","share":1.5}]}`+"\n")
-	eventually(t, "report that revision 7 is unreadable", func() bool { return p.makeReport(1, route.Moment{}).UnreadableRev == 7 })
+	eventually(t, "report that revision 7 is unreadable", func() bool {
+		return p.makeReport(1, route.Moment{}).UnreadableRev == 7
+	})
 	watch.write(t, newer+"no document\nno document\n"+document(t, 8)[:20]+"\n")
 	half := document(t, 9)
 	watch.write(t, half)
