--- a/internal/route/decisions_test.go
+++ b/internal/route/decisions_test.go
@@ -29,6 +29,7 @@
 	err          error
 }
 
+// attempt is an attempt in flight.
 type attempt struct {
 	request balance.RequestID
 	number  int
@@ -39,15 +40,18 @@
 func newBalancerPair(seed int64, tenants int) *balancerPair {
 	cfg := balance.Config{
 		Seed: uint64(seed), Peers: 3, MaxAttempts: 3, Cancel: true, RetryAfter: true, MaxRetryAfter: 1000, Quantum: 4,
-		AnswerSlack: 16, SlowStartCapacity: 0.2, SlowStartTime: 20000, OverloadMultiple: 2.5, OverloadTime: 1000, DrainGrace: 2000,
-		Tenants: make([]balance.Tenant, tenants),
+		AnswerSlack: 16, SlowStartCapacity: 0.2, SlowStartTime: 20000, OverloadMultiple: 2.5, OverloadTime: 1000,
+		DrainGrace: 2000,
+		Tenants:    make([]balance.Tenant, tenants),
 		Classes: []balance.Class{
 			{Idempotency: balance.Idempotent, LatencyObjective: 300, Deadline: 1500, PriorityWeight: 1},
 			{Idempotency: balance.NonIdempotent, LatencyObjective: 300, Deadline: 600, PriorityWeight: 5},
 			{Idempotency: balance.Idempotent, LatencyObjective: 400, Deadline: 2000, PriorityWeight: 3},
 		},
 	}
-	p := &balancerPair{now: 1000, rng: rand.New(rand.NewSource(seed)), timers: map[uint64]float64{}, attempts: map[balance.RequestID]int{}}
+	p := &balancerPair{
+		now: 1000, rng: rand.New(rand.NewSource(seed)), timers: map[uint64]float64{}, attempts: map[balance.RequestID]int{},
+	}
 	for _, b := range []**balance.Balancer{&p.older, &p.newer} {
 		made, err := balance.New(cfg)
 		if err != nil {
@@ -105,7 +109,8 @@
 	a := p.inFlight[i]
 	p.inFlight = slices.Delete(p.inFlight, i, i+1)
 	return p.handle(balance.Outcome{
-		Request: a.request, Attempt: a.number, Server: a.server, Result: res, Elapsed: p.now - a.sent, Finished: res == balance.OK,
+		Request: a.request, Attempt: a.number, Server: a.server, Result: res, Elapsed: p.now - a.sent,
+		Finished: res == balance.OK,
 	})
 }
 
@@ -154,7 +159,9 @@
 }
 
 // differOnRequests reports whether the two readings differ on n requests of one tenant and class, which are all answered.
-func differOnRequests(n uint64, tenant, class int, names Names, servers []balance.Server, older, newer balance.Routes) (bool, error) {
+func differOnRequests(
+	n uint64, tenant, class int, names Names, servers []balance.Server, older, newer balance.Routes,
+) (bool, error) {
 	p := newBalancerPair(1, len(names.Tenants))
 	same := p.err == nil && p.start(servers, older, newer)
 	for key := uint64(1); same && key <= n; key++ {
--- a/internal/routeclient/attempts_test.go
+++ b/internal/routeclient/attempts_test.go
@@ -10,7 +10,7 @@
 )
 
 func TestBegin_lastCheck(t *testing.T) {
-	p := newLeasedClient(t, 5, time.Second)
+	client := newLeasedClient(t, 5, time.Second)
 	for _, c := range []struct {
 		name   string
 		passed time.Duration
@@ -31,31 +31,31 @@
 		{"decided on without a lease", 0, 0, false, 0, true},
 		{"canary decided on without a lease", 0, 0, true, 0, false},
 	} {
-		p.clock.advance(c.passed)
-		under, ok := p.Begin(c.rev, "a", c.canary)
+		client.clock.advance(c.passed)
+		under, ok := client.Begin(c.rev, "a", c.canary)
 		require.Equal(t, []any{c.under, c.ok}, []any{under, ok}, c.name)
 	}
-	p.ActOn(4)
-	require.EqualValues(t, 5, p.Status().ActingRev, "the revision fell")
+	client.ActOn(4)
+	require.EqualValues(t, 5, client.Status().ActingRev, "the revision fell")
 	require.Equal(t, []route.Count{
 		{Tenant: "a", Started: 2}, {Rev: 5, Tenant: "a", Started: 1}, {Rev: 5, Tenant: "a", Canary: true, Started: 2},
-	}, p.makeReport(1, route.Moment{}).Counts)
+	}, client.makeReport(1, route.Moment{}).Counts)
 }
 
 // TestBeginAs_headWritten: an attempt that would count under another revision than its head says does not begin, and is
 // not counted whatever the order of checks and reports.
 func TestBeginAs_headWritten(t *testing.T) {
-	p := newLeasedClient(t, 5, time.Second)
-	require.True(t, p.BeginAs(5, "a", false, 5))
-	require.False(t, p.BeginAs(4, "a", false, 5), "an older revision")
-	p.clock.advance(time.Second)
-	require.False(t, p.BeginAs(5, "a", false, 5), "the lease has expired")
-	require.False(t, p.BeginAs(5, "a", true, 0), "no canary without a lease")
+	client := newLeasedClient(t, 5, time.Second)
+	require.True(t, client.BeginAs(5, "a", false, 5))
+	require.False(t, client.BeginAs(4, "a", false, 5), "an older revision")
+	client.clock.advance(time.Second)
+	require.False(t, client.BeginAs(5, "a", false, 5), "the lease has expired")
+	require.False(t, client.BeginAs(5, "a", true, 0), "no canary without a lease")
 	counted := []route.Count{{Rev: 5, Tenant: "a", Started: 1}}
-	require.Equal(t, counted, p.makeReport(1, route.Moment{}).Counts)
-	require.True(t, p.BeginAs(5, "a", false, 0), "the head was written after the lease")
-	p.setLease(p.clock.Now(), time.Second)
-	require.False(t, p.BeginAs(5, "a", false, 0), "a lease came after the head was written")
+	require.Equal(t, counted, client.makeReport(1, route.Moment{}).Counts)
+	require.True(t, client.BeginAs(5, "a", false, 0), "the head was written after the lease")
+	client.setLease(client.clock.Now(), time.Second)
+	require.False(t, client.BeginAs(5, "a", false, 0), "a lease came after the head was written")
 	counted = append([]route.Count{{Tenant: "a", Started: 1}}, counted...)
-	require.Equal(t, counted, p.makeReport(2, route.Moment{}).Counts)
+	require.Equal(t, counted, client.makeReport(2, route.Moment{}).Counts)
 }
--- a/internal/routeclient/budgets_test.go
+++ b/internal/routeclient/budgets_test.go
@@ -12,7 +12,7 @@
 
 // TestBudgets_requests: requests are sent while there are budgets, at once when units are needed or were spent.
 func TestBudgets_requests(t *testing.T) {
-	c := newFakeService(t)
+	service := newFakeService(t)
 	requests := make(chan route.BudgetRequest, 1000)
 	f := func(a route.BudgetRequest) (int, any) {
 		requests <- a
@@ -20,25 +20,25 @@
 			{Tenant: "a", Rollout: "r", Granted: 3, MaxIdle: 1}, {Tenant: "b", Rollout: "r", Granted: 9},
 		}}
 	}
-	c.budgets.Store(&f)
-	p := startClient(t, func(s *Client) { s.timings.budgetInterval = time.Hour }, c)
-	p.OfferSample(Sample{ListRev: 1})
+	service.budgets.Store(&f)
+	client := startClient(t, func(s *Client) { s.timings.budgetInterval = time.Hour }, service)
+	client.OfferSample(Sample{ListRev: 1})
 	budget := route.BudgetState{Tenant: "a", Rollout: "r", Wanted: 2}
-	p.OfferSample(Sample{Budgets: []route.BudgetState{budget}, NeedsUnits: true})
+	client.OfferSample(Sample{Budgets: []route.BudgetState{budget}, NeedsUnits: true})
 	require.Equal(t, route.BudgetRequest{
 		Process: route.Process{Name: "n0", Start: 7}, Budgets: []route.BudgetState{budget},
 	}, receive(t, "first request", requests))
-	n := p.waitUpdate("grants", func(n Update) bool { return len(n.Grants) > 0 })
+	n := client.waitUpdate("grants", func(n Update) bool { return len(n.Grants) > 0 })
 	require.Equal(t, []route.BudgetGrant{{Tenant: "a", Rollout: "r", Granted: 3, MaxIdle: 1}}, n.Grants)
 	budget.Granted, budget.Spent = 3, 1
-	p.OfferSample(Sample{Budgets: []route.BudgetState{budget}})
+	client.OfferSample(Sample{Budgets: []route.BudgetState{budget}})
 	require.Equal(t, budget, receive(t, "request after a unit was spent", requests).Budgets[0])
-	p.OfferSample(Sample{Budgets: []route.BudgetState{budget}, NeedsUnits: true})
+	client.OfferSample(Sample{Budgets: []route.BudgetState{budget}, NeedsUnits: true})
 	require.Equal(t, budget, receive(t, "request that needs units", requests).Budgets[0])
-	p.OfferSample(Sample{Budgets: []route.BudgetState{budget}})
+	client.OfferSample(Sample{Budgets: []route.BudgetState{budget}})
 	budget.Returned = 2
-	p.OfferSample(Sample{Budgets: []route.BudgetState{budget}})
-	p.stop()
+	client.OfferSample(Sample{Budgets: []route.BudgetState{budget}})
+	client.stop()
 	require.Equal(t, budget, receive(t, "final request", requests).Budgets[0])
 	require.Empty(t, requests)
 }
--- a/internal/routeclient/client_test.go
+++ b/internal/routeclient/client_test.go
@@ -12,31 +12,31 @@
 
 // TestTakeUpdate_latest: of what the loop has not taken the latest of each kind stays.
 func TestTakeUpdate_latest(t *testing.T) {
-	p := startClient(t, nil)
-	_, fresh := p.TakeUpdate()
+	client := startClient(t, nil)
+	_, fresh := client.TakeUpdate()
 	require.False(t, fresh)
-	now := p.clock.Now()
-	require.NoError(t, p.offerTable(&route.Table{Rev: 1}))
-	p.setLease(now, time.Second)
-	p.offerGrants([]route.BudgetGrant{{Tenant: "a", Granted: 1}, {Tenant: "b", Granted: 1}})
-	require.NoError(t, p.offerTable(&route.Table{Rev: 2}))
-	require.NoError(t, p.offerTable(&route.Table{Rev: 1}))
-	p.offerGrants([]route.BudgetGrant{{Tenant: "a", Granted: 4}})
-	p.setLease(now, 2*time.Second)
-	p.setLease(now.Add(time.Second), 0)
-	n, fresh := p.TakeUpdate()
+	now := client.clock.Now()
+	require.NoError(t, client.offerTable(&route.Table{Rev: 1}))
+	client.setLease(now, time.Second)
+	client.offerGrants([]route.BudgetGrant{{Tenant: "a", Granted: 1}, {Tenant: "b", Granted: 1}})
+	require.NoError(t, client.offerTable(&route.Table{Rev: 2}))
+	require.NoError(t, client.offerTable(&route.Table{Rev: 1}))
+	client.offerGrants([]route.BudgetGrant{{Tenant: "a", Granted: 4}})
+	client.setLease(now, 2*time.Second)
+	client.setLease(now.Add(time.Second), 0)
+	n, fresh := client.TakeUpdate()
 	require.True(t, fresh)
 	require.Equal(t, Update{
 		Table: &route.Table{Rev: 2}, LeaseUntil: now.Add(2 * time.Second),
 		Grants: []route.BudgetGrant{{Tenant: "a", Granted: 4}, {Tenant: "b", Granted: 1}},
 	}, n)
-	_, fresh = p.TakeUpdate()
+	_, fresh = client.TakeUpdate()
 	require.False(t, fresh)
 }
 
 // TestRun_silentServiceAtEnd: the end does not wait for a silent service.
 func TestRun_silentServiceAtEnd(t *testing.T) {
-	c := newFakeService(t)
+	service := newFakeService(t)
 	release := make(chan struct{})
 	defer close(release)
 	entered := make(chan struct{}, 10)
@@ -45,8 +45,8 @@
 		<-release
 		return http.StatusOK, nil
 	}
-	c.report.Store(&f)
-	p := startClient(t, func(s *Client) { s.timings.finalCallTimeout = time.Millisecond }, c)
+	service.report.Store(&f)
+	client := startClient(t, func(s *Client) { s.timings.finalCallTimeout = time.Millisecond }, service)
 	receive(t, "report", entered)
-	p.stop()
+	client.stop()
 }
--- a/internal/routeclient/counts_test.go
+++ b/internal/routeclient/counts_test.go
@@ -15,7 +15,7 @@
 // TestReport_concurrentAttempts: under a revision before the acknowledged one nothing begins after the report was made,
 // and all that began before is counted in it.
 func TestReport_concurrentAttempts(t *testing.T) {
-	p := newLeasedClient(t, 1, time.Hour)
+	client := newLeasedClient(t, 1, time.Hour)
 	const last = 200
 	var started [last + 1]atomic.Int64
 	var attempts sync.WaitGroup
@@ -28,8 +28,8 @@
 					return
 				default:
 				}
-				rev := p.Status().ActingRev
-				if under, ok := p.Begin(rev, "a", true); ok {
+				rev := client.Status().ActingRev
+				if under, ok := client.Begin(rev, "a", true); ok {
 					started[under].Add(1)
 				}
 			}
@@ -37,13 +37,13 @@
 	}
 	final := map[int64]int64{}
 	for rev := int64(2); rev <= last; rev++ {
-		p.ActOn(rev)
-		for _, c := range p.makeReport(rev, route.Moment{}).Counts {
-			if c.Rev < rev {
-				if have, said := final[c.Rev]; said {
-					require.Equal(t, have, c.Started, "attempts began under %d after a report", c.Rev)
+		client.ActOn(rev)
+		for _, count := range client.makeReport(rev, route.Moment{}).Counts {
+			if count.Rev < rev {
+				if earlier, known := final[count.Rev]; known {
+					require.Equal(t, earlier, count.Started, "attempts began under %d after a report", count.Rev)
 				}
-				final[c.Rev] = c.Started
+				final[count.Rev] = count.Started
 			}
 		}
 	}
@@ -56,57 +56,57 @@
 
 // TestSampleRing_full: a full ring drops and counts the oldest sample; the need of units stays, and totals lose nothing.
 func TestSampleRing_full(t *testing.T) {
-	p := newLeasedClient(t, 1, time.Hour)
-	p.Begin(1, "a", true)
+	client := newLeasedClient(t, 1, time.Hour)
+	client.Begin(1, "a", true)
 	for i := range int64(sampleRingSize + 3) {
 		counts := []route.Count{{Rev: 1, Tenant: "a", Canary: true, Ended: i}}
-		p.OfferSample(Sample{ListRev: i, NeedsUnits: i == 1, Counts: counts})
+		client.OfferSample(Sample{ListRev: i, NeedsUnits: i == 1, Counts: counts})
 	}
-	oldest, newest := p.samples.items[p.samples.first], p.samples.items[(p.samples.first+7)%8]
+	oldest, newest := client.samples.items[client.samples.first], client.samples.items[(client.samples.first+7)%8]
 	require.Equal(t, []int64{3, 10}, []int64{oldest.ListRev, newest.ListRev})
-	r := p.makeReport(1, route.Moment{})
+	r := client.makeReport(1, route.Moment{})
 	require.Equal(t, []int64{3, 10}, []int64{r.LostSamples, r.ListRev})
 	require.Equal(t, []route.Count{{Rev: 1, Tenant: "a", Canary: true, Started: 1, Ended: 10}}, r.Counts)
-	require.True(t, p.needsUnits)
+	require.True(t, client.needsUnits)
 }
 
 // TestCounts_droppedOnceReceived: counts of old revisions stay until they are received; meanwhile, with too many of them,
 // no newer table is taken.
 func TestCounts_droppedOnceReceived(t *testing.T) {
-	p := newLeasedClient(t, 1, time.Hour)
+	client := newLeasedClient(t, 1, time.Hour)
 	rev := int64(0)
 	for range maxRevs {
 		rev++
-		require.NoError(t, p.offerTable(&route.Table{Rev: rev}))
-		p.ActOn(rev)
-		_, ok := p.Begin(rev, "a", false)
+		require.NoError(t, client.offerTable(&route.Table{Rev: rev}))
+		client.ActOn(rev)
+		_, ok := client.Begin(rev, "a", false)
 		require.True(t, ok)
 	}
-	r := p.makeReport(1, route.Moment{})
+	r := client.makeReport(1, route.Moment{})
 	require.Len(t, r.Counts, maxRevs)
-	require.ErrorIs(t, p.offerTable(&route.Table{Rev: rev + 1}), errTooManyRevisions)
-	p.reportReceived(&r)
-	require.NoError(t, p.offerTable(&route.Table{Rev: rev + 1}))
-	left := p.makeReport(2, route.Moment{}).Counts
+	require.ErrorIs(t, client.offerTable(&route.Table{Rev: rev + 1}), errTooManyRevisions)
+	client.reportReceived(&r)
+	require.NoError(t, client.offerTable(&route.Table{Rev: rev + 1}))
+	left := client.makeReport(2, route.Moment{}).Counts
 	require.Len(t, left, minRetainedRevs)
 	require.Equal(t, rev-minRetainedRevs+1, left[0].Rev)
 }
 
 // TestReport_boundedCounts: with many tenants a report has the newest revisions only, and says so; the others are dropped.
 func TestReport_boundedCounts(t *testing.T) {
-	p := newLeasedClient(t, 1, time.Hour)
+	client := newLeasedClient(t, 1, time.Hour)
 	for rev := int64(1); rev <= 2*maxRevs; rev++ {
-		require.NoError(t, p.offerTable(&route.Table{Rev: rev}), "revision %d", rev)
-		p.ActOn(rev)
+		require.NoError(t, client.offerTable(&route.Table{Rev: rev}), "revision %d", rev)
+		client.ActOn(rev)
 		for tenant := range 200 {
-			_, ok := p.Begin(rev, fmt.Sprint("tenant-", tenant), false)
+			_, ok := client.Begin(rev, fmt.Sprint("tenant-", tenant), false)
 			require.True(t, ok)
 		}
-		r := p.makeReport(rev, route.Moment{})
+		r := client.makeReport(rev, route.Moment{})
 		require.LessOrEqual(t, len(r.Counts), maxCounts)
 		require.Equal(t, rev, r.Counts[len(r.Counts)-1].Rev)
 		require.Equal(t, rev > maxCounts/200, r.CountsTruncated)
-		p.reportReceived(&r)
+		client.reportReceived(&r)
 	}
-	require.LessOrEqual(t, len(p.revisions), minRetainedRevs+1)
+	require.LessOrEqual(t, len(client.revisions), minRetainedRevs+1)
 }
--- a/internal/routeclient/helpers_test.go
+++ b/internal/routeclient/helpers_test.go
@@ -31,16 +31,16 @@
 	now time.Time
 }
 
-func (h *manualClock) Now() time.Time {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	return h.now
+func (c *manualClock) Now() time.Time {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.now
 }
 
-func (h *manualClock) advance(d time.Duration) {
-	h.mu.Lock()
-	h.now = h.now.Add(d)
-	h.mu.Unlock()
+func (c *manualClock) advance(d time.Duration) {
+	c.mu.Lock()
+	c.now = c.now.Add(d)
+	c.mu.Unlock()
 }
 
 // fakeService is a copy of the list service. Each watch sends what the test writes to it.
@@ -49,7 +49,7 @@
 	watches chan fakeWatch
 	report  atomic.Pointer[func(route.Report) (int, any)] // nil: 503
 	budgets atomic.Pointer[func(route.BudgetRequest) (int, any)]
-	posts   atomic.Int64 // posts
+	posts   atomic.Int64
 }
 
 type fakeWatch struct {
@@ -59,28 +59,28 @@
 }
 
 func newFakeService(t *testing.T) *fakeService {
-	c := &fakeService{watches: make(chan fakeWatch, 64)}
-	c.Server = httptest.NewServer(c)
+	s := &fakeService{watches: make(chan fakeWatch, 64)}
+	s.Server = httptest.NewServer(s)
 	t.Cleanup(func() {
-		c.CloseClientConnections()
-		c.Close()
+		s.CloseClientConnections()
+		s.Close()
 	})
-	return c
+	return s
 }
 
-func (c *fakeService) addr() string { return c.Listener.Addr().String() }
+func (s *fakeService) addr() string { return s.Listener.Addr().String() }
 
-func (c *fakeService) answerReports(with route.ReportResponse) {
+func (s *fakeService) answerReports(with route.ReportResponse) {
 	f := func(route.Report) (int, any) { return http.StatusOK, with }
-	c.report.Store(&f)
+	s.report.Store(&f)
 }
 
-func (c *fakeService) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+func (s *fakeService) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	switch r.URL.Path {
 	case route.TablePath:
 		watch := fakeWatch{r.URL.RawQuery, make(chan string), r.Context().Done()}
 		w.(http.Flusher).Flush()
-		c.watches <- watch
+		s.watches <- watch
 		for {
 			select {
 			case <-watch.ended:
@@ -94,11 +94,11 @@
 			}
 		}
 	case route.ReportPath:
-		c.posts.Add(1)
-		servePost(w, r, c.report.Load())
+		s.posts.Add(1)
+		servePost(w, r, s.report.Load())
 	case route.BudgetsPath:
-		c.posts.Add(1)
-		servePost(w, r, c.budgets.Load())
+		s.posts.Add(1)
+		servePost(w, r, s.budgets.Load())
 	}
 }
 
@@ -157,7 +157,7 @@
 // startClient runs a client with short times, after change has changed it. Without copies it does not run.
 func startClient(t *testing.T, change func(*Client), copies ...*fakeService) *testClient {
 	t.Helper()
-	p := &testClient{t: t, clock: &manualClock{now: time.Now()}, wake: make(chan struct{}, 1), log: &logBuffer{}}
+	client := &testClient{t: t, clock: &manualClock{now: time.Now()}, wake: make(chan struct{}, 1), log: &logBuffer{}}
 	var addrs []string
 	for _, c := range copies {
 		addrs = append(addrs, c.addr())
@@ -165,12 +165,12 @@
 	if addrs == nil {
 		addrs = []string{"127.0.0.1:1"}
 	}
-	s, err := New(Config{
-		Addrs: addrs, Name: "n0", Start: 7, Version: "v", ConfigDigest: "d", Schemas: []int{1, 2}, Now: p.clock.Now,
-		Wake: func() { signal(p.wake) }, Log: slog.New(slog.NewTextHandler(p.log, nil)),
+	underTest, err := New(Config{
+		Addrs: addrs, Name: "n0", Start: 7, Version: "v", ConfigDigest: "d", Schemas: []int{1, 2}, Now: client.clock.Now,
+		Wake: func() { signal(client.wake) }, Log: slog.New(slog.NewTextHandler(client.log, nil)),
 	})
 	require.NoError(t, err)
-	s.timings = timings{
+	underTest.timings = timings{
 		watchSilence:        time.Hour,
 		minBackoff:          time.Millisecond,
 		maxBackoff:          4 * time.Millisecond,
@@ -183,24 +183,24 @@
 		finalCallTimeout:    waitLimit,
 	}
 	if change != nil {
-		change(s)
+		change(underTest)
 	}
-	p.Client = s
+	client.Client = underTest
 	if copies == nil {
-		return p
+		return client
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	ended := make(chan struct{})
 	go func() {
 		defer close(ended)
-		s.Run(ctx)
+		underTest.Run(ctx)
 	}()
-	p.stop = sync.OnceFunc(func() {
+	client.stop = sync.OnceFunc(func() {
 		cancel()
 		receive(t, "end of Run", ended)
 	})
-	t.Cleanup(p.stop)
-	return p
+	t.Cleanup(client.stop)
+	return client
 }
 
 func receive[T any](t *testing.T, what string, from <-chan T) T {
@@ -215,24 +215,24 @@
 }
 
 // waitUpdate waits for an update that wanted accepts.
-func (p *testClient) waitUpdate(what string, wanted func(Update) bool) Update {
-	p.t.Helper()
+func (c *testClient) waitUpdate(what string, wanted func(Update) bool) Update {
+	c.t.Helper()
 	for limit := time.After(waitLimit); ; {
-		if n, ok := p.TakeUpdate(); ok && wanted(n) {
-			return n
+		if update, ok := c.TakeUpdate(); ok && wanted(update) {
+			return update
 		}
 		select {
-		case <-p.wake:
+		case <-c.wake:
 		case <-limit:
-			p.t.Fatalf("no %s in time", what)
+			c.t.Fatalf("no %s in time", what)
 		}
 	}
 }
 
-func (p *testClient) waitTable(rev int64) *route.Table {
-	p.t.Helper()
+func (c *testClient) waitTable(rev int64) *route.Table {
+	c.t.Helper()
 	isTable := func(u Update) bool { return u.Table != nil && u.Table.Rev == rev }
-	return p.waitUpdate(fmt.Sprint("revision ", rev), isTable).Table
+	return c.waitUpdate(fmt.Sprint("revision ", rev), isTable).Table
 }
 
 func document(t *testing.T, rev int64) string {
@@ -243,10 +243,10 @@
 
 // newLeasedClient makes a client that acts on a revision, with a lease for a term from now.
 func newLeasedClient(t *testing.T, rev int64, term time.Duration) *testClient {
-	p := startClient(t, nil)
-	p.ActOn(rev)
-	p.setLease(p.clock.Now(), term)
-	return p
+	client := startClient(t, nil)
+	client.ActOn(rev)
+	client.setLease(client.clock.Now(), term)
+	return client
 }
 
 func eventually(t *testing.T, what string, done func() bool) {
--- a/internal/routeclient/reporter_test.go
+++ b/internal/routeclient/reporter_test.go
@@ -16,7 +16,7 @@
 // with the next report. A process that was the newest one does not: it is being replaced.
 func TestReport_raisedStart(t *testing.T) {
 	const newest = int64(1) << 40
-	c := newFakeService(t)
+	service := newFakeService(t)
 	var otherStart atomic.Int64
 	starts := make(chan int64, 1000)
 	answer := func(r route.Report) (int, any) {
@@ -29,10 +29,10 @@
 		}
 		return http.StatusOK, route.ReportResponse{LeaseMS: 1000}
 	}
-	c.report.Store(&answer)
+	service.report.Store(&answer)
 	client := startClient(t, func(s *Client) { // the second report follows from the rejection
 		s.timings.firstReportInterval, s.timings.maxReportInterval = time.Hour, time.Hour
-	}, c)
+	}, service)
 	require.EqualValues(t, 7, receive(t, "first report", starts))
 	require.Equal(t, newest+1, receive(t, "second report", starts))
 	client.waitUpdate("lease", func(n Update) bool { return !n.LeaseUntil.IsZero() })
@@ -49,7 +49,7 @@
 		}
 		return http.StatusOK, route.BudgetResponse{}
 	}
-	c.budgets.Store(&answerRequest)
+	service.budgets.Store(&answerRequest)
 	client.OfferSample(Sample{Budgets: []route.BudgetState{{Tenant: "a", Rollout: "r", Wanted: 1}}, NeedsUnits: true})
 	require.Equal(t, newest+1, receive(t, "budget request", requests).Start)
 }
@@ -58,31 +58,31 @@
 // canaries begin after the leader has counted its end.
 func TestLease_countsFromRequest(t *testing.T) {
 	const term, delay = time.Second, 400 * time.Millisecond
-	c := newFakeService(t)
+	service := newFakeService(t)
 	sent := make(chan time.Time, 1)
 	var clock *manualClock
 	once := func(route.Report) (int, any) {
 		sent <- clock.Now()
 		clock.advance(delay)
 		f := func(route.Report) (int, any) { return http.StatusServiceUnavailable, nil }
-		c.report.Store(&f)
+		service.report.Store(&f)
 		return http.StatusOK, route.ReportResponse{LeaseMS: term.Milliseconds()}
 	}
-	p := startClient(t, func(s *Client) { s.ActOn(3) }, newFakeService(t)) // not c yet: it needs the clock of p
-	clock = p.clock
-	c.report.Store(&once)
-	p.SetAddrs([]string{c.addr()})
+	client := startClient(t, func(s *Client) { s.ActOn(3) }, newFakeService(t)) // not c yet: it needs the clock of p
+	clock = client.clock
+	service.report.Store(&once)
+	client.SetAddrs([]string{service.addr()})
 	sentAt := receive(t, "report", sent)
-	n := p.waitUpdate("lease", func(n Update) bool { return !n.LeaseUntil.IsZero() })
+	n := client.waitUpdate("lease", func(n Update) bool { return !n.LeaseUntil.IsZero() })
 	require.Equal(t, sentAt.Add(term), n.LeaseUntil)
-	p.clock.advance(term - delay - 1)
-	_, ok := p.Begin(3, "a", true)
+	client.clock.advance(term - delay - 1)
+	_, ok := client.Begin(3, "a", true)
 	require.True(t, ok, "just before the end")
-	p.clock.advance(1)
-	_, ok = p.Begin(3, "a", true)
+	client.clock.advance(1)
+	_, ok = client.Begin(3, "a", true)
 	require.False(t, ok, "at the end")
-	require.False(t, p.Status().HasLease)
-	require.True(t, p.makeReport(1, route.Moment{}).NoLease)
+	require.False(t, client.Status().HasLease)
+	require.True(t, client.makeReport(1, route.Moment{}).NoLease)
 }
 
 // TestReport_redirectToLeader: a redirect keeps the body, and the leader is called directly from then on; when it fails
@@ -98,7 +98,7 @@
 		return http.StatusOK, route.ReportResponse{Stamp: route.Moment{Leader: "l", MS: seq.Add(1)}, LeaseMS: 10}
 	}
 	leader.report.Store(&accept)
-	p := startClient(t, nil, follower)
+	client := startClient(t, nil, follower)
 	first, second := receive(t, "report", got), receive(t, "second report", got)
 	require.Equal(t, route.Process{Name: "n0", Start: 7}, first.Process)
 	require.Equal(t, []any{"v", "d", int64(1)}, []any{first.Version, first.Config, first.Seq})
@@ -112,23 +112,23 @@
 	before := second.Seq
 	for receive(t, "report by way of the follower", got).Seq == before {
 	}
-	p.stop()
+	client.stop()
 }
 
 // TestReport_resync: a process that is behind gets the whole table with the answer, and begins a new watch.
 func TestReport_resync(t *testing.T) {
-	c := newFakeService(t)
-	c.answerReports(route.ReportResponse{})
-	p := startClient(t, nil, c)
-	watch := receive(t, "watch", c.watches)
+	service := newFakeService(t)
+	service.answerReports(route.ReportResponse{})
+	client := startClient(t, nil, service)
+	watch := receive(t, "watch", service.watches)
 	once := func(route.Report) (int, any) {
-		c.answerReports(route.ReportResponse{})
+		service.answerReports(route.ReportResponse{})
 		return http.StatusOK, route.ReportResponse{Resync: true, Table: json.RawMessage(document(t, 9)), Reason: "behind"}
 	}
-	c.report.Store(&once)
-	p.waitTable(9)
+	service.report.Store(&once)
+	client.waitTable(9)
 	receive(t, "end of the watch", watch.ended)
-	require.Equal(t, "after=9&schema=2&watch=1", receive(t, "next watch", c.watches).query)
-	require.False(t, p.Status().HasLease)
-	require.Equal(t, 1, p.log.count("why=behind"))
+	require.Equal(t, "after=9&schema=2&watch=1", receive(t, "next watch", service.watches).query)
+	require.False(t, client.Status().HasLease)
+	require.Equal(t, 1, client.log.count("why=behind"))
 }
--- a/internal/routeclient/watch_test.go
+++ b/internal/routeclient/watch_test.go
@@ -14,20 +14,20 @@
 // TestWatch_nextCopy: after a copy that fails comes the next one, and the table never goes back.
 func TestWatch_nextCopy(t *testing.T) {
 	a, b := newFakeService(t), newFakeService(t)
-	p := startClient(t, nil, a, b)
+	client := startClient(t, nil, a, b)
 	first := receive(t, "watch", a.watches)
 	require.Equal(t, "after=0&schema=2&watch=1", first.query)
 	first.write(t, document(t, 5)+"\n\n")
-	require.EqualValues(t, 5, p.waitTable(5).Rev)
+	require.EqualValues(t, 5, client.waitTable(5).Rev)
 	first.write(t, document(t, 4)+"\n"+document(t, 5)+"\n"+document(t, 7)+"\n")
-	p.waitTable(7)
+	client.waitTable(7)
 	close(first.text)
 	second := receive(t, "watch at the next copy", b.watches)
 	require.Equal(t, "after=7&schema=2&watch=1", second.query)
 	second.write(t, document(t, 6)+"\n"+document(t, 8)+"\n")
-	p.waitTable(8)
+	client.waitTable(8)
 	c := newFakeService(t)
-	p.SetAddrs([]string{c.addr()})
+	client.SetAddrs([]string{c.addr()})
 	receive(t, "end of the earlier watch", second.ended)
 	receive(t, "watch at the new address", c.watches)
 }
@@ -41,22 +41,22 @@
 
 // TestWatch_unreadableDocuments: a document that cannot be read changes nothing, and is logged once for each revision.
 func TestWatch_unreadableDocuments(t *testing.T) {
-	c := newFakeService(t)
-	p := startClient(t, nil, c)
-	watch := receive(t, "watch", c.watches)
+	service := newFakeService(t)
+	client := startClient(t, nil, service)
+	watch := receive(t, "watch", service.watches)
 	watch.write(t, document(t, 5)+"\n")
-	p.waitTable(5)
+	client.waitTable(5)
 	newer := `{"schema":9,"reads":9,"rev":6,"closed":0,"routes":[]}` + "\n"
 	watch.write(t, newer+newer+`{"schema":2,"reads":1,"rev":7,"closed":0,"routes":[{"tenant":"a","share":1.5}]}`+"\n")
 	eventually(t, "report that revision 7 is unreadable", func() bool {
-		return p.makeReport(1, route.Moment{}).UnreadableRev == 7
+		return client.makeReport(1, route.Moment{}).UnreadableRev == 7
 	})
 	watch.write(t, newer+"no document\nno document\n"+document(t, 8)[:20]+"\n")
 	half := document(t, 9)
 	watch.write(t, half)
 	close(watch.text)
 	for _, text := range []string{"", half[:len(half)-1], strings.Repeat("x", 20<<20), strings.Repeat(half, 30<<10) + "\n"} {
-		next := receive(t, "next watch", c.watches)
+		next := receive(t, "next watch", service.watches)
 		require.Equal(t, "after=5&schema=2&watch=1", next.query)
 		select {
 		case next.text <- text:
@@ -68,13 +68,13 @@
 		}
 		close(next.text)
 	}
-	next := receive(t, "last watch", c.watches)
+	next := receive(t, "last watch", service.watches)
 	require.Equal(t, "after=5&schema=2&watch=1", next.query)
 	for rev, times := range map[int]int{6: 1, 7: 1, 0: 1} {
-		require.Equal(t, times, p.log.count(fmt.Sprintf("revision=%d ", rev)), "log of revision %d", rev)
+		require.Equal(t, times, client.log.count(fmt.Sprintf("revision=%d ", rev)), "log of revision %d", rev)
 	}
-	require.Equal(t, 2, p.log.count(errLineTooLong.Error()))
+	require.Equal(t, 2, client.log.count(errLineTooLong.Error()))
 	next.write(t, document(t, 10)+"\n")
-	p.waitTable(10)
-	require.Zero(t, p.Status().UnreadableRev)
+	client.waitTable(10)
+	require.Zero(t, client.Status().UnreadableRev)
 }
