--- a/internal/lab/routescale.go
+++ b/internal/lab/routescale.go
@@ -144,7 +144,7 @@
 
 // take does what a sidecar's loop does with news.
 func (p *puppet) take() {
-	news, ok := p.steer.Take()
+	news, ok := p.steer.TakeUpdate()
 	if !ok {
 		return
 	}
@@ -160,7 +160,7 @@
 		p.acts[t.Rev] = p.at.now()
 	}
 	for _, g := range news.Grants {
-		p.purse.Grant(g.Granted, g.Keep)
+		p.purse.Grant(g.Granted, g.MaxIdle)
 	}
 	p.mu.Unlock()
 	p.offer(false)
@@ -170,15 +170,15 @@
 func (p *puppet) offer(short bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	s := routeclient.Sample{Short: short}
+	s := routeclient.Sample{NeedsUnits: short}
 	if p.route != nil {
-		s.Purses = []route.PurseState{{Tenant: p.route.Tenant, Rollout: p.route.Rollout, Granted: p.purse.Granted,
-			Spent: p.purse.Spent, Returned: p.purse.Returned, Want: 2}}
+		s.Budgets = []route.BudgetState{{Tenant: p.route.Tenant, Rollout: p.route.Rollout, Granted: p.purse.Granted,
+			Spent: p.purse.Spent, Returned: p.purse.Returned, Wanted: 2}}
 	}
 	if p.done.Rev == p.rev {
 		s.Counts = []route.Count{p.done}
 	}
-	p.steer.Offer(s)
+	p.steer.OfferSample(s)
 }
 
 // try sends one request to the canary if a unit can be set aside, and for the baseline in any case until it is told.
@@ -261,9 +261,9 @@
 // RouteModel is the same on a simulated clock, for fleets that no machine holds.
 func RouteModel(sidecars int) (*plays.Result, error) {
 	o := plays.Defaults()
-	o.Sidecars, o.Budget, o.Canary = sidecars, scaleBudget, scaleFails
+	o.Sidecars, o.Budget, o.CanaryFailureRate = sidecars, scaleBudget, scaleFails
 	o.Controller.Alpha = 1e-100 // the budget decides, as it does in the fleets that are measured: they have no base
-	r, err := plays.Play(o)
+	r, err := plays.Simulate(o)
 	if err != nil {
 		return nil, fmt.Errorf("%d simulated sidecars: %w", sidecars, err)
 	}
--- a/internal/registry/golden_test.go
+++ b/internal/registry/golden_test.go
@@ -52,15 +52,15 @@
 	return []Command{
 		{Op: OpTerm, TermMS: 15_000, Term: 2},
 		{Op: OpRoutes, Routes: &rollout.Command{Op: rollout.OpPost, AtMS: 1_700_000_001_000, Spec: &rollout.Spec{
-			Tenant: "checkout", Name: "one", To: "next", Canary: route.Subset{Model: []string{"new"}}, Budget: 10,
-			Steps: []rollout.Step{{Share: 0.5, HoldMS: 1000, Requests: 3}}, AtEnd: rollout.Return}}},
-		{Op: OpRoutes, Routes: &rollout.Command{Op: rollout.OpLedger, AtMS: 1_700_000_002_000, Entries: []rollout.Entry{
+			Tenant: "checkout", Name: "one", SubsetName: "next", Canary: route.Subset{Model: []string{"new"}}, Budget: 10,
+			Steps: []rollout.Step{{CanaryFraction: 0.5, HoldMS: 1000, MinAttempts: 3}}, AtEnd: rollout.AtEndReturn}}},
+		{Op: OpRoutes, Routes: &rollout.Command{Op: rollout.OpLedger, AtMS: 1_700_000_002_000, Entries: []rollout.LedgerEntry{
 			{Process: process, Tenant: "checkout", Rollout: "one", Granted: 4},
 			{Process: process, Tenant: "checkout", Rollout: "one", Granted: 4, Spent: 1}}}},
 		{Op: OpAudit, Seen: []SchemaSupport{{Process: process, Schemas: []int{1, 2, 3}, AtMS: 1_700_000_002_500}},
 			Audit: []audit.Transition{
-				{Process: process, AtMS: 1_700_000_002_000, Kind: audit.Acts, Rev: 5<<countBits + 1},
-				{Process: process, AtMS: 1_700_000_003_000, Kind: audit.Gone, Rev: 5<<countBits + 1, N: 7, Note: "silent"}}},
+				{Process: process, AtMS: 1_700_000_002_000, Kind: audit.FirstReport, Rev: 5<<countBits + 1},
+				{Process: process, AtMS: 1_700_000_003_000, Kind: audit.Gone, Rev: 5<<countBits + 1, Attempts: 7, Note: "silent"}}},
 	}
 }
 
--- a/internal/registry/routes_views.go
+++ b/internal/registry/routes_views.go
@@ -72,13 +72,13 @@
 		share := map[string]float64{}
 		for _, one := range table.Routes {
 			if one.Tenant == tenant {
-				v.Base, share[rollout.NameOf(one.Rollout)] = one.Base, one.Share
+				v.Base, share[rollout.RolloutName(one.Rollout)] = one.Base, one.Share
 			}
 		}
 		for _, one := range s.routes.RolloutsOf(tenant) {
-			g, spent, back := s.routes.Held(tenant, one.Spec.Name)
-			v.Rollouts = append(v.Rollouts, RolloutView{Name: one.Spec.Name, To: one.Spec.To, Phase: one.Phase, Step: one.Step,
-				Steps: len(one.Spec.Steps), Share: share[one.Spec.Name], Rev: one.Rev, SinceMS: one.SinceMS, Why: one.Why,
+			g, spent, back := s.routes.BudgetTotals(tenant, one.Spec.Name)
+			v.Rollouts = append(v.Rollouts, RolloutView{Name: one.Spec.Name, To: one.Spec.SubsetName, Phase: one.Phase, Step: one.Step,
+				Steps: len(one.Spec.Steps), Share: share[one.Spec.Name], Rev: one.Rev, SinceMS: one.ChangedAtMS, Why: one.Reason,
 				Budget: one.Spec.Budget, Granted: g, Spent: spent, Returned: back, Left: one.Spec.Budget - (g - back),
 				Evidence: min(l.controller.Evidence(tenant, one.Spec.Name), math.MaxFloat64), Note: one.Spec.Note})
 		}
@@ -143,20 +143,20 @@
 	ms := func(wall int64) int64 { return wall - l.wallMS + l.floor(l.began) }
 	now := time.Now()
 	committed, closed := r.tables.when(rev)
-	q := audit.Query{Rev: rev, From: ms(from), To: ms(to), Committed: math.MinInt64, ClosedKnown: !closed.IsZero(), Now: l.ceil(now),
-		Slack: clockSlack, Ahead: l.ceil(r.opened)}
+	q := audit.Query{Rev: rev, From: ms(from), To: ms(to), CommittedAt: math.MinInt64, ClosedKnown: !closed.IsZero(), Now: l.ceil(now),
+		Slack: clockSlack, ClockAhead: l.ceil(r.opened)}
 	if !committed.IsZero() {
-		q.Committed = l.floor(committed)
+		q.CommittedAt = l.floor(committed)
 	}
 	if q.ClosedKnown {
-		q.Closed = l.ceil(closed)
+		q.ClosedAt = l.ceil(closed)
 	}
 	r.s.hub.read(func(s *State) {
 		if newest := s.routes.Rev(); rev > newest {
 			f = refusef(http.StatusNotFound, "rev", "%d is not committed; the newest is %d", rev, newest)
 			return
 		}
-		out = l.book.Who(q, s.audit)
+		out = l.book.Summarize(q, s.audit)
 	})
 	out.Answers = r.planted.answers(out.Answers)
 	return out, f
--- a/internal/rollout/golden_test.go
+++ b/internal/rollout/golden_test.go
@@ -1,78 +1,97 @@
 package rollout_test
 
 import (
+	"bytes"
 	"encoding/json"
 	"os"
 	"testing"
 
-	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
 	. "marblelane/internal/rollout"
 	"marblelane/internal/route"
 )
 
-// goldenState has tenants with a base alone, with rollouts under way and with some that ended, and an account of each kind.
-func goldenState(t *testing.T) *State {
-	s := NewState()
-	s.Begin(7)
-	everything := route.Subset{Model: []string{"new", "large <&>"}, PodGroup: []int{1, 2}, Zone: []string{"zone-é"},
-		UID: []string{"server-1"}}
-	steps := []Step{{Share: 0.125, HoldMS: 60_000, Requests: 100}, {Share: 1, HoldMS: 0}}
-	full := &Spec{Tenant: "checkout", Name: "full", To: "next", Canary: everything, Classes: []string{"lookup", "write"},
-		Steps: steps, Budget: 500, Late: true, AtEnd: Keep, Note: "a note"}
-	plain := func(tenant, name, atEnd string) *Spec {
-		return &Spec{Tenant: tenant, Name: name, To: "next", Canary: route.Subset{Model: []string{"new"}}, Steps: steps,
-			Budget: 10, AtEnd: atEnd}
-	}
-	account := func(tenant, rollout, process string, granted, spent, returned int64, gone bool) Command {
-		grant := Entry{Process: route.Process{Name: process, Start: 9}, Tenant: tenant, Rollout: rollout, Granted: granted}
-		settlement, end := grant, grant
-		settlement.Spent, settlement.Returned, end.Gone = spent, returned, gone
-		return Command{Op: OpLedger, AtMS: 1_700_000_004_000, Entries: []Entry{grant, settlement, end}}
+// requireGolden compares a value's JSON with the bytes of a file in testdata. These files are what earlier builds have
+// written; they are never written anew.
+func requireGolden(t *testing.T, file string, value any) {
+	t.Helper()
+	want, err := os.ReadFile("testdata/" + file)
+	require.NoError(t, err)
+	got, err := json.Marshal(value)
+	require.NoError(t, err)
+	require.Equal(t, string(bytes.TrimSpace(want)), string(got))
+}
+
+// goldenCommands are commands with every field of the stored form, in an order in which a state takes them.
+func goldenCommands() []Command {
+	revision := int64(7<<28 + 1)
+	process := route.Process{Name: "sidecar-1", Start: 1764720000000000001}
+	first := &Spec{
+		Tenant: "shannonside", Name: "v2", SubsetName: "new", Classes: []string{"look", "buy"},
+		Budget: 50, LateIsFailure: true, AtEnd: AtEndKeep,
+		Note:   "second version",
+		Canary: route.Subset{Model: []string{"m2"}, PodGroup: []int{3}, Zone: []string{"z1"}, UID: []string{"u1"}},
+		Steps:  []Step{{CanaryFraction: 0.01, HoldMS: 60000, MinAttempts: 500}, {CanaryFraction: 1}},
 	}
-	for _, command := range []Command{
-		{Op: OpBase, AtMS: 1_700_000_000_000, Tenant: "checkout", Base: route.Subset{Model: []string{"old"}}},
-		{Op: OpPost, AtMS: 1_700_000_001_000, Spec: full},
-		account("checkout", "full", "process-a", 100, 20, 0, false),
-		account("checkout", "full", "process-b", 50, 5, 45, true),
-		{Op: OpForward, AtMS: 1_700_000_002_000, Tenant: "checkout", Name: "full", Step: 0},
-		{Op: OpPost, AtMS: 1_700_000_001_000, Spec: plain("paused", "one", Return)},
-		{Op: OpPause, AtMS: 1_700_000_002_000, Tenant: "paused", Name: "one", Why: "looked at"},
-		{Op: OpPost, AtMS: 1_700_000_001_000, Spec: plain("ended", "back", Return)},
-		account("ended", "back", "process-a", 10, 9, 0, false),
-		{Op: OpRollBack, AtMS: 1_700_000_002_000, Tenant: "ended", Name: "back", Why: WhySpent},
-		{Op: OpPost, AtMS: 1_700_000_003_000, Spec: plain("ended", "stopped", Return)},
-		{Op: OpStop, AtMS: 1_700_000_004_000, Tenant: "ended", Name: "stopped", Why: "by hand"},
-		{Op: OpPost, AtMS: 1_700_000_005_000, Spec: plain("ended", "done", Keep)},
-		{Op: OpForward, AtMS: 1_700_000_006_000, Tenant: "ended", Name: "done", Step: 0},
-		{Op: OpForward, AtMS: 1_700_000_007_000, Tenant: "ended", Name: "done", Step: 1},
-		{Op: OpBase, AtMS: 1_700_000_000_000, Tenant: "base alone", Base: everything},
-		{Op: OpClose, Rev: 7<<28 + 3},
-		{Op: OpSchema, Schema: 2},
-	} {
-		apply(t, s, command)
+	second := &Spec{Tenant: "shannonside", Name: "v3", SubsetName: "new", Budget: 5, AtEnd: AtEndReturn,
+		Canary: route.Subset{Model: []string{"m3"}}, Steps: []Step{{CanaryFraction: 0.25}}}
+	entry := LedgerEntry{Process: process, Tenant: "shannonside", Rollout: "v2", Granted: 4}
+	settled, gone := entry, entry
+	settled.Spent, settled.Returned = 1, 2
+	gone.Process.Name, gone.Gone = "sidecar-2", true
+	known := gone
+	known.Gone = false
+	return []Command{
+		{Op: OpBase, AtMS: 1000, Tenant: "shannonside", Base: route.Subset{Model: []string{"m1"}}, IfRev: new(int64)},
+		{Op: OpPost, AtMS: 2000, Spec: first, IfRev: &revision},
+		{Op: OpLedger, AtMS: 3000, Entries: []LedgerEntry{entry, known}},
+		{Op: OpLedger, AtMS: 3100, Entries: []LedgerEntry{settled, gone}},
+		{Op: OpForward, AtMS: 4000, Tenant: "shannonside", Name: "v2", Step: 0},
+		{Op: OpPause, AtMS: 5000, Tenant: "shannonside", Name: "v2", Reason: ReasonStragglers},
+		{Op: OpResume, AtMS: 6000, Tenant: "shannonside", Name: "v2"},
+		{Op: OpForward, AtMS: 6500, Tenant: "shannonside", Name: "v2", Step: 1},
+		{Op: OpClose, AtMS: 7000, Rev: revision + 1},
+		{Op: OpSchema, AtMS: 8000, Schema: 2},
+		{Op: OpPost, AtMS: 9000, Spec: second},
+		{Op: OpLedger, AtMS: 9100, Entries: []LedgerEntry{{Process: process, Tenant: "shannonside", Rollout: "v3", Granted: 2}}},
+		{Op: OpRollBack, AtMS: 9200, Tenant: "gone", Name: "v1", Reason: ReasonCanaryWorse},
+		{Op: OpStop, AtMS: 9300, Tenant: "gone", Name: "v1", Reason: "by hand"},
 	}
-	return s
 }
 
-// The stored form of rollouts, as it stands in the list service's snapshots, must not change.
-func TestGoldenState(t *testing.T) {
-	for name, want := range map[string]*State{"full": goldenState(t), "empty": NewState()} {
-		t.Run(name, func(t *testing.T) {
-			stored, err := os.ReadFile("testdata/golden/" + name + ".json")
-			require.NoError(t, err)
-			assert.Equal(t, string(stored), saved(t, want), "what the commands make")
-			got := NewState()
-			require.NoError(t, json.Unmarshal(stored, got))
-			assert.Equal(t, string(stored), saved(t, got), "what is written again")
-			assert.Equal(t, want.Table(), got.Table())
-			assert.Equal(t, want.Rollouts(), got.Rollouts())
-			assert.Equal(t, []int64{want.Rev(), want.Closed(), int64(want.MinSchema())},
-				[]int64{got.Rev(), got.Closed(), int64(got.MinSchema())})
-			granted, spent, returned := got.Held("checkout", "full")
-			wantGranted, wantSpent, wantReturned := want.Held("checkout", "full")
-			assert.Equal(t, []int64{wantGranted, wantSpent, wantReturned}, []int64{granted, spent, returned})
-		})
+func TestStoredForms_commands(t *testing.T) {
+	requireGolden(t, "commands.golden.json", goldenCommands())
+	var read []Command
+	text, err := os.ReadFile("testdata/commands.golden.json")
+	require.NoError(t, err)
+	require.NoError(t, json.Unmarshal(text, &read))
+	require.Equal(t, goldenCommands(), read)
+}
+
+func TestStoredForms_state(t *testing.T) {
+	s := NewState()
+	s.BeginEpoch(7)
+	for _, c := range goldenCommands() {
+		if c.Tenant == "gone" {
+			continue
+		}
+		_, err := s.Apply(&c)
+		require.NoError(t, err, "%+v", c)
 	}
+	requireGolden(t, "state.golden.json", s)
+	requireGolden(t, "rollouts.golden.json", s.Rollouts())
+	text, err := os.ReadFile("testdata/state.golden.json")
+	require.NoError(t, err)
+	read := NewState()
+	require.NoError(t, json.Unmarshal(text, read))
+	requireGolden(t, "state.golden.json", read)
+}
+
+func TestStoredForms_processStatus(t *testing.T) {
+	controller := NewController(Defaults(), 0)
+	controller.Report(100, NewState(), &route.Report{Process: route.Process{Name: "sidecar-1", Start: 9}, Seq: 1,
+		AcknowledgedRev: 3, UnreadableRev: 4,
+		ListRev: 5, Version: "v", Config: "c", Schemas: []int{1, 2}})
+	requireGolden(t, "processes.golden.json", controller.Processes(200))
 }
