--- a/cmd/marblelane/lab.go
+++ b/cmd/marblelane/lab.go
@@ -142,10 +142,10 @@
 	var o simulate.Options
 	if !c.Quiet {
 		last := time.Now()
-		o.Progress = func(share float64) {
+		o.Progress = func(fraction float64) {
 			if time.Since(last) > 2*time.Second {
 				last = time.Now()
-				fmt.Fprintf(a.errOut, "%3.0f %% played\n", 100*share)
+				fmt.Fprintf(a.errOut, "%3.0f %% played\n", 100*fraction)
 			}
 		}
 	}
--- a/cmd/marblelane/lab_growth_test.go
+++ b/cmd/marblelane/lab_growth_test.go
@@ -13,14 +13,14 @@
 
 // A sidecar that takes half a second of processor time for a long list breaks the bound, and the command fails.
 func TestGrowthCommand(t *testing.T) {
-	reel := filepath.Join(programs, "sidecar")
+	sidecarProcess := filepath.Join(programs, "sidecar")
 	wasteful := filepath.Join(t.TempDir(), "wasteful")
 	script := fmt.Sprintf(`#!/bin/sh
 if [ "$(wc -c <"$NODE_CONFIG")" -gt 100000 ]; then
 	i=0; while [ $i -lt 1500000 ]; do i=$((i+1)); done
 fi
 exec %s
-`, reel)
+`, sidecarProcess)
 	require.NoError(t, os.WriteFile(wasteful, []byte(script), 0o755))
 	quick := []string{"lab", "growth", "--rounds", "1", "--seconds", "1", "--day-seconds", "2", "--servers", "1600",
 		"--simulated-sidecars", "300", "--simulated-servers", "200", "--replaced", "0.05", "--rate", "5"}
@@ -30,10 +30,10 @@
 		code int
 		says string
 	}{
-		{"within bounds", []string{"--sidecar", reel}, exitGood, "CPU seconds        one process"},
+		{"within bounds", []string{"--sidecar", sidecarProcess}, exitGood, "CPU seconds        one process"},
 		{"wasteful", []string{"--sidecar", wasteful}, exitFail, " NO\n"},
 		{"no program", []string{"--sidecar", wasteful + "x"}, exitUse, "--sidecar"},
-		{"no servers", []string{"--sidecar", reel, "--servers", "1"}, exitUse, "1 servers"},
+		{"no servers", []string{"--sidecar", sidecarProcess, "--servers", "1"}, exitUse, "1 servers"},
 		{"no fleet", []string{"--simulated-servers=-1"}, exitUse, "--simulated-servers is negative"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
--- a/cmd/marblelane/lab_measure.go
+++ b/cmd/marblelane/lab_measure.go
@@ -121,7 +121,7 @@
 }
 
 // crowdRow is one line of the table.
-type crowdRow struct {
+type fleetLoadRow struct {
 	Callers  int     `json:"callers"`
 	Capacity float64 `json:"lines_per_s"`
 	Waste    bool    `json:"waste"`
@@ -130,7 +130,7 @@
 
 func (c *labCrowd) Run(a *app) error {
 	ms := func(d time.Duration) float64 { return float64(d) / float64(time.Millisecond) }
-	var rows []crowdRow
+	var rows []fleetLoadRow
 	for _, n := range c.Callers {
 		for _, capacity := range c.Capacity {
 			for _, waste := range []bool{false, true} {
@@ -139,11 +139,11 @@
 				if err != nil {
 					return err
 				}
-				rows = append(rows, crowdRow{n, capacity, waste, r})
+				rows = append(rows, fleetLoadRow{n, capacity, waste, r})
 			}
 		}
 	}
-	return show(a, c.JSON, rows, func(w io.Writer, rows []crowdRow) {
+	return show(a, c.JSON, rows, func(w io.Writer, rows []fleetLoadRow) {
 		fmt.Fprintf(w, "%8s %8s %6s %7s %9s %7s %6s %9s %9s %7s\n", "sidecars", "lines/s", "waste", "calls", "answered", "failed",
 			"told", "p50 s", "last s", "useful")
 		for _, r := range rows {
--- a/cmd/marblelane/lab_program.go
+++ b/cmd/marblelane/lab_program.go
@@ -86,15 +86,15 @@
 //
 // NAME~KIND is a scenario without its faults of the kinds that begin with KIND: what it would be if they were not there.
 func load(name string) (*scenario.Scenario, error) {
-	if whole, kind, cut := strings.Cut(name, "~"); cut {
-		s, err := load(whole)
+	if complete, kind, cut := strings.Cut(name, "~"); cut {
+		s, err := load(complete)
 		if err != nil {
 			return nil, err
 		}
 		before := len(s.Faults)
 		s.Faults = slices.DeleteFunc(s.Faults, func(f scenario.Fault) bool { return strings.HasPrefix(f.Kind, kind) })
 		if len(s.Faults) == before {
-			return nil, fmt.Errorf("%s has no fault of a kind that begins with %q", whole, kind)
+			return nil, fmt.Errorf("%s has no fault of a kind that begins with %q", complete, kind)
 		}
 		return s, nil
 	}
--- a/cmd/marblelane/main.go
+++ b/cmd/marblelane/main.go
@@ -66,7 +66,7 @@
 		return exitUse
 	}
 	k, err := parser.Parse(args)
-	if ended >= 0 { // help was asked for and given
+	if ended >= 0 { // --help was given
 		return ended
 	}
 	if err != nil {
--- a/cmd/marblelane/main_test.go
+++ b/cmd/marblelane/main_test.go
@@ -50,7 +50,7 @@
 	}
 	short := file("short.toml", "title = \"short\"\nlength = \"1s\"\n[sidecars]\ncount = 1\n[servers]\ncount = 2\n")
 	hopeless := file("hopeless.toml", "title = \"hopeless\"\nlength = \"1s\"\n[sidecars]\ncount = 1\n[servers]\ncount = 2\n[expect]\np99 = \"1ms\"\n")
-	reel := filepath.Join(programs, "sidecar")
+	sidecarProcess := filepath.Join(programs, "sidecar")
 	for _, c := range []struct {
 		name      string
 		args      []string
@@ -69,7 +69,7 @@
 		{"bad file", []string{"lab", "check", file("bad.toml", "title = \"x\"\nlength = \"5\"\n")}, 2, "", "bad.toml:2: length:"},
 		{"no program", []string{"lab", "run", short, "--sidecar", filepath.Join(dir, "none")}, 2, "", "--sidecar"},
 		{"no executable", []string{"lab", "run", short, "--sidecar", short}, 2, "", "is no program"},
-		{"expectation", []string{"lab", "run", hopeless, "--sidecar", reel}, 1, "\nFAIL: p99 (ms) is ", ""},
+		{"expectation", []string{"lab", "run", hopeless, "--sidecar", sidecarProcess}, 1, "\nFAIL: p99 (ms) is ", ""},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			var out, said bytes.Buffer
@@ -213,10 +213,10 @@
 	if err := os.WriteFile(path, []byte("title = \"brief\"\nlength = \"1s\"\n[sidecars]\ncount = 1\n[servers]\ncount = 2\n"), 0o644); err != nil {
 		t.Fatal(err)
 	}
-	reel := filepath.Join(programs, "sidecar")
+	sidecarProcess := filepath.Join(programs, "sidecar")
 	dir := filepath.Join(t.TempDir(), "report")
 	var out, said bytes.Buffer
-	code := run(t.Context(), []string{"lab", "compare", reel, reel, "--scenario", path, "--plays", "2", "--report", dir}, &out, &said)
+	code := run(t.Context(), []string{"lab", "compare", sidecarProcess, sidecarProcess, "--scenario", path, "--plays", "2", "--report", dir}, &out, &said)
 	if code != exitGood || !strings.Contains(out.String(), "2 plays each, seeds 1 to 2") || !strings.Contains(said.String(), "play 2 of 2") {
 		t.Errorf("it ended with %d\nout: %s\nerr: %s", code, out.String(), said.String())
 	}
@@ -225,26 +225,26 @@
 	}
 }
 
-func TestScenarioWithoutFaults(t *testing.T) {
-	whole, err := load("list-half")
+func TestLoad_withoutFaults(t *testing.T) {
+	complete, err := load("list-half")
 	if err != nil {
 		t.Fatal(err)
 	}
 	sound, err := load("list-half~list-")
-	if err != nil || len(sound.Faults) != len(whole.Faults)-1 || len(sound.Faults) == 0 {
-		t.Errorf("%d faults of %d are left, %v", len(sound.Faults), len(whole.Faults), err)
+	if err != nil || len(sound.Faults) != len(complete.Faults)-1 || len(sound.Faults) == 0 {
+		t.Errorf("%d faults of %d are left, %v", len(sound.Faults), len(complete.Faults), err)
 	}
 	if _, err := load("list-half~sidecar-"); err == nil || !strings.Contains(err.Error(), `"sidecar-"`) {
 		t.Errorf("a kind that is not there: %v", err)
 	}
 }
 
-func TestCrowdCommand(t *testing.T) {
+func TestLabCrowd(t *testing.T) {
 	var out, errOut bytes.Buffer
 	if code := run(t.Context(), []string{"lab", "crowd", "--callers", "5", "--capacity", "4000", "--length", "5s", "--json"}, &out, &errOut); code != exitGood {
 		t.Fatalf("exit %d: %s", code, errOut.String())
 	}
-	var rows []crowdRow
+	var rows []fleetLoadRow
 	if err := json.Unmarshal(out.Bytes(), &rows); err != nil || len(rows) != 2 || rows[0].Told != 5 {
 		t.Errorf("%v: %s", err, out.String())
 	}
--- a/cmd/marblelane/members.go
+++ b/cmd/marblelane/members.go
@@ -24,13 +24,13 @@
 	Diff  membersDiff  `cmd:"" help:"Ask several processes and print where their views differ. Ends with 0 if they agree, 1 if not, 2 if one cannot be asked."`
 }
 
-// member is the process that is asked.
+// member is the process to query.
 type member struct {
 	Addr string        `arg:"" help:"HOST:PORT: the management address of a sidecar, or the address of a copy of the list service."`
 	Wait time.Duration `help:"How long an answer may take." default:"3s"`
 }
 
-// client checks the arguments before anybody is asked.
+// client checks the arguments before any process is queried.
 func (m *member) client() (*view.Client, error) {
 	if err := view.CheckAddr(m.Addr); err != nil {
 		return nil, fmt.Errorf("ADDR %w", err)
@@ -45,8 +45,8 @@
 	return &view.Client{Timeout: wait}, nil
 }
 
-// wrong names the argument that an error is of.
-func (m *member) wrong(err error) error {
+// withAddr names the argument that an error is about.
+func (m *member) withAddr(err error) error {
 	if err == nil {
 		return nil
 	}
@@ -65,24 +65,24 @@
 	}
 	r, err := client.Report(a.ctx, c.Addr)
 	if err != nil {
-		return c.wrong(err)
+		return c.withAddr(err)
 	}
 	return show(a, c.JSON, r, printMembers)
 }
 
 func printMembers(w io.Writer, r *membership.Report) {
-	believed := ""
+	estimate := ""
 	if r.EstimatedSize > 0 {
-		believed = fmt.Sprintf(", decides as one of %.3g", r.EstimatedSize)
+		estimate = fmt.Sprintf(", decides as one of %.3g", r.EstimatedSize)
 	}
-	fmt.Fprintf(w, "%s in fleet %q: %s%s; %d changes, %d dropped\n", idText(r.Self), r.Fleet, viewText(r), believed,
+	fmt.Fprintf(w, "%s in fleet %q: %s%s; %d changes, %d dropped\n", idText(r.Self), r.Fleet, viewText(r), estimate,
 		r.Changes, r.Dropped)
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(t, "NAME\tSTART\tSTATE\tFOR\tHEARD\tROLE\tZONE\tVERSION\tADDRESS\tNOTE")
 	for _, m := range r.Members {
-		heard := "never"
+		lastAlive := "never"
 		if m.LastAliveMS >= 0 {
-			heard = forText(m.LastAliveMS) + " ago"
+			lastAlive = forText(m.LastAliveMS) + " ago"
 		}
 		var notes []string
 		if m.Proof != "" {
@@ -91,7 +91,7 @@
 		if m.Duplicate {
 			notes = append(notes, "twin")
 		}
-		fmt.Fprintf(t, "%s\t%d\t%s\t%s\t%s\t%s\t%s\t%s\t%s\t%s\n", m.Name, m.Start, m.State, forText(m.SinceMS), heard,
+		fmt.Fprintf(t, "%s\t%d\t%s\t%s\t%s\t%s\t%s\t%s\t%s\t%s\n", m.Name, m.Start, m.State, forText(m.SinceMS), lastAlive,
 			orDash(m.Role), orDash(m.Zone), orDash(m.Version), orDash(m.Addr), orDash(strings.Join(notes, ", ")))
 	}
 	t.Flush() // its writer is not given errors by commands
@@ -148,7 +148,7 @@
 	}, func(err error, again time.Duration) {
 		fmt.Fprintf(a.errOut, "ADDR %s: %v; asking again in %v\n", c.Addr, err, again.Round(time.Millisecond))
 	})
-	return c.wrong(err)
+	return c.withAddr(err)
 }
 
 // printChanges writes what has changed since the last report; nil: there was none, all is new.
@@ -185,7 +185,7 @@
 		return err
 	}
 	if err := client.Leave(a.ctx, c.Addr); err != nil {
-		return c.wrong(err)
+		return c.withAddr(err)
 	}
 	fmt.Fprintf(a.out, "%s leaves\n", c.Addr)
 	return nil
@@ -205,7 +205,7 @@
 	}
 	r, err := client.Report(a.ctx, c.Addr)
 	if err != nil {
-		return c.wrong(err)
+		return c.withAddr(err)
 	}
 	id := roster.ID{Name: c.Name, Start: c.Start}
 	var starts []string
@@ -231,26 +231,26 @@
 			c.Addr)
 	}
 	if err := client.ConfirmGone(a.ctx, c.Addr, id); err != nil {
-		return c.wrong(err)
+		return c.withAddr(err)
 	}
 	fmt.Fprintf(a.out, "%s counts as gone\n", idText(id))
 	return nil
 }
 
 type membersDiff struct {
-	Addrs []string      `arg:"" name:"addr" help:"HOST:PORT of each process, two at least."`
-	Wait  time.Duration `help:"How long an answer may take." default:"3s"`
-	Most  int           `help:"How many are asked at a time." default:"16" placeholder:"N"`
-	Apart time.Duration `help:"They are asked twice, so far apart: what differs at both moments alike is lasting, else it is news on its way." default:"2s"`
-	JSON  bool          `help:"Print JSON in place of the table." name:"json"`
+	Addrs       []string      `arg:"" name:"addr" help:"HOST:PORT of each process, two at least."`
+	Wait        time.Duration `help:"How long an answer may take." default:"3s"`
+	MaxParallel int           `name:"most" help:"How many are asked at a time." default:"16" placeholder:"N"`
+	Apart       time.Duration `help:"They are asked twice, so far apart: what differs at both moments alike is lasting, else it is news on its way." default:"2s"`
+	JSON        bool          `help:"Print JSON in place of the table." name:"json"`
 }
 
 // viewDiff is what came of asking several processes.
 type viewDiff struct {
 	InAgreement bool              `json:"in_agreement"`
-	Digests     map[string]string `json:"digests"` // by address, of those that were asked
+	Digests     map[string]string `json:"digests"` // by address, of those that answered
 	Differences []view.Difference `json:"differences"`
-	Unasked     map[string]string `json:"unasked"` // by address, why
+	Unobserved  map[string]string `json:"unasked"` // by address, why
 }
 
 func (c *membersDiff) Run(a *app) error {
@@ -258,11 +258,11 @@
 	if err != nil {
 		return err
 	}
-	asked := client.Observe(a.ctx, c.Addrs, c.Apart)
+	observations := client.Observe(a.ctx, c.Addrs, c.Apart)
 	if err := a.ctx.Err(); err != nil {
 		return fmt.Errorf("diff: %w", err)
 	}
-	d, err := diffOf(asked)
+	d, err := diffOf(observations)
 	if err != nil {
 		return err
 	}
@@ -272,7 +272,7 @@
 	switch {
 	case !d.InAgreement:
 		return errExit(exitFail)
-	case len(d.Unasked) > 0:
+	case len(d.Unobserved) > 0:
 		return errExit(exitUse)
 	}
 	return nil
@@ -290,44 +290,44 @@
 			return nil, fmt.Errorf("ADDR %s: is given twice", addr)
 		}
 	}
-	if c.Most < 1 {
-		return nil, fmt.Errorf("--most %d: is below 1", c.Most)
+	if c.MaxParallel < 1 {
+		return nil, fmt.Errorf("--most %d: is below 1", c.MaxParallel)
 	}
 	if c.Apart < 0 {
 		return nil, fmt.Errorf("--apart %v: is negative", c.Apart)
 	}
 	client, err := clientFor(c.Wait)
 	if err == nil {
-		client.MaxParallel = c.Most
+		client.MaxParallel = c.MaxParallel
 	}
 	return client, err
 }
 
 // diffOf compares what was said. Processes of several fleets cannot be compared.
-func diffOf(asked []view.Observation) (*viewDiff, error) {
-	d := &viewDiff{Digests: map[string]string{}, Unasked: map[string]string{}, Differences: view.Diff(asked)}
-	var one *view.Observation
-	for i := range asked {
-		s := &asked[i]
-		if !s.Complete() {
-			d.Unasked[s.Addr] = s.Err.Error()
+func diffOf(observations []view.Observation) (*viewDiff, error) {
+	d := &viewDiff{Digests: map[string]string{}, Unobserved: map[string]string{}, Differences: view.Diff(observations)}
+	var first *view.Observation
+	for i := range observations {
+		observation := &observations[i]
+		if !observation.Complete() {
+			d.Unobserved[observation.Addr] = observation.Err.Error()
 			continue
 		}
-		if one == nil {
-			one = s
+		if first == nil {
+			first = observation
 		}
-		if s.Second.Fleet != one.Second.Fleet {
-			return nil, fmt.Errorf("ADDR %s: is of fleet %q, and %s of %q", s.Addr, s.Second.Fleet, one.Addr, one.Second.Fleet)
+		if observation.Second.Fleet != first.Second.Fleet {
+			return nil, fmt.Errorf("ADDR %s: is of fleet %q, and %s of %q", observation.Addr, observation.Second.Fleet, first.Addr, first.Second.Fleet)
 		}
-		d.Digests[s.Addr] = fmt.Sprintf("%016x", view.Digest(s.Second))
+		d.Digests[observation.Addr] = fmt.Sprintf("%016x", view.Digest(observation.Second))
 	}
-	d.InAgreement = len(d.different()) < 2 &&
+	d.InAgreement = len(d.distinctDigests()) < 2 &&
 		!slices.ContainsFunc(d.Differences, func(x view.Difference) bool { return x.Stage != view.Resolved })
 	return d, nil
 }
 
 // different are the digests that there are.
-func (d *viewDiff) different() []string {
+func (d *viewDiff) distinctDigests() []string {
 	return slices.Compact(slices.Sorted(maps.Values(d.Digests)))
 }
 
@@ -344,10 +344,10 @@
 		}
 		t.Flush() // as in printMembers
 	}
-	for _, addr := range slices.Sorted(maps.Keys(d.Unasked)) {
-		fmt.Fprintf(w, "ADDR %s: cannot be asked: %s\n", addr, d.Unasked[addr])
+	for _, addr := range slices.Sorted(maps.Keys(d.Unobserved)) {
+		fmt.Fprintf(w, "ADDR %s: cannot be asked: %s\n", addr, d.Unobserved[addr])
 	}
-	if digests := d.different(); len(digests) > 1 {
+	if digests := d.distinctDigests(); len(digests) > 1 {
 		for _, addr := range slices.Sorted(maps.Keys(d.Digests)) {
 			fmt.Fprintf(w, "digest %s at %s\n", d.Digests[addr], addr)
 		}
--- a/cmd/marblelane/members_test.go
+++ b/cmd/marblelane/members_test.go
@@ -20,37 +20,37 @@
 
 // fleetProcess stands in for a process with a section members.
 type fleetProcess struct {
-	addr string
-	mu   sync.Mutex
-	said []string // what it was told, in turn
+	addr     string
+	mu       sync.Mutex
+	received []string // calls, in turn
 }
 
-func (p *fleetProcess) heard() string {
+func (p *fleetProcess) calls() string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return strings.Join(p.said, "; ")
+	return strings.Join(p.received, "; ")
 }
 
 // newFleetProcess answers with the reports in turn, and with the last one from then on; a watch gets all of them.
 func newFleetProcess(t *testing.T, reports ...string) *fleetProcess {
 	t.Helper()
-	p, asked := &fleetProcess{}, 0
+	p, watches := &fleetProcess{}, 0
 	srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		p.mu.Lock()
 		defer p.mu.Unlock()
 		body, _ := io.ReadAll(r.Body)
 		switch {
 		case r.URL.Path == "/members" && r.URL.Query().Get("watch") == "1":
-			if asked++; asked > 1 {
+			if watches++; watches > 1 {
 				http.Error(w, "gone", http.StatusNotFound)
 				return
 			}
 			fmt.Fprintln(w, strings.Join(reports, "\n\n"))
 		case r.URL.Path == "/members":
-			fmt.Fprintln(w, reports[min(asked, len(reports)-1)])
-			asked++
+			fmt.Fprintln(w, reports[min(watches, len(reports)-1)])
+			watches++
 		default:
-			p.said = append(p.said, r.Method+" "+r.URL.Path+" "+string(body))
+			p.received = append(p.received, r.Method+" "+r.URL.Path+" "+string(body))
 		}
 	}))
 	t.Cleanup(srv.Close)
@@ -119,7 +119,7 @@
 			}
 		})
 	}
-	for _, c := range []struct{ report, says, told string }{
+	for _, c := range []struct{ report, says, call string }{
 		{silent, "gone n1 6", `POST /members/gone {"name":"n1","start":6}`},
 		{alive, "gone n1 6 --yes", `POST /members/gone {"name":"n1","start":6}`},
 		{alive, "leave", "POST /members/leave "},
@@ -128,7 +128,7 @@
 		words := strings.Fields(c.says)
 		args := append([]string{"members", words[0], p.addr}, words[1:]...)
 		require.Equal(t, exitGood, run(t.Context(), args, io.Discard, io.Discard))
-		assert.Equal(t, c.told, p.heard())
+		assert.Equal(t, c.call, p.calls())
 	}
 }
 
@@ -155,7 +155,7 @@
 func (f writerFunc) Write(b []byte) (int, error) { return f(b) }
 
 func TestRequestCostCommand(t *testing.T) {
-	reel := filepath.Join(programs, "sidecar")
+	sidecarProcess := filepath.Join(programs, "sidecar")
 	section := filepath.Join(t.TempDir(), "doubt.json")
 	require.NoError(t, os.WriteFile(section, []byte(`{"list_doubt_share":0.5}`), 0o644))
 	quick := []string{"lab", "request-cost", "--rounds", "2", "--seconds", "0.1", "--connections", "2", "--quiet"}
@@ -165,11 +165,11 @@
 		code int
 		says string
 	}{
-		{"a section", []string{"--sidecar", reel, "--with", section}, 0, "\ndoubt"},
+		{"a section", []string{"--sidecar", sidecarProcess, "--with", section}, 0, "\ndoubt"},
 		{"no program", []string{"--program", "a=" + section + "x"}, 2, "--program a="},
-		{"no name", []string{"--program", "=" + reel}, 2, "NAME=FILE"},
-		{"no object", []string{"--program", "a=" + reel, "--with", "b=" + reel}, 2, "is no JSON object"},
-		{"no base", []string{"--program", "a=" + reel, "--base", "b"}, 2, `no variant "b"`},
+		{"no name", []string{"--program", "=" + sidecarProcess}, 2, "NAME=FILE"},
+		{"no object", []string{"--program", "a=" + sidecarProcess, "--with", "b=" + sidecarProcess}, 2, "is no JSON object"},
+		{"no base", []string{"--program", "a=" + sidecarProcess, "--base", "b"}, 2, `no variant "b"`},
 		{"no members", []string{"--members", "-1"}, 2, "--members"},
 		{"no time", []string{"--seconds", "0"}, 2, "--seconds 0"},
 	} {
--- a/cmd/marblelane/register.go
+++ b/cmd/marblelane/register.go
@@ -57,7 +57,7 @@
 	left := make(chan error, 1)
 	go func() { left <- agent.Run(ctx) }()
 	select {
-	case err := <-ended: // nobody is there to drain
+	case err := <-ended: // the server has ended: there is nothing to drain
 		agent.Gone()
 		cancel()
 		return errors.Join(<-left, exitOf(err))
--- a/cmd/marblelane/registry.go
+++ b/cmd/marblelane/registry.go
@@ -72,7 +72,7 @@
 	return supervisor.Run(ctx)
 }
 
-// remote is a copy that is asked.
+// remote is the copy to query.
 type remote struct {
 	Addr string        `help:"Address of a copy." default:"127.0.0.1:8500" placeholder:"HOST:PORT"`
 	Wait time.Duration `help:"How long an answer may take." default:"10s"`
--- a/cmd/marblelane/registry_state.go
+++ b/cmd/marblelane/registry_state.go
@@ -35,8 +35,8 @@
 	Force  bool   `help:"Also if something answers where the configuration's copies serve."`
 }
 
-// restoreAsks is how long each of the configuration's copies may take to show that it runs.
-const restoreAsks = time.Second
+// restoreProbeTimeout is how long each of the configuration's copies may take to show that it runs.
+const restoreProbeTimeout = time.Second
 
 func (c *registryRestore) Run(a *app) error {
 	cfg, err := registry.LoadConfig(c.Config)
@@ -51,7 +51,7 @@
 		return fmt.Errorf("restore: %w", err)
 	}
 	defer f.Close()
-	if alive := registry.OldCopies(cfg, restoreAsks); len(alive) > 0 && !c.Force {
+	if alive := registry.OldCopies(cfg, restoreProbeTimeout); len(alive) > 0 && !c.Force {
 		return fmt.Errorf("restore: %s still answers; end the old cluster first, or it may take the new one over; "+
 			"--force restores all the same", strings.Join(alive, ", "))
 	}
--- a/cmd/marblelane/registry_test.go
+++ b/cmd/marblelane/registry_test.go
@@ -191,7 +191,7 @@
 
 // A server is run and registered, a real sidecar follows the list with no change of its own, and at SIGTERM the server
 // is marked Terminating, waited for, ended and taken off.
-func TestRegisterRunsAServerThatASidecarFollows(t *testing.T) {
+func TestRegister_sidecarFollows(t *testing.T) {
 	dir := t.TempDir()
 	config := filepath.Join(dir, "one.toml")
 	if err := os.WriteFile(config, []byte("name = \"one\"\nlisten = \"127.0.0.1:0\"\nraft = \"127.0.0.1:0\"\nbeat = \"50ms\"\n"), 0o644); err != nil {
@@ -206,18 +206,18 @@
 	if err := os.WriteFile(sidecar, []byte(text), 0o644); err != nil {
 		t.Fatal(err)
 	}
-	reel := exec.Command(filepath.Join(programs, "sidecar"))
-	reel.Env = []string{"NODE_CONFIG=" + sidecar}
-	log, err := reel.StderrPipe()
+	sidecarProcess := exec.Command(filepath.Join(programs, "sidecar"))
+	sidecarProcess.Env = []string{"NODE_CONFIG=" + sidecar}
+	log, err := sidecarProcess.StderrPipe()
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := reel.Start(); err != nil {
+	if err := sidecarProcess.Start(); err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() {
-		reel.Process.Kill()
-		reel.Wait()
+		sidecarProcess.Process.Kill()
+		sidecarProcess.Wait()
 	})
 	management := ""
 	lines := bufio.NewScanner(log)
--- a/cmd/marblelane/replace.go
+++ b/cmd/marblelane/replace.go
@@ -31,14 +31,14 @@
 	Within time.Duration `help:"How long it may take; asked for again it goes on where it was." default:"1m"`
 }
 
-// errStays is what no later try changes.
-var errStays = errors.New("replace-copy")
+// errPermanent reports what no later attempt can change.
+var errPermanent = errors.New("replace-copy")
 
-// Run takes one step after the other, each from what the leader says then: so it may end anywhere and be asked for
-// again.
+// Run takes one step after the other, each from the leader's status at that time: so it may end anywhere, and a second
+// run continues.
 func (c *registryReplaceCopy) Run(a *app) error {
 	if c.Old == c.New {
-		return fmt.Errorf("%w: OLD and NEW are both %q: a copy comes back under another name", errStays, c.Old)
+		return fmt.Errorf("%w: OLD and NEW are both %q: a copy comes back under another name", errPermanent, c.Old)
 	}
 	ctx, cancel := context.WithTimeout(a.ctx, c.Within)
 	defer cancel()
@@ -48,8 +48,8 @@
 	waits := ""
 	for {
 		done, err := r.step()
-		if done || errors.Is(err, errStays) {
-			return r.behind(err)
+		if done || errors.Is(err, errPermanent) {
+			return r.withProgress(err)
 		}
 		if err != nil && ctx.Err() == nil {
 			waits = err.Error()
@@ -57,9 +57,9 @@
 		}
 		select {
 		case <-a.ctx.Done():
-			return r.behind(fmt.Errorf("%w: ended before it was done, ask again to go on", errStays))
+			return r.withProgress(fmt.Errorf("%w: ended before it was done, ask again to go on", errPermanent))
 		case <-ctx.Done():
-			return r.behind(fmt.Errorf("%w: not done within %v, ask again to go on; it waited for: %s", errStays, c.Within,
+			return r.withProgress(fmt.Errorf("%w: not done within %v, ask again to go on; it waited for: %s", errPermanent, c.Within,
 				waits))
 		case <-time.After(replaceEvery):
 		}
@@ -76,7 +76,7 @@
 	mute   bool            // ... and has acknowledged nothing to the leader
 }
 
-// say prints a line, but not again at each try; figures in it may change meanwhile.
+// say prints a line once, not at each attempt; numbers in it may change meanwhile.
 func (r *replacing) say(line string) {
 	key := strings.Map(func(c rune) rune {
 		if unicode.IsDigit(c) {
@@ -90,8 +90,8 @@
 	}
 }
 
-// behind adds to an error what the replacement leaves behind so far.
-func (r *replacing) behind(err error) error {
+// withProgress adds to an error what the replacement has changed so far.
+func (r *replacing) withProgress(err error) error {
 	if err == nil || !r.learns {
 		return err
 	}
@@ -105,7 +105,7 @@
 
 // step takes the next step, if it can be taken yet.
 func (r *replacing) step() (done bool, err error) {
-	leader, st, err := r.leading()
+	leader, st, err := r.findLeader()
 	if err != nil {
 		return false, err
 	}
@@ -114,30 +114,30 @@
 	r.learns, r.mute = known && !fresh.Votes, fresh.AckMS < 0
 	switch {
 	case known && fresh.Raft != r.Raft:
-		return false, fmt.Errorf("%w: copy %s is at %s, not at %s", errStays, r.New, fresh.Raft, r.Raft)
+		return false, fmt.Errorf("%w: copy %s is at %s, not at %s", errPermanent, r.New, fresh.Raft, r.Raft)
 	case !there && fresh.Votes:
-		return r.before(leader)
+		return r.replacedBefore(leader)
 	case !there: // it goes last
-		return false, fmt.Errorf("%w: %s is no copy", errStays, r.Old)
+		return false, fmt.Errorf("%w: %s is no copy", errPermanent, r.Old)
 	}
 	if why := atWork(old); why != "" && !r.Force {
 		if old.Member == membership.Gone { // just now
 			return false, fmt.Errorf("%s to be silent: %s", r.Old, why)
 		}
-		return false, fmt.Errorf("%w: %s is at work, %s; --force replaces it all the same", errStays, r.Old, why)
+		return false, fmt.Errorf("%w: %s is at work, %s; --force replaces it all the same", errPermanent, r.Old, why)
 	}
 	own, err := r.status(r.Serve)
 	switch {
 	case err != nil:
 		return false, fmt.Errorf("%s does not run: %w", r.New, err)
 	case own.Name != r.New:
-		return false, fmt.Errorf("%w: at %s answers copy %q, not %s", errStays, r.Serve, own.Name, r.New)
+		return false, fmt.Errorf("%w: at %s answers copy %q, not %s", errPermanent, r.Serve, own.Name, r.New)
 	}
 	switch {
 	case !known:
 		body, err := json.Marshal(registry.Peer{Raft: r.Raft, Serve: r.Serve})
 		if err != nil {
-			return false, fmt.Errorf("%w: %w", errStays, err)
+			return false, fmt.Errorf("%w: %w", errPermanent, err)
 		}
 		r.say(fmt.Sprintf("%s learns (membership says of %s: %s)", r.New, r.Old, old.Member))
 		err = r.post(leader, r.New, "/learn", body)
@@ -157,7 +157,7 @@
 	if err := r.post(leader, r.Old, "/retire", nil); err != nil {
 		return false, err
 	}
-	return r.done() // who is asked may be the old copy, which hears of no leader any more
+	return r.done() // the copy that is queried may be the old one, which knows no leader any more
 }
 
 func (r *replacing) done() (bool, error) {
@@ -165,9 +165,9 @@
 	return true, nil
 }
 
-// before tells a replacement that was done before from a name that is wrong. The cluster keeps nothing of a copy that
+// replacedBefore distinguishes a replacement that has been done before from a wrong name. The cluster keeps nothing of a copy that
 // went; it was one if the leader's membership knows it as a list copy that is not there any more.
-func (r *replacing) before(leader string) (bool, error) {
+func (r *replacing) replacedBefore(leader string) (bool, error) {
 	at := remote{Addr: leader, Wait: r.Wait}
 	if answer, err := at.call(r.a, "GET", "/members", nil); err == nil {
 		defer answer.Close()
@@ -186,7 +186,7 @@
 		}
 	}
 	return false, fmt.Errorf("%w: nothing to do: %s is no copy, nor one that membership knows to have gone, and %s has "+
-		"its vote", errStays, r.Old, r.New)
+		"its vote", errPermanent, r.Old, r.New)
 }
 
 // atWork tells why a copy is taken for alive; empty: it is not.
@@ -208,8 +208,8 @@
 	return all[i], true
 }
 
-// leading asks the copy for the leader, and that for what it has.
-func (r *replacing) leading() (string, *registry.Status, error) {
+// findLeader gets the leader from the copy, and the status from the leader.
+func (r *replacing) findLeader() (string, *registry.Status, error) {
 	st, err := r.status(r.Addr)
 	if err != nil || st.Leads {
 		return r.Addr, st, err
@@ -245,7 +245,7 @@
 		return answer.Close()
 	}
 	if strings.Contains(err.Error(), " 404 ") {
-		return fmt.Errorf("%w: the leader is of an earlier version: %w", errStays, err)
+		return fmt.Errorf("%w: the leader is of an earlier version: %w", errPermanent, err)
 	}
 	return err
 }
--- a/cmd/marblelane/replace_test.go
+++ b/cmd/marblelane/replace_test.go
@@ -28,12 +28,12 @@
 	cmd *exec.Cmd
 }
 
-// free gives addresses that nobody has, and that no connection is given as its own end: those are higher. What others
-// are told of has to be known before the start.
+// free gives addresses that are unused, and that no connection gets as its local end: those are higher. Addresses that other
+// processes are configured with have to be known before the start.
 func free(t *testing.T, n int) (out []string) {
 	t.Helper()
-	for tries := 0; len(out) < n; tries++ {
-		require.Less(t, tries, 100)
+	for attempts := 0; len(out) < n; attempts++ {
+		require.Less(t, attempts, 100)
 		l, err := net.Listen("tcp", fmt.Sprint("127.0.0.1:", 10_000+rand.N(20_000)))
 		if err == nil {
 			defer l.Close()
@@ -137,10 +137,10 @@
 	require.NoError(t, old.cmd.Process.Kill())
 	wait("its end", func() bool { return l.stands(t, old.Name) == membership.Gone })
 	// One that does not run is not waited for with the cluster at risk: it never gets to vote.
-	nobody := &realCopy{Peer: registry.Peer{Name: "r9", Raft: "127.0.0.1:1", Serve: "127.0.0.1:1"}}
-	replace(exitUse, "r9 does not run", nobody, "--within", "4s")
+	notRunning := &realCopy{Peer: registry.Peer{Name: "r9", Raft: "127.0.0.1:1", Serve: "127.0.0.1:1"}}
+	replace(exitUse, "r9 does not run", notRunning, "--within", "4s")
 	require.Len(t, l.status(t).Copies, 3)
-	// Ended in the middle, and asked for again.
+	// Ended half-way, and run again.
 	ctx, cancel := context.WithCancel(t.Context())
 	var out, said bytes.Buffer
 	ended := make(chan int)
@@ -148,7 +148,7 @@
 		args := []string{"registry", "replace-copy", "--addr", l.Serve, old.Name, fresh.Name, fresh.Raft, fresh.Serve}
 		ended <- run(ctx, args, &out, &said)
 	}()
-	wait("the first step", func() bool { _, begun := find(l.status(t).Copies, fresh.Name); return begun })
+	wait("the first step", func() bool { _, started := find(l.status(t).Copies, fresh.Name); return started })
 	cancel()
 	<-ended
 	done := fmt.Sprintf("%s is in the place of %s\n", fresh.Name, old.Name)
@@ -164,11 +164,11 @@
 	put := []string{"registry", "put", "s-1", "127.0.0.1:81", "--addr", fresh.Serve}
 	require.Equal(t, exitGood, run(t.Context(), put, &out, &said))
 	old = l
-	replace(exitUse, "is at work", nobody) // the leader itself
+	replace(exitUse, "is at work", notRunning) // the leader itself
 }
 
 // What is wrong is found before anything is changed, or is said with what stays of it.
-func TestReplaceCopyWithWhatIsWrong(t *testing.T) {
+func TestReplaceCopy_invalid(t *testing.T) {
 	all, fresh := startCopies(t, 3)
 	at := all[0].Serve
 	require.Eventually(t, func() bool {
@@ -202,7 +202,7 @@
 	require.NoError(t, err)
 	defer l.Close()
 	wrong.Raft = l.Addr().String()
-	for range 2 { // asked for again it says so, too
+	for range 2 { // a second run reports it, too
 		text = replace(all[2].Name, wrong, "--within", "2s")
 		require.Contains(t, text, "r3 stays as a copy without a vote, and has acknowledged nothing at "+wrong.Raft)
 	}
--- a/cmd/marblelane/state.go
+++ b/cmd/marblelane/state.go
@@ -14,22 +14,22 @@
 	Verify stateVerify `cmd:"" help:"Say of a file, or each in a folder, whether it is sound; exit 1 where one is not."`
 }
 
-// stateFiles are the files that are asked about.
+// stateFiles are the files to inspect.
 type stateFiles struct {
-	Path string `arg:"" help:"A state's file, or the folder of a process's states." type:"path" placeholder:"FILE|DIR"`
-	Most int64  `help:"Longest file that is read, in bytes." default:"8388608"`
+	Path     string `arg:"" help:"A state's file, or the folder of a process's states." type:"path" placeholder:"FILE|DIR"`
+	MaxBytes int64  `name:"most" help:"Longest file that is read, in bytes." default:"8388608"`
 }
 
 func (f *stateFiles) inspect() ([]snapshot.Finding, error) {
-	list, err := snapshot.Inspect(f.Path, f.Most)
+	list, err := snapshot.Inspect(f.Path, f.MaxBytes)
 	if err != nil {
 		return nil, fmt.Errorf("state: %w", err)
 	}
 	return list, nil
 }
 
-// wrong says what is wrong with a file.
-func wrong(f snapshot.Finding) string {
+// findingText describes what is wrong with a file.
+func findingText(f snapshot.Finding) string {
 	if errors.Is(f.Err, snapshot.ErrNewer) {
 		return fmt.Sprintf("%s: refused: %v", f.File, f.Err)
 	}
@@ -46,7 +46,7 @@
 	var end error
 	for _, f := range list {
 		if f.Err != nil {
-			fmt.Fprintln(a.out, wrong(f))
+			fmt.Fprintln(a.out, findingText(f))
 			end = errExit(exitFail)
 			continue
 		}
@@ -70,7 +70,7 @@
 	var newest *snapshot.Finding
 	for i, f := range list {
 		if f.Err != nil {
-			fmt.Fprintln(a.errOut, wrong(f))
+			fmt.Fprintln(a.errOut, findingText(f))
 			end = errExit(exitFail)
 		} else if newest == nil || f.State.Seq > newest.State.Seq {
 			newest = &list[i]
--- a/cmd/marblelane/state_test.go
+++ b/cmd/marblelane/state_test.go
@@ -21,12 +21,12 @@
 	a := &app{ctx: context.Background(), out: &out, errOut: &errOut}
 	verify := func(path string) error {
 		out.Reset()
-		return (&stateVerify{stateFiles{Path: path, Most: snapshot.DefaultMaxBytes}}).Run(a)
+		return (&stateVerify{stateFiles{Path: path, MaxBytes: snapshot.DefaultMaxBytes}}).Run(a)
 	}
 	show := func(path string) error {
 		out.Reset()
 		errOut.Reset()
-		return (&stateShow{stateFiles{Path: path, Most: snapshot.DefaultMaxBytes}}).Run(a)
+		return (&stateShow{stateFiles{Path: path, MaxBytes: snapshot.DefaultMaxBytes}}).Run(a)
 	}
 	require.ErrorContains(t, verify(dir), dir+": there is none in this folder")
 	require.ErrorIs(t, verify(filepath.Join(dir, "x")), os.ErrNotExist)
