--- a/cmd/sidecar/main_test.go
+++ b/cmd/sidecar/main_test.go
@@ -240,7 +240,7 @@
 		case name := <-calls:
 			return name
 		case <-time.After(10 * time.Second):
-			return "nobody"
+			return "no process"
 		}
 	}
 	if name := next(); name != "before" {
--- a/internal/sidecar/config/config_test.go
+++ b/internal/sidecar/config/config_test.go
@@ -36,7 +36,7 @@
 
 // Each mistake in a configuration is one line that names the file, the key and the word, in the file's own
 // terms.
-func TestErrorsNameFileAndKey(t *testing.T) {
+func TestConfig_errorTexts(t *testing.T) {
 	valid, err := os.ReadFile(configtest.NewConf("127.0.0.1:1", sidecartest.Ready("a", "127.0.0.1:2")).Write(t))
 	if err != nil {
 		t.Fatal(err)
--- a/internal/sidecar/config/lists_test.go
+++ b/internal/sidecar/config/lists_test.go
@@ -8,7 +8,7 @@
 	"marblelane/internal/sidecar/configtest"
 )
 
-func TestListsOfTheOwnZoneComeFirst(t *testing.T) {
+func TestLists_ownZoneFirst(t *testing.T) {
 	c := configtest.NewConf("127.0.0.1:1") // in the zone z
 	c["lists"] = []map[string]any{{"addr": "127.0.0.1:2", "zone": "east"}, {"addr": "127.0.0.1:3", "zone": "z"}, {"addr": "127.0.0.1:4"}}
 	cfg, err := c.Load(t)
--- a/internal/sidecar/config/watch_sums_test.go
+++ b/internal/sidecar/config/watch_sums_test.go
@@ -83,7 +83,7 @@
 
 // A call that is accepted and never answered may have begun just before discovery's return, or at the new address just
 // after SIGHUP. The next one begins in time, however many stayed silent before.
-func TestCallsAreMadeAnewAfterSilentOnes(t *testing.T) {
+func TestWatchSums_silentCalls(t *testing.T) {
 	const (
 		afterSignal = 4 * time.Second // TERMS
 		afterWait   = 2 * time.Second // STANDING: beyond the wait of a call that may wait
--- a/internal/sidecar/fleet/membership_test.go
+++ b/internal/sidecar/fleet/membership_test.go
@@ -12,8 +12,8 @@
 	"marblelane/internal/sidecar/sidecartest"
 )
 
-// Leaving is waited for no longer than it may take.
-func TestMembersLeaveIsBounded(t *testing.T) {
+// The wait for a leave is bounded.
+func TestMembers_leaveTimeout(t *testing.T) {
 	m := New(&config.Membership{}, nil) // whose duty never ends
 	startedAt := time.Now()
 	m.Leave(startedAt.Add(time.Hour))
@@ -30,8 +30,8 @@
 	require.False(t, s.Admitted)
 }
 
-// Who leaves has left when the wait is over, also where the library takes all the time that it is given.
-func TestMembersLeaveInTime(t *testing.T) {
+// A member that leaves has left when the wait is over, also where the library uses all of its time.
+func TestMembers_leaveWithinTimeout(t *testing.T) {
 	open := func(name string, seeds ...string) *Membership {
 		cfg := membership.Config{Name: name, Fleet: "f", Bind: sidecartest.Loopback, Seeds: seeds, Peers: 2}
 		m := New(&config.Membership{Group: cfg}, func() bool { return false })
--- a/internal/sidecar/handover/rawcalls_test.go
+++ b/internal/sidecar/handover/rawcalls_test.go
@@ -33,8 +33,8 @@
 	return c.Conn.Write(p)
 }
 
-// Words between two processes at an upgrade outlast calls that fail for a moment.
-func TestWordsOutlastFailures(t *testing.T) {
+// The messages between two processes at an upgrade arrive although system calls fail for a moment.
+func TestHandover_transientFailures(t *testing.T) {
 	for _, errno := range sidecartest.ResourceErrnos {
 		t.Run(unix.ErrnoName(errno), func(t *testing.T) {
 			one, other := net.Pipe()
--- a/internal/sidecar/listener_shutdown_test.go
+++ b/internal/sidecar/listener_shutdown_test.go
@@ -33,7 +33,7 @@
 }
 
 // Connections that the system has completed are accepted and answered before the listener closes.
-func TestShutdownWhileConnectionsWaitToBeAccepted(t *testing.T) {
+func TestShutdown_acceptQueue(t *testing.T) {
 	b := sidecartest.NewBackend(t, "a", sidecartest.OK)
 	held := make(chan struct{})
 	var closed, queried atomic.Bool
--- a/internal/sidecar/management_test.go
+++ b/internal/sidecar/management_test.go
@@ -36,7 +36,7 @@
 	return resp.StatusCode, string(body)
 }
 
-func TestHealthcheckWaitsForAList(t *testing.T) {
+func TestHealthcheck_waitsForList(t *testing.T) {
 	discovery := sidecartest.NewRegistry(t)
 	s := start(t, configtest.Managed(configtest.NewConf(discovery.Addr())))
 	if status, text := s.manage(t, "GET", healthPath); status != 503 {
@@ -120,7 +120,7 @@
 }
 
 // Callers that hold connections and say nothing, or half of a call, shut no other caller out.
-func TestManagementAnswersBesideSilentCallers(t *testing.T) {
+func TestManagement_silentCallers(t *testing.T) {
 	s := start(t, configtest.Managed(configtest.NewConf(sidecartest.NewRegistry(t).Addr(), sidecartest.Ready("a", "127.0.0.1:1"))))
 	for i := range 3 * s.management.Limit() {
 		c, err := net.Dial("tcp", s.ManagementAddr())
--- a/internal/sidecar/members_test.go
+++ b/internal/sidecar/members_test.go
@@ -72,7 +72,7 @@
 	require.Zero(t, s.loop.Balancer().FleetSize())
 }
 
-func TestMembersTakePartUntilTheyLeave(t *testing.T) {
+func TestMembers_joinAndLeave(t *testing.T) {
 	a := start(t, configtest.Joining(configtest.NewConf("127.0.0.1:1"), "a", sidecartest.Loopback))
 	seed := a.gossips(t)
 	b := start(t, configtest.Joining(configtest.NewConf("127.0.0.1:1"), "b", sidecartest.Loopback, seed))
@@ -124,7 +124,7 @@
 }
 
 // Where the address is taken the sidecar serves all the same, counts as before, and joins once it is free.
-func TestMembersAddressTaken(t *testing.T) {
+func TestMembers_addressInUse(t *testing.T) {
 	l, err := net.Listen("tcp", sidecartest.Loopback)
 	require.NoError(t, err)
 	b := sidecartest.NewBackend(t, "a", sidecartest.OK)
@@ -144,7 +144,7 @@
 }
 
 // In an upgrade the newer process binds the older one's address when that is gone, and takes no part before.
-func TestMembersUpgradeWithOnePort(t *testing.T) {
+func TestMembers_upgradeWithOnePort(t *testing.T) {
 	l, err := net.Listen("tcp", sidecartest.Loopback)
 	require.NoError(t, err)
 	b := sidecartest.NewBackend(t, "a", sidecartest.OK)
--- a/internal/sidecar/planted_test.go
+++ b/internal/sidecar/planted_test.go
@@ -98,7 +98,7 @@
 }
 
 // The time of a request that waits until its connection is accepted counts: its server gets what is left.
-func TestTimeBeforeAcceptCounts(t *testing.T) {
+func TestDeadline_includesAcceptQueue(t *testing.T) {
 	timeouts := make(chan string, 1)
 	b := sidecartest.NewBackend(t, "a", func(c net.Conn, r *http.Request, body string) bool {
 		timeouts <- r.Header.Get("X-Timeout-Ms")
--- a/internal/sidecar/routes_test.go
+++ b/internal/sidecar/routes_test.go
@@ -28,23 +28,23 @@
 	"marblelane/internal/sidecar/upstream"
 )
 
-// steering is a stand-in list service with routes: one copy, which leads.
-type steering struct {
+// routesService is a stand-in list service with routes: one replica, the leader.
+type routesService struct {
 	*httptest.Server
 	calls atomic.Int64
 
 	mu      sync.Mutex
 	text    []byte
 	changed chan struct{}
-	term    int64 // ms; 0: no permission
+	term    int64 // ms; 0: no lease
 	budget  int64 // units left
 	granted int64
 	report  route.Report        // the newest
 	request route.BudgetRequest // the newest
 }
 
-func newSteering(t *testing.T, term, budget int64) *steering {
-	s := &steering{term: term, budget: budget, changed: make(chan struct{})}
+func newRoutesService(t *testing.T, term, budget int64) *routesService {
+	s := &routesService{term: term, budget: budget, changed: make(chan struct{})}
 	s.Server = httptest.NewServer(s)
 	t.Cleanup(func() {
 		s.CloseClientConnections()
@@ -53,14 +53,14 @@
 	return s
 }
 
-func (s *steering) set(f func()) {
+func (s *routesService) set(f func()) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	f()
 }
 
-// tell publishes a table.
-func (s *steering) tell(t *testing.T, rev int64, routes ...route.Route) {
+// publish sends a table to all watchers.
+func (s *routesService) publish(t *testing.T, rev int64, routes ...route.Route) {
 	t.Helper()
 	text, err := route.Write(&route.Table{Rev: rev, Routes: routes}, route.Newest)
 	require.NoError(t, err)
@@ -71,7 +71,7 @@
 	})
 }
 
-func (s *steering) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+func (s *routesService) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	s.calls.Add(1)
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -105,7 +105,7 @@
 	}
 }
 
-func (s *steering) counts() map[string]route.Count {
+func (s *routesService) counts() map[string]route.Count {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	out := map[string]route.Count{}
@@ -148,7 +148,7 @@
 const longTerm = 60_000 // ms
 
 // routed starts a sidecar with routes, a base of two servers and a canary.
-func routed(t *testing.T, s *steering, serve sidecartest.ServeOne, changes ...func(configtest.Conf)) (r *running, base, canary *headerRecorder) {
+func routed(t *testing.T, s *routesService, serve sidecartest.ServeOne, changes ...func(configtest.Conf)) (r *running, base, canary *headerRecorder) {
 	t.Helper()
 	base, canary = newHeaderRecorder(t, "b", sidecartest.OK), newHeaderRecorder(t, "c", serve)
 	c := configtest.NewConf("127.0.0.1:1", base.Target, canary.Target)
@@ -160,14 +160,14 @@
 	return r, base, canary
 }
 
-// acts waits until a revision is acted on, with permission or without.
-func (r *running) acts(rev int64, permitted bool) {
+// awaitRevision waits until the sidecar acts on a revision, with a lease or without.
+func (r *running) awaitRevision(rev int64, hasLease bool) {
 	r.t.Helper()
 	sidecartest.Until(r.t, fmt.Sprint("revision ", rev), func() bool {
 		s := r.loop.Routing.Client.Status()
-		return s.ActingRev == rev && s.HasLease == permitted
+		return s.ActingRev == rev && s.HasLease == hasLease
 	})
-	if permitted { // the loop has taken it in, too
+	if hasLease { // the event loop has it, too
 		sidecartest.Until(r.t, "the figures", func() bool {
 			_, text := r.manage(r.t, "GET", statsPath)
 			return strings.Contains(text, "svc_steer_permitted 1\n") && strings.Contains(text, fmt.Sprintf("svc_steer_revision %d\n", rev))
@@ -175,34 +175,34 @@
 	}
 }
 
-func (r *running) voids() (n int) {
+func (r *running) revokedAttempts() (n int) {
 	_, text := r.manage(r.t, "GET", statsPath)
 	_, text, _ = strings.Cut(text, "\nsvc_steer_voids ")
 	fmt.Sscan(text, &n)
 	return n
 }
 
-func (r *running) requestWithIdempotencyKey(key string) *http.Request {
+func (r *running) requestWithRouteKey(key string) *http.Request {
 	req := r.request("lookup", 5*time.Second)
 	req.Header.Set("X-Route-Key", key)
-	req.Header.Set(routing.RevisionHeader, "99") // not the client's to say
+	req.Header.Set(routing.RevisionHeader, "99") // clients may not set it
 	req.Header.Set(routing.CanaryHeader, "7")
 	return req
 }
 
 // A key stays on its side, the share of the keys is met, and servers and the list service see the same.
 func TestRoutes_CanaryFraction(t *testing.T) {
-	s := newSteering(t, longTerm, 0)
+	s := newRoutesService(t, longTerm, 0)
 	r, base, canary := routed(t, s, sidecartest.OK)
-	s.tell(t, 5, toCanary(0.5, false))
-	r.acts(5, true)
+	s.publish(t, 5, toCanary(0.5, false))
+	r.awaitRevision(5, true)
 	const keys = 40
 	side := map[string]int64{}
 	for round := range 2 {
 		for i := range keys {
 			key := fmt.Sprint("key-", i)
 			before := canary.Requests.Load()
-			require.Equal(t, 200, r.do(r.requestWithIdempotencyKey(key)).status)
+			require.Equal(t, 200, r.do(r.requestWithRouteKey(key)).status)
 			if went := canary.Requests.Load() - before; round == 0 {
 				side[key] = went
 			} else {
@@ -219,7 +219,7 @@
 		"5 kita true":  {Rev: 5, Tenant: "kita", Canary: true, Started: n, Ended: n},
 	}
 	s.set(func() { s.term = 500 }) // as of the next report, which comes soon after the revision, they come often
-	s.tell(t, 6)
+	s.publish(t, 6)
 	sidecartest.Until(t, "the counts", func() bool { return maps.Equal(want, s.counts()) })
 	s.set(func() {
 		require.Equal(t, "n0", s.report.Name)
@@ -229,12 +229,12 @@
 
 // What a canary for some classes is compared with is of those classes alone.
 func TestRoutes_OthersNotCompared(t *testing.T) {
-	s := newSteering(t, 500, 0)
+	s := newRoutesService(t, 500, 0)
 	r, base, _ := routed(t, s, sidecartest.OK)
 	one := toCanary(0, false)
 	one.Classes = []string{"charge"}
-	s.tell(t, 5, one)
-	r.acts(5, true)
+	s.publish(t, 5, one)
+	r.awaitRevision(5, true)
 	for range 3 {
 		require.Equal(t, 200, r.do(r.request("lookup", 5*time.Second)).status)
 		require.Equal(t, 200, r.do(r.request("charge", 5*time.Second)).status)
@@ -244,28 +244,28 @@
 	sidecartest.Until(t, "the counts", func() bool { return s.counts()["5 kita false"] == want })
 }
 
-// When the service is silent canaries end with the term, and all goes on with the base.
-func TestPermissionEnds(t *testing.T) {
-	s := newSteering(t, 400, 0)
+// When the service is silent canaries end with the lease, and all requests go to the base.
+func TestRoutes_leaseExpires(t *testing.T) {
+	s := newRoutesService(t, 400, 0)
 	r, base, canary := routed(t, s, sidecartest.OK)
-	s.tell(t, 5, toCanary(1, false))
-	r.acts(5, true)
-	sidecartest.Until(t, "a canary", func() bool { return r.do(r.requestWithIdempotencyKey("k")).status == 200 && canary.Requests.Load() > 0 })
+	s.publish(t, 5, toCanary(1, false))
+	r.awaitRevision(5, true)
+	sidecartest.Until(t, "a canary", func() bool { return r.do(r.requestWithRouteKey("k")).status == 200 && canary.Requests.Load() > 0 })
 	s.set(func() { s.term = 0 })
-	r.acts(5, false)
-	n, b, v := canary.Requests.Load(), base.Requests.Load(), r.voids()
+	r.awaitRevision(5, false)
+	n, b, v := canary.Requests.Load(), base.Requests.Load(), r.revokedAttempts()
 	for range 20 {
-		require.Equal(t, 200, r.do(r.requestWithIdempotencyKey("k")).status)
+		require.Equal(t, 200, r.do(r.requestWithRouteKey("k")).status)
 	}
 	require.Equal(t, []int64{n, b + 20}, []int64{canary.Requests.Load(), base.Requests.Load()})
 	require.Equal(t, "/", base.all()[b])
-	sidecartest.Until(t, "the count without permission", func() bool { return s.counts()["0 kita false"].Ended >= 20 })
-	require.Equal(t, v, r.voids(), "the module decides with a permission that is over")
+	sidecartest.Until(t, "the count without a lease", func() bool { return s.counts()["0 kita false"].Ended >= 20 })
+	require.Equal(t, v, r.revokedAttempts(), "the module decides with a lease that has expired")
 }
 
 // A revision that ends between the decision and the first byte ends the attempt before it begins, and the request has
 // its one answer elsewhere.
-func TestVoidIsSentElsewhere(t *testing.T) {
+func TestRoutes_revokedAttempt(t *testing.T) {
 	for name, send := range map[string]func(*running) *http.Request{
 		"held": func(r *running) *http.Request { return r.request("charge", 5*time.Second) },
 		"passed on": func(r *running) *http.Request {
@@ -275,7 +275,7 @@
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
-			s := newSteering(t, longTerm, 0)
+			s := newRoutesService(t, longTerm, 0)
 			dials, release := make(chan string, 10), make(chan struct{})
 			base, canary := newHeaderRecorder(t, "b", sidecartest.OK), newHeaderRecorder(t, "c", sidecartest.OK)
 			c := configtest.NewConf("127.0.0.1:1", base.Target, canary.Target).Setting(`"connect_timeout_ms": 100`, `"connect_timeout_ms": 9000`).
@@ -290,27 +290,27 @@
 					return nil
 				})
 			})
-			s.tell(t, 5, toCanary(1, false))
-			r.acts(5, true)
+			s.publish(t, 5, toCanary(1, false))
+			r.awaitRevision(5, true)
 			answer := r.goDo(send(r))
 			require.Equal(t, canary.Target.Endpoint, sidecartest.Receive(t, "the dial", dials))
-			s.tell(t, 6)
-			r.acts(6, true)
+			s.publish(t, 6)
+			r.awaitRevision(6, true)
 			close(release)
 			require.Equal(t, 200, sidecartest.Receive(t, "the answer", answer).status)
 			require.Equal(t, []int64{0, 1}, []int64{canary.Requests.Load(), base.Requests.Load()})
-			sidecartest.Until(t, "the void", func() bool { return r.voids() == 1 })
+			sidecartest.Until(t, "the void", func() bool { return r.revokedAttempts() == 1 })
 		})
 	}
 }
 
-// An upload whose permission ends after its head was written, and before a byte of it was sent, does not begin, and is
-// not counted: one whose head can be written anew begins without permission.
+// An upload whose lease ends after its head was written, and before a byte of it was sent, does not begin, and is
+// not counted: one whose head can be written anew begins without a lease.
 func TestRoutes_RevokedUpload(t *testing.T) {
-	s := newSteering(t, 700, 0)
+	s := newRoutesService(t, 700, 0)
 	r, _, _ := routed(t, s, sidecartest.OK)
-	s.tell(t, 5, toCanary(0, false))
-	r.acts(5, true)
+	s.publish(t, 5, toCanary(0, false))
+	r.awaitRevision(5, true)
 	due := time.NewTimer(time.Hour)
 	defer due.Stop()
 	duty := &routing.Router{Client: r.loop.Routing.Client, Tenants: []string{"kita"}, Routed: map[int]routing.RoutedTenant{0: {}}, SampleTimer: due}
@@ -322,7 +322,7 @@
 		checks = append(checks, k)
 	}
 	s.set(func() { s.term = 0 })
-	r.acts(5, false)
+	r.awaitRevision(5, false)
 	out, in := net.Pipe()
 	defer in.Close()
 	_, err := upstream.NewStreamWriter(out, checks[0], 5).Write([]byte("x"))
@@ -336,10 +336,10 @@
 }
 
 // A client that leaves after the latency objective, and long before the end of its time, has met a failure of a canary whose late
-// answers are failures: it costs a unit, and is compared. One that leaves earlier tells nothing.
-func TestLateAndLeft(t *testing.T) {
+// answers are failures: it costs a unit, and is compared. One that leaves earlier is no evidence.
+func TestRoutes_clientLeavesLate(t *testing.T) {
 	const objective = 100 * time.Millisecond
-	s := newSteering(t, 1000, 3)
+	s := newRoutesService(t, 1000, 3)
 	release := make(chan struct{})
 	r, _, canary := routed(t, s, func(net.Conn, *http.Request, string) bool { <-release; return false }, func(c configtest.Conf) {
 		c.Setting(`"parallel_tries": true`, `"parallel_tries": false`).Setting(`"max_attempts": 6`, `"max_attempts": 1`).
@@ -348,8 +348,8 @@
 	t.Cleanup(sync.OnceFunc(func() { close(release) }))
 	one := toCanary(1, true)
 	one.Late = true
-	s.tell(t, 5, one)
-	r.acts(5, true)
+	s.publish(t, 5, one)
+	r.awaitRevision(5, true)
 	sidecartest.Until(t, "units", func() bool {
 		_, text := r.manage(t, "GET", statsPath)
 		return !strings.Contains(text, "svc_steer_units_free 0\n")
@@ -383,14 +383,14 @@
 	})
 }
 
-// Failures of the canary stay within the units, cost no request its answer, and are reported; what is left is given back.
-func TestUnitsBoundFailures(t *testing.T) {
+// Failures of the canary stay within the units, cost no request its answer, and are reported; what is left is returned.
+func TestRoutes_budgetBoundsFailures(t *testing.T) {
 	const units = 3
-	s := newSteering(t, longTerm, units)
+	s := newRoutesService(t, longTerm, units)
 	fails := sidecartest.Respond("HTTP/1.1 500 Internal Server Error\r\nContent-Length: 0\r\n\r\n", true)
 	r, _, canary := routed(t, s, fails)
-	s.tell(t, 5, toCanary(1, true))
-	r.acts(5, true)
+	s.publish(t, 5, toCanary(1, true))
+	r.awaitRevision(5, true)
 	spent := func() (n int64) {
 		s.mu.Lock()
 		defer s.mu.Unlock()
@@ -400,11 +400,11 @@
 		return n
 	}
 	sidecartest.Until(t, "all units spent", func() bool {
-		require.Equal(t, 200, r.do(r.requestWithIdempotencyKey("k")).status)
+		require.Equal(t, 200, r.do(r.requestWithRouteKey("k")).status)
 		return spent() == units
 	})
 	for range 30 {
-		require.Equal(t, 200, r.do(r.requestWithIdempotencyKey("k")).status)
+		require.Equal(t, 200, r.do(r.requestWithRouteKey("k")).status)
 	}
 	require.EqualValues(t, units, canary.Requests.Load())
 	s.set(func() { s.budget = 1 })
@@ -420,30 +420,30 @@
 }
 
 // Without the section nothing is called and nothing added, and a client's headers are forwarded as any other.
-func TestRoutesAreOff(t *testing.T) {
-	s := newSteering(t, longTerm, 0)
+func TestRoutes_notConfigured(t *testing.T) {
+	s := newRoutesService(t, longTerm, 0)
 	b := newHeaderRecorder(t, "b", sidecartest.OK)
 	c := configtest.NewConf("127.0.0.1:1", b.Target)
 	c["lists"] = []map[string]any{{"addr": s.Listener.Addr().String()}}
 	r := start(t, c)
-	require.Equal(t, 200, r.do(r.requestWithIdempotencyKey("k")).status)
+	require.Equal(t, 200, r.do(r.requestWithRouteKey("k")).status)
 	require.Nil(t, r.loop.Routing)
 	require.Equal(t, []string{"99/7"}, b.all())
 	sidecartest.Until(t, "the call for the list", func() bool { return s.calls.Load() > 0 })
 	s.set(func() { require.Empty(t, s.report.Name) })
 }
 
-func TestReloadMovesRoutes(t *testing.T) {
-	before, after := newSteering(t, longTerm, 0), newSteering(t, longTerm, 0)
+func TestRoutes_reloadAddrs(t *testing.T) {
+	before, after := newRoutesService(t, longTerm, 0), newRoutesService(t, longTerm, 0)
 	var path string
 	r, _, _ := routed(t, before, sidecartest.OK, func(c configtest.Conf) {
 		c["routes"] = map[string]any{"addrs": []string{after.Listener.Addr().String()}}
 		path = c.Write(t)
 		c["routes"] = map[string]any{"addrs": []string{before.Listener.Addr().String()}, "schemas": []int{1}}
 	})
-	before.tell(t, 5, toCanary(1, false))
-	r.acts(5, true)
+	before.publish(t, 5, toCanary(1, false))
+	r.awaitRevision(5, true)
 	require.NoError(t, r.Reload(func(name string) string { return map[string]string{"NODE_CONFIG": path}[name] }))
-	after.tell(t, 6)
-	r.acts(6, true)
+	after.publish(t, 6)
+	r.awaitRevision(6, true)
 }
--- a/internal/sidecar/sites_test.go
+++ b/internal/sidecar/sites_test.go
@@ -124,7 +124,7 @@
 }
 
 // A sidecar starts and serves with every figure at its ends.
-func TestExtremeSettingsServe(t *testing.T) {
+func TestSites_extremeSettings(t *testing.T) {
 	many := make([]string, 60)
 	for i := range many {
 		many[i] = fmt.Sprintf(`{"name": "extra%d", "effect": "read_like", "on_time_ms": %d, "hard_limit_ms": %d}`, i, 100+i, 1000+i)
