--- a/internal/lab/fault_steps.go
+++ b/internal/lab/fault_steps.go
@@ -191,7 +191,7 @@
 	}
 	switch f.Kind {
 	case "cut":
-		way := map[string]relay.Way{"to": relay.To, "from": relay.From, "both": relay.Both}[f.Way]
+		way := map[string]relay.Direction{"to": relay.To, "from": relay.From, "both": relay.Both}[f.Way]
 		return pair(func(on bool) error { return r.cut(p, way, on) })
 	case "latency":
 		var before relay.Rules
@@ -211,18 +211,18 @@
 		})
 	case "lose":
 		return links(func(rules *relay.Rules, on bool) {
-			if rules.Lose = 0; on {
-				rules.Lose = f.Size
+			if rules.AnswerLoss = 0; on {
+				rules.AnswerLoss = f.Size
 			}
 		})
 	case "refuse":
-		return links(func(rules *relay.Rules, on bool) { rules.Refuse = on })
+		return links(func(rules *relay.Rules, on bool) { rules.Reject = on })
 	case "half-close":
 		return links(func(rules *relay.Rules, on bool) { rules.HalfClose = on })
 	case "break":
 		return links(func(rules *relay.Rules, on bool) {
-			if rules.Break = 0; on {
-				rules.Break = int64(f.Size)
+			if rules.ResetAfterBytes = 0; on {
+				rules.ResetAfterBytes = int64(f.Size)
 			}
 		})
 	case "accept-late":
@@ -230,7 +230,7 @@
 	case "reset":
 		return once(func(context.Context) error {
 			r.eachLink(p, func(port *relay.Port, sidecar int, _ *relay.Link) {
-				port.Each(sidecar, (*relay.Conn).Reset)
+				port.EachConn(sidecar, (*relay.Conn).Reset)
 				if f.Link == "discovery" {
 					r.loseWatches(f, sidecar)
 				}
@@ -244,15 +244,15 @@
 // lateSteps let a share of the new connections of a fault's links come up late.
 func (r *run) lateSteps(p *scenario.FaultPlan, pair pairStep) []step {
 	size := time.Duration(p.Fault.Size * float64(time.Second))
-	var late *relay.Late
+	var late *relay.HandshakeDelay
 	return pair(func(on bool) error {
 		if !on {
 			if late == nil {
 				return nil
 			}
-			return late.End()
+			return late.Stop()
 		}
-		late = relay.NewLate(p.Fault.Share, func(l *relay.Link) time.Duration {
+		late = relay.NewHandshakeDelay(p.Fault.Share, func(l *relay.Link) time.Duration {
 			if p.Fault.Drawn {
 				return time.Duration(l.Draw() * float64(size))
 			}
--- a/internal/lab/lab.go
+++ b/internal/lab/lab.go
@@ -84,9 +84,9 @@
 	repeated    atomic.Int64
 
 	linkMu sync.Mutex
-	links  map[[2]int]*relay.Link // by sidecar and server
-	disc   [][]*relay.Link        // by list service and sidecar
-	lates  []*relay.Late          // that have begun
+	links  map[[2]int]*relay.Link  // by sidecar and server
+	disc   [][]*relay.Link         // by list service and sidecar
+	lates  []*relay.HandshakeDelay // that have begun
 
 	wg       sync.WaitGroup // what a run does
 	watchers sync.WaitGroup // of processes; they end after those
@@ -398,7 +398,7 @@
 	cancel()
 	r.wg.Wait()
 	for _, l := range r.lates { // of a run that ended before they did
-		_ = l.End()
+		_ = l.Stop()
 	}
 	for _, s := range r.sidecars {
 		s.kill()
--- a/internal/lab/members.go
+++ b/internal/lab/members.go
@@ -30,10 +30,10 @@
 type members struct {
 	r       *run
 	parties int
-	callers map[string]int     // by the address that a party calls from
-	links   [][]*relay.Link    // of connections, by calling and called party
-	packets [][]*relay.Packets // of packets, by sending and called party
-	nobody  *relay.Packets
+	callers map[string]int        // by the address that a party calls from
+	links   [][]*relay.Link       // of connections, by calling and called party
+	packets [][]*relay.PacketLink // of packets, by sending and called party
+	nobody  *relay.PacketLink
 
 	mu     sync.Mutex
 	fronts [][]*front // of each party, the newest last
@@ -51,7 +51,7 @@
 	party int
 	bind  string // where the process itself listens
 	port  *relay.Port
-	udp   *relay.Datagrams
+	udp   *relay.PacketProxy
 	owner *process.Copy // the process behind it
 	held  int           // while it refuses: a socket that keeps its port, so that nobody else listens there; -1: none
 	used  bool          // some process has had it
@@ -63,18 +63,18 @@
 // newMembers opens a front for the first process of each party, as every seed's address is known before it starts.
 func newMembers(r *run) (*members, error) {
 	m := &members{r: r, parties: len(r.plan.Sidecars) + r.s.Discovery.Registry, callers: map[string]int{},
-		nobody: relay.NewPackets(relay.PacketRules{Cut: relay.Both}, 0), procs: map[*process.Copy]uint64{}}
+		nobody: relay.NewPacketLink(relay.PacketRules{Cut: relay.Both}, 0), procs: map[*process.Copy]uint64{}}
 	m.ctx, m.stop = context.WithCancel(context.Background())
 	m.fronts = make([][]*front, m.parties)
 	for i := range m.parties {
-		m.callers[relay.SourceAddr(i)] = i
+		m.callers[relay.CallerAddr(i)] = i
 		var links []*relay.Link
-		var packets []*relay.Packets
+		var packets []*relay.PacketLink
 		for j := range m.parties {
 			seed := r.plan.Seed ^ uint64(i*m.parties+j)<<20
 			rules := relay.Rules{Latency: m.between(i, j), Jitter: r.s.Network.Jitter}
 			links = append(links, relay.NewLink(rules, seed))
-			packets = append(packets, relay.NewPackets(relay.PacketRules{Latency: rules.Latency, Jitter: rules.Jitter}, seed))
+			packets = append(packets, relay.NewPacketLink(relay.PacketRules{Latency: rules.Latency, Jitter: rules.Jitter}, seed))
 		}
 		m.links, m.packets = append(m.links, links), append(m.packets, packets)
 	}
@@ -101,7 +101,7 @@
 	var err error
 	for range portTrials {
 		f := &front{party: party, dead: dead, held: -1}
-		if f.bind, err = freeForBoth(relay.SourceAddr(party)); err != nil {
+		if f.bind, err = freeForBoth(relay.CallerAddr(party)); err != nil {
 			return nil, err
 		}
 		f.port, err = relay.ForwardBySource(func(from int) *relay.Link {
@@ -113,7 +113,7 @@
 		if err != nil {
 			return nil, err
 		}
-		f.udp, err = relay.ForwardPackets(f.addr(), f.bind, func(from *net.UDPAddr) *relay.Packets {
+		f.udp, err = relay.ForwardPackets(f.addr(), f.bind, func(from *net.UDPAddr) *relay.PacketLink {
 			if n, ok := m.callers[from.IP.String()]; ok {
 				return m.packets[n][party]
 			}
@@ -212,7 +212,7 @@
 		}
 	}
 	if (f.dead || m.refuses(f.party)) && len(cut) == 0 {
-		f.port.Shut()
+		f.port.Kill()
 		f.hold()
 		return nil
 	}
@@ -290,7 +290,7 @@
 
 // relink gives the links from one party to another what all faults of the moment make of them; m.mu is held.
 func (m *members) relink(i, j int) {
-	var calls relay.Way // that are silent, of connections from i to j
+	var calls relay.Direction // that are silent, of connections from i to j
 	lost, refuse := false, false
 	lose, slow := 0.0, time.Duration(0)
 	for _, p := range m.ills {
@@ -323,10 +323,10 @@
 		}
 	}
 	m.links[i][j].Set(func(r *relay.Rules) {
-		r.Cut, r.Refuse, r.Latency = calls, refuse, m.between(i, j)+slow
+		r.Cut, r.Reject, r.Latency = calls, refuse, m.between(i, j)+slow
 	})
 	m.packets[i][j].Set(func(r *relay.PacketRules) {
-		if r.Cut, r.Lose, r.Latency = 0, lose, m.between(i, j)+slow; lost {
+		if r.Cut, r.PacketLoss, r.Latency = 0, lose, m.between(i, j)+slow; lost {
 			r.Cut = relay.Both
 		}
 	})
--- a/internal/lab/registry.go
+++ b/internal/lab/registry.go
@@ -117,10 +117,10 @@
 		rr.links = append(rr.links, row)
 		c := &registryCopy{number: i, name: fmt.Sprint("r", i)}
 		var err error
-		if c.serve, err = relay.FreeAddr(relay.SourceAddr(i)); err != nil {
+		if c.serve, err = relay.FreeAddr(relay.CallerAddr(i)); err != nil {
 			return err
 		}
-		if c.raft, err = relay.FreeAddr(relay.SourceAddr(i)); err != nil {
+		if c.raft, err = relay.FreeAddr(relay.CallerAddr(i)); err != nil {
 			return err
 		}
 		rr.copies = append(rr.copies, c)
--- a/internal/lab/relay/forward.go
+++ b/internal/lab/relay/forward.go
@@ -10,116 +10,116 @@
 	"time"
 )
 
-const dialWait = time.Second
+const dialTimeout = time.Second
 
-// Forward opens a port that passes connections on to a program elsewhere: the way to put faults before a party
-// that is no stand-in. While a link is cut, nobody is dialled.
+// Forward opens a port that proxies connections to target, so that faults can be injected in front of a real
+// program. While a link is cut, the upstream is not dialled.
 func Forward(links func(caller int) *Link, target func() string) (*Port, error) {
-	return open(&Port{links: links, serve: forward(target)})
+	return open(&Port{links: links, serve: proxyTo(target)})
 }
 
-// ForwardBySource does so for callers that all know the party by one address, as the copies of a cluster do: each is
-// told apart by the address it calls from, [SourceAddr] of its number.
+// ForwardBySource is Forward for callers that share one target address, as the members of a cluster do. A caller is
+// identified by its source address, [CallerAddr] of its number.
 func ForwardBySource(links func(caller int) *Link, target func() string) (*Port, error) {
-	return open(&Port{links: links, serve: forward(target), bySource: true})
+	return open(&Port{links: links, serve: proxyTo(target), bySource: true})
 }
 
-func forward(target func() string) func(*Conn) {
+func proxyTo(target func() string) func(*Conn) {
 	return func(c *Conn) {
-		if c.pass(To) != nil {
+		if c.waitUncut(To) != nil {
 			return
 		}
-		far, err := net.DialTimeout("tcp4", target(), dialWait)
+		upstream, err := net.DialTimeout("tcp4", target(), dialTimeout)
 		if err != nil {
-			c.Reset() // as if the program itself had refused
+			c.Reset() // as if the upstream itself had rejected the connection
 			return
 		}
-		defer far.Close()
-		var back sync.WaitGroup
-		back.Go(func() {
-			_, err := c.ReadFrom(far)
+		defer upstream.Close()
+		var answers sync.WaitGroup
+		answers.Go(func() {
+			_, err := c.ReadFrom(upstream)
 			if err == nil {
 				err = c.CloseWrite()
 			}
 			if err != nil {
-				c.Reset() // wakes the other way
+				c.Reset() // unblocks the copy to the upstream
 			}
 		})
-		_, err = c.WriteTo(far)
+		_, err = c.WriteTo(upstream)
 		if err == nil {
-			err = far.(*net.TCPConn).CloseWrite()
+			err = upstream.(*net.TCPConn).CloseWrite()
 		}
 		if err != nil {
-			_ = far.(*net.TCPConn).SetLinger(0)
-			far.Close()
+			_ = upstream.(*net.TCPConn).SetLinger(0)
+			upstream.Close()
 		}
-		back.Wait()
+		answers.Wait()
 	}
 }
 
-// Datagrams passes UDP packets on to one program, from any number of senders, who are told apart by the address
-// they send from. The program sees each sender at an address of the relay's, and answers pass back the same way.
-type Datagrams struct {
-	in     *net.UDPConn
-	target *net.UDPAddr
-	link   func(from *net.UDPAddr) *Packets
-
-	mu     sync.Mutex
-	back   map[string]*net.UDPConn // by sender: where its answers come
-	closed bool
-	wg     sync.WaitGroup
+// PacketProxy proxies UDP packets to one upstream, from any number of senders, each identified by the address
+// it sends from. The upstream sees each sender at an address of the proxy, and answers return the same way.
+type PacketProxy struct {
+	listener *net.UDPConn
+	target   *net.UDPAddr
+	link     func(from *net.UDPAddr) *PacketLink
+
+	mu        sync.Mutex
+	upstreams map[string]*net.UDPConn // upstream socket by sender address
+	closed    bool
+	wg        sync.WaitGroup
 }
 
-// maxPacket is the largest UDP payload over IPv4.
-const maxPacket = 65507
+// maxPacket is the largest UDP payload over IPv4, in bytes.
+const maxPacketBytes = 65507
 
-// Packets is what happens to the packets of one sender. The zero value passes all at once.
-type Packets struct {
-	mu  sync.Mutex
-	r   PacketRules
-	rng *rand.Rand
+// PacketLink applies PacketRules to the packets of one sender. The zero value delivers every packet immediately.
+type PacketLink struct {
+	mu    sync.Mutex
+	rules PacketRules
+	rng   *rand.Rand
 }
 
-// PacketRules is what a link does to packets.
+// PacketRules are the faults of a packet link.
 type PacketRules struct {
-	Lose      float64 // share of packets each way
-	Cut       Way     // passes nothing this way
-	Latency   time.Duration
-	Jitter    float64
-	Duplicate float64 // share of packets that come twice
+	PacketLoss float64   // fraction of packets dropped in each direction, 0 to 1
+	Cut        Direction // directions in which every packet is dropped
+	Latency    time.Duration
+	Jitter     float64
+	Duplicate  float64 // fraction of packets delivered twice, 0 to 1
 }
 
-// NewPackets makes a link for packets; what is lost is drawn from seed.
-func NewPackets(r PacketRules, seed uint64) *Packets {
-	return &Packets{r: r, rng: rand.New(rand.NewPCG(seed, 0x7061636b))}
+// NewPacketLink makes a link for packets; loss, duplication and jitter are drawn from seed.
+func NewPacketLink(r PacketRules, seed uint64) *PacketLink {
+	return &PacketLink{rules: r, rng: rand.New(rand.NewPCG(seed, 0x7061636b))}
 }
 
 // Set changes the rules.
-func (p *Packets) Set(change func(*PacketRules)) {
+func (p *PacketLink) Set(change func(*PacketRules)) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	change(&p.r)
+	change(&p.rules)
 }
 
-// fate draws how many times a packet comes and after how long.
-func (p *Packets) fate(way Way) (times int, after time.Duration) {
+// drawDelivery draws how many copies of a packet are delivered and after which delay.
+func (p *PacketLink) drawDelivery(way Direction) (times int, after time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.r.Cut&way != 0 || p.r.Lose > 0 && p.rng.Float64() < p.r.Lose {
+	if p.rules.Cut&way != 0 || p.rules.PacketLoss > 0 && p.rng.Float64() < p.rules.PacketLoss {
 		return 0, 0
 	}
-	times, after = 1, p.r.Latency
-	if p.r.Duplicate > 0 && p.rng.Float64() < p.r.Duplicate {
+	times, after = 1, p.rules.Latency
+	if p.rules.Duplicate > 0 && p.rng.Float64() < p.rules.Duplicate {
 		times = 2
 	}
-	if after > 0 && p.r.Jitter > 0 {
-		after = time.Duration(float64(after) * (1 + p.r.Jitter*(2*p.rng.Float64()-1)))
+	if after > 0 && p.rules.Jitter > 0 {
+		after = time.Duration(float64(after) * (1 + p.rules.Jitter*(2*p.rng.Float64()-1)))
 	}
 	return times, after
 }
 
-// ForwardPackets listens for packets on a loopback address (port 0: the system's choice) and passes them on.
-func ForwardPackets(listen, target string, link func(from *net.UDPAddr) *Packets) (*Datagrams, error) {
+// ForwardPackets listens for packets on a loopback address (port 0: chosen by the system) and proxies them to target.
+func ForwardPackets(listen, target string, link func(from *net.UDPAddr) *PacketLink) (*PacketProxy, error) {
 	at, err := net.ResolveUDPAddr("udp4", listen)
 	if err != nil {
 		return nil, fmt.Errorf("relay: %w", err)
@@ -135,80 +135,80 @@
 	if err != nil {
 		return nil, fmt.Errorf("relay: %w", err)
 	}
-	d := &Datagrams{in: in, target: to, link: link, back: map[string]*net.UDPConn{}}
+	d := &PacketProxy{listener: in, target: to, link: link, upstreams: map[string]*net.UDPConn{}}
 	d.wg.Go(func() {
-		d.carry(in, func(from *net.UDPAddr, packet []byte) {
-			out, err := d.out(from)
+		d.receive(in, func(from *net.UDPAddr, packet []byte) {
+			out, err := d.upstream(from)
 			if err != nil {
-				return // no socket for it: lost, as packets are
+				return // no upstream socket: the packet is lost
 			}
-			d.send(link(from), To, packet, func(b []byte) { _, _ = out.Write(b) })
+			d.deliver(link(from), To, packet, func(b []byte) { _, _ = out.Write(b) })
 		})
 	})
 	return d, nil
 }
 
-// Addr is where senders send.
-func (d *Datagrams) Addr() string { return d.in.LocalAddr().String() }
+// Addr is the address that senders use.
+func (d *PacketProxy) Addr() string { return d.listener.LocalAddr().String() }
 
-// Close ends it.
-func (d *Datagrams) Close() {
+// Close closes all sockets and waits for the goroutines that read them.
+func (d *PacketProxy) Close() {
 	d.mu.Lock()
 	d.closed = true
-	for _, c := range d.back {
+	for _, c := range d.upstreams {
 		c.Close()
 	}
 	d.mu.Unlock()
-	d.in.Close()
+	d.listener.Close()
 	d.wg.Wait()
 }
 
-// carry hands on each packet until the socket is closed.
-func (d *Datagrams) carry(c *net.UDPConn, f func(from *net.UDPAddr, packet []byte)) {
-	buf := make([]byte, maxPacket)
+// receive calls f with each packet until the socket is closed.
+func (d *PacketProxy) receive(c *net.UDPConn, f func(from *net.UDPAddr, packet []byte)) {
+	buf := make([]byte, maxPacketBytes)
 	for {
 		n, from, err := c.ReadFromUDP(buf)
 		if errors.Is(err, net.ErrClosed) || errors.Is(err, io.EOF) {
 			return
 		}
 		if err != nil {
-			continue // a refusal of an earlier packet is reported here
+			continue // an ICMP error for an earlier packet is reported here
 		}
 		f(from, append([]byte(nil), buf[:n]...))
 	}
 }
 
-// out is the socket for what a sender sends.
-func (d *Datagrams) out(from *net.UDPAddr) (*net.UDPConn, error) {
+// upstream returns the upstream socket of a sender, opened on its first packet.
+func (d *PacketProxy) upstream(from *net.UDPAddr) (*net.UDPConn, error) {
 	key := from.String()
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if d.closed {
 		return nil, net.ErrClosed
 	}
-	if c := d.back[key]; c != nil {
+	if c := d.upstreams[key]; c != nil {
 		return c, nil
 	}
 	c, err := net.DialUDP("udp4", nil, d.target)
 	if err != nil {
 		return nil, err
 	}
-	d.back[key] = c
+	d.upstreams[key] = c
 	d.wg.Go(func() {
-		d.carry(c, func(_ *net.UDPAddr, packet []byte) {
-			d.send(d.link(from), From, packet, func(b []byte) { _, _ = d.in.WriteToUDP(b, from) })
+		d.receive(c, func(_ *net.UDPAddr, packet []byte) {
+			d.deliver(d.link(from), From, packet, func(b []byte) { _, _ = d.listener.WriteToUDP(b, from) })
 		})
 	})
 	return c, nil
 }
 
-// send lets a packet come as the link has it.
-func (d *Datagrams) send(p *Packets, way Way, packet []byte, write func([]byte)) {
+// deliver writes a packet as often and as late as its link says.
+func (d *PacketProxy) deliver(p *PacketLink, way Direction, packet []byte, write func([]byte)) {
 	if p == nil {
 		write(packet)
 		return
 	}
-	times, after := p.fate(way)
+	times, after := p.drawDelivery(way)
 	if times == 0 {
 		return
 	}
@@ -221,5 +221,5 @@
 		all()
 		return
 	}
-	time.AfterFunc(after, all) // what is late when the relay closes finds closed sockets
+	time.AfterFunc(after, all) // a packet still delayed when the proxy closes is lost
 }
--- a/internal/lab/relay/late.go
+++ b/internal/lab/relay/late.go
@@ -16,50 +16,52 @@
 	"golang.org/x/sys/unix"
 )
 
-// Late lets a share of the new connections of some callers come up late. The handshake itself is held: a filter on
-// the listening socket drops what those connections send, the kernel tells which of them wait (SYN_SENT), and once
-// its time has come the party opens the connection from its side, which TCP takes for a simultaneous open (RFC 9293,
-// 3.5). Until then the caller's connect has not returned and nothing of a request can be written.
+// HandshakeDelay delays the TCP handshake of a fraction of the new connections of some callers. A filter on the listening
+// socket drops their SYNs, the kernel lists the connections in SYN_SENT, and after the delay the party dials the caller,
+// which TCP completes as a simultaneous open (RFC 9293, 3.5). Until then the caller's connect does not return, and no
+// request byte can be written.
 //
-// Ways not taken: a late accept, with which the caller has written its request before the party is there, so that an
-// unsafe one cannot be sent elsewhere; dropping the first SYN, which the kernel repeats after 1 s and not sooner.
+// Alternatives that do not fit: a delayed accept lets the caller write its request first, so a non-idempotent one cannot
+// be sent elsewhere; a dropped first SYN is retransmitted only after 1 s.
 //
-// Not promised: which connections are late is a matter of their source ports; one with a delay under some 20 ms may come
-// up later than that, as it is found no sooner.
-type Late struct {
-	share float64
-	delay func(*Link) time.Duration
+// Limits: the source port decides whether a connection is delayed. A delay under about 20 ms may take longer, as a
+// pending connection is not found sooner.
+type HandshakeDelay struct {
+	fraction float64
+	delay    func(*Link) time.Duration
 
-	mu    sync.Mutex
-	ports map[*Port][]int // with the callers that suffer it
-	drops map[*Port]uint32
-	wg    sync.WaitGroup
-	stop  context.CancelFunc
-	err   error
+	mu            sync.Mutex
+	callersByPort map[*Port][]int // callers with delayed handshakes
+	lastDropCount map[*Port]uint32
+	wg            sync.WaitGroup
+	cancel        context.CancelFunc
+	err           error
 }
 
-// lateLook is how often the listening sockets are asked whether their filters have dropped anything. Only then is the
-// kernel asked for the connections that wait: it looks through all of its sockets, which takes some 15 ms.
-const lateLook = 5 * time.Millisecond
+// dropPollInterval is how often the drop counts of the listening sockets are polled. Only after a drop is the kernel
+// queried for pending connections, as that query scans all sockets and takes about 15 ms.
+const dropPollInterval = 5 * time.Millisecond
 
-// NewLate makes such a fault; delay draws how late one connection of a link is.
-func NewLate(share float64, delay func(*Link) time.Duration) *Late {
-	return &Late{share: share, delay: delay, ports: map[*Port][]int{}, drops: map[*Port]uint32{}}
+// NewHandshakeDelay makes the fault for a fraction of connections, 0 to 1; delay draws the delay of one connection of a link.
+func NewHandshakeDelay(fraction float64, delay func(*Link) time.Duration) *HandshakeDelay {
+	return &HandshakeDelay{fraction: fraction, delay: delay, callersByPort: map[*Port][]int{}, lastDropCount: map[*Port]uint32{}}
 }
 
-// Draw is a figure between 0 and 1 from the link's own source.
+// Draw is a random number from 0 to 1 of the link's seeded source.
 func (l *Link) Draw() float64 { return l.draw() }
 
-// Add lets a caller's new connections to a port suffer it; before Start.
-func (h *Late) Add(p *Port, caller int) { h.ports[p] = append(h.ports[p], caller) }
+// Add applies the fault to a caller's new connections to a port. Call it before Start.
+func (h *HandshakeDelay) Add(p *Port, caller int) {
+	h.callersByPort[p] = append(h.callersByPort[p], caller)
+}
 
-// Start begins it.
-func (h *Late) Start() error {
+// Start attaches the filters and starts to open delayed connections.
+func (h *HandshakeDelay) Start() error {
 	ctx, cancel := context.WithCancel(context.Background())
-	h.stop = cancel
-	for p, callers := range h.ports {
-		if err := p.setLate(callers, h.share); err != nil {
-			h.End()
+	h.cancel = cancel
+	for p, callers := range h.callersByPort {
+		if err := p.setDelayed(callers, h.fraction); err != nil {
+			h.Stop()
 			return err
 		}
 	}
@@ -67,34 +69,34 @@
 	return nil
 }
 
-// End ends it and waits for what it does; connections that wait come up when the kernel tries again. The error is of
-// what went wrong meanwhile. A second End does nothing.
-func (h *Late) End() error {
-	for p := range h.ports {
-		_ = p.setLate(nil, 0) // a shorter filter is never refused
+// Stop removes the filters and waits for its goroutines; pending connections complete when the kernel retransmits the
+// SYN. It returns the error that stopped the watch, if any. A second Stop does nothing.
+func (h *HandshakeDelay) Stop() error {
+	for p := range h.callersByPort {
+		_ = p.setDelayed(nil, 0) // removing callers only shortens the filter
 	}
-	h.stop()
+	h.cancel()
 	h.wg.Wait()
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.err
 }
 
-// watch finds the connections that wait and opens each when its time has come.
-func (h *Late) watch(ctx context.Context) {
-	tick := time.NewTicker(lateLook)
+// watch finds the pending connections and opens each after its delay.
+func (h *HandshakeDelay) watch(ctx context.Context) {
+	tick := time.NewTicker(dropPollInterval)
 	defer tick.Stop()
-	known := map[pair]bool{}
+	known := map[addrPair]bool{}
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case <-tick.C:
 		}
-		if !h.dropped() {
+		if !h.anyFilterDropped() {
 			continue
 		}
-		all, err := connecting()
+		all, err := pendingConns()
 		if err != nil {
 			h.mu.Lock()
 			h.err = err
@@ -102,47 +104,47 @@
 			return
 		}
 		for one := range known {
-			if !slices.ContainsFunc(all, func(w waiting) bool { return w.pair == one }) {
+			if !slices.ContainsFunc(all, func(w pendingConn) bool { return w.addrPair == one }) {
 				delete(known, one)
 			}
 		}
 		for _, w := range all {
-			if known[w.pair] || !dropped(w.from.Port(), h.share) {
+			if known[w.addrPair] || !portDropped(w.from.Port(), h.fraction) {
 				continue
 			}
-			if p, n := h.target(w.to); p != nil {
-				known[w.pair] = true
+			if p, n := h.calledPort(w.to); p != nil {
+				known[w.addrPair] = true
 				wait := h.delay(p.links(n)) - w.age
-				h.wg.Go(func() { p.openLate(ctx, w.pair, n, wait) })
+				h.wg.Go(func() { p.openDelayed(ctx, w.addrPair, n, wait) })
 			}
 		}
 	}
 }
 
-// dropped tells whether a filter has dropped anything since the last time.
-func (h *Late) dropped() bool {
+// anyFilterDropped tells whether a filter has dropped a packet since the last call.
+func (h *HandshakeDelay) anyFilterDropped() bool {
 	changed := false
-	for p := range h.ports {
-		if n := p.drops(); n != h.drops[p] {
-			h.drops[p], changed = n, true
+	for p := range h.callersByPort {
+		if n := p.dropCount(); n != h.lastDropCount[p] {
+			h.lastDropCount[p], changed = n, true
 		}
 	}
 	return changed
 }
 
-// drops is how many packets the listening socket has dropped; 0 while there is none.
-func (p *Port) drops() uint32 {
+// dropCount is the number of packets that the listening socket has dropped; 0 without a listener.
+func (p *Port) dropCount() uint32 {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.l == nil {
+	if p.listener == nil {
 		return 0
 	}
-	raw, err := p.l.SyscallConn()
+	raw, err := p.listener.SyscallConn()
 	if err != nil {
 		return 0
 	}
 	var info [memInfoDrops + 1]uint32
-	_ = raw.Control(func(fd uintptr) { // of a socket that is closed just now nothing is dropped
+	_ = raw.Control(func(fd uintptr) { // a socket closed meanwhile has dropped nothing
 		size := uint32(len(info) * 4)
 		_, _, _ = unix.Syscall6(unix.SYS_GETSOCKOPT, fd, unix.SOL_SOCKET, unix.SO_MEMINFO,
 			uintptr(unsafe.Pointer(&info)), uintptr(unsafe.Pointer(&size)), 0)
@@ -150,32 +152,32 @@
 	return info[memInfoDrops]
 }
 
-// memInfoDrops is SK_MEMINFO_DROPS of linux/sock_diag.h, the place of the count in what SO_MEMINFO gives.
+// memInfoDrops is SK_MEMINFO_DROPS of linux/sock_diag.h, the index of the drop count in the result of SO_MEMINFO.
 const memInfoDrops = 8
 
-// target finds whom an address belongs to.
-func (h *Late) target(to netip.AddrPort) (*Port, int) {
-	n, ok := caller(to.Addr())
+// calledPort finds the port and the caller that a destination address belongs to; nil: none with the fault.
+func (h *HandshakeDelay) calledPort(to netip.AddrPort) (*Port, int) {
+	n, ok := callerOf(to.Addr())
 	if !ok {
 		return nil, 0
 	}
-	for p, callers := range h.ports {
-		if p.number() == int(to.Port()) && slices.Contains(callers, n) {
+	for p, callers := range h.callersByPort {
+		if p.portNumber() == int(to.Port()) && slices.Contains(callers, n) {
 			return p, n
 		}
 	}
 	return nil, 0
 }
 
-func (p *Port) number() int {
+func (p *Port) portNumber() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.port
 }
 
-// openLate answers a connection that waits, from the address that was called. One whose caller has given up is
-// refused by its kernel, and nothing is left to do.
-func (p *Port) openLate(ctx context.Context, w pair, caller int, wait time.Duration) {
+// openDelayed opens a pending connection from the called address after a wait. If the caller has given up, its kernel
+// resets the dial, and there is nothing to serve.
+func (p *Port) openDelayed(ctx context.Context, w addrPair, caller int, wait time.Duration) {
 	t := time.NewTimer(wait)
 	defer t.Stop()
 	select {
@@ -184,22 +186,22 @@
 	case <-t.C:
 	}
 	p.mu.Lock()
-	l := p.l
+	l := p.listener
 	p.mu.Unlock()
-	if l == nil { // the party has died: its kernel refuses the next try
+	if l == nil { // the party is down: the kernel resets the retransmitted SYN
 		return
 	}
-	d := net.Dialer{LocalAddr: net.TCPAddrFromAddrPort(w.to), Timeout: time.Second, KeepAlive: -1, Control: shareAddr}
+	d := net.Dialer{LocalAddr: net.TCPAddrFromAddrPort(w.to), Timeout: time.Second, KeepAlive: -1, Control: allowAddrReuse}
 	d.SetMultipathTCP(false)
 	c, err := d.DialContext(ctx, "tcp4", w.from.String())
 	if err != nil {
 		return
 	}
-	p.take(l, c.(*net.TCPConn), caller)
+	p.serveConn(l, c.(*net.TCPConn), caller)
 }
 
-// shareAddr lets a socket be bound where another one listens.
-func shareAddr(_, _ string, c syscall.RawConn) error {
+// allowAddrReuse allows a socket to be bound to the address of a listener.
+func allowAddrReuse(_, _ string, c syscall.RawConn) error {
 	var failed error
 	err := c.Control(func(fd uintptr) {
 		failed = errors.Join(unix.SetsockoptInt(int(fd), unix.SOL_SOCKET, unix.SO_REUSEADDR, 1),
@@ -208,59 +210,59 @@
 	return errors.Join(err, failed)
 }
 
-// The filter spreads source ports over 16 bits by a multiplication, as a hash, and drops those below the share.
+// The filter hashes source ports to 16 bits by a multiplication and drops those below the fraction.
 const (
-	spreadPorts = 40503 // odd, near 2^16 over the golden ratio
-	portSpace   = 1 << 16
+	portMultiplier = 40503 // odd, near 2^16 over the golden ratio
+	portSpace      = 1 << 16
 )
 
-// dropped tells whether the filter drops what comes from this port.
-func dropped(port uint16, share float64) bool {
-	return uint32(port)*spreadPorts%portSpace < uint32(share*portSpace)
+// portDropped tells whether the filter drops packets from this source port.
+func portDropped(port uint16, fraction float64) bool {
+	return uint32(port)*portMultiplier%portSpace < uint32(fraction*portSpace)
 }
 
-// dropShare is the part of a filter that drops a share of what is sent to a caller. It begins with the address at the
-// offset loaded, and decides for good where it matches.
-func dropShare(addr uint32, share float64) []unix.SockFilter {
+// dropFraction is the part of a filter that drops a fraction of one caller's packets. It expects the address in the
+// accumulator; for a packet of this caller it returns the verdict, for others it falls through.
+func dropFraction(addr uint32, fraction float64) []unix.SockFilter {
 	return []unix.SockFilter{
 		{Code: unix.BPF_JMP | unix.BPF_JEQ | unix.BPF_K, Jf: 6, K: addr},
 		{Code: unix.BPF_LD | unix.BPF_H | unix.BPF_ABS, K: networkHeader + sourcePortOffset},
-		{Code: unix.BPF_ALU | unix.BPF_MUL | unix.BPF_K, K: spreadPorts},
+		{Code: unix.BPF_ALU | unix.BPF_MUL | unix.BPF_K, K: portMultiplier},
 		{Code: unix.BPF_ALU | unix.BPF_AND | unix.BPF_K, K: portSpace - 1},
-		{Code: unix.BPF_JMP | unix.BPF_JGE | unix.BPF_K, Jt: 1, K: uint32(share * portSpace)},
+		{Code: unix.BPF_JMP | unix.BPF_JGE | unix.BPF_K, Jt: 1, K: uint32(fraction * portSpace)},
 		{Code: unix.BPF_RET | unix.BPF_K, K: 0},
 		{Code: unix.BPF_RET | unix.BPF_K, K: 1 << 18},
 	}
 }
 
-// sourcePortOffset is where the source port stands behind an IPv4 header without options.
+// sourcePortOffset is the offset of the TCP source port after an IPv4 header without options.
 const sourcePortOffset = 20
 
-// setLate changes whose new connections are late.
-func (p *Port) setLate(callers []int, share float64) error {
+// setDelayed sets the callers and the fraction of delayed handshakes.
+func (p *Port) setDelayed(callers []int, fraction float64) error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.late, p.lateShare = callers, share
-	return p.filter()
+	p.delayed, p.delayedFraction = callers, fraction
+	return p.applyFilter()
 }
 
-// pair is what a connection lies between.
-type pair struct{ from, to netip.AddrPort }
+// addrPair is the two ends of a connection.
+type addrPair struct{ from, to netip.AddrPort }
 
-// waiting is a connection whose handshake is not over.
-type waiting struct {
-	pair
+// pendingConn is a connection whose handshake is not complete.
+type pendingConn struct {
+	addrPair
 	age time.Duration // since its first SYN
 }
 
-// firstRepeat is after what time the kernel sends a SYN again (RFC 6298, 2.1); its clock tells how long ago the first
-// one was.
+// synRetryDelay is the kernel's first SYN retransmission timeout (RFC 6298, 2.1); what is left of it gives the age of the
+// first SYN.
 const (
-	firstRepeat = time.Second
-	kernelTick  = 10 * time.Millisecond // the coarsest of its clocks for that
+	synRetryDelay = time.Second
+	kernelTick    = 10 * time.Millisecond // resolution of the retransmission timer
 )
 
-// sizes and places in the kernel's inet_diag_req_v2 and inet_diag_msg.
+// Sizes and field offsets, in bytes, of the kernel's inet_diag_req_v2 and inet_diag_msg.
 const (
 	diagRequest  = 56
 	diagAnswer   = 72
@@ -273,8 +275,8 @@
 	netlinkBytes = 64 << 10
 )
 
-// connecting asks the kernel for all IPv4 connections that have sent a SYN and heard nothing.
-func connecting() ([]waiting, error) {
+// pendingConns queries the kernel for all IPv4 connections in SYN_SENT.
+func pendingConns() ([]pendingConn, error) {
 	fd, err := unix.Socket(unix.AF_NETLINK, unix.SOCK_RAW|unix.SOCK_CLOEXEC, unix.NETLINK_SOCK_DIAG)
 	if err != nil {
 		return nil, fmt.Errorf("relay: ask for sockets: %w", err)
@@ -290,7 +292,7 @@
 	if err := unix.Sendto(fd, req, 0, &unix.SockaddrNetlink{Family: unix.AF_NETLINK}); err != nil {
 		return nil, fmt.Errorf("relay: ask for sockets: %w", err)
 	}
-	var out []waiting
+	var out []pendingConn
 	buf := make([]byte, netlinkBytes)
 	for {
 		n, _, err := unix.Recvfrom(fd, buf, 0)
@@ -313,10 +315,10 @@
 			addr := func(at, port int) netip.AddrPort {
 				return netip.AddrPortFrom(netip.AddrFrom4([4]byte(m.Data[at:at+4])), binary.BigEndian.Uint16(m.Data[port:]))
 			}
-			w := waiting{pair: pair{addr(diagSource, diagPorts), addr(diagTarget, diagPorts+2)}, age: firstRepeat - kernelTick}
+			w := pendingConn{addrPair: addrPair{addr(diagSource, diagPorts), addr(diagTarget, diagPorts+2)}, age: synRetryDelay - kernelTick}
 			if m.Data[diagRetries] == 0 {
 				left := time.Duration(binary.NativeEndian.Uint32(m.Data[diagTimer:])) * time.Millisecond
-				w.age = max(firstRepeat-left-kernelTick, 0)
+				w.age = max(synRetryDelay-left-kernelTick, 0)
 			}
 			out = append(out, w)
 		}
--- a/internal/lab/relay/link.go
+++ b/internal/lab/relay/link.go
@@ -13,29 +13,29 @@
 	"golang.org/x/sys/unix"
 )
 
-// Way is a direction on a link.
-type Way uint8
+// Direction is a direction on a link.
+type Direction uint8
 
 // The directions; To is from the caller to the party that is called.
 const (
-	To   Way = 1 << iota
-	From     // answers
+	To   Direction = 1 << iota
+	From           // answers
 	Both = To | From
 )
 
-// Rules is what a link does to what passes it. The zero value passes everything at once.
+// Rules are the faults of a link. The zero value passes everything without delay.
 type Rules struct {
-	Latency   time.Duration // one way, added to each read and write
-	Jitter    float64       // each latency is drawn from Latency x (1 +- Jitter)
-	Bandwidth int           // bytes a second each way; 0: no bound
-	Cut       Way           // passes nothing this way; either way, new connections never come up
-	Refuse    bool          // new connections are reset at once
-	Break     int64         // each connection is reset after this many bytes; 0: never
-	HalfClose bool          // answers end after their first bytes although the connection stays open to the caller
-	Lose      float64       // share of answers that are swallowed: the connection stays open and silent
+	Latency         time.Duration // one-way, added to each read and write
+	Jitter          float64       // each latency is drawn from Latency x (1 +- Jitter)
+	Bandwidth       int           // bytes per second in each direction; 0: unlimited
+	Cut             Direction     // directions that carry nothing; Port.Cut drops the handshakes
+	Reject          bool          // new connections are reset immediately
+	ResetAfterBytes int64         // each connection is reset after this many bytes; 0: never
+	HalfClose       bool          // an answer is cut after its first 16 bytes and the write side closed
+	AnswerLoss      float64       // fraction of answers that are never written, 0 to 1; the connection stays open
 }
 
-// Link is what lies between one caller and one party. Its rules can change at any time.
+// Link is the simulated network path between one caller and one party. Its rules can change at any time.
 type Link struct {
 	rules   atomic.Pointer[Rules]
 	mu      sync.Mutex
@@ -50,7 +50,7 @@
 	return l
 }
 
-// Rules are those in force.
+// Rules returns the rules in force.
 func (l *Link) Rules() Rules { return *l.rules.Load() }
 
 // Set changes the rules.
@@ -70,7 +70,7 @@
 	return l.changed
 }
 
-func (l *Link) refuses() bool { return l.rules.Load().Refuse }
+func (l *Link) rejectsConns() bool { return l.rules.Load().Reject }
 
 func (l *Link) draw() float64 {
 	l.mu.Lock()
@@ -78,7 +78,7 @@
 	return l.rng.Float64()
 }
 
-// delay is how long n bytes take.
+// delay is the transfer time of n bytes.
 func (l *Link) delay(r *Rules, n int) time.Duration {
 	d := r.Latency
 	if d > 0 && r.Jitter > 0 {
@@ -90,21 +90,21 @@
 	return d
 }
 
-var errBroken = errors.New("relay: the link broke this connection")
+var errLinkReset = errors.New("relay: the link broke this connection")
 
-// peekEvery is how often a connection that is cut off is looked at for the caller's close.
-const peekEvery = 5 * time.Millisecond
+// closePollInterval is how often a connection that waits for the end of a cut is checked for a close by the caller.
+const closePollInterval = 5 * time.Millisecond
 
 // Conn is a caller's connection as the party that is called sees it through the link.
 type Conn struct {
 	*net.TCPConn
 	Caller int
 
-	link   *Link
-	passed atomic.Int64
-	done   chan struct{}
-	once   sync.Once
-	// onPeerClose is told once if the caller closes while a cut hides it from the party.
+	link         *Link
+	carriedBytes atomic.Int64
+	done         chan struct{}
+	once         sync.Once
+	// onPeerClose is called once if the caller closes while a cut hides it from the party.
 	onPeerClose atomic.Pointer[func()]
 }
 
@@ -115,44 +115,43 @@
 // Done is closed when the party's side of the connection is closed.
 func (c *Conn) Done() <-chan struct{} { return c.done }
 
-// Link is what the connection passes.
+// Link returns the link that carries the connection.
 func (c *Conn) Link() *Link { return c.link }
 
 // OnPeerClose calls f once if the caller closes while a cut hides that from the party. It replaces an earlier f.
 func (c *Conn) OnPeerClose(f func()) { c.onPeerClose.Store(&f) }
 
-// Read takes what the caller sent, late or not at all as the link has it.
+// Read reads from the caller under the link's rules. While requests are cut, it blocks.
 func (c *Conn) Read(p []byte) (int, error) {
-	if err := c.pass(To); err != nil {
+	if err := c.waitUncut(To); err != nil {
 		return 0, err
 	}
 	n, err := c.TCPConn.Read(p)
 	r := c.link.rules.Load()
 	if r.Cut&To != 0 {
-		// What came was on its way when the cut began, and is lost to the party until it is over. An end that
-		// came is seen then as well.
-		if held := c.pass(To); held != nil {
+		// The bytes arrived during the cut: the party gets them, or the end of the stream, after the cut.
+		if held := c.waitUncut(To); held != nil {
 			return 0, held
 		}
 	}
 	if n > 0 {
-		if werr := c.carry(r, n); werr != nil {
+		if werr := c.delayAndCount(r, n); werr != nil {
 			return 0, werr
 		}
 	}
 	return n, err
 }
 
-// Write sends to the caller, late or not at all as the link has it. While answers are cut, it blocks.
+// Write writes to the caller under the link's rules. While answers are cut, it blocks.
 func (c *Conn) Write(p []byte) (int, error) {
-	if err := c.pass(From); err != nil {
+	if err := c.waitUncut(From); err != nil {
 		return 0, err
 	}
 	r := c.link.rules.Load()
-	if err := c.carry(r, len(p)); err != nil {
+	if err := c.delayAndCount(r, len(p)); err != nil {
 		return 0, err
 	}
-	if err := c.pass(From); err != nil { // it may have begun while this was on its way
+	if err := c.waitUncut(From); err != nil { // a cut may have started during the delay
 		return 0, err
 	}
 	if r.HalfClose {
@@ -160,25 +159,25 @@
 		if err == nil {
 			err = c.TCPConn.CloseWrite()
 		}
-		return n, errors.Join(err, errBroken)
+		return n, errors.Join(err, errLinkReset)
 	}
 	return c.TCPConn.Write(p)
 }
 
-// ReadFrom keeps the shaping in the way: the embedded connection's would go around it.
+// ReadFrom copies through Write: the embedded connection's own ReadFrom would bypass the link's rules.
 func (c *Conn) ReadFrom(r io.Reader) (int64, error) { return io.Copy(struct{ io.Writer }{c}, r) }
 
-// WriteTo keeps the shaping in the way.
+// WriteTo copies through Read, for the same reason as ReadFrom.
 func (c *Conn) WriteTo(w io.Writer) (int64, error) { return io.Copy(w, struct{ io.Reader }{c}) }
 
-// Loses draws whether the answer to be written now is swallowed.
-func (c *Conn) Loses() bool {
+// LosesAnswer draws whether the answer to be written now is lost.
+func (c *Conn) LosesAnswer() bool {
 	r := c.link.rules.Load()
-	return r.Lose > 0 && c.link.draw() < r.Lose
+	return r.AnswerLoss > 0 && c.link.draw() < r.AnswerLoss
 }
 
-// carry waits for the latency of n bytes and counts them.
-func (c *Conn) carry(r *Rules, n int) error {
+// delayAndCount waits for the transfer time of n bytes and resets the connection past ResetAfterBytes.
+func (c *Conn) delayAndCount(r *Rules, n int) error {
 	if r.Latency > 0 || r.Bandwidth > 0 {
 		if d := c.link.delay(r, n); d > 0 {
 			t := time.NewTimer(d)
@@ -190,21 +189,21 @@
 			}
 		}
 	}
-	if r.Break > 0 && c.passed.Add(int64(n)) > r.Break {
+	if r.ResetAfterBytes > 0 && c.carriedBytes.Add(int64(n)) > r.ResetAfterBytes {
 		c.Reset()
-		return errBroken
+		return errLinkReset
 	}
 	return nil
 }
 
-// pass waits until the link carries this way.
-func (c *Conn) pass(way Way) error {
+// waitUncut blocks until the direction is not cut. Meanwhile it reports a close by the caller to onPeerClose.
+func (c *Conn) waitUncut(way Direction) error {
 	if c.link.rules.Load().Cut&way == 0 {
 		return nil
 	}
-	tick := time.NewTicker(peekEvery)
+	tick := time.NewTicker(closePollInterval)
 	defer tick.Stop()
-	told := false
+	notified := false
 	for {
 		changed := c.link.watch()
 		if c.link.rules.Load().Cut&way == 0 {
@@ -215,8 +214,8 @@
 		case <-c.done:
 			return net.ErrClosed
 		case <-tick.C:
-			if !told && c.peerClosed() {
-				told = true
+			if !notified && c.peerClosed() {
+				notified = true
 				if f := c.onPeerClose.Load(); f != nil {
 					(*f)()
 				}
@@ -225,7 +224,7 @@
 	}
 }
 
-// peerClosed asks the kernel whether the caller has closed, which the party cannot know through a cut.
+// peerClosed queries the kernel whether the caller has closed, which the party cannot know through a cut.
 func (c *Conn) peerClosed() bool {
 	raw, err := c.TCPConn.SyscallConn()
 	if err != nil {
@@ -241,7 +240,7 @@
 
 func (c *Conn) detachFilter() {
 	if raw, err := c.TCPConn.SyscallConn(); err == nil {
-		_ = raw.Control(func(fd uintptr) { _ = detach(int(fd)) }) // an old socket without a filter is as good
+		_ = raw.Control(func(fd uintptr) { _ = detach(int(fd)) }) // a socket without a filter needs no detach
 	}
 }
 
@@ -257,6 +256,6 @@
 
 // Reset ends the connection with a reset.
 func (c *Conn) Reset() {
-	_ = c.TCPConn.SetLinger(0) // on one that is closed already nothing is left to do
+	_ = c.TCPConn.SetLinger(0) // fails only if it is closed already
 	_ = c.Close()
 }
--- a/internal/lab/relay/listen.go
+++ b/internal/lab/relay/listen.go
@@ -1,19 +1,18 @@
-// Package relay puts faults on the links between the parties of a run: latency and jitter, bandwidth, silent cuts
-// one way or both, resets, refusals, half-closes and breaks after so many bytes.
+// Package relay is an in-process proxy that injects network faults between the parties of a lab run: latency and
+// jitter, bandwidth limits, partitions in one direction or both, rejected connections, resets, half-closes, answer
+// and packet loss, and delayed handshakes.
 //
-// A party that is called listens once, on every loopback address at a port of the system's choice; each caller is
-// given an address of its own for it. The address a connection came to therefore names the caller, and one
-// listener carries the links of hundreds of callers: with one listener a pair, 100 callers of 1,000 parties would
-// need 100,000. A pair's new connections are cut by a filter on the listening socket that drops what is sent to
-// the caller's address (classic BPF, which needs no rights): they never come up, as when a machine vanishes.
-// Open connections stay open and silent: the relay neither reads nor writes them until the cut is over.
+// Each party listens once, on all loopback addresses. Each caller uses a loopback address of its own for it, so the
+// destination address of a connection identifies the caller, and one listener serves the links of hundreds of
+// callers. A partition drops the caller's new handshakes with a classic BPF filter on the listening socket, which
+// needs no privileges: connects time out. Open connections stay open, but are neither read nor written until the
+// partition ends.
 //
-// The way not taken: network namespaces and traffic control. They need rights that a developer's machine and CI
-// may not give, and cannot break a connection after N bytes.
+// Network namespaces and traffic control are not used: they need privileges, and cannot reset a connection after N
+// bytes.
 //
-// Not promised: a pair's refusal is a reset right after the connection is accepted, as only a whole listener can
-// refuse; latency is added to each read and write, so that a link carries at most one buffer (32 KiB or so) for
-// each latency.
+// Limits: a rejected connection is accepted and then reset, as only a closed listener can reject the handshake.
+// Latency is added to each read and write, so a link carries at most one buffer (about 32 KiB) per latency.
 package relay
 
 import (
@@ -31,48 +30,48 @@
 	"golang.org/x/sys/unix"
 )
 
-// firstNet is the second byte of the addresses that callers are given; 127.0.0.1 is nobody's.
-const firstNet = 64
+// firstCallerOctet is the second octet of the first caller's address; 127.0.0.1 belongs to no caller.
+const firstCallerOctet = 64
 
 // maxCallers bounds the callers of one party, by the filter's length (two instructions a caller).
 const maxCallers = 1500
 
-// maxLate bounds those whose connections come up late (seven instructions a caller; the whole is at most 4,096).
-const maxLate = 150
+// maxDelayedCallers bounds the callers with delayed handshakes (seven instructions a caller; a filter has at most 4,096).
+const maxDelayedCallers = 150
 
-// SourceAddr is the loopback address from which caller n of a port opened by ForwardBySource has to call.
-func SourceAddr(n int) string { return callerAddr(n).String() }
+// CallerAddr is the loopback address from which caller n of a port opened by ForwardBySource has to call.
+func CallerAddr(n int) string { return callerIP(n).String() }
 
-// callerAddr is the loopback address at which caller n reaches whatever listens for it.
-func callerAddr(n int) netip.Addr {
-	return netip.AddrFrom4([4]byte{127, byte(firstNet + n>>16), byte(n >> 8), byte(n)})
+// callerIP is the loopback address at which caller n reaches whatever listens for it.
+func callerIP(n int) netip.Addr {
+	return netip.AddrFrom4([4]byte{127, byte(firstCallerOctet + n>>16), byte(n >> 8), byte(n)})
 }
 
-// caller tells which caller an address was given to.
-func caller(a netip.Addr) (int, bool) {
+// callerOf returns the caller that an address belongs to; false: none.
+func callerOf(a netip.Addr) (int, bool) {
 	b := a.Unmap().As4()
-	if b[0] != 127 || b[1] < firstNet {
+	if b[0] != 127 || b[1] < firstCallerOctet {
 		return 0, false
 	}
-	return int(b[1]-firstNet)<<16 | int(b[2])<<8 | int(b[3]), true
+	return int(b[1]-firstCallerOctet)<<16 | int(b[2])<<8 | int(b[3]), true
 }
 
-// Port is where one party is called, by all callers.
+// Port is the listener of one party, shared by all of its callers.
 type Port struct {
 	links    func(caller int) *Link
-	bySource bool // callers are told apart by where they call from, in place of where they call
+	bySource bool // callers are identified by their source address instead of the destination address
 
-	mu     sync.Mutex
-	port   int
-	l      *net.TCPListener
-	cut    []int // callers whose new connections are dropped, sorted
-	conns  map[*Conn]struct{}
-	closed bool
-	serve  func(*Conn)
-	wg     sync.WaitGroup
+	mu       sync.Mutex
+	port     int
+	listener *net.TCPListener
+	cut      []int // callers whose new connections are dropped, sorted
+	conns    map[*Conn]struct{}
+	closed   bool
+	serve    func(*Conn)
+	wg       sync.WaitGroup
 
-	late      []int   // callers of whose new connections a share come up late
-	lateShare float64 // see Late
+	delayed         []int   // callers with delayed handshakes
+	delayedFraction float64 // of their new connections, 0 to 1; see HandshakeDelay
 }
 
 // Listen opens a port for a party; links gives each caller's link to it. Each connection is handed to serve in a
@@ -93,7 +92,7 @@
 func (p *Port) Addr(caller int) string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return netip.AddrPortFrom(callerAddr(caller), uint16(p.port)).String()
+	return netip.AddrPortFrom(callerIP(caller), uint16(p.port)).String()
 }
 
 // Open listens (again); on the port it had before, if any. It does nothing on an open port.
@@ -103,7 +102,7 @@
 	if p.closed {
 		return net.ErrClosed
 	}
-	if p.l != nil {
+	if p.listener != nil {
 		return nil
 	}
 	lc := net.ListenConfig{KeepAlive: -1, Control: func(_, _ string, c syscall.RawConn) error {
@@ -114,11 +113,11 @@
 		})
 		return errors.Join(err, failed)
 	}}
-	lc.SetMultipathTCP(false) // its sockets take no filter
+	lc.SetMultipathTCP(false) // MPTCP sockets accept no filter
 	listen := func(port int) error {
 		l, err := lc.Listen(context.Background(), "tcp4", fmt.Sprintf("0.0.0.0:%d", port))
 		if err == nil {
-			p.l = l.(*net.TCPListener)
+			p.listener = l.(*net.TCPListener)
 		}
 		return err
 	}
@@ -131,28 +130,28 @@
 	if err != nil {
 		return fmt.Errorf("relay: listen on loopback: %w", err)
 	}
-	p.port = p.l.Addr().(*net.TCPAddr).Port
-	// What comes up late is opened from here. Not sooner: two parties could take one port together.
-	raw, err := p.l.SyscallConn()
+	p.port = p.listener.Addr().(*net.TCPAddr).Port
+	// Delayed connections are dialled from this port. Set only after bind, as two parties could else share a port.
+	raw, err := p.listener.SyscallConn()
 	if err == nil {
-		err = errors.Join(shareAddr("", "", raw), p.filter())
+		err = errors.Join(allowAddrReuse("", "", raw), p.applyFilter())
 	}
 	if err != nil {
-		p.l.Close()
-		p.l = nil
+		p.listener.Close()
+		p.listener = nil
 		return err
 	}
-	listening := p.l
+	listening := p.listener
 	p.wg.Go(func() { p.accept(listening) })
 	return nil
 }
 
-// Shut stops listening, so that new connections are refused, and resets the open ones: the process has died.
-func (p *Port) Shut() {
+// Kill simulates the death of the process: it closes the listener and resets all open connections.
+func (p *Port) Kill() {
 	p.mu.Lock()
-	l := p.l
-	p.l = nil
-	conns := p.open()
+	l := p.listener
+	p.listener = nil
+	conns := p.openConns()
 	p.mu.Unlock()
 	if l != nil {
 		l.Close()
@@ -162,27 +161,27 @@
 	}
 }
 
-// StopAccepting closes the listener and leaves the open connections alone.
+// StopAccepting closes the listener and keeps the open connections.
 func (p *Port) StopAccepting() {
 	p.mu.Lock()
-	l := p.l
-	p.l = nil
+	l := p.listener
+	p.listener = nil
 	p.mu.Unlock()
 	if l != nil {
 		l.Close()
 	}
 }
 
-// Close ends the port for good and waits for what served its connections.
+// Close closes the port permanently and waits until all connections are served.
 func (p *Port) Close() {
 	p.mu.Lock()
 	p.closed = true
 	p.mu.Unlock()
-	p.Shut()
+	p.Kill()
 	p.wg.Wait()
 }
 
-func (p *Port) open() []*Conn {
+func (p *Port) openConns() []*Conn {
 	conns := make([]*Conn, 0, len(p.conns))
 	for c := range p.conns {
 		conns = append(conns, c)
@@ -190,10 +189,10 @@
 	return conns
 }
 
-// Each calls f for every open connection of a caller.
-func (p *Port) Each(caller int, f func(*Conn)) {
+// EachConn calls f for every open connection of a caller.
+func (p *Port) EachConn(caller int, f func(*Conn)) {
 	p.mu.Lock()
-	conns := p.open()
+	conns := p.openConns()
 	p.mu.Unlock()
 	for _, c := range conns {
 		if c.Caller == caller {
@@ -209,7 +208,7 @@
 			if errors.Is(err, net.ErrClosed) {
 				return
 			}
-			// Out of descriptors, say: the next one may be accepted again.
+			// A temporary error, such as too many open files.
 			time.Sleep(5 * time.Millisecond)
 			continue
 		}
@@ -217,17 +216,17 @@
 		if p.bySource {
 			called = raw.RemoteAddr()
 		}
-		n, ok := caller(called.(*net.TCPAddr).AddrPort().Addr())
+		n, ok := callerOf(called.(*net.TCPAddr).AddrPort().Addr())
 		if !ok || !raw.RemoteAddr().(*net.TCPAddr).IP.IsLoopback() {
 			raw.Close()
 			continue
 		}
-		p.take(l, raw, n)
+		p.serveConn(l, raw, n)
 	}
 }
 
-// take serves a caller's connection that came while l listened.
-func (p *Port) take(l *net.TCPListener, raw *net.TCPConn, caller int) {
+// serveConn serves a caller's connection accepted by l, or resets it if l has been closed since.
+func (p *Port) serveConn(l *net.TCPListener, raw *net.TCPConn, caller int) {
 	link := p.links(caller)
 	if link == nil {
 		raw.Close()
@@ -235,7 +234,7 @@
 	}
 	c := newConn(raw, link, caller)
 	p.mu.Lock()
-	late := p.l != l
+	late := p.listener != l
 	if !late {
 		p.conns[c] = struct{}{}
 		c.detachFilter()
@@ -250,7 +249,7 @@
 		defer p.wg.Done()
 		defer p.forget(c)
 		defer c.Close()
-		if link.refuses() {
+		if link.rejectsConns() {
 			c.Reset()
 			return
 		}
@@ -264,7 +263,7 @@
 	p.mu.Unlock()
 }
 
-// Cut makes new connections of a caller never come up; Heal lets them again.
+// Cut drops the handshakes of a caller's new connections until Heal.
 func (p *Port) Cut(caller int) error { return p.setCut(caller, true) }
 
 // Heal ends a Cut.
@@ -282,27 +281,27 @@
 	default:
 		return nil
 	}
-	return p.filter()
+	return p.applyFilter()
 }
 
-// filter gives the listening socket the program that drops what cut callers send. p.mu is held.
-func (p *Port) filter() error {
-	if p.l == nil {
+// applyFilter attaches the BPF program for the cut and the delayed callers to the listener. p.mu is held.
+func (p *Port) applyFilter() error {
+	if p.listener == nil {
 		return nil
 	}
 	if len(p.cut) > maxCallers {
 		return fmt.Errorf("relay: %d callers are cut off one party, at most %d can be", len(p.cut), maxCallers)
 	}
-	if len(p.late) > maxLate {
-		return fmt.Errorf("relay: connections of %d callers to one party come up late, at most %d can be", len(p.late), maxLate)
+	if len(p.delayed) > maxDelayedCallers {
+		return fmt.Errorf("relay: connections of %d callers to one party come up late, at most %d can be", len(p.delayed), maxDelayedCallers)
 	}
-	raw, err := p.l.SyscallConn()
+	raw, err := p.listener.SyscallConn()
 	if err != nil {
 		return fmt.Errorf("relay: %w", err)
 	}
 	var failed error
 	err = raw.Control(func(fd uintptr) {
-		if len(p.cut)+len(p.late) == 0 {
+		if len(p.cut)+len(p.delayed) == 0 {
 			failed = detach(int(fd))
 			return
 		}
@@ -310,7 +309,7 @@
 		if p.bySource {
 			offset = sourceOffset
 		}
-		prog := drop(p.cut, p.late, p.lateShare, offset)
+		prog := dropProgram(p.cut, p.delayed, p.delayedFraction, offset)
 		failed = unix.SetsockoptSockFprog(int(fd), unix.SOL_SOCKET, unix.SO_ATTACH_FILTER,
 			&unix.SockFprog{Len: uint16(len(prog)), Filter: &prog[0]})
 	})
@@ -329,12 +328,12 @@
 	destinationOffset = 16
 )
 
-// drop is a program that drops each packet whose address at the offset is that of one of the callers, and a share of
-// those whose address is one of the late callers'.
-func drop(callers, late []int, share float64, offset uint32) []unix.SockFilter {
+// dropProgram is a BPF program that drops each packet whose address at the offset is that of a cut caller, and a fraction
+// of the packets of delayed callers.
+func dropProgram(callers, late []int, fraction float64, offset uint32) []unix.SockFilter {
 	prog := []unix.SockFilter{{Code: unix.BPF_LD | unix.BPF_W | unix.BPF_ABS, K: networkHeader + offset}}
 	word := func(n int) uint32 {
-		b := callerAddr(n).As4()
+		b := callerIP(n).As4()
 		return binary.BigEndian.Uint32(b[:])
 	}
 	for _, n := range callers {
@@ -343,14 +342,14 @@
 			unix.SockFilter{Code: unix.BPF_RET | unix.BPF_K, K: 0})
 	}
 	for _, n := range late {
-		prog = append(prog, dropShare(word(n), share)...)
+		prog = append(prog, dropFraction(word(n), fraction)...)
 	}
 	return append(prog, unix.SockFilter{Code: unix.BPF_RET | unix.BPF_K, K: 1 << 18})
 }
 
 func detach(fd int) error {
 	err := unix.SetsockoptInt(fd, unix.SOL_SOCKET, unix.SO_DETACH_FILTER, 0)
-	if errors.Is(err, unix.ENOENT) { // there was none
+	if errors.Is(err, unix.ENOENT) { // no filter was attached
 		return nil
 	}
 	return err
--- a/internal/lab/relay/ports.go
+++ b/internal/lab/relay/ports.go
@@ -10,18 +10,18 @@
 	"syscall"
 )
 
-// Parties of a run listen at ports below those that the system gives to outgoing connections. Of the others somebody's
-// connection may take one between the look for a free port and its use, or while a party that comes back is away.
+// Parties of a run listen on ports below the ephemeral range. An outgoing connection could take a port of that range
+// between the search for a free port and its use, or while a party is restarting.
 const (
-	lowestPort = 10240
-	fewPorts   = 1000 // fewer than this are no choice
-	portTries  = 100
+	lowestPort   = 10240
+	minPortRange = 1000 // a smaller range below the ephemeral ports is not used
+	portAttempts = 100
 )
 
-// anyPort lets listen try ports until one is free; in the end 0, the system's choice.
+// anyPort calls listen with random ports until one is free, and after portAttempts with 0: chosen by the system.
 func anyPort(listen func(port int) error) error {
-	if span := firstOutgoing() - lowestPort; span >= fewPorts {
-		for range portTries {
+	if span := firstEphemeralPort() - lowestPort; span >= minPortRange {
+		for range portAttempts {
 			err := listen(lowestPort + rand.IntN(span))
 			if !errors.Is(err, syscall.EADDRINUSE) {
 				return err
@@ -31,8 +31,8 @@
 	return listen(0)
 }
 
-// firstOutgoing is the lowest port that the system gives to outgoing connections; 0: it does not say.
-func firstOutgoing() int {
+// firstEphemeralPort is the lowest port that the system assigns to outgoing connections; 0: unknown.
+func firstEphemeralPort() int {
 	text, err := os.ReadFile("/proc/sys/net/ipv4/ip_local_port_range")
 	if err != nil {
 		return 0
@@ -44,7 +44,7 @@
 	return low
 }
 
-// FreeAddr finds a port of a host that nobody listens at, and that no outgoing connection will be given.
+// FreeAddr finds an unused port of a host outside the range of outgoing connections.
 func FreeAddr(host string) (string, error) {
 	addr := ""
 	err := anyPort(func(port int) error {
--- a/internal/lab/relay/ports_test.go
+++ b/internal/lab/relay/ports_test.go
@@ -7,8 +7,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Ports are nobody's, and out of the way of outgoing connections; two parties never share one.
-func TestPortsAreTheirOwn(t *testing.T) {
+// Ports are unique and below the ephemeral range; a second listener on one fails.
+func TestListen_uniquePorts(t *testing.T) {
 	taken := map[int]bool{}
 	for range 200 {
 		p, err := Listen(func(int) *Link { return nil }, func(*Conn) {})
@@ -16,7 +16,7 @@
 		defer p.Close()
 		assert.False(t, taken[p.port], "port %d is given twice", p.port)
 		taken[p.port] = true
-		if low := firstOutgoing(); low-lowestPort >= fewPorts {
+		if low := firstEphemeralPort(); low-lowestPort >= minPortRange {
 			assert.Less(t, p.port, low)
 		}
 	}
--- a/internal/lab/relay/relay_test.go
+++ b/internal/lab/relay/relay_test.go
@@ -18,10 +18,10 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-const patience = 10 * time.Second
+const testTimeout = 10 * time.Second
 
-// echo answers each line with who called and what it said.
-func echo(t *testing.T, callers int) (*Port, []*Link) {
+// listenEcho opens a port that echoes each line with the number of its caller.
+func listenEcho(t *testing.T, callers int) (*Port, []*Link) {
 	t.Helper()
 	links := make([]*Link, callers)
 	for i := range links {
@@ -53,7 +53,7 @@
 
 func dial(t *testing.T, p *Port, caller int) *net.TCPConn {
 	t.Helper()
-	c, err := net.DialTimeout("tcp4", p.Addr(caller), patience)
+	c, err := net.DialTimeout("tcp4", p.Addr(caller), testTimeout)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -61,8 +61,8 @@
 	return c.(*net.TCPConn)
 }
 
-// say sends a line and returns the answer, or the error within the wait.
-func say(c net.Conn, text string, wait time.Duration) (string, error) {
+// exchangeLine sends a line and returns the answer, or the error within the wait.
+func exchangeLine(c net.Conn, text string, wait time.Duration) (string, error) {
 	_ = c.SetDeadline(time.Now().Add(wait))
 	if _, err := io.WriteString(c, text+"\n"); err != nil {
 		return "", err
@@ -70,29 +70,29 @@
 	return bufio.NewReader(c).ReadString('\n')
 }
 
-const shortly = 150 * time.Millisecond // for what must not come
+const silenceWait = 150 * time.Millisecond // for what must not come
 
-func TestAddressNamesCaller(t *testing.T) {
-	p, _ := echo(t, 300)
+func TestListen_callerFromAddress(t *testing.T) {
+	p, _ := listenEcho(t, 300)
 	for _, n := range []int{0, 1, 255, 256, 299} {
-		got, err := say(dial(t, p, n), "hello", patience)
+		got, err := exchangeLine(dial(t, p, n), "hello", testTimeout)
 		if err != nil || got != fmt.Sprintf("%d hello\n", n) {
 			t.Errorf("caller %d: %q, %v", n, got, err)
 		}
 	}
-	if _, err := say(dial(t, p, 300), "hello", patience); err == nil {
+	if _, err := exchangeLine(dial(t, p, 300), "hello", testTimeout); err == nil {
 		t.Error("a caller without a link was answered")
 	}
 }
 
-// A cut keeps open connections open and silent, lets no new one up, and harms no other caller.
-func TestCut(t *testing.T) {
-	for name, way := range map[string]Way{"to": To, "from": From, "both": Both} {
+// A cut keeps open connections open without traffic, drops new handshakes, and does not affect other callers.
+func TestCut_existingAndNewConns(t *testing.T) {
+	for name, way := range map[string]Direction{"to": To, "from": From, "both": Both} {
 		t.Run(name, func(t *testing.T) {
-			p, links := echo(t, 2)
+			p, links := listenEcho(t, 2)
 			open, other := dial(t, p, 0), dial(t, p, 1)
 			for _, c := range []net.Conn{open, other} {
-				if _, err := say(c, "before", patience); err != nil {
+				if _, err := exchangeLine(c, "before", testTimeout); err != nil {
 					t.Fatal(err)
 				}
 			}
@@ -100,17 +100,17 @@
 			if err := p.Cut(0); err != nil {
 				t.Fatal(err)
 			}
-			if got, err := say(open, "during", shortly); !errors.Is(err, os.ErrDeadlineExceeded) {
+			if got, err := exchangeLine(open, "during", silenceWait); !errors.Is(err, os.ErrDeadlineExceeded) {
 				t.Errorf("an open connection through the cut: %q, %v", got, err)
 			}
-			if c, err := net.DialTimeout("tcp4", p.Addr(0), shortly); err == nil {
+			if c, err := net.DialTimeout("tcp4", p.Addr(0), silenceWait); err == nil {
 				c.Close()
 				t.Error("a new connection came up through the cut")
 			} else if !os.IsTimeout(err) {
 				t.Errorf("a new connection failed at once: %v", err)
 			}
 			for _, c := range []net.Conn{other, dial(t, p, 1)} {
-				if _, err := say(c, "unharmed", patience); err != nil {
+				if _, err := exchangeLine(c, "unharmed", testTimeout); err != nil {
 					t.Errorf("another caller: %v", err)
 				}
 			}
@@ -118,11 +118,11 @@
 			if err := p.Heal(0); err != nil {
 				t.Fatal(err)
 			}
-			_ = open.SetDeadline(time.Now().Add(patience))
+			_ = open.SetDeadline(time.Now().Add(testTimeout))
 			if got, err := bufio.NewReader(open).ReadString('\n'); got != "0 during\n" {
 				t.Errorf("what was on its way came as %q, %v", got, err)
 			}
-			if _, err := say(dial(t, p, 0), "after", patience); err != nil {
+			if _, err := exchangeLine(dial(t, p, 0), "after", testTimeout); err != nil {
 				t.Errorf("a new connection after the cut: %v", err)
 			}
 		})
@@ -130,7 +130,7 @@
 }
 
 // The party cannot see a close through a cut, but the lab can.
-func TestPeerCloseIsSeenThroughCut(t *testing.T) {
+func TestCut_peerCloseObserved(t *testing.T) {
 	link := NewLink(Rules{}, 1)
 	closed := make(chan struct{})
 	p, err := Listen(func(int) *Link { return link }, func(c *Conn) {
@@ -152,60 +152,60 @@
 	c.Close()
 	select {
 	case <-closed:
-	case <-time.After(patience):
+	case <-time.After(testTimeout):
 		t.Error("the close was not seen")
 	}
 }
 
-func TestLatencyAndBandwidth(t *testing.T) {
-	p, links := echo(t, 1)
+func TestLink_latencyAndBandwidth(t *testing.T) {
+	p, links := listenEcho(t, 1)
 	c := dial(t, p, 0)
 	const latency = 30 * time.Millisecond
 	links[0].Set(func(r *Rules) { r.Latency = latency })
-	began := time.Now()
-	if _, err := say(c, "slow", patience); err != nil {
+	started := time.Now()
+	if _, err := exchangeLine(c, "slow", testTimeout); err != nil {
 		t.Fatal(err)
 	}
-	if took := time.Since(began); took < 2*latency {
+	if took := time.Since(started); took < 2*latency {
 		t.Errorf("there and back took %v, one way is %v", took, latency)
 	}
 	links[0].Set(func(r *Rules) { r.Latency, r.Bandwidth = 0, 10_000 })
-	began = time.Now()
-	if _, err := say(c, strings.Repeat("x", 1000), patience); err != nil {
+	started = time.Now()
+	if _, err := exchangeLine(c, strings.Repeat("x", 1000), testTimeout); err != nil {
 		t.Fatal(err)
 	}
-	if took := time.Since(began); took < 190*time.Millisecond {
+	if took := time.Since(started); took < 190*time.Millisecond {
 		t.Errorf("2,000 bytes at 10,000 a second took %v", took)
 	}
 }
 
-func TestBrokenConnections(t *testing.T) {
+func TestLink_brokenConns(t *testing.T) {
 	reset := func(err error) bool { return errors.Is(err, syscall.ECONNRESET) || errors.Is(err, syscall.EPIPE) }
 	t.Run("reset", func(t *testing.T) {
-		p, _ := echo(t, 1)
+		p, _ := listenEcho(t, 1)
 		c := dial(t, p, 0)
-		if _, err := say(c, "before", patience); err != nil {
+		if _, err := exchangeLine(c, "before", testTimeout); err != nil {
 			t.Fatal(err)
 		}
-		p.Each(0, (*Conn).Reset)
-		if _, err := say(c, "after", patience); !reset(err) {
+		p.EachConn(0, (*Conn).Reset)
+		if _, err := exchangeLine(c, "after", testTimeout); !reset(err) {
 			t.Errorf("after the reset: %v", err)
 		}
 	})
 	t.Run("refuse", func(t *testing.T) {
-		p, links := echo(t, 1)
-		links[0].Set(func(r *Rules) { r.Refuse = true })
+		p, links := listenEcho(t, 1)
+		links[0].Set(func(r *Rules) { r.Reject = true })
 		if c, err := net.Dial("tcp4", p.Addr(0)); err == nil {
-			if _, err = say(c, "x", patience); err == nil {
+			if _, err = exchangeLine(c, "x", testTimeout); err == nil {
 				t.Error("a refused connection was answered")
 			}
 			c.Close()
 		}
 	})
 	t.Run("down", func(t *testing.T) {
-		p, _ := echo(t, 1)
+		p, _ := listenEcho(t, 1)
 		addr := p.Addr(0)
-		p.Shut()
+		p.Kill()
 		if _, err := net.Dial("tcp4", addr); !errors.Is(err, syscall.ECONNREFUSED) {
 			t.Errorf("a party that is down: %v", err)
 		}
@@ -215,34 +215,34 @@
 		if p.Addr(0) != addr {
 			t.Error("it came back at another address")
 		}
-		if _, err := say(dial(t, p, 0), "again", patience); err != nil {
+		if _, err := exchangeLine(dial(t, p, 0), "again", testTimeout); err != nil {
 			t.Error(err)
 		}
 	})
 	t.Run("break", func(t *testing.T) {
-		p, links := echo(t, 1)
-		links[0].Set(func(r *Rules) { r.Break = 100 })
+		p, links := listenEcho(t, 1)
+		links[0].Set(func(r *Rules) { r.ResetAfterBytes = 100 })
 		c := dial(t, p, 0)
-		if _, err := say(c, "short", patience); err != nil {
+		if _, err := exchangeLine(c, "short", testTimeout); err != nil {
 			t.Fatal(err)
 		}
-		if _, err := say(c, strings.Repeat("x", 200), patience); err == nil {
+		if _, err := exchangeLine(c, strings.Repeat("x", 200), testTimeout); err == nil {
 			t.Error("200 bytes passed a link that breaks after 100")
 		}
 	})
 	t.Run("half-close", func(t *testing.T) {
-		p, links := echo(t, 1)
+		p, links := listenEcho(t, 1)
 		links[0].Set(func(r *Rules) { r.HalfClose = true })
-		got, err := say(dial(t, p, 0), strings.Repeat("x", 100), patience)
+		got, err := exchangeLine(dial(t, p, 0), strings.Repeat("x", 100), testTimeout)
 		if err != io.EOF || len(got) != 16 {
 			t.Errorf("%d bytes, %v", len(got), err)
 		}
 	})
 	t.Run("lose", func(t *testing.T) {
 		lost := 0
-		c := &Conn{link: NewLink(Rules{Lose: 0.3}, 7)}
+		c := &Conn{link: NewLink(Rules{AnswerLoss: 0.3}, 7)}
 		for range 1000 {
-			if c.Loses() {
+			if c.LosesAnswer() {
 				lost++
 			}
 		}
@@ -252,8 +252,8 @@
 	})
 }
 
-func TestTooManyCut(t *testing.T) {
-	p, _ := echo(t, 1)
+func TestCut_tooManyCallers(t *testing.T) {
+	p, _ := listenEcho(t, 1)
 	var err error
 	for n := 0; n <= maxCallers && err == nil; n++ {
 		err = p.Cut(n)
@@ -292,7 +292,7 @@
 		served.Wait()
 	})
 	c := dial(t, p, 0)
-	if got, err := say(c, "hello", patience); got != "hello\n" {
+	if got, err := exchangeLine(c, "hello", testTimeout); got != "hello\n" {
 		t.Errorf("%q, %v", got, err)
 	}
 	// An end of sending passes on, and what comes back still comes.
@@ -302,26 +302,26 @@
 	if err := c.CloseWrite(); err != nil {
 		t.Fatal(err)
 	}
-	if rest, err := io.ReadAll(c); string(rest) != "last" || err != nil {
-		t.Errorf("%q, %v", rest, err)
+	if remaining, err := io.ReadAll(c); string(remaining) != "last" || err != nil {
+		t.Errorf("%q, %v", remaining, err)
 	}
 	// A cut is silent here too.
 	c = dial(t, p, 0)
-	if _, err := say(c, "before", patience); err != nil {
+	if _, err := exchangeLine(c, "before", testTimeout); err != nil {
 		t.Fatal(err)
 	}
 	link.Set(func(r *Rules) { r.Cut = From })
-	if got, err := say(c, "during", shortly); !errors.Is(err, os.ErrDeadlineExceeded) {
+	if got, err := exchangeLine(c, "during", silenceWait); !errors.Is(err, os.ErrDeadlineExceeded) {
 		t.Errorf("through the cut: %q, %v", got, err)
 	}
 	link.Set(func(r *Rules) { r.Cut = 0 })
-	_ = c.SetDeadline(time.Now().Add(patience))
+	_ = c.SetDeadline(time.Now().Add(testTimeout))
 	if got, err := bufio.NewReader(c).ReadString('\n'); got != "during\n" {
 		t.Errorf("after the cut: %q, %v", got, err)
 	}
 }
 
-func TestPackets(t *testing.T) {
+func TestForwardPackets_rules(t *testing.T) {
 	real, err := net.ListenPacket("udp4", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -337,8 +337,8 @@
 			_, _ = real.WriteTo(buf[:n], from)
 		}
 	})
-	link := NewPackets(PacketRules{}, 1)
-	d, err := ForwardPackets("127.0.0.1:0", real.LocalAddr().String(), func(*net.UDPAddr) *Packets { return link })
+	link := NewPacketLink(PacketRules{}, 1)
+	d, err := ForwardPackets("127.0.0.1:0", real.LocalAddr().String(), func(*net.UDPAddr) *PacketLink { return link })
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -353,7 +353,7 @@
 	}
 	defer c.Close()
 	buf := make([]byte, 100)
-	ask := func(wait time.Duration) (string, error) {
+	exchange := func(wait time.Duration) (string, error) {
 		if _, err := io.WriteString(c, "ping"); err != nil {
 			t.Fatal(err)
 		}
@@ -361,24 +361,24 @@
 		n, err := c.Read(buf)
 		return string(buf[:n]), err
 	}
-	if got, err := ask(patience); got != "ping" {
+	if got, err := exchange(testTimeout); got != "ping" {
 		t.Fatalf("%q, %v", got, err)
 	}
-	for _, way := range []Way{To, From} {
+	for _, way := range []Direction{To, From} {
 		link.Set(func(r *PacketRules) { r.Cut = way })
-		if got, err := ask(shortly); !errors.Is(err, os.ErrDeadlineExceeded) {
+		if got, err := exchange(silenceWait); !errors.Is(err, os.ErrDeadlineExceeded) {
 			t.Errorf("cut %d: %q, %v", way, got, err)
 		}
 	}
 	link.Set(func(r *PacketRules) { r.Cut, r.Latency = 0, 20*time.Millisecond })
-	began := time.Now()
-	if got, err := ask(patience); got != "ping" || time.Since(began) < 40*time.Millisecond {
-		t.Errorf("%q, %v after %v", got, err, time.Since(began))
+	started := time.Now()
+	if got, err := exchange(testTimeout); got != "ping" || time.Since(started) < 40*time.Millisecond {
+		t.Errorf("%q, %v after %v", got, err, time.Since(started))
 	}
 	passed := 0
-	link.Set(func(r *PacketRules) { *r = PacketRules{Lose: 0.3} })
+	link.Set(func(r *PacketRules) { *r = PacketRules{PacketLoss: 0.3} })
 	for range 1000 {
-		if n, _ := link.fate(To); n > 0 {
+		if n, _ := link.drawDelivery(To); n > 0 {
 			passed++
 		}
 	}
@@ -386,7 +386,7 @@
 		t.Errorf("%d of 1000 packets passed, 700 wanted", passed)
 	}
 	link.Set(func(r *PacketRules) { *r = PacketRules{Duplicate: 1} })
-	if n, _ := link.fate(To); n != 2 {
+	if n, _ := link.drawDelivery(To); n != 2 {
 		t.Errorf("a packet that comes twice came %d times", n)
 	}
 	if _, err := ForwardPackets("0.0.0.0:0", real.LocalAddr().String(), nil); err == nil {
@@ -394,57 +394,57 @@
 	}
 }
 
-// A handshake that is held: nobody's connect returns before its time, and what was late works like any other.
-func TestLateConnections(t *testing.T) {
-	const delay, plays = 100 * time.Millisecond, 20
-	for _, share := range []float64{0.5, 1} {
-		p, _ := echo(t, 2)
-		h := NewLate(share, func(*Link) time.Duration { return delay })
+// A delayed connect does not return early, and a delayed connection then works like any other.
+func TestHandshakeDelay_fraction(t *testing.T) {
+	const delay, attempts = 100 * time.Millisecond, 20
+	for _, fraction := range []float64{0.5, 1} {
+		p, _ := listenEcho(t, 2)
+		h := NewHandshakeDelay(fraction, func(*Link) time.Duration { return delay })
 		h.Add(p, 0)
 		if err := h.Start(); err != nil {
 			t.Fatal(err)
 		}
 		late := 0
-		for range plays {
-			began := time.Now()
+		for range attempts {
+			started := time.Now()
 			c := dial(t, p, 0)
 			port := c.LocalAddr().(*net.TCPAddr).AddrPort().Port()
-			if took := time.Since(began); dropped(port, share) && took < delay {
+			if took := time.Since(started); portDropped(port, fraction) && took < delay {
 				t.Errorf("from port %d it came up after %v", port, took)
 			}
-			if dropped(port, share) {
+			if portDropped(port, fraction) {
 				late++
 			}
-			if got, err := say(c, "x", patience); err != nil || got != "0 x\n" {
+			if got, err := exchangeLine(c, "x", testTimeout); err != nil || got != "0 x\n" {
 				t.Errorf("%q, %v", got, err)
 			}
 			c.Close()
 		}
-		if share == 1 && late != plays || share < 1 && (late == 0 || late == plays) {
-			t.Errorf("%d of %d were late, the share is %g", late, plays, share)
+		if fraction == 1 && late != attempts || fraction < 1 && (late == 0 || late == attempts) {
+			t.Errorf("%d of %d were late, the share is %g", late, attempts, fraction)
 		}
-		if err := h.End(); err != nil {
+		if err := h.Stop(); err != nil {
 			t.Error(err)
 		}
 	}
 }
 
-// What is held for an hour is not there, another caller's connections are, and after the end so are all.
-func TestLateConnectionsOfOneCaller(t *testing.T) {
-	p, _ := echo(t, 2)
-	const share = 0.5
-	h := NewLate(share, func(*Link) time.Duration { return time.Hour })
+// A long delay keeps connections from completing, other callers are not delayed, and after Stop no caller is.
+func TestHandshakeDelay_otherCallersUnaffected(t *testing.T) {
+	p, _ := listenEcho(t, 2)
+	const fraction = 0.5
+	h := NewHandshakeDelay(fraction, func(*Link) time.Duration { return time.Hour })
 	h.Add(p, 0)
 	if err := h.Start(); err != nil {
 		t.Fatal(err)
 	}
 	for held, passed := 0, 0; held < 2 || passed < 2; {
-		c, err := net.DialTimeout("tcp4", p.Addr(0), shortly)
+		c, err := net.DialTimeout("tcp4", p.Addr(0), silenceWait)
 		if err != nil {
 			held++
 			continue
 		}
-		if passed++; dropped(c.LocalAddr().(*net.TCPAddr).AddrPort().Port(), share) {
+		if passed++; portDropped(c.LocalAddr().(*net.TCPAddr).AddrPort().Port(), fraction) {
 			t.Error("a connection came up an hour too soon")
 		}
 		c.Close()
@@ -452,7 +452,7 @@
 	for range 5 {
 		dial(t, p, 1)
 	}
-	if err := h.End(); err != nil {
+	if err := h.Stop(); err != nil {
 		t.Error(err)
 	}
 	for range 5 {
--- a/internal/lab/server_faults.go
+++ b/internal/lab/server_faults.go
@@ -15,7 +15,7 @@
 )
 
 // cut makes links silent one way or both; either way new connections never come up.
-func (r *run) cut(p *scenario.FaultPlan, way relay.Way, on bool) error {
+func (r *run) cut(p *scenario.FaultPlan, way relay.Direction, on bool) error {
 	var failed error
 	r.eachLink(p, func(port *relay.Port, sidecar int, l *relay.Link) {
 		l.Set(func(rules *relay.Rules) {
@@ -41,7 +41,7 @@
 		p.Sidecars = append(p.Sidecars, i)
 	}
 	if !on { // what was open is gone with the machine's state
-		r.eachLink(p, func(port *relay.Port, sidecar int, _ *relay.Link) { port.Each(sidecar, (*relay.Conn).Reset) })
+		r.eachLink(p, func(port *relay.Port, sidecar int, _ *relay.Link) { port.EachConn(sidecar, (*relay.Conn).Reset) })
 	}
 	return r.cut(p, relay.Both, on)
 }
--- a/internal/lab/stock/server.go
+++ b/internal/lab/stock/server.go
@@ -182,7 +182,7 @@
 // Kill ends its process: connections are reset and new ones refused.
 func (s *Server) Kill() {
 	s.up.Store(false)
-	s.Port.Shut()
+	s.Port.Kill()
 	var lost []*job
 	s.pod.change(func(time.Duration) {
 		lost = append(append(lost, s.model.running...), s.model.queue...)
--- a/internal/lab/stock/visit.go
+++ b/internal/lab/stock/visit.go
@@ -54,7 +54,7 @@
 		time.AfterFunc(s.part(ask.Work), func() { turn("full") })
 		return
 	}
-	dropped := s.chance(b.Drop) || v.conn.Loses()
+	dropped := s.chance(b.Drop) || v.conn.LosesAnswer()
 	work := ask.Work
 	if ask.Vary != nil {
 		work *= ask.Vary(v.id, s.Number)
