--- a/internal/lab/agent/agent_test.go
+++ b/internal/lab/agent/agent_test.go
@@ -51,7 +51,7 @@
 	t.Cleanup(a.Close)
 	a.anyway = 50 * time.Millisecond
 	told := func(state string) bool {
-		return slices.ContainsFunc(log.Events(), func(e record.Event) bool { return e.Kind == record.Told && e.Note == state })
+		return slices.ContainsFunc(log.Events(), func(e record.Event) bool { return e.Kind == record.Notified && e.Note == state })
 	}
 	old := watch(t, a)
 	a.Hush(0)
--- a/internal/lab/agent/form_test.go
+++ b/internal/lab/agent/form_test.go
@@ -31,7 +31,7 @@
 
 func told(log *record.Log, server int32, state string) bool {
 	return slices.ContainsFunc(log.Events(), func(e record.Event) bool {
-		return e.Kind == record.Told && e.Server == server && e.Note == state
+		return e.Kind == record.Notified && e.Server == server && e.Note == state
 	})
 }
 
--- a/internal/lab/agent/serve.go
+++ b/internal/lab/agent/serve.go
@@ -210,7 +210,7 @@
 // told records what the sidecar knows from now on.
 func (a *Agents) told(v *view, l List) {
 	for _, e := range l.Targets {
-		a.log.Add(record.Event{Kind: record.Told, Sidecar: int32(v.sidecar), Server: int32(e.Number), Class: record.Nobody, N: e.BootMS, Note: e.State})
+		a.log.Add(record.Event{Kind: record.Notified, Sidecar: int32(v.sidecar), Server: int32(e.Number), Class: record.None, N: e.BootMS, Note: e.State})
 	}
 	if !l.All {
 		return
@@ -219,7 +219,7 @@
 	defer v.mu.Unlock()
 	for n, e := range v.entries {
 		if e.State == Gone || l.leavesOut && e.State == Terminating { // a whole list tells by leaving it out
-			a.log.Add(record.Event{Kind: record.Told, Sidecar: int32(v.sidecar), Server: int32(n), Class: record.Nobody, N: e.BootMS, Note: Gone})
+			a.log.Add(record.Event{Kind: record.Notified, Sidecar: int32(v.sidecar), Server: int32(n), Class: record.None, N: e.BootMS, Note: Gone})
 		}
 	}
 }
--- a/internal/lab/client/client.go
+++ b/internal/lab/client/client.go
@@ -178,7 +178,7 @@
 
 func (t *try1) note(k record.Kind, e record.Event) {
 	e.Kind, e.Request, e.Sidecar = k, t.id, int32(t.a.Sidecar)
-	e.Server, e.Class, e.N = record.Nobody, int16(t.a.Class), max(e.N, int64(t.number))
+	e.Server, e.Class, e.N = record.None, int16(t.a.Class), max(e.N, int64(t.number))
 	t.l.Log.Add(e)
 }
 
@@ -213,12 +213,12 @@
 		kept := c != nil
 		if c == nil {
 			if closed() {
-				t.note(record.Unsent, record.Event{Note: "no connection is open, and no new one may be opened"})
+				t.note(record.NotSent, record.Event{Note: "no connection is open, and no new one may be opened"})
 				return verdict{unsent: true}
 			}
 			var err error
 			if c, err = dial(ctx, addr, min(t.patience, dialWait)); err != nil {
-				t.note(record.Unsent, record.Event{Note: "connect: " + err.Error()})
+				t.note(record.NotSent, record.Event{Note: "connect: " + err.Error()})
 				return verdict{unsent: true}
 			}
 		}
@@ -237,7 +237,7 @@
 	_ = c.SetDeadline(began.Add(t.patience)) // a closed connection says so below
 	if _, err := c.Write(message); err != nil {
 		c.Close()
-		t.note(record.Unsent, record.Event{Note: "write: " + err.Error()})
+		t.note(record.NotSent, record.Event{Note: "write: " + err.Error()})
 		return verdict{unsent: true}, true
 	}
 	t.note(record.Sent, record.Event{Attempt: int16(t.try), Sum: sum, Work: float64(t.waitMS())})
@@ -255,12 +255,12 @@
 	if err != nil {
 		switch {
 		case ctx.Err() != nil:
-			t.note(record.Unheard, record.Event{Note: record.RunEnded})
+			t.note(record.NoAnswer, record.Event{Note: record.RunEnded})
 			c.Close()
 			return verdict{}, false
 		case !errors.Is(err, os.ErrDeadlineExceeded):
 			c.Close()
-			t.note(record.Broke, record.Event{Note: "no byte of an answer: " + err.Error()})
+			t.note(record.ConnectionLost, record.Event{Note: "no byte of an answer: " + err.Error()})
 			return verdict{}, true
 		case t.early > 0 || t.told.Load():
 			t.leave(c, habits.leave)
@@ -272,7 +272,7 @@
 			defer c.Close()
 			_ = c.SetDeadline(began.Add(t.patience + listen))
 			if _, err := c.in.Peek(1); err != nil {
-				t.note(record.Unheard, record.Event{Note: err.Error()})
+				t.note(record.NoAnswer, record.Event{Note: err.Error()})
 				return
 			}
 			t.answer(c, method)
@@ -298,7 +298,7 @@
 		resp.Body.Close()
 	}
 	if err != nil {
-		t.note(record.Broke, record.Event{Note: "in its answer: " + err.Error()})
+		t.note(record.ConnectionLost, record.Event{Note: "in its answer: " + err.Error()})
 		return verdict{}, false
 	}
 	e := record.Event{Status: int32(resp.StatusCode), Sum: record.Sum(body)}
@@ -307,7 +307,7 @@
 	}
 	t.note(record.Answered, e)
 	if c.in.Buffered() > 0 {
-		t.note(record.SecondWord, record.Event{})
+		t.note(record.ExtraBytes, record.Event{})
 		return verdict{status: resp.StatusCode}, false
 	}
 	if after, err := strconv.ParseFloat(resp.Header.Get("Retry-After"), 64); err == nil {
@@ -386,7 +386,7 @@
 // quiet looks at an idle connection: it is open and nothing came on it. What did come answers nobody.
 func (c *conn) quiet() bool {
 	if c.in.Buffered() > 0 {
-		c.last.note(record.SecondWord, record.Event{})
+		c.last.note(record.ExtraBytes, record.Event{})
 		return false
 	}
 	raw, err := c.Conn.(*net.TCPConn).SyscallConn()
@@ -398,7 +398,7 @@
 		n, _, failed = unix.Recvfrom(int(fd), make([]byte, 1), unix.MSG_PEEK|unix.MSG_DONTWAIT)
 	})
 	if n > 0 {
-		c.last.note(record.SecondWord, record.Event{})
+		c.last.note(record.ExtraBytes, record.Event{})
 	}
 	return err == nil && errors.Is(failed, unix.EAGAIN)
 }
--- a/internal/lab/client/leave.go
+++ b/internal/lab/client/leave.go
@@ -56,7 +56,7 @@
 	default:
 		c.Close()
 	}
-	t.note(record.GaveUp, record.Event{Note: way})
+	t.note(record.ClientLeft, record.Event{Note: way})
 }
 
 // readOut takes what still comes on a half-closed connection, for no longer than its request had.
--- a/internal/lab/faults.go
+++ b/internal/lab/faults.go
@@ -45,7 +45,7 @@
 		case <-ctx.Done():
 			return
 		}
-		r.log.Add(record.Event{Kind: record.Fault, Sidecar: record.Nobody, Server: record.Nobody, Class: record.Nobody,
+		r.log.Add(record.Event{Kind: record.Fault, Sidecar: record.None, Server: record.None, Class: record.None,
 			Status: s.mark, Note: s.text})
 		r.out.Info("lab: fault", "what", s.text)
 		r.wg.Go(func() {
--- a/internal/lab/growth_process.go
+++ b/internal/lab/growth_process.go
@@ -114,7 +114,7 @@
 func (d *growthDay) toldGone() int {
 	gone := map[int32]bool{}
 	for _, e := range d.r.log.Events() {
-		if e.Kind == record.Told && e.Note == agent.Gone {
+		if e.Kind == record.Notified && e.Note == agent.Gone {
 			gone[e.Server] = true
 		}
 	}
--- a/internal/lab/invariant/clients.go
+++ b/internal/lab/invariant/clients.go
@@ -38,10 +38,10 @@
 		switch e.Kind {
 		case record.Sent:
 			sent = e
-		case record.GaveUp:
+		case record.ClientLeft:
 			left = min(left, e.T)
 			c.out.Checked[ClientGone]++
-		case record.Unheard:
+		case record.NoAnswer:
 			if e.Note != record.RunEnded {
 				left = min(left, e.T)
 			}
--- a/internal/lab/invariant/clients_test.go
+++ b/internal/lab/invariant/clients_test.go
@@ -11,7 +11,7 @@
 // An attempt that begins after its client has left breaks a rule; one that was under way, or that a link held back, does not.
 func TestNothingIsSentForAClientThatHasLeft(t *testing.T) {
 	client := func(at int, kind record.Kind, note string) record.Event {
-		return record.Event{T: millis(at), Kind: kind, Request: 7, Server: record.Nobody, Note: note}
+		return record.Event{T: millis(at), Kind: kind, Request: 7, Server: record.None, Note: note}
 	}
 	frozen := []record.Event{process(400, Frozen), process(1500, Thawed)}
 	held := []Held{{From: millis(300), To: millis(900), Sidecars: []int{0}, Servers: []int{3}}}
@@ -22,17 +22,17 @@
 		held   []Held
 		broken bool
 	}{
-		"before":                {client(500, record.GaveUp, ""), nil, 400, nil, false},
-		"right after":           {client(500, record.GaveUp, ""), nil, 640, nil, false},
-		"later":                 {client(500, record.GaveUp, ""), nil, 660, nil, true},
-		"after the listening":   {client(500, record.Unheard, "i/o timeout"), nil, 660, nil, true},
-		"at the end of the run": {client(500, record.Unheard, record.RunEnded), nil, 660, nil, false},
+		"before":                {client(500, record.ClientLeft, ""), nil, 400, nil, false},
+		"right after":           {client(500, record.ClientLeft, ""), nil, 640, nil, false},
+		"later":                 {client(500, record.ClientLeft, ""), nil, 660, nil, true},
+		"after the listening":   {client(500, record.NoAnswer, "i/o timeout"), nil, 660, nil, true},
+		"at the end of the run": {client(500, record.NoAnswer, record.RunEnded), nil, 660, nil, false},
 		"answered":              {client(500, record.Answered, ""), nil, 660, nil, false},
-		"frozen then":           {client(500, record.GaveUp, ""), frozen, 1600, nil, false},
-		"long after it woke":    {client(500, record.GaveUp, ""), frozen, 1700, nil, true},
-		"held back":             {client(500, record.GaveUp, ""), nil, 900, held, false},
-		"after what held back":  {client(500, record.GaveUp, ""), nil, 1000, held, true},
-		"on another link":       {client(500, record.GaveUp, ""), nil, 900, []Held{{To: time.Second, Sidecars: []int{0}, Servers: []int{4}}}, true},
+		"frozen then":           {client(500, record.ClientLeft, ""), frozen, 1600, nil, false},
+		"long after it woke":    {client(500, record.ClientLeft, ""), frozen, 1700, nil, true},
+		"held back":             {client(500, record.ClientLeft, ""), nil, 900, held, false},
+		"after what held back":  {client(500, record.ClientLeft, ""), nil, 1000, held, true},
+		"on another link":       {client(500, record.ClientLeft, ""), nil, 900, []Held{{To: time.Second, Sidecars: []int{0}, Servers: []int{4}}}, true},
 	} {
 		events := append([]record.Event{process(0, Started), process(1, Serving), client(100, record.Sent, ""), c.left, send(c.send)}, c.more...)
 		slices.SortStableFunc(events, func(a, b record.Event) int { return int(a.T - b.T) })
@@ -59,8 +59,8 @@
 		"short ones outside": {[]Span{{millis(482), millis(501)}, {millis(709), millis(728)}}, true},
 	} {
 		events := []record.Event{process(0, Started), process(1, Serving),
-			{T: millis(100), Kind: record.Sent, Request: 7, Server: record.Nobody},
-			{T: millis(500), Kind: record.GaveUp, Request: 7, Server: record.Nobody}, send(710)}
+			{T: millis(100), Kind: record.Sent, Request: 7, Server: record.None},
+			{T: millis(500), Kind: record.ClientLeft, Request: 7, Server: record.None}, send(710)}
 		got := Check(events, Facts{Unsafe: []bool{false}, MaxAttempts: 3, Stalls: c.stalls}).Broken()
 		if slices.Contains(got, ClientGone) != c.broken {
 			t.Errorf("%s: broken are %v", name, got)
@@ -70,7 +70,7 @@
 
 // An attempt may tell no longer time than its client still waits, counted from when the copy could read the request.
 func TestAttemptsTellWhatIsLeft(t *testing.T) {
-	sent := record.Event{T: millis(100), Kind: record.Sent, Request: 7, Server: record.Nobody, Work: 1000}
+	sent := record.Event{T: millis(100), Kind: record.Sent, Request: 7, Server: record.None, Work: 1000}
 	for name, c := range map[string]struct {
 		at     int
 		told   int64
--- a/internal/lab/invariant/cold.go
+++ b/internal/lab/invariant/cold.go
@@ -55,7 +55,7 @@
 		switch {
 		case e.Kind == record.ServerState && e.Note == Booted:
 			cold[e.Server] = &starting{at: e.T, earlier: maps.Clone(starts[e.Server]), told: map[int32]bool{}}
-		case e.Kind == record.Told:
+		case e.Kind == record.Notified:
 			if starts[e.Server] == nil {
 				starts[e.Server] = map[int64]bool{}
 			}
--- a/internal/lab/invariant/cold_test.go
+++ b/internal/lab/invariant/cold_test.go
@@ -33,9 +33,9 @@
 		"an old list":        {2, 42, 0, false, 5},
 	} {
 		events := []record.Event{process(0, Started), process(1, Serving), told(2, "Ready"),
-			{T: millis(5), Kind: record.Told, Server: 3, N: c.before, Note: "Ready"},
+			{T: millis(5), Kind: record.Notified, Server: 3, N: c.before, Note: "Ready"},
 			{T: millis(10), Kind: record.ServerState, Server: 3, Note: Booted},
-			{T: millis(20), Kind: record.Told, Server: 3, N: 5, Note: "Ready"},
+			{T: millis(20), Kind: record.Notified, Server: 3, N: 5, Note: "Ready"},
 		}
 		for i := range c.calls {
 			e := record.Event{T: millis(3010) - time.Duration(c.calls-1-i)*time.Microsecond, Kind: record.LastByte, Server: 3, Request: uint64(i + 1)}
--- a/internal/lab/invariant/invariant.go
+++ b/internal/lab/invariant/invariant.go
@@ -232,22 +232,22 @@
 					c.breach(Body, e.T, id, path, "the client got body %016x, the one made for it is %016x", e.Sum, e.Want)
 				}
 			}
-		case record.Broke:
+		case record.ConnectionLost:
 			broke, lost = true, e.T
-		case record.Unheard:
+		case record.NoAnswer:
 			unheard, lost = e.Note != record.RunEnded, e.T
-		case record.SecondWord:
+		case record.ExtraBytes:
 			second = true
-		case record.Stray:
+		case record.UnknownRequest:
 			c.breach(NoStray, e.T, id, path, "server %d heard of sidecar %d a request %s", e.Server, e.Sidecar, e.Note)
-		case record.Ran:
+		case record.WorkStarted:
 			runs++
 		case record.LastByte:
 			attempts = append(attempts, attempt{server: int(e.Server), conn: int(e.Attempt), from: e.T, to: forever})
-		case record.Turned, record.Replied, record.Closed:
+		case record.Rejected, record.Replied, record.SidecarClosed:
 			for k := range attempts {
 				if a := &attempts[k]; a.server == int(e.Server) && a.conn == int(e.Attempt) && a.to == forever {
-					if e.Kind == record.Turned {
+					if e.Kind == record.Rejected {
 						a.turned = true
 						continue // Replied tells the end
 					}
@@ -345,7 +345,7 @@
 		e := &c.events[i]
 		p := pair{e.Sidecar, e.Server}
 		switch e.Kind {
-		case record.Told:
+		case record.Notified:
 			_, since := told[p]
 			switch {
 			case e.N < life[p]: // of an earlier start: a list service that lags has said nothing of this one
@@ -402,18 +402,18 @@
 	for i := range c.events {
 		e := &c.events[i]
 		switch e.Kind {
-		case record.FellOver:
+		case record.OverloadCrash:
 			c.breach(Cold, e.T, e.Request, c.byID[e.Request], "server %d was pushed over: %s", e.Server, e.Note)
 		case record.ServerState:
 			if e.Note == Booted {
 				c.out.Checked[Cold]++
 			}
-		case record.Stray:
+		case record.UnknownRequest:
 			if e.Request == 0 {
 				c.breach(NoStray, e.T, 0, nil, "server %d heard of sidecar %d a request %s", e.Server, e.Sidecar, e.Note)
 			}
 		case record.Sample:
-			if e.Sidecar == record.Nobody {
+			if e.Sidecar == record.None {
 				continue
 			}
 			c.out.Checked[LimitsKept]++
--- a/internal/lab/invariant/invariant_test.go
+++ b/internal/lab/invariant/invariant_test.go
@@ -11,11 +11,11 @@
 func millis(n int) time.Duration { return time.Duration(n) * time.Millisecond }
 
 func process(at int, note string) record.Event {
-	return record.Event{T: millis(at), Kind: record.Process, Server: record.Nobody, Class: record.Nobody, Note: note}
+	return record.Event{T: millis(at), Kind: record.Process, Server: record.None, Class: record.None, Note: note}
 }
 
 func told(at int, state string) record.Event {
-	return record.Event{T: millis(at), Kind: record.Told, Server: 3, Class: record.Nobody, Note: state}
+	return record.Event{T: millis(at), Kind: record.Notified, Server: 3, Class: record.None, Note: state}
 }
 
 func send(at int) record.Event {
@@ -56,7 +56,7 @@
 		open   int32
 		broken bool
 	}{{63 << 20, 100, false}, {65 << 20, 10, true}, {10 << 20, 101, true}} {
-		events := []record.Event{{Kind: record.Sample, Server: record.Nobody, Class: record.Nobody, N: c.rss, Status: c.open}}
+		events := []record.Event{{Kind: record.Sample, Server: record.None, Class: record.None, N: c.rss, Status: c.open}}
 		if got := len(Check(events, facts).Broken()) > 0; got != c.broken {
 			t.Errorf("%d bytes and %d descriptors: broken is %v", c.rss, c.open, got)
 		}
@@ -70,7 +70,7 @@
 func TestWhatAnEndLeavesUnanswered(t *testing.T) {
 	facts := Facts{Unsafe: []bool{false}, MaxAttempts: 3, SparedTerm: 700 * time.Millisecond}
 	client := func(at int, kind record.Kind) record.Event {
-		return record.Event{T: millis(at), Kind: kind, Request: 7, Server: record.Nobody}
+		return record.Event{T: millis(at), Kind: kind, Request: 7, Server: record.None}
 	}
 	up := []record.Event{process(0, Started), process(1, Serving)}
 	byItself := []record.Event{process(1000, Stopping), process(2000, Ended)}
@@ -82,16 +82,16 @@
 		after  int
 		broken bool
 	}{
-		"ends with it":                 {byItself, 900, record.Broke, 1999, true},
-		"ends with what came just now": {byItself, 1990, record.Broke, 1995, true},
+		"ends with it":                 {byItself, 900, record.ConnectionLost, 1999, true},
+		"ends with what came just now": {byItself, 1990, record.ConnectionLost, 1995, true},
 		"answered before":              {byItself, 900, record.Answered, 1999, false},
-		"its client had left":          {byItself, 900, record.GaveUp, 1500, false},
-		"a close crossed it":           {byItself, 1400, record.Broke, 1401, false},
-		"killed with what came before": {killed, 900, record.Broke, 4701, false},
-		"killed with what came early":  {killed, 1700, record.Broke, 4701, false},
-		"killed with what came late":   {killed, 1701, record.Broke, 4701, true},
+		"its client had left":          {byItself, 900, record.ClientLeft, 1500, false},
+		"a close crossed it":           {byItself, 1400, record.ConnectionLost, 1401, false},
+		"killed with what came before": {killed, 900, record.ConnectionLost, 4701, false},
+		"killed with what came early":  {killed, 1700, record.ConnectionLost, 4701, false},
+		"killed with what came late":   {killed, 1701, record.ConnectionLost, 4701, true},
 		"late, but answered":           {killed, 1701, record.Answered, 4000, false},
-		"overdue before the kill":      {killed, 900, record.Unheard, 3000, true},
+		"overdue before the kill":      {killed, 900, record.NoAnswer, 3000, true},
 	} {
 		events := append(append(slices.Clone(up), c.end...), client(c.sent, record.Sent), client(c.after, c.then))
 		slices.SortStableFunc(events, func(a, b record.Event) int { return int(a.T - b.T) })
--- a/internal/lab/invariant/members.go
+++ b/internal/lab/invariant/members.go
@@ -96,7 +96,7 @@
 	}
 	for i := range c.events {
 		switch e := &c.events[i]; e.Kind {
-		case record.MembersSaid:
+		case record.MembershipStatus:
 			p := of(e)
 			p.said = append(p.said, saying{called: e.T - time.Duration(e.Want), back: e.T, start: e.N,
 				share: m.share(e), forced: e.Class == 1, left: e.Note == MemberLeft})
@@ -301,9 +301,9 @@
 	for i := range m.events {
 		e := &m.events[i]
 		switch e.Kind {
-		case record.MembersSaid:
+		case record.MembershipStatus:
 			m.out.Checked[NotGone] += int(e.Server)
-		case record.MemberSaid:
+		case record.MemberStatus:
 			state, name, proof := ParseMemberNote(e.Note)
 			life, known := lives[memberID{name, e.N}]
 			if state != Gone || !known || life.called < e.T || e.T >= life.back || m.excused(e.T) {
--- a/internal/lab/invariant/members_test.go
+++ b/internal/lab/invariant/members_test.go
@@ -11,7 +11,7 @@
 
 // says is an answer of a process, of a party of its number, that took 10 ms.
 func says(at int, serial uint64, believed float64, admitted bool) record.Event {
-	return record.Event{T: millis(at), Kind: record.MembersSaid, Sidecar: int32(serial), Sum: serial, Want: uint64(10 * time.Millisecond),
+	return record.Event{T: millis(at), Kind: record.MembershipStatus, Sidecar: int32(serial), Sum: serial, Want: uint64(10 * time.Millisecond),
 		N: int64(serial), Work: believed, Canary: admitted, Server: 2}
 }
 
@@ -21,13 +21,13 @@
 }
 
 func saidOf(at int, by uint64, note string, start int64) record.Event {
-	return record.Event{T: millis(at), Kind: record.MemberSaid, Sidecar: int32(by), Sum: by, N: start, Note: note}
+	return record.Event{T: millis(at), Kind: record.MemberStatus, Sidecar: int32(by), Sum: by, N: start, Note: note}
 }
 
 // Each rule of membership finds what breaks it, and nothing in what only looks like it.
 func TestMemberRules(t *testing.T) {
 	half := func(at int, serial uint64) record.Event { return says(at, serial, 2, true) }
-	leaves := record.Event{T: millis(150), Kind: record.MemberProcess, Sidecar: record.Nobody, Sum: 1, Note: MemberLeaves}
+	leaves := record.Event{T: millis(150), Kind: record.MemberProcess, Sidecar: record.None, Sum: 1, Note: MemberLeaves}
 	three := func(third record.Event, later record.Event) []record.Event {
 		return []record.Event{half(100, 0), half(100, 1), third, half(200, 0), half(200, 1), later}
 	}
--- a/internal/lab/invariant/routes.go
+++ b/internal/lab/invariant/routes.go
@@ -90,7 +90,7 @@
 			r.attempts = append(r.attempts, i)
 		case e.Kind == record.Process:
 			r.live(e)
-		case e.Kind == record.PhaseTold && over(e.Note):
+		case e.Kind == record.RolloutPhase && over(e.Note):
 			n := int(e.Status)
 			if _, ok := r.ended[n]; !ok {
 				r.ended[n], r.rolled[n], r.told[n] = e.Rev, e.Note == "rolled-back", e.T
@@ -140,7 +140,7 @@
 	}
 	var all []said
 	for i := range r.events {
-		if e := &r.events[i]; e.Kind == record.ClosedTold && (len(all) == 0 || e.Rev > all[len(all)-1].rev) {
+		if e := &r.events[i]; e.Kind == record.RevisionClosed && (len(all) == 0 || e.Rev > all[len(all)-1].rev) {
 			all = append(all, said{e.Rev, e.T})
 		}
 	}
@@ -208,7 +208,7 @@
 	left := map[uint64]time.Duration{}
 	for i := range r.events {
 		e := &r.events[i]
-		if _, ok := left[e.Request]; !ok && (e.Kind == record.GaveUp || e.Kind == record.Broke) {
+		if _, ok := left[e.Request]; !ok && (e.Kind == record.ClientLeft || e.Kind == record.ConnectionLost) {
 			left[e.Request] = e.T
 		}
 	}
@@ -231,9 +231,9 @@
 			continue
 		case record.Replied:
 			bad = e.Status >= 500 || o.Aims != nil && e.T-first.T > o.Aims[first.Class]
-		case record.Turned:
+		case record.Rejected:
 			bad = true
-		case record.Closed:
+		case record.SidecarClosed:
 			if bad = a.whole && r.lived(first.Sidecar, first.T, e.T+r.late()); !bad {
 				continue
 			}
@@ -280,7 +280,7 @@
 		e := &r.events[i]
 		n := int(e.Status)
 		switch e.Kind {
-		case record.PhaseTold:
+		case record.RolloutPhase:
 			if e.N < 0 {
 				r.breach(Budget, e.T, 0, nil, "the ledger of rollout %s has given out %d units more than its budget", r.facts.Rollouts[n].Name, -e.N)
 			}
@@ -292,7 +292,7 @@
 						r.facts.Rollouts[n].Name, e.Note, e.Rev, r.ended[n])
 				}
 			}
-		case record.ShareTold:
+		case record.RolloutFraction:
 			if r.rolled[n] && e.Rev >= r.ended[n] {
 				r.out.Checked[RollbackFinal]++
 				if e.Work > 0 {
--- a/internal/lab/invariant/routes_test.go
+++ b/internal/lab/invariant/routes_test.go
@@ -16,23 +16,23 @@
 }
 
 func replied(at int, id uint64, status int32) record.Event {
-	return record.Event{T: millis(at), Kind: record.Replied, Request: id, Server: 1, Attempt: 1, Status: status, Class: record.Nobody}
+	return record.Event{T: millis(at), Kind: record.Replied, Request: id, Server: 1, Attempt: 1, Status: status, Class: record.None}
 }
 
 func onServer(at int, id uint64, kind record.Kind) record.Event {
-	return record.Event{T: millis(at), Kind: kind, Request: id, Server: 1, Attempt: 1, Class: record.Nobody}
+	return record.Event{T: millis(at), Kind: kind, Request: id, Server: 1, Attempt: 1, Class: record.None}
 }
 
 func phase(at int, rev int64, name string) record.Event {
-	return record.Event{T: millis(at), Kind: record.PhaseTold, Sidecar: record.Nobody, Class: record.Nobody, Rev: rev, Note: name}
+	return record.Event{T: millis(at), Kind: record.RolloutPhase, Sidecar: record.None, Class: record.None, Rev: rev, Note: name}
 }
 
 func share(at int, rev int64, of float64) record.Event {
-	return record.Event{T: millis(at), Kind: record.ShareTold, Sidecar: record.Nobody, Class: record.Nobody, Rev: rev, Work: of}
+	return record.Event{T: millis(at), Kind: record.RolloutFraction, Sidecar: record.None, Class: record.None, Rev: rev, Work: of}
 }
 
 func shut(at int, rev int64) record.Event {
-	return record.Event{T: millis(at), Kind: record.ClosedTold, Sidecar: record.Nobody, Class: record.Nobody, Rev: rev}
+	return record.Event{T: millis(at), Kind: record.RevisionClosed, Sidecar: record.None, Class: record.None, Rev: rev}
 }
 
 // Each rule of rollouts finds what breaks it, and nothing in what only looks like it.
@@ -46,17 +46,17 @@
 	stranger.Tenant = 2
 	base := attemptAt(at, 1, 20)
 	base.Canary = false
-	turned := record.Event{T: millis(at + 1), Kind: record.Turned, Request: 2, Server: 1, Attempt: 1, Status: 503, Class: record.Nobody}
-	gaveUp := record.Event{T: millis(at + 1), Kind: record.GaveUp, Request: 2, Class: record.Nobody, Server: record.Nobody}
+	turned := record.Event{T: millis(at + 1), Kind: record.Rejected, Request: 2, Server: 1, Attempt: 1, Status: 503, Class: record.None}
+	gaveUp := record.Event{T: millis(at + 1), Kind: record.ClientLeft, Request: 2, Class: record.None, Server: record.None}
 	// The second attempt ends without an answer: its server hung until it was closed, or reset it.
 	hung := func(between ...record.Event) []record.Event {
 		all := append([]record.Event{process(0, Started), process(1, Serving), attemptAt(at, 1, 20), replied(at+1, 1, 500), attemptAt(at, 2, 20)},
 			between...)
-		return append(all, onServer(at+400, 2, record.Closed))
+		return append(all, onServer(at+400, 2, record.SidecarClosed))
 	}
 	whole := onServer(at+1, 2, record.LastByte)
 	client := func(at int, kind record.Kind) record.Event {
-		return record.Event{T: millis(at), Kind: kind, Request: 2, Class: record.Nobody, Server: record.Nobody}
+		return record.Event{T: millis(at), Kind: kind, Request: 2, Class: record.None, Server: record.None}
 	}
 	two := func(between ...record.Event) []record.Event {
 		all := append([]record.Event{attemptAt(at, 1, 20), replied(at+1, 1, 500), attemptAt(at, 2, 20)}, between...)
@@ -72,9 +72,9 @@
 		"the second had no answer":         {hung(whole), Budget},
 		"nor had its client in its time":   {hung(whole, client(at+350, record.Overdue)), Budget},
 		"it was not heard whole":           {hung(), ""},
-		"its client had left":              {hung(whole, client(at+300, record.GaveUp)), ""},
-		"its client left at the same time": {append(hung(whole), client(at+401, record.GaveUp)), ""},
-		"its client left long after":       {append(hung(whole), client(at+600, record.GaveUp)), Budget},
+		"its client had left":              {hung(whole, client(at+300, record.ClientLeft)), ""},
+		"its client left at the same time": {append(hung(whole), client(at+401, record.ClientLeft)), ""},
+		"its client left long after":       {append(hung(whole), client(at+600, record.ClientLeft)), Budget},
 		"its sidecar ended":                {append(hung(whole, process(at+399, Killed)), process(at+402, Ended)), ""},
 		"its sidecar ended long after":     {append(hung(whole), process(at+900, Killed), process(at+900, Ended)), Budget},
 		"it is out yet":                    {hung(whole)[:6], ""},
@@ -99,7 +99,7 @@
 		"told to run again":                {[]record.Event{phase(at, 30, "rolled-back"), phase(at+1, 31, "running")}, RollbackFinal},
 		"told a share again":               {[]record.Event{phase(at, 30, "rolled-back"), share(at+1, 31, 0.5)}, RollbackFinal},
 		"told a share of none":             {[]record.Event{phase(at, 30, "rolled-back"), share(at+1, 31, 0)}, ""},
-		"another phase in the end":         {[]record.Event{phase(at, 30, "rolled-back"), {Kind: record.TableTold, Note: "undone"}}, RollbackFinal},
+		"another phase in the end":         {[]record.Event{phase(at, 30, "rolled-back"), {Kind: record.RoutesObserved, Note: "undone"}}, RollbackFinal},
 		"of a rollout that was not posted": {[]record.Event{}, ""},
 	} {
 		t.Run(name, func(t *testing.T) {
--- a/internal/lab/lab.go
+++ b/internal/lab/lab.go
@@ -213,7 +213,7 @@
 		return err
 	}
 	s.OnFall = func() {
-		r.note(record.ServerState, record.Nobody, i, "is down for good")
+		r.note(record.ServerState, record.None, i, "is down for good")
 		s.Kill()
 	}
 	r.servers = append(r.servers, s)
@@ -241,7 +241,7 @@
 }
 
 func (r *run) note(k record.Kind, sidecar, server int, note string) {
-	r.log.Add(record.Event{Kind: k, Sidecar: int32(sidecar), Server: int32(server), Class: record.Nobody, Note: note})
+	r.log.Add(record.Event{Kind: k, Sidecar: int32(sidecar), Server: int32(server), Class: record.None, Note: note})
 }
 
 // fail keeps the first thing that made the run impossible.
@@ -356,7 +356,7 @@
 // measureAll writes down what each process uses now.
 func (r *run) measureAll() {
 	together := func(sidecar int, cpu float64, pids ...int) {
-		e := record.Event{Kind: record.Sample, Sidecar: int32(sidecar), Server: record.Nobody, Class: record.Nobody, Work: cpu}
+		e := record.Event{Kind: record.Sample, Sidecar: int32(sidecar), Server: record.None, Class: record.None, Work: cpu}
 		for _, pid := range pids {
 			u, err := process.Measure(pid)
 			if err != nil {
@@ -368,7 +368,7 @@
 			r.log.Add(e)
 		}
 	}
-	together(record.Nobody, 0, os.Getpid())
+	together(record.None, 0, os.Getpid())
 	for i, s := range r.sidecars { // during an upgrade two processes are one sidecar, to its limits too
 		pids, past := s.processes()
 		together(i, past, pids...)
--- a/internal/lab/measure/measure.go
+++ b/internal/lab/measure/measure.go
@@ -170,13 +170,13 @@
 			default:
 				end(e, true)
 			}
-		case record.Unsent:
+		case record.NotSent:
 			if e.T >= warm {
 				sumTries++
 			}
 			tries[at(e.T)]++
 			end(e, true)
-		case record.Overdue, record.Broke:
+		case record.Overdue, record.ConnectionLost:
 			end(e, true)
 		case record.LastByte:
 			out.Servers[e.Server]++
@@ -193,7 +193,7 @@
 			}
 		case record.Sample:
 			party := &out.Lab
-			if e.Sidecar != record.Nobody {
+			if e.Sidecar != record.None {
 				party = &out.Sidecars[e.Sidecar]
 				rss[e.Sidecar] = append(rss[e.Sidecar], sample{e.T, float64(e.N)})
 			}
--- a/internal/lab/members_result.go
+++ b/internal/lab/members_result.go
@@ -165,7 +165,7 @@
 			default:
 				p.ended = e.T
 			}
-		case record.MembersSaid:
+		case record.MembershipStatus:
 			if p == nil {
 				continue
 			}
@@ -176,7 +176,7 @@
 			}
 			p.said = append(p.said, *e)
 			r.out.Answers++
-		case record.MemberSaid:
+		case record.MemberStatus:
 			if p == nil {
 				continue
 			}
--- a/internal/lab/members_test.go
+++ b/internal/lab/members_test.go
@@ -155,10 +155,10 @@
 		return &events[len(events)-1]
 	}
 	says := func(s float64, serial, known, heard int) {
-		e := add(s, record.MembersSaid, serial, "")
+		e := add(s, record.MembershipStatus, serial, "")
 		e.Status, e.Attempt, e.Canary, e.Work = int32(known), int16(heard), true, 3
 	}
-	of := func(s float64, by, of int, note string) { add(s, record.MemberSaid, by, note).N = int64(of) }
+	of := func(s float64, by, of int, note string) { add(s, record.MemberStatus, by, note).N = int64(of) }
 	for serial := range 3 {
 		add(-1, record.MemberProcess, serial, invariant.MemberServes)
 		says(0, serial, 3, 3)
--- a/internal/lab/members_watch.go
+++ b/internal/lab/members_watch.go
@@ -71,12 +71,12 @@
 	serial, ok := m.procs[c]
 	m.mu.Unlock()
 	if ok && m.ctx.Err() == nil { // else the run is over
-		m.note(record.Nobody, serial, invariant.MemberLeaves)
+		m.note(record.None, serial, invariant.MemberLeaves)
 	}
 }
 
 func (m *members) note(party int, serial uint64, note string) {
-	m.r.log.Add(record.Event{Kind: record.MemberProcess, Sidecar: int32(party), Server: record.Nobody, Class: record.Nobody,
+	m.r.log.Add(record.Event{Kind: record.MemberProcess, Sidecar: int32(party), Server: record.None, Class: record.None,
 		Sum: serial, Note: note})
 }
 
@@ -162,7 +162,7 @@
 
 // told writes down an answer, and what it says of members that the one before did not.
 func (w *memberWatch) told(called, back time.Duration, got *membersOf) {
-	e := record.Event{T: back, Kind: record.MembersSaid, Sidecar: int32(w.party), Sum: w.serial,
+	e := record.Event{T: back, Kind: record.MembershipStatus, Sidecar: int32(w.party), Sum: w.serial,
 		Want: uint64(back - called), N: got.Self.Start, Status: int32(got.View.Known), Attempt: int16(got.View.Heard), Work: got.Believed,
 		Canary: got.View.Admitted, Rev: got.Changes, Server: int32(len(got.Members))}
 	if got.View.Forced {
@@ -175,8 +175,8 @@
 		}
 	}
 	w.m.r.log.Add(e)
-	one := record.Event{T: back, Kind: record.MemberSaid, Sidecar: int32(w.party), Server: record.Nobody,
-		Class: record.Nobody, Sum: w.serial, Want: e.Want}
+	one := record.Event{T: back, Kind: record.MemberStatus, Sidecar: int32(w.party), Server: record.None,
+		Class: record.None, Sum: w.serial, Want: e.Want}
 	said := make(map[memberKey]string, len(got.Members))
 	for _, v := range got.Members {
 		key := memberKey{v.Name, v.Start}
--- a/internal/lab/record/record.go
+++ b/internal/lab/record/record.go
@@ -1,8 +1,8 @@
-// Package record keeps what every party of a run saw of every request, on one clock. The checkers and the
-// report read nothing else, so that no party is its own judge.
+// Package record stores the events that the parties of a run observe, with times of one clock. The checkers and the
+// report use only these events.
 //
-// Promise: an event is kept once and in the order of its party; [Log.Events] returns all of them by time. Memory
-// grows with the run (about 64 bytes an event); a run has a length, so the growth has an end.
+// Each event is stored once, in the order of its party; [Log.Events] returns all events sorted by time. Memory
+// grows by the size of an event for each, and is bounded by the length of the run.
 package record
 
 import (
@@ -12,95 +12,95 @@
 	"time"
 )
 
-// Kind says what happened.
+// Kind is the type of an event.
 type Kind uint8
 
-// The kinds of events; the comment names the fields that count beside T.
+// The kinds of events; each comment lists the fields that are set besides T.
 const (
-	// Of clients; N is the number of the arrival in the plan.
-	Sent       Kind = iota + 1 // Request, Sidecar, Class, Attempt (try, from 1), Sum (body), Work (ms that the client says it waits)
-	Answered                   // Request, Sidecar, Status, Sum (body), Want (the right body's sum)
-	Broke                      // Request, Sidecar, Note: its connection ended without a whole answer
-	Overdue                    // Request, Sidecar: its time is over; the client listens on for a while
-	Unheard                    // Request, Sidecar: ... and heard nothing, or was cut short by the end of the run
-	GaveUp                     // Request, Sidecar, Note (how): the client left early
-	Unsent                     // Request, Sidecar, Note: it could not be written whole
-	SecondWord                 // Request, Sidecar: bytes after a whole answer that no request asked for
-	// Of servers.
-	FirstByte   // Request, Sidecar, Server, Attempt, N (X-Timeout-Ms; 0: none)
-	LastByte    // Request, Sidecar, Server, Attempt, Sum (body): from here on the attempt counts
-	Turned      // Request, Sidecar, Server, Attempt: answered X-Not-Processed
-	Ran         // Request, Sidecar, Server, Attempt: its work has begun
-	Replied     // Request, Sidecar, Server, Attempt, Status: the answer's last byte is written
-	Closed      // Request, Sidecar, Server, Attempt: the sidecar closed before an answer
-	Stray       // Request, Sidecar, Server, Note: no client sent this
-	FellOver    // Server, Note: a cold server was pushed over
-	ServerState // Server, Note
-	// Of discovery.
-	Told // Sidecar, Server, Note: the state that was written to the sidecar, N: of which start (Unix ms)
-	// Of the list service, as the lab heard it from the copy Server; Status is the number of a rollout in the plan.
-	TableTold  // Rev: there is a table of this revision
-	ClosedTold // Rev: no attempt begins any more under this revision or an older one
-	ShareTold  // Rev, Status, Work (share), Attempt (step): what the table of this revision has of a rollout
-	PhaseTold  // Rev (of its last change), Status, Attempt (step), Note (phase), N (units that nobody holds or has spent), Sum (granted), Want (spent)
-	// Of membership, as the lab heard it. Sidecar is the party: a sidecar, or after those a copy of the list service; Sum is
-	// the number of its process.
-	MembersSaid   // N (start), Want (ns that the answer took), Status (known), Attempt (heard), Work (believed), Canary (admitted), Class (1: forced), Rev (changes), Server (members listed), Note: invariant.MemberLeft
-	MemberSaid    // N (the member's start), Want, Note: its standing, name and proof, where they are not what this process said before
-	MemberProcess // Note: invariant.MemberServes, MemberLeaves, MemberEnded
-	// Of the lab.
+	// Observed by clients; N is the index of the arrival in the plan.
+	Sent           Kind = iota + 1 // Request, Sidecar, Class, Attempt (from 1), Sum (body), Work (the client's timeout in ms)
+	Answered                       // Request, Sidecar, Status, Sum (body), Want (sum of the expected body)
+	ConnectionLost                 // Request, Sidecar, Note: its connection ended without a complete answer
+	Overdue                        // Request, Sidecar: its timeout expired; the client still reads for a grace period
+	NoAnswer                       // Request, Sidecar: no answer in the grace period either, or the run ended
+	ClientLeft                     // Request, Sidecar, Note (how): the client left before its timeout
+	NotSent                        // Request, Sidecar, Note: it could not be written completely
+	ExtraBytes                     // Request, Sidecar: unexpected bytes after a complete answer
+	// Observed by servers.
+	FirstByte      // Request, Sidecar, Server, Attempt, N (X-Timeout-Ms; 0: none)
+	LastByte       // Request, Sidecar, Server, Attempt, Sum (body): the attempt is complete
+	Rejected       // Request, Sidecar, Server, Attempt: answered X-Not-Processed
+	WorkStarted    // Request, Sidecar, Server, Attempt: its work has started
+	Replied        // Request, Sidecar, Server, Attempt, Status: the answer's last byte is written
+	SidecarClosed  // Request, Sidecar, Server, Attempt: the sidecar closed before an answer
+	UnknownRequest // Request, Sidecar, Server, Note: no client sent this request
+	OverloadCrash  // Server, Note: a server in slow start crashed under overload
+	ServerState    // Server, Note
+	// Observed by discovery.
+	Notified // Sidecar, Server, Note: the state written to the sidecar, N (start time of the server, Unix ms)
+	// Observed by the lab in an answer of the list service's replica Server; Status is the index of a rollout in the plan.
+	RoutesObserved  // Rev: a routing table of this revision exists
+	RevisionClosed  // Rev: no attempt starts any more under this revision or an older one
+	RolloutFraction // Rev, Status, Work (fraction), Attempt (step): a rollout's state in the table of this revision
+	RolloutPhase    // Rev (of its last change), Status, Attempt (step), Note (phase), N (units neither held nor spent), Sum (granted), Want (spent)
+	// Observed by the lab in a membership status. Sidecar is the index of the party: first the sidecars, then the replicas
+	// of the list service; Sum is the number of its process.
+	MembershipStatus // N (start), Want (duration of the answer in ns), Status (known), Attempt (reachable), Work (accepted), Canary (admitted), Class (1: forced), Rev (changes), Server (members listed), Note: invariant.MemberLeft
+	MemberStatus     // N (the member's start), Want, Note: its state, name and proof, if changed since the last status of this process
+	MemberProcess    // Note: invariant.MemberServes, MemberLeaves, MemberEnded
+	// Observed by the lab itself.
 	Process // Sidecar, Status (process id), Note
-	Fault   // Status (1: begins, 2: ends, 0: once), Note
+	Fault   // Status (1: starts, 2: ends, 0: instantaneous), Note
 	Sample  // Sidecar, N (RSS in bytes), Status (descriptors), Work (CPU seconds so far)
 )
 
-var names = map[Kind]string{
-	Sent: "client sends", Answered: "client is answered", Broke: "client's connection ends", GaveUp: "client gives up", Overdue: "client's time is over",
-	Unheard: "client has heard nothing", Unsent: "client cannot send",
-	SecondWord: "client hears more than its answer", FirstByte: "server hears first byte", LastByte: "server has last byte",
-	Turned: "server turns away", Ran: "server runs", Replied: "server has answered", Closed: "server sees a close",
-	Stray: "server hears what no client sent", FellOver: "server falls over", ServerState: "server", Told: "list tells",
-	TableTold: "routes are told", ClosedTold: "revision is said to be closed", ShareTold: "share is told", PhaseTold: "rollout is said to be",
-	MembersSaid: "process says of the fleet", MemberSaid: "process says that", MemberProcess: "member",
+var kindTexts = map[Kind]string{
+	Sent: "client sends", Answered: "client is answered", ConnectionLost: "client's connection ends", ClientLeft: "client gives up", Overdue: "client's time is over",
+	NoAnswer: "client has heard nothing", NotSent: "client cannot send",
+	ExtraBytes: "client hears more than its answer", FirstByte: "server hears first byte", LastByte: "server has last byte",
+	Rejected: "server turns away", WorkStarted: "server runs", Replied: "server has answered", SidecarClosed: "server sees a close",
+	UnknownRequest: "server hears what no client sent", OverloadCrash: "server falls over", ServerState: "server", Notified: "list tells",
+	RoutesObserved: "routes are told", RevisionClosed: "revision is said to be closed", RolloutFraction: "share is told", RolloutPhase: "rollout is said to be",
+	MembershipStatus: "process says of the fleet", MemberStatus: "process says that", MemberProcess: "member",
 	Process: "process", Fault: "fault", Sample: "sample",
 }
 
-// String names the kind in a path of events.
-func (k Kind) String() string { return names[k] }
+// String returns the text of the kind in an event line.
+func (k Kind) String() string { return kindTexts[k] }
 
-// RunEnded is the note of an Unheard event whose client was cut short by the end of the run.
+// RunEnded is the note of a NoAnswer event whose client was cut short by the end of the run.
 const RunEnded = "the run was ended"
 
-// Nobody stands where an event has no sidecar, server or class.
-const Nobody = -1
+// None is the value of Sidecar, Server or Class of an event without one.
+const None = -1
 
-// Event is one thing that one party saw.
+// Event is one observation of one party. [Kind] documents which fields are set.
 type Event struct {
 	T       time.Duration // since the start of the run
 	Request uint64        // 0: none
 	Sum     uint64        // of a body
-	Want    uint64        // what Sum ought to be
+	Want    uint64        // expected Sum
 	N       int64
 	Work    float64
 	Sidecar int32
 	Server  int32
 	Status  int32
-	Rev     int64 // of routes: that an attempt was made under (0: none), or that was told
+	Rev     int64 // routing table revision that an attempt used (0: none), or that a party reported
 	Class   int16
 	Attempt int16
 	Tenant  int16 // of FirstByte and LastByte
 	Kind    Kind
-	Canary  bool // of FirstByte and LastByte: the sidecar counts it as an attempt to a canary
+	Canary  bool // of FirstByte and LastByte: the sidecar marked the attempt as canary traffic
 	Note    string
 }
 
-// String gives one line of a path.
+// String formats the event as one line.
 func (e Event) String() string {
 	s := fmt.Sprintf("%9.1f ms  %s", float64(e.T)/1e6, e.Kind)
-	if e.Sidecar != Nobody {
+	if e.Sidecar != None {
 		s += fmt.Sprintf(" sidecar=%d", e.Sidecar)
 	}
-	if e.Server != Nobody {
+	if e.Server != None {
 		s += fmt.Sprintf(" server=%d", e.Server)
 	}
 	switch {
@@ -133,65 +133,65 @@
 	return s
 }
 
-const shards = 16
+const shardCount = 16
 
-// Log takes events from all parties at once.
+// Log collects events and is safe for concurrent use.
 type Log struct {
-	began time.Time
-	parts [shards]part
+	started time.Time
+	shards  [shardCount]shard
 }
 
-type part struct {
+type shard struct {
 	mu     sync.Mutex
 	events []Event
-	_      [32]byte // keeps two shards off one cache line
+	_      [32]byte // padding against false sharing of cache lines
 }
 
-// New starts the clock of a run.
-func New() *Log { return &Log{began: time.Now()} }
+// New makes an empty log and starts its clock.
+func New() *Log { return &Log{started: time.Now()} }
 
-// Now is the time on the run's clock, which is monotonic: a step of the wall clock does not move it.
-func (l *Log) Now() time.Duration { return time.Since(l.began) }
+// Now is the time since the start of the log on the monotonic clock.
+func (l *Log) Now() time.Duration { return time.Since(l.started) }
 
-// Add keeps an event; one without a time gets the present one.
+// Add stores an event; T is set to Now if it is zero.
 func (l *Log) Add(e Event) {
 	if e.T == 0 {
 		e.T = l.Now()
 	}
-	p := &l.parts[(e.Request^e.Request>>8^uint64(uint32(e.Sidecar)))%shards]
+	p := &l.shards[(e.Request^e.Request>>8^uint64(uint32(e.Sidecar)))%shardCount]
 	p.mu.Lock()
 	p.events = append(p.events, e)
 	p.mu.Unlock()
 }
 
-// Count is how many events are kept.
+// Count returns the number of events.
 func (l *Log) Count() int {
 	n := 0
-	for i := range l.parts {
-		l.parts[i].mu.Lock()
-		n += len(l.parts[i].events)
-		l.parts[i].mu.Unlock()
+	for i := range l.shards {
+		l.shards[i].mu.Lock()
+		n += len(l.shards[i].events)
+		l.shards[i].mu.Unlock()
 	}
 	return n
 }
 
-// Events returns all events by time.
+// Events returns all events sorted by time.
 func (l *Log) Events() []Event {
 	all := make([]Event, 0, l.Count())
-	for i := range l.parts {
-		l.parts[i].mu.Lock()
-		all = append(all, l.parts[i].events...)
-		l.parts[i].mu.Unlock()
+	for i := range l.shards {
+		l.shards[i].mu.Lock()
+		all = append(all, l.shards[i].events...)
+		l.shards[i].mu.Unlock()
 	}
 	slices.SortStableFunc(all, func(a, b Event) int { return int(a.T - b.T) })
 	return all
 }
 
-// Sum is the hash under which bodies are compared (FNV-1a, 64 bits).
+// Sum is the hash by which bodies are compared (FNV-1a, 64 bits).
 func Sum(body []byte) uint64 {
-	h := uint64(14695981039346656037)
+	hash := uint64(14695981039346656037)
 	for _, c := range body {
-		h = (h ^ uint64(c)) * 1099511628211
+		hash = (hash ^ uint64(c)) * 1099511628211
 	}
-	return h
+	return hash
 }
--- a/internal/lab/routes.go
+++ b/internal/lab/routes.go
@@ -174,13 +174,13 @@
 	if json.Unmarshal(line, &t) != nil {
 		return 0
 	}
-	e := record.Event{T: o.r.log.Now(), Sidecar: record.Nobody, Server: int32(copyNumber), Class: record.Nobody, Rev: t.Rev}
-	e.Kind = record.TableTold
+	e := record.Event{T: o.r.log.Now(), Sidecar: record.None, Server: int32(copyNumber), Class: record.None, Rev: t.Rev}
+	e.Kind = record.RoutesObserved
 	o.r.log.Add(e)
 	o.closed(copyNumber, t.Closed)
 	for _, one := range t.Routes {
 		if n := o.number(one.Tenant, rollout.RolloutName(one.Rollout)); n >= 0 {
-			e.Kind, e.Status, e.Work, e.Attempt = record.ShareTold, int32(n), one.Share, int16(one.Step)
+			e.Kind, e.Status, e.Work, e.Attempt = record.RolloutFraction, int32(n), one.Share, int16(one.Step)
 			o.r.log.Add(e)
 		}
 	}
@@ -198,7 +198,7 @@
 	o.shut = max(o.shut, rev)
 	o.mu.Unlock()
 	if news {
-		o.r.log.Add(record.Event{Kind: record.ClosedTold, Sidecar: record.Nobody, Server: int32(copyNumber), Class: record.Nobody, Rev: rev})
+		o.r.log.Add(record.Event{Kind: record.RevisionClosed, Sidecar: record.None, Server: int32(copyNumber), Class: record.None, Rev: rev})
 	}
 }
 
@@ -335,7 +335,7 @@
 		o.phases[n] = one
 		o.mu.Unlock()
 		if was.Rev != one.Rev || was.Phase != one.Phase || was.Step != one.Step || one.Left < 0 {
-			o.r.log.Add(record.Event{Kind: record.PhaseTold, Sidecar: record.Nobody, Server: int32(copyNumber), Class: record.Nobody,
+			o.r.log.Add(record.Event{Kind: record.RolloutPhase, Sidecar: record.None, Server: int32(copyNumber), Class: record.None,
 				Rev: one.Rev, Status: int32(n), Attempt: int16(one.Step), N: one.Left, Note: string(one.Phase), Sum: uint64(one.Granted), Want: uint64(one.Spent)})
 		}
 	}
@@ -483,7 +483,7 @@
 func (s *service) passRoutes(line []byte) []byte {
 	var t tableOf
 	if o := s.r.rollouts.Load(); o != nil && json.Unmarshal(line, &t) == nil {
-		o.closed(record.Nobody, t.Closed)
+		o.closed(record.None, t.Closed)
 	}
 	if undone := s.undone.Load(); undone != nil {
 		return undone.tell(line)
--- a/internal/lab/routesresult.go
+++ b/internal/lab/routesresult.go
@@ -85,9 +85,9 @@
 	under := map[int]invariant.Span{} // by tenant, when it was told a share
 	for i := range all {
 		switch e := &all[i]; e.Kind {
-		case record.ClosedTold:
+		case record.RevisionClosed:
 			out.Closed = max(out.Closed, e.Rev)
-		case record.ShareTold:
+		case record.RolloutFraction:
 			one := told{int(e.Status), int(e.Attempt), e.Work}
 			if tenant := facts.Rollouts[e.Status].Tenant; e.Work > 0 {
 				if _, ok := under[tenant]; !ok {
@@ -97,7 +97,7 @@
 			if e.Work > 0 && !slices.Contains(at[e.Rev], one) {
 				at[e.Rev] = append(at[e.Rev], one)
 			}
-		case record.PhaseTold:
+		case record.RolloutPhase:
 			tenant := facts.Rollouts[e.Status].Tenant
 			if s, ok := under[tenant]; ok && e.Note != "running" {
 				under[tenant] = invariant.Span{From: s.From, To: min(s.To, e.T)}
--- a/internal/lab/server_faults.go
+++ b/internal/lab/server_faults.go
@@ -57,14 +57,14 @@
 }
 
 func (r *run) killServer(i int) error {
-	r.note(record.ServerState, record.Nobody, i, "dies")
+	r.note(record.ServerState, record.None, i, "dies")
 	r.servers[i].Kill()
 	r.publish(i, agent.Gone, r.s.Discovery.SilentNotice)
 	return nil
 }
 
 func (r *run) bootServer(i int) error {
-	r.note(record.ServerState, record.Nobody, i, invariant.Booted)
+	r.note(record.ServerState, record.None, i, invariant.Booted)
 	if err := r.servers[i].Boot(); err != nil {
 		return err
 	}
@@ -78,7 +78,7 @@
 // Those that stay do not end, and serve whatever comes: nothing but the list tells that they drain.
 func (r *run) drainServers(ctx context.Context, servers []int, stay bool) error {
 	for _, i := range servers {
-		r.note(record.ServerState, record.Nobody, i, "drains")
+		r.note(record.ServerState, record.None, i, "drains")
 		r.publish(i, agent.Terminating, r.s.Discovery.Notice)
 	}
 	if stay {
@@ -112,7 +112,7 @@
 		return err
 	}
 	for _, i := range p.Servers {
-		r.note(record.ServerState, record.Nobody, i, "is replaced")
+		r.note(record.ServerState, record.None, i, "is replaced")
 		r.publish(i, agent.Terminating, r.s.Discovery.Notice)
 	}
 	if !sleep(ctx, r.s.Discovery.Notice.Duration()+r.s.Discovery.Spread.Duration()+r.s.Rules.DrainGrace.Duration()+deadFor) {
--- a/internal/lab/service.go
+++ b/internal/lab/service.go
@@ -254,7 +254,7 @@
 	}
 	var told []record.Event
 	note := func(server int, state string, boot int64) {
-		told = append(told, record.Event{Kind: record.Told, Sidecar: int32(sidecar), Server: int32(server), Class: record.Nobody, N: boot, Note: state})
+		told = append(told, record.Event{Kind: record.Notified, Sidecar: int32(sidecar), Server: int32(server), Class: record.None, N: boot, Note: state})
 	}
 	named := map[int]bool{}
 	for i := range l.Targets {
--- a/internal/lab/sidecar_faults.go
+++ b/internal/lab/sidecar_faults.go
@@ -29,7 +29,7 @@
 	return nil
 }
 
-func (s *sidecar) note(text string) { s.r.note(record.Process, s.number, record.Nobody, text) }
+func (s *sidecar) note(text string) { s.r.note(record.Process, s.number, record.None, text) }
 
 func (s *sidecar) freeze(on bool) error {
 	if !on {
--- a/internal/lab/sidecar_process.go
+++ b/internal/lab/sidecar_process.go
@@ -158,7 +158,7 @@
 	if err != nil {
 		return fmt.Errorf("sidecar %d: %w", s.number, err)
 	}
-	r.log.Add(record.Event{T: begun, Kind: record.Process, Sidecar: int32(s.number), Server: record.Nobody, Class: record.Nobody, Note: invariant.Started})
+	r.log.Add(record.Event{T: begun, Kind: record.Process, Sidecar: int32(s.number), Server: record.None, Class: record.None, Note: invariant.Started})
 	s.mu.Lock()
 	s.older, s.now = s.now, c
 	s.mu.Unlock()
@@ -173,7 +173,7 @@
 		}
 		return fmt.Errorf("sidecar %d at %s: %w", s.number, s.listen, err)
 	}
-	r.note(record.Process, s.number, record.Nobody, invariant.Serving)
+	r.note(record.Process, s.number, record.None, invariant.Serving)
 	if at != nil {
 		if err := r.members.begin(at, c, ready); err != nil {
 			return fmt.Errorf("sidecar %d: %w", s.number, err)
@@ -195,7 +195,7 @@
 	if !c.Asked() || c.Err() != nil && !strings.Contains(c.Err().Error(), "signal: killed") {
 		note = invariant.Crashed
 	}
-	s.r.note(record.Process, s.number, record.Nobody, note)
+	s.r.note(record.Process, s.number, record.None, note)
 	if note == invariant.Crashed {
 		s.r.out.Error("lab: a copy ended unasked", "sidecar", s.number, "error", c.Err(), "log", c.Tail())
 	}
@@ -269,7 +269,7 @@
 
 // stop ends a process in order; SIGKILL comes when it has not ended after wait.
 func (s *sidecar) stop(c *process.Copy, wait time.Duration) {
-	s.r.note(record.Process, s.number, record.Nobody, invariant.Stopping)
+	s.r.note(record.Process, s.number, record.None, invariant.Stopping)
 	if s.r.members != nil {
 		s.r.members.leaving(c)
 	}
@@ -283,7 +283,7 @@
 	select {
 	case <-c.Ended():
 	case <-kill.C:
-		s.r.note(record.Process, s.number, record.Nobody, invariant.Killed)
+		s.r.note(record.Process, s.number, record.None, invariant.Killed)
 		c.Kill()
 	}
 	s.retire(c)
--- a/internal/lab/simulate/faults.go
+++ b/internal/lab/simulate/faults.go
@@ -19,7 +19,7 @@
 	}
 	at, until := begin+ms(p.At), begin+ms(p.Until)
 	mark := func(status int32) {
-		w.note(record.Event{Kind: record.Fault, Sidecar: record.Nobody, Server: record.Nobody, Class: record.Nobody, Status: status, Note: f.Kind})
+		w.note(record.Event{Kind: record.Fault, Sidecar: record.None, Server: record.None, Class: record.None, Status: status, Note: f.Kind})
 	}
 	once := func(do func()) error {
 		w.At(at, func() { mark(0); do() })
--- a/internal/lab/simulate/members.go
+++ b/internal/lab/simulate/members.go
@@ -175,12 +175,12 @@
 			a.cancelAtServer()
 			if a.arrived && !a.over {
 				a.over = true
-				a.note(record.Closed, 0)
+				a.note(record.SidecarClosed, 0)
 			}
 		}
 		if t.done = true; !t.client {
 			t.client = true
-			t.note(record.Broke, record.Event{Note: "its process ended"})
+			t.note(record.ConnectionLost, record.Event{Note: "its process ended"})
 			t.ask.again(0)
 		}
 	}
--- a/internal/lab/simulate/simulate.go
+++ b/internal/lab/simulate/simulate.go
@@ -250,7 +250,7 @@
 	for _, e := range list {
 		number := int(e.ID) - 1
 		c.heard[number] = c.w.servers[number].listedNews
-		c.w.note(record.Event{Kind: record.Told, Sidecar: int32(c.number), Server: int32(number), Class: record.Nobody, Note: "Ready"})
+		c.w.note(record.Event{Kind: record.Notified, Sidecar: int32(c.number), Server: int32(number), Class: record.None, Note: "Ready"})
 	}
 }
 
@@ -374,14 +374,14 @@
 				return
 			}
 			c.heard[s.number] = news
-			w.note(record.Event{Kind: record.Told, Sidecar: int32(i), Server: int32(s.number), Class: record.Nobody, N: boot, Note: name})
+			w.note(record.Event{Kind: record.Notified, Sidecar: int32(i), Server: int32(s.number), Class: record.None, N: boot, Note: name})
 			c.tell(balance.ServerList{Kind: balance.ListDelta, Servers: []balance.Server{e}})
 		})
 	}
 }
 
 func (w *world) state(s *server, note string) {
-	w.note(record.Event{Kind: record.ServerState, Sidecar: record.Nobody, Server: int32(s.number), Class: record.Nobody, Note: note})
+	w.note(record.Event{Kind: record.ServerState, Sidecar: record.None, Server: int32(s.number), Class: record.None, Note: note})
 }
 
 func (w *world) kill(s *server, notice bool) {
--- a/internal/lab/simulate/simulate_test.go
+++ b/internal/lab/simulate/simulate_test.go
@@ -88,7 +88,7 @@
 	}
 	told := map[[2]int32]int64{} // by sidecar and server: the latest start that it was told of
 	for _, e := range run.Events {
-		if e.Kind != record.Told {
+		if e.Kind != record.Notified {
 			continue
 		}
 		key := [2]int32{e.Sidecar, e.Server}
--- a/internal/lab/simulate/try.go
+++ b/internal/lab/simulate/try.go
@@ -69,7 +69,7 @@
 				return
 			}
 			t.client = true
-			t.note(record.GaveUp, record.Event{})
+			t.note(record.ClientLeft, record.Event{})
 			t.end()
 			t.c.tell(balance.ClientGone{Request: balance.RequestID(t.id)})
 			k.again(0)
@@ -84,7 +84,7 @@
 	})
 	w.After(patience+listen, func() {
 		if t.late && !t.done {
-			t.note(record.Unheard, record.Event{Note: "nothing"})
+			t.note(record.NoAnswer, record.Event{Note: "nothing"})
 			t.end()
 		}
 	})
@@ -113,7 +113,7 @@
 }
 
 func (t *try) note(k record.Kind, e record.Event) {
-	e.Kind, e.Request, e.Sidecar, e.Server = k, t.id, int32(t.c.number), record.Nobody
+	e.Kind, e.Request, e.Sidecar, e.Server = k, t.id, int32(t.c.number), record.None
 	e.Class, e.N = int16(t.ask.a.Class), int64(t.ask.number)
 	t.ask.w.note(e)
 }
@@ -162,7 +162,7 @@
 
 func (a *attempt) note(k record.Kind, status int) {
 	a.t.ask.w.note(record.Event{Kind: k, Request: a.t.id, Sidecar: int32(a.t.c.number), Server: int32(a.s.number), Attempt: a.conn,
-		Status: int32(status), Class: record.Nobody, Sum: 0})
+		Status: int32(status), Class: record.None, Sum: 0})
 }
 
 // send makes an attempt: over a kept connection, or a new one, which costs a round trip and may never come up.
@@ -224,7 +224,7 @@
 	a.note(record.FirstByte, 0)
 	a.note(record.LastByte, 0)
 	turn := func() {
-		a.note(record.Turned, 503)
+		a.note(record.Rejected, 503)
 		a.note(record.Replied, 503)
 		a.over = true
 		a.answer(func() { a.keep(); a.lost(balance.Rejected) })
@@ -234,7 +234,7 @@
 		return
 	}
 	if s.fail > 0 && w.rng.Float64() < s.fail {
-		a.note(record.Ran, 0)
+		a.note(record.WorkStarted, 0)
 		a.note(record.Replied, 500)
 		a.over = true
 		a.answer(func() { a.keep(); a.lost(balance.Failed) })
@@ -247,7 +247,7 @@
 		a.topple()
 		return
 	}
-	task, what := s.pod.farm.Offer(w.clock(), s.inPod, work, func() { a.note(record.Ran, 0) }, func() {
+	task, what := s.pod.farm.Offer(w.clock(), s.inPod, work, func() { a.note(record.WorkStarted, 0) }, func() {
 		if a.over || dropped {
 			return
 		}
@@ -269,8 +269,8 @@
 // topple ends the server that this attempt is too much for.
 func (a *attempt) topple() {
 	w := a.t.ask.w
-	w.note(record.Event{Kind: record.FellOver, Request: a.t.id, Sidecar: int32(a.t.c.number), Server: int32(a.s.number),
-		Class: record.Nobody, Note: "sent more than it can bear while cold"})
+	w.note(record.Event{Kind: record.OverloadCrash, Request: a.t.id, Sidecar: int32(a.t.c.number), Server: int32(a.s.number),
+		Class: record.None, Note: "sent more than it can bear while cold"})
 	w.kill(a.s, true)
 }
 
@@ -311,7 +311,7 @@
 	a.told = true
 	if a.arrived && !a.over {
 		a.over = true
-		a.note(record.Closed, 0)
+		a.note(record.SidecarClosed, 0)
 	}
 	a.t.c.tell(balance.Outcome{Request: balance.RequestID(a.t.id), Attempt: a.number, Server: balance.ServerID(a.s.number + 1),
 		Result: result, Elapsed: a.t.ask.w.Now() - a.from})
--- a/internal/lab/stock/server.go
+++ b/internal/lab/stock/server.go
@@ -350,8 +350,8 @@
 	v := &visit{server: s, conn: c, serial: serial, ended: make(chan struct{})}
 	id := req.Header.Get("X-Request-ID")
 	stray := func(note string) error {
-		s.log.Add(record.Event{Kind: record.Stray, Request: v.id, Sidecar: int32(c.Caller), Server: int32(s.Number),
-			Attempt: serial, Class: record.Nobody, Note: note})
+		s.log.Add(record.Event{Kind: record.UnknownRequest, Request: v.id, Sidecar: int32(c.Caller), Server: int32(s.Number),
+			Attempt: serial, Class: record.None, Note: note})
 		return answer(c, 400, nil, "")
 	}
 	if id == "" {
--- a/internal/lab/stock/server_test.go
+++ b/internal/lab/stock/server_test.go
@@ -118,7 +118,7 @@
 	if err := call(t, s).ask(); !reset(err) {
 		t.Errorf("got %v", err)
 	}
-	if !has(log, record.Ran) || has(log, record.Replied) {
+	if !has(log, record.WorkStarted) || has(log, record.Replied) {
 		t.Errorf("it had not begun, or has ended: %v", log.Events())
 	}
 	s.Behave(func(b *Behaviour) { b.Reset = 0 })
@@ -158,7 +158,7 @@
 	if err := call(t, s).ask(); err != nil {
 		t.Fatal(err)
 	}
-	if has(log, record.Ran) || !has(log, record.Turned) {
+	if has(log, record.WorkStarted) || !has(log, record.Rejected) {
 		t.Errorf("it ran, or was not turned away: %v", log.Events())
 	}
 }
--- a/internal/lab/stock/visit.go
+++ b/internal/lab/stock/visit.go
@@ -25,12 +25,12 @@
 
 func (v *visit) note(k record.Kind, status int, sum uint64) {
 	v.server.log.Add(record.Event{Kind: k, Request: v.id, Sidecar: int32(v.conn.Caller),
-		Server: int32(v.server.Number), Attempt: v.serial, Status: int32(status), Sum: sum, Class: record.Nobody})
+		Server: int32(v.server.Number), Attempt: v.serial, Status: int32(status), Sum: sum, Class: record.None})
 }
 
 func (v *visit) gone() {
 	if !v.closed.Swap(true) {
-		v.note(record.Closed, 0, 0)
+		v.note(record.SidecarClosed, 0, 0)
 	}
 }
 
@@ -38,7 +38,7 @@
 func (s *Server) work(v *visit, ask Ask, extra float64) {
 	b := s.behave.Load()
 	turn := func(why string) {
-		v.note(record.Turned, 503, 0)
+		v.note(record.Rejected, 503, 0)
 		s.finish(v, 503, []byte(why+"\n"), "X-Not-Processed: 1\r\n")
 	}
 	if b.Drain {
@@ -46,7 +46,7 @@
 		return
 	}
 	if concerns(b.FailOf, ask.Class) && s.chance(b.Fail) {
-		v.note(record.Ran, 0, 0)
+		v.note(record.WorkStarted, 0, 0)
 		s.finish(v, 500, nil, "")
 		return
 	}
@@ -67,7 +67,7 @@
 	v.job = j
 	resets := s.chance(b.Reset)
 	j.onStart = func() {
-		v.note(record.Ran, 0, 0)
+		v.note(record.WorkStarted, 0, 0)
 		if resets {
 			time.AfterFunc(s.part(work), func() { v.reset() })
 		}
@@ -102,8 +102,8 @@
 	})
 	switch {
 	case fell:
-		s.log.Add(record.Event{Kind: record.FellOver, Request: v.id, Sidecar: int32(v.conn.Caller),
-			Server: int32(s.Number), Class: record.Nobody, Note: "sent more than it can bear while cold"})
+		s.log.Add(record.Event{Kind: record.OverloadCrash, Request: v.id, Sidecar: int32(v.conn.Caller),
+			Server: int32(s.Number), Class: record.None, Note: "sent more than it can bear while cold"})
 		close(v.ended)
 		if s.OnFall != nil {
 			go s.OnFall()
