--- a/internal/lab/growth_process.go
+++ b/internal/lab/growth_process.go
@@ -89,7 +89,7 @@
 	}
 	s.Servers.Count = size.Servers + replaced
 	d := &growthDay{o: o, r: &run{s: s, plan: s.Plan(1), out: slog.New(slog.DiscardHandler),
-		nursery: process.NewNursery(), log: record.New(), dir: dir}}
+		nursery: process.NewSupervisor(), log: record.New(), dir: dir}}
 	defer func() { err = errors.Join(err, d.close()) }()
 	if d.servers, err = startGrowthServers(s.Servers.Count); err != nil {
 		return need, err
@@ -178,18 +178,18 @@
 	load.close()
 	driven()
 	beside.Wait()
-	stopCosted(p.Copy)
+	stopCosted(p.Child)
 	switch {
 	case err != nil:
 		return GrowthNeed{}, err
 	case sampled != nil:
 		return GrowthNeed{}, sampled
 	case p.Err() != nil:
-		return GrowthNeed{}, fmt.Errorf("the sidecar ended with %w; its log ends:\n%s", p.Err(), p.Tail())
+		return GrowthNeed{}, fmt.Errorf("the sidecar ended with %w; its log ends:\n%s", p.Err(), p.LogTail())
 	case done.sent == 0:
 		return GrowthNeed{}, errors.New("no request was sent")
 	}
-	return GrowthNeed{CPU: p.CPU(), PeakMemory: float64(peak.Peak) / (1 << 20), Descriptors: float64(peak.Descriptors),
+	return GrowthNeed{CPU: p.CPU(), PeakMemory: float64(peak.PeakRSS) / (1 << 20), Descriptors: float64(peak.Descriptors),
 		Connections: float64(d.servers.made.Load()), ListBytes: float64(d.meter.bytes.Load()),
 		Served: 1 - float64(done.failed)/float64(done.sent)}, nil
 }
@@ -202,7 +202,7 @@
 		if err != nil {
 			return peak, err
 		}
-		peak.Peak = max(peak.Peak, now.Peak)
+		peak.PeakRSS = max(peak.PeakRSS, now.PeakRSS)
 		peak.Descriptors = max(peak.Descriptors, now.Descriptors)
 		if !sleep(ctx, growthSample) {
 			return peak, nil
--- a/internal/lab/lab.go
+++ b/internal/lab/lab.go
@@ -65,7 +65,7 @@
 	out      *slog.Logger
 	dir      string
 	program  string
-	nursery  *process.Nursery
+	nursery  *process.Supervisor
 	book     *client.RequestLog
 	pods     []*stock.Pod
 	servers  []*stock.Server
@@ -131,7 +131,7 @@
 
 // start brings all parties up. The clock of the run starts when they are ready.
 func (r *run) start(ctx context.Context) error {
-	r.nursery = process.NewNursery()
+	r.nursery = process.NewSupervisor()
 	r.log = record.New()
 	for k := range max(r.s.Discovery.Copies, r.s.Discovery.Registry) {
 		var row []*relay.Link
--- a/internal/lab/listscale.go
+++ b/internal/lab/listscale.go
@@ -161,17 +161,17 @@
 	if err := os.WriteFile(config, []byte(text), 0o644); err != nil {
 		return nil, err
 	}
-	nursery := process.NewNursery()
+	nursery := process.NewSupervisor()
 	defer nursery.Close()
 	spec := process.Spec{Name: "list", Path: o.Self, Dir: dir, Env: os.Environ(), Args: []string{"registry", "serve", "--config", config}}
-	start := func() (*process.Copy, error) {
+	start := func() (*process.Child, error) {
 		c, err := nursery.Start(spec)
 		if err != nil {
 			return nil, err
 		}
 		wait, cancel := context.WithTimeout(ctx, startWait)
 		defer cancel()
-		_, err = c.Await(wait, "ready name=")
+		_, err = c.AwaitLog(wait, "ready name=")
 		return c, err
 	}
 	c, err := start()
@@ -298,7 +298,7 @@
 	}
 	p.Return = (now() - stopped).Seconds()
 	if u, err := process.Measure(c.PID); err == nil {
-		p.Peak = float64(u.Peak) / (1 << 20)
+		p.Peak = float64(u.PeakRSS) / (1 << 20)
 	}
 	return p, nil
 }
--- a/internal/lab/members.go
+++ b/internal/lab/members.go
@@ -39,7 +39,7 @@
 	fronts [][]*front // of each party, the newest last
 	ills   []*scenario.FaultPlan
 	serial uint64
-	procs  map[*process.Copy]uint64 // their numbers
+	procs  map[*process.Child]uint64 // their numbers
 
 	ctx  context.Context
 	stop context.CancelFunc
@@ -52,10 +52,10 @@
 	bind  string // where the process itself listens
 	port  *relay.Port
 	udp   *relay.PacketProxy
-	owner *process.Copy // the process behind it
-	held  int           // while it refuses: a socket that keeps its port, so that nobody else listens there; -1: none
-	used  bool          // some process has had it
-	dead  bool          // no process is behind it: its host refuses connections
+	owner *process.Child // the process behind it
+	held  int            // while it refuses: a socket that keeps its port, so that nobody else listens there; -1: none
+	used  bool           // some process has had it
+	dead  bool           // no process is behind it: its host refuses connections
 }
 
 func (f *front) addr() string { return f.port.Addr(f.party) }
@@ -63,7 +63,7 @@
 // newMembers opens a front for the first process of each party, as every seed's address is known before it starts.
 func newMembers(r *run) (*members, error) {
 	m := &members{r: r, parties: len(r.plan.Sidecars) + r.s.Discovery.Registry, callers: map[string]int{},
-		nobody: relay.NewPacketLink(relay.PacketRules{Cut: relay.Both}, 0), procs: map[*process.Copy]uint64{}}
+		nobody: relay.NewPacketLink(relay.PacketRules{Cut: relay.Both}, 0), procs: map[*process.Child]uint64{}}
 	m.ctx, m.stop = context.WithCancel(context.Background())
 	m.fronts = make([][]*front, m.parties)
 	for i := range m.parties {
@@ -178,14 +178,14 @@
 }
 
 // has says which process is behind a front.
-func (m *members) has(f *front, c *process.Copy) {
+func (m *members) has(f *front, c *process.Child) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	f.owner = c
 }
 
 // die has a front refuse what comes, as the host of a process that has ended does. A later process may have it by now.
-func (m *members) die(f *front, c *process.Copy) {
+func (m *members) die(f *front, c *process.Child) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if f.owner != c {
@@ -401,7 +401,7 @@
 
 // followCopy follows the processes of a copy of the list service, which the faults of its own kinds end and start.
 func (m *members) followCopy(f *front, c *registryCopy) {
-	var last *process.Copy
+	var last *process.Child
 	for m.ctx.Err() == nil {
 		p := c.process()
 		if p == last {
--- a/internal/lab/members_watch.go
+++ b/internal/lab/members_watch.go
@@ -56,7 +56,7 @@
 }
 
 // begin follows a sidecar's process that serves from now on.
-func (m *members) begin(f *front, c *process.Copy, ready string) error {
+func (m *members) begin(f *front, c *process.Child, ready string) error {
 	addr, err := managementAddr(ready)
 	if err != nil {
 		return err
@@ -66,7 +66,7 @@
 }
 
 // leaving writes down that a process is told to end.
-func (m *members) leaving(c *process.Copy) {
+func (m *members) leaving(c *process.Child) {
 	m.mu.Lock()
 	serial, ok := m.procs[c]
 	m.mu.Unlock()
@@ -81,7 +81,7 @@
 }
 
 // follow asks a process what it knows of the fleet, until it ends or the run does.
-func (m *members) follow(f *front, c *process.Copy, addr string) {
+func (m *members) follow(f *front, c *process.Child, addr string) {
 	m.mu.Lock()
 	m.serial++
 	serial := m.serial
--- a/internal/lab/memberscale_procs.go
+++ b/internal/lab/memberscale_procs.go
@@ -77,9 +77,9 @@
 		}
 		seeds = append(seeds, addr)
 	}
-	nursery := process.NewNursery()
+	nursery := process.NewSupervisor()
 	defer nursery.Close()
-	all, manage := make([]*process.Copy, n), make([]string, n)
+	all, manage := make([]*process.Child, n), make([]string, n)
 	starting, cancel := context.WithTimeout(ctx, startWait)
 	defer cancel()
 	err = parallel(n, 8, func(i int) error {
@@ -110,7 +110,7 @@
 		if err != nil {
 			return err
 		}
-		ready, err := all[i].Await(starting, readyText)
+		ready, err := all[i].AwaitLog(starting, readyText)
 		for _, field := range strings.Fields(ready) {
 			if addr, ok := strings.CutPrefix(field, "management="); ok {
 				manage[i] = addr
--- a/internal/lab/process/process.go
+++ b/internal/lab/process/process.go
@@ -1,8 +1,8 @@
-// Package process runs programs as children of the lab: each with its own configuration, limits, log and folder.
+// Package process runs programs as child processes of the lab, each with its own limits, log and directory.
 //
-// Promise: a child ends with the lab, also when the lab is killed (the kernel sends it SIGKILL when the thread
-// that started it ends, so one thread starts all and lives as long as the lab); a child that ends by itself is
-// known with its exit and the end of its log.
+// A child ends with the lab, also when the lab is killed: the kernel sends it SIGKILL when the thread that started
+// it ends (Pdeathsig), so one thread starts all children and runs as long as the lab. For a child that exits, its
+// exit status and the last lines of its log are available.
 package process
 
 import (
@@ -24,36 +24,36 @@
 	"golang.org/x/sys/unix"
 )
 
-// Nursery starts children.
-type Nursery struct {
-	start chan func()
-	done  chan struct{}
-	wg    sync.WaitGroup
+// Supervisor starts children and kills those that are left at the end.
+type Supervisor struct {
+	startCalls chan func()
+	done       chan struct{}
+	wg         sync.WaitGroup
 
-	mu    sync.Mutex
-	alive map[*Copy]struct{}
+	mu      sync.Mutex
+	running map[*Child]struct{}
 }
 
-// NewNursery starts the thread that children hang on.
-func NewNursery() *Nursery {
-	n := &Nursery{start: make(chan func()), done: make(chan struct{}), alive: map[*Copy]struct{}{}}
+// NewSupervisor starts the thread that is the parent of all children.
+func NewSupervisor() *Supervisor {
+	n := &Supervisor{startCalls: make(chan func()), done: make(chan struct{}), running: map[*Child]struct{}{}}
 	go func() {
 		defer close(n.done)
 		runtime.LockOSThread() // never unlocked: the thread ends with this goroutine, and children with the thread
-		for f := range n.start {
+		for f := range n.startCalls {
 			f()
 		}
 	}()
 	return n
 }
 
-// Close kills what is left and ends the thread. It kills one by one: the thread may be the process's first, which stays
-// to the process's end whatever its goroutine does, and its children with it.
-func (n *Nursery) Close() {
-	close(n.start)
+// Close kills the running children and ends the thread. It kills each child, as the end of the thread may not: the main
+// thread of a process stays until the process exits.
+func (n *Supervisor) Close() {
+	close(n.startCalls)
 	<-n.done
 	n.mu.Lock()
-	for c := range n.alive {
+	for c := range n.running {
 		_ = c.Signal(syscall.SIGKILL) // it has ended, or it will
 	}
 	n.mu.Unlock()
@@ -62,19 +62,19 @@
 
 // Spec is a program to run.
 type Spec struct {
-	Name    string
-	Path    string
-	Args    []string
-	Env     []string
-	Dir     string // its folder, for its files and log
-	Sockets int    // descriptors it may hold; 0: as the lab
+	Name           string
+	Path           string
+	Args           []string
+	Env            []string
+	Dir            string // working directory, also of its log
+	MaxDescriptors int    // limit of open file descriptors; 0: the lab's own
 }
 
-// LogPath is the file that has the log of all children that were started in the folder.
+// LogPath is the log file, shared by all children that were started in Dir.
 func (s *Spec) LogPath() string { return filepath.Join(s.Dir, "log.txt") }
 
-// Copy is one running child.
-type Copy struct {
+// Child is one started process.
+type Child struct {
 	Spec  Spec
 	PID   int
 	cmd   *exec.Cmd
@@ -82,12 +82,12 @@
 	ended chan struct{}
 	err   error
 
-	mu    sync.Mutex
-	asked bool // its end is wanted
+	mu            sync.Mutex
+	stopRequested bool // a signal that ends it was sent
 }
 
-// Start runs a program.
-func (n *Nursery) Start(spec Spec) (*Copy, error) {
+// Start starts a program and applies its descriptor limit.
+func (n *Supervisor) Start(spec Spec) (*Child, error) {
 	if err := os.MkdirAll(spec.Dir, 0o755); err != nil {
 		return nil, fmt.Errorf("%s: %w", spec.Name, err)
 	}
@@ -95,32 +95,32 @@
 	if err != nil {
 		return nil, fmt.Errorf("%s: %w", spec.Name, err)
 	}
-	c := &Copy{Spec: spec, ended: make(chan struct{}), log: &logTail{to: file, waiters: map[*lineWaiter]struct{}{}}}
+	c := &Child{Spec: spec, ended: make(chan struct{}), log: &logTail{file: file, waiters: map[*lineWaiter]struct{}{}}}
 	c.cmd = exec.Command(spec.Path, spec.Args...)
 	c.cmd.Env, c.cmd.Dir = spec.Env, spec.Dir
 	c.cmd.Stdout, c.cmd.Stderr = c.log, c.log
 	c.cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
 	c.cmd.WaitDelay = time.Second
 	started := make(chan error, 1)
-	n.start <- func() { started <- c.cmd.Start() }
+	n.startCalls <- func() { started <- c.cmd.Start() }
 	if err := <-started; err != nil {
 		file.Close()
 		return nil, fmt.Errorf("%s: %w", spec.Name, err)
 	}
 	c.PID = c.cmd.Process.Pid
 	n.mu.Lock()
-	n.alive[c] = struct{}{}
+	n.running[c] = struct{}{}
 	n.mu.Unlock()
 	n.wg.Go(func() {
 		c.err = c.cmd.Wait()
 		n.mu.Lock()
-		delete(n.alive, c)
+		delete(n.running, c)
 		n.mu.Unlock()
 		file.Close()
 		close(c.ended)
 	})
-	if spec.Sockets > 0 {
-		limit := &unix.Rlimit{Cur: uint64(spec.Sockets), Max: uint64(spec.Sockets)}
+	if spec.MaxDescriptors > 0 {
+		limit := &unix.Rlimit{Cur: uint64(spec.MaxDescriptors), Max: uint64(spec.MaxDescriptors)}
 		if err := unix.Prlimit(c.PID, unix.RLIMIT_NOFILE, limit, nil); err != nil && !errors.Is(err, unix.ESRCH) {
 			c.Kill()
 			return nil, fmt.Errorf("%s: limit of descriptors: %w", spec.Name, err)
@@ -130,24 +130,24 @@
 }
 
 // Ended is closed when the child has ended.
-func (c *Copy) Ended() <-chan struct{} { return c.ended }
+func (c *Child) Ended() <-chan struct{} { return c.ended }
 
-// Err is how it ended; nil for a clean exit. Only after Ended.
-func (c *Copy) Err() error { return c.err }
+// Err is the error of the exit; nil for exit status 0. Call it only after Ended is closed.
+func (c *Child) Err() error { return c.err }
 
-// Asked tells whether its end was wanted, by Signal or Kill.
-func (c *Copy) Asked() bool {
+// StopRequested tells whether Signal or Kill has asked the child to end.
+func (c *Child) StopRequested() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.asked
+	return c.stopRequested
 }
 
-// Signal sends a signal; an ended child takes none.
-func (c *Copy) Signal(s syscall.Signal) error {
+// Signal sends a signal; it does nothing if the child has ended.
+func (c *Child) Signal(s syscall.Signal) error {
 	c.mu.Lock()
 	switch s {
 	case syscall.SIGTERM, syscall.SIGKILL, syscall.SIGINT:
-		c.asked = true
+		c.stopRequested = true
 	}
 	c.mu.Unlock()
 	if err := c.cmd.Process.Signal(s); err != nil && !errors.Is(err, os.ErrProcessDone) {
@@ -156,19 +156,19 @@
 	return nil
 }
 
-// FillDisk makes each write of the child beyond the first bytes of a file fail from now on (with EFBIG, by its limit of
-// the size of files), as a full disk would. MakeRoom ends it.
-func (c *Copy) FillDisk(room uint64) error {
-	return c.limitFiles(func(limit *unix.Rlimit) { limit.Cur = room })
+// FillDisk simulates a full disk: from now on a write beyond the first maxFileBytes of a file fails with EFBIG, by the
+// child's RLIMIT_FSIZE. FreeDisk ends it.
+func (c *Child) FillDisk(maxFileBytes uint64) error {
+	return c.setFileSizeLimit(func(limit *unix.Rlimit) { limit.Cur = maxFileBytes })
 }
 
-// MakeRoom lets the child write again. A child that has ended needs none.
-func (c *Copy) MakeRoom() error {
-	return c.limitFiles(func(limit *unix.Rlimit) { limit.Cur = limit.Max })
+// FreeDisk ends FillDisk. It does nothing if the child has ended.
+func (c *Child) FreeDisk() error {
+	return c.setFileSizeLimit(func(limit *unix.Rlimit) { limit.Cur = limit.Max })
 }
 
-// limitFiles changes the child's limit of the size of files.
-func (c *Copy) limitFiles(change func(*unix.Rlimit)) error {
+// setFileSizeLimit changes the child's RLIMIT_FSIZE.
+func (c *Child) setFileSizeLimit(change func(*unix.Rlimit)) error {
 	var limit unix.Rlimit
 	err := unix.Prlimit(c.PID, unix.RLIMIT_FSIZE, nil, &limit)
 	if err == nil {
@@ -182,13 +182,13 @@
 }
 
 // Kill ends the child and waits for it.
-func (c *Copy) Kill() {
+func (c *Child) Kill() {
 	_ = c.Signal(syscall.SIGKILL) // it has ended, or it will
 	<-c.ended
 }
 
-// CPU is the seconds of processor time that an ended child took; 0 before.
-func (c *Copy) CPU() float64 {
+// CPU is the processor time of an ended child in seconds; 0 before it has ended.
+func (c *Child) CPU() float64 {
 	select {
 	case <-c.ended:
 		if s := c.cmd.ProcessState; s != nil {
@@ -199,14 +199,14 @@
 	return 0
 }
 
-// Tail is the end of its log.
-func (c *Copy) Tail() string { return c.log.tail() }
+// LogTail is the last lines of the child's log.
+func (c *Child) LogTail() string { return c.log.tail() }
 
-// Await waits until a line of its log has the text, and returns that line. A child that ends first is an error
-// with the end of its log.
-func (c *Copy) Await(ctx context.Context, text string) (string, error) {
-	w := c.log.wait(text)
-	defer c.log.forget(w)
+// AwaitLog waits for a log line that contains the text, and returns it. If the child ends first, the error has the last
+// lines of its log.
+func (c *Child) AwaitLog(ctx context.Context, text string) (string, error) {
+	w := c.log.addWaiter(text)
+	defer c.log.removeWaiter(w)
 	select {
 	case line := <-w.found:
 		return line, nil
@@ -216,30 +216,30 @@
 			return line, nil
 		default:
 		}
-		return "", fmt.Errorf("%s did not start (%w); its log ends:\n%s", c.Spec.Name, orNil(c.err), c.Tail())
+		return "", fmt.Errorf("%s did not start (%w); its log ends:\n%s", c.Spec.Name, exitError(c.err), c.LogTail())
 	case <-ctx.Done():
-		return "", fmt.Errorf("%s: no %q in its log: %w; it ends:\n%s", c.Spec.Name, text, ctx.Err(), c.Tail())
+		return "", fmt.Errorf("%s: no %q in its log: %w; it ends:\n%s", c.Spec.Name, text, ctx.Err(), c.LogTail())
 	}
 }
 
-func orNil(err error) error {
+func exitError(err error) error {
 	if err == nil {
 		return errors.New("exit status 0")
 	}
 	return err
 }
 
-// Usage is what a process takes.
+// Usage is the resource usage of a process.
 type Usage struct {
-	RSS, Peak   int64 // bytes
-	Descriptors int
-	CPU         float64 // seconds so far
+	RSS, PeakRSS int64 // bytes
+	Descriptors  int
+	CPU          float64 // seconds so far
 }
 
-// clockTick is how the kernel counts CPU time for processes, on every Linux (USER_HZ).
-const clockTick = 100
+// clockTicksPerSecond is the unit of CPU times in /proc (USER_HZ, 100 on Linux).
+const clockTicksPerSecond = 100
 
-// Measure reads what a process takes now.
+// Measure reads the current resource usage of a process from /proc.
 func Measure(pid int) (Usage, error) {
 	var u Usage
 	dir := "/proc/" + strconv.Itoa(pid)
@@ -257,18 +257,18 @@
 		case "VmRSS:":
 			u.RSS = n << 10
 		case "VmHWM:":
-			u.Peak = n << 10
+			u.PeakRSS = n << 10
 		}
 	}
 	stat, err := os.ReadFile(dir + "/stat")
 	if err != nil {
 		return u, fmt.Errorf("measure: %w", err)
 	}
-	// After the name, which may hold anything, come the fields from the third on.
+	// The second field, the program's name, may contain spaces and parentheses; the third follows the last one.
 	if f := strings.Fields(string(stat[bytes.LastIndexByte(stat, ')')+1:])); len(f) > 12 {
 		user, _ := strconv.ParseFloat(f[11], 64)
 		system, _ := strconv.ParseFloat(f[12], 64)
-		u.CPU = (user + system) / clockTick
+		u.CPU = (user + system) / clockTicksPerSecond
 	}
 	fds, err := os.ReadDir(dir + "/fd")
 	if err != nil {
@@ -278,13 +278,13 @@
 	return u, nil
 }
 
-// logTail passes a log on to its file, keeps its end, and tells who waits for a line.
+// logTail writes a log to its file, keeps its last lines, and notifies those who wait for a line.
 type logTail struct {
-	to      io.Writer
-	mu      sync.Mutex
-	line    []byte
-	last    []string
-	waiters map[*lineWaiter]struct{}
+	file        io.Writer
+	mu          sync.Mutex
+	partialLine []byte
+	lastLines   []string
+	waiters     map[*lineWaiter]struct{}
 }
 
 type lineWaiter struct {
@@ -293,32 +293,32 @@
 }
 
 const (
-	keepLines = 60 // a crash's stack must not hide what was said before it
-	maxLine   = 4 << 10
+	tailLines    = 60 // enough for the lines before a crash's stack trace
+	maxLineBytes = 4 << 10
 )
 
 func (w *logTail) Write(p []byte) (int, error) {
-	n, err := w.to.Write(p)
+	n, err := w.file.Write(p)
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	for rest := p; len(rest) > 0; {
-		i := bytes.IndexByte(rest, '\n')
+	for remaining := p; len(remaining) > 0; {
+		i := bytes.IndexByte(remaining, '\n')
 		if i < 0 {
-			w.line = append(w.line, rest[:min(len(rest), maxLine-min(len(w.line), maxLine))]...)
+			w.partialLine = append(w.partialLine, remaining[:min(len(remaining), maxLineBytes-min(len(w.partialLine), maxLineBytes))]...)
 			break
 		}
-		line := string(append(w.line, rest[:i]...))
-		w.line, rest = w.line[:0], rest[i+1:]
-		w.last = append(w.last, line)
-		w.last = w.last[max(len(w.last)-keepLines, 0):]
-		for one := range w.waiters {
-			one.see(line)
+		line := string(append(w.partialLine, remaining[:i]...))
+		w.partialLine, remaining = w.partialLine[:0], remaining[i+1:]
+		w.lastLines = append(w.lastLines, line)
+		w.lastLines = w.lastLines[max(len(w.lastLines)-tailLines, 0):]
+		for waiter := range w.waiters {
+			waiter.offer(line)
 		}
 	}
 	return n, err
 }
 
-func (w *lineWaiter) see(line string) {
+func (w *lineWaiter) offer(line string) {
 	if strings.Contains(line, w.text) {
 		select {
 		case w.found <- line:
@@ -327,26 +327,26 @@
 	}
 }
 
-// wait also sees the lines that are kept.
-func (w *logTail) wait(text string) *lineWaiter {
-	one := &lineWaiter{text: text, found: make(chan string, 1)}
+// addWaiter also searches the last lines already written.
+func (w *logTail) addWaiter(text string) *lineWaiter {
+	waiter := &lineWaiter{text: text, found: make(chan string, 1)}
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	for _, line := range w.last {
-		one.see(line)
+	for _, line := range w.lastLines {
+		waiter.offer(line)
 	}
-	w.waiters[one] = struct{}{}
-	return one
+	w.waiters[waiter] = struct{}{}
+	return waiter
 }
 
-func (w *logTail) forget(one *lineWaiter) {
+func (w *logTail) removeWaiter(waiter *lineWaiter) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	delete(w.waiters, one)
+	delete(w.waiters, waiter)
 }
 
 func (w *logTail) tail() string {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return strings.Join(w.last, "\n")
+	return strings.Join(w.lastLines, "\n")
 }
--- a/internal/lab/registry.go
+++ b/internal/lab/registry.go
@@ -78,14 +78,14 @@
 	spec        process.Spec
 
 	mu   sync.Mutex
-	proc *process.Copy
+	proc *process.Child
 	past float64
 }
 
 // faults is the file of what is planted in it.
 func (c *registryCopy) faults() string { return filepath.Join(c.spec.Dir, "faults.toml") }
 
-func (c *registryCopy) process() *process.Copy {
+func (c *registryCopy) process() *process.Child {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.proc
@@ -94,7 +94,7 @@
 // playRegistry runs a scenario that has copies of the list service.
 func (r *run) playRegistry(ctx context.Context) (*Report, error) {
 	rr := &registryRun{run: r, reg: &r.s.Registry, seen: map[int64]uint64{}, counts: map[string]int{}}
-	r.nursery = process.NewNursery()
+	r.nursery = process.NewSupervisor()
 	r.log = record.New()
 	defer rr.stop()
 	if err := rr.startCopies(ctx); err != nil {
@@ -180,7 +180,7 @@
 	c.mu.Lock()
 	c.proc = p
 	c.mu.Unlock()
-	_, err = p.Await(ctx, "ready name=")
+	_, err = p.AwaitLog(ctx, "ready name=")
 	return err
 }
 
--- a/internal/lab/registry_faults.go
+++ b/internal/lab/registry_faults.go
@@ -168,7 +168,7 @@
 // makeRoom empties the disks of copies.
 func makeRoom(failed []*diskFailure) error {
 	for _, f := range failed {
-		if err := f.proc.MakeRoom(); err != nil {
+		if err := f.proc.FreeDisk(); err != nil {
 			return err
 		}
 	}
@@ -188,10 +188,10 @@
 // diskFailure is a copy whose disk fails.
 type diskFailure struct {
 	*registryCopy
-	proc  *process.Copy // as it ran when the disk began to fail
-	said  int           // how often its log had told of a failed disk before
-	since int64         // its revision once the disk failed
-	until int64         // its revision when the disk works again; 0: it did not say
+	proc  *process.Child // as it ran when the disk began to fail
+	said  int            // how often its log had told of a failed disk before
+	since int64          // its revision once the disk failed
+	until int64          // its revision when the disk works again; 0: it did not say
 }
 
 // failDisks makes the disks of copies fail, and notes how the copies are: what their logs have said is from before, as
@@ -241,7 +241,7 @@
 
 // afterDiskFailure judges what a copy has made of a disk that failed and works again.
 func (rr *registryRun) afterDiskFailure(ctx context.Context, f *diskFailure, healed time.Duration) error {
-	if f.process() != f.proc || f.proc.Asked() {
+	if f.process() != f.proc || f.proc.StopRequested() {
 		return nil // it was killed meanwhile, which is another fault's
 	}
 	rr.mu.Lock()
--- a/internal/lab/registry_result.go
+++ b/internal/lab/registry_result.go
@@ -97,7 +97,7 @@
 		p := measure.Party{Name: c.name, CPU: c.past}
 		if u, err := process.Measure(c.process().PID); err == nil {
 			p.CPU += u.CPU
-			p.LastRSS, p.PeakRSS, p.Descriptors = float64(u.RSS)/(1<<20), float64(u.Peak)/(1<<20), u.Descriptors
+			p.LastRSS, p.PeakRSS, p.Descriptors = float64(u.RSS)/(1<<20), float64(u.PeakRSS)/(1<<20), u.Descriptors
 		}
 		out.Parties = append(out.Parties, p)
 	}
--- a/internal/lab/requestcost.go
+++ b/internal/lab/requestcost.go
@@ -211,7 +211,7 @@
 		return err
 	}
 	s.Servers.Count = c.o.Servers
-	c.r = &run{s: s, plan: s.Plan(1), out: slog.New(slog.DiscardHandler), nursery: process.NewNursery(),
+	c.r = &run{s: s, plan: s.Plan(1), out: slog.New(slog.DiscardHandler), nursery: process.NewSupervisor(),
 		log: record.New(), dir: c.o.Dir}
 	if c.r.o.Self = c.o.Self; c.r.o.Self == "" {
 		if c.r.o.Self, err = os.Executable(); err != nil {
@@ -333,7 +333,7 @@
 
 // launched is a sidecar that says it is ready.
 type launched struct {
-	*process.Copy
+	*process.Child
 	listen, management string
 	took               time.Duration
 }
@@ -357,19 +357,19 @@
 		return nil, err
 	}
 	began := time.Now()
-	p, err := c.r.nursery.Start(process.Spec{Name: name, Path: program, Dir: dir, Sockets: c.r.s.Sidecars.Sockets,
+	p, err := c.r.nursery.Start(process.Spec{Name: name, Path: program, Dir: dir, MaxDescriptors: c.r.s.Sidecars.Sockets,
 		Env: []string{"NODE_CONFIG=" + file, "TMPDIR=" + filepath.Join(dir, "tmp")}})
 	if err != nil {
 		return nil, err
 	}
 	wait, cancel := context.WithTimeout(ctx, startWait)
 	defer cancel()
-	line, err := p.Await(wait, readyText)
+	line, err := p.AwaitLog(wait, readyText)
 	if err != nil {
 		p.Kill()
 		return nil, err
 	}
-	return &launched{Copy: p, took: time.Since(began), listen: valueOf(line, "listen"), management: valueOf(line,
+	return &launched{Child: p, took: time.Since(began), listen: valueOf(line, "listen"), management: valueOf(line,
 		"management")}, nil
 }
 
--- a/internal/lab/requestcost_round.go
+++ b/internal/lab/requestcost_round.go
@@ -43,7 +43,7 @@
 		for _, d := range all {
 			if d != nil {
 				d.load.close()
-				stopCosted(d.p.Copy)
+				stopCosted(d.p.Child)
 			}
 		}
 	}()
@@ -241,7 +241,7 @@
 }
 
 // stopCosted ends a sidecar in order, so that its fleet knows that it left.
-func stopCosted(p *process.Copy) {
+func stopCosted(p *process.Child) {
 	_ = p.Signal(syscall.SIGTERM) // it has ended, or it is killed below
 	kill := time.NewTimer(stopWait)
 	defer kill.Stop()
--- a/internal/lab/routescale_fleet.go
+++ b/internal/lab/routescale_fleet.go
@@ -42,7 +42,7 @@
 	if err != nil {
 		return nil, err
 	}
-	r := &run{s: s, plan: s.Plan(1), o: o, out: slog.New(slog.DiscardHandler), nursery: process.NewNursery(), log: record.New()}
+	r := &run{s: s, plan: s.Plan(1), o: o, out: slog.New(slog.DiscardHandler), nursery: process.NewSupervisor(), log: record.New()}
 	if r.dir, err = os.MkdirTemp("", "marblelane-routes-"); err != nil {
 		r.nursery.Close()
 		return nil, err
--- a/internal/lab/sidecar_process.go
+++ b/internal/lab/sidecar_process.go
@@ -33,8 +33,8 @@
 	listen  string
 	config  string // file
 	mu      sync.Mutex
-	now     *process.Copy
-	older   *process.Copy
+	now     *process.Child
+	older   *process.Child
 	past    float64 // CPU seconds of processes that have ended
 	manages int
 
@@ -54,7 +54,7 @@
 func (s *sidecar) processes() (pids []int, past float64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for _, c := range []*process.Copy{s.now, s.older} {
+	for _, c := range []*process.Child{s.now, s.older} {
 		if c == nil {
 			continue
 		}
@@ -151,7 +151,7 @@
 	s.mu.Unlock()
 	begun := r.log.Now() // before the process can know of its start
 	c, err := r.nursery.Start(process.Spec{
-		Name: p.Name, Path: r.programOf(s.number), Dir: s.dir, Sockets: r.s.Sidecars.Sockets,
+		Name: p.Name, Path: r.programOf(s.number), Dir: s.dir, MaxDescriptors: r.s.Sidecars.Sockets,
 		Env: []string{"NODE_CONFIG=" + s.config, "NODE_NAME=" + p.Name, "NODE_LISTEN=" + s.listen,
 			"NODE_DISCOVERY=" + r.listAddrs(s.number)[0], "NODE_MANAGEMENT=" + hostOf(s.listen) + ":0", "TMPDIR=" + tmp},
 	})
@@ -166,7 +166,7 @@
 		r.members.has(at, c)
 	}
 	s.spoilStart(ctx, c)
-	ready, err := c.Await(ctx, readyText)
+	ready, err := c.AwaitLog(ctx, readyText)
 	if err != nil {
 		if c.Kill(); at != nil {
 			r.members.die(at, c)
@@ -189,15 +189,15 @@
 }
 
 // watch writes down how a process ended.
-func (s *sidecar) watch(c *process.Copy) {
+func (s *sidecar) watch(c *process.Child) {
 	<-c.Ended()
 	note := invariant.Ended
-	if !c.Asked() || c.Err() != nil && !strings.Contains(c.Err().Error(), "signal: killed") {
+	if !c.StopRequested() || c.Err() != nil && !strings.Contains(c.Err().Error(), "signal: killed") {
 		note = invariant.Crashed
 	}
 	s.r.note(record.Process, s.number, record.None, note)
 	if note == invariant.Crashed {
-		s.r.out.Error("lab: a copy ended unasked", "sidecar", s.number, "error", c.Err(), "log", c.Tail())
+		s.r.out.Error("lab: a copy ended unasked", "sidecar", s.number, "error", c.Err(), "log", c.LogTail())
 	}
 }
 
@@ -261,14 +261,14 @@
 }
 
 // current is the newest process.
-func (s *sidecar) current() *process.Copy {
+func (s *sidecar) current() *process.Child {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.now
 }
 
 // stop ends a process in order; SIGKILL comes when it has not ended after wait.
-func (s *sidecar) stop(c *process.Copy, wait time.Duration) {
+func (s *sidecar) stop(c *process.Child, wait time.Duration) {
 	s.r.note(record.Process, s.number, record.None, invariant.Stopping)
 	if s.r.members != nil {
 		s.r.members.leaving(c)
@@ -290,7 +290,7 @@
 }
 
 // retire keeps the CPU time of a process that has ended.
-func (s *sidecar) retire(c *process.Copy) {
+func (s *sidecar) retire(c *process.Child) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.past += c.CPU()
@@ -300,7 +300,7 @@
 }
 
 func (s *sidecar) kill() {
-	for _, c := range []*process.Copy{s.older, s.now} {
+	for _, c := range []*process.Child{s.older, s.now} {
 		if c != nil {
 			c.Kill()
 		}
--- a/internal/lab/tamper.go
+++ b/internal/lab/tamper.go
@@ -88,7 +88,7 @@
 
 // spoilsEnd plays a defect of a process at SIGTERM in place of the signal: it ends with requests unanswered, or goes on
 // as if nothing had been said. The records say nothing of it.
-func (s *sidecar) spoilsEnd(c *process.Copy) bool {
+func (s *sidecar) spoilsEnd(c *process.Child) bool {
 	defect := s.endsBad.Load()
 	switch {
 	case defect == nil || *defect == "":
@@ -101,7 +101,7 @@
 }
 
 // spoilStart plays a defect of a process at its start: it does nothing for a while. The records say nothing of it.
-func (s *sidecar) spoilStart(ctx context.Context, c *process.Copy) {
+func (s *sidecar) spoilStart(ctx context.Context, c *process.Child) {
 	stalls := time.Duration(s.stalls.Load())
 	if stalls == 0 {
 		return
