--- a/internal/lab/client/client.go
+++ b/internal/lab/client/client.go
@@ -1,5 +1,5 @@
-// Package client stands in for the applications: open-loop arrivals (a request goes out at its planned time,
-// whatever has become of those before it), kept connections, tries that are given up, and retries.
+// Package client is the load generator that simulates the applications: open-loop arrivals (a request is sent at its
+// planned time, regardless of earlier ones), connection reuse, timeouts, clients that leave early, and retries.
 package client
 
 import (
@@ -26,46 +26,46 @@
 )
 
 const (
-	// listen is how long after its time a client still listens: an answer by then earns nothing, one that comes
-	// later, or never, was owed and not given.
-	listen = 500 * time.Millisecond
-	// keepIdle is for how long a connection without a request is kept.
-	keepIdle = 30 * time.Second
-	dialWait = time.Second
+	// lateAnswerGrace is how long after its timeout a client still reads. An answer by then is late; without one, the record
+	// has a NoAnswer event.
+	lateAnswerGrace = 500 * time.Millisecond
+	// maxIdle is the longest time that a connection is idle before it is discarded.
+	maxIdle     = 30 * time.Second
+	dialTimeout = time.Second
 )
 
-// RequestLog keeps what was sent, for the servers to look up.
+// RequestLog stores the sent requests by id, for the simulated servers to find.
 type RequestLog struct {
-	parts [16]struct {
-		mu   sync.RWMutex
-		asks map[uint64]stock.Ask
+	shards [16]struct {
+		mu       sync.RWMutex
+		requests map[uint64]stock.Ask
 	}
 }
 
-// NewRequestLog makes an empty book.
+// NewRequestLog makes an empty store.
 func NewRequestLog() *RequestLog {
 	b := &RequestLog{}
-	for i := range b.parts {
-		b.parts[i].asks = map[uint64]stock.Ask{}
+	for i := range b.shards {
+		b.shards[i].requests = map[uint64]stock.Ask{}
 	}
 	return b
 }
 
-// Look finds a request by its id.
+// Look returns a request by its id.
 func (b *RequestLog) Look(id uint64) (stock.Ask, bool) {
-	p := &b.parts[id%16]
+	p := &b.shards[id%16]
 	p.mu.RLock()
 	defer p.mu.RUnlock()
-	a, ok := p.asks[id]
+	a, ok := p.requests[id]
 	return a, ok
 }
 
-// Add keeps what a client sends under its id.
+// Add stores a request under its id.
 func (b *RequestLog) Add(id uint64, a stock.Ask) {
-	p := &b.parts[id%16]
+	p := &b.shards[id%16]
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.asks[id] = a
+	p.requests[id] = a
 }
 
 // Load sends a plan's arrivals.
@@ -76,23 +76,23 @@
 	// Addr is where the clients of a sidecar connect at this moment.
 	Addr func(sidecar int) string
 	// Closed tells whether a sidecar's clients may open no connection at this moment; nil: they always may. They then
-	// take in turn the connections they have, so that each that stays open is sent on.
+	// use their open connections round-robin, so that each one is exercised.
 	Closed func(sidecar int) bool
 
-	pools   []pool
-	waiting waiting
-	live    atomic.Int64
-	wg      sync.WaitGroup
+	pools    []pool
+	waiting  awaitingAnswer
+	inFlight atomic.Int64
+	wg       sync.WaitGroup
 }
 
-// Live is how many requests are under way.
-func (l *Load) Live() int { return int(l.live.Load()) }
+// InFlight is the number of requests in flight, including their retries.
+func (l *Load) InFlight() int { return int(l.inFlight.Load()) }
 
-// Run sends each arrival at its time and waits until all have ended. It returns by how much each arrival was late
-// because this process was not given the time.
+// Run sends each arrival at its time and waits until all have ended. It returns the scheduling delay of each arrival:
+// how much later than planned this process started it.
 func (l *Load) Run(ctx context.Context) []time.Duration {
 	l.pools = make([]pool, len(l.Plan.Sidecars))
-	lates := make([]time.Duration, 0, len(l.Plan.Arrivals))
+	delays := make([]time.Duration, 0, len(l.Plan.Arrivals))
 	timer := time.NewTimer(0)
 	defer timer.Stop()
 	for i := range l.Plan.Arrivals {
@@ -107,55 +107,55 @@
 		if ctx.Err() != nil {
 			break
 		}
-		lates = append(lates, l.Log.Now()-a.At)
-		l.live.Add(1)
+		delays = append(delays, l.Log.Now()-a.At)
+		l.inFlight.Add(1)
 		l.wg.Go(func() {
-			defer l.live.Add(-1)
-			l.ask(ctx, i, a)
+			defer l.inFlight.Add(-1)
+			l.sendRequest(ctx, i, a)
 		})
 	}
 	l.wg.Wait()
 	for i := range l.pools {
 		l.pools[i].close()
 	}
-	return lates
+	return delays
 }
 
-// verdict is how a try ended, as its client sees it.
-type verdict struct {
-	status int // 0: no answer
-	after  time.Duration
-	unsent bool
+// attemptResult is the outcome of an attempt, as its client sees it.
+type attemptResult struct {
+	status     int // 0: no answer
+	retryAfter time.Duration
+	notSent    bool
 }
 
-// ask is one request with its retries.
-func (l *Load) ask(ctx context.Context, number int, a *scenario.Arrival) {
+// sendRequest sends one request and its retries.
+func (l *Load) sendRequest(ctx context.Context, arrivalIndex int, a *scenario.Arrival) {
 	s := l.Plan.Scenario
-	r := rand.New(rand.NewPCG(a.Seed, uint64(number)))
+	r := rand.New(rand.NewPCG(a.Seed, uint64(arrivalIndex)))
 	class := &s.Classes[a.Class]
 	deadline := a.At + s.Pace(class.Deadline)
-	honours := r.Float64() < s.Traffic.Honour
-	for try := 1; try <= 1+s.Traffic.Retries; try++ {
-		noise := 0.9 + 0.2*r.Float64() // of a client's share, from try to try
-		patience := min(time.Duration(float64(s.Pace(class.Deadline))*min(s.Traffic.TryShare*noise, 1)), deadline-l.Log.Now())
+	honorsRetryAfter := r.Float64() < s.Traffic.Honour
+	for attemptNumber := 1; attemptNumber <= 1+s.Traffic.Retries; attemptNumber++ {
+		noise := 0.9 + 0.2*r.Float64() // factor on the attempt's part of the deadline, drawn for each attempt
+		timeout := min(time.Duration(float64(s.Pace(class.Deadline))*min(s.Traffic.TryShare*noise, 1)), deadline-l.Log.Now())
 		if s.Traffic.Retries == 0 {
-			patience = deadline - l.Log.Now()
+			timeout = deadline - l.Log.Now()
 		}
-		early := time.Duration(0)
+		leaveAfter := time.Duration(0)
 		if r.Float64() < s.Traffic.Impatient {
-			early = time.Duration(float64(patience) * r.Float64())
+			leaveAfter = time.Duration(float64(timeout) * r.Float64())
 		}
-		if patience < time.Millisecond || ctx.Err() != nil {
+		if timeout < time.Millisecond || ctx.Err() != nil {
 			return
 		}
-		t := &try1{l: l, a: a, number: number, try: try, id: r.Uint64()>>12 | 1, patience: patience, early: early}
+		t := &attempt{load: l, arrival: a, arrivalIndex: arrivalIndex, attemptNumber: attemptNumber, id: r.Uint64()>>12 | 1, timeout: timeout, leaveAfter: leaveAfter}
 		v := t.run(ctx)
 		if v.status == http.StatusOK {
 			return
 		}
 		wait := s.Pace(s.Traffic.Backoff)
-		if honours && v.after > 0 {
-			wait = v.after
+		if honorsRetryAfter && v.retryAfter > 0 {
+			wait = v.retryAfter
 		}
 		if wait > 0 {
 			pause(ctx, wait)
@@ -163,125 +163,125 @@
 	}
 }
 
-// try1 is one try of a request: one id.
-type try1 struct {
-	l               *Load
-	a               *scenario.Arrival
-	number, try     int
-	id              uint64
-	patience, early time.Duration
-	told            atomic.Bool // its client is told to leave
+// attempt is one attempt of a request. Each has its own id.
+type attempt struct {
+	load                        *Load
+	arrival                     *scenario.Arrival
+	arrivalIndex, attemptNumber int
+	id                          uint64
+	timeout, leaveAfter         time.Duration
+	leaveRequested              atomic.Bool // set by LeaveEarly
 }
 
-// waitMS is the time that the client says it waits, in milliseconds.
-func (t *try1) waitMS() int64 { return max(t.patience.Milliseconds(), 1) }
+// timeoutMS is the value of X-Timeout-Ms, in milliseconds.
+func (t *attempt) timeoutMS() int64 { return max(t.timeout.Milliseconds(), 1) }
 
-func (t *try1) note(k record.Kind, e record.Event) {
-	e.Kind, e.Request, e.Sidecar = k, t.id, int32(t.a.Sidecar)
-	e.Server, e.Class, e.N = record.None, int16(t.a.Class), max(e.N, int64(t.number))
-	t.l.Log.Add(e)
+func (t *attempt) note(k record.Kind, e record.Event) {
+	e.Kind, e.Request, e.Sidecar = k, t.id, int32(t.arrival.Sidecar)
+	e.Server, e.Class, e.N = record.None, int16(t.arrival.Class), max(e.N, int64(t.arrivalIndex))
+	t.load.Log.Add(e)
 }
 
-// run sends the try and waits for its end.
-func (t *try1) run(ctx context.Context) verdict {
-	s := t.l.Plan.Scenario
-	class := &s.Classes[t.a.Class]
+// run sends the attempt and waits for its end.
+func (t *attempt) run(ctx context.Context) attemptResult {
+	s := t.load.Plan.Scenario
+	class := &s.Classes[t.arrival.Class]
 	method, body := http.MethodGet, []byte(nil)
 	if class.Effect == "unsafe" {
 		method, body = http.MethodPost, stock.Body(^t.id, class.Body)
 	}
 	sum := record.Sum(body)
-	t.l.Requests.Add(t.id, stock.Ask{Method: method, Class: t.a.Class, Tenant: t.a.Tenant, Sum: sum, Work: t.a.Work, Vary: class.Vary, Answer: s.Traffic.Answer})
+	t.load.Requests.Add(t.id, stock.Ask{Method: method, Class: t.arrival.Class, Tenant: t.arrival.Tenant, Sum: sum, Work: t.arrival.Work, Vary: class.Vary, Answer: s.Traffic.Answer})
 	head := fmt.Appendf(nil, "%s /api HTTP/1.1\r\nHost: backend.local\r\nX-Request-ID: %016x\r\nX-Priority-Class: %s\r\nX-Tenant-Id: %s\r\nX-Timeout-Ms: %d\r\n",
-		method, t.id, class.Name, s.Tenants[t.a.Tenant].Name, t.waitMS())
-	if s.Routed() && !t.a.Keyless {
-		head = fmt.Appendf(head, "X-Route-Key: %016x\r\n", t.a.Seed) // the same on each try
+		method, t.id, class.Name, s.Tenants[t.arrival.Tenant].Name, t.timeoutMS())
+	if s.Routed() && !t.arrival.Keyless {
+		head = fmt.Appendf(head, "X-Route-Key: %016x\r\n", t.arrival.Seed) // the same for each attempt
 	}
 	if body != nil {
 		head = fmt.Appendf(head, "Content-Length: %d\r\n", len(body))
 	}
 	message := append(append(head, "\r\n"...), body...)
-	habits := t.habits()
-	if habits.pipelined == together {
-		message = append(message, nextRequest...)
+	behaviour := t.drawBehaviour()
+	if behaviour.pipelined == pipelinedWithRequest {
+		message = append(message, partialNextRequest...)
 	}
-	p := &t.l.pools[t.a.Sidecar]
-	addr := t.l.Addr(t.a.Sidecar)
-	closed := func() bool { return t.l.Closed != nil && t.l.Closed(t.a.Sidecar) }
+	p := &t.load.pools[t.arrival.Sidecar]
+	addr := t.load.Addr(t.arrival.Sidecar)
+	closed := func() bool { return t.load.Closed != nil && t.load.Closed(t.arrival.Sidecar) }
 	c := p.take(addr, closed())
 	for {
-		kept := c != nil
+		reused := c != nil
 		if c == nil {
 			if closed() {
 				t.note(record.NotSent, record.Event{Note: "no connection is open, and no new one may be opened"})
-				return verdict{unsent: true}
+				return attemptResult{notSent: true}
 			}
 			var err error
-			if c, err = dial(ctx, addr, min(t.patience, dialWait)); err != nil {
+			if c, err = dial(ctx, addr, min(t.timeout, dialTimeout)); err != nil {
 				t.note(record.NotSent, record.Event{Note: "connect: " + err.Error()})
-				return verdict{unsent: true}
+				return attemptResult{notSent: true}
 			}
 		}
-		v, again := t.over(ctx, c, p, message, sum, method, habits)
-		if !again || !kept {
+		v, resend := t.exchange(ctx, c, p, message, sum, method, behaviour)
+		if !resend || !reused {
 			return v
 		}
-		// The close of a kept connection crossed the request; it is sent once more on a new one.
+		// A reused connection was closed while the request was sent: send it again on another one.
 		c = nil
 	}
 }
 
-// over sends the try on one connection. again tells that it was closed without a byte of an answer.
-func (t *try1) over(ctx context.Context, c *conn, p *pool, message []byte, sum uint64, method string, habits habits) (v verdict, again bool) {
-	began := time.Now()
-	_ = c.SetDeadline(began.Add(t.patience)) // a closed connection says so below
+// exchange sends the attempt on one connection. resend is set if it was closed without a byte of an answer.
+func (t *attempt) exchange(ctx context.Context, c *conn, p *pool, message []byte, sum uint64, method string, behaviour clientBehaviour) (v attemptResult, resend bool) {
+	started := time.Now()
+	_ = c.SetDeadline(started.Add(t.timeout)) // on a closed connection the write below fails
 	if _, err := c.Write(message); err != nil {
 		c.Close()
 		t.note(record.NotSent, record.Event{Note: "write: " + err.Error()})
-		return verdict{unsent: true}, true
+		return attemptResult{notSent: true}, true
 	}
-	t.note(record.Sent, record.Event{Attempt: int16(t.try), Sum: sum, Work: float64(t.waitMS())})
-	if habits.pipelined == later {
-		defer time.AfterFunc(nextAfter, func() { _, _ = io.WriteString(c, nextRequest) }).Stop() // on an ended connection it is lost
+	t.note(record.Sent, record.Event{Attempt: int16(t.attemptNumber), Sum: sum, Work: float64(t.timeoutMS())})
+	if behaviour.pipelined == pipelinedLater {
+		defer time.AfterFunc(pipelineDelay, func() { _, _ = io.WriteString(c, partialNextRequest) }).Stop() // an error on a closed connection does not matter
 	}
 	stop := context.AfterFunc(ctx, func() { _ = c.SetDeadline(time.Unix(1, 0)) })
 	defer stop()
-	if t.early > 0 {
-		_ = c.SetDeadline(began.Add(t.early))
+	if t.leaveAfter > 0 {
+		_ = c.SetDeadline(started.Add(t.leaveAfter))
 	}
-	t.l.waiting.add(t, c)
+	t.load.waiting.add(t, c)
 	_, err := c.in.Peek(1)
-	t.l.waiting.remove(t)
+	t.load.waiting.remove(t)
 	if err != nil {
 		switch {
 		case ctx.Err() != nil:
 			t.note(record.NoAnswer, record.Event{Note: record.RunEnded})
 			c.Close()
-			return verdict{}, false
+			return attemptResult{}, false
 		case !errors.Is(err, os.ErrDeadlineExceeded):
 			c.Close()
 			t.note(record.ConnectionLost, record.Event{Note: "no byte of an answer: " + err.Error()})
-			return verdict{}, true
-		case t.early > 0 || t.told.Load():
-			t.leave(c, habits.leave)
-			return verdict{}, false
+			return attemptResult{}, true
+		case t.leaveAfter > 0 || t.leaveRequested.Load():
+			t.leave(c, behaviour.leaveWay)
+			return attemptResult{}, false
 		}
 		t.note(record.Overdue, record.Event{})
-		// What was taken is still owed its answer; the client's retry does not wait for it.
-		t.l.wg.Go(func() {
+		// The sidecar still has to answer the accepted request; the client's retry does not wait for that.
+		t.load.wg.Go(func() {
 			defer c.Close()
-			_ = c.SetDeadline(began.Add(t.patience + listen))
+			_ = c.SetDeadline(started.Add(t.timeout + lateAnswerGrace))
 			if _, err := c.in.Peek(1); err != nil {
 				t.note(record.NoAnswer, record.Event{Note: err.Error()})
 				return
 			}
-			t.answer(c, method)
+			t.readAnswer(c, method)
 		})
-		return verdict{}, false
+		return attemptResult{}, false
 	}
-	_ = c.SetDeadline(time.Now().Add(max(t.patience, time.Second)))
-	v, keep := t.answer(c, method)
-	if !keep || habits.pipelined != never {
+	_ = c.SetDeadline(time.Now().Add(max(t.timeout, time.Second)))
+	v, keep := t.readAnswer(c, method)
+	if !keep || behaviour.pipelined != notPipelined {
 		c.Close()
 		return v, false
 	}
@@ -289,8 +289,8 @@
 	return v, false
 }
 
-// answer reads the answer whose first byte is there.
-func (t *try1) answer(c *conn, method string) (v verdict, keep bool) {
+// readAnswer reads the answer whose first byte has arrived.
+func (t *attempt) readAnswer(c *conn, method string) (v attemptResult, keep bool) {
 	resp, err := http.ReadResponse(c.in, &http.Request{Method: method})
 	var body []byte
 	if err == nil {
@@ -299,32 +299,32 @@
 	}
 	if err != nil {
 		t.note(record.ConnectionLost, record.Event{Note: "in its answer: " + err.Error()})
-		return verdict{}, false
+		return attemptResult{}, false
 	}
 	e := record.Event{Status: int32(resp.StatusCode), Sum: record.Sum(body)}
 	if resp.StatusCode == http.StatusOK {
-		e.Want = record.Sum(stock.Body(t.id, t.l.Plan.Scenario.Traffic.Answer))
+		e.Want = record.Sum(stock.Body(t.id, t.load.Plan.Scenario.Traffic.Answer))
 	}
 	t.note(record.Answered, e)
 	if c.in.Buffered() > 0 {
 		t.note(record.ExtraBytes, record.Event{})
-		return verdict{status: resp.StatusCode}, false
+		return attemptResult{status: resp.StatusCode}, false
 	}
 	if after, err := strconv.ParseFloat(resp.Header.Get("Retry-After"), 64); err == nil {
-		v.after = time.Duration(after * float64(time.Second))
+		v.retryAfter = time.Duration(after * float64(time.Second))
 	}
 	v.status = resp.StatusCode
-	c.last = t
+	c.lastAttempt = t
 	return v, !resp.Close
 }
 
 // conn is a connection to a sidecar.
 type conn struct {
 	net.Conn
-	in   *bufio.Reader
-	addr string
-	idle time.Time
-	last *try1 // whose answer it carried last
+	in          *bufio.Reader
+	addr        string
+	idleSince   time.Time
+	lastAttempt *attempt // the attempt whose answer it carried last
 }
 
 func dial(ctx context.Context, addr string, wait time.Duration) (*conn, error) {
@@ -342,8 +342,8 @@
 	idle []*conn
 }
 
-// take gives the connection to an address used last that is still open, or the one used longest ago; nil: there is
-// none.
+// take removes and returns an open connection to an address: the most recently used, or the least recently used if
+// oldest is set; nil: there is none.
 func (p *pool) take(addr string, oldest bool) *conn {
 	for {
 		p.mu.Lock()
@@ -359,7 +359,7 @@
 		c := p.idle[i]
 		p.idle = slices.Delete(p.idle, i, i+1)
 		p.mu.Unlock()
-		if c.quiet() && c.addr == addr && time.Since(c.idle) < keepIdle {
+		if c.usable() && c.addr == addr && time.Since(c.idleSince) < maxIdle {
 			return c
 		}
 		c.Close()
@@ -367,7 +367,7 @@
 }
 
 func (p *pool) put(c *conn) {
-	c.idle = time.Now()
+	c.idleSince = time.Now()
 	p.mu.Lock()
 	p.idle = append(p.idle, c)
 	p.mu.Unlock()
@@ -377,16 +377,17 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for _, c := range p.idle {
-		c.quiet()
+		c.usable()
 		c.Close()
 	}
 	p.idle = nil
 }
 
-// quiet looks at an idle connection: it is open and nothing came on it. What did come answers nobody.
-func (c *conn) quiet() bool {
+// usable tells whether an idle connection is open and has no unread bytes. Unread bytes belong to no request and are
+// recorded.
+func (c *conn) usable() bool {
 	if c.in.Buffered() > 0 {
-		c.last.note(record.ExtraBytes, record.Event{})
+		c.lastAttempt.note(record.ExtraBytes, record.Event{})
 		return false
 	}
 	raw, err := c.Conn.(*net.TCPConn).SyscallConn()
@@ -398,7 +399,7 @@
 		n, _, failed = unix.Recvfrom(int(fd), make([]byte, 1), unix.MSG_PEEK|unix.MSG_DONTWAIT)
 	})
 	if n > 0 {
-		c.last.note(record.ExtraBytes, record.Event{})
+		c.lastAttempt.note(record.ExtraBytes, record.Event{})
 	}
 	return err == nil && errors.Is(failed, unix.EAGAIN)
 }
--- a/internal/lab/client/idle.go
+++ b/internal/lab/client/idle.go
@@ -7,22 +7,22 @@
 	"time"
 )
 
-// idlePause is how long an idle client waits before it connects again.
-const idlePause = 500 * time.Millisecond
+// reconnectDelay is how long an idle client waits before it connects again.
+const reconnectDelay = 500 * time.Millisecond
 
-// fillWithin is the time within which all idle clients have come.
-const fillWithin = time.Second
+// idleSpreadTime is the time over which the first connects of all idle clients are spread.
+const idleSpreadTime = time.Second
 
-// Fill keeps so many connections open to each of the sidecars until ctx ends: clients that send nothing, or half a request,
-// rest until the sidecar ends them, and come again.
-func (l *Load) Fill(ctx context.Context, sidecars []int, each int) {
+// HoldIdle keeps perSidecar connections open to each sidecar until ctx ends. Half of the clients send nothing, half a
+// partial request; they wait until the sidecar closes the connection, and reconnect.
+func (l *Load) HoldIdle(ctx context.Context, sidecars []int, perSidecar int) {
 	var wg sync.WaitGroup
 	for _, sidecar := range sidecars {
-		for n := range each {
+		for n := range perSidecar {
 			wg.Go(func() {
-				pause(ctx, fillWithin*time.Duration(n)/time.Duration(each))
+				pause(ctx, idleSpreadTime*time.Duration(n)/time.Duration(perSidecar))
 				for ctx.Err() == nil {
-					l.rest(ctx, sidecar, n%2 == 1)
+					l.holdConn(ctx, sidecar, n%2 == 1)
 				}
 			})
 		}
@@ -30,18 +30,18 @@
 	wg.Wait()
 }
 
-// rest is one connection of an idle client.
-func (l *Load) rest(ctx context.Context, sidecar int, begins bool) {
-	if c, err := dial(ctx, l.Addr(sidecar), dialWait); err == nil {
+// holdConn opens one connection of an idle client and waits until it is closed.
+func (l *Load) holdConn(ctx context.Context, sidecar int, partialRequest bool) {
+	if c, err := dial(ctx, l.Addr(sidecar), dialTimeout); err == nil {
 		stop := context.AfterFunc(ctx, func() { c.Close() })
-		if begins {
-			_, _ = io.WriteString(c, nextRequest) // a connection that has ended says so when it is read
+		if partialRequest {
+			_, _ = io.WriteString(c, partialNextRequest) // on a closed connection the read below ends
 		}
 		_, _ = io.Copy(io.Discard, c)
 		stop()
 		c.Close()
 	}
-	pause(ctx, idlePause)
+	pause(ctx, reconnectDelay)
 }
 
 func pause(ctx context.Context, wait time.Duration) {
--- a/internal/lab/client/leave.go
+++ b/internal/lab/client/leave.go
@@ -12,42 +12,43 @@
 	"marblelane/internal/lab/scenario"
 )
 
-// nextRequest is what stands behind a request whose client has begun to send the next one.
-const nextRequest = "GET /api HTTP/1.1\r\nHost: back"
+// partialNextRequest is the start of a pipelined request that is never completed.
+const partialNextRequest = "GET /api HTTP/1.1\r\nHost: back"
 
-// When it is sent: with the request, or so much later that the request has been read by then.
+// When it is sent: never, with the request, or pipelineDelay later, when the request has been read.
 const (
-	never = iota
-	together
-	later
-	nextAfter = 5 * time.Millisecond
+	notPipelined = iota
+	pipelinedWithRequest
+	pipelinedLater
+	pipelineDelay = 5 * time.Millisecond
 )
 
-// habits is what a try's client does beside asking. It is drawn from the try's id, so that it moves no other draw.
-type habits struct {
-	leave     string // how it leaves if it leaves early: one of scenario.LeaveWays
-	pipelined int    // when it sends the first bytes of a next request
+// clientBehaviour is how an attempt's client deviates from a plain exchange. It is drawn from the attempt's id, so that it
+// does not change other random draws.
+type clientBehaviour struct {
+	leaveWay  string // how it ends the connection if it leaves early: one of scenario.LeaveWays
+	pipelined int    // when it sends partialNextRequest
 }
 
-func (t *try1) habits() habits {
-	traffic := &t.l.Plan.Scenario.Traffic
+func (t *attempt) drawBehaviour() clientBehaviour {
+	traffic := &t.load.Plan.Scenario.Traffic
 	r := rand.New(rand.NewPCG(t.id, 0x6c65617665))
 	way := traffic.Leave[r.IntN(len(traffic.Leave))]
-	h := habits{leave: way, pipelined: never}
+	h := clientBehaviour{leaveWay: way, pipelined: notPipelined}
 	if r.Float64() < traffic.Pipelined {
-		h.pipelined = together + r.IntN(2)
+		h.pipelined = pipelinedWithRequest + r.IntN(2)
 	}
 	return h
 }
 
-// leave ends the try's connection before its answer has come.
-func (t *try1) leave(c *conn, way string) {
+// leave ends the attempt's connection before its answer has arrived.
+func (t *attempt) leave(c *conn, way string) {
 	switch way {
 	case scenario.LeaveHalfClose:
 		if tcp, ok := c.Conn.(*net.TCPConn); ok {
-			_ = tcp.CloseWrite() // on a connection that has ended there is nothing left to close
+			_ = tcp.CloseWrite() // fails only if the connection has ended
 		}
-		t.l.wg.Go(func() { t.readOut(c) })
+		t.load.wg.Go(func() { t.drain(c) })
 	case scenario.LeaveReset:
 		if tcp, ok := c.Conn.(*net.TCPConn); ok {
 			_ = tcp.SetLinger(0) // as above
@@ -59,43 +60,44 @@
 	t.note(record.ClientLeft, record.Event{Note: way})
 }
 
-// readOut takes what still comes on a half-closed connection, for no longer than its request had.
-func (t *try1) readOut(c *conn) {
+// drain reads and discards what still arrives on a half-closed connection, up to the attempt's timeout and the grace
+// period.
+func (t *attempt) drain(c *conn) {
 	defer c.Close()
-	_ = c.SetDeadline(time.Now().Add(t.patience + listen)) // a closed connection says so when it is read
-	_, _ = io.Copy(io.Discard, c.in)                       // whatever comes is for nobody
+	_ = c.SetDeadline(time.Now().Add(t.timeout + lateAnswerGrace)) // on a closed connection the read below fails
+	_, _ = io.Copy(io.Discard, c.in)                               // the client has left: the bytes are discarded
 }
 
-// waiting are the tries whose clients wait for an answer.
-type waiting struct {
-	mu    sync.Mutex
-	tries map[*try1]*conn
+// awaitingAnswer has the attempts whose clients wait for an answer.
+type awaitingAnswer struct {
+	mu       sync.Mutex
+	attempts map[*attempt]*conn
 }
 
-func (w *waiting) add(t *try1, c *conn) {
+func (w *awaitingAnswer) add(t *attempt, c *conn) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if w.tries == nil {
-		w.tries = map[*try1]*conn{}
+	if w.attempts == nil {
+		w.attempts = map[*attempt]*conn{}
 	}
-	w.tries[t] = c
+	w.attempts[t] = c
 }
 
-func (w *waiting) remove(t *try1) {
+func (w *awaitingAnswer) remove(t *attempt) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	delete(w.tries, t)
+	delete(w.attempts, t)
 }
 
-// Leave makes the clients of a share of the requests that wait for an answer at these sidecars leave at once.
-func (l *Load) Leave(sidecars []int, share float64) {
+// LeaveEarly makes the clients of a fraction of the attempts that wait for an answer of these sidecars leave immediately.
+func (l *Load) LeaveEarly(sidecars []int, fraction float64) {
 	l.waiting.mu.Lock()
 	defer l.waiting.mu.Unlock()
-	for t, c := range l.waiting.tries {
-		if !slices.Contains(sidecars, t.a.Sidecar) || rand.New(rand.NewPCG(t.id, 1)).Float64() >= share {
+	for t, c := range l.waiting.attempts {
+		if !slices.Contains(sidecars, t.arrival.Sidecar) || rand.New(rand.NewPCG(t.id, 1)).Float64() >= fraction {
 			continue
 		}
-		t.told.Store(true)
-		_ = c.SetDeadline(time.Unix(1, 0)) // wakes the client
+		t.leaveRequested.Store(true)
+		_ = c.SetDeadline(time.Unix(1, 0)) // ends the client's read
 	}
 }
--- a/internal/lab/fault_steps.go
+++ b/internal/lab/fault_steps.go
@@ -114,7 +114,7 @@
 	case "turn-away":
 		return behave(func(b *stock.Behaviour, on bool) { b.Turn = size(on) })
 	case "leave":
-		return once(func(context.Context) error { r.load.Leave(p.Sidecars, f.Size); return nil })
+		return once(func(context.Context) error { r.load.LeaveEarly(p.Sidecars, f.Size); return nil })
 	case "kill":
 		return once(func(context.Context) error { return r.each(p.Servers, r.killServer) })
 	case "restart":
@@ -142,7 +142,7 @@
 		steps[0].do = func(ctx context.Context) error {
 			ctx, cancel := context.WithTimeout(ctx, p.Until-p.At)
 			defer cancel()
-			r.load.Fill(ctx, p.Sidecars, int(f.Size))
+			r.load.HoldIdle(ctx, p.Sidecars, int(f.Size))
 			return nil
 		}
 		return steps
--- a/internal/lab/lab.go
+++ b/internal/lab/lab.go
@@ -386,7 +386,7 @@
 		select {
 		case <-t.C:
 			fmt.Fprintf(r.o.Progress, "%5.1f of %.0f s, %d requests under way\n",
-				(r.log.Now() - began).Seconds(), r.s.Length.Duration().Seconds(), r.load.Live())
+				(r.log.Now() - began).Seconds(), r.s.Length.Duration().Seconds(), r.load.InFlight())
 		case <-ctx.Done():
 			return
 		}
