--- a/internal/lab/agent/agent.go
+++ b/internal/lab/agent/agent.go
@@ -1,5 +1,5 @@
-// Package agent stands in for discovery in the platform's form: each sidecar's own agent, which replies at once
-// with what it has been sent, keeps watches, and is silent while discovery is down.
+// Package agent simulates the platform's discovery agents. Each sidecar has its own agent, which answers list calls
+// with its current state, serves watches, and can be given faults.
 package agent
 
 import (
@@ -15,11 +15,11 @@
 	"marblelane/internal/lab/relay"
 )
 
-// beat is how often an empty line comes while nothing changes.
-const beat = 2 * time.Second
+// heartbeatInterval is how often a watch sends an empty line while nothing changes.
+const heartbeatInterval = 2 * time.Second
 
-// oldStays is how long an address that discovery has left keeps its open connections.
-const oldStays = 1500 * time.Millisecond
+// oldPortGrace is how long the connections to the old port stay open after MigratePort.
+const oldPortGrace = 1500 * time.Millisecond
 
 // The states of an entry.
 const (
@@ -28,7 +28,7 @@
 	Gone        = "Gone"
 )
 
-// Entry is one server as the list has it.
+// Entry is one server of the endpoint list.
 type Entry struct {
 	Number   int     `json:"-"`
 	UID      string  `json:"uid"`
@@ -41,87 +41,90 @@
 	BootMS   int64   `json:"boot_ms"`
 }
 
-// List is an answer of discovery.
+// List is an answer of discovery: all servers, or the changes since a revision.
 type List struct {
 	Rev     int64   `json:"rev"`
 	All     bool    `json:"all"`
 	Targets []Entry `json:"targets"`
 
-	leavesOut bool // it is whole but for the servers that drain
+	omitsDraining bool // a complete list without the draining servers
 }
 
 // Agents are the agents of all sidecars.
 type Agents struct {
 	log      *record.Log
 	endpoint func(sidecar, server int) string
-	views    []*view
-
-	mu     sync.Mutex
-	rev    int64
-	ports  []*relay.Port
-	links  func(sidecar int) *relay.Link
-	late   []*time.Timer
-	ended  bool
-	anyway time.Duration // toldAnyway
-	wg     sync.WaitGroup
+	agents   []*agentState
+
+	mu             sync.Mutex
+	rev            int64
+	ports          []*relay.Port
+	links          func(sidecar int) *relay.Link
+	timers         []*time.Timer
+	closed         bool
+	lostWatchDelay time.Duration // toldAnyway
+	wg             sync.WaitGroup
 }
 
-// view is what one sidecar's agent holds.
-type view struct {
-	sidecar int
-	mu      sync.Mutex
-	rev     int64
-	entries map[int]Entry // by number
-	changed map[int]int64 // the revision of each one's last change
-	silent  bool
-	refuse  bool
-	delay   time.Duration // beside the news' own
-	defect  string
-	size    time.Duration
-	lie     string
-	share   float64   // that a half list names
-	shift   int64     // of revisions: the histories that a lie began and ended
-	broken  int       // lies that broke watches off; those begun before one end with it
-	hushed  int       // times that the open watches fell silent; those begun before the last say nothing more
-	hushAt  time.Time // when they did so last
-	lost    bool      // its connections were broken off once
-	form    Form
-	wake    chan struct{} // closed at each change
+// agentState is the state of one sidecar's agent.
+type agentState struct {
+	sidecar       int
+	mu            sync.Mutex
+	rev           int64
+	entries       map[int]Entry // by number
+	changedRev    map[int]int64 // the revision of each one's last change
+	silent        bool
+	reject        bool
+	delay         time.Duration // added to the delay of each change
+	defect        string
+	defectDelay   time.Duration
+	fault         string
+	fraction      float64   // of the servers in a partial list
+	revOffset     int64     // added to revisions; grows with each history that a fault starts or ends
+	watchBreaks   int       // number of faults that broke watches; a watch started before the last one ends
+	silencings    int       // number of SilenceWatches calls; a watch started before the last one sends nothing more
+	silencedAt    time.Time // time of the last SilenceWatches
+	disconnected  bool      // MarkDisconnected was called
+	form          WatchForm
+	changedSignal chan struct{} // closed at each change
 }
 
-// The lies of an agent, beside silence.
+// The faults of an agent besides silence.
 const (
-	LieEmpty  = "empty"  // the list names nobody, as of a service that has restarted without its state
-	LieHalf   = "half"   // it names a share of the servers
-	LieStuck  = "stuck"  // its watches live and tell nothing new
-	LieFrozen = "frozen" // it stops in the middle of a line
-	LieBig    = "big"    // it begins each answer with a line far too long
+	FaultEmptyList     = "empty"  // the list is empty, as after a restart without state
+	FaultPartialList   = "half"   // the list has only a fraction of the servers
+	FaultStaleWatch    = "stuck"  // watches stay open but deliver no changes
+	FaultTruncatedLine = "frozen" // the watch stops in the middle of a line
+	FaultOversizedLine = "big"    // each watch starts with an oversized line
 )
 
-// epoch is how far apart the revisions of two histories are, as the product's list service numbers them.
-const epoch = 1 << 28
+// defectNotifyLate is the planted defect that delivers changes late, after they are recorded as notified.
+const defectNotifyLate = "told-late"
 
-// bigLine is the size of a line that is too long, in bytes.
-const bigLine = 20 << 20
+// revsPerHistory is the distance between the revisions of two histories, as in the product's list service.
+const revsPerHistory = 1 << 28
 
-// New starts the agents with a list that all hold.
+// oversizedLineBytes is the length of the line of FaultOversizedLine.
+const oversizedLineBytes = 20 << 20
+
+// New starts the agents of all sidecars with the same list.
 func New(log *record.Log, sidecars int, list []Entry, endpoint func(sidecar, server int) string,
 	links func(sidecar int) *relay.Link) (*Agents, error) {
-	a := &Agents{log: log, endpoint: endpoint, links: links, rev: 1, anyway: toldAnyway}
+	a := &Agents{log: log, endpoint: endpoint, links: links, rev: 1, lostWatchDelay: lostWatchTimeout}
 	for i := range sidecars {
-		v := &view{sidecar: i, rev: 1, entries: map[int]Entry{}, changed: map[int]int64{}, wake: make(chan struct{})}
+		v := &agentState{sidecar: i, rev: 1, entries: map[int]Entry{}, changedRev: map[int]int64{}, changedSignal: make(chan struct{})}
 		for _, e := range list {
-			v.entries[e.Number], v.changed[e.Number] = e, 1
+			v.entries[e.Number], v.changedRev[e.Number] = e, 1
 		}
-		a.views = append(a.views, v)
+		a.agents = append(a.agents, v)
 	}
-	if err := a.open(); err != nil {
+	if err := a.openPort(); err != nil {
 		return nil, err
 	}
 	return a, nil
 }
 
-func (a *Agents) open() error {
+func (a *Agents) openPort() error {
 	p, err := relay.Listen(a.links, a.serve)
 	if err != nil {
 		return fmt.Errorf("discovery: %w", err)
@@ -132,36 +135,36 @@
 	return nil
 }
 
-// Addr is where a sidecar finds its agent now.
+// Addr is the current address of a sidecar's agent.
 func (a *Agents) Addr(sidecar int) string { return a.Port().Addr(sidecar) }
 
-// Port is where all agents are called now.
+// Port is the current port of all agents.
 func (a *Agents) Port() *relay.Port {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return a.ports[len(a.ports)-1]
 }
 
-// Move makes the agents listen at another port; the old one takes nothing new and closes a little later.
-func (a *Agents) Move() error {
+// MigratePort opens a new port; the old one accepts nothing more and closes after oldPortGrace.
+func (a *Agents) MigratePort() error {
 	old := a.Port()
-	if err := a.open(); err != nil {
+	if err := a.openPort(); err != nil {
 		return err
 	}
 	old.StopAccepting()
-	a.after(oldStays, old.Close)
+	a.runAfter(oldPortGrace, old.Close)
 	return nil
 }
 
-// after calls f later, unless the agents are closed first.
-func (a *Agents) after(wait time.Duration, f func()) {
+// runAfter calls f after a wait, unless the agents are closed first.
+func (a *Agents) runAfter(wait time.Duration, f func()) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	if a.ended {
+	if a.closed {
 		return
 	}
 	a.wg.Add(1)
-	a.late = append(a.late, time.AfterFunc(wait, func() {
+	a.timers = append(a.timers, time.AfterFunc(wait, func() {
 		defer a.wg.Done()
 		f()
 	}))
@@ -170,8 +173,8 @@
 // Close ends all agents.
 func (a *Agents) Close() {
 	a.mu.Lock()
-	a.ended = true
-	for _, t := range a.late {
+	a.closed = true
+	for _, t := range a.timers {
 		if t.Stop() {
 			a.wg.Done()
 		}
@@ -184,154 +187,155 @@
 	}
 }
 
-// Publish tells all agents of a change after its notice, the last one a spread later than the first.
+// Publish sends a change to all agents: to the first after notice, to the last a spread later.
 func (a *Agents) Publish(e Entry, notice, spread time.Duration) {
 	a.PublishAll([]Entry{e}, notice, spread)
 }
 
-// PublishAll tells all agents of changes that come together, in their order.
+// PublishAll is Publish for several changes at once, in their order.
 func (a *Agents) PublishAll(entries []Entry, notice, spread time.Duration) {
 	a.mu.Lock()
 	first := a.rev + 1
 	a.rev += int64(len(entries))
 	a.mu.Unlock()
-	for i, v := range a.views {
+	for i, v := range a.agents {
 		wait := notice
-		if len(a.views) > 1 {
-			wait += spread * time.Duration(i) / time.Duration(len(a.views)-1)
+		if len(a.agents) > 1 {
+			wait += spread * time.Duration(i) / time.Duration(len(a.agents)-1)
 		}
 		v.mu.Lock()
 		wait += v.delay
 		v.mu.Unlock()
-		a.after(wait, func() {
+		a.runAfter(wait, func() {
 			for k, e := range entries {
 				v.set(e, first+int64(k))
-				a.countAsTold(v, e, first+int64(k))
+				a.recordMissedChange(v, e, first+int64(k))
 			}
 		})
 	}
 }
 
-// toldAnyway is when what a watch that has fallen silent does not tell counts as told, by the platform's pages.
-const toldAnyway = 6 * time.Second
+// lostWatchTimeout is the time after which the platform requires a sidecar to know the changes that a silent watch did
+// not deliver.
+const lostWatchTimeout = 6 * time.Second
 
-// Hush lets the watches of a sidecar that are open now fall silent for good; its other calls are answered.
-func (a *Agents) Hush(sidecar int) {
-	v := a.views[sidecar]
+// SilenceWatches makes the open watches of a sidecar permanently silent; its other calls are answered.
+func (a *Agents) SilenceWatches(sidecar int) {
+	v := a.agents[sidecar]
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	v.hushed, v.hushAt = v.hushed+1, time.Now()
-	v.stir()
+	v.silencings, v.silencedAt = v.silencings+1, time.Now()
+	v.wakeWatches()
 }
 
-// Lose notes that a sidecar's connections to its agent were broken off: what comes later counts as told after a while, also
-// if the sidecar opens no new ones.
-func (a *Agents) Lose(sidecar int) {
-	v := a.views[sidecar]
+// MarkDisconnected notes that a sidecar's connections to its agent were reset: later changes are recorded as notified
+// after lostWatchTimeout, even if the sidecar does not reconnect.
+func (a *Agents) MarkDisconnected(sidecar int) {
+	v := a.agents[sidecar]
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	v.lost = true
+	v.disconnected = true
 }
 
-// countAsTold writes down that news which have just come are told, once the time is over that a silent watch gives.
-func (a *Agents) countAsTold(v *view, e Entry, rev int64) {
+// recordMissedChange records a change as notified after lostWatchTimeout, if the sidecar's watches are silent or reset.
+func (a *Agents) recordMissedChange(v *agentState, e Entry, rev int64) {
 	v.mu.Lock()
-	hushed, lost := !v.hushAt.IsZero(), v.lost
-	wait := max(time.Until(v.hushAt.Add(a.anyway)), 0)
+	silenced, disconnected := !v.silencedAt.IsZero(), v.disconnected
+	wait := max(time.Until(v.silencedAt.Add(a.lostWatchDelay)), 0)
 	v.mu.Unlock()
 	switch {
-	case hushed:
-	case lost: // discovery can be reached, and has it from now on
-		wait = a.anyway
+	case silenced:
+	case disconnected: // discovery is reachable and has the change from now on
+		wait = a.lostWatchDelay
 	default:
 		return
 	}
-	a.after(wait, func() {
+	a.runAfter(wait, func() {
 		v.mu.Lock()
-		latest := v.changed[e.Number] == rev
-		reached := hushed || !v.silent && !v.refuse
+		latest := v.changedRev[e.Number] == rev
+		reached := silenced || !v.silent && !v.reject
 		v.mu.Unlock()
 		if latest && reached {
-			a.told(v, List{Targets: []Entry{e}})
+			a.recordNotified(v, List{Targets: []Entry{e}})
 		}
 	})
 }
 
-func (v *view) set(e Entry, rev int64) {
+func (v *agentState) set(e Entry, rev int64) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	if v.changed[e.Number] > rev {
-		return // a later one has overtaken it
+	if v.changedRev[e.Number] > rev {
+		return // a later change arrived first
 	}
-	v.entries[e.Number], v.changed[e.Number] = e, rev
+	v.entries[e.Number], v.changedRev[e.Number] = e, rev
 	v.rev = max(v.rev, rev)
-	v.stir()
+	v.wakeWatches()
 }
 
-func (v *view) stir() {
-	close(v.wake)
-	v.wake = make(chan struct{})
+func (v *agentState) wakeWatches() {
+	close(v.changedSignal)
+	v.changedSignal = make(chan struct{})
 }
 
-// Behave changes what is wrong with one sidecar's agent.
-func (a *Agents) Behave(sidecar int, change func(*Behaviour)) {
-	v := a.views[sidecar]
+// SetBehaviour changes the faults of one sidecar's agent.
+func (a *Agents) SetBehaviour(sidecar int, change func(*Behaviour)) {
+	v := a.agents[sidecar]
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	b := Behaviour{v.silent, v.refuse, v.delay, v.defect, v.size, v.lie, v.share, v.form}
+	b := Behaviour{v.silent, v.reject, v.delay, v.defect, v.defectDelay, v.fault, v.fraction, v.form}
 	change(&b)
-	if was, is := v.lie, b.Lie; was != is {
-		for _, lie := range []string{was, is} {
-			switch lie {
-			case LieEmpty, LieHalf: // another history begins
-				v.shift += epoch
-			case LieFrozen, LieBig:
-				v.broken++
+	if was, is := v.fault, b.Fault; was != is {
+		for _, fault := range []string{was, is} {
+			switch fault {
+			case FaultEmptyList, FaultPartialList: // a new history starts
+				v.revOffset += revsPerHistory
+			case FaultTruncatedLine, FaultOversizedLine:
+				v.watchBreaks++
 			}
 		}
 	}
-	v.silent, v.refuse, v.delay, v.defect, v.size, v.lie, v.share = b.Silent, b.Refuse, b.Delay, b.Defect, b.Size, b.Lie, b.Share
+	v.silent, v.reject, v.delay, v.defect, v.defectDelay, v.fault, v.fraction = b.Silent, b.Reject, b.Delay, b.Defect, b.DefectDelay, b.Fault, b.Fraction
 	v.form = b.Form
-	v.stir()
+	v.wakeWatches()
 }
 
-// Behaviour is what is wrong with an agent.
+// Behaviour is the set of faults and the watch form of an agent.
 type Behaviour struct {
-	Silent bool          // says nothing at all
-	Refuse bool          // answers 503
-	Delay  time.Duration // of news that come while it is set
-	Defect string        // planted: "told-late", "ignore-drain"
-	Size   time.Duration // of the defect
-	Lie    string        // LieEmpty ...; empty: none
-	Share  float64       // of LieHalf
-	Form   Form
+	Silent      bool          // sends nothing at all
+	Reject      bool          // answers 503
+	Delay       time.Duration // of changes published while it is set
+	Defect      string        // planted: defectNotifyLate or "ignore-drain"
+	DefectDelay time.Duration // of defectNotifyLate
+	Fault       string        // FaultEmptyList etc.; empty: none
+	Fraction    float64       // of FaultPartialList, 0 to 1
+	Form        WatchForm
 }
 
-// Known is the list as a sidecar's agent holds it, for the configuration of a sidecar that starts.
-func (a *Agents) Known(sidecar int) List {
-	v := a.views[sidecar]
+// ListFor returns the current list of a sidecar's agent, for the configuration of a starting sidecar.
+func (a *Agents) ListFor(sidecar int) List {
+	v := a.agents[sidecar]
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	return a.since(v, -1)
+	return a.changesSince(v, -1)
 }
 
-// since gives what changed after a revision, or all. v.mu is held.
-func (a *Agents) since(v *view, after int64) List {
-	l := List{Rev: v.rev + v.shift, All: after < v.shift || after > v.rev+v.shift || after < 0, Targets: []Entry{}}
-	kept := 0.0
+// changesSince returns the changes after a revision, or the complete list. v.mu is held.
+func (a *Agents) changesSince(v *agentState, after int64) List {
+	l := List{Rev: v.rev + v.revOffset, All: after < v.revOffset || after > v.rev+v.revOffset || after < 0, Targets: []Entry{}}
+	fractionSum := 0.0
 	for _, n := range slices.Sorted(maps.Keys(v.entries)) {
 		e := v.entries[n]
-		if l.All && e.State == Gone || !l.All && v.changed[n]+v.shift <= after {
+		if l.All && e.State == Gone || !l.All && v.changedRev[n]+v.revOffset <= after {
 			continue
 		}
-		if kept += v.share; l.All && (v.lie == LieEmpty || v.lie == LieHalf && kept < 1) {
+		if fractionSum += v.fraction; l.All && (v.fault == FaultEmptyList || v.fault == FaultPartialList && fractionSum < 1) {
 			continue
 		}
-		kept -= math.Floor(kept)
+		fractionSum -= math.Floor(fractionSum)
 		e.Endpoint = a.endpoint(v.sidecar, n)
 		l.Targets = append(l.Targets, e)
 	}
 	return l
 }
 
-var errGone = errors.New("agent: the caller is gone")
+var errCallerGone = errors.New("agent: the caller is gone")
--- a/internal/lab/agent/agent_test.go
+++ b/internal/lab/agent/agent_test.go
@@ -15,7 +15,7 @@
 	"marblelane/internal/lab/relay"
 )
 
-// watch opens a watch and skips what it says at once; then it gives each line that is not empty.
+// watch opens a watch and skips its first line; the result returns each further line that is not a heartbeat.
 func watch(t *testing.T, a *Agents) func(wait time.Duration) (string, error) {
 	t.Helper()
 	c, err := net.Dial("tcp4", a.Addr(0))
@@ -40,8 +40,8 @@
 	return next
 }
 
-// An open watch that falls silent says nothing more, a new one says all, and what the first missed counts as told.
-func TestHush(t *testing.T) {
+// A silenced watch delivers nothing more, a new one delivers everything, and a missed change is recorded as notified.
+func TestSilenceWatches_missedChangeRecorded(t *testing.T) {
 	log := record.New()
 	a, err := New(log, 1, []Entry{{Number: 4, State: Ready}}, func(int, int) string { return "127.0.0.1:1" },
 		func(int) *relay.Link { return relay.NewLink(relay.Rules{}, 1) })
@@ -49,17 +49,17 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(a.Close)
-	a.anyway = 50 * time.Millisecond
-	told := func(state string) bool {
+	a.lostWatchDelay = 50 * time.Millisecond
+	notified := func(state string) bool {
 		return slices.ContainsFunc(log.Events(), func(e record.Event) bool { return e.Kind == record.Notified && e.Note == state })
 	}
 	old := watch(t, a)
-	a.Hush(0)
+	a.SilenceWatches(0)
 	a.Publish(Entry{Number: 4, State: Terminating}, 0, 0)
 	if line, err := old(300 * time.Millisecond); !errors.Is(err, os.ErrDeadlineExceeded) {
 		t.Errorf("a silent watch said %q, %v", line, err)
 	}
-	for end := time.Now().Add(10 * time.Second); !told(Terminating); time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(10 * time.Second); !notified(Terminating); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
 			t.Fatal("what a silent watch missed never counts as told")
 		}
--- a/internal/lab/agent/form.go
+++ b/internal/lab/agent/form.go
@@ -7,51 +7,51 @@
 	"marblelane/internal/lab/relay"
 )
 
-// Form is how an agent tells what it tells. The zero value tells each change as it comes, in one piece.
-type Form struct {
-	Ends   bool // a watch ends in place of telling a change
-	Whole  bool // the first answer to a call is the whole list, without the servers that drain
-	Pieces int  // bytes that are written at a time; 0: all at once
+// WatchForm is how an agent delivers answers and changes. The zero value delivers each change immediately, in one piece.
+type WatchForm struct {
+	EndOnChange   bool // a watch ends instead of delivering a change
+	CompleteFirst bool // the first answer to a call is the complete list without draining servers
+	PieceBytes    int  // bytes per write; 0: everything in one write
 }
 
-// pieceEvery is how long after one piece of a line the next one comes.
-const pieceEvery = 2 * time.Millisecond
+// pieceInterval is the pause between two pieces.
+const pieceInterval = 2 * time.Millisecond
 
-// first gives the first answer to a call that has what came after a revision. v.mu is held.
-func (a *Agents) first(v *view, after int64) List {
-	if !v.form.Whole {
-		return a.since(v, after)
+// firstAnswer returns the first answer to a call for the changes after a revision. v.mu is held.
+func (a *Agents) firstAnswer(v *agentState, after int64) List {
+	if !v.form.CompleteFirst {
+		return a.changesSince(v, after)
 	}
-	l := a.since(v, -1)
-	l.leavesOut = true
-	kept := l.Targets[:0]
+	l := a.changesSince(v, -1)
+	l.omitsDraining = true
+	remaining := l.Targets[:0]
 	for _, e := range l.Targets {
 		if e.State != Terminating {
-			kept = append(kept, e)
+			remaining = append(remaining, e)
 		}
 	}
-	l.Targets = kept
+	l.Targets = remaining
 	return l
 }
 
-// end ends a watch in order in place of telling a change. What the agent has counts as told.
-func (a *Agents) end(v *view, c *relay.Conn, l List) error {
-	a.told(v, l)
+// endWatch ends a watch cleanly instead of delivering a change, and records the change as notified.
+func (a *Agents) endWatch(v *agentState, c *relay.Conn, l List) error {
+	a.recordNotified(v, l)
 	if err := write(c, "0\r\n\r\n"); err != nil {
 		return err
 	}
-	return errGone
+	return errCallerGone
 }
 
 // writeLine writes a line of a watch, in one chunk or in several.
-func (v *view) writeLine(c *relay.Conn, line string) error {
+func (v *agentState) writeLine(c *relay.Conn, line string) error {
 	return v.writePieces(c, line, func(piece string) string { return fmt.Sprintf("%x\r\n%s\r\n", len(piece), piece) })
 }
 
-// writePieces writes a text in pieces, each in its frame.
-func (v *view) writePieces(c *relay.Conn, text string, frame func(string) string) error {
+// writePieces writes a text in pieces of PieceBytes, each wrapped by frame.
+func (v *agentState) writePieces(c *relay.Conn, text string, frame func(string) string) error {
 	v.mu.Lock()
-	size := v.form.Pieces
+	size := v.form.PieceBytes
 	v.mu.Unlock()
 	if size == 0 {
 		size = len(text)
@@ -61,7 +61,7 @@
 			return err
 		}
 		text = text[size:]
-		time.Sleep(pieceEvery)
+		time.Sleep(pieceInterval)
 	}
 	return write(c, frame(text))
 }
--- a/internal/lab/agent/form_test.go
+++ b/internal/lab/agent/form_test.go
@@ -15,8 +15,8 @@
 	"marblelane/internal/lab/relay"
 )
 
-// alone starts the agents of one sidecar with a server that is ready and one that drains.
-func alone(t *testing.T, form Form) (*Agents, *record.Log) {
+// startAgent starts the agent of one sidecar with a ready and a draining server.
+func startAgent(t *testing.T, form WatchForm) (*Agents, *record.Log) {
 	t.Helper()
 	log := record.New()
 	a, err := New(log, 1, []Entry{{Number: 4, UID: "s-4", State: Ready}, {Number: 5, UID: "s-5", State: Terminating}},
@@ -25,30 +25,30 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(a.Close)
-	a.Behave(0, func(b *Behaviour) { b.Form = form })
+	a.SetBehaviour(0, func(b *Behaviour) { b.Form = form })
 	return a, log
 }
 
-func told(log *record.Log, server int32, state string) bool {
+func notified(log *record.Log, server int32, state string) bool {
 	return slices.ContainsFunc(log.Events(), func(e record.Event) bool {
 		return e.Kind == record.Notified && e.Server == server && e.Note == state
 	})
 }
 
-// A watch that ends in place of telling a change ends in order, and the change counts as told.
-func TestWatchEndsInPlaceOfTelling(t *testing.T) {
-	a, log := alone(t, Form{Ends: true})
+// A watch that ends instead of delivering a change ends cleanly, and the change is recorded as notified.
+func TestWatch_endOnChange(t *testing.T) {
+	a, log := startAgent(t, WatchForm{EndOnChange: true})
 	next := watch(t, a)
 	a.Publish(Entry{Number: 4, UID: "s-4", State: Terminating}, 0, 0)
 	if line, err := next(10 * time.Second); !errors.Is(err, io.EOF) {
 		t.Errorf("it said %q, %v", line, err)
 	}
-	if !told(log, 4, Terminating) {
+	if !notified(log, 4, Terminating) {
 		t.Error("the change does not count as told")
 	}
 }
 
-// first is the first answer to a call.
+// first returns the first answer to a call.
 func first(t *testing.T, a *Agents, path string) List {
 	t.Helper()
 	defer http.DefaultClient.CloseIdleConnections()
@@ -64,24 +64,24 @@
 	return l
 }
 
-// A first answer that is the whole list leaves out servers that drain, and tells by that that they are gone.
-func TestWholeListLeavesOutServersThatDrain(t *testing.T) {
+// A complete first answer omits draining servers, and they are recorded as gone.
+func TestFirstAnswer_completeListOmitsDraining(t *testing.T) {
 	for _, path := range []string{"/registry/instances", "/registry/instances?watch=1&after=1"} {
-		a, log := alone(t, Form{Whole: true})
+		a, log := startAgent(t, WatchForm{CompleteFirst: true})
 		if l := first(t, a, path); !l.All || len(l.Targets) != 1 || l.Targets[0].UID != "s-4" {
 			t.Errorf("%s: got %+v", path, l)
 		}
-		assert.Eventually(t, func() bool { return told(log, 5, Gone) }, 10*time.Second, time.Millisecond)
-		if told(log, 5, Terminating) || !told(log, 4, Ready) {
+		assert.Eventually(t, func() bool { return notified(log, 5, Gone) }, 10*time.Second, time.Millisecond)
+		if notified(log, 5, Terminating) || !notified(log, 4, Ready) {
 			t.Errorf("%s: it told %v", path, log.Events())
 		}
 	}
 }
 
-// What is written in pieces is the list.
-func TestListInPieces(t *testing.T) {
+// A list written in pieces arrives complete.
+func TestWatch_listInPieces(t *testing.T) {
 	for _, path := range []string{"/registry/instances", "/registry/instances?watch=1&after=-1"} {
-		a, _ := alone(t, Form{Pieces: 3})
+		a, _ := startAgent(t, WatchForm{PieceBytes: 3})
 		if l := first(t, a, path); len(l.Targets) != 2 {
 			t.Errorf("%s: got %+v", path, l)
 		}
--- a/internal/lab/fault_steps.go
+++ b/internal/lab/fault_steps.go
@@ -273,7 +273,7 @@
 		return pair(func(on bool) error {
 			for _, a := range r.listsOf(f) {
 				for _, i := range p.Sidecars {
-					a.Behave(i, func(b *agent.Behaviour) { change(b, on) })
+					a.SetBehaviour(i, func(b *agent.Behaviour) { change(b, on) })
 				}
 			}
 			return nil
@@ -286,11 +286,11 @@
 			})
 		})
 	}
-	if lie, ok := map[string]string{"list-empty": agent.LieEmpty, "list-half": agent.LieHalf, "list-stuck": agent.LieStuck,
-		"list-freeze": agent.LieFrozen, "list-big": agent.LieBig}[f.Kind]; ok {
+	if lie, ok := map[string]string{"list-empty": agent.FaultEmptyList, "list-half": agent.FaultPartialList, "list-stuck": agent.FaultStaleWatch,
+		"list-freeze": agent.FaultTruncatedLine, "list-big": agent.FaultOversizedLine}[f.Kind]; ok {
 		return list(func(b *agent.Behaviour, on bool) {
-			if b.Lie, b.Share = "", 0; on {
-				b.Lie, b.Share = lie, f.Size
+			if b.Fault, b.Fraction = "", 0; on {
+				b.Fault, b.Fraction = lie, f.Size
 			}
 		})
 	}
@@ -307,23 +307,23 @@
 		return once(func(context.Context) error {
 			for _, a := range r.listsOf(f) {
 				for _, i := range p.Sidecars {
-					a.Hush(i)
+					a.SilenceWatches(i)
 				}
 			}
 			return nil
 		})
 	case "list-end":
-		return list(func(b *agent.Behaviour, on bool) { b.Form.Ends = on })
+		return list(func(b *agent.Behaviour, on bool) { b.Form.EndOnChange = on })
 	case "list-whole":
-		return list(func(b *agent.Behaviour, on bool) { b.Form.Whole = on })
+		return list(func(b *agent.Behaviour, on bool) { b.Form.CompleteFirst = on })
 	case "list-pieces":
 		return list(func(b *agent.Behaviour, on bool) {
-			if b.Form.Pieces = 0; on {
-				b.Form.Pieces = int(f.Size)
+			if b.Form.PieceBytes = 0; on {
+				b.Form.PieceBytes = int(f.Size)
 			}
 		})
 	case "list-refuse":
-		return list(func(b *agent.Behaviour, on bool) { b.Refuse = on })
+		return list(func(b *agent.Behaviour, on bool) { b.Reject = on })
 	case "list-move":
 		return once(func(context.Context) error { return r.moveDiscovery() })
 	case "sidecar-freeze":
--- a/internal/lab/faults.go
+++ b/internal/lab/faults.go
@@ -62,7 +62,7 @@
 		return
 	}
 	for _, a := range r.listsOf(f) {
-		a.Lose(sidecar)
+		a.MarkDisconnected(sidecar)
 	}
 }
 
--- a/internal/lab/service.go
+++ b/internal/lab/service.go
@@ -304,7 +304,7 @@
 // known is the list that a sidecar starts from.
 func (r *run) known(sidecar int) agent.List {
 	if r.service == nil {
-		return r.agents[0].Known(sidecar)
+		return r.agents[0].ListFor(sidecar)
 	}
 	l := agent.List{All: true, Targets: []agent.Entry{}}
 	for i := range r.plan.Servers {
--- a/internal/lab/sidecar_faults.go
+++ b/internal/lab/sidecar_faults.go
@@ -14,7 +14,7 @@
 // moveDiscovery gives discovery another address and tells the sidecars with SIGHUP.
 func (r *run) moveDiscovery() error {
 	for _, a := range r.agents {
-		if err := a.Move(); err != nil {
+		if err := a.MigratePort(); err != nil {
 			return err
 		}
 	}
--- a/internal/lab/tamper.go
+++ b/internal/lab/tamper.go
@@ -58,8 +58,8 @@
 		}
 	case "told-late", "ignore-drain":
 		for _, i := range p.Sidecars {
-			r.agents[0].Behave(i, func(b *agent.Behaviour) {
-				b.Defect, b.Size = set, time.Duration(p.Fault.Size*float64(time.Second))
+			r.agents[0].SetBehaviour(i, func(b *agent.Behaviour) {
+				b.Defect, b.DefectDelay = set, time.Duration(p.Fault.Size*float64(time.Second))
 			})
 		}
 	case "undo-rollback":
