--- a/internal/lab/compare.go
+++ b/internal/lab/compare.go
@@ -96,7 +96,7 @@
 				c.BrokenB += one(broken)
 			}
 			if o.Progress != nil {
-				fmt.Fprintf(o.Progress, "play %d of %d, seed %d, %s: %.2f%% in aim\n", k+1, plays, seed, side.Name, 100*rep.Result.Figures.InAim)
+				fmt.Fprintf(o.Progress, "play %d of %d, seed %d, %s: %.2f%% in aim\n", k+1, plays, seed, side.Name, 100*rep.Result.Figures.InObjective)
 			}
 		}
 		c.Seeds = append(c.Seeds, seed)
@@ -138,12 +138,12 @@
 		name string
 		of   func(p *Pair, side int) float64
 	}{
-		{"in aim", func(p *Pair, s int) float64 { return p.side(s).InAim }},
-		{"worst 5 s in aim", func(p *Pair, s int) float64 { return p.side(s).WorstInAim }},
-		{"refused", func(p *Pair, s int) float64 { return p.side(s).Refused }},
+		{"in aim", func(p *Pair, s int) float64 { return p.side(s).InObjective }},
+		{"worst 5 s in aim", func(p *Pair, s int) float64 { return p.side(s).WorstInObjective }},
+		{"refused", func(p *Pair, s int) float64 { return p.side(s).Rejected }},
 		{"failed", func(p *Pair, s int) float64 { return p.side(s).Failed }},
-		{"tries a request", func(p *Pair, s int) float64 { return p.side(s).Tries }},
-		{"attempts a try", func(p *Pair, s int) float64 { return p.side(s).Attempts }},
+		{"tries a request", func(p *Pair, s int) float64 { return p.side(s).ClientAttempts }},
+		{"attempts a try", func(p *Pair, s int) float64 { return p.side(s).ServerAttempts }},
 		{"cross-zone", func(p *Pair, s int) float64 { return p.side(s).CrossZone }},
 		{"waste", func(p *Pair, s int) float64 { return p.side(s).Waste }},
 		{"p50 ms", func(p *Pair, s int) float64 { return p.side(s).P50 }},
--- a/internal/lab/growth_fleet.go
+++ b/internal/lab/growth_fleet.go
@@ -118,9 +118,9 @@
 	}
 	report := newReport(plan, run.Events, run.Worked, nil, nil)
 	figures, broken := &report.Result.Figures, report.Verdict.Broken()
-	need := GrowthNeed{Connections: float64(opened) / float64(size.Sidecars), Served: figures.InAim}
+	need := GrowthNeed{Connections: float64(opened) / float64(size.Sidecars), Served: figures.InObjective}
 	o.progress("%s, %d sidecars, %d servers: %d requests, %.3f served, %.1f connections each, %.2f attempts, broken %v",
-		trouble.name, size.Sidecars, size.Servers, figures.Requests, need.Served, need.Connections, figures.Attempts, broken)
+		trouble.name, size.Sidecars, size.Servers, figures.Requests, need.Served, need.Connections, figures.ServerAttempts, broken)
 	return need, broken, nil
 }
 
--- a/internal/lab/lab_test.go
+++ b/internal/lab/lab_test.go
@@ -159,7 +159,7 @@
 			for _, b := range rep.Verdict.Breaches {
 				t.Errorf("%s at %.3f s: %s\n  %s", b.Rule, b.At, b.Text, strings.Join(b.Path, "\n  "))
 			}
-			if harms && rep.Result.Figures.InAim == 1 {
+			if harms && rep.Result.Figures.InObjective == 1 {
 				t.Error("nobody was harmed: the fault did not take place")
 			}
 			if rep.Routes != nil {
--- a/internal/lab/measure/measure.go
+++ b/internal/lab/measure/measure.go
@@ -1,9 +1,10 @@
-// Package measure turns the records of a run into figures: what was served in aim, how long it took, what was
-// wasted, and what each process used.
+// Package measure computes the figures of a run from its recorded events: the fraction served within the latency
+// objective, latency percentiles, wasted work, and the resource usage of each process.
 package measure
 
 import (
 	"math"
+	"net/http"
 	"slices"
 	"time"
 
@@ -13,293 +14,375 @@
 	"marblelane/internal/lab/scenario"
 )
 
-// Figures are the sums of a run after its warm-up. Shares lie between 0 and 1, times are in milliseconds.
+// Figures are the totals of a run after its warm-up. Fractions are between 0 and 1.
 type Figures struct {
-	Requests   int     `json:"requests"`     // asked for by clients, retries not counted
-	InAim      float64 `json:"in_aim"`       // worth answered within the aim over the worth asked for
-	WorstInAim float64 `json:"worst_in_aim"` // ... in the worst 5 s
-	Refused    float64 `json:"refused"`      // share of tries
-	Failed     float64 `json:"failed"`       // share of tries: errors, no answer in time, broken connections
-	Tries      float64 `json:"tries_per_request"`
-	Attempts   float64 `json:"attempts_per_try"` // of the tries that were sent on
-	CrossZone  float64 `json:"cross_zone"`       // share of attempts that left their zone
-	CrossLeast float64 `json:"cross_zone_least"` // ... that capacity alone makes leave it, without faults
-	Waste      float64 `json:"waste"`            // share of servers' work that served no answer
-	P50        float64 `json:"p50_ms"`           // of served answers, from the planned time of the request
-	P90        float64 `json:"p90_ms"`
-	P99        float64 `json:"p99_ms"`
-	P999       float64 `json:"p999_ms"`
-	Max        float64 `json:"max_ms"`
+	Requests         int     `json:"requests"`     // of clients, without retries
+	InObjective      float64 `json:"in_aim"`       // priority weight answered within the latency objective / weight of all requests
+	WorstInObjective float64 `json:"worst_in_aim"` // the same in the worst span of worstSpanLength
+	Rejected         float64 `json:"refused"`      // fraction of client attempts
+	Failed           float64 `json:"failed"`       // fraction of client attempts: errors, timeouts, lost connections
+	ClientAttempts   float64 `json:"tries_per_request"`
+	ServerAttempts   float64 `json:"attempts_per_try"` // of the client attempts that reached a server
+	CrossZone        float64 `json:"cross_zone"`       // fraction of server attempts in another zone
+	MinCrossZone     float64 `json:"cross_zone_least"` // the fraction that capacity alone requires, without faults
+	Waste            float64 `json:"waste"`            // fraction of the servers' work that led to no correct answer
+	P50              float64 `json:"p50_ms"`           // of correct answers, from the planned time of the request
+	P90              float64 `json:"p90_ms"`
+	P99              float64 `json:"p99_ms"`
+	P999             float64 `json:"p999_ms"`
+	Max              float64 `json:"max_ms"`
 }
 
-// Class is what one class got.
+// Class has the figures of one request class.
 type Class struct {
-	Name     string  `json:"name"`
-	Requests int     `json:"requests"`
-	InAim    float64 `json:"in_aim"`
-	P50      float64 `json:"p50_ms"`
-	P99      float64 `json:"p99_ms"`
+	Name        string  `json:"name"`
+	Requests    int     `json:"requests"`
+	InObjective float64 `json:"in_aim"`
+	P50         float64 `json:"p50_ms"`
+	P99         float64 `json:"p99_ms"`
 }
 
-// Window is one step of the timeline.
+// Window is one interval of the timeline.
 type Window struct {
-	From    float64 `json:"from_s"`
-	Offered int     `json:"offered"`
-	InAim   float64 `json:"in_aim"`
-	Refused float64 `json:"refused"` // share of tries
-	Failed  float64 `json:"failed"`
-	P99     float64 `json:"p99_ms"`
-
-	worth, served float64
+	From        float64 `json:"from_s"`
+	Offered     int     `json:"offered"`
+	InObjective float64 `json:"in_aim"`
+	Rejected    float64 `json:"refused"` // fraction of client attempts
+	Failed      float64 `json:"failed"`
+	P99         float64 `json:"p99_ms"`
+
+	offeredWeight, servedWeight float64
 }
 
-// Party is what one process used.
-type Party struct {
+// Process is the resource usage of one process.
+type Process struct {
 	Name        string  `json:"name"`
 	CPU         float64 `json:"cpu_s"`
 	PeakRSS     float64 `json:"peak_rss_mb"`
 	LastRSS     float64 `json:"last_rss_mb"`
-	Growth      float64 `json:"growth"` // of the RSS over the second half of the run, as a share
+	RSSGrowth   float64 `json:"growth"` // of the RSS over the second half of the run; 0.1 is 10%
 	Descriptors int     `json:"descriptors"`
 	Requests    int     `json:"requests"`
 }
 
-// Span is a fault for the timeline.
-type Span struct {
+// FaultSpan is the time of a fault on the timeline.
+type FaultSpan struct {
 	From float64 `json:"from_s"`
 	To   float64 `json:"to_s"`
 	Text string  `json:"text"`
 }
 
-// Result is all that is measured of a run.
+// Result has all that is measured of a run.
 type Result struct {
-	Figures  Figures  `json:"figures"`
-	Classes  []Class  `json:"classes"`
-	Timeline []Window `json:"timeline"`
-	Sidecars []Party  `json:"sidecars"`
-	Lab      Party    `json:"lab"`
-	Servers  []int    `json:"server_attempts"` // attempts at each server
-	Faults   []Span   `json:"faults"`
-	Steps    []Step   `json:"percentiles"`
-	window   time.Duration
+	Figures      Figures      `json:"figures"`
+	Classes      []Class      `json:"classes"`
+	Timeline     []Window     `json:"timeline"`
+	Sidecars     []Process    `json:"sidecars"`
+	Lab          Process      `json:"lab"`
+	Servers      []int        `json:"server_attempts"` // attempts of each server
+	Faults       []FaultSpan  `json:"faults"`
+	Percentiles  []Percentile `json:"percentiles"`
+	windowLength time.Duration
 }
 
-// Step is one point of the latency distribution.
-type Step struct {
+// Percentile is one point of the latency distribution.
+type Percentile struct {
 	Quantile float64 `json:"quantile"`
 	MS       float64 `json:"ms"`
 }
 
-// worstSpan is the length of the span that WorstInAim is of.
-const worstSpan = 5 * time.Second
+// worstSpanLength is the length of the span of WorstInObjective.
+const worstSpanLength = 5 * time.Second
 
-// newHistogram counts microseconds up to a minute with three digits.
-func newHistogram() *hdrhistogram.Histogram { return hdrhistogram.New(1, 60e6, 3) }
+// The timeline has about timelineWindows windows, none shorter than minWindow.
+const (
+	timelineWindows = 60
+	minWindow       = 250 * time.Millisecond
+	windowRounding  = 50 * time.Millisecond
+)
 
-func ms(h *hdrhistogram.Histogram, q float64) float64 {
+const (
+	maxLatencyMicros = 60e6
+	latencyDigits    = 3 // significant digits of a recorded latency
+	microsPerMilli   = 1000
+	bytesPerMiB      = 1 << 20
+)
+
+// newHistogram makes a histogram of latencies in microseconds.
+func newHistogram() *hdrhistogram.Histogram {
+	return hdrhistogram.New(1, maxLatencyMicros, latencyDigits)
+}
+
+// observe adds the latency of a served request to a histogram, which it makes if needed.
+func observe(h **hdrhistogram.Histogram, served time.Duration) {
+	if served <= 0 {
+		return
+	}
+	if *h == nil {
+		*h = newHistogram()
+	}
+	_ = (*h).RecordValue(served.Microseconds()) // fails only over maxLatencyMicros, longer than any deadline
+}
+
+func quantileMS(h *hdrhistogram.Histogram, q float64) float64 {
 	if h.TotalCount() == 0 {
 		return 0
 	}
-	return float64(h.ValueAtQuantile(q)) / 1000
+	return float64(h.ValueAtQuantile(q)) / microsPerMilli
 }
 
-// request is one arrival with what came of it.
-type request struct {
+// requestOutcome is the outcome of one arrival.
+type requestOutcome struct {
 	served time.Duration // after its planned time; 0: never
 }
 
-// Of measures a run from its records; worked is the work that all servers did.
-func Of(p *scenario.Plan, events []record.Event, worked float64) *Result {
-	s := p.Scenario
-	step := max(s.Length.Duration()/60, 250*time.Millisecond).Round(50 * time.Millisecond)
+// collector accumulates the events of a run. windowAttempts, usefulWork and the counts in result.Servers and
+// result.Sidecars include the warm-up; the other counts exclude it.
+type collector struct {
+	plan   *scenario.Plan
+	result *Result
+	warmUp time.Duration
+
+	outcomes                             []requestOutcome // by arrival
+	attempts, rejected, failed           int              // of clients
+	windowAttempts, windowRejected       []int            // by window
+	windowFailed                         []int
+	serverAttempts, forwarded, crossZone int
+	forwardedIDs                         map[uint64]bool // client attempts that reached a server
+	endedIDs                             map[uint64]bool // client attempts counted as rejected or failed
+	usefulWork                           float64
+	rss                                  [][]rssSample // by sidecar
+}
+
+// Compute measures a run from its records; worked is the work that all servers did.
+func Compute(p *scenario.Plan, events []record.Event, worked float64) *Result {
+	c := newCollector(p)
+	for i := range events {
+		c.add(&events[i])
+	}
+	for i := range c.rss {
+		c.result.Sidecars[i].RSSGrowth = rssGrowth(c.rss[i], p.Scenario.Length.Duration()/2)
+	}
+	c.measureLatency()
+	c.finishTimeline()
+	c.finishFigures(worked)
+	for _, f := range p.Faults {
+		c.result.Faults = append(c.result.Faults, FaultSpan{f.At.Seconds(), f.Until.Seconds(), f.Fault.Kind})
+	}
+	return c.result
+}
+
+func newCollector(p *scenario.Plan) *collector {
+	length := p.Scenario.Length.Duration()
+	window := max(length/timelineWindows, minWindow).Round(windowRounding)
 	out := &Result{
-		Servers: make([]int, len(p.Servers)), Sidecars: make([]Party, len(p.Sidecars)), window: step,
-		Timeline: make([]Window, int(s.Length.Duration()/step)+1),
+		Servers: make([]int, len(p.Servers)), Sidecars: make([]Process, len(p.Sidecars)), windowLength: window,
+		Timeline: make([]Window, int(length/window)+1),
 	}
 	for i := range out.Sidecars {
 		out.Sidecars[i].Name = p.Sidecars[i].Name
 	}
 	out.Lab.Name = "lab"
 	for i := range out.Timeline {
-		out.Timeline[i].From = (time.Duration(i) * step).Seconds()
+		out.Timeline[i].From = (time.Duration(i) * window).Seconds()
 	}
-	warm := s.WarmUp.Duration()
-	requests := make([]request, len(p.Arrivals))
-	windows := make([]*hdrhistogram.Histogram, len(out.Timeline))
-	tries := make([]int, len(out.Timeline))
-	refused, failed := make([]int, len(out.Timeline)), make([]int, len(out.Timeline))
-	at := func(t time.Duration) int { return min(int(t/step), len(out.Timeline)-1) }
-	var sumTries, sumRefused, sumFailed, sumAttempts, sumSent, cross int
-	sentOn := map[uint64]bool{}
-	counted := map[uint64]bool{} // tries whose end is counted
-	useful := 0.0
-	end := func(e *record.Event, lost bool) {
-		if e.T < warm || counted[e.Request] {
-			return
+	n := len(out.Timeline)
+	return &collector{
+		plan: p, result: out, warmUp: p.Scenario.WarmUp.Duration(), outcomes: make([]requestOutcome, len(p.Arrivals)),
+		windowAttempts: make([]int, n), windowRejected: make([]int, n), windowFailed: make([]int, n),
+		forwardedIDs: map[uint64]bool{}, endedIDs: map[uint64]bool{}, rss: make([][]rssSample, len(p.Sidecars)),
+	}
+}
+
+// windowAt is the index of the window that has a time; the last window has all later times.
+func (c *collector) windowAt(t time.Duration) int {
+	return min(int(t/c.result.windowLength), len(c.result.Timeline)-1)
+}
+
+func (c *collector) add(e *record.Event) {
+	switch e.Kind {
+	case record.Sent:
+		c.addAttempt(e)
+		c.result.Sidecars[e.Sidecar].Requests++
+	case record.Answered:
+		c.addAnswer(e)
+	case record.NotSent:
+		c.addAttempt(e)
+		c.addFailed(e)
+	case record.Overdue, record.ConnectionLost:
+		c.addFailed(e)
+	case record.LastByte:
+		c.addServerAttempt(e)
+	case record.Sample:
+		c.addSample(e)
+	}
+}
+
+func (c *collector) addAttempt(e *record.Event) {
+	if e.T >= c.warmUp {
+		c.attempts++
+	}
+	c.windowAttempts[c.windowAt(e.T)]++
+}
+
+func (c *collector) addAnswer(e *record.Event) {
+	a := &c.plan.Arrivals[e.N]
+	switch {
+	case e.Status == http.StatusOK && e.Sum == e.Want:
+		if o := &c.outcomes[e.N]; o.served == 0 {
+			o.served = max(e.T-a.At, 1)
+			c.usefulWork += a.Work
 		}
-		counted[e.Request] = true
-		w := at(e.T)
-		if lost {
-			failed[w]++
-			sumFailed++
-		} else {
-			refused[w]++
-			sumRefused++
+	case e.Status == http.StatusTooManyRequests || e.Status == http.StatusServiceUnavailable:
+		if c.endsAttempt(e) {
+			c.windowRejected[c.windowAt(e.T)]++
+			c.rejected++
 		}
+	default:
+		c.addFailed(e)
 	}
-	rss := make([][]sample, len(p.Sidecars))
-	for i := range events {
-		e := &events[i]
-		switch e.Kind {
-		case record.Sent:
-			if e.T >= warm {
-				sumTries++
-			}
-			tries[at(e.T)]++
-			out.Sidecars[e.Sidecar].Requests++
-		case record.Answered:
-			a := &p.Arrivals[e.N]
-			switch {
-			case e.Status == 200 && e.Sum == e.Want:
-				if r := &requests[e.N]; r.served == 0 {
-					r.served = max(e.T-a.At, 1)
-					useful += a.Work
-				}
-			case e.Status == 429 || e.Status == 503:
-				end(e, false)
-			default:
-				end(e, true)
-			}
-		case record.NotSent:
-			if e.T >= warm {
-				sumTries++
-			}
-			tries[at(e.T)]++
-			end(e, true)
-		case record.Overdue, record.ConnectionLost:
-			end(e, true)
-		case record.LastByte:
-			out.Servers[e.Server]++
-			if e.T < warm {
-				continue
-			}
-			sumAttempts++
-			if !sentOn[e.Request] {
-				sentOn[e.Request] = true
-				sumSent++
-			}
-			if p.Servers[e.Server].Zone != p.Sidecars[e.Sidecar].Zone {
-				cross++
-			}
-		case record.Sample:
-			party := &out.Lab
-			if e.Sidecar != record.None {
-				party = &out.Sidecars[e.Sidecar]
-				rss[e.Sidecar] = append(rss[e.Sidecar], sample{e.T, float64(e.N)})
-			}
-			party.CPU = max(party.CPU, e.Work)
-			party.LastRSS = float64(e.N) / (1 << 20)
-			party.PeakRSS = max(party.PeakRSS, party.LastRSS)
-			party.Descriptors = max(party.Descriptors, int(e.Status))
-		}
+}
+
+func (c *collector) addFailed(e *record.Event) {
+	if c.endsAttempt(e) {
+		c.windowFailed[c.windowAt(e.T)]++
+		c.failed++
 	}
-	for i := range rss {
-		out.Sidecars[i].Growth = growth(rss[i], s.Length.Duration()/2)
+}
+
+// endsAttempt tells whether an event after the warm-up is the first one that ends its client attempt without success.
+func (c *collector) endsAttempt(e *record.Event) bool {
+	if e.T < c.warmUp || c.endedIDs[e.Request] {
+		return false
+	}
+	c.endedIDs[e.Request] = true
+	return true
+}
+
+func (c *collector) addServerAttempt(e *record.Event) {
+	c.result.Servers[e.Server]++
+	if e.T < c.warmUp {
+		return
 	}
+	c.serverAttempts++
+	if !c.forwardedIDs[e.Request] {
+		c.forwardedIDs[e.Request] = true
+		c.forwarded++
+	}
+	if c.plan.Servers[e.Server].Zone != c.plan.Sidecars[e.Sidecar].Zone {
+		c.crossZone++
+	}
+}
+
+func (c *collector) addSample(e *record.Event) {
+	process := &c.result.Lab
+	if e.Sidecar != record.None {
+		process = &c.result.Sidecars[e.Sidecar]
+		c.rss[e.Sidecar] = append(c.rss[e.Sidecar], rssSample{e.T, float64(e.N)})
+	}
+	process.CPU = max(process.CPU, e.Work)
+	process.LastRSS = float64(e.N) / bytesPerMiB
+	process.PeakRSS = max(process.PeakRSS, process.LastRSS)
+	process.Descriptors = max(process.Descriptors, int(e.Status))
+}
+
+// measureLatency sets what depends on the outcomes of the arrivals: latencies, and the weights answered in time.
+func (c *collector) measureLatency() {
+	s, out := c.plan.Scenario, c.result
 	all := newHistogram()
+	windows := make([]*hdrhistogram.Histogram, len(out.Timeline))
 	classes := make([]*hdrhistogram.Histogram, len(s.Classes))
 	out.Classes = make([]Class, len(s.Classes))
-	classWorth := make([]float64, len(s.Classes))
-	var worth, inAim float64
-	for i := range p.Arrivals {
-		a, r := &p.Arrivals[i], requests[i]
+	classInObjective := make([]int, len(s.Classes))
+	var offeredWeight, servedWeight float64
+	for i := range c.plan.Arrivals {
+		a, served := &c.plan.Arrivals[i], c.outcomes[i].served
 		class := &s.Classes[a.Class]
-		w := at(a.At)
-		line := &out.Timeline[w]
-		line.Offered++
-		line.worth += class.Worth
-		good := r.served > 0 && r.served <= s.Pace(class.Aim)
-		if good {
-			line.served += class.Worth
+		w := c.windowAt(a.At)
+		window := &out.Timeline[w]
+		window.Offered++
+		window.offeredWeight += class.Worth
+		inObjective := served > 0 && served <= s.Pace(class.Aim)
+		if inObjective {
+			window.servedWeight += class.Worth
 		}
-		if r.served > 0 {
-			if windows[w] == nil {
-				windows[w] = newHistogram()
-			}
-			_ = windows[w].RecordValue(r.served.Microseconds()) // over a minute: not in this lab
-		}
-		if a.At < warm {
+		observe(&windows[w], served)
+		if a.At < c.warmUp {
 			continue
 		}
 		out.Figures.Requests++
-		worth += class.Worth
+		offeredWeight += class.Worth
 		out.Classes[a.Class].Requests++
-		if good {
-			inAim += class.Worth
-			classWorth[a.Class]++
-		}
-		if r.served > 0 {
-			_ = all.RecordValue(r.served.Microseconds())
-			if classes[a.Class] == nil {
-				classes[a.Class] = newHistogram()
-			}
-			_ = classes[a.Class].RecordValue(r.served.Microseconds())
+		if inObjective {
+			servedWeight += class.Worth
+			classInObjective[a.Class]++
 		}
+		observe(&all, served)
+		observe(&classes[a.Class], served)
 	}
 	for i := range out.Classes {
-		c := &out.Classes[i]
-		c.Name = s.Classes[i].Name
-		c.InAim = share(classWorth[i], float64(c.Requests), 1)
+		class := &out.Classes[i]
+		class.Name = s.Classes[i].Name
+		class.InObjective = ratio(float64(classInObjective[i]), float64(class.Requests), 1)
 		if classes[i] != nil {
-			c.P50, c.P99 = ms(classes[i], 50), ms(classes[i], 99)
+			class.P50, class.P99 = quantileMS(classes[i], 50), quantileMS(classes[i], 99)
 		}
 	}
 	for i := range out.Timeline {
-		w := &out.Timeline[i]
-		w.InAim = share(w.served, w.worth, 1)
-		w.Refused = share(float64(refused[i]), float64(tries[i]), 0)
-		w.Failed = share(float64(failed[i]), float64(tries[i]), 0)
 		if windows[i] != nil {
-			w.P99 = ms(windows[i], 99)
+			out.Timeline[i].P99 = quantileMS(windows[i], 99)
 		}
 	}
-	if n := len(out.Timeline); n > 1 && out.Timeline[n-1].Offered == 0 {
-		out.Timeline = out.Timeline[:n-1]
-	}
 	f := &out.Figures
-	f.InAim = share(inAim, worth, 1)
-	f.WorstInAim = out.worst(warm)
-	f.Refused, f.Failed = share(float64(sumRefused), float64(sumTries), 0), share(float64(sumFailed), float64(sumTries), 0)
-	f.Tries = share(float64(sumTries), float64(f.Requests), 0)
-	f.Attempts = share(float64(sumAttempts), float64(sumSent), 0)
-	f.CrossZone = share(float64(cross), float64(sumAttempts), 0)
-	f.CrossLeast = p.NeededCrossings()
-	f.Waste = math.Max(1-share(useful, worked, 1), 0)
-	f.P50, f.P90, f.P99, f.P999, f.Max = ms(all, 50), ms(all, 90), ms(all, 99), ms(all, 99.9), float64(all.Max())/1000
+	f.InObjective = ratio(servedWeight, offeredWeight, 1)
+	f.P50, f.P90, f.P99, f.P999 = quantileMS(all, 50), quantileMS(all, 90), quantileMS(all, 99), quantileMS(all, 99.9)
+	f.Max = float64(all.Max()) / microsPerMilli
 	for _, q := range []float64{0, 10, 25, 50, 75, 90, 95, 99, 99.5, 99.9, 99.99, 100} {
-		out.Steps = append(out.Steps, Step{q, ms(all, q)})
+		out.Percentiles = append(out.Percentiles, Percentile{q, quantileMS(all, q)})
 	}
-	for _, f := range p.Faults {
-		out.Faults = append(out.Faults, Span{f.At.Seconds(), f.Until.Seconds(), f.Fault.Kind})
+}
+
+// finishTimeline sets the ratios of each window, and drops an empty last window.
+func (c *collector) finishTimeline() {
+	out := c.result
+	for i := range out.Timeline {
+		w := &out.Timeline[i]
+		w.InObjective = ratio(w.servedWeight, w.offeredWeight, 1)
+		w.Rejected = ratio(float64(c.windowRejected[i]), float64(c.windowAttempts[i]), 0)
+		w.Failed = ratio(float64(c.windowFailed[i]), float64(c.windowAttempts[i]), 0)
+	}
+	if n := len(out.Timeline); n > 1 && out.Timeline[n-1].Offered == 0 {
+		out.Timeline = out.Timeline[:n-1]
 	}
-	return out
 }
 
-type sample struct {
+// finishFigures sets the ratios of the run. It needs the finished timeline.
+func (c *collector) finishFigures(worked float64) {
+	f, attempts := &c.result.Figures, float64(c.attempts)
+	f.WorstInObjective = c.result.worstInObjective(c.warmUp)
+	f.Rejected, f.Failed = ratio(float64(c.rejected), attempts, 0), ratio(float64(c.failed), attempts, 0)
+	f.ClientAttempts = ratio(attempts, float64(f.Requests), 0)
+	f.ServerAttempts = ratio(float64(c.serverAttempts), float64(c.forwarded), 0)
+	f.CrossZone = ratio(float64(c.crossZone), float64(c.serverAttempts), 0)
+	f.MinCrossZone = c.plan.NeededCrossings()
+	f.Waste = math.Max(1-ratio(c.usefulWork, worked, 1), 0)
+}
+
+type rssSample struct {
 	at  time.Duration
 	rss float64
 }
 
-// growth compares the median RSS of the last eighth with that right after the middle, so that one sample is no
-// trend. Too few samples show none.
-func growth(samples []sample, middle time.Duration) float64 {
-	i := slices.IndexFunc(samples, func(s sample) bool { return s.at >= middle })
+// rssGrowth compares the median RSS of the last eighth with that right after the middle, so that a single sample
+// has no effect. With fewer than 8 samples in the second half it returns 0.
+func rssGrowth(samples []rssSample, middle time.Duration) float64 {
+	i := slices.IndexFunc(samples, func(s rssSample) bool { return s.at >= middle })
 	if i < 0 || len(samples)-i < 8 {
 		return 0
 	}
 	late := samples[i:]
 	n := max(len(late)/4, 1)
-	median := func(s []sample) float64 {
+	median := func(s []rssSample) float64 {
 		v := make([]float64, len(s))
 		for i := range s {
 			v[i] = s[i].rss
@@ -310,23 +393,23 @@
 	return median(late[len(late)-n:])/median(late[:n]) - 1
 }
 
-// worst is the lowest share over any span of worstSpan, or over all if the run is shorter.
-func (r *Result) worst(from time.Duration) float64 {
-	lines := r.Timeline[min(int(from/r.window), len(r.Timeline)):]
-	n := min(int(worstSpan/r.window), len(lines))
+// worstInObjective is the lowest weighted fraction over any span of worstSpanLength, or over all if the run is shorter.
+func (r *Result) worstInObjective(from time.Duration) float64 {
+	lines := r.Timeline[min(int(from/r.windowLength), len(r.Timeline)):]
+	n := min(int(worstSpanLength/r.windowLength), len(lines))
 	worst := 1.0
 	for i := 0; n > 0 && i+n <= len(lines); i++ {
-		worth, served := 0.0, 0.0
+		offered, served := 0.0, 0.0
 		for _, l := range lines[i : i+n] {
-			worth += l.worth
-			served += l.served
+			offered += l.offeredWeight
+			served += l.servedWeight
 		}
-		worst = math.Min(worst, share(served, worth, 1))
+		worst = math.Min(worst, ratio(served, offered, 1))
 	}
 	return worst
 }
 
-func share(part, all, otherwise float64) float64 {
+func ratio(part, all, otherwise float64) float64 {
 	if all <= 0 {
 		return otherwise
 	}
--- a/internal/lab/membercold.go
+++ b/internal/lab/membercold.go
@@ -284,7 +284,7 @@
 		return memberRun{err: fmt.Errorf("members-cold: %d sidecars, %s, %s, seed %d: %w", row.Sidecars, row.Change,
 			row.Count, seed, err)}
 	}
-	return memberRun{base: base, members: run.Members, figures: measure.Of(p, run.Events, run.Worked).Figures,
+	return memberRun{base: base, members: run.Members, figures: measure.Compute(p, run.Events, run.Worked).Figures,
 		full: fullParts(run)}
 }
 
@@ -336,8 +336,8 @@
 			peak = max(peak, s.Peak)
 		}
 		r.Peak, r.PeakMean = max(r.Peak, peak), r.PeakMean+peak/n
-		r.InAim += run.figures.InAim / n
-		r.WorstInAim += run.figures.WorstInAim / n
+		r.InAim += run.figures.InObjective / n
+		r.WorstInAim += run.figures.WorstInObjective / n
 		r.Assumed, r.AssumedMean = max(r.Assumed, run.members.Most), r.AssumedMean+run.members.Mean/n
 		full = append(full, run.full...)
 	}
--- a/internal/lab/outcome.go
+++ b/internal/lab/outcome.go
@@ -78,7 +78,7 @@
 	return &Report{
 		Scenario: s.Name, Title: s.Title, Seed: p.Seed, Sidecars: len(p.Sidecars), Servers: s.Servers.Count,
 		Rate: p.Rate, LengthS: s.Length.Duration().Seconds(), Events: len(all),
-		Result: measure.Of(p, all, worked), Verdict: invariant.Check(all, facts),
+		Result: measure.Compute(p, all, worked), Verdict: invariant.Check(all, facts),
 	}
 }
 
@@ -132,11 +132,11 @@
 			out = append(out, fmt.Sprintf("%s is %.3f, expected at most %.3f", name, got, *want))
 		}
 	}
-	least("in_aim", e.InAim, f.InAim)
-	least("worst_in_aim", e.WorstInAim, f.WorstInAim)
-	most("refused", e.Refused, f.Refused)
+	least("in_aim", e.InAim, f.InObjective)
+	least("worst_in_aim", e.WorstInAim, f.WorstInObjective)
+	most("refused", e.Refused, f.Rejected)
 	most("failed", e.Failed, f.Failed)
-	most("attempts", e.Attempts, f.Attempts)
+	most("attempts", e.Attempts, f.ServerAttempts)
 	most("cross_zone", e.CrossZone, f.CrossZone)
 	most("waste", e.Waste, f.Waste)
 	if e.P99 != nil {
@@ -144,7 +144,7 @@
 		most("p99 (ms)", &want, f.P99)
 	}
 	for _, p := range r.Result.Sidecars {
-		most("memory_growth of "+p.Name, e.MemoryGrows, p.Growth)
+		most("memory_growth of "+p.Name, e.MemoryGrows, p.RSSGrowth)
 	}
 	return out
 }
--- a/internal/lab/plot.go
+++ b/internal/lab/plot.go
@@ -62,8 +62,8 @@
 		colour color.Color
 		of     func(*measure.Window) float64
 	}{
-		{"in aim", goodColour, func(w *measure.Window) float64 { return w.InAim }},
-		{"refused", refusedColour, func(w *measure.Window) float64 { return w.Refused }},
+		{"in aim", goodColour, func(w *measure.Window) float64 { return w.InObjective }},
+		{"refused", refusedColour, func(w *measure.Window) float64 { return w.Rejected }},
 		{"failed", failedColour, func(w *measure.Window) float64 { return w.Failed }},
 	} {
 		points := make(plotter.XYs, len(r.Result.Timeline))
@@ -85,7 +85,7 @@
 }
 
 // markFaults draws a grey span, or a line for what happens once, at each fault.
-func markFaults(p *plot.Plot, faults []measure.Span, top float64) error {
+func markFaults(p *plot.Plot, faults []measure.FaultSpan, top float64) error {
 	for _, f := range faults {
 		if f.To <= f.From {
 			line, err := plotter.NewLine(plotter.XYs{{X: f.From, Y: 0}, {X: f.From, Y: top}})
@@ -119,7 +119,7 @@
 	p.X.Label.Text, p.Y.Label.Text = "percentile", "ms"
 	var points plotter.XYs
 	var ticks []plot.Tick
-	for _, s := range r.Result.Steps {
+	for _, s := range r.Result.Percentiles {
 		if s.Quantile >= 100 || s.Quantile <= 0 {
 			continue
 		}
--- a/internal/lab/registry_result.go
+++ b/internal/lab/registry_result.go
@@ -17,25 +17,25 @@
 
 // RegistryResult is what a run of the list service shows. Times are in milliseconds.
 type RegistryResult struct {
-	Copies    int             `json:"copies"`
-	Watchers  int             `json:"watchers"`
-	Writes    int             `json:"writes"`    // acknowledged
-	Conflicts int             `json:"conflicts"` // refused on their condition
-	Refused   int             `json:"refused"`   // certainly not done: nobody led
-	Unknown   int             `json:"unknown"`   // no answer: done or not
-	Gets      int             `json:"gets"`
-	Reads     int             `json:"reads"`      // whole lists, of any copy
-	ReadsLost int             `json:"reads_lost"` // no copy answered
-	Lines     int64           `json:"lines"`      // that watchers took
-	Rejoins   int64           `json:"rejoins"`    // watches that ended and began again
-	TellP50   float64         `json:"tell_p50_ms"`
-	TellP99   float64         `json:"tell_p99_ms"` // from a write's call until the last watcher is told
-	TellMax   float64         `json:"tell_max_ms"`
-	Gaps      []float64       `json:"gaps_ms"`    // after each fault: until a write called since is acknowledged
-	Returns   []float64       `json:"returns_ms"` // of copies that were killed: from their start until they had the list
-	Heals     []float64       `json:"heals_ms"`   // of disks that failed: from when one works until its copy had the list
-	OldestMS  float64         `json:"oldest_ms"`  // the greatest age that a copy has stated with a list
-	Parties   []measure.Party `json:"parties"`
+	Copies    int               `json:"copies"`
+	Watchers  int               `json:"watchers"`
+	Writes    int               `json:"writes"`    // acknowledged
+	Conflicts int               `json:"conflicts"` // refused on their condition
+	Refused   int               `json:"refused"`   // certainly not done: nobody led
+	Unknown   int               `json:"unknown"`   // no answer: done or not
+	Gets      int               `json:"gets"`
+	Reads     int               `json:"reads"`      // whole lists, of any copy
+	ReadsLost int               `json:"reads_lost"` // no copy answered
+	Lines     int64             `json:"lines"`      // that watchers took
+	Rejoins   int64             `json:"rejoins"`    // watches that ended and began again
+	TellP50   float64           `json:"tell_p50_ms"`
+	TellP99   float64           `json:"tell_p99_ms"` // from a write's call until the last watcher is told
+	TellMax   float64           `json:"tell_max_ms"`
+	Gaps      []float64         `json:"gaps_ms"`    // after each fault: until a write called since is acknowledged
+	Returns   []float64         `json:"returns_ms"` // of copies that were killed: from their start until they had the list
+	Heals     []float64         `json:"heals_ms"`   // of disks that failed: from when one works until its copy had the list
+	OldestMS  float64           `json:"oldest_ms"`  // the greatest age that a copy has stated with a list
+	Parties   []measure.Process `json:"parties"`
 }
 
 // result sums the run up.
@@ -94,7 +94,7 @@
 		}
 	}
 	for _, c := range rr.copies {
-		p := measure.Party{Name: c.name, CPU: c.past}
+		p := measure.Process{Name: c.name, CPU: c.past}
 		if u, err := process.Measure(c.process().PID); err == nil {
 			p.CPU += u.CPU
 			p.LastRSS, p.PeakRSS, p.Descriptors = float64(u.RSS)/(1<<20), float64(u.PeakRSS)/(1<<20), u.Descriptors
--- a/internal/lab/report.go
+++ b/internal/lab/report.go
@@ -26,22 +26,22 @@
 	f, res := &r.Result.Figures, r.Result
 	fmt.Fprintf(w, "%s (seed %d): %d sidecars, %d servers, %.0f requests/s for %.0f s\n",
 		r.Scenario, r.Seed, r.Sidecars, r.Servers, r.Rate, r.LengthS)
-	fmt.Fprintf(w, "\nserved in aim %6.2f%% of the worth (worst 5 s: %.2f%%) of %d requests\n", 100*f.InAim, 100*f.WorstInAim, f.Requests)
+	fmt.Fprintf(w, "\nserved in aim %6.2f%% of the worth (worst 5 s: %.2f%%) of %d requests\n", 100*f.InObjective, 100*f.WorstInObjective, f.Requests)
 	fmt.Fprintf(w, "tries         %6.2f%% refused, %.2f%% failed, %.3f a request; %.3f attempts a try that was sent on\n",
-		100*f.Refused, 100*f.Failed, f.Tries, f.Attempts)
+		100*f.Rejected, 100*f.Failed, f.ClientAttempts, f.ServerAttempts)
 	fmt.Fprintf(w, "cost          %6.2f%% of attempts left their zone (%.2f%% is the least that capacity allows), %.2f%% of the servers' work served nobody\n",
-		100*f.CrossZone, 100*f.CrossLeast, 100*f.Waste)
+		100*f.CrossZone, 100*f.MinCrossZone, 100*f.Waste)
 	fmt.Fprintf(w, "latency       p50 %.1f  p90 %.1f  p99 %.1f  p99.9 %.1f  max %.1f ms, from the planned time\n", f.P50, f.P90, f.P99, f.P999, f.Max)
 	fmt.Fprintf(w, "\n%-18s %9s %8s %9s %9s\n", "class", "requests", "in aim", "p50 ms", "p99 ms")
 	for _, c := range res.Classes {
-		fmt.Fprintf(w, "%-18s %9d %7.2f%% %9.1f %9.1f\n", c.Name, c.Requests, 100*c.InAim, c.P50, c.P99)
+		fmt.Fprintf(w, "%-18s %9d %7.2f%% %9.1f %9.1f\n", c.Name, c.Requests, 100*c.InObjective, c.P50, c.P99)
 	}
 	fmt.Fprintf(w, "\n%-18s %9s %8s %9s %9s %12s\n", "process", "requests", "CPU s", "RSS MB", "peak MB", "descriptors")
-	party := func(p *measure.Party) {
+	party := func(p *measure.Process) {
 		fmt.Fprintf(w, "%-18s %9d %8.2f %9.1f %9.1f %12d\n", p.Name, p.Requests, p.CPU, p.LastRSS, p.PeakRSS, p.Descriptors)
 	}
 	busiest := slices.Clone(res.Sidecars)
-	slices.SortStableFunc(busiest, func(a, b measure.Party) int { return b.Requests - a.Requests })
+	slices.SortStableFunc(busiest, func(a, b measure.Process) int { return b.Requests - a.Requests })
 	for i := range busiest[:min(len(busiest), mostRows)] {
 		party(&busiest[i])
 	}
--- a/internal/lab/simulate/simulate_test.go
+++ b/internal/lab/simulate/simulate_test.go
@@ -157,7 +157,7 @@
 		if f := rep.ZoneFaults[0]; len(rep.Verdict.Counts) > 0 || f.LostP99 > 20 || f.Share > 0.06 {
 			t.Errorf("seed %d: %v, %+v", seed, rep.Verdict.Counts, f)
 		}
-		inAim += rep.Result.Figures.InAim / float64(seeds)
+		inAim += rep.Result.Figures.InObjective / float64(seeds)
 	}
 	if inAim < 0.965 {
 		t.Errorf("%.4f in aim", inAim)
