--- a/internal/lab/client/client.go
+++ b/internal/lab/client/client.go
@@ -148,7 +148,8 @@
 		if timeout < time.Millisecond || ctx.Err() != nil {
 			return
 		}
-		t := &attempt{load: l, arrival: a, arrivalIndex: arrivalIndex, attemptNumber: attemptNumber, id: r.Uint64()>>12 | 1, timeout: timeout, leaveAfter: leaveAfter}
+		t := &attempt{load: l, arrival: a, arrivalIndex: arrivalIndex, attemptNumber: attemptNumber, id: r.Uint64()>>12 | 1,
+			timeout: timeout, leaveAfter: leaveAfter}
 		v := t.run(ctx)
 		if v.status == http.StatusOK {
 			return
@@ -191,7 +192,8 @@
 		method, body = http.MethodPost, stock.Body(^t.id, class.Body)
 	}
 	sum := record.Sum(body)
-	t.load.Requests.Add(t.id, stock.Ask{Method: method, Class: t.arrival.Class, Tenant: t.arrival.Tenant, Sum: sum, Work: t.arrival.Work, Vary: class.Vary, Answer: s.Traffic.Answer})
+	t.load.Requests.Add(t.id, stock.Ask{Method: method, Class: t.arrival.Class, Tenant: t.arrival.Tenant, Sum: sum,
+		Work: t.arrival.Work, Vary: class.Vary, Answer: s.Traffic.Answer})
 	head := fmt.Appendf(nil, "%s /api HTTP/1.1\r\nHost: backend.local\r\nX-Request-ID: %016x\r\nX-Priority-Class: %s\r\nX-Tenant-Id: %s\r\nX-Timeout-Ms: %d\r\n",
 		method, t.id, class.Name, s.Tenants[t.arrival.Tenant].Name, t.timeoutMS())
 	if s.Routed() && !t.arrival.Keyless {
@@ -226,13 +228,14 @@
 		if !resend || !reused {
 			return v
 		}
-		// A reused connection was closed while the request was sent: send it again on another one.
+		// A reused connection was closed while the request was sent: send it again on a new one.
 		c = nil
 	}
 }
 
 // exchange sends the attempt on one connection. resend is set if it was closed without a byte of an answer.
-func (t *attempt) exchange(ctx context.Context, c *conn, p *pool, message []byte, sum uint64, method string, behaviour clientBehaviour) (v attemptResult, resend bool) {
+func (t *attempt) exchange(ctx context.Context, c *conn, p *pool, message []byte, sum uint64, method string,
+	behaviour clientBehaviour) (v attemptResult, resend bool) {
 	started := time.Now()
 	_ = c.SetDeadline(started.Add(t.timeout)) // on a closed connection the write below fails
 	if _, err := c.Write(message); err != nil {
@@ -242,7 +245,8 @@
 	}
 	t.note(record.Sent, record.Event{Attempt: int16(t.attemptNumber), Sum: sum, Work: float64(t.timeoutMS())})
 	if behaviour.pipelined == pipelinedLater {
-		defer time.AfterFunc(pipelineDelay, func() { _, _ = io.WriteString(c, partialNextRequest) }).Stop() // an error on a closed connection does not matter
+		// A write error means that the connection is closed, which the read below reports.
+		defer time.AfterFunc(pipelineDelay, func() { _, _ = io.WriteString(c, partialNextRequest) }).Stop()
 	}
 	stop := context.AfterFunc(ctx, func() { _ = c.SetDeadline(time.Unix(1, 0)) })
 	defer stop()
--- a/internal/lab/relay/late.go
+++ b/internal/lab/relay/handshake_delay.go
@@ -231,7 +231,7 @@
 		{Code: unix.BPF_ALU | unix.BPF_AND | unix.BPF_K, K: portSpace - 1},
 		{Code: unix.BPF_JMP | unix.BPF_JGE | unix.BPF_K, Jt: 1, K: uint32(fraction * portSpace)},
 		{Code: unix.BPF_RET | unix.BPF_K, K: 0},
-		{Code: unix.BPF_RET | unix.BPF_K, K: 1 << 18},
+		{Code: unix.BPF_RET | unix.BPF_K, K: acceptedBytes},
 	}
 }
 
--- a/internal/lab/relay/link.go
+++ b/internal/lab/relay/link.go
@@ -13,7 +13,7 @@
 	"golang.org/x/sys/unix"
 )
 
-// Direction is a direction on a link.
+// Direction is a set of directions on a link.
 type Direction uint8
 
 // The directions; To is from the caller to the party that is called.
@@ -31,7 +31,7 @@
 	Cut             Direction     // directions that carry nothing; Port.Cut drops the handshakes
 	Reject          bool          // new connections are reset immediately
 	ResetAfterBytes int64         // each connection is reset after this many bytes; 0: never
-	HalfClose       bool          // an answer is cut after its first 16 bytes and the write side closed
+	HalfClose       bool          // an answer is cut after halfCloseBytes and the write side closed
 	AnswerLoss      float64       // fraction of answers that are never written, 0 to 1; the connection stays open
 }
 
@@ -95,6 +95,9 @@
 // closePollInterval is how often a connection that waits for the end of a cut is checked for a close by the caller.
 const closePollInterval = 5 * time.Millisecond
 
+// halfCloseBytes is how much of an answer is written before a half-close.
+const halfCloseBytes = 16
+
 // Conn is a caller's connection as the party that is called sees it through the link.
 type Conn struct {
 	*net.TCPConn
@@ -155,7 +158,7 @@
 		return 0, err
 	}
 	if r.HalfClose {
-		n, err := c.TCPConn.Write(p[:min(len(p), 16)])
+		n, err := c.TCPConn.Write(p[:min(len(p), halfCloseBytes)])
 		if err == nil {
 			err = c.TCPConn.CloseWrite()
 		}
--- a/internal/lab/relay/listen.go
+++ b/internal/lab/relay/listen.go
@@ -209,7 +209,7 @@
 				return
 			}
 			// A temporary error, such as too many open files.
-			time.Sleep(5 * time.Millisecond)
+			time.Sleep(acceptRetryDelay)
 			continue
 		}
 		called := raw.LocalAddr()
@@ -319,6 +319,12 @@
 	return nil
 }
 
+// acceptRetryDelay is the pause after a failed accept.
+const acceptRetryDelay = 5 * time.Millisecond
+
+// acceptedBytes is how much of a packet the filter keeps: more than any IPv4 packet, so all of it.
+const acceptedBytes = 1 << 18
+
 // networkHeader is SKF_NET_OFF (-0x100000) of linux/filter.h: offsets from it count from the IP header.
 const networkHeader = 0xfff00000
 
@@ -344,7 +350,7 @@
 	for _, n := range late {
 		prog = append(prog, dropFraction(word(n), fraction)...)
 	}
-	return append(prog, unix.SockFilter{Code: unix.BPF_RET | unix.BPF_K, K: 1 << 18})
+	return append(prog, unix.SockFilter{Code: unix.BPF_RET | unix.BPF_K, K: acceptedBytes})
 }
 
 func detach(fd int) error {
--- a/internal/lab/relay/relay_test.go
+++ b/internal/lab/relay/relay_test.go
@@ -192,7 +192,7 @@
 			t.Errorf("after the reset: %v", err)
 		}
 	})
-	t.Run("refuse", func(t *testing.T) {
+	t.Run("reject", func(t *testing.T) {
 		p, links := listenEcho(t, 1)
 		links[0].Set(func(r *Rules) { r.Reject = true })
 		if c, err := net.Dial("tcp4", p.Addr(0)); err == nil {
@@ -219,7 +219,7 @@
 			t.Error(err)
 		}
 	})
-	t.Run("break", func(t *testing.T) {
+	t.Run("reset after bytes", func(t *testing.T) {
 		p, links := listenEcho(t, 1)
 		links[0].Set(func(r *Rules) { r.ResetAfterBytes = 100 })
 		c := dial(t, p, 0)
@@ -238,7 +238,7 @@
 			t.Errorf("%d bytes, %v", len(got), err)
 		}
 	})
-	t.Run("lose", func(t *testing.T) {
+	t.Run("answer loss", func(t *testing.T) {
 		lost := 0
 		c := &Conn{link: NewLink(Rules{AnswerLoss: 0.3}, 7)}
 		for range 1000 {
