--- a/internal/lab/fault_steps.go
+++ b/internal/lab/fault_steps.go
@@ -114,7 +114,7 @@
 	case "turn-away":
 		return behave(func(b *stock.Behaviour, on bool) { b.Turn = size(on) })
 	case "leave":
-		return once(func(context.Context) error { r.load.Leave(p.Sidecars, f.Size); return nil })
+		return once(func(context.Context) error { r.load.LeaveEarly(p.Sidecars, f.Size); return nil })
 	case "kill":
 		return once(func(context.Context) error { return r.each(p.Servers, r.killServer) })
 	case "restart":
@@ -142,7 +142,7 @@
 		steps[0].do = func(ctx context.Context) error {
 			ctx, cancel := context.WithTimeout(ctx, p.Until-p.At)
 			defer cancel()
-			r.load.Fill(ctx, p.Sidecars, int(f.Size))
+			r.load.HoldIdle(ctx, p.Sidecars, int(f.Size))
 			return nil
 		}
 		return steps
@@ -191,7 +191,7 @@
 	}
 	switch f.Kind {
 	case "cut":
-		way := map[string]relay.Way{"to": relay.To, "from": relay.From, "both": relay.Both}[f.Way]
+		way := map[string]relay.Direction{"to": relay.To, "from": relay.From, "both": relay.Both}[f.Way]
 		return pair(func(on bool) error { return r.cut(p, way, on) })
 	case "latency":
 		var before relay.Rules
@@ -211,18 +211,18 @@
 		})
 	case "lose":
 		return links(func(rules *relay.Rules, on bool) {
-			if rules.Lose = 0; on {
-				rules.Lose = f.Size
+			if rules.AnswerLoss = 0; on {
+				rules.AnswerLoss = f.Size
 			}
 		})
 	case "refuse":
-		return links(func(rules *relay.Rules, on bool) { rules.Refuse = on })
+		return links(func(rules *relay.Rules, on bool) { rules.Reject = on })
 	case "half-close":
 		return links(func(rules *relay.Rules, on bool) { rules.HalfClose = on })
 	case "break":
 		return links(func(rules *relay.Rules, on bool) {
-			if rules.Break = 0; on {
-				rules.Break = int64(f.Size)
+			if rules.ResetAfterBytes = 0; on {
+				rules.ResetAfterBytes = int64(f.Size)
 			}
 		})
 	case "accept-late":
@@ -230,7 +230,7 @@
 	case "reset":
 		return once(func(context.Context) error {
 			r.eachLink(p, func(port *relay.Port, sidecar int, _ *relay.Link) {
-				port.Each(sidecar, (*relay.Conn).Reset)
+				port.EachConn(sidecar, (*relay.Conn).Reset)
 				if f.Link == "discovery" {
 					r.loseWatches(f, sidecar)
 				}
@@ -244,15 +244,15 @@
 // lateSteps let a share of the new connections of a fault's links come up late.
 func (r *run) lateSteps(p *scenario.FaultPlan, pair pairStep) []step {
 	size := time.Duration(p.Fault.Size * float64(time.Second))
-	var late *relay.Late
+	var late *relay.HandshakeDelay
 	return pair(func(on bool) error {
 		if !on {
 			if late == nil {
 				return nil
 			}
-			return late.End()
+			return late.Stop()
 		}
-		late = relay.NewLate(p.Fault.Share, func(l *relay.Link) time.Duration {
+		late = relay.NewHandshakeDelay(p.Fault.Share, func(l *relay.Link) time.Duration {
 			if p.Fault.Drawn {
 				return time.Duration(l.Draw() * float64(size))
 			}
@@ -273,7 +273,7 @@
 		return pair(func(on bool) error {
 			for _, a := range r.listsOf(f) {
 				for _, i := range p.Sidecars {
-					a.Behave(i, func(b *agent.Behaviour) { change(b, on) })
+					a.SetBehaviour(i, func(b *agent.Behaviour) { change(b, on) })
 				}
 			}
 			return nil
@@ -286,11 +286,11 @@
 			})
 		})
 	}
-	if lie, ok := map[string]string{"list-empty": agent.LieEmpty, "list-half": agent.LieHalf, "list-stuck": agent.LieStuck,
-		"list-freeze": agent.LieFrozen, "list-big": agent.LieBig}[f.Kind]; ok {
+	if lie, ok := map[string]string{"list-empty": agent.FaultEmptyList, "list-half": agent.FaultPartialList, "list-stuck": agent.FaultStaleWatch,
+		"list-freeze": agent.FaultTruncatedLine, "list-big": agent.FaultOversizedLine}[f.Kind]; ok {
 		return list(func(b *agent.Behaviour, on bool) {
-			if b.Lie, b.Share = "", 0; on {
-				b.Lie, b.Share = lie, f.Size
+			if b.Fault, b.Fraction = "", 0; on {
+				b.Fault, b.Fraction = lie, f.Size
 			}
 		})
 	}
@@ -307,23 +307,23 @@
 		return once(func(context.Context) error {
 			for _, a := range r.listsOf(f) {
 				for _, i := range p.Sidecars {
-					a.Hush(i)
+					a.SilenceWatches(i)
 				}
 			}
 			return nil
 		})
 	case "list-end":
-		return list(func(b *agent.Behaviour, on bool) { b.Form.Ends = on })
+		return list(func(b *agent.Behaviour, on bool) { b.Form.EndOnChange = on })
 	case "list-whole":
-		return list(func(b *agent.Behaviour, on bool) { b.Form.Whole = on })
+		return list(func(b *agent.Behaviour, on bool) { b.Form.CompleteFirst = on })
 	case "list-pieces":
 		return list(func(b *agent.Behaviour, on bool) {
-			if b.Form.Pieces = 0; on {
-				b.Form.Pieces = int(f.Size)
+			if b.Form.PieceBytes = 0; on {
+				b.Form.PieceBytes = int(f.Size)
 			}
 		})
 	case "list-refuse":
-		return list(func(b *agent.Behaviour, on bool) { b.Refuse = on })
+		return list(func(b *agent.Behaviour, on bool) { b.Reject = on })
 	case "list-move":
 		return once(func(context.Context) error { return r.moveDiscovery() })
 	case "sidecar-freeze":
--- a/internal/lab/lab.go
+++ b/internal/lab/lab.go
@@ -65,7 +65,7 @@
 	out      *slog.Logger
 	dir      string
 	program  string
-	nursery  *process.Nursery
+	nursery  *process.Supervisor
 	book     *client.RequestLog
 	pods     []*stock.Pod
 	servers  []*stock.Server
@@ -84,9 +84,9 @@
 	repeated    atomic.Int64
 
 	linkMu sync.Mutex
-	links  map[[2]int]*relay.Link // by sidecar and server
-	disc   [][]*relay.Link        // by list service and sidecar
-	lates  []*relay.Late          // that have begun
+	links  map[[2]int]*relay.Link  // by sidecar and server
+	disc   [][]*relay.Link         // by list service and sidecar
+	lates  []*relay.HandshakeDelay // that have begun
 
 	wg       sync.WaitGroup // what a run does
 	watchers sync.WaitGroup // of processes; they end after those
@@ -131,7 +131,7 @@
 
 // start brings all parties up. The clock of the run starts when they are ready.
 func (r *run) start(ctx context.Context) error {
-	r.nursery = process.NewNursery()
+	r.nursery = process.NewSupervisor()
 	r.log = record.New()
 	for k := range max(r.s.Discovery.Copies, r.s.Discovery.Registry) {
 		var row []*relay.Link
@@ -213,7 +213,7 @@
 		return err
 	}
 	s.OnFall = func() {
-		r.note(record.ServerState, record.Nobody, i, "is down for good")
+		r.note(record.ServerState, record.None, i, "is down for good")
 		s.Kill()
 	}
 	r.servers = append(r.servers, s)
@@ -241,7 +241,7 @@
 }
 
 func (r *run) note(k record.Kind, sidecar, server int, note string) {
-	r.log.Add(record.Event{Kind: k, Sidecar: int32(sidecar), Server: int32(server), Class: record.Nobody, Note: note})
+	r.log.Add(record.Event{Kind: k, Sidecar: int32(sidecar), Server: int32(server), Class: record.None, Note: note})
 }
 
 // fail keeps the first thing that made the run impossible.
@@ -356,7 +356,7 @@
 // measureAll writes down what each process uses now.
 func (r *run) measureAll() {
 	together := func(sidecar int, cpu float64, pids ...int) {
-		e := record.Event{Kind: record.Sample, Sidecar: int32(sidecar), Server: record.Nobody, Class: record.Nobody, Work: cpu}
+		e := record.Event{Kind: record.Sample, Sidecar: int32(sidecar), Server: record.None, Class: record.None, Work: cpu}
 		for _, pid := range pids {
 			u, err := process.Measure(pid)
 			if err != nil {
@@ -368,7 +368,7 @@
 			r.log.Add(e)
 		}
 	}
-	together(record.Nobody, 0, os.Getpid())
+	together(record.None, 0, os.Getpid())
 	for i, s := range r.sidecars { // during an upgrade two processes are one sidecar, to its limits too
 		pids, past := s.processes()
 		together(i, past, pids...)
@@ -386,7 +386,7 @@
 		select {
 		case <-t.C:
 			fmt.Fprintf(r.o.Progress, "%5.1f of %.0f s, %d requests under way\n",
-				(r.log.Now() - began).Seconds(), r.s.Length.Duration().Seconds(), r.load.Live())
+				(r.log.Now() - began).Seconds(), r.s.Length.Duration().Seconds(), r.load.InFlight())
 		case <-ctx.Done():
 			return
 		}
@@ -398,7 +398,7 @@
 	cancel()
 	r.wg.Wait()
 	for _, l := range r.lates { // of a run that ended before they did
-		_ = l.End()
+		_ = l.Stop()
 	}
 	for _, s := range r.sidecars {
 		s.kill()
--- /dev/null
+++ b/internal/lab/relay/handshake_delay.go
@@ -0,0 +1,326 @@
+package relay
+
+import (
+	"context"
+	"encoding/binary"
+	"errors"
+	"fmt"
+	"net"
+	"net/netip"
+	"slices"
+	"sync"
+	"syscall"
+	"time"
+	"unsafe"
+
+	"golang.org/x/sys/unix"
+)
+
+// HandshakeDelay delays the TCP handshake of a fraction of the new connections of some callers. A filter on the listening
+// socket drops their SYNs, the kernel lists the connections in SYN_SENT, and after the delay the party dials the caller,
+// which TCP completes as a simultaneous open (RFC 9293, 3.5). Until then the caller's connect does not return, and no
+// request byte can be written.
+//
+// Alternatives that do not fit: a delayed accept lets the caller write its request first, so a non-idempotent one cannot
+// be sent elsewhere; a dropped first SYN is retransmitted only after 1 s.
+//
+// Limits: the source port decides whether a connection is delayed. A delay under about 20 ms may take longer, as a
+// pending connection is not found sooner.
+type HandshakeDelay struct {
+	fraction float64
+	delay    func(*Link) time.Duration
+
+	mu            sync.Mutex
+	callersByPort map[*Port][]int // callers with delayed handshakes
+	lastDropCount map[*Port]uint32
+	wg            sync.WaitGroup
+	cancel        context.CancelFunc
+	err           error
+}
+
+// dropPollInterval is how often the drop counts of the listening sockets are polled. Only after a drop is the kernel
+// queried for pending connections, as that query scans all sockets and takes about 15 ms.
+const dropPollInterval = 5 * time.Millisecond
+
+// NewHandshakeDelay makes the fault for a fraction of connections, 0 to 1; delay draws the delay of one connection of a link.
+func NewHandshakeDelay(fraction float64, delay func(*Link) time.Duration) *HandshakeDelay {
+	return &HandshakeDelay{fraction: fraction, delay: delay, callersByPort: map[*Port][]int{}, lastDropCount: map[*Port]uint32{}}
+}
+
+// Draw is a random number from 0 to 1 of the link's seeded source.
+func (l *Link) Draw() float64 { return l.draw() }
+
+// Add applies the fault to a caller's new connections to a port. Call it before Start.
+func (h *HandshakeDelay) Add(p *Port, caller int) {
+	h.callersByPort[p] = append(h.callersByPort[p], caller)
+}
+
+// Start attaches the filters and starts to open delayed connections.
+func (h *HandshakeDelay) Start() error {
+	ctx, cancel := context.WithCancel(context.Background())
+	h.cancel = cancel
+	for p, callers := range h.callersByPort {
+		if err := p.setDelayed(callers, h.fraction); err != nil {
+			h.Stop()
+			return err
+		}
+	}
+	h.wg.Go(func() { h.watch(ctx) })
+	return nil
+}
+
+// Stop removes the filters and waits for its goroutines; pending connections complete when the kernel retransmits the
+// SYN. It returns the error that stopped the watch, if any. A second Stop does nothing.
+func (h *HandshakeDelay) Stop() error {
+	for p := range h.callersByPort {
+		_ = p.setDelayed(nil, 0) // removing callers only shortens the filter
+	}
+	h.cancel()
+	h.wg.Wait()
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	return h.err
+}
+
+// watch finds the pending connections and opens each after its delay.
+func (h *HandshakeDelay) watch(ctx context.Context) {
+	tick := time.NewTicker(dropPollInterval)
+	defer tick.Stop()
+	known := map[addrPair]bool{}
+	for {
+		select {
+		case <-ctx.Done():
+			return
+		case <-tick.C:
+		}
+		if !h.anyFilterDropped() {
+			continue
+		}
+		all, err := pendingConns()
+		if err != nil {
+			h.mu.Lock()
+			h.err = err
+			h.mu.Unlock()
+			return
+		}
+		for one := range known {
+			if !slices.ContainsFunc(all, func(w pendingConn) bool { return w.addrPair == one }) {
+				delete(known, one)
+			}
+		}
+		for _, w := range all {
+			if known[w.addrPair] || !portDropped(w.from.Port(), h.fraction) {
+				continue
+			}
+			if p, n := h.calledPort(w.to); p != nil {
+				known[w.addrPair] = true
+				wait := h.delay(p.links(n)) - w.age
+				h.wg.Go(func() { p.openDelayed(ctx, w.addrPair, n, wait) })
+			}
+		}
+	}
+}
+
+// anyFilterDropped tells whether a filter has dropped a packet since the last call.
+func (h *HandshakeDelay) anyFilterDropped() bool {
+	changed := false
+	for p := range h.callersByPort {
+		if n := p.dropCount(); n != h.lastDropCount[p] {
+			h.lastDropCount[p], changed = n, true
+		}
+	}
+	return changed
+}
+
+// dropCount is the number of packets that the listening socket has dropped; 0 without a listener.
+func (p *Port) dropCount() uint32 {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	if p.listener == nil {
+		return 0
+	}
+	raw, err := p.listener.SyscallConn()
+	if err != nil {
+		return 0
+	}
+	var info [memInfoDrops + 1]uint32
+	_ = raw.Control(func(fd uintptr) { // a socket closed meanwhile has dropped nothing
+		size := uint32(len(info) * 4)
+		_, _, _ = unix.Syscall6(unix.SYS_GETSOCKOPT, fd, unix.SOL_SOCKET, unix.SO_MEMINFO,
+			uintptr(unsafe.Pointer(&info)), uintptr(unsafe.Pointer(&size)), 0)
+	})
+	return info[memInfoDrops]
+}
+
+// memInfoDrops is SK_MEMINFO_DROPS of linux/sock_diag.h, the index of the drop count in the result of SO_MEMINFO.
+const memInfoDrops = 8
+
+// calledPort finds the port and the caller that a destination address belongs to; nil: none with the fault.
+func (h *HandshakeDelay) calledPort(to netip.AddrPort) (*Port, int) {
+	n, ok := callerOf(to.Addr())
+	if !ok {
+		return nil, 0
+	}
+	for p, callers := range h.callersByPort {
+		if p.portNumber() == int(to.Port()) && slices.Contains(callers, n) {
+			return p, n
+		}
+	}
+	return nil, 0
+}
+
+func (p *Port) portNumber() int {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	return p.port
+}
+
+// openDelayed opens a pending connection from the called address after a wait. If the caller has given up, its kernel
+// resets the dial, and there is nothing to serve.
+func (p *Port) openDelayed(ctx context.Context, w addrPair, caller int, wait time.Duration) {
+	t := time.NewTimer(wait)
+	defer t.Stop()
+	select {
+	case <-ctx.Done():
+		return
+	case <-t.C:
+	}
+	p.mu.Lock()
+	l := p.listener
+	p.mu.Unlock()
+	if l == nil { // the party is down: the kernel resets the retransmitted SYN
+		return
+	}
+	d := net.Dialer{LocalAddr: net.TCPAddrFromAddrPort(w.to), Timeout: time.Second, KeepAlive: -1, Control: allowAddrReuse}
+	d.SetMultipathTCP(false)
+	c, err := d.DialContext(ctx, "tcp4", w.from.String())
+	if err != nil {
+		return
+	}
+	p.serveConn(l, c.(*net.TCPConn), caller)
+}
+
+// allowAddrReuse allows a socket to be bound to the address of a listener.
+func allowAddrReuse(_, _ string, c syscall.RawConn) error {
+	var failed error
+	err := c.Control(func(fd uintptr) {
+		failed = errors.Join(unix.SetsockoptInt(int(fd), unix.SOL_SOCKET, unix.SO_REUSEADDR, 1),
+			unix.SetsockoptInt(int(fd), unix.SOL_SOCKET, unix.SO_REUSEPORT, 1))
+	})
+	return errors.Join(err, failed)
+}
+
+// The filter hashes source ports to 16 bits by a multiplication and drops those below the fraction.
+const (
+	portMultiplier = 40503 // odd, near 2^16 over the golden ratio
+	portSpace      = 1 << 16
+)
+
+// portDropped tells whether the filter drops packets from this source port.
+func portDropped(port uint16, fraction float64) bool {
+	return uint32(port)*portMultiplier%portSpace < uint32(fraction*portSpace)
+}
+
+// dropFraction is the part of a filter that drops a fraction of one caller's packets. It expects the address in the
+// accumulator; for a packet of this caller it returns the verdict, for others it falls through.
+func dropFraction(addr uint32, fraction float64) []unix.SockFilter {
+	return []unix.SockFilter{
+		{Code: unix.BPF_JMP | unix.BPF_JEQ | unix.BPF_K, Jf: 6, K: addr},
+		{Code: unix.BPF_LD | unix.BPF_H | unix.BPF_ABS, K: networkHeader + sourcePortOffset},
+		{Code: unix.BPF_ALU | unix.BPF_MUL | unix.BPF_K, K: portMultiplier},
+		{Code: unix.BPF_ALU | unix.BPF_AND | unix.BPF_K, K: portSpace - 1},
+		{Code: unix.BPF_JMP | unix.BPF_JGE | unix.BPF_K, Jt: 1, K: uint32(fraction * portSpace)},
+		{Code: unix.BPF_RET | unix.BPF_K, K: 0},
+		{Code: unix.BPF_RET | unix.BPF_K, K: acceptedBytes},
+	}
+}
+
+// sourcePortOffset is the offset of the TCP source port after an IPv4 header without options.
+const sourcePortOffset = 20
+
+// setDelayed sets the callers and the fraction of delayed handshakes.
+func (p *Port) setDelayed(callers []int, fraction float64) error {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	p.delayed, p.delayedFraction = callers, fraction
+	return p.applyFilter()
+}
+
+// addrPair is the two ends of a connection.
+type addrPair struct{ from, to netip.AddrPort }
+
+// pendingConn is a connection whose handshake is not complete.
+type pendingConn struct {
+	addrPair
+	age time.Duration // since its first SYN
+}
+
+// synRetryDelay is the kernel's first SYN retransmission timeout (RFC 6298, 2.1); what is left of it gives the age of the
+// first SYN.
+const (
+	synRetryDelay = time.Second
+	kernelTick    = 10 * time.Millisecond // resolution of the retransmission timer
+)
+
+// Sizes and field offsets, in bytes, of the kernel's inet_diag_req_v2 and inet_diag_msg.
+const (
+	diagRequest  = 56
+	diagAnswer   = 72
+	diagRetries  = 3
+	diagPorts    = 4
+	diagSource   = 8
+	diagTarget   = 24
+	diagTimer    = 52
+	synSent      = 2
+	netlinkBytes = 64 << 10
+)
+
+// pendingConns queries the kernel for all IPv4 connections in SYN_SENT.
+func pendingConns() ([]pendingConn, error) {
+	fd, err := unix.Socket(unix.AF_NETLINK, unix.SOCK_RAW|unix.SOCK_CLOEXEC, unix.NETLINK_SOCK_DIAG)
+	if err != nil {
+		return nil, fmt.Errorf("relay: ask for sockets: %w", err)
+	}
+	defer unix.Close(fd)
+	req := make([]byte, unix.NLMSG_HDRLEN+diagRequest)
+	binary.NativeEndian.PutUint32(req, uint32(len(req)))
+	binary.NativeEndian.PutUint16(req[4:], unix.SOCK_DIAG_BY_FAMILY)
+	binary.NativeEndian.PutUint16(req[6:], unix.NLM_F_REQUEST|unix.NLM_F_DUMP)
+	body := req[unix.NLMSG_HDRLEN:]
+	body[0], body[1] = unix.AF_INET, unix.IPPROTO_TCP
+	binary.NativeEndian.PutUint32(body[4:], 1<<synSent)
+	if err := unix.Sendto(fd, req, 0, &unix.SockaddrNetlink{Family: unix.AF_NETLINK}); err != nil {
+		return nil, fmt.Errorf("relay: ask for sockets: %w", err)
+	}
+	var out []pendingConn
+	buf := make([]byte, netlinkBytes)
+	for {
+		n, _, err := unix.Recvfrom(fd, buf, 0)
+		if err != nil {
+			return nil, fmt.Errorf("relay: ask for sockets: %w", err)
+		}
+		messages, err := syscall.ParseNetlinkMessage(buf[:n])
+		if err != nil {
+			return nil, fmt.Errorf("relay: ask for sockets: %w", err)
+		}
+		for _, m := range messages {
+			switch {
+			case m.Header.Type == unix.NLMSG_DONE:
+				return out, nil
+			case m.Header.Type == unix.NLMSG_ERROR:
+				return nil, errors.New("relay: ask for sockets: the kernel refuses")
+			case len(m.Data) < diagAnswer:
+				continue
+			}
+			addr := func(at, port int) netip.AddrPort {
+				return netip.AddrPortFrom(netip.AddrFrom4([4]byte(m.Data[at:at+4])), binary.BigEndian.Uint16(m.Data[port:]))
+			}
+			w := pendingConn{addrPair: addrPair{addr(diagSource, diagPorts), addr(diagTarget, diagPorts+2)}, age: synRetryDelay - kernelTick}
+			if m.Data[diagRetries] == 0 {
+				left := time.Duration(binary.NativeEndian.Uint32(m.Data[diagTimer:])) * time.Millisecond
+				w.age = max(synRetryDelay-left-kernelTick, 0)
+			}
+			out = append(out, w)
+		}
+	}
+}
--- a/internal/lab/sidecar_faults.go
+++ b/internal/lab/sidecar_faults.go
@@ -14,7 +14,7 @@
 // moveDiscovery gives discovery another address and tells the sidecars with SIGHUP.
 func (r *run) moveDiscovery() error {
 	for _, a := range r.agents {
-		if err := a.Move(); err != nil {
+		if err := a.MigratePort(); err != nil {
 			return err
 		}
 	}
@@ -29,7 +29,7 @@
 	return nil
 }
 
-func (s *sidecar) note(text string) { s.r.note(record.Process, s.number, record.Nobody, text) }
+func (s *sidecar) note(text string) { s.r.note(record.Process, s.number, record.None, text) }
 
 func (s *sidecar) freeze(on bool) error {
 	if !on {
--- a/internal/lab/stock/server.go
+++ b/internal/lab/stock/server.go
@@ -182,7 +182,7 @@
 // Kill ends its process: connections are reset and new ones refused.
 func (s *Server) Kill() {
 	s.up.Store(false)
-	s.Port.Shut()
+	s.Port.Kill()
 	var lost []*job
 	s.pod.change(func(time.Duration) {
 		lost = append(append(lost, s.model.running...), s.model.queue...)
@@ -350,8 +350,8 @@
 	v := &visit{server: s, conn: c, serial: serial, ended: make(chan struct{})}
 	id := req.Header.Get("X-Request-ID")
 	stray := func(note string) error {
-		s.log.Add(record.Event{Kind: record.Stray, Request: v.id, Sidecar: int32(c.Caller), Server: int32(s.Number),
-			Attempt: serial, Class: record.Nobody, Note: note})
+		s.log.Add(record.Event{Kind: record.UnknownRequest, Request: v.id, Sidecar: int32(c.Caller), Server: int32(s.Number),
+			Attempt: serial, Class: record.None, Note: note})
 		return answer(c, 400, nil, "")
 	}
 	if id == "" {
