--- a/cmd/marblelane/lab_measure.go
+++ b/cmd/marblelane/lab_measure.go
@@ -134,8 +134,8 @@
 	for _, n := range c.Callers {
 		for _, capacity := range c.Capacity {
 			for _, waste := range []bool{false, true} {
-				r, err := crowd.Run(crowd.Spec{Callers: n, Servers: c.Servers, Capacity: capacity, Patience: ms(c.Patience), Spread: 100,
-					Length: ms(c.Length), AskWithin: 10000, LongestPause: ms(c.Pause), Waste: waste, Seed: c.Seed})
+				r, err := crowd.Run(crowd.Spec{Callers: n, Servers: c.Servers, Capacity: capacity, CallTimeout: ms(c.Patience), Spread: 100,
+					Length: ms(c.Length), PollInterval: 10000, MaxPollBackoff: ms(c.Pause), WastesFailedCalls: waste, Seed: c.Seed})
 				if err != nil {
 					return err
 				}
@@ -148,7 +148,7 @@
 			"told", "p50 s", "last s", "useful")
 		for _, r := range rows {
 			fmt.Fprintf(w, "%8d %8.0f %6v %7d %9d %7d %6d %9.1f %9.1f %6.1f%%\n", r.Callers, r.Capacity, r.Waste, r.Calls, r.Answered,
-				r.Failed, r.Told, r.P50/1000, r.Last/1000, 100*r.Useful)
+				r.Failed, r.HaveList, r.P50/1000, r.Last/1000, 100*r.Useful)
 		}
 	})
 }
--- a/cmd/marblelane/main_test.go
+++ b/cmd/marblelane/main_test.go
@@ -245,7 +245,7 @@
 		t.Fatalf("exit %d: %s", code, errOut.String())
 	}
 	var rows []fleetLoadRow
-	if err := json.Unmarshal(out.Bytes(), &rows); err != nil || len(rows) != 2 || rows[0].Told != 5 {
+	if err := json.Unmarshal(out.Bytes(), &rows); err != nil || len(rows) != 2 || rows[0].HaveList != 5 {
 		t.Errorf("%v: %s", err, out.String())
 	}
 	if code := run(t.Context(), []string{"lab", "crowd", "--capacity", "0"}, &out, &errOut); code != exitUse {
--- a/internal/lab/crowd/crowd.go
+++ b/internal/lab/crowd/crowd.go
@@ -1,9 +1,9 @@
-// Package crowd plays how many sidecars call a list service of fixed capacity: the real decision module of each
+// Package crowd simulates many sidecars that call a list service of fixed capacity at once: the real decision module of each
 // (package balance) on one simulated clock, so that hundreds of callers and minutes take milliseconds.
 //
-// The service is as the operators' pages describe it: calls wait in turn, each costs as many lines as it is told, and a
-// call that has waited too long fails. What it has begun it finishes. One that is abandoned or fails in turn costs
-// nothing, or, with Spec.Waste, as much as any other: a service that does not notice who has gone.
+// The service is as the operators' pages describe it: calls wait in a queue, each costs as many lines as it is sent, and a
+// call that has waited too long fails. A call that was started is finished. One that is abandoned or fails in the queue
+// costs nothing, or, with Spec.WastesFailedCalls, as much as any other: such a service does not notice closed connections.
 package crowd
 
 import (
@@ -18,17 +18,17 @@
 
 // Spec is one run. Times are milliseconds.
 type Spec struct {
-	Callers   int
-	Servers   int     // lines of the whole list
-	Capacity  float64 // lines a second that the service tells
-	Patience  float64 // how long a call may wait in turn
-	Spread    float64 // within which all sidecars start
-	Length    float64
-	AskWithin float64 // the settings' rules.ask_within_ms
+	Callers      int
+	Servers      int     // lines of the whole list
+	Capacity     float64 // lines a second that the service sends
+	CallTimeout  float64 // how long a call may wait in the queue
+	Spread       float64 // within which all sidecars start
+	Length       float64
+	PollInterval float64 // the settings' rules.ask_within_ms
 	// LongestPause is balance.Config's, which sidecars set; 0: none.
-	LongestPause float64
-	Waste        bool // calls that failed in turn cost as much as any other
-	Seed         uint64
+	MaxPollBackoff    float64
+	WastesFailedCalls bool // calls that failed in the queue cost as much as any other
+	Seed              uint64
 }
 
 // Result is what came of it.
@@ -36,117 +36,117 @@
 	Calls    int     `json:"calls"`
 	Answered int     `json:"answered"`
 	Failed   int     `json:"failed"`
-	Told     int     `json:"told"` // sidecars that have a list at the end
+	HaveList int     `json:"told"` // sidecars that have a list at the end
 	P50      float64 `json:"told_p50_ms"`
-	P99      float64 `json:"told_p99_ms"` // of those that were told, since the first started
+	P99      float64 `json:"told_p99_ms"` // of those that have a list, since the first started
 	Last     float64 `json:"told_last_ms"`
 	Busy     float64 `json:"busy"`   // share of the service's time that went into calls
 	Useful   float64 `json:"useful"` // ... into calls that were answered
 }
 
-// world is a run under way.
-type world struct {
+// simulation is a run in progress.
+type simulation struct {
 	simclock.Clock
 	spec    Spec
 	servers []balance.Server
 	callers []*caller
-	free    float64 // when the service has done what it has begun or is bound to do
+	idleAt  float64 // when the service has finished all calls that are queued
 	busy    float64
 	useful  float64
 	out     Result
 }
 
 type caller struct {
-	b    *balance.Balancer
-	told float64 // when it was; negative: not yet
+	b      *balance.Balancer
+	listAt float64 // when it got its first list; negative: not yet
 }
 
-// Run plays one spec.
+// Run simulates one spec.
 func Run(spec Spec) (*Result, error) {
 	if spec.Callers < 1 || spec.Servers < 1 || !(spec.Capacity > 0) || !(spec.Length > 0) {
 		return nil, errors.New("crowd: callers, servers, capacity and length have to be over 0")
 	}
-	w := &world{spec: spec}
+	w := &simulation{spec: spec}
 	for i := range spec.Servers {
 		w.servers = append(w.servers, balance.Server{ID: balance.ServerID(i + 1), Rating: 1})
 	}
 	for i := range spec.Callers {
 		b, err := balance.New(balance.Config{Seed: spec.Seed + uint64(i)*7919, Number: i, Peers: spec.Callers, Subscribe: true,
-			PollInterval: spec.AskWithin, MaxPollBackoff: spec.LongestPause, MaxAttempts: 2, Classes: []balance.Class{{LatencyObjective: 600, Deadline: 1500, PriorityWeight: 1}}})
+			PollInterval: spec.PollInterval, MaxPollBackoff: spec.MaxPollBackoff, MaxAttempts: 2, Classes: []balance.Class{{LatencyObjective: 600, Deadline: 1500, PriorityWeight: 1}}})
 		if err != nil {
 			return nil, fmt.Errorf("crowd: %w", err)
 		}
-		c := &caller{b: b, told: -1}
+		c := &caller{b: b, listAt: -1}
 		w.callers = append(w.callers, c)
 		start := spec.Spread * float64(i) / float64(spec.Callers)
-		w.At(start, func() { w.act(c, b.Start(w.Now())) })
+		w.At(start, func() { w.execute(c, b.Start(w.Now())) })
 	}
 	for w.Step(spec.Length) {
 	}
 	return w.result(), nil
 }
 
-func (w *world) act(c *caller, actions []balance.Action) {
+func (w *simulation) execute(c *caller, actions []balance.Action) {
 	for _, a := range slices.Clone(actions) {
 		switch a.Kind {
 		case balance.Watch:
-			w.call(c)
+			w.queueCall(c)
 		case balance.SetTimer:
-			w.At(w.Now()+a.At, func() { w.tell(c, balance.Timer{Token: a.Token}) })
+			w.At(w.Now()+a.At, func() { w.handleEvent(c, balance.Timer{Token: a.Token}) })
 		}
 	}
 }
 
-func (w *world) tell(c *caller, ev balance.Event) {
+func (w *simulation) handleEvent(c *caller, ev balance.Event) {
 	actions, err := c.b.Handle(w.Now(), ev)
 	if err == nil {
-		w.act(c, actions)
+		w.execute(c, actions)
 	}
 }
 
-// call puts a call in turn. As turns are kept, when it would begin is known at once.
-func (w *world) call(c *caller) {
+// queueCall queues a call. The queue is first in, first out, so the start of the call is known at once.
+func (w *simulation) queueCall(c *caller) {
 	w.out.Calls++
-	begin := math.Max(w.free, w.Now())
+	begin := math.Max(w.idleAt, w.Now())
 	cost := 1000 * float64(len(w.servers)) / w.spec.Capacity
-	if begin-w.Now() > w.spec.Patience {
-		if w.spec.Waste {
-			w.free, w.busy = begin+cost, w.busy+cost
+	if begin-w.Now() > w.spec.CallTimeout {
+		if w.spec.WastesFailedCalls {
+			w.idleAt, w.busy = begin+cost, w.busy+cost
 		}
-		w.At(w.Now()+w.spec.Patience, func() {
+		w.At(w.Now()+w.spec.CallTimeout, func() {
 			w.out.Failed++
-			w.tell(c, balance.ServerList{Kind: balance.ListFailed, Busy: true})
+			w.handleEvent(c, balance.ServerList{Kind: balance.ListFailed, Busy: true})
 		})
 		return
 	}
-	w.free = begin + cost
+	w.idleAt = begin + cost
 	w.busy, w.useful = w.busy+cost, w.useful+cost
-	w.At(w.free, func() {
+	w.At(w.idleAt, func() {
 		w.out.Answered++
-		if c.told < 0 {
-			c.told = w.Now()
+		if c.listAt < 0 {
+			c.listAt = w.Now()
 		}
-		w.tell(c, balance.ServerList{Kind: balance.ListFull, Rev: 1, Servers: w.servers})
+		w.handleEvent(c, balance.ServerList{Kind: balance.ListFull, Rev: 1, Servers: w.servers})
 	})
 }
 
-func (w *world) result() *Result {
-	var told []float64
+func (w *simulation) result() *Result {
+	var listTimes []float64
 	for _, c := range w.callers {
-		if c.told >= 0 {
-			told = append(told, c.told)
+		if c.listAt >= 0 {
+			listTimes = append(listTimes, c.listAt)
 		}
 	}
-	slices.Sort(told)
-	at := func(q float64) float64 {
-		if len(told) == 0 {
+	slices.Sort(listTimes)
+	quantile := func(q float64) float64 {
+		if len(listTimes) == 0 {
 			return math.Inf(1)
 		}
-		return told[int(q*float64(len(told)-1))]
+		return listTimes[int(q*float64(len(listTimes)-1))]
 	}
 	r := w.out
-	r.Told, r.P50, r.P99, r.Last = len(told), at(0.5), at(0.99), at(1)
-	over := math.Max(w.spec.Length, w.free)
-	r.Busy, r.Useful = w.busy/over, w.useful/over
+	r.HaveList, r.P50, r.P99, r.Last = len(listTimes), quantile(0.5), quantile(0.99), quantile(1)
+	duration := math.Max(w.spec.Length, w.idleAt)
+	r.Busy, r.Useful = w.busy/duration, w.useful/duration
 	return &r
 }
--- a/internal/lab/crowd/crowd_test.go
+++ b/internal/lab/crowd/crowd_test.go
@@ -2,26 +2,26 @@
 
 import "testing"
 
-func TestCrowd(t *testing.T) {
-	spec := Spec{Callers: 300, Servers: 60, Capacity: 4000, Patience: 2000, Spread: 100, Length: 60000, AskWithin: 10000, Seed: 1}
+func TestRun(t *testing.T) {
+	spec := Spec{Callers: 300, Servers: 60, Capacity: 4000, CallTimeout: 2000, Spread: 100, Length: 60000, PollInterval: 10000, Seed: 1}
 	r, err := Run(spec)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if r.Told != 300 || r.Answered != 300 || r.Failed == 0 || r.Calls != r.Answered+r.Failed || r.Busy != r.Useful {
+	if r.HaveList != 300 || r.Answered != 300 || r.Failed == 0 || r.Calls != r.Answered+r.Failed || r.Busy != r.Useful {
 		t.Errorf("with room for all: %+v", r)
 	}
 	again, err := Run(spec)
 	if err != nil || *again != *r {
 		t.Errorf("the same seed gives another run: %+v, %+v, %v", r, again, err)
 	}
-	spec.Waste = true
+	spec.WastesFailedCalls = true
 	w, err := Run(spec)
 	if err != nil || w.P50 <= r.P50 || w.Useful >= w.Busy {
 		t.Errorf("calls that failed cost the service, and nothing is slower: %+v, %v", w, err)
 	}
-	spec.Waste, spec.Callers, spec.Spread = false, 20, 10000
-	if r, err := Run(spec); err != nil || r.Failed != 0 || r.Told != 20 {
+	spec.WastesFailedCalls, spec.Callers, spec.Spread = false, 20, 10000
+	if r, err := Run(spec); err != nil || r.Failed != 0 || r.HaveList != 20 {
 		t.Errorf("a few who come one by one: %+v, %v", r, err)
 	}
 	spec.Capacity = 0
--- a/internal/lab/gossip/gossip_test.go
+++ b/internal/lab/gossip/gossip_test.go
@@ -105,10 +105,10 @@
 func TestStreams(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		n, a, b := pair(t, Rules{Delay: 10 * time.Millisecond})
-		began := time.Now()
+		started := time.Now()
 		mine, err := a.DialTimeout(b.Addr().String(), time.Second)
 		require.NoError(t, err)
-		assert.Equal(t, 20*time.Millisecond, time.Since(began))
+		assert.Equal(t, 20*time.Millisecond, time.Since(started))
 		its := <-b.StreamCh()
 		assert.Equal(t, a.Addr().String(), its.RemoteAddr().String())
 		sent := bytes.Repeat([]byte("x"), 3<<20) // more than the window
@@ -140,16 +140,16 @@
 		n, a, b := pair(t, Rules{})
 		dial := func(to netip.AddrPort) (net.Conn, error) { return a.DialTimeout(to.String(), 10*time.Second) }
 		_, err := dial(Addr(99))
-		require.ErrorIs(t, err, syscall.ECONNREFUSED, "nobody listens")
+		require.ErrorIs(t, err, syscall.ECONNREFUSED, "no port listens")
 		var op *net.OpError
 		require.True(t, errors.As(err, &op) && op.Op == "dial", "of the form that memberlist takes for the other's failure")
 		n.SetWay(b.Addr(), a.Addr(), Rules{Cut: true})
 		_, err = dial(b.Addr())
 		require.ErrorIs(t, err, os.ErrDeadlineExceeded, "the way back is cut")
 		n.Heal()
-		n.SetWay(a.Addr(), b.Addr(), Rules{Refuse: true})
+		n.SetWay(a.Addr(), b.Addr(), Rules{RejectDials: true})
 		_, err = dial(b.Addr())
-		require.ErrorIs(t, err, syscall.ECONNREFUSED, "somebody refuses in its name")
+		require.ErrorIs(t, err, syscall.ECONNREFUSED, "rejected on its behalf")
 		n.Heal()
 		n.Vanish(b.Addr(), true)
 		_, err = dial(b.Addr())
@@ -171,11 +171,11 @@
 		require.ErrorIs(t, <-blocked, syscall.ECONNRESET)
 		_, err = dial(b.Addr())
 		require.ErrorIs(t, err, net.ErrClosed)
-		assert.EqualValues(t, 2, a.Counts().Refused)
+		assert.EqualValues(t, 2, a.Counts().RejectedDials)
 	})
 }
 
-// join asks until it is answered: a call is lost at times.
+// join retries until a call is answered: some are lost.
 func join(t *testing.T, m *memberlist.Memberlist) {
 	for range 10 {
 		if _, err := m.Join([]string{Addr(0).String()}); err == nil {
--- a/internal/lab/gossip/network.go
+++ b/internal/lab/gossip/network.go
@@ -23,11 +23,11 @@
 
 // Rules say what happens to what one port sends another. A connection also needs the way back.
 type Rules struct {
-	Loss   float64       // share of packets lost; of a stream each loss costs a retransmission's time
-	Delay  time.Duration // one way
-	Jitter time.Duration // at most so much more, drawn evenly
-	Cut    bool          // nothing passes
-	Refuse bool          // connections are refused though somebody listens, as by a firewall
+	Loss        float64       // share of packets lost; of a stream each loss costs a retransmission's time
+	Delay       time.Duration // one way
+	Jitter      time.Duration // at most so much more, drawn evenly
+	Cut         bool          // nothing passes
+	RejectDials bool          // connections are refused though a port listens, as by a firewall
 }
 
 // link is from one address to another.
@@ -74,7 +74,7 @@
 	return p, nil
 }
 
-// change does something to the network and wakes who waits for it.
+// change does something to the network and wakes the goroutines that wait for it.
 func (n *Network) change(do func()) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -83,7 +83,7 @@
 	n.changed = make(chan struct{})
 }
 
-// Set gives the rules that hold between all who have none of their own.
+// Set gives the rules that hold between all that have none of their own.
 func (n *Network) Set(rules Rules) { n.change(func() { n.all = rules }) }
 
 // SetWay gives the rules that hold from one address to another, that way only.
@@ -91,7 +91,7 @@
 	n.change(func() { n.links[link{from, to}] = rules })
 }
 
-// Split puts each address that is named in a part; those of different parts hear nothing of each other. Who is not
+// Split puts each address that is named in a part; those of different parts exchange nothing. An address that is not
 // named is in part 0.
 func (n *Network) Split(part map[netip.AddrPort]int) {
 	n.change(func() {
--- a/internal/lab/gossip/port.go
+++ b/internal/lab/gossip/port.go
@@ -28,7 +28,7 @@
 	LostPackets                    uint64 // of those that it sent, on the way
 	OverflowPackets                uint64 // that came and found its queue full
 	Streams                        uint64 // that it opened
-	Refused                        uint64 // of its calls
+	RejectedDials                  uint64 // of its calls
 }
 
 // counters are Counts as they are kept.
@@ -61,7 +61,7 @@
 	c := &p.counts
 	return Counts{SentPackets: c.sentPackets.Load(), SentBytes: c.sentBytes.Load(),
 		ReceivedPackets: c.receivedPackets.Load(), ReceivedBytes: c.receivedBytes.Load(), LostPackets: c.lost.Load(),
-		OverflowPackets: c.overflow.Load(), Streams: c.streams.Load(), Refused: c.refused.Load()}
+		OverflowPackets: c.overflow.Load(), Streams: c.streams.Load(), RejectedDials: c.refused.Load()}
 }
 
 // FinalAdvertiseAddr is its address, whatever the library's configuration says.
@@ -142,7 +142,7 @@
 	return p.DialTimeout(a.Addr, timeout)
 }
 
-// DialTimeout opens a stream. Lost calls are tried again until the time is over; one to an address where nobody
+// DialTimeout opens a stream. Lost calls are tried again until the time is over; one to an address where no port
 // listens is refused (ECONNREFUSED), if the refusal comes through.
 func (p *Port) DialTimeout(addr string, timeout time.Duration) (net.Conn, error) {
 	to, err := netip.ParseAddrPort(addr)
@@ -184,7 +184,7 @@
 		if err := wait(delay + delayBack); err != nil {
 			return nil, err
 		}
-		if at == nil || there.Refuse {
+		if at == nil || there.RejectDials {
 			p.counts.refused.Add(1)
 			return nil, fail(os.NewSyscallError("connect", syscall.ECONNREFUSED))
 		}
--- a/internal/lab/gossip/stream.go
+++ b/internal/lab/gossip/stream.go
@@ -50,14 +50,14 @@
 	mu          sync.Mutex
 	closed      bool
 	read, write time.Time     // deadlines
-	moved       chan struct{} // closed and replaced when a deadline changes or it is closed
+	changed     chan struct{} // closed and replaced when a deadline changes or it is closed
 }
 
 // call opens a stream to a port; none where its backlog is full.
 func (p *Port) call(to *Port) (*Stream, error) {
 	there, back := newPipe(p, to), newPipe(to, p)
-	mine := &Stream{port: p, in: back, out: there, moved: make(chan struct{})}
-	its := &Stream{port: to, in: there, out: back, moved: make(chan struct{})}
+	mine := &Stream{port: p, in: back, out: there, changed: make(chan struct{})}
+	its := &Stream{port: to, in: there, out: back, changed: make(chan struct{})}
 	if !to.keep(its) {
 		return nil, os.NewSyscallError("connect", syscall.ECONNREFUSED)
 	}
@@ -102,8 +102,8 @@
 		return net.ErrClosed
 	}
 	s.closed = true
-	close(s.moved)
-	s.moved = make(chan struct{})
+	close(s.changed)
+	s.changed = make(chan struct{})
 	s.mu.Unlock()
 	s.out.touch(func() { s.out.closed = true })
 	s.in.touch(func() { s.in.broken = true })
@@ -115,9 +115,9 @@
 
 // wait blocks until something has changed or a time has come. It fails where the stream is closed or a deadline is
 // over.
-func (s *Stream) wait(deadline func() time.Time, wake, changed <-chan struct{}, until time.Time) error {
+func (s *Stream) wait(deadline func() time.Time, wake, networkChanged <-chan struct{}, until time.Time) error {
 	s.mu.Lock()
-	closed, end, moved := s.closed, deadline(), s.moved
+	closed, end, streamChanged := s.closed, deadline(), s.changed
 	s.mu.Unlock()
 	if closed {
 		return net.ErrClosed
@@ -138,8 +138,8 @@
 	}
 	select {
 	case <-wake:
-	case <-changed:
-	case <-moved:
+	case <-networkChanged:
+	case <-streamChanged:
 	case <-due:
 	}
 	return nil
@@ -237,20 +237,20 @@
 // RemoteAddr is the other port's address.
 func (s *Stream) RemoteAddr() net.Addr { return net.TCPAddrFromAddrPort(s.out.to.addr) }
 
-func (s *Stream) move(do func()) error {
+func (s *Stream) update(do func()) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	do()
-	close(s.moved)
-	s.moved = make(chan struct{})
+	close(s.changed)
+	s.changed = make(chan struct{})
 	return nil
 }
 
 // SetDeadline bounds reads and writes.
-func (s *Stream) SetDeadline(t time.Time) error { return s.move(func() { s.read, s.write = t, t }) }
+func (s *Stream) SetDeadline(t time.Time) error { return s.update(func() { s.read, s.write = t, t }) }
 
 // SetReadDeadline bounds reads.
-func (s *Stream) SetReadDeadline(t time.Time) error { return s.move(func() { s.read = t }) }
+func (s *Stream) SetReadDeadline(t time.Time) error { return s.update(func() { s.read = t }) }
 
 // SetWriteDeadline bounds writes.
-func (s *Stream) SetWriteDeadline(t time.Time) error { return s.move(func() { s.write = t }) }
+func (s *Stream) SetWriteDeadline(t time.Time) error { return s.update(func() { s.write = t }) }
