--- a/internal/lab/cold.go
+++ b/internal/lab/cold.go
@@ -7,13 +7,13 @@
 )
 
 // coldStart is what the plan's servers may be sent while they are cold, by the figures that the sidecars are told.
-func coldStart(p *scenario.Plan) invariant.ColdStart {
+func coldStart(p *scenario.Plan) invariant.SlowStart {
 	rules := &p.Scenario.Rules
-	f := invariant.ColdStart{From: rules.ColdFrom, Time: rules.Cold.Duration(), Window: rules.FallTime.Duration(), Multiple: rules.FallMultiple}
+	f := invariant.SlowStart{InitialCapacity: rules.ColdFrom, Time: rules.Cold.Duration(), Window: rules.FallTime.Duration(), OverloadMultiple: rules.FallMultiple}
 	mean := p.Scenario.MeanWork()
 	for i := range p.Servers {
 		spec := stock.SpecOf(p, i)
-		f.PerS = append(f.PerS, float64(spec.Cores)*spec.Speed*1000/mean)
+		f.CapacityPerSecond = append(f.CapacityPerSecond, float64(spec.Cores)*spec.Speed*1000/mean)
 	}
 	return f
 }
--- a/internal/lab/held.go
+++ b/internal/lab/held.go
@@ -6,14 +6,14 @@
 )
 
 // heldBack are the times in which links between sidecars and servers hold back what is sent on them.
-func heldBack(p *scenario.Plan) []invariant.Held {
+func heldBack(p *scenario.Plan) []invariant.HeldBack {
 	var all []int
 	for i := range p.Sidecars {
 		all = append(all, i)
 	}
-	var held []invariant.Held
+	var held []invariant.HeldBack
 	for _, one := range p.Faults {
-		h := invariant.Held{From: one.At, To: one.Until, Sidecars: one.Sidecars, Servers: one.Servers}
+		h := invariant.HeldBack{From: one.At, To: one.Until, Sidecars: one.Sidecars, Servers: one.Servers}
 		switch {
 		case one.Fault.Kind == "vanish":
 			h.Sidecars = all
--- a/internal/lab/invariant/clients_test.go
+++ b/internal/lab/invariant/clients_test.go
@@ -8,18 +8,18 @@
 	"marblelane/internal/lab/record"
 )
 
-// An attempt that begins after its client has left breaks a rule; one that was under way, or that a link held back, does not.
-func TestNothingIsSentForAClientThatHasLeft(t *testing.T) {
+// An attempt that begins after its client has left breaks the rule; one that was in flight, or that a link delayed, does not.
+func TestClientGone(t *testing.T) {
 	client := func(at int, kind record.Kind, note string) record.Event {
 		return record.Event{T: millis(at), Kind: kind, Request: 7, Server: record.None, Note: note}
 	}
 	frozen := []record.Event{process(400, Frozen), process(1500, Thawed)}
-	held := []Held{{From: millis(300), To: millis(900), Sidecars: []int{0}, Servers: []int{3}}}
+	held := []HeldBack{{From: millis(300), To: millis(900), Sidecars: []int{0}, Servers: []int{3}}}
 	for name, c := range map[string]struct {
 		left   record.Event
 		more   []record.Event
 		send   int
-		held   []Held
+		held   []HeldBack
 		broken bool
 	}{
 		"before":                {client(500, record.ClientLeft, ""), nil, 400, nil, false},
@@ -32,20 +32,20 @@
 		"long after it woke":    {client(500, record.ClientLeft, ""), frozen, 1700, nil, true},
 		"held back":             {client(500, record.ClientLeft, ""), nil, 900, held, false},
 		"after what held back":  {client(500, record.ClientLeft, ""), nil, 1000, held, true},
-		"on another link":       {client(500, record.ClientLeft, ""), nil, 900, []Held{{To: time.Second, Sidecars: []int{0}, Servers: []int{4}}}, true},
+		"on another link":       {client(500, record.ClientLeft, ""), nil, 900, []HeldBack{{To: time.Second, Sidecars: []int{0}, Servers: []int{4}}}, true},
 	} {
 		events := append([]record.Event{process(0, Started), process(1, Serving), client(100, record.Sent, ""), c.left, send(c.send)}, c.more...)
 		slices.SortStableFunc(events, func(a, b record.Event) int { return int(a.T - b.T) })
-		got := Check(events, Facts{Unsafe: []bool{false}, MaxAttempts: 3, Held: c.held}).Broken()
+		got := Check(events, Facts{NonIdempotent: []bool{false}, MaxAttempts: 3, HeldBack: c.held}).Broken()
 		if slices.Contains(got, ClientGone) != c.broken {
 			t.Errorf("%s: broken are %v", name, got)
 		}
 	}
 }
 
-// The time in which the machine gave the lab nothing is not held against the copies, and nothing is around a long stall; what
+// The time in which the lab got no processor time is not counted against processes, and nothing is around a long stall; what
 // lies outside is.
-func TestStallsOfTheLabAreNotCounted(t *testing.T) {
+func TestClientGone_labStalls(t *testing.T) {
 	for name, c := range map[string]struct {
 		stalls []Span
 		broken bool
@@ -61,21 +61,22 @@
 		events := []record.Event{process(0, Started), process(1, Serving),
 			{T: millis(100), Kind: record.Sent, Request: 7, Server: record.None},
 			{T: millis(500), Kind: record.ClientLeft, Request: 7, Server: record.None}, send(710)}
-		got := Check(events, Facts{Unsafe: []bool{false}, MaxAttempts: 3, Stalls: c.stalls}).Broken()
+		got := Check(events, Facts{NonIdempotent: []bool{false}, MaxAttempts: 3, Stalls: c.stalls}).Broken()
 		if slices.Contains(got, ClientGone) != c.broken {
 			t.Errorf("%s: broken are %v", name, got)
 		}
 	}
 }
 
-// An attempt may tell no longer time than its client still waits, counted from when the copy could read the request.
-func TestAttemptsTellWhatIsLeft(t *testing.T) {
+// An attempt may forward no longer deadline than its client still waits, counted from when the process could read the
+// request.
+func TestForwardedDeadline(t *testing.T) {
 	sent := record.Event{T: millis(100), Kind: record.Sent, Request: 7, Server: record.None, Work: 1000}
 	for name, c := range map[string]struct {
-		at     int
-		told   int64
-		more   []record.Event
-		broken bool
+		at        int
+		forwarded int64
+		more      []record.Event
+		broken    bool
 	}{
 		"all at once":        {101, 999, nil, false},
 		"what is left":       {600, 500, nil, false},
@@ -88,11 +89,11 @@
 		"frozen long before": {600, 1000, []record.Event{process(50, Frozen), process(99, Thawed)}, true},
 	} {
 		attempt := send(c.at)
-		attempt.N = c.told
+		attempt.N = c.forwarded
 		events := append([]record.Event{process(0, Started), process(1, Serving), sent, attempt}, c.more...)
 		slices.SortStableFunc(events, func(a, b record.Event) int { return int(a.T - b.T) })
-		got := Check(events, Facts{Unsafe: []bool{false}, MaxAttempts: 3}).Broken()
-		if slices.Contains(got, TimeTold) != c.broken {
+		got := Check(events, Facts{NonIdempotent: []bool{false}, MaxAttempts: 3}).Broken()
+		if slices.Contains(got, ForwardedDeadline) != c.broken {
 			t.Errorf("%s: broken are %v", name, got)
 		}
 	}
--- a/internal/lab/invariant/cold.go
+++ b/internal/lab/invariant/cold.go
@@ -8,85 +8,86 @@
 	"marblelane/internal/lab/record"
 )
 
-// ColdStart is what a server may be sent while it is cold, all sidecars together.
-type ColdStart struct {
-	From     float64 // share of its capacity right after its start
-	Time     time.Duration
-	Window   time.Duration
-	Multiple float64
-	PerS     []float64 // requests of mean work that each server can do in a second when it is warm
+// SlowStart is what all sidecars together may send a server that has just started.
+type SlowStart struct {
+	InitialCapacity   float64 // fraction of its capacity right after its start
+	Time              time.Duration
+	Window            time.Duration
+	OverloadMultiple  float64
+	CapacityPerSecond []float64 // requests of mean work that each server serves in a second after its slow start
 }
 
-// Booted is the note of a ServerState event of a server that starts.
-const Booted = "boots"
+// ServerStarted is the note of a ServerState event of a server that starts.
+const ServerStarted = "boots"
 
-// fewCalls is the number of calls under which chance is allowed more.
-const fewCalls = 30
+// fewCalls is the number of calls below which the allowance for chance is larger.
+const smallSample = 30
 
-// most is how many calls a server may get in a window that ends at this age of it.
-func (f *ColdStart) most(server int32, age time.Duration) float64 {
-	warmth := f.From + (1-f.From)*float64(age)/float64(f.Time)
-	n := f.Multiple * f.PerS[server] * warmth * f.Window.Seconds()
-	if n < fewCalls {
+// maxCalls is how many calls a server may get in a window that ends at this age of the server.
+func (f *SlowStart) maxCalls(server int32, age time.Duration) float64 {
+	warmth := f.InitialCapacity + (1-f.InitialCapacity)*float64(age)/float64(f.Time)
+	n := f.OverloadMultiple * f.CapacityPerSecond[server] * warmth * f.Window.Seconds()
+	if n < smallSample {
 		return n + 3*math.Sqrt(n) + 3
 	}
 	return n + 2*math.Sqrt(n) + 2
 }
 
-// starting is a server that is cold.
-type starting struct {
-	at      time.Duration
-	earlier map[int64]bool // starts that were told before this one
-	told    map[int32]bool // sidecars that know of this start
-	calls   []record.Event // in the last window
-	over    bool           // it was sent too much once
+// startedServer is a server in slow start.
+type startedServer struct {
+	startedAt     time.Duration
+	earlierStarts map[int64]bool // starts that were notified before this one
+	informed      map[int32]bool // sidecars that were notified of this start
+	calls         []record.Event // in the last window
+	exceeded      bool           // a breach has been reported
 }
 
-// cold checks what cold servers are sent. As with a fall, over two thirds have to come from sidecars that know of the start.
-func (c *checker) cold() {
-	f := c.facts.Cold
-	if f.Multiple == 0 {
+// checkSlowStart checks what servers in slow start are sent. As with an overload crash, over two thirds have to come from
+// sidecars that were notified of the start.
+func (c *checker) checkSlowStart() {
+	limits := c.facts.SlowStart
+	if limits.OverloadMultiple == 0 {
 		return
 	}
-	cold := map[int32]*starting{}
-	starts := map[int32]map[int64]bool{} // those of each server that were told
+	warming := map[int32]*startedServer{}
+	starts := map[int32]map[int64]bool{} // those of each server that were notified
 	for _, e := range c.events {
-		s := cold[e.Server]
+		server := warming[e.Server]
 		switch {
-		case e.Kind == record.ServerState && e.Note == Booted:
-			cold[e.Server] = &starting{at: e.T, earlier: maps.Clone(starts[e.Server]), told: map[int32]bool{}}
+		case e.Kind == record.ServerState && e.Note == ServerStarted:
+			warming[e.Server] = &startedServer{startedAt: e.T, earlierStarts: maps.Clone(starts[e.Server]), informed: map[int32]bool{}}
 		case e.Kind == record.Notified:
 			if starts[e.Server] == nil {
 				starts[e.Server] = map[int64]bool{}
 			}
 			starts[e.Server][e.N] = true
-			if s != nil && e.N != 0 && !s.earlier[e.N] { // it may be smaller: the wall clock is stepped
-				s.told[e.Sidecar] = true
+			if server != nil && e.N != 0 && !server.earlierStarts[e.N] { // it may be smaller: the wall clock is stepped
+				server.informed[e.Sidecar] = true
 			}
-		case e.Kind == record.LastByte && s != nil && e.T < s.at+f.Time:
-			c.coldCall(s, e)
+		case e.Kind == record.LastByte && server != nil && e.T < server.startedAt+limits.Time:
+			c.checkWarmingCall(server, e)
 		}
 	}
 }
 
-// coldCall counts a call to a server that is cold.
-func (c *checker) coldCall(s *starting, call record.Event) {
-	f := c.facts.Cold
-	s.calls = append(s.calls, call)
-	for s.calls[0].T < call.T-f.Window {
-		s.calls = s.calls[1:]
+// checkWarmingCall counts a call to a server in slow start.
+func (c *checker) checkWarmingCall(server *startedServer, call record.Event) {
+	limits := c.facts.SlowStart
+	server.calls = append(server.calls, call)
+	for server.calls[0].T < call.T-limits.Window {
+		server.calls = server.calls[1:]
 	}
-	known := 0
-	for _, e := range s.calls {
-		if s.told[e.Sidecar] {
-			known++
+	fromInformed := 0
+	for _, e := range server.calls {
+		if server.informed[e.Sidecar] {
+			fromInformed++
 		}
 	}
-	most := f.most(call.Server, call.T-s.at)
-	if s.over || float64(len(s.calls)) <= most || 3*known <= 2*len(s.calls) {
+	allowed := limits.maxCalls(call.Server, call.T-server.startedAt)
+	if server.exceeded || float64(len(server.calls)) <= allowed || 3*fromInformed <= 2*len(server.calls) {
 		return
 	}
-	s.over = true
-	c.breach(Cold, call.T, call.Request, c.byID[call.Request], "server %d, started %.1f s before, got %d calls within %v, %.1f are allowed; %d of them from sidecars that knew of the start",
-		call.Server, (call.T - s.at).Seconds(), len(s.calls), f.Window, most, known)
+	server.exceeded = true
+	c.breach(SlowStartLimit, call.T, call.Request, c.byID[call.Request], "server %d, started %.1f s before, got %d calls within %v, %.1f are allowed; %d of them from sidecars that knew of the start",
+		call.Server, (call.T - server.startedAt).Seconds(), len(server.calls), limits.Window, allowed, fromInformed)
 }
--- a/internal/lab/invariant/cold_test.go
+++ b/internal/lab/invariant/cold_test.go
@@ -8,19 +8,20 @@
 	"marblelane/internal/lab/record"
 )
 
-// A cold server gets N + 2 x root of N + 2 calls at most, under 30 N + 3 x root of N + 3, of sidecars that know of its start.
-func TestColdServerGetsNoMoreThanIsAllowed(t *testing.T) {
+// A server in slow start gets N + 2 x root of N + 2 calls at most, under 30 N + 3 x root of N + 3, from sidecars that were
+// notified of its start.
+func TestSlowStartLimit(t *testing.T) {
 	// At the end of the window of 3 s a server that can do 10 a second when warm has 0.25 + 0.75 x 3/15 of it: 0.4.
 	facts := func(multiple float64) Facts {
-		return Facts{Unsafe: []bool{false}, MaxAttempts: 3, Cold: ColdStart{
-			From: 0.25, Time: 15 * time.Second, Window: 3 * time.Second, Multiple: multiple, PerS: []float64{0, 0, 0, 10}}}
+		return Facts{NonIdempotent: []bool{false}, MaxAttempts: 3, SlowStart: SlowStart{
+			InitialCapacity: 0.25, Time: 15 * time.Second, Window: 3 * time.Second, OverloadMultiple: multiple, CapacityPerSecond: []float64{0, 0, 0, 10}}}
 	}
 	for name, c := range map[string]struct {
 		multiple float64
 		calls    int
-		unknown  int // of them from a sidecar that does not know
+		unknown  int // of them from a sidecar that was not notified
 		broken   bool
-		before   int64 // the start that was told before; this one is 5
+		before   int64 // the start that was notified before; this one is 5
 	}{
 		"few":                {2, 41, 0, false, 0}, // N = 24: 24 + 14.7 + 3
 		"a few too many":     {2, 42, 0, true, 0},
@@ -32,9 +33,9 @@
 		"many, a step back":  {2, 42, 0, true, 9},
 		"an old list":        {2, 42, 0, false, 5},
 	} {
-		events := []record.Event{process(0, Started), process(1, Serving), told(2, "Ready"),
+		events := []record.Event{process(0, Started), process(1, Serving), notified(2, "Ready"),
 			{T: millis(5), Kind: record.Notified, Server: 3, N: c.before, Note: "Ready"},
-			{T: millis(10), Kind: record.ServerState, Server: 3, Note: Booted},
+			{T: millis(10), Kind: record.ServerState, Server: 3, Note: ServerStarted},
 			{T: millis(20), Kind: record.Notified, Server: 3, N: 5, Note: "Ready"},
 		}
 		for i := range c.calls {
@@ -45,7 +46,7 @@
 			events = append(events, e)
 		}
 		got := Check(events, facts(c.multiple)).Broken()
-		if slices.Contains(got, Cold) != c.broken {
+		if slices.Contains(got, SlowStartLimit) != c.broken {
 			t.Errorf("%s: broken are %v", name, got)
 		}
 	}
--- a/internal/lab/invariant/invariant.go
+++ b/internal/lab/invariant/invariant.go
@@ -1,4 +1,4 @@
-// Package invariant holds a run to the rules that no scenario may break, from the records of all parties.
+// Package invariant checks a run against the rules that no scenario may break, from the records of all processes.
 //
 // Each rule has a name, and a scenario with a planted defect that breaks it (lab/scenarios/defects). A breach
 // names one request and its path through every party. The time limits carry the pages' 50 ms for sockets.
@@ -15,43 +15,43 @@
 
 // The rules.
 const (
-	OneAnswer   = "one-answer"    // each request that a running sidecar took gets one final answer
-	UnsafeOnce  = "unsafe-once"   // an unsafe request never runs twice, and is not sent again where it may have run
-	OneAtATime  = "one-at-a-time" // never two attempts of a request at once
-	MostTries   = "most-attempts" // at most so many attempts of a request
-	NoStray     = "no-stray"      // nothing reaches a server that no client sent in this form
-	Drain       = "drain"         // nothing new to a server that was told to drain, or gone, after the grace
-	Cold        = "cold"          // no cold server is pushed over, or gets more calls than it is allowed
-	Body        = "body"          // a served body is the one a server made for this request
-	LimitsKept  = "limits"        // no copy goes over its memory or descriptors, or ends unasked
-	ClientGone  = "client-gone"   // no attempt begins for a client that has left
-	ReadyInTime = "ready-in-time" // nine in ten copies that are started again are ready in time
-	TimeTold    = "time-told"     // an attempt tells its server no longer time than its client still waits
-	slack       = 50 * time.Millisecond
-	mostPrinted = 3 // breaches of a rule whose paths are kept
+	OneAnswer          = "one-answer"    // each request that a running sidecar accepted gets one final answer
+	NonIdempotentOnce  = "unsafe-once"   // a non-idempotent request never runs twice, and is not retried where it may have run
+	OneAtATime         = "one-at-a-time" // never two attempts of a request at once
+	AttemptLimit       = "most-attempts" // at most MaxAttempts attempts of a request
+	NoUnknownRequest   = "no-stray"      // nothing reaches a server that no client sent in this form
+	Drain              = "drain"         // nothing new to a server after its drain or end was notified and the grace has passed
+	SlowStartLimit     = "cold"          // no server in slow start is overloaded, or gets more calls than allowed
+	Body               = "body"          // a served body is the one a server made for this request
+	ResourceLimits     = "limits"        // no process exceeds its memory or descriptors, or ends without a request to
+	ClientGone         = "client-gone"   // no attempt begins for a client that has left
+	ReadyInTime        = "ready-in-time" // nine in ten restarted processes are ready in time
+	ForwardedDeadline  = "time-told"     // an attempt forwards no longer deadline than its client still waits
+	socketSlack        = 50 * time.Millisecond
+	maxPrintedBreaches = 3 // breaches of a rule whose paths are kept
 	// endSlack is how much sooner a client may see its connection end than the process is known to have ended: the
-	// kernel closes what a process had open before it tells its parent.
-	endSlack = 20 * time.Millisecond
-	// heardBy is how long after it a client that waits knows of it.
-	heardBy = 500 * time.Millisecond
+	// kernel closes the descriptors of a process before its parent is notified.
+	connectionEndSlack = 20 * time.Millisecond
+	// heardBy is how long after the end of a process a waiting client notices it.
+	noAnswerNoticedWithin = 500 * time.Millisecond
 )
 
-// Facts are what the records are held against.
+// Facts are the settings and faults of the run that the records are checked against.
 type Facts struct {
-	Unsafe      []bool // by class
-	MaxAttempts int
-	DrainGrace  time.Duration
-	MemoryMB    int // of a sidecar; 0: no limit
-	Sockets     int
-	// SparedTerm is how long after SIGTERM a request may come and still be found unanswered by SIGKILL.
-	SparedTerm time.Duration
-	Routes     *Routes // nil: there are none
+	NonIdempotent []bool // by class
+	MaxAttempts   int
+	DrainGrace    time.Duration
+	MemoryMB      int // of a sidecar; 0: no limit
+	Sockets       int
+	// SparedTerm is how long after SIGTERM a request may arrive and still be unanswered at SIGKILL.
+	ServiceAfterTerm time.Duration
+	Routes           *Routes // nil: there are none
 	// Latency is the longest time one way between a sidecar and a server.
-	Latency time.Duration
-	Held    []Held // what links hold back
-	Stalls  []Span // times in which the machine gave the lab no processor time, and so the copies none either
-	Cold    ColdStart
-	// ReadyWithin is how long a copy that is started again may take to be ready; 0: any time.
+	Latency   time.Duration
+	HeldBack  []HeldBack // by links that delay what is sent
+	Stalls    []Span     // times in which the machine gave the lab, and so its processes, no processor time
+	SlowStart SlowStart
+	// ReadyWithin is how long a restarted process may take to be ready; 0: any time.
 	ReadyWithin time.Duration
 }
 
@@ -64,11 +64,11 @@
 	Path    []string `json:"path,omitempty"`
 }
 
-// Verdict is what all rules say of a run.
+// Verdict is the result of all rules for a run.
 type Verdict struct {
 	Counts   map[string]int `json:"counts"` // breaches by rule
 	Breaches []Breach       `json:"breaches"`
-	Checked  map[string]int `json:"checked"`                    // how many cases each rule was held to
+	Checked  map[string]int `json:"checked"`                    // how many cases each rule was checked on
 	Failures []int          `json:"rollout_failures,omitempty"` // of each rollout's canary, as servers saw them
 }
 
@@ -89,30 +89,30 @@
 
 func (s span) meets(from, to time.Duration) bool { return s.from <= to && from <= s.to }
 
-// checker walks the records.
+// checker checks the records against all rules.
 type checker struct {
 	facts  Facts
 	events []record.Event
 	byID   map[uint64][]int
 	out    *Verdict
 
-	down   map[int32][]span        // a sidecar that does not run or is held
-	paused map[int32][]span        // a sidecar that is frozen
-	told   map[int32]time.Duration // to end, where it has not ended yet
-	ends   map[int32][]end
+	unavailable map[int32][]span        // times in which a sidecar does not run
+	frozen      map[int32][]span        // times in which a sidecar is frozen
+	termAt      map[int32]time.Duration // SIGTERM of processes that have not ended yet
+	ends        map[int32][]processEnd
 }
 
-// end is how a process that was told to end has ended.
-type end struct {
-	told, at time.Duration
-	killed   bool // by SIGKILL, as it took too long
+// processEnd is how a process ended after SIGTERM.
+type processEnd struct {
+	termAt, endedAt time.Duration
+	killed          bool // by SIGKILL, as it took too long
 }
 
-// Check holds the events of a run, by time, to all rules.
+// Check checks the events of a run, ordered by time, against all rules.
 func Check(events []record.Event, facts Facts) *Verdict {
 	c := &checker{
-		facts: facts, events: events, byID: map[uint64][]int{}, down: map[int32][]span{}, paused: map[int32][]span{},
-		told: map[int32]time.Duration{}, ends: map[int32][]end{},
+		facts: facts, events: events, byID: map[uint64][]int{}, unavailable: map[int32][]span{}, frozen: map[int32][]span{},
+		termAt: map[int32]time.Duration{}, ends: map[int32][]processEnd{},
 		out: &Verdict{Counts: map[string]int{}, Checked: map[string]int{}},
 	}
 	for i := range events {
@@ -120,23 +120,23 @@
 			c.byID[id] = append(c.byID[id], i)
 		}
 		if events[i].Kind == record.Process {
-			c.process(&events[i])
+			c.recordProcess(&events[i])
 		}
 	}
 	ids := make([]uint64, 0, len(c.byID))
 	for id := range c.byID {
 		ids = append(ids, id)
 	}
-	// In order of their first event, so that the same records give the same words.
+	// In order of their first event, so that the same records give the same breaches.
 	slices.SortFunc(ids, func(a, b uint64) int { return cmp.Compare(c.byID[a][0], c.byID[b][0]) })
 	for _, id := range ids {
-		c.request(id, c.byID[id])
+		c.checkRequest(id, c.byID[id])
 	}
-	c.drains()
-	c.rest()
-	c.ready()
-	c.cold()
-	c.routes()
+	c.checkDrains()
+	c.checkRunEvents()
+	c.checkReady()
+	c.checkSlowStart()
+	c.checkRoutes()
 	return c.out
 }
 
@@ -152,35 +152,35 @@
 	Thawed   = "thawed"
 )
 
-// process follows when each sidecar could answer.
-func (c *checker) process(e *record.Event) {
+// recordProcess records when each sidecar could answer.
+func (c *checker) recordProcess(e *record.Event) {
 	closeLast := func(m map[int32][]span) {
 		if s := m[e.Sidecar]; len(s) > 0 && s[len(s)-1].to == forever {
 			s[len(s)-1].to = e.T
 		}
 	}
-	told, stopping := c.told[e.Sidecar]
+	termAt, stopping := c.termAt[e.Sidecar]
 	switch e.Note {
 	case Stopping:
-		c.told[e.Sidecar] = e.T
+		c.termAt[e.Sidecar] = e.T
 	case Ended:
 		if stopping {
-			c.ends[e.Sidecar] = append(c.ends[e.Sidecar], end{told, e.T, false})
-			delete(c.told, e.Sidecar)
+			c.ends[e.Sidecar] = append(c.ends[e.Sidecar], processEnd{termAt, e.T, false})
+			delete(c.termAt, e.Sidecar)
 		}
 	case Killed:
 		if stopping {
-			c.ends[e.Sidecar] = append(c.ends[e.Sidecar], end{told, e.T, true})
-			delete(c.told, e.Sidecar)
+			c.ends[e.Sidecar] = append(c.ends[e.Sidecar], processEnd{termAt, e.T, true})
+			delete(c.termAt, e.Sidecar)
 			break
 		}
-		c.down[e.Sidecar] = append(c.down[e.Sidecar], span{e.T, forever})
+		c.unavailable[e.Sidecar] = append(c.unavailable[e.Sidecar], span{e.T, forever})
 	case Serving:
-		closeLast(c.down)
+		closeLast(c.unavailable)
 	case Frozen:
-		c.paused[e.Sidecar] = append(c.paused[e.Sidecar], span{e.T, forever})
+		c.frozen[e.Sidecar] = append(c.frozen[e.Sidecar], span{e.T, forever})
 	case Thawed:
-		closeLast(c.paused)
+		closeLast(c.frozen)
 	}
 }
 
@@ -190,7 +190,7 @@
 
 func (c *checker) breach(rule string, at time.Duration, id uint64, path []int, format string, args ...any) {
 	c.out.Counts[rule]++
-	if c.out.Counts[rule] > mostPrinted {
+	if c.out.Counts[rule] > maxPrintedBreaches {
 		return
 	}
 	b := Breach{Rule: rule, At: at.Seconds(), Text: fmt.Sprintf(format, args...)}
@@ -205,97 +205,129 @@
 
 // attempt is one send of a request to a server, from the server's records.
 type attempt struct {
-	server, conn int
-	from, to     time.Duration // last byte there; answered, or seen closed
-	turned       bool
+	server, connection int
+	from, to           time.Duration // last byte there; answered, or seen closed
+	rejected           bool
 }
 
-// request checks one id on its own.
-func (c *checker) request(id uint64, path []int) {
-	var sent, answered []record.Event
-	var attempts []attempt
-	broke, unheard, second, unsafe := false, false, false, false
-	runs := 0
-	var last, lost time.Duration // lost: when its client knew that no answer comes
+// requestEvents is what the records say of one request.
+type requestEvents struct {
+	sent           []record.Event // by its client
+	answers        int
+	attempts       []attempt
+	runs           int           // on servers
+	connectionLost bool          // of its client
+	noAnswer       bool          // in its time, before the end of the run
+	extraBytes     bool          // after an answer
+	lastAt         time.Duration // of the last event
+	unansweredAt   time.Duration // when its client knew that no answer comes
+}
+
+// checkRequest checks the events of one request.
+func (c *checker) checkRequest(id uint64, path []int) {
+	r := c.collectRequest(id, path)
+	if len(r.sent) == 0 {
+		return
+	}
+	if len(r.attempts) > 0 {
+		c.out.Checked[NoUnknownRequest]++
+	}
+	c.checkAttempts(id, path, r.attempts, r.runs, c.facts.NonIdempotent[r.sent[len(r.sent)-1].Class])
+	c.checkClient(id, path)
+	c.checkOneAnswer(id, path, r)
+}
+
+// collectRequest gathers the events of a request, and checks those that can be checked alone.
+func (c *checker) collectRequest(id uint64, path []int) *requestEvents {
+	r := &requestEvents{}
 	for _, i := range path {
 		e := c.events[i]
-		last = e.T
+		r.lastAt = e.T
 		switch e.Kind {
 		case record.Sent:
-			sent = append(sent, e)
-			unsafe = c.facts.Unsafe[e.Class]
+			r.sent = append(r.sent, e)
 		case record.Answered:
-			answered = append(answered, e)
-			if e.Status == 200 {
-				c.out.Checked[Body]++
-				if e.Sum != e.Want {
-					c.breach(Body, e.T, id, path, "the client got body %016x, the one made for it is %016x", e.Sum, e.Want)
-				}
-			}
+			r.answers++
+			c.checkBody(id, path, e)
 		case record.ConnectionLost:
-			broke, lost = true, e.T
+			r.connectionLost, r.unansweredAt = true, e.T
 		case record.NoAnswer:
-			unheard, lost = e.Note != record.RunEnded, e.T
+			r.noAnswer, r.unansweredAt = e.Note != record.RunEnded, e.T
 		case record.ExtraBytes:
-			second = true
+			r.extraBytes = true
 		case record.UnknownRequest:
-			c.breach(NoStray, e.T, id, path, "server %d heard of sidecar %d a request %s", e.Server, e.Sidecar, e.Note)
+			c.breach(NoUnknownRequest, e.T, id, path, "server %d heard of sidecar %d a request %s", e.Server, e.Sidecar, e.Note)
 		case record.WorkStarted:
-			runs++
+			r.runs++
 		case record.LastByte:
-			attempts = append(attempts, attempt{server: int(e.Server), conn: int(e.Attempt), from: e.T, to: forever})
+			r.attempts = append(r.attempts, attempt{server: int(e.Server), connection: int(e.Attempt), from: e.T, to: forever})
 		case record.Rejected, record.Replied, record.SidecarClosed:
-			for k := range attempts {
-				if a := &attempts[k]; a.server == int(e.Server) && a.conn == int(e.Attempt) && a.to == forever {
-					if e.Kind == record.Rejected {
-						a.turned = true
-						continue // Replied tells the end
-					}
-					a.to = e.T
-				}
-			}
+			r.endAttempt(e)
 		}
 	}
-	if len(sent) == 0 {
+	return r
+}
+
+// endAttempt records that a server answered, rejected or lost an attempt.
+func (r *requestEvents) endAttempt(e record.Event) {
+	for k := range r.attempts {
+		a := &r.attempts[k]
+		if a.server != int(e.Server) || a.connection != int(e.Attempt) || a.to != forever {
+			continue
+		}
+		if e.Kind == record.Rejected {
+			a.rejected = true
+			continue // Replied gives the end
+		}
+		a.to = e.T
+	}
+}
+
+// checkBody checks that a client got the body that was made for its request.
+func (c *checker) checkBody(id uint64, path []int, answered record.Event) {
+	if answered.Status != 200 {
 		return
 	}
-	if len(attempts) > 0 {
-		c.out.Checked[NoStray]++
+	c.out.Checked[Body]++
+	if answered.Sum != answered.Want {
+		c.breach(Body, answered.T, id, path, "the client got body %016x, the one made for it is %016x", answered.Sum, answered.Want)
 	}
-	c.attempts(id, path, attempts, runs, unsafe)
-	c.clients(id, path)
+}
+
+// checkOneAnswer checks that a client got one final answer.
+func (c *checker) checkOneAnswer(id uint64, path []int, r *requestEvents) {
 	c.out.Checked[OneAnswer]++
-	from := sent[0].T
-	owner := sent[0].Sidecar
+	from := r.sent[0].T
+	owner := r.sent[0].Sidecar
 	switch {
-	case len(answered) > 1 || second:
-		c.breach(OneAnswer, last, id, path, "it was answered more than once")
-	case len(answered) == 1 || !broke && !unheard:
-	case c.outAtEnd(id, path, sent[len(sent)-1], lost):
-	case anyMeets(c.down[owner], from, last) || anyMeets(c.paused[owner], from, last):
-		// What a killed sidecar had taken goes with it; a frozen one can give nothing.
-	case broke && len(attempts) == 0:
+	case r.answers > 1 || r.extraBytes:
+		c.breach(OneAnswer, r.lastAt, id, path, "it was answered more than once")
+	case r.answers == 1 || !r.connectionLost && !r.noAnswer:
+	case c.checkProcessEnd(id, path, r.sent[len(r.sent)-1], r.unansweredAt):
+	case anyMeets(c.unavailable[owner], from, r.lastAt) || anyMeets(c.frozen[owner], from, r.lastAt):
+		// What a killed sidecar had accepted is lost with it; a frozen one cannot answer.
+	case r.connectionLost && len(r.attempts) == 0:
 		// The close crossed a request that had not been read, or failed one before anything was sent.
-	case broke:
-		c.breach(OneAnswer, last, id, path, "its connection was ended without a whole answer")
+	case r.connectionLost:
+		c.breach(OneAnswer, r.lastAt, id, path, "its connection was ended without a whole answer")
 	default:
-		c.breach(OneAnswer, last, id, path, "no answer within 0.5 s of its time")
+		c.breach(OneAnswer, r.lastAt, id, path, "no answer within 0.5 s of its time")
 	}
 }
 
-// outAtEnd judges a request without an answer that was out when a process that had been told to end ended; it tells
-// whether the request was such a one. What a process had taken and ends with by itself is lost, read or not. What
-// SIGKILL finds is lost if it came later than a process has to take; from the rest its answer was not due yet.
-func (c *checker) outAtEnd(id uint64, path []int, sent record.Event, lost time.Duration) bool {
+// checkProcessEnd checks a request without an answer that was in flight when its process ended after SIGTERM; it reports
+// whether the request was such a one. A process that ends by itself has to answer all that it accepted, read or not. What
+// SIGKILL interrupts is a breach if it arrived after ServiceAfterTerm; the answer to an earlier one was not due yet.
+func (c *checker) checkProcessEnd(id uint64, path []int, sent record.Event, lost time.Duration) bool {
 	for _, e := range c.ends[sent.Sidecar] {
-		if sent.T > e.at || lost < e.at-endSlack || lost > e.at+heardBy {
+		if sent.T > e.endedAt || lost < e.endedAt-connectionEndSlack || lost > e.endedAt+noAnswerNoticedWithin {
 			continue
 		}
-		switch after := sent.T - e.told; {
+		switch after := sent.T - e.termAt; {
 		case !e.killed:
-			c.breach(OneAnswer, e.at, id, path, "its process ended by itself, %.0f ms after SIGTERM, and left it unanswered", ms(e.at-e.told))
-		case after > c.facts.SparedTerm:
-			c.breach(OneAnswer, e.at, id, path, "it came %.0f ms after SIGTERM, and SIGKILL found it unanswered", ms(after))
+			c.breach(OneAnswer, e.endedAt, id, path, "its process ended by itself, %.0f ms after SIGTERM, and left it unanswered", ms(e.endedAt-e.termAt))
+		case after > c.facts.ServiceAfterTerm:
+			c.breach(OneAnswer, e.endedAt, id, path, "it came %.0f ms after SIGTERM, and SIGKILL found it unanswered", ms(after))
 		}
 		return true
 	}
@@ -304,29 +336,29 @@
 
 func ms(d time.Duration) float64 { return float64(d) / float64(time.Millisecond) }
 
-func (c *checker) attempts(id uint64, path []int, attempts []attempt, runs int, unsafe bool) {
-	c.out.Checked[MostTries]++
+func (c *checker) checkAttempts(id uint64, path []int, attempts []attempt, runs int, nonIdempotent bool) {
+	c.out.Checked[AttemptLimit]++
 	if len(attempts) > c.facts.MaxAttempts {
-		c.breach(MostTries, attempts[len(attempts)-1].from, id, path, "%d attempts, of %d", len(attempts), c.facts.MaxAttempts)
+		c.breach(AttemptLimit, attempts[len(attempts)-1].from, id, path, "%d attempts, of %d", len(attempts), c.facts.MaxAttempts)
 	}
-	mayHave := 0
+	mayHaveRun := 0
 	for _, a := range attempts {
-		if !a.turned {
-			mayHave++
+		if !a.rejected {
+			mayHaveRun++
 		}
 	}
-	if unsafe && len(attempts) > 0 {
-		c.out.Checked[UnsafeOnce]++
+	if nonIdempotent && len(attempts) > 0 {
+		c.out.Checked[NonIdempotentOnce]++
 		if runs > 1 {
-			c.breach(UnsafeOnce, attempts[0].from, id, path, "it ran %d times", runs)
-		} else if mayHave > 1 {
-			c.breach(UnsafeOnce, attempts[0].from, id, path, "it was sent again although it may have run")
+			c.breach(NonIdempotentOnce, attempts[0].from, id, path, "it ran %d times", runs)
+		} else if mayHaveRun > 1 {
+			c.breach(NonIdempotentOnce, attempts[0].from, id, path, "it was sent again although it may have run")
 		}
 	}
 	if len(attempts) > 1 {
 		c.out.Checked[OneAtATime]++
 		for k := 1; k < len(attempts); k++ {
-			if attempts[k-1].to > attempts[k].from+slack {
+			if attempts[k-1].to > attempts[k].from+socketSlack {
 				c.breach(OneAtATime, attempts[k].from, id, path, "two attempts at once, at servers %d and %d", attempts[k-1].server, attempts[k].server)
 				break
 			}
@@ -334,26 +366,26 @@
 	}
 }
 
-// drains checks what was sent to servers that a sidecar knew to drain.
-func (c *checker) drains() {
+// checkDrains checks what was sent to servers after the sidecar was notified of their drain.
+func (c *checker) checkDrains() {
 	type pair struct{ sidecar, server int32 }
-	told := map[pair]time.Duration{}
-	life := map[pair]int64{}   // the latest start that a sidecar was told of
-	running := map[int32]int{} // processes of each sidecar that serve
+	notifiedAt := map[pair]time.Duration{}
+	latestStart := map[pair]int64{} // the latest start of a server that a sidecar was notified of
+	running := map[int32]int{}      // processes of each sidecar that serve
 	started := map[int32]time.Duration{}
 	for i := range c.events {
 		e := &c.events[i]
-		p := pair{e.Sidecar, e.Server}
+		key := pair{e.Sidecar, e.Server}
 		switch e.Kind {
 		case record.Notified:
-			_, since := told[p]
+			_, notified := notifiedAt[key]
 			switch {
-			case e.N < life[p]: // of an earlier start: a list service that lags has said nothing of this one
+			case e.N < latestStart[key]: // of an earlier start: a lagging list service says nothing of this one
 			case e.Note == "Ready":
-				life[p] = e.N
-				delete(told, p)
-			case !since:
-				told[p] = e.T
+				latestStart[key] = e.N
+				delete(notifiedAt, key)
+			case !notified:
+				notifiedAt[key] = e.T
 				c.out.Checked[Drain]++
 			}
 		case record.Process:
@@ -361,16 +393,16 @@
 			case Ended, Crashed:
 				running[e.Sidecar]--
 			case Serving:
-				// A process that starts alone knows what it is told from now on. At an upgrade both are one sidecar:
-				// the old one knows all, and the grace begins anew when the new one serves.
-				for p, at := range told {
-					if p.sidecar != e.Sidecar {
+				// A process that starts alone knows what it is notified of from now on. At an upgrade both are one sidecar:
+				// the old one knows all, and the grace starts again when the new one serves.
+				for key, graceFrom := range notifiedAt {
+					if key.sidecar != e.Sidecar {
 						continue
 					}
 					if running[e.Sidecar] > 0 {
-						told[p] = max(at, e.T)
-					} else if at < started[e.Sidecar] {
-						delete(told, p)
+						notifiedAt[key] = max(graceFrom, e.T)
+					} else if graceFrom < started[e.Sidecar] {
+						delete(notifiedAt, key)
 					}
 				}
 				running[e.Sidecar]++
@@ -378,54 +410,54 @@
 				started[e.Sidecar] = e.T
 			}
 		case record.FirstByte:
-			at, since := told[p]
-			if !since || e.T <= at+c.facts.DrainGrace+slack {
+			graceFrom, notified := notifiedAt[key]
+			if !notified || e.T <= graceFrom+c.facts.DrainGrace+socketSlack {
 				continue
 			}
-			// Who is frozen reads nothing: its grace begins when it wakes.
-			for _, s := range c.paused[e.Sidecar] {
-				if s.meets(at, e.T) {
-					at = max(at, s.to)
+			// A frozen process reads nothing: its grace starts when it wakes.
+			for _, s := range c.frozen[e.Sidecar] {
+				if s.meets(graceFrom, e.T) {
+					graceFrom = max(graceFrom, s.to)
 				}
 			}
-			if e.T > at+c.facts.DrainGrace+slack {
+			if e.T > graceFrom+c.facts.DrainGrace+socketSlack {
 				c.breach(Drain, e.T, e.Request, c.byID[e.Request],
 					"sidecar %d sent to server %d %.0f ms after it was told that this one drains or is gone",
-					e.Sidecar, e.Server, float64(e.T-at)/1e6)
+					e.Sidecar, e.Server, float64(e.T-graceFrom)/1e6)
 			}
 		}
 	}
 }
 
-// rest checks what concerns no single request.
-func (c *checker) rest() {
+// checkRunEvents checks what concerns no single request.
+func (c *checker) checkRunEvents() {
 	for i := range c.events {
 		e := &c.events[i]
 		switch e.Kind {
 		case record.OverloadCrash:
-			c.breach(Cold, e.T, e.Request, c.byID[e.Request], "server %d was pushed over: %s", e.Server, e.Note)
+			c.breach(SlowStartLimit, e.T, e.Request, c.byID[e.Request], "server %d was pushed over: %s", e.Server, e.Note)
 		case record.ServerState:
-			if e.Note == Booted {
-				c.out.Checked[Cold]++
+			if e.Note == ServerStarted {
+				c.out.Checked[SlowStartLimit]++
 			}
 		case record.UnknownRequest:
 			if e.Request == 0 {
-				c.breach(NoStray, e.T, 0, nil, "server %d heard of sidecar %d a request %s", e.Server, e.Sidecar, e.Note)
+				c.breach(NoUnknownRequest, e.T, 0, nil, "server %d heard of sidecar %d a request %s", e.Server, e.Sidecar, e.Note)
 			}
 		case record.Sample:
 			if e.Sidecar == record.None {
 				continue
 			}
-			c.out.Checked[LimitsKept]++
+			c.out.Checked[ResourceLimits]++
 			if c.facts.MemoryMB > 0 && e.N > int64(c.facts.MemoryMB)<<20 {
-				c.breach(LimitsKept, e.T, 0, nil, "sidecar %d has %.1f MB of %d", e.Sidecar, float64(e.N)/(1<<20), c.facts.MemoryMB)
+				c.breach(ResourceLimits, e.T, 0, nil, "sidecar %d has %.1f MB of %d", e.Sidecar, float64(e.N)/(1<<20), c.facts.MemoryMB)
 			}
 			if c.facts.Sockets > 0 && int(e.Status) > c.facts.Sockets {
-				c.breach(LimitsKept, e.T, 0, nil, "sidecar %d has %d descriptors of %d", e.Sidecar, e.Status, c.facts.Sockets)
+				c.breach(ResourceLimits, e.T, 0, nil, "sidecar %d has %d descriptors of %d", e.Sidecar, e.Status, c.facts.Sockets)
 			}
 		case record.Process:
 			if e.Note == Crashed {
-				c.breach(LimitsKept, e.T, 0, nil, "sidecar %d ended unasked", e.Sidecar)
+				c.breach(ResourceLimits, e.T, 0, nil, "sidecar %d ended unasked", e.Sidecar)
 			}
 		}
 	}
--- a/internal/lab/invariant/invariant_test.go
+++ b/internal/lab/invariant/invariant_test.go
@@ -14,7 +14,7 @@
 	return record.Event{T: millis(at), Kind: record.Process, Server: record.None, Class: record.None, Note: note}
 }
 
-func told(at int, state string) record.Event {
+func notified(at int, state string) record.Event {
 	return record.Event{T: millis(at), Kind: record.Notified, Server: 3, Class: record.None, Note: state}
 }
 
@@ -22,24 +22,24 @@
 	return record.Event{T: millis(at), Kind: record.FirstByte, Request: 7, Server: 3}
 }
 
-// What binds a sidecar through freezes, restarts and upgrades.
-func TestDrainBinds(t *testing.T) {
-	facts := Facts{Unsafe: []bool{false}, MaxAttempts: 3, DrainGrace: 2 * time.Second}
+// A drain holds through freezes, restarts and upgrades of a sidecar.
+func TestDrain(t *testing.T) {
+	facts := Facts{NonIdempotent: []bool{false}, MaxAttempts: 3, DrainGrace: 2 * time.Second}
 	up := []record.Event{process(0, Started), process(1, Serving)}
 	for name, c := range map[string]struct {
 		events []record.Event
 		broken bool
 	}{
-		"within the grace":        {[]record.Event{told(100, "Terminating"), send(2100)}, false},
-		"after the grace":         {[]record.Event{told(100, "Terminating"), send(2200)}, true},
-		"told twice":              {[]record.Event{told(100, "Terminating"), told(1500, "Gone"), send(2200)}, true},
-		"ready again":             {[]record.Event{told(100, "Terminating"), told(1500, "Ready"), send(2200)}, false},
-		"frozen meanwhile":        {[]record.Event{process(50, Frozen), told(100, "Terminating"), process(3000, Thawed), send(4900)}, false},
-		"long after it woke":      {[]record.Event{process(50, Frozen), told(100, "Terminating"), process(3000, Thawed), send(5200)}, true},
-		"a restart knows nothing": {[]record.Event{told(100, "Terminating"), process(200, Killed), process(210, Ended), process(300, Started), process(400, Serving), send(9000)}, false},
-		"told while it starts":    {[]record.Event{process(200, Killed), process(210, Ended), process(300, Started), told(350, "Terminating"), process(400, Serving), send(9000)}, true},
-		"an upgrade gives time":   {[]record.Event{told(100, "Terminating"), process(1900, Started), process(2000, Serving), send(3900)}, false},
-		"an upgrade knows":        {[]record.Event{told(100, "Terminating"), process(1900, Started), process(2000, Serving), process(2100, Ended), send(4200)}, true},
+		"within the grace":        {[]record.Event{notified(100, "Terminating"), send(2100)}, false},
+		"after the grace":         {[]record.Event{notified(100, "Terminating"), send(2200)}, true},
+		"told twice":              {[]record.Event{notified(100, "Terminating"), notified(1500, "Gone"), send(2200)}, true},
+		"ready again":             {[]record.Event{notified(100, "Terminating"), notified(1500, "Ready"), send(2200)}, false},
+		"frozen meanwhile":        {[]record.Event{process(50, Frozen), notified(100, "Terminating"), process(3000, Thawed), send(4900)}, false},
+		"long after it woke":      {[]record.Event{process(50, Frozen), notified(100, "Terminating"), process(3000, Thawed), send(5200)}, true},
+		"a restart knows nothing": {[]record.Event{notified(100, "Terminating"), process(200, Killed), process(210, Ended), process(300, Started), process(400, Serving), send(9000)}, false},
+		"told while it starts":    {[]record.Event{process(200, Killed), process(210, Ended), process(300, Started), notified(350, "Terminating"), process(400, Serving), send(9000)}, true},
+		"an upgrade gives time":   {[]record.Event{notified(100, "Terminating"), process(1900, Started), process(2000, Serving), send(3900)}, false},
+		"an upgrade knows":        {[]record.Event{notified(100, "Terminating"), process(1900, Started), process(2000, Serving), process(2100, Ended), send(4200)}, true},
 	} {
 		got := slices.Contains(Check(append(slices.Clone(up), c.events...), facts).Broken(), Drain)
 		if got != c.broken {
@@ -48,8 +48,8 @@
 	}
 }
 
-// The kernel holds copies to their descriptors, so no scenario can plant this; the check itself has to be able to fail.
-func TestLimits(t *testing.T) {
+// The kernel enforces the limit of descriptors, so no scenario can plant this; the check itself has to be able to fail.
+func TestResourceLimits(t *testing.T) {
 	facts := Facts{MemoryMB: 64, Sockets: 100}
 	for _, c := range []struct {
 		rss    int64
@@ -66,9 +66,9 @@
 	}
 }
 
-// What a process that ends leaves unanswered: it is lost when it ends by itself, and when SIGKILL finds what came late.
-func TestWhatAnEndLeavesUnanswered(t *testing.T) {
-	facts := Facts{Unsafe: []bool{false}, MaxAttempts: 3, SparedTerm: 700 * time.Millisecond}
+// Requests that a process leaves unanswered are breaches when it ends by itself, and when SIGKILL interrupts late arrivals.
+func TestOneAnswer_processEnds(t *testing.T) {
+	facts := Facts{NonIdempotent: []bool{false}, MaxAttempts: 3, ServiceAfterTerm: 700 * time.Millisecond}
 	client := func(at int, kind record.Kind) record.Event {
 		return record.Event{T: millis(at), Kind: kind, Request: 7, Server: record.None}
 	}
--- a/internal/lab/invariant/members.go
+++ b/internal/lab/invariant/members.go
@@ -11,8 +11,8 @@
 
 // The rules of membership (docs/membership.md).
 const (
-	Shares  = "shares"   // what the processes that run take for their parts adds up to no more than the fleet's
-	NotGone = "not-gone" // nobody who is alive is said to be proved gone
+	QuotaSum = "shares"   // the quotas that the running processes take add up to no more than the fleet's
+	NotGone  = "not-gone" // no process that is alive is reported as proved gone
 )
 
 // Notes of MemberProcess events.
@@ -22,10 +22,10 @@
 	MemberEnded  = "has ended"
 )
 
-// MemberLeft is the note of a MembersSaid event in which a process says of itself that it has left.
+// MemberLeft is the note of a MembershipStatus event in which a process reports that it has left.
 const MemberLeft = "left"
 
-// Standings that are said of a member; Absent is what the lab says of one that is not listed any more.
+// States that are reported of a member; Absent is the lab's word for one that is no longer listed.
 const (
 	Alive  = "alive"
 	Silent = "silent"
@@ -33,42 +33,42 @@
 	Absent = "absent"
 )
 
-// Members is what a run with membership is held against.
+// Members is what a run with membership is checked against.
 type Members struct {
-	Names    []string // of the parties: sidecars, and then copies of the list service, which take no part
-	Sidecars int
-	Without  int // sidecars that know nothing of membership, and take one part of Peers each
-	Peers    int // as many count before anybody was heard of
-	// False are times in which addresses refuse connections in the name of processes that live, and some time after.
-	False []Span
+	Names             []string // of the parties: sidecars, and then list service replicas, which take no quota
+	Sidecars          int
+	WithoutMembership int // sidecars without membership, which take a quota of 1/Peers each
+	Peers             int // processes that count before any other was observed
+	// False are times in which addresses refuse connections although their processes are alive, and some time after.
+	FalseRefusals []Span
 }
 
-// believable is by how much the sum may be over its bound: what is believed is written with few digits.
-const believable = 1e-6
+// believable is by how much the sum may exceed its bound: estimates are written with few digits.
+const quotaTolerance = 1e-6
 
-// saying is what one process said of itself and of the fleet.
-type saying struct {
-	called, back time.Duration // it is of some moment between
-	start        int64
-	share        float64
-	forced, left bool
+// statusReport is what one process reported of itself and of the fleet.
+type statusReport struct {
+	requestedAt, receivedAt time.Duration // the report is of some moment between
+	start                   int64
+	quota                   float64
+	forced, left            bool
 }
 
 // member is one process.
 type member struct {
-	party  int32
-	said   []saying
-	served time.Duration
-	leaves time.Duration // when it was told to end
-	ended  time.Duration
+	party      int32
+	reports    []statusReport
+	servesFrom time.Duration
+	termAt     time.Duration // SIGTERM
+	endedAt    time.Duration
 }
 
-// piece is a time in which a process took at least a part.
-type piece struct {
+// quotaInterval is a time in which a process took at least a quota.
+type quotaInterval struct {
 	from, to time.Duration
 	party    int32
 	serial   uint64
-	least    float64
+	minQuota float64
 	forced   bool
 }
 
@@ -78,19 +78,19 @@
 	all   map[uint64]*member // by the number of the process
 }
 
-// CheckMembers holds the events of a run, by time, to the rules of membership, and adds what it finds to a verdict.
+// CheckMembers checks the events of a run, ordered by time, against the rules of membership, and adds its findings to a verdict.
 func CheckMembers(events []record.Event, facts *Members, v *Verdict) {
 	m := newMembers(&checker{events: events, out: v}, facts)
-	m.shares()
-	m.leavers()
-	m.notGone()
+	m.checkQuotaSum()
+	m.checkLeft()
+	m.checkNotGone()
 }
 
 func newMembers(c *checker, facts *Members) *members {
 	m := &members{checker: c, facts: facts, all: map[uint64]*member{}}
 	of := func(e *record.Event) *member {
 		if m.all[e.Sum] == nil {
-			m.all[e.Sum] = &member{party: e.Sidecar, served: e.T, leaves: forever, ended: forever}
+			m.all[e.Sum] = &member{party: e.Sidecar, servesFrom: e.T, termAt: forever, endedAt: forever}
 		}
 		return m.all[e.Sum]
 	}
@@ -98,73 +98,74 @@
 		switch e := &c.events[i]; e.Kind {
 		case record.MembershipStatus:
 			p := of(e)
-			p.said = append(p.said, saying{called: e.T - time.Duration(e.Want), back: e.T, start: e.N,
-				share: m.share(e), forced: e.Class == 1, left: e.Note == MemberLeft})
+			p.reports = append(p.reports, statusReport{requestedAt: e.T - time.Duration(e.Want), receivedAt: e.T, start: e.N,
+				quota: m.quotaOf(e), forced: e.Class == 1, left: e.Note == MemberLeft})
 		case record.MemberProcess:
 			switch p := of(e); e.Note {
 			case MemberLeaves:
-				p.leaves = e.T
+				p.termAt = e.T
 			case MemberEnded:
-				p.ended = e.T
+				p.endedAt = e.T
 			}
 		}
 	}
 	return m
 }
 
-// share is the part of what the fleet allows together that a process takes, by what it said.
-func (m *members) share(e *record.Event) float64 {
+// quotaOf is the quota of the fleet's total that a process takes, by its report.
+func (m *members) quotaOf(e *record.Event) float64 {
 	switch {
-	case !e.Canary || int(e.Sidecar) >= m.facts.Sidecars || e.Note == MemberLeft: // see leavers
+	case !e.Canary || int(e.Sidecar) >= m.facts.Sidecars || e.Note == MemberLeft: // see checkLeft
 		return 0
 	case e.Work > 0:
 		return 1 / e.Work
 	}
-	return 1 / float64(m.facts.Peers) // it was told nothing yet
+	return 1 / float64(m.facts.Peers) // it has no estimate yet
 }
 
-// pieces are the times between what a process said, and while it said it, with the least that it can have taken then.
-func (m *members) pieces() []piece {
-	var out []piece
+// quotaIntervals are the times between the reports of a process, and during each, with the least quota that it can have
+// taken then.
+func (m *members) quotaIntervals() []quotaInterval {
+	var out []quotaInterval
 	for serial, p := range m.all {
-		for k, s := range p.said {
-			one := piece{from: s.called, to: s.back, party: p.party, serial: serial, least: s.share, forced: s.forced}
+		for k, s := range p.reports {
+			interval := quotaInterval{from: s.requestedAt, to: s.receivedAt, party: p.party, serial: serial, minQuota: s.quota, forced: s.forced}
 			if k > 0 {
-				before := p.said[k-1]
-				one.least = min(one.least, before.share)
+				before := p.reports[k-1]
+				interval.minQuota = min(interval.minQuota, before.quota)
 			}
-			if k+1 < len(p.said) {
-				next := p.said[k+1]
-				one.least = min(one.least, next.share)
-				between := piece{from: s.back, to: next.called, party: p.party, serial: serial, least: min(s.share, next.share),
+			if k+1 < len(p.reports) {
+				next := p.reports[k+1]
+				interval.minQuota = min(interval.minQuota, next.quota)
+				between := quotaInterval{from: s.receivedAt, to: next.requestedAt, party: p.party, serial: serial, minQuota: min(s.quota, next.quota),
 					forced: s.forced || next.forced}
 				out = append(out, between)
 			}
-			out = append(out, one)
+			out = append(out, interval)
 		}
 	}
 	return out
 }
 
-// Moment is what the processes that run take together at least, from a time on.
-type Moment struct {
+// QuotaMoment is the least that the running processes take together, from a time on.
+type QuotaMoment struct {
 	At           time.Duration
 	Sum, Allowed float64
-	Parts        int // processes that take one
+	Parts        int // processes that take a quota
 }
 
-// SharesOf follows the sum of the parts through a run.
-func SharesOf(events []record.Event, facts *Members) []Moment {
+// QuotaMoments follows the sum of the quotas through a run.
+func QuotaMoments(events []record.Event, facts *Members) []QuotaMoment {
 	return newMembers(&checker{events: events}, facts).moments()
 }
 
-func (m *members) moments() []Moment {
+func (m *members) moments() []QuotaMoment {
 	type change struct {
 		at     time.Duration
 		begins bool
-		*piece
+		*quotaInterval
 	}
-	pieces := m.pieces()
+	pieces := m.quotaIntervals()
 	var changes []change
 	for i := range pieces {
 		if p := &pieces[i]; p.to > p.from {
@@ -172,99 +173,99 @@
 		}
 	}
 	slices.SortFunc(changes, func(a, b change) int { return cmp.Compare(a.at, b.at) })
-	now := map[int32]map[uint64]*piece{}
-	var out []Moment
+	now := map[int32]map[uint64]*quotaInterval{}
+	var out []QuotaMoment
 	for i, c := range changes {
 		switch {
 		case now[c.party] == nil:
-			now[c.party] = map[uint64]*piece{c.serial: c.piece}
+			now[c.party] = map[uint64]*quotaInterval{c.serial: c.quotaInterval}
 		case c.begins:
-			now[c.party][c.serial] = c.piece
-		case now[c.party][c.serial] == c.piece:
+			now[c.party][c.serial] = c.quotaInterval
+		case now[c.party][c.serial] == c.quotaInterval:
 			delete(now[c.party], c.serial)
 		}
 		if i+1 < len(changes) && changes[i+1].at == c.at {
 			continue
 		}
-		out = append(out, m.moment(c.at, now))
+		out = append(out, m.momentAt(c.at, now))
 	}
 	return out
 }
 
-// moment adds up. Two processes of one sidecar, in an upgrade, share its part.
-func (m *members) moment(at time.Duration, now map[int32]map[uint64]*piece) Moment {
-	one := Moment{At: at, Sum: float64(m.facts.Without) / float64(m.facts.Peers), Allowed: 1, Parts: m.facts.Without}
+// momentAt adds the quotas up. Two processes of one sidecar, in an upgrade, share its quota.
+func (m *members) momentAt(at time.Duration, now map[int32]map[uint64]*quotaInterval) QuotaMoment {
+	moment := QuotaMoment{At: at, Sum: float64(m.facts.WithoutMembership) / float64(m.facts.Peers), Allowed: 1, Parts: m.facts.WithoutMembership}
 	var forced []float64
 	for _, party := range now {
-		sum, let := 0.0, false
+		sum, anyForced := 0.0, false
 		for _, p := range party {
-			sum += p.least
-			let = let || p.forced
+			sum += p.minQuota
+			anyForced = anyForced || p.forced
 		}
 		if sum > 0 {
-			part := sum / float64(len(party))
-			one.Sum += part
-			one.Parts++
-			if let {
-				forced = append(forced, part)
+			quota := sum / float64(len(party))
+			moment.Sum += quota
+			moment.Parts++
+			if anyForced {
+				forced = append(forced, quota)
 			}
 		}
 	}
-	// What the others take is at most 1. Who was let in by its time counts as many as the settings name, if it has met
-	// nobody, or those that it has met.
-	for _, part := range forced {
-		one.Allowed += min(part, max(1/float64(m.facts.Peers), 1/float64(one.Parts)))
+	// What the others take is at most 1. A process that was admitted by timeout counts the processes of the settings if it
+	// has observed none, or those that it has observed.
+	for _, quota := range forced {
+		moment.Allowed += min(quota, max(1/float64(m.facts.Peers), 1/float64(moment.Parts)))
 	}
-	return one
+	return moment
 }
 
-func (m *members) excused(at time.Duration) bool {
-	return slices.ContainsFunc(m.facts.False, func(s Span) bool { return s.From <= at && at <= s.To })
+func (m *members) excluded(at time.Duration) bool {
+	return slices.ContainsFunc(m.facts.FalseRefusals, func(s Span) bool { return s.From <= at && at <= s.To })
 }
 
-// shares holds the sum against what the fleet may take.
-func (m *members) shares() {
+// checkQuotaSum checks the sum against what the fleet may take.
+func (m *members) checkQuotaSum() {
 	over := false
-	for _, one := range m.moments() {
-		if one.Parts < 2 || m.excused(one.At) {
+	for _, moment := range m.moments() {
+		if moment.Parts < 2 || m.excluded(moment.At) {
 			continue
 		}
-		m.out.Checked[Shares]++
-		was := over
-		if over = one.Sum > one.Allowed+believable; over && !was {
-			m.breach(Shares, one.At, 0, nil, "%d processes take %.3f of what the fleet allows together, at most %.3f may be",
-				one.Parts, one.Sum, one.Allowed)
+		m.out.Checked[QuotaSum]++
+		wasOver := over
+		if over = moment.Sum > moment.Allowed+quotaTolerance; over && !wasOver {
+			m.breach(QuotaSum, moment.At, 0, nil, "%d processes take %.3f of what the fleet allows together, at most %.3f may be",
+				moment.Parts, moment.Sum, moment.Allowed)
 		}
 	}
 }
 
-// leavers holds those who have said that they left to it: they send nothing to servers any more. Where a sidecar has two
-// processes nobody can tell whose a request was.
-func (m *members) leavers() {
-	by := map[int32][]*member{}
+// checkLeft checks that processes which reported that they left send nothing to servers any more. Where a sidecar has two
+// processes it is unknown which one sent a request.
+func (m *members) checkLeft() {
+	byParty := map[int32][]*member{}
 	for _, p := range m.all {
-		by[p.party] = append(by[p.party], p)
+		byParty[p.party] = append(byParty[p.party], p)
 	}
 	for i := range m.events {
 		e := &m.events[i]
 		if e.Kind != record.FirstByte {
 			continue
 		}
-		var alone *member
+		var only *member
 		several := false
-		for _, p := range by[e.Sidecar] {
-			if p.served-slack <= e.T && e.T-slack <= p.ended {
-				several = several || alone != nil
-				alone = p
+		for _, p := range byParty[e.Sidecar] {
+			if p.servesFrom-socketSlack <= e.T && e.T-socketSlack <= p.endedAt {
+				several = several || only != nil
+				only = p
 			}
 		}
-		if alone == nil || several {
+		if only == nil || several {
 			continue
 		}
-		k := slices.IndexFunc(alone.said, func(s saying) bool { return s.left })
-		if k >= 0 && e.T > alone.said[k].back+slack {
-			m.breach(Shares, e.T, e.Request, []int{i}, "%s sends to servers %.0f ms after it has left", m.name(e.Sidecar),
-				ms(e.T-alone.said[k].back))
+		k := slices.IndexFunc(only.reports, func(s statusReport) bool { return s.left })
+		if k >= 0 && e.T > only.reports[k].receivedAt+socketSlack {
+			m.breach(QuotaSum, e.T, e.Request, []int{i}, "%s sends to servers %.0f ms after it has left", m.name(e.Sidecar),
+				ms(e.T-only.reports[k].receivedAt))
 		}
 	}
 }
@@ -274,14 +275,14 @@
 	start int64
 }
 
-// lives are the last moments at which each process is known to live, and when it was told to end.
-func (m *members) lives() map[memberID]saying {
-	out := map[memberID]saying{}
+// lastSeenAlive gives the last moment at which each process is known to be alive, and its SIGTERM.
+func (m *members) lastSeenAlive() map[memberID]statusReport {
+	out := map[memberID]statusReport{}
 	for _, p := range m.all {
-		for _, s := range p.said {
+		for _, s := range p.reports {
 			id := memberID{m.name(p.party), s.start}
-			if last, ok := out[id]; !ok || s.called > last.called {
-				out[id] = saying{called: s.called, back: p.leaves}
+			if latest, ok := out[id]; !ok || s.requestedAt > latest.requestedAt {
+				out[id] = statusReport{requestedAt: s.requestedAt, receivedAt: p.termAt}
 			}
 		}
 	}
@@ -295,9 +296,9 @@
 	return ""
 }
 
-// notGone looks for those who were said to be proved gone and were not.
-func (m *members) notGone() {
-	lives := m.lives()
+// checkNotGone looks for processes that were reported as proved gone and were alive.
+func (m *members) checkNotGone() {
+	lastAlive := m.lastSeenAlive()
 	for i := range m.events {
 		e := &m.events[i]
 		switch e.Kind {
@@ -305,17 +306,17 @@
 			m.out.Checked[NotGone] += int(e.Server)
 		case record.MemberStatus:
 			state, name, proof := ParseMemberNote(e.Note)
-			life, known := lives[memberID{name, e.N}]
-			if state != Gone || !known || life.called < e.T || e.T >= life.back || m.excused(e.T) {
+			alive, known := lastAlive[memberID{name, e.N}]
+			if state != Gone || !known || alive.requestedAt < e.T || e.T >= alive.receivedAt || m.excluded(e.T) {
 				continue
 			}
 			m.breach(NotGone, e.T, 0, []int{i}, "%s says that %s, started at %d, is proved gone (%s), and it lives %.1f s later",
-				m.name(e.Sidecar), name, e.N, proof, (life.called - e.T).Seconds())
+				m.name(e.Sidecar), name, e.N, proof, (alive.requestedAt - e.T).Seconds())
 		}
 	}
 }
 
-// ParseMemberNote reads the note of a MemberSaid event.
+// ParseMemberNote reads the note of a MemberStatus event.
 func ParseMemberNote(note string) (state, name, proof string) {
 	parts := strings.SplitN(note, " ", 3)
 	for len(parts) < 3 {
--- a/internal/lab/invariant/members_test.go
+++ b/internal/lab/invariant/members_test.go
@@ -9,33 +9,33 @@
 	"marblelane/internal/lab/record"
 )
 
-// says is an answer of a process, of a party of its number, that took 10 ms.
-func says(at int, serial uint64, believed float64, admitted bool) record.Event {
+// status is an answer of a process, of the party of its number, that took 10 ms.
+func status(at int, serial uint64, estimate float64, admitted bool) record.Event {
 	return record.Event{T: millis(at), Kind: record.MembershipStatus, Sidecar: int32(serial), Sum: serial, Want: uint64(10 * time.Millisecond),
-		N: int64(serial), Work: believed, Canary: admitted, Server: 2}
+		N: int64(serial), Work: estimate, Canary: admitted, Server: 2}
 }
 
-func forcedIn(e record.Event) record.Event {
+func forced(e record.Event) record.Event {
 	e.Class = 1
 	return e
 }
 
-func saidOf(at int, by uint64, note string, start int64) record.Event {
+func memberStatus(at int, by uint64, note string, start int64) record.Event {
 	return record.Event{T: millis(at), Kind: record.MemberStatus, Sidecar: int32(by), Sum: by, N: start, Note: note}
 }
 
-// Each rule of membership finds what breaks it, and nothing in what only looks like it.
-func TestMemberRules(t *testing.T) {
-	half := func(at int, serial uint64) record.Event { return says(at, serial, 2, true) }
+// Each rule of membership finds its breach, and none in events that only resemble one.
+func TestCheckMembers_rules(t *testing.T) {
+	half := func(at int, serial uint64) record.Event { return status(at, serial, 2, true) }
 	leaves := record.Event{T: millis(150), Kind: record.MemberProcess, Sidecar: record.None, Sum: 1, Note: MemberLeaves}
 	three := func(third record.Event, later record.Event) []record.Event {
 		return []record.Event{half(100, 0), half(100, 1), third, half(200, 0), half(200, 1), later}
 	}
-	old := says(100, 7, 2, true)
+	old := status(100, 7, 2, true)
 	old.Sidecar = 1
 	later := old
 	later.T = millis(200)
-	ofList := says(100, 3, 2, true)
+	ofList := status(100, 3, 2, true)
 	left := func(at int, serial uint64) record.Event {
 		e := half(at, serial)
 		e.Note = MemberLeft
@@ -48,32 +48,32 @@
 		broken string // empty: none
 	}{
 		"two halves":                        {[]record.Event{half(100, 0), half(100, 1), half(200, 0), half(200, 1)}, ""},
-		"three halves":                      {three(half(105, 2), half(205, 2)), Shares},
-		"the third is not admitted":         {three(says(105, 2, 2, false), says(205, 2, 2, false)), ""},
-		"it is admitted meanwhile":          {three(says(105, 2, 2, false), says(205, 2, 2, true)), ""},
-		"it believes more at once":          {three(says(105, 2, 2, true), says(205, 2, 1e9, true)), ""},
-		"it was told nothing yet":           {three(says(105, 2, 0, true), says(205, 2, 0, true)), Shares},
-		"it was let in by its time":         {[]record.Event{says(100, 0, 2, true), forcedIn(says(100, 1, 1.3, true)), says(200, 0, 2, true), forcedIn(says(200, 1, 1.3, true))}, ""},
-		"let in, and more than its part":    {[]record.Event{says(100, 0, 1, true), forcedIn(says(100, 1, 1, true)), says(200, 0, 1, true), forcedIn(says(200, 1, 1, true))}, Shares},
+		"three halves":                      {three(half(105, 2), half(205, 2)), QuotaSum},
+		"the third is not admitted":         {three(status(105, 2, 2, false), status(205, 2, 2, false)), ""},
+		"it is admitted meanwhile":          {three(status(105, 2, 2, false), status(205, 2, 2, true)), ""},
+		"it believes more at once":          {three(status(105, 2, 2, true), status(205, 2, 1e9, true)), ""},
+		"it was told nothing yet":           {three(status(105, 2, 0, true), status(205, 2, 0, true)), QuotaSum},
+		"it was let in by its time":         {[]record.Event{status(100, 0, 2, true), forced(status(100, 1, 1.3, true)), status(200, 0, 2, true), forced(status(200, 1, 1.3, true))}, ""},
+		"let in, and more than its part":    {[]record.Event{status(100, 0, 1, true), forced(status(100, 1, 1, true)), status(200, 0, 1, true), forced(status(200, 1, 1, true))}, QuotaSum},
 		"it has left":                       {three(left(105, 2), left(205, 2)), ""},
-		"it sends after it has left":        {append(three(left(105, 2), left(205, 2)), sends), Shares},
+		"it sends after it has left":        {append(three(left(105, 2), left(205, 2)), sends), QuotaSum},
 		"the next process sends":            {append(three(left(105, 2), left(205, 2)), serves, sends), ""},
 		"a second process of one":           {three(old, later), ""},
 		"a copy of the list service":        {append([]record.Event{ofList}, half(100, 0), half(100, 1), half(200, 0), half(200, 1)), ""},
 		"while a proof is false":            {[]record.Event{half(1100, 0), half(1100, 1), half(1100, 2), half(1200, 0), half(1200, 1), half(1200, 2)}, ""},
-		"after it answered for the last":    {[]record.Event{half(100, 1), saidOf(95, 0, "gone n1 refused", 1)}, ""},
-		"said to be gone, and answers":      {[]record.Event{half(100, 1), saidOf(150, 0, "gone n1 refused", 1), half(200, 1)}, NotGone},
-		"the answer was on its way":         {[]record.Event{half(100, 1), saidOf(195, 0, "gone n1 refused", 1), half(200, 1)}, ""},
-		"silent only":                       {[]record.Event{half(100, 1), saidOf(150, 0, "silent n1", 1), half(200, 1)}, ""},
-		"another start":                     {[]record.Event{half(100, 1), saidOf(150, 0, "gone n1 replaced", 0), half(200, 1)}, ""},
-		"it was told to end":                {[]record.Event{half(100, 1), leaves, saidOf(150, 0, "gone n1 left", 1), half(200, 1)}, ""},
-		"gone by a proof that is false":     {[]record.Event{half(1100, 1), saidOf(1150, 0, "gone n1 refused", 1), half(1200, 1)}, ""},
-		"of somebody who never said a word": {[]record.Event{saidOf(150, 0, "gone n9 left", 9)}, ""},
+		"after it answered for the last":    {[]record.Event{half(100, 1), memberStatus(95, 0, "gone n1 refused", 1)}, ""},
+		"said to be gone, and answers":      {[]record.Event{half(100, 1), memberStatus(150, 0, "gone n1 refused", 1), half(200, 1)}, NotGone},
+		"the answer was on its way":         {[]record.Event{half(100, 1), memberStatus(195, 0, "gone n1 refused", 1), half(200, 1)}, ""},
+		"silent only":                       {[]record.Event{half(100, 1), memberStatus(150, 0, "silent n1", 1), half(200, 1)}, ""},
+		"another start":                     {[]record.Event{half(100, 1), memberStatus(150, 0, "gone n1 replaced", 0), half(200, 1)}, ""},
+		"it was told to end":                {[]record.Event{half(100, 1), leaves, memberStatus(150, 0, "gone n1 left", 1), half(200, 1)}, ""},
+		"gone by a proof that is false":     {[]record.Event{half(1100, 1), memberStatus(1150, 0, "gone n1 refused", 1), half(1200, 1)}, ""},
+		"of somebody who never said a word": {[]record.Event{memberStatus(150, 0, "gone n9 left", 9)}, ""},
 	} {
 		t.Run(name, func(t *testing.T) {
 			v := &Verdict{Counts: map[string]int{}, Checked: map[string]int{}}
 			CheckMembers(c.events, &Members{Names: []string{"n0", "n1", "n2", "r0"}, Sidecars: 3, Peers: 2,
-				False: []Span{{millis(1000), millis(2000)}}}, v)
+				FalseRefusals: []Span{{millis(1000), millis(2000)}}}, v)
 			if c.broken == "" {
 				assert.Empty(t, v.Counts, "%+v", v.Breaches)
 				return
@@ -84,14 +84,14 @@
 	}
 }
 
-// Sidecars without membership take their part all the time.
-func TestOlderSidecarsTakeTheirPart(t *testing.T) {
-	events := []record.Event{says(100, 0, 2, true), says(200, 0, 2, true)}
+// Sidecars without membership take their quota all the time.
+func TestQuotaMoments_withoutMembership(t *testing.T) {
+	events := []record.Event{status(100, 0, 2, true), status(200, 0, 2, true)}
 	for without, want := range map[int]float64{0: 0.5, 1: 1, 2: 1.5} {
-		most := 0.0
-		for _, one := range SharesOf(events, &Members{Names: []string{"n0"}, Sidecars: 1, Peers: 2, Without: without}) {
-			most = max(most, one.Sum)
+		highest := 0.0
+		for _, moment := range QuotaMoments(events, &Members{Names: []string{"n0"}, Sidecars: 1, Peers: 2, WithoutMembership: without}) {
+			highest = max(highest, moment.Sum)
 		}
-		assert.InDelta(t, want, most, 1e-9)
+		assert.InDelta(t, want, highest, 1e-9)
 	}
 }
--- a/internal/lab/invariant/ready.go
+++ b/internal/lab/invariant/ready.go
@@ -6,18 +6,18 @@
 	"marblelane/internal/lab/record"
 )
 
-// lateOf is of how many restarted copies one may be late to be ready.
-const lateOf = 10
+// restartsPerLate is for how many restarted processes one may be late to be ready.
+const restartsPerLate = 10
 
-// readyAtEnd is how long a copy has at least that is not ready when the run ends.
-const readyAtEnd = 6 * time.Second
+// minReadyTime is the least time that a process has which is not ready when the run ends.
+const minReadyTime = 6 * time.Second
 
-// ready checks that of the copies that are started again nine in ten are ready in time.
-func (c *checker) ready() {
+// checkReady checks that nine in ten restarted processes are ready in time.
+func (c *checker) checkReady() {
 	if c.facts.ReadyWithin == 0 {
 		return
 	}
-	starting := map[int32]time.Duration{} // copies that are not ready yet
+	starting := map[int32]time.Duration{} // restarted processes that are not ready yet
 	known := map[int32]bool{}
 	var late []record.Event
 	judge := func(e record.Event, limit time.Duration) {
@@ -45,9 +45,9 @@
 	}
 	for sidecar := range starting {
 		end := c.events[len(c.events)-1].T
-		judge(record.Event{T: end, Sidecar: sidecar}, min(c.facts.ReadyWithin, readyAtEnd))
+		judge(record.Event{T: end, Sidecar: sidecar}, min(c.facts.ReadyWithin, minReadyTime))
 	}
-	if all := c.out.Checked[ReadyInTime]; len(late)*lateOf > all {
+	if all := c.out.Checked[ReadyInTime]; len(late)*restartsPerLate > all {
 		c.breach(ReadyInTime, late[0].T, 0, nil, "%d of %d copies that were started again were not ready within %v, sidecar %d first",
 			len(late), all, c.facts.ReadyWithin, late[0].Sidecar)
 	}
--- a/internal/lab/invariant/ready_test.go
+++ b/internal/lab/invariant/ready_test.go
@@ -8,8 +8,8 @@
 	"marblelane/internal/lab/record"
 )
 
-// One in ten of the copies that are started again may be late to be ready; a first start is not counted.
-func TestRestartedCopiesAreReadyInTime(t *testing.T) {
+// One in ten restarted processes may be late to be ready; a first start is not counted.
+func TestReadyInTime(t *testing.T) {
 	for name, c := range map[string]struct {
 		first, again time.Duration // that a copy takes; negative: it is not ready when the run ends
 		late, all    int           // copies that take so long when they are started again, of so many
--- a/internal/lab/invariant/routes_test.go
+++ b/internal/lab/invariant/routes_test.go
@@ -10,7 +10,7 @@
 	"marblelane/internal/lab/record"
 )
 
-// attemptAt is an attempt that a server heard at a time, to a canary, under a revision.
+// attemptAt is an attempt that a server received at a time, to a canary, under a revision.
 func attemptAt(at int, id uint64, rev int64) record.Event {
 	return record.Event{T: millis(at), Kind: record.FirstByte, Request: id, Server: 1, Attempt: 1, Rev: rev, Canary: true}
 }
@@ -27,16 +27,16 @@
 	return record.Event{T: millis(at), Kind: record.RolloutPhase, Sidecar: record.None, Class: record.None, Rev: rev, Note: name}
 }
 
-func share(at int, rev int64, of float64) record.Event {
+func fraction(at int, rev int64, of float64) record.Event {
 	return record.Event{T: millis(at), Kind: record.RolloutFraction, Sidecar: record.None, Class: record.None, Rev: rev, Work: of}
 }
 
-func shut(at int, rev int64) record.Event {
+func revisionClosed(at int, rev int64) record.Event {
 	return record.Event{T: millis(at), Kind: record.RevisionClosed, Sidecar: record.None, Class: record.None, Rev: rev}
 }
 
-// Each rule of rollouts finds what breaks it, and nothing in what only looks like it.
-func TestRolloutRules(t *testing.T) {
+// Each rule of rollouts finds its breach, and none in events that only resemble one.
+func TestCheckRoutes_rules(t *testing.T) {
 	const at = 1000
 	other := attemptAt(at, 1, 20)
 	other.Class = 1
@@ -81,12 +81,12 @@
 		"the second client had left":       {two(gaveUp), ""},
 		"late answers are failures":        {[]record.Event{attemptAt(at, 1, 20), replied(at+101, 1, 200), attemptAt(at, 2, 20), replied(at+101, 2, 200)}, Budget},
 		"good ones are none":               {[]record.Event{attemptAt(at, 1, 20), replied(at+99, 1, 200), attemptAt(at, 2, 20), replied(at+99, 2, 200)}, ""},
-		"before it is closed":              {[]record.Event{base, shut(at+500, 20)}, ""},
-		"on its way as it is closed":       {[]record.Event{shut(at-50, 20), base}, ""},
-		"after it is closed":               {[]record.Event{shut(at-60, 20), base}, RevClosed},
-		"after a later one is closed":      {[]record.Event{shut(at-60, 25), base}, RevClosed},
-		"an older one is closed":           {[]record.Event{shut(at-60, 19), base}, ""},
-		"after it is closed, link cut":     {[]record.Event{shut(4000, 20), attemptAt(4700, 1, 20)}, ""},
+		"before it is closed":              {[]record.Event{base, revisionClosed(at+500, 20)}, ""},
+		"on its way as it is closed":       {[]record.Event{revisionClosed(at-50, 20), base}, ""},
+		"after it is closed":               {[]record.Event{revisionClosed(at-60, 20), base}, RevClosed},
+		"after a later one is closed":      {[]record.Event{revisionClosed(at-60, 25), base}, RevClosed},
+		"an older one is closed":           {[]record.Event{revisionClosed(at-60, 19), base}, ""},
+		"after it is closed, link cut":     {[]record.Event{revisionClosed(4000, 20), attemptAt(4700, 1, 20)}, ""},
 		"of a class that is left out":      {[]record.Event{other}, RouteFree},
 		"at a server that is not in it":    {[]record.Event{elsewhere}, RouteFree},
 		"of a tenant without one":          {[]record.Event{stranger}, RouteFree},
@@ -95,23 +95,23 @@
 		"after it was done":                {[]record.Event{phase(at-1, 30, "done"), attemptAt(at, 1, 30)}, RouteFree},
 		"after it was rolled back":         {[]record.Event{phase(at-1, 30, "rolled-back"), attemptAt(at, 1, 31)}, RollbackFinal},
 		"under the step before":            {[]record.Event{phase(at-1, 30, "rolled-back"), attemptAt(at, 1, 29)}, ""},
-		"a copy that lags":                 {[]record.Event{phase(at, 30, "rolled-back"), phase(at+1, 29, "running"), share(at+1, 29, 0.5)}, ""},
+		"a copy that lags":                 {[]record.Event{phase(at, 30, "rolled-back"), phase(at+1, 29, "running"), fraction(at+1, 29, 0.5)}, ""},
 		"told to run again":                {[]record.Event{phase(at, 30, "rolled-back"), phase(at+1, 31, "running")}, RollbackFinal},
-		"told a share again":               {[]record.Event{phase(at, 30, "rolled-back"), share(at+1, 31, 0.5)}, RollbackFinal},
-		"told a share of none":             {[]record.Event{phase(at, 30, "rolled-back"), share(at+1, 31, 0)}, ""},
+		"told a share again":               {[]record.Event{phase(at, 30, "rolled-back"), fraction(at+1, 31, 0.5)}, RollbackFinal},
+		"told a share of none":             {[]record.Event{phase(at, 30, "rolled-back"), fraction(at+1, 31, 0)}, ""},
 		"another phase in the end":         {[]record.Event{phase(at, 30, "rolled-back"), {Kind: record.RoutesObserved, Note: "undone"}}, RollbackFinal},
 		"of a rollout that was not posted": {[]record.Event{}, ""},
 	} {
 		t.Run(name, func(t *testing.T) {
-			facts := &Routes{Hindered: []Span{{millis(4500), millis(4900)}}, Rollouts: []Rollout{
+			facts := &Routes{LinkFaults: []Span{{millis(4500), millis(4900)}}, Rollouts: []Rollout{
 				{Name: "fresh", Classes: []bool{true, false}, Servers: []bool{false, true}, Budget: 1, After: 10,
-					Aims: []time.Duration{millis(100), millis(100)}},
+					LatencyObjectives: []time.Duration{millis(100), millis(100)}},
 				{Name: "never", Tenant: 2, After: -1},
 			}}
 			if n := len(c.events); n > 0 && c.events[n-1].Note == "undone" {
 				facts.Rollouts[0].Final = "running"
 			}
-			broken := Check(c.events, Facts{Unsafe: []bool{false, false}, MaxAttempts: 3, Routes: facts}).Broken()
+			broken := Check(c.events, Facts{NonIdempotent: []bool{false, false}, MaxAttempts: 3, Routes: facts}).Broken()
 			if c.broken == "" {
 				assert.Empty(t, broken)
 			} else {
@@ -121,10 +121,10 @@
 	}
 }
 
-// The audit's answers are held to the life of each process, and to the window that was asked for.
-func TestAuditRule(t *testing.T) {
+// The audit's answers are checked against the lifetime of each process, and the window of the query.
+func TestCheckRoutes_audit(t *testing.T) {
 	const epoch = int64(1e18)
-	// Two lives: the first from 0 to 3 s, the second from 4 s on; attempts under 20 at 1 and 5 s.
+	// Two processes: the first from 0 to 3 s, the second from 4 s on; attempts under 20 at 1 and 5 s.
 	events := []record.Event{process(0, Started), process(1, Serving), attemptAt(1000, 1, 20), process(3000, Killed), process(3000, Ended),
 		process(4000, Started), process(4001, Serving), attemptAt(5000, 2, 20)}
 	first, second := epoch+int64(millis(5)), epoch+int64(millis(4005))
@@ -148,9 +148,9 @@
 			if c.a.Name = "n0"; c.a.Rev == 0 {
 				c.a.Rev = 20
 			}
-			facts := &Routes{Answers: []Answer{c.a}, Epoch: epoch, Names: []string{"n0"}, Hindered: []Span{{millis(7500), millis(7600)}},
+			facts := &Routes{Answers: []Answer{c.a}, Epoch: epoch, Names: []string{"n0"}, LinkFaults: []Span{{millis(7500), millis(7600)}},
 				Rollouts: []Rollout{{Classes: []bool{true}, Servers: []bool{false, true}, After: 10}}}
-			v := Check(events, Facts{Unsafe: []bool{false}, MaxAttempts: 3, Routes: facts})
+			v := Check(events, Facts{NonIdempotent: []bool{false}, MaxAttempts: 3, Routes: facts})
 			if c.broken {
 				assert.Equal(t, []string{AuditTrue}, v.Broken())
 			} else {
--- a/internal/lab/members_result.go
+++ b/internal/lab/members_result.go
@@ -107,7 +107,7 @@
 	for i := range p.Sidecars {
 		f.Names = append(f.Names, p.Sidecars[i].Name)
 		if !s.Membered(i) {
-			f.Without++
+			f.WithoutMembership++
 		}
 	}
 	if m.r.service != nil {
@@ -117,7 +117,7 @@
 	}
 	for i := range p.Faults {
 		if one := &p.Faults[i]; one.Fault.Kind == "members-refuse" {
-			f.False = append(f.False, invariant.Span{From: one.At, To: one.Until + afterRefusal})
+			f.FalseRefusals = append(f.FalseRefusals, invariant.Span{From: one.At, To: one.Until + afterRefusal})
 		}
 	}
 	return f
@@ -130,7 +130,7 @@
 func membersResult(events []record.Event, facts *invariant.Members, s *scenario.Scenario) *MembersResult {
 	r := &membersRead{facts: facts, out: &MembersResult{AgreeMS: -1}}
 	r.read(events)
-	for _, one := range invariant.SharesOf(events, facts) {
+	for _, one := range invariant.QuotaMoments(events, facts) {
 		if one.Sum > r.out.MostTaken {
 			r.out.MostTaken, r.out.TakenAt = one.Sum, one.At.Seconds()
 		}
--- a/internal/lab/outcome.go
+++ b/internal/lab/outcome.go
@@ -68,12 +68,12 @@
 	s := p.Scenario
 	facts := invariant.Facts{
 		MaxAttempts: s.Rules.MaxAttempts, DrainGrace: s.Rules.DrainGrace.Duration(),
-		MemoryMB: s.Sidecars.MemoryMB, Sockets: s.Sidecars.Sockets, SparedTerm: scenario.SparedTerm,
-		Routes: routes, Latency: p.LongestLatency(), Held: heldBack(p), Stalls: stalls, ReadyWithin: s.Rules.ReadyWithin.Duration(),
-		Cold: coldStart(p),
+		MemoryMB: s.Sidecars.MemoryMB, Sockets: s.Sidecars.Sockets, ServiceAfterTerm: scenario.SparedTerm,
+		Routes: routes, Latency: p.LongestLatency(), HeldBack: heldBack(p), Stalls: stalls, ReadyWithin: s.Rules.ReadyWithin.Duration(),
+		SlowStart: coldStart(p),
 	}
 	for _, c := range s.Classes {
-		facts.Unsafe = append(facts.Unsafe, c.Effect == "unsafe")
+		facts.NonIdempotent = append(facts.NonIdempotent, c.Effect == "unsafe")
 	}
 	return &Report{
 		Scenario: s.Name, Title: s.Title, Seed: p.Seed, Sidecars: len(p.Sidecars), Servers: s.Servers.Count,
--- a/internal/lab/routes.go
+++ b/internal/lab/routes.go
@@ -362,7 +362,7 @@
 	o.asked++
 	for _, a := range got.Answers {
 		o.answers = append(o.answers, invariant.Answer{Rev: rev, From: time.UnixMilli(fromMS).Sub(o.epoch), To: time.UnixMilli(toMS).Sub(o.epoch),
-			Asked: o.r.log.Now() - o.began, Name: a.Name, Start: a.Start, Verdict: a.Verdict, Why: a.Reason})
+			AskedAt: o.r.log.Now() - o.began, Name: a.Name, Start: a.Start, Verdict: a.Verdict, Reason: a.Reason})
 	}
 }
 
@@ -448,7 +448,7 @@
 // facts are what the rules hold the run against.
 func (o *rollouts) facts() *invariant.Routes {
 	p, s := o.r.plan, o.r.s
-	f := &invariant.Routes{Answers: o.answers, Lagged: o.lagged, Epoch: o.epoch.UnixNano(),
+	f := &invariant.Routes{Answers: o.answers, LabStalls: o.lagged, Epoch: o.epoch.UnixNano(),
 		Latency: time.Duration(float64(max(s.Network.Cross, s.Network.Far)) * (1 + s.Network.Jitter))}
 	if len(s.Network.Regions) == 0 {
 		f.Latency = time.Duration(float64(max(s.Network.Cross, s.Network.Same)) * (1 + s.Network.Jitter))
@@ -458,7 +458,7 @@
 	}
 	for i := range p.Faults {
 		if one := &p.Faults[i]; hindering(&one.Fault) {
-			f.Hindered = append(f.Hindered, invariant.Span{From: one.At, To: one.Until + afterFault})
+			f.LinkFaults = append(f.LinkFaults, invariant.Span{From: one.At, To: one.Until + afterFault})
 		}
 	}
 	for i := range s.Rollouts {
@@ -468,7 +468,7 @@
 		for k := range s.Classes {
 			r.Classes = append(r.Classes, len(one.Classes) == 0 || slices.Contains(one.Classes, s.Classes[k].Name))
 			if one.Late {
-				r.Aims = append(r.Aims, s.Pace(s.Classes[k].Aim))
+				r.LatencyObjectives = append(r.LatencyObjectives, s.Pace(s.Classes[k].Aim))
 			}
 		}
 		for k := range p.Servers {
--- a/internal/lab/server_faults.go
+++ b/internal/lab/server_faults.go
@@ -64,7 +64,7 @@
 }
 
 func (r *run) bootServer(i int) error {
-	r.note(record.ServerState, record.None, i, invariant.Booted)
+	r.note(record.ServerState, record.None, i, invariant.ServerStarted)
 	if err := r.servers[i].Boot(); err != nil {
 		return err
 	}
--- a/internal/lab/simulate/simulate.go
+++ b/internal/lab/simulate/simulate.go
@@ -412,7 +412,7 @@
 }
 
 func (w *world) boot(s *server) {
-	w.state(s, invariant.Booted)
+	w.state(s, invariant.ServerStarted)
 	s.down, s.drain = false, false
 	s.pod.farm.Boot(w.clock(), s.inPod)
 	s.bootMS = int64(w.Now())
