--- a/internal/registry/agent.go
+++ b/internal/registry/agent.go
@@ -113,7 +113,7 @@
 func (a *Agent) leave() error {
 	ctx, cancel := context.WithTimeout(context.Background(), time.Duration(len(a.Copies))*agentCall)
 	defer cancel()
-	_, err := a.try(ctx, http.MethodPost, "/drain", nil)
+	_, err := a.callAnyReplica(ctx, http.MethodPost, "/drain", nil)
 	if errors.Is(err, ErrUnknown) {
 		return nil // it is off already
 	}
@@ -126,7 +126,7 @@
 	}
 	ctx, cancel = context.WithTimeout(context.Background(), time.Duration(len(a.Copies))*agentCall)
 	defer cancel()
-	if _, gone := a.try(ctx, http.MethodDelete, "", nil); gone != nil {
+	if _, gone := a.callAnyReplica(ctx, http.MethodDelete, "", nil); gone != nil {
 		err = errors.Join(err, fmt.Errorf("register: its removal could not be told, its lease will end: %w", gone))
 	}
 	return err
@@ -158,7 +158,7 @@
 		var lease struct {
 			State string `json:"state"`
 		}
-		answer, err := a.try(ctx, http.MethodPost, "/renew", nil)
+		answer, err := a.callAnyReplica(ctx, http.MethodPost, "/renew", nil)
 		if err == nil && json.Unmarshal(answer, &lease) == nil && lease.State == Terminating {
 			a.Entry.State = Terminating // somebody drains it; it must not come back as a ready one
 		}
@@ -168,13 +168,13 @@
 	if err != nil {
 		return fmt.Errorf("register: %w", err)
 	}
-	_, err = a.try(ctx, http.MethodPost, "", body)
+	_, err = a.callAnyReplica(ctx, http.MethodPost, "", body)
 	return err
 }
 
 // listedBoot is the start time that the list has.
 func (a *Agent) listedBoot(ctx context.Context) (int64, error) {
-	answer, err := a.try(ctx, http.MethodGet, "", nil)
+	answer, err := a.callAnyReplica(ctx, http.MethodGet, "", nil)
 	if err != nil {
 		return 0, err
 	}
@@ -185,8 +185,8 @@
 	return e.BootMS, nil
 }
 
-// try makes a call at the copies in turn, from the one that answered last on.
-func (a *Agent) try(ctx context.Context, method, what string, body []byte) (answer []byte, failed error) {
+// callAnyReplica calls the replicas in turn, starting with the one that answered last.
+func (a *Agent) callAnyReplica(ctx context.Context, method, what string, body []byte) (answer []byte, failed error) {
 	for range a.Copies {
 		answer, err := a.call(ctx, a.Copies[a.at], method, what, body)
 		if err == nil || errors.Is(err, ErrUnknown) || errors.Is(err, ErrDrained) {
--- a/internal/registry/hub.go
+++ b/internal/registry/hub.go
@@ -7,32 +7,29 @@
 	"sync/atomic"
 )
 
-// hub passes changes on to watchers. Each change is encoded once, as the line that all watchers write; the lines are
-// linked, and a watcher walks along them at its own pace. A slow one holds nobody back: what it has not written yet
-// is kept by its place in the chain alone, and it is ended once it is mostBehind lines behind or does not take a line
-// within its time. It comes back with the revision it has.
-//
-// The way not taken: a queue for each watcher, which costs memory for every one and a copy of every change.
+// hub distributes changes of the list to watches. Each change is encoded once, as a line shared by all watches, in a
+// linked list that each watch follows at its own pace, without a queue of its own. A watch that falls maxWatcherLag
+// lines behind, or does not take a line within writeWait, is closed; its client resumes from the revision it has.
 type hub struct {
-	mu    sync.Mutex
-	state *State
-	tail  *line
-	told  int64 // the revision up to which lines are linked
-	all   *line // the whole list as of its revision, encoded once for all who ask; nil: not yet
-	lines atomic.Int64
+	mu        sync.Mutex
+	state     *State
+	tail      *line
+	linkedRev int64 // newest revision published to the linked list
+	fullList  *line // cached encoding of the full list; nil: none
+	lines     atomic.Int64
 }
 
 // line is one encoded change. next is set before ready is closed.
 type line struct {
 	rev   int64
-	n     int64 // its place in the chain
+	n     int64 // its position in the linked list
 	text  []byte
 	next  *line
 	ready chan struct{}
 }
 
-// mostBehind is how many lines a watcher may lag.
-const mostBehind = 1000
+// maxWatcherLag is how many lines a watch may lag before it is closed.
+const maxWatcherLag = 1000
 
 func newHub(keep int) *hub {
 	h := &hub{state: NewState(keep)}
@@ -55,22 +52,22 @@
 	f(h.state)
 }
 
-// replace puts another state in place, after a restore. Watchers get the whole of it.
+// replace installs the state of a snapshot and sends the full list to all watches.
 func (h *hub) replace(s *State) error {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.state, h.all = s, nil
+	h.state, h.fullList = s, nil
 	return h.link(s.All())
 }
 
-// publish links one line for all that has changed since the last one: a burst costs one line.
+// publish appends one line with all changes since the last one.
 func (h *hub) publish() error {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if h.state.Rev() == h.told {
+	if h.state.Rev() == h.linkedRev {
 		return nil
 	}
-	return h.link(h.state.Since(h.told))
+	return h.link(h.state.Since(h.linkedRev))
 }
 
 // link appends a line; h.mu is held.
@@ -82,55 +79,54 @@
 	next := &line{rev: l.Rev, n: h.tail.n + 1, text: text, ready: make(chan struct{})}
 	h.tail.next = next
 	close(h.tail.ready)
-	h.tail, h.told = next, l.Rev
+	h.tail, h.linkedRev = next, l.Rev
 	h.lines.Store(next.n)
 	return nil
 }
 
-// encodeSince encodes anew what changed after one revision up to another.
+// encodeSince encodes the changes after one revision up to another, without the cache.
 func (h *hub) encodeSince(after, upTo int64) ([]byte, error) {
 	h.mu.Lock()
 	l := h.state.Since(after)
 	h.mu.Unlock()
-	l.Rev = max(upTo, after) // what came later comes with a later line again
+	l.Rev = max(upTo, after) // later changes come again with a later line
 	return encode(l)
 }
 
-// whole is the whole list, encoded once for each revision.
-func (h *hub) whole() (*line, error) {
+// fullLine returns the full list, encoded once for each revision.
+func (h *hub) fullLine() (*line, error) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return h.wholeLocked()
+	return h.fullLineLocked()
 }
 
-func (h *hub) wholeLocked() (*line, error) {
-	if h.all != nil && h.all.rev == h.state.Rev() {
-		return h.all, nil
+func (h *hub) fullLineLocked() (*line, error) {
+	if h.fullList != nil && h.fullList.rev == h.state.Rev() {
+		return h.fullList, nil
 	}
 	text, err := encode(h.state.All())
 	if err != nil {
 		return nil, err
 	}
-	h.all = &line{rev: h.state.Rev(), text: text}
-	return h.all, nil
+	h.fullList = &line{rev: h.state.Rev(), text: text}
+	return h.fullList, nil
 }
 
-// join gives what a watcher has to be told first, and the place from which it walks on. Both belong to one moment,
-// so that nothing is skipped between them.
+// join returns the first line for a new watch and the list node from which it follows, taken atomically so that no
+// change is skipped.
 func (h *hub) join(after int64) (first []byte, at *line, err error) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	// What is not linked yet comes with a later line as well; an entry told twice as it is does no harm, but a
-	// revision would be seen twice. So the first line ends where the chain does.
-	if h.state.Rev() != h.told {
-		if err := h.link(h.state.Since(h.told)); err != nil {
+	// Publish pending changes first: otherwise the first line would include a revision that a later line repeats.
+	if h.state.Rev() != h.linkedRev {
+		if err := h.link(h.state.Since(h.linkedRev)); err != nil {
 			return nil, nil, err
 		}
 	}
 	l := h.state.Since(after)
 	switch {
 	case l.All:
-		w, err := h.wholeLocked()
+		w, err := h.fullLineLocked()
 		if err != nil {
 			return nil, nil, err
 		}
--- a/internal/registry/members_test.go
+++ b/internal/registry/members_test.go
@@ -33,7 +33,7 @@
 	}
 	nobody := Peer{Name: "r9", Raft: freePort(t), Serve: freePort(t)} // it does not run
 	before := l.node.Copies()
-	require.ErrorIs(t, l.node.Learn(nobody), ErrRefused)
+	require.ErrorIs(t, l.node.Learn(nobody), ErrRejected)
 	require.Len(t, l.node.Copies(), len(before), "nothing is left behind")
 	mute, err := net.Listen("tcp", nobody.Raft) // and now somebody does, who says nothing
 	require.NoError(t, err)
@@ -42,9 +42,9 @@
 	code, text := call(t, "POST", others[0].cfg.Listen, copiesPath+"/r9/promote", "")
 	require.Equal(t, 409, code)
 	require.Contains(t, text, "r9 does not answer")
-	require.ErrorIs(t, l.node.Promote("r7"), ErrRefused)
-	require.ErrorIs(t, l.node.Learn(Peer{Name: "r9", Raft: "127.0.0.1:1", Serve: "x"}), ErrRefused, "two of a name")
-	require.ErrorIs(t, l.node.Learn(Peer{Name: "r8", Raft: nobody.Raft, Serve: "x"}), ErrRefused, "two of an address")
+	require.ErrorIs(t, l.node.Promote("r7"), ErrRejected)
+	require.ErrorIs(t, l.node.Learn(Peer{Name: "r9", Raft: "127.0.0.1:1", Serve: "x"}), ErrRejected, "two of a name")
+	require.ErrorIs(t, l.node.Learn(Peer{Name: "r8", Raft: nobody.Raft, Serve: "x"}), ErrRejected, "two of an address")
 	require.NoError(t, l.node.Retire("r9"))
 	others[0].end(t)
 	code, text = call(t, "POST", l.cfg.Listen, copiesPath+"/"+others[1].cfg.Name+"/retire", "")
--- a/internal/registry/node.go
+++ b/internal/registry/node.go
@@ -69,7 +69,7 @@
 	http    *http.Server
 	listen  net.Listener
 	raftAt  net.Addr // where raft listens
-	kept    *store   // nil: nothing is kept
+	store   *store   // nil: nothing is kept
 	close   []func() error
 	log     *slog.Logger
 	// settled is the last term in which this copy led and had applied all that was committed before it.
@@ -151,7 +151,7 @@
 		if err != nil {
 			return fmt.Errorf("registry: log: %w", err)
 		}
-		n.kept = kept
+		n.store = kept
 		kept.say = func(err error) { n.log.Error("registry: the disk takes no more", "error", err) }
 		n.close = append(n.close, kept.Close)
 		files, err := openSnapshots(n.cfg.Dir, c.Logger, n.log)
@@ -242,7 +242,7 @@
 	if n.members != nil {
 		wg.Go(func() { n.members.run(ctx) })
 	}
-	if n.kept != nil {
+	if n.store != nil {
 		wg.Go(func() { n.watchDisk(ctx) })
 	}
 	failed := make(chan error, 1)
@@ -253,8 +253,8 @@
 	n.log.Info("registry: serves", "name", n.cfg.Name, "listen", n.Addr())
 	var broken error
 	var disk <-chan error
-	if n.kept != nil {
-		disk = n.kept.failed
+	if n.store != nil {
+		disk = n.store.failed
 	}
 	select {
 	case err := <-failed:
@@ -316,8 +316,8 @@
 	return r.rev, r.err
 }
 
-// confirmTries is enough for one answer of each of eight other copies that was under way when the first try began.
-const confirmTries = 9
+// maxConfirmAttempts covers one stale answer, in flight when the first attempt began, of each of eight other replicas.
+const maxConfirmAttempts = 9
 
 // Add makes another copy a member of the cluster, a voter. It is the leader's to do.
 func (n *Node) Add(p Peer) error {
--- a/internal/registry/node_disk.go
+++ b/internal/registry/node_disk.go
@@ -21,7 +21,7 @@
 			return
 		case <-t.C:
 		}
-		if n.kept.slowly.Load() < slowWrites || n.raft.State() != raft.Leader || !last.IsZero() && time.Since(last) < yieldPause {
+		if n.store.slowly.Load() < slowWrites || n.raft.State() != raft.Leader || !last.IsZero() && time.Since(last) < yieldPause {
 			continue
 		}
 		last = time.Now()
@@ -34,24 +34,24 @@
 
 // DiskTook is how long the last write to the disk took; 0: there was none, or nothing is kept.
 func (n *Node) DiskTook() time.Duration {
-	if n.kept == nil {
+	if n.store == nil {
 		return 0
 	}
-	return time.Duration(n.kept.took.Load())
+	return time.Duration(n.store.took.Load())
 }
 
 // DiskWrites is how often something was written to the disk since the start.
 func (n *Node) DiskWrites() int64 {
-	if n.kept == nil {
+	if n.store == nil {
 		return 0
 	}
-	return n.kept.writes.Load()
+	return n.store.writes.Load()
 }
 
 // diskFailure is the first write that the copy's folder has refused; nil: none.
 func (n *Node) diskFailure() error {
-	if n.kept == nil {
+	if n.store == nil {
 		return nil
 	}
-	return n.kept.failure()
+	return n.store.failure()
 }
--- a/internal/registry/node_lead.go
+++ b/internal/registry/node_lead.go
@@ -104,7 +104,7 @@
 	if n.settled.Load() != term {
 		return ErrNotLeader
 	}
-	for range confirmTries {
+	for range maxConfirmAttempts {
 		if err := n.raft.VerifyLeader().Error(); err != nil {
 			return ErrNotLeader
 		}
--- a/internal/registry/node_test.go
+++ b/internal/registry/node_test.go
@@ -544,7 +544,7 @@
 	<-slow.began
 	quick := watch(t, one.cfg.Listen, 0)
 	quick.next(t)
-	for i := range mostBehind + 2 {
+	for i := range maxWatcherLag + 2 {
 		s.hub.read(func(st *State) { _, _ = st.Apply(&Command{Op: OpPut, Entry: entry("s", int64(i))}) })
 		if err := s.hub.publish(); err != nil {
 			t.Fatal(err)
@@ -646,7 +646,7 @@
 	lead := leader(t, all)
 	put(t, lead, "s1", 1, 0)
 	ended := lead.ended
-	if err := lead.node.kept.db.Close(); err != nil { // every write fails from now on
+	if err := lead.node.store.db.Close(); err != nil { // every write fails from now on
 		t.Fatal(err)
 	}
 	// The write may be answered by the next leader, or not at all; it is not acknowledged by the copy that lost its disk.
--- a/internal/registry/operators.go
+++ b/internal/registry/operators.go
@@ -22,8 +22,8 @@
 
 // mostOperators is how many bytes an operators' file may have, and a body of a tenant's.
 const (
-	mostOperators = 1 << 20
-	mostBody      = 64 << 10
+	maxOperatorsFileBytes = 1 << 20
+	maxBodyBytes          = 64 << 10
 )
 
 // Operators is the operators' file: who may roll out what, and how the leader deals with processes. Absent keys stand
@@ -69,8 +69,8 @@
 	if err != nil {
 		return nil, fmt.Errorf("operators' file: %w", err)
 	}
-	if info.Size() > mostOperators {
-		return nil, fmt.Errorf("operators' file %s: has %d bytes, %d at most", path, info.Size(), mostOperators)
+	if info.Size() > maxOperatorsFileBytes {
+		return nil, fmt.Errorf("operators' file %s: has %d bytes, %d at most", path, info.Size(), maxOperatorsFileBytes)
 	}
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -197,7 +197,7 @@
 	v := validator.New(validator.WithRequiredStructEnabled())
 	// The bound max of a text counts characters, and what is kept and told is bytes. It panics at a bound that is no
 	// number, which is the declaration's fault.
-	if err := v.RegisterValidation("bytes", atMostBytes); err != nil {
+	if err := v.RegisterValidation("bytes", maxBytes); err != nil {
 		panic(err)
 	}
 	v.RegisterTagNameFunc(func(f reflect.StructField) string {
@@ -213,7 +213,7 @@
 	return rules{v}
 }
 
-func atMostBytes(f validator.FieldLevel) bool {
+func maxBytes(f validator.FieldLevel) bool {
 	most, err := strconv.Atoi(f.Param())
 	if err != nil {
 		panic(fmt.Sprintf("registry: the bound bytes=%s of %s is no number", f.Param(), f.FieldName()))
--- a/internal/registry/replicas.go
+++ b/internal/registry/replicas.go
@@ -23,8 +23,8 @@
 // thereBeats is how many heartbeats a copy has for an answer that shows that it is there.
 const thereBeats = 10
 
-// ErrRefused is a change of the copies that would not leave what has to stay.
-var ErrRefused = errors.New("the copies stay as they are")
+// ErrRejected rejects a membership change that would put the quorum at risk.
+var ErrRejected = errors.New("the copies stay as they are")
 
 // CopyStatus is one copy as another has it.
 type CopyStatus struct {
@@ -99,9 +99,9 @@
 		case has && 2*there > len(all):
 			return nil
 		case time.Now().After(limit) && !has:
-			return fmt.Errorf("%w: %s does not answer", ErrRefused, with)
+			return fmt.Errorf("%w: %s does not answer", ErrRejected, with)
 		case time.Now().After(limit):
-			return fmt.Errorf("%w: of the %d that would vote %d answer", ErrRefused, len(all), there)
+			return fmt.Errorf("%w: of the %d that would vote %d answer", ErrRejected, len(all), there)
 		}
 		time.Sleep(n.cfg.Beat / 4)
 	}
@@ -133,14 +133,14 @@
 	}
 	for _, s := range c.Servers {
 		if same := s.ID == raft.ServerID(p.Name); same != (s.Address == raft.ServerAddress(p.Raft)) {
-			return fmt.Errorf("%w: copy %s is at %s", ErrRefused, s.ID, s.Address)
+			return fmt.Errorf("%w: copy %s is at %s", ErrRejected, s.ID, s.Address)
 		}
 	}
 	if _, known := find(c, p.Name); !known {
 		// Who cannot be reached would stay as a copy that never learns.
 		conn, err := net.DialTimeout("tcp", p.Raft, thereBeats*n.cfg.Beat)
 		if err != nil {
-			return fmt.Errorf("%w: nobody answers at %s, where %s is to be: %w", ErrRefused, p.Raft, p.Name, err)
+			return fmt.Errorf("%w: nobody answers at %s, where %s is to be: %w", ErrRejected, p.Raft, p.Name, err)
 		}
 		_ = conn.Close()
 		f := n.raft.AddNonvoter(raft.ServerID(p.Name), raft.ServerAddress(p.Raft), index, applyWait)
@@ -161,7 +161,7 @@
 	s, known := find(c, name)
 	switch {
 	case !known:
-		return fmt.Errorf("%w: there is no copy %s", ErrRefused, name)
+		return fmt.Errorf("%w: there is no copy %s", ErrRejected, name)
 	case s.Suffrage == raft.Voter:
 		return nil
 	}
@@ -245,7 +245,7 @@
 
 func (s *Server) answer(w http.ResponseWriter, err error) {
 	switch {
-	case errors.Is(err, ErrRefused):
+	case errors.Is(err, ErrRejected):
 		http.Error(w, err.Error(), http.StatusConflict)
 	case err != nil:
 		http.Error(w, err.Error(), http.StatusServiceUnavailable)
--- a/internal/registry/restore.go
+++ b/internal/registry/restore.go
@@ -61,7 +61,7 @@
 		above = EpochOf(above)
 	}
 	out.Before = state.Rev()
-	if old := EpochOf(out.Before); above == 0 && int64(now.Sub(epochBegan)/time.Minute) < old {
+	if old := EpochOf(out.Before); above == 0 && int64(now.Sub(epochZero)/time.Minute) < old {
 		return out, fmt.Errorf("restore: the backup's epoch is %d, and by this clock (%v) it has not begun yet: "+
 			"set the clock, or say with --above which epoch clients have seen", old, now)
 	}
--- a/internal/registry/restore_seen.go
+++ b/internal/registry/restore_seen.go
@@ -30,8 +30,8 @@
 	seen map[int64]int64 // newest revision by epoch
 }
 
-// mostEpochs bounds what readers can make a copy remember.
-const mostEpochs = 4
+// maxReaderEpochs bounds the memory that readers can make a replica use.
+const maxReaderEpochs = 4
 
 // beginPause is the least time between two histories that readers are the reason for.
 const beginPause = time.Minute
@@ -44,7 +44,7 @@
 	}
 	e := EpochOf(rev)
 	r.seen[e] = max(r.seen[e], rev)
-	if len(r.seen) > mostEpochs { // the latest is the least likely to be this cluster's
+	if len(r.seen) > maxReaderEpochs { // the latest is the least likely to be this cluster's
 		delete(r.seen, slices.Max(slices.Collect(maps.Keys(r.seen))))
 	}
 }
--- a/internal/registry/routes.go
+++ b/internal/registry/routes.go
@@ -12,77 +12,77 @@
 	"marblelane/internal/route"
 )
 
-// Bounds of what is taken.
+// Bounds of requests and answers.
 const (
-	mostReport = 512 << 10 // bytes of a report or an ask for units
-	mostInWay  = 20        // processes that a refusal names
-	mostPurses = 256       // of one ask for units
-	leastLists = 16        // revisions whose counts a process reports at least, if it does not say otherwise; package steer's
-	clockSlack = 10        // ms by which wall times may be off as they are turned to the leader's clock, rounding included
+	maxReportBytes       = 512 << 10 // body of a report or a budget request
+	maxListedProcesses   = 20        // processes listed in a rejection
+	maxBudgetsPerRequest = 256       // budgets in one budget request
+	minListedRevs        = 16        // default minimum of revisions whose counts a process reports; the same as in the client
+	clockSlackMS         = 10        // error of wall times converted to the leader's clock, rounding included
 )
 
-// routing is a copy's part in routes. Without an operators' file it does nothing, and its paths are not there.
+// routing serves the routes API of a replica. Without an operators' file it is off and its paths answer 404.
 type routing struct {
 	s       *Server
-	name    string           // of the copy
+	name    string           // of the replica
 	opened  time.Time        // monotonic
 	wall    func() time.Time // wall clock
 	planted defect
 	rules   rules
 
-	tables   *tables
-	admit    bucket
-	watches  atomic.Int64
-	reports  chan reportAsk
-	units    chan unitsAsk
-	changing chan struct{} // has room for the one change that is checked and made at a time
-	lead     atomic.Pointer[leadership]
-	begun    atomic.Int64 // leaderships of this process
+	tables      *tables
+	admit       bucket
+	watches     atomic.Int64
+	reportCalls chan reportCall
+	budgetCalls chan budgetCall
+	changing    chan struct{} // semaphore of one: changes are checked and replicated one at a time
+	lead        atomic.Pointer[leadership]
+	leaderships atomic.Int64 // leaderships started by this process
 }
 
 func newRouting(s *Server, o Options) *routing {
 	r := &routing{s: s, opened: time.Now(), wall: (*fault.Plan)(nil).Now, planted: defect(o.Planted), tables: newTables(defect(o.Planted)), rules: newRules(),
-		reports: make(chan reportAsk, mostAsks), units: make(chan unitsAsk, mostAsks), changing: make(chan struct{}, 1)}
+		reportCalls: make(chan reportCall, maxWaitingCalls), budgetCalls: make(chan budgetCall, maxWaitingCalls), changing: make(chan struct{}, 1)}
 	r.admit.level = float64(o.Burst)
 	return r
 }
 
-// handle adds the paths of routes.
+// handle registers the HTTP handlers of the routes API.
 func (r *routing) handle(m *http.ServeMux) {
 	m.HandleFunc("GET "+route.TablePath, r.table)
 	m.HandleFunc("POST "+route.ReportPath, r.report)
-	m.HandleFunc("POST "+route.BudgetsPath, r.ask)
+	m.HandleFunc("POST "+route.BudgetsPath, r.handleBudgets)
 	m.HandleFunc("GET "+routesRevPath, r.newest)
 	m.HandleFunc("GET /routes/processes", r.processes)
-	m.HandleFunc("GET /routes/audit", r.who)
+	m.HandleFunc("GET /routes/audit", r.handleAudit)
 	m.HandleFunc("POST /routes/schema", r.schema)
 	m.HandleFunc("GET /routes/{tenant}", r.show)
 	m.HandleFunc("POST /routes/{tenant}/base", r.base)
 	m.HandleFunc("POST /routes/{tenant}/rollouts/{name}", r.post)
 	for _, op := range []rollout.Op{rollout.OpPause, rollout.OpResume, rollout.OpRollBack, rollout.OpStop} {
-		m.HandleFunc("POST /routes/{tenant}/rollouts/{name}/"+string(op), func(w http.ResponseWriter, req *http.Request) { r.move(w, req, op) })
+		m.HandleFunc("POST /routes/{tenant}/rollouts/{name}/"+string(op), func(w http.ResponseWriter, req *http.Request) { r.handleRolloutOp(w, req, op) })
 	}
 }
 
-// wait hands a call to the leader's duties and answers with what they say.
-func wait[Q, A any](r *routing, w http.ResponseWriter, req *http.Request, in chan<- ask[Q, A], what *Q) {
+// wait queues a call for the leader's batch processing and writes its answer.
+func wait[Q, A any](r *routing, w http.ResponseWriter, req *http.Request, in chan<- leaderCall[Q, A], what *Q) {
 	type outcome struct {
 		a   *A
 		err error
 	}
 	done := make(chan outcome, 1)
 	select {
-	case in <- ask[Q, A]{what, func(a *A, err error) { done <- outcome{a, err} }}:
+	case in <- leaderCall[Q, A]{what, func(a *A, err error) { done <- outcome{a, err} }}:
 	default:
-		refuse(w, &refusal{status: http.StatusServiceUnavailable, after: time.Second,
-			Error: fmt.Sprintf("more than %d calls of this kind wait", mostAsks)})
+		writeRejection(w, &rejection{status: http.StatusServiceUnavailable, after: time.Second,
+			Error: fmt.Sprintf("more than %d calls of this kind wait", maxWaitingCalls)})
 		return
 	}
 	select {
 	case <-req.Context().Done():
 	case out := <-done:
 		if out.err != nil {
-			refuse(w, refusalOf(out.err))
+			writeRejection(w, rejectionOf(out.err))
 			return
 		}
 		tell(w, out.a)
@@ -95,7 +95,7 @@
 		return
 	}
 	var p route.Report
-	f := r.body(w, req, mostReport, &p)
+	f := r.body(w, req, maxReportBytes, &p)
 	if f == nil {
 		f = checkProcess(&p.Process)
 	}
@@ -103,62 +103,62 @@
 		f = checkReport(&p)
 	}
 	if f != nil {
-		refuse(w, f)
+		writeRejection(w, f)
 		return
 	}
-	wait(r, w, req, r.reports, &p)
+	wait(r, w, req, r.reportCalls, &p)
 }
 
-// ask answers a process's ask for units, POST /routes/units.
-func (r *routing) ask(w http.ResponseWriter, req *http.Request) {
+// handleBudgets answers a process's budget request, POST /routes/units.
+func (r *routing) handleBudgets(w http.ResponseWriter, req *http.Request) {
 	if r.off(w) || !r.s.leading(w, req) {
 		return
 	}
 	var a route.BudgetRequest
-	f := r.body(w, req, mostReport, &a)
+	f := r.body(w, req, maxReportBytes, &a)
 	if f == nil {
 		f = checkProcess(&a.Process)
 	}
-	if f == nil && len(a.Budgets) > mostPurses {
-		f = refusef(http.StatusBadRequest, "purses", "are %d, more than %d", len(a.Budgets), mostPurses)
+	if f == nil && len(a.Budgets) > maxBudgetsPerRequest {
+		f = rejectf(http.StatusBadRequest, "purses", "are %d, more than %d", len(a.Budgets), maxBudgetsPerRequest)
 	}
 	for i, p := range a.Budgets {
 		a.Budgets[i].Tenant = inside(p.Tenant)
 		if f == nil && (p.Spent < 0 || p.Returned < 0 || p.Granted < 0 || p.Wanted < 0 || max(p.Spent, p.Returned, p.Granted, p.Wanted) > math.MaxInt64/4) {
-			f = refusef(http.StatusBadRequest, fmt.Sprintf("purses[%d]", i), "granted, spent, returned and want are not all between 0 and 2^61")
+			f = rejectf(http.StatusBadRequest, fmt.Sprintf("purses[%d]", i), "granted, spent, returned and want are not all between 0 and 2^61")
 		}
 	}
 	if f != nil {
-		refuse(w, f)
+		writeRejection(w, f)
 		return
 	}
-	wait(r, w, req, r.units, &a)
+	wait(r, w, req, r.budgetCalls, &a)
 }
 
-// leader gives this copy's leadership for a call that needs it, and the operators' file; nil: the call was answered.
+// leader returns this replica's leadership and the operators' file; nil if it has already answered the call.
 func (r *routing) leader(w http.ResponseWriter, req *http.Request) (*leadership, *Operators) {
 	if r.off(w) || !r.s.leading(w, req) {
 		return nil, nil
 	}
 	l := r.current()
 	if l == nil {
-		refuse(w, &refusal{status: http.StatusServiceUnavailable, after: time.Second, Error: "this copy has only just begun to lead"})
+		writeRejection(w, &rejection{status: http.StatusServiceUnavailable, after: time.Second, Error: "this copy has only just begun to lead"})
 		return nil, nil
 	}
 	return l, r.s.o.Load().Operators
 }
 
-// tenant finds the tenant that a call is for, and tells whether its caller may act for it.
-func (r *routing) tenant(o *Operators, req *http.Request) (*Tenant, *refusal) {
+// tenant finds the tenant of a call and checks the caller's token.
+func (r *routing) tenant(o *Operators, req *http.Request) (*Tenant, *rejection) {
 	t, ok := o.tenant(req.PathValue("tenant"))
 	switch {
 	case !ok:
-		return nil, refusef(http.StatusNotFound, "tenant", "%q is not in the operators' file", clip(req.PathValue("tenant")))
+		return nil, rejectf(http.StatusNotFound, "tenant", "%q is not in the operators' file", clip(req.PathValue("tenant")))
 	case !admits(t.Token, req) && (o.Token == "" || !admits(o.Token, req)):
-		return nil, refusef(http.StatusUnauthorized, "Authorization", "tenant %q needs its token: Authorization: Bearer TOKEN", t.Name)
+		return nil, rejectf(http.StatusUnauthorized, "Authorization", "tenant %q needs its token: Authorization: Bearer TOKEN", t.Name)
 	}
 	return t, nil
 }
 
-// mostShown is how many rollouts have figures.
-const mostShown = 100
+// maxRolloutMetrics is the number of rollouts exported as metrics.
+const maxRolloutMetrics = 100
--- a/internal/registry/routes_defects.go
+++ b/internal/registry/routes_defects.go
@@ -8,22 +8,22 @@
 	"marblelane/internal/route"
 )
 
-// defect is what the lab plants to see that its rules find it. Nobody else sets one.
+// defect is a fault that the lab injects to verify that its checks detect it; empty in production.
 type defect string
 
 const (
-	grantUnkept defect = "grant-unkept" // units are granted from this leader's memory; the next grants them again
-	noWait      defect = "no-wait"      // a new leader closes without waiting for terms that another granted
-	auditSilent defect = "audit-silent" // who was silent counts as who did not
-	countLate   defect = "count-late"   // what failures cost comes off no budget: whole slices are handed out again
-	ignorable   defect = "ignorable"    // classes count as a field that older readers may pass over
+	grantUncommitted defect = "grant-unkept" // budget is granted from this leader's memory only, so the next leader grants it again
+	noWait           defect = "no-wait"      // a new leader closes revisions without waiting for leases of an earlier leader
+	auditSilent      defect = "audit-silent" // the audit reports a silent process as one that did not act
+	countLate        defect = "count-late"   // spent budget is counted as returned, so it is granted again
+	ignorable        defect = "ignorable"    // field classes is treated as one that older readers may ignore
 )
 
-func defects() []defect { return []defect{grantUnkept, noWait, auditSilent, countLate, ignorable} }
+func defects() []defect { return []defect{grantUncommitted, noWait, auditSilent, countLate, ignorable} }
 
 func (d defect) known() bool { return d == "" || slices.Contains(defects(), d) }
 
-// meant is the table as it is compared and written for readers of some schemas.
+// meant returns the table that is compared and encoded for readers of the given schemas.
 func (d defect) meant(t *route.Table, reads []int) *route.Table {
 	if d != ignorable || slices.Contains(reads, route.Newest) {
 		return t
@@ -35,7 +35,7 @@
 	return out
 }
 
-// began is when a new leader's controller takes its lead to have begun.
+// began returns the start of leadership, on the leader's clock, given to the controller.
 func (d defect) began(nowMS int64) int64 {
 	if d == noWait {
 		return nowMS - 1<<40
@@ -43,7 +43,7 @@
 	return nowMS
 }
 
-// asked is what a process says of its purses.
+// asked modifies the budgets of a request as the defect demands.
 func (d defect) asked(a *route.BudgetRequest) {
 	for i := range a.Budgets {
 		if p := &a.Budgets[i]; d == countLate {
@@ -52,9 +52,9 @@
 	}
 }
 
-// ledger is the state that grants are made from, and whether they are kept.
+// ledger returns the state from which budget is granted, and whether grants are replicated.
 func (d defect) ledger(s *rollout.State, unkept []rollout.LedgerEntry) (of *rollout.State, kept bool, err error) {
-	if d != grantUnkept {
+	if d != grantUncommitted {
 		return s, true, nil
 	}
 	of = s.Clone()
@@ -62,7 +62,7 @@
 	return of, false, err
 }
 
-// answers are the audit's.
+// answers modifies the answers of the audit as the defect demands.
 func (d defect) answers(all []audit.Answer) []audit.Answer {
 	for i := range all {
 		if d == auditSilent && all[i].Verdict == audit.Unknown {
--- a/internal/registry/routes_lead.go
+++ b/internal/registry/routes_lead.go
@@ -20,45 +20,45 @@
 
 // Times and bounds of the leader's duties.
 const (
-	tickEvery   = 50 * time.Millisecond
-	reportsWait = 10 * time.Millisecond  // for which reports are gathered before one confirmation of the lead
-	unitsWait   = 20 * time.Millisecond  // for which asks for units are gathered into one command
-	auditWait   = 200 * time.Millisecond // for which transitions are gathered into one command
-	mostEntries = 1000                   // of one command
-	mostAsks    = 4096                   // reports, or asks for units, that wait; more are turned away
-	mostPending = 20_000                 // transitions that wait to be replicated; the oldest give way and are counted
+	leaderTickInterval    = 50 * time.Millisecond
+	reportBatchWait       = 10 * time.Millisecond  // reports are batched this long before one leadership check by the quorum
+	budgetBatchWait       = 20 * time.Millisecond  // budget requests are batched this long into one command
+	auditBatchWait        = 200 * time.Millisecond // audit transitions are batched this long into one command
+	maxCommandEntries     = 1000                   // entries of one ledger command
+	maxWaitingCalls       = 4096                   // queued reports, or queued budget requests; further calls are rejected with 503
+	maxPendingTransitions = 20_000                 // transitions not replicated yet; beyond it the oldest are dropped and counted
 )
 
-// leadership is what a leader of routes has in memory: one for each time that a copy begins to lead. Its clock counts ms
-// from then. Its locks are taken in the order in which they stand here, and before the state's.
+// leadership is the in-memory state of the routes leader, created anew in each raft term that this replica leads. Its
+// clock counts milliseconds from its start. Lock order: decisionMu, mu, then the lock of the hub's state.
 type leadership struct {
-	order      sync.Mutex // held over decisions and their commits, one after the other; guards lowers and unkept
-	mu         sync.Mutex // held while memory is used, never over a commit
-	term       uint64
-	id         string    // its name, its term and when it began, as answers are stamped
-	began      time.Time // monotonic
-	wallMS     int64     // wall clock at began
-	opens      time.Time // before it nothing is decided: a longer term than this leader's may be out
-	lowers     bool      // at opens this leader's term becomes the longest that may be out
-	termMS     int64
-	o          rollout.Options
-	controller *rollout.Controller
-	book       *audit.Tracker
-	limits     map[string]*rate.Limiter // of tenants' changes
+	decisionMu      sync.Mutex // serialises decisions and their commits; guards lowersLeaseTerm and uncommittedGrants
+	mu              sync.Mutex // guards the other fields; never held during a commit
+	term            uint64
+	id              string    // replica name, raft term and count of leaderships; stamped on answers
+	startedAt       time.Time // monotonic
+	startedWallMS   int64     // wall clock at startedAt
+	decisionsFrom   time.Time // no decision before it: leases of a longer term, granted by an earlier leader, may still run
+	lowersLeaseTerm bool      // at decisionsFrom, lower the replicated maximum lease term to this leader's
+	leaseTermMS     int64
+	o               rollout.Options
+	controller      *rollout.Controller
+	tracker         *audit.Tracker
+	changeLimits    map[string]*rate.Limiter // rate limits of changes, by tenant
 
-	pending   []audit.Transition
-	news      map[string]SchemaSupport // processes that have to be remembered, by name
-	heard     map[string]SchemaSupport // all that were heard since refreshed
-	refreshed time.Time
-	flushed   time.Time
-	forgot    time.Time
-	unkept    []rollout.LedgerEntry // of a planted defect
+	pending           []audit.Transition
+	unsavedProcesses  map[string]SchemaSupport // processes whose schema support is to be replicated, by name
+	observed          map[string]SchemaSupport // all processes that reported since refreshedAt, by name
+	refreshedAt       time.Time
+	flushedAt         time.Time
+	prunedAt          time.Time
+	uncommittedGrants []rollout.LedgerEntry // used by the defect grantUncommitted only
 }
 
-// floor is a time on the leader's clock, cut off; ceil is it rounded up. What a process is permitted counts from no
-// earlier than it was, and what is over is over no later than it is. A time before the lead began is cut off downwards, too.
+// floor converts a time to the leader's clock, rounded down, also before startedAt; ceil rounds up. Starts of leases are
+// rounded up and ends are compared rounded down, so that rounding never shortens what the leader assumes of a lease.
 func (l *leadership) floor(at time.Time) int64 {
-	since := at.Sub(l.began)
+	since := at.Sub(l.startedAt)
 	whole := since.Truncate(time.Millisecond)
 	if whole > since {
 		whole -= time.Millisecond
@@ -68,52 +68,55 @@
 
 func (l *leadership) ceil(at time.Time) int64 { return l.floor(at.Add(time.Millisecond - 1)) }
 
-// wall is a time as people read it: the wall clock at the begin of the lead and what has passed since.
-func (l *leadership) wall(at time.Time) int64 { return l.wallMS + at.Sub(l.began).Milliseconds() }
+// wall converts a time to Unix milliseconds: the wall clock at startedAt plus the monotonic time since.
+func (l *leadership) wall(at time.Time) int64 {
+	return l.startedWallMS + at.Sub(l.startedAt).Milliseconds()
+}
 
-// ask is a call that waits for the leader; answer is called once.
-type ask[Q, A any] struct {
+// leaderCall is a request queued for the leader; answer is called exactly once.
+type leaderCall[Q, A any] struct {
 	what   *Q
 	answer func(*A, error)
 }
 
 type (
-	reportAsk = ask[route.Report, route.ReportResponse]
-	unitsAsk  = ask[route.BudgetRequest, route.BudgetResponse]
+	reportCall = leaderCall[route.Report, route.ReportResponse]
+	budgetCall = leaderCall[route.BudgetRequest, route.BudgetResponse]
 )
 
-// gather calls do with what comes within a time after the first, until ctx ends.
-func gather[T any](ctx context.Context, in <-chan T, wait time.Duration, most int, do func([]T)) {
+// gatherBatches calls do with each batch: the first item and those that arrive within wait after it, at most maxBatch.
+// It returns when ctx ends.
+func gatherBatches[T any](ctx context.Context, in <-chan T, wait time.Duration, maxBatch int, do func([]T)) {
 	for {
-		var all []T
+		var batch []T
 		select {
 		case <-ctx.Done():
 			return
 		case one := <-in:
-			all = append(all, one)
+			batch = append(batch, one)
 		}
 		t := time.NewTimer(wait)
-		for over := false; !over && len(all) < most; {
+		for over := false; !over && len(batch) < maxBatch; {
 			select {
 			case <-t.C:
 				over = true
 			case one := <-in:
-				all = append(all, one)
+				batch = append(batch, one)
 			}
 		}
 		t.Stop()
-		do(all)
+		do(batch)
 	}
 }
 
-// run carries out the leader's duties until ctx ends.
+// run processes queued calls and the periodic duties of the leader until ctx ends.
 func (r *routing) run(ctx context.Context) {
 	var wg sync.WaitGroup
 	defer wg.Wait()
-	wg.Go(func() { gather(ctx, r.reports, reportsWait, mostAsks, r.answerReports) })
-	wg.Go(func() { gather(ctx, r.units, unitsWait, mostAsks, r.answerUnits) })
-	wg.Go(func() { r.askNewest(ctx) })
-	t := time.NewTicker(tickEvery)
+	wg.Go(func() { gatherBatches(ctx, r.reportCalls, reportBatchWait, maxWaitingCalls, r.answerReports) })
+	wg.Go(func() { gatherBatches(ctx, r.budgetCalls, budgetBatchWait, maxWaitingCalls, r.answerUnits) })
+	wg.Go(func() { r.pollRevs(ctx) })
+	t := time.NewTicker(leaderTickInterval)
 	defer t.Stop()
 	for {
 		select {
@@ -133,7 +136,7 @@
 	}
 }
 
-// current is the leadership that answers now; nil: this copy does not lead, or only just.
+// current returns the active leadership; nil if this replica does not lead or has not initialised it yet.
 func (r *routing) current() *leadership {
 	l := r.lead.Load()
 	if l == nil || r.s.replica.Term() != l.term || r.s.o.Load().Operators == nil {
@@ -142,7 +145,8 @@
 	return l
 }
 
-// leads gives the leadership of this moment, a fresh one where this copy has begun to lead since.
+// leads returns the leadership of the current term and creates it when the term is new; nil if this replica does not
+// lead.
 func (r *routing) leads() (*leadership, error) {
 	term, o := r.s.replica.Term(), r.s.o.Load().Operators
 	if term == 0 || o == nil {
@@ -156,12 +160,12 @@
 	var out int64
 	r.s.hub.read(func(s *State) { out = s.termMS })
 	switch {
-	case out < l.termMS: // said before the first permission of this length
-		if err := r.apply(&Command{Op: OpTerm, TermMS: l.termMS, Term: term}); err != nil {
+	case out < l.leaseTermMS: // replicated before the first lease of this length is granted
+		if err := r.apply(&Command{Op: OpTerm, TermMS: l.leaseTermMS, Term: term}); err != nil {
 			return nil, err
 		}
-	case out > l.termMS:
-		l.opens, l.lowers = l.began.Add(lengthened(out, l.o.ClockMargin)), true
+	case out > l.leaseTermMS:
+		l.decisionsFrom, l.lowersLeaseTerm = l.startedAt.Add(withClockMargin(out, l.o.ClockMargin)), true
 	}
 	r.lead.Store(l)
 	return l, nil
@@ -169,17 +173,17 @@
 
 func (r *routing) begin(term uint64, o *Operators) *leadership {
 	at := time.Now()
-	l := &leadership{term: term, id: fmt.Sprintf("%s@%d.%d", r.name, term, r.begun.Add(1)), began: at, wallMS: epochBeganMS + r.wall().Sub(epochBegan).Milliseconds(),
-		o: o.options(), limits: map[string]*rate.Limiter{}, news: map[string]SchemaSupport{}, heard: map[string]SchemaSupport{},
-		refreshed: at, flushed: at, forgot: at, opens: at}
-	l.o.Leader, l.termMS = l.id, l.o.LeaseTerm
+	l := &leadership{term: term, id: fmt.Sprintf("%s@%d.%d", r.name, term, r.leaderships.Add(1)), startedAt: at, startedWallMS: epochZeroMS + r.wall().Sub(epochZero).Milliseconds(),
+		o: o.options(), changeLimits: map[string]*rate.Limiter{}, unsavedProcesses: map[string]SchemaSupport{}, observed: map[string]SchemaSupport{},
+		refreshedAt: at, flushedAt: at, prunedAt: at, decisionsFrom: at}
+	l.o.Leader, l.leaseTermMS = l.id, l.o.LeaseTerm
 	l.controller = rollout.NewController(l.o, r.planted.began(l.floor(at)))
-	l.book = audit.NewTracker(audit.TrackerOptions{MinListedRevs: leastLists}, l.id, l.floor(at))
+	l.tracker = audit.NewTracker(audit.TrackerOptions{MinListedRevs: minListedRevs}, l.id, l.floor(at))
 	return l
 }
 
-// lengthened is after how long a term is over on every clock.
-func lengthened(termMS int64, margin float64) time.Duration {
+// withClockMargin is the time after which a lease has expired on every clock, given the margin of their rates.
+func withClockMargin(termMS int64, margin float64) time.Duration {
 	return time.Duration(math.Ceil(float64(termMS)*(1+margin))) * time.Millisecond
 }
 
@@ -187,13 +191,13 @@
 	return time.Duration(l.o.ForgetAfter) * time.Millisecond
 }
 
-// present are the processes that a table must be read alike by: those that were heard within the time for which they are
-// remembered, by this leader or one before. Those that are shut out as they do not read the least schema count until
-// their last term is over. wait tells how long this leader may not know all of them yet.
+// present returns the processes that have to read a table alike: those that reported to this leader or an earlier one
+// within ForgetAfter. Processes shut out for reading less than the minimum schema count until their last lease ends.
+// wait is positive while this leader may not know all of them yet.
 func (r *routing) present(l *leadership) (all []SchemaSupport, wait time.Duration) {
 	now := time.Now()
-	known := lengthened(l.termMS, l.o.ClockMargin)
-	if since := now.Sub(l.opens); since < known {
+	known := withClockMargin(l.leaseTermMS, l.o.ClockMargin)
+	if since := now.Sub(l.decisionsFrom); since < known {
 		return nil, known - since
 	}
 	l.mu.Lock()
@@ -207,7 +211,7 @@
 		excused := func(schemas []int) bool { return slices.Max(append([]int{0}, schemas...)) < s.routes.MinSchema() }
 		for _, p := range heard {
 			if p.Start == named[p.Name] && !(p.LeaseUntil <= at && excused(p.Schemas)) {
-				all = append(all, SchemaSupport{Process: p.Process, Schemas: p.Schemas, AtMS: l.wall(l.began) + p.LastReport - l.floor(l.began)})
+				all = append(all, SchemaSupport{Process: p.Process, Schemas: p.Schemas, AtMS: l.wall(l.startedAt) + p.LastReport - l.floor(l.startedAt)})
 			}
 		}
 		for _, name := range slices.Sorted(maps.Keys(s.seen)) {
@@ -220,7 +224,7 @@
 	return all, 0
 }
 
-// changed takes in what processes may do from now on, and gives the transitions of it. l.mu is held.
+// changed records access changes of processes and returns their audit transitions. The caller holds l.mu.
 func (l *leadership) changed(all []rollout.AccessChange, now time.Time) []audit.Transition {
 	var out []audit.Transition
 	for _, s := range all {
@@ -231,19 +235,19 @@
 		case s.ShutOut:
 			kind = audit.ShutOut
 		}
-		out = append(out, l.book.AccessChanged(l.ceil(now), l.wall(now), s.Process, kind, s.AcknowledgedRev, "")...)
+		out = append(out, l.tracker.AccessChanged(l.ceil(now), l.wall(now), s.Process, kind, s.AcknowledgedRev, "")...)
 	}
 	return out
 }
 
-// apply carries out a command.
+// apply replicates a command and waits until it is applied.
 func (r *routing) apply(c *Command) error {
 	_, err := r.s.replica.Apply(c, applyWait)
 	return err
 }
 
-// answerReports confirms the lead once for all reports that have arrived, and then takes them in.
-func (r *routing) answerReports(all []reportAsk) {
+// answerReports verifies leadership once for a batch of reports, then processes and answers them.
+func (r *routing) answerReports(all []reportCall) {
 	fail := func(err error) {
 		for _, a := range all {
 			a.answer(nil, err)
@@ -258,7 +262,7 @@
 		fail(err)
 		return
 	}
-	if r.current() != l { // what was confirmed is another lead, perhaps
+	if r.current() != l { // the check may have confirmed a later term
 		fail(ErrNotLeader)
 		return
 	}
@@ -270,8 +274,8 @@
 		now := time.Now()
 		r.s.hub.read(func(s *State) {
 			answer = l.controller.Report(l.ceil(now), s.routes, a.what)
-			l.hear(s, a.what, l.wall(now))
-			l.tell(s, l.book.Report(l.ceil(now), l.wall(now), a.what))
+			l.observe(s, a.what, l.wall(now))
+			l.tell(s, l.tracker.Report(l.ceil(now), l.wall(now), a.what))
 		})
 		answer.Stamp = route.Moment{Leader: l.id, MS: l.floor(now)}
 		if answer.Resync {
@@ -285,48 +289,48 @@
 	}
 }
 
-// hear notes who reads which schemas. Who is new, or reads others, is remembered at once; all are again a few times
-// within the time for which they are, in one command, so that the disk's writes do not grow with them.
-func (l *leadership) hear(s *State, p *route.Report, wallMS int64) {
+// observe records which schemas a process reads. A new process or a changed set is replicated with the next flush; all
+// others are refreshed together every quarter of ForgetAfter, so disk writes do not grow with the number of processes.
+func (l *leadership) observe(s *State, p *route.Report, wallMS int64) {
 	seen := SchemaSupport{Process: p.Process, Schemas: slices.Clone(p.Schemas), AtMS: wallMS}
-	l.heard[p.Name] = seen
+	l.observed[p.Name] = seen
 	if old, ok := s.seen[p.Name]; !ok || old.Start < p.Start || old.Start == p.Start && !slices.Equal(old.Schemas, p.Schemas) {
-		l.news[p.Name] = seen
+		l.unsavedProcesses[p.Name] = seen
 	}
-	if len(l.heard) > mostSeen {
-		l.heard = map[string]SchemaSupport{}
+	if len(l.observed) > maxKnownProcesses {
+		l.observed = map[string]SchemaSupport{}
 	}
 }
 
-// tell keeps transitions that the log does not have, to be replicated.
+// tell queues transitions that the audit log does not have yet for replication.
 func (l *leadership) tell(s *State, all []audit.Transition) {
 	l.pending = append(l.pending, s.audit.Fresh(all)...)
-	if extra := len(l.pending) - mostPending; extra > 0 {
+	if extra := len(l.pending) - maxPendingTransitions; extra > 0 {
 		l.pending = slices.Delete(l.pending, 0, extra)
 	}
 }
 
-// flush replicates what was gathered for the audit.
+// flush replicates the queued audit transitions and schema support.
 func (r *routing) flush(l *leadership) {
 	now := time.Now()
 	l.mu.Lock()
-	if now.Sub(l.forgot) >= time.Minute {
-		l.book.Forget(l.floor(now))
-		l.forgot = now
+	if now.Sub(l.prunedAt) >= time.Minute {
+		l.tracker.Forget(l.floor(now))
+		l.prunedAt = now
 	}
-	if now.Sub(l.refreshed) >= l.remember()/4 {
-		maps.Copy(l.news, l.heard)
-		l.heard, l.refreshed = map[string]SchemaSupport{}, now
+	if now.Sub(l.refreshedAt) >= l.remember()/4 {
+		maps.Copy(l.unsavedProcesses, l.observed)
+		l.observed, l.refreshedAt = map[string]SchemaSupport{}, now
 	}
-	if now.Sub(l.flushed) < auditWait || len(l.pending) == 0 && len(l.news) == 0 {
+	if now.Sub(l.flushedAt) < auditBatchWait || len(l.pending) == 0 && len(l.unsavedProcesses) == 0 {
 		l.mu.Unlock()
 		return
 	}
 	c := &Command{Op: OpAudit, Audit: l.pending, Term: l.term}
-	for _, name := range slices.Sorted(maps.Keys(l.news)) {
-		c.Seen = append(c.Seen, l.news[name])
+	for _, name := range slices.Sorted(maps.Keys(l.unsavedProcesses)) {
+		c.Seen = append(c.Seen, l.unsavedProcesses[name])
 	}
-	l.pending, l.news, l.flushed = nil, map[string]SchemaSupport{}, now
+	l.pending, l.unsavedProcesses, l.flushedAt = nil, map[string]SchemaSupport{}, now
 	l.mu.Unlock()
 	if err := r.apply(c); err != nil {
 		r.s.log.Warn("registry: routes: transitions are not replicated", "error", err)
@@ -334,15 +338,15 @@
 		defer l.mu.Unlock()
 		l.pending = append(c.Audit, l.pending...)
 		for _, p := range c.Seen {
-			if _, ok := l.news[p.Name]; !ok {
-				l.news[p.Name] = p
+			if _, ok := l.unsavedProcesses[p.Name]; !ok {
+				l.unsavedProcesses[p.Name] = p
 			}
 		}
 	}
 }
 
-// answerUnits settles what processes have spent and grants what they ask, in one command for all of them.
-func (r *routing) answerUnits(all []unitsAsk) {
+// answerUnits settles spent budget and grants requested budget for a batch of requests.
+func (r *routing) answerUnits(all []budgetCall) {
 	answers, err := r.grant(all)
 	for i, a := range all {
 		if err != nil {
@@ -353,20 +357,20 @@
 	}
 }
 
-func (r *routing) grant(all []unitsAsk) ([]route.BudgetResponse, error) {
+func (r *routing) grant(all []budgetCall) ([]route.BudgetResponse, error) {
 	l := r.current()
 	if l == nil {
 		return nil, ErrNotLeader
 	}
-	l.order.Lock()
-	defer l.order.Unlock()
+	l.decisionMu.Lock()
+	defer l.decisionMu.Unlock()
 	var entries []rollout.LedgerEntry
 	keep := true
 	var err error
 	l.mu.Lock()
 	r.s.hub.read(func(st *State) {
 		var s *rollout.State
-		if s, keep, err = r.planted.ledger(st.routes, l.unkept); err != nil {
+		if s, keep, err = r.planted.ledger(st.routes, l.uncommittedGrants); err != nil {
 			return
 		}
 		for _, a := range all {
@@ -379,10 +383,10 @@
 		return nil, err
 	}
 	if !keep {
-		l.unkept = append(l.unkept, entries...)
+		l.uncommittedGrants = append(l.uncommittedGrants, entries...)
 		entries = nil
 	}
-	for some := range slices.Chunk(entries, mostEntries) {
+	for some := range slices.Chunk(entries, maxCommandEntries) {
 		c := &rollout.Command{Op: rollout.OpLedger, AtMS: l.wall(time.Now()), Entries: some}
 		if _, err := r.change(l, c); err != nil {
 			return nil, err
@@ -393,7 +397,7 @@
 	answers := make([]route.BudgetResponse, len(all))
 	r.s.hub.read(func(st *State) {
 		var s *rollout.State
-		if s, _, err = r.planted.ledger(st.routes, l.unkept); err != nil {
+		if s, _, err = r.planted.ledger(st.routes, l.uncommittedGrants); err != nil {
 			return
 		}
 		for i, a := range all {
@@ -406,18 +410,18 @@
 	return answers, err
 }
 
-// decide lets the controller decide, and carries it out.
+// decide runs one controller tick and replicates its decisions.
 func (r *routing) decide(l *leadership) {
-	l.order.Lock()
-	defer l.order.Unlock()
-	if time.Now().Before(l.opens) || r.current() != l {
+	l.decisionMu.Lock()
+	defer l.decisionMu.Unlock()
+	if time.Now().Before(l.decisionsFrom) || r.current() != l {
 		return
 	}
-	if l.lowers {
-		if err := r.apply(&Command{Op: OpTerm, TermMS: l.termMS, Term: l.term}); err != nil {
+	if l.lowersLeaseTerm {
+		if err := r.apply(&Command{Op: OpTerm, TermMS: l.leaseTermMS, Term: l.term}); err != nil {
 			return
 		}
-		l.lowers = false
+		l.lowersLeaseTerm = false
 	}
 	for _, c := range r.tick(l) {
 		if !r.carryOut(l, &c) {
@@ -426,8 +430,8 @@
 	}
 }
 
-// tick gives the controller's decisions. From the decision that a revision is closed on the controller permits nobody to act on it,
-// so that reports need not wait for its commit.
+// tick returns the controller's decisions. Once it has decided to close a revision the controller grants no lease for it,
+// so reports need not wait for the commit.
 func (r *routing) tick(l *leadership) []rollout.Command {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -441,7 +445,7 @@
 	return commands
 }
 
-// carryOut carries out a decision of the controller. It tells whether this copy still leads.
+// carryOut replicates a decision of the controller and reports whether this replica still leads.
 func (r *routing) carryOut(l *leadership, c *rollout.Command) bool {
 	c.AtMS = l.wall(time.Now())
 	_, err := r.change(l, c)
--- a/internal/registry/routes_metrics.go
+++ b/internal/registry/routes_metrics.go
@@ -28,7 +28,7 @@
 		gauge("routes_closed", "Newest revision of routes under which no attempt begins any more.", float64(s.routes.Closed()))
 		gauge("audit_transitions", "Transitions of processes that are kept.", float64(s.audit.Len()))
 		for i, one := range s.routes.LiveSpecs() {
-			if i == mostShown {
+			if i == maxRolloutMetrics {
 				break
 			}
 			granted, _, returned := s.routes.BudgetTotals(one.Tenant, one.Name)
@@ -43,7 +43,7 @@
 	}
 	counts := map[string]float64{"permitted": 0, "unpermitted": 0, "shut out": 0, "gone": 0}
 	now := l.floor(time.Now())
-	for _, p := range r.heard(l) {
+	for _, p := range r.processStatuses(l) {
 		switch {
 		case p.Gone:
 			counts["gone"]++
--- a/internal/registry/routes_past.go
+++ b/internal/registry/routes_past.go
@@ -18,12 +18,12 @@
 //     nothing of when.
 
 const (
-	routesRevPath = "/registry/routes-revision"
-	askRevEvery   = 500 * time.Millisecond
-	askRevWait    = time.Second
+	routesRevPath   = "/registry/routes-revision"
+	revPollInterval = 500 * time.Millisecond
+	revPollTimeout  = time.Second
 )
 
-// clock is this copy's, in ms since it was started, rounded up.
+// clock converts a time to milliseconds since this replica started, rounded up.
 func (r *routing) clock(at time.Time) int64 {
 	return (at.Sub(r.opened) + time.Millisecond - 1).Milliseconds()
 }
@@ -33,8 +33,8 @@
 	r.s.hub.read(func(s *State) { s.audit.Mark(r.clock(time.Now())) })
 }
 
-// newest answers the other copies: the newest revision of routes, where this copy leads and nothing that may change it
-// is under way. A change that is may have reached others before this copy itself.
+// newest answers polls of followers with the newest routes revision, if this replica leads and no change is in flight: a
+// change in flight may be applied on a follower before it is applied here.
 func (r *routing) newest(w http.ResponseWriter, req *http.Request) {
 	if r.off(w) {
 		return
@@ -42,15 +42,15 @@
 	l := r.current()
 	rev, still := r.tables.settled()
 	if l == nil || !still {
-		refuse(w, &refusal{status: http.StatusServiceUnavailable, after: time.Second, Error: "this copy does not lead, or a change is under way"})
+		writeRejection(w, &rejection{status: http.StatusServiceUnavailable, after: time.Second, Error: "this copy does not lead, or a change is under way"})
 		return
 	}
 	if err := r.s.replica.Confirm(); err != nil {
-		refuse(w, refusalOf(err))
+		writeRejection(w, rejectionOf(err))
 		return
 	}
 	if r.current() != l {
-		refuse(w, refusalOf(ErrNotLeader))
+		writeRejection(w, rejectionOf(ErrNotLeader))
 		return
 	}
 	tell(w, struct {
@@ -58,11 +58,11 @@
 	}{rev})
 }
 
-// askNewest asks the leader so, again and again, until ctx ends.
-func (r *routing) askNewest(ctx context.Context) {
-	client := &http.Client{Timeout: askRevWait, Transport: &http.Transport{MaxIdleConnsPerHost: 1}}
+// pollRevs polls the leader for the newest routes revision until ctx ends.
+func (r *routing) pollRevs(ctx context.Context) {
+	client := &http.Client{Timeout: revPollTimeout, Transport: &http.Transport{MaxIdleConnsPerHost: 1}}
 	defer client.CloseIdleConnections()
-	t := time.NewTicker(askRevEvery)
+	t := time.NewTicker(revPollInterval)
 	defer t.Stop()
 	for {
 		select {
@@ -75,15 +75,15 @@
 			continue
 		}
 		at := time.Now()
-		if rev, err := askRoutesRev(ctx, client, address); err != nil {
+		if rev, err := pollRoutesRev(ctx, client, address); err != nil {
 			r.s.log.Debug("registry: routes: the leader does not say what it has", "error", err)
 		} else {
-			r.tables.had(at, rev)
+			r.tables.observeRev(at, rev)
 		}
 	}
 }
 
-func askRoutesRev(ctx context.Context, client *http.Client, address string) (int64, error) {
+func pollRoutesRev(ctx context.Context, client *http.Client, address string) (int64, error) {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+address+routesRevPath, nil)
 	if err != nil {
 		return 0, err
@@ -93,7 +93,7 @@
 		return 0, err
 	}
 	defer resp.Body.Close()
-	text, err := io.ReadAll(io.LimitReader(resp.Body, mostBody))
+	text, err := io.ReadAll(io.LimitReader(resp.Body, maxBodyBytes))
 	if err != nil {
 		return 0, fmt.Errorf("%s: %w", address, err)
 	}
@@ -109,7 +109,7 @@
 	return has.Rev, nil
 }
 
-// settled is the newest revision, and whether no change of this copy's is under way.
+// settled returns the newest revision, and whether this replica has no change in flight.
 func (t *tables) settled() (rev int64, still bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -117,30 +117,30 @@
 	return rev, len(t.proposed) == 0
 }
 
-// had notes that no newer revision than rev was committed by a time.
-func (t *tables) had(at time.Time, rev int64) {
+// observeRev records that no revision newer than rev was committed by time at.
+func (t *tables) observeRev(at time.Time, rev int64) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	last := len(t.before) - 1
+	last := len(t.upperBounds) - 1
 	switch {
-	case last >= 0 && rev < t.before[last].rev: // another answer was faster
-	case last >= 0 && rev == t.before[last].rev:
-		t.before[last].at = at
+	case last >= 0 && rev < t.upperBounds[last].rev: // a later answer was processed first
+	case last >= 0 && rev == t.upperBounds[last].rev:
+		t.upperBounds[last].at = at
 	default:
-		if len(t.before) == mostMoments {
-			t.before = append(t.before[:0], t.before[mostMoments/2:]...)
+		if len(t.upperBounds) == maxMoments {
+			t.upperBounds = append(t.upperBounds[:0], t.upperBounds[maxMoments/2:]...)
 		}
-		t.before = append(t.before, moment{rev: rev, at: at})
+		t.upperBounds = append(t.upperBounds, moment{rev: rev, at: at})
 	}
 }
 
-// since is a time by which a revision was not committed; zero: none is known. The first of a history is no change that a
-// leader of routes proposes, so nothing is known of it.
+// since returns the latest time at which rev is known not to be committed; zero if unknown. The first revision of an
+// epoch is not proposed by a routes leader, so nothing is known of it.
 func (t *tables) since(rev int64) (at time.Time) {
 	if rev == EpochOf(rev)<<countBits {
 		return at
 	}
-	for _, m := range t.before {
+	for _, m := range t.upperBounds {
 		if m.rev < rev && m.at.After(at) {
 			at = m.at
 		}
--- a/internal/registry/routes_table.go
+++ b/internal/registry/routes_table.go
@@ -14,43 +14,43 @@
 	"marblelane/internal/route"
 )
 
-// tables passes tables of routes on to watchers, one for each revision, as hub does for the list: linked, each encoded
-// once for all that read the same schemas.
+// tables distributes the routes table to watches as hub does the list: a linked list with one node for each revision,
+// encoded once for each set of schemas.
 type tables struct {
-	mu       sync.Mutex
-	tail     *tableLine
-	moments  []moment
-	before   []moment           // what a leader that was asked had at most; see had
-	proposed map[*proposal]bool // changes that are under way
-	planted  defect
+	mu          sync.Mutex
+	tail        *tableNode
+	moments     []moment
+	upperBounds []moment           // newest revision by time, from polls of the leader; see observeRev
+	proposed    map[*proposal]bool // changes in flight
+	planted     defect
 }
 
-// proposal is a change that this copy has proposed as the leader of a term.
+// proposal is a change that this replica has proposed as leader of a term.
 type proposal struct {
 	at   time.Time
 	term uint64
 }
 
-// tableLine is one table. next is set before ready is closed.
-type tableLine struct {
+// tableNode is one revision of the table. next is set before ready is closed.
+type tableNode struct {
 	n     int64
-	next  *tableLine
+	next  *tableNode
 	ready chan struct{}
 
 	planted defect
 	mu      sync.Mutex
 	table   route.Table
-	texts   map[string]tableText // by the schemas that are read
+	texts   map[string]encodedTable // by set of schemas
 }
 
-// tableText is a table as readers of some schemas are told it; text is nil where none of them tells it alike.
-type tableText struct {
+// encodedTable is the table for readers of a set of schemas; text is nil where no schema of the set can express it.
+type encodedTable struct {
 	text     []byte
 	verdict  route.Verdict
 	findings []route.Finding
 }
 
-// moment is when a revision was committed, at the earliest; or when it and those before it were closed, at the latest.
+// moment is the earliest commit time of a revision, or the latest time at which it and all before it were closed.
 type moment struct {
 	rev    int64
 	closed bool
@@ -58,8 +58,8 @@
 }
 
 const (
-	mostMoments = 4096 // kept
-	mostReads   = 16   // schemas that a process may name
+	maxMoments           = 4096 // commit and close times kept in memory
+	maxSchemasPerProcess = 16   // schemas that a process may name
 )
 
 func newTables(planted defect) *tables {
@@ -68,18 +68,18 @@
 	return t
 }
 
-func (t *tables) line(n int64, table route.Table) *tableLine {
-	return &tableLine{n: n, table: table, planted: t.planted, ready: make(chan struct{}), texts: map[string]tableText{}}
+func (t *tables) line(n int64, table route.Table) *tableNode {
+	return &tableNode{n: n, table: table, planted: t.planted, ready: make(chan struct{}), texts: map[string]encodedTable{}}
 }
 
-// follow takes in the table of a state if it is another one. term is that of the entry which made it so, 0: none did.
+// follow publishes the table of a state if it has changed. term is that of the log entry that changed it; 0: none.
 func (t *tables) follow(s *rollout.State, term uint64, now time.Time) {
 	if rev, closed := t.newest().is(); rev != s.Rev() || closed != s.Closed() {
 		t.set(s.Table(), term, now)
 	}
 }
 
-// set takes in the table as it is now. Another revision wakes the watchers; one that was closed is told to who asks.
+// set publishes a table. A new revision wakes the watches; a newly closed one only shows in later reads.
 func (t *tables) set(table route.Table, term uint64, now time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -93,11 +93,11 @@
 	}
 	if table.Rev == rev {
 		tail.mu.Lock()
-		tail.table, tail.texts = table, map[string]tableText{}
+		tail.table, tail.texts = table, map[string]encodedTable{}
 		tail.mu.Unlock()
 		return
 	}
-	// What was proposed elsewhere, or by this copy in another term, was so at a time that is not known here.
+	// The time of a proposal by another replica, or by this one in another term, is not known here.
 	earliest, known := now, false
 	for p := range t.proposed {
 		if p.term == term {
@@ -116,13 +116,13 @@
 }
 
 func (t *tables) note(m moment) {
-	if len(t.moments) == mostMoments {
-		t.moments = slices.Delete(t.moments, 0, mostMoments/2)
+	if len(t.moments) == maxMoments {
+		t.moments = slices.Delete(t.moments, 0, maxMoments/2)
 	}
 	t.moments = append(t.moments, m)
 }
 
-// propose notes that a change is under way from a time on; what it returns notes its end.
+// propose records a change in flight since at; the returned function ends it.
 func (t *tables) propose(at time.Time, term uint64) (end func()) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -135,7 +135,7 @@
 	}
 }
 
-// when gives when a revision was committed, at the earliest, and closed, at the latest; zero: not known.
+// when returns the earliest commit time and the latest close time of a revision; zero if unknown.
 func (t *tables) when(rev int64) (committed, closed time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -153,20 +153,20 @@
 	return committed, closed
 }
 
-func (t *tables) newest() *tableLine {
+func (t *tables) newest() *tableNode {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.tail
 }
 
-func (l *tableLine) is() (rev, closed int64) {
+func (l *tableNode) is() (rev, closed int64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.table.Rev, l.table.Closed
 }
 
-// text encodes the table for a process that reads some schemas, once.
-func (l *tableLine) text(reads []int) (tableText, error) {
+// text returns the table encoded for readers of the given schemas, from a cache.
+func (l *tableNode) text(reads []int) (encodedTable, error) {
 	reads = known(reads)
 	key := fmt.Sprint(reads)
 	l.mu.Lock()
@@ -181,22 +181,22 @@
 	return out, err
 }
 
-func encodeTable(t *route.Table, reads []int) (tableText, error) {
+func encodeTable(t *route.Table, reads []int) (encodedTable, error) {
 	version, verdict, findings := route.ChooseSchema(t, reads)
-	out := tableText{verdict: verdict, findings: findings}
+	out := encodedTable{verdict: verdict, findings: findings}
 	if verdict == route.DifferentReading || verdict == route.NoReading {
 		return out, nil
 	}
 	text, err := route.Write(t, version)
 	if err != nil {
-		return tableText{}, fmt.Errorf("registry: the table of routes in schema %d: %w", version, err)
+		return encodedTable{}, fmt.Errorf("registry: the table of routes in schema %d: %w", version, err)
 	}
 	out.text = append(text, '\n')
 	return out, nil
 }
 
-// known leaves of the schemas that a process reads those that this program knows: there are few, so there are few ways
-// to encode a table. One newer than all counts as the newest.
+// known reduces schemas to those that this version knows, which bounds the number of encodings. A newer one counts as
+// the newest known.
 func known(reads []int) []int {
 	var out []int
 	for _, s := range reads {
@@ -212,8 +212,8 @@
 func readsOf(r *http.Request) ([]int, error) {
 	text := r.URL.Query().Get("schema")
 	parts := strings.Split(text, ",")
-	if text == "" || len(parts) > mostReads {
-		return nil, fmt.Errorf("schema: names %d to %d schemas that are read, such as schema=%d", 1, mostReads, route.Newest)
+	if text == "" || len(parts) > maxSchemasPerProcess {
+		return nil, fmt.Errorf("schema: names %d to %d schemas that are read, such as schema=%d", 1, maxSchemasPerProcess, route.Newest)
 	}
 	var out []int
 	for _, p := range parts {
@@ -226,7 +226,7 @@
 	return out, nil
 }
 
-// clip shortens what is shown of a value.
+// clip shortens a value for an error text.
 func clip(s string) string {
 	if len(s) > 60 {
 		return s[:60] + "..."
@@ -241,26 +241,26 @@
 	}
 	s := r.s
 	if age, stale := s.stale(); stale {
-		refuse(w, &refusal{status: http.StatusServiceUnavailable, after: time.Second,
+		writeRejection(w, &rejection{status: http.StatusServiceUnavailable, after: time.Second,
 			Error: fmt.Sprintf("what this copy has may be %v old", age.Round(time.Millisecond))})
 		return
 	}
 	reads, err := readsOf(req)
 	if err != nil {
-		refuse(w, &refusal{status: http.StatusBadRequest, Field: "schema", Error: err.Error()})
+		writeRejection(w, &rejection{status: http.StatusBadRequest, Field: "schema", Error: err.Error()})
 		return
 	}
 	after := int64(-1)
 	if text := req.URL.Query().Get("after"); text != "" {
 		if after, err = strconv.ParseInt(text, 10, 64); err != nil {
-			refuse(w, &refusal{status: http.StatusBadRequest, Field: "after", Error: "after: " + strconv.Quote(clip(text)) + " is no revision"})
+			writeRejection(w, &rejection{status: http.StatusBadRequest, Field: "after", Error: "after: " + strconv.Quote(clip(text)) + " is no revision"})
 			return
 		}
 	}
 	o := s.o.Load()
 	if wait := r.admit.take(time.Now(), o.Watches, float64(o.Burst)); wait > 0 {
 		s.figures.turned.Inc()
-		refuse(w, &refusal{status: http.StatusServiceUnavailable, after: wait, Error: "too many readers come at once"})
+		writeRejection(w, &rejection{status: http.StatusServiceUnavailable, after: wait, Error: "too many readers come at once"})
 		return
 	}
 	heard, at := s.replica.Heard(), r.tables.newest()
@@ -270,11 +270,11 @@
 	}
 	told, err := at.text(reads)
 	if err != nil {
-		refuse(w, &refusal{status: http.StatusInternalServerError, Error: err.Error()})
+		writeRejection(w, &rejection{status: http.StatusInternalServerError, Error: err.Error()})
 		return
 	}
 	if told.text == nil {
-		refuse(w, &refusal{status: http.StatusConflict, Field: "schema", Findings: told.findings,
+		writeRejection(w, &rejection{status: http.StatusConflict, Field: "schema", Findings: told.findings,
 			Error: fmt.Sprintf("schema: the table would be %s by who reads %v", told.verdict, reads)})
 		return
 	}
@@ -282,11 +282,11 @@
 	s.note(w, rev, heard)
 	w.Header().Set("Content-Type", "application/json")
 	w.Header().Set("Content-Length", strconv.Itoa(len(told.text)))
-	_, _ = w.Write(told.text) // a reader that is gone needs nothing
+	_, _ = w.Write(told.text) // the reader may have disconnected
 }
 
-// watch tells one watcher each newer table that it reads alike, until either side ends it.
-func (r *routing) watch(w http.ResponseWriter, req *http.Request, at *tableLine, reads []int, after int64, heard time.Duration) {
+// watch sends each newer table that the schemas of the client can express, until either side ends the watch.
+func (r *routing) watch(w http.ResponseWriter, req *http.Request, at *tableNode, reads []int, after int64, heard time.Duration) {
 	s := r.s
 	r.watches.Add(1)
 	defer r.watches.Add(-1)
@@ -294,7 +294,7 @@
 	s.note(w, rev, heard)
 	w.Header().Set("Content-Type", "application/json")
 	say := s.sayer(w)
-	tell := func(l *tableLine) error {
+	tell := func(l *tableNode) error {
 		told, err := l.text(reads)
 		if err != nil {
 			s.log.Error("registry: a table of routes cannot be told", "error", err)
@@ -302,12 +302,12 @@
 		}
 		text := told.text
 		if rev, _ := l.is(); text == nil || rev <= after {
-			text = []byte("\n") // it would read it otherwise, or has it: the line says that the service lives
+			text = []byte("\n") // not expressible, or already sent: an empty line as heartbeat
 		} else {
 			after = rev
 		}
 		if !say(text) {
-			return errSlow
+			return errSlowWatcher
 		}
 		return nil
 	}
@@ -319,21 +319,21 @@
 			return
 		case <-tick.C:
 			if _, stale := s.stale(); stale || !say([]byte("\n")) {
-				return // a watch on a copy that is cut off would look alive and tell nothing
+				return // a watch on a partitioned replica would stay open without changes
 			}
 			continue
 		case <-at.ready:
 		}
 		at = at.next
-		if r.tables.newest().n-at.n > mostBehind {
-			err = errSlow
+		if r.tables.newest().n-at.n > maxWatcherLag {
+			err = errSlowWatcher
 		} else {
 			err = tell(at)
 		}
-		if errors.Is(err, errSlow) {
+		if errors.Is(err, errSlowWatcher) {
 			s.figures.slow.Inc()
 		}
 	}
 }
 
-var errSlow = errors.New("the watcher is slow")
+var errSlowWatcher = errors.New("the watcher is slow")
--- a/internal/registry/routes_tenants.go
+++ b/internal/registry/routes_tenants.go
@@ -34,9 +34,9 @@
 }
 
 func (r *routing) post(w http.ResponseWriter, req *http.Request) {
-	r.make(w, req, func(o *Operators, t *Tenant) (*rollout.Command, *refusal) {
+	r.make(w, req, func(o *Operators, t *Tenant) (*rollout.Command, *rejection) {
 		var wish Wish
-		if f := r.body(w, req, mostBody, &wish); f != nil {
+		if f := r.body(w, req, maxBodyBytes, &wish); f != nil {
 			return nil, f
 		}
 		spec, f := t.spec(o, req.PathValue("name"), &wish)
@@ -45,44 +45,44 @@
 }
 
 // spec is a wish with what its names stand for, if it is within the tenant's bounds.
-func (t *Tenant) spec(o *Operators, name string, wish *Wish) (*rollout.Spec, *refusal) {
+func (t *Tenant) spec(o *Operators, name string, wish *Wish) (*rollout.Spec, *rejection) {
 	if name == "" || len(name) > rollout.MaxRolloutNameBytes {
-		return nil, refusef(http.StatusBadRequest, "name", "has %d bytes, not 1 to %d", len(name), rollout.MaxRolloutNameBytes)
+		return nil, rejectf(http.StatusBadRequest, "name", "has %d bytes, not 1 to %d", len(name), rollout.MaxRolloutNameBytes)
 	}
 	s := &rollout.Spec{Tenant: inside(t.Name), Name: name, SubsetName: wish.To, Classes: wish.Classes, Budget: wish.Budget, LateIsFailure: wish.Late,
 		AtEnd: wish.AtEnd, Note: wish.Note}
 	for i, st := range wish.Steps {
 		if st.CanaryFraction > *t.MaxShare {
-			return nil, refusef(http.StatusForbidden, fmt.Sprintf("steps[%d].share", i), "%v is above max_share of tenant %q, %v", st.CanaryFraction, t.Name, *t.MaxShare)
+			return nil, rejectf(http.StatusForbidden, fmt.Sprintf("steps[%d].share", i), "%v is above max_share of tenant %q, %v", st.CanaryFraction, t.Name, *t.MaxShare)
 		}
 		s.Steps = append(s.Steps, rollout.Step(st))
 	}
 	if wish.Budget > t.MaxBudget {
-		return nil, refusef(http.StatusForbidden, "budget", "%d is above max_budget of tenant %q, %d", wish.Budget, t.Name, t.MaxBudget)
+		return nil, rejectf(http.StatusForbidden, "budget", "%d is above max_budget of tenant %q, %d", wish.Budget, t.Name, t.MaxBudget)
 	}
-	var f *refusal
+	var f *rejection
 	s.Canary, f = t.canary(o, wish.To)
 	return s, f
 }
 
-func (t *Tenant) canary(o *Operators, name string) (route.Subset, *refusal) {
+func (t *Tenant) canary(o *Operators, name string) (route.Subset, *rejection) {
 	sub, known := o.subset(name)
 	if !known || !slices.Contains(t.Subsets, name) {
-		return sub, refusef(http.StatusForbidden, "to", "%q is not among subsets of tenant %q, %v", clip(name), t.Name, t.Subsets)
+		return sub, rejectf(http.StatusForbidden, "to", "%q is not among subsets of tenant %q, %v", clip(name), t.Name, t.Subsets)
 	}
 	return sub, nil
 }
 
 func (r *routing) base(w http.ResponseWriter, req *http.Request) {
-	r.make(w, req, func(o *Operators, t *Tenant) (*rollout.Command, *refusal) {
+	r.make(w, req, func(o *Operators, t *Tenant) (*rollout.Command, *rejection) {
 		var wish struct {
 			To string `json:"to" validate:"bytes=100"` // empty: all servers
 		}
-		if f := r.body(w, req, mostBody, &wish); f != nil {
+		if f := r.body(w, req, maxBodyBytes, &wish); f != nil {
 			return nil, f
 		}
 		c := &rollout.Command{Op: rollout.OpBase, Tenant: inside(t.Name)}
-		var f *refusal
+		var f *rejection
 		if wish.To != "" {
 			c.Base, f = t.canary(o, wish.To)
 		}
@@ -90,31 +90,31 @@
 	})
 }
 
-// move pauses, resumes, rolls back or stops a rollout.
-func (r *routing) move(w http.ResponseWriter, req *http.Request, op rollout.Op) {
-	r.make(w, req, func(_ *Operators, t *Tenant) (*rollout.Command, *refusal) {
+// handleRolloutOp pauses, resumes, rolls back or stops a rollout.
+func (r *routing) handleRolloutOp(w http.ResponseWriter, req *http.Request, op rollout.Op) {
+	r.make(w, req, func(_ *Operators, t *Tenant) (*rollout.Command, *rejection) {
 		wish := struct {
 			Why string `json:"why" validate:"bytes=200"`
 		}{"by command"}
-		if f := r.maybe(w, req, mostBody, &wish); f != nil {
+		if f := r.maybe(w, req, maxBodyBytes, &wish); f != nil {
 			return nil, f
 		}
 		if op != rollout.OpStop && req.URL.Query().Has("if") {
-			return nil, refusef(http.StatusBadRequest, "if", "is for post, base and stop alone")
+			return nil, rejectf(http.StatusBadRequest, "if", "is for post, base and stop alone")
 		}
 		return &rollout.Command{Op: op, Tenant: inside(t.Name), Name: req.PathValue("name"), Reason: wish.Why}, nil
 	})
 }
 
 // make makes a tenant's change, once it is within all bounds and is read alike by all processes that count.
-func (r *routing) make(w http.ResponseWriter, req *http.Request, build func(*Operators, *Tenant) (*rollout.Command, *refusal)) {
+func (r *routing) make(w http.ResponseWriter, req *http.Request, build func(*Operators, *Tenant) (*rollout.Command, *rejection)) {
 	l, o := r.leader(w, req)
 	if l == nil {
 		return
 	}
 	rev, f := r.made(l, o, req, build)
 	if f != nil {
-		refuse(w, f)
+		writeRejection(w, f)
 		return
 	}
 	r.s.note(w, 0, r.s.replica.Heard())
@@ -123,7 +123,7 @@
 	}{rev})
 }
 
-func (r *routing) made(l *leadership, o *Operators, req *http.Request, build func(*Operators, *Tenant) (*rollout.Command, *refusal)) (int64, *refusal) {
+func (r *routing) made(l *leadership, o *Operators, req *http.Request, build func(*Operators, *Tenant) (*rollout.Command, *rejection)) (int64, *rejection) {
 	t, f := r.tenant(o, req)
 	if f != nil {
 		return 0, f
@@ -135,7 +135,7 @@
 	if text := req.URL.Query().Get("if"); text != "" {
 		rev, err := strconv.ParseInt(text, 10, 64)
 		if err != nil {
-			return 0, refusef(http.StatusBadRequest, "if", "%q is no revision", clip(text))
+			return 0, rejectf(http.StatusBadRequest, "if", "%q is no revision", clip(text))
 		}
 		c.IfRev = &rev
 	}
@@ -144,30 +144,30 @@
 	case r.changing <- struct{}{}:
 		defer func() { <-r.changing }()
 	case <-time.After(applyWait):
-		return 0, &refusal{status: http.StatusServiceUnavailable, after: time.Second, Error: "other changes are under way"}
+		return 0, &rejection{status: http.StatusServiceUnavailable, after: time.Second, Error: "other changes are under way"}
 	case <-req.Context().Done():
-		return 0, &refusal{status: http.StatusServiceUnavailable, Error: "the caller is gone"}
+		return 0, &rejection{status: http.StatusServiceUnavailable, Error: "the caller is gone"}
 	}
 	c.AtMS = l.wall(time.Now())
-	anew, f := r.try(l, c, t)
+	anew, f := r.dryRun(l, c, t)
 	if f != nil {
 		return 0, f
 	}
 	if limited := c.Op == rollout.OpPost || c.Op == rollout.OpBase || c.Op == rollout.OpResume; anew && limited {
 		if wait := l.limit(t); wait > 0 {
-			return 0, &refusal{status: http.StatusTooManyRequests, after: wait, Field: "changes_per_minute",
+			return 0, &rejection{status: http.StatusTooManyRequests, after: wait, Field: "changes_per_minute",
 				Error: fmt.Sprintf("changes_per_minute: tenant %q has made its %v", t.Name, t.Changes)}
 		}
 	}
 	rev, err := r.change(l, c)
 	if err != nil {
-		return 0, refusalOf(err)
+		return 0, rejectionOf(err)
 	}
 	return rev, nil
 }
 
-// try makes a change on a copy of the state. It tells whether it changes anything, and what stands in its way.
-func (r *routing) try(l *leadership, c *rollout.Command, t *Tenant) (anew bool, f *refusal) {
+// dryRun applies a change to a clone of the state. It reports whether the change has an effect, or why it is rejected.
+func (r *routing) dryRun(l *leadership, c *rollout.Command, t *Tenant) (anew bool, f *rejection) {
 	var table route.Table
 	var err error
 	under := 0
@@ -179,12 +179,12 @@
 	})
 	switch {
 	case err != nil:
-		return false, refusalOf(err)
+		return false, rejectionOf(err)
 	case !anew:
 		return false, nil
 	}
 	if c.Op == rollout.OpPost && under >= *t.Rollouts {
-		return true, refusef(http.StatusForbidden, "rollouts", "tenant %q has %d under way, and may have %d", t.Name, under, *t.Rollouts)
+		return true, rejectf(http.StatusForbidden, "rollouts", "tenant %q has %d under way, and may have %d", t.Name, under, *t.Rollouts)
 	}
 	if c.Op != rollout.OpPost && c.Op != rollout.OpBase && c.Op != rollout.OpResume {
 		return true, nil // what takes a canary away is never refused
@@ -193,7 +193,7 @@
 }
 
 // compare tells whether all processes that count read a table alike.
-func (r *routing) compare(l *leadership, table *route.Table) *refusal {
+func (r *routing) compare(l *leadership, table *route.Table) *rejection {
 	alike := true
 	for schema := 1; schema < route.Newest; schema++ {
 		_, v, _ := route.ChooseSchema(r.planted.meant(table, []int{schema}), []int{schema})
@@ -204,10 +204,10 @@
 	}
 	all, wait := r.present(l)
 	if wait > 0 {
-		return &refusal{status: http.StatusServiceUnavailable, after: wait,
+		return &rejection{status: http.StatusServiceUnavailable, after: wait,
 			Error: "this copy has only just begun to lead and does not know yet which schemas the processes read"}
 	}
-	out := &refusal{status: http.StatusConflict}
+	out := &rejection{status: http.StatusConflict}
 	for _, p := range all {
 		reads := known(p.Schemas)
 		if _, v, findings := route.ChooseSchema(r.planted.meant(table, reads), reads); v > route.SameWhenDowngraded {
@@ -219,7 +219,7 @@
 					out.Error = findings[0].Path + ": " + findings[0].Effect + "; " + out.Error
 				}
 			}
-			if len(out.Processes) < mostInWay {
+			if len(out.Processes) < maxListedProcesses {
 				out.Processes = append(out.Processes, p)
 			} else {
 				out.Others++
@@ -237,10 +237,10 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	per, burst := rate.Limit(t.Changes/60), max(1, int(t.Changes))
-	lim := l.limits[t.Name]
+	lim := l.changeLimits[t.Name]
 	if lim == nil {
 		lim = rate.NewLimiter(per, burst)
-		l.limits[t.Name] = lim
+		l.changeLimits[t.Name] = lim
 	}
 	now := time.Now()
 	if lim.Limit() != per || lim.Burst() != burst {
@@ -262,23 +262,23 @@
 		return
 	}
 	if !admits(o.Token, req) {
-		refuse(w, refusef(http.StatusUnauthorized, "Authorization", "this needs operator_token: Authorization: Bearer TOKEN"))
+		writeRejection(w, rejectf(http.StatusUnauthorized, "Authorization", "this needs operator_token: Authorization: Bearer TOKEN"))
 		return
 	}
 	var wish struct {
 		Least int `json:"least"`
 	}
-	f := r.body(w, req, mostBody, &wish)
+	f := r.body(w, req, maxBodyBytes, &wish)
 	if f == nil && (wish.Least < 1 || wish.Least > route.Newest) {
-		f = refusef(http.StatusBadRequest, "least", "%d is not between 1 and %d", wish.Least, route.Newest)
+		f = rejectf(http.StatusBadRequest, "least", "%d is not between 1 and %d", wish.Least, route.Newest)
 	}
 	if f != nil {
-		refuse(w, f)
+		writeRejection(w, f)
 		return
 	}
 	rev, err := r.change(l, &rollout.Command{Op: rollout.OpSchema, AtMS: l.wall(time.Now()), Schema: wish.Least})
 	if err != nil {
-		refuse(w, refusalOf(err))
+		writeRejection(w, rejectionOf(err))
 		return
 	}
 	var least int
--- a/internal/registry/routes_test.go
+++ b/internal/registry/routes_test.go
@@ -160,25 +160,25 @@
 
 func TestOperatorsFileErrors(t *testing.T) {
 	for text, says := range map[string]string{
-		"term = \"5\"":                                  `o.toml:1: term: "5" is not a duration`,
-		"term = \"10ms\"":                               "o.toml:1: term: 10ms is below 500ms",
-		"\nshut_after = \"1s\"":                         "o.toml:2: shut_after: 1000 ms is not after behind_after, 2000 ms",
-		"remember = \"5s\"":                             "o.toml:1: remember: 5000 ms is less than two terms",
-		"behind_share = 1.5":                            "o.toml:1: behind_share: 1.5 is above 1",
-		"alpha = 1.0":                                   "alpha: 1 is not below 1",
-		"nonsense = 1":                                  "o.toml:1: nonsense: there is no such key",
-		"[[tenant]]\nmax_share = 1.5":                   "o.toml:2: tenant[0].max_share: 1.5 is above 1",
-		"[[tenant]]\nname = \"x/y\"":                    `o.toml:2: tenant[0].name: "x/y" has a character of "/"`,
-		"[[tenant]]\nname = \"audit\"":                  `tenant[0].name: "audit" has another meaning in paths`,
-		"[[tenant]]\n[[tenant]]":                        "tenant: a name comes twice",
-		"[[tenant]]\nrollouts = 101":                    "tenant[0].rollouts: 101 is above 100",
-		"[[tenant]]\nsubsets = [\"x\"]":                 `o.toml:2: tenant[0].subsets[0]: there is no subset "x"`,
-		"[[tenant]]\nmax_budget = -1":                   "tenant[0].max_budget: -1 is not above 0",
-		"[[subset]]\nmodel = [\"m\"]":                   "o.toml:1: subset[0].name: is missing",
-		"[[subset]]\nname = \"s\"":                      "subset[0]: selects all servers",
-		"[[subset]]\nname = \"s\"\nuid = [\"\"]":        `o.toml:3: subset[0].uid[0]: "" is below 1 bytes`,
-		"[[subset]]\nname = \"s\"\npod_group = [\"a\"]": "o.toml:3: subset.pod_group",
-		"# " + strings.Repeat("x", mostOperators):       "bytes, 1048576 at most",
+		"term = \"5\"":                                    `o.toml:1: term: "5" is not a duration`,
+		"term = \"10ms\"":                                 "o.toml:1: term: 10ms is below 500ms",
+		"\nshut_after = \"1s\"":                           "o.toml:2: shut_after: 1000 ms is not after behind_after, 2000 ms",
+		"remember = \"5s\"":                               "o.toml:1: remember: 5000 ms is less than two terms",
+		"behind_share = 1.5":                              "o.toml:1: behind_share: 1.5 is above 1",
+		"alpha = 1.0":                                     "alpha: 1 is not below 1",
+		"nonsense = 1":                                    "o.toml:1: nonsense: there is no such key",
+		"[[tenant]]\nmax_share = 1.5":                     "o.toml:2: tenant[0].max_share: 1.5 is above 1",
+		"[[tenant]]\nname = \"x/y\"":                      `o.toml:2: tenant[0].name: "x/y" has a character of "/"`,
+		"[[tenant]]\nname = \"audit\"":                    `tenant[0].name: "audit" has another meaning in paths`,
+		"[[tenant]]\n[[tenant]]":                          "tenant: a name comes twice",
+		"[[tenant]]\nrollouts = 101":                      "tenant[0].rollouts: 101 is above 100",
+		"[[tenant]]\nsubsets = [\"x\"]":                   `o.toml:2: tenant[0].subsets[0]: there is no subset "x"`,
+		"[[tenant]]\nmax_budget = -1":                     "tenant[0].max_budget: -1 is not above 0",
+		"[[subset]]\nmodel = [\"m\"]":                     "o.toml:1: subset[0].name: is missing",
+		"[[subset]]\nname = \"s\"":                        "subset[0]: selects all servers",
+		"[[subset]]\nname = \"s\"\nuid = [\"\"]":          `o.toml:3: subset[0].uid[0]: "" is below 1 bytes`,
+		"[[subset]]\nname = \"s\"\npod_group = [\"a\"]":   "o.toml:3: subset.pod_group",
+		"# " + strings.Repeat("x", maxOperatorsFileBytes): "bytes, 1048576 at most",
 		// Bounds are bytes: 101 characters of two bytes would be 101 by their number.
 		"operator_token = \"" + strings.Repeat("é", 101) + `"`:                  "operator_token: \"" + strings.Repeat("é", 20) + "...\" is above 200 bytes",
 		"[[tenant]]\nname = \"" + strings.Repeat("é", 51) + `"`:                 "tenant[0].name: \"" + strings.Repeat("é", 20) + "...\" is above 100 bytes",
@@ -249,10 +249,10 @@
 		{reports, `{"name":"p","start":1,"seq":1}`, 400, "schemas", "are 0"},
 		{reports, `{"name":"p","start":1,"seq":1,"schemas":[1],"counts":[{"ended":1,"failed":2}]}`, 400, "counts[0]", "more failed"},
 		{units, `{"name":"p","start":1,"purses":[{"want":-1}]}`, 400, "purses[0]", "want"},
-		{units, `{"name":"p","start":1,"purses":[` + strings.Repeat("{},", mostPurses) + `{}]}`, 400, "purses", "257, more than 256"},
+		{units, `{"name":"p","start":1,"purses":[` + strings.Repeat("{},", maxBudgetsPerRequest) + `{}]}`, 400, "purses", "257, more than 256"},
 	} {
 		code, text := call(t, "POST", one.cfg.Listen, c.path, c.body)
-		var f refusal
+		var f rejection
 		require.NoError(t, json.Unmarshal([]byte(text), &f), text)
 		if code != c.code || f.Field != c.field || !strings.Contains(f.Error, c.why) {
 			t.Errorf("%s %.100s: %d %s", c.path, c.body, code, text)
@@ -430,7 +430,7 @@
 // the planted defect it does.
 func TestGrantsSurviveALeaderChange(t *testing.T) {
 	t.Parallel()
-	for _, planted := range []defect{"", grantUnkept} {
+	for _, planted := range []defect{"", grantUncommitted} {
 		t.Run(string(planted), func(t *testing.T) {
 			t.Parallel()
 			all := routed(t, 3, func(c *Config) { c.Planted = string(planted) })
@@ -544,7 +544,7 @@
 	r.lead.Store(nil)
 	var l *leadership
 	until(t, "another lead", func() bool { l = r.current(); return l != nil })
-	assert.Equal(t, lengthened(3_600_000, 0.02), l.opens.Sub(l.began))
+	assert.Equal(t, withClockMargin(3_600_000, 0.02), l.decisionsFrom.Sub(l.startedAt))
 }
 
 // Reports cost no disk.
@@ -580,16 +580,16 @@
 		require.Equal(t, 200, code)
 	}
 	newProcess("new", 1, 2).report(t, one.cfg.Listen)
-	var f refusal
+	var f rejection
 	until(t, "a verdict", func() bool { // a new leader does not know all yet
 		code, text := call(t, "POST", one.cfg.Listen, path, classes)
-		f = refusal{}
+		f = rejection{}
 		require.NoError(t, json.Unmarshal([]byte(text), &f))
 		return code == 409
 	})
 	assert.Equal(t, "classes", f.Field)
 	assert.Contains(t, f.Findings[0].Effect, "all classes to the canary")
-	assert.Len(t, f.Processes, mostInWay)
+	assert.Len(t, f.Processes, maxListedProcesses)
 	assert.Equal(t, 5, f.Others)
 	assert.Equal(t, "old00", f.Processes[0].Name)
 	for range 3 {
@@ -636,7 +636,7 @@
 		l := one.node.server.routes.current()
 		later := func() int64 {
 			from := l.wall(time.Now())
-			until(t, "a time that is later for sure", func() bool { return l.wall(time.Now()) > from+2*clockSlack })
+			until(t, "a time that is later for sure", func() bool { return l.wall(time.Now()) > from+2*clockSlackMS })
 			return l.wall(time.Now())
 		}
 		to := later()
@@ -644,7 +644,7 @@
 		until(t, "verdicts", func() bool { // an echo is from before the time's end at first
 			rests.report(t, one.cfg.Listen)
 			rests.report(t, one.cfg.Listen)
-			code, text = call(t, "GET", one.cfg.Listen, fmt.Sprintf("/routes/audit?rev=%d&from=%d&to=%d", rev, l.wallMS-1000, to), "")
+			code, text = call(t, "GET", one.cfg.Listen, fmt.Sprintf("/routes/audit?rev=%d&from=%d&to=%d", rev, l.startedWallMS-1000, to), "")
 			require.Equal(t, 200, code, text)
 			var s audit.Summary
 			require.NoError(t, json.Unmarshal([]byte(text), &s))
@@ -686,7 +686,7 @@
 	}
 	passed := func() time.Time { // that both ends of a window are apart by more than what turning them may cost
 		at := time.Now()
-		until(t, "some time", func() bool { return time.Since(at) > 4*clockSlack*time.Millisecond })
+		until(t, "some time", func() bool { return time.Since(at) > 4*clockSlackMS*time.Millisecond })
 		return time.Now()
 	}
 	before := passed()
@@ -694,7 +694,7 @@
 	followers("what the leader has", func(r *routing, _ *State) bool {
 		r.tables.mu.Lock()
 		defer r.tables.mu.Unlock()
-		return len(r.tables.before) > 0 && r.tables.before[len(r.tables.before)-1].at.After(asked)
+		return len(r.tables.upperBounds) > 0 && r.tables.upperBounds[len(r.tables.upperBounds)-1].at.After(asked)
 	})
 	acts, rests := newProcess("acts", 2), newProcess("rests", 2)
 	var revs [2]int64
--- a/internal/registry/routes_views.go
+++ b/internal/registry/routes_views.go
@@ -1,6 +1,6 @@
 package registry
 
-// This file shows operators the routes, the rollouts and the processes.
+// This file serves the read-only operator API: routes, rollouts, processes and the audit.
 
 import (
 	"math"
@@ -13,7 +13,7 @@
 	"marblelane/internal/route"
 )
 
-// RolloutView is a rollout as it is shown.
+// RolloutView is the JSON form of a rollout.
 type RolloutView struct {
 	Name     string        `json:"name"`
 	To       string        `json:"to"`
@@ -28,12 +28,12 @@
 	Granted  int64         `json:"granted"` // to processes, in all
 	Spent    int64         `json:"spent"`
 	Returned int64         `json:"returned"`
-	Left     int64         `json:"left"`     // that nobody holds or has spent
+	Left     int64         `json:"left"`     // neither held by a process nor spent
 	Evidence float64       `json:"evidence"` // against the canary; it is rolled back at 1/alpha
 	Note     string        `json:"note,omitempty"`
 }
 
-// TenantView is a tenant's routes as they are shown.
+// TenantView is the JSON form of a tenant's routes.
 type TenantView struct {
 	Tenant   string        `json:"tenant"`
 	Rev      int64         `json:"rev"` // of its last change, for ?if=
@@ -51,11 +51,11 @@
 	}
 	t, f := r.tenant(o, req)
 	if f != nil {
-		refuse(w, f)
+		writeRejection(w, f)
 		return
 	}
 	if err := r.s.replica.Confirm(); err != nil {
-		refuse(w, refusalOf(err))
+		writeRejection(w, rejectionOf(err))
 		return
 	}
 	tell(w, r.view(l, t.Name))
@@ -95,18 +95,18 @@
 	tell(w, struct {
 		Leader    string                  `json:"leader"`
 		Processes []rollout.ProcessStatus `json:"processes"`
-	}{l.id, r.heard(l)})
+	}{l.id, r.processStatuses(l)})
 }
 
-// heard is what the controller knows of processes.
-func (r *routing) heard(l *leadership) []rollout.ProcessStatus {
+// processStatuses returns the status of each process known to the controller.
+func (r *routing) processStatuses(l *leadership) []rollout.ProcessStatus {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.controller.Processes(l.floor(time.Now()))
 }
 
-// who answers GET /routes/audit: who acted on a revision within a time.
-func (r *routing) who(w http.ResponseWriter, req *http.Request) {
+// handleAudit answers GET /routes/audit: which processes acted on a revision within a time range.
+func (r *routing) handleAudit(w http.ResponseWriter, req *http.Request) {
 	l, _ := r.leader(w, req)
 	if l == nil {
 		return
@@ -116,35 +116,35 @@
 		text := req.URL.Query().Get(name)
 		v, err := strconv.ParseInt(text, 10, 64)
 		if err != nil || v < 0 || v > 1<<53 {
-			refuse(w, refusef(http.StatusBadRequest, name, "%q is no whole number from 0 to 2^53; from and to are Unix milliseconds", clip(text)))
+			writeRejection(w, rejectf(http.StatusBadRequest, name, "%q is no whole number from 0 to 2^53; from and to are Unix milliseconds", clip(text)))
 			return
 		}
 		n[i] = v
 	}
 	if n[1] > n[2] {
-		refuse(w, refusef(http.StatusBadRequest, "from", "%d is after to, %d", n[1], n[2]))
+		writeRejection(w, rejectf(http.StatusBadRequest, "from", "%d is after to, %d", n[1], n[2]))
 		return
 	}
 	if err := r.s.replica.Confirm(); err != nil {
-		refuse(w, refusalOf(err))
+		writeRejection(w, rejectionOf(err))
 		return
 	}
-	out, f := r.asked(l, n[0], n[1], n[2])
+	out, f := r.auditSummary(l, n[0], n[1], n[2])
 	if f != nil {
-		refuse(w, f)
+		writeRejection(w, f)
 		return
 	}
 	tell(w, out)
 }
 
-func (r *routing) asked(l *leadership, rev, from, to int64) (out audit.Summary, f *refusal) {
+func (r *routing) auditSummary(l *leadership, rev, from, to int64) (out audit.Summary, f *rejection) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	ms := func(wall int64) int64 { return wall - l.wallMS + l.floor(l.began) }
+	ms := func(wall int64) int64 { return wall - l.startedWallMS + l.floor(l.startedAt) }
 	now := time.Now()
 	committed, closed := r.tables.when(rev)
 	q := audit.Query{Rev: rev, From: ms(from), To: ms(to), CommittedAt: math.MinInt64, ClosedKnown: !closed.IsZero(), Now: l.ceil(now),
-		Slack: clockSlack, ClockAhead: l.ceil(r.opened)}
+		Slack: clockSlackMS, ClockAhead: l.ceil(r.opened)}
 	if !committed.IsZero() {
 		q.CommittedAt = l.floor(committed)
 	}
@@ -153,10 +153,10 @@
 	}
 	r.s.hub.read(func(s *State) {
 		if newest := s.routes.Rev(); rev > newest {
-			f = refusef(http.StatusNotFound, "rev", "%d is not committed; the newest is %d", rev, newest)
+			f = rejectf(http.StatusNotFound, "rev", "%d is not committed; the newest is %d", rev, newest)
 			return
 		}
-		out = l.book.Summarize(q, s.audit)
+		out = l.tracker.Summarize(q, s.audit)
 	})
 	out.Answers = r.planted.answers(out.Answers)
 	return out, f
--- a/internal/registry/server.go
+++ b/internal/registry/server.go
@@ -207,7 +207,7 @@
 		http.Error(w, fmt.Sprintf("what this copy has may be %v old", age.Round(time.Millisecond)), http.StatusServiceUnavailable)
 		return
 	}
-	if wait := s.turnAway(); wait > 0 {
+	if wait := s.retryAfter(); wait > 0 {
 		s.figures.turned.Inc()
 		w.Header().Set("Retry-After", strconv.FormatFloat(wait.Seconds(), 'f', 3, 64))
 		http.Error(w, "too many readers come at once", http.StatusServiceUnavailable)
@@ -216,7 +216,7 @@
 	q := r.URL.Query()
 	heard := s.replica.Heard()
 	if q.Get("watch") == "" {
-		l, err := s.hub.whole()
+		l, err := s.hub.fullLine()
 		if err != nil {
 			http.Error(w, err.Error(), http.StatusInternalServerError)
 			return
@@ -281,5 +281,5 @@
 // expireEvery is how often leases are looked at.
 const expireEvery = 200 * time.Millisecond
 
-// mostWait is the longest time that a reader is told to wait.
-const mostWait = 10 * time.Second
+// maxRetryAfter bounds the Retry-After of a reader that is rate limited.
+const maxRetryAfter = 10 * time.Second
--- a/internal/registry/server_admission.go
+++ b/internal/registry/server_admission.go
@@ -7,23 +7,22 @@
 	"time"
 )
 
-// turnAway tells how long a reader has to wait; 0: it is admitted.
-func (s *Server) turnAway() time.Duration {
+// retryAfter admits a reader and returns 0, or returns how long it has to wait.
+func (s *Server) retryAfter() time.Duration {
 	o := s.o.Load()
 	return s.admit.take(time.Now(), o.Watches, float64(o.Burst))
 }
 
-// bucket admits at a rate, with a burst.
+// bucket is a token bucket.
 type bucket struct {
 	mu       sync.Mutex
 	level    float64
 	last     time.Time
-	promised time.Time // to whom was turned away last
+	promised time.Time // retry time given to the reader rejected last
 }
 
-// take takes a place, or says how long to wait. Whoever is turned away takes nothing, and is told a later time than the
-// one before: they come back one by one, as places become free. (Where each refusal took a place too, 1,000 readers
-// who came at once kept each other out: 24,000 refusals and 236 watches after a minute.)
+// take takes a token and returns 0, or returns how long to wait. A rejected reader takes no token and is given a later
+// retry time than the one before it, so that rejected readers return one by one as tokens become available.
 func (b *bucket) take(now time.Time, rate, most float64) time.Duration {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -35,7 +34,7 @@
 		b.level--
 		return 0
 	}
-	if b.promised.Before(now) || b.promised.Sub(now) > mostWait {
+	if b.promised.Before(now) || b.promised.Sub(now) > maxRetryAfter {
 		b.promised = now
 	}
 	b.promised = b.promised.Add(time.Duration(float64(time.Second) / rate))
--- a/internal/registry/server_watch.go
+++ b/internal/registry/server_watch.go
@@ -40,7 +40,7 @@
 		}
 		before := at.rev
 		at = at.next
-		if s.hub.lines.Load()-at.n > mostBehind {
+		if s.hub.lines.Load()-at.n > maxWatcherLag {
 			s.figures.slow.Inc()
 			return
 		}
--- a/internal/registry/state.go
+++ b/internal/registry/state.go
@@ -72,15 +72,15 @@
 // EpochOf is the epoch of a revision.
 func EpochOf(rev int64) int64 { return rev >> countBits }
 
-// epochBegan is when epochs begin to count minutes; 25 bits of them last until 2089.
-var epochBegan = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
+// epochZero is the time from which epochs count minutes; 25 bits of them last until 2089.
+var epochZero = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 
-// epochBeganMS is the same as Unix time.
-const epochBeganMS = 1_767_225_600_000
+// epochZeroMS is epochZero in Unix milliseconds.
+const epochZeroMS = 1_767_225_600_000
 
 // NextEpoch is the epoch of a history that begins now, after one with the epoch old (0: none).
 func NextEpoch(now time.Time, old int64) int64 {
-	return min(max(old+1, int64(now.Sub(epochBegan)/time.Minute)), maxEpoch)
+	return min(max(old+1, int64(now.Sub(epochZero)/time.Minute)), maxEpoch)
 }
 
 // Op is what a command does.
@@ -429,27 +429,27 @@
 	return nil
 }
 
-// SchemaSupport says that a process was heard, and which schemas of routes it reads.
+// SchemaSupport is the last report time of a process and the schemas of routes that it reads.
 type SchemaSupport struct {
 	route.Process
 	Schemas []int `json:"schemas"`
 	AtMS    int64 `json:"at_ms"` // the leader's wall clock
 }
 
-// mostSeen is how many processes are remembered; the one that was heard first makes room.
-const mostSeen = 10_000
+// maxKnownProcesses bounds the processes in the state; beyond it the one that reported longest ago is dropped.
+const maxKnownProcesses = 10_000
 
 func (s *State) see(all []SchemaSupport) {
 	for _, p := range all {
 		s.seen[p.Name] = p
 	}
-	if len(s.seen) <= mostSeen {
+	if len(s.seen) <= maxKnownProcesses {
 		return
 	}
 	oldest := slices.SortedFunc(maps.Values(s.seen), func(a, b SchemaSupport) int {
 		return cmp.Or(cmp.Compare(a.AtMS, b.AtMS), cmp.Compare(a.Name, b.Name))
 	})
-	for _, p := range oldest[:len(oldest)-mostSeen] {
+	for _, p := range oldest[:len(oldest)-maxKnownProcesses] {
 		delete(s.seen, p.Name)
 	}
 }
--- a/internal/registry/state_test.go
+++ b/internal/registry/state_test.go
@@ -178,14 +178,14 @@
 }
 
 func TestEpochs(t *testing.T) {
-	now := epochBegan.Add(1000 * time.Minute)
+	now := epochZero.Add(1000 * time.Minute)
 	if e := NextEpoch(now, 0); e != 1000 {
 		t.Errorf("a fresh history: %d", e)
 	}
 	if e := NextEpoch(now, 1000); e != 1001 {
 		t.Errorf("a second one within the minute: %d", e)
 	}
-	if e := NextEpoch(epochBegan.Add(-time.Hour), 7); e != 8 {
+	if e := NextEpoch(epochZero.Add(-time.Hour), 7); e != 8 {
 		t.Errorf("with a clock that went back: %d", e)
 	}
 	if rev := int64(maxEpoch)<<countBits + 1<<countBits - 1; rev != 1<<53-1 {
--- a/internal/registry/store.go
+++ b/internal/registry/store.go
@@ -84,7 +84,7 @@
 		if err := tx.Bucket(logBucket).ForEach(func(k, v []byte) error { t.add(k, v); return nil }); err != nil {
 			return err
 		}
-		if err := about.Put(tallyKey, t.bytes()); err != nil {
+		if err := about.Put(contentSumKey, t.bytes()); err != nil {
 			return err
 		}
 	}
@@ -239,7 +239,7 @@
 	return s.write(func(tx *bolt.Tx) error {
 		b := tx.Bucket(logBucket)
 		b.FillPercent = 0.9 // entries are appended
-		t := readTally(tx.Bucket(aboutBucket))
+		t := readContentSum(tx.Bucket(aboutBucket))
 		for _, l := range logs {
 			data, err := json.Marshal(l)
 			if err != nil {
@@ -255,7 +255,7 @@
 				return fmt.Errorf("log entry %d: %w", l.Index, err)
 			}
 		}
-		return tx.Bucket(aboutBucket).Put(tallyKey, t.bytes())
+		return tx.Bucket(aboutBucket).Put(contentSumKey, t.bytes())
 	})
 }
 
@@ -263,7 +263,7 @@
 func (s *store) DeleteRange(low, high uint64) error {
 	return s.write(func(tx *bolt.Tx) error {
 		b := tx.Bucket(logBucket)
-		t := readTally(tx.Bucket(aboutBucket))
+		t := readContentSum(tx.Bucket(aboutBucket))
 		for i := low; i <= high; i++ { // a cursor must not be moved on from what it has deleted
 			k := key(i)
 			if old := b.Get(k); old != nil {
@@ -273,7 +273,7 @@
 				return err
 			}
 		}
-		return tx.Bucket(aboutBucket).Put(tallyKey, t.bytes())
+		return tx.Bucket(aboutBucket).Put(contentSumKey, t.bytes())
 	})
 }
 
--- a/internal/registry/store_check.go
+++ b/internal/registry/store_check.go
@@ -72,8 +72,8 @@
 	Notes           []string // what is worth knowing and no fault
 	Faults          []error
 
-	values map[string][]byte
-	tally  contentSum
+	values     map[string][]byte
+	contentSum contentSum
 }
 
 // FoundSnapshot is one snapshot.
@@ -117,7 +117,7 @@
 	if err := out.store(path, f, info.Size(), each); err != nil {
 		out.fault(path, err)
 	}
-	out.whole(path)
+	out.checkComplete(path)
 	return out, nil
 }
 
@@ -176,7 +176,7 @@
 	if err != nil {
 		return err
 	}
-	if ours, err := checkAbout(about, out.values, &out.tally, p.txid); err != nil {
+	if ours, err := checkAbout(about, out.values, &out.contentSum, p.txid); err != nil {
 		return err
 	} else if !ours {
 		out.Notes = append(out.Notes, "the last write to the log is not this program's: an earlier program made it, or the "+
@@ -198,7 +198,7 @@
 		return fmt.Errorf("bucket log: the key %x is no index", k)
 	}
 	index := binary.BigEndian.Uint64(k)
-	out.tally.add(k, v)
+	out.contentSum.add(k, v)
 	var l raft.Log
 	if err := decodeLog(index, v, &l); err != nil {
 		out.fault(entryAt(path, index), err)
@@ -252,8 +252,8 @@
 	return nil
 }
 
-// whole finds what neither the log nor a sound snapshot has.
-func (out *Found) whole(path string) {
+// checkComplete reports entries that neither the log nor a valid snapshot has.
+func (out *Found) checkComplete(path string) {
 	covered := out.covered()
 	var newest *FoundSnapshot // the newest of all, sound or not
 	for i := range out.Snapshots {
@@ -345,10 +345,10 @@
 
 // What stands in the bucket about. Form 1 has no such bucket.
 var (
-	aboutBucket = []byte("about")
-	formKey     = []byte("form")
-	txKey       = []byte("tx") // of the last transaction that this program made
-	tallyKey    = []byte("log")
+	aboutBucket   = []byte("about")
+	formKey       = []byte("form")
+	txKey         = []byte("tx") // of the last transaction that this program made
+	contentSumKey = []byte("log")
 )
 
 // contentSum is how many entries the log has, and the sum of their checksums: an old page in a new one's place, which a disk
@@ -367,11 +367,11 @@
 
 func (t *contentSum) bytes() []byte {
 	b := binary.BigEndian.AppendUint64(key(t.count), t.sum)
-	return append(b, valueSum(tallyKey, b)...)
+	return append(b, valueSum(contentSumKey, b)...)
 }
 
-func readTally(about *bolt.Bucket) (t contentSum) {
-	if b := about.Get(tallyKey); len(b) == 20 {
+func readContentSum(about *bolt.Bucket) (t contentSum) {
+	if b := about.Get(contentSumKey); len(b) == 20 {
 		t = contentSum{binary.BigEndian.Uint64(b), binary.BigEndian.Uint64(b[8:])}
 	}
 	return t
@@ -403,7 +403,7 @@
 	if binary.BigEndian.Uint64(tx) != txid {
 		return false, nil
 	}
-	if string(about[string(tallyKey)]) != string(log.bytes()) {
+	if string(about[string(contentSumKey)]) != string(log.bytes()) {
 		return false, fmt.Errorf("bucket log: its %d entries are not those that were written last", log.count)
 	}
 	for name, v := range values {
--- a/internal/registry/store_pages.go
+++ b/internal/registry/store_pages.go
@@ -23,17 +23,17 @@
 }
 
 const (
-	boltMagic   = 0xED0CDAED
-	boltVersion = 2
-	metaAt      = 16 // behind the page's header
-	metaSize    = 64
-	metaSum     = 56 // where its checksum stands
-	pageHeader  = 16
-	elemSize    = 16
-	branchFlag  = 1
-	leafFlag    = 2
-	bucketFlag  = 1
-	mostDepth   = 64
+	boltMagic    = 0xED0CDAED
+	boltVersion  = 2
+	metaAt       = 16 // behind the page's header
+	metaSize     = 64
+	metaSum      = 56 // where its checksum stands
+	pageHeader   = 16
+	elemSize     = 16
+	branchFlag   = 1
+	leafFlag     = 2
+	bucketFlag   = 1
+	maxPageDepth = 64
 )
 
 // order is that of the machine: bbolt writes its structures as they are in memory.
@@ -99,8 +99,8 @@
 	if err != nil {
 		return err
 	}
-	if depth > mostDepth {
-		return fmt.Errorf("page %d: the tree is deeper than %d", id, mostDepth)
+	if depth > maxPageDepth {
+		return fmt.Errorf("page %d: the tree is deeper than %d", id, maxPageDepth)
 	}
 	err = p.content(b, id, depth, low, high, visit)
 	var inner *pageError
--- a/internal/registry/supervisor.go
+++ b/internal/registry/supervisor.go
@@ -111,7 +111,7 @@
 		case <-time.After(wait):
 		}
 		wait = min(2*wait, reopenLate)
-		err := s.tryOpen()
+		err := s.openIfWritable()
 		switch log := s.cfg.Log; {
 		case err == nil:
 			log.Info("registry: the folder takes writes again and was read anew", "dir", s.cfg.Dir,
@@ -126,12 +126,12 @@
 	}
 }
 
-// tryOpen opens the copy if its folder takes writes.
-func (s *Supervisor) tryOpen() error {
+// openIfWritable opens the replica if its data directory is writable.
+func (s *Supervisor) openIfWritable() error {
 	s.mu.Lock()
 	cfg := s.cfg
 	s.mu.Unlock()
-	if err := probe(cfg.Dir, cfg.Faults); err != nil {
+	if err := checkWritable(cfg.Dir, cfg.Faults); err != nil {
 		return err
 	}
 	n, err := Open(cfg)
@@ -163,13 +163,13 @@
 	return true
 }
 
-// probeBytes are more than a copy writes at once, so that a folder which is about to be full again does not count as
-// one that works.
-const probeBytes = 1 << 20
+// writableCheckBytes is more than a replica writes at once, so that a disk which is about to be full again does not count
+// as writable.
+const writableCheckBytes = 1 << 20
 
-// probe tells whether a copy's folder is there and takes a file and its sync. A folder without a log is not the copy's:
-// its file system may be away.
-func probe(dir string, faults *fault.Plan) error {
+// checkWritable verifies that the data directory exists and accepts a file and its sync. A directory without a log is
+// not accepted: its file system may not be mounted.
+func checkWritable(dir string, faults *fault.Plan) error {
 	if _, err := os.Stat(filepath.Join(dir, storeFile)); err != nil {
 		return err
 	}
@@ -177,7 +177,7 @@
 		if planted != nil {
 			return planted
 		}
-		return writeProbe(filepath.Join(dir, storeFile+tempSuffix)) // a start cuts one that was left
+		return writeSyncRemove(filepath.Join(dir, storeFile+tempSuffix)) // a start cuts one that was left
 	})
 	if err != nil {
 		return fmt.Errorf("probe %s: %w", dir, err)
@@ -185,12 +185,12 @@
 	return nil
 }
 
-func writeProbe(path string) error {
+func writeSyncRemove(path string) error {
 	f, err := os.OpenFile(path, os.O_CREATE|os.O_TRUNC|os.O_WRONLY, 0o600)
 	if err != nil {
 		return err
 	}
-	_, err = f.Write(make([]byte, probeBytes))
+	_, err = f.Write(make([]byte, writableCheckBytes))
 	if err == nil {
 		err = f.Sync()
 	}
