--- a/internal/registry/agent.go
+++ b/internal/registry/agent.go
@@ -64,7 +64,7 @@
 		return fmt.Errorf("register: %w", err)
 	}
 	a.client = http.Client{Transport: &http.Transport{DisableKeepAlives: true}}
-	registered, told, moved := false, false, false
+	registered, acknowledged, bootAdjusted := false, false, false
 	pause := backoff.ExponentialBackOff{InitialInterval: 75 * time.Millisecond, MaxInterval: 1500 * time.Millisecond,
 		Multiplier: 2, RandomizationFactor: 1. / 3} // from 50 ms to 100 ms at first, up to 1 s to 2 s
 	for ctx.Err() == nil {
@@ -83,10 +83,10 @@
 				if !registered {
 					a.Log.Info("register: listed", "uid", a.Entry.UID)
 				}
-				registered, told = true, true
+				registered, acknowledged = true, true
 				pause.Reset()
-			case errors.Is(err, ErrDrained) && !told && !moved:
-				moved, next = true, 0
+			case errors.Is(err, ErrDrained) && !acknowledged && !bootAdjusted:
+				bootAdjusted, next = true, 0
 				if boot, err := a.listedBoot(ctx); err == nil && boot >= a.Entry.BootMS {
 					a.Log.Warn("register: this start seems earlier than the one before; the clock was set back", "uid", a.Entry.UID)
 					a.Entry.BootMS = boot + 1
@@ -103,7 +103,7 @@
 		case <-time.After(next):
 		}
 	}
-	if !told {
+	if !acknowledged {
 		return nil
 	}
 	return a.leave()
--- a/internal/registry/agent_test.go
+++ b/internal/registry/agent_test.go
@@ -68,7 +68,7 @@
 }
 
 // A server that fails its check for a whole lease is off the list.
-func TestSickServerIsNotRenewed(t *testing.T) {
+func TestAgent_failedHealthCheck(t *testing.T) {
 	one := cluster(t, 1, func(c *Config) { c.Dir, c.Peers = "", nil })[0]
 	var healthy atomic.Bool
 	healthy.Store(true)
@@ -93,7 +93,7 @@
 
 // A server that somebody drains while its agent renews stays drained, also when its lease has ended meanwhile; the
 // next start is ready, also on a machine whose clock was set back by an hour.
-func TestAgentAndDrains(t *testing.T) {
+func TestAgent_drain(t *testing.T) {
 	one := cluster(t, 1, func(c *Config) { c.Dir, c.Peers = "", nil })[0]
 	run := func(boot int64) (stop func()) {
 		a := &Agent{Copies: []string{one.cfg.Listen}, Lease: 600 * time.Millisecond, Drain: time.Millisecond, Entry: *entry("s1", boot)}
--- a/internal/registry/config.go
+++ b/internal/registry/config.go
@@ -26,13 +26,13 @@
 	Join  bool   `toml:"join"`
 	Peers []Peer `toml:"peer"`
 
-	Keep      int               `toml:"keep"`
-	Beat      tomlfile.Duration `toml:"beat"`
-	Batch     tomlfile.Duration `toml:"batch"`
-	Watches   float64           `toml:"watches_per_s"`
-	Burst     int               `toml:"watch_burst"`
-	MostStale tomlfile.Duration `toml:"most_stale"`
-	HoldShare float64           `toml:"hold_share"`
+	Keep               int               `toml:"keep"`
+	Beat               tomlfile.Duration `toml:"beat"`
+	Batch              tomlfile.Duration `toml:"batch"`
+	Watches            float64           `toml:"watches_per_s"`
+	Burst              int               `toml:"watch_burst"`
+	MaxStaleness       tomlfile.Duration `toml:"most_stale"`
+	MaxExpiredFraction float64           `toml:"hold_share"`
 
 	Routes string `toml:"routes"` // the operators' file, from this file's folder; empty: routes are off
 
@@ -63,7 +63,7 @@
 	}
 	c := Config{start: start, Name: f.Name, Listen: f.Listen, Raft: f.Raft, Advertise: f.Advertise, Dir: f.Dir, Join: f.Join, Peers: f.Peers, Keep: f.Keep,
 		Beat: time.Duration(f.Beat), SlowDisk: time.Duration(f.SlowDisk), Options: Options{Batch: time.Duration(f.Batch), Watches: f.Watches, Burst: f.Burst,
-			MostStale: time.Duration(f.MostStale), HoldShare: f.HoldShare, EachEncodes: f.EachEncodes, Planted: f.RouteDefect}}
+			MaxStaleness: time.Duration(f.MaxStaleness), MaxExpiredFraction: f.MaxExpiredFraction, EachEncodes: f.EachEncodes, Planted: f.RouteDefect}}
 	err := c.check()
 	if err != nil {
 		return Config{}, fmt.Errorf("configuration %s: %w", path, err)
@@ -92,7 +92,7 @@
 			return fmt.Errorf("%s: is missing", k.key)
 		}
 	}
-	for key, v := range map[string]time.Duration{"beat": c.Beat, "batch": c.Batch, "most_stale": c.MostStale, "slow_disk": c.SlowDisk} {
+	for key, v := range map[string]time.Duration{"beat": c.Beat, "batch": c.Batch, "most_stale": c.MaxStaleness, "slow_disk": c.SlowDisk} {
 		if v < 0 {
 			return fmt.Errorf("%s: is negative", key)
 		}
@@ -102,7 +102,7 @@
 		return errors.New("keep: is negative")
 	case c.Watches < 0 || c.Burst < 0:
 		return errors.New("watches_per_s: it or watch_burst is negative")
-	case c.HoldShare < 0 || c.HoldShare > 1:
+	case c.MaxExpiredFraction < 0 || c.MaxExpiredFraction > 1:
 		return errors.New("hold_share: is not between 0 and 1")
 	case !defect(c.Planted).known():
 		return fmt.Errorf("lab_route_defect: %q is none of %v", c.Planted, defects())
--- a/internal/registry/freshness.go
+++ b/internal/registry/freshness.go
@@ -106,7 +106,7 @@
 		if leader == "" {
 			continue
 		}
-		rev, err := askLeader(ctx, client, leader)
+		rev, err := pollLeader(ctx, client, leader)
 		if err != nil {
 			n.log.Debug("registry: the leader does not say what it has", "error", err)
 			continue
@@ -115,7 +115,7 @@
 	}
 }
 
-func askLeader(ctx context.Context, client *http.Client, leader string) (int64, error) {
+func pollLeader(ctx context.Context, client *http.Client, leader string) (int64, error) {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+leader+leaderRevPath, nil)
 	if err != nil {
 		return 0, err
--- a/internal/registry/freshness_test.go
+++ b/internal/registry/freshness_test.go
@@ -48,7 +48,7 @@
 
 // Steps of the wall clock reach the service where it reads the clock of its faults, and nowhere else: the lab's
 // copy-clock scenario proves something only as long as no other wall time is read.
-func TestWallClockIsReadInOnePlace(t *testing.T) {
+func TestWallClock_singleReader(t *testing.T) {
 	files, err := filepath.Glob("*.go")
 	if err != nil || len(files) < 5 {
 		t.Fatal(files, err)
@@ -68,7 +68,7 @@
 	}
 }
 
-func TestSlowDiskGivesTheLeadUp(t *testing.T) {
+func TestLeader_stepsDownOnSlowDisk(t *testing.T) {
 	files := map[string]string{}
 	all := cluster(t, 3, func(c *Config) {
 		files[c.Name] = filepath.Join(t.TempDir(), "faults.toml")
@@ -95,7 +95,7 @@
 }
 
 // An answer to what was sent before a question confirms nothing about it.
-func TestOldAnswersConfirmNothing(t *testing.T) {
+func TestConfirm_staleAnswers(t *testing.T) {
 	tr := newTransport(nil, time.Second)
 	at := func(s int) time.Time { return time.Unix(int64(s), 0) }
 	tr.acknowledge("r1", 5, at(10))
--- a/internal/registry/leases.go
+++ b/internal/registry/leases.go
@@ -56,15 +56,15 @@
 // within the last term are more than holdShare of all leased ones, only how many are held: it is likelier that this copy
 // is cut off from them than that so many have died. They are held until enough of them are renewed or removed. The
 // term counts, as servers renew at different times: what one cut-off ends does not end at one moment.
-func (l *leases) due(all []lease, holdShare float64, now time.Time) (expired map[string]int64, held int) {
+func (l *leases) due(all []lease, maxExpiredFraction float64, now time.Time) (expired map[string]int64, held int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	expired = map[string]int64{}
 	known := make(map[string]bool, len(all))
-	longest := time.Duration(0)
+	maxTerm := time.Duration(0)
 	for _, one := range all {
 		known[one.uid] = true
-		longest = max(longest, one.term)
+		maxTerm = max(maxTerm, one.term)
 		end, ok := l.ends[one.uid]
 		if !ok { // registered before this copy led: a full term from now on
 			l.ends[one.uid] = now.Add(one.term)
@@ -80,11 +80,11 @@
 		}
 	}
 	recent := 0
-	l.past = slices.DeleteFunc(l.past, func(e ended) bool { return now.Sub(e.at) > longest })
+	l.past = slices.DeleteFunc(l.past, func(e ended) bool { return now.Sub(e.at) > maxTerm })
 	for _, e := range l.past {
 		recent += e.n
 	}
-	if sum := len(all) + recent; sum > fewLeases && len(expired) > 0 && float64(len(expired)+recent) > holdShare*float64(sum) {
+	if sum := len(all) + recent; sum > fewLeases && len(expired) > 0 && float64(len(expired)+recent) > maxExpiredFraction*float64(sum) {
 		l.held = len(expired)
 		return nil, l.held
 	}
--- a/internal/registry/listen_test.go
+++ b/internal/registry/listen_test.go
@@ -78,7 +78,7 @@
 }
 
 // Accepts that fail for a moment end neither the service nor raft's listener.
-func TestListenersGoOnAfterFailures(t *testing.T) {
+func TestListeners_acceptFailures(t *testing.T) {
 	cfg := Config{Name: "r0", Listen: "127.0.0.1:0", Raft: "127.0.0.1:0"}
 	cfg.Log = slog.New(slog.DiscardHandler)
 	n, err := Open(cfg)
@@ -137,24 +137,24 @@
 	}
 	for _, errno := range []syscall.Errno{syscall.ENFILE, syscall.EMFILE, syscall.ENOMEM, syscall.EINTR, syscall.EIO} {
 		t.Run(errno.Error(), func(t *testing.T) {
-			tries := 0
+			attempts := 0
 			cfg, err := loadConfig(path, func(path string) ([]byte, error) {
-				if tries++; tries < 3 {
+				if attempts++; attempts < 3 {
 					return nil, &os.PathError{Op: "open", Path: path, Err: errno}
 				}
 				return os.ReadFile(path)
 			})
-			if err != nil || cfg.Name != "r0" || tries != 3 {
-				t.Errorf("%v after %d tries", err, tries)
+			if err != nil || cfg.Name != "r0" || attempts != 3 {
+				t.Errorf("%v after %d tries", err, attempts)
 			}
 		})
 	}
-	tries := 0
+	attempts := 0
 	_, err := loadConfig(path, func(path string) ([]byte, error) {
-		tries++
+		attempts++
 		return nil, &os.PathError{Op: "open", Path: path, Err: syscall.EACCES}
 	})
-	if !errors.Is(err, syscall.EACCES) || !strings.Contains(err.Error(), path) || tries != 1 {
-		t.Errorf("%v after %d tries, want EACCES at once", err, tries)
+	if !errors.Is(err, syscall.EACCES) || !strings.Contains(err.Error(), path) || attempts != 1 {
+		t.Errorf("%v after %d tries, want EACCES at once", err, attempts)
 	}
 }
--- a/internal/registry/members_test.go
+++ b/internal/registry/members_test.go
@@ -14,7 +14,7 @@
 )
 
 // No step is taken that would leave less than a majority that answers. cmd/marblelane has a whole replacement.
-func TestCopiesStayWhereNoMajorityWould(t *testing.T) {
+func TestMembership_quorumKept(t *testing.T) {
 	all := cluster(t, 4, nil)
 	l := leader(t, all)
 	first := l.cfg.Name
@@ -65,7 +65,7 @@
 }
 
 // What membership would refuse at each try is refused when the configuration is read.
-func TestMembersConfigurationNamesTheKey(t *testing.T) {
+func TestMembers_configErrors(t *testing.T) {
 	for key, f := range map[string]file{
 		"name": {Name: "a copy", Members: &membership.Section{Fleet: "f", Bind: "127.0.0.1:0"}},
 		"bind": {Name: "r0", Members: &membership.Section{Fleet: "f", Bind: ":7946"}},
@@ -83,7 +83,7 @@
 	return out
 }
 
-func TestStatusShowsWhatMembershipSays(t *testing.T) {
+func TestStatus_membership(t *testing.T) {
 	seed := freePort(t)
 	taken, err := net.Listen("tcp", freePort(t))
 	require.NoError(t, err)
@@ -123,7 +123,7 @@
 }
 
 // Watches of /members are counted, and a caller that takes nothing makes room.
-func TestMembersWatchIsBounded(t *testing.T) {
+func TestMembers_watchLimit(t *testing.T) {
 	one := cluster(t, 1, func(c *Config) { withMembers(t, c, "127.0.0.1:0", "127.0.0.1:1") })[0]
 	until(t, "its address", func() bool { return one.node.members.group.Load() != nil })
 	client := &http.Client{Transport: &http.Transport{}}
@@ -139,7 +139,7 @@
 	require.Equal(t, 405, code)
 }
 
-func TestMembersOff(t *testing.T) {
+func TestMembers_off(t *testing.T) {
 	one := cluster(t, 1, nil)[0]
 	stacks := make([]byte, 1<<20)
 	until(t, "no goroutine of it, nor of tests before", func() bool {
--- a/internal/registry/node.go
+++ b/internal/registry/node.go
@@ -147,18 +147,18 @@
 		if err := recoverDir(n.cfg.Dir, n.log); err != nil {
 			return fmt.Errorf("registry: %w", err)
 		}
-		kept, err := openStore(filepath.Join(n.cfg.Dir, storeFile), n.cfg.SlowDisk, n.cfg.Faults)
+		file, err := openStore(filepath.Join(n.cfg.Dir, storeFile), n.cfg.SlowDisk, n.cfg.Faults)
 		if err != nil {
 			return fmt.Errorf("registry: log: %w", err)
 		}
-		n.store = kept
-		kept.say = func(err error) { n.log.Error("registry: the disk takes no more", "error", err) }
-		n.close = append(n.close, kept.Close)
+		n.store = file
+		file.say = func(err error) { n.log.Error("registry: the disk takes no more", "error", err) }
+		n.close = append(n.close, file.Close)
 		files, err := openSnapshots(n.cfg.Dir, c.Logger, n.log)
 		if err != nil {
 			return fmt.Errorf("registry: snapshots in %s: %w", n.cfg.Dir, err)
 		}
-		logs, stable, snaps = kept, termStore{kept}, files
+		logs, stable, snaps = file, termStore{file}, files
 	}
 	var streams *layer
 	if err := start.Do("raft", func() (failed error) {
--- a/internal/registry/node_lead.go
+++ b/internal/registry/node_lead.go
@@ -70,8 +70,8 @@
 	return false, address
 }
 
-// Heard is how old at most the list of this copy is: all that had been acknowledged by then is in it.
-func (n *Node) Heard() time.Duration {
+// Staleness is how old at most the list of this copy is: all that had been acknowledged by then is in it.
+func (n *Node) Staleness() time.Duration {
 	var rev int64
 	n.hub.read(func(s *State) { rev = s.Rev() })
 	if at := n.fresh.since(rev); !at.IsZero() {
--- a/internal/registry/node_test.go
+++ b/internal/registry/node_test.go
@@ -229,7 +229,7 @@
 	}
 }
 
-func TestOneCopy(t *testing.T) {
+func TestRegistry_singleReplica(t *testing.T) {
 	all := cluster(t, 1, func(c *Config) { c.Dir, c.Peers = "", nil })
 	one := all[0]
 	w := watch(t, one.cfg.Listen, 0)
@@ -279,7 +279,7 @@
 }
 
 // A burst is a few lines, and each revision is told once.
-func TestBurstIsGathered(t *testing.T) {
+func TestWatch_burstBatched(t *testing.T) {
 	one := cluster(t, 1, func(c *Config) { c.Dir, c.Peers, c.Batch = "", nil, 200*time.Millisecond })[0]
 	w := watch(t, one.cfg.Listen, 0)
 	last := w.next(t).Rev
@@ -300,7 +300,7 @@
 	}
 }
 
-func TestThreeCopies(t *testing.T) {
+func TestRegistry_threeReplicas(t *testing.T) {
 	all := cluster(t, 3, nil)
 	lead := leader(t, all)
 	var follower *copyOf
@@ -344,10 +344,10 @@
 		me, leader := alone.node.Leader()
 		return !me && leader == ""
 	})
-	began := time.Now()
+	startedAt := time.Now()
 	code, text := call(t, "POST", alone.cfg.Listen, listPath+"/s3", `{"endpoint":"127.0.0.1:1"}`)
-	if code != 503 || !strings.Contains(text, "no majority") || time.Since(began) > applyWait/2 {
-		t.Errorf("a write without a majority: %d %s after %v", code, text, time.Since(began))
+	if code != 503 || !strings.Contains(text, "no majority") || time.Since(startedAt) > applyWait/2 {
+		t.Errorf("a write without a majority: %d %s after %v", code, text, time.Since(startedAt))
 	}
 	if got := uids(t, alone); got != "s1=Ready s2=Ready" {
 		t.Errorf("it reads %s", got)
@@ -357,7 +357,7 @@
 	}
 }
 
-func TestCopiesAreAddedAndRemoved(t *testing.T) {
+func TestMembership_addRemove(t *testing.T) {
 	one := cluster(t, 1, nil)[0]
 	put(t, one, "s1", 1, 0)
 	two := &copyOf{cfg: Config{Name: "r9", Listen: freePort(t), Raft: freePort(t), Join: true, Beat: 50 * time.Millisecond,
@@ -430,7 +430,7 @@
 
 // A cut-off ends leases one after the other, as servers renew at different times; it takes no more than the share off
 // the list. Servers that die now and then are taken off all the same.
-func TestCutOffEndsNoMoreThanTheShare(t *testing.T) {
+func TestLeases_massExpiryHeld(t *testing.T) {
 	const term = 15 * time.Second
 	start := time.Unix(0, 0)
 	for _, dead := range []int{100, 3} { // of 100 servers: all are cut off, or three die within a minute
@@ -467,7 +467,7 @@
 	}
 }
 
-func TestCrowdIsAdmittedAtARate(t *testing.T) {
+func TestAdmission_rate(t *testing.T) {
 	one := cluster(t, 1, func(c *Config) { c.Dir, c.Peers, c.Watches, c.Burst = "", nil, 0.001, 3 })[0]
 	codes := map[int]int{}
 	for range 6 {
@@ -488,7 +488,7 @@
 }
 
 // All who come at once and come back when they are told get in, about as fast as the rate allows.
-func TestCrowdGetsIn(t *testing.T) {
+func TestAdmission_retriesSucceed(t *testing.T) {
 	for _, crowd := range []int{10, 1000, 20_000} {
 		b := &bucket{level: 200}
 		const step = 250 * time.Microsecond
@@ -504,9 +504,9 @@
 				}
 			}
 		}
-		took, least := float64(last)*step.Seconds(), float64(crowd-200)/500
-		if in < crowd || took > 1.2*least+1 || calls > 20*crowd {
-			t.Errorf("%d of %d readers are in after %.1f s and %d calls; %.1f s at best", in, crowd, took, calls, least)
+		took, minSchema := float64(last)*step.Seconds(), float64(crowd-200)/500
+		if in < crowd || took > 1.2*minSchema+1 || calls > 20*crowd {
+			t.Errorf("%d of %d readers are in after %.1f s and %d calls; %.1f s at best", in, crowd, took, calls, minSchema)
 		}
 	}
 }
@@ -532,7 +532,7 @@
 }
 
 // A watcher that is too far behind is ended, and has held nobody back meanwhile.
-func TestSlowWatcherIsEnded(t *testing.T) {
+func TestWatch_slowClientClosed(t *testing.T) {
 	one := cluster(t, 1, func(c *Config) { c.Dir, c.Peers = "", nil })[0]
 	s := one.node.Server()
 	slow := &held{header: http.Header{}, began: make(chan struct{}), let: make(chan struct{})}
@@ -616,7 +616,7 @@
 }
 
 // Every flipped bit of a log entry is found out.
-func TestSpoiltEntryIsFoundOut(t *testing.T) {
+func TestStore_corruptEntry(t *testing.T) {
 	dir := t.TempDir()
 	s, err := openStore(filepath.Join(dir, "raft.db"), time.Second, nil)
 	if err != nil {
@@ -641,7 +641,7 @@
 }
 
 // A copy whose disk takes no more ends with an error; it does not go on as if it had written.
-func TestCopyEndsWhenItsDiskFails(t *testing.T) {
+func TestNode_diskFailure(t *testing.T) {
 	all := cluster(t, 3, nil)
 	lead := leader(t, all)
 	put(t, lead, "s1", 1, 0)
--- a/internal/registry/operators.go
+++ b/internal/registry/operators.go
@@ -197,7 +197,7 @@
 	v := validator.New(validator.WithRequiredStructEnabled())
 	// The bound max of a text counts characters, and what is kept and told is bytes. It panics at a bound that is no
 	// number, which is the declaration's fault.
-	if err := v.RegisterValidation("bytes", maxBytes); err != nil {
+	if err := v.RegisterValidation("bytes", checkMaxBytes); err != nil {
 		panic(err)
 	}
 	v.RegisterTagNameFunc(func(f reflect.StructField) string {
@@ -213,12 +213,12 @@
 	return rules{v}
 }
 
-func maxBytes(f validator.FieldLevel) bool {
-	most, err := strconv.Atoi(f.Param())
+func checkMaxBytes(f validator.FieldLevel) bool {
+	limit, err := strconv.Atoi(f.Param())
 	if err != nil {
 		panic(fmt.Sprintf("registry: the bound bytes=%s of %s is no number", f.Param(), f.FieldName()))
 	}
-	return len(f.Field().String()) <= most
+	return len(f.Field().String()) <= limit
 }
 
 // check gives the first value that is out of the bounds of its declaration.
--- a/internal/registry/pipeline_test.go
+++ b/internal/registry/pipeline_test.go
@@ -37,7 +37,7 @@
 
 // raft takes no answer after one that is no success. A request that is sent by then has to come back, or the leader
 // sends that copy nothing any more.
-func TestPipelineEndsAtARefusal(t *testing.T) {
+func TestPipeline_rejectionEndsIt(t *testing.T) {
 	target := refusingCopy(t)
 	network, err := raft.NewTCPTransportWithLogger("127.0.0.1:0", nil, 1, patience, hclog.NewNullLogger())
 	require.NoError(t, err)
@@ -71,7 +71,7 @@
 }
 
 // Answers that are successes come in order, as many as were sent.
-func TestPipelinePassesAnswersOn(t *testing.T) {
+func TestPipeline_answersForwarded(t *testing.T) {
 	network, err := raft.NewTCPTransportWithLogger("127.0.0.1:0", nil, 1, patience, hclog.NewNullLogger())
 	require.NoError(t, err)
 	defer network.Close()
@@ -80,8 +80,8 @@
 	group.Go(func() {
 		for range requests {
 			rpc := <-network.Consumer()
-			asked := rpc.Command.(*raft.AppendEntriesRequest)
-			rpc.Respond(&raft.AppendEntriesResponse{Term: 1, LastLog: asked.PrevLogEntry, Success: true}, nil)
+			polled := rpc.Command.(*raft.AppendEntriesRequest)
+			rpc.Respond(&raft.AppendEntriesResponse{Term: 1, LastLog: polled.PrevLogEntry, Success: true}, nil)
 		}
 	})
 	sender, err := newTransport(network, time.Second).AppendEntriesPipeline("one", network.LocalAddr())
--- a/internal/registry/recover_test.go
+++ b/internal/registry/recover_test.go
@@ -80,7 +80,7 @@
 }
 
 // A flipped bit is found, or stands where nothing is read; a cut is found.
-func TestFlipsAndCutsOfTheStore(t *testing.T) {
+func TestStore_bitFlipsAndTruncation(t *testing.T) {
 	t.Parallel()
 	dir, _ := folder(t)
 	path := filepath.Join(dir, storeFile)
@@ -130,7 +130,7 @@
 }
 
 // bbolt goes on from the state before when the newest meta page is spoilt; this program does not.
-func TestSpoiltMetaPageIsNoTornTail(t *testing.T) {
+func TestStore_corruptMetaPage(t *testing.T) {
 	t.Parallel()
 	path := filepath.Join(t.TempDir(), storeFile)
 	s, err := openStore(path, time.Second, nil)
@@ -158,7 +158,7 @@
 
 // Power is lost at any point of a transaction. bbolt writes pages, syncs, writes the meta page, syncs; sectors of 512
 // bytes that no sync has covered are on the disk or not, in any mix.
-func TestPowerLossOfTheStore(t *testing.T) {
+func TestStore_powerLoss(t *testing.T) {
 	t.Parallel()
 	dir := t.TempDir()
 	path := filepath.Join(dir, storeFile)
@@ -227,7 +227,7 @@
 	assert.Greater(t, found, lied/4)
 }
 
-func TestSnapshotsAreChecked(t *testing.T) {
+func TestSnapshots_checked(t *testing.T) {
 	t.Parallel()
 	dir, cfg := folder(t)
 	_, found := content(t, dir)
@@ -295,7 +295,7 @@
 }
 
 // Each state of a folder from which a copy must not start ends in one clear line, within a bounded time.
-func TestFoldersThatAreRefused(t *testing.T) {
+func TestRecover_rejectedDirectories(t *testing.T) {
 	t.Parallel()
 	made, cfg := folder(t)
 	change := func(do func(*bolt.Tx) error) func(string) error {
@@ -346,10 +346,10 @@
 	cfg.Raft, cfg.Peers = freePort(t), nil
 	n, err := Open(cfg)
 	require.NoError(t, err)
-	began := time.Now()
+	startedAt := time.Now()
 	_, err = Open(cfg)
 	assert.ErrorContains(t, err, "is open in another process")
-	assert.Less(t, time.Since(began), patience)
+	assert.Less(t, time.Since(startedAt), patience)
 	_, err = Verify(made)
 	assert.ErrorContains(t, err, "is open in another process")
 	n.shut()
@@ -366,7 +366,7 @@
 }
 
 // An earlier program writes values without their checksums; the next start takes them in and gives them theirs.
-func TestEarlierProgramInBetween(t *testing.T) {
+func TestStore_earlierVersionInBetween(t *testing.T) {
 	t.Parallel()
 	dir, cfg := folder(t)
 	alter(t, dir, func(tx *bolt.Tx) error { return tx.Bucket(valueBucket).Put([]byte("CurrentTerm"), key(77)) })
@@ -380,7 +380,7 @@
 }
 
 // A follower whose folder was put back from an old image is noticed by the leader, and has everything again.
-func TestOldImageIsNoticed(t *testing.T) {
+func TestNotice_oldDiskImage(t *testing.T) {
 	t.Parallel()
 	all := cluster(t, 3, nil)
 	lead := leader(t, all)
@@ -408,7 +408,7 @@
 }
 
 // A founding that was cut off between raft's two writes is finished by the next start.
-func TestFoundingCutOff(t *testing.T) {
+func TestRecover_interruptedBootstrap(t *testing.T) {
 	t.Parallel()
 	one := &copyOf{cfg: Config{Name: "one", Listen: freePort(t), Raft: freePort(t), Dir: t.TempDir(), Beat: 50 * time.Millisecond}}
 	s, err := openStore(filepath.Join(one.cfg.Dir, storeFile), time.Second, nil)
@@ -421,7 +421,7 @@
 
 // All copies were put back from old images. A reader that has seen more makes them begin a new history; one that only
 // asked a copy that lagged, or comes from another epoch, does not.
-func TestAllPutBackIsNoticed(t *testing.T) {
+func TestNotice_allReplicasRolledBack(t *testing.T) {
 	t.Parallel()
 	all := cluster(t, 3, nil)
 	put(t, leader(t, all), "s1", 1, 0)
@@ -519,7 +519,7 @@
 
 // childEnv is the configuration's file of a copy that TestChild serves, childRoom the bytes by which a full one may
 // grow.
-const childEnv, childRoom = "MARBLELANE_CHILD", 256 << 10
+const childEnv, childFileLimit = "MARBLELANE_CHILD", 256 << 10
 
 func TestChild(t *testing.T) {
 	path, full := strings.CutPrefix(os.Getenv(childEnv), "full:")
@@ -532,7 +532,7 @@
 		info, err := os.Stat(filepath.Join(cfg.Dir, storeFile))
 		require.NoError(t, err)
 		signal.Ignore(syscall.SIGXFSZ)
-		most := uint64(info.Size()) + childRoom
+		most := uint64(info.Size()) + childFileLimit
 		require.NoError(t, syscall.Setrlimit(syscall.RLIMIT_FSIZE, &syscall.Rlimit{Cur: most, Max: most}))
 	}
 	n, err := Open(cfg)
@@ -559,7 +559,7 @@
 
 // A copy is killed at random points, of its recovery too, and has every write that it acknowledged; one whose disk is
 // full ends with a line, and has them as well once there is room.
-func TestKilledAndFull(t *testing.T) { // by itself: a child holds the listeners of others until it has begun
+func TestRecover_killedAndDiskFull(t *testing.T) { // by itself: a child holds the listeners of others until it has begun
 	dir := t.TempDir()
 	path, addr := filepath.Join(dir, "one.toml"), freePort(t)
 	write(t, path, fmt.Appendf(nil, "name = \"one\"\nlisten = %q\nraft = %q\ndir = %q\nbeat = \"20ms\"\nbatch = \"1ms\"\n",
--- a/internal/registry/replicas.go
+++ b/internal/registry/replicas.go
@@ -83,12 +83,12 @@
 // holds waits for a majority of so many voters, and for one that has to be among them, to acknowledge what this copy
 // sends as leader from now on.
 func (n *Node) holds(all []raft.Server, with string) error {
-	term, began := n.raft.CurrentTerm(), time.Now()
-	limit := began.Add(thereBeats * n.cfg.Beat)
+	term, startedAt := n.raft.CurrentTerm(), time.Now()
+	limit := startedAt.Add(thereBeats * n.cfg.Beat)
 	for {
 		there, has := 0, with == ""
 		for _, s := range all {
-			if s.ID == raft.ServerID(n.cfg.Name) || n.wire.follows(s.ID, term, began) {
+			if s.ID == raft.ServerID(n.cfg.Name) || n.wire.follows(s.ID, term, startedAt) {
 				there++
 				has = has || s.ID == raft.ServerID(with)
 			}
--- a/internal/registry/routes_defects.go
+++ b/internal/registry/routes_defects.go
@@ -36,7 +36,7 @@
 }
 
 // began returns the start of leadership, on the leader's clock, given to the controller.
-func (d defect) began(nowMS int64) int64 {
+func (d defect) controllerStart(nowMS int64) int64 {
 	if d == noWait {
 		return nowMS - 1<<40
 	}
@@ -44,7 +44,7 @@
 }
 
 // asked modifies the budgets of a request as the defect demands.
-func (d defect) asked(a *route.BudgetRequest) {
+func (d defect) requestedBudgets(a *route.BudgetRequest) {
 	for i := range a.Budgets {
 		if p := &a.Budgets[i]; d == countLate {
 			p.Returned, p.Spent = p.Returned+p.Spent, 0
@@ -53,12 +53,12 @@
 }
 
 // ledger returns the state from which budget is granted, and whether grants are replicated.
-func (d defect) ledger(s *rollout.State, unkept []rollout.LedgerEntry) (of *rollout.State, kept bool, err error) {
+func (d defect) ledger(s *rollout.State, uncommitted []rollout.LedgerEntry) (of *rollout.State, replicated bool, err error) {
 	if d != grantUncommitted {
 		return s, true, nil
 	}
 	of = s.Clone()
-	_, err = of.Apply(&rollout.Command{Op: rollout.OpLedger, Entries: unkept})
+	_, err = of.Apply(&rollout.Command{Op: rollout.OpLedger, Entries: uncommitted})
 	return of, false, err
 }
 
--- a/internal/registry/routes_lead.go
+++ b/internal/registry/routes_lead.go
@@ -59,11 +59,11 @@
 // rounded up and ends are compared rounded down, so that rounding never shortens what the leader assumes of a lease.
 func (l *leadership) floor(at time.Time) int64 {
 	since := at.Sub(l.startedAt)
-	whole := since.Truncate(time.Millisecond)
-	if whole > since {
-		whole -= time.Millisecond
+	elapsed := since.Truncate(time.Millisecond)
+	if elapsed > since {
+		elapsed -= time.Millisecond
 	}
-	return 1 + whole.Milliseconds()
+	return 1 + elapsed.Milliseconds()
 }
 
 func (l *leadership) ceil(at time.Time) int64 { return l.floor(at.Add(time.Millisecond - 1)) }
@@ -177,7 +177,7 @@
 		o: o.options(), changeLimits: map[string]*rate.Limiter{}, unsavedProcesses: map[string]SchemaSupport{}, observed: map[string]SchemaSupport{},
 		refreshedAt: at, flushedAt: at, prunedAt: at, decisionsFrom: at}
 	l.o.Leader, l.leaseTermMS = l.id, l.o.LeaseTerm
-	l.controller = rollout.NewController(l.o, r.planted.began(l.floor(at)))
+	l.controller = rollout.NewController(l.o, r.planted.controllerStart(l.floor(at)))
 	l.tracker = audit.NewTracker(audit.TrackerOptions{MinListedRevs: minListedRevs}, l.id, l.floor(at))
 	return l
 }
@@ -203,13 +203,13 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	at := l.floor(now)
-	heard, named := l.controller.Processes(at), map[string]int64{}
-	for _, p := range heard {
+	reported, named := l.controller.Processes(at), map[string]int64{}
+	for _, p := range reported {
 		named[p.Name] = max(named[p.Name], p.Start)
 	}
 	r.s.hub.read(func(s *State) {
 		excused := func(schemas []int) bool { return slices.Max(append([]int{0}, schemas...)) < s.routes.MinSchema() }
-		for _, p := range heard {
+		for _, p := range reported {
 			if p.Start == named[p.Name] && !(p.LeaseUntil <= at && excused(p.Schemas)) {
 				all = append(all, SchemaSupport{Process: p.Process, Schemas: p.Schemas, AtMS: l.wall(l.startedAt) + p.LastReport - l.floor(l.startedAt)})
 			}
@@ -279,11 +279,11 @@
 		})
 		answer.Stamp = route.Moment{Leader: l.id, MS: l.floor(now)}
 		if answer.Resync {
-			told, err := line.text(a.what.Schemas)
+			encoded, err := line.text(a.what.Schemas)
 			if err != nil {
 				r.s.log.Error("registry: the table of routes cannot be told", "error", err)
 			}
-			answer.Table = json.RawMessage(told.text)
+			answer.Table = json.RawMessage(encoded.text)
 		}
 		a.answer(&answer, nil)
 	}
@@ -374,7 +374,7 @@
 			return
 		}
 		for _, a := range all {
-			r.planted.asked(a.what)
+			r.planted.requestedBudgets(a.what)
 			entries = append(entries, l.controller.BudgetEntries(l.floor(time.Now()), s, a.what)...)
 		}
 	})
--- a/internal/registry/routes_requests.go
+++ b/internal/registry/routes_requests.go
@@ -81,8 +81,8 @@
 }
 
 // body decodes a JSON body strictly: bounded size, one value, no unknown field.
-func (r *routing) body(w http.ResponseWriter, req *http.Request, most int64, v any) *rejection {
-	text, f := readBody(w, req, most)
+func (r *routing) body(w http.ResponseWriter, req *http.Request, limit int64, v any) *rejection {
+	text, f := readBody(w, req, limit)
 	if f == nil && len(text) == 0 {
 		f = rejectf(http.StatusBadRequest, "", "the body has nothing in it")
 	}
@@ -94,8 +94,8 @@
 
 // maybe is body for a call whose body is optional: an empty one leaves v unchanged. Content-Length cannot tell, as it is
 // unknown for a chunked body.
-func (r *routing) maybe(w http.ResponseWriter, req *http.Request, most int64, v any) *rejection {
-	text, f := readBody(w, req, most)
+func (r *routing) maybe(w http.ResponseWriter, req *http.Request, limit int64, v any) *rejection {
+	text, f := readBody(w, req, limit)
 	if f != nil || len(text) == 0 {
 		return f
 	}
@@ -103,12 +103,12 @@
 }
 
 // readBody reads a bounded body and trims white space.
-func readBody(w http.ResponseWriter, req *http.Request, most int64) ([]byte, *rejection) {
-	text, err := io.ReadAll(http.MaxBytesReader(w, req.Body, most))
+func readBody(w http.ResponseWriter, req *http.Request, limit int64) ([]byte, *rejection) {
+	text, err := io.ReadAll(http.MaxBytesReader(w, req.Body, limit))
 	var large *http.MaxBytesError
 	switch {
 	case errors.As(err, &large):
-		return nil, rejectf(http.StatusBadRequest, "", "the body has more than %d bytes", most)
+		return nil, rejectf(http.StatusBadRequest, "", "the body has more than %d bytes", limit)
 	case err != nil:
 		return nil, rejectf(http.StatusBadRequest, "", "the body cannot be read: %v", err)
 	}
--- a/internal/registry/routes_table.go
+++ b/internal/registry/routes_table.go
@@ -263,44 +263,44 @@
 		writeRejection(w, &rejection{status: http.StatusServiceUnavailable, after: wait, Error: "too many readers come at once"})
 		return
 	}
-	heard, at := s.replica.Heard(), r.tables.newest()
+	staleness, at := s.replica.Staleness(), r.tables.newest()
 	if req.URL.Query().Get("watch") != "" {
-		r.watch(w, req, at, reads, after, heard)
+		r.watch(w, req, at, reads, after, staleness)
 		return
 	}
-	told, err := at.text(reads)
+	encoded, err := at.text(reads)
 	if err != nil {
 		writeRejection(w, &rejection{status: http.StatusInternalServerError, Error: err.Error()})
 		return
 	}
-	if told.text == nil {
-		writeRejection(w, &rejection{status: http.StatusConflict, Field: "schema", Findings: told.findings,
-			Error: fmt.Sprintf("schema: the table would be %s by who reads %v", told.verdict, reads)})
+	if encoded.text == nil {
+		writeRejection(w, &rejection{status: http.StatusConflict, Field: "schema", Findings: encoded.findings,
+			Error: fmt.Sprintf("schema: the table would be %s by who reads %v", encoded.verdict, reads)})
 		return
 	}
 	rev, _ := at.is()
-	s.note(w, rev, heard)
+	s.note(w, rev, staleness)
 	w.Header().Set("Content-Type", "application/json")
-	w.Header().Set("Content-Length", strconv.Itoa(len(told.text)))
-	_, _ = w.Write(told.text) // the reader may have disconnected
+	w.Header().Set("Content-Length", strconv.Itoa(len(encoded.text)))
+	_, _ = w.Write(encoded.text) // the reader may have disconnected
 }
 
 // watch sends each newer table that the schemas of the client can express, until either side ends the watch.
-func (r *routing) watch(w http.ResponseWriter, req *http.Request, at *tableNode, reads []int, after int64, heard time.Duration) {
+func (r *routing) watch(w http.ResponseWriter, req *http.Request, at *tableNode, reads []int, after int64, staleness time.Duration) {
 	s := r.s
 	r.watches.Add(1)
 	defer r.watches.Add(-1)
 	rev, _ := at.is()
-	s.note(w, rev, heard)
+	s.note(w, rev, staleness)
 	w.Header().Set("Content-Type", "application/json")
 	say := s.sayer(w)
 	tell := func(l *tableNode) error {
-		told, err := l.text(reads)
+		encoded, err := l.text(reads)
 		if err != nil {
 			s.log.Error("registry: a table of routes cannot be told", "error", err)
 			return err
 		}
-		text := told.text
+		text := encoded.text
 		if rev, _ := l.is(); text == nil || rev <= after {
 			text = []byte("\n") // not expressible, or already sent: an empty line as heartbeat
 		} else {
--- a/internal/registry/routes_tenants.go
+++ b/internal/registry/routes_tenants.go
@@ -117,7 +117,7 @@
 		writeRejection(w, f)
 		return
 	}
-	r.s.note(w, 0, r.s.replica.Heard())
+	r.s.note(w, 0, r.s.replica.Staleness())
 	tell(w, struct {
 		Rev int64 `json:"rev"`
 	}{rev})
@@ -281,10 +281,10 @@
 		writeRejection(w, rejectionOf(err))
 		return
 	}
-	var least int
-	r.s.hub.read(func(s *State) { least = s.routes.MinSchema() })
+	var minSchema int
+	r.s.hub.read(func(s *State) { minSchema = s.routes.MinSchema() })
 	tell(w, struct {
 		Rev   int64 `json:"rev"`
 		Least int   `json:"least"`
-	}{rev, least})
+	}{rev, minSchema})
 }
--- a/internal/registry/routes_test.go
+++ b/internal/registry/routes_test.go
@@ -101,14 +101,14 @@
 func (p *process) report(t *testing.T, addr string) (int, route.ReportResponse) {
 	t.Helper()
 	p.Seq++
-	asked := time.Now()
+	polled := time.Now()
 	var a route.ReportResponse
 	code, text := call(t, "POST", addr, route.ReportPath, asJSON(t, p.Report))
 	if code == 200 {
 		require.NoError(t, json.Unmarshal([]byte(text), &a))
 		p.Echo = a.Stamp
 		if a.LeaseMS > 0 {
-			p.until = asked.Add(time.Duration(a.LeaseMS) * time.Millisecond)
+			p.until = polled.Add(time.Duration(a.LeaseMS) * time.Millisecond)
 		}
 	}
 	return code, a
@@ -158,7 +158,7 @@
 	return v
 }
 
-func TestOperatorsFileErrors(t *testing.T) {
+func TestOperators_fileErrors(t *testing.T) {
 	for text, says := range map[string]string{
 		"term = \"5\"":                                    `o.toml:1: term: "5" is not a duration`,
 		"term = \"10ms\"":                                 "o.toml:1: term: 10ms is below 500ms",
@@ -191,7 +191,7 @@
 	assert.ErrorContains(t, err, "operators' file")
 }
 
-func TestRoutesAreOffWithoutAnOperatorsFile(t *testing.T) {
+func TestRoutes_offWithoutOperators(t *testing.T) {
 	one := cluster(t, 1, single)[0]
 	for _, path := range []string{"GET /routes?schema=2", "POST /routes/reports", "POST /routes/units", "GET /routes/a", "POST /routes/a/base",
 		"GET /routes/processes", "GET /routes/audit", "POST /routes/schema", "POST /routes/a/rollouts/r", "POST /routes/a/rollouts/r/stop"} {
@@ -203,7 +203,7 @@
 }
 
 // Every refusal names its field and bound, and changes nothing.
-func TestBoundsOfTenantsAndProcesses(t *testing.T) {
+func TestRoutes_bounds(t *testing.T) {
 	t.Parallel()
 	one := routed(t, 1, single)[0]
 	change := func(old, new string) string { return strings.Replace(goodBody, old, new, 1) }
@@ -305,7 +305,7 @@
 }
 
 // A post that is sent twice is made once; another of its name, another beside it, and one on an old revision are refused.
-func TestPostsSentTwiceAndConflicts(t *testing.T) {
+func TestRollouts_repeatedPostsAndConflicts(t *testing.T) {
 	t.Parallel()
 	one := routed(t, 1, single)[0]
 	putCanary(t, one)
@@ -352,7 +352,7 @@
 }
 
 // Each revision is told to who reads it alike, at any copy; the list and its revision stay as they were.
-func TestWatchOfRoutes(t *testing.T) {
+func TestRoutes_watch(t *testing.T) {
 	t.Parallel()
 	all := routed(t, 3, nil)
 	addr := routesLeader(t, all).cfg.Listen
@@ -428,7 +428,7 @@
 
 // What is granted is on a majority before it is told: a new leader grants no unit again, and undoes no rollback. With
 // the planted defect it does.
-func TestGrantsSurviveALeaderChange(t *testing.T) {
+func TestGrants_leaderChange(t *testing.T) {
 	t.Parallel()
 	for _, planted := range []defect{"", grantUncommitted} {
 		t.Run(string(planted), func(t *testing.T) {
@@ -478,7 +478,7 @@
 }
 
 // A leader without a majority permits nothing, though it still takes itself for one.
-func TestCutOffLeaderPermitsNothing(t *testing.T) {
+func TestLeader_partitionedGrantsNothing(t *testing.T) {
 	t.Parallel()
 	all := routed(t, 3, func(c *Config) { c.Beat = 200 * time.Millisecond })
 	lead := routesLeader(t, all)
@@ -498,7 +498,7 @@
 }
 
 // A new leader closes nothing while a term that the one before granted may last; with the planted defect it does.
-func TestNewLeaderWaitsForTermsOfAnother(t *testing.T) {
+func TestLeader_waitsForEarlierLeases(t *testing.T) {
 	t.Parallel()
 	for _, planted := range []defect{"", noWait} {
 		t.Run(string(planted), func(t *testing.T) {
@@ -535,7 +535,7 @@
 }
 
 // A longer term than this leader grants may be out: it decides nothing until that is over.
-func TestShorterTermWaitsForTheLonger(t *testing.T) {
+func TestLeader_shorterLeaseTerm(t *testing.T) {
 	t.Parallel()
 	one := routed(t, 1, single)[0]
 	r := one.node.server.routes
@@ -548,7 +548,7 @@
 }
 
 // Reports cost no disk.
-func TestReportsCostNoDisk(t *testing.T) {
+func TestReports_noDiskWrites(t *testing.T) {
 	t.Parallel()
 	one := routed(t, 1, nil)[0]
 	p := newProcess("p", 2)
@@ -569,7 +569,7 @@
 }
 
 // What processes that are present would read otherwise is refused with their names, until they are shut out.
-func TestOlderReadersStandInTheWay(t *testing.T) {
+func TestSchema_olderReadersBlock(t *testing.T) {
 	t.Parallel()
 	one := routed(t, 1, single)[0]
 	putCanary(t, one)
@@ -668,7 +668,7 @@
 
 // A new leader answers for windows before it led, from what it noted as a follower: that an attempt lies between a commit
 // and an end, that nobody acted before the one and after the other. What cuts into the life of a revision it does not know.
-func TestAuditAfterALeaderChange(t *testing.T) {
+func TestAudit_leaderChange(t *testing.T) {
 	t.Parallel()
 	all := routed(t, 3, nil)
 	lead := routesLeader(t, all)
@@ -690,11 +690,11 @@
 		return time.Now()
 	}
 	before := passed()
-	asked := passed()
+	polled := passed()
 	followers("what the leader has", func(r *routing, _ *State) bool {
 		r.tables.mu.Lock()
 		defer r.tables.mu.Unlock()
-		return len(r.tables.upperBounds) > 0 && r.tables.upperBounds[len(r.tables.upperBounds)-1].at.After(asked)
+		return len(r.tables.upperBounds) > 0 && r.tables.upperBounds[len(r.tables.upperBounds)-1].at.After(polled)
 	})
 	acts, rests := newProcess("acts", 2), newProcess("rests", 2)
 	var revs [2]int64
@@ -746,16 +746,16 @@
 }
 
 // What costs are counted late is handed out again.
-func TestPlantedCountLate(t *testing.T) {
+func TestDefect_countLate(t *testing.T) {
 	a := &route.BudgetRequest{Budgets: []route.BudgetState{{Granted: 5, Spent: 3, Returned: 1}}}
-	defect("").asked(a)
+	defect("").requestedBudgets(a)
 	assert.Equal(t, int64(3), a.Budgets[0].Spent)
-	countLate.asked(a)
+	countLate.requestedBudgets(a)
 	assert.Equal(t, route.BudgetState{Granted: 5, Returned: 4}, a.Budgets[0])
 }
 
 // A snapshot keeps the routes; one from before there were any is read, and written while there are none.
-func TestSnapshotKeepsRoutes(t *testing.T) {
+func TestSnapshot_routes(t *testing.T) {
 	s := begun(10)
 	base := rollout.Command{Op: rollout.OpBase, Tenant: "a", Base: route.Subset{Model: []string{"m"}}}
 	for _, c := range []*Command{{Op: OpTerm, TermMS: 5}, {Op: OpRoutes, Routes: &base},
--- a/internal/registry/server.go
+++ b/internal/registry/server.go
@@ -34,8 +34,8 @@
 	Confirm() error
 	// Leader tells whether this copy leads, and where the one that does serves; empty: nobody is known to.
 	Leader() (me bool, address string)
-	// Heard is how old at most the state is that this copy has: all that was acknowledged before is in it.
-	Heard() time.Duration
+	// Staleness is how old at most the state is that this copy has: all that was acknowledged before is in it.
+	Staleness() time.Duration
 	// Term numbers this copy's lead, and no other's; 0: it does not lead, or has not applied yet what was acknowledged
 	// before it did.
 	Term() uint64
@@ -53,17 +53,17 @@
 
 // Options are what a server may be told. Zero values stand for the defaults.
 type Options struct {
-	Batch     time.Duration // for which changes are gathered into one line; 20 ms
-	Watches   float64       // watches and whole lists that may begin a second; 500
-	Burst     int           // ... at once; 200
-	MostStale time.Duration // reads are refused on a copy that has heard nothing for longer; 0: never
+	Batch        time.Duration // for which changes are gathered into one line; 20 ms
+	Watches      float64       // watches and whole lists that may begin a second; 500
+	Burst        int           // ... at once; 200
+	MaxStaleness time.Duration // reads are refused on a copy that has heard nothing for longer; 0: never
 	// EachEncodes lets each watcher encode what it is told for itself. It is the baseline that the lab measures the
 	// shared lines against, and of no other use.
-	EachEncodes bool
-	HoldShare   float64    // of the leased entries: if more expire together, they are kept; 0.3
-	Operators   *Operators // nil: routes are off
-	Planted     string     // a defect of routes, for the lab; empty: none
-	Log         *slog.Logger
+	EachEncodes        bool
+	MaxExpiredFraction float64    // of the leased entries: if more expire together, they are kept; 0.3
+	Operators          *Operators // nil: routes are off
+	Planted            string     // a defect of routes, for the lab; empty: none
+	Log                *slog.Logger
 }
 
 func (o *Options) defaults() {
@@ -74,8 +74,8 @@
 	if o.Burst == 0 {
 		o.Burst = 200
 	}
-	if o.HoldShare == 0 {
-		o.HoldShare = 0.3
+	if o.MaxExpiredFraction == 0 {
+		o.MaxExpiredFraction = 0.3
 	}
 	if o.Log == nil {
 		o.Log = slog.New(slog.DiscardHandler)
@@ -181,13 +181,13 @@
 
 // stale tells whether this copy is too far behind to be read.
 func (s *Server) stale() (time.Duration, bool) {
-	age, most := s.replica.Heard(), s.o.Load().MostStale
-	return age, most > 0 && age > most
+	age, limit := s.replica.Staleness(), s.o.Load().MaxStaleness
+	return age, limit > 0 && age > limit
 }
 
 // note puts what a reader may want to know of this copy into the answer's head; heard is from before the answer was
 // made, so that the answer is no older than it says.
-func (s *Server) note(w http.ResponseWriter, rev int64, heard time.Duration) {
+func (s *Server) note(w http.ResponseWriter, rev int64, staleness time.Duration) {
 	me, _ := s.replica.Leader()
 	role := "follower"
 	if me {
@@ -195,7 +195,7 @@
 	}
 	h := w.Header()
 	h.Set("X-Registry-Role", role)
-	h.Set("X-Registry-Heard-Ms", strconv.FormatInt((heard+time.Millisecond).Milliseconds(), 10))
+	h.Set("X-Registry-Heard-Ms", strconv.FormatInt((staleness+time.Millisecond).Milliseconds(), 10))
 	if rev > 0 {
 		h.Set("X-Registry-Rev", strconv.FormatInt(rev, 10))
 	}
@@ -214,14 +214,14 @@
 		return
 	}
 	q := r.URL.Query()
-	heard := s.replica.Heard()
+	staleness := s.replica.Staleness()
 	if q.Get("watch") == "" {
 		l, err := s.hub.fullLine()
 		if err != nil {
 			http.Error(w, err.Error(), http.StatusInternalServerError)
 			return
 		}
-		s.note(w, l.rev, heard)
+		s.note(w, l.rev, staleness)
 		w.Header().Set("Content-Type", "application/json")
 		w.Header().Set("Content-Length", strconv.Itoa(len(l.text)))
 		_, _ = w.Write(l.text) // a reader that is gone needs nothing
@@ -235,7 +235,7 @@
 			return
 		}
 	}
-	s.watch(w, r, after, heard)
+	s.watch(w, r, after, staleness)
 }
 
 // get reads one entry as of now: only the leader answers, after a majority has said that it leads.
@@ -267,13 +267,13 @@
 func (s *Server) snapshot(w http.ResponseWriter, _ *http.Request) {
 	var out *saved
 	var err error
-	heard := s.replica.Heard()
+	staleness := s.replica.Staleness()
 	s.hub.read(func(st *State) { out, err = st.save() })
 	if err != nil {
 		http.Error(w, err.Error(), http.StatusInternalServerError)
 		return
 	}
-	s.note(w, out.Rev, heard)
+	s.note(w, out.Rev, staleness)
 	w.Header().Set("Content-Type", "application/json")
 	_ = json.NewEncoder(w).Encode(out) // a caller that is gone needs nothing
 }
--- a/internal/registry/server_admission.go
+++ b/internal/registry/server_admission.go
@@ -23,11 +23,11 @@
 
 // take takes a token and returns 0, or returns how long to wait. A rejected reader takes no token and is given a later
 // retry time than the one before it, so that rejected readers return one by one as tokens become available.
-func (b *bucket) take(now time.Time, rate, most float64) time.Duration {
+func (b *bucket) take(now time.Time, rate, burst float64) time.Duration {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if !b.last.IsZero() {
-		b.level = min(b.level+rate*now.Sub(b.last).Seconds(), most)
+		b.level = min(b.level+rate*now.Sub(b.last).Seconds(), burst)
 	}
 	b.last = now
 	if b.level >= 1 {
--- a/internal/registry/server_status.go
+++ b/internal/registry/server_status.go
@@ -13,17 +13,17 @@
 
 // Status is what a copy says of itself.
 type Status struct {
-	Leads   bool              `json:"leads"`
-	Leader  string            `json:"leader"`
-	Rev     int64             `json:"rev"`
-	Epoch   int64             `json:"epoch"`
-	Entries int               `json:"entries"`
-	Leased  int               `json:"leased"`
-	Held    int               `json:"held"` // expired together with too many others, and kept
-	Watches int64             `json:"watches"`
-	HeardMS int64             `json:"heard_ms"`
-	DiskMS  float64           `json:"disk_ms"` // that the last write to its disk took
-	Members map[string]string `json:"members"`
+	Leads       bool              `json:"leads"`
+	Leader      string            `json:"leader"`
+	Rev         int64             `json:"rev"`
+	Epoch       int64             `json:"epoch"`
+	Entries     int               `json:"entries"`
+	Leased      int               `json:"leased"`
+	Held        int               `json:"held"` // expired together with too many others, and kept
+	Watches     int64             `json:"watches"`
+	StalenessMS int64             `json:"heard_ms"`
+	DiskMS      float64           `json:"disk_ms"` // that the last write to its disk took
+	Members     map[string]string `json:"members"`
 
 	// Of its whole answer alone.
 	Name    string       `json:"name,omitempty"`
@@ -39,7 +39,7 @@
 		out.Rev, out.Epoch, out.Entries, out.Members = st.Rev(), EpochOf(st.Rev()), st.Len(), st.Members()
 		st.Leased(func(string, int64, time.Duration) { out.Leased++ })
 	})
-	out.Held, out.Watches, out.HeardMS = s.leases.heldCount(), s.watches.Load(), s.replica.Heard().Milliseconds()
+	out.Held, out.Watches, out.StalenessMS = s.leases.heldCount(), s.watches.Load(), s.replica.Staleness().Milliseconds()
 	out.DiskMS = float64(s.replica.DiskTook()) / float64(time.Millisecond)
 	return out
 }
@@ -92,7 +92,7 @@
 		gauge("registry_entries", "Entries in the list.", func(x Status) float64 { return float64(x.Entries) }),
 		gauge("registry_entries_held", "Entries kept although their leases have ended.", func(x Status) float64 { return float64(x.Held) }),
 		gauge("registry_watches", "Watches that are open.", func(x Status) float64 { return float64(x.Watches) }),
-		gauge("registry_heard_seconds", "How old at most what this copy tells is.", func(x Status) float64 { return float64(x.HeardMS) / 1000 }),
+		gauge("registry_heard_seconds", "How old at most what this copy tells is.", func(x Status) float64 { return float64(x.StalenessMS) / 1000 }),
 		gauge("registry_disk_seconds", "Time that the last write to this copy's disk took.", func(x Status) float64 { return x.DiskMS / 1000 }),
 		prometheus.NewCounterFunc(prometheus.CounterOpts{Name: "registry_disk_writes_total", Help: "Writes to this copy's disk since its start."},
 			func() float64 { return float64(s.replica.DiskWrites()) }),
--- a/internal/registry/server_watch.go
+++ b/internal/registry/server_watch.go
@@ -8,7 +8,7 @@
 )
 
 // watch tells one watcher all changes until either side ends it.
-func (s *Server) watch(w http.ResponseWriter, r *http.Request, after int64, heard time.Duration) {
+func (s *Server) watch(w http.ResponseWriter, r *http.Request, after int64, staleness time.Duration) {
 	first, at, err := s.hub.join(after)
 	if err != nil {
 		http.Error(w, err.Error(), http.StatusInternalServerError)
@@ -16,7 +16,7 @@
 	}
 	s.watches.Add(1)
 	defer s.watches.Add(-1)
-	s.note(w, at.rev, heard)
+	s.note(w, at.rev, staleness)
 	w.Header().Set("Content-Type", "application/json")
 	say := s.sayer(w)
 	if len(first) == 0 {
--- a/internal/registry/server_writes.go
+++ b/internal/registry/server_writes.go
@@ -75,7 +75,7 @@
 	if me {
 		return true
 	}
-	s.note(w, 0, s.replica.Heard())
+	s.note(w, 0, s.replica.Staleness())
 	if address == "" {
 		w.Header().Set("Retry-After", "1")
 		http.Error(w, ErrNoQuorum.Error(), http.StatusServiceUnavailable)
@@ -118,7 +118,7 @@
 	if c.Op == OpPut && c.LeaseMS > 0 {
 		s.leases.renew(c.Entry.UID, time.Duration(c.LeaseMS)*time.Millisecond, time.Now())
 	}
-	s.note(w, rev, s.replica.Heard())
+	s.note(w, rev, s.replica.Staleness())
 	w.Header().Set("Content-Type", "application/json")
 	fmt.Fprintf(w, "{\"rev\":%d}\n", rev)
 }
@@ -145,7 +145,7 @@
 				leased = append(leased, lease{uid, changed, term})
 			})
 		})
-		expired, held := s.leases.due(leased, s.o.Load().HoldShare, now)
+		expired, held := s.leases.due(leased, s.o.Load().MaxExpiredFraction, now)
 		if held > 0 {
 			s.log.Warn("registry: too many leases ended together; their entries stay listed", "entries", held, "of", len(leased))
 		}
--- a/internal/registry/state_test.go
+++ b/internal/registry/state_test.go
@@ -25,7 +25,7 @@
 
 // Whatever is written, and whenever a reader falls behind, what it is told leads it to exactly the list there is,
 // and no revision means two things.
-func TestReaderIsNeverLeftBehind(t *testing.T) {
+func TestState_readerCatchesUp(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := begun(rapid.IntRange(1, 10).Draw(t, "keep"))
 		type reader struct {
@@ -91,7 +91,7 @@
 	})
 }
 
-func TestAfterThatCannotBeToldGetsAll(t *testing.T) {
+func TestState_unknownRevisionGetsFullList(t *testing.T) {
 	s := begun(4)
 	for i := range 20 {
 		if _, err := s.Apply(&Command{Op: OpPut, Entry: entry("s", int64(i))}); err != nil {
@@ -114,7 +114,7 @@
 	}
 }
 
-func TestWritesSentTwice(t *testing.T) {
+func TestState_repeatedWrites(t *testing.T) {
 	s := begun(100)
 	zero := int64(0)
 	put := &Command{Op: OpPut, Entry: entry("s", 1), If: &zero, LeaseMS: 1000}
@@ -147,7 +147,7 @@
 
 func ptr[T any](v T) *T { return &v }
 
-func TestDrainedIsReadyOnlyAfterALaterStart(t *testing.T) {
+func TestState_drainedUntilRestart(t *testing.T) {
 	s := begun(100)
 	for _, c := range []*Command{{Op: OpPut, Entry: entry("s", 10)}, {Op: OpDrain, UID: "s"}} {
 		if _, err := s.Apply(c); err != nil {
@@ -166,7 +166,7 @@
 }
 
 // An expiry that was decided before a change does not undo it.
-func TestExpiryIsOfWhatItSaw(t *testing.T) {
+func TestState_expiryOfObservedRevision(t *testing.T) {
 	s := begun(100)
 	rev, _ := s.Apply(&Command{Op: OpPut, Entry: entry("s", 1), LeaseMS: 10})
 	if _, err := s.Apply(&Command{Op: OpPut, Entry: entry("s", 2), LeaseMS: 10}); err != nil {
@@ -193,7 +193,7 @@
 	}
 }
 
-func TestSnapshotKeepsTheList(t *testing.T) {
+func TestSnapshot_list(t *testing.T) {
 	s := begun(100)
 	for i := range 5 {
 		if _, err := s.Apply(&Command{Op: OpPut, Entry: entry(fmt.Sprint("s", i), 1), LeaseMS: 50}); err != nil {
--- a/internal/registry/store.go
+++ b/internal/registry/store.go
@@ -134,7 +134,7 @@
 
 // write changes the file; a failure is told, and every write after it fails with the same error.
 func (s *store) write(f func(*bolt.Tx) error) error {
-	began := time.Now()
+	startedAt := time.Now()
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.broken != nil {
@@ -145,7 +145,7 @@
 			return errors.Join(f(tx), mark(tx), undo)
 		})
 	})
-	took := time.Since(began)
+	took := time.Since(startedAt)
 	s.took.Store(int64(took))
 	s.writes.Add(1)
 	if took > s.slow {
@@ -204,11 +204,11 @@
 // raw is an entry as it stands in the file.
 func (s *store) raw(index uint64) (v []byte, err error) {
 	err = s.db.View(func(tx *bolt.Tx) error {
-		kept := tx.Bucket(logBucket).Get(key(index))
-		if kept == nil {
+		value := tx.Bucket(logBucket).Get(key(index))
+		if value == nil {
 			return raft.ErrLogNotFound
 		}
-		v = append(v, kept...)
+		v = append(v, value...)
 		return nil
 	})
 	return v, err
--- a/internal/registry/store_snapshots_test.go
+++ b/internal/registry/store_snapshots_test.go
@@ -62,7 +62,7 @@
 }
 
 // A snapshot that fails leaves the older ones, and nothing of its own; it is taken once the folder works again.
-func TestFailedSnapshotLeavesTheOlderOnes(t *testing.T) {
+func TestSnapshots_failureKeepsOlder(t *testing.T) {
 	for name, spoil := range map[string]func(t *testing.T, unfinished string){
 		"no space": func(t *testing.T, unfinished string) {
 			divert(t, filepath.Join(unfinished, stateFile), "/dev/full")
@@ -117,7 +117,7 @@
 }
 
 // What one snapshot leaves is removed, and not another that is being written meanwhile.
-func TestFailedSnapshotLeavesAnotherAlone(t *testing.T) {
+func TestSnapshots_failureKeepsOther(t *testing.T) {
 	s, err := openSnapshots(t.TempDir(), hclog.NewNullLogger(), quiet())
 	require.NoError(t, err)
 	_, wire := raft.NewInmemTransport("one")
@@ -137,7 +137,7 @@
 }
 
 // A copy whose snapshot fails goes on, keeps its log, and takes the snapshot once its folder works again.
-func TestCopyOutlivesAFailedSnapshot(t *testing.T) {
+func TestSnapshots_failureKeepsReplica(t *testing.T) {
 	one := cluster(t, 1, nil)[0]
 	put(t, one, "s1", 1, 0)
 	require.NoError(t, one.node.raft.Snapshot().Error())
--- a/internal/registry/supervisor_test.go
+++ b/internal/registry/supervisor_test.go
@@ -198,7 +198,7 @@
 }
 
 // A copy whose disk fails for a while is back by itself, and whatever was acknowledged is served by all copies.
-func TestCopyComesBackWhenItsDiskHeals(t *testing.T) {
+func TestSupervisor_diskRecovers(t *testing.T) {
 	for name, set := range diskFailures {
 		for _, c := range []struct {
 			copies string
@@ -236,7 +236,7 @@
 }
 
 // While the disk of a copy that is alone fails, nothing is acknowledged; and what was lost is not served afterwards.
-func TestLostWriteIsNotAcknowledged(t *testing.T) {
+func TestSupervisor_lostWriteNotAcknowledged(t *testing.T) {
 	for _, name := range []string{"sync lost", "no space", "I/O error"} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -256,7 +256,7 @@
 }
 
 // raft panics where it cannot keep its term: an election that begins while the disk fails must not end the process.
-func TestElectionOnAFailingDiskDoesNotPanic(t *testing.T) {
+func TestSupervisor_electionOnFailingDisk(t *testing.T) {
 	for name, set := range diskFailures {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -286,7 +286,7 @@
 }
 
 // After a failed write the store takes no other, though the disk would: a later sync says nothing of an earlier one.
-func TestStoreTakesNothingAfterAFailedWrite(t *testing.T) {
+func TestStore_rejectsAfterFailedWrite(t *testing.T) {
 	dir := t.TempDir()
 	faults := filepath.Join(dir, "faults.toml")
 	plan, err := fault.Open(faults)
@@ -312,7 +312,7 @@
 }
 
 // What waiting does not mend ends a copy whose folder has failed, with an error that says so.
-func TestCopyEndsWhereItsFolderCannotHeal(t *testing.T) {
+func TestSupervisor_permanentFailure(t *testing.T) {
 	for name, c := range map[string]struct {
 		harm func(t *testing.T, dir string)
 		says string
@@ -351,7 +351,7 @@
 }
 
 // A folder that is away, as a file system that is not mounted, is waited for; no cluster is founded in its place.
-func TestFolderThatIsAwayIsNotFoundedAnew(t *testing.T) {
+func TestSupervisor_missingDirectory(t *testing.T) {
 	all := supervise(t, 1, nil)
 	one := all[0]
 	require.True(t, register(all, "before"))
@@ -374,21 +374,21 @@
 }
 
 // Options that were reloaded hold after the copy was opened anew, be it before or while its disk failed.
-func TestReloadOutlastsAFailingDisk(t *testing.T) {
+func TestSupervisor_reloadKept(t *testing.T) {
 	all := supervise(t, 1, nil)
 	one := all[0]
-	one.supervisor.Reload(Options{MostStale: time.Hour, Batch: time.Millisecond})
+	one.supervisor.Reload(Options{MaxStaleness: time.Hour, Batch: time.Millisecond})
 	one.plant(t, fault.NewSet(0, 0, fault.SyncErrorLost))
 	register(all, "lost")
 	one.closed(t)
-	one.supervisor.Reload(Options{MostStale: 2 * time.Hour, Batch: time.Millisecond})
+	one.supervisor.Reload(Options{MaxStaleness: 2 * time.Hour, Batch: time.Millisecond})
 	one.plant(t, fault.Set{})
 	leading(t, all)
-	assert.Equal(t, 2*time.Hour, one.supervisor.Node().Server().o.Load().MostStale)
+	assert.Equal(t, 2*time.Hour, one.supervisor.Node().Server().o.Load().MaxStaleness)
 }
 
 // A copy is opened anew at the port that the system chose the first time.
-func TestPortOutlastsAFailingDisk(t *testing.T) {
+func TestSupervisor_portKept(t *testing.T) {
 	bound := &net.TCPAddr{IP: net.IPv4(127, 0, 0, 1), Port: 12345}
 	for given, want := range map[string]string{
 		"127.0.0.1:0": "127.0.0.1:12345", "[::1]:0": "[::1]:12345", ":0": ":12345", "127.0.0.1:80": "127.0.0.1:80", "none": "none",
@@ -406,7 +406,7 @@
 }
 
 // A disk that fails and heals again and again leaves neither goroutines nor descriptors behind.
-func TestFailingDiskLeaksNothing(t *testing.T) { // by itself: it counts what the process holds
+func TestSupervisor_failingDiskNoLeaks(t *testing.T) { // by itself: it counts what the process holds
 	dir := t.TempDir()
 	faults := filepath.Join(dir, "faults.toml")
 	plan, err := fault.Open(faults)
