--- a/internal/registry/agent.go
+++ b/internal/registry/agent.go
@@ -148,7 +148,7 @@
 		return false
 	}
 	defer resp.Body.Close()
-	_, _ = io.Copy(io.Discard, io.LimitReader(resp.Body, maxWrite)) // only the status counts
+	_, _ = io.Copy(io.Discard, io.LimitReader(resp.Body, maxWriteBodyBytes)) // only the status counts
 	return resp.StatusCode == http.StatusOK
 }
 
@@ -213,7 +213,7 @@
 		return nil, fmt.Errorf("register: %w", err)
 	}
 	defer resp.Body.Close()
-	text, err := io.ReadAll(io.LimitReader(resp.Body, maxWrite))
+	text, err := io.ReadAll(io.LimitReader(resp.Body, maxWriteBodyBytes))
 	switch {
 	case resp.StatusCode == http.StatusNotFound:
 		return nil, ErrUnknown
--- a/internal/registry/freshness.go
+++ b/internal/registry/freshness.go
@@ -20,30 +20,30 @@
 // that were milliseconds older than they said, and a copy that had come back seconds.
 type freshness struct {
 	mu     sync.Mutex
-	at     time.Time // zero: never yet
-	oldest promise   // that has not been reached
-	newest promise
+	at     time.Time      // zero: never yet
+	oldest leaderRevision // that has not been reached
+	newest leaderRevision
 }
 
 // promise is what the leader had at a time.
-type promise struct {
+type leaderRevision struct {
 	at  time.Time
 	rev int64
 }
 
 // offer takes in that the leader had a revision at a time. One promise is kept until it is reached, and the newest
 // beside it: where each new one replaced it, a copy that always lags a little would never reach any.
-func (f *freshness) offer(at time.Time, rev int64) {
+func (f *freshness) observeLeader(at time.Time, rev int64) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.newest = promise{at, rev}
+	f.newest = leaderRevision{at, rev}
 	if f.oldest.at.IsZero() {
 		f.oldest = f.newest
 	}
 }
 
 // lead takes in that this copy led at a time, as a majority has confirmed since.
-func (f *freshness) lead(at time.Time) {
+func (f *freshness) observeLeadership(at time.Time) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.at.Before(at) {
@@ -55,11 +55,11 @@
 func (f *freshness) since(rev int64) time.Time {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	for _, p := range []promise{f.oldest, f.newest} {
+	for _, p := range []leaderRevision{f.oldest, f.newest} {
 		if p.at.IsZero() || rev < p.rev {
 			break
 		}
-		if f.oldest = (promise{}); f.at.Before(p.at) {
+		if f.oldest = (leaderRevision{}); f.at.Before(p.at) {
 			f.at = p.at
 		}
 	}
@@ -98,7 +98,7 @@
 		at := time.Now()
 		if n.raft.State() == raft.Leader {
 			if n.Confirm() == nil {
-				n.fresh.lead(at)
+				n.fresh.observeLeadership(at)
 			}
 			continue
 		}
@@ -111,7 +111,7 @@
 			n.log.Debug("registry: the leader does not say what it has", "error", err)
 			continue
 		}
-		n.fresh.offer(at, rev)
+		n.fresh.observeLeader(at, rev)
 	}
 }
 
--- a/internal/registry/freshness_test.go
+++ b/internal/registry/freshness_test.go
@@ -32,16 +32,16 @@
 		{0, 0, 30, 14}, // more than was ever promised makes it no newer
 	} {
 		if c.asked > 0 {
-			f.offer(at(c.asked), c.rev)
+			f.observeLeader(at(c.asked), c.rev)
 		}
 		if got := f.since(c.has); c.want == 0 && !got.IsZero() || c.want > 0 && !got.Equal(at(c.want)) {
 			t.Fatalf("%+v: %v", c, got)
 		}
 	}
-	if f.lead(at(12)); !f.since(30).Equal(at(14)) {
+	if f.observeLeadership(at(12)); !f.since(30).Equal(at(14)) {
 		t.Error("it went back")
 	}
-	if f.lead(at(15)); !f.since(30).Equal(at(15)) {
+	if f.observeLeadership(at(15)); !f.since(30).Equal(at(15)) {
 		t.Error("a confirmed leader is not new")
 	}
 }
@@ -83,7 +83,7 @@
 	if err := fault.NewSet(0, 150*time.Millisecond, "").Write(files[old.cfg.Name]); err != nil {
 		t.Fatal(err)
 	}
-	for i := int64(0); i < slowWrites; i++ {
+	for i := int64(0); i < slowWritesToYield; i++ {
 		put(t, old, "s1", 2+i, 0)
 	}
 	var next *copyOf
--- a/internal/registry/hub.go
+++ b/internal/registry/hub.go
@@ -114,7 +114,7 @@
 
 // join returns the first line for a new watch and the list node from which it follows, taken atomically so that no
 // change is skipped.
-func (h *hub) join(after int64) (first []byte, at *line, err error) {
+func (h *hub) subscribe(after int64) (first []byte, at *line, err error) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	// Publish pending changes first: otherwise the first line would include a revision that a later line repeats.
--- a/internal/registry/leases.go
+++ b/internal/registry/leases.go
@@ -8,14 +8,14 @@
 
 // leases is the leader's view of which registrations are renewed. It is fed with times of the monotonic clock.
 type leases struct {
-	mu   sync.Mutex
-	ends map[string]time.Time
-	held int
-	past []ended // what has ended within the last term
+	mu             sync.Mutex
+	ends           map[string]time.Time
+	held           int
+	recentExpiries []expiryCount // what has ended within the last term
 }
 
 // ended is how many leases ended at a time.
-type ended struct {
+type expiryCount struct {
 	at time.Time
 	n  int
 }
@@ -30,7 +30,7 @@
 }
 
 // fewLeases is up to how many leased entries may all end: among few, a share says nothing of a cut-off.
-const fewLeases = 3
+const minLeasesForHold = 3
 
 func (l *leases) renew(uid string, term time.Duration, now time.Time) {
 	l.mu.Lock()
@@ -43,7 +43,7 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	clear(l.ends)
-	l.held, l.past = 0, nil
+	l.held, l.recentExpiries = 0, nil
 }
 
 func (l *leases) heldCount() int {
@@ -80,17 +80,17 @@
 		}
 	}
 	recent := 0
-	l.past = slices.DeleteFunc(l.past, func(e ended) bool { return now.Sub(e.at) > maxTerm })
-	for _, e := range l.past {
+	l.recentExpiries = slices.DeleteFunc(l.recentExpiries, func(e expiryCount) bool { return now.Sub(e.at) > maxTerm })
+	for _, e := range l.recentExpiries {
 		recent += e.n
 	}
-	if sum := len(all) + recent; sum > fewLeases && len(expired) > 0 && float64(len(expired)+recent) > maxExpiredFraction*float64(sum) {
+	if sum := len(all) + recent; sum > minLeasesForHold && len(expired) > 0 && float64(len(expired)+recent) > maxExpiredFraction*float64(sum) {
 		l.held = len(expired)
 		return nil, l.held
 	}
 	l.held = 0
 	if len(expired) > 0 {
-		l.past = append(l.past, ended{now, len(expired)})
+		l.recentExpiries = append(l.recentExpiries, expiryCount{now, len(expired)})
 	}
 	return expired, 0
 }
--- a/internal/registry/members.go
+++ b/internal/registry/members.go
@@ -24,7 +24,7 @@
 	// unknown is how a copy stands of whom membership has not heard, or that has none.
 	unknown membership.MemberState = "unknown"
 
-	leaveWait = 300 * time.Millisecond // for others to be told that this copy ends
+	leaveTimeout = 300 * time.Millisecond // for others to be told that this copy ends
 	// memberWatchers of /members may be there at once. They are operators, and each holds a connection.
 	memberWatchers = 8
 	// An address that cannot be bound is tried again after bindSoon, and then after twice as long each time, bindLate at
@@ -60,7 +60,7 @@
 	if cfg == nil {
 		return nil
 	}
-	m := &members{cfg: *cfg, watchers: streamlimit.Limiter{MaxOpen: memberWatchers, WriteTimeout: writeWait}}
+	m := &members{cfg: *cfg, watchers: streamlimit.Limiter{MaxOpen: memberWatchers, WriteTimeout: lineWriteTimeout}}
 	m.cfg.Log = o.Log
 	return m
 }
@@ -83,7 +83,7 @@
 	m.group.Store(g)
 	<-ctx.Done()
 	m.group.Store(nil)
-	end, cancel := context.WithTimeout(context.Background(), leaveWait)
+	end, cancel := context.WithTimeout(context.Background(), leaveTimeout)
 	defer cancel()
 	if err := g.Leave(end); err != nil {
 		m.cfg.Log.Info("members: others may not know that this copy leaves", "error", err)
@@ -157,5 +157,5 @@
 // join serves what a group says, and its figures.
 func (s *Server) join(m *members) {
 	s.members = m
-	prometheus.WrapRegistererWithPrefix("registry_", s.figures.registry).MustRegister(m)
+	prometheus.WrapRegistererWithPrefix("registry_", s.metrics.registry).MustRegister(m)
 }
--- a/internal/registry/members_test.go
+++ b/internal/registry/members_test.go
@@ -134,7 +134,7 @@
 		defer resp.Body.Close()
 		require.Equal(t, i == memberWatchers, resp.StatusCode == 503, "watch %d: %s", i, resp.Status)
 	}
-	require.Equal(t, writeWait, one.node.members.watchers.WriteTimeout) // package streamlimit holds a caller to it
+	require.Equal(t, lineWriteTimeout, one.node.members.watchers.WriteTimeout) // package streamlimit holds a caller to it
 	code, _ := call(t, "HEAD", one.cfg.Listen, membersPath+"?watch=1", "")
 	require.Equal(t, 405, code)
 }
--- a/internal/registry/node.go
+++ b/internal/registry/node.go
@@ -57,21 +57,21 @@
 
 // Node is one running copy.
 type Node struct {
-	cfg     Config
-	raft    *raft.Raft
-	wire    *transport
-	notice  *noticing
-	readers readers
-	fresh   freshness
-	hub     *hub
-	server  *Server
-	members *members // nil: off
-	http    *http.Server
-	listen  net.Listener
-	raftAt  net.Addr // where raft listens
-	store   *store   // nil: nothing is kept
-	close   []func() error
-	log     *slog.Logger
+	cfg         Config
+	raft        *raft.Raft
+	wire        *transport
+	regressions *regressionDetector
+	readers     readerRevisions
+	fresh       freshness
+	hub         *hub
+	server      *Server
+	members     *members // nil: off
+	http        *http.Server
+	listen      net.Listener
+	raftAt      net.Addr // where raft listens
+	store       *store   // nil: nothing is kept
+	close       []func() error
+	log         *slog.Logger
 	// settled is the last term in which this copy led and had applied all that was committed before it.
 	settled atomic.Uint64
 }
@@ -116,95 +116,130 @@
 	return n, nil
 }
 
-// openRaft opens the log and the snapshots, and founds the cluster if this is the first start of a founder.
+// openRaft opens the storage and the transport, bootstraps the cluster at the first start of a founder, and starts raft.
 func (n *Node) openRaft(start *retry.Start) error {
+	c := n.raftConfig()
+	st, err := n.openStorage(c.Logger)
+	if err != nil {
+		return err
+	}
+	wire, err := n.openTransport(start, c.Logger)
+	if err != nil {
+		return err
+	}
+	if err := n.bootstrap(c, st, wire); err != nil {
+		return err
+	}
+	if n.raft, err = raft.NewRaft(c, (*machine)(n), st.logs, st.stable, st.snaps, n.regressions); err != nil {
+		return fmt.Errorf("registry: raft: %w", err)
+	}
+	n.wire.wanted = n.follows
+	n.close = append(n.close, func() error {
+		ended := n.raft.Shutdown()
+		n.wire.stop() // raft waits for pending sends
+		return ended.Error()
+	})
+	if err := n.diskFailure(); err != nil {
+		return &DiskError{Err: err}
+	}
+	return nil
+}
+
+// raftConfig derives raft's timeouts from the heartbeat interval.
+func (n *Node) raftConfig() *raft.Config {
 	c := raft.DefaultConfig()
 	c.LocalID = raft.ServerID(n.cfg.Name)
 	c.HeartbeatTimeout, c.ElectionTimeout = 5*n.cfg.Beat, 5*n.cfg.Beat
-	c.LeaderLeaseTimeout = 3 * n.cfg.Beat // a leader that is cut off steps down before others elect another
+	c.LeaderLeaseTimeout = 3 * n.cfg.Beat // a partitioned leader steps down before the others elect a new one
 	c.CommitTimeout = 10 * time.Millisecond
 	c.SnapshotInterval, c.SnapshotThreshold, c.TrailingLogs = 30*time.Second, 8192, 4096
-	// raft logs through hclog; what matters of it is told as the copy's own state.
+	// raft's own log is discarded; its relevant state is in this replica's status and log.
 	c.Logger = hclog.New(&hclog.LoggerOptions{Name: "raft", Output: io.Discard, Level: hclog.Error})
+	return c
+}
+
+// storage is what raft persists: its log, its term and vote, and snapshots.
+type storage struct {
+	logs   raft.LogStore
+	stable raft.StableStore
+	snaps  raft.SnapshotStore
+}
 
-	var logs raft.LogStore
-	var stable raft.StableStore
-	var snaps raft.SnapshotStore
+// openStorage opens the data directory, after recovery, or storage in memory if none is configured.
+func (n *Node) openStorage(logger hclog.Logger) (*storage, error) {
 	if n.cfg.Dir == "" {
 		mem := raft.NewInmemStore()
-		logs, stable, snaps = mem, mem, raft.NewInmemSnapshotStore()
-	} else {
-		if n.cfg.reopened {
-			if _, err := os.Stat(filepath.Join(n.cfg.Dir, storeFile)); err != nil {
-				return fmt.Errorf("registry: %w", err)
-			}
-		}
-		release, err := takeDir(n.cfg.Dir)
-		if err != nil {
-			return fmt.Errorf("registry: %w", err)
-		}
-		n.close = append(n.close, release)
-		if err := recoverDir(n.cfg.Dir, n.log); err != nil {
-			return fmt.Errorf("registry: %w", err)
-		}
-		file, err := openStore(filepath.Join(n.cfg.Dir, storeFile), n.cfg.SlowDisk, n.cfg.Faults)
-		if err != nil {
-			return fmt.Errorf("registry: log: %w", err)
-		}
-		n.store = file
-		file.say = func(err error) { n.log.Error("registry: the disk takes no more", "error", err) }
-		n.close = append(n.close, file.Close)
-		files, err := openSnapshots(n.cfg.Dir, c.Logger, n.log)
-		if err != nil {
-			return fmt.Errorf("registry: snapshots in %s: %w", n.cfg.Dir, err)
+		return &storage{mem, mem, raft.NewInmemSnapshotStore()}, nil
+	}
+	if n.cfg.reopened {
+		if _, err := os.Stat(filepath.Join(n.cfg.Dir, storeFile)); err != nil {
+			return nil, fmt.Errorf("registry: %w", err)
 		}
-		logs, stable, snaps = file, termStore{file}, files
 	}
+	release, err := takeDir(n.cfg.Dir)
+	if err != nil {
+		return nil, fmt.Errorf("registry: %w", err)
+	}
+	n.close = append(n.close, release)
+	if err := recoverDir(n.cfg.Dir, n.log); err != nil {
+		return nil, fmt.Errorf("registry: %w", err)
+	}
+	file, err := openStore(filepath.Join(n.cfg.Dir, storeFile), n.cfg.SlowDisk, n.cfg.Faults)
+	if err != nil {
+		return nil, fmt.Errorf("registry: log: %w", err)
+	}
+	n.store = file
+	file.onFailure = func(err error) { n.log.Error("registry: the disk takes no more", "error", err) }
+	n.close = append(n.close, file.Close)
+	files, err := openSnapshots(n.cfg.Dir, logger, n.log)
+	if err != nil {
+		return nil, fmt.Errorf("registry: snapshots in %s: %w", n.cfg.Dir, err)
+	}
+	return &storage{file, termStore{file}, files}, nil
+}
+
+// openTransport listens for raft and sets up the transport; a busy address is retried until start gives up.
+func (n *Node) openTransport(start *retry.Start, logger hclog.Logger) (*transport, error) {
 	var streams *layer
 	if err := start.Do("raft", func() (failed error) {
 		streams, failed = listenRaft(n.cfg.Raft, n.cfg.advertised())
 		return failed
 	}); err != nil {
-		return fmt.Errorf("registry: raft at %s: %w", n.cfg.Raft, err)
+		return nil, fmt.Errorf("registry: raft at %s: %w", n.cfg.Raft, err)
 	}
 	wire := newTransport(raft.NewNetworkTransportWithConfig(&raft.NetworkTransportConfig{
-		Stream: streams, MaxPool: 3, Timeout: 10 * n.cfg.Beat, Logger: c.Logger}), n.cfg.Beat)
+		Stream: streams, MaxPool: 3, Timeout: 10 * n.cfg.Beat, Logger: logger}), n.cfg.Beat)
 	n.raftAt = streams.Listener.Addr()
-	n.wire, n.notice = wire, newNoticing(wire, n.log)
+	n.wire, n.regressions = wire, newRegressionDetector(wire, n.log)
 	n.close = append(n.close, func() error {
-		wire.CloseStreams() // the other copies' ends of them end with it
+		wire.CloseStreams() // closes the other replicas' ends, too
 		return wire.Close()
 	})
-	old, err := raft.HasExistingState(logs, stable, snaps)
+	return wire, nil
+}
+
+// bootstrap writes the founding configuration at the first start of a founder, or completes one that was interrupted.
+// It runs before raft does: a replica that has taken part in an election must not bootstrap any more.
+func (n *Node) bootstrap(c *raft.Config, st *storage, wire *transport) error {
+	old, err := raft.HasExistingState(st.logs, st.stable, st.snaps)
 	if err != nil {
 		return fmt.Errorf("registry: %w", err)
 	}
-	if !old && !n.cfg.Join {
-		// Before raft runs: a copy that has heard another one's election does not found any more.
-		if err := raft.BootstrapCluster(c, logs, stable, snaps, wire, n.founders(wire)); err != nil {
-			return fmt.Errorf("registry: found a cluster: %w", err)
-		}
+	if n.cfg.Join {
+		return nil
 	}
-	if old && !n.cfg.Join {
-		half, err := halfFounded(logs, stable, snaps)
-		if err == nil && half {
-			err = foundOn(logs, n.founders(wire))
-		}
-		if err != nil {
-			return fmt.Errorf("registry: found a cluster that was cut off: %w", err)
+	if !old {
+		if err := raft.BootstrapCluster(c, st.logs, st.stable, st.snaps, wire, n.founders(wire)); err != nil {
+			return fmt.Errorf("registry: found a cluster: %w", err)
 		}
+		return nil
 	}
-	if n.raft, err = raft.NewRaft(c, (*machine)(n), logs, stable, snaps, n.notice); err != nil {
-		return fmt.Errorf("registry: raft: %w", err)
+	half, err := halfFounded(st.logs, st.stable, st.snaps)
+	if err == nil && half {
+		err = foundOn(st.logs, n.founders(wire))
 	}
-	n.wire.wanted = n.follows
-	n.close = append(n.close, func() error {
-		ended := n.raft.Shutdown()
-		n.wire.stop() // raft waits for what it sends
-		return ended.Error()
-	})
-	if err := n.diskFailure(); err != nil {
-		return &DiskError{Err: err}
+	if err != nil {
+		return fmt.Errorf("registry: found a cluster that was cut off: %w", err)
 	}
 	return nil
 }
@@ -284,8 +319,8 @@
 }
 
 const (
-	slowWrites = 3           // in a row, after which a leader's disk counts as slow
-	yieldPause = time.Minute // between two tries to give the lead up: where all disks are slow it would only wander
+	slowWritesToYield = 3           // in a row, after which a leader's disk counts as slow
+	minYieldInterval  = time.Minute // between two tries to give the lead up: where all disks are slow it would only wander
 )
 
 // result is what the machine gives back for a command.
@@ -321,18 +356,18 @@
 
 // Add makes another copy a member of the cluster, a voter. It is the leader's to do.
 func (n *Node) Add(p Peer) error {
-	if err := n.raft.AddVoter(raft.ServerID(p.Name), raft.ServerAddress(p.Raft), 0, applyWait).Error(); err != nil {
+	if err := n.raft.AddVoter(raft.ServerID(p.Name), raft.ServerAddress(p.Raft), 0, applyTimeout).Error(); err != nil {
 		return fmt.Errorf("registry: add %s: %w", p.Name, err)
 	}
-	_, err := n.Apply(&Command{Op: OpMember, UID: p.Name, Address: p.Serve}, applyWait)
+	_, err := n.Apply(&Command{Op: OpMember, UID: p.Name, Address: p.Serve}, applyTimeout)
 	return err
 }
 
 // Remove takes a copy out of the cluster. It is the leader's to do.
 func (n *Node) Remove(name string) error {
-	if err := n.raft.RemoveServer(raft.ServerID(name), 0, applyWait).Error(); err != nil {
+	if err := n.raft.RemoveServer(raft.ServerID(name), 0, applyTimeout).Error(); err != nil {
 		return fmt.Errorf("registry: remove %s: %w", name, err)
 	}
-	_, err := n.Apply(&Command{Op: OpMember, UID: name}, applyWait)
+	_, err := n.Apply(&Command{Op: OpMember, UID: name}, applyTimeout)
 	return err
 }
--- a/internal/registry/node_disk.go
+++ b/internal/registry/node_disk.go
@@ -21,7 +21,7 @@
 			return
 		case <-t.C:
 		}
-		if n.store.slowly.Load() < slowWrites || n.raft.State() != raft.Leader || !last.IsZero() && time.Since(last) < yieldPause {
+		if n.store.consecutiveSlowWrites.Load() < slowWritesToYield || n.raft.State() != raft.Leader || !last.IsZero() && time.Since(last) < minYieldInterval {
 			continue
 		}
 		last = time.Now()
@@ -37,7 +37,7 @@
 	if n.store == nil {
 		return 0
 	}
-	return time.Duration(n.store.took.Load())
+	return time.Duration(n.store.lastWriteNanos.Load())
 }
 
 // DiskWrites is how often something was written to the disk since the start.
--- a/internal/registry/node_lead.go
+++ b/internal/registry/node_lead.go
@@ -26,7 +26,7 @@
 		n.log.Info("registry: leads", "name", n.cfg.Name)
 		// All that was committed before has to be applied first: whether there is a history shows only then.
 		term := n.raft.CurrentTerm()
-		if err := n.raft.Barrier(applyWait).Error(); err != nil {
+		if err := n.raft.Barrier(applyTimeout).Error(); err != nil {
 			continue // it leads no more
 		}
 		if n.raft.CurrentTerm() == term {
@@ -48,7 +48,7 @@
 			}
 		}
 		for _, c := range commands {
-			if _, err := n.Apply(c, applyWait); err != nil {
+			if _, err := n.Apply(c, applyTimeout); err != nil {
 				n.log.Warn("registry: a new leader's first writes", "error", err)
 				break
 			}
--- a/internal/registry/node_test.go
+++ b/internal/registry/node_test.go
@@ -346,7 +346,7 @@
 	})
 	startedAt := time.Now()
 	code, text := call(t, "POST", alone.cfg.Listen, listPath+"/s3", `{"endpoint":"127.0.0.1:1"}`)
-	if code != 503 || !strings.Contains(text, "no majority") || time.Since(startedAt) > applyWait/2 {
+	if code != 503 || !strings.Contains(text, "no majority") || time.Since(startedAt) > applyTimeout/2 {
 		t.Errorf("a write without a majority: %d %s after %v", code, text, time.Since(startedAt))
 	}
 	if got := uids(t, alone); got != "s1=Ready s2=Ready" {
@@ -442,7 +442,7 @@
 			l.renew(uid, term, start.Add(time.Duration(i)*term/300)) // spread over a third of the term
 		}
 		held := 0
-		for now := start; now.Before(start.Add(5 * term)); now = now.Add(expireEvery) {
+		for now := start; now.Before(start.Add(5 * term)); now = now.Add(leaseCheckInterval) {
 			var all []lease
 			for i := range 100 {
 				if uid := fmt.Sprint(i); listed[uid] {
--- a/internal/registry/operators.go
+++ b/internal/registry/operators.go
@@ -107,7 +107,7 @@
 		}
 	}
 	for i, t := range o.Tenants {
-		if slices.Contains([]string{nobody, "reports", "units", "schema", "processes", "audit"}, t.Name) {
+		if slices.Contains([]string{emptyTenantPath, "reports", "units", "schema", "processes", "audit"}, t.Name) {
 			return &wrong{fmt.Sprintf("tenant[%d].name", i), fmt.Sprintf("%q has another meaning in paths", t.Name)}
 		}
 		for k, name := range t.Subsets {
@@ -148,18 +148,18 @@
 }
 
 // nobody stands in paths for the tenant whose name is empty, and in the state of routes, which takes no empty name.
-const nobody = "-"
+const emptyTenantPath = "-"
 
 // inside is a tenant's name as the state of routes has it; outside as settings and processes have it.
 func inside(name string) string {
 	if name == "" {
-		return nobody
+		return emptyTenantPath
 	}
 	return name
 }
 
 func outside(name string) string {
-	if name == nobody {
+	if name == emptyTenantPath {
 		return ""
 	}
 	return name
--- a/internal/registry/replicas.go
+++ b/internal/registry/replicas.go
@@ -21,7 +21,7 @@
 const copiesPath = "/registry/copies"
 
 // thereBeats is how many heartbeats a copy has for an answer that shows that it is there.
-const thereBeats = 10
+const replyTimeoutBeats = 10
 
 // ErrRejected rejects a membership change that would put the quorum at risk.
 var ErrRejected = errors.New("the copies stay as they are")
@@ -84,7 +84,7 @@
 // sends as leader from now on.
 func (n *Node) holds(all []raft.Server, with string) error {
 	term, startedAt := n.raft.CurrentTerm(), time.Now()
-	limit := startedAt.Add(thereBeats * n.cfg.Beat)
+	limit := startedAt.Add(replyTimeoutBeats * n.cfg.Beat)
 	for {
 		there, has := 0, with == ""
 		for _, s := range all {
@@ -138,17 +138,17 @@
 	}
 	if _, known := find(c, p.Name); !known {
 		// Who cannot be reached would stay as a copy that never learns.
-		conn, err := net.DialTimeout("tcp", p.Raft, thereBeats*n.cfg.Beat)
+		conn, err := net.DialTimeout("tcp", p.Raft, replyTimeoutBeats*n.cfg.Beat)
 		if err != nil {
 			return fmt.Errorf("%w: nobody answers at %s, where %s is to be: %w", ErrRejected, p.Raft, p.Name, err)
 		}
 		_ = conn.Close()
-		f := n.raft.AddNonvoter(raft.ServerID(p.Name), raft.ServerAddress(p.Raft), index, applyWait)
+		f := n.raft.AddNonvoter(raft.ServerID(p.Name), raft.ServerAddress(p.Raft), index, applyTimeout)
 		if err := f.Error(); err != nil {
 			return fmt.Errorf("registry: learn %s: %w", p.Name, err)
 		}
 	}
-	_, err = n.Apply(&Command{Op: OpMember, UID: p.Name, Address: p.Serve}, applyWait)
+	_, err = n.Apply(&Command{Op: OpMember, UID: p.Name, Address: p.Serve}, applyTimeout)
 	return err
 }
 
@@ -168,7 +168,7 @@
 	if err := n.holds(append(voters(c, ""), s), name); err != nil {
 		return err
 	}
-	if err := n.raft.AddVoter(s.ID, s.Address, index, applyWait).Error(); err != nil {
+	if err := n.raft.AddVoter(s.ID, s.Address, index, applyTimeout).Error(); err != nil {
 		return fmt.Errorf("registry: promote %s: %w", name, err)
 	}
 	return nil
@@ -191,11 +191,11 @@
 			}
 			return ErrNotLeader
 		}
-		if err := n.raft.RemoveServer(raft.ServerID(name), index, applyWait).Error(); err != nil {
+		if err := n.raft.RemoveServer(raft.ServerID(name), index, applyTimeout).Error(); err != nil {
 			return fmt.Errorf("registry: retire %s: %w", name, err)
 		}
 	}
-	_, err = n.Apply(&Command{Op: OpMember, UID: name}, applyWait)
+	_, err = n.Apply(&Command{Op: OpMember, UID: name}, applyTimeout)
 	return err
 }
 
@@ -216,7 +216,7 @@
 	peer := func(do func(Peer) error) http.HandlerFunc {
 		return func(w http.ResponseWriter, r *http.Request) {
 			var p Peer
-			if err := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxWrite)).Decode(&p); err != nil {
+			if err := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxWriteBodyBytes)).Decode(&p); err != nil {
 				http.Error(w, "the body is no copy: "+err.Error(), http.StatusBadRequest)
 				return
 			}
--- a/internal/registry/restore_notice.go
+++ b/internal/registry/restore_notice.go
@@ -14,7 +14,7 @@
 // What it cannot notice: a copy that went back while another led, or while none did; what an entry was acknowledged
 // with in a stream that has been one since the lead began and was never broken. And a copy that was removed and added
 // under its old name, with an empty folder, is told of too.
-type noticing struct {
+type regressionDetector struct {
 	*transport
 	log *slog.Logger
 
@@ -30,12 +30,12 @@
 	back  bool   // it went back, and that was said
 }
 
-func newNoticing(t *transport, log *slog.Logger) *noticing {
-	return &noticing{transport: t, log: log, has: map[raft.ServerID]*acknowledged{}}
+func newRegressionDetector(t *transport, log *slog.Logger) *regressionDetector {
+	return &regressionDetector{transport: t, log: log, has: map[raft.ServerID]*acknowledged{}}
 }
 
 // AppendEntries sends entries and looks at the answer.
-func (t *noticing) AppendEntries(id raft.ServerID, target raft.ServerAddress, a *raft.AppendEntriesRequest,
+func (t *regressionDetector) AppendEntries(id raft.ServerID, target raft.ServerAddress, a *raft.AppendEntriesRequest,
 	r *raft.AppendEntriesResponse) error {
 	err := t.transport.AppendEntries(id, target, a, r)
 	if err == nil && !heartbeat(a) && r.Term == a.Term {
@@ -44,7 +44,7 @@
 	return err
 }
 
-func (t *noticing) notice(id raft.ServerID, a *raft.AppendEntriesRequest, r *raft.AppendEntriesResponse) {
+func (t *regressionDetector) notice(id raft.ServerID, a *raft.AppendEntriesRequest, r *raft.AppendEntriesResponse) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if a.Term < t.term {
@@ -73,7 +73,7 @@
 }
 
 // wentBack tells whether a copy was seen to go back in this lead.
-func (t *noticing) wentBack(id raft.ServerID) bool {
+func (t *regressionDetector) wentBack(id raft.ServerID) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.has[id] != nil && t.has[id].back
--- a/internal/registry/restore_seen.go
+++ b/internal/registry/restore_seen.go
@@ -25,7 +25,7 @@
 // Only readers of the same epoch count. One of a later epoch may belong to another cluster, and two clusters that raise
 // their epochs past each other would never end. What nobody asks for stays unnoticed: readers that come after the
 // revisions have passed theirs.
-type readers struct {
+type readerRevisions struct {
 	mu   sync.Mutex
 	seen map[int64]int64 // newest revision by epoch
 }
@@ -34,9 +34,9 @@
 const maxReaderEpochs = 4
 
 // beginPause is the least time between two histories that readers are the reason for.
-const beginPause = time.Minute
+const minEpochInterval = time.Minute
 
-func (r *readers) take(rev int64) {
+func (r *readerRevisions) take(rev int64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.seen == nil {
@@ -50,7 +50,7 @@
 }
 
 // ahead is the newest revision of a revision's own epoch that is beyond it; 0: there is none. What is not is forgotten.
-func (r *readers) ahead(of int64) int64 {
+func (r *readerRevisions) ahead(of int64) int64 {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for e, rev := range r.seen {
@@ -64,7 +64,7 @@
 const seenKey = "seen"
 
 // watched hands requests on, and takes in what readers have seen.
-func (r *readers) watched(next http.Handler) http.Handler {
+func (r *readerRevisions) watched(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, req *http.Request) {
 		name := ""
 		switch strings.TrimSuffix(req.URL.Path, "/") {
@@ -101,7 +101,7 @@
 			if err := n.tellLeader(ctx, client, seen); err != nil {
 				n.log.Debug("registry: the leader does not hear what a reader has seen", "error", err)
 			}
-		case n.Term() != 0 && (last.IsZero() || time.Since(last) > beginPause):
+		case n.Term() != 0 && (last.IsZero() || time.Since(last) > minEpochInterval):
 			if n.beginAgain() {
 				last = time.Now()
 			}
@@ -134,7 +134,7 @@
 
 // beginAgain begins a new history if a reader is ahead of all that was ever committed, as far as this leader can know.
 func (n *Node) beginAgain() bool {
-	if n.raft.Barrier(applyWait).Error() != nil || n.Confirm() != nil {
+	if n.raft.Barrier(applyTimeout).Error() != nil || n.Confirm() != nil {
 		return false
 	}
 	rev := n.rev()
@@ -145,7 +145,7 @@
 	next := NextEpoch(n.cfg.Faults.Now(), EpochOf(rev))
 	n.log.Error("registry: a reader was told more than the copies have: their folders lost what was committed, or old images "+
 		"were put back; a new history begins, and readers take the list whole", "seen", seen, "has", rev, "epoch", next)
-	if _, err := n.Apply(&Command{Op: OpBegin, Epoch: next}, applyWait); err != nil {
+	if _, err := n.Apply(&Command{Op: OpBegin, Epoch: next}, applyTimeout); err != nil {
 		n.log.Warn("registry: the new history", "error", err)
 		return false
 	}
--- a/internal/registry/routes.go
+++ b/internal/registry/routes.go
@@ -52,7 +52,7 @@
 	m.HandleFunc("GET "+route.TablePath, r.table)
 	m.HandleFunc("POST "+route.ReportPath, r.report)
 	m.HandleFunc("POST "+route.BudgetsPath, r.handleBudgets)
-	m.HandleFunc("GET "+routesRevPath, r.newest)
+	m.HandleFunc("GET "+routesRevPath, r.handleNewestRev)
 	m.HandleFunc("GET /routes/processes", r.processes)
 	m.HandleFunc("GET /routes/audit", r.handleAudit)
 	m.HandleFunc("POST /routes/schema", r.schema)
@@ -85,13 +85,13 @@
 			writeRejection(w, rejectionOf(out.err))
 			return
 		}
-		tell(w, out.a)
+		writeJSON(w, out.a)
 	}
 }
 
 // report answers a process's report, POST /routes/reports.
 func (r *routing) report(w http.ResponseWriter, req *http.Request) {
-	if r.off(w) || !r.s.leading(w, req) {
+	if r.rejectIfOff(w) || !r.s.leading(w, req) {
 		return
 	}
 	var p route.Report
@@ -111,7 +111,7 @@
 
 // handleBudgets answers a process's budget request, POST /routes/units.
 func (r *routing) handleBudgets(w http.ResponseWriter, req *http.Request) {
-	if r.off(w) || !r.s.leading(w, req) {
+	if r.rejectIfOff(w) || !r.s.leading(w, req) {
 		return
 	}
 	var a route.BudgetRequest
@@ -137,7 +137,7 @@
 
 // leader returns this replica's leadership and the operators' file; nil if it has already answered the call.
 func (r *routing) leader(w http.ResponseWriter, req *http.Request) (*leadership, *Operators) {
-	if r.off(w) || !r.s.leading(w, req) {
+	if r.rejectIfOff(w) || !r.s.leading(w, req) {
 		return nil, nil
 	}
 	l := r.current()
--- a/internal/registry/routes_lead.go
+++ b/internal/registry/routes_lead.go
@@ -75,8 +75,8 @@
 
 // leaderCall is a request queued for the leader; answer is called exactly once.
 type leaderCall[Q, A any] struct {
-	what   *Q
-	answer func(*A, error)
+	request *Q
+	answer  func(*A, error)
 }
 
 type (
@@ -124,8 +124,8 @@
 			return
 		case <-t.C:
 		}
-		r.mark()
-		l, err := r.leads()
+		r.markAuditLog()
+		l, err := r.ensureLeadership()
 		if err != nil {
 			r.s.log.Warn("registry: routes: a new leader's first write", "error", err)
 		}
@@ -147,7 +147,7 @@
 
 // leads returns the leadership of the current term and creates it when the term is new; nil if this replica does not
 // lead.
-func (r *routing) leads() (*leadership, error) {
+func (r *routing) ensureLeadership() (*leadership, error) {
 	term, o := r.s.replica.Term(), r.s.o.Load().Operators
 	if term == 0 || o == nil {
 		r.lead.Store(nil)
@@ -156,7 +156,7 @@
 	if l := r.lead.Load(); l != nil && l.term == term {
 		return l, nil
 	}
-	l := r.begin(term, o)
+	l := r.newLeadership(term, o)
 	var out int64
 	r.s.hub.read(func(s *State) { out = s.termMS })
 	switch {
@@ -171,7 +171,7 @@
 	return l, nil
 }
 
-func (r *routing) begin(term uint64, o *Operators) *leadership {
+func (r *routing) newLeadership(term uint64, o *Operators) *leadership {
 	at := time.Now()
 	l := &leadership{term: term, id: fmt.Sprintf("%s@%d.%d", r.name, term, r.leaderships.Add(1)), startedAt: at, startedWallMS: epochZeroMS + r.wall().Sub(epochZero).Milliseconds(),
 		o: o.options(), changeLimits: map[string]*rate.Limiter{}, unsavedProcesses: map[string]SchemaSupport{}, observed: map[string]SchemaSupport{},
@@ -194,7 +194,7 @@
 // present returns the processes that have to read a table alike: those that reported to this leader or an earlier one
 // within ForgetAfter. Processes shut out for reading less than the minimum schema count until their last lease ends.
 // wait is positive while this leader may not know all of them yet.
-func (r *routing) present(l *leadership) (all []SchemaSupport, wait time.Duration) {
+func (r *routing) relevantProcesses(l *leadership) (all []SchemaSupport, wait time.Duration) {
 	now := time.Now()
 	known := withClockMargin(l.leaseTermMS, l.o.ClockMargin)
 	if since := now.Sub(l.decisionsFrom); since < known {
@@ -225,7 +225,7 @@
 }
 
 // changed records access changes of processes and returns their audit transitions. The caller holds l.mu.
-func (l *leadership) changed(all []rollout.AccessChange, now time.Time) []audit.Transition {
+func (l *leadership) recordAccessChanges(all []rollout.AccessChange, now time.Time) []audit.Transition {
 	var out []audit.Transition
 	for _, s := range all {
 		kind := audit.Readmitted
@@ -242,7 +242,7 @@
 
 // apply replicates a command and waits until it is applied.
 func (r *routing) apply(c *Command) error {
-	_, err := r.s.replica.Apply(c, applyWait)
+	_, err := r.s.replica.Apply(c, applyTimeout)
 	return err
 }
 
@@ -273,13 +273,13 @@
 		var answer route.ReportResponse
 		now := time.Now()
 		r.s.hub.read(func(s *State) {
-			answer = l.controller.Report(l.ceil(now), s.routes, a.what)
-			l.observe(s, a.what, l.wall(now))
-			l.tell(s, l.tracker.Report(l.ceil(now), l.wall(now), a.what))
+			answer = l.controller.Report(l.ceil(now), s.routes, a.request)
+			l.observe(s, a.request, l.wall(now))
+			l.queueTransitions(s, l.tracker.Report(l.ceil(now), l.wall(now), a.request))
 		})
 		answer.Stamp = route.Moment{Leader: l.id, MS: l.floor(now)}
 		if answer.Resync {
-			encoded, err := line.text(a.what.Schemas)
+			encoded, err := line.text(a.request.Schemas)
 			if err != nil {
 				r.s.log.Error("registry: the table of routes cannot be told", "error", err)
 			}
@@ -303,7 +303,7 @@
 }
 
 // tell queues transitions that the audit log does not have yet for replication.
-func (l *leadership) tell(s *State, all []audit.Transition) {
+func (l *leadership) queueTransitions(s *State, all []audit.Transition) {
 	l.pending = append(l.pending, s.audit.Fresh(all)...)
 	if extra := len(l.pending) - maxPendingTransitions; extra > 0 {
 		l.pending = slices.Delete(l.pending, 0, extra)
@@ -374,8 +374,8 @@
 			return
 		}
 		for _, a := range all {
-			r.planted.requestedBudgets(a.what)
-			entries = append(entries, l.controller.BudgetEntries(l.floor(time.Now()), s, a.what)...)
+			r.planted.requestedBudgets(a.request)
+			entries = append(entries, l.controller.BudgetEntries(l.floor(time.Now()), s, a.request)...)
 		}
 	})
 	l.mu.Unlock()
@@ -401,7 +401,7 @@
 			return
 		}
 		for i, a := range all {
-			answers[i] = l.controller.BudgetResponse(s, a.what)
+			answers[i] = l.controller.BudgetResponse(s, a.request)
 			for k, g := range answers[i].Budgets {
 				answers[i].Budgets[k].Tenant = outside(g.Tenant)
 			}
@@ -424,7 +424,7 @@
 		l.lowersLeaseTerm = false
 	}
 	for _, c := range r.tick(l) {
-		if !r.carryOut(l, &c) {
+		if !r.execute(l, &c) {
 			return
 		}
 	}
@@ -440,13 +440,13 @@
 	r.s.hub.read(func(s *State) {
 		var standings []rollout.AccessChange
 		commands, standings = l.controller.Tick(l.floor(now), s.routes, s.ready)
-		l.tell(s, l.changed(standings, now))
+		l.queueTransitions(s, l.recordAccessChanges(standings, now))
 	})
 	return commands
 }
 
 // carryOut replicates a decision of the controller and reports whether this replica still leads.
-func (r *routing) carryOut(l *leadership, c *rollout.Command) bool {
+func (r *routing) execute(l *leadership, c *rollout.Command) bool {
 	c.AtMS = l.wall(time.Now())
 	_, err := r.change(l, c)
 	switch {
@@ -463,5 +463,5 @@
 // change replicates a command of routes. It is on the list of what is proposed from before then.
 func (r *routing) change(l *leadership, c *rollout.Command) (int64, error) {
 	defer r.tables.propose(time.Now(), l.term)()
-	return r.s.replica.Apply(&Command{Op: OpRoutes, Routes: c, Term: l.term}, applyWait)
+	return r.s.replica.Apply(&Command{Op: OpRoutes, Routes: c, Term: l.term}, applyTimeout)
 }
--- a/internal/registry/routes_past.go
+++ b/internal/registry/routes_past.go
@@ -29,14 +29,14 @@
 }
 
 // mark notes what this copy holds of the audit's log. The time is read after the state is.
-func (r *routing) mark() {
+func (r *routing) markAuditLog() {
 	r.s.hub.read(func(s *State) { s.audit.Mark(r.clock(time.Now())) })
 }
 
 // newest answers polls of followers with the newest routes revision, if this replica leads and no change is in flight: a
 // change in flight may be applied on a follower before it is applied here.
-func (r *routing) newest(w http.ResponseWriter, req *http.Request) {
-	if r.off(w) {
+func (r *routing) handleNewestRev(w http.ResponseWriter, req *http.Request) {
+	if r.rejectIfOff(w) {
 		return
 	}
 	l := r.current()
@@ -53,7 +53,7 @@
 		writeRejection(w, rejectionOf(ErrNotLeader))
 		return
 	}
-	tell(w, struct {
+	writeJSON(w, struct {
 		Rev int64 `json:"rev"`
 	}{rev})
 }
@@ -113,7 +113,7 @@
 func (t *tables) settled() (rev int64, still bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	rev, _ = t.tail.is()
+	rev, _ = t.tail.revisions()
 	return rev, len(t.proposed) == 0
 }
 
--- a/internal/registry/routes_requests.go
+++ b/internal/registry/routes_requests.go
@@ -67,7 +67,7 @@
 }
 
 // off answers 404 and returns true where the routes API is off.
-func (r *routing) off(w http.ResponseWriter) bool {
+func (r *routing) rejectIfOff(w http.ResponseWriter) bool {
 	if r.s.o.Load().Operators != nil {
 		return false
 	}
@@ -75,7 +75,7 @@
 	return true
 }
 
-func tell(w http.ResponseWriter, v any) {
+func writeJSON(w http.ResponseWriter, v any) {
 	w.Header().Set("Content-Type", "application/json")
 	_ = json.NewEncoder(w).Encode(v) // the caller may have disconnected
 }
@@ -94,7 +94,7 @@
 
 // maybe is body for a call whose body is optional: an empty one leaves v unchanged. Content-Length cannot tell, as it is
 // unknown for a chunked body.
-func (r *routing) maybe(w http.ResponseWriter, req *http.Request, limit int64, v any) *rejection {
+func (r *routing) optionalBody(w http.ResponseWriter, req *http.Request, limit int64, v any) *rejection {
 	text, f := readBody(w, req, limit)
 	if f != nil || len(text) == 0 {
 		return f
--- a/internal/registry/routes_table.go
+++ b/internal/registry/routes_table.go
@@ -74,7 +74,7 @@
 
 // follow publishes the table of a state if it has changed. term is that of the log entry that changed it; 0: none.
 func (t *tables) follow(s *rollout.State, term uint64, now time.Time) {
-	if rev, closed := t.newest().is(); rev != s.Rev() || closed != s.Closed() {
+	if rev, closed := t.newest().revisions(); rev != s.Rev() || closed != s.Closed() {
 		t.set(s.Table(), term, now)
 	}
 }
@@ -87,9 +87,9 @@
 		table.Routes[i].Tenant = outside(table.Routes[i].Tenant)
 	}
 	tail := t.tail
-	rev, closed := tail.is()
+	rev, closed := tail.revisions()
 	if table.Closed > closed {
-		t.note(moment{table.Closed, true, now})
+		t.addMoment(moment{table.Closed, true, now})
 	}
 	if table.Rev == rev {
 		tail.mu.Lock()
@@ -108,14 +108,14 @@
 		}
 	}
 	if known {
-		t.note(moment{table.Rev, false, earliest})
+		t.addMoment(moment{table.Rev, false, earliest})
 	}
 	next := t.line(tail.n+1, table)
 	t.tail, tail.next = next, next
 	close(tail.ready)
 }
 
-func (t *tables) note(m moment) {
+func (t *tables) addMoment(m moment) {
 	if len(t.moments) == maxMoments {
 		t.moments = slices.Delete(t.moments, 0, maxMoments/2)
 	}
@@ -159,7 +159,7 @@
 	return t.tail
 }
 
-func (l *tableNode) is() (rev, closed int64) {
+func (l *tableNode) revisions() (rev, closed int64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.table.Rev, l.table.Closed
@@ -236,7 +236,7 @@
 
 // table answers GET /routes.
 func (r *routing) table(w http.ResponseWriter, req *http.Request) {
-	if r.off(w) {
+	if r.rejectIfOff(w) {
 		return
 	}
 	s := r.s
@@ -259,7 +259,7 @@
 	}
 	o := s.o.Load()
 	if wait := r.admit.take(time.Now(), o.Watches, float64(o.Burst)); wait > 0 {
-		s.figures.turned.Inc()
+		s.metrics.turned.Inc()
 		writeRejection(w, &rejection{status: http.StatusServiceUnavailable, after: wait, Error: "too many readers come at once"})
 		return
 	}
@@ -278,8 +278,8 @@
 			Error: fmt.Sprintf("schema: the table would be %s by who reads %v", encoded.verdict, reads)})
 		return
 	}
-	rev, _ := at.is()
-	s.note(w, rev, staleness)
+	rev, _ := at.revisions()
+	s.writeReplicaHeaders(w, rev, staleness)
 	w.Header().Set("Content-Type", "application/json")
 	w.Header().Set("Content-Length", strconv.Itoa(len(encoded.text)))
 	_, _ = w.Write(encoded.text) // the reader may have disconnected
@@ -290,10 +290,10 @@
 	s := r.s
 	r.watches.Add(1)
 	defer r.watches.Add(-1)
-	rev, _ := at.is()
-	s.note(w, rev, staleness)
+	rev, _ := at.revisions()
+	s.writeReplicaHeaders(w, rev, staleness)
 	w.Header().Set("Content-Type", "application/json")
-	say := s.sayer(w)
+	say := s.lineWriter(w)
 	tell := func(l *tableNode) error {
 		encoded, err := l.text(reads)
 		if err != nil {
@@ -301,7 +301,7 @@
 			return err
 		}
 		text := encoded.text
-		if rev, _ := l.is(); text == nil || rev <= after {
+		if rev, _ := l.revisions(); text == nil || rev <= after {
 			text = []byte("\n") // not expressible, or already sent: an empty line as heartbeat
 		} else {
 			after = rev
@@ -311,7 +311,7 @@
 		}
 		return nil
 	}
-	tick := time.NewTicker(beat)
+	tick := time.NewTicker(watchHeartbeat)
 	defer tick.Stop()
 	for err := tell(at); err == nil; {
 		select {
@@ -331,7 +331,7 @@
 			err = tell(at)
 		}
 		if errors.Is(err, errSlowWatcher) {
-			s.figures.slow.Inc()
+			s.metrics.slow.Inc()
 		}
 	}
 }
--- a/internal/registry/routes_tenants.go
+++ b/internal/registry/routes_tenants.go
@@ -96,7 +96,7 @@
 		wish := struct {
 			Why string `json:"why" validate:"bytes=200"`
 		}{"by command"}
-		if f := r.maybe(w, req, maxBodyBytes, &wish); f != nil {
+		if f := r.optionalBody(w, req, maxBodyBytes, &wish); f != nil {
 			return nil, f
 		}
 		if op != rollout.OpStop && req.URL.Query().Has("if") {
@@ -117,8 +117,8 @@
 		writeRejection(w, f)
 		return
 	}
-	r.s.note(w, 0, r.s.replica.Staleness())
-	tell(w, struct {
+	r.s.writeReplicaHeaders(w, 0, r.s.replica.Staleness())
+	writeJSON(w, struct {
 		Rev int64 `json:"rev"`
 	}{rev})
 }
@@ -143,7 +143,7 @@
 	select {
 	case r.changing <- struct{}{}:
 		defer func() { <-r.changing }()
-	case <-time.After(applyWait):
+	case <-time.After(applyTimeout):
 		return 0, &rejection{status: http.StatusServiceUnavailable, after: time.Second, Error: "other changes are under way"}
 	case <-req.Context().Done():
 		return 0, &rejection{status: http.StatusServiceUnavailable, Error: "the caller is gone"}
@@ -202,7 +202,7 @@
 	if alike { // whoever there is
 		return nil
 	}
-	all, wait := r.present(l)
+	all, wait := r.relevantProcesses(l)
 	if wait > 0 {
 		return &rejection{status: http.StatusServiceUnavailable, after: wait,
 			Error: "this copy has only just begun to lead and does not know yet which schemas the processes read"}
@@ -283,7 +283,7 @@
 	}
 	var minSchema int
 	r.s.hub.read(func(s *State) { minSchema = s.routes.MinSchema() })
-	tell(w, struct {
+	writeJSON(w, struct {
 		Rev   int64 `json:"rev"`
 		Least int   `json:"least"`
 	}{rev, minSchema})
--- a/internal/registry/routes_test.go
+++ b/internal/registry/routes_test.go
@@ -539,7 +539,7 @@
 	t.Parallel()
 	one := routed(t, 1, single)[0]
 	r := one.node.server.routes
-	_, err := one.node.Apply(&Command{Op: OpTerm, TermMS: 3_600_000}, applyWait)
+	_, err := one.node.Apply(&Command{Op: OpTerm, TermMS: 3_600_000}, applyTimeout)
 	require.NoError(t, err)
 	r.lead.Store(nil)
 	var l *leadership
--- a/internal/registry/routes_views.go
+++ b/internal/registry/routes_views.go
@@ -58,7 +58,7 @@
 		writeRejection(w, rejectionOf(err))
 		return
 	}
-	tell(w, r.view(l, t.Name))
+	writeJSON(w, r.view(l, t.Name))
 }
 
 func (r *routing) view(l *leadership, tenant string) TenantView {
@@ -92,7 +92,7 @@
 	if l == nil {
 		return
 	}
-	tell(w, struct {
+	writeJSON(w, struct {
 		Leader    string                  `json:"leader"`
 		Processes []rollout.ProcessStatus `json:"processes"`
 	}{l.id, r.processStatuses(l)})
@@ -134,7 +134,7 @@
 		writeRejection(w, f)
 		return
 	}
-	tell(w, out)
+	writeJSON(w, out)
 }
 
 func (r *routing) auditSummary(l *leadership, rev, from, to int64) (out audit.Summary, f *rejection) {
--- a/internal/registry/server.go
+++ b/internal/registry/server.go
@@ -19,11 +19,11 @@
 	listPath = "/registry/instances"
 
 	// beat is how often an empty line comes on a watch without changes, as the platform's protocol has it.
-	beat = 2 * time.Second
+	watchHeartbeat = 2 * time.Second
 	// writeWait is how long a watcher may take for one line.
-	writeWait = 5 * time.Second
-	maxWrite  = 64 << 10 // bytes of a write's body
-	applyWait = 5 * time.Second
+	lineWriteTimeout  = 5 * time.Second
+	maxWriteBodyBytes = 64 << 10 // bytes of a write's body
+	applyTimeout      = 5 * time.Second
 )
 
 // Replica is the replicated log under a server: raft, or nothing but this process.
@@ -96,8 +96,8 @@
 	log     *slog.Logger
 	leases  *leases
 	admit   bucket
-	stirred chan struct{}
-	figures *figures
+	changed chan struct{}
+	metrics *metrics
 	watches atomic.Int64
 	routes  *routing
 	members *members // nil: off
@@ -106,11 +106,11 @@
 // newServer makes a server over a hub whose state the replica changes. Run has to run for news to pass.
 func newServer(h *hub, r Replica, o Options) *Server {
 	o.defaults()
-	s := &Server{hub: h, replica: r, log: o.Log, stirred: make(chan struct{}, 1), leases: newLeases()}
+	s := &Server{hub: h, replica: r, log: o.Log, changed: make(chan struct{}, 1), leases: newLeases()}
 	s.o.Store(&o)
 	s.admit.level = float64(o.Burst)
 	s.routes = newRouting(s, o)
-	s.figures = newFigures(s)
+	s.metrics = newMetrics(s)
 	return s
 }
 
@@ -121,9 +121,9 @@
 }
 
 // stir says that the state has changed. It never blocks.
-func (s *Server) stir() {
+func (s *Server) signalChange() {
 	select {
-	case s.stirred <- struct{}{}:
+	case s.changed <- struct{}{}:
 	default:
 	}
 }
@@ -138,7 +138,7 @@
 		select {
 		case <-ctx.Done():
 			return
-		case <-s.stirred:
+		case <-s.changed:
 		}
 		// The first change after a pause is told at once but for the batch; a burst becomes a few lines.
 		t := time.NewTimer(s.o.Load().Batch)
@@ -175,7 +175,7 @@
 	}
 	s.routes.handle(m)
 	m.HandleFunc("GET /healthcheck", s.health)
-	m.Handle("GET /stats", promhttp.HandlerFor(s.figures.registry, promhttp.HandlerOpts{}))
+	m.Handle("GET /stats", promhttp.HandlerFor(s.metrics.registry, promhttp.HandlerOpts{}))
 	return m
 }
 
@@ -187,7 +187,7 @@
 
 // note puts what a reader may want to know of this copy into the answer's head; heard is from before the answer was
 // made, so that the answer is no older than it says.
-func (s *Server) note(w http.ResponseWriter, rev int64, staleness time.Duration) {
+func (s *Server) writeReplicaHeaders(w http.ResponseWriter, rev int64, staleness time.Duration) {
 	me, _ := s.replica.Leader()
 	role := "follower"
 	if me {
@@ -208,7 +208,7 @@
 		return
 	}
 	if wait := s.retryAfter(); wait > 0 {
-		s.figures.turned.Inc()
+		s.metrics.turned.Inc()
 		w.Header().Set("Retry-After", strconv.FormatFloat(wait.Seconds(), 'f', 3, 64))
 		http.Error(w, "too many readers come at once", http.StatusServiceUnavailable)
 		return
@@ -221,7 +221,7 @@
 			http.Error(w, err.Error(), http.StatusInternalServerError)
 			return
 		}
-		s.note(w, l.rev, staleness)
+		s.writeReplicaHeaders(w, l.rev, staleness)
 		w.Header().Set("Content-Type", "application/json")
 		w.Header().Set("Content-Length", strconv.Itoa(len(l.text)))
 		_, _ = w.Write(l.text) // a reader that is gone needs nothing
@@ -273,13 +273,13 @@
 		http.Error(w, err.Error(), http.StatusInternalServerError)
 		return
 	}
-	s.note(w, out.Rev, staleness)
+	s.writeReplicaHeaders(w, out.Rev, staleness)
 	w.Header().Set("Content-Type", "application/json")
 	_ = json.NewEncoder(w).Encode(out) // a caller that is gone needs nothing
 }
 
 // expireEvery is how often leases are looked at.
-const expireEvery = 200 * time.Millisecond
+const leaseCheckInterval = 200 * time.Millisecond
 
 // maxRetryAfter bounds the Retry-After of a reader that is rate limited.
 const maxRetryAfter = 10 * time.Second
--- a/internal/registry/server_status.go
+++ b/internal/registry/server_status.go
@@ -72,13 +72,13 @@
 }
 
 // figures are what /stats shows.
-type figures struct {
+type metrics struct {
 	registry            *prometheus.Registry
 	turned, slow, bytes prometheus.Counter
 }
 
-func newFigures(s *Server) *figures {
-	f := &figures{
+func newMetrics(s *Server) *metrics {
+	f := &metrics{
 		registry: prometheus.NewRegistry(),
 		turned:   prometheus.NewCounter(prometheus.CounterOpts{Name: "registry_readers_turned_away_total", Help: "Readers told to come later."}),
 		slow:     prometheus.NewCounter(prometheus.CounterOpts{Name: "registry_watchers_ended_total", Help: "Watchers ended for being slow."}),
--- a/internal/registry/server_watch.go
+++ b/internal/registry/server_watch.go
@@ -9,23 +9,23 @@
 
 // watch tells one watcher all changes until either side ends it.
 func (s *Server) watch(w http.ResponseWriter, r *http.Request, after int64, staleness time.Duration) {
-	first, at, err := s.hub.join(after)
+	first, at, err := s.hub.subscribe(after)
 	if err != nil {
 		http.Error(w, err.Error(), http.StatusInternalServerError)
 		return
 	}
 	s.watches.Add(1)
 	defer s.watches.Add(-1)
-	s.note(w, at.rev, staleness)
+	s.writeReplicaHeaders(w, at.rev, staleness)
 	w.Header().Set("Content-Type", "application/json")
-	say := s.sayer(w)
+	say := s.lineWriter(w)
 	if len(first) == 0 {
 		first = []byte("\n")
 	}
 	if !say(first) {
 		return
 	}
-	tick := time.NewTicker(beat)
+	tick := time.NewTicker(watchHeartbeat)
 	defer tick.Stop()
 	for {
 		select {
@@ -41,7 +41,7 @@
 		before := at.rev
 		at = at.next
 		if s.hub.lines.Load()-at.n > maxWatcherLag {
-			s.figures.slow.Inc()
+			s.metrics.slow.Inc()
 			return
 		}
 		text := at.text
@@ -51,23 +51,23 @@
 			}
 		}
 		if !say(text) {
-			s.figures.slow.Inc()
+			s.metrics.slow.Inc()
 			return
 		}
 	}
 }
 
 // sayer writes lines to a watcher, and tells whether it took one in time.
-func (s *Server) sayer(w http.ResponseWriter) func(text []byte) bool {
+func (s *Server) lineWriter(w http.ResponseWriter) func(text []byte) bool {
 	control := http.NewResponseController(w)
 	return func(text []byte) bool {
-		if err := control.SetWriteDeadline(time.Now().Add(writeWait)); err != nil {
+		if err := control.SetWriteDeadline(time.Now().Add(lineWriteTimeout)); err != nil {
 			return false
 		}
 		if _, err := w.Write(text); err != nil {
 			return false
 		}
-		s.figures.bytes.Add(float64(len(text)))
+		s.metrics.bytes.Add(float64(len(text)))
 		return control.Flush() == nil
 	}
 }
--- a/internal/registry/server_writes.go
+++ b/internal/registry/server_writes.go
@@ -20,7 +20,7 @@
 }
 
 func (s *Server) put(w http.ResponseWriter, r *http.Request) {
-	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxWrite))
+	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxWriteBodyBytes))
 	if err != nil {
 		http.Error(w, "the body cannot be read: "+err.Error(), http.StatusBadRequest)
 		return
@@ -75,7 +75,7 @@
 	if me {
 		return true
 	}
-	s.note(w, 0, s.replica.Staleness())
+	s.writeReplicaHeaders(w, 0, s.replica.Staleness())
 	if address == "" {
 		w.Header().Set("Retry-After", "1")
 		http.Error(w, ErrNoQuorum.Error(), http.StatusServiceUnavailable)
@@ -98,7 +98,7 @@
 	if !s.leading(w, r) {
 		return
 	}
-	rev, err := s.replica.Apply(c, applyWait)
+	rev, err := s.replica.Apply(c, applyTimeout)
 	if err != nil {
 		status := http.StatusInternalServerError
 		switch {
@@ -118,14 +118,14 @@
 	if c.Op == OpPut && c.LeaseMS > 0 {
 		s.leases.renew(c.Entry.UID, time.Duration(c.LeaseMS)*time.Millisecond, time.Now())
 	}
-	s.note(w, rev, s.replica.Staleness())
+	s.writeReplicaHeaders(w, rev, s.replica.Staleness())
 	w.Header().Set("Content-Type", "application/json")
 	fmt.Fprintf(w, "{\"rev\":%d}\n", rev)
 }
 
 // expireLoop expires leases while this copy leads. When it begins to lead, each has a full term again.
 func (s *Server) expireLoop(ctx context.Context) {
-	t := time.NewTicker(expireEvery)
+	t := time.NewTicker(leaseCheckInterval)
 	defer t.Stop()
 	for {
 		select {
@@ -153,7 +153,7 @@
 			continue
 		}
 		s.log.Info("registry: leases ended", "entries", len(expired))
-		if _, err := s.replica.Apply(&Command{Op: OpExpire, Expired: expired}, applyWait); err != nil {
+		if _, err := s.replica.Apply(&Command{Op: OpExpire, Expired: expired}, applyTimeout); err != nil {
 			s.log.Warn("registry: ended leases are not told", "error", err)
 		}
 	}
--- a/internal/registry/state_machine.go
+++ b/internal/registry/state_machine.go
@@ -29,7 +29,7 @@
 		r.rev, r.err = s.Apply(&c)
 		m.server.routes.tables.follow(s.routes, l.Term, time.Now())
 	})
-	m.server.stir()
+	m.server.signalChange()
 	return r
 }
 
--- a/internal/registry/store.go
+++ b/internal/registry/store.go
@@ -31,16 +31,16 @@
 // root in the file reaches only pages whose sync succeeded, whether or not that root itself is on the disk; the first
 // transaction after the file was opened anew settles this, as it syncs a root of its own.
 type store struct {
-	db     *bolt.DB
-	mu     sync.Mutex  // held while something is written
-	broken error       // the first failure, after which nothing is written
-	failed chan error  // takes the first failure
-	say    func(error) // is told of it, too
-	faults *fault.Plan
-	slow   time.Duration // a write that takes longer is a slow one
-	took   atomic.Int64  // nanoseconds of the last write
-	writes atomic.Int64  // since it was opened
-	slowly atomic.Int64  // writes in a row that were slow
+	db                    *bolt.DB
+	mu                    sync.Mutex  // held while something is written
+	broken                error       // the first failure, after which nothing is written
+	failed                chan error  // takes the first failure
+	onFailure             func(error) // is told of it, too
+	faults                *fault.Plan
+	slow                  time.Duration // a write that takes longer is a slow one
+	lastWriteNanos        atomic.Int64  // nanoseconds of the last write
+	writes                atomic.Int64  // since it was opened
+	consecutiveSlowWrites atomic.Int64  // writes in a row that were slow
 }
 
 var (
@@ -50,7 +50,7 @@
 )
 
 // openWait is how long another process may take to let the file go.
-const openWait = time.Second
+const fileLockTimeout = time.Second
 
 // errCorrupt is a log entry that is not what was written.
 var errCorrupt = errors.New("the log is corrupt")
@@ -58,7 +58,7 @@
 // openBolt opens the file, which recoverDir has looked at: bbolt panics on a spoilt one.
 func openBolt(path string) (*bolt.DB, error) {
 	db, err := bolt.Open(path, 0o600,
-		&bolt.Options{Timeout: openWait, FreelistType: bolt.FreelistMapType, NoFreelistSync: true})
+		&bolt.Options{Timeout: fileLockTimeout, FreelistType: bolt.FreelistMapType, NoFreelistSync: true})
 	if errors.Is(err, bolterrors.ErrTimeout) {
 		return nil, fmt.Errorf("%s is open in another process", path)
 	}
@@ -129,7 +129,7 @@
 	if err != nil {
 		return nil, err
 	}
-	return &store{db: db, failed: make(chan error, 1), say: func(error) {}, slow: slow, faults: faults}, nil
+	return &store{db: db, failed: make(chan error, 1), onFailure: func(error) {}, slow: slow, faults: faults}, nil
 }
 
 // write changes the file; a failure is told, and every write after it fails with the same error.
@@ -146,17 +146,17 @@
 		})
 	})
 	took := time.Since(startedAt)
-	s.took.Store(int64(took))
+	s.lastWriteNanos.Store(int64(took))
 	s.writes.Add(1)
 	if took > s.slow {
-		s.slowly.Add(1)
+		s.consecutiveSlowWrites.Add(1)
 	} else {
-		s.slowly.Store(0)
+		s.consecutiveSlowWrites.Store(0)
 	}
 	if err != nil && !silent {
 		s.broken = err
 		s.failed <- err // has room for the only one
-		s.say(err)
+		s.onFailure(err)
 	}
 	return err
 }
--- a/internal/registry/store_check.go
+++ b/internal/registry/store_check.go
@@ -123,7 +123,7 @@
 
 // lock takes a file or a folder, and waits for a bounded time for another process that has it.
 func lock(f *os.File, how int) error {
-	for end := time.Now().Add(openWait); ; time.Sleep(openWait / 20) {
+	for end := time.Now().Add(fileLockTimeout); ; time.Sleep(fileLockTimeout / 20) {
 		err := syscall.Flock(int(f.Fd()), how|syscall.LOCK_NB)
 		switch {
 		case err == nil:
--- a/internal/registry/supervisor.go
+++ b/internal/registry/supervisor.go
@@ -27,9 +27,9 @@
 // A folder that has failed is tried after reopenSoon, and then after twice as long each time, reopenLate at most. A
 // copy that has run for steadyAfter begins with reopenSoon again.
 const (
-	reopenSoon  = 100 * time.Millisecond
-	reopenLate  = time.Second
-	steadyAfter = 30 * time.Second
+	minReopenDelay = 100 * time.Millisecond
+	maxReopenDelay = time.Second
+	stableRunTime  = 30 * time.Second
 )
 
 // Supervisor runs a copy. When the copy's folder refuses a write it closes the copy, waits until the folder takes
@@ -83,7 +83,7 @@
 // Run serves until ctx ends. A folder that fails is waited for, however long that takes; the error is one that waiting
 // does not mend, such as a log that is spoilt or a folder that belongs to another user.
 func (s *Supervisor) Run(ctx context.Context) error {
-	wait := reopenSoon
+	wait := minReopenDelay
 	for {
 		opened := time.Now()
 		err := s.Node().Run(ctx)
@@ -91,8 +91,8 @@
 		if ctx.Err() != nil || !errors.As(err, &disk) {
 			return err
 		}
-		if time.Since(opened) >= steadyAfter {
-			wait = reopenSoon
+		if time.Since(opened) >= stableRunTime {
+			wait = minReopenDelay
 		}
 		if wait, err = s.reopen(ctx, wait); err != nil || ctx.Err() != nil {
 			return err
@@ -110,7 +110,7 @@
 			return wait, nil
 		case <-time.After(wait):
 		}
-		wait = min(2*wait, reopenLate)
+		wait = min(2*wait, maxReopenDelay)
 		err := s.openIfWritable()
 		switch log := s.cfg.Log; {
 		case err == nil:
--- a/internal/registry/supervisor_test.go
+++ b/internal/registry/supervisor_test.go
@@ -366,7 +366,7 @@
 	cfg.reopened = true
 	_, err := Open(cfg)
 	require.ErrorIs(t, err, os.ErrNotExist)
-	require.Never(t, func() bool { _, answers := one.status(); return answers }, 3*reopenSoon, reopenSoon/2)
+	require.Never(t, func() bool { _, answers := one.status(); return answers }, 3*minReopenDelay, minReopenDelay/2)
 	require.NoError(t, os.Remove(one.cfg.Dir))
 	require.NoError(t, os.Rename(away, one.cfg.Dir))
 	one.serves(t, "before")
--- a/internal/registry/transport.go
+++ b/internal/registry/transport.go
@@ -16,7 +16,7 @@
 // before, and took itself for the leader although there was another (the lab's rule age-told, registry-leader-frozen).
 type transport struct {
 	*raft.NetworkTransport
-	again time.Duration // between two tries
+	retryInterval time.Duration // between two tries
 	// wanted tells whether a copy is still to be sent the entries of a term.
 	wanted func(id raft.ServerID, term uint64) bool
 
@@ -32,7 +32,7 @@
 }
 
 func newTransport(n *raft.NetworkTransport, again time.Duration) *transport {
-	return &transport{NetworkTransport: n, again: again, end: make(chan struct{}),
+	return &transport{NetworkTransport: n, retryInterval: again, end: make(chan struct{}),
 		wanted: func(raft.ServerID, uint64) bool { return false }}
 }
 
@@ -53,7 +53,7 @@
 			return err
 		}
 		select {
-		case <-time.After(t.again):
+		case <-time.After(t.retryInterval):
 		case <-t.end:
 			return err
 		}
