--- a/internal/registry/agent.go
+++ b/internal/registry/agent.go
@@ -17,21 +17,21 @@
 )
 
 // Agent registers one server and keeps it registered: once its health check passes, until its context ends; then it
-// marks it Terminating, waits until all have heard, and takes it off the list.
+// marks it Terminating, waits for Drain so that all watches have received that, and removes it.
 //
-// It survives the service being away: it goes from copy to copy, for as long as it takes, and registers again where
+// It survives the service being away: it goes from replica to replica, for as long as it takes, and registers again where
 // its lease has ended; a server that somebody has drained meanwhile as one that drains. A start on a machine whose
 // clock was set back has an earlier time than the start before; where that one was drained, the list would not take
 // this one for a later start, so its first registration gives it a time right after.
 type Agent struct {
-	Copies []string // addresses of copies, in order of preference
+	Copies []string // addresses of replicas, in order of preference
 	Entry  Entry
 	Lease  time.Duration // 15 s
 	Health string        // URL that answers 200 when the server can serve; empty: it always can
 	Drain  time.Duration // from Terminating until it is removed; 5 s
 	Log    *slog.Logger
 
-	at     int // the copy that answered last
+	at     int // the replica that answered last
 	client http.Client
 	gone   atomic.Bool
 }
@@ -47,7 +47,7 @@
 )
 
 // Run keeps the server registered until ctx ends, and takes it off in order. The time that this takes is bounded:
-// the drain and one call's time for each copy, twice.
+// the drain and one call's time for each replica, twice.
 func (a *Agent) Run(ctx context.Context) error {
 	orDuration(&a.Lease, 15*time.Second)
 	orDuration(&a.Drain, 5*time.Second)
--- a/internal/registry/agent_test.go
+++ b/internal/registry/agent_test.go
@@ -33,7 +33,7 @@
 	healthy.Store(true)
 	until(t, "the server on the list", func() bool { return listed() == "s1=Ready" })
 
-	// All copies go and come back; a new leader gives its lease a full term, and it is renewed in time.
+	// All replicas go and come back; a new leader gives its lease a full term, and it is renewed in time.
 	for _, c := range all {
 		c.end(t)
 	}
--- a/internal/registry/config.go
+++ b/internal/registry/config.go
@@ -14,7 +14,7 @@
 	"marblelane/internal/tomlfile"
 )
 
-// file is a copy's configuration as its file has it.
+// file is a replica's configuration as its file has it.
 type file struct {
 	Name   string `toml:"name"`
 	Listen string `toml:"listen"`
@@ -44,7 +44,7 @@
 	Faults      string            `toml:"lab_faults"` // a file of the lab's, see package fault
 }
 
-// LoadConfig reads a copy's configuration. A file that cannot be opened or read for a moment is tried again, for up to
+// LoadConfig reads a replica's configuration. A file that cannot be opened or read for a moment is tried again, for up to
 // retry.StartLimit, which Open shares. Errors name file, line and key.
 func LoadConfig(path string) (Config, error) { return loadConfig(path, os.ReadFile) }
 
--- a/internal/registry/freshness.go
+++ b/internal/registry/freshness.go
@@ -11,28 +11,27 @@
 	"github.com/hashicorp/raft"
 )
 
-// freshness follows how old at most a copy's list is.
+// freshness tracks an upper bound of the staleness of a replica's list.
 //
-// A follower asks the leader for its revision, which the leader gives once a majority has confirmed that it leads: all
-// that was acknowledged before the question has that revision at most, so once this copy has it too, its list is as new
-// as the question. The way not taken: raft's time of the last contact, or the index that comes with entries. Heartbeats
-// reach a copy that gets no entries just as well, and how long a message was under way nobody knows; the lab found lists
-// that were milliseconds older than they said, and a copy that had come back seconds.
+// A follower polls the leader for its revision, which the leader returns once a quorum has confirmed it. Every write
+// acknowledged before the poll has at most that revision, so once the follower has applied it, its list is as new as the
+// poll. raft's time of last contact does not serve: heartbeats also reach a follower that receives no entries, and the
+// delay of a message is unknown.
 type freshness struct {
 	mu     sync.Mutex
 	at     time.Time      // zero: never yet
-	oldest leaderRevision // that has not been reached
+	oldest leaderRevision // oldest revision not applied yet
 	newest leaderRevision
 }
 
-// promise is what the leader had at a time.
+// leaderRevision is the leader's revision at a time.
 type leaderRevision struct {
 	at  time.Time
 	rev int64
 }
 
-// offer takes in that the leader had a revision at a time. One promise is kept until it is reached, and the newest
-// beside it: where each new one replaced it, a copy that always lags a little would never reach any.
+// observeLeader records the leader's revision at a time. The oldest is kept until it is applied, beside the newest:
+// otherwise a follower that always lags a little would never reach one.
 func (f *freshness) observeLeader(at time.Time, rev int64) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -42,7 +41,7 @@
 	}
 }
 
-// lead takes in that this copy led at a time, as a majority has confirmed since.
+// observeLeadership records that this replica led at a time, as a quorum has confirmed since.
 func (f *freshness) observeLeadership(at time.Time) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -51,7 +50,7 @@
 	}
 }
 
-// since is the last time at which a copy that has a revision by now had all; zero: never yet.
+// since returns the latest time as of which a replica that has applied rev is complete; zero if none.
 func (f *freshness) since(rev int64) time.Time {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -71,7 +70,7 @@
 
 const leaderRevPath = "/registry/leader-revision"
 
-// leaderRev answers followers: the revision that this copy had when they asked, if it led then.
+// leaderRev answers polls of followers with the revision of this replica, if it leads.
 func (s *Server) leaderRev(w http.ResponseWriter, _ *http.Request) {
 	var rev int64
 	s.hub.read(func(st *State) { rev = st.Rev() })
@@ -83,7 +82,8 @@
 	fmt.Fprintf(w, "{\"rev\":%d}\n", rev)
 }
 
-// follow asks at each beat how new this copy is, until ctx ends: a leader a majority, the others their leader.
+// follow updates the staleness at each heartbeat interval until ctx ends: a leader confirms with a quorum, a follower
+// polls the leader.
 func (n *Node) follow(ctx context.Context) {
 	client := &http.Client{Timeout: 5 * n.cfg.Beat, Transport: &http.Transport{MaxIdleConnsPerHost: 1}}
 	defer client.CloseIdleConnections()
--- a/internal/registry/hub.go
+++ b/internal/registry/hub.go
@@ -112,7 +112,7 @@
 	return h.fullList, nil
 }
 
-// join returns the first line for a new watch and the list node from which it follows, taken atomically so that no
+// subscribe returns the first line for a new watch and the list node from which it follows, taken atomically so that no
 // change is skipped.
 func (h *hub) subscribe(after int64) (first []byte, at *line, err error) {
 	h.mu.Lock()
--- a/internal/registry/leases.go
+++ b/internal/registry/leases.go
@@ -6,15 +6,15 @@
 	"time"
 )
 
-// leases is the leader's view of which registrations are renewed. It is fed with times of the monotonic clock.
+// leases tracks the lease of each entry on the leader, with times of the monotonic clock.
 type leases struct {
 	mu             sync.Mutex
 	ends           map[string]time.Time
 	held           int
-	recentExpiries []expiryCount // what has ended within the last term
+	recentExpiries []expiryCount // expired within the last lease term
 }
 
-// ended is how many leases ended at a time.
+// expiryCount is the number of leases that expired at a time.
 type expiryCount struct {
 	at time.Time
 	n  int
@@ -22,14 +22,14 @@
 
 func newLeases() *leases { return &leases{ends: map[string]time.Time{}} }
 
-// lease is one entry that has one.
+// lease is an entry with a lease.
 type lease struct {
 	uid     string
 	changed int64
 	term    time.Duration
 }
 
-// fewLeases is up to how many leased entries may all end: among few, a share says nothing of a cut-off.
+// minLeasesForHold: up to this many leased entries may all expire, as a fraction of so few does not indicate a partition.
 const minLeasesForHold = 3
 
 func (l *leases) renew(uid string, term time.Duration, now time.Time) {
@@ -38,7 +38,7 @@
 	l.ends[uid] = now.Add(term)
 }
 
-// forget drops all: this copy does not lead. When it leads again, every lease begins anew.
+// forget drops all leases when this replica does not lead. Once it leads again every lease gets a full term.
 func (l *leases) forget() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -52,10 +52,10 @@
 	return l.held
 }
 
-// due gives the entries whose leases have ended, with the revision that was seen; or, when they and those that ended
-// within the last term are more than holdShare of all leased ones, only how many are held: it is likelier that this copy
-// is cut off from them than that so many have died. They are held until enough of them are renewed or removed. The
-// term counts, as servers renew at different times: what one cut-off ends does not end at one moment.
+// due returns the entries whose leases have expired, with the revision observed. If these and the ones expired within
+// the last lease term exceed maxExpiredFraction of all leased entries, it returns only how many are held: a partition of
+// this replica is likelier than so many failures. They are held until enough are renewed or removed. The window is a
+// lease term because servers renew at different times.
 func (l *leases) due(all []lease, maxExpiredFraction float64, now time.Time) (expired map[string]int64, held int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -66,7 +66,7 @@
 		known[one.uid] = true
 		maxTerm = max(maxTerm, one.term)
 		end, ok := l.ends[one.uid]
-		if !ok { // registered before this copy led: a full term from now on
+		if !ok { // registered under an earlier leader: a full term from now on
 			l.ends[one.uid] = now.Add(one.term)
 			continue
 		}
--- a/internal/registry/members.go
+++ b/internal/registry/members.go
@@ -1,6 +1,6 @@
 package registry
 
-// This file is a copy's side of membership, see docs/membership.md. It tells operators which copies are there; raft
+// This file is a replica's side of membership, see docs/membership.md. It tells operators which replicas are there; raft
 // alone decides who votes. Without the section of the configuration nothing of it runs.
 
 import (
@@ -21,10 +21,10 @@
 const (
 	membersPath = "/members"
 	roleList    = "list"
-	// unknown is how a copy stands of whom membership has not heard, or that has none.
+	// unknown is the state of a replica without a membership report.
 	unknown membership.MemberState = "unknown"
 
-	leaveTimeout = 300 * time.Millisecond // for others to be told that this copy ends
+	leaveTimeout = 300 * time.Millisecond // time for the leave message to reach the others
 	// memberWatchers of /members may be there at once. They are operators, and each holds a connection.
 	memberWatchers = 8
 	// An address that cannot be bound is tried again after bindSoon, and then after twice as long each time, bindLate at
@@ -33,7 +33,7 @@
 	bindLate = 10 * time.Second
 )
 
-// membersConfig is what the group of a copy is opened with; nil: off.
+// membersConfig is what the group of a replica is opened with; nil: off.
 func (f *file) membersConfig() (*membership.Config, error) {
 	if f.Members == nil {
 		return nil, nil
@@ -49,7 +49,7 @@
 	return &c, nil
 }
 
-// members is a copy's place in the fleet; nil: it has none.
+// members is a replica's place in the fleet; nil: it has none.
 type members struct {
 	cfg      membership.Config
 	group    atomic.Pointer[membership.Group] // nil: not bound yet, or closed
@@ -65,7 +65,7 @@
 	return m
 }
 
-// run binds, however often that takes, and leaves when ctx ends. The copy serves meanwhile.
+// run binds, however often that takes, and leaves when ctx ends. The replica serves meanwhile.
 func (m *members) run(ctx context.Context) {
 	wait := bindSoon
 	g, err := membership.Open(m.cfg)
@@ -93,7 +93,7 @@
 	}
 }
 
-// standings tells how the copies stand, by name, as this one sees them: of one name the latest start counts, and one
+// standings tells how the replicas stand, by name, as this one sees them: of one name the latest start counts, and one
 // that is there before one that is not. What a group that has left saw last tells nothing of now.
 func (m *members) standings() map[string]membership.MemberState {
 	out := map[string]membership.MemberState{}
@@ -121,7 +121,7 @@
 	return out
 }
 
-// left tells whether the process that says this was told to leave: it hears of nobody any more.
+// left reports whether the process of a report has left the group and so receives no further updates.
 func left(r membership.Report) bool {
 	for _, one := range r.Members {
 		if one.Name == r.Self.Name && one.Start == r.Self.Start {
@@ -154,7 +154,7 @@
 	}
 }
 
-// join serves what a group says, and its figures.
+// join serves the views of a group, and its metrics.
 func (s *Server) join(m *members) {
 	s.members = m
 	prometheus.WrapRegistererWithPrefix("registry_", s.metrics.registry).MustRegister(m)
--- a/internal/registry/members_test.go
+++ b/internal/registry/members_test.go
@@ -13,7 +13,7 @@
 	"marblelane/internal/membership"
 )
 
-// No step is taken that would leave less than a majority that answers. cmd/marblelane has a whole replacement.
+// No step is taken that would leave less than a quorum that answers. cmd/marblelane has a whole replacement.
 func TestMembership_quorumKept(t *testing.T) {
 	all := cluster(t, 4, nil)
 	l := leader(t, all)
@@ -54,7 +54,7 @@
 	require.NoError(t, l.node.Retire(others[0].cfg.Name), "the dead one may go")
 }
 
-// withMembers makes copies members of a fleet, the first of them its seed.
+// withMembers makes replicas members of a fleet, the first of them its seed.
 func withMembers(t *testing.T, c *Config, bind, seed string) {
 	t.Helper()
 	f := file{Name: c.Name, Members: &membership.Section{Fleet: "f", Bind: bind, Seeds: []string{seed}, Interval: "50ms"}}
@@ -101,7 +101,7 @@
 			return true
 		}
 	}
-	// Without its address a copy serves, and membership knows nothing of it.
+	// Without its address a replica serves, and membership knows nothing of it.
 	until(t, "two that are alive", stands(membership.Alive, membership.Alive, unknown))
 	code, _ := call(t, "GET", all[2].cfg.Listen, membersPath, "")
 	require.Equal(t, 503, code)
@@ -116,7 +116,7 @@
 	all[1].end(t)
 	until(t, "the one that left", stands(membership.Alive, membership.Gone, membership.Alive))
 	require.Len(t, status(t, all[0]).Copies, 3, "membership does not vote")
-	// A copy that takes no part any more does not go on saying what it saw last.
+	// A replica that takes no part any more does not go on saying what it saw last.
 	code, text = call(t, "POST", all[0].cfg.Listen, membersPath+"/leave", "")
 	require.Less(t, code, 300, text)
 	require.True(t, stands(unknown, unknown, unknown)())
--- a/internal/registry/node.go
+++ b/internal/registry/node.go
@@ -24,13 +24,13 @@
 	"marblelane/internal/retry"
 )
 
-// Config is one copy of the service.
+// Config is one replica of the service.
 type Config struct {
-	Name   string // its name among the copies
+	Name   string // its name among the replicas
 	Listen string // where it serves readers and writers
-	Raft   string // where the copies talk to each other
+	Raft   string // where the replicas talk to each other
 	Dir    string // its folder; empty: it keeps nothing, for development alone
-	// Advertise is where the other copies reach raft; empty: as the peers have it, or where it listens.
+	// Advertise is where the other replicas reach raft; empty: as the peers have it, or where it listens.
 	Advertise string
 	Peers     []Peer // all copies of a cluster that is founded now, itself too; empty: it founds one alone or joins later
 	Join      bool   // wait to be added to a cluster, found none
@@ -45,17 +45,17 @@
 
 	Options
 
-	reopened bool // a copy was opened from the folder before: one without a log is not the copy's
+	reopened bool // a replica was opened from the folder before: one without a log is not the replica's
 }
 
-// Peer is a copy as others know it.
+// Peer is a replica as others know it.
 type Peer struct {
 	Name  string `toml:"name" json:"name"`
 	Raft  string `toml:"raft" json:"raft"`
 	Serve string `toml:"serve" json:"serve"`
 }
 
-// Node is one running copy.
+// Node is one running replica.
 type Node struct {
 	cfg         Config
 	raft        *raft.Raft
@@ -72,11 +72,11 @@
 	store       *store   // nil: nothing is kept
 	close       []func() error
 	log         *slog.Logger
-	// settled is the last term in which this copy led and had applied all that was committed before it.
+	// settled is the last term in which this replica led and had applied all that was committed before it.
 	settled atomic.Uint64
 }
 
-// Open starts the copy's raft and binds its address; Run serves.
+// Open starts the replica's raft and binds its address; Run serves.
 func Open(cfg Config) (n *Node, err error) {
 	cfg.defaults()
 	if cfg.Keep == 0 {
@@ -320,7 +320,7 @@
 
 const (
 	slowWritesToYield = 3           // in a row, after which a leader's disk counts as slow
-	minYieldInterval  = time.Minute // between two tries to give the lead up: where all disks are slow it would only wander
+	minYieldInterval  = time.Minute // between two attempts to give the lead up: where all disks are slow it would only wander
 )
 
 // result is what the machine gives back for a command.
@@ -329,7 +329,7 @@
 	err error
 }
 
-// Apply carries out a command once a majority has it.
+// Apply carries out a command once a quorum has it.
 func (n *Node) Apply(c *Command, wait time.Duration) (int64, error) {
 	data, err := json.Marshal(c)
 	if err != nil {
@@ -354,7 +354,7 @@
 // maxConfirmAttempts covers one stale answer, in flight when the first attempt began, of each of eight other replicas.
 const maxConfirmAttempts = 9
 
-// Add makes another copy a member of the cluster, a voter. It is the leader's to do.
+// Add makes another replica a member of the cluster, a voter. It is the leader's to do.
 func (n *Node) Add(p Peer) error {
 	if err := n.raft.AddVoter(raft.ServerID(p.Name), raft.ServerAddress(p.Raft), 0, applyTimeout).Error(); err != nil {
 		return fmt.Errorf("registry: add %s: %w", p.Name, err)
@@ -363,7 +363,7 @@
 	return err
 }
 
-// Remove takes a copy out of the cluster. It is the leader's to do.
+// Remove takes a replica out of the cluster. It is the leader's to do.
 func (n *Node) Remove(name string) error {
 	if err := n.raft.RemoveServer(raft.ServerID(name), 0, applyTimeout).Error(); err != nil {
 		return fmt.Errorf("registry: remove %s: %w", name, err)
--- a/internal/registry/node_disk.go
+++ b/internal/registry/node_disk.go
@@ -9,7 +9,7 @@
 	"github.com/hashicorp/raft"
 )
 
-// watchDisk gives the lead up while this copy's disk is slow: each write waits for the leader's own disk, and for the
+// watchDisk gives the lead up while this replica's disk is slow: each write waits for the leader's own disk, and for the
 // quickest of the others'. raft would let it lead on, as its heartbeats need no disk.
 func (n *Node) watchDisk(ctx context.Context) {
 	t := time.NewTicker(n.cfg.Beat)
@@ -48,7 +48,7 @@
 	return n.store.writes.Load()
 }
 
-// diskFailure is the first write that the copy's folder has refused; nil: none.
+// diskFailure is the first write that the replica's folder has refused; nil: none.
 func (n *Node) diskFailure() error {
 	if n.store == nil {
 		return nil
--- a/internal/registry/node_lead.go
+++ b/internal/registry/node_lead.go
@@ -1,6 +1,6 @@
 package registry
 
-// This file says whether this copy leads, and makes sure of it.
+// This file says whether this replica leads, and makes sure of it.
 
 import (
 	"context"
@@ -10,7 +10,7 @@
 	"github.com/hashicorp/raft"
 )
 
-// lead does what a new leader owes: it begins the history if there is none, and says where the copies serve.
+// lead makes the first writes of a new leader: the first epoch if there is none, and the HTTP addresses of the replicas.
 func (n *Node) lead(ctx context.Context) {
 	for {
 		var leads bool
@@ -56,7 +56,7 @@
 	}
 }
 
-// Leader tells whether this copy leads, and where the one that does serves.
+// Leader reports whether this replica leads, and the HTTP address of the leader.
 func (n *Node) Leader() (bool, string) {
 	if n.raft.State() == raft.Leader {
 		return true, n.Addr()
@@ -70,7 +70,7 @@
 	return false, address
 }
 
-// Staleness is how old at most the list of this copy is: all that had been acknowledged by then is in it.
+// Staleness is an upper bound of the age of this replica's list: it has every write acknowledged before then.
 func (n *Node) Staleness() time.Duration {
 	var rev int64
 	n.hub.read(func(s *State) { rev = s.Rev() })
@@ -80,7 +80,7 @@
 	return time.Hour // never yet
 }
 
-// follows tells whether this copy still leads in a term, with another as a member.
+// follows tells whether this replica still leads in a term, with another as a member.
 func (n *Node) follows(id raft.ServerID, term uint64) bool {
 	if n.raft.State() != raft.Leader || n.raft.CurrentTerm() != term {
 		return false
@@ -89,7 +89,7 @@
 	return f.Error() == nil && slices.ContainsFunc(f.Configuration().Servers, func(s raft.Server) bool { return s.ID == id })
 }
 
-// Term numbers the lead of this copy.
+// Term numbers the lead of this replica.
 func (n *Node) Term() uint64 {
 	if term := n.settled.Load(); n.raft.State() == raft.Leader && n.raft.CurrentTerm() == term {
 		return term
@@ -97,7 +97,7 @@
 	return 0
 }
 
-// Confirm asks a majority whether this copy still leads.
+// Confirm verifies with a quorum that this replica still leads.
 func (n *Node) Confirm() error {
 	// A new leader may not have applied yet what its predecessors acknowledged.
 	at, term := time.Now(), n.raft.CurrentTerm()
@@ -115,7 +115,7 @@
 	return ErrNotLeader
 }
 
-// confirmedSince tells whether a majority has acknowledged what this copy has sent as leader of a term after a time.
+// confirmedSince tells whether a quorum has acknowledged what this replica has sent as leader of a term after a time.
 func (n *Node) confirmedSince(at time.Time, term uint64) bool {
 	f := n.raft.GetConfiguration()
 	if f.Error() != nil {
--- a/internal/registry/node_test.go
+++ b/internal/registry/node_test.go
@@ -26,7 +26,7 @@
 
 const patience = 20 * time.Second
 
-// copyOf is a copy under test that can be stopped and started again.
+// copyOf is a replica under test that can be stopped and started again.
 type copyOf struct {
 	cfg   Config
 	node  *Node
@@ -78,7 +78,7 @@
 	return ""
 }
 
-// cluster starts n copies and waits for their leader and its first writes.
+// cluster starts n replicas and waits for their leader and its first writes.
 func cluster(t *testing.T, n int, change func(*Config)) []*copyOf {
 	t.Helper()
 	var peers []Peer
@@ -100,7 +100,7 @@
 	return all
 }
 
-// leader waits until one copy leads and all that run know it and the beginning of the history.
+// leader waits until one replica leads and all that run know it and the beginning of the history.
 func leader(t *testing.T, all []*copyOf) *copyOf {
 	t.Helper()
 	var found *copyOf
@@ -174,7 +174,7 @@
 	return strings.Join(all, " ")
 }
 
-// watcher follows one copy and checks what it is told.
+// watcher follows one replica and checks what it is told.
 type watcher struct {
 	lines chan List
 	stop  context.CancelFunc
@@ -331,7 +331,7 @@
 		until(t, "both entries at "+c.cfg.Name, func() bool { return uids(t, c) == "s1=Ready s2=Ready" })
 	}
 
-	// Without a majority writes are refused, at once once the leader knows; reads go on.
+	// Without a quorum writes are refused, at once once the leader knows; reads go on.
 	var alone *copyOf
 	for _, c := range all {
 		if alone == nil {
@@ -640,7 +640,7 @@
 	}
 }
 
-// A copy whose disk takes no more ends with an error; it does not go on as if it had written.
+// A replica whose disk takes no more ends with an error; it does not go on as if it had written.
 func TestNode_diskFailure(t *testing.T) {
 	all := cluster(t, 3, nil)
 	lead := leader(t, all)
@@ -649,7 +649,7 @@
 	if err := lead.node.store.db.Close(); err != nil { // every write fails from now on
 		t.Fatal(err)
 	}
-	// The write may be answered by the next leader, or not at all; it is not acknowledged by the copy that lost its disk.
+	// The write may be answered by the next leader, or not at all; it is not acknowledged by the replica that lost its disk.
 	call(t, "POST", lead.cfg.Listen, listPath+"/s2", `{"endpoint":"127.0.0.1:1"}`)
 	select {
 	case err := <-ended:
--- a/internal/registry/operators.go
+++ b/internal/registry/operators.go
@@ -20,14 +20,14 @@
 	"marblelane/internal/tomlfile"
 )
 
-// mostOperators is how many bytes an operators' file may have, and a body of a tenant's.
+// maxOperatorsFileBytes bounds an operators' file, maxBodyBytes the body of a tenant's request.
 const (
 	maxOperatorsFileBytes = 1 << 20
 	maxBodyBytes          = 64 << 10
 )
 
 // Operators is the operators' file: who may roll out what, and how the leader deals with processes. Absent keys stand
-// for the defaults of rollout.Options. Times and shares of processes hold from when a copy next begins to lead; tenants,
+// for the defaults of rollout.Options. Times and shares of processes hold from when a replica next begins to lead; tenants,
 // subsets and tokens at once.
 type Operators struct {
 	Token       string            `toml:"operator_token" validate:"bytes=200"`
@@ -55,7 +55,7 @@
 // Tenant is what one tenant may do. The empty name stands for a site without tenants.
 type Tenant struct {
 	Name      string   `toml:"name" validate:"bytes=100,excludesall=/"`
-	Token     string   `toml:"token" validate:"bytes=200"` // empty: whoever reaches the service may act for it
+	Token     string   `toml:"token" validate:"bytes=200"` // empty: no authorization needed
 	Subsets   []string `toml:"subsets" validate:"max=1000"`
 	MaxShare  *float64 `toml:"max_share" validate:"omitempty,gt=0,lte=1"`             // of its requests to a canary; 1
 	Rollouts  *int     `toml:"rollouts" validate:"omitempty,gte=0,lte=100"`           // at once; 1, and no tenant has more. 0: it may begin none
@@ -147,7 +147,7 @@
 	return route.Subset{}, false
 }
 
-// nobody stands in paths for the tenant whose name is empty, and in the state of routes, which takes no empty name.
+// emptyTenantPath stands for the empty tenant name in paths and in the state of routes.
 const emptyTenantPath = "-"
 
 // inside is a tenant's name as the state of routes has it; outside as settings and processes have it.
@@ -195,8 +195,7 @@
 
 func newRules() rules {
 	v := validator.New(validator.WithRequiredStructEnabled())
-	// The bound max of a text counts characters, and what is kept and told is bytes. It panics at a bound that is no
-	// number, which is the declaration's fault.
+	// The validator's max counts characters of a text; stored size is in bytes. An invalid bound in a tag panics.
 	if err := v.RegisterValidation("bytes", checkMaxBytes); err != nil {
 		panic(err)
 	}
@@ -221,7 +220,7 @@
 	return len(f.Field().String()) <= limit
 }
 
-// check gives the first value that is out of the bounds of its declaration.
+// check returns the first value that violates its validate tag.
 func (r rules) check(v any) *wrong {
 	err := r.v.Struct(v)
 	if err == nil {
@@ -236,7 +235,7 @@
 	return &wrong{field, boundText(e)}
 }
 
-// boundText says what a bound asks for in the words of this service.
+// boundText is the error text of a violated bound.
 func boundText(e validator.FieldError) string {
 	value := fmt.Sprint(e.Value())
 	if d, ok := e.Value().(tomlfile.Duration); ok {
--- a/internal/registry/pipeline.go
+++ b/internal/registry/pipeline.go
@@ -6,7 +6,7 @@
 	"github.com/hashicorp/raft"
 )
 
-// AppendEntriesPipeline opens a stream of entries to a copy, which ends itself at the first answer that is no success.
+// AppendEntriesPipeline opens a stream of entries to a replica, which ends itself at the first answer that is no success.
 func (t *transport) AppendEntriesPipeline(id raft.ServerID, target raft.ServerAddress) (raft.AppendPipeline, error) {
 	inner, err := t.NetworkTransport.AppendEntriesPipeline(id, target)
 	if err != nil {
@@ -17,11 +17,11 @@
 	return p, nil
 }
 
-// pipeline is raft's stream of entries to a copy, closed as soon as an answer is no success.
+// pipeline is raft's stream of entries to a replica, closed as soon as an answer is no success.
 //
 // raft reads no further answers then (pipelineDecode), and closes the stream once the sender has noticed. A sender that
 // is under way by then hands its request over to be decoded, behind another one whose answer nobody takes any more:
-// both wait for each other, and the copy is sent nothing for as long as this one leads. A copy whose disk refuses an
+// both wait for each other, and the replica is sent nothing for as long as this one leads. A replica whose disk refuses an
 // entry, and that answers so before it closes, brings this about.
 type pipeline struct {
 	raft.AppendPipeline
--- a/internal/registry/pipeline_test.go
+++ b/internal/registry/pipeline_test.go
@@ -36,7 +36,7 @@
 }
 
 // raft takes no answer after one that is no success. A request that is sent by then has to come back, or the leader
-// sends that copy nothing any more.
+// sends that replica nothing any more.
 func TestPipeline_rejectionEndsIt(t *testing.T) {
 	target := refusingCopy(t)
 	network, err := raft.NewTCPTransportWithLogger("127.0.0.1:0", nil, 1, patience, hclog.NewNullLogger())
--- a/internal/registry/raft_layer.go
+++ b/internal/registry/raft_layer.go
@@ -1,6 +1,6 @@
 package registry
 
-// This file carries raft's connections between the copies.
+// This file carries raft's connections between the replicas.
 
 import (
 	"errors"
@@ -12,7 +12,7 @@
 	"marblelane/internal/listener"
 )
 
-// layer carries raft over TCP. It calls from the address it listens at, so that a firewall can tell the copies apart.
+// layer carries raft over TCP. It calls from the address it listens at, so that a firewall can tell the replicas apart.
 type layer struct {
 	net.Listener
 	advertised net.Addr
@@ -39,10 +39,10 @@
 	return out, nil
 }
 
-// Addr is where other copies reach this one.
+// Addr is where other replicas reach this one.
 func (l *layer) Addr() net.Addr { return l.advertised }
 
-// Dial calls another copy.
+// Dial calls another replica.
 func (l *layer) Dial(address raft.ServerAddress, timeout time.Duration) (net.Conn, error) {
 	d := net.Dialer{Timeout: timeout}
 	if l.from != nil {
@@ -51,7 +51,7 @@
 	return d.Dial("tcp", string(address))
 }
 
-// advertised is where the other copies reach this one: as the peers have it, or where it listens.
+// advertised is where the other replicas reach this one: as the peers have it, or where it listens.
 func (c *Config) advertised() string {
 	if c.Advertise != "" {
 		return c.Advertise
--- a/internal/registry/recover_test.go
+++ b/internal/registry/recover_test.go
@@ -25,7 +25,7 @@
 	bolt "go.etcd.io/bbolt"
 )
 
-// folder makes the folder of a copy that has led, with two snapshots and entries that are in none.
+// folder makes the folder of a replica that has led, with two snapshots and entries that are in none.
 func folder(t *testing.T) (dir string, cfg Config) {
 	t.Helper()
 	one := cluster(t, 1, nil)[0]
@@ -169,7 +169,7 @@
 		file []byte
 		text string
 	}
-	note := func() state { // bbolt has the file open, so a copy is read
+	note := func() state { // bbolt has the file open, so a replica is read
 		at := t.TempDir()
 		b := read(t, path)
 		write(t, filepath.Join(at, storeFile), b)
@@ -285,7 +285,7 @@
 	assert.NoDirExists(t, unfinished)
 	assert.NoFileExists(t, filepath.Join(dir, storeFile+tempSuffix))
 	assert.NoDirExists(t, newest)
-	// Without the entries that it had, the copy stops.
+	// Without the entries that it had, the replica stops.
 	s, err := openStore(filepath.Join(less, storeFile), time.Second, nil)
 	require.NoError(t, err)
 	require.NoError(t, errors.Join(s.DeleteRange(1, found.Snapshots[0].Index), s.Close()))
@@ -294,7 +294,7 @@
 	assert.ErrorContains(t, recoverDir(less, quiet()), "are missing")
 }
 
-// Each state of a folder from which a copy must not start ends in one clear line, within a bounded time.
+// Each state of a folder from which a replica must not start ends in one clear line, within a bounded time.
 func TestRecover_rejectedDirectories(t *testing.T) {
 	t.Parallel()
 	made, cfg := folder(t)
@@ -419,8 +419,8 @@
 	leader(t, []*copyOf{one})
 }
 
-// All copies were put back from old images. A reader that has seen more makes them begin a new history; one that only
-// asked a copy that lagged, or comes from another epoch, does not.
+// All replicas were put back from old images. A reader that has seen more makes them begin a new history; one that only
+// asked a replica that lagged, or comes from another epoch, does not.
 func TestNotice_allReplicasRolledBack(t *testing.T) {
 	t.Parallel()
 	all := cluster(t, 3, nil)
@@ -517,7 +517,7 @@
 	until(t, "the backup's entry at the second copy", func() bool { return strings.Contains(uids(t, second), "s1=Ready") })
 }
 
-// childEnv is the configuration's file of a copy that TestChild serves, childRoom the bytes by which a full one may
+// childEnv is the configuration's file of a replica that TestChild serves, childRoom the bytes by which a full one may
 // grow.
 const childEnv, childFileLimit = "MARBLELANE_CHILD", 256 << 10
 
@@ -557,7 +557,7 @@
 	return wait, func() { _ = c.Process.Kill(); wait() }
 }
 
-// A copy is killed at random points, of its recovery too, and has every write that it acknowledged; one whose disk is
+// A replica is killed at random points, of its recovery too, and has every write that it acknowledged; one whose disk is
 // full ends with a line, and has them as well once there is room.
 func TestRecover_killedAndDiskFull(t *testing.T) { // by itself: a child holds the listeners of others until it has begun
 	dir := t.TempDir()
--- a/internal/registry/replicas.go
+++ b/internal/registry/replicas.go
@@ -1,8 +1,8 @@
 package registry
 
-// This file is how a copy is put in another's place: the new one learns without a vote (Learn), votes once it has
+// This file is how a replica is put in another's place: the new one learns without a vote (Learn), votes once it has
 // caught up (Promote), and then the old one goes (Retire). Each step may be asked for again; the last two are refused
-// unless a majority of those that vote after them answers the leader as it is asked.
+// unless a quorum of those that vote after them answers the leader as it is asked.
 
 import (
 	"encoding/json"
@@ -20,13 +20,13 @@
 
 const copiesPath = "/registry/copies"
 
-// thereBeats is how many heartbeats a copy has for an answer that shows that it is there.
+// replyTimeoutBeats is the time, in heartbeats, in which a replica has to answer to count as alive.
 const replyTimeoutBeats = 10
 
 // ErrRejected rejects a membership change that would put the quorum at risk.
 var ErrRejected = errors.New("the copies stay as they are")
 
-// CopyStatus is one copy as another has it.
+// CopyStatus is one replica as another has it.
 type CopyStatus struct {
 	Name   string                 `json:"name"`
 	Raft   string                 `json:"raft"`
@@ -64,10 +64,10 @@
 	return out
 }
 
-// Name is this copy's.
+// Name is this replica's.
 func (n *Node) Name() string { return n.cfg.Name }
 
-// Applied is the index of the last log entry that this copy has applied.
+// Applied is the index of the last log entry that this replica has applied.
 func (n *Node) Applied() uint64 { return n.raft.AppliedIndex() }
 
 // voters are those of a configuration, without one.
@@ -80,7 +80,7 @@
 	return out
 }
 
-// holds waits for a majority of so many voters, and for one that has to be among them, to acknowledge what this copy
+// holds waits for a quorum of so many voters, and for one that has to be among them, to acknowledge what this replica
 // sends as leader from now on.
 func (n *Node) holds(all []raft.Server, with string) error {
 	term, startedAt := n.raft.CurrentTerm(), time.Now()
@@ -124,7 +124,7 @@
 	return c.Servers[i], true
 }
 
-// Learn lets a copy follow without a vote, if somebody answers where it is to be. It is the leader's to do, like Promote
+// Learn lets a replica follow without a vote, if somebody answers where it is to be. It is the leader's to do, like Promote
 // and Retire.
 func (n *Node) Learn(p Peer) error {
 	c, index, err := n.configuration()
@@ -137,7 +137,7 @@
 		}
 	}
 	if _, known := find(c, p.Name); !known {
-		// Who cannot be reached would stay as a copy that never learns.
+		// Who cannot be reached would stay as a replica that never learns.
 		conn, err := net.DialTimeout("tcp", p.Raft, replyTimeoutBeats*n.cfg.Beat)
 		if err != nil {
 			return fmt.Errorf("%w: nobody answers at %s, where %s is to be: %w", ErrRejected, p.Raft, p.Name, err)
@@ -152,7 +152,7 @@
 	return err
 }
 
-// Promote gives a copy that learns its vote.
+// Promote gives a replica that learns its vote.
 func (n *Node) Promote(name string) error {
 	c, index, err := n.configuration()
 	if err != nil {
@@ -174,7 +174,7 @@
 	return nil
 }
 
-// Retire takes a copy out of the cluster if a majority stays without it. A leader that is to go gives the lead to
+// Retire takes a replica out of the cluster if a quorum stays without it. A leader that is to go gives the lead to
 // another first, and answers ErrNotLeader: the next one is to be asked.
 func (n *Node) Retire(name string) error {
 	c, index, err := n.configuration()
--- a/internal/registry/restore.go
+++ b/internal/registry/restore.go
@@ -25,10 +25,10 @@
 // takes a revision of it for one that it knows, takes its list whole, and lets nothing go back in silence.
 //
 // The folder is made beside its place and put there by one rename: it is there whole or not at all, and a restore that
-// was cut off can be run again. The cluster has one copy, the others join it with empty folders: copies that found for
+// was cut off can be run again. The cluster has one replica, the others join it with empty folders: replicas that found for
 // themselves beside it would be a majority without the backup. Its terms begin beyond what copies of a cluster before
 // can have reached by elections, so that one that comes back late does not lead it at once; but two that meet it can
-// raise theirs, and a majority of the old cluster then takes the new one over. So the old copies have to be ended for
+// raise theirs, and a quorum of the old cluster then takes the new one over. So the old replicas have to be ended for
 // good, or the new ones get other addresses for raft; what still answers is a reason not to restore.
 
 // Restored says what a restore has founded.
@@ -44,7 +44,7 @@
 // ErrHasState is a folder that must not be restored into.
 var ErrHasState = errors.New("has state already; a restore founds a cluster in a folder that is empty or not there")
 
-// Restore founds a cluster of one copy in the configuration's folder, from a backup as `registry snapshot` writes it.
+// Restore founds a cluster of one replica in the configuration's folder, from a backup as `registry snapshot` writes it.
 // above is a revision or an epoch that clients may have seen; 0: none beyond the backup's. now is the wall clock.
 func Restore(backup io.Reader, cfg Config, above int64, now time.Time) (out Restored, err error) {
 	if cfg.Dir == "" {
@@ -108,7 +108,7 @@
 	return s, s.load(&in)
 }
 
-// place makes the folder of a cluster's first copy.
+// place makes the folder of a cluster's first replica.
 func place(state *State, cfg Config, term uint64) error {
 	dir := filepath.Clean(cfg.Dir)
 	parent, base := filepath.Split(dir)
--- a/internal/registry/restore_notice.go
+++ b/internal/registry/restore_notice.go
@@ -7,13 +7,12 @@
 	"github.com/hashicorp/raft"
 )
 
-// noticing is a leader's eye on copies that go back: one that no longer has an entry that it has acknowledged in this
-// lead lost what its disk had synced, or its folder was put back from an old image. The leader sends it all again, so
-// the entries are safe once it has caught up; that it may have voted twice meanwhile nobody can undo. So it is said.
+// regressionDetector logs, on the leader, followers whose log has regressed: one that no longer has an entry that it
+// acknowledged in this term lost synced data, or its data directory was rolled back to an old disk image. The leader
+// sends the entries again, so they are safe once the follower has caught up; a second vote in one term cannot be undone.
 //
-// What it cannot notice: a copy that went back while another led, or while none did; what an entry was acknowledged
-// with in a stream that has been one since the lead began and was never broken. And a copy that was removed and added
-// under its old name, with an empty folder, is told of too.
+// Not detected: a regression under another leader or none, and one within a pipeline that is open since the term began.
+// A follower that was removed and added again under its name, with an empty directory, is logged as well.
 type regressionDetector struct {
 	*transport
 	log *slog.Logger
@@ -23,11 +22,11 @@
 	has  map[raft.ServerID]*acknowledged
 }
 
-// acknowledged is what a copy has acknowledged in a lead.
+// acknowledged is what a follower has acknowledged in a term.
 type acknowledged struct {
-	first uint64 // the entry before the first that was sent: the leader's own guess
-	index uint64 // the last that it has acknowledged
-	back  bool   // it went back, and that was said
+	first uint64 // index before the first entry sent, as assumed by the leader
+	index uint64 // last index acknowledged
+	back  bool   // regressed, and logged
 }
 
 func newRegressionDetector(t *transport, log *slog.Logger) *regressionDetector {
@@ -72,7 +71,7 @@
 	}
 }
 
-// wentBack tells whether a copy was seen to go back in this lead.
+// wentBack tells whether a replica was seen to go back in this lead.
 func (t *regressionDetector) wentBack(id raft.ServerID) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/internal/registry/restore_seen.go
+++ b/internal/registry/restore_seen.go
@@ -14,17 +14,16 @@
 	"github.com/hashicorp/raft"
 )
 
-// readers remembers the revisions that readers come back with.
+// readerRevisions tracks the revisions that readers resume from.
 //
-// Where the folders of all copies, or of a majority, were put back from old images, no copy can tell: it has what it
-// has. Readers can, as each says which revision it was told last, and only what was committed is told. One that is ahead
-// of a confirmed leader proves that history was lost, and the same numbers would soon be given again with other
-// meanings, which a reader that stayed away meanwhile cannot see. So the leader begins another history: a new epoch,
-// whose list everybody takes whole.
+// If the data directories of a quorum were rolled back to old disk images, no replica can detect it. Readers can: each
+// sends the last revision that it received, and only committed revisions are sent. A reader ahead of a confirmed leader
+// proves that committed changes were lost, and that their revisions would be assigned again to other changes. So the
+// leader begins a new epoch, for which every reader takes the full list.
 //
-// Only readers of the same epoch count. One of a later epoch may belong to another cluster, and two clusters that raise
-// their epochs past each other would never end. What nobody asks for stays unnoticed: readers that come after the
-// revisions have passed theirs.
+// Only readers of the same epoch count: one of a later epoch may belong to another cluster, and two clusters would raise
+// their epochs past each other for ever. A rollback stays undetected for a reader that returns only after the revisions
+// have passed its own.
 type readerRevisions struct {
 	mu   sync.Mutex
 	seen map[int64]int64 // newest revision by epoch
@@ -33,7 +32,7 @@
 // maxReaderEpochs bounds the memory that readers can make a replica use.
 const maxReaderEpochs = 4
 
-// beginPause is the least time between two histories that readers are the reason for.
+// minEpochInterval is the minimum time between two epochs begun because a reader was ahead.
 const minEpochInterval = time.Minute
 
 func (r *readerRevisions) take(rev int64) {
@@ -44,12 +43,12 @@
 	}
 	e := EpochOf(rev)
 	r.seen[e] = max(r.seen[e], rev)
-	if len(r.seen) > maxReaderEpochs { // the latest is the least likely to be this cluster's
+	if len(r.seen) > maxReaderEpochs { // the latest epoch is the least likely to be of this cluster
 		delete(r.seen, slices.Max(slices.Collect(maps.Keys(r.seen))))
 	}
 }
 
-// ahead is the newest revision of a revision's own epoch that is beyond it; 0: there is none. What is not is forgotten.
+// ahead returns the newest reader revision beyond of in the same epoch; 0 if none. Entries not ahead are dropped.
 func (r *readerRevisions) ahead(of int64) int64 {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -114,7 +113,7 @@
 	return rev
 }
 
-// tellLeader says to the leader what a reader of this copy has seen; this copy may only lag.
+// tellLeader says to the leader what a reader of this replica has seen; this replica may only lag.
 func (n *Node) tellLeader(ctx context.Context, client *http.Client, seen int64) error {
 	_, leader := n.Leader()
 	if leader == "" {
@@ -140,7 +139,7 @@
 	rev := n.rev()
 	seen := n.readers.ahead(rev)
 	if seen == 0 {
-		return false // this copy had not applied it yet
+		return false // this replica had not applied it yet
 	}
 	next := NextEpoch(n.cfg.Faults.Now(), EpochOf(rev))
 	n.log.Error("registry: a reader was told more than the copies have: their folders lost what was committed, or old images "+
--- a/internal/registry/routes_lead.go
+++ b/internal/registry/routes_lead.go
@@ -145,7 +145,7 @@
 	return l
 }
 
-// leads returns the leadership of the current term and creates it when the term is new; nil if this replica does not
+// ensureLeadership returns the leadership of the current term and creates it when the term is new; nil if this replica does not
 // lead.
 func (r *routing) ensureLeadership() (*leadership, error) {
 	term, o := r.s.replica.Term(), r.s.o.Load().Operators
@@ -191,7 +191,7 @@
 	return time.Duration(l.o.ForgetAfter) * time.Millisecond
 }
 
-// present returns the processes that have to read a table alike: those that reported to this leader or an earlier one
+// relevantProcesses returns the processes that have to read a table alike: those that reported to this leader or an earlier one
 // within ForgetAfter. Processes shut out for reading less than the minimum schema count until their last lease ends.
 // wait is positive while this leader may not know all of them yet.
 func (r *routing) relevantProcesses(l *leadership) (all []SchemaSupport, wait time.Duration) {
@@ -224,7 +224,7 @@
 	return all, 0
 }
 
-// changed records access changes of processes and returns their audit transitions. The caller holds l.mu.
+// recordAccessChanges records access changes of processes and returns their audit transitions. The caller holds l.mu.
 func (l *leadership) recordAccessChanges(all []rollout.AccessChange, now time.Time) []audit.Transition {
 	var out []audit.Transition
 	for _, s := range all {
@@ -302,7 +302,7 @@
 	}
 }
 
-// tell queues transitions that the audit log does not have yet for replication.
+// queueTransitions queues transitions that the audit log does not have yet for replication.
 func (l *leadership) queueTransitions(s *State, all []audit.Transition) {
 	l.pending = append(l.pending, s.audit.Fresh(all)...)
 	if extra := len(l.pending) - maxPendingTransitions; extra > 0 {
@@ -445,7 +445,7 @@
 	return commands
 }
 
-// carryOut replicates a decision of the controller and reports whether this replica still leads.
+// execute replicates a decision of the controller and reports whether this replica still leads.
 func (r *routing) execute(l *leadership, c *rollout.Command) bool {
 	c.AtMS = l.wall(time.Now())
 	_, err := r.change(l, c)
--- a/internal/registry/routes_requests.go
+++ b/internal/registry/routes_requests.go
@@ -66,7 +66,7 @@
 	return f
 }
 
-// off answers 404 and returns true where the routes API is off.
+// rejectIfOff answers 404 and returns true where the routes API is off.
 func (r *routing) rejectIfOff(w http.ResponseWriter) bool {
 	if r.s.o.Load().Operators != nil {
 		return false
@@ -92,7 +92,7 @@
 	return r.decode(text, v)
 }
 
-// maybe is body for a call whose body is optional: an empty one leaves v unchanged. Content-Length cannot tell, as it is
+// optionalBody is body for a call whose body is optional: an empty one leaves v unchanged. Content-Length cannot tell, as it is
 // unknown for a chunked body.
 func (r *routing) optionalBody(w http.ResponseWriter, req *http.Request, limit int64, v any) *rejection {
 	text, f := readBody(w, req, limit)
--- a/internal/registry/routes_test.go
+++ b/internal/registry/routes_test.go
@@ -56,7 +56,7 @@
 	return LoadOperators(path)
 }
 
-// routed starts copies with an operators' file, and waits until their leader answers for routes.
+// routed starts replicas with an operators' file, and waits until their leader answers for routes.
 func routed(t *testing.T, n int, change func(*Config)) []*copyOf {
 	t.Helper()
 	o, err := operators(t, operatorsText)
@@ -351,7 +351,7 @@
 	assert.Contains(t, text, `routes_processes{standing="shut out"} 0`)
 }
 
-// Each revision is told to who reads it alike, at any copy; the list and its revision stay as they were.
+// Each revision is told to who reads it alike, at any replica; the list and its revision stay as they were.
 func TestRoutes_watch(t *testing.T) {
 	t.Parallel()
 	all := routed(t, 3, nil)
@@ -426,7 +426,7 @@
 	all[0].node.hub.read(func(s *State) { assert.Equal(t, list, s.Rev()) })
 }
 
-// What is granted is on a majority before it is told: a new leader grants no unit again, and undoes no rollback. With
+// What is granted is on a quorum before it is told: a new leader grants no unit again, and undoes no rollback. With
 // the planted defect it does.
 func TestGrants_leaderChange(t *testing.T) {
 	t.Parallel()
@@ -477,7 +477,7 @@
 	}
 }
 
-// A leader without a majority permits nothing, though it still takes itself for one.
+// A leader without a quorum permits nothing, though it still takes itself for one.
 func TestLeader_partitionedGrantsNothing(t *testing.T) {
 	t.Parallel()
 	all := routed(t, 3, func(c *Config) { c.Beat = 200 * time.Millisecond })
@@ -730,7 +730,7 @@
 		audited := fmt.Sprintf("/routes/audit?rev=%d&from=%d&to=%d", revs[0], l.wall(c.from), l.wall(c.to))
 		var code int
 		var text string
-		until(t, "an answer of the new leader", func() bool { // it says 503 until a majority has confirmed it
+		until(t, "an answer of the new leader", func() bool { // it says 503 until a quorum has confirmed it
 			code, text = call(t, "GET", lead.cfg.Listen, audited, "")
 			return code != http.StatusServiceUnavailable
 		})
--- a/internal/registry/server.go
+++ b/internal/registry/server.go
@@ -18,49 +18,48 @@
 const (
 	listPath = "/registry/instances"
 
-	// beat is how often an empty line comes on a watch without changes, as the platform's protocol has it.
+	// watchHeartbeat is the interval of empty lines on an idle watch, given by the platform's protocol.
 	watchHeartbeat = 2 * time.Second
-	// writeWait is how long a watcher may take for one line.
+	// lineWriteTimeout bounds the write of one line to a watch.
 	lineWriteTimeout  = 5 * time.Second
 	maxWriteBodyBytes = 64 << 10 // bytes of a write's body
 	applyTimeout      = 5 * time.Second
 )
 
-// Replica is the replicated log under a server: raft, or nothing but this process.
+// Replica is the replicated log under a server: raft, or a single process.
 type Replica interface {
-	// Apply carries out a command once it is on a majority. A copy that is not the leader answers ErrNotLeader.
+	// Apply replicates a command to a quorum and applies it. It fails with ErrNotLeader on a follower.
 	Apply(c *Command, wait time.Duration) (rev int64, err error)
-	// Confirm asks a majority whether this copy still leads; what it has applied is then the newest.
+	// Confirm verifies with a quorum that this replica still leads, so that its applied state is the newest.
 	Confirm() error
-	// Leader tells whether this copy leads, and where the one that does serves; empty: nobody is known to.
+	// Leader reports whether this replica leads, and the HTTP address of the leader; empty if unknown.
 	Leader() (me bool, address string)
-	// Staleness is how old at most the state is that this copy has: all that was acknowledged before is in it.
+	// Staleness is an upper bound of the age of the applied state: it has every write acknowledged before then.
 	Staleness() time.Duration
-	// Term numbers this copy's lead, and no other's; 0: it does not lead, or has not applied yet what was acknowledged
-	// before it did.
+	// Term is the raft term in which this replica leads; 0 if it does not lead, or has not yet applied all entries
+	// committed in earlier terms.
 	Term() uint64
-	// DiskTook is how long its last write to the disk took.
+	// DiskTook is the duration of the last disk write.
 	DiskTook() time.Duration
-	// DiskWrites counts the writes to it.
+	// DiskWrites is the number of disk writes.
 	DiskWrites() int64
 }
 
-// Errors of a copy that cannot write.
+// Errors of a replica that cannot write.
 var (
 	ErrNotLeader = errors.New("this copy does not lead")
 	ErrNoQuorum  = errors.New("no majority of the copies can be reached")
 )
 
-// Options are what a server may be told. Zero values stand for the defaults.
+// Options configure a server. Zero values stand for the defaults.
 type Options struct {
-	Batch        time.Duration // for which changes are gathered into one line; 20 ms
-	Watches      float64       // watches and whole lists that may begin a second; 500
-	Burst        int           // ... at once; 200
-	MaxStaleness time.Duration // reads are refused on a copy that has heard nothing for longer; 0: never
-	// EachEncodes lets each watcher encode what it is told for itself. It is the baseline that the lab measures the
-	// shared lines against, and of no other use.
+	Batch        time.Duration // time for which changes are batched into one line; 20 ms
+	Watches      float64       // admitted watches and full lists per second; 500
+	Burst        int           // burst of admitted watches and full lists; 200
+	MaxStaleness time.Duration // reads are rejected on a replica staler than this; 0: never
+	// EachEncodes encodes each line for each watch separately; a baseline for the lab only.
 	EachEncodes        bool
-	MaxExpiredFraction float64    // of the leased entries: if more expire together, they are kept; 0.3
+	MaxExpiredFraction float64    // if more of the leased entries expire together, they are held; 0.3
 	Operators          *Operators // nil: routes are off
 	Planted            string     // a defect of routes, for the lab; empty: none
 	Log                *slog.Logger
@@ -88,7 +87,7 @@
 	}
 }
 
-// Server answers readers and writers of one copy.
+// Server answers readers and writers of one replica.
 type Server struct {
 	hub     *hub
 	replica Replica
@@ -103,7 +102,7 @@
 	members *members // nil: off
 }
 
-// newServer makes a server over a hub whose state the replica changes. Run has to run for news to pass.
+// newServer makes a server over a hub whose state the replica changes. Changes are published only while Run runs.
 func newServer(h *hub, r Replica, o Options) *Server {
 	o.defaults()
 	s := &Server{hub: h, replica: r, log: o.Log, changed: make(chan struct{}, 1), leases: newLeases()}
@@ -114,13 +113,13 @@
 	return s
 }
 
-// Reload takes in other options; the log stays.
+// Reload replaces the options, except the logger.
 func (s *Server) Reload(o Options) {
 	o.defaults()
 	s.o.Store(&o)
 }
 
-// stir says that the state has changed. It never blocks.
+// signalChange signals that the state has changed. It never blocks.
 func (s *Server) signalChange() {
 	select {
 	case s.changed <- struct{}{}:
@@ -128,7 +127,7 @@
 	}
 }
 
-// Run passes changes on and expires leases until ctx ends.
+// Run publishes changes and expires leases until ctx ends.
 func (s *Server) Run(ctx context.Context) {
 	var wg sync.WaitGroup
 	wg.Go(func() { s.expireLoop(ctx) })
@@ -140,7 +139,7 @@
 			return
 		case <-s.changed:
 		}
-		// The first change after a pause is told at once but for the batch; a burst becomes a few lines.
+		// Changes within Batch after the first one are published as one line.
 		t := time.NewTimer(s.o.Load().Batch)
 		select {
 		case <-ctx.Done():
@@ -154,7 +153,7 @@
 	}
 }
 
-// Handler serves the list, writes, health and figures.
+// Handler serves the list, writes, health and metrics.
 func (s *Server) Handler() http.Handler {
 	m := http.NewServeMux()
 	m.HandleFunc("GET "+listPath, s.list)
@@ -179,14 +178,14 @@
 	return m
 }
 
-// stale tells whether this copy is too far behind to be read.
+// stale reports whether this replica is too stale to serve reads.
 func (s *Server) stale() (time.Duration, bool) {
 	age, limit := s.replica.Staleness(), s.o.Load().MaxStaleness
 	return age, limit > 0 && age > limit
 }
 
-// note puts what a reader may want to know of this copy into the answer's head; heard is from before the answer was
-// made, so that the answer is no older than it says.
+// writeReplicaHeaders sets the headers with role, staleness and revision. staleness has to be read before the answer is
+// made, so that it is not understated.
 func (s *Server) writeReplicaHeaders(w http.ResponseWriter, rev int64, staleness time.Duration) {
 	me, _ := s.replica.Leader()
 	role := "follower"
@@ -224,7 +223,7 @@
 		s.writeReplicaHeaders(w, l.rev, staleness)
 		w.Header().Set("Content-Type", "application/json")
 		w.Header().Set("Content-Length", strconv.Itoa(len(l.text)))
-		_, _ = w.Write(l.text) // a reader that is gone needs nothing
+		_, _ = w.Write(l.text) // the reader may have disconnected
 		return
 	}
 	after := int64(-1)
@@ -238,7 +237,7 @@
 	s.watch(w, r, after, staleness)
 }
 
-// get reads one entry as of now: only the leader answers, after a majority has said that it leads.
+// get is a linearizable read of one entry: only the leader answers, once a quorum has confirmed it.
 func (s *Server) get(w http.ResponseWriter, r *http.Request) {
 	if !s.leading(w, r) {
 		return
@@ -257,13 +256,13 @@
 		return
 	}
 	w.Header().Set("Content-Type", "application/json")
-	_ = json.NewEncoder(w).Encode(struct { // a caller that is gone needs nothing
+	_ = json.NewEncoder(w).Encode(struct { // the caller may have disconnected
 		Entry
 		Changed int64 `json:"changed"`
 	}{e, changed})
 }
 
-// snapshot gives the whole state as this copy has it, for a backup.
+// snapshot answers with the full state of this replica, for a backup.
 func (s *Server) snapshot(w http.ResponseWriter, _ *http.Request) {
 	var out *saved
 	var err error
@@ -275,10 +274,10 @@
 	}
 	s.writeReplicaHeaders(w, out.Rev, staleness)
 	w.Header().Set("Content-Type", "application/json")
-	_ = json.NewEncoder(w).Encode(out) // a caller that is gone needs nothing
+	_ = json.NewEncoder(w).Encode(out) // the caller may have disconnected
 }
 
-// expireEvery is how often leases are looked at.
+// leaseCheckInterval is the interval at which the leader checks leases.
 const leaseCheckInterval = 200 * time.Millisecond
 
 // maxRetryAfter bounds the Retry-After of a reader that is rate limited.
--- a/internal/registry/server_status.go
+++ b/internal/registry/server_status.go
@@ -1,6 +1,6 @@
 package registry
 
-// This file says how a copy is: status, health, metrics.
+// This file says how a replica is: status, health, metrics.
 
 import (
 	"encoding/json"
@@ -11,7 +11,7 @@
 	"github.com/prometheus/client_golang/prometheus"
 )
 
-// Status is what a copy says of itself.
+// Status is what a replica says of itself.
 type Status struct {
 	Leads       bool              `json:"leads"`
 	Leader      string            `json:"leader"`
@@ -71,7 +71,7 @@
 	fmt.Fprintln(w, "ok")
 }
 
-// figures are what /stats shows.
+// metrics are the metrics of /stats.
 type metrics struct {
 	registry            *prometheus.Registry
 	turned, slow, bytes prometheus.Counter
--- a/internal/registry/server_watch.go
+++ b/internal/registry/server_watch.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// watch tells one watcher all changes until either side ends it.
+// watch sends all changes to one client until either side ends the watch.
 func (s *Server) watch(w http.ResponseWriter, r *http.Request, after int64, staleness time.Duration) {
 	first, at, err := s.hub.subscribe(after)
 	if err != nil {
@@ -33,7 +33,7 @@
 			return
 		case <-tick.C:
 			if _, stale := s.stale(); stale || !say([]byte("\n")) {
-				return // a watch on a copy that is cut off would look alive and tell nothing
+				return // a watch on a replica that is cut off would look alive and tell nothing
 			}
 			continue
 		case <-at.ready:
@@ -57,7 +57,7 @@
 	}
 }
 
-// sayer writes lines to a watcher, and tells whether it took one in time.
+// lineWriter returns a function that writes a line to a watch and reports whether it was written in time.
 func (s *Server) lineWriter(w http.ResponseWriter) func(text []byte) bool {
 	control := http.NewResponseController(w)
 	return func(text []byte) bool {
--- a/internal/registry/server_writes.go
+++ b/internal/registry/server_writes.go
@@ -50,7 +50,7 @@
 	s.apply(w, r, &Command{Op: op, UID: r.PathValue("uid")})
 }
 
-// renew gives a lease its whole term again. It changes nothing that is told.
+// renew restarts a lease with its full term. It changes no revision.
 func (s *Server) renew(w http.ResponseWriter, r *http.Request) {
 	if !s.leading(w, r) {
 		return
@@ -69,7 +69,7 @@
 	fmt.Fprintf(w, "{\"state\":%q,\"lease_ms\":%d}\n", entry.State, term.Milliseconds())
 }
 
-// leading tells whether this copy leads; else it sends the caller on or away.
+// leading tells whether this replica leads; else it sends the caller on or away.
 func (s *Server) leading(w http.ResponseWriter, r *http.Request) bool {
 	me, address := s.replica.Leader()
 	if me {
@@ -123,7 +123,7 @@
 	fmt.Fprintf(w, "{\"rev\":%d}\n", rev)
 }
 
-// expireLoop expires leases while this copy leads. When it begins to lead, each has a full term again.
+// expireLoop expires leases while this replica leads. When it begins to lead, each has a full term again.
 func (s *Server) expireLoop(ctx context.Context) {
 	t := time.NewTicker(leaseCheckInterval)
 	defer t.Stop()
--- a/internal/registry/state.go
+++ b/internal/registry/state.go
@@ -1,19 +1,17 @@
 // Package registry is the product's own list service: the platform's protocol on the read side, plain HTTP and JSON
 // on the write side, replicated by raft.
 //
-// # Promise
+// # Guarantees
 //
-// There is one total order of changes. Each has a revision; a watcher that was told revision N and asks for what came
-// after it gets every later change, or the whole list where that cannot be told (N is older than what is kept, ahead
-// of it, or of another history), and never a silent gap. A write that was acknowledged is on a majority of copies. A
-// copy without a majority refuses writes at once.
+// Changes are totally ordered, each with a revision. A watch that resumes after revision N receives every later change,
+// or the full list where N is compacted, ahead of the newest revision or of another epoch; never a gap. An acknowledged
+// write is on a quorum of replicas. A replica without a quorum rejects writes at once.
 //
 // # Revisions
 //
 // A revision is epoch x 2^28 + count and fits in 2^53. The epoch names a history: a cluster that starts anew, or is
 // restored from a backup, gets a higher one than any before (minutes since 2026 at that time, at least the old one
-// plus one), so that no revision is handed out again with another meaning. The way not taken: a random name beside the
-// count, as the platform's protocol has one number only.
+// plus one), so that no revision is assigned twice.
 //
 // # Leases
 //
@@ -56,7 +54,7 @@
 	BootMS   int64   `json:"boot_ms"`
 }
 
-// List is what a reader is told, in the platform's form.
+// List is the answer to a read or a line of a watch, in the form of the platform's protocol.
 type List struct {
 	Rev     int64   `json:"rev"`
 	All     bool    `json:"all"`
@@ -93,10 +91,10 @@
 	OpDrain  Op = "drain"  // UID: Terminating from now on
 	OpRemove Op = "remove" // UID
 	OpExpire Op = "expire" // UIDs: their leases are over; only those unchanged since their If counts
-	OpMember Op = "member" // UID: a copy's name, Address: where it serves
+	OpMember Op = "member" // UID: a replica's name, Address: where it serves
 	OpRoutes Op = "routes" // Routes: a command of package rollout
 	OpAudit  Op = "audit"  // Audit: transitions of processes; Seen: which schemas processes read
-	OpTerm   Op = "term"   // TermMS: the longest term of permission that may be out
+	OpTerm   Op = "term"   // TermMS: the maximum term of routes leases that may still run
 )
 
 // Command is one write, as it is replicated.
@@ -125,7 +123,7 @@
 	ErrInvalid  = errors.New("the entry cannot be")
 )
 
-// item is an entry with what is not told.
+// item is an entry with its internal fields.
 type item struct {
 	Entry   Entry `json:"entry"`
 	Changed int64 `json:"changed"` // revision of its last change
@@ -142,7 +140,7 @@
 type State struct {
 	rev     int64
 	items   map[string]*item
-	members map[string]string // copies by name: where they serve
+	members map[string]string // replicas by name: where they serve
 	history []change          // oldest first
 	from    int64             // changes after this revision are in history
 	keep    int
@@ -151,7 +149,7 @@
 	routes *rollout.State
 	audit  *audit.Log
 	seen   map[string]SchemaSupport // by the process's name: what schemas it reads
-	termMS int64                    // the longest term of permission that may be out
+	termMS int64                    // the maximum term of routes leases that may still run
 }
 
 // NewState makes an empty list that keeps at least so many changes.
@@ -175,7 +173,7 @@
 	return it.Entry, it.Changed, time.Duration(it.LeaseMS) * time.Millisecond, true
 }
 
-// Members are the copies by name with the addresses where they serve.
+// Members are the replicas by name with the addresses where they serve.
 func (s *State) Members() map[string]string { return maps.Clone(s.members) }
 
 // Leased calls f for each entry that has a lease.
@@ -238,7 +236,7 @@
 		s.remove(c.UID)
 		return s.rev, nil
 	case OpExpire:
-		for _, uid := range slices.Sorted(maps.Keys(c.Expired)) { // in an order that all copies share
+		for _, uid := range slices.Sorted(maps.Keys(c.Expired)) { // in an order that all replicas share
 			if it, ok := s.items[uid]; ok && it.Changed == c.Expired[uid] {
 				s.remove(uid)
 			}
@@ -286,7 +284,7 @@
 		return 0, ErrDrained
 	}
 	it := &item{Entry: e, LeaseMS: c.LeaseMS}
-	if old != nil && old.Entry == e { // another term only: nobody has to be told
+	if old != nil && old.Entry == e { // only the lease term changes: no new revision
 		it.Changed = old.Changed
 		s.items[e.UID] = it
 		return it.Changed, nil
@@ -331,7 +329,7 @@
 	return s.rev
 }
 
-// All is the whole list, by uid.
+// All is the full list, by uid.
 func (s *State) All() List {
 	l := List{Rev: s.rev, All: true, Targets: make([]Entry, 0, len(s.items))}
 	for _, uid := range slices.Sorted(maps.Keys(s.items)) {
@@ -340,7 +338,7 @@
 	return l
 }
 
-// Since is what changed after a revision, each entry once as it is now; or the whole list where that is not known.
+// Since is what changed after a revision, each entry once as it is now; or the full list where that is not known.
 func (s *State) Since(after int64) List {
 	if after < s.from || after > s.rev {
 		return s.All()
@@ -357,8 +355,8 @@
 	return l
 }
 
-// saved is a state as a snapshot keeps it. The history is not part of it: a watcher that comes back to a copy which
-// was restored gets the whole list.
+// saved is a state as a snapshot keeps it. The history is not part of it: a watcher that comes back to a replica which
+// was restored gets the full list.
 type saved struct {
 	Form    int               `json:"form"`
 	Rev     int64             `json:"rev"`
--- a/internal/registry/state_machine.go
+++ b/internal/registry/state_machine.go
@@ -66,5 +66,5 @@
 	return sink.Close()
 }
 
-// Release does nothing: the snapshot is this program's own copy.
+// Release does nothing: the snapshot is this process's own copy.
 func (snapshot) Release() {}
--- a/internal/registry/store.go
+++ b/internal/registry/store.go
@@ -20,27 +20,23 @@
 )
 
 // store keeps raft's log and its few values in one bbolt file. Each log entry and each value has a checksum, so that
-// one that the disk has spoilt stops the copy and is not replicated or applied.
+// one that the disk has spoilt stops the replica and is not replicated or applied.
 //
-// The way not taken: hashicorp/raft-boltdb, whose newest version holds raft back at an older one and whose entries
-// have no checksum.
-//
-// A write that the disk refuses is told on failed: what raft does next rests on writes that have happened, so the copy
-// has to be closed, and not to go on as if it had them. Nothing is written after the first failure, be the disk sound
-// again or not: the kernel may drop what a failed sync leaves behind and report the next sync as done. So the newest
-// root in the file reaches only pages whose sync succeeded, whether or not that root itself is on the disk; the first
-// transaction after the file was opened anew settles this, as it syncs a root of its own.
+// A failed write is reported on failed: raft relies on earlier writes, so the replica has to be closed. Nothing is written
+// after the first failure, even if the disk works again: the kernel may drop pages of a failed sync and report the next
+// sync as done. So the newest root in the file reaches only pages whose sync succeeded, whether or not that root itself
+// is on the disk; the first transaction after the file is reopened settles this, as it syncs a root of its own.
 type store struct {
 	db                    *bolt.DB
-	mu                    sync.Mutex  // held while something is written
-	broken                error       // the first failure, after which nothing is written
-	failed                chan error  // takes the first failure
-	onFailure             func(error) // is told of it, too
+	mu                    sync.Mutex  // held during a write
+	broken                error       // first failure; every later write fails with it
+	failed                chan error  // receives the first failure
+	onFailure             func(error) // called with the first failure
 	faults                *fault.Plan
 	slow                  time.Duration // a write that takes longer is a slow one
-	lastWriteNanos        atomic.Int64  // nanoseconds of the last write
+	lastWriteNanos        atomic.Int64  // duration of the last write
 	writes                atomic.Int64  // since it was opened
-	consecutiveSlowWrites atomic.Int64  // writes in a row that were slow
+	consecutiveSlowWrites atomic.Int64  // slow writes since the last fast one
 }
 
 var (
@@ -49,7 +45,7 @@
 	castagnoli  = crc32.MakeTable(crc32.Castagnoli)
 )
 
-// openWait is how long another process may take to let the file go.
+// fileLockTimeout bounds the wait for another process to release the lock of the file.
 const fileLockTimeout = time.Second
 
 // errCorrupt is a log entry that is not what was written.
@@ -132,7 +128,7 @@
 	return &store{db: db, failed: make(chan error, 1), onFailure: func(error) {}, slow: slow, faults: faults}, nil
 }
 
-// write changes the file; a failure is told, and every write after it fails with the same error.
+// write changes the file; a failure is reported, and every later write fails with the same error.
 func (s *store) write(f func(*bolt.Tx) error) error {
 	startedAt := time.Now()
 	s.mu.Lock()
@@ -316,15 +312,15 @@
 	return binary.BigEndian.Uint64(v), nil
 }
 
-// currentTerm is the name under which raft keeps the term that a copy is in.
+// currentTerm is the name under which raft keeps the term that a replica is in.
 const currentTerm = "CurrentTerm"
 
 // termStore keeps raft's values, and does not tell raft that its term could not be kept: raft panics then, on goroutines
 // of its own, and the process would end.
 //
 // Nothing rests on such a term. The store has failed, so it refuses each vote and each entry of the term as well, and
-// without its own vote on the disk a copy does not lead. What the copy may still say before it is closed is that it has
-// heard of the term; the majority that voted in it refuses earlier ones without this copy.
+// without its own vote on the disk a replica does not lead. What the replica may still say before it is closed is that it has
+// heard of the term; the majority that voted in it refuses earlier ones without this replica.
 type termStore struct{ *store }
 
 // SetUint64 keeps a number. Where that is the term and the store has failed, no error is given.
--- a/internal/registry/store_check.go
+++ b/internal/registry/store_check.go
@@ -19,27 +19,27 @@
 	bolt "go.etcd.io/bbolt"
 )
 
-// This file is what a copy looks at before it votes.
+// This file is what a replica looks at before it votes.
 //
 // # The rule
 //
-// raft rests on this: what a copy has acknowledged, an entry or a vote, it still has. A copy that lost one and goes on
-// under its name can let entries be lost that a majority had, or vote twice in one term.
+// raft rests on this: what a replica has acknowledged, an entry or a vote, it still has. A replica that lost one and goes on
+// under its name can let entries be lost that a quorum had, or vote twice in one term.
 //
 // A write is acknowledged when its transaction has returned, and that is after two syncs: of all its pages, and of the
 // meta page that points to them. A power loss before the second returns leaves the transaction whole or not there, and
 // it was never acknowledged. So the torn tail of the log is not among the entries that can be read: what the newest
 // root does not reach is cut, and nobody was told of it. What the root does reach was synced before; if it cannot be
-// read, be it the last entry, it may have been acknowledged. Then the copy stops, whatever the place, and has to come
+// read, be it the last entry, it may have been acknowledged. Then the replica stops, whatever the place, and has to come
 // back under another name. The same holds for a meta page that is spoilt, as the other one is the state before.
 //
 // A snapshot repeats what the log had. One that was not finished is cut. One that is spoilt is set aside as long as an
-// older one and the log have everything without it; else the copy stops.
+// older one and the log have everything without it; else the replica stops.
 //
 // What this cannot notice: a disk that says it has synced and has not, and leaves an older state that is sound; a
 // folder that was put back whole from an old image. See noticing for what the leader sees of them.
 
-// unsound is a folder from which a copy must not start.
+// unsound is a folder from which a replica must not start.
 type unsound struct {
 	Path string // file, with the bucket and the key or the index where there is one
 	Err  error
@@ -60,12 +60,12 @@
 	asideSuffix  = ".damaged"
 )
 
-// Found is what a copy's folder has.
+// Found is what a replica's folder has.
 type Found struct {
 	Entries         int    // in the log
 	First, Last     uint64 // their indices; 0: there are none
 	LowTerm, Top    uint64 // terms of the first and of the last
-	Term, VotedTerm uint64 // the copy's own, and the last in which it voted
+	Term, VotedTerm uint64 // the replica's own, and the last in which it voted
 	Vote            string // for whom
 	Snapshots       []FoundSnapshot
 	Cut             []string // what was never finished; a start removes it
@@ -210,7 +210,7 @@
 	if out.Entries == 0 {
 		out.First, out.LowTerm = index, l.Term
 	}
-	// A hole is one only where the snapshots do not cover it: a copy that was sent one keeps older entries.
+	// A hole is one only where the snapshots do not cover it: a replica that was sent one keeps older entries.
 	if covered := out.covered(); out.Entries > 0 && index != out.Last+1 && index > covered+1 {
 		out.fault(entryAt(path, max(out.Last, covered)+1), fmt.Errorf("entries up to %d are missing", index-1))
 	}
@@ -231,7 +231,7 @@
 	return 0
 }
 
-// own takes in what the copy keeps beside the log.
+// own takes in what the replica keeps beside the log.
 func (out *Found) own() error {
 	for key, to := range map[string]*uint64{"CurrentTerm": &out.Term, "LastVoteTerm": &out.VotedTerm} {
 		v, ok := out.values[key]
--- a/internal/registry/store_found.go
+++ b/internal/registry/store_found.go
@@ -5,7 +5,7 @@
 )
 
 // halfFounded tells whether a founding was cut off. raft writes the term 1 first and the first entry, which says who
-// the copies are, after it; a copy that has the one alone takes itself for founded and waits for ever. Nobody can have
+// the replicas are, after it; a replica that has the one alone takes itself for founded and waits for ever. Nobody can have
 // told it anything in between, as raft did not run yet.
 func halfFounded(logs raft.LogStore, stable raft.StableStore, snaps raft.SnapshotStore) (bool, error) {
 	last, err := logs.LastIndex()
--- a/internal/registry/store_snapshots_test.go
+++ b/internal/registry/store_snapshots_test.go
@@ -136,7 +136,7 @@
 	require.NoError(t, readable(s, newest[0]))
 }
 
-// A copy whose snapshot fails goes on, keeps its log, and takes the snapshot once its folder works again.
+// A replica whose snapshot fails goes on, keeps its log, and takes the snapshot once its folder works again.
 func TestSnapshots_failureKeepsReplica(t *testing.T) {
 	one := cluster(t, 1, nil)[0]
 	put(t, one, "s1", 1, 0)
--- a/internal/registry/supervisor.go
+++ b/internal/registry/supervisor.go
@@ -14,7 +14,7 @@
 	"marblelane/internal/fault"
 )
 
-// DiskError is a write that a copy's folder has refused. The copy is closed: what it has on the disk shows once the
+// DiskError is a write that a replica's folder has refused. The replica is closed: what it has on the disk shows once the
 // folder is read anew.
 type DiskError struct{ Err error }
 
@@ -24,24 +24,24 @@
 // Unwrap gives the cause.
 func (e *DiskError) Unwrap() error { return e.Err }
 
-// A folder that has failed is tried after reopenSoon, and then after twice as long each time, reopenLate at most. A
-// copy that has run for steadyAfter begins with reopenSoon again.
+// A replica whose disk has failed is reopened after minReopenDelay, doubled after each failed attempt up to
+// maxReopenDelay. After stableRunTime the delay starts from minReopenDelay again.
 const (
 	minReopenDelay = 100 * time.Millisecond
 	maxReopenDelay = time.Second
 	stableRunTime  = 30 * time.Second
 )
 
-// Supervisor runs a copy. When the copy's folder refuses a write it closes the copy, waits until the folder takes
-// writes again, and opens the copy anew from what the disk has, as a new start of the process does. Meanwhile nobody is
-// answered, so that readers and writers go to the other copies.
+// Supervisor runs a replica. When a disk write fails it closes the replica, waits until the data directory is writable
+// again, and reopens the replica from disk as a restart of the process does. Meanwhile it serves no requests, so that
+// clients use the other replicas.
 type Supervisor struct {
 	mu   sync.Mutex
 	cfg  Config
 	node *Node // the newest; closed while the folder fails
 }
 
-// Supervise opens a copy; Run serves. The errors are Open's: a folder that fails at the start is not waited for.
+// Supervise opens a replica; Run serves. The errors are Open's: a folder that fails at the start is not waited for.
 func Supervise(cfg Config) (*Supervisor, error) {
 	cfg.defaults()
 	n, err := Open(cfg)
@@ -64,14 +64,14 @@
 	return net.JoinHostPort(host, fmt.Sprint(tcp.Port))
 }
 
-// Node is the copy as it was opened last.
+// Node is the replica as it was opened last.
 func (s *Supervisor) Node() *Node {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.node
 }
 
-// Reload takes in other options, also for when the copy is opened anew; the log stays.
+// Reload takes in other options, also for when the replica is opened anew; the log stays.
 func (s *Supervisor) Reload(o Options) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -100,7 +100,7 @@
 	}
 }
 
-// reopen opens the copy once its folder takes writes, and gives the pause before the next try, should it fail again. It
+// reopen opens the replica once its folder takes writes, and gives the pause before the next try, should it fail again. It
 // gives up without an error when ctx ends.
 func (s *Supervisor) reopen(ctx context.Context, wait time.Duration) (time.Duration, error) {
 	closed, said := time.Now(), ""
@@ -145,8 +145,8 @@
 	return nil
 }
 
-// mayHeal tells whether what keeps a copy from being opened anew may pass by itself. Only what certainly does not ends
-// the copy; the rest, an address that somebody else holds too, is tried again.
+// mayHeal tells whether what keeps a replica from being opened anew may pass by itself. Only what certainly does not ends
+// the replica; the rest, an address that somebody else holds too, is tried again.
 func mayHeal(err error) bool {
 	if errors.Is(err, syscall.EIO) {
 		return true // what could not be read may be sound
--- a/internal/registry/supervisor_test.go
+++ b/internal/registry/supervisor_test.go
@@ -21,7 +21,7 @@
 	"marblelane/internal/fault"
 )
 
-// supervised is a supervised copy under test whose disk can be made to fail.
+// supervised is a supervised replica under test whose disk can be made to fail.
 type supervised struct {
 	cfg        Config
 	supervisor *Supervisor
@@ -29,7 +29,7 @@
 	ended      chan error
 }
 
-// supervise starts n copies, with the same change to the configuration of each, and waits for their leader.
+// supervise starts n replicas, with the same change to the configuration of each, and waits for their leader.
 func supervise(t *testing.T, n int, change func(*Config)) []*supervised {
 	t.Helper()
 	var peers []Peer
@@ -61,13 +61,13 @@
 	return all
 }
 
-// plant makes the copy's disk fail, or heals it.
+// plant makes the replica's disk fail, or heals it.
 func (c *supervised) plant(t *testing.T, set fault.Set) {
 	t.Helper()
 	require.NoError(t, set.Write(c.faults))
 }
 
-// status is what the copy says of itself; false: it does not answer.
+// status is what the replica says of itself; false: it does not answer.
 func (c *supervised) status() (st Status, answers bool) {
 	client := &http.Client{Transport: &http.Transport{DisableKeepAlives: true}, Timeout: time.Second}
 	resp, err := client.Get("http://" + c.cfg.Listen + "/registry/status")
@@ -78,7 +78,7 @@
 	return st, json.NewDecoder(resp.Body).Decode(&st) == nil
 }
 
-// leading waits until one of the copies leads and has begun a history.
+// leading waits until one of the replicas leads and has begun a history.
 func leading(t *testing.T, all []*supervised) *supervised {
 	t.Helper()
 	var found *supervised
@@ -94,7 +94,7 @@
 	return found
 }
 
-// others are the copies but one.
+// others are the replicas but one.
 func others(all []*supervised, but *supervised) (out []*supervised) {
 	for _, c := range all {
 		if c != but {
@@ -104,7 +104,7 @@
 	return out
 }
 
-// register writes one entry through the copies in turn, once through each. It tells whether it was acknowledged.
+// register writes one entry through the replicas in turn, once through each. It tells whether it was acknowledged.
 func register(all []*supervised, uid string) bool {
 	client := &http.Client{Transport: &http.Transport{DisableKeepAlives: true}, Timeout: 2 * time.Second}
 	for _, c := range all {
@@ -145,7 +145,7 @@
 	}
 }
 
-// served is the list that a copy serves, by name.
+// served is the list that a replica serves, by name.
 func served(t *testing.T, c *supervised) map[string]bool {
 	t.Helper()
 	_, text := call(t, "GET", c.cfg.Listen, listPath, "")
@@ -158,13 +158,13 @@
 	return out
 }
 
-// closed waits until the copy answers nobody.
+// closed waits until the replica answers nobody.
 func (c *supervised) closed(t *testing.T) {
 	t.Helper()
 	until(t, c.cfg.Name+" to close", func() bool { _, answers := c.status(); return !answers })
 }
 
-// serves waits until a copy serves all the entries. A copy that was just opened, a leader too, has not applied yet what
+// serves waits until a replica serves all the entries. A replica that was just opened, a leader too, has not applied yet what
 // its log has.
 func (c *supervised) serves(t *testing.T, all ...string) {
 	t.Helper()
@@ -197,7 +197,7 @@
 	"I/O error": {Calls: map[string]string{fault.CallWrite: "EIO"}},
 }
 
-// A copy whose disk fails for a while is back by itself, and whatever was acknowledged is served by all copies.
+// A replica whose disk fails for a while is back by itself, and whatever was acknowledged is served by all replicas.
 func TestSupervisor_diskRecovers(t *testing.T) {
 	for name, set := range diskFailures {
 		for _, c := range []struct {
@@ -235,7 +235,7 @@
 	}
 }
 
-// While the disk of a copy that is alone fails, nothing is acknowledged; and what was lost is not served afterwards.
+// While the disk of a replica that is alone fails, nothing is acknowledged; and what was lost is not served afterwards.
 func TestSupervisor_lostWriteNotAcknowledged(t *testing.T) {
 	for _, name := range []string{"sync lost", "no space", "I/O error"} {
 		t.Run(name, func(t *testing.T) {
@@ -311,7 +311,7 @@
 	assert.NoError(t, s.SetUint64([]byte("number"), 3), "it takes writes once it is opened anew")
 }
 
-// What waiting does not mend ends a copy whose folder has failed, with an error that says so.
+// What waiting does not mend ends a replica whose folder has failed, with an error that says so.
 func TestSupervisor_permanentFailure(t *testing.T) {
 	for name, c := range map[string]struct {
 		harm func(t *testing.T, dir string)
@@ -373,7 +373,7 @@
 	assert.Equal(t, map[string]bool{"before": true}, served(t, one))
 }
 
-// Options that were reloaded hold after the copy was opened anew, be it before or while its disk failed.
+// Options that were reloaded hold after the replica was opened anew, be it before or while its disk failed.
 func TestSupervisor_reloadKept(t *testing.T) {
 	all := supervise(t, 1, nil)
 	one := all[0]
@@ -387,7 +387,7 @@
 	assert.Equal(t, 2*time.Hour, one.supervisor.Node().Server().o.Load().MaxStaleness)
 }
 
-// A copy is opened anew at the port that the system chose the first time.
+// A replica is opened anew at the port that the system chose the first time.
 func TestSupervisor_portKept(t *testing.T) {
 	bound := &net.TCPAddr{IP: net.IPv4(127, 0, 0, 1), Port: 12345}
 	for given, want := range map[string]string{
--- a/internal/registry/transport.go
+++ b/internal/registry/transport.go
@@ -7,17 +7,16 @@
 	"github.com/hashicorp/raft"
 )
 
-// transport carries raft over the network. It goes on trying to send entries to a copy that is away, instead of handing
-// each failure to raft, which doubles its pause each time, up to 10 s: a copy that came back was told nothing for as
-// long again, while heartbeats kept it from noticing.
+// transport is raft's network transport with two changes. It retries entries for an unreachable follower itself, as
+// raft's backoff of up to 10 s would leave a follower that returns without entries for that long.
 //
-// And it knows when what a copy has acknowledged was sent. raft's own VerifyLeader takes any answer that comes after it
-// was asked for one that was sent after, too: a leader that was frozen for seconds read the answers to heartbeats from
-// before, and took itself for the leader although there was another (the lab's rule age-told, registry-leader-frozen).
+// It also records when an acknowledged request was sent. raft's own VerifyLeader accepts any answer received after the
+// call, also one to an earlier heartbeat: a leader that was suspended would confirm itself although another was elected.
+// The lab checks this with rule age-told, scenario registry-leader-frozen.
 type transport struct {
 	*raft.NetworkTransport
-	retryInterval time.Duration // between two tries
-	// wanted tells whether a copy is still to be sent the entries of a term.
+	retryInterval time.Duration // pause between two attempts
+	// wanted tells whether a replica is still to be sent the entries of a term.
 	wanted func(id raft.ServerID, term uint64) bool
 
 	end  chan struct{}
@@ -28,7 +27,7 @@
 
 	mu    sync.Mutex
 	term  uint64
-	acked map[raft.ServerID]time.Time // when the newest message of the term that a copy has acknowledged was sent
+	acked map[raft.ServerID]time.Time // when the newest message of the term that a replica has acknowledged was sent
 }
 
 func newTransport(n *raft.NetworkTransport, again time.Duration) *transport {
@@ -41,7 +40,7 @@
 	return len(a.Entries) == 0 && a.PrevLogEntry == 0 && a.LeaderCommitIndex == 0
 }
 
-// AppendEntries sends entries; while the copy is away and they are still wanted it tries again.
+// AppendEntries sends entries, and retries while the follower is unreachable and still needs them.
 func (t *transport) AppendEntries(id raft.ServerID, target raft.ServerAddress, a *raft.AppendEntriesRequest, r *raft.AppendEntriesResponse) error {
 	for {
 		sent := time.Now()
@@ -71,7 +70,7 @@
 	}
 }
 
-// follows tells whether a copy has acknowledged a message of a term that was sent after a time. It then had not voted
+// follows tells whether a replica has acknowledged a message of a term that was sent after a time. It then had not voted
 // for a later leader by that time.
 func (t *transport) follows(id raft.ServerID, term uint64, after time.Time) bool {
 	t.mu.Lock()
@@ -79,7 +78,7 @@
 	return term == t.term && t.acked[id].After(after)
 }
 
-// acknowledged is when the newest message of a term that a copy has acknowledged was sent; zero: there is none.
+// acknowledged is when the newest message of a term that a replica has acknowledged was sent; zero: there is none.
 func (t *transport) acknowledged(id raft.ServerID, term uint64) time.Time {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -101,7 +100,7 @@
 	})
 }
 
-// stop ends the tries, and waits for heartbeats that are under way.
+// stop ends the retries, and waits for heartbeats in flight.
 func (t *transport) stop() {
 	t.once.Do(func() { close(t.end) })
 	t.beats.Lock()
--- a/internal/registry/verify.go
+++ b/internal/registry/verify.go
@@ -18,7 +18,7 @@
 	Epoch int64
 }
 
-// Verify reads a stopped copy's folder and changes nothing. The error is that it could not be read; what is wrong with
+// Verify reads a stopped replica's folder and changes nothing. The error is that it could not be read; what is wrong with
 // what was read stands in Faults.
 func Verify(dir string) (*Verified, error) {
 	if _, err := os.Stat(dir); err != nil {
@@ -80,7 +80,7 @@
 	return s, s.load(&in)
 }
 
-// Sound tells whether a copy may start from the folder.
+// Sound tells whether a replica may start from the folder.
 func (v *Verified) Sound() bool { return len(v.Faults) == 0 }
 
 // Print writes what was found, a line each.
