--- /dev/null
+++ b/internal/registry/routes_budgets.go
@@ -0,0 +1,76 @@
+package registry
+
+// This file grants rollout budget to processes.
+
+import (
+	"slices"
+	"time"
+
+	"marblelane/internal/rollout"
+	"marblelane/internal/route"
+)
+
+// answerUnits settles spent budget and grants requested budget for a batch of requests.
+func (r *routing) answerUnits(all []budgetCall) {
+	answers, err := r.grant(all)
+	for i, a := range all {
+		if err != nil {
+			a.answer(nil, err)
+		} else {
+			a.answer(&answers[i], nil)
+		}
+	}
+}
+
+func (r *routing) grant(all []budgetCall) ([]route.BudgetResponse, error) {
+	l := r.current()
+	if l == nil {
+		return nil, ErrNotLeader
+	}
+	l.decisionMu.Lock()
+	defer l.decisionMu.Unlock()
+	var entries []rollout.LedgerEntry
+	keep := true
+	var err error
+	l.mu.Lock()
+	r.s.hub.read(func(st *State) {
+		var s *rollout.State
+		if s, keep, err = r.planted.ledger(st.routes, l.uncommittedGrants); err != nil {
+			return
+		}
+		for _, a := range all {
+			r.planted.requestedBudgets(a.request)
+			entries = append(entries, l.controller.BudgetEntries(l.floor(time.Now()), s, a.request)...)
+		}
+	})
+	l.mu.Unlock()
+	if err != nil {
+		return nil, err
+	}
+	if !keep {
+		l.uncommittedGrants = append(l.uncommittedGrants, entries...)
+		entries = nil
+	}
+	for some := range slices.Chunk(entries, maxCommandEntries) {
+		c := &rollout.Command{Op: rollout.OpLedger, AtMS: l.wall(time.Now()), Entries: some}
+		if _, err := r.change(l, c); err != nil {
+			return nil, err
+		}
+	}
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	answers := make([]route.BudgetResponse, len(all))
+	r.s.hub.read(func(st *State) {
+		var s *rollout.State
+		if s, _, err = r.planted.ledger(st.routes, l.uncommittedGrants); err != nil {
+			return
+		}
+		for i, a := range all {
+			answers[i] = l.controller.BudgetResponse(s, a.request)
+			for k, g := range answers[i].Budgets {
+				answers[i].Budgets[k].Tenant = outside(g.Tenant)
+			}
+		}
+	})
+	return answers, err
+}
--- /dev/null
+++ b/internal/registry/routes_decisions.go
@@ -0,0 +1,72 @@
+package registry
+
+// This file replicates the controller's decisions and the other changes of routes.
+
+import (
+	"errors"
+	"time"
+
+	"marblelane/internal/rollout"
+)
+
+// apply replicates a command and waits until it is applied.
+func (r *routing) apply(c *Command) error {
+	_, err := r.s.replica.Apply(c, applyTimeout)
+	return err
+}
+
+// decide runs one controller tick and replicates its decisions.
+func (r *routing) decide(l *leadership) {
+	l.decisionMu.Lock()
+	defer l.decisionMu.Unlock()
+	if time.Now().Before(l.decisionsFrom) || r.current() != l {
+		return
+	}
+	if l.lowersLeaseTerm {
+		if err := r.apply(&Command{Op: OpTerm, TermMS: l.leaseTermMS, Term: l.term}); err != nil {
+			return
+		}
+		l.lowersLeaseTerm = false
+	}
+	for _, c := range r.tick(l) {
+		if !r.execute(l, &c) {
+			return
+		}
+	}
+}
+
+// tick returns the controller's decisions. Once it has decided to close a revision the controller grants no lease for it,
+// so reports need not wait for the commit.
+func (r *routing) tick(l *leadership) []rollout.Command {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	now := time.Now()
+	var commands []rollout.Command
+	r.s.hub.read(func(s *State) {
+		var standings []rollout.AccessChange
+		commands, standings = l.controller.Tick(l.floor(now), s.routes, s.ready)
+		l.queueTransitions(s, l.recordAccessChanges(standings, now))
+	})
+	return commands
+}
+
+// execute replicates a decision of the controller and reports whether this replica still leads.
+func (r *routing) execute(l *leadership, c *rollout.Command) bool {
+	c.AtMS = l.wall(time.Now())
+	_, err := r.change(l, c)
+	switch {
+	case errors.Is(err, ErrNotLeader), errors.Is(err, ErrNoQuorum):
+		return false
+	case err != nil:
+		r.s.log.Info("registry: routes: a decision came late", "op", c.Op, "tenant", c.Tenant, "rollout", c.Name, "error", err)
+	case c.Op != rollout.OpClose && c.Op != rollout.OpLedger:
+		r.s.log.Info("registry: routes: decided", "op", c.Op, "tenant", c.Tenant, "rollout", c.Name, "step", c.Step, "why", c.Reason)
+	}
+	return true
+}
+
+// change replicates a command of routes. It is on the list of what is proposed from before then.
+func (r *routing) change(l *leadership, c *rollout.Command) (int64, error) {
+	defer r.tables.propose(time.Now(), l.term)()
+	return r.s.replica.Apply(&Command{Op: OpRoutes, Routes: c, Term: l.term}, applyTimeout)
+}
