--- a/internal/registry/members_test.go
+++ b/internal/registry/members_test.go
@@ -14,7 +14,7 @@
 )
 
 // No step is taken that would leave less than a quorum that answers. cmd/marblelane has a whole replacement.
-func TestMembership_quorumKept(t *testing.T) {
+func TestMembership_quorum(t *testing.T) {
 	all := cluster(t, 4, nil)
 	l := leader(t, all)
 	first := l.cfg.Name
--- a/internal/registry/node.go
+++ b/internal/registry/node.go
@@ -59,7 +59,7 @@
 type Node struct {
 	cfg         Config
 	raft        *raft.Raft
-	wire        *transport
+	transport   *transport
 	regressions *regressionDetector
 	readers     readerRevisions
 	fresh       freshness
@@ -73,7 +73,7 @@
 	close       []func() error
 	log         *slog.Logger
 	// settled is the last term in which this replica led and had applied all that was committed before it.
-	settled atomic.Uint64
+	readyTerm atomic.Uint64
 }
 
 // Open starts the replica's raft and binds its address; Run serves.
@@ -133,10 +133,10 @@
 	if n.raft, err = raft.NewRaft(c, (*machine)(n), st.logs, st.stable, st.snaps, n.regressions); err != nil {
 		return fmt.Errorf("registry: raft: %w", err)
 	}
-	n.wire.wanted = n.follows
+	n.transport.wanted = n.follows
 	n.close = append(n.close, func() error {
 		ended := n.raft.Shutdown()
-		n.wire.stop() // raft waits for pending sends
+		n.transport.stop() // raft waits for pending sends
 		return ended.Error()
 	})
 	if err := n.diskFailure(); err != nil {
@@ -210,7 +210,7 @@
 	wire := newTransport(raft.NewNetworkTransportWithConfig(&raft.NetworkTransportConfig{
 		Stream: streams, MaxPool: 3, Timeout: 10 * n.cfg.Beat, Logger: logger}), n.cfg.Beat)
 	n.raftAt = streams.Listener.Addr()
-	n.wire, n.regressions = wire, newRegressionDetector(wire, n.log)
+	n.transport, n.regressions = wire, newRegressionDetector(wire, n.log)
 	n.close = append(n.close, func() error {
 		wire.CloseStreams() // closes the other replicas' ends, too
 		return wire.Close()
@@ -234,9 +234,9 @@
 		}
 		return nil
 	}
-	half, err := halfFounded(st.logs, st.stable, st.snaps)
+	half, err := bootstrapInterrupted(st.logs, st.stable, st.snaps)
 	if err == nil && half {
-		err = foundOn(st.logs, n.founders(wire))
+		err = completeBootstrap(st.logs, n.founders(wire))
 	}
 	if err != nil {
 		return fmt.Errorf("registry: found a cluster that was cut off: %w", err)
@@ -271,8 +271,8 @@
 	defer wg.Wait()
 	defer cancel()
 	wg.Go(func() { n.server.Run(ctx) })
-	wg.Go(func() { n.lead(ctx) })
-	wg.Go(func() { n.follow(ctx) })
+	wg.Go(func() { n.handleNewLeadership(ctx) })
+	wg.Go(func() { n.trackStaleness(ctx) })
 	wg.Go(func() { n.heed(ctx) })
 	if n.members != nil {
 		wg.Go(func() { n.members.run(ctx) })
--- a/internal/registry/node_lead.go
+++ b/internal/registry/node_lead.go
@@ -10,8 +10,8 @@
 	"github.com/hashicorp/raft"
 )
 
-// lead makes the first writes of a new leader: the first epoch if there is none, and the HTTP addresses of the replicas.
-func (n *Node) lead(ctx context.Context) {
+// handleNewLeadership makes the first writes of a new leader: the first epoch if there is none, and the HTTP addresses of the replicas.
+func (n *Node) handleNewLeadership(ctx context.Context) {
 	for {
 		var leads bool
 		select {
@@ -30,7 +30,7 @@
 			continue // it leads no more
 		}
 		if n.raft.CurrentTerm() == term {
-			n.settled.Store(term)
+			n.readyTerm.Store(term)
 		}
 		commands := []*Command{}
 		var rev int64
@@ -91,7 +91,7 @@
 
 // Term numbers the lead of this replica.
 func (n *Node) Term() uint64 {
-	if term := n.settled.Load(); n.raft.State() == raft.Leader && n.raft.CurrentTerm() == term {
+	if term := n.readyTerm.Load(); n.raft.State() == raft.Leader && n.raft.CurrentTerm() == term {
 		return term
 	}
 	return 0
@@ -101,7 +101,7 @@
 func (n *Node) Confirm() error {
 	// A new leader may not have applied yet what its predecessors acknowledged.
 	at, term := time.Now(), n.raft.CurrentTerm()
-	if n.settled.Load() != term {
+	if n.readyTerm.Load() != term {
 		return ErrNotLeader
 	}
 	for range maxConfirmAttempts {
@@ -127,7 +127,7 @@
 			continue
 		}
 		voters++
-		if s.ID == raft.ServerID(n.cfg.Name) || n.wire.follows(s.ID, term, at) {
+		if s.ID == raft.ServerID(n.cfg.Name) || n.transport.follows(s.ID, term, at) {
 			with++
 		}
 	}
--- a/internal/registry/pipeline.go
+++ b/internal/registry/pipeline.go
@@ -6,7 +6,7 @@
 	"github.com/hashicorp/raft"
 )
 
-// AppendEntriesPipeline opens a stream of entries to a replica, which ends itself at the first answer that is no success.
+// AppendEntriesPipeline opens a pipeline of entries to a follower, which closes itself at the first rejection.
 func (t *transport) AppendEntriesPipeline(id raft.ServerID, target raft.ServerAddress) (raft.AppendPipeline, error) {
 	inner, err := t.NetworkTransport.AppendEntriesPipeline(id, target)
 	if err != nil {
@@ -17,12 +17,11 @@
 	return p, nil
 }
 
-// pipeline is raft's stream of entries to a replica, closed as soon as an answer is no success.
+// pipeline is raft's pipeline of entries to a follower, closed as soon as an entry is rejected.
 //
-// raft reads no further answers then (pipelineDecode), and closes the stream once the sender has noticed. A sender that
-// is under way by then hands its request over to be decoded, behind another one whose answer nobody takes any more:
-// both wait for each other, and the replica is sent nothing for as long as this one leads. A replica whose disk refuses an
-// entry, and that answers so before it closes, brings this about.
+// After a rejection raft's pipelineDecode reads no further answers and closes the stream once the sender has noticed. A
+// send in flight then queues its request behind one whose answer is never read: a deadlock, after which the follower
+// receives no entries in this term. A follower whose disk write fails and that answers before it closes causes this.
 type pipeline struct {
 	raft.AppendPipeline
 	answers chan raft.AppendFuture
--- a/internal/registry/recover_test.go
+++ b/internal/registry/recover_test.go
@@ -106,9 +106,9 @@
 		text, found := content(t, dir)
 		if len(found.Faults) > 0 {
 			faults++
-			var u *unsound
+			var u *corruptionError
 			if !errors.As(errors.Join(found.Faults...), &u) {
-				assert.ErrorIs(t, errors.Join(found.Faults...), errLater, "bit %d", bit)
+				assert.ErrorIs(t, errors.Join(found.Faults...), errNewerVersion, "bit %d", bit)
 			}
 		} else if text != want || i < 2*metaSize*8 {
 			t.Fatalf("bit %d of page %d: is not found", bit, bit/8/os.Getpagesize())
@@ -263,7 +263,7 @@
 	text, err := json.Marshal(mark)
 	require.NoError(t, err)
 	write(t, filepath.Join(newest, sealFile), text)
-	assert.ErrorIs(t, recoverDir(dir, quiet()), errLater)
+	assert.ErrorIs(t, recoverDir(dir, quiet()), errNewerVersion)
 	write(t, filepath.Join(newest, sealFile), seal)
 	// An old one that is spoilt is needless beside a newer one.
 	other, old := copied(t, dir), filepath.Join(snapshotsDir, found.Snapshots[1].Name)
@@ -325,11 +325,11 @@
 		}), "CurrentTerm: is 0"},
 		"a later form": {change(func(tx *bolt.Tx) error {
 			return tx.Bucket(aboutBucket).Put(formKey, summed(formKey, storeForm+1))
-		}), errLater.Error()},
+		}), errNewerVersion.Error()},
 		"a later entry": {change(func(tx *bolt.Tx) error {
 			later := []byte("\x02later")
 			return tx.Bucket(logBucket).Put(key(99), append(valueSum(nil, later), later...))
-		}), errLater.Error()},
+		}), errNewerVersion.Error()},
 	} {
 		dir := copied(t, made)
 		require.NoError(t, c.do(dir), name)
@@ -399,11 +399,11 @@
 		put(t, lead, fmt.Sprint("late", i), 1, 0)
 	}
 	until(t, "late4", func() bool { return strings.Contains(uids(t, f), "late4=") })
-	assert.False(t, lead.node.regressions.wentBack(raft.ServerID(f.cfg.Name)), "it only was away")
+	assert.False(t, lead.node.regressions.regressed(raft.ServerID(f.cfg.Name)), "it only was away")
 	f.end(t)
 	f.cfg.Dir = image
 	f.start(t)
-	until(t, "the leader's notice", func() bool { return lead.node.regressions.wentBack(raft.ServerID(f.cfg.Name)) })
+	until(t, "the leader's notice", func() bool { return lead.node.regressions.regressed(raft.ServerID(f.cfg.Name)) })
 	until(t, "late4 again", func() bool { return strings.Contains(uids(t, f), "late4=") })
 }
 
@@ -532,8 +532,8 @@
 		info, err := os.Stat(filepath.Join(cfg.Dir, storeFile))
 		require.NoError(t, err)
 		signal.Ignore(syscall.SIGXFSZ)
-		most := uint64(info.Size()) + childFileLimit
-		require.NoError(t, syscall.Setrlimit(syscall.RLIMIT_FSIZE, &syscall.Rlimit{Cur: most, Max: most}))
+		limit := uint64(info.Size()) + childFileLimit
+		require.NoError(t, syscall.Setrlimit(syscall.RLIMIT_FSIZE, &syscall.Rlimit{Cur: limit, Max: limit}))
 	}
 	n, err := Open(cfg)
 	if err == nil {
--- a/internal/registry/replicas.go
+++ b/internal/registry/replicas.go
@@ -1,8 +1,8 @@
 package registry
 
-// This file is how a replica is put in another's place: the new one learns without a vote (Learn), votes once it has
-// caught up (Promote), and then the old one goes (Retire). Each step may be asked for again; the last two are refused
-// unless a quorum of those that vote after them answers the leader as it is asked.
+// This file replaces a replica: the new one joins as a learner (Learn), becomes a voter once it has caught up (Promote),
+// and then the old one is removed (Retire). Each step may be repeated; the last two are rejected unless a quorum of the
+// voters after the change answers the leader.
 
 import (
 	"encoding/json"
@@ -54,7 +54,7 @@
 		if standing, ok := standings[name]; ok {
 			c.Member = standing
 		}
-		if at := n.wire.acknowledged(s.ID, term); leads && name == n.cfg.Name {
+		if at := n.transport.acknowledged(s.ID, term); leads && name == n.cfg.Name {
 			c.AckMS = 0
 		} else if leads && !at.IsZero() {
 			c.AckMS = time.Since(at).Milliseconds()
@@ -82,13 +82,13 @@
 
 // holds waits for a quorum of so many voters, and for one that has to be among them, to acknowledge what this replica
 // sends as leader from now on.
-func (n *Node) holds(all []raft.Server, with string) error {
+func (n *Node) awaitQuorum(all []raft.Server, with string) error {
 	term, startedAt := n.raft.CurrentTerm(), time.Now()
 	limit := startedAt.Add(replyTimeoutBeats * n.cfg.Beat)
 	for {
 		there, has := 0, with == ""
 		for _, s := range all {
-			if s.ID == raft.ServerID(n.cfg.Name) || n.wire.follows(s.ID, term, startedAt) {
+			if s.ID == raft.ServerID(n.cfg.Name) || n.transport.follows(s.ID, term, startedAt) {
 				there++
 				has = has || s.ID == raft.ServerID(with)
 			}
@@ -165,7 +165,7 @@
 	case s.Suffrage == raft.Voter:
 		return nil
 	}
-	if err := n.holds(append(voters(c, ""), s), name); err != nil {
+	if err := n.awaitQuorum(append(voters(c, ""), s), name); err != nil {
 		return err
 	}
 	if err := n.raft.AddVoter(s.ID, s.Address, index, applyTimeout).Error(); err != nil {
@@ -182,7 +182,7 @@
 		return err
 	}
 	if _, known := find(c, name); known {
-		if err := n.holds(voters(c, name), ""); err != nil {
+		if err := n.awaitQuorum(voters(c, name), ""); err != nil {
 			return err
 		}
 		if name == n.cfg.Name {
--- a/internal/registry/restore.go
+++ b/internal/registry/restore.go
@@ -74,7 +74,7 @@
 	}
 	state.members = map[string]string{} // each says for itself where it serves once it is one
 	out.Entries = state.Len()
-	return out, place(state, cfg, uint64(out.Epoch)<<electionBits)
+	return out, publishDir(state, cfg, uint64(out.Epoch)<<electionBits)
 }
 
 // readBackup reads a backup whole and finds what cannot be.
@@ -109,7 +109,7 @@
 }
 
 // place makes the folder of a cluster's first replica.
-func place(state *State, cfg Config, term uint64) error {
+func publishDir(state *State, cfg Config, term uint64) error {
 	dir := filepath.Clean(cfg.Dir)
 	parent, base := filepath.Split(dir)
 	parent = filepath.Clean(parent)
--- a/internal/registry/restore_notice.go
+++ b/internal/registry/restore_notice.go
@@ -17,20 +17,20 @@
 	*transport
 	log *slog.Logger
 
-	mu   sync.Mutex
-	term uint64
-	has  map[raft.ServerID]*acknowledged
+	mu        sync.Mutex
+	term      uint64
+	followers map[raft.ServerID]*acknowledged
 }
 
 // acknowledged is what a follower has acknowledged in a term.
 type acknowledged struct {
-	first uint64 // index before the first entry sent, as assumed by the leader
-	index uint64 // last index acknowledged
-	back  bool   // regressed, and logged
+	first     uint64 // index before the first entry sent, as assumed by the leader
+	index     uint64 // last index acknowledged
+	regressed bool   // regressed, and logged
 }
 
 func newRegressionDetector(t *transport, log *slog.Logger) *regressionDetector {
-	return &regressionDetector{transport: t, log: log, has: map[raft.ServerID]*acknowledged{}}
+	return &regressionDetector{transport: t, log: log, followers: map[raft.ServerID]*acknowledged{}}
 }
 
 // AppendEntries sends entries and looks at the answer.
@@ -51,12 +51,12 @@
 	}
 	if a.Term > t.term {
 		t.term = a.Term
-		clear(t.has)
+		clear(t.followers)
 	}
-	h := t.has[id]
+	h := t.followers[id]
 	if h == nil {
 		h = &acknowledged{first: a.PrevLogEntry}
-		t.has[id] = h
+		t.followers[id] = h
 	}
 	if a.PrevLogEntry > h.first { // raft moves on only past what was acknowledged, in a stream too
 		h.index = max(h.index, a.PrevLogEntry)
@@ -67,13 +67,13 @@
 	case r.LastLog < h.index:
 		t.log.Error("registry: a copy no longer has what it acknowledged: its disk lost it, or an old image of its folder "+
 			"was put back; replace-copy it, it may vote twice", "copy", id, "acknowledged", h.index, "has", r.LastLog)
-		h.first, h.index, h.back = a.PrevLogEntry, 0, true
+		h.first, h.index, h.regressed = a.PrevLogEntry, 0, true
 	}
 }
 
-// wentBack tells whether a replica was seen to go back in this lead.
-func (t *regressionDetector) wentBack(id raft.ServerID) bool {
+// regressed reports whether a follower's log has regressed in this term.
+func (t *regressionDetector) regressed(id raft.ServerID) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return t.has[id] != nil && t.has[id].back
+	return t.followers[id] != nil && t.followers[id].regressed
 }
--- a/internal/registry/restore_seen.go
+++ b/internal/registry/restore_seen.go
@@ -97,7 +97,7 @@
 		switch {
 		case seen == 0:
 		case n.raft.State() != raft.Leader:
-			if err := n.tellLeader(ctx, client, seen); err != nil {
+			if err := n.reportToLeader(ctx, client, seen); err != nil {
 				n.log.Debug("registry: the leader does not hear what a reader has seen", "error", err)
 			}
 		case n.Term() != 0 && (last.IsZero() || time.Since(last) > minEpochInterval):
@@ -113,8 +113,8 @@
 	return rev
 }
 
-// tellLeader says to the leader what a reader of this replica has seen; this replica may only lag.
-func (n *Node) tellLeader(ctx context.Context, client *http.Client, seen int64) error {
+// reportToLeader sends the leader the revision of a reader that is ahead of this replica, which may only lag.
+func (n *Node) reportToLeader(ctx context.Context, client *http.Client, seen int64) error {
 	_, leader := n.Leader()
 	if leader == "" {
 		return nil
--- a/internal/registry/routes_budgets.go
+++ b/internal/registry/routes_budgets.go
@@ -10,8 +10,8 @@
 	"marblelane/internal/route"
 )
 
-// answerUnits settles spent budget and grants requested budget for a batch of requests.
-func (r *routing) answerUnits(all []budgetCall) {
+// answerBudgetRequests settles spent budget and grants requested budget for a batch of requests.
+func (r *routing) answerBudgetRequests(all []budgetCall) {
 	answers, err := r.grant(all)
 	for i, a := range all {
 		if err != nil {
--- a/internal/registry/routes_lead.go
+++ b/internal/registry/routes_lead.go
@@ -112,7 +112,7 @@
 	var wg sync.WaitGroup
 	defer wg.Wait()
 	wg.Go(func() { gatherBatches(ctx, r.reportCalls, reportBatchWait, maxWaitingCalls, r.answerReports) })
-	wg.Go(func() { gatherBatches(ctx, r.budgetCalls, budgetBatchWait, maxWaitingCalls, r.answerUnits) })
+	wg.Go(func() { gatherBatches(ctx, r.budgetCalls, budgetBatchWait, maxWaitingCalls, r.answerBudgetRequests) })
 	wg.Go(func() { r.pollRevs(ctx) })
 	t := time.NewTicker(leaderTickInterval)
 	defer t.Stop()
--- a/internal/registry/routes_tenants.go
+++ b/internal/registry/routes_tenants.go
@@ -199,7 +199,7 @@
 		_, v, _ := route.ChooseSchema(r.planted.meant(table, []int{schema}), []int{schema})
 		alike = alike && v <= route.SameWhenDowngraded
 	}
-	if alike { // whoever there is
+	if alike { // for all processes
 		return nil
 	}
 	all, wait := r.relevantProcesses(l)
--- a/internal/registry/routes_test.go
+++ b/internal/registry/routes_test.go
@@ -115,7 +115,7 @@
 }
 
 // ask wants units for tenant a's rollout r; it gives what was granted in all.
-func (p *process) ask(t *testing.T, addr string, spent, want int64) int64 {
+func (p *process) requestBudget(t *testing.T, addr string, spent, want int64) int64 {
 	t.Helper()
 	code, text := call(t, "POST", addr, route.BudgetsPath, asJSON(t, route.BudgetRequest{Process: p.Process,
 		Budgets: []route.BudgetState{{Tenant: "a", Rollout: "r", Spent: spent, Wanted: want}}}))
@@ -443,7 +443,7 @@
 			got := int64(0)
 			until(t, "all units", func() bool {
 				one.report(t, lead.cfg.Listen)
-				got = one.ask(t, lead.cfg.Listen, 0, 10)
+				got = one.requestBudget(t, lead.cfg.Listen, 0, 10)
 				return got == 10
 			})
 			lead.end(t)
@@ -451,7 +451,7 @@
 			second := int64(0)
 			for range 5 { // while its predecessor's grants may be asked for
 				two.report(t, lead.cfg.Listen)
-				second = max(second, two.ask(t, lead.cfg.Listen, 0, 10))
+				second = max(second, two.requestBudget(t, lead.cfg.Listen, 0, 10))
 			}
 			if planted != "" {
 				assert.Positive(t, second, "the defect shows nothing")
@@ -459,7 +459,7 @@
 			}
 			assert.Zero(t, second, "units of a spent budget were granted again")
 			one.report(t, lead.cfg.Listen)
-			one.ask(t, lead.cfg.Listen, 10, 10)
+			one.requestBudget(t, lead.cfg.Listen, 10, 10)
 			v := view(t, lead.cfg.Listen)
 			require.Equal(t, rollout.RolledBack, v.Rollouts[0].Phase)
 			assert.Equal(t, int64(10), v.Rollouts[0].Spent)
@@ -478,7 +478,7 @@
 }
 
 // A leader without a quorum permits nothing, though it still takes itself for one.
-func TestLeader_partitionedGrantsNothing(t *testing.T) {
+func TestLeader_partitioned(t *testing.T) {
 	t.Parallel()
 	all := routed(t, 3, func(c *Config) { c.Beat = 200 * time.Millisecond })
 	lead := routesLeader(t, all)
@@ -756,7 +756,7 @@
 
 // A snapshot keeps the routes; one from before there were any is read, and written while there are none.
 func TestSnapshot_routes(t *testing.T) {
-	s := begun(10)
+	s := newStartedState(10)
 	base := rollout.Command{Op: rollout.OpBase, Tenant: "a", Base: route.Subset{Model: []string{"m"}}}
 	for _, c := range []*Command{{Op: OpTerm, TermMS: 5}, {Op: OpRoutes, Routes: &base},
 		{Op: OpAudit, Audit: []audit.Transition{{Process: route.Process{Name: "p", Start: 1}, Kind: audit.FirstReport, Rev: 1}},
@@ -766,11 +766,11 @@
 		require.NoError(t, err)
 		assert.Equal(t, before, s.Rev(), "the list's revision moved")
 	}
-	kept := must(s.save())
-	assert.Equal(t, savedForm, kept.Form)
+	stored := must(s.save())
+	assert.Equal(t, savedForm, stored.Form)
 	back := NewState(10)
-	require.NoError(t, back.load(kept))
-	assert.Equal(t, asJSON(t, kept), asJSON(t, must(back.save())))
+	require.NoError(t, back.load(stored))
+	assert.Equal(t, asJSON(t, stored), asJSON(t, must(back.save())))
 	assert.Equal(t, s.routes.Table(), back.routes.Table())
 	assert.Equal(t, 1, back.audit.Len())
 
--- a/internal/registry/routes_views.go
+++ b/internal/registry/routes_views.go
@@ -69,16 +69,16 @@
 	r.s.hub.read(func(s *State) {
 		table := s.routes.Table()
 		v.Rev, v.Table, v.Closed = s.routes.TenantRev(tenant), table.Rev, table.Closed
-		share := map[string]float64{}
+		fraction := map[string]float64{}
 		for _, one := range table.Routes {
 			if one.Tenant == tenant {
-				v.Base, share[rollout.RolloutName(one.Rollout)] = one.Base, one.Share
+				v.Base, fraction[rollout.RolloutName(one.Rollout)] = one.Base, one.Share
 			}
 		}
 		for _, one := range s.routes.RolloutsOf(tenant) {
 			g, spent, back := s.routes.BudgetTotals(tenant, one.Spec.Name)
 			v.Rollouts = append(v.Rollouts, RolloutView{Name: one.Spec.Name, To: one.Spec.SubsetName, Phase: one.Phase, Step: one.Step,
-				Steps: len(one.Spec.Steps), Share: share[one.Spec.Name], Rev: one.Rev, SinceMS: one.ChangedAtMS, Why: one.Reason,
+				Steps: len(one.Spec.Steps), Share: fraction[one.Spec.Name], Rev: one.Rev, SinceMS: one.ChangedAtMS, Why: one.Reason,
 				Budget: one.Spec.Budget, Granted: g, Spent: spent, Returned: back, Left: one.Spec.Budget - (g - back),
 				Evidence: min(l.controller.Evidence(tenant, one.Spec.Name), math.MaxFloat64), Note: one.Spec.Note})
 		}
--- a/internal/registry/state.go
+++ b/internal/registry/state.go
@@ -316,8 +316,8 @@
 	s.record(e)
 }
 
-// record gives a change its revision and keeps it. A count that is used up goes on in the next epoch, which is
-// simply the next number; the list is the same, so nobody has to be told it whole.
+// record assigns a revision to a change and keeps it in the history. A count that overflows continues in the next epoch,
+// the next number; the list is the same, so watches need no full list.
 func (s *State) record(e Entry) int64 {
 	s.rev++
 	s.history = append(s.history, change{s.rev, e})
@@ -370,8 +370,8 @@
 	TermMS int64           `json:"term_ms,omitempty"`
 }
 
-// The forms of snapshots; a newer one is refused. Form 1 has no routes. It is still written while there are none, so that
-// an earlier program can be put back where nobody has used them.
+// Versions of the snapshot format; a newer one is rejected. Version 1 has no routes. It is still written while there are
+// none, so that a downgrade is possible where routes are not used.
 const (
 	savedForm  = 2
 	formBefore = 1
--- a/internal/registry/state_test.go
+++ b/internal/registry/state_test.go
@@ -15,7 +15,7 @@
 	return &Entry{UID: uid, Endpoint: "127.0.0.1:1", Zone: "a", State: Ready, Capacity: 1, BootMS: boot}
 }
 
-func begun(keep int) *State {
+func newStartedState(keep int) *State {
 	s := NewState(keep)
 	if _, err := s.Apply(&Command{Op: OpBegin, Epoch: 5}); err != nil {
 		panic(err)
@@ -27,7 +27,7 @@
 // and no revision means two things.
 func TestState_readerCatchesUp(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		s := begun(rapid.IntRange(1, 10).Draw(t, "keep"))
+		s := newStartedState(rapid.IntRange(1, 10).Draw(t, "keep"))
 		type reader struct {
 			rev  int64
 			list map[string]Entry
@@ -92,7 +92,7 @@
 }
 
 func TestState_unknownRevisionGetsFullList(t *testing.T) {
-	s := begun(4)
+	s := newStartedState(4)
 	for i := range 20 {
 		if _, err := s.Apply(&Command{Op: OpPut, Entry: entry("s", int64(i))}); err != nil {
 			t.Fatal(err)
@@ -115,7 +115,7 @@
 }
 
 func TestState_repeatedWrites(t *testing.T) {
-	s := begun(100)
+	s := newStartedState(100)
 	zero := int64(0)
 	put := &Command{Op: OpPut, Entry: entry("s", 1), If: &zero, LeaseMS: 1000}
 	first, err := s.Apply(put)
@@ -148,7 +148,7 @@
 func ptr[T any](v T) *T { return &v }
 
 func TestState_drainedUntilRestart(t *testing.T) {
-	s := begun(100)
+	s := newStartedState(100)
 	for _, c := range []*Command{{Op: OpPut, Entry: entry("s", 10)}, {Op: OpDrain, UID: "s"}} {
 		if _, err := s.Apply(c); err != nil {
 			t.Fatal(err)
@@ -167,7 +167,7 @@
 
 // An expiry that was decided before a change does not undo it.
 func TestState_expiryOfObservedRevision(t *testing.T) {
-	s := begun(100)
+	s := newStartedState(100)
 	rev, _ := s.Apply(&Command{Op: OpPut, Entry: entry("s", 1), LeaseMS: 10})
 	if _, err := s.Apply(&Command{Op: OpPut, Entry: entry("s", 2), LeaseMS: 10}); err != nil {
 		t.Fatal(err)
@@ -194,7 +194,7 @@
 }
 
 func TestSnapshot_list(t *testing.T) {
-	s := begun(100)
+	s := newStartedState(100)
 	for i := range 5 {
 		if _, err := s.Apply(&Command{Op: OpPut, Entry: entry(fmt.Sprint("s", i), 1), LeaseMS: 50}); err != nil {
 			t.Fatal(err)
@@ -204,14 +204,14 @@
 		t.Fatal(err)
 	}
 	back := NewState(100)
-	kept, err := s.save()
+	stored, err := s.save()
 	if err != nil {
 		t.Fatal(err)
 	}
-	if kept.Form != formBefore {
-		t.Errorf("without routes the snapshot has form %d, which an earlier program does not read", kept.Form)
+	if stored.Form != formBefore {
+		t.Errorf("without routes the snapshot has form %d, which an earlier program does not read", stored.Form)
 	}
-	if err := back.load(kept); err != nil {
+	if err := back.load(stored); err != nil {
 		t.Fatal(err)
 	}
 	if !slices.Equal(back.All().Targets, s.All().Targets) || back.Rev() != s.Rev() || back.Members()["r1"] != "127.0.0.1:9" {
--- a/internal/registry/store.go
+++ b/internal/registry/store.go
@@ -95,8 +95,7 @@
 	return tx.Bucket(aboutBucket).Put(txKey, summed(txKey, uint64(tx.ID())))
 }
 
-// createStore makes the file under another name first: one that was cut off while it was made cannot be told from one
-// that was spoilt.
+// createStore creates the file under a temporary name first, as a partly created file looks like a corrupt one.
 func createStore(path string) error {
 	temp := path + tempSuffix
 	if err := os.Remove(temp); err != nil && !errors.Is(err, os.ErrNotExist) {
@@ -215,7 +214,7 @@
 		return fmt.Errorf("%w: entry %d has another checksum", errCorrupt, index)
 	}
 	if len(v) == 4 || v[4] != '{' { // the first byte is the form; that of this one is JSON's
-		return fmt.Errorf("%w: entry %d", errLater, index)
+		return fmt.Errorf("%w: entry %d", errNewerVersion, index)
 	}
 	*l = raft.Log{}
 	if err := json.Unmarshal(v[4:], l); err != nil {
@@ -315,12 +314,12 @@
 // currentTerm is the name under which raft keeps the term that a replica is in.
 const currentTerm = "CurrentTerm"
 
-// termStore keeps raft's values, and does not tell raft that its term could not be kept: raft panics then, on goroutines
-// of its own, and the process would end.
+// termStore stores raft's values, and hides from raft that its term could not be stored: raft would panic on a goroutine
+// of its own and end the process.
 //
-// Nothing rests on such a term. The store has failed, so it refuses each vote and each entry of the term as well, and
-// without its own vote on the disk a replica does not lead. What the replica may still say before it is closed is that it has
-// heard of the term; the majority that voted in it refuses earlier ones without this replica.
+// This is safe: the failed store rejects every vote and entry of the term as well, and a replica cannot lead without its
+// own vote on disk. Before it is closed the replica may only report the new term; the quorum that voted in that term
+// rejects earlier ones without this replica.
 type termStore struct{ *store }
 
 // SetUint64 keeps a number. Where that is the term and the store has failed, no error is given.
--- a/internal/registry/store_check.go
+++ b/internal/registry/store_check.go
@@ -19,39 +19,39 @@
 	bolt "go.etcd.io/bbolt"
 )
 
-// This file is what a replica looks at before it votes.
+// This file verifies the data directory before the replica votes.
 //
-// # The rule
+// # Invariant
 //
-// raft rests on this: what a replica has acknowledged, an entry or a vote, it still has. A replica that lost one and goes on
-// under its name can let entries be lost that a quorum had, or vote twice in one term.
+// raft requires that a replica keeps each entry and vote that it has acknowledged. One that lost any and continues under
+// its name can lose committed entries, or vote twice in one term.
 //
 // A write is acknowledged when its transaction has returned, and that is after two syncs: of all its pages, and of the
 // meta page that points to them. A power loss before the second returns leaves the transaction whole or not there, and
-// it was never acknowledged. So the torn tail of the log is not among the entries that can be read: what the newest
-// root does not reach is cut, and nobody was told of it. What the root does reach was synced before; if it cannot be
-// read, be it the last entry, it may have been acknowledged. Then the replica stops, whatever the place, and has to come
-// back under another name. The same holds for a meta page that is spoilt, as the other one is the state before.
+// it was never acknowledged. So a torn tail of the log is not reachable from the newest root; it is removed, as it was
+// never acknowledged. What the root reaches was synced before; if any of it cannot be read, even the last entry, it may
+// have been acknowledged. Then the replica stops and has to rejoin under another name. The same holds for a corrupt meta
+// page, as the other one points to the previous state.
 //
-// A snapshot repeats what the log had. One that was not finished is cut. One that is spoilt is set aside as long as an
-// older one and the log have everything without it; else the replica stops.
+// A snapshot repeats entries of the log. An unfinished one is removed. A corrupt one is set aside if an older one and the
+// log are complete without it; otherwise the replica stops.
 //
-// What this cannot notice: a disk that says it has synced and has not, and leaves an older state that is sound; a
-// folder that was put back whole from an old image. See noticing for what the leader sees of them.
+// Not detected: a disk that reports a sync without doing it and leaves an older consistent state; a directory rolled
+// back to an old disk image. See regressionDetector for how the leader detects these.
 
-// unsound is a folder from which a replica must not start.
-type unsound struct {
+// corruptionError is a data directory from which a replica must not start.
+type corruptionError struct {
 	Path string // file, with the bucket and the key or the index where there is one
 	Err  error
 }
 
-func (e *unsound) Error() string {
+func (e *corruptionError) Error() string {
 	return fmt.Sprintf("%s: %v; this copy must not start from it, as it may have acknowledged what is lost: move the "+
 		"folder away, start the copy under another name with join = true, and ask a copy that runs to replace-copy the old "+
 		"name; where none runs any more, `marblelane registry restore` founds a cluster from a backup", e.Path, e.Err)
 }
 
-func (e *unsound) Unwrap() error { return e.Err }
+func (e *corruptionError) Unwrap() error { return e.Err }
 
 const (
 	storeFile    = "raft.db"
@@ -68,8 +68,8 @@
 	Term, VotedTerm uint64 // the replica's own, and the last in which it voted
 	Vote            string // for whom
 	Snapshots       []FoundSnapshot
-	Cut             []string // what was never finished; a start removes it
-	Notes           []string // what is worth knowing and no fault
+	Cut             []string // unfinished files; a start removes them
+	Notes           []string // remarks that are no faults
 	Faults          []error
 
 	values     map[string][]byte
@@ -137,15 +137,15 @@
 }
 
 func (out *Found) fault(path string, err error) {
-	if errors.Is(err, errLater) {
+	if errors.Is(err, errNewerVersion) {
 		out.Faults = append(out.Faults, fmt.Errorf("%s: %w: start that program; the folder stays as it is", path, err))
 		return
 	}
-	out.Faults = append(out.Faults, &unsound{path, err})
+	out.Faults = append(out.Faults, &corruptionError{path, err})
 }
 
 // errLater is what a later program wrote and this one does not read.
-var errLater = errors.New("written by a later program")
+var errNewerVersion = errors.New("written by a later program")
 
 // store reads the log and the values.
 func (out *Found) store(path string, f io.ReaderAt, size int64, each func(*raft.Log)) error {
@@ -265,7 +265,7 @@
 		out.fault(entryAt(path, covered+1), fmt.Errorf("entries up to %d are missing", out.First-1))
 	}
 	for _, s := range out.Snapshots {
-		if errors.Is(s.Fault, errLater) {
+		if errors.Is(s.Fault, errNewerVersion) {
 			out.fault(filepath.Join(filepath.Dir(path), snapshotsDir, s.Name), s.Fault)
 		}
 	}
@@ -398,7 +398,7 @@
 		return false, errors.New("bucket about: has another checksum")
 	}
 	if f := binary.BigEndian.Uint64(form); f > storeForm {
-		return false, fmt.Errorf("%w: form %d, this one reads up to %d", errLater, f, storeForm)
+		return false, fmt.Errorf("%w: form %d, this one reads up to %d", errNewerVersion, f, storeForm)
 	}
 	if binary.BigEndian.Uint64(tx) != txid {
 		return false, nil
--- a/internal/registry/store_found.go
+++ b/internal/registry/store_found.go
@@ -4,10 +4,10 @@
 	"github.com/hashicorp/raft"
 )
 
-// halfFounded tells whether a founding was cut off. raft writes the term 1 first and the first entry, which says who
-// the replicas are, after it; a replica that has the one alone takes itself for founded and waits for ever. Nobody can have
-// told it anything in between, as raft did not run yet.
-func halfFounded(logs raft.LogStore, stable raft.StableStore, snaps raft.SnapshotStore) (bool, error) {
+// bootstrapInterrupted reports whether a bootstrap was interrupted. raft writes term 1 first, and the first entry with the
+// configuration after it; a replica with the term alone counts as bootstrapped and would wait for ever. It cannot have
+// received anything in between, as raft was not running.
+func bootstrapInterrupted(logs raft.LogStore, stable raft.StableStore, snaps raft.SnapshotStore) (bool, error) {
 	last, err := logs.LastIndex()
 	if err != nil || last > 0 {
 		return false, err
@@ -22,7 +22,7 @@
 	return err == nil && term == 1, nil
 }
 
-// foundOn writes the first entry, as raft's own founding does.
-func foundOn(logs raft.LogStore, c raft.Configuration) error {
+// completeBootstrap writes the first entry as raft's own bootstrap does.
+func completeBootstrap(logs raft.LogStore, c raft.Configuration) error {
 	return logs.StoreLog(&raft.Log{Index: 1, Term: 1, Type: raft.LogConfiguration, Data: raft.EncodeConfiguration(c)})
 }
--- a/internal/registry/store_snapshots.go
+++ b/internal/registry/store_snapshots.go
@@ -24,7 +24,7 @@
 // sync the folder in which both stand; raft then drops from the log what the snapshot has. So a seal is written beside
 // them, and both names and seal are synced before raft goes on.
 //
-// A snapshot that fails, on a full disk or at a sync, leaves the older ones and nothing of its own; raft tries again at
+// A snapshot that fails, on a full disk or at a sync, leaves the older ones and nothing of its own; raft retries at
 // its next interval.
 type snapshots struct {
 	*raft.FileSnapshotStore
@@ -79,7 +79,7 @@
 			err = errors.Join(err, os.RemoveAll(filepath.Join(s.dir, e.Name())))
 		}
 	}
-	if err != nil { // the next failure tries again, and the next start
+	if err != nil { // removed at the next failure or start
 		s.log.Warn("registry: an unfinished snapshot is left", "error", err)
 	}
 }
@@ -249,7 +249,7 @@
 	case mark.Sum != mark.sum():
 		return false, fmt.Errorf("%s: has another checksum", sealFile)
 	case mark.Form > sealForm:
-		return false, fmt.Errorf("%s: %w: form %d, this one reads up to %d", sealFile, errLater, mark.Form, sealForm)
+		return false, fmt.Errorf("%s: %w: form %d, this one reads up to %d", sealFile, errNewerVersion, mark.Form, sealForm)
 	case string(text) != string(exact):
 		return false, fmt.Errorf("%s: is not as it was written", sealFile)
 	case mark.Meta != crc32.Checksum(meta, castagnoli):
@@ -281,7 +281,7 @@
 		return false, fmt.Errorf("%s: %w", stateFile, err)
 	}
 	if in.Form > savedForm {
-		return false, fmt.Errorf("%s: %w: form %d, this one reads up to %d", stateFile, errLater, in.Form, savedForm)
+		return false, fmt.Errorf("%s: %w: form %d, this one reads up to %d", stateFile, errNewerVersion, in.Form, savedForm)
 	}
 	s.Rev = in.Rev
 	return unsealed, nil
--- a/internal/registry/supervisor.go
+++ b/internal/registry/supervisor.go
@@ -103,7 +103,7 @@
 // reopen opens the replica once its folder takes writes, and gives the pause before the next try, should it fail again. It
 // gives up without an error when ctx ends.
 func (s *Supervisor) reopen(ctx context.Context, wait time.Duration) (time.Duration, error) {
-	closed, said := time.Now(), ""
+	closed, lastError := time.Now(), ""
 	for {
 		select {
 		case <-ctx.Done():
@@ -119,8 +119,8 @@
 			return wait, nil
 		case !mayHeal(err):
 			return wait, err
-		case err.Error() != said:
-			said = err.Error()
+		case err.Error() != lastError:
+			lastError = err.Error()
 			log.Warn("registry: closed until the folder takes writes again", "dir", s.cfg.Dir, "error", err)
 		}
 	}
@@ -151,11 +151,11 @@
 	if errors.Is(err, syscall.EIO) {
 		return true // what could not be read may be sound
 	}
-	var spoilt *unsound
+	var spoilt *corruptionError
 	if errors.As(err, &spoilt) {
 		return false
 	}
-	for _, lasting := range []error{errLater, errCorrupt, os.ErrPermission, syscall.ENOTDIR} {
+	for _, lasting := range []error{errNewerVersion, errCorrupt, os.ErrPermission, syscall.ENOTDIR} {
 		if errors.Is(err, lasting) {
 			return false
 		}
--- a/internal/registry/supervisor_test.go
+++ b/internal/registry/supervisor_test.go
@@ -374,7 +374,7 @@
 }
 
 // Options that were reloaded hold after the replica was opened anew, be it before or while its disk failed.
-func TestSupervisor_reloadKept(t *testing.T) {
+func TestSupervisor_reload(t *testing.T) {
 	all := supervise(t, 1, nil)
 	one := all[0]
 	one.supervisor.Reload(Options{MaxStaleness: time.Hour, Batch: time.Millisecond})
@@ -388,7 +388,7 @@
 }
 
 // A replica is opened anew at the port that the system chose the first time.
-func TestSupervisor_portKept(t *testing.T) {
+func TestSupervisor_port(t *testing.T) {
 	bound := &net.TCPAddr{IP: net.IPv4(127, 0, 0, 1), Port: 12345}
 	for given, want := range map[string]string{
 		"127.0.0.1:0": "127.0.0.1:12345", "[::1]:0": "[::1]:12345", ":0": ":12345", "127.0.0.1:80": "127.0.0.1:80", "none": "none",
@@ -444,8 +444,8 @@
 		{&DiskError{Err: errors.New("disk")}, true},
 		{os.ErrNotExist, true},
 		{os.ErrPermission, false},
-		{&unsound{"raft.db", errCorrupt}, false},
-		{errLater, false},
+		{&corruptionError{"raft.db", errCorrupt}, false},
+		{errNewerVersion, false},
 	} {
 		assert.Equal(t, c.want, mayHeal(fmt.Errorf("registry: %w", c.err)), "%v", c.err)
 	}
--- a/internal/registry/transport.go
+++ b/internal/registry/transport.go
@@ -12,7 +12,7 @@
 //
 // It also records when an acknowledged request was sent. raft's own VerifyLeader accepts any answer received after the
 // call, also one to an earlier heartbeat: a leader that was suspended would confirm itself although another was elected.
-// The lab checks this with rule age-told, scenario registry-leader-frozen.
+// The lab checks this with scenario registry-leader-frozen.
 type transport struct {
 	*raft.NetworkTransport
 	retryInterval time.Duration // pause between two attempts
