--- a/internal/registry/agent_test.go
+++ b/internal/registry/agent_test.go
@@ -113,7 +113,7 @@
 	if code, _ := call(t, "POST", one.cfg.Listen, listPath+"/s1/drain", ""); code != 200 {
 		t.Fatal(code)
 	}
-	renewed := func() bool { // a renewal after the drain has told its agent
+	renewed := func() bool { // a renewal after the drain has reached the agent
 		one.node.server.leases.mu.Lock()
 		defer one.node.server.leases.mu.Unlock()
 		return time.Until(one.node.server.leases.ends["s1"]) > 550*time.Millisecond
--- a/internal/registry/node_test.go
+++ b/internal/registry/node_test.go
@@ -174,7 +174,7 @@
 	return strings.Join(all, " ")
 }
 
-// watcher follows one replica and checks what it is told.
+// watcher follows one replica and checks the lines it receives.
 type watcher struct {
 	lines chan List
 	stop  context.CancelFunc
@@ -278,7 +278,7 @@
 	}
 }
 
-// A burst is a few lines, and each revision is told once.
+// A burst becomes a few lines, and each revision is sent once.
 func TestWatch_burstBatched(t *testing.T) {
 	one := cluster(t, 1, func(c *Config) { c.Dir, c.Peers, c.Batch = "", nil, 200*time.Millisecond })[0]
 	w := watch(t, one.cfg.Listen, 0)
@@ -403,7 +403,7 @@
 	if code, _ := call(t, "POST", one.cfg.Listen, listPath+"/dies/renew", ""); code != 404 {
 		t.Errorf("the renewal of an ended lease: %d", code)
 	}
-	// Nobody renews any more: that looks like a cut-off, and all but the share that may end stay listed.
+	// No lease is renewed any more, as in a partition: all but the fraction that may expire stay listed.
 	until(t, "leases that are held", func() bool { return one.node.Server().Status().Held >= 7 })
 	if _, text := call(t, "GET", one.cfg.Listen, "/healthcheck", ""); !strings.Contains(text, "entries whose leases ended together are kept") {
 		t.Errorf("health says %s", text)
@@ -487,7 +487,7 @@
 	}
 }
 
-// All who come at once and come back when they are told get in, about as fast as the rate allows.
+// Clients that arrive together and return after their Retry-After are all admitted, at about the configured rate.
 func TestAdmission_retriesSucceed(t *testing.T) {
 	for _, crowd := range []int{10, 1000, 20_000} {
 		b := &bucket{level: 200}
@@ -531,7 +531,7 @@
 	return len(text), nil
 }
 
-// A watcher that is too far behind is ended, and has held nobody back meanwhile.
+// A watch that is too far behind is closed, and has delayed no other watch.
 func TestWatch_slowClientClosed(t *testing.T) {
 	one := cluster(t, 1, func(c *Config) { c.Dir, c.Peers = "", nil })[0]
 	s := one.node.Server()
--- a/internal/registry/routes_test.go
+++ b/internal/registry/routes_test.go
@@ -88,7 +88,7 @@
 	require.Equal(t, 200, code, text)
 }
 
-// process is a sidecar as the service hears it.
+// process is a sidecar as the registry sees it.
 type process struct {
 	route.Report
 	until time.Time // permitted
@@ -351,7 +351,7 @@
 	assert.Contains(t, text, `routes_processes{standing="shut out"} 0`)
 }
 
-// Each revision is told to who reads it alike, at any replica; the list and its revision stay as they were.
+// Each revision is sent to readers whose schemas can express it, by any replica; the list and its revision are unchanged.
 func TestRoutes_watch(t *testing.T) {
 	t.Parallel()
 	all := routed(t, 3, nil)
@@ -401,7 +401,7 @@
 			return code == 200
 		})
 	}
-	// told reads up to a revision. One before it may be there of which the answer was lost, and which was asked for again.
+	// told reads up to a revision. An earlier one may come first, whose answer was lost and which was requested again.
 	told := func(in *bufio.Reader, schema int, rev int64) {
 		got := next(in, schema).Rev
 		for got < rev {
@@ -426,8 +426,8 @@
 	all[0].node.hub.read(func(s *State) { assert.Equal(t, list, s.Rev()) })
 }
 
-// What is granted is on a quorum before it is told: a new leader grants no unit again, and undoes no rollback. With
-// the planted defect it does.
+// Grants are on a quorum before they are answered: a new leader grants no unit twice, and undoes no rollback. With the
+// planted defect it does.
 func TestGrants_leaderChange(t *testing.T) {
 	t.Parallel()
 	for _, planted := range []defect{"", grantUncommitted} {
@@ -449,7 +449,7 @@
 			lead.end(t)
 			lead = routesLeader(t, all)
 			second := int64(0)
-			for range 5 { // while its predecessor's grants may be asked for
+			for range 5 { // while grants of the earlier leader may be requested
 				two.report(t, lead.cfg.Listen)
 				second = max(second, two.requestBudget(t, lead.cfg.Listen, 0, 10))
 			}
@@ -667,7 +667,7 @@
 }
 
 // A new leader answers for windows before it led, from what it noted as a follower: that an attempt lies between a commit
-// and an end, that nobody acted before the one and after the other. What cuts into the life of a revision it does not know.
+// and an end, that no process acted before the one and after the other. What cuts into the life of a revision it does not know.
 func TestAudit_leaderChange(t *testing.T) {
 	t.Parallel()
 	all := routed(t, 3, nil)
@@ -720,7 +720,7 @@
 	for _, c := range []struct {
 		what     string
 		from, to time.Time
-		want     []audit.Verdict // of acts, rests
+		want     []audit.Verdict // of a process that acts, and of an idle one
 	}{
 		{"the whole", before, held, []audit.Verdict{audit.Did, audit.DidNot}},
 		{"before the commit", before.Add(-time.Hour), before, []audit.Verdict{audit.DidNot, audit.DidNot}},
--- a/internal/registry/state_test.go
+++ b/internal/registry/state_test.go
@@ -23,8 +23,8 @@
 	return s
 }
 
-// Whatever is written, and whenever a reader falls behind, what it is told leads it to exactly the list there is,
-// and no revision means two things.
+// After any writes and any lag of a reader, the changes it receives give exactly the current list, and no revision has
+// two meanings.
 func TestState_readerCatchesUp(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := newStartedState(rapid.IntRange(1, 10).Draw(t, "keep"))
--- a/internal/registry/supervisor_test.go
+++ b/internal/registry/supervisor_test.go
@@ -158,7 +158,7 @@
 	return out
 }
 
-// closed waits until the replica answers nobody.
+// closed waits until the replica answers no calls.
 func (c *supervised) closed(t *testing.T) {
 	t.Helper()
 	until(t, c.cfg.Name+" to close", func() bool { _, answers := c.status(); return !answers })
@@ -264,7 +264,7 @@
 			lead := leading(t, all)
 			require.True(t, register(all, "before"))
 			for _, c := range others(all, lead) {
-				c.plant(t, set) // they write nothing until they hear of the next term
+				c.plant(t, set) // they write nothing until they observe the next term
 			}
 			lead.plant(t, set)
 			register(all, "lost") // ends the lead
