--- a/internal/registry/agent.go
+++ b/internal/registry/agent.go
@@ -19,10 +19,10 @@
 // Agent registers one server and keeps it registered: once its health check passes, until its context ends; then it
 // marks it Terminating, waits for Drain so that all watches have received that, and removes it.
 //
-// It survives the service being away: it goes from replica to replica, for as long as it takes, and registers again where
-// its lease has ended; a server that somebody has drained meanwhile as one that drains. A start on a machine whose
-// clock was set back has an earlier time than the start before; where that one was drained, the list would not take
-// this one for a later start, so its first registration gives it a time right after.
+// It survives the service being away: it goes from replica to replica, for as long as it takes, and registers again
+// where its lease has ended; a server that somebody has drained meanwhile as one that drains. A start on a machine
+// whose clock was set back has an earlier time than the start before; where that one was drained, the list would not
+// take this one for a later start, so its first registration gives it a time right after.
 type Agent struct {
 	Copies []string // addresses of replicas, in order of preference
 	Entry  Entry
--- a/internal/registry/config.go
+++ b/internal/registry/config.go
@@ -44,8 +44,8 @@
 	Faults      string            `toml:"lab_faults"` // a file of the lab's, see package fault
 }
 
-// LoadConfig reads a replica's configuration. A file that cannot be opened or read for a moment is tried again, for up to
-// retry.StartLimit, which Open shares. Errors name file, line and key.
+// LoadConfig reads a replica's configuration. A file that cannot be opened or read for a moment is tried again, for up
+// to retry.StartLimit, which Open shares. Errors name file, line and key.
 func LoadConfig(path string) (Config, error) { return loadConfig(path, os.ReadFile) }
 
 func loadConfig(path string, readFile func(path string) ([]byte, error)) (Config, error) {
--- a/internal/registry/freshness.go
+++ b/internal/registry/freshness.go
@@ -82,8 +82,8 @@
 	fmt.Fprintf(w, "{\"rev\":%d}\n", rev)
 }
 
-// trackStaleness updates the staleness at each heartbeat interval until ctx ends: a leader confirms with a quorum, a follower
-// polls the leader.
+// trackStaleness updates the staleness at each heartbeat interval until ctx ends: a leader confirms with a quorum, a
+// follower polls the leader.
 func (n *Node) trackStaleness(ctx context.Context) {
 	client := &http.Client{Timeout: 5 * n.cfg.Beat, Transport: &http.Transport{MaxIdleConnsPerHost: 1}}
 	defer client.CloseIdleConnections()
--- a/internal/registry/leases.go
+++ b/internal/registry/leases.go
@@ -29,7 +29,8 @@
 	term    time.Duration
 }
 
-// minLeasesForHold: up to this many leased entries may all expire, as a fraction of so few does not indicate a partition.
+// minLeasesForHold: up to this many leased entries may all expire, as a fraction of so few does not indicate a
+// partition.
 const minLeasesForHold = 3
 
 func (l *leases) renew(uid string, term time.Duration, now time.Time) {
--- a/internal/registry/node_lead.go
+++ b/internal/registry/node_lead.go
@@ -10,7 +10,8 @@
 	"github.com/hashicorp/raft"
 )
 
-// handleNewLeadership makes the first writes of a new leader: the first epoch if there is none, and the HTTP addresses of the replicas.
+// handleNewLeadership makes the first writes of a new leader: the first epoch if there is none, and the HTTP addresses
+// of the replicas.
 func (n *Node) handleNewLeadership(ctx context.Context) {
 	for {
 		var leads bool
--- a/internal/registry/node_test.go
+++ b/internal/registry/node_test.go
@@ -649,7 +649,8 @@
 	if err := lead.node.store.db.Close(); err != nil { // every write fails from now on
 		t.Fatal(err)
 	}
-	// The write may be answered by the next leader, or not at all; it is not acknowledged by the replica that lost its disk.
+	// The write may be answered by the next leader, or not at all; it is not acknowledged by the replica that lost its
+	// disk.
 	call(t, "POST", lead.cfg.Listen, listPath+"/s2", `{"endpoint":"127.0.0.1:1"}`)
 	select {
 	case err := <-ended:
--- a/internal/registry/operators.go
+++ b/internal/registry/operators.go
@@ -27,8 +27,8 @@
 )
 
 // Operators is the operators' file: who may roll out what, and how the leader deals with processes. Absent keys stand
-// for the defaults of rollout.Options. Times and shares of processes hold from when a replica next begins to lead; tenants,
-// subsets and tokens at once.
+// for the defaults of rollout.Options. Times and shares of processes hold from when a replica next begins to lead;
+// tenants, subsets and tokens at once.
 type Operators struct {
 	Token       string            `toml:"operator_token" validate:"bytes=200"`
 	Term        tomlfile.Duration `toml:"term" validate:"omitempty,min=500ms,max=5m"`
--- a/internal/registry/replicas.go
+++ b/internal/registry/replicas.go
@@ -124,8 +124,8 @@
 	return c.Servers[i], true
 }
 
-// Learn lets a replica follow without a vote, if somebody answers where it is to be. It is the leader's to do, like Promote
-// and Retire.
+// Learn lets a replica follow without a vote, if somebody answers where it is to be. It is the leader's to do, like
+// Promote and Retire.
 func (n *Node) Learn(p Peer) error {
 	c, index, err := n.configuration()
 	if err != nil {
--- a/internal/registry/restore.go
+++ b/internal/registry/restore.go
@@ -25,11 +25,11 @@
 // takes a revision of it for one that it knows, takes its list whole, and lets nothing go back in silence.
 //
 // The folder is made beside its place and put there by one rename: it is there whole or not at all, and a restore that
-// was cut off can be run again. The cluster has one replica, the others join it with empty folders: replicas that found for
-// themselves beside it would be a majority without the backup. Its terms begin beyond what copies of a cluster before
-// can have reached by elections, so that one that comes back late does not lead it at once; but two that meet it can
-// raise theirs, and a quorum of the old cluster then takes the new one over. So the old replicas have to be ended for
-// good, or the new ones get other addresses for raft; what still answers is a reason not to restore.
+// was cut off can be run again. The cluster has one replica, the others join it with empty folders: replicas that found
+// for themselves beside it would be a majority without the backup. Its terms begin beyond what copies of a cluster
+// before can have reached by elections, so that one that comes back late does not lead it at once; but two that meet it
+// can raise theirs, and a quorum of the old cluster then takes the new one over. So the old replicas have to be ended
+// for good, or the new ones get other addresses for raft; what still answers is a reason not to restore.
 
 // Restored says what a restore has founded.
 type Restored struct {
--- a/internal/registry/routes_decisions.go
+++ b/internal/registry/routes_decisions.go
@@ -35,8 +35,8 @@
 	}
 }
 
-// tick returns the controller's decisions. Once it has decided to close a revision the controller grants no lease for it,
-// so reports need not wait for the commit.
+// tick returns the controller's decisions. Once it has decided to close a revision the controller grants no lease for
+// it, so reports need not wait for the commit.
 func (r *routing) tick(l *leadership) []rollout.Command {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/registry/routes_lead.go
+++ b/internal/registry/routes_lead.go
@@ -143,8 +143,8 @@
 	return l
 }
 
-// ensureLeadership returns the leadership of the current term and creates it when the term is new; nil if this replica does not
-// lead.
+// ensureLeadership returns the leadership of the current term and creates it when the term is new; nil if this replica
+// does not lead.
 func (r *routing) ensureLeadership() (*leadership, error) {
 	term, o := r.s.replica.Term(), r.s.o.Load().Operators
 	if term == 0 || o == nil {
--- a/internal/registry/routes_past.go
+++ b/internal/registry/routes_past.go
@@ -9,8 +9,9 @@
 	"time"
 )
 
-// This file is what each replica notes for the audit, leader or not, so that one that comes to lead can answer for times
-// before. It is in memory alone: neither costs a write to a disk. Two things are noted, both on the replica's monotonic clock:
+// This file is what each replica notes for the audit, leader or not, so that one that comes to lead can answer for
+// times before. It is in memory alone: neither costs a write to a disk. Two things are noted, both on the replica's
+// monotonic clock:
 //
 //   - by when it held each transition of the log. What a transition tells had come true by then.
 //   - that at some moment the leader had no newer revision of routes than this: each newer one was committed later. The
@@ -33,8 +34,8 @@
 	r.s.hub.read(func(s *State) { s.audit.Mark(r.clock(time.Now())) })
 }
 
-// handleNewestRev answers polls of followers with the newest routes revision, if this replica leads and no change is in flight: a
-// change in flight may be applied on a follower before it is applied here.
+// handleNewestRev answers polls of followers with the newest routes revision, if this replica leads and no change is in
+// flight: a change in flight may be applied on a follower before it is applied here.
 func (r *routing) handleNewestRev(w http.ResponseWriter, req *http.Request) {
 	if r.rejectIfOff(w) {
 		return
--- a/internal/registry/routes_reports.go
+++ b/internal/registry/routes_reports.go
@@ -13,9 +13,9 @@
 	"marblelane/internal/route"
 )
 
-// relevantProcesses returns the processes that have to read a table alike: those that reported to this leader or an earlier one
-// within ForgetAfter. Processes shut out for reading less than the minimum schema count until their last lease ends.
-// wait is positive while this leader may not know all of them yet.
+// relevantProcesses returns the processes that have to read a table alike: those that reported to this leader or an
+// earlier one within ForgetAfter. Processes shut out for reading less than the minimum schema count until their last
+// lease ends. wait is positive while this leader may not know all of them yet.
 func (r *routing) relevantProcesses(l *leadership) (all []SchemaSupport, wait time.Duration) {
 	now := time.Now()
 	known := withClockMargin(l.leaseTermMS, l.o.ClockMargin)
--- a/internal/registry/routes_requests.go
+++ b/internal/registry/routes_requests.go
@@ -92,8 +92,8 @@
 	return r.decode(text, v)
 }
 
-// optionalBody is body for a call whose body is optional: an empty one leaves v unchanged. Content-Length cannot tell, as it is
-// unknown for a chunked body.
+// optionalBody is body for a call whose body is optional: an empty one leaves v unchanged. Content-Length cannot tell,
+// as it is unknown for a chunked body.
 func (r *routing) optionalBody(w http.ResponseWriter, req *http.Request, limit int64, v any) *rejection {
 	text, f := readBody(w, req, limit)
 	if f != nil || len(text) == 0 {
--- a/internal/registry/routes_test.go
+++ b/internal/registry/routes_test.go
@@ -304,7 +304,8 @@
 	}
 }
 
-// A post that is sent twice is made once; another of its name, another beside it, and one on an old revision are refused.
+// A post that is sent twice is made once; another of its name, another beside it, and one on an old revision are
+// refused.
 func TestRollouts_repeatedPostsAndConflicts(t *testing.T) {
 	t.Parallel()
 	one := routed(t, 1, single)[0]
@@ -351,7 +352,8 @@
 	assert.Contains(t, text, `routes_processes{standing="shut out"} 0`)
 }
 
-// Each revision is sent to readers whose schemas can express it, by any replica; the list and its revision are unchanged.
+// Each revision is sent to readers whose schemas can express it, by any replica; the list and its revision are
+// unchanged.
 func TestRoutes_watch(t *testing.T) {
 	t.Parallel()
 	all := routed(t, 3, nil)
@@ -666,8 +668,9 @@
 	}
 }
 
-// A new leader answers for windows before it led, from what it noted as a follower: that an attempt lies between a commit
-// and an end, that no process acted before the one and after the other. What cuts into the life of a revision it does not know.
+// A new leader answers for windows before it led, from what it noted as a follower: that an attempt lies between a
+// commit and an end, that no process acted before the one and after the other. What cuts into the life of a revision it
+// does not know.
 func TestAudit_leaderChange(t *testing.T) {
 	t.Parallel()
 	all := routed(t, 3, nil)
--- a/internal/registry/store.go
+++ b/internal/registry/store.go
@@ -22,10 +22,11 @@
 // store keeps raft's log and its few values in one bbolt file. Each log entry and each value has a checksum, so that
 // one that the disk has spoilt stops the replica and is not replicated or applied.
 //
-// A failed write is reported on failed: raft relies on earlier writes, so the replica has to be closed. Nothing is written
-// after the first failure, even if the disk works again: the kernel may drop pages of a failed sync and report the next
-// sync as done. So the newest root in the file reaches only pages whose sync succeeded, whether or not that root itself
-// is on the disk; the first transaction after the file is reopened settles this, as it syncs a root of its own.
+// A failed write is reported on failed: raft relies on earlier writes, so the replica has to be closed. Nothing is
+// written after the first failure, even if the disk works again: the kernel may drop pages of a failed sync and report
+// the next sync as done. So the newest root in the file reaches only pages whose sync succeeded, whether or not that
+// root itself is on the disk; the first transaction after the file is reopened settles this, as it syncs a root of its
+// own.
 type store struct {
 	db                    *bolt.DB
 	mu                    sync.Mutex  // held during a write
--- a/internal/registry/store_check.go
+++ b/internal/registry/store_check.go
@@ -33,8 +33,8 @@
 // have been acknowledged. Then the replica stops and has to rejoin under another name. The same holds for a corrupt meta
 // page, as the other one points to the previous state.
 //
-// A snapshot repeats entries of the log. An unfinished one is removed. A corrupt one is set aside if an older one and the
-// log are complete without it; otherwise the replica stops.
+// A snapshot repeats entries of the log. An unfinished one is removed. A corrupt one is set aside if an older one and
+// the log are complete without it; otherwise the replica stops.
 //
 // Not detected: a disk that reports a sync without doing it and leaves an older consistent state; a directory rolled
 // back to an old disk image. See regressionDetector for how the leader detects these.
@@ -351,8 +351,8 @@
 	contentSumKey = []byte("log")
 )
 
-// contentSum is how many entries the log has, and the sum of their checksums: an old page in a new one's place, which a disk
-// leaves that says it has synced and has not, is sound in itself and shows here alone.
+// contentSum is how many entries the log has, and the sum of their checksums: an old page in a new one's place, which a
+// disk leaves that says it has synced and has not, is sound in itself and shows here alone.
 type contentSum struct{ count, sum uint64 }
 
 func (t *contentSum) add(k, v []byte) {
--- a/internal/registry/store_found.go
+++ b/internal/registry/store_found.go
@@ -4,9 +4,9 @@
 	"github.com/hashicorp/raft"
 )
 
-// bootstrapInterrupted reports whether a bootstrap was interrupted. raft writes term 1 first, and the first entry with the
-// configuration after it; a replica with the term alone counts as bootstrapped and would wait for ever. It cannot have
-// received anything in between, as raft was not running.
+// bootstrapInterrupted reports whether a bootstrap was interrupted. raft writes term 1 first, and the first entry with
+// the configuration after it; a replica with the term alone counts as bootstrapped and would wait for ever. It cannot
+// have received anything in between, as raft was not running.
 func bootstrapInterrupted(logs raft.LogStore, stable raft.StableStore, snaps raft.SnapshotStore) (bool, error) {
 	last, err := logs.LastIndex()
 	if err != nil || last > 0 {
--- a/internal/registry/store_pages.go
+++ b/internal/registry/store_pages.go
@@ -9,9 +9,9 @@
 	"io"
 )
 
-// pages reads the pages of a bbolt file with plain reads, to verify it before bbolt opens it. bbolt maps the file without
-// checks: a page that points beyond a truncated file ends the process by SIGBUS, and a corrupt page by a panic in a
-// goroutine of bbolt, which cannot be recovered.
+// pages reads the pages of a bbolt file with plain reads, to verify it before bbolt opens it. bbolt maps the file
+// without checks: a page that points beyond a truncated file ends the process by SIGBUS, and a corrupt page by a panic
+// in a goroutine of bbolt, which cannot be recovered.
 type pages struct {
 	f    io.ReaderAt
 	size int64 // of the file, in bytes
--- a/internal/registry/supervisor.go
+++ b/internal/registry/supervisor.go
@@ -14,8 +14,8 @@
 	"marblelane/internal/fault"
 )
 
-// DiskError is a write that a replica's folder has refused. The replica is closed: what it has on the disk shows once the
-// folder is read anew.
+// DiskError is a write that a replica's folder has refused. The replica is closed: what it has on the disk shows once
+// the folder is read anew.
 type DiskError struct{ Err error }
 
 // Error implements error.
@@ -100,8 +100,8 @@
 	}
 }
 
-// reopen opens the replica once its folder takes writes, and gives the pause before the next try, should it fail again. It
-// gives up without an error when ctx ends.
+// reopen opens the replica once its folder takes writes, and gives the pause before the next try, should it fail again.
+// It gives up without an error when ctx ends.
 func (s *Supervisor) reopen(ctx context.Context, wait time.Duration) (time.Duration, error) {
 	closed, lastError := time.Now(), ""
 	for {
@@ -145,8 +145,8 @@
 	return nil
 }
 
-// mayHeal tells whether what keeps a replica from being opened anew may pass by itself. Only what certainly does not ends
-// the replica; the rest, an address that somebody else holds too, is tried again.
+// mayHeal tells whether what keeps a replica from being opened anew may pass by itself. Only what certainly does not
+// ends the replica; the rest, an address that somebody else holds too, is tried again.
 func mayHeal(err error) bool {
 	if errors.Is(err, syscall.EIO) {
 		return true // what could not be read may be sound
@@ -163,8 +163,8 @@
 	return true
 }
 
-// writableCheckBytes is more than a replica writes at once, so that a disk which is about to be full again does not count
-// as writable.
+// writableCheckBytes is more than a replica writes at once, so that a disk which is about to be full again does not
+// count as writable.
 const writableCheckBytes = 1 << 20
 
 // checkWritable verifies that the data directory exists and accepts a file and its sync. A directory without a log is
--- a/internal/registry/supervisor_test.go
+++ b/internal/registry/supervisor_test.go
@@ -164,8 +164,8 @@
 	until(t, c.cfg.Name+" to close", func() bool { _, answers := c.status(); return !answers })
 }
 
-// serves waits until a replica serves all the entries. A replica that was just opened, a leader too, has not applied yet what
-// its log has.
+// serves waits until a replica serves all the entries. A replica that was just opened, a leader too, has not applied
+// yet what its log has.
 func (c *supervised) serves(t *testing.T, all ...string) {
 	t.Helper()
 	var missing []string
--- a/internal/registry/transport.go
+++ b/internal/registry/transport.go
@@ -88,8 +88,8 @@
 	return t.acked[id]
 }
 
-// SetHeartbeatHandler lets raft handle heartbeats. It does so as they come in, unlike all else, and is not waited for when
-// it shuts down: one that was under way then found the log closed, and raft panics where it cannot write.
+// SetHeartbeatHandler lets raft handle heartbeats. It does so as they come in, unlike all else, and is not waited for
+// when it shuts down: one that was under way then found the log closed, and raft panics where it cannot write.
 func (t *transport) SetHeartbeatHandler(handle func(raft.RPC)) {
 	t.NetworkTransport.SetHeartbeatHandler(func(rpc raft.RPC) {
 		t.beats.RLock()
--- a/internal/registry/verify.go
+++ b/internal/registry/verify.go
@@ -18,8 +18,8 @@
 	Epoch int64
 }
 
-// Verify reads a stopped replica's folder and changes nothing. The error is that it could not be read; what is wrong with
-// what was read stands in Faults.
+// Verify reads a stopped replica's folder and changes nothing. The error is that it could not be read; what is wrong
+// with what was read stands in Faults.
 func Verify(dir string) (*Verified, error) {
 	if _, err := os.Stat(dir); err != nil {
 		return nil, err
