--- a/internal/lab/client/client.go
+++ b/internal/lab/client/client.go
@@ -51,7 +51,7 @@
 	return b
 }
 
-// Look returns a request by its id.
+// Find finds a request that this log has recorded as sent, by its ID.
 func (b *RequestLog) Find(id uint64) (stock.ClientRequest, bool) {
 	p := &b.shards[id%16]
 	p.mu.RLock()
--- a/internal/registry/agent.go
+++ b/internal/registry/agent.go
@@ -17,21 +17,21 @@
 )
 
 // Agent registers one server and keeps it registered: once its health check passes, until its context ends; then it
-// marks it Terminating, waits until all have heard, and takes it off the list.
+// marks it Terminating, waits for Drain so that all watches have received that, and removes it.
 //
-// It survives the service being away: it goes from copy to copy, for as long as it takes, and registers again where
-// its lease has ended; a server that somebody has drained meanwhile as one that drains. A start on a machine whose
-// clock was set back has an earlier time than the start before; where that one was drained, the list would not take
-// this one for a later start, so its first registration gives it a time right after.
+// It survives the service being away: it goes from replica to replica, for as long as it takes, and registers again
+// where its lease has ended; a server that somebody has drained meanwhile as one that drains. A start on a machine
+// whose clock was set back has an earlier time than the start before; where that one was drained, the list would not
+// take this one for a later start, so its first registration gives it a time right after.
 type Agent struct {
-	Copies []string // addresses of copies, in order of preference
+	Copies []string // addresses of replicas, in order of preference
 	Entry  Entry
 	Lease  time.Duration // 15 s
 	Health string        // URL that answers 200 when the server can serve; empty: it always can
 	Drain  time.Duration // from Terminating until it is removed; 5 s
 	Log    *slog.Logger
 
-	at     int // the copy that answered last
+	at     int // the replica that answered last
 	client http.Client
 	gone   atomic.Bool
 }
@@ -47,7 +47,7 @@
 )
 
 // Run keeps the server registered until ctx ends, and takes it off in order. The time that this takes is bounded:
-// the drain and one call's time for each copy, twice.
+// the drain and one call's time for each replica, twice.
 func (a *Agent) Run(ctx context.Context) error {
 	orDuration(&a.Lease, 15*time.Second)
 	orDuration(&a.Drain, 5*time.Second)
@@ -64,7 +64,7 @@
 		return fmt.Errorf("register: %w", err)
 	}
 	a.client = http.Client{Transport: &http.Transport{DisableKeepAlives: true}}
-	registered, told, moved := false, false, false
+	registered, acknowledged, bootAdjusted := false, false, false
 	pause := backoff.ExponentialBackOff{InitialInterval: 75 * time.Millisecond, MaxInterval: 1500 * time.Millisecond,
 		Multiplier: 2, RandomizationFactor: 1. / 3} // from 50 ms to 100 ms at first, up to 1 s to 2 s
 	for ctx.Err() == nil {
@@ -83,10 +83,10 @@
 				if !registered {
 					a.Log.Info("register: listed", "uid", a.Entry.UID)
 				}
-				registered, told = true, true
+				registered, acknowledged = true, true
 				pause.Reset()
-			case errors.Is(err, ErrDrained) && !told && !moved:
-				moved, next = true, 0
+			case errors.Is(err, ErrDrained) && !acknowledged && !bootAdjusted:
+				bootAdjusted, next = true, 0
 				if boot, err := a.listedBoot(ctx); err == nil && boot >= a.Entry.BootMS {
 					a.Log.Warn("register: this start seems earlier than the one before; the clock was set back", "uid", a.Entry.UID)
 					a.Entry.BootMS = boot + 1
@@ -103,7 +103,7 @@
 		case <-time.After(next):
 		}
 	}
-	if !told {
+	if !acknowledged {
 		return nil
 	}
 	return a.leave()
@@ -113,7 +113,7 @@
 func (a *Agent) leave() error {
 	ctx, cancel := context.WithTimeout(context.Background(), time.Duration(len(a.Copies))*agentCall)
 	defer cancel()
-	_, err := a.try(ctx, http.MethodPost, "/drain", nil)
+	_, err := a.callAnyReplica(ctx, http.MethodPost, "/drain", nil)
 	if errors.Is(err, ErrUnknown) {
 		return nil // it is off already
 	}
@@ -126,7 +126,7 @@
 	}
 	ctx, cancel = context.WithTimeout(context.Background(), time.Duration(len(a.Copies))*agentCall)
 	defer cancel()
-	if _, gone := a.try(ctx, http.MethodDelete, "", nil); gone != nil {
+	if _, gone := a.callAnyReplica(ctx, http.MethodDelete, "", nil); gone != nil {
 		err = errors.Join(err, fmt.Errorf("register: its removal could not be told, its lease will end: %w", gone))
 	}
 	return err
@@ -148,7 +148,7 @@
 		return false
 	}
 	defer resp.Body.Close()
-	_, _ = io.Copy(io.Discard, io.LimitReader(resp.Body, maxWrite)) // only the status counts
+	_, _ = io.Copy(io.Discard, io.LimitReader(resp.Body, maxWriteBodyBytes)) // only the status counts
 	return resp.StatusCode == http.StatusOK
 }
 
@@ -158,7 +158,7 @@
 		var lease struct {
 			State string `json:"state"`
 		}
-		answer, err := a.try(ctx, http.MethodPost, "/renew", nil)
+		answer, err := a.callAnyReplica(ctx, http.MethodPost, "/renew", nil)
 		if err == nil && json.Unmarshal(answer, &lease) == nil && lease.State == Terminating {
 			a.Entry.State = Terminating // somebody drains it; it must not come back as a ready one
 		}
@@ -168,13 +168,13 @@
 	if err != nil {
 		return fmt.Errorf("register: %w", err)
 	}
-	_, err = a.try(ctx, http.MethodPost, "", body)
+	_, err = a.callAnyReplica(ctx, http.MethodPost, "", body)
 	return err
 }
 
 // listedBoot is the start time that the list has.
 func (a *Agent) listedBoot(ctx context.Context) (int64, error) {
-	answer, err := a.try(ctx, http.MethodGet, "", nil)
+	answer, err := a.callAnyReplica(ctx, http.MethodGet, "", nil)
 	if err != nil {
 		return 0, err
 	}
@@ -185,8 +185,8 @@
 	return e.BootMS, nil
 }
 
-// try makes a call at the copies in turn, from the one that answered last on.
-func (a *Agent) try(ctx context.Context, method, what string, body []byte) (answer []byte, failed error) {
+// callAnyReplica calls the replicas in turn, starting with the one that answered last.
+func (a *Agent) callAnyReplica(ctx context.Context, method, what string, body []byte) (answer []byte, failed error) {
 	for range a.Copies {
 		answer, err := a.call(ctx, a.Copies[a.at], method, what, body)
 		if err == nil || errors.Is(err, ErrUnknown) || errors.Is(err, ErrDrained) {
@@ -213,7 +213,7 @@
 		return nil, fmt.Errorf("register: %w", err)
 	}
 	defer resp.Body.Close()
-	text, err := io.ReadAll(io.LimitReader(resp.Body, maxWrite))
+	text, err := io.ReadAll(io.LimitReader(resp.Body, maxWriteBodyBytes))
 	switch {
 	case resp.StatusCode == http.StatusNotFound:
 		return nil, ErrUnknown
--- a/internal/registry/freshness_test.go
+++ b/internal/registry/freshness_test.go
@@ -32,23 +32,23 @@
 		{0, 0, 30, 14}, // more than was ever promised makes it no newer
 	} {
 		if c.asked > 0 {
-			f.offer(at(c.asked), c.rev)
+			f.observeLeader(at(c.asked), c.rev)
 		}
 		if got := f.since(c.has); c.want == 0 && !got.IsZero() || c.want > 0 && !got.Equal(at(c.want)) {
 			t.Fatalf("%+v: %v", c, got)
 		}
 	}
-	if f.lead(at(12)); !f.since(30).Equal(at(14)) {
+	if f.observeLeadership(at(12)); !f.since(30).Equal(at(14)) {
 		t.Error("it went back")
 	}
-	if f.lead(at(15)); !f.since(30).Equal(at(15)) {
+	if f.observeLeadership(at(15)); !f.since(30).Equal(at(15)) {
 		t.Error("a confirmed leader is not new")
 	}
 }
 
 // Steps of the wall clock reach the service where it reads the clock of its faults, and nowhere else: the lab's
 // copy-clock scenario proves something only as long as no other wall time is read.
-func TestWallClockIsReadInOnePlace(t *testing.T) {
+func TestWallClock_singleReader(t *testing.T) {
 	files, err := filepath.Glob("*.go")
 	if err != nil || len(files) < 5 {
 		t.Fatal(files, err)
@@ -68,7 +68,7 @@
 	}
 }
 
-func TestSlowDiskGivesTheLeadUp(t *testing.T) {
+func TestLeader_stepsDownOnSlowDisk(t *testing.T) {
 	files := map[string]string{}
 	all := cluster(t, 3, func(c *Config) {
 		files[c.Name] = filepath.Join(t.TempDir(), "faults.toml")
@@ -83,7 +83,7 @@
 	if err := fault.NewSet(0, 150*time.Millisecond, "").Write(files[old.cfg.Name]); err != nil {
 		t.Fatal(err)
 	}
-	for i := int64(0); i < slowWrites; i++ {
+	for i := int64(0); i < slowWritesToYield; i++ {
 		put(t, old, "s1", 2+i, 0)
 	}
 	var next *copyOf
@@ -95,7 +95,7 @@
 }
 
 // An answer to what was sent before a question confirms nothing about it.
-func TestOldAnswersConfirmNothing(t *testing.T) {
+func TestConfirm_staleAnswers(t *testing.T) {
 	tr := newTransport(nil, time.Second)
 	at := func(s int) time.Time { return time.Unix(int64(s), 0) }
 	tr.acknowledge("r1", 5, at(10))
--- a/internal/registry/members_test.go
+++ b/internal/registry/members_test.go
@@ -13,8 +13,8 @@
 	"marblelane/internal/membership"
 )
 
-// No step is taken that would leave less than a majority that answers. cmd/marblelane has a whole replacement.
-func TestCopiesStayWhereNoMajorityWould(t *testing.T) {
+// No step is taken that would leave less than a quorum that answers. cmd/marblelane has a whole replacement.
+func TestMembership_quorum(t *testing.T) {
 	all := cluster(t, 4, nil)
 	l := leader(t, all)
 	first := l.cfg.Name
@@ -33,7 +33,7 @@
 	}
 	nobody := Peer{Name: "r9", Raft: freePort(t), Serve: freePort(t)} // it does not run
 	before := l.node.Copies()
-	require.ErrorIs(t, l.node.Learn(nobody), ErrRefused)
+	require.ErrorIs(t, l.node.Learn(nobody), ErrRejected)
 	require.Len(t, l.node.Copies(), len(before), "nothing is left behind")
 	mute, err := net.Listen("tcp", nobody.Raft) // and now somebody does, who says nothing
 	require.NoError(t, err)
@@ -42,9 +42,9 @@
 	code, text := call(t, "POST", others[0].cfg.Listen, copiesPath+"/r9/promote", "")
 	require.Equal(t, 409, code)
 	require.Contains(t, text, "r9 does not answer")
-	require.ErrorIs(t, l.node.Promote("r7"), ErrRefused)
-	require.ErrorIs(t, l.node.Learn(Peer{Name: "r9", Raft: "127.0.0.1:1", Serve: "x"}), ErrRefused, "two of a name")
-	require.ErrorIs(t, l.node.Learn(Peer{Name: "r8", Raft: nobody.Raft, Serve: "x"}), ErrRefused, "two of an address")
+	require.ErrorIs(t, l.node.Promote("r7"), ErrRejected)
+	require.ErrorIs(t, l.node.Learn(Peer{Name: "r9", Raft: "127.0.0.1:1", Serve: "x"}), ErrRejected, "two of a name")
+	require.ErrorIs(t, l.node.Learn(Peer{Name: "r8", Raft: nobody.Raft, Serve: "x"}), ErrRejected, "two of an address")
 	require.NoError(t, l.node.Retire("r9"))
 	others[0].end(t)
 	code, text = call(t, "POST", l.cfg.Listen, copiesPath+"/"+others[1].cfg.Name+"/retire", "")
@@ -54,7 +54,7 @@
 	require.NoError(t, l.node.Retire(others[0].cfg.Name), "the dead one may go")
 }
 
-// withMembers makes copies members of a fleet, the first of them its seed.
+// withMembers makes replicas members of a fleet, the first of them its seed.
 func withMembers(t *testing.T, c *Config, bind, seed string) {
 	t.Helper()
 	f := file{Name: c.Name, Members: &membership.Section{Fleet: "f", Bind: bind, Seeds: []string{seed}, Interval: "50ms"}}
@@ -65,7 +65,7 @@
 }
 
 // What membership would refuse at each try is refused when the configuration is read.
-func TestMembersConfigurationNamesTheKey(t *testing.T) {
+func TestMembers_configErrors(t *testing.T) {
 	for key, f := range map[string]file{
 		"name": {Name: "a copy", Members: &membership.Section{Fleet: "f", Bind: "127.0.0.1:0"}},
 		"bind": {Name: "r0", Members: &membership.Section{Fleet: "f", Bind: ":7946"}},
@@ -83,7 +83,7 @@
 	return out
 }
 
-func TestStatusShowsWhatMembershipSays(t *testing.T) {
+func TestStatus_membership(t *testing.T) {
 	seed := freePort(t)
 	taken, err := net.Listen("tcp", freePort(t))
 	require.NoError(t, err)
@@ -101,7 +101,7 @@
 			return true
 		}
 	}
-	// Without its address a copy serves, and membership knows nothing of it.
+	// Without its address a replica serves, and membership knows nothing of it.
 	until(t, "two that are alive", stands(membership.Alive, membership.Alive, unknown))
 	code, _ := call(t, "GET", all[2].cfg.Listen, membersPath, "")
 	require.Equal(t, 503, code)
@@ -116,14 +116,14 @@
 	all[1].end(t)
 	until(t, "the one that left", stands(membership.Alive, membership.Gone, membership.Alive))
 	require.Len(t, status(t, all[0]).Copies, 3, "membership does not vote")
-	// A copy that takes no part any more does not go on saying what it saw last.
+	// A replica that takes no part any more does not go on saying what it saw last.
 	code, text = call(t, "POST", all[0].cfg.Listen, membersPath+"/leave", "")
 	require.Less(t, code, 300, text)
 	require.True(t, stands(unknown, unknown, unknown)())
 }
 
 // Watches of /members are counted, and a caller that takes nothing makes room.
-func TestMembersWatchIsBounded(t *testing.T) {
+func TestMembers_watchLimit(t *testing.T) {
 	one := cluster(t, 1, func(c *Config) { withMembers(t, c, "127.0.0.1:0", "127.0.0.1:1") })[0]
 	until(t, "its address", func() bool { return one.node.members.group.Load() != nil })
 	client := &http.Client{Transport: &http.Transport{}}
@@ -134,12 +134,12 @@
 		defer resp.Body.Close()
 		require.Equal(t, i == memberWatchers, resp.StatusCode == 503, "watch %d: %s", i, resp.Status)
 	}
-	require.Equal(t, writeWait, one.node.members.watchers.WriteTimeout) // package streamlimit holds a caller to it
+	require.Equal(t, lineWriteTimeout, one.node.members.watchers.WriteTimeout) // package streamlimit holds a caller to it
 	code, _ := call(t, "HEAD", one.cfg.Listen, membersPath+"?watch=1", "")
 	require.Equal(t, 405, code)
 }
 
-func TestMembersOff(t *testing.T) {
+func TestMembers_off(t *testing.T) {
 	one := cluster(t, 1, nil)[0]
 	stacks := make([]byte, 1<<20)
 	until(t, "no goroutine of it, nor of tests before", func() bool {
--- a/internal/registry/node.go
+++ b/internal/registry/node.go
@@ -24,13 +24,13 @@
 	"marblelane/internal/retry"
 )
 
-// Config is one copy of the service.
+// Config is one replica of the service.
 type Config struct {
-	Name   string // its name among the copies
+	Name   string // its name among the replicas
 	Listen string // where it serves readers and writers
-	Raft   string // where the copies talk to each other
+	Raft   string // where the replicas talk to each other
 	Dir    string // its folder; empty: it keeps nothing, for development alone
-	// Advertise is where the other copies reach raft; empty: as the peers have it, or where it listens.
+	// Advertise is where the other replicas reach raft; empty: as the peers have it, or where it listens.
 	Advertise string
 	Peers     []Peer // all copies of a cluster that is founded now, itself too; empty: it founds one alone or joins later
 	Join      bool   // wait to be added to a cluster, found none
@@ -45,38 +45,38 @@
 
 	Options
 
-	reopened bool // a copy was opened from the folder before: one without a log is not the copy's
+	reopened bool // a replica was opened from the folder before: one without a log is not the replica's
 }
 
-// Peer is a copy as others know it.
+// Peer is a replica as others know it.
 type Peer struct {
 	Name  string `toml:"name" json:"name"`
 	Raft  string `toml:"raft" json:"raft"`
 	Serve string `toml:"serve" json:"serve"`
 }
 
-// Node is one running copy.
+// Node is one running replica.
 type Node struct {
-	cfg     Config
-	raft    *raft.Raft
-	wire    *transport
-	notice  *noticing
-	readers readers
-	fresh   freshness
-	hub     *hub
-	server  *Server
-	members *members // nil: off
-	http    *http.Server
-	listen  net.Listener
-	raftAt  net.Addr // where raft listens
-	kept    *store   // nil: nothing is kept
-	close   []func() error
-	log     *slog.Logger
-	// settled is the last term in which this copy led and had applied all that was committed before it.
-	settled atomic.Uint64
+	cfg         Config
+	raft        *raft.Raft
+	transport   *transport
+	regressions *regressionDetector
+	readers     readerRevisions
+	fresh       freshness
+	hub         *hub
+	server      *Server
+	members     *members // nil: off
+	http        *http.Server
+	listen      net.Listener
+	raftAt      net.Addr // where raft listens
+	store       *store   // nil: nothing is kept
+	close       []func() error
+	log         *slog.Logger
+	// settled is the last term in which this replica led and had applied all that was committed before it.
+	readyTerm atomic.Uint64
 }
 
-// Open starts the copy's raft and binds its address; Run serves.
+// Open starts the replica's raft and binds its address; Run serves.
 func Open(cfg Config) (n *Node, err error) {
 	cfg.defaults()
 	if cfg.Keep == 0 {
@@ -116,95 +116,130 @@
 	return n, nil
 }
 
-// openRaft opens the log and the snapshots, and founds the cluster if this is the first start of a founder.
+// openRaft opens the storage and the transport, bootstraps the cluster at the first start of a founder, and starts raft.
 func (n *Node) openRaft(start *retry.Start) error {
+	c := n.raftConfig()
+	st, err := n.openStorage(c.Logger)
+	if err != nil {
+		return err
+	}
+	wire, err := n.openTransport(start, c.Logger)
+	if err != nil {
+		return err
+	}
+	if err := n.bootstrap(c, st, wire); err != nil {
+		return err
+	}
+	if n.raft, err = raft.NewRaft(c, (*machine)(n), st.logs, st.stable, st.snaps, n.regressions); err != nil {
+		return fmt.Errorf("registry: raft: %w", err)
+	}
+	n.transport.wanted = n.follows
+	n.close = append(n.close, func() error {
+		ended := n.raft.Shutdown()
+		n.transport.stop() // raft waits for pending sends
+		return ended.Error()
+	})
+	if err := n.diskFailure(); err != nil {
+		return &DiskError{Err: err}
+	}
+	return nil
+}
+
+// raftConfig derives raft's timeouts from the heartbeat interval.
+func (n *Node) raftConfig() *raft.Config {
 	c := raft.DefaultConfig()
 	c.LocalID = raft.ServerID(n.cfg.Name)
 	c.HeartbeatTimeout, c.ElectionTimeout = 5*n.cfg.Beat, 5*n.cfg.Beat
-	c.LeaderLeaseTimeout = 3 * n.cfg.Beat // a leader that is cut off steps down before others elect another
+	c.LeaderLeaseTimeout = 3 * n.cfg.Beat // a partitioned leader steps down before the others elect a new one
 	c.CommitTimeout = 10 * time.Millisecond
 	c.SnapshotInterval, c.SnapshotThreshold, c.TrailingLogs = 30*time.Second, 8192, 4096
-	// raft logs through hclog; what matters of it is told as the copy's own state.
+	// raft's own log is discarded; its relevant state is in this replica's status and log.
 	c.Logger = hclog.New(&hclog.LoggerOptions{Name: "raft", Output: io.Discard, Level: hclog.Error})
+	return c
+}
+
+// storage is what raft persists: its log, its term and vote, and snapshots.
+type storage struct {
+	logs   raft.LogStore
+	stable raft.StableStore
+	snaps  raft.SnapshotStore
+}
 
-	var logs raft.LogStore
-	var stable raft.StableStore
-	var snaps raft.SnapshotStore
+// openStorage opens the data directory, after recovery, or storage in memory if none is configured.
+func (n *Node) openStorage(logger hclog.Logger) (*storage, error) {
 	if n.cfg.Dir == "" {
 		mem := raft.NewInmemStore()
-		logs, stable, snaps = mem, mem, raft.NewInmemSnapshotStore()
-	} else {
-		if n.cfg.reopened {
-			if _, err := os.Stat(filepath.Join(n.cfg.Dir, storeFile)); err != nil {
-				return fmt.Errorf("registry: %w", err)
-			}
-		}
-		release, err := takeDir(n.cfg.Dir)
-		if err != nil {
-			return fmt.Errorf("registry: %w", err)
-		}
-		n.close = append(n.close, release)
-		if err := recoverDir(n.cfg.Dir, n.log); err != nil {
-			return fmt.Errorf("registry: %w", err)
-		}
-		kept, err := openStore(filepath.Join(n.cfg.Dir, storeFile), n.cfg.SlowDisk, n.cfg.Faults)
-		if err != nil {
-			return fmt.Errorf("registry: log: %w", err)
-		}
-		n.kept = kept
-		kept.say = func(err error) { n.log.Error("registry: the disk takes no more", "error", err) }
-		n.close = append(n.close, kept.Close)
-		files, err := openSnapshots(n.cfg.Dir, c.Logger, n.log)
-		if err != nil {
-			return fmt.Errorf("registry: snapshots in %s: %w", n.cfg.Dir, err)
+		return &storage{mem, mem, raft.NewInmemSnapshotStore()}, nil
+	}
+	if n.cfg.reopened {
+		if _, err := os.Stat(filepath.Join(n.cfg.Dir, storeFile)); err != nil {
+			return nil, fmt.Errorf("registry: %w", err)
 		}
-		logs, stable, snaps = kept, termStore{kept}, files
 	}
+	release, err := takeDir(n.cfg.Dir)
+	if err != nil {
+		return nil, fmt.Errorf("registry: %w", err)
+	}
+	n.close = append(n.close, release)
+	if err := recoverDir(n.cfg.Dir, n.log); err != nil {
+		return nil, fmt.Errorf("registry: %w", err)
+	}
+	file, err := openStore(filepath.Join(n.cfg.Dir, storeFile), n.cfg.SlowDisk, n.cfg.Faults)
+	if err != nil {
+		return nil, fmt.Errorf("registry: log: %w", err)
+	}
+	n.store = file
+	file.onFailure = func(err error) { n.log.Error("registry: the disk takes no more", "error", err) }
+	n.close = append(n.close, file.Close)
+	files, err := openSnapshots(n.cfg.Dir, logger, n.log)
+	if err != nil {
+		return nil, fmt.Errorf("registry: snapshots in %s: %w", n.cfg.Dir, err)
+	}
+	return &storage{file, termStore{file}, files}, nil
+}
+
+// openTransport listens for raft and sets up the transport; a busy address is retried until start gives up.
+func (n *Node) openTransport(start *retry.Start, logger hclog.Logger) (*transport, error) {
 	var streams *layer
 	if err := start.Do("raft", func() (failed error) {
 		streams, failed = listenRaft(n.cfg.Raft, n.cfg.advertised())
 		return failed
 	}); err != nil {
-		return fmt.Errorf("registry: raft at %s: %w", n.cfg.Raft, err)
+		return nil, fmt.Errorf("registry: raft at %s: %w", n.cfg.Raft, err)
 	}
 	wire := newTransport(raft.NewNetworkTransportWithConfig(&raft.NetworkTransportConfig{
-		Stream: streams, MaxPool: 3, Timeout: 10 * n.cfg.Beat, Logger: c.Logger}), n.cfg.Beat)
+		Stream: streams, MaxPool: 3, Timeout: 10 * n.cfg.Beat, Logger: logger}), n.cfg.Beat)
 	n.raftAt = streams.Listener.Addr()
-	n.wire, n.notice = wire, newNoticing(wire, n.log)
+	n.transport, n.regressions = wire, newRegressionDetector(wire, n.log)
 	n.close = append(n.close, func() error {
-		wire.CloseStreams() // the other copies' ends of them end with it
+		wire.CloseStreams() // closes the other replicas' ends, too
 		return wire.Close()
 	})
-	old, err := raft.HasExistingState(logs, stable, snaps)
+	return wire, nil
+}
+
+// bootstrap writes the founding configuration at the first start of a founder, or completes one that was interrupted.
+// It runs before raft does: a replica that has taken part in an election must not bootstrap any more.
+func (n *Node) bootstrap(c *raft.Config, st *storage, wire *transport) error {
+	old, err := raft.HasExistingState(st.logs, st.stable, st.snaps)
 	if err != nil {
 		return fmt.Errorf("registry: %w", err)
 	}
-	if !old && !n.cfg.Join {
-		// Before raft runs: a copy that has heard another one's election does not found any more.
-		if err := raft.BootstrapCluster(c, logs, stable, snaps, wire, n.founders(wire)); err != nil {
-			return fmt.Errorf("registry: found a cluster: %w", err)
-		}
+	if n.cfg.Join {
+		return nil
 	}
-	if old && !n.cfg.Join {
-		half, err := halfFounded(logs, stable, snaps)
-		if err == nil && half {
-			err = foundOn(logs, n.founders(wire))
-		}
-		if err != nil {
-			return fmt.Errorf("registry: found a cluster that was cut off: %w", err)
+	if !old {
+		if err := raft.BootstrapCluster(c, st.logs, st.stable, st.snaps, wire, n.founders(wire)); err != nil {
+			return fmt.Errorf("registry: found a cluster: %w", err)
 		}
+		return nil
 	}
-	if n.raft, err = raft.NewRaft(c, (*machine)(n), logs, stable, snaps, n.notice); err != nil {
-		return fmt.Errorf("registry: raft: %w", err)
+	half, err := bootstrapInterrupted(st.logs, st.stable, st.snaps)
+	if err == nil && half {
+		err = completeBootstrap(st.logs, n.founders(wire))
 	}
-	n.wire.wanted = n.follows
-	n.close = append(n.close, func() error {
-		ended := n.raft.Shutdown()
-		n.wire.stop() // raft waits for what it sends
-		return ended.Error()
-	})
-	if err := n.diskFailure(); err != nil {
-		return &DiskError{Err: err}
+	if err != nil {
+		return fmt.Errorf("registry: found a cluster that was cut off: %w", err)
 	}
 	return nil
 }
@@ -236,13 +271,13 @@
 	defer wg.Wait()
 	defer cancel()
 	wg.Go(func() { n.server.Run(ctx) })
-	wg.Go(func() { n.lead(ctx) })
-	wg.Go(func() { n.follow(ctx) })
+	wg.Go(func() { n.handleNewLeadership(ctx) })
+	wg.Go(func() { n.trackStaleness(ctx) })
 	wg.Go(func() { n.heed(ctx) })
 	if n.members != nil {
 		wg.Go(func() { n.members.run(ctx) })
 	}
-	if n.kept != nil {
+	if n.store != nil {
 		wg.Go(func() { n.watchDisk(ctx) })
 	}
 	failed := make(chan error, 1)
@@ -253,8 +288,8 @@
 	n.log.Info("registry: serves", "name", n.cfg.Name, "listen", n.Addr())
 	var broken error
 	var disk <-chan error
-	if n.kept != nil {
-		disk = n.kept.failed
+	if n.store != nil {
+		disk = n.store.failed
 	}
 	select {
 	case err := <-failed:
@@ -284,8 +319,8 @@
 }
 
 const (
-	slowWrites = 3           // in a row, after which a leader's disk counts as slow
-	yieldPause = time.Minute // between two tries to give the lead up: where all disks are slow it would only wander
+	slowWritesToYield = 3           // in a row, after which a leader's disk counts as slow
+	minYieldInterval  = time.Minute // between two attempts to give the lead up: where all disks are slow it would only wander
 )
 
 // result is what the machine gives back for a command.
@@ -294,7 +329,7 @@
 	err error
 }
 
-// Apply carries out a command once a majority has it.
+// Apply carries out a command once a quorum has it.
 func (n *Node) Apply(c *Command, wait time.Duration) (int64, error) {
 	data, err := json.Marshal(c)
 	if err != nil {
@@ -316,23 +351,23 @@
 	return r.rev, r.err
 }
 
-// confirmTries is enough for one answer of each of eight other copies that was under way when the first try began.
-const confirmTries = 9
+// maxConfirmAttempts covers one stale answer, in flight when the first attempt began, of each of eight other replicas.
+const maxConfirmAttempts = 9
 
-// Add makes another copy a member of the cluster, a voter. It is the leader's to do.
+// Add makes another replica a member of the cluster, a voter. It is the leader's to do.
 func (n *Node) Add(p Peer) error {
-	if err := n.raft.AddVoter(raft.ServerID(p.Name), raft.ServerAddress(p.Raft), 0, applyWait).Error(); err != nil {
+	if err := n.raft.AddVoter(raft.ServerID(p.Name), raft.ServerAddress(p.Raft), 0, applyTimeout).Error(); err != nil {
 		return fmt.Errorf("registry: add %s: %w", p.Name, err)
 	}
-	_, err := n.Apply(&Command{Op: OpMember, UID: p.Name, Address: p.Serve}, applyWait)
+	_, err := n.Apply(&Command{Op: OpMember, UID: p.Name, Address: p.Serve}, applyTimeout)
 	return err
 }
 
-// Remove takes a copy out of the cluster. It is the leader's to do.
+// Remove takes a replica out of the cluster. It is the leader's to do.
 func (n *Node) Remove(name string) error {
-	if err := n.raft.RemoveServer(raft.ServerID(name), 0, applyWait).Error(); err != nil {
+	if err := n.raft.RemoveServer(raft.ServerID(name), 0, applyTimeout).Error(); err != nil {
 		return fmt.Errorf("registry: remove %s: %w", name, err)
 	}
-	_, err := n.Apply(&Command{Op: OpMember, UID: name}, applyWait)
+	_, err := n.Apply(&Command{Op: OpMember, UID: name}, applyTimeout)
 	return err
 }
--- a/internal/registry/node_test.go
+++ b/internal/registry/node_test.go
@@ -26,7 +26,7 @@
 
 const patience = 20 * time.Second
 
-// copyOf is a copy under test that can be stopped and started again.
+// copyOf is a replica under test that can be stopped and started again.
 type copyOf struct {
 	cfg   Config
 	node  *Node
@@ -78,7 +78,7 @@
 	return ""
 }
 
-// cluster starts n copies and waits for their leader and its first writes.
+// cluster starts n replicas and waits for their leader and its first writes.
 func cluster(t *testing.T, n int, change func(*Config)) []*copyOf {
 	t.Helper()
 	var peers []Peer
@@ -100,7 +100,7 @@
 	return all
 }
 
-// leader waits until one copy leads and all that run know it and the beginning of the history.
+// leader waits until one replica leads and all that run know it and the beginning of the history.
 func leader(t *testing.T, all []*copyOf) *copyOf {
 	t.Helper()
 	var found *copyOf
@@ -174,7 +174,7 @@
 	return strings.Join(all, " ")
 }
 
-// watcher follows one copy and checks what it is told.
+// watcher follows one replica and checks the lines it receives.
 type watcher struct {
 	lines chan List
 	stop  context.CancelFunc
@@ -229,7 +229,7 @@
 	}
 }
 
-func TestOneCopy(t *testing.T) {
+func TestRegistry_singleReplica(t *testing.T) {
 	all := cluster(t, 1, func(c *Config) { c.Dir, c.Peers = "", nil })
 	one := all[0]
 	w := watch(t, one.cfg.Listen, 0)
@@ -278,8 +278,8 @@
 	}
 }
 
-// A burst is a few lines, and each revision is told once.
-func TestBurstIsGathered(t *testing.T) {
+// A burst becomes a few lines, and each revision is sent once.
+func TestWatch_burstBatched(t *testing.T) {
 	one := cluster(t, 1, func(c *Config) { c.Dir, c.Peers, c.Batch = "", nil, 200*time.Millisecond })[0]
 	w := watch(t, one.cfg.Listen, 0)
 	last := w.next(t).Rev
@@ -300,7 +300,7 @@
 	}
 }
 
-func TestThreeCopies(t *testing.T) {
+func TestRegistry_threeReplicas(t *testing.T) {
 	all := cluster(t, 3, nil)
 	lead := leader(t, all)
 	var follower *copyOf
@@ -331,7 +331,7 @@
 		until(t, "both entries at "+c.cfg.Name, func() bool { return uids(t, c) == "s1=Ready s2=Ready" })
 	}
 
-	// Without a majority writes are refused, at once once the leader knows; reads go on.
+	// Without a quorum writes are refused, at once once the leader knows; reads go on.
 	var alone *copyOf
 	for _, c := range all {
 		if alone == nil {
@@ -344,10 +344,10 @@
 		me, leader := alone.node.Leader()
 		return !me && leader == ""
 	})
-	began := time.Now()
+	startedAt := time.Now()
 	code, text := call(t, "POST", alone.cfg.Listen, listPath+"/s3", `{"endpoint":"127.0.0.1:1"}`)
-	if code != 503 || !strings.Contains(text, "no majority") || time.Since(began) > applyWait/2 {
-		t.Errorf("a write without a majority: %d %s after %v", code, text, time.Since(began))
+	if code != 503 || !strings.Contains(text, "no majority") || time.Since(startedAt) > applyTimeout/2 {
+		t.Errorf("a write without a majority: %d %s after %v", code, text, time.Since(startedAt))
 	}
 	if got := uids(t, alone); got != "s1=Ready s2=Ready" {
 		t.Errorf("it reads %s", got)
@@ -357,7 +357,7 @@
 	}
 }
 
-func TestCopiesAreAddedAndRemoved(t *testing.T) {
+func TestMembership_addRemove(t *testing.T) {
 	one := cluster(t, 1, nil)[0]
 	put(t, one, "s1", 1, 0)
 	two := &copyOf{cfg: Config{Name: "r9", Listen: freePort(t), Raft: freePort(t), Join: true, Beat: 50 * time.Millisecond,
@@ -403,7 +403,7 @@
 	if code, _ := call(t, "POST", one.cfg.Listen, listPath+"/dies/renew", ""); code != 404 {
 		t.Errorf("the renewal of an ended lease: %d", code)
 	}
-	// Nobody renews any more: that looks like a cut-off, and all but the share that may end stay listed.
+	// No lease is renewed any more, as in a partition: all but the fraction that may expire stay listed.
 	until(t, "leases that are held", func() bool { return one.node.Server().Status().Held >= 7 })
 	if _, text := call(t, "GET", one.cfg.Listen, "/healthcheck", ""); !strings.Contains(text, "entries whose leases ended together are kept") {
 		t.Errorf("health says %s", text)
@@ -430,7 +430,7 @@
 
 // A cut-off ends leases one after the other, as servers renew at different times; it takes no more than the share off
 // the list. Servers that die now and then are taken off all the same.
-func TestCutOffEndsNoMoreThanTheShare(t *testing.T) {
+func TestLeases_massExpiryHeld(t *testing.T) {
 	const term = 15 * time.Second
 	start := time.Unix(0, 0)
 	for _, dead := range []int{100, 3} { // of 100 servers: all are cut off, or three die within a minute
@@ -442,7 +442,7 @@
 			l.renew(uid, term, start.Add(time.Duration(i)*term/300)) // spread over a third of the term
 		}
 		held := 0
-		for now := start; now.Before(start.Add(5 * term)); now = now.Add(expireEvery) {
+		for now := start; now.Before(start.Add(5 * term)); now = now.Add(leaseCheckInterval) {
 			var all []lease
 			for i := range 100 {
 				if uid := fmt.Sprint(i); listed[uid] {
@@ -467,7 +467,7 @@
 	}
 }
 
-func TestCrowdIsAdmittedAtARate(t *testing.T) {
+func TestAdmission_rate(t *testing.T) {
 	one := cluster(t, 1, func(c *Config) { c.Dir, c.Peers, c.Watches, c.Burst = "", nil, 0.001, 3 })[0]
 	codes := map[int]int{}
 	for range 6 {
@@ -487,8 +487,8 @@
 	}
 }
 
-// All who come at once and come back when they are told get in, about as fast as the rate allows.
-func TestCrowdGetsIn(t *testing.T) {
+// Clients that arrive together and return after their Retry-After are all admitted, at about the configured rate.
+func TestAdmission_retriesSucceed(t *testing.T) {
 	for _, crowd := range []int{10, 1000, 20_000} {
 		b := &bucket{level: 200}
 		const step = 250 * time.Microsecond
@@ -504,9 +504,9 @@
 				}
 			}
 		}
-		took, least := float64(last)*step.Seconds(), float64(crowd-200)/500
-		if in < crowd || took > 1.2*least+1 || calls > 20*crowd {
-			t.Errorf("%d of %d readers are in after %.1f s and %d calls; %.1f s at best", in, crowd, took, calls, least)
+		took, bestSeconds := float64(last)*step.Seconds(), float64(crowd-200)/500
+		if in < crowd || took > 1.2*bestSeconds+1 || calls > 20*crowd {
+			t.Errorf("%d of %d readers are in after %.1f s and %d calls; %.1f s at best", in, crowd, took, calls, bestSeconds)
 		}
 	}
 }
@@ -531,8 +531,8 @@
 	return len(text), nil
 }
 
-// A watcher that is too far behind is ended, and has held nobody back meanwhile.
-func TestSlowWatcherIsEnded(t *testing.T) {
+// A watch that is too far behind is closed, and has delayed no other watch.
+func TestWatch_slowClientClosed(t *testing.T) {
 	one := cluster(t, 1, func(c *Config) { c.Dir, c.Peers = "", nil })[0]
 	s := one.node.Server()
 	slow := &held{header: http.Header{}, began: make(chan struct{}), let: make(chan struct{})}
@@ -544,7 +544,7 @@
 	<-slow.began
 	quick := watch(t, one.cfg.Listen, 0)
 	quick.next(t)
-	for i := range mostBehind + 2 {
+	for i := range maxWatcherLag + 2 {
 		s.hub.read(func(st *State) { _, _ = st.Apply(&Command{Op: OpPut, Entry: entry("s", int64(i))}) })
 		if err := s.hub.publish(); err != nil {
 			t.Fatal(err)
@@ -616,7 +616,7 @@
 }
 
 // Every flipped bit of a log entry is found out.
-func TestSpoiltEntryIsFoundOut(t *testing.T) {
+func TestStore_corruptEntry(t *testing.T) {
 	dir := t.TempDir()
 	s, err := openStore(filepath.Join(dir, "raft.db"), time.Second, nil)
 	if err != nil {
@@ -640,16 +640,17 @@
 	}
 }
 
-// A copy whose disk takes no more ends with an error; it does not go on as if it had written.
-func TestCopyEndsWhenItsDiskFails(t *testing.T) {
+// A replica whose disk takes no more ends with an error; it does not go on as if it had written.
+func TestNode_diskFailure(t *testing.T) {
 	all := cluster(t, 3, nil)
 	lead := leader(t, all)
 	put(t, lead, "s1", 1, 0)
 	ended := lead.ended
-	if err := lead.node.kept.db.Close(); err != nil { // every write fails from now on
+	if err := lead.node.store.db.Close(); err != nil { // every write fails from now on
 		t.Fatal(err)
 	}
-	// The write may be answered by the next leader, or not at all; it is not acknowledged by the copy that lost its disk.
+	// The write may be answered by the next leader, or not at all; it is not acknowledged by the replica that lost its
+	// disk.
 	call(t, "POST", lead.cfg.Listen, listPath+"/s2", `{"endpoint":"127.0.0.1:1"}`)
 	select {
 	case err := <-ended:
--- a/internal/registry/operators.go
+++ b/internal/registry/operators.go
@@ -20,15 +20,15 @@
 	"marblelane/internal/tomlfile"
 )
 
-// mostOperators is how many bytes an operators' file may have, and a body of a tenant's.
+// maxOperatorsFileBytes bounds an operators' file, maxBodyBytes the body of a tenant's request.
 const (
-	mostOperators = 1 << 20
-	mostBody      = 64 << 10
+	maxOperatorsFileBytes = 1 << 20
+	maxBodyBytes          = 64 << 10
 )
 
 // Operators is the operators' file: who may roll out what, and how the leader deals with processes. Absent keys stand
-// for the defaults of rollout.Options. Times and shares of processes hold from when a copy next begins to lead; tenants,
-// subsets and tokens at once.
+// for the defaults of rollout.Options. Times and shares of processes hold from when a replica next begins to lead;
+// tenants, subsets and tokens at once.
 type Operators struct {
 	Token       string            `toml:"operator_token" validate:"bytes=200"`
 	Term        tomlfile.Duration `toml:"term" validate:"omitempty,min=500ms,max=5m"`
@@ -55,7 +55,7 @@
 // Tenant is what one tenant may do. The empty name stands for a site without tenants.
 type Tenant struct {
 	Name      string   `toml:"name" validate:"bytes=100,excludesall=/"`
-	Token     string   `toml:"token" validate:"bytes=200"` // empty: whoever reaches the service may act for it
+	Token     string   `toml:"token" validate:"bytes=200"` // empty: no authorization needed
 	Subsets   []string `toml:"subsets" validate:"max=1000"`
 	MaxShare  *float64 `toml:"max_share" validate:"omitempty,gt=0,lte=1"`             // of its requests to a canary; 1
 	Rollouts  *int     `toml:"rollouts" validate:"omitempty,gte=0,lte=100"`           // at once; 1, and no tenant has more. 0: it may begin none
@@ -69,8 +69,8 @@
 	if err != nil {
 		return nil, fmt.Errorf("operators' file: %w", err)
 	}
-	if info.Size() > mostOperators {
-		return nil, fmt.Errorf("operators' file %s: has %d bytes, %d at most", path, info.Size(), mostOperators)
+	if info.Size() > maxOperatorsFileBytes {
+		return nil, fmt.Errorf("operators' file %s: has %d bytes, %d at most", path, info.Size(), maxOperatorsFileBytes)
 	}
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -107,7 +107,7 @@
 		}
 	}
 	for i, t := range o.Tenants {
-		if slices.Contains([]string{nobody, "reports", "units", "schema", "processes", "audit"}, t.Name) {
+		if slices.Contains([]string{emptyTenantPath, "reports", "units", "schema", "processes", "audit"}, t.Name) {
 			return &wrong{fmt.Sprintf("tenant[%d].name", i), fmt.Sprintf("%q has another meaning in paths", t.Name)}
 		}
 		for k, name := range t.Subsets {
@@ -147,19 +147,19 @@
 	return route.Subset{}, false
 }
 
-// nobody stands in paths for the tenant whose name is empty, and in the state of routes, which takes no empty name.
-const nobody = "-"
+// emptyTenantPath stands for the empty tenant name in paths and in the state of routes.
+const emptyTenantPath = "-"
 
 // inside is a tenant's name as the state of routes has it; outside as settings and processes have it.
 func inside(name string) string {
 	if name == "" {
-		return nobody
+		return emptyTenantPath
 	}
 	return name
 }
 
 func outside(name string) string {
-	if name == nobody {
+	if name == emptyTenantPath {
 		return ""
 	}
 	return name
@@ -195,9 +195,8 @@
 
 func newRules() rules {
 	v := validator.New(validator.WithRequiredStructEnabled())
-	// The bound max of a text counts characters, and what is kept and told is bytes. It panics at a bound that is no
-	// number, which is the declaration's fault.
-	if err := v.RegisterValidation("bytes", atMostBytes); err != nil {
+	// The validator's max counts characters of a text; stored size is in bytes. An invalid bound in a tag panics.
+	if err := v.RegisterValidation("bytes", checkMaxBytes); err != nil {
 		panic(err)
 	}
 	v.RegisterTagNameFunc(func(f reflect.StructField) string {
@@ -213,15 +212,15 @@
 	return rules{v}
 }
 
-func atMostBytes(f validator.FieldLevel) bool {
-	most, err := strconv.Atoi(f.Param())
+func checkMaxBytes(f validator.FieldLevel) bool {
+	limit, err := strconv.Atoi(f.Param())
 	if err != nil {
 		panic(fmt.Sprintf("registry: the bound bytes=%s of %s is no number", f.Param(), f.FieldName()))
 	}
-	return len(f.Field().String()) <= most
+	return len(f.Field().String()) <= limit
 }
 
-// check gives the first value that is out of the bounds of its declaration.
+// check returns the first value that violates its validate tag.
 func (r rules) check(v any) *wrong {
 	err := r.v.Struct(v)
 	if err == nil {
@@ -236,7 +235,7 @@
 	return &wrong{field, boundText(e)}
 }
 
-// boundText says what a bound asks for in the words of this service.
+// boundText is the error text of a violated bound.
 func boundText(e validator.FieldError) string {
 	value := fmt.Sprint(e.Value())
 	if d, ok := e.Value().(tomlfile.Duration); ok {
--- a/internal/registry/recover_test.go
+++ b/internal/registry/recover_test.go
@@ -25,7 +25,7 @@
 	bolt "go.etcd.io/bbolt"
 )
 
-// folder makes the folder of a copy that has led, with two snapshots and entries that are in none.
+// folder makes the folder of a replica that has led, with two snapshots and entries that are in none.
 func folder(t *testing.T) (dir string, cfg Config) {
 	t.Helper()
 	one := cluster(t, 1, nil)[0]
@@ -80,7 +80,7 @@
 }
 
 // A flipped bit is found, or stands where nothing is read; a cut is found.
-func TestFlipsAndCutsOfTheStore(t *testing.T) {
+func TestStore_bitFlipsAndTruncation(t *testing.T) {
 	t.Parallel()
 	dir, _ := folder(t)
 	path := filepath.Join(dir, storeFile)
@@ -106,9 +106,9 @@
 		text, found := content(t, dir)
 		if len(found.Faults) > 0 {
 			faults++
-			var u *unsound
+			var u *corruptionError
 			if !errors.As(errors.Join(found.Faults...), &u) {
-				assert.ErrorIs(t, errors.Join(found.Faults...), errLater, "bit %d", bit)
+				assert.ErrorIs(t, errors.Join(found.Faults...), errNewerVersion, "bit %d", bit)
 			}
 		} else if text != want || i < 2*metaSize*8 {
 			t.Fatalf("bit %d of page %d: is not found", bit, bit/8/os.Getpagesize())
@@ -130,7 +130,7 @@
 }
 
 // bbolt goes on from the state before when the newest meta page is spoilt; this program does not.
-func TestSpoiltMetaPageIsNoTornTail(t *testing.T) {
+func TestStore_corruptMetaPage(t *testing.T) {
 	t.Parallel()
 	path := filepath.Join(t.TempDir(), storeFile)
 	s, err := openStore(path, time.Second, nil)
@@ -158,7 +158,7 @@
 
 // Power is lost at any point of a transaction. bbolt writes pages, syncs, writes the meta page, syncs; sectors of 512
 // bytes that no sync has covered are on the disk or not, in any mix.
-func TestPowerLossOfTheStore(t *testing.T) {
+func TestStore_powerLoss(t *testing.T) {
 	t.Parallel()
 	dir := t.TempDir()
 	path := filepath.Join(dir, storeFile)
@@ -169,7 +169,7 @@
 		file []byte
 		text string
 	}
-	note := func() state { // bbolt has the file open, so a copy is read
+	note := func() state { // bbolt has the file open, so a replica is read
 		at := t.TempDir()
 		b := read(t, path)
 		write(t, filepath.Join(at, storeFile), b)
@@ -227,7 +227,7 @@
 	assert.Greater(t, found, lied/4)
 }
 
-func TestSnapshotsAreChecked(t *testing.T) {
+func TestSnapshots_checked(t *testing.T) {
 	t.Parallel()
 	dir, cfg := folder(t)
 	_, found := content(t, dir)
@@ -263,7 +263,7 @@
 	text, err := json.Marshal(mark)
 	require.NoError(t, err)
 	write(t, filepath.Join(newest, sealFile), text)
-	assert.ErrorIs(t, recoverDir(dir, quiet()), errLater)
+	assert.ErrorIs(t, recoverDir(dir, quiet()), errNewerVersion)
 	write(t, filepath.Join(newest, sealFile), seal)
 	// An old one that is spoilt is needless beside a newer one.
 	other, old := copied(t, dir), filepath.Join(snapshotsDir, found.Snapshots[1].Name)
@@ -285,7 +285,7 @@
 	assert.NoDirExists(t, unfinished)
 	assert.NoFileExists(t, filepath.Join(dir, storeFile+tempSuffix))
 	assert.NoDirExists(t, newest)
-	// Without the entries that it had, the copy stops.
+	// Without the entries that it had, the replica stops.
 	s, err := openStore(filepath.Join(less, storeFile), time.Second, nil)
 	require.NoError(t, err)
 	require.NoError(t, errors.Join(s.DeleteRange(1, found.Snapshots[0].Index), s.Close()))
@@ -294,8 +294,8 @@
 	assert.ErrorContains(t, recoverDir(less, quiet()), "are missing")
 }
 
-// Each state of a folder from which a copy must not start ends in one clear line, within a bounded time.
-func TestFoldersThatAreRefused(t *testing.T) {
+// Each state of a folder from which a replica must not start ends in one clear line, within a bounded time.
+func TestRecover_rejectedDirectories(t *testing.T) {
 	t.Parallel()
 	made, cfg := folder(t)
 	change := func(do func(*bolt.Tx) error) func(string) error {
@@ -325,11 +325,11 @@
 		}), "CurrentTerm: is 0"},
 		"a later form": {change(func(tx *bolt.Tx) error {
 			return tx.Bucket(aboutBucket).Put(formKey, summed(formKey, storeForm+1))
-		}), errLater.Error()},
+		}), errNewerVersion.Error()},
 		"a later entry": {change(func(tx *bolt.Tx) error {
 			later := []byte("\x02later")
 			return tx.Bucket(logBucket).Put(key(99), append(valueSum(nil, later), later...))
-		}), errLater.Error()},
+		}), errNewerVersion.Error()},
 	} {
 		dir := copied(t, made)
 		require.NoError(t, c.do(dir), name)
@@ -346,10 +346,10 @@
 	cfg.Raft, cfg.Peers = freePort(t), nil
 	n, err := Open(cfg)
 	require.NoError(t, err)
-	began := time.Now()
+	startedAt := time.Now()
 	_, err = Open(cfg)
 	assert.ErrorContains(t, err, "is open in another process")
-	assert.Less(t, time.Since(began), patience)
+	assert.Less(t, time.Since(startedAt), patience)
 	_, err = Verify(made)
 	assert.ErrorContains(t, err, "is open in another process")
 	n.shut()
@@ -366,7 +366,7 @@
 }
 
 // An earlier program writes values without their checksums; the next start takes them in and gives them theirs.
-func TestEarlierProgramInBetween(t *testing.T) {
+func TestStore_earlierVersionInBetween(t *testing.T) {
 	t.Parallel()
 	dir, cfg := folder(t)
 	alter(t, dir, func(tx *bolt.Tx) error { return tx.Bucket(valueBucket).Put([]byte("CurrentTerm"), key(77)) })
@@ -380,7 +380,7 @@
 }
 
 // A follower whose folder was put back from an old image is noticed by the leader, and has everything again.
-func TestOldImageIsNoticed(t *testing.T) {
+func TestNotice_oldDiskImage(t *testing.T) {
 	t.Parallel()
 	all := cluster(t, 3, nil)
 	lead := leader(t, all)
@@ -399,16 +399,16 @@
 		put(t, lead, fmt.Sprint("late", i), 1, 0)
 	}
 	until(t, "late4", func() bool { return strings.Contains(uids(t, f), "late4=") })
-	assert.False(t, lead.node.notice.wentBack(raft.ServerID(f.cfg.Name)), "it only was away")
+	assert.False(t, lead.node.regressions.regressed(raft.ServerID(f.cfg.Name)), "it only was away")
 	f.end(t)
 	f.cfg.Dir = image
 	f.start(t)
-	until(t, "the leader's notice", func() bool { return lead.node.notice.wentBack(raft.ServerID(f.cfg.Name)) })
+	until(t, "the leader's notice", func() bool { return lead.node.regressions.regressed(raft.ServerID(f.cfg.Name)) })
 	until(t, "late4 again", func() bool { return strings.Contains(uids(t, f), "late4=") })
 }
 
 // A founding that was cut off between raft's two writes is finished by the next start.
-func TestFoundingCutOff(t *testing.T) {
+func TestRecover_interruptedBootstrap(t *testing.T) {
 	t.Parallel()
 	one := &copyOf{cfg: Config{Name: "one", Listen: freePort(t), Raft: freePort(t), Dir: t.TempDir(), Beat: 50 * time.Millisecond}}
 	s, err := openStore(filepath.Join(one.cfg.Dir, storeFile), time.Second, nil)
@@ -419,9 +419,9 @@
 	leader(t, []*copyOf{one})
 }
 
-// All copies were put back from old images. A reader that has seen more makes them begin a new history; one that only
-// asked a copy that lagged, or comes from another epoch, does not.
-func TestAllPutBackIsNoticed(t *testing.T) {
+// All replicas were put back from old images. A reader that has seen more makes them begin a new history; one that only
+// asked a replica that lagged, or comes from another epoch, does not.
+func TestNotice_allReplicasRolledBack(t *testing.T) {
 	t.Parallel()
 	all := cluster(t, 3, nil)
 	put(t, leader(t, all), "s1", 1, 0)
@@ -517,9 +517,9 @@
 	until(t, "the backup's entry at the second copy", func() bool { return strings.Contains(uids(t, second), "s1=Ready") })
 }
 
-// childEnv is the configuration's file of a copy that TestChild serves, childRoom the bytes by which a full one may
+// childEnv is the configuration's file of a replica that TestChild serves, childRoom the bytes by which a full one may
 // grow.
-const childEnv, childRoom = "MARBLELANE_CHILD", 256 << 10
+const childEnv, childFileLimit = "MARBLELANE_CHILD", 256 << 10
 
 func TestChild(t *testing.T) {
 	path, full := strings.CutPrefix(os.Getenv(childEnv), "full:")
@@ -532,8 +532,8 @@
 		info, err := os.Stat(filepath.Join(cfg.Dir, storeFile))
 		require.NoError(t, err)
 		signal.Ignore(syscall.SIGXFSZ)
-		most := uint64(info.Size()) + childRoom
-		require.NoError(t, syscall.Setrlimit(syscall.RLIMIT_FSIZE, &syscall.Rlimit{Cur: most, Max: most}))
+		limit := uint64(info.Size()) + childFileLimit
+		require.NoError(t, syscall.Setrlimit(syscall.RLIMIT_FSIZE, &syscall.Rlimit{Cur: limit, Max: limit}))
 	}
 	n, err := Open(cfg)
 	if err == nil {
@@ -557,9 +557,9 @@
 	return wait, func() { _ = c.Process.Kill(); wait() }
 }
 
-// A copy is killed at random points, of its recovery too, and has every write that it acknowledged; one whose disk is
+// A replica is killed at random points, of its recovery too, and has every write that it acknowledged; one whose disk is
 // full ends with a line, and has them as well once there is room.
-func TestKilledAndFull(t *testing.T) { // by itself: a child holds the listeners of others until it has begun
+func TestRecover_killedAndDiskFull(t *testing.T) { // by itself: a child holds the listeners of others until it has begun
 	dir := t.TempDir()
 	path, addr := filepath.Join(dir, "one.toml"), freePort(t)
 	write(t, path, fmt.Appendf(nil, "name = \"one\"\nlisten = %q\nraft = %q\ndir = %q\nbeat = \"20ms\"\nbatch = \"1ms\"\n",
--- a/internal/registry/replicas.go
+++ b/internal/registry/replicas.go
@@ -1,8 +1,8 @@
 package registry
 
-// This file is how a copy is put in another's place: the new one learns without a vote (Learn), votes once it has
-// caught up (Promote), and then the old one goes (Retire). Each step may be asked for again; the last two are refused
-// unless a majority of those that vote after them answers the leader as it is asked.
+// This file replaces a replica: the new one joins as a learner (Learn), becomes a voter once it has caught up (Promote),
+// and then the old one is removed (Retire). Each step may be repeated; the last two are rejected unless a quorum of the
+// voters after the change answers the leader.
 
 import (
 	"encoding/json"
@@ -20,13 +20,13 @@
 
 const copiesPath = "/registry/copies"
 
-// thereBeats is how many heartbeats a copy has for an answer that shows that it is there.
-const thereBeats = 10
+// replyTimeoutBeats is the time, in heartbeats, in which a replica has to answer to count as alive.
+const replyTimeoutBeats = 10
 
-// ErrRefused is a change of the copies that would not leave what has to stay.
-var ErrRefused = errors.New("the copies stay as they are")
+// ErrRejected rejects a membership change that would put the quorum at risk.
+var ErrRejected = errors.New("the copies stay as they are")
 
-// CopyStatus is one copy as another has it.
+// CopyStatus is one replica as another has it.
 type CopyStatus struct {
 	Name   string                 `json:"name"`
 	Raft   string                 `json:"raft"`
@@ -54,7 +54,7 @@
 		if standing, ok := standings[name]; ok {
 			c.Member = standing
 		}
-		if at := n.wire.acknowledged(s.ID, term); leads && name == n.cfg.Name {
+		if at := n.transport.acknowledged(s.ID, term); leads && name == n.cfg.Name {
 			c.AckMS = 0
 		} else if leads && !at.IsZero() {
 			c.AckMS = time.Since(at).Milliseconds()
@@ -64,10 +64,10 @@
 	return out
 }
 
-// Name is this copy's.
+// Name is this replica's.
 func (n *Node) Name() string { return n.cfg.Name }
 
-// Applied is the index of the last log entry that this copy has applied.
+// Applied is the index of the last log entry that this replica has applied.
 func (n *Node) Applied() uint64 { return n.raft.AppliedIndex() }
 
 // voters are those of a configuration, without one.
@@ -80,15 +80,15 @@
 	return out
 }
 
-// holds waits for a majority of so many voters, and for one that has to be among them, to acknowledge what this copy
+// holds waits for a quorum of so many voters, and for one that has to be among them, to acknowledge what this replica
 // sends as leader from now on.
-func (n *Node) holds(all []raft.Server, with string) error {
-	term, began := n.raft.CurrentTerm(), time.Now()
-	limit := began.Add(thereBeats * n.cfg.Beat)
+func (n *Node) awaitQuorum(all []raft.Server, with string) error {
+	term, startedAt := n.raft.CurrentTerm(), time.Now()
+	limit := startedAt.Add(replyTimeoutBeats * n.cfg.Beat)
 	for {
 		there, has := 0, with == ""
 		for _, s := range all {
-			if s.ID == raft.ServerID(n.cfg.Name) || n.wire.follows(s.ID, term, began) {
+			if s.ID == raft.ServerID(n.cfg.Name) || n.transport.follows(s.ID, term, startedAt) {
 				there++
 				has = has || s.ID == raft.ServerID(with)
 			}
@@ -99,9 +99,9 @@
 		case has && 2*there > len(all):
 			return nil
 		case time.Now().After(limit) && !has:
-			return fmt.Errorf("%w: %s does not answer", ErrRefused, with)
+			return fmt.Errorf("%w: %s does not answer", ErrRejected, with)
 		case time.Now().After(limit):
-			return fmt.Errorf("%w: of the %d that would vote %d answer", ErrRefused, len(all), there)
+			return fmt.Errorf("%w: of the %d that would vote %d answer", ErrRejected, len(all), there)
 		}
 		time.Sleep(n.cfg.Beat / 4)
 	}
@@ -124,8 +124,8 @@
 	return c.Servers[i], true
 }
 
-// Learn lets a copy follow without a vote, if somebody answers where it is to be. It is the leader's to do, like Promote
-// and Retire.
+// Learn lets a replica follow without a vote, if somebody answers where it is to be. It is the leader's to do, like
+// Promote and Retire.
 func (n *Node) Learn(p Peer) error {
 	c, index, err := n.configuration()
 	if err != nil {
@@ -133,26 +133,26 @@
 	}
 	for _, s := range c.Servers {
 		if same := s.ID == raft.ServerID(p.Name); same != (s.Address == raft.ServerAddress(p.Raft)) {
-			return fmt.Errorf("%w: copy %s is at %s", ErrRefused, s.ID, s.Address)
+			return fmt.Errorf("%w: copy %s is at %s", ErrRejected, s.ID, s.Address)
 		}
 	}
 	if _, known := find(c, p.Name); !known {
-		// Who cannot be reached would stay as a copy that never learns.
-		conn, err := net.DialTimeout("tcp", p.Raft, thereBeats*n.cfg.Beat)
+		// Who cannot be reached would stay as a replica that never learns.
+		conn, err := net.DialTimeout("tcp", p.Raft, replyTimeoutBeats*n.cfg.Beat)
 		if err != nil {
-			return fmt.Errorf("%w: nobody answers at %s, where %s is to be: %w", ErrRefused, p.Raft, p.Name, err)
+			return fmt.Errorf("%w: nobody answers at %s, where %s is to be: %w", ErrRejected, p.Raft, p.Name, err)
 		}
 		_ = conn.Close()
-		f := n.raft.AddNonvoter(raft.ServerID(p.Name), raft.ServerAddress(p.Raft), index, applyWait)
+		f := n.raft.AddNonvoter(raft.ServerID(p.Name), raft.ServerAddress(p.Raft), index, applyTimeout)
 		if err := f.Error(); err != nil {
 			return fmt.Errorf("registry: learn %s: %w", p.Name, err)
 		}
 	}
-	_, err = n.Apply(&Command{Op: OpMember, UID: p.Name, Address: p.Serve}, applyWait)
+	_, err = n.Apply(&Command{Op: OpMember, UID: p.Name, Address: p.Serve}, applyTimeout)
 	return err
 }
 
-// Promote gives a copy that learns its vote.
+// Promote gives a replica that learns its vote.
 func (n *Node) Promote(name string) error {
 	c, index, err := n.configuration()
 	if err != nil {
@@ -161,20 +161,20 @@
 	s, known := find(c, name)
 	switch {
 	case !known:
-		return fmt.Errorf("%w: there is no copy %s", ErrRefused, name)
+		return fmt.Errorf("%w: there is no copy %s", ErrRejected, name)
 	case s.Suffrage == raft.Voter:
 		return nil
 	}
-	if err := n.holds(append(voters(c, ""), s), name); err != nil {
+	if err := n.awaitQuorum(append(voters(c, ""), s), name); err != nil {
 		return err
 	}
-	if err := n.raft.AddVoter(s.ID, s.Address, index, applyWait).Error(); err != nil {
+	if err := n.raft.AddVoter(s.ID, s.Address, index, applyTimeout).Error(); err != nil {
 		return fmt.Errorf("registry: promote %s: %w", name, err)
 	}
 	return nil
 }
 
-// Retire takes a copy out of the cluster if a majority stays without it. A leader that is to go gives the lead to
+// Retire takes a replica out of the cluster if a quorum stays without it. A leader that is to go gives the lead to
 // another first, and answers ErrNotLeader: the next one is to be asked.
 func (n *Node) Retire(name string) error {
 	c, index, err := n.configuration()
@@ -182,7 +182,7 @@
 		return err
 	}
 	if _, known := find(c, name); known {
-		if err := n.holds(voters(c, name), ""); err != nil {
+		if err := n.awaitQuorum(voters(c, name), ""); err != nil {
 			return err
 		}
 		if name == n.cfg.Name {
@@ -191,11 +191,11 @@
 			}
 			return ErrNotLeader
 		}
-		if err := n.raft.RemoveServer(raft.ServerID(name), index, applyWait).Error(); err != nil {
+		if err := n.raft.RemoveServer(raft.ServerID(name), index, applyTimeout).Error(); err != nil {
 			return fmt.Errorf("registry: retire %s: %w", name, err)
 		}
 	}
-	_, err = n.Apply(&Command{Op: OpMember, UID: name}, applyWait)
+	_, err = n.Apply(&Command{Op: OpMember, UID: name}, applyTimeout)
 	return err
 }
 
@@ -216,7 +216,7 @@
 	peer := func(do func(Peer) error) http.HandlerFunc {
 		return func(w http.ResponseWriter, r *http.Request) {
 			var p Peer
-			if err := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxWrite)).Decode(&p); err != nil {
+			if err := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxWriteBodyBytes)).Decode(&p); err != nil {
 				http.Error(w, "the body is no copy: "+err.Error(), http.StatusBadRequest)
 				return
 			}
@@ -245,7 +245,7 @@
 
 func (s *Server) answer(w http.ResponseWriter, err error) {
 	switch {
-	case errors.Is(err, ErrRefused):
+	case errors.Is(err, ErrRejected):
 		http.Error(w, err.Error(), http.StatusConflict)
 	case err != nil:
 		http.Error(w, err.Error(), http.StatusServiceUnavailable)
--- a/internal/registry/restore.go
+++ b/internal/registry/restore.go
@@ -25,11 +25,11 @@
 // takes a revision of it for one that it knows, takes its list whole, and lets nothing go back in silence.
 //
 // The folder is made beside its place and put there by one rename: it is there whole or not at all, and a restore that
-// was cut off can be run again. The cluster has one copy, the others join it with empty folders: copies that found for
-// themselves beside it would be a majority without the backup. Its terms begin beyond what copies of a cluster before
-// can have reached by elections, so that one that comes back late does not lead it at once; but two that meet it can
-// raise theirs, and a majority of the old cluster then takes the new one over. So the old copies have to be ended for
-// good, or the new ones get other addresses for raft; what still answers is a reason not to restore.
+// was cut off can be run again. The cluster has one replica, the others join it with empty folders: replicas that found
+// for themselves beside it would be a majority without the backup. Its terms begin beyond what copies of a cluster
+// before can have reached by elections, so that one that comes back late does not lead it at once; but two that meet it
+// can raise theirs, and a quorum of the old cluster then takes the new one over. So the old replicas have to be ended
+// for good, or the new ones get other addresses for raft; what still answers is a reason not to restore.
 
 // Restored says what a restore has founded.
 type Restored struct {
@@ -44,7 +44,7 @@
 // ErrHasState is a folder that must not be restored into.
 var ErrHasState = errors.New("has state already; a restore founds a cluster in a folder that is empty or not there")
 
-// Restore founds a cluster of one copy in the configuration's folder, from a backup as `registry snapshot` writes it.
+// Restore founds a cluster of one replica in the configuration's folder, from a backup as `registry snapshot` writes it.
 // above is a revision or an epoch that clients may have seen; 0: none beyond the backup's. now is the wall clock.
 func Restore(backup io.Reader, cfg Config, above int64, now time.Time) (out Restored, err error) {
 	if cfg.Dir == "" {
@@ -61,7 +61,7 @@
 		above = EpochOf(above)
 	}
 	out.Before = state.Rev()
-	if old := EpochOf(out.Before); above == 0 && int64(now.Sub(epochBegan)/time.Minute) < old {
+	if old := EpochOf(out.Before); above == 0 && int64(now.Sub(epochZero)/time.Minute) < old {
 		return out, fmt.Errorf("restore: the backup's epoch is %d, and by this clock (%v) it has not begun yet: "+
 			"set the clock, or say with --above which epoch clients have seen", old, now)
 	}
@@ -74,7 +74,7 @@
 	}
 	state.members = map[string]string{} // each says for itself where it serves once it is one
 	out.Entries = state.Len()
-	return out, place(state, cfg, uint64(out.Epoch)<<electionBits)
+	return out, publishDir(state, cfg, uint64(out.Epoch)<<electionBits)
 }
 
 // readBackup reads a backup whole and finds what cannot be.
@@ -108,8 +108,8 @@
 	return s, s.load(&in)
 }
 
-// place makes the folder of a cluster's first copy.
-func place(state *State, cfg Config, term uint64) error {
+// place makes the folder of a cluster's first replica.
+func publishDir(state *State, cfg Config, term uint64) error {
 	dir := filepath.Clean(cfg.Dir)
 	parent, base := filepath.Split(dir)
 	parent = filepath.Clean(parent)
--- a/internal/registry/restore_notice.go
+++ b/internal/registry/restore_notice.go
@@ -7,35 +7,34 @@
 	"github.com/hashicorp/raft"
 )
 
-// noticing is a leader's eye on copies that go back: one that no longer has an entry that it has acknowledged in this
-// lead lost what its disk had synced, or its folder was put back from an old image. The leader sends it all again, so
-// the entries are safe once it has caught up; that it may have voted twice meanwhile nobody can undo. So it is said.
+// regressionDetector logs, on the leader, followers whose log has regressed: one that no longer has an entry that it
+// acknowledged in this term lost synced data, or its data directory was rolled back to an old disk image. The leader
+// sends the entries again, so they are safe once the follower has caught up; a second vote in one term cannot be undone.
 //
-// What it cannot notice: a copy that went back while another led, or while none did; what an entry was acknowledged
-// with in a stream that has been one since the lead began and was never broken. And a copy that was removed and added
-// under its old name, with an empty folder, is told of too.
-type noticing struct {
+// Not detected: a regression under another leader or none, and one within a pipeline that is open since the term began.
+// A follower that was removed and added again under its name, with an empty directory, is logged as well.
+type regressionDetector struct {
 	*transport
 	log *slog.Logger
 
-	mu   sync.Mutex
-	term uint64
-	has  map[raft.ServerID]*acknowledged
+	mu        sync.Mutex
+	term      uint64
+	followers map[raft.ServerID]*acknowledged
 }
 
-// acknowledged is what a copy has acknowledged in a lead.
+// acknowledged is what a follower has acknowledged in a term.
 type acknowledged struct {
-	first uint64 // the entry before the first that was sent: the leader's own guess
-	index uint64 // the last that it has acknowledged
-	back  bool   // it went back, and that was said
+	first     uint64 // index before the first entry sent, as assumed by the leader
+	index     uint64 // last index acknowledged
+	regressed bool   // regressed, and logged
 }
 
-func newNoticing(t *transport, log *slog.Logger) *noticing {
-	return &noticing{transport: t, log: log, has: map[raft.ServerID]*acknowledged{}}
+func newRegressionDetector(t *transport, log *slog.Logger) *regressionDetector {
+	return &regressionDetector{transport: t, log: log, followers: map[raft.ServerID]*acknowledged{}}
 }
 
 // AppendEntries sends entries and looks at the answer.
-func (t *noticing) AppendEntries(id raft.ServerID, target raft.ServerAddress, a *raft.AppendEntriesRequest,
+func (t *regressionDetector) AppendEntries(id raft.ServerID, target raft.ServerAddress, a *raft.AppendEntriesRequest,
 	r *raft.AppendEntriesResponse) error {
 	err := t.transport.AppendEntries(id, target, a, r)
 	if err == nil && !heartbeat(a) && r.Term == a.Term {
@@ -44,7 +43,7 @@
 	return err
 }
 
-func (t *noticing) notice(id raft.ServerID, a *raft.AppendEntriesRequest, r *raft.AppendEntriesResponse) {
+func (t *regressionDetector) notice(id raft.ServerID, a *raft.AppendEntriesRequest, r *raft.AppendEntriesResponse) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if a.Term < t.term {
@@ -52,12 +51,12 @@
 	}
 	if a.Term > t.term {
 		t.term = a.Term
-		clear(t.has)
+		clear(t.followers)
 	}
-	h := t.has[id]
+	h := t.followers[id]
 	if h == nil {
 		h = &acknowledged{first: a.PrevLogEntry}
-		t.has[id] = h
+		t.followers[id] = h
 	}
 	if a.PrevLogEntry > h.first { // raft moves on only past what was acknowledged, in a stream too
 		h.index = max(h.index, a.PrevLogEntry)
@@ -68,13 +67,13 @@
 	case r.LastLog < h.index:
 		t.log.Error("registry: a copy no longer has what it acknowledged: its disk lost it, or an old image of its folder "+
 			"was put back; replace-copy it, it may vote twice", "copy", id, "acknowledged", h.index, "has", r.LastLog)
-		h.first, h.index, h.back = a.PrevLogEntry, 0, true
+		h.first, h.index, h.regressed = a.PrevLogEntry, 0, true
 	}
 }
 
-// wentBack tells whether a copy was seen to go back in this lead.
-func (t *noticing) wentBack(id raft.ServerID) bool {
+// regressed reports whether a follower's log has regressed in this term.
+func (t *regressionDetector) regressed(id raft.ServerID) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return t.has[id] != nil && t.has[id].back
+	return t.followers[id] != nil && t.followers[id].regressed
 }
--- a/internal/registry/routes_test.go
+++ b/internal/registry/routes_test.go
@@ -56,7 +56,7 @@
 	return LoadOperators(path)
 }
 
-// routed starts copies with an operators' file, and waits until their leader answers for routes.
+// routed starts replicas with an operators' file, and waits until their leader answers for routes.
 func routed(t *testing.T, n int, change func(*Config)) []*copyOf {
 	t.Helper()
 	o, err := operators(t, operatorsText)
@@ -88,7 +88,7 @@
 	require.Equal(t, 200, code, text)
 }
 
-// process is a sidecar as the service hears it.
+// process is a sidecar as the registry sees it.
 type process struct {
 	route.Report
 	until time.Time // permitted
@@ -101,21 +101,21 @@
 func (p *process) report(t *testing.T, addr string) (int, route.ReportResponse) {
 	t.Helper()
 	p.Seq++
-	asked := time.Now()
+	polled := time.Now()
 	var a route.ReportResponse
 	code, text := call(t, "POST", addr, route.ReportPath, asJSON(t, p.Report))
 	if code == 200 {
 		require.NoError(t, json.Unmarshal([]byte(text), &a))
 		p.Echo = a.Stamp
 		if a.LeaseMS > 0 {
-			p.until = asked.Add(time.Duration(a.LeaseMS) * time.Millisecond)
+			p.until = polled.Add(time.Duration(a.LeaseMS) * time.Millisecond)
 		}
 	}
 	return code, a
 }
 
 // ask wants units for tenant a's rollout r; it gives what was granted in all.
-func (p *process) ask(t *testing.T, addr string, spent, want int64) int64 {
+func (p *process) requestBudget(t *testing.T, addr string, spent, want int64) int64 {
 	t.Helper()
 	code, text := call(t, "POST", addr, route.BudgetsPath, asJSON(t, route.BudgetRequest{Process: p.Process,
 		Budgets: []route.BudgetState{{Tenant: "a", Rollout: "r", Spent: spent, Wanted: want}}}))
@@ -158,27 +158,27 @@
 	return v
 }
 
-func TestOperatorsFileErrors(t *testing.T) {
+func TestOperators_fileErrors(t *testing.T) {
 	for text, says := range map[string]string{
-		"term = \"5\"":                                  `o.toml:1: term: "5" is not a duration`,
-		"term = \"10ms\"":                               "o.toml:1: term: 10ms is below 500ms",
-		"\nshut_after = \"1s\"":                         "o.toml:2: shut_after: 1000 ms is not after behind_after, 2000 ms",
-		"remember = \"5s\"":                             "o.toml:1: remember: 5000 ms is less than two terms",
-		"behind_share = 1.5":                            "o.toml:1: behind_share: 1.5 is above 1",
-		"alpha = 1.0":                                   "alpha: 1 is not below 1",
-		"nonsense = 1":                                  "o.toml:1: nonsense: there is no such key",
-		"[[tenant]]\nmax_share = 1.5":                   "o.toml:2: tenant[0].max_share: 1.5 is above 1",
-		"[[tenant]]\nname = \"x/y\"":                    `o.toml:2: tenant[0].name: "x/y" has a character of "/"`,
-		"[[tenant]]\nname = \"audit\"":                  `tenant[0].name: "audit" has another meaning in paths`,
-		"[[tenant]]\n[[tenant]]":                        "tenant: a name comes twice",
-		"[[tenant]]\nrollouts = 101":                    "tenant[0].rollouts: 101 is above 100",
-		"[[tenant]]\nsubsets = [\"x\"]":                 `o.toml:2: tenant[0].subsets[0]: there is no subset "x"`,
-		"[[tenant]]\nmax_budget = -1":                   "tenant[0].max_budget: -1 is not above 0",
-		"[[subset]]\nmodel = [\"m\"]":                   "o.toml:1: subset[0].name: is missing",
-		"[[subset]]\nname = \"s\"":                      "subset[0]: selects all servers",
-		"[[subset]]\nname = \"s\"\nuid = [\"\"]":        `o.toml:3: subset[0].uid[0]: "" is below 1 bytes`,
-		"[[subset]]\nname = \"s\"\npod_group = [\"a\"]": "o.toml:3: subset.pod_group",
-		"# " + strings.Repeat("x", mostOperators):       "bytes, 1048576 at most",
+		"term = \"5\"":                                    `o.toml:1: term: "5" is not a duration`,
+		"term = \"10ms\"":                                 "o.toml:1: term: 10ms is below 500ms",
+		"\nshut_after = \"1s\"":                           "o.toml:2: shut_after: 1000 ms is not after behind_after, 2000 ms",
+		"remember = \"5s\"":                               "o.toml:1: remember: 5000 ms is less than two terms",
+		"behind_share = 1.5":                              "o.toml:1: behind_share: 1.5 is above 1",
+		"alpha = 1.0":                                     "alpha: 1 is not below 1",
+		"nonsense = 1":                                    "o.toml:1: nonsense: there is no such key",
+		"[[tenant]]\nmax_share = 1.5":                     "o.toml:2: tenant[0].max_share: 1.5 is above 1",
+		"[[tenant]]\nname = \"x/y\"":                      `o.toml:2: tenant[0].name: "x/y" has a character of "/"`,
+		"[[tenant]]\nname = \"audit\"":                    `tenant[0].name: "audit" has another meaning in paths`,
+		"[[tenant]]\n[[tenant]]":                          "tenant: a name comes twice",
+		"[[tenant]]\nrollouts = 101":                      "tenant[0].rollouts: 101 is above 100",
+		"[[tenant]]\nsubsets = [\"x\"]":                   `o.toml:2: tenant[0].subsets[0]: there is no subset "x"`,
+		"[[tenant]]\nmax_budget = -1":                     "tenant[0].max_budget: -1 is not above 0",
+		"[[subset]]\nmodel = [\"m\"]":                     "o.toml:1: subset[0].name: is missing",
+		"[[subset]]\nname = \"s\"":                        "subset[0]: selects all servers",
+		"[[subset]]\nname = \"s\"\nuid = [\"\"]":          `o.toml:3: subset[0].uid[0]: "" is below 1 bytes`,
+		"[[subset]]\nname = \"s\"\npod_group = [\"a\"]":   "o.toml:3: subset.pod_group",
+		"# " + strings.Repeat("x", maxOperatorsFileBytes): "bytes, 1048576 at most",
 		// Bounds are bytes: 101 characters of two bytes would be 101 by their number.
 		"operator_token = \"" + strings.Repeat("é", 101) + `"`:                  "operator_token: \"" + strings.Repeat("é", 20) + "...\" is above 200 bytes",
 		"[[tenant]]\nname = \"" + strings.Repeat("é", 51) + `"`:                 "tenant[0].name: \"" + strings.Repeat("é", 20) + "...\" is above 100 bytes",
@@ -191,7 +191,7 @@
 	assert.ErrorContains(t, err, "operators' file")
 }
 
-func TestRoutesAreOffWithoutAnOperatorsFile(t *testing.T) {
+func TestRoutes_offWithoutOperators(t *testing.T) {
 	one := cluster(t, 1, single)[0]
 	for _, path := range []string{"GET /routes?schema=2", "POST /routes/reports", "POST /routes/units", "GET /routes/a", "POST /routes/a/base",
 		"GET /routes/processes", "GET /routes/audit", "POST /routes/schema", "POST /routes/a/rollouts/r", "POST /routes/a/rollouts/r/stop"} {
@@ -203,7 +203,7 @@
 }
 
 // Every refusal names its field and bound, and changes nothing.
-func TestBoundsOfTenantsAndProcesses(t *testing.T) {
+func TestRoutes_bounds(t *testing.T) {
 	t.Parallel()
 	one := routed(t, 1, single)[0]
 	change := func(old, new string) string { return strings.Replace(goodBody, old, new, 1) }
@@ -249,10 +249,10 @@
 		{reports, `{"name":"p","start":1,"seq":1}`, 400, "schemas", "are 0"},
 		{reports, `{"name":"p","start":1,"seq":1,"schemas":[1],"counts":[{"ended":1,"failed":2}]}`, 400, "counts[0]", "more failed"},
 		{units, `{"name":"p","start":1,"purses":[{"want":-1}]}`, 400, "purses[0]", "want"},
-		{units, `{"name":"p","start":1,"purses":[` + strings.Repeat("{},", mostPurses) + `{}]}`, 400, "purses", "257, more than 256"},
+		{units, `{"name":"p","start":1,"purses":[` + strings.Repeat("{},", maxBudgetsPerRequest) + `{}]}`, 400, "purses", "257, more than 256"},
 	} {
 		code, text := call(t, "POST", one.cfg.Listen, c.path, c.body)
-		var f refusal
+		var f rejection
 		require.NoError(t, json.Unmarshal([]byte(text), &f), text)
 		if code != c.code || f.Field != c.field || !strings.Contains(f.Error, c.why) {
 			t.Errorf("%s %.100s: %d %s", c.path, c.body, code, text)
@@ -304,8 +304,9 @@
 	}
 }
 
-// A post that is sent twice is made once; another of its name, another beside it, and one on an old revision are refused.
-func TestPostsSentTwiceAndConflicts(t *testing.T) {
+// A post that is sent twice is made once; another of its name, another beside it, and one on an old revision are
+// refused.
+func TestRollouts_repeatedPostsAndConflicts(t *testing.T) {
 	t.Parallel()
 	one := routed(t, 1, single)[0]
 	putCanary(t, one)
@@ -351,8 +352,9 @@
 	assert.Contains(t, text, `routes_processes{standing="shut out"} 0`)
 }
 
-// Each revision is told to who reads it alike, at any copy; the list and its revision stay as they were.
-func TestWatchOfRoutes(t *testing.T) {
+// Each revision is sent to readers whose schemas can express it, by any replica; the list and its revision are
+// unchanged.
+func TestRoutes_watch(t *testing.T) {
 	t.Parallel()
 	all := routed(t, 3, nil)
 	addr := routesLeader(t, all).cfg.Listen
@@ -401,7 +403,7 @@
 			return code == 200
 		})
 	}
-	// told reads up to a revision. One before it may be there of which the answer was lost, and which was asked for again.
+	// told reads up to a revision. An earlier one may come first, whose answer was lost and which was requested again.
 	told := func(in *bufio.Reader, schema int, rev int64) {
 		got := next(in, schema).Rev
 		for got < rev {
@@ -426,11 +428,11 @@
 	all[0].node.hub.read(func(s *State) { assert.Equal(t, list, s.Rev()) })
 }
 
-// What is granted is on a majority before it is told: a new leader grants no unit again, and undoes no rollback. With
-// the planted defect it does.
-func TestGrantsSurviveALeaderChange(t *testing.T) {
+// Grants are on a quorum before they are answered: a new leader grants no unit twice, and undoes no rollback. With the
+// planted defect it does.
+func TestGrants_leaderChange(t *testing.T) {
 	t.Parallel()
-	for _, planted := range []defect{"", grantUnkept} {
+	for _, planted := range []defect{"", grantUncommitted} {
 		t.Run(string(planted), func(t *testing.T) {
 			t.Parallel()
 			all := routed(t, 3, func(c *Config) { c.Planted = string(planted) })
@@ -443,15 +445,15 @@
 			got := int64(0)
 			until(t, "all units", func() bool {
 				one.report(t, lead.cfg.Listen)
-				got = one.ask(t, lead.cfg.Listen, 0, 10)
+				got = one.requestBudget(t, lead.cfg.Listen, 0, 10)
 				return got == 10
 			})
 			lead.end(t)
 			lead = routesLeader(t, all)
 			second := int64(0)
-			for range 5 { // while its predecessor's grants may be asked for
+			for range 5 { // while grants of the earlier leader may be requested
 				two.report(t, lead.cfg.Listen)
-				second = max(second, two.ask(t, lead.cfg.Listen, 0, 10))
+				second = max(second, two.requestBudget(t, lead.cfg.Listen, 0, 10))
 			}
 			if planted != "" {
 				assert.Positive(t, second, "the defect shows nothing")
@@ -459,7 +461,7 @@
 			}
 			assert.Zero(t, second, "units of a spent budget were granted again")
 			one.report(t, lead.cfg.Listen)
-			one.ask(t, lead.cfg.Listen, 10, 10)
+			one.requestBudget(t, lead.cfg.Listen, 10, 10)
 			v := view(t, lead.cfg.Listen)
 			require.Equal(t, rollout.RolledBack, v.Rollouts[0].Phase)
 			assert.Equal(t, int64(10), v.Rollouts[0].Spent)
@@ -477,8 +479,8 @@
 	}
 }
 
-// A leader without a majority permits nothing, though it still takes itself for one.
-func TestCutOffLeaderPermitsNothing(t *testing.T) {
+// A leader without a quorum permits nothing, though it still takes itself for one.
+func TestLeader_partitioned(t *testing.T) {
 	t.Parallel()
 	all := routed(t, 3, func(c *Config) { c.Beat = 200 * time.Millisecond })
 	lead := routesLeader(t, all)
@@ -498,7 +500,7 @@
 }
 
 // A new leader closes nothing while a term that the one before granted may last; with the planted defect it does.
-func TestNewLeaderWaitsForTermsOfAnother(t *testing.T) {
+func TestLeader_waitsForEarlierLeases(t *testing.T) {
 	t.Parallel()
 	for _, planted := range []defect{"", noWait} {
 		t.Run(string(planted), func(t *testing.T) {
@@ -535,20 +537,20 @@
 }
 
 // A longer term than this leader grants may be out: it decides nothing until that is over.
-func TestShorterTermWaitsForTheLonger(t *testing.T) {
+func TestLeader_shorterLeaseTerm(t *testing.T) {
 	t.Parallel()
 	one := routed(t, 1, single)[0]
 	r := one.node.server.routes
-	_, err := one.node.Apply(&Command{Op: OpTerm, TermMS: 3_600_000}, applyWait)
+	_, err := one.node.Apply(&Command{Op: OpTerm, TermMS: 3_600_000}, applyTimeout)
 	require.NoError(t, err)
 	r.lead.Store(nil)
 	var l *leadership
 	until(t, "another lead", func() bool { l = r.current(); return l != nil })
-	assert.Equal(t, lengthened(3_600_000, 0.02), l.opens.Sub(l.began))
+	assert.Equal(t, withClockMargin(3_600_000, 0.02), l.decisionsFrom.Sub(l.startedAt))
 }
 
 // Reports cost no disk.
-func TestReportsCostNoDisk(t *testing.T) {
+func TestReports_noDiskWrites(t *testing.T) {
 	t.Parallel()
 	one := routed(t, 1, nil)[0]
 	p := newProcess("p", 2)
@@ -569,7 +571,7 @@
 }
 
 // What processes that are present would read otherwise is refused with their names, until they are shut out.
-func TestOlderReadersStandInTheWay(t *testing.T) {
+func TestSchema_olderReadersBlock(t *testing.T) {
 	t.Parallel()
 	one := routed(t, 1, single)[0]
 	putCanary(t, one)
@@ -580,16 +582,16 @@
 		require.Equal(t, 200, code)
 	}
 	newProcess("new", 1, 2).report(t, one.cfg.Listen)
-	var f refusal
+	var f rejection
 	until(t, "a verdict", func() bool { // a new leader does not know all yet
 		code, text := call(t, "POST", one.cfg.Listen, path, classes)
-		f = refusal{}
+		f = rejection{}
 		require.NoError(t, json.Unmarshal([]byte(text), &f))
 		return code == 409
 	})
 	assert.Equal(t, "classes", f.Field)
 	assert.Contains(t, f.Findings[0].Effect, "all classes to the canary")
-	assert.Len(t, f.Processes, mostInWay)
+	assert.Len(t, f.Processes, maxListedProcesses)
 	assert.Equal(t, 5, f.Others)
 	assert.Equal(t, "old00", f.Processes[0].Name)
 	for range 3 {
@@ -636,7 +638,7 @@
 		l := one.node.server.routes.current()
 		later := func() int64 {
 			from := l.wall(time.Now())
-			until(t, "a time that is later for sure", func() bool { return l.wall(time.Now()) > from+2*clockSlack })
+			until(t, "a time that is later for sure", func() bool { return l.wall(time.Now()) > from+2*clockSlackMS })
 			return l.wall(time.Now())
 		}
 		to := later()
@@ -644,7 +646,7 @@
 		until(t, "verdicts", func() bool { // an echo is from before the time's end at first
 			rests.report(t, one.cfg.Listen)
 			rests.report(t, one.cfg.Listen)
-			code, text = call(t, "GET", one.cfg.Listen, fmt.Sprintf("/routes/audit?rev=%d&from=%d&to=%d", rev, l.wallMS-1000, to), "")
+			code, text = call(t, "GET", one.cfg.Listen, fmt.Sprintf("/routes/audit?rev=%d&from=%d&to=%d", rev, l.startedWallMS-1000, to), "")
 			require.Equal(t, 200, code, text)
 			var s audit.Summary
 			require.NoError(t, json.Unmarshal([]byte(text), &s))
@@ -666,9 +668,10 @@
 	}
 }
 
-// A new leader answers for windows before it led, from what it noted as a follower: that an attempt lies between a commit
-// and an end, that nobody acted before the one and after the other. What cuts into the life of a revision it does not know.
-func TestAuditAfterALeaderChange(t *testing.T) {
+// A new leader answers for windows before it led, from what it noted as a follower: that an attempt lies between a
+// commit and an end, that no process acted before the one and after the other. What cuts into the life of a revision it
+// does not know.
+func TestAudit_leaderChange(t *testing.T) {
 	t.Parallel()
 	all := routed(t, 3, nil)
 	lead := routesLeader(t, all)
@@ -686,15 +689,15 @@
 	}
 	passed := func() time.Time { // that both ends of a window are apart by more than what turning them may cost
 		at := time.Now()
-		until(t, "some time", func() bool { return time.Since(at) > 4*clockSlack*time.Millisecond })
+		until(t, "some time", func() bool { return time.Since(at) > 4*clockSlackMS*time.Millisecond })
 		return time.Now()
 	}
 	before := passed()
-	asked := passed()
+	polled := passed()
 	followers("what the leader has", func(r *routing, _ *State) bool {
 		r.tables.mu.Lock()
 		defer r.tables.mu.Unlock()
-		return len(r.tables.before) > 0 && r.tables.before[len(r.tables.before)-1].at.After(asked)
+		return len(r.tables.upperBounds) > 0 && r.tables.upperBounds[len(r.tables.upperBounds)-1].at.After(polled)
 	})
 	acts, rests := newProcess("acts", 2), newProcess("rests", 2)
 	var revs [2]int64
@@ -720,7 +723,7 @@
 	for _, c := range []struct {
 		what     string
 		from, to time.Time
-		want     []audit.Verdict // of acts, rests
+		want     []audit.Verdict // of a process that acts, and of an idle one
 	}{
 		{"the whole", before, held, []audit.Verdict{audit.Did, audit.DidNot}},
 		{"before the commit", before.Add(-time.Hour), before, []audit.Verdict{audit.DidNot, audit.DidNot}},
@@ -730,7 +733,7 @@
 		audited := fmt.Sprintf("/routes/audit?rev=%d&from=%d&to=%d", revs[0], l.wall(c.from), l.wall(c.to))
 		var code int
 		var text string
-		until(t, "an answer of the new leader", func() bool { // it says 503 until a majority has confirmed it
+		until(t, "an answer of the new leader", func() bool { // it says 503 until a quorum has confirmed it
 			code, text = call(t, "GET", lead.cfg.Listen, audited, "")
 			return code != http.StatusServiceUnavailable
 		})
@@ -746,17 +749,17 @@
 }
 
 // What costs are counted late is handed out again.
-func TestPlantedCountLate(t *testing.T) {
+func TestDefect_countLate(t *testing.T) {
 	a := &route.BudgetRequest{Budgets: []route.BudgetState{{Granted: 5, Spent: 3, Returned: 1}}}
-	defect("").asked(a)
+	defect("").requestedBudgets(a)
 	assert.Equal(t, int64(3), a.Budgets[0].Spent)
-	countLate.asked(a)
+	countLate.requestedBudgets(a)
 	assert.Equal(t, route.BudgetState{Granted: 5, Returned: 4}, a.Budgets[0])
 }
 
 // A snapshot keeps the routes; one from before there were any is read, and written while there are none.
-func TestSnapshotKeepsRoutes(t *testing.T) {
-	s := begun(10)
+func TestSnapshot_routes(t *testing.T) {
+	s := newStartedState(10)
 	base := rollout.Command{Op: rollout.OpBase, Tenant: "a", Base: route.Subset{Model: []string{"m"}}}
 	for _, c := range []*Command{{Op: OpTerm, TermMS: 5}, {Op: OpRoutes, Routes: &base},
 		{Op: OpAudit, Audit: []audit.Transition{{Process: route.Process{Name: "p", Start: 1}, Kind: audit.FirstReport, Rev: 1}},
@@ -766,11 +769,11 @@
 		require.NoError(t, err)
 		assert.Equal(t, before, s.Rev(), "the list's revision moved")
 	}
-	kept := must(s.save())
-	assert.Equal(t, savedForm, kept.Form)
+	stored := must(s.save())
+	assert.Equal(t, savedForm, stored.Form)
 	back := NewState(10)
-	require.NoError(t, back.load(kept))
-	assert.Equal(t, asJSON(t, kept), asJSON(t, must(back.save())))
+	require.NoError(t, back.load(stored))
+	assert.Equal(t, asJSON(t, stored), asJSON(t, must(back.save())))
 	assert.Equal(t, s.routes.Table(), back.routes.Table())
 	assert.Equal(t, 1, back.audit.Len())
 
--- a/internal/registry/server_watch.go
+++ b/internal/registry/server_watch.go
@@ -7,25 +7,25 @@
 	"time"
 )
 
-// watch tells one watcher all changes until either side ends it.
-func (s *Server) watch(w http.ResponseWriter, r *http.Request, after int64, heard time.Duration) {
-	first, at, err := s.hub.join(after)
+// watch sends all changes to one client until either side ends the watch.
+func (s *Server) watch(w http.ResponseWriter, r *http.Request, after int64, staleness time.Duration) {
+	first, at, err := s.hub.subscribe(after)
 	if err != nil {
 		http.Error(w, err.Error(), http.StatusInternalServerError)
 		return
 	}
 	s.watches.Add(1)
 	defer s.watches.Add(-1)
-	s.note(w, at.rev, heard)
+	s.writeReplicaHeaders(w, at.rev, staleness)
 	w.Header().Set("Content-Type", "application/json")
-	say := s.sayer(w)
+	say := s.lineWriter(w)
 	if len(first) == 0 {
 		first = []byte("\n")
 	}
 	if !say(first) {
 		return
 	}
-	tick := time.NewTicker(beat)
+	tick := time.NewTicker(watchHeartbeat)
 	defer tick.Stop()
 	for {
 		select {
@@ -33,15 +33,15 @@
 			return
 		case <-tick.C:
 			if _, stale := s.stale(); stale || !say([]byte("\n")) {
-				return // a watch on a copy that is cut off would look alive and tell nothing
+				return // a watch on a replica that is cut off would look alive and tell nothing
 			}
 			continue
 		case <-at.ready:
 		}
 		before := at.rev
 		at = at.next
-		if s.hub.lines.Load()-at.n > mostBehind {
-			s.figures.slow.Inc()
+		if s.hub.lines.Load()-at.n > maxWatcherLag {
+			s.metrics.slow.Inc()
 			return
 		}
 		text := at.text
@@ -51,23 +51,23 @@
 			}
 		}
 		if !say(text) {
-			s.figures.slow.Inc()
+			s.metrics.slow.Inc()
 			return
 		}
 	}
 }
 
-// sayer writes lines to a watcher, and tells whether it took one in time.
-func (s *Server) sayer(w http.ResponseWriter) func(text []byte) bool {
+// lineWriter returns a function that writes a line to a watch and reports whether it was written in time.
+func (s *Server) lineWriter(w http.ResponseWriter) func(text []byte) bool {
 	control := http.NewResponseController(w)
 	return func(text []byte) bool {
-		if err := control.SetWriteDeadline(time.Now().Add(writeWait)); err != nil {
+		if err := control.SetWriteDeadline(time.Now().Add(lineWriteTimeout)); err != nil {
 			return false
 		}
 		if _, err := w.Write(text); err != nil {
 			return false
 		}
-		s.figures.bytes.Add(float64(len(text)))
+		s.metrics.bytes.Add(float64(len(text)))
 		return control.Flush() == nil
 	}
 }
--- a/internal/registry/server_writes.go
+++ b/internal/registry/server_writes.go
@@ -20,7 +20,7 @@
 }
 
 func (s *Server) put(w http.ResponseWriter, r *http.Request) {
-	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxWrite))
+	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxWriteBodyBytes))
 	if err != nil {
 		http.Error(w, "the body cannot be read: "+err.Error(), http.StatusBadRequest)
 		return
@@ -50,7 +50,7 @@
 	s.apply(w, r, &Command{Op: op, UID: r.PathValue("uid")})
 }
 
-// renew gives a lease its whole term again. It changes nothing that is told.
+// renew restarts a lease with its full term. It changes no revision.
 func (s *Server) renew(w http.ResponseWriter, r *http.Request) {
 	if !s.leading(w, r) {
 		return
@@ -69,13 +69,13 @@
 	fmt.Fprintf(w, "{\"state\":%q,\"lease_ms\":%d}\n", entry.State, term.Milliseconds())
 }
 
-// leading tells whether this copy leads; else it sends the caller on or away.
+// leading tells whether this replica leads; else it sends the caller on or away.
 func (s *Server) leading(w http.ResponseWriter, r *http.Request) bool {
 	me, address := s.replica.Leader()
 	if me {
 		return true
 	}
-	s.note(w, 0, s.replica.Heard())
+	s.writeReplicaHeaders(w, 0, s.replica.Staleness())
 	if address == "" {
 		w.Header().Set("Retry-After", "1")
 		http.Error(w, ErrNoQuorum.Error(), http.StatusServiceUnavailable)
@@ -98,7 +98,7 @@
 	if !s.leading(w, r) {
 		return
 	}
-	rev, err := s.replica.Apply(c, applyWait)
+	rev, err := s.replica.Apply(c, applyTimeout)
 	if err != nil {
 		status := http.StatusInternalServerError
 		switch {
@@ -118,14 +118,14 @@
 	if c.Op == OpPut && c.LeaseMS > 0 {
 		s.leases.renew(c.Entry.UID, time.Duration(c.LeaseMS)*time.Millisecond, time.Now())
 	}
-	s.note(w, rev, s.replica.Heard())
+	s.writeReplicaHeaders(w, rev, s.replica.Staleness())
 	w.Header().Set("Content-Type", "application/json")
 	fmt.Fprintf(w, "{\"rev\":%d}\n", rev)
 }
 
-// expireLoop expires leases while this copy leads. When it begins to lead, each has a full term again.
+// expireLoop expires leases while this replica leads. When it begins to lead, each has a full term again.
 func (s *Server) expireLoop(ctx context.Context) {
-	t := time.NewTicker(expireEvery)
+	t := time.NewTicker(leaseCheckInterval)
 	defer t.Stop()
 	for {
 		select {
@@ -145,7 +145,7 @@
 				leased = append(leased, lease{uid, changed, term})
 			})
 		})
-		expired, held := s.leases.due(leased, s.o.Load().HoldShare, now)
+		expired, held := s.leases.due(leased, s.o.Load().MaxExpiredFraction, now)
 		if held > 0 {
 			s.log.Warn("registry: too many leases ended together; their entries stay listed", "entries", held, "of", len(leased))
 		}
@@ -153,7 +153,7 @@
 			continue
 		}
 		s.log.Info("registry: leases ended", "entries", len(expired))
-		if _, err := s.replica.Apply(&Command{Op: OpExpire, Expired: expired}, applyWait); err != nil {
+		if _, err := s.replica.Apply(&Command{Op: OpExpire, Expired: expired}, applyTimeout); err != nil {
 			s.log.Warn("registry: ended leases are not told", "error", err)
 		}
 	}
--- a/internal/registry/state_machine.go
+++ b/internal/registry/state_machine.go
@@ -29,7 +29,7 @@
 		r.rev, r.err = s.Apply(&c)
 		m.server.routes.tables.follow(s.routes, l.Term, time.Now())
 	})
-	m.server.stir()
+	m.server.signalChange()
 	return r
 }
 
@@ -66,5 +66,5 @@
 	return sink.Close()
 }
 
-// Release does nothing: the snapshot is this program's own copy.
+// Release does nothing: the snapshot is this process's own copy.
 func (snapshot) Release() {}
--- a/internal/registry/state_test.go
+++ b/internal/registry/state_test.go
@@ -15,7 +15,7 @@
 	return &Entry{UID: uid, Endpoint: "127.0.0.1:1", Zone: "a", State: Ready, Capacity: 1, BootMS: boot}
 }
 
-func begun(keep int) *State {
+func newStartedState(keep int) *State {
 	s := NewState(keep)
 	if _, err := s.Apply(&Command{Op: OpBegin, Epoch: 5}); err != nil {
 		panic(err)
@@ -23,11 +23,11 @@
 	return s
 }
 
-// Whatever is written, and whenever a reader falls behind, what it is told leads it to exactly the list there is,
-// and no revision means two things.
-func TestReaderIsNeverLeftBehind(t *testing.T) {
+// After any writes and any lag of a reader, the changes it receives give exactly the current list, and no revision has
+// two meanings.
+func TestState_readerCatchesUp(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		s := begun(rapid.IntRange(1, 10).Draw(t, "keep"))
+		s := newStartedState(rapid.IntRange(1, 10).Draw(t, "keep"))
 		type reader struct {
 			rev  int64
 			list map[string]Entry
@@ -91,8 +91,8 @@
 	})
 }
 
-func TestAfterThatCannotBeToldGetsAll(t *testing.T) {
-	s := begun(4)
+func TestState_unknownRevisionGetsFullList(t *testing.T) {
+	s := newStartedState(4)
 	for i := range 20 {
 		if _, err := s.Apply(&Command{Op: OpPut, Entry: entry("s", int64(i))}); err != nil {
 			t.Fatal(err)
@@ -114,8 +114,8 @@
 	}
 }
 
-func TestWritesSentTwice(t *testing.T) {
-	s := begun(100)
+func TestState_repeatedWrites(t *testing.T) {
+	s := newStartedState(100)
 	zero := int64(0)
 	put := &Command{Op: OpPut, Entry: entry("s", 1), If: &zero, LeaseMS: 1000}
 	first, err := s.Apply(put)
@@ -147,8 +147,8 @@
 
 func ptr[T any](v T) *T { return &v }
 
-func TestDrainedIsReadyOnlyAfterALaterStart(t *testing.T) {
-	s := begun(100)
+func TestState_drainedUntilRestart(t *testing.T) {
+	s := newStartedState(100)
 	for _, c := range []*Command{{Op: OpPut, Entry: entry("s", 10)}, {Op: OpDrain, UID: "s"}} {
 		if _, err := s.Apply(c); err != nil {
 			t.Fatal(err)
@@ -166,8 +166,8 @@
 }
 
 // An expiry that was decided before a change does not undo it.
-func TestExpiryIsOfWhatItSaw(t *testing.T) {
-	s := begun(100)
+func TestState_expiryOfObservedRevision(t *testing.T) {
+	s := newStartedState(100)
 	rev, _ := s.Apply(&Command{Op: OpPut, Entry: entry("s", 1), LeaseMS: 10})
 	if _, err := s.Apply(&Command{Op: OpPut, Entry: entry("s", 2), LeaseMS: 10}); err != nil {
 		t.Fatal(err)
@@ -178,14 +178,14 @@
 }
 
 func TestEpochs(t *testing.T) {
-	now := epochBegan.Add(1000 * time.Minute)
+	now := epochZero.Add(1000 * time.Minute)
 	if e := NextEpoch(now, 0); e != 1000 {
 		t.Errorf("a fresh history: %d", e)
 	}
 	if e := NextEpoch(now, 1000); e != 1001 {
 		t.Errorf("a second one within the minute: %d", e)
 	}
-	if e := NextEpoch(epochBegan.Add(-time.Hour), 7); e != 8 {
+	if e := NextEpoch(epochZero.Add(-time.Hour), 7); e != 8 {
 		t.Errorf("with a clock that went back: %d", e)
 	}
 	if rev := int64(maxEpoch)<<countBits + 1<<countBits - 1; rev != 1<<53-1 {
@@ -193,8 +193,8 @@
 	}
 }
 
-func TestSnapshotKeepsTheList(t *testing.T) {
-	s := begun(100)
+func TestSnapshot_list(t *testing.T) {
+	s := newStartedState(100)
 	for i := range 5 {
 		if _, err := s.Apply(&Command{Op: OpPut, Entry: entry(fmt.Sprint("s", i), 1), LeaseMS: 50}); err != nil {
 			t.Fatal(err)
@@ -204,14 +204,14 @@
 		t.Fatal(err)
 	}
 	back := NewState(100)
-	kept, err := s.save()
+	stored, err := s.save()
 	if err != nil {
 		t.Fatal(err)
 	}
-	if kept.Form != formBefore {
-		t.Errorf("without routes the snapshot has form %d, which an earlier program does not read", kept.Form)
+	if stored.Form != formBefore {
+		t.Errorf("without routes the snapshot has form %d, which an earlier program does not read", stored.Form)
 	}
-	if err := back.load(kept); err != nil {
+	if err := back.load(stored); err != nil {
 		t.Fatal(err)
 	}
 	if !slices.Equal(back.All().Targets, s.All().Targets) || back.Rev() != s.Rev() || back.Members()["r1"] != "127.0.0.1:9" {
--- a/internal/registry/store.go
+++ b/internal/registry/store.go
@@ -20,27 +20,24 @@
 )
 
 // store keeps raft's log and its few values in one bbolt file. Each log entry and each value has a checksum, so that
-// one that the disk has spoilt stops the copy and is not replicated or applied.
+// one that the disk has spoilt stops the replica and is not replicated or applied.
 //
-// The way not taken: hashicorp/raft-boltdb, whose newest version holds raft back at an older one and whose entries
-// have no checksum.
-//
-// A write that the disk refuses is told on failed: what raft does next rests on writes that have happened, so the copy
-// has to be closed, and not to go on as if it had them. Nothing is written after the first failure, be the disk sound
-// again or not: the kernel may drop what a failed sync leaves behind and report the next sync as done. So the newest
-// root in the file reaches only pages whose sync succeeded, whether or not that root itself is on the disk; the first
-// transaction after the file was opened anew settles this, as it syncs a root of its own.
+// A failed write is reported on failed: raft relies on earlier writes, so the replica has to be closed. Nothing is
+// written after the first failure, even if the disk works again: the kernel may drop pages of a failed sync and report
+// the next sync as done. So the newest root in the file reaches only pages whose sync succeeded, whether or not that
+// root itself is on the disk; the first transaction after the file is reopened settles this, as it syncs a root of its
+// own.
 type store struct {
-	db     *bolt.DB
-	mu     sync.Mutex  // held while something is written
-	broken error       // the first failure, after which nothing is written
-	failed chan error  // takes the first failure
-	say    func(error) // is told of it, too
-	faults *fault.Plan
-	slow   time.Duration // a write that takes longer is a slow one
-	took   atomic.Int64  // nanoseconds of the last write
-	writes atomic.Int64  // since it was opened
-	slowly atomic.Int64  // writes in a row that were slow
+	db                    *bolt.DB
+	mu                    sync.Mutex  // held during a write
+	broken                error       // first failure; every later write fails with it
+	failed                chan error  // receives the first failure
+	onFailure             func(error) // called with the first failure
+	faults                *fault.Plan
+	slow                  time.Duration // a write that takes longer is a slow one
+	lastWriteNanos        atomic.Int64  // duration of the last write
+	writes                atomic.Int64  // since it was opened
+	consecutiveSlowWrites atomic.Int64  // slow writes since the last fast one
 }
 
 var (
@@ -49,8 +46,8 @@
 	castagnoli  = crc32.MakeTable(crc32.Castagnoli)
 )
 
-// openWait is how long another process may take to let the file go.
-const openWait = time.Second
+// fileLockTimeout bounds the wait for another process to release the lock of the file.
+const fileLockTimeout = time.Second
 
 // errCorrupt is a log entry that is not what was written.
 var errCorrupt = errors.New("the log is corrupt")
@@ -58,7 +55,7 @@
 // openBolt opens the file, which recoverDir has looked at: bbolt panics on a spoilt one.
 func openBolt(path string) (*bolt.DB, error) {
 	db, err := bolt.Open(path, 0o600,
-		&bolt.Options{Timeout: openWait, FreelistType: bolt.FreelistMapType, NoFreelistSync: true})
+		&bolt.Options{Timeout: fileLockTimeout, FreelistType: bolt.FreelistMapType, NoFreelistSync: true})
 	if errors.Is(err, bolterrors.ErrTimeout) {
 		return nil, fmt.Errorf("%s is open in another process", path)
 	}
@@ -84,7 +81,7 @@
 		if err := tx.Bucket(logBucket).ForEach(func(k, v []byte) error { t.add(k, v); return nil }); err != nil {
 			return err
 		}
-		if err := about.Put(tallyKey, t.bytes()); err != nil {
+		if err := about.Put(contentSumKey, t.bytes()); err != nil {
 			return err
 		}
 	}
@@ -99,8 +96,7 @@
 	return tx.Bucket(aboutBucket).Put(txKey, summed(txKey, uint64(tx.ID())))
 }
 
-// createStore makes the file under another name first: one that was cut off while it was made cannot be told from one
-// that was spoilt.
+// createStore creates the file under a temporary name first, as a partly created file looks like a corrupt one.
 func createStore(path string) error {
 	temp := path + tempSuffix
 	if err := os.Remove(temp); err != nil && !errors.Is(err, os.ErrNotExist) {
@@ -129,12 +125,12 @@
 	if err != nil {
 		return nil, err
 	}
-	return &store{db: db, failed: make(chan error, 1), say: func(error) {}, slow: slow, faults: faults}, nil
+	return &store{db: db, failed: make(chan error, 1), onFailure: func(error) {}, slow: slow, faults: faults}, nil
 }
 
-// write changes the file; a failure is told, and every write after it fails with the same error.
+// write changes the file; a failure is reported, and every later write fails with the same error.
 func (s *store) write(f func(*bolt.Tx) error) error {
-	began := time.Now()
+	startedAt := time.Now()
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.broken != nil {
@@ -145,18 +141,18 @@
 			return errors.Join(f(tx), mark(tx), undo)
 		})
 	})
-	took := time.Since(began)
-	s.took.Store(int64(took))
+	took := time.Since(startedAt)
+	s.lastWriteNanos.Store(int64(took))
 	s.writes.Add(1)
 	if took > s.slow {
-		s.slowly.Add(1)
+		s.consecutiveSlowWrites.Add(1)
 	} else {
-		s.slowly.Store(0)
+		s.consecutiveSlowWrites.Store(0)
 	}
 	if err != nil && !silent {
 		s.broken = err
 		s.failed <- err // has room for the only one
-		s.say(err)
+		s.onFailure(err)
 	}
 	return err
 }
@@ -204,11 +200,11 @@
 // raw is an entry as it stands in the file.
 func (s *store) raw(index uint64) (v []byte, err error) {
 	err = s.db.View(func(tx *bolt.Tx) error {
-		kept := tx.Bucket(logBucket).Get(key(index))
-		if kept == nil {
+		value := tx.Bucket(logBucket).Get(key(index))
+		if value == nil {
 			return raft.ErrLogNotFound
 		}
-		v = append(v, kept...)
+		v = append(v, value...)
 		return nil
 	})
 	return v, err
@@ -219,7 +215,7 @@
 		return fmt.Errorf("%w: entry %d has another checksum", errCorrupt, index)
 	}
 	if len(v) == 4 || v[4] != '{' { // the first byte is the form; that of this one is JSON's
-		return fmt.Errorf("%w: entry %d", errLater, index)
+		return fmt.Errorf("%w: entry %d", errNewerVersion, index)
 	}
 	*l = raft.Log{}
 	if err := json.Unmarshal(v[4:], l); err != nil {
@@ -239,7 +235,7 @@
 	return s.write(func(tx *bolt.Tx) error {
 		b := tx.Bucket(logBucket)
 		b.FillPercent = 0.9 // entries are appended
-		t := readTally(tx.Bucket(aboutBucket))
+		t := readContentSum(tx.Bucket(aboutBucket))
 		for _, l := range logs {
 			data, err := json.Marshal(l)
 			if err != nil {
@@ -255,7 +251,7 @@
 				return fmt.Errorf("log entry %d: %w", l.Index, err)
 			}
 		}
-		return tx.Bucket(aboutBucket).Put(tallyKey, t.bytes())
+		return tx.Bucket(aboutBucket).Put(contentSumKey, t.bytes())
 	})
 }
 
@@ -263,7 +259,7 @@
 func (s *store) DeleteRange(low, high uint64) error {
 	return s.write(func(tx *bolt.Tx) error {
 		b := tx.Bucket(logBucket)
-		t := readTally(tx.Bucket(aboutBucket))
+		t := readContentSum(tx.Bucket(aboutBucket))
 		for i := low; i <= high; i++ { // a cursor must not be moved on from what it has deleted
 			k := key(i)
 			if old := b.Get(k); old != nil {
@@ -273,7 +269,7 @@
 				return err
 			}
 		}
-		return tx.Bucket(aboutBucket).Put(tallyKey, t.bytes())
+		return tx.Bucket(aboutBucket).Put(contentSumKey, t.bytes())
 	})
 }
 
@@ -316,15 +312,15 @@
 	return binary.BigEndian.Uint64(v), nil
 }
 
-// currentTerm is the name under which raft keeps the term that a copy is in.
+// currentTerm is the name under which raft keeps the term that a replica is in.
 const currentTerm = "CurrentTerm"
 
-// termStore keeps raft's values, and does not tell raft that its term could not be kept: raft panics then, on goroutines
-// of its own, and the process would end.
+// termStore stores raft's values, and hides from raft that its term could not be stored: raft would panic on a goroutine
+// of its own and end the process.
 //
-// Nothing rests on such a term. The store has failed, so it refuses each vote and each entry of the term as well, and
-// without its own vote on the disk a copy does not lead. What the copy may still say before it is closed is that it has
-// heard of the term; the majority that voted in it refuses earlier ones without this copy.
+// This is safe: the failed store rejects every vote and entry of the term as well, and a replica cannot lead without its
+// own vote on disk. Before it is closed the replica may only report the new term; the quorum that voted in that term
+// rejects earlier ones without this replica.
 type termStore struct{ *store }
 
 // SetUint64 keeps a number. Where that is the term and the store has failed, no error is given.
--- a/internal/registry/store_check.go
+++ b/internal/registry/store_check.go
@@ -19,39 +19,39 @@
 	bolt "go.etcd.io/bbolt"
 )
 
-// This file is what a copy looks at before it votes.
+// This file verifies the data directory before the replica votes.
 //
-// # The rule
+// # Invariant
 //
-// raft rests on this: what a copy has acknowledged, an entry or a vote, it still has. A copy that lost one and goes on
-// under its name can let entries be lost that a majority had, or vote twice in one term.
+// raft requires that a replica keeps each entry and vote that it has acknowledged. One that lost any and continues under
+// its name can lose committed entries, or vote twice in one term.
 //
 // A write is acknowledged when its transaction has returned, and that is after two syncs: of all its pages, and of the
 // meta page that points to them. A power loss before the second returns leaves the transaction whole or not there, and
-// it was never acknowledged. So the torn tail of the log is not among the entries that can be read: what the newest
-// root does not reach is cut, and nobody was told of it. What the root does reach was synced before; if it cannot be
-// read, be it the last entry, it may have been acknowledged. Then the copy stops, whatever the place, and has to come
-// back under another name. The same holds for a meta page that is spoilt, as the other one is the state before.
+// it was never acknowledged. So a torn tail of the log is not reachable from the newest root; it is removed, as it was
+// never acknowledged. What the root reaches was synced before; if any of it cannot be read, even the last entry, it may
+// have been acknowledged. Then the replica stops and has to rejoin under another name. The same holds for a corrupt meta
+// page, as the other one points to the previous state.
 //
-// A snapshot repeats what the log had. One that was not finished is cut. One that is spoilt is set aside as long as an
-// older one and the log have everything without it; else the copy stops.
+// A snapshot repeats entries of the log. An unfinished one is removed. A corrupt one is set aside if an older one and
+// the log are complete without it; otherwise the replica stops.
 //
-// What this cannot notice: a disk that says it has synced and has not, and leaves an older state that is sound; a
-// folder that was put back whole from an old image. See noticing for what the leader sees of them.
+// Not detected: a disk that reports a sync without doing it and leaves an older consistent state; a directory rolled
+// back to an old disk image. See regressionDetector for how the leader detects these.
 
-// unsound is a folder from which a copy must not start.
-type unsound struct {
+// corruptionError is a data directory from which a replica must not start.
+type corruptionError struct {
 	Path string // file, with the bucket and the key or the index where there is one
 	Err  error
 }
 
-func (e *unsound) Error() string {
+func (e *corruptionError) Error() string {
 	return fmt.Sprintf("%s: %v; this copy must not start from it, as it may have acknowledged what is lost: move the "+
 		"folder away, start the copy under another name with join = true, and ask a copy that runs to replace-copy the old "+
 		"name; where none runs any more, `marblelane registry restore` founds a cluster from a backup", e.Path, e.Err)
 }
 
-func (e *unsound) Unwrap() error { return e.Err }
+func (e *corruptionError) Unwrap() error { return e.Err }
 
 const (
 	storeFile    = "raft.db"
@@ -60,20 +60,20 @@
 	asideSuffix  = ".damaged"
 )
 
-// Found is what a copy's folder has.
+// Found is what a replica's folder has.
 type Found struct {
 	Entries         int    // in the log
 	First, Last     uint64 // their indices; 0: there are none
 	LowTerm, Top    uint64 // terms of the first and of the last
-	Term, VotedTerm uint64 // the copy's own, and the last in which it voted
+	Term, VotedTerm uint64 // the replica's own, and the last in which it voted
 	Vote            string // for whom
 	Snapshots       []FoundSnapshot
-	Cut             []string // what was never finished; a start removes it
-	Notes           []string // what is worth knowing and no fault
+	Cut             []string // unfinished files; a start removes them
+	Notes           []string // remarks that are no faults
 	Faults          []error
 
-	values map[string][]byte
-	tally  contentSum
+	values     map[string][]byte
+	contentSum contentSum
 }
 
 // FoundSnapshot is one snapshot.
@@ -117,13 +117,13 @@
 	if err := out.store(path, f, info.Size(), each); err != nil {
 		out.fault(path, err)
 	}
-	out.whole(path)
+	out.checkComplete(path)
 	return out, nil
 }
 
 // lock takes a file or a folder, and waits for a bounded time for another process that has it.
 func lock(f *os.File, how int) error {
-	for end := time.Now().Add(openWait); ; time.Sleep(openWait / 20) {
+	for end := time.Now().Add(fileLockTimeout); ; time.Sleep(fileLockTimeout / 20) {
 		err := syscall.Flock(int(f.Fd()), how|syscall.LOCK_NB)
 		switch {
 		case err == nil:
@@ -137,15 +137,15 @@
 }
 
 func (out *Found) fault(path string, err error) {
-	if errors.Is(err, errLater) {
+	if errors.Is(err, errNewerVersion) {
 		out.Faults = append(out.Faults, fmt.Errorf("%s: %w: start that program; the folder stays as it is", path, err))
 		return
 	}
-	out.Faults = append(out.Faults, &unsound{path, err})
+	out.Faults = append(out.Faults, &corruptionError{path, err})
 }
 
 // errLater is what a later program wrote and this one does not read.
-var errLater = errors.New("written by a later program")
+var errNewerVersion = errors.New("written by a later program")
 
 // store reads the log and the values.
 func (out *Found) store(path string, f io.ReaderAt, size int64, each func(*raft.Log)) error {
@@ -176,7 +176,7 @@
 	if err != nil {
 		return err
 	}
-	if ours, err := checkAbout(about, out.values, &out.tally, p.txid); err != nil {
+	if ours, err := checkAbout(about, out.values, &out.contentSum, p.txid); err != nil {
 		return err
 	} else if !ours {
 		out.Notes = append(out.Notes, "the last write to the log is not this program's: an earlier program made it, or the "+
@@ -198,7 +198,7 @@
 		return fmt.Errorf("bucket log: the key %x is no index", k)
 	}
 	index := binary.BigEndian.Uint64(k)
-	out.tally.add(k, v)
+	out.contentSum.add(k, v)
 	var l raft.Log
 	if err := decodeLog(index, v, &l); err != nil {
 		out.fault(entryAt(path, index), err)
@@ -210,7 +210,7 @@
 	if out.Entries == 0 {
 		out.First, out.LowTerm = index, l.Term
 	}
-	// A hole is one only where the snapshots do not cover it: a copy that was sent one keeps older entries.
+	// A hole is one only where the snapshots do not cover it: a replica that was sent one keeps older entries.
 	if covered := out.covered(); out.Entries > 0 && index != out.Last+1 && index > covered+1 {
 		out.fault(entryAt(path, max(out.Last, covered)+1), fmt.Errorf("entries up to %d are missing", index-1))
 	}
@@ -231,7 +231,7 @@
 	return 0
 }
 
-// own takes in what the copy keeps beside the log.
+// own takes in what the replica keeps beside the log.
 func (out *Found) own() error {
 	for key, to := range map[string]*uint64{"CurrentTerm": &out.Term, "LastVoteTerm": &out.VotedTerm} {
 		v, ok := out.values[key]
@@ -252,8 +252,8 @@
 	return nil
 }
 
-// whole finds what neither the log nor a sound snapshot has.
-func (out *Found) whole(path string) {
+// checkComplete reports entries that neither the log nor a valid snapshot has.
+func (out *Found) checkComplete(path string) {
 	covered := out.covered()
 	var newest *FoundSnapshot // the newest of all, sound or not
 	for i := range out.Snapshots {
@@ -265,7 +265,7 @@
 		out.fault(entryAt(path, covered+1), fmt.Errorf("entries up to %d are missing", out.First-1))
 	}
 	for _, s := range out.Snapshots {
-		if errors.Is(s.Fault, errLater) {
+		if errors.Is(s.Fault, errNewerVersion) {
 			out.fault(filepath.Join(filepath.Dir(path), snapshotsDir, s.Name), s.Fault)
 		}
 	}
@@ -345,14 +345,14 @@
 
 // What stands in the bucket about. Form 1 has no such bucket.
 var (
-	aboutBucket = []byte("about")
-	formKey     = []byte("form")
-	txKey       = []byte("tx") // of the last transaction that this program made
-	tallyKey    = []byte("log")
+	aboutBucket   = []byte("about")
+	formKey       = []byte("form")
+	txKey         = []byte("tx") // of the last transaction that this program made
+	contentSumKey = []byte("log")
 )
 
-// contentSum is how many entries the log has, and the sum of their checksums: an old page in a new one's place, which a disk
-// leaves that says it has synced and has not, is sound in itself and shows here alone.
+// contentSum is how many entries the log has, and the sum of their checksums: an old page in a new one's place, which a
+// disk leaves that says it has synced and has not, is sound in itself and shows here alone.
 type contentSum struct{ count, sum uint64 }
 
 func (t *contentSum) add(k, v []byte) {
@@ -367,11 +367,11 @@
 
 func (t *contentSum) bytes() []byte {
 	b := binary.BigEndian.AppendUint64(key(t.count), t.sum)
-	return append(b, valueSum(tallyKey, b)...)
+	return append(b, valueSum(contentSumKey, b)...)
 }
 
-func readTally(about *bolt.Bucket) (t contentSum) {
-	if b := about.Get(tallyKey); len(b) == 20 {
+func readContentSum(about *bolt.Bucket) (t contentSum) {
+	if b := about.Get(contentSumKey); len(b) == 20 {
 		t = contentSum{binary.BigEndian.Uint64(b), binary.BigEndian.Uint64(b[8:])}
 	}
 	return t
@@ -398,12 +398,12 @@
 		return false, errors.New("bucket about: has another checksum")
 	}
 	if f := binary.BigEndian.Uint64(form); f > storeForm {
-		return false, fmt.Errorf("%w: form %d, this one reads up to %d", errLater, f, storeForm)
+		return false, fmt.Errorf("%w: form %d, this one reads up to %d", errNewerVersion, f, storeForm)
 	}
 	if binary.BigEndian.Uint64(tx) != txid {
 		return false, nil
 	}
-	if string(about[string(tallyKey)]) != string(log.bytes()) {
+	if string(about[string(contentSumKey)]) != string(log.bytes()) {
 		return false, fmt.Errorf("bucket log: its %d entries are not those that were written last", log.count)
 	}
 	for name, v := range values {
--- a/internal/registry/store_pages.go
+++ b/internal/registry/store_pages.go
@@ -9,9 +9,9 @@
 	"io"
 )
 
-// pages reads a bbolt file as it stands on the disk. bbolt itself maps the file and trusts it: a page that points
-// beyond a file that was cut ends the process by SIGBUS, and one that is spoilt by a panic in a goroutine of bbolt's,
-// which nobody can recover. So the file is walked by plain reads before bbolt is given it.
+// pages reads the pages of a bbolt file with plain reads, to verify it before bbolt opens it. bbolt maps the file
+// without checks: a page that points beyond a truncated file ends the process by SIGBUS, and a corrupt page by a panic
+// in a goroutine of bbolt, which cannot be recovered.
 type pages struct {
 	f    io.ReaderAt
 	size int64 // of the file, in bytes
@@ -23,17 +23,17 @@
 }
 
 const (
-	boltMagic   = 0xED0CDAED
-	boltVersion = 2
-	metaAt      = 16 // behind the page's header
-	metaSize    = 64
-	metaSum     = 56 // where its checksum stands
-	pageHeader  = 16
-	elemSize    = 16
-	branchFlag  = 1
-	leafFlag    = 2
-	bucketFlag  = 1
-	mostDepth   = 64
+	boltMagic    = 0xED0CDAED
+	boltVersion  = 2
+	metaAt       = 16 // behind the page's header
+	metaSize     = 64
+	metaSum      = 56 // where its checksum stands
+	pageHeader   = 16
+	elemSize     = 16
+	branchFlag   = 1
+	leafFlag     = 2
+	bucketFlag   = 1
+	maxPageDepth = 64
 )
 
 // order is that of the machine: bbolt writes its structures as they are in memory.
@@ -99,8 +99,8 @@
 	if err != nil {
 		return err
 	}
-	if depth > mostDepth {
-		return fmt.Errorf("page %d: the tree is deeper than %d", id, mostDepth)
+	if depth > maxPageDepth {
+		return fmt.Errorf("page %d: the tree is deeper than %d", id, maxPageDepth)
 	}
 	err = p.content(b, id, depth, low, high, visit)
 	var inner *pageError
--- a/internal/registry/supervisor.go
+++ b/internal/registry/supervisor.go
@@ -14,8 +14,8 @@
 	"marblelane/internal/fault"
 )
 
-// DiskError is a write that a copy's folder has refused. The copy is closed: what it has on the disk shows once the
-// folder is read anew.
+// DiskError is a write that a replica's folder has refused. The replica is closed: what it has on the disk shows once
+// the folder is read anew.
 type DiskError struct{ Err error }
 
 // Error implements error.
@@ -24,24 +24,24 @@
 // Unwrap gives the cause.
 func (e *DiskError) Unwrap() error { return e.Err }
 
-// A folder that has failed is tried after reopenSoon, and then after twice as long each time, reopenLate at most. A
-// copy that has run for steadyAfter begins with reopenSoon again.
+// A replica whose disk has failed is reopened after minReopenDelay, doubled after each failed attempt up to
+// maxReopenDelay. After stableRunTime the delay starts from minReopenDelay again.
 const (
-	reopenSoon  = 100 * time.Millisecond
-	reopenLate  = time.Second
-	steadyAfter = 30 * time.Second
+	minReopenDelay = 100 * time.Millisecond
+	maxReopenDelay = time.Second
+	stableRunTime  = 30 * time.Second
 )
 
-// Supervisor runs a copy. When the copy's folder refuses a write it closes the copy, waits until the folder takes
-// writes again, and opens the copy anew from what the disk has, as a new start of the process does. Meanwhile nobody is
-// answered, so that readers and writers go to the other copies.
+// Supervisor runs a replica. When a disk write fails it closes the replica, waits until the data directory is writable
+// again, and reopens the replica from disk as a restart of the process does. Meanwhile it serves no requests, so that
+// clients use the other replicas.
 type Supervisor struct {
 	mu   sync.Mutex
 	cfg  Config
 	node *Node // the newest; closed while the folder fails
 }
 
-// Supervise opens a copy; Run serves. The errors are Open's: a folder that fails at the start is not waited for.
+// Supervise opens a replica; Run serves. The errors are Open's: a folder that fails at the start is not waited for.
 func Supervise(cfg Config) (*Supervisor, error) {
 	cfg.defaults()
 	n, err := Open(cfg)
@@ -64,14 +64,14 @@
 	return net.JoinHostPort(host, fmt.Sprint(tcp.Port))
 }
 
-// Node is the copy as it was opened last.
+// Node is the replica as it was opened last.
 func (s *Supervisor) Node() *Node {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.node
 }
 
-// Reload takes in other options, also for when the copy is opened anew; the log stays.
+// Reload takes in other options, also for when the replica is opened anew; the log stays.
 func (s *Supervisor) Reload(o Options) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -83,7 +83,7 @@
 // Run serves until ctx ends. A folder that fails is waited for, however long that takes; the error is one that waiting
 // does not mend, such as a log that is spoilt or a folder that belongs to another user.
 func (s *Supervisor) Run(ctx context.Context) error {
-	wait := reopenSoon
+	wait := minReopenDelay
 	for {
 		opened := time.Now()
 		err := s.Node().Run(ctx)
@@ -91,8 +91,8 @@
 		if ctx.Err() != nil || !errors.As(err, &disk) {
 			return err
 		}
-		if time.Since(opened) >= steadyAfter {
-			wait = reopenSoon
+		if time.Since(opened) >= stableRunTime {
+			wait = minReopenDelay
 		}
 		if wait, err = s.reopen(ctx, wait); err != nil || ctx.Err() != nil {
 			return err
@@ -100,18 +100,18 @@
 	}
 }
 
-// reopen opens the copy once its folder takes writes, and gives the pause before the next try, should it fail again. It
-// gives up without an error when ctx ends.
+// reopen opens the replica once its folder takes writes, and gives the pause before the next try, should it fail again.
+// It gives up without an error when ctx ends.
 func (s *Supervisor) reopen(ctx context.Context, wait time.Duration) (time.Duration, error) {
-	closed, said := time.Now(), ""
+	closed, lastError := time.Now(), ""
 	for {
 		select {
 		case <-ctx.Done():
 			return wait, nil
 		case <-time.After(wait):
 		}
-		wait = min(2*wait, reopenLate)
-		err := s.tryOpen()
+		wait = min(2*wait, maxReopenDelay)
+		err := s.openIfWritable()
 		switch log := s.cfg.Log; {
 		case err == nil:
 			log.Info("registry: the folder takes writes again and was read anew", "dir", s.cfg.Dir,
@@ -119,19 +119,19 @@
 			return wait, nil
 		case !mayHeal(err):
 			return wait, err
-		case err.Error() != said:
-			said = err.Error()
+		case err.Error() != lastError:
+			lastError = err.Error()
 			log.Warn("registry: closed until the folder takes writes again", "dir", s.cfg.Dir, "error", err)
 		}
 	}
 }
 
-// tryOpen opens the copy if its folder takes writes.
-func (s *Supervisor) tryOpen() error {
+// openIfWritable opens the replica if its data directory is writable.
+func (s *Supervisor) openIfWritable() error {
 	s.mu.Lock()
 	cfg := s.cfg
 	s.mu.Unlock()
-	if err := probe(cfg.Dir, cfg.Faults); err != nil {
+	if err := checkWritable(cfg.Dir, cfg.Faults); err != nil {
 		return err
 	}
 	n, err := Open(cfg)
@@ -145,17 +145,17 @@
 	return nil
 }
 
-// mayHeal tells whether what keeps a copy from being opened anew may pass by itself. Only what certainly does not ends
-// the copy; the rest, an address that somebody else holds too, is tried again.
+// mayHeal tells whether what keeps a replica from being opened anew may pass by itself. Only what certainly does not
+// ends the replica; the rest, an address that somebody else holds too, is tried again.
 func mayHeal(err error) bool {
 	if errors.Is(err, syscall.EIO) {
 		return true // what could not be read may be sound
 	}
-	var spoilt *unsound
+	var spoilt *corruptionError
 	if errors.As(err, &spoilt) {
 		return false
 	}
-	for _, lasting := range []error{errLater, errCorrupt, os.ErrPermission, syscall.ENOTDIR} {
+	for _, lasting := range []error{errNewerVersion, errCorrupt, os.ErrPermission, syscall.ENOTDIR} {
 		if errors.Is(err, lasting) {
 			return false
 		}
@@ -163,13 +163,13 @@
 	return true
 }
 
-// probeBytes are more than a copy writes at once, so that a folder which is about to be full again does not count as
-// one that works.
-const probeBytes = 1 << 20
+// writableCheckBytes is more than a replica writes at once, so that a disk which is about to be full again does not
+// count as writable.
+const writableCheckBytes = 1 << 20
 
-// probe tells whether a copy's folder is there and takes a file and its sync. A folder without a log is not the copy's:
-// its file system may be away.
-func probe(dir string, faults *fault.Plan) error {
+// checkWritable verifies that the data directory exists and accepts a file and its sync. A directory without a log is
+// not accepted: its file system may not be mounted.
+func checkWritable(dir string, faults *fault.Plan) error {
 	if _, err := os.Stat(filepath.Join(dir, storeFile)); err != nil {
 		return err
 	}
@@ -177,7 +177,7 @@
 		if planted != nil {
 			return planted
 		}
-		return writeProbe(filepath.Join(dir, storeFile+tempSuffix)) // a start cuts one that was left
+		return writeSyncRemove(filepath.Join(dir, storeFile+tempSuffix)) // a start cuts one that was left
 	})
 	if err != nil {
 		return fmt.Errorf("probe %s: %w", dir, err)
@@ -185,12 +185,12 @@
 	return nil
 }
 
-func writeProbe(path string) error {
+func writeSyncRemove(path string) error {
 	f, err := os.OpenFile(path, os.O_CREATE|os.O_TRUNC|os.O_WRONLY, 0o600)
 	if err != nil {
 		return err
 	}
-	_, err = f.Write(make([]byte, probeBytes))
+	_, err = f.Write(make([]byte, writableCheckBytes))
 	if err == nil {
 		err = f.Sync()
 	}
