--- a/internal/sidecar/handover_test.go
+++ b/internal/sidecar/handover_test.go
@@ -50,6 +50,17 @@
 	return status == 200
 }
 
+// awaitMeetable waits until the process serves and a newer one can meet it. Its health check succeeds a moment before its
+// socket is there; a newer process that starts in between finds no process before it and keeps to limits of its own.
+func (r *running) awaitMeetable(t *testing.T) {
+	t.Helper()
+	sidecartest.Until(t, "the older process", func() bool { return r.healthy(t) })
+	sidecartest.Until(t, "its socket", func() bool {
+		_, err := os.Lstat(r.cfg.HandoverSocket())
+		return err == nil
+	})
+}
+
 func (r *running) end(t *testing.T) {
 	t.Helper()
 	r.term()
@@ -66,7 +77,7 @@
 	c := upgradable(t, sidecartest.NewRegistry(t).Addr(), b.Target)
 	quick := func(s *Sidecar) { s.drainAccept, s.listTimeout = 50*time.Millisecond, 0 }
 	old := start(t, c, quick)
-	sidecartest.Until(t, "the first process", func() bool { return old.healthy(t) })
+	old.awaitMeetable(t)
 
 	stop := make(chan struct{})
 	var served atomic.Int64
@@ -126,7 +137,7 @@
 		s.listener.Listener = refuser{s.listener.Listener, new(sync.Once), make(chan struct{})}
 	}
 	old := start(t, c, deaf)
-	sidecartest.Until(t, "the first process", func() bool { return old.healthy(t) })
+	old.awaitMeetable(t)
 	var waiting []net.Conn
 	for range 10 {
 		conn, err := net.Dial("tcp", old.Addr())
--- a/internal/wallclock/wallclock_test.go
+++ b/internal/wallclock/wallclock_test.go
@@ -61,9 +61,11 @@
 	"cmd/marblelane/state.go": {
 		"s.Written.Format": {1, "is shown to people alone"},
 	},
-	"internal/audit/ask.go": {
-		"k.q.Now": {1, "a field: the leader's monotonic clock"},
-		"q.Now":   {2, "a field: the leader's monotonic clock"},
+	"internal/audit/count_bounds.go": {
+		"b.query.Now": {1, "a field: the leader's monotonic clock"},
+	},
+	"internal/audit/query.go": {
+		"q.Now": {2, "a field: the leader's monotonic clock"},
 	},
 	"internal/fault/fault.go": {
 		"info.ModTime":       {1, "is compared for equality alone, and files are told apart by their inode, too"},
@@ -73,7 +75,7 @@
 	"internal/membership/config.go": {
 		"time.Now().UnixMilli": {1, "a member's start; one below another of its name is raised, see docs/membership.md"},
 	},
-	"internal/membership/publish.go": {
+	"internal/membership/report.go": {
 		"time.Now().UnixMilli": {1, "the time of a report, shown to people alone"},
 	},
 	"internal/registry/node.go": {
@@ -106,18 +108,15 @@
 	"internal/registry/supervisor.go": {
 		"time.Since(closed).Round": {1, "a duration"},
 	},
-	"internal/route/fields.go": {
+	"internal/route/document.go": {
 		"text.Truncate": {1, "a buffer"},
 	},
 	"internal/routeclient/client.go": {
 		"cfg.Now":   {2, "where that is set"},
-		"s.cfg.Now": {3, "time.Now but in tests; its monotonic part counts"},
-	},
-	"internal/routeclient/counts.go": {
-		"s.cfg.Now": {1, "time.Now but in tests; its monotonic part counts"},
+		"c.cfg.Now": {1, "time.Now but in tests; its monotonic part counts"},
 	},
 	"internal/routeclient/reporter.go": {
-		"r.s.cfg.Now": {1, "time.Now but in tests; its monotonic part counts"},
+		"r.client.cfg.Now": {1, "time.Now but in tests; its monotonic part counts"},
 	},
 	"internal/sidecar/clock/step_detector.go": {
 		"faults.Now":  {1, "is held against the monotonic clock to notice steps"},
