--- a/internal/sidecar/kill_time_test.go
+++ b/internal/sidecar/kill_time_test.go
@@ -239,7 +239,7 @@
 	case got = <-answered:
 	case <-time.After(time.Until(d.kill.Add(-before))):
 		io.WriteString(c, remainder)
-		excused = c.what == sidecartest.Resting
+		excused = c.what == sidecartest.IdleConn
 		got = <-answered
 	}
 	switch {
@@ -264,7 +264,7 @@
 	_, text := d.request(method, "")
 	cut := 0
 	switch what {
-	case sidecartest.Resting:
+	case sidecartest.IdleConn:
 		_, first := d.request(method, "")
 		io.WriteString(c, first)
 		_, err = c.answer()
@@ -289,7 +289,7 @@
 	}
 	var late []func()
 	for _, before := range lateSends {
-		for _, what := range []string{sidecartest.Resting, sidecartest.PartialHead, sidecartest.PartialBody} {
+		for _, what := range []string{sidecartest.IdleConn, sidecartest.PartialHead, sidecartest.PartialBody} {
 			if c, remainder, err := d.begin(what); err != nil {
 				d.errorf("%s: %v", what, err)
 			} else {
@@ -334,7 +334,7 @@
 					held = []checkpoint.Checkpoint{"", checkpoint.ServiceEnding}
 				}
 				for round := 1; len(held) > 0; round++ {
-					held = playShutdowns(t, maxDeadline, held, round == sidecartest.MostRounds)
+					held = playShutdowns(t, maxDeadline, held, round == sidecartest.MaxRounds)
 				}
 			})
 		}
--- a/internal/sidecar/sidecartest/kill_time.go
+++ b/internal/sidecar/sidecartest/kill_time.go
@@ -11,12 +11,12 @@
 	Hold          = 150 * time.Millisecond // for which a process may be held up
 	NewClientsFor = 400 * time.Millisecond // after SIGTERM
 	LateMachine   = 20 * time.Millisecond  // for which this process had no processor: that is a second hold
-	MostRounds    = 6                      // of a shutdown on a machine that is late
+	MaxRounds     = 6                      // of a shutdown on a machine that is late
 )
 
 // What a client has sent when its sidecar is terminated.
 const (
-	Resting     = "resting"
+	IdleConn    = "resting"
 	PartialHead = "partial head"
 	PartialBody = "partial body"
 )
