--- a/internal/lab/registry.go
+++ b/internal/lab/registry.go
@@ -35,6 +35,8 @@
 	copies []*registryCopy
 	links  [][]*relay.Link // by caller and called copy
 
+	reserved []*relay.Reservation // the copies' addresses
+
 	skipping atomic.Bool // planted: watchers lose lines
 	boasting atomic.Bool // planted: lists are said to be new
 	lying    atomic.Bool // planted: reads are answered with what was once true
@@ -103,6 +105,16 @@
 	return rr.play(ctx)
 }
 
+// reserve keeps an address of copy i until the run ends: other runs must not take it while the copy is down.
+func (rr *registryRun) reserve(i int) (string, error) {
+	r, err := relay.Reserve(relay.CallerAddr(i))
+	if err != nil {
+		return "", err
+	}
+	rr.reserved = append(rr.reserved, r)
+	return r.Addr(), nil
+}
+
 func (rr *registryRun) startCopies(ctx context.Context) error {
 	program := rr.reg.Program
 	if program == "" {
@@ -117,10 +129,10 @@
 		rr.links = append(rr.links, row)
 		c := &registryCopy{number: i, name: fmt.Sprint("r", i)}
 		var err error
-		if c.serve, err = relay.FreeAddr(relay.CallerAddr(i)); err != nil {
+		if c.serve, err = rr.reserve(i); err != nil {
 			return err
 		}
-		if c.raft, err = relay.FreeAddr(relay.CallerAddr(i)); err != nil {
+		if c.raft, err = rr.reserve(i); err != nil {
 			return err
 		}
 		rr.copies = append(rr.copies, c)
@@ -201,6 +213,12 @@
 			c.port.Close()
 		}
 	}
+	for _, reserved := range rr.reserved {
+		if err := reserved.Release(); err != nil {
+			rr.out.Warn("lab: address not released", "addr", reserved.Addr(), "err", err)
+		}
+	}
+	rr.reserved = nil
 }
 
 // quick asks a copy something that it answers at once or not at all.
--- a/internal/lab/relay/listen.go
+++ b/internal/lab/relay/listen.go
@@ -105,27 +105,11 @@
 	if p.listener != nil {
 		return nil
 	}
-	lc := net.ListenConfig{KeepAlive: -1, Control: func(_, _ string, c syscall.RawConn) error {
-		var failed error
-		err := c.Control(func(fd uintptr) {
-			// Every loopback address at once, and nothing but the loopback device.
-			failed = unix.BindToDevice(int(fd), "lo")
-		})
-		return errors.Join(err, failed)
-	}}
-	lc.SetMultipathTCP(false) // MPTCP sockets accept no filter
-	listen := func(port int) error {
-		l, err := lc.Listen(context.Background(), "tcp4", fmt.Sprintf("0.0.0.0:%d", port))
-		if err == nil {
-			p.listener = l.(*net.TCPListener)
-		}
-		return err
-	}
 	var err error
 	if p.port == 0 {
-		err = anyPort(listen)
+		err = anyPort(func(port int) error { return p.listen(port, true) })
 	} else {
-		err = listen(p.port)
+		err = p.listen(p.port, false)
 	}
 	if err != nil {
 		return fmt.Errorf("relay: listen on loopback: %w", err)
@@ -146,6 +130,28 @@
 	return nil
 }
 
+// listen opens the listener on all loopback addresses. An exclusive one fails also where the port is only reserved.
+func (p *Port) listen(port int, exclusive bool) error {
+	lc := net.ListenConfig{KeepAlive: -1, Control: func(_, _ string, c syscall.RawConn) error {
+		var failed error
+		err := c.Control(func(fd uintptr) {
+			// Every loopback address at once, and nothing but the loopback device.
+			failed = unix.BindToDevice(int(fd), "lo")
+			if exclusive {
+				failed = errors.Join(failed, unix.SetsockoptInt(int(fd), unix.SOL_SOCKET, unix.SO_REUSEADDR, 0))
+			}
+		})
+		return errors.Join(err, failed)
+	}}
+	lc.SetMultipathTCP(false) // MPTCP sockets accept no filter
+	l, err := lc.Listen(context.Background(), "tcp4", fmt.Sprintf("0.0.0.0:%d", port))
+	if err != nil {
+		return err
+	}
+	p.listener = l.(*net.TCPListener)
+	return nil
+}
+
 // Kill simulates the death of the process: it closes the listener and resets all open connections.
 func (p *Port) Kill() {
 	p.mu.Lock()
--- a/internal/lab/relay/ports_test.go
+++ b/internal/lab/relay/ports_test.go
@@ -1,6 +1,9 @@
 package relay
 
 import (
+	"net"
+	"net/netip"
+	"syscall"
 	"testing"
 
 	"github.com/stretchr/testify/assert"
@@ -26,3 +29,26 @@
 		break
 	}
 }
+
+// A reserved port is free for the listener of a process, again after its restart, and for nobody else who looks for one.
+func TestReserve_heldUntilRelease(t *testing.T) {
+	const host = "127.64.0.0"
+	r, err := Reserve(host)
+	require.NoError(t, err)
+	reserved := netip.MustParseAddrPort(r.Addr())
+	for range 2 {
+		_, err = reserve(reserved.Addr(), int(reserved.Port()))
+		require.ErrorIs(t, err, syscall.EADDRINUSE, "a second reservation")
+		err = (&Port{conns: map[*Conn]struct{}{}}).listen(int(reserved.Port()), true)
+		require.ErrorIs(t, err, syscall.EADDRINUSE, "a party on all loopback addresses")
+
+		l, err := net.Listen("tcp4", r.Addr())
+		require.NoError(t, err, "the process")
+		require.NoError(t, l.Close())
+	}
+	require.NoError(t, r.Release())
+	again, err := reserve(reserved.Addr(), int(reserved.Port()))
+	require.NoError(t, err)
+	assert.Equal(t, reserved.String(), again.Addr())
+	require.NoError(t, again.Release())
+}
