--- a/cmd/marblelane/lab_cold.go
+++ b/cmd/marblelane/lab_cold.go
@@ -6,7 +6,7 @@
 	"slices"
 	"time"
 
-	"marblelane/internal/lab"
+	"marblelane/internal/lab/experiment/membercold"
 	"marblelane/internal/lab/simulate"
 )
 
@@ -32,10 +32,10 @@
 		slices.ContainsFunc(c.Rates, func(r float64) bool { return !(r > 0) }) {
 		return errors.New("--sidecars are between 2 and 2000, --rates above 0")
 	}
-	m := lab.SlowStartExperiment{Sidecars: c.Sidecars, Rates: c.Rates, FleetChanges: c.Changes, Seeds: c.Seeds, Load: c.Load,
+	m := membercold.Experiment{Sidecars: c.Sidecars, Rates: c.Rates, FleetChanges: c.Changes, Seeds: c.Seeds, Load: c.Load,
 		RestartFraction: c.AtOnce, Cores: c.Cores, FallMultiple: c.Multiple, MeanWork: c.Work, LatencyObjective: c.Aim, Jobs: c.Jobs, Progress: a.errOut}
 	if slices.Contains(c.Changes, "all") {
-		m.FleetChanges = lab.FleetChangeNames()
+		m.FleetChanges = membercold.FleetChangeNames()
 	}
 	if m.Jobs <= 0 {
 		m.Jobs = runtime.GOMAXPROCS(0)
@@ -52,5 +52,5 @@
 			return err
 		}
 	}
-	return show(a, c.JSON, rows, lab.PrintSlowStart)
+	return show(a, c.JSON, rows, membercold.Print)
 }
--- a/internal/lab/compare.go
+++ b/internal/lab/compare.go
@@ -17,26 +17,26 @@
 	"marblelane/internal/lab/scenario"
 )
 
-// Side is one of two things that are compared: a scenario played with a program.
+// Side is one of two things that are compared: a scenario and the program that it is played with.
 type Side struct {
 	Name     string
 	Scenario *scenario.Scenario
 	Program  string
 }
 
-// Comparison is two sides played in turn on the same seeds.
+// Comparison is the result of two sides played in turn on the same seeds.
 type Comparison struct {
 	A         string   `json:"a"`
 	B         string   `json:"b"`
 	Seeds     []uint64 `json:"seeds"`
 	Pairs     []Pair   `json:"pairs"`
 	Rows      []Row    `json:"figures"`
-	BrokenA   int      `json:"rules_broken_a"` // plays with a broken rule
+	BrokenA   int      `json:"rules_broken_a"` // plays that broke a rule
 	BrokenB   int      `json:"rules_broken_b"`
 	LatePlays int      `json:"late"` // plays that did not count and were played again
 }
 
-// Pair is the figures of both sides on one seed.
+// Pair has the figures of both sides on one seed.
 type Pair struct {
 	Seed uint64          `json:"seed"`
 	A    measure.Figures `json:"a"`
@@ -45,8 +45,8 @@
 	RSS  [2]float64      `json:"peak_rss_mb"`
 }
 
-// Row is one figure over all pairs. The spread is the standard deviation of the differences, which are paired by
-// seed; Error is the standard error of their mean.
+// Row is one figure over all pairs. Differences are paired by seed. Spread is their standard deviation, Error the standard
+// error of their mean.
 type Row struct {
 	Name   string  `json:"name"`
 	A      float64 `json:"a"`
@@ -59,61 +59,61 @@
 	diffs  []float64
 }
 
-// mostLate is how often a play that the lab was late for is played again.
+// maxLatePlays is the number of late plays of a side and seed after which the comparison fails.
 const maxLatePlays = 3
 
 var errLabLate = errors.New("the machine is too busy: the lab was late again and again")
 
-// Compare plays both sides on plays seeds from the first on. Which side goes first alternates, so that what changes
-// on the machine with time is no one's advantage.
+// Compare plays both sides on a number of consecutive seeds. The sides take turns in going first, so that a change of the
+// machine's load favours neither.
 func Compare(ctx context.Context, a, b Side, first uint64, plays int, o Options) (*Comparison, error) {
 	c := &Comparison{A: a.Name, B: b.Name}
+	sides := [2]Side{a, b}
 	for k := range plays {
-		seed := first + uint64(k)
-		pair := Pair{Seed: seed}
+		pair := Pair{Seed: first + uint64(k)}
 		order := [2]int{0, 1}
 		if k%2 == 1 {
 			order = [2]int{1, 0}
 		}
-		for _, which := range order {
-			side := [2]Side{a, b}[which]
-			rep, late, err := playUntilOnTime(ctx, side, seed, o)
-			c.LatePlays += late
-			if err != nil {
-				return nil, fmt.Errorf("%s, seed %d: %w", side.Name, seed, err)
-			}
-			broken := len(rep.Verdict.Broken()) > 0
-			cpu, rss := 0.0, 0.0
-			for _, p := range rep.Result.Sidecars {
-				cpu, rss = cpu+p.CPU, max(rss, p.PeakRSS)
-			}
-			pair.CPU[which], pair.RSS[which] = cpu, rss
-			if which == 0 {
-				pair.A = rep.Result.Figures
-				c.BrokenA += one(broken)
-			} else {
-				pair.B = rep.Result.Figures
-				c.BrokenB += one(broken)
+		for _, side := range order {
+			if err := c.playSide(ctx, sides[side], side, &pair, o); err != nil {
+				return nil, fmt.Errorf("%s, seed %d: %w", sides[side].Name, pair.Seed, err)
 			}
 			if o.Progress != nil {
-				fmt.Fprintf(o.Progress, "play %d of %d, seed %d, %s: %.2f%% in aim\n", k+1, plays, seed, side.Name, 100*rep.Result.Figures.InObjective)
+				fmt.Fprintf(o.Progress, "play %d of %d, seed %d, %s: %.2f%% in aim\n", k+1, plays, pair.Seed,
+					sides[side].Name, 100*pair.figures(side).InObjective)
 			}
 		}
-		c.Seeds = append(c.Seeds, seed)
+		c.Seeds = append(c.Seeds, pair.Seed)
 		c.Pairs = append(c.Pairs, pair)
 	}
 	c.computeRows()
 	return c, nil
 }
 
-func one(is bool) int {
-	if is {
-		return 1
+// playSide plays one side of a pair and keeps its figures; side is its number.
+func (c *Comparison) playSide(ctx context.Context, s Side, side int, pair *Pair, o Options) error {
+	report, late, err := playUntilOnTime(ctx, s, pair.Seed, o)
+	c.LatePlays += late
+	if err != nil {
+		return err
+	}
+	*pair.figures(side) = report.Result.Figures
+	for _, p := range report.Result.Sidecars {
+		pair.CPU[side] += p.CPU
+		pair.RSS[side] = max(pair.RSS[side], p.PeakRSS)
+	}
+	if len(report.Verdict.Broken()) > 0 {
+		if side == 0 {
+			c.BrokenA++
+		} else {
+			c.BrokenB++
+		}
 	}
-	return 0
+	return nil
 }
 
-// counted plays a side until the lab was not late.
+// playUntilOnTime plays a side until the lab was not late. It also returns the number of late plays.
 func playUntilOnTime(ctx context.Context, side Side, seed uint64, o Options) (*Report, int, error) {
 	for late := range maxLatePlays {
 		o := o
@@ -132,35 +132,38 @@
 	return nil, maxLatePlays, errLabLate
 }
 
-// sum works out the rows.
+// comparedFigures are the rows of a comparison, in their order.
+var comparedFigures = []struct {
+	name string
+	of   func(p *Pair, side int) float64
+}{
+	{"in aim", func(p *Pair, s int) float64 { return p.figures(s).InObjective }},
+	{"worst 5 s in aim", func(p *Pair, s int) float64 { return p.figures(s).WorstInObjective }},
+	{"refused", func(p *Pair, s int) float64 { return p.figures(s).Rejected }},
+	{"failed", func(p *Pair, s int) float64 { return p.figures(s).Failed }},
+	{"tries a request", func(p *Pair, s int) float64 { return p.figures(s).ClientAttempts }},
+	{"attempts a try", func(p *Pair, s int) float64 { return p.figures(s).ServerAttempts }},
+	{"cross-zone", func(p *Pair, s int) float64 { return p.figures(s).CrossZone }},
+	{"waste", func(p *Pair, s int) float64 { return p.figures(s).Waste }},
+	{"p50 ms", func(p *Pair, s int) float64 { return p.figures(s).P50 }},
+	{"p99 ms", func(p *Pair, s int) float64 { return p.figures(s).P99 }},
+	{"sidecars' CPU s", func(p *Pair, s int) float64 { return p.CPU[s] }},
+	{"peak RSS MB", func(p *Pair, s int) float64 { return p.RSS[s] }},
+}
+
+// computeRows works out the rows from the pairs.
 func (c *Comparison) computeRows() {
-	for _, f := range []struct {
-		name string
-		of   func(p *Pair, side int) float64
-	}{
-		{"in aim", func(p *Pair, s int) float64 { return p.figures(s).InObjective }},
-		{"worst 5 s in aim", func(p *Pair, s int) float64 { return p.figures(s).WorstInObjective }},
-		{"refused", func(p *Pair, s int) float64 { return p.figures(s).Rejected }},
-		{"failed", func(p *Pair, s int) float64 { return p.figures(s).Failed }},
-		{"tries a request", func(p *Pair, s int) float64 { return p.figures(s).ClientAttempts }},
-		{"attempts a try", func(p *Pair, s int) float64 { return p.figures(s).ServerAttempts }},
-		{"cross-zone", func(p *Pair, s int) float64 { return p.figures(s).CrossZone }},
-		{"waste", func(p *Pair, s int) float64 { return p.figures(s).Waste }},
-		{"p50 ms", func(p *Pair, s int) float64 { return p.figures(s).P50 }},
-		{"p99 ms", func(p *Pair, s int) float64 { return p.figures(s).P99 }},
-		{"sidecars' CPU s", func(p *Pair, s int) float64 { return p.CPU[s] }},
-		{"peak RSS MB", func(p *Pair, s int) float64 { return p.RSS[s] }},
-	} {
-		r := Row{Name: f.name, Min: math.Inf(1), Max: math.Inf(-1)}
+	for _, figure := range comparedFigures {
+		r := Row{Name: figure.name, Min: math.Inf(1), Max: math.Inf(-1)}
 		n := float64(len(c.Pairs))
 		for i := range c.Pairs {
-			a, b := f.of(&c.Pairs[i], 0), f.of(&c.Pairs[i], 1)
+			a, b := figure.of(&c.Pairs[i], 0), figure.of(&c.Pairs[i], 1)
 			r.A, r.B, r.Diff = r.A+a/n, r.B+b/n, r.Diff+(b-a)/n
 			r.diffs = append(r.diffs, b-a)
 			r.Min, r.Max = math.Min(r.Min, b-a), math.Max(r.Max, b-a)
 		}
-		for _, d := range r.diffs {
-			r.Spread += (d - r.Diff) * (d - r.Diff)
+		for _, diff := range r.diffs {
+			r.Spread += (diff - r.Diff) * (diff - r.Diff)
 		}
 		if n > 1 {
 			r.Spread = math.Sqrt(r.Spread / (n - 1))
@@ -170,6 +173,7 @@
 	}
 }
 
+// figures returns the figures of the side of this number.
 func (p *Pair) figures(s int) *measure.Figures {
 	if s == 0 {
 		return &p.A
--- a/internal/lab/membercold.go
+++ b/internal/lab/experiment/membercold/membercold.go
@@ -1,4 +1,9 @@
-package lab
+// Package membercold measures how a fleet of sidecars loads servers that have just started and work slower until they have
+// warmed up. What it varies is the number of sidecars, the changes of the fleet, and how sidecars count each other. Each
+// combination is played with several seeds on a simulated clock (package simulate): some servers are replaced, some
+// restart at once and some join, and the largest load of a cold server is kept. The command is `marblelane lab
+// members-cold`.
+package membercold
 
 import (
 	"cmp"
@@ -17,10 +22,9 @@
 	"marblelane/internal/lab/simulate"
 )
 
-// SlowStartExperiment says which fleets to measure. A server that has just started is cold: it does less work until it has
-// warmed up. The experiment measures how the number of sidecars, and the number that they assume, loads cold servers.
-// Each fleet is played with each change of it, each way to count sidecars and each seed, on a simulated clock.
-type SlowStartExperiment struct {
+// Experiment says which fleets to measure. Each is played with each change of it, each way to count sidecars and each
+// seed.
+type Experiment struct {
 	Sidecars     []int
 	Rates        []float64 // requests a second of each sidecar at the start; the rate of the fleet stays as it changes
 	FleetChanges []string  // of FleetChangeNames
@@ -37,8 +41,8 @@
 	Progress         io.Writer // nil: no progress
 }
 
-// SlowStartRow is the result of one fleet, over its seeds.
-type SlowStartRow struct {
+// Row is the result of one fleet, over its seeds.
+type Row struct {
 	Sidecars   int               `json:"sidecars"`
 	Rate       float64           `json:"rate"`
 	Servers    int               `json:"servers"` // initial
@@ -143,9 +147,9 @@
 	return 0, nil, fmt.Errorf("no change of a fleet is named %q: there are %v", name, FleetChangeNames())
 }
 
-// slowStartScenario takes the length, the fall multiple, the cores, the work, the objective, the deadline and the time in
+// scenarioTemplate takes the length, the fall multiple, the cores, the work, the objective, the deadline and the time in
 // ms at which servers are replaced.
-const slowStartScenario = `title = "Cold servers before a fleet that changes"
+const scenarioTemplate = `title = "Cold servers before a fleet that changes"
 length = %q
 warm_up = "5s"
 [servers]
@@ -180,8 +184,8 @@
 
 // plan draws one run with this number of sidecars, of all that exist at some time. It also returns the number of servers
 // that exist from the start.
-func (c *SlowStartExperiment) plan(sidecars int, rate float64, all int, seed uint64) (*scenario.Plan, int, error) {
-	text := fmt.Sprintf(slowStartScenario, runLength, c.FallMultiple, c.Cores, c.MeanWork, c.LatencyObjective,
+func (c *Experiment) plan(sidecars int, rate float64, all int, seed uint64) (*scenario.Plan, int, error) {
+	text := fmt.Sprintf(scenarioTemplate, runLength, c.FallMultiple, c.Cores, c.MeanWork, c.LatencyObjective,
 		5*c.LatencyObjective, replaceAtMS)
 	s, err := scenario.Parse("members-cold", []byte(text))
 	if err != nil {
@@ -216,8 +220,8 @@
 			Servers: others[joining : joining+restarting]})
 }
 
-// slowStartRun is the result of one run.
-type slowStartRun struct {
+// run is the result of one run.
+type run struct {
 	row, seed        int
 	initialServers   int
 	members          *simulate.MembersResult
@@ -227,14 +231,14 @@
 }
 
 // Run measures all fleets, several runs at a time.
-func (c *SlowStartExperiment) Run(ctx context.Context) ([]SlowStartRow, error) {
+func (c *Experiment) Run(ctx context.Context) ([]Row, error) {
 	rows := c.rows()
 	if err := c.check(rows); err != nil {
 		return nil, err
 	}
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	runs := make([][]slowStartRun, len(rows))
+	runs := make([][]run, len(rows))
 	var failed error
 	finished := 0
 	for r := range c.playAll(ctx, rows) {
@@ -252,20 +256,20 @@
 		return nil, err
 	}
 	for i := range rows {
-		slices.SortFunc(runs[i], func(a, b slowStartRun) int { return cmp.Compare(a.seed, b.seed) })
+		slices.SortFunc(runs[i], func(a, b run) int { return cmp.Compare(a.seed, b.seed) })
 		rows[i].aggregate(runs[i])
 	}
 	return rows, nil
 }
 
 // rows lists the fleets, without results.
-func (c *SlowStartExperiment) rows() []SlowStartRow {
-	var rows []SlowStartRow
+func (c *Experiment) rows() []Row {
+	var rows []Row
 	for _, n := range c.Sidecars {
 		for _, rate := range c.Rates {
 			for _, change := range c.FleetChanges {
 				for _, mode := range c.CountModes {
-					rows = append(rows, SlowStartRow{Sidecars: n, Rate: rate, Change: change, CountMode: mode, FullTrafficAfter: -1})
+					rows = append(rows, Row{Sidecars: n, Rate: rate, Change: change, CountMode: mode, FullTrafficAfter: -1})
 				}
 			}
 		}
@@ -273,7 +277,7 @@
 	return rows
 }
 
-func (c *SlowStartExperiment) check(rows []SlowStartRow) error {
+func (c *Experiment) check(rows []Row) error {
 	if len(rows) == 0 || c.Seeds < 1 || c.Load <= 0 || c.Cores < 1 || c.FallMultiple <= 0 || c.MeanWork <= 0 ||
 		c.LatencyObjective <= 0 || c.RestartFraction <= 0 || c.RestartFraction > 1 {
 		return errors.New("members-cold: no fleets, or a figure that is not above 0, or a share at once above 1")
@@ -283,9 +287,9 @@
 
 // playAll plays each row with each seed, Jobs runs at a time. The channel is closed when all runs are done, or those
 // under way when ctx ended.
-func (c *SlowStartExperiment) playAll(ctx context.Context, rows []SlowStartRow) <-chan slowStartRun {
+func (c *Experiment) playAll(ctx context.Context, rows []Row) <-chan run {
 	type job struct{ row, seed int }
-	jobs, done := make(chan job), make(chan slowStartRun)
+	jobs, done := make(chan job), make(chan run)
 	var workers sync.WaitGroup
 	for range max(c.Jobs, 1) {
 		workers.Go(func() {
@@ -312,24 +316,24 @@
 }
 
 // play plays one run; it does not change the row.
-func (c *SlowStartExperiment) play(ctx context.Context, row *SlowStartRow, seed uint64) slowStartRun {
+func (c *Experiment) play(ctx context.Context, row *Row, seed uint64) run {
 	all, changes, err := fleetChange(row.Change, row.Sidecars)
 	if err != nil {
-		return slowStartRun{err: err}
+		return run{err: err}
 	}
 	p, base, err := c.plan(row.Sidecars, row.Rate, all, seed)
 	if err != nil {
-		return slowStartRun{err: err}
+		return run{err: err}
 	}
-	run, err := simulate.Play(ctx, p, simulate.Options{Members: &simulate.Members{
+	played, err := simulate.Play(ctx, p, simulate.Options{Members: &simulate.Members{
 		Count: row.CountMode, Peers: row.Sidecars, Changes: changes, MeanWork: float64(c.MeanWork) / float64(time.Millisecond),
 	}})
 	if err != nil {
-		return slowStartRun{err: fmt.Errorf("members-cold: %d sidecars, %s, %s, seed %d: %w", row.Sidecars, row.Change,
+		return run{err: fmt.Errorf("members-cold: %d sidecars, %s, %s, seed %d: %w", row.Sidecars, row.Change,
 			row.CountMode, seed, err)}
 	}
-	return slowStartRun{initialServers: base, members: run.Members, figures: measure.Compute(p, run.Events, run.Worked).Figures,
-		fullTrafficAfter: fullTrafficTimes(run)}
+	return run{initialServers: base, members: played.Members, figures: measure.Compute(p, played.Events, played.Worked).Figures,
+		fullTrafficAfter: fullTrafficTimes(played)}
 }
 
 // fullTrafficTimes returns, for each group of servers that started together, the ms until it got its part of all sends,
@@ -374,7 +378,7 @@
 }
 
 // aggregate works out a row from its runs.
-func (r *SlowStartRow) aggregate(runs []slowStartRun) {
+func (r *Row) aggregate(runs []run) {
 	var times []float64
 	for _, run := range runs {
 		n, peak := float64(len(runs)), 0.0
@@ -397,8 +401,8 @@
 	}
 }
 
-// PrintSlowStart writes the rows as a table.
-func PrintSlowStart(w io.Writer, rows []SlowStartRow) {
+// Print writes the rows as a table.
+func Print(w io.Writer, rows []Row) {
 	fmt.Fprintf(w, "%8s %6s %7s %-12s %-7s %7s %6s %6s %6s %7s %7s %7s %8s %8s\n",
 		"sidecars", "rate", "servers", "change", "count", "starts", "fell", "peak", "mean", "full s", "in aim", "worst", "assumed", "mean")
 	for _, r := range rows {
--- a/internal/lab/membercold_test.go
+++ b/internal/lab/experiment/membercold/membercold_test.go
@@ -1,4 +1,4 @@
-package lab_test
+package membercold_test
 
 import (
 	"context"
@@ -8,14 +8,13 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
-	"marblelane/internal/lab"
+	"marblelane/internal/lab/experiment/membercold"
 	"marblelane/internal/lab/simulate"
 )
 
-// Where all servers restart at once before many small sidecars, a server that is sent too much is seen to fall, and a
-// budget keeps what cold servers are sent down.
-func TestMemberCold(t *testing.T) {
-	m := lab.SlowStartExperiment{Sidecars: []int{1000}, Rates: []float64{0.2}, FleetChanges: []string{"split-alone"},
+// All servers restart at once before many small sidecars. Without a bound cold servers fall; a budget lowers their load.
+func TestExperiment_coldServersFallWithoutBudget(t *testing.T) {
+	m := membercold.Experiment{Sidecars: []int{1000}, Rates: []float64{0.2}, FleetChanges: []string{"split-alone"},
 		Seeds: 2, Load: 0.45, RestartFraction: 1, Cores: 4, FallMultiple: 4, MeanWork: 100 * time.Millisecond, LatencyObjective: 600 * time.Millisecond, Jobs: 2,
 		CountModes: []simulate.Counting{simulate.CountRule, simulate.CountFree}}
 	rows, err := m.Run(context.Background())
@@ -28,10 +27,14 @@
 	assert.LessOrEqual(t, rule.Overloaded, free.Overloaded)
 	assert.Greater(t, rule.FullTrafficAfter, free.FullTrafficAfter)
 	assert.LessOrEqual(t, rule.AssumedMax, 1+1e-9)
+}
 
-	m.FleetChanges = []string{"nothing"}
-	_, err = m.Run(context.Background())
+func TestExperiment_invalidOptions(t *testing.T) {
+	m := membercold.Experiment{Sidecars: []int{10}, Rates: []float64{0.2}, FleetChanges: []string{"nothing"},
+		Seeds: 1, Load: 0.45, RestartFraction: 1, Cores: 4, FallMultiple: 4, MeanWork: 100 * time.Millisecond,
+		LatencyObjective: 600 * time.Millisecond, CountModes: []simulate.Counting{simulate.CountRule}}
+	_, err := m.Run(context.Background())
 	assert.ErrorContains(t, err, `"nothing"`)
-	_, err = (&lab.SlowStartExperiment{}).Run(context.Background())
+	_, err = (&membercold.Experiment{}).Run(context.Background())
 	assert.Error(t, err)
 }
--- a/internal/lab/growth.go
+++ b/internal/lab/growth.go
@@ -17,7 +17,7 @@
 	Servers  int `json:"servers"`
 }
 
-// The sizes that the growth table of the acceptance page (STANDING) compares.
+// The sizes that the growth table of the acceptance page compares.
 var (
 	UsualGrowthSize   = GrowthSize{Sidecars: 300, Servers: 200}
 	LargestGrowthSize = GrowthSize{Sidecars: 900, Servers: 3200}
@@ -27,42 +27,42 @@
 type GrowthOptions struct {
 	Program          string // the sidecar's file
 	Usual, Large     GrowthSize
-	Simulated        GrowthSizes   // fleets of the simulated day; zero: those above
+	Simulated        GrowthSizes   // fleets of the simulated days; zero: Usual and Large
 	Length           time.Duration // of a day of one real sidecar
-	DayLength        time.Duration // of the simulated day
+	DayLength        time.Duration // of a simulated day
 	Rate             float64       // requests a second of each sidecar
 	Connections      int           // of the clients of the real sidecar
-	ReplacedFraction float64       // share of the servers that are replaced in a day
-	Steps            int           // in which they are; as many as there are servers: one by one
-	Rounds           int           // pairs of days of the real sidecar; the median counts
-	Dir              string        // for the processes' files; empty: a temporary one that goes with the run
+	ReplacedFraction float64       // of the servers, over a day
+	Steps            int           // steps of a day in which servers are replaced
+	Rounds           int           // pairs of days of the real sidecar, of which the medians count
+	Dir              string        // for the processes' files; empty: a temporary one, removed at the end
 	Progress         io.Writer     // nil: none
 }
 
 // GrowthSizes are the two sizes of a comparison.
 type GrowthSizes struct{ Usual, Large GrowthSize }
 
-// GrowthUsage is what one sidecar needs over a day.
+// GrowthUsage is what one sidecar uses over a day.
 type GrowthUsage struct {
 	CPU         float64 `json:"cpu_s"` // user and system, from the start of the process to its end
 	PeakMemory  float64 `json:"peak_memory_mb"`
-	Descriptors float64 `json:"descriptors"` // the most at a time
+	Descriptors float64 `json:"descriptors"` // the most at one time
 	Connections float64 `json:"connections"` // made to servers
 	ListBytes   float64 `json:"list_bytes"`  // received from discovery
-	Served      float64 `json:"served"`      // share of the worth that is answered in aim
+	Served      float64 `json:"served"`      // share of the worth that is answered within the latency objective
 }
 
 // GrowthRow is one line of the growth table.
 type GrowthRow struct {
 	Figure      string  `json:"what"`
-	Subject     string  `json:"of"` // what was measured: a process, or the simulated fleet
+	Subject     string  `json:"of"` // what was measured: one process, or a simulated day
 	Usual       float64 `json:"usual"`
 	Large       float64 `json:"large"`
 	Bound       float64 `json:"bound"`
 	WithinBound bool    `json:"met"`
 }
 
-// Growth is what a measurement of growth came to.
+// Growth is the result of a measurement of growth.
 type Growth struct {
 	Usual     GrowthSize   `json:"usual"`
 	Large     GrowthSize   `json:"large"`
@@ -72,27 +72,27 @@
 	Days      []GrowthDay  `json:"days"` // of simulated fleets
 }
 
-// GrowthPair is what the two sizes needed in one round.
+// GrowthPair is the usage at the two sizes in one round.
 type GrowthPair struct {
 	Usual GrowthUsage `json:"usual"`
 	Large GrowthUsage `json:"large"`
 }
 
-// Exceeded lists the rows whose bound is not met.
+// Exceeded lists the rows beyond their bound.
 func (g *Growth) Exceeded() []GrowthRow {
 	return slices.DeleteFunc(slices.Clone(g.Rows), func(r GrowthRow) bool { return r.WithinBound })
 }
 
-// growthBound is one line of the acceptance page's table: a need may be at most times what it is at the usual size,
-// plus more, plus perThousand for each thousand servers.
+// growthBound is one line of the acceptance page's table. The usage at the large size is at most factor times the usage at
+// the usual size, plus offset, plus perThousandServers for each thousand servers.
 type growthBound struct {
 	name                               string
 	figure                             func(*GrowthUsage) float64
 	factor, offset, perThousandServers float64
-	isLowerLimit                       bool // the need may not fall under times what it is at the usual size
+	isLowerLimit                       bool // the bound is a lower limit
 }
 
-// growthBounds is the growth table of STANDING, in its order and in the units of GrowthNeed.
+// growthBounds is the growth table of the acceptance page, in its order and in the units of GrowthUsage.
 var growthBounds = []growthBound{
 	{name: "CPU seconds", figure: cpuOfUsage, factor: 1.4, offset: 0.02, perThousandServers: 0.03},
 	{name: "peak memory, MB", figure: memoryOfUsage, factor: 1.5, offset: 8, perThousandServers: 4},
@@ -109,9 +109,9 @@
 func listBytesOfUsage(n *GrowthUsage) float64   { return n.ListBytes }
 func servedOfUsage(n *GrowthUsage) float64      { return n.Served }
 
-// row holds what the large size needs against the bound, with this many servers there.
-func (b *growthBound) row(of string, pair GrowthPair, servers int) GrowthRow {
-	r := GrowthRow{Figure: b.name, Subject: of, Usual: b.figure(&pair.Usual), Large: b.figure(&pair.Large)}
+// row compares the usage at the large size, with this number of servers, with the bound.
+func (b *growthBound) row(subject string, pair GrowthPair, servers int) GrowthRow {
+	r := GrowthRow{Figure: b.name, Subject: subject, Usual: b.figure(&pair.Usual), Large: b.figure(&pair.Large)}
 	r.Bound = b.factor*r.Usual + b.offset + b.perThousandServers*float64(servers)/1000
 	if b.isLowerLimit {
 		r.WithinBound = r.Large >= r.Bound
@@ -121,27 +121,27 @@
 	return r
 }
 
-// medianPair takes the median of each need over the rounds.
+// medianPair takes the median of each figure over the rounds.
 func medianPair(pairs []GrowthPair) GrowthPair {
 	return GrowthPair{Usual: medianUsage(pairs, func(p *GrowthPair) *GrowthUsage { return &p.Usual }),
 		Large: medianUsage(pairs, func(p *GrowthPair) *GrowthUsage { return &p.Large })}
 }
 
 func medianUsage(pairs []GrowthPair, side func(*GrowthPair) *GrowthUsage) GrowthUsage {
-	of := func(need func(*GrowthUsage) float64) float64 {
+	medianOf := func(figure func(*GrowthUsage) float64) float64 {
 		var all []float64
 		for i := range pairs {
-			all = append(all, need(side(&pairs[i])))
+			all = append(all, figure(side(&pairs[i])))
 		}
 		return median(all)
 	}
-	return GrowthUsage{CPU: of(cpuOfUsage), PeakMemory: of(memoryOfUsage), Descriptors: of(descriptorsOfUsage),
-		Connections: of(connectionsOfUsage), ListBytes: of(listBytesOfUsage), Served: of(servedOfUsage)}
+	return GrowthUsage{CPU: medianOf(cpuOfUsage), PeakMemory: medianOf(memoryOfUsage), Descriptors: medianOf(descriptorsOfUsage),
+		Connections: medianOf(connectionsOfUsage), ListBytes: medianOf(listBytesOfUsage), Served: medianOf(servedOfUsage)}
 }
 
-// MeasureGrowth holds what a sidecar needs in a large fleet against what it needs in one of the usual size (STANDING).
-// One real process against stand-in servers, in pairs of days, gives all needs; whole fleets on a simulated clock give
-// the share served and the connections made. An error means that a day could not be played.
+// MeasureGrowth compares what a sidecar uses in a large fleet with what it uses in one of the usual size. One real process
+// before stand-in servers, in pairs of days, gives all figures. Whole fleets on a simulated clock give the share served
+// and the connections made. An error means that a day could not be played.
 func MeasureGrowth(ctx context.Context, o GrowthOptions) (*Growth, error) {
 	if err := o.check(); err != nil {
 		return nil, fmt.Errorf("growth: %w", err)
@@ -172,7 +172,7 @@
 	return g, nil
 }
 
-// growthRows holds the medians of the processes and the simulated days against the bounds that concern them.
+// growthRows compares the medians of the processes, and the simulated days, with the bounds.
 func growthRows(g *Growth) []GrowthRow {
 	var rows []GrowthRow
 	process := medianPair(g.Rounds)
@@ -180,7 +180,7 @@
 		b := &growthBounds[i]
 		rows = append(rows, b.row("one process", process, g.Large.Servers))
 		for k := range g.Days {
-			// A simulated sidecar has no processor time, memory, descriptors or lists in bytes.
+			// Simulated days have no processor time, memory, descriptors or bytes of lists.
 			if day := &g.Days[k]; b.figure(&day.Usual) > 0 {
 				rows = append(rows, b.row(day.Name, day.GrowthPair, g.Simulated.Large.Servers))
 			}
@@ -212,7 +212,7 @@
 	return nil
 }
 
-// progress tells what is done.
+// progress reports a step that is done.
 func (o *GrowthOptions) progress(format string, args ...any) {
 	if o.Progress != nil {
 		fmt.Fprintf(o.Progress, format+"\n", args...)
@@ -231,13 +231,13 @@
 		if !r.WithinBound {
 			within = "NO"
 		}
-		fmt.Fprintf(w, "%-18s %-16s %12s %12s %12s %s\n", r.Figure, r.Subject, growthFigure(r.Usual), growthFigure(r.Large),
-			growthFigure(r.Bound), within)
+		fmt.Fprintf(w, "%-18s %-16s %12s %12s %12s %s\n", r.Figure, r.Subject, formatFigure(r.Usual), formatFigure(r.Large),
+			formatFigure(r.Bound), within)
 	}
 }
 
-// growthFigure writes large figures without digits behind the point.
-func growthFigure(v float64) string {
+// formatFigure formats large figures without decimals.
+func formatFigure(v float64) string {
 	if v >= 1000 {
 		return fmt.Sprintf("%.0f", v)
 	}
--- a/internal/lab/growth_fleet.go
+++ b/internal/lab/growth_fleet.go
@@ -1,6 +1,6 @@
 package lab
 
-// This file plays the same day with fleets of two sizes on a simulated clock.
+// This file plays the same days with fleets of two sizes on a simulated clock.
 
 import (
 	"context"
@@ -47,24 +47,24 @@
 `
 
 const (
-	growthUtilization = 0.6 // of the capacity of all servers that is asked for
+	growthUtilization = 0.6 // load as a share of the capacity of all servers
 	growthCores       = 16  // of a server of the usual size
 )
 
-// GrowthDay is what a day on the simulated clock needed of each sidecar.
+// GrowthDay is what each sidecar used on a simulated day.
 type GrowthDay struct {
 	Name string `json:"name"`
 	GrowthPair
 	Broken []string `json:"broken"` // rules that were broken at the large size
 }
 
-// growthTrouble is what goes wrong on a day.
+// simulatedDayKind is a kind of day, by its faults.
 type simulatedDayKind struct {
 	name   string
 	faults func(o *GrowthOptions) []scenario.Fault
 }
 
-// growthTroubles are the days that are simulated.
+// simulatedDayKinds are the days that are simulated.
 var simulatedDayKinds = []simulatedDayKind{
 	{"fleet, replaced", func(o *GrowthOptions) []scenario.Fault {
 		if o.ReplacedFraction == 0 {
@@ -79,7 +79,7 @@
 	}},
 }
 
-// simulatedGrowth plays each day with each size.
+// simulatedGrowth plays each kind of day with each size.
 func simulatedGrowth(ctx context.Context, o *GrowthOptions) ([]GrowthDay, error) {
 	var days []GrowthDay
 	for i := range simulatedDayKinds {
@@ -97,7 +97,7 @@
 	return days, nil
 }
 
-// simulateGrowthDay also gives the rules that were broken.
+// simulateGrowthDay plays a day with one size. It also returns the rules that were broken.
 func simulateGrowthDay(ctx context.Context, o *GrowthOptions, size GrowthSize, kind *simulatedDayKind) (GrowthUsage,
 	[]string, error) {
 	s, err := growthDayOf(o, size)
@@ -124,9 +124,9 @@
 	return usage, broken, nil
 }
 
-// growthDayOf is the day with a fleet of this size. The traffic of a sidecar and the capacity of all servers together,
-// counted for each sidecar, are the same at any size: where there are more servers for each sidecar they have fewer
-// cores, and what whole cores leave over goes into their speed.
+// growthDayOf returns the scenario of a day with a fleet of this size. The traffic and the capacity of the servers per
+// sidecar are the same at any size: with more servers per sidecar, servers have fewer cores, and their speed makes up for
+// the rounding to whole cores.
 func growthDayOf(o *GrowthOptions, size GrowthSize) (*scenario.Scenario, error) {
 	s, err := scenario.Parse("growth-day.toml", []byte(growthDayScenario))
 	if err != nil {
@@ -136,13 +136,13 @@
 	s.Length = scenario.Duration(o.DayLength)
 	s.Sidecars.Count, s.Servers.Count = size.Sidecars, size.Servers
 	s.Traffic.Rate = o.Rate * float64(size.Sidecars)
-	work := 0.0 // of a request in the mean, in seconds
+	meanWork := 0.0 // of a request, in seconds
 	for _, c := range s.Classes {
-		work += c.Share * c.Work.Duration().Seconds()
+		meanWork += c.Share * c.Work.Duration().Seconds()
 	}
 	kind := &s.Servers.Kinds[0]
 	kind.Cores = max(1, int(math.Round(growthCores*size.sidecarsPerServer()/usual.sidecarsPerServer())))
-	speed := o.Rate * work / growthUtilization * size.sidecarsPerServer() / float64(kind.Cores)
+	speed := o.Rate * meanWork / growthUtilization * size.sidecarsPerServer() / float64(kind.Cores)
 	kind.Speed = scenario.Range{speed, speed}
 	return s, nil
 }
--- a/internal/lab/growth_process.go
+++ b/internal/lab/growth_process.go
@@ -42,45 +42,45 @@
 `
 
 const (
-	growthWorkTime       = 5 * time.Millisecond // of a server for each request
+	growthWorkTime       = 5 * time.Millisecond // of a server per request
 	growthSampleInterval = 50 * time.Millisecond
-	growthDrainTime      = 400 * time.Millisecond // from the notice that a server drains until its end, at most
+	growthDrainTime      = 400 * time.Millisecond // from the notification that a server drains until it ends, at most
 )
 
-// growthDay is a day under way.
+// growthRun is a day under way.
 type growthRun struct {
 	o       *GrowthOptions
-	r       *run // for the plan, the folder and what starts processes
+	r       *run // the plan, the folder and the supervisor of the processes
 	servers *growthServers
 	agents  *agent.Agents
 	meter   *meteredForward
 	ids     atomic.Uint64
 }
 
-// growthRound plays a day of each size, every other round in the other order.
+// growthRound plays a day with each size. The order alternates from round to round.
 func growthRound(ctx context.Context, o *GrowthOptions, round int) (GrowthPair, error) {
 	var pair GrowthPair
-	play := func(name string, size GrowthSize, need *GrowthUsage) error {
+	play := func(name string, size GrowthSize, usage *GrowthUsage) error {
 		var err error
 		dir := filepath.Join(o.Dir, fmt.Sprintf("%s-%d", name, round))
-		if *need, err = playGrowthDay(ctx, o, size, dir); err != nil {
+		if *usage, err = playGrowthDay(ctx, o, size, dir); err != nil {
 			return fmt.Errorf("%d servers: %w", size.Servers, err)
 		}
-		o.progress("round %d of %d, %d servers: %+v", round+1, o.Rounds, size.Servers, *need)
+		o.progress("round %d of %d, %d servers: %+v", round+1, o.Rounds, size.Servers, *usage)
 		return nil
 	}
-	usual := func() error { return play("usual", o.Usual, &pair.Usual) }
-	large := func() error { return play("large", o.Large, &pair.Large) }
+	first := func() error { return play("usual", o.Usual, &pair.Usual) }
+	second := func() error { return play("large", o.Large, &pair.Large) }
 	if round%2 == 1 {
-		usual, large = large, usual
+		first, second = second, first
 	}
-	if err := usual(); err != nil {
+	if err := first(); err != nil {
 		return pair, err
 	}
-	return pair, large()
+	return pair, second()
 }
 
-// playGrowthDay starts a sidecar before this many servers, drives it for the day while some are replaced, and ends it.
+// playGrowthDay starts a sidecar before the servers, sends requests for the day while servers are replaced, and stops it.
 func playGrowthDay(ctx context.Context, o *GrowthOptions, size GrowthSize, dir string) (usage GrowthUsage, err error) {
 	replaced := int(o.ReplacedFraction * float64(size.Servers))
 	s, err := scenario.Parse("growth.toml", []byte(growthScenario))
@@ -110,7 +110,7 @@
 	return usage, nil
 }
 
-// toldGone is how many servers the sidecar was told to be gone.
+// serversNotifiedGone returns of how many servers the sidecar was notified that they are gone.
 func (d *growthRun) serversNotifiedGone() int {
 	gone := map[int32]bool{}
 	for _, e := range d.r.log.Events() {
@@ -121,7 +121,7 @@
 	return len(gone)
 }
 
-// startDiscovery tells of the first servers of the plan.
+// startDiscovery starts a discovery service that lists the first servers of the plan.
 func (d *growthRun) startDiscovery(listed int) error {
 	link := relay.NewLink(relay.Rules{}, 1)
 	var err error
@@ -144,7 +144,7 @@
 	return list
 }
 
-// launch starts the sidecar, as one of this many.
+// launch starts the sidecar, configured for a fleet of this size.
 func (d *growthRun) launch(ctx context.Context, size GrowthSize) (*sidecarProcess, error) {
 	settings := d.r.plan.Settings(0)
 	settings["peers_total"] = size.Sidecars
@@ -162,28 +162,28 @@
 	return starter.launch(ctx, "sidecar", d.o.Program)
 }
 
-// play drives the sidecar, replaces servers meanwhile, and measures until the sidecar has ended.
+// play sends requests to the sidecar while servers are replaced, stops it, and measures until it has ended.
 func (d *growthRun) play(ctx context.Context, p *sidecarProcess, listed, replaced int) (GrowthUsage, error) {
 	load := &costLoad{addr: p.listen, class: d.r.s.Classes[0].Name, rate: d.o.Rate, ids: &d.ids,
 		conns: make([]*clientConn, d.o.Connections)}
-	driving, driven := context.WithCancel(ctx)
-	var beside sync.WaitGroup
+	driving, stopDriving := context.WithCancel(ctx)
+	var background sync.WaitGroup
 	var peak process.Usage
-	var sampled error
-	beside.Go(func() { peak, sampled = samplePeak(driving, p.PID) })
-	beside.Go(func() { d.replace(driving, listed, replaced) })
-	began := time.Now()
+	var sampleErr error
+	background.Go(func() { peak, sampleErr = samplePeak(driving, p.PID) })
+	background.Go(func() { d.replace(driving, listed, replaced) })
+	start := time.Now()
 	done, err := load.drive(ctx, d.o.Length)
-	sleep(ctx, time.Until(began.Add(d.o.Length))) // the last request may have been some time ago
+	sleep(ctx, time.Until(start.Add(d.o.Length))) // the day ends some time after the last request
 	load.close()
-	driven()
-	beside.Wait()
+	stopDriving()
+	background.Wait()
 	stopSidecar(p.Child)
 	switch {
 	case err != nil:
 		return GrowthUsage{}, err
-	case sampled != nil:
-		return GrowthUsage{}, sampled
+	case sampleErr != nil:
+		return GrowthUsage{}, sampleErr
 	case p.Err() != nil:
 		return GrowthUsage{}, fmt.Errorf("the sidecar ended with %w; its log ends:\n%s", p.Err(), p.LogTail())
 	case done.sent == 0:
@@ -194,7 +194,7 @@
 		Served: 1 - float64(done.failed)/float64(done.sent)}, nil
 }
 
-// samplePeak follows what a process takes until ctx ends.
+// samplePeak samples the memory and descriptors of a process until ctx ends, and returns the peaks.
 func samplePeak(ctx context.Context, pid int) (process.Usage, error) {
 	var peak process.Usage
 	for {
@@ -210,12 +210,12 @@
 	}
 }
 
-// replace lets servers drain and end in steps, evenly over the day, while new ones take their places.
+// replace drains and ends servers in steps, evenly over the day, while new ones take their places.
 func (d *growthRun) replace(ctx context.Context, listed, replaced int) {
 	steps := min(d.o.Steps, replaced)
-	began := time.Now()
+	start := time.Now()
 	for step := range steps {
-		due := began.Add(d.o.Length * time.Duration(step+1) / time.Duration(steps+4))
+		due := start.Add(d.o.Length * time.Duration(step+1) / time.Duration(steps+4))
 		if !sleep(ctx, time.Until(due)) {
 			return
 		}
@@ -249,11 +249,11 @@
 	return err
 }
 
-// growthServers are stand-in servers that all answer alike.
+// growthServers are stand-in servers that give the same answer to each request.
 type growthServers struct {
 	srv       *http.Server
 	listeners []net.Listener
-	made      atomic.Int64 // connections to them
+	made      atomic.Int64 // connections made to them
 	serving   sync.WaitGroup
 }
 
@@ -263,7 +263,7 @@
 	s.srv = &http.Server{
 		Handler: http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 			time.Sleep(growthWorkTime)
-			_, _ = w.Write(answer) // a sidecar that has ended reads it no more
+			_, _ = w.Write(answer) // fails if the sidecar has ended
 		}),
 		ConnState: func(_ net.Conn, state http.ConnState) {
 			if state == http.StateNew {
@@ -282,8 +282,8 @@
 	return s, nil
 }
 
-// growthServerHost is an address that nobody else uses: what connects there was told of this server. On 127.0.0.1 so many
-// ports would also get what is meant for others that had them before.
+// growthServerHost is a loopback address for this server alone. On 127.0.0.1 so many ports would also receive connections
+// that are meant for earlier listeners.
 func growthServerHost(server int) string { return fmt.Sprintf("127.16.%d.%d", server>>8, server&255) }
 
 func (s *growthServers) addr(server int) string { return s.listeners[server].Addr().String() }
@@ -297,7 +297,7 @@
 	return err
 }
 
-// meteredForward passes connections on to one address and counts the bytes that come back.
+// meteredForward forwards connections to one address and counts the bytes that come back.
 type meteredForward struct {
 	target   string
 	listener net.Listener
@@ -327,7 +327,7 @@
 	}
 }
 
-// pass ends when either side closes.
+// pass forwards a connection until either side closes.
 func (f *meteredForward) pass(caller net.Conn) {
 	defer caller.Close()
 	called, err := net.DialTimeout("tcp4", f.target, time.Second)
@@ -339,10 +339,10 @@
 		_, _ = io.Copy(called, caller) // until either closes
 		called.Close()
 	})
-	_, _ = io.Copy(io.MultiWriter(caller, (*byteCount)(&f.bytes)), called) // as above
+	_, _ = io.Copy(io.MultiWriter(caller, (*byteCount)(&f.bytes)), called) // until either closes
 }
 
-// close waits for the callers to end.
+// close waits for the connections to end.
 func (f *meteredForward) close() error {
 	err := f.listener.Close()
 	f.passing.Wait()
--- a/internal/lab/growth_test.go
+++ b/internal/lab/growth_test.go
@@ -8,9 +8,9 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Each need just within its bound is met, and just beyond it is not. The figures are the acceptance page's, for 2,000
+// A figure just within its bound passes, and one just beyond it does not. The bounds are the acceptance page's, for 2,000
 // servers.
-func TestGrowthBounds(t *testing.T) {
+func TestBounds_atTheLimit(t *testing.T) {
 	usual := GrowthUsage{CPU: 0.5, PeakMemory: 20, Descriptors: 30, Connections: 100, ListBytes: 100e3, Served: 0.9}
 	bounds := map[string]float64{
 		"CPU seconds":      1.4*0.5 + 0.02 + 2*0.03,
@@ -38,8 +38,8 @@
 	}
 }
 
-// The median of each need counts, and a row that concerns the process alone is not held against the simulated fleet.
-func TestGrowthRowsAreOfMedians(t *testing.T) {
+// The medians of the rounds count. Figures that a simulated day does not have are compared for the process alone.
+func TestRows_medians(t *testing.T) {
 	usual := GrowthUsage{CPU: 1, PeakMemory: 1, Descriptors: 1, Connections: 1, ListBytes: 1, Served: 1}
 	far := GrowthUsage{CPU: 100, PeakMemory: 1000, Descriptors: 1000, Connections: 1000, ListBytes: 1e9, Served: 0}
 	for name, c := range map[string]struct {
@@ -62,7 +62,7 @@
 	}
 }
 
-func TestGrowthOptionsThatCannotBe(t *testing.T) {
+func TestOptions_invalid(t *testing.T) {
 	for says, spoil := range map[string]func(*GrowthOptions){
 		"1 servers":               func(o *GrowthOptions) { o.Large.Servers = 1 },
 		"0 sidecars":              func(o *GrowthOptions) { o.Usual.Sidecars = 0 },
@@ -92,7 +92,7 @@
 }
 
 // A sidecar before 3,200 servers stays within the growth table of the acceptance page.
-func TestGrowthIsWithinBounds(t *testing.T) {
+func TestMeasure_withinBounds(t *testing.T) {
 	g, err := MeasureGrowth(t.Context(), quickGrowth())
 	require.NoError(t, err)
 	for _, r := range g.Rows {
@@ -101,8 +101,8 @@
 	}
 }
 
-// A day that cannot be played is an error that tells which size it was.
-func TestGrowthOfASidecarThatDoesNotStart(t *testing.T) {
+// A day that cannot be played is an error that names the size.
+func TestMeasure_sidecarDoesNotStart(t *testing.T) {
 	o := quickGrowth()
 	o.Program = "/nonexistent"
 	_, err := MeasureGrowth(t.Context(), o)
--- a/internal/lab/memberscale_fleet.go
+++ b/internal/lab/memberscale_fleet.go
@@ -242,12 +242,12 @@
 	noLoss, err := f.countEvents(ctx, MemberLoss{}, window)
 	seconds := time.Since(start).Seconds()
 	memberSeconds := float64(n) * seconds
-	cpuShare := (cpuTime() - cpu).Seconds() / seconds
+	processors := (cpuTime() - cpu).Seconds() / seconds
 	bytes, packets := f.sentTotals()
 	out.Bytes, out.Packets = float64(bytes-sentBytes)/memberSeconds, float64(packets-sentPackets)/memberSeconds
-	out.CPU = 1e6 * (cpuShare - baseline.cpu) / float64(n)
+	out.CPU = 1e6 * (processors - baseline.cpu) / float64(n)
 	out.Minutes = memberSeconds / 60
-	*baseline = baselineUsage{memory: memory, cpu: cpuShare}
+	*baseline = baselineUsage{memory: memory, cpu: processors}
 	return out, noLoss, err
 }
 
--- a/internal/lab/memberscale_test.go
+++ b/internal/lab/memberscale_test.go
@@ -18,14 +18,15 @@
 	"marblelane/internal/membership/roster"
 )
 
-// quietly waits for goroutines that end within a few intervals: the library's last probes.
-func quietly(t *testing.T) {
+// checkLeaks fails the test if goroutines are left. Those of the last probes end within a few intervals.
+func checkLeaks(t *testing.T) {
+	t.Helper()
 	before := goleak.IgnoreCurrent()
 	t.Cleanup(func() { goleak.VerifyNone(t, before) })
 }
 
-func TestMemberScaleQuick(t *testing.T) {
-	quietly(t)
+func TestRun_quick(t *testing.T) {
+	checkLeaks(t)
 	m := DefaultMemberScale(true)
 	r, err := m.Run(t.Context())
 	require.NoError(t, err)
@@ -34,7 +35,7 @@
 		assert.Positive(t, s.Idle.Bytes)
 		assert.Positive(t, s.Idle.CPU)
 		assert.Positive(t, s.Crash.DetectAll)
-		assert.GreaterOrEqual(t, s.Crash.GoneAll, s.Crash.DetectP50, "proved after it was silent")
+		assert.GreaterOrEqual(t, s.Crash.GoneAll, s.Crash.DetectP50, "gone only after it was silent")
 		want := 1 + len(m.Losses)
 		if s.Members <= m.MaxConcurrentSize {
 			want++ // starved
@@ -48,7 +49,7 @@
 		for _, x := range s.Splits {
 			assert.Positive(t, x.Noticed)
 			assert.Positive(t, x.Agree)
-			assert.Zero(t, x.CountedGone, "who is cut off counts")
+			assert.Zero(t, x.CountedGone, "a member that is cut off still counts")
 		}
 	}
 	var out bytes.Buffer
@@ -56,9 +57,9 @@
 	assert.Contains(t, out.String(), "half and half")
 }
 
-// What was not done in time is named, and nothing is made up for it.
-func TestMemberScaleTime(t *testing.T) {
-	quietly(t)
+// Measurements that were not done in time are named as unmeasured and have no result.
+func TestRun_timeoutAndCancel(t *testing.T) {
+	checkLeaks(t)
 	m := DefaultMemberScale(true)
 	m.TotalTimeout = 10 * time.Millisecond
 	r, err := m.Run(t.Context())
@@ -76,9 +77,9 @@
 	require.ErrorIs(t, err, context.Canceled)
 }
 
-// The check of agreement fails where one hears nobody, and where the numbers are right and the names are not.
-func TestMemberAgreementFails(t *testing.T) {
-	quietly(t)
+// The check of agreement fails where a member is unreachable, and where the numbers are right and the names are not.
+func TestDisagreement_isDetected(t *testing.T) {
+	checkLeaks(t)
 	m := DefaultMemberScale(true)
 	m.EventTimeout = 2 * time.Second
 	f, err := m.open(t.Context(), 4, gossip.Rules{})
@@ -108,9 +109,9 @@
 	}
 }
 
-// A fleet that trusts its failure detector is seen to: members that are only cut off are counted out.
-func TestMemberScaleSeesCountingOut(t *testing.T) {
-	quietly(t)
+// In a fleet that trusts its failure detector members that are only cut off count as gone, and the result shows it.
+func TestMeasureSplit_detectsCountedGone(t *testing.T) {
+	checkLeaks(t)
 	m := DefaultMemberScale(true)
 	m.Defect = membership.DefectTrustDetector
 	f, err := m.open(t.Context(), 6, gossip.Rules{})
@@ -121,8 +122,8 @@
 	assert.Positive(t, x.CountedGone)
 }
 
-func TestMemberProcesses(t *testing.T) {
-	quietly(t)
+func TestMeasureProcesses_idle(t *testing.T) {
+	checkLeaks(t)
 	m := DefaultMemberScale(true)
 	m.Sizes = []int{3}
 	r, err := m.MeasureProcesses(t.Context(), read(t, "scale"), sidecarProgram, 50*time.Millisecond)
--- a/internal/lab/requestcost.go
+++ b/internal/lab/requestcost.go
@@ -23,34 +23,34 @@
 	"marblelane/internal/lab/scenario"
 )
 
-// CostVariant is a sidecar whose cost is measured.
+// CostVariant is a sidecar program and configuration whose cost is measured.
 type CostVariant struct {
 	Name          string
 	Program       string
-	ConfigPatches []json.RawMessage // merged into its configuration in turn, by the rules of JSON Merge Patch (RFC 7386)
-	WithRoutes    bool              // its requests go along a route, told by real copies of the list service
-	WithMembers   bool              // it is in a fleet with CostOptions.Members idle sidecars
+	ConfigPatches []json.RawMessage // merged into its configuration in turn, as JSON merge patches (RFC 7386)
+	WithRoutes    bool              // its requests follow a route, from real copies of the list service
+	WithMembers   bool              // it is in a fleet with CostOptions.IdleMembers idle sidecars
 }
 
 // CostOptions are what a measurement of costs needs.
 type CostOptions struct {
 	Variants    []CostVariant
 	Baseline    string // the variant that the others are compared with; empty: the first
-	Rounds      int    // two at least
+	Rounds      int    // at least 2
 	Length      time.Duration
-	IdleTime    time.Duration // from ready until its memory is measured
-	Rate        float64       // requests a second in all; 0: each connection sends the next when it has its answer
+	IdleTime    time.Duration // from ready until memory is measured
+	Rate        float64       // requests a second in all; 0: closed loop, each connection sends the next one after its answer
 	Connections int
 	Servers     int
-	IdleMembers int    // idle sidecars in the fleet of variants that are members
-	Self        string // the command's file, for copies of the list service; empty: this program
-	Dir         string // for files; empty: a temporary one that goes with the run
+	IdleMembers int    // idle sidecars in the fleet of variants with members
+	Self        string // the program of the list service; empty: this one
+	Dir         string // for files; empty: a temporary one, removed at the end
 	Progress    io.Writer
 
-	warmUp, settleTimeout time.Duration // 0: costWarm, costSettle
+	warmUp, settleTimeout time.Duration // 0: defaultWarmUp, defaultSettleTimeout
 }
 
-// RequestCost is what variants of a sidecar cost.
+// RequestCost is the result of a measurement.
 type RequestCost struct {
 	Baseline    string        `json:"base"`
 	Rounds      int           `json:"rounds"`
@@ -60,22 +60,22 @@
 	Variants    []VariantCost `json:"variants"`
 }
 
-// VariantCost is what one variant costs, each figure the median of its rounds.
+// VariantCost is the cost of one variant. Each figure is the median of its rounds.
 type VariantCost struct {
 	Name      string      `json:"name"`
 	CPU       float64     `json:"cpu_us_per_request"`
-	Ratio     *Interval   `json:"ratio,omitempty"` // of CPU per request to the base's; nil: it is the base
+	Ratio     *Interval   `json:"ratio,omitempty"` // of CPU per request to the baseline's; nil: it is the baseline
 	PerSecond float64     `json:"requests_per_s"`
 	IdleCPU   float64     `json:"idle_cpu_us_per_s"`
 	IdleRSS   float64     `json:"idle_rss_mb"`
-	Start     float64     `json:"start_ms"` // from the start of the process until it says that it is ready
+	Start     float64     `json:"start_ms"` // from the start of the process until it logs that it is ready
 	Rounds    []CostRound `json:"per_round"`
 }
 
-// CostRound is one start of a variant.
+// CostRound is the result of one start of a variant.
 type CostRound struct {
 	Requests  int64   `json:"requests"`
-	Failed    int64   `json:"failed"` // answered otherwise than with 200, or not at all
+	Failed    int64   `json:"failed"` // not answered with 200
 	CPU       float64 `json:"cpu_us_per_request"`
 	PerSecond float64 `json:"requests_per_s"`
 	IdleCPU   float64 `json:"idle_cpu_us_per_s"`
@@ -83,7 +83,7 @@
 	Start     float64 `json:"start_ms"`
 }
 
-// Interval is the mean of a figure with its 95 % confidence interval (Student's t).
+// Interval is the mean of a figure with its 95 % confidence interval by Student's t distribution.
 type Interval struct {
 	Mean float64 `json:"mean"`
 	Low  float64 `json:"low"`
@@ -91,12 +91,13 @@
 }
 
 const (
-	defaultWarmUp        = time.Second            // of requests before those that are measured
-	sliceLength          = 200 * time.Millisecond // for which a variant is driven before it is another's turn
+	defaultWarmUp        = time.Second            // of requests that are not measured
+	sliceLength          = 200 * time.Millisecond // for which a variant gets requests before the next one's turn
 	defaultSettleTimeout = 20 * time.Second
-	maxFailedFraction    = 0.01 // share of requests that may fail in a round that counts
-	minRoutedFraction    = 0.99 // share that has to go along a route, where there is one
+	maxFailedFraction    = 0.01 // of the requests of a valid round
+	minRoutedFraction    = 0.99 // of the requests of a variant with routes
 	costSubset           = "near"
+	maxFleetSeeds        = 3
 	costTenant           = "cost"
 )
 
@@ -126,11 +127,10 @@
 subsets = ["near"]
 `
 
-// MeasureRequestCost starts each variant anew in each round, drives one at a time, in turn and for a moment each,
-// and compares its processor time per request with the base's in the same round. The order turns from round to
-// round and from moment to moment, so that what changes on the machine with time is no one's advantage. An error
-// also means that a variant did not do what is measured: it refused requests, its requests did not go along the
-// route, or it was not taken into the fleet.
+// MeasureRequestCost starts each variant anew in each round and sends requests to one at a time, in slices of sliceLength.
+// It compares the processor time per request with that of the baseline in the same round. The order of the variants
+// reverses from round to round and from slice to slice, so that a change of the machine's load favours none. It is also
+// an error if a variant fails requests, if its requests do not follow the route, or if it does not join the fleet.
 func MeasureRequestCost(ctx context.Context, o CostOptions) (*RequestCost, error) {
 	base, err := o.check()
 	if err != nil {
@@ -146,21 +146,21 @@
 	}
 	rounds := make([][]CostRound, len(o.Variants))
 	for k := range o.Rounds {
-		one, err := c.playRound(ctx, k)
+		results, err := c.playRound(ctx, k)
 		if err != nil {
 			return nil, fmt.Errorf("request cost: round %d: %w", k+1, err)
 		}
-		for i := range one {
-			rounds[i] = append(rounds[i], one[i])
+		for i := range results {
+			rounds[i] = append(rounds[i], results[i])
 			if o.Progress != nil {
-				fmt.Fprintf(o.Progress, "round %d of %d, %s: %.1f us a request\n", k+1, o.Rounds, o.Variants[i].Name, one[i].CPU)
+				fmt.Fprintf(o.Progress, "round %d of %d, %s: %.1f us a request\n", k+1, o.Rounds, o.Variants[i].Name, results[i].CPU)
 			}
 		}
 	}
 	return summarizeCosts(&o, base, rounds), nil
 }
 
-// check finds what cannot be meant and gives the number of the base.
+// check rejects invalid options and returns the number of the baseline variant.
 func (o *CostOptions) check() (base int, err error) {
 	if len(o.Variants) == 0 {
 		return 0, errors.New("there is no variant")
@@ -194,17 +194,17 @@
 // costRun is a measurement under way.
 type costRun struct {
 	o       CostOptions
-	r       *run            // for the plan, the folder and what starts processes
-	f       *routeFleet     // the copies of the list service; nil: a stand-in
-	agents  *agent.Agents   // the stand-in
-	config  json.RawMessage // of any sidecar, before what is its own
+	r       *run            // the plan, the folder and the supervisor of the processes
+	f       *routeFleet     // the list service; nil: the stand-in
+	agents  *agent.Agents   // the stand-in for the list service
+	config  json.RawMessage // common to all sidecars
 	servers []*costServer
 	seeds   []string // of the fleet
 	started int
 	ids     atomic.Uint64
 }
 
-// start brings up all that stands beside the sidecars.
+// startEnvironment starts everything but the measured sidecars.
 func (c *costRun) startEnvironment(ctx context.Context) error {
 	s, err := scenario.Parse("request-cost.toml", []byte(costScenario))
 	if err != nil {
@@ -224,11 +224,11 @@
 		}
 	}
 	for i := range c.r.plan.Servers {
-		one, err := startCostServer(slices.Contains(c.r.plan.Subsets[costSubset], i))
+		server, err := startCostServer(slices.Contains(c.r.plan.Subsets[costSubset], i))
 		if err != nil {
 			return err
 		}
-		c.servers = append(c.servers, one)
+		c.servers = append(c.servers, server)
 	}
 	if slices.ContainsFunc(c.o.Variants, func(v CostVariant) bool { return v.WithRoutes }) {
 		err = c.startCopies(ctx)
@@ -247,7 +247,7 @@
 	return nil
 }
 
-// startCopies starts the list service, with all servers on its list and the route of the tenant.
+// startCopies starts the list service, with all servers on its list and a route for the tenant.
 func (c *costRun) startCopies(ctx context.Context) error {
 	reg := &scenario.Registry{Copies: c.r.s.Discovery.Registry, Beat: scenario.Duration(100 * time.Millisecond)}
 	rr := &registryRun{run: c.r, reg: reg, seen: map[int64]uint64{}, counts: map[string]int{}}
@@ -266,6 +266,7 @@
 	return err
 }
 
+// startAgent starts the stand-in for the list service.
 func (c *costRun) startAgent() error {
 	var list []agent.Entry
 	for i := range c.servers {
@@ -278,13 +279,14 @@
 	return err
 }
 
+// entry is the list entry of a server.
 func (c *costRun) entry(i int) agent.Entry {
 	e := c.r.entry(i, agent.Ready, 0)
 	e.Endpoint = c.servers[i].addr
 	return e
 }
 
-// makeConfig makes what all sidecars have alike.
+// makeConfig makes the configuration that all sidecars have in common.
 func (c *costRun) makeConfig() error {
 	settings := c.r.plan.Settings(0)
 	settings["tenants"] = []map[string]any{{"name": costTenant, "share": 1.0, "allowance_per_s": 1e6}}
@@ -325,23 +327,24 @@
 	return nil
 }
 
-// membersSection is the section of a sidecar in the fleet. A few seeds are enough.
+// membersSection is the configuration of a member of the fleet, with at most maxFleetSeeds seeds.
 func membersSection(bind string, seeds []string) any {
 	return map[string]any{"members": map[string]any{"fleet": "request-cost", "bind": bind,
-		"seeds": seeds[:min(len(seeds), 3)]}}
+		"seeds": seeds[:min(len(seeds), maxFleetSeeds)]}}
 }
 
-// launched is a sidecar that says it is ready.
+// sidecarProcess is a sidecar that is ready.
 type sidecarProcess struct {
 	*process.Child
 	listen, management string
 	startTime          time.Duration
 }
 
-// launch starts a sidecar with the common configuration and what is merged into it, in turn.
-func (c *costRun) launch(ctx context.Context, name, program string, own ...any) (*sidecarProcess, error) {
+// launch starts a sidecar with the common configuration and patches that are merged into it in turn, and waits until it
+// is ready.
+func (c *costRun) launch(ctx context.Context, name, program string, patches ...any) (*sidecarProcess, error) {
 	config := c.config
-	for _, patch := range append([]any{map[string]any{"name": name}}, own...) {
+	for _, patch := range append([]any{map[string]any{"name": name}}, patches...) {
 		var err error
 		if config, err = mergePatch(config, patch); err != nil {
 			return nil, err
@@ -356,7 +359,7 @@
 	if err := os.WriteFile(file, config, 0o644); err != nil {
 		return nil, err
 	}
-	began := time.Now()
+	start := time.Now()
 	p, err := c.r.nursery.Start(process.Spec{Name: name, Path: program, Dir: dir, MaxDescriptors: c.r.s.Sidecars.Sockets,
 		Env: []string{"NODE_CONFIG=" + file, "TMPDIR=" + filepath.Join(dir, "tmp")}})
 	if err != nil {
@@ -369,11 +372,11 @@
 		p.Kill()
 		return nil, err
 	}
-	return &sidecarProcess{Child: p, startTime: time.Since(began), listen: logValue(line, "listen"), management: logValue(line,
+	return &sidecarProcess{Child: p, startTime: time.Since(start), listen: logValue(line, "listen"), management: logValue(line,
 		"management")}, nil
 }
 
-// valueOf finds a key's value in a line of words of the form key=value.
+// logValue returns the value of a key in a log line of words of the form key=value; empty: the line has no such key.
 func logValue(line, key string) string {
 	for _, word := range strings.Fields(line) {
 		if v, ok := strings.CutPrefix(word, key+"="); ok {
@@ -383,33 +386,34 @@
 	return ""
 }
 
-// mergePatch merges a value into a JSON text as RFC 7386 has it.
+// mergePatch applies a JSON merge patch (RFC 7386) to a text.
 func mergePatch(text json.RawMessage, patch any) (json.RawMessage, error) {
 	raw, err := json.Marshal(patch)
 	if err != nil {
 		return nil, err
 	}
-	var onto, from any
-	if err := errors.Join(json.Unmarshal(text, &onto), json.Unmarshal(raw, &from)); err != nil {
+	var target, source any
+	if err := errors.Join(json.Unmarshal(text, &target), json.Unmarshal(raw, &source)); err != nil {
 		return nil, err
 	}
-	return json.Marshal(merged(onto, from))
+	return json.Marshal(mergeValues(target, source))
 }
 
-func merged(onto, from any) any {
-	patch, ok := from.(map[string]any)
+// mergeValues applies a decoded merge patch to a decoded target.
+func mergeValues(target, source any) any {
+	patch, ok := source.(map[string]any)
 	if !ok {
-		return from
+		return source
 	}
-	object, ok := onto.(map[string]any)
+	object, ok := target.(map[string]any)
 	if !ok {
 		object = map[string]any{}
 	}
-	for key, v := range patch {
-		if v == nil {
+	for key, value := range patch {
+		if value == nil {
 			delete(object, key)
 		} else {
-			object[key] = merged(object[key], v)
+			object[key] = mergeValues(object[key], value)
 		}
 	}
 	return object
--- a/internal/lab/requestcost_round.go
+++ b/internal/lab/requestcost_round.go
@@ -15,20 +15,20 @@
 	"marblelane/internal/membership/view"
 )
 
-// costed is one start of a variant.
+// variantRun is one start of a variant.
 type variantRun struct {
 	variant      *CostVariant
 	sidecar      *sidecarProcess
 	load         *costLoad
-	idleStartCPU time.Duration // before what is under way
+	idleStartCPU time.Duration // processor time at the start of the idle measurement
 	CostRound
 
-	cpuUsed, drivenTime time.Duration // of slices
-	received, routed    int64         // requests that servers saw, and those of them that came along the route
+	cpuUsed, drivenTime time.Duration // in the slices so far
+	received, routed    int64         // requests at the servers, and those of them along the route
 	reason              string        // of a failure
 }
 
-// fails names the variant that an error is of.
+// wrapError names the variant in an error.
 func (d *variantRun) wrapError(err error) error {
 	if err == nil {
 		return nil
@@ -36,7 +36,7 @@
 	return fmt.Errorf("%s: %w", d.variant.Name, err)
 }
 
-// round starts each variant once and measures it beside the others.
+// playRound starts each variant once and measures all of them beside each other.
 func (c *costRun) playRound(ctx context.Context, k int) ([]CostRound, error) {
 	all := make([]*variantRun, len(c.o.Variants))
 	defer func() {
@@ -47,17 +47,7 @@
 			}
 		}
 	}()
-	turn := func(k int) []int { // from first to last, and back
-		order := make([]int, len(all))
-		for i := range order {
-			order[i] = i
-		}
-		if k%2 == 1 {
-			slices.Reverse(order)
-		}
-		return order
-	}
-	for _, i := range turn(k) {
+	for _, i := range variantOrder(len(all), k) {
 		var err error
 		if all[i], err = c.startVariant(ctx, &c.o.Variants[i]); err != nil {
 			return nil, fmt.Errorf("%s: %w", c.o.Variants[i].Name, err)
@@ -66,15 +56,15 @@
 	if err := c.measureIdle(ctx, all); err != nil {
 		return nil, err
 	}
-	for _, i := range turn(k) {
+	for _, i := range variantOrder(len(all), k) {
 		if err := c.warmUp(ctx, all[i]); err != nil {
 			return nil, all[i].wrapError(err)
 		}
 	}
-	n := max(int(c.o.Length/sliceLength), 1)
-	for j := range n {
-		for _, i := range turn(k + j) {
-			if err := c.driveSlice(ctx, all[i], c.o.Length/time.Duration(n)); err != nil {
+	slicesPerVariant := max(int(c.o.Length/sliceLength), 1)
+	for j := range slicesPerVariant {
+		for _, i := range variantOrder(len(all), k+j) {
+			if err := c.driveSlice(ctx, all[i], c.o.Length/time.Duration(slicesPerVariant)); err != nil {
 				return nil, all[i].wrapError(err)
 			}
 		}
@@ -89,23 +79,35 @@
 	return out, nil
 }
 
-// begin starts a variant.
+// variantOrder returns the order of n variants on turn k: from first to last, and reversed on every other turn.
+func variantOrder(n, k int) []int {
+	order := make([]int, n)
+	for i := range order {
+		order[i] = i
+	}
+	if k%2 == 1 {
+		slices.Reverse(order)
+	}
+	return order
+}
+
+// startVariant starts a variant.
 func (c *costRun) startVariant(ctx context.Context, v *CostVariant) (*variantRun, error) {
-	var own []any
+	var patches []any
 	if v.WithRoutes {
 		var addrs []string
-		for _, one := range c.f.rr.copies {
-			addrs = append(addrs, one.serve)
+		for _, replica := range c.f.rr.copies {
+			addrs = append(addrs, replica.serve)
 		}
-		own = append(own, map[string]any{"routes": map[string]any{"addrs": addrs}})
+		patches = append(patches, map[string]any{"routes": map[string]any{"addrs": addrs}})
 	}
 	if v.WithMembers {
-		own = append(own, membersSection("127.0.0.1:0", c.seeds))
+		patches = append(patches, membersSection("127.0.0.1:0", c.seeds))
 	}
-	for _, section := range v.ConfigPatches {
-		own = append(own, section)
+	for _, patch := range v.ConfigPatches {
+		patches = append(patches, patch)
 	}
-	p, err := c.launch(ctx, "measured-"+v.Name, v.Program, own...)
+	p, err := c.launch(ctx, "measured-"+v.Name, v.Program, patches...)
 	if err != nil {
 		return nil, err
 	}
@@ -115,10 +117,11 @@
 	return d, nil
 }
 
-// idle measures processes that nobody calls. Their processor time is that of the second half, past what a start costs.
+// measureIdle measures processes without requests. The first half of the time, with the cost of the start, does not count
+// for the processor time.
 func (c *costRun) measureIdle(ctx context.Context, all []*variantRun) error {
 	sleep(ctx, c.o.IdleTime/2)
-	began := time.Now()
+	start := time.Now()
 	for _, d := range all {
 		var err error
 		if d.idleStartCPU, err = processCPU(d.sidecar.PID); err != nil {
@@ -131,7 +134,7 @@
 		if err != nil {
 			return d.wrapError(err)
 		}
-		d.IdleCPU = microseconds(cpu-d.idleStartCPU) / time.Since(began).Seconds()
+		d.IdleCPU = microseconds(cpu-d.idleStartCPU) / time.Since(start).Seconds()
 		u, err := process.Measure(d.sidecar.PID)
 		if err != nil {
 			return d.wrapError(err)
@@ -141,15 +144,15 @@
 	return ctx.Err()
 }
 
-// warm waits until a variant is in the fleet, sends requests until connections are open and sizes known, and goes on
-// until a route is followed where there is one.
+// warmUp waits until a variant has joined its fleet, and sends requests: at least for the warm-up time, so that connections
+// are open and sizes known, and with routes until the requests follow them.
 func (c *costRun) warmUp(ctx context.Context, d *variantRun) error {
 	if d.variant.WithMembers {
 		if err := c.awaitFleet(ctx, d.sidecar.management); err != nil {
 			return err
 		}
 	}
-	for until := time.Now().Add(c.o.settleTimeout); ; {
+	for deadline := time.Now().Add(c.o.settleTimeout); ; {
 		warming := *d
 		if err := c.driveSlice(ctx, &warming, c.o.warmUp); err != nil {
 			return err
@@ -157,13 +160,13 @@
 		if !d.variant.WithRoutes || warming.routedFraction() >= minRoutedFraction {
 			return nil
 		}
-		if time.Now().After(until) {
+		if time.Now().After(deadline) {
 			return fmt.Errorf("after %v %.1f %% of its requests go along the route", c.o.settleTimeout, 100*warming.routedFraction())
 		}
 	}
 }
 
-// slice drives a variant for a moment and counts it.
+// driveSlice sends requests to a variant for a slice and adds up what they cost.
 func (c *costRun) driveSlice(ctx context.Context, d *variantRun, length time.Duration) error {
 	for _, s := range c.servers {
 		s.received.Store(0)
@@ -195,10 +198,10 @@
 	return nil
 }
 
-// share is the share of requests that came as those of a route, to a server that the route names.
+// routedFraction is the fraction of requests along a route that reached a server of the route.
 func (d *variantRun) routedFraction() float64 { return float64(d.routed) / float64(max(d.received, 1)) }
 
-// end gives the figures of a start that counts.
+// result returns the figures of a start, and an error if they are not valid.
 func (d *variantRun) result() (CostRound, error) {
 	d.CPU = microseconds(d.cpuUsed) / float64(max(d.Requests, 1))
 	d.PerSecond = float64(d.Requests) / d.drivenTime.Seconds()
@@ -216,7 +219,7 @@
 
 func microseconds(d time.Duration) float64 { return float64(d) / float64(time.Microsecond) }
 
-// awaitFleet waits until a process hears all idle ones and counts itself in.
+// awaitFleet waits until a sidecar is admitted and reaches all idle members.
 func (c *costRun) awaitFleet(ctx context.Context, management string) error {
 	ctx, cancel := context.WithTimeout(ctx, c.o.settleTimeout)
 	defer cancel()
@@ -240,9 +243,9 @@
 	}
 }
 
-// stopCosted ends a sidecar in order, so that its fleet knows that it left.
+// stopSidecar stops a sidecar in order, so that it leaves its fleet.
 func stopSidecar(p *process.Child) {
-	_ = p.Signal(syscall.SIGTERM) // it has ended, or it is killed below
+	_ = p.Signal(syscall.SIGTERM) // fails if it has ended
 	kill := time.NewTimer(stopWait)
 	defer kill.Stop()
 	select {
--- a/internal/lab/requestcost_test.go
+++ b/internal/lab/requestcost_test.go
@@ -20,7 +20,7 @@
 }
 
 // Two equal variants, one in a closed loop and at a rate: the measurement ends with a ratio and its interval.
-func TestRequestCostOfEqualVariants(t *testing.T) {
+func TestMeasure_equalVariants(t *testing.T) {
 	for _, rate := range []float64{0, 200} {
 		o := quickCost(CostVariant{Name: "a"}, CostVariant{Name: "b",
 			ConfigPatches: []json.RawMessage{[]byte(`{"list_doubt_share":0.5}`)}})
@@ -37,9 +37,9 @@
 	}
 }
 
-// Requests go along a route told by real copies. Planted: a sidecar whose section is taken away again, so that
-// they do not.
-func TestRequestCostAlongARoute(t *testing.T) {
+// Requests follow a route from real copies of the list service. The second measurement has a sidecar without routes and
+// fails.
+func TestMeasure_routes(t *testing.T) {
 	o := quickCost(CostVariant{Name: "plain"}, CostVariant{Name: "routes", WithRoutes: true})
 	r, err := MeasureRequestCost(t.Context(), o)
 	require.NoError(t, err)
@@ -50,8 +50,8 @@
 	assert.ErrorContains(t, err, "routes: after 1ns 0.0 % of its requests go along the route")
 }
 
-// A sidecar in a fleet is measured when the fleet has taken it in. Planted: one that is in another fleet.
-func TestRequestCostInAFleet(t *testing.T) {
+// A sidecar is measured once it has joined its fleet. The second measurement has a sidecar of another fleet and fails.
+func TestMeasure_fleet(t *testing.T) {
 	o := quickCost(CostVariant{Name: "plain"}, CostVariant{Name: "members", WithMembers: true})
 	o.IdleMembers = 2
 	_, err := MeasureRequestCost(t.Context(), o)
@@ -62,7 +62,7 @@
 	assert.ErrorContains(t, err, "members: it is not in the fleet of 3")
 }
 
-func TestRequestCostDoesNotCount(t *testing.T) {
+func TestMeasure_invalid(t *testing.T) {
 	for name, c := range map[string]struct {
 		spoil func(*CostOptions)
 		says  string
@@ -87,8 +87,8 @@
 	}
 }
 
-// The ratio is that of pairs: what rounds have in common does not enter, and what differs does.
-func TestRequestCostRatio(t *testing.T) {
+// The ratio is that of pairs in a round: it does not depend on what differs between rounds.
+func TestSummarize_ratioOfPairs(t *testing.T) {
 	var a, b []CostRound
 	for _, cpu := range []float64{10, 50, 20, 90} {
 		a, b = append(a, CostRound{CPU: cpu}), append(b, CostRound{CPU: 1.1 * cpu})
--- a/internal/lab/requestcostload.go
+++ b/internal/lab/requestcostload.go
@@ -1,6 +1,6 @@
 package lab
 
-// This file is what stands around the sidecars whose cost is measured: servers, clients and a clock.
+// This file has the servers, the clients and the processor clock of the measured sidecars.
 
 import (
 	"bufio"
@@ -18,8 +18,7 @@
 	"golang.org/x/sys/unix"
 )
 
-// cpuOf is the processor time that a process has taken so far. The clock is the kernel's own sum, to the nanosecond;
-// /proc rounds it to ticks of 10 ms, a percent and more of what is measured here.
+// processCPU returns the processor time that a process has used so far, from its CPU clock: /proc rounds to ticks of 10 ms.
 func processCPU(pid int) (time.Duration, error) {
 	const cpuClockSched = 2 // CPUCLOCK_SCHED of a process, as clock_getcpuclockid makes it
 	var t unix.Timespec
@@ -29,7 +28,7 @@
 	return time.Duration(t.Nano()), nil
 }
 
-// costServer answers at once.
+// costServer answers each request at once.
 type costServer struct {
 	addr             string
 	inSubset         bool
@@ -50,7 +49,7 @@
 		if r.Header.Get("X-Route-Rev") != "" {
 			s.routed.Add(1)
 		}
-		_, _ = w.Write(answer) // a sidecar that has ended reads it no more
+		_, _ = w.Write(answer) // fails if the sidecar has ended
 	})}
 	go func() {
 		defer close(s.done)
@@ -64,7 +63,7 @@
 	<-s.done
 }
 
-// costLoad drives a sidecar over connections that are kept.
+// costLoad sends requests to a sidecar over persistent connections.
 type costLoad struct {
 	addr, class string
 	rate        float64
@@ -77,24 +76,24 @@
 	in *bufio.Reader
 }
 
-// driven is what a drive came to.
+// driveResult is what became of requests.
 type driveResult struct {
 	sent, failed int64
 	reason       string // of a failure
 	took         time.Duration
 }
 
-// drive sends requests for so long and waits for the last answers. An error means that it could not connect.
+// drive sends requests for some time and waits for the last answers. An error means that it could not connect.
 func (l *costLoad) drive(ctx context.Context, length time.Duration) (driveResult, error) {
-	began := time.Now()
+	start := time.Now()
 	parts := make([]driveResult, len(l.conns))
 	errs := make([]error, len(l.conns))
 	var wg sync.WaitGroup
 	for i := range l.conns {
-		wg.Go(func() { parts[i], errs[i] = l.driveConnection(ctx, i, began, length) })
+		wg.Go(func() { parts[i], errs[i] = l.driveConnection(ctx, i, start, length) })
 	}
 	wg.Wait()
-	all := driveResult{took: time.Since(began)}
+	all := driveResult{took: time.Since(start)}
 	for _, p := range parts {
 		all.sent, all.failed = all.sent+p.sent, all.failed+p.failed
 		if p.reason != "" {
@@ -104,17 +103,17 @@
 	return all, errors.Join(append(errs, ctx.Err())...)
 }
 
-// one drives a connection: as fast as it answers, or with every n-th of the requests of the rate, each at its time
-// or as soon after it as the one before has its answer.
-func (l *costLoad) driveConnection(ctx context.Context, i int, began time.Time, length time.Duration) (d driveResult, err error) {
+// driveConnection sends requests over one connection. In the closed loop each follows the answer to the one before. At a
+// rate, connection i of n sends every n-th request when it is due, or after the answer to the one before if that is later.
+func (l *costLoad) driveConnection(ctx context.Context, i int, start time.Time, length time.Duration) (d driveResult, err error) {
 	for k := 0; ctx.Err() == nil; k++ {
 		if l.rate > 0 {
 			due := time.Duration(float64(i+k*len(l.conns)) / l.rate * float64(time.Second))
-			if due >= length || !sleep(ctx, time.Until(began.Add(due))) {
+			if due >= length || !sleep(ctx, time.Until(start.Add(due))) {
 				return d, nil
 			}
 		}
-		if time.Since(began) >= length {
+		if time.Since(start) >= length {
 			return d, nil
 		}
 		if l.conns[i] == nil {
@@ -132,7 +131,7 @@
 	return d, nil
 }
 
-// ask sends a request and reads its answer. It gives the reason why it failed; empty: it did not.
+// sendRequest sends a request and reads its answer. It returns the reason of a failure; empty: it succeeded.
 func (l *costLoad) sendRequest(i int) (reason string) {
 	c := l.conns[i]
 	keep := false
@@ -146,7 +145,7 @@
 	head := fmt.Appendf(nil,
 		"GET /api HTTP/1.1\r\nHost: backend.local\r\nX-Request-ID: %016x\r\nX-Priority-Class: %s\r\nX-Tenant-Id: %s\r\n"+
 			"X-Timeout-Ms: 2000\r\nX-Route-Key: %x\r\n\r\n", id, l.class, costTenant, id)
-	_ = c.SetDeadline(time.Now().Add(3 * time.Second)) // a closed connection says so below
+	_ = c.SetDeadline(time.Now().Add(3 * time.Second)) // fails on a closed connection, as the write below
 	if _, err := c.Write(head); err != nil {
 		return err.Error()
 	}
--- a/internal/lab/requestcostsum.go
+++ b/internal/lab/requestcostsum.go
@@ -8,12 +8,12 @@
 	"strconv"
 )
 
-// sumCosts works out what the rounds come to.
+// summarizeCosts works out the figures of each variant from its rounds.
 func summarizeCosts(o *CostOptions, base int, rounds [][]CostRound) *RequestCost {
 	out := &RequestCost{Baseline: o.Variants[base].Name, Rounds: o.Rounds, Seconds: o.Length.Seconds(), Rate: o.Rate,
 		Connections: o.Connections}
 	for i, all := range rounds {
-		of := func(figure func(*CostRound) float64) float64 {
+		medianOf := func(figure func(*CostRound) float64) float64 {
 			var list []float64
 			for k := range all {
 				list = append(list, figure(&all[k]))
@@ -21,11 +21,11 @@
 			return median(list)
 		}
 		v := VariantCost{Name: o.Variants[i].Name, Rounds: all,
-			CPU:       of(func(r *CostRound) float64 { return r.CPU }),
-			PerSecond: of(func(r *CostRound) float64 { return r.PerSecond }),
-			IdleCPU:   of(func(r *CostRound) float64 { return r.IdleCPU }),
-			IdleRSS:   of(func(r *CostRound) float64 { return r.IdleRSS }),
-			Start:     of(func(r *CostRound) float64 { return r.Start })}
+			CPU:       medianOf(func(r *CostRound) float64 { return r.CPU }),
+			PerSecond: medianOf(func(r *CostRound) float64 { return r.PerSecond }),
+			IdleCPU:   medianOf(func(r *CostRound) float64 { return r.IdleCPU }),
+			IdleRSS:   medianOf(func(r *CostRound) float64 { return r.IdleRSS }),
+			Start:     medianOf(func(r *CostRound) float64 { return r.Start })}
 		if i != base {
 			var ratios []float64
 			for k := range all {
@@ -38,13 +38,14 @@
 	return out
 }
 
+// median returns the median of a list that is not empty.
 func median(list []float64) float64 {
 	list = slices.Sorted(slices.Values(list))
 	n := len(list)
 	return (list[(n-1)/2] + list[n/2]) / 2
 }
 
-// meanOf is the mean of two values or more with its interval.
+// meanInterval returns the mean of two or more values with its confidence interval.
 func meanInterval(list []float64) *Interval {
 	n, mean, squares := float64(len(list)), 0.0, 0.0
 	for _, v := range list {
@@ -57,26 +58,27 @@
 	return &Interval{Mean: mean, Low: mean - half, High: mean + half}
 }
 
-// student is the 97.5 % quantile of Student's t with so many degrees of freedom, to 0.003.
+// studentQuantile returns the 97.5 % quantile of Student's t distribution, with an error below 0.003.
 func studentQuantile(freedom int) float64 {
 	if small := []float64{12.706, 4.303, 3.182, 2.776}; freedom <= len(small) {
 		return small[freedom-1]
 	}
 	const z = 1.959964
-	n := float64(freedom) // the Cornish-Fisher expansion at z
+	n := float64(freedom)
+	// The Cornish-Fisher expansion at z, the quantile of the normal distribution.
 	return z + (math.Pow(z, 3)+z)/(4*n) + (5*math.Pow(z, 5)+16*math.Pow(z, 3)+3*z)/(96*n*n) +
 		(3*math.Pow(z, 7)+19*math.Pow(z, 5)+17*math.Pow(z, 3)-15*z)/(384*n*n*n)
 }
 
 // PrintRequestCost writes the variants as a table.
 func PrintRequestCost(w io.Writer, r *RequestCost) {
-	way := "closed loop"
+	load := "closed loop"
 	if r.Rate > 0 {
-		way = strconv.FormatFloat(r.Rate, 'f', -1, 64) + " requests a second"
+		load = strconv.FormatFloat(r.Rate, 'f', -1, 64) + " requests a second"
 	}
 	fmt.Fprintf(w,
 		"%d rounds of %v s, %d connections, %s; medians, and the mean ratio of pairs to %s with its 95 %% interval\n",
-		r.Rounds, r.Seconds, r.Connections, way, r.Baseline)
+		r.Rounds, r.Seconds, r.Connections, load, r.Baseline)
 	width := len("variant")
 	for _, v := range r.Variants {
 		width = max(width, len(v.Name))
--- a/internal/lab/routescale.go
+++ b/internal/lab/routescale.go
@@ -15,39 +15,38 @@
 	"marblelane/internal/routeclient"
 )
 
-// RoutePoint is what routes cost with so many sidecars. Times are in milliseconds. Sidecars are the product's own
-// duties (package steer) with a stand-in for the loop, all in one process; the three copies are processes.
+// RoutePoint is what routes cost with one number of sidecars. Times are in milliseconds.
 type RoutePoint struct {
 	Sidecars int     `json:"sidecars"`
 	Commits  int     `json:"commits"`
-	ActP50   float64 `json:"act_p50_ms"` // from the call of a change to the last sidecar that acts on it
+	ActP50   float64 `json:"act_p50_ms"` // from the call of a change until the last sidecar acts on it
 	ActP99   float64 `json:"act_p99_ms"`
 
 	Budget           int64   `json:"budget"`
-	Failures         int64   `json:"failures"`      // on the canary
-	Attempts         int64   `json:"attempts"`      // to it
-	LastAttemptAfter float64 `json:"after_ms"`      // from the failure that spent the last unit to the last attempt that began; 0: none did
-	RollbackAfter    float64 `json:"rolled_ms"`     // from then to the last sidecar that acts on the rollback
-	BaselineFailures int64   `json:"base_failures"` // of the baseline, which sums counters once a second, at the same requests
+	Failures         int64   `json:"failures"`      // of attempts to the canary
+	Attempts         int64   `json:"attempts"`      // to the canary
+	LastAttemptAfter float64 `json:"after_ms"`      // from the failure that spent the budget to the last attempt; 0: no attempt came after it
+	RollbackAfter    float64 `json:"rolled_ms"`     // from that failure until the last sidecar acts on the rollback
+	BaselineFailures int64   `json:"base_failures"` // of the baseline, which sums counters once a second, with the same requests
 	BaselineAfter    float64 `json:"base_after_ms"`
 
-	Bytes                float64 `json:"bytes_per_s"`     // of a sidecar, both ways, with nothing changing
+	Bytes                float64 `json:"bytes_per_s"`     // of a sidecar, both directions, while nothing changes
 	CPU                  float64 `json:"cpu_us_per_s"`    // of a sidecar
 	LeaderCPU            float64 `json:"leader_cpu_ms_s"` // ms a second
-	DiskWrites           float64 `json:"disk_writes_s"`   // the leader's synced writes a second, with nothing changing
+	DiskWrites           float64 `json:"disk_writes_s"`   // synced writes of the leader a second, while nothing changes
 	DiskWritesBusy       float64 `json:"disk_busy_s"`     // while a canary fails
 	DiskWritesNoSidecars float64 `json:"disk_bare_s"`     // without any sidecar
 }
 
-// Figures of the plays.
+// The parameters of the measurement.
 const (
 	commitCount         = 20
 	idleWindow          = 5 * time.Second
 	failureBudget       = 100
 	canaryFailureRate   = 0.2 // of attempts to the canary
 	meanRequestTime     = 20 * time.Millisecond
-	baselineSumInterval = time.Second // between two sums of the baseline
-	attemptsPerSecond   = 10.0        // attempts a second of each sidecar that would go to the canary
+	baselineSumInterval = time.Second // between two sums of the counters
+	attemptsPerSecond   = 10.0        // of each sidecar, to the canary
 )
 
 const routeScaleScenario = `
@@ -83,38 +82,39 @@
 	return points, nil
 }
 
-// puppet is a sidecar: its duties, and a loop that acts on tables and tries the canary.
+// simulatedSidecar is the routes' client of a sidecar, with a loop that acts on tables and sends attempts to the canary.
 type simulatedSidecar struct {
 	client *routeclient.Client
 	wake   chan struct{}
 	play   *playState
 
 	mu        sync.Mutex
-	actedAt   map[int64]time.Duration // when it first acted on a revision or a later one
+	actedAt   map[int64]time.Duration // when it first acted on each revision
 	rev       int64
 	route     *route.Route
 	budget    balance.CanaryBudget
 	completed route.Count
 
 	baseline struct { // what a sidecar of the baseline would have done
-		failures atomic.Int64
-		last     atomic.Int64
+		failures      atomic.Int64
+		lastAttemptAt atomic.Int64
 	}
 }
 
-// scaleClock is what all sidecars of a play share.
+// playState is what all sidecars of a measurement share. Times count from its start.
 type playState struct {
 	start           time.Time
-	canaryBusy      atomic.Bool  // the canary is tried
-	canaryFailures  atomic.Int64 // failures on the canary
+	canaryBusy      atomic.Bool  // sidecars send attempts to the canary
+	canaryFailures  atomic.Int64 // failed attempts to the canary
 	canaryAttempts  atomic.Int64
-	lastAttemptAt   atomic.Int64 // when the last attempt to the canary began
-	budgetSpentAt   atomic.Int64 // when the failure came that spent the last unit
-	baselineStopped atomic.Bool  // the baseline's sidecars have been told
+	lastAttemptAt   atomic.Int64 // start of the last attempt to the canary
+	budgetSpentAt   atomic.Int64 // when a failure spent the last unit of the budget
+	baselineStopped atomic.Bool  // the baseline has seen its budget spent
 }
 
 func (c *playState) now() time.Duration { return time.Since(c.start) }
 
+// run runs the client and the loop until ctx ends.
 func (p *simulatedSidecar) run(ctx context.Context, seed uint64) {
 	var wg sync.WaitGroup
 	defer wg.Wait()
@@ -135,14 +135,15 @@
 		case <-next.C:
 			next.Reset(time.Duration(rng.ExpFloat64() / attemptsPerSecond * float64(time.Second)))
 			if p.play.canaryBusy.Load() {
-				fails, takes := rng.Float64() < canaryFailureRate, time.Duration(rng.ExpFloat64()*float64(meanRequestTime))
-				p.attempt(fails, takes)
+				fails := rng.Float64() < canaryFailureRate
+				duration := time.Duration(rng.ExpFloat64() * float64(meanRequestTime))
+				p.attempt(fails, duration)
 			}
 		}
 	}
 }
 
-// take does what a sidecar's loop does with news.
+// applyUpdate does what a sidecar's loop does with an update.
 func (p *simulatedSidecar) applyUpdate() {
 	update, ok := p.client.TakeUpdate()
 	if !ok {
@@ -166,11 +167,11 @@
 	p.offerSample(false)
 }
 
-// offer hands a sample over.
-func (p *simulatedSidecar) offerSample(short bool) {
+// offerSample gives the client a sample of the budget and the counts.
+func (p *simulatedSidecar) offerSample(needsUnits bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	s := routeclient.Sample{NeedsUnits: short}
+	s := routeclient.Sample{NeedsUnits: needsUnits}
 	if p.route != nil {
 		s.Budgets = []route.BudgetState{{Tenant: p.route.Tenant, Rollout: p.route.Rollout, Granted: p.budget.Granted,
 			Spent: p.budget.Spent, Returned: p.budget.Returned, Wanted: 2}}
@@ -181,12 +182,13 @@
 	p.client.OfferSample(s)
 }
 
-// try sends one request to the canary if a unit can be set aside, and for the baseline in any case until it is told.
-func (p *simulatedSidecar) attempt(fails bool, takes time.Duration) {
+// attempt simulates a request to the canary. The sidecar sends it only if it can reserve a unit of the budget, the baseline
+// in any case until it is stopped.
+func (p *simulatedSidecar) attempt(fails bool, duration time.Duration) {
 	if !p.play.baselineStopped.Load() {
-		p.baseline.last.Store(int64(p.play.now()))
+		p.baseline.lastAttemptAt.Store(int64(p.play.now()))
 		if fails {
-			time.AfterFunc(takes, func() { p.baseline.failures.Add(1) })
+			time.AfterFunc(duration, func() { p.baseline.failures.Add(1) })
 		}
 	}
 	p.mu.Lock()
@@ -210,21 +212,24 @@
 	}
 	p.play.canaryAttempts.Add(1)
 	p.play.lastAttemptAt.Store(int64(p.play.now()))
-	time.AfterFunc(takes, func() {
-		if fails && p.play.canaryFailures.Add(1) == failureBudget {
-			p.play.budgetSpentAt.Store(int64(p.play.now()))
-		}
-		p.mu.Lock()
-		p.budget.Settle(fails)
-		if p.completed.Rev != rev {
-			p.completed = route.Count{Rev: rev, Tenant: tenant, Canary: true}
-		}
-		if p.completed.Ended++; fails {
-			p.completed.Failed++
-		}
-		p.mu.Unlock()
-		p.offerSample(false)
-	})
+	time.AfterFunc(duration, func() { p.complete(rev, tenant, fails) })
+}
+
+// complete ends an attempt to the canary.
+func (p *simulatedSidecar) complete(rev int64, tenant string, fails bool) {
+	if fails && p.play.canaryFailures.Add(1) == failureBudget {
+		p.play.budgetSpentAt.Store(int64(p.play.now()))
+	}
+	p.mu.Lock()
+	p.budget.Settle(fails)
+	if p.completed.Rev != rev {
+		p.completed = route.Count{Rev: rev, Tenant: tenant, Canary: true}
+	}
+	if p.completed.Ended++; fails {
+		p.completed.Failed++
+	}
+	p.mu.Unlock()
+	p.offerSample(false)
 }
 
 // routePoint measures one size.
@@ -235,34 +240,35 @@
 	}
 	defer func() { f.stop() }()
 	p := &RoutePoint{Sidecars: n, Commits: commitCount, Budget: failureBudget}
-	a, b, err := f.measureIdle(ctx, idleWindow)
+	before, after, err := f.measureIdle(ctx, idleWindow)
 	if err != nil {
 		return nil, err
 	}
-	bare := (b.bytes - a.bytes) / (b.at - a.at).Seconds()
-	p.DiskWritesNoSidecars = (b.diskWrites - a.diskWrites) / (b.at - a.at).Seconds()
+	seconds := (after.at - before.at).Seconds()
+	bytesNoSidecars := (after.bytes - before.bytes) / seconds
+	p.DiskWritesNoSidecars = (after.diskWrites - before.diskWrites) / seconds
 	if err := f.join(ctx, n); err != nil {
 		return nil, err
 	}
 	if err := f.measureCommits(ctx, p); err != nil {
 		return nil, err
 	}
-	if a, b, err = f.measureIdle(ctx, idleWindow); err != nil {
+	if before, after, err = f.measureIdle(ctx, idleWindow); err != nil {
 		return nil, err
 	}
-	seconds := (b.at - a.at).Seconds()
-	p.Bytes = max((b.bytes-a.bytes)/seconds-bare, 0) / float64(n)
-	p.CPU = 1e6 * (b.processCPU - a.processCPU) / seconds / float64(n)
-	p.LeaderCPU = 1e3 * (b.leaderCPU - a.leaderCPU) / seconds
-	p.DiskWrites = (b.diskWrites - a.diskWrites) / seconds
+	seconds = (after.at - before.at).Seconds()
+	p.Bytes = max((after.bytes-before.bytes)/seconds-bytesNoSidecars, 0) / float64(n)
+	p.CPU = 1e6 * (after.processCPU - before.processCPU) / seconds / float64(n)
+	p.LeaderCPU = 1e3 * (after.leaderCPU - before.leaderCPU) / seconds
+	p.DiskWrites = (after.diskWrites - before.diskWrites) / seconds
 	return p, f.measureOverspend(ctx, p)
 }
 
-// RouteModel is the same on a simulated clock, for fleets that no machine holds.
+// RouteModel plays the spent budget on a simulated clock, for fleets that are too large for the machine.
 func RouteModel(sidecars int) (*plays.Result, error) {
 	o := plays.Defaults()
 	o.Sidecars, o.Budget, o.CanaryFailureRate = sidecars, failureBudget, canaryFailureRate
-	o.Controller.Alpha = 1e-100 // the budget decides, as it does in the fleets that are measured: they have no base
+	o.Controller.Alpha = 1e-100 // the budget decides, as in the measured fleets, which have no base version
 	r, err := plays.Simulate(o)
 	if err != nil {
 		return nil, fmt.Errorf("%d simulated sidecars: %w", sidecars, err)
@@ -270,7 +276,7 @@
 	return &r, nil
 }
 
-// PrintRouteModel writes what became of a simulated play.
+// PrintRouteModel writes the result of a simulated fleet.
 func PrintRouteModel(w io.Writer, sidecars int, r *plays.Result) {
 	fmt.Fprintf(w, "%d simulated: %d attempts, %d failures of a budget of %d, the last attempt %d ms after the last unit; all act on the rollback %d ms after it;"+
 		" the baseline %d failures, its last attempt %d ms after; %.1f ledger commands a second\n", sidecars, r.Attempts, r.Failures, r.Budget,
--- a/internal/lab/routescale_fleet.go
+++ b/internal/lab/routescale_fleet.go
@@ -1,6 +1,6 @@
 package lab
 
-// This file is a fleet of simulated duties before a real list service.
+// This file has a fleet of simulated sidecars before a real list service.
 
 import (
 	"bufio"
@@ -27,7 +27,7 @@
 	"marblelane/internal/routeclient"
 )
 
-// fleet is a play's copies and sidecars.
+// routeFleet is three copies of the list service, and sidecars.
 type routeFleet struct {
 	rr       *registryRun
 	play     *playState
@@ -36,7 +36,7 @@
 	client   *http.Client
 }
 
-// newScaleRun starts the copies alone.
+// startCopiesOnly starts the copies, without sidecars.
 func startCopiesOnly(ctx context.Context, o Options) (*routeFleet, error) {
 	s, err := scenario.Parse("route-scale.toml", []byte(routeScaleScenario))
 	if err != nil {
@@ -56,7 +56,7 @@
 		os.RemoveAll(r.dir)
 	}
 	err = f.rr.startCopies(ctx)
-	for i := range r.plan.Servers { // a canary without a ready server pauses
+	for i := range r.plan.Servers { // a canary without a ready server is paused
 		e := map[string]any{"endpoint": fmt.Sprint("127.0.0.1:", 1000+i), "az": "limerick-dc", "model": "standard"}
 		if err == nil {
 			_, _, err = f.call(ctx, "/registry/instances/"+r.plan.Servers[i].UID, e)
@@ -69,7 +69,7 @@
 	return f, nil
 }
 
-// join starts so many sidecars.
+// join starts n sidecars.
 func (f *routeFleet) join(ctx context.Context, n int) error {
 	ctx, cancel := context.WithCancel(ctx)
 	var wg sync.WaitGroup
@@ -82,7 +82,7 @@
 	for i := range n {
 		p := &simulatedSidecar{wake: make(chan struct{}, 1), play: f.play, actedAt: map[int64]time.Duration{}}
 		var addrs []string
-		for k := range f.rr.copies { // watches are spread as sidecars of several zones would
+		for k := range f.rr.copies { // spread the watches, as sidecars of several zones do
 			addrs = append(addrs, f.rr.copies[(i+k)%len(f.rr.copies)].serve)
 		}
 		var err error
@@ -102,15 +102,21 @@
 	return nil
 }
 
-// call makes a change and gives its revision, with when it was called.
+const (
+	maxCallRetries   = 200
+	callRetryWait    = 50 * time.Millisecond
+	overspendTimeout = time.Minute
+)
+
+// call makes a change. It returns its revision and when it was called.
 func (f *routeFleet) call(ctx context.Context, path string, body any) (rev int64, called time.Duration, err error) {
 	data, err := json.Marshal(body)
 	if err != nil {
 		return 0, 0, err
 	}
-	for try := 0; ; try++ {
+	for attempt := 0; ; attempt++ {
 		called = f.play.now()
-		req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+f.rr.copies[try%len(f.rr.copies)].serve+path, bytes.NewReader(data))
+		req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+f.rr.copies[attempt%len(f.rr.copies)].serve+path, bytes.NewReader(data))
 		if err != nil {
 			return 0, 0, err
 		}
@@ -129,13 +135,13 @@
 		if resp.StatusCode == http.StatusOK && json.Unmarshal(text, &got) == nil {
 			return got.Rev, called, nil
 		}
-		if resp.StatusCode != http.StatusServiceUnavailable || try > 200 || !sleep(ctx, 50*time.Millisecond) {
+		if resp.StatusCode != http.StatusServiceUnavailable || attempt > maxCallRetries || !sleep(ctx, callRetryWait) {
 			return 0, 0, fmt.Errorf("%s is answered %s: %s", path, resp.Status, bytes.TrimSpace(text))
 		}
 	}
 }
 
-// acting waits until all act on a revision, and gives when the last began to.
+// awaitActing waits until all sidecars act on a revision, and returns when the last of them began.
 func (f *routeFleet) awaitActing(ctx context.Context, rev int64) (time.Duration, error) {
 	ctx, cancel := context.WithTimeout(ctx, startWait)
 	defer cancel()
@@ -162,11 +168,11 @@
 	}
 }
 
-// use is what the copies and this process have used so far.
+// resourceUse is what the copies and this process have used so far.
 type resourceUse struct {
 	at                    time.Duration
 	processCPU, leaderCPU float64 // CPU seconds
-	bytes                 float64 // that all copies read and wrote, raft's and disks' included
+	bytes                 float64 // that all copies read and wrote, to the network and to disk
 	diskWrites            float64
 }
 
@@ -201,7 +207,7 @@
 	return u, nil
 }
 
-// readIO reads what the kernel counts of a process's reads and writes.
+// readIO returns the kernel's counters of the reads and writes of a process, by their names.
 func readIO(pid int) (map[string]float64, error) {
 	text, err := os.ReadFile("/proc/" + strconv.Itoa(pid) + "/io")
 	if err != nil {
@@ -215,7 +221,7 @@
 	return out, nil
 }
 
-// indexOf is how many commands a copy's log has: each command, or several that come together, is one synced write.
+// diskWrites returns how many synced writes a copy has done to its log. A write has one command or several.
 func (f *routeFleet) diskWrites(ctx context.Context, c *registryCopy) (float64, error) {
 	code, text, err := quick(ctx, http.MethodGet, "http://"+c.serve+"/stats", nil)
 	if err != nil || code != http.StatusOK {
@@ -229,7 +235,7 @@
 	return 0, nil
 }
 
-// idle measures what goes on while nothing changes.
+// measureIdle returns the use before and after a time in which nothing changes.
 func (f *routeFleet) measureIdle(ctx context.Context, wait time.Duration) (before, after resourceUse, err error) {
 	if before, err = f.resourceUse(ctx); err != nil {
 		return before, after, err
@@ -241,9 +247,9 @@
 	return before, after, err
 }
 
-// commits changes the tenant's base again and again.
+// measureCommits changes the tenant's base repeatedly and measures until all sidecars act on the change.
 func (f *routeFleet) measureCommits(ctx context.Context, p *RoutePoint) error {
-	var took []time.Duration
+	var delays []time.Duration
 	for i := range commitCount + 1 {
 		to := ""
 		if i%2 == 0 {
@@ -257,20 +263,19 @@
 		if err != nil {
 			return err
 		}
-		if i > 0 { // the first is when they come
-			took = append(took, last-called)
+		if i > 0 { // the first includes the joining of the sidecars
+			delays = append(delays, last-called)
 		}
 		if !sleep(ctx, 200*time.Millisecond) {
 			return ctx.Err()
 		}
 	}
-	slices.Sort(took)
-	ms := func(q float64) float64 { return float64(took[int(q*float64(len(took)-1))]) / float64(time.Millisecond) }
-	p.ActP50, p.ActP99 = ms(0.5), ms(0.99)
+	slices.Sort(delays)
+	p.ActP50, p.ActP99 = quantileMS(delays, 0.5), quantileMS(delays, 0.99)
 	return nil
 }
 
-// overspend lets a canary fail until its budget is spent, beside the baseline.
+// measureOverspend has a canary fail until its budget is spent, beside the baseline.
 func (f *routeFleet) measureOverspend(ctx context.Context, p *RoutePoint) error {
 	rev, _, err := f.call(ctx, "/routes/scale/rollouts/spent", posted{To: "new", Budget: failureBudget, AtEnd: "return",
 		Steps: []rollout.Step{{CanaryFraction: 1, HoldMS: time.Hour.Milliseconds()}}})
@@ -280,51 +285,66 @@
 	if _, err := f.awaitActing(ctx, rev); err != nil {
 		return err
 	}
-	a, err := f.resourceUse(ctx)
+	before, err := f.resourceUse(ctx)
 	if err != nil {
 		return err
 	}
 	f.play.canaryBusy.Store(true)
-	ctx, cancel := context.WithTimeout(ctx, time.Minute)
+	ctx, cancel := context.WithTimeout(ctx, overspendTimeout)
 	defer cancel()
-	// The baseline: a sum of all counters each second; whoever is told stops at once.
-	over, filled := time.Duration(0), time.Duration(0)
-	for sum := f.play.now(); over == 0 || f.play.budgetSpentAt.Load() == 0; {
-		if !sleep(ctx, time.Millisecond) {
-			return fmt.Errorf("after a minute %d of %d units are spent", f.play.canaryFailures.Load(), failureBudget)
-		}
-		failures := int64(0)
-		for _, one := range f.sidecars {
-			failures += one.baseline.failures.Load()
-		}
-		if failures >= failureBudget && filled == 0 {
-			filled = f.play.now()
-		}
-		if now := f.play.now(); now-sum >= baselineSumInterval {
-			if sum = now; failures >= failureBudget && over == 0 {
-				over = now
-				f.play.baselineStopped.Store(true)
-			}
-		}
+	baselineSpentAt, err := f.awaitBudgetsSpent(ctx)
+	if err != nil {
+		return err
 	}
-	back, err := f.awaitActing(ctx, rev+1)
+	rolledBackAt, err := f.awaitActing(ctx, rev+1)
 	if err != nil {
 		return err
 	}
-	sleep(ctx, 10*meanRequestTime) // what is out ends
+	sleep(ctx, 10*meanRequestTime) // for the attempts under way
 	f.play.canaryBusy.Store(false)
-	b, err := f.resourceUse(ctx)
+	after, err := f.resourceUse(ctx)
 	if err != nil {
 		return err
 	}
-	ms := func(d time.Duration) float64 { return max(float64(d)/float64(time.Millisecond), 0) }
-	p.DiskWritesBusy = (b.diskWrites - a.diskWrites) / (b.at - a.at).Seconds()
+	budgetSpentAt := time.Duration(f.play.budgetSpentAt.Load())
+	p.DiskWritesBusy = (after.diskWrites - before.diskWrites) / (after.at - before.at).Seconds()
 	p.Failures, p.Attempts = f.play.canaryFailures.Load(), f.play.canaryAttempts.Load()
-	p.LastAttemptAfter = ms(time.Duration(f.play.lastAttemptAt.Load() - f.play.budgetSpentAt.Load()))
-	p.RollbackAfter = ms(back - time.Duration(f.play.budgetSpentAt.Load()))
-	for _, one := range f.sidecars {
-		p.BaselineFailures += one.baseline.failures.Load()
-		p.BaselineAfter = max(p.BaselineAfter, ms(time.Duration(one.baseline.last.Load())-filled))
+	p.LastAttemptAfter = nonNegativeMS(time.Duration(f.play.lastAttemptAt.Load()) - budgetSpentAt)
+	p.RollbackAfter = nonNegativeMS(rolledBackAt - budgetSpentAt)
+	for _, sidecar := range f.sidecars {
+		p.BaselineFailures += sidecar.baseline.failures.Load()
+		lastAttemptAt := time.Duration(sidecar.baseline.lastAttemptAt.Load())
+		p.BaselineAfter = max(p.BaselineAfter, nonNegativeMS(lastAttemptAt-baselineSpentAt))
 	}
 	return nil
 }
+
+// awaitBudgetsSpent waits until the canary's budget is spent and the baseline has stopped. The baseline sums the counters
+// of all sidecars every baselineSumInterval, and stops them at once when the sum has reached the budget. The result is
+// when its failures reached the budget.
+func (f *routeFleet) awaitBudgetsSpent(ctx context.Context) (baselineSpentAt time.Duration, err error) {
+	stopped := false
+	for lastSum := f.play.now(); !stopped || f.play.budgetSpentAt.Load() == 0; {
+		if !sleep(ctx, time.Millisecond) {
+			return 0, fmt.Errorf("after a minute %d of %d units are spent", f.play.canaryFailures.Load(), failureBudget)
+		}
+		failures := int64(0)
+		for _, sidecar := range f.sidecars {
+			failures += sidecar.baseline.failures.Load()
+		}
+		spent := failures >= failureBudget
+		if spent && baselineSpentAt == 0 {
+			baselineSpentAt = f.play.now()
+		}
+		if now := f.play.now(); now-lastSum >= baselineSumInterval {
+			lastSum = now
+			if spent && !stopped {
+				stopped = true
+				f.play.baselineStopped.Store(true)
+			}
+		}
+	}
+	return baselineSpentAt, nil
+}
+
+func nonNegativeMS(d time.Duration) float64 { return max(float64(d)/float64(time.Millisecond), 0) }
--- a/internal/lab/scale.go
+++ b/internal/lab/scale.go
@@ -44,38 +44,49 @@
 	var points []ScalePoint
 	progress := o.Progress
 	o.Progress = nil
-	for _, n := range sidecars {
-		for _, m := range servers {
-			sized := *s
-			sized.Sidecars.Count, sized.Servers.Count = n, m
-			runtime.GC() // what the size before left is not this one's
-			before, err := process.Measure(os.Getpid())
+	for _, sidecarCount := range sidecars {
+		for _, serverCount := range servers {
+			p, err := measureScalePoint(ctx, s, sidecarCount, serverCount, o)
 			if err != nil {
-				return nil, fmt.Errorf("scale: %w", err)
+				return nil, err
 			}
-			rep, err := Run(ctx, &sized, o)
-			if err != nil {
-				return nil, fmt.Errorf("%d sidecars, %d servers: %w", n, m, err)
-			}
-			end, _ := rep.Outcome()
-			p := ScalePoint{Sidecars: n, Servers: m, Requests: rep.Result.Figures.Requests, Outcome: end,
-				LabRSS: rep.Result.Lab.PeakRSS, Descriptors: rep.Result.Lab.Descriptors, LatenessP99: rep.Lateness.P99MS}
-			per := 1e6 / float64(max(p.Requests, 1))
-			p.LabCPU = (rep.Result.Lab.CPU - before.CPU) * per
-			for _, party := range rep.Result.Sidecars {
-				p.SidecarCPU += party.CPU * per
-				p.SidecarRSS = max(p.SidecarRSS, party.PeakRSS)
-			}
-			p.LabRSSPerProcess = p.LabRSS * 1024 / float64(n+m)
-			points = append(points, p)
+			points = append(points, *p)
 			if progress != nil {
-				fmt.Fprintf(progress, "%d sidecars, %d servers: %s, %.0f us of the lab's CPU a request\n", n, m, end, p.LabCPU)
+				fmt.Fprintf(progress, "%d sidecars, %d servers: %s, %.0f us of the lab's CPU a request\n",
+					sidecarCount, serverCount, p.Outcome, p.LabCPU)
 			}
 		}
 	}
 	return points, nil
 }
 
+// measureScalePoint plays the scenario with one size of fleet.
+func measureScalePoint(ctx context.Context, s *scenario.Scenario, sidecars, servers int, o Options) (*ScalePoint, error) {
+	sized := *s
+	sized.Sidecars.Count, sized.Servers.Count = sidecars, servers
+	runtime.GC() // frees what the size before left
+	before, err := process.Measure(os.Getpid())
+	if err != nil {
+		return nil, fmt.Errorf("scale: %w", err)
+	}
+	report, err := Run(ctx, &sized, o)
+	if err != nil {
+		return nil, fmt.Errorf("%d sidecars, %d servers: %w", sidecars, servers, err)
+	}
+	outcome, _ := report.Outcome()
+	result := report.Result
+	p := &ScalePoint{Sidecars: sidecars, Servers: servers, Requests: result.Figures.Requests, Outcome: outcome,
+		LabRSS: result.Lab.PeakRSS, Descriptors: result.Lab.Descriptors, LatenessP99: report.Lateness.P99MS}
+	microsPerRequest := 1e6 / float64(max(p.Requests, 1))
+	p.LabCPU = (result.Lab.CPU - before.CPU) * microsPerRequest
+	for _, sidecar := range result.Sidecars {
+		p.SidecarCPU += sidecar.CPU * microsPerRequest
+		p.SidecarRSS = max(p.SidecarRSS, sidecar.PeakRSS)
+	}
+	p.LabRSSPerProcess = p.LabRSS * 1024 / float64(sidecars+servers)
+	return p, nil
+}
+
 // PrintScale writes the sizes as a table, with how the lab's cost grows from the smallest to the largest: the
 // exponent k of cost ~ parties^k.
 func PrintScale(w io.Writer, points []ScalePoint) {
@@ -88,15 +99,14 @@
 	if len(points) < 2 {
 		return
 	}
-	a, b := points[0], points[len(points)-1]
-	growth := func(x, y float64) float64 {
-		return math.Log(y/x) / math.Log(float64(b.Sidecars+b.Servers)/float64(a.Sidecars+a.Servers))
-	}
+	first, last := points[0], points[len(points)-1]
+	from, to := first.Sidecars+first.Servers, last.Sidecars+last.Servers
+	exponent := func(a, b float64) float64 { return math.Log(b/a) / math.Log(float64(to)/float64(from)) }
 	fmt.Fprintf(w, "growth from %d to %d parties: the lab's CPU a request as their number to the power of %.2f, its memory %.2f\n",
-		a.Sidecars+a.Servers, b.Sidecars+b.Servers, growth(a.LabCPU, b.LabCPU), growth(a.LabRSS, b.LabRSS))
+		from, to, exponent(first.LabCPU, last.LabCPU), exponent(first.LabRSS, last.LabRSS))
 }
 
-// Overhead is what three ways of asking add to the servers' own work, in milliseconds.
+// Overhead is the latency that one request path adds to the servers' own work, in milliseconds.
 type Overhead struct {
 	Path     string  `json:"way"`
 	P50      float64 `json:"p50_ms"`
@@ -104,8 +114,8 @@
 	Requests int     `json:"requests"`
 }
 
-// MeasureOverhead plays fixed work three ways, in one process and in turn: by a plain client that talks to the
-// stand-ins and writes nothing down, by the lab's clients without sidecars, and by the lab's clients through the
+// MeasureOverhead sends requests of fixed work over three paths, in one process and in turn: from a plain client to the
+// stand-ins, without any record; from the lab's clients, without sidecars; and from the lab's clients through the
 // sidecars. The difference of the first two is the lab's own overhead.
 func MeasureOverhead(ctx context.Context, s *scenario.Scenario, o Options) ([]Overhead, error) {
 	work := s.Classes[0].Work.Milliseconds() / s.Traffic.Pace / s.Servers.Kinds[0].Speed[0]
@@ -115,20 +125,22 @@
 	}
 	out := []Overhead{{Path: "plain client", Requests: int(plain.TotalCount()),
 		P50: float64(plain.ValueAtQuantile(50))/1000 - work, P99: float64(plain.ValueAtQuantile(99))/1000 - work}}
-	for _, way := range []struct{ name, program string }{{"the lab's clients", NoProgram}, {"through sidecars", s.Sidecars.Program}} {
+	paths := []struct{ name, program string }{{"the lab's clients", NoProgram}, {"through sidecars", s.Sidecars.Program}}
+	for _, path := range paths {
 		sized := *s
-		sized.Sidecars.Program = way.program
-		rep, err := Run(ctx, &sized, o)
+		sized.Sidecars.Program = path.program
+		report, err := Run(ctx, &sized, o)
 		if err != nil {
-			return nil, fmt.Errorf("overhead: %s: %w", way.name, err)
+			return nil, fmt.Errorf("overhead: %s: %w", path.name, err)
 		}
-		f := &rep.Result.Figures
-		out = append(out, Overhead{Path: way.name, P50: f.P50 - work, P99: f.P99 - work, Requests: f.Requests})
+		f := &report.Result.Figures
+		out = append(out, Overhead{Path: path.name, P50: f.P50 - work, P99: f.P99 - work, Requests: f.Requests})
 	}
 	return out, nil
 }
 
-// plainClient asks the stand-ins at the planned times over kept connections, and measures from those times.
+// measurePlainClient sends the planned requests straight to the stand-ins over kept connections, and measures from their
+// planned times.
 func measurePlainClient(ctx context.Context, s *scenario.Scenario, o Options) (*hdrhistogram.Histogram, error) {
 	sized := *s
 	sized.Sidecars.Program = NoProgram
@@ -140,62 +152,86 @@
 	if err := r.start(ctx); err != nil {
 		return nil, err
 	}
-	h := hdrhistogram.New(1, 60e6, 3)
-	var mu sync.Mutex
-	var wg sync.WaitGroup
-	idle := make(map[string][]net.Conn)
-	start := time.Now()
+	c := &plainClient{start: time.Now(), warmUp: sized.WarmUp.Duration(), idle: make(map[string][]net.Conn),
+		latency: hdrhistogram.New(1, maxLatency.Microseconds(), 3)}
+	var requests sync.WaitGroup
 	for i := range r.plan.Arrivals {
-		a := &r.plan.Arrivals[i]
-		time.Sleep(time.Until(start.Add(a.At)))
+		arrival := &r.plan.Arrivals[i]
+		time.Sleep(time.Until(c.start.Add(arrival.At)))
 		if ctx.Err() != nil {
 			break
 		}
 		id := uint64(i + 1)
-		r.book.Add(id, stock.ClientRequest{Method: http.MethodGet, Class: a.Class, Sum: record.Sum(nil), Work: a.Work, Answer: sized.Traffic.Answer})
-		addr := r.addr(a.Sidecar)
-		wg.Go(func() {
-			mu.Lock()
-			var c net.Conn
-			if n := len(idle[addr]); n > 0 {
-				c, idle[addr] = idle[addr][n-1], idle[addr][:n-1]
-			}
-			mu.Unlock()
-			if c == nil {
-				var err error
-				if c, err = net.DialTimeout("tcp4", addr, time.Second); err != nil {
-					return
-				}
-			}
-			fmt.Fprintf(c, "GET /api HTTP/1.1\r\nHost: backend.local\r\nX-Request-ID: %016x\r\n\r\n", id)
-			resp, err := http.ReadResponse(bufio.NewReader(c), nil)
-			if err != nil {
-				c.Close()
-				return
-			}
-			_, err = io.Copy(io.Discard, resp.Body)
-			took := time.Since(start.Add(a.At))
-			mu.Lock()
-			defer mu.Unlock()
-			if err == nil && a.At >= sized.WarmUp.Duration() {
-				_ = h.RecordValue(took.Microseconds()) // over a minute: not here
-			}
-			idle[addr] = append(idle[addr], c)
-		})
+		r.book.Add(id, stock.ClientRequest{Method: http.MethodGet, Class: arrival.Class, Sum: record.Sum(nil),
+			Work: arrival.Work, Answer: sized.Traffic.Answer})
+		addr := r.addr(arrival.Sidecar)
+		requests.Go(func() { c.send(addr, id, arrival.At) })
 	}
-	wg.Wait()
-	for _, conns := range idle {
-		for _, c := range conns {
-			c.Close()
+	requests.Wait()
+	c.close()
+	return c.latency, ctx.Err()
+}
+
+// maxLatency is the longest that the histogram records.
+const maxLatency = time.Minute
+
+// plainClient sends requests over connections that it keeps.
+type plainClient struct {
+	start   time.Time
+	warmUp  time.Duration
+	mu      sync.Mutex
+	idle    map[string][]net.Conn // by address
+	latency *hdrhistogram.Histogram
+}
+
+// send sends a request, and records its latency from the time it was planned for, counted from the start. A request that
+// fails is not recorded.
+func (c *plainClient) send(addr string, id uint64, planned time.Duration) {
+	conn, err := c.conn(addr)
+	if err != nil {
+		return
+	}
+	fmt.Fprintf(conn, "GET /api HTTP/1.1\r\nHost: backend.local\r\nX-Request-ID: %016x\r\n\r\n", id)
+	resp, err := http.ReadResponse(bufio.NewReader(conn), nil)
+	if err != nil {
+		conn.Close()
+		return
+	}
+	_, err = io.Copy(io.Discard, resp.Body)
+	latency := time.Since(c.start.Add(planned))
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if err == nil && planned >= c.warmUp {
+		_ = c.latency.RecordValue(latency.Microseconds()) // fails beyond maxLatency, which no request takes
+	}
+	c.idle[addr] = append(c.idle[addr], conn)
+}
+
+// conn takes an idle connection or opens one.
+func (c *plainClient) conn(addr string) (net.Conn, error) {
+	c.mu.Lock()
+	if n := len(c.idle[addr]); n > 0 {
+		conn := c.idle[addr][n-1]
+		c.idle[addr] = c.idle[addr][:n-1]
+		c.mu.Unlock()
+		return conn, nil
+	}
+	c.mu.Unlock()
+	return net.DialTimeout("tcp4", addr, time.Second)
+}
+
+func (c *plainClient) close() {
+	for _, conns := range c.idle {
+		for _, conn := range conns {
+			conn.Close()
 		}
 	}
-	return h, ctx.Err()
 }
 
-// PrintOverhead writes the three ways as a table.
-func PrintOverhead(w io.Writer, ways []Overhead) {
+// PrintOverhead writes the paths as a table.
+func PrintOverhead(w io.Writer, paths []Overhead) {
 	fmt.Fprintf(w, "%-20s %9s %12s %12s   (beyond the servers' own work)\n", "asked by", "requests", "p50 ms", "p99 ms")
-	for _, o := range ways {
+	for _, o := range paths {
 		fmt.Fprintf(w, "%-20s %9d %12.3f %12.3f\n", o.Path, o.Requests, o.P50, o.P99)
 	}
 }
