--- /dev/null
+++ b/internal/lab/experiment/testbed/load.go
@@ -0,0 +1,144 @@
+package testbed
+
+import (
+	"bufio"
+	"context"
+	"errors"
+	"fmt"
+	"io"
+	"net"
+	"net/http"
+	"sync"
+	"sync/atomic"
+	"time"
+)
+
+// Tenant is the tenant of all requests.
+const Tenant = "cost"
+
+// Load sends requests to a sidecar over persistent connections.
+type Load struct {
+	addr  string
+	class string
+	rate  float64 // requests a second in all; 0: closed loop
+	ids   *atomic.Uint64
+	conns []*conn
+}
+
+// NewLoad returns a load of one class at a rate of requests a second; 0: each connection sends the next request after the
+// answer to the one before. Request IDs come from ids.
+func NewLoad(addr, class string, rate float64, connections int, ids *atomic.Uint64) *Load {
+	return &Load{addr: addr, class: class, rate: rate, ids: ids, conns: make([]*conn, connections)}
+}
+
+type conn struct {
+	net.Conn
+	in *bufio.Reader
+}
+
+// LoadResult is what became of requests.
+type LoadResult struct {
+	Sent, Failed int64
+	Reason       string // of a failure; empty: none failed
+	Duration     time.Duration
+}
+
+// Drive sends requests for some time and waits for the last answers. An error means that it could not connect.
+func (l *Load) Drive(ctx context.Context, length time.Duration) (LoadResult, error) {
+	start := time.Now()
+	parts := make([]LoadResult, len(l.conns))
+	errs := make([]error, len(l.conns))
+	var wg sync.WaitGroup
+	for i := range l.conns {
+		wg.Go(func() { parts[i], errs[i] = l.driveConnection(ctx, i, start, length) })
+	}
+	wg.Wait()
+	all := LoadResult{Duration: time.Since(start)}
+	for _, p := range parts {
+		all.Sent, all.Failed = all.Sent+p.Sent, all.Failed+p.Failed
+		if p.Reason != "" {
+			all.Reason = p.Reason
+		}
+	}
+	return all, errors.Join(append(errs, ctx.Err())...)
+}
+
+// driveConnection sends requests over one connection. In the closed loop each follows the answer to the one before. At a
+// rate, connection i of n sends every n-th request when it is due, or after the answer to the one before if that is later.
+func (l *Load) driveConnection(ctx context.Context, i int, start time.Time, length time.Duration) (d LoadResult, err error) {
+	for k := 0; ctx.Err() == nil; k++ {
+		if l.rate > 0 {
+			due := time.Duration(float64(i+k*len(l.conns)) / l.rate * float64(time.Second))
+			if due >= length || !sleep(ctx, time.Until(start.Add(due))) {
+				return d, nil
+			}
+		}
+		if time.Since(start) >= length {
+			return d, nil
+		}
+		if l.conns[i] == nil {
+			c, err := net.DialTimeout("tcp4", l.addr, time.Second)
+			if err != nil {
+				return d, err
+			}
+			l.conns[i] = &conn{Conn: c, in: bufio.NewReader(c)}
+		}
+		d.Sent++
+		if reason := l.sendRequest(i); reason != "" {
+			d.Failed, d.Reason = d.Failed+1, reason
+		}
+	}
+	return d, nil
+}
+
+// sendRequest sends a request and reads its answer. It returns the reason of a failure; empty: it succeeded.
+func (l *Load) sendRequest(i int) (reason string) {
+	c := l.conns[i]
+	keep := false
+	defer func() {
+		if !keep {
+			c.Close()
+			l.conns[i] = nil
+		}
+	}()
+	id := l.ids.Add(1)
+	head := fmt.Appendf(nil,
+		"GET /api HTTP/1.1\r\nHost: backend.local\r\nX-Request-ID: %016x\r\nX-Priority-Class: %s\r\nX-Tenant-Id: %s\r\n"+
+			"X-Timeout-Ms: 2000\r\nX-Route-Key: %x\r\n\r\n", id, l.class, Tenant, id)
+	_ = c.SetDeadline(time.Now().Add(3 * time.Second)) // fails on a closed connection, as the write below
+	if _, err := c.Write(head); err != nil {
+		return err.Error()
+	}
+	resp, err := http.ReadResponse(c.in, nil)
+	if err != nil {
+		return err.Error()
+	}
+	defer resp.Body.Close()
+	if _, err := io.Copy(io.Discard, resp.Body); err != nil {
+		return err.Error()
+	}
+	keep = !resp.Close
+	if resp.StatusCode != http.StatusOK {
+		return resp.Status
+	}
+	return ""
+}
+
+// Close closes the connections.
+func (l *Load) Close() {
+	for _, c := range l.conns {
+		if c != nil {
+			c.Close()
+		}
+	}
+}
+
+// sleep waits, and tells whether ctx was not done before.
+func sleep(ctx context.Context, wait time.Duration) bool {
+	select {
+	case <-time.After(wait):
+		return true
+	case <-ctx.Done():
+		return false
+	}
+}
--- /dev/null
+++ b/internal/lab/experiment/testbed/sidecar.go
@@ -0,0 +1,115 @@
+// Package testbed starts single sidecars with a configuration of their own and sends them requests. Experiments that
+// measure what one sidecar uses stand on it.
+package testbed
+
+import (
+	"context"
+	"encoding/json"
+	"fmt"
+	"os"
+	"path/filepath"
+	"strconv"
+	"strings"
+	"syscall"
+	"time"
+
+	"marblelane/internal/lab/process"
+	"marblelane/internal/lab/scenario"
+)
+
+const (
+	startTimeout = 30 * time.Second
+	stopTimeout  = 6 * time.Second
+	readyText    = "ready name=" // starts the log line of a sidecar that is ready
+)
+
+// Sidecar is a sidecar process that is ready.
+type Sidecar struct {
+	*process.Child
+	Listen     string // address for clients
+	Management string // address
+	StartTime  time.Duration
+}
+
+// Start starts a sidecar and waits until it is ready.
+func Start(ctx context.Context, children *process.Supervisor, spec process.Spec) (*Sidecar, error) {
+	start := time.Now()
+	child, err := children.Start(spec)
+	if err != nil {
+		return nil, err
+	}
+	ctx, cancel := context.WithTimeout(ctx, startTimeout)
+	defer cancel()
+	line, err := child.AwaitLog(ctx, readyText)
+	if err != nil {
+		child.Kill()
+		return nil, err
+	}
+	return &Sidecar{Child: child, StartTime: time.Since(start), Listen: logValue(line, "listen"),
+		Management: logValue(line, "management")}, nil
+}
+
+// logValue returns the value of a key in a log line of words of the form key=value; empty: the line has no such key.
+func logValue(line, key string) string {
+	for _, word := range strings.Fields(line) {
+		if v, ok := strings.CutPrefix(word, key+"="); ok {
+			return v
+		}
+	}
+	return ""
+}
+
+// Stop stops a sidecar in order, so that it leaves its fleet, and kills it if that takes too long.
+func (s *Sidecar) Stop() {
+	_ = s.Signal(syscall.SIGTERM) // fails if it has ended
+	kill := time.NewTimer(stopTimeout)
+	defer kill.Stop()
+	select {
+	case <-s.Ended():
+	case <-kill.C:
+		s.Kill()
+	}
+}
+
+// BaseConfig is a sidecar's configuration with the limits of a scenario, on loopback addresses that the sidecar chooses.
+func BaseConfig(s *scenario.Scenario, seed uint64, discovery string, settings map[string]any) map[string]any {
+	return map[string]any{
+		"listen": "127.0.0.1:0", "management": "127.0.0.1:0", "discovery": discovery,
+		"seed": strconv.FormatUint(seed, 16), "settings": settings,
+		"limits": map[string]any{"cores": s.Sidecars.Cores, "memory_mb": s.Sidecars.MemoryMB, "sockets": s.Sidecars.Sockets},
+	}
+}
+
+// Launcher starts sidecars that have most of their configuration in common.
+type Launcher struct {
+	Children       *process.Supervisor
+	Dir            string          // for the files of the sidecars
+	MaxDescriptors int             // of a sidecar
+	Config         json.RawMessage // common to all sidecars
+
+	started int
+}
+
+// Launch starts a sidecar with the common configuration and patches that are merged into it in turn, and waits until it
+// is ready.
+func (l *Launcher) Launch(ctx context.Context, name, program string, patches ...any) (*Sidecar, error) {
+	config := l.Config
+	for _, patch := range append([]any{map[string]any{"name": name}}, patches...) {
+		var err error
+		if config, err = mergePatch(config, patch); err != nil {
+			return nil, err
+		}
+	}
+	l.started++
+	dir := filepath.Join(l.Dir, fmt.Sprintf("%s-%d", name, l.started))
+	temp := filepath.Join(dir, "tmp")
+	if err := os.MkdirAll(temp, 0o755); err != nil {
+		return nil, err
+	}
+	file := filepath.Join(dir, "config.json")
+	if err := os.WriteFile(file, config, 0o644); err != nil {
+		return nil, err
+	}
+	return Start(ctx, l.Children, process.Spec{Name: name, Path: program, Dir: dir, MaxDescriptors: l.MaxDescriptors,
+		Env: []string{"NODE_CONFIG=" + file, "TMPDIR=" + temp}})
+}
--- a/internal/lab/growth_process.go
+++ b/internal/lab/growth_process.go
@@ -4,6 +4,7 @@
 
 import (
 	"context"
+	"encoding/json"
 	"errors"
 	"fmt"
 	"io"
@@ -17,6 +18,7 @@
 	"time"
 
 	"marblelane/internal/lab/agent"
+	"marblelane/internal/lab/experiment/testbed"
 	"marblelane/internal/lab/process"
 	"marblelane/internal/lab/record"
 	"marblelane/internal/lab/relay"
@@ -43,6 +45,7 @@
 
 const (
 	growthWorkTime       = 5 * time.Millisecond // of a server per request
+	growthSidecarSeed    = 1
 	growthSampleInterval = 50 * time.Millisecond
 	growthDrainTime      = 400 * time.Millisecond // from the notification that a server drains until it ends, at most
 )
@@ -145,27 +148,23 @@
 }
 
 // launch starts the sidecar, configured for a fleet of this size.
-func (d *growthRun) launch(ctx context.Context, size GrowthSize) (*sidecarProcess, error) {
+func (d *growthRun) launch(ctx context.Context, size GrowthSize) (*testbed.Sidecar, error) {
 	settings := d.r.plan.Settings(0)
 	settings["peers_total"] = size.Sidecars
-	settings["tenants"] = []map[string]any{{"name": costTenant, "share": 1.0, "allowance_per_s": 1e6}}
-	config, err := mergePatch([]byte("{}"), map[string]any{
-		"listen": "127.0.0.1:0", "management": "127.0.0.1:0", "seed": "1", "settings": settings,
-		"discovery": d.meter.addr(), "known": agent.List{All: true, Targets: d.entries(size.Servers)},
-		"limits": map[string]any{"cores": d.r.s.Sidecars.Cores, "memory_mb": d.r.s.Sidecars.MemoryMB,
-			"sockets": d.r.s.Sidecars.Sockets},
-	})
+	settings["tenants"] = []map[string]any{{"name": testbed.Tenant, "share": 1.0, "allowance_per_s": 1e6}}
+	config := testbed.BaseConfig(d.r.s, growthSidecarSeed, d.meter.addr(), settings)
+	config["known"] = agent.List{All: true, Targets: d.entries(size.Servers)}
+	text, err := json.Marshal(config)
 	if err != nil {
 		return nil, err
 	}
-	starter := &costRun{r: d.r, config: config}
-	return starter.launch(ctx, "sidecar", d.o.Program)
+	launcher := &testbed.Launcher{Children: d.r.nursery, Dir: d.r.dir, MaxDescriptors: d.r.s.Sidecars.Sockets, Config: text}
+	return launcher.Launch(ctx, "sidecar", d.o.Program)
 }
 
 // play sends requests to the sidecar while servers are replaced, stops it, and measures until it has ended.
-func (d *growthRun) play(ctx context.Context, p *sidecarProcess, listed, replaced int) (GrowthUsage, error) {
-	load := &costLoad{addr: p.listen, class: d.r.s.Classes[0].Name, rate: d.o.Rate, ids: &d.ids,
-		conns: make([]*clientConn, d.o.Connections)}
+func (d *growthRun) play(ctx context.Context, p *testbed.Sidecar, listed, replaced int) (GrowthUsage, error) {
+	load := testbed.NewLoad(p.Listen, d.r.s.Classes[0].Name, d.o.Rate, d.o.Connections, &d.ids)
 	driving, stopDriving := context.WithCancel(ctx)
 	var background sync.WaitGroup
 	var peak process.Usage
@@ -173,12 +172,12 @@
 	background.Go(func() { peak, sampleErr = samplePeak(driving, p.PID) })
 	background.Go(func() { d.replace(driving, listed, replaced) })
 	start := time.Now()
-	done, err := load.drive(ctx, d.o.Length)
+	done, err := load.Drive(ctx, d.o.Length)
 	sleep(ctx, time.Until(start.Add(d.o.Length))) // the day ends some time after the last request
-	load.close()
+	load.Close()
 	stopDriving()
 	background.Wait()
-	stopSidecar(p.Child)
+	p.Stop()
 	switch {
 	case err != nil:
 		return GrowthUsage{}, err
@@ -186,12 +185,12 @@
 		return GrowthUsage{}, sampleErr
 	case p.Err() != nil:
 		return GrowthUsage{}, fmt.Errorf("the sidecar ended with %w; its log ends:\n%s", p.Err(), p.LogTail())
-	case done.sent == 0:
+	case done.Sent == 0:
 		return GrowthUsage{}, errors.New("no request was sent")
 	}
 	return GrowthUsage{CPU: p.CPU(), PeakMemory: float64(peak.PeakRSS) / (1 << 20), Descriptors: float64(peak.Descriptors),
 		Connections: float64(d.servers.made.Load()), ListBytes: float64(d.meter.bytes.Load()),
-		Served: 1 - float64(done.failed)/float64(done.sent)}, nil
+		Served: 1 - float64(done.Failed)/float64(done.Sent)}, nil
 }
 
 // samplePeak samples the memory and descriptors of a process until ctx ends, and returns the peaks.
--- a/internal/lab/memberscale_procs.go
+++ b/internal/lab/memberscale_procs.go
@@ -9,10 +9,10 @@
 	"os"
 	"path/filepath"
 	"slices"
-	"strconv"
 	"time"
 
 	"marblelane/internal/lab/agent"
+	"marblelane/internal/lab/experiment/testbed"
 	"marblelane/internal/lab/process"
 	"marblelane/internal/lab/record"
 	"marblelane/internal/lab/relay"
@@ -58,17 +58,16 @@
 
 // processFleet is a fleet of sidecar processes.
 type processFleet struct {
-	m          *MemberScale
-	s          *scenario.Scenario
-	plan       *scenario.Plan
-	program    string
-	dir        string
-	section    bool
-	seeds      []string // addresses of the first members
-	list       *agent.Agents
-	children   *process.Supervisor
-	sidecars   []*process.Child
-	management []string // addresses
+	m        *MemberScale
+	s        *scenario.Scenario
+	plan     *scenario.Plan
+	program  string
+	dir      string
+	section  bool
+	seeds    []string // addresses of the first members
+	list     *agent.Agents
+	children *process.Supervisor
+	sidecars []*testbed.Sidecar
 }
 
 func (m *MemberScale) measureProcesses(ctx context.Context, s *scenario.Scenario, program string, n int,
@@ -81,7 +80,7 @@
 	sized := *s
 	sized.Sidecars.Count = n
 	f := &processFleet{m: m, s: s, plan: sized.Plan(m.Seed), program: program, dir: dir, section: section,
-		children: process.NewSupervisor(), sidecars: make([]*process.Child, n), management: make([]string, n)}
+		children: process.NewSupervisor(), sidecars: make([]*testbed.Sidecar, n)}
 	defer f.close()
 	if err := f.start(ctx); err != nil {
 		return nil, err
@@ -89,7 +88,7 @@
 	out := &MemberProcesses{Members: n, Section: section}
 	if section {
 		start := time.Now()
-		if err := m.awaitProcessAgreement(ctx, f.management); err != nil {
+		if err := m.awaitProcessAgreement(ctx, f.sidecars); err != nil {
 			return nil, err
 		}
 		out.Joined = time.Since(start).Seconds()
@@ -135,24 +134,16 @@
 	if err := errors.Join(os.MkdirAll(dir, 0o755), os.WriteFile(file, text, 0o644)); err != nil {
 		return err
 	}
-	f.sidecars[i], err = f.children.Start(process.Spec{Name: name, Path: f.program, Dir: dir,
+	f.sidecars[i], err = testbed.Start(ctx, f.children, process.Spec{Name: name, Path: f.program, Dir: dir,
 		Env: []string{"NODE_CONFIG=" + file, "TMPDIR=" + dir}})
-	if err != nil {
-		return err
-	}
-	ready, err := f.sidecars[i].AwaitLog(ctx, readyText)
-	f.management[i] = logValue(ready, "management")
 	return err
 }
 
 // config is a sidecar's configuration.
 func (f *processFleet) config(i int) map[string]any {
-	p, limits := &f.plan.Sidecars[i], &f.s.Sidecars
-	config := map[string]any{
-		"name": p.Name, "listen": "127.0.0.1:0", "discovery": f.list.Addr(i), "management": "127.0.0.1:0",
-		"seed": strconv.FormatUint(p.Seed, 16), "settings": f.plan.Settings(i),
-		"limits": map[string]any{"cores": limits.Cores, "memory_mb": limits.MemoryMB, "sockets": limits.Sockets},
-	}
+	p := &f.plan.Sidecars[i]
+	config := testbed.BaseConfig(f.s, p.Seed, f.list.Addr(i), f.plan.Settings(i))
+	config["name"] = p.Name
 	if f.section {
 		members := membership.Section{Fleet: memberFleet, Bind: "127.0.0.1:0", Interval: f.m.Interval.String()}
 		if i < len(f.seeds) {
@@ -204,14 +195,14 @@
 }
 
 // awaitProcessAgreement waits until each process reports exactly the others as its members.
-func (m *MemberScale) awaitProcessAgreement(ctx context.Context, management []string) error {
+func (m *MemberScale) awaitProcessAgreement(ctx context.Context, sidecars []*testbed.Sidecar) error {
 	ctx, cancel := context.WithTimeout(ctx, m.EventTimeout)
 	defer cancel()
 	client := &http.Client{Transport: &http.Transport{DisableKeepAlives: true}, Timeout: callWait}
 	for {
-		reports := make([]membership.Report, len(management))
-		err := parallel(len(management), processConcurrency, func(i int) error {
-			return fetchReport(ctx, client, management[i], &reports[i])
+		reports := make([]membership.Report, len(sidecars))
+		err := parallel(len(sidecars), processConcurrency, func(i int) error {
+			return fetchReport(ctx, client, sidecars[i].Management, &reports[i])
 		})
 		if err == nil {
 			ids := make([]roster.ID, len(reports))
--- a/internal/lab/requestcost.go
+++ b/internal/lab/requestcost.go
@@ -10,13 +10,13 @@
 	"log/slog"
 	"net/http"
 	"os"
-	"path/filepath"
 	"slices"
 	"strings"
 	"sync/atomic"
 	"time"
 
 	"marblelane/internal/lab/agent"
+	"marblelane/internal/lab/experiment/testbed"
 	"marblelane/internal/lab/process"
 	"marblelane/internal/lab/record"
 	"marblelane/internal/lab/relay"
@@ -97,8 +97,8 @@
 	maxFailedFraction    = 0.01 // of the requests of a valid round
 	minRoutedFraction    = 0.99 // of the requests of a variant with routes
 	costSubset           = "near"
+	sidecarSeed          = 1
 	maxFleetSeeds        = 3
-	costTenant           = "cost"
 )
 
 const costScenario = `
@@ -193,15 +193,14 @@
 
 // costRun is a measurement under way.
 type costRun struct {
-	o       CostOptions
-	r       *run            // the plan, the folder and the supervisor of the processes
-	f       *routeFleet     // the list service; nil: the stand-in
-	agents  *agent.Agents   // the stand-in for the list service
-	config  json.RawMessage // common to all sidecars
-	servers []*costServer
-	seeds   []string // of the fleet
-	started int
-	ids     atomic.Uint64
+	o        CostOptions
+	r        *run          // the plan, the folder and the supervisor of the processes
+	f        *routeFleet   // the list service; nil: the stand-in
+	agents   *agent.Agents // the stand-in for the list service
+	sidecars *testbed.Launcher
+	servers  []*costServer
+	seeds    []string // of the fleet
+	ids      atomic.Uint64
 }
 
 // startEnvironment starts everything but the measured sidecars.
@@ -262,7 +261,7 @@
 			return err
 		}
 	}
-	_, _, err := c.f.call(ctx, "/routes/"+costTenant+"/base", map[string]string{"to": costSubset})
+	_, _, err := c.f.call(ctx, "/routes/"+testbed.Tenant+"/base", map[string]string{"to": costSubset})
 	return err
 }
 
@@ -289,24 +288,22 @@
 // makeConfig makes the configuration that all sidecars have in common.
 func (c *costRun) makeConfig() error {
 	settings := c.r.plan.Settings(0)
-	settings["tenants"] = []map[string]any{{"name": costTenant, "share": 1.0, "allowance_per_s": 1e6}}
+	settings["tenants"] = []map[string]any{{"name": testbed.Tenant, "share": 1.0, "allowance_per_s": 1e6}}
 	settings["peers_total"] = 1 + c.o.IdleMembers
 	list := agent.List{All: true}
 	for i := range c.servers {
 		list.Targets = append(list.Targets, c.entry(i))
 	}
-	config := map[string]any{
-		"listen": "127.0.0.1:0", "management": "127.0.0.1:0", "seed": "1", "known": list, "settings": settings,
-		"limits": map[string]any{"cores": c.r.s.Sidecars.Cores, "memory_mb": c.r.s.Sidecars.MemoryMB,
-			"sockets": c.r.s.Sidecars.Sockets},
-	}
+	discovery := ""
 	if c.f != nil {
-		config["discovery"] = c.f.rr.copies[0].serve
+		discovery = c.f.rr.copies[0].serve
 	} else {
-		config["discovery"] = c.agents.Addr(0)
+		discovery = c.agents.Addr(0)
 	}
-	var err error
-	c.config, err = json.Marshal(config)
+	config := testbed.BaseConfig(c.r.s, sidecarSeed, discovery, settings)
+	config["known"] = list
+	text, err := json.Marshal(config)
+	c.sidecars = &testbed.Launcher{Children: c.r.nursery, Dir: c.r.dir, MaxDescriptors: c.r.s.Sidecars.Sockets, Config: text}
 	return err
 }
 
@@ -320,7 +317,7 @@
 		c.seeds = append(c.seeds, addr)
 	}
 	for i, bind := range c.seeds {
-		if _, err := c.launch(ctx, fmt.Sprint("idle-", i), v.Program, membersSection(bind, c.seeds)); err != nil {
+		if _, err := c.sidecars.Launch(ctx, fmt.Sprint("idle-", i), v.Program, membersSection(bind, c.seeds)); err != nil {
 			return fmt.Errorf("idle member: %w", err)
 		}
 	}
@@ -333,92 +330,6 @@
 		"seeds": seeds[:min(len(seeds), maxFleetSeeds)]}}
 }
 
-// sidecarProcess is a sidecar that is ready.
-type sidecarProcess struct {
-	*process.Child
-	listen, management string
-	startTime          time.Duration
-}
-
-// launch starts a sidecar with the common configuration and patches that are merged into it in turn, and waits until it
-// is ready.
-func (c *costRun) launch(ctx context.Context, name, program string, patches ...any) (*sidecarProcess, error) {
-	config := c.config
-	for _, patch := range append([]any{map[string]any{"name": name}}, patches...) {
-		var err error
-		if config, err = mergePatch(config, patch); err != nil {
-			return nil, err
-		}
-	}
-	c.started++
-	dir := filepath.Join(c.r.dir, fmt.Sprintf("%s-%d", name, c.started))
-	if err := os.MkdirAll(filepath.Join(dir, "tmp"), 0o755); err != nil {
-		return nil, err
-	}
-	file := filepath.Join(dir, "config.json")
-	if err := os.WriteFile(file, config, 0o644); err != nil {
-		return nil, err
-	}
-	start := time.Now()
-	p, err := c.r.nursery.Start(process.Spec{Name: name, Path: program, Dir: dir, MaxDescriptors: c.r.s.Sidecars.Sockets,
-		Env: []string{"NODE_CONFIG=" + file, "TMPDIR=" + filepath.Join(dir, "tmp")}})
-	if err != nil {
-		return nil, err
-	}
-	wait, cancel := context.WithTimeout(ctx, startWait)
-	defer cancel()
-	line, err := p.AwaitLog(wait, readyText)
-	if err != nil {
-		p.Kill()
-		return nil, err
-	}
-	return &sidecarProcess{Child: p, startTime: time.Since(start), listen: logValue(line, "listen"), management: logValue(line,
-		"management")}, nil
-}
-
-// logValue returns the value of a key in a log line of words of the form key=value; empty: the line has no such key.
-func logValue(line, key string) string {
-	for _, word := range strings.Fields(line) {
-		if v, ok := strings.CutPrefix(word, key+"="); ok {
-			return v
-		}
-	}
-	return ""
-}
-
-// mergePatch applies a JSON merge patch (RFC 7386) to a text.
-func mergePatch(text json.RawMessage, patch any) (json.RawMessage, error) {
-	raw, err := json.Marshal(patch)
-	if err != nil {
-		return nil, err
-	}
-	var target, source any
-	if err := errors.Join(json.Unmarshal(text, &target), json.Unmarshal(raw, &source)); err != nil {
-		return nil, err
-	}
-	return json.Marshal(mergeValues(target, source))
-}
-
-// mergeValues applies a decoded merge patch to a decoded target.
-func mergeValues(target, source any) any {
-	patch, ok := source.(map[string]any)
-	if !ok {
-		return source
-	}
-	object, ok := target.(map[string]any)
-	if !ok {
-		object = map[string]any{}
-	}
-	for key, value := range patch {
-		if value == nil {
-			delete(object, key)
-		} else {
-			object[key] = mergeValues(object[key], value)
-		}
-	}
-	return object
-}
-
 func (c *costRun) close() {
 	if c.r == nil {
 		return
--- a/internal/lab/requestcost_round.go
+++ b/internal/lab/requestcost_round.go
@@ -7,9 +7,9 @@
 	"errors"
 	"fmt"
 	"slices"
-	"syscall"
 	"time"
 
+	"marblelane/internal/lab/experiment/testbed"
 	"marblelane/internal/lab/process"
 	"marblelane/internal/membership"
 	"marblelane/internal/membership/view"
@@ -18,8 +18,8 @@
 // variantRun is one start of a variant.
 type variantRun struct {
 	variant      *CostVariant
-	sidecar      *sidecarProcess
-	load         *costLoad
+	sidecar      *testbed.Sidecar
+	load         *testbed.Load
 	idleStartCPU time.Duration // processor time at the start of the idle measurement
 	CostRound
 
@@ -42,8 +42,8 @@
 	defer func() {
 		for _, d := range all {
 			if d != nil {
-				d.load.close()
-				stopSidecar(d.sidecar.Child)
+				d.load.Close()
+				d.sidecar.Stop()
 			}
 		}
 	}()
@@ -107,13 +107,12 @@
 	for _, patch := range v.ConfigPatches {
 		patches = append(patches, patch)
 	}
-	p, err := c.launch(ctx, "measured-"+v.Name, v.Program, patches...)
+	p, err := c.sidecars.Launch(ctx, "measured-"+v.Name, v.Program, patches...)
 	if err != nil {
 		return nil, err
 	}
-	d := &variantRun{variant: v, sidecar: p, load: &costLoad{addr: p.listen, class: c.r.s.Classes[0].Name, rate: c.o.Rate, ids: &c.ids,
-		conns: make([]*clientConn, c.o.Connections)}}
-	d.Start = float64(p.startTime) / float64(time.Millisecond)
+	d := &variantRun{variant: v, sidecar: p, load: testbed.NewLoad(p.Listen, c.r.s.Classes[0].Name, c.o.Rate, c.o.Connections, &c.ids)}
+	d.Start = float64(p.StartTime) / float64(time.Millisecond)
 	return d, nil
 }
 
@@ -148,7 +147,7 @@
 // are open and sizes known, and with routes until the requests follow them.
 func (c *costRun) warmUp(ctx context.Context, d *variantRun) error {
 	if d.variant.WithMembers {
-		if err := c.awaitFleet(ctx, d.sidecar.management); err != nil {
+		if err := c.awaitFleet(ctx, d.sidecar.Management); err != nil {
 			return err
 		}
 	}
@@ -176,7 +175,7 @@
 	if err != nil {
 		return err
 	}
-	done, err := d.load.drive(ctx, length)
+	done, err := d.load.Drive(ctx, length)
 	if err != nil {
 		return err
 	}
@@ -184,10 +183,10 @@
 	if err != nil {
 		return err
 	}
-	d.cpuUsed, d.drivenTime = d.cpuUsed+after-before, d.drivenTime+done.took
-	d.Requests, d.Failed = d.Requests+done.sent, d.Failed+done.failed
-	if done.reason != "" {
-		d.reason = done.reason
+	d.cpuUsed, d.drivenTime = d.cpuUsed+after-before, d.drivenTime+done.Duration
+	d.Requests, d.Failed = d.Requests+done.Sent, d.Failed+done.Failed
+	if done.Reason != "" {
+		d.reason = done.Reason
 	}
 	for _, s := range c.servers {
 		d.received += s.received.Load()
@@ -242,15 +241,3 @@
 		}
 	}
 }
-
-// stopSidecar stops a sidecar in order, so that it leaves its fleet.
-func stopSidecar(p *process.Child) {
-	_ = p.Signal(syscall.SIGTERM) // fails if it has ended
-	kill := time.NewTimer(stopWait)
-	defer kill.Stop()
-	select {
-	case <-p.Ended():
-	case <-kill.C:
-		p.Kill()
-	}
-}
--- a/internal/lab/requestcostload.go
+++ b/internal/lab/requestcostload.go
@@ -3,15 +3,10 @@
 // This file has the servers, the clients and the processor clock of the measured sidecars.
 
 import (
-	"bufio"
-	"context"
-	"errors"
 	"fmt"
-	"io"
 	"net"
 	"net/http"
 	"strings"
-	"sync"
 	"sync/atomic"
 	"time"
 
@@ -62,112 +57,3 @@
 	s.srv.Close()
 	<-s.done
 }
-
-// costLoad sends requests to a sidecar over persistent connections.
-type costLoad struct {
-	addr, class string
-	rate        float64
-	ids         *atomic.Uint64
-	conns       []*clientConn
-}
-
-type clientConn struct {
-	net.Conn
-	in *bufio.Reader
-}
-
-// driveResult is what became of requests.
-type driveResult struct {
-	sent, failed int64
-	reason       string // of a failure
-	took         time.Duration
-}
-
-// drive sends requests for some time and waits for the last answers. An error means that it could not connect.
-func (l *costLoad) drive(ctx context.Context, length time.Duration) (driveResult, error) {
-	start := time.Now()
-	parts := make([]driveResult, len(l.conns))
-	errs := make([]error, len(l.conns))
-	var wg sync.WaitGroup
-	for i := range l.conns {
-		wg.Go(func() { parts[i], errs[i] = l.driveConnection(ctx, i, start, length) })
-	}
-	wg.Wait()
-	all := driveResult{took: time.Since(start)}
-	for _, p := range parts {
-		all.sent, all.failed = all.sent+p.sent, all.failed+p.failed
-		if p.reason != "" {
-			all.reason = p.reason
-		}
-	}
-	return all, errors.Join(append(errs, ctx.Err())...)
-}
-
-// driveConnection sends requests over one connection. In the closed loop each follows the answer to the one before. At a
-// rate, connection i of n sends every n-th request when it is due, or after the answer to the one before if that is later.
-func (l *costLoad) driveConnection(ctx context.Context, i int, start time.Time, length time.Duration) (d driveResult, err error) {
-	for k := 0; ctx.Err() == nil; k++ {
-		if l.rate > 0 {
-			due := time.Duration(float64(i+k*len(l.conns)) / l.rate * float64(time.Second))
-			if due >= length || !sleep(ctx, time.Until(start.Add(due))) {
-				return d, nil
-			}
-		}
-		if time.Since(start) >= length {
-			return d, nil
-		}
-		if l.conns[i] == nil {
-			c, err := net.DialTimeout("tcp4", l.addr, time.Second)
-			if err != nil {
-				return d, err
-			}
-			l.conns[i] = &clientConn{Conn: c, in: bufio.NewReader(c)}
-		}
-		d.sent++
-		if reason := l.sendRequest(i); reason != "" {
-			d.failed, d.reason = d.failed+1, reason
-		}
-	}
-	return d, nil
-}
-
-// sendRequest sends a request and reads its answer. It returns the reason of a failure; empty: it succeeded.
-func (l *costLoad) sendRequest(i int) (reason string) {
-	c := l.conns[i]
-	keep := false
-	defer func() {
-		if !keep {
-			c.Close()
-			l.conns[i] = nil
-		}
-	}()
-	id := l.ids.Add(1)
-	head := fmt.Appendf(nil,
-		"GET /api HTTP/1.1\r\nHost: backend.local\r\nX-Request-ID: %016x\r\nX-Priority-Class: %s\r\nX-Tenant-Id: %s\r\n"+
-			"X-Timeout-Ms: 2000\r\nX-Route-Key: %x\r\n\r\n", id, l.class, costTenant, id)
-	_ = c.SetDeadline(time.Now().Add(3 * time.Second)) // fails on a closed connection, as the write below
-	if _, err := c.Write(head); err != nil {
-		return err.Error()
-	}
-	resp, err := http.ReadResponse(c.in, nil)
-	if err != nil {
-		return err.Error()
-	}
-	defer resp.Body.Close()
-	if _, err := io.Copy(io.Discard, resp.Body); err != nil {
-		return err.Error()
-	}
-	keep = !resp.Close
-	if resp.StatusCode != http.StatusOK {
-		return resp.Status
-	}
-	return ""
-}
-
-func (l *costLoad) close() {
-	for _, c := range l.conns {
-		if c != nil {
-			c.Close()
-		}
-	}
-}
