--- a/cmd/marblelane/lab.go
+++ b/cmd/marblelane/lab.go
@@ -12,6 +12,8 @@
 	"time"
 
 	"marblelane/internal/lab"
+	"marblelane/internal/lab/harness"
+	"marblelane/internal/lab/report"
 	"marblelane/internal/lab/scenario"
 	"marblelane/internal/lab/simulate"
 	"marblelane/lab/scenarios"
@@ -52,7 +54,7 @@
 	if err != nil {
 		return err
 	}
-	o := lab.Options{Seed: c.Seed, Log: a.log, Older: c.Older}
+	o := harness.Options{Seed: c.Seed, Log: a.log, Older: c.Older}
 	if c.Older != "" {
 		if err := executable(c.Older); err != nil {
 			return fmt.Errorf("--older: %w", err)
@@ -84,7 +86,7 @@
 }
 
 // finish saves and prints a report and turns its outcome into the command's exit.
-func finish(a *app, rep *lab.Report, dir string, asJSON bool) error {
+func finish(a *app, rep *report.Report, dir string, asJSON bool) error {
 	if dir != "" {
 		if err := rep.Save(dir); err != nil {
 			return fmt.Errorf("--report: %w", err)
@@ -103,9 +105,9 @@
 	}
 	fmt.Fprintln(a.out, end)
 	switch {
-	case strings.HasPrefix(end, lab.Fail):
+	case strings.HasPrefix(end, report.Fail):
 		return errExit(exitFail)
-	case strings.HasPrefix(end, lab.Late):
+	case strings.HasPrefix(end, report.Late):
 		return errExit(exitLate)
 	}
 	return nil
@@ -217,7 +219,7 @@
 		return err
 	}
 	defer done()
-	cmp, err := lab.Compare(a.ctx, sides[0], sides[1], c.Seed, c.Plays, lab.Options{Log: a.log, Progress: a.errOut})
+	cmp, err := lab.Compare(a.ctx, sides[0], sides[1], c.Seed, c.Plays, harness.Options{Log: a.log, Progress: a.errOut})
 	if err != nil {
 		return err
 	}
--- a/cmd/marblelane/lab_measure.go
+++ b/cmd/marblelane/lab_measure.go
@@ -12,6 +12,7 @@
 
 	"marblelane/internal/lab"
 	"marblelane/internal/lab/crowd"
+	"marblelane/internal/lab/harness"
 	plays "marblelane/internal/rollout/model"
 )
 
@@ -29,7 +30,7 @@
 		return err
 	}
 	defer done()
-	points, err := lab.Scale(a.ctx, s, c.Sidecars, c.Servers, lab.Options{Program: path, Log: a.log, Progress: a.errOut})
+	points, err := lab.Scale(a.ctx, s, c.Sidecars, c.Servers, harness.Options{Program: path, Log: a.log, Progress: a.errOut})
 	if err != nil {
 		return err
 	}
@@ -48,7 +49,7 @@
 		return err
 	}
 	defer done()
-	ways, err := lab.MeasureOverhead(a.ctx, s, lab.Options{Program: path, Log: a.log})
+	ways, err := lab.MeasureOverhead(a.ctx, s, harness.Options{Program: path, Log: a.log})
 	if err != nil {
 		return err
 	}
@@ -69,7 +70,7 @@
 	if err != nil {
 		return fmt.Errorf("the list service's copies are of this program: %w", err)
 	}
-	points, err := lab.ListScale(a.ctx, c.Watchers, c.Entries, lab.Options{Self: self, Progress: a.errOut})
+	points, err := lab.ListScale(a.ctx, c.Watchers, c.Entries, harness.Options{Self: self, Progress: a.errOut})
 	if err != nil {
 		return err
 	}
@@ -90,7 +91,7 @@
 	if err != nil {
 		return fmt.Errorf("the list service's copies are of this program: %w", err)
 	}
-	points, err := lab.RouteScale(a.ctx, c.Sidecars, lab.Options{Self: self, Progress: a.errOut})
+	points, err := lab.RouteScale(a.ctx, c.Sidecars, harness.Options{Self: self, Progress: a.errOut})
 	if err != nil {
 		return err
 	}
--- a/internal/lab/registry_clients.go
+++ b/internal/lab/cluster/clients.go
@@ -1,4 +1,4 @@
-package lab
+package cluster
 
 // This file is the writers, readers and watchers of the list service.
 
@@ -19,17 +19,18 @@
 	"syscall"
 	"time"
 
+	"marblelane/internal/lab/harness"
 	"marblelane/internal/lab/record"
 	"marblelane/internal/registry"
 )
 
 // writer writes and reads single entries through copies drawn at random, as fast as its pause lets it.
-func (rr *registryRun) writer(ctx context.Context, number int) {
-	rng := rand.New(rand.NewPCG(rr.plan.Seed, uint64(number)+1))
+func (c *Cluster) writer(ctx context.Context, number int) {
+	rng := rand.New(rand.NewPCG(c.Plan.Seed, uint64(number)+1))
 	known := map[string]int64{} // the last revision of each entry that it has seen
 	old := map[string]operation{}
 	for ctx.Err() == nil {
-		key := fmt.Sprint("s-", rng.IntN(rr.reg.Entries))
+		key := fmt.Sprint("s-", rng.IntN(c.config.Entries))
 		op := operation{key: key, client: number, kind: opPut, condition: -1}
 		switch x := rng.Float64(); {
 		case x < 0.3:
@@ -41,16 +42,16 @@
 			op.condition = known[key]
 		}
 		if op.kind == opPut {
-			op.value = rr.value.Add(1)
+			op.value = c.lastValue.Add(1)
 		}
-		c := rr.copies[rng.IntN(len(rr.copies))]
-		op.call = rr.log.Now()
-		if was, ok := old[key]; ok && op.kind == opGet && rr.lying.Load() {
+		replica := c.Replicas[rng.IntN(len(c.Replicas))]
+		op.call = c.Events.Now()
+		if was, ok := old[key]; ok && op.kind == opGet && c.servesStaleReads.Load() {
 			op.outcome, op.gotValue, op.gotRev = was.outcome, was.gotValue, was.gotRev
 		} else {
-			rr.carryOut(&op, c)
+			c.execute(&op, replica)
 		}
-		op.back = rr.log.Now()
+		op.returned = c.Events.Now()
 		if op.outcome == outcomeOK {
 			known[key] = op.gotRev
 			if op.kind == opGet {
@@ -59,22 +60,22 @@
 				}
 			}
 		}
-		rr.mu.Lock()
-		rr.ops = append(rr.ops, op)
+		c.mu.Lock()
+		c.history = append(c.history, op)
 		if op.outcome == outcomeOK && op.kind == opPut {
-			rr.acks = append(rr.acks, ack{op.gotRev, op.call, op.back})
+			c.acknowledged = append(c.acknowledged, ackedWrite{op.gotRev, op.call, op.returned})
 		}
-		rr.mu.Unlock()
+		c.mu.Unlock()
 		select {
-		case <-time.After(rr.reg.Pause.Duration()):
+		case <-time.After(c.config.Pause.Duration()):
 		case <-ctx.Done():
 		}
 	}
 }
 
 // carryOut does one call and reads what has come of it. A call that is under way when the run ends is finished.
-func (rr *registryRun) carryOut(op *operation, c *registryCopy) {
-	url := "http://" + c.serve + "/registry/instances/" + op.key
+func (c *Cluster) execute(op *operation, replica *Replica) {
+	url := "http://" + replica.Address + "/registry/instances/" + op.key
 	method, body := http.MethodGet, []byte(nil)
 	switch op.kind {
 	case opPut:
@@ -86,18 +87,18 @@
 	if op.condition >= 0 {
 		url += "?if=" + strconv.FormatInt(op.condition, 10)
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), callWait)
+	ctx, cancel := context.WithTimeout(context.Background(), harness.CallTimeout)
 	defer cancel()
 	req, err := http.NewRequestWithContext(ctx, method, url, bytes.NewReader(body))
 	if err != nil {
-		op.outcome = outcomeNone
+		op.outcome = outcomeNotApplied
 		return
 	}
 	resp, err := (&http.Client{Transport: &http.Transport{DisableKeepAlives: true}}).Do(req)
 	if err != nil {
 		op.outcome = outcomeUnknown
 		if errors.Is(err, syscall.ECONNREFUSED) {
-			op.outcome = outcomeNone // who redirects has done nothing, and nobody else was reached
+			op.outcome = outcomeNotApplied // who redirects has done nothing, and nobody else was reached
 		}
 		return
 	}
@@ -121,38 +122,38 @@
 	case bytes.Contains(text, []byte("is not known")): // whether it has happened
 		op.outcome = outcomeUnknown
 	case resp.StatusCode == http.StatusServiceUnavailable:
-		op.outcome = outcomeNone
+		op.outcome = outcomeNotApplied
 	default:
 		op.outcome = outcomeUnknown
 	}
 }
 
 // reader asks for whole lists, of the next copy where one does not answer.
-func (rr *registryRun) reader(ctx context.Context) {
-	rng := rand.New(rand.NewPCG(rr.plan.Seed, 1<<40))
+func (c *Cluster) reader(ctx context.Context) {
+	rng := rand.New(rand.NewPCG(c.Plan.Seed, 1<<40))
 	for ctx.Err() == nil {
 		good := false
-		for _, i := range rng.Perm(len(rr.copies)) {
-			one := reading{copy: rr.copies[i].name, called: rr.log.Now()}
-			code, head, _, err := ask(context.WithoutCancel(ctx), "GET", "http://"+rr.copies[i].serve+"/registry/instances", nil)
+		for _, i := range rng.Perm(len(c.Replicas)) {
+			one := listRead{replica: c.Replicas[i].Name, called: c.Events.Now()}
+			code, head, _, err := CallWithHeader(context.WithoutCancel(ctx), "GET", "http://"+c.Replicas[i].Address+"/registry/instances", nil)
 			if good = err == nil && code == http.StatusOK; !good {
 				continue
 			}
 			one.rev, _ = strconv.ParseInt(head.Get("X-Registry-Rev"), 10, 64) // 0 where there is no list yet
 			if ms, err := strconv.Atoi(head.Get("X-Registry-Heard-Ms")); err != nil {
-				rr.breach("age-told", fmt.Sprintf("copy %s gives a list without its age", one.copy))
-			} else if one.age = time.Duration(ms) * time.Millisecond; rr.boasting.Load() {
+				c.breach("age-told", fmt.Sprintf("copy %s gives a list without its age", one.replica))
+			} else if one.age = time.Duration(ms) * time.Millisecond; c.reportsZeroAge.Load() {
 				one.age = 0
 			}
-			rr.mu.Lock()
-			rr.reads = append(rr.reads, one)
-			rr.mu.Unlock()
+			c.mu.Lock()
+			c.reads = append(c.reads, one)
+			c.mu.Unlock()
 			break
 		}
 		if !good {
-			rr.mu.Lock()
-			rr.lost++
-			rr.mu.Unlock()
+			c.mu.Lock()
+			c.failedReads++
+			c.mu.Unlock()
 		}
 		select {
 		case <-time.After(20 * time.Millisecond):
@@ -162,39 +163,42 @@
 }
 
 // lister is one watcher.
-type lister struct {
-	rr   *registryRun
-	rng  *rand.Rand
-	mu   sync.Mutex
-	list map[string]registry.Entry
-	rev  int64
-	told []ack // when it first had a revision
+type watcher struct {
+	cluster   *Cluster
+	rng       *rand.Rand
+	mu        sync.Mutex
+	list      map[string]registry.Entry
+	rev       int64
+	firstSeen []ackedWrite // when it first had a revision
 }
 
+// watchSilenceTimeout is how long a watch may say nothing before its watcher goes elsewhere: an empty line comes every 2 s.
+const watchSilenceTimeout = 5 * time.Second
+
 // follow keeps a watch on some copy until ctx ends.
-func (w *lister) follow(ctx context.Context) {
+func (w *watcher) follow(ctx context.Context) {
 	for first := true; ctx.Err() == nil; first = false {
 		if !first {
-			w.rr.rejoins.Add(1)
+			w.cluster.rewatches.Add(1)
 			select {
 			case <-time.After(time.Duration(20+w.rng.IntN(80)) * time.Millisecond):
 			case <-ctx.Done():
 				return
 			}
 		}
-		w.watch(ctx, w.rr.copies[w.rng.IntN(len(w.rr.copies))])
+		w.watch(ctx, w.cluster.Replicas[w.rng.IntN(len(w.cluster.Replicas))])
 	}
 }
 
-func (w *lister) watch(ctx context.Context, c *registryCopy) {
+func (w *watcher) watch(ctx context.Context, replica *Replica) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	guard := time.AfterFunc(silent, cancel)
+	guard := time.AfterFunc(watchSilenceTimeout, cancel)
 	defer guard.Stop()
 	w.mu.Lock()
 	after := w.rev
 	w.mu.Unlock()
-	req, err := http.NewRequestWithContext(ctx, "GET", fmt.Sprintf("http://%s/registry/instances?watch=1&after=%d", c.serve, after), nil)
+	req, err := http.NewRequestWithContext(ctx, "GET", fmt.Sprintf("http://%s/registry/instances?watch=1&after=%d", replica.Address, after), nil)
 	if err != nil {
 		return
 	}
@@ -211,28 +215,28 @@
 		if err != nil {
 			return
 		}
-		guard.Reset(silent)
+		guard.Reset(watchSilenceTimeout)
 		if line = bytes.TrimSpace(line); len(line) == 0 {
 			continue
 		}
 		var l registry.List
 		if err := json.Unmarshal(line, &l); err != nil {
-			w.rr.breach("watchers-agree", fmt.Sprintf("a line that cannot be read: %v", err))
+			w.cluster.breach("watchers-agree", fmt.Sprintf("a line that cannot be read: %v", err))
 			return
 		}
-		w.rr.lines.Add(1)
-		w.take(&l)
+		w.cluster.watchLines.Add(1)
+		w.apply(&l)
 	}
 }
 
 // take applies a line and compares the list with what others had at this revision.
-func (w *lister) take(l *registry.List) {
+func (w *watcher) apply(l *registry.List) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if !l.All && l.Rev <= w.rev {
-		w.rr.breach("watchers-agree", fmt.Sprintf("after revision %d a change of revision %d was told", w.rev, l.Rev))
+		w.cluster.breach("watchers-agree", fmt.Sprintf("after revision %d a change of revision %d was told", w.rev, l.Rev))
 	}
-	if !l.All && w.rr.skipping.Load() && w.rng.Float64() < 0.05 {
+	if !l.All && w.cluster.dropsWatchLines.Load() && w.rng.Float64() < 0.05 {
 		w.rev = l.Rev // planted: the line is lost, and its revision is not
 		return
 	}
@@ -247,11 +251,11 @@
 		}
 	}
 	w.rev = l.Rev
-	w.told = append(w.told, ack{rev: l.Rev, done: w.rr.log.Now()})
-	w.rr.compare(l.Rev, hashOf(w.list))
+	w.firstSeen = append(w.firstSeen, ackedWrite{rev: l.Rev, acknowledged: w.cluster.Events.Now()})
+	w.cluster.checkListHash(l.Rev, listHash(w.list))
 }
 
-func hashOf(list map[string]registry.Entry) uint64 {
+func listHash(list map[string]registry.Entry) uint64 {
 	all := make([]registry.Entry, 0, len(list))
 	for _, e := range list {
 		all = append(all, e)
@@ -261,14 +265,14 @@
 }
 
 // compare holds a list to what others had at the same revision.
-func (rr *registryRun) compare(rev int64, hash uint64) {
-	rr.mu.Lock()
-	was, ok := rr.seen[rev]
+func (c *Cluster) checkListHash(rev int64, hash uint64) {
+	c.mu.Lock()
+	was, ok := c.listHashes[rev]
 	if !ok {
-		rr.seen[rev] = hash
+		c.listHashes[rev] = hash
 	}
-	rr.mu.Unlock()
+	c.mu.Unlock()
 	if ok && was != hash {
-		rr.breach("watchers-agree", fmt.Sprintf("two watchers have different lists at revision %d", rev))
+		c.breach("watchers-agree", fmt.Sprintf("two watchers have different lists at revision %d", rev))
 	}
 }
--- a/internal/lab/linear.go
+++ b/internal/lab/cluster/linearizability.go
@@ -1,4 +1,4 @@
-package lab
+package cluster
 
 import (
 	"fmt"
@@ -21,45 +21,45 @@
 type outcome uint8
 
 const (
-	outcomeNone     outcome = iota // it certainly did not happen
-	outcomeOK                      // it was answered
-	outcomeConflict                // its condition did not hold
-	outcomeUnknown                 // it may have happened, or may yet
+	outcomeNotApplied outcome = iota // it certainly did not happen
+	outcomeOK                        // it was answered
+	outcomeConflict                  // its condition did not hold
+	outcomeUnknown                   // it may have happened, or may yet
 )
 
 // operation is one call and what came of it.
 type operation struct {
-	key        string
-	client     int
-	kind       opKind
-	value      int64 // that a put writes; no two write the same
-	condition  int64 // revision of the entry's last change; 0: there is none; -1: in any case
-	outcome    outcome
-	gotRev     int64
-	gotValue   int64
-	call, back time.Duration
+	key            string
+	client         int
+	kind           opKind
+	value          int64 // that a put writes; no two write the same
+	condition      int64 // revision of the entry's last change; 0: there is none; -1: in any case
+	outcome        outcome
+	gotRev         int64
+	gotValue       int64
+	call, returned time.Duration
 }
 
 // held is one entry as the model has it.
-type held struct {
+type register struct {
 	value int64 // 0: there is none
 	rev   int64 // of its last change; anyRev: of a write whose answer nobody saw
 }
 
-const anyRev = -1
+const unknownRevision = -1
 
 // model is one entry that is put, removed and read. A write without an answer may have happened or not, at any time
 // until the end.
 func model() porcupine.Model {
 	m := porcupine.NondeterministicModel{
-		Init: func() []any { return []any{held{}} },
+		Init: func() []any { return []any{register{}} },
 		Step: func(state, input, output any) []any {
-			s, op := state.(held), input.(operation)
-			mayHold := op.condition < 0 || s.rev == anyRev || s.rev == op.condition
-			mayFail := op.condition >= 0 && (s.rev == anyRev || s.rev != op.condition)
-			after := held{}
+			s, op := state.(register), input.(operation)
+			mayHold := op.condition < 0 || s.rev == unknownRevision || s.rev == op.condition
+			mayFail := op.condition >= 0 && (s.rev == unknownRevision || s.rev != op.condition)
+			after := register{}
 			if op.kind == opPut {
-				after = held{op.value, anyRev}
+				after = register{op.value, unknownRevision}
 			}
 			switch op.outcome {
 			case outcomeConflict:
@@ -77,49 +77,49 @@
 				return []any{s}
 			}
 			if op.kind == opGet {
-				if s.value != op.gotValue || s.rev != anyRev && s.rev != op.gotRev {
+				if s.value != op.gotValue || s.rev != unknownRevision && s.rev != op.gotRev {
 					return nil
 				}
-				return []any{held{op.gotValue, op.gotRev}}
+				return []any{register{op.gotValue, op.gotRev}}
 			}
 			if op.kind == opRemove {
 				// One that finds nothing is answered too, whatever its condition.
 				if s.value == 0 || mayHold {
-					return []any{held{}}
+					return []any{register{}}
 				}
 				return nil
 			}
-			if !mayHold || s.rev != anyRev && op.gotRev <= s.rev {
+			if !mayHold || s.rev != unknownRevision && op.gotRev <= s.rev {
 				return nil
 			}
-			return []any{held{op.value, op.gotRev}}
+			return []any{register{op.value, op.gotRev}}
 		},
 	}
 	return m.ToModel()
 }
 
 // checkWait bounds the check of one entry's history.
-const checkWait = 20 * time.Second
+const historyCheckTimeout = 20 * time.Second
 
 // notLinearizable names an entry whose history no order of single steps explains; empty: there is none.
-func notLinearizable(ops []operation) string {
+func checkLinearizable(ops []operation) string {
 	byKey := map[string][]porcupine.Operation{}
 	for _, op := range ops {
-		if op.outcome == outcomeNone {
+		if op.outcome == outcomeNotApplied {
 			continue
 		}
-		end := int64(op.back)
+		end := int64(op.returned)
 		if op.outcome == outcomeUnknown {
 			end = math.MaxInt64
 		}
 		byKey[op.key] = append(byKey[op.key], porcupine.Operation{ClientId: op.client, Input: op, Call: int64(op.call), Return: end})
 	}
 	for key, history := range byKey {
-		switch porcupine.CheckOperationsTimeout(model(), history, checkWait) {
+		switch porcupine.CheckOperationsTimeout(model(), history, historyCheckTimeout) {
 		case porcupine.Illegal:
 			return fmt.Sprintf("no order of single steps explains the %d calls on entry %s", len(history), key)
 		case porcupine.Unknown:
-			return fmt.Sprintf("the %d calls on entry %s could not be checked within %v", len(history), key, checkWait)
+			return fmt.Sprintf("the %d calls on entry %s could not be checked within %v", len(history), key, historyCheckTimeout)
 		}
 	}
 	return ""
--- a/internal/lab/linear_test.go
+++ b/internal/lab/cluster/linearizability_test.go
@@ -1,4 +1,4 @@
-package lab
+package cluster
 
 import (
 	"testing"
@@ -7,7 +7,7 @@
 
 // at gives an operation its time, in milliseconds.
 func at(op operation, from, to int) operation {
-	op.key, op.call, op.back = "s", time.Duration(from)*time.Millisecond, time.Duration(to)*time.Millisecond
+	op.key, op.call, op.returned = "s", time.Duration(from)*time.Millisecond, time.Duration(to)*time.Millisecond
 	return op
 }
 
@@ -25,7 +25,7 @@
 	refused := func(condition int64) operation {
 		return operation{kind: opPut, value: 99, condition: condition, outcome: outcomeConflict}
 	}
-	for name, c := range map[string]struct {
+	for name, replica := range map[string]struct {
 		ops  []operation
 		good bool
 	}{
@@ -42,7 +42,7 @@
 		"unknown, and later":            {[]operation{at(put(1, 5), 0, 1), at(lost(2), 2, 3), at(get(1, 5), 4, 5), at(get(2, 6), 8, 9)}, true},
 		"unknown, and taken back":       {[]operation{at(put(1, 5), 0, 1), at(lost(2), 2, 3), at(get(2, 6), 4, 5), at(get(1, 5), 8, 9)}, false},
 	} {
-		if got := notLinearizable(c.ops) == ""; got != c.good {
+		if got := checkLinearizable(replica.ops) == ""; got != replica.good {
 			t.Errorf("%s: linearizable is %v", name, got)
 		}
 	}
--- a/internal/lab/compare.go
+++ b/internal/lab/compare.go
@@ -13,7 +13,9 @@
 	"gonum.org/v1/plot/vg"
 	"gonum.org/v1/plot/vg/draw"
 
+	"marblelane/internal/lab/harness"
 	"marblelane/internal/lab/measure"
+	"marblelane/internal/lab/report"
 	"marblelane/internal/lab/scenario"
 )
 
@@ -66,7 +68,7 @@
 
 // Compare plays both sides on plays seeds from the first on. Which side goes first alternates, so that what changes
 // on the machine with time is no one's advantage.
-func Compare(ctx context.Context, a, b Side, first uint64, plays int, o Options) (*Comparison, error) {
+func Compare(ctx context.Context, a, b Side, first uint64, plays int, o harness.Options) (*Comparison, error) {
 	c := &Comparison{A: a.Name, B: b.Name}
 	for k := range plays {
 		seed := first + uint64(k)
@@ -114,7 +116,7 @@
 }
 
 // counted plays a side until the lab was not late.
-func counted(ctx context.Context, side Side, seed uint64, o Options) (*Report, int, error) {
+func counted(ctx context.Context, side Side, seed uint64, o harness.Options) (*report.Report, int, error) {
 	for late := range mostLate {
 		o := o
 		o.Seed, o.Program, o.Progress = seed, side.Program, nil
@@ -125,7 +127,7 @@
 		if err != nil {
 			return nil, late, err
 		}
-		if end, _ := rep.Outcome(); end != Late {
+		if end, _ := rep.Outcome(); end != report.Late {
 			return rep, late, nil
 		}
 	}
@@ -201,19 +203,19 @@
 		if err != nil {
 			return fmt.Errorf("plot: %w", err)
 		}
-		dots.Color, dots.Shape = goodColour, draw.CircleGlyph{}
+		dots.Color, dots.Shape = report.GoodColour, draw.CircleGlyph{}
 		mean, err := plotter.NewLine(plotter.XYs{{X: float64(i) - 0.25, Y: r.Diff}, {X: float64(i) + 0.25, Y: r.Diff}})
 		if err != nil {
 			return fmt.Errorf("plot: %w", err)
 		}
-		mean.Color, mean.Width = failedColour, vg.Points(1.5)
+		mean.Color, mean.Width = report.FailedColour, vg.Points(1.5)
 		p.Add(dots, mean)
 		names = append(names, r.Name)
 	}
 	p.Add(plotter.NewGrid())
 	p.NominalX(names...)
 	for _, form := range []string{".png", ".svg"} {
-		if err := p.Save(plotWidth, plotHeight, filepath.Join(dir, "compare"+form)); err != nil {
+		if err := p.Save(report.PlotWidth, report.PlotHeight, filepath.Join(dir, "compare"+form)); err != nil {
 			return fmt.Errorf("plot: %w", err)
 		}
 	}
--- a/internal/lab/fault_steps.go
+++ b/internal/lab/fault_steps.go
@@ -11,6 +11,7 @@
 
 	"marblelane/internal/fault"
 	"marblelane/internal/lab/agent"
+	"marblelane/internal/lab/harness"
 	"marblelane/internal/lab/relay"
 	"marblelane/internal/lab/scenario"
 	"marblelane/internal/lab/stock"
@@ -28,7 +29,7 @@
 	if p.Servers != nil {
 		name += fmt.Sprintf(" servers %v", p.Servers)
 	}
-	if p.Sidecars != nil && len(p.Sidecars) < len(r.plan.Sidecars) {
+	if p.Sidecars != nil && len(p.Sidecars) < len(r.Plan.Sidecars) {
 		name += fmt.Sprintf(" sidecars %v", p.Sidecars)
 	}
 	once := func(do func(context.Context) error) []step { return []step{{p.At, name, 0, do}} }
@@ -116,11 +117,11 @@
 	case "leave":
 		return once(func(context.Context) error { r.load.LeaveEarly(p.Sidecars, f.Size); return nil })
 	case "kill":
-		return once(func(context.Context) error { return r.each(p.Servers, r.killServer) })
+		return once(func(context.Context) error { return harness.ForEach(p.Servers, r.killServer) })
 	case "restart":
 		return []step{
-			{p.At, name, 1, func(context.Context) error { return r.each(p.Servers, r.killServer) }},
-			{p.Until, name + " ends", 2, func(context.Context) error { return r.each(p.Servers, r.bootServer) }},
+			{p.At, name, 1, func(context.Context) error { return harness.ForEach(p.Servers, r.killServer) }},
+			{p.Until, name + " ends", 2, func(context.Context) error { return harness.ForEach(p.Servers, r.bootServer) }},
 		}
 	case "drain":
 		return once(func(ctx context.Context) error { return r.drainServers(ctx, p.Servers, f.Stay) })
@@ -154,7 +155,7 @@
 
 // loseEntries takes a share of the servers off the list, though they are there, and puts them back.
 func (r *run) loseEntries(p *scenario.FaultPlan, on bool) {
-	for i := range int(p.Fault.Size * float64(r.s.Servers.Count)) {
+	for i := range int(p.Fault.Size * float64(r.Scenario.Servers.Count)) {
 		state := agent.Ready
 		if on {
 			state = agent.Gone
@@ -166,7 +167,7 @@
 // classes are the numbers of classes by their names.
 func (r *run) classes(names []string) []int {
 	var out []int
-	for i, c := range r.s.Classes {
+	for i, c := range r.Scenario.Classes {
 		if slices.Contains(names, c.Name) {
 			out = append(out, i)
 		}
@@ -281,7 +282,7 @@
 	}
 	inside := func(change func(*fault.Set, bool)) []step {
 		return pair(func(on bool) error {
-			return r.each(p.Sidecars, func(i int) error {
+			return harness.ForEach(p.Sidecars, func(i int) error {
 				return r.sidecars[i].plantInside(func(set *fault.Set) { change(set, on) })
 			})
 		})
@@ -327,7 +328,9 @@
 	case "list-move":
 		return once(func(context.Context) error { return r.moveDiscovery() })
 	case "sidecar-freeze":
-		return pair(func(on bool) error { return r.each(p.Sidecars, func(i int) error { return r.sidecars[i].freeze(on) }) })
+		return pair(func(on bool) error {
+			return harness.ForEach(p.Sidecars, func(i int) error { return r.sidecars[i].freeze(on) })
+		})
 	case "sidecar-clock":
 		return inside(func(set *fault.Set, on bool) {
 			if set.Clock = 0; on {
@@ -346,23 +349,23 @@
 	case "sidecar-kill":
 		steps := pair(func(bool) error { return nil })
 		steps[0].do = func(context.Context) error {
-			return r.each(p.Sidecars, func(i int) error { return r.sidecars[i].die() })
+			return harness.ForEach(p.Sidecars, func(i int) error { return r.sidecars[i].die() })
 		}
 		steps[1].do = func(ctx context.Context) error {
-			return r.each(p.Sidecars, func(i int) error { return r.sidecars[i].launch(ctx) })
+			return harness.ForEach(p.Sidecars, func(i int) error { return r.sidecars[i].launch(ctx) })
 		}
 		return steps
 	case "sidecar-restart":
 		return once(func(ctx context.Context) error {
-			return r.each(p.Sidecars, func(i int) error { return r.sidecars[i].restart(ctx) })
+			return harness.ForEach(p.Sidecars, func(i int) error { return r.sidecars[i].restart(ctx) })
 		})
 	case "sidecar-term":
 		return once(func(ctx context.Context) error {
-			return r.each(p.Sidecars, func(i int) error { return r.sidecars[i].term(ctx) })
+			return harness.ForEach(p.Sidecars, func(i int) error { return r.sidecars[i].term(ctx) })
 		})
 	case "sidecar-upgrade":
 		return once(func(ctx context.Context) error {
-			return r.each(p.Sidecars, func(i int) error { return r.sidecars[i].upgrade(ctx) })
+			return harness.ForEach(p.Sidecars, func(i int) error { return r.sidecars[i].upgrade(ctx) })
 		})
 	}
 	panic("lab: no steps for a fault of the kind " + f.Kind)
--- a/internal/lab/faults.go
+++ b/internal/lab/faults.go
@@ -29,8 +29,8 @@
 // a planned restart, holds no other back.
 func (r *run) faults(ctx context.Context, began time.Duration) {
 	var steps []step
-	for i := range r.plan.Faults {
-		steps = append(steps, r.steps(&r.plan.Faults[i])...)
+	for i := range r.Plan.Faults {
+		steps = append(steps, r.steps(&r.Plan.Faults[i])...)
 	}
 	if r.members != nil {
 		steps = append(steps, r.members.lateSteps()...)
@@ -39,18 +39,18 @@
 	timer := time.NewTimer(0)
 	defer timer.Stop()
 	for _, s := range steps {
-		timer.Reset(max(began+s.at-r.log.Now(), 0))
+		timer.Reset(max(began+s.at-r.Events.Now(), 0))
 		select {
 		case <-timer.C:
 		case <-ctx.Done():
 			return
 		}
-		r.log.Add(record.Event{Kind: record.Fault, Sidecar: record.None, Server: record.None, Class: record.None,
+		r.Events.Add(record.Event{Kind: record.Fault, Sidecar: record.None, Server: record.None, Class: record.None,
 			Status: s.mark, Note: s.text})
-		r.out.Info("lab: fault", "what", s.text)
-		r.wg.Go(func() {
+		r.Log.Info("lab: fault", "what", s.text)
+		r.Tasks.Go(func() {
 			if err := s.do(ctx); err != nil && ctx.Err() == nil {
-				r.fail(fmt.Errorf("%s: %w", s.text, err))
+				r.Fail(fmt.Errorf("%s: %w", s.text, err))
 			}
 		})
 	}
@@ -75,21 +75,6 @@
 	return r.agents
 }
 
-// each does one thing for all at a time.
-func (r *run) each(numbers []int, do func(int) error) error {
-	errs := make(chan error, len(numbers))
-	for _, i := range numbers {
-		go func() { errs <- do(i) }()
-	}
-	var first error
-	for range numbers {
-		if err := <-errs; first == nil {
-			first = err
-		}
-	}
-	return first
-}
-
 // eachLink calls f for each link that a fault concerns.
 func (r *run) eachLink(p *scenario.FaultPlan, f func(port *relay.Port, sidecar int, l *relay.Link)) {
 	for _, i := range p.Sidecars {
@@ -112,14 +97,5 @@
 	}
 }
 
-func sleep(ctx context.Context, wait time.Duration) bool {
-	select {
-	case <-time.After(wait):
-		return true
-	case <-ctx.Done():
-		return false
-	}
-}
-
 // newConns is how long after SIGTERM clients still open connections: the platform's most.
 const newConns = 400 * time.Millisecond
--- a/internal/lab/growth.go
+++ b/internal/lab/growth.go
@@ -6,6 +6,7 @@
 	"errors"
 	"fmt"
 	"io"
+	"marblelane/internal/lab/harness"
 	"os"
 	"slices"
 	"time"
@@ -133,7 +134,7 @@
 		for i := range pairs {
 			all = append(all, need(side(&pairs[i])))
 		}
-		return median(all)
+		return harness.Median(all)
 	}
 	return GrowthNeed{CPU: of(cpuNeed), PeakMemory: of(memoryNeed), Descriptors: of(descriptorNeed),
 		Connections: of(connectionNeed), ListBytes: of(listNeed), Served: of(servedNeed)}
--- a/internal/lab/growth_fleet.go
+++ b/internal/lab/growth_fleet.go
@@ -7,6 +7,7 @@
 	"fmt"
 	"math"
 
+	"marblelane/internal/lab/report"
 	"marblelane/internal/lab/scenario"
 	"marblelane/internal/lab/simulate"
 )
@@ -116,7 +117,7 @@
 			opened++
 		}
 	}
-	report := newReport(plan, run.Events, run.Worked, nil, nil)
+	report := report.New(plan, run.Events, run.Worked, nil, nil)
 	figures, broken := &report.Result.Figures, report.Verdict.Broken()
 	need := GrowthNeed{Connections: float64(opened) / float64(size.Sidecars), Served: figures.InObjective}
 	o.progress("%s, %d sidecars, %d servers: %d requests, %.3f served, %.1f connections each, %.2f attempts, broken %v",
--- a/internal/lab/growth_process.go
+++ b/internal/lab/growth_process.go
@@ -7,7 +7,6 @@
 	"errors"
 	"fmt"
 	"io"
-	"log/slog"
 	"net"
 	"net/http"
 	"path/filepath"
@@ -17,6 +16,7 @@
 	"time"
 
 	"marblelane/internal/lab/agent"
+	"marblelane/internal/lab/harness"
 	"marblelane/internal/lab/process"
 	"marblelane/internal/lab/record"
 	"marblelane/internal/lab/relay"
@@ -50,7 +50,7 @@
 // growthDay is a day under way.
 type growthDay struct {
 	o       *GrowthOptions
-	r       *run // for the plan, the folder and what starts processes
+	r       *harness.Run // for the plan, the folder and what starts processes
 	servers *growthServers
 	agents  *agent.Agents
 	meter   *meteredForward
@@ -88,8 +88,11 @@
 		return need, err
 	}
 	s.Servers.Count = size.Servers + replaced
-	d := &growthDay{o: o, r: &run{s: s, plan: s.Plan(1), out: slog.New(slog.DiscardHandler),
-		nursery: process.NewSupervisor(), log: record.New(), dir: dir}}
+	base, err := harness.New(s, harness.Options{Seed: 1, Dir: dir})
+	if err != nil {
+		return need, err
+	}
+	d := &growthDay{o: o, r: base}
 	defer func() { err = errors.Join(err, d.close()) }()
 	if d.servers, err = startGrowthServers(s.Servers.Count); err != nil {
 		return need, err
@@ -113,7 +116,7 @@
 // toldGone is how many servers the sidecar was told to be gone.
 func (d *growthDay) toldGone() int {
 	gone := map[int32]bool{}
-	for _, e := range d.r.log.Events() {
+	for _, e := range d.r.Events.Events() {
 		if e.Kind == record.Notified && e.Note == agent.Gone {
 			gone[e.Server] = true
 		}
@@ -125,7 +128,7 @@
 func (d *growthDay) startDiscovery(listed int) error {
 	link := relay.NewLink(relay.Rules{}, 1)
 	var err error
-	d.agents, err = agent.New(d.r.log, 1, d.entries(listed),
+	d.agents, err = agent.New(d.r.Events, 1, d.entries(listed),
 		func(_, server int) string { return d.servers.addr(server) }, func(int) *relay.Link { return link })
 	if err != nil {
 		return err
@@ -137,7 +140,7 @@
 func (d *growthDay) entries(listed int) []agent.Entry {
 	var list []agent.Entry
 	for i := range listed {
-		e := d.r.entry(i, agent.Ready, 0)
+		e := d.r.Entry(i, agent.Ready, 0)
 		e.Endpoint = d.servers.addr(i)
 		list = append(list, e)
 	}
@@ -146,14 +149,14 @@
 
 // launch starts the sidecar, as one of this many.
 func (d *growthDay) launch(ctx context.Context, size GrowthSize) (*launched, error) {
-	settings := d.r.plan.Settings(0)
+	settings := d.r.Plan.Settings(0)
 	settings["peers_total"] = size.Sidecars
 	settings["tenants"] = []map[string]any{{"name": costTenant, "share": 1.0, "allowance_per_s": 1e6}}
 	config, err := mergePatch([]byte("{}"), map[string]any{
 		"listen": "127.0.0.1:0", "management": "127.0.0.1:0", "seed": "1", "settings": settings,
 		"discovery": d.meter.addr(), "known": agent.List{All: true, Targets: d.entries(size.Servers)},
-		"limits": map[string]any{"cores": d.r.s.Sidecars.Cores, "memory_mb": d.r.s.Sidecars.MemoryMB,
-			"sockets": d.r.s.Sidecars.Sockets},
+		"limits": map[string]any{"cores": d.r.Scenario.Sidecars.Cores, "memory_mb": d.r.Scenario.Sidecars.MemoryMB,
+			"sockets": d.r.Scenario.Sidecars.Sockets},
 	})
 	if err != nil {
 		return nil, err
@@ -164,7 +167,7 @@
 
 // play drives the sidecar, replaces servers meanwhile, and measures until the sidecar has ended.
 func (d *growthDay) play(ctx context.Context, p *launched, listed, replaced int) (GrowthNeed, error) {
-	load := &costLoad{addr: p.listen, class: d.r.s.Classes[0].Name, rate: d.o.Rate, ids: &d.ids,
+	load := &costLoad{addr: p.listen, class: d.r.Scenario.Classes[0].Name, rate: d.o.Rate, ids: &d.ids,
 		conns: make([]*costConn, d.o.Connections)}
 	driving, driven := context.WithCancel(ctx)
 	var beside sync.WaitGroup
@@ -174,7 +177,7 @@
 	beside.Go(func() { d.replace(driving, listed, replaced) })
 	began := time.Now()
 	done, err := load.drive(ctx, d.o.Length)
-	sleep(ctx, time.Until(began.Add(d.o.Length))) // the last request may have been some time ago
+	harness.Sleep(ctx, time.Until(began.Add(d.o.Length))) // the last request may have been some time ago
 	load.close()
 	driven()
 	beside.Wait()
@@ -204,7 +207,7 @@
 		}
 		peak.PeakRSS = max(peak.PeakRSS, now.PeakRSS)
 		peak.Descriptors = max(peak.Descriptors, now.Descriptors)
-		if !sleep(ctx, growthSample) {
+		if !harness.Sleep(ctx, growthSample) {
 			return peak, nil
 		}
 	}
@@ -216,18 +219,18 @@
 	began := time.Now()
 	for step := range steps {
 		due := began.Add(d.o.Length * time.Duration(step+1) / time.Duration(steps+4))
-		if !sleep(ctx, time.Until(due)) {
+		if !harness.Sleep(ctx, time.Until(due)) {
 			return
 		}
 		var changed, gone []agent.Entry
 		for i := step * replaced / steps; i < (step+1)*replaced/steps; i++ {
-			old := d.r.entry(i*listed/replaced, agent.Terminating, 0)
-			changed = append(changed, d.r.entry(listed+i, agent.Ready, time.Now().UnixMilli()), old)
+			old := d.r.Entry(i*listed/replaced, agent.Terminating, 0)
+			changed = append(changed, d.r.Entry(listed+i, agent.Ready, time.Now().UnixMilli()), old)
 			old.State = agent.Gone
 			gone = append(gone, old)
 		}
 		d.agents.PublishAll(changed, 0, 0)
-		if !sleep(ctx, min(growthGoneIn, d.o.Length/time.Duration(2*steps+4))) {
+		if !harness.Sleep(ctx, min(growthGoneIn, d.o.Length/time.Duration(2*steps+4))) {
 			return
 		}
 		d.agents.PublishAll(gone, 0, 0)
@@ -235,7 +238,7 @@
 }
 
 func (d *growthDay) close() error {
-	d.r.nursery.Close()
+	d.r.Close()
 	var err error
 	if d.meter != nil {
 		err = d.meter.close()
--- /dev/null
+++ b/internal/lab/harness/address.go
@@ -0,0 +1,53 @@
+package harness
+
+import (
+	"fmt"
+	"math/rand/v2"
+	"net"
+	"strconv"
+
+	"marblelane/internal/lab/relay"
+)
+
+// FreeSidecarAddr finds a port on the loopback address of a sidecar's clients.
+func FreeSidecarAddr(sidecar int) (string, error) {
+	host := fmt.Sprintf("127.%d.%d.%d", 32+sidecar>>16, sidecar>>8&255, sidecar&255)
+	addr, err := relay.FreeAddr(host)
+	if err != nil {
+		return "", fmt.Errorf("lab: no address for sidecar %d: %w", sidecar, err)
+	}
+	return addr, nil
+}
+
+// The ports of members lie below those at which relays listen on all addresses, as one of those could take a port before
+// the process binds it.
+const (
+	minMemberPort   = 2048
+	memberPortRange = 8192
+	memberPortTries = 64
+)
+
+// FreeMemberAddr finds a port on a loopback address that is free for connections and packets.
+func FreeMemberAddr(host string) (string, error) {
+	var last error
+	for range memberPortTries {
+		addr := net.JoinHostPort(host, strconv.Itoa(minMemberPort+rand.IntN(memberPortRange)))
+		l, err := net.Listen("tcp4", addr)
+		if err != nil {
+			last = err
+			continue
+		}
+		c, err := net.ListenPacket("udp4", addr)
+		if l.Close(); err == nil {
+			return addr, c.Close()
+		}
+		last = err
+	}
+	return "", fmt.Errorf("lab: no address: %w", last)
+}
+
+// HostOf is the host of an address that has a port.
+func HostOf(addr string) string {
+	host, _, _ := net.SplitHostPort(addr)
+	return host
+}
--- a/internal/lab/lab_test.go
+++ b/internal/lab/lab_test.go
@@ -19,6 +19,8 @@
 	"github.com/stretchr/testify/assert"
 	"go.uber.org/goleak"
 
+	"marblelane/internal/lab/harness"
+	"marblelane/internal/lab/report"
 	"marblelane/internal/lab/scenario"
 	"marblelane/lab/scenarios"
 )
@@ -69,17 +71,17 @@
 }
 
 // play runs a scenario; a run in which the lab was late is played again, a few times.
-func play(t *testing.T, s *scenario.Scenario) *Report {
+func play(t *testing.T, s *scenario.Scenario) *report.Report {
 	t.Helper()
-	var rep *Report
+	var rep *report.Report
 	for range 3 {
 		ctx, cancel := context.WithTimeout(t.Context(), 2*time.Minute)
 		defer cancel()
 		var err error
-		if rep, err = Run(ctx, s, Options{Program: sidecarProgram, Self: marblelane, Dir: t.TempDir()}); err != nil {
+		if rep, err = Run(ctx, s, harness.Options{Program: sidecarProgram, Self: marblelane, Dir: t.TempDir()}); err != nil {
 			t.Fatal(err)
 		}
-		if end, _ := rep.Outcome(); end != Late {
+		if end, _ := rep.Outcome(); end != report.Late {
 			break
 		}
 	}
@@ -105,17 +107,17 @@
 				rep := play(t, s)
 				end, reason := rep.Outcome()
 				want := s.Expect.Breaks[0]
-				if end == Late && !slices.Contains(rep.Verdict.Broken(), want) {
+				if end == report.Late && !slices.Contains(rep.Verdict.Broken(), want) {
 					t.Skip("the lab was late in each play, and late parties are held to nothing")
 				}
 				if !slices.Contains(rep.Verdict.Broken(), want) {
 					t.Fatalf("%s: %s; want rule %s broken", end, reason, want)
 				}
-				if end == Late {
+				if end == report.Late {
 					t.Log("the lab was late; that no other rule is broken was not looked at")
 					return
 				}
-				if end != Fail || len(rep.Verdict.Broken()) != 1 {
+				if end != report.Fail || len(rep.Verdict.Broken()) != 1 {
 					t.Errorf("%s: %s; want only rule %s broken", end, reason, want)
 				}
 				for _, b := range rep.Verdict.Breaches {
@@ -152,7 +154,7 @@
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			rep := play(t, read(t, name))
-			if end, reason := rep.Outcome(); end == Late {
+			if end, reason := rep.Outcome(); end == report.Late {
 				t.Log(reason)
 				return
 			}
@@ -184,7 +186,7 @@
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			rep := play(t, read(t, name))
-			if end, reason := rep.Outcome(); end == Late {
+			if end, reason := rep.Outcome(); end == report.Late {
 				t.Log(reason)
 				return
 			}
@@ -224,7 +226,7 @@
 	s := parse(t, small)
 	before := descriptors()
 	t.Run("a whole run", func(t *testing.T) {
-		if end, reason := play(t, s).Outcome(); end == Fail {
+		if end, reason := play(t, s).Outcome(); end == report.Fail {
 			t.Error(reason)
 		}
 		settle(before)
@@ -232,20 +234,20 @@
 	t.Run("ended early", func(t *testing.T) {
 		ctx, cancel := context.WithTimeout(t.Context(), time.Second)
 		defer cancel()
-		if _, err := Run(ctx, s, Options{Program: sidecarProgram, Dir: t.TempDir()}); !errors.Is(err, context.DeadlineExceeded) {
+		if _, err := Run(ctx, s, harness.Options{Program: sidecarProgram, Dir: t.TempDir()}); !errors.Is(err, context.DeadlineExceeded) {
 			t.Errorf("got %v", err)
 		}
 		settle(before)
 	})
 	t.Run("a copy that does not start", func(t *testing.T) {
-		_, err := Run(t.Context(), s, Options{Program: "/bin/false", Dir: t.TempDir()})
+		_, err := Run(t.Context(), s, harness.Options{Program: "/bin/false", Dir: t.TempDir()})
 		if err == nil || !strings.Contains(err.Error(), "sidecar 0") || !strings.Contains(err.Error(), "did not start (exit status 1)") {
 			t.Errorf("got %v", err)
 		}
 		settle(before)
 	})
 	t.Run("no such program", func(t *testing.T) {
-		_, err := Run(t.Context(), s, Options{Program: "/no/such/program", Dir: t.TempDir()})
+		_, err := Run(t.Context(), s, harness.Options{Program: "/no/such/program", Dir: t.TempDir()})
 		if err == nil || !strings.Contains(err.Error(), "/no/such/program") {
 			t.Errorf("got %v", err)
 		}
@@ -266,11 +268,11 @@
 	defer l.Close()
 	s := parse(t, strings.Replace(small, "count = 2", "count = 1", 1))
 	asked := 0
-	rep, err := Run(t.Context(), s, Options{Program: sidecarProgram, Dir: t.TempDir(), freeAddr: func(n int) (string, error) {
+	rep, err := Run(t.Context(), s, harness.Options{Program: sidecarProgram, Dir: t.TempDir(), FreeAddr: func(n int) (string, error) {
 		if asked++; asked == 1 {
 			return l.Addr().String(), nil
 		}
-		return freeAddr(n)
+		return harness.FreeSidecarAddr(n)
 	}})
 	if err != nil || asked != 2 {
 		t.Fatalf("after %d addresses: %v", asked, err)
@@ -278,8 +280,8 @@
 	if len(rep.Result.Sidecars) != 1 || rep.Result.Sidecars[0].Requests == 0 {
 		t.Errorf("it served nothing: %+v", rep.Result.Sidecars)
 	}
-	_, err = Run(t.Context(), s, Options{Program: sidecarProgram, Dir: t.TempDir(),
-		freeAddr: func(int) (string, error) { return l.Addr().String(), nil }})
+	_, err = Run(t.Context(), s, harness.Options{Program: sidecarProgram, Dir: t.TempDir(),
+		FreeAddr: func(int) (string, error) { return l.Addr().String(), nil }})
 	if err == nil || !strings.Contains(err.Error(), "sidecar 0 at "+l.Addr().String()) || !strings.Contains(err.Error(), "address already in use") {
 		t.Errorf("got %v", err)
 	}
@@ -289,7 +291,7 @@
 func TestCompareFindsTheDifference(t *testing.T) {
 	sound := parse(t, small)
 	bad := parse(t, small+"[[fault]]\nat = \"0s\"\nfor = \"2s\"\nkind = \"fail\"\nservers = \"all\"\nsize = 1\n")
-	c, err := Compare(t.Context(), Side{"sound", sound, sidecarProgram}, Side{"bad", bad, sidecarProgram}, 3, 2, Options{})
+	c, err := Compare(t.Context(), Side{"sound", sound, sidecarProgram}, Side{"bad", bad, sidecarProgram}, 3, 2, harness.Options{})
 	if errors.Is(err, errBusy) {
 		t.Skip(err)
 	}
@@ -323,7 +325,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	var back Report
+	var back report.Report
 	if err := json.Unmarshal(data, &back); err != nil || back.Seed != rep.Seed || back.Result.Figures != rep.Result.Figures {
 		t.Errorf("read back %+v, %v", back.Result, err)
 	}
--- a/internal/lab/listscale.go
+++ b/internal/lab/listscale.go
@@ -17,6 +17,7 @@
 	"sync/atomic"
 	"time"
 
+	"marblelane/internal/lab/harness"
 	"marblelane/internal/lab/process"
 	"marblelane/internal/lab/relay"
 )
@@ -40,7 +41,7 @@
 const burst = 7 * time.Second
 
 // ListScale measures the list service at each size, shared lines and the baseline in turn.
-func ListScale(ctx context.Context, watchers, entries []int, o Options) ([]ListPoint, error) {
+func ListScale(ctx context.Context, watchers, entries []int, o harness.Options) ([]ListPoint, error) {
 	var points []ListPoint
 	for _, m := range entries {
 		for _, n := range watchers {
@@ -59,19 +60,25 @@
 	return points, nil
 }
 
+// listChange is a change of the list: its revision, when it was called, and when it was acknowledged or told.
+type listChange struct {
+	rev          int64
+	called, done time.Duration
+}
+
 // follower counts what a watcher is told.
 type follower struct {
 	rev   atomic.Int64
 	bytes *atomic.Int64
 	mu    sync.Mutex
-	told  []ack
+	told  []listChange
 }
 
 // follow keeps a watch until ctx ends; it comes back as it is told to.
 func (f *follower) follow(ctx context.Context, client *http.Client, addr string, now func() time.Duration) {
 	for ctx.Err() == nil {
 		wait := f.watch(ctx, client, addr, now)
-		if !sleep(ctx, wait) {
+		if !harness.Sleep(ctx, wait) {
 			return
 		}
 	}
@@ -111,7 +118,7 @@
 		f.bytes.Add(int64(line.size))
 		f.rev.Store(line.rev)
 		f.mu.Lock()
-		f.told = append(f.told, ack{rev: line.rev, done: now()})
+		f.told = append(f.told, listChange{rev: line.rev, done: now()})
 		f.mu.Unlock()
 	}
 }
@@ -142,7 +149,7 @@
 }
 
 // listPoint measures one size.
-func listPoint(ctx context.Context, n, m int, each bool, o Options) (*ListPoint, error) {
+func listPoint(ctx context.Context, n, m int, each bool, o harness.Options) (*ListPoint, error) {
 	dir, err := os.MkdirTemp("", "marblelane-list-")
 	if err != nil {
 		return nil, err
@@ -169,7 +176,7 @@
 		if err != nil {
 			return nil, err
 		}
-		wait, cancel := context.WithTimeout(ctx, startWait)
+		wait, cancel := context.WithTimeout(ctx, harness.StartTimeout)
 		defer cancel()
 		_, err = c.AwaitLog(wait, "ready name=")
 		return c, err
@@ -181,11 +188,11 @@
 	defer func() { c.Kill() }()
 	transport := &http.Transport{MaxIdleConnsPerHost: 64}
 	defer transport.CloseIdleConnections()
-	writer := &http.Client{Transport: transport, Timeout: callWait}
+	writer := &http.Client{Transport: transport, Timeout: harness.CallTimeout}
 	began := time.Now()
 	now := func() time.Duration { return time.Since(began) }
-	put := func(i int, boot int64) (ack, error) {
-		a := ack{called: now()}
+	put := func(i int, boot int64) (listChange, error) {
+		a := listChange{called: now()}
 		body := fmt.Sprintf(`{"endpoint":"127.0.0.1:%d","az":"limerick-dc","model":"standard","pod_group":%d,"boot_ms":%d}`, 1000+i, i/4, boot)
 		resp, err := writer.Post(fmt.Sprintf("http://%s/registry/instances/s-%08x", addr, i), "application/json", bytes.NewReader([]byte(body)))
 		if err != nil {
@@ -202,11 +209,11 @@
 		if _, err = put(0, 1); err == nil {
 			break
 		}
-		if first++; first > 1000 || !sleep(ctx, 20*time.Millisecond) {
+		if first++; first > 1000 || !harness.Sleep(ctx, 20*time.Millisecond) {
 			return nil, err
 		}
 	}
-	if err := parallel(m, 32, func(i int) error { _, err := put(i, 1); return err }); err != nil {
+	if err := harness.Parallel(m, 32, func(i int) error { _, err := put(i, 1); return err }); err != nil {
 		return nil, err
 	}
 	before, err := process.Measure(c.PID)
@@ -231,7 +238,7 @@
 		end, cancel := context.WithTimeout(ctx, 2*time.Minute)
 		defer cancel()
 		for !reached(rev) {
-			if !sleep(end, time.Millisecond) {
+			if !harness.Sleep(end, time.Millisecond) {
 				return errors.New("some watchers are told nothing")
 			}
 		}
@@ -246,10 +253,10 @@
 	}
 	told.Store(0)
 	changes := m / 2
-	acks := make([]ack, changes)
+	acks := make([]listChange, changes)
 	at := now()
-	err = parallel(changes, 8, func(i int) error {
-		if wait := at + burst*time.Duration(i)/time.Duration(changes) - now(); wait > 0 && !sleep(ctx, wait) {
+	err = harness.Parallel(changes, 8, func(i int) error {
+		if wait := at + burst*time.Duration(i)/time.Duration(changes) - now(); wait > 0 && !harness.Sleep(ctx, wait) {
 			return ctx.Err()
 		}
 		var err error
@@ -259,7 +266,7 @@
 	if err != nil {
 		return nil, err
 	}
-	last := slices.MaxFunc(acks, func(a, b ack) int { return int(a.rev - b.rev) }).rev
+	last := slices.MaxFunc(acks, func(a, b listChange) int { return int(a.rev - b.rev) }).rev
 	if err := await(last); err != nil {
 		return nil, err
 	}
@@ -272,7 +279,7 @@
 		latest := time.Duration(0)
 		for _, f := range all {
 			f.mu.Lock()
-			i, _ := slices.BinarySearchFunc(f.told, a.rev, func(t ack, rev int64) int { return int(t.rev - rev) })
+			i, _ := slices.BinarySearchFunc(f.told, a.rev, func(t listChange, rev int64) int { return int(t.rev - rev) })
 			latest = max(latest, f.told[i].done)
 			f.mu.Unlock()
 		}
@@ -303,30 +310,6 @@
 	return p, nil
 }
 
-// parallel does n things, so many at a time, and gives the first error.
-func parallel(n, most int, do func(i int) error) error {
-	var next atomic.Int64
-	var wg sync.WaitGroup
-	var mu sync.Mutex
-	var first error
-	for range min(n, most) {
-		wg.Go(func() {
-			for i := int(next.Add(1)) - 1; i < n; i = int(next.Add(1)) - 1 {
-				if err := do(i); err != nil {
-					mu.Lock()
-					if first == nil {
-						first = err
-					}
-					mu.Unlock()
-					return
-				}
-			}
-		})
-	}
-	wg.Wait()
-	return first
-}
-
 // PrintListScale writes the sizes as a table, with how the cost grows and how it stands to the baseline.
 func PrintListScale(w io.Writer, points []ListPoint) {
 	fmt.Fprintf(w, "%-12s %8s %8s %8s %10s %10s %13s %12s %11s %9s %8s\n", "encoded", "watchers", "entries", "changes", "tell p50",
--- a/internal/lab/members.go
+++ b/internal/lab/members.go
@@ -4,7 +4,6 @@
 	"context"
 	"errors"
 	"fmt"
-	"math/rand/v2"
 	"net"
 	"os"
 	"path/filepath"
@@ -16,6 +15,8 @@
 	"github.com/pelletier/go-toml/v2"
 	"golang.org/x/sys/unix"
 
+	"marblelane/internal/lab/cluster"
+	"marblelane/internal/lab/harness"
 	"marblelane/internal/lab/process"
 	"marblelane/internal/lab/relay"
 	"marblelane/internal/lab/scenario"
@@ -62,7 +63,7 @@
 
 // newMembers opens a front for the first process of each party, as every seed's address is known before it starts.
 func newMembers(r *run) (*members, error) {
-	m := &members{r: r, parties: len(r.plan.Sidecars) + r.s.Discovery.Registry, callers: map[string]int{},
+	m := &members{r: r, parties: len(r.Plan.Sidecars) + r.Scenario.Discovery.Registry, callers: map[string]int{},
 		nobody: relay.NewPacketLink(relay.PacketRules{Cut: relay.Both}, 0), procs: map[*process.Child]uint64{}}
 	m.ctx, m.stop = context.WithCancel(context.Background())
 	m.fronts = make([][]*front, m.parties)
@@ -71,8 +72,8 @@
 		var links []*relay.Link
 		var packets []*relay.PacketLink
 		for j := range m.parties {
-			seed := r.plan.Seed ^ uint64(i*m.parties+j)<<20
-			rules := relay.Rules{Latency: m.between(i, j), Jitter: r.s.Network.Jitter}
+			seed := r.Plan.Seed ^ uint64(i*m.parties+j)<<20
+			rules := relay.Rules{Latency: m.between(i, j), Jitter: r.Scenario.Network.Jitter}
 			links = append(links, relay.NewLink(rules, seed))
 			packets = append(packets, relay.NewPacketLink(relay.PacketRules{Latency: rules.Latency, Jitter: rules.Jitter}, seed))
 		}
@@ -89,11 +90,11 @@
 
 // between is the time one way between two parties when nothing is wrong; copies of the list service are near all.
 func (m *members) between(i, j int) time.Duration {
-	s, n := m.r.s, len(m.r.plan.Sidecars)
+	s, n := m.r.Scenario, len(m.r.Plan.Sidecars)
 	if i >= n || j >= n {
 		return s.Network.Same.Duration()
 	}
-	return s.Network.Latency(m.r.plan.Sidecars[i].Zone, m.r.plan.Sidecars[j].Zone).Duration()
+	return s.Network.Latency(m.r.Plan.Sidecars[i].Zone, m.r.Plan.Sidecars[j].Zone).Duration()
 }
 
 // open makes a front. It is dead until a process is about to be there.
@@ -101,7 +102,7 @@
 	var err error
 	for range portTrials {
 		f := &front{party: party, dead: dead, held: -1}
-		if f.bind, err = freeForBoth(relay.CallerAddr(party)); err != nil {
+		if f.bind, err = harness.FreeMemberAddr(relay.CallerAddr(party)); err != nil {
 			return nil, err
 		}
 		f.port, err = relay.ForwardBySource(func(from int) *relay.Link {
@@ -132,26 +133,6 @@
 	return nil, fmt.Errorf("lab: no address for member %d: %w", party, err)
 }
 
-// freeForBoth finds a port on a loopback address that is free for connections and packets. It lies below those at which
-// relays listen on all addresses, as one of them could take it before the process binds it.
-func freeForBoth(host string) (string, error) {
-	var last error
-	for range 64 {
-		addr := net.JoinHostPort(host, strconv.Itoa(2048+rand.IntN(8192)))
-		l, err := net.Listen("tcp4", addr)
-		if err != nil {
-			last = err
-			continue
-		}
-		c, err := net.ListenPacket("udp4", addr)
-		if l.Close(); err == nil {
-			return addr, c.Close()
-		}
-		last = err
-	}
-	return "", fmt.Errorf("lab: no address: %w", last)
-}
-
 // newest is the front of a party's newest process.
 func (m *members) newest(party int) *front {
 	m.mu.Lock()
@@ -163,7 +144,7 @@
 func (m *members) prepare(party int) (*front, error) {
 	f := m.newest(party)
 	m.mu.Lock()
-	usable := f.dead && (!f.used || m.r.s.Members != nil && m.r.s.Members.KeepAddress || party >= len(m.r.plan.Sidecars))
+	usable := f.dead && (!f.used || m.r.Scenario.Members != nil && m.r.Scenario.Members.KeepAddress || party >= len(m.r.Plan.Sidecars))
 	m.mu.Unlock()
 	if !usable {
 		var err error
@@ -193,7 +174,7 @@
 	}
 	f.dead = true
 	if err := m.settle(f); err != nil {
-		m.r.fail(err)
+		m.r.Fail(err)
 	}
 }
 
@@ -334,14 +315,14 @@
 
 // section is the section members of a party's configuration; nil: it has none.
 func (m *members) section(party int) map[string]any {
-	s := m.r.s
-	if party < len(m.r.plan.Sidecars) && !s.Membered(party) {
+	s := m.r.Scenario
+	if party < len(m.r.Plan.Sidecars) && !s.Membered(party) {
 		return nil
 	}
 	f := m.newest(party)
 	out := map[string]any{"fleet": memberFleet, "bind": f.bind, "advertise": f.addr()}
 	var seeds []string
-	for _, i := range m.r.plan.Seeds {
+	for _, i := range m.r.Plan.Seeds {
 		if i != party {
 			seeds = append(seeds, m.newest(i).addr())
 		}
@@ -358,7 +339,7 @@
 	if s.Members.BelieveRefused != nil {
 		out["believe_refused"] = *s.Members.BelieveRefused
 	}
-	if d := s.Members.Defect; d != "" && party < len(m.r.plan.Sidecars) {
+	if d := s.Members.Defect; d != "" && party < len(m.r.Plan.Sidecars) {
 		out["defect"] = d
 	}
 	return out
@@ -367,29 +348,29 @@
 // startService turns membership on in the copies of the list service, which run already: one after another is started
 // again with its section, as an operator would do it.
 func (m *members) startService(ctx context.Context) error {
-	for k, c := range m.r.service.rr.copies {
-		party := len(m.r.plan.Sidecars) + k
+	for k, c := range m.r.service.rr.Replicas {
+		party := len(m.r.Plan.Sidecars) + k
 		f, err := m.prepare(party)
 		if err != nil {
 			return err
 		}
 		text, err := toml.Marshal(map[string]any{"members": m.section(party)})
 		if err != nil {
-			return fmt.Errorf("copy %s: %w", c.name, err)
+			return fmt.Errorf("copy %s: %w", c.Name, err)
 		}
-		file, err := os.OpenFile(filepath.Join(c.spec.Dir, "registry.toml"), os.O_APPEND|os.O_WRONLY, 0)
+		file, err := os.OpenFile(filepath.Join(c.Spec.Dir, "registry.toml"), os.O_APPEND|os.O_WRONLY, 0)
 		if err != nil {
-			return fmt.Errorf("copy %s: %w", c.name, err)
+			return fmt.Errorf("copy %s: %w", c.Name, err)
 		}
 		_, err = file.Write(append([]byte("\n"), text...))
 		if err := errors.Join(err, file.Close()); err != nil {
-			return fmt.Errorf("copy %s: %w", c.name, err)
+			return fmt.Errorf("copy %s: %w", c.Name, err)
 		}
-		c.process().Kill()
-		if err := m.r.service.rr.launch(ctx, c); err != nil {
+		c.Process().Kill()
+		if err := m.r.service.rr.Launch(ctx, c); err != nil {
 			return err
 		}
-		for m.r.service.rr.leader(ctx) == nil {
+		for m.r.service.rr.Leader(ctx) == nil {
 			if ctx.Err() != nil {
 				return errors.New("the list service has no leader")
 			}
@@ -400,12 +381,12 @@
 }
 
 // followCopy follows the processes of a copy of the list service, which the faults of its own kinds end and start.
-func (m *members) followCopy(f *front, c *registryCopy) {
+func (m *members) followCopy(f *front, c *cluster.Replica) {
 	var last *process.Child
 	for m.ctx.Err() == nil {
-		p := c.process()
+		p := c.Process()
 		if p == last {
-			sleep(m.ctx, 20*time.Millisecond)
+			harness.Sleep(m.ctx, 20*time.Millisecond)
 			continue
 		}
 		m.mu.Lock()
@@ -414,28 +395,28 @@
 		if last = p; dead {
 			var err error
 			if f, err = m.prepare(f.party); err != nil {
-				m.r.fail(err)
+				m.r.Fail(err)
 				return
 			}
 		}
 		m.has(f, p)
-		m.follow(f, p, c.serve)
+		m.follow(f, p, c.Address)
 	}
 }
 
 // lateSteps start the sidecars that start late.
 func (m *members) lateSteps() []step {
 	var late []int
-	for i := range m.r.plan.Sidecars {
-		if m.r.s.Late(i) {
+	for i := range m.r.Plan.Sidecars {
+		if m.r.Scenario.Late(i) {
 			late = append(late, i)
 		}
 	}
 	if len(late) == 0 {
 		return nil
 	}
-	return []step{{m.r.s.Members.LateAt.Duration(), fmt.Sprintf("sidecars %v start", late), 0, func(ctx context.Context) error {
-		return m.r.each(late, func(i int) error { return m.r.sidecars[i].begin(ctx) })
+	return []step{{m.r.Scenario.Members.LateAt.Duration(), fmt.Sprintf("sidecars %v start", late), 0, func(ctx context.Context) error {
+		return harness.ForEach(late, func(i int) error { return m.r.sidecars[i].begin(ctx) })
 	}}}
 }
 
--- a/internal/lab/members_result.go
+++ b/internal/lab/members_result.go
@@ -3,80 +3,16 @@
 import (
 	"cmp"
 	"fmt"
-	"io"
 	"slices"
 	"strings"
 	"time"
 
 	"marblelane/internal/lab/invariant"
 	"marblelane/internal/lab/record"
+	"marblelane/internal/lab/report"
 	"marblelane/internal/lab/scenario"
 )
 
-// MembersResult is what members of a run knew of each other. Times are in milliseconds.
-type MembersResult struct {
-	Processes int     `json:"processes"` // that were asked
-	Answers   int     `json:"answers"`
-	MostTaken float64 `json:"most_taken"` // the greatest sum of parts; 1 is what the fleet allows
-	TakenAt   float64 `json:"taken_at_s"`
-	// Of deaths without a word, for each that lived on: until it took the dead for silent, and until it counted it out.
-	Deaths     int   `json:"deaths"`
-	Noticed    Times `json:"noticed"`
-	CountedOut Times `json:"counted_out"`
-	Left       Times `json:"left"` // of ends in order: from the signal until it was counted out
-	// FalseSilent are processes that lived and were taken for silent; FalseDeaths are those of them that were neither
-	// frozen nor cut off; FalseGone were said to be proved gone.
-	FalseSilent int      `json:"false_silent"`
-	FalseDeaths int      `json:"false_deaths"`
-	FalseGone   int      `json:"false_gone"`
-	FalseOnes   []string `json:"false_ones"` // the first of them without such a cause
-	Changes     int      `json:"changes"`    // of what some process counts
-	// AgreeMS is from the last thing that happened until all counted the same; -1: not within the run.
-	AgreeMS   float64 `json:"agree_ms"`
-	Newcomers int     `json:"newcomers"`
-	Admitted  Times   `json:"admitted"` // of newcomers, from the moment they served
-	Forced    int     `json:"forced"`   // processes that were let in although somebody did not know them
-	Known     [2]int  `json:"known"`    // the least and the most that a process counted at the end
-	Heard     [2]int  `json:"heard"`
-}
-
-// Times is how long something took, over all its cases.
-type Times struct {
-	Cases int     `json:"cases"`
-	Never int     `json:"never"` // cases in which it had not come about when the run ended
-	P50   float64 `json:"p50_ms"`
-	P99   float64 `json:"p99_ms"`
-	Max   float64 `json:"max_ms"`
-	all   []time.Duration
-}
-
-func (t *Times) add(d time.Duration, ok bool) {
-	if t.Cases++; !ok {
-		t.Never++
-		return
-	}
-	t.all = append(t.all, d)
-}
-
-func (t *Times) sum() {
-	slices.Sort(t.all)
-	at := func(q float64) float64 {
-		if len(t.all) == 0 {
-			return 0
-		}
-		return float64(t.all[int(q*float64(len(t.all)-1)+0.5)]) / float64(time.Millisecond)
-	}
-	t.P50, t.P99, t.Max = at(0.5), at(0.99), at(1)
-}
-
-func (t Times) String() string {
-	text := fmt.Sprintf("%d cases, p50 %.0f  p99 %.0f  max %.0f ms", t.Cases, t.P50, t.P99, t.Max)
-	if t.Never > 0 {
-		text += fmt.Sprintf(" (%d not within the run)", t.Never)
-	}
-	return text
-}
-
 // memberLife is one process as its records show it.
 type memberLife struct {
 	party                 int32
@@ -97,12 +33,12 @@
 	facts *invariant.Members
 	all   []*memberLife
 	moved time.Duration // when the last thing happened to a process or link
-	out   *MembersResult
+	out   *report.MembersResult
 }
 
 // facts are what the rules hold the run against.
 func (m *members) facts() *invariant.Members {
-	p, s := m.r.plan, m.r.s
+	p, s := m.r.Plan, m.r.Scenario
 	f := &invariant.Members{Sidecars: len(p.Sidecars), Peers: s.Peers()}
 	for i := range p.Sidecars {
 		f.Names = append(f.Names, p.Sidecars[i].Name)
@@ -111,8 +47,8 @@
 		}
 	}
 	if m.r.service != nil {
-		for _, c := range m.r.service.rr.copies {
-			f.Names = append(f.Names, c.name)
+		for _, c := range m.r.service.rr.Replicas {
+			f.Names = append(f.Names, c.Name)
 		}
 	}
 	for i := range p.Faults {
@@ -127,8 +63,8 @@
 const afterRefusal = 15 * time.Second
 
 // membersResult reads what members knew from a run's events, by time.
-func membersResult(events []record.Event, facts *invariant.Members, s *scenario.Scenario) *MembersResult {
-	r := &membersRead{facts: facts, out: &MembersResult{AgreeMS: -1}}
+func membersResult(events []record.Event, facts *invariant.Members, s *scenario.Scenario) *report.MembersResult {
+	r := &membersRead{facts: facts, out: &report.MembersResult{AgreeMS: -1}}
 	r.read(events)
 	for _, one := range invariant.QuotaMoments(events, facts) {
 		if one.Sum > r.out.MostTaken {
@@ -141,8 +77,8 @@
 		r.newcomer(p)
 	}
 	r.agreement()
-	for _, t := range []*Times{&r.out.Noticed, &r.out.CountedOut, &r.out.Left, &r.out.Admitted} {
-		t.sum()
+	for _, t := range []*report.Times{&r.out.Noticed, &r.out.CountedOut, &r.out.Left, &r.out.Admitted} {
+		t.Summarize()
 	}
 	return r.out
 }
@@ -235,12 +171,12 @@
 		if q == p || q.served >= min(p.leaves, p.ended) || q.standings[id] == nil {
 			continue
 		}
-		add := func(t *Times, from time.Duration, states ...string) {
+		add := func(t *report.Times, from time.Duration, states ...string) {
 			d, ok := q.until(id, from, states...)
 			if !ok && (q.ended != notYet || q.leaves != notYet) {
 				return // it did not live to see it
 			}
-			t.add(d, ok)
+			t.Add(d, ok)
 		}
 		if !killed {
 			add(&r.out.Left, p.leaves, invariant.Gone, invariant.Absent)
@@ -340,9 +276,9 @@
 	i := slices.IndexFunc(p.said, func(e record.Event) bool { return e.Canary })
 	switch {
 	case i >= 0:
-		r.out.Admitted.add(max(p.said[i].T-p.served, 0), true)
+		r.out.Admitted.Add(max(p.said[i].T-p.served, 0), true)
 	case p.ended == notYet:
-		r.out.Admitted.add(0, false)
+		r.out.Admitted.Add(0, false)
 	}
 }
 
@@ -396,49 +332,3 @@
 		}
 	}
 }
-
-// missed compares what members knew with what was expected.
-func (o *MembersResult) missed(e *scenario.Expect) []string {
-	var out []string
-	if o.Answers == 0 {
-		out = append(out, "no process said what it knows of the fleet")
-	}
-	if e.Members != nil && (o.Known[0] != *e.Members || o.Known[1] != *e.Members) {
-		out = append(out, fmt.Sprintf("members count %d to %d at the end, expected %d", o.Known[0], o.Known[1], *e.Members))
-	}
-	for _, one := range []struct {
-		name string
-		want *scenario.Duration
-		t    *Times
-	}{
-		{"noticed", e.Noticed, &o.Noticed}, {"counted_out", e.CountedOut, &o.CountedOut}, {"admitted", e.Admitted, &o.Admitted},
-	} {
-		if one.want != nil && (one.t.Cases == 0 || one.t.Never > 0 || one.t.Max > one.want.Milliseconds()) {
-			out = append(out, fmt.Sprintf("%s: %v, expected at most %v", one.name, *one.t, one.want.Duration()))
-		}
-	}
-	if e.Agree != nil && (o.AgreeMS < 0 || o.AgreeMS > e.Agree.Milliseconds()) {
-		out = append(out, fmt.Sprintf("members agree after %.0f ms (-1: not within the run), expected at most %v",
-			o.AgreeMS, e.Agree.Duration()))
-	}
-	return out
-}
-
-func (o *MembersResult) print(w io.Writer) {
-	fmt.Fprintf(w, "\nmembers       %d processes, %d answers; at the end they count %d to %d, and hear %d to %d\n",
-		o.Processes, o.Answers, o.Known[0], o.Known[1], o.Heard[0], o.Heard[1])
-	fmt.Fprintf(w, "parts         at most %.3f of what the fleet allows, at %.1f s; %d let in, though not known to all\n",
-		o.MostTaken, o.TakenAt, o.Forced)
-	fmt.Fprintf(w, "deaths        %d; noticed %v; counted out %v\n", o.Deaths, o.Noticed, o.CountedOut)
-	if o.Left.Cases > 0 {
-		fmt.Fprintf(w, "left          counted out %v\n", o.Left)
-	}
-	fmt.Fprintf(w, "the living    taken for silent %d times, %d of these without a cut or a freeze; said to be gone %d times\n",
-		o.FalseSilent, o.FalseDeaths, o.FalseGone)
-	if n := len(o.FalseOnes); n > 0 {
-		fmt.Fprintf(w, "              %s\n", strings.Join(o.FalseOnes[:min(n, mostRows)], "; "))
-	}
-	fmt.Fprintf(w, "newcomers     %d; admitted %v\n", o.Newcomers, o.Admitted)
-	fmt.Fprintf(w, "views         %d changes; all agree %.0f ms after the last thing that happened (-1: not within the run)\n",
-		o.Changes, o.AgreeMS)
-}
--- a/internal/lab/members_test.go
+++ b/internal/lab/members_test.go
@@ -12,8 +12,10 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
+	"marblelane/internal/lab/harness"
 	"marblelane/internal/lab/invariant"
 	"marblelane/internal/lab/record"
+	"marblelane/internal/lab/report"
 	"marblelane/internal/lab/scenario"
 )
 
@@ -68,7 +70,7 @@
 // A front refuses where its host would, and not through a cut; packets and connections pass as the faults let them.
 func TestFronts(t *testing.T) {
 	s := parse(t, fleetOfThree)
-	m, err := newMembers(&run{s: s, plan: s.Plan(1)})
+	m, err := newMembers(&run{Run: &harness.Run{Scenario: s, Plan: s.Plan(1)}})
 	require.NoError(t, err)
 	defer m.close()
 	f := []*front{m.newest(0), m.newest(1), m.newest(2)}
@@ -137,10 +139,10 @@
 func TestMembersAreFollowed(t *testing.T) {
 	rep := play(t, parse(t, fleetOfThree))
 	end, reason := rep.Outcome()
-	if end == Late {
+	if end == report.Late {
 		t.Skip(reason)
 	}
-	assert.Equal(t, Pass, end, reason)
+	assert.Equal(t, report.Pass, end, reason)
 	assert.Equal(t, 1, rep.Members.Deaths)
 	assert.Equal(t, 2, rep.Members.CountedOut.Cases)
 }
@@ -177,12 +179,12 @@
 	says(9, 1, 2, 2)
 	out := membersResult(events, &invariant.Members{Names: []string{"n0", "n1", "n2"}, Sidecars: 3, Peers: 3}, nil)
 	assert.Equal(t, 1, out.Deaths)
-	assert.Equal(t, []time.Duration{at(2), at(3)}, out.Noticed.all)
-	once := Times{Cases: 2, Never: 1, P50: 4000, P99: 4000, Max: 4000, all: []time.Duration{at(4)}}
+	assert.Equal(t, []time.Duration{at(2), at(3)}, out.Noticed.Durations)
+	once := report.Times{Cases: 2, Never: 1, P50: 4000, P99: 4000, Max: 4000, Durations: []time.Duration{at(4)}}
 	assert.Equal(t, once, out.CountedOut)
 	assert.Equal(t, []int{1, 1, 0}, []int{out.FalseSilent, out.FalseDeaths, out.FalseGone})
 	assert.Equal(t, 6000.0, out.AgreeMS)
 	assert.Equal(t, [2]int{2, 2}, out.Known)
 	three := 3
-	assert.Len(t, out.missed(&scenario.Expect{Members: &three}), 1)
+	assert.Len(t, out.MissedExpectations(&scenario.Expect{Members: &three}), 1)
 }
--- a/internal/lab/members_watch.go
+++ b/internal/lab/members_watch.go
@@ -76,7 +76,7 @@
 }
 
 func (m *members) note(party int, serial uint64, note string) {
-	m.r.log.Add(record.Event{Kind: record.MemberProcess, Sidecar: int32(party), Server: record.None, Class: record.None,
+	m.r.Events.Add(record.Event{Kind: record.MemberProcess, Sidecar: int32(party), Server: record.None, Class: record.None,
 		Sum: serial, Note: note})
 }
 
@@ -108,7 +108,7 @@
 	defer t.Stop()
 	for {
 		if err := w.ask(ctx); err != nil && ctx.Err() == nil {
-			m.r.out.Debug("lab: a member does not say what it knows", "member", f.party, "error", err)
+			m.r.Log.Debug("lab: a member does not say what it knows", "member", f.party, "error", err)
 		}
 		select {
 		case <-t.C:
@@ -135,7 +135,7 @@
 
 // ask asks once and writes down the answer.
 func (w *memberWatch) ask(ctx context.Context) error {
-	called := w.m.r.log.Now()
+	called := w.m.r.Events.Now()
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, w.url, nil)
 	if err != nil {
 		return err
@@ -156,7 +156,7 @@
 	if err := json.Unmarshal(text, &got); err != nil {
 		return err
 	}
-	w.told(called, w.m.r.log.Now(), &got)
+	w.told(called, w.m.r.Events.Now(), &got)
 	return nil
 }
 
@@ -174,7 +174,7 @@
 			e.Note = invariant.MemberLeft
 		}
 	}
-	w.m.r.log.Add(e)
+	w.m.r.Events.Add(e)
 	one := record.Event{T: back, Kind: record.MemberStatus, Sidecar: int32(w.party), Server: record.None,
 		Class: record.None, Sum: w.serial, Want: e.Want}
 	said := make(map[memberKey]string, len(got.Members))
@@ -183,13 +183,13 @@
 		said[key] = strings.TrimSpace(v.State + " " + v.Name + " " + v.Proof)
 		if said[key] != w.said[key] {
 			one.N, one.Note = v.Start, said[key]
-			w.m.r.log.Add(one)
+			w.m.r.Events.Add(one)
 		}
 	}
 	for key := range w.said {
 		if _, ok := said[key]; !ok {
 			one.N, one.Note = key.start, invariant.Absent+" "+key.name
-			w.m.r.log.Add(one)
+			w.m.r.Events.Add(one)
 		}
 	}
 	w.said = said
--- a/internal/lab/memberscale.go
+++ b/internal/lab/memberscale.go
@@ -13,6 +13,7 @@
 	"time"
 
 	"marblelane/internal/lab/gossip"
+	"marblelane/internal/lab/harness"
 )
 
 // MemberScale says which fleets of members to measure. Their groups are the real ones; they run in this process on a
@@ -181,7 +182,7 @@
 	beating, still := context.WithCancel(limited)
 	var lag []time.Duration
 	var beat, split, lost sync.WaitGroup
-	beat.Go(func() { lag, _ = heartbeat(beating) })
+	beat.Go(func() { lag, _ = harness.MeasureTimerLag(beating) })
 	for i, size := range side {
 		split.Go(func() {
 			r.fleet(size, func(f *scaleFleet) { r.split(size, f) })
--- a/internal/lab/memberscale_fleet.go
+++ b/internal/lab/memberscale_fleet.go
@@ -17,6 +17,7 @@
 	"golang.org/x/sys/unix"
 
 	"marblelane/internal/lab/gossip"
+	"marblelane/internal/lab/harness"
 	"marblelane/internal/membership"
 	"marblelane/internal/membership/roster"
 )
@@ -88,7 +89,7 @@
 	began := time.Now()
 	for i := range n {
 		// Two hundred in a time between probes, as a platform starts them.
-		if !sleep(ctx, time.Until(began.Add(m.Interval*time.Duration(i)/200))) {
+		if !harness.Sleep(ctx, time.Until(began.Add(m.Interval*time.Duration(i)/200))) {
 			return nil, errors.Join(context.Cause(ctx), f.close())
 		}
 		port, err := f.net.Open(gossip.Addr(i))
@@ -123,7 +124,7 @@
 	}
 	ended := make(chan error, 1)
 	go func() {
-		ended <- parallel(len(f.members), 32, func(i int) error { return f.members[i].group.Close() })
+		ended <- harness.Parallel(len(f.members), 32, func(i int) error { return f.members[i].group.Close() })
 	}()
 	select {
 	case err := <-ended:
@@ -142,7 +143,7 @@
 		if i < 0 {
 			return nil
 		}
-		if !sleep(ctx, max(f.m.Interval/50, time.Millisecond)) {
+		if !harness.Sleep(ctx, max(f.m.Interval/50, time.Millisecond)) {
 			return fmt.Errorf("member %d %s: %+v: %w", i, what, f.members[i].last(), context.Cause(ctx))
 		}
 	}
@@ -201,7 +202,7 @@
 	most := uint64(3 * len(f.members)) // in one interval: a probe, an answer, and some
 	for end := time.Now().Add(f.m.Wait); ctx.Err() == nil && time.Now().Before(end); {
 		_, before := f.sent()
-		if !sleep(ctx, f.m.Interval) {
+		if !harness.Sleep(ctx, f.m.Interval) {
 			return false
 		}
 		if _, now := f.sent(); now-before <= most {
@@ -284,7 +285,7 @@
 	}
 	unheard, out, _ := falls()
 	began := time.Now()
-	sleep(ctx, window)
+	harness.Sleep(ctx, window)
 	hours := time.Since(began).Hours()
 	unheardNow, outNow, most := falls()
 	n := float64(len(f.members))
@@ -359,7 +360,7 @@
 	ended := f.members[n-k:]
 	f.members = f.members[:n-k]
 	began := time.Now()
-	if err := parallel(k, k, func(i int) error { return ended[i].group.Close() }); err != nil {
+	if err := harness.Parallel(k, k, func(i int) error { return ended[i].group.Close() }); err != nil {
 		return nil, err
 	}
 	// What did not come in time is -1 below.
--- a/internal/lab/memberscale_procs.go
+++ b/internal/lab/memberscale_procs.go
@@ -14,6 +14,7 @@
 	"time"
 
 	"marblelane/internal/lab/agent"
+	"marblelane/internal/lab/harness"
 	"marblelane/internal/lab/process"
 	"marblelane/internal/lab/record"
 	"marblelane/internal/lab/relay"
@@ -71,7 +72,7 @@
 	defer list.Close()
 	var seeds []string
 	for range min(3, n) {
-		addr, err := freeForBoth("127.0.0.1")
+		addr, err := harness.FreeMemberAddr("127.0.0.1")
 		if err != nil {
 			return nil, err
 		}
@@ -80,9 +81,9 @@
 	nursery := process.NewSupervisor()
 	defer nursery.Close()
 	all, manage := make([]*process.Child, n), make([]string, n)
-	starting, cancel := context.WithTimeout(ctx, startWait)
+	starting, cancel := context.WithTimeout(ctx, harness.StartTimeout)
 	defer cancel()
-	err = parallel(n, 8, func(i int) error {
+	err = harness.Parallel(n, 8, func(i int) error {
 		p := &plan.Sidecars[i]
 		config := map[string]any{"name": p.Name, "listen": "127.0.0.1:0", "discovery": list.Addr(i),
 			"management": "127.0.0.1:0", "seed": strconv.FormatUint(p.Seed, 16), "settings": plan.Settings(i),
@@ -110,7 +111,7 @@
 		if err != nil {
 			return err
 		}
-		ready, err := all[i].AwaitLog(starting, readyText)
+		ready, err := all[i].AwaitLog(starting, harness.ReadyText)
 		for _, field := range strings.Fields(ready) {
 			if addr, ok := strings.CutPrefix(field, "management="); ok {
 				manage[i] = addr
@@ -130,7 +131,7 @@
 		out.Joined = time.Since(began).Seconds()
 	}
 	// What the joining set off is told on for a while, the longer the larger the fleet.
-	if !sleep(ctx, m.Interval*time.Duration(5+n/5)) {
+	if !harness.Sleep(ctx, m.Interval*time.Duration(5+n/5)) {
 		return nil, context.Cause(ctx)
 	}
 	measure := func() (sum process.Usage, err error) {
@@ -148,7 +149,7 @@
 		return nil, err
 	}
 	began := time.Now()
-	if !sleep(ctx, window) {
+	if !harness.Sleep(ctx, window) {
 		return nil, context.Cause(ctx)
 	}
 	took := time.Since(began).Seconds()
@@ -164,10 +165,10 @@
 func (m *MemberScale) processesAgree(ctx context.Context, manage []string) error {
 	ctx, cancel := context.WithTimeout(ctx, m.Wait)
 	defer cancel()
-	client := &http.Client{Transport: &http.Transport{DisableKeepAlives: true}, Timeout: callWait}
+	client := &http.Client{Transport: &http.Transport{DisableKeepAlives: true}, Timeout: harness.CallTimeout}
 	for {
 		reports := make([]membership.Report, len(manage))
-		err := parallel(len(manage), 8, func(i int) error {
+		err := harness.Parallel(len(manage), 8, func(i int) error {
 			req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+manage[i]+"/members", nil)
 			if err != nil {
 				return err
@@ -191,7 +192,7 @@
 				return nil
 			}
 		}
-		if !sleep(ctx, m.Interval/5) {
+		if !harness.Sleep(ctx, m.Interval/5) {
 			return fmt.Errorf("they do not agree: %w", err)
 		}
 	}
--- a/internal/lab/held.go
+++ b/internal/lab/report/delayed_links.go
@@ -1,12 +1,12 @@
-package lab
+package report
 
 import (
 	"marblelane/internal/lab/invariant"
 	"marblelane/internal/lab/scenario"
 )
 
-// heldBack are the times in which links between sidecars and servers hold back what is sent on them.
-func heldBack(p *scenario.Plan) []invariant.HeldBack {
+// delayedLinks are the times in which links between sidecars and servers hold back what is sent on them.
+func delayedLinks(p *scenario.Plan) []invariant.HeldBack {
 	var all []int
 	for i := range p.Sidecars {
 		all = append(all, i)
--- a/internal/lab/outcome.go
+++ b/internal/lab/report/outcome.go
@@ -1,6 +1,4 @@
-package lab
-
-// This file is the report of a run and its outcome.
+package report
 
 import (
 	"fmt"
@@ -16,6 +14,20 @@
 	"marblelane/internal/lab/simulate"
 )
 
+// A run does not count when the lab itself was late: the machine was busy, and what parties did at which time is
+// not known well enough to hold it against the sidecars.
+const (
+	MaxLatenessP99 = 20 * time.Millisecond
+	MaxLateness    = 400 * time.Millisecond
+)
+
+// The three ends of a run.
+const (
+	Pass = "PASS"
+	Fail = "FAIL"
+	Late = "LATE" // it does not count
+)
+
 // Report is what came of a run.
 type Report struct {
 	Scenario string             `json:"scenario"`
@@ -30,7 +42,7 @@
 	Missed   []string           `json:"missed"` // expectations that were not met
 	Lateness Lateness           `json:"lateness"`
 	Events   int                `json:"events"`
-	Registry *RegistryResult    `json:"registry,omitempty"` // of a run of the list service
+	Registry *RegistryResult    `json:"registry,omitempty"` // of a run of the registry alone
 	Routes   *RoutesResult      `json:"routes,omitempty"`
 	Members  *MembersResult     `json:"members,omitempty"`
 	// ZoneFaults tell how zones were left and came back; of simulated runs, where each send is seen.
@@ -45,6 +57,24 @@
 	TooBig bool    `json:"too_big"`
 }
 
+// NewLateness sums up how late arrivals were sent, and by how much a timer of the lab's process was late.
+func NewLateness(arrivals, timerLag []time.Duration) Lateness {
+	p99, longest, lag := quantile(arrivals, 0.99), quantile(arrivals, 1), quantile(timerLag, 0.99)
+	return Lateness{P99MS: milliseconds(p99), MaxMS: milliseconds(longest), LagMS: milliseconds(lag),
+		TooBig: p99 > MaxLatenessP99 || longest > MaxLateness || lag > MaxLatenessP99}
+}
+
+func quantile(list []time.Duration, q float64) time.Duration {
+	if len(list) == 0 {
+		return 0
+	}
+	list = slices.Clone(list)
+	slices.Sort(list)
+	return list[int(math.Ceil(q*float64(len(list)-1)))]
+}
+
+func milliseconds(d time.Duration) float64 { return float64(d) / float64(time.Millisecond) }
+
 // Outcome is how the run ended, with the reason.
 func (r *Report) Outcome() (end, reason string) {
 	if r.Lateness.TooBig {
@@ -62,15 +92,15 @@
 	return Pass, ""
 }
 
-// newReport measures a run by its records and holds it to the rules; routes is nil where there are none, and stalls are the times
+// New measures a run by its records and holds it to the rules; routes is nil where there are none, and stalls are the times
 // in which the lab got no processor time.
-func newReport(p *scenario.Plan, all []record.Event, worked float64, routes *invariant.Routes, stalls []invariant.Span) *Report {
+func New(p *scenario.Plan, all []record.Event, worked float64, routes *invariant.Routes, stalls []invariant.Span) *Report {
 	s := p.Scenario
 	facts := invariant.Facts{
 		MaxAttempts: s.Rules.MaxAttempts, DrainGrace: s.Rules.DrainGrace.Duration(),
 		MemoryMB: s.Sidecars.MemoryMB, Sockets: s.Sidecars.Sockets, ServiceAfterTerm: scenario.SparedTerm,
-		Routes: routes, Latency: p.LongestLatency(), HeldBack: heldBack(p), Stalls: stalls, ReadyWithin: s.Rules.ReadyWithin.Duration(),
-		SlowStart: coldStart(p),
+		Routes: routes, Latency: p.LongestLatency(), HeldBack: delayedLinks(p), Stalls: stalls, ReadyWithin: s.Rules.ReadyWithin.Duration(),
+		SlowStart: slowStartLimits(p),
 	}
 	for _, c := range s.Classes {
 		facts.NonIdempotent = append(facts.NonIdempotent, c.Effect == "unsafe")
@@ -82,44 +112,20 @@
 	}
 }
 
-func (r *run) report(all []record.Event, worked float64, lates, lag []time.Duration, stalls []invariant.Span) *Report {
-	var routes *invariant.Routes
-	if o := r.rollouts.Load(); o != nil {
-		routes = o.facts()
-	}
-	rep := newReport(r.plan, all, worked, routes, stalls)
-	if r.members != nil { // before the rules of routes ask which were held to some case
-		facts := r.members.facts()
-		invariant.CheckMembers(all, facts, rep.Verdict)
-		rep.Members = membersResult(all, facts, r.s)
+// CheckExpectations lists what the scenario expects and the run did not show.
+func (r *Report) CheckExpectations(s *scenario.Scenario) {
+	r.CheckFigures(&s.Expect)
+	r.Missed = append(r.Missed, missedRouteExpectations(s, r)...)
+	if r.Members != nil {
+		r.Missed = append(r.Missed, r.Members.MissedExpectations(&s.Expect)...)
 	}
-	if o := r.rollouts.Load(); o != nil {
-		rep.Routes = o.result(all, routes, rep.Verdict)
-	}
-	quantile := func(d []time.Duration, q float64) time.Duration {
-		if len(d) == 0 {
-			return 0
-		}
-		d = slices.Clone(d)
-		slices.Sort(d)
-		return d[int(math.Ceil(q*float64(len(d)-1)))]
-	}
-	p99, most, lagP99 := quantile(lates, 0.99), quantile(lates, 1), quantile(lag, 0.99)
-	inMS := func(d time.Duration) float64 { return float64(d) / float64(time.Millisecond) }
-	rep.Lateness = Lateness{P99MS: inMS(p99), MaxMS: inMS(most), LagMS: inMS(lagP99),
-		TooBig: p99 > lateP99 || most > lateMax || lagP99 > lateP99}
-	if r.service != nil {
-		r.service.rr.addTo(rep.Verdict)
-	}
-	rep.Missed = append(missed(&r.s.Expect, rep), missedRoutes(r.s, rep)...)
-	if r.members != nil {
-		rep.Missed = append(rep.Missed, rep.Members.missed(&r.s.Expect)...)
-	}
-	return rep
 }
 
-// missed compares what came out with what was expected.
-func missed(e *scenario.Expect, r *Report) []string {
+// CheckFigures lists the expected figures that the run did not reach. A simulated run has no others.
+func (r *Report) CheckFigures(e *scenario.Expect) { r.Missed = missedFigures(e, r) }
+
+// missedFigures compares the figures of a run with those expected.
+func missedFigures(e *scenario.Expect, r *Report) []string {
 	var out []string
 	f := &r.Result.Figures
 	least := func(name string, want *float64, got float64) {
--- a/internal/lab/plot.go
+++ b/internal/lab/report/plot.go
@@ -1,4 +1,4 @@
-package lab
+package report
 
 import (
 	"fmt"
@@ -14,20 +14,20 @@
 )
 
 const (
-	plotWidth  = 24 * vg.Centimeter
-	plotHeight = 10 * vg.Centimeter
+	PlotWidth  = 24 * vg.Centimeter
+	PlotHeight = 10 * vg.Centimeter
 )
 
 // The colours of what is good, bad and refused, apart for most eyes (Okabe and Ito, 2008).
 var (
-	goodColour    = color.RGBA{0, 114, 178, 255}
-	failedColour  = color.RGBA{213, 94, 0, 255}
+	GoodColour    = color.RGBA{0, 114, 178, 255}
+	FailedColour  = color.RGBA{213, 94, 0, 255}
 	refusedColour = color.RGBA{230, 159, 0, 255}
 	faultColour   = color.NRGBA{120, 120, 120, 50}
 )
 
-// plots draws the report's pictures as PNG and SVG into a folder.
-func (r *Report) plots(dir string) error {
+// savePlots draws the report's pictures as PNG and SVG into a folder.
+func (r *Report) savePlots(dir string) error {
 	for name, draw := range map[string]func() (*plot.Plot, error){
 		"timeline": r.timelinePlot, "latency": r.latencyPlot, "servers": r.serversPlot,
 	} {
@@ -36,7 +36,7 @@
 			return fmt.Errorf("plot %s: %w", name, err)
 		}
 		for _, form := range []string{".png", ".svg"} {
-			if err := p.Save(plotWidth, plotHeight, filepath.Join(dir, name+form)); err != nil {
+			if err := p.Save(PlotWidth, PlotHeight, filepath.Join(dir, name+form)); err != nil {
 				return fmt.Errorf("plot %s: %w", name+form, err)
 			}
 		}
@@ -62,9 +62,9 @@
 		colour color.Color
 		of     func(*measure.Window) float64
 	}{
-		{"in aim", goodColour, func(w *measure.Window) float64 { return w.InObjective }},
+		{"in aim", GoodColour, func(w *measure.Window) float64 { return w.InObjective }},
 		{"refused", refusedColour, func(w *measure.Window) float64 { return w.Rejected }},
-		{"failed", failedColour, func(w *measure.Window) float64 { return w.Failed }},
+		{"failed", FailedColour, func(w *measure.Window) float64 { return w.Failed }},
 	} {
 		points := make(plotter.XYs, len(r.Result.Timeline))
 		for i := range r.Result.Timeline {
@@ -80,7 +80,7 @@
 		p.Add(line)
 		p.Legend.Add(one.name, line)
 	}
-	p.Legend.YOffs = plotHeight / 3 // between the lines that are near 1 and those near 0
+	p.Legend.YOffs = PlotHeight / 3 // between the lines that are near 1 and those near 0
 	return p, nil
 }
 
@@ -131,7 +131,7 @@
 	if err != nil {
 		return nil, err
 	}
-	line.Color, dots.Color = goodColour, goodColour
+	line.Color, dots.Color = GoodColour, GoodColour
 	p.Add(plotter.NewGrid(), line, dots)
 	p.X.Tick.Marker = plot.ConstantTicks(ticks)
 	p.Y.Min = 0
@@ -151,11 +151,11 @@
 	for i, n := range r.Result.Servers {
 		values[i] = 100 * float64(n) / float64(max(sum, 1))
 	}
-	bars, err := plotter.NewBarChart(values, max(vg.Points(1), 0.7*plotWidth/vg.Length(len(values)+2)))
+	bars, err := plotter.NewBarChart(values, max(vg.Points(1), 0.7*PlotWidth/vg.Length(len(values)+2)))
 	if err != nil {
 		return nil, err
 	}
-	bars.Color, bars.LineStyle.Width = goodColour, 0
+	bars.Color, bars.LineStyle.Width = GoodColour, 0
 	p.Add(bars)
 	p.Y.Min = 0
 	return p, nil
--- a/internal/lab/report.go
+++ b/internal/lab/report/report.go
@@ -1,4 +1,6 @@
-package lab
+// Package report is what a run of the lab came to: its figures, the rules that were broken, the expectations that were not
+// met and whether the run counts. It measures a run by its records, and prints, saves and plots the result.
+package report
 
 import (
 	"encoding/json"
@@ -13,8 +15,8 @@
 	"marblelane/internal/lab/simulate"
 )
 
-// mostRows bounds the rows of a table that has one for each sidecar.
-const mostRows = 10
+// MaxRows bounds the rows of a table that has one for each sidecar.
+const MaxRows = 10
 
 // Print writes the report as tables for a reader.
 func (r *Report) Print(w io.Writer) {
@@ -42,10 +44,10 @@
 	}
 	busiest := slices.Clone(res.Sidecars)
 	slices.SortStableFunc(busiest, func(a, b measure.Process) int { return b.Requests - a.Requests })
-	for i := range busiest[:min(len(busiest), mostRows)] {
+	for i := range busiest[:min(len(busiest), MaxRows)] {
 		party(&busiest[i])
 	}
-	if more := len(busiest) - mostRows; more > 0 {
+	if more := len(busiest) - MaxRows; more > 0 {
 		fmt.Fprintf(w, "(and %d sidecars with fewer requests)\n", more)
 	}
 	party(&res.Lab)
@@ -114,7 +116,7 @@
 	if r.Registry != nil {
 		return nil
 	}
-	if err := r.plots(dir); err != nil {
+	if err := r.savePlots(dir); err != nil {
 		return fmt.Errorf("report: %w", err)
 	}
 	return nil
--- a/internal/lab/cold.go
+++ b/internal/lab/report/slow_start.go
@@ -1,4 +1,4 @@
-package lab
+package report
 
 import (
 	"marblelane/internal/lab/invariant"
@@ -6,8 +6,8 @@
 	"marblelane/internal/lab/stock"
 )
 
-// coldStart is what the plan's servers may be sent while they are cold, by the figures that the sidecars are told.
-func coldStart(p *scenario.Plan) invariant.SlowStart {
+// slowStartLimits is what the plan's servers may be sent while they are cold, by the figures that the sidecars are told.
+func slowStartLimits(p *scenario.Plan) invariant.SlowStart {
 	rules := &p.Scenario.Rules
 	f := invariant.SlowStart{InitialCapacity: rules.ColdFrom, Time: rules.Cold.Duration(), Window: rules.FallTime.Duration(), OverloadMultiple: rules.FallMultiple}
 	mean := p.Scenario.MeanWork()
--- a/internal/lab/requestcost.go
+++ b/internal/lab/requestcost.go
@@ -7,7 +7,6 @@
 	"errors"
 	"fmt"
 	"io"
-	"log/slog"
 	"net/http"
 	"os"
 	"path/filepath"
@@ -17,8 +16,9 @@
 	"time"
 
 	"marblelane/internal/lab/agent"
+	"marblelane/internal/lab/cluster"
+	"marblelane/internal/lab/harness"
 	"marblelane/internal/lab/process"
-	"marblelane/internal/lab/record"
 	"marblelane/internal/lab/relay"
 	"marblelane/internal/lab/scenario"
 )
@@ -194,7 +194,7 @@
 // costRun is a measurement under way.
 type costRun struct {
 	o       CostOptions
-	r       *run            // for the plan, the folder and what starts processes
+	r       *harness.Run    // for the plan, the folder and what starts processes
 	f       *fleet          // the copies of the list service; nil: a stand-in
 	agents  *agent.Agents   // the stand-in
 	config  json.RawMessage // of any sidecar, before what is its own
@@ -211,20 +211,11 @@
 		return err
 	}
 	s.Servers.Count = c.o.Servers
-	c.r = &run{s: s, plan: s.Plan(1), out: slog.New(slog.DiscardHandler), nursery: process.NewSupervisor(),
-		log: record.New(), dir: c.o.Dir}
-	if c.r.o.Self = c.o.Self; c.r.o.Self == "" {
-		if c.r.o.Self, err = os.Executable(); err != nil {
-			return fmt.Errorf("copies of the list service are of this program: %w", err)
-		}
-	}
-	if c.r.dir == "" {
-		if c.r.dir, err = os.MkdirTemp("", "marblelane-cost-"); err != nil {
-			return err
-		}
+	if c.r, err = harness.New(s, harness.Options{Seed: 1, Self: c.o.Self, Dir: c.o.Dir}); err != nil {
+		return err
 	}
-	for i := range c.r.plan.Servers {
-		one, err := startCostServer(slices.Contains(c.r.plan.Subsets[costSubset], i))
+	for i := range c.r.Plan.Servers {
+		one, err := startCostServer(slices.Contains(c.r.Plan.Subsets[costSubset], i))
 		if err != nil {
 			return err
 		}
@@ -249,11 +240,11 @@
 
 // startCopies starts the list service, with all servers on its list and the route of the tenant.
 func (c *costRun) startCopies(ctx context.Context) error {
-	reg := &scenario.Registry{Copies: c.r.s.Discovery.Registry, Beat: scenario.Duration(100 * time.Millisecond)}
-	rr := &registryRun{run: c.r, reg: reg, seen: map[int64]uint64{}, counts: map[string]int{}}
+	reg := &scenario.Registry{Copies: c.r.Scenario.Discovery.Registry, Beat: scenario.Duration(100 * time.Millisecond)}
+	rr := cluster.New(c.r, reg)
 	c.f = &fleet{rr: rr, at: &scaleClock{began: time.Now()},
 		client: &http.Client{Transport: &http.Transport{}, Timeout: 5 * time.Second}}
-	if err := rr.startCopies(ctx); err != nil {
+	if err := rr.Start(ctx); err != nil {
 		return err
 	}
 	for i := range c.servers {
@@ -273,20 +264,20 @@
 	}
 	link := relay.NewLink(relay.Rules{}, 1)
 	var err error
-	c.agents, err = agent.New(c.r.log, 1, list, func(_, server int) string { return c.servers[server].addr },
+	c.agents, err = agent.New(c.r.Events, 1, list, func(_, server int) string { return c.servers[server].addr },
 		func(int) *relay.Link { return link })
 	return err
 }
 
 func (c *costRun) entry(i int) agent.Entry {
-	e := c.r.entry(i, agent.Ready, 0)
+	e := c.r.Entry(i, agent.Ready, 0)
 	e.Endpoint = c.servers[i].addr
 	return e
 }
 
 // makeConfig makes what all sidecars have alike.
 func (c *costRun) makeConfig() error {
-	settings := c.r.plan.Settings(0)
+	settings := c.r.Plan.Settings(0)
 	settings["tenants"] = []map[string]any{{"name": costTenant, "share": 1.0, "allowance_per_s": 1e6}}
 	settings["peers_total"] = 1 + c.o.Members
 	list := agent.List{All: true}
@@ -295,11 +286,11 @@
 	}
 	config := map[string]any{
 		"listen": "127.0.0.1:0", "management": "127.0.0.1:0", "seed": "1", "known": list, "settings": settings,
-		"limits": map[string]any{"cores": c.r.s.Sidecars.Cores, "memory_mb": c.r.s.Sidecars.MemoryMB,
-			"sockets": c.r.s.Sidecars.Sockets},
+		"limits": map[string]any{"cores": c.r.Scenario.Sidecars.Cores, "memory_mb": c.r.Scenario.Sidecars.MemoryMB,
+			"sockets": c.r.Scenario.Sidecars.Sockets},
 	}
 	if c.f != nil {
-		config["discovery"] = c.f.rr.copies[0].serve
+		config["discovery"] = c.f.rr.Replicas[0].Address
 	} else {
 		config["discovery"] = c.agents.Addr(0)
 	}
@@ -348,7 +339,7 @@
 		}
 	}
 	c.starts++
-	dir := filepath.Join(c.r.dir, fmt.Sprintf("%s-%d", name, c.starts))
+	dir := filepath.Join(c.r.Dir, fmt.Sprintf("%s-%d", name, c.starts))
 	if err := os.MkdirAll(filepath.Join(dir, "tmp"), 0o755); err != nil {
 		return nil, err
 	}
@@ -357,14 +348,14 @@
 		return nil, err
 	}
 	began := time.Now()
-	p, err := c.r.nursery.Start(process.Spec{Name: name, Path: program, Dir: dir, MaxDescriptors: c.r.s.Sidecars.Sockets,
+	p, err := c.r.Processes.Start(process.Spec{Name: name, Path: program, Dir: dir, MaxDescriptors: c.r.Scenario.Sidecars.Sockets,
 		Env: []string{"NODE_CONFIG=" + file, "TMPDIR=" + filepath.Join(dir, "tmp")}})
 	if err != nil {
 		return nil, err
 	}
-	wait, cancel := context.WithTimeout(ctx, startWait)
+	wait, cancel := context.WithTimeout(ctx, harness.StartTimeout)
 	defer cancel()
-	line, err := p.AwaitLog(wait, readyText)
+	line, err := p.AwaitLog(wait, harness.ReadyText)
 	if err != nil {
 		p.Kill()
 		return nil, err
@@ -421,16 +412,13 @@
 	}
 	if c.f != nil {
 		c.f.client.CloseIdleConnections()
-		c.f.rr.stopCopies()
+		c.f.rr.Stop()
 	}
-	c.r.nursery.Close()
+	c.r.Close()
 	if c.agents != nil {
 		c.agents.Close()
 	}
 	for _, s := range c.servers {
 		s.close()
 	}
-	if c.o.Dir == "" && c.r.dir != "" {
-		os.RemoveAll(c.r.dir)
-	}
 }
--- a/internal/lab/requestcost_round.go
+++ b/internal/lab/requestcost_round.go
@@ -10,6 +10,7 @@
 	"syscall"
 	"time"
 
+	"marblelane/internal/lab/harness"
 	"marblelane/internal/lab/process"
 	"marblelane/internal/membership"
 	"marblelane/internal/membership/view"
@@ -94,8 +95,8 @@
 	var own []any
 	if v.Routes {
 		var addrs []string
-		for _, one := range c.f.rr.copies {
-			addrs = append(addrs, one.serve)
+		for _, one := range c.f.rr.Replicas {
+			addrs = append(addrs, one.Address)
 		}
 		own = append(own, map[string]any{"routes": map[string]any{"addrs": addrs}})
 	}
@@ -109,7 +110,7 @@
 	if err != nil {
 		return nil, err
 	}
-	d := &costed{v: v, p: p, load: &costLoad{addr: p.listen, class: c.r.s.Classes[0].Name, rate: c.o.Rate, ids: &c.ids,
+	d := &costed{v: v, p: p, load: &costLoad{addr: p.listen, class: c.r.Scenario.Classes[0].Name, rate: c.o.Rate, ids: &c.ids,
 		conns: make([]*costConn, c.o.Connections)}}
 	d.Start = float64(p.took) / float64(time.Millisecond)
 	return d, nil
@@ -117,7 +118,7 @@
 
 // idle measures processes that nobody calls. Their processor time is that of the second half, past what a start costs.
 func (c *costRun) idle(ctx context.Context, all []*costed) error {
-	sleep(ctx, c.o.Idle/2)
+	harness.Sleep(ctx, c.o.Idle/2)
 	began := time.Now()
 	for _, d := range all {
 		var err error
@@ -125,7 +126,7 @@
 			return d.fails(err)
 		}
 	}
-	sleep(ctx, c.o.Idle/2)
+	harness.Sleep(ctx, c.o.Idle/2)
 	for _, d := range all {
 		cpu, err := cpuOf(d.p.PID)
 		if err != nil {
@@ -231,7 +232,7 @@
 				return nil
 			}
 		}
-		if !sleep(ctx, 20*time.Millisecond) {
+		if !harness.Sleep(ctx, 20*time.Millisecond) {
 			if last != nil {
 				return fmt.Errorf("it is not in the fleet of %d: it sees %+v", want, last.View)
 			}
@@ -243,7 +244,7 @@
 // stopCosted ends a sidecar in order, so that its fleet knows that it left.
 func stopCosted(p *process.Child) {
 	_ = p.Signal(syscall.SIGTERM) // it has ended, or it is killed below
-	kill := time.NewTimer(stopWait)
+	kill := time.NewTimer(harness.StopTimeout)
 	defer kill.Stop()
 	select {
 	case <-p.Ended():
--- a/internal/lab/requestcostload.go
+++ b/internal/lab/requestcostload.go
@@ -8,6 +8,7 @@
 	"errors"
 	"fmt"
 	"io"
+	"marblelane/internal/lab/harness"
 	"net"
 	"net/http"
 	"strings"
@@ -110,7 +111,7 @@
 	for k := 0; ctx.Err() == nil; k++ {
 		if l.rate > 0 {
 			due := time.Duration(float64(i+k*len(l.conns)) / l.rate * float64(time.Second))
-			if due >= length || !sleep(ctx, time.Until(began.Add(due))) {
+			if due >= length || !harness.Sleep(ctx, time.Until(began.Add(due))) {
 				return d, nil
 			}
 		}
--- a/internal/lab/requestcostsum.go
+++ b/internal/lab/requestcostsum.go
@@ -3,8 +3,8 @@
 import (
 	"fmt"
 	"io"
+	"marblelane/internal/lab/harness"
 	"math"
-	"slices"
 	"strconv"
 )
 
@@ -18,7 +18,7 @@
 			for k := range all {
 				list = append(list, figure(&all[k]))
 			}
-			return median(list)
+			return harness.Median(list)
 		}
 		v := VariantCost{Name: o.Variants[i].Name, Rounds: all,
 			CPU:       of(func(r *CostRound) float64 { return r.CPU }),
@@ -38,12 +38,6 @@
 	return out
 }
 
-func median(list []float64) float64 {
-	list = slices.Sorted(slices.Values(list))
-	n := len(list)
-	return (list[(n-1)/2] + list[n/2]) / 2
-}
-
 // meanOf is the mean of two values or more with its interval.
 func meanOf(list []float64) *Interval {
 	n, mean, squares := float64(len(list)), 0.0, 0.0
--- a/internal/lab/routes.go
+++ b/internal/lab/routes.go
@@ -16,6 +16,8 @@
 	"time"
 
 	"marblelane/internal/audit"
+	"marblelane/internal/lab/cluster"
+	"marblelane/internal/lab/harness"
 	"marblelane/internal/lab/invariant"
 	"marblelane/internal/lab/record"
 	"marblelane/internal/lab/scenario"
@@ -48,8 +50,8 @@
 }
 
 func newRollouts(r *run, began time.Duration) *rollouts {
-	n := len(r.s.Rollouts)
-	o := &rollouts{r: r, began: began, epoch: time.Now().Add(began - r.log.Now()), revs: map[int64]bool{}, after: make([]int64, n),
+	n := len(r.Scenario.Rollouts)
+	o := &rollouts{r: r, began: began, epoch: time.Now().Add(began - r.Events.Now()), revs: map[int64]bool{}, after: make([]int64, n),
 		refused: make([]string, n), phases: make([]rolloutView, n), final: make([]string, n)}
 	for i := range o.after {
 		o.after[i] = -1
@@ -63,22 +65,22 @@
 // play does what the scenario has of rollouts, orders and questions, until ctx ends.
 func (o *rollouts) play(ctx context.Context) {
 	o.wg.Go(func() { o.lag(ctx) })
-	for _, c := range o.r.service.rr.copies {
+	for _, c := range o.r.service.rr.Replicas {
 		o.wg.Go(func() { o.listen(ctx, c) })
 	}
 	tenants := map[string]bool{}
-	for i := range o.r.s.Rollouts {
-		post := &o.r.s.Rollouts[i]
+	for i := range o.r.Scenario.Rollouts {
+		post := &o.r.Scenario.Rollouts[i]
 		o.wg.Go(func() { o.post(ctx, i, post) })
 		if !tenants[post.Tenant] {
 			tenants[post.Tenant] = true
 			o.wg.Go(func() { o.look(ctx, post.Tenant) })
 		}
 	}
-	for i := range o.r.s.Orders {
-		o.wg.Go(func() { o.order(ctx, &o.r.s.Orders[i]) })
+	for i := range o.r.Scenario.Orders {
+		o.wg.Go(func() { o.order(ctx, &o.r.Scenario.Orders[i]) })
 	}
-	for _, a := range o.r.s.Asks {
+	for _, a := range o.r.Scenario.Asks {
 		o.wg.Go(func() {
 			if !o.until(ctx, a.At) {
 				return
@@ -86,7 +88,7 @@
 			o.mu.Lock()
 			newest := o.newest
 			o.mu.Unlock()
-			now := o.r.log.Now() - o.began
+			now := o.r.Events.Now() - o.began
 			o.ask(ctx, newest, now-a.Before.Duration(), now)
 		})
 	}
@@ -100,11 +102,11 @@
 func (o *rollouts) lag(ctx context.Context) {
 	const every = 5 * time.Millisecond
 	for {
-		due := o.r.log.Now() + every
-		if !sleep(ctx, every) {
+		due := o.r.Events.Now() + every
+		if !harness.Sleep(ctx, every) {
 			return
 		}
-		if now := o.r.log.Now(); now > due+tolerated {
+		if now := o.r.Events.Now(); now > due+tolerated {
 			o.mu.Lock()
 			o.lagged = append(o.lagged, invariant.Span{From: due - o.began, To: now - o.began + tolerated})
 			o.mu.Unlock()
@@ -113,7 +115,7 @@
 }
 
 func (o *rollouts) until(ctx context.Context, at scenario.Duration) bool {
-	return sleep(ctx, o.began+at.Duration()-o.r.log.Now())
+	return harness.Sleep(ctx, o.began+at.Duration()-o.r.Events.Now())
 }
 
 func (o *rollouts) miss(format string, args ...any) {
@@ -123,16 +125,16 @@
 }
 
 // listen follows a copy's tables and writes down what each tells.
-func (o *rollouts) listen(ctx context.Context, c *registryCopy) {
+func (o *rollouts) listen(ctx context.Context, c *cluster.Replica) {
 	after := int64(0)
 	for ctx.Err() == nil {
 		o.follow(ctx, c, &after)
-		sleep(ctx, lookEvery)
+		harness.Sleep(ctx, lookEvery)
 	}
 }
 
-func (o *rollouts) follow(ctx context.Context, c *registryCopy, after *int64) {
-	url := fmt.Sprintf("http://%s%s?watch=1&schema=%d&after=%d", c.serve, route.TablePath, route.Newest, *after)
+func (o *rollouts) follow(ctx context.Context, c *cluster.Replica, after *int64) {
+	url := fmt.Sprintf("http://%s%s?watch=1&schema=%d&after=%d", c.Address, route.TablePath, route.Newest, *after)
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
 	if err != nil {
 		return
@@ -151,7 +153,7 @@
 			return
 		}
 		if line = bytes.TrimSpace(line); len(line) > 0 {
-			*after = max(*after, o.told(c.number, line))
+			*after = max(*after, o.told(c.Number, line))
 		}
 	}
 }
@@ -174,14 +176,14 @@
 	if json.Unmarshal(line, &t) != nil {
 		return 0
 	}
-	e := record.Event{T: o.r.log.Now(), Sidecar: record.None, Server: int32(copyNumber), Class: record.None, Rev: t.Rev}
+	e := record.Event{T: o.r.Events.Now(), Sidecar: record.None, Server: int32(copyNumber), Class: record.None, Rev: t.Rev}
 	e.Kind = record.RoutesObserved
-	o.r.log.Add(e)
+	o.r.Events.Add(e)
 	o.closed(copyNumber, t.Closed)
 	for _, one := range t.Routes {
 		if n := o.number(one.Tenant, rollout.RolloutName(one.Rollout)); n >= 0 {
 			e.Kind, e.Status, e.Work, e.Attempt = record.RolloutFraction, int32(n), one.Share, int16(one.Step)
-			o.r.log.Add(e)
+			o.r.Events.Add(e)
 		}
 	}
 	o.mu.Lock()
@@ -198,13 +200,13 @@
 	o.shut = max(o.shut, rev)
 	o.mu.Unlock()
 	if news {
-		o.r.log.Add(record.Event{Kind: record.RevisionClosed, Sidecar: record.None, Server: int32(copyNumber), Class: record.None, Rev: rev})
+		o.r.Events.Add(record.Event{Kind: record.RevisionClosed, Sidecar: record.None, Server: int32(copyNumber), Class: record.None, Rev: rev})
 	}
 }
 
 // number finds a rollout of the plan.
 func (o *rollouts) number(tenant, name string) int {
-	return slices.IndexFunc(o.r.s.Rollouts, func(p scenario.Rollout) bool { return p.Tenant == tenant && p.Name == name })
+	return slices.IndexFunc(o.r.Scenario.Rollouts, func(p scenario.Rollout) bool { return p.Tenant == tenant && p.Name == name })
 }
 
 // posted is the form of a rollout on the wire.
@@ -224,14 +226,14 @@
 		data = nil
 	}
 	for {
-		all := o.r.service.rr.copies
+		all := o.r.service.rr.Replicas
 		c := all[int(o.turn.Add(1))%len(all)]
-		code, text, err = quick(ctx, method, "http://"+c.serve+path, data)
+		code, text, err = cluster.Call(ctx, method, "http://"+c.Address+path, data)
 		if err == nil && code < 500 && code != http.StatusTooManyRequests {
 			return code, text
 		}
-		o.r.out.Debug("lab: routes", "path", path, "code", code, "answer", string(text), "error", err)
-		if !sleep(ctx, lookEvery) {
+		o.r.Log.Debug("lab: routes", "path", path, "code", code, "answer", string(text), "error", err)
+		if !harness.Sleep(ctx, lookEvery) {
 			return 0, nil
 		}
 	}
@@ -280,8 +282,8 @@
 	case "schema":
 		path, body = "/routes/schema", map[string]int{"least": d.Least}
 	default:
-		i := slices.IndexFunc(o.r.s.Rollouts, func(p scenario.Rollout) bool { return p.Name == d.Rollout })
-		path = "/routes/" + o.r.s.Rollouts[i].Tenant + "/rollouts/" + d.Rollout + "/" + d.Do
+		i := slices.IndexFunc(o.r.Scenario.Rollouts, func(p scenario.Rollout) bool { return p.Name == d.Rollout })
+		path = "/routes/" + o.r.Scenario.Rollouts[i].Tenant + "/rollouts/" + d.Rollout + "/" + d.Do
 	}
 	code, text := o.call(ctx, http.MethodPost, path, body)
 	if code != 0 && (code != http.StatusOK) != d.Refused {
@@ -308,11 +310,11 @@
 
 // look asks after a tenant's rollouts, each copy in turn, and writes down what is new.
 func (o *rollouts) look(ctx context.Context, tenant string) {
-	for i := 0; sleep(ctx, lookEvery); i++ {
-		c := o.r.service.rr.copies[i%len(o.r.service.rr.copies)]
-		code, text, err := quick(ctx, http.MethodGet, "http://"+c.serve+"/routes/"+tenant, nil)
+	for i := 0; harness.Sleep(ctx, lookEvery); i++ {
+		c := o.r.service.rr.Replicas[i%len(o.r.service.rr.Replicas)]
+		code, text, err := cluster.Call(ctx, http.MethodGet, "http://"+c.Address+"/routes/"+tenant, nil)
 		if err == nil && code == http.StatusOK {
-			o.state(c.number, tenant, text)
+			o.state(c.Number, tenant, text)
 		}
 	}
 }
@@ -335,7 +337,7 @@
 		o.phases[n] = one
 		o.mu.Unlock()
 		if was.Rev != one.Rev || was.Phase != one.Phase || was.Step != one.Step || one.Left < 0 {
-			o.r.log.Add(record.Event{Kind: record.RolloutPhase, Sidecar: record.None, Server: int32(copyNumber), Class: record.None,
+			o.r.Events.Add(record.Event{Kind: record.RolloutPhase, Sidecar: record.None, Server: int32(copyNumber), Class: record.None,
 				Rev: one.Rev, Status: int32(n), Attempt: int16(one.Step), N: one.Left, Note: string(one.Phase), Sum: uint64(one.Granted), Want: uint64(one.Spent)})
 		}
 	}
@@ -362,7 +364,7 @@
 	o.asked++
 	for _, a := range got.Answers {
 		o.answers = append(o.answers, invariant.Answer{Rev: rev, From: time.UnixMilli(fromMS).Sub(o.epoch), To: time.UnixMilli(toMS).Sub(o.epoch),
-			AskedAt: o.r.log.Now() - o.began, Name: a.Name, Start: a.Start, Verdict: a.Verdict, Reason: a.Reason})
+			AskedAt: o.r.Events.Now() - o.began, Name: a.Name, Start: a.Start, Verdict: a.Verdict, Reason: a.Reason})
 	}
 }
 
@@ -376,22 +378,22 @@
 func (o *rollouts) finish(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, finishWait)
 	defer cancel()
-	sleep(ctx, time.Second) // the last attempts are in the next report
-	over := o.r.log.Now() - o.began
+	harness.Sleep(ctx, time.Second) // the last attempts are in the next report
+	over := o.r.Events.Now() - o.began
 	tenants := map[string]bool{}
-	for i := range o.r.s.Rollouts {
-		tenants[o.r.s.Rollouts[i].Tenant] = true
+	for i := range o.r.Scenario.Rollouts {
+		tenants[o.r.Scenario.Rollouts[i].Tenant] = true
 	}
 	for _, tenant := range slices.Sorted(maps.Keys(tenants)) {
 		o.end(ctx, tenant)
 	}
-	if broken := o.r.s.Expect.Breaks; len(broken) > 0 && !slices.Contains(broken, invariant.AuditTrue) {
+	if broken := o.r.Scenario.Expect.Breaks; len(broken) > 0 && !slices.Contains(broken, invariant.AuditTrue) {
 		return // what is planted misleads the audit too
 	}
 	o.mu.Lock()
 	revs := slices.Sorted(maps.Keys(o.revs))
 	o.mu.Unlock()
-	rng := rand.New(rand.NewPCG(o.r.plan.Seed, 0x6175646974))
+	rng := rand.New(rand.NewPCG(o.r.Plan.Seed, 0x6175646974))
 	for len(revs) > mostAudited {
 		i := rng.IntN(len(revs))
 		revs = slices.Delete(revs, i, i+1)
@@ -411,10 +413,10 @@
 // end asks the leader for a tenant's rollouts.
 func (o *rollouts) end(ctx context.Context, tenant string) {
 	for {
-		if lead := o.r.service.rr.leader(ctx); lead != nil {
-			code, text, err := quick(ctx, http.MethodGet, "http://"+lead.serve+"/routes/"+tenant, nil)
+		if lead := o.r.service.rr.Leader(ctx); lead != nil {
+			code, text, err := cluster.Call(ctx, http.MethodGet, "http://"+lead.Address+"/routes/"+tenant, nil)
 			if err == nil && code == http.StatusOK {
-				o.state(lead.number, tenant, text)
+				o.state(lead.Number, tenant, text)
 				var t tenantOf
 				_ = json.Unmarshal(text, &t) // said above
 				for _, one := range t.Rollouts {
@@ -425,7 +427,7 @@
 				return
 			}
 		}
-		if !sleep(ctx, lookEvery) {
+		if !harness.Sleep(ctx, lookEvery) {
 			return
 		}
 	}
@@ -447,7 +449,7 @@
 
 // facts are what the rules hold the run against.
 func (o *rollouts) facts() *invariant.Routes {
-	p, s := o.r.plan, o.r.s
+	p, s := o.r.Plan, o.r.Scenario
 	f := &invariant.Routes{Answers: o.answers, LabStalls: o.lagged, Epoch: o.epoch.UnixNano(),
 		Latency: time.Duration(float64(max(s.Network.Cross, s.Network.Far)) * (1 + s.Network.Jitter))}
 	if len(s.Network.Regions) == 0 {
--- a/internal/lab/routes_config.go
+++ b/internal/lab/routes_config.go
@@ -2,86 +2,23 @@
 
 // This file writes the configuration of routes for sidecars and copies of the list service.
 
-import (
-	"fmt"
-	"os"
-	"path/filepath"
-
-	"github.com/pelletier/go-toml/v2"
-
-	"marblelane/internal/lab/scenario"
-)
-
-// routesKeys are the lines of a copy's configuration that turn routes on.
-func (rr *registryRun) routesKeys() string {
-	if !rr.s.Routed() {
-		return ""
-	}
-	keys := fmt.Sprintf("routes = %q\n", rr.operatorsFile())
-	if d := rr.s.Routes.Defect; d != "" {
-		keys += fmt.Sprintf("lab_route_defect = %q\n", d)
-	}
-	return keys
-}
-
-func (rr *registryRun) operatorsFile() string { return filepath.Join(rr.dir, "operators.toml") }
-
-// writeOperators writes the file that says what tenants may do.
-func (rr *registryRun) writeOperators() error {
-	if !rr.s.Routed() {
-		return nil
-	}
-	o := &rr.s.Routes
-	file := map[string]any{}
-	for key, d := range map[string]scenario.Duration{"term": o.Term, "behind_after": o.BehindAfter, "shut_after": o.ShutAfter, "gone_after": o.GoneAfter} {
-		if d > 0 {
-			file[key] = d.Duration().String()
-		}
-	}
-	if o.BehindShare > 0 {
-		file["behind_share"] = o.BehindShare
-	}
-	var subsets, tenants []map[string]any
-	for _, sub := range o.Subsets {
-		one := map[string]any{"name": sub.Name}
-		if sub.Servers != "" { // drawn: by their names
-			var uids []string
-			for _, i := range rr.plan.Subsets[sub.Name] {
-				uids = append(uids, rr.plan.Servers[i].UID)
-			}
-			one["uid"] = uids
-		} else {
-			one["model"], one["pod_group"], one["az"] = sub.Kinds, sub.Pods, sub.Zones
-		}
-		subsets = append(subsets, one)
-	}
-	for _, t := range o.Tenants {
-		tenants = append(tenants, map[string]any{"name": t.Name, "subsets": t.Subsets, "max_share": t.MaxShare, "rollouts": t.Rollouts,
-			"changes_per_minute": 6000.0, "max_budget": 1_000_000})
-	}
-	file["subset"], file["tenant"] = subsets, tenants
-	text, err := toml.Marshal(file)
-	if err != nil {
-		return fmt.Errorf("operators' file: %w", err)
-	}
-	return os.WriteFile(rr.operatorsFile(), text, 0o644)
-}
+import ()
 
 // programOf is the program that a sidecar runs.
 func (r *run) programOf(sidecar int) string {
-	if r.s.Older(sidecar) && r.o.Older != "" {
-		return r.o.Older
+	if r.Scenario.Older(sidecar) && r.Options.Older != "" {
+		return r.Options.Older
 	}
 	return r.program
 }
 
 // routesOf is the section of a sidecar's configuration that turns routes on; nil: they are off.
 func (r *run) routesOf(sidecar int) map[string]any {
-	if !r.s.Routed() || r.s.Older(sidecar) {
+	if !r.Scenario.Routed() || r.Scenario.Older(sidecar) {
 		return nil
 	}
-	schemas := r.s.Routes.Schemas
-	if again := r.sidecars[sidecar].manages > 0 && r.s.Routes.Swap; r.s.Old(sidecar) != again {
+	schemas := r.Scenario.Routes.Schemas
+	if again := r.sidecars[sidecar].manages > 0 && r.Scenario.Routes.Swap; r.Scenario.Old(sidecar) != again {
 		schemas = []int{1}
 	}
 	section := map[string]any{"addrs": r.listAddrs(sidecar), "key_header": "X-Route-Key"}
--- a/internal/lab/routescale.go
+++ b/internal/lab/routescale.go
@@ -10,6 +10,7 @@
 	"time"
 
 	"marblelane/balance"
+	"marblelane/internal/lab/harness"
 	plays "marblelane/internal/rollout/model"
 	"marblelane/internal/route"
 	"marblelane/internal/routeclient"
@@ -68,7 +69,7 @@
 `
 
 // RouteScale measures fleets of several sizes.
-func RouteScale(ctx context.Context, sidecars []int, o Options) ([]RoutePoint, error) {
+func RouteScale(ctx context.Context, sidecars []int, o harness.Options) ([]RoutePoint, error) {
 	var points []RoutePoint
 	for _, n := range sidecars {
 		p, err := routePoint(ctx, n, o)
@@ -116,9 +117,9 @@
 func (c *scaleClock) now() time.Duration { return time.Since(c.began) }
 
 func (p *puppet) run(ctx context.Context, seed uint64) {
-	var wg sync.WaitGroup
-	defer wg.Wait()
-	wg.Go(func() { p.steer.Run(ctx) })
+	var Tasks sync.WaitGroup
+	defer Tasks.Wait()
+	Tasks.Go(func() { p.steer.Run(ctx) })
 	rng := rand.New(rand.NewPCG(seed, 7))
 	next := time.NewTimer(0)
 	sample := time.NewTicker(time.Second)
@@ -228,7 +229,7 @@
 }
 
 // routePoint measures one size.
-func routePoint(ctx context.Context, n int, o Options) (*RoutePoint, error) {
+func routePoint(ctx context.Context, n int, o harness.Options) (*RoutePoint, error) {
 	f, err := newScaleRun(ctx, o)
 	if err != nil {
 		return nil, err
--- a/internal/lab/routescale_fleet.go
+++ b/internal/lab/routescale_fleet.go
@@ -20,8 +20,9 @@
 	"syscall"
 	"time"
 
+	"marblelane/internal/lab/cluster"
+	"marblelane/internal/lab/harness"
 	"marblelane/internal/lab/process"
-	"marblelane/internal/lab/record"
 	"marblelane/internal/lab/scenario"
 	"marblelane/internal/rollout"
 	"marblelane/internal/routeclient"
@@ -29,7 +30,7 @@
 
 // fleet is a play's copies and sidecars.
 type fleet struct {
-	rr      *registryRun
+	rr      *cluster.Cluster
 	at      *scaleClock
 	puppets []*puppet
 	stop    func()
@@ -37,29 +38,28 @@
 }
 
 // newScaleRun starts the copies alone.
-func newScaleRun(ctx context.Context, o Options) (*fleet, error) {
+func newScaleRun(ctx context.Context, o harness.Options) (*fleet, error) {
 	s, err := scenario.Parse("route-scale.toml", []byte(scaleScenario))
 	if err != nil {
 		return nil, err
 	}
-	r := &run{s: s, plan: s.Plan(1), o: o, out: slog.New(slog.DiscardHandler), nursery: process.NewSupervisor(), log: record.New()}
-	if r.dir, err = os.MkdirTemp("", "marblelane-routes-"); err != nil {
-		r.nursery.Close()
+	o.Seed, o.Log = 1, nil
+	r, err := harness.New(s, o)
+	if err != nil {
 		return nil, err
 	}
 	f := &fleet{at: &scaleClock{began: time.Now()}, client: &http.Client{Transport: &http.Transport{}, Timeout: 5 * time.Second}}
-	f.rr = &registryRun{run: r, reg: &scenario.Registry{Copies: s.Discovery.Registry, Beat: scenario.Duration(100 * time.Millisecond)},
-		seen: map[int64]uint64{}, counts: map[string]int{}}
+	f.rr = cluster.New(r, &scenario.Registry{Copies: s.Discovery.Registry, Beat: scenario.Duration(100 * time.Millisecond)})
 	f.stop = func() {
 		f.client.CloseIdleConnections()
-		f.rr.stop()
-		os.RemoveAll(r.dir)
+		f.rr.Stop()
+		r.Close()
 	}
-	err = f.rr.startCopies(ctx)
-	for i := range r.plan.Servers { // a canary without a ready server pauses
+	err = f.rr.Start(ctx)
+	for i := range r.Plan.Servers { // a canary without a ready server pauses
 		e := map[string]any{"endpoint": fmt.Sprint("127.0.0.1:", 1000+i), "az": "limerick-dc", "model": "standard"}
 		if err == nil {
-			_, _, err = f.call(ctx, "/registry/instances/"+r.plan.Servers[i].UID, e)
+			_, _, err = f.call(ctx, "/registry/instances/"+r.Plan.Servers[i].UID, e)
 		}
 	}
 	if err != nil {
@@ -82,8 +82,8 @@
 	for i := range n {
 		p := &puppet{wake: make(chan struct{}, 1), at: f.at, acts: map[int64]time.Duration{}}
 		var addrs []string
-		for k := range f.rr.copies { // watches are spread as sidecars of several zones would
-			addrs = append(addrs, f.rr.copies[(i+k)%len(f.rr.copies)].serve)
+		for k := range f.rr.Replicas { // watches are spread as sidecars of several zones would
+			addrs = append(addrs, f.rr.Replicas[(i+k)%len(f.rr.Replicas)].Address)
 		}
 		var err error
 		p.steer, err = routeclient.New(routeclient.Config{Addrs: addrs, Name: fmt.Sprint("n", i), Start: time.Now().UnixNano(), Version: "lab",
@@ -110,7 +110,7 @@
 	}
 	for try := 0; ; try++ {
 		called = f.at.now()
-		req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+f.rr.copies[try%len(f.rr.copies)].serve+path, bytes.NewReader(data))
+		req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+f.rr.Replicas[try%len(f.rr.Replicas)].Address+path, bytes.NewReader(data))
 		if err != nil {
 			return 0, 0, err
 		}
@@ -129,7 +129,7 @@
 		if resp.StatusCode == http.StatusOK && json.Unmarshal(text, &got) == nil {
 			return got.Rev, called, nil
 		}
-		if resp.StatusCode != http.StatusServiceUnavailable || try > 200 || !sleep(ctx, 50*time.Millisecond) {
+		if resp.StatusCode != http.StatusServiceUnavailable || try > 200 || !harness.Sleep(ctx, 50*time.Millisecond) {
 			return 0, 0, fmt.Errorf("%s is answered %s: %s", path, resp.Status, bytes.TrimSpace(text))
 		}
 	}
@@ -137,7 +137,7 @@
 
 // acting waits until all act on a revision, and gives when the last began to.
 func (f *fleet) acting(ctx context.Context, rev int64) (time.Duration, error) {
-	ctx, cancel := context.WithTimeout(ctx, startWait)
+	ctx, cancel := context.WithTimeout(ctx, harness.StartTimeout)
 	defer cancel()
 	for {
 		last, behind := time.Duration(0), false
@@ -156,7 +156,7 @@
 		if !behind {
 			return last, nil
 		}
-		if !sleep(ctx, 5*time.Millisecond) {
+		if !harness.Sleep(ctx, 5*time.Millisecond) {
 			return 0, errors.New("some sidecars do not act on a change")
 		}
 	}
@@ -177,18 +177,18 @@
 		return u, err
 	}
 	u.own = time.Duration(t.Utime.Nano() + t.Stime.Nano()).Seconds()
-	lead := f.rr.leader(ctx)
+	lead := f.rr.Leader(ctx)
 	if lead == nil {
 		return u, errors.New("the list service has no leader")
 	}
-	for _, c := range f.rr.copies {
-		io, err := readIO(c.process().PID)
+	for _, c := range f.rr.Replicas {
+		io, err := readIO(c.Process().PID)
 		if err != nil {
 			return u, err
 		}
 		u.bytes += io["rchar"] + io["wchar"]
 		if c == lead {
-			m, err := process.Measure(c.process().PID)
+			m, err := process.Measure(c.Process().PID)
 			if err != nil {
 				return u, err
 			}
@@ -216,8 +216,8 @@
 }
 
 // indexOf is how many commands a copy's log has: each command, or several that come together, is one synced write.
-func (f *fleet) indexOf(ctx context.Context, c *registryCopy) (float64, error) {
-	code, text, err := quick(ctx, http.MethodGet, "http://"+c.serve+"/stats", nil)
+func (f *fleet) indexOf(ctx context.Context, c *cluster.Replica) (float64, error) {
+	code, text, err := cluster.Call(ctx, http.MethodGet, "http://"+c.Address+"/stats", nil)
 	if err != nil || code != http.StatusOK {
 		return 0, fmt.Errorf("measure: /stats is answered %d, %w", code, err)
 	}
@@ -234,7 +234,7 @@
 	if before, err = f.use(ctx); err != nil {
 		return before, after, err
 	}
-	if !sleep(ctx, wait) {
+	if !harness.Sleep(ctx, wait) {
 		return before, after, ctx.Err()
 	}
 	after, err = f.use(ctx)
@@ -260,7 +260,7 @@
 		if i > 0 { // the first is when they come
 			took = append(took, last-called)
 		}
-		if !sleep(ctx, 200*time.Millisecond) {
+		if !harness.Sleep(ctx, 200*time.Millisecond) {
 			return ctx.Err()
 		}
 	}
@@ -290,7 +290,7 @@
 	// The baseline: a sum of all counters each second; whoever is told stops at once.
 	over, filled := time.Duration(0), time.Duration(0)
 	for sum := f.at.now(); over == 0 || f.at.filled.Load() == 0; {
-		if !sleep(ctx, time.Millisecond) {
+		if !harness.Sleep(ctx, time.Millisecond) {
 			return fmt.Errorf("after a minute %d of %d units are spent", f.at.spent.Load(), scaleBudget)
 		}
 		failures := int64(0)
@@ -311,7 +311,7 @@
 	if err != nil {
 		return err
 	}
-	sleep(ctx, 10*scaleTakes) // what is out ends
+	harness.Sleep(ctx, 10*scaleTakes) // what is out ends
 	f.at.busy.Store(false)
 	b, err := f.use(ctx)
 	if err != nil {
--- a/internal/lab/routesresult.go
+++ b/internal/lab/routesresult.go
@@ -2,66 +2,27 @@
 
 import (
 	"encoding/json"
-	"fmt"
-	"io"
 	"math"
 	"slices"
 	"sync"
 	"time"
 
-	"marblelane/internal/audit"
 	"marblelane/internal/lab/invariant"
 	"marblelane/internal/lab/record"
-	"marblelane/internal/lab/scenario"
+	"marblelane/internal/lab/report"
 )
 
-// RoutesResult is what became of a run's rollouts.
-type RoutesResult struct {
-	Rollouts []RolloutResult `json:"rollouts"`
-	Tables   int             `json:"tables"`   // revisions told
-	Closed   int64           `json:"closed"`   // the newest revision said to be closed
-	Asked    int             `json:"asked"`    // questions that the audit answered
-	Verdicts map[string]int  `json:"verdicts"` // of processes, over all of them
-	Held     float64         `json:"held"`     // share of attempts without permission, of tenants whose rollout was under way
-	missed   []string
-}
-
-// RolloutResult is what became of one.
-type RolloutResult struct {
-	Name     string      `json:"name"`
-	Tenant   string      `json:"tenant"`
-	End      string      `json:"end"` // its phase; "refused", or empty where nobody has said
-	Why      string      `json:"why,omitempty"`
-	Step     int         `json:"step"`
-	Budget   int64       `json:"budget"`
-	Failures int         `json:"failures"` // that servers saw, or made
-	Spent    int64       `json:"spent"`    // units, as the leader had it last
-	Canary   int         `json:"canary"`   // attempts to it
-	Steps    []StepShare `json:"steps"`
-}
-
-// StepShare is the share of a step as it was told, and as servers saw it in the first attempts of requests.
-type StepShare struct {
-	Step     int     `json:"step"`
-	Share    float64 `json:"share"`
-	Attempts int     `json:"attempts"`
-	Measured float64 `json:"seen"`
-}
-
 // toldBy is how long sidecars may take to ask for their first permission after the first table.
-const toldBy = time.Second
+const firstPermissionTime = time.Second
 
-// leastForShare is how many attempts a step needs before the error of its share is judged.
-const leastForShare = 100
-
-func (o *rollouts) result(all []record.Event, facts *invariant.Routes, v *invariant.Verdict) *RoutesResult {
-	out := &RoutesResult{Asked: o.asked, Verdicts: map[string]int{}, Tables: len(o.revs), missed: o.missed}
+func (o *rollouts) result(all []record.Event, facts *invariant.Routes, v *invariant.Verdict) *report.RoutesResult {
+	out := &report.RoutesResult{Asked: o.asked, Verdicts: map[string]int{}, Tables: len(o.revs), Missed: o.missed}
 	for _, a := range o.answers {
 		out.Verdicts[string(a.Verdict)]++
 	}
-	for i := range o.r.s.Rollouts {
-		p := &o.r.s.Rollouts[i]
-		one := RolloutResult{Name: p.Name, Tenant: p.Tenant, End: o.final[i], Step: o.phases[i].Step, Why: o.phases[i].Why, Budget: p.Budget, Spent: o.phases[i].Spent}
+	for i := range o.r.Scenario.Rollouts {
+		p := &o.r.Scenario.Rollouts[i]
+		one := report.RolloutResult{Name: p.Name, Tenant: p.Tenant, End: o.final[i], Step: o.phases[i].Step, Why: o.phases[i].Why, Budget: p.Budget, Spent: o.phases[i].Spent}
 		if o.refused[i] != "" {
 			one.End, one.Why = "refused", o.refused[i]
 		}
@@ -75,7 +36,7 @@
 }
 
 // shares counts the first attempts of requests by what their revision had of a rollout.
-func (o *rollouts) shares(out *RoutesResult, all []record.Event, facts *invariant.Routes) {
+func (o *rollouts) shares(out *report.RoutesResult, all []record.Event, facts *invariant.Routes) {
 	type told struct {
 		rollout, step int
 		share         float64
@@ -91,7 +52,7 @@
 			one := told{int(e.Status), int(e.Attempt), e.Work}
 			if tenant := facts.Rollouts[e.Status].Tenant; e.Work > 0 {
 				if _, ok := under[tenant]; !ok {
-					under[tenant] = invariant.Span{From: e.T + toldBy, To: math.MaxInt64}
+					under[tenant] = invariant.Span{From: e.T + firstPermissionTime, To: math.MaxInt64}
 				}
 			}
 			if e.Work > 0 && !slices.Contains(at[e.Rev], one) {
@@ -105,14 +66,14 @@
 		}
 	}
 	first := map[uint64]bool{}
-	sums := map[step]*StepShare{}
+	sums := map[step]*report.StepShare{}
 	held, of := 0, 0
 	for i := range all {
 		e := &all[i]
 		if e.Kind != record.FirstByte {
 			continue
 		}
-		if r, ok := under[int(e.Tenant)]; ok && r.From <= e.T && e.T <= r.To && !o.r.s.Older(int(e.Sidecar)) {
+		if r, ok := under[int(e.Tenant)]; ok && r.From <= e.T && e.T <= r.To && !o.r.Scenario.Older(int(e.Sidecar)) {
 			if of++; e.Rev == 0 {
 				held++
 			}
@@ -128,7 +89,7 @@
 			}
 			s := sums[step{t.rollout, t.step}]
 			if s == nil {
-				s = &StepShare{Step: t.step, Share: t.share}
+				s = &report.StepShare{Step: t.step, Share: t.share}
 				sums[step{t.rollout, t.step}] = s
 			}
 			s.Attempts++
@@ -145,51 +106,8 @@
 		s.Measured /= float64(s.Attempts)
 		one := &out.Rollouts[k.rollout]
 		one.Steps = append(one.Steps, *s)
-		slices.SortFunc(one.Steps, func(a, b StepShare) int { return a.Step - b.Step })
-	}
-}
-
-func (o *RoutesResult) print(w io.Writer) {
-	fmt.Fprintf(w, "\n%-18s %-16s %-12s %5s %7s %7s %9s %9s  steps (share told, seen of so many first attempts)\n",
-		"rollout", "tenant", "end", "step", "budget", "spent", "failures", "canary")
-	for _, r := range o.Rollouts {
-		fmt.Fprintf(w, "%-18s %-16s %-12s %5d %7d %7d %9d %9d ", r.Name, r.Tenant, r.End, r.Step, r.Budget, r.Spent, r.Failures, r.Canary)
-		for _, s := range r.Steps {
-			fmt.Fprintf(w, " %.3f: %.3f of %d;", s.Share, s.Measured, s.Attempts)
-		}
-		if r.Why != "" {
-			fmt.Fprintf(w, " (%s)", r.Why)
-		}
-		fmt.Fprintln(w)
+		slices.SortFunc(one.Steps, func(a, b report.StepShare) int { return a.Step - b.Step })
 	}
-	fmt.Fprintf(w, "routes        %d tables told, closed up to %d; %.1f%% of attempts without permission\n", o.Tables, o.Closed, 100*o.Held)
-	fmt.Fprintf(w, "audit         %d questions; processes that did %d, did not %d, cannot be known %d\n", o.Asked,
-		o.Verdicts[string(audit.Did)], o.Verdicts[string(audit.DidNot)], o.Verdicts[string(audit.Unknown)])
-}
-
-// missedRoutes compares what became of rollouts with what was expected.
-func missedRoutes(s *scenario.Scenario, r *Report) []string {
-	var out []string
-	if r.Routes != nil {
-		out = append(out, r.Routes.missed...)
-		for _, one := range r.Routes.Rollouts {
-			if want := s.Expect.RolloutEnds[one.Name]; want != "" && want != one.End {
-				out = append(out, fmt.Sprintf("rollout %s ends %q (%s), expected %q", one.Name, one.End, one.Why, want))
-			}
-			for _, st := range one.Steps {
-				if off := math.Abs(st.Measured - st.Share); s.Expect.ShareError != nil && st.Attempts >= leastForShare && off > *s.Expect.ShareError {
-					out = append(out, fmt.Sprintf("rollout %s has a share of %.3f in step %d of %.3f, expected within %.3f",
-						one.Name, st.Measured, st.Step, st.Share, *s.Expect.ShareError))
-				}
-			}
-		}
-	}
-	for _, rule := range s.Checks() {
-		if r.Verdict.Checked[rule] == 0 {
-			out = append(out, fmt.Sprintf("rule %s was held to no case", rule))
-		}
-	}
-	return out
 }
 
 // undoer plays a list service whose new leader has forgotten a rollback: from the first table in which a rollout's
--- a/internal/lab/scale.go
+++ b/internal/lab/scale.go
@@ -5,7 +5,6 @@
 	"context"
 	"fmt"
 	"io"
-	"log/slog"
 	"math"
 	"net"
 	"net/http"
@@ -16,10 +15,9 @@
 
 	"github.com/HdrHistogram/hdrhistogram-go"
 
-	"marblelane/internal/lab/client"
+	"marblelane/internal/lab/harness"
 	"marblelane/internal/lab/process"
 	"marblelane/internal/lab/record"
-	"marblelane/internal/lab/relay"
 	"marblelane/internal/lab/scenario"
 	"marblelane/internal/lab/stock"
 )
@@ -40,7 +38,7 @@
 }
 
 // Scale plays the scenario with each size of fleet and the same traffic.
-func Scale(ctx context.Context, s *scenario.Scenario, sidecars, servers []int, o Options) ([]ScalePoint, error) {
+func Scale(ctx context.Context, s *scenario.Scenario, sidecars, servers []int, o harness.Options) ([]ScalePoint, error) {
 	var points []ScalePoint
 	progress := o.Progress
 	o.Progress = nil
@@ -107,7 +105,7 @@
 // MeasureOverhead plays fixed work three ways, in one process and in turn: by a plain client that talks to the
 // stand-ins and writes nothing down, by the lab's clients without sidecars, and by the lab's clients through the
 // sidecars. The difference of the first two is the lab's own overhead.
-func MeasureOverhead(ctx context.Context, s *scenario.Scenario, o Options) ([]Overhead, error) {
+func MeasureOverhead(ctx context.Context, s *scenario.Scenario, o harness.Options) ([]Overhead, error) {
 	work := s.Classes[0].Work.Milliseconds() / s.Traffic.Pace / s.Servers.Kinds[0].Speed[0]
 	plain, err := plainClient(ctx, s, o)
 	if err != nil {
@@ -129,11 +127,16 @@
 }
 
 // plainClient asks the stand-ins at the planned times over kept connections, and measures from those times.
-func plainClient(ctx context.Context, s *scenario.Scenario, o Options) (*hdrhistogram.Histogram, error) {
+func plainClient(ctx context.Context, s *scenario.Scenario, o harness.Options) (*hdrhistogram.Histogram, error) {
 	sized := *s
 	sized.Sidecars.Program = NoProgram
-	r := &run{s: &sized, plan: sized.Plan(o.Seed), o: o, links: map[[2]int]*relay.Link{}, book: client.NewRequestLog(), program: NoProgram,
-		out: slog.New(slog.DiscardHandler)}
+	o.Log = nil
+	base, err := harness.New(&sized, o)
+	if err != nil {
+		return nil, err
+	}
+	defer base.Close()
+	r := newRun(base)
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	defer r.close(cancel)
@@ -145,8 +148,8 @@
 	var wg sync.WaitGroup
 	idle := make(map[string][]net.Conn)
 	began := time.Now()
-	for i := range r.plan.Arrivals {
-		a := &r.plan.Arrivals[i]
+	for i := range r.Plan.Arrivals {
+		a := &r.Plan.Arrivals[i]
 		time.Sleep(time.Until(began.Add(a.At)))
 		if ctx.Err() != nil {
 			break
--- a/internal/lab/server_faults.go
+++ b/internal/lab/server_faults.go
@@ -7,6 +7,7 @@
 	"time"
 
 	"marblelane/internal/lab/agent"
+	"marblelane/internal/lab/harness"
 	"marblelane/internal/lab/invariant"
 	"marblelane/internal/lab/record"
 	"marblelane/internal/lab/relay"
@@ -37,7 +38,7 @@
 // vanish takes whole machines off the network: silence, and a reset of what is open once they are back.
 func (r *run) vanish(servers []int, on bool) error {
 	p := &scenario.FaultPlan{Servers: servers}
-	for i := range r.plan.Sidecars {
+	for i := range r.Plan.Sidecars {
 		p.Sidecars = append(p.Sidecars, i)
 	}
 	if !on { // what was open is gone with the machine's state
@@ -49,27 +50,27 @@
 // publish tells of a server's state after the notice that this news takes.
 func (r *run) publish(i int, state string, notice scenario.Duration) {
 	if r.service != nil {
-		r.service.publish(r.entry(i, state, r.boots[i].Load()), notice.Duration())
+		r.service.publish(r.Entry(i, state, r.boots[i].Load()), notice.Duration())
 	}
 	for _, a := range r.agents {
-		a.Publish(r.entry(i, state, r.boots[i].Load()), notice.Duration(), r.s.Discovery.Spread.Duration())
+		a.Publish(r.Entry(i, state, r.boots[i].Load()), notice.Duration(), r.Scenario.Discovery.Spread.Duration())
 	}
 }
 
 func (r *run) killServer(i int) error {
-	r.note(record.ServerState, record.None, i, "dies")
+	r.Note(record.ServerState, record.None, i, "dies")
 	r.servers[i].Kill()
-	r.publish(i, agent.Gone, r.s.Discovery.SilentNotice)
+	r.publish(i, agent.Gone, r.Scenario.Discovery.SilentNotice)
 	return nil
 }
 
 func (r *run) bootServer(i int) error {
-	r.note(record.ServerState, record.None, i, invariant.ServerStarted)
+	r.Note(record.ServerState, record.None, i, invariant.ServerStarted)
 	if err := r.servers[i].Restart(); err != nil {
 		return err
 	}
 	r.boots[i].Store(time.Now().UnixMilli() + r.serverClock.Load())
-	r.publish(i, agent.Ready, r.s.Discovery.Add)
+	r.publish(i, agent.Ready, r.Scenario.Discovery.Add)
 	return nil
 }
 
@@ -78,49 +79,49 @@
 // Those that stay do not end, and serve whatever comes: nothing but the list tells that they drain.
 func (r *run) drainServers(ctx context.Context, servers []int, stay bool) error {
 	for _, i := range servers {
-		r.note(record.ServerState, record.None, i, "drains")
-		r.publish(i, agent.Terminating, r.s.Discovery.Notice)
+		r.Note(record.ServerState, record.None, i, "drains")
+		r.publish(i, agent.Terminating, r.Scenario.Discovery.Notice)
 	}
 	if stay {
 		return nil
 	}
-	wait := r.s.Discovery.Notice.Duration() + r.s.Discovery.Spread.Duration() + r.s.Rules.DrainGrace.Duration()
-	if !sleep(ctx, wait) {
+	wait := r.Scenario.Discovery.Notice.Duration() + r.Scenario.Discovery.Spread.Duration() + r.Scenario.Rules.DrainGrace.Duration()
+	if !harness.Sleep(ctx, wait) {
 		return nil
 	}
 	for _, i := range servers {
 		r.servers[i].SetBehaviour(func(b *stock.Behaviour) { b.Drain = true })
 	}
-	if !sleep(ctx, deadFor) {
+	if !harness.Sleep(ctx, deadFor) {
 		return nil
 	}
 	for _, i := range servers {
 		r.servers[i].Kill()
 	}
-	if !sleep(ctx, deadFor) {
+	if !harness.Sleep(ctx, deadFor) {
 		return nil
 	}
 	for _, i := range servers {
 		r.servers[i].SetBehaviour(func(b *stock.Behaviour) { b.Drain = false })
 	}
-	return r.each(servers, r.bootServer)
+	return harness.ForEach(servers, r.bootServer)
 }
 
 // replaceServers starts a new machine for each of the servers, under a new name, and ends the old ones in order.
 func (r *run) replaceServers(ctx context.Context, p *scenario.FaultPlan) error {
-	if err := r.each(p.Fresh, r.bootServer); err != nil {
+	if err := harness.ForEach(p.Fresh, r.bootServer); err != nil {
 		return err
 	}
 	for _, i := range p.Servers {
-		r.note(record.ServerState, record.None, i, "is replaced")
-		r.publish(i, agent.Terminating, r.s.Discovery.Notice)
+		r.Note(record.ServerState, record.None, i, "is replaced")
+		r.publish(i, agent.Terminating, r.Scenario.Discovery.Notice)
 	}
-	if !sleep(ctx, r.s.Discovery.Notice.Duration()+r.s.Discovery.Spread.Duration()+r.s.Rules.DrainGrace.Duration()+deadFor) {
+	if !harness.Sleep(ctx, r.Scenario.Discovery.Notice.Duration()+r.Scenario.Discovery.Spread.Duration()+r.Scenario.Rules.DrainGrace.Duration()+deadFor) {
 		return nil
 	}
 	for _, i := range p.Servers {
 		r.servers[i].Kill()
-		r.publish(i, agent.Gone, r.s.Discovery.Notice)
+		r.publish(i, agent.Gone, r.Scenario.Discovery.Notice)
 	}
 	return nil
 }
--- a/internal/lab/service.go
+++ b/internal/lab/service.go
@@ -16,7 +16,8 @@
 	"time"
 
 	"marblelane/internal/lab/agent"
-	"marblelane/internal/lab/invariant"
+	"marblelane/internal/lab/cluster"
+	"marblelane/internal/lab/harness"
 	"marblelane/internal/lab/record"
 	"marblelane/internal/lab/relay"
 	"marblelane/internal/lab/scenario"
@@ -29,7 +30,7 @@
 // the entries, and writes down what the sidecar is told. Nothing else of the protocol passes through other hands.
 type service struct {
 	r       *run
-	rr      *registryRun
+	rr      *cluster.Cluster
 	ports   []*relay.Port // by copy
 	numbers map[string]int
 
@@ -49,10 +50,10 @@
 func (r *run) startService(ctx context.Context, entries []agent.Entry) error {
 	s := &service{r: r, numbers: map[string]int{}, gone: map[int]bool{}, news: map[int]int{}, told: map[int]int{}, work: make(chan func(context.Context), 1000)}
 	r.service = s
-	s.rr = &registryRun{run: r, reg: &scenario.Registry{Copies: r.s.Discovery.Registry, Beat: scenario.Duration(100 * time.Millisecond),
-		MostStale: r.s.Discovery.MostStale}, seen: map[int64]uint64{}, counts: map[string]int{}}
-	for i := range r.plan.Servers {
-		s.numbers[r.plan.Servers[i].UID] = i
+	s.rr = cluster.New(r.Run, &scenario.Registry{Copies: r.Scenario.Discovery.Registry,
+		Beat: scenario.Duration(100 * time.Millisecond), MostStale: r.Scenario.Discovery.MostStale})
+	for i := range r.Plan.Servers {
+		s.numbers[r.Plan.Servers[i].UID] = i
 	}
 	working, stop := context.WithCancel(context.WithoutCancel(ctx))
 	s.stop = stop
@@ -66,7 +67,7 @@
 			}
 		}
 	})
-	if err := s.rr.startCopies(ctx); err != nil {
+	if err := s.rr.Start(ctx); err != nil {
 		return err
 	}
 	for _, e := range entries {
@@ -74,7 +75,7 @@
 			return err
 		}
 	}
-	for k, c := range s.rr.copies {
+	for k, c := range s.rr.Replicas {
 		p, err := relay.Listen(func(n int) *relay.Link {
 			if n >= len(r.disc[k]) {
 				return nil
@@ -105,14 +106,14 @@
 		}
 	}
 	for {
-		if lead := s.rr.leader(ctx); lead != nil {
-			code, text, err := quick(ctx, method, "http://"+lead.serve+path, body)
+		if lead := s.rr.Leader(ctx); lead != nil {
+			code, text, err := cluster.Call(ctx, method, "http://"+lead.Address+path, body)
 			if err == nil && (code == http.StatusOK || code == http.StatusNotFound) {
 				return nil
 			}
-			s.r.out.Debug("lab: the list service does not take it", "uid", e.UID, "code", code, "answer", string(text), "error", err)
+			s.r.Log.Debug("lab: the list service does not take it", "uid", e.UID, "code", code, "answer", string(text), "error", err)
 		}
-		if !sleep(ctx, 20*time.Millisecond) {
+		if !harness.Sleep(ctx, 20*time.Millisecond) {
 			return errors.New("list service: no leader takes a write")
 		}
 	}
@@ -154,11 +155,11 @@
 	for _, p := range s.ports {
 		p.Close()
 	}
-	s.rr.stopCopies()
+	s.rr.Stop()
 }
 
 // pass answers one call of a sidecar with what a copy answers.
-func (s *service) pass(c *relay.Conn, to *registryCopy) {
+func (s *service) pass(c *relay.Conn, to *cluster.Replica) {
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	in := bufio.NewReader(c)
@@ -180,7 +181,7 @@
 		_ = c.SetReadDeadline(time.Unix(1, 0)) // wakes the goroutine above
 		<-ended
 	}()
-	out, err := http.NewRequestWithContext(ctx, req.Method, "http://"+to.serve+req.URL.RequestURI(), bytes.NewReader(body))
+	out, err := http.NewRequestWithContext(ctx, req.Method, "http://"+to.Address+req.URL.RequestURI(), bytes.NewReader(body))
 	if err != nil {
 		return
 	}
@@ -237,8 +238,8 @@
 	if err != nil {
 		return location
 	}
-	for k, c := range s.rr.copies {
-		if c.serve == u.Host {
+	for k, c := range s.rr.Replicas {
+		if c.Address == u.Host {
 			u.Host = s.ports[k].Addr(sidecar)
 		}
 	}
@@ -282,7 +283,7 @@
 	}
 	return append(text, '\n'), func() {
 		for _, e := range told {
-			s.r.log.Add(e)
+			s.r.Events.Add(e)
 		}
 	}
 }
@@ -307,34 +308,21 @@
 		return r.agents[0].ListFor(sidecar)
 	}
 	l := agent.List{All: true, Targets: []agent.Entry{}}
-	for i := range r.plan.Servers {
-		if r.plan.Servers[i].Spare && r.boots[i].Load() == 0 {
+	for i := range r.Plan.Servers {
+		if r.Plan.Servers[i].Spare && r.boots[i].Load() == 0 {
 			continue
 		}
-		e := r.entry(i, agent.Ready, r.boots[i].Load())
+		e := r.Entry(i, agent.Ready, r.boots[i].Load())
 		e.Endpoint = r.servers[i].Port.Addr(sidecar)
 		l.Targets = append(l.Targets, e)
 	}
 	return l
 }
 
-// addTo adds what the copies of the list service broke.
-func (rr *registryRun) addTo(v *invariant.Verdict) {
-	rr.mu.Lock()
-	defer rr.mu.Unlock()
-	for rule, n := range rr.counts {
-		v.Counts[rule] += n
-	}
-	v.Breaches = append(v.Breaches, rr.breaches...)
-	if rr.disks > 0 {
-		v.Checked["disk-honest"] += rr.disks
-	}
-}
-
 // copyFault begins a fault of the service's copies and gives what undoes it.
 func (s *service) copyFault(ctx context.Context, p *scenario.FaultPlan) (func() error, error) {
 	if !strings.HasPrefix(p.Fault.Kind, "copy-") {
 		return nil, fmt.Errorf("no such fault of the list service")
 	}
-	return s.rr.begin(ctx, p)
+	return s.rr.InjectFault(ctx, p)
 }
--- a/internal/lab/sidecar_faults.go
+++ b/internal/lab/sidecar_faults.go
@@ -7,6 +7,7 @@
 	"syscall"
 	"time"
 
+	"marblelane/internal/lab/harness"
 	"marblelane/internal/lab/invariant"
 	"marblelane/internal/lab/record"
 )
@@ -29,7 +30,7 @@
 	return nil
 }
 
-func (s *sidecar) note(text string) { s.r.note(record.Process, s.number, record.None, text) }
+func (s *sidecar) note(text string) { s.r.Note(record.Process, s.number, record.None, text) }
 
 func (s *sidecar) freeze(on bool) error {
 	if !on {
@@ -51,7 +52,7 @@
 
 // restart is a planned one: SIGTERM, the end, and a new process with the same name and address.
 func (s *sidecar) restart(ctx context.Context) error {
-	s.stop(s.current(), stopWait)
+	s.stop(s.current(), harness.StopTimeout)
 	return s.launch(ctx)
 }
 
@@ -59,7 +60,7 @@
 // go on sending on every one that stays open, and SIGKILL comes at its earliest.
 func (s *sidecar) term(ctx context.Context) error {
 	defer time.AfterFunc(newConns, func() { s.closed.Store(true) }).Stop()
-	s.stop(s.current(), s.r.s.KillAfter())
+	s.stop(s.current(), s.r.Scenario.KillAfter())
 	s.closed.Store(true) // before the timer, where it has ended sooner
 	err := s.launch(ctx)
 	s.closed.Store(false)
@@ -72,6 +73,6 @@
 	if err := s.launch(ctx); err != nil {
 		return err
 	}
-	s.stop(old, stopWait)
+	s.stop(old, harness.StopTimeout)
 	return nil
 }
--- a/internal/lab/sidecar_process.go
+++ b/internal/lab/sidecar_process.go
@@ -7,7 +7,6 @@
 	"encoding/json"
 	"errors"
 	"fmt"
-	"net"
 	"os"
 	"path/filepath"
 	"slices"
@@ -19,10 +18,10 @@
 	"time"
 
 	"marblelane/internal/fault"
+	"marblelane/internal/lab/harness"
 	"marblelane/internal/lab/invariant"
 	"marblelane/internal/lab/process"
 	"marblelane/internal/lab/record"
-	"marblelane/internal/lab/relay"
 )
 
 // sidecar is one sidecar with its process, or two during an upgrade.
@@ -69,22 +68,22 @@
 
 // startSidecars starts all and waits until each says that it serves.
 func (r *run) startSidecars(ctx context.Context) error {
-	r.tampers = make([]*tamper, len(r.plan.Sidecars))
-	for i := range r.plan.Sidecars {
-		s := &sidecar{r: r, number: i, dir: filepath.Join(r.dir, r.plan.Sidecars[i].Name)}
-		if r.s.Late(i) { // it may have another one's name
+	r.tampers = make([]*tamper, len(r.Plan.Sidecars))
+	for i := range r.Plan.Sidecars {
+		s := &sidecar{r: r, number: i, dir: filepath.Join(r.Dir, r.Plan.Sidecars[i].Name)}
+		if r.Scenario.Late(i) { // it may have another one's name
 			s.dir += "-late"
 		}
 		s.config = filepath.Join(s.dir, "config.json")
 		r.sidecars = append(r.sidecars, s)
 	}
-	ctx, cancel := context.WithTimeout(ctx, startWait)
+	ctx, cancel := context.WithTimeout(ctx, harness.StartTimeout)
 	defer cancel()
-	first := slices.DeleteFunc(slices.Clone(r.sidecars), func(s *sidecar) bool { return r.s.Late(s.number) })
+	first := slices.DeleteFunc(slices.Clone(r.sidecars), func(s *sidecar) bool { return r.Scenario.Late(s.number) })
 	errs := make(chan error, len(first))
 	room := make(chan struct{}, 8) // at a time: starts are the costliest moment
 	for _, s := range first {
-		r.wg.Go(func() {
+		r.Tasks.Go(func() {
 			room <- struct{}{}
 			defer func() { <-room }()
 			errs <- s.begin(ctx)
@@ -106,7 +105,7 @@
 	var err error
 	for range portTrials {
 		var listen string
-		if listen, err = s.r.o.freeAddr(s.number); err != nil {
+		if listen, err = s.r.Options.FreeAddr(s.number); err != nil {
 			return err
 		}
 		s.mu.Lock()
@@ -115,29 +114,20 @@
 		if err = s.launch(ctx); err == nil || !strings.Contains(err.Error(), "address already in use") {
 			return err
 		}
-		s.r.out.Warn("lab: port taken, trying another", "sidecar", s.number, "address", s.listen)
+		s.r.Log.Warn("lab: port taken, trying another", "sidecar", s.number, "address", s.listen)
 	}
 	return fmt.Errorf("sidecar %d: after %d ports: %w", s.number, portTrials, err)
 }
 
-// freeAddr finds a port on the loopback address of a sidecar's clients.
-func freeAddr(n int) (string, error) {
-	addr, err := relay.FreeAddr(fmt.Sprintf("127.%d.%d.%d", 32+n>>16, n>>8&255, n&255))
-	if err != nil {
-		return "", fmt.Errorf("lab: no address for sidecar %d: %w", n, err)
-	}
-	return addr, nil
-}
-
 // launch starts a process and waits until it serves.
 func (s *sidecar) launch(ctx context.Context) error {
-	r, p := s.r, &s.r.plan.Sidecars[s.number]
+	r, p := s.r, &s.r.Plan.Sidecars[s.number]
 	tmp := filepath.Join(s.dir, "tmp")
 	if err := os.MkdirAll(tmp, 0o755); err != nil {
 		return fmt.Errorf("sidecar %d: %w", s.number, err)
 	}
 	var at *front
-	if r.members != nil && r.s.Membered(s.number) {
+	if r.members != nil && r.Scenario.Membered(s.number) {
 		var err error
 		if at, err = r.members.prepare(s.number); err != nil {
 			return fmt.Errorf("sidecar %d: %w", s.number, err)
@@ -149,16 +139,16 @@
 	s.mu.Lock()
 	s.manages++
 	s.mu.Unlock()
-	begun := r.log.Now() // before the process can know of its start
-	c, err := r.nursery.Start(process.Spec{
-		Name: p.Name, Path: r.programOf(s.number), Dir: s.dir, MaxDescriptors: r.s.Sidecars.Sockets,
+	begun := r.Events.Now() // before the process can know of its start
+	c, err := r.Processes.Start(process.Spec{
+		Name: p.Name, Path: r.programOf(s.number), Dir: s.dir, MaxDescriptors: r.Scenario.Sidecars.Sockets,
 		Env: []string{"NODE_CONFIG=" + s.config, "NODE_NAME=" + p.Name, "NODE_LISTEN=" + s.listen,
-			"NODE_DISCOVERY=" + r.listAddrs(s.number)[0], "NODE_MANAGEMENT=" + hostOf(s.listen) + ":0", "TMPDIR=" + tmp},
+			"NODE_DISCOVERY=" + r.listAddrs(s.number)[0], "NODE_MANAGEMENT=" + harness.HostOf(s.listen) + ":0", "TMPDIR=" + tmp},
 	})
 	if err != nil {
 		return fmt.Errorf("sidecar %d: %w", s.number, err)
 	}
-	r.log.Add(record.Event{T: begun, Kind: record.Process, Sidecar: int32(s.number), Server: record.None, Class: record.None, Note: invariant.Started})
+	r.Events.Add(record.Event{T: begun, Kind: record.Process, Sidecar: int32(s.number), Server: record.None, Class: record.None, Note: invariant.Started})
 	s.mu.Lock()
 	s.older, s.now = s.now, c
 	s.mu.Unlock()
@@ -166,14 +156,14 @@
 		r.members.has(at, c)
 	}
 	s.spoilStart(ctx, c)
-	ready, err := c.AwaitLog(ctx, readyText)
+	ready, err := c.AwaitLog(ctx, harness.ReadyText)
 	if err != nil {
 		if c.Kill(); at != nil {
 			r.members.die(at, c)
 		}
 		return fmt.Errorf("sidecar %d at %s: %w", s.number, s.listen, err)
 	}
-	r.note(record.Process, s.number, record.None, invariant.Serving)
+	r.Note(record.Process, s.number, record.None, invariant.Serving)
 	if at != nil {
 		if err := r.members.begin(at, c, ready); err != nil {
 			return fmt.Errorf("sidecar %d: %w", s.number, err)
@@ -183,11 +173,6 @@
 	return nil
 }
 
-func hostOf(addr string) string {
-	host, _, _ := net.SplitHostPort(addr)
-	return host
-}
-
 // watch writes down how a process ended.
 func (s *sidecar) watch(c *process.Child) {
 	<-c.Ended()
@@ -195,23 +180,23 @@
 	if !c.StopRequested() || c.Err() != nil && !strings.Contains(c.Err().Error(), "signal: killed") {
 		note = invariant.Crashed
 	}
-	s.r.note(record.Process, s.number, record.None, note)
+	s.r.Note(record.Process, s.number, record.None, note)
 	if note == invariant.Crashed {
-		s.r.out.Error("lab: a copy ended unasked", "sidecar", s.number, "error", c.Err(), "log", c.LogTail())
+		s.r.Log.Error("lab: a copy ended unasked", "sidecar", s.number, "error", c.Err(), "log", c.LogTail())
 	}
 }
 
 // writeConfig writes the configuration file with discovery's present address and list, whole or not at all.
 func (s *sidecar) writeConfig() error {
-	r, p := s.r, &s.r.plan.Sidecars[s.number]
+	r, p := s.r, &s.r.Plan.Sidecars[s.number]
 	config := map[string]any{
 		"name": p.Name, "listen": s.listen, "discovery": r.listAddrs(s.number)[0],
-		"management": hostOf(s.listen) + ":0", "seed": strconv.FormatUint(p.Seed+uint64(s.manages), 16),
-		"limits":   map[string]any{"cores": r.s.Sidecars.Cores, "memory_mb": r.s.Sidecars.MemoryMB, "sockets": r.s.Sidecars.Sockets},
+		"management": harness.HostOf(s.listen) + ":0", "seed": strconv.FormatUint(p.Seed+uint64(s.manages), 16),
+		"limits":   map[string]any{"cores": r.Scenario.Sidecars.Cores, "memory_mb": r.Scenario.Sidecars.MemoryMB, "sockets": r.Scenario.Sidecars.Sockets},
 		"known":    r.known(s.number),
-		"settings": r.plan.Settings(s.number),
+		"settings": r.Plan.Settings(s.number),
 	}
-	if d := &r.s.Discovery; d.Copies > 1 || d.Registry > 1 || d.DoubtShare > 0 || d.Stale > 0 {
+	if d := &r.Scenario.Discovery; d.Copies > 1 || d.Registry > 1 || d.DoubtShare > 0 || d.Stale > 0 {
 		var lists []map[string]any
 		for k, addr := range r.listAddrs(s.number) {
 			one := map[string]any{"addr": addr}
@@ -230,10 +215,10 @@
 			config["members"] = section
 		}
 	}
-	if r.s.PlantsInSidecars() {
+	if r.Scenario.PlantsInSidecars() {
 		config["faults"] = s.faultsFile()
 	}
-	if n := &r.s.Network; len(n.Regions) > 0 {
+	if n := &r.Scenario.Network; len(n.Regions) > 0 {
 		config["regions"], config["region_cost"] = n.RegionNames(), n.FarCost
 	}
 	data, err := json.MarshalIndent(config, "", " ")
@@ -269,13 +254,13 @@
 
 // stop ends a process in order; SIGKILL comes when it has not ended after wait.
 func (s *sidecar) stop(c *process.Child, wait time.Duration) {
-	s.r.note(record.Process, s.number, record.None, invariant.Stopping)
+	s.r.Note(record.Process, s.number, record.None, invariant.Stopping)
 	if s.r.members != nil {
 		s.r.members.leaving(c)
 	}
 	if !s.spoilsEnd(c) {
 		if err := c.Signal(syscall.SIGTERM); err != nil {
-			s.r.fail(err)
+			s.r.Fail(err)
 		}
 	}
 	kill := time.NewTimer(wait)
@@ -283,7 +268,7 @@
 	select {
 	case <-c.Ended():
 	case <-kill.C:
-		s.r.note(record.Process, s.number, record.None, invariant.Killed)
+		s.r.Note(record.Process, s.number, record.None, invariant.Killed)
 		c.Kill()
 	}
 	s.retire(c)
@@ -312,7 +297,7 @@
 	for _, s := range r.sidecars {
 		wg.Go(func() {
 			if c := s.current(); c != nil {
-				s.stop(c, stopWait)
+				s.stop(c, harness.StopTimeout)
 			}
 		})
 	}
--- a/internal/lab/tamper.go
+++ b/internal/lab/tamper.go
@@ -15,6 +15,7 @@
 	"time"
 
 	"marblelane/internal/lab/agent"
+	"marblelane/internal/lab/harness"
 	"marblelane/internal/lab/process"
 	"marblelane/internal/lab/scenario"
 	"marblelane/internal/lab/stock"
@@ -25,7 +26,7 @@
 
 // prepareTampers puts a tamper before each sidecar whose answers will be spoilt; until then it is passed by.
 func (r *run) prepareTampers() error {
-	for _, p := range r.plan.Faults {
+	for _, p := range r.Plan.Faults {
 		if p.Fault.Kind != "defect-lose-answer" && p.Fault.Kind != "defect-answer-twice" {
 			continue
 		}
@@ -107,7 +108,7 @@
 		return
 	}
 	_ = c.Signal(syscall.SIGSTOP) // one that has ended says so where its readiness is awaited
-	sleep(ctx, stalls)
+	harness.Sleep(ctx, stalls)
 	_ = c.Signal(syscall.SIGCONT) // as above
 }
 
@@ -131,7 +132,7 @@
 	}
 	other := r.servers[(server+1)%len(r.servers)].Port.Addr(sidecar)
 	id := req.Header.Get("X-Request-ID")
-	r.wg.Go(func() {
+	r.Tasks.Go(func() {
 		tells := ""
 		if rep.defect == "tell-whole" {
 			tells = "X-Timeout-Ms: " + req.Header.Get("X-Timeout-Ms") + "\r\n" // as much as when the first was sent
@@ -186,7 +187,7 @@
 }
 
 func newTamper(target string) (*tamper, error) {
-	l, err := net.Listen("tcp4", hostOf(target)+":0")
+	l, err := net.Listen("tcp4", harness.HostOf(target)+":0")
 	if err != nil {
 		return nil, fmt.Errorf("lab: tamper: %w", err)
 	}
