--- a/internal/lab/compare.go
+++ b/internal/lab/compare.go
@@ -13,7 +13,9 @@
 	"gonum.org/v1/plot/vg"
 	"gonum.org/v1/plot/vg/draw"
 
+	"marblelane/internal/lab/harness"
 	"marblelane/internal/lab/measure"
+	"marblelane/internal/lab/report"
 	"marblelane/internal/lab/scenario"
 )
 
@@ -66,7 +68,7 @@
 
 // Compare plays both sides on a number of consecutive seeds. The sides take turns in going first, so that a change of the
 // machine's load favours neither.
-func Compare(ctx context.Context, a, b Side, first uint64, plays int, o Options) (*Comparison, error) {
+func Compare(ctx context.Context, a, b Side, first uint64, plays int, o harness.Options) (*Comparison, error) {
 	c := &Comparison{A: a.Name, B: b.Name}
 	sides := [2]Side{a, b}
 	for k := range plays {
@@ -92,18 +94,18 @@
 }
 
 // playSide plays one side of a pair and keeps its figures; side is its number.
-func (c *Comparison) playSide(ctx context.Context, s Side, side int, pair *Pair, o Options) error {
-	report, late, err := playUntilOnTime(ctx, s, pair.Seed, o)
+func (c *Comparison) playSide(ctx context.Context, s Side, side int, pair *Pair, o harness.Options) error {
+	played, late, err := playUntilOnTime(ctx, s, pair.Seed, o)
 	c.LatePlays += late
 	if err != nil {
 		return err
 	}
-	*pair.figures(side) = report.Result.Figures
-	for _, p := range report.Result.Sidecars {
+	*pair.figures(side) = played.Result.Figures
+	for _, p := range played.Result.Sidecars {
 		pair.CPU[side] += p.CPU
 		pair.RSS[side] = max(pair.RSS[side], p.PeakRSS)
 	}
-	if len(report.Verdict.Broken()) > 0 {
+	if len(played.Verdict.Broken()) > 0 {
 		if side == 0 {
 			c.BrokenA++
 		} else {
@@ -114,19 +116,19 @@
 }
 
 // playUntilOnTime plays a side until the lab was not late. It also returns the number of late plays.
-func playUntilOnTime(ctx context.Context, side Side, seed uint64, o Options) (*Report, int, error) {
+func playUntilOnTime(ctx context.Context, side Side, seed uint64, o harness.Options) (*report.Report, int, error) {
 	for late := range maxLatePlays {
 		o := o
 		o.Seed, o.Program, o.Progress = seed, side.Program, nil
 		if o.Dir != "" {
 			o.Dir = filepath.Join(o.Dir, fmt.Sprintf("%s-%d", filepath.Base(side.Name), seed))
 		}
-		rep, err := Run(ctx, side.Scenario, o)
+		played, err := Run(ctx, side.Scenario, o)
 		if err != nil {
 			return nil, late, err
 		}
-		if end, _ := rep.Outcome(); end != Late {
-			return rep, late, nil
+		if outcome, _ := played.Outcome(); outcome != report.Late {
+			return played, late, nil
 		}
 	}
 	return nil, maxLatePlays, errLabLate
@@ -205,19 +207,19 @@
 		if err != nil {
 			return fmt.Errorf("plot: %w", err)
 		}
-		dots.Color, dots.Shape = goodColour, draw.CircleGlyph{}
+		dots.Color, dots.Shape = report.GoodColour, draw.CircleGlyph{}
 		mean, err := plotter.NewLine(plotter.XYs{{X: float64(i) - 0.25, Y: r.Diff}, {X: float64(i) + 0.25, Y: r.Diff}})
 		if err != nil {
 			return fmt.Errorf("plot: %w", err)
 		}
-		mean.Color, mean.Width = failedColour, vg.Points(1.5)
+		mean.Color, mean.Width = report.FailedColour, vg.Points(1.5)
 		p.Add(dots, mean)
 		names = append(names, r.Name)
 	}
 	p.Add(plotter.NewGrid())
 	p.NominalX(names...)
 	for _, form := range []string{".png", ".svg"} {
-		if err := p.Save(plotWidth, plotHeight, filepath.Join(dir, "compare"+form)); err != nil {
+		if err := p.Save(report.PlotWidth, report.PlotHeight, filepath.Join(dir, "compare"+form)); err != nil {
 			return fmt.Errorf("plot: %w", err)
 		}
 	}
--- a/internal/lab/experiment/testbed/load.go
+++ b/internal/lab/experiment/testbed/load.go
@@ -11,6 +11,8 @@
 	"sync"
 	"sync/atomic"
 	"time"
+
+	"marblelane/internal/lab/harness"
 )
 
 // Tenant is the tenant of all requests.
@@ -69,7 +71,7 @@
 	for k := 0; ctx.Err() == nil; k++ {
 		if l.rate > 0 {
 			due := time.Duration(float64(i+k*len(l.conns)) / l.rate * float64(time.Second))
-			if due >= length || !sleep(ctx, time.Until(start.Add(due))) {
+			if due >= length || !harness.Sleep(ctx, time.Until(start.Add(due))) {
 				return d, nil
 			}
 		}
@@ -132,13 +134,3 @@
 		}
 	}
 }
-
-// sleep waits, and tells whether ctx was not done before.
-func sleep(ctx context.Context, wait time.Duration) bool {
-	select {
-	case <-time.After(wait):
-		return true
-	case <-ctx.Done():
-		return false
-	}
-}
--- a/internal/lab/experiment/testbed/sidecar.go
+++ b/internal/lab/experiment/testbed/sidecar.go
@@ -13,16 +13,11 @@
 	"syscall"
 	"time"
 
+	"marblelane/internal/lab/harness"
 	"marblelane/internal/lab/process"
 	"marblelane/internal/lab/scenario"
 )
 
-const (
-	startTimeout = 30 * time.Second
-	stopTimeout  = 6 * time.Second
-	readyText    = "ready name=" // starts the log line of a sidecar that is ready
-)
-
 // Sidecar is a sidecar process that is ready.
 type Sidecar struct {
 	*process.Child
@@ -38,9 +33,9 @@
 	if err != nil {
 		return nil, err
 	}
-	ctx, cancel := context.WithTimeout(ctx, startTimeout)
+	ctx, cancel := context.WithTimeout(ctx, harness.StartTimeout)
 	defer cancel()
-	line, err := child.AwaitLog(ctx, readyText)
+	line, err := child.AwaitLog(ctx, harness.ReadyText)
 	if err != nil {
 		child.Kill()
 		return nil, err
@@ -62,7 +57,7 @@
 // Stop stops a sidecar in order, so that it leaves its fleet, and kills it if that takes too long.
 func (s *Sidecar) Stop() {
 	_ = s.Signal(syscall.SIGTERM) // fails if it has ended
-	kill := time.NewTimer(stopTimeout)
+	kill := time.NewTimer(harness.StopTimeout)
 	defer kill.Stop()
 	select {
 	case <-s.Ended():
--- a/internal/lab/growth.go
+++ b/internal/lab/growth.go
@@ -9,6 +9,8 @@
 	"os"
 	"slices"
 	"time"
+
+	"marblelane/internal/lab/harness"
 )
 
 // GrowthSize is how large a fleet is.
@@ -133,7 +135,7 @@
 		for i := range pairs {
 			all = append(all, figure(side(&pairs[i])))
 		}
-		return median(all)
+		return harness.Median(all)
 	}
 	return GrowthUsage{CPU: medianOf(cpuOfUsage), PeakMemory: medianOf(memoryOfUsage), Descriptors: medianOf(descriptorsOfUsage),
 		Connections: medianOf(connectionsOfUsage), ListBytes: medianOf(listBytesOfUsage), Served: medianOf(servedOfUsage)}
--- a/internal/lab/growth_fleet.go
+++ b/internal/lab/growth_fleet.go
@@ -7,6 +7,7 @@
 	"fmt"
 	"math"
 
+	"marblelane/internal/lab/report"
 	"marblelane/internal/lab/scenario"
 	"marblelane/internal/lab/simulate"
 )
@@ -116,8 +117,8 @@
 			opened++
 		}
 	}
-	report := newReport(plan, run.Events, run.Worked, nil, nil)
-	figures, broken := &report.Result.Figures, report.Verdict.Broken()
+	outcome := report.New(plan, run.Events, run.Worked, nil, nil)
+	figures, broken := &outcome.Result.Figures, outcome.Verdict.Broken()
 	usage := GrowthUsage{Connections: float64(opened) / float64(size.Sidecars), Served: figures.InObjective}
 	o.progress("%s, %d sidecars, %d servers: %d requests, %.3f served, %.1f connections each, %.2f attempts, broken %v",
 		kind.name, size.Sidecars, size.Servers, figures.Requests, usage.Served, usage.Connections, figures.ServerAttempts, broken)
--- a/internal/lab/growth_process.go
+++ b/internal/lab/growth_process.go
@@ -8,7 +8,6 @@
 	"errors"
 	"fmt"
 	"io"
-	"log/slog"
 	"net"
 	"net/http"
 	"path/filepath"
@@ -19,6 +18,7 @@
 
 	"marblelane/internal/lab/agent"
 	"marblelane/internal/lab/experiment/testbed"
+	"marblelane/internal/lab/harness"
 	"marblelane/internal/lab/process"
 	"marblelane/internal/lab/record"
 	"marblelane/internal/lab/relay"
@@ -53,7 +53,7 @@
 // growthRun is a day under way.
 type growthRun struct {
 	o       *GrowthOptions
-	r       *run // the plan, the folder and the supervisor of the processes
+	r       *harness.Run // the plan, the folder and the supervisor of the processes
 	servers *growthServers
 	agents  *agent.Agents
 	meter   *meteredForward
@@ -91,8 +91,11 @@
 		return usage, err
 	}
 	s.Servers.Count = size.Servers + replaced
-	d := &growthRun{o: o, r: &run{s: s, plan: s.Plan(1), out: slog.New(slog.DiscardHandler),
-		nursery: process.NewSupervisor(), log: record.New(), dir: dir}}
+	base, err := harness.New(s, harness.Options{Seed: 1, Dir: dir})
+	if err != nil {
+		return usage, err
+	}
+	d := &growthRun{o: o, r: base}
 	defer func() { err = errors.Join(err, d.close()) }()
 	if d.servers, err = startGrowthServers(s.Servers.Count); err != nil {
 		return usage, err
@@ -116,7 +119,7 @@
 // serversNotifiedGone returns of how many servers the sidecar was notified that they are gone.
 func (d *growthRun) serversNotifiedGone() int {
 	gone := map[int32]bool{}
-	for _, e := range d.r.log.Events() {
+	for _, e := range d.r.Events.Events() {
 		if e.Kind == record.Notified && e.Note == agent.Gone {
 			gone[e.Server] = true
 		}
@@ -128,7 +131,7 @@
 func (d *growthRun) startDiscovery(listed int) error {
 	link := relay.NewLink(relay.Rules{}, 1)
 	var err error
-	d.agents, err = agent.New(d.r.log, 1, d.entries(listed),
+	d.agents, err = agent.New(d.r.Events, 1, d.entries(listed),
 		func(_, server int) string { return d.servers.addr(server) }, func(int) *relay.Link { return link })
 	if err != nil {
 		return err
@@ -140,7 +143,7 @@
 func (d *growthRun) entries(listed int) []agent.Entry {
 	var list []agent.Entry
 	for i := range listed {
-		e := d.r.entry(i, agent.Ready, 0)
+		e := d.r.Entry(i, agent.Ready, 0)
 		e.Endpoint = d.servers.addr(i)
 		list = append(list, e)
 	}
@@ -149,22 +152,22 @@
 
 // launch starts the sidecar, configured for a fleet of this size.
 func (d *growthRun) launch(ctx context.Context, size GrowthSize) (*testbed.Sidecar, error) {
-	settings := d.r.plan.Settings(0)
+	settings := d.r.Plan.Settings(0)
 	settings["peers_total"] = size.Sidecars
 	settings["tenants"] = []map[string]any{{"name": testbed.Tenant, "share": 1.0, "allowance_per_s": 1e6}}
-	config := testbed.BaseConfig(d.r.s, growthSidecarSeed, d.meter.addr(), settings)
+	config := testbed.BaseConfig(d.r.Scenario, growthSidecarSeed, d.meter.addr(), settings)
 	config["known"] = agent.List{All: true, Targets: d.entries(size.Servers)}
 	text, err := json.Marshal(config)
 	if err != nil {
 		return nil, err
 	}
-	launcher := &testbed.Launcher{Children: d.r.nursery, Dir: d.r.dir, MaxDescriptors: d.r.s.Sidecars.Sockets, Config: text}
+	launcher := &testbed.Launcher{Children: d.r.Processes, Dir: d.r.Dir, MaxDescriptors: d.r.Scenario.Sidecars.Sockets, Config: text}
 	return launcher.Launch(ctx, "sidecar", d.o.Program)
 }
 
 // play sends requests to the sidecar while servers are replaced, stops it, and measures until it has ended.
 func (d *growthRun) play(ctx context.Context, p *testbed.Sidecar, listed, replaced int) (GrowthUsage, error) {
-	load := testbed.NewLoad(p.Listen, d.r.s.Classes[0].Name, d.o.Rate, d.o.Connections, &d.ids)
+	load := testbed.NewLoad(p.Listen, d.r.Scenario.Classes[0].Name, d.o.Rate, d.o.Connections, &d.ids)
 	driving, stopDriving := context.WithCancel(ctx)
 	var background sync.WaitGroup
 	var peak process.Usage
@@ -173,7 +176,7 @@
 	background.Go(func() { d.replace(driving, listed, replaced) })
 	start := time.Now()
 	done, err := load.Drive(ctx, d.o.Length)
-	sleep(ctx, time.Until(start.Add(d.o.Length))) // the day ends some time after the last request
+	harness.Sleep(ctx, time.Until(start.Add(d.o.Length))) // the day ends some time after the last request
 	load.Close()
 	stopDriving()
 	background.Wait()
@@ -203,7 +206,7 @@
 		}
 		peak.PeakRSS = max(peak.PeakRSS, now.PeakRSS)
 		peak.Descriptors = max(peak.Descriptors, now.Descriptors)
-		if !sleep(ctx, growthSampleInterval) {
+		if !harness.Sleep(ctx, growthSampleInterval) {
 			return peak, nil
 		}
 	}
@@ -215,18 +218,18 @@
 	start := time.Now()
 	for step := range steps {
 		due := start.Add(d.o.Length * time.Duration(step+1) / time.Duration(steps+4))
-		if !sleep(ctx, time.Until(due)) {
+		if !harness.Sleep(ctx, time.Until(due)) {
 			return
 		}
 		var changed, gone []agent.Entry
 		for i := step * replaced / steps; i < (step+1)*replaced/steps; i++ {
-			old := d.r.entry(i*listed/replaced, agent.Terminating, 0)
-			changed = append(changed, d.r.entry(listed+i, agent.Ready, time.Now().UnixMilli()), old)
+			old := d.r.Entry(i*listed/replaced, agent.Terminating, 0)
+			changed = append(changed, d.r.Entry(listed+i, agent.Ready, time.Now().UnixMilli()), old)
 			old.State = agent.Gone
 			gone = append(gone, old)
 		}
 		d.agents.PublishAll(changed, 0, 0)
-		if !sleep(ctx, min(growthDrainTime, d.o.Length/time.Duration(2*steps+4))) {
+		if !harness.Sleep(ctx, min(growthDrainTime, d.o.Length/time.Duration(2*steps+4))) {
 			return
 		}
 		d.agents.PublishAll(gone, 0, 0)
@@ -234,7 +237,7 @@
 }
 
 func (d *growthRun) close() error {
-	d.r.nursery.Close()
+	d.r.Close()
 	var err error
 	if d.meter != nil {
 		err = d.meter.close()
--- a/internal/lab/listscale.go
+++ b/internal/lab/listscale.go
@@ -3,7 +3,6 @@
 import (
 	"bufio"
 	"bytes"
-	"cmp"
 	"context"
 	"errors"
 	"fmt"
@@ -19,6 +18,7 @@
 	"sync/atomic"
 	"time"
 
+	"marblelane/internal/lab/harness"
 	"marblelane/internal/lab/process"
 	"marblelane/internal/lab/relay"
 )
@@ -51,7 +51,7 @@
 )
 
 // ListScale measures the list service at each size, with shared encoding and the baseline in turn.
-func ListScale(ctx context.Context, watchers, entries []int, o Options) ([]ListPoint, error) {
+func ListScale(ctx context.Context, watchers, entries []int, o harness.Options) ([]ListPoint, error) {
 	var points []ListPoint
 	for _, entryCount := range entries {
 		for _, watcherCount := range watchers {
@@ -89,7 +89,7 @@
 func (w *watcher) run(ctx context.Context, client *http.Client, addr string, now func() time.Duration) {
 	for ctx.Err() == nil {
 		wait := w.watch(ctx, client, addr, now)
-		if !sleep(ctx, wait) {
+		if !harness.Sleep(ctx, wait) {
 			return
 		}
 	}
@@ -202,7 +202,7 @@
 
 // measureListPoint measures one size: memory as the watchers join, time, bytes and processor time as entries change,
 // and the recovery after the copy was killed.
-func measureListPoint(ctx context.Context, watchers, entries int, eachEncodes bool, o Options) (*ListPoint, error) {
+func measureListPoint(ctx context.Context, watchers, entries int, eachEncodes bool, o harness.Options) (*ListPoint, error) {
 	dir, err := os.MkdirTemp("", "marblelane-list-")
 	if err != nil {
 		return nil, err
@@ -218,7 +218,7 @@
 	}
 	transport := &http.Transport{MaxIdleConnsPerHost: 64}
 	defer transport.CloseIdleConnections()
-	r.writer = &http.Client{Transport: transport, Timeout: callWait}
+	r.writer = &http.Client{Transport: transport, Timeout: harness.CallTimeout}
 	if err := r.fill(ctx); err != nil {
 		return nil, err
 	}
@@ -261,9 +261,9 @@
 		return err
 	}
 	r.copy = child
-	ctx, cancel := context.WithTimeout(ctx, startWait)
+	ctx, cancel := context.WithTimeout(ctx, harness.StartTimeout)
 	defer cancel()
-	_, err = child.AwaitLog(ctx, readyText)
+	_, err = child.AwaitLog(ctx, harness.ReadyText)
 	return err
 }
 
@@ -274,11 +274,11 @@
 		if err == nil {
 			break
 		}
-		if attempt >= electionAttempts || !sleep(ctx, electionRetryWait) {
+		if attempt >= electionAttempts || !harness.Sleep(ctx, electionRetryWait) {
 			return err
 		}
 	}
-	return parallel(r.entries, fillConcurrency, func(i int) error {
+	return harness.Parallel(r.entries, fillConcurrency, func(i int) error {
 		_, err := r.put(i, 1)
 		return err
 	})
@@ -341,7 +341,7 @@
 	ctx, cancel := context.WithTimeout(ctx, notifyTimeout)
 	defer cancel()
 	for slices.ContainsFunc(r.watchers, func(w *watcher) bool { return w.revision.Load() < revision }) {
-		if !sleep(ctx, time.Millisecond) {
+		if !harness.Sleep(ctx, time.Millisecond) {
 			return errors.New("some watchers are told nothing")
 		}
 	}
@@ -376,9 +376,9 @@
 func (r *listRun) changeHalf(ctx context.Context, changes int) ([]write, error) {
 	writes := make([]write, changes)
 	start := r.now()
-	err := parallel(changes, changeConcurrency, func(i int) error {
+	err := harness.Parallel(changes, changeConcurrency, func(i int) error {
 		due := start + changeBurst*time.Duration(i)/time.Duration(changes)
-		if wait := due - r.now(); wait > 0 && !sleep(ctx, wait) {
+		if wait := due - r.now(); wait > 0 && !harness.Sleep(ctx, wait) {
 			return ctx.Err()
 		}
 		var err error
@@ -427,29 +427,6 @@
 	return nil
 }
 
-// parallel calls do for 0 to n-1, at most limit at a time, and returns the first error.
-func parallel(n, limit int, do func(i int) error) error {
-	var next atomic.Int64
-	var wg sync.WaitGroup
-	var mu sync.Mutex
-	var firstErr error
-	work := func() {
-		for i := int(next.Add(1)) - 1; i < n; i = int(next.Add(1)) - 1 {
-			if err := do(i); err != nil {
-				mu.Lock()
-				firstErr = cmp.Or(firstErr, err)
-				mu.Unlock()
-				return
-			}
-		}
-	}
-	for range min(n, limit) {
-		wg.Go(work)
-	}
-	wg.Wait()
-	return firstErr
-}
-
 // PrintListScale writes the sizes as a table, with how the processor time grows with the number of watchers.
 func PrintListScale(w io.Writer, points []ListPoint) {
 	fmt.Fprintf(w, "%-12s %8s %8s %8s %10s %10s %13s %12s %11s %9s %8s\n", "encoded", "watchers", "entries", "changes", "tell p50",
--- a/internal/lab/memberscale.go
+++ b/internal/lab/memberscale.go
@@ -13,6 +13,7 @@
 	"time"
 
 	"marblelane/internal/lab/gossip"
+	"marblelane/internal/lab/harness"
 )
 
 // MemberScale says which fleets of members to measure. The groups are those of package membership. They run in this
@@ -210,7 +211,7 @@
 	ctx, stop := context.WithCancel(r.ctx)
 	var lag []time.Duration
 	var timer, fleetsDone sync.WaitGroup
-	timer.Go(func() { lag, _ = heartbeat(ctx) })
+	timer.Go(func() { lag, _ = harness.MeasureTimerLag(ctx) })
 	for i, size := range sizes {
 		fleetsDone.Go(func() {
 			r.withFleet(size, func(f *scaleFleet) { r.measureCrashAndSplits(size, f) })
--- a/internal/lab/memberscale_fleet.go
+++ b/internal/lab/memberscale_fleet.go
@@ -17,6 +17,7 @@
 	"golang.org/x/sys/unix"
 
 	"marblelane/internal/lab/gossip"
+	"marblelane/internal/lab/harness"
 	"marblelane/internal/membership"
 	"marblelane/internal/membership/roster"
 )
@@ -93,7 +94,7 @@
 	start := time.Now()
 	for i := range n {
 		due := start.Add(m.Interval * time.Duration(i) / startsPerInterval)
-		if !sleep(ctx, time.Until(due)) {
+		if !harness.Sleep(ctx, time.Until(due)) {
 			return nil, errors.Join(context.Cause(ctx), f.close())
 		}
 		port, err := f.net.Open(gossip.Addr(i))
@@ -128,7 +129,7 @@
 	}
 	ended := make(chan error, 1)
 	go func() {
-		ended <- parallel(len(f.members), 32, func(i int) error { return f.members[i].group.Close() })
+		ended <- harness.Parallel(len(f.members), 32, func(i int) error { return f.members[i].group.Close() })
 	}()
 	select {
 	case err := <-ended:
@@ -147,7 +148,7 @@
 		if i < 0 {
 			return nil
 		}
-		if !sleep(ctx, max(f.m.Interval/50, time.Millisecond)) {
+		if !harness.Sleep(ctx, max(f.m.Interval/50, time.Millisecond)) {
 			return fmt.Errorf("member %d %s: %+v: %w", i, failure, f.members[i].currentView(), context.Cause(ctx))
 		}
 	}
@@ -206,7 +207,7 @@
 	maxPackets := uint64(3 * len(f.members)) // in one interval: a probe, its answer, and some more
 	for end := time.Now().Add(f.m.EventTimeout); ctx.Err() == nil && time.Now().Before(end); {
 		_, before := f.sentTotals()
-		if !sleep(ctx, f.m.Interval) {
+		if !harness.Sleep(ctx, f.m.Interval) {
 			return false
 		}
 		if _, now := f.sentTotals(); now-before <= maxPackets {
@@ -290,7 +291,7 @@
 	}
 	silentBefore, goneBefore, _ := totals()
 	start := time.Now()
-	sleep(ctx, window)
+	harness.Sleep(ctx, window)
 	hours := time.Since(start).Hours()
 	silent, gone, maxUnreachable := totals()
 	n := float64(len(f.members))
@@ -365,7 +366,7 @@
 	ended := f.members[n-crashed:]
 	f.members = f.members[:n-crashed]
 	start := time.Now()
-	if err := parallel(crashed, crashed, func(i int) error { return ended[i].group.Close() }); err != nil {
+	if err := harness.Parallel(crashed, crashed, func(i int) error { return ended[i].group.Close() }); err != nil {
 		return nil, err
 	}
 	// Events that did not come in time show as -1 in the result.
--- a/internal/lab/memberscale_procs.go
+++ b/internal/lab/memberscale_procs.go
@@ -13,6 +13,7 @@
 
 	"marblelane/internal/lab/agent"
 	"marblelane/internal/lab/experiment/testbed"
+	"marblelane/internal/lab/harness"
 	"marblelane/internal/lab/process"
 	"marblelane/internal/lab/record"
 	"marblelane/internal/lab/relay"
@@ -94,7 +95,7 @@
 		out.Joined = time.Since(start).Seconds()
 	}
 	// Members gossip about the joining for a while, the longer the larger the fleet.
-	if !sleep(ctx, m.Interval*time.Duration(5+n/5)) {
+	if !harness.Sleep(ctx, m.Interval*time.Duration(5+n/5)) {
 		return nil, context.Cause(ctx)
 	}
 	return out, f.measure(ctx, window, out)
@@ -111,15 +112,15 @@
 		return err
 	}
 	for range min(maxProcessSeeds, n) {
-		addr, err := freeForBoth("127.0.0.1")
+		addr, err := harness.FreeMemberAddr("127.0.0.1")
 		if err != nil {
 			return err
 		}
 		f.seeds = append(f.seeds, addr)
 	}
-	ctx, cancel := context.WithTimeout(ctx, startWait)
+	ctx, cancel := context.WithTimeout(ctx, harness.StartTimeout)
 	defer cancel()
-	return parallel(n, processConcurrency, func(i int) error { return f.startSidecar(ctx, i) })
+	return harness.Parallel(n, processConcurrency, func(i int) error { return f.startSidecar(ctx, i) })
 }
 
 // startSidecar starts one sidecar and waits until it is ready.
@@ -162,7 +163,7 @@
 		return err
 	}
 	start := time.Now()
-	if !sleep(ctx, window) {
+	if !harness.Sleep(ctx, window) {
 		return context.Cause(ctx)
 	}
 	seconds := time.Since(start).Seconds()
@@ -198,10 +199,10 @@
 func (m *MemberScale) awaitProcessAgreement(ctx context.Context, sidecars []*testbed.Sidecar) error {
 	ctx, cancel := context.WithTimeout(ctx, m.EventTimeout)
 	defer cancel()
-	client := &http.Client{Transport: &http.Transport{DisableKeepAlives: true}, Timeout: callWait}
+	client := &http.Client{Transport: &http.Transport{DisableKeepAlives: true}, Timeout: harness.CallTimeout}
 	for {
 		reports := make([]membership.Report, len(sidecars))
-		err := parallel(len(sidecars), processConcurrency, func(i int) error {
+		err := harness.Parallel(len(sidecars), processConcurrency, func(i int) error {
 			return fetchReport(ctx, client, sidecars[i].Management, &reports[i])
 		})
 		if err == nil {
@@ -213,7 +214,7 @@
 				return nil
 			}
 		}
-		if !sleep(ctx, m.Interval/5) {
+		if !harness.Sleep(ctx, m.Interval/5) {
 			return fmt.Errorf("they do not agree: %w", err)
 		}
 	}
--- a/internal/lab/requestcost.go
+++ b/internal/lab/requestcost.go
@@ -7,18 +7,16 @@
 	"errors"
 	"fmt"
 	"io"
-	"log/slog"
 	"net/http"
-	"os"
 	"slices"
 	"strings"
 	"sync/atomic"
 	"time"
 
 	"marblelane/internal/lab/agent"
+	"marblelane/internal/lab/cluster"
 	"marblelane/internal/lab/experiment/testbed"
-	"marblelane/internal/lab/process"
-	"marblelane/internal/lab/record"
+	"marblelane/internal/lab/harness"
 	"marblelane/internal/lab/relay"
 	"marblelane/internal/lab/scenario"
 )
@@ -194,7 +192,7 @@
 // costRun is a measurement under way.
 type costRun struct {
 	o        CostOptions
-	r        *run          // the plan, the folder and the supervisor of the processes
+	r        *harness.Run  // the plan, the folder and the supervisor of the processes
 	f        *routeFleet   // the list service; nil: the stand-in
 	agents   *agent.Agents // the stand-in for the list service
 	sidecars *testbed.Launcher
@@ -210,20 +208,11 @@
 		return err
 	}
 	s.Servers.Count = c.o.Servers
-	c.r = &run{s: s, plan: s.Plan(1), out: slog.New(slog.DiscardHandler), nursery: process.NewSupervisor(),
-		log: record.New(), dir: c.o.Dir}
-	if c.r.o.Self = c.o.Self; c.r.o.Self == "" {
-		if c.r.o.Self, err = os.Executable(); err != nil {
-			return fmt.Errorf("copies of the list service are of this program: %w", err)
-		}
-	}
-	if c.r.dir == "" {
-		if c.r.dir, err = os.MkdirTemp("", "marblelane-cost-"); err != nil {
-			return err
-		}
+	if c.r, err = harness.New(s, harness.Options{Seed: 1, Self: c.o.Self, Dir: c.o.Dir}); err != nil {
+		return err
 	}
-	for i := range c.r.plan.Servers {
-		server, err := startCostServer(slices.Contains(c.r.plan.Subsets[costSubset], i))
+	for i := range c.r.Plan.Servers {
+		server, err := startCostServer(slices.Contains(c.r.Plan.Subsets[costSubset], i))
 		if err != nil {
 			return err
 		}
@@ -248,11 +237,11 @@
 
 // startCopies starts the list service, with all servers on its list and a route for the tenant.
 func (c *costRun) startCopies(ctx context.Context) error {
-	reg := &scenario.Registry{Copies: c.r.s.Discovery.Registry, Beat: scenario.Duration(100 * time.Millisecond)}
-	rr := &registryRun{run: c.r, reg: reg, seen: map[int64]uint64{}, counts: map[string]int{}}
+	reg := &scenario.Registry{Copies: c.r.Scenario.Discovery.Registry, Beat: scenario.Duration(100 * time.Millisecond)}
+	rr := cluster.New(c.r, reg)
 	c.f = &routeFleet{rr: rr, play: &playState{start: time.Now()},
 		client: &http.Client{Transport: &http.Transport{}, Timeout: 5 * time.Second}}
-	if err := rr.startCopies(ctx); err != nil {
+	if err := rr.Start(ctx); err != nil {
 		return err
 	}
 	for i := range c.servers {
@@ -273,21 +262,21 @@
 	}
 	link := relay.NewLink(relay.Rules{}, 1)
 	var err error
-	c.agents, err = agent.New(c.r.log, 1, list, func(_, server int) string { return c.servers[server].addr },
+	c.agents, err = agent.New(c.r.Events, 1, list, func(_, server int) string { return c.servers[server].addr },
 		func(int) *relay.Link { return link })
 	return err
 }
 
 // entry is the list entry of a server.
 func (c *costRun) entry(i int) agent.Entry {
-	e := c.r.entry(i, agent.Ready, 0)
+	e := c.r.Entry(i, agent.Ready, 0)
 	e.Endpoint = c.servers[i].addr
 	return e
 }
 
 // makeConfig makes the configuration that all sidecars have in common.
 func (c *costRun) makeConfig() error {
-	settings := c.r.plan.Settings(0)
+	settings := c.r.Plan.Settings(0)
 	settings["tenants"] = []map[string]any{{"name": testbed.Tenant, "share": 1.0, "allowance_per_s": 1e6}}
 	settings["peers_total"] = 1 + c.o.IdleMembers
 	list := agent.List{All: true}
@@ -296,14 +285,14 @@
 	}
 	discovery := ""
 	if c.f != nil {
-		discovery = c.f.rr.copies[0].serve
+		discovery = c.f.rr.Replicas[0].Address
 	} else {
 		discovery = c.agents.Addr(0)
 	}
-	config := testbed.BaseConfig(c.r.s, sidecarSeed, discovery, settings)
+	config := testbed.BaseConfig(c.r.Scenario, sidecarSeed, discovery, settings)
 	config["known"] = list
 	text, err := json.Marshal(config)
-	c.sidecars = &testbed.Launcher{Children: c.r.nursery, Dir: c.r.dir, MaxDescriptors: c.r.s.Sidecars.Sockets, Config: text}
+	c.sidecars = &testbed.Launcher{Children: c.r.Processes, Dir: c.r.Dir, MaxDescriptors: c.r.Scenario.Sidecars.Sockets, Config: text}
 	return err
 }
 
@@ -336,16 +325,13 @@
 	}
 	if c.f != nil {
 		c.f.client.CloseIdleConnections()
-		c.f.rr.stopCopies()
+		c.f.rr.Stop()
 	}
-	c.r.nursery.Close()
+	c.r.Close()
 	if c.agents != nil {
 		c.agents.Close()
 	}
 	for _, s := range c.servers {
 		s.close()
 	}
-	if c.o.Dir == "" && c.r.dir != "" {
-		os.RemoveAll(c.r.dir)
-	}
 }
--- a/internal/lab/requestcost_round.go
+++ b/internal/lab/requestcost_round.go
@@ -10,6 +10,7 @@
 	"time"
 
 	"marblelane/internal/lab/experiment/testbed"
+	"marblelane/internal/lab/harness"
 	"marblelane/internal/lab/process"
 	"marblelane/internal/membership"
 	"marblelane/internal/membership/view"
@@ -96,8 +97,8 @@
 	var patches []any
 	if v.WithRoutes {
 		var addrs []string
-		for _, replica := range c.f.rr.copies {
-			addrs = append(addrs, replica.serve)
+		for _, replica := range c.f.rr.Replicas {
+			addrs = append(addrs, replica.Address)
 		}
 		patches = append(patches, map[string]any{"routes": map[string]any{"addrs": addrs}})
 	}
@@ -111,7 +112,7 @@
 	if err != nil {
 		return nil, err
 	}
-	d := &variantRun{variant: v, sidecar: p, load: testbed.NewLoad(p.Listen, c.r.s.Classes[0].Name, c.o.Rate, c.o.Connections, &c.ids)}
+	d := &variantRun{variant: v, sidecar: p, load: testbed.NewLoad(p.Listen, c.r.Scenario.Classes[0].Name, c.o.Rate, c.o.Connections, &c.ids)}
 	d.Start = float64(p.StartTime) / float64(time.Millisecond)
 	return d, nil
 }
@@ -119,7 +120,7 @@
 // measureIdle measures processes without requests. The first half of the time, with the cost of the start, does not count
 // for the processor time.
 func (c *costRun) measureIdle(ctx context.Context, all []*variantRun) error {
-	sleep(ctx, c.o.IdleTime/2)
+	harness.Sleep(ctx, c.o.IdleTime/2)
 	start := time.Now()
 	for _, d := range all {
 		var err error
@@ -127,7 +128,7 @@
 			return d.wrapError(err)
 		}
 	}
-	sleep(ctx, c.o.IdleTime/2)
+	harness.Sleep(ctx, c.o.IdleTime/2)
 	for _, d := range all {
 		cpu, err := processCPU(d.sidecar.PID)
 		if err != nil {
@@ -233,7 +234,7 @@
 				return nil
 			}
 		}
-		if !sleep(ctx, 20*time.Millisecond) {
+		if !harness.Sleep(ctx, 20*time.Millisecond) {
 			if last != nil {
 				return fmt.Errorf("it is not in the fleet of %d: it sees %+v", want, last.View)
 			}
--- a/internal/lab/requestcostsum.go
+++ b/internal/lab/requestcostsum.go
@@ -4,8 +4,9 @@
 	"fmt"
 	"io"
 	"math"
-	"slices"
 	"strconv"
+
+	"marblelane/internal/lab/harness"
 )
 
 // summarizeCosts works out the figures of each variant from its rounds.
@@ -18,7 +19,7 @@
 			for k := range all {
 				list = append(list, figure(&all[k]))
 			}
-			return median(list)
+			return harness.Median(list)
 		}
 		v := VariantCost{Name: o.Variants[i].Name, Rounds: all,
 			CPU:       medianOf(func(r *CostRound) float64 { return r.CPU }),
@@ -38,13 +39,6 @@
 	return out
 }
 
-// median returns the median of a list that is not empty.
-func median(list []float64) float64 {
-	list = slices.Sorted(slices.Values(list))
-	n := len(list)
-	return (list[(n-1)/2] + list[n/2]) / 2
-}
-
 // meanInterval returns the mean of two or more values with its confidence interval.
 func meanInterval(list []float64) *Interval {
 	n, mean, squares := float64(len(list)), 0.0, 0.0
--- a/internal/lab/routescale.go
+++ b/internal/lab/routescale.go
@@ -10,6 +10,7 @@
 	"time"
 
 	"marblelane/balance"
+	"marblelane/internal/lab/harness"
 	plays "marblelane/internal/rollout/model"
 	"marblelane/internal/route"
 	"marblelane/internal/routeclient"
@@ -67,7 +68,7 @@
 `
 
 // RouteScale measures fleets of several sizes.
-func RouteScale(ctx context.Context, sidecars []int, o Options) ([]RoutePoint, error) {
+func RouteScale(ctx context.Context, sidecars []int, o harness.Options) ([]RoutePoint, error) {
 	var points []RoutePoint
 	for _, n := range sidecars {
 		p, err := routePoint(ctx, n, o)
@@ -233,7 +234,7 @@
 }
 
 // routePoint measures one size.
-func routePoint(ctx context.Context, n int, o Options) (*RoutePoint, error) {
+func routePoint(ctx context.Context, n int, o harness.Options) (*RoutePoint, error) {
 	f, err := startCopiesOnly(ctx, o)
 	if err != nil {
 		return nil, err
--- a/internal/lab/routescale_fleet.go
+++ b/internal/lab/routescale_fleet.go
@@ -20,8 +20,9 @@
 	"syscall"
 	"time"
 
+	"marblelane/internal/lab/cluster"
+	"marblelane/internal/lab/harness"
 	"marblelane/internal/lab/process"
-	"marblelane/internal/lab/record"
 	"marblelane/internal/lab/scenario"
 	"marblelane/internal/rollout"
 	"marblelane/internal/routeclient"
@@ -29,7 +30,7 @@
 
 // routeFleet is three copies of the list service, and sidecars.
 type routeFleet struct {
-	rr       *registryRun
+	rr       *cluster.Cluster
 	play     *playState
 	sidecars []*simulatedSidecar
 	stop     func()
@@ -37,29 +38,28 @@
 }
 
 // startCopiesOnly starts the copies, without sidecars.
-func startCopiesOnly(ctx context.Context, o Options) (*routeFleet, error) {
+func startCopiesOnly(ctx context.Context, o harness.Options) (*routeFleet, error) {
 	s, err := scenario.Parse("route-scale.toml", []byte(routeScaleScenario))
 	if err != nil {
 		return nil, err
 	}
-	r := &run{s: s, plan: s.Plan(1), o: o, out: slog.New(slog.DiscardHandler), nursery: process.NewSupervisor(), log: record.New()}
-	if r.dir, err = os.MkdirTemp("", "marblelane-routes-"); err != nil {
-		r.nursery.Close()
+	o.Seed, o.Log = 1, nil
+	r, err := harness.New(s, o)
+	if err != nil {
 		return nil, err
 	}
 	f := &routeFleet{play: &playState{start: time.Now()}, client: &http.Client{Transport: &http.Transport{}, Timeout: 5 * time.Second}}
-	f.rr = &registryRun{run: r, reg: &scenario.Registry{Copies: s.Discovery.Registry, Beat: scenario.Duration(100 * time.Millisecond)},
-		seen: map[int64]uint64{}, counts: map[string]int{}}
+	f.rr = cluster.New(r, &scenario.Registry{Copies: s.Discovery.Registry, Beat: scenario.Duration(100 * time.Millisecond)})
 	f.stop = func() {
 		f.client.CloseIdleConnections()
-		f.rr.stop()
-		os.RemoveAll(r.dir)
+		f.rr.Stop()
+		r.Close()
 	}
-	err = f.rr.startCopies(ctx)
-	for i := range r.plan.Servers { // a canary without a ready server is paused
+	err = f.rr.Start(ctx)
+	for i := range r.Plan.Servers { // a canary without a ready server is paused
 		e := map[string]any{"endpoint": fmt.Sprint("127.0.0.1:", 1000+i), "az": "limerick-dc", "model": "standard"}
 		if err == nil {
-			_, _, err = f.call(ctx, "/registry/instances/"+r.plan.Servers[i].UID, e)
+			_, _, err = f.call(ctx, "/registry/instances/"+r.Plan.Servers[i].UID, e)
 		}
 	}
 	if err != nil {
@@ -82,8 +82,8 @@
 	for i := range n {
 		p := &simulatedSidecar{wake: make(chan struct{}, 1), play: f.play, actedAt: map[int64]time.Duration{}}
 		var addrs []string
-		for k := range f.rr.copies { // spread the watches, as sidecars of several zones do
-			addrs = append(addrs, f.rr.copies[(i+k)%len(f.rr.copies)].serve)
+		for k := range f.rr.Replicas { // spread the watches, as sidecars of several zones do
+			addrs = append(addrs, f.rr.Replicas[(i+k)%len(f.rr.Replicas)].Address)
 		}
 		var err error
 		p.client, err = routeclient.New(routeclient.Config{Addrs: addrs, Name: fmt.Sprint("n", i), Start: time.Now().UnixNano(), Version: "lab",
@@ -116,7 +116,7 @@
 	}
 	for attempt := 0; ; attempt++ {
 		called = f.play.now()
-		req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+f.rr.copies[attempt%len(f.rr.copies)].serve+path, bytes.NewReader(data))
+		req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+f.rr.Replicas[attempt%len(f.rr.Replicas)].Address+path, bytes.NewReader(data))
 		if err != nil {
 			return 0, 0, err
 		}
@@ -135,7 +135,7 @@
 		if resp.StatusCode == http.StatusOK && json.Unmarshal(text, &got) == nil {
 			return got.Rev, called, nil
 		}
-		if resp.StatusCode != http.StatusServiceUnavailable || attempt > maxCallRetries || !sleep(ctx, callRetryWait) {
+		if resp.StatusCode != http.StatusServiceUnavailable || attempt > maxCallRetries || !harness.Sleep(ctx, callRetryWait) {
 			return 0, 0, fmt.Errorf("%s is answered %s: %s", path, resp.Status, bytes.TrimSpace(text))
 		}
 	}
@@ -143,7 +143,7 @@
 
 // awaitActing waits until all sidecars act on a revision, and returns when the last of them began.
 func (f *routeFleet) awaitActing(ctx context.Context, rev int64) (time.Duration, error) {
-	ctx, cancel := context.WithTimeout(ctx, startWait)
+	ctx, cancel := context.WithTimeout(ctx, harness.StartTimeout)
 	defer cancel()
 	for {
 		last, behind := time.Duration(0), false
@@ -162,7 +162,7 @@
 		if !behind {
 			return last, nil
 		}
-		if !sleep(ctx, 5*time.Millisecond) {
+		if !harness.Sleep(ctx, 5*time.Millisecond) {
 			return 0, errors.New("some sidecars do not act on a change")
 		}
 	}
@@ -183,18 +183,18 @@
 		return u, err
 	}
 	u.processCPU = time.Duration(t.Utime.Nano() + t.Stime.Nano()).Seconds()
-	lead := f.rr.leader(ctx)
+	lead := f.rr.Leader(ctx)
 	if lead == nil {
 		return u, errors.New("the list service has no leader")
 	}
-	for _, c := range f.rr.copies {
-		io, err := readIO(c.process().PID)
+	for _, c := range f.rr.Replicas {
+		io, err := readIO(c.Process().PID)
 		if err != nil {
 			return u, err
 		}
 		u.bytes += io["rchar"] + io["wchar"]
 		if c == lead {
-			m, err := process.Measure(c.process().PID)
+			m, err := process.Measure(c.Process().PID)
 			if err != nil {
 				return u, err
 			}
@@ -222,8 +222,8 @@
 }
 
 // diskWrites returns how many synced writes a copy has done to its log. A write has one command or several.
-func (f *routeFleet) diskWrites(ctx context.Context, c *registryCopy) (float64, error) {
-	code, text, err := quick(ctx, http.MethodGet, "http://"+c.serve+"/stats", nil)
+func (f *routeFleet) diskWrites(ctx context.Context, c *cluster.Replica) (float64, error) {
+	code, text, err := cluster.Call(ctx, http.MethodGet, c.URL("/stats"), nil)
 	if err != nil || code != http.StatusOK {
 		return 0, fmt.Errorf("measure: /stats is answered %d, %w", code, err)
 	}
@@ -240,7 +240,7 @@
 	if before, err = f.resourceUse(ctx); err != nil {
 		return before, after, err
 	}
-	if !sleep(ctx, wait) {
+	if !harness.Sleep(ctx, wait) {
 		return before, after, ctx.Err()
 	}
 	after, err = f.resourceUse(ctx)
@@ -266,7 +266,7 @@
 		if i > 0 { // the first includes the joining of the sidecars
 			delays = append(delays, last-called)
 		}
-		if !sleep(ctx, 200*time.Millisecond) {
+		if !harness.Sleep(ctx, 200*time.Millisecond) {
 			return ctx.Err()
 		}
 	}
@@ -300,7 +300,7 @@
 	if err != nil {
 		return err
 	}
-	sleep(ctx, 10*meanRequestTime) // for the attempts under way
+	harness.Sleep(ctx, 10*meanRequestTime) // for the attempts under way
 	f.play.canaryBusy.Store(false)
 	after, err := f.resourceUse(ctx)
 	if err != nil {
@@ -325,7 +325,7 @@
 func (f *routeFleet) awaitBudgetsSpent(ctx context.Context) (baselineSpentAt time.Duration, err error) {
 	stopped := false
 	for lastSum := f.play.now(); !stopped || f.play.budgetSpentAt.Load() == 0; {
-		if !sleep(ctx, time.Millisecond) {
+		if !harness.Sleep(ctx, time.Millisecond) {
 			return 0, fmt.Errorf("after a minute %d of %d units are spent", f.play.canaryFailures.Load(), failureBudget)
 		}
 		failures := int64(0)
--- a/internal/lab/scale.go
+++ b/internal/lab/scale.go
@@ -5,7 +5,6 @@
 	"context"
 	"fmt"
 	"io"
-	"log/slog"
 	"math"
 	"net"
 	"net/http"
@@ -16,10 +15,9 @@
 
 	"github.com/HdrHistogram/hdrhistogram-go"
 
-	"marblelane/internal/lab/client"
+	"marblelane/internal/lab/harness"
 	"marblelane/internal/lab/process"
 	"marblelane/internal/lab/record"
-	"marblelane/internal/lab/relay"
 	"marblelane/internal/lab/scenario"
 	"marblelane/internal/lab/stock"
 )
@@ -40,7 +38,7 @@
 }
 
 // Scale plays the scenario with each size of fleet and the same traffic.
-func Scale(ctx context.Context, s *scenario.Scenario, sidecars, servers []int, o Options) ([]ScalePoint, error) {
+func Scale(ctx context.Context, s *scenario.Scenario, sidecars, servers []int, o harness.Options) ([]ScalePoint, error) {
 	var points []ScalePoint
 	progress := o.Progress
 	o.Progress = nil
@@ -61,7 +59,7 @@
 }
 
 // measureScalePoint plays the scenario with one size of fleet.
-func measureScalePoint(ctx context.Context, s *scenario.Scenario, sidecars, servers int, o Options) (*ScalePoint, error) {
+func measureScalePoint(ctx context.Context, s *scenario.Scenario, sidecars, servers int, o harness.Options) (*ScalePoint, error) {
 	sized := *s
 	sized.Sidecars.Count, sized.Servers.Count = sidecars, servers
 	runtime.GC() // frees what the size before left
@@ -117,7 +115,7 @@
 // MeasureOverhead sends requests of fixed work over three paths, in one process and in turn: from a plain client to the
 // stand-ins, without any record; from the lab's clients, without sidecars; and from the lab's clients through the
 // sidecars. The difference of the first two is the lab's own overhead.
-func MeasureOverhead(ctx context.Context, s *scenario.Scenario, o Options) ([]Overhead, error) {
+func MeasureOverhead(ctx context.Context, s *scenario.Scenario, o harness.Options) ([]Overhead, error) {
 	work := s.Classes[0].Work.Milliseconds() / s.Traffic.Pace / s.Servers.Kinds[0].Speed[0]
 	plain, err := measurePlainClient(ctx, s, o)
 	if err != nil {
@@ -141,11 +139,16 @@
 
 // measurePlainClient sends the planned requests straight to the stand-ins over kept connections, and measures from their
 // planned times.
-func measurePlainClient(ctx context.Context, s *scenario.Scenario, o Options) (*hdrhistogram.Histogram, error) {
+func measurePlainClient(ctx context.Context, s *scenario.Scenario, o harness.Options) (*hdrhistogram.Histogram, error) {
 	sized := *s
 	sized.Sidecars.Program = NoProgram
-	r := &run{s: &sized, plan: sized.Plan(o.Seed), o: o, links: map[[2]int]*relay.Link{}, book: client.NewRequestLog(), program: NoProgram,
-		out: slog.New(slog.DiscardHandler)}
+	o.Log = nil
+	base, err := harness.New(&sized, o)
+	if err != nil {
+		return nil, err
+	}
+	defer base.Close()
+	r := newRun(base)
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	defer r.close(cancel)
@@ -155,8 +158,8 @@
 	c := &plainClient{start: time.Now(), warmUp: sized.WarmUp.Duration(), idle: make(map[string][]net.Conn),
 		latency: hdrhistogram.New(1, maxLatency.Microseconds(), 3)}
 	var requests sync.WaitGroup
-	for i := range r.plan.Arrivals {
-		arrival := &r.plan.Arrivals[i]
+	for i := range r.Plan.Arrivals {
+		arrival := &r.Plan.Arrivals[i]
 		time.Sleep(time.Until(c.start.Add(arrival.At)))
 		if ctx.Err() != nil {
 			break
