--- a/cmd/marblelane/lab.go
+++ b/cmd/marblelane/lab.go
@@ -12,6 +12,7 @@
 	"time"
 
 	"marblelane/internal/lab"
+	"marblelane/internal/lab/experiment/compare"
 	"marblelane/internal/lab/harness"
 	"marblelane/internal/lab/report"
 	"marblelane/internal/lab/scenario"
@@ -219,7 +220,7 @@
 		return err
 	}
 	defer done()
-	cmp, err := lab.Compare(a.ctx, sides[0], sides[1], c.Seed, c.Plays, harness.Options{Log: a.log, Progress: a.errOut})
+	cmp, err := compare.Run(a.ctx, sides[0], sides[1], c.Seed, c.Plays, harness.Options{Log: a.log, Progress: a.errOut})
 	if err != nil {
 		return err
 	}
@@ -239,7 +240,7 @@
 }
 
 // sides reads what the two arguments mean.
-func (c *labCompare) sides(a *app) (sides [2]lab.Side, done func(), err error) {
+func (c *labCompare) sides(a *app) (sides [2]compare.Side, done func(), err error) {
 	done = func() {}
 	if executable(c.A) == nil && executable(c.B) == nil {
 		s, err := load(c.Scenario)
@@ -251,7 +252,7 @@
 			if err != nil {
 				return sides, done, err
 			}
-			sides[i] = lab.Side{Name: path, Scenario: s, Program: path}
+			sides[i] = compare.Side{Name: path, Scenario: s, Program: path}
 		}
 		return sides, done, nil
 	}
@@ -265,7 +266,7 @@
 			done()
 			return sides, func() {}, err
 		}
-		sides[i] = lab.Side{Name: name, Scenario: s, Program: path}
+		sides[i] = compare.Side{Name: name, Scenario: s, Program: path}
 	}
 	return sides, done, nil
 }
--- a/cmd/marblelane/lab_cost.go
+++ b/cmd/marblelane/lab_cost.go
@@ -10,7 +10,7 @@
 	"strings"
 	"time"
 
-	"marblelane/internal/lab"
+	"marblelane/internal/lab/experiment/requestcost"
 )
 
 // labRequestCost measures what a sidecar costs.
@@ -39,21 +39,21 @@
 		return err
 	}
 	defer done()
-	o := lab.CostOptions{Variants: variants, Baseline: c.Base, Rounds: c.Rounds,
+	o := requestcost.Options{Variants: variants, Baseline: c.Base, Rounds: c.Rounds,
 		Length:   time.Duration(c.Seconds * float64(time.Second)),
 		IdleTime: idleFor, Rate: c.Requests, Connections: c.Connections, Servers: c.Servers, IdleMembers: c.Members}
 	if !c.Quiet {
 		o.Progress = a.errOut
 	}
-	cost, err := lab.MeasureRequestCost(a.ctx, o)
+	cost, err := requestcost.Measure(a.ctx, o)
 	if err != nil {
 		return err
 	}
-	return show(a, c.JSON, cost, lab.PrintRequestCost)
+	return show(a, c.JSON, cost, requestcost.Print)
 }
 
 // variants are the programs, then what --with adds, then each program along a route, then each in a fleet.
-func (c *labRequestCost) variants(a *app) (all []lab.CostVariant, done func(), err error) {
+func (c *labRequestCost) variants(a *app) (all []requestcost.Variant, done func(), err error) {
 	if c.Members < 0 {
 		return nil, nil, errors.New("--members: is negative")
 	}
@@ -72,14 +72,14 @@
 		if err != nil {
 			return nil, nil, fmt.Errorf("--program %s: %w", given, err)
 		}
-		all = append(all, lab.CostVariant{Name: name, Program: file})
+		all = append(all, requestcost.Variant{Name: name, Program: file})
 	}
 	if len(all) == 0 {
 		var path string
 		if path, done, err = c.find(a); err != nil {
 			return nil, nil, err
 		}
-		all = append(all, lab.CostVariant{Name: "plain", Program: path})
+		all = append(all, requestcost.Variant{Name: "plain", Program: path})
 	}
 	programs := len(all)
 	for _, given := range c.With {
@@ -113,7 +113,7 @@
 }
 
 // with adds a section to the variant of its name, or a variant.
-func with(all []lab.CostVariant, given string) ([]lab.CostVariant, error) {
+func with(all []requestcost.Variant, given string) ([]requestcost.Variant, error) {
 	name, file, err := named(given)
 	if err != nil {
 		return nil, err
@@ -126,10 +126,10 @@
 	if err := json.Unmarshal(text, &object); err != nil {
 		return nil, fmt.Errorf("is no JSON object: %w", err)
 	}
-	i := slices.IndexFunc(all, func(v lab.CostVariant) bool { return v.Name == name })
+	i := slices.IndexFunc(all, func(v requestcost.Variant) bool { return v.Name == name })
 	if i < 0 {
 		i = len(all)
-		all = append(all, lab.CostVariant{Name: name, Program: all[0].Program})
+		all = append(all, requestcost.Variant{Name: name, Program: all[0].Program})
 	}
 	all[i].ConfigPatches = append(slices.Clone(all[i].ConfigPatches), text)
 	return all, nil
--- a/cmd/marblelane/lab_growth.go
+++ b/cmd/marblelane/lab_growth.go
@@ -4,7 +4,7 @@
 	"errors"
 	"time"
 
-	"marblelane/internal/lab"
+	"marblelane/internal/lab/experiment/growth"
 )
 
 // labGrowth measures what a sidecar needs in a large fleet.
@@ -37,14 +37,14 @@
 		return err
 	}
 	defer done()
-	o := lab.GrowthOptions{
-		Program: path, Usual: lab.UsualGrowthSize, Large: lab.GrowthSize{Sidecars: c.Sidecars, Servers: c.Servers},
+	o := growth.Options{
+		Program: path, Usual: growth.UsualSize, Large: growth.Size{Sidecars: c.Sidecars, Servers: c.Servers},
 		Length:    time.Duration(c.Seconds * float64(time.Second)),
 		DayLength: time.Duration(c.DaySeconds * float64(time.Second)),
 		Rate:      c.Rate, Connections: growthConnections, ReplacedFraction: c.Replaced, Steps: c.Steps,
 		Rounds: c.Rounds,
 	}
-	o.Simulated = lab.GrowthSizes{Usual: o.Usual, Large: o.Large}
+	o.Simulated = growth.Sizes{Usual: o.Usual, Large: o.Large}
 	if c.SimulatedSidecars > 0 {
 		o.Simulated.Large.Sidecars = c.SimulatedSidecars
 	}
@@ -54,14 +54,14 @@
 	if !c.Quiet {
 		o.Progress = a.errOut
 	}
-	growth, err := lab.MeasureGrowth(a.ctx, o)
+	result, err := growth.Measure(a.ctx, o)
 	if err != nil {
 		return err
 	}
-	if err := show(a, c.JSON, growth, lab.PrintGrowth); err != nil {
+	if err := show(a, c.JSON, result, growth.Print); err != nil {
 		return err
 	}
-	if len(growth.Exceeded()) > 0 {
+	if len(result.Exceeded()) > 0 {
 		return errExit(exitFail)
 	}
 	return nil
--- a/cmd/marblelane/lab_measure.go
+++ b/cmd/marblelane/lab_measure.go
@@ -12,6 +12,9 @@
 
 	"marblelane/internal/lab"
 	"marblelane/internal/lab/crowd"
+	"marblelane/internal/lab/experiment/listscale"
+	"marblelane/internal/lab/experiment/routescale"
+	"marblelane/internal/lab/experiment/scale"
 	"marblelane/internal/lab/harness"
 	plays "marblelane/internal/rollout/model"
 )
@@ -30,11 +33,11 @@
 		return err
 	}
 	defer done()
-	points, err := lab.Scale(a.ctx, s, c.Sidecars, c.Servers, harness.Options{Program: path, Log: a.log, Progress: a.errOut})
+	points, err := scale.Measure(a.ctx, s, c.Sidecars, c.Servers, harness.Options{Program: path, Log: a.log, Progress: a.errOut})
 	if err != nil {
 		return err
 	}
-	return show(a, c.JSON, points, lab.PrintScale)
+	return show(a, c.JSON, points, scale.Print)
 }
 
 type labOverhead struct {
@@ -70,11 +73,11 @@
 	if err != nil {
 		return fmt.Errorf("the list service's copies are of this program: %w", err)
 	}
-	points, err := lab.ListScale(a.ctx, c.Watchers, c.Entries, harness.Options{Self: self, Progress: a.errOut})
+	points, err := listscale.Measure(a.ctx, c.Watchers, c.Entries, harness.Options{Self: self, Progress: a.errOut})
 	if err != nil {
 		return err
 	}
-	return show(a, c.JSON, points, lab.PrintListScale)
+	return show(a, c.JSON, points, listscale.Print)
 }
 
 type labRouteScale struct {
@@ -91,19 +94,19 @@
 	if err != nil {
 		return fmt.Errorf("the list service's copies are of this program: %w", err)
 	}
-	points, err := lab.RouteScale(a.ctx, c.Sidecars, harness.Options{Self: self, Progress: a.errOut})
+	points, err := routescale.Measure(a.ctx, c.Sidecars, harness.Options{Self: self, Progress: a.errOut})
 	if err != nil {
 		return err
 	}
-	if err := show(a, c.JSON, points, lab.PrintRouteScale); err != nil {
+	if err := show(a, c.JSON, points, routescale.Print); err != nil {
 		return err
 	}
 	for _, n := range c.Simulated {
-		r, err := lab.RouteModel(n)
+		r, err := routescale.Simulate(n)
 		if err != nil {
 			return err
 		}
-		if err := show(a, c.JSON, r, func(w io.Writer, r *plays.Result) { lab.PrintRouteModel(w, n, r) }); err != nil {
+		if err := show(a, c.JSON, r, func(w io.Writer, r *plays.Result) { routescale.PrintSimulation(w, n, r) }); err != nil {
 			return err
 		}
 	}
--- a/cmd/marblelane/lab_members.go
+++ b/cmd/marblelane/lab_members.go
@@ -6,7 +6,7 @@
 	"slices"
 	"time"
 
-	"marblelane/internal/lab"
+	"marblelane/internal/lab/experiment/memberscale"
 )
 
 type labMembersScale struct {
@@ -21,7 +21,7 @@
 }
 
 func (c *labMembersScale) Run(a *app) error {
-	m := lab.DefaultMemberScale(c.Quick)
+	m := memberscale.Default(c.Quick)
 	m.Seed, m.Progress = c.Seed, a.errOut
 	if c.Program != "" {
 		m.Sizes = []int{10, 50, 100}
@@ -44,10 +44,10 @@
 			return err
 		}
 	}
-	return show(a, c.JSON, r, lab.PrintMemberScale)
+	return show(a, c.JSON, r, memberscale.Print)
 }
 
-func (c *labMembersScale) measure(a *app, m *lab.MemberScale) (*lab.MemberScaleResult, error) {
+func (c *labMembersScale) measure(a *app, m *memberscale.Experiment) (*memberscale.Result, error) {
 	if c.Program == "" {
 		return m.Run(a.ctx)
 	}
--- a/internal/lab/compare.go
+++ b/internal/lab/experiment/compare/compare.go
@@ -1,4 +1,7 @@
-package lab
+// Package compare compares two sides, each a scenario and a sidecar program, on the same seeds. It plays both sides of each
+// seed in turn and gives the mean, the differences paired by seed and their spread for each figure. The command is
+// `marblelane lab compare`.
+package compare
 
 import (
 	"context"
@@ -13,6 +16,7 @@
 	"gonum.org/v1/plot/vg"
 	"gonum.org/v1/plot/vg/draw"
 
+	"marblelane/internal/lab"
 	"marblelane/internal/lab/harness"
 	"marblelane/internal/lab/measure"
 	"marblelane/internal/lab/report"
@@ -66,9 +70,9 @@
 
 var errLabLate = errors.New("the machine is too busy: the lab was late again and again")
 
-// Compare plays both sides on a number of consecutive seeds. The sides take turns in going first, so that a change of the
+// Run plays both sides on a number of consecutive seeds. The sides take turns in going first, so that a change of the
 // machine's load favours neither.
-func Compare(ctx context.Context, a, b Side, first uint64, plays int, o harness.Options) (*Comparison, error) {
+func Run(ctx context.Context, a, b Side, first uint64, plays int, o harness.Options) (*Comparison, error) {
 	c := &Comparison{A: a.Name, B: b.Name}
 	sides := [2]Side{a, b}
 	for k := range plays {
@@ -123,7 +127,7 @@
 		if o.Dir != "" {
 			o.Dir = filepath.Join(o.Dir, fmt.Sprintf("%s-%d", filepath.Base(side.Name), seed))
 		}
-		played, err := Run(ctx, side.Scenario, o)
+		played, err := lab.Run(ctx, side.Scenario, o)
 		if err != nil {
 			return nil, late, err
 		}
--- /dev/null
+++ b/internal/lab/experiment/compare/compare_test.go
@@ -0,0 +1,73 @@
+package compare
+
+import (
+	"errors"
+	"math"
+	"os"
+	"path/filepath"
+	"slices"
+	"testing"
+
+	"marblelane/internal/lab/harness"
+	"marblelane/internal/lab/labtest"
+	"marblelane/internal/lab/scenario"
+)
+
+// The real programs, built once for all tests.
+var programs labtest.Programs
+
+func TestMain(m *testing.M) { os.Exit(labtest.Run(m, &programs)) }
+
+const smallScenario = `
+title = "small"
+length = "2s"
+[sidecars]
+count = 2
+[servers]
+count = 3
+[network]
+zones = ["here"]
+`
+
+const allServersFail = `
+[[fault]]
+at = "0s"
+for = "2s"
+kind = "fail"
+servers = "all"
+size = 1
+`
+
+func side(t *testing.T, name, text string) Side {
+	t.Helper()
+	s, err := scenario.Parse("test.toml", []byte(text))
+	if err != nil {
+		t.Fatal(err)
+	}
+	return Side{Name: name, Scenario: s, Program: programs.Sidecar}
+}
+
+// A comparison pairs plays by seed and finds what is different.
+func TestRun_findsTheDifference(t *testing.T) {
+	sound, bad := side(t, "sound", smallScenario), side(t, "bad", smallScenario+allServersFail)
+	c, err := Run(t.Context(), sound, bad, 3, 2, harness.Options{})
+	if errors.Is(err, errLabLate) {
+		t.Skip(err)
+	}
+	if err != nil {
+		t.Fatal(err)
+	}
+	if !slices.Equal(c.Seeds, []uint64{3, 4}) || len(c.Pairs) != 2 {
+		t.Errorf("pairs of seeds %v", c.Seeds)
+	}
+	if r := c.Rows[0]; r.Name != "in aim" || r.Diff > -0.9 || math.Abs(r.B-r.A-r.Diff) > 1e-9 || r.Min > r.Diff || r.Max < r.Diff {
+		t.Errorf("row %+v", r)
+	}
+	dir := t.TempDir()
+	if err := c.Plot(dir); err != nil {
+		t.Fatal(err)
+	}
+	if info, err := os.Stat(filepath.Join(dir, "compare.svg")); err != nil || info.Size() == 0 {
+		t.Errorf("no plot: %v", err)
+	}
+}
--- a/internal/lab/growth.go
+++ b/internal/lab/experiment/growth/growth.go
@@ -1,4 +1,7 @@
-package lab
+// Package growth compares what a sidecar uses in a large fleet with what it uses in one of the usual size, and holds both
+// against the growth table of the acceptance page. One real sidecar runs through days before stand-in servers that are
+// replaced; whole fleets run through days on a simulated clock. The command is `marblelane lab growth`.
+package growth
 
 import (
 	"cmp"
@@ -13,23 +16,23 @@
 	"marblelane/internal/lab/harness"
 )
 
-// GrowthSize is how large a fleet is.
-type GrowthSize struct {
+// Size is how large a fleet is.
+type Size struct {
 	Sidecars int `json:"sidecars"`
 	Servers  int `json:"servers"`
 }
 
 // The sizes that the growth table of the acceptance page compares.
 var (
-	UsualGrowthSize   = GrowthSize{Sidecars: 300, Servers: 200}
-	LargestGrowthSize = GrowthSize{Sidecars: 900, Servers: 3200}
+	UsualSize   = Size{Sidecars: 300, Servers: 200}
+	LargestSize = Size{Sidecars: 900, Servers: 3200}
 )
 
-// GrowthOptions are what a measurement of growth needs.
-type GrowthOptions struct {
+// Options are what a measurement of growth needs.
+type Options struct {
 	Program          string // the sidecar's file
-	Usual, Large     GrowthSize
-	Simulated        GrowthSizes   // fleets of the simulated days; zero: Usual and Large
+	Usual, Large     Size
+	Simulated        Sizes         // fleets of the simulated days; zero: Usual and Large
 	Length           time.Duration // of a day of one real sidecar
 	DayLength        time.Duration // of a simulated day
 	Rate             float64       // requests a second of each sidecar
@@ -41,11 +44,11 @@
 	Progress         io.Writer     // nil: none
 }
 
-// GrowthSizes are the two sizes of a comparison.
-type GrowthSizes struct{ Usual, Large GrowthSize }
+// Sizes are the two sizes of a comparison.
+type Sizes struct{ Usual, Large Size }
 
-// GrowthUsage is what one sidecar uses over a day.
-type GrowthUsage struct {
+// Usage is what one sidecar uses over a day.
+type Usage struct {
 	CPU         float64 `json:"cpu_s"` // user and system, from the start of the process to its end
 	PeakMemory  float64 `json:"peak_memory_mb"`
 	Descriptors float64 `json:"descriptors"` // the most at one time
@@ -54,8 +57,8 @@
 	Served      float64 `json:"served"`      // share of the worth that is answered within the latency objective
 }
 
-// GrowthRow is one line of the growth table.
-type GrowthRow struct {
+// Row is one line of the growth table.
+type Row struct {
 	Figure      string  `json:"what"`
 	Subject     string  `json:"of"` // what was measured: one process, or a simulated day
 	Usual       float64 `json:"usual"`
@@ -64,38 +67,38 @@
 	WithinBound bool    `json:"met"`
 }
 
-// Growth is the result of a measurement of growth.
-type Growth struct {
-	Usual     GrowthSize   `json:"usual"`
-	Large     GrowthSize   `json:"large"`
-	Simulated GrowthSizes  `json:"simulated"`
-	Rows      []GrowthRow  `json:"rows"`
-	Rounds    []GrowthPair `json:"rounds"`
-	Days      []GrowthDay  `json:"days"` // of simulated fleets
+// Result is the result of a measurement.
+type Result struct {
+	Usual     Size   `json:"usual"`
+	Large     Size   `json:"large"`
+	Simulated Sizes  `json:"simulated"`
+	Rows      []Row  `json:"rows"`
+	Rounds    []Pair `json:"rounds"`
+	Days      []Day  `json:"days"` // of simulated fleets
 }
 
-// GrowthPair is the usage at the two sizes in one round.
-type GrowthPair struct {
-	Usual GrowthUsage `json:"usual"`
-	Large GrowthUsage `json:"large"`
+// Pair is the usage at the two sizes in one round.
+type Pair struct {
+	Usual Usage `json:"usual"`
+	Large Usage `json:"large"`
 }
 
 // Exceeded lists the rows beyond their bound.
-func (g *Growth) Exceeded() []GrowthRow {
-	return slices.DeleteFunc(slices.Clone(g.Rows), func(r GrowthRow) bool { return r.WithinBound })
+func (g *Result) Exceeded() []Row {
+	return slices.DeleteFunc(slices.Clone(g.Rows), func(r Row) bool { return r.WithinBound })
 }
 
-// growthBound is one line of the acceptance page's table. The usage at the large size is at most factor times the usage at
+// bound is one line of the acceptance page's table. The usage at the large size is at most factor times the usage at
 // the usual size, plus offset, plus perThousandServers for each thousand servers.
-type growthBound struct {
+type bound struct {
 	name                               string
-	figure                             func(*GrowthUsage) float64
+	figure                             func(*Usage) float64
 	factor, offset, perThousandServers float64
 	isLowerLimit                       bool // the bound is a lower limit
 }
 
-// growthBounds is the growth table of the acceptance page, in its order and in the units of GrowthUsage.
-var growthBounds = []growthBound{
+// bounds is the growth table of the acceptance page, in its order and in the units of Usage.
+var boundTable = []bound{
 	{name: "CPU seconds", figure: cpuOfUsage, factor: 1.4, offset: 0.02, perThousandServers: 0.03},
 	{name: "peak memory, MB", figure: memoryOfUsage, factor: 1.5, offset: 8, perThousandServers: 4},
 	{name: "descriptors", figure: descriptorsOfUsage, factor: 2, offset: 40},
@@ -104,16 +107,16 @@
 	{name: "share served", figure: servedOfUsage, factor: 0.85, isLowerLimit: true},
 }
 
-func cpuOfUsage(n *GrowthUsage) float64         { return n.CPU }
-func memoryOfUsage(n *GrowthUsage) float64      { return n.PeakMemory }
-func descriptorsOfUsage(n *GrowthUsage) float64 { return n.Descriptors }
-func connectionsOfUsage(n *GrowthUsage) float64 { return n.Connections }
-func listBytesOfUsage(n *GrowthUsage) float64   { return n.ListBytes }
-func servedOfUsage(n *GrowthUsage) float64      { return n.Served }
+func cpuOfUsage(n *Usage) float64         { return n.CPU }
+func memoryOfUsage(n *Usage) float64      { return n.PeakMemory }
+func descriptorsOfUsage(n *Usage) float64 { return n.Descriptors }
+func connectionsOfUsage(n *Usage) float64 { return n.Connections }
+func listBytesOfUsage(n *Usage) float64   { return n.ListBytes }
+func servedOfUsage(n *Usage) float64      { return n.Served }
 
 // row compares the usage at the large size, with this number of servers, with the bound.
-func (b *growthBound) row(subject string, pair GrowthPair, servers int) GrowthRow {
-	r := GrowthRow{Figure: b.name, Subject: subject, Usual: b.figure(&pair.Usual), Large: b.figure(&pair.Large)}
+func (b *bound) row(subject string, pair Pair, servers int) Row {
+	r := Row{Figure: b.name, Subject: subject, Usual: b.figure(&pair.Usual), Large: b.figure(&pair.Large)}
 	r.Bound = b.factor*r.Usual + b.offset + b.perThousandServers*float64(servers)/1000
 	if b.isLowerLimit {
 		r.WithinBound = r.Large >= r.Bound
@@ -124,27 +127,27 @@
 }
 
 // medianPair takes the median of each figure over the rounds.
-func medianPair(pairs []GrowthPair) GrowthPair {
-	return GrowthPair{Usual: medianUsage(pairs, func(p *GrowthPair) *GrowthUsage { return &p.Usual }),
-		Large: medianUsage(pairs, func(p *GrowthPair) *GrowthUsage { return &p.Large })}
+func medianPair(pairs []Pair) Pair {
+	return Pair{Usual: medianUsage(pairs, func(p *Pair) *Usage { return &p.Usual }),
+		Large: medianUsage(pairs, func(p *Pair) *Usage { return &p.Large })}
 }
 
-func medianUsage(pairs []GrowthPair, side func(*GrowthPair) *GrowthUsage) GrowthUsage {
-	medianOf := func(figure func(*GrowthUsage) float64) float64 {
+func medianUsage(pairs []Pair, side func(*Pair) *Usage) Usage {
+	medianOf := func(figure func(*Usage) float64) float64 {
 		var all []float64
 		for i := range pairs {
 			all = append(all, figure(side(&pairs[i])))
 		}
 		return harness.Median(all)
 	}
-	return GrowthUsage{CPU: medianOf(cpuOfUsage), PeakMemory: medianOf(memoryOfUsage), Descriptors: medianOf(descriptorsOfUsage),
+	return Usage{CPU: medianOf(cpuOfUsage), PeakMemory: medianOf(memoryOfUsage), Descriptors: medianOf(descriptorsOfUsage),
 		Connections: medianOf(connectionsOfUsage), ListBytes: medianOf(listBytesOfUsage), Served: medianOf(servedOfUsage)}
 }
 
-// MeasureGrowth compares what a sidecar uses in a large fleet with what it uses in one of the usual size. One real process
+// Measure compares what a sidecar uses in a large fleet with what it uses in one of the usual size. One real process
 // before stand-in servers, in pairs of days, gives all figures. Whole fleets on a simulated clock give the share served
 // and the connections made. An error means that a day could not be played.
-func MeasureGrowth(ctx context.Context, o GrowthOptions) (*Growth, error) {
+func Measure(ctx context.Context, o Options) (*Result, error) {
 	if err := o.check(); err != nil {
 		return nil, fmt.Errorf("growth: %w", err)
 	}
@@ -158,45 +161,45 @@
 		defer os.RemoveAll(dir)
 		o.Dir = dir
 	}
-	g := &Growth{Usual: o.Usual, Large: o.Large, Simulated: o.Simulated}
+	g := &Result{Usual: o.Usual, Large: o.Large, Simulated: o.Simulated}
 	for k := range o.Rounds {
-		pair, err := growthRound(ctx, &o, k)
+		pair, err := playRound(ctx, &o, k)
 		if err != nil {
 			return nil, fmt.Errorf("growth: round %d: %w", k+1, err)
 		}
 		g.Rounds = append(g.Rounds, pair)
 	}
 	var err error
-	if g.Days, err = simulatedGrowth(ctx, &o); err != nil {
+	if g.Days, err = simulateDays(ctx, &o); err != nil {
 		return nil, fmt.Errorf("growth: %w", err)
 	}
-	g.Rows = growthRows(g)
+	g.Rows = compareWithBounds(g)
 	return g, nil
 }
 
-// growthRows compares the medians of the processes, and the simulated days, with the bounds.
-func growthRows(g *Growth) []GrowthRow {
-	var rows []GrowthRow
+// compareWithBounds compares the medians of the processes, and the simulated days, with the boundTable.
+func compareWithBounds(g *Result) []Row {
+	var rows []Row
 	process := medianPair(g.Rounds)
-	for i := range growthBounds {
-		b := &growthBounds[i]
+	for i := range boundTable {
+		b := &boundTable[i]
 		rows = append(rows, b.row("one process", process, g.Large.Servers))
 		for k := range g.Days {
 			// Simulated days have no processor time, memory, descriptors or bytes of lists.
 			if day := &g.Days[k]; b.figure(&day.Usual) > 0 {
-				rows = append(rows, b.row(day.Name, day.GrowthPair, g.Simulated.Large.Servers))
+				rows = append(rows, b.row(day.Name, day.Pair, g.Simulated.Large.Servers))
 			}
 		}
 	}
 	for k := range g.Days {
 		broken := float64(len(g.Days[k].Broken))
-		rows = append(rows, GrowthRow{Figure: "rules broken", Subject: g.Days[k].Name, Large: broken, WithinBound: broken == 0})
+		rows = append(rows, Row{Figure: "rules broken", Subject: g.Days[k].Name, Large: broken, WithinBound: broken == 0})
 	}
 	return rows
 }
 
-func (o *GrowthOptions) check() error {
-	for _, size := range []GrowthSize{o.Usual, o.Large} {
+func (o *Options) check() error {
+	for _, size := range []Size{o.Usual, o.Large} {
 		if size.Sidecars < 1 || size.Servers < 2 {
 			return fmt.Errorf("%d sidecars and %d servers: at least 1 and 2", size.Sidecars, size.Servers)
 		}
@@ -215,14 +218,14 @@
 }
 
 // progress reports a step that is done.
-func (o *GrowthOptions) progress(format string, args ...any) {
+func (o *Options) progress(format string, args ...any) {
 	if o.Progress != nil {
 		fmt.Fprintf(o.Progress, format+"\n", args...)
 	}
 }
 
-// PrintGrowth writes the growth table.
-func PrintGrowth(w io.Writer, g *Growth) {
+// Print writes the growth table.
+func Print(w io.Writer, g *Result) {
 	fmt.Fprintf(w, "one process: %d servers against %d, medians of %d pairs of days\n",
 		g.Usual.Servers, g.Large.Servers, len(g.Rounds))
 	fmt.Fprintf(w, "simulated fleet: %d sidecars and %d servers against %d and %d\n", g.Simulated.Usual.Sidecars,
--- a/internal/lab/growth_process.go
+++ b/internal/lab/experiment/growth/process.go
@@ -1,4 +1,4 @@
-package lab
+package growth
 
 // This file plays a day of one real sidecar between stand-ins, and measures what it needs.
 
@@ -25,7 +25,7 @@
 	"marblelane/internal/lab/scenario"
 )
 
-const growthScenario = `
+const processScenario = `
 title = "growth"
 length = "2s"
 [sidecars]
@@ -44,29 +44,29 @@
 `
 
 const (
-	growthWorkTime       = 5 * time.Millisecond // of a server per request
-	growthSidecarSeed    = 1
-	growthSampleInterval = 50 * time.Millisecond
-	growthDrainTime      = 400 * time.Millisecond // from the notification that a server drains until it ends, at most
+	workTime       = 5 * time.Millisecond // of a server per request
+	sidecarSeed    = 1
+	sampleInterval = 50 * time.Millisecond
+	drainTime      = 400 * time.Millisecond // from the notification that a server drains until it ends, at most
 )
 
-// growthRun is a day under way.
-type growthRun struct {
-	o       *GrowthOptions
+// dayRun is a day under way.
+type dayRun struct {
+	o       *Options
 	r       *harness.Run // the plan, the folder and the supervisor of the processes
-	servers *growthServers
+	servers *servers
 	agents  *agent.Agents
 	meter   *meteredForward
 	ids     atomic.Uint64
 }
 
-// growthRound plays a day with each size. The order alternates from round to round.
-func growthRound(ctx context.Context, o *GrowthOptions, round int) (GrowthPair, error) {
-	var pair GrowthPair
-	play := func(name string, size GrowthSize, usage *GrowthUsage) error {
+// playRound plays a day with each size. The order alternates from round to round.
+func playRound(ctx context.Context, o *Options, round int) (Pair, error) {
+	var pair Pair
+	play := func(name string, size Size, usage *Usage) error {
 		var err error
 		dir := filepath.Join(o.Dir, fmt.Sprintf("%s-%d", name, round))
-		if *usage, err = playGrowthDay(ctx, o, size, dir); err != nil {
+		if *usage, err = playDay(ctx, o, size, dir); err != nil {
 			return fmt.Errorf("%d servers: %w", size.Servers, err)
 		}
 		o.progress("round %d of %d, %d servers: %+v", round+1, o.Rounds, size.Servers, *usage)
@@ -83,10 +83,10 @@
 	return pair, second()
 }
 
-// playGrowthDay starts a sidecar before the servers, sends requests for the day while servers are replaced, and stops it.
-func playGrowthDay(ctx context.Context, o *GrowthOptions, size GrowthSize, dir string) (usage GrowthUsage, err error) {
+// playDay starts a sidecar before the servers, sends requests for the day while servers are replaced, and stops it.
+func playDay(ctx context.Context, o *Options, size Size, dir string) (usage Usage, err error) {
 	replaced := int(o.ReplacedFraction * float64(size.Servers))
-	s, err := scenario.Parse("growth.toml", []byte(growthScenario))
+	s, err := scenario.Parse("growth.toml", []byte(processScenario))
 	if err != nil {
 		return usage, err
 	}
@@ -95,9 +95,9 @@
 	if err != nil {
 		return usage, err
 	}
-	d := &growthRun{o: o, r: base}
+	d := &dayRun{o: o, r: base}
 	defer func() { err = errors.Join(err, d.close()) }()
-	if d.servers, err = startGrowthServers(s.Servers.Count); err != nil {
+	if d.servers, err = startServers(s.Servers.Count); err != nil {
 		return usage, err
 	}
 	if err := d.startDiscovery(size.Servers); err != nil {
@@ -117,7 +117,7 @@
 }
 
 // serversNotifiedGone returns of how many servers the sidecar was notified that they are gone.
-func (d *growthRun) serversNotifiedGone() int {
+func (d *dayRun) serversNotifiedGone() int {
 	gone := map[int32]bool{}
 	for _, e := range d.r.Events.Events() {
 		if e.Kind == record.Notified && e.Note == agent.Gone {
@@ -128,7 +128,7 @@
 }
 
 // startDiscovery starts a discovery service that lists the first servers of the plan.
-func (d *growthRun) startDiscovery(listed int) error {
+func (d *dayRun) startDiscovery(listed int) error {
 	link := relay.NewLink(relay.Rules{}, 1)
 	var err error
 	d.agents, err = agent.New(d.r.Events, 1, d.entries(listed),
@@ -140,7 +140,7 @@
 	return err
 }
 
-func (d *growthRun) entries(listed int) []agent.Entry {
+func (d *dayRun) entries(listed int) []agent.Entry {
 	var list []agent.Entry
 	for i := range listed {
 		e := d.r.Entry(i, agent.Ready, 0)
@@ -151,11 +151,11 @@
 }
 
 // launch starts the sidecar, configured for a fleet of this size.
-func (d *growthRun) launch(ctx context.Context, size GrowthSize) (*testbed.Sidecar, error) {
+func (d *dayRun) launch(ctx context.Context, size Size) (*testbed.Sidecar, error) {
 	settings := d.r.Plan.Settings(0)
 	settings["peers_total"] = size.Sidecars
 	settings["tenants"] = []map[string]any{{"name": testbed.Tenant, "share": 1.0, "allowance_per_s": 1e6}}
-	config := testbed.BaseConfig(d.r.Scenario, growthSidecarSeed, d.meter.addr(), settings)
+	config := testbed.BaseConfig(d.r.Scenario, sidecarSeed, d.meter.addr(), settings)
 	config["known"] = agent.List{All: true, Targets: d.entries(size.Servers)}
 	text, err := json.Marshal(config)
 	if err != nil {
@@ -166,7 +166,7 @@
 }
 
 // play sends requests to the sidecar while servers are replaced, stops it, and measures until it has ended.
-func (d *growthRun) play(ctx context.Context, p *testbed.Sidecar, listed, replaced int) (GrowthUsage, error) {
+func (d *dayRun) play(ctx context.Context, p *testbed.Sidecar, listed, replaced int) (Usage, error) {
 	load := testbed.NewLoad(p.Listen, d.r.Scenario.Classes[0].Name, d.o.Rate, d.o.Connections, &d.ids)
 	driving, stopDriving := context.WithCancel(ctx)
 	var background sync.WaitGroup
@@ -183,15 +183,15 @@
 	p.Stop()
 	switch {
 	case err != nil:
-		return GrowthUsage{}, err
+		return Usage{}, err
 	case sampleErr != nil:
-		return GrowthUsage{}, sampleErr
+		return Usage{}, sampleErr
 	case p.Err() != nil:
-		return GrowthUsage{}, fmt.Errorf("the sidecar ended with %w; its log ends:\n%s", p.Err(), p.LogTail())
+		return Usage{}, fmt.Errorf("the sidecar ended with %w; its log ends:\n%s", p.Err(), p.LogTail())
 	case done.Sent == 0:
-		return GrowthUsage{}, errors.New("no request was sent")
+		return Usage{}, errors.New("no request was sent")
 	}
-	return GrowthUsage{CPU: p.CPU(), PeakMemory: float64(peak.PeakRSS) / (1 << 20), Descriptors: float64(peak.Descriptors),
+	return Usage{CPU: p.CPU(), PeakMemory: float64(peak.PeakRSS) / (1 << 20), Descriptors: float64(peak.Descriptors),
 		Connections: float64(d.servers.made.Load()), ListBytes: float64(d.meter.bytes.Load()),
 		Served: 1 - float64(done.Failed)/float64(done.Sent)}, nil
 }
@@ -206,14 +206,14 @@
 		}
 		peak.PeakRSS = max(peak.PeakRSS, now.PeakRSS)
 		peak.Descriptors = max(peak.Descriptors, now.Descriptors)
-		if !harness.Sleep(ctx, growthSampleInterval) {
+		if !harness.Sleep(ctx, sampleInterval) {
 			return peak, nil
 		}
 	}
 }
 
 // replace drains and ends servers in steps, evenly over the day, while new ones take their places.
-func (d *growthRun) replace(ctx context.Context, listed, replaced int) {
+func (d *dayRun) replace(ctx context.Context, listed, replaced int) {
 	steps := min(d.o.Steps, replaced)
 	start := time.Now()
 	for step := range steps {
@@ -229,14 +229,14 @@
 			gone = append(gone, old)
 		}
 		d.agents.PublishAll(changed, 0, 0)
-		if !harness.Sleep(ctx, min(growthDrainTime, d.o.Length/time.Duration(2*steps+4))) {
+		if !harness.Sleep(ctx, min(drainTime, d.o.Length/time.Duration(2*steps+4))) {
 			return
 		}
 		d.agents.PublishAll(gone, 0, 0)
 	}
 }
 
-func (d *growthRun) close() error {
+func (d *dayRun) close() error {
 	d.r.Close()
 	var err error
 	if d.meter != nil {
@@ -251,20 +251,20 @@
 	return err
 }
 
-// growthServers are stand-in servers that give the same answer to each request.
-type growthServers struct {
+// servers are stand-in servers that give the same answer to each request.
+type servers struct {
 	srv       *http.Server
 	listeners []net.Listener
 	made      atomic.Int64 // connections made to them
 	serving   sync.WaitGroup
 }
 
-func startGrowthServers(count int) (*growthServers, error) {
-	s := &growthServers{}
+func startServers(count int) (*servers, error) {
+	s := &servers{}
 	answer := []byte(strings.Repeat("x", 256))
 	s.srv = &http.Server{
 		Handler: http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
-			time.Sleep(growthWorkTime)
+			time.Sleep(workTime)
 			_, _ = w.Write(answer) // fails if the sidecar has ended
 		}),
 		ConnState: func(_ net.Conn, state http.ConnState) {
@@ -274,7 +274,7 @@
 		},
 	}
 	for n := range count {
-		l, err := net.Listen("tcp4", growthServerHost(n)+":0")
+		l, err := net.Listen("tcp4", serverHost(n)+":0")
 		if err != nil {
 			return nil, errors.Join(fmt.Errorf("server %d of %d: %w", len(s.listeners)+1, count, err), s.close())
 		}
@@ -284,13 +284,13 @@
 	return s, nil
 }
 
-// growthServerHost is a loopback address for this server alone. On 127.0.0.1 so many ports would also receive connections
+// serverHost is a loopback address for this server alone. On 127.0.0.1 so many ports would also receive connections
 // that are meant for earlier listeners.
-func growthServerHost(server int) string { return fmt.Sprintf("127.16.%d.%d", server>>8, server&255) }
+func serverHost(server int) string { return fmt.Sprintf("127.16.%d.%d", server>>8, server&255) }
 
-func (s *growthServers) addr(server int) string { return s.listeners[server].Addr().String() }
+func (s *servers) addr(server int) string { return s.listeners[server].Addr().String() }
 
-func (s *growthServers) close() error {
+func (s *servers) close() error {
 	err := s.srv.Close()
 	for _, l := range s.listeners { // those that are not served yet
 		_ = l.Close()
--- a/internal/lab/growth_fleet.go
+++ b/internal/lab/experiment/growth/simulation.go
@@ -1,4 +1,4 @@
-package lab
+package growth
 
 // This file plays the same days with fleets of two sizes on a simulated clock.
 
@@ -12,7 +12,7 @@
 	"marblelane/internal/lab/simulate"
 )
 
-const growthDayScenario = `
+const simulatedScenario = `
 title = "growth"
 length = "10s"
 warm_up = "1s"
@@ -48,49 +48,49 @@
 `
 
 const (
-	growthUtilization = 0.6 // load as a share of the capacity of all servers
-	growthCores       = 16  // of a server of the usual size
+	utilization = 0.6 // load as a share of the capacity of all servers
+	serverCores = 16  // of a server of the usual size
 )
 
-// GrowthDay is what each sidecar used on a simulated day.
-type GrowthDay struct {
+// Day is what each sidecar used on a simulated day.
+type Day struct {
 	Name string `json:"name"`
-	GrowthPair
+	Pair
 	Broken []string `json:"broken"` // rules that were broken at the large size
 }
 
 // simulatedDayKind is a kind of day, by its faults.
 type simulatedDayKind struct {
 	name   string
-	faults func(o *GrowthOptions) []scenario.Fault
+	faults func(o *Options) []scenario.Fault
 }
 
 // simulatedDayKinds are the days that are simulated.
 var simulatedDayKinds = []simulatedDayKind{
-	{"fleet, replaced", func(o *GrowthOptions) []scenario.Fault {
+	{"fleet, replaced", func(o *Options) []scenario.Fault {
 		if o.ReplacedFraction == 0 {
 			return nil
 		}
 		return []scenario.Fault{{At: scenario.Duration(o.DayLength / 4), Kind: "replace",
 			Servers: fmt.Sprintf("%g%%", 100*o.ReplacedFraction)}}
 	}},
-	{"fleet, zone lost", func(o *GrowthOptions) []scenario.Fault {
+	{"fleet, zone lost", func(o *Options) []scenario.Fault {
 		return []scenario.Fault{{At: scenario.Duration(o.DayLength / 4), For: scenario.Duration(o.DayLength / 4),
 			Kind: "restart", Servers: "zone:north"}}
 	}},
 }
 
-// simulatedGrowth plays each kind of day with each size.
-func simulatedGrowth(ctx context.Context, o *GrowthOptions) ([]GrowthDay, error) {
-	var days []GrowthDay
+// simulateDays plays each kind of day with each size.
+func simulateDays(ctx context.Context, o *Options) ([]Day, error) {
+	var days []Day
 	for i := range simulatedDayKinds {
 		kind := &simulatedDayKinds[i]
-		day := GrowthDay{Name: kind.name}
+		day := Day{Name: kind.name}
 		var err error
-		if day.Usual, _, err = simulateGrowthDay(ctx, o, o.Simulated.Usual, kind); err != nil {
+		if day.Usual, _, err = simulateDay(ctx, o, o.Simulated.Usual, kind); err != nil {
 			return nil, err
 		}
-		if day.Large, day.Broken, err = simulateGrowthDay(ctx, o, o.Simulated.Large, kind); err != nil {
+		if day.Large, day.Broken, err = simulateDay(ctx, o, o.Simulated.Large, kind); err != nil {
 			return nil, err
 		}
 		days = append(days, day)
@@ -98,18 +98,18 @@
 	return days, nil
 }
 
-// simulateGrowthDay plays a day with one size. It also returns the rules that were broken.
-func simulateGrowthDay(ctx context.Context, o *GrowthOptions, size GrowthSize, kind *simulatedDayKind) (GrowthUsage,
+// simulateDay plays a day with one size. It also returns the rules that were broken.
+func simulateDay(ctx context.Context, o *Options, size Size, kind *simulatedDayKind) (Usage,
 	[]string, error) {
-	s, err := growthDayOf(o, size)
+	s, err := dayScenario(o, size)
 	if err != nil {
-		return GrowthUsage{}, nil, err
+		return Usage{}, nil, err
 	}
 	s.Faults = kind.faults(o)
 	plan := s.Plan(1)
 	run, err := simulate.Play(ctx, plan, simulate.Options{})
 	if err != nil {
-		return GrowthUsage{}, nil, fmt.Errorf("%d sidecars, %d servers: %w", size.Sidecars, size.Servers, err)
+		return Usage{}, nil, fmt.Errorf("%d sidecars, %d servers: %w", size.Sidecars, size.Servers, err)
 	}
 	opened := 0
 	for i := range run.Sends {
@@ -119,17 +119,17 @@
 	}
 	outcome := report.New(plan, run.Events, run.Worked, nil, nil)
 	figures, broken := &outcome.Result.Figures, outcome.Verdict.Broken()
-	usage := GrowthUsage{Connections: float64(opened) / float64(size.Sidecars), Served: figures.InObjective}
+	usage := Usage{Connections: float64(opened) / float64(size.Sidecars), Served: figures.InObjective}
 	o.progress("%s, %d sidecars, %d servers: %d requests, %.3f served, %.1f connections each, %.2f attempts, broken %v",
 		kind.name, size.Sidecars, size.Servers, figures.Requests, usage.Served, usage.Connections, figures.ServerAttempts, broken)
 	return usage, broken, nil
 }
 
-// growthDayOf returns the scenario of a day with a fleet of this size. The traffic and the capacity of the servers per
+// dayScenario returns the scenario of a day with a fleet of this size. The traffic and the capacity of the servers per
 // sidecar are the same at any size: with more servers per sidecar, servers have fewer cores, and their speed makes up for
 // the rounding to whole cores.
-func growthDayOf(o *GrowthOptions, size GrowthSize) (*scenario.Scenario, error) {
-	s, err := scenario.Parse("growth-day.toml", []byte(growthDayScenario))
+func dayScenario(o *Options, size Size) (*scenario.Scenario, error) {
+	s, err := scenario.Parse("growth-day.toml", []byte(simulatedScenario))
 	if err != nil {
 		return nil, err
 	}
@@ -142,10 +142,10 @@
 		meanWork += c.Share * c.Work.Duration().Seconds()
 	}
 	kind := &s.Servers.Kinds[0]
-	kind.Cores = max(1, int(math.Round(growthCores*size.sidecarsPerServer()/usual.sidecarsPerServer())))
-	speed := o.Rate * meanWork / growthUtilization * size.sidecarsPerServer() / float64(kind.Cores)
+	kind.Cores = max(1, int(math.Round(serverCores*size.sidecarsPerServer()/usual.sidecarsPerServer())))
+	speed := o.Rate * meanWork / utilization * size.sidecarsPerServer() / float64(kind.Cores)
 	kind.Speed = scenario.Range{speed, speed}
 	return s, nil
 }
 
-func (s GrowthSize) sidecarsPerServer() float64 { return float64(s.Sidecars) / float64(s.Servers) }
+func (s Size) sidecarsPerServer() float64 { return float64(s.Sidecars) / float64(s.Servers) }
--- a/internal/lab/listscale.go
+++ b/internal/lab/experiment/listscale/listscale.go
@@ -1,4 +1,8 @@
-package lab
+// Package listscale measures what the list service costs with many watchers. One copy runs as a process. Watchers join,
+// half of the entries change, and the copy is killed and restarted; the time until all watchers have a change, the bytes,
+// the processor time, the memory and the recovery time are taken. The baseline encodes each change once for each watcher.
+// The command is `marblelane lab list-scale`.
+package listscale
 
 import (
 	"bufio"
@@ -23,8 +27,8 @@
 	"marblelane/internal/lab/relay"
 )
 
-// ListPoint is what one size of the list service cost. One copy is measured, a process of its own.
-type ListPoint struct {
+// Point is what one size of the list service cost. One copy is measured, a process of its own.
+type Point struct {
 	EachEncodes      bool    `json:"each_encodes"` // the baseline: each watcher encodes for itself
 	Watchers         int     `json:"watchers"`
 	Entries          int     `json:"entries"`
@@ -50,13 +54,13 @@
 	watchBufferBytes  = 4 << 10
 )
 
-// ListScale measures the list service at each size, with shared encoding and the baseline in turn.
-func ListScale(ctx context.Context, watchers, entries []int, o harness.Options) ([]ListPoint, error) {
-	var points []ListPoint
+// Measure measures the list service at each size, with shared encoding and the baseline in turn.
+func Measure(ctx context.Context, watchers, entries []int, o harness.Options) ([]Point, error) {
+	var points []Point
 	for _, entryCount := range entries {
 		for _, watcherCount := range watchers {
 			for _, eachEncodes := range []bool{false, true} {
-				p, err := measureListPoint(ctx, watcherCount, entryCount, eachEncodes, o)
+				p, err := measurePoint(ctx, watcherCount, entryCount, eachEncodes, o)
 				if err != nil {
 					return nil, fmt.Errorf("%d watchers, %d entries: %w", watcherCount, entryCount, err)
 				}
@@ -200,9 +204,9 @@
 
 func (r *listRun) now() time.Duration { return time.Since(r.start) }
 
-// measureListPoint measures one size: memory as the watchers join, time, bytes and processor time as entries change,
+// measurePoint measures one size: memory as the watchers join, time, bytes and processor time as entries change,
 // and the recovery after the copy was killed.
-func measureListPoint(ctx context.Context, watchers, entries int, eachEncodes bool, o harness.Options) (*ListPoint, error) {
+func measurePoint(ctx context.Context, watchers, entries int, eachEncodes bool, o harness.Options) (*Point, error) {
 	dir, err := os.MkdirTemp("", "marblelane-list-")
 	if err != nil {
 		return nil, err
@@ -222,7 +226,7 @@
 	if err := r.fill(ctx); err != nil {
 		return nil, err
 	}
-	p := &ListPoint{EachEncodes: eachEncodes, Watchers: watchers, Entries: entries, Changes: entries / 2}
+	p := &Point{EachEncodes: eachEncodes, Watchers: watchers, Entries: entries, Changes: entries / 2}
 	defer r.stopWatching()
 	joined, err := r.measureJoin(ctx, p)
 	if err != nil {
@@ -304,7 +308,7 @@
 
 // measureJoin starts the watchers, waits until all have the list, and sets the memory per watcher. It returns what
 // the copy used by then.
-func (r *listRun) measureJoin(ctx context.Context, p *ListPoint) (joined process.Usage, err error) {
+func (r *listRun) measureJoin(ctx context.Context, p *Point) (joined process.Usage, err error) {
 	before, err := process.Measure(r.copy.PID)
 	if err != nil {
 		return joined, err
@@ -349,7 +353,7 @@
 }
 
 // measureChanges changes half of the entries, sets what that costs from before on, and returns the last revision.
-func (r *listRun) measureChanges(ctx context.Context, p *ListPoint, before process.Usage) (last int64, err error) {
+func (r *listRun) measureChanges(ctx context.Context, p *Point, before process.Usage) (last int64, err error) {
 	r.received.Store(0)
 	writes, err := r.changeHalf(ctx, p.Changes)
 	if err != nil {
@@ -366,7 +370,8 @@
 		return 0, err
 	}
 	delays := r.notifyDelays(writes)
-	p.NotifyP50MS, p.NotifyP99MS = quantileMS(delays, 0.5), quantileMS(delays, 0.99)
+	p.NotifyP50MS = harness.Milliseconds(harness.Quantile(delays, 0.5))
+	p.NotifyP99MS = harness.Milliseconds(harness.Quantile(delays, 0.99))
 	p.BytesPerChange = float64(r.received.Load()) / float64(p.Changes)
 	p.CPUPerChange = 1e6 * (after.CPU - before.CPU) / float64(p.Changes)
 	return last, nil
@@ -402,13 +407,8 @@
 	return delays
 }
 
-// quantileMS returns a quantile of sorted times, in milliseconds.
-func quantileMS(sorted []time.Duration, q float64) float64 {
-	return float64(sorted[int(q*float64(len(sorted)-1))]) / float64(time.Millisecond)
-}
-
 // measureRecovery kills and restarts the copy, and measures until all watchers have the list again.
-func (r *listRun) measureRecovery(ctx context.Context, p *ListPoint, last int64) error {
+func (r *listRun) measureRecovery(ctx context.Context, p *Point, last int64) error {
 	r.copy.Kill()
 	for _, w := range r.watchers {
 		w.revision.Store(0)
@@ -427,8 +427,8 @@
 	return nil
 }
 
-// PrintListScale writes the sizes as a table, with how the processor time grows with the number of watchers.
-func PrintListScale(w io.Writer, points []ListPoint) {
+// Print writes the sizes as a table, with how the processor time grows with the number of watchers.
+func Print(w io.Writer, points []Point) {
 	fmt.Fprintf(w, "%-12s %8s %8s %8s %10s %10s %13s %12s %11s %9s %8s\n", "encoded", "watchers", "entries", "changes", "tell p50",
 		"tell p99", "bytes/change", "us/change", "KB/watcher", "return s", "peak MB")
 	for _, p := range points {
@@ -447,9 +447,9 @@
 }
 
 // printCPUGrowth writes the exponent of the growth from the fewest to the most watchers, for one number of entries.
-func printCPUGrowth(w io.Writer, points []ListPoint, entries int) {
+func printCPUGrowth(w io.Writer, points []Point, entries int) {
 	for _, eachEncodes := range []bool{false, true} {
-		var matching []ListPoint
+		var matching []Point
 		for _, p := range points {
 			if p.Entries == entries && p.EachEncodes == eachEncodes {
 				matching = append(matching, p)
--- a/internal/lab/memberscale_fleet.go
+++ b/internal/lab/experiment/memberscale/fleet.go
@@ -1,4 +1,4 @@
-package lab
+package memberscale
 
 // This file is a fleet of members in one process, whose size and faults are measured.
 
@@ -22,8 +22,8 @@
 	"marblelane/internal/membership/roster"
 )
 
-// scaleMember is one member with the views that its group reported.
-type scaleMember struct {
+// member is one member with the views that its group reported.
+type member struct {
 	group *membership.Group
 	port  *gossip.Port
 
@@ -43,7 +43,7 @@
 }
 
 // viewChanged counts what a new view changes.
-func (s *scaleMember) viewChanged(v roster.View) {
+func (s *member) viewChanged(v roster.View) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if v == s.view {
@@ -59,14 +59,14 @@
 }
 
 // currentView returns the last view that was reported.
-func (s *scaleMember) currentView() roster.View {
+func (s *member) currentView() roster.View {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.view
 }
 
 // firstSeen returns when a traced view matched first; zero: none did.
-func (s *scaleMember) firstSeen(from time.Time, matches func(roster.View) bool) time.Time {
+func (s *member) firstSeen(from time.Time, matches func(roster.View) bool) time.Time {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, v := range s.trace {
@@ -77,11 +77,11 @@
 	return time.Time{}
 }
 
-// scaleFleet is one fleet on a network of its own.
-type scaleFleet struct {
-	m       *MemberScale
+// fleet is one fleet on a network of its own.
+type fleet struct {
+	m       *Experiment
 	net     *gossip.Network
-	members []*scaleMember
+	members []*member
 	joined  time.Duration
 }
 
@@ -89,8 +89,8 @@
 const startsPerInterval = 200
 
 // open starts a fleet and waits until all agree and are admitted.
-func (m *MemberScale) open(ctx context.Context, n int, rules gossip.Rules) (*scaleFleet, error) {
-	f := &scaleFleet{m: m, net: gossip.New(m.Seed, rules)}
+func (m *Experiment) open(ctx context.Context, n int, rules gossip.Rules) (*fleet, error) {
+	f := &fleet{m: m, net: gossip.New(m.Seed, rules)}
 	start := time.Now()
 	for i := range n {
 		due := start.Add(m.Interval * time.Duration(i) / startsPerInterval)
@@ -101,7 +101,7 @@
 		if err != nil {
 			return nil, errors.Join(err, f.close())
 		}
-		s := &scaleMember{port: port, view: roster.View{Known: n, Reachable: 1}}
+		s := &member{port: port, view: roster.View{Known: n, Reachable: 1}}
 		cfg := membership.Config{Name: fmt.Sprintf("m%04d", i), Fleet: "scale", Zone: "here", Role: "sidecar", Peers: n,
 			Interval: m.Interval, TrustRefused: true, Defect: m.Defect, Transport: port, ViewChanged: s.viewChanged}
 		for k := range min(3, n) {
@@ -122,7 +122,7 @@
 }
 
 // close ends all members. It cuts the network first, so that members do not gossip about those that end.
-func (f *scaleFleet) close() error {
+func (f *fleet) close() error {
 	f.net.Set(gossip.Rules{Cut: true})
 	for _, s := range f.members {
 		_ = s.port.Shutdown() // gives nil only
@@ -140,11 +140,11 @@
 }
 
 // await polls until a condition holds for all members, for EventTimeout at most.
-func (f *scaleFleet) await(ctx context.Context, failure string, holds func(*scaleMember) bool) error {
+func (f *fleet) await(ctx context.Context, failure string, holds func(*member) bool) error {
 	ctx, cancel := context.WithTimeout(ctx, f.m.EventTimeout+f.m.Interval*time.Duration(len(f.members))/10)
 	defer cancel()
 	for {
-		i := slices.IndexFunc(f.members, func(s *scaleMember) bool { return !holds(s) })
+		i := slices.IndexFunc(f.members, func(s *member) bool { return !holds(s) })
 		if i < 0 {
 			return nil
 		}
@@ -155,9 +155,9 @@
 }
 
 // awaitAgreement waits until the views of all members have the number of those that run, and then compares names.
-func (f *scaleFleet) awaitAgreement(ctx context.Context, admitted bool) error {
+func (f *fleet) awaitAgreement(ctx context.Context, admitted bool) error {
 	n := len(f.members)
-	err := f.await(ctx, "does not agree", func(s *scaleMember) bool {
+	err := f.await(ctx, "does not agree", func(s *member) bool {
 		v := s.currentView()
 		return v.Known == n && v.Reachable == n && (v.Admitted || !admitted)
 	})
@@ -197,13 +197,13 @@
 }
 
 // suspicionTime is the shortest time from a suspicion until a member is silent, as the gossip library scales it.
-func (f *scaleFleet) suspicionTime() time.Duration {
+func (f *fleet) suspicionTime() time.Duration {
 	return time.Duration(4 * max(1, math.Log10(float64(len(f.members)))) * float64(f.m.Interval))
 }
 
 // awaitQuiet waits until members send little but their probes, for EventTimeout at most. Members gossip about a joining
 // for a while, the longer the larger the fleet.
-func (f *scaleFleet) awaitQuiet(ctx context.Context) bool {
+func (f *fleet) awaitQuiet(ctx context.Context) bool {
 	maxPackets := uint64(3 * len(f.members)) // in one interval: a probe, its answer, and some more
 	for end := time.Now().Add(f.m.EventTimeout); ctx.Err() == nil && time.Now().Before(end); {
 		_, before := f.sentTotals()
@@ -225,9 +225,9 @@
 
 // measureIdle measures what a quiet fleet costs beyond the baseline, and which members it holds for dead. It sets the
 // baseline for the next fleet.
-func (f *scaleFleet) measureIdle(ctx context.Context, baseline *baselineUsage) (*MemberIdle, MemberLoss, error) {
+func (f *fleet) measureIdle(ctx context.Context, baseline *baselineUsage) (*IdleCost, LossResult, error) {
 	m, n := f.m, len(f.members)
-	out := &MemberIdle{Joined: f.joined.Seconds()}
+	out := &IdleCost{Joined: f.joined.Seconds()}
 	for _, s := range f.members {
 		if s.currentView().Forced {
 			out.Forced++
@@ -240,7 +240,7 @@
 	window := min(max(m.IdleWindow, 60*m.Interval/time.Duration(n)), 3*m.IdleWindow)
 	sentBytes, sentPackets := f.sentTotals()
 	cpu, start := cpuTime(), time.Now()
-	noLoss, err := f.countEvents(ctx, MemberLoss{}, window)
+	noLoss, err := f.countEvents(ctx, LossResult{}, window)
 	seconds := time.Since(start).Seconds()
 	memberSeconds := float64(n) * seconds
 	processors := (cpuTime() - cpu).Seconds() / seconds
@@ -252,7 +252,7 @@
 	return out, noLoss, err
 }
 
-func (f *scaleFleet) sentTotals() (bytes, packets uint64) {
+func (f *fleet) sentTotals() (bytes, packets uint64) {
 	for _, s := range f.members {
 		c := s.port.Counts()
 		bytes += c.SentBytes
@@ -278,7 +278,7 @@
 }
 
 // countEvents counts for some time how often members are held for dead.
-func (f *scaleFleet) countEvents(ctx context.Context, l MemberLoss, window time.Duration) (MemberLoss, error) {
+func (f *fleet) countEvents(ctx context.Context, l LossResult, window time.Duration) (LossResult, error) {
 	totals := func() (silent, gone, maxUnreachable int) {
 		for _, s := range f.members {
 			s.mu.Lock()
@@ -301,7 +301,7 @@
 }
 
 // timeToAgree returns the seconds until all members agree; -1: they do not.
-func (f *scaleFleet) timeToAgree(ctx context.Context) float64 {
+func (f *fleet) timeToAgree(ctx context.Context) float64 {
 	start := time.Now()
 	if f.awaitAgreement(ctx, false) != nil {
 		return -1
@@ -310,12 +310,12 @@
 }
 
 // lossWindow is long enough for suspected members to be held for dead.
-func (f *scaleFleet) lossWindow() time.Duration { return f.m.LossWindow + f.suspicionTime()*3/2 }
+func (f *fleet) lossWindow() time.Duration { return f.m.LossWindow + f.suspicionTime()*3/2 }
 
 // measureLoss counts false detections at one share of lost packets.
-func (f *scaleFleet) measureLoss(ctx context.Context, loss float64) (MemberLoss, error) {
+func (f *fleet) measureLoss(ctx context.Context, loss float64) (LossResult, error) {
 	f.net.Set(gossip.Rules{Loss: loss, Delay: networkDelay})
-	l, err := f.countEvents(ctx, MemberLoss{Loss: loss}, f.lossWindow())
+	l, err := f.countEvents(ctx, LossResult{Loss: loss}, f.lossWindow())
 	f.net.Set(gossip.Rules{Delay: networkDelay})
 	if err != nil {
 		return l, err
@@ -326,10 +326,10 @@
 
 // measureSplit partitions a fleet into the first members and the rest until the larger part has noticed, and heals it. A
 // small part notices last: in the gossip library a member that reaches no other probes more and more rarely.
-func (f *scaleFleet) measureSplit(ctx context.Context, name string, first int) (*MemberSplit, error) {
+func (f *fleet) measureSplit(ctx context.Context, name string, first int) (*SplitResult, error) {
 	n := len(f.members)
-	out := &MemberSplit{Parts: name, Noticed: -1, Agree: -1}
-	part, partSize := map[netip.AddrPort]int{}, map[*scaleMember]int{}
+	out := &SplitResult{Parts: name, Noticed: -1, Agree: -1}
+	part, partSize := map[netip.AddrPort]int{}, map[*member]int{}
 	for i, s := range f.members {
 		if partSize[s] = n - first; i < first {
 			partSize[s], part[s.port.Addr()] = first, 1
@@ -337,7 +337,7 @@
 	}
 	f.net.Split(part)
 	start := time.Now()
-	err := f.await(ctx, "hears the other side", func(s *scaleMember) bool {
+	err := f.await(ctx, "hears the other side", func(s *member) bool {
 		return 2*partSize[s] < n || s.currentView().Reachable == partSize[s]
 	})
 	if err == nil {
@@ -355,7 +355,7 @@
 }
 
 // measureCrash ends some members at once, without a message; their hosts stay.
-func (f *scaleFleet) measureCrash(ctx context.Context) (*MemberCrash, error) {
+func (f *fleet) measureCrash(ctx context.Context) (*CrashResult, error) {
 	n := len(f.members)
 	crashed := min(max(1, n/20), 10)
 	for _, s := range f.members {
@@ -370,8 +370,8 @@
 		return nil, err
 	}
 	// Events that did not come in time show as -1 in the result.
-	_ = f.await(ctx, "has not counted out who ended", func(s *scaleMember) bool { return s.currentView().Known == n-crashed })
-	out := &MemberCrash{Crashed: crashed}
+	_ = f.await(ctx, "has not counted out who ended", func(s *member) bool { return s.currentView().Known == n-crashed })
+	out := &CrashResult{Crashed: crashed}
 	detected := f.crashTimes(start, n, crashed, func(v roster.View) int { return v.Reachable })
 	out.DetectP50, out.DetectP99, out.DetectAll = secondsAt(detected, 0.5), secondsAt(detected, 0.99), secondsAt(detected, 1)
 	gone := f.crashTimes(start, n, crashed, func(v roster.View) int { return v.Known })
@@ -381,7 +381,7 @@
 
 // crashTimes returns, for each member that is left and each one that crashed, the seconds until a count of the view no
 // longer had the crashed one, in ascending order. It is infinite where the count kept it.
-func (f *scaleFleet) crashTimes(start time.Time, n, crashed int, count func(roster.View) int) []float64 {
+func (f *fleet) crashTimes(start time.Time, n, crashed int, count func(roster.View) int) []float64 {
 	var times []float64
 	for _, s := range f.members {
 		for missing := 1; missing <= crashed; missing++ {
@@ -399,7 +399,7 @@
 
 // secondsAt returns a quantile of sorted times, rounded up to the next of them; -1 where it is infinite.
 func secondsAt(sorted []float64, q float64) float64 {
-	seconds := sorted[int(math.Ceil(q*float64(len(sorted)-1)))]
+	seconds := harness.UpperQuantile(sorted, q)
 	if math.IsInf(seconds, 1) {
 		return -1
 	}
--- /dev/null
+++ b/internal/lab/experiment/memberscale/main_test.go
@@ -0,0 +1,13 @@
+package memberscale
+
+import (
+	"os"
+	"testing"
+
+	"marblelane/internal/lab/labtest"
+)
+
+// The real programs, built once for all tests.
+var programs labtest.Programs
+
+func TestMain(m *testing.M) { os.Exit(labtest.Run(m, &programs)) }
--- a/internal/lab/memberscale.go
+++ b/internal/lab/experiment/memberscale/memberscale.go
@@ -1,4 +1,8 @@
-package lab
+// Package memberscale measures what the membership of sidecars costs, and how fast and how reliably it detects faults, with
+// fleets of several sizes. Real groups run in this process on a simulated network: idle, with crashed members, with lost
+// packets, partitioned, and with too little processor time. It also measures idle sidecar processes with membership and
+// without. The command is `marblelane lab members-scale`.
+package memberscale
 
 import (
 	"context"
@@ -16,9 +20,9 @@
 	"marblelane/internal/lab/harness"
 )
 
-// MemberScale says which fleets of members to measure. The groups are those of package membership. They run in this
+// Experiment says which fleets of members to measure. The groups are those of package membership. They run in this
 // process, on the real clock and a simulated network (package gossip).
-type MemberScale struct {
+type Experiment struct {
 	Sizes             []int
 	Losses            []float64     // shares of packets lost; none are lost while a fleet is idle
 	Interval          time.Duration // between a member's probes
@@ -33,32 +37,32 @@
 	Progress          io.Writer // nil: no progress
 }
 
-// MemberScaleResult is what was measured.
-type MemberScaleResult struct {
-	Sizes []MemberSize `json:"sizes"`
+// Result is what was measured.
+type Result struct {
+	Sizes []SizeResult `json:"sizes"`
 	// The cost of one member grows as the fleet's size to the power of these, from the smallest to the largest fleet.
 	BytesGrow float64 `json:"bytes_grow"`
 	CPUGrow   float64 `json:"cpu_grow"`
 	// LagP99MS is the lag of a timer of this process while fleets ran side by side. Late tells that it was above
 	// maxLagP99MS: the machine was too busy for what was measured then to count.
-	LagP99MS   float64           `json:"lag_p99_ms"`
-	Late       bool              `json:"late"`
-	Unmeasured []string          `json:"unmeasured"` // what, and why
-	Processes  []MemberProcesses `json:"processes,omitempty"`
-	TookS      float64           `json:"took_s"`
+	LagP99MS   float64         `json:"lag_p99_ms"`
+	Late       bool            `json:"late"`
+	Unmeasured []string        `json:"unmeasured"` // what, and why
+	Processes  []ProcessResult `json:"processes,omitempty"`
+	TookS      float64         `json:"took_s"`
 }
 
-// MemberSize is what one size of fleet showed. Times are in seconds; -1: the event did not come within EventTimeout.
-type MemberSize struct {
+// SizeResult is what one size of fleet showed. Times are in seconds; -1: the event did not come within EventTimeout.
+type SizeResult struct {
 	Members int           `json:"members"`
-	Idle    *MemberIdle   `json:"idle"` // nil: not measured, as for the others
-	Crash   *MemberCrash  `json:"crash"`
-	Losses  []MemberLoss  `json:"losses"`
-	Splits  []MemberSplit `json:"splits"`
+	Idle    *IdleCost     `json:"idle"` // nil: not measured, as for the others
+	Crash   *CrashResult  `json:"crash"`
+	Losses  []LossResult  `json:"losses"`
+	Splits  []SplitResult `json:"splits"`
 }
 
-// MemberIdle is what a fleet costs when nothing happens.
-type MemberIdle struct {
+// IdleCost is what a fleet costs when nothing happens.
+type IdleCost struct {
 	Joined  float64 `json:"joined_s"`             // from the first start until all agree and are admitted
 	Forced  int     `json:"forced"`               // admitted only because admit_within was over
 	Bytes   float64 `json:"bytes_per_member_s"`   // sent, of packets and streams
@@ -69,9 +73,9 @@
 	Minutes float64 `json:"member_minutes"`       // over which the costs were measured
 }
 
-// MemberCrash is how long the members that are left take to detect that some members crashed at once. Quantiles are
+// CrashResult is how long the members that are left take to detect that some members crashed at once. Quantiles are
 // over all pairs of a crashed member and one that is left.
-type MemberCrash struct {
+type CrashResult struct {
 	Crashed   int     `json:"crashed"`
 	DetectP50 float64 `json:"detect_p50_s"` // silent: the failure detector holds it for dead
 	DetectP99 float64 `json:"detect_p99_s"`
@@ -81,9 +85,9 @@
 	GoneAll   float64 `json:"gone_all_s"`
 }
 
-// MemberLoss is how often running members are held for dead while packets are lost or processor time is short. An event
+// LossResult is how often running members are held for dead while packets are lost or processor time is short. An event
 // counts once for each member that sees it.
-type MemberLoss struct {
+type LossResult struct {
 	Loss           float64 `json:"loss"`
 	Starved        bool    `json:"starved"`
 	Hours          float64 `json:"member_hours"`
@@ -95,8 +99,8 @@
 	Agree          float64 `json:"agree_s"`      // from the end of the fault until all agree
 }
 
-// MemberSplit is how a fleet that was partitioned comes together again.
-type MemberSplit struct {
+// SplitResult is how a fleet that was partitioned comes together again.
+type SplitResult struct {
 	Parts          string  `json:"parts"`
 	Noticed        float64 `json:"noticed_s"`   // until each part of half the fleet or more holds all others for dead
 	StillReachable int     `json:"still_hears"` // members that one of the smallest part reached when the split was healed, at most
@@ -104,16 +108,16 @@
 	CountedGone    int     `json:"counted_out"` // members that one member no longer counted, at most
 }
 
-// DefaultMemberScale returns the full measurement, or a quick one that only shows that the procedure works. The full
+// Default returns the full measurement, or a quick one that only shows that the procedure works. The full
 // one takes some three minutes on six processors. It has no fleet of 1,000 members, which needs some 9 GB and more than
 // 700 s of processor time to come together.
-func DefaultMemberScale(quick bool) MemberScale {
+func Default(quick bool) Experiment {
 	if quick {
-		return MemberScale{Sizes: []int{3, 6}, Losses: []float64{0.3}, Interval: 40 * time.Millisecond,
+		return Experiment{Sizes: []int{3, 6}, Losses: []float64{0.3}, Interval: 40 * time.Millisecond,
 			IdleWindow: 200 * time.Millisecond, LossWindow: 100 * time.Millisecond, EventTimeout: 20 * time.Second, TotalTimeout: time.Minute, MaxConcurrentSize: 4,
 			BusyLoops: 2, Seed: 1}
 	}
-	return MemberScale{Sizes: []int{10, 50, 100, 300}, Losses: []float64{0.1, 0.2, 0.3}, Interval: time.Second,
+	return Experiment{Sizes: []int{10, 50, 100, 300}, Losses: []float64{0.1, 0.2, 0.3}, Interval: time.Second,
 		IdleWindow: 3 * time.Second, LossWindow: 3 * time.Second, EventTimeout: 40 * time.Second, TotalTimeout: 4 * time.Minute, MaxConcurrentSize: 500,
 		BusyLoops: 4, Seed: 1}
 }
@@ -128,7 +132,7 @@
 const maxLagP99MS = 50
 
 // limitProcessor leaves this process one processor, which goroutines compete for, until restore is called.
-func (m *MemberScale) limitProcessor() (restore func()) {
+func (m *Experiment) limitProcessor() (restore func()) {
 	before := runtime.GOMAXPROCS(1)
 	var stop atomic.Bool
 	var wg sync.WaitGroup
@@ -146,25 +150,25 @@
 	}
 }
 
-// scaleRun is one measurement under way.
-type scaleRun struct {
-	*MemberScale
+// measurement is one measurement under way.
+type measurement struct {
+	*Experiment
 	ctx   context.Context
 	start time.Time
 
 	mu     sync.Mutex
-	result *MemberScaleResult
+	result *Result
 }
 
 // Run measures. Of each size one fleet is measured idle while no other does anything, and then loses packets. Beside it
 // a second fleet of that size loses members and is split. At the end the fleets that lost packets share too little
 // processor time. Fleets that are larger than MaxConcurrentSize follow, one at a time.
-func (m *MemberScale) Run(ctx context.Context) (*MemberScaleResult, error) {
+func (m *Experiment) Run(ctx context.Context) (*Result, error) {
 	limited, cancel := context.WithTimeoutCause(ctx, m.TotalTimeout, errors.New("the time is over"))
 	defer cancel()
-	r := &scaleRun{MemberScale: m, ctx: limited, start: time.Now(),
-		result: &MemberScaleResult{Sizes: make([]MemberSize, len(m.Sizes))}}
-	var concurrent, sequential []*MemberSize
+	r := &measurement{Experiment: m, ctx: limited, start: time.Now(),
+		result: &Result{Sizes: make([]SizeResult, len(m.Sizes))}}
+	var concurrent, sequential []*SizeResult
 	for i, n := range m.Sizes {
 		size := &r.result.Sizes[i]
 		if size.Members = n; n > m.MaxConcurrentSize {
@@ -178,7 +182,7 @@
 	r.measureStarved(concurrent, fleets)
 	for _, size := range sequential {
 		baseline := baselineUsage{memory: memoryInUse()}
-		r.withFleet(size, func(f *scaleFleet) {
+		r.withFleet(size, func(f *fleet) {
 			r.measureIdle(size, f, &baseline)
 			r.measureCrashAndSplits(size, f)
 			r.measureLosses(size, f)
@@ -190,8 +194,8 @@
 }
 
 // openIdle opens a fleet of each size in turn and measures it idle. A fleet that could not be opened is nil.
-func (r *scaleRun) openIdle(sizes []*MemberSize) []*scaleFleet {
-	fleets := make([]*scaleFleet, len(sizes))
+func (r *measurement) openIdle(sizes []*SizeResult) []*fleet {
+	fleets := make([]*fleet, len(sizes))
 	baseline := baselineUsage{memory: memoryInUse()}
 	for i, size := range sizes {
 		f, err := r.open(r.ctx, size.Members, gossip.Rules{})
@@ -207,14 +211,14 @@
 
 // measureFaults has the fleets lose packets, and beside each another of its size that loses members and is split. It
 // returns by how much a timer of this process was late meanwhile.
-func (r *scaleRun) measureFaults(sizes []*MemberSize, fleets []*scaleFleet) []time.Duration {
+func (r *measurement) measureFaults(sizes []*SizeResult, fleets []*fleet) []time.Duration {
 	ctx, stop := context.WithCancel(r.ctx)
 	var lag []time.Duration
 	var timer, fleetsDone sync.WaitGroup
 	timer.Go(func() { lag, _ = harness.MeasureTimerLag(ctx) })
 	for i, size := range sizes {
 		fleetsDone.Go(func() {
-			r.withFleet(size, func(f *scaleFleet) { r.measureCrashAndSplits(size, f) })
+			r.withFleet(size, func(f *fleet) { r.measureCrashAndSplits(size, f) })
 		})
 		if f := fleets[i]; f != nil {
 			fleetsDone.Go(func() { r.measureLosses(size, f) })
@@ -227,7 +231,7 @@
 }
 
 // recordOutcome reports a step, keeps it as unmeasured if it failed, and returns whether it succeeded.
-func (r *scaleRun) recordOutcome(size *MemberSize, step string, err error) bool {
+func (r *measurement) recordOutcome(size *SizeResult, step string, err error) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	outcome := "done"
@@ -242,7 +246,7 @@
 }
 
 // withFleet opens a fleet, measures with it and closes it.
-func (r *scaleRun) withFleet(size *MemberSize, measure func(*scaleFleet)) {
+func (r *measurement) withFleet(size *SizeResult, measure func(*fleet)) {
 	f, err := r.open(r.ctx, size.Members, gossip.Rules{Delay: networkDelay})
 	if err == nil {
 		measure(f)
@@ -254,7 +258,7 @@
 }
 
 // measureIdle measures the fleet while nothing happens. The baseline is what this process used before the fleet.
-func (r *scaleRun) measureIdle(size *MemberSize, f *scaleFleet, baseline *baselineUsage) {
+func (r *measurement) measureIdle(size *SizeResult, f *fleet, baseline *baselineUsage) {
 	idle, noLoss, err := f.measureIdle(r.ctx, baseline)
 	if r.recordOutcome(size, "idle", err) {
 		size.Idle = idle
@@ -263,7 +267,7 @@
 }
 
 // measureCrashAndSplits crashes some members of a fleet, and then partitions the rest twice.
-func (r *scaleRun) measureCrashAndSplits(size *MemberSize, f *scaleFleet) {
+func (r *measurement) measureCrashAndSplits(size *SizeResult, f *fleet) {
 	crash, err := f.measureCrash(r.ctx)
 	if r.recordOutcome(size, "crash", err) {
 		size.Crash = crash
@@ -280,7 +284,7 @@
 }
 
 // measureLosses has a fleet lose packets, one share after the other.
-func (r *scaleRun) measureLosses(size *MemberSize, f *scaleFleet) {
+func (r *measurement) measureLosses(size *SizeResult, f *fleet) {
 	for _, loss := range r.Losses {
 		l, err := f.measureLoss(r.ctx, loss)
 		if r.recordOutcome(size, fmt.Sprintf("loss of %.0f%%", 100*loss), err) {
@@ -290,7 +294,7 @@
 }
 
 // measureStarved counts false detections while all fleets share too little processor time, and closes the fleets.
-func (r *scaleRun) measureStarved(sizes []*MemberSize, fleets []*scaleFleet) {
+func (r *measurement) measureStarved(sizes []*SizeResult, fleets []*fleet) {
 	var counting, ended sync.WaitGroup
 	restored := make(chan struct{})
 	restoreProcessors := r.limitProcessor()
@@ -300,7 +304,7 @@
 		}
 		counting.Add(1)
 		ended.Go(func() {
-			l, err := f.countEvents(r.ctx, MemberLoss{Starved: true}, f.lossWindow())
+			l, err := f.countEvents(r.ctx, LossResult{Starved: true}, f.lossWindow())
 			counting.Done()
 			<-restored
 			if err == nil {
@@ -319,12 +323,12 @@
 }
 
 // summarize works out the lag of the timer, and how the costs grow from the smallest fleet to the largest.
-func (m *MemberScale) summarize(r *MemberScaleResult, lag []time.Duration) {
+func (m *Experiment) summarize(r *Result, lag []time.Duration) {
 	if slices.Sort(lag); len(lag) > 0 {
-		r.LagP99MS = float64(lag[int(math.Ceil(0.99*float64(len(lag)-1)))]) / float64(time.Millisecond)
+		r.LagP99MS = harness.Milliseconds(harness.UpperQuantile(lag, 0.99))
 		r.Late = r.LagP99MS > maxLagP99MS
 	}
-	var idle []MemberSize
+	var idle []SizeResult
 	for _, s := range r.Sizes {
 		if s.Idle != nil {
 			idle = append(idle, s)
--- a/internal/lab/memberscale_test.go
+++ b/internal/lab/experiment/memberscale/memberscale_test.go
@@ -1,4 +1,4 @@
-package lab
+package memberscale
 
 import (
 	"bytes"
@@ -16,6 +16,7 @@
 	"marblelane/internal/lab/gossip"
 	"marblelane/internal/membership"
 	"marblelane/internal/membership/roster"
+	"marblelane/lab/scenarios"
 )
 
 // checkLeaks fails the test if goroutines are left. Those of the last probes end within a few intervals.
@@ -27,7 +28,7 @@
 
 func TestRun_quick(t *testing.T) {
 	checkLeaks(t)
-	m := DefaultMemberScale(true)
+	m := Default(true)
 	r, err := m.Run(t.Context())
 	require.NoError(t, err)
 	require.Empty(t, r.Unmeasured)
@@ -53,14 +54,14 @@
 		}
 	}
 	var out bytes.Buffer
-	PrintMemberScale(&out, r)
+	Print(&out, r)
 	assert.Contains(t, out.String(), "half and half")
 }
 
 // Measurements that were not done in time are named as unmeasured and have no result.
 func TestRun_timeoutAndCancel(t *testing.T) {
 	checkLeaks(t)
-	m := DefaultMemberScale(true)
+	m := Default(true)
 	m.TotalTimeout = 10 * time.Millisecond
 	r, err := m.Run(t.Context())
 	require.NoError(t, err)
@@ -80,7 +81,7 @@
 // The check of agreement fails where a member is unreachable, and where the numbers are right and the names are not.
 func TestDisagreement_isDetected(t *testing.T) {
 	checkLeaks(t)
-	m := DefaultMemberScale(true)
+	m := Default(true)
 	m.EventTimeout = 2 * time.Second
 	f, err := m.open(t.Context(), 4, gossip.Rules{})
 	require.NoError(t, err)
@@ -112,7 +113,7 @@
 // In a fleet that trusts its failure detector members that are only cut off count as gone, and the result shows it.
 func TestMeasureSplit_detectsCountedGone(t *testing.T) {
 	checkLeaks(t)
-	m := DefaultMemberScale(true)
+	m := Default(true)
 	m.Defect = membership.DefectTrustDetector
 	f, err := m.open(t.Context(), 6, gossip.Rules{})
 	require.NoError(t, err)
@@ -124,9 +125,11 @@
 
 func TestMeasureProcesses_idle(t *testing.T) {
 	checkLeaks(t)
-	m := DefaultMemberScale(true)
+	m := Default(true)
 	m.Sizes = []int{3}
-	r, err := m.MeasureProcesses(t.Context(), read(t, "scale"), sidecarProgram, 50*time.Millisecond)
+	s, err := scenarios.Load("scale")
+	require.NoError(t, err)
+	r, err := m.MeasureProcesses(t.Context(), s, programs.Sidecar, 50*time.Millisecond)
 	require.NoError(t, err)
 	require.Len(t, r.Processes, 2)
 	for i, p := range r.Processes {
@@ -134,6 +137,6 @@
 		assert.Equal(t, i == 1, p.Joined > 0)
 		assert.Positive(t, p.RSS)
 	}
-	_, err = m.MeasureProcesses(t.Context(), read(t, "scale"), marblelane, 50*time.Millisecond)
+	_, err = m.MeasureProcesses(t.Context(), s, programs.Marblelane, 50*time.Millisecond)
 	require.ErrorContains(t, err, "did not start", "no sidecar")
 }
--- a/internal/lab/memberscale_print.go
+++ b/internal/lab/experiment/memberscale/print.go
@@ -1,14 +1,14 @@
-package lab
+package memberscale
 
 import (
 	"fmt"
 	"io"
 )
 
-// PrintMemberScale writes the measurements as tables.
-func PrintMemberScale(w io.Writer, r *MemberScaleResult) {
+// Print writes the measurements as tables.
+func Print(w io.Writer, r *Result) {
 	if len(r.Sizes) > 0 {
-		printMemberSizes(w, r)
+		printSizes(w, r)
 	}
 	if len(r.Processes) > 0 {
 		fmt.Fprintf(w, "Real processes, idle\n%8s %8s %12s %8s %9s\n", "members", "section", "us/member s", "MB", "joined s")
@@ -30,8 +30,8 @@
 	return fmt.Sprintf("%.2f", seconds)
 }
 
-// printMemberSizes writes a table for each fault.
-func printMemberSizes(w io.Writer, r *MemberScaleResult) {
+// printSizes writes a table for each fault.
+func printSizes(w io.Writer, r *Result) {
 	fmt.Fprintf(w, "Idle\n%8s %9s %7s %6s %15s %11s %12s %10s\n", "members", "joined s", "forced", "quiet",
 		"bytes/member s", "packets/ms", "us/member s", "KB/member")
 	for _, p := range r.Sizes {
--- a/internal/lab/memberscale_procs.go
+++ b/internal/lab/experiment/memberscale/processes.go
@@ -1,4 +1,4 @@
-package lab
+package memberscale
 
 import (
 	"context"
@@ -22,8 +22,8 @@
 	"marblelane/internal/membership/roster"
 )
 
-// MemberProcesses is what idle sidecars use.
-type MemberProcesses struct {
+// ProcessResult is what idle sidecars use.
+type ProcessResult struct {
 	Members int     `json:"members"`
 	Section bool    `json:"section"`             // they have a section members; else the same without it
 	CPU     float64 `json:"cpu_us_per_member_s"` // of one process, mean
@@ -34,13 +34,14 @@
 const (
 	processConcurrency = 8 // processes that are started or polled at a time
 	maxProcessSeeds    = 3
+	processFleetLabel  = "lab"
 )
 
 // MeasureProcesses measures real sidecars of a program, with the section members and without it, for a window of time.
 // They follow an empty list and have no clients; s gives their settings.
-func (m *MemberScale) MeasureProcesses(ctx context.Context, s *scenario.Scenario, program string,
-	window time.Duration) (*MemberScaleResult, error) {
-	start, r := time.Now(), &MemberScaleResult{}
+func (m *Experiment) MeasureProcesses(ctx context.Context, s *scenario.Scenario, program string,
+	window time.Duration) (*Result, error) {
+	start, r := time.Now(), &Result{}
 	for _, n := range m.Sizes {
 		for _, section := range []bool{false, true} {
 			p, err := m.measureProcesses(ctx, s, program, n, section, window)
@@ -59,7 +60,7 @@
 
 // processFleet is a fleet of sidecar processes.
 type processFleet struct {
-	m        *MemberScale
+	m        *Experiment
 	s        *scenario.Scenario
 	plan     *scenario.Plan
 	program  string
@@ -71,8 +72,8 @@
 	sidecars []*testbed.Sidecar
 }
 
-func (m *MemberScale) measureProcesses(ctx context.Context, s *scenario.Scenario, program string, n int,
-	section bool, window time.Duration) (*MemberProcesses, error) {
+func (m *Experiment) measureProcesses(ctx context.Context, s *scenario.Scenario, program string, n int,
+	section bool, window time.Duration) (*ProcessResult, error) {
 	dir, err := os.MkdirTemp("", "marblelane-members-")
 	if err != nil {
 		return nil, err
@@ -86,7 +87,7 @@
 	if err := f.start(ctx); err != nil {
 		return nil, err
 	}
-	out := &MemberProcesses{Members: n, Section: section}
+	out := &ProcessResult{Members: n, Section: section}
 	if section {
 		start := time.Now()
 		if err := m.awaitProcessAgreement(ctx, f.sidecars); err != nil {
@@ -146,7 +147,7 @@
 	config := testbed.BaseConfig(f.s, p.Seed, f.list.Addr(i), f.plan.Settings(i))
 	config["name"] = p.Name
 	if f.section {
-		members := membership.Section{Fleet: memberFleet, Bind: "127.0.0.1:0", Interval: f.m.Interval.String()}
+		members := membership.Section{Fleet: processFleetLabel, Bind: "127.0.0.1:0", Interval: f.m.Interval.String()}
 		if i < len(f.seeds) {
 			members.Bind = f.seeds[i]
 		}
@@ -157,7 +158,7 @@
 }
 
 // measure sets what one sidecar uses in the mean over a window of time.
-func (f *processFleet) measure(ctx context.Context, window time.Duration, out *MemberProcesses) error {
+func (f *processFleet) measure(ctx context.Context, window time.Duration, out *ProcessResult) error {
 	before, err := f.totalUsage()
 	if err != nil {
 		return err
@@ -196,7 +197,7 @@
 }
 
 // awaitProcessAgreement waits until each process reports exactly the others as its members.
-func (m *MemberScale) awaitProcessAgreement(ctx context.Context, sidecars []*testbed.Sidecar) error {
+func (m *Experiment) awaitProcessAgreement(ctx context.Context, sidecars []*testbed.Sidecar) error {
 	ctx, cancel := context.WithTimeout(ctx, m.EventTimeout)
 	defer cancel()
 	client := &http.Client{Transport: &http.Transport{DisableKeepAlives: true}, Timeout: harness.CallTimeout}
--- a/internal/lab/requestcost.go
+++ b/internal/lab/experiment/requestcost/requestcost.go
@@ -1,4 +1,8 @@
-package lab
+// Package requestcost measures the processor time that variants of a sidecar use per request, and their idle processor time
+// and memory. In each round it starts every variant anew before servers that answer at once, and sends requests to one at
+// a time, in short slices. The result is the ratio to a baseline in the same round, with its confidence interval. The
+// command is `marblelane lab request-cost`.
+package requestcost
 
 import (
 	"cmp"
@@ -7,32 +11,30 @@
 	"errors"
 	"fmt"
 	"io"
-	"net/http"
 	"slices"
 	"strings"
 	"sync/atomic"
 	"time"
 
 	"marblelane/internal/lab/agent"
-	"marblelane/internal/lab/cluster"
 	"marblelane/internal/lab/experiment/testbed"
 	"marblelane/internal/lab/harness"
 	"marblelane/internal/lab/relay"
 	"marblelane/internal/lab/scenario"
 )
 
-// CostVariant is a sidecar program and configuration whose cost is measured.
-type CostVariant struct {
+// Variant is a sidecar program and configuration whose cost is measured.
+type Variant struct {
 	Name          string
 	Program       string
 	ConfigPatches []json.RawMessage // merged into its configuration in turn, as JSON merge patches (RFC 7386)
 	WithRoutes    bool              // its requests follow a route, from real copies of the list service
-	WithMembers   bool              // it is in a fleet with CostOptions.IdleMembers idle sidecars
+	WithMembers   bool              // it is in a fleet with Options.IdleMembers idle sidecars
 }
 
-// CostOptions are what a measurement of costs needs.
-type CostOptions struct {
-	Variants    []CostVariant
+// Options are what a measurement of costs needs.
+type Options struct {
+	Variants    []Variant
 	Baseline    string // the variant that the others are compared with; empty: the first
 	Rounds      int    // at least 2
 	Length      time.Duration
@@ -48,30 +50,30 @@
 	warmUp, settleTimeout time.Duration // 0: defaultWarmUp, defaultSettleTimeout
 }
 
-// RequestCost is the result of a measurement.
-type RequestCost struct {
-	Baseline    string        `json:"base"`
-	Rounds      int           `json:"rounds"`
-	Seconds     float64       `json:"seconds"`
-	Rate        float64       `json:"rate_per_s"` // 0: closed loop
-	Connections int           `json:"connections"`
-	Variants    []VariantCost `json:"variants"`
+// Result is the result of a measurement.
+type Result struct {
+	Baseline    string          `json:"base"`
+	Rounds      int             `json:"rounds"`
+	Seconds     float64         `json:"seconds"`
+	Rate        float64         `json:"rate_per_s"` // 0: closed loop
+	Connections int             `json:"connections"`
+	Variants    []VariantResult `json:"variants"`
 }
 
-// VariantCost is the cost of one variant. Each figure is the median of its rounds.
-type VariantCost struct {
-	Name      string      `json:"name"`
-	CPU       float64     `json:"cpu_us_per_request"`
-	Ratio     *Interval   `json:"ratio,omitempty"` // of CPU per request to the baseline's; nil: it is the baseline
-	PerSecond float64     `json:"requests_per_s"`
-	IdleCPU   float64     `json:"idle_cpu_us_per_s"`
-	IdleRSS   float64     `json:"idle_rss_mb"`
-	Start     float64     `json:"start_ms"` // from the start of the process until it logs that it is ready
-	Rounds    []CostRound `json:"per_round"`
+// VariantResult is the cost of one variant. Each figure is the median of its rounds.
+type VariantResult struct {
+	Name      string    `json:"name"`
+	CPU       float64   `json:"cpu_us_per_request"`
+	Ratio     *Interval `json:"ratio,omitempty"` // of CPU per request to the baseline's; nil: it is the baseline
+	PerSecond float64   `json:"requests_per_s"`
+	IdleCPU   float64   `json:"idle_cpu_us_per_s"`
+	IdleRSS   float64   `json:"idle_rss_mb"`
+	Start     float64   `json:"start_ms"` // from the start of the process until it logs that it is ready
+	Rounds    []Round   `json:"per_round"`
 }
 
-// CostRound is the result of one start of a variant.
-type CostRound struct {
+// Round is the result of one start of a variant.
+type Round struct {
 	Requests  int64   `json:"requests"`
 	Failed    int64   `json:"failed"` // not answered with 200
 	CPU       float64 `json:"cpu_us_per_request"`
@@ -94,12 +96,12 @@
 	defaultSettleTimeout = 20 * time.Second
 	maxFailedFraction    = 0.01 // of the requests of a valid round
 	minRoutedFraction    = 0.99 // of the requests of a variant with routes
-	costSubset           = "near"
+	subset               = "near"
 	sidecarSeed          = 1
 	maxFleetSeeds        = 3
 )
 
-const costScenario = `
+const scenarioText = `
 title = "request-cost"
 length = "2s"
 [sidecars]
@@ -125,24 +127,24 @@
 subsets = ["near"]
 `
 
-// MeasureRequestCost starts each variant anew in each round and sends requests to one at a time, in slices of sliceLength.
+// Measure starts each variant anew in each round and sends requests to one at a time, in slices of sliceLength.
 // It compares the processor time per request with that of the baseline in the same round. The order of the variants
 // reverses from round to round and from slice to slice, so that a change of the machine's load favours none. It is also
 // an error if a variant fails requests, if its requests do not follow the route, or if it does not join the fleet.
-func MeasureRequestCost(ctx context.Context, o CostOptions) (*RequestCost, error) {
+func Measure(ctx context.Context, o Options) (*Result, error) {
 	base, err := o.check()
 	if err != nil {
 		return nil, fmt.Errorf("request cost: %w", err)
 	}
 	o.warmUp, o.settleTimeout = cmp.Or(o.warmUp, defaultWarmUp), cmp.Or(o.settleTimeout, defaultSettleTimeout)
-	c := &costRun{o: o}
+	c := &measurement{o: o}
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	defer c.close()
 	if err := c.startEnvironment(ctx); err != nil {
 		return nil, fmt.Errorf("request cost: %w", err)
 	}
-	rounds := make([][]CostRound, len(o.Variants))
+	rounds := make([][]Round, len(o.Variants))
 	for k := range o.Rounds {
 		results, err := c.playRound(ctx, k)
 		if err != nil {
@@ -155,11 +157,11 @@
 			}
 		}
 	}
-	return summarizeCosts(&o, base, rounds), nil
+	return summarize(&o, base, rounds), nil
 }
 
 // check rejects invalid options and returns the number of the baseline variant.
-func (o *CostOptions) check() (base int, err error) {
+func (o *Options) check() (base int, err error) {
 	if len(o.Variants) == 0 {
 		return 0, errors.New("there is no variant")
 	}
@@ -182,28 +184,28 @@
 		return 0, errors.New("connections are fewer than 1, or servers fewer than 2")
 	}
 	if o.Baseline != "" {
-		if base = slices.IndexFunc(o.Variants, func(v CostVariant) bool { return v.Name == o.Baseline }); base < 0 {
+		if base = slices.IndexFunc(o.Variants, func(v Variant) bool { return v.Name == o.Baseline }); base < 0 {
 			return 0, fmt.Errorf("base: there is no variant %q", o.Baseline)
 		}
 	}
 	return base, nil
 }
 
-// costRun is a measurement under way.
-type costRun struct {
-	o        CostOptions
-	r        *harness.Run  // the plan, the folder and the supervisor of the processes
-	f        *routeFleet   // the list service; nil: the stand-in
-	agents   *agent.Agents // the stand-in for the list service
+// measurement is a measurement under way.
+type measurement struct {
+	o        Options
+	r        *harness.Run      // the plan, the folder and the supervisor of the processes
+	registry *testbed.Registry // the list service; nil: the stand-in
+	agents   *agent.Agents     // the stand-in for the list service
 	sidecars *testbed.Launcher
-	servers  []*costServer
+	servers  []*server
 	seeds    []string // of the fleet
 	ids      atomic.Uint64
 }
 
 // startEnvironment starts everything but the measured sidecars.
-func (c *costRun) startEnvironment(ctx context.Context) error {
-	s, err := scenario.Parse("request-cost.toml", []byte(costScenario))
+func (c *measurement) startEnvironment(ctx context.Context) error {
+	s, err := scenario.Parse("request-cost.toml", []byte(scenarioText))
 	if err != nil {
 		return err
 	}
@@ -212,13 +214,13 @@
 		return err
 	}
 	for i := range c.r.Plan.Servers {
-		server, err := startCostServer(slices.Contains(c.r.Plan.Subsets[costSubset], i))
+		server, err := startServer(slices.Contains(c.r.Plan.Subsets[subset], i))
 		if err != nil {
 			return err
 		}
 		c.servers = append(c.servers, server)
 	}
-	if slices.ContainsFunc(c.o.Variants, func(v CostVariant) bool { return v.WithRoutes }) {
+	if slices.ContainsFunc(c.o.Variants, func(v Variant) bool { return v.WithRoutes }) {
 		err = c.startCopies(ctx)
 	} else {
 		err = c.startAgent()
@@ -229,33 +231,30 @@
 	if err := c.makeConfig(); err != nil {
 		return err
 	}
-	if i := slices.IndexFunc(c.o.Variants, func(v CostVariant) bool { return v.WithMembers }); i >= 0 {
+	if i := slices.IndexFunc(c.o.Variants, func(v Variant) bool { return v.WithMembers }); i >= 0 {
 		return c.startMembers(ctx, &c.o.Variants[i])
 	}
 	return nil
 }
 
 // startCopies starts the list service, with all servers on its list and a route for the tenant.
-func (c *costRun) startCopies(ctx context.Context) error {
-	reg := &scenario.Registry{Copies: c.r.Scenario.Discovery.Registry, Beat: scenario.Duration(100 * time.Millisecond)}
-	rr := cluster.New(c.r, reg)
-	c.f = &routeFleet{rr: rr, play: &playState{start: time.Now()},
-		client: &http.Client{Transport: &http.Transport{}, Timeout: 5 * time.Second}}
-	if err := rr.Start(ctx); err != nil {
+func (c *measurement) startCopies(ctx context.Context) error {
+	c.registry = testbed.NewRegistry(c.r)
+	if err := c.registry.Start(ctx); err != nil {
 		return err
 	}
 	for i := range c.servers {
 		e := c.entry(i)
-		if _, _, err := c.f.call(ctx, "/registry/instances/"+e.UID, e); err != nil {
+		if _, _, err := c.registry.Change(ctx, "/registry/instances/"+e.UID, e); err != nil {
 			return err
 		}
 	}
-	_, _, err := c.f.call(ctx, "/routes/"+testbed.Tenant+"/base", map[string]string{"to": costSubset})
+	_, _, err := c.registry.Change(ctx, "/routes/"+testbed.Tenant+"/base", map[string]string{"to": subset})
 	return err
 }
 
 // startAgent starts the stand-in for the list service.
-func (c *costRun) startAgent() error {
+func (c *measurement) startAgent() error {
 	var list []agent.Entry
 	for i := range c.servers {
 		list = append(list, c.entry(i))
@@ -268,14 +267,14 @@
 }
 
 // entry is the list entry of a server.
-func (c *costRun) entry(i int) agent.Entry {
+func (c *measurement) entry(i int) agent.Entry {
 	e := c.r.Entry(i, agent.Ready, 0)
 	e.Endpoint = c.servers[i].addr
 	return e
 }
 
 // makeConfig makes the configuration that all sidecars have in common.
-func (c *costRun) makeConfig() error {
+func (c *measurement) makeConfig() error {
 	settings := c.r.Plan.Settings(0)
 	settings["tenants"] = []map[string]any{{"name": testbed.Tenant, "share": 1.0, "allowance_per_s": 1e6}}
 	settings["peers_total"] = 1 + c.o.IdleMembers
@@ -284,8 +283,8 @@
 		list.Targets = append(list.Targets, c.entry(i))
 	}
 	discovery := ""
-	if c.f != nil {
-		discovery = c.f.rr.Replicas[0].Address
+	if c.registry != nil {
+		discovery = c.registry.Replicas[0].Address
 	} else {
 		discovery = c.agents.Addr(0)
 	}
@@ -297,7 +296,7 @@
 }
 
 // startMembers starts the idle sidecars of the fleet.
-func (c *costRun) startMembers(ctx context.Context, v *CostVariant) error {
+func (c *measurement) startMembers(ctx context.Context, v *Variant) error {
 	for range c.o.IdleMembers {
 		addr, err := relay.FreeAddr("127.0.0.1")
 		if err != nil {
@@ -319,13 +318,12 @@
 		"seeds": seeds[:min(len(seeds), maxFleetSeeds)]}}
 }
 
-func (c *costRun) close() {
+func (c *measurement) close() {
 	if c.r == nil {
 		return
 	}
-	if c.f != nil {
-		c.f.client.CloseIdleConnections()
-		c.f.rr.Stop()
+	if c.registry != nil {
+		c.registry.Close()
 	}
 	c.r.Close()
 	if c.agents != nil {
--- a/internal/lab/requestcost_round.go
+++ b/internal/lab/experiment/requestcost/round.go
@@ -1,4 +1,4 @@
-package lab
+package requestcost
 
 // This file measures one round of each variant.
 
@@ -18,11 +18,11 @@
 
 // variantRun is one start of a variant.
 type variantRun struct {
-	variant      *CostVariant
+	variant      *Variant
 	sidecar      *testbed.Sidecar
 	load         *testbed.Load
 	idleStartCPU time.Duration // processor time at the start of the idle measurement
-	CostRound
+	Round
 
 	cpuUsed, drivenTime time.Duration // in the slices so far
 	received, routed    int64         // requests at the servers, and those of them along the route
@@ -38,7 +38,7 @@
 }
 
 // playRound starts each variant once and measures all of them beside each other.
-func (c *costRun) playRound(ctx context.Context, k int) ([]CostRound, error) {
+func (c *measurement) playRound(ctx context.Context, k int) ([]Round, error) {
 	all := make([]*variantRun, len(c.o.Variants))
 	defer func() {
 		for _, d := range all {
@@ -70,7 +70,7 @@
 			}
 		}
 	}
-	out := make([]CostRound, len(all))
+	out := make([]Round, len(all))
 	for i, d := range all {
 		var err error
 		if out[i], err = d.result(); err != nil {
@@ -93,14 +93,10 @@
 }
 
 // startVariant starts a variant.
-func (c *costRun) startVariant(ctx context.Context, v *CostVariant) (*variantRun, error) {
+func (c *measurement) startVariant(ctx context.Context, v *Variant) (*variantRun, error) {
 	var patches []any
 	if v.WithRoutes {
-		var addrs []string
-		for _, replica := range c.f.rr.Replicas {
-			addrs = append(addrs, replica.Address)
-		}
-		patches = append(patches, map[string]any{"routes": map[string]any{"addrs": addrs}})
+		patches = append(patches, map[string]any{"routes": map[string]any{"addrs": c.registry.Addrs(0)}})
 	}
 	if v.WithMembers {
 		patches = append(patches, membersSection("127.0.0.1:0", c.seeds))
@@ -113,13 +109,13 @@
 		return nil, err
 	}
 	d := &variantRun{variant: v, sidecar: p, load: testbed.NewLoad(p.Listen, c.r.Scenario.Classes[0].Name, c.o.Rate, c.o.Connections, &c.ids)}
-	d.Start = float64(p.StartTime) / float64(time.Millisecond)
+	d.Start = harness.Milliseconds(p.StartTime)
 	return d, nil
 }
 
 // measureIdle measures processes without requests. The first half of the time, with the cost of the start, does not count
 // for the processor time.
-func (c *costRun) measureIdle(ctx context.Context, all []*variantRun) error {
+func (c *measurement) measureIdle(ctx context.Context, all []*variantRun) error {
 	harness.Sleep(ctx, c.o.IdleTime/2)
 	start := time.Now()
 	for _, d := range all {
@@ -146,7 +142,7 @@
 
 // warmUp waits until a variant has joined its fleet, and sends requests: at least for the warm-up time, so that connections
 // are open and sizes known, and with routes until the requests follow them.
-func (c *costRun) warmUp(ctx context.Context, d *variantRun) error {
+func (c *measurement) warmUp(ctx context.Context, d *variantRun) error {
 	if d.variant.WithMembers {
 		if err := c.awaitFleet(ctx, d.sidecar.Management); err != nil {
 			return err
@@ -167,7 +163,7 @@
 }
 
 // driveSlice sends requests to a variant for a slice and adds up what they cost.
-func (c *costRun) driveSlice(ctx context.Context, d *variantRun, length time.Duration) error {
+func (c *measurement) driveSlice(ctx context.Context, d *variantRun, length time.Duration) error {
 	for _, s := range c.servers {
 		s.received.Store(0)
 		s.routed.Store(0)
@@ -202,25 +198,25 @@
 func (d *variantRun) routedFraction() float64 { return float64(d.routed) / float64(max(d.received, 1)) }
 
 // result returns the figures of a start, and an error if they are not valid.
-func (d *variantRun) result() (CostRound, error) {
+func (d *variantRun) result() (Round, error) {
 	d.CPU = microseconds(d.cpuUsed) / float64(max(d.Requests, 1))
 	d.PerSecond = float64(d.Requests) / d.drivenTime.Seconds()
 	switch {
 	case d.Requests == 0:
-		return d.CostRound, errors.New("no request was sent")
+		return d.Round, errors.New("no request was sent")
 	case float64(d.Failed) > maxFailedFraction*float64(d.Requests):
-		return d.CostRound, fmt.Errorf("%d of %d requests failed, such as: %s", d.Failed, d.Requests, d.reason)
+		return d.Round, fmt.Errorf("%d of %d requests failed, such as: %s", d.Failed, d.Requests, d.reason)
 	case d.variant.WithRoutes && d.routedFraction() < minRoutedFraction:
-		return d.CostRound, fmt.Errorf("%.1f %% of the requests went along the route, %.0f %% have to", 100*d.routedFraction(),
+		return d.Round, fmt.Errorf("%.1f %% of the requests went along the route, %.0f %% have to", 100*d.routedFraction(),
 			100*minRoutedFraction)
 	}
-	return d.CostRound, nil
+	return d.Round, nil
 }
 
 func microseconds(d time.Duration) float64 { return float64(d) / float64(time.Microsecond) }
 
 // awaitFleet waits until a sidecar is admitted and reaches all idle members.
-func (c *costRun) awaitFleet(ctx context.Context, management string) error {
+func (c *measurement) awaitFleet(ctx context.Context, management string) error {
 	ctx, cancel := context.WithTimeout(ctx, c.o.settleTimeout)
 	defer cancel()
 	want := 1 + len(c.seeds)
--- a/internal/lab/requestcostload.go
+++ b/internal/lab/experiment/requestcost/server.go
@@ -1,4 +1,4 @@
-package lab
+package requestcost
 
 // This file has the servers, the clients and the processor clock of the measured sidecars.
 
@@ -23,8 +23,8 @@
 	return time.Duration(t.Nano()), nil
 }
 
-// costServer answers each request at once.
-type costServer struct {
+// server answers each request at once.
+type server struct {
 	addr             string
 	inSubset         bool
 	received, routed atomic.Int64
@@ -32,12 +32,12 @@
 	done             chan struct{}
 }
 
-func startCostServer(inSubset bool) (*costServer, error) {
+func startServer(inSubset bool) (*server, error) {
 	l, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
 		return nil, fmt.Errorf("server: %w", err)
 	}
-	s := &costServer{addr: l.Addr().String(), inSubset: inSubset, done: make(chan struct{})}
+	s := &server{addr: l.Addr().String(), inSubset: inSubset, done: make(chan struct{})}
 	answer := []byte(strings.Repeat("x", 256))
 	s.srv = &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		s.received.Add(1)
@@ -53,7 +53,7 @@
 	return s, nil
 }
 
-func (s *costServer) close() {
+func (s *server) close() {
 	s.srv.Close()
 	<-s.done
 }
--- a/internal/lab/requestcostsum.go
+++ b/internal/lab/experiment/requestcost/summary.go
@@ -1,4 +1,4 @@
-package lab
+package requestcost
 
 import (
 	"fmt"
@@ -9,24 +9,24 @@
 	"marblelane/internal/lab/harness"
 )
 
-// summarizeCosts works out the figures of each variant from its rounds.
-func summarizeCosts(o *CostOptions, base int, rounds [][]CostRound) *RequestCost {
-	out := &RequestCost{Baseline: o.Variants[base].Name, Rounds: o.Rounds, Seconds: o.Length.Seconds(), Rate: o.Rate,
+// summarize works out the figures of each variant from its rounds.
+func summarize(o *Options, base int, rounds [][]Round) *Result {
+	out := &Result{Baseline: o.Variants[base].Name, Rounds: o.Rounds, Seconds: o.Length.Seconds(), Rate: o.Rate,
 		Connections: o.Connections}
 	for i, all := range rounds {
-		medianOf := func(figure func(*CostRound) float64) float64 {
+		medianOf := func(figure func(*Round) float64) float64 {
 			var list []float64
 			for k := range all {
 				list = append(list, figure(&all[k]))
 			}
 			return harness.Median(list)
 		}
-		v := VariantCost{Name: o.Variants[i].Name, Rounds: all,
-			CPU:       medianOf(func(r *CostRound) float64 { return r.CPU }),
-			PerSecond: medianOf(func(r *CostRound) float64 { return r.PerSecond }),
-			IdleCPU:   medianOf(func(r *CostRound) float64 { return r.IdleCPU }),
-			IdleRSS:   medianOf(func(r *CostRound) float64 { return r.IdleRSS }),
-			Start:     medianOf(func(r *CostRound) float64 { return r.Start })}
+		v := VariantResult{Name: o.Variants[i].Name, Rounds: all,
+			CPU:       medianOf(func(r *Round) float64 { return r.CPU }),
+			PerSecond: medianOf(func(r *Round) float64 { return r.PerSecond }),
+			IdleCPU:   medianOf(func(r *Round) float64 { return r.IdleCPU }),
+			IdleRSS:   medianOf(func(r *Round) float64 { return r.IdleRSS }),
+			Start:     medianOf(func(r *Round) float64 { return r.Start })}
 		if i != base {
 			var ratios []float64
 			for k := range all {
@@ -64,8 +64,8 @@
 		(3*math.Pow(z, 7)+19*math.Pow(z, 5)+17*math.Pow(z, 3)-15*z)/(384*n*n*n)
 }
 
-// PrintRequestCost writes the variants as a table.
-func PrintRequestCost(w io.Writer, r *RequestCost) {
+// Print writes the variants as a table.
+func Print(w io.Writer, r *Result) {
 	load := "closed loop"
 	if r.Rate > 0 {
 		load = strconv.FormatFloat(r.Rate, 'f', -1, 64) + " requests a second"
--- a/internal/lab/routescale_fleet.go
+++ b/internal/lab/experiment/routescale/fleet.go
@@ -1,4 +1,4 @@
-package lab
+package routescale
 
 // This file has a fleet of simulated sidecars before a real list service.
 
@@ -6,10 +6,8 @@
 	"bufio"
 	"bytes"
 	"context"
-	"encoding/json"
 	"errors"
 	"fmt"
-	"io"
 	"log/slog"
 	"net/http"
 	"os"
@@ -21,6 +19,7 @@
 	"time"
 
 	"marblelane/internal/lab/cluster"
+	"marblelane/internal/lab/experiment/testbed"
 	"marblelane/internal/lab/harness"
 	"marblelane/internal/lab/process"
 	"marblelane/internal/lab/scenario"
@@ -28,18 +27,20 @@
 	"marblelane/internal/routeclient"
 )
 
-// routeFleet is three copies of the list service, and sidecars.
-type routeFleet struct {
-	rr       *cluster.Cluster
+// fleet is three copies of the list service, and sidecars.
+type fleet struct {
+	run      *harness.Run
+	registry *testbed.Registry
 	play     *playState
 	sidecars []*simulatedSidecar
-	stop     func()
-	client   *http.Client
+
+	stopSidecars context.CancelFunc
+	running      sync.WaitGroup
 }
 
-// startCopiesOnly starts the copies, without sidecars.
-func startCopiesOnly(ctx context.Context, o harness.Options) (*routeFleet, error) {
-	s, err := scenario.Parse("route-scale.toml", []byte(routeScaleScenario))
+// startFleet starts the copies, without sidecars.
+func startFleet(ctx context.Context, o harness.Options) (*fleet, error) {
+	s, err := scenario.Parse("route-scale.toml", []byte(scenarioText))
 	if err != nil {
 		return nil, err
 	}
@@ -48,101 +49,61 @@
 	if err != nil {
 		return nil, err
 	}
-	f := &routeFleet{play: &playState{start: time.Now()}, client: &http.Client{Transport: &http.Transport{}, Timeout: 5 * time.Second}}
-	f.rr = cluster.New(r, &scenario.Registry{Copies: s.Discovery.Registry, Beat: scenario.Duration(100 * time.Millisecond)})
-	f.stop = func() {
-		f.client.CloseIdleConnections()
-		f.rr.Stop()
-		r.Close()
-	}
-	err = f.rr.Start(ctx)
-	for i := range r.Plan.Servers { // a canary without a ready server is paused
-		e := map[string]any{"endpoint": fmt.Sprint("127.0.0.1:", 1000+i), "az": "limerick-dc", "model": "standard"}
-		if err == nil {
-			_, _, err = f.call(ctx, "/registry/instances/"+r.Plan.Servers[i].UID, e)
-		}
-	}
-	if err != nil {
-		f.stop()
+	f := &fleet{run: r, registry: testbed.NewRegistry(r), play: &playState{start: time.Now()}}
+	if err := f.start(ctx); err != nil {
+		f.close()
 		return nil, err
 	}
 	return f, nil
 }
 
-// join starts n sidecars.
-func (f *routeFleet) join(ctx context.Context, n int) error {
-	ctx, cancel := context.WithCancel(ctx)
-	var wg sync.WaitGroup
-	stop := f.stop
-	f.stop = func() {
-		cancel()
-		wg.Wait()
-		stop()
+// start starts the copies and lists the servers: a canary without a ready server is paused.
+func (f *fleet) start(ctx context.Context) error {
+	if err := f.registry.Start(ctx); err != nil {
+		return err
 	}
-	for i := range n {
-		p := &simulatedSidecar{wake: make(chan struct{}, 1), play: f.play, actedAt: map[int64]time.Duration{}}
-		var addrs []string
-		for k := range f.rr.Replicas { // spread the watches, as sidecars of several zones do
-			addrs = append(addrs, f.rr.Replicas[(i+k)%len(f.rr.Replicas)].Address)
-		}
-		var err error
-		p.client, err = routeclient.New(routeclient.Config{Addrs: addrs, Name: fmt.Sprint("n", i), Start: time.Now().UnixNano(), Version: "lab",
-			Schemas: []int{1, 2}, Log: slog.New(slog.DiscardHandler), Wake: func() {
-				select {
-				case p.wake <- struct{}{}:
-				default:
-				}
-			}})
-		if err != nil {
+	for i := range f.run.Plan.Servers {
+		entry := map[string]any{"endpoint": fmt.Sprint("127.0.0.1:", 1000+i), "az": "limerick-dc", "model": "standard"}
+		if _, _, err := f.registry.Change(ctx, "/registry/instances/"+f.run.Plan.Servers[i].UID, entry); err != nil {
 			return err
 		}
-		f.sidecars = append(f.sidecars, p)
-		wg.Go(func() { p.run(ctx, uint64(i)) })
 	}
 	return nil
 }
 
-const (
-	maxCallRetries   = 200
-	callRetryWait    = 50 * time.Millisecond
-	overspendTimeout = time.Minute
-)
-
-// call makes a change. It returns its revision and when it was called.
-func (f *routeFleet) call(ctx context.Context, path string, body any) (rev int64, called time.Duration, err error) {
-	data, err := json.Marshal(body)
-	if err != nil {
-		return 0, 0, err
+// close stops the sidecars and the copies.
+func (f *fleet) close() {
+	if f.stopSidecars != nil {
+		f.stopSidecars()
 	}
-	for attempt := 0; ; attempt++ {
-		called = f.play.now()
-		req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+f.rr.Replicas[attempt%len(f.rr.Replicas)].Address+path, bytes.NewReader(data))
-		if err != nil {
-			return 0, 0, err
-		}
-		resp, err := f.client.Do(req)
-		if err != nil {
-			return 0, 0, err
-		}
-		text, err := io.ReadAll(resp.Body)
-		resp.Body.Close()
+	f.running.Wait()
+	f.registry.Close()
+	f.run.Close()
+}
+
+// join starts n sidecars. Their watches are spread over the copies, as those of sidecars of several zones are.
+func (f *fleet) join(ctx context.Context, n int) error {
+	ctx, f.stopSidecars = context.WithCancel(ctx)
+	for i := range n {
+		p := &simulatedSidecar{wake: make(chan struct{}, 1), play: f.play, actedAt: map[int64]time.Duration{}}
+		var err error
+		p.client, err = routeclient.New(routeclient.Config{Addrs: f.registry.Addrs(i), Name: fmt.Sprint("n", i),
+			Start: time.Now().UnixNano(), Version: "lab", Schemas: []int{1, 2}, Log: slog.New(slog.DiscardHandler),
+			Wake: p.wakeUp})
 		if err != nil {
-			return 0, 0, err
-		}
-		var got struct {
-			Rev int64 `json:"rev"`
-		}
-		if resp.StatusCode == http.StatusOK && json.Unmarshal(text, &got) == nil {
-			return got.Rev, called, nil
-		}
-		if resp.StatusCode != http.StatusServiceUnavailable || attempt > maxCallRetries || !harness.Sleep(ctx, callRetryWait) {
-			return 0, 0, fmt.Errorf("%s is answered %s: %s", path, resp.Status, bytes.TrimSpace(text))
+			return err
 		}
+		f.sidecars = append(f.sidecars, p)
+		f.running.Go(func() { p.run(ctx, uint64(i)) })
 	}
+	return nil
 }
 
+// overspendTimeout bounds the time until the budget is spent.
+const overspendTimeout = time.Minute
+
 // awaitActing waits until all sidecars act on a revision, and returns when the last of them began.
-func (f *routeFleet) awaitActing(ctx context.Context, rev int64) (time.Duration, error) {
+func (f *fleet) awaitActing(ctx context.Context, rev int64) (time.Duration, error) {
 	ctx, cancel := context.WithTimeout(ctx, harness.StartTimeout)
 	defer cancel()
 	for {
@@ -176,18 +137,18 @@
 	diskWrites            float64
 }
 
-func (f *routeFleet) resourceUse(ctx context.Context) (resourceUse, error) {
+func (f *fleet) resourceUse(ctx context.Context) (resourceUse, error) {
 	u := resourceUse{at: f.play.now()}
 	var t syscall.Rusage
 	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &t); err != nil {
 		return u, err
 	}
 	u.processCPU = time.Duration(t.Utime.Nano() + t.Stime.Nano()).Seconds()
-	lead := f.rr.Leader(ctx)
+	lead := f.registry.Leader(ctx)
 	if lead == nil {
 		return u, errors.New("the list service has no leader")
 	}
-	for _, c := range f.rr.Replicas {
+	for _, c := range f.registry.Replicas {
 		io, err := readIO(c.Process().PID)
 		if err != nil {
 			return u, err
@@ -222,7 +183,7 @@
 }
 
 // diskWrites returns how many synced writes a copy has done to its log. A write has one command or several.
-func (f *routeFleet) diskWrites(ctx context.Context, c *cluster.Replica) (float64, error) {
+func (f *fleet) diskWrites(ctx context.Context, c *cluster.Replica) (float64, error) {
 	code, text, err := cluster.Call(ctx, http.MethodGet, c.URL("/stats"), nil)
 	if err != nil || code != http.StatusOK {
 		return 0, fmt.Errorf("measure: /stats is answered %d, %w", code, err)
@@ -236,7 +197,7 @@
 }
 
 // measureIdle returns the use before and after a time in which nothing changes.
-func (f *routeFleet) measureIdle(ctx context.Context, wait time.Duration) (before, after resourceUse, err error) {
+func (f *fleet) measureIdle(ctx context.Context, wait time.Duration) (before, after resourceUse, err error) {
 	if before, err = f.resourceUse(ctx); err != nil {
 		return before, after, err
 	}
@@ -248,14 +209,14 @@
 }
 
 // measureCommits changes the tenant's base repeatedly and measures until all sidecars act on the change.
-func (f *routeFleet) measureCommits(ctx context.Context, p *RoutePoint) error {
+func (f *fleet) measureCommits(ctx context.Context, p *Point) error {
 	var delays []time.Duration
 	for i := range commitCount + 1 {
 		to := ""
 		if i%2 == 0 {
 			to = "new"
 		}
-		rev, called, err := f.call(ctx, "/routes/scale/base", map[string]string{"to": to})
+		rev, called, err := f.registry.Change(ctx, "/routes/scale/base", map[string]string{"to": to})
 		if err != nil {
 			return err
 		}
@@ -264,20 +225,28 @@
 			return err
 		}
 		if i > 0 { // the first includes the joining of the sidecars
-			delays = append(delays, last-called)
+			delays = append(delays, last-called.Sub(f.play.start))
 		}
 		if !harness.Sleep(ctx, 200*time.Millisecond) {
 			return ctx.Err()
 		}
 	}
 	slices.Sort(delays)
-	p.ActP50, p.ActP99 = quantileMS(delays, 0.5), quantileMS(delays, 0.99)
+	p.ActP50, p.ActP99 = harness.Milliseconds(harness.Quantile(delays, 0.5)), harness.Milliseconds(harness.Quantile(delays, 0.99))
 	return nil
 }
 
+// rolloutRequest is a new rollout on the wire.
+type rolloutRequest struct {
+	To     string         `json:"to"`
+	Steps  []rollout.Step `json:"steps"`
+	Budget int64          `json:"budget"`
+	AtEnd  string         `json:"at_end"`
+}
+
 // measureOverspend has a canary fail until its budget is spent, beside the baseline.
-func (f *routeFleet) measureOverspend(ctx context.Context, p *RoutePoint) error {
-	rev, _, err := f.call(ctx, "/routes/scale/rollouts/spent", posted{To: "new", Budget: failureBudget, AtEnd: "return",
+func (f *fleet) measureOverspend(ctx context.Context, p *Point) error {
+	rev, _, err := f.registry.Change(ctx, "/routes/scale/rollouts/spent", rolloutRequest{To: "new", Budget: failureBudget, AtEnd: "return",
 		Steps: []rollout.Step{{CanaryFraction: 1, HoldMS: time.Hour.Milliseconds()}}})
 	if err != nil {
 		return err
@@ -322,7 +291,7 @@
 // awaitBudgetsSpent waits until the canary's budget is spent and the baseline has stopped. The baseline sums the counters
 // of all sidecars every baselineSumInterval, and stops them at once when the sum has reached the budget. The result is
 // when its failures reached the budget.
-func (f *routeFleet) awaitBudgetsSpent(ctx context.Context) (baselineSpentAt time.Duration, err error) {
+func (f *fleet) awaitBudgetsSpent(ctx context.Context) (baselineSpentAt time.Duration, err error) {
 	stopped := false
 	for lastSum := f.play.now(); !stopped || f.play.budgetSpentAt.Load() == 0; {
 		if !harness.Sleep(ctx, time.Millisecond) {
@@ -347,4 +316,4 @@
 	return baselineSpentAt, nil
 }
 
-func nonNegativeMS(d time.Duration) float64 { return max(float64(d)/float64(time.Millisecond), 0) }
+func nonNegativeMS(d time.Duration) float64 { return max(harness.Milliseconds(d), 0) }
--- a/internal/lab/routescale.go
+++ b/internal/lab/experiment/routescale/routescale.go
@@ -1,4 +1,9 @@
-package lab
+// Package routescale measures what routes cost with many sidecars. The sidecars are the real routes' clients with simulated
+// loops, in this process, before three copies of the list service as processes. It measures the time until all sidecars
+// act on a change, the idle cost, and how many attempts follow when a failing canary has spent its budget, beside a
+// baseline that sums counters once a second. A model on a simulated clock covers larger fleets. The command is
+// `marblelane lab route-scale`.
+package routescale
 
 import (
 	"context"
@@ -16,8 +21,8 @@
 	"marblelane/internal/routeclient"
 )
 
-// RoutePoint is what routes cost with one number of sidecars. Times are in milliseconds.
-type RoutePoint struct {
+// Point is what routes cost with one number of sidecars. Times are in milliseconds.
+type Point struct {
 	Sidecars int     `json:"sidecars"`
 	Commits  int     `json:"commits"`
 	ActP50   float64 `json:"act_p50_ms"` // from the call of a change until the last sidecar acts on it
@@ -50,7 +55,7 @@
 	attemptsPerSecond   = 10.0        // of each sidecar, to the canary
 )
 
-const routeScaleScenario = `
+const scenarioText = `
 title = "route-scale"
 [discovery]
 registry = 3
@@ -67,11 +72,11 @@
 subsets = ["new"]
 `
 
-// RouteScale measures fleets of several sizes.
-func RouteScale(ctx context.Context, sidecars []int, o harness.Options) ([]RoutePoint, error) {
-	var points []RoutePoint
+// Measure measures fleets of several sizes.
+func Measure(ctx context.Context, sidecars []int, o harness.Options) ([]Point, error) {
+	var points []Point
 	for _, n := range sidecars {
-		p, err := routePoint(ctx, n, o)
+		p, err := measurePoint(ctx, n, o)
 		if err != nil {
 			return nil, fmt.Errorf("%d sidecars: %w", n, err)
 		}
@@ -115,6 +120,14 @@
 
 func (c *playState) now() time.Duration { return time.Since(c.start) }
 
+// wakeUp tells the loop that the client has an update.
+func (p *simulatedSidecar) wakeUp() {
+	select {
+	case p.wake <- struct{}{}:
+	default:
+	}
+}
+
 // run runs the client and the loop until ctx ends.
 func (p *simulatedSidecar) run(ctx context.Context, seed uint64) {
 	var wg sync.WaitGroup
@@ -233,14 +246,14 @@
 	p.offerSample(false)
 }
 
-// routePoint measures one size.
-func routePoint(ctx context.Context, n int, o harness.Options) (*RoutePoint, error) {
-	f, err := startCopiesOnly(ctx, o)
+// measurePoint measures one size.
+func measurePoint(ctx context.Context, n int, o harness.Options) (*Point, error) {
+	f, err := startFleet(ctx, o)
 	if err != nil {
 		return nil, err
 	}
-	defer func() { f.stop() }()
-	p := &RoutePoint{Sidecars: n, Commits: commitCount, Budget: failureBudget}
+	defer f.close()
+	p := &Point{Sidecars: n, Commits: commitCount, Budget: failureBudget}
 	before, after, err := f.measureIdle(ctx, idleWindow)
 	if err != nil {
 		return nil, err
@@ -265,8 +278,8 @@
 	return p, f.measureOverspend(ctx, p)
 }
 
-// RouteModel plays the spent budget on a simulated clock, for fleets that are too large for the machine.
-func RouteModel(sidecars int) (*plays.Result, error) {
+// Simulate plays the spent budget on a simulated clock, for fleets that are too large for the machine.
+func Simulate(sidecars int) (*plays.Result, error) {
 	o := plays.Defaults()
 	o.Sidecars, o.Budget, o.CanaryFailureRate = sidecars, failureBudget, canaryFailureRate
 	o.Controller.Alpha = 1e-100 // the budget decides, as in the measured fleets, which have no base version
@@ -277,15 +290,15 @@
 	return &r, nil
 }
 
-// PrintRouteModel writes the result of a simulated fleet.
-func PrintRouteModel(w io.Writer, sidecars int, r *plays.Result) {
+// PrintSimulation writes the result of a simulated fleet.
+func PrintSimulation(w io.Writer, sidecars int, r *plays.Result) {
 	fmt.Fprintf(w, "%d simulated: %d attempts, %d failures of a budget of %d, the last attempt %d ms after the last unit; all act on the rollback %d ms after it;"+
 		" the baseline %d failures, its last attempt %d ms after; %.1f ledger commands a second\n", sidecars, r.Attempts, r.Failures, r.Budget,
 		max(r.LastAttempt-r.LastUnit, 0), r.AllActing-r.LastUnit, r.BaselineFailures, max(r.BaselineLastAttempt-r.BaselineLastUnit, 0), r.LedgerPerSecond)
 }
 
-// PrintRouteScale writes the sizes as a table.
-func PrintRouteScale(w io.Writer, points []RoutePoint) {
+// Print writes the sizes as a table.
+func Print(w io.Writer, points []Point) {
 	fmt.Fprintf(w, "%8s %8s %8s %9s %8s %9s %8s %10s %9s %10s %9s %9s %10s %8s %8s %8s\n", "sidecars", "act p50", "act p99", "failures",
 		"budget", "after ms", "rolled", "base fails", "after ms", "bytes/s", "us CPU/s", "leader ms", "writes/s", "busy/s", "bare/s", "tries")
 	for _, p := range points {
--- /dev/null
+++ b/internal/lab/experiment/testbed/registry.go
@@ -0,0 +1,90 @@
+package testbed
+
+import (
+	"bytes"
+	"context"
+	"encoding/json"
+	"fmt"
+	"io"
+	"net/http"
+	"time"
+
+	"marblelane/internal/lab/cluster"
+	"marblelane/internal/lab/harness"
+	"marblelane/internal/lab/scenario"
+)
+
+const (
+	registryBeat     = 100 * time.Millisecond // between two heartbeats of a replica
+	changeTimeout    = 5 * time.Second        // of one call
+	maxChangeRetries = 200
+	changeRetryWait  = 50 * time.Millisecond
+)
+
+// Registry is a registry of several real replicas, and a client that changes what they hold.
+type Registry struct {
+	*cluster.Cluster
+	client *http.Client
+}
+
+// NewRegistry returns a registry with as many replicas as the scenario's discovery has. Close has to be called after it.
+func NewRegistry(r *harness.Run) *Registry {
+	config := &scenario.Registry{Copies: r.Scenario.Discovery.Registry, Beat: scenario.Duration(registryBeat)}
+	return &Registry{Cluster: cluster.New(r, config),
+		client: &http.Client{Transport: &http.Transport{}, Timeout: changeTimeout}}
+}
+
+// Close stops the replicas. It does not close the run.
+func (r *Registry) Close() {
+	r.client.CloseIdleConnections()
+	r.Stop()
+}
+
+// Addrs returns the addresses of the replicas, beginning with the one of this number.
+func (r *Registry) Addrs(first int) []string {
+	var addrs []string
+	for k := range r.Replicas {
+		addrs = append(addrs, r.Replicas[(first+k)%len(r.Replicas)].Address)
+	}
+	return addrs
+}
+
+// Change posts a change, and retries it at the next replica while none accepts changes. It returns the revision, and when
+// the call that was accepted began.
+func (r *Registry) Change(ctx context.Context, path string, body any) (rev int64, called time.Time, err error) {
+	data, err := json.Marshal(body)
+	if err != nil {
+		return 0, time.Time{}, err
+	}
+	for attempt := 0; ; attempt++ {
+		called = time.Now()
+		status, text, err := r.post(ctx, r.Replicas[attempt%len(r.Replicas)].URL(path), data)
+		if err != nil {
+			return 0, time.Time{}, err
+		}
+		var answer struct {
+			Rev int64 `json:"rev"`
+		}
+		if status == http.StatusOK && json.Unmarshal(text, &answer) == nil {
+			return answer.Rev, called, nil
+		}
+		if status != http.StatusServiceUnavailable || attempt > maxChangeRetries || !harness.Sleep(ctx, changeRetryWait) {
+			return 0, time.Time{}, fmt.Errorf("%s is answered %d %s: %s", path, status, http.StatusText(status),
+				bytes.TrimSpace(text))
+		}
+	}
+}
+
+func (r *Registry) post(ctx context.Context, url string, data []byte) (status int, text []byte, err error) {
+	req, err := http.NewRequestWithContext(ctx, http.MethodPost, url, bytes.NewReader(data))
+	if err != nil {
+		return 0, nil, err
+	}
+	resp, err := r.client.Do(req)
+	if err != nil {
+		return 0, nil, err
+	}
+	defer resp.Body.Close()
+	text, err = io.ReadAll(resp.Body)
+	return resp.StatusCode, text, err
+}
--- a/internal/lab/lab_test.go
+++ b/internal/lab/lab_test.go
@@ -6,7 +6,6 @@
 	"encoding/json"
 	"errors"
 	"fmt"
-	"math"
 	"net"
 	"os"
 	"os/exec"
@@ -287,32 +286,6 @@
 	}
 }
 
-// A comparison pairs plays by seed and finds what is different.
-func TestCompareFindsTheDifference(t *testing.T) {
-	sound := parse(t, small)
-	bad := parse(t, small+"[[fault]]\nat = \"0s\"\nfor = \"2s\"\nkind = \"fail\"\nservers = \"all\"\nsize = 1\n")
-	c, err := Compare(t.Context(), Side{"sound", sound, sidecarProgram}, Side{"bad", bad, sidecarProgram}, 3, 2, harness.Options{})
-	if errors.Is(err, errLabLate) {
-		t.Skip(err)
-	}
-	if err != nil {
-		t.Fatal(err)
-	}
-	if !slices.Equal(c.Seeds, []uint64{3, 4}) || len(c.Pairs) != 2 {
-		t.Errorf("pairs of seeds %v", c.Seeds)
-	}
-	if r := c.Rows[0]; r.Name != "in aim" || r.Diff > -0.9 || math.Abs(r.B-r.A-r.Diff) > 1e-9 || r.Min > r.Diff || r.Max < r.Diff {
-		t.Errorf("row %+v", r)
-	}
-	dir := t.TempDir()
-	if err := c.Plot(dir); err != nil {
-		t.Fatal(err)
-	}
-	if info, err := os.Stat(filepath.Join(dir, "compare.svg")); err != nil || info.Size() == 0 {
-		t.Errorf("no plot: %v", err)
-	}
-}
-
 // What a report saves can be read back, plots included; every picture is marked with its faults.
 func TestReportIsSaved(t *testing.T) {
 	s := parse(t, small+"[[fault]]\nat = \"500ms\"\nfor = \"1s\"\nkind = \"slow\"\nservers = \"1\"\nsize = 3\n")
--- a/internal/lab/scale.go
+++ b/internal/lab/overhead.go
@@ -5,105 +5,19 @@
 	"context"
 	"fmt"
 	"io"
-	"math"
 	"net"
 	"net/http"
-	"os"
-	"runtime"
 	"sync"
 	"time"
 
 	"github.com/HdrHistogram/hdrhistogram-go"
 
 	"marblelane/internal/lab/harness"
-	"marblelane/internal/lab/process"
 	"marblelane/internal/lab/record"
 	"marblelane/internal/lab/scenario"
 	"marblelane/internal/lab/stock"
 )
 
-// ScalePoint is what one size of fleet cost.
-type ScalePoint struct {
-	Sidecars         int     `json:"sidecars"`
-	Servers          int     `json:"servers"`
-	Requests         int     `json:"requests"`
-	LabCPU           float64 `json:"lab_cpu_us_per_request"`
-	SidecarCPU       float64 `json:"sidecar_cpu_us_per_request"` // all sidecars together, their idle work included
-	LabRSS           float64 `json:"lab_rss_mb"`
-	SidecarRSS       float64 `json:"sidecar_rss_mb"` // of the largest
-	Descriptors      int     `json:"lab_descriptors"`
-	LatenessP99      float64 `json:"lateness_p99_ms"`
-	Outcome          string  `json:"outcome"`
-	LabRSSPerProcess float64 `json:"lab_rss_kb_per_party"`
-}
-
-// Scale plays the scenario with each size of fleet and the same traffic.
-func Scale(ctx context.Context, s *scenario.Scenario, sidecars, servers []int, o harness.Options) ([]ScalePoint, error) {
-	var points []ScalePoint
-	progress := o.Progress
-	o.Progress = nil
-	for _, sidecarCount := range sidecars {
-		for _, serverCount := range servers {
-			p, err := measureScalePoint(ctx, s, sidecarCount, serverCount, o)
-			if err != nil {
-				return nil, err
-			}
-			points = append(points, *p)
-			if progress != nil {
-				fmt.Fprintf(progress, "%d sidecars, %d servers: %s, %.0f us of the lab's CPU a request\n",
-					sidecarCount, serverCount, p.Outcome, p.LabCPU)
-			}
-		}
-	}
-	return points, nil
-}
-
-// measureScalePoint plays the scenario with one size of fleet.
-func measureScalePoint(ctx context.Context, s *scenario.Scenario, sidecars, servers int, o harness.Options) (*ScalePoint, error) {
-	sized := *s
-	sized.Sidecars.Count, sized.Servers.Count = sidecars, servers
-	runtime.GC() // frees what the size before left
-	before, err := process.Measure(os.Getpid())
-	if err != nil {
-		return nil, fmt.Errorf("scale: %w", err)
-	}
-	report, err := Run(ctx, &sized, o)
-	if err != nil {
-		return nil, fmt.Errorf("%d sidecars, %d servers: %w", sidecars, servers, err)
-	}
-	outcome, _ := report.Outcome()
-	result := report.Result
-	p := &ScalePoint{Sidecars: sidecars, Servers: servers, Requests: result.Figures.Requests, Outcome: outcome,
-		LabRSS: result.Lab.PeakRSS, Descriptors: result.Lab.Descriptors, LatenessP99: report.Lateness.P99MS}
-	microsPerRequest := 1e6 / float64(max(p.Requests, 1))
-	p.LabCPU = (result.Lab.CPU - before.CPU) * microsPerRequest
-	for _, sidecar := range result.Sidecars {
-		p.SidecarCPU += sidecar.CPU * microsPerRequest
-		p.SidecarRSS = max(p.SidecarRSS, sidecar.PeakRSS)
-	}
-	p.LabRSSPerProcess = p.LabRSS * 1024 / float64(sidecars+servers)
-	return p, nil
-}
-
-// PrintScale writes the sizes as a table, with how the lab's cost grows from the smallest to the largest: the
-// exponent k of cost ~ parties^k.
-func PrintScale(w io.Writer, points []ScalePoint) {
-	fmt.Fprintf(w, "%8s %8s %9s %14s %14s %9s %11s %12s %9s %s\n", "sidecars", "servers", "requests", "lab us/request",
-		"sidecars us/r", "lab MB", "sidecar MB", "descriptors", "late ms", "run")
-	for _, p := range points {
-		fmt.Fprintf(w, "%8d %8d %9d %14.0f %14.0f %9.1f %11.1f %12d %9.1f %s\n", p.Sidecars, p.Servers, p.Requests, p.LabCPU,
-			p.SidecarCPU, p.LabRSS, p.SidecarRSS, p.Descriptors, p.LatenessP99, p.Outcome)
-	}
-	if len(points) < 2 {
-		return
-	}
-	first, last := points[0], points[len(points)-1]
-	from, to := first.Sidecars+first.Servers, last.Sidecars+last.Servers
-	exponent := func(a, b float64) float64 { return math.Log(b/a) / math.Log(float64(to)/float64(from)) }
-	fmt.Fprintf(w, "growth from %d to %d parties: the lab's CPU a request as their number to the power of %.2f, its memory %.2f\n",
-		from, to, exponent(first.LabCPU, last.LabCPU), exponent(first.LabRSS, last.LabRSS))
-}
-
 // Overhead is the latency that one request path adds to the servers' own work, in milliseconds.
 type Overhead struct {
 	Path     string  `json:"way"`
