--- a/internal/lab/cluster/faults.go
+++ b/internal/lab/cluster/faults.go
@@ -23,12 +23,12 @@
 	"marblelane/internal/registry"
 )
 
-// faults carries out the scenario's faults, each in its own time, and undoes them at the end of the run.
-func (c *Cluster) injectFaults(ctx context.Context, began time.Duration) {
+// injectFaults carries out the scenario's faults, each in its own time, and undoes them at the end of the run.
+func (c *Cluster) injectFaults(ctx context.Context) {
 	for i := range c.Plan.Faults {
 		f := &c.Plan.Faults[i]
 		c.Tasks.Go(func() {
-			if !harness.Sleep(ctx, began+f.At-c.Events.Now()) {
+			if !harness.Sleep(ctx, f.At-c.Elapsed()) {
 				return
 			}
 			undo, err := c.InjectFault(ctx, f)
--- a/internal/lab/cluster/result.go
+++ b/internal/lab/cluster/result.go
@@ -4,7 +4,6 @@
 
 import (
 	"cmp"
-	"context"
 	"fmt"
 	"slices"
 	"time"
@@ -16,7 +15,7 @@
 )
 
 // result sums the run up.
-func (c *Cluster) result(ctx context.Context, watchers []*watcher, began time.Duration, lag []time.Duration) *report.Report {
+func (c *Cluster) result(watchers []*watcher, lag []time.Duration) *report.Report {
 	out := &report.RegistryResult{Copies: len(c.Replicas), Watchers: len(watchers), Reads: len(c.reads), ReadsLost: c.failedReads,
 		Lines: c.watchLines.Load(), Rejoins: c.rewatches.Load()}
 	for i := range c.history {
--- a/internal/lab/faults.go
+++ b/internal/lab/faults.go
@@ -25,9 +25,9 @@
 // deadFor is how long a server that is killed or drained and started again is away.
 const deadFor = time.Second
 
-// faults carries out the plan's faults at their times, each in a goroutine of its own: one that takes long, such as
+// injectFaults carries out the plan's faults at their times, each in a goroutine of its own: one that takes long, such as
 // a planned restart, holds no other back.
-func (r *run) faults(ctx context.Context, began time.Duration) {
+func (r *run) injectFaults(ctx context.Context) {
 	var steps []step
 	for i := range r.Plan.Faults {
 		steps = append(steps, r.steps(&r.Plan.Faults[i])...)
@@ -39,7 +39,7 @@
 	timer := time.NewTimer(0)
 	defer timer.Stop()
 	for _, s := range steps {
-		timer.Reset(max(began+s.at-r.Events.Now(), 0))
+		timer.Reset(max(s.at-r.Elapsed(), 0))
 		select {
 		case <-timer.C:
 		case <-ctx.Done():
--- a/internal/lab/harness/timer_lag.go
+++ b/internal/lab/harness/timer_lag.go
@@ -16,6 +16,17 @@
 	minStall = time.Millisecond
 )
 
+// TimerLag is by how much each tick of a timer was late, and the stalls by which it was.
+type TimerLag struct {
+	Lag    []time.Duration
+	Stalls []Stall
+}
+
+func measureTimerLag(ctx context.Context) (t TimerLag) {
+	t.Lag, t.Stalls = MeasureTimerLag(ctx)
+	return t
+}
+
 // MeasureTimerLag measures by how much a timer of this process is late, until ctx ends, and when it was.
 func MeasureTimerLag(ctx context.Context) (lag []time.Duration, stalls []Stall) {
 	t := time.NewTimer(timerInterval)
@@ -37,13 +48,13 @@
 	}
 }
 
-// Spans are the stalls on the clock of a run that began at this time of its records.
-func (r *Run) Spans(stalls []Stall, began time.Duration) []invariant.Span {
-	now, at := time.Now(), r.Events.Now()
-	on := func(t time.Time) time.Duration { return at - now.Sub(t) - began }
+// Spans are stalls on the clock of the plan.
+func (r *Run) Spans(stalls []Stall) []invariant.Span {
+	now, elapsed := time.Now(), r.Elapsed()
+	sinceBegan := func(t time.Time) time.Duration { return elapsed - now.Sub(t) }
 	var out []invariant.Span
 	for _, s := range stalls {
-		out = append(out, invariant.Span{From: on(s.from), To: on(s.to)})
+		out = append(out, invariant.Span{From: sinceBegan(s.from), To: sinceBegan(s.to)})
 	}
 	return out
 }
--- a/internal/lab/routes.go
+++ b/internal/lab/routes.go
@@ -29,7 +29,6 @@
 // directly: faults between sidecars and the list service are not theirs.
 type rollouts struct {
 	r     *run
-	began time.Duration
 	epoch time.Time // the wall clock at the run's beginning
 
 	mu      sync.Mutex
@@ -49,9 +48,9 @@
 	wg   sync.WaitGroup
 }
 
-func newRollouts(r *run, began time.Duration) *rollouts {
+func newRollouts(r *run) *rollouts {
 	n := len(r.Scenario.Rollouts)
-	o := &rollouts{r: r, began: began, epoch: time.Now().Add(began - r.Events.Now()), revs: map[int64]bool{}, after: make([]int64, n),
+	o := &rollouts{r: r, epoch: time.Now().Add(-r.Elapsed()), revs: map[int64]bool{}, after: make([]int64, n),
 		refused: make([]string, n), phases: make([]rolloutView, n), final: make([]string, n)}
 	for i := range o.after {
 		o.after[i] = -1
@@ -88,7 +87,7 @@
 			o.mu.Lock()
 			newest := o.newest
 			o.mu.Unlock()
-			now := o.r.Events.Now() - o.began
+			now := o.r.Elapsed()
 			o.ask(ctx, newest, now-a.Before.Duration(), now)
 		})
 	}
@@ -108,14 +107,14 @@
 		}
 		if now := o.r.Events.Now(); now > due+tolerated {
 			o.mu.Lock()
-			o.lagged = append(o.lagged, invariant.Span{From: due - o.began, To: now - o.began + tolerated})
+			o.lagged = append(o.lagged, invariant.Span{From: due - o.r.Began, To: now - o.r.Began + tolerated})
 			o.mu.Unlock()
 		}
 	}
 }
 
 func (o *rollouts) until(ctx context.Context, at scenario.Duration) bool {
-	return harness.Sleep(ctx, o.began+at.Duration()-o.r.Events.Now())
+	return harness.Sleep(ctx, at.Duration()-o.r.Elapsed())
 }
 
 func (o *rollouts) miss(format string, args ...any) {
@@ -364,7 +363,7 @@
 	o.asked++
 	for _, a := range got.Answers {
 		o.answers = append(o.answers, invariant.Answer{Rev: rev, From: time.UnixMilli(fromMS).Sub(o.epoch), To: time.UnixMilli(toMS).Sub(o.epoch),
-			AskedAt: o.r.Events.Now() - o.began, Name: a.Name, Start: a.Start, Verdict: a.Verdict, Reason: a.Reason})
+			AskedAt: o.r.Elapsed(), Name: a.Name, Start: a.Start, Verdict: a.Verdict, Reason: a.Reason})
 	}
 }
 
@@ -379,7 +378,7 @@
 	ctx, cancel := context.WithTimeout(ctx, finishWait)
 	defer cancel()
 	harness.Sleep(ctx, time.Second) // the last attempts are in the next report
-	over := o.r.Events.Now() - o.began
+	over := o.r.Elapsed()
 	tenants := map[string]bool{}
 	for i := range o.r.Scenario.Rollouts {
 		tenants[o.r.Scenario.Rollouts[i].Tenant] = true
--- a/internal/lab/routes_config.go
+++ b/internal/lab/routes_config.go
@@ -2,8 +2,6 @@
 
 // This file writes the configuration of routes for sidecars and copies of the list service.
 
-import ()
-
 // programOf is the program that a sidecar runs.
 func (r *run) programOf(sidecar int) string {
 	if r.Scenario.Older(sidecar) && r.Options.Older != "" {
--- /dev/null
+++ b/internal/lab/run.go
@@ -0,0 +1,165 @@
+package lab
+
+// This file is the phases of a run of sidecars.
+
+import (
+	"context"
+	"fmt"
+	"sync"
+	"sync/atomic"
+	"time"
+
+	"marblelane/internal/lab/agent"
+	"marblelane/internal/lab/client"
+	"marblelane/internal/lab/harness"
+	"marblelane/internal/lab/invariant"
+	"marblelane/internal/lab/relay"
+	"marblelane/internal/lab/report"
+	"marblelane/internal/lab/stock"
+)
+
+// NoProgram stands for no sidecars: clients go straight to the servers in turn.
+const NoProgram = "none"
+
+// run is a run of sidecars between clients, servers and discovery.
+type run struct {
+	*harness.Run
+	program  string
+	book     *client.RequestLog
+	pods     []*stock.Pod
+	servers  []*stock.Server
+	agents   []*agent.Agents          // stand-ins for list services, each with an agent for every sidecar
+	service  *service                 // real ones in their place; nil: stand-ins
+	rollouts atomic.Pointer[rollouts] // what tenants do with routes; nil: there are none
+	members  *members                 // what lies between members; nil: there is no membership
+	sidecars []*sidecar
+	tampers  []*tamper
+	load     *client.Load
+	lateness []time.Duration // of arrivals, behind their plan
+	worked   float64         // units that the servers have worked
+	boots    []atomic.Int64  // when each server started last, Unix ms; 0: before the run
+	// serverClock is how many ms the wall clock is off by which servers' starts are told.
+	serverClock atomic.Int64
+
+	overheardBy atomic.Pointer[repeater]
+	repeated    atomic.Int64
+
+	linkMu sync.Mutex
+	links  map[[2]int]*relay.Link  // by sidecar and server
+	disc   [][]*relay.Link         // by list service and sidecar
+	lates  []*relay.HandshakeDelay // that have begun
+
+	watchers sync.WaitGroup // of processes; they end after Tasks
+}
+
+func newRun(base *harness.Run) *run {
+	r := &run{Run: base, links: map[[2]int]*relay.Link{}, book: client.NewRequestLog()}
+	r.load = &client.Load{Plan: r.Plan, Log: r.Events, Requests: r.book, Addr: r.addr, Closed: r.closedTo}
+	if r.program = r.Scenario.Sidecars.Program; r.program == "" {
+		r.program = r.Options.Program
+	}
+	return r
+}
+
+// Drive sends the arrivals of the plan and injects its faults.
+func (r *run) Drive(ctx context.Context) error {
+	r.Log.Info("lab: all parties are up", "sidecars", len(r.sidecars), "servers", len(r.servers), "seed", r.Plan.Seed)
+	r.shiftArrivals(r.Began)
+	r.Tasks.Go(func() { r.sample(ctx) })
+	r.Tasks.Go(func() { r.injectFaults(ctx) })
+	if r.Scenario.Routed() {
+		o := newRollouts(r)
+		r.rollouts.Store(o) // sidecars ask already
+		r.Tasks.Go(func() { o.play(ctx) })
+	}
+	r.lateness = r.load.Run(ctx)
+	r.overheardBy.Store(nil)
+	return nil
+}
+
+// shiftArrivals moves the arrivals of the plan between its clock and that of the records.
+func (r *run) shiftArrivals(by time.Duration) {
+	for i := range r.Plan.Arrivals {
+		r.Plan.Arrivals[i].At += by
+	}
+}
+
+// Collect asks the parties for the last time, and ends the sidecars.
+func (r *run) Collect(ctx context.Context) error {
+	if r.members != nil {
+		r.members.end()
+	}
+	r.measureAll()
+	if o := r.rollouts.Load(); o != nil {
+		o.finish(ctx)
+	}
+	r.stopSidecars()
+	r.watchers.Wait()
+	for _, s := range r.servers {
+		r.worked += s.WorkDone()
+	}
+	return nil
+}
+
+// Check measures the run by its records, and holds it to the rules and expectations.
+func (r *run) Check(timers harness.TimerLag) *report.Report {
+	events := r.Events.Events()
+	for i := range events { // on the clock of the plan
+		events[i].T -= r.Began
+	}
+	r.shiftArrivals(-r.Began)
+	var routes *invariant.Routes
+	if o := r.rollouts.Load(); o != nil {
+		routes = o.facts()
+	}
+	rep := report.New(r.Plan, events, r.worked, routes, r.Spans(timers.Stalls))
+	if r.members != nil { // before the rules of routes ask which were held to some case
+		facts := r.members.facts()
+		invariant.CheckMembers(events, facts, rep.Verdict)
+		rep.Members = membersResult(events, facts, r.Scenario)
+	}
+	if o := r.rollouts.Load(); o != nil {
+		rep.Routes = o.result(events, routes, rep.Verdict)
+	}
+	rep.Lateness = report.NewLateness(r.lateness, timers.Lag)
+	if r.service != nil {
+		r.service.rr.AddTo(rep.Verdict)
+	}
+	rep.CheckExpectations(r.Scenario)
+	return rep
+}
+
+// Status is how far the run is.
+func (r *run) Status() string { return fmt.Sprintf("%d requests under way", r.load.InFlight()) }
+
+// Close ends whatever runs, in any state.
+func (r *run) Close() {
+	for _, l := range r.lates { // of a run that ended before they did
+		_ = l.Stop()
+	}
+	for _, s := range r.sidecars {
+		s.kill()
+	}
+	r.StopProcesses()
+	r.watchers.Wait()
+	if r.members != nil {
+		r.members.close()
+	}
+	for _, t := range r.tampers {
+		if t != nil {
+			t.close()
+		}
+	}
+	for _, a := range r.agents {
+		a.Close()
+	}
+	if r.service != nil {
+		r.service.close()
+	}
+	for _, s := range r.servers {
+		s.Close()
+	}
+	for _, p := range r.pods {
+		p.Close()
+	}
+}
--- a/internal/lab/scale.go
+++ b/internal/lab/scale.go
@@ -138,9 +138,9 @@
 	defer base.Close()
 	r := newRun(base)
 	ctx, cancel := context.WithCancel(ctx)
+	defer r.Close()
 	defer cancel()
-	defer r.close(cancel)
-	if err := r.start(ctx); err != nil {
+	if err := r.Start(ctx); err != nil {
 		return nil, err
 	}
 	h := hdrhistogram.New(1, 60e6, 3)
--- a/internal/lab/sidecar_process.go
+++ b/internal/lab/sidecar_process.go
@@ -24,6 +24,9 @@
 	"marblelane/internal/lab/record"
 )
 
+// portTrials is how many ports are tried for a process.
+const portTrials = 3
+
 // sidecar is one sidecar with its process, or two during an upgrade.
 type sidecar struct {
 	r       *run
