--- a/internal/lab/fault_steps.go
+++ b/internal/lab/fault_steps.go
@@ -84,7 +84,7 @@
 		if f.Way != "" {
 			name += " " + f.Way
 		}
-		return pair(func(on bool) error { return r.members.ill(p, on) })
+		return pair(func(on bool) error { return r.members.SetFault(p, on) })
 	}
 	if defect, ok := strings.CutPrefix(f.Kind, "defect-"); ok {
 		return pair(func(on bool) error {
--- a/internal/lab/faults.go
+++ b/internal/lab/faults.go
@@ -9,6 +9,7 @@
 	"time"
 
 	"marblelane/internal/lab/agent"
+	"marblelane/internal/lab/harness"
 	"marblelane/internal/lab/record"
 	"marblelane/internal/lab/relay"
 	"marblelane/internal/lab/scenario"
@@ -33,7 +34,7 @@
 		steps = append(steps, r.steps(&r.Plan.Faults[i])...)
 	}
 	if r.members != nil {
-		steps = append(steps, r.members.lateSteps()...)
+		steps = append(steps, r.lateStarts()...)
 	}
 	slices.SortStableFunc(steps, func(a, b step) int { return int(a.at - b.at) })
 	timer := time.NewTimer(0)
@@ -99,3 +100,19 @@
 
 // newConns is how long after SIGTERM clients still open connections: the platform's most.
 const newConns = 400 * time.Millisecond
+
+// lateStarts are the steps that start the sidecars which start during the run.
+func (r *run) lateStarts() []step {
+	var late []int
+	for i := range r.Plan.Sidecars {
+		if r.Scenario.Late(i) {
+			late = append(late, i)
+		}
+	}
+	if len(late) == 0 {
+		return nil
+	}
+	return []step{{r.Scenario.Members.LateAt.Duration(), fmt.Sprintf("sidecars %v start", late), 0, func(ctx context.Context) error {
+		return harness.ForEach(late, func(i int) error { return r.sidecars[i].begin(ctx) })
+	}}}
+}
--- /dev/null
+++ b/internal/lab/members/members_test.go
@@ -0,0 +1,167 @@
+package members
+
+import (
+	"context"
+	"errors"
+	"net"
+	"os"
+	"syscall"
+	"testing"
+	"time"
+
+	"github.com/stretchr/testify/assert"
+	"github.com/stretchr/testify/require"
+
+	"marblelane/internal/lab/harness"
+	"marblelane/internal/lab/invariant"
+	"marblelane/internal/lab/record"
+	"marblelane/internal/lab/report"
+	"marblelane/internal/lab/scenario"
+)
+
+const threeMembers = `
+title = "three members"
+length = "9s"
+[sidecars]
+count = 3
+[servers]
+count = 3
+[network]
+zones = ["here"]
+[members]
+interval = "200ms"
+`
+
+// dials checks what comes of a call from one party to another's endpoint: it is taken, refused, or silent.
+func dials(t *testing.T, want string, from, to *Endpoint, why ...any) {
+	t.Helper()
+	wait := 5 * time.Second
+	if want == "silent" {
+		wait = 100 * time.Millisecond
+	}
+	host, _, err := net.SplitHostPort(from.bindAddr)
+	require.NoError(t, err)
+	d := net.Dialer{LocalAddr: &net.TCPAddr{IP: net.ParseIP(host)}, Timeout: wait}
+	c, err := d.DialContext(t.Context(), "tcp4", to.Addr())
+	got := "taken"
+	switch {
+	case errors.Is(err, syscall.ECONNREFUSED):
+		got = "refused"
+	case errors.Is(err, os.ErrDeadlineExceeded) || errors.Is(err, context.DeadlineExceeded):
+		got = "silent"
+	case assert.NoError(t, err):
+		c.Close()
+	}
+	assert.Equal(t, want, got, why...)
+}
+
+// An endpoint refuses where its host would, and not through a cut; packets and connections pass as the faults let them.
+func TestEndpoint_refusesWhereItsHostWould(t *testing.T) {
+	s, err := scenario.Parse("test.toml", []byte(threeMembers))
+	require.NoError(t, err)
+	m, err := New(&harness.Run{Scenario: s, Plan: s.Plan(1)})
+	require.NoError(t, err)
+	defer m.Close()
+	f := []*Endpoint{m.newestEndpoint(0), m.newestEndpoint(1), m.newestEndpoint(2)}
+	dials(t, "refused", f[0], f[1], "before its process starts")
+	process, err := net.Listen("tcp4", f[1].bindAddr)
+	require.NoError(t, err)
+	defer process.Close()
+	packets, err := net.ListenPacket("udp4", f[1].bindAddr)
+	require.NoError(t, err)
+	defer packets.Close()
+	out, err := net.ListenPacket("udp4", f[0].bindAddr)
+	require.NoError(t, err)
+	defer out.Close()
+	arrives := func(want bool) {
+		t.Helper()
+		wait := 5 * time.Second
+		if !want {
+			wait = 100 * time.Millisecond
+		}
+		to, err := net.ResolveUDPAddr("udp4", f[1].Addr())
+		require.NoError(t, err)
+		_, err = out.WriteTo([]byte("x"), to)
+		require.NoError(t, err)
+		require.NoError(t, packets.SetReadDeadline(time.Now().Add(wait)))
+		_, _, err = packets.ReadFrom(make([]byte, 9))
+		assert.Equal(t, want, err == nil)
+	}
+	_, err = m.Prepare(1)
+	require.NoError(t, err)
+	dials(t, "taken", f[0], f[1])
+	arrives(true)
+	for way, want := range map[string]struct {
+		to, from string // what comes of a call to the party that is cut off, and of its own
+		arrives  bool   // what is sent to it
+	}{
+		"to": {"silent", "silent", false}, "from": {"silent", "silent", true},
+		"both": {"silent", "silent", false}, "in": {"silent", "refused", false},
+	} {
+		cut := &scenario.FaultPlan{Fault: scenario.Fault{Kind: "members-cut", Way: way}, Sidecars: []int{1}}
+		require.NoError(t, m.SetFault(cut, true))
+		dials(t, want.to, f[0], f[1], way)
+		dials(t, want.from, f[1], f[0], "%s, whose process is not there", way)
+		arrives(want.arrives)
+		m.ProcessEnded(f[1], nil)
+		dials(t, "silent", f[0], f[1], "%s: a refusal does not reach through", way)
+		require.NoError(t, m.SetFault(cut, false))
+		dials(t, "refused", f[0], f[1], way)
+		f[1].assigned = false // the next process has it again
+		_, err = m.Prepare(1)
+		require.NoError(t, err)
+	}
+	refuse := &scenario.FaultPlan{Fault: scenario.Fault{Kind: "members-refuse"}, Sidecars: []int{1}}
+	require.NoError(t, m.SetFault(refuse, true))
+	dials(t, "refused", f[0], f[1], "although its process lives")
+	dials(t, "silent", f[1], f[0])
+	arrives(false)
+	require.NoError(t, m.SetFault(refuse, false))
+	dials(t, "taken", f[0], f[1])
+	lose := &scenario.FaultPlan{Fault: scenario.Fault{Kind: "members-lose", Size: 1}, Sidecars: []int{0}}
+	require.NoError(t, m.SetFault(lose, true))
+	arrives(false)
+	dials(t, "taken", f[0], f[1])
+}
+
+// What a report says of members follows from the records.
+func TestResult_followsFromRecords(t *testing.T) {
+	at := func(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
+	var events []record.Event
+	add := func(s float64, kind record.Kind, serial int, note string) *record.Event {
+		events = append(events, record.Event{T: at(s), Kind: kind, Sidecar: int32(serial), Sum: uint64(serial), Note: note,
+			N: int64(serial)})
+		return &events[len(events)-1]
+	}
+	says := func(s float64, serial, known, heard int) {
+		e := add(s, record.MembershipStatus, serial, "")
+		e.Status, e.Attempt, e.Canary, e.Work = int32(known), int16(heard), true, 3
+	}
+	of := func(s float64, by, of int, note string) { add(s, record.MemberStatus, by, note).N = int64(of) }
+	for serial := range 3 {
+		add(-1, record.MemberProcess, serial, invariant.MemberServes)
+		says(0, serial, 3, 3)
+	}
+	of(0, 0, 2, "alive n2")
+	of(0, 1, 2, "alive n2")
+	of(0, 0, 1, "alive n1")
+	of(0, 2, 0, "silent n0") // not heard yet
+	of(1, 0, 1, "silent n1")
+	says(2, 1, 3, 3)
+	add(3, record.MemberProcess, 2, invariant.MemberEnded)
+	of(5, 0, 2, "silent n2")
+	of(6, 1, 2, "silent n2")
+	of(7, 0, 2, "gone n2 refused")
+	says(8, 0, 2, 2)
+	says(9, 1, 2, 2)
+	out := Result(events, &invariant.Members{Names: []string{"n0", "n1", "n2"}, Sidecars: 3, Peers: 3})
+	assert.Equal(t, 1, out.Deaths)
+	assert.Equal(t, []time.Duration{at(2), at(3)}, out.Noticed.Durations)
+	once := report.Times{Cases: 2, Never: 1, P50: 4000, P99: 4000, Max: 4000, Durations: []time.Duration{at(4)}}
+	assert.Equal(t, once, out.CountedOut)
+	assert.Equal(t, []int{1, 1, 0}, []int{out.FalseSilent, out.FalseDeaths, out.FalseGone})
+	assert.Equal(t, 6000.0, out.AgreeMS)
+	assert.Equal(t, [2]int{2, 2}, out.Known)
+	three := 3
+	assert.Len(t, out.MissedExpectations(&scenario.Expect{Members: &three}), 1)
+}
--- /dev/null
+++ b/internal/lab/members/poller.go
@@ -0,0 +1,196 @@
+package members
+
+import (
+	"context"
+	"encoding/json"
+	"errors"
+	"fmt"
+	"io"
+	"net"
+	"net/http"
+	"strings"
+	"time"
+
+	"marblelane/internal/lab/invariant"
+	"marblelane/internal/lab/process"
+	"marblelane/internal/lab/record"
+)
+
+const (
+	pollInterval   = 100 * time.Millisecond // between two polls of a process
+	pollTimeout    = 3 * time.Second        // a process that is frozen gives no answer
+	maxAnswerBytes = 16 << 20               // 16 MB
+)
+
+// membersAnswer is what the lab reads of an answer. It is lenient, so that the invariants judge and not the decoder.
+type membersAnswer struct {
+	Self struct {
+		Name  string `json:"name"`
+		Start int64  `json:"start"`
+	} `json:"self"`
+	View struct {
+		Known    int  `json:"known"`
+		Heard    int  `json:"heard"`
+		Admitted bool `json:"admitted"`
+		Forced   bool `json:"forced"`
+	} `json:"view"`
+	Believed float64 `json:"believed"`
+	Changes  int64   `json:"changes"`
+	Members  []struct {
+		Name  string `json:"name"`
+		Start int64  `json:"start"`
+		State string `json:"state"`
+		Proof string `json:"proof"`
+	} `json:"members"`
+}
+
+// managementAddr reads the management address from the line with which a sidecar says that it serves.
+func managementAddr(line string) (string, error) {
+	for _, word := range strings.Fields(line) {
+		if addr, ok := strings.CutPrefix(word, "management="); ok {
+			_, _, err := net.SplitHostPort(addr)
+			return addr, err
+		}
+	}
+	return "", fmt.Errorf("no management address in %q", line)
+}
+
+// FollowProcess polls the process of a sidecar that serves from now on.
+func (m *Network) FollowProcess(f *Endpoint, c *process.Child, ready string) error {
+	addr, err := managementAddr(ready)
+	if err != nil {
+		return err
+	}
+	m.wg.Go(func() { m.pollProcess(f, c, addr) })
+	return nil
+}
+
+// RecordLeaving records that a process is told to end.
+func (m *Network) RecordLeaving(c *process.Child) {
+	m.mu.Lock()
+	serial, ok := m.serials[c]
+	m.mu.Unlock()
+	if ok && m.ctx.Err() == nil { // else the run is over
+		m.record(record.None, serial, invariant.MemberLeaves)
+	}
+}
+
+func (m *Network) record(party int, serial uint64, note string) {
+	m.run.Events.Add(record.Event{Kind: record.MemberProcess, Sidecar: int32(party), Server: record.None, Class: record.None,
+		Sum: serial, Note: note})
+}
+
+// pollProcess asks a process for its view of the fleet, until it ends or the run does.
+func (m *Network) pollProcess(f *Endpoint, c *process.Child, addr string) {
+	m.mu.Lock()
+	m.lastSerial++
+	serial := m.lastSerial
+	m.serials[c] = serial
+	m.mu.Unlock()
+	m.record(f.party, serial, invariant.MemberServes)
+	ctx, cancel := context.WithCancel(m.ctx)
+	defer cancel()
+	m.wg.Go(func() {
+		select {
+		case <-c.Ended():
+			m.record(f.party, serial, invariant.MemberEnded)
+			m.ProcessEnded(f, c)
+			cancel()
+		case <-ctx.Done():
+		}
+	})
+	w := &poller{network: m, party: f.party, serial: serial, url: "http://" + addr + "/members",
+		statuses: map[memberID]string{}}
+	transport := &http.Transport{MaxIdleConnsPerHost: 1}
+	defer transport.CloseIdleConnections()
+	w.client = &http.Client{Transport: transport, Timeout: pollTimeout}
+	t := time.NewTicker(pollInterval)
+	defer t.Stop()
+	for {
+		if err := w.poll(ctx); err != nil && ctx.Err() == nil {
+			m.run.Log.Debug("lab: a member does not answer", "member", f.party, "err", err)
+		}
+		select {
+		case <-t.C:
+		case <-ctx.Done():
+			return
+		}
+	}
+}
+
+type memberID struct {
+	name  string
+	start int64
+}
+
+// poller records the view of one process.
+type poller struct {
+	network  *Network
+	party    int
+	serial   uint64
+	url      string
+	client   *http.Client
+	statuses map[memberID]string // of each member, in the answer before
+}
+
+// poll asks once and records the answer.
+func (w *poller) poll(ctx context.Context) error {
+	called := w.network.run.Events.Now()
+	req, err := http.NewRequestWithContext(ctx, http.MethodGet, w.url, nil)
+	if err != nil {
+		return err
+	}
+	resp, err := w.client.Do(req)
+	if err != nil {
+		return err
+	}
+	text, err := io.ReadAll(io.LimitReader(resp.Body, maxAnswerBytes))
+	resp.Body.Close()
+	var got membersAnswer
+	switch {
+	case err != nil:
+		return err
+	case resp.StatusCode != http.StatusOK:
+		return errors.New(resp.Status)
+	}
+	if err := json.Unmarshal(text, &got); err != nil {
+		return err
+	}
+	w.record(called, w.network.run.Events.Now(), &got)
+	return nil
+}
+
+// record records an answer, and the members whose status is another than in the answer before.
+func (w *poller) record(called, back time.Duration, got *membersAnswer) {
+	e := record.Event{T: back, Kind: record.MembershipStatus, Sidecar: int32(w.party), Sum: w.serial,
+		Want: uint64(back - called), N: got.Self.Start, Status: int32(got.View.Known), Attempt: int16(got.View.Heard), Work: got.Believed,
+		Canary: got.View.Admitted, Rev: got.Changes, Server: int32(len(got.Members))}
+	if got.View.Forced {
+		e.Class = 1
+	}
+	self := memberID{got.Self.Name, got.Self.Start}
+	for _, v := range got.Members {
+		if (memberID{v.Name, v.Start}) == self && v.State == invariant.Gone && v.Proof == invariant.MemberLeft {
+			e.Note = invariant.MemberLeft
+		}
+	}
+	w.network.run.Events.Add(e)
+	one := record.Event{T: back, Kind: record.MemberStatus, Sidecar: int32(w.party), Server: record.None,
+		Class: record.None, Sum: w.serial, Want: e.Want}
+	said := make(map[memberID]string, len(got.Members))
+	for _, v := range got.Members {
+		key := memberID{v.Name, v.Start}
+		said[key] = strings.TrimSpace(v.State + " " + v.Name + " " + v.Proof)
+		if said[key] != w.statuses[key] {
+			one.N, one.Note = v.Start, said[key]
+			w.network.run.Events.Add(one)
+		}
+	}
+	for key := range w.statuses {
+		if _, ok := said[key]; !ok {
+			one.N, one.Note = key.start, invariant.Absent+" "+key.name
+			w.network.run.Events.Add(one)
+		}
+	}
+	w.statuses = said
+}
--- /dev/null
+++ b/internal/lab/members/result.go
@@ -0,0 +1,333 @@
+package members
+
+import (
+	"cmp"
+	"fmt"
+	"slices"
+	"strings"
+	"time"
+
+	"marblelane/internal/lab/invariant"
+	"marblelane/internal/lab/record"
+	"marblelane/internal/lab/report"
+)
+
+// processHistory is one process as its records show it.
+type processHistory struct {
+	party                 int32
+	served, leaves, ended time.Duration
+	answers               []record.Event
+	statuses              map[memberID][]status
+}
+
+type status struct {
+	at    time.Duration
+	state string
+}
+
+const never = time.Duration(1<<63 - 1)
+
+// resultReader gathers the result from the records.
+type resultReader struct {
+	facts      *invariant.Members
+	processes  []*processHistory
+	lastChange time.Duration // when the last thing happened to a process or link
+	out        *report.MembersResult
+}
+
+// Facts are what the invariants hold the run against.
+func (m *Network) Facts() *invariant.Members {
+	p, s := m.run.Plan, m.run.Scenario
+	f := &invariant.Members{Sidecars: len(p.Sidecars), Peers: s.Peers()}
+	for i := range p.Sidecars {
+		f.Names = append(f.Names, p.Sidecars[i].Name)
+		if !s.Membered(i) {
+			f.WithoutMembership++
+		}
+	}
+	if m.registry != nil {
+		for _, c := range m.registry.Replicas {
+			f.Names = append(f.Names, c.Name)
+		}
+	}
+	for i := range p.Faults {
+		if one := &p.Faults[i]; one.Fault.Kind == "members-refuse" {
+			f.FalseRefusals = append(f.FalseRefusals, invariant.Span{From: one.At, To: one.Until + refusalRecovery})
+		}
+	}
+	return f
+}
+
+// refusalRecovery is how long after a false refusal a process that was counted out may take to be counted again.
+const refusalRecovery = 15 * time.Second
+
+// Result reads what the members knew of each other from the events of a run, by time.
+func Result(events []record.Event, facts *invariant.Members) *report.MembersResult {
+	r := &resultReader{facts: facts, out: &report.MembersResult{AgreeMS: -1}}
+	r.read(events)
+	for _, one := range invariant.QuotaMoments(events, facts) {
+		if one.Sum > r.out.MostTaken {
+			r.out.MostTaken, r.out.TakenAt = one.Sum, one.At.Seconds()
+		}
+	}
+	for _, p := range r.processes {
+		r.countDeath(p)
+		r.countFalseSuspicions(p, events)
+		r.countNewcomer(p)
+	}
+	r.findAgreement()
+	for _, t := range []*report.Times{&r.out.Noticed, &r.out.CountedOut, &r.out.Left, &r.out.Admitted} {
+		t.Summarize()
+	}
+	return r.out
+}
+
+func (r *resultReader) read(events []record.Event) {
+	by := map[uint64]*processHistory{}
+	for i := range events {
+		e := &events[i]
+		p := by[e.Sum]
+		switch e.Kind {
+		case record.MemberProcess:
+			r.lastChange = max(r.lastChange, e.T)
+			switch {
+			case e.Note == invariant.MemberServes:
+				p = &processHistory{party: e.Sidecar, served: e.T, leaves: never, ended: never, statuses: map[memberID][]status{}}
+				by[e.Sum], r.processes = p, append(r.processes, p)
+			case p == nil:
+			case e.Note == invariant.MemberLeaves:
+				p.leaves = e.T
+			default:
+				p.ended = e.T
+			}
+		case record.MembershipStatus:
+			if p == nil {
+				continue
+			}
+			if n := len(p.answers); n > 0 {
+				if was := p.answers[n-1]; was.Status != e.Status || was.Attempt != e.Attempt || was.Canary != e.Canary {
+					r.out.Changes++
+				}
+			}
+			p.answers = append(p.answers, *e)
+			r.out.Answers++
+		case record.MemberStatus:
+			if p == nil {
+				continue
+			}
+			state, name, _ := invariant.ParseMemberNote(e.Note)
+			key := memberID{name, e.N}
+			p.statuses[key] = append(p.statuses[key], status{e.T, state})
+		case record.Fault:
+			if isMembershipFault(e.Note) {
+				r.lastChange = max(r.lastChange, e.T)
+			}
+		}
+	}
+	r.out.Processes = len(r.processes)
+}
+
+// isMembershipFault tells whether a fault is one of members or of their links.
+func isMembershipFault(note string) bool {
+	return strings.HasPrefix(note, "members-") || strings.HasPrefix(note, "sidecar") || strings.HasPrefix(note, "copy-")
+}
+
+func (r *resultReader) name(p *processHistory) string { return r.facts.Names[p.party] }
+
+// id is the last that a process called itself.
+func (r *resultReader) id(p *processHistory) (memberID, bool) {
+	if len(p.answers) == 0 {
+		return memberID{}, false
+	}
+	return memberID{r.name(p), p.answers[len(p.answers)-1].N}, true
+}
+
+// until is how long after a time a process first said one of some standings of a member.
+func (p *processHistory) until(id memberID, from time.Duration, states ...string) (time.Duration, bool) {
+	for i, s := range p.statuses[id] {
+		later := never // until then it stands so
+		if i+1 < len(p.statuses[id]) {
+			later = p.statuses[id][i+1].at
+		}
+		if later > from && slices.Contains(states, s.state) {
+			return max(s.at-from, 0), true
+		}
+	}
+	return 0, false
+}
+
+// death measures how the end of a process became known to the others.
+func (r *resultReader) countDeath(p *processHistory) {
+	id, ok := r.id(p)
+	if !ok || p.ended == never {
+		return
+	}
+	killed := p.leaves == never
+	if killed {
+		r.out.Deaths++
+	}
+	for _, q := range r.processes {
+		if q == p || q.served >= min(p.leaves, p.ended) || q.statuses[id] == nil {
+			continue
+		}
+		add := func(t *report.Times, from time.Duration, states ...string) {
+			d, ok := q.until(id, from, states...)
+			if !ok && (q.ended != never || q.leaves != never) {
+				return // it did not live to see it
+			}
+			t.Add(d, ok)
+		}
+		if !killed {
+			add(&r.out.Left, p.leaves, invariant.Gone, invariant.Absent)
+			continue
+		}
+		add(&r.out.Noticed, p.ended, invariant.Silent, invariant.Gone, invariant.Absent)
+		add(&r.out.CountedOut, p.ended, invariant.Gone, invariant.Absent)
+	}
+}
+
+// causeWindow is how long ago a fault may have ended that explains why a living process is taken for silent.
+const causeWindow = 15 * time.Second
+
+// countFalseSuspicions counts how often others took a living process for silent or gone.
+func (r *resultReader) countFalseSuspicions(p *processHistory, events []record.Event) {
+	for _, q := range r.processes {
+		if q == p {
+			continue
+		}
+		for id, all := range q.statuses { // a member that was only told of is silent until it is heard first
+			if id.name != r.name(p) {
+				continue
+			}
+			i := slices.IndexFunc(p.answers, func(e record.Event) bool { return e.N == id.start })
+			if i < 0 {
+				continue // of another process of its name
+			}
+			last := p.answers[i].T
+			for _, e := range p.answers[i:] {
+				if e.N == id.start {
+					last = e.T - time.Duration(e.Want)
+				}
+			}
+			for k, s := range all {
+				switch {
+				case s.at > last || s.at > p.leaves || k == 0 || all[k-1].state == invariant.Absent:
+				case s.state == invariant.Gone:
+					r.out.FalseGone++
+				case s.state == invariant.Silent:
+					if r.out.FalseSilent++; !r.explained(events, p, q, s.at) {
+						r.out.FalseDeaths++
+						r.out.FalseOnes = append(r.out.FalseOnes, fmt.Sprintf("%s of %s at %.1f s", r.name(q), id.name, s.at.Seconds()))
+					}
+				}
+			}
+		}
+	}
+}
+
+// blocksMessages tells whether a fault keeps some from hearing others.
+func blocksMessages(note string) bool {
+	return slices.ContainsFunc([]string{"members-cut", "members-refuse", "copy-freeze"}, func(kind string) bool {
+		return strings.HasPrefix(note, kind)
+	})
+}
+
+// explained tells whether a fault explains that one process did not hear another: one was frozen, or links were cut.
+func (r *resultReader) explained(events []record.Event, p, q *processHistory, at time.Duration) bool {
+	on := map[string]time.Duration{} // what is there, and when it ended
+	for i := range events {
+		e := &events[i]
+		if e.T > at {
+			break
+		}
+		switch {
+		case e.Kind == record.Process && (e.Sidecar == p.party || e.Sidecar == q.party):
+			key := fmt.Sprint("frozen ", e.Sidecar)
+			if e.Note == invariant.Frozen {
+				on[key] = never
+			} else if on[key] == never { // it goes on, or it is killed
+				on[key] = e.T
+			}
+		case e.Kind == record.Fault && blocksMessages(e.Note):
+			key, ends := strings.CutSuffix(e.Note, " ends")
+			if on[key] = never; ends {
+				on[key] = e.T
+			}
+		}
+	}
+	for _, over := range on {
+		if over == never || over > at-causeWindow {
+			return true
+		}
+	}
+	return false
+}
+
+// countNewcomer measures how long a process that came during the run waited until it was admitted.
+func (r *resultReader) countNewcomer(p *processHistory) {
+	if slices.ContainsFunc(p.answers, func(e record.Event) bool { return e.Class == 1 }) {
+		r.out.Forced++
+	}
+	if p.served <= pollInterval || int(p.party) >= r.facts.Sidecars {
+		return
+	}
+	r.out.Newcomers++
+	i := slices.IndexFunc(p.answers, func(e record.Event) bool { return e.Canary })
+	switch {
+	case i >= 0:
+		r.out.Admitted.Add(max(p.answers[i].T-p.served, 0), true)
+	case p.ended == never:
+		r.out.Admitted.Add(0, false)
+	}
+}
+
+// findAgreement finds when all counted the same after the last thing that happened, and what they counted at the end.
+func (r *resultReader) findAgreement() {
+	var living []*processHistory
+	share := 0 // the replicas of the registry are members that nobody counts
+	for _, p := range r.processes {
+		if p.ended == never && p.leaves == never && len(p.answers) > 0 {
+			living = append(living, p)
+			if int(p.party) < r.facts.Sidecars {
+				share++
+			}
+		}
+	}
+	for i, p := range living {
+		last := p.answers[len(p.answers)-1]
+		known, heard := int(last.Status), int(last.Attempt)
+		if i == 0 {
+			r.out.Known, r.out.Heard = [2]int{known, known}, [2]int{heard, heard}
+		}
+		r.out.Known = [2]int{min(r.out.Known[0], known), max(r.out.Known[1], known)}
+		r.out.Heard = [2]int{min(r.out.Heard[0], heard), max(r.out.Heard[1], heard)}
+	}
+	type answer struct {
+		of int
+		e  *record.Event
+	}
+	var since []answer
+	for i, p := range living {
+		for k := range p.answers {
+			if e := &p.answers[k]; e.T-time.Duration(e.Want) >= r.lastChange {
+				since = append(since, answer{i, e})
+			}
+		}
+	}
+	slices.SortFunc(since, func(a, b answer) int { return cmp.Compare(a.e.T, b.e.T) })
+	newest := map[int]*record.Event{}
+	for _, a := range since {
+		newest[a.of] = a.e
+		if len(newest) < len(living) {
+			continue
+		}
+		agree := true
+		for _, e := range newest {
+			agree = agree && e.Status == a.e.Status && int(e.Attempt) == share
+		}
+		if agree {
+			r.out.AgreeMS = float64(a.e.T-r.lastChange) / float64(time.Millisecond)
+			return
+		}
+	}
+}
--- a/internal/lab/memberscale_procs.go
+++ b/internal/lab/memberscale_procs.go
@@ -15,6 +15,7 @@
 
 	"marblelane/internal/lab/agent"
 	"marblelane/internal/lab/harness"
+	"marblelane/internal/lab/members"
 	"marblelane/internal/lab/process"
 	"marblelane/internal/lab/record"
 	"marblelane/internal/lab/relay"
@@ -90,7 +91,7 @@
 			"limits": map[string]any{"cores": s.Sidecars.Cores, "memory_mb": s.Sidecars.MemoryMB,
 				"sockets": s.Sidecars.Sockets}}
 		if section {
-			members := membership.Section{Fleet: memberFleet, Bind: "127.0.0.1:0", Interval: m.Interval.String()}
+			members := membership.Section{Fleet: members.FleetLabel, Bind: "127.0.0.1:0", Interval: m.Interval.String()}
 			if i < len(seeds) {
 				members.Bind = seeds[i]
 			}
--- a/internal/lab/parties.go
+++ b/internal/lab/parties.go
@@ -8,6 +8,7 @@
 	"time"
 
 	"marblelane/internal/lab/agent"
+	"marblelane/internal/lab/members"
 	"marblelane/internal/lab/record"
 	"marblelane/internal/lab/relay"
 	"marblelane/internal/lab/stock"
@@ -21,7 +22,7 @@
 		return err
 	}
 	if r.Scenario.Members != nil {
-		if r.members, err = newMembers(r); err != nil {
+		if r.members, err = members.New(r.Run); err != nil {
 			return err
 		}
 	}
@@ -71,7 +72,7 @@
 	if err := r.startService(ctx, entries); err != nil || r.members == nil {
 		return err
 	}
-	return r.members.startService(ctx)
+	return r.members.StartReplicas(ctx, r.service.rr)
 }
 
 // startAgents starts simulated discovery services.
--- a/internal/lab/run.go
+++ b/internal/lab/run.go
@@ -13,6 +13,7 @@
 	"marblelane/internal/lab/client"
 	"marblelane/internal/lab/harness"
 	"marblelane/internal/lab/invariant"
+	"marblelane/internal/lab/members"
 	"marblelane/internal/lab/relay"
 	"marblelane/internal/lab/report"
 	"marblelane/internal/lab/stock"
@@ -31,7 +32,7 @@
 	agents   []*agent.Agents          // stand-ins for list services, each with an agent for every sidecar
 	service  *service                 // real ones in their place; nil: stand-ins
 	rollouts atomic.Pointer[rollouts] // what tenants do with routes; nil: there are none
-	members  *members                 // what lies between members; nil: there is no membership
+	members  *members.Network         // what lies between members; nil: there is no membership
 	sidecars []*sidecar
 	tampers  []*tamper
 	load     *client.Load
@@ -87,7 +88,7 @@
 // Collect asks the parties for the last time, and ends the sidecars.
 func (r *run) Collect(ctx context.Context) error {
 	if r.members != nil {
-		r.members.end()
+		r.members.StopPolling()
 	}
 	r.measureAll()
 	if o := r.rollouts.Load(); o != nil {
@@ -114,9 +115,9 @@
 	}
 	rep := report.New(r.Plan, events, r.worked, routes, r.Spans(timers.Stalls))
 	if r.members != nil { // before the rules of routes ask which were held to some case
-		facts := r.members.facts()
+		facts := r.members.Facts()
 		invariant.CheckMembers(events, facts, rep.Verdict)
-		rep.Members = membersResult(events, facts, r.Scenario)
+		rep.Members = members.Result(events, facts)
 	}
 	if o := r.rollouts.Load(); o != nil {
 		rep.Routes = o.result(events, routes, rep.Verdict)
@@ -143,7 +144,7 @@
 	r.StopProcesses()
 	r.watchers.Wait()
 	if r.members != nil {
-		r.members.close()
+		r.members.Close()
 	}
 	for _, t := range r.tampers {
 		if t != nil {
--- a/internal/lab/sidecar_process.go
+++ b/internal/lab/sidecar_process.go
@@ -20,6 +20,7 @@
 	"marblelane/internal/fault"
 	"marblelane/internal/lab/harness"
 	"marblelane/internal/lab/invariant"
+	"marblelane/internal/lab/members"
 	"marblelane/internal/lab/process"
 	"marblelane/internal/lab/record"
 )
@@ -129,10 +130,10 @@
 	if err := os.MkdirAll(tmp, 0o755); err != nil {
 		return fmt.Errorf("sidecar %d: %w", s.number, err)
 	}
-	var at *front
+	var at *members.Endpoint
 	if r.members != nil && r.Scenario.Membered(s.number) {
 		var err error
-		if at, err = r.members.prepare(s.number); err != nil {
+		if at, err = r.members.Prepare(s.number); err != nil {
 			return fmt.Errorf("sidecar %d: %w", s.number, err)
 		}
 	}
@@ -156,19 +157,19 @@
 	s.older, s.now = s.now, c
 	s.mu.Unlock()
 	if at != nil {
-		r.members.has(at, c)
+		r.members.SetProcess(at, c)
 	}
 	s.spoilStart(ctx, c)
 	ready, err := c.AwaitLog(ctx, harness.ReadyText)
 	if err != nil {
 		if c.Kill(); at != nil {
-			r.members.die(at, c)
+			r.members.ProcessEnded(at, c)
 		}
 		return fmt.Errorf("sidecar %d at %s: %w", s.number, s.listen, err)
 	}
 	r.Note(record.Process, s.number, record.None, invariant.Serving)
 	if at != nil {
-		if err := r.members.begin(at, c, ready); err != nil {
+		if err := r.members.FollowProcess(at, c, ready); err != nil {
 			return fmt.Errorf("sidecar %d: %w", s.number, err)
 		}
 	}
@@ -214,7 +215,7 @@
 		config["routes"] = section
 	}
 	if r.members != nil {
-		if section := r.members.section(s.number); section != nil {
+		if section := r.members.Section(s.number); section != nil {
 			config["members"] = section
 		}
 	}
@@ -259,7 +260,7 @@
 func (s *sidecar) stop(c *process.Child, wait time.Duration) {
 	s.r.Note(record.Process, s.number, record.None, invariant.Stopping)
 	if s.r.members != nil {
-		s.r.members.leaving(c)
+		s.r.members.RecordLeaving(c)
 	}
 	if !s.spoilsEnd(c) {
 		if err := c.Signal(syscall.SIGTERM); err != nil {
