--- /dev/null
+++ b/internal/lab/rollouts/driver.go
@@ -0,0 +1,493 @@
+// Package rollouts is what the tenants and operators of a run do with its routes: rollouts, orders and audit queries, the
+// record of the answers, and the result.
+package rollouts
+
+import (
+	"bufio"
+	"bytes"
+	"context"
+	"encoding/json"
+	"fmt"
+	"maps"
+	"math/rand/v2"
+	"net/http"
+	"slices"
+	"strings"
+	"sync"
+	"sync/atomic"
+	"time"
+
+	"marblelane/internal/audit"
+	"marblelane/internal/lab/cluster"
+	"marblelane/internal/lab/harness"
+	"marblelane/internal/lab/invariant"
+	"marblelane/internal/lab/record"
+	"marblelane/internal/lab/scenario"
+	"marblelane/internal/rollout"
+	"marblelane/internal/route"
+)
+
+// Driver posts the rollouts of a scenario, sends the orders of tenants and operators, and records what the registry answers.
+// It calls the replicas directly, without the links whose faults concern sidecars.
+type Driver struct {
+	run      *harness.Run
+	registry *cluster.Cluster
+	epoch    time.Time // the wall clock at the run's beginning
+
+	mu           sync.Mutex
+	newestRev    int64              // revision of any table told
+	newestClosed int64              // the newest revision said to be closed
+	revisions    map[int64]bool     // of all tables told
+	postedAfter  []int64            // by rollout: see invariant.Rollout; -1: it was not posted
+	rejections   []string           // by rollout, why it was not taken; empty: it was
+	views        []rolloutView      // by rollout, the newest told
+	finalPhases  []string           // by rollout, the phase as the leader has it at the end
+	answers      []invariant.Answer // of the audit
+	auditQueries int                // questions that were answered
+	failures     []string
+	stalls       []invariant.Span
+
+	nextReplica atomic.Int64 // of the copy that is asked next
+	wg          sync.WaitGroup
+}
+
+// New is a driver for a run that begins now.
+func New(r *harness.Run, registry *cluster.Cluster) *Driver {
+	n := len(r.Scenario.Rollouts)
+	o := &Driver{run: r, registry: registry, epoch: time.Now().Add(-r.Elapsed()), revisions: map[int64]bool{}, postedAfter: make([]int64, n),
+		rejections: make([]string, n), views: make([]rolloutView, n), finalPhases: make([]string, n)}
+	for i := range o.postedAfter {
+		o.postedAfter[i] = -1
+	}
+	return o
+}
+
+// pollInterval is the time between two polls of the rollouts of a tenant.
+const pollInterval = 50 * time.Millisecond
+
+// Drive posts the rollouts, orders and audit queries of the scenario, until ctx ends.
+func (o *Driver) Drive(ctx context.Context) {
+	o.wg.Go(func() { o.recordStalls(ctx) })
+	for _, c := range o.registry.Replicas {
+		o.wg.Go(func() { o.watchTables(ctx, c) })
+	}
+	tenants := map[string]bool{}
+	for i := range o.run.Scenario.Rollouts {
+		post := &o.run.Scenario.Rollouts[i]
+		o.wg.Go(func() { o.postRollout(ctx, i, post) })
+		if !tenants[post.Tenant] {
+			tenants[post.Tenant] = true
+			o.wg.Go(func() { o.pollTenant(ctx, post.Tenant) })
+		}
+	}
+	for i := range o.run.Scenario.Orders {
+		o.wg.Go(func() { o.sendOrder(ctx, &o.run.Scenario.Orders[i]) })
+	}
+	for _, a := range o.run.Scenario.Asks {
+		o.wg.Go(func() {
+			if !o.sleepUntil(ctx, a.At) {
+				return
+			}
+			o.mu.Lock()
+			newest := o.newestRev
+			o.mu.Unlock()
+			now := o.run.Elapsed()
+			o.queryAudit(ctx, newest, now-a.Before.Duration(), now)
+		})
+	}
+	o.wg.Wait()
+}
+
+// maxTimerLag is how late a timer of the lab may be before it is recorded as a stall.
+const maxTimerLag = 20 * time.Millisecond
+
+// recordStalls records when the timers of the lab were late, until ctx ends.
+func (o *Driver) recordStalls(ctx context.Context) {
+	const every = 5 * time.Millisecond
+	for {
+		due := o.run.Events.Now() + every
+		if !harness.Sleep(ctx, every) {
+			return
+		}
+		if now := o.run.Events.Now(); now > due+maxTimerLag {
+			o.mu.Lock()
+			o.stalls = append(o.stalls, invariant.Span{From: due - o.run.Began, To: now - o.run.Began + maxTimerLag})
+			o.mu.Unlock()
+		}
+	}
+}
+
+func (o *Driver) sleepUntil(ctx context.Context, at scenario.Duration) bool {
+	return harness.Sleep(ctx, at.Duration()-o.run.Elapsed())
+}
+
+func (o *Driver) fail(format string, args ...any) {
+	o.mu.Lock()
+	defer o.mu.Unlock()
+	o.failures = append(o.failures, fmt.Sprintf(format, args...))
+}
+
+// watchTables watches the tables of a replica, and records each.
+func (o *Driver) watchTables(ctx context.Context, c *cluster.Replica) {
+	after := int64(0)
+	for ctx.Err() == nil {
+		o.watchReplica(ctx, c, &after)
+		harness.Sleep(ctx, pollInterval)
+	}
+}
+
+func (o *Driver) watchReplica(ctx context.Context, c *cluster.Replica, after *int64) {
+	url := fmt.Sprintf("http://%s%s?watch=1&schema=%d&after=%d", c.Address, route.TablePath, route.Newest, *after)
+	req, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
+	if err != nil {
+		return
+	}
+	resp, err := (&http.Transport{DisableKeepAlives: true}).RoundTrip(req)
+	if err != nil {
+		return
+	}
+	defer resp.Body.Close()
+	if resp.StatusCode != http.StatusOK {
+		return
+	}
+	for in := bufio.NewReader(resp.Body); ; {
+		line, err := in.ReadBytes('\n')
+		if err != nil {
+			return
+		}
+		if line = bytes.TrimSpace(line); len(line) > 0 {
+			*after = max(*after, o.recordTable(c.Number, line))
+		}
+	}
+}
+
+// table is what the lab reads of a routing table. It is lenient, so that the invariants judge and not the decoder.
+type table struct {
+	Rev    int64 `json:"rev"`
+	Closed int64 `json:"closed"`
+	Routes []struct {
+		Tenant  string  `json:"tenant"`
+		Share   float64 `json:"share"`
+		Rollout string  `json:"rollout"`
+		Step    int     `json:"step"`
+	} `json:"routes"`
+}
+
+// recordTable records a table.
+func (o *Driver) recordTable(replica int, line []byte) int64 {
+	var t table
+	if json.Unmarshal(line, &t) != nil {
+		return 0
+	}
+	e := record.Event{T: o.run.Events.Now(), Sidecar: record.None, Server: int32(replica), Class: record.None, Rev: t.Rev}
+	e.Kind = record.RoutesObserved
+	o.run.Events.Add(e)
+	o.recordClosed(replica, t.Closed)
+	for _, one := range t.Routes {
+		if n := o.rolloutIndex(one.Tenant, rollout.RolloutName(one.Rollout)); n >= 0 {
+			e.Kind, e.Status, e.Work, e.Attempt = record.RolloutFraction, int32(n), one.Share, int16(one.Step)
+			o.run.Events.Add(e)
+		}
+	}
+	o.mu.Lock()
+	o.newestRev = max(o.newestRev, t.Rev)
+	o.revisions[t.Rev] = true
+	o.mu.Unlock()
+	return t.Rev
+}
+
+// recordClosed records that a replica called a revision closed.
+func (o *Driver) recordClosed(replica int, rev int64) {
+	o.mu.Lock()
+	news := rev > o.newestClosed
+	o.newestClosed = max(o.newestClosed, rev)
+	o.mu.Unlock()
+	if news {
+		o.run.Events.Add(record.Event{Kind: record.RevisionClosed, Sidecar: record.None, Server: int32(replica), Class: record.None, Rev: rev})
+	}
+}
+
+// rolloutIndex is the index of a rollout in the scenario; -1: it has none.
+func (o *Driver) rolloutIndex(tenant, name string) int {
+	return slices.IndexFunc(o.run.Scenario.Rollouts, func(p scenario.Rollout) bool { return p.Tenant == tenant && p.Name == name })
+}
+
+// Request is a rollout as it is posted.
+type Request struct {
+	To      string         `json:"to"`
+	Classes []string       `json:"classes,omitempty"`
+	Steps   []rollout.Step `json:"steps"`
+	Budget  int64          `json:"budget"`
+	Late    bool           `json:"late"`
+	AtEnd   string         `json:"at_end"`
+}
+
+// call calls each replica in turn until one answers. A rejection is an answer.
+func (o *Driver) call(ctx context.Context, method, path string, body any) (code int, text []byte) {
+	data, err := json.Marshal(body)
+	if err != nil || body == nil {
+		data = nil
+	}
+	for {
+		all := o.registry.Replicas
+		c := all[int(o.nextReplica.Add(1))%len(all)]
+		code, text, err = cluster.Call(ctx, method, c.URL(path), data)
+		if err == nil && code < 500 && code != http.StatusTooManyRequests {
+			return code, text
+		}
+		o.run.Log.Debug("lab: call of the routes failed", "path", path, "code", code, "answer", string(text), "err", err)
+		if !harness.Sleep(ctx, pollInterval) {
+			return 0, nil
+		}
+	}
+}
+
+// postRollout posts a rollout at its time.
+func (o *Driver) postRollout(ctx context.Context, n int, p *scenario.Rollout) {
+	if !o.sleepUntil(ctx, p.At) {
+		return
+	}
+	body := Request{To: p.To, Classes: p.Classes, Budget: p.Budget, Late: p.Late, AtEnd: p.AtEnd}
+	for _, st := range p.Steps {
+		body.Steps = append(body.Steps, rollout.Step{CanaryFraction: st.Share, HoldMS: st.Hold.Duration().Milliseconds(), MinAttempts: st.Requests})
+	}
+	o.mu.Lock()
+	o.postedAfter[n] = o.newestRev
+	o.mu.Unlock()
+	path := "/routes/" + p.Tenant + "/rollouts/" + p.Name
+	times := 1
+	if p.Twice {
+		times = 2
+	}
+	for range times {
+		code, text := o.call(ctx, http.MethodPost, path, body)
+		if code == 0 {
+			return
+		}
+		if code != http.StatusOK {
+			o.mu.Lock()
+			o.rejections[n], o.postedAfter[n] = fmt.Sprintf("%d %s", code, strings.TrimSpace(string(text))), -1
+			o.mu.Unlock()
+			return
+		}
+	}
+}
+
+// sendOrder sends an order of a tenant or operator at its time.
+func (o *Driver) sendOrder(ctx context.Context, d *scenario.Order) {
+	if !o.sleepUntil(ctx, d.At) {
+		return
+	}
+	path, body := "", any(nil)
+	switch d.Do {
+	case "base":
+		path, body = "/routes/"+d.Tenant+"/base", map[string]string{"to": d.To}
+	case "schema":
+		path, body = "/routes/schema", map[string]int{"least": d.Least}
+	default:
+		i := slices.IndexFunc(o.run.Scenario.Rollouts, func(p scenario.Rollout) bool { return p.Name == d.Rollout })
+		path = "/routes/" + o.run.Scenario.Rollouts[i].Tenant + "/rollouts/" + d.Rollout + "/" + d.Do
+	}
+	code, text := o.call(ctx, http.MethodPost, path, body)
+	if code != 0 && (code != http.StatusOK) != d.Refused {
+		o.fail("the order %s at %v is answered %d %s", d.Do, d.At.Duration(), code, strings.TrimSpace(string(text)))
+	}
+}
+
+// tenantView is what the lab reads of the routes of a tenant.
+type tenantView struct {
+	Closed   int64         `json:"closed"`
+	Rollouts []rolloutView `json:"rollouts"`
+}
+
+type rolloutView struct {
+	Name    string        `json:"name"`
+	Phase   rollout.Phase `json:"phase"`
+	Step    int           `json:"step"`
+	Rev     int64         `json:"rev"`
+	Why     string        `json:"why"`
+	Left    int64         `json:"left"`
+	Granted int64         `json:"granted"`
+	Spent   int64         `json:"spent"`
+}
+
+// pollTenant polls the rollouts of a tenant at each replica in turn, and records changes.
+func (o *Driver) pollTenant(ctx context.Context, tenant string) {
+	for i := 0; harness.Sleep(ctx, pollInterval); i++ {
+		c := o.registry.Replicas[i%len(o.registry.Replicas)]
+		code, text, err := cluster.Call(ctx, http.MethodGet, c.URL("/routes/"+tenant), nil)
+		if err == nil && code == http.StatusOK {
+			o.recordTenant(c.Number, tenant, text)
+		}
+	}
+}
+
+// recordTenant records the rollouts of a tenant as a replica answered them.
+func (o *Driver) recordTenant(replica int, tenant string, text []byte) {
+	var t tenantView
+	if err := json.Unmarshal(text, &t); err != nil {
+		o.fail("the routes of %s cannot be read: %v", tenant, err)
+		return
+	}
+	o.recordClosed(replica, t.Closed)
+	for _, one := range t.Rollouts {
+		n := o.rolloutIndex(tenant, one.Name)
+		if n < 0 {
+			continue
+		}
+		o.mu.Lock()
+		was := o.views[n]
+		o.views[n] = one
+		o.mu.Unlock()
+		if was.Rev != one.Rev || was.Phase != one.Phase || was.Step != one.Step || one.Left < 0 {
+			o.run.Events.Add(record.Event{Kind: record.RolloutPhase, Sidecar: record.None, Server: int32(replica), Class: record.None,
+				Rev: one.Rev, Status: int32(n), Attempt: int16(one.Step), N: one.Left, Note: string(one.Phase), Sum: uint64(one.Granted), Want: uint64(one.Spent)})
+		}
+	}
+}
+
+// queryAudit asks the audit who acted on a revision between two times of the run, and keeps the answer.
+func (o *Driver) queryAudit(ctx context.Context, rev int64, from, to time.Duration) {
+	from = max(from, 0)
+	// Whole milliseconds, inwards: the answer is for no more than was asked.
+	fromMS, toMS := o.epoch.Add(from).UnixMilli()+1, o.epoch.Add(to).UnixMilli()
+	code, text := o.call(ctx, http.MethodGet, fmt.Sprintf("/routes/audit?rev=%d&from=%d&to=%d", rev, fromMS, toMS), nil)
+	if code == 0 {
+		return
+	}
+	var got struct {
+		Answers []audit.Answer `json:"answers"`
+	}
+	if err := json.Unmarshal(text, &got); code != http.StatusOK || err != nil {
+		o.fail("the audit of revision %d is answered %d %s, %v", rev, code, strings.TrimSpace(string(text)), err)
+		return
+	}
+	o.mu.Lock()
+	defer o.mu.Unlock()
+	o.auditQueries++
+	for _, a := range got.Answers {
+		o.answers = append(o.answers, invariant.Answer{Rev: rev, From: time.UnixMilli(fromMS).Sub(o.epoch), To: time.UnixMilli(toMS).Sub(o.epoch),
+			AskedAt: o.run.Elapsed(), Name: a.Name, Start: a.Start, Verdict: a.Verdict, Reason: a.Reason})
+	}
+}
+
+const (
+	collectTimeout      = 15 * time.Second
+	maxAuditedRevisions = 12 // revisions that are asked for at the end
+	auditWindows        = 6  // of each
+)
+
+// Collect reads, with the traffic over and the sidecars still running, the final phases and the answers of the audit.
+func (o *Driver) Collect(ctx context.Context) {
+	ctx, cancel := context.WithTimeout(ctx, collectTimeout)
+	defer cancel()
+	harness.Sleep(ctx, time.Second) // the last attempts are in the next report
+	over := o.run.Elapsed()
+	tenants := map[string]bool{}
+	for i := range o.run.Scenario.Rollouts {
+		tenants[o.run.Scenario.Rollouts[i].Tenant] = true
+	}
+	for _, tenant := range slices.Sorted(maps.Keys(tenants)) {
+		o.readFinalPhases(ctx, tenant)
+	}
+	if broken := o.run.Scenario.Expect.Breaks; len(broken) > 0 && !slices.Contains(broken, invariant.AuditTrue) {
+		return // what is planted misleads the audit too
+	}
+	o.mu.Lock()
+	revs := slices.Sorted(maps.Keys(o.revisions))
+	o.mu.Unlock()
+	rng := rand.New(rand.NewPCG(o.run.Plan.Seed, 0x6175646974))
+	for len(revs) > maxAuditedRevisions {
+		i := rng.IntN(len(revs))
+		revs = slices.Delete(revs, i, i+1)
+	}
+	for _, rev := range revs {
+		if rev == 0 {
+			continue
+		}
+		o.queryAudit(ctx, rev, 0, over)
+		for range auditWindows {
+			from := time.Duration(rng.Float64() * float64(over))
+			o.queryAudit(ctx, rev, from, from+time.Duration(rng.Float64()*float64(over-from)))
+		}
+	}
+}
+
+// readFinalPhases asks the leader for the rollouts of a tenant.
+func (o *Driver) readFinalPhases(ctx context.Context, tenant string) {
+	for {
+		if lead := o.registry.Leader(ctx); lead != nil {
+			code, text, err := cluster.Call(ctx, http.MethodGet, lead.URL("/routes/"+tenant), nil)
+			if err == nil && code == http.StatusOK {
+				o.recordTenant(lead.Number, tenant, text)
+				var t tenantView
+				_ = json.Unmarshal(text, &t) // said above
+				for _, one := range t.Rollouts {
+					if n := o.rolloutIndex(tenant, one.Name); n >= 0 {
+						o.finalPhases[n] = string(one.Phase)
+					}
+				}
+				return
+			}
+		}
+		if !harness.Sleep(ctx, pollInterval) {
+			return
+		}
+	}
+}
+
+// delaysTraffic tells whether messages of a sidecar may be late or lost under a fault.
+func delaysTraffic(f *scenario.Fault) bool {
+	switch f.Kind {
+	case "cut", "latency", "bandwidth", "lose", "reset", "refuse", "half-close", "break", "accept-late":
+		return f.Link == "servers"
+	case "kill", "restart", "drain", "replace", "vanish", "hang", "idle-close", "reset-begun", "drop":
+		return true
+	}
+	return false
+}
+
+// faultRecovery is how long after a fault a delayed message may still arrive.
+const faultRecovery = time.Second
+
+// Facts are what the invariants hold the run against.
+func (o *Driver) Facts() *invariant.Routes {
+	p, s := o.run.Plan, o.run.Scenario
+	f := &invariant.Routes{Answers: o.answers, LabStalls: o.stalls, Epoch: o.epoch.UnixNano(),
+		Latency: time.Duration(float64(max(s.Network.Cross, s.Network.Far)) * (1 + s.Network.Jitter))}
+	if len(s.Network.Regions) == 0 {
+		f.Latency = time.Duration(float64(max(s.Network.Cross, s.Network.Same)) * (1 + s.Network.Jitter))
+	}
+	for i := range p.Sidecars {
+		f.Names = append(f.Names, p.Sidecars[i].Name)
+	}
+	for i := range p.Faults {
+		if one := &p.Faults[i]; delaysTraffic(&one.Fault) {
+			f.LinkFaults = append(f.LinkFaults, invariant.Span{From: one.At, To: one.Until + faultRecovery})
+		}
+	}
+	for i := range s.Rollouts {
+		one := &s.Rollouts[i]
+		r := invariant.Rollout{Name: one.Name, Budget: one.Budget, After: o.postedAfter[i], Final: o.finalPhases[i],
+			Tenant: slices.IndexFunc(s.Tenants, func(t scenario.Tenant) bool { return t.Name == one.Tenant })}
+		for k := range s.Classes {
+			r.Classes = append(r.Classes, len(one.Classes) == 0 || slices.Contains(one.Classes, s.Classes[k].Name))
+			if one.Late {
+				r.LatencyObjectives = append(r.LatencyObjectives, s.Pace(s.Classes[k].Aim))
+			}
+		}
+		for k := range p.Servers {
+			r.Servers = append(r.Servers, p.InSubset(one.To, k))
+		}
+		f.Rollouts = append(f.Rollouts, r)
+	}
+	return f
+}
+
+// RecordLine records the closed revision of a table that a sidecar was sent.
+func (o *Driver) RecordLine(line []byte) {
+	var t table
+	if json.Unmarshal(line, &t) == nil {
+		o.recordClosed(record.None, t.Closed)
+	}
+}
--- /dev/null
+++ b/internal/lab/rollouts/result.go
@@ -0,0 +1,137 @@
+package rollouts
+
+import (
+	"math"
+	"slices"
+	"time"
+
+	"marblelane/internal/lab/invariant"
+	"marblelane/internal/lab/record"
+	"marblelane/internal/lab/report"
+)
+
+// firstPermissionTime is how long sidecars may take to ask for their first permission after the first table.
+const firstPermissionTime = time.Second
+
+// Result is what became of the rollouts.
+func (o *Driver) Result(all []record.Event, facts *invariant.Routes, v *invariant.Verdict) *report.RoutesResult {
+	out := &report.RoutesResult{Asked: o.auditQueries, Verdicts: map[string]int{}, Tables: len(o.revisions), Missed: o.failures}
+	for _, a := range o.answers {
+		out.Verdicts[string(a.Verdict)]++
+	}
+	for i := range o.run.Scenario.Rollouts {
+		p := &o.run.Scenario.Rollouts[i]
+		one := report.RolloutResult{Name: p.Name, Tenant: p.Tenant, End: o.finalPhases[i], Step: o.views[i].Step, Why: o.views[i].Why, Budget: p.Budget, Spent: o.views[i].Spent}
+		if o.rejections[i] != "" {
+			one.End, one.Why = "refused", o.rejections[i]
+		}
+		if i < len(v.Failures) {
+			one.Failures = v.Failures[i]
+		}
+		out.Rollouts = append(out.Rollouts, one)
+	}
+	o.countShares(out, all, facts)
+	return out
+}
+
+// toldShare is the share of a step as a table told it.
+type toldShare struct {
+	rollout, step int
+	share         float64
+}
+
+// shareCount counts the first attempts of requests by the shares of their revision.
+type shareCount struct {
+	told    map[int64][]toldShare  // by revision
+	running map[int]invariant.Span // by tenant, while a rollout is under way
+	closed  int64
+}
+
+func (o *Driver) countShares(out *report.RoutesResult, events []record.Event, facts *invariant.Routes) {
+	c := &shareCount{told: map[int64][]toldShare{}, running: map[int]invariant.Span{}}
+	c.readTables(events, facts)
+	out.Closed = max(out.Closed, c.closed)
+	out.Held = o.heldShare(c.running, events)
+	sums := map[toldShare]*report.StepShare{}
+	counted := map[uint64]bool{} // requests whose first attempt was counted
+	for i := range events {
+		e := &events[i]
+		if e.Kind != record.FirstByte || counted[e.Request] {
+			continue
+		}
+		counted[e.Request] = true
+		for _, t := range c.told[e.Rev] {
+			if r := &facts.Rollouts[t.rollout]; r.Tenant == int(e.Tenant) && r.Classes[e.Class] {
+				addAttempt(sums, t, e.Canary)
+				if e.Canary {
+					out.Rollouts[t.rollout].Canary++
+				}
+			}
+		}
+	}
+	for t, s := range sums {
+		s.Measured /= float64(s.Attempts)
+		r := &out.Rollouts[t.rollout]
+		r.Steps = append(r.Steps, *s)
+		slices.SortFunc(r.Steps, func(a, b report.StepShare) int { return a.Step - b.Step })
+	}
+}
+
+// addAttempt counts an attempt under the first share that was told of its step.
+func addAttempt(sums map[toldShare]*report.StepShare, t toldShare, canary bool) {
+	key := toldShare{rollout: t.rollout, step: t.step}
+	s := sums[key]
+	if s == nil {
+		s = &report.StepShare{Step: t.step, Share: t.share}
+		sums[key] = s
+	}
+	s.Attempts++
+	if canary {
+		s.Measured++
+	}
+}
+
+// readTables reads which shares were told under which revision, and when the rollouts of each tenant were under way.
+func (c *shareCount) readTables(events []record.Event, facts *invariant.Routes) {
+	for i := range events {
+		switch e := &events[i]; e.Kind {
+		case record.RevisionClosed:
+			c.closed = max(c.closed, e.Rev)
+		case record.RolloutFraction:
+			if e.Work <= 0 {
+				continue
+			}
+			tenant := facts.Rollouts[e.Status].Tenant
+			if _, ok := c.running[tenant]; !ok {
+				c.running[tenant] = invariant.Span{From: e.T + firstPermissionTime, To: math.MaxInt64}
+			}
+			if t := (toldShare{int(e.Status), int(e.Attempt), e.Work}); !slices.Contains(c.told[e.Rev], t) {
+				c.told[e.Rev] = append(c.told[e.Rev], t)
+			}
+		case record.RolloutPhase:
+			tenant := facts.Rollouts[e.Status].Tenant
+			if s, ok := c.running[tenant]; ok && e.Note != "running" {
+				c.running[tenant] = invariant.Span{From: s.From, To: min(s.To, e.T)}
+			}
+		}
+	}
+}
+
+// heldShare is the share of attempts without permission while a rollout of their tenant was under way.
+func (o *Driver) heldShare(running map[int]invariant.Span, events []record.Event) float64 {
+	held, attempts := 0, 0
+	for i := range events {
+		e := &events[i]
+		span, ok := running[int(e.Tenant)]
+		if e.Kind != record.FirstByte || !ok || e.T < span.From || span.To < e.T || o.run.Scenario.Older(int(e.Sidecar)) {
+			continue
+		}
+		if attempts++; e.Rev == 0 {
+			held++
+		}
+	}
+	if attempts == 0 {
+		return 0
+	}
+	return float64(held) / float64(attempts)
+}
--- a/internal/lab/routescale_fleet.go
+++ b/internal/lab/routescale_fleet.go
@@ -23,6 +23,7 @@
 	"marblelane/internal/lab/cluster"
 	"marblelane/internal/lab/harness"
 	"marblelane/internal/lab/process"
+	"marblelane/internal/lab/rollouts"
 	"marblelane/internal/lab/scenario"
 	"marblelane/internal/rollout"
 	"marblelane/internal/routeclient"
@@ -272,7 +273,7 @@
 
 // overspend lets a canary fail until its budget is spent, beside the baseline.
 func (f *fleet) overspend(ctx context.Context, p *RoutePoint) error {
-	rev, _, err := f.call(ctx, "/routes/scale/rollouts/spent", posted{To: "new", Budget: scaleBudget, AtEnd: "return",
+	rev, _, err := f.call(ctx, "/routes/scale/rollouts/spent", rollouts.Request{To: "new", Budget: scaleBudget, AtEnd: "return",
 		Steps: []rollout.Step{{CanaryFraction: 1, HoldMS: time.Hour.Milliseconds()}}})
 	if err != nil {
 		return err
--- a/internal/lab/run.go
+++ b/internal/lab/run.go
@@ -16,6 +16,7 @@
 	"marblelane/internal/lab/members"
 	"marblelane/internal/lab/relay"
 	"marblelane/internal/lab/report"
+	"marblelane/internal/lab/rollouts"
 	"marblelane/internal/lab/stock"
 )
 
@@ -29,10 +30,10 @@
 	book     *client.RequestLog
 	pods     []*stock.Pod
 	servers  []*stock.Server
-	agents   []*agent.Agents          // stand-ins for list services, each with an agent for every sidecar
-	service  *service                 // real ones in their place; nil: stand-ins
-	rollouts atomic.Pointer[rollouts] // what tenants do with routes; nil: there are none
-	members  *members.Network         // what lies between members; nil: there is no membership
+	agents   []*agent.Agents                 // stand-ins for list services, each with an agent for every sidecar
+	service  *service                        // real ones in their place; nil: stand-ins
+	rollouts atomic.Pointer[rollouts.Driver] // what tenants do with routes; nil: there are none
+	members  *members.Network                // what lies between members; nil: there is no membership
 	sidecars []*sidecar
 	tampers  []*tamper
 	load     *client.Load
@@ -69,9 +70,9 @@
 	r.Tasks.Go(func() { r.sample(ctx) })
 	r.Tasks.Go(func() { r.injectFaults(ctx) })
 	if r.Scenario.Routed() {
-		o := newRollouts(r)
+		o := rollouts.New(r.Run, r.service.rr)
 		r.rollouts.Store(o) // sidecars ask already
-		r.Tasks.Go(func() { o.play(ctx) })
+		r.Tasks.Go(func() { o.Drive(ctx) })
 	}
 	r.lateness = r.load.Run(ctx)
 	r.overheardBy.Store(nil)
@@ -92,7 +93,7 @@
 	}
 	r.measureAll()
 	if o := r.rollouts.Load(); o != nil {
-		o.finish(ctx)
+		o.Collect(ctx)
 	}
 	r.stopSidecars()
 	r.watchers.Wait()
@@ -111,7 +112,7 @@
 	r.shiftArrivals(-r.Began)
 	var routes *invariant.Routes
 	if o := r.rollouts.Load(); o != nil {
-		routes = o.facts()
+		routes = o.Facts()
 	}
 	rep := report.New(r.Plan, events, r.worked, routes, r.Spans(timers.Stalls))
 	if r.members != nil { // before the rules of routes ask which were held to some case
@@ -120,7 +121,7 @@
 		rep.Members = members.Result(events, facts)
 	}
 	if o := r.rollouts.Load(); o != nil {
-		rep.Routes = o.result(events, routes, rep.Verdict)
+		rep.Routes = o.Result(events, routes, rep.Verdict)
 	}
 	rep.Lateness = report.NewLateness(r.lateness, timers.Lag)
 	if r.service != nil {
--- a/internal/lab/service.go
+++ b/internal/lab/service.go
@@ -20,6 +20,7 @@
 	"marblelane/internal/lab/harness"
 	"marblelane/internal/lab/record"
 	"marblelane/internal/lab/relay"
+	"marblelane/internal/lab/rollouts"
 	"marblelane/internal/lab/scenario"
 	"marblelane/internal/registry"
 	"marblelane/internal/route"
@@ -35,7 +36,7 @@
 	numbers map[string]int
 
 	mu     sync.Mutex
-	undone atomic.Pointer[undoer] // a planted defect
+	undone atomic.Pointer[rollouts.RollbackDefect] // a planted defect
 
 	gone map[int]bool // servers that the list has been told to forget
 	news map[int]int  // by server: changes that were published
@@ -246,6 +247,17 @@
 	return u.String()
 }
 
+// passRoutes is the line that a sidecar is sent in place of a line of the registry's routes.
+func (s *service) passRoutes(line []byte) []byte {
+	if o := s.r.rollouts.Load(); o != nil {
+		o.RecordLine(line)
+	}
+	if undone := s.undone.Load(); undone != nil {
+		return undone.Rewrite(line)
+	}
+	return line
+}
+
 // translate writes a sidecar's own addresses into a line, and gives what records that it was told. A line that is no list
 // passes.
 func (s *service) translate(sidecar int, line []byte) (text []byte, tell func()) {
--- a/internal/lab/tamper.go
+++ b/internal/lab/tamper.go
@@ -2,7 +2,6 @@
 
 import (
 	"context"
-	"encoding/json"
 	"errors"
 	"fmt"
 	"io"
@@ -17,6 +16,7 @@
 	"marblelane/internal/lab/agent"
 	"marblelane/internal/lab/harness"
 	"marblelane/internal/lab/process"
+	"marblelane/internal/lab/rollouts"
 	"marblelane/internal/lab/scenario"
 	"marblelane/internal/lab/stock"
 )
@@ -65,7 +65,7 @@
 		}
 	case "undo-rollback":
 		if r.service.undone.Store(nil); on {
-			r.service.undone.Store(&undoer{last: map[string]json.RawMessage{}})
+			r.service.undone.Store(rollouts.NewRollbackDefect())
 		}
 	case "end-early", "ignore-term":
 		for _, i := range p.Sidecars {
