--- a/internal/lab/cluster/faults.go
+++ b/internal/lab/cluster/faults.go
@@ -6,12 +6,14 @@
 	"bytes"
 	"context"
 	"encoding/json"
+	"errors"
 	"fmt"
 	"net/http"
 	"os"
 	"path/filepath"
 	"slices"
 	"strconv"
+	"sync/atomic"
 	"syscall"
 	"time"
 
@@ -48,87 +50,135 @@
 	}
 }
 
+// injector starts a fault in the chosen replicas, and gives the function that ends it.
+type injector func(c *Cluster, ctx context.Context, f *scenario.FaultPlan, chosen []*Replica) (undo func() error, err error)
+
+// injectors are the faults of replicas and the planted defects of the registry, by kind.
+var injectors = map[string]injector{
+	"copy-kill":           (*Cluster).killReplicas,
+	"copy-freeze":         (*Cluster).freezeReplicas,
+	"copy-cut":            (*Cluster).partition,
+	"copy-disk-full":      (*Cluster).fillDisks,
+	"copy-disk-lost":      (*Cluster).loseDisks,
+	"copy-disk-slow":      (*Cluster).slowDisks,
+	"copy-clock":          (*Cluster).stepClocks,
+	"copy-sync-kept":      syncFault(fault.SyncErrorPersisted),
+	"copy-sync-lost":      syncFault(fault.SyncErrorLost),
+	"defect-unheard-disk": syncFault(fault.SyncSilentLoss),
+	"defect-stale-read":   defect(func(c *Cluster) *atomic.Bool { return &c.servesStaleReads }),
+	"defect-fresh-claim":  defect(func(c *Cluster) *atomic.Bool { return &c.reportsZeroAge }),
+	"defect-skipped-line": defect(func(c *Cluster) *atomic.Bool { return &c.dropsWatchLines }),
+}
+
 // InjectFault starts a fault, and gives the function that ends it.
-func (c *Cluster) InjectFault(ctx context.Context, p *scenario.FaultPlan) (undo func() error, err error) {
-	switch p.Fault.Kind {
-	case "defect-stale-read":
-		c.servesStaleReads.Store(true)
-		return func() error { c.servesStaleReads.Store(false); return nil }, nil
-	case "defect-fresh-claim":
-		c.reportsZeroAge.Store(true)
-		return func() error { c.reportsZeroAge.Store(false); return nil }, nil
-	case "defect-skipped-line":
-		c.dropsWatchLines.Store(true)
-		return func() error { c.dropsWatchLines.Store(false); return nil }, nil
-	}
-	chosen := c.selectReplicas(ctx, p.Fault.Copies)
-	switch p.Fault.Kind {
-	case "copy-kill":
-		for _, replica := range chosen {
-			p := replica.Process()
-			p.Kill()
-			replica.mu.Lock()
-			replica.pastCPU += p.CPU()
-			replica.mu.Unlock()
+func (c *Cluster) InjectFault(ctx context.Context, f *scenario.FaultPlan) (undo func() error, err error) {
+	inject := injectors[f.Fault.Kind]
+	if inject == nil {
+		return nil, errors.New("no such fault of the list service")
+	}
+	var chosen []*Replica
+	if f.Fault.Copies != "" {
+		chosen = c.selectReplicas(ctx, f.Fault.Copies)
+	}
+	return inject(c, ctx, f, chosen)
+}
+
+// defect is a planted defect that a flag turns on.
+func defect(flag func(*Cluster) *atomic.Bool) injector {
+	return func(c *Cluster, _ context.Context, _ *scenario.FaultPlan, _ []*Replica) (func() error, error) {
+		flag(c).Store(true)
+		return func() error { flag(c).Store(false); return nil }, nil
+	}
+}
+
+func (c *Cluster) killReplicas(ctx context.Context, _ *scenario.FaultPlan, chosen []*Replica) (func() error, error) {
+	for _, replica := range chosen {
+		child := replica.Process()
+		child.Kill()
+		replica.mu.Lock()
+		replica.pastCPU += child.CPU()
+		replica.mu.Unlock()
+	}
+	return func() error { return c.restart(ctx, chosen) }, nil
+}
+
+// restart starts replicas that were killed, and measures how long they take to catch up.
+func (c *Cluster) restart(ctx context.Context, chosen []*Replica) error {
+	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), harness.StartTimeout)
+	defer cancel()
+	for _, replica := range chosen {
+		if err := c.Launch(ctx, replica); err != nil {
+			return err
 		}
-		return func() error {
-			start, cancel := context.WithTimeout(context.WithoutCancel(ctx), harness.StartTimeout)
-			defer cancel()
-			for _, replica := range chosen {
-				if err := c.Launch(start, replica); err != nil {
-					return err
-				}
-			}
-			return c.catchUp(start, chosen)
-		}, nil
-	case "copy-freeze":
-		signal := func(s syscall.Signal) error {
-			for _, replica := range chosen {
-				if err := replica.Process().Signal(s); err != nil {
-					return err
-				}
+	}
+	return c.catchUp(ctx, chosen)
+}
+
+func (c *Cluster) freezeReplicas(_ context.Context, _ *scenario.FaultPlan, chosen []*Replica) (func() error, error) {
+	signal := func(s syscall.Signal) error {
+		for _, replica := range chosen {
+			if err := replica.Process().Signal(s); err != nil {
+				return err
 			}
-			return nil
 		}
-		return func() error { return signal(syscall.SIGCONT) }, signal(syscall.SIGSTOP)
-	case "copy-disk-full":
-		failed, err := c.failDisks(chosen, func() error {
-			for _, replica := range chosen {
-				if err := replica.Process().FillDisk(4096); err != nil {
-					return err
-				}
-			}
-			return nil
-		})
-		return func() error { return c.healDisks(ctx, failed, func() error { return freeDisks(failed) }) }, err
-	case "copy-disk-lost":
+		return nil
+	}
+	return func() error { return signal(syscall.SIGCONT) }, signal(syscall.SIGSTOP)
+}
+
+// partition cuts replicas off from the others.
+func (c *Cluster) partition(_ context.Context, f *scenario.FaultPlan, chosen []*Replica) (func() error, error) {
+	heal := func() error { return c.setPartition(chosen, f.Fault.Way, false) }
+	return heal, c.setPartition(chosen, f.Fault.Way, true)
+}
+
+// fullDiskBytes is how much room a full disk has left.
+const fullDiskBytes = 4096
+
+func (c *Cluster) fillDisks(ctx context.Context, _ *scenario.FaultPlan, chosen []*Replica) (func() error, error) {
+	failed, err := c.failDisks(chosen, func() error {
 		for _, replica := range chosen {
-			replica.Process().Kill()
-			if err := os.RemoveAll(filepath.Join(replica.Spec.Dir, "data")); err != nil {
-				return nil, err
+			if err := replica.Process().FillDisk(fullDiskBytes); err != nil {
+				return err
 			}
 		}
-		return func() error { return c.rejoinEmpty(ctx, chosen) }, nil
-	case "copy-disk-slow":
-		return c.writeFaults(chosen, fault.NewSet(0, time.Duration(p.Fault.Size*float64(time.Second)), ""))
-	case "copy-clock":
-		return c.writeFaults(chosen, fault.NewSet(time.Duration(p.Fault.Size*float64(time.Second)), 0, ""))
-	case "copy-sync-kept", "copy-sync-lost", "defect-unheard-disk":
-		syncFaults := map[string]fault.SyncFault{
-			"copy-sync-kept":      fault.SyncErrorPersisted,
-			"copy-sync-lost":      fault.SyncErrorLost,
-			"defect-unheard-disk": fault.SyncSilentLoss,
+		return nil
+	})
+	return func() error { return c.healDisks(ctx, failed, func() error { return freeDisks(failed) }) }, err
+}
+
+func (c *Cluster) loseDisks(ctx context.Context, _ *scenario.FaultPlan, chosen []*Replica) (func() error, error) {
+	for _, replica := range chosen {
+		replica.Process().Kill()
+		if err := os.RemoveAll(replica.dataDir()); err != nil {
+			return nil, err
 		}
+	}
+	return func() error { return c.rejoinEmpty(ctx, chosen) }, nil
+}
+
+func (c *Cluster) slowDisks(_ context.Context, f *scenario.FaultPlan, chosen []*Replica) (func() error, error) {
+	return c.writeFaults(chosen, fault.NewSet(0, sizeInSeconds(f), ""))
+}
+
+func (c *Cluster) stepClocks(_ context.Context, f *scenario.FaultPlan, chosen []*Replica) (func() error, error) {
+	return c.writeFaults(chosen, fault.NewSet(sizeInSeconds(f), 0, ""))
+}
+
+func sizeInSeconds(f *scenario.FaultPlan) time.Duration {
+	return time.Duration(f.Fault.Size * float64(time.Second))
+}
+
+// syncFault lets the syncs of disks fail.
+func syncFault(kind fault.SyncFault) injector {
+	return func(c *Cluster, ctx context.Context, _ *scenario.FaultPlan, chosen []*Replica) (func() error, error) {
 		var heal func() error
 		failed, err := c.failDisks(chosen, func() (err error) {
-			heal, err = c.writeFaults(chosen, fault.NewSet(0, 0, syncFaults[p.Fault.Kind]))
+			heal, err = c.writeFaults(chosen, fault.NewSet(0, 0, kind))
 			return err
 		})
 		return func() error { return c.healDisks(ctx, failed, heal) }, err
-	case "copy-cut":
-		return func() error { return c.setPartition(chosen, p.Fault.Way, false) }, c.setPartition(chosen, p.Fault.Way, true)
 	}
-	return nil, fmt.Errorf("no such fault of the list service")
 }
 
 // catchUp measures how long copies that have just been started take until they have the list of that moment.
--- a/internal/lab/faults.go
+++ b/internal/lab/faults.go
@@ -1,5 +1,7 @@
 package lab
 
+// This file injects the faults of a plan at their times.
+
 import (
 	"context"
 	"fmt"
@@ -15,14 +17,6 @@
 	"marblelane/internal/lab/scenario"
 )
 
-// step is one thing to do at its time.
-type step struct {
-	at   time.Duration
-	text string
-	mark int32 // 1: a fault begins, 2: it ends, 0: it happens once
-	do   func(context.Context) error
-}
-
 // deadFor is how long a server that is killed or drained and started again is away.
 const deadFor = time.Second
 
--- a/internal/lab/run.go
+++ b/internal/lab/run.go
@@ -46,10 +46,10 @@
 	overheardBy atomic.Pointer[repeater]
 	repeated    atomic.Int64
 
-	linkMu sync.Mutex
-	links  map[[2]int]*relay.Link  // by sidecar and server
-	disc   [][]*relay.Link         // by list service and sidecar
-	lates  []*relay.HandshakeDelay // that have begun
+	linkMu          sync.Mutex
+	links           map[[2]int]*relay.Link  // by sidecar and server
+	disc            [][]*relay.Link         // by list service and sidecar
+	handshakeDelays []*relay.HandshakeDelay // that have begun
 
 	watchers sync.WaitGroup // of processes; they end after Tasks
 }
@@ -136,7 +136,7 @@
 
 // Close ends whatever runs, in any state.
 func (r *run) Close() {
-	for _, l := range r.lates { // of a run that ended before they did
+	for _, l := range r.handshakeDelays { // of a run that ended before they did
 		_ = l.Stop()
 	}
 	for _, s := range r.sidecars {
--- /dev/null
+++ b/internal/lab/server_fault_steps.go
@@ -0,0 +1,192 @@
+package lab
+
+// This file is the steps of the faults of servers, and of the links between them and the sidecars.
+
+import (
+	"context"
+	"slices"
+	"time"
+
+	"marblelane/internal/lab/agent"
+	"marblelane/internal/lab/harness"
+	"marblelane/internal/lab/relay"
+	"marblelane/internal/lab/scenario"
+	"marblelane/internal/lab/stock"
+)
+
+// serverSteps are the faults of servers.
+var serverSteps = map[string]func(injection) []step{
+	"slow":          slowServers,
+	"fail":          failRequests,
+	"idle-close":    closeIdle,
+	"hang":          serverFault(func(b *stock.Behaviour, on bool, _ float64) { b.Hang = on }),
+	"drop":          serverFault(func(b *stock.Behaviour, _ bool, size float64) { b.Drop = size }),
+	"reset-begun":   serverFault(func(b *stock.Behaviour, _ bool, size float64) { b.Reset = size }),
+	"turn-away":     serverFault(func(b *stock.Behaviour, _ bool, size float64) { b.RejectLate = size }),
+	"second-answer": serverFault(func(b *stock.Behaviour, _ bool, size float64) { b.ExtraAnswer = size }),
+	"kill": func(f injection) []step {
+		return f.once(func(context.Context) error { return harness.ForEach(f.Servers, f.killServer) })
+	},
+	"restart": func(f injection) []step {
+		return f.span(func(context.Context) error { return harness.ForEach(f.Servers, f.killServer) },
+			func(context.Context) error { return harness.ForEach(f.Servers, f.bootServer) })
+	},
+	"drain": func(f injection) []step {
+		return f.once(func(ctx context.Context) error { return f.drainServers(ctx, f.Servers, f.Fault.Stay) })
+	},
+	"replace": func(f injection) []step {
+		return f.once(func(ctx context.Context) error { return f.replaceServers(ctx, f.FaultPlan) })
+	},
+	"vanish": func(f injection) []step {
+		return f.toggle(func(on bool) error { return f.vanish(f.Servers, on) })
+	},
+	"server-clock": func(f injection) []step {
+		return f.toggle(func(on bool) error { f.serverClock.Store(int64(f.size(on) * 1000)); return nil })
+	},
+	"entries-lost": func(f injection) []step {
+		return f.toggle(func(on bool) error { f.loseEntries(f.FaultPlan, on); return nil })
+	},
+}
+
+// changeServers sets and takes back a behaviour of all servers of a fault.
+func (f injection) changeServers(change func(b *stock.Behaviour, on bool)) []step {
+	return f.toggle(func(on bool) error {
+		for _, i := range f.Servers {
+			f.servers[i].SetBehaviour(func(b *stock.Behaviour) { change(b, on) })
+		}
+		return nil
+	})
+}
+
+// serverFault is the steps of a fault that needs no more than whether it is on, and its size.
+func serverFault(change func(b *stock.Behaviour, on bool, size float64)) func(injection) []step {
+	return func(f injection) []step {
+		return f.changeServers(func(b *stock.Behaviour, on bool) { change(b, on, f.size(on)) })
+	}
+}
+
+func slowServers(f injection) []step {
+	return f.changeServers(func(b *stock.Behaviour, on bool) {
+		if len(f.Fault.Classes) > 0 {
+			b.Heavy, b.HeavyOf = f.size(on), f.classes(f.Fault.Classes)
+		} else {
+			b.Slow = f.size(on)
+		}
+	})
+}
+
+func failRequests(f injection) []step {
+	return f.changeServers(func(b *stock.Behaviour, on bool) {
+		b.Fail, b.FailOf = f.size(on), f.classes(f.Fault.Classes)
+	})
+}
+
+func closeIdle(f injection) []step {
+	return f.changeServers(func(b *stock.Behaviour, on bool) {
+		b.Idle, b.ForgetIdle = f.duration(on), on && f.Fault.Silent
+	})
+}
+
+// loseEntries takes a share of the servers off the list, though they are there, and puts them back.
+func (r *run) loseEntries(p *scenario.FaultPlan, on bool) {
+	for i := range int(p.Fault.Size * float64(r.Scenario.Servers.Count)) {
+		state := agent.Ready
+		if on {
+			state = agent.Gone
+		}
+		r.publish(i, state, 0)
+	}
+}
+
+// classes are the numbers of classes by their names.
+func (r *run) classes(names []string) []int {
+	var out []int
+	for i, c := range r.Scenario.Classes {
+		if slices.Contains(names, c.Name) {
+			out = append(out, i)
+		}
+	}
+	return out
+}
+
+// linkSteps are the faults of the links between sidecars and servers, or discovery.
+var linkSteps = map[string]func(injection) []step{
+	"cut":         cutLinks,
+	"latency":     delayLinks,
+	"accept-late": delayHandshakes,
+	"reset":       resetConnections,
+	"bandwidth":   linkFault(func(r *relay.Rules, _ bool, size float64) { r.Bandwidth = int(size) }),
+	"lose":        linkFault(func(r *relay.Rules, _ bool, size float64) { r.AnswerLoss = size }),
+	"refuse":      linkFault(func(r *relay.Rules, on bool, _ float64) { r.Reject = on }),
+	"half-close":  linkFault(func(r *relay.Rules, on bool, _ float64) { r.HalfClose = on }),
+	"break":       linkFault(func(r *relay.Rules, _ bool, size float64) { r.ResetAfterBytes = int64(size) }),
+}
+
+// changeLinks sets and takes back a rule of all links of a fault.
+func (f injection) changeLinks(change func(r *relay.Rules, on bool)) []step {
+	return f.toggle(func(on bool) error {
+		f.eachLink(f.FaultPlan, func(_ *relay.Port, _ int, l *relay.Link) {
+			l.Set(func(r *relay.Rules) { change(r, on) })
+		})
+		return nil
+	})
+}
+
+// linkFault is the steps of a fault that needs no more than whether it is on, and its size.
+func linkFault(change func(r *relay.Rules, on bool, size float64)) func(injection) []step {
+	return func(f injection) []step {
+		return f.changeLinks(func(r *relay.Rules, on bool) { change(r, on, f.size(on)) })
+	}
+}
+
+func cutLinks(f injection) []step {
+	direction := map[string]relay.Direction{"to": relay.To, "from": relay.From, "both": relay.Both}[f.Fault.Way]
+	return f.toggle(func(on bool) error { return f.cut(f.FaultPlan, direction, on) })
+}
+
+func delayLinks(f injection) []step {
+	var before time.Duration
+	return f.changeLinks(func(r *relay.Rules, on bool) {
+		if on {
+			before, r.Latency = r.Latency, f.Fault.Latency.Duration()
+		} else {
+			r.Latency = before
+		}
+	})
+}
+
+func resetConnections(f injection) []step {
+	return f.once(func(context.Context) error {
+		f.eachLink(f.FaultPlan, func(port *relay.Port, sidecar int, _ *relay.Link) {
+			port.EachConn(sidecar, (*relay.Conn).Reset)
+			if f.Fault.Link == "discovery" {
+				f.loseWatches(f.Fault, sidecar)
+			}
+		})
+		return nil
+	})
+}
+
+// delayHandshakes lets a share of the new connections come up late.
+func delayHandshakes(f injection) []step {
+	var delay *relay.HandshakeDelay
+	return f.toggle(func(on bool) error {
+		if !on {
+			if delay == nil {
+				return nil
+			}
+			return delay.Stop()
+		}
+		delay = relay.NewHandshakeDelay(f.Fault.Share, func(l *relay.Link) time.Duration {
+			if f.Fault.Drawn {
+				return time.Duration(l.Draw() * float64(f.duration(true)))
+			}
+			return f.duration(true)
+		})
+		f.eachLink(f.FaultPlan, func(port *relay.Port, sidecar int, _ *relay.Link) { delay.Add(port, sidecar) })
+		f.linkMu.Lock()
+		f.handshakeDelays = append(f.handshakeDelays, delay)
+		f.linkMu.Unlock()
+		return delay.Start()
+	})
+}
--- a/internal/lab/service.go
+++ b/internal/lab/service.go
@@ -330,11 +330,3 @@
 	}
 	return l
 }
-
-// copyFault begins a fault of the service's copies and gives what undoes it.
-func (s *service) copyFault(ctx context.Context, p *scenario.FaultPlan) (func() error, error) {
-	if !strings.HasPrefix(p.Fault.Kind, "copy-") {
-		return nil, fmt.Errorf("no such fault of the list service")
-	}
-	return s.rr.InjectFault(ctx, p)
-}
--- /dev/null
+++ b/internal/lab/sidecar_fault_steps.go
@@ -0,0 +1,136 @@
+package lab
+
+// This file is the steps of the faults of sidecars, and of what discovery tells them.
+
+import (
+	"context"
+
+	"marblelane/internal/fault"
+	"marblelane/internal/lab/agent"
+	"marblelane/internal/lab/harness"
+	"marblelane/internal/tomlfile"
+)
+
+// discoverySteps are the faults of the simulated discovery services.
+var discoverySteps = map[string]func(injection) []step{
+	"list-empty":  listFault(agent.FaultEmptyList),
+	"list-half":   listFault(agent.FaultPartialList),
+	"list-stuck":  listFault(agent.FaultStaleWatch),
+	"list-freeze": listFault(agent.FaultTruncatedLine),
+	"list-big":    listFault(agent.FaultOversizedLine),
+	"list-late": func(f injection) []step {
+		return f.changeLists(func(b *agent.Behaviour, on bool) { b.Delay = f.duration(on) })
+	},
+	"list-pieces": func(f injection) []step {
+		return f.changeLists(func(b *agent.Behaviour, on bool) { b.Form.PieceBytes = int(f.size(on)) })
+	},
+	"list-silent": func(f injection) []step {
+		return f.changeLists(func(b *agent.Behaviour, on bool) { b.Silent = on })
+	},
+	"list-end": func(f injection) []step {
+		return f.changeLists(func(b *agent.Behaviour, on bool) { b.Form.EndOnChange = on })
+	},
+	"list-whole": func(f injection) []step {
+		return f.changeLists(func(b *agent.Behaviour, on bool) { b.Form.CompleteFirst = on })
+	},
+	"list-refuse": func(f injection) []step {
+		return f.changeLists(func(b *agent.Behaviour, on bool) { b.Reject = on })
+	},
+	"list-hush": func(f injection) []step {
+		return f.once(func(context.Context) error {
+			f.eachList(func(a *agent.Agents, sidecar int) { a.SilenceWatches(sidecar) })
+			return nil
+		})
+	},
+	"list-move": func(f injection) []step {
+		return f.once(func(context.Context) error { return f.moveDiscovery() })
+	},
+}
+
+// eachList calls do for each list of a sidecar that a fault concerns.
+func (f injection) eachList(do func(a *agent.Agents, sidecar int)) {
+	for _, a := range f.listsOf(f.Fault) {
+		for _, i := range f.Sidecars {
+			do(a, i)
+		}
+	}
+}
+
+// changeLists sets and takes back a behaviour of all lists of a fault.
+func (f injection) changeLists(change func(b *agent.Behaviour, on bool)) []step {
+	return f.toggle(func(on bool) error {
+		f.eachList(func(a *agent.Agents, sidecar int) {
+			a.SetBehaviour(sidecar, func(b *agent.Behaviour) { change(b, on) })
+		})
+		return nil
+	})
+}
+
+// listFault is the steps of a fault of the list's text.
+func listFault(kind string) func(injection) []step {
+	return func(f injection) []step {
+		return f.changeLists(func(b *agent.Behaviour, on bool) {
+			b.Fault, b.Fraction = "", 0
+			if on {
+				b.Fault, b.Fraction = kind, f.Fault.Size
+			}
+		})
+	}
+}
+
+// sidecarSteps are the faults of the processes of sidecars.
+var sidecarSteps = map[string]func(injection) []step{
+	"sidecar-restart": sidecarFault((*sidecar).restart),
+	"sidecar-term":    sidecarFault((*sidecar).term),
+	"sidecar-upgrade": sidecarFault((*sidecar).upgrade),
+	"sidecar-clock":   stepClocks,
+	"sidecar-call":    failCalls,
+	"sidecar-freeze": func(f injection) []step {
+		return f.toggle(func(on bool) error { return f.eachSidecar(func(s *sidecar) error { return s.freeze(on) }) })
+	},
+	"sidecar-kill": func(f injection) []step {
+		return f.span(func(context.Context) error { return f.eachSidecar((*sidecar).die) }, func(ctx context.Context) error {
+			return f.eachSidecar(func(s *sidecar) error { return s.launch(ctx) })
+		})
+	},
+}
+
+// eachSidecar calls do for all sidecars of a fault at once.
+func (f injection) eachSidecar(do func(*sidecar) error) error {
+	return harness.ForEach(f.Sidecars, func(i int) error { return do(f.sidecars[i]) })
+}
+
+// sidecarFault is the steps of a fault that happens to each sidecar at one moment.
+func sidecarFault(do func(*sidecar, context.Context) error) func(injection) []step {
+	return func(f injection) []step {
+		return f.once(func(ctx context.Context) error {
+			return f.eachSidecar(func(s *sidecar) error { return do(s, ctx) })
+		})
+	}
+}
+
+// changeFaults sets and takes back a fault inside the processes of sidecars.
+func (f injection) changeFaults(change func(set *fault.Set, on bool)) []step {
+	return f.toggle(func(on bool) error {
+		return f.eachSidecar(func(s *sidecar) error {
+			return s.plantInside(func(set *fault.Set) { change(set, on) })
+		})
+	})
+}
+
+func stepClocks(f injection) []step {
+	return f.changeFaults(func(set *fault.Set, on bool) { set.Clock = tomlfile.Duration(f.duration(on)) })
+}
+
+func failCalls(f injection) []step {
+	return f.changeFaults(func(set *fault.Set, on bool) {
+		delete(set.Calls, f.Fault.Call)
+		if !on {
+			return
+		}
+		if set.Calls == nil {
+			set.Calls = map[string]string{}
+		}
+		set.Calls[f.Fault.Call] = f.Fault.Errno
+	})
+}
