--- a/internal/lab/experiment/routescale/fleet.go
+++ b/internal/lab/experiment/routescale/fleet.go
@@ -22,6 +22,7 @@
 	"marblelane/internal/lab/experiment/testbed"
 	"marblelane/internal/lab/harness"
 	"marblelane/internal/lab/process"
+	"marblelane/internal/lab/rollouts"
 	"marblelane/internal/lab/scenario"
 	"marblelane/internal/rollout"
 	"marblelane/internal/routeclient"
@@ -236,17 +237,9 @@
 	return nil
 }
 
-// rolloutRequest is a new rollout on the wire.
-type rolloutRequest struct {
-	To     string         `json:"to"`
-	Steps  []rollout.Step `json:"steps"`
-	Budget int64          `json:"budget"`
-	AtEnd  string         `json:"at_end"`
-}
-
 // measureOverspend has a canary fail until its budget is spent, beside the baseline.
 func (f *fleet) measureOverspend(ctx context.Context, p *Point) error {
-	rev, _, err := f.registry.Change(ctx, "/routes/scale/rollouts/spent", rolloutRequest{To: "new", Budget: failureBudget, AtEnd: "return",
+	rev, _, err := f.registry.Change(ctx, "/routes/scale/rollouts/spent", rollouts.Request{To: "new", Budget: failureBudget, AtEnd: "return",
 		Steps: []rollout.Step{{CanaryFraction: 1, HoldMS: time.Hour.Milliseconds()}}})
 	if err != nil {
 		return err
--- a/internal/lab/faults.go
+++ b/internal/lab/faults.go
@@ -1,5 +1,7 @@
 package lab
 
+// This file injects the faults of a plan at their times.
+
 import (
 	"context"
 	"fmt"
@@ -9,37 +11,30 @@
 	"time"
 
 	"marblelane/internal/lab/agent"
+	"marblelane/internal/lab/harness"
 	"marblelane/internal/lab/record"
 	"marblelane/internal/lab/relay"
 	"marblelane/internal/lab/scenario"
 )
 
-// step is one thing to do at its time.
-type step struct {
-	at   time.Duration
-	text string
-	mark int32 // 1: a fault begins, 2: it ends, 0: it happens once
-	do   func(context.Context) error
-}
-
 // deadFor is how long a server that is killed or drained and started again is away.
 const deadFor = time.Second
 
-// faults carries out the plan's faults at their times, each in a goroutine of its own: one that takes long, such as
+// injectFaults carries out the plan's faults at their times, each in a goroutine of its own: one that takes long, such as
 // a planned restart, holds no other back.
-func (r *run) faults(ctx context.Context, began time.Duration) {
+func (r *run) injectFaults(ctx context.Context) {
 	var steps []step
 	for i := range r.Plan.Faults {
 		steps = append(steps, r.steps(&r.Plan.Faults[i])...)
 	}
 	if r.members != nil {
-		steps = append(steps, r.members.lateSteps()...)
+		steps = append(steps, r.lateStarts()...)
 	}
 	slices.SortStableFunc(steps, func(a, b step) int { return int(a.at - b.at) })
 	timer := time.NewTimer(0)
 	defer timer.Stop()
 	for _, s := range steps {
-		timer.Reset(max(began+s.at-r.Events.Now(), 0))
+		timer.Reset(max(s.at-r.Elapsed(), 0))
 		select {
 		case <-timer.C:
 		case <-ctx.Done():
@@ -99,3 +94,19 @@
 
 // newConns is how long after SIGTERM clients still open connections: the platform's most.
 const newConns = 400 * time.Millisecond
+
+// lateStarts are the steps that start the sidecars which start during the run.
+func (r *run) lateStarts() []step {
+	var late []int
+	for i := range r.Plan.Sidecars {
+		if r.Scenario.Late(i) {
+			late = append(late, i)
+		}
+	}
+	if len(late) == 0 {
+		return nil
+	}
+	return []step{{r.Scenario.Members.LateAt.Duration(), fmt.Sprintf("sidecars %v start", late), 0, func(ctx context.Context) error {
+		return harness.ForEach(late, func(i int) error { return r.sidecars[i].begin(ctx) })
+	}}}
+}
--- a/internal/lab/overhead.go
+++ b/internal/lab/overhead.go
@@ -64,9 +64,9 @@
 	defer base.Close()
 	r := newRun(base)
 	ctx, cancel := context.WithCancel(ctx)
+	defer r.Close()
 	defer cancel()
-	defer r.close(cancel)
-	if err := r.start(ctx); err != nil {
+	if err := r.Start(ctx); err != nil {
 		return nil, err
 	}
 	c := &plainClient{start: time.Now(), warmUp: sized.WarmUp.Duration(), idle: make(map[string][]net.Conn),
