--- a/cmd/marblelane/lab_measure.go
+++ b/cmd/marblelane/lab_measure.go
@@ -10,9 +10,9 @@
 	"slices"
 	"time"
 
-	"marblelane/internal/lab"
 	"marblelane/internal/lab/crowd"
 	"marblelane/internal/lab/experiment/listscale"
+	"marblelane/internal/lab/experiment/overhead"
 	"marblelane/internal/lab/experiment/routescale"
 	"marblelane/internal/lab/experiment/scale"
 	"marblelane/internal/lab/harness"
@@ -52,11 +52,11 @@
 		return err
 	}
 	defer done()
-	ways, err := lab.MeasureOverhead(a.ctx, s, harness.Options{Program: path, Log: a.log})
+	ways, err := overhead.Measure(a.ctx, s, harness.Options{Program: path, Log: a.log})
 	if err != nil {
 		return err
 	}
-	return show(a, c.JSON, ways, lab.PrintOverhead)
+	return show(a, c.JSON, ways, overhead.Print)
 }
 
 type labListScale struct {
--- a/internal/lab/overhead.go
+++ b/internal/lab/experiment/overhead/overhead.go
@@ -1,4 +1,7 @@
-package lab
+// Package overhead measures what the lab's own clients and the sidecars add to the latency of a request. A scenario of fixed
+// work is played over three paths in turn: from a plain client straight to the stand-in servers, from the lab's clients
+// without sidecars, and from the lab's clients through sidecars. The command is `marblelane lab overhead`.
+package overhead
 
 import (
 	"bufio"
@@ -12,41 +15,40 @@
 
 	"github.com/HdrHistogram/hdrhistogram-go"
 
+	"marblelane/internal/lab"
 	"marblelane/internal/lab/harness"
-	"marblelane/internal/lab/record"
 	"marblelane/internal/lab/scenario"
-	"marblelane/internal/lab/stock"
 )
 
-// Overhead is the latency that one request path adds to the servers' own work, in milliseconds.
-type Overhead struct {
+// Result is the latency that one request path adds to the servers' own work, in milliseconds.
+type Result struct {
 	Path     string  `json:"way"`
 	P50      float64 `json:"p50_ms"`
 	P99      float64 `json:"p99_ms"`
 	Requests int     `json:"requests"`
 }
 
-// MeasureOverhead sends requests of fixed work over three paths, in one process and in turn: from a plain client to the
+// Measure sends requests of fixed work over three paths, in one process and in turn: from a plain client to the
 // stand-ins, without any record; from the lab's clients, without sidecars; and from the lab's clients through the
 // sidecars. The difference of the first two is the lab's own overhead.
-func MeasureOverhead(ctx context.Context, s *scenario.Scenario, o harness.Options) ([]Overhead, error) {
+func Measure(ctx context.Context, s *scenario.Scenario, o harness.Options) ([]Result, error) {
 	work := s.Classes[0].Work.Milliseconds() / s.Traffic.Pace / s.Servers.Kinds[0].Speed[0]
 	plain, err := measurePlainClient(ctx, s, o)
 	if err != nil {
 		return nil, fmt.Errorf("overhead: %w", err)
 	}
-	out := []Overhead{{Path: "plain client", Requests: int(plain.TotalCount()),
+	out := []Result{{Path: "plain client", Requests: int(plain.TotalCount()),
 		P50: float64(plain.ValueAtQuantile(50))/1000 - work, P99: float64(plain.ValueAtQuantile(99))/1000 - work}}
-	paths := []struct{ name, program string }{{"the lab's clients", NoProgram}, {"through sidecars", s.Sidecars.Program}}
+	paths := []struct{ name, program string }{{"the lab's clients", lab.NoProgram}, {"through sidecars", s.Sidecars.Program}}
 	for _, path := range paths {
 		sized := *s
 		sized.Sidecars.Program = path.program
-		report, err := Run(ctx, &sized, o)
+		report, err := lab.Run(ctx, &sized, o)
 		if err != nil {
 			return nil, fmt.Errorf("overhead: %s: %w", path.name, err)
 		}
 		f := &report.Result.Figures
-		out = append(out, Overhead{Path: path.name, P50: f.P50 - work, P99: f.P99 - work, Requests: f.Requests})
+		out = append(out, Result{Path: path.name, P50: f.P50 - work, P99: f.P99 - work, Requests: f.Requests})
 	}
 	return out, nil
 }
@@ -54,34 +56,22 @@
 // measurePlainClient sends the planned requests straight to the stand-ins over kept connections, and measures from their
 // planned times.
 func measurePlainClient(ctx context.Context, s *scenario.Scenario, o harness.Options) (*hdrhistogram.Histogram, error) {
-	sized := *s
-	sized.Sidecars.Program = NoProgram
-	o.Log = nil
-	base, err := harness.New(&sized, o)
+	servers, err := lab.StartServers(ctx, s, o)
 	if err != nil {
 		return nil, err
 	}
-	defer base.Close()
-	r := newRun(base)
-	ctx, cancel := context.WithCancel(ctx)
-	defer r.Close()
-	defer cancel()
-	if err := r.Start(ctx); err != nil {
-		return nil, err
-	}
-	c := &plainClient{start: time.Now(), warmUp: sized.WarmUp.Duration(), idle: make(map[string][]net.Conn),
+	defer servers.Close()
+	c := &plainClient{start: time.Now(), warmUp: s.WarmUp.Duration(), idle: make(map[string][]net.Conn),
 		latency: hdrhistogram.New(1, maxLatency.Microseconds(), 3)}
 	var requests sync.WaitGroup
-	for i := range r.Plan.Arrivals {
-		arrival := &r.Plan.Arrivals[i]
+	for i := range servers.Arrivals() {
+		arrival := &servers.Arrivals()[i]
 		time.Sleep(time.Until(c.start.Add(arrival.At)))
 		if ctx.Err() != nil {
 			break
 		}
 		id := uint64(i + 1)
-		r.book.Add(id, stock.ClientRequest{Method: http.MethodGet, Class: arrival.Class, Sum: record.Sum(nil),
-			Work: arrival.Work, Answer: sized.Traffic.Answer})
-		addr := r.addr(arrival.Sidecar)
+		addr := servers.Expect(id, arrival)
 		requests.Go(func() { c.send(addr, id, arrival.At) })
 	}
 	requests.Wait()
@@ -145,8 +135,8 @@
 	}
 }
 
-// PrintOverhead writes the paths as a table.
-func PrintOverhead(w io.Writer, paths []Overhead) {
+// Print writes the paths as a table.
+func Print(w io.Writer, paths []Result) {
 	fmt.Fprintf(w, "%-20s %9s %12s %12s   (beyond the servers' own work)\n", "asked by", "requests", "p50 ms", "p99 ms")
 	for _, o := range paths {
 		fmt.Fprintf(w, "%-20s %9d %12.3f %12.3f\n", o.Path, o.Requests, o.P50, o.P99)
--- /dev/null
+++ b/internal/lab/plain_servers.go
@@ -0,0 +1,53 @@
+package lab
+
+import (
+	"context"
+	"net/http"
+
+	"marblelane/internal/lab/harness"
+	"marblelane/internal/lab/record"
+	"marblelane/internal/lab/scenario"
+	"marblelane/internal/lab/stock"
+)
+
+// PlainServers are the stand-in servers of a scenario without sidecars and without the lab's clients.
+type PlainServers struct {
+	base   *harness.Run
+	run    *run
+	cancel context.CancelFunc
+}
+
+// StartServers starts the servers of a scenario. Close has to be called after it, unless it returns an error.
+func StartServers(ctx context.Context, s *scenario.Scenario, o harness.Options) (*PlainServers, error) {
+	sized := *s
+	sized.Sidecars.Program = NoProgram
+	o.Log = nil
+	base, err := harness.New(&sized, o)
+	if err != nil {
+		return nil, err
+	}
+	servers := &PlainServers{base: base, run: newRun(base)}
+	ctx, servers.cancel = context.WithCancel(ctx)
+	if err := servers.run.Start(ctx); err != nil {
+		servers.Close()
+		return nil, err
+	}
+	return servers, nil
+}
+
+// Arrivals are the planned requests.
+func (s *PlainServers) Arrivals() []scenario.Arrival { return s.run.Plan.Arrivals }
+
+// Expect tells the servers what to do for a request of this ID, and returns the address to send it to.
+func (s *PlainServers) Expect(id uint64, arrival *scenario.Arrival) (addr string) {
+	s.run.book.Add(id, stock.ClientRequest{Method: http.MethodGet, Class: arrival.Class, Sum: record.Sum(nil),
+		Work: arrival.Work, Answer: s.run.Scenario.Traffic.Answer})
+	return s.run.addr(arrival.Sidecar)
+}
+
+// Close stops the servers.
+func (s *PlainServers) Close() {
+	s.cancel()
+	s.run.Close()
+	s.base.Close()
+}
