--- a/internal/lab/cluster/clients.go
+++ b/internal/lab/cluster/clients.go
@@ -1,6 +1,6 @@
 package cluster
 
-// This file is the writers, readers and watchers of the list service.
+// This file is the writers, readers and watchers of the registry.
 
 import (
 	"bufio"
@@ -24,7 +24,7 @@
 	"marblelane/internal/registry"
 )
 
-// writer writes and reads single entries through copies drawn at random, as fast as its pause lets it.
+// writer writes and reads single entries through replicas drawn at random, as fast as its pause lets it.
 func (c *Cluster) writer(ctx context.Context, number int) {
 	rng := rand.New(rand.NewPCG(c.Plan.Seed, uint64(number)+1))
 	known := map[string]int64{} // the last revision of each entry that it has seen
@@ -73,7 +73,7 @@
 	}
 }
 
-// carryOut does one call and reads what has come of it. A call that is under way when the run ends is finished.
+// execute makes one call and reads its outcome. A call that is under way when the run ends is finished.
 func (c *Cluster) execute(op *operation, replica *Replica) {
 	url := "http://" + replica.Address + "/registry/instances/" + op.key
 	method, body := http.MethodGet, []byte(nil)
@@ -162,7 +162,7 @@
 	}
 }
 
-// lister is one watcher.
+// watcher keeps a watch on some replica, and the list that it was sent.
 type watcher struct {
 	cluster   *Cluster
 	rng       *rand.Rand
@@ -175,7 +175,7 @@
 // watchSilenceTimeout is how long a watch may say nothing before its watcher goes elsewhere: an empty line comes every 2 s.
 const watchSilenceTimeout = 5 * time.Second
 
-// follow keeps a watch on some copy until ctx ends.
+// follow keeps a watch on some replica until ctx ends.
 func (w *watcher) follow(ctx context.Context) {
 	for first := true; ctx.Err() == nil; first = false {
 		if !first {
@@ -229,7 +229,7 @@
 	}
 }
 
-// take applies a line and compares the list with what others had at this revision.
+// apply applies a line and compares the list with what others had at this revision.
 func (w *watcher) apply(l *registry.List) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -264,7 +264,7 @@
 	return record.Sum(fmt.Append(nil, all))
 }
 
-// compare holds a list to what others had at the same revision.
+// checkListHash compares a list to what others had at the same revision.
 func (c *Cluster) checkListHash(rev int64, hash uint64) {
 	c.mu.Lock()
 	was, ok := c.listHashes[rev]
--- a/internal/lab/cluster/faults.go
+++ b/internal/lab/cluster/faults.go
@@ -1,6 +1,6 @@
 package cluster
 
-// This file plays faults in the copies of the list service, and judges how they come back.
+// This file plays faults in the replicas of the registry, and judges how they come back.
 
 import (
 	"bytes"
@@ -181,7 +181,7 @@
 	}
 }
 
-// catchUp measures how long copies that have just been started take until they have the list of that moment.
+// catchUp measures how long replicas that have just been started take until they have the list of that moment.
 func (c *Cluster) catchUp(ctx context.Context, chosen []*Replica) error {
 	at, want := c.Events.Now(), c.newestAcknowledged()
 	for _, replica := range chosen {
@@ -202,7 +202,7 @@
 	return nil
 }
 
-// plant puts faults into copies.
+// writeFaults injects faults into the processes of replicas.
 func (c *Cluster) writeFaults(chosen []*Replica, set fault.Set) (undo func() error, err error) {
 	all := func(set fault.Set) error {
 		for _, replica := range chosen {
@@ -215,7 +215,7 @@
 	return func() error { return all(fault.Set{}) }, all(set)
 }
 
-// makeRoom empties the disks of copies.
+// freeDisks empties the disks of replicas.
 func freeDisks(failed []*diskFailure) error {
 	for _, f := range failed {
 		if err := f.child.FreeDisk(); err != nil {
@@ -225,7 +225,7 @@
 	return nil
 }
 
-// revOf is the revision that a copy has applied; 0 where it does not say.
+// revisionOf is the revision that a replica has applied; 0 where it does not say.
 func (c *Cluster) revisionOf(replica *Replica) int64 {
 	var st registry.Status
 	code, text, err := Call(context.Background(), "GET", "http://"+replica.Address+"/registry/status", nil)
@@ -238,7 +238,7 @@
 // diskRecoveryTimeout is how long a replica may take from when its disk works again until it has the list of that moment.
 const diskRecoveryTimeout = 10 * time.Second
 
-// diskFailure is a copy whose disk fails.
+// diskFailure is a replica whose disk fails.
 type diskFailure struct {
 	*Replica
 	child          *process.Child // as it ran when the disk began to fail
@@ -247,7 +247,7 @@
 	revisionHealed int64          // its revision when the disk works again; 0: it did not say
 }
 
-// failDisks makes the disks of copies fail, and notes how the copies are: what their logs have said is from before, as
+// failDisks makes the disks of replicas fail, and notes how the replicas are: what their logs have said is from before, as
 // they may notice at once, and their revisions are from after.
 func (c *Cluster) failDisks(chosen []*Replica, fail func() error) ([]*diskFailure, error) {
 	var out []*diskFailure
@@ -263,11 +263,11 @@
 	return out, nil
 }
 
-// diskFailures is how often the copy's log tells of a disk that takes no more.
+// loggedDiskFailures is how often the replica's log tells of a disk that takes no more.
 func (replica *Replica) loggedDiskFailures() int {
 	text, err := os.ReadFile(replica.Spec.LogPath())
 	if err != nil {
-		return 0 // the copy has said nothing yet
+		return 0 // the replica has said nothing yet
 	}
 	return bytes.Count(text, []byte("the disk takes no more"))
 }
@@ -292,7 +292,7 @@
 	return nil
 }
 
-// afterDiskFailure judges what a copy has made of a disk that failed and works again.
+// checkDiskFailure judges what a replica has made of a disk that failed and works again.
 func (c *Cluster) checkDiskFailure(ctx context.Context, f *diskFailure, healed time.Duration) error {
 	if f.Process() != f.child || f.child.StopRequested() {
 		return nil // it was killed meanwhile, which is another fault's
@@ -325,7 +325,7 @@
 	return nil
 }
 
-// comesBack waits for a copy whose disk works again, and measures how long it takes.
+// awaitRecovery waits for a replica whose disk works again, and measures how long it takes.
 func (c *Cluster) awaitRecovery(ctx context.Context, f *diskFailure, healed time.Duration) {
 	want := c.newestAcknowledged()
 	for c.revisionOf(f.Replica) < want {
@@ -340,7 +340,7 @@
 	c.mu.Unlock()
 }
 
-// acknowledged is the newest revision that a writer was told.
+// newestAcknowledged is the newest revision that a writer was told.
 func (c *Cluster) newestAcknowledged() (newest int64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -350,7 +350,7 @@
 	return newest
 }
 
-// rejoin takes copies that have lost their disk out of the cluster, starts them empty, and adds them again: what
+// rejoinEmpty takes replicas that have lost their disk out of the cluster, starts them empty, and adds them again: what
 // docs/registry.md tells an operator to do.
 func (c *Cluster) rejoinEmpty(ctx context.Context, chosen []*Replica) error {
 	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), harness.StartTimeout)
@@ -362,7 +362,7 @@
 				if err == nil && code == http.StatusOK {
 					return nil
 				}
-				c.Log.Debug("lab: copies change", "code", code, "answer", string(text), "error", err)
+				c.Log.Debug("lab: change of the replicas", "code", code, "answer", string(text), "err", err)
 			}
 			if !harness.Sleep(ctx, 50*time.Millisecond) {
 				return fmt.Errorf("%s %s: no leader takes it", method, path)
@@ -392,7 +392,7 @@
 	return nil
 }
 
-// choose finds the copies that a fault means, at the moment it happens.
+// selectReplicas finds the replicas that a fault means, at the moment it happens.
 func (c *Cluster) selectReplicas(ctx context.Context, pick string) []*Replica {
 	lead := c.Leader(ctx)
 	var others []*Replica
@@ -415,7 +415,7 @@
 	return others[:1] // a follower; or whoever, if nobody leads at this moment
 }
 
-// cutOff cuts copies from the others: what comes to them ("to"), what goes out from them ("from"), or both.
+// setPartition cuts replicas from the others: what comes to them ("to"), what goes out from them ("from"), or both.
 func (c *Cluster) setPartition(chosen []*Replica, way string, on bool) error {
 	inside := func(n int) bool {
 		return slices.ContainsFunc(chosen, func(replica *Replica) bool { return replica.Number == n })
@@ -425,7 +425,7 @@
 			if inside(from) == inside(to) {
 				continue
 			}
-			// A link carries calls one way and their answers the other; a cut of what comes to a copy silences the
+			// A link carries calls one way and their answers the other; a cut of what comes to a replica silences the
 			// calls to it and the answers to its own calls.
 			cut := relay.Both
 			if way == "to" == inside(to) && way != "both" {
--- a/internal/lab/cluster/linearizability.go
+++ b/internal/lab/cluster/linearizability.go
@@ -40,7 +40,7 @@
 	call, returned time.Duration
 }
 
-// held is one entry as the model has it.
+// register is one entry as the model has it.
 type register struct {
 	value int64 // 0: there is none
 	rev   int64 // of its last change; anyRev: of a write whose answer nobody saw
@@ -98,10 +98,10 @@
 	return m.ToModel()
 }
 
-// checkWait bounds the check of one entry's history.
+// historyCheckTimeout bounds the check of one entry's history.
 const historyCheckTimeout = 20 * time.Second
 
-// notLinearizable names an entry whose history no order of single steps explains; empty: there is none.
+// checkLinearizable names an entry whose history no order of single steps explains; empty: there is none.
 func checkLinearizable(ops []operation) string {
 	byKey := map[string][]porcupine.Operation{}
 	for _, op := range ops {
--- a/internal/lab/cluster/linearizability_test.go
+++ b/internal/lab/cluster/linearizability_test.go
@@ -11,7 +11,7 @@
 	return op
 }
 
-func TestHistoriesOfOneEntry(t *testing.T) {
+func TestCheckLinearizable_historiesOfOneEntry(t *testing.T) {
 	put := func(v, rev int64) operation {
 		return operation{kind: opPut, value: v, gotRev: rev, condition: -1, outcome: outcomeOK}
 	}
--- a/internal/lab/cluster/operators.go
+++ b/internal/lab/cluster/operators.go
@@ -8,7 +8,7 @@
 	"path/filepath"
 )
 
-// routesKeys are the lines of a copy's configuration that turn routes on.
+// routesConfig are the lines of a replica's configuration that turn routes on.
 func (c *Cluster) routesConfig() string {
 	if !c.Scenario.Routed() {
 		return ""
@@ -22,7 +22,7 @@
 
 func (c *Cluster) operatorsFile() string { return filepath.Join(c.Dir, "operators.toml") }
 
-// writeOperators writes the file that says what tenants may do.
+// writeOperatorsFile writes the file that says what tenants may do.
 func (c *Cluster) writeOperatorsFile() error {
 	if !c.Scenario.Routed() {
 		return nil
--- a/internal/lab/cluster/result.go
+++ b/internal/lab/cluster/result.go
@@ -1,6 +1,6 @@
 package cluster
 
-// This file is what a run of the list service came to.
+// This file is what a run of the registry came to.
 
 import (
 	"cmp"
@@ -14,10 +14,25 @@
 	"marblelane/internal/lab/report"
 )
 
-// result sums the run up.
-func (c *Cluster) result(watchers []*watcher, lag []time.Duration) *report.Report {
-	out := &report.RegistryResult{Copies: len(c.Replicas), Watchers: len(watchers), Reads: len(c.reads), ReadsLost: c.failedReads,
-		Lines: c.watchLines.Load(), Rejoins: c.rewatches.Load()}
+// result sums the run up, and checks the history of the writers and the lists that were read.
+func (c *Cluster) result(watchers []*watcher, timerLag []time.Duration) *report.Report {
+	out := &report.RegistryResult{Copies: len(c.Replicas), Watchers: len(watchers), Reads: len(c.reads),
+		ReadsLost: c.failedReads, Lines: c.watchLines.Load(), Rejoins: c.rewatches.Load()}
+	c.countOperations(out)
+	if text := checkLinearizable(c.history); text != "" {
+		c.breach("linearizable", text)
+	}
+	if text := checkListAges(c.reads, c.acknowledged); text != "" {
+		c.breach("age-told", text)
+	}
+	c.sumTimes(out, watchers)
+	out.Parties = c.measureReplicas()
+	return &report.Report{Scenario: c.Scenario.Name, Title: c.Scenario.Title, Seed: c.Plan.Seed,
+		LengthS: c.Scenario.Length.Duration().Seconds(), Registry: out, Verdict: c.verdict(), Lateness: lateness(timerLag)}
+}
+
+// countOperations counts the calls of the writers by their outcome.
+func (c *Cluster) countOperations(out *report.RegistryResult) {
 	for i := range c.history {
 		op := &c.history[i]
 		switch {
@@ -33,64 +48,84 @@
 			out.Writes++
 		}
 	}
-	if text := checkLinearizable(c.history); text != "" {
-		c.breach("linearizable", text)
-	}
-	if text := checkListAges(c.reads, c.acknowledged); text != "" {
-		c.breach("age-told", text)
-	}
-	for _, one := range c.reads {
-		if one.age < time.Hour { // a copy that has just begun knows no age
-			out.OldestMS = max(out.OldestMS, float64(one.age)/float64(time.Millisecond))
+}
+
+// maxKnownAge is the greatest age of a list that counts: a replica that has just started knows no age.
+const maxKnownAge = time.Hour
+
+// sumTimes sums up how long replicas, disks, writes and watchers took.
+func (c *Cluster) sumTimes(out *report.RegistryResult, watchers []*watcher) {
+	for _, read := range c.reads {
+		if read.age < maxKnownAge {
+			out.OldestMS = max(out.OldestMS, milliseconds(read.age))
 		}
 	}
 	for _, d := range c.restartDelays {
-		out.Returns = append(out.Returns, float64(d)/float64(time.Millisecond))
+		out.Returns = append(out.Returns, milliseconds(d))
 	}
 	for _, d := range c.diskRecoveries {
-		out.Heals = append(out.Heals, float64(d)/float64(time.Millisecond))
+		out.Heals = append(out.Heals, milliseconds(d))
 	}
-	tell := propagationTimes(c.acknowledged, watchers)
-	at := func(q float64) float64 {
-		if len(tell) == 0 {
-			return 0
+	propagation := propagationTimes(c.acknowledged, watchers)
+	out.TellP50, out.TellP99 = percentile(propagation, 0.5), percentile(propagation, 0.99)
+	out.TellMax = percentile(propagation, 1)
+	for _, start := range c.faultStarts {
+		if first, ok := c.firstWriteSince(start); ok {
+			out.Gaps = append(out.Gaps, milliseconds(first-start))
 		}
-		return float64(tell[int(q*float64(len(tell)-1))]) / float64(time.Millisecond)
 	}
-	out.TellP50, out.TellP99, out.TellMax = at(0.5), at(0.99), at(1)
-	for _, m := range c.faultStarts {
-		first := time.Duration(-1)
-		for _, a := range c.acknowledged {
-			if a.called >= m && (first < 0 || a.acknowledged < first) {
-				first = a.acknowledged
-			}
-		}
-		if first >= 0 {
-			out.Gaps = append(out.Gaps, float64(first-m)/float64(time.Millisecond))
+}
+
+// firstWriteSince is when the first write was acknowledged that was called since a time.
+func (c *Cluster) firstWriteSince(start time.Duration) (first time.Duration, ok bool) {
+	for _, w := range c.acknowledged {
+		if w.called >= start && (!ok || w.acknowledged < first) {
+			first, ok = w.acknowledged, true
 		}
 	}
+	return first, ok
+}
+
+// percentile is in milliseconds, of a sorted list.
+func percentile(sorted []time.Duration, q float64) float64 {
+	if len(sorted) == 0 {
+		return 0
+	}
+	return milliseconds(sorted[int(q*float64(len(sorted)-1))])
+}
+
+func milliseconds(d time.Duration) float64 { return float64(d) / float64(time.Millisecond) }
+
+func (c *Cluster) measureReplicas() (processes []measure.Process) {
+	const megabyte = 1 << 20
 	for _, replica := range c.Replicas {
 		p := measure.Process{Name: replica.Name, CPU: replica.pastCPU}
 		if u, err := process.Measure(replica.Process().PID); err == nil {
 			p.CPU += u.CPU
-			p.LastRSS, p.PeakRSS, p.Descriptors = float64(u.RSS)/(1<<20), float64(u.PeakRSS)/(1<<20), u.Descriptors
+			p.LastRSS, p.PeakRSS, p.Descriptors = float64(u.RSS)/megabyte, float64(u.PeakRSS)/megabyte, u.Descriptors
 		}
-		out.Parties = append(out.Parties, p)
-	}
-	slices.Sort(lag)
-	rep := &report.Report{Scenario: c.Scenario.Name, Title: c.Scenario.Title, Seed: c.Plan.Seed, LengthS: c.Scenario.Length.Duration().Seconds(),
-		Registry: out, Verdict: &invariant.Verdict{Counts: c.breachCounts, Breaches: c.breaches,
-			Checked: map[string]int{"linearizable": len(c.history), "watchers-agree": int(out.Lines), "age-told": len(c.reads),
-				"disk-honest": c.diskChecks}}}
-	if len(lag) > 0 {
-		rep.Lateness.LagMS = float64(lag[int(0.99*float64(len(lag)-1))]) / float64(time.Millisecond)
-		rep.Lateness.TooBig = rep.Lateness.LagMS > float64(report.MaxLatenessP99)/float64(time.Millisecond)
+		processes = append(processes, p)
 	}
-	return rep
+	return processes
+}
+
+// verdict is the invariants with how many cases each was checked on.
+func (c *Cluster) verdict() *invariant.Verdict {
+	checked := map[string]int{"linearizable": len(c.history), "watchers-agree": int(c.watchLines.Load()),
+		"age-told": len(c.reads), "disk-honest": c.diskChecks}
+	return &invariant.Verdict{Counts: c.breachCounts, Breaches: c.breaches, Checked: checked}
+}
+
+// lateness judges the run by the timers of the lab alone, as it has no planned arrivals.
+func lateness(timerLag []time.Duration) (l report.Lateness) {
+	slices.Sort(timerLag)
+	l.LagMS = percentile(timerLag, 0.99)
+	l.TooBig = l.LagMS > milliseconds(report.MaxLatenessP99)
+	return l
 }
 
-// olderThanTold finds a list that lacks a write which had been acknowledged before the time that the list is said to be
-// of. A copy states its age while it is asked, so the time is no earlier than the call less the age.
+// checkListAges finds a list that lacks a write which had been acknowledged before the time that the list is said to be
+// of. A replica states its age while it is asked, so the time is no earlier than the call less the age.
 func checkListAges(reads []listRead, acks []ackedWrite) string {
 	acks = slices.Clone(acks)
 	slices.SortFunc(acks, func(a, b ackedWrite) int { return cmp.Compare(a.acknowledged, b.acknowledged) })
@@ -107,13 +142,13 @@
 	return ""
 }
 
-// tellTimes is, for each write, the time from its call until the last watcher had its revision; sorted.
+// propagationTimes is, for each write, the time from its call until the last watcher had its revision; sorted.
 func propagationTimes(acks []ackedWrite, watchers []*watcher) []time.Duration {
 	var out []time.Duration
 	for _, a := range acks {
 		last := time.Duration(0)
 		for _, w := range watchers {
-			// A watcher that went to a copy which lags may have gone back; what counts is when it first had it.
+			// A watcher that went to a replica that lags may have gone back; what counts is when it first had it.
 			i := slices.IndexFunc(w.firstSeen, func(t ackedWrite) bool { return t.rev >= a.rev })
 			if i < 0 {
 				last = -1
--- /dev/null
+++ b/internal/lab/defects.go
@@ -0,0 +1,106 @@
+package lab
+
+// This file is the planted defects: each makes the fleet break one invariant, for the checkers to find. None of them is in a
+// sidecar or replica; they are in the proxies, the servers and discovery.
+
+import (
+	"context"
+	"syscall"
+	"time"
+
+	"marblelane/internal/lab/agent"
+	"marblelane/internal/lab/harness"
+	"marblelane/internal/lab/process"
+	"marblelane/internal/lab/rollouts"
+	"marblelane/internal/lab/scenario"
+	"marblelane/internal/lab/stock"
+)
+
+// openAnswerProxies opens a proxy before each sidecar whose answers a planted defect will change. Clients connect to it
+// while the defect is on.
+func (r *run) openAnswerProxies() error {
+	for _, p := range r.Plan.Faults {
+		if p.Fault.Kind != "defect-lose-answer" && p.Fault.Kind != "defect-answer-twice" {
+			continue
+		}
+		for _, i := range p.Sidecars {
+			if r.answerProxies[i] != nil {
+				continue
+			}
+			t, err := openAnswerProxy(r.sidecars[i].addr())
+			if err != nil {
+				return err
+			}
+			r.answerProxies[i] = t
+		}
+	}
+	return nil
+}
+
+// setDefect begins or ends a planted defect.
+func (r *run) setDefect(defect string, p *scenario.FaultPlan, on bool) {
+	set := defect
+	if !on {
+		set = ""
+	}
+	switch defect {
+	case "send-twice", "send-again", "send-often", "invent", "tell-whole":
+		r.resender.Store(&resender{defect: set, sidecars: p.Sidecars})
+	case "wrong-body":
+		for _, i := range p.Servers {
+			r.servers[i].SetBehaviour(func(b *stock.Behaviour) { b.Defect = set })
+		}
+	case "told-late", "ignore-drain":
+		for _, i := range p.Sidecars {
+			r.agents[0].SetBehaviour(i, func(b *agent.Behaviour) {
+				b.Defect, b.DefectDelay = set, time.Duration(p.Fault.Size*float64(time.Second))
+			})
+		}
+	case "undo-rollback":
+		if r.registry.rollbackDefect.Store(nil); on {
+			r.registry.rollbackDefect.Store(rollouts.NewRollbackDefect())
+		}
+	case "end-early", "ignore-term":
+		for _, i := range p.Sidecars {
+			r.sidecars[i].stopDefect.Store(&set)
+		}
+	case "ready-late":
+		for _, i := range p.Sidecars {
+			if r.sidecars[i].startStall.Store(0); on {
+				r.sidecars[i].startStall.Store(int64(p.Fault.Size * float64(time.Second)))
+			}
+		}
+	case "lose-answer", "answer-twice":
+		for _, i := range p.Sidecars {
+			r.answerProxies[i].defect.Store(&set)
+		}
+	}
+}
+
+// earlyEndDelay is how long after SIGTERM a process that ends too early is gone.
+const earlyEndDelay = 100 * time.Millisecond
+
+// playStopDefect plays a planted defect at SIGTERM in place of the signal: the process ends with requests unanswered, or goes
+// on. It tells whether there is one. The records say nothing of it.
+func (s *sidecar) playStopDefect(c *process.Child) bool {
+	defect := s.stopDefect.Load()
+	switch {
+	case defect == nil || *defect == "":
+		return false
+	case *defect == "end-early":
+		time.Sleep(earlyEndDelay)
+		c.Kill()
+	}
+	return true
+}
+
+// stallStart plays a planted defect at the start of a process: it does nothing for a while. The records say nothing of it.
+func (s *sidecar) stallStart(ctx context.Context, c *process.Child) {
+	stalls := time.Duration(s.startStall.Load())
+	if stalls == 0 {
+		return
+	}
+	_ = c.Signal(syscall.SIGSTOP) // one that has ended says so where its readiness is awaited
+	harness.Sleep(ctx, stalls)
+	_ = c.Signal(syscall.SIGCONT) // as above
+}
--- a/internal/lab/fault_steps.go
+++ b/internal/lab/fault_steps.go
@@ -16,10 +16,10 @@
 
 // step is one thing to do at its time.
 type step struct {
-	at   time.Duration
-	text string
-	mark int32 // 1: a fault begins, 2: it ends, 0: it happens once
-	do   func(context.Context) error
+	at    time.Duration
+	text  string
+	phase int32 // 1: a fault begins, 2: it ends, 0: it happens once
+	run   func(context.Context) error
 }
 
 // injection is a planned fault that is to be injected into a run.
@@ -149,7 +149,7 @@
 	begun := make(chan struct{}) // its beginning may take longer than it lasts
 	return f.span(func(ctx context.Context) (err error) {
 		defer close(begun)
-		undo, err = f.service.rr.InjectFault(ctx, f.FaultPlan)
+		undo, err = f.registry.cluster.InjectFault(ctx, f.FaultPlan)
 		return err
 	}, func(ctx context.Context) error {
 		select {
@@ -190,7 +190,7 @@
 
 func plantDefect(f injection) []step {
 	return f.toggle(func(on bool) error {
-		f.plant(strings.TrimPrefix(f.Fault.Kind, "defect-"), f.FaultPlan, on)
+		f.setDefect(strings.TrimPrefix(f.Fault.Kind, "defect-"), f.FaultPlan, on)
 		return nil
 	})
 }
--- a/internal/lab/faults.go
+++ b/internal/lab/faults.go
@@ -17,11 +17,11 @@
 	"marblelane/internal/lab/scenario"
 )
 
-// deadFor is how long a server that is killed or drained and started again is away.
-const deadFor = time.Second
+// serverDowntime is how long a server that is killed or drained and started again is away.
+const serverDowntime = time.Second
 
 // injectFaults carries out the plan's faults at their times, each in a goroutine of its own: one that takes long, such as
-// a planned restart, holds no other back.
+// a planned restart, delays no other.
 func (r *run) injectFaults(ctx context.Context) {
 	var steps []step
 	for i := range r.Plan.Faults {
@@ -41,28 +41,28 @@
 			return
 		}
 		r.Events.Add(record.Event{Kind: record.Fault, Sidecar: record.None, Server: record.None, Class: record.None,
-			Status: s.mark, Note: s.text})
+			Status: s.phase, Note: s.text})
 		r.Log.Info("lab: fault", "what", s.text)
 		r.Tasks.Go(func() {
-			if err := s.do(ctx); err != nil && ctx.Err() == nil {
+			if err := s.run(ctx); err != nil && ctx.Err() == nil {
 				r.Fail(fmt.Errorf("%s: %w", s.text, err))
 			}
 		})
 	}
 }
 
-// loseWatches tells the stand-ins that a sidecar's watches were broken off.
-func (r *run) loseWatches(f scenario.Fault, sidecar int) {
-	if r.service != nil {
+// markWatchesLost tells simulated discovery that the watches of a sidecar were reset.
+func (r *run) markWatchesLost(f scenario.Fault, sidecar int) {
+	if r.registry != nil {
 		return
 	}
-	for _, a := range r.listsOf(f) {
+	for _, a := range r.discoveryOf(f) {
 		a.MarkDisconnected(sidecar)
 	}
 }
 
-// listsOf are the list services that a fault concerns.
-func (r *run) listsOf(f scenario.Fault) []*agent.Agents {
+// discoveryOf are the simulated discovery services that a fault concerns.
+func (r *run) discoveryOf(f scenario.Fault) []*agent.Agents {
 	if number, one := strings.CutPrefix(f.List, "#"); one {
 		i, _ := strconv.Atoi(number) // checked with the scenario
 		return r.agents[i : i+1]
@@ -74,12 +74,12 @@
 func (r *run) eachLink(p *scenario.FaultPlan, f func(port *relay.Port, sidecar int, l *relay.Link)) {
 	for _, i := range p.Sidecars {
 		if p.Fault.Link == "discovery" {
-			for k, links := range r.disc {
+			for k, links := range r.discoveryLinks {
 				if number, one := strings.CutPrefix(p.Fault.List, "#"); one && number != strconv.Itoa(k) {
 					continue
 				}
-				if r.service != nil {
-					f(r.service.ports[k], i, links[i])
+				if r.registry != nil {
+					f(r.registry.proxies[k], i, links[i])
 				} else {
 					f(r.agents[k].Port(), i, links[i])
 				}
@@ -92,8 +92,8 @@
 	}
 }
 
-// newConns is how long after SIGTERM clients still open connections: the platform's most.
-const newConns = 400 * time.Millisecond
+// connectWindow is how long after SIGTERM clients still open connections, at most, on the platform.
+const connectWindow = 400 * time.Millisecond
 
 // lateStarts are the steps that start the sidecars which start during the run.
 func (r *run) lateStarts() []step {
@@ -107,6 +107,6 @@
 		return nil
 	}
 	return []step{{r.Scenario.Members.LateAt.Duration(), fmt.Sprintf("sidecars %v start", late), 0, func(ctx context.Context) error {
-		return harness.ForEach(late, func(i int) error { return r.sidecars[i].begin(ctx) })
+		return harness.ForEach(late, func(i int) error { return r.sidecars[i].start(ctx) })
 	}}}
 }
--- a/internal/lab/parties.go
+++ b/internal/lab/parties.go
@@ -44,13 +44,13 @@
 		for i := range r.Plan.Sidecars {
 			row = append(row, relay.NewLink(relay.Rules{}, r.Plan.Seed^uint64(k)<<32^uint64(i)))
 		}
-		r.disc = append(r.disc, row)
+		r.discoveryLinks = append(r.discoveryLinks, row)
 	}
 }
 
 // startServers starts all servers of the plan, and gives the entries of those that discovery lists from the beginning.
 func (r *run) startServers() (entries []agent.Entry, err error) {
-	r.boots = make([]atomic.Int64, len(r.Plan.Servers))
+	r.serverStarts = make([]atomic.Int64, len(r.Plan.Servers))
 	for _, p := range r.Plan.Pods {
 		r.pods = append(r.pods, stock.NewPod(r.Events, p.Limit))
 	}
@@ -69,16 +69,16 @@
 
 // startRegistry starts the replicas of the registry, as members of the fleet where there is membership.
 func (r *run) startRegistry(ctx context.Context, entries []agent.Entry) error {
-	if err := r.startService(ctx, entries); err != nil || r.members == nil {
+	if err := r.openRegistry(ctx, entries); err != nil || r.members == nil {
 		return err
 	}
-	return r.members.StartReplicas(ctx, r.service.rr)
+	return r.members.StartReplicas(ctx, r.registry.cluster)
 }
 
 // startAgents starts simulated discovery services.
 func (r *run) startAgents(entries []agent.Entry) error {
 	addr := func(sidecar, server int) string { return r.servers[server].Port.Addr(sidecar) }
-	for _, links := range r.disc {
+	for _, links := range r.discoveryLinks {
 		a, err := agent.New(r.Events, len(r.Plan.Sidecars), entries, addr, func(sidecar int) *relay.Link {
 			if sidecar >= len(links) {
 				return nil
@@ -96,19 +96,19 @@
 // addServer starts the server of this number in the plan.
 func (r *run) addServer(i int) error {
 	p := &r.Plan.Servers[i]
-	probe := -1.0
+	healthCheckWork := -1.0
 	if r.Scenario.Rules.Probes {
-		probe = 0.08
+		healthCheckWork = 0.08
 	}
-	s, err := stock.Start(r.Events, r.book, r.pods[p.Pod], stock.SpecOf(r.Plan, i), stock.Options{
-		Number: i, Seed: r.Plan.Seed, HealthCheckWork: probe,
+	s, err := stock.Start(r.Events, r.requests, r.pods[p.Pod], stock.SpecOf(r.Plan, i), stock.Options{
+		Number: i, Seed: r.Plan.Seed, HealthCheckWork: healthCheckWork,
 		Links: func(sidecar int) *relay.Link {
 			if sidecar >= len(r.Plan.Sidecars) {
 				return nil
 			}
 			return r.link(sidecar, i)
 		},
-		Observe: r.overhear,
+		Observe: r.observeRequest,
 	})
 	if err != nil {
 		return err
@@ -135,18 +135,20 @@
 	return l
 }
 
-// addr is where the clients of a sidecar connect.
-func (r *run) addr(i int) string {
+// clientAddr is where the clients of a sidecar connect.
+func (r *run) clientAddr(i int) string {
 	if r.program == NoProgram {
-		// In turn, over all servers: a count would need a lock, and any spread is as good.
+		// Spread over all servers by the time; a counter would need a lock.
 		n := int(r.Events.Now()/time.Microsecond) % r.Scenario.Servers.Count
 		return r.servers[n].Port.Addr(i)
 	}
-	if t := r.tampers[i]; t != nil && *t.active.Load() != "" {
+	if t := r.answerProxies[i]; t != nil && *t.defect.Load() != "" {
 		return t.addr
 	}
 	return r.sidecars[i].addr()
 }
 
-// closedTo tells whether a sidecar's clients open no new connections at this moment.
-func (r *run) closedTo(i int) bool { return r.program != NoProgram && r.sidecars[i].closed.Load() }
+// closedToNew tells whether a sidecar's clients open no new connections at this moment.
+func (r *run) closedToNew(i int) bool {
+	return r.program != NoProgram && r.sidecars[i].closedToNew.Load()
+}
--- /dev/null
+++ b/internal/lab/resender.go
@@ -0,0 +1,72 @@
+package lab
+
+import (
+	"fmt"
+	"net"
+	"net/http"
+	"slices"
+	"time"
+)
+
+// resender says which sidecars' requests a planted defect sends again, and how.
+type resender struct {
+	defect   string
+	sidecars []int
+}
+
+// resendDelay is when a request is sent again by "send-again", "tell-whole" and "send-often": the first has ended by then.
+const resendDelay = 1500 * time.Millisecond
+
+// observeRequest sees each request that reaches a server, and sends it again where a planted defect wants it.
+func (r *run) observeRequest(server, sidecar int, req *http.Request, body []byte) {
+	rep := r.resender.Load()
+	if rep == nil || rep.defect == "" || req.Header.Get("X-Overheard") != "" {
+		return
+	}
+	if !slices.Contains(rep.sidecars, sidecar) || r.resendCount.Add(1) > maxResends {
+		return
+	}
+	other := r.servers[(server+1)%len(r.servers)].Port.Addr(sidecar)
+	id := req.Header.Get("X-Request-ID")
+	r.Tasks.Go(func() {
+		tells := ""
+		if rep.defect == "tell-whole" {
+			tells = "X-Timeout-Ms: " + req.Header.Get("X-Timeout-Ms") + "\r\n" // as much as when the first was sent
+		}
+		again := func(id string) { _ = resend(other, req, id, tells, body) } // a failed resend is no defect
+		switch rep.defect {
+		case "send-twice":
+			again(id)
+		case "send-again", "tell-whole":
+			time.Sleep(resendDelay)
+			again(id)
+		case "send-often":
+			time.Sleep(resendDelay)
+			for range 3 {
+				again(id)
+			}
+		case "invent":
+			again("00000000deadbeef")
+		}
+	})
+}
+
+// maxResends bounds the requests that are sent again in a run.
+const maxResends = 5
+
+// resend sends a request as a sidecar would, with a header line more or none, and waits for its answer.
+func resend(addr string, req *http.Request, id, line string, body []byte) error {
+	c, err := net.DialTimeout("tcp4", addr, time.Second)
+	if err != nil {
+		return err
+	}
+	defer c.Close()
+	_ = c.SetDeadline(time.Now().Add(5 * time.Second))
+	head := fmt.Sprintf("%s /api HTTP/1.1\r\nHost: backend.local\r\nX-Request-ID: %s\r\nX-Overheard: 1\r\n%sContent-Length: %d\r\n\r\n",
+		req.Method, id, line, len(body))
+	if _, err := c.Write(append([]byte(head), body...)); err != nil {
+		return err
+	}
+	_, err = c.Read(make([]byte, 1<<10))
+	return err
+}
--- a/internal/lab/routes_config.go
+++ b/internal/lab/routes_section.go
@@ -10,16 +10,16 @@
 	return r.program
 }
 
-// routesOf is the section of a sidecar's configuration that turns routes on; nil: they are off.
-func (r *run) routesOf(sidecar int) map[string]any {
+// routesSection is the section of a sidecar's configuration that turns routes on; nil: they are off.
+func (r *run) routesSection(sidecar int) map[string]any {
 	if !r.Scenario.Routed() || r.Scenario.Older(sidecar) {
 		return nil
 	}
 	schemas := r.Scenario.Routes.Schemas
-	if again := r.sidecars[sidecar].manages > 0 && r.Scenario.Routes.Swap; r.Scenario.Old(sidecar) != again {
+	if again := r.sidecars[sidecar].starts > 0 && r.Scenario.Routes.Swap; r.Scenario.Old(sidecar) != again {
 		schemas = []int{1}
 	}
-	section := map[string]any{"addrs": r.listAddrs(sidecar), "key_header": "X-Route-Key"}
+	section := map[string]any{"addrs": r.discoveryAddrs(sidecar), "key_header": "X-Route-Key"}
 	if len(schemas) > 0 {
 		section["schemas"] = schemas
 	}
--- a/internal/lab/run.go
+++ b/internal/lab/run.go
@@ -26,37 +26,37 @@
 // run is a run of sidecars between clients, servers and discovery.
 type run struct {
 	*harness.Run
-	program  string
-	book     *client.RequestLog
-	pods     []*stock.Pod
-	servers  []*stock.Server
-	agents   []*agent.Agents                 // stand-ins for list services, each with an agent for every sidecar
-	service  *service                        // real ones in their place; nil: stand-ins
-	rollouts atomic.Pointer[rollouts.Driver] // what tenants do with routes; nil: there are none
-	members  *members.Network                // what lies between members; nil: there is no membership
-	sidecars []*sidecar
-	tampers  []*tamper
-	load     *client.Load
-	lateness []time.Duration // of arrivals, behind their plan
-	worked   float64         // units that the servers have worked
-	boots    []atomic.Int64  // when each server started last, Unix ms; 0: before the run
-	// serverClock is how many ms the wall clock is off by which servers' starts are told.
+	program       string
+	requests      *client.RequestLog
+	pods          []*stock.Pod
+	servers       []*stock.Server
+	agents        []*agent.Agents                 // simulated discovery services, each with an agent for every sidecar
+	registry      *registryProxy                  // nil: discovery is simulated
+	rollouts      atomic.Pointer[rollouts.Driver] // nil: the scenario has no routes
+	members       *members.Network                // nil: there is no membership
+	sidecars      []*sidecar
+	answerProxies []*answerProxy
+	load          *client.Load
+	lateness      []time.Duration // of arrivals, behind their plan
+	worked        float64         // units that the servers have worked
+	serverStarts  []atomic.Int64  // when each server started last, Unix ms; 0: before the run
+	// serverClock is the offset of the servers' wall clock, in ms.
 	serverClock atomic.Int64
 
-	overheardBy atomic.Pointer[repeater]
-	repeated    atomic.Int64
+	resender    atomic.Pointer[resender]
+	resendCount atomic.Int64
 
 	linkMu          sync.Mutex
 	links           map[[2]int]*relay.Link  // by sidecar and server
-	disc            [][]*relay.Link         // by list service and sidecar
+	discoveryLinks  [][]*relay.Link         // by discovery service and sidecar
 	handshakeDelays []*relay.HandshakeDelay // that have begun
 
-	watchers sync.WaitGroup // of processes; they end after Tasks
+	processWatchers sync.WaitGroup // of processes; they end after Tasks
 }
 
 func newRun(base *harness.Run) *run {
-	r := &run{Run: base, links: map[[2]int]*relay.Link{}, book: client.NewRequestLog()}
-	r.load = &client.Load{Plan: r.Plan, Log: r.Events, Requests: r.book, Addr: r.addr, Closed: r.closedTo}
+	r := &run{Run: base, links: map[[2]int]*relay.Link{}, requests: client.NewRequestLog()}
+	r.load = &client.Load{Plan: r.Plan, Log: r.Events, Requests: r.requests, Addr: r.clientAddr, Closed: r.closedToNew}
 	if r.program = r.Scenario.Sidecars.Program; r.program == "" {
 		r.program = r.Options.Program
 	}
@@ -67,15 +67,15 @@
 func (r *run) Drive(ctx context.Context) error {
 	r.Log.Info("lab: all parties are up", "sidecars", len(r.sidecars), "servers", len(r.servers), "seed", r.Plan.Seed)
 	r.shiftArrivals(r.Began)
-	r.Tasks.Go(func() { r.sample(ctx) })
+	r.Tasks.Go(func() { r.sampleProcesses(ctx) })
 	r.Tasks.Go(func() { r.injectFaults(ctx) })
 	if r.Scenario.Routed() {
-		o := rollouts.New(r.Run, r.service.rr)
-		r.rollouts.Store(o) // sidecars ask already
+		o := rollouts.New(r.Run, r.registry.cluster)
+		r.rollouts.Store(o) // the sidecars call already
 		r.Tasks.Go(func() { o.Drive(ctx) })
 	}
 	r.lateness = r.load.Run(ctx)
-	r.overheardBy.Store(nil)
+	r.resender.Store(nil)
 	return nil
 }
 
@@ -86,7 +86,7 @@
 	}
 }
 
-// Collect asks the parties for the last time, and ends the sidecars.
+// Collect polls the parties for the last time, and ends the sidecars.
 func (r *run) Collect(ctx context.Context) error {
 	if r.members != nil {
 		r.members.StopPolling()
@@ -96,7 +96,7 @@
 		o.Collect(ctx)
 	}
 	r.stopSidecars()
-	r.watchers.Wait()
+	r.processWatchers.Wait()
 	for _, s := range r.servers {
 		r.worked += s.WorkDone()
 	}
@@ -115,7 +115,7 @@
 		routes = o.Facts()
 	}
 	rep := report.New(r.Plan, events, r.worked, routes, r.Spans(timers.Stalls))
-	if r.members != nil { // before the rules of routes ask which were held to some case
+	if r.members != nil { // before the expectations ask which rules were held to some case
 		facts := r.members.Facts()
 		invariant.CheckMembers(events, facts, rep.Verdict)
 		rep.Members = members.Result(events, facts)
@@ -124,8 +124,8 @@
 		rep.Routes = o.Result(events, routes, rep.Verdict)
 	}
 	rep.Lateness = report.NewLateness(r.lateness, timers.Lag)
-	if r.service != nil {
-		r.service.rr.AddTo(rep.Verdict)
+	if r.registry != nil {
+		r.registry.cluster.AddTo(rep.Verdict)
 	}
 	rep.CheckExpectations(r.Scenario)
 	return rep
@@ -143,11 +143,11 @@
 		s.kill()
 	}
 	r.StopProcesses()
-	r.watchers.Wait()
+	r.processWatchers.Wait()
 	if r.members != nil {
 		r.members.Close()
 	}
-	for _, t := range r.tampers {
+	for _, t := range r.answerProxies {
 		if t != nil {
 			t.close()
 		}
@@ -155,8 +155,8 @@
 	for _, a := range r.agents {
 		a.Close()
 	}
-	if r.service != nil {
-		r.service.close()
+	if r.registry != nil {
+		r.registry.close()
 	}
 	for _, s := range r.servers {
 		s.Close()
--- a/internal/lab/sampling.go
+++ b/internal/lab/sampling.go
@@ -11,11 +11,11 @@
 	"marblelane/internal/lab/record"
 )
 
-// sampleEvery is how often the processes are measured.
-const sampleEvery = 500 * time.Millisecond
+// sampleInterval is the time between two measurements of the processes.
+const sampleInterval = 500 * time.Millisecond
 
-func (r *run) sample(ctx context.Context) {
-	t := time.NewTicker(sampleEvery)
+func (r *run) sampleProcesses(ctx context.Context) {
+	t := time.NewTicker(sampleInterval)
 	defer t.Stop()
 	for {
 		select {
@@ -27,14 +27,14 @@
 	}
 }
 
-// measureAll writes down what each process uses now.
+// measureAll records what each process uses now.
 func (r *run) measureAll() {
 	together := func(sidecar int, cpu float64, pids ...int) {
 		e := record.Event{Kind: record.Sample, Sidecar: int32(sidecar), Server: record.None, Class: record.None, Work: cpu}
 		for _, pid := range pids {
 			u, err := process.Measure(pid)
 			if err != nil {
-				return // it has just ended, which is written down elsewhere
+				return // it has just ended, which is recorded elsewhere
 			}
 			e.N, e.Status, e.Work = e.N+u.RSS, e.Status+int32(u.Descriptors), e.Work+u.CPU
 		}
--- a/internal/lab/scale.go
+++ b/internal/lab/scale.go
@@ -155,8 +155,8 @@
 			break
 		}
 		id := uint64(i + 1)
-		r.book.Add(id, stock.ClientRequest{Method: http.MethodGet, Class: a.Class, Sum: record.Sum(nil), Work: a.Work, Answer: sized.Traffic.Answer})
-		addr := r.addr(a.Sidecar)
+		r.requests.Add(id, stock.ClientRequest{Method: http.MethodGet, Class: a.Class, Sum: record.Sum(nil), Work: a.Work, Answer: sized.Traffic.Answer})
+		addr := r.clientAddr(a.Sidecar)
 		wg.Go(func() {
 			mu.Lock()
 			var c net.Conn
--- a/internal/lab/server_fault_steps.go
+++ b/internal/lab/server_fault_steps.go
@@ -29,7 +29,7 @@
 	},
 	"restart": func(f injection) []step {
 		return f.span(func(context.Context) error { return harness.ForEach(f.Servers, f.killServer) },
-			func(context.Context) error { return harness.ForEach(f.Servers, f.bootServer) })
+			func(context.Context) error { return harness.ForEach(f.Servers, f.startServer) })
 	},
 	"drain": func(f injection) []step {
 		return f.once(func(ctx context.Context) error { return f.drainServers(ctx, f.Servers, f.Fault.Stay) })
@@ -160,7 +160,7 @@
 		f.eachLink(f.FaultPlan, func(port *relay.Port, sidecar int, _ *relay.Link) {
 			port.EachConn(sidecar, (*relay.Conn).Reset)
 			if f.Fault.Link == "discovery" {
-				f.loseWatches(f.Fault, sidecar)
+				f.markWatchesLost(f.Fault, sidecar)
 			}
 		})
 		return nil
--- a/internal/lab/server_faults.go
+++ b/internal/lab/server_faults.go
@@ -47,13 +47,13 @@
 	return r.cut(p, relay.Both, on)
 }
 
-// publish tells of a server's state after the notice that this news takes.
+// publish lets discovery list the state of a server after the delay with which it notices.
 func (r *run) publish(i int, state string, notice scenario.Duration) {
-	if r.service != nil {
-		r.service.publish(r.Entry(i, state, r.boots[i].Load()), notice.Duration())
+	if r.registry != nil {
+		r.registry.publish(r.Entry(i, state, r.serverStarts[i].Load()), notice.Duration())
 	}
 	for _, a := range r.agents {
-		a.Publish(r.Entry(i, state, r.boots[i].Load()), notice.Duration(), r.Scenario.Discovery.Spread.Duration())
+		a.Publish(r.Entry(i, state, r.serverStarts[i].Load()), notice.Duration(), r.Scenario.Discovery.Spread.Duration())
 	}
 }
 
@@ -64,19 +64,18 @@
 	return nil
 }
 
-func (r *run) bootServer(i int) error {
+func (r *run) startServer(i int) error {
 	r.Note(record.ServerState, record.None, i, invariant.ServerStarted)
 	if err := r.servers[i].Restart(); err != nil {
 		return err
 	}
-	r.boots[i].Store(time.Now().UnixMilli() + r.serverClock.Load())
+	r.serverStarts[i].Store(time.Now().UnixMilli() + r.serverClock.Load())
 	r.publish(i, agent.Ready, r.Scenario.Discovery.Add)
 	return nil
 }
 
-// drainServers ends servers in order: they tell that they drain, turn away what is new once all sidecars know and
-// their grace is over, end, and come back cold.
-// Those that stay do not end, and serve whatever comes: nothing but the list tells that they drain.
+// drainServers ends servers in order: discovery lists them as terminating, they reject new requests once all sidecars know
+// and their grace is over, end, and start again. Those that stay do not end, and serve all requests.
 func (r *run) drainServers(ctx context.Context, servers []int, stay bool) error {
 	for _, i := range servers {
 		r.Note(record.ServerState, record.None, i, "drains")
@@ -92,31 +91,31 @@
 	for _, i := range servers {
 		r.servers[i].SetBehaviour(func(b *stock.Behaviour) { b.Drain = true })
 	}
-	if !harness.Sleep(ctx, deadFor) {
+	if !harness.Sleep(ctx, serverDowntime) {
 		return nil
 	}
 	for _, i := range servers {
 		r.servers[i].Kill()
 	}
-	if !harness.Sleep(ctx, deadFor) {
+	if !harness.Sleep(ctx, serverDowntime) {
 		return nil
 	}
 	for _, i := range servers {
 		r.servers[i].SetBehaviour(func(b *stock.Behaviour) { b.Drain = false })
 	}
-	return harness.ForEach(servers, r.bootServer)
+	return harness.ForEach(servers, r.startServer)
 }
 
 // replaceServers starts a new machine for each of the servers, under a new name, and ends the old ones in order.
 func (r *run) replaceServers(ctx context.Context, p *scenario.FaultPlan) error {
-	if err := harness.ForEach(p.Fresh, r.bootServer); err != nil {
+	if err := harness.ForEach(p.Fresh, r.startServer); err != nil {
 		return err
 	}
 	for _, i := range p.Servers {
 		r.Note(record.ServerState, record.None, i, "is replaced")
 		r.publish(i, agent.Terminating, r.Scenario.Discovery.Notice)
 	}
-	if !harness.Sleep(ctx, r.Scenario.Discovery.Notice.Duration()+r.Scenario.Discovery.Spread.Duration()+r.Scenario.Rules.DrainGrace.Duration()+deadFor) {
+	if !harness.Sleep(ctx, r.Scenario.Discovery.Notice.Duration()+r.Scenario.Discovery.Spread.Duration()+r.Scenario.Rules.DrainGrace.Duration()+serverDowntime) {
 		return nil
 	}
 	for _, i := range p.Servers {
--- a/internal/lab/sidecar_fault_steps.go
+++ b/internal/lab/sidecar_fault_steps.go
@@ -43,13 +43,13 @@
 		})
 	},
 	"list-move": func(f injection) []step {
-		return f.once(func(context.Context) error { return f.moveDiscovery() })
+		return f.once(func(context.Context) error { return f.migrateDiscovery() })
 	},
 }
 
 // eachList calls do for each list of a sidecar that a fault concerns.
 func (f injection) eachList(do func(a *agent.Agents, sidecar int)) {
-	for _, a := range f.listsOf(f.Fault) {
+	for _, a := range f.discoveryOf(f.Fault) {
 		for _, i := range f.Sidecars {
 			do(a, i)
 		}
@@ -81,7 +81,7 @@
 // sidecarSteps are the faults of the processes of sidecars.
 var sidecarSteps = map[string]func(injection) []step{
 	"sidecar-restart": sidecarFault((*sidecar).restart),
-	"sidecar-term":    sidecarFault((*sidecar).term),
+	"sidecar-term":    sidecarFault((*sidecar).terminate),
 	"sidecar-upgrade": sidecarFault((*sidecar).upgrade),
 	"sidecar-clock":   stepClocks,
 	"sidecar-call":    failCalls,
@@ -89,7 +89,7 @@
 		return f.toggle(func(on bool) error { return f.eachSidecar(func(s *sidecar) error { return s.freeze(on) }) })
 	},
 	"sidecar-kill": func(f injection) []step {
-		return f.span(func(context.Context) error { return f.eachSidecar((*sidecar).die) }, func(ctx context.Context) error {
+		return f.span(func(context.Context) error { return f.eachSidecar((*sidecar).crash) }, func(ctx context.Context) error {
 			return f.eachSidecar(func(s *sidecar) error { return s.launch(ctx) })
 		})
 	},
@@ -113,7 +113,7 @@
 func (f injection) changeFaults(change func(set *fault.Set, on bool)) []step {
 	return f.toggle(func(on bool) error {
 		return f.eachSidecar(func(s *sidecar) error {
-			return s.plantInside(func(set *fault.Set) { change(set, on) })
+			return s.changeFaults(func(set *fault.Set) { change(set, on) })
 		})
 	})
 }
--- a/internal/lab/sidecar_faults.go
+++ b/internal/lab/sidecar_faults.go
@@ -12,8 +12,8 @@
 	"marblelane/internal/lab/record"
 )
 
-// moveDiscovery gives discovery another address and tells the sidecars with SIGHUP.
-func (r *run) moveDiscovery() error {
+// migrateDiscovery gives discovery another address and tells the sidecars with SIGHUP.
+func (r *run) migrateDiscovery() error {
 	for _, a := range r.agents {
 		if err := a.MigratePort(); err != nil {
 			return err
@@ -30,7 +30,7 @@
 	return nil
 }
 
-func (s *sidecar) note(text string) { s.r.Note(record.Process, s.number, record.None, text) }
+func (s *sidecar) note(text string) { s.run.Note(record.Process, s.number, record.None, text) }
 
 func (s *sidecar) freeze(on bool) error {
 	if !on {
@@ -41,12 +41,12 @@
 	return s.current().Signal(syscall.SIGSTOP)
 }
 
-// die ends the process as a crash of its machine would.
-func (s *sidecar) die() error {
+// crash ends the process as a crash of its machine would.
+func (s *sidecar) crash() error {
 	c := s.current()
 	s.note(invariant.Killed)
 	c.Kill()
-	s.retire(c)
+	s.addPastCPU(c)
 	return nil
 }
 
@@ -56,14 +56,14 @@
 	return s.launch(ctx)
 }
 
-// term is a planned restart as hard as the platform may make it: clients open connections for a while after SIGTERM and
+// terminate is a planned restart as hard as the platform may make it: clients open connections for a while after SIGTERM and
 // go on sending on every one that stays open, and SIGKILL comes at its earliest.
-func (s *sidecar) term(ctx context.Context) error {
-	defer time.AfterFunc(newConns, func() { s.closed.Store(true) }).Stop()
-	s.stop(s.current(), s.r.Scenario.KillAfter())
-	s.closed.Store(true) // before the timer, where it has ended sooner
+func (s *sidecar) terminate(ctx context.Context) error {
+	defer time.AfterFunc(connectWindow, func() { s.closedToNew.Store(true) }).Stop()
+	s.stop(s.current(), s.run.Scenario.KillAfter())
+	s.closedToNew.Store(true) // before the timer, where it has ended sooner
 	err := s.launch(ctx)
-	s.closed.Store(false)
+	s.closedToNew.Store(false)
 	return err
 }
 
--- a/internal/lab/sidecar_process.go
+++ b/internal/lab/sidecar_process.go
@@ -25,26 +25,26 @@
 	"marblelane/internal/lab/record"
 )
 
-// portTrials is how many ports are tried for a process.
-const portTrials = 3
+// maxPortTries is how many ports are tried for a process.
+const maxPortTries = 3
 
 // sidecar is one sidecar with its process, or two during an upgrade.
 type sidecar struct {
-	r       *run
-	number  int
-	dir     string
-	listen  string
-	config  string // file
-	mu      sync.Mutex
-	now     *process.Child
-	older   *process.Child
-	past    float64 // CPU seconds of processes that have ended
-	manages int
+	run      *run
+	number   int
+	dir      string
+	listen   string
+	config   string // file
+	mu       sync.Mutex
+	child    *process.Child
+	oldChild *process.Child
+	pastCPU  float64 // CPU seconds of processes that have ended
+	starts   int
 
-	closed  atomic.Bool            // clients open no new connections
-	planted fault.Set              // what its file of faults says; under mu
-	stalls  atomic.Int64           // a planted defect of its start: it does nothing for so long (ns)
-	endsBad atomic.Pointer[string] // a planted defect of its end; empty or nil: none
+	closedToNew atomic.Bool            // clients open no new connections
+	faults      fault.Set              // in its file of faults; under mu
+	startStall  atomic.Int64           // planted defect: how long a process does nothing at its start, in ns
+	stopDefect  atomic.Pointer[string] // planted defect at SIGTERM; empty or nil: none
 }
 
 func (s *sidecar) addr() string {
@@ -57,7 +57,7 @@
 func (s *sidecar) processes() (pids []int, past float64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for _, c := range []*process.Child{s.now, s.older} {
+	for _, c := range []*process.Child{s.child, s.oldChild} {
 		if c == nil {
 			continue
 		}
@@ -67,15 +67,15 @@
 			pids = append(pids, c.PID)
 		}
 	}
-	return pids, s.past
+	return pids, s.pastCPU
 }
 
 // startSidecars starts all and waits until each says that it serves.
 func (r *run) startSidecars(ctx context.Context) error {
-	r.tampers = make([]*tamper, len(r.Plan.Sidecars))
+	r.answerProxies = make([]*answerProxy, len(r.Plan.Sidecars))
 	for i := range r.Plan.Sidecars {
-		s := &sidecar{r: r, number: i, dir: filepath.Join(r.Dir, r.Plan.Sidecars[i].Name)}
-		if r.Scenario.Late(i) { // it may have another one's name
+		s := &sidecar{run: r, number: i, dir: filepath.Join(r.Dir, r.Plan.Sidecars[i].Name)}
+		if r.Scenario.Late(i) { // it may have the name of another one
 			s.dir += "-late"
 		}
 		s.config = filepath.Join(s.dir, "config.json")
@@ -85,12 +85,12 @@
 	defer cancel()
 	first := slices.DeleteFunc(slices.Clone(r.sidecars), func(s *sidecar) bool { return r.Scenario.Late(s.number) })
 	errs := make(chan error, len(first))
-	room := make(chan struct{}, 8) // at a time: starts are the costliest moment
+	slots := make(chan struct{}, 8) // starts at a time, as they cost the most
 	for _, s := range first {
 		r.Tasks.Go(func() {
-			room <- struct{}{}
-			defer func() { <-room }()
-			errs <- s.begin(ctx)
+			slots <- struct{}{}
+			defer func() { <-slots }()
+			errs <- s.start(ctx)
 		})
 	}
 	var all error
@@ -100,16 +100,16 @@
 	if all != nil {
 		return all
 	}
-	return r.prepareTampers()
+	return r.openAnswerProxies()
 }
 
-// begin starts the sidecar on an address that is free. The platform reserves its addresses; here one may be
-// taken by someone else between the look and the start, so another is tried.
-func (s *sidecar) begin(ctx context.Context) error {
+// start starts the sidecar on a free address. The platform reserves its addresses; here another process may take one before
+// the start, so another is tried.
+func (s *sidecar) start(ctx context.Context) error {
 	var err error
-	for range portTrials {
+	for range maxPortTries {
 		var listen string
-		if listen, err = s.r.Options.FreeAddr(s.number); err != nil {
+		if listen, err = s.run.Options.FreeAddr(s.number); err != nil {
 			return err
 		}
 		s.mu.Lock()
@@ -118,22 +118,22 @@
 		if err = s.launch(ctx); err == nil || !strings.Contains(err.Error(), "address already in use") {
 			return err
 		}
-		s.r.Log.Warn("lab: port taken, trying another", "sidecar", s.number, "address", s.listen)
+		s.run.Log.Warn("lab: port taken, trying another", "sidecar", s.number, "addr", s.listen)
 	}
-	return fmt.Errorf("sidecar %d: after %d ports: %w", s.number, portTrials, err)
+	return fmt.Errorf("sidecar %d: after %d ports: %w", s.number, maxPortTries, err)
 }
 
 // launch starts a process and waits until it serves.
 func (s *sidecar) launch(ctx context.Context) error {
-	r, p := s.r, &s.r.Plan.Sidecars[s.number]
+	r, p := s.run, &s.run.Plan.Sidecars[s.number]
 	tmp := filepath.Join(s.dir, "tmp")
 	if err := os.MkdirAll(tmp, 0o755); err != nil {
 		return fmt.Errorf("sidecar %d: %w", s.number, err)
 	}
-	var at *members.Endpoint
+	var endpoint *members.Endpoint
 	if r.members != nil && r.Scenario.Membered(s.number) {
 		var err error
-		if at, err = r.members.Prepare(s.number); err != nil {
+		if endpoint, err = r.members.Prepare(s.number); err != nil {
 			return fmt.Errorf("sidecar %d: %w", s.number, err)
 		}
 	}
@@ -141,68 +141,68 @@
 		return err
 	}
 	s.mu.Lock()
-	s.manages++
+	s.starts++
 	s.mu.Unlock()
-	begun := r.Events.Now() // before the process can know of its start
+	started := r.Events.Now() // before the process can know of its start
 	c, err := r.Processes.Start(process.Spec{
 		Name: p.Name, Path: r.programOf(s.number), Dir: s.dir, MaxDescriptors: r.Scenario.Sidecars.Sockets,
 		Env: []string{"NODE_CONFIG=" + s.config, "NODE_NAME=" + p.Name, "NODE_LISTEN=" + s.listen,
-			"NODE_DISCOVERY=" + r.listAddrs(s.number)[0], "NODE_MANAGEMENT=" + harness.HostOf(s.listen) + ":0", "TMPDIR=" + tmp},
+			"NODE_DISCOVERY=" + r.discoveryAddrs(s.number)[0], "NODE_MANAGEMENT=" + harness.HostOf(s.listen) + ":0", "TMPDIR=" + tmp},
 	})
 	if err != nil {
 		return fmt.Errorf("sidecar %d: %w", s.number, err)
 	}
-	r.Events.Add(record.Event{T: begun, Kind: record.Process, Sidecar: int32(s.number), Server: record.None, Class: record.None, Note: invariant.Started})
+	r.Events.Add(record.Event{T: started, Kind: record.Process, Sidecar: int32(s.number), Server: record.None, Class: record.None, Note: invariant.Started})
 	s.mu.Lock()
-	s.older, s.now = s.now, c
+	s.oldChild, s.child = s.child, c
 	s.mu.Unlock()
-	if at != nil {
-		r.members.SetProcess(at, c)
+	if endpoint != nil {
+		r.members.SetProcess(endpoint, c)
 	}
-	s.spoilStart(ctx, c)
+	s.stallStart(ctx, c)
 	ready, err := c.AwaitLog(ctx, harness.ReadyText)
 	if err != nil {
-		if c.Kill(); at != nil {
-			r.members.ProcessEnded(at, c)
+		if c.Kill(); endpoint != nil {
+			r.members.ProcessEnded(endpoint, c)
 		}
 		return fmt.Errorf("sidecar %d at %s: %w", s.number, s.listen, err)
 	}
 	r.Note(record.Process, s.number, record.None, invariant.Serving)
-	if at != nil {
-		if err := r.members.FollowProcess(at, c, ready); err != nil {
+	if endpoint != nil {
+		if err := r.members.FollowProcess(endpoint, c, ready); err != nil {
 			return fmt.Errorf("sidecar %d: %w", s.number, err)
 		}
 	}
-	r.watchers.Go(func() { s.watch(c) }) // an end before this was a start that failed, which is an error
+	r.processWatchers.Go(func() { s.awaitEnd(c) }) // an end before this was a start that failed, which is an error
 	return nil
 }
 
-// watch writes down how a process ended.
-func (s *sidecar) watch(c *process.Child) {
+// awaitEnd records how a process ended.
+func (s *sidecar) awaitEnd(c *process.Child) {
 	<-c.Ended()
 	note := invariant.Ended
 	if !c.StopRequested() || c.Err() != nil && !strings.Contains(c.Err().Error(), "signal: killed") {
 		note = invariant.Crashed
 	}
-	s.r.Note(record.Process, s.number, record.None, note)
+	s.run.Note(record.Process, s.number, record.None, note)
 	if note == invariant.Crashed {
-		s.r.Log.Error("lab: a copy ended unasked", "sidecar", s.number, "error", c.Err(), "log", c.LogTail())
+		s.run.Log.Error("lab: a sidecar ended without a signal", "sidecar", s.number, "err", c.Err(), "log", c.LogTail())
 	}
 }
 
-// writeConfig writes the configuration file with discovery's present address and list, whole or not at all.
+// writeConfig replaces the configuration file; it has the present addresses of discovery and the present list.
 func (s *sidecar) writeConfig() error {
-	r, p := s.r, &s.r.Plan.Sidecars[s.number]
+	r, p := s.run, &s.run.Plan.Sidecars[s.number]
 	config := map[string]any{
-		"name": p.Name, "listen": s.listen, "discovery": r.listAddrs(s.number)[0],
-		"management": harness.HostOf(s.listen) + ":0", "seed": strconv.FormatUint(p.Seed+uint64(s.manages), 16),
+		"name": p.Name, "listen": s.listen, "discovery": r.discoveryAddrs(s.number)[0],
+		"management": harness.HostOf(s.listen) + ":0", "seed": strconv.FormatUint(p.Seed+uint64(s.starts), 16),
 		"limits":   map[string]any{"cores": r.Scenario.Sidecars.Cores, "memory_mb": r.Scenario.Sidecars.MemoryMB, "sockets": r.Scenario.Sidecars.Sockets},
-		"known":    r.known(s.number),
+		"known":    r.initialList(s.number),
 		"settings": r.Plan.Settings(s.number),
 	}
 	if d := &r.Scenario.Discovery; d.Copies > 1 || d.Registry > 1 || d.DoubtShare > 0 || d.Stale > 0 {
 		var lists []map[string]any
-		for k, addr := range r.listAddrs(s.number) {
+		for k, addr := range r.discoveryAddrs(s.number) {
 			one := map[string]any{"addr": addr}
 			if k < len(d.Zones) {
 				one["zone"] = d.Zones[k]
@@ -211,7 +211,7 @@
 		}
 		config["lists"], config["list_doubt_share"], config["list_stale_ms"] = lists, d.DoubtShare, d.Stale.Milliseconds()
 	}
-	if section := r.routesOf(s.number); section != nil {
+	if section := r.routesSection(s.number); section != nil {
 		config["routes"] = section
 	}
 	if r.members != nil {
@@ -238,33 +238,33 @@
 	return nil
 }
 
-// faultsFile is the file of what is planted inside the process.
+// faultsFile is the file of the faults inside the process.
 func (s *sidecar) faultsFile() string { return filepath.Join(s.dir, "faults.toml") }
 
-// plantInside changes what is planted inside the process, and leaves what other faults planted there.
-func (s *sidecar) plantInside(change func(*fault.Set)) error {
+// changeFaults changes the faults inside the process.
+func (s *sidecar) changeFaults(change func(*fault.Set)) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	change(&s.planted)
-	return s.planted.Write(s.faultsFile())
+	change(&s.faults)
+	return s.faults.Write(s.faultsFile())
 }
 
 // current is the newest process.
 func (s *sidecar) current() *process.Child {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.now
+	return s.child
 }
 
 // stop ends a process in order; SIGKILL comes when it has not ended after wait.
 func (s *sidecar) stop(c *process.Child, wait time.Duration) {
-	s.r.Note(record.Process, s.number, record.None, invariant.Stopping)
-	if s.r.members != nil {
-		s.r.members.RecordLeaving(c)
+	s.run.Note(record.Process, s.number, record.None, invariant.Stopping)
+	if s.run.members != nil {
+		s.run.members.RecordLeaving(c)
 	}
-	if !s.spoilsEnd(c) {
+	if !s.playStopDefect(c) {
 		if err := c.Signal(syscall.SIGTERM); err != nil {
-			s.r.Fail(err)
+			s.run.Fail(err)
 		}
 	}
 	kill := time.NewTimer(wait)
@@ -272,24 +272,24 @@
 	select {
 	case <-c.Ended():
 	case <-kill.C:
-		s.r.Note(record.Process, s.number, record.None, invariant.Killed)
+		s.run.Note(record.Process, s.number, record.None, invariant.Killed)
 		c.Kill()
 	}
-	s.retire(c)
+	s.addPastCPU(c)
 }
 
-// retire keeps the CPU time of a process that has ended.
-func (s *sidecar) retire(c *process.Child) {
+// addPastCPU keeps the CPU time of a process that has ended.
+func (s *sidecar) addPastCPU(c *process.Child) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.past += c.CPU()
-	if s.older == c {
-		s.older = nil
+	s.pastCPU += c.CPU()
+	if s.oldChild == c {
+		s.oldChild = nil
 	}
 }
 
 func (s *sidecar) kill() {
-	for _, c := range []*process.Child{s.older, s.now} {
+	for _, c := range []*process.Child{s.oldChild, s.child} {
 		if c != nil {
 			c.Kill()
 		}
