--- a/cmd/marblelane/lab_cold.go
+++ b/cmd/marblelane/lab_cold.go
@@ -41,7 +41,7 @@
 		m.Jobs = runtime.GOMAXPROCS(0)
 	}
 	for _, name := range c.Counts {
-		m.CountModes = append(m.CountModes, simulate.Counting(name))
+		m.CountModes = append(m.CountModes, simulate.CountMode(name))
 	}
 	rows, err := m.Run(a.ctx)
 	if err != nil {
--- a/internal/lab/cluster/faults.go
+++ b/internal/lab/cluster/faults.go
@@ -41,7 +41,7 @@
 			c.mu.Lock()
 			c.faultStarts = append(c.faultStarts, c.Events.Now())
 			c.mu.Unlock()
-			c.Log.Info("lab: fault", "what", f.Fault.Kind, "copies", f.Fault.Copies)
+			c.Log.Info("lab: fault", "what", f.Fault.Kind, "copies", f.Fault.Replicas)
 			harness.Sleep(ctx, f.Until-f.At)
 			if err := undo(); err != nil {
 				c.Fail(fmt.Errorf("%s ends: %w", f.Fault.Kind, err))
@@ -77,8 +77,8 @@
 		return nil, errors.New("no such fault of the list service")
 	}
 	var chosen []*Replica
-	if f.Fault.Copies != "" {
-		chosen = c.selectReplicas(ctx, f.Fault.Copies)
+	if f.Fault.Replicas != "" {
+		chosen = c.selectReplicas(ctx, f.Fault.Replicas)
 	}
 	return inject(c, ctx, f, chosen)
 }
@@ -128,8 +128,8 @@
 
 // partition cuts replicas off from the others.
 func (c *Cluster) partition(_ context.Context, f *scenario.FaultPlan, chosen []*Replica) (func() error, error) {
-	heal := func() error { return c.setPartition(chosen, f.Fault.Way, false) }
-	return heal, c.setPartition(chosen, f.Fault.Way, true)
+	heal := func() error { return c.setPartition(chosen, f.Fault.Direction, false) }
+	return heal, c.setPartition(chosen, f.Fault.Direction, true)
 }
 
 // fullDiskBytes is how much room a full disk has left.
@@ -374,7 +374,7 @@
 			return err
 		}
 		text := fmt.Sprintf("name = %q\nlisten = %q\nraft = %q\nadvertise = %q\ndir = %q\nbeat = %q\njoin = true\n%s", replica.Name, replica.Address,
-			replica.raftAddress, replica.raftProxy.Addr(0), filepath.Join(replica.Spec.Dir, "data"), c.config.Beat.Duration(), c.routesConfig())
+			replica.raftAddress, replica.raftProxy.Addr(0), filepath.Join(replica.Spec.Dir, "data"), c.config.HeartbeatInterval.Duration(), c.routesConfig())
 		if err := os.WriteFile(filepath.Join(replica.Spec.Dir, "registry.toml"), []byte(text), 0o644); err != nil {
 			return err
 		}
--- a/internal/lab/experiment/growth/simulation.go
+++ b/internal/lab/experiment/growth/simulation.go
@@ -113,11 +113,11 @@
 	}
 	opened := 0
 	for i := range run.Sends {
-		if run.Sends[i].Opened {
+		if run.Sends[i].NewConnection {
 			opened++
 		}
 	}
-	outcome := report.New(plan, run.Events, run.Worked, nil, nil)
+	outcome := report.New(plan, run.Events, run.WorkDone, nil, nil)
 	figures, broken := &outcome.Result.Figures, outcome.Verdict.Broken()
 	usage := Usage{Connections: float64(opened) / float64(size.Sidecars), Served: figures.InObjective}
 	o.progress("%s, %d sidecars, %d servers: %d requests, %.3f served, %.1f connections each, %.2f attempts, broken %v",
@@ -139,7 +139,7 @@
 	s.Traffic.Rate = o.Rate * float64(size.Sidecars)
 	meanWork := 0.0 // of a request, in seconds
 	for _, c := range s.Classes {
-		meanWork += c.Share * c.Work.Duration().Seconds()
+		meanWork += c.Fraction * c.Work.Duration().Seconds()
 	}
 	kind := &s.Servers.Kinds[0]
 	kind.Cores = max(1, int(math.Round(serverCores*size.sidecarsPerServer()/usual.sidecarsPerServer())))
--- a/internal/lab/experiment/membercold/membercold.go
+++ b/internal/lab/experiment/membercold/membercold.go
@@ -28,7 +28,7 @@
 	Sidecars     []int
 	Rates        []float64 // requests a second of each sidecar at the start; the rate of the fleet stays as it changes
 	FleetChanges []string  // of FleetChangeNames
-	CountModes   []simulate.Counting
+	CountModes   []simulate.CountMode
 	Seeds        int
 
 	Load             float64       // utilization of the initial servers while all are warm
@@ -47,7 +47,7 @@
 	Rate       float64           `json:"rate"`
 	Servers    int               `json:"servers"` // initial
 	Change     string            `json:"change"`
-	CountMode  simulate.Counting `json:"count"`
+	CountMode  simulate.CountMode `json:"count"`
 	SlowStarts int               `json:"cold_starts"`
 	Overloaded int               `json:"pushed_over"`
 	// Peak is the largest load of a cold server, as a share of that under which it falls. PeakMean is the mean of the
@@ -332,7 +332,7 @@
 		return run{err: fmt.Errorf("members-cold: %d sidecars, %s, %s, seed %d: %w", row.Sidecars, row.Change,
 			row.CountMode, seed, err)}
 	}
-	return run{initialServers: base, members: played.Members, figures: measure.Compute(p, played.Events, played.Worked).Figures,
+	return run{initialServers: base, members: played.Members, figures: measure.Compute(p, played.Events, played.WorkDone).Figures,
 		fullTrafficAfter: fullTrafficTimes(played)}
 }
 
@@ -385,15 +385,15 @@
 		r.Servers = run.initialServers
 		for _, s := range run.members.Starts {
 			r.SlowStarts++
-			if s.Fell {
+			if s.Overloaded {
 				r.Overloaded++
 			}
-			peak = max(peak, s.Peak)
+			peak = max(peak, s.PeakLoad)
 		}
 		r.Peak, r.PeakMean = max(r.Peak, peak), r.PeakMean+peak/n
 		r.InObjective += run.figures.InObjective / n
 		r.WorstInObjective += run.figures.WorstInObjective / n
-		r.AssumedMax, r.AssumedMean = max(r.AssumedMax, run.members.Most), r.AssumedMean+run.members.Mean/n
+		r.AssumedMax, r.AssumedMean = max(r.AssumedMax, run.members.MaxQuota), r.AssumedMean+run.members.MeanQuota/n
 		times = append(times, run.fullTrafficAfter...)
 	}
 	for _, ms := range times {
--- a/internal/lab/experiment/membercold/membercold_test.go
+++ b/internal/lab/experiment/membercold/membercold_test.go
@@ -16,7 +16,7 @@
 func TestExperiment_coldServersFallWithoutBudget(t *testing.T) {
 	m := membercold.Experiment{Sidecars: []int{1000}, Rates: []float64{0.2}, FleetChanges: []string{"split-alone"},
 		Seeds: 2, Load: 0.45, RestartFraction: 1, Cores: 4, FallMultiple: 4, MeanWork: 100 * time.Millisecond, LatencyObjective: 600 * time.Millisecond, Jobs: 2,
-		CountModes: []simulate.Counting{simulate.CountRule, simulate.CountFree}}
+		CountModes: []simulate.CountMode{simulate.CountMembership, simulate.CountUnbounded}}
 	rows, err := m.Run(context.Background())
 	require.NoError(t, err)
 	require.Len(t, rows, 2)
@@ -32,7 +32,7 @@
 func TestExperiment_invalidOptions(t *testing.T) {
 	m := membercold.Experiment{Sidecars: []int{10}, Rates: []float64{0.2}, FleetChanges: []string{"nothing"},
 		Seeds: 1, Load: 0.45, RestartFraction: 1, Cores: 4, FallMultiple: 4, MeanWork: 100 * time.Millisecond,
-		LatencyObjective: 600 * time.Millisecond, CountModes: []simulate.Counting{simulate.CountRule}}
+		LatencyObjective: 600 * time.Millisecond, CountModes: []simulate.CountMode{simulate.CountMembership}}
 	_, err := m.Run(context.Background())
 	assert.ErrorContains(t, err, `"nothing"`)
 	_, err = (&membercold.Experiment{}).Run(context.Background())
--- a/internal/lab/experiment/overhead/overhead.go
+++ b/internal/lab/experiment/overhead/overhead.go
@@ -32,7 +32,7 @@
 // stand-ins, without any record; from the lab's clients, without sidecars; and from the lab's clients through the
 // sidecars. The difference of the first two is the lab's own overhead.
 func Measure(ctx context.Context, s *scenario.Scenario, o harness.Options) ([]Result, error) {
-	work := s.Classes[0].Work.Milliseconds() / s.Traffic.Pace / s.Servers.Kinds[0].Speed[0]
+	work := s.Classes[0].Work.Milliseconds() / s.Traffic.Speedup / s.Servers.Kinds[0].Speed[0]
 	plain, err := measurePlainClient(ctx, s, o)
 	if err != nil {
 		return nil, fmt.Errorf("overhead: %w", err)
--- a/internal/lab/experiment/requestcost/requestcost.go
+++ b/internal/lab/experiment/requestcost/requestcost.go
@@ -291,7 +291,7 @@
 	config := testbed.BaseConfig(c.r.Scenario, sidecarSeed, discovery, settings)
 	config["known"] = list
 	text, err := json.Marshal(config)
-	c.sidecars = &testbed.Launcher{Children: c.r.Processes, Dir: c.r.Dir, MaxDescriptors: c.r.Scenario.Sidecars.Sockets, Config: text}
+	c.sidecars = &testbed.Launcher{Children: c.r.Processes, Dir: c.r.Dir, MaxDescriptors: c.r.Scenario.Sidecars.MaxSockets, Config: text}
 	return err
 }
 
--- a/internal/lab/experiment/testbed/registry.go
+++ b/internal/lab/experiment/testbed/registry.go
@@ -29,7 +29,7 @@
 
 // NewRegistry returns a registry with as many replicas as the scenario's discovery has. Close has to be called after it.
 func NewRegistry(r *harness.Run) *Registry {
-	config := &scenario.Registry{Copies: r.Scenario.Discovery.Registry, Beat: scenario.Duration(registryBeat)}
+	config := &scenario.Registry{Replicas: r.Scenario.Discovery.RegistryReplicas, HeartbeatInterval: scenario.Duration(registryBeat)}
 	return &Registry{Cluster: cluster.New(r, config),
 		client: &http.Client{Transport: &http.Transport{}, Timeout: changeTimeout}}
 }
--- a/internal/lab/fault_steps.go
+++ b/internal/lab/fault_steps.go
@@ -61,10 +61,10 @@
 		text += fmt.Sprintf(" sidecars %v", f.Sidecars)
 	}
 	if strings.HasPrefix(f.Fault.Kind, "copy-") {
-		text += " copies " + f.Fault.Copies
+		text += " copies " + f.Fault.Replicas
 	}
-	if strings.HasPrefix(f.Fault.Kind, "members-") && f.Fault.Way != "" {
-		text += " " + f.Fault.Way
+	if strings.HasPrefix(f.Fault.Kind, "members-") && f.Fault.Direction != "" {
+		text += " " + f.Fault.Direction
 	}
 	return text
 }
--- a/internal/lab/registry_proxy.go
+++ b/internal/lab/registry_proxy.go
@@ -58,8 +58,8 @@
 	s := &registryProxy{run: r, serverByUID: map[string]int{}, removed: map[int]bool{}, published: map[int]int{},
 		applied: map[int]int{}, writes: make(chan func(context.Context), writeQueue)}
 	r.registry = s
-	s.cluster = cluster.New(r.Run, &scenario.Registry{Copies: r.Scenario.Discovery.Registry,
-		Beat: scenario.Duration(heartbeatInterval), MostStale: r.Scenario.Discovery.MostStale})
+	s.cluster = cluster.New(r.Run, &scenario.Registry{Replicas: r.Scenario.Discovery.RegistryReplicas,
+		HeartbeatInterval: scenario.Duration(heartbeatInterval), MaxStaleness: r.Scenario.Discovery.MaxStaleness})
 	for i := range r.Plan.Servers {
 		s.serverByUID[r.Plan.Servers[i].UID] = i
 	}
--- a/internal/lab/server_fault_steps.go
+++ b/internal/lab/server_fault_steps.go
@@ -32,7 +32,7 @@
 			func(context.Context) error { return harness.ForEach(f.Servers, f.startServer) })
 	},
 	"drain": func(f injection) []step {
-		return f.once(func(ctx context.Context) error { return f.drainServers(ctx, f.Servers, f.Fault.Stay) })
+		return f.once(func(ctx context.Context) error { return f.drainServers(ctx, f.Servers, f.Fault.KeepServing) })
 	},
 	"replace": func(f injection) []step {
 		return f.once(func(ctx context.Context) error { return f.replaceServers(ctx, f.FaultPlan) })
@@ -83,7 +83,7 @@
 
 func closeIdle(f injection) []step {
 	return f.changeServers(func(b *stock.Behaviour, on bool) {
-		b.Idle, b.ForgetIdle = f.duration(on), on && f.Fault.Silent
+		b.Idle, b.ForgetIdle = f.duration(on), on && f.Fault.Unnoticed
 	})
 }
 
@@ -140,7 +140,7 @@
 }
 
 func cutLinks(f injection) []step {
-	direction := map[string]relay.Direction{"to": relay.To, "from": relay.From, "both": relay.Both}[f.Fault.Way]
+	direction := map[string]relay.Direction{"to": relay.To, "from": relay.From, "both": relay.Both}[f.Fault.Direction]
 	return f.toggle(func(on bool) error { return f.cut(f.FaultPlan, direction, on) })
 }
 
@@ -177,8 +177,8 @@
 			}
 			return delay.Stop()
 		}
-		delay = relay.NewHandshakeDelay(f.Fault.Share, func(l *relay.Link) time.Duration {
-			if f.Fault.Drawn {
+		delay = relay.NewHandshakeDelay(f.Fault.Fraction, func(l *relay.Link) time.Duration {
+			if f.Fault.RandomDelay {
 				return time.Duration(l.Draw() * float64(f.duration(true)))
 			}
 			return f.duration(true)
--- a/internal/lab/sidecar_faults.go
+++ b/internal/lab/sidecar_faults.go
@@ -60,7 +60,7 @@
 // go on sending on every one that stays open, and SIGKILL comes at its earliest.
 func (s *sidecar) terminate(ctx context.Context) error {
 	defer time.AfterFunc(connectWindow, func() { s.closedToNew.Store(true) }).Stop()
-	s.stop(s.current(), s.run.Scenario.KillAfter())
+	s.stop(s.current(), s.run.Scenario.KillDelay())
 	s.closedToNew.Store(true) // before the timer, where it has ended sooner
 	err := s.launch(ctx)
 	s.closedToNew.Store(false)
