--- a/internal/lab/faults.go
+++ b/internal/lab/faults.go
@@ -105,14 +105,14 @@
 func (r *run) lateStarts() []step {
 	var late []int
 	for i := range r.Plan.Sidecars {
-		if r.Scenario.Late(i) {
+		if r.Scenario.StartsLate(i) {
 			late = append(late, i)
 		}
 	}
 	if len(late) == 0 {
 		return nil
 	}
-	return []step{{r.Scenario.Members.LateAt.Duration(), fmt.Sprintf("sidecars %v start", late), 0, func(ctx context.Context) error {
+	return []step{{r.Scenario.Members.LateStart.Duration(), fmt.Sprintf("sidecars %v start", late), 0, func(ctx context.Context) error {
 		return harness.ForEach(late, func(i int) error { return r.sidecars[i].begin(ctx) })
 	}}}
 }
--- a/internal/lab/growth_fleet.go
+++ b/internal/lab/growth_fleet.go
@@ -113,11 +113,11 @@
 	}
 	opened := 0
 	for i := range run.Sends {
-		if run.Sends[i].Opened {
+		if run.Sends[i].NewConnection {
 			opened++
 		}
 	}
-	report := report.New(plan, run.Events, run.Worked, nil, nil)
+	report := report.New(plan, run.Events, run.WorkDone, nil, nil)
 	figures, broken := &report.Result.Figures, report.Verdict.Broken()
 	need := GrowthNeed{Connections: float64(opened) / float64(size.Sidecars), Served: figures.InObjective}
 	o.progress("%s, %d sidecars, %d servers: %d requests, %.3f served, %.1f connections each, %.2f attempts, broken %v",
@@ -139,7 +139,7 @@
 	s.Traffic.Rate = o.Rate * float64(size.Sidecars)
 	work := 0.0 // of a request in the mean, in seconds
 	for _, c := range s.Classes {
-		work += c.Share * c.Work.Duration().Seconds()
+		work += c.Fraction * c.Work.Duration().Seconds()
 	}
 	kind := &s.Servers.Kinds[0]
 	kind.Cores = max(1, int(math.Round(growthCores*size.sidecarsPerServer()/usual.sidecarsPerServer())))
--- a/internal/lab/lab.go
+++ b/internal/lab/lab.go
@@ -24,7 +24,7 @@
 		return nil, err
 	}
 	defer base.Close()
-	if s.Registry.Copies > 0 {
+	if s.Registry.Replicas > 0 {
 		return base.Execute(ctx, cluster.NewRun(base))
 	}
 	return base.Execute(ctx, newRun(base))
@@ -37,7 +37,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("lab: %w", err)
 	}
-	rep := report.New(plan, run.Events, run.Worked, nil, nil)
+	rep := report.New(plan, run.Events, run.WorkDone, nil, nil)
 	rep.ZoneFaults = simulate.ZoneFaults(plan, run.Sends)
 	rep.CheckFigures(&s.Expect)
 	return rep, nil
--- a/internal/lab/members/network.go
+++ b/internal/lab/members/network.go
@@ -68,7 +68,7 @@
 
 // New opens an endpoint for the first process of each party, as the address of every seed is known before it starts.
 func New(r *harness.Run) (*Network, error) {
-	m := &Network{run: r, partyCount: len(r.Plan.Sidecars) + r.Scenario.Discovery.Registry, partyByAddr: map[string]int{},
+	m := &Network{run: r, partyCount: len(r.Plan.Sidecars) + r.Scenario.Discovery.RegistryReplicas, partyByAddr: map[string]int{},
 		blocked: relay.NewPacketLink(relay.PacketRules{Cut: relay.Both}, 0), serials: map[*process.Child]uint64{}}
 	m.ctx, m.stop = context.WithCancel(context.Background())
 	m.endpoints = make([][]*Endpoint, m.partyCount)
@@ -97,7 +97,7 @@
 func (m *Network) latencyBetween(i, j int) time.Duration {
 	s, n := m.run.Scenario, len(m.run.Plan.Sidecars)
 	if i >= n || j >= n {
-		return s.Network.Same.Duration()
+		return s.Network.SameZone.Duration()
 	}
 	return s.Network.Latency(m.run.Plan.Sidecars[i].Zone, m.run.Plan.Sidecars[j].Zone).Duration()
 }
@@ -294,17 +294,17 @@
 				calls = relay.Both
 			}
 		case f.Kind != "members-cut":
-		case f.Way == "in":
+		case f.Direction == "in":
 			if lost = lost || to; to {
 				calls = relay.Both
 			}
 		default:
 			// What comes to those who are cut off is lost, or what they send, or both; of a connection that is its
 			// one way or the other.
-			if to && f.Way != "from" || from && f.Way != "to" {
+			if to && f.Direction != "from" || from && f.Direction != "to" {
 				lost, calls = true, calls|relay.To
 			}
-			if to && f.Way != "to" || from && f.Way != "from" {
+			if to && f.Direction != "to" || from && f.Direction != "from" {
 				calls |= relay.From
 			}
 		}
@@ -322,7 +322,7 @@
 // Section is the section members of the configuration of a party; nil: it has none.
 func (m *Network) Section(party int) map[string]any {
 	s := m.run.Scenario
-	if party < len(m.run.Plan.Sidecars) && !s.Membered(party) {
+	if party < len(m.run.Plan.Sidecars) && !s.InMembership(party) {
 		return nil
 	}
 	f := m.newestEndpoint(party)
@@ -336,14 +336,14 @@
 	if len(seeds) > 0 {
 		out["seeds"] = seeds
 	}
-	if s.Members.Interval > 0 {
-		out["interval"] = s.Members.Interval.Duration().String()
+	if s.Members.ProbeInterval > 0 {
+		out["interval"] = s.Members.ProbeInterval.Duration().String()
 	}
 	if s.Members.AdmitWithin > 0 {
 		out["admit_within"] = s.Members.AdmitWithin.Duration().String()
 	}
-	if s.Members.BelieveRefused != nil {
-		out["believe_refused"] = *s.Members.BelieveRefused
+	if s.Members.TrustRefusals != nil {
+		out["believe_refused"] = *s.Members.TrustRefusals
 	}
 	if d := s.Members.Defect; d != "" && party < len(m.run.Plan.Sidecars) {
 		out["defect"] = d
--- a/internal/lab/members/result.go
+++ b/internal/lab/members/result.go
@@ -38,10 +38,10 @@
 // Facts are what the invariants hold the run against.
 func (m *Network) Facts() *invariant.Members {
 	p, s := m.run.Plan, m.run.Scenario
-	f := &invariant.Members{Sidecars: len(p.Sidecars), Peers: s.Peers()}
+	f := &invariant.Members{Sidecars: len(p.Sidecars), Peers: s.PeerCount()}
 	for i := range p.Sidecars {
 		f.Names = append(f.Names, p.Sidecars[i].Name)
-		if !s.Membered(i) {
+		if !s.InMembership(i) {
 			f.WithoutMembership++
 		}
 	}
--- a/internal/lab/parties.go
+++ b/internal/lab/parties.go
@@ -26,7 +26,7 @@
 			return err
 		}
 	}
-	if r.Scenario.Discovery.Registry > 0 {
+	if r.Scenario.Discovery.RegistryReplicas > 0 {
 		err = r.startRegistry(ctx, entries)
 	} else {
 		err = r.startAgents(entries)
@@ -39,7 +39,7 @@
 
 // makeDiscoveryLinks makes the links between each sidecar and each discovery service.
 func (r *run) makeDiscoveryLinks() {
-	for k := range max(r.Scenario.Discovery.Copies, r.Scenario.Discovery.Registry) {
+	for k := range max(r.Scenario.Discovery.Services, r.Scenario.Discovery.RegistryReplicas) {
 		var row []*relay.Link
 		for i := range r.Plan.Sidecars {
 			row = append(row, relay.NewLink(relay.Rules{}, r.Plan.Seed^uint64(k)<<32^uint64(i)))
@@ -97,7 +97,7 @@
 func (r *run) addServer(i int) error {
 	p := &r.Plan.Servers[i]
 	probe := -1.0
-	if r.Scenario.Rules.Probes {
+	if r.Scenario.Rules.HealthChecks {
 		probe = 0.08
 	}
 	s, err := stock.Start(r.Events, r.book, r.pods[p.Pod], stock.SpecOf(r.Plan, i), stock.Options{
--- a/internal/lab/rollouts/driver.go
+++ b/internal/lab/rollouts/driver.go
@@ -80,10 +80,10 @@
 			o.wg.Go(func() { o.pollTenant(ctx, post.Tenant) })
 		}
 	}
-	for i := range o.run.Scenario.Orders {
-		o.wg.Go(func() { o.sendOrder(ctx, &o.run.Scenario.Orders[i]) })
+	for i := range o.run.Scenario.RouteCommands {
+		o.wg.Go(func() { o.sendOrder(ctx, &o.run.Scenario.RouteCommands[i]) })
 	}
-	for _, a := range o.run.Scenario.Asks {
+	for _, a := range o.run.Scenario.AuditQueries {
 		o.wg.Go(func() {
 			if !o.sleepUntil(ctx, a.At) {
 				return
@@ -92,7 +92,7 @@
 			newest := o.newestRev
 			o.mu.Unlock()
 			now := o.run.Elapsed()
-			o.queryAudit(ctx, newest, now-a.Before.Duration(), now)
+			o.queryAudit(ctx, newest, now-a.Window.Duration(), now)
 		})
 	}
 	o.wg.Wait()
@@ -247,16 +247,16 @@
 	if !o.sleepUntil(ctx, p.At) {
 		return
 	}
-	body := Request{To: p.To, Classes: p.Classes, Budget: p.Budget, Late: p.Late, AtEnd: p.AtEnd}
+	body := Request{To: p.Subset, Classes: p.Classes, Budget: p.Budget, Late: p.CountLate, AtEnd: p.AtEnd}
 	for _, st := range p.Steps {
-		body.Steps = append(body.Steps, rollout.Step{CanaryFraction: st.Share, HoldMS: st.Hold.Duration().Milliseconds(), MinAttempts: st.Requests})
+		body.Steps = append(body.Steps, rollout.Step{CanaryFraction: st.Fraction, HoldMS: st.Hold.Duration().Milliseconds(), MinAttempts: st.MinRequests})
 	}
 	o.mu.Lock()
 	o.postedAfter[n] = o.newestRev
 	o.mu.Unlock()
 	path := "/routes/" + p.Tenant + "/rollouts/" + p.Name
 	times := 1
-	if p.Twice {
+	if p.PostTwice {
 		times = 2
 	}
 	for range times {
@@ -274,23 +274,23 @@
 }
 
 // sendOrder sends an order of a tenant or operator at its time.
-func (o *Driver) sendOrder(ctx context.Context, d *scenario.Order) {
+func (o *Driver) sendOrder(ctx context.Context, d *scenario.RouteCommand) {
 	if !o.sleepUntil(ctx, d.At) {
 		return
 	}
 	path, body := "", any(nil)
-	switch d.Do {
+	switch d.Action {
 	case "base":
-		path, body = "/routes/"+d.Tenant+"/base", map[string]string{"to": d.To}
+		path, body = "/routes/"+d.Tenant+"/base", map[string]string{"to": d.Subset}
 	case "schema":
-		path, body = "/routes/schema", map[string]int{"least": d.Least}
+		path, body = "/routes/schema", map[string]int{"least": d.MinSchema}
 	default:
 		i := slices.IndexFunc(o.run.Scenario.Rollouts, func(p scenario.Rollout) bool { return p.Name == d.Rollout })
-		path = "/routes/" + o.run.Scenario.Rollouts[i].Tenant + "/rollouts/" + d.Rollout + "/" + d.Do
+		path = "/routes/" + o.run.Scenario.Rollouts[i].Tenant + "/rollouts/" + d.Rollout + "/" + d.Action
 	}
 	code, text := o.call(ctx, http.MethodPost, path, body)
-	if code != 0 && (code != http.StatusOK) != d.Refused {
-		o.fail("the order %s at %v is answered %d %s", d.Do, d.At.Duration(), code, strings.TrimSpace(string(text)))
+	if code != 0 && (code != http.StatusOK) != d.ExpectRejected {
+		o.fail("the order %s at %v is answered %d %s", d.Action, d.At.Duration(), code, strings.TrimSpace(string(text)))
 	}
 }
 
@@ -367,7 +367,7 @@
 	o.auditQueries++
 	for _, a := range got.Answers {
 		o.answers = append(o.answers, invariant.Answer{Rev: rev, From: time.UnixMilli(fromMS).Sub(o.epoch), To: time.UnixMilli(toMS).Sub(o.epoch),
-			AskedAt: o.run.Elapsed(), Name: a.Name, Start: a.Start, Verdict: a.Verdict, Reason: a.Reason})
+			QueriedAt: o.run.Elapsed(), Name: a.Name, Start: a.Start, Verdict: a.Verdict, Reason: a.Reason})
 	}
 }
 
@@ -390,7 +390,7 @@
 	for _, tenant := range slices.Sorted(maps.Keys(tenants)) {
 		o.readFinalPhases(ctx, tenant)
 	}
-	if broken := o.run.Scenario.Expect.Breaks; len(broken) > 0 && !slices.Contains(broken, invariant.AuditTrue) {
+	if broken := o.run.Scenario.Expect.MustBreak; len(broken) > 0 && !slices.Contains(broken, invariant.AuditTrue) {
 		return // what is planted misleads the audit too
 	}
 	o.mu.Lock()
@@ -454,9 +454,9 @@
 func (o *Driver) Facts() *invariant.Routes {
 	p, s := o.run.Plan, o.run.Scenario
 	f := &invariant.Routes{Answers: o.answers, LabStalls: o.stalls, Epoch: o.epoch.UnixNano(),
-		Latency: time.Duration(float64(max(s.Network.Cross, s.Network.Far)) * (1 + s.Network.Jitter))}
+		Latency: time.Duration(float64(max(s.Network.CrossZone, s.Network.CrossRegion)) * (1 + s.Network.Jitter))}
 	if len(s.Network.Regions) == 0 {
-		f.Latency = time.Duration(float64(max(s.Network.Cross, s.Network.Same)) * (1 + s.Network.Jitter))
+		f.Latency = time.Duration(float64(max(s.Network.CrossZone, s.Network.SameZone)) * (1 + s.Network.Jitter))
 	}
 	for i := range p.Sidecars {
 		f.Names = append(f.Names, p.Sidecars[i].Name)
@@ -472,12 +472,12 @@
 			Tenant: slices.IndexFunc(s.Tenants, func(t scenario.Tenant) bool { return t.Name == one.Tenant })}
 		for k := range s.Classes {
 			r.Classes = append(r.Classes, len(one.Classes) == 0 || slices.Contains(one.Classes, s.Classes[k].Name))
-			if one.Late {
-				r.LatencyObjectives = append(r.LatencyObjectives, s.Pace(s.Classes[k].Aim))
+			if one.CountLate {
+				r.LatencyObjectives = append(r.LatencyObjectives, s.Scaled(s.Classes[k].Objective))
 			}
 		}
 		for k := range p.Servers {
-			r.Servers = append(r.Servers, p.InSubset(one.To, k))
+			r.Servers = append(r.Servers, p.InSubset(one.Subset, k))
 		}
 		f.Rollouts = append(f.Rollouts, r)
 	}
--- a/internal/lab/rollouts/result.go
+++ b/internal/lab/rollouts/result.go
@@ -123,7 +123,7 @@
 	for i := range events {
 		e := &events[i]
 		span, ok := running[int(e.Tenant)]
-		if e.Kind != record.FirstByte || !ok || e.T < span.From || span.To < e.T || o.run.Scenario.Older(int(e.Sidecar)) {
+		if e.Kind != record.FirstByte || !ok || e.T < span.From || span.To < e.T || o.run.Scenario.RunsOlderProgram(int(e.Sidecar)) {
 			continue
 		}
 		if attempts++; e.Rev == 0 {
--- a/internal/lab/run.go
+++ b/internal/lab/run.go
@@ -69,7 +69,7 @@
 	r.shiftArrivals(r.Began)
 	r.Tasks.Go(func() { r.sample(ctx) })
 	r.Tasks.Go(func() { r.injectFaults(ctx) })
-	if r.Scenario.Routed() {
+	if r.Scenario.HasRoutes() {
 		o := rollouts.New(r.Run, r.service.rr)
 		r.rollouts.Store(o) // sidecars ask already
 		r.Tasks.Go(func() { o.Drive(ctx) })
--- a/internal/lab/simulate/faults.go
+++ b/internal/lab/simulate/faults.go
@@ -9,20 +9,20 @@
 )
 
 // deadFor is how long a server that is drained and started again is away, in ms, as in the lab.
-const deadFor = 1000.0
+const restartTime = 1000.0
 
 // addFault lets a fault happen at its times.
-func (w *world) addFault(p *scenario.FaultPlan) error {
+func (sim *simulation) addFault(p *scenario.FaultPlan) error {
 	f := p.Fault
 	if f.Link == "discovery" {
 		return fmt.Errorf("fault %s of links to discovery: a simulated run has no such links", f.Kind)
 	}
-	at, until := begin+ms(p.At), begin+ms(p.Until)
+	at, until := runStart+ms(p.At), runStart+ms(p.Until)
 	mark := func(status int32) {
-		w.note(record.Event{Kind: record.Fault, Sidecar: record.None, Server: record.None, Class: record.None, Status: status, Note: f.Kind})
+		sim.record(record.Event{Kind: record.Fault, Sidecar: record.None, Server: record.None, Class: record.None, Status: status, Note: f.Kind})
 	}
 	once := func(do func()) error {
-		w.At(at, func() { mark(0); do() })
+		sim.At(at, func() { mark(0); do() })
 		return nil
 	}
 	each := func(set func(s *server, on bool)) error {
@@ -31,10 +31,10 @@
 			if !on {
 				when, status = until, 2
 			}
-			w.At(when, func() {
+			sim.At(when, func() {
 				mark(status)
 				for _, i := range p.Servers {
-					set(w.servers[i], on)
+					set(sim.servers[i], on)
 				}
 			})
 		}
@@ -43,7 +43,7 @@
 	links := func(set func(l *link, on bool)) error {
 		return each(func(s *server, on bool) {
 			for _, i := range p.Sidecars {
-				w.setLink(s, i, func(l *link) { set(l, on) })
+				sim.setLink(s, i, func(l *link) { set(l, on) })
 			}
 		})
 	}
@@ -57,47 +57,47 @@
 	case "burst": // it is in the arrivals already
 		return once(func() {})
 	case "slow":
-		return each(func(s *server, on bool) { s.slow = size(on); w.behave(s) })
+		return each(func(s *server, on bool) { s.slowFactor = size(on); sim.applyServerFaults(s) })
 	case "hang":
-		return each(func(s *server, on bool) { s.hang = on; w.behave(s) })
+		return each(func(s *server, on bool) { s.hangs = on; sim.applyServerFaults(s) })
 	case "fail":
-		return each(func(s *server, on bool) { s.fail = size(on) })
+		return each(func(s *server, on bool) { s.failFraction = size(on) })
 	case "drop":
-		return each(func(s *server, on bool) { s.drop = size(on) })
+		return each(func(s *server, on bool) { s.dropFraction = size(on) })
 	case "kill":
-		return once(func() { w.eachServer(p.Servers, func(s *server) { w.kill(s, true) }) })
+		return once(func() { sim.eachServer(p.Servers, func(s *server) { sim.crashServer(s, true) }) })
 	case "restart":
 		return each(func(s *server, on bool) {
 			if on {
-				w.kill(s, true)
+				sim.crashServer(s, true)
 			} else {
-				w.boot(s)
+				sim.startServer(s)
 			}
 		})
 	case "drain":
-		if f.Stay {
-			return once(func() { w.eachServer(p.Servers, w.tellDrain) })
+		if f.KeepServing {
+			return once(func() { sim.eachServer(p.Servers, sim.announceDrain) })
 		}
-		return once(func() { w.drain(p.Servers, func(s *server) { w.After(deadFor, func() { w.boot(s) }) }) })
+		return once(func() { sim.drainServers(p.Servers, func(s *server) { sim.After(restartTime, func() { sim.startServer(s) }) }) })
 	case "replace":
 		return once(func() {
-			w.eachServer(p.Fresh, w.boot)
-			w.drain(p.Servers, func(s *server) { w.publish(s, balance.Gone, "Gone", w.s.Discovery.Notice) })
+			sim.eachServer(p.Replacements, sim.startServer)
+			sim.drainServers(p.Servers, func(s *server) { sim.publish(s, balance.Gone, "Gone", sim.scenario.Discovery.DrainDelay) })
 		})
 	case "vanish":
 		return each(func(s *server, on bool) {
-			for i := range w.sidecars {
-				w.setLink(s, i, func(l *link) { l.to, l.from = on, on })
-				delete(w.sidecars[i].idle, s.number)
+			for i := range sim.sidecars {
+				sim.setLink(s, i, func(l *link) { l.cutTo, l.cutFrom = on, on })
+				delete(sim.sidecars[i].idle, s.number)
 			}
 		})
 	case "cut":
 		return links(func(l *link, on bool) {
-			if f.Way != "from" {
-				l.to = on
+			if f.Direction != "from" {
+				l.cutTo = on
 			}
-			if f.Way != "to" {
-				l.from = on
+			if f.Direction != "to" {
+				l.cutFrom = on
 			}
 		})
 	case "latency":
@@ -107,21 +107,21 @@
 			}
 		})
 	case "lose":
-		return links(func(l *link, on bool) { l.lose = size(on) })
+		return links(func(l *link, on bool) { l.answerLoss = size(on) })
 	case "refuse":
-		return links(func(l *link, on bool) { l.refuse = on })
+		return links(func(l *link, on bool) { l.reject = on })
 	}
 	return fmt.Errorf("a simulated run cannot play a fault of the kind %q", f.Kind)
 }
 
-func (w *world) eachServer(numbers []int, do func(*server)) {
+func (sim *simulation) eachServer(numbers []int, do func(*server)) {
 	for _, i := range numbers {
-		do(w.servers[i])
+		do(sim.servers[i])
 	}
 }
 
 // setLink changes what is wrong between a server and a sidecar.
-func (w *world) setLink(s *server, sidecar int, change func(*link)) {
+func (sim *simulation) setLink(s *server, sidecar int, change func(*link)) {
 	l := s.links[sidecar]
 	if l == nil {
 		l = &link{}
@@ -133,27 +133,27 @@
 }
 
 // behave hands what is wrong with a server on to its model.
-func (w *world) behave(s *server) {
-	w.advance(s.pod)
-	s.pod.farm.SetSpeed(s.inPod, s.slow, s.hang)
-	w.advance(s.pod)
+func (sim *simulation) applyServerFaults(s *server) {
+	sim.advance(s.pod)
+	s.pod.model.SetSpeed(s.inPod, s.slowFactor, s.hangs)
+	sim.advance(s.pod)
 }
 
 // drain ends servers in order: they tell that they drain, turn away what is new once all sidecars know and their grace
 // is over, and end.
-func (w *world) drain(numbers []int, then func(*server)) {
-	wait := w.s.Discovery.Notice.Milliseconds() + w.s.Discovery.Spread.Milliseconds() + w.s.Rules.DrainGrace.Milliseconds()
-	w.eachServer(numbers, func(s *server) {
-		w.tellDrain(s)
-		w.After(wait, func() { s.drain = true })
-		w.After(wait+deadFor, func() {
-			w.kill(s, false)
+func (sim *simulation) drainServers(numbers []int, then func(*server)) {
+	wait := sim.scenario.Discovery.DrainDelay.Milliseconds() + sim.scenario.Discovery.Spread.Milliseconds() + sim.scenario.Rules.DrainGrace.Milliseconds()
+	sim.eachServer(numbers, func(s *server) {
+		sim.announceDrain(s)
+		sim.After(wait, func() { s.rejects = true })
+		sim.After(wait+restartTime, func() {
+			sim.crashServer(s, false)
 			then(s)
 		})
 	})
 }
 
-func (w *world) tellDrain(s *server) {
-	w.state(s, "drains")
-	w.publish(s, balance.Draining, "Terminating", w.s.Discovery.Notice)
+func (sim *simulation) announceDrain(s *server) {
+	sim.recordServerState(s, "drains")
+	sim.publish(s, balance.Draining, "Terminating", sim.scenario.Discovery.DrainDelay)
 }
--- a/internal/lab/simulate/members_test.go
+++ b/internal/lab/simulate/members_test.go
@@ -13,7 +13,7 @@
 )
 
 // fleet plays 40 sidecars, 20 of which are there at the start, and six servers, most of which restart at once.
-func fleet(t *testing.T, count simulate.Counting, seed uint64, changes ...simulate.Change) *simulate.Run {
+func fleet(t *testing.T, count simulate.CountMode, seed uint64, changes ...simulate.Change) *simulate.Run {
 	t.Helper()
 	s, err := scenario.Parse("members", []byte(`title = "t"
 length = "20s"
@@ -74,10 +74,10 @@
 			{At: 6000, Start: numbers(0, 7)}, whole}, 1.9},
 	} {
 		for seed := uint64(1); seed <= 2; seed++ {
-			rule := fleet(t, simulate.CountRule, seed, test.changes...).Members
-			assert.LessOrEqual(t, rule.Most, 1+1e-9, name)
-			assert.Greater(t, rule.Mean, 0.45, name)
-			assert.GreaterOrEqual(t, fleet(t, simulate.CountNaive, seed, test.changes...).Members.Most, test.naive, name)
+			rule := fleet(t, simulate.CountMembership, seed, test.changes...).Members
+			assert.LessOrEqual(t, rule.MaxQuota, 1+1e-9, name)
+			assert.Greater(t, rule.MeanQuota, 0.45, name)
+			assert.GreaterOrEqual(t, fleet(t, simulate.CountReachable, seed, test.changes...).Members.MaxQuota, test.naive, name)
 		}
 	}
 }
@@ -89,17 +89,17 @@
 	back := simulate.Change{At: 9000, Start: numbers(0, 40)}
 	none := fleet(t, simulate.CountNone, 3, change, back)
 	assert.True(t, reflect.DeepEqual(none, fleet(t, simulate.CountFixed, 3, change, back)))
-	rule := fleet(t, simulate.CountRule, 3, change, back)
-	assert.True(t, reflect.DeepEqual(rule, fleet(t, simulate.CountRule, 3, change, back)))
+	rule := fleet(t, simulate.CountMembership, 3, change, back)
+	assert.True(t, reflect.DeepEqual(rule, fleet(t, simulate.CountMembership, 3, change, back)))
 	assert.False(t, reflect.DeepEqual(rule.Events, none.Events), "told another number they do the same")
 }
 
 func TestMembersThatCannotBe(t *testing.T) {
 	s := parse(t, "calm")
 	for _, bad := range []simulate.Members{
-		{Count: "guess", Peers: 1, MeanWork: 1}, {Count: simulate.CountRule, MeanWork: 1},
-		{Count: simulate.CountRule, Peers: 1},
-		{Count: simulate.CountRule, Peers: 1, MeanWork: 1, Changes: []simulate.Change{{Sides: []int{1}}}},
+		{Count: "guess", Peers: 1, MeanWork: 1}, {Count: simulate.CountMembership, MeanWork: 1},
+		{Count: simulate.CountMembership, Peers: 1},
+		{Count: simulate.CountMembership, Peers: 1, MeanWork: 1, Changes: []simulate.Change{{Sides: []int{1}}}},
 	} {
 		_, err := simulate.Play(context.Background(), s.Plan(1), simulate.Options{Members: &bad})
 		assert.ErrorContains(t, err, "members", "%+v", bad)
--- a/internal/lab/simulate/simulate_test.go
+++ b/internal/lab/simulate/simulate_test.go
@@ -48,9 +48,9 @@
 		"": func(*scenario.Scenario, *simulate.Options) {},
 		"most-attempts": func(s *scenario.Scenario, o *simulate.Options) {
 			s.Rules.MaxAttempts = 1
-			o.Change = func(_ int, cfg *balance.Config) { cfg.MaxAttempts = 3 }
+			o.ChangeConfig = func(_ int, cfg *balance.Config) { cfg.MaxAttempts = 3 }
 		},
-		"cold": func(s *scenario.Scenario, _ *simulate.Options) { s.Servers.FallMultiple = 0.3 },
+		"cold": func(s *scenario.Scenario, _ *simulate.Options) { s.Servers.OverloadMultiple = 0.3 },
 	} {
 		s, o := parse(t, "zone-crash"), simulate.Options{}
 		plant(s, &o)
@@ -134,7 +134,7 @@
 		}
 	}
 	f := faults[0]
-	if into == 0 || f.Share != float64(into)/float64(all) || f.LostP50 > f.LostP99 || f.Left <= 0 || f.Peak <= 0 || f.Peak > 2 {
+	if into == 0 || f.SendFraction != float64(into)/float64(all) || f.SendsP50 > f.SendsP99 || f.EvacuatedAfter <= 0 || f.PeakLoad <= 0 || f.PeakLoad > 2 {
 		t.Errorf("%d of %d first sends went there: %+v", into, all, f)
 	}
 	if faults := simulate.ZoneFaults(parse(t, "calm").Plan(1), nil); len(faults) != 0 {
@@ -154,7 +154,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if f := rep.ZoneFaults[0]; len(rep.Verdict.Counts) > 0 || f.LostP99 > 20 || f.Share > 0.06 {
+		if f := rep.ZoneFaults[0]; len(rep.Verdict.Counts) > 0 || f.SendsP99 > 20 || f.SendFraction > 0.06 {
 			t.Errorf("seed %d: %v, %+v", seed, rep.Verdict.Counts, f)
 		}
 		inAim += rep.Result.Figures.InObjective / float64(seeds)
--- a/internal/lab/simulate/try.go
+++ b/internal/lab/simulate/try.go
@@ -16,334 +16,334 @@
 const connectTimeout = scenario.ConnectTimeoutMS
 
 // ask is one request of a client with its retries, as the lab's clients make them.
-type ask struct {
-	w        *world
+type clientRequest struct {
+	sim        *simulation
 	number   int
-	a        *scenario.Arrival
+	arrival        *scenario.Arrival
 	rng      *rand.Rand
 	deadline float64
-	honours  bool
-	tries    int
+	obeysRetryAfter  bool
+	attempts    int
 }
 
-func (w *world) arrive(number int, a *scenario.Arrival) {
-	k := &ask{w: w, number: number, a: a, rng: rand.New(rand.NewPCG(a.Seed, uint64(number)))}
-	k.deadline = w.Now() + ms(w.s.Pace(w.s.Classes[a.Class].Deadline))
-	k.honours = k.rng.Float64() < w.s.Traffic.Honour
-	k.next()
+func (sim *simulation) startRequest(number int, a *scenario.Arrival) {
+	request := &clientRequest{sim: sim, number: number, arrival: a, rng: rand.New(rand.NewPCG(a.Seed, uint64(number)))}
+	request.deadline = sim.Now() + ms(sim.scenario.Scaled(sim.scenario.Classes[a.Class].Deadline))
+	request.obeysRetryAfter = request.rng.Float64() < sim.scenario.Traffic.ObeysRetryAfter
+	request.attempt()
 }
 
 // next makes the next try, if there is one.
-func (k *ask) next() {
-	w, s := k.w, k.w.s
-	if k.tries > s.Traffic.Retries {
+func (request *clientRequest) attempt() {
+	sim, s := request.sim, request.sim.scenario
+	if request.attempts > s.Traffic.Retries {
 		return
 	}
-	k.tries++
-	noise := 0.9 + 0.2*k.rng.Float64()
-	left := k.deadline - w.Now()
-	patience := math.Min(ms(s.Pace(s.Classes[k.a.Class].Deadline))*math.Min(s.Traffic.TryShare*noise, 1), left)
+	request.attempts++
+	noise := 0.9 + 0.2*request.rng.Float64()
+	left := request.deadline - sim.Now()
+	patience := math.Min(ms(s.Scaled(s.Classes[request.arrival.Class].Deadline))*math.Min(s.Traffic.AttemptTimeoutFraction*noise, 1), left)
 	if s.Traffic.Retries == 0 {
 		patience = left
 	}
 	early := 0.0
-	if k.rng.Float64() < s.Traffic.Impatient {
-		early = patience * k.rng.Float64()
+	if request.rng.Float64() < s.Traffic.EarlyLeaveFraction {
+		early = patience * request.rng.Float64()
 	}
 	if patience < 1 {
 		return
 	}
-	c := w.sidecars[k.a.Sidecar]
-	if c.down {
-		if c = w.members.another(k.rng); c == nil {
-			k.again(0)
+	sidecar := sim.sidecars[request.arrival.Sidecar]
+	if sidecar.down {
+		if sidecar = sim.members.anyRunning(request.rng); sidecar == nil {
+			request.scheduleRetry(0)
 			return
 		}
 	}
-	t := &try{ask: k, c: c, id: k.rng.Uint64()>>12 | 1, deadline: w.Now() + patience}
-	c.tries[balance.RequestID(t.id)] = t
-	t.note(record.Sent, record.Event{Attempt: int16(k.tries), Sum: 1})
+	t := &clientAttempt{request: request, sidecar: sidecar, id: request.rng.Uint64()>>12 | 1, deadline: sim.Now() + patience}
+	sidecar.attempts[balance.RequestID(t.id)] = t
+	t.record(record.Sent, record.Event{Attempt: int16(request.attempts), Sum: 1})
 	if early > 0 {
-		w.After(early, func() {
-			if t.client {
+		sim.After(early, func() {
+			if t.clientDone {
 				return
 			}
-			t.client = true
-			t.note(record.ClientLeft, record.Event{})
-			t.end()
-			t.c.tell(balance.ClientGone{Request: balance.RequestID(t.id)})
-			k.again(0)
+			t.clientDone = true
+			t.record(record.ClientLeft, record.Event{})
+			t.forget()
+			t.sidecar.handle(balance.ClientGone{Request: balance.RequestID(t.id)})
+			request.scheduleRetry(0)
 		})
 	}
-	w.After(patience, func() {
-		if !t.client {
-			t.client, t.late = true, true
-			t.note(record.Overdue, record.Event{})
-			k.again(0)
+	sim.After(patience, func() {
+		if !t.clientDone {
+			t.clientDone, t.overdue = true, true
+			t.record(record.Overdue, record.Event{})
+			request.scheduleRetry(0)
 		}
 	})
-	w.After(patience+listen, func() {
-		if t.late && !t.done {
-			t.note(record.NoAnswer, record.Event{Note: "nothing"})
-			t.end()
+	sim.After(patience+lateAnswerWait, func() {
+		if t.overdue && !t.final {
+			t.record(record.NoAnswer, record.Event{Note: "nothing"})
+			t.forget()
 		}
 	})
-	c.tell(balance.Request{ID: balance.RequestID(t.id), Class: k.a.Class, Tenant: k.a.Tenant, Remaining: patience, ClientRetry: k.tries > 1})
+	sidecar.handle(balance.Request{ID: balance.RequestID(t.id), Class: request.arrival.Class, Tenant: request.arrival.Tenant, Remaining: patience, ClientRetry: request.attempts > 1})
 }
 
 // again lets the client come back after its pause.
-func (k *ask) again(after float64) {
-	wait := ms(k.w.s.Pace(k.w.s.Traffic.Backoff))
-	if k.honours && after > 0 {
+func (request *clientRequest) scheduleRetry(after float64) {
+	wait := ms(request.sim.scenario.Scaled(request.sim.scenario.Traffic.Backoff))
+	if request.obeysRetryAfter && after > 0 {
 		wait = after
 	}
-	k.w.After(wait, k.next)
+	request.sim.After(wait, request.attempt)
 }
 
 // try is one try of a request at a sidecar: one id.
-type try struct {
-	ask      *ask
-	c        *sidecar
+type clientAttempt struct {
+	request      *clientRequest
+	sidecar        *sidecar
 	id       uint64
 	deadline float64
-	client   bool // its client does not wait for it any more, or has its answer
-	late     bool // its client's time is over, and it listens on
-	done     bool // it has its final answer, or nobody listens
-	attempts []*attempt
+	clientDone   bool // its client does not wait for it any more, or has its answer
+	overdue     bool // its client's time is over, and it listens on
+	final     bool // it has its final answer, or nobody listens
+	attempts []*serverAttempt
 }
 
-func (t *try) note(k record.Kind, e record.Event) {
-	e.Kind, e.Request, e.Sidecar, e.Server = k, t.id, int32(t.c.number), record.None
-	e.Class, e.N = int16(t.ask.a.Class), int64(t.ask.number)
-	t.ask.w.note(e)
+func (attempt *clientAttempt) record(k record.Kind, e record.Event) {
+	e.Kind, e.Request, e.Sidecar, e.Server = k, attempt.id, int32(attempt.sidecar.number), record.None
+	e.Class, e.N = int16(attempt.request.arrival.Class), int64(attempt.request.number)
+	attempt.request.sim.record(e)
 }
 
 // answered is the sidecar's final answer.
-func (t *try) answered(status int, after float64) {
-	if t == nil { // of a client that is gone
+func (attempt *clientAttempt) answer(status int, after float64) {
+	if attempt == nil { // of a client that is gone
 		return
 	}
 	e := record.Event{Status: int32(status)}
 	if status == http.StatusOK {
 		e.Sum, e.Want = 1, 1
 	}
-	again := !t.client && status != http.StatusOK
-	if !t.done {
-		t.note(record.Answered, e)
+	again := !attempt.clientDone && status != http.StatusOK
+	if !attempt.final {
+		attempt.record(record.Answered, e)
 	}
-	t.client = true
-	t.end()
+	attempt.clientDone = true
+	attempt.forget()
 	if again {
-		t.ask.again(after)
+		attempt.request.scheduleRetry(after)
 	}
 }
 
 // end forgets a try once nothing of it is out.
-func (t *try) end() {
-	t.done = true
-	if !slices.ContainsFunc(t.attempts, func(a *attempt) bool { return !a.told }) {
-		delete(t.c.tries, balance.RequestID(t.id))
+func (attempt *clientAttempt) forget() {
+	attempt.final = true
+	if !slices.ContainsFunc(attempt.attempts, func(a *serverAttempt) bool { return !a.reported }) {
+		delete(attempt.sidecar.attempts, balance.RequestID(attempt.id))
 	}
 }
 
 // attempt is one send.
-type attempt struct {
-	t       *try
-	s       *server
+type serverAttempt struct {
+	client       *clientAttempt
+	server       *server
 	number  int
-	conn    int16
-	from    float64
+	connection    int16
+	sentAt    float64
 	task    *stock.Task
-	kept    bool // over a connection that was open
-	arrived bool // its server has it
-	over    bool // the server has answered it or seen it closed
-	told    bool // the balancer knows its end
+	reusedConnection    bool // over a connection that was open
+	reachedServer bool // its server has it
+	ended    bool // the server has answered it or seen it closed
+	reported    bool // the balancer knows its end
 }
 
-func (a *attempt) note(k record.Kind, status int) {
-	a.t.ask.w.note(record.Event{Kind: k, Request: a.t.id, Sidecar: int32(a.t.c.number), Server: int32(a.s.number), Attempt: a.conn,
+func (attempt *serverAttempt) record(k record.Kind, status int) {
+	attempt.client.request.sim.record(record.Event{Kind: k, Request: attempt.client.id, Sidecar: int32(attempt.client.sidecar.number), Server: int32(attempt.server.number), Attempt: attempt.connection,
 		Status: int32(status), Class: record.None, Sum: 0})
 }
 
 // send makes an attempt: over a kept connection, or a new one, which costs a round trip and may never come up.
-func (t *try) send(s *server, dropAt float64) {
-	c, w := t.c, t.c.w
-	a := &attempt{t: t, s: s, number: len(t.attempts), from: w.Now()}
+func (t *clientAttempt) send(s *server, dropAt float64) {
+	c, sim := t.sidecar, t.sidecar.sim
+	a := &serverAttempt{client: t, server: s, number: len(t.attempts), sentAt: sim.Now()}
 	t.attempts = append(t.attempts, a)
-	w.sends = append(w.sends, Send{At: w.Now() - begin, Sidecar: c.number, Server: s.number, First: a.number == 0, Work: t.ask.a.Work})
+	sim.sends = append(sim.sends, Send{At: sim.Now() - runStart, Sidecar: c.number, Server: s.number, First: a.number == 0, Work: t.request.arrival.Work})
 	if dropAt <= 0 {
 		dropAt = t.deadline
 	}
-	w.At(math.Min(dropAt, t.deadline), func() {
-		if !a.told {
+	sim.At(math.Min(dropAt, t.deadline), func() {
+		if !a.reported {
 			a.cancelAtServer()
-			a.lost(balance.TimedOut)
+			a.reportFailure(balance.TimedOut)
 		}
 	})
-	kept := c.idle[s.number]
-	for len(kept) > 0 {
-		until := kept[len(kept)-1]
-		kept = kept[:len(kept)-1]
-		if until > w.Now() {
-			c.idle[s.number] = kept
-			a.kept = true
-			w.After(w.latency(c, s), func() { a.arrive(0) })
+	idle := c.idle[s.number]
+	for len(idle) > 0 {
+		until := idle[len(idle)-1]
+		idle = idle[:len(idle)-1]
+		if until > sim.Now() {
+			c.idle[s.number] = idle
+			a.reusedConnection = true
+			sim.After(sim.latency(c, s), func() { a.arrive(0) })
 			return
 		}
 	}
-	c.idle[s.number] = kept
-	w.sends[len(w.sends)-1].Opened = true
-	l, once := w.link(c, s), w.latency(c, s)
+	c.idle[s.number] = idle
+	sim.sends[len(sim.sends)-1].NewConnection = true
+	l, once := sim.link(c, s), sim.latency(c, s)
 	switch {
-	case l.to || l.from: // the first packet, or the answer to it, is lost
-		w.After(connectTimeout, func() { a.lost(balance.ConnectFailed) })
-	case s.down || l.refuse:
-		w.After(2*once, func() { a.lost(balance.ConnectFailed) })
+	case l.cutTo || l.cutFrom: // the first packet, or the answer to it, is lost
+		sim.After(connectTimeout, func() { a.reportFailure(balance.ConnectFailed) })
+	case s.down || l.reject:
+		sim.After(2*once, func() { a.reportFailure(balance.ConnectFailed) })
 	default:
-		w.After(3*once, func() { a.arrive(w.s.Servers.Handshake.Milliseconds() / w.s.Traffic.Pace) })
+		sim.After(3*once, func() { a.arrive(sim.scenario.Servers.HandshakeWork.Milliseconds() / sim.scenario.Traffic.Speedup) })
 	}
 }
 
 // arrive is when the request reaches its server, if it does.
-func (a *attempt) arrive(extra float64) {
-	w, s := a.t.ask.w, a.s
-	l := w.link(a.t.c, s)
-	if a.told || l.to {
+func (a *serverAttempt) arrive(extra float64) {
+	sim, s := a.client.request.sim, a.server
+	l := sim.link(a.client.sidecar, s)
+	if a.reported || l.cutTo {
 		return
 	}
 	if s.down {
 		result := balance.ConnectFailed
-		if a.kept { // it was written, for all that the sidecar knows
+		if a.reusedConnection { // it was written, for all that the sidecar knows
 			result = balance.Reset
 		}
-		a.answer(func() { a.lost(result) })
+		a.deliver(func() { a.reportFailure(result) })
 		return
 	}
-	s.conns++
-	a.conn, a.arrived = s.conns, true
-	a.note(record.FirstByte, 0)
-	a.note(record.LastByte, 0)
-	turn := func() {
-		a.note(record.Rejected, 503)
-		a.note(record.Replied, 503)
-		a.over = true
-		a.answer(func() { a.keep(); a.lost(balance.Rejected) })
+	s.connections++
+	a.connection, a.reachedServer = s.connections, true
+	a.record(record.FirstByte, 0)
+	a.record(record.LastByte, 0)
+	reject := func() {
+		a.record(record.Rejected, 503)
+		a.record(record.Replied, 503)
+		a.ended = true
+		a.deliver(func() { a.keepConnection(); a.reportFailure(balance.Rejected) })
 	}
-	if s.drain {
-		turn()
+	if s.rejects {
+		reject()
 		return
 	}
-	if s.fail > 0 && w.rng.Float64() < s.fail {
-		a.note(record.WorkStarted, 0)
-		a.note(record.Replied, 500)
-		a.over = true
-		a.answer(func() { a.keep(); a.lost(balance.Failed) })
+	if s.failFraction > 0 && sim.rng.Float64() < s.failFraction {
+		a.record(record.WorkStarted, 0)
+		a.record(record.Replied, 500)
+		a.ended = true
+		a.deliver(func() { a.keepConnection(); a.reportFailure(balance.Failed) })
 		return
 	}
-	dropped := s.drop > 0 && w.rng.Float64() < s.drop || l.lose > 0 && w.rng.Float64() < l.lose
-	w.advance(s.pod)
-	work := a.t.ask.a.Work*w.s.Classes[a.t.ask.a.Class].Vary(a.t.id, s.number) + extra
-	if w.members != nil && w.members.topples(s) {
-		a.topple()
+	dropped := s.dropFraction > 0 && sim.rng.Float64() < s.dropFraction || l.answerLoss > 0 && sim.rng.Float64() < l.answerLoss
+	sim.advance(s.pod)
+	work := a.client.request.arrival.Work*sim.scenario.Classes[a.client.request.arrival.Class].AttemptWorkFactor(a.client.id, s.number) + extra
+	if sim.members != nil && sim.members.overloads(s) {
+		a.overload()
 		return
 	}
-	task, what := s.pod.farm.Offer(w.clock(), s.inPod, work, func() { a.note(record.WorkStarted, 0) }, func() {
-		if a.over || dropped {
+	task, what := s.pod.model.Offer(sim.elapsed(), s.inPod, work, func() { a.record(record.WorkStarted, 0) }, func() {
+		if a.ended || dropped {
 			return
 		}
-		a.over = true
-		a.note(record.Replied, 200)
-		a.answer(func() { a.keep(); a.served() })
+		a.ended = true
+		a.record(record.Replied, 200)
+		a.deliver(func() { a.keepConnection(); a.reportSuccess() })
 	})
 	switch what {
 	case stock.Rejected:
-		turn()
+		reject()
 	case stock.Overloaded:
-		a.topple()
+		a.overload()
 	default:
 		a.task = task
-		w.advance(s.pod)
+		sim.advance(s.pod)
 	}
 }
 
 // topple ends the server that this attempt is too much for.
-func (a *attempt) topple() {
-	w := a.t.ask.w
-	w.note(record.Event{Kind: record.OverloadCrash, Request: a.t.id, Sidecar: int32(a.t.c.number), Server: int32(a.s.number),
+func (a *serverAttempt) overload() {
+	sim := a.client.request.sim
+	sim.record(record.Event{Kind: record.OverloadCrash, Request: a.client.id, Sidecar: int32(a.client.sidecar.number), Server: int32(a.server.number),
 		Class: record.None, Note: "sent more than it can bear while cold"})
-	w.kill(a.s, true)
+	sim.crashServer(a.server, true)
 }
 
 // answer brings the server's word to the sidecar, unless the way is cut.
-func (a *attempt) answer(then func()) {
-	w := a.t.ask.w
-	if w.link(a.t.c, a.s).from {
+func (a *serverAttempt) deliver(then func()) {
+	sim := a.client.request.sim
+	if sim.link(a.client.sidecar, a.server).cutFrom {
 		return
 	}
-	w.After(w.latency(a.t.c, a.s), func() {
-		if !a.told && !w.link(a.t.c, a.s).from {
+	sim.After(sim.latency(a.client.sidecar, a.server), func() {
+		if !a.reported && !sim.link(a.client.sidecar, a.server).cutFrom {
 			then()
 		}
 	})
 }
 
 // keep leaves the connection open for the next request.
-func (a *attempt) keep() {
-	w := a.t.ask.w
-	a.t.c.idle[a.s.number] = append(a.t.c.idle[a.s.number], w.Now()+w.s.Servers.Idle.Milliseconds()-2)
+func (a *serverAttempt) keepConnection() {
+	sim := a.client.request.sim
+	a.client.sidecar.idle[a.server.number] = append(a.client.sidecar.idle[a.server.number], sim.Now()+sim.scenario.Servers.IdleTimeout.Milliseconds()-2)
 }
 
 // served is a good answer.
-func (a *attempt) served() {
-	a.told = true
-	took := a.t.ask.w.Now() - a.from
-	a.t.answered(http.StatusOK, 0)
-	a.t.c.tell(balance.Outcome{Request: balance.RequestID(a.t.id), Attempt: a.number, Server: balance.ServerID(a.s.number + 1),
+func (a *serverAttempt) reportSuccess() {
+	a.reported = true
+	took := a.client.request.sim.Now() - a.sentAt
+	a.client.answer(http.StatusOK, 0)
+	a.client.sidecar.handle(balance.Outcome{Request: balance.RequestID(a.client.id), Attempt: a.number, Server: balance.ServerID(a.server.number + 1),
 		Result: balance.OK, Elapsed: took, Finished: true})
-	a.t.settle()
+	a.client.forgetIfFinal()
 }
 
 // lost tells the balancer of an attempt that ended without an answer for the client.
-func (a *attempt) lost(result balance.Result) {
-	if a.told {
+func (a *serverAttempt) reportFailure(result balance.Result) {
+	if a.reported {
 		return
 	}
-	a.told = true
-	if a.arrived && !a.over {
-		a.over = true
-		a.note(record.SidecarClosed, 0)
+	a.reported = true
+	if a.reachedServer && !a.ended {
+		a.ended = true
+		a.record(record.SidecarClosed, 0)
 	}
-	a.t.c.tell(balance.Outcome{Request: balance.RequestID(a.t.id), Attempt: a.number, Server: balance.ServerID(a.s.number + 1),
-		Result: result, Elapsed: a.t.ask.w.Now() - a.from})
-	a.t.settle()
+	a.client.sidecar.handle(balance.Outcome{Request: balance.RequestID(a.client.id), Attempt: a.number, Server: balance.ServerID(a.server.number + 1),
+		Result: result, Elapsed: a.client.request.sim.Now() - a.sentAt})
+	a.client.forgetIfFinal()
 }
 
-func (t *try) settle() {
-	if t.done {
-		t.end()
+func (attempt *clientAttempt) forgetIfFinal() {
+	if attempt.final {
+		attempt.forget()
 	}
 }
 
 // cancel gives an attempt up, as the balancer wants.
-func (a *attempt) cancel() {
-	w := a.t.ask.w
-	w.After(0, func() { // never from inside the balancer's own call
-		if !a.told {
+func (a *serverAttempt) cancel() {
+	sim := a.client.request.sim
+	sim.After(0, func() { // never from inside the balancer's own call
+		if !a.reported {
 			a.cancelAtServer()
-			a.lost(balance.Cancelled)
+			a.reportFailure(balance.Cancelled)
 		}
 	})
 }
 
 // cancelAtServer lets the server see the close, unless the way is cut; then it works on in vain.
-func (a *attempt) cancelAtServer() {
-	w := a.t.ask.w
-	if w.link(a.t.c, a.s).to {
+func (a *serverAttempt) cancelAtServer() {
+	sim := a.client.request.sim
+	if sim.link(a.client.sidecar, a.server).cutTo {
 		return
 	}
-	w.After(w.latency(a.t.c, a.s), func() {
+	sim.After(sim.latency(a.client.sidecar, a.server), func() {
 		if a.task != nil && a.task.Cancel() {
-			w.advance(a.s.pod)
+			sim.advance(a.server.pod)
 		}
 	})
 }
--- a/internal/lab/simulate/zones.go
+++ b/internal/lab/simulate/zones.go
@@ -14,7 +14,7 @@
 	Sidecar int
 	Server  int
 	First   bool // of its request
-	Opened  bool // a new connection for it was asked for
+	NewConnection  bool // a new connection for it was asked for
 	Work    float64
 }
 
@@ -25,22 +25,22 @@
 	Until float64  `json:"until_s"`
 	Zones []string `json:"zones"`
 	// Left is how long after its start under 1 % of all first sends went to the zones for the rest of it; negative: never.
-	Left float64 `json:"left_ms"`
+	EvacuatedAfter float64 `json:"left_ms"`
 	// LostP50 and LostP99 are first sends into the zones while it lasted, over the sidecars.
-	LostP50 float64 `json:"lost_p50"`
-	LostP99 float64 `json:"lost_p99"`
-	Share   float64 `json:"share"` // of all first sends while it lasted
+	SendsP50 float64 `json:"lost_p50"`
+	SendsP99 float64 `json:"lost_p99"`
+	SendFraction   float64 `json:"share"` // of all first sends while it lasted
 	// Peak is the most work that the other zones' servers were sent in a second of it, over what they can do.
-	Peak float64 `json:"peak_load"`
+	PeakLoad float64 `json:"peak_load"`
 	// Back is how long after its end the zones had 0.8 of their share of before, over 2 s; negative: never.
-	Back float64 `json:"back_ms"`
+	RecoveredAfter float64 `json:"back_ms"`
 }
 
 const (
-	leftShare  = 0.01
-	backShare  = 0.8
-	backWindow = 2000.0
-	backStep   = 250.0
+	evacuatedFraction  = 0.01
+	recoveredFraction  = 0.8
+	recoveryWindow = 2000.0
+	recoveryStep   = 250.0
 )
 
 // ZoneFaults measures all faults that hit whole zones, from what sidecars sent.
@@ -108,7 +108,7 @@
 			}
 		}
 	}
-	o.Left = -1
+	o.EvacuatedAfter = -1
 	for i := len(into); i >= 0; i-- { // after the i-th send into the zones
 		at := from
 		if i > 0 {
@@ -118,42 +118,42 @@
 		if i > 0 {
 			k++
 		}
-		if rest := len(during) - k; rest > 0 && float64(len(into)-i) >= leftShare*float64(rest) {
+		if rest := len(during) - k; rest > 0 && float64(len(into)-i) >= evacuatedFraction*float64(rest) {
 			break
 		} else if rest > 0 {
-			o.Left = at - from
+			o.EvacuatedAfter = at - from
 		}
 	}
 	slices.Sort(lost)
-	o.LostP50, o.LostP99 = lost[len(lost)/2], lost[min(len(lost)*99/100, len(lost)-1)]
-	o.Share = float64(len(into)) / float64(max(len(during), 1))
-	for _, w := range work {
-		o.Peak = max(o.Peak, w/(capacity*1000))
+	o.SendsP50, o.SendsP99 = lost[len(lost)/2], lost[min(len(lost)*99/100, len(lost)-1)]
+	o.SendFraction = float64(len(into)) / float64(max(len(during), 1))
+	for _, sim := range work {
+		o.PeakLoad = max(o.PeakLoad, sim/(capacity*1000))
 	}
-	o.Back = -1
+	o.RecoveredAfter = -1
 	usual := float64(beforeInto) / float64(max(before, 1))
-	for at := until; at+backWindow <= ms(p.Scenario.Length.Duration()); at += backStep {
+	for at := until; at+recoveryWindow <= ms(p.Scenario.Length.Duration()); at += recoveryStep {
 		all, there := 0, 0
 		for _, s := range sends {
-			if s.First && s.At >= at && s.At < at+backWindow {
+			if s.First && s.At >= at && s.At < at+recoveryWindow {
 				all++
 				if whole[p.Servers[s.Server].Zone] {
 					there++
 				}
 			}
 		}
-		if all > 0 && float64(there)/float64(all) >= backShare*usual {
-			o.Back = at - until
+		if all > 0 && float64(there)/float64(all) >= recoveredFraction*usual {
+			o.RecoveredAfter = at - until
 			return
 		}
 	}
 }
 
 // PrintZoneFaults writes them as a table.
-func PrintZoneFaults(w io.Writer, faults []ZoneFault) {
+func PrintZoneFaults(sim io.Writer, faults []ZoneFault) {
 	for _, f := range faults {
-		fmt.Fprintf(w, "zones %v, %s from %.0f to %.0f s: under 1%% of first sends after %.0f ms (-1: never), %.2f%% of all; a sidecar lost %g (p50), %g (p99);\n"+
+		fmt.Fprintf(sim, "zones %v, %s from %.0f to %.0f s: under 1%% of first sends after %.0f ms (-1: never), %.2f%% of all; a sidecar lost %g (p50), %g (p99);\n"+
 			"  the others were sent up to %.2f of what they can do; back to 0.8 of its share %.0f ms after the end\n",
-			f.Zones, f.Kind, f.From, f.Until, f.Left, 100*f.Share, f.LostP50, f.LostP99, f.Peak, f.Back)
+			f.Zones, f.Kind, f.From, f.Until, f.EvacuatedAfter, 100*f.SendFraction, f.SendsP50, f.SendsP99, f.PeakLoad, f.RecoveredAfter)
 	}
 }
