--- a/internal/lab/client/leave.go
+++ b/internal/lab/client/leave.go
@@ -33,9 +33,9 @@
 func (t *attempt) drawBehaviour() clientBehaviour {
 	traffic := &t.load.Plan.Scenario.Traffic
 	r := rand.New(rand.NewPCG(t.id, 0x6c65617665))
-	way := traffic.Leave[r.IntN(len(traffic.Leave))]
+	way := traffic.LeaveModes[r.IntN(len(traffic.LeaveModes))]
 	h := clientBehaviour{leaveWay: way, pipelined: notPipelined}
-	if r.Float64() < traffic.Pipelined {
+	if r.Float64() < traffic.PipelinedFraction {
 		h.pipelined = pipelinedWithRequest + r.IntN(2)
 	}
 	return h
--- a/internal/lab/cluster/clients.go
+++ b/internal/lab/cluster/clients.go
@@ -67,7 +67,7 @@
 		}
 		c.mu.Unlock()
 		select {
-		case <-time.After(c.config.Pause.Duration()):
+		case <-time.After(c.config.WriterPause.Duration()):
 		case <-ctx.Done():
 		}
 	}
--- a/internal/lab/cluster/cluster.go
+++ b/internal/lab/cluster/cluster.go
@@ -111,7 +111,7 @@
 
 // Start starts all replicas, and returns when one of them leads. Stop has to be called after it, also after an error.
 func (c *Cluster) Start(ctx context.Context) error {
-	for i := range c.config.Copies {
+	for i := range c.config.Replicas {
 		if err := c.addReplica(i); err != nil {
 			return err
 		}
@@ -141,7 +141,7 @@
 
 // addReplica reserves the addresses of a replica until the run ends, so that others don't take them while it is down.
 func (c *Cluster) addReplica(number int) error {
-	n := c.config.Copies
+	n := c.config.Replicas
 	var links []*relay.Link
 	for j := range n {
 		links = append(links, relay.NewLink(relay.Rules{}, c.Plan.Seed^uint64(number*n+j)))
@@ -181,8 +181,8 @@
 	replica.Spec = process.Spec{Name: replica.Name, Path: program, Dir: dir, Env: os.Environ()}
 	replica.Spec.Args = []string{"--log-level", "info", "registry", "serve", "--config", replica.configFile()}
 	text := fmt.Sprintf("name = %q\nlisten = %q\nraft = %q\ndir = %q\nbeat = %q\nmost_stale = %q\nlab_faults = %q\n%s",
-		replica.Name, replica.Address, replica.raftAddress, replica.dataDir(), c.config.Beat.Duration(),
-		c.config.MostStale.Duration(), replica.faultsFile(), c.routesConfig())
+		replica.Name, replica.Address, replica.raftAddress, replica.dataDir(), c.config.HeartbeatInterval.Duration(),
+		c.config.MaxStaleness.Duration(), replica.faultsFile(), c.routesConfig())
 	for _, peer := range c.Replicas {
 		text += fmt.Sprintf("[[peer]]\nname = %q\nraft = %q\nserve = %q\n", peer.Name, peer.raftProxy.Addr(0), peer.Address)
 	}
--- a/internal/lab/cluster/faults.go
+++ b/internal/lab/cluster/faults.go
@@ -39,7 +39,7 @@
 			c.mu.Lock()
 			c.faultStarts = append(c.faultStarts, c.Events.Now())
 			c.mu.Unlock()
-			c.Log.Info("lab: fault", "what", f.Fault.Kind, "copies", f.Fault.Copies)
+			c.Log.Info("lab: fault", "what", f.Fault.Kind, "copies", f.Fault.Replicas)
 			harness.Sleep(ctx, f.Until-f.At)
 			if err := undo(); err != nil {
 				c.Fail(fmt.Errorf("%s ends: %w", f.Fault.Kind, err))
@@ -61,7 +61,7 @@
 		c.dropsWatchLines.Store(true)
 		return func() error { c.dropsWatchLines.Store(false); return nil }, nil
 	}
-	chosen := c.selectReplicas(ctx, p.Fault.Copies)
+	chosen := c.selectReplicas(ctx, p.Fault.Replicas)
 	switch p.Fault.Kind {
 	case "copy-kill":
 		for _, replica := range chosen {
@@ -126,7 +126,7 @@
 		})
 		return func() error { return c.healDisks(ctx, failed, heal) }, err
 	case "copy-cut":
-		return func() error { return c.setPartition(chosen, p.Fault.Way, false) }, c.setPartition(chosen, p.Fault.Way, true)
+		return func() error { return c.setPartition(chosen, p.Fault.Direction, false) }, c.setPartition(chosen, p.Fault.Direction, true)
 	}
 	return nil, fmt.Errorf("no such fault of the list service")
 }
@@ -324,7 +324,7 @@
 			return err
 		}
 		text := fmt.Sprintf("name = %q\nlisten = %q\nraft = %q\nadvertise = %q\ndir = %q\nbeat = %q\njoin = true\n%s", replica.Name, replica.Address,
-			replica.raftAddress, replica.raftProxy.Addr(0), filepath.Join(replica.Spec.Dir, "data"), c.config.Beat.Duration(), c.routesConfig())
+			replica.raftAddress, replica.raftProxy.Addr(0), filepath.Join(replica.Spec.Dir, "data"), c.config.HeartbeatInterval.Duration(), c.routesConfig())
 		if err := os.WriteFile(filepath.Join(replica.Spec.Dir, "registry.toml"), []byte(text), 0o644); err != nil {
 			return err
 		}
--- a/internal/lab/cluster/operators.go
+++ b/internal/lab/cluster/operators.go
@@ -10,7 +10,7 @@
 
 // routesKeys are the lines of a copy's configuration that turn routes on.
 func (c *Cluster) routesConfig() string {
-	if !c.Scenario.Routed() {
+	if !c.Scenario.HasRoutes() {
 		return ""
 	}
 	keys := fmt.Sprintf("routes = %q\n", c.operatorsFile())
@@ -24,18 +24,18 @@
 
 // writeOperators writes the file that says what tenants may do.
 func (c *Cluster) writeOperatorsFile() error {
-	if !c.Scenario.Routed() {
+	if !c.Scenario.HasRoutes() {
 		return nil
 	}
 	o := &c.Scenario.Routes
 	file := map[string]any{}
-	for key, d := range map[string]scenario.Duration{"term": o.Term, "behind_after": o.BehindAfter, "shut_after": o.ShutAfter, "gone_after": o.GoneAfter} {
+	for key, d := range map[string]scenario.Duration{"term": o.LeaseTerm, "behind_after": o.StragglerAfter, "shut_after": o.ShutOutAfter, "gone_after": o.GoneAfter} {
 		if d > 0 {
 			file[key] = d.Duration().String()
 		}
 	}
-	if o.BehindShare > 0 {
-		file["behind_share"] = o.BehindShare
+	if o.MaxStragglerFraction > 0 {
+		file["behind_share"] = o.MaxStragglerFraction
 	}
 	var subsets, tenants []map[string]any
 	for _, sub := range o.Subsets {
@@ -52,7 +52,7 @@
 		subsets = append(subsets, one)
 	}
 	for _, t := range o.Tenants {
-		tenants = append(tenants, map[string]any{"name": t.Name, "subsets": t.Subsets, "max_share": t.MaxShare, "rollouts": t.Rollouts,
+		tenants = append(tenants, map[string]any{"name": t.Name, "subsets": t.Subsets, "max_share": t.MaxFraction, "rollouts": t.MaxRollouts,
 			"changes_per_minute": 6000.0, "max_budget": 1_000_000})
 	}
 	file["subset"], file["tenant"] = subsets, tenants
--- a/internal/lab/experiment/testbed/sidecar.go
+++ b/internal/lab/experiment/testbed/sidecar.go
@@ -71,7 +71,7 @@
 	return map[string]any{
 		"listen": "127.0.0.1:0", "management": "127.0.0.1:0", "discovery": discovery,
 		"seed": strconv.FormatUint(seed, 16), "settings": settings,
-		"limits": map[string]any{"cores": s.Sidecars.Cores, "memory_mb": s.Sidecars.MemoryMB, "sockets": s.Sidecars.Sockets},
+		"limits": map[string]any{"cores": s.Sidecars.Cores, "memory_mb": s.Sidecars.MemoryMB, "sockets": s.Sidecars.MaxSockets},
 	}
 }
 
--- a/internal/lab/growth_process.go
+++ b/internal/lab/growth_process.go
@@ -161,7 +161,7 @@
 	if err != nil {
 		return nil, err
 	}
-	launcher := &testbed.Launcher{Children: d.r.Processes, Dir: d.r.Dir, MaxDescriptors: d.r.Scenario.Sidecars.Sockets, Config: text}
+	launcher := &testbed.Launcher{Children: d.r.Processes, Dir: d.r.Dir, MaxDescriptors: d.r.Scenario.Sidecars.MaxSockets, Config: text}
 	return launcher.Launch(ctx, "sidecar", d.o.Program)
 }
 
--- a/internal/lab/lab.go
+++ b/internal/lab/lab.go
@@ -68,7 +68,7 @@
 	defer base.Close()
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	if s.Registry.Copies > 0 {
+	if s.Registry.Replicas > 0 {
 		return cluster.Play(ctx, base)
 	}
 	r := newRun(base)
@@ -89,7 +89,7 @@
 
 // start brings all parties up. The clock of the run starts when they are ready.
 func (r *run) start(ctx context.Context) error {
-	for k := range max(r.Scenario.Discovery.Copies, r.Scenario.Discovery.Registry) {
+	for k := range max(r.Scenario.Discovery.Services, r.Scenario.Discovery.RegistryReplicas) {
 		var row []*relay.Link
 		for i := range r.Plan.Sidecars {
 			row = append(row, relay.NewLink(relay.Rules{}, r.Plan.Seed^uint64(k)<<32^uint64(i)))
@@ -120,7 +120,7 @@
 			return err
 		}
 	}
-	if r.Scenario.Discovery.Registry > 0 {
+	if r.Scenario.Discovery.RegistryReplicas > 0 {
 		if err := r.startService(ctx, entries); err != nil {
 			return err
 		}
@@ -152,7 +152,7 @@
 func (r *run) addServer(i int) error {
 	p := &r.Plan.Servers[i]
 	probe := -1.0
-	if r.Scenario.Rules.Probes {
+	if r.Scenario.Rules.HealthChecks {
 		probe = 0.08
 	}
 	s, err := stock.Start(r.Events, r.book, r.pods[p.Pod], stock.SpecOf(r.Plan, i), stock.Options{
@@ -222,7 +222,7 @@
 	r.Tasks.Go(func() { r.sample(playing) })
 	r.Tasks.Go(func() { r.faults(playing, began) })
 	r.Tasks.Go(func() { r.progress(playing, began) })
-	if r.Scenario.Routed() {
+	if r.Scenario.HasRoutes() {
 		o := newRollouts(r, began)
 		r.rollouts.Store(o) // sidecars ask already
 		r.Tasks.Go(func() { o.play(playing) })
--- a/internal/lab/members.go
+++ b/internal/lab/members.go
@@ -63,7 +63,7 @@
 
 // newMembers opens a front for the first process of each party, as every seed's address is known before it starts.
 func newMembers(r *run) (*members, error) {
-	m := &members{r: r, parties: len(r.Plan.Sidecars) + r.Scenario.Discovery.Registry, callers: map[string]int{},
+	m := &members{r: r, parties: len(r.Plan.Sidecars) + r.Scenario.Discovery.RegistryReplicas, callers: map[string]int{},
 		nobody: relay.NewPacketLink(relay.PacketRules{Cut: relay.Both}, 0), procs: map[*process.Child]uint64{}}
 	m.ctx, m.stop = context.WithCancel(context.Background())
 	m.fronts = make([][]*front, m.parties)
@@ -92,7 +92,7 @@
 func (m *members) between(i, j int) time.Duration {
 	s, n := m.r.Scenario, len(m.r.Plan.Sidecars)
 	if i >= n || j >= n {
-		return s.Network.Same.Duration()
+		return s.Network.SameZone.Duration()
 	}
 	return s.Network.Latency(m.r.Plan.Sidecars[i].Zone, m.r.Plan.Sidecars[j].Zone).Duration()
 }
@@ -288,17 +288,17 @@
 				calls = relay.Both
 			}
 		case f.Kind != "members-cut":
-		case f.Way == "in":
+		case f.Direction == "in":
 			if lost = lost || to; to {
 				calls = relay.Both
 			}
 		default:
 			// What comes to those who are cut off is lost, or what they send, or both; of a connection that is its
 			// one way or the other.
-			if to && f.Way != "from" || from && f.Way != "to" {
+			if to && f.Direction != "from" || from && f.Direction != "to" {
 				lost, calls = true, calls|relay.To
 			}
-			if to && f.Way != "to" || from && f.Way != "from" {
+			if to && f.Direction != "to" || from && f.Direction != "from" {
 				calls |= relay.From
 			}
 		}
@@ -316,7 +316,7 @@
 // section is the section members of a party's configuration; nil: it has none.
 func (m *members) section(party int) map[string]any {
 	s := m.r.Scenario
-	if party < len(m.r.Plan.Sidecars) && !s.Membered(party) {
+	if party < len(m.r.Plan.Sidecars) && !s.InMembership(party) {
 		return nil
 	}
 	f := m.newest(party)
@@ -330,14 +330,14 @@
 	if len(seeds) > 0 {
 		out["seeds"] = seeds
 	}
-	if s.Members.Interval > 0 {
-		out["interval"] = s.Members.Interval.Duration().String()
+	if s.Members.ProbeInterval > 0 {
+		out["interval"] = s.Members.ProbeInterval.Duration().String()
 	}
 	if s.Members.AdmitWithin > 0 {
 		out["admit_within"] = s.Members.AdmitWithin.Duration().String()
 	}
-	if s.Members.BelieveRefused != nil {
-		out["believe_refused"] = *s.Members.BelieveRefused
+	if s.Members.TrustRefusals != nil {
+		out["believe_refused"] = *s.Members.TrustRefusals
 	}
 	if d := s.Members.Defect; d != "" && party < len(m.r.Plan.Sidecars) {
 		out["defect"] = d
@@ -408,14 +408,14 @@
 func (m *members) lateSteps() []step {
 	var late []int
 	for i := range m.r.Plan.Sidecars {
-		if m.r.Scenario.Late(i) {
+		if m.r.Scenario.StartsLate(i) {
 			late = append(late, i)
 		}
 	}
 	if len(late) == 0 {
 		return nil
 	}
-	return []step{{m.r.Scenario.Members.LateAt.Duration(), fmt.Sprintf("sidecars %v start", late), 0, func(ctx context.Context) error {
+	return []step{{m.r.Scenario.Members.LateStart.Duration(), fmt.Sprintf("sidecars %v start", late), 0, func(ctx context.Context) error {
 		return harness.ForEach(late, func(i int) error { return m.r.sidecars[i].begin(ctx) })
 	}}}
 }
--- a/internal/lab/members_result.go
+++ b/internal/lab/members_result.go
@@ -39,10 +39,10 @@
 // facts are what the rules hold the run against.
 func (m *members) facts() *invariant.Members {
 	p, s := m.r.Plan, m.r.Scenario
-	f := &invariant.Members{Sidecars: len(p.Sidecars), Peers: s.Peers()}
+	f := &invariant.Members{Sidecars: len(p.Sidecars), Peers: s.PeerCount()}
 	for i := range p.Sidecars {
 		f.Names = append(f.Names, p.Sidecars[i].Name)
-		if !s.Membered(i) {
+		if !s.InMembership(i) {
 			f.WithoutMembership++
 		}
 	}
--- a/internal/lab/report/outcome.go
+++ b/internal/lab/report/outcome.go
@@ -98,8 +98,8 @@
 	s := p.Scenario
 	facts := invariant.Facts{
 		MaxAttempts: s.Rules.MaxAttempts, DrainGrace: s.Rules.DrainGrace.Duration(),
-		MemoryMB: s.Sidecars.MemoryMB, Sockets: s.Sidecars.Sockets, ServiceAfterTerm: scenario.SparedTerm,
-		Routes: routes, Latency: p.LongestLatency(), HeldBack: delayedLinks(p), Stalls: stalls, ReadyWithin: s.Rules.ReadyWithin.Duration(),
+		MemoryMB: s.Sidecars.MemoryMB, Sockets: s.Sidecars.MaxSockets, ServiceAfterTerm: scenario.ServiceAfterTerm,
+		Routes: routes, Latency: p.MaxLatency(), HeldBack: delayedLinks(p), Stalls: stalls, ReadyWithin: s.Rules.ReadyWithin.Duration(),
 		SlowStart: slowStartLimits(p),
 	}
 	for _, c := range s.Classes {
@@ -138,19 +138,19 @@
 			out = append(out, fmt.Sprintf("%s is %.3f, expected at most %.3f", name, got, *want))
 		}
 	}
-	least("in_aim", e.InAim, f.InObjective)
-	least("worst_in_aim", e.WorstInAim, f.WorstInObjective)
-	most("refused", e.Refused, f.Rejected)
+	least("in_aim", e.InObjective, f.InObjective)
+	least("worst_in_aim", e.WorstInObjective, f.WorstInObjective)
+	most("refused", e.Rejected, f.Rejected)
 	most("failed", e.Failed, f.Failed)
 	most("attempts", e.Attempts, f.ServerAttempts)
 	most("cross_zone", e.CrossZone, f.CrossZone)
-	most("waste", e.Waste, f.Waste)
+	most("waste", e.WastedWork, f.Waste)
 	if e.P99 != nil {
 		want := e.P99.Milliseconds()
 		most("p99 (ms)", &want, f.P99)
 	}
 	for _, p := range r.Result.Sidecars {
-		most("memory_growth of "+p.Name, e.MemoryGrows, p.RSSGrowth)
+		most("memory_growth of "+p.Name, e.MemoryGrowth, p.RSSGrowth)
 	}
 	return out
 }
--- a/internal/lab/report/routes.go
+++ b/internal/lab/report/routes.go
@@ -68,18 +68,18 @@
 	if r.Routes != nil {
 		out = append(out, r.Routes.Missed...)
 		for _, one := range r.Routes.Rollouts {
-			if want := s.Expect.RolloutEnds[one.Name]; want != "" && want != one.End {
+			if want := s.Expect.RolloutPhases[one.Name]; want != "" && want != one.End {
 				out = append(out, fmt.Sprintf("rollout %s ends %q (%s), expected %q", one.Name, one.End, one.Why, want))
 			}
 			for _, st := range one.Steps {
-				if off := math.Abs(st.Measured - st.Share); s.Expect.ShareError != nil && st.Attempts >= minShareAttempts && off > *s.Expect.ShareError {
+				if off := math.Abs(st.Measured - st.Share); s.Expect.FractionError != nil && st.Attempts >= minShareAttempts && off > *s.Expect.FractionError {
 					out = append(out, fmt.Sprintf("rollout %s has a share of %.3f in step %d of %.3f, expected within %.3f",
-						one.Name, st.Measured, st.Step, st.Share, *s.Expect.ShareError))
+						one.Name, st.Measured, st.Step, st.Share, *s.Expect.FractionError))
 				}
 			}
 		}
 	}
-	for _, rule := range s.Checks() {
+	for _, rule := range s.RulesToCheck() {
 		if r.Verdict.Checked[rule] == 0 {
 			out = append(out, fmt.Sprintf("rule %s was held to no case", rule))
 		}
--- a/internal/lab/requestcost.go
+++ b/internal/lab/requestcost.go
@@ -237,7 +237,7 @@
 
 // startCopies starts the list service, with all servers on its list and a route for the tenant.
 func (c *costRun) startCopies(ctx context.Context) error {
-	reg := &scenario.Registry{Copies: c.r.Scenario.Discovery.Registry, Beat: scenario.Duration(100 * time.Millisecond)}
+	reg := &scenario.Registry{Replicas: c.r.Scenario.Discovery.RegistryReplicas, HeartbeatInterval: scenario.Duration(100 * time.Millisecond)}
 	rr := cluster.New(c.r, reg)
 	c.f = &routeFleet{rr: rr, play: &playState{start: time.Now()},
 		client: &http.Client{Transport: &http.Transport{}, Timeout: 5 * time.Second}}
@@ -292,7 +292,7 @@
 	config := testbed.BaseConfig(c.r.Scenario, sidecarSeed, discovery, settings)
 	config["known"] = list
 	text, err := json.Marshal(config)
-	c.sidecars = &testbed.Launcher{Children: c.r.Processes, Dir: c.r.Dir, MaxDescriptors: c.r.Scenario.Sidecars.Sockets, Config: text}
+	c.sidecars = &testbed.Launcher{Children: c.r.Processes, Dir: c.r.Dir, MaxDescriptors: c.r.Scenario.Sidecars.MaxSockets, Config: text}
 	return err
 }
 
--- a/internal/lab/routes_config.go
+++ b/internal/lab/routes_config.go
@@ -6,7 +6,7 @@
 
 // programOf is the program that a sidecar runs.
 func (r *run) programOf(sidecar int) string {
-	if r.Scenario.Older(sidecar) && r.Options.Older != "" {
+	if r.Scenario.RunsOlderProgram(sidecar) && r.Options.Older != "" {
 		return r.Options.Older
 	}
 	return r.program
@@ -14,11 +14,11 @@
 
 // routesOf is the section of a sidecar's configuration that turns routes on; nil: they are off.
 func (r *run) routesOf(sidecar int) map[string]any {
-	if !r.Scenario.Routed() || r.Scenario.Older(sidecar) {
+	if !r.Scenario.HasRoutes() || r.Scenario.RunsOlderProgram(sidecar) {
 		return nil
 	}
 	schemas := r.Scenario.Routes.Schemas
-	if again := r.sidecars[sidecar].manages > 0 && r.Scenario.Routes.Swap; r.Scenario.Old(sidecar) != again {
+	if again := r.sidecars[sidecar].manages > 0 && r.Scenario.Routes.SwapSchemas; r.Scenario.ReadsOldSchema(sidecar) != again {
 		schemas = []int{1}
 	}
 	section := map[string]any{"addrs": r.listAddrs(sidecar), "key_header": "X-Route-Key"}
--- a/internal/lab/routescale_fleet.go
+++ b/internal/lab/routescale_fleet.go
@@ -49,7 +49,7 @@
 		return nil, err
 	}
 	f := &routeFleet{play: &playState{start: time.Now()}, client: &http.Client{Transport: &http.Transport{}, Timeout: 5 * time.Second}}
-	f.rr = cluster.New(r, &scenario.Registry{Copies: s.Discovery.Registry, Beat: scenario.Duration(100 * time.Millisecond)})
+	f.rr = cluster.New(r, &scenario.Registry{Replicas: s.Discovery.RegistryReplicas, HeartbeatInterval: scenario.Duration(100 * time.Millisecond)})
 	f.stop = func() {
 		f.client.CloseIdleConnections()
 		f.rr.Stop()
--- a/internal/lab/routesresult.go
+++ b/internal/lab/routesresult.go
@@ -73,7 +73,7 @@
 		if e.Kind != record.FirstByte {
 			continue
 		}
-		if r, ok := under[int(e.Tenant)]; ok && r.From <= e.T && e.T <= r.To && !o.r.Scenario.Older(int(e.Sidecar)) {
+		if r, ok := under[int(e.Tenant)]; ok && r.From <= e.T && e.T <= r.To && !o.r.Scenario.RunsOlderProgram(int(e.Sidecar)) {
 			if of++; e.Rev == 0 {
 				held++
 			}
--- a/internal/lab/scale.go
+++ b/internal/lab/scale.go
@@ -116,7 +116,7 @@
 // stand-ins, without any record; from the lab's clients, without sidecars; and from the lab's clients through the
 // sidecars. The difference of the first two is the lab's own overhead.
 func MeasureOverhead(ctx context.Context, s *scenario.Scenario, o harness.Options) ([]Overhead, error) {
-	work := s.Classes[0].Work.Milliseconds() / s.Traffic.Pace / s.Servers.Kinds[0].Speed[0]
+	work := s.Classes[0].Work.Milliseconds() / s.Traffic.Speedup / s.Servers.Kinds[0].Speed[0]
 	plain, err := measurePlainClient(ctx, s, o)
 	if err != nil {
 		return nil, fmt.Errorf("overhead: %w", err)
@@ -166,7 +166,7 @@
 		}
 		id := uint64(i + 1)
 		r.book.Add(id, stock.ClientRequest{Method: http.MethodGet, Class: arrival.Class, Sum: record.Sum(nil),
-			Work: arrival.Work, Answer: sized.Traffic.Answer})
+			Work: arrival.Work, Answer: sized.Traffic.AnswerBytes})
 		addr := r.addr(arrival.Sidecar)
 		requests.Go(func() { c.send(addr, id, arrival.At) })
 	}
--- a/internal/lab/scenario/defaults.go
+++ b/internal/lab/scenario/defaults.go
@@ -8,125 +8,125 @@
 )
 
 // defaults fills in what the file leaves out: the operators' fleet, as their page has it.
-func (s *Scenario) defaults() {
-	or(&s.Seed, 1)
-	or(&s.Length, Duration(20*time.Second))
-	or(&s.Sidecars.Count, 4)
-	or(&s.Sidecars.Cores, 1)
-	or(&s.Sidecars.MemoryMB, 128)
-	or(&s.Sidecars.Sockets, 512)
-	or(&s.Servers.Count, 9)
-	or(&s.Servers.PodSize, 4)
-	or(&s.Servers.PodLimit, Range{0.4, 0.73})
-	or(&s.Servers.MaxConns, 1500)
-	or(&s.Servers.Handshake, Duration(2*time.Millisecond))
-	or(&s.Servers.Idle, Duration(5*time.Second))
+func (s *Scenario) setDefaults() {
+	setDefault(&s.Seed, 1)
+	setDefault(&s.Length, Duration(20*time.Second))
+	setDefault(&s.Sidecars.Count, 4)
+	setDefault(&s.Sidecars.Cores, 1)
+	setDefault(&s.Sidecars.MemoryMB, 128)
+	setDefault(&s.Sidecars.MaxSockets, 512)
+	setDefault(&s.Servers.Count, 9)
+	setDefault(&s.Servers.PodSize, 4)
+	setDefault(&s.Servers.PodLimit, Range{0.4, 0.73})
+	setDefault(&s.Servers.MaxConns, 1500)
+	setDefault(&s.Servers.HandshakeWork, Duration(2*time.Millisecond))
+	setDefault(&s.Servers.IdleTimeout, Duration(5*time.Second))
 	if len(s.Network.Zones) == 0 {
 		s.Network.Zones = []string{"limerick-dc", "cork-dc"}
 	}
-	or(&s.Network.Same, Duration(200*time.Microsecond))
-	or(&s.Network.Cross, Duration(time.Millisecond))
-	or(&s.Network.Far, Duration(8*time.Millisecond))
-	or(&s.Network.FarCost, 2)
+	setDefault(&s.Network.SameZone, Duration(200*time.Microsecond))
+	setDefault(&s.Network.CrossZone, Duration(time.Millisecond))
+	setDefault(&s.Network.CrossRegion, Duration(8*time.Millisecond))
+	setDefault(&s.Network.CrossRegionCost, 2)
 	if s.Traffic.Rate == 0 {
-		or(&s.Traffic.Load, 0.4)
+		setDefault(&s.Traffic.Load, 0.4)
 	}
-	or(&s.Traffic.Pace, 1)
-	or(&s.Traffic.TryShare, 0.5)
-	or(&s.Traffic.Answer, 1200)
-	if len(s.Traffic.Leave) == 0 {
-		s.Traffic.Leave = []string{LeaveClose}
+	setDefault(&s.Traffic.Speedup, 1)
+	setDefault(&s.Traffic.AttemptTimeoutFraction, 0.5)
+	setDefault(&s.Traffic.AnswerBytes, 1200)
+	if len(s.Traffic.LeaveModes) == 0 {
+		s.Traffic.LeaveModes = []string{LeaveClose}
 	}
-	or(&s.Discovery.Notice, Duration(2*time.Second))
-	or(&s.Discovery.SilentNotice, Duration(6*time.Second))
-	or(&s.Discovery.Add, Duration(1500*time.Millisecond))
-	or(&s.Discovery.Spread, Duration(100*time.Millisecond))
-	or(&s.Discovery.Copies, 1)
-	if s.Registry.Copies > 0 {
-		or(&s.Registry.Writers, 4)
-		or(&s.Registry.Watchers, 10)
-		or(&s.Registry.Entries, 8)
-		or(&s.Registry.Pause, Duration(5*time.Millisecond))
-		or(&s.Registry.Beat, Duration(100*time.Millisecond))
+	setDefault(&s.Discovery.DrainDelay, Duration(2*time.Second))
+	setDefault(&s.Discovery.CrashDelay, Duration(6*time.Second))
+	setDefault(&s.Discovery.AddDelay, Duration(1500*time.Millisecond))
+	setDefault(&s.Discovery.Spread, Duration(100*time.Millisecond))
+	setDefault(&s.Discovery.Services, 1)
+	if s.Registry.Replicas > 0 {
+		setDefault(&s.Registry.Writers, 4)
+		setDefault(&s.Registry.Watchers, 10)
+		setDefault(&s.Registry.Entries, 8)
+		setDefault(&s.Registry.WriterPause, Duration(5*time.Millisecond))
+		setDefault(&s.Registry.HeartbeatInterval, Duration(100*time.Millisecond))
 	}
-	or(&s.Rules.DrainGrace, Duration(2*time.Second))
-	or(&s.Rules.ColdFrom, 0.17)
-	or(&s.Rules.Cold, Duration(24*time.Second))
-	or(&s.Rules.FallMultiple, 4)
-	or(&s.Rules.FallTime, Duration(3*time.Second))
-	or(&s.Rules.MaxAttempts, 3)
-	or(&s.Rules.AnswerSlack, Duration(20*time.Millisecond))
-	or(&s.Rules.CrossPrice, 0.1)
-	or(&s.Rules.ReadyWithin, Duration(10*time.Second))
+	setDefault(&s.Rules.DrainGrace, Duration(2*time.Second))
+	setDefault(&s.Rules.InitialCapacity, 0.17)
+	setDefault(&s.Rules.SlowStart, Duration(24*time.Second))
+	setDefault(&s.Rules.OverloadMultiple, 4)
+	setDefault(&s.Rules.OverloadTime, Duration(3*time.Second))
+	setDefault(&s.Rules.MaxAttempts, 3)
+	setDefault(&s.Rules.AnswerSlack, Duration(20*time.Millisecond))
+	setDefault(&s.Rules.CrossZoneCost, 0.1)
+	setDefault(&s.Rules.ReadyWithin, Duration(10*time.Second))
 	if len(s.Servers.Kinds) == 0 {
 		cold := Duration(18 * time.Second)
-		s.Servers.Kinds = []Kind{
-			{Name: "standard", Share: 0.41, Cores: 2, Speed: Range{0.85, 1.1}, Queue: 900, ColdFrom: 0.25, Cold: cold,
-				Slots: Range{4, 12}, PauseEvery: Range{3.2, 8.6}, Pause: Range{0, 180}, PauseGrow: Range{0.0033, 1.1}},
-			{Name: "older", Share: 0.59, Cores: 2, Speed: Range{0.51, 0.69}, Queue: 900, ColdFrom: 0.25, Cold: cold,
-				Slots: Range{4, 12}, PauseEvery: Range{5, 12}, Pause: Range{0, 160}, PauseGrow: Range{0.071, 1.2}},
+		s.Servers.Kinds = []ServerKind{
+			{Name: "standard", Fraction: 0.41, Cores: 2, Speed: Range{0.85, 1.1}, Queue: 900, InitialCapacity: 0.25, SlowStart: cold,
+				SlotsPerCore: Range{4, 12}, PauseEvery: Range{3.2, 8.6}, PauseLength: Range{0, 180}, PauseGrowth: Range{0.0033, 1.1}},
+			{Name: "older", Fraction: 0.59, Cores: 2, Speed: Range{0.51, 0.69}, Queue: 900, InitialCapacity: 0.25, SlowStart: cold,
+				SlotsPerCore: Range{4, 12}, PauseEvery: Range{5, 12}, PauseLength: Range{0, 160}, PauseGrowth: Range{0.071, 1.2}},
 		}
 	}
 	for i := range s.Servers.Kinds {
 		k := &s.Servers.Kinds[i]
-		or(&k.Cores, 2)
-		or(&k.Speed, Range{1, 1})
-		or(&k.Queue, 900)
-		or(&k.ColdFrom, 1)
-		or(&k.Slots, Range{1, 1})
+		setDefault(&k.Cores, 2)
+		setDefault(&k.Speed, Range{1, 1})
+		setDefault(&k.Queue, 900)
+		setDefault(&k.InitialCapacity, 1)
+		setDefault(&k.SlotsPerCore, Range{1, 1})
 	}
 	ms := func(n int) Duration { return Duration(time.Duration(n) * time.Millisecond) }
 	if len(s.Classes) == 0 {
 		s.Classes = []Class{
-			{Name: "stock-lookup", Share: 0.42, Work: ms(80), Dist: "exp", AttemptNoise: 0.3, Aim: ms(600), Deadline: ms(1500), Worth: 2, Effect: "safe"},
-			{Name: "shelf-count", Share: 0.29, Work: ms(85), CV: 0.6, AttemptNoise: 0.33, Aim: ms(600), Deadline: ms(3000), Worth: 2, Effect: "safe"},
-			{Name: "parcel-issue", Share: 0.21, Work: ms(90), CV: 0.4, AttemptNoise: 0.34, Aim: ms(600), Deadline: ms(1500), Worth: 8, Effect: "unsafe"},
-			{Name: "donation-intake", Share: 0.08, Work: ms(180), Dist: "exp", AttemptNoise: 0.35, Aim: ms(1000), Deadline: ms(5000), Worth: 3, Effect: "unsafe"},
+			{Name: "stock-lookup", Fraction: 0.42, Work: ms(80), Dist: "exp", AttemptNoise: 0.3, Objective: ms(600), Deadline: ms(1500), PriorityWeight: 2, Effect: "safe"},
+			{Name: "shelf-count", Fraction: 0.29, Work: ms(85), CV: 0.6, AttemptNoise: 0.33, Objective: ms(600), Deadline: ms(3000), PriorityWeight: 2, Effect: "safe"},
+			{Name: "parcel-issue", Fraction: 0.21, Work: ms(90), CV: 0.4, AttemptNoise: 0.34, Objective: ms(600), Deadline: ms(1500), PriorityWeight: 8, Effect: "unsafe"},
+			{Name: "donation-intake", Fraction: 0.08, Work: ms(180), Dist: "exp", AttemptNoise: 0.35, Objective: ms(1000), Deadline: ms(5000), PriorityWeight: 3, Effect: "unsafe"},
 		}
 	}
 	for i := range s.Classes {
 		c := &s.Classes[i]
-		or(&c.Worth, 1)
-		or(&c.Effect, "safe")
-		or(&c.Dist, "lognormal")
+		setDefault(&c.PriorityWeight, 1)
+		setDefault(&c.Effect, "safe")
+		setDefault(&c.Dist, "lognormal")
 		if c.Effect == "unsafe" {
-			or(&c.Body, 200)
+			setDefault(&c.BodyBytes, 200)
 		}
 	}
 	if len(s.Tenants) == 0 {
-		s.Tenants = []Tenant{{Name: "shannonside", Share: 0.53}, {Name: "midwest-pantry", Share: 0.25}, {Name: "lee-valley", Share: 0.22}}
+		s.Tenants = []Tenant{{Name: "shannonside", Fraction: 0.53}, {Name: "midwest-pantry", Fraction: 0.25}, {Name: "lee-valley", Fraction: 0.22}}
 	}
 	for i := range s.Tenants {
-		or(&s.Tenants[i].Usage, 1)
+		setDefault(&s.Tenants[i].UsageFactor, 1)
 	}
-	s.routeDefaults()
-	s.memberDefaults()
+	s.setRouteDefaults()
+	s.setMemberDefaults()
 	for i := range s.Faults {
 		f := &s.Faults[i]
 		form := faultForms()[f.Kind]
 		if form.servers {
-			or(&f.Servers, "all")
+			setDefault(&f.Servers, "all")
 		}
 		if form.sidecars {
-			or(&f.Sidecars, "all")
+			setDefault(&f.Sidecars, "all")
 		}
 		if form.copies {
-			or(&f.Copies, "leader")
+			setDefault(&f.Replicas, "leader")
 		}
 		if isCut(f.Kind) {
-			or(&f.Way, "both")
+			setDefault(&f.Direction, "both")
 		}
 		if f.Kind == "accept-late" {
-			or(&f.Share, 1)
+			setDefault(&f.Fraction, 1)
 		}
-		or(&f.Link, "servers")
+		setDefault(&f.Link, "servers")
 		if strings.HasPrefix(f.Kind, "list-") && f.Kind != "list-move" || f.Link == "discovery" {
-			or(&f.List, "all")
+			setDefault(&f.List, "all")
 		}
 	}
 }
 
-func or[T comparable](v *T, otherwise T) {
+func setDefault[T comparable](v *T, otherwise T) {
 	var zero T
 	if *v == zero {
 		*v = otherwise
--- a/internal/lab/scenario/draw.go
+++ b/internal/lab/scenario/draw.go
@@ -15,9 +15,9 @@
 
 func (p *Plan) drawKinds(r *rand.Rand) {
 	for _, k := range p.Scenario.Servers.Kinds {
-		p.Kinds = append(p.Kinds, KindPlan{
-			Slots: int(math.Round(k.Slots.At(r.Float64()))), PauseEvery: k.PauseEvery.At(r.Float64()),
-			Pause: k.Pause.At(r.Float64()), PauseGrow: k.PauseGrow.At(r.Float64()),
+		p.Kinds = append(p.Kinds, ServerKindPlan{
+			SlotsPerCore: int(math.Round(k.SlotsPerCore.At(r.Float64()))), PauseEvery: k.PauseEvery.At(r.Float64()),
+			PauseLength: k.PauseLength.At(r.Float64()), PauseGrowth: k.PauseGrowth.At(r.Float64()),
 		})
 	}
 }
@@ -26,15 +26,15 @@
 	s := p.Scenario
 	var total float64
 	for _, k := range s.Servers.Kinds {
-		total += k.Share
+		total += k.Fraction
 	}
 	// Kinds by their shares, not by chance: few servers of one draw would have another capacity than asked for.
 	kinds := make([]int, s.Servers.Count)
-	sum, k := s.Servers.Kinds[0].Share/total, 0
+	coveredFraction, k := s.Servers.Kinds[0].Fraction/total, 0
 	for i := range kinds {
-		for k+1 < len(s.Servers.Kinds) && (float64(i)+0.5)/float64(len(kinds)) > sum {
+		for k+1 < len(s.Servers.Kinds) && (float64(i)+0.5)/float64(len(kinds)) > coveredFraction {
 			k++
-			sum += s.Servers.Kinds[k].Share / total
+			coveredFraction += s.Servers.Kinds[k].Fraction / total
 		}
 		kinds[i] = k
 	}
@@ -69,7 +69,7 @@
 	total := 0.0
 	for i := range s.Sidecars.Count {
 		w := 1.0
-		if cv := s.Sidecars.Skew; cv > 0 {
+		if cv := s.Sidecars.TrafficSkew; cv > 0 {
 			w = lognormal(r, cv)
 		}
 		total += w
@@ -85,19 +85,19 @@
 func (p *Plan) drawFaults(r *rand.Rand) {
 	s := p.Scenario
 	for _, f := range s.Faults {
-		one := FaultPlan{Fault: f, At: f.At.Duration(), Until: f.At.Duration() + f.For.Duration()}
+		drawn := FaultPlan{Fault: f, At: f.At.Duration(), Until: f.At.Duration() + f.For.Duration()}
 		if f.Servers != "" {
-			one.Servers = p.pick(r, f.Servers, s.Servers.Count, true)
+			drawn.Servers = p.selectTargets(r, f.Servers, s.Servers.Count, true)
 			if f.Zone != "" {
-				one.Servers = slices.DeleteFunc(one.Servers, func(i int) bool { return s.Network.Zones[p.Servers[i].Zone] != f.Zone })
+				drawn.Servers = slices.DeleteFunc(drawn.Servers, func(i int) bool { return s.Network.Zones[p.Servers[i].Zone] != f.Zone })
 			}
 		}
 		if f.Sidecars != "" {
-			one.Sidecars = p.withoutLate(p.pick(r, f.Sidecars, len(p.Sidecars), false), f.Kind, one.At)
+			drawn.Sidecars = p.withoutUnstarted(p.selectTargets(r, f.Sidecars, len(p.Sidecars), false), f.Kind, drawn.At)
 		}
 		if faultForms()[f.Kind].turns {
-			for k, i := range one.Sidecars {
-				turn := one
+			for k, i := range drawn.Sidecars {
+				turn := drawn
 				turn.At += time.Duration(k) * f.Every.Duration()
 				turn.Until, turn.Sidecars = turn.At, []int{i}
 				p.Faults = append(p.Faults, turn)
@@ -106,20 +106,20 @@
 		}
 		if f.Every == 0 {
 			if f.Kind == "replace" {
-				one.Fresh = p.spares(one.Servers)
+				drawn.Replacements = p.spares(drawn.Servers)
 			}
-			p.Faults = append(p.Faults, one)
+			p.Faults = append(p.Faults, drawn)
 			continue
 		}
 		// Half of each period it is there, half of it not; what happens at once happens each time.
 		form := faultForms()[f.Kind]
-		for at := one.At; at < f.At.Duration()+f.For.Duration(); at += f.Every.Duration() {
-			again := one
-			again.At, again.Until = at, at
+		for at := drawn.At; at < f.At.Duration()+f.For.Duration(); at += f.Every.Duration() {
+			repeat := drawn
+			repeat.At, repeat.Until = at, at
 			if form.lasts {
-				again.Until = min(at+f.Every.Duration()/2, one.Until)
+				repeat.Until = min(at+f.Every.Duration()/2, drawn.Until)
 			}
-			p.Faults = append(p.Faults, again)
+			p.Faults = append(p.Faults, repeat)
 		}
 	}
 	slices.SortStableFunc(p.Faults, func(a, b FaultPlan) int { return cmp.Compare(a.At, b.At) })
@@ -138,7 +138,7 @@
 }
 
 // pick draws what a choice means; checkPick has read it before.
-func (p *Plan) pick(r *rand.Rand, pick string, n int, servers bool) []int {
+func (p *Plan) selectTargets(r *rand.Rand, selector string, n int, servers bool) []int {
 	var out []int
 	all := func(is func(int) bool) []int {
 		for i := range n {
@@ -148,13 +148,13 @@
 		}
 		return out
 	}
-	what, name, _ := strings.Cut(pick, ":")
+	kind, name, _ := strings.Cut(selector, ":")
 	switch {
-	case pick == "all":
+	case selector == "all":
 		return all(func(int) bool { return true })
-	case pick == "late":
-		return all(p.Scenario.Late)
-	case what == "zone":
+	case selector == "late":
+		return all(p.Scenario.StartsLate)
+	case kind == "zone":
 		zone := slices.Index(p.Scenario.Network.Zones, name)
 		return all(func(i int) bool {
 			if servers {
@@ -162,7 +162,7 @@
 			}
 			return p.Sidecars[i].Zone == zone
 		})
-	case what == "region":
+	case kind == "region":
 		return all(func(i int) bool {
 			zone := p.Sidecars[min(i, len(p.Sidecars)-1)].Zone
 			if servers {
@@ -170,22 +170,22 @@
 			}
 			return strconv.Itoa(p.Scenario.Network.regionOf(zone)) == name
 		})
-	case what == "subset":
+	case kind == "subset":
 		return slices.Clone(p.Subsets[name])
-	case what == "pod":
+	case kind == "pod":
 		return all(func(i int) bool { return strconv.Itoa(p.Servers[i].Pod) == name })
-	case what == "kind":
+	case kind == "kind":
 		return all(func(i int) bool { return p.Scenario.Servers.Kinds[p.Servers[i].Kind].Name == name })
-	case pick[0] == '#':
-		i, _ := strconv.Atoi(pick[1:])
+	case selector[0] == '#':
+		i, _ := strconv.Atoi(selector[1:])
 		return []int{i}
 	}
 	count := 0
-	if share, ok := strings.CutSuffix(pick, "%"); ok {
+	if share, ok := strings.CutSuffix(selector, "%"); ok {
 		f, _ := strconv.ParseFloat(share, 64)
 		count = max(int(math.Round(f/100*float64(n))), 1)
 	} else {
-		count, _ = strconv.Atoi(pick)
+		count, _ = strconv.Atoi(selector)
 	}
 	out = r.Perm(n)[:count]
 	slices.Sort(out)
@@ -194,19 +194,19 @@
 
 func (p *Plan) drawArrivals(r *rand.Rand) {
 	s := p.Scenario
-	classes, meanWork := s.classShares(), s.MeanWork()
+	classTotal, meanWork := s.totalClassFraction(), s.MeanWork()
 	p.Rate = s.Traffic.Rate
 	if p.Rate == 0 {
 		p.Rate = s.Traffic.Load * p.Capacity / meanWork * 1000
 	}
-	tenants := 0.0
+	tenantTotal := 0.0
 	for _, t := range s.Tenants {
-		tenants += t.Share * t.Usage
+		tenantTotal += t.Fraction * t.UsageFactor
 	}
-	highest := p.Rate * (1 + s.Traffic.Swing)
+	highest := p.Rate * (1 + s.Traffic.RateSwing)
 	for _, f := range p.Faults {
 		if f.Fault.Kind == "burst" {
-			highest = max(highest, p.Rate*(1+s.Traffic.Swing)*f.Fault.Size)
+			highest = max(highest, p.Rate*(1+s.Traffic.RateSwing)*f.Fault.Size)
 		}
 	}
 	// A Poisson process of changing rate by thinning (Lewis and Shedler, 1979).
@@ -220,31 +220,31 @@
 		if r.Float64()*highest > p.rateAt(t) {
 			continue
 		}
-		p.Arrivals = append(p.Arrivals, p.drawArrival(r, t, p.hasStarted(p.weighted(r), t), classes, tenants))
+		p.Arrivals = append(p.Arrivals, p.drawArrival(r, t, p.runningSidecar(p.drawSidecar(r), t), classTotal, tenantTotal))
 	}
-	p.drawRushes(stream(p.Seed, "rushes"), classes, tenants)
+	p.drawRushes(stream(p.Seed, "rushes"), classTotal, tenantTotal)
 }
 
 // drawRushes adds the requests that come to one sidecar at once.
-func (p *Plan) drawRushes(r *rand.Rand, classes, tenants float64) {
+func (p *Plan) drawRushes(r *rand.Rand, classTotal, tenantTotal float64) {
 	for _, f := range p.Faults {
 		if f.Fault.Kind != "rush" {
 			continue
 		}
 		for range int(f.Fault.Size) {
-			at := f.At + time.Duration(r.Float64()*float64(rushLasts))
-			p.Arrivals = append(p.Arrivals, p.drawArrival(r, at, f.Sidecars[0], classes, tenants))
+			at := f.At + time.Duration(r.Float64()*float64(rushLength))
+			p.Arrivals = append(p.Arrivals, p.drawArrival(r, at, f.Sidecars[0], classTotal, tenantTotal))
 		}
 	}
 	slices.SortStableFunc(p.Arrivals, func(a, b Arrival) int { return cmp.Compare(a.At, b.At) })
 }
 
 // drawArrival draws a request that a sidecar is asked for at a time; classes and tenants are the sums of their shares.
-func (p *Plan) drawArrival(r *rand.Rand, at time.Duration, sidecar int, classes, tenants float64) Arrival {
+func (p *Plan) drawArrival(r *rand.Rand, at time.Duration, sidecar int, classTotal, tenantTotal float64) Arrival {
 	s := p.Scenario
 	a := Arrival{At: at, Sidecar: sidecar, Seed: r.Uint64()}
-	a.Class = drawShare(r, len(s.Classes), classes, func(i int) float64 { return s.Classes[i].Share })
-	a.Tenant = drawShare(r, len(s.Tenants), tenants, func(i int) float64 { return s.Tenants[i].Share * s.Tenants[i].Usage })
+	a.Class = drawWeighted(r, len(s.Classes), classTotal, func(i int) float64 { return s.Classes[i].Fraction })
+	a.Tenant = drawWeighted(r, len(s.Tenants), tenantTotal, func(i int) float64 { return s.Tenants[i].Fraction * s.Tenants[i].UsageFactor })
 	c := &s.Classes[a.Class]
 	w := 1.0
 	switch {
@@ -253,13 +253,13 @@
 	case c.CV > 0:
 		w = lognormal(r, c.CV)
 	}
-	a.Work = math.Round(c.Work.Milliseconds()/s.Traffic.Pace*w*1000) / 1000
+	a.Work = math.Round(c.Work.Milliseconds()/s.Traffic.Speedup*w*1000) / 1000
 	return a
 }
 
 func (p *Plan) rateAt(t time.Duration) float64 {
 	s := p.Scenario
-	rate := p.Rate * (1 - s.Traffic.Swing*math.Cos(2*math.Pi*float64(t)/float64(s.Length)))
+	rate := p.Rate * (1 - s.Traffic.RateSwing*math.Cos(2*math.Pi*float64(t)/float64(s.Length)))
 	for _, f := range p.Faults {
 		if f.Fault.Kind == "burst" && t >= f.At && t < f.Until {
 			rate *= f.Fault.Size
@@ -268,14 +268,14 @@
 	return rate
 }
 
-func (p *Plan) weighted(r *rand.Rand) int {
-	return drawShare(r, len(p.Sidecars), 1, func(i int) float64 { return p.Sidecars[i].Weight })
+func (p *Plan) drawSidecar(r *rand.Rand) int {
+	return drawWeighted(r, len(p.Sidecars), 1, func(i int) float64 { return p.Sidecars[i].Weight })
 }
 
-func drawShare(r *rand.Rand, n int, total float64, share func(int) float64) int {
+func drawWeighted(r *rand.Rand, n int, total float64, weight func(int) float64) int {
 	x := r.Float64() * total
 	for i := range n {
-		if x -= share(i); x < 0 {
+		if x -= weight(i); x < 0 {
 			return i
 		}
 	}
--- a/internal/lab/scenario/fault.go
+++ b/internal/lab/scenario/fault.go
@@ -17,18 +17,18 @@
 	For      Duration `toml:"for"` // 0: it happens once, or stays
 	Kind     string   `toml:"kind"`
 	Servers  string   `toml:"servers"`  // which: all, 3, 20%, #4, zone:name, pod:1, kind:name
-	Copies   string   `toml:"copies"`   // of the list service: leader, follower, majority, all, #1
+	Replicas   string   `toml:"copies"`   // of the list service: leader, follower, majority, all, #1
 	Sidecars string   `toml:"sidecars"` // which
 	Size     float64  `toml:"size"`
-	Way      string   `toml:"way"`     // "to", "from", "both": of a cut; "in" of members: they are not called, but call
+	Direction      string   `toml:"way"`     // "to", "from", "both": of a cut; "in" of members: they are not called, but call
 	Latency  Duration `toml:"latency"` // of a slow link
 	Every    Duration `toml:"every"`   // it comes again after this, until For is over
 	Link     string   `toml:"link"`    // "servers" (default) or "discovery": which links of the sidecars
 	List     string   `toml:"list"`    // which list service: all (default), #1
-	Share    float64  `toml:"share"`   // of new connections that come up late; 0: all
-	Drawn    bool     `toml:"drawn"`   // how late is drawn from 0 to the size, for each connection
-	Silent   bool     `toml:"silent"`  // idle connections are forgotten in place of closed: what is written to them is reset
-	Stay     bool     `toml:"stay"`    // servers that drain stay up, and serve what comes
+	Fraction    float64  `toml:"share"`   // of new connections that come up late; 0: all
+	RandomDelay    bool     `toml:"drawn"`   // how late is drawn from 0 to the size, for each connection
+	Unnoticed   bool     `toml:"silent"`  // idle connections are forgotten in place of closed: what is written to them is reset
+	KeepServing     bool     `toml:"stay"`    // servers that drain stay up, and serve what comes
 	Classes  []string `toml:"classes"` // of requests that a fail or slow concerns; empty: all
 	Call     string   `toml:"call"`    // the system call that fails: fault.CallAccept and its like
 	Errno    string   `toml:"errno"`   // ... and how, by the name of its errno
@@ -136,7 +136,7 @@
 	}
 }
 
-func (s *Scenario) checkFault(f *Fault, key string, bad func(string, string, ...any) *keyError) *keyError {
+func (s *Scenario) checkFault(f *Fault, key string, bad func(string, string, ...any) *invalidKey) *invalidKey {
 	form, ok := faultForms()[f.Kind]
 	switch {
 	case !ok:
@@ -155,11 +155,11 @@
 		return bad(key+".every", "is over 0, and for is not set, for a %s: the time from one sidecar to the next", f.Kind)
 	case f.Every < 0 || f.Every > 0 && f.For == 0 && !form.turns:
 		return bad(key+".every", "is negative, or there is no time in which it comes again")
-	case f.Share < 0 || f.Share > 1 || f.Share > 0 && f.Kind != "accept-late":
+	case f.Fraction < 0 || f.Fraction > 1 || f.Fraction > 0 && f.Kind != "accept-late":
 		return bad(key+".share", "is not between 0 and 1, or set for something else than accept-late")
-	case f.Drawn && f.Kind != "accept-late":
+	case f.RandomDelay && f.Kind != "accept-late":
 		return bad(key+".drawn", "is set, but only an accept-late can be drawn")
-	case f.Silent && f.Kind != "idle-close":
+	case f.Unnoticed && f.Kind != "idle-close":
 		return bad(key+".silent", "is set, but only an idle-close can be silent")
 	case len(f.Classes) > 0 && f.Kind != "fail" && f.Kind != "slow":
 		return bad(key+".classes", "is set, but only a fail or slow concerns some classes alone")
@@ -175,7 +175,7 @@
 		return bad(key+".errno", "names how the system call of a sidecar-call fails, and is for nothing else")
 	case f.Errno != "" && !isErrno(f.Errno):
 		return bad(key+".errno", "%q is no errno", f.Errno)
-	case f.Stay && f.Kind != "drain":
+	case f.KeepServing && f.Kind != "drain":
 		return bad(key+".stay", "is set, but only servers that drain can stay")
 	case !form.servers && f.Servers != "":
 		return bad(key+".servers", "is set, but a %s concerns none", f.Kind)
@@ -185,49 +185,49 @@
 		return bad(key+".size", "is not between %g and %g", form.size[0], form.size[1])
 	case !form.sized && f.Size != 0:
 		return bad(key+".size", "is set, but a %s has none", f.Kind)
-	case form.copies != (f.Copies != ""):
+	case form.copies != (f.Replicas != ""):
 		return bad(key+".copies", "is set, but a %s concerns none", f.Kind)
-	case f.Copies != "" && s.checkCopies(f.Copies) != nil:
-		return bad(key+".copies", "%v", s.checkCopies(f.Copies))
-	case f.Kind == "entries-lost" && s.Discovery.Registry == 0:
+	case f.Replicas != "" && s.checkReplicas(f.Replicas) != nil:
+		return bad(key+".copies", "%v", s.checkReplicas(f.Replicas))
+	case f.Kind == "entries-lost" && s.Discovery.RegistryReplicas == 0:
 		return bad(key+".kind", "it is of real copies of the list service, discovery.registry; of stand-ins there is list-half")
-	case f.Kind == "defect-undo-rollback" && !s.Routed():
+	case f.Kind == "defect-undo-rollback" && !s.HasRoutes():
 		return bad(key+".kind", "there are no routes, and so no rollback")
-	case s.Discovery.Registry > 0 && (strings.HasPrefix(f.Kind, "list-") || f.Kind == "defect-told-late" || f.Kind == "defect-ignore-drain"):
+	case s.Discovery.RegistryReplicas > 0 && (strings.HasPrefix(f.Kind, "list-") || f.Kind == "defect-told-late" || f.Kind == "defect-ignore-drain"):
 		return bad(key+".kind", "a %s is of stand-ins; discovery.registry has real copies, whose faults are copy-*", f.Kind)
-	case strings.HasPrefix(f.Kind, "copy-") != (s.Registry.Copies+s.Discovery.Registry > 0) && (s.Discovery.Registry == 0 || strings.HasPrefix(f.Kind, "copy-")) && !strings.HasPrefix(f.Kind, "defect-"):
+	case strings.HasPrefix(f.Kind, "copy-") != (s.Registry.Replicas+s.Discovery.RegistryReplicas > 0) && (s.Discovery.RegistryReplicas == 0 || strings.HasPrefix(f.Kind, "copy-")) && !strings.HasPrefix(f.Kind, "defect-"):
 		return bad(key+".kind", "a %s is for runs of the other sort: with sidecars, or with registry.copies", f.Kind)
 	case strings.HasPrefix(f.Kind, "members-") && s.Members == nil:
 		return bad(key+".kind", "a %s is of members, and there is no section members", f.Kind)
-	case f.Way != "" && !isCut(f.Kind):
+	case f.Direction != "" && !isCut(f.Kind):
 		return bad(key+".way", "is set, but only a cut has one")
-	case isCut(f.Kind) && f.Way != "to" && f.Way != "from" && f.Way != "both" && (f.Way != "in" || f.Kind != "members-cut"):
-		return bad(key+".way", "%q is none of to, from, both, and for members in", f.Way)
-	case slows(f.Kind) && f.Latency <= 0 || !slows(f.Kind) && f.Latency != 0:
+	case isCut(f.Kind) && f.Direction != "to" && f.Direction != "from" && f.Direction != "both" && (f.Direction != "in" || f.Kind != "members-cut"):
+		return bad(key+".way", "%q is none of to, from, both, and for members in", f.Direction)
+	case addsLatency(f.Kind) && f.Latency <= 0 || !addsLatency(f.Kind) && f.Latency != 0:
 		return bad(key+".latency", "is over 0 for a latency or members-slow, and for nothing else")
 	case f.List != "" && f.Link != "discovery" && (!strings.HasPrefix(f.Kind, "list-") || f.Kind == "list-move"):
 		return bad(key+".list", "is set, but a %s concerns none", f.Kind)
-	case f.List != "" && f.List != "all" && !s.isList(f.List):
-		return bad(key+".list", "%q is neither all nor #0 to #%d", f.List, s.Discovery.Copies-1)
+	case f.List != "" && f.List != "all" && !s.isListService(f.List):
+		return bad(key+".list", "%q is neither all nor #0 to #%d", f.List, s.Discovery.Services-1)
 	case f.Link != "servers" && f.Link != "discovery":
 		return bad(key+".link", "%q is neither servers nor discovery", f.Link)
 	}
-	for _, one := range []struct {
+	for _, selector := range []struct {
 		key, pick string
 		n         int
 	}{{".servers", f.Servers, s.Servers.Count}, {".sidecars", f.Sidecars, s.Sidecars.Count}} {
-		if one.pick == "" {
+		if selector.pick == "" {
 			continue
 		}
-		if err := s.checkPick(one.pick, one.n, one.key == ".servers"); err != nil {
-			return bad(key+one.key, "%v", err)
+		if err := s.checkSelector(selector.pick, selector.n, selector.key == ".servers"); err != nil {
+			return bad(key+selector.key, "%v", err)
 		}
 	}
 	return nil
 }
 
 // PlantsInSidecars tells whether some fault is planted inside sidecars, by a file that they read.
-func (s *Scenario) PlantsInSidecars() bool {
+func (s *Scenario) HasProcessFaults() bool {
 	return slices.ContainsFunc(s.Faults, func(f Fault) bool { return f.Kind == "sidecar-clock" || f.Kind == "sidecar-call" })
 }
 
@@ -238,22 +238,22 @@
 
 func isCut(kind string) bool { return kind == "cut" || kind == "copy-cut" || kind == "members-cut" }
 
-func slows(kind string) bool { return kind == "latency" || kind == "members-slow" }
+func addsLatency(kind string) bool { return kind == "latency" || kind == "members-slow" }
 
 // checkCopies reads a choice of the list service's copies.
-func (s *Scenario) checkCopies(pick string) error {
-	switch pick {
+func (s *Scenario) checkReplicas(selector string) error {
+	switch selector {
 	case "leader", "follower", "majority", "all":
 		return nil
 	}
-	if i, err := strconv.Atoi(strings.TrimPrefix(pick, "#")); err != nil || pick[0] != '#' || i < 0 || i >= max(s.Registry.Copies, s.Discovery.Registry) {
-		return fmt.Errorf("%q is none of leader, follower, majority, all, #0 to #%d", pick, max(s.Registry.Copies, s.Discovery.Registry)-1)
+	if i, err := strconv.Atoi(strings.TrimPrefix(selector, "#")); err != nil || selector[0] != '#' || i < 0 || i >= max(s.Registry.Replicas, s.Discovery.RegistryReplicas) {
+		return fmt.Errorf("%q is none of leader, follower, majority, all, #0 to #%d", selector, max(s.Registry.Replicas, s.Discovery.RegistryReplicas)-1)
 	}
 	return nil
 }
 
 // isList tells whether a choice names one of the list services.
-func (s *Scenario) isList(pick string) bool {
-	i, err := strconv.Atoi(strings.TrimPrefix(pick, "#"))
-	return err == nil && pick[0] == '#' && i >= 0 && i < max(s.Discovery.Copies, s.Discovery.Registry)
+func (s *Scenario) isListService(selector string) bool {
+	i, err := strconv.Atoi(strings.TrimPrefix(selector, "#"))
+	return err == nil && selector[0] == '#' && i >= 0 && i < max(s.Discovery.Services, s.Discovery.RegistryReplicas)
 }
--- a/internal/lab/scenario/routes.go
+++ b/internal/lab/scenario/routes.go
@@ -13,15 +13,15 @@
 // Routes turns routes on in a run with real copies of the list service: what operators allow, and what sidecars read.
 // Times and shares that are 0 are left to the programs' defaults.
 type Routes struct {
-	Term        Duration `toml:"term"`         // of a permission
-	BehindAfter Duration `toml:"behind_after"` // from then on a process is behind
-	ShutAfter   Duration `toml:"shut_after"`   // from then on it is shut out
+	LeaseTerm        Duration `toml:"term"`         // of a permission
+	StragglerAfter Duration `toml:"behind_after"` // from then on a process is behind
+	ShutOutAfter   Duration `toml:"shut_after"`   // from then on it is shut out
 	GoneAfter   Duration `toml:"gone_after"`   // of silence, from then on it is gone
-	BehindShare float64  `toml:"behind_share"` // more of them behind: nobody is shut out
+	MaxStragglerFraction float64  `toml:"behind_share"` // more of them behind: nobody is shut out
 	Schemas     []int    `toml:"schemas"`      // that sidecars read; empty: all that they can
-	Old         int      `toml:"old"`          // so many sidecars, the last ones, read schema 1 alone
-	Swap        bool     `toml:"swap"`         // a process that is started again reads what its sidecar did not before
-	Keyless     float64  `toml:"keyless"`      // share of clients without a route key
+	OldSchemaSidecars         int      `toml:"old"`          // so many sidecars, the last ones, read schema 1 alone
+	SwapSchemas        bool     `toml:"swap"`         // a process that is started again reads what its sidecar did not before
+	KeylessFraction     float64  `toml:"keyless"`      // share of clients without a route key
 	Defect      string   `toml:"defect"`       // planted in the copies of the list service
 
 	Subsets []RouteSubset `toml:"subset"`
@@ -41,8 +41,8 @@
 type RouteTenant struct {
 	Name     string   `toml:"name"`
 	Subsets  []string `toml:"subsets"`
-	MaxShare float64  `toml:"max_share"` // of its requests in a canary; 0: all
-	Rollouts int      `toml:"rollouts"`  // at a time; 0: one
+	MaxFraction float64  `toml:"max_share"` // of its requests in a canary; 0: all
+	MaxRollouts int      `toml:"rollouts"`  // at a time; 0: one
 }
 
 // Rollout is a rollout that a tenant posts.
@@ -50,59 +50,59 @@
 	At      Duration      `toml:"at"`
 	Tenant  string        `toml:"tenant"`
 	Name    string        `toml:"name"`
-	To      string        `toml:"to"` // a subset
+	Subset      string        `toml:"to"` // a subset
 	Classes []string      `toml:"classes"`
 	Steps   []RolloutStep `toml:"steps"`
 	Budget  int64         `toml:"budget"`
-	Late    bool          `toml:"late"`
+	CountLate    bool          `toml:"late"`
 	AtEnd   string        `toml:"at_end"`
-	Twice   bool          `toml:"twice"` // it is sent a second time, word for word
+	PostTwice   bool          `toml:"twice"` // it is sent a second time, word for word
 }
 
 // RolloutStep is a share of the tenant's requests with what it takes to go on from it.
 type RolloutStep struct {
-	Share    float64  `toml:"share"`
+	Fraction    float64  `toml:"share"`
 	Hold     Duration `toml:"hold"`
-	Requests int64    `toml:"requests"`
+	MinRequests int64    `toml:"requests"`
 }
 
 // Order is what a tenant or an operator says beside: "pause", "resume", "rollback" and "stop" of a rollout, "base" with
 // a subset, "schema" with the least version that processes have to read.
-type Order struct {
+type RouteCommand struct {
 	At      Duration `toml:"at"`
-	Do      string   `toml:"do"`
+	Action      string   `toml:"do"`
 	Tenant  string   `toml:"tenant"`
 	Rollout string   `toml:"rollout"`
-	To      string   `toml:"to"`
-	Least   int      `toml:"least"`
-	Refused bool     `toml:"refused"` // it has to be refused
+	Subset      string   `toml:"to"`
+	MinSchema   int      `toml:"least"`
+	ExpectRejected bool     `toml:"refused"` // it has to be refused
 }
 
 // Ask is a question of the audit's in the middle of a run: who acted on the newest revision in the time before.
-type Ask struct {
+type AuditQuery struct {
 	At     Duration `toml:"at"`
-	Before Duration `toml:"before"`
+	Window Duration `toml:"before"`
 }
 
-func ends() []string {
+func rolloutPhases() []string {
 	return []string{"done", "rolled-back", "stopped", "running", "paused", "refused"}
 }
 
 // RouteRules are the rules of runs with rollouts.
-func RouteRules() []string {
+func RouteInvariants() []string {
 	return []string{"budget", "closed", "audit-true", "rollback-final", "route-free"}
 }
 
 // Routed tells whether a scenario has routes at all.
-func (s *Scenario) Routed() bool { return len(s.Routes.Subsets) > 0 }
+func (s *Scenario) HasRoutes() bool { return len(s.Routes.Subsets) > 0 }
 
 // Checks are the rules that have to be held to some case in a run of this scenario.
-func (s *Scenario) Checks() []string {
-	if len(s.Expect.Checks) > 0 || len(s.Expect.Breaks) > 0 || len(s.Rollouts) == 0 {
-		return s.Expect.Checks
+func (s *Scenario) RulesToCheck() []string {
+	if len(s.Expect.MustCheck) > 0 || len(s.Expect.MustBreak) > 0 || len(s.Rollouts) == 0 {
+		return s.Expect.MustCheck
 	}
 	rules := []string{"budget", "closed", "audit-true", "route-free"}
-	if slices.Contains(slices.Collect(maps.Values(s.Expect.RolloutEnds)), "rolled-back") {
+	if slices.Contains(slices.Collect(maps.Values(s.Expect.RolloutPhases)), "rolled-back") {
 		rules = append(rules, "rollback-final")
 	}
 	return rules
@@ -119,7 +119,7 @@
 			}
 		}
 		if sub.Servers != "" {
-			drawn := p.pick(r, sub.Servers, p.Scenario.Servers.Count, true)
+			drawn := p.selectTargets(r, sub.Servers, p.Scenario.Servers.Count, true)
 			all = slices.DeleteFunc(all, func(i int) bool { return !slices.Contains(drawn, i) })
 		}
 		p.Subsets[sub.Name] = all
@@ -144,35 +144,35 @@
 }
 
 // Old tells whether a sidecar reads schema 1 alone.
-func (s *Scenario) Old(sidecar int) bool { return sidecar >= s.Sidecars.Count-s.Routes.Old }
+func (s *Scenario) ReadsOldSchema(sidecar int) bool { return sidecar >= s.Sidecars.Count-s.Routes.OldSchemaSidecars }
 
 // Older tells whether a sidecar runs the older program.
-func (s *Scenario) Older(sidecar int) bool { return sidecar < s.Sidecars.Older }
+func (s *Scenario) RunsOlderProgram(sidecar int) bool { return sidecar < s.Sidecars.OlderCount }
 
-func (s *Scenario) routeDefaults() {
+func (s *Scenario) setRouteDefaults() {
 	for i := range s.Routes.Tenants {
-		or(&s.Routes.Tenants[i].MaxShare, 1)
-		or(&s.Routes.Tenants[i].Rollouts, 1)
+		setDefault(&s.Routes.Tenants[i].MaxFraction, 1)
+		setDefault(&s.Routes.Tenants[i].MaxRollouts, 1)
 	}
 	for i := range s.Rollouts {
-		or(&s.Rollouts[i].AtEnd, "keep")
+		setDefault(&s.Rollouts[i].AtEnd, "keep")
 	}
-	for i := range s.Asks {
-		or(&s.Asks[i].Before, Duration(time.Second))
+	for i := range s.AuditQueries {
+		setDefault(&s.AuditQueries[i].Window, Duration(time.Second))
 	}
 }
 
-type badFunc = func(string, string, ...any) *keyError
+type badFunc = func(string, string, ...any) *invalidKey
 
 // checkRoutes checks what says who may prefer which servers, and what is done with it.
-func (s *Scenario) checkRoutes(bad badFunc) *keyError {
-	if !s.Routed() {
-		if len(s.Rollouts)+len(s.Orders)+len(s.Asks)+len(s.Routes.Tenants) > 0 || s.Routes.Old > 0 || s.Routes.Defect != "" {
+func (s *Scenario) checkRoutes(bad badFunc) *invalidKey {
+	if !s.HasRoutes() {
+		if len(s.Rollouts)+len(s.RouteCommands)+len(s.AuditQueries)+len(s.Routes.Tenants) > 0 || s.Routes.OldSchemaSidecars > 0 || s.Routes.Defect != "" {
 			return bad("routes.subset", "is missing: rollouts go to subsets")
 		}
 		return nil
 	}
-	if s.Discovery.Registry == 0 {
+	if s.Discovery.RegistryReplicas == 0 {
 		return bad("discovery.registry", "is missing: routes are told by real copies of the list service")
 	}
 	for _, v := range []struct {
@@ -180,10 +180,10 @@
 		v      float64
 		lo, hi float64
 	}{
-		{"term", float64(s.Routes.Term), 0, 6e11}, {"behind_after", float64(s.Routes.BehindAfter), 0, 6e11},
-		{"shut_after", float64(s.Routes.ShutAfter), 0, 6e11}, {"gone_after", float64(s.Routes.GoneAfter), 0, 6e11},
-		{"behind_share", s.Routes.BehindShare, 0, 1}, {"old", float64(s.Routes.Old), 0, float64(s.Sidecars.Count)},
-		{"keyless", s.Routes.Keyless, 0, 1},
+		{"term", float64(s.Routes.LeaseTerm), 0, 6e11}, {"behind_after", float64(s.Routes.StragglerAfter), 0, 6e11},
+		{"shut_after", float64(s.Routes.ShutOutAfter), 0, 6e11}, {"gone_after", float64(s.Routes.GoneAfter), 0, 6e11},
+		{"behind_share", s.Routes.MaxStragglerFraction, 0, 1}, {"old", float64(s.Routes.OldSchemaSidecars), 0, float64(s.Sidecars.Count)},
+		{"keyless", s.Routes.KeylessFraction, 0, 1},
 	} {
 		if !(v.v >= v.lo && v.v <= v.hi) {
 			return bad("routes."+v.key, "is not between %g and %g", v.lo, v.hi)
@@ -207,7 +207,7 @@
 				return bad(fmt.Sprintf("%s.subsets[%d]", key, k), "%q is no subset", name)
 			}
 		}
-		if !(t.MaxShare > 0 && t.MaxShare <= 1) || t.Rollouts < 1 || t.Rollouts > 100 {
+		if !(t.MaxFraction > 0 && t.MaxFraction <= 1) || t.MaxRollouts < 1 || t.MaxRollouts > 100 {
 			return bad(key+".max_share", "is not in (0, 1], or rollouts is not between 1 and 100")
 		}
 	}
@@ -226,7 +226,7 @@
 	return slices.ContainsFunc(s.Classes, func(c Class) bool { return c.Name == name })
 }
 
-func (s *Scenario) checkSubsets(bad badFunc) *keyError {
+func (s *Scenario) checkSubsets(bad badFunc) *invalidKey {
 	seen := map[string]bool{}
 	for i, sub := range s.Routes.Subsets {
 		key := fmt.Sprintf("routes.subset[%d]", i)
@@ -235,7 +235,7 @@
 		}
 		seen[sub.Name] = true
 		for k, name := range sub.Kinds {
-			if !slices.ContainsFunc(s.Servers.Kinds, func(kind Kind) bool { return kind.Name == name }) {
+			if !slices.ContainsFunc(s.Servers.Kinds, func(kind ServerKind) bool { return kind.Name == name }) {
 				return bad(fmt.Sprintf("%s.kinds[%d]", key, k), "%q is no kind of servers", name)
 			}
 		}
@@ -253,7 +253,7 @@
 			if strings.HasPrefix(sub.Servers, "subset:") {
 				return bad(key+".servers", "a subset is of no other subset")
 			}
-			if err := s.checkPick(sub.Servers, s.Servers.Count, true); err != nil {
+			if err := s.checkSelector(sub.Servers, s.Servers.Count, true); err != nil {
 				return bad(key+".servers", "%v", err)
 			}
 		}
@@ -261,7 +261,7 @@
 	return nil
 }
 
-func (s *Scenario) checkRollouts(bad badFunc) *keyError {
+func (s *Scenario) checkRollouts(bad badFunc) *invalidKey {
 	names := map[string]bool{}
 	for i := range s.Rollouts {
 		o, key := &s.Rollouts[i], fmt.Sprintf("rollout[%d]", i)
@@ -272,8 +272,8 @@
 			return bad(key+".at", "lies outside the run")
 		case !s.hasTenant(o.Tenant):
 			return bad(key+".tenant", "%q is no tenant", o.Tenant)
-		case !s.hasSubset(o.To):
-			return bad(key+".to", "%q is no subset", o.To)
+		case !s.hasSubset(o.Subset):
+			return bad(key+".to", "%q is no subset", o.Subset)
 		case len(o.Steps) == 0 || len(o.Steps) > 100:
 			return bad(key+".steps", "are not 1 to 100")
 		case o.Budget < 0:
@@ -288,52 +288,52 @@
 			}
 		}
 		for k, st := range o.Steps {
-			if math.IsNaN(st.Share) || st.Hold < 0 || st.Requests < 0 {
+			if math.IsNaN(st.Fraction) || st.Hold < 0 || st.MinRequests < 0 {
 				return bad(fmt.Sprintf("%s.steps[%d].share", key, k), "or hold or requests cannot be")
 			}
 		}
 	}
-	for name, end := range s.Expect.RolloutEnds {
-		if !names[name] || !slices.Contains(ends(), end) {
-			return bad("expect.rollout_ends."+name, "there is no such rollout, or %q is none of %s", end, strings.Join(ends(), ", "))
+	for name, end := range s.Expect.RolloutPhases {
+		if !names[name] || !slices.Contains(rolloutPhases(), end) {
+			return bad("expect.rollout_ends."+name, "there is no such rollout, or %q is none of %s", end, strings.Join(rolloutPhases(), ", "))
 		}
 	}
-	if s.Expect.ShareError != nil && !(*s.Expect.ShareError >= 0) {
+	if s.Expect.FractionError != nil && !(*s.Expect.FractionError >= 0) {
 		return bad("expect.share_error", "is negative")
 	}
-	for i, rule := range s.Expect.Checks {
-		if !Rule(rule) {
+	for i, rule := range s.Expect.MustCheck {
+		if !IsInvariant(rule) {
 			return bad(fmt.Sprintf("expect.checks[%d]", i), "%q is no rule", rule)
 		}
 	}
 	return s.checkOrders(names, bad)
 }
 
-func (s *Scenario) checkOrders(names map[string]bool, bad badFunc) *keyError {
-	for i := range s.Orders {
-		o, key := &s.Orders[i], fmt.Sprintf("order[%d]", i)
+func (s *Scenario) checkOrders(names map[string]bool, bad badFunc) *invalidKey {
+	for i := range s.RouteCommands {
+		o, key := &s.RouteCommands[i], fmt.Sprintf("order[%d]", i)
 		if o.At < 0 || o.At > s.Length {
 			return bad(key+".at", "lies outside the run")
 		}
-		switch o.Do {
+		switch o.Action {
 		case "pause", "resume", "rollback", "stop":
-			if !names[o.Rollout] || o.To != "" || o.Least != 0 {
+			if !names[o.Rollout] || o.Subset != "" || o.MinSchema != 0 {
 				return bad(key+".rollout", "%q is no rollout, or to or least is set", o.Rollout)
 			}
 		case "base":
-			if !s.hasTenant(o.Tenant) || !s.hasSubset(o.To) {
+			if !s.hasTenant(o.Tenant) || !s.hasSubset(o.Subset) {
 				return bad(key+".to", "a base is a tenant's and a subset's")
 			}
 		case "schema":
-			if o.Least < 1 || o.Tenant != "" || o.Rollout != "" {
+			if o.MinSchema < 1 || o.Tenant != "" || o.Rollout != "" {
 				return bad(key+".least", "is not at least 1, or the order names a tenant or rollout")
 			}
 		default:
-			return bad(key+".do", "%q is none of pause, resume, rollback, stop, base, schema", o.Do)
+			return bad(key+".do", "%q is none of pause, resume, rollback, stop, base, schema", o.Action)
 		}
 	}
-	for i, a := range s.Asks {
-		if a.At <= 0 || a.At > s.Length || a.Before <= 0 {
+	for i, a := range s.AuditQueries {
+		if a.At <= 0 || a.At > s.Length || a.Window <= 0 {
 			return bad(fmt.Sprintf("ask[%d].at", i), "lies outside the run, or before is not over 0")
 		}
 	}
--- a/internal/lab/server_faults.go
+++ b/internal/lab/server_faults.go
@@ -60,7 +60,7 @@
 func (r *run) killServer(i int) error {
 	r.Note(record.ServerState, record.None, i, "dies")
 	r.servers[i].Kill()
-	r.publish(i, agent.Gone, r.Scenario.Discovery.SilentNotice)
+	r.publish(i, agent.Gone, r.Scenario.Discovery.CrashDelay)
 	return nil
 }
 
@@ -70,7 +70,7 @@
 		return err
 	}
 	r.boots[i].Store(time.Now().UnixMilli() + r.serverClock.Load())
-	r.publish(i, agent.Ready, r.Scenario.Discovery.Add)
+	r.publish(i, agent.Ready, r.Scenario.Discovery.AddDelay)
 	return nil
 }
 
@@ -80,12 +80,12 @@
 func (r *run) drainServers(ctx context.Context, servers []int, stay bool) error {
 	for _, i := range servers {
 		r.Note(record.ServerState, record.None, i, "drains")
-		r.publish(i, agent.Terminating, r.Scenario.Discovery.Notice)
+		r.publish(i, agent.Terminating, r.Scenario.Discovery.DrainDelay)
 	}
 	if stay {
 		return nil
 	}
-	wait := r.Scenario.Discovery.Notice.Duration() + r.Scenario.Discovery.Spread.Duration() + r.Scenario.Rules.DrainGrace.Duration()
+	wait := r.Scenario.Discovery.DrainDelay.Duration() + r.Scenario.Discovery.Spread.Duration() + r.Scenario.Rules.DrainGrace.Duration()
 	if !harness.Sleep(ctx, wait) {
 		return nil
 	}
@@ -109,19 +109,19 @@
 
 // replaceServers starts a new machine for each of the servers, under a new name, and ends the old ones in order.
 func (r *run) replaceServers(ctx context.Context, p *scenario.FaultPlan) error {
-	if err := harness.ForEach(p.Fresh, r.bootServer); err != nil {
+	if err := harness.ForEach(p.Replacements, r.bootServer); err != nil {
 		return err
 	}
 	for _, i := range p.Servers {
 		r.Note(record.ServerState, record.None, i, "is replaced")
-		r.publish(i, agent.Terminating, r.Scenario.Discovery.Notice)
+		r.publish(i, agent.Terminating, r.Scenario.Discovery.DrainDelay)
 	}
-	if !harness.Sleep(ctx, r.Scenario.Discovery.Notice.Duration()+r.Scenario.Discovery.Spread.Duration()+r.Scenario.Rules.DrainGrace.Duration()+deadFor) {
+	if !harness.Sleep(ctx, r.Scenario.Discovery.DrainDelay.Duration()+r.Scenario.Discovery.Spread.Duration()+r.Scenario.Rules.DrainGrace.Duration()+deadFor) {
 		return nil
 	}
 	for _, i := range p.Servers {
 		r.servers[i].Kill()
-		r.publish(i, agent.Gone, r.Scenario.Discovery.Notice)
+		r.publish(i, agent.Gone, r.Scenario.Discovery.DrainDelay)
 	}
 	return nil
 }
--- a/internal/lab/service.go
+++ b/internal/lab/service.go
@@ -50,8 +50,8 @@
 func (r *run) startService(ctx context.Context, entries []agent.Entry) error {
 	s := &service{r: r, numbers: map[string]int{}, gone: map[int]bool{}, news: map[int]int{}, told: map[int]int{}, work: make(chan func(context.Context), 1000)}
 	r.service = s
-	s.rr = cluster.New(r.Run, &scenario.Registry{Copies: r.Scenario.Discovery.Registry,
-		Beat: scenario.Duration(100 * time.Millisecond), MostStale: r.Scenario.Discovery.MostStale})
+	s.rr = cluster.New(r.Run, &scenario.Registry{Replicas: r.Scenario.Discovery.RegistryReplicas,
+		HeartbeatInterval: scenario.Duration(100 * time.Millisecond), MaxStaleness: r.Scenario.Discovery.MaxStaleness})
 	for i := range r.Plan.Servers {
 		s.numbers[r.Plan.Servers[i].UID] = i
 	}
--- a/internal/lab/sidecar_process.go
+++ b/internal/lab/sidecar_process.go
@@ -71,7 +71,7 @@
 	r.tampers = make([]*tamper, len(r.Plan.Sidecars))
 	for i := range r.Plan.Sidecars {
 		s := &sidecar{r: r, number: i, dir: filepath.Join(r.Dir, r.Plan.Sidecars[i].Name)}
-		if r.Scenario.Late(i) { // it may have another one's name
+		if r.Scenario.StartsLate(i) { // it may have another one's name
 			s.dir += "-late"
 		}
 		s.config = filepath.Join(s.dir, "config.json")
@@ -79,7 +79,7 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, harness.StartTimeout)
 	defer cancel()
-	first := slices.DeleteFunc(slices.Clone(r.sidecars), func(s *sidecar) bool { return r.Scenario.Late(s.number) })
+	first := slices.DeleteFunc(slices.Clone(r.sidecars), func(s *sidecar) bool { return r.Scenario.StartsLate(s.number) })
 	errs := make(chan error, len(first))
 	room := make(chan struct{}, 8) // at a time: starts are the costliest moment
 	for _, s := range first {
@@ -127,7 +127,7 @@
 		return fmt.Errorf("sidecar %d: %w", s.number, err)
 	}
 	var at *front
-	if r.members != nil && r.Scenario.Membered(s.number) {
+	if r.members != nil && r.Scenario.InMembership(s.number) {
 		var err error
 		if at, err = r.members.prepare(s.number); err != nil {
 			return fmt.Errorf("sidecar %d: %w", s.number, err)
@@ -141,7 +141,7 @@
 	s.mu.Unlock()
 	begun := r.Events.Now() // before the process can know of its start
 	c, err := r.Processes.Start(process.Spec{
-		Name: p.Name, Path: r.programOf(s.number), Dir: s.dir, MaxDescriptors: r.Scenario.Sidecars.Sockets,
+		Name: p.Name, Path: r.programOf(s.number), Dir: s.dir, MaxDescriptors: r.Scenario.Sidecars.MaxSockets,
 		Env: []string{"NODE_CONFIG=" + s.config, "NODE_NAME=" + p.Name, "NODE_LISTEN=" + s.listen,
 			"NODE_DISCOVERY=" + r.listAddrs(s.number)[0], "NODE_MANAGEMENT=" + harness.HostOf(s.listen) + ":0", "TMPDIR=" + tmp},
 	})
@@ -192,11 +192,11 @@
 	config := map[string]any{
 		"name": p.Name, "listen": s.listen, "discovery": r.listAddrs(s.number)[0],
 		"management": harness.HostOf(s.listen) + ":0", "seed": strconv.FormatUint(p.Seed+uint64(s.manages), 16),
-		"limits":   map[string]any{"cores": r.Scenario.Sidecars.Cores, "memory_mb": r.Scenario.Sidecars.MemoryMB, "sockets": r.Scenario.Sidecars.Sockets},
+		"limits":   map[string]any{"cores": r.Scenario.Sidecars.Cores, "memory_mb": r.Scenario.Sidecars.MemoryMB, "sockets": r.Scenario.Sidecars.MaxSockets},
 		"known":    r.known(s.number),
 		"settings": r.Plan.Settings(s.number),
 	}
-	if d := &r.Scenario.Discovery; d.Copies > 1 || d.Registry > 1 || d.DoubtShare > 0 || d.Stale > 0 {
+	if d := &r.Scenario.Discovery; d.Services > 1 || d.RegistryReplicas > 1 || d.SuspectFraction > 0 || d.StaleAfter > 0 {
 		var lists []map[string]any
 		for k, addr := range r.listAddrs(s.number) {
 			one := map[string]any{"addr": addr}
@@ -205,7 +205,7 @@
 			}
 			lists = append(lists, one)
 		}
-		config["lists"], config["list_doubt_share"], config["list_stale_ms"] = lists, d.DoubtShare, d.Stale.Milliseconds()
+		config["lists"], config["list_doubt_share"], config["list_stale_ms"] = lists, d.SuspectFraction, d.StaleAfter.Milliseconds()
 	}
 	if section := r.routesOf(s.number); section != nil {
 		config["routes"] = section
@@ -215,11 +215,11 @@
 			config["members"] = section
 		}
 	}
-	if r.Scenario.PlantsInSidecars() {
+	if r.Scenario.HasProcessFaults() {
 		config["faults"] = s.faultsFile()
 	}
 	if n := &r.Scenario.Network; len(n.Regions) > 0 {
-		config["regions"], config["region_cost"] = n.RegionNames(), n.FarCost
+		config["regions"], config["region_cost"] = n.RegionNames(), n.CrossRegionCost
 	}
 	data, err := json.MarshalIndent(config, "", " ")
 	if err != nil {
