--- a/internal/lab/growth_fleet.go
+++ b/internal/lab/growth_fleet.go
@@ -116,7 +116,7 @@
 			opened++
 		}
 	}
-	report := newReport(plan, run.Events, run.Worked, nil, nil)
+	report := newReport(plan, run.Events, run.Worked, nil, nil, nil)
 	figures, broken := &report.Result.Figures, report.Verdict.Broken()
 	need := GrowthNeed{Connections: float64(opened) / float64(size.Sidecars), Served: figures.InObjective}
 	o.progress("%s, %d sidecars, %d servers: %d requests, %.3f served, %.1f connections each, %.2f attempts, broken %v",
--- a/internal/lab/lab.go
+++ b/internal/lab/lab.go
@@ -80,6 +80,8 @@
 	// serverClock is how many ms the wall clock is off by which servers' starts are told.
 	serverClock atomic.Int64
 
+	starved starvationSampler // only measureAll and, after it, report use it
+
 	overheardBy atomic.Pointer[repeater]
 	repeated    atomic.Int64
 
@@ -321,7 +323,7 @@
 	for i := range r.plan.Arrivals {
 		r.plan.Arrivals[i].At -= began
 	}
-	return r.report(all, worked, lates, lag, r.spans(stalls, began)), nil
+	return r.report(all, worked, lates, lag, r.spans(stalls, began), r.starved.since(began)), nil
 }
 
 // Simulate plays a scenario on a simulated clock (package simulate), with the same rules, figures and expectations.
@@ -331,7 +333,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("lab: %w", err)
 	}
-	rep := newReport(plan, run.Events, run.Worked, nil, nil)
+	rep := newReport(plan, run.Events, run.Worked, nil, nil, nil)
 	rep.ZoneFaults = simulate.ZoneFaults(plan, run.Sends)
 	rep.Missed = missed(&s.Expect, rep)
 	return rep, nil
@@ -372,6 +374,9 @@
 	for i, s := range r.sidecars { // during an upgrade two processes are one sidecar, to its limits too
 		pids, past := s.processes()
 		together(i, past, pids...)
+		for _, pid := range pids {
+			r.starved.sample(i, pid, r.log.Now)
+		}
 	}
 }
 
--- a/internal/lab/lab_test.go
+++ b/internal/lab/lab_test.go
@@ -117,6 +117,11 @@
 				}
 				if end != Fail || len(rep.Verdict.Broken()) != 1 {
 					t.Errorf("%s: %s; want only rule %s broken", end, reason, want)
+					for _, b := range rep.Verdict.Breaches {
+						if b.Rule != want {
+							t.Logf("%s at %.3f s: %s\n  %s", b.Rule, b.At, b.Text, strings.Join(b.Path, "\n  "))
+						}
+					}
 				}
 				for _, b := range rep.Verdict.Breaches {
 					if b.Request != "" && len(b.Path) == 0 {
--- a/internal/lab/outcome.go
+++ b/internal/lab/outcome.go
@@ -62,14 +62,15 @@
 	return Pass, ""
 }
 
-// newReport measures a run by its records and holds it to the rules; routes is nil where there are none, and stalls are the times
-// in which the lab got no processor time.
-func newReport(p *scenario.Plan, all []record.Event, worked float64, routes *invariant.Routes, stalls []invariant.Span) *Report {
+// newReport measures a run by its records and holds it to the rules; routes is nil where there are none, stalls are the times
+// in which the lab got no processor time, and starved those in which sidecars' threads waited for it.
+func newReport(p *scenario.Plan, all []record.Event, worked float64, routes *invariant.Routes, stalls []invariant.Span,
+	starved []invariant.Starvation) *Report {
 	s := p.Scenario
 	facts := invariant.Facts{
 		MaxAttempts: s.Rules.MaxAttempts, DrainGrace: s.Rules.DrainGrace.Duration(),
 		MemoryMB: s.Sidecars.MemoryMB, Sockets: s.Sidecars.Sockets, ServiceAfterTerm: scenario.SparedTerm,
-		Routes: routes, Latency: p.LongestLatency(), HeldBack: heldBack(p), Stalls: stalls, ReadyWithin: s.Rules.ReadyWithin.Duration(),
+		Routes: routes, Latency: p.LongestLatency(), HeldBack: heldBack(p), Stalls: stalls, Starvation: starved, ReadyWithin: s.Rules.ReadyWithin.Duration(),
 		SlowStart: coldStart(p),
 	}
 	for _, c := range s.Classes {
@@ -82,12 +83,13 @@
 	}
 }
 
-func (r *run) report(all []record.Event, worked float64, lates, lag []time.Duration, stalls []invariant.Span) *Report {
+func (r *run) report(all []record.Event, worked float64, lates, lag []time.Duration, stalls []invariant.Span,
+	starved []invariant.Starvation) *Report {
 	var routes *invariant.Routes
 	if o := r.rollouts.Load(); o != nil {
 		routes = o.facts()
 	}
-	rep := newReport(r.plan, all, worked, routes, stalls)
+	rep := newReport(r.plan, all, worked, routes, stalls, starved)
 	if r.members != nil { // before the rules of routes ask which were held to some case
 		facts := r.members.facts()
 		invariant.CheckMembers(all, facts, rep.Verdict)
