--- a/cmd/marblelane/registry.go
+++ b/cmd/marblelane/registry.go
@@ -31,6 +31,8 @@
 	RemoveCopy  registryRemoveCopy  `cmd:"" help:"Take a copy out of the cluster, a dead one too."`
 	ReplaceCopy registryReplaceCopy `cmd:"" help:"Put a copy that was started with join in another's place, as far as a majority stays."`
 	Snapshot    registrySnapshot    `cmd:"" help:"Write the whole state to a file, as a backup."`
+	Verify      registryVerify      `cmd:"" help:"Say of the folder of a copy that does not run whether it is sound; exit 1 where it is not."`
+	Restore     registryRestore     `cmd:"" help:"Found a cluster from a backup, under a new epoch."`
 }
 
 type registryServe struct {
