--- a/internal/lab/client/client.go
+++ b/internal/lab/client/client.go
@@ -133,16 +133,16 @@
 	s := l.Plan.Scenario
 	r := rand.New(rand.NewPCG(a.Seed, uint64(arrivalIndex)))
 	class := &s.Classes[a.Class]
-	deadline := a.At + s.Pace(class.Deadline)
-	honorsRetryAfter := r.Float64() < s.Traffic.Honour
+	deadline := a.At + s.Scaled(class.Deadline)
+	honorsRetryAfter := r.Float64() < s.Traffic.ObeysRetryAfter
 	for attemptNumber := 1; attemptNumber <= 1+s.Traffic.Retries; attemptNumber++ {
 		noise := 0.9 + 0.2*r.Float64() // factor on the attempt's part of the deadline, drawn for each attempt
-		timeout := min(time.Duration(float64(s.Pace(class.Deadline))*min(s.Traffic.TryShare*noise, 1)), deadline-l.Log.Now())
+		timeout := min(time.Duration(float64(s.Scaled(class.Deadline))*min(s.Traffic.AttemptTimeoutFraction*noise, 1)), deadline-l.Log.Now())
 		if s.Traffic.Retries == 0 {
 			timeout = deadline - l.Log.Now()
 		}
 		leaveAfter := time.Duration(0)
-		if r.Float64() < s.Traffic.Impatient {
+		if r.Float64() < s.Traffic.EarlyLeaveFraction {
 			leaveAfter = time.Duration(float64(timeout) * r.Float64())
 		}
 		if timeout < time.Millisecond || ctx.Err() != nil {
@@ -154,7 +154,7 @@
 		if v.status == http.StatusOK {
 			return
 		}
-		wait := s.Pace(s.Traffic.Backoff)
+		wait := s.Scaled(s.Traffic.Backoff)
 		if honorsRetryAfter && v.retryAfter > 0 {
 			wait = v.retryAfter
 		}
@@ -188,15 +188,15 @@
 	s := t.load.Plan.Scenario
 	class := &s.Classes[t.arrival.Class]
 	method, body := http.MethodGet, []byte(nil)
-	if class.Effect == "unsafe" {
-		method, body = http.MethodPost, stock.Body(^t.id, class.Body)
+	if class.Effect == scenario.EffectNonIdempotent {
+		method, body = http.MethodPost, stock.Body(^t.id, class.BodyBytes)
 	}
 	sum := record.Sum(body)
 	t.load.Requests.Add(t.id, stock.ClientRequest{Method: method, Class: t.arrival.Class, Tenant: t.arrival.Tenant, Sum: sum,
-		Work: t.arrival.Work, WorkFactor: class.Vary, Answer: s.Traffic.Answer})
+		Work: t.arrival.Work, WorkFactor: class.AttemptWorkFactor, Answer: s.Traffic.AnswerBytes})
 	head := fmt.Appendf(nil, "%s /api HTTP/1.1\r\nHost: backend.local\r\nX-Request-ID: %016x\r\nX-Priority-Class: %s\r\nX-Tenant-Id: %s\r\nX-Timeout-Ms: %d\r\n",
 		method, t.id, class.Name, s.Tenants[t.arrival.Tenant].Name, t.timeoutMS())
-	if s.Routed() && !t.arrival.Keyless {
+	if s.HasRoutes() && !t.arrival.Keyless {
 		head = fmt.Appendf(head, "X-Route-Key: %016x\r\n", t.arrival.Seed) // the same for each attempt
 	}
 	if body != nil {
@@ -307,7 +307,7 @@
 	}
 	e := record.Event{Status: int32(resp.StatusCode), Sum: record.Sum(body)}
 	if resp.StatusCode == http.StatusOK {
-		e.Want = record.Sum(stock.Body(t.id, t.load.Plan.Scenario.Traffic.Answer))
+		e.Want = record.Sum(stock.Body(t.id, t.load.Plan.Scenario.Traffic.AnswerBytes))
 	}
 	t.note(record.Answered, e)
 	if c.in.Buffered() > 0 {
--- a/internal/lab/client/leave.go
+++ b/internal/lab/client/leave.go
@@ -26,16 +26,16 @@
 // clientBehaviour is how an attempt's client deviates from a plain exchange. It is drawn from the attempt's id, so that it
 // does not change other random draws.
 type clientBehaviour struct {
-	leaveWay  string // how it ends the connection if it leaves early: one of scenario.LeaveWays
+	leaveWay  string // how it ends the connection if it leaves early: one of scenario.LeaveModes
 	pipelined int    // when it sends partialNextRequest
 }
 
 func (t *attempt) drawBehaviour() clientBehaviour {
 	traffic := &t.load.Plan.Scenario.Traffic
 	r := rand.New(rand.NewPCG(t.id, 0x6c65617665))
-	way := traffic.Leave[r.IntN(len(traffic.Leave))]
+	way := traffic.LeaveModes[r.IntN(len(traffic.LeaveModes))]
 	h := clientBehaviour{leaveWay: way, pipelined: notPipelined}
-	if r.Float64() < traffic.Pipelined {
+	if r.Float64() < traffic.PipelinedFraction {
 		h.pipelined = pipelinedWithRequest + r.IntN(2)
 	}
 	return h
--- a/internal/lab/cold.go
+++ b/internal/lab/cold.go
@@ -9,7 +9,7 @@
 // coldStart is what the plan's servers may be sent while they are cold, by the figures that the sidecars are told.
 func coldStart(p *scenario.Plan) invariant.SlowStart {
 	rules := &p.Scenario.Rules
-	f := invariant.SlowStart{InitialCapacity: rules.ColdFrom, Time: rules.Cold.Duration(), Window: rules.FallTime.Duration(), OverloadMultiple: rules.FallMultiple}
+	f := invariant.SlowStart{InitialCapacity: rules.InitialCapacity, Time: rules.SlowStart.Duration(), Window: rules.OverloadTime.Duration(), OverloadMultiple: rules.OverloadMultiple}
 	mean := p.Scenario.MeanWork()
 	for i := range p.Servers {
 		spec := stock.SpecOf(p, i)
--- a/internal/lab/fault_steps.go
+++ b/internal/lab/fault_steps.go
@@ -53,7 +53,7 @@
 		return 0
 	}
 	if strings.HasPrefix(f.Kind, "copy-") {
-		name += " copies " + f.Copies
+		name += " copies " + f.Replicas
 		var undo func() error
 		steps := pair(func(bool) error { return nil })
 		steps[0].text, steps[1].text = name, name+" ends"
@@ -80,8 +80,8 @@
 		return r.copySteps(p, once, pair)
 	}
 	if strings.HasPrefix(f.Kind, "members-") {
-		if f.Way != "" {
-			name += " " + f.Way
+		if f.Direction != "" {
+			name += " " + f.Direction
 		}
 		return pair(func(on bool) error { return r.members.ill(p, on) })
 	}
@@ -107,7 +107,7 @@
 		return behave(func(b *stock.Behaviour, on bool) { b.Drop = size(on) })
 	case "idle-close":
 		return behave(func(b *stock.Behaviour, on bool) {
-			b.Idle, b.ForgetIdle = time.Duration(size(on)*float64(time.Second)), on && f.Silent
+			b.Idle, b.ForgetIdle = time.Duration(size(on)*float64(time.Second)), on && f.Unnoticed
 		})
 	case "reset-begun":
 		return behave(func(b *stock.Behaviour, on bool) { b.Reset = size(on) })
@@ -123,7 +123,7 @@
 			{p.Until, name + " ends", 2, func(context.Context) error { return r.each(p.Servers, r.bootServer) }},
 		}
 	case "drain":
-		return once(func(ctx context.Context) error { return r.drainServers(ctx, p.Servers, f.Stay) })
+		return once(func(ctx context.Context) error { return r.drainServers(ctx, p.Servers, f.KeepServing) })
 	case "replace":
 		return once(func(ctx context.Context) error { return r.replaceServers(ctx, p) })
 	case "server-clock":
@@ -191,7 +191,7 @@
 	}
 	switch f.Kind {
 	case "cut":
-		way := map[string]relay.Direction{"to": relay.To, "from": relay.From, "both": relay.Both}[f.Way]
+		way := map[string]relay.Direction{"to": relay.To, "from": relay.From, "both": relay.Both}[f.Direction]
 		return pair(func(on bool) error { return r.cut(p, way, on) })
 	case "latency":
 		var before relay.Rules
@@ -252,8 +252,8 @@
 			}
 			return late.Stop()
 		}
-		late = relay.NewHandshakeDelay(p.Fault.Share, func(l *relay.Link) time.Duration {
-			if p.Fault.Drawn {
+		late = relay.NewHandshakeDelay(p.Fault.Fraction, func(l *relay.Link) time.Duration {
+			if p.Fault.RandomDelay {
 				return time.Duration(l.Draw() * float64(size))
 			}
 			return size
--- a/internal/lab/growth_fleet.go
+++ b/internal/lab/growth_fleet.go
@@ -138,7 +138,7 @@
 	s.Traffic.Rate = o.Rate * float64(size.Sidecars)
 	work := 0.0 // of a request in the mean, in seconds
 	for _, c := range s.Classes {
-		work += c.Share * c.Work.Duration().Seconds()
+		work += c.Fraction * c.Work.Duration().Seconds()
 	}
 	kind := &s.Servers.Kinds[0]
 	kind.Cores = max(1, int(math.Round(growthCores*size.sidecarsPerServer()/usual.sidecarsPerServer())))
--- a/internal/lab/growth_process.go
+++ b/internal/lab/growth_process.go
@@ -153,7 +153,7 @@
 		"listen": "127.0.0.1:0", "management": "127.0.0.1:0", "seed": "1", "settings": settings,
 		"discovery": d.meter.addr(), "known": agent.List{All: true, Targets: d.entries(size.Servers)},
 		"limits": map[string]any{"cores": d.r.s.Sidecars.Cores, "memory_mb": d.r.s.Sidecars.MemoryMB,
-			"sockets": d.r.s.Sidecars.Sockets},
+			"sockets": d.r.s.Sidecars.MaxSockets},
 	})
 	if err != nil {
 		return nil, err
--- a/internal/lab/lab.go
+++ b/internal/lab/lab.go
@@ -119,7 +119,7 @@
 	}
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	if s.Registry.Copies > 0 {
+	if s.Registry.Replicas > 0 {
 		return r.playRegistry(ctx)
 	}
 	defer r.close(cancel)
@@ -133,7 +133,7 @@
 func (r *run) start(ctx context.Context) error {
 	r.nursery = process.NewSupervisor()
 	r.log = record.New()
-	for k := range max(r.s.Discovery.Copies, r.s.Discovery.Registry) {
+	for k := range max(r.s.Discovery.Services, r.s.Discovery.RegistryReplicas) {
 		var row []*relay.Link
 		for i := range r.plan.Sidecars {
 			row = append(row, relay.NewLink(relay.Rules{}, r.plan.Seed^uint64(k)<<32^uint64(i)))
@@ -164,7 +164,7 @@
 			return err
 		}
 	}
-	if r.s.Discovery.Registry > 0 {
+	if r.s.Discovery.RegistryReplicas > 0 {
 		if err := r.startService(ctx, entries); err != nil {
 			return err
 		}
@@ -196,7 +196,7 @@
 func (r *run) addServer(i int) error {
 	p := &r.plan.Servers[i]
 	probe := -1.0
-	if r.s.Rules.Probes {
+	if r.s.Rules.HealthChecks {
 		probe = 0.08
 	}
 	s, err := stock.Start(r.log, r.book, r.pods[p.Pod], stock.SpecOf(r.plan, i), stock.Options{
@@ -286,7 +286,7 @@
 	r.wg.Go(func() { r.sample(playing) })
 	r.wg.Go(func() { r.faults(playing, began) })
 	r.wg.Go(func() { r.progress(playing, began) })
-	if r.s.Routed() {
+	if r.s.HasRoutes() {
 		o := newRollouts(r, began)
 		r.rollouts.Store(o) // sidecars ask already
 		r.wg.Go(func() { o.play(playing) })
--- a/internal/lab/lab_test.go
+++ b/internal/lab/lab_test.go
@@ -95,16 +95,16 @@
 				continue
 			}
 			s := read(t, name)
-			if len(s.Expect.Breaks) != 1 {
-				t.Errorf("%s plants %d defects", name, len(s.Expect.Breaks))
+			if len(s.Expect.MustBreak) != 1 {
+				t.Errorf("%s plants %d defects", name, len(s.Expect.MustBreak))
 				continue
 			}
-			caught[s.Expect.Breaks[0]] = true
+			caught[s.Expect.MustBreak[0]] = true
 			t.Run(name, func(t *testing.T) {
 				t.Parallel()
 				rep := play(t, s)
 				end, reason := rep.Outcome()
-				want := s.Expect.Breaks[0]
+				want := s.Expect.MustBreak[0]
 				if end == Late && !slices.Contains(rep.Verdict.Broken(), want) {
 					t.Skip("the lab was late in each play, and late parties are held to nothing")
 				}
@@ -126,7 +126,7 @@
 			})
 		}
 	})
-	for _, rule := range scenario.RuleNames() {
+	for _, rule := range scenario.InvariantNames() {
 		if !caught[rule] {
 			t.Errorf("no scenario plants a defect against rule %s", rule)
 		}
--- a/internal/lab/measure/measure.go
+++ b/internal/lab/measure/measure.go
@@ -301,20 +301,20 @@
 		w := c.windowAt(a.At)
 		window := &out.Timeline[w]
 		window.Offered++
-		window.offeredWeight += class.Worth
-		inObjective := served > 0 && served <= s.Pace(class.Aim)
+		window.offeredWeight += class.PriorityWeight
+		inObjective := served > 0 && served <= s.Scaled(class.Objective)
 		if inObjective {
-			window.servedWeight += class.Worth
+			window.servedWeight += class.PriorityWeight
 		}
 		observe(&windows[w], served)
 		if a.At < c.warmUp {
 			continue
 		}
 		out.Figures.Requests++
-		offeredWeight += class.Worth
+		offeredWeight += class.PriorityWeight
 		out.Classes[a.Class].Requests++
 		if inObjective {
-			servedWeight += class.Worth
+			servedWeight += class.PriorityWeight
 			classInObjective[a.Class]++
 		}
 		observe(&all, served)
@@ -364,7 +364,7 @@
 	f.ClientAttempts = ratio(attempts, float64(f.Requests), 0)
 	f.ServerAttempts = ratio(float64(c.serverAttempts), float64(c.forwarded), 0)
 	f.CrossZone = ratio(float64(c.crossZone), float64(c.serverAttempts), 0)
-	f.MinCrossZone = c.plan.NeededCrossings()
+	f.MinCrossZone = c.plan.MinCrossZone()
 	f.Waste = math.Max(1-ratio(c.usefulWork, worked, 1), 0)
 }
 
--- a/internal/lab/members.go
+++ b/internal/lab/members.go
@@ -62,7 +62,7 @@
 
 // newMembers opens a front for the first process of each party, as every seed's address is known before it starts.
 func newMembers(r *run) (*members, error) {
-	m := &members{r: r, parties: len(r.plan.Sidecars) + r.s.Discovery.Registry, callers: map[string]int{},
+	m := &members{r: r, parties: len(r.plan.Sidecars) + r.s.Discovery.RegistryReplicas, callers: map[string]int{},
 		nobody: relay.NewPacketLink(relay.PacketRules{Cut: relay.Both}, 0), procs: map[*process.Child]uint64{}}
 	m.ctx, m.stop = context.WithCancel(context.Background())
 	m.fronts = make([][]*front, m.parties)
@@ -91,7 +91,7 @@
 func (m *members) between(i, j int) time.Duration {
 	s, n := m.r.s, len(m.r.plan.Sidecars)
 	if i >= n || j >= n {
-		return s.Network.Same.Duration()
+		return s.Network.SameZone.Duration()
 	}
 	return s.Network.Latency(m.r.plan.Sidecars[i].Zone, m.r.plan.Sidecars[j].Zone).Duration()
 }
@@ -307,17 +307,17 @@
 				calls = relay.Both
 			}
 		case f.Kind != "members-cut":
-		case f.Way == "in":
+		case f.Direction == "in":
 			if lost = lost || to; to {
 				calls = relay.Both
 			}
 		default:
 			// What comes to those who are cut off is lost, or what they send, or both; of a connection that is its
 			// one way or the other.
-			if to && f.Way != "from" || from && f.Way != "to" {
+			if to && f.Direction != "from" || from && f.Direction != "to" {
 				lost, calls = true, calls|relay.To
 			}
-			if to && f.Way != "to" || from && f.Way != "from" {
+			if to && f.Direction != "to" || from && f.Direction != "from" {
 				calls |= relay.From
 			}
 		}
@@ -335,7 +335,7 @@
 // section is the section members of a party's configuration; nil: it has none.
 func (m *members) section(party int) map[string]any {
 	s := m.r.s
-	if party < len(m.r.plan.Sidecars) && !s.Membered(party) {
+	if party < len(m.r.plan.Sidecars) && !s.InMembership(party) {
 		return nil
 	}
 	f := m.newest(party)
@@ -349,14 +349,14 @@
 	if len(seeds) > 0 {
 		out["seeds"] = seeds
 	}
-	if s.Members.Interval > 0 {
-		out["interval"] = s.Members.Interval.Duration().String()
+	if s.Members.ProbeInterval > 0 {
+		out["interval"] = s.Members.ProbeInterval.Duration().String()
 	}
 	if s.Members.AdmitWithin > 0 {
 		out["admit_within"] = s.Members.AdmitWithin.Duration().String()
 	}
-	if s.Members.BelieveRefused != nil {
-		out["believe_refused"] = *s.Members.BelieveRefused
+	if s.Members.TrustRefusals != nil {
+		out["believe_refused"] = *s.Members.TrustRefusals
 	}
 	if d := s.Members.Defect; d != "" && party < len(m.r.plan.Sidecars) {
 		out["defect"] = d
@@ -427,14 +427,14 @@
 func (m *members) lateSteps() []step {
 	var late []int
 	for i := range m.r.plan.Sidecars {
-		if m.r.s.Late(i) {
+		if m.r.s.StartsLate(i) {
 			late = append(late, i)
 		}
 	}
 	if len(late) == 0 {
 		return nil
 	}
-	return []step{{m.r.s.Members.LateAt.Duration(), fmt.Sprintf("sidecars %v start", late), 0, func(ctx context.Context) error {
+	return []step{{m.r.s.Members.LateStart.Duration(), fmt.Sprintf("sidecars %v start", late), 0, func(ctx context.Context) error {
 		return m.r.each(late, func(i int) error { return m.r.sidecars[i].begin(ctx) })
 	}}}
 }
--- a/internal/lab/members_result.go
+++ b/internal/lab/members_result.go
@@ -103,10 +103,10 @@
 // facts are what the rules hold the run against.
 func (m *members) facts() *invariant.Members {
 	p, s := m.r.plan, m.r.s
-	f := &invariant.Members{Sidecars: len(p.Sidecars), Peers: s.Peers()}
+	f := &invariant.Members{Sidecars: len(p.Sidecars), Peers: s.PeerCount()}
 	for i := range p.Sidecars {
 		f.Names = append(f.Names, p.Sidecars[i].Name)
-		if !s.Membered(i) {
+		if !s.InMembership(i) {
 			f.WithoutMembership++
 		}
 	}
@@ -411,15 +411,15 @@
 		want *scenario.Duration
 		t    *Times
 	}{
-		{"noticed", e.Noticed, &o.Noticed}, {"counted_out", e.CountedOut, &o.CountedOut}, {"admitted", e.Admitted, &o.Admitted},
+		{"noticed", e.DetectWithin, &o.Noticed}, {"counted_out", e.RemoveWithin, &o.CountedOut}, {"admitted", e.AdmitWithin, &o.Admitted},
 	} {
 		if one.want != nil && (one.t.Cases == 0 || one.t.Never > 0 || one.t.Max > one.want.Milliseconds()) {
 			out = append(out, fmt.Sprintf("%s: %v, expected at most %v", one.name, *one.t, one.want.Duration()))
 		}
 	}
-	if e.Agree != nil && (o.AgreeMS < 0 || o.AgreeMS > e.Agree.Milliseconds()) {
+	if e.ConvergeWithin != nil && (o.AgreeMS < 0 || o.AgreeMS > e.ConvergeWithin.Milliseconds()) {
 		out = append(out, fmt.Sprintf("members agree after %.0f ms (-1: not within the run), expected at most %v",
-			o.AgreeMS, e.Agree.Duration()))
+			o.AgreeMS, e.ConvergeWithin.Duration()))
 	}
 	return out
 }
--- a/internal/lab/members_test.go
+++ b/internal/lab/members_test.go
@@ -107,7 +107,7 @@
 		"to": {"silent", "silent", false}, "from": {"silent", "silent", true},
 		"both": {"silent", "silent", false}, "in": {"silent", "refused", false},
 	} {
-		cut := &scenario.FaultPlan{Fault: scenario.Fault{Kind: "members-cut", Way: way}, Sidecars: []int{1}}
+		cut := &scenario.FaultPlan{Fault: scenario.Fault{Kind: "members-cut", Direction: way}, Sidecars: []int{1}}
 		require.NoError(t, m.ill(cut, true))
 		dials(t, want.to, f[0], f[1], way)
 		dials(t, want.from, f[1], f[0], "%s, whose process is not there", way)
--- a/internal/lab/memberscale_procs.go
+++ b/internal/lab/memberscale_procs.go
@@ -87,7 +87,7 @@
 		config := map[string]any{"name": p.Name, "listen": "127.0.0.1:0", "discovery": list.Addr(i),
 			"management": "127.0.0.1:0", "seed": strconv.FormatUint(p.Seed, 16), "settings": plan.Settings(i),
 			"limits": map[string]any{"cores": s.Sidecars.Cores, "memory_mb": s.Sidecars.MemoryMB,
-				"sockets": s.Sidecars.Sockets}}
+				"sockets": s.Sidecars.MaxSockets}}
 		if section {
 			members := membership.Section{Fleet: memberFleet, Bind: "127.0.0.1:0", Interval: m.Interval.String()}
 			if i < len(seeds) {
--- a/internal/lab/outcome.go
+++ b/internal/lab/outcome.go
@@ -68,12 +68,12 @@
 	s := p.Scenario
 	facts := invariant.Facts{
 		MaxAttempts: s.Rules.MaxAttempts, DrainGrace: s.Rules.DrainGrace.Duration(),
-		MemoryMB: s.Sidecars.MemoryMB, Sockets: s.Sidecars.Sockets, ServiceAfterTerm: scenario.SparedTerm,
-		Routes: routes, Latency: p.LongestLatency(), HeldBack: heldBack(p), Stalls: stalls, ReadyWithin: s.Rules.ReadyWithin.Duration(),
+		MemoryMB: s.Sidecars.MemoryMB, Sockets: s.Sidecars.MaxSockets, ServiceAfterTerm: scenario.ServiceAfterTerm,
+		Routes: routes, Latency: p.MaxLatency(), HeldBack: heldBack(p), Stalls: stalls, ReadyWithin: s.Rules.ReadyWithin.Duration(),
 		SlowStart: coldStart(p),
 	}
 	for _, c := range s.Classes {
-		facts.NonIdempotent = append(facts.NonIdempotent, c.Effect == "unsafe")
+		facts.NonIdempotent = append(facts.NonIdempotent, c.Effect == scenario.EffectNonIdempotent)
 	}
 	return &Report{
 		Scenario: s.Name, Title: s.Title, Seed: p.Seed, Sidecars: len(p.Sidecars), Servers: s.Servers.Count,
@@ -132,19 +132,19 @@
 			out = append(out, fmt.Sprintf("%s is %.3f, expected at most %.3f", name, got, *want))
 		}
 	}
-	least("in_aim", e.InAim, f.InObjective)
-	least("worst_in_aim", e.WorstInAim, f.WorstInObjective)
-	most("refused", e.Refused, f.Rejected)
+	least("in_aim", e.InObjective, f.InObjective)
+	least("worst_in_aim", e.WorstInObjective, f.WorstInObjective)
+	most("refused", e.Rejected, f.Rejected)
 	most("failed", e.Failed, f.Failed)
 	most("attempts", e.Attempts, f.ServerAttempts)
 	most("cross_zone", e.CrossZone, f.CrossZone)
-	most("waste", e.Waste, f.Waste)
+	most("waste", e.WastedWork, f.Waste)
 	if e.P99 != nil {
 		want := e.P99.Milliseconds()
 		most("p99 (ms)", &want, f.P99)
 	}
 	for _, p := range r.Result.Sidecars {
-		most("memory_growth of "+p.Name, e.MemoryGrows, p.RSSGrowth)
+		most("memory_growth of "+p.Name, e.MemoryGrowth, p.RSSGrowth)
 	}
 	return out
 }
--- a/internal/lab/registry.go
+++ b/internal/lab/registry.go
@@ -120,7 +120,7 @@
 	if program == "" {
 		program = rr.o.Self
 	}
-	n := rr.reg.Copies
+	n := rr.reg.Replicas
 	for i := range n {
 		var row []*relay.Link
 		for j := range n {
@@ -162,7 +162,7 @@
 		c.spec.Dir = dir
 		config := filepath.Join(dir, "registry.toml")
 		text := fmt.Sprintf("name = %q\nlisten = %q\nraft = %q\ndir = %q\nbeat = %q\nmost_stale = %q\nlab_faults = %q\n%s%s", c.name, c.serve, c.raft,
-			filepath.Join(dir, "data"), rr.reg.Beat.Duration(), rr.reg.MostStale.Duration(), c.faults(), rr.routesKeys(), peers.String())
+			filepath.Join(dir, "data"), rr.reg.HeartbeatInterval.Duration(), rr.reg.MaxStaleness.Duration(), c.faults(), rr.routesKeys(), peers.String())
 		if err := os.WriteFile(config, []byte(text), 0o644); err != nil {
 			return err
 		}
--- a/internal/lab/registry_clients.go
+++ b/internal/lab/registry_clients.go
@@ -66,7 +66,7 @@
 		}
 		rr.mu.Unlock()
 		select {
-		case <-time.After(rr.reg.Pause.Duration()):
+		case <-time.After(rr.reg.WriterPause.Duration()):
 		case <-ctx.Done():
 		}
 	}
--- a/internal/lab/registry_faults.go
+++ b/internal/lab/registry_faults.go
@@ -39,7 +39,7 @@
 			rr.mu.Lock()
 			rr.marks = append(rr.marks, rr.log.Now())
 			rr.mu.Unlock()
-			rr.out.Info("lab: fault", "what", f.Fault.Kind, "copies", f.Fault.Copies)
+			rr.out.Info("lab: fault", "what", f.Fault.Kind, "copies", f.Fault.Replicas)
 			sleep(ctx, f.Until-f.At)
 			if err := undo(); err != nil {
 				rr.fail(fmt.Errorf("%s ends: %w", f.Fault.Kind, err))
@@ -61,7 +61,7 @@
 		rr.skipping.Store(true)
 		return func() error { rr.skipping.Store(false); return nil }, nil
 	}
-	chosen := rr.choose(ctx, p.Fault.Copies)
+	chosen := rr.choose(ctx, p.Fault.Replicas)
 	switch p.Fault.Kind {
 	case "copy-kill":
 		for _, c := range chosen {
@@ -126,7 +126,7 @@
 		})
 		return func() error { return rr.healDisks(ctx, failed, heal) }, err
 	case "copy-cut":
-		return func() error { return rr.cutOff(chosen, p.Fault.Way, false) }, rr.cutOff(chosen, p.Fault.Way, true)
+		return func() error { return rr.cutOff(chosen, p.Fault.Direction, false) }, rr.cutOff(chosen, p.Fault.Direction, true)
 	}
 	return nil, fmt.Errorf("no such fault of the list service")
 }
@@ -321,7 +321,7 @@
 			return err
 		}
 		text := fmt.Sprintf("name = %q\nlisten = %q\nraft = %q\nadvertise = %q\ndir = %q\nbeat = %q\njoin = true\n%s", c.name, c.serve,
-			c.raft, c.port.Addr(0), filepath.Join(c.spec.Dir, "data"), rr.reg.Beat.Duration(), rr.routesKeys())
+			c.raft, c.port.Addr(0), filepath.Join(c.spec.Dir, "data"), rr.reg.HeartbeatInterval.Duration(), rr.routesKeys())
 		if err := os.WriteFile(filepath.Join(c.spec.Dir, "registry.toml"), []byte(text), 0o644); err != nil {
 			return err
 		}
--- a/internal/lab/requestcost.go
+++ b/internal/lab/requestcost.go
@@ -249,7 +249,7 @@
 
 // startCopies starts the list service, with all servers on its list and the route of the tenant.
 func (c *costRun) startCopies(ctx context.Context) error {
-	reg := &scenario.Registry{Copies: c.r.s.Discovery.Registry, Beat: scenario.Duration(100 * time.Millisecond)}
+	reg := &scenario.Registry{Replicas: c.r.s.Discovery.RegistryReplicas, HeartbeatInterval: scenario.Duration(100 * time.Millisecond)}
 	rr := &registryRun{run: c.r, reg: reg, seen: map[int64]uint64{}, counts: map[string]int{}}
 	c.f = &fleet{rr: rr, at: &scaleClock{began: time.Now()},
 		client: &http.Client{Transport: &http.Transport{}, Timeout: 5 * time.Second}}
@@ -296,7 +296,7 @@
 	config := map[string]any{
 		"listen": "127.0.0.1:0", "management": "127.0.0.1:0", "seed": "1", "known": list, "settings": settings,
 		"limits": map[string]any{"cores": c.r.s.Sidecars.Cores, "memory_mb": c.r.s.Sidecars.MemoryMB,
-			"sockets": c.r.s.Sidecars.Sockets},
+			"sockets": c.r.s.Sidecars.MaxSockets},
 	}
 	if c.f != nil {
 		config["discovery"] = c.f.rr.copies[0].serve
@@ -357,7 +357,7 @@
 		return nil, err
 	}
 	began := time.Now()
-	p, err := c.r.nursery.Start(process.Spec{Name: name, Path: program, Dir: dir, MaxDescriptors: c.r.s.Sidecars.Sockets,
+	p, err := c.r.nursery.Start(process.Spec{Name: name, Path: program, Dir: dir, MaxDescriptors: c.r.s.Sidecars.MaxSockets,
 		Env: []string{"NODE_CONFIG=" + file, "TMPDIR=" + filepath.Join(dir, "tmp")}})
 	if err != nil {
 		return nil, err
--- a/internal/lab/routes.go
+++ b/internal/lab/routes.go
@@ -75,10 +75,10 @@
 			o.wg.Go(func() { o.look(ctx, post.Tenant) })
 		}
 	}
-	for i := range o.r.s.Orders {
-		o.wg.Go(func() { o.order(ctx, &o.r.s.Orders[i]) })
+	for i := range o.r.s.RouteCommands {
+		o.wg.Go(func() { o.order(ctx, &o.r.s.RouteCommands[i]) })
 	}
-	for _, a := range o.r.s.Asks {
+	for _, a := range o.r.s.AuditQueries {
 		o.wg.Go(func() {
 			if !o.until(ctx, a.At) {
 				return
@@ -87,7 +87,7 @@
 			newest := o.newest
 			o.mu.Unlock()
 			now := o.r.log.Now() - o.began
-			o.ask(ctx, newest, now-a.Before.Duration(), now)
+			o.ask(ctx, newest, now-a.Window.Duration(), now)
 		})
 	}
 	o.wg.Wait()
@@ -242,16 +242,16 @@
 	if !o.until(ctx, p.At) {
 		return
 	}
-	body := posted{To: p.To, Classes: p.Classes, Budget: p.Budget, Late: p.Late, AtEnd: p.AtEnd}
+	body := posted{To: p.Subset, Classes: p.Classes, Budget: p.Budget, Late: p.CountLate, AtEnd: p.AtEnd}
 	for _, st := range p.Steps {
-		body.Steps = append(body.Steps, rollout.Step{CanaryFraction: st.Share, HoldMS: st.Hold.Duration().Milliseconds(), MinAttempts: st.Requests})
+		body.Steps = append(body.Steps, rollout.Step{CanaryFraction: st.Fraction, HoldMS: st.Hold.Duration().Milliseconds(), MinAttempts: st.MinRequests})
 	}
 	o.mu.Lock()
 	o.after[n] = o.newest
 	o.mu.Unlock()
 	path := "/routes/" + p.Tenant + "/rollouts/" + p.Name
 	times := 1
-	if p.Twice {
+	if p.PostTwice {
 		times = 2
 	}
 	for range times {
@@ -269,23 +269,23 @@
 }
 
 // order says what a tenant or operator wants beside.
-func (o *rollouts) order(ctx context.Context, d *scenario.Order) {
+func (o *rollouts) order(ctx context.Context, d *scenario.RouteCommand) {
 	if !o.until(ctx, d.At) {
 		return
 	}
 	path, body := "", any(nil)
-	switch d.Do {
+	switch d.Action {
 	case "base":
-		path, body = "/routes/"+d.Tenant+"/base", map[string]string{"to": d.To}
+		path, body = "/routes/"+d.Tenant+"/base", map[string]string{"to": d.Subset}
 	case "schema":
-		path, body = "/routes/schema", map[string]int{"least": d.Least}
+		path, body = "/routes/schema", map[string]int{"least": d.MinSchema}
 	default:
 		i := slices.IndexFunc(o.r.s.Rollouts, func(p scenario.Rollout) bool { return p.Name == d.Rollout })
-		path = "/routes/" + o.r.s.Rollouts[i].Tenant + "/rollouts/" + d.Rollout + "/" + d.Do
+		path = "/routes/" + o.r.s.Rollouts[i].Tenant + "/rollouts/" + d.Rollout + "/" + d.Action
 	}
 	code, text := o.call(ctx, http.MethodPost, path, body)
-	if code != 0 && (code != http.StatusOK) != d.Refused {
-		o.miss("the order %s at %v is answered %d %s", d.Do, d.At.Duration(), code, strings.TrimSpace(string(text)))
+	if code != 0 && (code != http.StatusOK) != d.ExpectRejected {
+		o.miss("the order %s at %v is answered %d %s", d.Action, d.At.Duration(), code, strings.TrimSpace(string(text)))
 	}
 }
 
@@ -385,7 +385,7 @@
 	for _, tenant := range slices.Sorted(maps.Keys(tenants)) {
 		o.end(ctx, tenant)
 	}
-	if broken := o.r.s.Expect.Breaks; len(broken) > 0 && !slices.Contains(broken, invariant.AuditTrue) {
+	if broken := o.r.s.Expect.MustBreak; len(broken) > 0 && !slices.Contains(broken, invariant.AuditTrue) {
 		return // what is planted misleads the audit too
 	}
 	o.mu.Lock()
@@ -449,9 +449,9 @@
 func (o *rollouts) facts() *invariant.Routes {
 	p, s := o.r.plan, o.r.s
 	f := &invariant.Routes{Answers: o.answers, LabStalls: o.lagged, Epoch: o.epoch.UnixNano(),
-		Latency: time.Duration(float64(max(s.Network.Cross, s.Network.Far)) * (1 + s.Network.Jitter))}
+		Latency: time.Duration(float64(max(s.Network.CrossZone, s.Network.CrossRegion)) * (1 + s.Network.Jitter))}
 	if len(s.Network.Regions) == 0 {
-		f.Latency = time.Duration(float64(max(s.Network.Cross, s.Network.Same)) * (1 + s.Network.Jitter))
+		f.Latency = time.Duration(float64(max(s.Network.CrossZone, s.Network.SameZone)) * (1 + s.Network.Jitter))
 	}
 	for i := range p.Sidecars {
 		f.Names = append(f.Names, p.Sidecars[i].Name)
@@ -467,12 +467,12 @@
 			Tenant: slices.IndexFunc(s.Tenants, func(t scenario.Tenant) bool { return t.Name == one.Tenant })}
 		for k := range s.Classes {
 			r.Classes = append(r.Classes, len(one.Classes) == 0 || slices.Contains(one.Classes, s.Classes[k].Name))
-			if one.Late {
-				r.LatencyObjectives = append(r.LatencyObjectives, s.Pace(s.Classes[k].Aim))
+			if one.CountLate {
+				r.LatencyObjectives = append(r.LatencyObjectives, s.Scaled(s.Classes[k].Objective))
 			}
 		}
 		for k := range p.Servers {
-			r.Servers = append(r.Servers, p.InSubset(one.To, k))
+			r.Servers = append(r.Servers, p.InSubset(one.Subset, k))
 		}
 		f.Rollouts = append(f.Rollouts, r)
 	}
--- a/internal/lab/routes_config.go
+++ b/internal/lab/routes_config.go
@@ -14,7 +14,7 @@
 
 // routesKeys are the lines of a copy's configuration that turn routes on.
 func (rr *registryRun) routesKeys() string {
-	if !rr.s.Routed() {
+	if !rr.s.HasRoutes() {
 		return ""
 	}
 	keys := fmt.Sprintf("routes = %q\n", rr.operatorsFile())
@@ -28,18 +28,18 @@
 
 // writeOperators writes the file that says what tenants may do.
 func (rr *registryRun) writeOperators() error {
-	if !rr.s.Routed() {
+	if !rr.s.HasRoutes() {
 		return nil
 	}
 	o := &rr.s.Routes
 	file := map[string]any{}
-	for key, d := range map[string]scenario.Duration{"term": o.Term, "behind_after": o.BehindAfter, "shut_after": o.ShutAfter, "gone_after": o.GoneAfter} {
+	for key, d := range map[string]scenario.Duration{"term": o.LeaseTerm, "behind_after": o.StragglerAfter, "shut_after": o.ShutOutAfter, "gone_after": o.GoneAfter} {
 		if d > 0 {
 			file[key] = d.Duration().String()
 		}
 	}
-	if o.BehindShare > 0 {
-		file["behind_share"] = o.BehindShare
+	if o.MaxStragglerFraction > 0 {
+		file["behind_share"] = o.MaxStragglerFraction
 	}
 	var subsets, tenants []map[string]any
 	for _, sub := range o.Subsets {
@@ -56,7 +56,7 @@
 		subsets = append(subsets, one)
 	}
 	for _, t := range o.Tenants {
-		tenants = append(tenants, map[string]any{"name": t.Name, "subsets": t.Subsets, "max_share": t.MaxShare, "rollouts": t.Rollouts,
+		tenants = append(tenants, map[string]any{"name": t.Name, "subsets": t.Subsets, "max_share": t.MaxFraction, "rollouts": t.MaxRollouts,
 			"changes_per_minute": 6000.0, "max_budget": 1_000_000})
 	}
 	file["subset"], file["tenant"] = subsets, tenants
@@ -69,7 +69,7 @@
 
 // programOf is the program that a sidecar runs.
 func (r *run) programOf(sidecar int) string {
-	if r.s.Older(sidecar) && r.o.Older != "" {
+	if r.s.RunsOlderProgram(sidecar) && r.o.Older != "" {
 		return r.o.Older
 	}
 	return r.program
@@ -77,11 +77,11 @@
 
 // routesOf is the section of a sidecar's configuration that turns routes on; nil: they are off.
 func (r *run) routesOf(sidecar int) map[string]any {
-	if !r.s.Routed() || r.s.Older(sidecar) {
+	if !r.s.HasRoutes() || r.s.RunsOlderProgram(sidecar) {
 		return nil
 	}
 	schemas := r.s.Routes.Schemas
-	if again := r.sidecars[sidecar].manages > 0 && r.s.Routes.Swap; r.s.Old(sidecar) != again {
+	if again := r.sidecars[sidecar].manages > 0 && r.s.Routes.SwapSchemas; r.s.ReadsOldSchema(sidecar) != again {
 		schemas = []int{1}
 	}
 	section := map[string]any{"addrs": r.listAddrs(sidecar), "key_header": "X-Route-Key"}
--- a/internal/lab/routescale_fleet.go
+++ b/internal/lab/routescale_fleet.go
@@ -48,7 +48,7 @@
 		return nil, err
 	}
 	f := &fleet{at: &scaleClock{began: time.Now()}, client: &http.Client{Transport: &http.Transport{}, Timeout: 5 * time.Second}}
-	f.rr = &registryRun{run: r, reg: &scenario.Registry{Copies: s.Discovery.Registry, Beat: scenario.Duration(100 * time.Millisecond)},
+	f.rr = &registryRun{run: r, reg: &scenario.Registry{Replicas: s.Discovery.RegistryReplicas, HeartbeatInterval: scenario.Duration(100 * time.Millisecond)},
 		seen: map[int64]uint64{}, counts: map[string]int{}}
 	f.stop = func() {
 		f.client.CloseIdleConnections()
--- a/internal/lab/routesresult.go
+++ b/internal/lab/routesresult.go
@@ -112,7 +112,7 @@
 		if e.Kind != record.FirstByte {
 			continue
 		}
-		if r, ok := under[int(e.Tenant)]; ok && r.From <= e.T && e.T <= r.To && !o.r.s.Older(int(e.Sidecar)) {
+		if r, ok := under[int(e.Tenant)]; ok && r.From <= e.T && e.T <= r.To && !o.r.s.RunsOlderProgram(int(e.Sidecar)) {
 			if of++; e.Rev == 0 {
 				held++
 			}
@@ -173,18 +173,18 @@
 	if r.Routes != nil {
 		out = append(out, r.Routes.missed...)
 		for _, one := range r.Routes.Rollouts {
-			if want := s.Expect.RolloutEnds[one.Name]; want != "" && want != one.End {
+			if want := s.Expect.RolloutPhases[one.Name]; want != "" && want != one.End {
 				out = append(out, fmt.Sprintf("rollout %s ends %q (%s), expected %q", one.Name, one.End, one.Why, want))
 			}
 			for _, st := range one.Steps {
-				if off := math.Abs(st.Measured - st.Share); s.Expect.ShareError != nil && st.Attempts >= leastForShare && off > *s.Expect.ShareError {
+				if off := math.Abs(st.Measured - st.Share); s.Expect.FractionError != nil && st.Attempts >= leastForShare && off > *s.Expect.FractionError {
 					out = append(out, fmt.Sprintf("rollout %s has a share of %.3f in step %d of %.3f, expected within %.3f",
-						one.Name, st.Measured, st.Step, st.Share, *s.Expect.ShareError))
+						one.Name, st.Measured, st.Step, st.Share, *s.Expect.FractionError))
 				}
 			}
 		}
 	}
-	for _, rule := range s.Checks() {
+	for _, rule := range s.RulesToCheck() {
 		if r.Verdict.Checked[rule] == 0 {
 			out = append(out, fmt.Sprintf("rule %s was held to no case", rule))
 		}
--- a/internal/lab/scale.go
+++ b/internal/lab/scale.go
@@ -108,7 +108,7 @@
 // stand-ins and writes nothing down, by the lab's clients without sidecars, and by the lab's clients through the
 // sidecars. The difference of the first two is the lab's own overhead.
 func MeasureOverhead(ctx context.Context, s *scenario.Scenario, o Options) ([]Overhead, error) {
-	work := s.Classes[0].Work.Milliseconds() / s.Traffic.Pace / s.Servers.Kinds[0].Speed[0]
+	work := s.Classes[0].Work.Milliseconds() / s.Traffic.Speedup / s.Servers.Kinds[0].Speed[0]
 	plain, err := plainClient(ctx, s, o)
 	if err != nil {
 		return nil, fmt.Errorf("overhead: %w", err)
@@ -152,7 +152,7 @@
 			break
 		}
 		id := uint64(i + 1)
-		r.book.Add(id, stock.ClientRequest{Method: http.MethodGet, Class: a.Class, Sum: record.Sum(nil), Work: a.Work, Answer: sized.Traffic.Answer})
+		r.book.Add(id, stock.ClientRequest{Method: http.MethodGet, Class: a.Class, Sum: record.Sum(nil), Work: a.Work, Answer: sized.Traffic.AnswerBytes})
 		addr := r.addr(a.Sidecar)
 		wg.Go(func() {
 			mu.Lock()
--- a/internal/lab/scenario/defaults.go
+++ b/internal/lab/scenario/defaults.go
@@ -2,133 +2,174 @@
 
 // This file fills in what a scenario leaves out.
 
-import (
-	"strings"
-	"time"
-)
-
-// defaults fills in what the file leaves out: the operators' fleet, as their page has it.
-func (s *Scenario) defaults() {
-	or(&s.Seed, 1)
-	or(&s.Length, Duration(20*time.Second))
-	or(&s.Sidecars.Count, 4)
-	or(&s.Sidecars.Cores, 1)
-	or(&s.Sidecars.MemoryMB, 128)
-	or(&s.Sidecars.Sockets, 512)
-	or(&s.Servers.Count, 9)
-	or(&s.Servers.PodSize, 4)
-	or(&s.Servers.PodLimit, Range{0.4, 0.73})
-	or(&s.Servers.MaxConns, 1500)
-	or(&s.Servers.Handshake, Duration(2*time.Millisecond))
-	or(&s.Servers.Idle, Duration(5*time.Second))
-	if len(s.Network.Zones) == 0 {
-		s.Network.Zones = []string{"limerick-dc", "cork-dc"}
+import "time"
+
+// setDefaults fills in what the file leaves out: the fleet that the operators' page describes.
+func (s *Scenario) setDefaults() {
+	setDefault(&s.Seed, 1)
+	setDefault(&s.Length, seconds(20))
+	s.Sidecars.setDefaults()
+	s.Servers.setDefaults()
+	s.Network.setDefaults()
+	s.Traffic.setDefaults()
+	s.Discovery.setDefaults()
+	s.Registry.setDefaults()
+	s.Rules.setDefaults()
+	s.setClassDefaults()
+	s.setTenantDefaults()
+	s.setRouteDefaults()
+	s.setMemberDefaults()
+	for i := range s.Faults {
+		s.Faults[i].setDefaults()
 	}
-	or(&s.Network.Same, Duration(200*time.Microsecond))
-	or(&s.Network.Cross, Duration(time.Millisecond))
-	or(&s.Network.Far, Duration(8*time.Millisecond))
-	or(&s.Network.FarCost, 2)
-	if s.Traffic.Rate == 0 {
-		or(&s.Traffic.Load, 0.4)
+}
+
+// setDefault sets a value that the file leaves out.
+func setDefault[T comparable](v *T, otherwise T) {
+	var zero T
+	if *v == zero {
+		*v = otherwise
 	}
-	or(&s.Traffic.Pace, 1)
-	or(&s.Traffic.TryShare, 0.5)
-	or(&s.Traffic.Answer, 1200)
-	if len(s.Traffic.Leave) == 0 {
-		s.Traffic.Leave = []string{LeaveClose}
+}
+
+func milliseconds(n float64) Duration { return Duration(n * float64(time.Millisecond)) }
+
+func seconds(n float64) Duration { return Duration(n * float64(time.Second)) }
+
+func (s *Sidecars) setDefaults() {
+	setDefault(&s.Count, 4)
+	setDefault(&s.Cores, 1)
+	setDefault(&s.MemoryMB, 128)
+	setDefault(&s.MaxSockets, 512)
+}
+
+func (s *Servers) setDefaults() {
+	setDefault(&s.Count, 9)
+	setDefault(&s.PodSize, 4)
+	setDefault(&s.PodLimit, Range{0.4, 0.73})
+	setDefault(&s.MaxConns, 1500)
+	setDefault(&s.HandshakeWork, milliseconds(2))
+	setDefault(&s.IdleTimeout, seconds(5))
+	if len(s.Kinds) == 0 {
+		s.Kinds = defaultServerKinds()
 	}
-	or(&s.Discovery.Notice, Duration(2*time.Second))
-	or(&s.Discovery.SilentNotice, Duration(6*time.Second))
-	or(&s.Discovery.Add, Duration(1500*time.Millisecond))
-	or(&s.Discovery.Spread, Duration(100*time.Millisecond))
-	or(&s.Discovery.Copies, 1)
-	if s.Registry.Copies > 0 {
-		or(&s.Registry.Writers, 4)
-		or(&s.Registry.Watchers, 10)
-		or(&s.Registry.Entries, 8)
-		or(&s.Registry.Pause, Duration(5*time.Millisecond))
-		or(&s.Registry.Beat, Duration(100*time.Millisecond))
+	for i := range s.Kinds {
+		k := &s.Kinds[i]
+		setDefault(&k.Cores, 2)
+		setDefault(&k.Speed, Range{1, 1})
+		setDefault(&k.Queue, defaultQueue)
+		setDefault(&k.InitialCapacity, 1)
+		setDefault(&k.SlotsPerCore, Range{1, 1})
 	}
-	or(&s.Rules.DrainGrace, Duration(2*time.Second))
-	or(&s.Rules.ColdFrom, 0.17)
-	or(&s.Rules.Cold, Duration(24*time.Second))
-	or(&s.Rules.FallMultiple, 4)
-	or(&s.Rules.FallTime, Duration(3*time.Second))
-	or(&s.Rules.MaxAttempts, 3)
-	or(&s.Rules.AnswerSlack, Duration(20*time.Millisecond))
-	or(&s.Rules.CrossPrice, 0.1)
-	or(&s.Rules.ReadyWithin, Duration(10*time.Second))
-	if len(s.Servers.Kinds) == 0 {
-		cold := Duration(18 * time.Second)
-		s.Servers.Kinds = []Kind{
-			{Name: "standard", Share: 0.41, Cores: 2, Speed: Range{0.85, 1.1}, Queue: 900, ColdFrom: 0.25, Cold: cold,
-				Slots: Range{4, 12}, PauseEvery: Range{3.2, 8.6}, Pause: Range{0, 180}, PauseGrow: Range{0.0033, 1.1}},
-			{Name: "older", Share: 0.59, Cores: 2, Speed: Range{0.51, 0.69}, Queue: 900, ColdFrom: 0.25, Cold: cold,
-				Slots: Range{4, 12}, PauseEvery: Range{5, 12}, Pause: Range{0, 160}, PauseGrow: Range{0.071, 1.2}},
-		}
+}
+
+const defaultQueue = 900 // requests
+
+func defaultServerKinds() []ServerKind {
+	standard := ServerKind{Name: "standard", Fraction: 0.41, Speed: Range{0.85, 1.1},
+		PauseEvery: Range{3.2, 8.6}, PauseLength: Range{0, 180}, PauseGrowth: Range{0.0033, 1.1}}
+	older := ServerKind{Name: "older", Fraction: 0.59, Speed: Range{0.51, 0.69},
+		PauseEvery: Range{5, 12}, PauseLength: Range{0, 160}, PauseGrowth: Range{0.071, 1.2}}
+	kinds := []ServerKind{standard, older}
+	for i := range kinds {
+		k := &kinds[i]
+		k.Cores, k.Queue, k.SlotsPerCore = 2, defaultQueue, Range{4, 12}
+		k.InitialCapacity, k.SlowStart = 0.25, seconds(18)
 	}
-	for i := range s.Servers.Kinds {
-		k := &s.Servers.Kinds[i]
-		or(&k.Cores, 2)
-		or(&k.Speed, Range{1, 1})
-		or(&k.Queue, 900)
-		or(&k.ColdFrom, 1)
-		or(&k.Slots, Range{1, 1})
+	return kinds
+}
+
+func (n *Network) setDefaults() {
+	if len(n.Zones) == 0 {
+		n.Zones = []string{"limerick-dc", "cork-dc"}
 	}
-	ms := func(n int) Duration { return Duration(time.Duration(n) * time.Millisecond) }
+	setDefault(&n.SameZone, milliseconds(0.2))
+	setDefault(&n.CrossZone, milliseconds(1))
+	setDefault(&n.CrossRegion, milliseconds(8))
+	setDefault(&n.CrossRegionCost, 2)
+}
+
+func (t *Traffic) setDefaults() {
+	if t.Rate == 0 {
+		setDefault(&t.Load, 0.4)
+	}
+	setDefault(&t.Speedup, 1)
+	setDefault(&t.AttemptTimeoutFraction, 0.5)
+	setDefault(&t.AnswerBytes, 1200)
+	if len(t.LeaveModes) == 0 {
+		t.LeaveModes = []string{LeaveClose}
+	}
+}
+
+func (d *Discovery) setDefaults() {
+	setDefault(&d.DrainDelay, seconds(2))
+	setDefault(&d.CrashDelay, seconds(6))
+	setDefault(&d.AddDelay, milliseconds(1500))
+	setDefault(&d.Spread, milliseconds(100))
+	setDefault(&d.Services, 1)
+}
+
+func (r *Registry) setDefaults() {
+	if r.Replicas == 0 {
+		return
+	}
+	setDefault(&r.Writers, 4)
+	setDefault(&r.Watchers, 10)
+	setDefault(&r.Entries, 8)
+	setDefault(&r.WriterPause, milliseconds(5))
+	setDefault(&r.HeartbeatInterval, milliseconds(100))
+}
+
+func (r *Rules) setDefaults() {
+	setDefault(&r.DrainGrace, seconds(2))
+	setDefault(&r.InitialCapacity, 0.17)
+	setDefault(&r.SlowStart, seconds(24))
+	setDefault(&r.OverloadMultiple, 4)
+	setDefault(&r.OverloadTime, seconds(3))
+	setDefault(&r.MaxAttempts, 3)
+	setDefault(&r.AnswerSlack, milliseconds(20))
+	setDefault(&r.CrossZoneCost, 0.1)
+	setDefault(&r.ReadyWithin, seconds(10))
+}
+
+func (s *Scenario) setClassDefaults() {
 	if len(s.Classes) == 0 {
-		s.Classes = []Class{
-			{Name: "stock-lookup", Share: 0.42, Work: ms(80), Dist: "exp", AttemptNoise: 0.3, Aim: ms(600), Deadline: ms(1500), Worth: 2, Effect: "safe"},
-			{Name: "shelf-count", Share: 0.29, Work: ms(85), CV: 0.6, AttemptNoise: 0.33, Aim: ms(600), Deadline: ms(3000), Worth: 2, Effect: "safe"},
-			{Name: "parcel-issue", Share: 0.21, Work: ms(90), CV: 0.4, AttemptNoise: 0.34, Aim: ms(600), Deadline: ms(1500), Worth: 8, Effect: "unsafe"},
-			{Name: "donation-intake", Share: 0.08, Work: ms(180), Dist: "exp", AttemptNoise: 0.35, Aim: ms(1000), Deadline: ms(5000), Worth: 3, Effect: "unsafe"},
-		}
+		s.Classes = defaultClasses()
 	}
 	for i := range s.Classes {
 		c := &s.Classes[i]
-		or(&c.Worth, 1)
-		or(&c.Effect, "safe")
-		or(&c.Dist, "lognormal")
-		if c.Effect == "unsafe" {
-			or(&c.Body, 200)
+		setDefault(&c.PriorityWeight, 1)
+		setDefault(&c.Effect, EffectIdempotent)
+		setDefault(&c.Dist, DistLognormal)
+		if c.Effect == EffectNonIdempotent {
+			setDefault(&c.BodyBytes, 200)
 		}
 	}
-	if len(s.Tenants) == 0 {
-		s.Tenants = []Tenant{{Name: "shannonside", Share: 0.53}, {Name: "midwest-pantry", Share: 0.25}, {Name: "lee-valley", Share: 0.22}}
-	}
-	for i := range s.Tenants {
-		or(&s.Tenants[i].Usage, 1)
-	}
-	s.routeDefaults()
-	s.memberDefaults()
-	for i := range s.Faults {
-		f := &s.Faults[i]
-		form := faultForms()[f.Kind]
-		if form.servers {
-			or(&f.Servers, "all")
-		}
-		if form.sidecars {
-			or(&f.Sidecars, "all")
-		}
-		if form.copies {
-			or(&f.Copies, "leader")
-		}
-		if isCut(f.Kind) {
-			or(&f.Way, "both")
-		}
-		if f.Kind == "accept-late" {
-			or(&f.Share, 1)
-		}
-		or(&f.Link, "servers")
-		if strings.HasPrefix(f.Kind, "list-") && f.Kind != "list-move" || f.Link == "discovery" {
-			or(&f.List, "all")
-		}
+}
+
+func defaultClasses() []Class {
+	ms := milliseconds
+	return []Class{
+		{Name: "stock-lookup", Fraction: 0.42, Work: ms(80), Dist: DistExponential, AttemptNoise: 0.3,
+			Objective: ms(600), Deadline: ms(1500), PriorityWeight: 2, Effect: EffectIdempotent},
+		{Name: "shelf-count", Fraction: 0.29, Work: ms(85), CV: 0.6, AttemptNoise: 0.33,
+			Objective: ms(600), Deadline: ms(3000), PriorityWeight: 2, Effect: EffectIdempotent},
+		{Name: "parcel-issue", Fraction: 0.21, Work: ms(90), CV: 0.4, AttemptNoise: 0.34,
+			Objective: ms(600), Deadline: ms(1500), PriorityWeight: 8, Effect: EffectNonIdempotent},
+		{Name: "donation-intake", Fraction: 0.08, Work: ms(180), Dist: DistExponential, AttemptNoise: 0.35,
+			Objective: ms(1000), Deadline: ms(5000), PriorityWeight: 3, Effect: EffectNonIdempotent},
 	}
 }
 
-func or[T comparable](v *T, otherwise T) {
-	var zero T
-	if *v == zero {
-		*v = otherwise
+func (s *Scenario) setTenantDefaults() {
+	if len(s.Tenants) == 0 {
+		s.Tenants = []Tenant{
+			{Name: "shannonside", Fraction: 0.53},
+			{Name: "midwest-pantry", Fraction: 0.25},
+			{Name: "lee-valley", Fraction: 0.22},
+		}
+	}
+	for i := range s.Tenants {
+		setDefault(&s.Tenants[i].UsageFactor, 1)
 	}
 }
--- a/internal/lab/scenario/draw.go
+++ b/internal/lab/scenario/draw.go
@@ -8,16 +8,14 @@
 	"math"
 	"math/rand/v2"
 	"slices"
-	"strconv"
-	"strings"
 	"time"
 )
 
 func (p *Plan) drawKinds(r *rand.Rand) {
 	for _, k := range p.Scenario.Servers.Kinds {
-		p.Kinds = append(p.Kinds, KindPlan{
-			Slots: int(math.Round(k.Slots.At(r.Float64()))), PauseEvery: k.PauseEvery.At(r.Float64()),
-			Pause: k.Pause.At(r.Float64()), PauseGrow: k.PauseGrow.At(r.Float64()),
+		p.Kinds = append(p.Kinds, ServerKindPlan{
+			SlotsPerCore: int(math.Round(k.SlotsPerCore.At(r.Float64()))), PauseEvery: k.PauseEvery.At(r.Float64()),
+			PauseLength: k.PauseLength.At(r.Float64()), PauseGrowth: k.PauseGrowth.At(r.Float64()),
 		})
 	}
 }
@@ -26,15 +24,15 @@
 	s := p.Scenario
 	var total float64
 	for _, k := range s.Servers.Kinds {
-		total += k.Share
+		total += k.Fraction
 	}
-	// Kinds by their shares, not by chance: few servers of one draw would have another capacity than asked for.
+	// Kinds by their shares, not by chance: a draw of a few servers would have another capacity than configured.
 	kinds := make([]int, s.Servers.Count)
-	sum, k := s.Servers.Kinds[0].Share/total, 0
+	coveredFraction, k := s.Servers.Kinds[0].Fraction/total, 0
 	for i := range kinds {
-		for k+1 < len(s.Servers.Kinds) && (float64(i)+0.5)/float64(len(kinds)) > sum {
+		for k+1 < len(s.Servers.Kinds) && (float64(i)+0.5)/float64(len(kinds)) > coveredFraction {
 			k++
-			sum += s.Servers.Kinds[k].Share / total
+			coveredFraction += s.Servers.Kinds[k].Fraction / total
 		}
 		kinds[i] = k
 	}
@@ -69,7 +67,7 @@
 	total := 0.0
 	for i := range s.Sidecars.Count {
 		w := 1.0
-		if cv := s.Sidecars.Skew; cv > 0 {
+		if cv := s.Sidecars.TrafficSkew; cv > 0 {
 			w = lognormal(r, cv)
 		}
 		total += w
@@ -83,130 +81,87 @@
 }
 
 func (p *Plan) drawFaults(r *rand.Rand) {
-	s := p.Scenario
-	for _, f := range s.Faults {
-		one := FaultPlan{Fault: f, At: f.At.Duration(), Until: f.At.Duration() + f.For.Duration()}
-		if f.Servers != "" {
-			one.Servers = p.pick(r, f.Servers, s.Servers.Count, true)
-			if f.Zone != "" {
-				one.Servers = slices.DeleteFunc(one.Servers, func(i int) bool { return s.Network.Zones[p.Servers[i].Zone] != f.Zone })
-			}
-		}
-		if f.Sidecars != "" {
-			one.Sidecars = p.withoutLate(p.pick(r, f.Sidecars, len(p.Sidecars), false), f.Kind, one.At)
-		}
-		if faultForms()[f.Kind].turns {
-			for k, i := range one.Sidecars {
-				turn := one
-				turn.At += time.Duration(k) * f.Every.Duration()
-				turn.Until, turn.Sidecars = turn.At, []int{i}
-				p.Faults = append(p.Faults, turn)
-			}
-			continue
-		}
-		if f.Every == 0 {
-			if f.Kind == "replace" {
-				one.Fresh = p.spares(one.Servers)
-			}
-			p.Faults = append(p.Faults, one)
-			continue
-		}
-		// Half of each period it is there, half of it not; what happens at once happens each time.
-		form := faultForms()[f.Kind]
-		for at := one.At; at < f.At.Duration()+f.For.Duration(); at += f.Every.Duration() {
-			again := one
-			again.At, again.Until = at, at
-			if form.lasts {
-				again.Until = min(at+f.Every.Duration()/2, one.Until)
-			}
-			p.Faults = append(p.Faults, again)
-		}
+	for _, f := range p.Scenario.Faults {
+		p.Faults = append(p.Faults, p.occurrences(p.drawTargets(r, f))...)
 	}
 	slices.SortStableFunc(p.Faults, func(a, b FaultPlan) int { return cmp.Compare(a.At, b.At) })
 }
 
-// spares adds a machine like each of the servers, under a name of its own.
-func (p *Plan) spares(like []int) []int {
-	var fresh []int
-	for _, i := range like {
-		sp := p.Servers[i]
-		sp.UID, sp.Spare = fmt.Sprintf("%s-%d", sp.UID, len(p.Servers)), true
-		fresh = append(fresh, len(p.Servers))
-		p.Servers = append(p.Servers, sp)
+// drawTargets draws the servers and sidecars that a fault acts on.
+func (p *Plan) drawTargets(r *rand.Rand, f Fault) FaultPlan {
+	out := FaultPlan{Fault: f, At: f.At.Duration(), Until: f.At.Duration() + f.For.Duration()}
+	if f.Servers != "" {
+		out.Servers = p.selectServers(r, f.Servers)
 	}
-	return fresh
+	if f.Servers != "" && f.Zone != "" {
+		zones := p.Scenario.Network.Zones
+		out.Servers = slices.DeleteFunc(out.Servers, func(i int) bool { return zones[p.Servers[i].Zone] != f.Zone })
+	}
+	if f.Sidecars != "" {
+		out.Sidecars = p.withoutUnstarted(p.selectSidecars(r, f.Sidecars, len(p.Sidecars)), f.Kind, out.At)
+	}
+	if f.Kind == FaultReplace {
+		out.Replacements = p.addSpares(out.Servers)
+	}
+	return out
 }
 
-// pick draws what a choice means; checkPick has read it before.
-func (p *Plan) pick(r *rand.Rand, pick string, n int, servers bool) []int {
-	var out []int
-	all := func(is func(int) bool) []int {
-		for i := range n {
-			if is(i) {
-				out = append(out, i)
-			}
+// occurrences lists the times at which a fault happens: once, at one sidecar after another, or in each period.
+func (p *Plan) occurrences(first FaultPlan) []FaultPlan {
+	kind, every := findFaultKind(first.Fault.Kind), first.Fault.Every.Duration()
+	if kind.timing == oneAfterOther {
+		var out []FaultPlan
+		for k, sidecar := range first.Sidecars {
+			next := first
+			next.At += time.Duration(k) * every
+			next.Until, next.Sidecars = next.At, []int{sidecar}
+			out = append(out, next)
 		}
 		return out
 	}
-	what, name, _ := strings.Cut(pick, ":")
-	switch {
-	case pick == "all":
-		return all(func(int) bool { return true })
-	case pick == "late":
-		return all(p.Scenario.Late)
-	case what == "zone":
-		zone := slices.Index(p.Scenario.Network.Zones, name)
-		return all(func(i int) bool {
-			if servers {
-				return p.Servers[i].Zone == zone
-			}
-			return p.Sidecars[i].Zone == zone
-		})
-	case what == "region":
-		return all(func(i int) bool {
-			zone := p.Sidecars[min(i, len(p.Sidecars)-1)].Zone
-			if servers {
-				zone = p.Servers[i].Zone
-			}
-			return strconv.Itoa(p.Scenario.Network.regionOf(zone)) == name
-		})
-	case what == "subset":
-		return slices.Clone(p.Subsets[name])
-	case what == "pod":
-		return all(func(i int) bool { return strconv.Itoa(p.Servers[i].Pod) == name })
-	case what == "kind":
-		return all(func(i int) bool { return p.Scenario.Servers.Kinds[p.Servers[i].Kind].Name == name })
-	case pick[0] == '#':
-		i, _ := strconv.Atoi(pick[1:])
-		return []int{i}
+	if every == 0 {
+		return []FaultPlan{first}
 	}
-	count := 0
-	if share, ok := strings.CutSuffix(pick, "%"); ok {
-		f, _ := strconv.ParseFloat(share, 64)
-		count = max(int(math.Round(f/100*float64(n))), 1)
-	} else {
-		count, _ = strconv.Atoi(pick)
+	// A fault that lasts is there for the first half of each period.
+	var out []FaultPlan
+	for at := first.At; at < first.Until; at += every {
+		next := first
+		next.At, next.Until = at, at
+		if kind.timing == lasts {
+			next.Until = min(at+every/2, first.Until)
+		}
+		out = append(out, next)
 	}
-	out = r.Perm(n)[:count]
-	slices.Sort(out)
 	return out
 }
 
+// addSpares adds a machine like each of the servers, under a name of its own.
+func (p *Plan) addSpares(like []int) []int {
+	var fresh []int
+	for _, i := range like {
+		sp := p.Servers[i]
+		sp.UID, sp.Spare = fmt.Sprintf("%s-%d", sp.UID, len(p.Servers)), true
+		fresh = append(fresh, len(p.Servers))
+		p.Servers = append(p.Servers, sp)
+	}
+	return fresh
+}
+
 func (p *Plan) drawArrivals(r *rand.Rand) {
 	s := p.Scenario
-	classes, meanWork := s.classShares(), s.MeanWork()
+	classTotal, meanWork := s.totalClassFraction(), s.MeanWork()
 	p.Rate = s.Traffic.Rate
 	if p.Rate == 0 {
 		p.Rate = s.Traffic.Load * p.Capacity / meanWork * 1000
 	}
-	tenants := 0.0
+	tenantTotal := 0.0
 	for _, t := range s.Tenants {
-		tenants += t.Share * t.Usage
+		tenantTotal += t.Fraction * t.UsageFactor
 	}
-	highest := p.Rate * (1 + s.Traffic.Swing)
+	highest := p.Rate * (1 + s.Traffic.RateSwing)
 	for _, f := range p.Faults {
-		if f.Fault.Kind == "burst" {
-			highest = max(highest, p.Rate*(1+s.Traffic.Swing)*f.Fault.Size)
+		if f.Fault.Kind == FaultBurst {
+			highest = max(highest, p.Rate*(1+s.Traffic.RateSwing)*f.Fault.Size)
 		}
 	}
 	// A Poisson process of changing rate by thinning (Lewis and Shedler, 1979).
@@ -220,62 +175,62 @@
 		if r.Float64()*highest > p.rateAt(t) {
 			continue
 		}
-		p.Arrivals = append(p.Arrivals, p.drawArrival(r, t, p.hasStarted(p.weighted(r), t), classes, tenants))
+		p.Arrivals = append(p.Arrivals, p.drawArrival(r, t, p.runningSidecar(p.drawSidecar(r), t), classTotal, tenantTotal))
 	}
-	p.drawRushes(stream(p.Seed, "rushes"), classes, tenants)
+	p.drawRushes(stream(p.Seed, "rushes"), classTotal, tenantTotal)
 }
 
-// drawRushes adds the requests that come to one sidecar at once.
-func (p *Plan) drawRushes(r *rand.Rand, classes, tenants float64) {
+// drawRushes adds the requests of rushes, each to one sidecar.
+func (p *Plan) drawRushes(r *rand.Rand, classTotal, tenantTotal float64) {
 	for _, f := range p.Faults {
-		if f.Fault.Kind != "rush" {
+		if f.Fault.Kind != FaultRush {
 			continue
 		}
 		for range int(f.Fault.Size) {
-			at := f.At + time.Duration(r.Float64()*float64(rushLasts))
-			p.Arrivals = append(p.Arrivals, p.drawArrival(r, at, f.Sidecars[0], classes, tenants))
+			at := f.At + time.Duration(r.Float64()*float64(rushLength))
+			p.Arrivals = append(p.Arrivals, p.drawArrival(r, at, f.Sidecars[0], classTotal, tenantTotal))
 		}
 	}
 	slices.SortStableFunc(p.Arrivals, func(a, b Arrival) int { return cmp.Compare(a.At, b.At) })
 }
 
-// drawArrival draws a request that a sidecar is asked for at a time; classes and tenants are the sums of their shares.
-func (p *Plan) drawArrival(r *rand.Rand, at time.Duration, sidecar int, classes, tenants float64) Arrival {
+// drawArrival draws a request to a sidecar at a time; classTotal and tenantTotal are the sums of their fractions.
+func (p *Plan) drawArrival(r *rand.Rand, at time.Duration, sidecar int, classTotal, tenantTotal float64) Arrival {
 	s := p.Scenario
 	a := Arrival{At: at, Sidecar: sidecar, Seed: r.Uint64()}
-	a.Class = drawShare(r, len(s.Classes), classes, func(i int) float64 { return s.Classes[i].Share })
-	a.Tenant = drawShare(r, len(s.Tenants), tenants, func(i int) float64 { return s.Tenants[i].Share * s.Tenants[i].Usage })
+	a.Class = drawWeighted(r, len(s.Classes), classTotal, func(i int) float64 { return s.Classes[i].Fraction })
+	a.Tenant = drawWeighted(r, len(s.Tenants), tenantTotal, func(i int) float64 { return s.Tenants[i].Fraction * s.Tenants[i].UsageFactor })
 	c := &s.Classes[a.Class]
 	w := 1.0
 	switch {
-	case c.Dist == "exp":
+	case c.Dist == DistExponential:
 		w = r.ExpFloat64()
 	case c.CV > 0:
 		w = lognormal(r, c.CV)
 	}
-	a.Work = math.Round(c.Work.Milliseconds()/s.Traffic.Pace*w*1000) / 1000
+	a.Work = math.Round(c.Work.Milliseconds()/s.Traffic.Speedup*w*1000) / 1000
 	return a
 }
 
 func (p *Plan) rateAt(t time.Duration) float64 {
 	s := p.Scenario
-	rate := p.Rate * (1 - s.Traffic.Swing*math.Cos(2*math.Pi*float64(t)/float64(s.Length)))
+	rate := p.Rate * (1 - s.Traffic.RateSwing*math.Cos(2*math.Pi*float64(t)/float64(s.Length)))
 	for _, f := range p.Faults {
-		if f.Fault.Kind == "burst" && t >= f.At && t < f.Until {
+		if f.Fault.Kind == FaultBurst && t >= f.At && t < f.Until {
 			rate *= f.Fault.Size
 		}
 	}
 	return rate
 }
 
-func (p *Plan) weighted(r *rand.Rand) int {
-	return drawShare(r, len(p.Sidecars), 1, func(i int) float64 { return p.Sidecars[i].Weight })
+func (p *Plan) drawSidecar(r *rand.Rand) int {
+	return drawWeighted(r, len(p.Sidecars), 1, func(i int) float64 { return p.Sidecars[i].Weight })
 }
 
-func drawShare(r *rand.Rand, n int, total float64, share func(int) float64) int {
+func drawWeighted(r *rand.Rand, n int, total float64, weight func(int) float64) int {
 	x := r.Float64() * total
 	for i := range n {
-		if x -= share(i); x < 0 {
+		if x -= weight(i); x < 0 {
 			return i
 		}
 	}
--- a/internal/lab/scenario/fault.go
+++ b/internal/lab/scenario/fault.go
@@ -1,259 +1,170 @@
 package scenario
 
-// This file is the kinds of faults, with the form of each and its check.
+// This file is one fault of a scenario file, its defaults and its check.
 
 import (
-	"fmt"
 	"slices"
-	"strconv"
 	"strings"
-
-	"marblelane/internal/fault"
 )
 
-// Fault is one thing that goes wrong, for a while or for good.
+// Fault is one fault that is injected, for a while or for good.
 type Fault struct {
-	At       Duration `toml:"at"`
-	For      Duration `toml:"for"` // 0: it happens once, or stays
-	Kind     string   `toml:"kind"`
-	Servers  string   `toml:"servers"`  // which: all, 3, 20%, #4, zone:name, pod:1, kind:name
-	Copies   string   `toml:"copies"`   // of the list service: leader, follower, majority, all, #1
-	Sidecars string   `toml:"sidecars"` // which
-	Size     float64  `toml:"size"`
-	Way      string   `toml:"way"`     // "to", "from", "both": of a cut; "in" of members: they are not called, but call
-	Latency  Duration `toml:"latency"` // of a slow link
-	Every    Duration `toml:"every"`   // it comes again after this, until For is over
-	Link     string   `toml:"link"`    // "servers" (default) or "discovery": which links of the sidecars
-	List     string   `toml:"list"`    // which list service: all (default), #1
-	Share    float64  `toml:"share"`   // of new connections that come up late; 0: all
-	Drawn    bool     `toml:"drawn"`   // how late is drawn from 0 to the size, for each connection
-	Silent   bool     `toml:"silent"`  // idle connections are forgotten in place of closed: what is written to them is reset
-	Stay     bool     `toml:"stay"`    // servers that drain stay up, and serve what comes
-	Classes  []string `toml:"classes"` // of requests that a fail or slow concerns; empty: all
-	Call     string   `toml:"call"`    // the system call that fails: fault.CallAccept and its like
-	Errno    string   `toml:"errno"`   // ... and how, by the name of its errno
-	Zone     string   `toml:"zone"`    // of the servers only those of this zone; empty: of all
-}
-
-// what each kind of fault wants.
-type faultForm struct {
-	servers, sidecars bool // it names some
-	copies            bool
-	lasts             bool // it needs a time to last
-	turns             bool // it comes to one sidecar after another, `every` apart
-	size              [2]float64
-	sized             bool
+	At          Duration `toml:"at"`
+	For         Duration `toml:"for"` // 0: it happens once, or stays
+	Kind        string   `toml:"kind"`
+	Servers     string   `toml:"servers"`  // a selector: all, 3, 20%, #4, zone:name, pod:1, kind:name
+	Replicas    string   `toml:"copies"`   // of the list service: leader, follower, majority, all, #1
+	Sidecars    string   `toml:"sidecars"` // a selector
+	Size        float64  `toml:"size"`
+	Direction   string   `toml:"way"`     // of a cut
+	Latency     Duration `toml:"latency"` // of a slow link
+	Every       Duration `toml:"every"`   // it repeats after this, until For is over
+	Link        string   `toml:"link"`    // which links of the sidecars: LinkServers (default) or LinkDiscovery
+	List        string   `toml:"list"`    // which list service: all (default), #1
+	Fraction    float64  `toml:"share"`   // of new connections that come up late; 0: all
+	RandomDelay bool     `toml:"drawn"`   // the delay of each connection is drawn between 0 and the size
+	Unnoticed   bool     `toml:"silent"`  // idle connections are dropped without a close: what is written to them is reset
+	KeepServing bool     `toml:"stay"`    // servers that drain stay up and serve what comes
+	Classes     []string `toml:"classes"` // of requests that a fail or slow concerns; empty: all
+	Call        string   `toml:"call"`    // the system call that fails: fault.CallAccept or fault.CallOpen
+	Errno       string   `toml:"errno"`   // how the system call fails, by the name of its errno
+	Zone        string   `toml:"zone"`    // of the servers only those of this zone; empty: of all
 }
 
-// FaultKinds lists the kinds of faults with the form of each.
-func faultForms() map[string]faultForm {
-	return map[string]faultForm{
-		"slow":       {servers: true, lasts: true, sized: true, size: [2]float64{1, 1000}},
-		"fail":       {servers: true, lasts: true, sized: true, size: [2]float64{0, 1}},
-		"hang":       {servers: true, lasts: true},
-		"drop":       {servers: true, lasts: true, sized: true, size: [2]float64{0, 1}},
-		"kill":       {servers: true},
-		"restart":    {servers: true, lasts: true},
-		"drain":      {servers: true},
-		"replace":    {servers: true},
-		"vanish":     {servers: true, lasts: true},
-		"cut":        {servers: true, sidecars: true, lasts: true},
-		"latency":    {servers: true, sidecars: true, lasts: true},
-		"bandwidth":  {servers: true, sidecars: true, lasts: true, sized: true, size: [2]float64{1, 1e12}},
-		"lose":       {servers: true, sidecars: true, lasts: true, sized: true, size: [2]float64{0, 1}},
-		"reset":      {servers: true, sidecars: true},
-		"refuse":     {servers: true, sidecars: true, lasts: true},
-		"half-close": {servers: true, sidecars: true, lasts: true},
-		"break":      {servers: true, sidecars: true, lasts: true, sized: true, size: [2]float64{1, 1e12}},
-
-		"accept-late":   {servers: true, sidecars: true, lasts: true, sized: true, size: [2]float64{0.001, 60}},
-		"idle-close":    {servers: true, lasts: true, sized: true, size: [2]float64{0.01, 600}},
-		"reset-begun":   {servers: true, lasts: true, sized: true, size: [2]float64{0, 1}},
-		"second-answer": {servers: true, lasts: true, sized: true, size: [2]float64{0, 1}},
-		"turn-away":     {servers: true, lasts: true, sized: true, size: [2]float64{0, 1}},
-
-		"sidecar-kill":    {sidecars: true, lasts: true},
-		"sidecar-restart": {sidecars: true},
-		"sidecar-term":    {sidecars: true, turns: true},
-		"sidecar-freeze":  {sidecars: true, lasts: true},
-		"sidecar-upgrade": {sidecars: true},
-		"sidecar-clock":   {sidecars: true, lasts: true, sized: true, size: [2]float64{-1e6, 1e6}},
-		"sidecar-call":    {sidecars: true, lasts: true},
-		"server-clock":    {lasts: true, sized: true, size: [2]float64{-1e6, 1e6}},
-		"list-late":       {sidecars: true, lasts: true, sized: true, size: [2]float64{0, 600}},
-		"list-silent":     {sidecars: true, lasts: true},
-		"list-hush":       {sidecars: true},
-		"list-refuse":     {sidecars: true, lasts: true},
-		"list-move":       {},
-		"list-empty":      {sidecars: true, lasts: true},
-		"list-half":       {sidecars: true, lasts: true, sized: true, size: [2]float64{0, 1}},
-		"list-stuck":      {sidecars: true, lasts: true},
-		"list-freeze":     {sidecars: true, lasts: true},
-		"list-big":        {sidecars: true, lasts: true},
-		"list-end":        {sidecars: true, lasts: true},
-		"list-whole":      {sidecars: true, lasts: true},
-		"list-pieces":     {sidecars: true, lasts: true, sized: true, size: [2]float64{1, 1e6}},
-		"burst":           {lasts: true, sized: true, size: [2]float64{0, 100}},
-		"rush":            {sidecars: true, turns: true, sized: true, size: [2]float64{1, 1000}},
-		"idle-fill":       {sidecars: true, lasts: true, sized: true, size: [2]float64{1, 2000}},
-		"leave":           {sidecars: true, sized: true, size: [2]float64{0, 1}},
-
-		"copy-kill":           {copies: true, lasts: true},
-		"copy-freeze":         {copies: true, lasts: true},
-		"copy-cut":            {copies: true, lasts: true},
-		"copy-disk-full":      {copies: true, lasts: true},
-		"copy-disk-lost":      {copies: true, lasts: true},
-		"copy-disk-slow":      {copies: true, lasts: true, sized: true, size: [2]float64{0, 60}},
-		"copy-sync-kept":      {copies: true, lasts: true},
-		"copy-sync-lost":      {copies: true, lasts: true},
-		"copy-clock":          {copies: true, lasts: true, sized: true, size: [2]float64{-1e6, 1e6}},
-		"entries-lost":        {lasts: true, sized: true, size: [2]float64{0, 1}},
-		"defect-unheard-disk": {copies: true, lasts: true},
-		"defect-stale-read":   {lasts: true},
-		"defect-skipped-line": {lasts: true},
-		"defect-fresh-claim":  {lasts: true},
-
-		"members-cut":    {sidecars: true, lasts: true},
-		"members-lose":   {sidecars: true, lasts: true, sized: true, size: [2]float64{0, 1}},
-		"members-slow":   {sidecars: true, lasts: true},
-		"members-refuse": {sidecars: true, lasts: true},
+// The links of sidecars that a fault can act on.
+const (
+	LinkServers   = "servers"
+	LinkDiscovery = "discovery"
+)
 
-		"defect-send-twice":    {sidecars: true, lasts: true},
-		"defect-send-again":    {sidecars: true, lasts: true},
-		"defect-send-often":    {sidecars: true, lasts: true},
-		"defect-tell-whole":    {sidecars: true, lasts: true},
-		"defect-invent":        {sidecars: true, lasts: true},
-		"defect-lose-answer":   {sidecars: true, lasts: true},
-		"defect-answer-twice":  {sidecars: true, lasts: true},
-		"defect-wrong-body":    {servers: true, lasts: true},
-		"defect-told-late":     {sidecars: true, lasts: true, sized: true, size: [2]float64{0, 600}},
-		"defect-ignore-drain":  {sidecars: true, lasts: true},
-		"defect-undo-rollback": {lasts: true},
+// setDefaults fills in what a fault's table leaves out. Unknown kinds are left to the check.
+func (f *Fault) setDefaults() {
+	setDefault(&f.Link, LinkServers)
+	kind := findFaultKind(f.Kind)
+	if kind == nil {
+		return
+	}
+	if kind.servers {
+		setDefault(&f.Servers, selectAll)
+	}
+	if kind.sidecars {
+		setDefault(&f.Sidecars, selectAll)
+	}
+	if kind.replicas {
+		setDefault(&f.Replicas, selectLeader)
+	}
+	if kind.takes(keyWay, f) {
+		setDefault(&f.Direction, DirectionBoth)
+	}
+	if kind.takes(keyFraction, f) {
+		setDefault(&f.Fraction, 1)
+	}
+	if kind.takes(keyList, f) {
+		setDefault(&f.List, selectAll)
+	}
+}
 
-		"defect-end-early":   {sidecars: true, lasts: true},
-		"defect-ignore-term": {sidecars: true, lasts: true},
-		"defect-ready-late":  {sidecars: true, lasts: true, sized: true, size: [2]float64{0, 600}},
+func (s *Scenario) checkFault(f *Fault, key string) *invalidKey {
+	kind := findFaultKind(f.Kind)
+	if kind == nil {
+		return invalid(key+".kind", "%q is no kind of fault; the kinds are %s", f.Kind, strings.Join(FaultKinds(), ", "))
+	}
+	if e := s.checkFaultTime(f, kind, key); e != nil {
+		return e
+	}
+	if e := s.checkFaultKeys(f, kind, key); e != nil {
+		return e
+	}
+	if e := s.checkFaultTargets(f, kind, key); e != nil {
+		return e
 	}
+	switch {
+	case kind.size == nil && f.Size != 0:
+		return invalid(key+".size", "is set, but %s has none", withArticle(f.Kind))
+	case kind.size != nil && !kind.size.contains(f.Size):
+		return invalid(key+".size", "is not between %g and %g", kind.size[0], kind.size[1])
+	case !kind.runs.is(s):
+		return invalid(key+".kind", "%s %s", withArticle(f.Kind), kind.runs.required)
+	}
+	return nil
 }
 
-func (s *Scenario) checkFault(f *Fault, key string, bad func(string, string, ...any) *keyError) *keyError {
-	form, ok := faultForms()[f.Kind]
+// checkFaultTime checks when a fault begins, ends and repeats.
+func (s *Scenario) checkFaultTime(f *Fault, kind *faultKind, key string) *invalidKey {
+	noun := withArticle(f.Kind)
 	switch {
-	case !ok:
-		return bad(key+".kind", "%q is no kind of fault; the kinds are %s", f.Kind, strings.Join(FaultKinds(), ", "))
 	case f.At < 0 || f.At > s.Length:
-		return bad(key+".at", "lies outside the run")
+		return invalid(key+".at", "lies outside the run")
 	case f.For < 0:
-		return bad(key+".for", "is negative")
-	case form.lasts && f.For == 0:
-		return bad(key+".for", "is missing: a %s lasts", f.Kind)
-	case !form.lasts && f.For > 0 && f.Every == 0:
-		return bad(key+".for", "is set, but a %s happens once", f.Kind)
-	case f.Kind == "replace" && f.Every > 0:
-		return bad(key+".every", "is set, but a server is replaced once")
-	case form.turns && (f.Every <= 0 || f.For != 0):
-		return bad(key+".every", "is over 0, and for is not set, for a %s: the time from one sidecar to the next", f.Kind)
-	case f.Every < 0 || f.Every > 0 && f.For == 0 && !form.turns:
-		return bad(key+".every", "is negative, or there is no time in which it comes again")
-	case f.Share < 0 || f.Share > 1 || f.Share > 0 && f.Kind != "accept-late":
-		return bad(key+".share", "is not between 0 and 1, or set for something else than accept-late")
-	case f.Drawn && f.Kind != "accept-late":
-		return bad(key+".drawn", "is set, but only an accept-late can be drawn")
-	case f.Silent && f.Kind != "idle-close":
-		return bad(key+".silent", "is set, but only an idle-close can be silent")
-	case len(f.Classes) > 0 && f.Kind != "fail" && f.Kind != "slow":
-		return bad(key+".classes", "is set, but only a fail or slow concerns some classes alone")
-	case slices.ContainsFunc(f.Classes, func(name string) bool { return !s.hasClass(name) }):
-		return bad(key+".classes", "names what is no class")
-	case f.Zone != "" && (!form.servers || !slices.Contains(s.Network.Zones, f.Zone)):
-		return bad(key+".zone", "%q is no zone, or a %s concerns no servers", f.Zone, f.Kind)
-	case (f.Kind == "sidecar-call") != (f.Call != ""):
-		return bad(key+".call", "names the system call of a sidecar-call, and is for nothing else")
-	case f.Call != "" && f.Call != fault.CallAccept && f.Call != fault.CallOpen:
-		return bad(key+".call", "%q is neither %s nor %s", f.Call, fault.CallAccept, fault.CallOpen)
-	case (f.Call != "") != (f.Errno != ""):
-		return bad(key+".errno", "names how the system call of a sidecar-call fails, and is for nothing else")
-	case f.Errno != "" && !isErrno(f.Errno):
-		return bad(key+".errno", "%q is no errno", f.Errno)
-	case f.Stay && f.Kind != "drain":
-		return bad(key+".stay", "is set, but only servers that drain can stay")
-	case !form.servers && f.Servers != "":
-		return bad(key+".servers", "is set, but a %s concerns none", f.Kind)
-	case !form.sidecars && f.Sidecars != "":
-		return bad(key+".sidecars", "is set, but a %s concerns none", f.Kind)
-	case form.sized && !(f.Size >= form.size[0] && f.Size <= form.size[1]):
-		return bad(key+".size", "is not between %g and %g", form.size[0], form.size[1])
-	case !form.sized && f.Size != 0:
-		return bad(key+".size", "is set, but a %s has none", f.Kind)
-	case form.copies != (f.Copies != ""):
-		return bad(key+".copies", "is set, but a %s concerns none", f.Kind)
-	case f.Copies != "" && s.checkCopies(f.Copies) != nil:
-		return bad(key+".copies", "%v", s.checkCopies(f.Copies))
-	case f.Kind == "entries-lost" && s.Discovery.Registry == 0:
-		return bad(key+".kind", "it is of real copies of the list service, discovery.registry; of stand-ins there is list-half")
-	case f.Kind == "defect-undo-rollback" && !s.Routed():
-		return bad(key+".kind", "there are no routes, and so no rollback")
-	case s.Discovery.Registry > 0 && (strings.HasPrefix(f.Kind, "list-") || f.Kind == "defect-told-late" || f.Kind == "defect-ignore-drain"):
-		return bad(key+".kind", "a %s is of stand-ins; discovery.registry has real copies, whose faults are copy-*", f.Kind)
-	case strings.HasPrefix(f.Kind, "copy-") != (s.Registry.Copies+s.Discovery.Registry > 0) && (s.Discovery.Registry == 0 || strings.HasPrefix(f.Kind, "copy-")) && !strings.HasPrefix(f.Kind, "defect-"):
-		return bad(key+".kind", "a %s is for runs of the other sort: with sidecars, or with registry.copies", f.Kind)
-	case strings.HasPrefix(f.Kind, "members-") && s.Members == nil:
-		return bad(key+".kind", "a %s is of members, and there is no section members", f.Kind)
-	case f.Way != "" && !isCut(f.Kind):
-		return bad(key+".way", "is set, but only a cut has one")
-	case isCut(f.Kind) && f.Way != "to" && f.Way != "from" && f.Way != "both" && (f.Way != "in" || f.Kind != "members-cut"):
-		return bad(key+".way", "%q is none of to, from, both, and for members in", f.Way)
-	case slows(f.Kind) && f.Latency <= 0 || !slows(f.Kind) && f.Latency != 0:
-		return bad(key+".latency", "is over 0 for a latency or members-slow, and for nothing else")
-	case f.List != "" && f.Link != "discovery" && (!strings.HasPrefix(f.Kind, "list-") || f.Kind == "list-move"):
-		return bad(key+".list", "is set, but a %s concerns none", f.Kind)
-	case f.List != "" && f.List != "all" && !s.isList(f.List):
-		return bad(key+".list", "%q is neither all nor #0 to #%d", f.List, s.Discovery.Copies-1)
-	case f.Link != "servers" && f.Link != "discovery":
-		return bad(key+".link", "%q is neither servers nor discovery", f.Link)
+		return invalid(key+".for", "is negative")
+	case kind.timing == lasts && f.For == 0:
+		return invalid(key+".for", "is missing: %s lasts", noun)
+	case kind.timing != lasts && f.For > 0 && f.Every == 0:
+		return invalid(key+".for", "is set, but %s happens once", noun)
+	case f.Kind == FaultReplace && f.Every > 0:
+		return invalid(key+".every", "is set, but a server is replaced once")
+	case kind.timing == oneAfterOther && (f.Every <= 0 || f.For != 0):
+		return invalid(key+".every", "is over 0, and for is not set, for %s: the time from one sidecar to the next", noun)
+	case f.Every < 0 || f.Every > 0 && f.For == 0 && kind.timing != oneAfterOther:
+		return invalid(key+".every", "is negative, or there is no time in which it comes again")
+	}
+	return nil
+}
+
+// checkFaultKeys checks the keys that only some kinds take.
+func (s *Scenario) checkFaultKeys(f *Fault, kind *faultKind, key string) *invalidKey {
+	if f.Link != LinkServers && f.Link != LinkDiscovery {
+		return invalid(key+".link", "%q is neither %s nor %s", f.Link, LinkServers, LinkDiscovery)
 	}
-	for _, one := range []struct {
-		key, pick string
-		n         int
-	}{{".servers", f.Servers, s.Servers.Count}, {".sidecars", f.Sidecars, s.Sidecars.Count}} {
-		if one.pick == "" {
+	for _, k := range faultKeys {
+		path := key + "." + k.name
+		switch set, takes := k.isSet(f), kind.takes(k, f); {
+		case set && !takes:
+			return invalid(path, "is set, but only %s takes it", kindsThatTake(k))
+		case takes && !set && k.required:
+			return invalid(path, "is missing: %s needs it", withArticle(f.Kind))
+		case !set || k.check == nil:
 			continue
 		}
-		if err := s.checkPick(one.pick, one.n, one.key == ".servers"); err != nil {
-			return bad(key+one.key, "%v", err)
+		if err := k.check(s, f, kind); err != nil {
+			return invalid(path, "%v", err)
 		}
 	}
 	return nil
 }
 
-// PlantsInSidecars tells whether some fault is planted inside sidecars, by a file that they read.
-func (s *Scenario) PlantsInSidecars() bool {
-	return slices.ContainsFunc(s.Faults, func(f Fault) bool { return f.Kind == "sidecar-clock" || f.Kind == "sidecar-call" })
-}
-
-func isErrno(name string) bool {
-	_, ok := fault.Errno(name)
-	return ok
-}
-
-func isCut(kind string) bool { return kind == "cut" || kind == "copy-cut" || kind == "members-cut" }
-
-func slows(kind string) bool { return kind == "latency" || kind == "members-slow" }
-
-// checkCopies reads a choice of the list service's copies.
-func (s *Scenario) checkCopies(pick string) error {
-	switch pick {
-	case "leader", "follower", "majority", "all":
-		return nil
+// checkFaultTargets checks the servers, sidecars and replicas that a fault names.
+func (s *Scenario) checkFaultTargets(f *Fault, kind *faultKind, key string) *invalidKey {
+	noun := withArticle(f.Kind)
+	switch {
+	case f.Zone != "" && (!kind.servers || !slices.Contains(s.Network.Zones, f.Zone)):
+		return invalid(key+".zone", "%q is no zone, or %s concerns no servers", f.Zone, noun)
+	case !kind.servers && f.Servers != "":
+		return invalid(key+".servers", "is set, but %s concerns none", noun)
+	case !kind.sidecars && f.Sidecars != "":
+		return invalid(key+".sidecars", "is set, but %s concerns none", noun)
+	case !kind.replicas && f.Replicas != "":
+		return invalid(key+".copies", "is set, but %s concerns none", noun)
 	}
-	if i, err := strconv.Atoi(strings.TrimPrefix(pick, "#")); err != nil || pick[0] != '#' || i < 0 || i >= max(s.Registry.Copies, s.Discovery.Registry) {
-		return fmt.Errorf("%q is none of leader, follower, majority, all, #0 to #%d", pick, max(s.Registry.Copies, s.Discovery.Registry)-1)
+	if f.Servers != "" {
+		if err := s.checkServers(f.Servers); err != nil {
+			return invalid(key+".servers", "%v", err)
+		}
+	}
+	if f.Sidecars != "" {
+		if err := s.checkSidecars(f.Sidecars, s.Sidecars.Count); err != nil {
+			return invalid(key+".sidecars", "%v", err)
+		}
+	}
+	if f.Replicas != "" {
+		if err := s.checkReplicas(f.Replicas); err != nil {
+			return invalid(key+".copies", "%v", err)
+		}
 	}
 	return nil
 }
 
-// isList tells whether a choice names one of the list services.
-func (s *Scenario) isList(pick string) bool {
-	i, err := strconv.Atoi(strings.TrimPrefix(pick, "#"))
-	return err == nil && pick[0] == '#' && i >= 0 && i < max(s.Discovery.Copies, s.Discovery.Registry)
+// HasProcessFaults tells whether some fault is planted inside sidecars, by a file that they read.
+func (s *Scenario) HasProcessFaults() bool {
+	return slices.ContainsFunc(s.Faults, func(f Fault) bool { return f.Kind == FaultSidecarClock || f.Kind == FaultSidecarCall })
 }
--- a/internal/lab/scenario/leave.go
+++ b/internal/lab/scenario/leave.go
@@ -13,13 +13,13 @@
 	LeaveReset     = "reset"      // it resets the connection
 )
 
-// LeaveWays lists the ways in which a client leaves early.
-func LeaveWays() []string { return []string{LeaveClose, LeaveHalfClose, LeaveReset} }
+// LeaveModes lists the ways in which a client leaves early.
+func LeaveModes() []string { return []string{LeaveClose, LeaveHalfClose, LeaveReset} }
 
-func (s *Scenario) checkLeave(bad func(string, string, ...any) *keyError) *keyError {
-	for i, way := range s.Traffic.Leave {
-		if !slices.Contains(LeaveWays(), way) {
-			return bad(fmt.Sprintf("traffic.leave[%d]", i), "%q is no way to leave; they are %s", way, strings.Join(LeaveWays(), ", "))
+func (s *Scenario) checkLeaveModes() *invalidKey {
+	for i, way := range s.Traffic.LeaveModes {
+		if !slices.Contains(LeaveModes(), way) {
+			return invalid(fmt.Sprintf("traffic.leave[%d]", i), "%q is no way to leave; they are %s", way, strings.Join(LeaveModes(), ", "))
 		}
 	}
 	return nil
--- a/internal/lab/scenario/members_test.go
+++ b/internal/lab/scenario/members_test.go
@@ -67,8 +67,8 @@
 	assert.Equal(t, 4, p.Settings(5)["peers_total"])
 	after := 0
 	for _, a := range p.Arrivals {
-		if s.Late(a.Sidecar) {
-			assert.GreaterOrEqual(t, a.At, s.Members.LateAt.Duration())
+		if s.StartsLate(a.Sidecar) {
+			assert.GreaterOrEqual(t, a.At, s.Members.LateStart.Duration())
 			after++
 		}
 	}
--- a/internal/lab/scenario/parse.go
+++ b/internal/lab/scenario/parse.go
@@ -1,7 +1,6 @@
 package scenario
 
 import (
-	"maps"
 	"path/filepath"
 	"slices"
 	"strings"
@@ -9,22 +8,17 @@
 	"marblelane/internal/tomlfile"
 )
 
-// Error is a scenario that cannot be read or meant. It names file, line and key.
+// Error is a scenario file that cannot be read or makes no sense. It names file, line and key.
 type Error = tomlfile.Error
 
-type keyError struct{ key, text string }
-
-// RuleNames lists the rules that every run is held to.
-func RuleNames() []string {
+// InvariantNames lists the invariants that runs are checked against.
+func InvariantNames() []string {
 	return slices.Concat([]string{"one-answer", "unsafe-once", "one-at-a-time", "most-attempts", "no-stray", "drain", "cold", "body", "limits", "client-gone", "time-told", "ready-in-time",
-		"linearizable", "watchers-agree", "disk-honest", "age-told"}, RouteRules(), MemberRules())
+		"linearizable", "watchers-agree", "disk-honest", "age-told"}, RouteInvariants(), MemberInvariants())
 }
 
-// Rule tells whether there is a rule of this name.
-func Rule(name string) bool { return slices.Contains(RuleNames(), name) }
-
-// FaultKinds lists the kinds of faults.
-func FaultKinds() []string { return slices.Sorted(maps.Keys(faultForms())) }
+// IsInvariant tells whether there is an invariant of this name.
+func IsInvariant(name string) bool { return slices.Contains(InvariantNames(), name) }
 
 // Parse reads a scenario; name stands for its file in errors.
 func Parse(name string, text []byte) (*Scenario, error) {
@@ -34,7 +28,7 @@
 		return nil, err
 	}
 	s.Name = strings.TrimSuffix(filepath.Base(name), ".toml")
-	s.defaults()
+	s.setDefaults()
 	if e := s.check(); e != nil {
 		return nil, &Error{File: name, Line: at.Line(e.key), Key: e.key, Text: e.text}
 	}
--- a/internal/lab/scenario/plan.go
+++ b/internal/lab/scenario/plan.go
@@ -11,29 +11,28 @@
 	"time"
 )
 
-// Plan is a scenario with everything drawn from one seed, before anything runs: the same seed gives the same
-// plan on any machine. What happens in a run is up to the parties; what is done to them is not.
+// Plan is a scenario with everything drawn from one seed before the run. The same seed gives the same plan on any machine.
 type Plan struct {
 	Scenario *Scenario
 	Seed     uint64
-	Kinds    []KindPlan
+	Kinds    []ServerKindPlan
 	Servers  []ServerPlan
 	Pods     []PodPlan
 	Sidecars []SidecarPlan
 	Arrivals []Arrival
 	Faults   []FaultPlan
 	Subsets  map[string][]int // the servers of each
-	Seeds    []int            // the sidecars that members join by
+	Seeds    []int            // the sidecars that members join through
 	Rate     float64          // requests a second on average
 	Capacity float64          // of all servers, in work a millisecond
 }
 
-// KindPlan is one kind of servers as drawn.
-type KindPlan struct {
-	Slots      int     // for each core
-	PauseEvery float64 // seconds; 0: never
-	Pause      float64 // milliseconds
-	PauseGrow  float64
+// ServerKindPlan is one kind of servers as drawn.
+type ServerKindPlan struct {
+	SlotsPerCore int     // for each core
+	PauseEvery   float64 // seconds; 0: never
+	PauseLength  float64 // milliseconds
+	PauseGrowth  float64
 }
 
 // ServerPlan is one server as drawn.
@@ -43,7 +42,7 @@
 	Zone  int
 	Pod   int
 	Speed float64
-	Spare bool // it is down until it takes another one's place
+	Spare bool // it is down until it replaces another one
 }
 
 // PodPlan is one pod as drawn.
@@ -53,7 +52,7 @@
 type SidecarPlan struct {
 	Name   string
 	Zone   int
-	Weight float64 // its share of the traffic
+	Weight float64 // fraction of the traffic
 	Seed   uint64
 }
 
@@ -64,17 +63,17 @@
 	Class   int
 	Tenant  int
 	Work    float64 // milliseconds of a core of speed 1
-	Seed    uint64  // of what its client draws
+	Seed    uint64  // of its client's random numbers
 	Keyless bool    // its client sends no route key
 }
 
 // FaultPlan is a fault with its targets drawn.
 type FaultPlan struct {
-	At, Until time.Duration // equal: it happens once
-	Fault     Fault
-	Servers   []int
-	Sidecars  []int
-	Fresh     []int // the servers that take the places of Servers
+	At, Until    time.Duration // equal: it happens once
+	Fault        Fault
+	Servers      []int
+	Sidecars     []int
+	Replacements []int // spare servers that replace Servers
 }
 
 // stream is a source of random numbers for one purpose, so that a change in one part of a plan moves no other.
@@ -97,23 +96,23 @@
 	p.drawSubsets(stream(seed, "subsets"))
 	p.drawFaults(stream(seed, "faults"))
 	p.drawArrivals(stream(seed, "arrivals"))
-	if share := s.Routes.Keyless; share > 0 {
+	if keyless := s.Routes.KeylessFraction; keyless > 0 {
 		r := stream(seed, "keys")
 		for i := range p.Arrivals {
-			p.Arrivals[i].Keyless = r.Float64() < share
+			p.Arrivals[i].Keyless = r.Float64() < keyless
 		}
 	}
 	return p
 }
 
-// crossWindow is the time over which a zone may be asked for no more than it can do: about what a queue can hold back
-// without harm to the aims.
-const crossWindow = time.Second
+// capacityWindow is the time over which a zone's work must not exceed its capacity: about what a queue can delay within
+// the latency objectives.
+const capacityWindow = time.Second
 
-// NeededCrossings is the least share of the work that has to leave its zone: what the sidecars of a zone are asked for
-// in each second beyond the capacity of its servers. Faults are not counted in, nor that a zone at its limit answers
-// late; it is a bound that no balancer can pass, to hold what crosses against.
-func (p *Plan) NeededCrossings() float64 {
+// MinCrossZone is the least fraction of the work that has to leave its zone: what the clients of a zone request in each
+// second beyond the capacity of its servers. No balancer can send less across zones. Faults are left out, and so is that a
+// zone at its limit answers late.
+func (p *Plan) MinCrossZone() float64 {
 	zones := len(p.Scenario.Network.Zones)
 	capacity := make([]float64, zones) // work a millisecond
 	for i := range p.Servers {
@@ -121,40 +120,40 @@
 			capacity[s.Zone] += float64(p.Scenario.Servers.Kinds[s.Kind].Cores) * s.Speed * p.Pods[s.Pod].Limit
 		}
 	}
-	windows := int(p.Scenario.Length.Duration()/crossWindow) + 1
-	asked := make([]float64, windows*zones)
-	all, over := 0.0, 0.0
+	windows := int(p.Scenario.Length.Duration()/capacityWindow) + 1
+	requested := make([]float64, windows*zones)
+	all, excess := 0.0, 0.0
 	for i := range p.Arrivals {
 		a := &p.Arrivals[i]
-		w := min(max(int(a.At/crossWindow), 0), windows-1)
-		asked[w*zones+p.Sidecars[a.Sidecar].Zone] += a.Work
+		w := min(max(int(a.At/capacityWindow), 0), windows-1)
+		requested[w*zones+p.Sidecars[a.Sidecar].Zone] += a.Work
 		all += a.Work
 	}
-	for i, work := range asked {
-		over += max(work-capacity[i%zones]*float64(crossWindow)/float64(time.Millisecond), 0)
+	for i, work := range requested {
+		excess += max(work-capacity[i%zones]*float64(capacityWindow)/float64(time.Millisecond), 0)
 	}
 	if all == 0 {
 		return 0
 	}
-	return over / all
+	return excess / all
 }
 
-// Pace is a time of the scenario's clients and servers at the run's pace.
-func (s *Scenario) Pace(d Duration) time.Duration {
-	return time.Duration(math.Round(float64(d) / s.Traffic.Pace))
+// Scaled is a time of the scenario's clients and servers in a run that is sped up.
+func (s *Scenario) Scaled(d Duration) time.Duration {
+	return time.Duration(math.Round(float64(d) / s.Traffic.Speedup))
 }
 
-// zoneOf is the zone that a pod lies in: the zones in turn, or each so often as the split has it.
+// zoneOf is the zone that a pod lies in: the zones in turn, or as ServersByZone says.
 func (n *Network) zoneOf(pod int) int {
-	if len(n.Split) == 0 {
+	if len(n.ServersByZone) == 0 {
 		return pod % len(n.Zones)
 	}
 	all := 0
-	for _, k := range n.Split {
+	for _, k := range n.ServersByZone {
 		all += k
 	}
 	left := pod % all
-	for zone, k := range n.Split {
+	for zone, k := range n.ServersByZone {
 		if left -= k; left < 0 {
 			return zone
 		}
@@ -172,7 +171,7 @@
 	return zone
 }
 
-// RegionNames are the zones of each region by a name, as sidecars are told of them.
+// RegionNames are the zones of each region by the name that the sidecars' configuration has.
 func (n *Network) RegionNames() map[string][]string {
 	out := map[string][]string{}
 	for i, zones := range n.Regions {
@@ -193,34 +192,34 @@
 	return out
 }
 
-// Vary is by how much the work of one attempt of a request differs from the request's own: drawn with mean 1
-// from the class's coefficient of variation, and the same whenever this try is sent to this server.
-func (c *Class) Vary(try uint64, server int) float64 {
+// AttemptWorkFactor is the work of one attempt of a request over the request's own. It is drawn with mean 1 from the
+// class's coefficient of variation, and is the same whenever this client attempt is sent to this server.
+func (c *Class) AttemptWorkFactor(attemptID uint64, server int) float64 {
 	if c.AttemptNoise <= 0 {
 		return 1
 	}
-	return lognormal(rand.New(rand.NewPCG(try, uint64(server))), c.AttemptNoise)
+	return lognormal(rand.New(rand.NewPCG(attemptID, uint64(server))), c.AttemptNoise)
 }
 
-func (s *Scenario) classShares() float64 {
+func (s *Scenario) totalClassFraction() float64 {
 	sum := 0.0
 	for _, c := range s.Classes {
-		sum += c.Share
+		sum += c.Fraction
 	}
 	return sum
 }
 
 // MeanWork is that of a request, in milliseconds of a core of speed 1.
 func (s *Scenario) MeanWork() float64 {
-	shares, mean := s.classShares(), 0.0
+	total, mean := s.totalClassFraction(), 0.0
 	for _, c := range s.Classes {
-		mean += c.Share / shares * c.Work.Milliseconds() / s.Traffic.Pace
+		mean += c.Fraction / total * c.Work.Milliseconds() / s.Traffic.Speedup
 	}
 	return mean
 }
 
-// rushLasts is the time within which the requests of a rush come.
-const rushLasts = 40 * time.Millisecond
+// rushLength is the time within which the requests of a rush come.
+const rushLength = 40 * time.Millisecond
 
 // WriteTo writes the whole schedule, arrivals and faults, in one line each: two plans are the same if these bytes
 // are.
@@ -233,7 +232,7 @@
 	}
 	line("scenario %s seed %d\n", p.Scenario.Name, p.Seed)
 	for i, k := range p.Kinds {
-		line("kind %d slots %d pauses every %.6f s for %.6f ms grow %.6f\n", i, k.Slots, k.PauseEvery, k.Pause, k.PauseGrow)
+		line("kind %d slots %d pauses every %.6f s for %.6f ms grow %.6f\n", i, k.SlotsPerCore, k.PauseEvery, k.PauseLength, k.PauseGrowth)
 	}
 	for i, s := range p.Servers {
 		line("server %d %s kind %d zone %d pod %d speed %.6f\n", i, s.UID, s.Kind, s.Zone, s.Pod, s.Speed)
@@ -254,66 +253,66 @@
 	return n, out.Flush()
 }
 
-// SparedTerm is how long after SIGTERM a request that a process takes may still be found unanswered by SIGKILL.
-const SparedTerm = 700 * time.Millisecond
+// ServiceAfterTerm is how long after SIGTERM a request may arrive and still be unanswered at SIGKILL.
+const ServiceAfterTerm = 700 * time.Millisecond
 
-// KillAfter is how long after SIGTERM the platform's SIGKILL comes, at the earliest: the longest deadline, at most 3 s,
-// and the spared time.
-func (s *Scenario) KillAfter() time.Duration {
-	longest := time.Duration(0)
+// KillDelay is the least time between SIGTERM and the platform's SIGKILL: the longest deadline, at most 3 s, and
+// ServiceAfterTerm.
+func (s *Scenario) KillDelay() time.Duration {
+	maxDeadline := time.Duration(0)
 	for _, c := range s.Classes {
-		longest = max(longest, s.Pace(c.Deadline))
+		maxDeadline = max(maxDeadline, s.Scaled(c.Deadline))
 	}
-	return min(longest, 3*time.Second) + SparedTerm
+	return min(maxDeadline, 3*time.Second) + ServiceAfterTerm
 }
 
 // ConnectTimeoutMS is how long a sidecar waits for a connection to come up, by the settings, in milliseconds.
 const ConnectTimeoutMS = 120.0
 
-// Latency is the time one way between two zones when nothing is wrong.
+// Latency is the one-way latency between two zones without faults.
 func (n *Network) Latency(a, b int) Duration {
 	switch {
 	case a == b:
-		return n.Same
+		return n.SameZone
 	case len(n.Regions) > 0 && n.regionOf(a) != n.regionOf(b):
-		return n.Far
+		return n.CrossRegion
 	}
-	return n.Cross
+	return n.CrossZone
 }
 
-// LongestLatency is the longest time one way between a sidecar and a server in the run, faults counted in.
-func (p *Plan) LongestLatency() time.Duration {
+// MaxLatency is the longest one-way latency between a sidecar and a server in the run, with its faults.
+func (p *Plan) MaxLatency() time.Duration {
 	n := &p.Scenario.Network
-	longest := max(n.Same.Duration(), n.Cross.Duration())
+	maxLatency := max(n.SameZone.Duration(), n.CrossZone.Duration())
 	if len(n.Regions) > 0 {
-		longest = max(longest, n.Far.Duration())
+		maxLatency = max(maxLatency, n.CrossRegion.Duration())
 	}
 	for _, f := range p.Faults {
-		longest = max(longest, f.Fault.Latency.Duration())
+		maxLatency = max(maxLatency, f.Fault.Latency.Duration())
 	}
-	return time.Duration(float64(longest) * (1 + n.Jitter))
+	return time.Duration(float64(maxLatency) * (1 + n.Jitter))
 }
 
 // Settings is the object that the platform gives a sidecar, as its pages describe it.
 func (p *Plan) Settings(i int) map[string]any {
 	s := p.Scenario
-	ms := func(d Duration) float64 { return float64(s.Pace(d)) / float64(time.Millisecond) }
+	ms := func(d Duration) float64 { return float64(s.Scaled(d)) / float64(time.Millisecond) }
 	var classes, tenants []map[string]any
 	for _, c := range s.Classes {
 		effect := "read_like"
-		if c.Effect == "unsafe" {
+		if c.Effect == EffectNonIdempotent {
 			effect = "non_idempotent"
 		}
-		classes = append(classes, map[string]any{"name": c.Name, "effect": effect, "group": "all", "on_time_ms": ms(c.Aim),
-			"hard_limit_ms": ms(c.Deadline), "worth": c.Worth, "late_worth": 0.0, "stream": false, "window_ms": 5000.0})
+		classes = append(classes, map[string]any{"name": c.Name, "effect": effect, "group": "all", "on_time_ms": ms(c.Objective),
+			"hard_limit_ms": ms(c.Deadline), "worth": c.PriorityWeight, "late_worth": 0.0, "stream": false, "window_ms": 5000.0})
 	}
 	total := 0.0
 	for _, t := range s.Tenants {
-		total += t.Share
+		total += t.Fraction
 	}
 	for _, t := range s.Tenants {
-		tenants = append(tenants, map[string]any{"name": t.Name, "share": t.Share / total,
-			"allowance_per_s": math.Round(p.Rate / max(s.Traffic.Load, 0.1) * 0.83 * t.Share / total)})
+		tenants = append(tenants, map[string]any{"name": t.Name, "share": t.Fraction / total,
+			"allowance_per_s": math.Round(p.Rate / max(s.Traffic.Load, 0.1) * 0.83 * t.Fraction / total)})
 	}
 	var kinds []string
 	for _, k := range s.Servers.Kinds {
@@ -321,15 +320,15 @@
 	}
 	return map[string]any{
 		"classes": classes, "tenants": tenants, "kinds": kinds, "zones": s.Network.Zones, "zone": p.Sidecars[i].Zone,
-		"discovery": "automatic", "my_number": i, "peers_total": s.Peers(), "over_share_worth": 0.2,
+		"discovery": "automatic", "my_number": i, "peers_total": s.PeerCount(), "over_share_worth": 0.2,
 		"quantum_ms": 5.0, "report": map[string]any{"fields": []string{}, "via": "silent"},
 		"result_mix": map[string]any{"whole": 0.3, "worst_class": 0.3, "worst_tenant": 0.1, "worst_window": 0.3},
-		"penalties":  map[string]any{"cross_zone": s.Rules.CrossPrice, "late_fail": 0.036, "probe": 0.01, "waste": 0.2},
-		"limits": map[string]any{"cancel": true, "conn_idle_ms": s.Servers.Idle.Milliseconds(), "connect_timeout_ms": ConnectTimeoutMS,
+		"penalties":  map[string]any{"cross_zone": s.Rules.CrossZoneCost, "late_fail": 0.036, "probe": 0.01, "waste": 0.2},
+		"limits": map[string]any{"cancel": true, "conn_idle_ms": s.Servers.IdleTimeout.Milliseconds(), "connect_timeout_ms": ConnectTimeoutMS,
 			"max_attempts": s.Rules.MaxAttempts, "max_retry_after_ms": 3000.0, "may_tell": false, "open_cap": 25000,
-			"parallel_tries": false, "probes": s.Rules.Probes, "retry_after": true},
+			"parallel_tries": false, "probes": s.Rules.HealthChecks, "retry_after": true},
 		"rules": map[string]any{"answer_slack_ms": s.Rules.AnswerSlack.Milliseconds(), "ask_within_ms": 10000.0,
-			"cold_from": s.Rules.ColdFrom, "cold_ms": s.Rules.Cold.Milliseconds(), "drain_grace_ms": s.Rules.DrainGrace.Milliseconds(),
-			"fall_ms": s.Rules.FallTime.Milliseconds(), "fall_multiple": s.Rules.FallMultiple},
+			"cold_from": s.Rules.InitialCapacity, "cold_ms": s.Rules.SlowStart.Milliseconds(), "drain_grace_ms": s.Rules.DrainGrace.Milliseconds(),
+			"fall_ms": s.Rules.OverloadTime.Milliseconds(), "fall_multiple": s.Rules.OverloadMultiple},
 	}
 }
--- a/internal/lab/scenario/routes_test.go
+++ b/internal/lab/scenario/routes_test.go
@@ -120,6 +120,6 @@
 	q := bare.Plan(0)
 	assert.Equal(t, q.Servers, p.Servers)
 	assert.Equal(t, q.Arrivals, p.Arrivals)
-	assert.Equal(t, []string{"budget", "closed", "audit-true", "route-free", "rollback-final"}, s.Checks())
-	assert.Empty(t, bare.Checks())
+	assert.Equal(t, []string{"budget", "closed", "audit-true", "route-free", "rollback-final"}, s.RulesToCheck())
+	assert.Empty(t, bare.RulesToCheck())
 }
--- a/internal/lab/scenario/scenario_test.go
+++ b/internal/lab/scenario/scenario_test.go
@@ -119,7 +119,7 @@
 	}
 }
 
-// Sidecars that are told to end in turn are so one after another, and SIGKILL waits for 3 s of a longer deadline.
+// Sidecars get SIGTERM one after another, and SIGKILL waits for 3 s of a longer deadline.
 func TestTurns(t *testing.T) {
 	s, err := Parse("good.toml", []byte(good+"[[fault]]\nat = \"3s\"\nevery = \"500ms\"\nkind = \"sidecar-term\"\nsidecars = \"3\"\n"))
 	if err != nil {
@@ -137,7 +137,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if got := s.KillAfter().String(); got != want {
+		if got := s.KillDelay().String(); got != want {
 			t.Errorf("deadline %s: SIGKILL after %s", deadline, got)
 		}
 	}
@@ -159,7 +159,7 @@
 			last = a.At
 		}
 		for _, f := range p.Faults {
-			for _, i := range append(f.Servers, f.Fresh...) {
+			for _, i := range append(f.Servers, f.Replacements...) {
 				if i >= len(p.Servers) || p.Servers[i].Spare != (i >= s.Servers.Count) {
 					t.Fatalf("fault %+v", f)
 				}
@@ -202,15 +202,15 @@
 		t.Errorf("work of mean %.1f ms and cv %.2f", mean, cv)
 	}
 	c := &s.Classes[0]
-	if mean, cv := spread(func(i int) float64 { return c.Vary(uint64(i), 3) }); math.Abs(mean-1) > 0.02 || math.Abs(cv-0.4) > 0.02 {
+	if mean, cv := spread(func(i int) float64 { return c.AttemptWorkFactor(uint64(i), 3) }); math.Abs(mean-1) > 0.02 || math.Abs(cv-0.4) > 0.02 {
 		t.Errorf("attempts of mean %.2f and cv %.2f", mean, cv)
 	}
-	if c.Vary(5, 3) != c.Vary(5, 3) || c.Vary(5, 3) == c.Vary(5, 4) {
+	if c.AttemptWorkFactor(5, 3) != c.AttemptWorkFactor(5, 3) || c.AttemptWorkFactor(5, 3) == c.AttemptWorkFactor(5, 4) {
 		t.Error("one attempt differs from itself, or two are the same")
 	}
 }
 
-func TestNeededCrossings(t *testing.T) {
+func TestPlan_minCrossZone(t *testing.T) {
 	const two = `title = "two zones"
 length = "4s"
 [sidecars]
@@ -232,7 +232,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if got := s.Plan(1).NeededCrossings(); !(got >= want[0] && got <= want[1]) {
+		if got := s.Plan(1).MinCrossZone(); !(got >= want[0] && got <= want[1]) {
 			t.Errorf("load %s: %v of the work has to leave its zone, want %v", load, got, want)
 		}
 	}
--- a/internal/lab/server_faults.go
+++ b/internal/lab/server_faults.go
@@ -59,7 +59,7 @@
 func (r *run) killServer(i int) error {
 	r.note(record.ServerState, record.None, i, "dies")
 	r.servers[i].Kill()
-	r.publish(i, agent.Gone, r.s.Discovery.SilentNotice)
+	r.publish(i, agent.Gone, r.s.Discovery.CrashDelay)
 	return nil
 }
 
@@ -69,7 +69,7 @@
 		return err
 	}
 	r.boots[i].Store(time.Now().UnixMilli() + r.serverClock.Load())
-	r.publish(i, agent.Ready, r.s.Discovery.Add)
+	r.publish(i, agent.Ready, r.s.Discovery.AddDelay)
 	return nil
 }
 
@@ -79,12 +79,12 @@
 func (r *run) drainServers(ctx context.Context, servers []int, stay bool) error {
 	for _, i := range servers {
 		r.note(record.ServerState, record.None, i, "drains")
-		r.publish(i, agent.Terminating, r.s.Discovery.Notice)
+		r.publish(i, agent.Terminating, r.s.Discovery.DrainDelay)
 	}
 	if stay {
 		return nil
 	}
-	wait := r.s.Discovery.Notice.Duration() + r.s.Discovery.Spread.Duration() + r.s.Rules.DrainGrace.Duration()
+	wait := r.s.Discovery.DrainDelay.Duration() + r.s.Discovery.Spread.Duration() + r.s.Rules.DrainGrace.Duration()
 	if !sleep(ctx, wait) {
 		return nil
 	}
@@ -108,19 +108,19 @@
 
 // replaceServers starts a new machine for each of the servers, under a new name, and ends the old ones in order.
 func (r *run) replaceServers(ctx context.Context, p *scenario.FaultPlan) error {
-	if err := r.each(p.Fresh, r.bootServer); err != nil {
+	if err := r.each(p.Replacements, r.bootServer); err != nil {
 		return err
 	}
 	for _, i := range p.Servers {
 		r.note(record.ServerState, record.None, i, "is replaced")
-		r.publish(i, agent.Terminating, r.s.Discovery.Notice)
+		r.publish(i, agent.Terminating, r.s.Discovery.DrainDelay)
 	}
-	if !sleep(ctx, r.s.Discovery.Notice.Duration()+r.s.Discovery.Spread.Duration()+r.s.Rules.DrainGrace.Duration()+deadFor) {
+	if !sleep(ctx, r.s.Discovery.DrainDelay.Duration()+r.s.Discovery.Spread.Duration()+r.s.Rules.DrainGrace.Duration()+deadFor) {
 		return nil
 	}
 	for _, i := range p.Servers {
 		r.servers[i].Kill()
-		r.publish(i, agent.Gone, r.s.Discovery.Notice)
+		r.publish(i, agent.Gone, r.s.Discovery.DrainDelay)
 	}
 	return nil
 }
--- a/internal/lab/service.go
+++ b/internal/lab/service.go
@@ -49,8 +49,8 @@
 func (r *run) startService(ctx context.Context, entries []agent.Entry) error {
 	s := &service{r: r, numbers: map[string]int{}, gone: map[int]bool{}, news: map[int]int{}, told: map[int]int{}, work: make(chan func(context.Context), 1000)}
 	r.service = s
-	s.rr = &registryRun{run: r, reg: &scenario.Registry{Copies: r.s.Discovery.Registry, Beat: scenario.Duration(100 * time.Millisecond),
-		MostStale: r.s.Discovery.MostStale}, seen: map[int64]uint64{}, counts: map[string]int{}}
+	s.rr = &registryRun{run: r, reg: &scenario.Registry{Replicas: r.s.Discovery.RegistryReplicas, HeartbeatInterval: scenario.Duration(100 * time.Millisecond),
+		MaxStaleness: r.s.Discovery.MaxStaleness}, seen: map[int64]uint64{}, counts: map[string]int{}}
 	for i := range r.plan.Servers {
 		s.numbers[r.plan.Servers[i].UID] = i
 	}
--- a/internal/lab/sidecar_faults.go
+++ b/internal/lab/sidecar_faults.go
@@ -59,7 +59,7 @@
 // go on sending on every one that stays open, and SIGKILL comes at its earliest.
 func (s *sidecar) term(ctx context.Context) error {
 	defer time.AfterFunc(newConns, func() { s.closed.Store(true) }).Stop()
-	s.stop(s.current(), s.r.s.KillAfter())
+	s.stop(s.current(), s.r.s.KillDelay())
 	s.closed.Store(true) // before the timer, where it has ended sooner
 	err := s.launch(ctx)
 	s.closed.Store(false)
--- a/internal/lab/sidecar_process.go
+++ b/internal/lab/sidecar_process.go
@@ -72,7 +72,7 @@
 	r.tampers = make([]*tamper, len(r.plan.Sidecars))
 	for i := range r.plan.Sidecars {
 		s := &sidecar{r: r, number: i, dir: filepath.Join(r.dir, r.plan.Sidecars[i].Name)}
-		if r.s.Late(i) { // it may have another one's name
+		if r.s.StartsLate(i) { // it may have another one's name
 			s.dir += "-late"
 		}
 		s.config = filepath.Join(s.dir, "config.json")
@@ -80,7 +80,7 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, startWait)
 	defer cancel()
-	first := slices.DeleteFunc(slices.Clone(r.sidecars), func(s *sidecar) bool { return r.s.Late(s.number) })
+	first := slices.DeleteFunc(slices.Clone(r.sidecars), func(s *sidecar) bool { return r.s.StartsLate(s.number) })
 	errs := make(chan error, len(first))
 	room := make(chan struct{}, 8) // at a time: starts are the costliest moment
 	for _, s := range first {
@@ -137,7 +137,7 @@
 		return fmt.Errorf("sidecar %d: %w", s.number, err)
 	}
 	var at *front
-	if r.members != nil && r.s.Membered(s.number) {
+	if r.members != nil && r.s.InMembership(s.number) {
 		var err error
 		if at, err = r.members.prepare(s.number); err != nil {
 			return fmt.Errorf("sidecar %d: %w", s.number, err)
@@ -151,7 +151,7 @@
 	s.mu.Unlock()
 	begun := r.log.Now() // before the process can know of its start
 	c, err := r.nursery.Start(process.Spec{
-		Name: p.Name, Path: r.programOf(s.number), Dir: s.dir, MaxDescriptors: r.s.Sidecars.Sockets,
+		Name: p.Name, Path: r.programOf(s.number), Dir: s.dir, MaxDescriptors: r.s.Sidecars.MaxSockets,
 		Env: []string{"NODE_CONFIG=" + s.config, "NODE_NAME=" + p.Name, "NODE_LISTEN=" + s.listen,
 			"NODE_DISCOVERY=" + r.listAddrs(s.number)[0], "NODE_MANAGEMENT=" + hostOf(s.listen) + ":0", "TMPDIR=" + tmp},
 	})
@@ -207,11 +207,11 @@
 	config := map[string]any{
 		"name": p.Name, "listen": s.listen, "discovery": r.listAddrs(s.number)[0],
 		"management": hostOf(s.listen) + ":0", "seed": strconv.FormatUint(p.Seed+uint64(s.manages), 16),
-		"limits":   map[string]any{"cores": r.s.Sidecars.Cores, "memory_mb": r.s.Sidecars.MemoryMB, "sockets": r.s.Sidecars.Sockets},
+		"limits":   map[string]any{"cores": r.s.Sidecars.Cores, "memory_mb": r.s.Sidecars.MemoryMB, "sockets": r.s.Sidecars.MaxSockets},
 		"known":    r.known(s.number),
 		"settings": r.plan.Settings(s.number),
 	}
-	if d := &r.s.Discovery; d.Copies > 1 || d.Registry > 1 || d.DoubtShare > 0 || d.Stale > 0 {
+	if d := &r.s.Discovery; d.Services > 1 || d.RegistryReplicas > 1 || d.SuspectFraction > 0 || d.StaleAfter > 0 {
 		var lists []map[string]any
 		for k, addr := range r.listAddrs(s.number) {
 			one := map[string]any{"addr": addr}
@@ -220,7 +220,7 @@
 			}
 			lists = append(lists, one)
 		}
-		config["lists"], config["list_doubt_share"], config["list_stale_ms"] = lists, d.DoubtShare, d.Stale.Milliseconds()
+		config["lists"], config["list_doubt_share"], config["list_stale_ms"] = lists, d.SuspectFraction, d.StaleAfter.Milliseconds()
 	}
 	if section := r.routesOf(s.number); section != nil {
 		config["routes"] = section
@@ -230,11 +230,11 @@
 			config["members"] = section
 		}
 	}
-	if r.s.PlantsInSidecars() {
+	if r.s.HasProcessFaults() {
 		config["faults"] = s.faultsFile()
 	}
 	if n := &r.s.Network; len(n.Regions) > 0 {
-		config["regions"], config["region_cost"] = n.RegionNames(), n.FarCost
+		config["regions"], config["region_cost"] = n.RegionNames(), n.CrossRegionCost
 	}
 	data, err := json.MarshalIndent(config, "", " ")
 	if err != nil {
--- a/internal/lab/simulate/faults.go
+++ b/internal/lab/simulate/faults.go
@@ -75,14 +75,14 @@
 			}
 		})
 	case "drain":
-		if f.Stay {
+		if f.KeepServing {
 			return once(func() { w.eachServer(p.Servers, w.tellDrain) })
 		}
 		return once(func() { w.drain(p.Servers, func(s *server) { w.After(deadFor, func() { w.boot(s) }) }) })
 	case "replace":
 		return once(func() {
-			w.eachServer(p.Fresh, w.boot)
-			w.drain(p.Servers, func(s *server) { w.publish(s, balance.Gone, "Gone", w.s.Discovery.Notice) })
+			w.eachServer(p.Replacements, w.boot)
+			w.drain(p.Servers, func(s *server) { w.publish(s, balance.Gone, "Gone", w.s.Discovery.DrainDelay) })
 		})
 	case "vanish":
 		return each(func(s *server, on bool) {
@@ -93,10 +93,10 @@
 		})
 	case "cut":
 		return links(func(l *link, on bool) {
-			if f.Way != "from" {
+			if f.Direction != "from" {
 				l.to = on
 			}
-			if f.Way != "to" {
+			if f.Direction != "to" {
 				l.from = on
 			}
 		})
@@ -142,7 +142,7 @@
 // drain ends servers in order: they tell that they drain, turn away what is new once all sidecars know and their grace
 // is over, and end.
 func (w *world) drain(numbers []int, then func(*server)) {
-	wait := w.s.Discovery.Notice.Milliseconds() + w.s.Discovery.Spread.Milliseconds() + w.s.Rules.DrainGrace.Milliseconds()
+	wait := w.s.Discovery.DrainDelay.Milliseconds() + w.s.Discovery.Spread.Milliseconds() + w.s.Rules.DrainGrace.Milliseconds()
 	w.eachServer(numbers, func(s *server) {
 		w.tellDrain(s)
 		w.After(wait, func() { s.drain = true })
@@ -155,5 +155,5 @@
 
 func (w *world) tellDrain(s *server) {
 	w.state(s, "drains")
-	w.publish(s, balance.Draining, "Terminating", w.s.Discovery.Notice)
+	w.publish(s, balance.Draining, "Terminating", w.s.Discovery.DrainDelay)
 }
--- a/internal/lab/simulate/members.go
+++ b/internal/lab/simulate/members.go
@@ -241,19 +241,19 @@
 // topples tells whether one more request is too much for a cold server: N + 3√N + 3 of mean work in the fall time.
 func (m *members) topples(s *server) bool {
 	r, now, boot := &m.w.s.Rules, m.w.Now(), s.entry.StartedAt
-	if s.warming == nil || now-boot >= r.Cold.Milliseconds() {
+	if s.warming == nil || now-boot >= r.SlowStart.Milliseconds() {
 		return false
 	}
-	window := r.FallTime.Milliseconds()
+	window := r.OverloadTime.Milliseconds()
 	sends := append(s.warming.sends, now)
 	for sends[0] < now-window {
 		sends = sends[1:]
 	}
 	s.warming.sends = sends
-	age := math.Max(0, now-window-boot) / r.Cold.Milliseconds()
+	age := math.Max(0, now-window-boot) / r.SlowStart.Milliseconds()
 	sp := &m.w.plan.Servers[s.number]
 	capacity := float64(m.w.s.Servers.Kinds[sp.Kind].Cores) * sp.Speed * m.w.plan.Pods[sp.Pod].Limit / m.MeanWork
-	n := r.FallMultiple * capacity * (r.ColdFrom + (1-r.ColdFrom)*math.Min(age, 1)) * window
+	n := r.OverloadMultiple * capacity * (r.InitialCapacity + (1-r.InitialCapacity)*math.Min(age, 1)) * window
 	share := float64(len(sends)) / (n + 3*math.Sqrt(n) + 3)
 	start := &m.result.Starts[s.warming.start]
 	start.Peak, start.Fell = math.Max(start.Peak, share), share > 1
--- a/internal/lab/simulate/simulate.go
+++ b/internal/lab/simulate/simulate.go
@@ -120,7 +120,7 @@
 // Play plays a plan.
 func Play(ctx context.Context, plan *scenario.Plan, o Options) (*Run, error) {
 	s := plan.Scenario
-	if s.Registry.Copies > 0 || s.Discovery.Registry > 0 {
+	if s.Registry.Replicas > 0 || s.Discovery.RegistryReplicas > 0 {
 		return nil, fmt.Errorf("simulate %s: the list service's copies are real processes; a simulated run has none", s.Name)
 	}
 	w := &world{plan: plan, s: s, rng: rand.New(rand.NewPCG(plan.Seed, 0x73696d))}
@@ -224,7 +224,7 @@
 		if err != nil {
 			return fmt.Errorf("sidecar %d: %w", i, err)
 		}
-		cfg.Regions, cfg.RegionCost = w.s.Network.RegionNumbers(), w.s.Network.FarCost
+		cfg.Regions, cfg.RegionCost = w.s.Network.RegionNumbers(), w.s.Network.CrossRegionCost
 		if o.Change != nil {
 			o.Change(i, &cfg)
 		}
@@ -407,7 +407,7 @@
 		a.answer(func() { a.lost(balance.Reset) })
 	}
 	if notice {
-		w.publish(s, balance.Gone, "Gone", w.s.Discovery.SilentNotice)
+		w.publish(s, balance.Gone, "Gone", w.s.Discovery.CrashDelay)
 	}
 }
 
@@ -420,5 +420,5 @@
 	if w.members != nil {
 		w.members.warm(s)
 	}
-	w.publish(s, balance.Ready, "Ready", w.s.Discovery.Add)
+	w.publish(s, balance.Ready, "Ready", w.s.Discovery.AddDelay)
 }
--- a/internal/lab/simulate/simulate_test.go
+++ b/internal/lab/simulate/simulate_test.go
@@ -50,7 +50,7 @@
 			s.Rules.MaxAttempts = 1
 			o.Change = func(_ int, cfg *balance.Config) { cfg.MaxAttempts = 3 }
 		},
-		"cold": func(s *scenario.Scenario, _ *simulate.Options) { s.Servers.FallMultiple = 0.3 },
+		"cold": func(s *scenario.Scenario, _ *simulate.Options) { s.Servers.OverloadMultiple = 0.3 },
 	} {
 		s, o := parse(t, "zone-crash"), simulate.Options{}
 		plant(s, &o)
--- a/internal/lab/simulate/try.go
+++ b/internal/lab/simulate/try.go
@@ -28,8 +28,8 @@
 
 func (w *world) arrive(number int, a *scenario.Arrival) {
 	k := &ask{w: w, number: number, a: a, rng: rand.New(rand.NewPCG(a.Seed, uint64(number)))}
-	k.deadline = w.Now() + ms(w.s.Pace(w.s.Classes[a.Class].Deadline))
-	k.honours = k.rng.Float64() < w.s.Traffic.Honour
+	k.deadline = w.Now() + ms(w.s.Scaled(w.s.Classes[a.Class].Deadline))
+	k.honours = k.rng.Float64() < w.s.Traffic.ObeysRetryAfter
 	k.next()
 }
 
@@ -42,12 +42,12 @@
 	k.tries++
 	noise := 0.9 + 0.2*k.rng.Float64()
 	left := k.deadline - w.Now()
-	patience := math.Min(ms(s.Pace(s.Classes[k.a.Class].Deadline))*math.Min(s.Traffic.TryShare*noise, 1), left)
+	patience := math.Min(ms(s.Scaled(s.Classes[k.a.Class].Deadline))*math.Min(s.Traffic.AttemptTimeoutFraction*noise, 1), left)
 	if s.Traffic.Retries == 0 {
 		patience = left
 	}
 	early := 0.0
-	if k.rng.Float64() < s.Traffic.Impatient {
+	if k.rng.Float64() < s.Traffic.EarlyLeaveFraction {
 		early = patience * k.rng.Float64()
 	}
 	if patience < 1 {
@@ -93,7 +93,7 @@
 
 // again lets the client come back after its pause.
 func (k *ask) again(after float64) {
-	wait := ms(k.w.s.Pace(k.w.s.Traffic.Backoff))
+	wait := ms(k.w.s.Scaled(k.w.s.Traffic.Backoff))
 	if k.honours && after > 0 {
 		wait = after
 	}
@@ -200,7 +200,7 @@
 	case s.down || l.refuse:
 		w.After(2*once, func() { a.lost(balance.ConnectFailed) })
 	default:
-		w.After(3*once, func() { a.arrive(w.s.Servers.Handshake.Milliseconds() / w.s.Traffic.Pace) })
+		w.After(3*once, func() { a.arrive(w.s.Servers.HandshakeWork.Milliseconds() / w.s.Traffic.Speedup) })
 	}
 }
 
@@ -242,7 +242,7 @@
 	}
 	dropped := s.drop > 0 && w.rng.Float64() < s.drop || l.lose > 0 && w.rng.Float64() < l.lose
 	w.advance(s.pod)
-	work := a.t.ask.a.Work*w.s.Classes[a.t.ask.a.Class].Vary(a.t.id, s.number) + extra
+	work := a.t.ask.a.Work*w.s.Classes[a.t.ask.a.Class].AttemptWorkFactor(a.t.id, s.number) + extra
 	if w.members != nil && w.members.topples(s) {
 		a.topple()
 		return
@@ -290,7 +290,7 @@
 // keep leaves the connection open for the next request.
 func (a *attempt) keep() {
 	w := a.t.ask.w
-	a.t.c.idle[a.s.number] = append(a.t.c.idle[a.s.number], w.Now()+w.s.Servers.Idle.Milliseconds()-2)
+	a.t.c.idle[a.s.number] = append(a.t.c.idle[a.s.number], w.Now()+w.s.Servers.IdleTimeout.Milliseconds()-2)
 }
 
 // served is a good answer.
--- a/internal/lab/stock/spec.go
+++ b/internal/lab/stock/spec.go
@@ -11,17 +11,17 @@
 	s, sp := p.Scenario, &p.Servers[number]
 	k, drawn := &s.Servers.Kinds[sp.Kind], &p.Kinds[sp.Kind]
 	spec := Spec{
-		Cores: k.Cores, Speed: sp.Speed, Slots: drawn.Slots, Queue: k.Queue, MaxConns: s.Servers.MaxConns,
-		Handshake: s.Servers.Handshake.Milliseconds() / s.Traffic.Pace, Idle: s.Servers.Idle.Duration(), NoCancel: s.Servers.NoCancel,
-		InitialCapacity: k.ColdFrom, SlowStartTime: k.Cold.Duration(), OverloadMultiple: s.Rules.FallMultiple, OverloadTime: s.Rules.FallTime.Duration(),
+		Cores: k.Cores, Speed: sp.Speed, Slots: drawn.SlotsPerCore, Queue: k.Queue, MaxConns: s.Servers.MaxConns,
+		Handshake: s.Servers.HandshakeWork.Milliseconds() / s.Traffic.Speedup, Idle: s.Servers.IdleTimeout.Duration(), NoCancel: s.Servers.NoCancel,
+		InitialCapacity: k.InitialCapacity, SlowStartTime: k.SlowStart.Duration(), OverloadMultiple: s.Rules.OverloadMultiple, OverloadTime: s.Rules.OverloadTime.Duration(),
 		Pause: Pause{
 			MeanInterval:  time.Duration(drawn.PauseEvery * float64(time.Second)),
-			MaxIdleLength: s.Pace(scenario.Duration(drawn.Pause * float64(time.Millisecond))),
-			LoadFactor:    drawn.PauseGrow, Seed: p.Seed ^ uint64(number)<<32,
+			MaxIdleLength: s.Scaled(scenario.Duration(drawn.PauseLength * float64(time.Millisecond))),
+			LoadFactor:    drawn.PauseGrowth, Seed: p.Seed ^ uint64(number)<<32,
 		},
 	}
-	if s.Servers.FallMultiple > 0 {
-		spec.OverloadMultiple = s.Servers.FallMultiple
+	if s.Servers.OverloadMultiple > 0 {
+		spec.OverloadMultiple = s.Servers.OverloadMultiple
 	}
 	if s.Servers.Jam {
 		spec.Jam = DefaultJam()
