--- a/cmd/marblelane/lab_run.go
+++ b/cmd/marblelane/lab_run.go
@@ -30,7 +30,7 @@
 			return fmt.Errorf("--older: %w", err)
 		}
 	}
-	if s.Registry.Copies == 0 {
+	if s.Registry.Replicas == 0 {
 		path, done, err := c.findProgram(a)
 		if err != nil {
 			return err
--- a/internal/lab/outcome.go
+++ b/internal/lab/outcome.go
@@ -69,8 +69,8 @@
 	s := p.Scenario
 	facts := invariant.Facts{
 		MaxAttempts: s.Rules.MaxAttempts, DrainGrace: s.Rules.DrainGrace.Duration(),
-		MemoryMB: s.Sidecars.MemoryMB, Sockets: s.Sidecars.Sockets, ServiceAfterTerm: scenario.SparedTerm,
-		Routes: routes, Latency: p.LongestLatency(), HeldBack: heldBack(p), Stalls: stalls, Starvation: starved, ReadyWithin: s.Rules.ReadyWithin.Duration(),
+		MemoryMB: s.Sidecars.MemoryMB, Sockets: s.Sidecars.MaxSockets, ServiceAfterTerm: scenario.ServiceAfterTerm,
+		Routes: routes, Latency: p.MaxLatency(), HeldBack: heldBack(p), Stalls: stalls, Starvation: starved, ReadyWithin: s.Rules.ReadyWithin.Duration(),
 		SlowStart: coldStart(p),
 	}
 	for _, c := range s.Classes {
