--- a/cmd/marblelane/register.go
+++ b/cmd/marblelane/register.go
@@ -11,6 +11,7 @@
 
 	"marblelane/internal/fault"
 	"marblelane/internal/registry"
+	"marblelane/internal/registry/state"
 )
 
 type registerCmd struct {
@@ -35,8 +36,8 @@
 		return fmt.Errorf("register: %w", err)
 	}
 	agent := &registry.Agent{Copies: c.Copy, Lease: c.Lease, Health: c.Health, Drain: c.Drain, Log: a.log,
-		Entry: registry.Entry{UID: c.UID, Endpoint: c.Endpoint, Zone: c.Zone, Model: c.Model, PodGroup: c.Pod,
-			State: registry.Ready, Capacity: 1, BootMS: faults.Now().UnixMilli()}}
+		Entry: state.Entry{UID: c.UID, Endpoint: c.Endpoint, Zone: c.Zone, Model: c.Model, PodGroup: c.Pod,
+			State: state.Ready, Capacity: 1, BootMS: faults.Now().UnixMilli()}}
 	command := c.Command
 	if len(command) > 0 && command[0] == "--" {
 		command = command[1:]
--- a/cmd/marblelane/registry.go
+++ b/cmd/marblelane/registry.go
@@ -17,6 +17,7 @@
 	"time"
 
 	"marblelane/internal/registry"
+	"marblelane/internal/registry/state"
 )
 
 type registryCmd struct {
@@ -153,7 +154,7 @@
 
 func (c *registryPut) Run(a *app) error {
 	body, err := json.Marshal(map[string]any{"uid": c.UID, "endpoint": c.Endpoint, "az": c.Zone, "model": c.Model,
-		"pod_group": c.Pod, "state": registry.Ready, "capacity_hint": c.Capacity, "boot_ms": c.Boot, "lease_ms": c.Lease.Milliseconds()})
+		"pod_group": c.Pod, "state": state.Ready, "capacity_hint": c.Capacity, "boot_ms": c.Boot, "lease_ms": c.Lease.Milliseconds()})
 	if err != nil {
 		return fmt.Errorf("put: %w", err)
 	}
--- a/cmd/marblelane/registry_test.go
+++ b/cmd/marblelane/registry_test.go
@@ -20,7 +20,7 @@
 	"github.com/stretchr/testify/require"
 
 	"marblelane/internal/fault"
-	"marblelane/internal/registry"
+	"marblelane/internal/registry/state"
 )
 
 // serve starts a real copy with a configuration and gives where it serves.
@@ -295,29 +295,29 @@
 				})
 				return cmd
 			}
-			listed := func(state string, after int64) (start int64) {
+			listed := func(entryState string, after int64) (start int64) {
 				require.Eventually(t, func() bool {
 					resp, err := http.Get("http://" + addr + "/registry/instances/s-1")
 					if err != nil {
 						return false
 					}
 					defer resp.Body.Close()
-					var e registry.Entry
+					var e state.Entry
 					if json.NewDecoder(resp.Body).Decode(&e) != nil {
 						return false
 					}
 					start = e.BootMS
-					return e.State == state && start > after
-				}, 20*time.Second, 10*time.Millisecond, "an entry that is %v", state)
+					return e.State == entryState && start > after
+				}, 20*time.Second, 10*time.Millisecond, "an entry that is %v", entryState)
 				return start
 			}
 			former := register()
-			start := listed(registry.Ready, 0)
+			start := listed(state.Ready, 0)
 			require.NoError(t, former.Process.Signal(syscall.SIGTERM))
-			listed(registry.Terminating, 0)
+			listed(state.Terminating, 0)
 			require.NoError(t, fault.NewSet(step, 0, "").Write(faults))
 			register("--faults", faults)
-			listed(registry.Ready, start)
+			listed(state.Ready, start)
 		})
 	}
 }
--- a/internal/lab/registry.go
+++ b/internal/lab/registry.go
@@ -22,6 +22,7 @@
 	"marblelane/internal/lab/relay"
 	"marblelane/internal/lab/scenario"
 	"marblelane/internal/registry"
+	"marblelane/internal/registry/state"
 )
 
 // A run of the list service: real copies that reach each other through relays, writers that go on through all faults
@@ -268,7 +269,7 @@
 	watchers := make([]*lister, rr.reg.Watchers)
 	var watch, write sync.WaitGroup
 	for i := range watchers {
-		watchers[i] = &lister{rr: rr, rng: rand.New(rand.NewPCG(rr.plan.Seed, uint64(i)+1<<32)), list: map[string]registry.Entry{}}
+		watchers[i] = &lister{rr: rr, rng: rand.New(rand.NewPCG(rr.plan.Seed, uint64(i)+1<<32)), list: map[string]state.Entry{}}
 		watch.Go(func() { watchers[i].follow(watching) })
 	}
 	var lag []time.Duration
@@ -342,13 +343,13 @@
 	defer cancel()
 	for {
 		behind, wrong := 0, 0
-		var l registry.List
+		var l state.List
 		if lead := rr.leader(ctx); lead != nil {
 			if code, text, err := quick(ctx, "GET", "http://"+lead.serve+"/registry/instances", nil); err == nil && code == 200 {
 				_ = json.Unmarshal(text, &l) // an unreadable one has no revision, and all are behind
 			}
 		}
-		want := map[string]registry.Entry{}
+		want := map[string]state.Entry{}
 		for _, e := range l.Targets {
 			want[e.UID] = e
 		}
--- a/internal/lab/registry_clients.go
+++ b/internal/lab/registry_clients.go
@@ -20,7 +20,7 @@
 	"time"
 
 	"marblelane/internal/lab/record"
-	"marblelane/internal/registry"
+	"marblelane/internal/registry/state"
 )
 
 // writer writes and reads single entries through copies drawn at random, as fast as its pause lets it.
@@ -166,7 +166,7 @@
 	rr   *registryRun
 	rng  *rand.Rand
 	mu   sync.Mutex
-	list map[string]registry.Entry
+	list map[string]state.Entry
 	rev  int64
 	told []ack // when it first had a revision
 }
@@ -215,7 +215,7 @@
 		if line = bytes.TrimSpace(line); len(line) == 0 {
 			continue
 		}
-		var l registry.List
+		var l state.List
 		if err := json.Unmarshal(line, &l); err != nil {
 			w.rr.breach("watchers-agree", fmt.Sprintf("a line that cannot be read: %v", err))
 			return
@@ -226,7 +226,7 @@
 }
 
 // take applies a line and compares the list with what others had at this revision.
-func (w *lister) take(l *registry.List) {
+func (w *lister) take(l *state.List) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if !l.All && l.Rev <= w.rev {
@@ -240,7 +240,7 @@
 		clear(w.list)
 	}
 	for _, e := range l.Targets {
-		if e.State == registry.Gone {
+		if e.State == state.Gone {
 			delete(w.list, e.UID)
 		} else {
 			w.list[e.UID] = e
@@ -251,12 +251,12 @@
 	w.rr.compare(l.Rev, hashOf(w.list))
 }
 
-func hashOf(list map[string]registry.Entry) uint64 {
-	all := make([]registry.Entry, 0, len(list))
+func hashOf(list map[string]state.Entry) uint64 {
+	all := make([]state.Entry, 0, len(list))
 	for _, e := range list {
 		all = append(all, e)
 	}
-	slices.SortFunc(all, func(a, b registry.Entry) int { return strings.Compare(a.UID, b.UID) })
+	slices.SortFunc(all, func(a, b state.Entry) int { return strings.Compare(a.UID, b.UID) })
 	return record.Sum(fmt.Append(nil, all))
 }
 
--- a/internal/lab/service.go
+++ b/internal/lab/service.go
@@ -20,7 +20,7 @@
 	"marblelane/internal/lab/record"
 	"marblelane/internal/lab/relay"
 	"marblelane/internal/lab/scenario"
-	"marblelane/internal/registry"
+	"marblelane/internal/registry/state"
 	"marblelane/internal/route"
 )
 
@@ -248,7 +248,7 @@
 // translate writes a sidecar's own addresses into a line, and gives what records that it was told. A line that is no list
 // passes.
 func (s *service) translate(sidecar int, line []byte) (text []byte, tell func()) {
-	var l registry.List
+	var l state.List
 	if len(bytes.TrimSpace(line)) == 0 || json.Unmarshal(line, &l) != nil {
 		return line, func() {}
 	}
--- a/internal/registry/agent.go
+++ b/internal/registry/agent.go
@@ -8,6 +8,7 @@
 	"fmt"
 	"io"
 	"log/slog"
+	"marblelane/internal/registry/state"
 	"net/http"
 	"net/url"
 	"sync/atomic"
@@ -25,7 +26,7 @@
 // take this one for a later start, so its first registration gives it a time right after.
 type Agent struct {
 	Copies []string // addresses of replicas, in order of preference
-	Entry  Entry
+	Entry  state.Entry
 	Lease  time.Duration // 15 s
 	Health string        // URL that answers 200 when the server can serve; empty: it always can
 	Drain  time.Duration // from Terminating until it is removed; 5 s
@@ -58,7 +59,7 @@
 		return errors.New("register: no copy of the list service is named")
 	}
 	if a.Entry.State == "" {
-		a.Entry.State = Ready
+		a.Entry.State = state.Ready
 	}
 	if err := a.Entry.Check(); err != nil {
 		return fmt.Errorf("register: %w", err)
@@ -85,13 +86,13 @@
 				}
 				registered, acknowledged = true, true
 				pause.Reset()
-			case errors.Is(err, ErrDrained) && !acknowledged && !bootAdjusted:
+			case errors.Is(err, state.ErrDrained) && !acknowledged && !bootAdjusted:
 				bootAdjusted, next = true, 0
 				if boot, err := a.listedBoot(ctx); err == nil && boot >= a.Entry.BootMS {
 					a.Log.Warn("register: this start seems earlier than the one before; the clock was set back", "uid", a.Entry.UID)
 					a.Entry.BootMS = boot + 1
 				}
-			case errors.Is(err, ErrUnknown): // its lease has ended meanwhile
+			case errors.Is(err, state.ErrUnknown): // its lease has ended meanwhile
 				registered, next = false, 0
 			default:
 				a.Log.Warn("register: no copy takes the call", "uid", a.Entry.UID, "error", err)
@@ -114,7 +115,7 @@
 	ctx, cancel := context.WithTimeout(context.Background(), time.Duration(len(a.Copies))*agentCall)
 	defer cancel()
 	_, err := a.callAnyReplica(ctx, http.MethodPost, "/drain", nil)
-	if errors.Is(err, ErrUnknown) {
+	if errors.Is(err, state.ErrUnknown) {
 		return nil // it is off already
 	}
 	if err != nil {
@@ -159,8 +160,8 @@
 			State string `json:"state"`
 		}
 		answer, err := a.callAnyReplica(ctx, http.MethodPost, "/renew", nil)
-		if err == nil && json.Unmarshal(answer, &lease) == nil && lease.State == Terminating {
-			a.Entry.State = Terminating // somebody drains it; it must not come back as a ready one
+		if err == nil && json.Unmarshal(answer, &lease) == nil && lease.State == state.Terminating {
+			a.Entry.State = state.Terminating // somebody drains it; it must not come back as a ready one
 		}
 		return err
 	}
@@ -178,7 +179,7 @@
 	if err != nil {
 		return 0, err
 	}
-	var e Entry
+	var e state.Entry
 	if err := json.Unmarshal(answer, &e); err != nil {
 		return 0, fmt.Errorf("register: %w", err)
 	}
@@ -189,7 +190,7 @@
 func (a *Agent) callAnyReplica(ctx context.Context, method, what string, body []byte) (answer []byte, failed error) {
 	for range a.Copies {
 		answer, err := a.call(ctx, a.Copies[a.at], method, what, body)
-		if err == nil || errors.Is(err, ErrUnknown) || errors.Is(err, ErrDrained) {
+		if err == nil || errors.Is(err, state.ErrUnknown) || errors.Is(err, state.ErrDrained) {
 			return answer, err
 		}
 		failed = err
@@ -216,9 +217,9 @@
 	text, err := io.ReadAll(io.LimitReader(resp.Body, maxWriteBodyBytes))
 	switch {
 	case resp.StatusCode == http.StatusNotFound:
-		return nil, ErrUnknown
+		return nil, state.ErrUnknown
 	case resp.StatusCode == http.StatusConflict && what == "" && method == http.MethodPost:
-		return nil, fmt.Errorf("%w: %s", ErrDrained, bytes.TrimSpace(text))
+		return nil, fmt.Errorf("%w: %s", state.ErrDrained, bytes.TrimSpace(text))
 	case resp.StatusCode != http.StatusOK:
 		return nil, fmt.Errorf("register: %s answers %s: %s", copyAddr, resp.Status, bytes.TrimSpace(text))
 	}
--- a/internal/registry/agent_test.go
+++ b/internal/registry/agent_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"context"
+	"marblelane/internal/registry/state"
 	"net/http"
 	"net/http/httptest"
 	"strings"
@@ -21,7 +22,7 @@
 	}))
 	defer server.Close()
 	a := &Agent{Copies: []string{all[0].cfg.Listen, all[1].cfg.Listen, all[2].cfg.Listen}, Lease: 900 * time.Millisecond,
-		Health: server.URL, Drain: 300 * time.Millisecond, Entry: *entry("s1", 7)}
+		Health: server.URL, Drain: 300 * time.Millisecond, Entry: *testEntry("s1", 7)}
 	ctx, stop := context.WithCancel(t.Context())
 	ended := make(chan error, 1)
 	go func() { ended <- a.Run(ctx) }()
@@ -54,7 +55,7 @@
 	w.next(t)
 	stop()
 	var states []string
-	for len(states) == 0 || states[len(states)-1] != Gone {
+	for len(states) == 0 || states[len(states)-1] != state.Gone {
 		for _, e := range w.next(t).Targets {
 			states = append(states, e.State)
 		}
@@ -78,7 +79,7 @@
 		}
 	}))
 	defer server.Close()
-	a := &Agent{Copies: []string{"127.0.0.1:1", one.cfg.Listen}, Lease: 500 * time.Millisecond, Health: server.URL, Entry: *entry("s1", 7)}
+	a := &Agent{Copies: []string{"127.0.0.1:1", one.cfg.Listen}, Lease: 500 * time.Millisecond, Health: server.URL, Entry: *testEntry("s1", 7)}
 	ctx, stop := context.WithCancel(t.Context())
 	ended := make(chan error, 1)
 	go func() { ended <- a.Run(ctx) }()
@@ -96,7 +97,7 @@
 func TestAgent_drain(t *testing.T) {
 	one := cluster(t, 1, func(c *Config) { c.Dir, c.Peers = "", nil })[0]
 	run := func(boot int64) (stop func()) {
-		a := &Agent{Copies: []string{one.cfg.Listen}, Lease: 600 * time.Millisecond, Drain: time.Millisecond, Entry: *entry("s1", boot)}
+		a := &Agent{Copies: []string{one.cfg.Listen}, Lease: 600 * time.Millisecond, Drain: time.Millisecond, Entry: *testEntry("s1", boot)}
 		ctx, cancel := context.WithCancel(t.Context())
 		ended := make(chan error, 1)
 		go func() { ended <- a.Run(ctx) }()
@@ -114,9 +115,7 @@
 		t.Fatal(code)
 	}
 	renewed := func() bool { // a renewal after the drain has reached the agent
-		one.node.server.leases.mu.Lock()
-		defer one.node.server.leases.mu.Unlock()
-		return time.Until(one.node.server.leases.ends["s1"]) > 550*time.Millisecond
+		return time.Until(one.node.server.leases.End("s1")) > 550*time.Millisecond
 	}
 	until(t, "a renewal", func() bool { return !renewed() })
 	until(t, "another renewal", renewed)
--- a/internal/registry/freshness.go
+++ b/internal/registry/freshness.go
@@ -4,6 +4,7 @@
 	"context"
 	"encoding/json"
 	"fmt"
+	"marblelane/internal/registry/state"
 	"net/http"
 	"sync"
 	"time"
@@ -73,7 +74,7 @@
 // leaderRev answers polls of followers with the revision of this replica, if it leads.
 func (s *Server) leaderRev(w http.ResponseWriter, _ *http.Request) {
 	var rev int64
-	s.hub.read(func(st *State) { rev = st.Rev() })
+	s.hub.read(func(st *state.State) { rev = st.Rev() })
 	if err := s.replica.Confirm(); err != nil {
 		http.Error(w, err.Error(), http.StatusServiceUnavailable)
 		return
--- a/internal/registry/golden_test.go
+++ b/internal/registry/golden_test.go
@@ -14,6 +14,7 @@
 	"github.com/stretchr/testify/require"
 
 	"marblelane/internal/audit"
+	"marblelane/internal/registry/state"
 	"marblelane/internal/rollout"
 	"marblelane/internal/route"
 )
@@ -29,38 +30,38 @@
 }
 
 // goldenListCommands are the commands that change the list; after them a snapshot has the form without routes.
-func goldenListCommands() []Command {
-	unchanged, changed := int64(0), int64(5<<countBits+1)
-	return []Command{
-		{Op: OpBegin, Epoch: 5},
-		{Op: OpPut, LeaseMS: 30_000, If: &unchanged, Entry: &Entry{UID: "server-0", Endpoint: "127.0.0.1:8080", Zone: "zone-é",
-			Model: "large <&>", PodGroup: 4, State: Ready, Capacity: 1.5, BootMS: 1_700_000_000_000}},
-		{Op: OpPut, Entry: &Entry{UID: "server-1", Endpoint: "127.0.0.1:8081", State: Ready}},
-		{Op: OpPut, Entry: &Entry{UID: "server-2", Endpoint: "127.0.0.1:8082", State: Ready}, LeaseMS: 5},
-		{Op: OpPut, Entry: &Entry{UID: "server-3", Endpoint: "127.0.0.1:8083", State: Ready}},
-		{Op: OpDrain, UID: "server-0", If: &changed},
-		{Op: OpRemove, UID: "server-1"},
-		{Op: OpExpire, Expired: map[string]int64{"server-2": 5<<countBits + 3, "server-9": 7}, Term: 2},
-		{Op: OpMember, UID: "copy-a", Address: "127.0.0.1:7000"},
-		{Op: OpMember, UID: "copy-b", Address: "127.0.0.2:7000"},
+func goldenListCommands() []state.Command {
+	unchanged, changed := int64(0), int64(5<<state.CountBits+1)
+	return []state.Command{
+		{Op: state.OpBegin, Epoch: 5},
+		{Op: state.OpPut, LeaseMS: 30_000, If: &unchanged, Entry: &state.Entry{UID: "server-0", Endpoint: "127.0.0.1:8080", Zone: "zone-é",
+			Model: "large <&>", PodGroup: 4, State: state.Ready, Capacity: 1.5, BootMS: 1_700_000_000_000}},
+		{Op: state.OpPut, Entry: &state.Entry{UID: "server-1", Endpoint: "127.0.0.1:8081", State: state.Ready}},
+		{Op: state.OpPut, Entry: &state.Entry{UID: "server-2", Endpoint: "127.0.0.1:8082", State: state.Ready}, LeaseMS: 5},
+		{Op: state.OpPut, Entry: &state.Entry{UID: "server-3", Endpoint: "127.0.0.1:8083", State: state.Ready}},
+		{Op: state.OpDrain, UID: "server-0", If: &changed},
+		{Op: state.OpRemove, UID: "server-1"},
+		{Op: state.OpExpire, Expired: map[string]int64{"server-2": 5<<state.CountBits + 3, "server-9": 7}, Term: 2},
+		{Op: state.OpMember, UID: "copy-a", Address: "127.0.0.1:7000"},
+		{Op: state.OpMember, UID: "copy-b", Address: "127.0.0.2:7000"},
 	}
 }
 
 // goldenRouteCommands are the commands that a snapshot has the form with routes after.
-func goldenRouteCommands() []Command {
+func goldenRouteCommands() []state.Command {
 	process := route.Process{Name: "process-0", Start: 9}
-	return []Command{
-		{Op: OpTerm, TermMS: 15_000, Term: 2},
-		{Op: OpRoutes, Routes: &rollout.Command{Op: rollout.OpPost, AtMS: 1_700_000_001_000, Spec: &rollout.Spec{
+	return []state.Command{
+		{Op: state.OpTerm, TermMS: 15_000, Term: 2},
+		{Op: state.OpRoutes, Routes: &rollout.Command{Op: rollout.OpPost, AtMS: 1_700_000_001_000, Spec: &rollout.Spec{
 			Tenant: "checkout", Name: "one", SubsetName: "next", Canary: route.Subset{Model: []string{"new"}}, Budget: 10,
 			Steps: []rollout.Step{{CanaryFraction: 0.5, HoldMS: 1000, MinAttempts: 3}}, AtEnd: rollout.AtEndReturn}}},
-		{Op: OpRoutes, Routes: &rollout.Command{Op: rollout.OpLedger, AtMS: 1_700_000_002_000, Entries: []rollout.LedgerEntry{
+		{Op: state.OpRoutes, Routes: &rollout.Command{Op: rollout.OpLedger, AtMS: 1_700_000_002_000, Entries: []rollout.LedgerEntry{
 			{Process: process, Tenant: "checkout", Rollout: "one", Granted: 4},
 			{Process: process, Tenant: "checkout", Rollout: "one", Granted: 4, Spent: 1}}}},
-		{Op: OpAudit, Seen: []SchemaSupport{{Process: process, Schemas: []int{1, 2, 3}, AtMS: 1_700_000_002_500}},
+		{Op: state.OpAudit, Seen: []state.SchemaSupport{{Process: process, Schemas: []int{1, 2, 3}, AtMS: 1_700_000_002_500}},
 			Audit: []audit.Transition{
-				{Process: process, AtMS: 1_700_000_002_000, Kind: audit.FirstReport, Rev: 5<<countBits + 1},
-				{Process: process, AtMS: 1_700_000_003_000, Kind: audit.Gone, Rev: 5<<countBits + 1, Attempts: 7, Note: "silent"}}},
+				{Process: process, AtMS: 1_700_000_002_000, Kind: audit.FirstReport, Rev: 5<<state.CountBits + 1},
+				{Process: process, AtMS: 1_700_000_003_000, Kind: audit.Gone, Rev: 5<<state.CountBits + 1, Attempts: 7, Note: "silent"}}},
 	}
 }
 
@@ -106,9 +107,9 @@
 func (*goldenSink) Cancel() error { return nil }
 
 // goldenBytes is the state as a snapshot on disk has it.
-func goldenBytes(t *testing.T, s *State) string {
+func goldenBytes(t *testing.T, s *state.State) string {
 	t.Helper()
-	form, err := s.save()
+	form, err := s.Snapshot()
 	require.NoError(t, err)
 	var sink goldenSink
 	require.NoError(t, snapshot{form}.Persist(&sink))
@@ -116,22 +117,22 @@
 }
 
 func TestGoldenSnapshots(t *testing.T) {
-	for name, commands := range map[string][]Command{
+	for name, commands := range map[string][]state.Command{
 		"snapshot-empty.json":  nil,
 		"snapshot-form-1.json": goldenListCommands(),
 		"snapshot-form-2.json": append(goldenListCommands(), goldenRouteCommands()...),
 	} {
 		t.Run(name, func(t *testing.T) {
-			want, got := NewState(100), NewState(100)
+			want, got := state.NewState(100), state.NewState(100)
 			for _, command := range commands {
 				_, err := want.Apply(&command)
 				require.NoError(t, err, command.Op)
 			}
 			stored := goldenFile(t, name)
 			assert.Equal(t, string(stored), goldenBytes(t, want), "what the commands make")
-			var form saved
+			var form state.Snapshot
 			require.NoError(t, json.Unmarshal(stored, &form))
-			require.NoError(t, got.load(&form))
+			require.NoError(t, got.Restore(&form))
 			assert.Equal(t, string(stored), goldenBytes(t, got), "what is written again")
 			assert.Equal(t, want.All(), got.All())
 			assert.Equal(t, want.Members(), got.Members())
--- a/internal/registry/hub.go
+++ b/internal/registry/hub.go
@@ -3,6 +3,7 @@
 import (
 	"encoding/json"
 	"fmt"
+	"marblelane/internal/registry/state"
 	"sync"
 	"sync/atomic"
 )
@@ -12,7 +13,7 @@
 // lines behind, or does not take a line within writeWait, is closed; its client resumes from the revision it has.
 type hub struct {
 	mu        sync.Mutex
-	state     *State
+	state     *state.State
 	tail      *line
 	linkedRev int64 // newest revision published to the linked list
 	fullList  *line // cached encoding of the full list; nil: none
@@ -32,12 +33,12 @@
 const maxWatcherLag = 1000
 
 func newHub(keep int) *hub {
-	h := &hub{state: NewState(keep)}
+	h := &hub{state: state.NewState(keep)}
 	h.tail = &line{ready: make(chan struct{})}
 	return h
 }
 
-func encode(l List) ([]byte, error) {
+func encode(l state.List) ([]byte, error) {
 	text, err := json.Marshal(l)
 	if err != nil {
 		return nil, fmt.Errorf("registry: encode the list: %w", err)
@@ -46,14 +47,14 @@
 }
 
 // read calls f with the state, which f must not keep.
-func (h *hub) read(f func(*State)) {
+func (h *hub) read(f func(*state.State)) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	f(h.state)
 }
 
 // replace installs the state of a snapshot and sends the full list to all watches.
-func (h *hub) replace(s *State) error {
+func (h *hub) replace(s *state.State) error {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.state, h.fullList = s, nil
@@ -71,7 +72,7 @@
 }
 
 // link appends a line; h.mu is held.
-func (h *hub) link(l List) error {
+func (h *hub) link(l state.List) error {
 	text, err := encode(l)
 	if err != nil {
 		return err
--- a/internal/registry/node.go
+++ b/internal/registry/node.go
@@ -21,6 +21,7 @@
 	"marblelane/internal/fault"
 	"marblelane/internal/listener"
 	"marblelane/internal/membership"
+	"marblelane/internal/registry/state"
 	"marblelane/internal/retry"
 )
 
@@ -330,7 +331,7 @@
 }
 
 // Apply carries out a command once a quorum has it.
-func (n *Node) Apply(c *Command, wait time.Duration) (int64, error) {
+func (n *Node) Apply(c *state.Command, wait time.Duration) (int64, error) {
 	data, err := json.Marshal(c)
 	if err != nil {
 		return 0, fmt.Errorf("registry: %w", err)
@@ -359,7 +360,7 @@
 	if err := n.raft.AddVoter(raft.ServerID(p.Name), raft.ServerAddress(p.Raft), 0, applyTimeout).Error(); err != nil {
 		return fmt.Errorf("registry: add %s: %w", p.Name, err)
 	}
-	_, err := n.Apply(&Command{Op: OpMember, UID: p.Name, Address: p.Serve}, applyTimeout)
+	_, err := n.Apply(&state.Command{Op: state.OpMember, UID: p.Name, Address: p.Serve}, applyTimeout)
 	return err
 }
 
@@ -368,6 +369,6 @@
 	if err := n.raft.RemoveServer(raft.ServerID(name), 0, applyTimeout).Error(); err != nil {
 		return fmt.Errorf("registry: remove %s: %w", name, err)
 	}
-	_, err := n.Apply(&Command{Op: OpMember, UID: name}, applyTimeout)
+	_, err := n.Apply(&state.Command{Op: state.OpMember, UID: name}, applyTimeout)
 	return err
 }
--- a/internal/registry/node_lead.go
+++ b/internal/registry/node_lead.go
@@ -4,6 +4,7 @@
 
 import (
 	"context"
+	"marblelane/internal/registry/state"
 	"slices"
 	"time"
 
@@ -33,19 +34,19 @@
 		if n.raft.CurrentTerm() == term {
 			n.readyTerm.Store(term)
 		}
-		commands := []*Command{}
+		commands := []*state.Command{}
 		var rev int64
 		var members map[string]string
-		n.hub.read(func(s *State) { rev, members = s.Rev(), s.Members() })
+		n.hub.read(func(s *state.State) { rev, members = s.Rev(), s.Members() })
 		if rev == 0 {
-			commands = append(commands, &Command{Op: OpBegin, Epoch: NextEpoch(n.cfg.Faults.Now(), 0)})
+			commands = append(commands, &state.Command{Op: state.OpBegin, Epoch: state.NextEpoch(n.cfg.Faults.Now(), 0)})
 		}
 		if members[n.cfg.Name] != n.Addr() {
-			commands = append(commands, &Command{Op: OpMember, UID: n.cfg.Name, Address: n.Addr()})
+			commands = append(commands, &state.Command{Op: state.OpMember, UID: n.cfg.Name, Address: n.Addr()})
 		}
 		for _, p := range n.cfg.Peers {
 			if p.Name != n.cfg.Name && members[p.Name] == "" {
-				commands = append(commands, &Command{Op: OpMember, UID: p.Name, Address: p.Serve})
+				commands = append(commands, &state.Command{Op: state.OpMember, UID: p.Name, Address: p.Serve})
 			}
 		}
 		for _, c := range commands {
@@ -67,14 +68,14 @@
 		return false, ""
 	}
 	var address string
-	n.hub.read(func(s *State) { address = s.members[string(id)] })
+	n.hub.read(func(s *state.State) { address = s.MemberAddress(string(id)) })
 	return false, address
 }
 
 // Staleness is an upper bound of the age of this replica's list: it has every write acknowledged before then.
 func (n *Node) Staleness() time.Duration {
 	var rev int64
-	n.hub.read(func(s *State) { rev = s.Rev() })
+	n.hub.read(func(s *state.State) { rev = s.Rev() })
 	if at := n.fresh.since(rev); !at.IsZero() {
 		return time.Since(at)
 	}
--- a/internal/registry/node_test.go
+++ b/internal/registry/node_test.go
@@ -8,6 +8,7 @@
 	"errors"
 	"fmt"
 	"io"
+	"marblelane/internal/registry/state"
 	"math/rand/v2"
 	"net"
 	"net/http"
@@ -152,6 +153,10 @@
 	return resp.StatusCode, string(text)
 }
 
+func testEntry(uid string, boot int64) *state.Entry {
+	return &state.Entry{UID: uid, Endpoint: "127.0.0.1:1", Zone: "a", State: state.Ready, Capacity: 1, BootMS: boot}
+}
+
 func put(t *testing.T, c *copyOf, uid string, boot, lease int64) {
 	t.Helper()
 	body := fmt.Sprintf(`{"endpoint":"127.0.0.1:1","az":"a","boot_ms":%d,"lease_ms":%d}`, boot, lease)
@@ -163,7 +168,7 @@
 func uids(t *testing.T, c *copyOf) string {
 	t.Helper()
 	_, text := call(t, "GET", c.cfg.Listen, listPath, "")
-	var l List
+	var l state.List
 	if err := json.Unmarshal([]byte(text), &l); err != nil {
 		t.Fatalf("%s: %v", text, err)
 	}
@@ -176,7 +181,7 @@
 
 // watcher follows one replica and checks the lines it receives.
 type watcher struct {
-	lines chan List
+	lines chan state.List
 	stop  context.CancelFunc
 	done  chan struct{}
 }
@@ -192,7 +197,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	w := &watcher{lines: make(chan List, 1000), stop: stop, done: make(chan struct{})}
+	w := &watcher{lines: make(chan state.List, 1000), stop: stop, done: make(chan struct{})}
 	go func() {
 		defer close(w.done)
 		defer resp.Body.Close()
@@ -205,7 +210,7 @@
 			if line = bytes.TrimSpace(line); len(line) == 0 {
 				continue
 			}
-			var l List
+			var l state.List
 			if json.Unmarshal(line, &l) == nil {
 				w.lines <- l
 			}
@@ -218,14 +223,14 @@
 	return w
 }
 
-func (w *watcher) next(t *testing.T) List {
+func (w *watcher) next(t *testing.T) state.List {
 	t.Helper()
 	select {
 	case l := <-w.lines:
 		return l
 	case <-time.After(patience):
 		t.Fatal("the watcher was told nothing")
-		return List{}
+		return state.List{}
 	}
 }
 
@@ -233,18 +238,18 @@
 	all := cluster(t, 1, func(c *Config) { c.Dir, c.Peers = "", nil })
 	one := all[0]
 	w := watch(t, one.cfg.Listen, 0)
-	if l := w.next(t); !l.All || len(l.Targets) != 0 || EpochOf(l.Rev) == 0 {
+	if l := w.next(t); !l.All || len(l.Targets) != 0 || state.EpochOf(l.Rev) == 0 {
 		t.Errorf("at first %+v", l)
 	}
 	put(t, one, "s1", 5, 0)
 	first := w.next(t)
-	if first.All || len(first.Targets) != 1 || first.Targets[0].UID != "s1" || first.Targets[0].State != Ready {
+	if first.All || len(first.Targets) != 1 || first.Targets[0].UID != "s1" || first.Targets[0].State != state.Ready {
 		t.Errorf("a change: %+v", first)
 	}
 	if code, _ := call(t, "POST", one.cfg.Listen, listPath+"/s1/drain", ""); code != 200 {
 		t.Errorf("drain: %d", code)
 	}
-	if l := w.next(t); len(l.Targets) != 1 || l.Targets[0].State != Terminating || l.Rev <= first.Rev {
+	if l := w.next(t); len(l.Targets) != 1 || l.Targets[0].State != state.Terminating || l.Rev <= first.Rev {
 		t.Errorf("a drain: %+v", l)
 	}
 	if code, text := call(t, "POST", one.cfg.Listen, listPath+"/s1", `{"endpoint":"127.0.0.1:1","az":"a","boot_ms":5}`); code != 409 {
@@ -256,11 +261,11 @@
 	if code, _ := call(t, "DELETE", one.cfg.Listen, listPath+"/s1", ""); code != 200 {
 		t.Errorf("removal: %d", code)
 	}
-	if l := w.next(t); len(l.Targets) != 1 || l.Targets[0].State != Gone {
+	if l := w.next(t); len(l.Targets) != 1 || l.Targets[0].State != state.Gone {
 		t.Errorf("a removal: %+v", l)
 	}
 	late := watch(t, one.cfg.Listen, first.Rev)
-	if l := late.next(t); l.All || len(l.Targets) != 1 || l.Targets[0].State != Gone {
+	if l := late.next(t); l.All || len(l.Targets) != 1 || l.Targets[0].State != state.Gone {
 		t.Errorf("who comes back is told %+v", l)
 	}
 	for _, bad := range []struct{ method, path, body, text string }{
@@ -428,45 +433,6 @@
 	})
 }
 
-// A cut-off ends leases one after the other, as servers renew at different times; it takes no more than the share off
-// the list. Servers that die now and then are taken off all the same.
-func TestLeases_massExpiryHeld(t *testing.T) {
-	const term = 15 * time.Second
-	start := time.Unix(0, 0)
-	for _, dead := range []int{100, 3} { // of 100 servers: all are cut off, or three die within a minute
-		l := newLeases()
-		listed := map[string]bool{}
-		for i := range 100 {
-			uid := fmt.Sprint(i)
-			listed[uid] = true
-			l.renew(uid, term, start.Add(time.Duration(i)*term/300)) // spread over a third of the term
-		}
-		held := 0
-		for now := start; now.Before(start.Add(5 * term)); now = now.Add(leaseCheckInterval) {
-			var all []lease
-			for i := range 100 {
-				if uid := fmt.Sprint(i); listed[uid] {
-					all = append(all, lease{uid, 1, term})
-					if i >= dead {
-						l.renew(uid, term, now)
-					}
-				}
-			}
-			var expired map[string]int64
-			expired, held = l.due(all, 0.3, now)
-			for uid := range expired {
-				delete(listed, uid)
-			}
-		}
-		if dead == 100 && (len(listed) < 70 || held != len(listed)) {
-			t.Errorf("cut off from all, %d stay listed and %d are held", len(listed), held)
-		}
-		if dead == 3 && (len(listed) != 97 || held != 0) {
-			t.Errorf("three have died, %d stay listed and %d are held", len(listed), held)
-		}
-	}
-}
-
 func TestAdmission_rate(t *testing.T) {
 	one := cluster(t, 1, func(c *Config) { c.Dir, c.Peers, c.Watches, c.Burst = "", nil, 0.001, 3 })[0]
 	codes := map[int]int{}
@@ -545,7 +511,9 @@
 	quick := watch(t, one.cfg.Listen, 0)
 	quick.next(t)
 	for i := range maxWatcherLag + 2 {
-		s.hub.read(func(st *State) { _, _ = st.Apply(&Command{Op: OpPut, Entry: entry("s", int64(i))}) })
+		s.hub.read(func(st *state.State) {
+			_, _ = st.Apply(&state.Command{Op: state.OpPut, Entry: testEntry("s", int64(i))})
+		})
 		if err := s.hub.publish(); err != nil {
 			t.Fatal(err)
 		}
--- a/internal/registry/recover_test.go
+++ b/internal/registry/recover_test.go
@@ -7,6 +7,7 @@
 	"errors"
 	"fmt"
 	"log/slog"
+	"marblelane/internal/registry/state"
 	"math/rand/v2"
 	"net/http"
 	"os"
@@ -165,19 +166,19 @@
 	s, err := openStore(path, time.Second, nil)
 	require.NoError(t, err)
 	require.NoError(t, s.SetUint64([]byte("CurrentTerm"), 1))
-	type state struct {
+	type restored struct {
 		file []byte
 		text string
 	}
-	note := func() state { // bbolt has the file open, so a replica is read
+	note := func() restored { // bbolt has the file open, so a replica is read
 		at := t.TempDir()
 		b := read(t, path)
 		write(t, filepath.Join(at, storeFile), b)
 		text, found := content(t, at)
 		require.Empty(t, found.Faults)
-		return state{b, text}
+		return restored{b, text}
 	}
-	states := []state{note()}
+	states := []restored{note()}
 	for i := uint64(1); i <= 20; i++ {
 		first, logs := i-i%3, []*raft.Log{}
 		for at := max(1, first); at <= i; at++ {
@@ -257,7 +258,7 @@
 	require.NoError(t, recoverDir(dir, quiet()))
 	assert.DirExists(t, newest)
 	// What a later program wrote is neither set aside nor called damaged.
-	state := read(t, filepath.Join(newest, stateFile))
+	restored := read(t, filepath.Join(newest, stateFile))
 	mark := sealed{Form: sealForm + 1}
 	mark.Sum = mark.sum()
 	text, err := json.Marshal(mark)
@@ -271,7 +272,7 @@
 	require.NoError(t, recoverDir(other, quiet()))
 	assert.NoDirExists(t, filepath.Join(other, old))
 	// A spoilt one is set aside while the older one and the log have everything; what was not finished is cut.
-	write(t, filepath.Join(newest, stateFile), state[:len(state)/2])
+	write(t, filepath.Join(newest, stateFile), restored[:len(restored)/2])
 	unfinished := filepath.Join(dir, snapshotsDir, "9-9-9"+tempSuffix)
 	require.NoError(t, os.Mkdir(unfinished, 0o755))
 	write(t, filepath.Join(dir, storeFile+tempSuffix), []byte("half"))
@@ -450,13 +451,13 @@
 	before := lead.node.rev()
 	require.Less(t, before, seen)
 	lead.node.readers.take(before)
-	lead.node.readers.take(seen + 7<<countBits)
+	lead.node.readers.take(seen + 7<<state.CountBits)
 	assert.False(t, lead.node.beginAgain())
 	assert.Equal(t, before, lead.node.rev())
 	for _, c := range all {
 		if c != lead { // a follower passes it on
 			w := watch(t, c.cfg.Listen, seen)
-			until(t, "the new history", func() bool { return EpochOf(w.next(t).Rev) > EpochOf(seen) })
+			until(t, "the new history", func() bool { return state.EpochOf(w.next(t).Rev) > state.EpochOf(seen) })
 			break
 		}
 	}
@@ -488,10 +489,10 @@
 	left := filepath.Join(filepath.Dir(cfg.Dir), ".n0.restore") // by one that was cut off
 	require.NoError(t, os.MkdirAll(filepath.Join(left, snapshotsDir), 0o755))
 	write(t, filepath.Join(left, storeFile), []byte("half"))
-	seen := (EpochOf(before) + 1_000_000) << countBits // by clients, of a history that the backup does not know
+	seen := (state.EpochOf(before) + 1_000_000) << state.CountBits // by clients, of a history that the backup does not know
 	out, err := Restore(strings.NewReader(backup), cfg, seen, now)
 	require.NoError(t, err)
-	assert.Greater(t, out.Epoch, EpochOf(seen))
+	assert.Greater(t, out.Epoch, state.EpochOf(seen))
 	assert.NoDirExists(t, left)
 	_, err = Restore(strings.NewReader(backup), cfg, seen, now)
 	assert.ErrorIs(t, err, ErrHasState)
--- a/internal/registry/replicas.go
+++ b/internal/registry/replicas.go
@@ -16,6 +16,7 @@
 	"github.com/hashicorp/raft"
 
 	"marblelane/internal/membership"
+	"marblelane/internal/registry/state"
 )
 
 const copiesPath = "/registry/copies"
@@ -45,7 +46,7 @@
 	leads, term := n.raft.State() == raft.Leader, n.raft.CurrentTerm()
 	standings := n.members.standings()
 	var serve map[string]string
-	n.hub.read(func(s *State) { serve = s.Members() })
+	n.hub.read(func(s *state.State) { serve = s.Members() })
 	out := make([]CopyStatus, 0, len(f.Configuration().Servers))
 	for _, s := range f.Configuration().Servers {
 		name := string(s.ID)
@@ -148,7 +149,7 @@
 			return fmt.Errorf("registry: learn %s: %w", p.Name, err)
 		}
 	}
-	_, err = n.Apply(&Command{Op: OpMember, UID: p.Name, Address: p.Serve}, applyTimeout)
+	_, err = n.Apply(&state.Command{Op: state.OpMember, UID: p.Name, Address: p.Serve}, applyTimeout)
 	return err
 }
 
@@ -195,7 +196,7 @@
 			return fmt.Errorf("registry: retire %s: %w", name, err)
 		}
 	}
-	_, err = n.Apply(&Command{Op: OpMember, UID: name}, applyTimeout)
+	_, err = n.Apply(&state.Command{Op: state.OpMember, UID: name}, applyTimeout)
 	return err
 }
 
--- a/internal/registry/restore.go
+++ b/internal/registry/restore.go
@@ -6,6 +6,7 @@
 	"fmt"
 	"io"
 	"log/slog"
+	"marblelane/internal/registry/state"
 	"net/http"
 	"os"
 	"path/filepath"
@@ -53,33 +54,33 @@
 	if cfg.Join {
 		return out, errors.New("restore: the configuration says join; who joins has nothing to restore")
 	}
-	state, err := readBackup(backup)
+	restored, err := readBackup(backup)
 	if err != nil {
 		return out, err
 	}
-	if above > maxEpoch {
-		above = EpochOf(above)
+	if above > state.MaxEpoch {
+		above = state.EpochOf(above)
 	}
-	out.Before = state.Rev()
-	if old := EpochOf(out.Before); above == 0 && int64(now.Sub(epochZero)/time.Minute) < old {
+	out.Before = restored.Rev()
+	if old := state.EpochOf(out.Before); above == 0 && int64(now.Sub(state.EpochZero)/time.Minute) < old {
 		return out, fmt.Errorf("restore: the backup's epoch is %d, and by this clock (%v) it has not begun yet: "+
 			"set the clock, or say with --above which epoch clients have seen", old, now)
 	}
-	out.Epoch = NextEpoch(now, max(EpochOf(out.Before), above))
-	if out.Epoch <= max(EpochOf(out.Before), above) {
+	out.Epoch = state.NextEpoch(now, max(state.EpochOf(out.Before), above))
+	if out.Epoch <= max(state.EpochOf(out.Before), above) {
 		return out, fmt.Errorf("restore: there is no epoch above %d", above)
 	}
-	if _, err := state.Apply(&Command{Op: OpBegin, Epoch: out.Epoch}); err != nil {
+	if _, err := restored.Apply(&state.Command{Op: state.OpBegin, Epoch: out.Epoch}); err != nil {
 		return out, fmt.Errorf("restore: %w", err)
 	}
-	state.members = map[string]string{} // each says for itself where it serves once it is one
-	out.Entries = state.Len()
-	return out, publishDir(state, cfg, uint64(out.Epoch)<<electionBits)
+	restored.ForgetMembers() // each says for itself where it serves once it is one
+	out.Entries = restored.Len()
+	return out, publishDir(restored, cfg, uint64(out.Epoch)<<electionBits)
 }
 
 // readBackup reads a backup whole and finds what cannot be.
-func readBackup(from io.Reader) (*State, error) {
-	var in saved
+func readBackup(from io.Reader) (*state.State, error) {
+	var in state.Snapshot
 	d := json.NewDecoder(from)
 	if err := d.Decode(&in); err != nil {
 		return nil, fmt.Errorf("restore: the backup: %w", err)
@@ -87,7 +88,7 @@
 	if _, err := d.Token(); !errors.Is(err, io.EOF) {
 		return nil, errors.New("restore: the backup: something follows its end")
 	}
-	if in.Rev <= 0 || EpochOf(in.Rev) > maxEpoch {
+	if in.Rev <= 0 || state.EpochOf(in.Rev) > state.MaxEpoch {
 		return nil, fmt.Errorf("restore: the backup: revision %d cannot be", in.Rev)
 	}
 	seen := map[string]bool{}
@@ -104,12 +105,12 @@
 		}
 		seen[it.Entry.UID] = true
 	}
-	s := NewState(0)
-	return s, s.load(&in)
+	s := state.NewState(0)
+	return s, s.Restore(&in)
 }
 
 // place makes the folder of a cluster's first replica.
-func publishDir(state *State, cfg Config, term uint64) error {
+func publishDir(restored *state.State, cfg Config, term uint64) error {
 	dir := filepath.Clean(cfg.Dir)
 	parent, base := filepath.Split(dir)
 	parent = filepath.Clean(parent)
@@ -134,7 +135,7 @@
 	if err := os.Mkdir(temp, 0o755); err != nil {
 		return fmt.Errorf("restore: %w", err)
 	}
-	if err := fill(temp, state, cfg, term); err != nil {
+	if err := fill(temp, restored, cfg, term); err != nil {
 		return errors.Join(fmt.Errorf("restore: %w", err), os.RemoveAll(temp))
 	}
 	if err := os.Rename(temp, dir); err != nil { // refuses a folder that is not empty
@@ -161,7 +162,7 @@
 }
 
 // fill writes the store and the one snapshot, and reads them back.
-func fill(dir string, state *State, cfg Config, term uint64) (err error) {
+func fill(dir string, restored *state.State, cfg Config, term uint64) (err error) {
 	s, err := openStore(filepath.Join(dir, storeFile), time.Minute, nil)
 	if err != nil {
 		return err
@@ -183,7 +184,7 @@
 	if err != nil {
 		return err
 	}
-	out, err := state.save()
+	out, err := restored.Snapshot()
 	if err != nil {
 		return errors.Join(err, sink.Cancel())
 	}
--- a/internal/registry/restore_seen.go
+++ b/internal/registry/restore_seen.go
@@ -4,6 +4,7 @@
 	"context"
 	"fmt"
 	"maps"
+	"marblelane/internal/registry/state"
 	"net/http"
 	"slices"
 	"strconv"
@@ -41,7 +42,7 @@
 	if r.seen == nil {
 		r.seen = map[int64]int64{}
 	}
-	e := EpochOf(rev)
+	e := state.EpochOf(rev)
 	r.seen[e] = max(r.seen[e], rev)
 	if len(r.seen) > maxReaderEpochs { // the latest epoch is the least likely to be of this cluster
 		delete(r.seen, slices.Max(slices.Collect(maps.Keys(r.seen))))
@@ -53,11 +54,11 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for e, rev := range r.seen {
-		if e < EpochOf(of) || rev <= of {
+		if e < state.EpochOf(of) || rev <= of {
 			delete(r.seen, e)
 		}
 	}
-	return r.seen[EpochOf(of)]
+	return r.seen[state.EpochOf(of)]
 }
 
 const seenKey = "seen"
@@ -109,7 +110,7 @@
 }
 
 func (n *Node) rev() (rev int64) {
-	n.hub.read(func(s *State) { rev = s.Rev() })
+	n.hub.read(func(s *state.State) { rev = s.Rev() })
 	return rev
 }
 
@@ -141,10 +142,10 @@
 	if seen == 0 {
 		return false // this replica had not applied it yet
 	}
-	next := NextEpoch(n.cfg.Faults.Now(), EpochOf(rev))
+	next := state.NextEpoch(n.cfg.Faults.Now(), state.EpochOf(rev))
 	n.log.Error("registry: a reader was told more than the copies have: their folders lost what was committed, or old images "+
 		"were put back; a new history begins, and readers take the list whole", "seen", seen, "has", rev, "epoch", next)
-	if _, err := n.Apply(&Command{Op: OpBegin, Epoch: next}, applyTimeout); err != nil {
+	if _, err := n.Apply(&state.Command{Op: state.OpBegin, Epoch: next}, applyTimeout); err != nil {
 		n.log.Warn("registry: the new history", "error", err)
 		return false
 	}
--- a/internal/registry/routes_budgets.go
+++ b/internal/registry/routes_budgets.go
@@ -6,6 +6,7 @@
 	"slices"
 	"time"
 
+	"marblelane/internal/registry/state"
 	"marblelane/internal/rollout"
 	"marblelane/internal/route"
 )
@@ -33,9 +34,9 @@
 	keep := true
 	var err error
 	l.mu.Lock()
-	r.s.hub.read(func(st *State) {
+	r.s.hub.read(func(st *state.State) {
 		var s *rollout.State
-		if s, keep, err = r.planted.ledger(st.routes, l.uncommittedGrants); err != nil {
+		if s, keep, err = r.planted.ledger(st.Routes, l.uncommittedGrants); err != nil {
 			return
 		}
 		for _, a := range all {
@@ -60,9 +61,9 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	answers := make([]route.BudgetResponse, len(all))
-	r.s.hub.read(func(st *State) {
+	r.s.hub.read(func(st *state.State) {
 		var s *rollout.State
-		if s, _, err = r.planted.ledger(st.routes, l.uncommittedGrants); err != nil {
+		if s, _, err = r.planted.ledger(st.Routes, l.uncommittedGrants); err != nil {
 			return
 		}
 		for i, a := range all {
--- a/internal/registry/routes_decisions.go
+++ b/internal/registry/routes_decisions.go
@@ -6,11 +6,12 @@
 	"errors"
 	"time"
 
+	"marblelane/internal/registry/state"
 	"marblelane/internal/rollout"
 )
 
 // apply replicates a command and waits until it is applied.
-func (r *routing) apply(c *Command) error {
+func (r *routing) apply(c *state.Command) error {
 	_, err := r.s.replica.Apply(c, applyTimeout)
 	return err
 }
@@ -23,7 +24,7 @@
 		return
 	}
 	if l.lowersLeaseTerm {
-		if err := r.apply(&Command{Op: OpTerm, TermMS: l.leaseTermMS, Term: l.term}); err != nil {
+		if err := r.apply(&state.Command{Op: state.OpTerm, TermMS: l.leaseTermMS, Term: l.term}); err != nil {
 			return
 		}
 		l.lowersLeaseTerm = false
@@ -42,9 +43,9 @@
 	defer l.mu.Unlock()
 	now := time.Now()
 	var commands []rollout.Command
-	r.s.hub.read(func(s *State) {
+	r.s.hub.read(func(s *state.State) {
 		var standings []rollout.AccessChange
-		commands, standings = l.controller.Tick(l.floor(now), s.routes, s.ready)
+		commands, standings = l.controller.Tick(l.floor(now), s.Routes, s.ReadyIn)
 		l.queueTransitions(s, l.recordAccessChanges(standings, now))
 	})
 	return commands
@@ -68,5 +69,5 @@
 // change replicates a command of routes. It is on the list of what is proposed from before then.
 func (r *routing) change(l *leadership, c *rollout.Command) (int64, error) {
 	defer r.tables.propose(time.Now(), l.term)()
-	return r.s.replica.Apply(&Command{Op: OpRoutes, Routes: c, Term: l.term}, applyTimeout)
+	return r.s.replica.Apply(&state.Command{Op: state.OpRoutes, Routes: c, Term: l.term}, applyTimeout)
 }
--- a/internal/registry/routes_lead.go
+++ b/internal/registry/routes_lead.go
@@ -12,6 +12,7 @@
 	"golang.org/x/time/rate"
 
 	"marblelane/internal/audit"
+	"marblelane/internal/registry/state"
 	"marblelane/internal/rollout"
 	"marblelane/internal/route"
 )
@@ -45,8 +46,8 @@
 	changeLimits    map[string]*rate.Limiter // rate limits of changes, by tenant
 
 	pending           []audit.Transition
-	unsavedProcesses  map[string]SchemaSupport // processes whose schema support is to be replicated, by name
-	observed          map[string]SchemaSupport // all processes that reported since refreshedAt, by name
+	unsavedProcesses  map[string]state.SchemaSupport // processes whose schema support is to be replicated, by name
+	observed          map[string]state.SchemaSupport // all processes that reported since refreshedAt, by name
 	refreshedAt       time.Time
 	flushedAt         time.Time
 	prunedAt          time.Time
@@ -156,10 +157,10 @@
 	}
 	l := r.newLeadership(term, o)
 	var out int64
-	r.s.hub.read(func(s *State) { out = s.termMS })
+	r.s.hub.read(func(s *state.State) { out = s.MaxLeaseTermMS })
 	switch {
 	case out < l.leaseTermMS: // replicated before the first lease of this length is granted
-		if err := r.apply(&Command{Op: OpTerm, TermMS: l.leaseTermMS, Term: term}); err != nil {
+		if err := r.apply(&state.Command{Op: state.OpTerm, TermMS: l.leaseTermMS, Term: term}); err != nil {
 			return nil, err
 		}
 	case out > l.leaseTermMS:
@@ -171,8 +172,8 @@
 
 func (r *routing) newLeadership(term uint64, o *Operators) *leadership {
 	at := time.Now()
-	l := &leadership{term: term, id: fmt.Sprintf("%s@%d.%d", r.name, term, r.leaderships.Add(1)), startedAt: at, startedWallMS: epochZeroMS + r.wall().Sub(epochZero).Milliseconds(),
-		o: o.options(), changeLimits: map[string]*rate.Limiter{}, unsavedProcesses: map[string]SchemaSupport{}, observed: map[string]SchemaSupport{},
+	l := &leadership{term: term, id: fmt.Sprintf("%s@%d.%d", r.name, term, r.leaderships.Add(1)), startedAt: at, startedWallMS: state.EpochZeroMS + r.wall().Sub(state.EpochZero).Milliseconds(),
+		o: o.options(), changeLimits: map[string]*rate.Limiter{}, unsavedProcesses: map[string]state.SchemaSupport{}, observed: map[string]state.SchemaSupport{},
 		refreshedAt: at, flushedAt: at, prunedAt: at, decisionsFrom: at}
 	l.o.Leader, l.leaseTermMS = l.id, l.o.LeaseTerm
 	l.controller = rollout.NewController(l.o, r.planted.controllerStart(l.floor(at)))
--- a/internal/registry/routes_metrics.go
+++ b/internal/registry/routes_metrics.go
@@ -3,6 +3,7 @@
 // This file gives the metrics of routes and rollouts.
 
 import (
+	"marblelane/internal/registry/state"
 	"time"
 
 	"github.com/prometheus/client_golang/prometheus"
@@ -23,15 +24,15 @@
 		}
 		out <- prometheus.MustNewConstMetric(prometheus.NewDesc(name, help, names, nil), prometheus.GaugeValue, v, values...)
 	}
-	r.s.hub.read(func(s *State) {
-		gauge("routes_revision", "Revision of the routes' last change.", float64(s.routes.Rev()))
-		gauge("routes_closed", "Newest revision of routes under which no attempt begins any more.", float64(s.routes.Closed()))
-		gauge("audit_transitions", "Transitions of processes that are kept.", float64(s.audit.Len()))
-		for i, one := range s.routes.LiveSpecs() {
+	r.s.hub.read(func(s *state.State) {
+		gauge("routes_revision", "Revision of the routes' last change.", float64(s.Routes.Rev()))
+		gauge("routes_closed", "Newest revision of routes under which no attempt begins any more.", float64(s.Routes.Closed()))
+		gauge("audit_transitions", "Transitions of processes that are kept.", float64(s.AuditLog.Len()))
+		for i, one := range s.Routes.LiveSpecs() {
 			if i == maxRolloutMetrics {
 				break
 			}
-			granted, _, returned := s.routes.BudgetTotals(one.Tenant, one.Name)
+			granted, _, returned := s.Routes.BudgetTotals(one.Tenant, one.Name)
 			gauge("routes_units_left", "Units of a rollout's budget that nobody holds or has spent; of 100 rollouts at most.",
 				float64(one.Budget-(granted-returned)), "tenant", one.Tenant, "rollout", one.Name)
 		}
--- a/internal/registry/routes_past.go
+++ b/internal/registry/routes_past.go
@@ -5,6 +5,7 @@
 	"encoding/json"
 	"fmt"
 	"io"
+	"marblelane/internal/registry/state"
 	"net/http"
 	"time"
 )
@@ -31,7 +32,7 @@
 
 // markAuditLog records how much of the audit log this replica has applied. The time is read after the state.
 func (r *routing) markAuditLog() {
-	r.s.hub.read(func(s *State) { s.audit.Mark(r.clock(time.Now())) })
+	r.s.hub.read(func(s *state.State) { s.AuditLog.Mark(r.clock(time.Now())) })
 }
 
 // handleNewestRev answers polls of followers with the newest routes revision, if this replica leads and no change is in
@@ -138,7 +139,7 @@
 // since returns the latest time at which rev is known not to be committed; zero if unknown. The first revision of an
 // epoch is not proposed by a routes leader, so nothing is known of it.
 func (t *tables) since(rev int64) (at time.Time) {
-	if rev == EpochOf(rev)<<countBits {
+	if rev == state.EpochOf(rev)<<state.CountBits {
 		return at
 	}
 	for _, m := range t.upperBounds {
--- a/internal/registry/routes_reports.go
+++ b/internal/registry/routes_reports.go
@@ -9,14 +9,15 @@
 	"time"
 
 	"marblelane/internal/audit"
+	"marblelane/internal/registry/state"
 	"marblelane/internal/rollout"
 	"marblelane/internal/route"
 )
 
 // relevantProcesses returns the processes that have to read a table alike: those that reported to this leader or an
 // earlier one within ForgetAfter. Processes shut out for reading less than the minimum schema count until their last
-// lease ends. wait is positive while this leader may not know all of them yet.
-func (r *routing) relevantProcesses(l *leadership) (all []SchemaSupport, wait time.Duration) {
+// Lease ends. wait is positive while this leader may not know all of them yet.
+func (r *routing) relevantProcesses(l *leadership) (all []state.SchemaSupport, wait time.Duration) {
 	now := time.Now()
 	known := withClockMargin(l.leaseTermMS, l.o.ClockMargin)
 	if since := now.Sub(l.decisionsFrom); since < known {
@@ -29,15 +30,15 @@
 	for _, p := range reported {
 		named[p.Name] = max(named[p.Name], p.Start)
 	}
-	r.s.hub.read(func(s *State) {
-		excused := func(schemas []int) bool { return slices.Max(append([]int{0}, schemas...)) < s.routes.MinSchema() }
+	r.s.hub.read(func(s *state.State) {
+		excused := func(schemas []int) bool { return slices.Max(append([]int{0}, schemas...)) < s.Routes.MinSchema() }
 		for _, p := range reported {
 			if p.Start == named[p.Name] && !(p.LeaseUntil <= at && excused(p.Schemas)) {
-				all = append(all, SchemaSupport{Process: p.Process, Schemas: p.Schemas, AtMS: l.wall(l.startedAt) + p.LastReport - l.floor(l.startedAt)})
+				all = append(all, state.SchemaSupport{Process: p.Process, Schemas: p.Schemas, AtMS: l.wall(l.startedAt) + p.LastReport - l.floor(l.startedAt)})
 			}
 		}
-		for _, name := range slices.Sorted(maps.Keys(s.seen)) {
-			p := s.seen[name]
+		for _, name := range slices.Sorted(maps.Keys(s.Processes)) {
+			p := s.Processes[name]
 			if _, ok := named[name]; !ok && l.wall(now)-p.AtMS <= l.o.ForgetAfter && !excused(p.Schemas) {
 				all = append(all, p)
 			}
@@ -88,8 +89,8 @@
 	for _, a := range all {
 		var answer route.ReportResponse
 		now := time.Now()
-		r.s.hub.read(func(s *State) {
-			answer = l.controller.Report(l.ceil(now), s.routes, a.request)
+		r.s.hub.read(func(s *state.State) {
+			answer = l.controller.Report(l.ceil(now), s.Routes, a.request)
 			l.observe(s, a.request, l.wall(now))
 			l.queueTransitions(s, l.tracker.Report(l.ceil(now), l.wall(now), a.request))
 		})
@@ -107,20 +108,20 @@
 
 // observe records which schemas a process reads. A new process or a changed set is replicated with the next flush; all
 // others are refreshed together every quarter of ForgetAfter, so disk writes do not grow with the number of processes.
-func (l *leadership) observe(s *State, p *route.Report, wallMS int64) {
-	seen := SchemaSupport{Process: p.Process, Schemas: slices.Clone(p.Schemas), AtMS: wallMS}
+func (l *leadership) observe(s *state.State, p *route.Report, wallMS int64) {
+	seen := state.SchemaSupport{Process: p.Process, Schemas: slices.Clone(p.Schemas), AtMS: wallMS}
 	l.observed[p.Name] = seen
-	if old, ok := s.seen[p.Name]; !ok || old.Start < p.Start || old.Start == p.Start && !slices.Equal(old.Schemas, p.Schemas) {
+	if old, ok := s.Processes[p.Name]; !ok || old.Start < p.Start || old.Start == p.Start && !slices.Equal(old.Schemas, p.Schemas) {
 		l.unsavedProcesses[p.Name] = seen
 	}
-	if len(l.observed) > maxKnownProcesses {
-		l.observed = map[string]SchemaSupport{}
+	if len(l.observed) > state.MaxKnownProcesses {
+		l.observed = map[string]state.SchemaSupport{}
 	}
 }
 
 // queueTransitions queues transitions that the audit log does not have yet for replication.
-func (l *leadership) queueTransitions(s *State, all []audit.Transition) {
-	l.pending = append(l.pending, s.audit.Fresh(all)...)
+func (l *leadership) queueTransitions(s *state.State, all []audit.Transition) {
+	l.pending = append(l.pending, s.AuditLog.Fresh(all)...)
 	if extra := len(l.pending) - maxPendingTransitions; extra > 0 {
 		l.pending = slices.Delete(l.pending, 0, extra)
 	}
@@ -136,17 +137,17 @@
 	}
 	if now.Sub(l.refreshedAt) >= l.remember()/4 {
 		maps.Copy(l.unsavedProcesses, l.observed)
-		l.observed, l.refreshedAt = map[string]SchemaSupport{}, now
+		l.observed, l.refreshedAt = map[string]state.SchemaSupport{}, now
 	}
 	if now.Sub(l.flushedAt) < auditBatchWait || len(l.pending) == 0 && len(l.unsavedProcesses) == 0 {
 		l.mu.Unlock()
 		return
 	}
-	c := &Command{Op: OpAudit, Audit: l.pending, Term: l.term}
+	c := &state.Command{Op: state.OpAudit, Audit: l.pending, Term: l.term}
 	for _, name := range slices.Sorted(maps.Keys(l.unsavedProcesses)) {
 		c.Seen = append(c.Seen, l.unsavedProcesses[name])
 	}
-	l.pending, l.unsavedProcesses, l.flushedAt = nil, map[string]SchemaSupport{}, now
+	l.pending, l.unsavedProcesses, l.flushedAt = nil, map[string]state.SchemaSupport{}, now
 	l.mu.Unlock()
 	if err := r.apply(c); err != nil {
 		r.s.log.Warn("registry: routes: transitions are not replicated", "error", err)
--- a/internal/registry/routes_requests.go
+++ b/internal/registry/routes_requests.go
@@ -15,6 +15,7 @@
 	"time"
 
 	"marblelane/internal/audit"
+	"marblelane/internal/registry/state"
 	"marblelane/internal/rollout"
 	"marblelane/internal/route"
 )
@@ -24,11 +25,11 @@
 	status int
 	after  time.Duration // Retry-After; 0: no such header
 
-	Error     string          `json:"error"`
-	Field     string          `json:"field,omitempty"`
-	Findings  []route.Finding `json:"findings,omitempty"`  // differences in how an older schema reads the table
-	Processes []SchemaSupport `json:"processes,omitempty"` // processes that block the change
-	Others    int             `json:"others,omitempty"`    // count of blocking processes not listed
+	Error     string                `json:"error"`
+	Field     string                `json:"field,omitempty"`
+	Findings  []route.Finding       `json:"findings,omitempty"`  // differences in how an older schema reads the table
+	Processes []state.SchemaSupport `json:"processes,omitempty"` // processes that block the change
+	Others    int                   `json:"others,omitempty"`    // count of blocking processes not listed
 }
 
 func writeRejection(w http.ResponseWriter, f *rejection) {
--- a/internal/registry/routes_tenants.go
+++ b/internal/registry/routes_tenants.go
@@ -11,6 +11,7 @@
 
 	"golang.org/x/time/rate"
 
+	"marblelane/internal/registry/state"
 	"marblelane/internal/rollout"
 	"marblelane/internal/route"
 )
@@ -171,11 +172,11 @@
 	var table route.Table
 	var err error
 	under := 0
-	r.s.hub.read(func(s *State) {
-		if _, live := s.routes.LiveSpec(inside(t.Name)); live {
+	r.s.hub.read(func(s *state.State) {
+		if _, live := s.Routes.LiveSpec(inside(t.Name)); live {
 			under = 1
 		}
-		table, anew, err = s.routes.Preview(c)
+		table, anew, err = s.Routes.Preview(c)
 	})
 	switch {
 	case err != nil:
@@ -282,7 +283,7 @@
 		return
 	}
 	var minSchema int
-	r.s.hub.read(func(s *State) { minSchema = s.routes.MinSchema() })
+	r.s.hub.read(func(s *state.State) { minSchema = s.Routes.MinSchema() })
 	writeJSON(w, struct {
 		Rev   int64 `json:"rev"`
 		Least int   `json:"least"`
--- a/internal/registry/routes_test.go
+++ b/internal/registry/routes_test.go
@@ -5,7 +5,6 @@
 	"encoding/json"
 	"fmt"
 	"io"
-	"math"
 	"net"
 	"net/http"
 	"os"
@@ -18,6 +17,7 @@
 	"github.com/stretchr/testify/require"
 
 	"marblelane/internal/audit"
+	"marblelane/internal/registry/state"
 	"marblelane/internal/rollout"
 	"marblelane/internal/route"
 )
@@ -134,7 +134,7 @@
 }
 
 func routesRev(c *copyOf) (rev int64) {
-	c.node.hub.read(func(s *State) { rev = s.routes.Rev() })
+	c.node.hub.read(func(s *state.State) { rev = s.Routes.Rev() })
 	return rev
 }
 
@@ -359,7 +359,7 @@
 	all := routed(t, 3, nil)
 	addr := routesLeader(t, all).cfg.Listen
 	var list int64
-	all[0].node.hub.read(func(s *State) { list = s.Rev() })
+	all[0].node.hub.read(func(s *state.State) { list = s.Rev() })
 	follow := func(c *copyOf, schema int) *bufio.Reader {
 		req, err := http.NewRequestWithContext(t.Context(), "GET", fmt.Sprintf("http://%s/routes?schema=%d&watch=1", c.cfg.Listen, schema), nil)
 		require.NoError(t, err)
@@ -425,7 +425,7 @@
 	two, err := line.text([]int{2, 2, 7})
 	require.NoError(t, err)
 	assert.Same(t, &one.text[0], &two.text[0], "the table is encoded twice")
-	all[0].node.hub.read(func(s *State) { assert.Equal(t, list, s.Rev()) })
+	all[0].node.hub.read(func(s *state.State) { assert.Equal(t, list, s.Rev()) })
 }
 
 // Grants are on a quorum before they are answered: a new leader grants no unit twice, and undoes no rollback. With the
@@ -541,7 +541,7 @@
 	t.Parallel()
 	one := routed(t, 1, single)[0]
 	r := one.node.server.routes
-	_, err := one.node.Apply(&Command{Op: OpTerm, TermMS: 3_600_000}, applyTimeout)
+	_, err := one.node.Apply(&state.Command{Op: state.OpTerm, TermMS: 3_600_000}, applyTimeout)
 	require.NoError(t, err)
 	r.lead.Store(nil)
 	var l *leadership
@@ -556,7 +556,7 @@
 	p := newProcess("p", 2)
 	p.report(t, one.cfg.Listen)
 	known := func() (n int) {
-		one.node.hub.read(func(s *State) { n = len(s.seen) })
+		one.node.hub.read(func(s *state.State) { n = len(s.Processes) })
 		return n
 	}
 	until(t, "the process to be remembered, and what is closed first", func() bool {
@@ -675,12 +675,12 @@
 	t.Parallel()
 	all := routed(t, 3, nil)
 	lead := routesLeader(t, all)
-	followers := func(what string, is func(r *routing, s *State) bool) {
+	followers := func(what string, is func(r *routing, s *state.State) bool) {
 		t.Helper()
 		until(t, what, func() bool {
 			for _, c := range all {
 				r, ok := c.node.server.routes, false
-				if c.node.hub.read(func(s *State) { ok = is(r, s) }); c != lead && !ok {
+				if c.node.hub.read(func(s *state.State) { ok = is(r, s) }); c != lead && !ok {
 					return false
 				}
 			}
@@ -694,7 +694,7 @@
 	}
 	before := passed()
 	polled := passed()
-	followers("what the leader has", func(r *routing, _ *State) bool {
+	followers("what the leader has", func(r *routing, _ *state.State) bool {
 		r.tables.mu.Lock()
 		defer r.tables.mu.Unlock()
 		return len(r.tables.upperBounds) > 0 && r.tables.upperBounds[len(r.tables.upperBounds)-1].at.After(polled)
@@ -714,7 +714,7 @@
 			p.report(t, lead.cfg.Listen)
 		}
 	}
-	followers("transitions", func(_ *routing, s *State) bool { return s.audit.Len() >= 6 })
+	followers("transitions", func(_ *routing, s *state.State) bool { return s.AuditLog.Len() >= 6 })
 	passed()
 	held := passed()
 	lead.end(t)
@@ -756,30 +756,3 @@
 	countLate.requestedBudgets(a)
 	assert.Equal(t, route.BudgetState{Granted: 5, Returned: 4}, a.Budgets[0])
 }
-
-// A snapshot keeps the routes; one from before there were any is read, and written while there are none.
-func TestSnapshot_routes(t *testing.T) {
-	s := newStartedState(10)
-	base := rollout.Command{Op: rollout.OpBase, Tenant: "a", Base: route.Subset{Model: []string{"m"}}}
-	for _, c := range []*Command{{Op: OpTerm, TermMS: 5}, {Op: OpRoutes, Routes: &base},
-		{Op: OpAudit, Audit: []audit.Transition{{Process: route.Process{Name: "p", Start: 1}, Kind: audit.FirstReport, Rev: 1}},
-			Seen: []SchemaSupport{{Process: route.Process{Name: "p", Start: 1}, Schemas: []int{1}}}}} {
-		before := s.Rev()
-		_, err := s.Apply(c)
-		require.NoError(t, err)
-		assert.Equal(t, before, s.Rev(), "the list's revision moved")
-	}
-	stored := must(s.save())
-	assert.Equal(t, savedForm, stored.Form)
-	back := NewState(10)
-	require.NoError(t, back.load(stored))
-	assert.Equal(t, asJSON(t, stored), asJSON(t, must(back.save())))
-	assert.Equal(t, s.routes.Table(), back.routes.Table())
-	assert.Equal(t, 1, back.audit.Len())
-
-	require.NoError(t, back.load(&saved{Form: formBefore, Rev: 7<<countBits + 3}))
-	assert.Equal(t, int64(7<<countBits), back.routes.Rev())
-	assert.Equal(t, formBefore, must(back.save()).Form)
-	assert.Error(t, back.load(&saved{Form: savedForm, Routes: []byte("{"), Audit: []byte("{}")}))
-	assert.Less(t, back.routes.Rev(), int64(math.MaxInt64))
-}
--- a/internal/registry/routes_views.go
+++ b/internal/registry/routes_views.go
@@ -9,6 +9,7 @@
 	"time"
 
 	"marblelane/internal/audit"
+	"marblelane/internal/registry/state"
 	"marblelane/internal/rollout"
 	"marblelane/internal/route"
 )
@@ -66,17 +67,17 @@
 	defer l.mu.Unlock()
 	v := TenantView{Tenant: tenant, Rollouts: []RolloutView{}}
 	tenant = inside(tenant)
-	r.s.hub.read(func(s *State) {
-		table := s.routes.Table()
-		v.Rev, v.Table, v.Closed = s.routes.TenantRev(tenant), table.Rev, table.Closed
+	r.s.hub.read(func(s *state.State) {
+		table := s.Routes.Table()
+		v.Rev, v.Table, v.Closed = s.Routes.TenantRev(tenant), table.Rev, table.Closed
 		fraction := map[string]float64{}
 		for _, one := range table.Routes {
 			if one.Tenant == tenant {
 				v.Base, fraction[rollout.RolloutName(one.Rollout)] = one.Base, one.Share
 			}
 		}
-		for _, one := range s.routes.RolloutsOf(tenant) {
-			g, spent, back := s.routes.BudgetTotals(tenant, one.Spec.Name)
+		for _, one := range s.Routes.RolloutsOf(tenant) {
+			g, spent, back := s.Routes.BudgetTotals(tenant, one.Spec.Name)
 			v.Rollouts = append(v.Rollouts, RolloutView{Name: one.Spec.Name, To: one.Spec.SubsetName, Phase: one.Phase, Step: one.Step,
 				Steps: len(one.Spec.Steps), Share: fraction[one.Spec.Name], Rev: one.Rev, SinceMS: one.ChangedAtMS, Why: one.Reason,
 				Budget: one.Spec.Budget, Granted: g, Spent: spent, Returned: back, Left: one.Spec.Budget - (g - back),
@@ -151,12 +152,12 @@
 	if q.ClosedKnown {
 		q.ClosedAt = l.ceil(closed)
 	}
-	r.s.hub.read(func(s *State) {
-		if newest := s.routes.Rev(); rev > newest {
+	r.s.hub.read(func(s *state.State) {
+		if newest := s.Routes.Rev(); rev > newest {
 			f = rejectf(http.StatusNotFound, "rev", "%d is not committed; the newest is %d", rev, newest)
 			return
 		}
-		out = l.tracker.Summarize(q, s.audit)
+		out = l.tracker.Summarize(q, s.AuditLog)
 	})
 	out.Answers = r.planted.answers(out.Answers)
 	return out, f
--- a/internal/registry/server.go
+++ b/internal/registry/server.go
@@ -6,6 +6,7 @@
 	"errors"
 	"fmt"
 	"log/slog"
+	"marblelane/internal/registry/state"
 	"net/http"
 	"strconv"
 	"sync"
@@ -29,7 +30,7 @@
 // Replica is the replicated log under a server: raft, or a single process.
 type Replica interface {
 	// Apply replicates a command to a quorum and applies it. It fails with ErrNotLeader on a follower.
-	Apply(c *Command, wait time.Duration) (rev int64, err error)
+	Apply(c *state.Command, wait time.Duration) (rev int64, err error)
 	// Confirm verifies with a quorum that this replica still leads, so that its applied state is the newest.
 	Confirm() error
 	// Leader reports whether this replica leads, and the HTTP address of the leader; empty if unknown.
@@ -93,7 +94,7 @@
 	replica Replica
 	o       atomic.Pointer[Options]
 	log     *slog.Logger
-	leases  *leases
+	leases  *state.Leases
 	admit   bucket
 	changed chan struct{}
 	metrics *metrics
@@ -105,7 +106,7 @@
 // newServer makes a server over a hub whose state the replica changes. Changes are published only while Run runs.
 func newServer(h *hub, r Replica, o Options) *Server {
 	o.defaults()
-	s := &Server{hub: h, replica: r, log: o.Log, changed: make(chan struct{}, 1), leases: newLeases()}
+	s := &Server{hub: h, replica: r, log: o.Log, changed: make(chan struct{}, 1), leases: state.NewLeases()}
 	s.o.Store(&o)
 	s.admit.level = float64(o.Burst)
 	s.routes = newRouting(s, o)
@@ -160,8 +161,8 @@
 	m.HandleFunc("GET "+listPath+"/{uid}", s.get)
 	m.HandleFunc("POST "+listPath+"/{uid}", s.put)
 	m.HandleFunc("POST "+listPath+"/{uid}/renew", s.renew)
-	m.HandleFunc("POST "+listPath+"/{uid}/drain", func(w http.ResponseWriter, r *http.Request) { s.change(w, r, OpDrain) })
-	m.HandleFunc("DELETE "+listPath+"/{uid}", func(w http.ResponseWriter, r *http.Request) { s.change(w, r, OpRemove) })
+	m.HandleFunc("POST "+listPath+"/{uid}/drain", func(w http.ResponseWriter, r *http.Request) { s.change(w, r, state.OpDrain) })
+	m.HandleFunc("DELETE "+listPath+"/{uid}", func(w http.ResponseWriter, r *http.Request) { s.change(w, r, state.OpRemove) })
 	m.HandleFunc("GET /registry/status", s.status)
 	m.HandleFunc("GET /registry/snapshot", s.snapshot)
 	m.HandleFunc("GET "+leaderRevPath, s.leaderRev)
@@ -247,27 +248,27 @@
 		http.Error(w, err.Error(), http.StatusServiceUnavailable)
 		return
 	}
-	var e Entry
+	var e state.Entry
 	var changed int64
 	known := false
-	s.hub.read(func(st *State) { e, changed, _, known = st.Get(r.PathValue("uid")) })
+	s.hub.read(func(st *state.State) { e, changed, _, known = st.Get(r.PathValue("uid")) })
 	if !known {
-		http.Error(w, ErrUnknown.Error(), http.StatusNotFound)
+		http.Error(w, state.ErrUnknown.Error(), http.StatusNotFound)
 		return
 	}
 	w.Header().Set("Content-Type", "application/json")
 	_ = json.NewEncoder(w).Encode(struct { // the caller may have disconnected
-		Entry
+		state.Entry
 		Changed int64 `json:"changed"`
 	}{e, changed})
 }
 
 // snapshot answers with the full state of this replica, for a backup.
 func (s *Server) snapshot(w http.ResponseWriter, _ *http.Request) {
-	var out *saved
+	var out *state.Snapshot
 	var err error
 	staleness := s.replica.Staleness()
-	s.hub.read(func(st *State) { out, err = st.save() })
+	s.hub.read(func(st *state.State) { out, err = st.Snapshot() })
 	if err != nil {
 		http.Error(w, err.Error(), http.StatusInternalServerError)
 		return
@@ -277,8 +278,5 @@
 	_ = json.NewEncoder(w).Encode(out) // the caller may have disconnected
 }
 
-// leaseCheckInterval is the interval at which the leader checks leases.
-const leaseCheckInterval = 200 * time.Millisecond
-
 // maxRetryAfter bounds the Retry-After of a reader that is rate limited.
 const maxRetryAfter = 10 * time.Second
--- a/internal/registry/server_status.go
+++ b/internal/registry/server_status.go
@@ -5,6 +5,7 @@
 import (
 	"encoding/json"
 	"fmt"
+	"marblelane/internal/registry/state"
 	"net/http"
 	"time"
 
@@ -35,11 +36,11 @@
 func (s *Server) Status() Status {
 	var out Status
 	out.Leads, out.Leader = s.replica.Leader()
-	s.hub.read(func(st *State) {
-		out.Rev, out.Epoch, out.Entries, out.Members = st.Rev(), EpochOf(st.Rev()), st.Len(), st.Members()
+	s.hub.read(func(st *state.State) {
+		out.Rev, out.Epoch, out.Entries, out.Members = st.Rev(), state.EpochOf(st.Rev()), st.Len(), st.Members()
 		st.Leased(func(string, int64, time.Duration) { out.Leased++ })
 	})
-	out.Held, out.Watches, out.StalenessMS = s.leases.heldCount(), s.watches.Load(), s.replica.Staleness().Milliseconds()
+	out.Held, out.Watches, out.StalenessMS = s.leases.HeldCount(), s.watches.Load(), s.replica.Staleness().Milliseconds()
 	out.DiskMS = float64(s.replica.DiskTook()) / float64(time.Millisecond)
 	return out
 }
@@ -64,7 +65,7 @@
 		http.Error(w, "no leader is known; reads are answered, writes are not", http.StatusServiceUnavailable)
 		return
 	}
-	if n := s.leases.heldCount(); n > 0 {
+	if n := s.leases.HeldCount(); n > 0 {
 		fmt.Fprintf(w, "ok, but %d entries whose leases ended together are kept\n", n)
 		return
 	}
--- a/internal/registry/server_writes.go
+++ b/internal/registry/server_writes.go
@@ -8,6 +8,7 @@
 	"errors"
 	"fmt"
 	"io"
+	"marblelane/internal/registry/state"
 	"net/http"
 	"strconv"
 	"time"
@@ -15,7 +16,7 @@
 
 // registration is the body of a write: an entry in the platform's form, with its lease.
 type registration struct {
-	Entry
+	state.Entry
 	LeaseMS int64 `json:"lease_ms"`
 }
 
@@ -25,7 +26,7 @@
 		http.Error(w, "the body cannot be read: "+err.Error(), http.StatusBadRequest)
 		return
 	}
-	reg := registration{Entry: Entry{UID: r.PathValue("uid"), State: Ready, Capacity: 1}}
+	reg := registration{Entry: state.Entry{UID: r.PathValue("uid"), State: state.Ready, Capacity: 1}}
 	if err := json.Unmarshal(body, &reg); err != nil {
 		http.Error(w, "the body is no entry: "+err.Error(), http.StatusBadRequest)
 		return
@@ -42,12 +43,12 @@
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
 	}
-	c := &Command{Op: OpPut, Entry: &reg.Entry, LeaseMS: reg.LeaseMS}
+	c := &state.Command{Op: state.OpPut, Entry: &reg.Entry, LeaseMS: reg.LeaseMS}
 	s.apply(w, r, c)
 }
 
-func (s *Server) change(w http.ResponseWriter, r *http.Request, op Op) {
-	s.apply(w, r, &Command{Op: op, UID: r.PathValue("uid")})
+func (s *Server) change(w http.ResponseWriter, r *http.Request, op state.Op) {
+	s.apply(w, r, &state.Command{Op: op, UID: r.PathValue("uid")})
 }
 
 // renew restarts a lease with its full term. It changes no revision.
@@ -57,14 +58,14 @@
 	}
 	uid := r.PathValue("uid")
 	var term time.Duration
-	var entry Entry
+	var entry state.Entry
 	known := false
-	s.hub.read(func(st *State) { entry, _, term, known = st.Get(uid) })
+	s.hub.read(func(st *state.State) { entry, _, term, known = st.Get(uid) })
 	if !known {
-		http.Error(w, ErrUnknown.Error()+": register again", http.StatusNotFound)
+		http.Error(w, state.ErrUnknown.Error()+": register again", http.StatusNotFound)
 		return
 	}
-	s.leases.renew(uid, term, time.Now())
+	s.leases.Renew(uid, term, time.Now())
 	w.Header().Set("Content-Type", "application/json")
 	fmt.Fprintf(w, "{\"state\":%q,\"lease_ms\":%d}\n", entry.State, term.Milliseconds())
 }
@@ -86,7 +87,7 @@
 }
 
 // apply carries out a write and answers with the revision after which readers see it.
-func (s *Server) apply(w http.ResponseWriter, r *http.Request, c *Command) {
+func (s *Server) apply(w http.ResponseWriter, r *http.Request, c *state.Command) {
 	if text := r.URL.Query().Get("if"); text != "" {
 		rev, err := strconv.ParseInt(text, 10, 64)
 		if err != nil {
@@ -102,11 +103,11 @@
 	if err != nil {
 		status := http.StatusInternalServerError
 		switch {
-		case errors.Is(err, ErrConflict), errors.Is(err, ErrDrained):
+		case errors.Is(err, state.ErrConflict), errors.Is(err, state.ErrDrained):
 			status = http.StatusConflict
-		case errors.Is(err, ErrUnknown):
+		case errors.Is(err, state.ErrUnknown):
 			status = http.StatusNotFound
-		case errors.Is(err, ErrInvalid):
+		case errors.Is(err, state.ErrInvalid):
 			status = http.StatusBadRequest
 		case errors.Is(err, ErrNotLeader), errors.Is(err, ErrNoQuorum):
 			status = http.StatusServiceUnavailable
@@ -115,8 +116,8 @@
 		http.Error(w, err.Error(), status)
 		return
 	}
-	if c.Op == OpPut && c.LeaseMS > 0 {
-		s.leases.renew(c.Entry.UID, time.Duration(c.LeaseMS)*time.Millisecond, time.Now())
+	if c.Op == state.OpPut && c.LeaseMS > 0 {
+		s.leases.Renew(c.Entry.UID, time.Duration(c.LeaseMS)*time.Millisecond, time.Now())
 	}
 	s.writeReplicaHeaders(w, rev, s.replica.Staleness())
 	w.Header().Set("Content-Type", "application/json")
@@ -125,7 +126,7 @@
 
 // expireLoop expires leases while this replica leads. When it begins to lead, each has a full term again.
 func (s *Server) expireLoop(ctx context.Context) {
-	t := time.NewTicker(leaseCheckInterval)
+	t := time.NewTicker(state.LeaseCheckInterval)
 	defer t.Stop()
 	for {
 		select {
@@ -135,17 +136,17 @@
 		}
 		me, _ := s.replica.Leader()
 		if !me {
-			s.leases.forget()
+			s.leases.Forget()
 			continue
 		}
 		now := time.Now() // carries the monotonic clock, which no step moves
-		var leased []lease
-		s.hub.read(func(st *State) {
+		var leased []state.Lease
+		s.hub.read(func(st *state.State) {
 			st.Leased(func(uid string, changed int64, term time.Duration) {
-				leased = append(leased, lease{uid, changed, term})
+				leased = append(leased, state.Lease{UID: uid, Changed: changed, Term: term})
 			})
 		})
-		expired, held := s.leases.due(leased, s.o.Load().MaxExpiredFraction, now)
+		expired, held := s.leases.Due(leased, s.o.Load().MaxExpiredFraction, now)
 		if held > 0 {
 			s.log.Warn("registry: too many leases ended together; their entries stay listed", "entries", held, "of", len(leased))
 		}
@@ -153,7 +154,7 @@
 			continue
 		}
 		s.log.Info("registry: leases ended", "entries", len(expired))
-		if _, err := s.replica.Apply(&Command{Op: OpExpire, Expired: expired}, applyTimeout); err != nil {
+		if _, err := s.replica.Apply(&state.Command{Op: state.OpExpire, Expired: expired}, applyTimeout); err != nil {
 			s.log.Warn("registry: ended leases are not told", "error", err)
 		}
 	}
--- a/internal/registry/leases.go
+++ b/internal/registry/state/leases.go
@@ -1,4 +1,4 @@
-package registry
+package state
 
 import (
 	"slices"
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// leases tracks the lease of each entry on the leader, with times of the monotonic clock.
-type leases struct {
+// Leases tracks the lease of each entry on the leader, with times of the monotonic clock.
+type Leases struct {
 	mu             sync.Mutex
 	ends           map[string]time.Time
 	held           int
@@ -20,59 +20,69 @@
 	n  int
 }
 
-func newLeases() *leases { return &leases{ends: map[string]time.Time{}} }
+func NewLeases() *Leases { return &Leases{ends: map[string]time.Time{}} }
 
-// lease is an entry with a lease.
-type lease struct {
-	uid     string
-	changed int64
-	term    time.Duration
+// LeaseCheckInterval is the interval at which the leader checks leases.
+const LeaseCheckInterval = 200 * time.Millisecond
+
+// Lease is an entry with a lease.
+type Lease struct {
+	UID     string
+	Changed int64
+	Term    time.Duration
 }
 
 // minLeasesForHold: up to this many leased entries may all expire, as a fraction of so few does not indicate a
 // partition.
 const minLeasesForHold = 3
 
-func (l *leases) renew(uid string, term time.Duration, now time.Time) {
+func (l *Leases) Renew(uid string, term time.Duration, now time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.ends[uid] = now.Add(term)
 }
 
-// forget drops all leases when this replica does not lead. Once it leads again every lease gets a full term.
-func (l *leases) forget() {
+// End is when a lease ends; zero if this replica tracks none of the entry.
+func (l *Leases) End(uid string) time.Time {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	return l.ends[uid]
+}
+
+// Forget drops all leases when this replica does not lead. Once it leads again every lease gets a full term.
+func (l *Leases) Forget() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	clear(l.ends)
 	l.held, l.recentExpiries = 0, nil
 }
 
-func (l *leases) heldCount() int {
+func (l *Leases) HeldCount() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.held
 }
 
-// due returns the entries whose leases have expired, with the revision observed. If these and the ones expired within
+// Due returns the entries whose leases have expired, with the revision observed. If these and the ones expired within
 // the last lease term exceed maxExpiredFraction of all leased entries, it returns only how many are held: a partition of
 // this replica is likelier than so many failures. They are held until enough are renewed or removed. The window is a
 // lease term because servers renew at different times.
-func (l *leases) due(all []lease, maxExpiredFraction float64, now time.Time) (expired map[string]int64, held int) {
+func (l *Leases) Due(all []Lease, maxExpiredFraction float64, now time.Time) (expired map[string]int64, held int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	expired = map[string]int64{}
 	known := make(map[string]bool, len(all))
 	maxTerm := time.Duration(0)
 	for _, one := range all {
-		known[one.uid] = true
-		maxTerm = max(maxTerm, one.term)
-		end, ok := l.ends[one.uid]
+		known[one.UID] = true
+		maxTerm = max(maxTerm, one.Term)
+		end, ok := l.ends[one.UID]
 		if !ok { // registered under an earlier leader: a full term from now on
-			l.ends[one.uid] = now.Add(one.term)
+			l.ends[one.UID] = now.Add(one.Term)
 			continue
 		}
 		if now.After(end) {
-			expired[one.uid] = one.changed
+			expired[one.UID] = one.Changed
 		}
 	}
 	for uid := range l.ends {
--- a/internal/registry/state.go
+++ b/internal/registry/state/state.go
@@ -1,25 +1,6 @@
-// Package registry is the product's own list service: the platform's protocol on the read side, plain HTTP and JSON
-// on the write side, replicated by raft.
-//
-// # Guarantees
-//
-// Changes are totally ordered, each with a revision. A watch that resumes after revision N receives every later change,
-// or the full list where N is compacted, ahead of the newest revision or of another epoch; never a gap. An acknowledged
-// write is on a quorum of replicas. A replica without a quorum rejects writes at once.
-//
-// # Revisions
-//
-// A revision is epoch x 2^28 + count and fits in 2^53. The epoch names a history: a cluster that starts anew, or is
-// restored from a backup, gets a higher one than any before (minutes since 2026 at that time, at least the old one
-// plus one), so that no revision is assigned twice.
-//
-// # Leases
-//
-// A registration may have a lease. Only the leader expires it, on its monotonic clock; renewals are kept in its memory
-// and not replicated, so that they cost no disk, and a new leader gives every lease a full term again.
-//
-// state.go decides and touches neither clock nor socket nor disk.
-package registry
+// Package state is the replicated state of the registry: the entries with their revisions and leases, the addresses of
+// the replicas, and the state of routes. Commands change it deterministically; it uses no clock, socket or disk.
+package state
 
 import (
 	"cmp"
@@ -61,24 +42,24 @@
 	Targets []Entry `json:"targets"`
 }
 
-// countBits is the part of a revision that counts within an epoch: 268 million changes.
-const countBits = 28
+// CountBits is the part of a revision that counts within an epoch: 268 million changes.
+const CountBits = 28
 
-// maxEpoch keeps a revision within 2^53, up to which every JSON reader counts exactly.
-const maxEpoch = 1<<(53-countBits) - 1
+// MaxEpoch keeps a revision within 2^53, up to which every JSON reader counts exactly.
+const MaxEpoch = 1<<(53-CountBits) - 1
 
 // EpochOf is the epoch of a revision.
-func EpochOf(rev int64) int64 { return rev >> countBits }
+func EpochOf(rev int64) int64 { return rev >> CountBits }
 
-// epochZero is the time from which epochs count minutes; 25 bits of them last until 2089.
-var epochZero = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
+// EpochZero is the time from which epochs count minutes; 25 bits of them last until 2089.
+var EpochZero = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 
-// epochZeroMS is epochZero in Unix milliseconds.
-const epochZeroMS = 1_767_225_600_000
+// EpochZeroMS is EpochZero in Unix milliseconds.
+const EpochZeroMS = 1_767_225_600_000
 
 // NextEpoch is the epoch of a history that begins now, after one with the epoch old (0: none).
 func NextEpoch(now time.Time, old int64) int64 {
-	return min(max(old+1, int64(now.Sub(epochZero)/time.Minute)), maxEpoch)
+	return min(max(old+1, int64(now.Sub(EpochZero)/time.Minute)), MaxEpoch)
 }
 
 // Op is what a command does.
@@ -124,7 +105,7 @@
 )
 
 // item is an entry with its internal fields.
-type item struct {
+type entryRecord struct {
 	Entry   Entry `json:"entry"`
 	Changed int64 `json:"changed"` // revision of its last change
 	LeaseMS int64 `json:"lease_ms"`
@@ -139,23 +120,23 @@
 // State is the list with its recent history. It is deterministic: the same commands give the same state.
 type State struct {
 	rev     int64
-	items   map[string]*item
+	items   map[string]*entryRecord
 	members map[string]string // replicas by name: where they serve
 	history []change          // oldest first
 	from    int64             // changes after this revision are in history
 	keep    int
 
 	// What follows moves no revision of the list.
-	routes *rollout.State
-	audit  *audit.Log
-	seen   map[string]SchemaSupport // by the process's name: what schemas it reads
-	termMS int64                    // the maximum term of routes leases that may still run
+	Routes         *rollout.State
+	AuditLog       *audit.Log
+	Processes      map[string]SchemaSupport // by the process's name: what schemas it reads
+	MaxLeaseTermMS int64                    // the maximum term of routes leases that may still run
 }
 
 // NewState makes an empty list that keeps at least so many changes.
 func NewState(keep int) *State {
-	return &State{items: map[string]*item{}, members: map[string]string{}, keep: keep,
-		routes: rollout.NewState(), audit: &audit.Log{}, seen: map[string]SchemaSupport{}}
+	return &State{items: map[string]*entryRecord{}, members: map[string]string{}, keep: keep,
+		Routes: rollout.NewState(), AuditLog: &audit.Log{}, Processes: map[string]SchemaSupport{}}
 }
 
 // Rev is the revision of the last change.
@@ -176,6 +157,12 @@
 // Members are the replicas by name with the addresses where they serve.
 func (s *State) Members() map[string]string { return maps.Clone(s.members) }
 
+// MemberAddress is where a replica serves; empty if it has not said so.
+func (s *State) MemberAddress(name string) string { return s.members[name] }
+
+// ForgetMembers removes all replicas' addresses.
+func (s *State) ForgetMembers() { s.members = map[string]string{} }
+
 // Leased calls f for each entry that has a lease.
 func (s *State) Leased(f func(uid string, changed int64, term time.Duration)) {
 	for uid, it := range s.items {
@@ -210,9 +197,9 @@
 		if EpochOf(s.rev) >= c.Epoch {
 			return s.rev, nil
 		}
-		s.rev = c.Epoch << countBits
+		s.rev = c.Epoch << CountBits
 		s.history, s.from = nil, s.rev // what came before is another history
-		s.routes.BeginEpoch(c.Epoch)
+		s.Routes.BeginEpoch(c.Epoch)
 		return s.rev, nil
 	case OpMember:
 		if c.Address == "" {
@@ -246,13 +233,13 @@
 		if c.Routes == nil {
 			return 0, fmt.Errorf("%w: a command of routes without one", ErrInvalid)
 		}
-		return s.routes.Apply(c.Routes)
+		return s.Routes.Apply(c.Routes)
 	case OpAudit:
-		s.audit.Add(c.Audit)
-		s.see(c.Seen)
+		s.AuditLog.Add(c.Audit)
+		s.rememberProcesses(c.Seen)
 		return s.rev, nil
 	case OpTerm:
-		s.termMS = c.TermMS
+		s.MaxLeaseTermMS = c.TermMS
 		return s.rev, nil
 	}
 	return 0, fmt.Errorf("registry: unknown operation %q", c.Op)
@@ -283,7 +270,7 @@
 	if old != nil && old.Entry.State == Terminating && e.State == Ready && e.BootMS <= old.Entry.BootMS {
 		return 0, ErrDrained
 	}
-	it := &item{Entry: e, LeaseMS: c.LeaseMS}
+	it := &entryRecord{Entry: e, LeaseMS: c.LeaseMS}
 	if old != nil && old.Entry == e { // only the lease term changes: no new revision
 		it.Changed = old.Changed
 		s.items[e.UID] = it
@@ -355,12 +342,12 @@
 	return l
 }
 
-// saved is a state as a snapshot keeps it. The history is not part of it: a watcher that comes back to a replica which
+// Snapshot is a state as a snapshot keeps it. The history is not part of it: a watcher that comes back to a replica which
 // was restored gets the full list.
-type saved struct {
+type Snapshot struct {
 	Form    int               `json:"form"`
 	Rev     int64             `json:"rev"`
-	Items   []*item           `json:"items"`
+	Items   []*entryRecord    `json:"items"`
 	Members map[string]string `json:"members"`
 
 	// Since form 2.
@@ -373,12 +360,12 @@
 // Versions of the snapshot format; a newer one is rejected. Version 1 has no routes. It is still written while there are
 // none, so that a downgrade is possible where routes are not used.
 const (
-	savedForm  = 2
-	formBefore = 1
+	SnapshotForm              = 2
+	SnapshotFormWithoutRoutes = 1
 )
 
-func (s *State) save() (*saved, error) {
-	out := &saved{Form: formBefore, Rev: s.rev, Members: maps.Clone(s.members)}
+func (s *State) Snapshot() (*Snapshot, error) {
+	out := &Snapshot{Form: SnapshotFormWithoutRoutes, Rev: s.rev, Members: maps.Clone(s.members)}
 	for _, uid := range slices.Sorted(maps.Keys(s.items)) {
 		it := *s.items[uid]
 		out.Items = append(out.Items, &it)
@@ -386,13 +373,13 @@
 	if !s.routed() {
 		return out, nil
 	}
-	out.Form, out.TermMS = savedForm, s.termMS
-	for _, name := range slices.Sorted(maps.Keys(s.seen)) {
-		out.Seen = append(out.Seen, s.seen[name])
+	out.Form, out.TermMS = SnapshotForm, s.MaxLeaseTermMS
+	for _, name := range slices.Sorted(maps.Keys(s.Processes)) {
+		out.Seen = append(out.Seen, s.Processes[name])
 	}
 	var err, err2 error
-	out.Routes, err = json.Marshal(s.routes)
-	out.Audit, err2 = json.Marshal(s.audit)
+	out.Routes, err = json.Marshal(s.Routes)
+	out.Audit, err2 = json.Marshal(s.AuditLog)
 	if err := errors.Join(err, err2); err != nil {
 		return nil, fmt.Errorf("registry: snapshot: %w", err)
 	}
@@ -401,25 +388,25 @@
 
 // routed tells whether there is anything of routes in the state: a leader with an operators' file says its term first.
 func (s *State) routed() bool {
-	return s.termMS > 0 || s.routes.Rev() > EpochOf(s.routes.Rev())<<countBits
+	return s.MaxLeaseTermMS > 0 || s.Routes.Rev() > EpochOf(s.Routes.Rev())<<CountBits
 }
 
-func (s *State) load(from *saved) error {
-	if from.Form != savedForm && from.Form != formBefore {
-		return fmt.Errorf("registry: a snapshot of form %d, this program reads forms %d and %d", from.Form, formBefore, savedForm)
+func (s *State) Restore(from *Snapshot) error {
+	if from.Form != SnapshotForm && from.Form != SnapshotFormWithoutRoutes {
+		return fmt.Errorf("registry: a snapshot of form %d, this program reads forms %d and %d", from.Form, SnapshotFormWithoutRoutes, SnapshotForm)
 	}
 	routes, log := rollout.NewState(), &audit.Log{}
-	if from.Form == formBefore {
+	if from.Form == SnapshotFormWithoutRoutes {
 		routes.BeginEpoch(EpochOf(from.Rev))
 	} else if err := errors.Join(json.Unmarshal(from.Routes, routes), json.Unmarshal(from.Audit, log)); err != nil {
 		return fmt.Errorf("registry: the routes of a snapshot: %w", err)
 	}
-	s.routes, s.audit, s.termMS, s.seen = routes, log, from.TermMS, map[string]SchemaSupport{}
+	s.Routes, s.AuditLog, s.MaxLeaseTermMS, s.Processes = routes, log, from.TermMS, map[string]SchemaSupport{}
 	for _, p := range from.Seen {
-		s.seen[p.Name] = p
+		s.Processes[p.Name] = p
 	}
 	s.rev, s.from, s.history = from.Rev, from.Rev, nil
-	s.items, s.members = map[string]*item{}, map[string]string{}
+	s.items, s.members = map[string]*entryRecord{}, map[string]string{}
 	for _, it := range from.Items {
 		s.items[it.Entry.UID] = it
 	}
@@ -434,26 +421,26 @@
 	AtMS    int64 `json:"at_ms"` // the leader's wall clock
 }
 
-// maxKnownProcesses bounds the processes in the state; beyond it the one that reported longest ago is dropped.
-const maxKnownProcesses = 10_000
+// MaxKnownProcesses bounds the processes in the state; beyond it the one that reported longest ago is dropped.
+const MaxKnownProcesses = 10_000
 
-func (s *State) see(all []SchemaSupport) {
+func (s *State) rememberProcesses(all []SchemaSupport) {
 	for _, p := range all {
-		s.seen[p.Name] = p
+		s.Processes[p.Name] = p
 	}
-	if len(s.seen) <= maxKnownProcesses {
+	if len(s.Processes) <= MaxKnownProcesses {
 		return
 	}
-	oldest := slices.SortedFunc(maps.Values(s.seen), func(a, b SchemaSupport) int {
+	oldest := slices.SortedFunc(maps.Values(s.Processes), func(a, b SchemaSupport) int {
 		return cmp.Or(cmp.Compare(a.AtMS, b.AtMS), cmp.Compare(a.Name, b.Name))
 	})
-	for _, p := range oldest[:len(oldest)-maxKnownProcesses] {
-		delete(s.seen, p.Name)
+	for _, p := range oldest[:len(oldest)-MaxKnownProcesses] {
+		delete(s.Processes, p.Name)
 	}
 }
 
-// ready counts the entries that take requests and are in a subset.
-func (s *State) ready(sub route.Subset) int {
+// ReadyIn counts the entries that take requests and are in a subset.
+func (s *State) ReadyIn(sub route.Subset) int {
 	n := 0
 	for _, it := range s.items {
 		if e := &it.Entry; e.State == Ready && within(sub.Model, e.Model) && within(sub.PodGroup, e.PodGroup) &&
--- a/internal/registry/state_test.go
+++ b/internal/registry/state/state_test.go
@@ -1,14 +1,22 @@
-package registry
+package state
 
 import (
+	"encoding/json"
 	"errors"
 	"fmt"
+	"math"
 	"slices"
 	"testing"
 	"time"
 
 	"github.com/google/go-cmp/cmp"
+	"github.com/stretchr/testify/assert"
+	"github.com/stretchr/testify/require"
 	"pgregory.net/rapid"
+
+	"marblelane/internal/audit"
+	"marblelane/internal/rollout"
+	"marblelane/internal/route"
 )
 
 func entry(uid string, boot int64) *Entry {
@@ -99,8 +107,8 @@
 		}
 	}
 	for name, after := range map[string]int64{
-		"never told": 0, "older than what is kept": 5<<countBits + 2, "ahead": s.Rev() + 1,
-		"of an older history": 4<<countBits + 19, "of a newer history": 6<<countBits + 1, "nonsense": -7,
+		"never told": 0, "older than what is kept": 5<<CountBits + 2, "ahead": s.Rev() + 1,
+		"of an older history": 4<<CountBits + 19, "of a newer history": 6<<CountBits + 1, "nonsense": -7,
 	} {
 		if l := s.Since(after); !l.All || len(l.Targets) != 1 {
 			t.Errorf("%s: %+v", name, l)
@@ -178,17 +186,17 @@
 }
 
 func TestEpochs(t *testing.T) {
-	now := epochZero.Add(1000 * time.Minute)
+	now := EpochZero.Add(1000 * time.Minute)
 	if e := NextEpoch(now, 0); e != 1000 {
 		t.Errorf("a fresh history: %d", e)
 	}
 	if e := NextEpoch(now, 1000); e != 1001 {
 		t.Errorf("a second one within the minute: %d", e)
 	}
-	if e := NextEpoch(epochZero.Add(-time.Hour), 7); e != 8 {
+	if e := NextEpoch(EpochZero.Add(-time.Hour), 7); e != 8 {
 		t.Errorf("with a clock that went back: %d", e)
 	}
-	if rev := int64(maxEpoch)<<countBits + 1<<countBits - 1; rev != 1<<53-1 {
+	if rev := int64(MaxEpoch)<<CountBits + 1<<CountBits - 1; rev != 1<<53-1 {
 		t.Errorf("the last revision is %d", rev)
 	}
 }
@@ -204,14 +212,14 @@
 		t.Fatal(err)
 	}
 	back := NewState(100)
-	stored, err := s.save()
+	stored, err := s.Snapshot()
 	if err != nil {
 		t.Fatal(err)
 	}
-	if stored.Form != formBefore {
+	if stored.Form != SnapshotFormWithoutRoutes {
 		t.Errorf("without routes the snapshot has form %d, which an earlier program does not read", stored.Form)
 	}
-	if err := back.load(stored); err != nil {
+	if err := back.Restore(stored); err != nil {
 		t.Fatal(err)
 	}
 	if !slices.Equal(back.All().Targets, s.All().Targets) || back.Rev() != s.Rev() || back.Members()["r1"] != "127.0.0.1:9" {
@@ -220,7 +228,49 @@
 	if l := back.Since(s.Rev() - 1); !l.All {
 		t.Error("a restored copy told a change that it does not have")
 	}
-	if err := back.load(&saved{Form: savedForm + 1}); err == nil {
+	if err := back.Restore(&Snapshot{Form: SnapshotForm + 1}); err == nil {
 		t.Error("a snapshot of a newer form was read")
 	}
 }
+
+// saveState takes the snapshot of a state.
+func saveState(t *testing.T, s *State) *Snapshot {
+	t.Helper()
+	out, err := s.Snapshot()
+	require.NoError(t, err)
+	return out
+}
+
+func encodeJSON(t *testing.T, v any) string {
+	t.Helper()
+	text, err := json.Marshal(v)
+	require.NoError(t, err)
+	return string(text)
+}
+
+// A snapshot keeps the routes; one from before there were any is read, and written while there are none.
+func TestSnapshot_routes(t *testing.T) {
+	s := newStartedState(10)
+	base := rollout.Command{Op: rollout.OpBase, Tenant: "a", Base: route.Subset{Model: []string{"m"}}}
+	for _, c := range []*Command{{Op: OpTerm, TermMS: 5}, {Op: OpRoutes, Routes: &base},
+		{Op: OpAudit, Audit: []audit.Transition{{Process: route.Process{Name: "p", Start: 1}, Kind: audit.FirstReport, Rev: 1}},
+			Seen: []SchemaSupport{{Process: route.Process{Name: "p", Start: 1}, Schemas: []int{1}}}}} {
+		before := s.Rev()
+		_, err := s.Apply(c)
+		require.NoError(t, err)
+		assert.Equal(t, before, s.Rev(), "the list's revision moved")
+	}
+	stored := saveState(t, s)
+	assert.Equal(t, SnapshotForm, stored.Form)
+	back := NewState(10)
+	require.NoError(t, back.Restore(stored))
+	assert.Equal(t, encodeJSON(t, stored), encodeJSON(t, saveState(t, back)))
+	assert.Equal(t, s.Routes.Table(), back.Routes.Table())
+	assert.Equal(t, 1, back.AuditLog.Len())
+
+	require.NoError(t, back.Restore(&Snapshot{Form: SnapshotFormWithoutRoutes, Rev: 7<<CountBits + 3}))
+	assert.Equal(t, int64(7<<CountBits), back.Routes.Rev())
+	assert.Equal(t, SnapshotFormWithoutRoutes, saveState(t, back).Form)
+	assert.Error(t, back.Restore(&Snapshot{Form: SnapshotForm, Routes: []byte("{"), Audit: []byte("{}")}))
+	assert.Less(t, back.Routes.Rev(), int64(math.MaxInt64))
+}
--- a/internal/registry/state_machine.go
+++ b/internal/registry/state_machine.go
@@ -7,6 +7,7 @@
 	"errors"
 	"fmt"
 	"io"
+	"marblelane/internal/registry/state"
 	"time"
 
 	"github.com/hashicorp/raft"
@@ -17,7 +18,7 @@
 
 // Apply carries out a committed command.
 func (m *machine) Apply(l *raft.Log) any {
-	var c Command
+	var c state.Command
 	if err := json.Unmarshal(l.Data, &c); err != nil {
 		return result{err: fmt.Errorf("registry: log entry %d: %w", l.Index, err)}
 	}
@@ -25,9 +26,9 @@
 	if c.Term != 0 && c.Term != l.Term {
 		return result{err: ErrNotLeader} // decided in an earlier lead
 	}
-	m.hub.read(func(s *State) {
+	m.hub.read(func(s *state.State) {
 		r.rev, r.err = s.Apply(&c)
-		m.server.routes.tables.follow(s.routes, l.Term, time.Now())
+		m.server.routes.tables.follow(s.Routes, l.Term, time.Now())
 	})
 	m.server.signalChange()
 	return r
@@ -35,28 +36,28 @@
 
 // Snapshot takes a copy of the state, which is written out later.
 func (m *machine) Snapshot() (raft.FSMSnapshot, error) {
-	var s *saved
+	var s *state.Snapshot
 	var err error
-	m.hub.read(func(st *State) { s, err = st.save() })
+	m.hub.read(func(st *state.State) { s, err = st.Snapshot() })
 	return snapshot{s}, err
 }
 
 // Restore puts a snapshot in the state's place.
 func (m *machine) Restore(from io.ReadCloser) error {
 	defer from.Close()
-	var in saved
+	var in state.Snapshot
 	if err := json.NewDecoder(from).Decode(&in); err != nil {
 		return fmt.Errorf("registry: snapshot: %w", err)
 	}
-	s := NewState(m.cfg.Keep)
-	if err := s.load(&in); err != nil {
+	s := state.NewState(m.cfg.Keep)
+	if err := s.Restore(&in); err != nil {
 		return err
 	}
-	m.server.routes.tables.follow(s.routes, 0, time.Now())
+	m.server.routes.tables.follow(s.Routes, 0, time.Now())
 	return m.hub.replace(s)
 }
 
-type snapshot struct{ s *saved }
+type snapshot struct{ s *state.Snapshot }
 
 // Persist writes the snapshot whole or not at all.
 func (s snapshot) Persist(sink raft.SnapshotSink) error {
--- a/internal/registry/store_snapshots.go
+++ b/internal/registry/store_snapshots.go
@@ -10,6 +10,7 @@
 	"io"
 	"io/fs"
 	"log/slog"
+	"marblelane/internal/registry/state"
 	"os"
 	"path/filepath"
 	"slices"
@@ -280,8 +281,8 @@
 	if err := json.NewDecoder(f).Decode(&in); err != nil {
 		return false, fmt.Errorf("%s: %w", stateFile, err)
 	}
-	if in.Form > savedForm {
-		return false, fmt.Errorf("%s: %w: form %d, this one reads up to %d", stateFile, errNewerVersion, in.Form, savedForm)
+	if in.Form > state.SnapshotForm {
+		return false, fmt.Errorf("%s: %w: form %d, this one reads up to %d", stateFile, errNewerVersion, in.Form, state.SnapshotForm)
 	}
 	s.Rev = in.Rev
 	return unsealed, nil
--- a/internal/registry/supervisor_test.go
+++ b/internal/registry/supervisor_test.go
@@ -19,6 +19,7 @@
 	"github.com/stretchr/testify/require"
 
 	"marblelane/internal/fault"
+	"marblelane/internal/registry/state"
 )
 
 // supervised is a supervised replica under test whose disk can be made to fail.
@@ -149,7 +150,7 @@
 func served(t *testing.T, c *supervised) map[string]bool {
 	t.Helper()
 	_, text := call(t, "GET", c.cfg.Listen, listPath, "")
-	var l List
+	var l state.List
 	require.NoError(t, json.Unmarshal([]byte(text), &l), text)
 	out := map[string]bool{}
 	for _, e := range l.Targets {
@@ -423,7 +424,7 @@
 		go func() { ended <- n.Run(t.Context()) }()
 		until(t, "the first write", func() bool { return n.Term() != 0 && n.Server().Status().Rev > 0 })
 		require.NoError(t, fault.NewSet(0, 0, fault.SyncErrorLost).Write(faults))
-		_, err = n.Apply(&Command{Op: OpPut, Entry: &Entry{UID: "lost", Endpoint: "127.0.0.1:1", State: Ready}}, time.Second)
+		_, err = n.Apply(&state.Command{Op: state.OpPut, Entry: &state.Entry{UID: "lost", Endpoint: "127.0.0.1:1", State: state.Ready}}, time.Second)
 		require.ErrorIs(t, err, ErrNoQuorum)
 		var disk *DiskError
 		require.ErrorAs(t, <-ended, &disk)
--- a/internal/registry/verify.go
+++ b/internal/registry/verify.go
@@ -5,6 +5,7 @@
 	"errors"
 	"fmt"
 	"io"
+	"marblelane/internal/registry/state"
 	"os"
 	"path/filepath"
 
@@ -38,10 +39,10 @@
 	if len(out.Faults) > 0 {
 		return out, nil // what the log comes to would be a guess
 	}
-	state := NewState(1)
+	restored := state.NewState(1)
 	for _, s := range found.Snapshots {
 		if s.Fault == nil {
-			if state, err = loadSnapshot(filepath.Join(dir, snapshotsDir, s.Name, stateFile)); err != nil {
+			if restored, err = loadSnapshot(filepath.Join(dir, snapshotsDir, s.Name, stateFile)); err != nil {
 				out.fault(filepath.Join(dir, snapshotsDir, s.Name), err)
 				return out, nil
 			}
@@ -53,31 +54,31 @@
 		if l.Type != raft.LogCommand || l.Index <= covered {
 			continue
 		}
-		var c Command
+		var c state.Command
 		if err := json.Unmarshal(l.Data, &c); err != nil {
 			out.fault(fmt.Sprintf("%s: bucket log, entry %d", filepath.Join(dir, storeFile), l.Index), err)
 			continue
 		}
 		if c.Term == 0 || c.Term == l.Term {
-			_, _ = state.Apply(&c) // what a command is refused for is no fault of the folder
+			_, _ = restored.Apply(&c) // what a command is refused for is no fault of the folder
 		}
 	}
-	out.Rev, out.Epoch = state.Rev(), EpochOf(state.Rev())
+	out.Rev, out.Epoch = restored.Rev(), state.EpochOf(restored.Rev())
 	return out, nil
 }
 
-func loadSnapshot(path string) (*State, error) {
+func loadSnapshot(path string) (*state.State, error) {
 	f, err := os.Open(path)
 	if err != nil {
 		return nil, err
 	}
 	defer f.Close()
-	var in saved
+	var in state.Snapshot
 	if err := json.NewDecoder(f).Decode(&in); err != nil {
 		return nil, err
 	}
-	s := NewState(1)
-	return s, s.load(&in)
+	s := state.NewState(1)
+	return s, s.Restore(&in)
 }
 
 // Sound tells whether a replica may start from the folder.
@@ -93,11 +94,11 @@
 	say("log: %d entries, index %d to %d, terms %d to %d", v.Entries, v.First, v.Last, v.LowTerm, v.Top)
 	say("copy: in term %d, voted last in term %d for %q", v.Term, v.VotedTerm, v.Vote)
 	for _, s := range v.Snapshots {
-		state := "sound"
+		restored := "sound"
 		if s.Fault != nil {
-			state = s.Fault.Error()
+			restored = s.Fault.Error()
 		}
-		say("snapshot %s: index %d, term %d, revision %d, %d bytes: %s", s.Name, s.Index, s.Term, s.Rev, s.Bytes, state)
+		say("snapshot %s: index %d, term %d, revision %d, %d bytes: %s", s.Name, s.Index, s.Term, s.Rev, s.Bytes, restored)
 	}
 	if v.Sound() {
 		say("revision %d of epoch %d, if all of the log was committed", v.Rev, v.Epoch)
--- a/internal/wallclock/wallclock_test.go
+++ b/internal/wallclock/wallclock_test.go
@@ -102,7 +102,7 @@
 	"internal/registry/server_status.go": {
 		"age.Round": {1, "a duration"},
 	},
-	"internal/registry/state.go": {
+	"internal/registry/state/state.go": {
 		"time.Date": {1, "is constant; epochs are raised above the former one"},
 	},
 	"internal/registry/supervisor.go": {
