--- a/architecture_test.go
+++ b/architecture_test.go
@@ -22,6 +22,7 @@
 		"internal/membership/roster/model", "internal/rollout/model", "internal/snapshot/crashcheck"},
 	{"internal/sidecar/checkpoint", "internal/sidecar/clock", "internal/sidecar/netcall",
 		"internal/sidecar/endpointlist", "internal/sidecar/inflight", "internal/registry/state"},
+	{"internal/registry/storage"},
 	{"internal/registry"},
 	{"internal/sidecar/framing", "internal/sidecar/discovery", "internal/sidecar/sidecartest"},
 	{"internal/sidecar/config"},
--- a/internal/registry/agent.go
+++ b/internal/registry/agent.go
@@ -8,13 +8,14 @@
 	"fmt"
 	"io"
 	"log/slog"
-	"marblelane/internal/registry/state"
 	"net/http"
 	"net/url"
 	"sync/atomic"
 	"time"
 
 	"github.com/cenkalti/backoff/v5"
+
+	"marblelane/internal/registry/state"
 )
 
 // Agent registers one server and keeps it registered: once its health check passes, until its context ends; then it
--- a/internal/registry/agent_test.go
+++ b/internal/registry/agent_test.go
@@ -2,13 +2,14 @@
 
 import (
 	"context"
-	"marblelane/internal/registry/state"
 	"net/http"
 	"net/http/httptest"
 	"strings"
 	"sync/atomic"
 	"testing"
 	"time"
+
+	"marblelane/internal/registry/state"
 )
 
 // A server is listed once it is healthy, survives the service being away, and leaves in order.
--- a/internal/registry/freshness.go
+++ b/internal/registry/freshness.go
@@ -4,12 +4,13 @@
 	"context"
 	"encoding/json"
 	"fmt"
-	"marblelane/internal/registry/state"
 	"net/http"
 	"sync"
 	"time"
 
 	"github.com/hashicorp/raft"
+
+	"marblelane/internal/registry/state"
 )
 
 // freshness tracks an upper bound of the staleness of a replica's list.
--- a/internal/registry/hub.go
+++ b/internal/registry/hub.go
@@ -3,9 +3,10 @@
 import (
 	"encoding/json"
 	"fmt"
-	"marblelane/internal/registry/state"
 	"sync"
 	"sync/atomic"
+
+	"marblelane/internal/registry/state"
 )
 
 // hub distributes changes of the list to watches. Each change is encoded once, as a line shared by all watches, in a
--- a/internal/registry/node.go
+++ b/internal/registry/node.go
@@ -22,6 +22,7 @@
 	"marblelane/internal/listener"
 	"marblelane/internal/membership"
 	"marblelane/internal/registry/state"
+	"marblelane/internal/registry/storage"
 	"marblelane/internal/retry"
 )
 
@@ -69,8 +70,8 @@
 	members     *members // nil: off
 	http        *http.Server
 	listen      net.Listener
-	raftAt      net.Addr // where raft listens
-	store       *store   // nil: nothing is kept
+	raftAt      net.Addr       // where raft listens
+	store       *storage.Store // nil: nothing is kept
 	close       []func() error
 	log         *slog.Logger
 	// settled is the last term in which this replica led and had applied all that was committed before it.
@@ -160,43 +161,43 @@
 }
 
 // storage is what raft persists: its log, its term and vote, and snapshots.
-type storage struct {
+type raftStores struct {
 	logs   raft.LogStore
 	stable raft.StableStore
 	snaps  raft.SnapshotStore
 }
 
 // openStorage opens the data directory, after recovery, or storage in memory if none is configured.
-func (n *Node) openStorage(logger hclog.Logger) (*storage, error) {
+func (n *Node) openStorage(logger hclog.Logger) (*raftStores, error) {
 	if n.cfg.Dir == "" {
 		mem := raft.NewInmemStore()
-		return &storage{mem, mem, raft.NewInmemSnapshotStore()}, nil
+		return &raftStores{mem, mem, raft.NewInmemSnapshotStore()}, nil
 	}
 	if n.cfg.reopened {
-		if _, err := os.Stat(filepath.Join(n.cfg.Dir, storeFile)); err != nil {
+		if _, err := os.Stat(filepath.Join(n.cfg.Dir, storage.StoreFile)); err != nil {
 			return nil, fmt.Errorf("registry: %w", err)
 		}
 	}
-	release, err := takeDir(n.cfg.Dir)
+	release, err := storage.LockDir(n.cfg.Dir)
 	if err != nil {
 		return nil, fmt.Errorf("registry: %w", err)
 	}
 	n.close = append(n.close, release)
-	if err := recoverDir(n.cfg.Dir, n.log); err != nil {
+	if err := storage.Recover(n.cfg.Dir, n.log); err != nil {
 		return nil, fmt.Errorf("registry: %w", err)
 	}
-	file, err := openStore(filepath.Join(n.cfg.Dir, storeFile), n.cfg.SlowDisk, n.cfg.Faults)
+	file, err := storage.OpenStore(filepath.Join(n.cfg.Dir, storage.StoreFile), n.cfg.SlowDisk, n.cfg.Faults)
 	if err != nil {
 		return nil, fmt.Errorf("registry: log: %w", err)
 	}
 	n.store = file
-	file.onFailure = func(err error) { n.log.Error("registry: the disk takes no more", "error", err) }
+	file.OnFailure = func(err error) { n.log.Error("registry: the disk takes no more", "error", err) }
 	n.close = append(n.close, file.Close)
-	files, err := openSnapshots(n.cfg.Dir, logger, n.log)
+	files, err := storage.OpenSnapshots(n.cfg.Dir, logger, n.log)
 	if err != nil {
 		return nil, fmt.Errorf("registry: snapshots in %s: %w", n.cfg.Dir, err)
 	}
-	return &storage{file, termStore{file}, files}, nil
+	return &raftStores{file, storage.TermStore{Store: file}, files}, nil
 }
 
 // openTransport listens for raft and sets up the transport; a busy address is retried until start gives up.
@@ -221,7 +222,7 @@
 
 // bootstrap writes the founding configuration at the first start of a founder, or completes one that was interrupted.
 // It runs before raft does: a replica that has taken part in an election must not bootstrap any more.
-func (n *Node) bootstrap(c *raft.Config, st *storage, wire *transport) error {
+func (n *Node) bootstrap(c *raft.Config, st *raftStores, wire *transport) error {
 	old, err := raft.HasExistingState(st.logs, st.stable, st.snaps)
 	if err != nil {
 		return fmt.Errorf("registry: %w", err)
@@ -290,7 +291,7 @@
 	var broken error
 	var disk <-chan error
 	if n.store != nil {
-		disk = n.store.failed
+		disk = n.store.Failed
 	}
 	select {
 	case err := <-failed:
--- a/internal/registry/node_disk.go
+++ b/internal/registry/node_disk.go
@@ -21,7 +21,7 @@
 			return
 		case <-t.C:
 		}
-		if n.store.consecutiveSlowWrites.Load() < slowWritesToYield || n.raft.State() != raft.Leader || !last.IsZero() && time.Since(last) < minYieldInterval {
+		if n.store.SlowWritesInRow() < slowWritesToYield || n.raft.State() != raft.Leader || !last.IsZero() && time.Since(last) < minYieldInterval {
 			continue
 		}
 		last = time.Now()
@@ -37,7 +37,7 @@
 	if n.store == nil {
 		return 0
 	}
-	return time.Duration(n.store.lastWriteNanos.Load())
+	return n.store.LastWriteDuration()
 }
 
 // DiskWrites is how often something was written to the disk since the start.
@@ -45,7 +45,7 @@
 	if n.store == nil {
 		return 0
 	}
-	return n.store.writes.Load()
+	return n.store.WriteCount()
 }
 
 // diskFailure is the first write that the replica's folder has refused; nil: none.
@@ -53,5 +53,5 @@
 	if n.store == nil {
 		return nil
 	}
-	return n.store.failure()
+	return n.store.Failure()
 }
--- a/internal/registry/node_lead.go
+++ b/internal/registry/node_lead.go
@@ -4,11 +4,12 @@
 
 import (
 	"context"
-	"marblelane/internal/registry/state"
 	"slices"
 	"time"
 
 	"github.com/hashicorp/raft"
+
+	"marblelane/internal/registry/state"
 )
 
 // handleNewLeadership makes the first writes of a new leader: the first epoch if there is none, and the HTTP addresses
--- a/internal/registry/node_test.go
+++ b/internal/registry/node_test.go
@@ -5,10 +5,8 @@
 	"bytes"
 	"context"
 	"encoding/json"
-	"errors"
 	"fmt"
 	"io"
-	"marblelane/internal/registry/state"
 	"math/rand/v2"
 	"net"
 	"net/http"
@@ -19,8 +17,9 @@
 	"testing"
 	"time"
 
-	"github.com/hashicorp/raft"
 	"go.uber.org/goleak"
+
+	"marblelane/internal/registry/state"
 )
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
@@ -533,88 +532,13 @@
 	}
 }
 
-func TestStore(t *testing.T) {
-	path := filepath.Join(t.TempDir(), "raft.db")
-	s, err := openStore(path, time.Second, nil)
-	if err != nil {
-		t.Fatal(err)
-	}
-	if _, err := openStore(path, time.Second, nil); err == nil || !strings.Contains(err.Error(), "another process") {
-		t.Errorf("opened twice: %v", err)
-	}
-	var logs []*raft.Log
-	for i := uint64(1); i <= 500; i++ {
-		logs = append(logs, &raft.Log{Index: i, Term: 3, Data: fmt.Appendf(nil, "entry %d", i)})
-	}
-	if err := s.StoreLogs(logs); err != nil {
-		t.Fatal(err)
-	}
-	if err := s.DeleteRange(1, 100); err != nil {
-		t.Fatal(err)
-	}
-	if err := s.DeleteRange(401, 500); err != nil {
-		t.Fatal(err)
-	}
-	first, _ := s.FirstIndex()
-	last, _ := s.LastIndex()
-	if first != 101 || last != 400 {
-		t.Errorf("it keeps %d to %d", first, last)
-	}
-	var l raft.Log
-	for i := uint64(101); i <= 400; i++ {
-		if err := s.GetLog(i, &l); err != nil || string(l.Data) != fmt.Sprintf("entry %d", i) || l.Term != 3 {
-			t.Fatalf("entry %d: %+v, %v", i, l, err)
-		}
-	}
-	if err := s.GetLog(100, &l); !errors.Is(err, raft.ErrLogNotFound) {
-		t.Errorf("a removed entry: %v", err)
-	}
-	if _, err := s.GetUint64([]byte("none")); err == nil || err.Error() != "not found" {
-		t.Errorf("an absent value: %v", err)
-	}
-	if err := s.SetUint64([]byte("term"), 7); err != nil {
-		t.Fatal(err)
-	}
-	if v, err := s.GetUint64([]byte("term")); v != 7 || err != nil {
-		t.Errorf("a value: %d, %v", v, err)
-	}
-	if err := s.Close(); err != nil {
-		t.Fatal(err)
-	}
-}
-
-// Every flipped bit of a log entry is found out.
-func TestStore_corruptEntry(t *testing.T) {
-	dir := t.TempDir()
-	s, err := openStore(filepath.Join(dir, "raft.db"), time.Second, nil)
-	if err != nil {
-		t.Fatal(err)
-	}
-	defer s.Close()
-	if err := s.StoreLog(&raft.Log{Index: 1, Term: 1, Data: []byte("precious")}); err != nil {
-		t.Fatal(err)
-	}
-	good, err := s.raw(1)
-	if err != nil {
-		t.Fatal(err)
-	}
-	var l raft.Log
-	for bit := range 8 * len(good) {
-		bad := bytes.Clone(good)
-		bad[bit/8] ^= 1 << (bit % 8)
-		if err := decodeLog(1, bad, &l); !errors.Is(err, errCorrupt) {
-			t.Fatalf("bit %d: %v", bit, err)
-		}
-	}
-}
-
 // A replica whose disk takes no more ends with an error; it does not go on as if it had written.
 func TestNode_diskFailure(t *testing.T) {
 	all := cluster(t, 3, nil)
 	lead := leader(t, all)
 	put(t, lead, "s1", 1, 0)
 	ended := lead.ended
-	if err := lead.node.store.db.Close(); err != nil { // every write fails from now on
+	if err := lead.node.store.Close(); err != nil { // every write fails from now on
 		t.Fatal(err)
 	}
 	// The write may be answered by the next leader, or not at all; it is not acknowledged by the replica that lost its
--- a/internal/registry/recover_test.go
+++ b/internal/registry/recover_test.go
@@ -3,11 +3,9 @@
 import (
 	"bytes"
 	"encoding/binary"
-	"encoding/json"
 	"errors"
 	"fmt"
-	"log/slog"
-	"marblelane/internal/registry/state"
+	"hash/crc32"
 	"math/rand/v2"
 	"net/http"
 	"os"
@@ -24,6 +22,9 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 	bolt "go.etcd.io/bbolt"
+
+	"marblelane/internal/registry/state"
+	"marblelane/internal/registry/storage"
 )
 
 // folder makes the folder of a replica that has led, with two snapshots and entries that are in none.
@@ -40,16 +41,6 @@
 	return one.cfg.Dir, one.cfg
 }
 
-// content is all that a folder's log and values say; found is what was thought of it.
-func content(t *testing.T, dir string) (text string, found *Found) {
-	t.Helper()
-	var b strings.Builder
-	found, err := inspect(dir, func(l *raft.Log) { fmt.Fprintln(&b, l.Index, l.Term, l.Type, string(l.Data)) })
-	require.NoError(t, err)
-	fmt.Fprint(&b, found.values)
-	return b.String(), found
-}
-
 // copied is a copy of a folder.
 func copied(t *testing.T, dir string) string {
 	t.Helper()
@@ -61,12 +52,18 @@
 // alter changes a store as another program would.
 func alter(t *testing.T, dir string, do func(*bolt.Tx) error) {
 	t.Helper()
-	db, err := bolt.Open(filepath.Join(dir, storeFile), 0o600, nil)
+	db, err := bolt.Open(filepath.Join(dir, storage.StoreFile), 0o600, nil)
 	require.NoError(t, err)
 	require.NoError(t, errors.Join(db.Update(do), db.Close()))
 }
 
-func quiet() *slog.Logger { return slog.New(slog.DiscardHandler) }
+// bigEndian and checksum encode numbers and checksums as the store does.
+func bigEndian(number uint64) []byte { return binary.BigEndian.AppendUint64(nil, number) }
+
+func checksum(name, value []byte) []byte {
+	sum := crc32.Checksum(append(bytes.Clone(name), value...), crc32.MakeTable(crc32.Castagnoli))
+	return binary.BigEndian.AppendUint32(nil, sum)
+}
 
 func write(t *testing.T, path string, text []byte) {
 	t.Helper()
@@ -80,219 +77,28 @@
 	return text
 }
 
-// A flipped bit is found, or stands where nothing is read; a cut is found.
-func TestStore_bitFlipsAndTruncation(t *testing.T) {
-	t.Parallel()
-	dir, _ := folder(t)
-	path := filepath.Join(dir, storeFile)
-	good := read(t, path)
-	want, found := content(t, dir)
-	require.Empty(t, found.Faults)
-	require.NotEmpty(t, found.Vote)
-	var bits []int
-	for page := range 2 {
-		for i := range metaSize * 8 {
-			bits = append(bits, (page*os.Getpagesize()+metaAt)*8+i)
-		}
-	}
-	seed := rand.New(rand.NewPCG(1, 2))
-	for range 1000 {
-		bits = append(bits, seed.IntN(len(good)*8))
-	}
-	faults := 0
-	for i, bit := range bits {
-		bad := bytes.Clone(good)
-		bad[bit/8] ^= 1 << (bit % 8)
-		write(t, path, bad)
-		text, found := content(t, dir)
-		if len(found.Faults) > 0 {
-			faults++
-			var u *corruptionError
-			if !errors.As(errors.Join(found.Faults...), &u) {
-				assert.ErrorIs(t, errors.Join(found.Faults...), errNewerVersion, "bit %d", bit)
-			}
-		} else if text != want || i < 2*metaSize*8 {
-			t.Fatalf("bit %d of page %d: is not found", bit, bit/8/os.Getpagesize())
-		}
-	}
-	assert.Greater(t, faults, 2*metaSize*8+20)
-	used := 0
-	for n := 0; n < len(good); n += 1024 {
-		write(t, path, good[:n])
-		if _, found := content(t, dir); len(found.Faults) > 0 {
-			used++
-		} else {
-			break // only pages that are not in use are missing from here on
-		}
-	}
-	assert.Greater(t, used, 4)
-	write(t, path, good)
-	assert.NoError(t, recoverDir(dir, quiet()))
-}
-
-// bbolt goes on from the state before when the newest meta page is spoilt; this program does not.
-func TestStore_corruptMetaPage(t *testing.T) {
-	t.Parallel()
-	path := filepath.Join(t.TempDir(), storeFile)
-	s, err := openStore(path, time.Second, nil)
-	require.NoError(t, err)
-	require.NoError(t, s.SetUint64([]byte("CurrentTerm"), 1))
-	require.NoError(t, s.StoreLog(&raft.Log{Index: 1, Term: 1}))
-	require.NoError(t, s.StoreLog(&raft.Log{Index: 2, Term: 1}))
-	require.NoError(t, s.Close())
-	bad := read(t, path)
-	p, err := openPages(bytes.NewReader(bad), int64(len(bad)))
-	require.NoError(t, err)
-	bad[int64(p.txid%2)*p.page+metaAt+metaSum] ^= 1
-	write(t, path, bad)
-	err = recoverDir(filepath.Dir(path), quiet())
-	assert.ErrorContains(t, err, "meta page")
-	assert.ErrorContains(t, err, "replace-copy")
-	db, err := bolt.Open(path, 0o600, nil)
-	require.NoError(t, err)
-	defer db.Close()
-	s = &store{db: db}
-	last, err := s.LastIndex()
-	require.NoError(t, err)
-	assert.EqualValues(t, 1, last, "the defect is there: an acknowledged entry is gone in silence")
-}
-
-// Power is lost at any point of a transaction. bbolt writes pages, syncs, writes the meta page, syncs; sectors of 512
-// bytes that no sync has covered are on the disk or not, in any mix.
-func TestStore_powerLoss(t *testing.T) {
-	t.Parallel()
-	dir := t.TempDir()
-	path := filepath.Join(dir, storeFile)
-	s, err := openStore(path, time.Second, nil)
-	require.NoError(t, err)
-	require.NoError(t, s.SetUint64([]byte("CurrentTerm"), 1))
-	type restored struct {
-		file []byte
-		text string
-	}
-	note := func() restored { // bbolt has the file open, so a replica is read
-		at := t.TempDir()
-		b := read(t, path)
-		write(t, filepath.Join(at, storeFile), b)
-		text, found := content(t, at)
-		require.Empty(t, found.Faults)
-		return restored{b, text}
-	}
-	states := []restored{note()}
-	for i := uint64(1); i <= 20; i++ {
-		first, logs := i-i%3, []*raft.Log{}
-		for at := max(1, first); at <= i; at++ {
-			logs = append(logs, &raft.Log{Index: at, Term: 1, Data: bytes.Repeat([]byte{byte(i)}, 40*int(i))})
-		}
-		require.NoError(t, s.DeleteRange(first, i)) // what a follower does in a conflict
-		states = append(states, note())
-		require.NoError(t, s.StoreLogs(logs))
-		states = append(states, note())
-		require.NoError(t, s.SetUint64([]byte("CurrentTerm"), i))
-		states = append(states, note())
-	}
-	require.NoError(t, s.Close())
-	const sector = 512
-	seed := rand.New(rand.NewPCG(3, 4))
-	lied, found := 0, 0
-	for i := range 600 {
-		n := 1 + seed.IntN(len(states)-1)
-		old, next := states[n-1], states[n]
-		b := bytes.Clone(next.file) // it has grown before, with a sync of its own
-		synced, lie := seed.IntN(3) == 0, i%4 == 0
-		for at := 0; at < len(b); at += sector {
-			meta := at < 2*os.Getpagesize()
-			drop := seed.IntN(2) == 0
-			if meta && !synced && !lie || !meta && (!synced || lie) && drop || meta && synced && !lie && drop {
-				clear(b[at : at+sector])
-				copy(b[at:at+sector], old.file[min(at, len(old.file)):])
-			}
-		}
-		at := t.TempDir()
-		write(t, filepath.Join(at, storeFile), b)
-		if lie { // planted: the disk said that the pages were synced, and lost some
-			lied++
-			if text, f := content(t, at); len(f.Faults)+len(f.Notes) > 0 {
-				found++ // a whole old root shows as another program's write, which is said
-			} else if text != next.text {
-				t.Fatalf("play %d: what a lying disk lost was not found", i)
-			}
-			continue
-		}
-		require.NoError(t, recoverDir(at, quiet()), "play %d", i)
-		text, _ := content(t, at)
-		if text != old.text && (text != next.text || !synced) {
-			t.Fatalf("play %d: transaction %d is there in part", i, n)
-		}
-	}
-	assert.Greater(t, found, lied/4)
-}
-
-func TestSnapshots_checked(t *testing.T) {
+// A replica sets a spoilt newest snapshot aside at its start, removes what was not finished, and has all entries.
+func TestRecover_spoiltSnapshot(t *testing.T) {
 	t.Parallel()
 	dir, cfg := folder(t)
-	_, found := content(t, dir)
-	require.Len(t, found.Snapshots, 2)
-	newest := filepath.Join(dir, snapshotsDir, found.Snapshots[0].Name)
-	for _, name := range []string{metaFile, sealFile, stateFile} {
-		path := filepath.Join(newest, name)
-		good := read(t, path)
-		step := 1
-		if name == stateFile { // a CRC that raft checks as well
-			step = 13
-		}
-		for bit := 0; bit < len(good)*8; bit += step {
-			bad := bytes.Clone(good)
-			bad[bit/8] ^= 1 << (bit % 8)
-			write(t, path, bad)
-			var s FoundSnapshot
-			_, _ = fmt.Sscanf(filepath.Base(newest), "%d-%d-", &s.Term, &s.Index)
-			if _, err := s.read(newest); err == nil {
-				t.Fatalf("%s: bit %d is not found", name, bit)
-			}
-		}
-		write(t, path, good)
-	}
-	seal := read(t, filepath.Join(newest, sealFile))
-	require.NoError(t, os.Remove(filepath.Join(newest, sealFile))) // power was lost before it, or the program is older
-	require.NoError(t, recoverDir(dir, quiet()))
-	assert.DirExists(t, newest)
-	// What a later program wrote is neither set aside nor called damaged.
-	restored := read(t, filepath.Join(newest, stateFile))
-	mark := sealed{Form: sealForm + 1}
-	mark.Sum = mark.sum()
-	text, err := json.Marshal(mark)
+	found, err := Verify(dir)
 	require.NoError(t, err)
-	write(t, filepath.Join(newest, sealFile), text)
-	assert.ErrorIs(t, recoverDir(dir, quiet()), errNewerVersion)
-	write(t, filepath.Join(newest, sealFile), seal)
-	// An old one that is spoilt is needless beside a newer one.
-	other, old := copied(t, dir), filepath.Join(snapshotsDir, found.Snapshots[1].Name)
-	require.NoError(t, os.Remove(filepath.Join(other, old, stateFile)))
-	require.NoError(t, recoverDir(other, quiet()))
-	assert.NoDirExists(t, filepath.Join(other, old))
-	// A spoilt one is set aside while the older one and the log have everything; what was not finished is cut.
-	write(t, filepath.Join(newest, stateFile), restored[:len(restored)/2])
-	unfinished := filepath.Join(dir, snapshotsDir, "9-9-9"+tempSuffix)
+	require.Len(t, found.Snapshots, 2)
+	newest := filepath.Join(dir, storage.SnapshotsDir, found.Snapshots[0].Name)
+	stored := read(t, filepath.Join(newest, storage.StateFile))
+	write(t, filepath.Join(newest, storage.StateFile), stored[:len(stored)/2])
+	unfinished := filepath.Join(dir, storage.SnapshotsDir, "9-9-9"+storage.TempSuffix)
 	require.NoError(t, os.Mkdir(unfinished, 0o755))
-	write(t, filepath.Join(dir, storeFile+tempSuffix), []byte("half"))
-	require.NoError(t, os.MkdirAll(filepath.Join(newest+asideSuffix+tempSuffix, "x"), 0o755)) // a recovery was cut off
-	less := copied(t, dir)
+	write(t, filepath.Join(dir, storage.StoreFile+storage.TempSuffix), []byte("half"))
+	require.NoError(t, os.MkdirAll(filepath.Join(newest+storage.AsideSuffix+storage.TempSuffix, "x"), 0o755)) // a recovery was cut off
 	again := &copyOf{cfg: cfg}
 	again.start(t)
 	leader(t, []*copyOf{again})
 	until(t, "the last entry", func() bool { return strings.Contains(uids(t, again), "s11=Ready") })
 	again.end(t)
 	assert.NoDirExists(t, unfinished)
-	assert.NoFileExists(t, filepath.Join(dir, storeFile+tempSuffix))
+	assert.NoFileExists(t, filepath.Join(dir, storage.StoreFile+storage.TempSuffix))
 	assert.NoDirExists(t, newest)
-	// Without the entries that it had, the replica stops.
-	s, err := openStore(filepath.Join(less, storeFile), time.Second, nil)
-	require.NoError(t, err)
-	require.NoError(t, errors.Join(s.DeleteRange(1, found.Snapshots[0].Index), s.Close()))
-	_, found = content(t, less)
-	require.NotZero(t, found.Entries)
-	assert.ErrorContains(t, recoverDir(less, quiet()), "are missing")
 }
 
 // Each state of a folder from which a replica must not start ends in one clear line, within a bounded time.
@@ -306,31 +112,31 @@
 		do   func(dir string) error
 		says string
 	}{
-		"0 bytes":  {func(dir string) error { return os.Truncate(filepath.Join(dir, storeFile), 0) }, "the file is empty"},
-		"no store": {func(dir string) error { return os.Remove(filepath.Join(dir, storeFile)) }, "is not there"},
+		"0 bytes":  {func(dir string) error { return os.Truncate(filepath.Join(dir, storage.StoreFile), 0) }, "the file is empty"},
+		"no store": {func(dir string) error { return os.Remove(filepath.Join(dir, storage.StoreFile)) }, "is not there"},
 		"a folder for a store": {func(dir string) error {
-			return errors.Join(os.Remove(filepath.Join(dir, storeFile)), os.Mkdir(filepath.Join(dir, storeFile), 0o755))
+			return errors.Join(os.Remove(filepath.Join(dir, storage.StoreFile)), os.Mkdir(filepath.Join(dir, storage.StoreFile), 0o755))
 		}, "is no file"},
 		"a hole": {change(func(tx *bolt.Tx) error {
-			k, _ := tx.Bucket(logBucket).Cursor().Last()
-			return tx.Bucket(logBucket).Delete(key(binary.BigEndian.Uint64(k) - 1))
+			k, _ := tx.Bucket([]byte("log")).Cursor().Last()
+			return tx.Bucket([]byte("log")).Delete(bigEndian(binary.BigEndian.Uint64(k) - 1))
 		}), "bucket log, entry"},
 		"a spoilt last entry": {change(func(tx *bolt.Tx) error {
-			k, v := tx.Bucket(logBucket).Cursor().Last()
+			k, v := tx.Bucket([]byte("log")).Cursor().Last()
 			v = bytes.Clone(v)
 			v[len(v)/2] ^= 4
-			return tx.Bucket(logBucket).Put(k, v)
+			return tx.Bucket([]byte("log")).Put(k, v)
 		}), "another checksum"},
 		"a lost term": {change(func(tx *bolt.Tx) error {
-			return tx.Bucket(valueBucket).Delete([]byte("CurrentTerm"))
+			return tx.Bucket([]byte("values")).Delete([]byte("CurrentTerm"))
 		}), "CurrentTerm: is 0"},
 		"a later form": {change(func(tx *bolt.Tx) error {
-			return tx.Bucket(aboutBucket).Put(formKey, summed(formKey, storeForm+1))
-		}), errNewerVersion.Error()},
+			return tx.Bucket([]byte("about")).Put([]byte("form"), append(bigEndian(3), checksum([]byte("form"), bigEndian(3))...))
+		}), storage.ErrNewerVersion.Error()},
 		"a later entry": {change(func(tx *bolt.Tx) error {
 			later := []byte("\x02later")
-			return tx.Bucket(logBucket).Put(key(99), append(valueSum(nil, later), later...))
-		}), errNewerVersion.Error()},
+			return tx.Bucket([]byte("log")).Put(bigEndian(99), append(checksum(nil, later), later...))
+		}), storage.ErrNewerVersion.Error()},
 	} {
 		dir := copied(t, made)
 		require.NoError(t, c.do(dir), name)
@@ -366,20 +172,6 @@
 	assert.ErrorIs(t, err, os.ErrPermission)
 }
 
-// An earlier program writes values without their checksums; the next start takes them in and gives them theirs.
-func TestStore_earlierVersionInBetween(t *testing.T) {
-	t.Parallel()
-	dir, cfg := folder(t)
-	alter(t, dir, func(tx *bolt.Tx) error { return tx.Bucket(valueBucket).Put([]byte("CurrentTerm"), key(77)) })
-	require.NoError(t, recoverDir(dir, quiet()))
-	s, err := openStore(filepath.Join(cfg.Dir, storeFile), time.Second, nil)
-	require.NoError(t, err)
-	require.NoError(t, s.Close())
-	_, found := content(t, dir)
-	assert.Empty(t, found.Faults)
-	assert.EqualValues(t, 77, found.Term)
-}
-
 // A follower whose folder was put back from an old image is noticed by the leader, and has everything again.
 func TestNotice_oldDiskImage(t *testing.T) {
 	t.Parallel()
@@ -412,7 +204,7 @@
 func TestRecover_interruptedBootstrap(t *testing.T) {
 	t.Parallel()
 	one := &copyOf{cfg: Config{Name: "one", Listen: freePort(t), Raft: freePort(t), Dir: t.TempDir(), Beat: 50 * time.Millisecond}}
-	s, err := openStore(filepath.Join(one.cfg.Dir, storeFile), time.Second, nil)
+	s, err := storage.OpenStore(filepath.Join(one.cfg.Dir, storage.StoreFile), time.Second, nil)
 	require.NoError(t, err)
 	require.NoError(t, errors.Join(s.SetUint64([]byte("CurrentTerm"), 1), s.Close()))
 	one.start(t)
@@ -487,8 +279,8 @@
 		assert.NoDirExists(t, cfg.Dir)
 	}
 	left := filepath.Join(filepath.Dir(cfg.Dir), ".n0.restore") // by one that was cut off
-	require.NoError(t, os.MkdirAll(filepath.Join(left, snapshotsDir), 0o755))
-	write(t, filepath.Join(left, storeFile), []byte("half"))
+	require.NoError(t, os.MkdirAll(filepath.Join(left, storage.SnapshotsDir), 0o755))
+	write(t, filepath.Join(left, storage.StoreFile), []byte("half"))
 	seen := (state.EpochOf(before) + 1_000_000) << state.CountBits // by clients, of a history that the backup does not know
 	out, err := Restore(strings.NewReader(backup), cfg, seen, now)
 	require.NoError(t, err)
@@ -530,7 +322,7 @@
 	cfg, err := LoadConfig(path)
 	require.NoError(t, err)
 	if full {
-		info, err := os.Stat(filepath.Join(cfg.Dir, storeFile))
+		info, err := os.Stat(filepath.Join(cfg.Dir, storage.StoreFile))
 		require.NoError(t, err)
 		signal.Ignore(syscall.SIGXFSZ)
 		limit := uint64(info.Size()) + childFileLimit
@@ -626,3 +418,26 @@
 	serves()
 	check("disk full")
 }
+
+// A replica whose snapshot fails goes on, keeps its log, and takes the snapshot once its folder works again.
+func TestSnapshots_failureKeepsReplica(t *testing.T) {
+	one := cluster(t, 1, nil)[0]
+	put(t, one, "s1", 1, 0)
+	require.NoError(t, one.node.raft.Snapshot().Error())
+	put(t, one, "s2", 1, 0)
+	dir := filepath.Join(one.cfg.Dir, storage.SnapshotsDir)
+	require.NoError(t, os.Rename(dir, dir+".away"))
+	require.NoError(t, os.WriteFile(dir, nil, 0o600))
+	require.Error(t, one.node.raft.Snapshot().Error())
+	put(t, one, "s3", 1, 0)
+	require.NoError(t, os.Remove(dir))
+	require.NoError(t, os.Rename(dir+".away", dir))
+	require.NoError(t, one.node.raft.Snapshot().Error())
+	one.end(t)
+	found, err := Verify(one.cfg.Dir)
+	require.NoError(t, err)
+	require.True(t, found.Sound())
+	require.Len(t, found.Snapshots, 2)
+	one.start(t)
+	until(t, "all entries", func() bool { return uids(t, one) == "s1=Ready s2=Ready s3=Ready" })
+}
--- a/internal/registry/restore.go
+++ b/internal/registry/restore.go
@@ -6,7 +6,6 @@
 	"fmt"
 	"io"
 	"log/slog"
-	"marblelane/internal/registry/state"
 	"net/http"
 	"os"
 	"path/filepath"
@@ -16,6 +15,9 @@
 
 	"github.com/hashicorp/go-hclog"
 	"github.com/hashicorp/raft"
+
+	"marblelane/internal/registry/state"
+	"marblelane/internal/registry/storage"
 )
 
 // This file founds a cluster from a backup.
@@ -125,7 +127,7 @@
 		return fmt.Errorf("restore: %w", err)
 	}
 	defer p.Close() // and with it the lock
-	if err := lock(p, syscall.LOCK_EX); err != nil {
+	if err := storage.LockFile(p, syscall.LOCK_EX); err != nil {
 		return fmt.Errorf("restore: %w", err)
 	}
 	temp := filepath.Join(parent, "."+base+".restore")
@@ -141,7 +143,7 @@
 	if err := os.Rename(temp, dir); err != nil { // refuses a folder that is not empty
 		return errors.Join(fmt.Errorf("restore: %w", err), os.RemoveAll(temp))
 	}
-	if err := syncDir(parent); err != nil {
+	if err := storage.SyncDir(parent); err != nil {
 		return fmt.Errorf("restore: %w", err)
 	}
 	return nil
@@ -163,14 +165,14 @@
 
 // fill writes the store and the one snapshot, and reads them back.
 func fill(dir string, restored *state.State, cfg Config, term uint64) (err error) {
-	s, err := openStore(filepath.Join(dir, storeFile), time.Minute, nil)
+	s, err := storage.OpenStore(filepath.Join(dir, storage.StoreFile), time.Minute, nil)
 	if err != nil {
 		return err
 	}
 	if err := errors.Join(s.SetUint64([]byte("CurrentTerm"), term), s.Close()); err != nil {
 		return err
 	}
-	snaps, err := openSnapshots(dir, hclog.NewNullLogger(), slog.New(slog.DiscardHandler))
+	snaps, err := storage.OpenSnapshots(dir, hclog.NewNullLogger(), slog.New(slog.DiscardHandler))
 	if err != nil {
 		return err
 	}
@@ -188,10 +190,10 @@
 	if err != nil {
 		return errors.Join(err, sink.Cancel())
 	}
-	if err := (snapshot{out}).Persist(sink); err != nil {
+	if err := (storage.StateSnapshot{Content: out}).Persist(sink); err != nil {
 		return err
 	}
-	found, err := inspect(dir, nil)
+	found, err := storage.Inspect(dir, nil)
 	if err != nil {
 		return err
 	}
--- a/internal/registry/restore_seen.go
+++ b/internal/registry/restore_seen.go
@@ -4,7 +4,6 @@
 	"context"
 	"fmt"
 	"maps"
-	"marblelane/internal/registry/state"
 	"net/http"
 	"slices"
 	"strconv"
@@ -13,6 +12,8 @@
 	"time"
 
 	"github.com/hashicorp/raft"
+
+	"marblelane/internal/registry/state"
 )
 
 // readerRevisions tracks the revisions that readers resume from.
--- a/internal/registry/routes_metrics.go
+++ b/internal/registry/routes_metrics.go
@@ -3,10 +3,11 @@
 // This file gives the metrics of routes and rollouts.
 
 import (
-	"marblelane/internal/registry/state"
 	"time"
 
 	"github.com/prometheus/client_golang/prometheus"
+
+	"marblelane/internal/registry/state"
 )
 
 // Describe says nothing: what is shown depends on the rollouts that there are.
--- a/internal/registry/routes_past.go
+++ b/internal/registry/routes_past.go
@@ -5,9 +5,10 @@
 	"encoding/json"
 	"fmt"
 	"io"
-	"marblelane/internal/registry/state"
 	"net/http"
 	"time"
+
+	"marblelane/internal/registry/state"
 )
 
 // This file is what each replica notes for the audit, leader or not, so that one that comes to lead can answer for
--- a/internal/registry/server.go
+++ b/internal/registry/server.go
@@ -6,7 +6,6 @@
 	"errors"
 	"fmt"
 	"log/slog"
-	"marblelane/internal/registry/state"
 	"net/http"
 	"strconv"
 	"sync"
@@ -14,6 +13,8 @@
 	"time"
 
 	"github.com/prometheus/client_golang/prometheus/promhttp"
+
+	"marblelane/internal/registry/state"
 )
 
 const (
--- a/internal/registry/server_status.go
+++ b/internal/registry/server_status.go
@@ -5,11 +5,12 @@
 import (
 	"encoding/json"
 	"fmt"
-	"marblelane/internal/registry/state"
 	"net/http"
 	"time"
 
 	"github.com/prometheus/client_golang/prometheus"
+
+	"marblelane/internal/registry/state"
 )
 
 // Status is what a replica says of itself.
--- a/internal/registry/server_writes.go
+++ b/internal/registry/server_writes.go
@@ -8,10 +8,11 @@
 	"errors"
 	"fmt"
 	"io"
-	"marblelane/internal/registry/state"
 	"net/http"
 	"strconv"
 	"time"
+
+	"marblelane/internal/registry/state"
 )
 
 // registration is the body of a write: an entry in the platform's form, with its lease.
--- a/internal/registry/state_machine.go
+++ b/internal/registry/state_machine.go
@@ -4,13 +4,14 @@
 
 import (
 	"encoding/json"
-	"errors"
 	"fmt"
 	"io"
-	"marblelane/internal/registry/state"
 	"time"
 
 	"github.com/hashicorp/raft"
+
+	"marblelane/internal/registry/state"
+	"marblelane/internal/registry/storage"
 )
 
 // machine is the node as raft drives it.
@@ -39,7 +40,7 @@
 	var s *state.Snapshot
 	var err error
 	m.hub.read(func(st *state.State) { s, err = st.Snapshot() })
-	return snapshot{s}, err
+	return storage.StateSnapshot{Content: s}, err
 }
 
 // Restore puts a snapshot in the state's place.
@@ -56,16 +57,3 @@
 	m.server.routes.tables.follow(s.Routes, 0, time.Now())
 	return m.hub.replace(s)
 }
-
-type snapshot struct{ s *state.Snapshot }
-
-// Persist writes the snapshot whole or not at all.
-func (s snapshot) Persist(sink raft.SnapshotSink) error {
-	if err := json.NewEncoder(sink).Encode(s.s); err != nil {
-		return errors.Join(fmt.Errorf("registry: snapshot: %w", err), sink.Cancel())
-	}
-	return sink.Close()
-}
-
-// Release does nothing: the snapshot is this process's own copy.
-func (snapshot) Release() {}
--- a/internal/registry/golden_test.go
+++ b/internal/registry/storage/golden_test.go
@@ -1,4 +1,4 @@
-package registry
+package storage
 
 import (
 	"bytes"
@@ -82,7 +82,7 @@
 func goldenEntryName(index uint64) string { return fmt.Sprintf("log-%02d.entry", index) }
 
 func TestGoldenLogEntries(t *testing.T) {
-	store, err := openStore(filepath.Join(t.TempDir(), "raft.db"), time.Second, nil)
+	store, err := OpenStore(filepath.Join(t.TempDir(), "raft.db"), time.Second, nil)
 	require.NoError(t, err)
 	defer store.Close()
 	for _, want := range goldenLog(t) {
@@ -112,7 +112,7 @@
 	form, err := s.Snapshot()
 	require.NoError(t, err)
 	var sink goldenSink
-	require.NoError(t, snapshot{form}.Persist(&sink))
+	require.NoError(t, StateSnapshot{form}.Persist(&sink))
 	return sink.String()
 }
 
--- a/internal/registry/store_check.go
+++ b/internal/registry/storage/inspect.go
@@ -1,4 +1,4 @@
-package registry
+package storage
 
 import (
 	"encoding/binary"
@@ -39,25 +39,25 @@
 // Not detected: a disk that reports a sync without doing it and leaves an older consistent state; a directory rolled
 // back to an old disk image. See regressionDetector for how the leader detects these.
 
-// corruptionError is a data directory from which a replica must not start.
-type corruptionError struct {
+// CorruptionError is a data directory from which a replica must not start.
+type CorruptionError struct {
 	Path string // file, with the bucket and the key or the index where there is one
 	Err  error
 }
 
-func (e *corruptionError) Error() string {
+func (e *CorruptionError) Error() string {
 	return fmt.Sprintf("%s: %v; this copy must not start from it, as it may have acknowledged what is lost: move the "+
 		"folder away, start the copy under another name with join = true, and ask a copy that runs to replace-copy the old "+
 		"name; where none runs any more, `marblelane registry restore` founds a cluster from a backup", e.Path, e.Err)
 }
 
-func (e *corruptionError) Unwrap() error { return e.Err }
+func (e *CorruptionError) Unwrap() error { return e.Err }
 
 const (
-	storeFile    = "raft.db"
-	snapshotsDir = "snapshots"
-	tempSuffix   = ".tmp"
-	asideSuffix  = ".damaged"
+	StoreFile    = "raft.db"
+	SnapshotsDir = "snapshots"
+	TempSuffix   = ".tmp"
+	AsideSuffix  = ".damaged"
 )
 
 // Found is what a replica's folder has.
@@ -85,26 +85,26 @@
 	Fault       error // nil: it is sound
 }
 
-// inspect reads a folder and changes nothing. The error is of the reading itself; faults of what was read are in Found.
+// Inspect reads a folder and changes nothing. The error is of the reading itself; faults of what was read are in Found.
 // each, if not nil, is given each entry of the log in order.
-func inspect(dir string, each func(*raft.Log)) (*Found, error) {
+func Inspect(dir string, each func(*raft.Log)) (*Found, error) {
 	out := &Found{values: map[string][]byte{}}
-	if err := out.snapshots(filepath.Join(dir, snapshotsDir)); err != nil {
+	if err := out.snapshots(filepath.Join(dir, SnapshotsDir)); err != nil {
 		return nil, err
 	}
-	path := filepath.Join(dir, storeFile)
+	path := filepath.Join(dir, StoreFile)
 	f, err := os.Open(path)
 	switch {
 	case errors.Is(err, fs.ErrNotExist):
-		if _, err := os.Stat(filepath.Join(dir, snapshotsDir)); err == nil {
-			out.fault(path, errors.New("is not there, and "+snapshotsDir+" is"))
+		if _, err := os.Stat(filepath.Join(dir, SnapshotsDir)); err == nil {
+			out.AddFault(path, errors.New("is not there, and "+SnapshotsDir+" is"))
 		}
 		return out, nil
 	case err != nil:
 		return nil, err
 	}
 	defer f.Close()
-	if err := lock(f, syscall.LOCK_SH); err != nil {
+	if err := LockFile(f, syscall.LOCK_SH); err != nil {
 		return nil, err
 	}
 	info, err := f.Stat()
@@ -115,14 +115,14 @@
 		return nil, fmt.Errorf("%s: is no file", path)
 	}
 	if err := out.store(path, f, info.Size(), each); err != nil {
-		out.fault(path, err)
+		out.AddFault(path, err)
 	}
 	out.checkComplete(path)
 	return out, nil
 }
 
-// lock takes a file or a folder, and waits for a bounded time for another process that has it.
-func lock(f *os.File, how int) error {
+// LockFile takes a file or a folder, and waits for a bounded time for another process that has it.
+func LockFile(f *os.File, how int) error {
 	for end := time.Now().Add(fileLockTimeout); ; time.Sleep(fileLockTimeout / 20) {
 		err := syscall.Flock(int(f.Fd()), how|syscall.LOCK_NB)
 		switch {
@@ -136,18 +136,18 @@
 	}
 }
 
-func (out *Found) fault(path string, err error) {
-	if errors.Is(err, errNewerVersion) {
+func (out *Found) AddFault(path string, err error) {
+	if errors.Is(err, ErrNewerVersion) {
 		out.Faults = append(out.Faults, fmt.Errorf("%s: %w: start that program; the folder stays as it is", path, err))
 		return
 	}
-	out.Faults = append(out.Faults, &corruptionError{path, err})
+	out.Faults = append(out.Faults, &CorruptionError{path, err})
 }
 
-// errLater is what a later program wrote and this one does not read.
-var errNewerVersion = errors.New("written by a later program")
+// ErrNewerVersion is what a later program wrote and this one does not read.
+var ErrNewerVersion = errors.New("written by a later program")
 
-// store reads the log and the values.
+// Store reads the log and the values.
 func (out *Found) store(path string, f io.ReaderAt, size int64, each func(*raft.Log)) error {
 	p, err := openPages(f, size)
 	if err != nil {
@@ -201,18 +201,18 @@
 	out.contentSum.add(k, v)
 	var l raft.Log
 	if err := decodeLog(index, v, &l); err != nil {
-		out.fault(entryAt(path, index), err)
+		out.AddFault(entryAt(path, index), err)
 		l = raft.Log{Index: index, Term: out.Top}
 	}
 	if l.Term < out.Top {
-		out.fault(entryAt(path, index), fmt.Errorf("is of term %d, after one of term %d", l.Term, out.Top))
+		out.AddFault(entryAt(path, index), fmt.Errorf("is of term %d, after one of term %d", l.Term, out.Top))
 	}
 	if out.Entries == 0 {
 		out.First, out.LowTerm = index, l.Term
 	}
 	// A hole is one only where the snapshots do not cover it: a replica that was sent one keeps older entries.
-	if covered := out.covered(); out.Entries > 0 && index != out.Last+1 && index > covered+1 {
-		out.fault(entryAt(path, max(out.Last, covered)+1), fmt.Errorf("entries up to %d are missing", index-1))
+	if covered := out.Covered(); out.Entries > 0 && index != out.Last+1 && index > covered+1 {
+		out.AddFault(entryAt(path, max(out.Last, covered)+1), fmt.Errorf("entries up to %d are missing", index-1))
 	}
 	out.Entries, out.Last, out.Top = out.Entries+1, index, l.Term
 	if each != nil {
@@ -221,8 +221,8 @@
 	return nil
 }
 
-// covered is the index up to which the newest sound snapshot has everything.
-func (out *Found) covered() uint64 {
+// Covered is the index up to which the newest sound snapshot has everything.
+func (out *Found) Covered() uint64 {
 	for _, s := range out.Snapshots {
 		if s.Fault == nil {
 			return s.Index
@@ -254,7 +254,7 @@
 
 // checkComplete reports entries that neither the log nor a valid snapshot has.
 func (out *Found) checkComplete(path string) {
-	covered := out.covered()
+	covered := out.Covered()
 	var newest *FoundSnapshot // the newest of all, sound or not
 	for i := range out.Snapshots {
 		if s := &out.Snapshots[i]; newest == nil || s.Index > newest.Index {
@@ -262,23 +262,23 @@
 		}
 	}
 	if out.Entries > 0 && out.First > covered+1 {
-		out.fault(entryAt(path, covered+1), fmt.Errorf("entries up to %d are missing", out.First-1))
+		out.AddFault(entryAt(path, covered+1), fmt.Errorf("entries up to %d are missing", out.First-1))
 	}
 	for _, s := range out.Snapshots {
-		if errors.Is(s.Fault, errNewerVersion) {
-			out.fault(filepath.Join(filepath.Dir(path), snapshotsDir, s.Name), s.Fault)
+		if errors.Is(s.Fault, ErrNewerVersion) {
+			out.AddFault(filepath.Join(filepath.Dir(path), SnapshotsDir, s.Name), s.Fault)
 		}
 	}
 	if newest != nil && newest.Fault != nil && max(covered, out.Last) < newest.Index {
-		out.fault(filepath.Join(filepath.Dir(path), snapshotsDir, newest.Name),
+		out.AddFault(filepath.Join(filepath.Dir(path), SnapshotsDir, newest.Name),
 			fmt.Errorf("%w, and the log ends at entry %d", newest.Fault, out.Last))
 	}
 }
 
-// recoverDir makes a folder ready for a start: it stops where the rule above says so, and cuts what was never finished.
+// Recover makes a folder ready for a start: it stops where the rule above says so, and cuts what was never finished.
 // It may be ended at any point and run again.
-func recoverDir(dir string, log *slog.Logger) error {
-	found, err := inspect(dir, nil)
+func Recover(dir string, log *slog.Logger) error {
+	found, err := Inspect(dir, nil)
 	if err != nil {
 		return err
 	}
@@ -298,8 +298,8 @@
 		if s.Fault == nil {
 			continue
 		}
-		at := filepath.Join(dir, snapshotsDir, s.Name)
-		if s.Index < found.covered() { // its removal may have been cut off
+		at := filepath.Join(dir, SnapshotsDir, s.Name)
+		if s.Index < found.Covered() { // its removal may have been cut off
 			if err := os.RemoveAll(at); err != nil {
 				return fmt.Errorf("cut an old snapshot: %w", err)
 			}
@@ -321,18 +321,18 @@
 // setAside renames a spoilt snapshot, over what was set aside under the same name. raft takes all folders for snapshots
 // except those that end like unfinished ones.
 func setAside(at string) error {
-	to := at + asideSuffix + tempSuffix
+	to := at + AsideSuffix + TempSuffix
 	if err := os.RemoveAll(to); err != nil {
 		return err
 	}
 	if err := os.Rename(at, to); err != nil {
 		return err
 	}
-	return syncDir(filepath.Dir(at))
+	return SyncDir(filepath.Dir(at))
 }
 
-// syncDir puts the names in a folder on the disk.
-func syncDir(dir string) error {
+// SyncDir puts the names in a folder on the disk.
+func SyncDir(dir string) error {
 	d, err := os.Open(dir)
 	if err != nil {
 		return err
@@ -398,7 +398,7 @@
 		return false, errors.New("bucket about: has another checksum")
 	}
 	if f := binary.BigEndian.Uint64(form); f > storeForm {
-		return false, fmt.Errorf("%w: form %d, this one reads up to %d", errNewerVersion, f, storeForm)
+		return false, fmt.Errorf("%w: form %d, this one reads up to %d", ErrNewerVersion, f, storeForm)
 	}
 	if binary.BigEndian.Uint64(tx) != txid {
 		return false, nil
@@ -436,13 +436,13 @@
 	return text, json.Unmarshal(text, to)
 }
 
-// takeDir makes the folder if there is none, and keeps other processes out of it until it is released.
-func takeDir(dir string) (release func() error, err error) {
+// LockDir makes the folder if there is none, and keeps other processes out of it until it is released.
+func LockDir(dir string) (release func() error, err error) {
 	if _, err := os.Stat(dir); errors.Is(err, fs.ErrNotExist) {
 		if err := os.MkdirAll(dir, 0o755); err != nil {
 			return nil, err
 		}
-		if err := syncDir(filepath.Dir(filepath.Clean(dir))); err != nil {
+		if err := SyncDir(filepath.Dir(filepath.Clean(dir))); err != nil {
 			return nil, err
 		}
 	}
@@ -450,7 +450,7 @@
 	if err != nil {
 		return nil, err
 	}
-	if err := lock(d, syscall.LOCK_EX); err != nil {
+	if err := LockFile(d, syscall.LOCK_EX); err != nil {
 		return nil, errors.Join(err, d.Close())
 	}
 	return d.Close, nil
--- a/internal/registry/store.go
+++ b/internal/registry/storage/log.go
@@ -1,4 +1,6 @@
-package registry
+// Package storage keeps what a replica has to keep on its disk: the raft log with the term and the vote, and snapshots.
+// It verifies all of it before a replica starts.
+package storage
 
 import (
 	"encoding/binary"
@@ -19,7 +21,7 @@
 	"marblelane/internal/fault"
 )
 
-// store keeps raft's log and its few values in one bbolt file. Each log entry and each value has a checksum, so that
+// Store keeps raft's log and its few values in one bbolt file. Each log entry and each value has a checksum, so that
 // one that the disk has spoilt stops the replica and is not replicated or applied.
 //
 // A failed write is reported on failed: raft relies on earlier writes, so the replica has to be closed. Nothing is
@@ -27,12 +29,12 @@
 // the next sync as done. So the newest root in the file reaches only pages whose sync succeeded, whether or not that
 // root itself is on the disk; the first transaction after the file is reopened settles this, as it syncs a root of its
 // own.
-type store struct {
+type Store struct {
 	db                    *bolt.DB
 	mu                    sync.Mutex  // held during a write
 	broken                error       // first failure; every later write fails with it
-	failed                chan error  // receives the first failure
-	onFailure             func(error) // called with the first failure
+	Failed                chan error  // receives the first failure
+	OnFailure             func(error) // called with the first failure
 	faults                *fault.Plan
 	slow                  time.Duration // a write that takes longer is a slow one
 	lastWriteNanos        atomic.Int64  // duration of the last write
@@ -49,10 +51,10 @@
 // fileLockTimeout bounds the wait for another process to release the lock of the file.
 const fileLockTimeout = time.Second
 
-// errCorrupt is a log entry that is not what was written.
-var errCorrupt = errors.New("the log is corrupt")
+// ErrCorrupt is a log entry that is not what was written.
+var ErrCorrupt = errors.New("the log is corrupt")
 
-// openBolt opens the file, which recoverDir has looked at: bbolt panics on a spoilt one.
+// openBolt opens the file, which Recover has looked at: bbolt panics on a spoilt one.
 func openBolt(path string) (*bolt.DB, error) {
 	db, err := bolt.Open(path, 0o600,
 		&bolt.Options{Timeout: fileLockTimeout, FreelistType: bolt.FreelistMapType, NoFreelistSync: true})
@@ -98,7 +100,7 @@
 
 // createStore creates the file under a temporary name first, as a partly created file looks like a corrupt one.
 func createStore(path string) error {
-	temp := path + tempSuffix
+	temp := path + TempSuffix
 	if err := os.Remove(temp); err != nil && !errors.Is(err, os.ErrNotExist) {
 		return err
 	}
@@ -112,10 +114,10 @@
 	if err := os.Rename(temp, path); err != nil {
 		return err
 	}
-	return syncDir(filepath.Dir(path)) // without it a power loss takes the file away, with the votes in it
+	return SyncDir(filepath.Dir(path)) // without it a power loss takes the file away, with the votes in it
 }
 
-func openStore(path string, slow time.Duration, faults *fault.Plan) (*store, error) {
+func OpenStore(path string, slow time.Duration, faults *fault.Plan) (*Store, error) {
 	if _, err := os.Stat(path); errors.Is(err, os.ErrNotExist) {
 		if err := createStore(path); err != nil {
 			return nil, fmt.Errorf("%s: create: %w", path, err)
@@ -125,11 +127,20 @@
 	if err != nil {
 		return nil, err
 	}
-	return &store{db: db, failed: make(chan error, 1), onFailure: func(error) {}, slow: slow, faults: faults}, nil
+	return &Store{db: db, Failed: make(chan error, 1), OnFailure: func(error) {}, slow: slow, faults: faults}, nil
 }
 
+// LastWriteDuration is how long the last write took; 0: there was none.
+func (s *Store) LastWriteDuration() time.Duration { return time.Duration(s.lastWriteNanos.Load()) }
+
+// WriteCount is the number of writes since the file was opened.
+func (s *Store) WriteCount() int64 { return s.writes.Load() }
+
+// SlowWritesInRow is the number of slow writes since the last fast one.
+func (s *Store) SlowWritesInRow() int64 { return s.consecutiveSlowWrites.Load() }
+
 // write changes the file; a failure is reported, and every later write fails with the same error.
-func (s *store) write(f func(*bolt.Tx) error) error {
+func (s *Store) write(f func(*bolt.Tx) error) error {
 	startedAt := time.Now()
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -151,34 +162,34 @@
 	}
 	if err != nil && !silent {
 		s.broken = err
-		s.failed <- err // has room for the only one
-		s.onFailure(err)
+		s.Failed <- err // has room for the only one
+		s.OnFailure(err)
 	}
 	return err
 }
 
-// failure is the write that failed; nil: none has.
-func (s *store) failure() error {
+// Failure is the write that failed; nil: none has.
+func (s *Store) Failure() error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.broken
 }
 
-func (s *store) Close() error { return s.db.Close() }
+func (s *Store) Close() error { return s.db.Close() }
 
 func key(index uint64) []byte { return binary.BigEndian.AppendUint64(nil, index) }
 
 // FirstIndex is the oldest entry's; 0: there is none.
-func (s *store) FirstIndex() (uint64, error) {
+func (s *Store) FirstIndex() (uint64, error) {
 	return s.end((*bolt.Cursor).First)
 }
 
 // LastIndex is the newest entry's; 0: there is none.
-func (s *store) LastIndex() (uint64, error) {
+func (s *Store) LastIndex() (uint64, error) {
 	return s.end((*bolt.Cursor).Last)
 }
 
-func (s *store) end(of func(*bolt.Cursor) ([]byte, []byte)) (index uint64, err error) {
+func (s *Store) end(of func(*bolt.Cursor) ([]byte, []byte)) (index uint64, err error) {
 	err = s.db.View(func(tx *bolt.Tx) error {
 		if k, _ := of(tx.Bucket(logBucket).Cursor()); k != nil {
 			index = binary.BigEndian.Uint64(k)
@@ -189,7 +200,7 @@
 }
 
 // GetLog reads an entry.
-func (s *store) GetLog(index uint64, l *raft.Log) error {
+func (s *Store) GetLog(index uint64, l *raft.Log) error {
 	v, err := s.raw(index)
 	if err != nil {
 		return err
@@ -198,7 +209,7 @@
 }
 
 // raw is an entry as it stands in the file.
-func (s *store) raw(index uint64) (v []byte, err error) {
+func (s *Store) raw(index uint64) (v []byte, err error) {
 	err = s.db.View(func(tx *bolt.Tx) error {
 		value := tx.Bucket(logBucket).Get(key(index))
 		if value == nil {
@@ -212,26 +223,26 @@
 
 func decodeLog(index uint64, v []byte, l *raft.Log) error {
 	if len(v) < 4 || crc32.Checksum(v[4:], castagnoli) != binary.BigEndian.Uint32(v) {
-		return fmt.Errorf("%w: entry %d has another checksum", errCorrupt, index)
+		return fmt.Errorf("%w: entry %d has another checksum", ErrCorrupt, index)
 	}
 	if len(v) == 4 || v[4] != '{' { // the first byte is the form; that of this one is JSON's
-		return fmt.Errorf("%w: entry %d", errNewerVersion, index)
+		return fmt.Errorf("%w: entry %d", ErrNewerVersion, index)
 	}
 	*l = raft.Log{}
 	if err := json.Unmarshal(v[4:], l); err != nil {
-		return fmt.Errorf("%w: entry %d: %w", errCorrupt, index, err)
+		return fmt.Errorf("%w: entry %d: %w", ErrCorrupt, index, err)
 	}
 	if l.Index != index {
-		return fmt.Errorf("%w: entry %d stands at %d", errCorrupt, l.Index, index)
+		return fmt.Errorf("%w: entry %d stands at %d", ErrCorrupt, l.Index, index)
 	}
 	return nil
 }
 
 // StoreLog writes an entry.
-func (s *store) StoreLog(l *raft.Log) error { return s.StoreLogs([]*raft.Log{l}) }
+func (s *Store) StoreLog(l *raft.Log) error { return s.StoreLogs([]*raft.Log{l}) }
 
 // StoreLogs writes entries in one transaction, which is on the disk when it returns.
-func (s *store) StoreLogs(logs []*raft.Log) error {
+func (s *Store) StoreLogs(logs []*raft.Log) error {
 	return s.write(func(tx *bolt.Tx) error {
 		b := tx.Bucket(logBucket)
 		b.FillPercent = 0.9 // entries are appended
@@ -256,7 +267,7 @@
 }
 
 // DeleteRange removes entries from low to high, both with them.
-func (s *store) DeleteRange(low, high uint64) error {
+func (s *Store) DeleteRange(low, high uint64) error {
 	return s.write(func(tx *bolt.Tx) error {
 		b := tx.Bucket(logBucket)
 		t := readContentSum(tx.Bucket(aboutBucket))
@@ -277,7 +288,7 @@
 var errNoValue = errors.New("not found")
 
 // Set keeps a value.
-func (s *store) Set(name, value []byte) error {
+func (s *Store) Set(name, value []byte) error {
 	return s.write(func(tx *bolt.Tx) error {
 		return errors.Join(tx.Bucket(valueBucket).Put(name, value),
 			tx.Bucket(aboutBucket).Put(sumKey(name), valueSum(name, value)))
@@ -285,7 +296,7 @@
 }
 
 // Get reads a value.
-func (s *store) Get(name []byte) (value []byte, err error) {
+func (s *Store) Get(name []byte) (value []byte, err error) {
 	err = s.db.View(func(tx *bolt.Tx) error {
 		v := tx.Bucket(valueBucket).Get(name)
 		if v == nil {
@@ -298,16 +309,16 @@
 }
 
 // SetUint64 keeps a number.
-func (s *store) SetUint64(name []byte, value uint64) error { return s.Set(name, key(value)) }
+func (s *Store) SetUint64(name []byte, value uint64) error { return s.Set(name, key(value)) }
 
 // GetUint64 reads a number.
-func (s *store) GetUint64(name []byte) (uint64, error) {
+func (s *Store) GetUint64(name []byte) (uint64, error) {
 	v, err := s.Get(name)
 	if err != nil {
 		return 0, err
 	}
 	if len(v) != 8 {
-		return 0, fmt.Errorf("%w: the value %s has %d bytes", errCorrupt, name, len(v))
+		return 0, fmt.Errorf("%w: the value %s has %d bytes", ErrCorrupt, name, len(v))
 	}
 	return binary.BigEndian.Uint64(v), nil
 }
@@ -315,18 +326,18 @@
 // currentTerm is the name under which raft keeps the term that a replica is in.
 const currentTerm = "CurrentTerm"
 
-// termStore stores raft's values, and hides from raft that its term could not be stored: raft would panic on a goroutine
+// TermStore stores raft's values, and hides from raft that its term could not be stored: raft would panic on a goroutine
 // of its own and end the process.
 //
 // This is safe: the failed store rejects every vote and entry of the term as well, and a replica cannot lead without its
 // own vote on disk. Before it is closed the replica may only report the new term; the quorum that voted in that term
 // rejects earlier ones without this replica.
-type termStore struct{ *store }
+type TermStore struct{ *Store }
 
 // SetUint64 keeps a number. Where that is the term and the store has failed, no error is given.
-func (s termStore) SetUint64(name []byte, value uint64) error {
-	err := s.store.SetUint64(name, value)
-	if string(name) == currentTerm && s.failure() != nil {
+func (s TermStore) SetUint64(name []byte, value uint64) error {
+	err := s.Store.SetUint64(name, value)
+	if string(name) == currentTerm && s.Failure() != nil {
 		return nil
 	}
 	return err
--- a/internal/registry/store_pages.go
+++ b/internal/registry/storage/pages.go
@@ -1,4 +1,4 @@
-package registry
+package storage
 
 import (
 	"bytes"
--- a/internal/registry/store_snapshots.go
+++ b/internal/registry/storage/snapshots.go
@@ -1,4 +1,4 @@
-package registry
+package storage
 
 import (
 	"cmp"
@@ -10,7 +10,6 @@
 	"io"
 	"io/fs"
 	"log/slog"
-	"marblelane/internal/registry/state"
 	"os"
 	"path/filepath"
 	"slices"
@@ -19,15 +18,17 @@
 
 	"github.com/hashicorp/go-hclog"
 	"github.com/hashicorp/raft"
+
+	"marblelane/internal/registry/state"
 )
 
-// snapshots keeps raft's snapshots. raft's own store gives the state a checksum and its description none, and does not
+// Snapshots keeps raft's snapshots. raft's own store gives the state a checksum and its description none, and does not
 // sync the folder in which both stand; raft then drops from the log what the snapshot has. So a seal is written beside
 // them, and both names and seal are synced before raft goes on.
 //
 // A snapshot that fails, on a full disk or at a sync, leaves the older ones and nothing of its own; raft retries at
 // its next interval.
-type snapshots struct {
+type Snapshots struct {
 	*raft.FileSnapshotStore
 	dir string
 	log *slog.Logger
@@ -36,17 +37,17 @@
 	open map[string]bool // IDs of those that are being written
 }
 
-func openSnapshots(dir string, raftLog hclog.Logger, log *slog.Logger) (*snapshots, error) {
+func OpenSnapshots(dir string, raftLog hclog.Logger, log *slog.Logger) (*Snapshots, error) {
 	files, err := raft.NewFileSnapshotStoreWithLogger(dir, 2, raftLog)
 	if err != nil {
 		return nil, err
 	}
-	return &snapshots{FileSnapshotStore: files, dir: filepath.Join(dir, snapshotsDir), log: log,
-		open: map[string]bool{}}, syncDir(dir)
+	return &Snapshots{FileSnapshotStore: files, dir: filepath.Join(dir, SnapshotsDir), log: log,
+		open: map[string]bool{}}, SyncDir(dir)
 }
 
 // Create begins a snapshot.
-func (s *snapshots) Create(version raft.SnapshotVersion, index, term uint64, c raft.Configuration, cIndex uint64,
+func (s *Snapshots) Create(version raft.SnapshotVersion, index, term uint64, c raft.Configuration, cIndex uint64,
 	t raft.Transport) (raft.SnapshotSink, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -60,7 +61,7 @@
 }
 
 // finished takes in that a snapshot is written or given up, or why it failed.
-func (s *snapshots) finished(id string, err error) {
+func (s *Snapshots) finished(id string, err error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	delete(s.open, id)
@@ -71,12 +72,12 @@
 
 // failed says that a snapshot failed, and removes what was not finished, which raft leaves behind at each try; s.mu is
 // held.
-func (s *snapshots) failed(err error) {
+func (s *Snapshots) failed(err error) {
 	s.log.Error("registry: a snapshot failed; the older ones stay, and it is tried again", "dir", s.dir, "error", err)
 	all, err := os.ReadDir(s.dir)
 	for _, e := range all {
-		id, unfinished := strings.CutSuffix(e.Name(), tempSuffix)
-		if unfinished && !s.open[id] && !strings.HasSuffix(id, asideSuffix) {
+		id, unfinished := strings.CutSuffix(e.Name(), TempSuffix)
+		if unfinished && !s.open[id] && !strings.HasSuffix(id, AsideSuffix) {
 			err = errors.Join(err, os.RemoveAll(filepath.Join(s.dir, e.Name())))
 		}
 	}
@@ -88,7 +89,7 @@
 // sealing seals a snapshot once it is whole. raft closes it more than once.
 type sealing struct {
 	raft.SnapshotSink
-	store *snapshots
+	store *Snapshots
 	dir   string
 	ended bool
 	err   error // why it failed
@@ -121,7 +122,7 @@
 
 // takeBack makes a snapshot an unfinished one again; one that is not in place is one.
 func takeBack(dir string) error {
-	if err := os.Rename(dir, dir+tempSuffix); err != nil && !errors.Is(err, fs.ErrNotExist) {
+	if err := os.Rename(dir, dir+TempSuffix); err != nil && !errors.Is(err, fs.ErrNotExist) {
 		return err
 	}
 	return nil
@@ -141,7 +142,7 @@
 
 const (
 	metaFile  = "meta.json"
-	stateFile = "state.bin"
+	StateFile = "state.bin"
 	sealFile  = "seal.json"
 	sealForm  = 1
 )
@@ -177,7 +178,7 @@
 
 // writeSynced puts a file in place whole, with its name.
 func writeSynced(path string, text []byte) error {
-	temp := path + tempSuffix
+	temp := path + TempSuffix
 	f, err := os.Create(temp)
 	if err != nil {
 		return err
@@ -189,7 +190,7 @@
 	if err := os.Rename(temp, path); err != nil {
 		return err
 	}
-	return syncDir(filepath.Dir(path))
+	return SyncDir(filepath.Dir(path))
 }
 
 // description is raft's, as far as it is looked at.
@@ -200,7 +201,7 @@
 	CRC         []byte
 }
 
-// snapshots reads all snapshots, newest first.
+// Snapshots reads all snapshots, newest first.
 func (out *Found) snapshots(dir string) error {
 	all, err := os.ReadDir(dir)
 	if err != nil && !errors.Is(err, fs.ErrNotExist) {
@@ -208,10 +209,10 @@
 	}
 	for _, e := range all {
 		switch name := e.Name(); {
-		case strings.HasSuffix(name, asideSuffix+tempSuffix):
+		case strings.HasSuffix(name, AsideSuffix+TempSuffix):
 			out.Notes = append(out.Notes, "a spoilt snapshot was set aside earlier: "+name)
-		case strings.HasSuffix(name, tempSuffix):
-			out.Cut = append(out.Cut, filepath.Join(snapshotsDir, name))
+		case strings.HasSuffix(name, TempSuffix):
+			out.Cut = append(out.Cut, filepath.Join(SnapshotsDir, name))
 		case e.IsDir():
 			s := FoundSnapshot{Name: name}
 			// The folder's name has term and index even where the description is lost.
@@ -226,8 +227,8 @@
 	slices.SortFunc(out.Snapshots, func(a, b FoundSnapshot) int {
 		return cmp.Or(cmp.Compare(b.Term, a.Term), cmp.Compare(b.Index, a.Index), cmp.Compare(b.Name, a.Name))
 	})
-	if _, err := os.Stat(filepath.Join(filepath.Dir(dir), storeFile+tempSuffix)); err == nil {
-		out.Cut = append(out.Cut, storeFile+tempSuffix)
+	if _, err := os.Stat(filepath.Join(filepath.Dir(dir), StoreFile+TempSuffix)); err == nil {
+		out.Cut = append(out.Cut, StoreFile+TempSuffix)
 	}
 	return nil
 }
@@ -250,7 +251,7 @@
 	case mark.Sum != mark.sum():
 		return false, fmt.Errorf("%s: has another checksum", sealFile)
 	case mark.Form > sealForm:
-		return false, fmt.Errorf("%s: %w: form %d, this one reads up to %d", sealFile, errNewerVersion, mark.Form, sealForm)
+		return false, fmt.Errorf("%s: %w: form %d, this one reads up to %d", sealFile, ErrNewerVersion, mark.Form, sealForm)
 	case string(text) != string(exact):
 		return false, fmt.Errorf("%s: is not as it was written", sealFile)
 	case mark.Meta != crc32.Checksum(meta, castagnoli):
@@ -259,7 +260,7 @@
 	if d.Index != s.Index || d.Term != s.Term {
 		return false, fmt.Errorf("%s: is of term %d and index %d", metaFile, d.Term, d.Index)
 	}
-	f, err := os.Open(filepath.Join(dir, stateFile))
+	f, err := os.Open(filepath.Join(dir, StateFile))
 	if err != nil {
 		return false, err
 	}
@@ -269,7 +270,7 @@
 		return false, err
 	}
 	if string(sum.Sum(nil)) != string(d.CRC) || s.Bytes != d.Size {
-		return false, fmt.Errorf("%s: has another checksum", stateFile)
+		return false, fmt.Errorf("%s: has another checksum", StateFile)
 	}
 	if _, err := f.Seek(0, io.SeekStart); err != nil {
 		return false, err
@@ -279,10 +280,10 @@
 		Rev  int64 `json:"rev"`
 	}
 	if err := json.NewDecoder(f).Decode(&in); err != nil {
-		return false, fmt.Errorf("%s: %w", stateFile, err)
+		return false, fmt.Errorf("%s: %w", StateFile, err)
 	}
 	if in.Form > state.SnapshotForm {
-		return false, fmt.Errorf("%s: %w: form %d, this one reads up to %d", stateFile, errNewerVersion, in.Form, state.SnapshotForm)
+		return false, fmt.Errorf("%s: %w: form %d, this one reads up to %d", StateFile, ErrNewerVersion, in.Form, state.SnapshotForm)
 	}
 	s.Rev = in.Rev
 	return unsealed, nil
--- a/internal/registry/store_snapshots_test.go
+++ b/internal/registry/storage/snapshots_test.go
@@ -1,7 +1,8 @@
-package registry
+package storage
 
 import (
 	"errors"
+	"log/slog"
 	"os"
 	"path/filepath"
 	"strings"
@@ -18,7 +19,7 @@
 var snapshotState = []byte(`{"form":1,"rev":7}` + strings.Repeat(" ", 64<<10))
 
 // takeSnapshot writes a snapshot as raft does, and spoils it before it is closed.
-func takeSnapshot(t *testing.T, s *snapshots, index uint64, spoil func(t *testing.T, unfinished string)) error {
+func takeSnapshot(t *testing.T, s *Snapshots, index uint64, spoil func(t *testing.T, unfinished string)) error {
 	t.Helper()
 	_, wire := raft.NewInmemTransport("one")
 	defer wire.Close()
@@ -27,7 +28,7 @@
 		return err
 	}
 	if spoil != nil {
-		spoil(t, filepath.Join(s.dir, sink.ID()+tempSuffix))
+		spoil(t, filepath.Join(s.dir, sink.ID()+TempSuffix))
 	}
 	if _, err := sink.Write(snapshotState); err != nil {
 		return errors.Join(err, sink.Cancel())
@@ -65,20 +66,20 @@
 func TestSnapshots_failureKeepsOlder(t *testing.T) {
 	for name, spoil := range map[string]func(t *testing.T, unfinished string){
 		"no space": func(t *testing.T, unfinished string) {
-			divert(t, filepath.Join(unfinished, stateFile), "/dev/full")
+			divert(t, filepath.Join(unfinished, StateFile), "/dev/full")
 		},
 		"sync fails": func(t *testing.T, unfinished string) {
-			divert(t, filepath.Join(unfinished, stateFile), "/dev/null") // takes writes and no sync
+			divert(t, filepath.Join(unfinished, StateFile), "/dev/null") // takes writes and no sync
 		},
 		"seal fails": func(t *testing.T, unfinished string) {
-			require.NoError(t, os.Mkdir(filepath.Join(unfinished, sealFile+tempSuffix), 0o700))
+			require.NoError(t, os.Mkdir(filepath.Join(unfinished, sealFile+TempSuffix), 0o700))
 		},
 		"folder is away": func(t *testing.T, unfinished string) {
 			require.NoError(t, os.RemoveAll(unfinished))
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
-			s, err := openSnapshots(t.TempDir(), hclog.NewNullLogger(), quiet())
+			s, err := OpenSnapshots(t.TempDir(), hclog.NewNullLogger(), quiet())
 			require.NoError(t, err)
 			require.NoError(t, takeSnapshot(t, s, 1, nil))
 			require.NoError(t, takeSnapshot(t, s, 2, nil))
@@ -87,7 +88,7 @@
 				all, err := os.ReadDir(s.dir)
 				require.NoError(t, err)
 				for _, e := range all {
-					assert.NotContains(t, e.Name(), tempSuffix, "try %d", try)
+					assert.NotContains(t, e.Name(), TempSuffix, "try %d", try)
 					assert.FileExists(t, filepath.Join(s.dir, e.Name(), sealFile), "try %d", try)
 				}
 				newest, err := s.List()
@@ -107,7 +108,7 @@
 }
 
 // readable tells whether a snapshot is sound.
-func readable(s *snapshots, of *raft.SnapshotMeta) error {
+func readable(s *Snapshots, of *raft.SnapshotMeta) error {
 	found := FoundSnapshot{Name: of.ID, Index: of.Index, Term: of.Term}
 	unsealed, err := found.read(filepath.Join(s.dir, of.ID))
 	if unsealed {
@@ -118,14 +119,14 @@
 
 // What one snapshot leaves is removed, and not another that is being written meanwhile.
 func TestSnapshots_failureKeepsOther(t *testing.T) {
-	s, err := openSnapshots(t.TempDir(), hclog.NewNullLogger(), quiet())
+	s, err := OpenSnapshots(t.TempDir(), hclog.NewNullLogger(), quiet())
 	require.NoError(t, err)
 	_, wire := raft.NewInmemTransport("one")
 	defer wire.Close()
 	other, err := s.Create(1, 9, 1, raft.Configuration{}, 1, wire)
 	require.NoError(t, err)
 	require.Error(t, takeSnapshot(t, s, 3, func(t *testing.T, unfinished string) {
-		divert(t, filepath.Join(unfinished, stateFile), "/dev/full")
+		divert(t, filepath.Join(unfinished, StateFile), "/dev/full")
 	}))
 	_, err = other.Write(snapshotState)
 	require.NoError(t, err)
@@ -136,25 +137,4 @@
 	require.NoError(t, readable(s, newest[0]))
 }
 
-// A replica whose snapshot fails goes on, keeps its log, and takes the snapshot once its folder works again.
-func TestSnapshots_failureKeepsReplica(t *testing.T) {
-	one := cluster(t, 1, nil)[0]
-	put(t, one, "s1", 1, 0)
-	require.NoError(t, one.node.raft.Snapshot().Error())
-	put(t, one, "s2", 1, 0)
-	dir := filepath.Join(one.cfg.Dir, snapshotsDir)
-	require.NoError(t, os.Rename(dir, dir+".away"))
-	require.NoError(t, os.WriteFile(dir, nil, 0o600))
-	require.Error(t, one.node.raft.Snapshot().Error())
-	put(t, one, "s3", 1, 0)
-	require.NoError(t, os.Remove(dir))
-	require.NoError(t, os.Rename(dir+".away", dir))
-	require.NoError(t, one.node.raft.Snapshot().Error())
-	one.end(t)
-	found, err := Verify(one.cfg.Dir)
-	require.NoError(t, err)
-	require.True(t, found.Sound())
-	require.Len(t, found.Snapshots, 2)
-	one.start(t)
-	until(t, "all entries", func() bool { return uids(t, one) == "s1=Ready s2=Ready s3=Ready" })
-}
+func quiet() *slog.Logger { return slog.New(slog.DiscardHandler) }
--- a/internal/registry/supervisor.go
+++ b/internal/registry/supervisor.go
@@ -12,6 +12,7 @@
 	"time"
 
 	"marblelane/internal/fault"
+	"marblelane/internal/registry/storage"
 )
 
 // DiskError is a write that a replica's folder has refused. The replica is closed: what it has on the disk shows once
@@ -151,11 +152,11 @@
 	if errors.Is(err, syscall.EIO) {
 		return true // what could not be read may be sound
 	}
-	var spoilt *corruptionError
+	var spoilt *storage.CorruptionError
 	if errors.As(err, &spoilt) {
 		return false
 	}
-	for _, lasting := range []error{errNewerVersion, errCorrupt, os.ErrPermission, syscall.ENOTDIR} {
+	for _, lasting := range []error{storage.ErrNewerVersion, storage.ErrCorrupt, os.ErrPermission, syscall.ENOTDIR} {
 		if errors.Is(err, lasting) {
 			return false
 		}
@@ -170,14 +171,14 @@
 // checkWritable verifies that the data directory exists and accepts a file and its sync. A directory without a log is
 // not accepted: its file system may not be mounted.
 func checkWritable(dir string, faults *fault.Plan) error {
-	if _, err := os.Stat(filepath.Join(dir, storeFile)); err != nil {
+	if _, err := os.Stat(filepath.Join(dir, storage.StoreFile)); err != nil {
 		return err
 	}
 	_, err := faults.DiskWrite(func(planted error) error {
 		if planted != nil {
 			return planted
 		}
-		return writeSyncRemove(filepath.Join(dir, storeFile+tempSuffix)) // a start cuts one that was left
+		return writeSyncRemove(filepath.Join(dir, storage.StoreFile+storage.TempSuffix)) // a start cuts one that was left
 	})
 	if err != nil {
 		return fmt.Errorf("probe %s: %w", dir, err)
--- a/internal/registry/supervisor_test.go
+++ b/internal/registry/supervisor_test.go
@@ -20,6 +20,7 @@
 
 	"marblelane/internal/fault"
 	"marblelane/internal/registry/state"
+	"marblelane/internal/registry/storage"
 )
 
 // supervised is a supervised replica under test whose disk can be made to fail.
@@ -286,32 +287,6 @@
 	}
 }
 
-// After a failed write the store takes no other, though the disk would: a later sync says nothing of an earlier one.
-func TestStore_rejectsAfterFailedWrite(t *testing.T) {
-	dir := t.TempDir()
-	faults := filepath.Join(dir, "faults.toml")
-	plan, err := fault.Open(faults)
-	require.NoError(t, err)
-	path := filepath.Join(dir, storeFile)
-	s, err := openStore(path, time.Second, plan)
-	require.NoError(t, err)
-	require.NoError(t, s.SetUint64([]byte(currentTerm), 1))
-	require.NoError(t, fault.NewSet(0, 0, fault.SyncErrorLost).Write(faults))
-	require.ErrorIs(t, s.SetUint64([]byte("number"), 1), fault.ErrSync)
-	require.NoError(t, fault.Set{}.Write(faults))
-	require.ErrorIs(t, s.SetUint64([]byte("number"), 2), fault.ErrSync)
-	assert.NoError(t, termStore{s}.SetUint64([]byte(currentTerm), 2), "raft would panic")
-	assert.ErrorIs(t, termStore{s}.SetUint64([]byte("LastVoteTerm"), 2), fault.ErrSync)
-	require.NoError(t, s.Close())
-	s, err = openStore(path, time.Second, plan)
-	require.NoError(t, err)
-	defer s.Close()
-	term, err := s.GetUint64([]byte(currentTerm))
-	require.NoError(t, err)
-	assert.Equal(t, uint64(1), term)
-	assert.NoError(t, s.SetUint64([]byte("number"), 3), "it takes writes once it is opened anew")
-}
-
 // What waiting does not mend ends a replica whose folder has failed, with an error that says so.
 func TestSupervisor_permanentFailure(t *testing.T) {
 	for name, c := range map[string]struct {
@@ -319,7 +294,7 @@
 		says string
 	}{
 		"spoilt log": {func(t *testing.T, dir string) {
-			path := filepath.Join(dir, storeFile)
+			path := filepath.Join(dir, storage.StoreFile)
 			info, err := os.Stat(path)
 			require.NoError(t, err)
 			require.NoError(t, os.Truncate(path, info.Size()/2))
@@ -445,8 +420,8 @@
 		{&DiskError{Err: errors.New("disk")}, true},
 		{os.ErrNotExist, true},
 		{os.ErrPermission, false},
-		{&corruptionError{"raft.db", errCorrupt}, false},
-		{errNewerVersion, false},
+		{&storage.CorruptionError{Path: "raft.db", Err: storage.ErrCorrupt}, false},
+		{storage.ErrNewerVersion, false},
 	} {
 		assert.Equal(t, c.want, mayHeal(fmt.Errorf("registry: %w", c.err)), "%v", c.err)
 	}
--- a/internal/registry/verify.go
+++ b/internal/registry/verify.go
@@ -5,16 +5,18 @@
 	"errors"
 	"fmt"
 	"io"
-	"marblelane/internal/registry/state"
 	"os"
 	"path/filepath"
 
 	"github.com/hashicorp/raft"
+
+	"marblelane/internal/registry/state"
+	"marblelane/internal/registry/storage"
 )
 
 // Verified is what a folder was found to have, and what its revisions come to.
 type Verified struct {
-	*Found
+	*storage.Found
 	Rev   int64 // after the newest sound snapshot and all of the log, as if all of it were committed
 	Epoch int64
 }
@@ -26,7 +28,7 @@
 		return nil, err
 	}
 	var all []*raft.Log
-	found, err := inspect(dir, func(l *raft.Log) {
+	found, err := storage.Inspect(dir, func(l *raft.Log) {
 		all = append(all, &raft.Log{Index: l.Index, Term: l.Term, Type: l.Type, Data: l.Data})
 	})
 	if err != nil {
@@ -42,21 +44,21 @@
 	restored := state.NewState(1)
 	for _, s := range found.Snapshots {
 		if s.Fault == nil {
-			if restored, err = loadSnapshot(filepath.Join(dir, snapshotsDir, s.Name, stateFile)); err != nil {
-				out.fault(filepath.Join(dir, snapshotsDir, s.Name), err)
+			if restored, err = loadSnapshot(filepath.Join(dir, storage.SnapshotsDir, s.Name, storage.StateFile)); err != nil {
+				out.AddFault(filepath.Join(dir, storage.SnapshotsDir, s.Name), err)
 				return out, nil
 			}
 			break
 		}
 	}
-	covered := found.covered()
+	covered := found.Covered()
 	for _, l := range all {
 		if l.Type != raft.LogCommand || l.Index <= covered {
 			continue
 		}
 		var c state.Command
 		if err := json.Unmarshal(l.Data, &c); err != nil {
-			out.fault(fmt.Sprintf("%s: bucket log, entry %d", filepath.Join(dir, storeFile), l.Index), err)
+			out.AddFault(fmt.Sprintf("%s: bucket log, entry %d", filepath.Join(dir, storage.StoreFile), l.Index), err)
 			continue
 		}
 		if c.Term == 0 || c.Term == l.Term {
