--- a/internal/registry/config.go
+++ b/internal/registry/config.go
@@ -10,6 +10,7 @@
 
 	"marblelane/internal/fault"
 	"marblelane/internal/membership"
+	"marblelane/internal/registry/operators"
 	"marblelane/internal/retry"
 	"marblelane/internal/tomlfile"
 )
@@ -78,7 +79,7 @@
 		if !filepath.IsAbs(f.Routes) {
 			f.Routes = filepath.Join(filepath.Dir(path), f.Routes)
 		}
-		if c.Operators, err = LoadOperators(f.Routes); err != nil {
+		if c.Operators, err = operators.Load(f.Routes); err != nil {
 			return Config{}, fmt.Errorf("configuration %s: routes: %w", path, err)
 		}
 	}
--- a/internal/registry/node.go
+++ b/internal/registry/node.go
@@ -23,6 +23,7 @@
 	"marblelane/internal/membership"
 	"marblelane/internal/registry/state"
 	"marblelane/internal/registry/storage"
+	"marblelane/internal/registry/transport"
 	"marblelane/internal/retry"
 )
 
@@ -50,6 +51,19 @@
 	reopened bool // a replica was opened from the folder before: one without a log is not the replica's
 }
 
+// advertised is where the other replicas reach this one: as the peers have it, or where it listens.
+func (c *Config) advertised() string {
+	if c.Advertise != "" {
+		return c.Advertise
+	}
+	for _, p := range c.Peers {
+		if p.Name == c.Name {
+			return p.Raft
+		}
+	}
+	return ""
+}
+
 // Peer is a replica as others know it.
 type Peer struct {
 	Name  string `toml:"name" json:"name"`
@@ -61,8 +75,8 @@
 type Node struct {
 	cfg         Config
 	raft        *raft.Raft
-	transport   *transport
-	regressions *regressionDetector
+	transport   *transport.Transport
+	regressions *transport.RegressionDetector
 	readers     readerRevisions
 	fresh       freshness
 	hub         *hub
@@ -135,10 +149,10 @@
 	if n.raft, err = raft.NewRaft(c, (*machine)(n), st.logs, st.stable, st.snaps, n.regressions); err != nil {
 		return fmt.Errorf("registry: raft: %w", err)
 	}
-	n.transport.wanted = n.follows
+	n.transport.NeedsEntries = n.follows
 	n.close = append(n.close, func() error {
 		ended := n.raft.Shutdown()
-		n.transport.stop() // raft waits for pending sends
+		n.transport.Stop() // raft waits for pending sends
 		return ended.Error()
 	})
 	if err := n.diskFailure(); err != nil {
@@ -201,18 +215,18 @@
 }
 
 // openTransport listens for raft and sets up the transport; a busy address is retried until start gives up.
-func (n *Node) openTransport(start *retry.Start, logger hclog.Logger) (*transport, error) {
-	var streams *layer
+func (n *Node) openTransport(start *retry.Start, logger hclog.Logger) (*transport.Transport, error) {
+	var streams *transport.StreamLayer
 	if err := start.Do("raft", func() (failed error) {
-		streams, failed = listenRaft(n.cfg.Raft, n.cfg.advertised())
+		streams, failed = transport.Listen(n.cfg.Raft, n.cfg.advertised())
 		return failed
 	}); err != nil {
 		return nil, fmt.Errorf("registry: raft at %s: %w", n.cfg.Raft, err)
 	}
-	wire := newTransport(raft.NewNetworkTransportWithConfig(&raft.NetworkTransportConfig{
+	wire := transport.New(raft.NewNetworkTransportWithConfig(&raft.NetworkTransportConfig{
 		Stream: streams, MaxPool: 3, Timeout: 10 * n.cfg.Beat, Logger: logger}), n.cfg.Beat)
 	n.raftAt = streams.Listener.Addr()
-	n.transport, n.regressions = wire, newRegressionDetector(wire, n.log)
+	n.transport, n.regressions = wire, transport.NewRegressionDetector(wire, n.log)
 	n.close = append(n.close, func() error {
 		wire.CloseStreams() // closes the other replicas' ends, too
 		return wire.Close()
@@ -222,7 +236,7 @@
 
 // bootstrap writes the founding configuration at the first start of a founder, or completes one that was interrupted.
 // It runs before raft does: a replica that has taken part in an election must not bootstrap any more.
-func (n *Node) bootstrap(c *raft.Config, st *raftStores, wire *transport) error {
+func (n *Node) bootstrap(c *raft.Config, st *raftStores, wire *transport.Transport) error {
 	old, err := raft.HasExistingState(st.logs, st.stable, st.snaps)
 	if err != nil {
 		return fmt.Errorf("registry: %w", err)
@@ -247,7 +261,7 @@
 }
 
 // founders are the copies of a cluster that is founded now.
-func (n *Node) founders(wire *transport) (out raft.Configuration) {
+func (n *Node) founders(wire *transport.Transport) (out raft.Configuration) {
 	peers := n.cfg.Peers
 	if len(peers) == 0 {
 		peers = []Peer{{Name: n.cfg.Name, Raft: string(wire.LocalAddr()), Serve: n.Addr()}}
--- a/internal/registry/operators.go
+++ b/internal/registry/operators/operators.go
@@ -1,4 +1,5 @@
-package registry
+// Package operators reads and validates the operators' file: tenants, subsets, tokens and the bounds of changes.
+package operators
 
 import (
 	"crypto/sha256"
@@ -20,11 +21,8 @@
 	"marblelane/internal/tomlfile"
 )
 
-// maxOperatorsFileBytes bounds an operators' file, maxBodyBytes the body of a tenant's request.
-const (
-	maxOperatorsFileBytes = 1 << 20
-	maxBodyBytes          = 64 << 10
-)
+// maxOperatorsFileBytes bounds the operators' file.
+const maxOperatorsFileBytes = 1 << 20
 
 // Operators is the operators' file: who may roll out what, and how the leader deals with processes. Absent keys stand
 // for the defaults of rollout.Options. Times and shares of processes hold from when a replica next begins to lead;
@@ -63,8 +61,8 @@
 	MaxBudget int64    `toml:"max_budget" validate:"omitempty,gt=0,lte=1000000"`      // units of one rollout; 1,000
 }
 
-// LoadOperators reads an operators' file. Errors name file, line and key.
-func LoadOperators(path string) (*Operators, error) {
+// Load reads an operators' file. Errors name file, line and key.
+func Load(path string) (*Operators, error) {
 	info, err := os.Stat(path)
 	if err != nil {
 		return nil, fmt.Errorf("operators' file: %w", err)
@@ -81,7 +79,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("operators' file %w", err)
 	}
-	bad := newRules().check(o)
+	bad := NewValidator().Check(o)
 	if bad == nil {
 		bad = o.check()
 	}
@@ -92,27 +90,27 @@
 	return o, nil
 }
 
-// check finds what the keys say of each other.
-func (o *Operators) check() *wrong {
-	d := o.options()
+// check validates the keys against each other.
+func (o *Operators) check() *InvalidValue {
+	d := o.ControllerOptions()
 	if d.ShutOutAfter <= d.StragglerAfter {
-		return &wrong{"shut_after", fmt.Sprintf("%d ms is not after behind_after, %d ms", d.ShutOutAfter, d.StragglerAfter)}
+		return &InvalidValue{"shut_after", fmt.Sprintf("%d ms is not after behind_after, %d ms", d.ShutOutAfter, d.StragglerAfter)}
 	}
 	if d.ForgetAfter < 2*d.LeaseTerm {
-		return &wrong{"remember", fmt.Sprintf("%d ms is less than two terms of %d ms", d.ForgetAfter, d.LeaseTerm)}
+		return &InvalidValue{"remember", fmt.Sprintf("%d ms is less than two terms of %d ms", d.ForgetAfter, d.LeaseTerm)}
 	}
 	for i, s := range o.Subsets {
 		if len(s.Model)+len(s.Pod)+len(s.Zone)+len(s.UID) == 0 {
-			return &wrong{fmt.Sprintf("subset[%d]", i), "selects all servers: it needs model, pod_group, az or uid"}
+			return &InvalidValue{fmt.Sprintf("subset[%d]", i), "selects all servers: it needs model, pod_group, az or uid"}
 		}
 	}
 	for i, t := range o.Tenants {
 		if slices.Contains([]string{emptyTenantPath, "reports", "units", "schema", "processes", "audit"}, t.Name) {
-			return &wrong{fmt.Sprintf("tenant[%d].name", i), fmt.Sprintf("%q has another meaning in paths", t.Name)}
+			return &InvalidValue{fmt.Sprintf("tenant[%d].name", i), fmt.Sprintf("%q has another meaning in paths", t.Name)}
 		}
 		for k, name := range t.Subsets {
-			if _, ok := o.subset(name); !ok {
-				return &wrong{fmt.Sprintf("tenant[%d].subsets[%d]", i, k), fmt.Sprintf("there is no subset %q", name)}
+			if _, ok := o.Subset(name); !ok {
+				return &InvalidValue{fmt.Sprintf("tenant[%d].subsets[%d]", i, k), fmt.Sprintf("there is no subset %q", name)}
 			}
 		}
 	}
@@ -137,8 +135,8 @@
 	}
 }
 
-// subset gives what a name stands for.
-func (o *Operators) subset(name string) (route.Subset, bool) {
+// Subset finds a subset by its name.
+func (o *Operators) Subset(name string) (route.Subset, bool) {
 	for _, s := range o.Subsets {
 		if s.Name == name {
 			return route.Subset{Model: s.Model, PodGroup: s.Pod, Zone: s.Zone, UID: s.UID}, true
@@ -150,32 +148,33 @@
 // emptyTenantPath stands for the empty tenant name in paths and in the state of routes.
 const emptyTenantPath = "-"
 
-// inside is a tenant's name as the state of routes has it; outside as settings and processes have it.
-func inside(name string) string {
+// StateTenantName gives the name under which the state of routes keeps a tenant.
+func StateTenantName(name string) string {
 	if name == "" {
 		return emptyTenantPath
 	}
 	return name
 }
 
-func outside(name string) string {
+// ConfiguredTenantName gives the name that settings and processes use for a tenant of the state of routes.
+func ConfiguredTenantName(name string) string {
 	if name == emptyTenantPath {
 		return ""
 	}
 	return name
 }
 
-// tenant finds one by its place in a path.
-func (o *Operators) tenant(part string) (*Tenant, bool) {
-	i := slices.IndexFunc(o.Tenants, func(t Tenant) bool { return t.Name == outside(part) })
+// Tenant finds a tenant by its name in a path.
+func (o *Operators) Tenant(part string) (*Tenant, bool) {
+	i := slices.IndexFunc(o.Tenants, func(t Tenant) bool { return t.Name == ConfiguredTenantName(part) })
 	if i < 0 {
 		return nil, false
 	}
 	return &o.Tenants[i], true
 }
 
-// admits tells whether a request carries a token; an empty one admits all.
-func admits(token string, r *http.Request) bool {
+// TokenMatches reports whether a request carries a tenant's token. Where the token is empty, every request does.
+func TokenMatches(token string, r *http.Request) bool {
 	if token == "" {
 		return true
 	}
@@ -184,16 +183,16 @@
 	return ok && subtle.ConstantTimeCompare(a[:], b[:]) == 1
 }
 
-// wrong is a value that cannot be, with the name of its key or field and its bound.
-type wrong struct {
+// InvalidValue is an invalid value: the name of its key or field, and the bound that it violates.
+type InvalidValue struct {
 	Field string
 	Text  string
 }
 
-// rules is where bounds that stand at a field's declaration are checked, of files and of bodies alike.
-type rules struct{ v *validator.Validate }
+// Validator checks the bounds that validate tags set, for files and for request bodies alike.
+type Validator struct{ v *validator.Validate }
 
-func newRules() rules {
+func NewValidator() Validator {
 	v := validator.New(validator.WithRequiredStructEnabled())
 	// The validator's max counts characters of a text; stored size is in bytes. An invalid bound in a tag panics.
 	if err := v.RegisterValidation("bytes", checkMaxBytes); err != nil {
@@ -209,7 +208,7 @@
 	})
 	// A duration of a file is compared as one.
 	v.RegisterCustomTypeFunc(func(f reflect.Value) any { return time.Duration(f.Int()) }, tomlfile.Duration(0))
-	return rules{v}
+	return Validator{v}
 }
 
 func checkMaxBytes(f validator.FieldLevel) bool {
@@ -220,19 +219,19 @@
 	return len(f.Field().String()) <= limit
 }
 
-// check returns the first value that violates its validate tag.
-func (r rules) check(v any) *wrong {
+// Check returns the first value that violates its validate tag.
+func (r Validator) Check(v any) *InvalidValue {
 	err := r.v.Struct(v)
 	if err == nil {
 		return nil
 	}
 	var all validator.ValidationErrors
 	if !errors.As(err, &all) || len(all) == 0 {
-		return &wrong{"", err.Error()}
+		return &InvalidValue{"", err.Error()}
 	}
 	e := all[0]
 	_, field, _ := strings.Cut(e.Namespace(), ".")
-	return &wrong{field, boundText(e)}
+	return &InvalidValue{field, boundText(e)}
 }
 
 // boundText is the error text of a violated bound.
@@ -272,8 +271,8 @@
 	return fmt.Sprintf("%s breaks the bound %s %s", value, e.Tag(), e.Param())
 }
 
-// options are the leader's, with the defaults where the file says nothing.
-func (o *Operators) options() rollout.Options {
+// ControllerOptions returns the options of the controller, with defaults for the keys that the file leaves out.
+func (o *Operators) ControllerOptions() rollout.Options {
 	out := rollout.Defaults()
 	for _, d := range []struct {
 		to   *int64
--- a/internal/registry/replicas.go
+++ b/internal/registry/replicas.go
@@ -55,7 +55,7 @@
 		if standing, ok := standings[name]; ok {
 			c.Member = standing
 		}
-		if at := n.transport.acknowledged(s.ID, term); leads && name == n.cfg.Name {
+		if at := n.transport.Acknowledged(s.ID, term); leads && name == n.cfg.Name {
 			c.AckMS = 0
 		} else if leads && !at.IsZero() {
 			c.AckMS = time.Since(at).Milliseconds()
@@ -89,7 +89,7 @@
 	for {
 		there, has := 0, with == ""
 		for _, s := range all {
-			if s.ID == raft.ServerID(n.cfg.Name) || n.transport.follows(s.ID, term, startedAt) {
+			if s.ID == raft.ServerID(n.cfg.Name) || n.transport.Follows(s.ID, term, startedAt) {
 				there++
 				has = has || s.ID == raft.ServerID(with)
 			}
--- a/internal/registry/routes.go
+++ b/internal/registry/routes.go
@@ -8,12 +8,14 @@
 	"time"
 
 	"marblelane/internal/fault"
+	"marblelane/internal/registry/operators"
 	"marblelane/internal/rollout"
 	"marblelane/internal/route"
 )
 
 // Bounds of requests and answers.
 const (
+	maxBodyBytes         = 64 << 10  // body of a tenant's request
 	maxReportBytes       = 512 << 10 // body of a report or a budget request
 	maxListedProcesses   = 20        // processes listed in a rejection
 	maxBudgetsPerRequest = 256       // budgets in one budget request
@@ -28,7 +30,7 @@
 	opened  time.Time        // monotonic
 	wall    func() time.Time // wall clock
 	planted defect
-	rules   rules
+	rules   operators.Validator
 
 	tables      *tables
 	admit       bucket
@@ -41,7 +43,7 @@
 }
 
 func newRouting(s *Server, o Options) *routing {
-	r := &routing{s: s, opened: time.Now(), wall: (*fault.Plan)(nil).Now, planted: defect(o.Planted), tables: newTables(defect(o.Planted)), rules: newRules(),
+	r := &routing{s: s, opened: time.Now(), wall: (*fault.Plan)(nil).Now, planted: defect(o.Planted), tables: newTables(defect(o.Planted)), rules: operators.NewValidator(),
 		reportCalls: make(chan reportCall, maxWaitingCalls), budgetCalls: make(chan budgetCall, maxWaitingCalls), changing: make(chan struct{}, 1)}
 	r.admit.level = float64(o.Burst)
 	return r
@@ -123,7 +125,7 @@
 		f = rejectf(http.StatusBadRequest, "purses", "are %d, more than %d", len(a.Budgets), maxBudgetsPerRequest)
 	}
 	for i, p := range a.Budgets {
-		a.Budgets[i].Tenant = inside(p.Tenant)
+		a.Budgets[i].Tenant = operators.StateTenantName(p.Tenant)
 		if f == nil && (p.Spent < 0 || p.Returned < 0 || p.Granted < 0 || p.Wanted < 0 || max(p.Spent, p.Returned, p.Granted, p.Wanted) > math.MaxInt64/4) {
 			f = rejectf(http.StatusBadRequest, fmt.Sprintf("purses[%d]", i), "granted, spent, returned and want are not all between 0 and 2^61")
 		}
@@ -136,7 +138,7 @@
 }
 
 // leader returns this replica's leadership and the operators' file; nil if it has already answered the call.
-func (r *routing) leader(w http.ResponseWriter, req *http.Request) (*leadership, *Operators) {
+func (r *routing) leader(w http.ResponseWriter, req *http.Request) (*leadership, *operators.Operators) {
 	if r.rejectIfOff(w) || !r.s.leading(w, req) {
 		return nil, nil
 	}
@@ -149,12 +151,12 @@
 }
 
 // tenant finds the tenant of a call and checks the caller's token.
-func (r *routing) tenant(o *Operators, req *http.Request) (*Tenant, *rejection) {
-	t, ok := o.tenant(req.PathValue("tenant"))
+func (r *routing) tenant(o *operators.Operators, req *http.Request) (*operators.Tenant, *rejection) {
+	t, ok := o.Tenant(req.PathValue("tenant"))
 	switch {
 	case !ok:
 		return nil, rejectf(http.StatusNotFound, "tenant", "%q is not in the operators' file", clip(req.PathValue("tenant")))
-	case !admits(t.Token, req) && (o.Token == "" || !admits(o.Token, req)):
+	case !operators.TokenMatches(t.Token, req) && (o.Token == "" || !operators.TokenMatches(o.Token, req)):
 		return nil, rejectf(http.StatusUnauthorized, "Authorization", "tenant %q needs its token: Authorization: Bearer TOKEN", t.Name)
 	}
 	return t, nil
--- a/internal/registry/routes_budgets.go
+++ b/internal/registry/routes_budgets.go
@@ -6,6 +6,7 @@
 	"slices"
 	"time"
 
+	"marblelane/internal/registry/operators"
 	"marblelane/internal/registry/state"
 	"marblelane/internal/rollout"
 	"marblelane/internal/route"
@@ -69,7 +70,7 @@
 		for i, a := range all {
 			answers[i] = l.controller.BudgetResponse(s, a.request)
 			for k, g := range answers[i].Budgets {
-				answers[i].Budgets[k].Tenant = outside(g.Tenant)
+				answers[i].Budgets[k].Tenant = operators.ConfiguredTenantName(g.Tenant)
 			}
 		}
 	})
--- a/internal/registry/routes_lead.go
+++ b/internal/registry/routes_lead.go
@@ -12,6 +12,7 @@
 	"golang.org/x/time/rate"
 
 	"marblelane/internal/audit"
+	"marblelane/internal/registry/operators"
 	"marblelane/internal/registry/state"
 	"marblelane/internal/rollout"
 	"marblelane/internal/route"
@@ -170,10 +171,10 @@
 	return l, nil
 }
 
-func (r *routing) newLeadership(term uint64, o *Operators) *leadership {
+func (r *routing) newLeadership(term uint64, o *operators.Operators) *leadership {
 	at := time.Now()
 	l := &leadership{term: term, id: fmt.Sprintf("%s@%d.%d", r.name, term, r.leaderships.Add(1)), startedAt: at, startedWallMS: state.EpochZeroMS + r.wall().Sub(state.EpochZero).Milliseconds(),
-		o: o.options(), changeLimits: map[string]*rate.Limiter{}, unsavedProcesses: map[string]state.SchemaSupport{}, observed: map[string]state.SchemaSupport{},
+		o: o.ControllerOptions(), changeLimits: map[string]*rate.Limiter{}, unsavedProcesses: map[string]state.SchemaSupport{}, observed: map[string]state.SchemaSupport{},
 		refreshedAt: at, flushedAt: at, prunedAt: at, decisionsFrom: at}
 	l.o.Leader, l.leaseTermMS = l.id, l.o.LeaseTerm
 	l.controller = rollout.NewController(l.o, r.planted.controllerStart(l.floor(at)))
--- a/internal/registry/routes_requests.go
+++ b/internal/registry/routes_requests.go
@@ -15,6 +15,7 @@
 	"time"
 
 	"marblelane/internal/audit"
+	"marblelane/internal/registry/operators"
 	"marblelane/internal/registry/state"
 	"marblelane/internal/rollout"
 	"marblelane/internal/route"
@@ -134,7 +135,7 @@
 	if _, err := d.Token(); !errors.Is(err, io.EOF) {
 		return rejectf(http.StatusBadRequest, "", "the body has something after its end")
 	}
-	if bad := r.rules.check(v); bad != nil {
+	if bad := r.rules.Check(v); bad != nil {
 		return rejectf(http.StatusBadRequest, bad.Field, "%s", bad.Text)
 	}
 	return nil
@@ -158,7 +159,7 @@
 		return rejectf(http.StatusBadRequest, "schemas", "are %d, not 1 to %d", len(p.Schemas), maxSchemasPerProcess)
 	}
 	for i, c := range p.Counts {
-		p.Counts[i].Tenant = inside(c.Tenant)
+		p.Counts[i].Tenant = operators.StateTenantName(c.Tenant)
 		if c.Ended < 0 || c.Failed < 0 || c.Late < 0 || c.Failed+c.Late > c.Ended || len(c.Tenant) > 200 {
 			return rejectf(http.StatusBadRequest, fmt.Sprintf("counts[%d]", i),
 				"ended, failed and late are negative, more failed and were late than ended, or tenant has more than 200 bytes")
--- a/internal/registry/routes_table.go
+++ b/internal/registry/routes_table.go
@@ -10,6 +10,7 @@
 	"sync"
 	"time"
 
+	"marblelane/internal/registry/operators"
 	"marblelane/internal/rollout"
 	"marblelane/internal/route"
 )
@@ -84,7 +85,7 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for i := range table.Routes {
-		table.Routes[i].Tenant = outside(table.Routes[i].Tenant)
+		table.Routes[i].Tenant = operators.ConfiguredTenantName(table.Routes[i].Tenant)
 	}
 	tail := t.tail
 	rev, closed := tail.revisions()
--- a/internal/registry/routes_tenants.go
+++ b/internal/registry/routes_tenants.go
@@ -11,12 +11,13 @@
 
 	"golang.org/x/time/rate"
 
+	"marblelane/internal/registry/operators"
 	"marblelane/internal/registry/state"
 	"marblelane/internal/rollout"
 	"marblelane/internal/route"
 )
 
-// Wish is a rollout as a tenant posts it.
+// Wish is the body of a posted rollout.
 type Wish struct {
 	To      string   `json:"to" validate:"required,bytes=100"`
 	Classes []string `json:"classes" validate:"max=100,unique,dive,min=1,bytes=200"`
@@ -27,7 +28,7 @@
 	Note    string   `json:"note" validate:"bytes=1000"`
 }
 
-// Stride is a step as it is posted.
+// Stride is a step in the body of a posted rollout.
 type Stride struct {
 	CanaryFraction float64 `json:"share" validate:"gt=0,lte=1"`
 	HoldMS         int64   `json:"hold_ms" validate:"gte=0,lte=2592000000"`
@@ -35,22 +36,22 @@
 }
 
 func (r *routing) post(w http.ResponseWriter, req *http.Request) {
-	r.make(w, req, func(o *Operators, t *Tenant) (*rollout.Command, *rejection) {
+	r.handleChange(w, req, func(o *operators.Operators, t *operators.Tenant) (*rollout.Command, *rejection) {
 		var wish Wish
 		if f := r.body(w, req, maxBodyBytes, &wish); f != nil {
 			return nil, f
 		}
-		spec, f := t.spec(o, req.PathValue("name"), &wish)
-		return &rollout.Command{Op: rollout.OpPost, Tenant: inside(t.Name), Spec: spec}, f
+		spec, f := rolloutSpec(o, t, req.PathValue("name"), &wish)
+		return &rollout.Command{Op: rollout.OpPost, Tenant: operators.StateTenantName(t.Name), Spec: spec}, f
 	})
 }
 
-// spec is a wish with what its names stand for, if it is within the tenant's bounds.
-func (t *Tenant) spec(o *Operators, name string, wish *Wish) (*rollout.Spec, *rejection) {
+// rolloutSpec resolves the names of a posted rollout and checks it against the bounds of its tenant.
+func rolloutSpec(o *operators.Operators, t *operators.Tenant, name string, wish *Wish) (*rollout.Spec, *rejection) {
 	if name == "" || len(name) > rollout.MaxRolloutNameBytes {
 		return nil, rejectf(http.StatusBadRequest, "name", "has %d bytes, not 1 to %d", len(name), rollout.MaxRolloutNameBytes)
 	}
-	s := &rollout.Spec{Tenant: inside(t.Name), Name: name, SubsetName: wish.To, Classes: wish.Classes, Budget: wish.Budget, LateIsFailure: wish.Late,
+	s := &rollout.Spec{Tenant: operators.StateTenantName(t.Name), Name: name, SubsetName: wish.To, Classes: wish.Classes, Budget: wish.Budget, LateIsFailure: wish.Late,
 		AtEnd: wish.AtEnd, Note: wish.Note}
 	for i, st := range wish.Steps {
 		if st.CanaryFraction > *t.MaxShare {
@@ -62,12 +63,13 @@
 		return nil, rejectf(http.StatusForbidden, "budget", "%d is above max_budget of tenant %q, %d", wish.Budget, t.Name, t.MaxBudget)
 	}
 	var f *rejection
-	s.Canary, f = t.canary(o, wish.To)
+	s.Canary, f = canarySubset(o, t, wish.To)
 	return s, f
 }
 
-func (t *Tenant) canary(o *Operators, name string) (route.Subset, *rejection) {
-	sub, known := o.subset(name)
+// canarySubset finds a subset that the tenant may send its requests to.
+func canarySubset(o *operators.Operators, t *operators.Tenant, name string) (route.Subset, *rejection) {
+	sub, known := o.Subset(name)
 	if !known || !slices.Contains(t.Subsets, name) {
 		return sub, rejectf(http.StatusForbidden, "to", "%q is not among subsets of tenant %q, %v", clip(name), t.Name, t.Subsets)
 	}
@@ -75,17 +77,17 @@
 }
 
 func (r *routing) base(w http.ResponseWriter, req *http.Request) {
-	r.make(w, req, func(o *Operators, t *Tenant) (*rollout.Command, *rejection) {
+	r.handleChange(w, req, func(o *operators.Operators, t *operators.Tenant) (*rollout.Command, *rejection) {
 		var wish struct {
 			To string `json:"to" validate:"bytes=100"` // empty: all servers
 		}
 		if f := r.body(w, req, maxBodyBytes, &wish); f != nil {
 			return nil, f
 		}
-		c := &rollout.Command{Op: rollout.OpBase, Tenant: inside(t.Name)}
+		c := &rollout.Command{Op: rollout.OpBase, Tenant: operators.StateTenantName(t.Name)}
 		var f *rejection
 		if wish.To != "" {
-			c.Base, f = t.canary(o, wish.To)
+			c.Base, f = canarySubset(o, t, wish.To)
 		}
 		return c, f
 	})
@@ -93,7 +95,7 @@
 
 // handleRolloutOp pauses, resumes, rolls back or stops a rollout.
 func (r *routing) handleRolloutOp(w http.ResponseWriter, req *http.Request, op rollout.Op) {
-	r.make(w, req, func(_ *Operators, t *Tenant) (*rollout.Command, *rejection) {
+	r.handleChange(w, req, func(_ *operators.Operators, t *operators.Tenant) (*rollout.Command, *rejection) {
 		wish := struct {
 			Why string `json:"why" validate:"bytes=200"`
 		}{"by command"}
@@ -103,17 +105,18 @@
 		if op != rollout.OpStop && req.URL.Query().Has("if") {
 			return nil, rejectf(http.StatusBadRequest, "if", "is for post, base and stop alone")
 		}
-		return &rollout.Command{Op: op, Tenant: inside(t.Name), Name: req.PathValue("name"), Reason: wish.Why}, nil
+		return &rollout.Command{Op: op, Tenant: operators.StateTenantName(t.Name), Name: req.PathValue("name"), Reason: wish.Why}, nil
 	})
 }
 
-// make makes a tenant's change, once it is within all bounds and is read alike by all processes that count.
-func (r *routing) make(w http.ResponseWriter, req *http.Request, build func(*Operators, *Tenant) (*rollout.Command, *rejection)) {
+// handleChange answers a tenant's change. It is replicated if it is within the bounds of the tenant and all relevant
+// processes read the new table alike.
+func (r *routing) handleChange(w http.ResponseWriter, req *http.Request, build func(*operators.Operators, *operators.Tenant) (*rollout.Command, *rejection)) {
 	l, o := r.leader(w, req)
 	if l == nil {
 		return
 	}
-	rev, f := r.made(l, o, req, build)
+	rev, f := r.replicateChange(l, o, req, build)
 	if f != nil {
 		writeRejection(w, f)
 		return
@@ -124,7 +127,8 @@
 	}{rev})
 }
 
-func (r *routing) made(l *leadership, o *Operators, req *http.Request, build func(*Operators, *Tenant) (*rollout.Command, *rejection)) (int64, *rejection) {
+// replicateChange checks a tenant's change and replicates it. It returns the revision of the change.
+func (r *routing) replicateChange(l *leadership, o *operators.Operators, req *http.Request, build func(*operators.Operators, *operators.Tenant) (*rollout.Command, *rejection)) (int64, *rejection) {
 	t, f := r.tenant(o, req)
 	if f != nil {
 		return 0, f
@@ -140,7 +144,7 @@
 		}
 		c.IfRev = &rev
 	}
-	// One change is tried and made at a time, so that what is checked is what is made.
+	// Changes are checked and replicated one at a time, so that the check holds at the commit.
 	select {
 	case r.changing <- struct{}{}:
 		defer func() { <-r.changing }()
@@ -168,12 +172,12 @@
 }
 
 // dryRun applies a change to a clone of the state. It reports whether the change has an effect, or why it is rejected.
-func (r *routing) dryRun(l *leadership, c *rollout.Command, t *Tenant) (anew bool, f *rejection) {
+func (r *routing) dryRun(l *leadership, c *rollout.Command, t *operators.Tenant) (anew bool, f *rejection) {
 	var table route.Table
 	var err error
 	under := 0
 	r.s.hub.read(func(s *state.State) {
-		if _, live := s.Routes.LiveSpec(inside(t.Name)); live {
+		if _, live := s.Routes.LiveSpec(operators.StateTenantName(t.Name)); live {
 			under = 1
 		}
 		table, anew, err = s.Routes.Preview(c)
@@ -188,12 +192,12 @@
 		return true, rejectf(http.StatusForbidden, "rollouts", "tenant %q has %d under way, and may have %d", t.Name, under, *t.Rollouts)
 	}
 	if c.Op != rollout.OpPost && c.Op != rollout.OpBase && c.Op != rollout.OpResume {
-		return true, nil // what takes a canary away is never refused
+		return true, nil // a command that ends a canary is never rejected
 	}
 	return true, r.compare(l, &table)
 }
 
-// compare tells whether all processes that count read a table alike.
+// compare rejects a table that relevant processes would read differently.
 func (r *routing) compare(l *leadership, table *route.Table) *rejection {
 	alike := true
 	for schema := 1; schema < route.Newest; schema++ {
@@ -233,8 +237,8 @@
 	return out
 }
 
-// limit takes one change from what a tenant may make, or says how long to wait.
-func (l *leadership) limit(t *Tenant) time.Duration {
+// limit takes a token of the tenant's rate limit and returns 0, or returns how long to wait.
+func (l *leadership) limit(t *operators.Tenant) time.Duration {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	per, burst := rate.Limit(t.Changes/60), max(1, int(t.Changes))
@@ -262,7 +266,7 @@
 	if l == nil {
 		return
 	}
-	if !admits(o.Token, req) {
+	if !operators.TokenMatches(o.Token, req) {
 		writeRejection(w, rejectf(http.StatusUnauthorized, "Authorization", "this needs operator_token: Authorization: Bearer TOKEN"))
 		return
 	}
--- a/internal/registry/routes_views.go
+++ b/internal/registry/routes_views.go
@@ -9,6 +9,7 @@
 	"time"
 
 	"marblelane/internal/audit"
+	"marblelane/internal/registry/operators"
 	"marblelane/internal/registry/state"
 	"marblelane/internal/rollout"
 	"marblelane/internal/route"
@@ -66,7 +67,7 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	v := TenantView{Tenant: tenant, Rollouts: []RolloutView{}}
-	tenant = inside(tenant)
+	tenant = operators.StateTenantName(tenant)
 	r.s.hub.read(func(s *state.State) {
 		table := s.Routes.Table()
 		v.Rev, v.Table, v.Closed = s.Routes.TenantRev(tenant), table.Rev, table.Closed
--- a/internal/registry/server.go
+++ b/internal/registry/server.go
@@ -14,6 +14,7 @@
 
 	"github.com/prometheus/client_golang/prometheus/promhttp"
 
+	"marblelane/internal/registry/operators"
 	"marblelane/internal/registry/state"
 )
 
@@ -61,9 +62,9 @@
 	MaxStaleness time.Duration // reads are rejected on a replica staler than this; 0: never
 	// EachEncodes encodes each line for each watch separately; a baseline for the lab only.
 	EachEncodes        bool
-	MaxExpiredFraction float64    // if more of the leased entries expire together, they are held; 0.3
-	Operators          *Operators // nil: routes are off
-	Planted            string     // a defect of routes, for the lab; empty: none
+	MaxExpiredFraction float64              // if more of the leased entries expire together, they are held; 0.3
+	Operators          *operators.Operators // nil: routes are off
+	Planted            string               // a defect of routes, for the lab; empty: none
 	Log                *slog.Logger
 }
 
--- a/internal/registry/storage/store_test.go
+++ b/internal/registry/storage/store_test.go
@@ -17,11 +17,14 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 	bolt "go.etcd.io/bbolt"
+	"go.uber.org/goleak"
 
 	"marblelane/internal/fault"
 	"marblelane/internal/registry/state"
 )
 
+func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
+
 // folder makes the folder of a replica that has voted, with two snapshots and entries that are in none.
 func folder(t *testing.T) string {
 	t.Helper()
--- a/internal/registry/pipeline.go
+++ b/internal/registry/transport/pipeline.go
@@ -1,4 +1,4 @@
-package registry
+package transport
 
 import (
 	"sync"
@@ -7,7 +7,7 @@
 )
 
 // AppendEntriesPipeline opens a pipeline of entries to a follower, which closes itself at the first rejection.
-func (t *transport) AppendEntriesPipeline(id raft.ServerID, target raft.ServerAddress) (raft.AppendPipeline, error) {
+func (t *Transport) AppendEntriesPipeline(id raft.ServerID, target raft.ServerAddress) (raft.AppendPipeline, error) {
 	inner, err := t.NetworkTransport.AppendEntriesPipeline(id, target)
 	if err != nil {
 		return nil, err
--- a/internal/registry/restore_notice.go
+++ b/internal/registry/transport/regression_detector.go
@@ -1,4 +1,4 @@
-package registry
+package transport
 
 import (
 	"log/slog"
@@ -7,14 +7,14 @@
 	"github.com/hashicorp/raft"
 )
 
-// regressionDetector logs, on the leader, followers whose log has regressed: one that no longer has an entry that it
+// RegressionDetector logs, on the leader, followers whose log has regressed: one that no longer has an entry that it
 // acknowledged in this term lost synced data, or its data directory was rolled back to an old disk image. The leader
 // sends the entries again, so they are safe once the follower has caught up; a second vote in one term cannot be undone.
 //
 // Not detected: a regression under another leader or none, and one within a pipeline that is open since the term began.
 // A follower that was removed and added again under its name, with an empty directory, is logged as well.
-type regressionDetector struct {
-	*transport
+type RegressionDetector struct {
+	*Transport
 	log *slog.Logger
 
 	mu        sync.Mutex
@@ -29,21 +29,21 @@
 	regressed bool   // regressed, and logged
 }
 
-func newRegressionDetector(t *transport, log *slog.Logger) *regressionDetector {
-	return &regressionDetector{transport: t, log: log, followers: map[raft.ServerID]*acknowledged{}}
+func NewRegressionDetector(t *Transport, log *slog.Logger) *RegressionDetector {
+	return &RegressionDetector{Transport: t, log: log, followers: map[raft.ServerID]*acknowledged{}}
 }
 
 // AppendEntries sends entries and looks at the answer.
-func (t *regressionDetector) AppendEntries(id raft.ServerID, target raft.ServerAddress, a *raft.AppendEntriesRequest,
+func (t *RegressionDetector) AppendEntries(id raft.ServerID, target raft.ServerAddress, a *raft.AppendEntriesRequest,
 	r *raft.AppendEntriesResponse) error {
-	err := t.transport.AppendEntries(id, target, a, r)
+	err := t.Transport.AppendEntries(id, target, a, r)
 	if err == nil && !heartbeat(a) && r.Term == a.Term {
-		t.notice(id, a, r)
+		t.observe(id, a, r)
 	}
 	return err
 }
 
-func (t *regressionDetector) notice(id raft.ServerID, a *raft.AppendEntriesRequest, r *raft.AppendEntriesResponse) {
+func (t *RegressionDetector) observe(id raft.ServerID, a *raft.AppendEntriesRequest, r *raft.AppendEntriesResponse) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if a.Term < t.term {
@@ -71,8 +71,8 @@
 	}
 }
 
-// regressed reports whether a follower's log has regressed in this term.
-func (t *regressionDetector) regressed(id raft.ServerID) bool {
+// Regressed reports whether a follower's log has regressed in this term.
+func (t *RegressionDetector) Regressed(id raft.ServerID) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.followers[id] != nil && t.followers[id].regressed
--- a/internal/registry/raft_layer.go
+++ b/internal/registry/transport/stream_layer.go
@@ -1,4 +1,4 @@
-package registry
+package transport
 
 // This file carries raft's connections between the replicas.
 
@@ -12,19 +12,20 @@
 	"marblelane/internal/listener"
 )
 
-// layer carries raft over TCP. It calls from the address it listens at, so that a firewall can tell the replicas apart.
-type layer struct {
+// StreamLayer carries raft over TCP. It calls from the address it listens at, so that a firewall can tell the replicas apart.
+type StreamLayer struct {
 	net.Listener
 	advertised net.Addr
 	from       *net.TCPAddr
 }
 
-func listenRaft(listen, advertised string) (*layer, error) {
+// Listen opens the listener of raft. Other replicas reach it at advertised; empty: at the address it listens on.
+func Listen(listen, advertised string) (*StreamLayer, error) {
 	l, err := net.Listen("tcp", listen)
 	if err != nil {
 		return nil, err
 	}
-	out := &layer{Listener: listener.Wrap(l, "raft", nil), advertised: l.Addr()}
+	out := &StreamLayer{Listener: listener.Wrap(l, "raft", nil), advertised: l.Addr()}
 	at := l.Addr().(*net.TCPAddr)
 	if !at.IP.IsUnspecified() {
 		out.from = &net.TCPAddr{IP: at.IP}
@@ -40,26 +41,13 @@
 }
 
 // Addr is where other replicas reach this one.
-func (l *layer) Addr() net.Addr { return l.advertised }
+func (l *StreamLayer) Addr() net.Addr { return l.advertised }
 
 // Dial calls another replica.
-func (l *layer) Dial(address raft.ServerAddress, timeout time.Duration) (net.Conn, error) {
+func (l *StreamLayer) Dial(address raft.ServerAddress, timeout time.Duration) (net.Conn, error) {
 	d := net.Dialer{Timeout: timeout}
 	if l.from != nil {
 		d.LocalAddr = l.from
 	}
 	return d.Dial("tcp", string(address))
 }
-
-// advertised is where the other replicas reach this one: as the peers have it, or where it listens.
-func (c *Config) advertised() string {
-	if c.Advertise != "" {
-		return c.Advertise
-	}
-	for _, p := range c.Peers {
-		if p.Name == c.Name {
-			return p.Raft
-		}
-	}
-	return ""
-}
--- a/internal/registry/transport.go
+++ b/internal/registry/transport/transport.go
@@ -1,4 +1,5 @@
-package registry
+// Package transport is the network transport of raft between the replicas of the registry.
+package transport
 
 import (
 	"sync"
@@ -7,17 +8,17 @@
 	"github.com/hashicorp/raft"
 )
 
-// transport is raft's network transport with two changes. It retries entries for an unreachable follower itself, as
+// Transport is raft's network transport with two changes. It retries entries for an unreachable follower itself, as
 // raft's backoff of up to 10 s would leave a follower that returns without entries for that long.
 //
 // It also records when an acknowledged request was sent. raft's own VerifyLeader accepts any answer received after the
 // call, also one to an earlier heartbeat: a leader that was suspended would confirm itself although another was elected.
 // The lab checks this with scenario registry-leader-frozen.
-type transport struct {
+type Transport struct {
 	*raft.NetworkTransport
 	retryInterval time.Duration // pause between two attempts
 	// wanted tells whether a replica is still to be sent the entries of a term.
-	wanted func(id raft.ServerID, term uint64) bool
+	NeedsEntries func(id raft.ServerID, term uint64) bool
 
 	end  chan struct{}
 	once sync.Once
@@ -30,9 +31,9 @@
 	acked map[raft.ServerID]time.Time // when the newest message of the term that a replica has acknowledged was sent
 }
 
-func newTransport(n *raft.NetworkTransport, again time.Duration) *transport {
-	return &transport{NetworkTransport: n, retryInterval: again, end: make(chan struct{}),
-		wanted: func(raft.ServerID, uint64) bool { return false }}
+func New(n *raft.NetworkTransport, again time.Duration) *Transport {
+	return &Transport{NetworkTransport: n, retryInterval: again, end: make(chan struct{}),
+		NeedsEntries: func(raft.ServerID, uint64) bool { return false }}
 }
 
 // heartbeat tells one from a message that carries entries, or could.
@@ -41,14 +42,14 @@
 }
 
 // AppendEntries sends entries, and retries while the follower is unreachable and still needs them.
-func (t *transport) AppendEntries(id raft.ServerID, target raft.ServerAddress, a *raft.AppendEntriesRequest, r *raft.AppendEntriesResponse) error {
+func (t *Transport) AppendEntries(id raft.ServerID, target raft.ServerAddress, a *raft.AppendEntriesRequest, r *raft.AppendEntriesResponse) error {
 	for {
 		sent := time.Now()
 		err := t.NetworkTransport.AppendEntries(id, target, a, r)
 		if err == nil && r.Term == a.Term {
 			t.acknowledge(id, a.Term, sent)
 		}
-		if err == nil || heartbeat(a) || !t.wanted(id, a.Term) {
+		if err == nil || heartbeat(a) || !t.NeedsEntries(id, a.Term) {
 			return err
 		}
 		select {
@@ -59,7 +60,7 @@
 	}
 }
 
-func (t *transport) acknowledge(id raft.ServerID, term uint64, sent time.Time) {
+func (t *Transport) acknowledge(id raft.ServerID, term uint64, sent time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if term > t.term {
@@ -70,16 +71,16 @@
 	}
 }
 
-// follows tells whether a replica has acknowledged a message of a term that was sent after a time. It then had not voted
+// Follows tells whether a replica has acknowledged a message of a term that was sent after a time. It then had not voted
 // for a later leader by that time.
-func (t *transport) follows(id raft.ServerID, term uint64, after time.Time) bool {
+func (t *Transport) Follows(id raft.ServerID, term uint64, after time.Time) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return term == t.term && t.acked[id].After(after)
 }
 
-// acknowledged is when the newest message of a term that a replica has acknowledged was sent; zero: there is none.
-func (t *transport) acknowledged(id raft.ServerID, term uint64) time.Time {
+// Acknowledged is when the newest message of a term that a replica has acknowledged was sent; zero: there is none.
+func (t *Transport) Acknowledged(id raft.ServerID, term uint64) time.Time {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if term != t.term {
@@ -90,7 +91,7 @@
 
 // SetHeartbeatHandler lets raft handle heartbeats. It does so as they come in, unlike all else, and is not waited for
 // when it shuts down: one that was under way then found the log closed, and raft panics where it cannot write.
-func (t *transport) SetHeartbeatHandler(handle func(raft.RPC)) {
+func (t *Transport) SetHeartbeatHandler(handle func(raft.RPC)) {
 	t.NetworkTransport.SetHeartbeatHandler(func(rpc raft.RPC) {
 		t.beats.RLock()
 		defer t.beats.RUnlock()
@@ -100,8 +101,8 @@
 	})
 }
 
-// stop ends the retries, and waits for heartbeats in flight.
-func (t *transport) stop() {
+// Stop ends the retries, and waits for heartbeats in flight.
+func (t *Transport) Stop() {
 	t.once.Do(func() { close(t.end) })
 	t.beats.Lock()
 	defer t.beats.Unlock()
--- /dev/null
+++ b/internal/registry/transport/transport_test.go
@@ -0,0 +1,35 @@
+package transport
+
+import (
+	"testing"
+	"time"
+
+	"github.com/hashicorp/raft"
+	"go.uber.org/goleak"
+)
+
+func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
+
+// An answer to what was sent before a question confirms nothing about it.
+func TestConfirm_staleAnswers(t *testing.T) {
+	sender := New(nil, time.Second)
+	at := func(s int) time.Time { return time.Unix(int64(s), 0) }
+	sender.acknowledge("r1", 5, at(10))
+	sender.acknowledge("r1", 5, at(9)) // an older message's answer comes later
+	for _, c := range []struct {
+		id    string
+		term  uint64
+		after int
+		want  bool
+	}{
+		{"r1", 5, 9, true}, {"r1", 5, 10, false}, {"r1", 5, 11, false}, // sent before the question
+		{"r1", 4, 9, false}, {"r1", 6, 9, false}, {"r2", 5, 9, false},
+	} {
+		if got := sender.Follows(raft.ServerID(c.id), c.term, at(c.after)); got != c.want {
+			t.Errorf("%+v: %v", c, got)
+		}
+	}
+	if sender.acknowledge("r2", 6, at(12)); sender.Follows("r1", 6, at(1)) || !sender.Follows("r2", 6, at(11)) {
+		t.Error("what was acknowledged in an earlier term counts in a later one")
+	}
+}
