--- a/cmd/marblelane/registry_put.go
+++ b/cmd/marblelane/registry_put.go
@@ -5,7 +5,7 @@
 	"fmt"
 	"time"
 
-	"marblelane/internal/registry"
+	"marblelane/internal/registry/state"
 )
 
 // registryPut registers a server or changes its entry.
@@ -24,7 +24,7 @@
 
 func (c *registryPut) Run(a *app) error {
 	body, err := json.Marshal(map[string]any{"uid": c.UID, "endpoint": c.Endpoint, "az": c.Zone, "model": c.Model,
-		"pod_group": c.Pod, "state": registry.Ready, "capacity_hint": c.Capacity, "boot_ms": c.Boot, "lease_ms": c.Lease.Milliseconds()})
+		"pod_group": c.Pod, "state": state.Ready, "capacity_hint": c.Capacity, "boot_ms": c.Boot, "lease_ms": c.Lease.Milliseconds()})
 	if err != nil {
 		return fmt.Errorf("put: %w", err)
 	}
--- a/cmd/marblelane/registry_state_test.go
+++ b/cmd/marblelane/registry_state_test.go
@@ -16,6 +16,7 @@
 	"github.com/stretchr/testify/require"
 
 	"marblelane/internal/registry"
+	"marblelane/internal/registry/state"
 )
 
 // execute runs the built program to its end.
@@ -58,7 +59,7 @@
 		code, out, _ := execute(t, "registry", "status", "--addr", addr)
 		return code == exitGood && json.Unmarshal([]byte(out), &status) == nil && status.Leads && status.Rev > 0
 	}, 20*time.Second, 10*time.Millisecond)
-	return registry.EpochOf(status.Rev)
+	return state.EpochOf(status.Rev)
 }
 
 func TestRegistryVerify_killedCopy(t *testing.T) {
--- a/internal/registry/node_lead.go
+++ b/internal/registry/node_lead.go
@@ -8,6 +8,8 @@
 	"time"
 
 	"github.com/hashicorp/raft"
+
+	"marblelane/internal/registry/state"
 )
 
 // handleNewLeadership makes the first writes of a new leader: the first epoch if there is none, and the HTTP addresses
@@ -33,19 +35,19 @@
 		if n.raft.CurrentTerm() == term {
 			n.readyTerm.Store(term)
 		}
-		commands := []*Command{}
+		commands := []*state.Command{}
 		var rev int64
 		var members map[string]string
-		n.hub.read(func(s *State) { rev, members = s.Rev(), s.Members() })
+		n.hub.read(func(s *state.State) { rev, members = s.Rev(), s.Members() })
 		if rev == 0 {
-			commands = append(commands, &Command{Op: OpBegin, Epoch: NextEpoch(n.cfg.Faults.Now(), 0)})
+			commands = append(commands, &state.Command{Op: state.OpBegin, Epoch: state.NextEpoch(n.cfg.Faults.Now(), 0)})
 		}
 		if members[n.cfg.Name] != n.Addr() {
-			commands = append(commands, &Command{Op: OpMember, UID: n.cfg.Name, Address: n.Addr()})
+			commands = append(commands, &state.Command{Op: state.OpMember, UID: n.cfg.Name, Address: n.Addr()})
 		}
 		for _, p := range n.cfg.Peers {
 			if p.Name != n.cfg.Name && members[p.Name] == "" {
-				commands = append(commands, &Command{Op: OpMember, UID: p.Name, Address: p.Serve})
+				commands = append(commands, &state.Command{Op: state.OpMember, UID: p.Name, Address: p.Serve})
 			}
 		}
 		for _, c := range commands {
@@ -67,14 +69,14 @@
 		return false, ""
 	}
 	var address string
-	n.hub.read(func(s *State) { address = s.members[string(id)] })
+	n.hub.read(func(s *state.State) { address = s.MemberAddress(string(id)) })
 	return false, address
 }
 
 // Staleness is an upper bound of the age of this replica's list: it has every write acknowledged before then.
 func (n *Node) Staleness() time.Duration {
 	var rev int64
-	n.hub.read(func(s *State) { rev = s.Rev() })
+	n.hub.read(func(s *state.State) { rev = s.Rev() })
 	if at := n.fresh.since(rev); !at.IsZero() {
 		return time.Since(at)
 	}
@@ -128,7 +130,7 @@
 			continue
 		}
 		voters++
-		if s.ID == raft.ServerID(n.cfg.Name) || n.transport.follows(s.ID, term, at) {
+		if s.ID == raft.ServerID(n.cfg.Name) || n.transport.Follows(s.ID, term, at) {
 			with++
 		}
 	}
--- a/internal/registry/replicas.go
+++ b/internal/registry/replicas.go
@@ -16,6 +16,7 @@
 	"github.com/hashicorp/raft"
 
 	"marblelane/internal/membership"
+	"marblelane/internal/registry/state"
 )
 
 const copiesPath = "/registry/copies"
@@ -45,7 +46,7 @@
 	leads, term := n.raft.State() == raft.Leader, n.raft.CurrentTerm()
 	standings := n.members.standings()
 	var serve map[string]string
-	n.hub.read(func(s *State) { serve = s.Members() })
+	n.hub.read(func(s *state.State) { serve = s.Members() })
 	out := make([]CopyStatus, 0, len(f.Configuration().Servers))
 	for _, s := range f.Configuration().Servers {
 		name := string(s.ID)
@@ -54,7 +55,7 @@
 		if standing, ok := standings[name]; ok {
 			c.Member = standing
 		}
-		if at := n.transport.acknowledged(s.ID, term); leads && name == n.cfg.Name {
+		if at := n.transport.Acknowledged(s.ID, term); leads && name == n.cfg.Name {
 			c.AckMS = 0
 		} else if leads && !at.IsZero() {
 			c.AckMS = time.Since(at).Milliseconds()
@@ -88,7 +89,7 @@
 	for {
 		there, has := 0, with == ""
 		for _, s := range all {
-			if s.ID == raft.ServerID(n.cfg.Name) || n.transport.follows(s.ID, term, startedAt) {
+			if s.ID == raft.ServerID(n.cfg.Name) || n.transport.Follows(s.ID, term, startedAt) {
 				there++
 				has = has || s.ID == raft.ServerID(with)
 			}
@@ -148,7 +149,7 @@
 			return fmt.Errorf("registry: learn %s: %w", p.Name, err)
 		}
 	}
-	_, err = n.Apply(&Command{Op: OpMember, UID: p.Name, Address: p.Serve}, applyTimeout)
+	_, err = n.Apply(&state.Command{Op: state.OpMember, UID: p.Name, Address: p.Serve}, applyTimeout)
 	return err
 }
 
@@ -195,7 +196,7 @@
 			return fmt.Errorf("registry: retire %s: %w", name, err)
 		}
 	}
-	_, err = n.Apply(&Command{Op: OpMember, UID: name}, applyTimeout)
+	_, err = n.Apply(&state.Command{Op: state.OpMember, UID: name}, applyTimeout)
 	return err
 }
 
--- a/internal/registry/routes_test.go
+++ b/internal/registry/routes_test.go
@@ -5,7 +5,6 @@
 	"encoding/json"
 	"fmt"
 	"io"
-	"math"
 	"net"
 	"net/http"
 	"os"
@@ -18,6 +17,8 @@
 	"github.com/stretchr/testify/require"
 
 	"marblelane/internal/audit"
+	"marblelane/internal/registry/operators"
+	"marblelane/internal/registry/state"
 	"marblelane/internal/rollout"
 	"marblelane/internal/route"
 )
@@ -49,17 +50,17 @@
 subsets = ["new"]
 `
 
-func operators(t *testing.T, text string) (*Operators, error) {
+func loadOperators(t *testing.T, text string) (*operators.Operators, error) {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "o.toml")
 	require.NoError(t, os.WriteFile(path, []byte(text), 0o600))
-	return LoadOperators(path)
+	return operators.Load(path)
 }
 
 // routed starts replicas with an operators' file, and waits until their leader answers for routes.
 func routed(t *testing.T, n int, change func(*Config)) []*copyOf {
 	t.Helper()
-	o, err := operators(t, operatorsText)
+	o, err := loadOperators(t, operatorsText)
 	require.NoError(t, err)
 	all := cluster(t, n, func(c *Config) {
 		if c.Operators = o; change != nil {
@@ -134,7 +135,7 @@
 }
 
 func routesRev(c *copyOf) (rev int64) {
-	c.node.hub.read(func(s *State) { rev = s.routes.Rev() })
+	c.node.hub.read(func(s *state.State) { rev = s.Routes.Rev() })
 	return rev
 }
 
@@ -158,39 +159,6 @@
 	return v
 }
 
-func TestOperators_fileErrors(t *testing.T) {
-	for text, says := range map[string]string{
-		"term = \"5\"":                                    `o.toml:1: term: "5" is not a duration`,
-		"term = \"10ms\"":                                 "o.toml:1: term: 10ms is below 500ms",
-		"\nshut_after = \"1s\"":                           "o.toml:2: shut_after: 1000 ms is not after behind_after, 2000 ms",
-		"remember = \"5s\"":                               "o.toml:1: remember: 5000 ms is less than two terms",
-		"behind_share = 1.5":                              "o.toml:1: behind_share: 1.5 is above 1",
-		"alpha = 1.0":                                     "alpha: 1 is not below 1",
-		"nonsense = 1":                                    "o.toml:1: nonsense: there is no such key",
-		"[[tenant]]\nmax_share = 1.5":                     "o.toml:2: tenant[0].max_share: 1.5 is above 1",
-		"[[tenant]]\nname = \"x/y\"":                      `o.toml:2: tenant[0].name: "x/y" has a character of "/"`,
-		"[[tenant]]\nname = \"audit\"":                    `tenant[0].name: "audit" has another meaning in paths`,
-		"[[tenant]]\n[[tenant]]":                          "tenant: a name comes twice",
-		"[[tenant]]\nrollouts = 101":                      "tenant[0].rollouts: 101 is above 100",
-		"[[tenant]]\nsubsets = [\"x\"]":                   `o.toml:2: tenant[0].subsets[0]: there is no subset "x"`,
-		"[[tenant]]\nmax_budget = -1":                     "tenant[0].max_budget: -1 is not above 0",
-		"[[subset]]\nmodel = [\"m\"]":                     "o.toml:1: subset[0].name: is missing",
-		"[[subset]]\nname = \"s\"":                        "subset[0]: selects all servers",
-		"[[subset]]\nname = \"s\"\nuid = [\"\"]":          `o.toml:3: subset[0].uid[0]: "" is below 1 bytes`,
-		"[[subset]]\nname = \"s\"\npod_group = [\"a\"]":   "o.toml:3: subset.pod_group",
-		"# " + strings.Repeat("x", maxOperatorsFileBytes): "bytes, 1048576 at most",
-		// Bounds are bytes: 101 characters of two bytes would be 101 by their number.
-		"operator_token = \"" + strings.Repeat("é", 101) + `"`:                  "operator_token: \"" + strings.Repeat("é", 20) + "...\" is above 200 bytes",
-		"[[tenant]]\nname = \"" + strings.Repeat("é", 51) + `"`:                 "tenant[0].name: \"" + strings.Repeat("é", 20) + "...\" is above 100 bytes",
-		"[[subset]]\nname = \"s\"\naz = [\"x" + strings.Repeat("é", 100) + `"]`: "subset[0].az[0]: \"x" + strings.Repeat("é", 19) + "...\" is above 200 bytes",
-	} {
-		_, err := operators(t, text)
-		assert.ErrorContains(t, err, says, text[:min(len(text), 80)])
-	}
-	_, err := LoadOperators(filepath.Join(t.TempDir(), "none"))
-	assert.ErrorContains(t, err, "operators' file")
-}
-
 func TestRoutes_offWithoutOperators(t *testing.T) {
 	one := cluster(t, 1, single)[0]
 	for _, path := range []string{"GET /routes?schema=2", "POST /routes/reports", "POST /routes/units", "GET /routes/a", "POST /routes/a/base",
@@ -359,7 +327,7 @@
 	all := routed(t, 3, nil)
 	addr := routesLeader(t, all).cfg.Listen
 	var list int64
-	all[0].node.hub.read(func(s *State) { list = s.Rev() })
+	all[0].node.hub.read(func(s *state.State) { list = s.Rev() })
 	follow := func(c *copyOf, schema int) *bufio.Reader {
 		req, err := http.NewRequestWithContext(t.Context(), "GET", fmt.Sprintf("http://%s/routes?schema=%d&watch=1", c.cfg.Listen, schema), nil)
 		require.NoError(t, err)
@@ -425,7 +393,7 @@
 	two, err := line.text([]int{2, 2, 7})
 	require.NoError(t, err)
 	assert.Same(t, &one.text[0], &two.text[0], "the table is encoded twice")
-	all[0].node.hub.read(func(s *State) { assert.Equal(t, list, s.Rev()) })
+	all[0].node.hub.read(func(s *state.State) { assert.Equal(t, list, s.Rev()) })
 }
 
 // Grants are on a quorum before they are answered: a new leader grants no unit twice, and undoes no rollback. With the
@@ -541,7 +509,7 @@
 	t.Parallel()
 	one := routed(t, 1, single)[0]
 	r := one.node.server.routes
-	_, err := one.node.Apply(&Command{Op: OpTerm, TermMS: 3_600_000}, applyTimeout)
+	_, err := one.node.Apply(&state.Command{Op: state.OpTerm, TermMS: 3_600_000}, applyTimeout)
 	require.NoError(t, err)
 	r.lead.Store(nil)
 	var l *leadership
@@ -556,7 +524,7 @@
 	p := newProcess("p", 2)
 	p.report(t, one.cfg.Listen)
 	known := func() (n int) {
-		one.node.hub.read(func(s *State) { n = len(s.seen) })
+		one.node.hub.read(func(s *state.State) { n = len(s.Processes) })
 		return n
 	}
 	until(t, "the process to be remembered, and what is closed first", func() bool {
@@ -675,12 +643,12 @@
 	t.Parallel()
 	all := routed(t, 3, nil)
 	lead := routesLeader(t, all)
-	followers := func(what string, is func(r *routing, s *State) bool) {
+	followers := func(what string, is func(r *routing, s *state.State) bool) {
 		t.Helper()
 		until(t, what, func() bool {
 			for _, c := range all {
 				r, ok := c.node.server.routes, false
-				if c.node.hub.read(func(s *State) { ok = is(r, s) }); c != lead && !ok {
+				if c.node.hub.read(func(s *state.State) { ok = is(r, s) }); c != lead && !ok {
 					return false
 				}
 			}
@@ -694,7 +662,7 @@
 	}
 	before := passed()
 	polled := passed()
-	followers("what the leader has", func(r *routing, _ *State) bool {
+	followers("what the leader has", func(r *routing, _ *state.State) bool {
 		r.tables.mu.Lock()
 		defer r.tables.mu.Unlock()
 		return len(r.tables.upperBounds) > 0 && r.tables.upperBounds[len(r.tables.upperBounds)-1].at.After(polled)
@@ -714,7 +682,7 @@
 			p.report(t, lead.cfg.Listen)
 		}
 	}
-	followers("transitions", func(_ *routing, s *State) bool { return s.audit.Len() >= 6 })
+	followers("transitions", func(_ *routing, s *state.State) bool { return s.AuditLog.Len() >= 6 })
 	passed()
 	held := passed()
 	lead.end(t)
@@ -756,30 +724,3 @@
 	countLate.requestedBudgets(a)
 	assert.Equal(t, route.BudgetState{Granted: 5, Returned: 4}, a.Budgets[0])
 }
-
-// A snapshot keeps the routes; one from before there were any is read, and written while there are none.
-func TestSnapshot_routes(t *testing.T) {
-	s := newStartedState(10)
-	base := rollout.Command{Op: rollout.OpBase, Tenant: "a", Base: route.Subset{Model: []string{"m"}}}
-	for _, c := range []*Command{{Op: OpTerm, TermMS: 5}, {Op: OpRoutes, Routes: &base},
-		{Op: OpAudit, Audit: []audit.Transition{{Process: route.Process{Name: "p", Start: 1}, Kind: audit.FirstReport, Rev: 1}},
-			Seen: []SchemaSupport{{Process: route.Process{Name: "p", Start: 1}, Schemas: []int{1}}}}} {
-		before := s.Rev()
-		_, err := s.Apply(c)
-		require.NoError(t, err)
-		assert.Equal(t, before, s.Rev(), "the list's revision moved")
-	}
-	stored := must(s.save())
-	assert.Equal(t, savedForm, stored.Form)
-	back := NewState(10)
-	require.NoError(t, back.load(stored))
-	assert.Equal(t, asJSON(t, stored), asJSON(t, must(back.save())))
-	assert.Equal(t, s.routes.Table(), back.routes.Table())
-	assert.Equal(t, 1, back.audit.Len())
-
-	require.NoError(t, back.load(&saved{Form: formBefore, Rev: 7<<countBits + 3}))
-	assert.Equal(t, int64(7<<countBits), back.routes.Rev())
-	assert.Equal(t, formBefore, must(back.save()).Form)
-	assert.Error(t, back.load(&saved{Form: savedForm, Routes: []byte("{"), Audit: []byte("{}")}))
-	assert.Less(t, back.routes.Rev(), int64(math.MaxInt64))
-}
