--- a/internal/lab/client/leave.go
+++ b/internal/lab/client/leave.go
@@ -26,7 +26,7 @@
 // clientBehaviour is how an attempt's client deviates from a plain exchange. It is drawn from the attempt's id, so that it
 // does not change other random draws.
 type clientBehaviour struct {
-	leaveWay  string // how it ends the connection if it leaves early: one of scenario.LeaveWays
+	leaveWay  string // how it ends the connection if it leaves early: one of scenario.LeaveModes
 	pipelined int    // when it sends partialNextRequest
 }
 
--- a/internal/lab/cluster/play.go
+++ b/internal/lab/cluster/play.go
@@ -7,7 +7,7 @@
 	"fmt"
 	"marblelane/internal/lab/harness"
 	"marblelane/internal/lab/report"
-	"marblelane/internal/registry"
+	"marblelane/internal/registry/state"
 	"math/rand/v2"
 	"sync"
 	"time"
@@ -33,7 +33,7 @@
 	watchers := make([]*watcher, c.config.Watchers)
 	var watch, write sync.WaitGroup
 	for i := range watchers {
-		watchers[i] = &watcher{cluster: c, rng: rand.New(rand.NewPCG(c.Plan.Seed, uint64(i)+1<<32)), list: map[string]registry.Entry{}}
+		watchers[i] = &watcher{cluster: c, rng: rand.New(rand.NewPCG(c.Plan.Seed, uint64(i)+1<<32)), list: map[string]state.Entry{}}
 		watch.Go(func() { watchers[i].follow(watching) })
 	}
 	var lag []time.Duration
@@ -90,13 +90,13 @@
 	defer cancel()
 	for {
 		behind, wrong := 0, 0
-		var l registry.List
+		var l state.List
 		if lead := c.Leader(ctx); lead != nil {
 			if code, text, err := Call(ctx, "GET", "http://"+lead.Address+"/registry/instances", nil); err == nil && code == 200 {
 				_ = json.Unmarshal(text, &l) // an unreadable one has no revision, and all are behind
 			}
 		}
-		want := map[string]registry.Entry{}
+		want := map[string]state.Entry{}
 		for _, e := range l.Targets {
 			want[e.UID] = e
 		}
--- a/internal/lab/collect.go
+++ b/internal/lab/collect.go
@@ -8,12 +8,12 @@
 	"marblelane/internal/lab/report"
 )
 
-func (r *run) report(all []record.Event, worked float64, lates, lag []time.Duration, stalls []invariant.Span) *report.Report {
+func (r *run) report(all []record.Event, worked float64, lates, lag []time.Duration, delays report.ProcessorDelays) *report.Report {
 	var routes *invariant.Routes
 	if o := r.rollouts.Load(); o != nil {
 		routes = o.facts()
 	}
-	rep := report.New(r.Plan, all, worked, routes, stalls)
+	rep := report.New(r.Plan, all, worked, routes, delays)
 	if r.members != nil { // before the rules of routes ask which were held to some case
 		facts := r.members.facts()
 		invariant.CheckMembers(all, facts, rep.Verdict)
--- a/internal/lab/growth_fleet.go
+++ b/internal/lab/growth_fleet.go
@@ -117,7 +117,7 @@
 			opened++
 		}
 	}
-	outcome := report.New(plan, run.Events, run.Worked, nil, nil)
+	outcome := report.New(plan, run.Events, run.Worked, nil, report.ProcessorDelays{})
 	figures, broken := &outcome.Result.Figures, outcome.Verdict.Broken()
 	usage := GrowthUsage{Connections: float64(opened) / float64(size.Sidecars), Served: figures.InObjective}
 	o.progress("%s, %d sidecars, %d servers: %d requests, %.3f served, %.1f connections each, %.2f attempts, broken %v",
--- a/internal/lab/lab.go
+++ b/internal/lab/lab.go
@@ -48,6 +48,8 @@
 	// serverClock is how many ms the wall clock is off by which servers' starts are told.
 	serverClock atomic.Int64
 
+	starved starvationSampler // only measureAll and, after it, report use it
+
 	overheardBy atomic.Pointer[repeater]
 	repeated    atomic.Int64
 
@@ -257,7 +259,8 @@
 	for i := range r.Plan.Arrivals {
 		r.Plan.Arrivals[i].At -= began
 	}
-	return r.report(all, worked, lates, lag, r.Spans(stalls, began)), nil
+	delays := report.ProcessorDelays{Lab: r.Spans(stalls, began), Sidecars: r.starved.since(began)}
+	return r.report(all, worked, lates, lag, delays), nil
 }
 
 // Simulate plays a scenario on a simulated clock (package simulate), with the same rules, figures and expectations.
@@ -267,7 +270,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("lab: %w", err)
 	}
-	rep := report.New(plan, run.Events, run.Worked, nil, nil)
+	rep := report.New(plan, run.Events, run.Worked, nil, report.ProcessorDelays{})
 	rep.ZoneFaults = simulate.ZoneFaults(plan, run.Sends)
 	rep.CheckFigures(&s.Expect)
 	return rep, nil
@@ -308,6 +311,9 @@
 	for i, s := range r.sidecars { // during an upgrade two processes are one sidecar, to its limits too
 		pids, past := s.processes()
 		together(i, past, pids...)
+		for _, pid := range pids {
+			r.starved.sample(i, pid, r.Events.Now)
+		}
 	}
 }
 
--- a/internal/lab/scenario/scenario_test.go
+++ b/internal/lab/scenario/scenario_test.go
@@ -119,7 +119,7 @@
 	}
 }
 
-// Sidecars that are told to end in turn are so one after another, and SIGKILL waits for 3 s of a longer deadline.
+// Sidecars get SIGTERM one after another, and SIGKILL waits for 3 s of a longer deadline.
 func TestTurns(t *testing.T) {
 	s, err := Parse("good.toml", []byte(good+"[[fault]]\nat = \"3s\"\nevery = \"500ms\"\nkind = \"sidecar-term\"\nsidecars = \"3\"\n"))
 	if err != nil {
@@ -210,7 +210,7 @@
 	}
 }
 
-func TestNeededCrossings(t *testing.T) {
+func TestPlan_minCrossZone(t *testing.T) {
 	const two = `title = "two zones"
 length = "4s"
 [sidecars]
--- a/internal/registry/node.go
+++ b/internal/registry/node.go
@@ -21,6 +21,9 @@
 	"marblelane/internal/fault"
 	"marblelane/internal/listener"
 	"marblelane/internal/membership"
+	"marblelane/internal/registry/state"
+	"marblelane/internal/registry/storage"
+	"marblelane/internal/registry/transport"
 	"marblelane/internal/retry"
 )
 
@@ -48,6 +51,19 @@
 	reopened bool // a replica was opened from the folder before: one without a log is not the replica's
 }
 
+// advertised is where the other replicas reach this one: as the peers have it, or where it listens.
+func (c *Config) advertised() string {
+	if c.Advertise != "" {
+		return c.Advertise
+	}
+	for _, p := range c.Peers {
+		if p.Name == c.Name {
+			return p.Raft
+		}
+	}
+	return ""
+}
+
 // Peer is a replica as others know it.
 type Peer struct {
 	Name  string `toml:"name" json:"name"`
@@ -59,8 +75,8 @@
 type Node struct {
 	cfg         Config
 	raft        *raft.Raft
-	transport   *transport
-	regressions *regressionDetector
+	transport   *transport.Transport
+	regressions *transport.RegressionDetector
 	readers     readerRevisions
 	fresh       freshness
 	hub         *hub
@@ -68,8 +84,8 @@
 	members     *members // nil: off
 	http        *http.Server
 	listen      net.Listener
-	raftAt      net.Addr // where raft listens
-	store       *store   // nil: nothing is kept
+	raftAt      net.Addr       // where raft listens
+	store       *storage.Store // nil: nothing is kept
 	close       []func() error
 	log         *slog.Logger
 	// settled is the last term in which this replica led and had applied all that was committed before it.
@@ -133,10 +149,10 @@
 	if n.raft, err = raft.NewRaft(c, (*machine)(n), st.logs, st.stable, st.snaps, n.regressions); err != nil {
 		return fmt.Errorf("registry: raft: %w", err)
 	}
-	n.transport.wanted = n.follows
+	n.transport.NeedsEntries = n.follows
 	n.close = append(n.close, func() error {
 		ended := n.raft.Shutdown()
-		n.transport.stop() // raft waits for pending sends
+		n.transport.Stop() // raft waits for pending sends
 		return ended.Error()
 	})
 	if err := n.diskFailure(); err != nil {
@@ -159,58 +175,58 @@
 }
 
 // storage is what raft persists: its log, its term and vote, and snapshots.
-type storage struct {
+type raftStores struct {
 	logs   raft.LogStore
 	stable raft.StableStore
 	snaps  raft.SnapshotStore
 }
 
 // openStorage opens the data directory, after recovery, or storage in memory if none is configured.
-func (n *Node) openStorage(logger hclog.Logger) (*storage, error) {
+func (n *Node) openStorage(logger hclog.Logger) (*raftStores, error) {
 	if n.cfg.Dir == "" {
 		mem := raft.NewInmemStore()
-		return &storage{mem, mem, raft.NewInmemSnapshotStore()}, nil
+		return &raftStores{mem, mem, raft.NewInmemSnapshotStore()}, nil
 	}
 	if n.cfg.reopened {
-		if _, err := os.Stat(filepath.Join(n.cfg.Dir, storeFile)); err != nil {
+		if _, err := os.Stat(filepath.Join(n.cfg.Dir, storage.StoreFile)); err != nil {
 			return nil, fmt.Errorf("registry: %w", err)
 		}
 	}
-	release, err := takeDir(n.cfg.Dir)
+	release, err := storage.LockDir(n.cfg.Dir)
 	if err != nil {
 		return nil, fmt.Errorf("registry: %w", err)
 	}
 	n.close = append(n.close, release)
-	if err := recoverDir(n.cfg.Dir, n.log); err != nil {
+	if err := storage.Recover(n.cfg.Dir, n.log); err != nil {
 		return nil, fmt.Errorf("registry: %w", err)
 	}
-	file, err := openStore(filepath.Join(n.cfg.Dir, storeFile), n.cfg.SlowDisk, n.cfg.Faults)
+	file, err := storage.OpenStore(filepath.Join(n.cfg.Dir, storage.StoreFile), n.cfg.SlowDisk, n.cfg.Faults)
 	if err != nil {
 		return nil, fmt.Errorf("registry: log: %w", err)
 	}
 	n.store = file
-	file.onFailure = func(err error) { n.log.Error("registry: the disk takes no more", "error", err) }
+	file.OnFailure = func(err error) { n.log.Error("registry: the disk takes no more", "error", err) }
 	n.close = append(n.close, file.Close)
-	files, err := openSnapshots(n.cfg.Dir, logger, n.log)
+	files, err := storage.OpenSnapshots(n.cfg.Dir, logger, n.log)
 	if err != nil {
 		return nil, fmt.Errorf("registry: snapshots in %s: %w", n.cfg.Dir, err)
 	}
-	return &storage{file, termStore{file}, files}, nil
+	return &raftStores{file, storage.TermStore{Store: file}, files}, nil
 }
 
 // openTransport listens for raft and sets up the transport; a busy address is retried until start gives up.
-func (n *Node) openTransport(start *retry.Start, logger hclog.Logger) (*transport, error) {
-	var streams *layer
+func (n *Node) openTransport(start *retry.Start, logger hclog.Logger) (*transport.Transport, error) {
+	var streams *transport.StreamLayer
 	if err := start.Do("raft", func() (failed error) {
-		streams, failed = listenRaft(n.cfg.Raft, n.cfg.advertised())
+		streams, failed = transport.Listen(n.cfg.Raft, n.cfg.advertised())
 		return failed
 	}); err != nil {
 		return nil, fmt.Errorf("registry: raft at %s: %w", n.cfg.Raft, err)
 	}
-	wire := newTransport(raft.NewNetworkTransportWithConfig(&raft.NetworkTransportConfig{
+	wire := transport.New(raft.NewNetworkTransportWithConfig(&raft.NetworkTransportConfig{
 		Stream: streams, MaxPool: 3, Timeout: 10 * n.cfg.Beat, Logger: logger}), n.cfg.Beat)
 	n.raftAt = streams.Listener.Addr()
-	n.transport, n.regressions = wire, newRegressionDetector(wire, n.log)
+	n.transport, n.regressions = wire, transport.NewRegressionDetector(wire, n.log)
 	n.close = append(n.close, func() error {
 		wire.CloseStreams() // closes the other replicas' ends, too
 		return wire.Close()
@@ -220,7 +236,7 @@
 
 // bootstrap writes the founding configuration at the first start of a founder, or completes one that was interrupted.
 // It runs before raft does: a replica that has taken part in an election must not bootstrap any more.
-func (n *Node) bootstrap(c *raft.Config, st *storage, wire *transport) error {
+func (n *Node) bootstrap(c *raft.Config, st *raftStores, wire *transport.Transport) error {
 	old, err := raft.HasExistingState(st.logs, st.stable, st.snaps)
 	if err != nil {
 		return fmt.Errorf("registry: %w", err)
@@ -245,7 +261,7 @@
 }
 
 // founders are the copies of a cluster that is founded now.
-func (n *Node) founders(wire *transport) (out raft.Configuration) {
+func (n *Node) founders(wire *transport.Transport) (out raft.Configuration) {
 	peers := n.cfg.Peers
 	if len(peers) == 0 {
 		peers = []Peer{{Name: n.cfg.Name, Raft: string(wire.LocalAddr()), Serve: n.Addr()}}
@@ -289,7 +305,7 @@
 	var broken error
 	var disk <-chan error
 	if n.store != nil {
-		disk = n.store.failed
+		disk = n.store.Failed
 	}
 	select {
 	case err := <-failed:
@@ -330,7 +346,7 @@
 }
 
 // Apply carries out a command once a quorum has it.
-func (n *Node) Apply(c *Command, wait time.Duration) (int64, error) {
+func (n *Node) Apply(c *state.Command, wait time.Duration) (int64, error) {
 	data, err := json.Marshal(c)
 	if err != nil {
 		return 0, fmt.Errorf("registry: %w", err)
@@ -359,7 +375,7 @@
 	if err := n.raft.AddVoter(raft.ServerID(p.Name), raft.ServerAddress(p.Raft), 0, applyTimeout).Error(); err != nil {
 		return fmt.Errorf("registry: add %s: %w", p.Name, err)
 	}
-	_, err := n.Apply(&Command{Op: OpMember, UID: p.Name, Address: p.Serve}, applyTimeout)
+	_, err := n.Apply(&state.Command{Op: state.OpMember, UID: p.Name, Address: p.Serve}, applyTimeout)
 	return err
 }
 
@@ -368,6 +384,6 @@
 	if err := n.raft.RemoveServer(raft.ServerID(name), 0, applyTimeout).Error(); err != nil {
 		return fmt.Errorf("registry: remove %s: %w", name, err)
 	}
-	_, err := n.Apply(&Command{Op: OpMember, UID: name}, applyTimeout)
+	_, err := n.Apply(&state.Command{Op: state.OpMember, UID: name}, applyTimeout)
 	return err
 }
--- a/internal/registry/routes_budgets.go
+++ b/internal/registry/routes_budgets.go
@@ -6,6 +6,8 @@
 	"slices"
 	"time"
 
+	"marblelane/internal/registry/operators"
+	"marblelane/internal/registry/state"
 	"marblelane/internal/rollout"
 	"marblelane/internal/route"
 )
@@ -33,9 +35,9 @@
 	keep := true
 	var err error
 	l.mu.Lock()
-	r.s.hub.read(func(st *State) {
+	r.s.hub.read(func(st *state.State) {
 		var s *rollout.State
-		if s, keep, err = r.planted.ledger(st.routes, l.uncommittedGrants); err != nil {
+		if s, keep, err = r.planted.ledger(st.Routes, l.uncommittedGrants); err != nil {
 			return
 		}
 		for _, a := range all {
@@ -60,15 +62,15 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	answers := make([]route.BudgetResponse, len(all))
-	r.s.hub.read(func(st *State) {
+	r.s.hub.read(func(st *state.State) {
 		var s *rollout.State
-		if s, _, err = r.planted.ledger(st.routes, l.uncommittedGrants); err != nil {
+		if s, _, err = r.planted.ledger(st.Routes, l.uncommittedGrants); err != nil {
 			return
 		}
 		for i, a := range all {
 			answers[i] = l.controller.BudgetResponse(s, a.request)
 			for k, g := range answers[i].Budgets {
-				answers[i].Budgets[k].Tenant = outside(g.Tenant)
+				answers[i].Budgets[k].Tenant = operators.ConfiguredTenantName(g.Tenant)
 			}
 		}
 	})
