--- a/architecture_test.go
+++ b/architecture_test.go
@@ -13,7 +13,7 @@
 // layers only. A name that ends with /... stands for a package and all below it, which may import each other.
 var layers = [][]string{
 	{"balance", "internal/tomlfile", "internal/streamlimit", "internal/retry", "internal/knownfailures",
-		"internal/fsys", "internal/membership/roster", "internal/wallclock"},
+		"internal/fsys", "internal/membership/roster", "internal/statekey", "internal/wallclock"},
 	{"internal/wire", "internal/route", "internal/fault", "internal/listener", "internal/snapshot",
 		"internal/testutil/..."},
 	{"internal/membership/transport"},
--- a/internal/audit/golden_test.go
+++ b/internal/audit/golden_test.go
@@ -1,7 +1,6 @@
 package audit
 
 import (
-	"bytes"
 	"encoding/json"
 	"os"
 	"testing"
@@ -9,19 +8,9 @@
 	"github.com/stretchr/testify/require"
 
 	"marblelane/internal/route"
+	"marblelane/internal/testutil/golden"
 )
 
-// requireGolden compares a value's JSON with the bytes of a file in testdata. These files are what earlier builds have
-// written; they are never written anew.
-func requireGolden(t *testing.T, file string, value any) {
-	t.Helper()
-	want, err := os.ReadFile("testdata/" + file)
-	require.NoError(t, err)
-	got, err := json.Marshal(value)
-	require.NoError(t, err)
-	require.Equal(t, string(bytes.TrimSpace(want)), string(got))
-}
-
 // goldenTransitions are one of each kind.
 func goldenTransitions() []Transition {
 	p := route.Process{Name: "sidecar-1", Start: 1764720000000000001}
@@ -38,7 +27,7 @@
 func TestStoredForms_log(t *testing.T) {
 	var l Log
 	l.Add(goldenTransitions())
-	requireGolden(t, "log.golden.json", &l)
+	golden.RequireJSON(t, "log.golden.json", &l)
 	text, err := os.ReadFile("testdata/log.golden.json")
 	require.NoError(t, err)
 	var read Log
@@ -53,9 +42,9 @@
 	report := &route.Report{Process: p, Seq: 1, Echo: route.Moment{Leader: leader, MS: 50},
 		AcknowledgedRev: 3, UnreadableRev: 4, NoLease: true,
 		ListRev: 5, Version: "v", Config: "c", Schemas: []int{1, 2}, Counts: []route.Count{{Rev: 3, Started: 2}}}
-	requireGolden(t, "transitions.golden.json", tracker.Report(100, 1000, report))
-	requireGolden(t, "shut_out.golden.json", tracker.AccessChanged(150, 1050, p, ShutOut, 3, "behind"))
+	golden.RequireJSON(t, "transitions.golden.json", tracker.Report(100, 1000, report))
+	golden.RequireJSON(t, "shut_out.golden.json", tracker.AccessChanged(150, 1050, p, ShutOut, 3, "behind"))
 	tracker.Report(160, 1060, &route.Report{Process: route.Process{Name: "sidecar-1", Start: 10}, Seq: 1})
-	requireGolden(t, "present.golden.json", tracker.Present(200))
-	requireGolden(t, "summary.golden.json", tracker.Summarize(Query{Rev: 3, From: 60, To: 120, CommittedAt: 60}, nil))
+	golden.RequireJSON(t, "present.golden.json", tracker.Present(200))
+	golden.RequireJSON(t, "summary.golden.json", tracker.Summarize(Query{Rev: 3, From: 60, To: 120, CommittedAt: 60}, nil))
 }
--- a/internal/rollout/explore_keys.go
+++ b/internal/rollout/explore_keys.go
@@ -3,11 +3,11 @@
 // This file writes keys of states and controllers, by which an exploration (package model) tells its worlds apart. A key
 // holds all that later decisions depend on, and nothing else.
 
-import "encoding/binary"
+import "marblelane/internal/statekey"
 
 // AppendKey appends what a controller closes revisions by.
 func (c *Controller) AppendKey(b []byte, now int64) []byte {
-	return appendInts(b, max(c.startedAt+c.options.lengthenedTerm(), now), c.closingRev)
+	return statekey.AppendInts(b, max(c.startedAt+c.options.lengthenedTerm(), now), c.closingRev)
 }
 
 // AppendLeaseKey appends what a controller grants one process's lease by. Of an expired lease it is only that it has
@@ -17,12 +17,12 @@
 	if p == nil {
 		return append(b, 0)
 	}
-	b = appendInts(b, 1, boolInt(p.Gone))
+	b = statekey.AppendInts(b, 1, statekey.Bit(p.Gone))
 	if p.LeaseUntil > now {
-		b = appendInts(b, p.LeaseUntil, p.AcknowledgedRev)
+		b = statekey.AppendInts(b, p.LeaseUntil, p.AcknowledgedRev)
 	}
 	for _, seq := range seqs {
-		b = appendInts(b, min(max(seq-p.reportSeq, -1), 1))
+		b = statekey.AppendInts(b, min(max(seq-p.reportSeq, -1), 1))
 	}
 	return b
 }
@@ -34,8 +34,8 @@
 		return append(b, 0)
 	}
 	demand := progress.demands[key]
-	queued := boolInt(demand.ticket != 0)
-	return appendInts(b, demand.requestedAt, demand.grantedAt, progress.waitingBefore(demand), queued)
+	queued := statekey.Bit(demand.ticket != 0)
+	return statekey.AppendInts(b, demand.requestedAt, demand.grantedAt, progress.waitingBefore(demand), queued)
 }
 
 // Phase is the phase of one rollout; empty: there is none.
@@ -57,29 +57,15 @@
 // AppendAccountKey appends an account.
 func (s *State) AppendAccountKey(b []byte, tenant, name, key string) []byte {
 	a := s.Account(tenant, name, key)
-	return appendInts(b, a.Granted, a.Spent, a.Returned, boolInt(a.Gone))
+	return statekey.AppendInts(b, a.Granted, a.Spent, a.Returned, statekey.Bit(a.Gone))
 }
 
 // AppendKey appends what the state holds of one rollout, without its accounts.
 func (s *State) AppendKey(b []byte, tenant, name string) []byte {
 	r := s.findRollout(tenant, name)
 	if r == nil {
-		return appendInts(b, s.rev, s.closed)
+		return statekey.AppendInts(b, s.rev, s.closed)
 	}
 	b = append(b, r.Phase...)
-	return appendInts(b, s.rev, s.closed, int64(r.Step), r.totals.Granted, r.totals.Spent, r.totals.Returned)
-}
-
-func appendInts(b []byte, values ...int64) []byte {
-	for _, v := range values {
-		b = binary.AppendVarint(b, v)
-	}
-	return b
-}
-
-func boolInt(b bool) int64 {
-	if b {
-		return 1
-	}
-	return 0
+	return statekey.AppendInts(b, s.rev, s.closed, int64(r.Step), r.totals.Granted, r.totals.Spent, r.totals.Returned)
 }
--- a/internal/rollout/golden_test.go
+++ b/internal/rollout/golden_test.go
@@ -1,7 +1,6 @@
 package rollout_test
 
 import (
-	"bytes"
 	"encoding/json"
 	"os"
 	"testing"
@@ -10,19 +9,9 @@
 
 	. "marblelane/internal/rollout"
 	"marblelane/internal/route"
+	"marblelane/internal/testutil/golden"
 )
 
-// requireGolden compares a value's JSON with the bytes of a file in testdata. These files are what earlier builds have
-// written; they are never written anew.
-func requireGolden(t *testing.T, file string, value any) {
-	t.Helper()
-	want, err := os.ReadFile("testdata/" + file)
-	require.NoError(t, err)
-	got, err := json.Marshal(value)
-	require.NoError(t, err)
-	require.Equal(t, string(bytes.TrimSpace(want)), string(got))
-}
-
 // goldenCommands are commands with every field of the stored form, in an order in which a state takes them.
 func goldenCommands() []Command {
 	revision := int64(7<<28 + 1)
@@ -61,7 +50,7 @@
 }
 
 func TestStoredForms_commands(t *testing.T) {
-	requireGolden(t, "commands.golden.json", goldenCommands())
+	golden.RequireJSON(t, "commands.golden.json", goldenCommands())
 	var read []Command
 	text, err := os.ReadFile("testdata/commands.golden.json")
 	require.NoError(t, err)
@@ -79,13 +68,13 @@
 		_, err := s.Apply(&c)
 		require.NoError(t, err, "%+v", c)
 	}
-	requireGolden(t, "state.golden.json", s)
-	requireGolden(t, "rollouts.golden.json", s.Rollouts())
+	golden.RequireJSON(t, "state.golden.json", s)
+	golden.RequireJSON(t, "rollouts.golden.json", s.Rollouts())
 	text, err := os.ReadFile("testdata/state.golden.json")
 	require.NoError(t, err)
 	read := NewState()
 	require.NoError(t, json.Unmarshal(text, read))
-	requireGolden(t, "state.golden.json", read)
+	golden.RequireJSON(t, "state.golden.json", read)
 }
 
 func TestStoredForms_processStatus(t *testing.T) {
@@ -93,5 +82,5 @@
 	controller.Report(100, NewState(), &route.Report{Process: route.Process{Name: "sidecar-1", Start: 9}, Seq: 1,
 		AcknowledgedRev: 3, UnreadableRev: 4,
 		ListRev: 5, Version: "v", Config: "c", Schemas: []int{1, 2}})
-	requireGolden(t, "processes.golden.json", controller.Processes(200))
+	golden.RequireJSON(t, "processes.golden.json", controller.Processes(200))
 }
--- a/internal/rollout/model/budget_world.go
+++ b/internal/rollout/model/budget_world.go
@@ -5,6 +5,7 @@
 
 	"marblelane/internal/rollout"
 	"marblelane/internal/route"
+	"marblelane/internal/statekey"
 	"marblelane/internal/testutil/explore"
 )
 
@@ -54,7 +55,7 @@
 // Key implements explore.World.
 func (w *BudgetWorld) Key() []byte {
 	common := w.state.AppendKey(nil, tenantID, rolloutID)
-	common = explore.Ints(common, w.clock, int64(w.crashes), int64(w.leaderChanges), int64(w.duplicates),
+	common = statekey.AppendInts(common, w.clock, int64(w.crashes), int64(w.leaderChanges), int64(w.duplicates),
 		int64(w.clockJumps), w.failures)
 	var keys [fleetSize][]byte
 	for i := range w.sidecars {
@@ -64,8 +65,8 @@
 }
 
 func (w *BudgetWorld) sidecarKey(s *budgetSidecar) []byte {
-	b := explore.Ints(nil, s.Start, s.Budget.Granted, s.Budget.Spent, s.Budget.Returned, s.Budget.Reserved, int64(s.stage))
-	b = explore.Ints(b, max(s.LeaseUntil, w.clock), explore.Bit(s.CanaryActive))
+	b := statekey.AppendInts(nil, s.Start, s.Budget.Granted, s.Budget.Spent, s.Budget.Returned, s.Budget.Reserved, int64(s.stage))
+	b = statekey.AppendInts(b, max(s.LeaseUntil, w.clock), statekey.Bit(s.CanaryActive))
 	for start := int64(1); start <= s.Start; start++ {
 		key := rollout.AccountKey(route.Process{Name: s.Name, Start: start})
 		b = w.state.AppendAccountKey(b, tenantID, rolloutID, key)
@@ -74,11 +75,11 @@
 	}
 	if s.stage == received {
 		for _, entry := range s.entries {
-			b = explore.Ints(b, entry.Granted, entry.Spent, entry.Returned)
+			b = statekey.AppendInts(b, entry.Granted, entry.Spent, entry.Returned)
 		}
 	}
 	if answer := s.delayedAnswer; answer != nil {
-		b = explore.Ints(append(b, 'A'), answer.Budgets[0].Granted, answer.Budgets[0].MaxIdle)
+		b = statekey.AppendInts(append(b, 'A'), answer.Budgets[0].Granted, answer.Budgets[0].MaxIdle)
 	}
 	if s.duplicate != nil {
 		b = appendRequestKey(append(b, 'L'), s.duplicate)
@@ -88,7 +89,7 @@
 
 func appendRequestKey(b []byte, request *route.BudgetRequest) []byte {
 	state := request.Budgets[0]
-	return explore.Ints(b, request.Start, state.Granted, state.Spent, state.Returned)
+	return statekey.AppendInts(b, request.Start, state.Granted, state.Spent, state.Returned)
 }
 
 // Check holds what is promised: failures and grants stay within the budget, no unit has two owners, and an end is final.
--- a/internal/rollout/model/lease_world.go
+++ b/internal/rollout/model/lease_world.go
@@ -6,6 +6,7 @@
 
 	"marblelane/internal/rollout"
 	"marblelane/internal/route"
+	"marblelane/internal/statekey"
 	"marblelane/internal/testutil/explore"
 )
 
@@ -56,13 +57,13 @@
 // Key implements explore.World.
 func (w *LeaseWorld) Key() []byte {
 	common := w.state.AppendKey(nil, tenantID, rolloutID)
-	common = explore.Ints(common, w.clock, int64(w.crashes), int64(w.leaderChanges), int64(w.duplicates))
+	common = statekey.AppendInts(common, w.clock, int64(w.crashes), int64(w.leaderChanges), int64(w.duplicates))
 	common = w.controller.AppendKey(common, w.clock)
 	if w.deposed != nil {
 		common = w.deposedState.AppendKey(append(common, 'D'), tenantID, rolloutID)
 	}
 	if w.closing != nil {
-		common = explore.Ints(append(common, 'C'), w.closing.Rev)
+		common = statekey.AppendInts(append(common, 'C'), w.closing.Rev)
 	}
 	var keys [fleetSize][]byte
 	for i := range w.sidecars {
@@ -72,17 +73,17 @@
 }
 
 func (w *LeaseWorld) sidecarKey(s *leaseSidecar) []byte {
-	b := explore.Ints(nil, s.Start, s.ActingRev, max(s.LeaseUntil, w.clock), int64(s.stage), min(s.sentAt-w.clock, 0))
+	b := statekey.AppendInts(nil, s.Start, s.ActingRev, max(s.LeaseUntil, w.clock), int64(s.stage), min(s.sentAt-w.clock, 0))
 	var seqs []int64
 	switch s.stage {
 	case sent:
-		b = explore.Ints(b, max(s.sentAt+1, w.clock), s.report.AcknowledgedRev, explore.Bit(s.confirmed))
+		b = statekey.AppendInts(b, max(s.sentAt+1, w.clock), s.report.AcknowledgedRev, statekey.Bit(s.confirmed))
 		seqs = append(seqs, s.Seq)
 	case answered:
-		b = explore.Ints(b, max(s.sentAt+s.leaseTerm, w.clock))
+		b = statekey.AppendInts(b, max(s.sentAt+s.leaseTerm, w.clock))
 	}
 	if s.duplicate != nil {
-		b = explore.Ints(append(b, 'L'), s.duplicate.AcknowledgedRev, s.duplicate.Start)
+		b = statekey.AppendInts(append(b, 'L'), s.duplicate.AcknowledgedRev, s.duplicate.Start)
 		seqs = append(seqs, s.duplicate.Seq)
 	}
 	for start := int64(1); start <= s.Start; start++ {
--- a/internal/rollout/model/world.go
+++ b/internal/rollout/model/world.go
@@ -6,7 +6,7 @@
 
 	"marblelane/internal/rollout"
 	"marblelane/internal/route"
-	"marblelane/internal/testutil/explore"
+	"marblelane/internal/statekey"
 )
 
 // BudgetWorld and LeaseWorld are small enough for all interleavings of what may happen in them (package explore): three
@@ -90,7 +90,7 @@
 func joinKeys(common []byte, sidecars [fleetSize][]byte) []byte {
 	slices.SortFunc(sidecars[:], bytes.Compare)
 	for _, key := range sidecars {
-		common = append(explore.Ints(common, int64(len(key))), key...)
+		common = append(statekey.AppendInts(common, int64(len(key))), key...)
 	}
 	return common
 }
--- a/internal/testutil/explore/explore.go
+++ b/internal/testutil/explore/explore.go
@@ -8,7 +8,6 @@
 
 import (
 	"crypto/sha256"
-	"encoding/binary"
 	"errors"
 	"fmt"
 	"slices"
@@ -124,19 +123,3 @@
 	slices.Reverse(v.Trace)
 	return v
 }
-
-// Ints appends integers to a key. Two different lists of the same length have different keys.
-func Ints(key []byte, values ...int64) []byte {
-	for _, v := range values {
-		key = binary.AppendVarint(key, v)
-	}
-	return key
-}
-
-// Bit is a boolean as an integer of a key: 1 or 0.
-func Bit(b bool) int64 {
-	if b {
-		return 1
-	}
-	return 0
-}
--- a/internal/testutil/explore/explore_test.go
+++ b/internal/testutil/explore/explore_test.go
@@ -5,6 +5,8 @@
 	"testing"
 
 	"github.com/stretchr/testify/require"
+
+	"marblelane/internal/statekey"
 )
 
 // jugs is the water jug puzzle with jugs of 3 and 5 litres. The invariant says that five never holds the wanted amount;
@@ -13,7 +15,7 @@
 
 var errMeasured = errors.New("it is measured")
 
-func (j jugs) Key() []byte { return Ints(nil, j.three, j.five) }
+func (j jugs) Key() []byte { return statekey.AppendInts(nil, j.three, j.five) }
 
 func (j jugs) Check() error {
 	if j.five == j.wanted {
