--- a/cmd/sidecar/drain_test.go
+++ b/cmd/sidecar/drain_test.go
@@ -9,7 +9,6 @@
 	"net/http"
 	"net/http/httptest"
 	"os"
-	"os/exec"
 	"path/filepath"
 	"strings"
 	"sync"
@@ -103,9 +102,9 @@
 // process is a sidecar that a test terminates.
 type process struct {
 	t         *testing.T
-	cmd       *exec.Cmd
+	cmd       *command
 	addr      string
-	log       chan string // lines of its log
+	log       <-chan string // lines of its log
 	server    *standInServer
 	sigtermAt time.Time
 	lag       atomic.Int64 // by how many ns a timer of the test was late at most since SIGTERM
@@ -149,25 +148,11 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	cmd, _ := program(t, string(text))
+	cmd := newCommand(t, string(text))
 	if dir, ok := changes["TMPDIR"].(string); ok {
 		cmd.Env = append(cmd.Env, "TMPDIR="+dir)
 	}
-	cmd.Stderr = nil
-	out, err := cmd.StderrPipe()
-	if err != nil {
-		t.Fatal(err)
-	}
-	if err := cmd.Start(); err != nil {
-		t.Fatal(err)
-	}
-	p = &process{t: t, cmd: cmd, log: make(chan string, 1000), server: s}
-	go func() {
-		defer close(p.log)
-		for lines := bufio.NewScanner(out); lines.Scan(); {
-			p.log <- lines.Text()
-		}
-	}()
+	p = &process{t: t, cmd: cmd, log: cmd.startLogged(t), server: s}
 	ready = p.awaitLine("listen=")
 	_, p.addr, _ = strings.Cut(ready, "listen=")
 	return p, ready
@@ -196,9 +181,7 @@
 	p.t.Helper()
 	p.sigtermAt = time.Now()
 	go p.followLag()
-	if err := p.cmd.Process.Signal(syscall.SIGTERM); err != nil {
-		p.t.Fatal(err)
-	}
+	p.cmd.signal(p.t, syscall.SIGTERM)
 	p.awaitLine("draining")
 }
 
--- a/cmd/sidecar/main_test.go
+++ b/cmd/sidecar/main_test.go
@@ -4,7 +4,6 @@
 	"bufio"
 	"bytes"
 	"errors"
-	"io"
 	"net"
 	"net/http"
 	"net/http/httptest"
@@ -39,7 +38,24 @@
 	os.Exit(m.Run())
 }
 
-func program(t *testing.T, config string) (*exec.Cmd, *bytes.Buffer) {
+// logLimit bounds the wait for a line of the log, or for a call that a line announces.
+const logLimit = 10 * time.Second
+
+// settingsJSON are settings with one class and short limits.
+const settingsJSON = `{"classes":[{"name":"c","effect":"read_like","on_time_ms":50,"hard_limit_ms":100}]}`
+
+// configJSON is a configuration with a listen address and a list service. More are further keys with their values.
+func configJSON(listen, discovery, more string) string {
+	return `{"listen":"` + listen + `","discovery":"` + discovery + `","seed":"1",` + more + `"settings":` + settingsJSON + `}`
+}
+
+// command is the program with a configuration file, which is not started yet.
+type command struct {
+	*exec.Cmd
+	config string // path of the file
+}
+
+func newCommand(t *testing.T, config string) *command {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "config.json")
 	if err := os.WriteFile(path, []byte(config), 0o600); err != nil {
@@ -47,14 +63,104 @@
 	}
 	cmd := exec.CommandContext(t.Context(), os.Args[0])
 	cmd.Env = append(os.Environ(), asProgram+"=1", "NODE_CONFIG="+path)
+	return &command{cmd, path}
+}
+
+// startLogged starts the program and passes on its log, line by line, up to its end.
+func (c *command) startLogged(t *testing.T) <-chan string {
+	t.Helper()
+	stderr, err := c.StderrPipe()
+	if err != nil {
+		t.Fatal(err)
+	}
+	if err := c.Start(); err != nil {
+		t.Fatal(err)
+	}
+	log := make(chan string, 1000)
+	go func() {
+		defer close(log)
+		for in := bufio.NewScanner(stderr); in.Scan(); {
+			log <- in.Text()
+		}
+	}()
+	return log
+}
+
+// startBuffered starts the program and keeps its log, which is complete once the program was waited for.
+func (c *command) startBuffered(t *testing.T) *bytes.Buffer {
+	t.Helper()
 	log := &bytes.Buffer{}
-	cmd.Stderr = log
-	return cmd, log
+	c.Stderr = log
+	if err := c.Start(); err != nil {
+		t.Fatal(err)
+	}
+	return log
+}
+
+func (c *command) signal(t *testing.T, s syscall.Signal) {
+	t.Helper()
+	if err := c.Process.Signal(s); err != nil {
+		t.Fatal(err)
+	}
+}
+
+// terminate sends SIGTERM and waits for the orderly end.
+func (c *command) terminate(t *testing.T) {
+	t.Helper()
+	c.signal(t, syscall.SIGTERM)
+	if err := c.Wait(); err != nil {
+		t.Errorf("ended with %v", err)
+	}
+}
+
+// terminateLogged is terminate for a program whose log is passed on.
+func (c *command) terminateLogged(t *testing.T, log <-chan string) {
+	t.Helper()
+	c.signal(t, syscall.SIGTERM)
+	for line := range log { // up to its end
+		t.Log(line)
+	}
+	if err := c.Wait(); err != nil {
+		t.Errorf("ended with %v", err)
+	}
+}
+
+// silentDiscovery is a list service that reports each call by its name and sends no list. Where left is set, it also
+// reports that the caller has left.
+func silentDiscovery(t *testing.T, name string, calls chan<- string, left bool) (addr string) {
+	t.Helper()
+	srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+		calls <- name
+		w.(http.Flusher).Flush()
+		<-r.Context().Done()
+		if left {
+			calls <- name + " left"
+		}
+	}))
+	t.Cleanup(srv.Close)
+	return srv.Listener.Addr().String()
+}
+
+// waitForCall waits until a list service is called. Calls of others, and further calls of one, are passed over.
+func waitForCall(t *testing.T, calls <-chan string, want string, atMost time.Duration) {
+	t.Helper()
+	limit := time.After(atMost)
+	for {
+		select {
+		case name := <-calls:
+			if name == want {
+				return
+			}
+		case <-limit:
+			t.Fatalf("%s was not called", want)
+		}
+	}
 }
 
 func TestStart_badConfiguration(t *testing.T) {
-	cmd, log := program(t, `{"listen":"127.0.0.1:0","discovery":"127.0.0.1:1","seed":"1","settings":{}}`)
-	err := cmd.Run()
+	cmd := newCommand(t, `{"listen":"127.0.0.1:0","discovery":"127.0.0.1:1","seed":"1","settings":{}}`)
+	log := cmd.startBuffered(t)
+	err := cmd.Wait()
 	exit, is := err.(*exec.ExitError)
 	if !is || exit.ExitCode() != 1 {
 		t.Errorf("ended with %v, want status 1", err)
@@ -65,23 +171,9 @@
 }
 
 func TestShutdown_clean(t *testing.T) {
-	cmd, _ := program(t, `{"listen":"127.0.0.1:0","discovery":"127.0.0.1:1","seed":"1","settings":
-		{"classes":[{"name":"c","effect":"read_like","on_time_ms":50,"hard_limit_ms":100}]}}`)
-	cmd.Stderr = nil
-	log, err := cmd.StderrPipe()
-	if err != nil {
-		t.Fatal(err)
-	}
-	if err := cmd.Start(); err != nil {
-		t.Fatal(err)
-	}
-	lines := bufio.NewScanner(log)
-	addr := ""
-	for addr == "" && lines.Scan() {
-		if _, after, found := strings.Cut(lines.Text(), "listen="); found {
-			addr = after
-		}
-	}
+	cmd := newCommand(t, configJSON("127.0.0.1:0", "127.0.0.1:1", ""))
+	log := cmd.startLogged(t)
+	_, addr, _ := strings.Cut(waitFor(t, log, "listen="), "listen=")
 	client := &http.Client{Transport: &http.Transport{DisableKeepAlives: true}}
 	resp, err := client.Get("http://" + addr + "/health/ready")
 	if err != nil {
@@ -91,33 +183,13 @@
 	if resp.StatusCode != 200 {
 		t.Errorf("ready check: %s", resp.Status)
 	}
-	if err := cmd.Process.Signal(syscall.SIGTERM); err != nil {
-		t.Fatal(err)
-	}
-	for lines.Scan() {
-		t.Log(lines.Text())
-	}
-	if err := cmd.Wait(); err != nil {
-		t.Errorf("ended with %v", err)
-	}
-}
-
-// lines passes what is read on, line by line, up to its end.
-func lines(from io.Reader) <-chan string {
-	out := make(chan string, 1000)
-	go func() {
-		defer close(out)
-		for in := bufio.NewScanner(from); in.Scan(); {
-			out <- in.Text()
-		}
-	}()
-	return out
+	cmd.terminateLogged(t, log)
 }
 
 // waitFor waits for a line of the log that holds all of the words.
-func waitFor(t *testing.T, log <-chan string, words ...string) {
+func waitFor(t *testing.T, log <-chan string, words ...string) (line string) {
 	t.Helper()
-	late := time.After(10 * time.Second)
+	limit := time.After(logLimit)
 	for {
 		select {
 		case line, more := <-log:
@@ -125,9 +197,9 @@
 				t.Fatalf("the program ended before it logged %q", words)
 			}
 			if !slices.ContainsFunc(words, func(word string) bool { return !strings.Contains(line, word) }) {
-				return
+				return line
 			}
-		case <-late:
+		case <-limit:
 			t.Fatalf("no line of the log with %q", words)
 		}
 	}
@@ -146,69 +218,30 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			calls := make(chan string, 10)
-			discovery := func(name string) string {
-				srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-					calls <- name
-					w.(http.Flusher).Flush()
-					<-r.Context().Done()
-				}))
-				t.Cleanup(srv.Close)
-				return srv.Listener.Addr().String()
-			}
-			before, after := discovery("before"), discovery("after")
+			before, after := silentDiscovery(t, "before", calls, false), silentDiscovery(t, "after", calls, false)
 			faults := filepath.Join(t.TempDir(), "faults.toml")
 			config := func(discovery string) string {
-				return `{"listen":"127.0.0.1:0","discovery":"` + discovery + `","seed":"1","faults":"` + faults + `","settings":
-					{"classes":[{"name":"c","effect":"read_like","on_time_ms":50,"hard_limit_ms":100}]}}`
+				return configJSON("127.0.0.1:0", discovery, `"faults":"`+faults+`",`)
 			}
-			cmd, _ := program(t, config(before))
-			path := strings.TrimPrefix(cmd.Env[len(cmd.Env)-1], "NODE_CONFIG=")
-			cmd.Stderr = nil
-			stderr, err := cmd.StderrPipe()
-			if err != nil {
-				t.Fatal(err)
-			}
-			if err := cmd.Start(); err != nil {
-				t.Fatal(err)
-			}
-			log := lines(stderr)
-			until := func(want string) { // a silent service is called more than once
-				t.Helper()
-				late := time.After(10 * time.Second)
-				for name := ""; name != want; {
-					select {
-					case name = <-calls:
-					case <-late:
-						t.Fatalf("%s was not called", want)
-					}
-				}
-			}
-			until("before")
+			cmd := newCommand(t, config(before))
+			log := cmd.startLogged(t)
+			waitForCall(t, calls, "before", logLimit)
 			text, planted := config(after), fault.Set{}
 			if failure.errno == "" {
 				text = text[:len(text)/2]
 			} else {
 				planted.Calls = map[string]string{fault.CallOpen: failure.errno}
 			}
-			if err := errors.Join(planted.Write(faults), os.WriteFile(path, []byte(text), 0o600)); err != nil {
+			if err := errors.Join(planted.Write(faults), os.WriteFile(cmd.config, []byte(text), 0o600)); err != nil {
 				t.Fatal(err)
 			}
-			if err := cmd.Process.Signal(syscall.SIGHUP); err != nil {
+			cmd.signal(t, syscall.SIGHUP)
+			waitFor(t, log, "reload", cmd.config, failure.logs)
+			if err := errors.Join(fault.Set{}.Write(faults), os.WriteFile(cmd.config, []byte(config(after)), 0o600)); err != nil {
 				t.Fatal(err)
 			}
-			waitFor(t, log, "reload", path, failure.logs)
-			if err := errors.Join(fault.Set{}.Write(faults), os.WriteFile(path, []byte(config(after)), 0o600)); err != nil {
-				t.Fatal(err)
-			}
-			until("after")
-			if err := cmd.Process.Signal(syscall.SIGTERM); err != nil {
-				t.Fatal(err)
-			}
-			for range log { // up to its end
-			}
-			if err := cmd.Wait(); err != nil {
-				t.Errorf("ended with %v", err)
-			}
+			waitForCall(t, calls, "after", logLimit)
+			cmd.terminateLogged(t, log)
 		})
 	}
 }
@@ -216,86 +249,45 @@
 // The platform replaces the file and sends SIGHUP; the environment still holds the address of the start.
 func TestReload_newAddress(t *testing.T) {
 	calls := make(chan string, 10)
-	registry := func(name string) string {
-		srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-			calls <- name
-			w.(http.Flusher).Flush()
-			<-r.Context().Done()
-		}))
-		t.Cleanup(srv.Close)
-		return srv.Listener.Addr().String()
-	}
-	before, after := registry("before"), registry("after")
-	config := func(discovery string) string {
-		return `{"listen":"127.0.0.1:0","discovery":"` + discovery + `","seed":"1","settings":
-			{"classes":[{"name":"c","effect":"read_like","on_time_ms":50,"hard_limit_ms":100}]}}`
-	}
-	cmd, log := program(t, config(before))
+	before, after := silentDiscovery(t, "before", calls, false), silentDiscovery(t, "after", calls, false)
+	cmd := newCommand(t, configJSON("127.0.0.1:0", before, ""))
 	cmd.Env = append(cmd.Env, "NODE_DISCOVERY="+before)
-	if err := cmd.Start(); err != nil {
-		t.Fatal(err)
-	}
+	log := cmd.startBuffered(t)
 	next := func() string {
 		select {
 		case name := <-calls:
 			return name
-		case <-time.After(10 * time.Second):
+		case <-time.After(logLimit):
 			return "no process"
 		}
 	}
 	if name := next(); name != "before" {
 		t.Errorf("%s was called first", name)
 	}
-	for i, text := range []string{"no configuration", config(after)} {
-		path := strings.TrimPrefix(cmd.Env[len(cmd.Env)-2], "NODE_CONFIG=")
-		if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
+	for _, text := range []string{"no configuration", configJSON("127.0.0.1:0", after, "")} {
+		if err := os.WriteFile(cmd.config, []byte(text), 0o600); err != nil {
 			t.Fatal(err)
 		}
-		if err := cmd.Process.Signal(syscall.SIGHUP); err != nil {
-			t.Fatal(i, err)
-		}
+		cmd.signal(t, syscall.SIGHUP)
 	}
 	if name := next(); name != "after" {
 		t.Errorf("%s was called after the signal", name)
 	}
-	if err := cmd.Process.Signal(syscall.SIGTERM); err != nil {
-		t.Fatal(err)
-	}
-	if err := cmd.Wait(); err != nil {
-		t.Errorf("ended with %v: %s", err, log)
+	cmd.terminate(t)
+	if t.Failed() {
+		t.Log(log)
 	}
 }
 
 // startOn starts the program with an address that is held by the test, and waits until it has failed to bind it.
-func startOn(t *testing.T, holder net.Listener) (*exec.Cmd, <-chan string) {
+func startOn(t *testing.T, holder net.Listener) (*command, <-chan string) {
 	t.Helper()
-	cmd, _ := program(t, `{"listen":"`+holder.Addr().String()+`","discovery":"127.0.0.1:1","seed":"1","settings":
-		{"classes":[{"name":"c","effect":"read_like","on_time_ms":50,"hard_limit_ms":100}]}}`)
-	cmd.Stderr = nil
-	stderr, err := cmd.StderrPipe()
-	if err != nil {
-		t.Fatal(err)
-	}
-	if err := cmd.Start(); err != nil {
-		t.Fatal(err)
-	}
-	log := lines(stderr)
+	cmd := newCommand(t, configJSON(holder.Addr().String(), "127.0.0.1:1", ""))
+	log := cmd.startLogged(t)
 	waitFor(t, log, "start: call failed, retrying", "address already in use")
 	return cmd, log
 }
 
-func endOf(t *testing.T, cmd *exec.Cmd, log <-chan string) {
-	t.Helper()
-	if err := cmd.Process.Signal(syscall.SIGTERM); err != nil {
-		t.Fatal(err)
-	}
-	for range log { // up to its end
-	}
-	if err := cmd.Wait(); err != nil {
-		t.Errorf("ended with %v", err)
-	}
-}
-
 func holdAddress(t *testing.T) net.Listener {
 	t.Helper()
 	holder, err := net.Listen("tcp", "127.0.0.1:0")
@@ -311,10 +303,10 @@
 	cmd, log := startOn(t, holder)
 	holder.Close()
 	waitFor(t, log, "ready", holder.Addr().String())
-	endOf(t, cmd, log)
+	cmd.terminateLogged(t, log)
 }
 
 func TestStart_sigtermWhileWaiting(t *testing.T) {
 	cmd, log := startOn(t, holdAddress(t))
-	endOf(t, cmd, log)
+	cmd.terminateLogged(t, log)
 }
--- a/cmd/sidecar/members_test.go
+++ b/cmd/sidecar/members_test.go
@@ -97,9 +97,7 @@
 
 func (m *member) signal(s syscall.Signal) {
 	m.t.Helper()
-	if err := m.cmd.Process.Signal(s); err != nil {
-		m.t.Fatal(err)
-	}
+	m.cmd.signal(m.t, s)
 }
 
 func TestMembers_processes(t *testing.T) {
--- a/cmd/sidecar/signal_shutdown_test.go
+++ b/cmd/sidecar/signal_shutdown_test.go
@@ -1,8 +1,6 @@
 package main
 
 import (
-	"net/http"
-	"net/http/httptest"
 	"os"
 	"path/filepath"
 	"strings"
@@ -27,9 +25,7 @@
 	p.server.awaitRequest(p.t)
 	p.sigterm()
 	for _, s := range []syscall.Signal{syscall.SIGHUP, syscall.SIGTERM, syscall.SIGHUP, syscall.SIGINT} {
-		if err := p.cmd.Process.Signal(s); err != nil {
-			t.Fatal(err)
-		}
+		p.cmd.signal(t, s)
 	}
 	c := p.dial()
 	c.request("unsafe", "")
@@ -45,75 +41,50 @@
 func TestReload_lastOfSeveral(t *testing.T) {
 	t.Parallel()
 	calls := make(chan string, 100)
-	registry := func(name string) string {
-		srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-			calls <- name
-			w.(http.Flusher).Flush()
-			<-r.Context().Done()
-			calls <- name + " left"
-		}))
-		t.Cleanup(srv.Close)
-		return `{"listen":"127.0.0.1:0","discovery":"` + srv.Listener.Addr().String() + `","seed":"1","settings":
-			{"classes":[{"name":"c","effect":"read_like","on_time_ms":50,"hard_limit_ms":100}]}}`
-	}
-	cmd, log := program(t, registry("first"))
-	path := strings.TrimPrefix(cmd.Env[len(cmd.Env)-1], "NODE_CONFIG=")
-	if err := cmd.Start(); err != nil {
-		t.Fatal(err)
+	config := func(name string) string {
+		return configJSON("127.0.0.1:0", silentDiscovery(t, name, calls, true), "")
 	}
-	received := func(want string) {
-		t.Helper()
-		for limit := time.After(patience); ; {
-			select {
-			case name := <-calls:
-				if name == want {
-					return
-				}
-			case <-limit:
-				t.Fatalf("waited in vain for %q: %s", want, log)
-			}
+	cmd := newCommand(t, config("first"))
+	log := cmd.startBuffered(t)
+	t.Cleanup(func() {
+		if t.Failed() {
+			t.Log(log)
 		}
-	}
-	received("first")
-	hangUp := func() {
-		t.Helper()
-		if err := cmd.Process.Signal(syscall.SIGHUP); err != nil {
-			t.Fatal(err)
-		}
-	}
+	})
+	waitForCall(t, calls, "first", patience)
 	replace := func(text string) {
 		t.Helper()
-		next := path + ".next"
+		next := cmd.config + ".next"
 		if err := os.WriteFile(next, []byte(text), 0o600); err != nil {
 			t.Fatal(err)
 		}
-		if err := os.Rename(next, path); err != nil {
+		if err := os.Rename(next, cmd.config); err != nil {
 			t.Fatal(err)
 		}
-		hangUp()
+		cmd.signal(t, syscall.SIGHUP)
 	}
 	// A pipe that takes the place of the file holds its reader up until the test has written to it.
 	pipe := filepath.Join(t.TempDir(), "slow")
 	if err := syscall.Mkfifo(pipe, 0o600); err != nil {
 		t.Fatal(err)
 	}
-	if err := os.Rename(pipe, path); err != nil {
+	if err := os.Rename(pipe, cmd.config); err != nil {
 		t.Fatal(err)
 	}
-	hangUp()
-	slow, err := os.OpenFile(path, os.O_WRONLY, 0) // returns once it is being read
+	cmd.signal(t, syscall.SIGHUP)
+	slow, err := os.OpenFile(cmd.config, os.O_WRONLY, 0) // returns once it is being read
 	if err != nil {
 		t.Fatal(err)
 	}
 	for _, name := range []string{"second", "third"} {
-		replace(registry(name))
+		replace(config(name))
 	}
-	replace(registry("last"))
-	if _, err := slow.WriteString(registry("late")); err != nil {
+	replace(config("last"))
+	if _, err := slow.WriteString(config("late")); err != nil {
 		t.Fatal(err)
 	}
 	slow.Close()
-	received("last")
+	waitForCall(t, calls, "last", patience)
 	select {
 	case name := <-calls:
 		if name != "last" && !strings.HasSuffix(name, " left") {
@@ -121,10 +92,5 @@
 		}
 	case <-time.After(300 * time.Millisecond):
 	}
-	if err := cmd.Process.Signal(syscall.SIGTERM); err != nil {
-		t.Fatal(err)
-	}
-	if err := cmd.Wait(); err != nil {
-		t.Errorf("ended with %v: %s", err, log)
-	}
+	cmd.terminate(t)
 }
