--- a/cmd/marblelane/registry_state.go
+++ b/cmd/marblelane/registry_state.go
@@ -7,6 +7,7 @@
 	"time"
 
 	"marblelane/internal/registry"
+	"marblelane/internal/registry/recovery"
 )
 
 type registryVerify struct {
@@ -15,7 +16,7 @@
 
 // Run reads the folder and changes nothing; it ends with 1 where a copy must not start from it.
 func (c *registryVerify) Run(a *app) error {
-	found, err := registry.Verify(c.Dir)
+	found, err := recovery.Verify(c.Dir)
 	if err != nil {
 		return fmt.Errorf("verify: %w", err)
 	}
@@ -51,11 +52,11 @@
 		return fmt.Errorf("restore: %w", err)
 	}
 	defer f.Close()
-	if alive := registry.OldCopies(cfg, restoreProbeTimeout); len(alive) > 0 && !c.Force {
+	if alive := recovery.OldCopies(cfg.Endpoints(), restoreProbeTimeout); len(alive) > 0 && !c.Force {
 		return fmt.Errorf("restore: %s still answers; end the old cluster first, or it may take the new one over; "+
 			"--force restores all the same", strings.Join(alive, ", "))
 	}
-	out, err := registry.Restore(f, cfg, c.Above, cfg.Faults.Now())
+	out, err := recovery.Restore(f, cfg.RecoveryTarget(), c.Above, cfg.Faults.Now())
 	if err != nil {
 		return err
 	}
--- a/internal/registry/config.go
+++ b/internal/registry/config.go
@@ -11,6 +11,7 @@
 	"marblelane/internal/fault"
 	"marblelane/internal/membership"
 	"marblelane/internal/registry/operators"
+	"marblelane/internal/registry/recovery"
 	"marblelane/internal/retry"
 	"marblelane/internal/tomlfile"
 )
@@ -124,3 +125,21 @@
 	}
 	return nil
 }
+
+// RecoveryTarget is the replica as package recovery restores it.
+func (c *Config) RecoveryTarget() recovery.Target {
+	address := c.advertised()
+	if address == "" {
+		address = c.Raft
+	}
+	return recovery.Target{Name: c.Name, Dir: c.Dir, Raft: address, Join: c.Join}
+}
+
+// Endpoints are the HTTP addresses of this replica and of its peers.
+func (c *Config) Endpoints() []recovery.Endpoint {
+	all := []recovery.Endpoint{{Name: c.Name, Address: c.Listen}}
+	for _, p := range c.Peers {
+		all = append(all, recovery.Endpoint{Name: p.Name, Address: p.Serve})
+	}
+	return all
+}
--- a/internal/registry/recover_test.go
+++ b/internal/registry/recover_test.go
@@ -23,6 +23,7 @@
 	"github.com/stretchr/testify/require"
 	bolt "go.etcd.io/bbolt"
 
+	"marblelane/internal/registry/recovery"
 	"marblelane/internal/registry/state"
 	"marblelane/internal/registry/storage"
 )
@@ -81,7 +82,7 @@
 func TestRecover_spoiltSnapshot(t *testing.T) {
 	t.Parallel()
 	dir, cfg := folder(t)
-	found, err := Verify(dir)
+	found, err := recovery.Verify(dir)
 	require.NoError(t, err)
 	require.Len(t, found.Snapshots, 2)
 	newest := filepath.Join(dir, storage.SnapshotsDir, found.Snapshots[0].Name)
@@ -157,7 +158,7 @@
 	_, err = Open(cfg)
 	assert.ErrorContains(t, err, "is open in another process")
 	assert.Less(t, time.Since(startedAt), patience)
-	_, err = Verify(made)
+	_, err = recovery.Verify(made)
 	assert.ErrorContains(t, err, "is open in another process")
 	n.shut()
 	if os.Geteuid() != 0 {
@@ -261,20 +262,20 @@
 	put(t, one, "s1", 1, 0)
 	_, backup := call(t, "GET", one.cfg.Listen, "/registry/snapshot", "")
 	before := one.node.Server().Status().Rev
-	assert.Len(t, OldCopies(one.cfg, time.Second), 2, "its own address, and as a peer")
+	assert.Len(t, recovery.OldCopies(one.cfg.Endpoints(), time.Second), 2, "its own address, and as a peer")
 	one.end(t)
-	assert.Empty(t, OldCopies(one.cfg, time.Second))
+	assert.Empty(t, recovery.OldCopies(one.cfg.Endpoints(), time.Second))
 	now := time.Now()
-	_, err := Restore(strings.NewReader(backup), one.cfg, 0, now.Add(time.Hour))
-	assert.ErrorIs(t, err, ErrHasState)
+	_, err := recovery.Restore(strings.NewReader(backup), one.cfg.RecoveryTarget(), 0, now.Add(time.Hour))
+	assert.ErrorIs(t, err, recovery.ErrHasState)
 	cfg := one.cfg
 	cfg.Name, cfg.Raft, cfg.Peers, cfg.Listen = "n0", freePort(t), nil, freePort(t)
 	cfg.Dir = filepath.Join(t.TempDir(), "n0")
-	_, err = Restore(strings.NewReader(backup), cfg, 0, now.Add(-time.Hour))
+	_, err = recovery.Restore(strings.NewReader(backup), cfg.RecoveryTarget(), 0, now.Add(-time.Hour))
 	assert.ErrorContains(t, err, "set the clock", "a clock before the backup's")
 	for _, bad := range []string{"", backup[:len(backup)/2], backup + "{}", `{"form":9,"rev":1}`,
 		strings.Replace(backup, `"uid":"s1"`, `"uid":""`, 1)} {
-		_, err = Restore(strings.NewReader(bad), cfg, 0, now.Add(time.Hour))
+		_, err = recovery.Restore(strings.NewReader(bad), cfg.RecoveryTarget(), 0, now.Add(time.Hour))
 		assert.Error(t, err, bad)
 		assert.NoDirExists(t, cfg.Dir)
 	}
@@ -282,13 +283,13 @@
 	require.NoError(t, os.MkdirAll(filepath.Join(left, storage.SnapshotsDir), 0o755))
 	write(t, filepath.Join(left, storage.StoreFile), []byte("half"))
 	seen := (state.EpochOf(before) + 1_000_000) << state.CountBits // by clients, of a history that the backup does not know
-	out, err := Restore(strings.NewReader(backup), cfg, seen, now)
+	out, err := recovery.Restore(strings.NewReader(backup), cfg.RecoveryTarget(), seen, now)
 	require.NoError(t, err)
 	assert.Greater(t, out.Epoch, state.EpochOf(seen))
 	assert.NoDirExists(t, left)
-	_, err = Restore(strings.NewReader(backup), cfg, seen, now)
-	assert.ErrorIs(t, err, ErrHasState)
-	found, err := Verify(cfg.Dir)
+	_, err = recovery.Restore(strings.NewReader(backup), cfg.RecoveryTarget(), seen, now)
+	assert.ErrorIs(t, err, recovery.ErrHasState)
+	found, err := recovery.Verify(cfg.Dir)
 	require.NoError(t, err)
 	assert.True(t, found.Sound())
 	assert.Equal(t, out.Epoch, found.Epoch)
@@ -434,7 +435,7 @@
 	require.NoError(t, os.Rename(dir+".away", dir))
 	require.NoError(t, one.node.raft.Snapshot().Error())
 	one.end(t)
-	found, err := Verify(one.cfg.Dir)
+	found, err := recovery.Verify(one.cfg.Dir)
 	require.NoError(t, err)
 	require.True(t, found.Sound())
 	require.Len(t, found.Snapshots, 2)
--- a/internal/registry/restore.go
+++ b/internal/registry/recovery/restore.go
@@ -1,4 +1,19 @@
-package registry
+// Package recovery verifies the data directory of a stopped replica, and founds a cluster from a backup.
+//
+// # Restore
+//
+// The new cluster has an epoch greater than the backup's. As epochs count minutes since 2026, it is also greater than that
+// of any cluster that was founded or restored earlier by a correct clock; an epoch of a fast clock that clients have seen
+// is given by the operator (above). So a client never takes a revision of the new cluster for one that it knows, and
+// takes the full list.
+//
+// The data directory is written beside its final place and renamed, so that it is complete or absent, and an interrupted
+// restore can be repeated. The cluster has one voter, and the other replicas join it with empty directories: replicas that
+// bootstrapped beside it would be a quorum without the backup. Its term is higher than any that an earlier cluster can
+// have reached by elections, so that a late replica of that cluster does not become leader at once. Two such replicas can
+// raise their term, and their quorum would then take the new one over. So the earlier replicas have to be stopped for good,
+// or the new ones need other raft addresses; OldCopies finds those that still answer.
+package recovery
 
 import (
 	"encoding/json"
@@ -20,21 +35,7 @@
 	"marblelane/internal/registry/storage"
 )
 
-// This file founds a cluster from a backup.
-//
-// The new cluster is another history. Its epoch is greater than the backup's, and as epochs are minutes since 2026 at
-// the founding, greater than that of any cluster that was founded or restored before this minute by a clock that was
-// right; what clients have seen beyond that (a clock that was ahead) the operator says by above. So a sidecar never
-// takes a revision of it for one that it knows, takes its list whole, and lets nothing go back in silence.
-//
-// The folder is made beside its place and put there by one rename: it is there whole or not at all, and a restore that
-// was cut off can be run again. The cluster has one replica, the others join it with empty folders: replicas that found
-// for themselves beside it would be a majority without the backup. Its terms begin beyond what copies of a cluster
-// before can have reached by elections, so that one that comes back late does not lead it at once; but two that meet it
-// can raise theirs, and a quorum of the old cluster then takes the new one over. So the old replicas have to be ended
-// for good, or the new ones get other addresses for raft; what still answers is a reason not to restore.
-
-// Restored says what a restore has founded.
+// Restored describes a cluster that a restore has founded.
 type Restored struct {
 	Epoch   int64 // of the new history
 	Before  int64 // revision of the backup
@@ -44,16 +45,27 @@
 // electionBits leaves room for a million elections in each minute between two restores.
 const electionBits = 20
 
+// Target is the first replica of the restored cluster.
+type Target struct {
+	Name string
+	Dir  string // its data directory, absent or empty
+	Raft string // where other replicas reach its raft
+	Join bool   // it is configured to join a cluster, which is rejected
+}
+
+// Endpoint is a replica with the address of its HTTP API.
+type Endpoint struct{ Name, Address string }
+
 // ErrHasState is a folder that must not be restored into.
 var ErrHasState = errors.New("has state already; a restore founds a cluster in a folder that is empty or not there")
 
-// Restore founds a cluster of one replica in the configuration's folder, from a backup as `registry snapshot` writes it.
-// above is a revision or an epoch that clients may have seen; 0: none beyond the backup's. now is the wall clock.
-func Restore(backup io.Reader, cfg Config, above int64, now time.Time) (out Restored, err error) {
-	if cfg.Dir == "" {
+// Restore founds a cluster of one replica from a backup that `registry snapshot` has written. above is a revision or an
+// epoch that clients may have seen; 0: none beyond the backup's. now is the wall clock.
+func Restore(backup io.Reader, target Target, above int64, now time.Time) (out Restored, err error) {
+	if target.Dir == "" {
 		return out, errors.New("restore: the configuration has no dir")
 	}
-	if cfg.Join {
+	if target.Join {
 		return out, errors.New("restore: the configuration says join; who joins has nothing to restore")
 	}
 	restored, err := readBackup(backup)
@@ -75,12 +87,12 @@
 	if _, err := restored.Apply(&state.Command{Op: state.OpBegin, Epoch: out.Epoch}); err != nil {
 		return out, fmt.Errorf("restore: %w", err)
 	}
-	restored.ForgetMembers() // each says for itself where it serves once it is one
+	restored.ForgetMembers() // each replica registers its address once it is a member
 	out.Entries = restored.Len()
-	return out, publishDir(restored, cfg, uint64(out.Epoch)<<electionBits)
+	return out, publishDir(restored, target, uint64(out.Epoch)<<electionBits)
 }
 
-// readBackup reads a backup whole and finds what cannot be.
+// readBackup reads and validates a backup.
 func readBackup(from io.Reader) (*state.State, error) {
 	var in state.Snapshot
 	d := json.NewDecoder(from)
@@ -111,12 +123,12 @@
 	return s, s.Restore(&in)
 }
 
-// place makes the folder of a cluster's first replica.
-func publishDir(restored *state.State, cfg Config, term uint64) error {
-	dir := filepath.Clean(cfg.Dir)
+// publishDir writes the data directory of the first replica and renames it into place.
+func publishDir(restored *state.State, target Target, term uint64) error {
+	dir := filepath.Clean(target.Dir)
 	parent, base := filepath.Split(dir)
 	parent = filepath.Clean(parent)
-	if err := empty(dir); err != nil {
+	if err := checkEmpty(dir); err != nil {
 		return err
 	}
 	if err := os.MkdirAll(parent, 0o755); err != nil {
@@ -131,16 +143,16 @@
 		return fmt.Errorf("restore: %w", err)
 	}
 	temp := filepath.Join(parent, "."+base+".restore")
-	if err := os.RemoveAll(temp); err != nil { // of one that was cut off
+	if err := os.RemoveAll(temp); err != nil { // of an interrupted restore
 		return fmt.Errorf("restore: %w", err)
 	}
 	if err := os.Mkdir(temp, 0o755); err != nil {
 		return fmt.Errorf("restore: %w", err)
 	}
-	if err := fill(temp, restored, cfg, term); err != nil {
+	if err := writeDir(temp, restored, target, term); err != nil {
 		return errors.Join(fmt.Errorf("restore: %w", err), os.RemoveAll(temp))
 	}
-	if err := os.Rename(temp, dir); err != nil { // refuses a folder that is not empty
+	if err := os.Rename(temp, dir); err != nil { // fails if the directory is not empty
 		return errors.Join(fmt.Errorf("restore: %w", err), os.RemoveAll(temp))
 	}
 	if err := storage.SyncDir(parent); err != nil {
@@ -149,8 +161,8 @@
 	return nil
 }
 
-// empty refuses a folder that has anything in it.
-func empty(dir string) error {
+// checkEmpty rejects a directory that is not empty.
+func checkEmpty(dir string) error {
 	all, err := os.ReadDir(dir)
 	switch {
 	case errors.Is(err, os.ErrNotExist):
@@ -163,8 +175,8 @@
 	return nil
 }
 
-// fill writes the store and the one snapshot, and reads them back.
-func fill(dir string, restored *state.State, cfg Config, term uint64) (err error) {
+// writeDir writes the store and one snapshot, and verifies them.
+func writeDir(dir string, restored *state.State, target Target, term uint64) (err error) {
 	s, err := storage.OpenStore(filepath.Join(dir, storage.StoreFile), time.Minute, nil)
 	if err != nil {
 		return err
@@ -176,12 +188,8 @@
 	if err != nil {
 		return err
 	}
-	address := cfg.advertised()
-	if address == "" {
-		address = cfg.Raft
-	}
-	only := raft.Configuration{Servers: []raft.Server{{ID: raft.ServerID(cfg.Name), Address: raft.ServerAddress(address)}}}
-	_, wire := raft.NewInmemTransport(raft.ServerAddress(address))
+	only := raft.Configuration{Servers: []raft.Server{{ID: raft.ServerID(target.Name), Address: raft.ServerAddress(target.Raft)}}}
+	_, wire := raft.NewInmemTransport(raft.ServerAddress(target.Raft))
 	sink, err := snaps.Create(raft.SnapshotVersionMax, 1, term, only, 1, wire)
 	if err != nil {
 		return err
@@ -200,20 +208,19 @@
 	return errors.Join(found.Faults...)
 }
 
-// OldCopies gives what answers at the addresses of a configuration's peers: a cluster from before that still runs, and
-// that must not meet the new one.
-func OldCopies(cfg Config, wait time.Duration) (alive []string) {
+// OldCopies returns which replicas answer: an earlier cluster that still runs and must not reach the new one.
+func OldCopies(replicas []Endpoint, wait time.Duration) (alive []string) {
 	client := &http.Client{Timeout: wait, Transport: &http.Transport{DisableKeepAlives: true}}
-	for _, p := range append([]Peer{{Name: cfg.Name, Serve: cfg.Listen}}, cfg.Peers...) {
-		if strings.HasSuffix(p.Serve, ":0") {
+	for _, p := range replicas {
+		if strings.HasSuffix(p.Address, ":0") {
 			continue
 		}
-		resp, err := client.Get("http://" + p.Serve + "/registry/status")
+		resp, err := client.Get("http://" + p.Address + "/registry/status")
 		if err != nil {
 			continue
 		}
 		resp.Body.Close()
-		alive = append(alive, p.Name+" at "+p.Serve)
+		alive = append(alive, p.Name+" at "+p.Address)
 	}
 	return alive
 }
--- a/internal/registry/verify.go
+++ b/internal/registry/recovery/verify.go
@@ -1,4 +1,4 @@
-package registry
+package recovery
 
 import (
 	"encoding/json"
@@ -14,15 +14,15 @@
 	"marblelane/internal/registry/storage"
 )
 
-// Verified is what a folder was found to have, and what its revisions come to.
+// Verified is the content of a data directory, and the revision that its log leads to.
 type Verified struct {
 	*storage.Found
-	Rev   int64 // after the newest sound snapshot and all of the log, as if all of it were committed
+	Rev   int64 // after the newest valid snapshot and the whole log, as if all entries were committed
 	Epoch int64
 }
 
-// Verify reads a stopped replica's folder and changes nothing. The error is that it could not be read; what is wrong
-// with what was read stands in Faults.
+// Verify reads the data directory of a stopped replica and changes nothing. The error says that it could not be read;
+// faults of its content are in Faults.
 func Verify(dir string) (*Verified, error) {
 	if _, err := os.Stat(dir); err != nil {
 		return nil, err
@@ -39,7 +39,7 @@
 		out.Notes = append(out.Notes, "a copy that starts here has nothing, as a new one")
 	}
 	if len(out.Faults) > 0 {
-		return out, nil // what the log comes to would be a guess
+		return out, nil // the revision of a faulty log would be a guess
 	}
 	restored := state.NewState(1)
 	for _, s := range found.Snapshots {
@@ -62,7 +62,7 @@
 			continue
 		}
 		if c.Term == 0 || c.Term == l.Term {
-			_, _ = restored.Apply(&c) // what a command is refused for is no fault of the folder
+			_, _ = restored.Apply(&c) // a rejected command is no fault of the directory
 		}
 	}
 	out.Rev, out.Epoch = restored.Rev(), state.EpochOf(restored.Rev())
@@ -83,10 +83,10 @@
 	return s, s.Restore(&in)
 }
 
-// Sound tells whether a replica may start from the folder.
+// Sound reports whether a replica may start from the directory.
 func (v *Verified) Sound() bool { return len(v.Faults) == 0 }
 
-// Print writes what was found, a line each.
+// Print writes the findings, one line each.
 func (v *Verified) Print(w io.Writer) error {
 	var failed error
 	say := func(form string, of ...any) {
