--- a/cmd/marblelane/registry_restore.go
+++ b/cmd/marblelane/registry_restore.go
@@ -7,6 +7,7 @@
 	"time"
 
 	"marblelane/internal/registry"
+	"marblelane/internal/registry/recovery"
 )
 
 // registryRestore founds a cluster from a backup.
@@ -33,11 +34,11 @@
 		return fmt.Errorf("restore: %w", err)
 	}
 	defer f.Close()
-	if alive := registry.OldCopies(cfg, oldCopyTimeout); len(alive) > 0 && !c.Force {
+	if alive := recovery.OldCopies(cfg.Endpoints(), oldCopyTimeout); len(alive) > 0 && !c.Force {
 		return fmt.Errorf("restore: %s still answers; end the old cluster first, or it may take the new one over; "+
 			"--force restores all the same", strings.Join(alive, ", "))
 	}
-	out, err := registry.Restore(f, cfg, c.Above, cfg.Faults.Now())
+	out, err := recovery.Restore(f, cfg.RecoveryTarget(), c.Above, cfg.Faults.Now())
 	if err != nil {
 		return err
 	}
--- a/cmd/marblelane/registry_verify.go
+++ b/cmd/marblelane/registry_verify.go
@@ -3,7 +3,7 @@
 import (
 	"fmt"
 
-	"marblelane/internal/registry"
+	"marblelane/internal/registry/recovery"
 )
 
 // registryVerify checks the folder of a copy that does not run.
@@ -13,7 +13,7 @@
 
 // Run reads the folder and changes nothing; it ends with 1 where a copy must not start from it.
 func (c *registryVerify) Run(a *app) error {
-	found, err := registry.Verify(c.Dir)
+	found, err := recovery.Verify(c.Dir)
 	if err != nil {
 		return fmt.Errorf("verify: %w", err)
 	}
