--- a/internal/lab/invariant/clients.go
+++ b/internal/lab/invariant/clients.go
@@ -7,10 +7,10 @@
 	"marblelane/internal/lab/record"
 )
 
-// tellSlack is by how much the deadline that an attempt forwards may exceed the time that its client still waits.
+// forwardedDeadlineSlack is by how much the deadline that an attempt forwards may exceed the time that its client still waits.
 const forwardedDeadlineSlack = 150 * time.Millisecond
 
-// leaveGrace is how long after its client has left a request may still be sent to a server.
+// clientGoneGrace is how long after its client has left a request may still be sent to a server.
 const clientGoneGrace = 100 * time.Millisecond
 
 // HeldBack is a time in which links delay what is sent on them: what a server receives then may have been sent long before.
@@ -28,37 +28,42 @@
 	})
 }
 
-// checkClient checks the attempts of a request against its client: none begins after the client has left, and none forwards
-// a longer deadline than the client still waits.
-func (c *checker) checkClient(id uint64, path []int) {
-	var sent record.Event // the last time
+// checkClientGone checks that no attempt of a request begins after its client has left.
+func (c *checker) checkClientGone(r *requestEvents) {
 	leftAt := forever
-	for _, i := range path {
-		e := c.events[i]
+	for _, e := range r.events {
+		switch {
+		case e.Kind == record.ClientLeft:
+			leftAt = min(leftAt, e.T)
+			c.out.Checked[ClientGone]++
+		case e.Kind == record.NoAnswer && e.Note != record.RunEnded:
+			leftAt = min(leftAt, e.T)
+		case e.Kind == record.FirstByte:
+			c.checkAttemptAfterLeave(r, e, leftAt)
+		}
+	}
+}
+
+// checkForwardedDeadline checks that no attempt of a request forwards a longer deadline than its client still waits.
+func (c *checker) checkForwardedDeadline(r *requestEvents) {
+	var sent record.Event // the last time
+	for _, e := range r.events {
 		switch e.Kind {
 		case record.Sent:
 			sent = e
-		case record.ClientLeft:
-			leftAt = min(leftAt, e.T)
-			c.out.Checked[ClientGone]++
-		case record.NoAnswer:
-			if e.Note != record.RunEnded {
-				leftAt = min(leftAt, e.T)
-			}
 		case record.FirstByte:
-			c.checkClientGone(id, path, e, leftAt)
-			c.checkForwardedDeadline(id, path, e, sent)
+			c.checkAttemptDeadline(r, e, sent)
 		}
 	}
 }
 
-// checkClientGone checks an attempt of a request whose client left at this time.
-func (c *checker) checkClientGone(id uint64, path []int, attempt record.Event, leftAt time.Duration) {
+// checkAttemptAfterLeave checks an attempt of a request whose client left at this time.
+func (c *checker) checkAttemptAfterLeave(r *requestEvents, attempt record.Event, leftAt time.Duration) {
 	if leftAt >= attempt.T || c.mayBeHeldBack(attempt) || c.longStallBetween(leftAt, attempt.T) {
 		return
 	}
 	if noticed := c.observableAt(attempt.Sidecar, leftAt, attempt.T); attempt.T > noticed+clientGoneGrace+socketSlack+c.facts.Latency+c.stallTime(noticed, attempt.T) {
-		c.breach(ClientGone, attempt.T, id, path, "sidecar %d began an attempt at server %d %.0f ms after its client had left",
+		c.breachOf(r, ClientGone, attempt.T, "sidecar %d began an attempt at server %d %.0f ms after its client had left",
 			attempt.Sidecar, attempt.Server, ms(attempt.T-leftAt))
 	}
 }
@@ -93,8 +98,8 @@
 	return observable
 }
 
-// checkForwardedDeadline checks the deadline that an attempt forwards against the time that its client still waits.
-func (c *checker) checkForwardedDeadline(id uint64, path []int, attempt, sent record.Event) {
+// checkAttemptDeadline checks the deadline that an attempt forwards against the time that its client still waits.
+func (c *checker) checkAttemptDeadline(r *requestEvents, attempt, sent record.Event) {
 	if attempt.N == 0 || sent.Work == 0 || c.mayBeHeldBack(attempt) || c.longStallBetween(sent.T, attempt.T) {
 		return
 	}
@@ -102,7 +107,7 @@
 	timeout := time.Duration(sent.Work * float64(time.Millisecond))
 	remaining := c.observableAt(attempt.Sidecar, sent.T, attempt.T) + timeout - attempt.T
 	if excess := time.Duration(attempt.N)*time.Millisecond - remaining; excess > forwardedDeadlineSlack+c.facts.Latency+c.stallTime(sent.T, attempt.T) {
-		c.breach(ForwardedDeadline, attempt.T, id, path, "sidecar %d told server %d that %d ms are left, %.0f ms more than its client had",
+		c.breachOf(r, ForwardedDeadline, attempt.T, "sidecar %d told server %d that %d ms are left, %.0f ms more than its client had",
 			attempt.Sidecar, attempt.Server, attempt.N, ms(excess))
 	}
 }
--- a/internal/lab/invariant/cold.go
+++ b/internal/lab/invariant/cold.go
@@ -20,7 +20,7 @@
 // ServerStarted is the note of a ServerState event of a server that starts.
 const ServerStarted = "boots"
 
-// fewCalls is the number of calls below which the allowance for chance is larger.
+// smallSample is the number of calls below which the allowance for chance is larger.
 const smallSample = 30
 
 // maxCalls is how many calls a server may get in a window that ends at this age of the server.
@@ -42,9 +42,22 @@
 	exceeded      bool           // a breach has been reported
 }
 
-// checkSlowStart checks what servers in slow start are sent. As with an overload crash, over two thirds have to come from
-// sidecars that were notified of the start.
+// checkSlowStart checks that no server crashes by overload, and what servers in slow start are sent.
 func (c *checker) checkSlowStart() {
+	for i := range c.events {
+		switch e := &c.events[i]; {
+		case e.Kind == record.OverloadCrash:
+			c.breach(SlowStartLimit, e.T, e.Request, c.byID[e.Request], "server %d was pushed over: %s", e.Server, e.Note)
+		case e.Kind == record.ServerState && e.Note == ServerStarted:
+			c.out.Checked[SlowStartLimit]++
+		}
+	}
+	c.checkSlowStartCalls()
+}
+
+// checkSlowStartCalls counts what servers in slow start are sent. As with an overload crash, over two thirds have to come
+// from sidecars that were notified of the start.
+func (c *checker) checkSlowStartCalls() {
 	limits := c.facts.SlowStart
 	if limits.OverloadMultiple == 0 {
 		return
--- a/internal/lab/invariant/invariant.go
+++ b/internal/lab/invariant/invariant.go
@@ -1,12 +1,14 @@
 // Package invariant checks a run against the rules that no scenario may break, from the records of all processes.
 //
-// Each rule has a name, and a scenario with a planted defect that breaks it (lab/scenarios/defects). A breach
-// names one request and its path through every party. The time limits carry the pages' 50 ms for sockets.
+// The invariants stand in table.go. Each has a name, and a scenario with a planted defect that breaks it
+// (lab/scenarios/defects). A breach names one request and its path through every process. Time limits include 50 ms for
+// sockets.
 package invariant
 
 import (
 	"cmp"
 	"fmt"
+	"net/http"
 	"slices"
 	"time"
 
@@ -29,10 +31,10 @@
 	ForwardedDeadline  = "time-told"     // an attempt forwards no longer deadline than its client still waits
 	socketSlack        = 50 * time.Millisecond
 	maxPrintedBreaches = 3 // breaches of a rule whose paths are kept
-	// endSlack is how much sooner a client may see its connection end than the process is known to have ended: the
+	// connectionEndSlack is how much sooner a client may see its connection end than the process is known to have ended: the
 	// kernel closes the descriptors of a process before its parent is notified.
 	connectionEndSlack = 20 * time.Millisecond
-	// heardBy is how long after the end of a process a waiting client notices it.
+	// noAnswerNoticedWithin is how long after the end of a process a waiting client notices it.
 	noAnswerNoticedWithin = 500 * time.Millisecond
 )
 
@@ -43,7 +45,7 @@
 	DrainGrace    time.Duration
 	MemoryMB      int // of a sidecar; 0: no limit
 	Sockets       int
-	// SparedTerm is how long after SIGTERM a request may arrive and still be unanswered at SIGKILL.
+	// ServiceAfterTerm is how long after SIGTERM a request may arrive and still be unanswered at SIGKILL.
 	ServiceAfterTerm time.Duration
 	Routes           *Routes // nil: there are none
 	// Latency is the longest time one way between a sidecar and a server.
@@ -130,12 +132,13 @@
 	// In order of their first event, so that the same records give the same breaches.
 	slices.SortFunc(ids, func(a, b uint64) int { return cmp.Compare(c.byID[a][0], c.byID[b][0]) })
 	for _, id := range ids {
-		c.checkRequest(id, c.byID[id])
+		c.checkRequest(collectRequest(id, c.byID[id], events))
+	}
+	for i := range all {
+		if check := all[i].checkRun; check != nil {
+			check(c)
+		}
 	}
-	c.checkDrains()
-	c.checkRunEvents()
-	c.checkReady()
-	c.checkSlowStart()
 	c.checkRoutes()
 	return c.out
 }
@@ -212,6 +215,9 @@
 
 // requestEvents is what the records say of one request.
 type requestEvents struct {
+	id             uint64
+	path           []int          // indices of its events
+	events         []record.Event // by time
 	sent           []record.Event // by its client
 	answers        int
 	attempts       []attempt
@@ -223,40 +229,33 @@
 	unansweredAt   time.Duration // when its client knew that no answer comes
 }
 
-// checkRequest checks the events of one request.
-func (c *checker) checkRequest(id uint64, path []int) {
-	r := c.collectRequest(id, path)
-	if len(r.sent) == 0 {
-		return
-	}
-	if len(r.attempts) > 0 {
-		c.out.Checked[NoUnknownRequest]++
+// checkRequest checks the events of one request against all invariants of requests.
+func (c *checker) checkRequest(r *requestEvents) {
+	for i := range all {
+		if check := all[i].checkRequest; check != nil && (len(r.sent) > 0 || all[i].unsent) {
+			check(c, r)
+		}
 	}
-	c.checkAttempts(id, path, r.attempts, r.runs, c.facts.NonIdempotent[r.sent[len(r.sent)-1].Class])
-	c.checkClient(id, path)
-	c.checkOneAnswer(id, path, r)
 }
 
-// collectRequest gathers the events of a request, and checks those that can be checked alone.
-func (c *checker) collectRequest(id uint64, path []int) *requestEvents {
-	r := &requestEvents{}
+// collectRequest gathers the events of a request.
+func collectRequest(id uint64, path []int, events []record.Event) *requestEvents {
+	r := &requestEvents{id: id, path: path}
 	for _, i := range path {
-		e := c.events[i]
+		e := events[i]
+		r.events = append(r.events, e)
 		r.lastAt = e.T
 		switch e.Kind {
 		case record.Sent:
 			r.sent = append(r.sent, e)
 		case record.Answered:
 			r.answers++
-			c.checkBody(id, path, e)
 		case record.ConnectionLost:
 			r.connectionLost, r.unansweredAt = true, e.T
 		case record.NoAnswer:
 			r.noAnswer, r.unansweredAt = e.Note != record.RunEnded, e.T
 		case record.ExtraBytes:
 			r.extraBytes = true
-		case record.UnknownRequest:
-			c.breach(NoUnknownRequest, e.T, id, path, "server %d heard of sidecar %d a request %s", e.Server, e.Sidecar, e.Note)
 		case record.WorkStarted:
 			r.runs++
 		case record.LastByte:
@@ -268,6 +267,11 @@
 	return r
 }
 
+// breachOf reports that a request breaks an invariant.
+func (c *checker) breachOf(r *requestEvents, invariant string, at time.Duration, format string, args ...any) {
+	c.breach(invariant, at, r.id, r.path, format, args...)
+}
+
 // endAttempt records that a server answered, rejected or lost an attempt.
 func (r *requestEvents) endAttempt(e record.Event) {
 	for k := range r.attempts {
@@ -283,51 +287,75 @@
 	}
 }
 
-// checkBody checks that a client got the body that was made for its request.
-func (c *checker) checkBody(id uint64, path []int, answered record.Event) {
-	if answered.Status != 200 {
-		return
+// checkUnknownRequest checks that a client sent in this form what servers got under the ID of a request.
+func (c *checker) checkUnknownRequest(r *requestEvents) {
+	if len(r.sent) > 0 && len(r.attempts) > 0 {
+		c.out.Checked[NoUnknownRequest]++
+	}
+	for _, e := range r.events {
+		if e.Kind == record.UnknownRequest {
+			c.breachOf(r, NoUnknownRequest, e.T, "server %d heard of sidecar %d a request %s", e.Server, e.Sidecar, e.Note)
+		}
+	}
+}
+
+// checkUnreadable checks that no server got a request without a readable ID.
+func (c *checker) checkUnreadable() {
+	for i := range c.events {
+		if e := &c.events[i]; e.Kind == record.UnknownRequest && e.Request == 0 {
+			c.breach(NoUnknownRequest, e.T, 0, nil, "server %d heard of sidecar %d a request %s", e.Server, e.Sidecar, e.Note)
+		}
 	}
-	c.out.Checked[Body]++
-	if answered.Sum != answered.Want {
-		c.breach(Body, answered.T, id, path, "the client got body %016x, the one made for it is %016x", answered.Sum, answered.Want)
+}
+
+// checkBody checks that a client got the body that was made for its request.
+func (c *checker) checkBody(r *requestEvents) {
+	for _, e := range r.events {
+		if e.Kind != record.Answered || e.Status != http.StatusOK {
+			continue
+		}
+		c.out.Checked[Body]++
+		if e.Sum != e.Want {
+			c.breachOf(r, Body, e.T, "the client got body %016x, the one made for it is %016x", e.Sum, e.Want)
+		}
 	}
 }
 
 // checkOneAnswer checks that a client got one final answer.
-func (c *checker) checkOneAnswer(id uint64, path []int, r *requestEvents) {
+func (c *checker) checkOneAnswer(r *requestEvents) {
 	c.out.Checked[OneAnswer]++
 	from := r.sent[0].T
 	owner := r.sent[0].Sidecar
 	switch {
 	case r.answers > 1 || r.extraBytes:
-		c.breach(OneAnswer, r.lastAt, id, path, "it was answered more than once")
+		c.breachOf(r, OneAnswer, r.lastAt, "it was answered more than once")
 	case r.answers == 1 || !r.connectionLost && !r.noAnswer:
-	case c.checkProcessEnd(id, path, r.sent[len(r.sent)-1], r.unansweredAt):
+	case c.checkProcessEnd(r):
 	case anyMeets(c.unavailable[owner], from, r.lastAt) || anyMeets(c.frozen[owner], from, r.lastAt):
 		// What a killed sidecar had accepted is lost with it; a frozen one cannot answer.
 	case r.connectionLost && len(r.attempts) == 0:
 		// The close crossed a request that had not been read, or failed one before anything was sent.
 	case r.connectionLost:
-		c.breach(OneAnswer, r.lastAt, id, path, "its connection was ended without a whole answer")
+		c.breachOf(r, OneAnswer, r.lastAt, "its connection was ended without a whole answer")
 	default:
-		c.breach(OneAnswer, r.lastAt, id, path, "no answer within 0.5 s of its time")
+		c.breachOf(r, OneAnswer, r.lastAt, "no answer within 0.5 s of its time")
 	}
 }
 
 // checkProcessEnd checks a request without an answer that was in flight when its process ended after SIGTERM; it reports
 // whether the request was such a one. A process that ends by itself has to answer all that it accepted, read or not. What
 // SIGKILL interrupts is a breach if it arrived after ServiceAfterTerm; the answer to an earlier one was not due yet.
-func (c *checker) checkProcessEnd(id uint64, path []int, sent record.Event, lost time.Duration) bool {
+func (c *checker) checkProcessEnd(r *requestEvents) bool {
+	sent, lost := r.sent[len(r.sent)-1], r.unansweredAt
 	for _, e := range c.ends[sent.Sidecar] {
 		if sent.T > e.endedAt || lost < e.endedAt-connectionEndSlack || lost > e.endedAt+noAnswerNoticedWithin {
 			continue
 		}
 		switch after := sent.T - e.termAt; {
 		case !e.killed:
-			c.breach(OneAnswer, e.endedAt, id, path, "its process ended by itself, %.0f ms after SIGTERM, and left it unanswered", ms(e.endedAt-e.termAt))
+			c.breachOf(r, OneAnswer, e.endedAt, "its process ended by itself, %.0f ms after SIGTERM, and left it unanswered", ms(e.endedAt-e.termAt))
 		case after > c.facts.ServiceAfterTerm:
-			c.breach(OneAnswer, e.endedAt, id, path, "it came %.0f ms after SIGTERM, and SIGKILL found it unanswered", ms(after))
+			c.breachOf(r, OneAnswer, e.endedAt, "it came %.0f ms after SIGTERM, and SIGKILL found it unanswered", ms(after))
 		}
 		return true
 	}
@@ -336,32 +364,45 @@
 
 func ms(d time.Duration) float64 { return float64(d) / float64(time.Millisecond) }
 
-func (c *checker) checkAttempts(id uint64, path []int, attempts []attempt, runs int, nonIdempotent bool) {
+// checkAttemptLimit checks the number of attempts at servers.
+func (c *checker) checkAttemptLimit(r *requestEvents) {
 	c.out.Checked[AttemptLimit]++
-	if len(attempts) > c.facts.MaxAttempts {
-		c.breach(AttemptLimit, attempts[len(attempts)-1].from, id, path, "%d attempts, of %d", len(attempts), c.facts.MaxAttempts)
+	if n := len(r.attempts); n > c.facts.MaxAttempts {
+		c.breachOf(r, AttemptLimit, r.attempts[n-1].from, "%d attempts, of %d", n, c.facts.MaxAttempts)
 	}
+}
+
+// checkNonIdempotentOnce checks that a non-idempotent request ran at most once, and was not sent again where it may have.
+func (c *checker) checkNonIdempotentOnce(r *requestEvents) {
+	class := r.sent[len(r.sent)-1].Class
+	if !c.facts.NonIdempotent[class] || len(r.attempts) == 0 {
+		return
+	}
+	c.out.Checked[NonIdempotentOnce]++
 	mayHaveRun := 0
-	for _, a := range attempts {
+	for _, a := range r.attempts {
 		if !a.rejected {
 			mayHaveRun++
 		}
 	}
-	if nonIdempotent && len(attempts) > 0 {
-		c.out.Checked[NonIdempotentOnce]++
-		if runs > 1 {
-			c.breach(NonIdempotentOnce, attempts[0].from, id, path, "it ran %d times", runs)
-		} else if mayHaveRun > 1 {
-			c.breach(NonIdempotentOnce, attempts[0].from, id, path, "it was sent again although it may have run")
-		}
+	if r.runs > 1 {
+		c.breachOf(r, NonIdempotentOnce, r.attempts[0].from, "it ran %d times", r.runs)
+	} else if mayHaveRun > 1 {
+		c.breachOf(r, NonIdempotentOnce, r.attempts[0].from, "it was sent again although it may have run")
 	}
-	if len(attempts) > 1 {
-		c.out.Checked[OneAtATime]++
-		for k := 1; k < len(attempts); k++ {
-			if attempts[k-1].to > attempts[k].from+socketSlack {
-				c.breach(OneAtATime, attempts[k].from, id, path, "two attempts at once, at servers %d and %d", attempts[k-1].server, attempts[k].server)
-				break
-			}
+}
+
+// checkOneAtATime checks that an attempt begins after the end of the one before.
+func (c *checker) checkOneAtATime(r *requestEvents) {
+	if len(r.attempts) < 2 {
+		return
+	}
+	c.out.Checked[OneAtATime]++
+	for k := 1; k < len(r.attempts); k++ {
+		before, next := r.attempts[k-1], r.attempts[k]
+		if before.to > next.from+socketSlack {
+			c.breachOf(r, OneAtATime, next.from, "two attempts at once, at servers %d and %d", before.server, next.server)
+			return
 		}
 	}
 }
@@ -429,36 +470,25 @@
 	}
 }
 
-// checkRunEvents checks what concerns no single request.
-func (c *checker) checkRunEvents() {
+// checkResourceLimits checks the memory and descriptors of sidecars, and that none crashes.
+func (c *checker) checkResourceLimits() {
 	for i := range c.events {
-		e := &c.events[i]
-		switch e.Kind {
-		case record.OverloadCrash:
-			c.breach(SlowStartLimit, e.T, e.Request, c.byID[e.Request], "server %d was pushed over: %s", e.Server, e.Note)
-		case record.ServerState:
-			if e.Note == ServerStarted {
-				c.out.Checked[SlowStartLimit]++
-			}
-		case record.UnknownRequest:
-			if e.Request == 0 {
-				c.breach(NoUnknownRequest, e.T, 0, nil, "server %d heard of sidecar %d a request %s", e.Server, e.Sidecar, e.Note)
-			}
-		case record.Sample:
-			if e.Sidecar == record.None {
-				continue
-			}
-			c.out.Checked[ResourceLimits]++
-			if c.facts.MemoryMB > 0 && e.N > int64(c.facts.MemoryMB)<<20 {
-				c.breach(ResourceLimits, e.T, 0, nil, "sidecar %d has %.1f MB of %d", e.Sidecar, float64(e.N)/(1<<20), c.facts.MemoryMB)
-			}
-			if c.facts.Sockets > 0 && int(e.Status) > c.facts.Sockets {
-				c.breach(ResourceLimits, e.T, 0, nil, "sidecar %d has %d descriptors of %d", e.Sidecar, e.Status, c.facts.Sockets)
-			}
-		case record.Process:
-			if e.Note == Crashed {
-				c.breach(ResourceLimits, e.T, 0, nil, "sidecar %d ended unasked", e.Sidecar)
-			}
+		switch e := &c.events[i]; {
+		case e.Kind == record.Sample && e.Sidecar != record.None:
+			c.checkSample(e)
+		case e.Kind == record.Process && e.Note == Crashed:
+			c.breach(ResourceLimits, e.T, 0, nil, "sidecar %d ended unasked", e.Sidecar)
 		}
 	}
 }
+
+// checkSample checks one sample of a sidecar's memory and descriptors.
+func (c *checker) checkSample(e *record.Event) {
+	c.out.Checked[ResourceLimits]++
+	if c.facts.MemoryMB > 0 && e.N > int64(c.facts.MemoryMB)<<20 {
+		c.breach(ResourceLimits, e.T, 0, nil, "sidecar %d has %.1f MB of %d", e.Sidecar, float64(e.N)/(1<<20), c.facts.MemoryMB)
+	}
+	if c.facts.Sockets > 0 && int(e.Status) > c.facts.Sockets {
+		c.breach(ResourceLimits, e.T, 0, nil, "sidecar %d has %d descriptors of %d", e.Sidecar, e.Status, c.facts.Sockets)
+	}
+}
--- a/internal/lab/invariant/members.go
+++ b/internal/lab/invariant/members.go
@@ -81,9 +81,17 @@
 // CheckMembers checks the events of a run, ordered by time, against the rules of membership, and adds its findings to a verdict.
 func CheckMembers(events []record.Event, facts *Members, v *Verdict) {
 	m := newMembers(&checker{events: events, out: v}, facts)
+	for i := range all {
+		if check := all[i].checkMembers; check != nil {
+			check(m)
+		}
+	}
+}
+
+// checkQuotas checks the sum of the quotas, and that members that have left send nothing.
+func (m *members) checkQuotas() {
 	m.checkQuotaSum()
 	m.checkLeft()
-	m.checkNotGone()
 }
 
 func newMembers(c *checker, facts *Members) *members {
--- a/internal/lab/invariant/routes.go
+++ b/internal/lab/invariant/routes.go
@@ -24,9 +24,9 @@
 	Answers  []Answer  // of the audit
 	// Latency is the most that a link adds, one way.
 	Latency time.Duration
-	// Hindered are times in which links or servers have faults: what was sent may arrive late, or never.
+	// LinkFaults are times in which links or servers have faults: what was sent may arrive late, or never.
 	LinkFaults []Span
-	// Lagged are times in which the lab itself stalled: servers may have received what came then only after them.
+	// LabStalls are times in which the lab itself stalled: servers may have received what came then only after them.
 	LabStalls []Span
 	// Epoch is the wall clock at the run's beginning, Unix ns: processes are named by when they started.
 	Epoch int64
@@ -97,11 +97,11 @@
 			}
 		}
 	}
-	r.checkClosed()
-	r.checkBudget()
-	r.checkRollbacks()
-	r.checkRouteFree()
-	r.checkAudit()
+	for i := range all {
+		if check := all[i].checkRoutes; check != nil {
+			check(r)
+		}
+	}
 }
 
 func isOver(phase string) bool {
--- a/internal/lab/scenario/members.go
+++ b/internal/lab/scenario/members.go
@@ -23,9 +23,6 @@
 	Defect        string `toml:"defect"`          // planted in the sidecars
 }
 
-// MemberInvariants are those of runs with membership.
-func MemberInvariants() []string { return []string{"shares", "not-gone"} }
-
 // InMembership tells whether a sidecar takes part in membership; one of an older program does not.
 func (s *Scenario) InMembership(sidecar int) bool {
 	return s.Members != nil && !s.RunsOlderProgram(sidecar)
--- a/internal/lab/scenario/parse.go
+++ b/internal/lab/scenario/parse.go
@@ -5,6 +5,7 @@
 	"slices"
 	"strings"
 
+	"marblelane/internal/lab/invariant"
 	"marblelane/internal/tomlfile"
 )
 
@@ -13,8 +14,7 @@
 
 // InvariantNames lists the invariants that runs are checked against.
 func InvariantNames() []string {
-	return slices.Concat([]string{"one-answer", "unsafe-once", "one-at-a-time", "most-attempts", "no-stray", "drain", "cold", "body", "limits", "client-gone", "time-told", "ready-in-time",
-		"linearizable", "watchers-agree", "disk-honest", "age-told"}, RouteInvariants(), MemberInvariants())
+	return invariant.Names()
 }
 
 // IsInvariant tells whether there is an invariant of this name.
--- a/internal/lab/scenario/routes.go
+++ b/internal/lab/scenario/routes.go
@@ -8,6 +8,8 @@
 	"slices"
 	"strings"
 	"time"
+
+	"marblelane/internal/lab/invariant"
 )
 
 // Routes turns routes on in a run with real copies of the list service: what operators allow, and what sidecars read.
@@ -88,11 +90,6 @@
 	return []string{"done", "rolled-back", "stopped", "running", "paused", "refused"}
 }
 
-// RouteInvariants are those of runs with rollouts.
-func RouteInvariants() []string {
-	return []string{"budget", "closed", "audit-true", "rollback-final", "route-free"}
-}
-
 // HasRoutes tells whether a scenario has routes at all.
 func (s *Scenario) HasRoutes() bool { return len(s.Routes.Subsets) > 0 }
 
@@ -101,9 +98,9 @@
 	if len(s.Expect.MustCheck) > 0 || len(s.Expect.MustBreak) > 0 || len(s.Rollouts) == 0 {
 		return s.Expect.MustCheck
 	}
-	rules := []string{"budget", "closed", "audit-true", "route-free"}
+	rules := []string{invariant.Budget, invariant.RevClosed, invariant.AuditTrue, invariant.RouteFree}
 	if slices.Contains(slices.Collect(maps.Values(s.Expect.RolloutPhases)), "rolled-back") {
-		rules = append(rules, "rollback-final")
+		rules = append(rules, invariant.RollbackFinal)
 	}
 	return rules
 }
