--- a/internal/lab/invariant/clients.go
+++ b/internal/lab/invariant/clients.go
@@ -13,7 +13,7 @@
 // clientGoneGrace is how long after its client has left a request may still be sent to a server.
 const clientGoneGrace = 100 * time.Millisecond
 
-// HeldBack is a time in which links delay what is sent on them: what a server receives then may have been sent long before.
+// HeldBack is a time in which links delay their data: what a server receives then may have left the sidecar long before.
 type HeldBack struct {
 	From, To time.Duration
 	Sidecars []int
--- a/internal/lab/invariant/routes.go
+++ b/internal/lab/invariant/routes.go
@@ -53,13 +53,13 @@
 
 // Answer is the audit's answer for one process: whether it acted on a revision between two times.
 type Answer struct {
-	Rev      int64
-	From, To time.Duration
-	AskedAt  time.Duration
-	Name     string
-	Start    int64 // of the process, Unix ns
-	Verdict  audit.Verdict
-	Reason   string
+	Rev       int64
+	From, To  time.Duration
+	QueriedAt time.Duration
+	Name      string
+	Start     int64 // of the process, Unix ns
+	Verdict   audit.Verdict
+	Reason    string
 }
 
 // processLifetime is that of one process of a sidecar.
@@ -370,7 +370,7 @@
 			}
 		}
 		if sidecar < 0 || k < 0 {
-			r.breach(AuditTrue, a.AskedAt, 0, nil, "the audit answers for a process %s/%d that never was", a.Name, a.Start)
+			r.breach(AuditTrue, a.QueriedAt, 0, nil, "the audit answers for a process %s/%d that never was", a.Name, a.Start)
 			continue
 		}
 		attempts := seen[under{sidecar, a.Rev}]
@@ -384,7 +384,7 @@
 				if t < a.From+r.maxDelay() || t > a.To || !onlyProcess(lifetimes, k, t-r.maxDelay(), t) {
 					continue
 				}
-				r.breach(AuditTrue, a.AskedAt, 0, nil, "the audit says that %s/%d did not act on %d between %.0f and %.0f ms (%s); a server saw an attempt of its at %.1f ms",
+				r.breach(AuditTrue, a.QueriedAt, 0, nil, "the audit says that %s/%d did not act on %d between %.0f and %.0f ms (%s); a server saw an attempt of its at %.1f ms",
 					a.Name, a.Start, a.Rev, ms(a.From), ms(a.To), a.Reason, ms(t))
 				break
 			}
@@ -393,7 +393,7 @@
 				continue // an attempt that began may have reached no server
 			}
 			if !slices.ContainsFunc(attempts, func(t time.Duration) bool { return t >= a.From-socketSlack && t <= a.To+r.maxDelay() }) {
-				r.breach(AuditTrue, a.AskedAt, 0, nil, "the audit says that %s/%d acted on %d between %.0f and %.0f ms (%s); no server saw it",
+				r.breach(AuditTrue, a.QueriedAt, 0, nil, "the audit says that %s/%d acted on %d between %.0f and %.0f ms (%s); no server saw it",
 					a.Name, a.Start, a.Rev, ms(a.From), ms(a.To), a.Reason)
 			}
 		}
--- a/internal/lab/invariant/routes_test.go
+++ b/internal/lab/invariant/routes_test.go
@@ -54,7 +54,7 @@
 			between...)
 		return append(all, onServer(at+400, 2, record.SidecarClosed))
 	}
-	whole := onServer(at+1, 2, record.LastByte)
+	received := onServer(at+1, 2, record.LastByte)
 	client := func(at int, kind record.Kind) record.Event {
 		return record.Event{T: millis(at), Kind: kind, Request: 2, Class: record.None, Server: record.None}
 	}
@@ -69,15 +69,15 @@
 		"within the budget":                {[]record.Event{attemptAt(at, 1, 20), replied(at+1, 1, 500)}, ""},
 		"over the budget":                  {two(), Budget},
 		"the second was turned away":       {two(turned), Budget},
-		"the second had no answer":         {hung(whole), Budget},
-		"nor had its client in its time":   {hung(whole, client(at+350, record.Overdue)), Budget},
-		"it was not heard whole":           {hung(), ""},
-		"its client had left":              {hung(whole, client(at+300, record.ClientLeft)), ""},
-		"its client left at the same time": {append(hung(whole), client(at+401, record.ClientLeft)), ""},
-		"its client left long after":       {append(hung(whole), client(at+600, record.ClientLeft)), Budget},
-		"its sidecar ended":                {append(hung(whole, process(at+399, Killed)), process(at+402, Ended)), ""},
-		"its sidecar ended long after":     {append(hung(whole), process(at+900, Killed), process(at+900, Ended)), Budget},
-		"it is out yet":                    {hung(whole)[:6], ""},
+		"the second had no answer":         {hung(received), Budget},
+		"nor had its client in its time":   {hung(received, client(at+350, record.Overdue)), Budget},
+		"it was not received completely":   {hung(), ""},
+		"its client had left":              {hung(received, client(at+300, record.ClientLeft)), ""},
+		"its client left at the same time": {append(hung(received), client(at+401, record.ClientLeft)), ""},
+		"its client left long after":       {append(hung(received), client(at+600, record.ClientLeft)), Budget},
+		"its sidecar ended":                {append(hung(received, process(at+399, Killed)), process(at+402, Ended)), ""},
+		"its sidecar ended long after":     {append(hung(received), process(at+900, Killed), process(at+900, Ended)), Budget},
+		"it is out yet":                    {hung(received)[:6], ""},
 		"the second client had left":       {two(gaveUp), ""},
 		"late answers are failures":        {[]record.Event{attemptAt(at, 1, 20), replied(at+101, 1, 200), attemptAt(at, 2, 20), replied(at+101, 2, 200)}, Budget},
 		"good ones are none":               {[]record.Event{attemptAt(at, 1, 20), replied(at+99, 1, 200), attemptAt(at, 2, 20), replied(at+99, 2, 200)}, ""},
--- a/internal/lab/invariant/table.go
+++ b/internal/lab/invariant/table.go
@@ -27,7 +27,7 @@
 	Linearizable  = "linearizable"   // some order of single steps explains all calls on each entry
 	WatchersAgree = "watchers-agree" // at each revision all watchers have the same list
 	DiskHonest    = "disk-honest"    // a replica whose disk failed writes nothing, reports it, and recovers
-	AgeTold       = "age-told"       // no list lacks what was acknowledged before the time that it claims
+	ListAge       = "age-told"       // no list lacks what was acknowledged before the time that it claims
 )
 
 // all are the invariants in the order in which they are checked.
@@ -57,7 +57,7 @@
 	{Name: Linearizable, Page: labPage},
 	{Name: WatchersAgree, Page: labPage},
 	{Name: DiskHonest, Page: labPage},
-	{Name: AgeTold, Page: labPage},
+	{Name: ListAge, Page: labPage},
 }
 
 // Names lists the names of all invariants.
--- a/internal/lab/routes.go
+++ b/internal/lab/routes.go
@@ -362,7 +362,7 @@
 	o.asked++
 	for _, a := range got.Answers {
 		o.answers = append(o.answers, invariant.Answer{Rev: rev, From: time.UnixMilli(fromMS).Sub(o.epoch), To: time.UnixMilli(toMS).Sub(o.epoch),
-			AskedAt: o.r.log.Now() - o.began, Name: a.Name, Start: a.Start, Verdict: a.Verdict, Reason: a.Reason})
+			QueriedAt: o.r.log.Now() - o.began, Name: a.Name, Start: a.Start, Verdict: a.Verdict, Reason: a.Reason})
 	}
 }
 
--- a/internal/lab/scenario/leave.go
+++ b/internal/lab/scenario/leave.go
@@ -17,9 +17,9 @@
 func LeaveModes() []string { return []string{LeaveClose, LeaveHalfClose, LeaveReset} }
 
 func (s *Scenario) checkLeaveModes() *invalidKey {
-	for i, way := range s.Traffic.LeaveModes {
-		if !slices.Contains(LeaveModes(), way) {
-			return invalid(fmt.Sprintf("traffic.leave[%d]", i), "%q is no way to leave; they are %s", way, strings.Join(LeaveModes(), ", "))
+	for i, mode := range s.Traffic.LeaveModes {
+		if !slices.Contains(LeaveModes(), mode) {
+			return invalid(fmt.Sprintf("traffic.leave[%d]", i), "%q is no way to leave; they are %s", mode, strings.Join(LeaveModes(), ", "))
 		}
 	}
 	return nil
--- a/internal/lab/scenario/scenario.go
+++ b/internal/lab/scenario/scenario.go
@@ -52,7 +52,7 @@
 type Sidecars struct {
 	Count int `toml:"count"`
 	// Program is the program's file; empty: sidecar as the command finds it; "none": clients go straight to
-	// the servers in turn, the lab's own floor.
+	// the servers in turn, as a baseline.
 	Program     string  `toml:"program"`
 	OlderCount  int     `toml:"older"` // the first ones, which run the older program that the command names, without routes
 	Cores       float64 `toml:"cores"`
@@ -125,7 +125,7 @@
 	EarlyLeaveFraction     float64  `toml:"impatient"` // fraction of client attempts that end early
 	LeaveModes             []string `toml:"leave"`     // how they end, one of LeaveModes drawn for each; empty: LeaveClose
 	PipelinedFraction      float64  `toml:"pipelined"` // fraction of client attempts followed by the first bytes of a next request
-	AnswerBytes            int      `toml:"answer"`    // bytes
+	AnswerBytes            int      `toml:"answer"`
 }
 
 // Discovery is when a change of a server reaches the sidecars, and by which list services.
--- a/internal/lab/scenario/scenario_test.go
+++ b/internal/lab/scenario/scenario_test.go
@@ -48,6 +48,12 @@
 		{"negative rate", `load = 0.5`, `rate = -3.0`, 9, "traffic.rate", "out of range"},
 		{"wrong type", `count = 8`, `count = "eight"`, 6, "servers.count", ""},
 		{"unknown zone", `servers = "25%"`, `servers = "zone:atlantis"`, 15, "fault[0].servers", `unknown zone "atlantis"`},
+		{"no latency", "kind = \"slow\"\nservers = \"25%\"\nsize = 3", `kind = "latency"`, 0, "fault[0].latency", "is missing"},
+		{"negative latency", "kind = \"slow\"\nservers = \"25%\"\nsize = 3", "kind = \"latency\"\nlatency = \"-5ms\"", 15, "fault[0].latency", "is negative"},
+		{"no errno", "kind = \"slow\"\nservers = \"25%\"\nsize = 3", "kind = \"sidecar-call\"\ncall = \"accept\"", 0, "fault[0].errno", "is missing"},
+		{"no way of a cut", "kind = \"slow\"\nservers = \"25%\"\nsize = 3", "kind = \"cut\"\nway = \"in\"", 15, "fault[0].way", "none of to, from, both"},
+		{"replica of a stand-in", "kind = \"slow\"\nservers = \"25%\"\nsize = 3", `kind = "copy-kill"`, 14, "fault[0].kind", "replicas of the list service"},
+		{"no members", "kind = \"slow\"\nservers = \"25%\"\nsize = 3", `kind = "members-refuse"`, 14, "fault[0].kind", "no section members"},
 		{"unknown fault", `kind = "slow"`, `kind = "sloow"`, 14, "fault[0].kind", "no kind of fault"},
 		{"too many servers", `servers = "25%"`, `servers = "9"`, 15, "fault[0].servers", "up to 8"},
 		{"no such server", `servers = "25%"`, `servers = "#8"`, 15, "fault[0].servers", "there is no #8"},
@@ -100,7 +106,7 @@
 	return b.Bytes()
 }
 
-// The same seed gives the same bytes on any machine: the sum below was taken on one of them.
+// The same seed gives the same bytes on any machine.
 func TestPlan_schedule(t *testing.T) {
 	s, err := Parse("good.toml", []byte(good))
 	if err != nil {
@@ -119,7 +125,7 @@
 	}
 }
 
-// Sidecars get SIGTERM one after another, and SIGKILL waits for 3 s of a longer deadline.
+// Sidecars get SIGTERM one after another.
 func TestPlan_oneAfterOther(t *testing.T) {
 	s, err := Parse("good.toml", []byte(good+"[[fault]]\nat = \"3s\"\nevery = \"500ms\"\nkind = \"sidecar-term\"\nsidecars = \"3\"\n"))
 	if err != nil {
@@ -132,14 +138,20 @@
 	if got := strings.Join(at, ", "); got != "3s 1, 3.5s 1, 4s 1" {
 		t.Error(got)
 	}
+}
+
+// SIGKILL waits for the longest deadline, at most 3 s.
+func TestScenario_killDelay(t *testing.T) {
 	for deadline, want := range map[string]string{"800ms": "1.5s", "4s": "3.7s"} {
-		s, err := Parse("good.toml", []byte(good+"[[class]]\nname = \"a\"\nshare = 1\nwork = \"1ms\"\naim = \"800ms\"\ndeadline = \""+deadline+"\"\n"))
-		if err != nil {
-			t.Fatal(err)
-		}
-		if got := s.KillDelay().String(); got != want {
-			t.Errorf("deadline %s: SIGKILL after %s", deadline, got)
-		}
+		t.Run(deadline, func(t *testing.T) {
+			s, err := Parse("good.toml", []byte(good+"[[class]]\nname = \"a\"\nshare = 1\nwork = \"1ms\"\naim = \"800ms\"\ndeadline = \""+deadline+"\"\n"))
+			if err != nil {
+				t.Fatal(err)
+			}
+			if got := s.KillDelay().String(); got != want {
+				t.Errorf("SIGKILL after %s, want %s", got, want)
+			}
+		})
 	}
 }
 
@@ -168,8 +180,8 @@
 	})
 }
 
-// Work of an exponential and noise from attempt to attempt keep their mean and spread, and one try at one server is
-// always the same.
+// Work of an exponential and noise from attempt to attempt keep their mean and spread, and a client attempt has the same
+// work at a server each time.
 func TestPlan_work(t *testing.T) {
 	s, err := Parse("work.toml", []byte(`title = "work"
 length = "100s"
@@ -228,12 +240,14 @@
 zones = ["a", "b"]
 `
 	for load, want := range map[string][2]float64{"0.3": {0, 0.05}, "1.8": {0.3, 0.6}} { // 1.8: each zone at nearly twice its capacity
-		s, err := Parse("two.toml", []byte(strings.Replace(two, "LOAD", load, 1)))
-		if err != nil {
-			t.Fatal(err)
-		}
-		if got := s.Plan(1).MinCrossZone(); !(got >= want[0] && got <= want[1]) {
-			t.Errorf("load %s: %v of the work has to leave its zone, want %v", load, got, want)
-		}
+		t.Run(load, func(t *testing.T) {
+			s, err := Parse("two.toml", []byte(strings.Replace(two, "LOAD", load, 1)))
+			if err != nil {
+				t.Fatal(err)
+			}
+			if got := s.Plan(1).MinCrossZone(); !(got >= want[0] && got <= want[1]) {
+				t.Errorf("%v of the work has to leave its zone, want %v", got, want)
+			}
+		})
 	}
 }
--- a/internal/lab/simulate/simulate_test.go
+++ b/internal/lab/simulate/simulate_test.go
@@ -69,10 +69,12 @@
 
 func TestPlay_errors(t *testing.T) {
 	for name, want := range map[string]string{"freeze": "sidecar-freeze", "registry-kills": "real processes"} {
-		_, err := simulate.Play(context.Background(), parse(t, name).Plan(1), simulate.Options{})
-		if err == nil || !strings.Contains(err.Error(), want) {
-			t.Errorf("%s: %v", name, err)
-		}
+		t.Run(name, func(t *testing.T) {
+			_, err := simulate.Play(context.Background(), parse(t, name).Plan(1), simulate.Options{})
+			if err == nil || !strings.Contains(err.Error(), want) {
+				t.Error(err)
+			}
+		})
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel()
