--- a/cmd/marblelane/lab_list_scale.go
+++ b/cmd/marblelane/lab_list_scale.go
@@ -2,8 +2,6 @@
 
 import (
 	"errors"
-	"fmt"
-	"os"
 	"slices"
 
 	"marblelane/internal/lab"
@@ -20,9 +18,9 @@
 	if slices.Min(append(c.Watchers, c.Entries...)) < 2 {
 		return errors.New("--watchers and --entries are at least 2")
 	}
-	self, err := os.Executable()
+	self, err := selfProgram()
 	if err != nil {
-		return fmt.Errorf("the list service's copies are of this program: %w", err)
+		return err
 	}
 	points, err := lab.ListScale(a.ctx, c.Watchers, c.Entries, lab.Options{Self: self, Progress: a.errOut})
 	if err != nil {
--- a/cmd/marblelane/lab_program.go
+++ b/cmd/marblelane/lab_program.go
@@ -76,3 +76,12 @@
 	path, done, err = p.findProgram(a)
 	return s, path, done, err
 }
+
+// selfProgram finds this program, of which the lab starts copies of the list service.
+func selfProgram() (string, error) {
+	path, err := os.Executable()
+	if err != nil {
+		return "", fmt.Errorf("the list service's copies are of this program: %w", err)
+	}
+	return path, nil
+}
--- a/cmd/marblelane/lab_route_scale.go
+++ b/cmd/marblelane/lab_route_scale.go
@@ -2,9 +2,7 @@
 
 import (
 	"errors"
-	"fmt"
 	"io"
-	"os"
 	"slices"
 
 	"marblelane/internal/lab"
@@ -22,9 +20,9 @@
 	if slices.ContainsFunc(append(slices.Clone(c.Sidecars), c.Simulated...), func(n int) bool { return n < 1 || n > 5000 }) {
 		return errors.New("--sidecars and --simulated are between 1 and 5000")
 	}
-	self, err := os.Executable()
+	self, err := selfProgram()
 	if err != nil {
-		return fmt.Errorf("the list service's copies are of this program: %w", err)
+		return err
 	}
 	points, err := lab.RouteScale(a.ctx, c.Sidecars, lab.Options{Self: self, Progress: a.errOut})
 	if err != nil {
--- a/cmd/marblelane/main_test.go
+++ b/cmd/marblelane/main_test.go
@@ -1,7 +1,6 @@
 package main
 
 import (
-	"bufio"
 	"bytes"
 	"encoding/json"
 	"fmt"
@@ -87,36 +86,15 @@
 // startLab runs the real command until its copies are up, and gives their process ids.
 func startLab(t *testing.T, scenario string) (*exec.Cmd, *bytes.Buffer, []int) {
 	t.Helper()
-	cmd := exec.Command(filepath.Join(programs, "marblelane"), "--log-level", "info", "lab", "run", scenario)
-	var out bytes.Buffer
-	cmd.Stdout = &out
-	said, err := cmd.StderrPipe()
-	if err != nil {
-		t.Fatal(err)
-	}
-	if err := cmd.Start(); err != nil {
-		t.Fatal(err)
-	}
-	t.Cleanup(func() {
-		cmd.Process.Kill()
-		cmd.Wait()
-	})
-	lines := bufio.NewScanner(said)
-	for lines.Scan() {
-		if strings.Contains(lines.Text(), "all parties are up") {
-			go func() {
-				for lines.Scan() {
-				}
-			}()
-			processes := childrenOf(t, cmd.Process.Pid)
-			if len(processes) != 2 {
-				t.Fatalf("children are %v, want 2", processes)
-			}
-			return cmd, &out, processes
-		}
-	}
-	t.Fatalf("it did not start: %v", lines.Err())
-	return nil, nil, nil
+	cmd := marblelane("--log-level", "info", "lab", "run", scenario)
+	out := &bytes.Buffer{}
+	cmd.Stdout = out
+	startUntil(t, cmd, cmd.StderrPipe, "all parties are up")
+	copies := childrenOf(t, cmd.Process.Pid)
+	if len(copies) != 2 {
+		t.Fatalf("children are %v, want 2", copies)
+	}
+	return cmd, out, copies
 }
 
 func childrenOf(t *testing.T, pid int) []int {
@@ -171,9 +149,7 @@
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			cmd, _, pids := startLab(t, path)
-			if err := cmd.Process.Signal(signal); err != nil {
-				t.Fatal(err)
-			}
+			sendSignal(t, cmd, signal)
 			_ = cmd.Wait()
 			if signal != syscall.SIGKILL && cmd.ProcessState.ExitCode() != exitUse {
 				t.Errorf("it ended with %v", cmd.ProcessState)
@@ -192,13 +168,9 @@
 	}
 	cmd, out, _ := startLab(t, path)
 	for range 2 { // the first may come before the run's clock has begun
-		if err := cmd.Process.Signal(syscall.SIGSTOP); err != nil {
-			t.Fatal(err)
-		}
+		sendSignal(t, cmd, syscall.SIGSTOP)
 		time.Sleep(1500 * time.Millisecond) // the fault itself: it has to be longer than what is let pass
-		if err := cmd.Process.Signal(syscall.SIGCONT); err != nil {
-			t.Fatal(err)
-		}
+		sendSignal(t, cmd, syscall.SIGCONT)
 		time.Sleep(500 * time.Millisecond)
 	}
 	_ = cmd.Wait()
--- a/cmd/marblelane/members.go
+++ b/cmd/marblelane/members.go
@@ -4,6 +4,7 @@
 	"fmt"
 	"time"
 
+	"marblelane/internal/membership"
 	"marblelane/internal/membership/view"
 )
 
@@ -44,3 +45,16 @@
 	}
 	return fmt.Errorf("ADDR %s: %w", m.Addr, err)
 }
+
+// report asks for the process's view of its fleet.
+func (m *memberProcess) report(a *app) (*view.Client, *membership.Report, error) {
+	client, err := m.client()
+	if err != nil {
+		return nil, nil, err
+	}
+	r, err := client.Report(a.ctx, m.Addr)
+	if err != nil {
+		return nil, nil, m.withAddr(err)
+	}
+	return client, r, nil
+}
--- a/cmd/marblelane/members_gone.go
+++ b/cmd/marblelane/members_gone.go
@@ -18,14 +18,10 @@
 }
 
 func (c *membersGone) Run(a *app) error {
-	client, err := c.client()
+	client, r, err := c.report(a)
 	if err != nil {
 		return err
 	}
-	r, err := client.Report(a.ctx, c.Addr)
-	if err != nil {
-		return c.withAddr(err)
-	}
 	id := roster.ID{Name: c.Name, Start: c.Start}
 	var starts []string
 	at := -1
--- a/cmd/marblelane/members_list.go
+++ b/cmd/marblelane/members_list.go
@@ -16,14 +16,10 @@
 }
 
 func (c *membersList) Run(a *app) error {
-	client, err := c.client()
+	_, r, err := c.report(a)
 	if err != nil {
 		return err
 	}
-	r, err := client.Report(a.ctx, c.Addr)
-	if err != nil {
-		return c.withAddr(err)
-	}
 	return printResult(a, c.JSON, r, printMembers)
 }
 
--- a/cmd/marblelane/registry_state_test.go
+++ b/cmd/marblelane/registry_state_test.go
@@ -3,10 +3,8 @@
 import (
 	"bytes"
 	"encoding/json"
-	"errors"
 	"fmt"
 	"os"
-	"os/exec"
 	"path/filepath"
 	"strings"
 	"testing"
@@ -18,20 +16,6 @@
 	"marblelane/internal/registry"
 )
 
-// execute runs the built program to its end.
-func execute(t *testing.T, args ...string) (code int, out, errOut string) {
-	t.Helper()
-	var stdout, stderr bytes.Buffer
-	cmd := exec.CommandContext(t.Context(), filepath.Join(programs, "marblelane"), args...)
-	cmd.Stdout, cmd.Stderr = &stdout, &stderr
-	err := cmd.Run()
-	var exit *exec.ExitError
-	if !errors.As(err, &exit) {
-		require.NoError(t, err)
-	}
-	return cmd.ProcessState.ExitCode(), stdout.String(), stderr.String()
-}
-
 // writeConfig writes the configuration of a cluster of one copy with a folder, and gives its path.
 func writeConfig(t *testing.T, listen, raft, data string) string {
 	t.Helper()
--- a/cmd/marblelane/registry_test.go
+++ b/cmd/marblelane/registry_test.go
@@ -1,7 +1,6 @@
 package main
 
 import (
-	"bufio"
 	"bytes"
 	"encoding/json"
 	"fmt"
@@ -26,27 +25,8 @@
 // startCopy starts a real copy with a configuration and gives where it serves.
 func startCopy(t *testing.T, config string) (string, *exec.Cmd) {
 	t.Helper()
-	cmd := exec.Command(filepath.Join(programs, "marblelane"), "registry", "serve", "--config", config)
-	out, err := cmd.StdoutPipe()
-	if err != nil {
-		t.Fatal(err)
-	}
-	if err := cmd.Start(); err != nil {
-		t.Fatal(err)
-	}
-	t.Cleanup(func() {
-		cmd.Process.Kill()
-		cmd.Wait()
-	})
-	lines := bufio.NewScanner(out)
-	for lines.Scan() {
-		if _, after, ok := strings.Cut(lines.Text(), " listen="); ok {
-			addr, _, _ := strings.Cut(after, " ")
-			return addr, cmd
-		}
-	}
-	t.Fatal("it did not start")
-	return "", nil
+	cmd := marblelane("registry", "serve", "--config", config)
+	return valueOf(startUntil(t, cmd, cmd.StdoutPipe, " listen="), " listen="), cmd
 }
 
 func TestRegistryCommands(t *testing.T) {
@@ -90,9 +70,7 @@
 		t.Errorf("the backup is %s, %v", data, err)
 	}
 	// Killed and started again it has what was written.
-	if err := cmd.Process.Signal(syscall.SIGKILL); err != nil {
-		t.Fatal(err)
-	}
+	sendSignal(t, cmd, syscall.SIGKILL)
 	_ = cmd.Wait()
 	addr, cmd = startCopy(t, config)
 	require.Eventually(t, func() bool {
@@ -104,15 +82,11 @@
 	if err := os.WriteFile(config, []byte(text+"nonsense = 1\n"), 0o644); err != nil {
 		t.Fatal(err)
 	}
-	if err := cmd.Process.Signal(syscall.SIGHUP); err != nil {
-		t.Fatal(err)
-	}
+	sendSignal(t, cmd, syscall.SIGHUP)
 	do(0, `"uid":"s-1"`, "list", "--addr", addr)
 	do(0, "", "remove", "s-1", "--addr", addr)
 	do(2, "connection refused", "list", "--addr", raft[:strings.LastIndexByte(raft, ':')]+":1")
-	if err := cmd.Process.Signal(syscall.SIGTERM); err != nil {
-		t.Fatal(err)
-	}
+	sendSignal(t, cmd, syscall.SIGTERM)
 	if err := cmd.Wait(); err != nil {
 		t.Errorf("at SIGTERM it ended with %v", err)
 	}
@@ -151,14 +125,14 @@
 	}
 	serves()
 	fail()
-	require.NoError(t, cmd.Process.Signal(syscall.SIGHUP))
+	sendSignal(t, cmd, syscall.SIGHUP)
 	require.NoError(t, fault.Set{}.Write(faults))
 	serves()
 	_, list := do("list")
 	assert.Contains(t, list, `"uid":"s-1"`)
 	assert.NotContains(t, list, `"uid":"lost"`)
 	fail()
-	require.NoError(t, cmd.Process.Signal(syscall.SIGTERM))
+	sendSignal(t, cmd, syscall.SIGTERM)
 	assert.NoError(t, cmd.Wait())
 }
 
@@ -208,28 +182,7 @@
 	}
 	sidecarProcess := exec.Command(filepath.Join(programs, "sidecar"))
 	sidecarProcess.Env = []string{"NODE_CONFIG=" + sidecar}
-	log, err := sidecarProcess.StderrPipe()
-	if err != nil {
-		t.Fatal(err)
-	}
-	if err := sidecarProcess.Start(); err != nil {
-		t.Fatal(err)
-	}
-	t.Cleanup(func() {
-		sidecarProcess.Process.Kill()
-		sidecarProcess.Wait()
-	})
-	management := ""
-	lines := bufio.NewScanner(log)
-	for management == "" && lines.Scan() {
-		if _, after, ok := strings.Cut(lines.Text(), "management="); ok {
-			management, _, _ = strings.Cut(after, " ")
-		}
-	}
-	go func() {
-		for lines.Scan() {
-		}
-	}()
+	management := valueOf(startUntil(t, sidecarProcess, sidecarProcess.StderrPipe, "management="), "management=")
 	figures := func() string {
 		resp, err := http.Get("http://" + management + "/stats")
 		if !assert.NoError(t, err) {
@@ -246,20 +199,15 @@
 		}
 	}
 	marker := filepath.Join(dir, "ended")
-	register := exec.Command(filepath.Join(programs, "marblelane"), "register", "--copy", "127.0.0.1:1", "--copy", addr, "--uid", "s-1",
+	register := marblelane("register", "--copy", "127.0.0.1:1", "--copy", addr, "--uid", "s-1",
 		"--endpoint", "127.0.0.1:9", "--zone", "a", "--lease", "3s", "--drain", "1s", "--",
 		"/bin/sh", "-c", `trap 'touch "$0"; exit 0' TERM; while :; do sleep 0.05; done`, marker)
-	if err := register.Start(); err != nil {
-		t.Fatal(err)
-	}
-	t.Cleanup(func() { register.Process.Kill() })
+	startProcess(t, register)
 	wait("the server at the sidecar", func() bool { return strings.Contains(figures(), "svc_hosts_listed 1\n") })
 	if strings.Contains(figures(), "svc_hosts_down 1\n") {
 		t.Error("a ready server is avoided")
 	}
-	if err := register.Process.Signal(syscall.SIGTERM); err != nil {
-		t.Fatal(err)
-	}
+	sendSignal(t, register, syscall.SIGTERM)
 	wait("the drain at the sidecar", func() bool { return strings.Contains(figures(), "svc_hosts_down 1\n") })
 	if _, err := os.Stat(marker); err == nil {
 		t.Error("the server was ended while it drained")
@@ -287,12 +235,8 @@
 			register := func(own ...string) *exec.Cmd {
 				args := append([]string{"register", "--copy", addr, "--uid", "s-1", "--endpoint", "127.0.0.1:9",
 					"--drain", "1m"}, own...)
-				cmd := exec.Command(filepath.Join(programs, "marblelane"), args...)
-				require.NoError(t, cmd.Start())
-				t.Cleanup(func() {
-					cmd.Process.Kill()
-					cmd.Wait()
-				})
+				cmd := marblelane(args...)
+				startProcess(t, cmd)
 				return cmd
 			}
 			listed := func(state string, after int64) (start int64) {
