--- a/balance/digest_test.go
+++ b/balance/digest_test.go
@@ -316,22 +316,4 @@
 }
 
 // fireTimers fires the timers that are due, each at its own time.
-func (d *digestDriver) fireTimers() {
-	end := d.now
-	for {
-		next := -1
-		for i, p := range d.timers {
-			if p.at <= end && (next < 0 || p.at < d.timers[next].at) {
-				next = i
-			}
-		}
-		if next < 0 {
-			break
-		}
-		p := d.timers[next]
-		d.timers = append(d.timers[:next], d.timers[next+1:]...)
-		d.now = p.at
-		d.handle(Timer{Token: p.token})
-	}
-	d.now = end
-}
+func (d *digestDriver) fireTimers() { fireDueTimers(&d.timers, &d.now, d.handle) }
--- a/balance/random_events_test.go
+++ b/balance/random_events_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"math/rand"
+	"slices"
 	"testing"
 )
 
@@ -252,24 +253,28 @@
 }
 
 // fireTimers fires the timers that are due, each at its own time.
-func (sim *simulation) fireTimers() {
-	end := sim.now
+func (sim *simulation) fireTimers() { fireDueTimers(&sim.timers, &sim.now, sim.handle) }
+
+// fireDueTimers hands over the timers that are due, the earliest first. The clock stands at each one's time meanwhile;
+// timers that are set meanwhile and are due are fired too.
+func fireDueTimers(timers *[]pendingTimer, now *float64, handle func(Event)) {
+	end := *now
 	for {
 		next := -1
-		for i, p := range sim.timers {
-			if p.at <= end && (next < 0 || p.at < sim.timers[next].at) {
+		for i, p := range *timers {
+			if p.at <= end && (next < 0 || p.at < (*timers)[next].at) {
 				next = i
 			}
 		}
 		if next < 0 {
 			break
 		}
-		p := sim.timers[next]
-		sim.timers = append(sim.timers[:next], sim.timers[next+1:]...)
-		sim.now = p.at
-		sim.handle(Timer{Token: p.token})
+		p := (*timers)[next]
+		*timers = slices.Delete(*timers, next, next+1)
+		*now = p.at
+		handle(Timer{Token: p.token})
 	}
-	sim.now = end
+	*now = end
 }
 
 // hasUnanswered reports whether a request has no answer yet.
--- a/balance/slow_start_test.go
+++ b/balance/slow_start_test.go
@@ -139,10 +139,8 @@
 	}
 }
 
-// The answers that are assumed for sidecars with little traffic give no budget for servers in slow start, as they
-// would add up over the fleet. Observed answers do.
-func TestSlowStart_assumedAnswers(t *testing.T) {
-	h := newHarness(t, baseConfig(), identicalServers(4)...)
+// restartFirstServer puts the first server into slow start, with a budget that has grown for two seconds from nothing.
+func (h *harness) restartFirstServer() *server {
 	entry := h.b.servers[0].Server
 	entry.StartedAt = h.now
 	h.handle(ServerList{Kind: ListDelta, Servers: []Server{entry}})
@@ -150,6 +148,14 @@
 	h.sendRequest(idempotentClass) // sets the weights
 	s := h.b.servers[0]
 	s.tokens, s.tokensAt = 0, h.now-2000
+	return s
+}
+
+// The answers that are assumed for sidecars with little traffic give no budget for servers in slow start, as they
+// would add up over the fleet. Observed answers do.
+func TestSlowStart_assumedAnswers(t *testing.T) {
+	h := newHarness(t, baseConfig(), identicalServers(4)...)
+	s := h.restartFirstServer()
 	if h.b.picker.withinBudget(s); s.tokens > 0.2 { // would be 1 with ten assumed answers
 		t.Fatalf("%.2f attempts in two seconds", s.tokens)
 	}
@@ -167,13 +173,7 @@
 	budget := func(processes int) float64 {
 		h := newHarness(t, baseConfig(), identicalServers(4)...)
 		h.handle(ProcessCount{Processes: processes})
-		entry := h.b.servers[0].Server
-		entry.StartedAt = h.now
-		h.handle(ServerList{Kind: ListDelta, Servers: []Server{entry}})
-		h.now += 2000
-		h.sendRequest(idempotentClass) // sets the weights
-		s := h.b.servers[0]
-		s.tokens, s.tokensAt = 0, h.now-2000
+		s := h.restartFirstServer()
 		h.b.picker.withinBudget(s)
 		return s.tokens
 	}
