--- a/cmd/marblelane/register.go
+++ b/cmd/marblelane/register.go
@@ -10,7 +10,7 @@
 	"time"
 
 	"marblelane/internal/fault"
-	"marblelane/internal/registry"
+	"marblelane/internal/registry/agent"
 	"marblelane/internal/registry/state"
 )
 
@@ -35,7 +35,7 @@
 	if err != nil {
 		return fmt.Errorf("register: %w", err)
 	}
-	agent := &registry.Agent{Copies: c.Copy, Lease: c.Lease, Health: c.Health, Drain: c.Drain, Log: a.log,
+	registration := &agent.Agent{Replicas: c.Copy, Lease: c.Lease, Health: c.Health, Drain: c.Drain, Log: a.log,
 		Entry: state.Entry{UID: c.UID, Endpoint: c.Endpoint, Zone: c.Zone, Model: c.Model, PodGroup: c.Pod,
 			State: state.Ready, Capacity: 1, BootMS: faults.Now().UnixMilli()}}
 	command := c.Command
@@ -43,7 +43,7 @@
 		command = command[1:]
 	}
 	if len(command) == 0 {
-		return agent.Run(a.ctx)
+		return registration.Run(a.ctx)
 	}
 	server := exec.Command(command[0], command[1:]...)
 	server.Stdout, server.Stderr = a.out, a.errOut
@@ -56,10 +56,10 @@
 	ctx, cancel := context.WithCancel(a.ctx)
 	defer cancel()
 	left := make(chan error, 1)
-	go func() { left <- agent.Run(ctx) }()
+	go func() { left <- registration.Run(ctx) }()
 	select {
 	case err := <-ended: // the server has ended: there is nothing to drain
-		agent.Gone()
+		registration.Gone()
 		cancel()
 		return errors.Join(<-left, exitOf(err))
 	case err := <-left:
--- a/cmd/marblelane/registry.go
+++ b/cmd/marblelane/registry.go
@@ -17,6 +17,7 @@
 	"time"
 
 	"marblelane/internal/registry"
+	"marblelane/internal/registry/listserver"
 	"marblelane/internal/registry/state"
 )
 
@@ -185,7 +186,7 @@
 }
 
 func (c *registryAddCopy) Run(a *app) error {
-	body, err := json.Marshal(registry.Peer{Raft: c.Raft, Serve: c.Serve})
+	body, err := json.Marshal(listserver.Peer{Raft: c.Raft, Serve: c.Serve})
 	if err != nil {
 		return fmt.Errorf("add-copy: %w", err)
 	}
--- a/cmd/marblelane/replace.go
+++ b/cmd/marblelane/replace.go
@@ -12,7 +12,7 @@
 	"unicode"
 
 	"marblelane/internal/membership"
-	"marblelane/internal/registry"
+	"marblelane/internal/registry/listserver"
 )
 
 const (
@@ -109,8 +109,8 @@
 	if err != nil {
 		return false, err
 	}
-	old, there := find(st.Copies, r.Old)
-	fresh, known := find(st.Copies, r.New)
+	old, there := find(st.Replicas, r.Old)
+	fresh, known := find(st.Replicas, r.New)
 	r.learns, r.mute = known && !fresh.Votes, fresh.AckMS < 0
 	switch {
 	case known && fresh.Raft != r.Raft:
@@ -135,7 +135,7 @@
 	}
 	switch {
 	case !known:
-		body, err := json.Marshal(registry.Peer{Raft: r.Raft, Serve: r.Serve})
+		body, err := json.Marshal(listserver.Peer{Raft: r.Raft, Serve: r.Serve})
 		if err != nil {
 			return false, fmt.Errorf("%w: %w", errPermanent, err)
 		}
@@ -190,7 +190,7 @@
 }
 
 // atWork tells why a copy is taken for alive; empty: it is not.
-func atWork(c registry.CopyStatus) string {
+func atWork(c listserver.ReplicaStatus) string {
 	switch {
 	case c.Member == membership.Alive, c.Member == membership.Suspected:
 		return "membership says " + string(c.Member)
@@ -200,16 +200,16 @@
 	return ""
 }
 
-func find(all []registry.CopyStatus, name string) (registry.CopyStatus, bool) {
-	i := slices.IndexFunc(all, func(c registry.CopyStatus) bool { return c.Name == name })
+func find(all []listserver.ReplicaStatus, name string) (listserver.ReplicaStatus, bool) {
+	i := slices.IndexFunc(all, func(c listserver.ReplicaStatus) bool { return c.Name == name })
 	if i < 0 {
-		return registry.CopyStatus{}, false
+		return listserver.ReplicaStatus{}, false
 	}
 	return all[i], true
 }
 
 // findLeader gets the leader from the copy, and the status from the leader.
-func (r *replacing) findLeader() (string, *registry.Status, error) {
+func (r *replacing) findLeader() (string, *listserver.Status, error) {
 	st, err := r.status(r.Addr)
 	if err != nil || st.Leads {
 		return r.Addr, st, err
@@ -224,14 +224,14 @@
 	return leader, st, err
 }
 
-func (r *replacing) status(addr string) (*registry.Status, error) {
+func (r *replacing) status(addr string) (*listserver.Status, error) {
 	at := remote{Addr: addr, Wait: r.Wait}
 	answer, err := at.call(r.a, "GET", "/registry/status", nil)
 	if err != nil {
 		return nil, err
 	}
 	defer answer.Close()
-	var st registry.Status
+	var st listserver.Status
 	if err := json.NewDecoder(answer).Decode(&st); err != nil {
 		return nil, fmt.Errorf("%s: status: %w", addr, err)
 	}
--- a/cmd/marblelane/replace_test.go
+++ b/cmd/marblelane/replace_test.go
@@ -19,12 +19,12 @@
 	"github.com/stretchr/testify/require"
 
 	"marblelane/internal/membership"
-	"marblelane/internal/registry"
+	"marblelane/internal/registry/listserver"
 )
 
 // realCopy is a copy in a process of its own, with the section members.
 type realCopy struct {
-	registry.Peer
+	listserver.Peer
 	cmd *exec.Cmd
 }
 
@@ -49,7 +49,7 @@
 	at := free(t, 3*(n+1))
 	peers := ""
 	for i := range n + 1 {
-		c := &realCopy{Peer: registry.Peer{Name: fmt.Sprint("r", i), Raft: at[3*i], Serve: at[3*i+1]}}
+		c := &realCopy{Peer: listserver.Peer{Name: fmt.Sprint("r", i), Raft: at[3*i], Serve: at[3*i+1]}}
 		all = append(all, c)
 		if i < n {
 			peers += fmt.Sprintf("[[peer]]\nname = %q\nraft = %q\nserve = %q\n", c.Name, c.Raft, c.Serve)
@@ -70,7 +70,7 @@
 	return all[:n], all[n]
 }
 
-func (c *realCopy) status(t *testing.T) (st registry.Status) {
+func (c *realCopy) status(t *testing.T) (st listserver.Status) {
 	t.Helper()
 	var out, said bytes.Buffer
 	if run(t.Context(), []string{"registry", "status", "--addr", c.Serve}, &out, &said) == exitGood {
@@ -81,7 +81,7 @@
 
 func (c *realCopy) stands(t *testing.T, name string) membership.MemberState {
 	t.Helper()
-	one, _ := find(c.status(t).Copies, name)
+	one, _ := find(c.status(t).Replicas, name)
 	return one.Member
 }
 
@@ -130,16 +130,16 @@
 		return l.stands(t, old.Name) == membership.Alive && l.stands(t, left.Name) == membership.Alive
 	})
 	replace(exitUse, "is at work, membership says alive", fresh)
-	require.Len(t, l.status(t).Copies, 3, "nothing was begun")
+	require.Len(t, l.status(t).Replicas, 3, "nothing was begun")
 	// Frozen it is silent, which is no proof; killed its address refuses.
 	require.NoError(t, old.cmd.Process.Signal(syscall.SIGSTOP))
 	wait("its silence", func() bool { return l.stands(t, old.Name) == membership.Silent })
 	require.NoError(t, old.cmd.Process.Kill())
 	wait("its end", func() bool { return l.stands(t, old.Name) == membership.Gone })
 	// One that does not run is not waited for with the cluster at risk: it never gets to vote.
-	notRunning := &realCopy{Peer: registry.Peer{Name: "r9", Raft: "127.0.0.1:1", Serve: "127.0.0.1:1"}}
+	notRunning := &realCopy{Peer: listserver.Peer{Name: "r9", Raft: "127.0.0.1:1", Serve: "127.0.0.1:1"}}
 	replace(exitUse, "r9 does not run", notRunning, "--within", "4s")
-	require.Len(t, l.status(t).Copies, 3)
+	require.Len(t, l.status(t).Replicas, 3)
 	// Ended half-way, and run again.
 	ctx, cancel := context.WithCancel(t.Context())
 	var out, said bytes.Buffer
@@ -148,18 +148,18 @@
 		args := []string{"registry", "replace-copy", "--addr", l.Serve, old.Name, fresh.Name, fresh.Raft, fresh.Serve}
 		ended <- run(ctx, args, &out, &said)
 	}()
-	wait("the first step", func() bool { _, started := find(l.status(t).Copies, fresh.Name); return started })
+	wait("the first step", func() bool { _, started := find(l.status(t).Replicas, fresh.Name); return started })
 	cancel()
 	<-ended
 	done := fmt.Sprintf("%s is in the place of %s\n", fresh.Name, old.Name)
 	replace(exitGood, done, fresh)
 	replace(exitGood, done, fresh)
 	st := l.status(t)
-	require.Len(t, st.Copies, 3)
-	for _, c := range st.Copies {
+	require.Len(t, st.Replicas, 3)
+	for _, c := range st.Replicas {
 		require.True(t, c.Votes, c.Name)
 	}
-	_, there := find(st.Copies, old.Name)
+	_, there := find(st.Replicas, old.Name)
 	require.False(t, there)
 	put := []string{"registry", "put", "s-1", "127.0.0.1:81", "--addr", fresh.Serve}
 	require.Equal(t, exitGood, run(t.Context(), put, &out, &said))
@@ -174,9 +174,9 @@
 	require.Eventually(t, func() bool {
 		st := all[0].status(t)
 		own := fresh.status(t)
-		return st.Leader != "" && st.Rev > 0 && len(st.Copies) == 3 && own.Name == fresh.Name
+		return st.Leader != "" && st.Rev > 0 && len(st.Replicas) == 3 && own.Name == fresh.Name
 	}, 20*time.Second, 10*time.Millisecond)
-	replace := func(old string, c registry.Peer, more ...string) string {
+	replace := func(old string, c listserver.Peer, more ...string) string {
 		t.Helper()
 		var out, said bytes.Buffer
 		args := append([]string{"registry", "replace-copy", "--addr", at, old, c.Name, c.Raft, c.Serve, "--force"}, more...)
@@ -196,7 +196,7 @@
 	require.Contains(t, text, "nobody answers at "+wrong.Raft)
 	require.NotContains(t, text, "stays")
 	require.Equal(t, 1, strings.Count(text, "r3 learns"), text)
-	require.Len(t, all[0].status(t).Copies, 3)
+	require.Len(t, all[0].status(t).Replicas, 3)
 	// There is somebody, who is no copy.
 	l, err = net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
@@ -209,5 +209,5 @@
 	_, command, _ := strings.Cut(strings.TrimSpace(text), "to take it away: marblelane ")
 	var out, said bytes.Buffer
 	require.Equal(t, exitGood, run(t.Context(), strings.Fields(command), &out, &said), "%s%s", &out, &said)
-	require.Eventually(t, func() bool { return len(all[0].status(t).Copies) == 3 }, 20*time.Second, 10*time.Millisecond)
+	require.Eventually(t, func() bool { return len(all[0].status(t).Replicas) == 3 }, 20*time.Second, 10*time.Millisecond)
 }
--- a/internal/lab/registry.go
+++ b/internal/lab/registry.go
@@ -21,7 +21,7 @@
 	"marblelane/internal/lab/record"
 	"marblelane/internal/lab/relay"
 	"marblelane/internal/lab/scenario"
-	"marblelane/internal/registry"
+	"marblelane/internal/registry/listserver"
 	"marblelane/internal/registry/state"
 )
 
@@ -250,7 +250,7 @@
 func (rr *registryRun) leader(ctx context.Context) *registryCopy {
 	var best *registryCopy
 	for _, c := range rr.copies {
-		var st registry.Status
+		var st listserver.Status
 		code, text, err := quick(ctx, "GET", "http://"+c.serve+"/registry/status", nil)
 		if err == nil && code == 200 && json.Unmarshal(text, &st) == nil && st.Leads && st.Rev > 0 {
 			best = c
--- a/internal/lab/registry_faults.go
+++ b/internal/lab/registry_faults.go
@@ -20,7 +20,7 @@
 	"marblelane/internal/lab/process"
 	"marblelane/internal/lab/relay"
 	"marblelane/internal/lab/scenario"
-	"marblelane/internal/registry"
+	"marblelane/internal/registry/listserver"
 )
 
 // faults carries out the scenario's faults, each in its own time, and undoes them at the end of the run.
@@ -136,7 +136,7 @@
 	at, want := rr.log.Now(), rr.acknowledged()
 	for _, c := range chosen {
 		for {
-			var st registry.Status
+			var st listserver.Status
 			code, text, err := quick(ctx, "GET", "http://"+c.serve+"/registry/status", nil)
 			if err == nil && code == http.StatusOK && json.Unmarshal(text, &st) == nil && st.Rev >= want {
 				break
@@ -177,7 +177,7 @@
 
 // revOf is the revision that a copy has applied; 0 where it does not say.
 func (rr *registryRun) revOf(c *registryCopy) int64 {
-	var st registry.Status
+	var st listserver.Status
 	code, text, err := quick(context.Background(), "GET", "http://"+c.serve+"/registry/status", nil)
 	if err != nil || code != http.StatusOK || json.Unmarshal(text, &st) != nil {
 		return 0
@@ -328,7 +328,7 @@
 		if err := rr.launch(ctx, c); err != nil {
 			return err
 		}
-		body, err := json.Marshal(registry.Peer{Raft: c.port.Addr(0), Serve: c.serve})
+		body, err := json.Marshal(listserver.Peer{Raft: c.port.Addr(0), Serve: c.serve})
 		if err != nil {
 			return err
 		}
--- a/internal/registry/agent_test.go
+++ b/internal/registry/agent_test.go
@@ -9,6 +9,8 @@
 	"testing"
 	"time"
 
+	"marblelane/internal/registry/agent"
+	"marblelane/internal/registry/listserver"
 	"marblelane/internal/registry/state"
 )
 
@@ -22,7 +24,7 @@
 		}
 	}))
 	defer server.Close()
-	a := &Agent{Copies: []string{all[0].cfg.Listen, all[1].cfg.Listen, all[2].cfg.Listen}, Lease: 900 * time.Millisecond,
+	a := &agent.Agent{Replicas: []string{all[0].cfg.Listen, all[1].cfg.Listen, all[2].cfg.Listen}, Lease: 900 * time.Millisecond,
 		Health: server.URL, Drain: 300 * time.Millisecond, Entry: *testEntry("s1", 7)}
 	ctx, stop := context.WithCancel(t.Context())
 	ended := make(chan error, 1)
@@ -47,7 +49,7 @@
 		t.Errorf("after the service was away the list is %s", got)
 	}
 	// Taken off by somebody, it comes back.
-	if code, _ := call(t, "DELETE", leader(t, all).cfg.Listen, listPath+"/s1", ""); code != 200 {
+	if code, _ := call(t, "DELETE", leader(t, all).cfg.Listen, listserver.ListPath+"/s1", ""); code != 200 {
 		t.Fatal(code)
 	}
 	until(t, "the server on the list again", func() bool { return listed() == "s1=Ready" })
@@ -80,7 +82,7 @@
 		}
 	}))
 	defer server.Close()
-	a := &Agent{Copies: []string{"127.0.0.1:1", one.cfg.Listen}, Lease: 500 * time.Millisecond, Health: server.URL, Entry: *testEntry("s1", 7)}
+	a := &agent.Agent{Replicas: []string{"127.0.0.1:1", one.cfg.Listen}, Lease: 500 * time.Millisecond, Health: server.URL, Entry: *testEntry("s1", 7)}
 	ctx, stop := context.WithCancel(t.Context())
 	ended := make(chan error, 1)
 	go func() { ended <- a.Run(ctx) }()
@@ -98,7 +100,7 @@
 func TestAgent_drain(t *testing.T) {
 	one := cluster(t, 1, func(c *Config) { c.Dir, c.Peers = "", nil })[0]
 	run := func(boot int64) (stop func()) {
-		a := &Agent{Copies: []string{one.cfg.Listen}, Lease: 600 * time.Millisecond, Drain: time.Millisecond, Entry: *testEntry("s1", boot)}
+		a := &agent.Agent{Replicas: []string{one.cfg.Listen}, Lease: 600 * time.Millisecond, Drain: time.Millisecond, Entry: *testEntry("s1", boot)}
 		ctx, cancel := context.WithCancel(t.Context())
 		ended := make(chan error, 1)
 		go func() { ended <- a.Run(ctx) }()
@@ -112,17 +114,17 @@
 	hour := time.Hour.Milliseconds()
 	stop := run(2 * hour)
 	until(t, "the server", func() bool { return uids(t, one) == "s1=Ready" })
-	if code, _ := call(t, "POST", one.cfg.Listen, listPath+"/s1/drain", ""); code != 200 {
+	if code, _ := call(t, "POST", one.cfg.Listen, listserver.ListPath+"/s1/drain", ""); code != 200 {
 		t.Fatal(code)
 	}
 	renewed := func() bool { // a renewal after the drain has reached the agent
-		return time.Until(one.node.server.leases.End("s1")) > 550*time.Millisecond
+		return time.Until(one.node.Server().LeaseEnd("s1")) > 550*time.Millisecond
 	}
 	until(t, "a renewal", func() bool { return !renewed() })
 	until(t, "another renewal", renewed)
 	until(t, "one more", func() bool { return !renewed() })
 	until(t, "its answer", renewed)
-	if code, _ := call(t, "DELETE", one.cfg.Listen, listPath+"/s1", ""); code != 200 { // as an ended lease would
+	if code, _ := call(t, "DELETE", one.cfg.Listen, listserver.ListPath+"/s1", ""); code != 200 { // as an ended lease would
 		t.Fatal(code)
 	}
 	until(t, "the server again", func() bool { return uids(t, one) != "" })
--- a/internal/registry/config.go
+++ b/internal/registry/config.go
@@ -10,6 +10,8 @@
 
 	"marblelane/internal/fault"
 	"marblelane/internal/membership"
+	"marblelane/internal/membership/addrcheck"
+	"marblelane/internal/registry/listserver"
 	"marblelane/internal/registry/operators"
 	"marblelane/internal/registry/recovery"
 	"marblelane/internal/retry"
@@ -25,8 +27,8 @@
 
 	Advertise string `toml:"advertise"`
 
-	Join  bool   `toml:"join"`
-	Peers []Peer `toml:"peer"`
+	Join  bool              `toml:"join"`
+	Peers []listserver.Peer `toml:"peer"`
 
 	Keep               int               `toml:"keep"`
 	Beat               tomlfile.Duration `toml:"beat"`
@@ -46,6 +48,22 @@
 	Faults      string            `toml:"lab_faults"` // a file of the lab's, see package fault
 }
 
+// membersConfig returns the configuration of the membership group; nil: off.
+func (f *file) membersConfig() (*membership.Config, error) {
+	if f.Members == nil {
+		return nil, nil
+	}
+	c, err := f.Members.Config() // its errors name the key
+	if err != nil {
+		return nil, err
+	}
+	c.Name, c.Role, c.Observer = f.Name, listserver.MemberRole, true
+	if err := addrcheck.Check(c); err != nil {
+		return nil, fmt.Errorf("this copy as a member: %w", err)
+	}
+	return &c, nil
+}
+
 // LoadConfig reads a replica's configuration. A file that cannot be opened or read for a moment is tried again, for up
 // to retry.StartLimit, which Open shares. Errors name file, line and key.
 func LoadConfig(path string) (Config, error) { return loadConfig(path, os.ReadFile) }
@@ -64,7 +82,7 @@
 		return Config{}, fmt.Errorf("configuration %w", err)
 	}
 	c := Config{start: start, Name: f.Name, Listen: f.Listen, Raft: f.Raft, Advertise: f.Advertise, Dir: f.Dir, Join: f.Join, Peers: f.Peers, Keep: f.Keep,
-		Beat: time.Duration(f.Beat), SlowDisk: time.Duration(f.SlowDisk), Options: Options{Batch: time.Duration(f.Batch), Watches: f.Watches, Burst: f.Burst,
+		Beat: time.Duration(f.Beat), SlowDisk: time.Duration(f.SlowDisk), Options: listserver.Options{Batch: time.Duration(f.Batch), Watches: f.Watches, Burst: f.Burst,
 			MaxStaleness: time.Duration(f.MaxStaleness), MaxExpiredFraction: f.MaxExpiredFraction, EachEncodes: f.EachEncodes, Planted: f.RouteDefect}}
 	err := c.check()
 	if err != nil {
--- a/internal/registry/freshness.go
+++ b/internal/registry/freshness.go
@@ -10,7 +10,7 @@
 
 	"github.com/hashicorp/raft"
 
-	"marblelane/internal/registry/state"
+	"marblelane/internal/registry/listserver"
 )
 
 // freshness tracks an upper bound of the staleness of a replica's list.
@@ -70,20 +70,6 @@
 	return f.at
 }
 
-const leaderRevPath = "/registry/leader-revision"
-
-// leaderRev answers polls of followers with the revision of this replica, if it leads.
-func (s *Server) leaderRev(w http.ResponseWriter, _ *http.Request) {
-	var rev int64
-	s.hub.read(func(st *state.State) { rev = st.Rev() })
-	if err := s.replica.Confirm(); err != nil {
-		http.Error(w, err.Error(), http.StatusServiceUnavailable)
-		return
-	}
-	w.Header().Set("Content-Type", "application/json")
-	fmt.Fprintf(w, "{\"rev\":%d}\n", rev)
-}
-
 // trackStaleness updates the staleness at each heartbeat interval until ctx ends: a leader confirms with a quorum, a
 // follower polls the leader.
 func (n *Node) trackStaleness(ctx context.Context) {
@@ -118,7 +104,7 @@
 }
 
 func pollLeader(ctx context.Context, client *http.Client, leader string) (int64, error) {
-	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+leader+leaderRevPath, nil)
+	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+leader+listserver.LeaderRevPath, nil)
 	if err != nil {
 		return 0, err
 	}
--- a/internal/registry/server_admission.go
+++ b/internal/registry/listserver/admission.go
@@ -1,4 +1,4 @@
-package registry
+package listserver
 
 // This file admits readers at a rate.
 
@@ -10,28 +10,30 @@
 // retryAfter admits a reader and returns 0, or returns how long it has to wait.
 func (s *Server) retryAfter() time.Duration {
 	o := s.o.Load()
-	return s.admit.take(time.Now(), o.Watches, float64(o.Burst))
+	return s.admit.Take(time.Now(), o.Watches, float64(o.Burst))
 }
 
-// bucket is a token bucket.
-type bucket struct {
+// TokenBucket is a token bucket. It starts with a full burst.
+type TokenBucket struct {
 	mu       sync.Mutex
-	level    float64
+	Level    float64
 	last     time.Time
 	promised time.Time // retry time given to the reader rejected last
 }
 
-// take takes a token and returns 0, or returns how long to wait. A rejected reader takes no token and is given a later
+func NewTokenBucket(burst int) *TokenBucket { return &TokenBucket{Level: float64(burst)} }
+
+// Take takes a token and returns 0, or returns how long to wait. A rejected reader takes no token and is given a later
 // retry time than the one before it, so that rejected readers return one by one as tokens become available.
-func (b *bucket) take(now time.Time, rate, burst float64) time.Duration {
+func (b *TokenBucket) Take(now time.Time, rate, burst float64) time.Duration {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if !b.last.IsZero() {
-		b.level = min(b.level+rate*now.Sub(b.last).Seconds(), burst)
+		b.Level = min(b.Level+rate*now.Sub(b.last).Seconds(), burst)
 	}
 	b.last = now
-	if b.level >= 1 {
-		b.level--
+	if b.Level >= 1 {
+		b.Level--
 		return 0
 	}
 	if b.promised.Before(now) || b.promised.Sub(now) > maxRetryAfter {
--- a/internal/registry/hub.go
+++ b/internal/registry/listserver/hub.go
@@ -1,4 +1,4 @@
-package registry
+package listserver
 
 import (
 	"encoding/json"
@@ -9,10 +9,10 @@
 	"marblelane/internal/registry/state"
 )
 
-// hub distributes changes of the list to watches. Each change is encoded once, as a line shared by all watches, in a
-// linked list that each watch follows at its own pace, without a queue of its own. A watch that falls maxWatcherLag
+// Hub distributes changes of the list to watches. Each change is encoded once, as a line shared by all watches, in a
+// linked list that each watch follows at its own pace, without a queue of its own. A watch that falls MaxWatcherLag
 // lines behind, or does not take a line within writeWait, is closed; its client resumes from the revision it has.
-type hub struct {
+type Hub struct {
 	mu        sync.Mutex
 	state     *state.State
 	tail      *line
@@ -30,11 +30,11 @@
 	ready chan struct{}
 }
 
-// maxWatcherLag is how many lines a watch may lag before it is closed.
-const maxWatcherLag = 1000
+// MaxWatcherLag is how many lines a watch may lag before it is closed.
+const MaxWatcherLag = 1000
 
-func newHub(keep int) *hub {
-	h := &hub{state: state.NewState(keep)}
+func NewHub(keep int) *Hub {
+	h := &Hub{state: state.NewState(keep)}
 	h.tail = &line{ready: make(chan struct{})}
 	return h
 }
@@ -47,23 +47,23 @@
 	return append(text, '\n'), nil
 }
 
-// read calls f with the state, which f must not keep.
-func (h *hub) read(f func(*state.State)) {
+// Read calls f with the state, which f must not keep.
+func (h *Hub) Read(f func(*state.State)) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	f(h.state)
 }
 
-// replace installs the state of a snapshot and sends the full list to all watches.
-func (h *hub) replace(s *state.State) error {
+// Replace installs the state of a snapshot and sends the full list to all watches.
+func (h *Hub) Replace(s *state.State) error {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.state, h.fullList = s, nil
 	return h.link(s.All())
 }
 
-// publish appends one line with all changes since the last one.
-func (h *hub) publish() error {
+// Publish appends one line with all changes since the last one.
+func (h *Hub) Publish() error {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if h.state.Rev() == h.linkedRev {
@@ -73,7 +73,7 @@
 }
 
 // link appends a line; h.mu is held.
-func (h *hub) link(l state.List) error {
+func (h *Hub) link(l state.List) error {
 	text, err := encode(l)
 	if err != nil {
 		return err
@@ -87,7 +87,7 @@
 }
 
 // encodeSince encodes the changes after one revision up to another, without the cache.
-func (h *hub) encodeSince(after, upTo int64) ([]byte, error) {
+func (h *Hub) encodeSince(after, upTo int64) ([]byte, error) {
 	h.mu.Lock()
 	l := h.state.Since(after)
 	h.mu.Unlock()
@@ -96,13 +96,13 @@
 }
 
 // fullLine returns the full list, encoded once for each revision.
-func (h *hub) fullLine() (*line, error) {
+func (h *Hub) fullLine() (*line, error) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.fullLineLocked()
 }
 
-func (h *hub) fullLineLocked() (*line, error) {
+func (h *Hub) fullLineLocked() (*line, error) {
 	if h.fullList != nil && h.fullList.rev == h.state.Rev() {
 		return h.fullList, nil
 	}
@@ -116,7 +116,7 @@
 
 // subscribe returns the first line for a new watch and the list node from which it follows, taken atomically so that no
 // change is skipped.
-func (h *hub) subscribe(after int64) (first []byte, at *line, err error) {
+func (h *Hub) subscribe(after int64) (first []byte, at *line, err error) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	// Publish pending changes first: otherwise the first line would include a revision that a later line repeats.
--- a/internal/registry/members.go
+++ b/internal/registry/listserver/members.go
@@ -1,7 +1,7 @@
-package registry
+package listserver
 
-// This file is a replica's side of membership, see docs/membership.md. It tells operators which replicas are there; raft
-// alone decides who votes. Without the section of the configuration nothing of it runs.
+// This file joins the replica to the membership group, see docs/membership.md. Operators read the group's view of the
+// replicas; raft alone decides who votes. It is off without its section of the configuration.
 
 import (
 	"context"
@@ -13,60 +13,42 @@
 	"github.com/prometheus/client_golang/prometheus"
 
 	"marblelane/internal/membership"
-	"marblelane/internal/membership/addrcheck"
 	"marblelane/internal/membership/collect"
 	"marblelane/internal/streamlimit"
 )
 
 const (
-	membersPath = "/members"
-	roleList    = "list"
-	// unknown is the state of a replica without a membership report.
-	unknown membership.MemberState = "unknown"
+	MembersPath = "/members"
+	MemberRole  = "list"
+	// UnknownMember is the state of a replica without a membership report.
+	UnknownMember membership.MemberState = "unknown"
 
 	leaveTimeout = 300 * time.Millisecond // time for the leave message to reach the others
-	// memberWatchers of /members may be there at once. They are operators, and each holds a connection.
-	memberWatchers = 8
-	// An address that cannot be bound is tried again after bindSoon, and then after twice as long each time, bindLate at
-	// most.
+	// MemberWatchers is the maximum of concurrent watches of /members; each holds a connection.
+	MemberWatchers = 8
+	// An address that cannot be bound is retried after bindSoon, then after twice the time, up to bindLate.
 	bindSoon = 100 * time.Millisecond
 	bindLate = 10 * time.Second
 )
 
-// membersConfig is what the group of a replica is opened with; nil: off.
-func (f *file) membersConfig() (*membership.Config, error) {
-	if f.Members == nil {
-		return nil, nil
-	}
-	c, err := f.Members.Config() // its errors name the key
-	if err != nil {
-		return nil, err
-	}
-	c.Name, c.Role, c.Observer = f.Name, roleList, true
-	if err := addrcheck.Check(c); err != nil {
-		return nil, fmt.Errorf("this copy as a member: %w", err)
-	}
-	return &c, nil
-}
-
-// members is a replica's place in the fleet; nil: it has none.
-type members struct {
+// Members is the replica as a member of the group.
+type Members struct {
 	cfg      membership.Config
 	group    atomic.Pointer[membership.Group] // nil: not bound yet, or closed
 	watchers streamlimit.Limiter
 }
 
-func newMembers(cfg *membership.Config, o Options) *members {
+func NewMembers(cfg *membership.Config, o Options) *Members {
 	if cfg == nil {
 		return nil
 	}
-	m := &members{cfg: *cfg, watchers: streamlimit.Limiter{MaxOpen: memberWatchers, WriteTimeout: lineWriteTimeout}}
+	m := &Members{cfg: *cfg, watchers: streamlimit.Limiter{MaxOpen: MemberWatchers, WriteTimeout: lineWriteTimeout}}
 	m.cfg.Log = o.Log
 	return m
 }
 
-// run binds, however often that takes, and leaves when ctx ends. The replica serves meanwhile.
-func (m *members) run(ctx context.Context) {
+// Run binds the address, with retries, and leaves the group when ctx ends. The replica serves meanwhile.
+func (m *Members) Run(ctx context.Context) {
 	wait := bindSoon
 	g, err := membership.Open(m.cfg)
 	for ; err != nil; g, err = membership.Open(m.cfg) {
@@ -93,9 +75,9 @@
 	}
 }
 
-// standings tells how the replicas stand, by name, as this one sees them: of one name the latest start counts, and one
-// that is there before one that is not. What a group that has left saw last tells nothing of now.
-func (m *members) standings() map[string]membership.MemberState {
+// Standings returns the state of each replica by name, as this one sees it. Of several members with one name an alive one
+// counts, then the one that started last. A group that this replica has left is not consulted.
+func (m *Members) Standings() map[string]membership.MemberState {
 	out := map[string]membership.MemberState{}
 	if m == nil {
 		return out
@@ -109,7 +91,7 @@
 		return out
 	}
 	for _, one := range report.Members {
-		if one.Role != "" && one.Role != roleList {
+		if one.Role != "" && one.Role != MemberRole {
 			continue
 		}
 		was, seen := out[one.Name]
@@ -131,7 +113,7 @@
 	return false
 }
 
-func (m *members) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+func (m *Members) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	g := m.group.Load()
 	if g == nil {
 		http.Error(w, fmt.Sprintf("members: %s is not bound", m.cfg.Bind), http.StatusServiceUnavailable)
@@ -144,18 +126,18 @@
 	g.Handler().ServeHTTP(w, r)
 }
 
-// Describe says nothing: while the address is not bound there are no figures.
-func (m *members) Describe(chan<- *prometheus.Desc) {}
+// Describe sends nothing: there are no metrics while the address is not bound.
+func (m *Members) Describe(chan<- *prometheus.Desc) {}
 
-// Collect gives the group's figures.
-func (m *members) Collect(out chan<- prometheus.Metric) {
+// Collect sends the metrics of the group.
+func (m *Members) Collect(out chan<- prometheus.Metric) {
 	if g := m.group.Load(); g != nil {
 		collect.New(g).Collect(out)
 	}
 }
 
-// join serves the views of a group, and its metrics.
-func (s *Server) join(m *members) {
+// Join serves the views of the group, and its metrics.
+func (s *Server) Join(m *Members) {
 	s.members = m
 	prometheus.WrapRegistererWithPrefix("registry_", s.metrics.registry).MustRegister(m)
 }
--- a/internal/registry/server.go
+++ b/internal/registry/listserver/server.go
@@ -1,6 +1,9 @@
-package registry
+// Package listserver is the HTTP API of the list: reads and watches, writes and renewals, admission, status and metrics,
+// and changes of the replicas.
+package listserver
 
 import (
+	"cmp"
 	"context"
 	"encoding/json"
 	"errors"
@@ -12,6 +15,7 @@
 	"sync/atomic"
 	"time"
 
+	"github.com/prometheus/client_golang/prometheus"
 	"github.com/prometheus/client_golang/prometheus/promhttp"
 
 	"marblelane/internal/registry/operators"
@@ -19,14 +23,14 @@
 )
 
 const (
-	listPath = "/registry/instances"
+	ListPath = "/registry/instances"
 
-	// watchHeartbeat is the interval of empty lines on an idle watch, given by the platform's protocol.
-	watchHeartbeat = 2 * time.Second
+	// WatchHeartbeat is the interval of empty lines on an idle watch, given by the platform's protocol.
+	WatchHeartbeat = 2 * time.Second
 	// lineWriteTimeout bounds the write of one line to a watch.
 	lineWriteTimeout  = 5 * time.Second
-	maxWriteBodyBytes = 64 << 10 // bytes of a write's body
-	applyTimeout      = 5 * time.Second
+	MaxWriteBodyBytes = 64 << 10 // bytes of a write's body
+	ApplyTimeout      = 5 * time.Second
 )
 
 // Replica is the replicated log under a server: raft, or a single process.
@@ -54,6 +58,15 @@
 	ErrNoQuorum  = errors.New("no majority of the copies can be reached")
 )
 
+// Routes is the API of routes and rollouts that a server offers beside the list.
+type Routes interface {
+	// Handle registers the HTTP handlers.
+	Handle(m *http.ServeMux)
+	// Run carries out the periodic duties until ctx ends.
+	Run(ctx context.Context)
+	prometheus.Collector
+}
+
 // Options configure a server. Zero values stand for the defaults.
 type Options struct {
 	Batch        time.Duration // time for which changes are batched into one line; 20 ms
@@ -68,8 +81,8 @@
 	Log                *slog.Logger
 }
 
-func (o *Options) defaults() {
-	orDuration(&o.Batch, 20*time.Millisecond)
+func (o *Options) SetDefaults() {
+	o.Batch = cmp.Or(o.Batch, 20*time.Millisecond)
 	if o.Watches == 0 {
 		o.Watches = 500
 	}
@@ -84,46 +97,56 @@
 	}
 }
 
-func orDuration(d *time.Duration, otherwise time.Duration) {
-	if *d == 0 {
-		*d = otherwise
-	}
-}
-
 // Server answers readers and writers of one replica.
 type Server struct {
-	hub     *hub
+	hub     *Hub
 	replica Replica
 	o       atomic.Pointer[Options]
 	log     *slog.Logger
 	leases  *state.Leases
-	admit   bucket
+	admit   *TokenBucket
 	changed chan struct{}
 	metrics *metrics
 	watches atomic.Int64
-	routes  *routing
-	members *members // nil: off
+	routes  Routes   // nil: not mounted
+	members *Members // nil: off
 }
 
-// newServer makes a server over a hub whose state the replica changes. Changes are published only while Run runs.
-func newServer(h *hub, r Replica, o Options) *Server {
-	o.defaults()
-	s := &Server{hub: h, replica: r, log: o.Log, changed: make(chan struct{}, 1), leases: state.NewLeases()}
+// New makes a server over a hub whose state the replica changes. Changes are published only while Run runs.
+func New(h *Hub, r Replica, o Options) *Server {
+	o.SetDefaults()
+	s := &Server{hub: h, replica: r, log: o.Log, changed: make(chan struct{}, 1), leases: state.NewLeases(), admit: NewTokenBucket(o.Burst)}
 	s.o.Store(&o)
-	s.admit.level = float64(o.Burst)
-	s.routes = newRouting(s, o)
 	s.metrics = newMetrics(s)
 	return s
 }
 
+// Mount adds the routes API, before Handler and Run.
+func (s *Server) Mount(r Routes) {
+	s.routes = r
+	s.metrics.registry.MustRegister(r)
+}
+
+// Options returns the current options.
+func (s *Server) Options() *Options { return s.o.Load() }
+
+// CountTurnedAway counts a reader rejected by the rate limit.
+func (s *Server) CountTurnedAway() { s.metrics.turned.Inc() }
+
+// CountSlowWatcher counts a watch closed because its client was slow.
+func (s *Server) CountSlowWatcher() { s.metrics.slow.Inc() }
+
+// LeaseEnd is when the lease of an entry ends; zero if this replica tracks none.
+func (s *Server) LeaseEnd(uid string) time.Time { return s.leases.End(uid) }
+
 // Reload replaces the options, except the logger.
 func (s *Server) Reload(o Options) {
-	o.defaults()
+	o.SetDefaults()
 	s.o.Store(&o)
 }
 
-// signalChange signals that the state has changed. It never blocks.
-func (s *Server) signalChange() {
+// SignalChange signals that the state has changed. It never blocks.
+func (s *Server) SignalChange() {
 	select {
 	case s.changed <- struct{}{}:
 	default:
@@ -134,7 +157,9 @@
 func (s *Server) Run(ctx context.Context) {
 	var wg sync.WaitGroup
 	wg.Go(func() { s.expireLoop(ctx) })
-	wg.Go(func() { s.routes.run(ctx) })
+	if s.routes != nil {
+		wg.Go(func() { s.routes.Run(ctx) })
+	}
 	defer wg.Wait()
 	for {
 		select {
@@ -150,7 +175,7 @@
 			return
 		case <-t.C:
 		}
-		if err := s.hub.publish(); err != nil {
+		if err := s.hub.Publish(); err != nil {
 			s.log.Error("registry: news cannot be told", "error", err)
 		}
 	}
@@ -159,37 +184,39 @@
 // Handler serves the list, writes, health and metrics.
 func (s *Server) Handler() http.Handler {
 	m := http.NewServeMux()
-	m.HandleFunc("GET "+listPath, s.list)
-	m.HandleFunc("GET "+listPath+"/{uid}", s.get)
-	m.HandleFunc("POST "+listPath+"/{uid}", s.put)
-	m.HandleFunc("POST "+listPath+"/{uid}/renew", s.renew)
-	m.HandleFunc("POST "+listPath+"/{uid}/drain", func(w http.ResponseWriter, r *http.Request) { s.change(w, r, state.OpDrain) })
-	m.HandleFunc("DELETE "+listPath+"/{uid}", func(w http.ResponseWriter, r *http.Request) { s.change(w, r, state.OpRemove) })
+	m.HandleFunc("GET "+ListPath, s.list)
+	m.HandleFunc("GET "+ListPath+"/{uid}", s.get)
+	m.HandleFunc("POST "+ListPath+"/{uid}", s.put)
+	m.HandleFunc("POST "+ListPath+"/{uid}/renew", s.renew)
+	m.HandleFunc("POST "+ListPath+"/{uid}/drain", func(w http.ResponseWriter, r *http.Request) { s.change(w, r, state.OpDrain) })
+	m.HandleFunc("DELETE "+ListPath+"/{uid}", func(w http.ResponseWriter, r *http.Request) { s.change(w, r, state.OpRemove) })
 	m.HandleFunc("GET /registry/status", s.status)
 	m.HandleFunc("GET /registry/snapshot", s.snapshot)
-	m.HandleFunc("GET "+leaderRevPath, s.leaderRev)
-	if c, ok := s.replica.(replicaSet); ok {
-		s.handleCopies(m, c)
+	m.HandleFunc("GET "+LeaderRevPath, s.leaderRev)
+	if c, ok := s.replica.(ReplicaSet); ok {
+		s.handleReplicas(m, c)
 	}
 	if s.members != nil {
-		m.Handle(membersPath, s.members)
-		m.Handle(membersPath+"/", s.members)
+		m.Handle(MembersPath, s.members)
+		m.Handle(MembersPath+"/", s.members)
+	}
+	if s.routes != nil {
+		s.routes.Handle(m)
 	}
-	s.routes.handle(m)
 	m.HandleFunc("GET /healthcheck", s.health)
 	m.Handle("GET /stats", promhttp.HandlerFor(s.metrics.registry, promhttp.HandlerOpts{}))
 	return m
 }
 
-// stale reports whether this replica is too stale to serve reads.
-func (s *Server) stale() (time.Duration, bool) {
+// Stale reports whether this replica is too stale to serve reads.
+func (s *Server) Stale() (time.Duration, bool) {
 	age, limit := s.replica.Staleness(), s.o.Load().MaxStaleness
 	return age, limit > 0 && age > limit
 }
 
-// writeReplicaHeaders sets the headers with role, staleness and revision. staleness has to be read before the answer is
+// WriteReplicaHeaders sets the headers with role, staleness and revision. staleness has to be read before the answer is
 // made, so that it is not understated.
-func (s *Server) writeReplicaHeaders(w http.ResponseWriter, rev int64, staleness time.Duration) {
+func (s *Server) WriteReplicaHeaders(w http.ResponseWriter, rev int64, staleness time.Duration) {
 	me, _ := s.replica.Leader()
 	role := "follower"
 	if me {
@@ -204,7 +231,7 @@
 }
 
 func (s *Server) list(w http.ResponseWriter, r *http.Request) {
-	if age, stale := s.stale(); stale {
+	if age, stale := s.Stale(); stale {
 		w.Header().Set("Retry-After", "1")
 		http.Error(w, fmt.Sprintf("what this copy has may be %v old", age.Round(time.Millisecond)), http.StatusServiceUnavailable)
 		return
@@ -223,7 +250,7 @@
 			http.Error(w, err.Error(), http.StatusInternalServerError)
 			return
 		}
-		s.writeReplicaHeaders(w, l.rev, staleness)
+		s.WriteReplicaHeaders(w, l.rev, staleness)
 		w.Header().Set("Content-Type", "application/json")
 		w.Header().Set("Content-Length", strconv.Itoa(len(l.text)))
 		_, _ = w.Write(l.text) // the reader may have disconnected
@@ -242,7 +269,7 @@
 
 // get is a linearizable read of one entry: only the leader answers, once a quorum has confirmed it.
 func (s *Server) get(w http.ResponseWriter, r *http.Request) {
-	if !s.leading(w, r) {
+	if !s.Leading(w, r) {
 		return
 	}
 	if err := s.replica.Confirm(); err != nil {
@@ -253,7 +280,7 @@
 	var e state.Entry
 	var changed int64
 	known := false
-	s.hub.read(func(st *state.State) { e, changed, _, known = st.Get(r.PathValue("uid")) })
+	s.hub.Read(func(st *state.State) { e, changed, _, known = st.Get(r.PathValue("uid")) })
 	if !known {
 		http.Error(w, state.ErrUnknown.Error(), http.StatusNotFound)
 		return
@@ -270,12 +297,12 @@
 	var out *state.Snapshot
 	var err error
 	staleness := s.replica.Staleness()
-	s.hub.read(func(st *state.State) { out, err = st.Snapshot() })
+	s.hub.Read(func(st *state.State) { out, err = st.Snapshot() })
 	if err != nil {
 		http.Error(w, err.Error(), http.StatusInternalServerError)
 		return
 	}
-	s.writeReplicaHeaders(w, out.Rev, staleness)
+	s.WriteReplicaHeaders(w, out.Rev, staleness)
 	w.Header().Set("Content-Type", "application/json")
 	_ = json.NewEncoder(w).Encode(out) // the caller may have disconnected
 }
--- a/internal/registry/server_status.go
+++ b/internal/registry/listserver/status.go
@@ -1,4 +1,4 @@
-package registry
+package listserver
 
 // This file says how a replica is: status, health, metrics.
 
@@ -28,16 +28,16 @@
 	Members     map[string]string `json:"members"`
 
 	// Of its whole answer alone.
-	Name    string       `json:"name,omitempty"`
-	Applied uint64       `json:"applied"` // index of the last log entry that it has applied
-	Copies  []CopyStatus `json:"copies,omitempty"`
+	Name     string          `json:"name,omitempty"`
+	Applied  uint64          `json:"applied"` // index of the last log entry that it has applied
+	Replicas []ReplicaStatus `json:"copies,omitempty"`
 }
 
 // Status reads it.
 func (s *Server) Status() Status {
 	var out Status
 	out.Leads, out.Leader = s.replica.Leader()
-	s.hub.read(func(st *state.State) {
+	s.hub.Read(func(st *state.State) {
 		out.Rev, out.Epoch, out.Entries, out.Members = st.Rev(), state.EpochOf(st.Rev()), st.Len(), st.Members()
 		st.Leased(func(string, int64, time.Duration) { out.Leased++ })
 	})
@@ -51,14 +51,14 @@
 	e := json.NewEncoder(w)
 	e.SetIndent("", " ")
 	out := s.Status()
-	if c, ok := s.replica.(replicaSet); ok {
-		out.Name, out.Applied, out.Copies = c.Name(), c.Applied(), c.Copies()
+	if c, ok := s.replica.(ReplicaSet); ok {
+		out.Name, out.Applied, out.Replicas = c.Name(), c.Applied(), c.Replicas()
 	}
 	_ = e.Encode(out) // a caller that is gone needs nothing
 }
 
 func (s *Server) health(w http.ResponseWriter, _ *http.Request) {
-	if age, stale := s.stale(); stale {
+	if age, stale := s.Stale(); stale {
 		http.Error(w, fmt.Sprintf("what this copy has may be %v old", age.Round(time.Millisecond)), http.StatusServiceUnavailable)
 		return
 	}
@@ -89,7 +89,7 @@
 	gauge := func(name, help string, of func(Status) float64) prometheus.Collector {
 		return prometheus.NewGaugeFunc(prometheus.GaugeOpts{Name: name, Help: help}, func() float64 { return of(s.Status()) })
 	}
-	f.registry.MustRegister(f.turned, f.slow, f.bytes, s.routes,
+	f.registry.MustRegister(f.turned, f.slow, f.bytes,
 		gauge("registry_revision", "Revision of the last change.", func(x Status) float64 { return float64(x.Rev) }),
 		gauge("registry_entries", "Entries in the list.", func(x Status) float64 { return float64(x.Entries) }),
 		gauge("registry_entries_held", "Entries kept although their leases have ended.", func(x Status) float64 { return float64(x.Held) }),
--- a/internal/registry/server_watch.go
+++ b/internal/registry/listserver/watch.go
@@ -1,4 +1,4 @@
-package registry
+package listserver
 
 // This file serves watches of the list.
 
@@ -16,23 +16,23 @@
 	}
 	s.watches.Add(1)
 	defer s.watches.Add(-1)
-	s.writeReplicaHeaders(w, at.rev, staleness)
+	s.WriteReplicaHeaders(w, at.rev, staleness)
 	w.Header().Set("Content-Type", "application/json")
-	say := s.lineWriter(w)
+	say := s.LineWriter(w)
 	if len(first) == 0 {
 		first = []byte("\n")
 	}
 	if !say(first) {
 		return
 	}
-	tick := time.NewTicker(watchHeartbeat)
+	tick := time.NewTicker(WatchHeartbeat)
 	defer tick.Stop()
 	for {
 		select {
 		case <-r.Context().Done():
 			return
 		case <-tick.C:
-			if _, stale := s.stale(); stale || !say([]byte("\n")) {
+			if _, stale := s.Stale(); stale || !say([]byte("\n")) {
 				return // a watch on a replica that is cut off would look alive and tell nothing
 			}
 			continue
@@ -40,7 +40,7 @@
 		}
 		before := at.rev
 		at = at.next
-		if s.hub.lines.Load()-at.n > maxWatcherLag {
+		if s.hub.lines.Load()-at.n > MaxWatcherLag {
 			s.metrics.slow.Inc()
 			return
 		}
@@ -57,8 +57,8 @@
 	}
 }
 
-// lineWriter returns a function that writes a line to a watch and reports whether it was written in time.
-func (s *Server) lineWriter(w http.ResponseWriter) func(text []byte) bool {
+// LineWriter returns a function that writes a line to a watch and reports whether it was written in time.
+func (s *Server) LineWriter(w http.ResponseWriter) func(text []byte) bool {
 	control := http.NewResponseController(w)
 	return func(text []byte) bool {
 		if err := control.SetWriteDeadline(time.Now().Add(lineWriteTimeout)); err != nil {
--- a/internal/registry/server_writes.go
+++ b/internal/registry/listserver/writes.go
@@ -1,4 +1,4 @@
-package registry
+package listserver
 
 // This file serves writes of entries and renewals of leases.
 
@@ -15,19 +15,19 @@
 	"marblelane/internal/registry/state"
 )
 
-// registration is the body of a write: an entry in the platform's form, with its lease.
-type registration struct {
+// Registration is the body of a write: an entry in the platform's form, with its lease.
+type Registration struct {
 	state.Entry
 	LeaseMS int64 `json:"lease_ms"`
 }
 
 func (s *Server) put(w http.ResponseWriter, r *http.Request) {
-	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxWriteBodyBytes))
+	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, MaxWriteBodyBytes))
 	if err != nil {
 		http.Error(w, "the body cannot be read: "+err.Error(), http.StatusBadRequest)
 		return
 	}
-	reg := registration{Entry: state.Entry{UID: r.PathValue("uid"), State: state.Ready, Capacity: 1}}
+	reg := Registration{Entry: state.Entry{UID: r.PathValue("uid"), State: state.Ready, Capacity: 1}}
 	if err := json.Unmarshal(body, &reg); err != nil {
 		http.Error(w, "the body is no entry: "+err.Error(), http.StatusBadRequest)
 		return
@@ -54,14 +54,14 @@
 
 // renew restarts a lease with its full term. It changes no revision.
 func (s *Server) renew(w http.ResponseWriter, r *http.Request) {
-	if !s.leading(w, r) {
+	if !s.Leading(w, r) {
 		return
 	}
 	uid := r.PathValue("uid")
 	var term time.Duration
 	var entry state.Entry
 	known := false
-	s.hub.read(func(st *state.State) { entry, _, term, known = st.Get(uid) })
+	s.hub.Read(func(st *state.State) { entry, _, term, known = st.Get(uid) })
 	if !known {
 		http.Error(w, state.ErrUnknown.Error()+": register again", http.StatusNotFound)
 		return
@@ -71,13 +71,13 @@
 	fmt.Fprintf(w, "{\"state\":%q,\"lease_ms\":%d}\n", entry.State, term.Milliseconds())
 }
 
-// leading tells whether this replica leads; else it sends the caller on or away.
-func (s *Server) leading(w http.ResponseWriter, r *http.Request) bool {
+// Leading tells whether this replica leads; else it sends the caller on or away.
+func (s *Server) Leading(w http.ResponseWriter, r *http.Request) bool {
 	me, address := s.replica.Leader()
 	if me {
 		return true
 	}
-	s.writeReplicaHeaders(w, 0, s.replica.Staleness())
+	s.WriteReplicaHeaders(w, 0, s.replica.Staleness())
 	if address == "" {
 		w.Header().Set("Retry-After", "1")
 		http.Error(w, ErrNoQuorum.Error(), http.StatusServiceUnavailable)
@@ -97,10 +97,10 @@
 		}
 		c.If = &rev
 	}
-	if !s.leading(w, r) {
+	if !s.Leading(w, r) {
 		return
 	}
-	rev, err := s.replica.Apply(c, applyTimeout)
+	rev, err := s.replica.Apply(c, ApplyTimeout)
 	if err != nil {
 		status := http.StatusInternalServerError
 		switch {
@@ -120,7 +120,7 @@
 	if c.Op == state.OpPut && c.LeaseMS > 0 {
 		s.leases.Renew(c.Entry.UID, time.Duration(c.LeaseMS)*time.Millisecond, time.Now())
 	}
-	s.writeReplicaHeaders(w, rev, s.replica.Staleness())
+	s.WriteReplicaHeaders(w, rev, s.replica.Staleness())
 	w.Header().Set("Content-Type", "application/json")
 	fmt.Fprintf(w, "{\"rev\":%d}\n", rev)
 }
@@ -142,7 +142,7 @@
 		}
 		now := time.Now() // carries the monotonic clock, which no step moves
 		var leased []state.Lease
-		s.hub.read(func(st *state.State) {
+		s.hub.Read(func(st *state.State) {
 			st.Leased(func(uid string, changed int64, term time.Duration) {
 				leased = append(leased, state.Lease{UID: uid, Changed: changed, Term: term})
 			})
@@ -155,7 +155,7 @@
 			continue
 		}
 		s.log.Info("registry: leases ended", "entries", len(expired))
-		if _, err := s.replica.Apply(&state.Command{Op: state.OpExpire, Expired: expired}, applyTimeout); err != nil {
+		if _, err := s.replica.Apply(&state.Command{Op: state.OpExpire, Expired: expired}, ApplyTimeout); err != nil {
 			s.log.Warn("registry: ended leases are not told", "error", err)
 		}
 	}
--- a/internal/registry/members_test.go
+++ b/internal/registry/members_test.go
@@ -11,6 +11,7 @@
 	"github.com/stretchr/testify/require"
 
 	"marblelane/internal/membership"
+	"marblelane/internal/registry/listserver"
 )
 
 // No step is taken that would leave less than a quorum that answers. cmd/marblelane has a whole replacement.
@@ -18,36 +19,36 @@
 	all := cluster(t, 4, nil)
 	l := leader(t, all)
 	first := l.cfg.Name
-	require.ErrorIs(t, l.node.Retire(first), ErrNotLeader) // it gives the lead on before it goes
+	require.ErrorIs(t, l.node.Retire(first), listserver.ErrNotLeader) // it gives the lead on before it goes
 	until(t, "the next leader, and the old one's end", func() bool {
 		l = leader(t, all)
 		return l.cfg.Name != first && l.node.Retire(first) == nil
 	})
 	require.NoError(t, l.node.Retire(first), "once more")
-	require.Len(t, l.node.Copies(), 3)
+	require.Len(t, l.node.Replicas(), 3)
 	var others []*copyOf
 	for _, c := range all {
 		if c.cfg.Name != first && c != l {
 			others = append(others, c)
 		}
 	}
-	nobody := Peer{Name: "r9", Raft: freePort(t), Serve: freePort(t)} // it does not run
-	before := l.node.Copies()
-	require.ErrorIs(t, l.node.Learn(nobody), ErrRejected)
-	require.Len(t, l.node.Copies(), len(before), "nothing is left behind")
+	nobody := listserver.Peer{Name: "r9", Raft: freePort(t), Serve: freePort(t)} // it does not run
+	before := l.node.Replicas()
+	require.ErrorIs(t, l.node.Learn(nobody), listserver.ErrRejected)
+	require.Len(t, l.node.Replicas(), len(before), "nothing is left behind")
 	mute, err := net.Listen("tcp", nobody.Raft) // and now somebody does, who says nothing
 	require.NoError(t, err)
 	t.Cleanup(func() { mute.Close() })
 	require.NoError(t, l.node.Learn(nobody))
-	code, text := call(t, "POST", others[0].cfg.Listen, copiesPath+"/r9/promote", "")
+	code, text := call(t, "POST", others[0].cfg.Listen, listserver.ReplicasPath+"/r9/promote", "")
 	require.Equal(t, 409, code)
 	require.Contains(t, text, "r9 does not answer")
-	require.ErrorIs(t, l.node.Promote("r7"), ErrRejected)
-	require.ErrorIs(t, l.node.Learn(Peer{Name: "r9", Raft: "127.0.0.1:1", Serve: "x"}), ErrRejected, "two of a name")
-	require.ErrorIs(t, l.node.Learn(Peer{Name: "r8", Raft: nobody.Raft, Serve: "x"}), ErrRejected, "two of an address")
+	require.ErrorIs(t, l.node.Promote("r7"), listserver.ErrRejected)
+	require.ErrorIs(t, l.node.Learn(listserver.Peer{Name: "r9", Raft: "127.0.0.1:1", Serve: "x"}), listserver.ErrRejected, "two of a name")
+	require.ErrorIs(t, l.node.Learn(listserver.Peer{Name: "r8", Raft: nobody.Raft, Serve: "x"}), listserver.ErrRejected, "two of an address")
 	require.NoError(t, l.node.Retire("r9"))
 	others[0].end(t)
-	code, text = call(t, "POST", l.cfg.Listen, copiesPath+"/"+others[1].cfg.Name+"/retire", "")
+	code, text = call(t, "POST", l.cfg.Listen, listserver.ReplicasPath+"/"+others[1].cfg.Name+"/retire", "")
 	require.Equal(t, 409, code)
 	require.Contains(t, text, "of the 2 that would vote 1 answer")
 	put(t, l, "s1", 1, 0) // nothing is lost
@@ -75,7 +76,7 @@
 	}
 }
 
-func status(t *testing.T, c *copyOf) (out Status) {
+func status(t *testing.T, c *copyOf) (out listserver.Status) {
 	t.Helper()
 	code, text := call(t, "GET", c.cfg.Listen, "/registry/status", "")
 	require.Equal(t, 200, code)
@@ -93,7 +94,7 @@
 	})
 	stands := func(want ...membership.MemberState) func() bool {
 		return func() bool {
-			for i, c := range status(t, all[0]).Copies {
+			for i, c := range status(t, all[0]).Replicas {
 				if c.Member != want[i] {
 					return false
 				}
@@ -102,40 +103,41 @@
 		}
 	}
 	// Without its address a replica serves, and membership knows nothing of it.
-	until(t, "two that are alive", stands(membership.Alive, membership.Alive, unknown))
-	code, _ := call(t, "GET", all[2].cfg.Listen, membersPath, "")
+	until(t, "two that are alive", stands(membership.Alive, membership.Alive, listserver.UnknownMember))
+	code, _ := call(t, "GET", all[2].cfg.Listen, listserver.MembersPath, "")
 	require.Equal(t, 503, code)
 	put(t, all[2], "s1", 1, 0)
 	require.NoError(t, taken.Close())
 	until(t, "all three", stands(membership.Alive, membership.Alive, membership.Alive))
-	code, text := call(t, "GET", all[2].cfg.Listen, membersPath, "")
+	code, text := call(t, "GET", all[2].cfg.Listen, listserver.MembersPath, "")
 	require.Equal(t, 200, code)
 	require.Contains(t, text, `"role":"list"`)
 	_, text = call(t, "GET", all[0].cfg.Listen, "/stats", "")
 	require.Contains(t, text, "registry_members{state=\"alive\"} 3\n")
 	all[1].end(t)
 	until(t, "the one that left", stands(membership.Alive, membership.Gone, membership.Alive))
-	require.Len(t, status(t, all[0]).Copies, 3, "membership does not vote")
+	require.Len(t, status(t, all[0]).Replicas, 3, "membership does not vote")
 	// A replica that takes no part any more does not go on saying what it saw last.
-	code, text = call(t, "POST", all[0].cfg.Listen, membersPath+"/leave", "")
+	code, text = call(t, "POST", all[0].cfg.Listen, listserver.MembersPath+"/leave", "")
 	require.Less(t, code, 300, text)
-	require.True(t, stands(unknown, unknown, unknown)())
+	require.True(t, stands(listserver.UnknownMember, listserver.UnknownMember, listserver.UnknownMember)())
 }
 
 // Watches of /members are counted, and a caller that takes nothing makes room.
 func TestMembers_watchLimit(t *testing.T) {
 	one := cluster(t, 1, func(c *Config) { withMembers(t, c, "127.0.0.1:0", "127.0.0.1:1") })[0]
-	until(t, "its address", func() bool { return one.node.members.group.Load() != nil })
+	until(t, "its address", func() bool {
+		return func() bool { code, _ := call(t, "GET", one.cfg.Listen, listserver.MembersPath, ""); return code == 200 }()
+	})
 	client := &http.Client{Transport: &http.Transport{}}
 	defer client.CloseIdleConnections()
-	for i := range memberWatchers + 1 {
-		resp, err := client.Get("http://" + one.cfg.Listen + membersPath + "?watch=1")
+	for i := range listserver.MemberWatchers + 1 {
+		resp, err := client.Get("http://" + one.cfg.Listen + listserver.MembersPath + "?watch=1")
 		require.NoError(t, err)
 		defer resp.Body.Close()
-		require.Equal(t, i == memberWatchers, resp.StatusCode == 503, "watch %d: %s", i, resp.Status)
+		require.Equal(t, i == listserver.MemberWatchers, resp.StatusCode == 503, "watch %d: %s", i, resp.Status)
 	}
-	require.Equal(t, lineWriteTimeout, one.node.members.watchers.WriteTimeout) // package streamlimit holds a caller to it
-	code, _ := call(t, "HEAD", one.cfg.Listen, membersPath+"?watch=1", "")
+	code, _ := call(t, "HEAD", one.cfg.Listen, listserver.MembersPath+"?watch=1", "")
 	require.Equal(t, 405, code)
 }
 
@@ -145,9 +147,9 @@
 	until(t, "no goroutine of it, nor of tests before", func() bool {
 		return !strings.Contains(string(stacks[:runtime.Stack(stacks, true)]), "memberlist")
 	})
-	code, _ := call(t, "GET", one.cfg.Listen, membersPath, "")
+	code, _ := call(t, "GET", one.cfg.Listen, listserver.MembersPath, "")
 	require.Equal(t, 404, code)
-	require.Equal(t, unknown, status(t, one).Copies[0].Member)
+	require.Equal(t, listserver.UnknownMember, status(t, one).Replicas[0].Member)
 	_, text := call(t, "GET", one.cfg.Listen, "/stats", "")
 	require.False(t, strings.Contains(text, "registry_members"))
 }
--- a/internal/registry/node.go
+++ b/internal/registry/node.go
@@ -1,6 +1,7 @@
 package registry
 
 import (
+	"cmp"
 	"context"
 	"encoding/json"
 	"errors"
@@ -21,6 +22,7 @@
 	"marblelane/internal/fault"
 	"marblelane/internal/listener"
 	"marblelane/internal/membership"
+	"marblelane/internal/registry/listserver"
 	"marblelane/internal/registry/state"
 	"marblelane/internal/registry/storage"
 	"marblelane/internal/registry/transport"
@@ -35,9 +37,9 @@
 	Dir    string // its folder; empty: it keeps nothing, for development alone
 	// Advertise is where the other replicas reach raft; empty: as the peers have it, or where it listens.
 	Advertise string
-	Peers     []Peer // all copies of a cluster that is founded now, itself too; empty: it founds one alone or joins later
-	Join      bool   // wait to be added to a cluster, found none
-	Keep      int    // changes kept for watchers that come back; 10,000
+	Peers     []listserver.Peer // all copies of a cluster that is founded now, itself too; empty: it founds one alone or joins later
+	Join      bool              // wait to be added to a cluster, found none
+	Keep      int               // changes kept for watchers that come back; 10,000
 	// Beat is the time between a leader's heartbeats; elections follow after a few of them. 200 ms.
 	Beat time.Duration
 	// SlowDisk is how long a write may take; a leader whose writes all take longer gives its place up. Five beats.
@@ -46,7 +48,7 @@
 	Members  *membership.Config // nil: off
 	start    *retry.Start       // what LoadConfig began; nil: nothing
 
-	Options
+	listserver.Options
 
 	reopened bool // a replica was opened from the folder before: one without a log is not the replica's
 }
@@ -64,13 +66,6 @@
 	return ""
 }
 
-// Peer is a replica as others know it.
-type Peer struct {
-	Name  string `toml:"name" json:"name"`
-	Raft  string `toml:"raft" json:"raft"`
-	Serve string `toml:"serve" json:"serve"`
-}
-
 // Node is one running replica.
 type Node struct {
 	cfg         Config
@@ -79,9 +74,10 @@
 	regressions *transport.RegressionDetector
 	readers     readerRevisions
 	fresh       freshness
-	hub         *hub
-	server      *Server
-	members     *members // nil: off
+	hub         *listserver.Hub
+	server      *listserver.Server
+	routes      *routing
+	members     *listserver.Members // nil: off
 	http        *http.Server
 	listen      net.Listener
 	raftAt      net.Addr       // where raft listens
@@ -94,13 +90,13 @@
 
 // Open starts the replica's raft and binds its address; Run serves.
 func Open(cfg Config) (n *Node, err error) {
-	cfg.defaults()
+	cfg.SetDefaults()
 	if cfg.Keep == 0 {
 		cfg.Keep = 10_000
 	}
-	orDuration(&cfg.Beat, 200*time.Millisecond)
-	orDuration(&cfg.SlowDisk, 5*cfg.Beat)
-	n = &Node{cfg: cfg, hub: newHub(cfg.Keep), log: cfg.Log}
+	cfg.Beat = cmp.Or(cfg.Beat, 200*time.Millisecond)
+	cfg.SlowDisk = cmp.Or(cfg.SlowDisk, 5*cfg.Beat)
+	n = &Node{cfg: cfg, hub: listserver.NewHub(cfg.Keep), log: cfg.Log}
 	defer func(opened *Node) {
 		if err != nil {
 			opened.shut()
@@ -119,11 +115,12 @@
 	}
 	n.listen = listener.Wrap(l, "registry", cfg.Log)
 	n.close = append(n.close, n.listen.Close)
-	n.server = newServer(n.hub, n, cfg.Options)
-	if n.members = newMembers(cfg.Members, cfg.Options); n.members != nil {
-		n.server.join(n.members)
+	n.server = listserver.New(n.hub, n, cfg.Options)
+	n.routes = newRouting(n.server, n.hub, n, routingConfig{name: cfg.Name, wall: cfg.Faults.Now, planted: cfg.Planted, log: cfg.Log})
+	n.server.Mount(n.routes)
+	if n.members = listserver.NewMembers(cfg.Members, cfg.Options); n.members != nil {
+		n.server.Join(n.members)
 	}
-	n.server.routes.name, n.server.routes.wall = cfg.Name, cfg.Faults.Now
 	if err := n.openRaft(start); err != nil {
 		return nil, err
 	}
@@ -264,7 +261,7 @@
 func (n *Node) founders(wire *transport.Transport) (out raft.Configuration) {
 	peers := n.cfg.Peers
 	if len(peers) == 0 {
-		peers = []Peer{{Name: n.cfg.Name, Raft: string(wire.LocalAddr()), Serve: n.Addr()}}
+		peers = []listserver.Peer{{Name: n.cfg.Name, Raft: string(wire.LocalAddr()), Serve: n.Addr()}}
 	}
 	for _, p := range peers {
 		out.Servers = append(out.Servers, raft.Server{ID: raft.ServerID(p.Name), Address: raft.ServerAddress(p.Raft)})
@@ -276,7 +273,7 @@
 func (n *Node) Addr() string { return n.listen.Addr().String() }
 
 // Server is what answers them.
-func (n *Node) Server() *Server { return n.server }
+func (n *Node) Server() *listserver.Server { return n.server }
 
 // Run serves until ctx ends, or the folder refuses a write: then with a *DiskError, and all is closed.
 func (n *Node) Run(ctx context.Context) error {
@@ -291,7 +288,7 @@
 	wg.Go(func() { n.trackStaleness(ctx) })
 	wg.Go(func() { n.heed(ctx) })
 	if n.members != nil {
-		wg.Go(func() { n.members.run(ctx) })
+		wg.Go(func() { n.members.Run(ctx) })
 	}
 	if n.store != nil {
 		wg.Go(func() { n.watchDisk(ctx) })
@@ -355,11 +352,11 @@
 	if err := f.Error(); err != nil {
 		switch {
 		case errors.Is(err, raft.ErrNotLeader), errors.Is(err, raft.ErrLeadershipTransferInProgress):
-			return 0, ErrNotLeader
+			return 0, listserver.ErrNotLeader
 		case errors.Is(err, raft.ErrLeadershipLost), errors.Is(err, raft.ErrEnqueueTimeout):
-			return 0, fmt.Errorf("%w; whether the write has happened is not known", ErrNoQuorum)
+			return 0, fmt.Errorf("%w; whether the write has happened is not known", listserver.ErrNoQuorum)
 		case n.diskFailure() != nil:
-			return 0, fmt.Errorf("%w: the disk takes no more; whether the write has happened is not known", ErrNoQuorum)
+			return 0, fmt.Errorf("%w: the disk takes no more; whether the write has happened is not known", listserver.ErrNoQuorum)
 		}
 		return 0, fmt.Errorf("registry: %w", err)
 	}
@@ -371,19 +368,19 @@
 const maxConfirmAttempts = 9
 
 // Add makes another replica a member of the cluster, a voter. It is the leader's to do.
-func (n *Node) Add(p Peer) error {
-	if err := n.raft.AddVoter(raft.ServerID(p.Name), raft.ServerAddress(p.Raft), 0, applyTimeout).Error(); err != nil {
+func (n *Node) Add(p listserver.Peer) error {
+	if err := n.raft.AddVoter(raft.ServerID(p.Name), raft.ServerAddress(p.Raft), 0, listserver.ApplyTimeout).Error(); err != nil {
 		return fmt.Errorf("registry: add %s: %w", p.Name, err)
 	}
-	_, err := n.Apply(&state.Command{Op: state.OpMember, UID: p.Name, Address: p.Serve}, applyTimeout)
+	_, err := n.Apply(&state.Command{Op: state.OpMember, UID: p.Name, Address: p.Serve}, listserver.ApplyTimeout)
 	return err
 }
 
 // Remove takes a replica out of the cluster. It is the leader's to do.
 func (n *Node) Remove(name string) error {
-	if err := n.raft.RemoveServer(raft.ServerID(name), 0, applyTimeout).Error(); err != nil {
+	if err := n.raft.RemoveServer(raft.ServerID(name), 0, listserver.ApplyTimeout).Error(); err != nil {
 		return fmt.Errorf("registry: remove %s: %w", name, err)
 	}
-	_, err := n.Apply(&state.Command{Op: state.OpMember, UID: name}, applyTimeout)
+	_, err := n.Apply(&state.Command{Op: state.OpMember, UID: name}, listserver.ApplyTimeout)
 	return err
 }
--- a/internal/registry/node_lead.go
+++ b/internal/registry/node_lead.go
@@ -9,6 +9,7 @@
 
 	"github.com/hashicorp/raft"
 
+	"marblelane/internal/registry/listserver"
 	"marblelane/internal/registry/state"
 )
 
@@ -29,7 +30,7 @@
 		n.log.Info("registry: leads", "name", n.cfg.Name)
 		// All that was committed before has to be applied first: whether there is a history shows only then.
 		term := n.raft.CurrentTerm()
-		if err := n.raft.Barrier(applyTimeout).Error(); err != nil {
+		if err := n.raft.Barrier(listserver.ApplyTimeout).Error(); err != nil {
 			continue // it leads no more
 		}
 		if n.raft.CurrentTerm() == term {
@@ -38,7 +39,7 @@
 		commands := []*state.Command{}
 		var rev int64
 		var members map[string]string
-		n.hub.read(func(s *state.State) { rev, members = s.Rev(), s.Members() })
+		n.hub.Read(func(s *state.State) { rev, members = s.Rev(), s.Members() })
 		if rev == 0 {
 			commands = append(commands, &state.Command{Op: state.OpBegin, Epoch: state.NextEpoch(n.cfg.Faults.Now(), 0)})
 		}
@@ -51,7 +52,7 @@
 			}
 		}
 		for _, c := range commands {
-			if _, err := n.Apply(c, applyTimeout); err != nil {
+			if _, err := n.Apply(c, listserver.ApplyTimeout); err != nil {
 				n.log.Warn("registry: a new leader's first writes", "error", err)
 				break
 			}
@@ -69,14 +70,14 @@
 		return false, ""
 	}
 	var address string
-	n.hub.read(func(s *state.State) { address = s.MemberAddress(string(id)) })
+	n.hub.Read(func(s *state.State) { address = s.MemberAddress(string(id)) })
 	return false, address
 }
 
 // Staleness is an upper bound of the age of this replica's list: it has every write acknowledged before then.
 func (n *Node) Staleness() time.Duration {
 	var rev int64
-	n.hub.read(func(s *state.State) { rev = s.Rev() })
+	n.hub.Read(func(s *state.State) { rev = s.Rev() })
 	if at := n.fresh.since(rev); !at.IsZero() {
 		return time.Since(at)
 	}
@@ -105,17 +106,17 @@
 	// A new leader may not have applied yet what its predecessors acknowledged.
 	at, term := time.Now(), n.raft.CurrentTerm()
 	if n.readyTerm.Load() != term {
-		return ErrNotLeader
+		return listserver.ErrNotLeader
 	}
 	for range maxConfirmAttempts {
 		if err := n.raft.VerifyLeader().Error(); err != nil {
-			return ErrNotLeader
+			return listserver.ErrNotLeader
 		}
 		if n.confirmedSince(at, term) {
 			return nil
 		}
 	}
-	return ErrNotLeader
+	return listserver.ErrNotLeader
 }
 
 // confirmedSince tells whether a quorum has acknowledged what this replica has sent as leader of a term after a time.
--- a/internal/registry/node_test.go
+++ b/internal/registry/node_test.go
@@ -19,6 +19,7 @@
 
 	"go.uber.org/goleak"
 
+	"marblelane/internal/registry/listserver"
 	"marblelane/internal/registry/state"
 )
 
@@ -81,14 +82,14 @@
 // cluster starts n replicas and waits for their leader and its first writes.
 func cluster(t *testing.T, n int, change func(*Config)) []*copyOf {
 	t.Helper()
-	var peers []Peer
+	var peers []listserver.Peer
 	for i := range n {
-		peers = append(peers, Peer{Name: fmt.Sprint("r", i), Raft: freePort(t), Serve: freePort(t)})
+		peers = append(peers, listserver.Peer{Name: fmt.Sprint("r", i), Raft: freePort(t), Serve: freePort(t)})
 	}
 	var all []*copyOf
 	for i, p := range peers {
 		c := &copyOf{cfg: Config{Name: p.Name, Listen: p.Serve, Raft: p.Raft, Peers: peers, Beat: 50 * time.Millisecond,
-			Dir: filepath.Join(t.TempDir(), fmt.Sprint(i)), Options: Options{Batch: time.Millisecond}}}
+			Dir: filepath.Join(t.TempDir(), fmt.Sprint(i)), Options: listserver.Options{Batch: time.Millisecond}}}
 		if change != nil {
 			change(&c.cfg)
 		}
@@ -159,14 +160,14 @@
 func put(t *testing.T, c *copyOf, uid string, boot, lease int64) {
 	t.Helper()
 	body := fmt.Sprintf(`{"endpoint":"127.0.0.1:1","az":"a","boot_ms":%d,"lease_ms":%d}`, boot, lease)
-	if code, text := call(t, "POST", c.cfg.Listen, listPath+"/"+uid, body); code != 200 {
+	if code, text := call(t, "POST", c.cfg.Listen, listserver.ListPath+"/"+uid, body); code != 200 {
 		t.Fatalf("put %s: %d %s", uid, code, text)
 	}
 }
 
 func uids(t *testing.T, c *copyOf) string {
 	t.Helper()
-	_, text := call(t, "GET", c.cfg.Listen, listPath, "")
+	_, text := call(t, "GET", c.cfg.Listen, listserver.ListPath, "")
 	var l state.List
 	if err := json.Unmarshal([]byte(text), &l); err != nil {
 		t.Fatalf("%s: %v", text, err)
@@ -188,7 +189,7 @@
 func watch(t *testing.T, addr string, after int64) *watcher {
 	t.Helper()
 	ctx, stop := context.WithCancel(t.Context())
-	req, err := http.NewRequestWithContext(ctx, "GET", fmt.Sprintf("http://%s%s?watch=1&after=%d", addr, listPath, after), nil)
+	req, err := http.NewRequestWithContext(ctx, "GET", fmt.Sprintf("http://%s%s?watch=1&after=%d", addr, listserver.ListPath, after), nil)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -245,19 +246,19 @@
 	if first.All || len(first.Targets) != 1 || first.Targets[0].UID != "s1" || first.Targets[0].State != state.Ready {
 		t.Errorf("a change: %+v", first)
 	}
-	if code, _ := call(t, "POST", one.cfg.Listen, listPath+"/s1/drain", ""); code != 200 {
+	if code, _ := call(t, "POST", one.cfg.Listen, listserver.ListPath+"/s1/drain", ""); code != 200 {
 		t.Errorf("drain: %d", code)
 	}
 	if l := w.next(t); len(l.Targets) != 1 || l.Targets[0].State != state.Terminating || l.Rev <= first.Rev {
 		t.Errorf("a drain: %+v", l)
 	}
-	if code, text := call(t, "POST", one.cfg.Listen, listPath+"/s1", `{"endpoint":"127.0.0.1:1","az":"a","boot_ms":5}`); code != 409 {
+	if code, text := call(t, "POST", one.cfg.Listen, listserver.ListPath+"/s1", `{"endpoint":"127.0.0.1:1","az":"a","boot_ms":5}`); code != 409 {
 		t.Errorf("a late registration: %d %s", code, text)
 	}
-	if code, _ := call(t, "DELETE", one.cfg.Listen, listPath+"/s1?if=1", ""); code != 409 {
+	if code, _ := call(t, "DELETE", one.cfg.Listen, listserver.ListPath+"/s1?if=1", ""); code != 409 {
 		t.Errorf("a conditional removal: %d", code)
 	}
-	if code, _ := call(t, "DELETE", one.cfg.Listen, listPath+"/s1", ""); code != 200 {
+	if code, _ := call(t, "DELETE", one.cfg.Listen, listserver.ListPath+"/s1", ""); code != 200 {
 		t.Errorf("removal: %d", code)
 	}
 	if l := w.next(t); len(l.Targets) != 1 || l.Targets[0].State != state.Gone {
@@ -273,7 +274,7 @@
 		{"POST", "/s2", `{"endpoint":"x:1","state":"Gone"}`, "neither Ready nor"}, {"POST", "/s2?if=x", `{"endpoint":"x:1"}`, "if is no"},
 		{"GET", "?watch=1&after=x", "", "after is no"},
 	} {
-		if code, text := call(t, bad.method, one.cfg.Listen, listPath+bad.path, bad.body); code != 400 || !strings.Contains(text, bad.text) {
+		if code, text := call(t, bad.method, one.cfg.Listen, listserver.ListPath+bad.path, bad.body); code != 400 || !strings.Contains(text, bad.text) {
 			t.Errorf("%s %s %s: %d %s", bad.method, bad.path, bad.body, code, text)
 		}
 	}
@@ -349,8 +350,8 @@
 		return !me && leader == ""
 	})
 	startedAt := time.Now()
-	code, text := call(t, "POST", alone.cfg.Listen, listPath+"/s3", `{"endpoint":"127.0.0.1:1"}`)
-	if code != 503 || !strings.Contains(text, "no majority") || time.Since(startedAt) > applyTimeout/2 {
+	code, text := call(t, "POST", alone.cfg.Listen, listserver.ListPath+"/s3", `{"endpoint":"127.0.0.1:1"}`)
+	if code != 503 || !strings.Contains(text, "no majority") || time.Since(startedAt) > listserver.ApplyTimeout/2 {
 		t.Errorf("a write without a majority: %d %s after %v", code, text, time.Since(startedAt))
 	}
 	if got := uids(t, alone); got != "s1=Ready s2=Ready" {
@@ -365,13 +366,13 @@
 	one := cluster(t, 1, nil)[0]
 	put(t, one, "s1", 1, 0)
 	two := &copyOf{cfg: Config{Name: "r9", Listen: freePort(t), Raft: freePort(t), Join: true, Beat: 50 * time.Millisecond,
-		Dir: t.TempDir(), Options: Options{Batch: time.Millisecond}}}
+		Dir: t.TempDir(), Options: listserver.Options{Batch: time.Millisecond}}}
 	two.start(t)
 	t.Cleanup(func() { two.end(t) })
 	if code, _ := call(t, "GET", two.cfg.Listen, "/healthcheck", ""); code != 503 {
 		t.Errorf("a copy that nobody has added is healthy: %d", code)
 	}
-	if err := one.node.Add(Peer{Name: "r9", Raft: two.cfg.Raft, Serve: two.cfg.Listen}); err != nil {
+	if err := one.node.Add(listserver.Peer{Name: "r9", Raft: two.cfg.Raft, Serve: two.cfg.Listen}); err != nil {
 		t.Fatal(err)
 	}
 	until(t, "the list at the added copy", func() bool { return uids(t, two) == "s1=Ready" })
@@ -395,7 +396,7 @@
 	}
 	renew := func(n int) {
 		for i := range n {
-			if code, text := call(t, "POST", one.cfg.Listen, fmt.Sprint(listPath, "/stays", i, "/renew"), ""); code != 200 {
+			if code, text := call(t, "POST", one.cfg.Listen, fmt.Sprint(listserver.ListPath, "/stays", i, "/renew"), ""); code != 200 {
 				t.Fatalf("renew: %d %s", code, text)
 			}
 		}
@@ -404,7 +405,7 @@
 		renew(9)
 		return !strings.Contains(uids(t, one), "dies")
 	})
-	if code, _ := call(t, "POST", one.cfg.Listen, listPath+"/dies/renew", ""); code != 404 {
+	if code, _ := call(t, "POST", one.cfg.Listen, listserver.ListPath+"/dies/renew", ""); code != 404 {
 		t.Errorf("the renewal of an ended lease: %d", code)
 	}
 	// No lease is renewed any more, as in a partition: all but the fraction that may expire stay listed.
@@ -424,7 +425,7 @@
 	// Most come back: the others have died after all.
 	until(t, "the end of the two that did not come back", func() bool {
 		for _, uid := range left[2:] {
-			if code, text := call(t, "POST", one.cfg.Listen, listPath+"/"+uid+"/renew", ""); code != 200 {
+			if code, text := call(t, "POST", one.cfg.Listen, listserver.ListPath+"/"+uid+"/renew", ""); code != 200 {
 				t.Fatalf("renew: %d %s", code, text)
 			}
 		}
@@ -436,7 +437,7 @@
 	one := cluster(t, 1, func(c *Config) { c.Dir, c.Peers, c.Watches, c.Burst = "", nil, 0.001, 3 })[0]
 	codes := map[int]int{}
 	for range 6 {
-		resp, err := http.Get("http://" + one.cfg.Listen + listPath)
+		resp, err := http.Get("http://" + one.cfg.Listen + listserver.ListPath)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -455,14 +456,14 @@
 // Clients that arrive together and return after their Retry-After are all admitted, at about the configured rate.
 func TestAdmission_retriesSucceed(t *testing.T) {
 	for _, crowd := range []int{10, 1000, 20_000} {
-		b := &bucket{level: 200}
+		b := &listserver.TokenBucket{Level: 200}
 		const step = 250 * time.Microsecond
 		due := map[int]int{0: crowd} // how many come at each step
 		calls, in, last := 0, 0, 0
 		for at := 0; in < crowd && at < 4000*120; at++ {
 			for range due[at] {
 				calls++
-				if wait := b.take(time.Unix(0, 0).Add(time.Duration(at)*step), 500, 200); wait > 0 {
+				if wait := b.Take(time.Unix(0, 0).Add(time.Duration(at)*step), 500, 200); wait > 0 {
 					due[at+int((wait+step-1)/step)]++
 				} else {
 					in, last = in+1, at
@@ -504,16 +505,16 @@
 	ended := make(chan struct{})
 	go func() {
 		defer close(ended)
-		s.watch(slow, httptest.NewRequestWithContext(t.Context(), "GET", listPath+"?watch=1&after=0", nil), 0, 0)
+		s.Handler().ServeHTTP(slow, httptest.NewRequestWithContext(t.Context(), "GET", listserver.ListPath+"?watch=1&after=0", nil))
 	}()
 	<-slow.began
 	quick := watch(t, one.cfg.Listen, 0)
 	quick.next(t)
-	for i := range maxWatcherLag + 2 {
-		s.hub.read(func(st *state.State) {
+	for i := range listserver.MaxWatcherLag + 2 {
+		one.node.hub.Read(func(st *state.State) {
 			_, _ = st.Apply(&state.Command{Op: state.OpPut, Entry: testEntry("s", int64(i))})
 		})
-		if err := s.hub.publish(); err != nil {
+		if err := one.node.hub.Publish(); err != nil {
 			t.Fatal(err)
 		}
 		quick.next(t)
@@ -543,7 +544,7 @@
 	}
 	// The write may be answered by the next leader, or not at all; it is not acknowledged by the replica that lost its
 	// disk.
-	call(t, "POST", lead.cfg.Listen, listPath+"/s2", `{"endpoint":"127.0.0.1:1"}`)
+	call(t, "POST", lead.cfg.Listen, listserver.ListPath+"/s2", `{"endpoint":"127.0.0.1:1"}`)
 	select {
 	case err := <-ended:
 		if err == nil || !strings.Contains(err.Error(), "the disk takes no more") {
--- a/internal/registry/recover_test.go
+++ b/internal/registry/recover_test.go
@@ -23,6 +23,7 @@
 	"github.com/stretchr/testify/require"
 	bolt "go.etcd.io/bbolt"
 
+	"marblelane/internal/registry/listserver"
 	"marblelane/internal/registry/recovery"
 	"marblelane/internal/registry/state"
 	"marblelane/internal/registry/storage"
@@ -307,7 +308,7 @@
 	second.cfg.Dir = filepath.Join(t.TempDir(), "n1")
 	second.start(t)
 	defer second.end(t)
-	require.NoError(t, first.node.Add(Peer{Name: "n1", Raft: second.cfg.Raft, Serve: second.cfg.Listen}))
+	require.NoError(t, first.node.Add(listserver.Peer{Name: "n1", Raft: second.cfg.Raft, Serve: second.cfg.Listen}))
 	until(t, "the backup's entry at the second copy", func() bool { return strings.Contains(uids(t, second), "s1=Ready") })
 }
 
@@ -369,7 +370,7 @@
 	one := func(pad int) (took, there bool) { // there: somebody answered
 		uid++
 		name := fmt.Sprint("s", uid)
-		resp, err := client.Post("http://"+addr+listPath+"/"+name, "", strings.NewReader(
+		resp, err := client.Post("http://"+addr+listserver.ListPath+"/"+name, "", strings.NewReader(
 			fmt.Sprintf(`{"endpoint":"127.0.0.1:1","az":%q}`, strings.Repeat("z", pad))))
 		if err != nil {
 			return false, false
@@ -382,7 +383,7 @@
 		until(t, "the copy's first write", func() bool { took, _ := one(0); return took })
 	}
 	check := func(when string) {
-		_, list := call(t, "GET", addr, listPath, "")
+		_, list := call(t, "GET", addr, listserver.ListPath, "")
 		for name, took := range acked {
 			if took && !strings.Contains(list, fmt.Sprintf("%q", name)) {
 				t.Fatalf("%s: %s was acknowledged and is gone", when, name)
--- a/internal/registry/restore_seen.go
+++ b/internal/registry/restore_seen.go
@@ -13,6 +13,7 @@
 
 	"github.com/hashicorp/raft"
 
+	"marblelane/internal/registry/listserver"
 	"marblelane/internal/registry/state"
 )
 
@@ -69,9 +70,9 @@
 	return http.HandlerFunc(func(w http.ResponseWriter, req *http.Request) {
 		name := ""
 		switch strings.TrimSuffix(req.URL.Path, "/") {
-		case listPath:
+		case listserver.ListPath:
 			name = "after"
-		case leaderRevPath:
+		case listserver.LeaderRevPath:
 			name = seenKey
 		}
 		if name != "" && req.URL.RawQuery != "" {
@@ -111,7 +112,7 @@
 }
 
 func (n *Node) rev() (rev int64) {
-	n.hub.read(func(s *state.State) { rev = s.Rev() })
+	n.hub.Read(func(s *state.State) { rev = s.Rev() })
 	return rev
 }
 
@@ -121,7 +122,7 @@
 	if leader == "" {
 		return nil
 	}
-	url := fmt.Sprintf("http://%s%s?%s=%d", leader, leaderRevPath, seenKey, seen)
+	url := fmt.Sprintf("http://%s%s?%s=%d", leader, listserver.LeaderRevPath, seenKey, seen)
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
 	if err != nil {
 		return err
@@ -135,7 +136,7 @@
 
 // beginAgain begins a new history if a reader is ahead of all that was ever committed, as far as this leader can know.
 func (n *Node) beginAgain() bool {
-	if n.raft.Barrier(applyTimeout).Error() != nil || n.Confirm() != nil {
+	if n.raft.Barrier(listserver.ApplyTimeout).Error() != nil || n.Confirm() != nil {
 		return false
 	}
 	rev := n.rev()
@@ -146,7 +147,7 @@
 	next := state.NextEpoch(n.cfg.Faults.Now(), state.EpochOf(rev))
 	n.log.Error("registry: a reader was told more than the copies have: their folders lost what was committed, or old images "+
 		"were put back; a new history begins, and readers take the list whole", "seen", seen, "has", rev, "epoch", next)
-	if _, err := n.Apply(&state.Command{Op: state.OpBegin, Epoch: next}, applyTimeout); err != nil {
+	if _, err := n.Apply(&state.Command{Op: state.OpBegin, Epoch: next}, listserver.ApplyTimeout); err != nil {
 		n.log.Warn("registry: the new history", "error", err)
 		return false
 	}
--- a/internal/registry/routes.go
+++ b/internal/registry/routes.go
@@ -2,13 +2,15 @@
 
 import (
 	"fmt"
+	"log/slog"
 	"math"
 	"net/http"
 	"sync/atomic"
 	"time"
 
-	"marblelane/internal/fault"
+	"marblelane/internal/registry/listserver"
 	"marblelane/internal/registry/operators"
+	"marblelane/internal/registry/state"
 	"marblelane/internal/rollout"
 	"marblelane/internal/route"
 )
@@ -25,7 +27,10 @@
 
 // routing serves the routes API of a replica. Without an operators' file it is off and its paths answer 404.
 type routing struct {
-	s       *Server
+	server  *listserver.Server
+	list    stateReader
+	replica replica
+	log     *slog.Logger
 	name    string           // of the replica
 	opened  time.Time        // monotonic
 	wall    func() time.Time // wall clock
@@ -33,7 +38,7 @@
 	rules   operators.Validator
 
 	tables      *tables
-	admit       bucket
+	admit       *listserver.TokenBucket
 	watches     atomic.Int64
 	reportCalls chan reportCall
 	budgetCalls chan budgetCall
@@ -42,15 +47,38 @@
 	leaderships atomic.Int64 // leaderships started by this process
 }
 
-func newRouting(s *Server, o Options) *routing {
-	r := &routing{s: s, opened: time.Now(), wall: (*fault.Plan)(nil).Now, planted: defect(o.Planted), tables: newTables(defect(o.Planted)), rules: operators.NewValidator(),
-		reportCalls: make(chan reportCall, maxWaitingCalls), budgetCalls: make(chan budgetCall, maxWaitingCalls), changing: make(chan struct{}, 1)}
-	r.admit.level = float64(o.Burst)
-	return r
+// stateReader gives access to the replicated state.
+type stateReader interface {
+	// Read calls f with the state, which f must not keep.
+	Read(f func(*state.State))
 }
 
-// handle registers the HTTP handlers of the routes API.
-func (r *routing) handle(m *http.ServeMux) {
+// replica is the replicated log; its methods are those of registry.Node.
+type replica interface {
+	Apply(c *state.Command, wait time.Duration) (rev int64, err error)
+	Confirm() error
+	Leader() (me bool, address string)
+	Staleness() time.Duration
+	Term() uint64
+}
+
+// routingConfig are the fixed parameters of a routing.
+type routingConfig struct {
+	name    string           // of the replica
+	wall    func() time.Time // wall clock
+	planted string           // defect injected by the lab; empty: none
+	log     *slog.Logger
+}
+
+func newRouting(server *listserver.Server, list stateReader, replicated replica, c routingConfig) *routing {
+	return &routing{server: server, list: list, replica: replicated, log: c.log, name: c.name, opened: time.Now(), wall: c.wall,
+		planted: defect(c.planted), tables: newTables(defect(c.planted)), rules: operators.NewValidator(),
+		reportCalls: make(chan reportCall, maxWaitingCalls), budgetCalls: make(chan budgetCall, maxWaitingCalls), changing: make(chan struct{}, 1),
+		admit: listserver.NewTokenBucket(server.Options().Burst)}
+}
+
+// Handle registers the HTTP handlers of the routes API.
+func (r *routing) Handle(m *http.ServeMux) {
 	m.HandleFunc("GET "+route.TablePath, r.table)
 	m.HandleFunc("POST "+route.ReportPath, r.report)
 	m.HandleFunc("POST "+route.BudgetsPath, r.handleBudgets)
@@ -93,7 +121,7 @@
 
 // report answers a process's report, POST /routes/reports.
 func (r *routing) report(w http.ResponseWriter, req *http.Request) {
-	if r.rejectIfOff(w) || !r.s.leading(w, req) {
+	if r.rejectIfOff(w) || !r.server.Leading(w, req) {
 		return
 	}
 	var p route.Report
@@ -113,7 +141,7 @@
 
 // handleBudgets answers a process's budget request, POST /routes/units.
 func (r *routing) handleBudgets(w http.ResponseWriter, req *http.Request) {
-	if r.rejectIfOff(w) || !r.s.leading(w, req) {
+	if r.rejectIfOff(w) || !r.server.Leading(w, req) {
 		return
 	}
 	var a route.BudgetRequest
@@ -139,7 +167,7 @@
 
 // leader returns this replica's leadership and the operators' file; nil if it has already answered the call.
 func (r *routing) leader(w http.ResponseWriter, req *http.Request) (*leadership, *operators.Operators) {
-	if r.rejectIfOff(w) || !r.s.leading(w, req) {
+	if r.rejectIfOff(w) || !r.server.Leading(w, req) {
 		return nil, nil
 	}
 	l := r.current()
@@ -147,7 +175,7 @@
 		writeRejection(w, &rejection{status: http.StatusServiceUnavailable, after: time.Second, Error: "this copy has only just begun to lead"})
 		return nil, nil
 	}
-	return l, r.s.o.Load().Operators
+	return l, r.server.Options().Operators
 }
 
 // tenant finds the tenant of a call and checks the caller's token.
--- a/internal/registry/routes_budgets.go
+++ b/internal/registry/routes_budgets.go
@@ -6,6 +6,7 @@
 	"slices"
 	"time"
 
+	"marblelane/internal/registry/listserver"
 	"marblelane/internal/registry/operators"
 	"marblelane/internal/registry/state"
 	"marblelane/internal/rollout"
@@ -27,7 +28,7 @@
 func (r *routing) grant(all []budgetCall) ([]route.BudgetResponse, error) {
 	l := r.current()
 	if l == nil {
-		return nil, ErrNotLeader
+		return nil, listserver.ErrNotLeader
 	}
 	l.decisionMu.Lock()
 	defer l.decisionMu.Unlock()
@@ -35,7 +36,7 @@
 	keep := true
 	var err error
 	l.mu.Lock()
-	r.s.hub.read(func(st *state.State) {
+	r.list.Read(func(st *state.State) {
 		var s *rollout.State
 		if s, keep, err = r.planted.ledger(st.Routes, l.uncommittedGrants); err != nil {
 			return
@@ -62,7 +63,7 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	answers := make([]route.BudgetResponse, len(all))
-	r.s.hub.read(func(st *state.State) {
+	r.list.Read(func(st *state.State) {
 		var s *rollout.State
 		if s, _, err = r.planted.ledger(st.Routes, l.uncommittedGrants); err != nil {
 			return
--- a/internal/registry/routes_decisions.go
+++ b/internal/registry/routes_decisions.go
@@ -6,13 +6,14 @@
 	"errors"
 	"time"
 
+	"marblelane/internal/registry/listserver"
 	"marblelane/internal/registry/state"
 	"marblelane/internal/rollout"
 )
 
 // apply replicates a command and waits until it is applied.
 func (r *routing) apply(c *state.Command) error {
-	_, err := r.s.replica.Apply(c, applyTimeout)
+	_, err := r.replica.Apply(c, listserver.ApplyTimeout)
 	return err
 }
 
@@ -43,7 +44,7 @@
 	defer l.mu.Unlock()
 	now := time.Now()
 	var commands []rollout.Command
-	r.s.hub.read(func(s *state.State) {
+	r.list.Read(func(s *state.State) {
 		var standings []rollout.AccessChange
 		commands, standings = l.controller.Tick(l.floor(now), s.Routes, s.ReadyIn)
 		l.queueTransitions(s, l.recordAccessChanges(standings, now))
@@ -56,12 +57,12 @@
 	c.AtMS = l.wall(time.Now())
 	_, err := r.change(l, c)
 	switch {
-	case errors.Is(err, ErrNotLeader), errors.Is(err, ErrNoQuorum):
+	case errors.Is(err, listserver.ErrNotLeader), errors.Is(err, listserver.ErrNoQuorum):
 		return false
 	case err != nil:
-		r.s.log.Info("registry: routes: a decision came late", "op", c.Op, "tenant", c.Tenant, "rollout", c.Name, "error", err)
+		r.log.Info("registry: routes: a decision came late", "op", c.Op, "tenant", c.Tenant, "rollout", c.Name, "error", err)
 	case c.Op != rollout.OpClose && c.Op != rollout.OpLedger:
-		r.s.log.Info("registry: routes: decided", "op", c.Op, "tenant", c.Tenant, "rollout", c.Name, "step", c.Step, "why", c.Reason)
+		r.log.Info("registry: routes: decided", "op", c.Op, "tenant", c.Tenant, "rollout", c.Name, "step", c.Step, "why", c.Reason)
 	}
 	return true
 }
@@ -69,5 +70,5 @@
 // change replicates a command of routes. It is on the list of what is proposed from before then.
 func (r *routing) change(l *leadership, c *rollout.Command) (int64, error) {
 	defer r.tables.propose(time.Now(), l.term)()
-	return r.s.replica.Apply(&state.Command{Op: state.OpRoutes, Routes: c, Term: l.term}, applyTimeout)
+	return r.replica.Apply(&state.Command{Op: state.OpRoutes, Routes: c, Term: l.term}, listserver.ApplyTimeout)
 }
--- a/internal/registry/routes_lead.go
+++ b/internal/registry/routes_lead.go
@@ -109,8 +109,8 @@
 	}
 }
 
-// run processes queued calls and the periodic duties of the leader until ctx ends.
-func (r *routing) run(ctx context.Context) {
+// Run processes queued calls and the periodic duties of the leader until ctx ends.
+func (r *routing) Run(ctx context.Context) {
 	var wg sync.WaitGroup
 	defer wg.Wait()
 	wg.Go(func() { gatherBatches(ctx, r.reportCalls, reportBatchWait, maxWaitingCalls, r.answerReports) })
@@ -127,7 +127,7 @@
 		r.markAuditLog()
 		l, err := r.ensureLeadership()
 		if err != nil {
-			r.s.log.Warn("registry: routes: a new leader's first write", "error", err)
+			r.log.Warn("registry: routes: a new leader's first write", "error", err)
 		}
 		if l != nil {
 			r.decide(l)
@@ -139,7 +139,7 @@
 // current returns the active leadership; nil if this replica does not lead or has not initialised it yet.
 func (r *routing) current() *leadership {
 	l := r.lead.Load()
-	if l == nil || r.s.replica.Term() != l.term || r.s.o.Load().Operators == nil {
+	if l == nil || r.replica.Term() != l.term || r.server.Options().Operators == nil {
 		return nil
 	}
 	return l
@@ -148,7 +148,7 @@
 // ensureLeadership returns the leadership of the current term and creates it when the term is new; nil if this replica
 // does not lead.
 func (r *routing) ensureLeadership() (*leadership, error) {
-	term, o := r.s.replica.Term(), r.s.o.Load().Operators
+	term, o := r.replica.Term(), r.server.Options().Operators
 	if term == 0 || o == nil {
 		r.lead.Store(nil)
 		return nil, nil
@@ -158,7 +158,7 @@
 	}
 	l := r.newLeadership(term, o)
 	var out int64
-	r.s.hub.read(func(s *state.State) { out = s.MaxLeaseTermMS })
+	r.list.Read(func(s *state.State) { out = s.MaxLeaseTermMS })
 	switch {
 	case out < l.leaseTermMS: // replicated before the first lease of this length is granted
 		if err := r.apply(&state.Command{Op: state.OpTerm, TermMS: l.leaseTermMS, Term: term}); err != nil {
--- a/internal/registry/routes_metrics.go
+++ b/internal/registry/routes_metrics.go
@@ -15,7 +15,7 @@
 
 // Collect gives the figures of routes; none where they are off.
 func (r *routing) Collect(out chan<- prometheus.Metric) {
-	if r.s.o.Load().Operators == nil {
+	if r.server.Options().Operators == nil {
 		return
 	}
 	gauge := func(name, help string, v float64, labels ...string) {
@@ -25,7 +25,7 @@
 		}
 		out <- prometheus.MustNewConstMetric(prometheus.NewDesc(name, help, names, nil), prometheus.GaugeValue, v, values...)
 	}
-	r.s.hub.read(func(s *state.State) {
+	r.list.Read(func(s *state.State) {
 		gauge("routes_revision", "Revision of the routes' last change.", float64(s.Routes.Rev()))
 		gauge("routes_closed", "Newest revision of routes under which no attempt begins any more.", float64(s.Routes.Closed()))
 		gauge("audit_transitions", "Transitions of processes that are kept.", float64(s.AuditLog.Len()))
--- a/internal/registry/routes_past.go
+++ b/internal/registry/routes_past.go
@@ -8,6 +8,7 @@
 	"net/http"
 	"time"
 
+	"marblelane/internal/registry/listserver"
 	"marblelane/internal/registry/state"
 )
 
@@ -33,7 +34,7 @@
 
 // markAuditLog records how much of the audit log this replica has applied. The time is read after the state.
 func (r *routing) markAuditLog() {
-	r.s.hub.read(func(s *state.State) { s.AuditLog.Mark(r.clock(time.Now())) })
+	r.list.Read(func(s *state.State) { s.AuditLog.Mark(r.clock(time.Now())) })
 }
 
 // handleNewestRev answers polls of followers with the newest routes revision, if this replica leads and no change is in
@@ -48,12 +49,12 @@
 		writeRejection(w, &rejection{status: http.StatusServiceUnavailable, after: time.Second, Error: "this copy does not lead, or a change is under way"})
 		return
 	}
-	if err := r.s.replica.Confirm(); err != nil {
+	if err := r.replica.Confirm(); err != nil {
 		writeRejection(w, rejectionOf(err))
 		return
 	}
 	if r.current() != l {
-		writeRejection(w, rejectionOf(ErrNotLeader))
+		writeRejection(w, rejectionOf(listserver.ErrNotLeader))
 		return
 	}
 	writeJSON(w, struct {
@@ -73,13 +74,13 @@
 			return
 		case <-t.C:
 		}
-		me, address := r.s.replica.Leader()
-		if me || address == "" || r.s.o.Load().Operators == nil {
+		me, address := r.replica.Leader()
+		if me || address == "" || r.server.Options().Operators == nil {
 			continue
 		}
 		at := time.Now()
 		if rev, err := pollRoutesRev(ctx, client, address); err != nil {
-			r.s.log.Debug("registry: routes: the leader does not say what it has", "error", err)
+			r.log.Debug("registry: routes: the leader does not say what it has", "error", err)
 		} else {
 			r.tables.observeRev(at, rev)
 		}
--- a/internal/registry/routes_reports.go
+++ b/internal/registry/routes_reports.go
@@ -9,6 +9,7 @@
 	"time"
 
 	"marblelane/internal/audit"
+	"marblelane/internal/registry/listserver"
 	"marblelane/internal/registry/state"
 	"marblelane/internal/rollout"
 	"marblelane/internal/route"
@@ -30,7 +31,7 @@
 	for _, p := range reported {
 		named[p.Name] = max(named[p.Name], p.Start)
 	}
-	r.s.hub.read(func(s *state.State) {
+	r.list.Read(func(s *state.State) {
 		excused := func(schemas []int) bool { return slices.Max(append([]int{0}, schemas...)) < s.Routes.MinSchema() }
 		for _, p := range reported {
 			if p.Start == named[p.Name] && !(p.LeaseUntil <= at && excused(p.Schemas)) {
@@ -72,15 +73,15 @@
 	}
 	l := r.current()
 	if l == nil {
-		fail(ErrNotLeader)
+		fail(listserver.ErrNotLeader)
 		return
 	}
-	if err := r.s.replica.Confirm(); err != nil {
+	if err := r.replica.Confirm(); err != nil {
 		fail(err)
 		return
 	}
 	if r.current() != l { // the check may have confirmed a later term
-		fail(ErrNotLeader)
+		fail(listserver.ErrNotLeader)
 		return
 	}
 	l.mu.Lock()
@@ -89,7 +90,7 @@
 	for _, a := range all {
 		var answer route.ReportResponse
 		now := time.Now()
-		r.s.hub.read(func(s *state.State) {
+		r.list.Read(func(s *state.State) {
 			answer = l.controller.Report(l.ceil(now), s.Routes, a.request)
 			l.observe(s, a.request, l.wall(now))
 			l.queueTransitions(s, l.tracker.Report(l.ceil(now), l.wall(now), a.request))
@@ -98,7 +99,7 @@
 		if answer.Resync {
 			encoded, err := line.text(a.request.Schemas)
 			if err != nil {
-				r.s.log.Error("registry: the table of routes cannot be told", "error", err)
+				r.log.Error("registry: the table of routes cannot be told", "error", err)
 			}
 			answer.Table = json.RawMessage(encoded.text)
 		}
@@ -150,7 +151,7 @@
 	l.pending, l.unsavedProcesses, l.flushedAt = nil, map[string]state.SchemaSupport{}, now
 	l.mu.Unlock()
 	if err := r.apply(c); err != nil {
-		r.s.log.Warn("registry: routes: transitions are not replicated", "error", err)
+		r.log.Warn("registry: routes: transitions are not replicated", "error", err)
 		l.mu.Lock()
 		defer l.mu.Unlock()
 		l.pending = append(c.Audit, l.pending...)
--- a/internal/registry/routes_requests.go
+++ b/internal/registry/routes_requests.go
@@ -15,6 +15,7 @@
 	"time"
 
 	"marblelane/internal/audit"
+	"marblelane/internal/registry/listserver"
 	"marblelane/internal/registry/operators"
 	"marblelane/internal/registry/state"
 	"marblelane/internal/rollout"
@@ -54,7 +55,7 @@
 func rejectionOf(err error) *rejection {
 	f := &rejection{status: http.StatusInternalServerError, Error: err.Error()}
 	switch {
-	case errors.Is(err, ErrNotLeader), errors.Is(err, ErrNoQuorum):
+	case errors.Is(err, listserver.ErrNotLeader), errors.Is(err, listserver.ErrNoQuorum):
 		f.status, f.after = http.StatusServiceUnavailable, time.Second
 	case errors.Is(err, rollout.ErrConflict):
 		f.status, f.Field = http.StatusConflict, "if"
@@ -70,7 +71,7 @@
 
 // rejectIfOff answers 404 and returns true where the routes API is off.
 func (r *routing) rejectIfOff(w http.ResponseWriter) bool {
-	if r.s.o.Load().Operators != nil {
+	if r.server.Options().Operators != nil {
 		return false
 	}
 	writeRejection(w, rejectf(http.StatusNotFound, "", "routes are off: this copy's file names no operators' file"))
--- a/internal/registry/routes_table.go
+++ b/internal/registry/routes_table.go
@@ -10,6 +10,7 @@
 	"sync"
 	"time"
 
+	"marblelane/internal/registry/listserver"
 	"marblelane/internal/registry/operators"
 	"marblelane/internal/rollout"
 	"marblelane/internal/route"
@@ -80,6 +81,9 @@
 	}
 }
 
+// follow publishes the table of a state; see tables.follow.
+func (r *routing) follow(s *rollout.State, term uint64, now time.Time) { r.tables.follow(s, term, now) }
+
 // set publishes a table. A new revision wakes the watches; a newly closed one only shows in later reads.
 func (t *tables) set(table route.Table, term uint64, now time.Time) {
 	t.mu.Lock()
@@ -240,8 +244,7 @@
 	if r.rejectIfOff(w) {
 		return
 	}
-	s := r.s
-	if age, stale := s.stale(); stale {
+	if age, stale := r.server.Stale(); stale {
 		writeRejection(w, &rejection{status: http.StatusServiceUnavailable, after: time.Second,
 			Error: fmt.Sprintf("what this copy has may be %v old", age.Round(time.Millisecond))})
 		return
@@ -258,13 +261,13 @@
 			return
 		}
 	}
-	o := s.o.Load()
-	if wait := r.admit.take(time.Now(), o.Watches, float64(o.Burst)); wait > 0 {
-		s.metrics.turned.Inc()
+	o := r.server.Options()
+	if wait := r.admit.Take(time.Now(), o.Watches, float64(o.Burst)); wait > 0 {
+		r.server.CountTurnedAway()
 		writeRejection(w, &rejection{status: http.StatusServiceUnavailable, after: wait, Error: "too many readers come at once"})
 		return
 	}
-	staleness, at := s.replica.Staleness(), r.tables.newest()
+	staleness, at := r.replica.Staleness(), r.tables.newest()
 	if req.URL.Query().Get("watch") != "" {
 		r.watch(w, req, at, reads, after, staleness)
 		return
@@ -280,7 +283,7 @@
 		return
 	}
 	rev, _ := at.revisions()
-	s.writeReplicaHeaders(w, rev, staleness)
+	r.server.WriteReplicaHeaders(w, rev, staleness)
 	w.Header().Set("Content-Type", "application/json")
 	w.Header().Set("Content-Length", strconv.Itoa(len(encoded.text)))
 	_, _ = w.Write(encoded.text) // the reader may have disconnected
@@ -288,17 +291,16 @@
 
 // watch sends each newer table that the schemas of the client can express, until either side ends the watch.
 func (r *routing) watch(w http.ResponseWriter, req *http.Request, at *tableNode, reads []int, after int64, staleness time.Duration) {
-	s := r.s
 	r.watches.Add(1)
 	defer r.watches.Add(-1)
 	rev, _ := at.revisions()
-	s.writeReplicaHeaders(w, rev, staleness)
+	r.server.WriteReplicaHeaders(w, rev, staleness)
 	w.Header().Set("Content-Type", "application/json")
-	say := s.lineWriter(w)
+	say := r.server.LineWriter(w)
 	tell := func(l *tableNode) error {
 		encoded, err := l.text(reads)
 		if err != nil {
-			s.log.Error("registry: a table of routes cannot be told", "error", err)
+			r.log.Error("registry: a table of routes cannot be told", "error", err)
 			return err
 		}
 		text := encoded.text
@@ -312,27 +314,27 @@
 		}
 		return nil
 	}
-	tick := time.NewTicker(watchHeartbeat)
+	tick := time.NewTicker(listserver.WatchHeartbeat)
 	defer tick.Stop()
 	for err := tell(at); err == nil; {
 		select {
 		case <-req.Context().Done():
 			return
 		case <-tick.C:
-			if _, stale := s.stale(); stale || !say([]byte("\n")) {
+			if _, stale := r.server.Stale(); stale || !say([]byte("\n")) {
 				return // a watch on a partitioned replica would stay open without changes
 			}
 			continue
 		case <-at.ready:
 		}
 		at = at.next
-		if r.tables.newest().n-at.n > maxWatcherLag {
+		if r.tables.newest().n-at.n > listserver.MaxWatcherLag {
 			err = errSlowWatcher
 		} else {
 			err = tell(at)
 		}
 		if errors.Is(err, errSlowWatcher) {
-			s.metrics.slow.Inc()
+			r.server.CountSlowWatcher()
 		}
 	}
 }
--- a/internal/registry/routes_tenants.go
+++ b/internal/registry/routes_tenants.go
@@ -11,6 +11,7 @@
 
 	"golang.org/x/time/rate"
 
+	"marblelane/internal/registry/listserver"
 	"marblelane/internal/registry/operators"
 	"marblelane/internal/registry/state"
 	"marblelane/internal/rollout"
@@ -121,7 +122,7 @@
 		writeRejection(w, f)
 		return
 	}
-	r.s.writeReplicaHeaders(w, 0, r.s.replica.Staleness())
+	r.server.WriteReplicaHeaders(w, 0, r.replica.Staleness())
 	writeJSON(w, struct {
 		Rev int64 `json:"rev"`
 	}{rev})
@@ -148,7 +149,7 @@
 	select {
 	case r.changing <- struct{}{}:
 		defer func() { <-r.changing }()
-	case <-time.After(applyTimeout):
+	case <-time.After(listserver.ApplyTimeout):
 		return 0, &rejection{status: http.StatusServiceUnavailable, after: time.Second, Error: "other changes are under way"}
 	case <-req.Context().Done():
 		return 0, &rejection{status: http.StatusServiceUnavailable, Error: "the caller is gone"}
@@ -176,7 +177,7 @@
 	var table route.Table
 	var err error
 	under := 0
-	r.s.hub.read(func(s *state.State) {
+	r.list.Read(func(s *state.State) {
 		if _, live := s.Routes.LiveSpec(operators.StateTenantName(t.Name)); live {
 			under = 1
 		}
@@ -287,7 +288,7 @@
 		return
 	}
 	var minSchema int
-	r.s.hub.read(func(s *state.State) { minSchema = s.Routes.MinSchema() })
+	r.list.Read(func(s *state.State) { minSchema = s.Routes.MinSchema() })
 	writeJSON(w, struct {
 		Rev   int64 `json:"rev"`
 		Least int   `json:"least"`
--- a/internal/registry/routes_test.go
+++ b/internal/registry/routes_test.go
@@ -17,6 +17,7 @@
 	"github.com/stretchr/testify/require"
 
 	"marblelane/internal/audit"
+	"marblelane/internal/registry/listserver"
 	"marblelane/internal/registry/operators"
 	"marblelane/internal/registry/state"
 	"marblelane/internal/rollout"
@@ -75,7 +76,7 @@
 	t.Helper()
 	until(t, "a leader of routes", func() bool {
 		lead = leader(t, all)
-		return lead.node.server.routes.current() != nil
+		return lead.node.routes.current() != nil
 	})
 	return lead
 }
@@ -85,7 +86,7 @@
 // putCanary lists a server of the canary's: without one a rollout pauses.
 func putCanary(t *testing.T, c *copyOf) {
 	t.Helper()
-	code, text := call(t, "POST", c.cfg.Listen, listPath+"/s", `{"endpoint":"127.0.0.1:1","model":"m2"}`)
+	code, text := call(t, "POST", c.cfg.Listen, listserver.ListPath+"/s", `{"endpoint":"127.0.0.1:1","model":"m2"}`)
 	require.Equal(t, 200, code, text)
 }
 
@@ -135,7 +136,7 @@
 }
 
 func routesRev(c *copyOf) (rev int64) {
-	c.node.hub.read(func(s *state.State) { rev = s.Routes.Rev() })
+	c.node.hub.Read(func(s *state.State) { rev = s.Routes.Rev() })
 	return rev
 }
 
@@ -327,7 +328,7 @@
 	all := routed(t, 3, nil)
 	addr := routesLeader(t, all).cfg.Listen
 	var list int64
-	all[0].node.hub.read(func(s *state.State) { list = s.Rev() })
+	all[0].node.hub.Read(func(s *state.State) { list = s.Rev() })
 	follow := func(c *copyOf, schema int) *bufio.Reader {
 		req, err := http.NewRequestWithContext(t.Context(), "GET", fmt.Sprintf("http://%s/routes?schema=%d&watch=1", c.cfg.Listen, schema), nil)
 		require.NoError(t, err)
@@ -387,13 +388,13 @@
 			told(older, 1, rev)
 		}
 	}
-	line := all[0].node.server.routes.tables.newest()
+	line := all[0].node.routes.tables.newest()
 	one, err := line.text([]int{2})
 	require.NoError(t, err)
 	two, err := line.text([]int{2, 2, 7})
 	require.NoError(t, err)
 	assert.Same(t, &one.text[0], &two.text[0], "the table is encoded twice")
-	all[0].node.hub.read(func(s *state.State) { assert.Equal(t, list, s.Rev()) })
+	all[0].node.hub.Read(func(s *state.State) { assert.Equal(t, list, s.Rev()) })
 }
 
 // Grants are on a quorum before they are answered: a new leader grants no unit twice, and undoes no rollback. With the
@@ -508,8 +509,8 @@
 func TestLeader_shorterLeaseTerm(t *testing.T) {
 	t.Parallel()
 	one := routed(t, 1, single)[0]
-	r := one.node.server.routes
-	_, err := one.node.Apply(&state.Command{Op: state.OpTerm, TermMS: 3_600_000}, applyTimeout)
+	r := one.node.routes
+	_, err := one.node.Apply(&state.Command{Op: state.OpTerm, TermMS: 3_600_000}, listserver.ApplyTimeout)
 	require.NoError(t, err)
 	r.lead.Store(nil)
 	var l *leadership
@@ -524,7 +525,7 @@
 	p := newProcess("p", 2)
 	p.report(t, one.cfg.Listen)
 	known := func() (n int) {
-		one.node.hub.read(func(s *state.State) { n = len(s.Processes) })
+		one.node.hub.Read(func(s *state.State) { n = len(s.Processes) })
 		return n
 	}
 	until(t, "the process to be remembered, and what is closed first", func() bool {
@@ -603,7 +604,7 @@
 		}
 		acts.Counts = []route.Count{{Rev: rev, Tenant: "a", Started: 3}}
 		acts.report(t, one.cfg.Listen)
-		l := one.node.server.routes.current()
+		l := one.node.routes.current()
 		later := func() int64 {
 			from := l.wall(time.Now())
 			until(t, "a time that is later for sure", func() bool { return l.wall(time.Now()) > from+2*clockSlackMS })
@@ -647,8 +648,8 @@
 		t.Helper()
 		until(t, what, func() bool {
 			for _, c := range all {
-				r, ok := c.node.server.routes, false
-				if c.node.hub.read(func(s *state.State) { ok = is(r, s) }); c != lead && !ok {
+				r, ok := c.node.routes, false
+				if c.node.hub.Read(func(s *state.State) { ok = is(r, s) }); c != lead && !ok {
 					return false
 				}
 			}
@@ -687,7 +688,7 @@
 	held := passed()
 	lead.end(t)
 	lead = routesLeader(t, all)
-	l := lead.node.server.routes.current()
+	l := lead.node.routes.current()
 	for _, c := range []struct {
 		what     string
 		from, to time.Time
--- a/internal/registry/routes_views.go
+++ b/internal/registry/routes_views.go
@@ -56,7 +56,7 @@
 		writeRejection(w, f)
 		return
 	}
-	if err := r.s.replica.Confirm(); err != nil {
+	if err := r.replica.Confirm(); err != nil {
 		writeRejection(w, rejectionOf(err))
 		return
 	}
@@ -68,7 +68,7 @@
 	defer l.mu.Unlock()
 	v := TenantView{Tenant: tenant, Rollouts: []RolloutView{}}
 	tenant = operators.StateTenantName(tenant)
-	r.s.hub.read(func(s *state.State) {
+	r.list.Read(func(s *state.State) {
 		table := s.Routes.Table()
 		v.Rev, v.Table, v.Closed = s.Routes.TenantRev(tenant), table.Rev, table.Closed
 		fraction := map[string]float64{}
@@ -127,7 +127,7 @@
 		writeRejection(w, rejectf(http.StatusBadRequest, "from", "%d is after to, %d", n[1], n[2]))
 		return
 	}
-	if err := r.s.replica.Confirm(); err != nil {
+	if err := r.replica.Confirm(); err != nil {
 		writeRejection(w, rejectionOf(err))
 		return
 	}
@@ -153,7 +153,7 @@
 	if q.ClosedKnown {
 		q.ClosedAt = l.ceil(closed)
 	}
-	r.s.hub.read(func(s *state.State) {
+	r.list.Read(func(s *state.State) {
 		if newest := s.Routes.Rev(); rev > newest {
 			f = rejectf(http.StatusNotFound, "rev", "%d is not committed; the newest is %d", rev, newest)
 			return
--- a/internal/registry/state_machine.go
+++ b/internal/registry/state_machine.go
@@ -10,6 +10,7 @@
 
 	"github.com/hashicorp/raft"
 
+	"marblelane/internal/registry/listserver"
 	"marblelane/internal/registry/state"
 	"marblelane/internal/registry/storage"
 )
@@ -25,13 +26,13 @@
 	}
 	var r result
 	if c.Term != 0 && c.Term != l.Term {
-		return result{err: ErrNotLeader} // decided in an earlier lead
+		return result{err: listserver.ErrNotLeader} // decided in an earlier lead
 	}
-	m.hub.read(func(s *state.State) {
+	m.hub.Read(func(s *state.State) {
 		r.rev, r.err = s.Apply(&c)
-		m.server.routes.tables.follow(s.Routes, l.Term, time.Now())
+		m.routes.follow(s.Routes, l.Term, time.Now())
 	})
-	m.server.signalChange()
+	m.server.SignalChange()
 	return r
 }
 
@@ -39,7 +40,7 @@
 func (m *machine) Snapshot() (raft.FSMSnapshot, error) {
 	var s *state.Snapshot
 	var err error
-	m.hub.read(func(st *state.State) { s, err = st.Snapshot() })
+	m.hub.Read(func(st *state.State) { s, err = st.Snapshot() })
 	return storage.StateSnapshot{Content: s}, err
 }
 
@@ -54,6 +55,6 @@
 	if err := s.Restore(&in); err != nil {
 		return err
 	}
-	m.server.routes.tables.follow(s.Routes, 0, time.Now())
-	return m.hub.replace(s)
+	m.routes.follow(s.Routes, 0, time.Now())
+	return m.hub.Replace(s)
 }
--- a/internal/registry/supervisor.go
+++ b/internal/registry/supervisor.go
@@ -12,6 +12,7 @@
 	"time"
 
 	"marblelane/internal/fault"
+	"marblelane/internal/registry/listserver"
 	"marblelane/internal/registry/storage"
 )
 
@@ -44,7 +45,7 @@
 
 // Supervise opens a replica; Run serves. The errors are Open's: a folder that fails at the start is not waited for.
 func Supervise(cfg Config) (*Supervisor, error) {
-	cfg.defaults()
+	cfg.SetDefaults()
 	n, err := Open(cfg)
 	if err != nil {
 		return nil, err
@@ -73,7 +74,7 @@
 }
 
 // Reload takes in other options, also for when the replica is opened anew; the log stays.
-func (s *Supervisor) Reload(o Options) {
+func (s *Supervisor) Reload(o listserver.Options) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	o.Log = s.cfg.Log
--- a/internal/registry/supervisor_test.go
+++ b/internal/registry/supervisor_test.go
@@ -19,6 +19,7 @@
 	"github.com/stretchr/testify/require"
 
 	"marblelane/internal/fault"
+	"marblelane/internal/registry/listserver"
 	"marblelane/internal/registry/state"
 	"marblelane/internal/registry/storage"
 )
@@ -34,15 +35,15 @@
 // supervise starts n replicas, with the same change to the configuration of each, and waits for their leader.
 func supervise(t *testing.T, n int, change func(*Config)) []*supervised {
 	t.Helper()
-	var peers []Peer
+	var peers []listserver.Peer
 	for i := range n {
-		peers = append(peers, Peer{Name: fmt.Sprint("r", i), Raft: freePort(t), Serve: freePort(t)})
+		peers = append(peers, listserver.Peer{Name: fmt.Sprint("r", i), Raft: freePort(t), Serve: freePort(t)})
 	}
 	var all []*supervised
 	for i, p := range peers {
 		c := &supervised{faults: filepath.Join(t.TempDir(), "faults.toml"), ended: make(chan error, 1)}
 		c.cfg = Config{Name: p.Name, Listen: p.Serve, Raft: p.Raft, Peers: peers, Beat: 50 * time.Millisecond,
-			Dir: filepath.Join(t.TempDir(), fmt.Sprint(i)), Options: Options{Batch: time.Millisecond}}
+			Dir: filepath.Join(t.TempDir(), fmt.Sprint(i)), Options: listserver.Options{Batch: time.Millisecond}}
 		var err error
 		c.cfg.Faults, err = fault.Open(c.faults)
 		require.NoError(t, err)
@@ -70,7 +71,7 @@
 }
 
 // status is what the replica says of itself; false: it does not answer.
-func (c *supervised) status() (st Status, answers bool) {
+func (c *supervised) status() (st listserver.Status, answers bool) {
 	client := &http.Client{Transport: &http.Transport{DisableKeepAlives: true}, Timeout: time.Second}
 	resp, err := client.Get("http://" + c.cfg.Listen + "/registry/status")
 	if err != nil {
@@ -110,7 +111,7 @@
 func register(all []*supervised, uid string) bool {
 	client := &http.Client{Transport: &http.Transport{DisableKeepAlives: true}, Timeout: 2 * time.Second}
 	for _, c := range all {
-		resp, err := client.Post("http://"+c.cfg.Listen+listPath+"/"+uid, "", strings.NewReader(`{"endpoint":"127.0.0.1:1"}`))
+		resp, err := client.Post("http://"+c.cfg.Listen+listserver.ListPath+"/"+uid, "", strings.NewReader(`{"endpoint":"127.0.0.1:1"}`))
 		if err != nil {
 			continue
 		}
@@ -150,7 +151,7 @@
 // served is the list that a replica serves, by name.
 func served(t *testing.T, c *supervised) map[string]bool {
 	t.Helper()
-	_, text := call(t, "GET", c.cfg.Listen, listPath, "")
+	_, text := call(t, "GET", c.cfg.Listen, listserver.ListPath, "")
 	var l state.List
 	require.NoError(t, json.Unmarshal([]byte(text), &l), text)
 	out := map[string]bool{}
@@ -353,14 +354,14 @@
 func TestSupervisor_reload(t *testing.T) {
 	all := supervise(t, 1, nil)
 	one := all[0]
-	one.supervisor.Reload(Options{MaxStaleness: time.Hour, Batch: time.Millisecond})
+	one.supervisor.Reload(listserver.Options{MaxStaleness: time.Hour, Batch: time.Millisecond})
 	one.plant(t, fault.NewSet(0, 0, fault.SyncErrorLost))
 	register(all, "lost")
 	one.closed(t)
-	one.supervisor.Reload(Options{MaxStaleness: 2 * time.Hour, Batch: time.Millisecond})
+	one.supervisor.Reload(listserver.Options{MaxStaleness: 2 * time.Hour, Batch: time.Millisecond})
 	one.plant(t, fault.Set{})
 	leading(t, all)
-	assert.Equal(t, 2*time.Hour, one.supervisor.Node().Server().o.Load().MaxStaleness)
+	assert.Equal(t, 2*time.Hour, one.supervisor.Node().Server().Options().MaxStaleness)
 }
 
 // A replica is opened anew at the port that the system chose the first time.
@@ -388,7 +389,7 @@
 	plan, err := fault.Open(faults)
 	require.NoError(t, err)
 	cfg := Config{Name: "one", Listen: freePort(t), Raft: freePort(t), Dir: filepath.Join(dir, "one"),
-		Beat: 10 * time.Millisecond, Faults: plan, Options: Options{Batch: time.Millisecond}}
+		Beat: 10 * time.Millisecond, Faults: plan, Options: listserver.Options{Batch: time.Millisecond}}
 	const cycles = 50
 	var goroutines, files int
 	for cycle := range cycles {
@@ -400,7 +401,7 @@
 		until(t, "the first write", func() bool { return n.Term() != 0 && n.Server().Status().Rev > 0 })
 		require.NoError(t, fault.NewSet(0, 0, fault.SyncErrorLost).Write(faults))
 		_, err = n.Apply(&state.Command{Op: state.OpPut, Entry: &state.Entry{UID: "lost", Endpoint: "127.0.0.1:1", State: state.Ready}}, time.Second)
-		require.ErrorIs(t, err, ErrNoQuorum)
+		require.ErrorIs(t, err, listserver.ErrNoQuorum)
 		var disk *DiskError
 		require.ErrorAs(t, <-ended, &disk)
 		if cycle == cycles/10 {
--- a/internal/wallclock/wallclock_test.go
+++ b/internal/wallclock/wallclock_test.go
@@ -87,19 +87,16 @@
 	"internal/registry/restore_seen.go": {
 		"n.cfg.Faults.Now": {1, "the epoch of a new history, above the former one whatever the clock says"},
 	},
-	"internal/registry/routes.go": {
-		"(*fault.Plan)(nil).Now": {1, "as node.go, which replaces it"},
-	},
 	"internal/registry/routes_lead.go": {
 		"since.Truncate": {1, "a duration"},
 	},
 	"internal/registry/routes_table.go": {
 		"age.Round": {1, "a duration"},
 	},
-	"internal/registry/server.go": {
+	"internal/registry/listserver/server.go": {
 		"age.Round": {1, "a duration"},
 	},
-	"internal/registry/server_status.go": {
+	"internal/registry/listserver/status.go": {
 		"age.Round": {1, "a duration"},
 	},
 	"internal/registry/state/state.go": {
