--- a/cmd/marblelane/registry_add_copy.go
+++ b/cmd/marblelane/registry_add_copy.go
@@ -5,7 +5,7 @@
 	"fmt"
 	"net/url"
 
-	"marblelane/internal/registry"
+	"marblelane/internal/registry/listserver"
 )
 
 // registryAddCopy makes a copy a member of the cluster.
@@ -17,7 +17,7 @@
 }
 
 func (c *registryAddCopy) Run(a *app) error {
-	body, err := json.Marshal(registry.Peer{Raft: c.Raft, Serve: c.Serve})
+	body, err := json.Marshal(listserver.Peer{Raft: c.Raft, Serve: c.Serve})
 	if err != nil {
 		return fmt.Errorf("add-copy: %w", err)
 	}
--- a/cmd/marblelane/registry_state_test.go
+++ b/cmd/marblelane/registry_state_test.go
@@ -13,7 +13,7 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
-	"marblelane/internal/registry"
+	"marblelane/internal/registry/listserver"
 	"marblelane/internal/registry/state"
 )
 
@@ -38,7 +38,7 @@
 // epochAt gives the epoch of the revision that a copy shows once it leads.
 func epochAt(t *testing.T, addr string) int64 {
 	t.Helper()
-	var status registry.Status
+	var status listserver.Status
 	require.Eventually(t, func() bool {
 		code, out, _ := execute(t, "registry", "status", "--addr", addr)
 		return code == exitGood && json.Unmarshal([]byte(out), &status) == nil && status.Leads && status.Rev > 0
--- a/internal/lab/cluster/faults.go
+++ b/internal/lab/cluster/faults.go
@@ -20,7 +20,7 @@
 	"marblelane/internal/lab/process"
 	"marblelane/internal/lab/relay"
 	"marblelane/internal/lab/scenario"
-	"marblelane/internal/registry"
+	"marblelane/internal/registry/listserver"
 )
 
 // faults carries out the scenario's faults, each in its own time, and undoes them at the end of the run.
@@ -136,7 +136,7 @@
 	at, want := c.Events.Now(), c.newestAcknowledged()
 	for _, replica := range chosen {
 		for {
-			var st registry.Status
+			var st listserver.Status
 			code, text, err := Call(ctx, "GET", "http://"+replica.Address+"/registry/status", nil)
 			if err == nil && code == http.StatusOK && json.Unmarshal(text, &st) == nil && st.Rev >= want {
 				break
@@ -177,7 +177,7 @@
 
 // revOf is the revision that a copy has applied; 0 where it does not say.
 func (c *Cluster) revisionOf(replica *Replica) int64 {
-	var st registry.Status
+	var st listserver.Status
 	code, text, err := Call(context.Background(), "GET", "http://"+replica.Address+"/registry/status", nil)
 	if err != nil || code != http.StatusOK || json.Unmarshal(text, &st) != nil {
 		return 0
@@ -331,7 +331,7 @@
 		if err := c.Launch(ctx, replica); err != nil {
 			return err
 		}
-		body, err := json.Marshal(registry.Peer{Raft: replica.raftProxy.Addr(0), Serve: replica.Address})
+		body, err := json.Marshal(listserver.Peer{Raft: replica.raftProxy.Addr(0), Serve: replica.Address})
 		if err != nil {
 			return err
 		}
--- a/internal/lab/cluster/play.go
+++ b/internal/lab/cluster/play.go
@@ -5,12 +5,13 @@
 	"encoding/json"
 	"errors"
 	"fmt"
-	"marblelane/internal/lab/harness"
-	"marblelane/internal/lab/report"
-	"marblelane/internal/registry/state"
 	"math/rand/v2"
 	"sync"
 	"time"
+
+	"marblelane/internal/lab/harness"
+	"marblelane/internal/lab/report"
+	"marblelane/internal/registry/state"
 )
 
 // Play runs a scenario of the registry alone.
