--- a/cmd/marblelane/lab_members.go
+++ b/cmd/marblelane/lab_members_scale.go
@@ -9,8 +9,9 @@
 	"marblelane/internal/lab"
 )
 
+// labMembersScale measures membership with more and more members.
 type labMembersScale struct {
-	Members []int         `help:"Sizes of fleets; else 10 to 300, with --quick 3 and 6, with --program 10 to 100. 1000 needs 10 GB and --total 10m."`
+	Members []int         `help:"Sizes of fleets; else 10 to 300, with --quick 3 and 6, with --program 10 to 100. 1000 needs 10 GB and --total 10m." placeholder:"N"`
 	Total   time.Duration `help:"Bound of the whole, without --program; 0: some minutes." default:"0s"`
 	Seed    uint64        `help:"Seed of what the network loses." default:"1"`
 	Quick   bool          `help:"Small fleets and short times: shows that it works, and no more."`
@@ -21,7 +22,7 @@
 }
 
 func (c *labMembersScale) Run(a *app) error {
-	m := lab.MemberScaleOf(c.Quick)
+	m := lab.DefaultMemberScale(c.Quick)
 	m.Seed, m.Progress = c.Seed, a.errOut
 	if c.Program != "" {
 		m.Sizes = []int{10, 50, 100}
@@ -33,18 +34,18 @@
 		return errors.New("--members are between 2 and 4000")
 	}
 	if c.Total > 0 {
-		m.Total = c.Total
+		m.TotalTimeout = c.Total
 	}
 	r, err := c.measure(a, &m)
 	if err != nil {
 		return err
 	}
 	if c.Report != "" {
-		if err := save(c.Report, "members-scale.json", r); err != nil {
+		if err := saveJSON(c.Report, "members-scale.json", r); err != nil {
 			return err
 		}
 	}
-	return show(a, c.JSON, r, lab.PrintMemberScale)
+	return printResult(a, c.JSON, r, lab.PrintMemberScale)
 }
 
 func (c *labMembersScale) measure(a *app, m *lab.MemberScale) (*lab.MemberScaleResult, error) {
@@ -54,9 +55,9 @@
 	if err := executable(c.Program); err != nil {
 		return nil, fmt.Errorf("--program: %w", err)
 	}
-	s, err := load("scale")
+	s, err := loadScenario("scale")
 	if err != nil {
 		return nil, err
 	}
-	return m.Processes(a.ctx, s, c.Program, c.Window)
+	return m.MeasureProcesses(a.ctx, s, c.Program, c.Window)
 }
--- a/cmd/marblelane/register.go
+++ b/cmd/marblelane/register.go
@@ -10,19 +10,20 @@
 	"time"
 
 	"marblelane/internal/fault"
-	"marblelane/internal/registry"
+	"marblelane/internal/registry/agent"
+	"marblelane/internal/registry/state"
 )
 
 type registerCmd struct {
 	Copy     []string      `help:"Address of a copy of the list service; several, in order of preference." required:"" placeholder:"HOST:PORT"`
-	UID      string        `help:"The server's name, its own and lasting." required:""`
-	Endpoint string        `help:"HOST:PORT at which it serves." required:""`
-	Zone     string        `help:"Its zone."`
-	Model    string        `help:"Its kind of machine."`
-	Pod      int           `help:"Its pod group."`
+	UID      string        `help:"The server's name, its own and lasting." required:"" placeholder:"NAME"`
+	Endpoint string        `help:"HOST:PORT at which it serves." required:"" placeholder:"HOST:PORT"`
+	Zone     string        `help:"Its zone." placeholder:"NAME"`
+	Model    string        `help:"Its kind of machine." placeholder:"NAME"`
+	Pod      int           `help:"Its pod group." placeholder:"N"`
 	Lease    time.Duration `help:"It is off the list after so long without a renewal." default:"15s"`
 	Health   string        `help:"URL that answers 200 when it can serve." placeholder:"URL"`
-	Faults   string        `help:"The lab's file of faults." hidden:""`
+	Faults   string        `help:"The lab's file of faults." hidden:"" placeholder:"FILE"`
 	Drain    time.Duration `help:"From Terminating until it is taken off." default:"5s"`
 	Command  []string      `arg:"" optional:"" passthrough:"" help:"The server to run, after --; without one it runs already."`
 }
@@ -34,15 +35,15 @@
 	if err != nil {
 		return fmt.Errorf("register: %w", err)
 	}
-	agent := &registry.Agent{Copies: c.Copy, Lease: c.Lease, Health: c.Health, Drain: c.Drain, Log: a.log,
-		Entry: registry.Entry{UID: c.UID, Endpoint: c.Endpoint, Zone: c.Zone, Model: c.Model, PodGroup: c.Pod,
-			State: registry.Ready, Capacity: 1, BootMS: faults.Now().UnixMilli()}}
+	registration := &agent.Agent{Replicas: c.Copy, Lease: c.Lease, Health: c.Health, Drain: c.Drain, Log: a.log,
+		Entry: state.Entry{UID: c.UID, Endpoint: c.Endpoint, Zone: c.Zone, Model: c.Model, PodGroup: c.Pod,
+			State: state.Ready, Capacity: 1, BootMS: faults.Now().UnixMilli()}}
 	command := c.Command
 	if len(command) > 0 && command[0] == "--" {
 		command = command[1:]
 	}
 	if len(command) == 0 {
-		return agent.Run(a.ctx)
+		return registration.Run(a.ctx)
 	}
 	server := exec.Command(command[0], command[1:]...)
 	server.Stdout, server.Stderr = a.out, a.errOut
@@ -55,10 +56,10 @@
 	ctx, cancel := context.WithCancel(a.ctx)
 	defer cancel()
 	left := make(chan error, 1)
-	go func() { left <- agent.Run(ctx) }()
+	go func() { left <- registration.Run(ctx) }()
 	select {
 	case err := <-ended: // the server has ended: there is nothing to drain
-		agent.Gone()
+		registration.Gone()
 		cancel()
 		return errors.Join(<-left, exitOf(err))
 	case err := <-left:
--- a/internal/lab/client/client.go
+++ b/internal/lab/client/client.go
@@ -188,7 +188,7 @@
 	s := t.load.Plan.Scenario
 	class := &s.Classes[t.arrival.Class]
 	method, body := http.MethodGet, []byte(nil)
-	if class.Effect == "unsafe" {
+	if class.Effect == scenario.EffectNonIdempotent {
 		method, body = http.MethodPost, stock.Body(^t.id, class.BodyBytes)
 	}
 	sum := record.Sum(body)
--- /dev/null
+++ b/internal/lab/experiment/membercold/membercold.go
@@ -0,0 +1,412 @@
+// Package membercold measures how a fleet of sidecars loads servers that have just started and work slower until they have
+// warmed up. What it varies is the number of sidecars, the changes of the fleet, and how sidecars count each other. Each
+// combination is played with several seeds on a simulated clock (package simulate): some servers are replaced, some
+// restart at once and some join, and the largest load of a cold server is kept. The command is `marblelane lab
+// members-cold`.
+package membercold
+
+import (
+	"cmp"
+	"context"
+	"errors"
+	"fmt"
+	"io"
+	"math"
+	"math/rand/v2"
+	"slices"
+	"sync"
+	"time"
+
+	"marblelane/internal/lab/measure"
+	"marblelane/internal/lab/scenario"
+	"marblelane/internal/lab/simulate"
+)
+
+// Experiment says which fleets to measure. Each is played with each change of it, each way to count sidecars and each
+// seed.
+type Experiment struct {
+	Sidecars     []int
+	Rates        []float64 // requests a second of each sidecar at the start; the rate of the fleet stays as it changes
+	FleetChanges []string  // of FleetChangeNames
+	CountModes   []simulate.CountMode
+	Seeds        int
+
+	Load             float64       // utilization of the initial servers while all are warm
+	RestartFraction  float64       // share of the servers that restart at once
+	Cores            int           // of a server
+	FallMultiple     float64       // a cold server falls when it is sent this multiple of what it can do
+	MeanWork         time.Duration // of a request
+	LatencyObjective time.Duration
+	Jobs             int       // runs at a time
+	Progress         io.Writer // nil: no progress
+}
+
+// Row is the result of one fleet, over its seeds.
+type Row struct {
+	Sidecars   int                `json:"sidecars"`
+	Rate       float64            `json:"rate"`
+	Servers    int                `json:"servers"` // initial
+	Change     string             `json:"change"`
+	CountMode  simulate.CountMode `json:"count"`
+	SlowStarts int                `json:"cold_starts"`
+	Overloaded int                `json:"pushed_over"`
+	// Peak is the largest load of a cold server, as a share of that under which it falls. PeakMean is the mean of the
+	// seeds' peaks.
+	Peak     float64 `json:"peak"`
+	PeakMean float64 `json:"peak_mean"`
+	// FullTrafficAfter is the mean time from the start of servers that started together until they got 0.8 of their part
+	// of the traffic. It is negative if they never did, or if the fleet is too small to tell.
+	FullTrafficAfter float64 `json:"full_part_s"`
+	InObjective      float64 `json:"in_aim"`
+	WorstInObjective float64 `json:"worst_in_aim"`
+	// AssumedMax and AssumedMean are what all sidecars together assume that cold servers can take, as a multiple of what
+	// they would assume with the number of sidecars in the settings.
+	AssumedMax  float64 `json:"assumed_most"`
+	AssumedMean float64 `json:"assumed_mean"`
+}
+
+// The times of a run in ms since its start. Servers are replaced, restart at once, and join. The fleet of sidecars
+// changes early enough before for all sidecars to know it, except that sidecars start just as servers are cold.
+const (
+	replaceAtMS = 12000.0
+	restartAtMS = 14000.0 // ready again about restartTimeMS later
+	joinAtMS    = 28000.0
+	runLength   = 44 * time.Second
+
+	restartTimeMS = 6000.0
+
+	splitAtMS = 8000.0 // early enough for silent processes to be detected before the first cold server
+	healAtMS  = 36000.0
+	stopAtMS  = 9000.0
+	startAtMS = 21800.0 // all sidecars have just learned of the restarted servers
+)
+
+// The fractions of the initial servers that start, and when a group of them has its full part of the traffic.
+const (
+	replacedFraction    = 0.1
+	joiningFraction     = 0.2
+	fullTrafficFraction = 0.8
+	trafficWindowMS     = 2000.0
+	trafficStepMS       = 500.0
+	minExpectedSends    = 20 // at a group in a window; with fewer its part cannot be told
+)
+
+// progressRuns is the number of runs between two reports of the progress.
+const progressRuns = 20
+
+// FleetChangeNames returns the changes of a fleet that can be measured.
+func FleetChangeNames() []string {
+	return []string{"steady", "half-die", "double", "die-return", "split-half", "split-one", "split-ten", "split-alone",
+		"split-third"}
+}
+
+// indices returns the numbers from first up to but not including end.
+func indices(first, end int) []int {
+	var out []int
+	for i := first; i < end; i++ {
+		out = append(out, i)
+	}
+	return out
+}
+
+// splitFleet partitions n sidecars at splitAtMS, each into the part that partOf returns, and heals them at healAtMS.
+func splitFleet(n int, partOf func(sidecar int) int) []simulate.Change {
+	parts := make([]int, n)
+	for i := range parts {
+		parts[i] = partOf(i)
+	}
+	return []simulate.Change{{At: splitAtMS, Sides: parts}, {At: healAtMS, Sides: make([]int, n)}}
+}
+
+// fleetChange returns the steps of a named change with n sidecars at the start, and how many sidecars exist at some time.
+func fleetChange(name string, n int) (all int, changes []simulate.Change, err error) {
+	switch name {
+	case "steady":
+		return n, nil, nil
+	case "half-die":
+		return n, []simulate.Change{{At: stopAtMS, Stop: indices(n/2, n)}}, nil
+	case "double":
+		return 2 * n, []simulate.Change{{At: startAtMS, Start: indices(n, 2*n)}}, nil
+	case "die-return":
+		majority := indices(n-n*7/10, n)
+		return n, []simulate.Change{{At: stopAtMS, Stop: majority}, {At: startAtMS, Start: majority}}, nil
+	case "split-half":
+		return n, splitFleet(n, func(i int) int { return i % 2 }), nil
+	case "split-one":
+		return n, splitFleet(n, func(i int) int { return min(i, 1) }), nil
+	case "split-ten":
+		return n, splitFleet(n, func(i int) int { return i % 10 }), nil
+	case "split-alone":
+		return n, splitFleet(n, func(i int) int { return i }), nil
+	case "split-third": // half and half, and a third of the sidecars restarts meanwhile
+		third := indices(0, n/3)
+		changes := splitFleet(n, func(i int) int { return i % 2 })
+		stop := simulate.Change{At: startAtMS - restartTimeMS, Stop: third}
+		return n, append(changes, stop, simulate.Change{At: startAtMS, Start: third}), nil
+	}
+	return 0, nil, fmt.Errorf("no change of a fleet is named %q: there are %v", name, FleetChangeNames())
+}
+
+// scenarioTemplate takes the length, the fall multiple, the cores, the work, the objective, the deadline and the time in
+// ms at which servers are replaced.
+const scenarioTemplate = `title = "Cold servers before a fleet that changes"
+length = %q
+warm_up = "5s"
+[servers]
+pod_size = 1
+max_conns = 100000
+fall_multiple = 1e9
+[rules]
+fall_multiple = %g
+[[servers.kind]]
+name = "like"
+share = 1
+cores = %d
+cold_from = 0.17
+cold = "24s"
+[traffic]
+rate = 1
+retries = 2
+backoff = "100ms"
+honour = 0.3
+[[class]]
+name = "one"
+share = 1
+work = %q
+cv = 0.5
+aim = %q
+deadline = %q
+[[fault]]
+kind = "replace"
+at = "%gms"
+servers = "1"
+`
+
+// plan draws one run with this number of sidecars, of all that exist at some time. It also returns the number of servers
+// that exist from the start.
+func (c *Experiment) plan(sidecars int, rate float64, all int, seed uint64) (*scenario.Plan, int, error) {
+	text := fmt.Sprintf(scenarioTemplate, runLength, c.FallMultiple, c.Cores, c.MeanWork, c.LatencyObjective,
+		5*c.LatencyObjective, replaceAtMS)
+	s, err := scenario.Parse("members-cold", []byte(text))
+	if err != nil {
+		return nil, 0, fmt.Errorf("members-cold: %w", err)
+	}
+	workSeconds := float64(c.MeanWork) / float64(time.Second)
+	capacity := float64(c.Cores) * c.Load
+	initial := max(4, int(math.Ceil(float64(sidecars)*rate*workSeconds/capacity)))
+	countOf := func(fraction float64) int { return max(1, int(fraction*float64(initial))) }
+	joining, restarting := countOf(joiningFraction), countOf(c.RestartFraction)
+	s.Sidecars.Count, s.Servers.Count = all, initial+joining
+	s.Traffic.Rate = rate * float64(sidecars)
+	s.Faults[0].Servers = fmt.Sprint(countOf(replacedFraction))
+	p := s.Plan(seed)
+	for i := range p.Arrivals { // sidecars that start later have no arrivals of their own
+		p.Arrivals[i].Sidecar %= sidecars
+	}
+	addServerFaults(p, joining, restarting, seed)
+	return p, initial, nil
+}
+
+// addServerFaults has some servers that are not replaced join late, and others restart at once.
+func addServerFaults(p *scenario.Plan, joining, restarting int, seed uint64) {
+	rng := rand.New(rand.NewPCG(seed, 0x636f6c64))
+	replaced := func(i int) bool { return slices.Contains(p.Faults[0].Servers, i) }
+	others := slices.DeleteFunc(rng.Perm(p.Scenario.Servers.Count), replaced)
+	restarting = min(restarting, len(others)-joining)
+	at := func(ms float64) time.Duration { return time.Duration(ms * float64(time.Millisecond)) }
+	p.Faults = append(p.Faults,
+		scenario.FaultPlan{At: at(1), Until: at(joinAtMS), Fault: scenario.Fault{Kind: "restart"}, Servers: others[:joining]},
+		scenario.FaultPlan{At: at(restartAtMS), Until: at(restartAtMS), Fault: scenario.Fault{Kind: "drain"},
+			Servers: others[joining : joining+restarting]})
+}
+
+// run is the result of one run.
+type run struct {
+	row, seed        int
+	initialServers   int
+	members          *simulate.MembersResult
+	figures          measure.Figures
+	fullTrafficAfter []float64
+	err              error
+}
+
+// Run measures all fleets, several runs at a time.
+func (c *Experiment) Run(ctx context.Context) ([]Row, error) {
+	rows := c.rows()
+	if err := c.check(rows); err != nil {
+		return nil, err
+	}
+	ctx, cancel := context.WithCancel(ctx)
+	defer cancel()
+	runs := make([][]run, len(rows))
+	var failed error
+	finished := 0
+	for r := range c.playAll(ctx, rows) {
+		if r.err != nil {
+			failed = cmp.Or(failed, r.err)
+			cancel()
+			continue
+		}
+		runs[r.row] = append(runs[r.row], r)
+		if finished++; c.Progress != nil && finished%progressRuns == 0 {
+			fmt.Fprintf(c.Progress, "%d of %d runs played\n", finished, len(rows)*c.Seeds)
+		}
+	}
+	if err := cmp.Or(failed, ctx.Err()); err != nil {
+		return nil, err
+	}
+	for i := range rows {
+		slices.SortFunc(runs[i], func(a, b run) int { return cmp.Compare(a.seed, b.seed) })
+		rows[i].aggregate(runs[i])
+	}
+	return rows, nil
+}
+
+// rows lists the fleets, without results.
+func (c *Experiment) rows() []Row {
+	var rows []Row
+	for _, n := range c.Sidecars {
+		for _, rate := range c.Rates {
+			for _, change := range c.FleetChanges {
+				for _, mode := range c.CountModes {
+					rows = append(rows, Row{Sidecars: n, Rate: rate, Change: change, CountMode: mode, FullTrafficAfter: -1})
+				}
+			}
+		}
+	}
+	return rows
+}
+
+func (c *Experiment) check(rows []Row) error {
+	if len(rows) == 0 || c.Seeds < 1 || c.Load <= 0 || c.Cores < 1 || c.FallMultiple <= 0 || c.MeanWork <= 0 ||
+		c.LatencyObjective <= 0 || c.RestartFraction <= 0 || c.RestartFraction > 1 {
+		return errors.New("members-cold: no fleets, or a figure that is not above 0, or a share at once above 1")
+	}
+	return nil
+}
+
+// playAll plays each row with each seed, Jobs runs at a time. The channel is closed when all runs are done, or those
+// under way when ctx ended.
+func (c *Experiment) playAll(ctx context.Context, rows []Row) <-chan run {
+	type job struct{ row, seed int }
+	jobs, done := make(chan job), make(chan run)
+	var workers sync.WaitGroup
+	for range max(c.Jobs, 1) {
+		workers.Go(func() {
+			for j := range jobs {
+				r := c.play(ctx, &rows[j.row], uint64(j.seed+1))
+				r.row, r.seed = j.row, j.seed
+				done <- r
+			}
+		})
+	}
+	go func() {
+		defer func() { close(jobs); workers.Wait(); close(done) }()
+		for i := range rows {
+			for seed := range c.Seeds {
+				select {
+				case jobs <- job{i, seed}:
+				case <-ctx.Done():
+					return
+				}
+			}
+		}
+	}()
+	return done
+}
+
+// play plays one run; it does not change the row.
+func (c *Experiment) play(ctx context.Context, row *Row, seed uint64) run {
+	all, changes, err := fleetChange(row.Change, row.Sidecars)
+	if err != nil {
+		return run{err: err}
+	}
+	p, base, err := c.plan(row.Sidecars, row.Rate, all, seed)
+	if err != nil {
+		return run{err: err}
+	}
+	played, err := simulate.Play(ctx, p, simulate.Options{Members: &simulate.Members{
+		Count: row.CountMode, Peers: row.Sidecars, Changes: changes, MeanWork: float64(c.MeanWork) / float64(time.Millisecond),
+	}})
+	if err != nil {
+		return run{err: fmt.Errorf("members-cold: %d sidecars, %s, %s, seed %d: %w", row.Sidecars, row.Change,
+			row.CountMode, seed, err)}
+	}
+	return run{initialServers: base, members: played.Members, figures: measure.Compute(p, played.Events, played.WorkDone).Figures,
+		fullTrafficAfter: fullTrafficTimes(played)}
+}
+
+// fullTrafficTimes returns, for each group of servers that started together, the ms until it got its part of all sends,
+// in ascending order. Groups for which that cannot be told are left out.
+func fullTrafficTimes(run *simulate.Run) []float64 {
+	groups := map[float64]map[int]bool{}
+	for _, s := range run.Members.Starts {
+		if groups[s.At] == nil {
+			groups[s.At] = map[int]bool{}
+		}
+		groups[s.At][s.Server] = true
+	}
+	var times []float64
+	for at, group := range groups {
+		for from := at; from+trafficWindowMS <= float64(runLength/time.Millisecond); from += trafficStepMS {
+			if hasFullTraffic(run.Sends, group, from) {
+				times = append(times, from-at)
+				break
+			}
+		}
+	}
+	slices.Sort(times)
+	return times
+}
+
+// hasFullTraffic tells whether a group of servers gets its part of the sends in the window that begins at from.
+func hasFullTraffic(sends []simulate.Send, group map[int]bool, from float64) bool {
+	first, _ := slices.BinarySearchFunc(sends, from, func(s simulate.Send, t float64) int { return cmp.Compare(s.At, t) })
+	toGroup, all, servers := 0, 0, map[int]bool{}
+	for _, s := range sends[first:] {
+		if s.At >= from+trafficWindowMS {
+			break
+		}
+		all++
+		servers[s.Server] = true
+		if group[s.Server] {
+			toGroup++
+		}
+	}
+	expected := float64(all) * float64(len(group)) / float64(max(len(servers), 1))
+	return expected >= minExpectedSends && float64(toGroup) >= fullTrafficFraction*expected
+}
+
+// aggregate works out a row from its runs.
+func (r *Row) aggregate(runs []run) {
+	var times []float64
+	for _, run := range runs {
+		n, peak := float64(len(runs)), 0.0
+		r.Servers = run.initialServers
+		for _, s := range run.members.Starts {
+			r.SlowStarts++
+			if s.Overloaded {
+				r.Overloaded++
+			}
+			peak = max(peak, s.PeakLoad)
+		}
+		r.Peak, r.PeakMean = max(r.Peak, peak), r.PeakMean+peak/n
+		r.InObjective += run.figures.InObjective / n
+		r.WorstInObjective += run.figures.WorstInObjective / n
+		r.AssumedMax, r.AssumedMean = max(r.AssumedMax, run.members.MaxQuota), r.AssumedMean+run.members.MeanQuota/n
+		times = append(times, run.fullTrafficAfter...)
+	}
+	for _, ms := range times {
+		r.FullTrafficAfter = max(r.FullTrafficAfter, 0) + ms/1000/float64(len(times))
+	}
+}
+
+// Print writes the rows as a table.
+func Print(w io.Writer, rows []Row) {
+	fmt.Fprintf(w, "%8s %6s %7s %-12s %-7s %7s %6s %6s %6s %7s %7s %7s %8s %8s\n",
+		"sidecars", "rate", "servers", "change", "count", "starts", "fell", "peak", "mean", "full s", "in aim", "worst", "assumed", "mean")
+	for _, r := range rows {
+		fmt.Fprintf(w, "%8d %6g %7d %-12s %-7s %7d %6d %6.2f %6.2f %7.1f %7.4f %7.4f %8.3g %8.3g\n",
+			r.Sidecars, r.Rate, r.Servers, r.Change, r.CountMode, r.SlowStarts, r.Overloaded, r.Peak, r.PeakMean, r.FullTrafficAfter, r.InObjective, r.WorstInObjective, r.AssumedMax, r.AssumedMean)
+	}
+}
--- a/internal/lab/growth.go
+++ b/internal/lab/growth.go
@@ -6,10 +6,11 @@
 	"errors"
 	"fmt"
 	"io"
-	"marblelane/internal/lab/harness"
 	"os"
 	"slices"
 	"time"
+
+	"marblelane/internal/lab/harness"
 )
 
 // GrowthSize is how large a fleet is.
@@ -18,7 +19,7 @@
 	Servers  int `json:"servers"`
 }
 
-// The sizes that the growth table of the acceptance page (STANDING) compares.
+// The sizes that the growth table of the acceptance page compares.
 var (
 	UsualGrowthSize   = GrowthSize{Sidecars: 300, Servers: 200}
 	LargestGrowthSize = GrowthSize{Sidecars: 900, Servers: 3200}
@@ -26,44 +27,44 @@
 
 // GrowthOptions are what a measurement of growth needs.
 type GrowthOptions struct {
-	Program      string // the sidecar's file
-	Usual, Large GrowthSize
-	Simulated    GrowthSizes   // fleets of the simulated day; zero: those above
-	Length       time.Duration // of a day of one real sidecar
-	DayLength    time.Duration // of the simulated day
-	Rate         float64       // requests a second of each sidecar
-	Connections  int           // of the clients of the real sidecar
-	Replaced     float64       // share of the servers that are replaced in a day
-	Steps        int           // in which they are; as many as there are servers: one by one
-	Rounds       int           // pairs of days of the real sidecar; the median counts
-	Dir          string        // for the processes' files; empty: a temporary one that goes with the run
-	Progress     io.Writer     // nil: none
+	Program          string // the sidecar's file
+	Usual, Large     GrowthSize
+	Simulated        GrowthSizes   // fleets of the simulated days; zero: Usual and Large
+	Length           time.Duration // of a day of one real sidecar
+	DayLength        time.Duration // of a simulated day
+	Rate             float64       // requests a second of each sidecar
+	Connections      int           // of the clients of the real sidecar
+	ReplacedFraction float64       // of the servers, over a day
+	Steps            int           // steps of a day in which servers are replaced
+	Rounds           int           // pairs of days of the real sidecar, of which the medians count
+	Dir              string        // for the processes' files; empty: a temporary one, removed at the end
+	Progress         io.Writer     // nil: none
 }
 
 // GrowthSizes are the two sizes of a comparison.
 type GrowthSizes struct{ Usual, Large GrowthSize }
 
-// GrowthNeed is what one sidecar needs over a day.
-type GrowthNeed struct {
+// GrowthUsage is what one sidecar uses over a day.
+type GrowthUsage struct {
 	CPU         float64 `json:"cpu_s"` // user and system, from the start of the process to its end
 	PeakMemory  float64 `json:"peak_memory_mb"`
-	Descriptors float64 `json:"descriptors"` // the most at a time
+	Descriptors float64 `json:"descriptors"` // the most at one time
 	Connections float64 `json:"connections"` // made to servers
 	ListBytes   float64 `json:"list_bytes"`  // received from discovery
-	Served      float64 `json:"served"`      // share of the worth that is answered in aim
+	Served      float64 `json:"served"`      // share of the worth that is answered within the latency objective
 }
 
 // GrowthRow is one line of the growth table.
 type GrowthRow struct {
-	What  string  `json:"what"`
-	Of    string  `json:"of"` // what was measured: a process, or the simulated fleet
-	Usual float64 `json:"usual"`
-	Large float64 `json:"large"`
-	Bound float64 `json:"bound"`
-	Met   bool    `json:"met"`
+	Figure      string  `json:"what"`
+	Subject     string  `json:"of"` // what was measured: one process, or a simulated day
+	Usual       float64 `json:"usual"`
+	Large       float64 `json:"large"`
+	Bound       float64 `json:"bound"`
+	WithinBound bool    `json:"met"`
 }
 
-// Growth is what a measurement of growth came to.
+// Growth is the result of a measurement of growth.
 type Growth struct {
 	Usual     GrowthSize   `json:"usual"`
 	Large     GrowthSize   `json:"large"`
@@ -73,76 +74,76 @@
 	Days      []GrowthDay  `json:"days"` // of simulated fleets
 }
 
-// GrowthPair is what the two sizes needed in one round.
+// GrowthPair is the usage at the two sizes in one round.
 type GrowthPair struct {
-	Usual GrowthNeed `json:"usual"`
-	Large GrowthNeed `json:"large"`
+	Usual GrowthUsage `json:"usual"`
+	Large GrowthUsage `json:"large"`
 }
 
-// Broken lists the rows whose bound is not met.
-func (g *Growth) Broken() []GrowthRow {
-	return slices.DeleteFunc(slices.Clone(g.Rows), func(r GrowthRow) bool { return r.Met })
+// Exceeded lists the rows beyond their bound.
+func (g *Growth) Exceeded() []GrowthRow {
+	return slices.DeleteFunc(slices.Clone(g.Rows), func(r GrowthRow) bool { return r.WithinBound })
 }
 
-// growthBound is one line of the acceptance page's table: a need may be at most times what it is at the usual size,
-// plus more, plus perThousand for each thousand servers.
+// growthBound is one line of the acceptance page's table. The usage at the large size is at most factor times the usage at
+// the usual size, plus offset, plus perThousandServers for each thousand servers.
 type growthBound struct {
-	what                     string
-	figure                   func(*GrowthNeed) float64
-	times, more, perThousand float64
-	atLeast                  bool // the need may not fall under times what it is at the usual size
+	name                               string
+	figure                             func(*GrowthUsage) float64
+	factor, offset, perThousandServers float64
+	isLowerLimit                       bool // the bound is a lower limit
 }
 
-// growthBounds is the growth table of STANDING, in its order and in the units of GrowthNeed.
+// growthBounds is the growth table of the acceptance page, in its order and in the units of GrowthUsage.
 var growthBounds = []growthBound{
-	{what: "CPU seconds", figure: cpuNeed, times: 1.4, more: 0.02, perThousand: 0.03},
-	{what: "peak memory, MB", figure: memoryNeed, times: 1.5, more: 8, perThousand: 4},
-	{what: "descriptors", figure: descriptorNeed, times: 2, more: 40},
-	{what: "connections made", figure: connectionNeed, times: 2.5, more: 40},
-	{what: "bytes of lists", figure: listNeed, times: 2, more: 64e3, perThousand: 500e3},
-	{what: "share served", figure: servedNeed, times: 0.85, atLeast: true},
-}
-
-func cpuNeed(n *GrowthNeed) float64        { return n.CPU }
-func memoryNeed(n *GrowthNeed) float64     { return n.PeakMemory }
-func descriptorNeed(n *GrowthNeed) float64 { return n.Descriptors }
-func connectionNeed(n *GrowthNeed) float64 { return n.Connections }
-func listNeed(n *GrowthNeed) float64       { return n.ListBytes }
-func servedNeed(n *GrowthNeed) float64     { return n.Served }
-
-// row holds what the large size needs against the bound, with this many servers there.
-func (b *growthBound) row(of string, pair GrowthPair, servers int) GrowthRow {
-	r := GrowthRow{What: b.what, Of: of, Usual: b.figure(&pair.Usual), Large: b.figure(&pair.Large)}
-	r.Bound = b.times*r.Usual + b.more + b.perThousand*float64(servers)/1000
-	if b.atLeast {
-		r.Met = r.Large >= r.Bound
+	{name: "CPU seconds", figure: cpuOfUsage, factor: 1.4, offset: 0.02, perThousandServers: 0.03},
+	{name: "peak memory, MB", figure: memoryOfUsage, factor: 1.5, offset: 8, perThousandServers: 4},
+	{name: "descriptors", figure: descriptorsOfUsage, factor: 2, offset: 40},
+	{name: "connections made", figure: connectionsOfUsage, factor: 2.5, offset: 40},
+	{name: "bytes of lists", figure: listBytesOfUsage, factor: 2, offset: 64e3, perThousandServers: 500e3},
+	{name: "share served", figure: servedOfUsage, factor: 0.85, isLowerLimit: true},
+}
+
+func cpuOfUsage(n *GrowthUsage) float64         { return n.CPU }
+func memoryOfUsage(n *GrowthUsage) float64      { return n.PeakMemory }
+func descriptorsOfUsage(n *GrowthUsage) float64 { return n.Descriptors }
+func connectionsOfUsage(n *GrowthUsage) float64 { return n.Connections }
+func listBytesOfUsage(n *GrowthUsage) float64   { return n.ListBytes }
+func servedOfUsage(n *GrowthUsage) float64      { return n.Served }
+
+// row compares the usage at the large size, with this number of servers, with the bound.
+func (b *growthBound) row(subject string, pair GrowthPair, servers int) GrowthRow {
+	r := GrowthRow{Figure: b.name, Subject: subject, Usual: b.figure(&pair.Usual), Large: b.figure(&pair.Large)}
+	r.Bound = b.factor*r.Usual + b.offset + b.perThousandServers*float64(servers)/1000
+	if b.isLowerLimit {
+		r.WithinBound = r.Large >= r.Bound
 	} else {
-		r.Met = r.Large <= r.Bound
+		r.WithinBound = r.Large <= r.Bound
 	}
 	return r
 }
 
-// medianPair takes the median of each need over the rounds.
+// medianPair takes the median of each figure over the rounds.
 func medianPair(pairs []GrowthPair) GrowthPair {
-	return GrowthPair{Usual: medianNeed(pairs, func(p *GrowthPair) *GrowthNeed { return &p.Usual }),
-		Large: medianNeed(pairs, func(p *GrowthPair) *GrowthNeed { return &p.Large })}
+	return GrowthPair{Usual: medianUsage(pairs, func(p *GrowthPair) *GrowthUsage { return &p.Usual }),
+		Large: medianUsage(pairs, func(p *GrowthPair) *GrowthUsage { return &p.Large })}
 }
 
-func medianNeed(pairs []GrowthPair, side func(*GrowthPair) *GrowthNeed) GrowthNeed {
-	of := func(need func(*GrowthNeed) float64) float64 {
+func medianUsage(pairs []GrowthPair, side func(*GrowthPair) *GrowthUsage) GrowthUsage {
+	medianOf := func(figure func(*GrowthUsage) float64) float64 {
 		var all []float64
 		for i := range pairs {
-			all = append(all, need(side(&pairs[i])))
+			all = append(all, figure(side(&pairs[i])))
 		}
 		return harness.Median(all)
 	}
-	return GrowthNeed{CPU: of(cpuNeed), PeakMemory: of(memoryNeed), Descriptors: of(descriptorNeed),
-		Connections: of(connectionNeed), ListBytes: of(listNeed), Served: of(servedNeed)}
+	return GrowthUsage{CPU: medianOf(cpuOfUsage), PeakMemory: medianOf(memoryOfUsage), Descriptors: medianOf(descriptorsOfUsage),
+		Connections: medianOf(connectionsOfUsage), ListBytes: medianOf(listBytesOfUsage), Served: medianOf(servedOfUsage)}
 }
 
-// MeasureGrowth holds what a sidecar needs in a large fleet against what it needs in one of the usual size (STANDING).
-// One real process against stand-in servers, in pairs of days, gives all needs; whole fleets on a simulated clock give
-// the share served and the connections made. An error means that a day could not be played.
+// MeasureGrowth compares what a sidecar uses in a large fleet with what it uses in one of the usual size. One real process
+// before stand-in servers, in pairs of days, gives all figures. Whole fleets on a simulated clock give the share served
+// and the connections made. An error means that a day could not be played.
 func MeasureGrowth(ctx context.Context, o GrowthOptions) (*Growth, error) {
 	if err := o.check(); err != nil {
 		return nil, fmt.Errorf("growth: %w", err)
@@ -173,7 +174,7 @@
 	return g, nil
 }
 
-// growthRows holds the medians of the processes and the simulated days against the bounds that concern them.
+// growthRows compares the medians of the processes, and the simulated days, with the bounds.
 func growthRows(g *Growth) []GrowthRow {
 	var rows []GrowthRow
 	process := medianPair(g.Rounds)
@@ -181,7 +182,7 @@
 		b := &growthBounds[i]
 		rows = append(rows, b.row("one process", process, g.Large.Servers))
 		for k := range g.Days {
-			// A simulated sidecar has no processor time, memory, descriptors or lists in bytes.
+			// Simulated days have no processor time, memory, descriptors or bytes of lists.
 			if day := &g.Days[k]; b.figure(&day.Usual) > 0 {
 				rows = append(rows, b.row(day.Name, day.GrowthPair, g.Simulated.Large.Servers))
 			}
@@ -189,7 +190,7 @@
 	}
 	for k := range g.Days {
 		broken := float64(len(g.Days[k].Broken))
-		rows = append(rows, GrowthRow{What: "rules broken", Of: g.Days[k].Name, Large: broken, Met: broken == 0})
+		rows = append(rows, GrowthRow{Figure: "rules broken", Subject: g.Days[k].Name, Large: broken, WithinBound: broken == 0})
 	}
 	return rows
 }
@@ -207,13 +208,13 @@
 		return errors.New("a length or the rate is not above 0")
 	case o.Connections < 1 || o.Steps < 1:
 		return fmt.Errorf("%d connections and %d steps: at least 1", o.Connections, o.Steps)
-	case !(o.Replaced >= 0 && o.Replaced <= 1):
-		return fmt.Errorf("share of servers replaced: %v is not between 0 and 1", o.Replaced)
+	case !(o.ReplacedFraction >= 0 && o.ReplacedFraction <= 1):
+		return fmt.Errorf("share of servers replaced: %v is not between 0 and 1", o.ReplacedFraction)
 	}
 	return nil
 }
 
-// progress tells what is done.
+// progress reports a step that is done.
 func (o *GrowthOptions) progress(format string, args ...any) {
 	if o.Progress != nil {
 		fmt.Fprintf(o.Progress, format+"\n", args...)
@@ -228,17 +229,17 @@
 		g.Simulated.Usual.Servers, g.Simulated.Large.Sidecars, g.Simulated.Large.Servers)
 	fmt.Fprintf(w, "%-18s %-16s %12s %12s %12s %s\n", "what", "of", "usual size", "large", "bound", "met")
 	for _, r := range g.Rows {
-		met := "yes"
-		if !r.Met {
-			met = "NO"
+		within := "yes"
+		if !r.WithinBound {
+			within = "NO"
 		}
-		fmt.Fprintf(w, "%-18s %-16s %12s %12s %12s %s\n", r.What, r.Of, growthFigure(r.Usual), growthFigure(r.Large),
-			growthFigure(r.Bound), met)
+		fmt.Fprintf(w, "%-18s %-16s %12s %12s %12s %s\n", r.Figure, r.Subject, formatFigure(r.Usual), formatFigure(r.Large),
+			formatFigure(r.Bound), within)
 	}
 }
 
-// growthFigure writes large figures without digits behind the point.
-func growthFigure(v float64) string {
+// formatFigure formats large figures without decimals.
+func formatFigure(v float64) string {
 	if v >= 1000 {
 		return fmt.Sprintf("%.0f", v)
 	}
--- a/internal/lab/growth_fleet.go
+++ b/internal/lab/growth_fleet.go
@@ -1,6 +1,6 @@
 package lab
 
-// This file plays the same day with fleets of two sizes on a simulated clock.
+// This file plays the same days with fleets of two sizes on a simulated clock.
 
 import (
 	"context"
@@ -48,31 +48,31 @@
 `
 
 const (
-	growthLoad  = 0.6 // of the capacity of all servers that is asked for
-	growthCores = 16  // of a server of the usual size
+	growthUtilization = 0.6 // load as a share of the capacity of all servers
+	growthCores       = 16  // of a server of the usual size
 )
 
-// GrowthDay is what a day on the simulated clock needed of each sidecar.
+// GrowthDay is what each sidecar used on a simulated day.
 type GrowthDay struct {
 	Name string `json:"name"`
 	GrowthPair
 	Broken []string `json:"broken"` // rules that were broken at the large size
 }
 
-// growthTrouble is what goes wrong on a day.
-type growthTrouble struct {
+// simulatedDayKind is a kind of day, by its faults.
+type simulatedDayKind struct {
 	name   string
 	faults func(o *GrowthOptions) []scenario.Fault
 }
 
-// growthTroubles are the days that are simulated.
-var growthTroubles = []growthTrouble{
+// simulatedDayKinds are the days that are simulated.
+var simulatedDayKinds = []simulatedDayKind{
 	{"fleet, replaced", func(o *GrowthOptions) []scenario.Fault {
-		if o.Replaced == 0 {
+		if o.ReplacedFraction == 0 {
 			return nil
 		}
 		return []scenario.Fault{{At: scenario.Duration(o.DayLength / 4), Kind: "replace",
-			Servers: fmt.Sprintf("%g%%", 100*o.Replaced)}}
+			Servers: fmt.Sprintf("%g%%", 100*o.ReplacedFraction)}}
 	}},
 	{"fleet, zone lost", func(o *GrowthOptions) []scenario.Fault {
 		return []scenario.Fault{{At: scenario.Duration(o.DayLength / 4), For: scenario.Duration(o.DayLength / 4),
@@ -80,17 +80,17 @@
 	}},
 }
 
-// simulatedGrowth plays each day with each size.
+// simulatedGrowth plays each kind of day with each size.
 func simulatedGrowth(ctx context.Context, o *GrowthOptions) ([]GrowthDay, error) {
 	var days []GrowthDay
-	for i := range growthTroubles {
-		trouble := &growthTroubles[i]
-		day := GrowthDay{Name: trouble.name}
+	for i := range simulatedDayKinds {
+		kind := &simulatedDayKinds[i]
+		day := GrowthDay{Name: kind.name}
 		var err error
-		if day.Usual, _, err = simulateGrowthDay(ctx, o, o.Simulated.Usual, trouble); err != nil {
+		if day.Usual, _, err = simulateGrowthDay(ctx, o, o.Simulated.Usual, kind); err != nil {
 			return nil, err
 		}
-		if day.Large, day.Broken, err = simulateGrowthDay(ctx, o, o.Simulated.Large, trouble); err != nil {
+		if day.Large, day.Broken, err = simulateGrowthDay(ctx, o, o.Simulated.Large, kind); err != nil {
 			return nil, err
 		}
 		days = append(days, day)
@@ -98,18 +98,18 @@
 	return days, nil
 }
 
-// simulateGrowthDay also gives the rules that were broken.
-func simulateGrowthDay(ctx context.Context, o *GrowthOptions, size GrowthSize, trouble *growthTrouble) (GrowthNeed,
+// simulateGrowthDay plays a day with one size. It also returns the rules that were broken.
+func simulateGrowthDay(ctx context.Context, o *GrowthOptions, size GrowthSize, kind *simulatedDayKind) (GrowthUsage,
 	[]string, error) {
 	s, err := growthDayOf(o, size)
 	if err != nil {
-		return GrowthNeed{}, nil, err
+		return GrowthUsage{}, nil, err
 	}
-	s.Faults = trouble.faults(o)
+	s.Faults = kind.faults(o)
 	plan := s.Plan(1)
 	run, err := simulate.Play(ctx, plan, simulate.Options{})
 	if err != nil {
-		return GrowthNeed{}, nil, fmt.Errorf("%d sidecars, %d servers: %w", size.Sidecars, size.Servers, err)
+		return GrowthUsage{}, nil, fmt.Errorf("%d sidecars, %d servers: %w", size.Sidecars, size.Servers, err)
 	}
 	opened := 0
 	for i := range run.Sends {
@@ -117,17 +117,17 @@
 			opened++
 		}
 	}
-	report := report.New(plan, run.Events, run.WorkDone, nil, nil)
-	figures, broken := &report.Result.Figures, report.Verdict.Broken()
-	need := GrowthNeed{Connections: float64(opened) / float64(size.Sidecars), Served: figures.InObjective}
+	outcome := report.New(plan, run.Events, run.WorkDone, nil, report.ProcessorDelays{})
+	figures, broken := &outcome.Result.Figures, outcome.Verdict.Broken()
+	usage := GrowthUsage{Connections: float64(opened) / float64(size.Sidecars), Served: figures.InObjective}
 	o.progress("%s, %d sidecars, %d servers: %d requests, %.3f served, %.1f connections each, %.2f attempts, broken %v",
-		trouble.name, size.Sidecars, size.Servers, figures.Requests, need.Served, need.Connections, figures.ServerAttempts, broken)
-	return need, broken, nil
+		kind.name, size.Sidecars, size.Servers, figures.Requests, usage.Served, usage.Connections, figures.ServerAttempts, broken)
+	return usage, broken, nil
 }
 
-// growthDayOf is the day with a fleet of this size. The traffic of a sidecar and the capacity of all servers together,
-// counted for each sidecar, are the same at any size: where there are more servers for each sidecar they have fewer
-// cores, and what whole cores leave over goes into their speed.
+// growthDayOf returns the scenario of a day with a fleet of this size. The traffic and the capacity of the servers per
+// sidecar are the same at any size: with more servers per sidecar, servers have fewer cores, and their speed makes up for
+// the rounding to whole cores.
 func growthDayOf(o *GrowthOptions, size GrowthSize) (*scenario.Scenario, error) {
 	s, err := scenario.Parse("growth-day.toml", []byte(growthDayScenario))
 	if err != nil {
@@ -137,13 +137,13 @@
 	s.Length = scenario.Duration(o.DayLength)
 	s.Sidecars.Count, s.Servers.Count = size.Sidecars, size.Servers
 	s.Traffic.Rate = o.Rate * float64(size.Sidecars)
-	work := 0.0 // of a request in the mean, in seconds
+	meanWork := 0.0 // of a request, in seconds
 	for _, c := range s.Classes {
-		work += c.Fraction * c.Work.Duration().Seconds()
+		meanWork += c.Fraction * c.Work.Duration().Seconds()
 	}
 	kind := &s.Servers.Kinds[0]
 	kind.Cores = max(1, int(math.Round(growthCores*size.sidecarsPerServer()/usual.sidecarsPerServer())))
-	speed := o.Rate * work / growthLoad * size.sidecarsPerServer() / float64(kind.Cores)
+	speed := o.Rate * meanWork / growthUtilization * size.sidecarsPerServer() / float64(kind.Cores)
 	kind.Speed = scenario.Range{speed, speed}
 	return s, nil
 }
--- a/internal/lab/growth_process.go
+++ b/internal/lab/growth_process.go
@@ -4,6 +4,7 @@
 
 import (
 	"context"
+	"encoding/json"
 	"errors"
 	"fmt"
 	"io"
@@ -16,6 +17,7 @@
 	"time"
 
 	"marblelane/internal/lab/agent"
+	"marblelane/internal/lab/experiment/testbed"
 	"marblelane/internal/lab/harness"
 	"marblelane/internal/lab/process"
 	"marblelane/internal/lab/record"
@@ -42,79 +44,80 @@
 `
 
 const (
-	growthWork   = 5 * time.Millisecond // of a server for each request
-	growthSample = 50 * time.Millisecond
-	growthGoneIn = 400 * time.Millisecond // from the notice that a server drains until its end, at most
+	growthWorkTime       = 5 * time.Millisecond // of a server per request
+	growthSidecarSeed    = 1
+	growthSampleInterval = 50 * time.Millisecond
+	growthDrainTime      = 400 * time.Millisecond // from the notification that a server drains until it ends, at most
 )
 
-// growthDay is a day under way.
-type growthDay struct {
+// growthRun is a day under way.
+type growthRun struct {
 	o       *GrowthOptions
-	r       *harness.Run // for the plan, the folder and what starts processes
+	r       *harness.Run // the plan, the folder and the supervisor of the processes
 	servers *growthServers
 	agents  *agent.Agents
 	meter   *meteredForward
 	ids     atomic.Uint64
 }
 
-// growthRound plays a day of each size, every other round in the other order.
+// growthRound plays a day with each size. The order alternates from round to round.
 func growthRound(ctx context.Context, o *GrowthOptions, round int) (GrowthPair, error) {
 	var pair GrowthPair
-	play := func(name string, size GrowthSize, need *GrowthNeed) error {
+	play := func(name string, size GrowthSize, usage *GrowthUsage) error {
 		var err error
 		dir := filepath.Join(o.Dir, fmt.Sprintf("%s-%d", name, round))
-		if *need, err = playGrowthDay(ctx, o, size, dir); err != nil {
+		if *usage, err = playGrowthDay(ctx, o, size, dir); err != nil {
 			return fmt.Errorf("%d servers: %w", size.Servers, err)
 		}
-		o.progress("round %d of %d, %d servers: %+v", round+1, o.Rounds, size.Servers, *need)
+		o.progress("round %d of %d, %d servers: %+v", round+1, o.Rounds, size.Servers, *usage)
 		return nil
 	}
-	usual := func() error { return play("usual", o.Usual, &pair.Usual) }
-	large := func() error { return play("large", o.Large, &pair.Large) }
+	first := func() error { return play("usual", o.Usual, &pair.Usual) }
+	second := func() error { return play("large", o.Large, &pair.Large) }
 	if round%2 == 1 {
-		usual, large = large, usual
+		first, second = second, first
 	}
-	if err := usual(); err != nil {
+	if err := first(); err != nil {
 		return pair, err
 	}
-	return pair, large()
+	return pair, second()
 }
 
-// playGrowthDay starts a sidecar before this many servers, drives it for the day while some are replaced, and ends it.
-func playGrowthDay(ctx context.Context, o *GrowthOptions, size GrowthSize, dir string) (need GrowthNeed, err error) {
-	replaced := int(o.Replaced * float64(size.Servers))
+// playGrowthDay starts a sidecar before the servers, sends requests for the day while servers are replaced, and stops it.
+func playGrowthDay(ctx context.Context, o *GrowthOptions, size GrowthSize, dir string) (usage GrowthUsage, err error) {
+	replaced := int(o.ReplacedFraction * float64(size.Servers))
 	s, err := scenario.Parse("growth.toml", []byte(growthScenario))
 	if err != nil {
-		return need, err
+		return usage, err
 	}
 	s.Servers.Count = size.Servers + replaced
 	base, err := harness.New(s, harness.Options{Seed: 1, Dir: dir})
 	if err != nil {
-		return need, err
+		return usage, err
 	}
-	d := &growthDay{o: o, r: base}
+	d := &growthRun{o: o, r: base}
 	defer func() { err = errors.Join(err, d.close()) }()
 	if d.servers, err = startGrowthServers(s.Servers.Count); err != nil {
-		return need, err
+		return usage, err
 	}
 	if err := d.startDiscovery(size.Servers); err != nil {
-		return need, err
+		return usage, err
 	}
 	p, err := d.launch(ctx, size)
 	if err != nil {
-		return need, err
+		return usage, err
 	}
-	if need, err = d.play(ctx, p, size.Servers, replaced); err != nil {
-		return need, err
+	if usage, err = d.play(ctx, p, size.Servers, replaced); err != nil {
+		return usage, err
 	}
-	if told := d.toldGone(); told < replaced {
-		return need, fmt.Errorf("the sidecar was told of %d of %d servers that ended", told, replaced)
+	if notified := d.serversNotifiedGone(); notified < replaced {
+		return usage, fmt.Errorf("the sidecar was told of %d of %d servers that ended", notified, replaced)
 	}
-	return need, nil
+	return usage, nil
 }
 
-// toldGone is how many servers the sidecar was told to be gone.
-func (d *growthDay) toldGone() int {
+// serversNotifiedGone returns of how many servers the sidecar was notified that they are gone.
+func (d *growthRun) serversNotifiedGone() int {
 	gone := map[int32]bool{}
 	for _, e := range d.r.Events.Events() {
 		if e.Kind == record.Notified && e.Note == agent.Gone {
@@ -124,8 +127,8 @@
 	return len(gone)
 }
 
-// startDiscovery tells of the first servers of the plan.
-func (d *growthDay) startDiscovery(listed int) error {
+// startDiscovery starts a discovery service that lists the first servers of the plan.
+func (d *growthRun) startDiscovery(listed int) error {
 	link := relay.NewLink(relay.Rules{}, 1)
 	var err error
 	d.agents, err = agent.New(d.r.Events, 1, d.entries(listed),
@@ -137,7 +140,7 @@
 	return err
 }
 
-func (d *growthDay) entries(listed int) []agent.Entry {
+func (d *growthRun) entries(listed int) []agent.Entry {
 	var list []agent.Entry
 	for i := range listed {
 		e := d.r.Entry(i, agent.Ready, 0)
@@ -147,57 +150,53 @@
 	return list
 }
 
-// launch starts the sidecar, as one of this many.
-func (d *growthDay) launch(ctx context.Context, size GrowthSize) (*launched, error) {
+// launch starts the sidecar, configured for a fleet of this size.
+func (d *growthRun) launch(ctx context.Context, size GrowthSize) (*testbed.Sidecar, error) {
 	settings := d.r.Plan.Settings(0)
 	settings["peers_total"] = size.Sidecars
-	settings["tenants"] = []map[string]any{{"name": costTenant, "share": 1.0, "allowance_per_s": 1e6}}
-	config, err := mergePatch([]byte("{}"), map[string]any{
-		"listen": "127.0.0.1:0", "management": "127.0.0.1:0", "seed": "1", "settings": settings,
-		"discovery": d.meter.addr(), "known": agent.List{All: true, Targets: d.entries(size.Servers)},
-		"limits": map[string]any{"cores": d.r.Scenario.Sidecars.Cores, "memory_mb": d.r.Scenario.Sidecars.MemoryMB,
-			"sockets": d.r.Scenario.Sidecars.MaxSockets},
-	})
+	settings["tenants"] = []map[string]any{{"name": testbed.Tenant, "share": 1.0, "allowance_per_s": 1e6}}
+	config := testbed.BaseConfig(d.r.Scenario, growthSidecarSeed, d.meter.addr(), settings)
+	config["known"] = agent.List{All: true, Targets: d.entries(size.Servers)}
+	text, err := json.Marshal(config)
 	if err != nil {
 		return nil, err
 	}
-	starter := &costRun{r: d.r, config: config}
-	return starter.launch(ctx, "sidecar", d.o.Program)
+	launcher := &testbed.Launcher{Children: d.r.Processes, Dir: d.r.Dir, MaxDescriptors: d.r.Scenario.Sidecars.MaxSockets, Config: text}
+	return launcher.Launch(ctx, "sidecar", d.o.Program)
 }
 
-// play drives the sidecar, replaces servers meanwhile, and measures until the sidecar has ended.
-func (d *growthDay) play(ctx context.Context, p *launched, listed, replaced int) (GrowthNeed, error) {
-	load := &costLoad{addr: p.listen, class: d.r.Scenario.Classes[0].Name, rate: d.o.Rate, ids: &d.ids,
-		conns: make([]*costConn, d.o.Connections)}
-	driving, driven := context.WithCancel(ctx)
-	var beside sync.WaitGroup
+// play sends requests to the sidecar while servers are replaced, stops it, and measures until it has ended.
+func (d *growthRun) play(ctx context.Context, p *testbed.Sidecar, listed, replaced int) (GrowthUsage, error) {
+	load := testbed.NewLoad(p.Listen, d.r.Scenario.Classes[0].Name, d.o.Rate, d.o.Connections, &d.ids)
+	driving, stopDriving := context.WithCancel(ctx)
+	var background sync.WaitGroup
 	var peak process.Usage
-	var sampled error
-	beside.Go(func() { peak, sampled = samplePeak(driving, p.PID) })
-	beside.Go(func() { d.replace(driving, listed, replaced) })
-	began := time.Now()
-	done, err := load.drive(ctx, d.o.Length)
-	harness.Sleep(ctx, time.Until(began.Add(d.o.Length))) // the last request may have been some time ago
-	load.close()
-	driven()
-	beside.Wait()
-	stopCosted(p.Child)
+	var sampleErr error
+	background.Go(func() { peak, sampleErr = samplePeak(driving, p.PID) })
+	background.Go(func() { d.replace(driving, listed, replaced) })
+	start := time.Now()
+	done, err := load.Drive(ctx, d.o.Length)
+	harness.Sleep(ctx, time.Until(start.Add(d.o.Length))) // the day ends some time after the last request
+	load.Close()
+	stopDriving()
+	background.Wait()
+	p.Stop()
 	switch {
 	case err != nil:
-		return GrowthNeed{}, err
-	case sampled != nil:
-		return GrowthNeed{}, sampled
+		return GrowthUsage{}, err
+	case sampleErr != nil:
+		return GrowthUsage{}, sampleErr
 	case p.Err() != nil:
-		return GrowthNeed{}, fmt.Errorf("the sidecar ended with %w; its log ends:\n%s", p.Err(), p.LogTail())
-	case done.sent == 0:
-		return GrowthNeed{}, errors.New("no request was sent")
+		return GrowthUsage{}, fmt.Errorf("the sidecar ended with %w; its log ends:\n%s", p.Err(), p.LogTail())
+	case done.Sent == 0:
+		return GrowthUsage{}, errors.New("no request was sent")
 	}
-	return GrowthNeed{CPU: p.CPU(), PeakMemory: float64(peak.PeakRSS) / (1 << 20), Descriptors: float64(peak.Descriptors),
+	return GrowthUsage{CPU: p.CPU(), PeakMemory: float64(peak.PeakRSS) / (1 << 20), Descriptors: float64(peak.Descriptors),
 		Connections: float64(d.servers.made.Load()), ListBytes: float64(d.meter.bytes.Load()),
-		Served: 1 - float64(done.failed)/float64(done.sent)}, nil
+		Served: 1 - float64(done.Failed)/float64(done.Sent)}, nil
 }
 
-// samplePeak follows what a process takes until ctx ends.
+// samplePeak samples the memory and descriptors of a process until ctx ends, and returns the peaks.
 func samplePeak(ctx context.Context, pid int) (process.Usage, error) {
 	var peak process.Usage
 	for {
@@ -207,18 +206,18 @@
 		}
 		peak.PeakRSS = max(peak.PeakRSS, now.PeakRSS)
 		peak.Descriptors = max(peak.Descriptors, now.Descriptors)
-		if !harness.Sleep(ctx, growthSample) {
+		if !harness.Sleep(ctx, growthSampleInterval) {
 			return peak, nil
 		}
 	}
 }
 
-// replace lets servers drain and end in steps, evenly over the day, while new ones take their places.
-func (d *growthDay) replace(ctx context.Context, listed, replaced int) {
+// replace drains and ends servers in steps, evenly over the day, while new ones take their places.
+func (d *growthRun) replace(ctx context.Context, listed, replaced int) {
 	steps := min(d.o.Steps, replaced)
-	began := time.Now()
+	start := time.Now()
 	for step := range steps {
-		due := began.Add(d.o.Length * time.Duration(step+1) / time.Duration(steps+4))
+		due := start.Add(d.o.Length * time.Duration(step+1) / time.Duration(steps+4))
 		if !harness.Sleep(ctx, time.Until(due)) {
 			return
 		}
@@ -230,14 +229,14 @@
 			gone = append(gone, old)
 		}
 		d.agents.PublishAll(changed, 0, 0)
-		if !harness.Sleep(ctx, min(growthGoneIn, d.o.Length/time.Duration(2*steps+4))) {
+		if !harness.Sleep(ctx, min(growthDrainTime, d.o.Length/time.Duration(2*steps+4))) {
 			return
 		}
 		d.agents.PublishAll(gone, 0, 0)
 	}
 }
 
-func (d *growthDay) close() error {
+func (d *growthRun) close() error {
 	d.r.Close()
 	var err error
 	if d.meter != nil {
@@ -252,11 +251,11 @@
 	return err
 }
 
-// growthServers are stand-in servers that all answer alike.
+// growthServers are stand-in servers that give the same answer to each request.
 type growthServers struct {
 	srv       *http.Server
 	listeners []net.Listener
-	made      atomic.Int64 // connections to them
+	made      atomic.Int64 // connections made to them
 	serving   sync.WaitGroup
 }
 
@@ -265,8 +264,8 @@
 	answer := []byte(strings.Repeat("x", 256))
 	s.srv = &http.Server{
 		Handler: http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
-			time.Sleep(growthWork)
-			_, _ = w.Write(answer) // a sidecar that has ended reads it no more
+			time.Sleep(growthWorkTime)
+			_, _ = w.Write(answer) // fails if the sidecar has ended
 		}),
 		ConnState: func(_ net.Conn, state http.ConnState) {
 			if state == http.StateNew {
@@ -285,8 +284,8 @@
 	return s, nil
 }
 
-// growthServerHost is an address that nobody else uses: what connects there was told of this server. On 127.0.0.1 so many
-// ports would also get what is meant for others that had them before.
+// growthServerHost is a loopback address for this server alone. On 127.0.0.1 so many ports would also receive connections
+// that are meant for earlier listeners.
 func growthServerHost(server int) string { return fmt.Sprintf("127.16.%d.%d", server>>8, server&255) }
 
 func (s *growthServers) addr(server int) string { return s.listeners[server].Addr().String() }
@@ -300,7 +299,7 @@
 	return err
 }
 
-// meteredForward passes connections on to one address and counts the bytes that come back.
+// meteredForward forwards connections to one address and counts the bytes that come back.
 type meteredForward struct {
 	target   string
 	listener net.Listener
@@ -330,7 +329,7 @@
 	}
 }
 
-// pass ends when either side closes.
+// pass forwards a connection until either side closes.
 func (f *meteredForward) pass(caller net.Conn) {
 	defer caller.Close()
 	called, err := net.DialTimeout("tcp4", f.target, time.Second)
@@ -342,10 +341,10 @@
 		_, _ = io.Copy(called, caller) // until either closes
 		called.Close()
 	})
-	_, _ = io.Copy(io.MultiWriter(caller, (*byteCount)(&f.bytes)), called) // as above
+	_, _ = io.Copy(io.MultiWriter(caller, (*byteCount)(&f.bytes)), called) // until either closes
 }
 
-// close waits for the callers to end.
+// close waits for the connections to end.
 func (f *meteredForward) close() error {
 	err := f.listener.Close()
 	f.passing.Wait()
--- a/internal/lab/lab_test.go
+++ b/internal/lab/lab_test.go
@@ -119,6 +119,11 @@
 				}
 				if end != report.Fail || len(rep.Verdict.Broken()) != 1 {
 					t.Errorf("%s: %s; want only rule %s broken", end, reason, want)
+					for _, b := range rep.Verdict.Breaches {
+						if b.Rule != want {
+							t.Logf("%s at %.3f s: %s\n  %s", b.Rule, b.At, b.Text, strings.Join(b.Path, "\n  "))
+						}
+					}
 				}
 				for _, b := range rep.Verdict.Breaches {
 					if b.Request != "" && len(b.Path) == 0 {
@@ -292,7 +297,7 @@
 	sound := parse(t, small)
 	bad := parse(t, small+"[[fault]]\nat = \"0s\"\nfor = \"2s\"\nkind = \"fail\"\nservers = \"all\"\nsize = 1\n")
 	c, err := Compare(t.Context(), Side{"sound", sound, sidecarProgram}, Side{"bad", bad, sidecarProgram}, 3, 2, harness.Options{})
-	if errors.Is(err, errBusy) {
+	if errors.Is(err, errLabLate) {
 		t.Skip(err)
 	}
 	if err != nil {
@@ -301,7 +306,7 @@
 	if !slices.Equal(c.Seeds, []uint64{3, 4}) || len(c.Pairs) != 2 {
 		t.Errorf("pairs of seeds %v", c.Seeds)
 	}
-	if r := c.Rows[0]; r.Name != "in aim" || r.Diff > -0.9 || math.Abs(r.B-r.A-r.Diff) > 1e-9 || r.Least > r.Diff || r.Most < r.Diff {
+	if r := c.Rows[0]; r.Name != "in aim" || r.Diff > -0.9 || math.Abs(r.B-r.A-r.Diff) > 1e-9 || r.Min > r.Diff || r.Max < r.Diff {
 		t.Errorf("row %+v", r)
 	}
 	dir := t.TempDir()
--- a/internal/lab/requestcost.go
+++ b/internal/lab/requestcost.go
@@ -8,8 +8,6 @@
 	"fmt"
 	"io"
 	"net/http"
-	"os"
-	"path/filepath"
 	"slices"
 	"strings"
 	"sync/atomic"
@@ -17,42 +15,42 @@
 
 	"marblelane/internal/lab/agent"
 	"marblelane/internal/lab/cluster"
+	"marblelane/internal/lab/experiment/testbed"
 	"marblelane/internal/lab/harness"
-	"marblelane/internal/lab/process"
 	"marblelane/internal/lab/relay"
 	"marblelane/internal/lab/scenario"
 )
 
-// CostVariant is a sidecar whose cost is measured.
+// CostVariant is a sidecar program and configuration whose cost is measured.
 type CostVariant struct {
-	Name    string
-	Program string
-	With    []json.RawMessage // merged into its configuration in turn, by the rules of JSON Merge Patch (RFC 7386)
-	Routes  bool              // its requests go along a route, told by real copies of the list service
-	Members bool              // it is in a fleet with CostOptions.Members idle sidecars
+	Name          string
+	Program       string
+	ConfigPatches []json.RawMessage // merged into its configuration in turn, as JSON merge patches (RFC 7386)
+	WithRoutes    bool              // its requests follow a route, from real copies of the list service
+	WithMembers   bool              // it is in a fleet with CostOptions.IdleMembers idle sidecars
 }
 
 // CostOptions are what a measurement of costs needs.
 type CostOptions struct {
 	Variants    []CostVariant
-	Base        string // the variant that the others are compared with; empty: the first
-	Rounds      int    // two at least
+	Baseline    string // the variant that the others are compared with; empty: the first
+	Rounds      int    // at least 2
 	Length      time.Duration
-	Idle        time.Duration // from ready until its memory is measured
-	Rate        float64       // requests a second in all; 0: each connection sends the next when it has its answer
+	IdleTime    time.Duration // from ready until memory is measured
+	Rate        float64       // requests a second in all; 0: closed loop, each connection sends the next one after its answer
 	Connections int
 	Servers     int
-	Members     int    // idle sidecars in the fleet of variants that are members
-	Self        string // the command's file, for copies of the list service; empty: this program
-	Dir         string // for files; empty: a temporary one that goes with the run
+	IdleMembers int    // idle sidecars in the fleet of variants with members
+	Self        string // the program of the list service; empty: this one
+	Dir         string // for files; empty: a temporary one, removed at the end
 	Progress    io.Writer
 
-	warm, settle time.Duration // 0: costWarm, costSettle
+	warmUp, settleTimeout time.Duration // 0: defaultWarmUp, defaultSettleTimeout
 }
 
-// RequestCost is what variants of a sidecar cost.
+// RequestCost is the result of a measurement.
 type RequestCost struct {
-	Base        string        `json:"base"`
+	Baseline    string        `json:"base"`
 	Rounds      int           `json:"rounds"`
 	Seconds     float64       `json:"seconds"`
 	Rate        float64       `json:"rate_per_s"` // 0: closed loop
@@ -60,22 +58,22 @@
 	Variants    []VariantCost `json:"variants"`
 }
 
-// VariantCost is what one variant costs, each figure the median of its rounds.
+// VariantCost is the cost of one variant. Each figure is the median of its rounds.
 type VariantCost struct {
 	Name      string      `json:"name"`
 	CPU       float64     `json:"cpu_us_per_request"`
-	Ratio     *Interval   `json:"ratio,omitempty"` // of CPU per request to the base's; nil: it is the base
+	Ratio     *Interval   `json:"ratio,omitempty"` // of CPU per request to the baseline's; nil: it is the baseline
 	PerSecond float64     `json:"requests_per_s"`
 	IdleCPU   float64     `json:"idle_cpu_us_per_s"`
 	IdleRSS   float64     `json:"idle_rss_mb"`
-	Start     float64     `json:"start_ms"` // from the start of the process until it says that it is ready
+	Start     float64     `json:"start_ms"` // from the start of the process until it logs that it is ready
 	Rounds    []CostRound `json:"per_round"`
 }
 
-// CostRound is one start of a variant.
+// CostRound is the result of one start of a variant.
 type CostRound struct {
 	Requests  int64   `json:"requests"`
-	Failed    int64   `json:"failed"` // answered otherwise than with 200, or not at all
+	Failed    int64   `json:"failed"` // not answered with 200
 	CPU       float64 `json:"cpu_us_per_request"`
 	PerSecond float64 `json:"requests_per_s"`
 	IdleCPU   float64 `json:"idle_cpu_us_per_s"`
@@ -83,7 +81,7 @@
 	Start     float64 `json:"start_ms"`
 }
 
-// Interval is the mean of a figure with its 95 % confidence interval (Student's t).
+// Interval is the mean of a figure with its 95 % confidence interval by Student's t distribution.
 type Interval struct {
 	Mean float64 `json:"mean"`
 	Low  float64 `json:"low"`
@@ -91,13 +89,14 @@
 }
 
 const (
-	costWarm   = time.Second            // of requests before those that are measured
-	costSlice  = 200 * time.Millisecond // for which a variant is driven before it is another's turn
-	costSettle = 20 * time.Second
-	costFailed = 0.01 // share of requests that may fail in a round that counts
-	costRouted = 0.99 // share that has to go along a route, where there is one
-	costSubset = "near"
-	costTenant = "cost"
+	defaultWarmUp        = time.Second            // of requests that are not measured
+	sliceLength          = 200 * time.Millisecond // for which a variant gets requests before the next one's turn
+	defaultSettleTimeout = 20 * time.Second
+	maxFailedFraction    = 0.01 // of the requests of a valid round
+	minRoutedFraction    = 0.99 // of the requests of a variant with routes
+	costSubset           = "near"
+	sidecarSeed          = 1
+	maxFleetSeeds        = 3
 )
 
 const costScenario = `
@@ -126,41 +125,40 @@
 subsets = ["near"]
 `
 
-// MeasureRequestCost starts each variant anew in each round, drives one at a time, in turn and for a moment each,
-// and compares its processor time per request with the base's in the same round. The order turns from round to
-// round and from moment to moment, so that what changes on the machine with time is no one's advantage. An error
-// also means that a variant did not do what is measured: it refused requests, its requests did not go along the
-// route, or it was not taken into the fleet.
+// MeasureRequestCost starts each variant anew in each round and sends requests to one at a time, in slices of sliceLength.
+// It compares the processor time per request with that of the baseline in the same round. The order of the variants
+// reverses from round to round and from slice to slice, so that a change of the machine's load favours none. It is also
+// an error if a variant fails requests, if its requests do not follow the route, or if it does not join the fleet.
 func MeasureRequestCost(ctx context.Context, o CostOptions) (*RequestCost, error) {
 	base, err := o.check()
 	if err != nil {
 		return nil, fmt.Errorf("request cost: %w", err)
 	}
-	o.warm, o.settle = cmp.Or(o.warm, costWarm), cmp.Or(o.settle, costSettle)
+	o.warmUp, o.settleTimeout = cmp.Or(o.warmUp, defaultWarmUp), cmp.Or(o.settleTimeout, defaultSettleTimeout)
 	c := &costRun{o: o}
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	defer c.close()
-	if err := c.start(ctx); err != nil {
+	if err := c.startEnvironment(ctx); err != nil {
 		return nil, fmt.Errorf("request cost: %w", err)
 	}
 	rounds := make([][]CostRound, len(o.Variants))
 	for k := range o.Rounds {
-		one, err := c.round(ctx, k)
+		results, err := c.playRound(ctx, k)
 		if err != nil {
 			return nil, fmt.Errorf("request cost: round %d: %w", k+1, err)
 		}
-		for i := range one {
-			rounds[i] = append(rounds[i], one[i])
+		for i := range results {
+			rounds[i] = append(rounds[i], results[i])
 			if o.Progress != nil {
-				fmt.Fprintf(o.Progress, "round %d of %d, %s: %.1f us a request\n", k+1, o.Rounds, o.Variants[i].Name, one[i].CPU)
+				fmt.Fprintf(o.Progress, "round %d of %d, %s: %.1f us a request\n", k+1, o.Rounds, o.Variants[i].Name, results[i].CPU)
 			}
 		}
 	}
-	return sumCosts(&o, base, rounds), nil
+	return summarizeCosts(&o, base, rounds), nil
 }
 
-// check finds what cannot be meant and gives the number of the base.
+// check rejects invalid options and returns the number of the baseline variant.
 func (o *CostOptions) check() (base int, err error) {
 	if len(o.Variants) == 0 {
 		return 0, errors.New("there is no variant")
@@ -171,21 +169,21 @@
 			return 0, fmt.Errorf("variant %q: its name is empty, not its own or has a slash", v.Name)
 		}
 		named[v.Name] = true
-		if v.Members && o.Members < 1 {
+		if v.WithMembers && o.IdleMembers < 1 {
 			return 0, fmt.Errorf("variant %s: a fleet has one other member at least", v.Name)
 		}
 	}
 	switch {
 	case o.Rounds < 2:
 		return 0, fmt.Errorf("%d rounds: two at least have a spread", o.Rounds)
-	case o.Length <= 0 || o.Idle < 0 || o.Rate < 0:
+	case o.Length <= 0 || o.IdleTime < 0 || o.Rate < 0:
 		return 0, errors.New("length is not above 0, or idle time or rate is negative")
 	case o.Connections < 1 || o.Servers < 2:
 		return 0, errors.New("connections are fewer than 1, or servers fewer than 2")
 	}
-	if o.Base != "" {
-		if base = slices.IndexFunc(o.Variants, func(v CostVariant) bool { return v.Name == o.Base }); base < 0 {
-			return 0, fmt.Errorf("base: there is no variant %q", o.Base)
+	if o.Baseline != "" {
+		if base = slices.IndexFunc(o.Variants, func(v CostVariant) bool { return v.Name == o.Baseline }); base < 0 {
+			return 0, fmt.Errorf("base: there is no variant %q", o.Baseline)
 		}
 	}
 	return base, nil
@@ -193,19 +191,18 @@
 
 // costRun is a measurement under way.
 type costRun struct {
-	o       CostOptions
-	r       *harness.Run    // for the plan, the folder and what starts processes
-	f       *fleet          // the copies of the list service; nil: a stand-in
-	agents  *agent.Agents   // the stand-in
-	config  json.RawMessage // of any sidecar, before what is its own
-	servers []*costServer
-	seeds   []string // of the fleet
-	starts  int
-	ids     atomic.Uint64
+	o        CostOptions
+	r        *harness.Run  // the plan, the folder and the supervisor of the processes
+	f        *routeFleet   // the list service; nil: the stand-in
+	agents   *agent.Agents // the stand-in for the list service
+	sidecars *testbed.Launcher
+	servers  []*costServer
+	seeds    []string // of the fleet
+	ids      atomic.Uint64
 }
 
-// start brings up all that stands beside the sidecars.
-func (c *costRun) start(ctx context.Context) error {
+// startEnvironment starts everything but the measured sidecars.
+func (c *costRun) startEnvironment(ctx context.Context) error {
 	s, err := scenario.Parse("request-cost.toml", []byte(costScenario))
 	if err != nil {
 		return err
@@ -215,13 +212,13 @@
 		return err
 	}
 	for i := range c.r.Plan.Servers {
-		one, err := startCostServer(slices.Contains(c.r.Plan.Subsets[costSubset], i))
+		server, err := startCostServer(slices.Contains(c.r.Plan.Subsets[costSubset], i))
 		if err != nil {
 			return err
 		}
-		c.servers = append(c.servers, one)
+		c.servers = append(c.servers, server)
 	}
-	if slices.ContainsFunc(c.o.Variants, func(v CostVariant) bool { return v.Routes }) {
+	if slices.ContainsFunc(c.o.Variants, func(v CostVariant) bool { return v.WithRoutes }) {
 		err = c.startCopies(ctx)
 	} else {
 		err = c.startAgent()
@@ -232,17 +229,17 @@
 	if err := c.makeConfig(); err != nil {
 		return err
 	}
-	if i := slices.IndexFunc(c.o.Variants, func(v CostVariant) bool { return v.Members }); i >= 0 {
+	if i := slices.IndexFunc(c.o.Variants, func(v CostVariant) bool { return v.WithMembers }); i >= 0 {
 		return c.startMembers(ctx, &c.o.Variants[i])
 	}
 	return nil
 }
 
-// startCopies starts the list service, with all servers on its list and the route of the tenant.
+// startCopies starts the list service, with all servers on its list and a route for the tenant.
 func (c *costRun) startCopies(ctx context.Context) error {
 	reg := &scenario.Registry{Replicas: c.r.Scenario.Discovery.RegistryReplicas, HeartbeatInterval: scenario.Duration(100 * time.Millisecond)}
 	rr := cluster.New(c.r, reg)
-	c.f = &fleet{rr: rr, at: &scaleClock{began: time.Now()},
+	c.f = &routeFleet{rr: rr, play: &playState{start: time.Now()},
 		client: &http.Client{Transport: &http.Transport{}, Timeout: 5 * time.Second}}
 	if err := rr.Start(ctx); err != nil {
 		return err
@@ -253,10 +250,11 @@
 			return err
 		}
 	}
-	_, _, err := c.f.call(ctx, "/routes/"+costTenant+"/base", map[string]string{"to": costSubset})
+	_, _, err := c.f.call(ctx, "/routes/"+testbed.Tenant+"/base", map[string]string{"to": costSubset})
 	return err
 }
 
+// startAgent starts the stand-in for the list service.
 func (c *costRun) startAgent() error {
 	var list []agent.Entry
 	for i := range c.servers {
@@ -269,39 +267,38 @@
 	return err
 }
 
+// entry is the list entry of a server.
 func (c *costRun) entry(i int) agent.Entry {
 	e := c.r.Entry(i, agent.Ready, 0)
 	e.Endpoint = c.servers[i].addr
 	return e
 }
 
-// makeConfig makes what all sidecars have alike.
+// makeConfig makes the configuration that all sidecars have in common.
 func (c *costRun) makeConfig() error {
 	settings := c.r.Plan.Settings(0)
-	settings["tenants"] = []map[string]any{{"name": costTenant, "share": 1.0, "allowance_per_s": 1e6}}
-	settings["peers_total"] = 1 + c.o.Members
+	settings["tenants"] = []map[string]any{{"name": testbed.Tenant, "share": 1.0, "allowance_per_s": 1e6}}
+	settings["peers_total"] = 1 + c.o.IdleMembers
 	list := agent.List{All: true}
 	for i := range c.servers {
 		list.Targets = append(list.Targets, c.entry(i))
 	}
-	config := map[string]any{
-		"listen": "127.0.0.1:0", "management": "127.0.0.1:0", "seed": "1", "known": list, "settings": settings,
-		"limits": map[string]any{"cores": c.r.Scenario.Sidecars.Cores, "memory_mb": c.r.Scenario.Sidecars.MemoryMB,
-			"sockets": c.r.Scenario.Sidecars.MaxSockets},
-	}
+	discovery := ""
 	if c.f != nil {
-		config["discovery"] = c.f.rr.Replicas[0].Address
+		discovery = c.f.rr.Replicas[0].Address
 	} else {
-		config["discovery"] = c.agents.Addr(0)
+		discovery = c.agents.Addr(0)
 	}
-	var err error
-	c.config, err = json.Marshal(config)
+	config := testbed.BaseConfig(c.r.Scenario, sidecarSeed, discovery, settings)
+	config["known"] = list
+	text, err := json.Marshal(config)
+	c.sidecars = &testbed.Launcher{Children: c.r.Processes, Dir: c.r.Dir, MaxDescriptors: c.r.Scenario.Sidecars.MaxSockets, Config: text}
 	return err
 }
 
 // startMembers starts the idle sidecars of the fleet.
 func (c *costRun) startMembers(ctx context.Context, v *CostVariant) error {
-	for range c.o.Members {
+	for range c.o.IdleMembers {
 		addr, err := relay.FreeAddr("127.0.0.1")
 		if err != nil {
 			return err
@@ -309,101 +306,17 @@
 		c.seeds = append(c.seeds, addr)
 	}
 	for i, bind := range c.seeds {
-		if _, err := c.launch(ctx, fmt.Sprint("idle-", i), v.Program, membersSection(bind, c.seeds)); err != nil {
+		if _, err := c.sidecars.Launch(ctx, fmt.Sprint("idle-", i), v.Program, membersSection(bind, c.seeds)); err != nil {
 			return fmt.Errorf("idle member: %w", err)
 		}
 	}
 	return nil
 }
 
-// membersSection is the section of a sidecar in the fleet. A few seeds are enough.
+// membersSection is the configuration of a member of the fleet, with at most maxFleetSeeds seeds.
 func membersSection(bind string, seeds []string) any {
 	return map[string]any{"members": map[string]any{"fleet": "request-cost", "bind": bind,
-		"seeds": seeds[:min(len(seeds), 3)]}}
-}
-
-// launched is a sidecar that says it is ready.
-type launched struct {
-	*process.Child
-	listen, management string
-	took               time.Duration
-}
-
-// launch starts a sidecar with the common configuration and what is merged into it, in turn.
-func (c *costRun) launch(ctx context.Context, name, program string, own ...any) (*launched, error) {
-	config := c.config
-	for _, patch := range append([]any{map[string]any{"name": name}}, own...) {
-		var err error
-		if config, err = mergePatch(config, patch); err != nil {
-			return nil, err
-		}
-	}
-	c.starts++
-	dir := filepath.Join(c.r.Dir, fmt.Sprintf("%s-%d", name, c.starts))
-	if err := os.MkdirAll(filepath.Join(dir, "tmp"), 0o755); err != nil {
-		return nil, err
-	}
-	file := filepath.Join(dir, "config.json")
-	if err := os.WriteFile(file, config, 0o644); err != nil {
-		return nil, err
-	}
-	began := time.Now()
-	p, err := c.r.Processes.Start(process.Spec{Name: name, Path: program, Dir: dir, MaxDescriptors: c.r.Scenario.Sidecars.MaxSockets,
-		Env: []string{"NODE_CONFIG=" + file, "TMPDIR=" + filepath.Join(dir, "tmp")}})
-	if err != nil {
-		return nil, err
-	}
-	wait, cancel := context.WithTimeout(ctx, harness.StartTimeout)
-	defer cancel()
-	line, err := p.AwaitLog(wait, harness.ReadyText)
-	if err != nil {
-		p.Kill()
-		return nil, err
-	}
-	return &launched{Child: p, took: time.Since(began), listen: valueOf(line, "listen"), management: valueOf(line,
-		"management")}, nil
-}
-
-// valueOf finds a key's value in a line of words of the form key=value.
-func valueOf(line, key string) string {
-	for _, word := range strings.Fields(line) {
-		if v, ok := strings.CutPrefix(word, key+"="); ok {
-			return v
-		}
-	}
-	return ""
-}
-
-// mergePatch merges a value into a JSON text as RFC 7386 has it.
-func mergePatch(text json.RawMessage, patch any) (json.RawMessage, error) {
-	raw, err := json.Marshal(patch)
-	if err != nil {
-		return nil, err
-	}
-	var onto, from any
-	if err := errors.Join(json.Unmarshal(text, &onto), json.Unmarshal(raw, &from)); err != nil {
-		return nil, err
-	}
-	return json.Marshal(merged(onto, from))
-}
-
-func merged(onto, from any) any {
-	patch, ok := from.(map[string]any)
-	if !ok {
-		return from
-	}
-	object, ok := onto.(map[string]any)
-	if !ok {
-		object = map[string]any{}
-	}
-	for key, v := range patch {
-		if v == nil {
-			delete(object, key)
-		} else {
-			object[key] = merged(object[key], v)
-		}
-	}
-	return object
+		"seeds": seeds[:min(len(seeds), maxFleetSeeds)]}}
 }
 
 func (c *costRun) close() {
--- a/internal/lab/requestcost_round.go
+++ b/internal/lab/requestcost_round.go
@@ -7,188 +7,190 @@
 	"errors"
 	"fmt"
 	"slices"
-	"syscall"
 	"time"
 
+	"marblelane/internal/lab/experiment/testbed"
 	"marblelane/internal/lab/harness"
 	"marblelane/internal/lab/process"
 	"marblelane/internal/membership"
 	"marblelane/internal/membership/view"
 )
 
-// costed is one start of a variant.
-type costed struct {
-	v    *CostVariant
-	p    *launched
-	load *costLoad
-	cpu  time.Duration // before what is under way
+// variantRun is one start of a variant.
+type variantRun struct {
+	variant      *CostVariant
+	sidecar      *testbed.Sidecar
+	load         *testbed.Load
+	idleStartCPU time.Duration // processor time at the start of the idle measurement
 	CostRound
 
-	used, driven time.Duration // of slices
-	came, routed int64         // requests that servers saw, and those of them that came along the route
-	reason       string        // of a failure
+	cpuUsed, drivenTime time.Duration // in the slices so far
+	received, routed    int64         // requests at the servers, and those of them along the route
+	reason              string        // of a failure
 }
 
-// fails names the variant that an error is of.
-func (d *costed) fails(err error) error {
+// wrapError names the variant in an error.
+func (d *variantRun) wrapError(err error) error {
 	if err == nil {
 		return nil
 	}
-	return fmt.Errorf("%s: %w", d.v.Name, err)
+	return fmt.Errorf("%s: %w", d.variant.Name, err)
 }
 
-// round starts each variant once and measures it beside the others.
-func (c *costRun) round(ctx context.Context, k int) ([]CostRound, error) {
-	all := make([]*costed, len(c.o.Variants))
+// playRound starts each variant once and measures all of them beside each other.
+func (c *costRun) playRound(ctx context.Context, k int) ([]CostRound, error) {
+	all := make([]*variantRun, len(c.o.Variants))
 	defer func() {
 		for _, d := range all {
 			if d != nil {
-				d.load.close()
-				stopCosted(d.p.Child)
+				d.load.Close()
+				d.sidecar.Stop()
 			}
 		}
 	}()
-	turn := func(k int) []int { // from first to last, and back
-		order := make([]int, len(all))
-		for i := range order {
-			order[i] = i
-		}
-		if k%2 == 1 {
-			slices.Reverse(order)
-		}
-		return order
-	}
-	for _, i := range turn(k) {
+	for _, i := range variantOrder(len(all), k) {
 		var err error
-		if all[i], err = c.begin(ctx, &c.o.Variants[i]); err != nil {
+		if all[i], err = c.startVariant(ctx, &c.o.Variants[i]); err != nil {
 			return nil, fmt.Errorf("%s: %w", c.o.Variants[i].Name, err)
 		}
 	}
-	if err := c.idle(ctx, all); err != nil {
+	if err := c.measureIdle(ctx, all); err != nil {
 		return nil, err
 	}
-	for _, i := range turn(k) {
-		if err := c.warm(ctx, all[i]); err != nil {
-			return nil, all[i].fails(err)
+	for _, i := range variantOrder(len(all), k) {
+		if err := c.warmUp(ctx, all[i]); err != nil {
+			return nil, all[i].wrapError(err)
 		}
 	}
-	n := max(int(c.o.Length/costSlice), 1)
-	for j := range n {
-		for _, i := range turn(k + j) {
-			if err := c.slice(ctx, all[i], c.o.Length/time.Duration(n)); err != nil {
-				return nil, all[i].fails(err)
+	slicesPerVariant := max(int(c.o.Length/sliceLength), 1)
+	for j := range slicesPerVariant {
+		for _, i := range variantOrder(len(all), k+j) {
+			if err := c.driveSlice(ctx, all[i], c.o.Length/time.Duration(slicesPerVariant)); err != nil {
+				return nil, all[i].wrapError(err)
 			}
 		}
 	}
 	out := make([]CostRound, len(all))
 	for i, d := range all {
 		var err error
-		if out[i], err = d.end(); err != nil {
-			return nil, d.fails(err)
+		if out[i], err = d.result(); err != nil {
+			return nil, d.wrapError(err)
 		}
 	}
 	return out, nil
 }
 
-// begin starts a variant.
-func (c *costRun) begin(ctx context.Context, v *CostVariant) (*costed, error) {
-	var own []any
-	if v.Routes {
+// variantOrder returns the order of n variants on turn k: from first to last, and reversed on every other turn.
+func variantOrder(n, k int) []int {
+	order := make([]int, n)
+	for i := range order {
+		order[i] = i
+	}
+	if k%2 == 1 {
+		slices.Reverse(order)
+	}
+	return order
+}
+
+// startVariant starts a variant.
+func (c *costRun) startVariant(ctx context.Context, v *CostVariant) (*variantRun, error) {
+	var patches []any
+	if v.WithRoutes {
 		var addrs []string
-		for _, one := range c.f.rr.Replicas {
-			addrs = append(addrs, one.Address)
+		for _, replica := range c.f.rr.Replicas {
+			addrs = append(addrs, replica.Address)
 		}
-		own = append(own, map[string]any{"routes": map[string]any{"addrs": addrs}})
+		patches = append(patches, map[string]any{"routes": map[string]any{"addrs": addrs}})
 	}
-	if v.Members {
-		own = append(own, membersSection("127.0.0.1:0", c.seeds))
+	if v.WithMembers {
+		patches = append(patches, membersSection("127.0.0.1:0", c.seeds))
 	}
-	for _, section := range v.With {
-		own = append(own, section)
+	for _, patch := range v.ConfigPatches {
+		patches = append(patches, patch)
 	}
-	p, err := c.launch(ctx, "measured-"+v.Name, v.Program, own...)
+	p, err := c.sidecars.Launch(ctx, "measured-"+v.Name, v.Program, patches...)
 	if err != nil {
 		return nil, err
 	}
-	d := &costed{v: v, p: p, load: &costLoad{addr: p.listen, class: c.r.Scenario.Classes[0].Name, rate: c.o.Rate, ids: &c.ids,
-		conns: make([]*costConn, c.o.Connections)}}
-	d.Start = float64(p.took) / float64(time.Millisecond)
+	d := &variantRun{variant: v, sidecar: p, load: testbed.NewLoad(p.Listen, c.r.Scenario.Classes[0].Name, c.o.Rate, c.o.Connections, &c.ids)}
+	d.Start = float64(p.StartTime) / float64(time.Millisecond)
 	return d, nil
 }
 
-// idle measures processes that nobody calls. Their processor time is that of the second half, past what a start costs.
-func (c *costRun) idle(ctx context.Context, all []*costed) error {
-	harness.Sleep(ctx, c.o.Idle/2)
-	began := time.Now()
+// measureIdle measures processes without requests. The first half of the time, with the cost of the start, does not count
+// for the processor time.
+func (c *costRun) measureIdle(ctx context.Context, all []*variantRun) error {
+	harness.Sleep(ctx, c.o.IdleTime/2)
+	start := time.Now()
 	for _, d := range all {
 		var err error
-		if d.cpu, err = cpuOf(d.p.PID); err != nil {
-			return d.fails(err)
+		if d.idleStartCPU, err = processCPU(d.sidecar.PID); err != nil {
+			return d.wrapError(err)
 		}
 	}
-	harness.Sleep(ctx, c.o.Idle/2)
+	harness.Sleep(ctx, c.o.IdleTime/2)
 	for _, d := range all {
-		cpu, err := cpuOf(d.p.PID)
+		cpu, err := processCPU(d.sidecar.PID)
 		if err != nil {
-			return d.fails(err)
+			return d.wrapError(err)
 		}
-		d.IdleCPU = inMicros(cpu-d.cpu) / time.Since(began).Seconds()
-		u, err := process.Measure(d.p.PID)
+		d.IdleCPU = microseconds(cpu-d.idleStartCPU) / time.Since(start).Seconds()
+		u, err := process.Measure(d.sidecar.PID)
 		if err != nil {
-			return d.fails(err)
+			return d.wrapError(err)
 		}
 		d.IdleRSS = float64(u.RSS) / (1 << 20)
 	}
 	return ctx.Err()
 }
 
-// warm waits until a variant is in the fleet, sends requests until connections are open and sizes known, and goes on
-// until a route is followed where there is one.
-func (c *costRun) warm(ctx context.Context, d *costed) error {
-	if d.v.Members {
-		if err := c.awaitFleet(ctx, d.p.management); err != nil {
+// warmUp waits until a variant has joined its fleet, and sends requests: at least for the warm-up time, so that connections
+// are open and sizes known, and with routes until the requests follow them.
+func (c *costRun) warmUp(ctx context.Context, d *variantRun) error {
+	if d.variant.WithMembers {
+		if err := c.awaitFleet(ctx, d.sidecar.Management); err != nil {
 			return err
 		}
 	}
-	for until := time.Now().Add(c.o.settle); ; {
+	for deadline := time.Now().Add(c.o.settleTimeout); ; {
 		warming := *d
-		if err := c.slice(ctx, &warming, c.o.warm); err != nil {
+		if err := c.driveSlice(ctx, &warming, c.o.warmUp); err != nil {
 			return err
 		}
-		if !d.v.Routes || warming.share() >= costRouted {
+		if !d.variant.WithRoutes || warming.routedFraction() >= minRoutedFraction {
 			return nil
 		}
-		if time.Now().After(until) {
-			return fmt.Errorf("after %v %.1f %% of its requests go along the route", c.o.settle, 100*warming.share())
+		if time.Now().After(deadline) {
+			return fmt.Errorf("after %v %.1f %% of its requests go along the route", c.o.settleTimeout, 100*warming.routedFraction())
 		}
 	}
 }
 
-// slice drives a variant for a moment and counts it.
-func (c *costRun) slice(ctx context.Context, d *costed, length time.Duration) error {
+// driveSlice sends requests to a variant for a slice and adds up what they cost.
+func (c *costRun) driveSlice(ctx context.Context, d *variantRun, length time.Duration) error {
 	for _, s := range c.servers {
-		s.all.Store(0)
+		s.received.Store(0)
 		s.routed.Store(0)
 	}
-	before, err := cpuOf(d.p.PID)
+	before, err := processCPU(d.sidecar.PID)
 	if err != nil {
 		return err
 	}
-	done, err := d.load.drive(ctx, length)
+	done, err := d.load.Drive(ctx, length)
 	if err != nil {
 		return err
 	}
-	after, err := cpuOf(d.p.PID)
+	after, err := processCPU(d.sidecar.PID)
 	if err != nil {
 		return err
 	}
-	d.used, d.driven = d.used+after-before, d.driven+done.took
-	d.Requests, d.Failed = d.Requests+done.sent, d.Failed+done.failed
-	if done.reason != "" {
-		d.reason = done.reason
+	d.cpuUsed, d.drivenTime = d.cpuUsed+after-before, d.drivenTime+done.Duration
+	d.Requests, d.Failed = d.Requests+done.Sent, d.Failed+done.Failed
+	if done.Reason != "" {
+		d.reason = done.Reason
 	}
 	for _, s := range c.servers {
-		d.came += s.all.Load()
+		d.received += s.received.Load()
 		if s.inSubset {
 			d.routed += s.routed.Load()
 		}
@@ -196,30 +198,30 @@
 	return nil
 }
 
-// share is the share of requests that came as those of a route, to a server that the route names.
-func (d *costed) share() float64 { return float64(d.routed) / float64(max(d.came, 1)) }
+// routedFraction is the fraction of requests along a route that reached a server of the route.
+func (d *variantRun) routedFraction() float64 { return float64(d.routed) / float64(max(d.received, 1)) }
 
-// end gives the figures of a start that counts.
-func (d *costed) end() (CostRound, error) {
-	d.CPU = inMicros(d.used) / float64(max(d.Requests, 1))
-	d.PerSecond = float64(d.Requests) / d.driven.Seconds()
+// result returns the figures of a start, and an error if they are not valid.
+func (d *variantRun) result() (CostRound, error) {
+	d.CPU = microseconds(d.cpuUsed) / float64(max(d.Requests, 1))
+	d.PerSecond = float64(d.Requests) / d.drivenTime.Seconds()
 	switch {
 	case d.Requests == 0:
 		return d.CostRound, errors.New("no request was sent")
-	case float64(d.Failed) > costFailed*float64(d.Requests):
+	case float64(d.Failed) > maxFailedFraction*float64(d.Requests):
 		return d.CostRound, fmt.Errorf("%d of %d requests failed, such as: %s", d.Failed, d.Requests, d.reason)
-	case d.v.Routes && d.share() < costRouted:
-		return d.CostRound, fmt.Errorf("%.1f %% of the requests went along the route, %.0f %% have to", 100*d.share(),
-			100*costRouted)
+	case d.variant.WithRoutes && d.routedFraction() < minRoutedFraction:
+		return d.CostRound, fmt.Errorf("%.1f %% of the requests went along the route, %.0f %% have to", 100*d.routedFraction(),
+			100*minRoutedFraction)
 	}
 	return d.CostRound, nil
 }
 
-func inMicros(d time.Duration) float64 { return float64(d) / float64(time.Microsecond) }
+func microseconds(d time.Duration) float64 { return float64(d) / float64(time.Microsecond) }
 
-// awaitFleet waits until a process hears all idle ones and counts itself in.
+// awaitFleet waits until a sidecar is admitted and reaches all idle members.
 func (c *costRun) awaitFleet(ctx context.Context, management string) error {
-	ctx, cancel := context.WithTimeout(ctx, c.o.settle)
+	ctx, cancel := context.WithTimeout(ctx, c.o.settleTimeout)
 	defer cancel()
 	want := 1 + len(c.seeds)
 	client := &view.Client{}
@@ -240,15 +242,3 @@
 		}
 	}
 }
-
-// stopCosted ends a sidecar in order, so that its fleet knows that it left.
-func stopCosted(p *process.Child) {
-	_ = p.Signal(syscall.SIGTERM) // it has ended, or it is killed below
-	kill := time.NewTimer(harness.StopTimeout)
-	defer kill.Stop()
-	select {
-	case <-p.Ended():
-	case <-kill.C:
-		p.Kill()
-	}
-}
--- a/internal/lab/routescale_fleet.go
+++ b/internal/lab/routescale_fleet.go
@@ -1,6 +1,6 @@
 package lab
 
-// This file is a fleet of simulated duties before a real list service.
+// This file has a fleet of simulated sidecars before a real list service.
 
 import (
 	"bufio"
@@ -29,18 +29,18 @@
 	"marblelane/internal/routeclient"
 )
 
-// fleet is a play's copies and sidecars.
-type fleet struct {
-	rr      *cluster.Cluster
-	at      *scaleClock
-	puppets []*puppet
-	stop    func()
-	client  *http.Client
+// routeFleet is three copies of the list service, and sidecars.
+type routeFleet struct {
+	rr       *cluster.Cluster
+	play     *playState
+	sidecars []*simulatedSidecar
+	stop     func()
+	client   *http.Client
 }
 
-// newScaleRun starts the copies alone.
-func newScaleRun(ctx context.Context, o harness.Options) (*fleet, error) {
-	s, err := scenario.Parse("route-scale.toml", []byte(scaleScenario))
+// startCopiesOnly starts the copies, without sidecars.
+func startCopiesOnly(ctx context.Context, o harness.Options) (*routeFleet, error) {
+	s, err := scenario.Parse("route-scale.toml", []byte(routeScaleScenario))
 	if err != nil {
 		return nil, err
 	}
@@ -49,7 +49,7 @@
 	if err != nil {
 		return nil, err
 	}
-	f := &fleet{at: &scaleClock{began: time.Now()}, client: &http.Client{Transport: &http.Transport{}, Timeout: 5 * time.Second}}
+	f := &routeFleet{play: &playState{start: time.Now()}, client: &http.Client{Transport: &http.Transport{}, Timeout: 5 * time.Second}}
 	f.rr = cluster.New(r, &scenario.Registry{Replicas: s.Discovery.RegistryReplicas, HeartbeatInterval: scenario.Duration(100 * time.Millisecond)})
 	f.stop = func() {
 		f.client.CloseIdleConnections()
@@ -57,7 +57,7 @@
 		r.Close()
 	}
 	err = f.rr.Start(ctx)
-	for i := range r.Plan.Servers { // a canary without a ready server pauses
+	for i := range r.Plan.Servers { // a canary without a ready server is paused
 		e := map[string]any{"endpoint": fmt.Sprint("127.0.0.1:", 1000+i), "az": "limerick-dc", "model": "standard"}
 		if err == nil {
 			_, _, err = f.call(ctx, "/registry/instances/"+r.Plan.Servers[i].UID, e)
@@ -70,8 +70,8 @@
 	return f, nil
 }
 
-// join starts so many sidecars.
-func (f *fleet) join(ctx context.Context, n int) error {
+// join starts n sidecars.
+func (f *routeFleet) join(ctx context.Context, n int) error {
 	ctx, cancel := context.WithCancel(ctx)
 	var wg sync.WaitGroup
 	stop := f.stop
@@ -81,13 +81,13 @@
 		stop()
 	}
 	for i := range n {
-		p := &puppet{wake: make(chan struct{}, 1), at: f.at, acts: map[int64]time.Duration{}}
+		p := &simulatedSidecar{wake: make(chan struct{}, 1), play: f.play, actedAt: map[int64]time.Duration{}}
 		var addrs []string
-		for k := range f.rr.Replicas { // watches are spread as sidecars of several zones would
+		for k := range f.rr.Replicas { // spread the watches, as sidecars of several zones do
 			addrs = append(addrs, f.rr.Replicas[(i+k)%len(f.rr.Replicas)].Address)
 		}
 		var err error
-		p.steer, err = routeclient.New(routeclient.Config{Addrs: addrs, Name: fmt.Sprint("n", i), Start: time.Now().UnixNano(), Version: "lab",
+		p.client, err = routeclient.New(routeclient.Config{Addrs: addrs, Name: fmt.Sprint("n", i), Start: time.Now().UnixNano(), Version: "lab",
 			Schemas: []int{1, 2}, Log: slog.New(slog.DiscardHandler), Wake: func() {
 				select {
 				case p.wake <- struct{}{}:
@@ -97,21 +97,27 @@
 		if err != nil {
 			return err
 		}
-		f.puppets = append(f.puppets, p)
+		f.sidecars = append(f.sidecars, p)
 		wg.Go(func() { p.run(ctx, uint64(i)) })
 	}
 	return nil
 }
 
-// call makes a change and gives its revision, with when it was called.
-func (f *fleet) call(ctx context.Context, path string, body any) (rev int64, called time.Duration, err error) {
+const (
+	maxCallRetries   = 200
+	callRetryWait    = 50 * time.Millisecond
+	overspendTimeout = time.Minute
+)
+
+// call makes a change. It returns its revision and when it was called.
+func (f *routeFleet) call(ctx context.Context, path string, body any) (rev int64, called time.Duration, err error) {
 	data, err := json.Marshal(body)
 	if err != nil {
 		return 0, 0, err
 	}
-	for try := 0; ; try++ {
-		called = f.at.now()
-		req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+f.rr.Replicas[try%len(f.rr.Replicas)].Address+path, bytes.NewReader(data))
+	for attempt := 0; ; attempt++ {
+		called = f.play.now()
+		req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+f.rr.Replicas[attempt%len(f.rr.Replicas)].Address+path, bytes.NewReader(data))
 		if err != nil {
 			return 0, 0, err
 		}
@@ -130,22 +136,22 @@
 		if resp.StatusCode == http.StatusOK && json.Unmarshal(text, &got) == nil {
 			return got.Rev, called, nil
 		}
-		if resp.StatusCode != http.StatusServiceUnavailable || try > 200 || !harness.Sleep(ctx, 50*time.Millisecond) {
+		if resp.StatusCode != http.StatusServiceUnavailable || attempt > maxCallRetries || !harness.Sleep(ctx, callRetryWait) {
 			return 0, 0, fmt.Errorf("%s is answered %s: %s", path, resp.Status, bytes.TrimSpace(text))
 		}
 	}
 }
 
-// acting waits until all act on a revision, and gives when the last began to.
-func (f *fleet) acting(ctx context.Context, rev int64) (time.Duration, error) {
+// awaitActing waits until all sidecars act on a revision, and returns when the last of them began.
+func (f *routeFleet) awaitActing(ctx context.Context, rev int64) (time.Duration, error) {
 	ctx, cancel := context.WithTimeout(ctx, harness.StartTimeout)
 	defer cancel()
 	for {
 		last, behind := time.Duration(0), false
-		for _, p := range f.puppets {
+		for _, p := range f.sidecars {
 			p.mu.Lock()
 			first := time.Duration(-1)
-			for r, at := range p.acts {
+			for r, at := range p.actedAt {
 				if r >= rev && (first < 0 || at < first) {
 					first = at
 				}
@@ -163,21 +169,21 @@
 	}
 }
 
-// use is what the copies and this process have used so far.
-type use struct {
-	at          time.Duration
-	own, leader float64 // CPU seconds
-	bytes       float64 // that all copies read and wrote, raft's and disks' included
-	writes      float64
+// resourceUse is what the copies and this process have used so far.
+type resourceUse struct {
+	at                    time.Duration
+	processCPU, leaderCPU float64 // CPU seconds
+	bytes                 float64 // that all copies read and wrote, to the network and to disk
+	diskWrites            float64
 }
 
-func (f *fleet) use(ctx context.Context) (use, error) {
-	u := use{at: f.at.now()}
+func (f *routeFleet) resourceUse(ctx context.Context) (resourceUse, error) {
+	u := resourceUse{at: f.play.now()}
 	var t syscall.Rusage
 	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &t); err != nil {
 		return u, err
 	}
-	u.own = time.Duration(t.Utime.Nano() + t.Stime.Nano()).Seconds()
+	u.processCPU = time.Duration(t.Utime.Nano() + t.Stime.Nano()).Seconds()
 	lead := f.rr.Leader(ctx)
 	if lead == nil {
 		return u, errors.New("the list service has no leader")
@@ -193,8 +199,8 @@
 			if err != nil {
 				return u, err
 			}
-			u.leader = m.CPU
-			if u.writes, err = f.indexOf(ctx, c); err != nil {
+			u.leaderCPU = m.CPU
+			if u.diskWrites, err = f.diskWrites(ctx, c); err != nil {
 				return u, err
 			}
 		}
@@ -202,7 +208,7 @@
 	return u, nil
 }
 
-// readIO reads what the kernel counts of a process's reads and writes.
+// readIO returns the kernel's counters of the reads and writes of a process, by their names.
 func readIO(pid int) (map[string]float64, error) {
 	text, err := os.ReadFile("/proc/" + strconv.Itoa(pid) + "/io")
 	if err != nil {
@@ -216,9 +222,9 @@
 	return out, nil
 }
 
-// indexOf is how many commands a copy's log has: each command, or several that come together, is one synced write.
-func (f *fleet) indexOf(ctx context.Context, c *cluster.Replica) (float64, error) {
-	code, text, err := cluster.Call(ctx, http.MethodGet, "http://"+c.Address+"/stats", nil)
+// diskWrites returns how many synced writes a copy has done to its log. A write has one command or several.
+func (f *routeFleet) diskWrites(ctx context.Context, c *cluster.Replica) (float64, error) {
+	code, text, err := cluster.Call(ctx, http.MethodGet, c.URL("/stats"), nil)
 	if err != nil || code != http.StatusOK {
 		return 0, fmt.Errorf("measure: /stats is answered %d, %w", code, err)
 	}
@@ -230,22 +236,22 @@
 	return 0, nil
 }
 
-// idle measures what goes on while nothing changes.
-func (f *fleet) idle(ctx context.Context, wait time.Duration) (before, after use, err error) {
-	if before, err = f.use(ctx); err != nil {
+// measureIdle returns the use before and after a time in which nothing changes.
+func (f *routeFleet) measureIdle(ctx context.Context, wait time.Duration) (before, after resourceUse, err error) {
+	if before, err = f.resourceUse(ctx); err != nil {
 		return before, after, err
 	}
 	if !harness.Sleep(ctx, wait) {
 		return before, after, ctx.Err()
 	}
-	after, err = f.use(ctx)
+	after, err = f.resourceUse(ctx)
 	return before, after, err
 }
 
-// commits changes the tenant's base again and again.
-func (f *fleet) commits(ctx context.Context, p *RoutePoint) error {
-	var took []time.Duration
-	for i := range scaleCommits + 1 {
+// measureCommits changes the tenant's base repeatedly and measures until all sidecars act on the change.
+func (f *routeFleet) measureCommits(ctx context.Context, p *RoutePoint) error {
+	var delays []time.Duration
+	for i := range commitCount + 1 {
 		to := ""
 		if i%2 == 0 {
 			to = "new"
@@ -254,78 +260,92 @@
 		if err != nil {
 			return err
 		}
-		last, err := f.acting(ctx, rev)
+		last, err := f.awaitActing(ctx, rev)
 		if err != nil {
 			return err
 		}
-		if i > 0 { // the first is when they come
-			took = append(took, last-called)
+		if i > 0 { // the first includes the joining of the sidecars
+			delays = append(delays, last-called)
 		}
 		if !harness.Sleep(ctx, 200*time.Millisecond) {
 			return ctx.Err()
 		}
 	}
-	slices.Sort(took)
-	ms := func(q float64) float64 { return float64(took[int(q*float64(len(took)-1))]) / float64(time.Millisecond) }
-	p.ActP50, p.ActP99 = ms(0.5), ms(0.99)
+	slices.Sort(delays)
+	p.ActP50, p.ActP99 = quantileMS(delays, 0.5), quantileMS(delays, 0.99)
 	return nil
 }
 
-// overspend lets a canary fail until its budget is spent, beside the baseline.
-func (f *fleet) overspend(ctx context.Context, p *RoutePoint) error {
-	rev, _, err := f.call(ctx, "/routes/scale/rollouts/spent", rollouts.Request{To: "new", Budget: scaleBudget, AtEnd: "return",
+// measureOverspend has a canary fail until its budget is spent, beside the baseline.
+func (f *routeFleet) measureOverspend(ctx context.Context, p *RoutePoint) error {
+	rev, _, err := f.call(ctx, "/routes/scale/rollouts/spent", rollouts.Request{To: "new", Budget: failureBudget, AtEnd: "return",
 		Steps: []rollout.Step{{CanaryFraction: 1, HoldMS: time.Hour.Milliseconds()}}})
 	if err != nil {
 		return err
 	}
-	if _, err := f.acting(ctx, rev); err != nil {
+	if _, err := f.awaitActing(ctx, rev); err != nil {
 		return err
 	}
-	a, err := f.use(ctx)
+	before, err := f.resourceUse(ctx)
 	if err != nil {
 		return err
 	}
-	f.at.busy.Store(true)
-	ctx, cancel := context.WithTimeout(ctx, time.Minute)
+	f.play.canaryBusy.Store(true)
+	ctx, cancel := context.WithTimeout(ctx, overspendTimeout)
 	defer cancel()
-	// The baseline: a sum of all counters each second; whoever is told stops at once.
-	over, filled := time.Duration(0), time.Duration(0)
-	for sum := f.at.now(); over == 0 || f.at.filled.Load() == 0; {
-		if !harness.Sleep(ctx, time.Millisecond) {
-			return fmt.Errorf("after a minute %d of %d units are spent", f.at.spent.Load(), scaleBudget)
-		}
-		failures := int64(0)
-		for _, one := range f.puppets {
-			failures += one.naive.failures.Load()
-		}
-		if failures >= scaleBudget && filled == 0 {
-			filled = f.at.now()
-		}
-		if now := f.at.now(); now-sum >= scaleSum {
-			if sum = now; failures >= scaleBudget && over == 0 {
-				over = now
-				f.at.stopped.Store(true)
-			}
-		}
+	baselineSpentAt, err := f.awaitBudgetsSpent(ctx)
+	if err != nil {
+		return err
 	}
-	back, err := f.acting(ctx, rev+1)
+	rolledBackAt, err := f.awaitActing(ctx, rev+1)
 	if err != nil {
 		return err
 	}
-	harness.Sleep(ctx, 10*scaleTakes) // what is out ends
-	f.at.busy.Store(false)
-	b, err := f.use(ctx)
+	harness.Sleep(ctx, 10*meanRequestTime) // for the attempts under way
+	f.play.canaryBusy.Store(false)
+	after, err := f.resourceUse(ctx)
 	if err != nil {
 		return err
 	}
-	ms := func(d time.Duration) float64 { return max(float64(d)/float64(time.Millisecond), 0) }
-	p.WritesBusy = (b.writes - a.writes) / (b.at - a.at).Seconds()
-	p.Failures, p.Attempts = f.at.spent.Load(), f.at.tries.Load()
-	p.After = ms(time.Duration(f.at.last.Load() - f.at.filled.Load()))
-	p.RolledBack = ms(back - time.Duration(f.at.filled.Load()))
-	for _, one := range f.puppets {
-		p.BaseFailures += one.naive.failures.Load()
-		p.BaseAfter = max(p.BaseAfter, ms(time.Duration(one.naive.last.Load())-filled))
+	budgetSpentAt := time.Duration(f.play.budgetSpentAt.Load())
+	p.DiskWritesBusy = (after.diskWrites - before.diskWrites) / (after.at - before.at).Seconds()
+	p.Failures, p.Attempts = f.play.canaryFailures.Load(), f.play.canaryAttempts.Load()
+	p.LastAttemptAfter = nonNegativeMS(time.Duration(f.play.lastAttemptAt.Load()) - budgetSpentAt)
+	p.RollbackAfter = nonNegativeMS(rolledBackAt - budgetSpentAt)
+	for _, sidecar := range f.sidecars {
+		p.BaselineFailures += sidecar.baseline.failures.Load()
+		lastAttemptAt := time.Duration(sidecar.baseline.lastAttemptAt.Load())
+		p.BaselineAfter = max(p.BaselineAfter, nonNegativeMS(lastAttemptAt-baselineSpentAt))
 	}
 	return nil
 }
+
+// awaitBudgetsSpent waits until the canary's budget is spent and the baseline has stopped. The baseline sums the counters
+// of all sidecars every baselineSumInterval, and stops them at once when the sum has reached the budget. The result is
+// when its failures reached the budget.
+func (f *routeFleet) awaitBudgetsSpent(ctx context.Context) (baselineSpentAt time.Duration, err error) {
+	stopped := false
+	for lastSum := f.play.now(); !stopped || f.play.budgetSpentAt.Load() == 0; {
+		if !harness.Sleep(ctx, time.Millisecond) {
+			return 0, fmt.Errorf("after a minute %d of %d units are spent", f.play.canaryFailures.Load(), failureBudget)
+		}
+		failures := int64(0)
+		for _, sidecar := range f.sidecars {
+			failures += sidecar.baseline.failures.Load()
+		}
+		spent := failures >= failureBudget
+		if spent && baselineSpentAt == 0 {
+			baselineSpentAt = f.play.now()
+		}
+		if now := f.play.now(); now-lastSum >= baselineSumInterval {
+			lastSum = now
+			if spent && !stopped {
+				stopped = true
+				f.play.baselineStopped.Store(true)
+			}
+		}
+	}
+	return baselineSpentAt, nil
+}
+
+func nonNegativeMS(d time.Duration) float64 { return max(float64(d)/float64(time.Millisecond), 0) }
--- a/internal/lab/run.go
+++ b/internal/lab/run.go
@@ -37,9 +37,10 @@
 	sidecars []*sidecar
 	tampers  []*tamper
 	load     *client.Load
-	lateness []time.Duration // of arrivals, behind their plan
-	worked   float64         // units that the servers have worked
-	boots    []atomic.Int64  // when each server started last, Unix ms; 0: before the run
+	lateness []time.Duration   // of arrivals, behind their plan
+	worked   float64           // units that the servers have worked
+	starved  starvationSampler // measureAll uses it, and Check after the last measurement
+	boots    []atomic.Int64    // when each server started last, Unix ms; 0: before the run
 	// serverClock is how many ms the wall clock is off by which servers' starts are told.
 	serverClock atomic.Int64
 
@@ -114,7 +115,8 @@
 	if o := r.rollouts.Load(); o != nil {
 		routes = o.Facts()
 	}
-	rep := report.New(r.Plan, events, r.worked, routes, r.Spans(timers.Stalls))
+	delays := report.ProcessorDelays{Lab: r.Spans(timers.Stalls), Sidecars: r.starved.since(r.Began)}
+	rep := report.New(r.Plan, events, r.worked, routes, delays)
 	if r.members != nil { // before the rules of routes ask which were held to some case
 		facts := r.members.Facts()
 		invariant.CheckMembers(events, facts, rep.Verdict)
--- a/internal/lab/scenario/draw.go
+++ b/internal/lab/scenario/draw.go
@@ -8,8 +8,6 @@
 	"math"
 	"math/rand/v2"
 	"slices"
-	"strconv"
-	"strings"
 	"time"
 )
 
@@ -28,7 +26,7 @@
 	for _, k := range s.Servers.Kinds {
 		total += k.Fraction
 	}
-	// Kinds by their shares, not by chance: few servers of one draw would have another capacity than asked for.
+	// Kinds by their shares, not by chance: a draw of a few servers would have another capacity than configured.
 	kinds := make([]int, s.Servers.Count)
 	coveredFraction, k := s.Servers.Kinds[0].Fraction/total, 0
 	for i := range kinds {
@@ -83,115 +81,72 @@
 }
 
 func (p *Plan) drawFaults(r *rand.Rand) {
-	s := p.Scenario
-	for _, f := range s.Faults {
-		drawn := FaultPlan{Fault: f, At: f.At.Duration(), Until: f.At.Duration() + f.For.Duration()}
-		if f.Servers != "" {
-			drawn.Servers = p.selectTargets(r, f.Servers, s.Servers.Count, true)
-			if f.Zone != "" {
-				drawn.Servers = slices.DeleteFunc(drawn.Servers, func(i int) bool { return s.Network.Zones[p.Servers[i].Zone] != f.Zone })
-			}
-		}
-		if f.Sidecars != "" {
-			drawn.Sidecars = p.withoutUnstarted(p.selectTargets(r, f.Sidecars, len(p.Sidecars), false), f.Kind, drawn.At)
-		}
-		if faultForms()[f.Kind].turns {
-			for k, i := range drawn.Sidecars {
-				turn := drawn
-				turn.At += time.Duration(k) * f.Every.Duration()
-				turn.Until, turn.Sidecars = turn.At, []int{i}
-				p.Faults = append(p.Faults, turn)
-			}
-			continue
-		}
-		if f.Every == 0 {
-			if f.Kind == "replace" {
-				drawn.Replacements = p.spares(drawn.Servers)
-			}
-			p.Faults = append(p.Faults, drawn)
-			continue
-		}
-		// Half of each period it is there, half of it not; what happens at once happens each time.
-		form := faultForms()[f.Kind]
-		for at := drawn.At; at < f.At.Duration()+f.For.Duration(); at += f.Every.Duration() {
-			repeat := drawn
-			repeat.At, repeat.Until = at, at
-			if form.lasts {
-				repeat.Until = min(at+f.Every.Duration()/2, drawn.Until)
-			}
-			p.Faults = append(p.Faults, repeat)
-		}
+	for _, f := range p.Scenario.Faults {
+		p.Faults = append(p.Faults, p.occurrences(p.drawTargets(r, f))...)
 	}
 	slices.SortStableFunc(p.Faults, func(a, b FaultPlan) int { return cmp.Compare(a.At, b.At) })
 }
 
-// spares adds a machine like each of the servers, under a name of its own.
-func (p *Plan) spares(like []int) []int {
-	var fresh []int
-	for _, i := range like {
-		sp := p.Servers[i]
-		sp.UID, sp.Spare = fmt.Sprintf("%s-%d", sp.UID, len(p.Servers)), true
-		fresh = append(fresh, len(p.Servers))
-		p.Servers = append(p.Servers, sp)
+// drawTargets draws the servers and sidecars that a fault acts on.
+func (p *Plan) drawTargets(r *rand.Rand, f Fault) FaultPlan {
+	out := FaultPlan{Fault: f, At: f.At.Duration(), Until: f.At.Duration() + f.For.Duration()}
+	if f.Servers != "" {
+		out.Servers = p.selectServers(r, f.Servers)
 	}
-	return fresh
+	if f.Servers != "" && f.Zone != "" {
+		zones := p.Scenario.Network.Zones
+		out.Servers = slices.DeleteFunc(out.Servers, func(i int) bool { return zones[p.Servers[i].Zone] != f.Zone })
+	}
+	if f.Sidecars != "" {
+		out.Sidecars = p.withoutUnstarted(p.selectSidecars(r, f.Sidecars, len(p.Sidecars)), f.Kind, out.At)
+	}
+	if f.Kind == FaultReplace {
+		out.Replacements = p.addSpares(out.Servers)
+	}
+	return out
 }
 
-// pick draws what a choice means; checkPick has read it before.
-func (p *Plan) selectTargets(r *rand.Rand, selector string, n int, servers bool) []int {
-	var out []int
-	all := func(is func(int) bool) []int {
-		for i := range n {
-			if is(i) {
-				out = append(out, i)
-			}
+// occurrences lists the times at which a fault happens: once, at one sidecar after another, or in each period.
+func (p *Plan) occurrences(first FaultPlan) []FaultPlan {
+	kind, every := findFaultKind(first.Fault.Kind), first.Fault.Every.Duration()
+	if kind.timing == oneAfterOther {
+		var out []FaultPlan
+		for k, sidecar := range first.Sidecars {
+			next := first
+			next.At += time.Duration(k) * every
+			next.Until, next.Sidecars = next.At, []int{sidecar}
+			out = append(out, next)
 		}
 		return out
 	}
-	kind, name, _ := strings.Cut(selector, ":")
-	switch {
-	case selector == "all":
-		return all(func(int) bool { return true })
-	case selector == "late":
-		return all(p.Scenario.StartsLate)
-	case kind == "zone":
-		zone := slices.Index(p.Scenario.Network.Zones, name)
-		return all(func(i int) bool {
-			if servers {
-				return p.Servers[i].Zone == zone
-			}
-			return p.Sidecars[i].Zone == zone
-		})
-	case kind == "region":
-		return all(func(i int) bool {
-			zone := p.Sidecars[min(i, len(p.Sidecars)-1)].Zone
-			if servers {
-				zone = p.Servers[i].Zone
-			}
-			return strconv.Itoa(p.Scenario.Network.regionOf(zone)) == name
-		})
-	case kind == "subset":
-		return slices.Clone(p.Subsets[name])
-	case kind == "pod":
-		return all(func(i int) bool { return strconv.Itoa(p.Servers[i].Pod) == name })
-	case kind == "kind":
-		return all(func(i int) bool { return p.Scenario.Servers.Kinds[p.Servers[i].Kind].Name == name })
-	case selector[0] == '#':
-		i, _ := strconv.Atoi(selector[1:])
-		return []int{i}
+	if every == 0 {
+		return []FaultPlan{first}
 	}
-	count := 0
-	if share, ok := strings.CutSuffix(selector, "%"); ok {
-		f, _ := strconv.ParseFloat(share, 64)
-		count = max(int(math.Round(f/100*float64(n))), 1)
-	} else {
-		count, _ = strconv.Atoi(selector)
+	// A fault that lasts is there for the first half of each period.
+	var out []FaultPlan
+	for at := first.At; at < first.Until; at += every {
+		next := first
+		next.At, next.Until = at, at
+		if kind.timing == lasts {
+			next.Until = min(at+every/2, first.Until)
+		}
+		out = append(out, next)
 	}
-	out = r.Perm(n)[:count]
-	slices.Sort(out)
 	return out
 }
 
+// addSpares adds a machine like each of the servers, under a name of its own.
+func (p *Plan) addSpares(like []int) []int {
+	var fresh []int
+	for _, i := range like {
+		sp := p.Servers[i]
+		sp.UID, sp.Spare = fmt.Sprintf("%s-%d", sp.UID, len(p.Servers)), true
+		fresh = append(fresh, len(p.Servers))
+		p.Servers = append(p.Servers, sp)
+	}
+	return fresh
+}
+
 func (p *Plan) drawArrivals(r *rand.Rand) {
 	s := p.Scenario
 	classTotal, meanWork := s.totalClassFraction(), s.MeanWork()
@@ -205,7 +160,7 @@
 	}
 	highest := p.Rate * (1 + s.Traffic.RateSwing)
 	for _, f := range p.Faults {
-		if f.Fault.Kind == "burst" {
+		if f.Fault.Kind == FaultBurst {
 			highest = max(highest, p.Rate*(1+s.Traffic.RateSwing)*f.Fault.Size)
 		}
 	}
@@ -225,10 +180,10 @@
 	p.drawRushes(stream(p.Seed, "rushes"), classTotal, tenantTotal)
 }
 
-// drawRushes adds the requests that come to one sidecar at once.
+// drawRushes adds the requests of rushes, each to one sidecar.
 func (p *Plan) drawRushes(r *rand.Rand, classTotal, tenantTotal float64) {
 	for _, f := range p.Faults {
-		if f.Fault.Kind != "rush" {
+		if f.Fault.Kind != FaultRush {
 			continue
 		}
 		for range int(f.Fault.Size) {
@@ -239,7 +194,7 @@
 	slices.SortStableFunc(p.Arrivals, func(a, b Arrival) int { return cmp.Compare(a.At, b.At) })
 }
 
-// drawArrival draws a request that a sidecar is asked for at a time; classes and tenants are the sums of their shares.
+// drawArrival draws a request to a sidecar at a time; classTotal and tenantTotal are the sums of their fractions.
 func (p *Plan) drawArrival(r *rand.Rand, at time.Duration, sidecar int, classTotal, tenantTotal float64) Arrival {
 	s := p.Scenario
 	a := Arrival{At: at, Sidecar: sidecar, Seed: r.Uint64()}
@@ -248,7 +203,7 @@
 	c := &s.Classes[a.Class]
 	w := 1.0
 	switch {
-	case c.Dist == "exp":
+	case c.Dist == DistExponential:
 		w = r.ExpFloat64()
 	case c.CV > 0:
 		w = lognormal(r, c.CV)
@@ -261,7 +216,7 @@
 	s := p.Scenario
 	rate := p.Rate * (1 - s.Traffic.RateSwing*math.Cos(2*math.Pi*float64(t)/float64(s.Length)))
 	for _, f := range p.Faults {
-		if f.Fault.Kind == "burst" && t >= f.At && t < f.Until {
+		if f.Fault.Kind == FaultBurst && t >= f.At && t < f.Until {
 			rate *= f.Fault.Size
 		}
 	}
--- a/internal/lab/scenario/parse.go
+++ b/internal/lab/scenario/parse.go
@@ -1,31 +1,25 @@
 package scenario
 
 import (
-	"maps"
 	"path/filepath"
 	"slices"
 	"strings"
 
+	"marblelane/internal/lab/invariant"
 	"marblelane/internal/tomlfile"
 )
 
-// Error is a scenario that cannot be read or meant. It names file, line and key.
+// Error is a scenario file that cannot be read or makes no sense. It names file, line and key.
 type Error = tomlfile.Error
 
-type invalidKey struct{ key, text string }
-
-// RuleNames lists the rules that every run is held to.
+// InvariantNames lists the invariants that runs are checked against.
 func InvariantNames() []string {
-	return slices.Concat([]string{"one-answer", "unsafe-once", "one-at-a-time", "most-attempts", "no-stray", "drain", "cold", "body", "limits", "client-gone", "time-told", "ready-in-time",
-		"linearizable", "watchers-agree", "disk-honest", "age-told"}, RouteInvariants(), MemberInvariants())
+	return invariant.Names()
 }
 
-// Rule tells whether there is a rule of this name.
+// IsInvariant tells whether there is an invariant of this name.
 func IsInvariant(name string) bool { return slices.Contains(InvariantNames(), name) }
 
-// FaultKinds lists the kinds of faults.
-func FaultKinds() []string { return slices.Sorted(maps.Keys(faultForms())) }
-
 // Parse reads a scenario; name stands for its file in errors.
 func Parse(name string, text []byte) (*Scenario, error) {
 	s := &Scenario{}
--- a/internal/lab/scenario/plan.go
+++ b/internal/lab/scenario/plan.go
@@ -11,8 +11,7 @@
 	"time"
 )
 
-// Plan is a scenario with everything drawn from one seed, before anything runs: the same seed gives the same
-// plan on any machine. What happens in a run is up to the parties; what is done to them is not.
+// Plan is a scenario with everything drawn from one seed before the run. The same seed gives the same plan on any machine.
 type Plan struct {
 	Scenario *Scenario
 	Seed     uint64
@@ -23,16 +22,16 @@
 	Arrivals []Arrival
 	Faults   []FaultPlan
 	Subsets  map[string][]int // the servers of each
-	Seeds    []int            // the sidecars that members join by
+	Seeds    []int            // the sidecars that members join through
 	Rate     float64          // requests a second on average
 	Capacity float64          // of all servers, in work a millisecond
 }
 
-// KindPlan is one kind of servers as drawn.
+// ServerKindPlan is one kind of servers as drawn.
 type ServerKindPlan struct {
-	SlotsPerCore      int     // for each core
-	PauseEvery float64 // seconds; 0: never
-	PauseLength      float64 // milliseconds
+	SlotsPerCore int     // for each core
+	PauseEvery   float64 // seconds; 0: never
+	PauseLength  float64 // milliseconds
 	PauseGrowth  float64
 }
 
@@ -43,7 +42,7 @@
 	Zone  int
 	Pod   int
 	Speed float64
-	Spare bool // it is down until it takes another one's place
+	Spare bool // it is down until it replaces another one
 }
 
 // PodPlan is one pod as drawn.
@@ -53,7 +52,7 @@
 type SidecarPlan struct {
 	Name   string
 	Zone   int
-	Weight float64 // its share of the traffic
+	Weight float64 // fraction of the traffic
 	Seed   uint64
 }
 
@@ -64,17 +63,17 @@
 	Class   int
 	Tenant  int
 	Work    float64 // milliseconds of a core of speed 1
-	Seed    uint64  // of what its client draws
+	Seed    uint64  // of its client's random numbers
 	Keyless bool    // its client sends no route key
 }
 
 // FaultPlan is a fault with its targets drawn.
 type FaultPlan struct {
-	At, Until time.Duration // equal: it happens once
-	Fault     Fault
-	Servers   []int
-	Sidecars  []int
-	Replacements     []int // the servers that take the places of Servers
+	At, Until    time.Duration // equal: it happens once
+	Fault        Fault
+	Servers      []int
+	Sidecars     []int
+	Replacements []int // spare servers that replace Servers
 }
 
 // stream is a source of random numbers for one purpose, so that a change in one part of a plan moves no other.
@@ -97,28 +96,28 @@
 	p.drawSubsets(stream(seed, "subsets"))
 	p.drawFaults(stream(seed, "faults"))
 	p.drawArrivals(stream(seed, "arrivals"))
-	if share := s.Routes.KeylessFraction; share > 0 {
+	if keyless := s.Routes.KeylessFraction; keyless > 0 {
 		r := stream(seed, "keys")
 		for i := range p.Arrivals {
-			p.Arrivals[i].Keyless = r.Float64() < share
+			p.Arrivals[i].Keyless = r.Float64() < keyless
 		}
 	}
 	return p
 }
 
-// crossWindow is the time over which a zone may be asked for no more than it can do: about what a queue can hold back
-// without harm to the aims.
+// capacityWindow is the time over which a zone's work must not exceed its capacity: about what a queue can delay within
+// the latency objectives.
 const capacityWindow = time.Second
 
-// NeededCrossings is the least share of the work that has to leave its zone: what the sidecars of a zone are asked for
-// in each second beyond the capacity of its servers. Faults are not counted in, nor that a zone at its limit answers
-// late; it is a bound that no balancer can pass, to hold what crosses against.
+// MinCrossZone is the least fraction of the work that has to leave its zone: what the clients of a zone request in each
+// second beyond the capacity of its servers. No balancer can send less across zones. Faults are left out, and so is that a
+// zone at its limit answers late.
 func (p *Plan) MinCrossZone() float64 {
 	zones := len(p.Scenario.Network.Zones)
 	capacity := make([]float64, zones) // work a millisecond
 	for i := range p.Servers {
 		if s := &p.Servers[i]; !s.Spare {
-			capacity[s.Zone] += float64(p.Scenario.Servers.Kinds[s.Kind].Cores) * s.Speed * p.Pods[s.Pod].Limit
+			capacity[s.Zone] += p.ServerCapacity(i)
 		}
 	}
 	windows := int(p.Scenario.Length.Duration()/capacityWindow) + 1
@@ -139,12 +138,18 @@
 	return excess / all
 }
 
-// Pace is a time of the scenario's clients and servers at the run's pace.
+// ServerCapacity is what a server can do, in work a millisecond.
+func (p *Plan) ServerCapacity(server int) float64 {
+	s := &p.Servers[server]
+	return float64(p.Scenario.Servers.Kinds[s.Kind].Cores) * s.Speed * p.Pods[s.Pod].Limit
+}
+
+// Scaled is a time of the scenario's clients and servers in a run that is sped up.
 func (s *Scenario) Scaled(d Duration) time.Duration {
 	return time.Duration(math.Round(float64(d) / s.Traffic.Speedup))
 }
 
-// zoneOf is the zone that a pod lies in: the zones in turn, or each so often as the split has it.
+// zoneOf is the zone that a pod lies in: the zones in turn, or as ServersByZone says.
 func (n *Network) zoneOf(pod int) int {
 	if len(n.ServersByZone) == 0 {
 		return pod % len(n.Zones)
@@ -172,7 +177,7 @@
 	return zone
 }
 
-// RegionNames are the zones of each region by a name, as sidecars are told of them.
+// RegionNames are the zones of each region by the name that the sidecars' configuration has.
 func (n *Network) RegionNames() map[string][]string {
 	out := map[string][]string{}
 	for i, zones := range n.Regions {
@@ -193,8 +198,8 @@
 	return out
 }
 
-// Vary is by how much the work of one attempt of a request differs from the request's own: drawn with mean 1
-// from the class's coefficient of variation, and the same whenever this try is sent to this server.
+// AttemptWorkFactor is the work of one attempt of a request over the request's own. It is drawn with mean 1 from the
+// class's coefficient of variation, and is the same whenever this client attempt is sent to this server.
 func (c *Class) AttemptWorkFactor(attemptID uint64, server int) float64 {
 	if c.AttemptNoise <= 0 {
 		return 1
@@ -219,7 +224,7 @@
 	return mean
 }
 
-// rushLasts is the time within which the requests of a rush come.
+// rushLength is the time within which the requests of a rush come.
 const rushLength = 40 * time.Millisecond
 
 // WriteTo writes the whole schedule, arrivals and faults, in one line each: two plans are the same if these bytes
@@ -254,11 +259,11 @@
 	return n, out.Flush()
 }
 
-// SparedTerm is how long after SIGTERM a request that a process takes may still be found unanswered by SIGKILL.
+// ServiceAfterTerm is how long after SIGTERM a request may arrive and still be unanswered at SIGKILL.
 const ServiceAfterTerm = 700 * time.Millisecond
 
-// KillAfter is how long after SIGTERM the platform's SIGKILL comes, at the earliest: the longest deadline, at most 3 s,
-// and the spared time.
+// KillDelay is the least time between SIGTERM and the platform's SIGKILL: the longest deadline, at most 3 s, and
+// ServiceAfterTerm.
 func (s *Scenario) KillDelay() time.Duration {
 	maxDeadline := time.Duration(0)
 	for _, c := range s.Classes {
@@ -270,7 +275,7 @@
 // ConnectTimeoutMS is how long a sidecar waits for a connection to come up, by the settings, in milliseconds.
 const ConnectTimeoutMS = 120.0
 
-// Latency is the time one way between two zones when nothing is wrong.
+// Latency is the one-way latency between two zones without faults.
 func (n *Network) Latency(a, b int) Duration {
 	switch {
 	case a == b:
@@ -281,7 +286,7 @@
 	return n.CrossZone
 }
 
-// LongestLatency is the longest time one way between a sidecar and a server in the run, faults counted in.
+// MaxLatency is the longest one-way latency between a sidecar and a server in the run, with its faults.
 func (p *Plan) MaxLatency() time.Duration {
 	n := &p.Scenario.Network
 	maxLatency := max(n.SameZone.Duration(), n.CrossZone.Duration())
@@ -301,7 +306,7 @@
 	var classes, tenants []map[string]any
 	for _, c := range s.Classes {
 		effect := "read_like"
-		if c.Effect == "unsafe" {
+		if c.Effect == EffectNonIdempotent {
 			effect = "non_idempotent"
 		}
 		classes = append(classes, map[string]any{"name": c.Name, "effect": effect, "group": "all", "on_time_ms": ms(c.Objective),
--- a/internal/lab/simulate/members.go
+++ b/internal/lab/simulate/fleet.go
@@ -11,31 +11,32 @@
 	"marblelane/internal/lab/record"
 )
 
-// Members is what becomes of the fleet of sidecars in a run, and what they are told of it. A request that would come
-// to a sidecar which is down comes to another one: the fleet's traffic stays the same.
+// Members describes how the fleet of sidecars changes in a run, and how sidecars count it. A request to a sidecar that is
+// down goes to another one: the fleet's traffic stays the same.
 type Members struct {
 	Count   CountMode
-	Peers   int      // sidecars at the start, the first ones; the settings of all state so many
-	Changes []Change // at any order of times
-	// MeanWork is what a request counts as at a cold server, in milliseconds of a core of speed 1. A cold server falls
-	// with N + 3√N + 3 of them in the settings' fall time; N is the multiple of what it can do as the window begins.
+	Peers   int      // sidecars at the start, the first ones; the number in the settings of all
+	Changes []Change // in any order
+	// MeanWork is the work of a request at a server in slow start, in milliseconds of a core of speed 1. The server crashes
+	// with more than N + 3√N + 3 of them in the settings' overload time; N is the overload multiple of its capacity at the
+	// start of this window.
 	MeanWork float64
 }
 
-// Counting is how sidecars come to the number of those that share what the fleet allows.
+// CountMode is how sidecars count the members that share the fleet's allowance.
 type CountMode string
 
-// The ways of counting. The last two are bounds, to hold the others against.
+// The ways of counting. The last two are bounds to compare the others with.
 const (
-	CountNone   CountMode = "none"   // nobody tells them
-	CountFixed  CountMode = "fixed"  // they are told the settings' number once
-	CountReachable  CountMode = "naive"  // each believes at once those that it hears now
-	CountMembership   CountMode = "rule"   // as internal/membership tells them
-	CountEarned CountMode = "earned" // nothing is assumed: each has what its own answers earn
-	CountUnbounded   CountMode = "free"   // so much is assumed that it bounds nothing
+	CountNone       CountMode = "none"   // sidecars get no count
+	CountFixed      CountMode = "fixed"  // sidecars get the settings' number once
+	CountReachable  CountMode = "naive"  // each counts the reachable members, at once
+	CountMembership CountMode = "rule"   // as package internal/membership counts
+	CountEarned     CountMode = "earned" // nothing is assumed: each has what its own answers earn
+	CountUnbounded  CountMode = "free"   // the assumed quota is too large to limit anything
 )
 
-// Countings lists all ways of counting.
+// CountModes lists all ways of counting.
 func CountModes() []CountMode {
 	return []CountMode{CountNone, CountFixed, CountReachable, CountMembership, CountEarned, CountUnbounded}
 }
@@ -43,39 +44,39 @@
 // Change is one change of the fleet of sidecars. Sidecars are named by number.
 type Change struct {
 	At    float64 // ms since the start of the run
-	Stop  []int   // they die
-	Start []int   // they start, with empty memories
-	// Sides is the side of each sidecar from now on: those of one side hear each other. Empty: it stays as it is.
+	Stop  []int   // these die
+	Start []int   // these start, with empty state
+	// Sides is the partition of each sidecar from now on: those of one side reach each other. Empty: no change.
 	Sides []int
 }
 
-// MembersResult is what came of it.
+// MembersResult is the result of a run in which the fleet changes.
 type MembersResult struct {
 	Starts []SlowStart // by time
-	// Most is the most that all sidecars assumed together at one time, as a multiple of what the settings' number of
-	// them assumes, from the first change on, else all along; Mean is its mean over time.
+	// MaxQuota is the greatest sum of all sidecars' quotas at one time, from the first change on, or from the start if there
+	// is none; 1 is the fleet's allowance. MeanQuota is the mean over time.
 	MaxQuota, MeanQuota float64
-	sum, samples     float64
+	sum, samples        float64
 }
 
-// ColdStart is one start of a server.
+// SlowStart is one start of a server.
 type SlowStart struct {
-	Server int
-	At     float64 // ms since the start of the run
-	PeakLoad   float64 // largest share of what it bears that it was sent in a window
-	Overloaded   bool
+	Server     int
+	At         float64 // ms since the start of the run
+	PeakLoad   float64 // greatest number of requests in a window over the number that crashes it
+	Overloaded bool
 }
 
-// freePeers is a number of peers whose assumed answers bound nothing.
+// unboundedPeers is a number of peers whose assumed answers limit nothing.
 const unboundedPeers = 1e9
 
-// sampled is how often what sidecars assume together is looked at, in ms.
+// sampleInterval is the time between two samples of the sum of quotas, in ms.
 const sampleInterval = 250.0
 
-// members is a fleet of sidecars that changes.
+// fleet is a fleet of sidecars that changes.
 type fleet struct {
 	*Members
-	sim      *simulation
+	sim    *simulation
 	rng    *rand.Rand // of delays between sidecars
 	sides  []int      // by sidecar
 	views  []memberView
@@ -135,7 +136,7 @@
 	for _, i := range change.Start {
 		if c := m.sim.sidecars[i]; c.down {
 			c.down = false
-			c.incarnation++ // what is still to be heard of the one before is no news of this one
+			c.incarnation++ // pending observations of the last process do not apply to this one
 			started = append(started, i)
 		}
 	}
@@ -150,7 +151,7 @@
 	}
 }
 
-// list is what discovery has now.
+// currentList is the list that discovery has now.
 func (sim *simulation) currentList() []balance.Server {
 	var out []balance.Server
 	for _, s := range sim.servers {
@@ -161,42 +162,39 @@
 	return out
 }
 
-// stop ends a sidecar's process: its connections break, its clients come back, to another one.
-func (sidecar *sidecar) stop() {
-	sidecar.down = true
-	sidecar.incarnation++
-	for _, id := range slices.Sorted(maps.Keys(sidecar.attempts)) {
-		t := sidecar.attempts[id]
-		for _, a := range t.attempts {
+// stop ends a sidecar's process: its connections break, and its clients retry at another one.
+func (sc *sidecar) stop() {
+	sc.down = true
+	sc.incarnation++
+	for _, id := range slices.Sorted(maps.Keys(sc.attempts)) {
+		attempt := sc.attempts[id]
+		for _, a := range attempt.attempts {
 			if a.reported {
 				continue
 			}
 			a.reported = true
 			a.cancelAtServer()
-			if a.reachedServer && !a.ended {
-				a.ended = true
-				a.record(record.SidecarClosed, 0)
-			}
+			a.closeAtServer()
 		}
-		if t.final = true; !t.clientDone {
-			t.clientDone = true
-			t.record(record.ConnectionLost, record.Event{Note: "its process ended"})
-			t.request.scheduleRetry(0)
+		if attempt.final = true; !attempt.clientDone {
+			attempt.clientDone = true
+			attempt.record(record.ConnectionLost, record.Event{Note: "its process ended"})
+			attempt.request.scheduleRetry(0)
 		}
 	}
-	clear(sidecar.attempts)
-	clear(sidecar.idle)
-	cfg := sidecar.config
-	cfg.Seed += uint64(sidecar.incarnation) << 32
+	clear(sc.attempts)
+	clear(sc.idle)
+	cfg := sc.config
+	cfg.Seed += uint64(sc.incarnation) << 32
 	b, err := balance.New(cfg)
 	if err != nil {
-		sidecar.sim.failed = fmt.Errorf("sidecar %d: %w", sidecar.number, err)
+		sc.sim.failed = fmt.Errorf("sidecar %d: %w", sc.number, err)
 		return
 	}
-	sidecar.balancer = b
+	sc.balancer = b
 }
 
-// another is a sidecar that runs; nil: none does.
+// anyRunning draws a running sidecar; nil: none runs.
 func (m *fleet) anyRunning(rng *rand.Rand) *sidecar {
 	var up []*sidecar
 	for _, c := range m.sim.sidecars {
@@ -210,7 +208,7 @@
 	return up[rng.IntN(len(up))]
 }
 
-// sample looks at what all assume together.
+// sample samples the sum of all quotas.
 func (m *fleet) sample() {
 	sum := 0.0
 	for i, c := range m.sim.sidecars {
@@ -226,19 +224,19 @@
 	}
 }
 
-// warming is what a server is sent while it is cold.
+// slowStartLoad is what a server is sent during its slow start.
 type slowStartLoad struct {
-	start int       // its place in the result
+	start int       // its index in the result
 	sends []float64 // of the last window
 }
 
-// warm begins to follow a server that has started.
+// trackSlowStart counts what a server that has started is sent.
 func (m *fleet) trackSlowStart(s *server) {
 	s.slowStart = &slowStartLoad{start: len(m.result.Starts)}
 	m.result.Starts = append(m.result.Starts, SlowStart{Server: s.number, At: m.sim.Now() - runStart})
 }
 
-// topples tells whether one more request is too much for a cold server: N + 3√N + 3 of mean work in the fall time.
+// overloads tells whether one more request crashes a server in slow start, by the formula at Members.MeanWork.
 func (m *fleet) overloads(s *server) bool {
 	r, now, boot := &m.sim.scenario.Rules, m.sim.Now(), s.entry.StartedAt
 	if s.slowStart == nil || now-boot >= r.SlowStart.Milliseconds() {
@@ -251,8 +249,7 @@
 	}
 	s.slowStart.sends = sends
 	age := math.Max(0, now-window-boot) / r.SlowStart.Milliseconds()
-	sp := &m.sim.plan.Servers[s.number]
-	capacity := float64(m.sim.scenario.Servers.Kinds[sp.Kind].Cores) * sp.Speed * m.sim.plan.Pods[sp.Pod].Limit / m.MeanWork
+	capacity := m.sim.plan.ServerCapacity(s.number) / m.MeanWork
 	n := r.OverloadMultiple * capacity * (r.InitialCapacity + (1-r.InitialCapacity)*math.Min(age, 1)) * window
 	load := float64(len(sends)) / (n + 3*math.Sqrt(n) + 3)
 	start := &m.result.Starts[s.slowStart.start]
--- a/internal/registry/restore_seen.go
+++ b/internal/registry/restore_seen.go
@@ -12,6 +12,9 @@
 	"time"
 
 	"github.com/hashicorp/raft"
+
+	"marblelane/internal/registry/listserver"
+	"marblelane/internal/registry/state"
 )
 
 // readerRevisions tracks the revisions that readers resume from.
@@ -41,7 +44,7 @@
 	if r.seen == nil {
 		r.seen = map[int64]int64{}
 	}
-	e := EpochOf(rev)
+	e := state.EpochOf(rev)
 	r.seen[e] = max(r.seen[e], rev)
 	if len(r.seen) > maxReaderEpochs { // the latest epoch is the least likely to be of this cluster
 		delete(r.seen, slices.Max(slices.Collect(maps.Keys(r.seen))))
@@ -53,11 +56,11 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for e, rev := range r.seen {
-		if e < EpochOf(of) || rev <= of {
+		if e < state.EpochOf(of) || rev <= of {
 			delete(r.seen, e)
 		}
 	}
-	return r.seen[EpochOf(of)]
+	return r.seen[state.EpochOf(of)]
 }
 
 const seenKey = "seen"
@@ -67,9 +70,9 @@
 	return http.HandlerFunc(func(w http.ResponseWriter, req *http.Request) {
 		name := ""
 		switch strings.TrimSuffix(req.URL.Path, "/") {
-		case listPath:
+		case listserver.ListPath:
 			name = "after"
-		case leaderRevPath:
+		case listserver.LeaderRevPath:
 			name = seenKey
 		}
 		if name != "" && req.URL.RawQuery != "" {
@@ -109,7 +112,7 @@
 }
 
 func (n *Node) rev() (rev int64) {
-	n.hub.read(func(s *State) { rev = s.Rev() })
+	n.hub.Read(func(s *state.State) { rev = s.Rev() })
 	return rev
 }
 
@@ -119,7 +122,7 @@
 	if leader == "" {
 		return nil
 	}
-	url := fmt.Sprintf("http://%s%s?%s=%d", leader, leaderRevPath, seenKey, seen)
+	url := fmt.Sprintf("http://%s%s?%s=%d", leader, listserver.LeaderRevPath, seenKey, seen)
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
 	if err != nil {
 		return err
@@ -133,7 +136,7 @@
 
 // beginAgain begins a new history if a reader is ahead of all that was ever committed, as far as this leader can know.
 func (n *Node) beginAgain() bool {
-	if n.raft.Barrier(applyTimeout).Error() != nil || n.Confirm() != nil {
+	if n.raft.Barrier(listserver.ApplyTimeout).Error() != nil || n.Confirm() != nil {
 		return false
 	}
 	rev := n.rev()
@@ -141,10 +144,10 @@
 	if seen == 0 {
 		return false // this replica had not applied it yet
 	}
-	next := NextEpoch(n.cfg.Faults.Now(), EpochOf(rev))
+	next := state.NextEpoch(n.cfg.Faults.Now(), state.EpochOf(rev))
 	n.log.Error("registry: a reader was told more than the copies have: their folders lost what was committed, or old images "+
 		"were put back; a new history begins, and readers take the list whole", "seen", seen, "has", rev, "epoch", next)
-	if _, err := n.Apply(&Command{Op: OpBegin, Epoch: next}, applyTimeout); err != nil {
+	if _, err := n.Apply(&state.Command{Op: state.OpBegin, Epoch: next}, listserver.ApplyTimeout); err != nil {
 		n.log.Warn("registry: the new history", "error", err)
 		return false
 	}
--- a/internal/registry/routes.go
+++ b/internal/registry/routes.go
@@ -2,18 +2,22 @@
 
 import (
 	"fmt"
+	"log/slog"
 	"math"
 	"net/http"
 	"sync/atomic"
 	"time"
 
-	"marblelane/internal/fault"
+	"marblelane/internal/registry/listserver"
+	"marblelane/internal/registry/operators"
+	"marblelane/internal/registry/state"
 	"marblelane/internal/rollout"
 	"marblelane/internal/route"
 )
 
 // Bounds of requests and answers.
 const (
+	maxBodyBytes         = 64 << 10  // body of a tenant's request
 	maxReportBytes       = 512 << 10 // body of a report or a budget request
 	maxListedProcesses   = 20        // processes listed in a rejection
 	maxBudgetsPerRequest = 256       // budgets in one budget request
@@ -23,15 +27,18 @@
 
 // routing serves the routes API of a replica. Without an operators' file it is off and its paths answer 404.
 type routing struct {
-	s       *Server
+	server  *listserver.Server
+	list    stateReader
+	replica replica
+	log     *slog.Logger
 	name    string           // of the replica
 	opened  time.Time        // monotonic
 	wall    func() time.Time // wall clock
 	planted defect
-	rules   rules
+	rules   operators.Validator
 
 	tables      *tables
-	admit       bucket
+	admit       *listserver.TokenBucket
 	watches     atomic.Int64
 	reportCalls chan reportCall
 	budgetCalls chan budgetCall
@@ -40,15 +47,38 @@
 	leaderships atomic.Int64 // leaderships started by this process
 }
 
-func newRouting(s *Server, o Options) *routing {
-	r := &routing{s: s, opened: time.Now(), wall: (*fault.Plan)(nil).Now, planted: defect(o.Planted), tables: newTables(defect(o.Planted)), rules: newRules(),
-		reportCalls: make(chan reportCall, maxWaitingCalls), budgetCalls: make(chan budgetCall, maxWaitingCalls), changing: make(chan struct{}, 1)}
-	r.admit.level = float64(o.Burst)
-	return r
+// stateReader gives access to the replicated state.
+type stateReader interface {
+	// Read calls f with the state, which f must not keep.
+	Read(f func(*state.State))
 }
 
-// handle registers the HTTP handlers of the routes API.
-func (r *routing) handle(m *http.ServeMux) {
+// replica is the replicated log; its methods are those of registry.Node.
+type replica interface {
+	Apply(c *state.Command, wait time.Duration) (rev int64, err error)
+	Confirm() error
+	Leader() (me bool, address string)
+	Staleness() time.Duration
+	Term() uint64
+}
+
+// routingConfig are the fixed parameters of a routing.
+type routingConfig struct {
+	name    string           // of the replica
+	wall    func() time.Time // wall clock
+	planted string           // defect injected by the lab; empty: none
+	log     *slog.Logger
+}
+
+func newRouting(server *listserver.Server, list stateReader, replicated replica, c routingConfig) *routing {
+	return &routing{server: server, list: list, replica: replicated, log: c.log, name: c.name, opened: time.Now(), wall: c.wall,
+		planted: defect(c.planted), tables: newTables(defect(c.planted)), rules: operators.NewValidator(),
+		reportCalls: make(chan reportCall, maxWaitingCalls), budgetCalls: make(chan budgetCall, maxWaitingCalls), changing: make(chan struct{}, 1),
+		admit: listserver.NewTokenBucket(server.Options().Burst)}
+}
+
+// Handle registers the HTTP handlers of the routes API.
+func (r *routing) Handle(m *http.ServeMux) {
 	m.HandleFunc("GET "+route.TablePath, r.table)
 	m.HandleFunc("POST "+route.ReportPath, r.report)
 	m.HandleFunc("POST "+route.BudgetsPath, r.handleBudgets)
@@ -91,7 +121,7 @@
 
 // report answers a process's report, POST /routes/reports.
 func (r *routing) report(w http.ResponseWriter, req *http.Request) {
-	if r.rejectIfOff(w) || !r.s.leading(w, req) {
+	if r.rejectIfOff(w) || !r.server.Leading(w, req) {
 		return
 	}
 	var p route.Report
@@ -111,7 +141,7 @@
 
 // handleBudgets answers a process's budget request, POST /routes/units.
 func (r *routing) handleBudgets(w http.ResponseWriter, req *http.Request) {
-	if r.rejectIfOff(w) || !r.s.leading(w, req) {
+	if r.rejectIfOff(w) || !r.server.Leading(w, req) {
 		return
 	}
 	var a route.BudgetRequest
@@ -123,7 +153,7 @@
 		f = rejectf(http.StatusBadRequest, "purses", "are %d, more than %d", len(a.Budgets), maxBudgetsPerRequest)
 	}
 	for i, p := range a.Budgets {
-		a.Budgets[i].Tenant = inside(p.Tenant)
+		a.Budgets[i].Tenant = operators.StateTenantName(p.Tenant)
 		if f == nil && (p.Spent < 0 || p.Returned < 0 || p.Granted < 0 || p.Wanted < 0 || max(p.Spent, p.Returned, p.Granted, p.Wanted) > math.MaxInt64/4) {
 			f = rejectf(http.StatusBadRequest, fmt.Sprintf("purses[%d]", i), "granted, spent, returned and want are not all between 0 and 2^61")
 		}
@@ -136,8 +166,8 @@
 }
 
 // leader returns this replica's leadership and the operators' file; nil if it has already answered the call.
-func (r *routing) leader(w http.ResponseWriter, req *http.Request) (*leadership, *Operators) {
-	if r.rejectIfOff(w) || !r.s.leading(w, req) {
+func (r *routing) leader(w http.ResponseWriter, req *http.Request) (*leadership, *operators.Operators) {
+	if r.rejectIfOff(w) || !r.server.Leading(w, req) {
 		return nil, nil
 	}
 	l := r.current()
@@ -145,16 +175,16 @@
 		writeRejection(w, &rejection{status: http.StatusServiceUnavailable, after: time.Second, Error: "this copy has only just begun to lead"})
 		return nil, nil
 	}
-	return l, r.s.o.Load().Operators
+	return l, r.server.Options().Operators
 }
 
 // tenant finds the tenant of a call and checks the caller's token.
-func (r *routing) tenant(o *Operators, req *http.Request) (*Tenant, *rejection) {
-	t, ok := o.tenant(req.PathValue("tenant"))
+func (r *routing) tenant(o *operators.Operators, req *http.Request) (*operators.Tenant, *rejection) {
+	t, ok := o.Tenant(req.PathValue("tenant"))
 	switch {
 	case !ok:
 		return nil, rejectf(http.StatusNotFound, "tenant", "%q is not in the operators' file", clip(req.PathValue("tenant")))
-	case !admits(t.Token, req) && (o.Token == "" || !admits(o.Token, req)):
+	case !operators.TokenMatches(t.Token, req) && (o.Token == "" || !operators.TokenMatches(o.Token, req)):
 		return nil, rejectf(http.StatusUnauthorized, "Authorization", "tenant %q needs its token: Authorization: Bearer TOKEN", t.Name)
 	}
 	return t, nil
--- a/internal/registry/supervisor_test.go
+++ b/internal/registry/supervisor_test.go
@@ -19,6 +19,9 @@
 	"github.com/stretchr/testify/require"
 
 	"marblelane/internal/fault"
+	"marblelane/internal/registry/listserver"
+	"marblelane/internal/registry/state"
+	"marblelane/internal/registry/storage"
 )
 
 // supervised is a supervised replica under test whose disk can be made to fail.
@@ -32,15 +35,15 @@
 // supervise starts n replicas, with the same change to the configuration of each, and waits for their leader.
 func supervise(t *testing.T, n int, change func(*Config)) []*supervised {
 	t.Helper()
-	var peers []Peer
+	var peers []listserver.Peer
 	for i := range n {
-		peers = append(peers, Peer{Name: fmt.Sprint("r", i), Raft: freePort(t), Serve: freePort(t)})
+		peers = append(peers, listserver.Peer{Name: fmt.Sprint("r", i), Raft: freePort(t), Serve: freePort(t)})
 	}
 	var all []*supervised
 	for i, p := range peers {
 		c := &supervised{faults: filepath.Join(t.TempDir(), "faults.toml"), ended: make(chan error, 1)}
 		c.cfg = Config{Name: p.Name, Listen: p.Serve, Raft: p.Raft, Peers: peers, Beat: 50 * time.Millisecond,
-			Dir: filepath.Join(t.TempDir(), fmt.Sprint(i)), Options: Options{Batch: time.Millisecond}}
+			Dir: filepath.Join(t.TempDir(), fmt.Sprint(i)), Options: listserver.Options{Batch: time.Millisecond}}
 		var err error
 		c.cfg.Faults, err = fault.Open(c.faults)
 		require.NoError(t, err)
@@ -68,7 +71,7 @@
 }
 
 // status is what the replica says of itself; false: it does not answer.
-func (c *supervised) status() (st Status, answers bool) {
+func (c *supervised) status() (st listserver.Status, answers bool) {
 	client := &http.Client{Transport: &http.Transport{DisableKeepAlives: true}, Timeout: time.Second}
 	resp, err := client.Get("http://" + c.cfg.Listen + "/registry/status")
 	if err != nil {
@@ -108,7 +111,7 @@
 func register(all []*supervised, uid string) bool {
 	client := &http.Client{Transport: &http.Transport{DisableKeepAlives: true}, Timeout: 2 * time.Second}
 	for _, c := range all {
-		resp, err := client.Post("http://"+c.cfg.Listen+listPath+"/"+uid, "", strings.NewReader(`{"endpoint":"127.0.0.1:1"}`))
+		resp, err := client.Post("http://"+c.cfg.Listen+listserver.ListPath+"/"+uid, "", strings.NewReader(`{"endpoint":"127.0.0.1:1"}`))
 		if err != nil {
 			continue
 		}
@@ -148,8 +151,8 @@
 // served is the list that a replica serves, by name.
 func served(t *testing.T, c *supervised) map[string]bool {
 	t.Helper()
-	_, text := call(t, "GET", c.cfg.Listen, listPath, "")
-	var l List
+	_, text := call(t, "GET", c.cfg.Listen, listserver.ListPath, "")
+	var l state.List
 	require.NoError(t, json.Unmarshal([]byte(text), &l), text)
 	out := map[string]bool{}
 	for _, e := range l.Targets {
@@ -285,32 +288,6 @@
 	}
 }
 
-// After a failed write the store takes no other, though the disk would: a later sync says nothing of an earlier one.
-func TestStore_rejectsAfterFailedWrite(t *testing.T) {
-	dir := t.TempDir()
-	faults := filepath.Join(dir, "faults.toml")
-	plan, err := fault.Open(faults)
-	require.NoError(t, err)
-	path := filepath.Join(dir, storeFile)
-	s, err := openStore(path, time.Second, plan)
-	require.NoError(t, err)
-	require.NoError(t, s.SetUint64([]byte(currentTerm), 1))
-	require.NoError(t, fault.NewSet(0, 0, fault.SyncErrorLost).Write(faults))
-	require.ErrorIs(t, s.SetUint64([]byte("number"), 1), fault.ErrSync)
-	require.NoError(t, fault.Set{}.Write(faults))
-	require.ErrorIs(t, s.SetUint64([]byte("number"), 2), fault.ErrSync)
-	assert.NoError(t, termStore{s}.SetUint64([]byte(currentTerm), 2), "raft would panic")
-	assert.ErrorIs(t, termStore{s}.SetUint64([]byte("LastVoteTerm"), 2), fault.ErrSync)
-	require.NoError(t, s.Close())
-	s, err = openStore(path, time.Second, plan)
-	require.NoError(t, err)
-	defer s.Close()
-	term, err := s.GetUint64([]byte(currentTerm))
-	require.NoError(t, err)
-	assert.Equal(t, uint64(1), term)
-	assert.NoError(t, s.SetUint64([]byte("number"), 3), "it takes writes once it is opened anew")
-}
-
 // What waiting does not mend ends a replica whose folder has failed, with an error that says so.
 func TestSupervisor_permanentFailure(t *testing.T) {
 	for name, c := range map[string]struct {
@@ -318,7 +295,7 @@
 		says string
 	}{
 		"spoilt log": {func(t *testing.T, dir string) {
-			path := filepath.Join(dir, storeFile)
+			path := filepath.Join(dir, storage.StoreFile)
 			info, err := os.Stat(path)
 			require.NoError(t, err)
 			require.NoError(t, os.Truncate(path, info.Size()/2))
@@ -377,14 +354,14 @@
 func TestSupervisor_reload(t *testing.T) {
 	all := supervise(t, 1, nil)
 	one := all[0]
-	one.supervisor.Reload(Options{MaxStaleness: time.Hour, Batch: time.Millisecond})
+	one.supervisor.Reload(listserver.Options{MaxStaleness: time.Hour, Batch: time.Millisecond})
 	one.plant(t, fault.NewSet(0, 0, fault.SyncErrorLost))
 	register(all, "lost")
 	one.closed(t)
-	one.supervisor.Reload(Options{MaxStaleness: 2 * time.Hour, Batch: time.Millisecond})
+	one.supervisor.Reload(listserver.Options{MaxStaleness: 2 * time.Hour, Batch: time.Millisecond})
 	one.plant(t, fault.Set{})
 	leading(t, all)
-	assert.Equal(t, 2*time.Hour, one.supervisor.Node().Server().o.Load().MaxStaleness)
+	assert.Equal(t, 2*time.Hour, one.supervisor.Node().Server().Options().MaxStaleness)
 }
 
 // A replica is opened anew at the port that the system chose the first time.
@@ -412,7 +389,7 @@
 	plan, err := fault.Open(faults)
 	require.NoError(t, err)
 	cfg := Config{Name: "one", Listen: freePort(t), Raft: freePort(t), Dir: filepath.Join(dir, "one"),
-		Beat: 10 * time.Millisecond, Faults: plan, Options: Options{Batch: time.Millisecond}}
+		Beat: 10 * time.Millisecond, Faults: plan, Options: listserver.Options{Batch: time.Millisecond}}
 	const cycles = 50
 	var goroutines, files int
 	for cycle := range cycles {
@@ -423,8 +400,8 @@
 		go func() { ended <- n.Run(t.Context()) }()
 		until(t, "the first write", func() bool { return n.Term() != 0 && n.Server().Status().Rev > 0 })
 		require.NoError(t, fault.NewSet(0, 0, fault.SyncErrorLost).Write(faults))
-		_, err = n.Apply(&Command{Op: OpPut, Entry: &Entry{UID: "lost", Endpoint: "127.0.0.1:1", State: Ready}}, time.Second)
-		require.ErrorIs(t, err, ErrNoQuorum)
+		_, err = n.Apply(&state.Command{Op: state.OpPut, Entry: &state.Entry{UID: "lost", Endpoint: "127.0.0.1:1", State: state.Ready}}, time.Second)
+		require.ErrorIs(t, err, listserver.ErrNoQuorum)
 		var disk *DiskError
 		require.ErrorAs(t, <-ended, &disk)
 		if cycle == cycles/10 {
@@ -444,8 +421,8 @@
 		{&DiskError{Err: errors.New("disk")}, true},
 		{os.ErrNotExist, true},
 		{os.ErrPermission, false},
-		{&corruptionError{"raft.db", errCorrupt}, false},
-		{errNewerVersion, false},
+		{&storage.CorruptionError{Path: "raft.db", Err: storage.ErrCorrupt}, false},
+		{storage.ErrNewerVersion, false},
 	} {
 		assert.Equal(t, c.want, mayHeal(fmt.Errorf("registry: %w", c.err)), "%v", c.err)
 	}
