--- a/internal/membership/report.go
+++ b/internal/membership/report.go
@@ -33,7 +33,7 @@
 	Role        string      `json:"role,omitempty"`
 	Version     string      `json:"version,omitempty"`
 	State       MemberState `json:"state"`
-	Proof       string      `json:"proof,omitempty"` // why it is known to be gone: refused, replaced, told, left
+	Proof       string      `json:"proof,omitempty"` // why it is known to be gone: the text of a roster.Proof
 	SinceMS     int64       `json:"since_ms"`        // how long it has been in State
 	LastAliveMS int64       `json:"heard_ms"`        // time since it was last alive; -1: never
 	Duplicate   bool        `json:"twin,omitempty"`  // another process of its name has been alive with it for long
--- a/internal/rollout/model/options.go
+++ b/internal/rollout/model/options.go
@@ -74,7 +74,7 @@
 
 // Result is what came of a simulation. Times are milliseconds from its beginning, notYet where it did not come to that.
 //
-// The lab prints it as JSON with the names of its fields, which therefore stay as they are.
+// The lab prints it as JSON with the names of its fields or their tags, which therefore stay as they are.
 type Result struct {
 	Phase            rollout.Phase
 	Why              string // reason of the last change of phase
@@ -89,8 +89,9 @@
 	Entries          int64 // of ledger commands
 	Commands         int64 // of all kinds
 	LedgerPerSecond  float64
-	Share            float64 // of the requests made with a lease that went to the canary
-	Asks, Reports    int64   // budget requests and reports that a leader received
+	CanaryFraction   float64 `json:"Share"` // of the requests made with a lease that went to the canary
+	BudgetRequests   int64   `json:"Asks"`  // that a leader received
+	Reports          int64   // that a leader received
 
 	// The baseline sees the same requests and outcomes. Its sidecars use the canary until they are notified, and its
 	// leader sums their counters.
--- a/internal/rollout/model/simulate.go
+++ b/internal/rollout/model/simulate.go
@@ -115,7 +115,7 @@
 	out.Phase, out.Why = r.Phase, r.Reason
 	out.LedgerPerSecond = float64(out.Ledger) / (float64(s.Duration) / 1000)
 	if s.leasedRequests > 0 {
-		out.Share = float64(out.Attempts) / float64(s.leasedRequests)
+		out.CanaryFraction = float64(out.Attempts) / float64(s.leasedRequests)
 	}
 	out.BaselineOver = max(0, out.BaselineFailures-s.Budget)
 	return out
--- a/internal/rollout/model/simulate_service.go
+++ b/internal/rollout/model/simulate_service.go
@@ -53,7 +53,7 @@
 	if s.service.controller == nil {
 		return
 	}
-	s.result.Asks++
+	s.result.BudgetRequests++
 	entries := s.service.controller.BudgetEntries(s.now, s.service.state, &request)
 	s.service.pending = append(s.service.pending, pendingRequest{from, request, entries})
 	if !s.service.gatherDue {
