--- a/cmd/marblelane/main_test.go
+++ b/cmd/marblelane/main_test.go
@@ -38,7 +38,7 @@
 	os.Exit(code)
 }
 
-func TestWaysToEnd(t *testing.T) {
+func TestRun_exitCodes(t *testing.T) {
 	dir := t.TempDir()
 	file := func(name, text string) string {
 		path := filepath.Join(dir, name)
@@ -140,7 +140,7 @@
 `
 
 // However the lab ends, its copies end with it, a frozen one too.
-func TestCopiesEndWithTheLab(t *testing.T) {
+func TestLabRun_copiesEnd(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "long.toml")
 	if err := os.WriteFile(path, []byte(longScenario), 0o644); err != nil {
 		t.Fatal(err)
@@ -160,7 +160,7 @@
 }
 
 // A lab that was held up says that its run does not count, whatever came out of it.
-func TestLateLabDoesNotCount(t *testing.T) {
+func TestLabRun_late(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "held.toml")
 	text := "title = \"held\"\nlength = \"6s\"\n[sidecars]\ncount = 2\n[servers]\ncount = 2\n[expect]\np99 = \"1ms\"\n"
 	if err := os.WriteFile(path, []byte(text), 0o644); err != nil {
@@ -180,7 +180,7 @@
 }
 
 // Two programs can be compared as well as two scenarios.
-func TestCompareTakesPrograms(t *testing.T) {
+func TestLabCompare_programs(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "brief.toml")
 	if err := os.WriteFile(path, []byte("title = \"brief\"\nlength = \"1s\"\n[sidecars]\ncount = 1\n[servers]\ncount = 2\n"), 0o644); err != nil {
 		t.Fatal(err)
--- a/cmd/marblelane/registry_test.go
+++ b/cmd/marblelane/registry_test.go
@@ -94,7 +94,7 @@
 
 // A process whose folder fails closes its copy and goes on: SIGHUP does not end it meanwhile, and the copy is back with
 // the folder. SIGTERM ends it in order, also while the folder fails.
-func TestRegistryOutlivesAFailingDisk(t *testing.T) {
+func TestRegistryServe_failingDisk(t *testing.T) {
 	dir := t.TempDir()
 	config, faults := filepath.Join(dir, "one.toml"), filepath.Join(dir, "faults.toml")
 	text := fmt.Sprintf("name = \"one\"\nlisten = \"127.0.0.1:0\"\nraft = \"127.0.0.1:0\"\ndir = %q\nbeat = \"50ms\"\nlab_faults = %q\n",
@@ -136,7 +136,7 @@
 	assert.NoError(t, cmd.Wait())
 }
 
-func TestRegistryConfiguration(t *testing.T) {
+func TestRegistryServe_invalidConfig(t *testing.T) {
 	good := "name = \"a\"\nlisten = \"127.0.0.1:0\"\nraft = \"127.0.0.1:0\"\n"
 	for name, c := range map[string]struct{ text, says string }{
 		"unknown key":  {good + "bat = 1\n", "c.toml:4: bat: there is no such key"},
@@ -223,7 +223,7 @@
 
 // A server that starts again behind a step back of its machine's clock, while its former start drains, is ready, with a
 // later start than the former one.
-func TestRegisterBehindAStepBack(t *testing.T) {
+func TestRegister_clockStepBack(t *testing.T) {
 	for _, step := range []time.Duration{-time.Second, -30 * time.Second, -time.Hour} {
 		t.Run(step.String(), func(t *testing.T) {
 			t.Parallel()
