--- a/cmd/sidecar/drain_test.go
+++ b/cmd/sidecar/drain_test.go
@@ -18,6 +18,8 @@
 	"time"
 
 	"golang.org/x/sys/unix"
+
+	"marblelane/internal/sidecar/sidecartest"
 )
 
 // These tests check the table of docs/on-call.md: what a process does from SIGTERM to its end.
@@ -565,7 +567,7 @@
 func TestShutdown_requestWithoutServer(t *testing.T) {
 	t.Parallel()
 	p := launch(t, conf{"settings": settings(patience, patience), "known": conf{"rev": 1, "all": true, "targets": []conf{{
-		"uid": "s", "endpoint": bound(t, 0), "az": "z", "model": "m", "state": "Ready", "capacity_hint": 1,
+		"uid": "s", "endpoint": sidecartest.BindAddr(t, 0), "az": "z", "model": "m", "state": "Ready", "capacity_hint": 1,
 	}}}})
 	idempotent, nonIdempotent := p.dial(), p.dial()
 	idempotent.request("safe", "")
@@ -579,29 +581,6 @@
 	p.awaitEnd()
 }
 
-// bound is an address that is held for the test, bound and not listening, with an option set on its socket; 0: none.
-func bound(t *testing.T, option int) string {
-	t.Helper()
-	fd, err := unix.Socket(unix.AF_INET, unix.SOCK_STREAM|unix.SOCK_CLOEXEC, 0)
-	if err != nil {
-		t.Fatal(err)
-	}
-	t.Cleanup(func() { unix.Close(fd) })
-	if option != 0 {
-		if err := unix.SetsockoptInt(fd, unix.SOL_SOCKET, option, 1); err != nil {
-			t.Fatal(err)
-		}
-	}
-	if err := unix.Bind(fd, &unix.SockaddrInet4{Addr: [4]byte{127, 0, 0, 1}}); err != nil {
-		t.Fatal(err)
-	}
-	addr, err := unix.Getsockname(fd)
-	if err != nil {
-		t.Fatal(err)
-	}
-	return fmt.Sprintf("127.0.0.1:%d", addr.(*unix.SockaddrInet4).Port)
-}
-
 // shortDir is a directory whose path is short enough for that of a Unix socket.
 func shortDir(t *testing.T) string {
 	t.Helper()
@@ -619,7 +598,7 @@
 	t.Helper()
 	dir := shortDir(t)
 	c := conf{
-		"listen": bound(t, unix.SO_REUSEPORT), "management": "127.0.0.1:0", "TMPDIR": dir,
+		"listen": sidecartest.BindAddr(t, unix.SO_REUSEPORT), "management": "127.0.0.1:0", "TMPDIR": dir,
 	}
 	older = launch(t, c)
 	older.meets(dir)
--- a/cmd/sidecar/main_test.go
+++ b/cmd/sidecar/main_test.go
@@ -66,7 +66,7 @@
 	return &command{cmd, path}
 }
 
-// startLogged starts the program and passes on its log, line by line, up to its end.
+// startLogged starts the program and gives the lines of its log up to its end.
 func (c *command) startLogged(t *testing.T) <-chan string {
 	t.Helper()
 	stderr, err := c.StderrPipe()
@@ -113,7 +113,7 @@
 	}
 }
 
-// terminateLogged is terminate for a program whose log is passed on.
+// terminateLogged is terminate for a program that startLogged started.
 func (c *command) terminateLogged(t *testing.T, log <-chan string) {
 	t.Helper()
 	c.signal(t, syscall.SIGTERM)
@@ -142,9 +142,9 @@
 }
 
 // waitForCall waits until a list service is called. Calls of others, and further calls of one, are passed over.
-func waitForCall(t *testing.T, calls <-chan string, want string, atMost time.Duration) {
+func waitForCall(t *testing.T, calls <-chan string, want string, timeout time.Duration) {
 	t.Helper()
-	limit := time.After(atMost)
+	limit := time.After(timeout)
 	for {
 		select {
 		case name := <-calls:
--- a/cmd/sidecar/members_test.go
+++ b/cmd/sidecar/members_test.go
@@ -13,6 +13,7 @@
 	"golang.org/x/sys/unix"
 
 	"marblelane/internal/membership"
+	"marblelane/internal/sidecar/sidecartest"
 )
 
 // These tests hold docs/membership.md on real processes.
@@ -170,7 +171,7 @@
 func TestMembers_upgrade(t *testing.T) {
 	t.Parallel()
 	a := joined(t, "a", nil)
-	c := conf{"listen": bound(t, unix.SO_REUSEPORT), "TMPDIR": shortDir(t)}
+	c := conf{"listen": sidecartest.BindAddr(t, unix.SO_REUSEPORT), "TMPDIR": shortDir(t)}
 	older := joined(t, "b", c, a.gossips())
 	a.counts(2, 2)
 	older.meets(c["TMPDIR"].(string))
--- a/internal/sidecar/body_test.go
+++ b/internal/sidecar/body_test.go
@@ -261,12 +261,8 @@
 			t.Run(name+" "+proto, func(t *testing.T) {
 				b := sidecartest.NewBackend(t, "a", sidecartest.Respond(answer, false))
 				s := start(t, configtest.NewConf(sidecartest.NewRegistry(t).Addr(), b.Target))
-				c, err := net.Dial("tcp", s.Addr())
-				if err != nil {
-					t.Fatal(err)
-				}
+				c := s.dial(t)
 				defer c.Close()
-				c.SetDeadline(time.Now().Add(sidecartest.Patience))
 				fmt.Fprintf(c, "GET /api %s\r\nHost: b\r\nX-Request-ID: 1\r\nX-Priority-Class: lookup\r\nX-Tenant-Id: kita\r\n\r\n", proto)
 				resp, err := http.ReadResponse(bufio.NewReader(c), nil)
 				if err == nil {
@@ -363,14 +359,7 @@
 	for mb, want := range map[int]int{0: 432, 32: 170, 192: 432} {
 		c := configtest.NewConf("127.0.0.1:1")
 		c["limits"] = map[string]any{"sockets": 1024, "memory_mb": mb}
-		cfg, err := c.Load(t)
-		if err != nil {
-			t.Fatal(err)
-		}
-		s, err := New(cfg)
-		if err != nil {
-			t.Fatal(err)
-		}
+		s := newFromConf(t, c)
 		s.listener.Close()
 		if got := s.budget.requests; got != want {
 			t.Errorf("%d MB: %d requests at a time, want %d", mb, got, want)
--- a/internal/sidecar/client_gone_test.go
+++ b/internal/sidecar/client_gone_test.go
@@ -301,12 +301,8 @@
 	t.Run("pipelined", func(t *testing.T) {
 		b := sidecartest.NewBackend(t, "a", sidecartest.OK)
 		s := start(t, configtest.NewConf(sidecartest.NewRegistry(t).Addr(), b.Target), withoutConnStates)
-		c, err := net.Dial("tcp", s.Addr())
-		if err != nil {
-			t.Fatal(err)
-		}
+		c := s.dial(t)
 		defer c.Close()
-		c.SetDeadline(time.Now().Add(sidecartest.Patience))
 		io.WriteString(c, sidecartest.WireRequest("1", "", "")+sidecartest.WireRequest("2", "", ""))
 		in := bufio.NewReader(c)
 		for range 2 {
--- a/internal/sidecar/clientserver/conn_limiter_shutdown_test.go
+++ b/internal/sidecar/clientserver/conn_limiter_shutdown_test.go
@@ -75,6 +75,13 @@
 	}
 	limiter := NewLimiter(listener, limit)
 	t.Cleanup(func() { limiter.Close() })
+	client, accepted := acceptPair(t, listener, limiter)
+	return limiter, client, accepted
+}
+
+// acceptPair connects a client to a limiter, and gives both ends.
+func acceptPair(t *testing.T, listener net.Listener, limiter *Limiter) (net.Conn, *ClientConn) {
+	t.Helper()
 	client, err := net.Dial("tcp", listener.Addr().String())
 	if err != nil {
 		t.Fatal(err)
@@ -87,7 +94,7 @@
 	}
 	t.Cleanup(func() { accepted.Close() })
 	accepted.SetDeadline(time.Now().Add(sidecartest.Patience))
-	return limiter, client, accepted.(*ClientConn)
+	return client, accepted.(*ClientConn)
 }
 
 // endSent reports whether the client of a connection was notified of its end.
--- a/internal/sidecar/clientserver/conn_limiter_test.go
+++ b/internal/sidecar/clientserver/conn_limiter_test.go
@@ -113,19 +113,9 @@
 	limiter := NewLimiter(listener, 3)
 	t.Cleanup(func() { limiter.Close() })
 	pair := func() (net.Conn, *ClientConn) {
-		client, err := net.Dial("tcp", listener.Addr().String())
-		if err != nil {
-			t.Fatal(err)
-		}
-		t.Cleanup(func() { client.Close() })
-		client.SetDeadline(time.Now().Add(sidecartest.Patience))
-		accepted, err := limiter.Accept()
-		if err != nil {
-			t.Fatal(err)
-		}
-		accepted.SetDeadline(time.Now().Add(sidecartest.Patience))
-		accepted.(*ClientConn).RequestAnswered()
-		return client, accepted.(*ClientConn)
+		client, accepted := acceptPair(t, listener, limiter)
+		accepted.RequestAnswered()
+		return client, accepted
 	}
 	buf := make([]byte, 8)
 	idleClient, idle := pair()
--- a/internal/sidecar/clientserver_test.go
+++ b/internal/sidecar/clientserver_test.go
@@ -135,12 +135,8 @@
 	c["limits"] = map[string]any{"sockets": config.MinSockets}
 	s := start(t, c)
 	for i := range 2 * config.MinSockets {
-		conn, err := net.Dial("tcp", s.Addr())
-		if err != nil {
-			t.Fatal(err)
-		}
+		conn := s.dial(t)
 		defer conn.Close()
-		conn.SetDeadline(time.Now().Add(sidecartest.Patience))
 		req := s.request("charge", time.Second)
 		if err := req.Write(conn); err != nil {
 			t.Fatal(err)
--- a/internal/sidecar/discovery/client_test.go
+++ b/internal/sidecar/discovery/client_test.go
@@ -25,6 +25,14 @@
 	return client, events
 }
 
+// expectEvent waits for the next event, which has to be of a kind.
+func expectEvent(t *testing.T, what string, events <-chan ListEvent, want balance.ListKind) {
+	t.Helper()
+	if n := sidecartest.Receive(t, what, events); n.Kind != want {
+		t.Errorf("%s: %+v", what, n)
+	}
+}
+
 // A watch posts changes, signs of life, full lists and its end.
 func TestWatch_eventKinds(t *testing.T) {
 	r := sidecartest.NewRegistry(t)
@@ -40,17 +48,11 @@
 		t.Errorf("%+v", n)
 	}
 	call.Line(t, "")
-	if n := sidecartest.Receive(t, "that it is alive", events); n.Kind != balance.ListAlive {
-		t.Errorf("%+v", n)
-	}
+	expectEvent(t, "that it is alive", events, balance.ListAlive)
 	call.Send(t, endpointlist.List{Rev: 44, All: true})
-	if n := sidecartest.Receive(t, "the list", events); n.Kind != balance.ListFull {
-		t.Errorf("%+v", n)
-	}
+	expectEvent(t, "the list", events, balance.ListFull)
 	close(call.Lines)
-	if n := sidecartest.Receive(t, "the end", events); n.Kind != balance.ListFailed {
-		t.Errorf("%+v", n)
-	}
+	expectEvent(t, "the end", events, balance.ListFailed)
 	if len(events)+len(r.Calls) > 0 {
 		t.Error("more than one report of the end, or a call by itself")
 	}
@@ -63,15 +65,11 @@
 	for name, call := range map[string]func(context.Context, int){"watch": client.Watch, "list": client.Fetch} {
 		call(t.Context(), 0)
 		sidecartest.Receive(t, "the call", r.Calls).Fail <- http.StatusServiceUnavailable
-		if n := sidecartest.Receive(t, "the failure", events); n.Kind != balance.ListFailed {
-			t.Errorf("%s: %+v", name, n)
-		}
+		expectEvent(t, "the failure"+" of "+name, events, balance.ListFailed)
 	}
 	r.Close()
 	client.Watch(t.Context(), 0)
-	if n := sidecartest.Receive(t, "the refused connection", events); n.Kind != balance.ListFailed {
-		t.Errorf("%+v", n)
-	}
+	expectEvent(t, "the refused connection", events, balance.ListFailed)
 	if len(events)+len(r.Calls) > 0 {
 		t.Error("more than one report of a failure, or a call by itself")
 	}
--- a/internal/sidecar/framing_test.go
+++ b/internal/sidecar/framing_test.go
@@ -89,12 +89,8 @@
 				return sidecartest.OK(c, r, body)
 			})
 			s := start(t, configtest.NewConf(sidecartest.NewRegistry(t).Addr(), b.Target))
-			conn, err := net.Dial("tcp", s.Addr())
-			if err != nil {
-				t.Fatal(err)
-			}
+			conn := s.dial(t)
 			defer conn.Close()
-			conn.SetDeadline(time.Now().Add(sidecartest.Patience))
 			if _, err := io.WriteString(conn, test.bytes); err != nil {
 				t.Fatal(err)
 			}
--- a/internal/sidecar/handover_test.go
+++ b/internal/sidecar/handover_test.go
@@ -2,7 +2,6 @@
 
 import (
 	"bufio"
-	"fmt"
 	"net"
 	"net/http"
 	"os"
@@ -24,23 +23,8 @@
 // for the test by a socket that does not listen.
 func upgradable(t *testing.T, discovery string, known ...endpointlist.Target) configtest.Conf {
 	t.Helper()
-	fd, err := unix.Socket(unix.AF_INET, unix.SOCK_STREAM|unix.SOCK_CLOEXEC, 0)
-	if err != nil {
-		t.Fatal(err)
-	}
-	t.Cleanup(func() { unix.Close(fd) })
-	if err := unix.SetsockoptInt(fd, unix.SOL_SOCKET, unix.SO_REUSEPORT, 1); err != nil {
-		t.Fatal(err)
-	}
-	if err := unix.Bind(fd, &unix.SockaddrInet4{Addr: [4]byte{127, 0, 0, 1}}); err != nil {
-		t.Fatal(err)
-	}
-	addr, err := unix.Getsockname(fd)
-	if err != nil {
-		t.Fatal(err)
-	}
 	c := configtest.Managed(configtest.NewConf(discovery, known...))
-	c["listen"] = fmt.Sprintf("127.0.0.1:%d", addr.(*unix.SockaddrInet4).Port)
+	c["listen"] = sidecartest.BindAddr(t, unix.SO_REUSEPORT)
 	c["TMPDIR"] = t.TempDir()
 	return c
 }
@@ -148,19 +132,12 @@
 	}
 	old := start(t, c, deaf)
 	old.awaitMeetable(t, nil)
-	var waiting []net.Conn
-	for range 10 {
-		conn, err := net.Dial("tcp", old.Addr())
-		if err != nil {
-			t.Fatal(err)
+	waiting := old.writeRequests(t, 10)
+	defer func() { // before the next process ends
+		for _, conn := range waiting {
+			conn.Close()
 		}
-		defer conn.Close()
-		conn.SetDeadline(time.Now().Add(sidecartest.Patience))
-		if err := old.request("charge", 5*time.Second).Write(conn); err != nil {
-			t.Fatal(err)
-		}
-		waiting = append(waiting, conn)
-	}
+	}()
 	next := start(t, c, func(s *Sidecar) { s.listTimeout = 0 })
 	sidecartest.Until(t, "its word", func() bool { return old.successors.Serving.Load() == 1 })
 	old.end(t)
--- a/internal/sidecar/listener_shutdown_test.go
+++ b/internal/sidecar/listener_shutdown_test.go
@@ -8,7 +8,6 @@
 	"sync/atomic"
 	"syscall"
 	"testing"
-	"time"
 
 	"marblelane/internal/sidecar/configtest"
 	"marblelane/internal/sidecar/netcall"
@@ -46,19 +45,7 @@
 		}
 	})
 	sidecartest.Until(t, "a server", func() bool { return s.loop.Metrics.Servers.Load().Ready > 0 })
-	var waiting []net.Conn
-	for range 10 {
-		c, err := net.Dial("tcp", s.Addr())
-		if err != nil {
-			t.Fatal(err)
-		}
-		defer c.Close()
-		c.SetDeadline(time.Now().Add(sidecartest.Patience))
-		if err := s.request("charge", 5*time.Second).Write(c); err != nil {
-			t.Fatal(err)
-		}
-		waiting = append(waiting, c)
-	}
+	waiting := s.writeRequests(t, 10)
 	s.term()
 	sidecartest.Until(t, "the listener to close, or to wait for them", func() bool { return closed.Load() || queried.Load() })
 	close(held)
--- a/internal/sidecar/pipeline_test.go
+++ b/internal/sidecar/pipeline_test.go
@@ -8,7 +8,6 @@
 	"net/http"
 	"strings"
 	"testing"
-	"time"
 
 	"marblelane/internal/sidecar/configtest"
 	"marblelane/internal/sidecar/framing"
@@ -16,6 +15,18 @@
 	"marblelane/internal/sidecar/sidecartest"
 )
 
+// expectAnswers reads so many answers, each of which has to be 200.
+func expectAnswers(t *testing.T, in *bufio.Reader, n int) {
+	t.Helper()
+	for i := range n {
+		resp, err := http.ReadResponse(in, nil)
+		if err != nil || resp.StatusCode != 200 {
+			t.Fatalf("answer %d: %+v, %v", i+1, resp, err)
+		}
+		io.Copy(io.Discard, resp.Body)
+	}
+}
+
 // Above the keep-alive limit a connection with pipelined requests is closed only after the last answer.
 func TestPipeline_overKeepAliveLimit(t *testing.T) {
 	const requests = 5
@@ -24,24 +35,14 @@
 	s.clients.SetKeepAliveLimit(0) // each connection is above it
 	for name, body := range map[string]string{"no bodies": "", "bodies": "abc"} {
 		t.Run(name, func(t *testing.T) {
-			c, err := net.Dial("tcp", s.Addr())
-			if err != nil {
-				t.Fatal(err)
-			}
+			c := s.dial(t)
 			defer c.Close()
-			c.SetDeadline(time.Now().Add(sidecartest.Patience))
 			request := sidecartest.WireRequest("1", fmt.Sprintf("Content-Length: %d\r\n", len(body)), body)
 			if _, err := io.WriteString(c, strings.Repeat(request, requests)); err != nil {
 				t.Fatal(err)
 			}
 			in := bufio.NewReader(c)
-			for i := range requests {
-				resp, err := http.ReadResponse(in, nil)
-				if err != nil || resp.StatusCode != 200 {
-					t.Fatalf("answer %d: %+v, %v", i+1, resp, err)
-				}
-				io.Copy(io.Discard, resp.Body)
-			}
+			expectAnswers(t, in, requests)
 			if _, err := io.WriteString(c, request); err != nil { // alone
 				t.Fatal(err)
 			}
@@ -62,12 +63,8 @@
 	})
 	s := start(t, configtest.NewConf(sidecartest.NewRegistry(t).Addr(), b.Target))
 	t.Cleanup(answer.Release)
-	c, err := net.Dial("tcp", s.Addr())
-	if err != nil {
-		t.Fatal(err)
-	}
+	c := s.dial(t)
 	defer c.Close()
-	c.SetDeadline(time.Now().Add(sidecartest.Patience))
 	const requests = 3
 	if _, err := io.WriteString(c, strings.Repeat(sidecartest.WireRequest("1", "", ""), requests)); err != nil {
 		t.Fatal(err)
@@ -77,13 +74,7 @@
 	sidecartest.Until(t, "the drain", s.clients.Draining)
 	answer.Release()
 	in := bufio.NewReader(c)
-	for i := range requests {
-		resp, err := http.ReadResponse(in, nil)
-		if err != nil || resp.StatusCode != 200 {
-			t.Fatalf("answer %d: %+v, %v", i+1, resp, err)
-		}
-		io.Copy(io.Discard, resp.Body)
-	}
+	expectAnswers(t, in, requests)
 	if _, err := in.ReadByte(); err != io.EOF {
 		t.Errorf("after the last answer: %v, want the end", err)
 	}
--- a/internal/sidecar/planted_test.go
+++ b/internal/sidecar/planted_test.go
@@ -111,12 +111,8 @@
 	var failures atomic.Int64
 	s := start(t, c, func(s *Sidecar) { countFailures(t, s.listener, &failures) })
 	sidecartest.Until(t, "accepts that fail", func() bool { return failures.Load() > 0 })
-	conn, err := net.Dial("tcp", s.Addr())
-	if err != nil {
-		t.Fatal(err)
-	}
+	conn := s.dial(t)
 	defer conn.Close()
-	conn.SetDeadline(time.Now().Add(sidecartest.Patience))
 	const wait, waited, coarse = 5 * time.Second, 300 * time.Millisecond, 20 * time.Millisecond
 	if err := s.request("charge", wait).Write(conn); err != nil {
 		t.Fatal(err)
--- a/internal/sidecar/sidecar_test.go
+++ b/internal/sidecar/sidecar_test.go
@@ -5,6 +5,7 @@
 	"fmt"
 	"io"
 	"log/slog"
+	"net"
 	"net/http"
 	"os"
 	"runtime"
@@ -31,9 +32,9 @@
 	ended  chan error
 }
 
-func start(t *testing.T, c configtest.Conf, changes ...func(*Sidecar)) *running {
+// newFromConf makes the sidecar of a configuration, which does not run yet.
+func newFromConf(t *testing.T, c configtest.Conf) *Sidecar {
 	t.Helper()
-	before := runtime.NumGoroutine()
 	cfg, err := c.Load(t)
 	if err != nil {
 		t.Fatal(err)
@@ -42,6 +43,13 @@
 	if err != nil {
 		t.Fatal(err)
 	}
+	return s
+}
+
+func start(t *testing.T, c configtest.Conf, changes ...func(*Sidecar)) *running {
+	t.Helper()
+	before := runtime.NumGoroutine()
+	s := newFromConf(t, c)
 	s.drainAccept = 0
 	for _, change := range changes {
 		change(s)
@@ -62,6 +70,31 @@
 	return r
 }
 
+// dial connects to the sidecar. The caller closes the connection.
+func (r *running) dial(t *testing.T) net.Conn {
+	t.Helper()
+	c, err := net.Dial("tcp", r.Addr())
+	if err != nil {
+		t.Fatal(err)
+	}
+	c.SetDeadline(time.Now().Add(sidecartest.Patience))
+	return c
+}
+
+// writeRequests writes a request on each of some connections, and does not wait until they are accepted.
+func (r *running) writeRequests(t *testing.T, connections int) (all []net.Conn) {
+	t.Helper()
+	for range connections {
+		c := r.dial(t)
+		t.Cleanup(func() { c.Close() })
+		if err := r.request("charge", 5*time.Second).Write(c); err != nil {
+			t.Fatal(err)
+		}
+		all = append(all, c)
+	}
+	return all
+}
+
 // noMoreGoroutines waits until only those of before are left, beside the test's own servers' few.
 func noMoreGoroutines(t *testing.T, before int) {
 	t.Helper()
--- a/internal/sidecar/watch_faults_test.go
+++ b/internal/sidecar/watch_faults_test.go
@@ -133,14 +133,7 @@
 // startImpatient runs a sidecar whose calls to list services end early. It may run beside other tests.
 func startImpatient(t *testing.T, c configtest.Conf) *running {
 	t.Helper()
-	cfg, err := c.Load(t)
-	if err != nil {
-		t.Fatal(err)
-	}
-	s, err := New(cfg)
-	if err != nil {
-		t.Fatal(err)
-	}
+	s := newFromConf(t, c)
 	s.drainAccept = 0
 	s.loop.Discovery.SetTimeouts(discovery.Timeouts{
 		PushedDelay: 100 * time.Millisecond, Call: 300 * time.Millisecond, Watch: 300 * time.Millisecond,
