--- a/internal/registry/routeleader/budgets.go
+++ b/internal/registry/routeleader/budgets.go
@@ -30,28 +30,26 @@
 	if l == nil {
 		return nil, listserver.ErrNotLeader
 	}
-	l.decisionMu.Lock()
-	defer l.decisionMu.Unlock()
+	l.decisions.mu.Lock()
+	defer l.decisions.mu.Unlock()
 	var entries []rollout.LedgerEntry
 	keep := true
 	var err error
-	l.mu.Lock()
-	r.list.Read(func(st *state.State) {
+	l.processes.withState(r.list, func(st *state.State) {
 		var s *rollout.State
-		if s, keep, err = r.planted.ledger(st.Routes, l.uncommittedGrants); err != nil {
+		if s, keep, err = r.planted.ledger(st.Routes, l.decisions.uncommittedGrants); err != nil {
 			return
 		}
 		for _, a := range all {
 			r.planted.requestedBudgets(a.request)
-			entries = append(entries, l.controller.BudgetEntries(l.floor(time.Now()), s, a.request)...)
+			entries = append(entries, l.processes.controller.BudgetEntries(l.floor(time.Now()), s, a.request)...)
 		}
 	})
-	l.mu.Unlock()
 	if err != nil {
 		return nil, err
 	}
 	if !keep {
-		l.uncommittedGrants = append(l.uncommittedGrants, entries...)
+		l.decisions.uncommittedGrants = append(l.decisions.uncommittedGrants, entries...)
 		entries = nil
 	}
 	for some := range slices.Chunk(entries, maxCommandEntries) {
@@ -60,16 +58,14 @@
 			return nil, err
 		}
 	}
-	l.mu.Lock()
-	defer l.mu.Unlock()
 	answers := make([]route.BudgetResponse, len(all))
-	r.list.Read(func(st *state.State) {
+	l.processes.withState(r.list, func(st *state.State) {
 		var s *rollout.State
-		if s, _, err = r.planted.ledger(st.Routes, l.uncommittedGrants); err != nil {
+		if s, _, err = r.planted.ledger(st.Routes, l.decisions.uncommittedGrants); err != nil {
 			return
 		}
 		for i, a := range all {
-			answers[i] = l.controller.BudgetResponse(s, a.request)
+			answers[i] = l.processes.controller.BudgetResponse(s, a.request)
 			for k, g := range answers[i].Budgets {
 				answers[i].Budgets[k].Tenant = operators.ConfiguredTenantName(g.Tenant)
 			}
--- a/internal/registry/routeleader/decisions.go
+++ b/internal/registry/routeleader/decisions.go
@@ -4,6 +4,7 @@
 
 import (
 	"errors"
+	"sync"
 	"time"
 
 	"marblelane/internal/registry/listserver"
@@ -11,6 +12,14 @@
 	"marblelane/internal/rollout"
 )
 
+// decisionTurn serialises decisions with their commits. It is taken before the lock of processRecords, which has no access
+// to it, and is the only lock that is held during a commit.
+type decisionTurn struct {
+	mu                sync.Mutex
+	lowersLeaseTerm   bool                  // at decisionsFrom, lower the replicated maximum lease term to this leader's
+	uncommittedGrants []rollout.LedgerEntry // used by the defect GrantUncommitted only
+}
+
 // apply replicates a command and waits until it is applied.
 func (r *Routing) apply(c *state.Command) error {
 	_, err := r.replica.Apply(c, listserver.ApplyTimeout)
@@ -19,16 +28,16 @@
 
 // decide runs one controller tick and replicates its decisions.
 func (r *Routing) decide(l *leadership) {
-	l.decisionMu.Lock()
-	defer l.decisionMu.Unlock()
+	l.decisions.mu.Lock()
+	defer l.decisions.mu.Unlock()
 	if time.Now().Before(l.decisionsFrom) || r.current() != l {
 		return
 	}
-	if l.lowersLeaseTerm {
+	if l.decisions.lowersLeaseTerm {
 		if err := r.apply(&state.Command{Op: state.OpTerm, TermMS: l.leaseTermMS, Term: l.term}); err != nil {
 			return
 		}
-		l.lowersLeaseTerm = false
+		l.decisions.lowersLeaseTerm = false
 	}
 	for _, c := range r.tick(l) {
 		if !r.execute(l, &c) {
@@ -40,14 +49,12 @@
 // tick returns the controller's decisions. Once it has decided to close a revision the controller grants no lease for
 // it, so reports need not wait for the commit.
 func (r *Routing) tick(l *leadership) []rollout.Command {
-	l.mu.Lock()
-	defer l.mu.Unlock()
 	now := time.Now()
 	var commands []rollout.Command
-	r.list.Read(func(s *state.State) {
+	l.processes.withState(r.list, func(s *state.State) {
 		var standings []rollout.AccessChange
-		commands, standings = l.controller.Tick(l.floor(now), s.Routes, s.ReadyIn)
-		l.queueTransitions(s, l.recordAccessChanges(standings, now))
+		commands, standings = l.processes.controller.Tick(l.floor(now), s.Routes, s.ReadyIn)
+		l.processes.queueTransitions(s, l.processes.recordAccessChanges(standings, now))
 	})
 	return commands
 }
--- a/internal/registry/routeleader/leadership.go
+++ b/internal/registry/routeleader/leadership.go
@@ -29,48 +29,18 @@
 	maxPendingTransitions = 20_000                 // transitions not replicated yet; beyond it the oldest are dropped and counted
 )
 
-// leadership is the in-memory state of the routes leader, created anew in each raft term that this replica leads. Its
-// clock counts milliseconds from its start. Lock order: decisionMu, mu, then the lock of the hub's state.
+// leadership is the in-memory state of the routes leader, created anew in each raft term that this replica leads. Its own
+// fields do not change once it is stored; its parts have locks of their own.
 type leadership struct {
-	decisionMu      sync.Mutex // serialises decisions and their commits; guards lowersLeaseTerm and uncommittedGrants
-	mu              sync.Mutex // guards the other fields; never held during a commit
-	term            uint64
-	id              string    // replica name, raft term and count of leaderships; stamped on answers
-	startedAt       time.Time // monotonic
-	startedWallMS   int64     // wall clock at startedAt
-	decisionsFrom   time.Time // no decision before it: leases of a longer term, granted by an earlier leader, may still run
-	lowersLeaseTerm bool      // at decisionsFrom, lower the replicated maximum lease term to this leader's
-	leaseTermMS     int64
-	o               rollout.Options
-	controller      *rollout.Controller
-	tracker         *audit.Tracker
-	changeLimits    map[string]*rate.Limiter // rate limits of changes, by tenant
-
-	pending           []audit.Transition
-	unsavedProcesses  map[string]state.SchemaSupport // processes whose schema support is to be replicated, by name
-	observed          map[string]state.SchemaSupport // all processes that reported since refreshedAt, by name
-	refreshedAt       time.Time
-	flushedAt         time.Time
-	prunedAt          time.Time
-	uncommittedGrants []rollout.LedgerEntry // used by the defect GrantUncommitted only
-}
-
-// floor converts a time to the leader's clock, rounded down, also before startedAt; ceil rounds up. Starts of leases are
-// rounded up and ends are compared rounded down, so that rounding never shortens what the leader assumes of a lease.
-func (l *leadership) floor(at time.Time) int64 {
-	since := at.Sub(l.startedAt)
-	elapsed := since.Truncate(time.Millisecond)
-	if elapsed > since {
-		elapsed -= time.Millisecond
-	}
-	return 1 + elapsed.Milliseconds()
-}
-
-func (l *leadership) ceil(at time.Time) int64 { return l.floor(at.Add(time.Millisecond - 1)) }
-
-// wall converts a time to Unix milliseconds: the wall clock at startedAt plus the monotonic time since.
-func (l *leadership) wall(at time.Time) int64 {
-	return l.startedWallMS + at.Sub(l.startedAt).Milliseconds()
+	leaderClock
+	term          uint64
+	id            string    // replica name, raft term and count of leaderships; stamped on answers
+	decisionsFrom time.Time // no decision before it: leases of a longer term, granted by an earlier leader, may still run
+	leaseTermMS   int64
+	o             rollout.Options
+	decisions     decisionTurn
+	processes     processRecords
+	limits        changeLimits
 }
 
 // leaderCall is a request queued for the leader; answer is called exactly once.
@@ -177,7 +147,7 @@
 			return nil, err
 		}
 	case out > l.leaseTermMS:
-		l.decisionsFrom, l.lowersLeaseTerm = l.startedAt.Add(withClockMargin(out, l.o.ClockMargin)), true
+		l.decisionsFrom, l.decisions.lowersLeaseTerm = l.startedAt.Add(withClockMargin(out, l.o.ClockMargin)), true
 	}
 	r.lead.Store(l)
 	return l, nil
@@ -185,12 +155,19 @@
 
 func (r *Routing) newLeadership(term uint64, o *operators.Operators) *leadership {
 	at := time.Now()
-	l := &leadership{term: term, id: fmt.Sprintf("%s@%d.%d", r.name, term, r.leaderships.Add(1)), startedAt: at, startedWallMS: state.EpochZeroMS + r.wall().Sub(state.EpochZero).Milliseconds(),
-		o: o.ControllerOptions(), changeLimits: map[string]*rate.Limiter{}, unsavedProcesses: map[string]state.SchemaSupport{}, observed: map[string]state.SchemaSupport{},
-		refreshedAt: at, flushedAt: at, prunedAt: at, decisionsFrom: at}
+	l := &leadership{leaderClock: leaderClock{startedAt: at, startedWallMS: state.EpochZeroMS + r.wall().Sub(state.EpochZero).Milliseconds()},
+		term: term, id: fmt.Sprintf("%s@%d.%d", r.name, term, r.leaderships.Add(1)), decisionsFrom: at, o: o.ControllerOptions()}
 	l.o.Leader, l.leaseTermMS = l.id, l.o.LeaseTerm
-	l.controller = rollout.NewController(l.o, r.planted.controllerStart(l.floor(at)))
-	l.tracker = audit.NewTracker(audit.TrackerOptions{MinListedRevs: minListedRevs}, l.id, l.floor(at))
+	l.limits.byTenant = map[string]*rate.Limiter{}
+	l.processes = processRecords{
+		clock:       l.leaderClock,
+		remember:    l.remember(),
+		controller:  rollout.NewController(l.o, r.planted.controllerStart(l.floor(at))),
+		tracker:     audit.NewTracker(audit.TrackerOptions{MinListedRevs: minListedRevs}, l.id, l.floor(at)),
+		unsaved:     map[string]state.SchemaSupport{},
+		observed:    map[string]state.SchemaSupport{},
+		refreshedAt: at, flushedAt: at, prunedAt: at,
+	}
 	return l
 }
 
@@ -199,6 +176,7 @@
 	return time.Duration(math.Ceil(float64(termMS)*(1+margin))) * time.Millisecond
 }
 
+// remember is how long a process counts after its last report.
 func (l *leadership) remember() time.Duration {
 	return time.Duration(l.o.ForgetAfter) * time.Millisecond
 }
--- /dev/null
+++ b/internal/registry/routeleader/process_records.go
@@ -0,0 +1,111 @@
+package routeleader
+
+import (
+	"maps"
+	"slices"
+	"sync"
+	"time"
+
+	"marblelane/internal/audit"
+	"marblelane/internal/registry/state"
+	"marblelane/internal/rollout"
+	"marblelane/internal/route"
+)
+
+// processRecords is what the leader knows of processes beside the replicated state, and what of it is still to be
+// replicated. Its lock is taken before that of the state, and is never held during a commit.
+type processRecords struct {
+	clock    leaderClock
+	remember time.Duration // how long a process counts after its last report
+
+	mu          sync.Mutex // guards the fields below
+	controller  *rollout.Controller
+	tracker     *audit.Tracker
+	pending     []audit.Transition             // to be replicated
+	unsaved     map[string]state.SchemaSupport // processes whose schema support is to be replicated, by name
+	observed    map[string]state.SchemaSupport // all processes that reported since refreshedAt, by name
+	refreshedAt time.Time
+	flushedAt   time.Time
+	prunedAt    time.Time
+}
+
+// withState calls f with the locks of the records and of the state held, in this order.
+func (p *processRecords) withState(list stateReader, f func(*state.State)) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	list.Read(f)
+}
+
+// recordAccessChanges records access changes of processes and returns their audit transitions. The caller holds p.mu.
+func (p *processRecords) recordAccessChanges(all []rollout.AccessChange, now time.Time) []audit.Transition {
+	var out []audit.Transition
+	for _, s := range all {
+		kind := audit.Readmitted
+		switch {
+		case s.Gone:
+			kind = audit.Gone
+		case s.ShutOut:
+			kind = audit.ShutOut
+		}
+		out = append(out, p.tracker.AccessChanged(p.clock.ceil(now), p.clock.wall(now), s.Process, kind, s.AcknowledgedRev, "")...)
+	}
+	return out
+}
+
+// observe records which schemas a process reads; the caller holds p.mu. A new process or a changed set is replicated with
+// the next flush. All others are refreshed together every quarter of remember, so disk writes do not grow with the number
+// of processes.
+func (p *processRecords) observe(s *state.State, report *route.Report, wallMS int64) {
+	seen := state.SchemaSupport{Process: report.Process, Schemas: slices.Clone(report.Schemas), AtMS: wallMS}
+	p.observed[report.Name] = seen
+	if old, ok := s.Processes[report.Name]; !ok || old.Start < report.Start || old.Start == report.Start && !slices.Equal(old.Schemas, report.Schemas) {
+		p.unsaved[report.Name] = seen
+	}
+	if len(p.observed) > state.MaxKnownProcesses {
+		p.observed = map[string]state.SchemaSupport{}
+	}
+}
+
+// queueTransitions queues transitions that the audit log does not have yet for replication. The caller holds p.mu.
+func (p *processRecords) queueTransitions(s *state.State, all []audit.Transition) {
+	p.pending = append(p.pending, s.AuditLog.Fresh(all)...)
+	if extra := len(p.pending) - maxPendingTransitions; extra > 0 {
+		p.pending = slices.Delete(p.pending, 0, extra)
+	}
+}
+
+// takeUnsaved returns a command with all that is to be replicated, and empties the queues; nil if there is nothing, or
+// the last one is more recent than auditBatchWait.
+func (p *processRecords) takeUnsaved(now time.Time) *state.Command {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	if now.Sub(p.prunedAt) >= time.Minute {
+		p.tracker.Forget(p.clock.floor(now))
+		p.prunedAt = now
+	}
+	if now.Sub(p.refreshedAt) >= p.remember/4 {
+		maps.Copy(p.unsaved, p.observed)
+		p.observed, p.refreshedAt = map[string]state.SchemaSupport{}, now
+	}
+	if now.Sub(p.flushedAt) < auditBatchWait || len(p.pending) == 0 && len(p.unsaved) == 0 {
+		return nil
+	}
+	c := &state.Command{Op: state.OpAudit, Audit: p.pending}
+	for _, name := range slices.Sorted(maps.Keys(p.unsaved)) {
+		c.Seen = append(c.Seen, p.unsaved[name])
+	}
+	p.pending, p.unsaved, p.flushedAt = nil, map[string]state.SchemaSupport{}, now
+	return c
+}
+
+// returnUnsaved queues again what a failed command has not replicated.
+func (p *processRecords) returnUnsaved(c *state.Command) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	p.pending = append(c.Audit, p.pending...)
+	for _, process := range c.Seen {
+		if _, ok := p.unsaved[process.Name]; !ok {
+			p.unsaved[process.Name] = process
+		}
+	}
+}
--- a/internal/registry/routeleader/tenants.go
+++ b/internal/registry/routeleader/tenants.go
@@ -9,8 +9,6 @@
 	"strconv"
 	"time"
 
-	"golang.org/x/time/rate"
-
 	"marblelane/internal/registry/listserver"
 	"marblelane/internal/registry/operators"
 	"marblelane/internal/registry/state"
@@ -160,7 +158,7 @@
 		return 0, f
 	}
 	if limited := c.Op == rollout.OpPost || c.Op == rollout.OpBase || c.Op == rollout.OpResume; anew && limited {
-		if wait := l.limit(t); wait > 0 {
+		if wait := l.limits.take(t); wait > 0 {
 			return 0, &Rejection{status: http.StatusTooManyRequests, after: wait, Field: "changes_per_minute",
 				Error: fmt.Sprintf("changes_per_minute: tenant %q has made its %v", t.Name, t.Changes)}
 		}
@@ -238,29 +236,6 @@
 	return out
 }
 
-// limit takes a token of the tenant's rate limit and returns 0, or returns how long to wait.
-func (l *leadership) limit(t *operators.Tenant) time.Duration {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	per, burst := rate.Limit(t.Changes/60), max(1, int(t.Changes))
-	lim := l.changeLimits[t.Name]
-	if lim == nil {
-		lim = rate.NewLimiter(per, burst)
-		l.changeLimits[t.Name] = lim
-	}
-	now := time.Now()
-	if lim.Limit() != per || lim.Burst() != burst {
-		lim.SetLimitAt(now, per)
-		lim.SetBurstAt(now, burst)
-	}
-	got := lim.ReserveN(now, 1)
-	wait := got.DelayFrom(now)
-	if wait > 0 {
-		got.CancelAt(now)
-	}
-	return wait
-}
-
 // schema shuts out the processes that do not read a schema, POST /routes/schema.
 func (r *Routing) schema(w http.ResponseWriter, req *http.Request) {
 	l, o := r.leader(w, req)
--- a/internal/registry/routeleader/views.go
+++ b/internal/registry/routeleader/views.go
@@ -64,11 +64,9 @@
 }
 
 func (r *Routing) view(l *leadership, tenant string) TenantView {
-	l.mu.Lock()
-	defer l.mu.Unlock()
 	v := TenantView{Tenant: tenant, Rollouts: []RolloutView{}}
 	tenant = operators.StateTenantName(tenant)
-	r.list.Read(func(s *state.State) {
+	l.processes.withState(r.list, func(s *state.State) {
 		table := s.Routes.Table()
 		v.Rev, v.Table, v.Closed = s.Routes.TenantRev(tenant), table.Rev, table.Closed
 		fraction := map[string]float64{}
@@ -82,7 +80,7 @@
 			v.Rollouts = append(v.Rollouts, RolloutView{Name: one.Spec.Name, To: one.Spec.SubsetName, Phase: one.Phase, Step: one.Step,
 				Steps: len(one.Spec.Steps), Share: fraction[one.Spec.Name], Rev: one.Rev, SinceMS: one.ChangedAtMS, Why: one.Reason,
 				Budget: one.Spec.Budget, Granted: g, Spent: spent, Returned: back, Left: one.Spec.Budget - (g - back),
-				Evidence: min(l.controller.Evidence(tenant, one.Spec.Name), math.MaxFloat64), Note: one.Spec.Note})
+				Evidence: min(l.processes.controller.Evidence(tenant, one.Spec.Name), math.MaxFloat64), Note: one.Spec.Note})
 		}
 	})
 	return v
@@ -102,9 +100,9 @@
 
 // processStatuses returns the status of each process known to the controller.
 func (r *Routing) processStatuses(l *leadership) []rollout.ProcessStatus {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	return l.controller.Processes(l.floor(time.Now()))
+	l.processes.mu.Lock()
+	defer l.processes.mu.Unlock()
+	return l.processes.controller.Processes(l.floor(time.Now()))
 }
 
 // handleAudit answers GET /routes/audit: which processes acted on a revision within a time range.
@@ -140,8 +138,8 @@
 }
 
 func (r *Routing) auditSummary(l *leadership, rev, from, to int64) (out audit.Summary, f *Rejection) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
+	l.processes.mu.Lock()
+	defer l.processes.mu.Unlock()
 	ms := func(wall int64) int64 { return wall - l.startedWallMS + l.floor(l.startedAt) }
 	now := time.Now()
 	committed, closed := r.tables.when(rev)
@@ -158,7 +156,7 @@
 			f = rejectf(http.StatusNotFound, "rev", "%d is not committed; the newest is %d", rev, newest)
 			return
 		}
-		out = l.tracker.Summarize(q, s.AuditLog)
+		out = l.processes.tracker.Summarize(q, s.AuditLog)
 	})
 	out.Answers = r.planted.answers(out.Answers)
 	return out, f
--- a/internal/wallclock/wallclock_test.go
+++ b/internal/wallclock/wallclock_test.go
@@ -87,7 +87,7 @@
 	"internal/registry/restore_seen.go": {
 		"n.cfg.Faults.Now": {1, "the epoch of a new history, above the former one whatever the clock says"},
 	},
-	"internal/registry/routeleader/leadership.go": {
+	"internal/registry/routeleader/leader_clock.go": {
 		"since.Truncate": {1, "a duration"},
 	},
 	"internal/registry/routeleader/tables.go": {
