--- a/internal/registry/config.go
+++ b/internal/registry/config.go
@@ -19,7 +19,7 @@
 	"marblelane/internal/tomlfile"
 )
 
-// file is a replica's configuration as its file has it.
+// file is the configuration file of a replica.
 type file struct {
 	Name   string `toml:"name"`
 	Listen string `toml:"listen"`
@@ -39,7 +39,7 @@
 	MaxStaleness       tomlfile.Duration `toml:"most_stale"`
 	MaxExpiredFraction float64           `toml:"hold_share"`
 
-	Routes string `toml:"routes"` // the operators' file, from this file's folder; empty: routes are off
+	Routes string `toml:"routes"` // path of the operators' file, relative to this file; empty: routes are off
 
 	Members *membership.Section `toml:"members"` // absent: off
 
@@ -65,8 +65,8 @@
 	return &c, nil
 }
 
-// LoadConfig reads a replica's configuration. A file that cannot be opened or read for a moment is tried again, for up
-// to retry.StartLimit, which Open shares. Errors name file, line and key.
+// LoadConfig reads the configuration of a replica. Transient read failures are retried for up to retry.StartLimit, which
+// Open shares. Errors name file, line and key.
 func LoadConfig(path string) (Config, error) { return loadConfig(path, os.ReadFile) }
 
 func loadConfig(path string, readFile func(path string) ([]byte, error)) (Config, error) {
@@ -106,7 +106,7 @@
 	return c, nil
 }
 
-// check finds what cannot be meant.
+// check validates the configuration.
 func (c *Config) check() error {
 	for _, k := range []struct{ key, value string }{{"name", c.Name}, {"listen", c.Listen}, {"raft", c.Raft}} {
 		if k.value == "" {
--- a/internal/registry/listen_test.go
+++ b/internal/registry/listen_test.go
@@ -43,7 +43,7 @@
 			go func() {
 				n, err := Open(cfg)
 				if err == nil {
-					n.shut()
+					n.closeAll()
 				}
 				opened <- err
 			}()
--- a/internal/registry/listserver/admission.go
+++ b/internal/registry/listserver/admission.go
@@ -21,6 +21,7 @@
 	promised time.Time // retry time given to the reader rejected last
 }
 
+// NewTokenBucket makes a bucket with a full burst.
 func NewTokenBucket(burst int) *TokenBucket { return &TokenBucket{Level: float64(burst)} }
 
 // Take takes a token and returns 0, or returns how long to wait. A rejected reader takes no token and is given a later
--- a/internal/registry/listserver/hub.go
+++ b/internal/registry/listserver/hub.go
@@ -33,6 +33,7 @@
 // MaxWatcherLag is how many lines a watch may lag before it is closed.
 const MaxWatcherLag = 1000
 
+// NewHub makes a hub over an empty state that keeps at least so many changes.
 func NewHub(keep int) *Hub {
 	h := &Hub{state: state.NewState(keep)}
 	h.tail = &line{ready: make(chan struct{})}
--- a/internal/registry/listserver/members.go
+++ b/internal/registry/listserver/members.go
@@ -38,6 +38,7 @@
 	watchers streamlimit.Limiter
 }
 
+// NewMembers makes the member of a replica; nil where membership is off.
 func NewMembers(cfg *membership.Config, o Options) *Members {
 	if cfg == nil {
 		return nil
@@ -113,6 +114,7 @@
 	return false
 }
 
+// ServeHTTP serves the view of the group, and its watches.
 func (m *Members) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	g := m.group.Load()
 	if g == nil {
--- a/internal/registry/listserver/server.go
+++ b/internal/registry/listserver/server.go
@@ -81,6 +81,7 @@
 	Log                *slog.Logger
 }
 
+// SetDefaults replaces zero values by the defaults.
 func (o *Options) SetDefaults() {
 	o.Batch = cmp.Or(o.Batch, 20*time.Millisecond)
 	if o.Watches == 0 {
--- a/internal/registry/listserver/status.go
+++ b/internal/registry/listserver/status.go
@@ -1,6 +1,6 @@
 package listserver
 
-// This file says how a replica is: status, health, metrics.
+// This file serves status, health and metrics of a replica.
 
 import (
 	"encoding/json"
@@ -13,7 +13,7 @@
 	"marblelane/internal/registry/state"
 )
 
-// Status is what a replica says of itself.
+// Status is the JSON form of a replica's status.
 type Status struct {
 	Leads       bool              `json:"leads"`
 	Leader      string            `json:"leader"`
@@ -27,7 +27,7 @@
 	DiskMS      float64           `json:"disk_ms"` // that the last write to its disk took
 	Members     map[string]string `json:"members"`
 
-	// Of its whole answer alone.
+	// Only in the answer of the status path.
 	Name     string          `json:"name,omitempty"`
 	Applied  uint64          `json:"applied"` // index of the last log entry that it has applied
 	Replicas []ReplicaStatus `json:"copies,omitempty"`
--- a/internal/registry/node.go
+++ b/internal/registry/node.go
@@ -30,7 +30,7 @@
 	"marblelane/internal/retry"
 )
 
-// Config is one replica of the service.
+// Config configures a replica.
 type Config struct {
 	Name   string // its name among the replicas
 	Listen string // where it serves readers and writers
@@ -83,9 +83,9 @@
 	listen      net.Listener
 	raftAt      net.Addr       // where raft listens
 	store       *storage.Store // nil: nothing is kept
-	close       []func() error
+	closers     []func() error
 	log         *slog.Logger
-	// settled is the last term in which this replica led and had applied all that was committed before it.
+	// readyTerm is the last term in which this replica led and had applied all that was committed before it.
 	readyTerm atomic.Uint64
 }
 
@@ -100,7 +100,7 @@
 	n = &Node{cfg: cfg, hub: listserver.NewHub(cfg.Keep), log: cfg.Log}
 	defer func(opened *Node) {
 		if err != nil {
-			opened.shut()
+			opened.closeAll()
 		}
 	}(n)
 	start := cfg.start
@@ -115,7 +115,7 @@
 		return nil, fmt.Errorf("registry: listen: %w", err)
 	}
 	n.listen = listener.Wrap(l, "registry", cfg.Log)
-	n.close = append(n.close, n.listen.Close)
+	n.closers = append(n.closers, n.listen.Close)
 	n.server = listserver.New(n.hub, n, cfg.Options)
 	n.routes = routeleader.New(n.server, n.hub, n, routeleader.Config{Name: cfg.Name, Wall: cfg.Faults.Now, Planted: cfg.Planted, Log: cfg.Log})
 	n.server.Mount(n.routes)
@@ -125,7 +125,7 @@
 	if err := n.openRaft(start); err != nil {
 		return nil, err
 	}
-	n.http = &http.Server{Handler: n.readers.watched(n.server.Handler()), ReadHeaderTimeout: 5 * time.Second,
+	n.http = &http.Server{Handler: n.readers.observeRequests(n.server.Handler()), ReadHeaderTimeout: 5 * time.Second,
 		ErrorLog: slog.NewLogLogger(cfg.Log.Handler(), slog.LevelDebug)}
 	return n, nil
 }
@@ -144,11 +144,11 @@
 	if err := n.bootstrap(c, st, wire); err != nil {
 		return err
 	}
-	if n.raft, err = raft.NewRaft(c, (*machine)(n), st.logs, st.stable, st.snaps, n.regressions); err != nil {
+	if n.raft, err = raft.NewRaft(c, (*stateMachine)(n), st.logs, st.stable, st.snaps, n.regressions); err != nil {
 		return fmt.Errorf("registry: raft: %w", err)
 	}
 	n.transport.NeedsEntries = n.follows
-	n.close = append(n.close, func() error {
+	n.closers = append(n.closers, func() error {
 		ended := n.raft.Shutdown()
 		n.transport.Stop() // raft waits for pending sends
 		return ended.Error()
@@ -194,7 +194,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("registry: %w", err)
 	}
-	n.close = append(n.close, release)
+	n.closers = append(n.closers, release)
 	if err := storage.Recover(n.cfg.Dir, n.log); err != nil {
 		return nil, fmt.Errorf("registry: %w", err)
 	}
@@ -204,7 +204,7 @@
 	}
 	n.store = file
 	file.OnFailure = func(err error) { n.log.Error("registry: the disk takes no more", "error", err) }
-	n.close = append(n.close, file.Close)
+	n.closers = append(n.closers, file.Close)
 	files, err := storage.OpenSnapshots(n.cfg.Dir, logger, n.log)
 	if err != nil {
 		return nil, fmt.Errorf("registry: snapshots in %s: %w", n.cfg.Dir, err)
@@ -225,7 +225,7 @@
 		Stream: streams, MaxPool: 3, Timeout: 10 * n.cfg.Beat, Logger: logger}), n.cfg.Beat)
 	n.raftAt = streams.Listener.Addr()
 	n.transport, n.regressions = wire, transport.NewRegressionDetector(wire, n.log)
-	n.close = append(n.close, func() error {
+	n.closers = append(n.closers, func() error {
 		wire.CloseStreams() // closes the other replicas' ends, too
 		return wire.Close()
 	})
@@ -258,7 +258,7 @@
 	return nil
 }
 
-// founders are the copies of a cluster that is founded now.
+// founders is the initial configuration of a new cluster.
 func (n *Node) founders(wire *transport.Transport) (out raft.Configuration) {
 	peers := n.cfg.Peers
 	if len(peers) == 0 {
@@ -270,15 +270,15 @@
 	return out
 }
 
-// Addr is where readers and writers come.
+// Addr is the address of the HTTP API.
 func (n *Node) Addr() string { return n.listen.Addr().String() }
 
-// Server is what answers them.
+// Server is the HTTP API of the list.
 func (n *Node) Server() *listserver.Server { return n.server }
 
-// Run serves until ctx ends, or the folder refuses a write: then with a *DiskError, and all is closed.
+// Run serves until ctx ends or a disk write fails; then it closes the replica and returns a *DiskError.
 func (n *Node) Run(ctx context.Context) error {
-	defer n.shut()
+	defer n.closeAll()
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	var wg sync.WaitGroup
@@ -287,7 +287,7 @@
 	wg.Go(func() { n.server.Run(ctx) })
 	wg.Go(func() { n.handleNewLeadership(ctx) })
 	wg.Go(func() { n.trackStaleness(ctx) })
-	wg.Go(func() { n.heed(ctx) })
+	wg.Go(func() { n.watchReaderRevisions(ctx) })
 	if n.members != nil {
 		wg.Go(func() { n.members.Run(ctx) })
 	}
@@ -322,28 +322,28 @@
 	return broken
 }
 
-// shut closes in the order opposite to opening.
-func (n *Node) shut() {
-	for i := len(n.close) - 1; i >= 0; i-- {
-		if err := n.close[i](); err != nil && !errors.Is(err, net.ErrClosed) {
+// closeAll closes everything in the reverse order of opening.
+func (n *Node) closeAll() {
+	for i := len(n.closers) - 1; i >= 0; i-- {
+		if err := n.closers[i](); err != nil && !errors.Is(err, net.ErrClosed) {
 			n.log.Debug("registry: close", "error", err)
 		}
 	}
-	n.close = nil
+	n.closers = nil
 }
 
 const (
-	slowWritesToYield = 3           // in a row, after which a leader's disk counts as slow
-	minYieldInterval  = time.Minute // between two attempts to give the lead up: where all disks are slow it would only wander
+	slowWritesToYield = 3           // consecutive slow writes after which a leader transfers the leadership
+	minYieldInterval  = time.Minute // between two transfers: with slow disks everywhere the leadership would only wander
 )
 
-// result is what the machine gives back for a command.
+// result is the outcome of an applied command.
 type result struct {
 	rev int64
 	err error
 }
 
-// Apply carries out a command once a quorum has it.
+// Apply replicates a command to a quorum and applies it.
 func (n *Node) Apply(c *state.Command, wait time.Duration) (int64, error) {
 	data, err := json.Marshal(c)
 	if err != nil {
@@ -368,7 +368,7 @@
 // maxConfirmAttempts covers one stale answer, in flight when the first attempt began, of each of eight other replicas.
 const maxConfirmAttempts = 9
 
-// Add makes another replica a member of the cluster, a voter. It is the leader's to do.
+// Add adds a replica to the cluster as a voter. Only the leader can.
 func (n *Node) Add(p listserver.Peer) error {
 	if err := n.raft.AddVoter(raft.ServerID(p.Name), raft.ServerAddress(p.Raft), 0, listserver.ApplyTimeout).Error(); err != nil {
 		return fmt.Errorf("registry: add %s: %w", p.Name, err)
@@ -377,7 +377,7 @@
 	return err
 }
 
-// Remove takes a replica out of the cluster. It is the leader's to do.
+// Remove removes a replica from the cluster. Only the leader can.
 func (n *Node) Remove(name string) error {
 	if err := n.raft.RemoveServer(raft.ServerID(name), 0, listserver.ApplyTimeout).Error(); err != nil {
 		return fmt.Errorf("registry: remove %s: %w", name, err)
--- a/internal/registry/node_disk.go
+++ b/internal/registry/node_disk.go
@@ -1,6 +1,6 @@
 package registry
 
-// This file watches how long the disk takes.
+// This file watches the duration of disk writes.
 
 import (
 	"context"
@@ -9,8 +9,8 @@
 	"github.com/hashicorp/raft"
 )
 
-// watchDisk gives the lead up while this replica's disk is slow: each write waits for the leader's own disk, and for the
-// quickest of the others'. raft would let it lead on, as its heartbeats need no disk.
+// watchDisk transfers the leadership while the disk of this replica is slow: each commit waits for the leader's own disk.
+// raft would keep the leader, as its heartbeats need no disk.
 func (n *Node) watchDisk(ctx context.Context) {
 	t := time.NewTicker(n.cfg.Beat)
 	defer t.Stop()
@@ -32,7 +32,7 @@
 	}
 }
 
-// DiskTook is how long the last write to the disk took; 0: there was none, or nothing is kept.
+// DiskTook is the duration of the last disk write; 0 if there was none, or storage is in memory.
 func (n *Node) DiskTook() time.Duration {
 	if n.store == nil {
 		return 0
@@ -40,7 +40,7 @@
 	return n.store.LastWriteDuration()
 }
 
-// DiskWrites is how often something was written to the disk since the start.
+// DiskWrites is the number of disk writes since the start.
 func (n *Node) DiskWrites() int64 {
 	if n.store == nil {
 		return 0
@@ -48,7 +48,7 @@
 	return n.store.WriteCount()
 }
 
-// diskFailure is the first write that the replica's folder has refused; nil: none.
+// diskFailure is the error of the first disk write that failed; nil if none did.
 func (n *Node) diskFailure() error {
 	if n.store == nil {
 		return nil
--- a/internal/registry/node_lead.go
+++ b/internal/registry/node_lead.go
@@ -1,6 +1,6 @@
 package registry
 
-// This file says whether this replica leads, and makes sure of it.
+// This file tracks and confirms the leadership of this replica.
 
 import (
 	"context"
@@ -28,10 +28,10 @@
 			continue
 		}
 		n.log.Info("registry: leads", "name", n.cfg.Name)
-		// All that was committed before has to be applied first: whether there is a history shows only then.
+		// The barrier applies all entries committed earlier: only then it is known whether there is an epoch.
 		term := n.raft.CurrentTerm()
 		if err := n.raft.Barrier(listserver.ApplyTimeout).Error(); err != nil {
-			continue // it leads no more
+			continue // it has lost the leadership
 		}
 		if n.raft.CurrentTerm() == term {
 			n.readyTerm.Store(term)
@@ -81,10 +81,10 @@
 	if at := n.fresh.since(rev); !at.IsZero() {
 		return time.Since(at)
 	}
-	return time.Hour // never yet
+	return time.Hour // no confirmation yet
 }
 
-// follows tells whether this replica still leads in a term, with another as a member.
+// follows reports whether this replica still leads in a term and another is a member.
 func (n *Node) follows(id raft.ServerID, term uint64) bool {
 	if n.raft.State() != raft.Leader || n.raft.CurrentTerm() != term {
 		return false
@@ -93,7 +93,7 @@
 	return f.Error() == nil && slices.ContainsFunc(f.Configuration().Servers, func(s raft.Server) bool { return s.ID == id })
 }
 
-// Term numbers the lead of this replica.
+// Term is the raft term in which this replica leads and is ready; 0 if it does not or is not.
 func (n *Node) Term() uint64 {
 	if term := n.readyTerm.Load(); n.raft.State() == raft.Leader && n.raft.CurrentTerm() == term {
 		return term
@@ -103,7 +103,7 @@
 
 // Confirm verifies with a quorum that this replica still leads.
 func (n *Node) Confirm() error {
-	// A new leader may not have applied yet what its predecessors acknowledged.
+	// A new leader may not have applied yet all entries that earlier leaders committed.
 	at, term := time.Now(), n.raft.CurrentTerm()
 	if n.readyTerm.Load() != term {
 		return listserver.ErrNotLeader
@@ -119,7 +119,7 @@
 	return listserver.ErrNotLeader
 }
 
-// confirmedSince tells whether a quorum has acknowledged what this replica has sent as leader of a term after a time.
+// confirmedSince reports whether a quorum has acknowledged messages that this leader of a term sent after a time.
 func (n *Node) confirmedSince(at time.Time, term uint64) bool {
 	f := n.raft.GetConfiguration()
 	if f.Error() != nil {
--- a/internal/registry/node_test.go
+++ b/internal/registry/node_test.go
@@ -479,10 +479,10 @@
 
 // held is a watcher that takes its first line only when it is let.
 type held struct {
-	header http.Header
-	began  chan struct{}
-	let    chan struct{}
-	lines  int
+	header  http.Header
+	started chan struct{}
+	release chan struct{}
+	lines   int
 }
 
 func (h *held) Header() http.Header              { return h.header }
@@ -491,8 +491,8 @@
 func (h *held) SetWriteDeadline(time.Time) error { return nil }
 func (h *held) Write(text []byte) (int, error) {
 	if h.lines++; h.lines == 1 {
-		close(h.began)
-		<-h.let
+		close(h.started)
+		<-h.release
 	}
 	return len(text), nil
 }
@@ -501,13 +501,13 @@
 func TestWatch_slowClientClosed(t *testing.T) {
 	one := cluster(t, 1, func(c *Config) { c.Dir, c.Peers = "", nil })[0]
 	s := one.node.Server()
-	slow := &held{header: http.Header{}, began: make(chan struct{}), let: make(chan struct{})}
+	slow := &held{header: http.Header{}, started: make(chan struct{}), release: make(chan struct{})}
 	ended := make(chan struct{})
 	go func() {
 		defer close(ended)
 		s.Handler().ServeHTTP(slow, httptest.NewRequestWithContext(t.Context(), "GET", listserver.ListPath+"?watch=1&after=0", nil))
 	}()
-	<-slow.began
+	<-slow.started
 	quick := watch(t, one.cfg.Listen, 0)
 	quick.next(t)
 	for i := range listserver.MaxWatcherLag + 2 {
@@ -519,7 +519,7 @@
 		}
 		quick.next(t)
 	}
-	close(slow.let)
+	close(slow.release)
 	select {
 	case <-ended:
 	case <-time.After(patience):
--- a/internal/registry/operators/operators.go
+++ b/internal/registry/operators/operators.go
@@ -28,17 +28,17 @@
 // for the defaults of rollout.Options. Times and shares of processes hold from when a replica next begins to lead;
 // tenants, subsets and tokens at once.
 type Operators struct {
-	Token       string            `toml:"operator_token" validate:"bytes=200"`
-	Term        tomlfile.Duration `toml:"term" validate:"omitempty,min=500ms,max=5m"`
-	BehindAfter tomlfile.Duration `toml:"behind_after" validate:"omitempty,min=100ms,max=1h"`
-	ShutAfter   tomlfile.Duration `toml:"shut_after" validate:"omitempty,min=100ms,max=1h"`
-	GoneAfter   tomlfile.Duration `toml:"gone_after" validate:"omitempty,min=100ms,max=24h"`
-	BehindShare float64           `toml:"behind_share" validate:"omitempty,gt=0,lte=1"`
-	Margin      float64           `toml:"margin" validate:"omitempty,gt=0,lte=1"`
-	Alpha       float64           `toml:"alpha" validate:"omitempty,gt=0,lt=1"`
-	Remember    tomlfile.Duration `toml:"remember" validate:"omitempty,min=1s,max=720h"`
-	Subsets     []Named           `toml:"subset" validate:"max=1000,unique=Name,dive"`
-	Tenants     []Tenant          `toml:"tenant" validate:"max=1000,unique=Name,dive"`
+	Token                string            `toml:"operator_token" validate:"bytes=200"`
+	Term                 tomlfile.Duration `toml:"term" validate:"omitempty,min=500ms,max=5m"`
+	BehindAfter          tomlfile.Duration `toml:"behind_after" validate:"omitempty,min=100ms,max=1h"`
+	ShutAfter            tomlfile.Duration `toml:"shut_after" validate:"omitempty,min=100ms,max=1h"`
+	GoneAfter            tomlfile.Duration `toml:"gone_after" validate:"omitempty,min=100ms,max=24h"`
+	MaxStragglerFraction float64           `toml:"behind_share" validate:"omitempty,gt=0,lte=1"`
+	Margin               float64           `toml:"margin" validate:"omitempty,gt=0,lte=1"`
+	Alpha                float64           `toml:"alpha" validate:"omitempty,gt=0,lt=1"`
+	Remember             tomlfile.Duration `toml:"remember" validate:"omitempty,min=1s,max=720h"`
+	Subsets              []Named           `toml:"subset" validate:"max=1000,unique=Name,dive"`
+	Tenants              []Tenant          `toml:"tenant" validate:"max=1000,unique=Name,dive"`
 }
 
 // Named is a subset of the servers with the name that tenants know it by.
@@ -52,13 +52,13 @@
 
 // Tenant is what one tenant may do. The empty name stands for a site without tenants.
 type Tenant struct {
-	Name      string   `toml:"name" validate:"bytes=100,excludesall=/"`
-	Token     string   `toml:"token" validate:"bytes=200"` // empty: no authorization needed
-	Subsets   []string `toml:"subsets" validate:"max=1000"`
-	MaxShare  *float64 `toml:"max_share" validate:"omitempty,gt=0,lte=1"`             // of its requests to a canary; 1
-	Rollouts  *int     `toml:"rollouts" validate:"omitempty,gte=0,lte=100"`           // at once; 1, and no tenant has more. 0: it may begin none
-	Changes   float64  `toml:"changes_per_minute" validate:"omitempty,gt=0,lte=6000"` // 10; so many at once, then one as each comes free
-	MaxBudget int64    `toml:"max_budget" validate:"omitempty,gt=0,lte=1000000"`      // units of one rollout; 1,000
+	Name              string   `toml:"name" validate:"bytes=100,excludesall=/"`
+	Token             string   `toml:"token" validate:"bytes=200"` // empty: no authorization needed
+	Subsets           []string `toml:"subsets" validate:"max=1000"`
+	MaxCanaryFraction *float64 `toml:"max_share" validate:"omitempty,gt=0,lte=1"`             // of its requests to a canary; 1
+	Rollouts          *int     `toml:"rollouts" validate:"omitempty,gte=0,lte=100"`           // at once; 1, and no tenant has more. 0: it may begin none
+	Changes           float64  `toml:"changes_per_minute" validate:"omitempty,gt=0,lte=6000"` // 10; so many at once, then one as each comes free
+	MaxBudget         int64    `toml:"max_budget" validate:"omitempty,gt=0,lte=1000000"`      // units of one rollout; 1,000
 }
 
 // Load reads an operators' file. Errors name file, line and key.
@@ -120,8 +120,8 @@
 func (o *Operators) defaults() {
 	for i := range o.Tenants {
 		t := &o.Tenants[i]
-		if t.MaxShare == nil {
-			t.MaxShare = new(1.0)
+		if t.MaxCanaryFraction == nil {
+			t.MaxCanaryFraction = new(1.0)
 		}
 		if t.Rollouts == nil {
 			t.Rollouts = new(1)
@@ -192,6 +192,7 @@
 // Validator checks the bounds that validate tags set, for files and for request bodies alike.
 type Validator struct{ v *validator.Validate }
 
+// NewValidator makes a validator of the tags in this package and in request bodies.
 func NewValidator() Validator {
 	v := validator.New(validator.WithRequiredStructEnabled())
 	// The validator's max counts characters of a text; stored size is in bytes. An invalid bound in a tag panics.
@@ -286,7 +287,7 @@
 	for _, f := range []struct {
 		to   *float64
 		from float64
-	}{{&out.MaxStragglerFraction, o.BehindShare}, {&out.ClockMargin, o.Margin}, {&out.Alpha, o.Alpha}} {
+	}{{&out.MaxStragglerFraction, o.MaxStragglerFraction}, {&out.ClockMargin, o.Margin}, {&out.Alpha, o.Alpha}} {
 		if f.from > 0 {
 			*f.to = f.from
 		}
--- a/internal/registry/restore_seen.go
+++ b/internal/registry/reader_revisions.go
@@ -38,7 +38,7 @@
 // minEpochInterval is the minimum time between two epochs begun because a reader was ahead.
 const minEpochInterval = time.Minute
 
-func (r *readerRevisions) take(rev int64) {
+func (r *readerRevisions) observe(rev int64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.seen == nil {
@@ -65,8 +65,8 @@
 
 const seenKey = "seen"
 
-// watched hands requests on, and takes in what readers have seen.
-func (r *readerRevisions) watched(next http.Handler) http.Handler {
+// observeRequests passes requests on, and records the revisions that readers resume from.
+func (r *readerRevisions) observeRequests(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, req *http.Request) {
 		name := ""
 		switch strings.TrimSuffix(req.URL.Path, "/") {
@@ -77,15 +77,15 @@
 		}
 		if name != "" && req.URL.RawQuery != "" {
 			if rev, err := strconv.ParseInt(req.URL.Query().Get(name), 10, 64); err == nil && rev > 0 {
-				r.take(rev)
+				r.observe(rev)
 			}
 		}
 		next.ServeHTTP(w, req)
 	})
 }
 
-// heed looks at each beat whether a reader has seen more than there is, until ctx ends.
-func (n *Node) heed(ctx context.Context) {
+// watchReaderRevisions checks at each heartbeat interval whether a reader is ahead of this replica, until ctx ends.
+func (n *Node) watchReaderRevisions(ctx context.Context) {
 	client := &http.Client{Timeout: 5 * n.cfg.Beat, Transport: &http.Transport{DisableKeepAlives: true}}
 	t := time.NewTicker(n.cfg.Beat)
 	defer t.Stop()
@@ -104,7 +104,7 @@
 				n.log.Debug("registry: the leader does not hear what a reader has seen", "error", err)
 			}
 		case n.Term() != 0 && (last.IsZero() || time.Since(last) > minEpochInterval):
-			if n.beginAgain() {
+			if n.beginNewEpoch() {
 				last = time.Now()
 			}
 		}
@@ -134,8 +134,8 @@
 	return resp.Body.Close()
 }
 
-// beginAgain begins a new history if a reader is ahead of all that was ever committed, as far as this leader can know.
-func (n *Node) beginAgain() bool {
+// beginNewEpoch begins a new epoch if a reader is ahead of everything that this leader knows to be committed.
+func (n *Node) beginNewEpoch() bool {
 	if n.raft.Barrier(listserver.ApplyTimeout).Error() != nil || n.Confirm() != nil {
 		return false
 	}
--- a/internal/registry/recover_test.go
+++ b/internal/registry/recover_test.go
@@ -148,7 +148,7 @@
 			assert.ErrorContains(t, err, c.says, name)
 			assert.ErrorContains(t, err, dir, name)
 		} else {
-			n.shut()
+			n.closeAll()
 		}
 	}
 	cfg.Dir = made
@@ -161,7 +161,7 @@
 	assert.Less(t, time.Since(startedAt), patience)
 	_, err = recovery.Verify(made)
 	assert.ErrorContains(t, err, "is open in another process")
-	n.shut()
+	n.closeAll()
 	if os.Geteuid() != 0 {
 		t.Skip("to be nobody for a moment takes root")
 	}
@@ -244,9 +244,9 @@
 	until(t, "all that there is", func() bool { return lead.node.Term() != 0 && strings.Contains(uids(t, lead), "s1=") })
 	before := lead.node.rev()
 	require.Less(t, before, seen)
-	lead.node.readers.take(before)
-	lead.node.readers.take(seen + 7<<state.CountBits)
-	assert.False(t, lead.node.beginAgain())
+	lead.node.readers.observe(before)
+	lead.node.readers.observe(seen + 7<<state.CountBits)
+	assert.False(t, lead.node.beginNewEpoch())
 	assert.Equal(t, before, lead.node.rev())
 	for _, c := range all {
 		if c != lead { // a follower passes it on
--- a/internal/registry/replicas.go
+++ b/internal/registry/replicas.go
@@ -1,8 +1,8 @@
 package registry
 
 // This file replaces a replica: the new one joins as a learner (Learn), becomes a voter once it has caught up (Promote),
-// and then the old one is removed (Retire). Each step may be repeated; the last two are rejected unless a quorum of the
-// voters after the change answers the leader.
+// and then the old one is removed (Retire). Each step may be repeated. Promote and Retire are rejected unless a quorum of
+// the voters after the change answers the leader.
 
 import (
 	"fmt"
@@ -53,7 +53,7 @@
 // Applied is the index of the last log entry that this replica has applied.
 func (n *Node) Applied() uint64 { return n.raft.AppliedIndex() }
 
-// voters are those of a configuration, without one.
+// voters returns the voters of a configuration except one.
 func voters(c raft.Configuration, without string) (out []raft.Server) {
 	for _, s := range c.Servers {
 		if s.Suffrage == raft.Voter && s.ID != raft.ServerID(without) {
@@ -63,8 +63,8 @@
 	return out
 }
 
-// holds waits for a quorum of so many voters, and for one that has to be among them, to acknowledge what this replica
-// sends as leader from now on.
+// awaitQuorum waits until a quorum of the voters, and a required one, acknowledge messages that this leader sends from now
+// on.
 func (n *Node) awaitQuorum(all []raft.Server, with string) error {
 	term, startedAt := n.raft.CurrentTerm(), time.Now()
 	limit := startedAt.Add(replyTimeoutBeats * n.cfg.Beat)
@@ -90,7 +90,7 @@
 	}
 }
 
-// configuration is who is in the cluster, with the index of it, which makes a change conditional.
+// configuration returns the members of the cluster and the index of the configuration, for conditional changes.
 func (n *Node) configuration() (raft.Configuration, uint64, error) {
 	f := n.raft.GetConfiguration()
 	if err := f.Error(); err != nil {
@@ -107,8 +107,7 @@
 	return c.Servers[i], true
 }
 
-// Learn lets a replica follow without a vote, if somebody answers where it is to be. It is the leader's to do, like
-// Promote and Retire.
+// Learn adds a replica as a learner if its address accepts connections. Only the leader can, as with Promote and Retire.
 func (n *Node) Learn(p listserver.Peer) error {
 	c, index, err := n.configuration()
 	if err != nil {
@@ -120,7 +119,7 @@
 		}
 	}
 	if _, known := find(c, p.Name); !known {
-		// Who cannot be reached would stay as a replica that never learns.
+		// A replica that cannot be reached would stay a learner that never catches up.
 		conn, err := net.DialTimeout("tcp", p.Raft, replyTimeoutBeats*n.cfg.Beat)
 		if err != nil {
 			return fmt.Errorf("%w: nobody answers at %s, where %s is to be: %w", listserver.ErrRejected, p.Raft, p.Name, err)
@@ -135,7 +134,7 @@
 	return err
 }
 
-// Promote gives a replica that learns its vote.
+// Promote makes a learner a voter.
 func (n *Node) Promote(name string) error {
 	c, index, err := n.configuration()
 	if err != nil {
@@ -157,8 +156,8 @@
 	return nil
 }
 
-// Retire takes a replica out of the cluster if a quorum stays without it. A leader that is to go gives the lead to
-// another first, and answers ErrNotLeader: the next one is to be asked.
+// Retire removes a replica from the cluster if the others still have a quorum. A leader that is to be removed transfers the
+// leadership first and returns ErrNotLeader; the new leader has to be called.
 func (n *Node) Retire(name string) error {
 	c, index, err := n.configuration()
 	if err != nil {
--- a/internal/registry/routeleader/defects.go
+++ b/internal/registry/routeleader/defects.go
@@ -19,8 +19,10 @@
 	ignorable        Defect = "ignorable"    // field classes is treated as one that older readers may ignore
 )
 
+// Defects lists all defects.
 func Defects() []Defect { return []Defect{GrantUncommitted, NoWait, AuditSilent, countLate, ignorable} }
 
+// Known reports whether a configured name is that of a defect, or empty.
 func (d Defect) Known() bool { return d == "" || slices.Contains(Defects(), d) }
 
 // meant returns the table that is compared and encoded for readers of the given schemas.
@@ -35,7 +37,7 @@
 	return out
 }
 
-// began returns the start of leadership, on the leader's clock, given to the controller.
+// controllerStart returns the start of leadership, on the leader's clock, given to the controller.
 func (d Defect) controllerStart(nowMS int64) int64 {
 	if d == NoWait {
 		return nowMS - 1<<40
@@ -43,7 +45,7 @@
 	return nowMS
 }
 
-// asked modifies the budgets of a request as the defect demands.
+// requestedBudgets modifies the budgets of a request as the defect demands.
 func (d Defect) requestedBudgets(a *route.BudgetRequest) {
 	for i := range a.Budgets {
 		if p := &a.Budgets[i]; d == countLate {
--- a/internal/registry/routeleader/leadership.go
+++ b/internal/registry/routeleader/leadership.go
@@ -38,7 +38,7 @@
 	decisionsFrom time.Time // no decision before it: leases of a longer term, granted by an earlier leader, may still run
 	leaseTermMS   int64
 	o             rollout.Options
-	decisions     decisionTurn
+	decisions     decisionState
 	processes     processRecords
 	limits        changeLimits
 }
--- a/internal/registry/routeleader/routing.go
+++ b/internal/registry/routeleader/routing.go
@@ -72,6 +72,7 @@
 	Log     *slog.Logger
 }
 
+// New makes the routes API of a replica. It serves once the server has mounted it.
 func New(server *listserver.Server, list stateReader, replicated replica, c Config) *Routing {
 	return &Routing{server: server, list: list, replica: replicated, log: c.Log, name: c.Name, opened: time.Now(), wall: c.Wall,
 		planted: Defect(c.Planted), tables: newTables(Defect(c.Planted)), rules: operators.NewValidator(),
--- a/internal/registry/routeleader/tenants.go
+++ b/internal/registry/routeleader/tenants.go
@@ -53,8 +53,8 @@
 	s := &rollout.Spec{Tenant: operators.StateTenantName(t.Name), Name: name, SubsetName: wish.To, Classes: wish.Classes, Budget: wish.Budget, LateIsFailure: wish.Late,
 		AtEnd: wish.AtEnd, Note: wish.Note}
 	for i, st := range wish.Steps {
-		if st.CanaryFraction > *t.MaxShare {
-			return nil, rejectf(http.StatusForbidden, fmt.Sprintf("steps[%d].share", i), "%v is above max_share of tenant %q, %v", st.CanaryFraction, t.Name, *t.MaxShare)
+		if st.CanaryFraction > *t.MaxCanaryFraction {
+			return nil, rejectf(http.StatusForbidden, fmt.Sprintf("steps[%d].share", i), "%v is above max_share of tenant %q, %v", st.CanaryFraction, t.Name, *t.MaxCanaryFraction)
 		}
 		s.Steps = append(s.Steps, rollout.Step(st))
 	}
@@ -247,17 +247,17 @@
 		return
 	}
 	var wish struct {
-		Least int `json:"least"`
+		MinSchema int `json:"least"`
 	}
 	f := r.body(w, req, maxBodyBytes, &wish)
-	if f == nil && (wish.Least < 1 || wish.Least > route.Newest) {
-		f = rejectf(http.StatusBadRequest, "least", "%d is not between 1 and %d", wish.Least, route.Newest)
+	if f == nil && (wish.MinSchema < 1 || wish.MinSchema > route.Newest) {
+		f = rejectf(http.StatusBadRequest, "least", "%d is not between 1 and %d", wish.MinSchema, route.Newest)
 	}
 	if f != nil {
 		writeRejection(w, f)
 		return
 	}
-	rev, err := r.change(l, &rollout.Command{Op: rollout.OpSchema, AtMS: l.wall(time.Now()), Schema: wish.Least})
+	rev, err := r.change(l, &rollout.Command{Op: rollout.OpSchema, AtMS: l.wall(time.Now()), Schema: wish.MinSchema})
 	if err != nil {
 		writeRejection(w, rejectionOf(err))
 		return
@@ -265,7 +265,7 @@
 	var minSchema int
 	r.list.Read(func(s *state.State) { minSchema = s.Routes.MinSchema() })
 	writeJSON(w, struct {
-		Rev   int64 `json:"rev"`
-		Least int   `json:"least"`
+		Rev       int64 `json:"rev"`
+		MinSchema int   `json:"least"`
 	}{rev, minSchema})
 }
--- a/internal/registry/routeleader/views.go
+++ b/internal/registry/routeleader/views.go
@@ -17,22 +17,22 @@
 
 // RolloutView is the JSON form of a rollout.
 type RolloutView struct {
-	Name     string        `json:"name"`
-	To       string        `json:"to"`
-	Phase    rollout.Phase `json:"phase"`
-	Step     int           `json:"step"`
-	Steps    int           `json:"steps"`
-	Share    float64       `json:"share"` // of the tenant's requests, at this moment
-	Rev      int64         `json:"rev"`
-	SinceMS  int64         `json:"since_ms"`
-	Why      string        `json:"why,omitempty"`
-	Budget   int64         `json:"budget"`
-	Granted  int64         `json:"granted"` // to processes, in all
-	Spent    int64         `json:"spent"`
-	Returned int64         `json:"returned"`
-	Left     int64         `json:"left"`     // neither held by a process nor spent
-	Evidence float64       `json:"evidence"` // against the canary; it is rolled back at 1/alpha
-	Note     string        `json:"note,omitempty"`
+	Name           string        `json:"name"`
+	To             string        `json:"to"`
+	Phase          rollout.Phase `json:"phase"`
+	Step           int           `json:"step"`
+	Steps          int           `json:"steps"`
+	CanaryFraction float64       `json:"share"` // of the tenant's requests, at this moment
+	Rev            int64         `json:"rev"`
+	SinceMS        int64         `json:"since_ms"`
+	Why            string        `json:"why,omitempty"`
+	Budget         int64         `json:"budget"`
+	Granted        int64         `json:"granted"` // to processes, in all
+	Spent          int64         `json:"spent"`
+	Returned       int64         `json:"returned"`
+	Left           int64         `json:"left"`     // neither held by a process nor spent
+	Evidence       float64       `json:"evidence"` // against the canary; it is rolled back at 1/alpha
+	Note           string        `json:"note,omitempty"`
 }
 
 // TenantView is the JSON form of a tenant's routes.
@@ -78,7 +78,7 @@
 		for _, one := range s.Routes.RolloutsOf(tenant) {
 			g, spent, back := s.Routes.BudgetTotals(tenant, one.Spec.Name)
 			v.Rollouts = append(v.Rollouts, RolloutView{Name: one.Spec.Name, To: one.Spec.SubsetName, Phase: one.Phase, Step: one.Step,
-				Steps: len(one.Spec.Steps), Share: fraction[one.Spec.Name], Rev: one.Rev, SinceMS: one.ChangedAtMS, Why: one.Reason,
+				Steps: len(one.Spec.Steps), CanaryFraction: fraction[one.Spec.Name], Rev: one.Rev, SinceMS: one.ChangedAtMS, Why: one.Reason,
 				Budget: one.Spec.Budget, Granted: g, Spent: spent, Returned: back, Left: one.Spec.Budget - (g - back),
 				Evidence: min(l.processes.controller.Evidence(tenant, one.Spec.Name), math.MaxFloat64), Note: one.Spec.Note})
 		}
--- a/internal/registry/routes_test.go
+++ b/internal/registry/routes_test.go
@@ -566,13 +566,13 @@
 func TestAudit(t *testing.T) {
 	t.Parallel()
 	for _, planted := range []routeleader.Defect{"", routeleader.AuditSilent} {
-		began := time.Now()
+		startedAt := time.Now()
 		one := routed(t, 1, func(c *Config) { single(c); c.Planted = string(planted) })[0]
 		code, text := call(t, "POST", one.cfg.Listen, "/routes/a/base", `{"to":"old"}`)
 		require.Equal(t, 200, code, text)
 		rev := revOf(t, text)
-		acts, rests, silent := newProcess("acts", 2), newProcess("rests", 2), newProcess("silent", 2)
-		for _, p := range []*process{acts, rests, silent} {
+		acts, idle, silent := newProcess("acts", 2), newProcess("rests", 2), newProcess("silent", 2)
+		for _, p := range []*process{acts, idle, silent} {
 			p.AcknowledgedRev = rev
 			p.report(t, one.cfg.Listen)
 		}
@@ -587,9 +587,9 @@
 		to := later()
 		later()
 		until(t, "verdicts", func() bool { // an echo is from before the time's end at first
-			rests.report(t, one.cfg.Listen)
-			rests.report(t, one.cfg.Listen)
-			code, text = call(t, "GET", one.cfg.Listen, fmt.Sprintf("/routes/audit?rev=%d&from=%d&to=%d", rev, routes.WallMS(began.Add(-time.Second)), to), "")
+			idle.report(t, one.cfg.Listen)
+			idle.report(t, one.cfg.Listen)
+			code, text = call(t, "GET", one.cfg.Listen, fmt.Sprintf("/routes/audit?rev=%d&from=%d&to=%d", rev, routes.WallMS(startedAt.Add(-time.Second)), to), "")
 			require.Equal(t, 200, code, text)
 			var s audit.Summary
 			require.NoError(t, json.Unmarshal([]byte(text), &s))
@@ -640,7 +640,7 @@
 	followers("what the leader has", func(r *routeleader.Routing, _ *state.State) bool {
 		return r.LastRevPoll().After(polled)
 	})
-	acts, rests := newProcess("acts", 2), newProcess("rests", 2)
+	acts, idle := newProcess("acts", 2), newProcess("rests", 2)
 	var revs [2]int64
 	var within time.Time // after the commit of the first, before anybody acts on it
 	for i, to := range []string{"old", "new"} {
@@ -649,7 +649,7 @@
 		if revs[i] = revOf(t, text); i == 0 {
 			within = time.Now()
 		}
-		for _, p := range []*process{acts, rests} {
+		for _, p := range []*process{acts, idle} {
 			p.AcknowledgedRev = revs[i]
 			acts.Counts = []route.Count{{Rev: revs[0], Tenant: "a", Started: 3}}
 			p.report(t, lead.cfg.Listen)
--- a/internal/registry/state/leases.go
+++ b/internal/registry/state/leases.go
@@ -20,6 +20,7 @@
 	n  int
 }
 
+// NewLeases tracks no leases yet.
 func NewLeases() *Leases { return &Leases{ends: map[string]time.Time{}} }
 
 // LeaseCheckInterval is the interval at which the leader checks leases.
@@ -36,6 +37,7 @@
 // partition.
 const minLeasesForHold = 3
 
+// Renew restarts a lease with its full term.
 func (l *Leases) Renew(uid string, term time.Duration, now time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -57,6 +59,7 @@
 	l.held, l.recentExpiries = 0, nil
 }
 
+// HeldCount is the number of expired leases whose entries are held.
 func (l *Leases) HeldCount() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/registry/state/state.go
+++ b/internal/registry/state/state.go
@@ -364,6 +364,7 @@
 	SnapshotFormWithoutRoutes = 1
 )
 
+// Snapshot copies the state for a snapshot.
 func (s *State) Snapshot() (*Snapshot, error) {
 	out := &Snapshot{Form: SnapshotFormWithoutRoutes, Rev: s.rev, Members: maps.Clone(s.members)}
 	for _, uid := range slices.Sorted(maps.Keys(s.items)) {
@@ -391,6 +392,7 @@
 	return s.MaxLeaseTermMS > 0 || s.Routes.Rev() > EpochOf(s.Routes.Rev())<<CountBits
 }
 
+// Restore replaces the state by that of a snapshot.
 func (s *State) Restore(from *Snapshot) error {
 	if from.Form != SnapshotForm && from.Form != SnapshotFormWithoutRoutes {
 		return fmt.Errorf("registry: a snapshot of form %d, this program reads forms %d and %d", from.Form, SnapshotFormWithoutRoutes, SnapshotForm)
--- a/internal/registry/state_machine.go
+++ b/internal/registry/state_machine.go
@@ -1,6 +1,6 @@
 package registry
 
-// This file is raft's state machine: commands, snapshots and their restoring.
+// This file is the state machine of raft: it applies commands, takes snapshots and restores them.
 
 import (
 	"encoding/json"
@@ -15,18 +15,18 @@
 	"marblelane/internal/registry/storage"
 )
 
-// machine is the node as raft drives it.
-type machine Node
+// stateMachine is the node as the finite state machine of raft.
+type stateMachine Node
 
-// Apply carries out a committed command.
-func (m *machine) Apply(l *raft.Log) any {
+// Apply applies a committed command.
+func (m *stateMachine) Apply(l *raft.Log) any {
 	var c state.Command
 	if err := json.Unmarshal(l.Data, &c); err != nil {
 		return result{err: fmt.Errorf("registry: log entry %d: %w", l.Index, err)}
 	}
 	var r result
 	if c.Term != 0 && c.Term != l.Term {
-		return result{err: listserver.ErrNotLeader} // decided in an earlier lead
+		return result{err: listserver.ErrNotLeader} // proposed in an earlier term
 	}
 	m.hub.Read(func(s *state.State) {
 		r.rev, r.err = s.Apply(&c)
@@ -36,16 +36,16 @@
 	return r
 }
 
-// Snapshot takes a copy of the state, which is written out later.
-func (m *machine) Snapshot() (raft.FSMSnapshot, error) {
+// Snapshot copies the state; raft persists the copy later.
+func (m *stateMachine) Snapshot() (raft.FSMSnapshot, error) {
 	var s *state.Snapshot
 	var err error
 	m.hub.Read(func(st *state.State) { s, err = st.Snapshot() })
 	return storage.StateSnapshot{Content: s}, err
 }
 
-// Restore puts a snapshot in the state's place.
-func (m *machine) Restore(from io.ReadCloser) error {
+// Restore replaces the state by a snapshot.
+func (m *stateMachine) Restore(from io.ReadCloser) error {
 	defer from.Close()
 	var in state.Snapshot
 	if err := json.NewDecoder(from).Decode(&in); err != nil {
--- a/internal/registry/storage/inspect.go
+++ b/internal/registry/storage/inspect.go
@@ -136,6 +136,7 @@
 	}
 }
 
+// AddFault records a fault of a file.
 func (out *Found) AddFault(path string, err error) {
 	if errors.Is(err, ErrNewerVersion) {
 		out.Faults = append(out.Faults, fmt.Errorf("%s: %w: start that program; the folder stays as it is", path, err))
@@ -153,15 +154,15 @@
 	if err != nil {
 		return err
 	}
-	about := map[string][]byte{}
+	metadata := map[string][]byte{}
 	buckets := map[string]visitor{
 		string(logBucket): func(k, v []byte, _ bool) error { return out.entry(path, k, v, each) },
 		string(valueBucket): func(k, v []byte, _ bool) error {
 			out.values[string(k)] = append([]byte{}, v...)
 			return nil
 		},
-		string(aboutBucket): func(k, v []byte, _ bool) error {
-			about[string(k)] = append([]byte{}, v...)
+		string(metadataBucket): func(k, v []byte, _ bool) error {
+			metadata[string(k)] = append([]byte{}, v...)
 			return nil
 		},
 	}
@@ -176,7 +177,7 @@
 	if err != nil {
 		return err
 	}
-	if ours, err := checkAbout(about, out.values, &out.contentSum, p.txid); err != nil {
+	if ours, err := checkMetadata(metadata, out.values, &out.contentSum, p.txid); err != nil {
 		return err
 	} else if !ours {
 		out.Notes = append(out.Notes, "the last write to the log is not this program's: an earlier program made it, or the "+
@@ -185,7 +186,7 @@
 	if unknown != nil {
 		return unknown
 	}
-	return out.own()
+	return out.readOwnValues()
 }
 
 func entryAt(path string, index uint64) string {
@@ -231,8 +232,8 @@
 	return 0
 }
 
-// own takes in what the replica keeps beside the log.
-func (out *Found) own() error {
+// readOwnValues reads the term and the vote of the replica.
+func (out *Found) readOwnValues() error {
 	for key, to := range map[string]*uint64{"CurrentTerm": &out.Term, "LastVoteTerm": &out.VotedTerm} {
 		v, ok := out.values[key]
 		if ok && len(v) != 8 {
@@ -275,8 +276,8 @@
 	}
 }
 
-// Recover makes a folder ready for a start: it stops where the rule above says so, and cuts what was never finished.
-// It may be ended at any point and run again.
+// Recover prepares a data directory for a start. It fails where the invariant above requires it, and removes unfinished
+// files. It may be interrupted at any point and run again.
 func Recover(dir string, log *slog.Logger) error {
 	found, err := Inspect(dir, nil)
 	if err != nil {
@@ -343,12 +344,12 @@
 // The form of the store as a whole; a later one is refused.
 const storeForm = 2
 
-// What stands in the bucket about. Form 1 has no such bucket.
+// Keys of the metadata bucket. Form 1 of the store has no such bucket.
 var (
-	aboutBucket   = []byte("about")
-	formKey       = []byte("form")
-	txKey         = []byte("tx") // of the last transaction that this program made
-	contentSumKey = []byte("log")
+	metadataBucket = []byte("about")
+	formKey        = []byte("form")
+	txKey          = []byte("tx") // of the last transaction that this program made
+	contentSumKey  = []byte("log")
 )
 
 // contentSum is how many entries the log has, and the sum of their checksums: an old page in a new one's place, which a
@@ -370,8 +371,8 @@
 	return append(b, valueSum(contentSumKey, b)...)
 }
 
-func readContentSum(about *bolt.Bucket) (t contentSum) {
-	if b := about.Get(contentSumKey); len(b) == 20 {
+func readContentSum(metadata *bolt.Bucket) (t contentSum) {
+	if b := metadata.Get(contentSumKey); len(b) == 20 {
 		t = contentSum{binary.BigEndian.Uint64(b), binary.BigEndian.Uint64(b[8:])}
 	}
 	return t
@@ -386,13 +387,13 @@
 	return binary.BigEndian.AppendUint32(nil, sum)
 }
 
-// checkAbout compares the values with their checksums. An earlier program writes values and no checksums: that the last
+// checkMetadata compares the values with their checksums. An earlier program writes values and no checksums: that the last
 // transaction was its own shows in its number, which is not the one that stands in the bucket.
-func checkAbout(about, values map[string][]byte, log *contentSum, txid uint64) (ours bool, err error) {
-	if len(about) == 0 {
+func checkMetadata(metadata, values map[string][]byte, log *contentSum, txid uint64) (ours bool, err error) {
+	if len(metadata) == 0 {
 		return false, nil
 	}
-	form, tx := about[string(formKey)], about[string(txKey)]
+	form, tx := metadata[string(formKey)], metadata[string(txKey)]
 	if len(form) != 12 || len(tx) != 12 || string(valueSum(formKey, form[:8])) != string(form[8:]) ||
 		string(valueSum(txKey, tx[:8])) != string(tx[8:]) {
 		return false, errors.New("bucket about: has another checksum")
@@ -403,15 +404,15 @@
 	if binary.BigEndian.Uint64(tx) != txid {
 		return false, nil
 	}
-	if string(about[string(contentSumKey)]) != string(log.bytes()) {
+	if string(metadata[string(contentSumKey)]) != string(log.bytes()) {
 		return false, fmt.Errorf("bucket log: its %d entries are not those that were written last", log.count)
 	}
 	for name, v := range values {
-		if string(about[string(sumKey([]byte(name)))]) != string(valueSum([]byte(name), v)) {
+		if string(metadata[string(sumKey([]byte(name)))]) != string(valueSum([]byte(name), v)) {
 			return false, fmt.Errorf("bucket values, %s: has another checksum", name)
 		}
 	}
-	for name := range about {
+	for name := range metadata {
 		if at, ok := strings.CutPrefix(name, sumPrefix); ok {
 			if _, there := values[at]; !there {
 				return false, fmt.Errorf("bucket values, %s: is missing", at)
@@ -421,8 +422,8 @@
 	return true, nil
 }
 
-// summed is a number with its checksum.
-func summed(name []byte, value uint64) []byte {
+// withChecksum encodes a number with its checksum.
+func withChecksum(name []byte, value uint64) []byte {
 	v := key(value)
 	return append(v, valueSum(name, v)...)
 }
@@ -436,7 +437,7 @@
 	return text, json.Unmarshal(text, to)
 }
 
-// LockDir makes the folder if there is none, and keeps other processes out of it until it is released.
+// LockDir creates the directory if it is absent, and locks it against other processes until release is called.
 func LockDir(dir string) (release func() error, err error) {
 	if _, err := os.Stat(dir); errors.Is(err, fs.ErrNotExist) {
 		if err := os.MkdirAll(dir, 0o755); err != nil {
--- a/internal/registry/storage/log.go
+++ b/internal/registry/storage/log.go
@@ -32,11 +32,11 @@
 type Store struct {
 	db                    *bolt.DB
 	mu                    sync.Mutex  // held during a write
-	broken                error       // first failure; every later write fails with it
+	firstFailure          error       // first failure; every later write fails with it
 	Failed                chan error  // receives the first failure
 	OnFailure             func(error) // called with the first failure
 	faults                *fault.Plan
-	slow                  time.Duration // a write that takes longer is a slow one
+	slowThreshold         time.Duration // a write that takes longer is a slow one
 	lastWriteNanos        atomic.Int64  // duration of the last write
 	writes                atomic.Int64  // since it was opened
 	consecutiveSlowWrites atomic.Int64  // slow writes since the last fast one
@@ -64,38 +64,38 @@
 	if err != nil {
 		return nil, fmt.Errorf("%s: %w", path, err)
 	}
-	if err := db.Update(ready); err != nil {
+	if err := db.Update(prepareBuckets); err != nil {
 		return nil, errors.Join(fmt.Errorf("%s: %w", path, err), db.Close())
 	}
 	return db, nil
 }
 
-// ready makes the buckets, and gives checksums to what an earlier program has written.
-func ready(tx *bolt.Tx) error {
-	for _, name := range [][]byte{logBucket, valueBucket, aboutBucket} {
+// prepareBuckets creates the buckets, and adds checksums to values that an earlier version has written.
+func prepareBuckets(tx *bolt.Tx) error {
+	for _, name := range [][]byte{logBucket, valueBucket, metadataBucket} {
 		if _, err := tx.CreateBucketIfNotExists(name); err != nil {
 			return err
 		}
 	}
-	about := tx.Bucket(aboutBucket)
-	if string(about.Get(txKey)) != string(summed(txKey, uint64(tx.ID()-1))) {
+	metadata := tx.Bucket(metadataBucket)
+	if string(metadata.Get(txKey)) != string(withChecksum(txKey, uint64(tx.ID()-1))) {
 		var t contentSum
 		if err := tx.Bucket(logBucket).ForEach(func(k, v []byte) error { t.add(k, v); return nil }); err != nil {
 			return err
 		}
-		if err := about.Put(contentSumKey, t.bytes()); err != nil {
+		if err := metadata.Put(contentSumKey, t.bytes()); err != nil {
 			return err
 		}
 	}
 	err := tx.Bucket(valueBucket).ForEach(func(name, v []byte) error {
-		return about.Put(sumKey(name), valueSum(name, v))
+		return metadata.Put(sumKey(name), valueSum(name, v))
 	})
-	return errors.Join(err, about.Put(formKey, summed(formKey, storeForm)), mark(tx))
+	return errors.Join(err, metadata.Put(formKey, withChecksum(formKey, storeForm)), markTransaction(tx))
 }
 
-// mark says in a transaction that this program makes it.
-func mark(tx *bolt.Tx) error {
-	return tx.Bucket(aboutBucket).Put(txKey, summed(txKey, uint64(tx.ID())))
+// markTransaction records in a transaction that this version has made it.
+func markTransaction(tx *bolt.Tx) error {
+	return tx.Bucket(metadataBucket).Put(txKey, withChecksum(txKey, uint64(tx.ID())))
 }
 
 // createStore creates the file under a temporary name first, as a partly created file looks like a corrupt one.
@@ -117,6 +117,7 @@
 	return SyncDir(filepath.Dir(path)) // without it a power loss takes the file away, with the votes in it
 }
 
+// OpenStore opens the file, and creates it if it is absent. A write that takes longer than slow counts as slow.
 func OpenStore(path string, slow time.Duration, faults *fault.Plan) (*Store, error) {
 	if _, err := os.Stat(path); errors.Is(err, os.ErrNotExist) {
 		if err := createStore(path); err != nil {
@@ -127,7 +128,7 @@
 	if err != nil {
 		return nil, err
 	}
-	return &Store{db: db, Failed: make(chan error, 1), OnFailure: func(error) {}, slow: slow, faults: faults}, nil
+	return &Store{db: db, Failed: make(chan error, 1), OnFailure: func(error) {}, slowThreshold: slow, faults: faults}, nil
 }
 
 // LastWriteDuration is how long the last write took; 0: there was none.
@@ -144,24 +145,24 @@
 	startedAt := time.Now()
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.broken != nil {
-		return s.broken
+	if s.firstFailure != nil {
+		return s.firstFailure
 	}
 	silent, err := s.faults.DiskWrite(func(undo error) error {
 		return s.db.Update(func(tx *bolt.Tx) error {
-			return errors.Join(f(tx), mark(tx), undo)
+			return errors.Join(f(tx), markTransaction(tx), undo)
 		})
 	})
 	took := time.Since(startedAt)
 	s.lastWriteNanos.Store(int64(took))
 	s.writes.Add(1)
-	if took > s.slow {
+	if took > s.slowThreshold {
 		s.consecutiveSlowWrites.Add(1)
 	} else {
 		s.consecutiveSlowWrites.Store(0)
 	}
 	if err != nil && !silent {
-		s.broken = err
+		s.firstFailure = err
 		s.Failed <- err // has room for the only one
 		s.OnFailure(err)
 	}
@@ -172,9 +173,10 @@
 func (s *Store) Failure() error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.broken
+	return s.firstFailure
 }
 
+// Close closes the file.
 func (s *Store) Close() error { return s.db.Close() }
 
 func key(index uint64) []byte { return binary.BigEndian.AppendUint64(nil, index) }
@@ -246,7 +248,7 @@
 	return s.write(func(tx *bolt.Tx) error {
 		b := tx.Bucket(logBucket)
 		b.FillPercent = 0.9 // entries are appended
-		t := readContentSum(tx.Bucket(aboutBucket))
+		t := readContentSum(tx.Bucket(metadataBucket))
 		for _, l := range logs {
 			data, err := json.Marshal(l)
 			if err != nil {
@@ -262,7 +264,7 @@
 				return fmt.Errorf("log entry %d: %w", l.Index, err)
 			}
 		}
-		return tx.Bucket(aboutBucket).Put(contentSumKey, t.bytes())
+		return tx.Bucket(metadataBucket).Put(contentSumKey, t.bytes())
 	})
 }
 
@@ -270,7 +272,7 @@
 func (s *Store) DeleteRange(low, high uint64) error {
 	return s.write(func(tx *bolt.Tx) error {
 		b := tx.Bucket(logBucket)
-		t := readContentSum(tx.Bucket(aboutBucket))
+		t := readContentSum(tx.Bucket(metadataBucket))
 		for i := low; i <= high; i++ { // a cursor must not be moved on from what it has deleted
 			k := key(i)
 			if old := b.Get(k); old != nil {
@@ -280,7 +282,7 @@
 				return err
 			}
 		}
-		return tx.Bucket(aboutBucket).Put(contentSumKey, t.bytes())
+		return tx.Bucket(metadataBucket).Put(contentSumKey, t.bytes())
 	})
 }
 
@@ -291,7 +293,7 @@
 func (s *Store) Set(name, value []byte) error {
 	return s.write(func(tx *bolt.Tx) error {
 		return errors.Join(tx.Bucket(valueBucket).Put(name, value),
-			tx.Bucket(aboutBucket).Put(sumKey(name), valueSum(name, value)))
+			tx.Bucket(metadataBucket).Put(sumKey(name), valueSum(name, value)))
 	})
 }
 
--- a/internal/registry/storage/snapshots.go
+++ b/internal/registry/storage/snapshots.go
@@ -37,6 +37,7 @@
 	open map[string]bool // IDs of those that are being written
 }
 
+// OpenSnapshots opens the snapshots of a data directory.
 func OpenSnapshots(dir string, raftLog hclog.Logger, log *slog.Logger) (*Snapshots, error) {
 	files, err := raft.NewFileSnapshotStoreWithLogger(dir, 2, raftLog)
 	if err != nil {
@@ -57,10 +58,10 @@
 		return nil, err
 	}
 	s.open[sink.ID()] = true
-	return &sealing{SnapshotSink: sink, store: s, dir: filepath.Join(s.dir, sink.ID())}, nil
+	return &sealingSink{SnapshotSink: sink, store: s, dir: filepath.Join(s.dir, sink.ID())}, nil
 }
 
-// finished takes in that a snapshot is written or given up, or why it failed.
+// finished records that a snapshot was written or cancelled, or why it failed.
 func (s *Snapshots) finished(id string, err error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -70,8 +71,7 @@
 	}
 }
 
-// failed says that a snapshot failed, and removes what was not finished, which raft leaves behind at each try; s.mu is
-// held.
+// failed logs that a snapshot failed and removes unfinished ones, which raft leaves behind at each attempt; s.mu is held.
 func (s *Snapshots) failed(err error) {
 	s.log.Error("registry: a snapshot failed; the older ones stay, and it is tried again", "dir", s.dir, "error", err)
 	all, err := os.ReadDir(s.dir)
@@ -86,8 +86,8 @@
 	}
 }
 
-// sealing seals a snapshot once it is whole. raft closes it more than once.
-type sealing struct {
+// sealingSink writes the seal when the snapshot is complete. raft closes a sink more than once.
+type sealingSink struct {
 	raft.SnapshotSink
 	store *Snapshots
 	dir   string
@@ -96,7 +96,7 @@
 }
 
 // Write adds to the state.
-func (s *sealing) Write(b []byte) (int, error) {
+func (s *sealingSink) Write(b []byte) (int, error) {
 	n, err := s.SnapshotSink.Write(b)
 	if s.err == nil {
 		s.err = err
@@ -105,7 +105,7 @@
 }
 
 // Close puts the snapshot in place. One that fails is not there, or its seal is on the disk.
-func (s *sealing) Close() error {
+func (s *sealingSink) Close() error {
 	if s.ended {
 		return s.err
 	}
@@ -114,14 +114,14 @@
 		s.err = seal(s.dir)
 	}
 	if s.err != nil {
-		s.err = errors.Join(s.err, takeBack(s.dir))
+		s.err = errors.Join(s.err, markUnfinished(s.dir))
 	}
 	s.store.finished(s.ID(), s.err)
 	return s.err
 }
 
-// takeBack makes a snapshot an unfinished one again; one that is not in place is one.
-func takeBack(dir string) error {
+// markUnfinished renames a snapshot to an unfinished one; it may not be in place yet.
+func markUnfinished(dir string) error {
 	if err := os.Rename(dir, dir+TempSuffix); err != nil && !errors.Is(err, fs.ErrNotExist) {
 		return err
 	}
@@ -129,7 +129,7 @@
 }
 
 // Cancel gives the snapshot up.
-func (s *sealing) Cancel() error {
+func (s *sealingSink) Cancel() error {
 	if s.ended {
 		return nil
 	}
@@ -147,7 +147,7 @@
 	sealForm  = 1
 )
 
-// sealed is what the seal says. A later form is refused.
+// sealed is the content of a seal. A later form is rejected.
 type sealed struct {
 	Form int    `json:"form"`
 	Meta uint32 `json:"meta"` // CRC-32C of the description
@@ -158,7 +158,7 @@
 	return crc32.Checksum(fmt.Appendf(nil, "%d %d", s.Form, s.Meta), castagnoli)
 }
 
-// seal writes the seal of a snapshot and puts its folder on the disk.
+// seal writes the seal of a snapshot and syncs its directory.
 func seal(dir string) error {
 	meta, err := os.ReadFile(filepath.Join(dir, metaFile))
 	if err != nil {
@@ -176,7 +176,7 @@
 	return nil
 }
 
-// writeSynced puts a file in place whole, with its name.
+// writeSynced writes a file under a temporary name, syncs it and renames it into place.
 func writeSynced(path string, text []byte) error {
 	temp := path + TempSuffix
 	f, err := os.Create(temp)
@@ -193,7 +193,7 @@
 	return SyncDir(filepath.Dir(path))
 }
 
-// description is raft's, as far as it is looked at.
+// description is the part of raft's meta.json that is checked.
 type description struct {
 	Version     raft.SnapshotVersion
 	Index, Term uint64
--- a/internal/registry/supervisor.go
+++ b/internal/registry/supervisor.go
@@ -16,8 +16,7 @@
 	"marblelane/internal/registry/storage"
 )
 
-// DiskError is a write that a replica's folder has refused. The replica is closed: what it has on the disk shows once
-// the folder is read anew.
+// DiskError is a failed disk write. The replica is closed; the content of its disk is known once it is reopened.
 type DiskError struct{ Err error }
 
 // Error implements error.
@@ -40,10 +39,10 @@
 type Supervisor struct {
 	mu   sync.Mutex
 	cfg  Config
-	node *Node // the newest; closed while the folder fails
+	node *Node // the one opened last; closed while disk writes fail
 }
 
-// Supervise opens a replica; Run serves. The errors are Open's: a folder that fails at the start is not waited for.
+// Supervise opens a replica; Run serves. Its errors are those of Open, which are not retried.
 func Supervise(cfg Config) (*Supervisor, error) {
 	cfg.SetDefaults()
 	n, err := Open(cfg)
@@ -56,7 +55,7 @@
 	return &Supervisor{cfg: cfg, node: n}, nil
 }
 
-// withPort gives an address that leaves the port to the system the one that it has got.
+// withPort replaces port 0 of an address by the port that was bound.
 func withPort(address string, bound net.Addr) string {
 	host, port, err := net.SplitHostPort(address)
 	tcp, ok := bound.(*net.TCPAddr)
@@ -66,14 +65,14 @@
 	return net.JoinHostPort(host, fmt.Sprint(tcp.Port))
 }
 
-// Node is the replica as it was opened last.
+// Node is the replica that was opened last.
 func (s *Supervisor) Node() *Node {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.node
 }
 
-// Reload takes in other options, also for when the replica is opened anew; the log stays.
+// Reload replaces the options, also for later reopens; the logger stays.
 func (s *Supervisor) Reload(o listserver.Options) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -82,8 +81,8 @@
 	s.node.Server().Reload(o)
 }
 
-// Run serves until ctx ends. A folder that fails is waited for, however long that takes; the error is one that waiting
-// does not mend, such as a log that is spoilt or a folder that belongs to another user.
+// Run serves until ctx ends. It waits without limit for a data directory that fails; it returns an error that waiting does
+// not resolve, such as a corrupt log or missing permissions.
 func (s *Supervisor) Run(ctx context.Context) error {
 	wait := minReopenDelay
 	for {
@@ -102,8 +101,8 @@
 	}
 }
 
-// reopen opens the replica once its folder takes writes, and gives the pause before the next try, should it fail again.
-// It gives up without an error when ctx ends.
+// reopen opens the replica once its data directory is writable. It returns the delay before the next attempt, should the
+// disk fail again. It returns no error when ctx ends.
 func (s *Supervisor) reopen(ctx context.Context, wait time.Duration) (time.Duration, error) {
 	closed, lastError := time.Now(), ""
 	for {
@@ -143,15 +142,15 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.node = n
-	n.Server().Reload(s.cfg.Options) // they may have been changed meanwhile
+	n.Server().Reload(s.cfg.Options) // they may have changed meanwhile
 	return nil
 }
 
-// mayHeal tells whether what keeps a replica from being opened anew may pass by itself. Only what certainly does not
-// ends the replica; the rest, an address that somebody else holds too, is tried again.
+// mayHeal reports whether an error of a reopen may be transient. Only errors that are certainly permanent end the replica;
+// others, also an address in use, are retried.
 func mayHeal(err error) bool {
 	if errors.Is(err, syscall.EIO) {
-		return true // what could not be read may be sound
+		return true // the data may be intact
 	}
 	var spoilt *storage.CorruptionError
 	if errors.As(err, &spoilt) {
--- a/internal/registry/transport/regression_detector.go
+++ b/internal/registry/transport/regression_detector.go
@@ -29,6 +29,7 @@
 	regressed bool   // regressed, and logged
 }
 
+// NewRegressionDetector watches the answers to entries that are sent over t.
 func NewRegressionDetector(t *Transport, log *slog.Logger) *RegressionDetector {
 	return &RegressionDetector{Transport: t, log: log, followers: map[raft.ServerID]*acknowledged{}}
 }
--- a/internal/registry/transport/stream_layer.go
+++ b/internal/registry/transport/stream_layer.go
@@ -40,10 +40,10 @@
 	return out, nil
 }
 
-// Addr is where other replicas reach this one.
+// Addr is the address at which other replicas reach this one.
 func (l *StreamLayer) Addr() net.Addr { return l.advertised }
 
-// Dial calls another replica.
+// Dial connects to another replica.
 func (l *StreamLayer) Dial(address raft.ServerAddress, timeout time.Duration) (net.Conn, error) {
 	d := net.Dialer{Timeout: timeout}
 	if l.from != nil {
--- a/internal/registry/transport/transport.go
+++ b/internal/registry/transport/transport.go
@@ -31,12 +31,13 @@
 	acked map[raft.ServerID]time.Time // when the newest message of the term that a replica has acknowledged was sent
 }
 
+// New wraps the transport of raft. NeedsEntries is set before raft sends entries that are to be retried.
 func New(n *raft.NetworkTransport, again time.Duration) *Transport {
 	return &Transport{NetworkTransport: n, retryInterval: again, end: make(chan struct{}),
 		NeedsEntries: func(raft.ServerID, uint64) bool { return false }}
 }
 
-// heartbeat tells one from a message that carries entries, or could.
+// heartbeat reports whether a message is a heartbeat, which carries no entries.
 func heartbeat(a *raft.AppendEntriesRequest) bool {
 	return len(a.Entries) == 0 && a.PrevLogEntry == 0 && a.LeaderCommitIndex == 0
 }
@@ -89,8 +90,9 @@
 	return t.acked[id]
 }
 
-// SetHeartbeatHandler lets raft handle heartbeats. It does so as they come in, unlike all else, and is not waited for
-// when it shuts down: one that was under way then found the log closed, and raft panics where it cannot write.
+// SetHeartbeatHandler installs the handler of heartbeats. raft handles them as they arrive, beside all other messages,
+// and does not wait for them when it shuts down. One in flight would find the log closed, and raft panics when it cannot
+// write.
 func (t *Transport) SetHeartbeatHandler(handle func(raft.RPC)) {
 	t.NetworkTransport.SetHeartbeatHandler(func(rpc raft.RPC) {
 		t.beats.RLock()
--- a/internal/wallclock/wallclock_test.go
+++ b/internal/wallclock/wallclock_test.go
@@ -84,7 +84,7 @@
 	"internal/registry/node_lead.go": {
 		"n.cfg.Faults.Now": {1, "the epoch of the first history"},
 	},
-	"internal/registry/restore_seen.go": {
+	"internal/registry/reader_revisions.go": {
 		"n.cfg.Faults.Now": {1, "the epoch of a new history, above the former one whatever the clock says"},
 	},
 	"internal/registry/routeleader/leader_clock.go": {
