--- a/internal/registry/routes_decisions.go
+++ b/internal/registry/routeleader/decisions.go
@@ -1,9 +1,10 @@
-package registry
+package routeleader
 
 // This file replicates the controller's decisions and the other changes of routes.
 
 import (
 	"errors"
+	"sync"
 	"time"
 
 	"marblelane/internal/registry/listserver"
@@ -11,24 +12,32 @@
 	"marblelane/internal/rollout"
 )
 
+// decisionState serialises decisions with their commits. It is taken before the lock of processRecords, which has no access
+// to it, and is the only lock that is held during a commit.
+type decisionState struct {
+	mu                sync.Mutex
+	lowersLeaseTerm   bool                  // at decisionsFrom, lower the replicated maximum lease term to this leader's
+	uncommittedGrants []rollout.LedgerEntry // used by the defect GrantUncommitted only
+}
+
 // apply replicates a command and waits until it is applied.
-func (r *routing) apply(c *state.Command) error {
+func (r *Routing) apply(c *state.Command) error {
 	_, err := r.replica.Apply(c, listserver.ApplyTimeout)
 	return err
 }
 
 // decide runs one controller tick and replicates its decisions.
-func (r *routing) decide(l *leadership) {
-	l.decisionMu.Lock()
-	defer l.decisionMu.Unlock()
+func (r *Routing) decide(l *leadership) {
+	l.decisions.mu.Lock()
+	defer l.decisions.mu.Unlock()
 	if time.Now().Before(l.decisionsFrom) || r.current() != l {
 		return
 	}
-	if l.lowersLeaseTerm {
+	if l.decisions.lowersLeaseTerm {
 		if err := r.apply(&state.Command{Op: state.OpTerm, TermMS: l.leaseTermMS, Term: l.term}); err != nil {
 			return
 		}
-		l.lowersLeaseTerm = false
+		l.decisions.lowersLeaseTerm = false
 	}
 	for _, c := range r.tick(l) {
 		if !r.execute(l, &c) {
@@ -39,21 +48,19 @@
 
 // tick returns the controller's decisions. Once it has decided to close a revision the controller grants no lease for
 // it, so reports need not wait for the commit.
-func (r *routing) tick(l *leadership) []rollout.Command {
-	l.mu.Lock()
-	defer l.mu.Unlock()
+func (r *Routing) tick(l *leadership) []rollout.Command {
 	now := time.Now()
 	var commands []rollout.Command
-	r.list.Read(func(s *state.State) {
+	l.processes.withState(r.list, func(s *state.State) {
 		var standings []rollout.AccessChange
-		commands, standings = l.controller.Tick(l.floor(now), s.Routes, s.ReadyIn)
-		l.queueTransitions(s, l.recordAccessChanges(standings, now))
+		commands, standings = l.processes.controller.Tick(l.floor(now), s.Routes, s.ReadyIn)
+		l.processes.queueTransitions(s, l.processes.recordAccessChanges(standings, now))
 	})
 	return commands
 }
 
 // execute replicates a decision of the controller and reports whether this replica still leads.
-func (r *routing) execute(l *leadership, c *rollout.Command) bool {
+func (r *Routing) execute(l *leadership, c *rollout.Command) bool {
 	c.AtMS = l.wall(time.Now())
 	_, err := r.change(l, c)
 	switch {
@@ -68,7 +75,7 @@
 }
 
 // change replicates a command of routes. It is on the list of what is proposed from before then.
-func (r *routing) change(l *leadership, c *rollout.Command) (int64, error) {
+func (r *Routing) change(l *leadership, c *rollout.Command) (int64, error) {
 	defer r.tables.propose(time.Now(), l.term)()
 	return r.replica.Apply(&state.Command{Op: state.OpRoutes, Routes: c, Term: l.term}, listserver.ApplyTimeout)
 }
