--- a/architecture_test.go
+++ b/architecture_test.go
@@ -13,7 +13,7 @@
 // layers only. A name that ends with /... stands for a package and all below it, which may import each other.
 var layers = [][]string{
 	{"balance", "internal/tomlfile", "internal/streamlimit", "internal/retry", "internal/knownfailures",
-		"internal/fsys", "internal/membership/roster", "internal/wallclock"},
+		"internal/fsys", "internal/membership/roster", "internal/statekey", "internal/wallclock"},
 	{"internal/wire", "internal/route", "internal/fault", "internal/listener", "internal/snapshot",
 		"internal/testutil/..."},
 	{"internal/membership/transport"},
@@ -21,7 +21,11 @@
 	{"internal/membership/addrcheck", "internal/membership/collect", "internal/membership/view",
 		"internal/membership/roster/model", "internal/rollout/model", "internal/snapshot/crashcheck"},
 	{"internal/sidecar/checkpoint", "internal/sidecar/clock", "internal/sidecar/netcall",
-		"internal/sidecar/endpointlist", "internal/sidecar/inflight", "internal/registry"},
+		"internal/sidecar/endpointlist", "internal/sidecar/inflight", "internal/registry/state",
+		"internal/registry/transport", "internal/registry/operators"},
+	{"internal/registry/storage", "internal/registry/listserver"},
+	{"internal/registry/agent", "internal/registry/recovery", "internal/registry/routeleader"},
+	{"internal/registry"},
 	{"internal/sidecar/framing", "internal/sidecar/discovery", "internal/sidecar/sidecartest"},
 	{"internal/sidecar/config"},
 	{"internal/sidecar/configtest", "internal/sidecar/routing"},
--- /dev/null
+++ b/cmd/marblelane/lab_list_scale.go
@@ -0,0 +1,31 @@
+package main
+
+import (
+	"errors"
+	"slices"
+
+	"marblelane/internal/lab/experiment/listscale"
+	"marblelane/internal/lab/harness"
+)
+
+// labListScale measures the list service with more and more watchers.
+type labListScale struct {
+	Watchers []int `help:"Numbers of watchers." default:"10,100,1000"`
+	Entries  []int `help:"Numbers of entries." default:"200,2000"`
+	JSON     bool  `help:"Print JSON in place of the table." name:"json"`
+}
+
+func (c *labListScale) Run(a *app) error {
+	if slices.Min(append(c.Watchers, c.Entries...)) < 2 {
+		return errors.New("--watchers and --entries are at least 2")
+	}
+	self, err := selfProgram()
+	if err != nil {
+		return err
+	}
+	points, err := listscale.Measure(a.ctx, c.Watchers, c.Entries, harness.Options{Self: self, Progress: a.errOut})
+	if err != nil {
+		return err
+	}
+	return printResult(a, c.JSON, points, listscale.Print)
+}
--- a/cmd/marblelane/registry_test.go
+++ b/cmd/marblelane/registry_test.go
@@ -1,7 +1,6 @@
 package main
 
 import (
-	"bufio"
 	"bytes"
 	"encoding/json"
 	"fmt"
@@ -20,33 +19,14 @@
 	"github.com/stretchr/testify/require"
 
 	"marblelane/internal/fault"
-	"marblelane/internal/registry"
+	"marblelane/internal/registry/state"
 )
 
-// serve starts a real copy with a configuration and gives where it serves.
-func serve(t *testing.T, config string) (string, *exec.Cmd) {
+// startCopy starts a real copy with a configuration and gives where it serves.
+func startCopy(t *testing.T, config string) (string, *exec.Cmd) {
 	t.Helper()
-	cmd := exec.Command(filepath.Join(programs, "marblelane"), "registry", "serve", "--config", config)
-	out, err := cmd.StdoutPipe()
-	if err != nil {
-		t.Fatal(err)
-	}
-	if err := cmd.Start(); err != nil {
-		t.Fatal(err)
-	}
-	t.Cleanup(func() {
-		cmd.Process.Kill()
-		cmd.Wait()
-	})
-	lines := bufio.NewScanner(out)
-	for lines.Scan() {
-		if _, rest, ok := strings.Cut(lines.Text(), " listen="); ok {
-			addr, _, _ := strings.Cut(rest, " ")
-			return addr, cmd
-		}
-	}
-	t.Fatal("it did not start")
-	return "", nil
+	cmd := marblelane("registry", "serve", "--config", config)
+	return valueOf(startUntil(t, cmd, cmd.StdoutPipe, " listen="), " listen="), cmd
 }
 
 func TestRegistryCommands(t *testing.T) {
@@ -62,7 +42,7 @@
 	if err := os.WriteFile(config, []byte(text), 0o644); err != nil {
 		t.Fatal(err)
 	}
-	addr, cmd := serve(t, config)
+	addr, cmd := startCopy(t, config)
 	do := func(want int, part string, args ...string) string {
 		t.Helper()
 		var out, said bytes.Buffer
@@ -90,11 +70,9 @@
 		t.Errorf("the backup is %s, %v", data, err)
 	}
 	// Killed and started again it has what was written.
-	if err := cmd.Process.Signal(syscall.SIGKILL); err != nil {
-		t.Fatal(err)
-	}
+	sendSignal(t, cmd, syscall.SIGKILL)
 	_ = cmd.Wait()
-	addr, cmd = serve(t, config)
+	addr, cmd = startCopy(t, config)
 	require.Eventually(t, func() bool {
 		var out, said bytes.Buffer
 		run(t.Context(), []string{"registry", "list", "--addr", addr}, &out, &said)
@@ -104,15 +82,11 @@
 	if err := os.WriteFile(config, []byte(text+"nonsense = 1\n"), 0o644); err != nil {
 		t.Fatal(err)
 	}
-	if err := cmd.Process.Signal(syscall.SIGHUP); err != nil {
-		t.Fatal(err)
-	}
+	sendSignal(t, cmd, syscall.SIGHUP)
 	do(0, `"uid":"s-1"`, "list", "--addr", addr)
 	do(0, "", "remove", "s-1", "--addr", addr)
 	do(2, "connection refused", "list", "--addr", raft[:strings.LastIndexByte(raft, ':')]+":1")
-	if err := cmd.Process.Signal(syscall.SIGTERM); err != nil {
-		t.Fatal(err)
-	}
+	sendSignal(t, cmd, syscall.SIGTERM)
 	if err := cmd.Wait(); err != nil {
 		t.Errorf("at SIGTERM it ended with %v", err)
 	}
@@ -120,13 +94,13 @@
 
 // A process whose folder fails closes its copy and goes on: SIGHUP does not end it meanwhile, and the copy is back with
 // the folder. SIGTERM ends it in order, also while the folder fails.
-func TestRegistryOutlivesAFailingDisk(t *testing.T) {
+func TestRegistryServe_failingDisk(t *testing.T) {
 	dir := t.TempDir()
 	config, faults := filepath.Join(dir, "one.toml"), filepath.Join(dir, "faults.toml")
 	text := fmt.Sprintf("name = \"one\"\nlisten = \"127.0.0.1:0\"\nraft = \"127.0.0.1:0\"\ndir = %q\nbeat = \"50ms\"\nlab_faults = %q\n",
 		filepath.Join(dir, "data"), faults)
 	require.NoError(t, os.WriteFile(config, []byte(text), 0o644))
-	addr, cmd := serve(t, config)
+	addr, cmd := startCopy(t, config)
 	do := func(args ...string) (code int, out string) {
 		var said bytes.Buffer
 		code = run(t.Context(), append([]string{"registry"}, append(args, "--addr", addr)...), &said, &said)
@@ -151,18 +125,18 @@
 	}
 	serves()
 	fail()
-	require.NoError(t, cmd.Process.Signal(syscall.SIGHUP))
+	sendSignal(t, cmd, syscall.SIGHUP)
 	require.NoError(t, fault.Set{}.Write(faults))
 	serves()
 	_, list := do("list")
 	assert.Contains(t, list, `"uid":"s-1"`)
 	assert.NotContains(t, list, `"uid":"lost"`)
 	fail()
-	require.NoError(t, cmd.Process.Signal(syscall.SIGTERM))
+	sendSignal(t, cmd, syscall.SIGTERM)
 	assert.NoError(t, cmd.Wait())
 }
 
-func TestRegistryConfiguration(t *testing.T) {
+func TestRegistryServe_invalidConfig(t *testing.T) {
 	good := "name = \"a\"\nlisten = \"127.0.0.1:0\"\nraft = \"127.0.0.1:0\"\n"
 	for name, c := range map[string]struct{ text, says string }{
 		"unknown key":  {good + "bat = 1\n", "c.toml:4: bat: there is no such key"},
@@ -197,7 +171,7 @@
 	if err := os.WriteFile(config, []byte("name = \"one\"\nlisten = \"127.0.0.1:0\"\nraft = \"127.0.0.1:0\"\nbeat = \"50ms\"\n"), 0o644); err != nil {
 		t.Fatal(err)
 	}
-	addr, _ := serve(t, config)
+	addr, _ := startCopy(t, config)
 	sidecar := filepath.Join(dir, "sidecar.json")
 	text := fmt.Sprintf(`{"name":"n0","listen":"127.0.0.1:0","management":"127.0.0.1:0","discovery":%q,"seed":"1",
 		"limits":{"cores":1,"memory_mb":128,"sockets":512},"known":{"rev":0,"all":true,"targets":[]},
@@ -208,28 +182,7 @@
 	}
 	sidecarProcess := exec.Command(filepath.Join(programs, "sidecar"))
 	sidecarProcess.Env = []string{"NODE_CONFIG=" + sidecar}
-	log, err := sidecarProcess.StderrPipe()
-	if err != nil {
-		t.Fatal(err)
-	}
-	if err := sidecarProcess.Start(); err != nil {
-		t.Fatal(err)
-	}
-	t.Cleanup(func() {
-		sidecarProcess.Process.Kill()
-		sidecarProcess.Wait()
-	})
-	management := ""
-	lines := bufio.NewScanner(log)
-	for management == "" && lines.Scan() {
-		if _, rest, ok := strings.Cut(lines.Text(), "management="); ok {
-			management, _, _ = strings.Cut(rest, " ")
-		}
-	}
-	go func() {
-		for lines.Scan() {
-		}
-	}()
+	management := valueOf(startUntil(t, sidecarProcess, sidecarProcess.StderrPipe, "management="), "management=")
 	figures := func() string {
 		resp, err := http.Get("http://" + management + "/stats")
 		if !assert.NoError(t, err) {
@@ -246,20 +199,15 @@
 		}
 	}
 	marker := filepath.Join(dir, "ended")
-	register := exec.Command(filepath.Join(programs, "marblelane"), "register", "--copy", "127.0.0.1:1", "--copy", addr, "--uid", "s-1",
+	register := marblelane("register", "--copy", "127.0.0.1:1", "--copy", addr, "--uid", "s-1",
 		"--endpoint", "127.0.0.1:9", "--zone", "a", "--lease", "3s", "--drain", "1s", "--",
 		"/bin/sh", "-c", `trap 'touch "$0"; exit 0' TERM; while :; do sleep 0.05; done`, marker)
-	if err := register.Start(); err != nil {
-		t.Fatal(err)
-	}
-	t.Cleanup(func() { register.Process.Kill() })
+	startProcess(t, register)
 	wait("the server at the sidecar", func() bool { return strings.Contains(figures(), "svc_hosts_listed 1\n") })
 	if strings.Contains(figures(), "svc_hosts_down 1\n") {
 		t.Error("a ready server is avoided")
 	}
-	if err := register.Process.Signal(syscall.SIGTERM); err != nil {
-		t.Fatal(err)
-	}
+	sendSignal(t, register, syscall.SIGTERM)
 	wait("the drain at the sidecar", func() bool { return strings.Contains(figures(), "svc_hosts_down 1\n") })
 	if _, err := os.Stat(marker); err == nil {
 		t.Error("the server was ended while it drained")
@@ -275,7 +223,7 @@
 
 // A server that starts again behind a step back of its machine's clock, while its former start drains, is ready, with a
 // later start than the former one.
-func TestRegisterBehindAStepBack(t *testing.T) {
+func TestRegister_clockStepBack(t *testing.T) {
 	for _, step := range []time.Duration{-time.Second, -30 * time.Second, -time.Hour} {
 		t.Run(step.String(), func(t *testing.T) {
 			t.Parallel()
@@ -283,41 +231,37 @@
 			config, faults := filepath.Join(dir, "one.toml"), filepath.Join(dir, "faults.toml")
 			text := "name = \"one\"\nlisten = \"127.0.0.1:0\"\nraft = \"127.0.0.1:0\"\nbeat = \"50ms\"\n"
 			require.NoError(t, os.WriteFile(config, []byte(text), 0o644))
-			addr, _ := serve(t, config)
+			addr, _ := startCopy(t, config)
 			register := func(own ...string) *exec.Cmd {
 				args := append([]string{"register", "--copy", addr, "--uid", "s-1", "--endpoint", "127.0.0.1:9",
 					"--drain", "1m"}, own...)
-				cmd := exec.Command(filepath.Join(programs, "marblelane"), args...)
-				require.NoError(t, cmd.Start())
-				t.Cleanup(func() {
-					cmd.Process.Kill()
-					cmd.Wait()
-				})
+				cmd := marblelane(args...)
+				startProcess(t, cmd)
 				return cmd
 			}
-			listed := func(state string, after int64) (start int64) {
+			listed := func(entryState string, after int64) (start int64) {
 				require.Eventually(t, func() bool {
 					resp, err := http.Get("http://" + addr + "/registry/instances/s-1")
 					if err != nil {
 						return false
 					}
 					defer resp.Body.Close()
-					var e registry.Entry
+					var e state.Entry
 					if json.NewDecoder(resp.Body).Decode(&e) != nil {
 						return false
 					}
 					start = e.BootMS
-					return e.State == state && start > after
-				}, 20*time.Second, 10*time.Millisecond, "an entry that is %v", state)
+					return e.State == entryState && start > after
+				}, 20*time.Second, 10*time.Millisecond, "an entry that is %v", entryState)
 				return start
 			}
 			former := register()
-			start := listed(registry.Ready, 0)
+			start := listed(state.Ready, 0)
 			require.NoError(t, former.Process.Signal(syscall.SIGTERM))
-			listed(registry.Terminating, 0)
+			listed(state.Terminating, 0)
 			require.NoError(t, fault.NewSet(step, 0, "").Write(faults))
 			register("--faults", faults)
-			listed(registry.Ready, start)
+			listed(state.Ready, start)
 		})
 	}
 }
--- a/cmd/sidecar/drain_test.go
+++ b/cmd/sidecar/drain_test.go
@@ -9,7 +9,6 @@
 	"net/http"
 	"net/http/httptest"
 	"os"
-	"os/exec"
 	"path/filepath"
 	"strings"
 	"sync"
@@ -19,6 +18,8 @@
 	"time"
 
 	"golang.org/x/sys/unix"
+
+	"marblelane/internal/sidecar/sidecartest"
 )
 
 // These tests check the table of docs/on-call.md: what a process does from SIGTERM to its end.
@@ -103,9 +104,9 @@
 // process is a sidecar that a test terminates.
 type process struct {
 	t         *testing.T
-	cmd       *exec.Cmd
+	cmd       *command
 	addr      string
-	log       chan string // lines of its log
+	log       <-chan string // lines of its log
 	server    *standInServer
 	sigtermAt time.Time
 	lag       atomic.Int64 // by how many ns a timer of the test was late at most since SIGTERM
@@ -149,25 +150,11 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	cmd, _ := program(t, string(text))
+	cmd := newCommand(t, string(text))
 	if dir, ok := changes["TMPDIR"].(string); ok {
 		cmd.Env = append(cmd.Env, "TMPDIR="+dir)
 	}
-	cmd.Stderr = nil
-	out, err := cmd.StderrPipe()
-	if err != nil {
-		t.Fatal(err)
-	}
-	if err := cmd.Start(); err != nil {
-		t.Fatal(err)
-	}
-	p = &process{t: t, cmd: cmd, log: make(chan string, 1000), server: s}
-	go func() {
-		defer close(p.log)
-		for lines := bufio.NewScanner(out); lines.Scan(); {
-			p.log <- lines.Text()
-		}
-	}()
+	p = &process{t: t, cmd: cmd, log: cmd.startLogged(t), server: s}
 	ready = p.awaitLine("listen=")
 	_, p.addr, _ = strings.Cut(ready, "listen=")
 	return p, ready
@@ -196,9 +183,7 @@
 	p.t.Helper()
 	p.sigtermAt = time.Now()
 	go p.followLag()
-	if err := p.cmd.Process.Signal(syscall.SIGTERM); err != nil {
-		p.t.Fatal(err)
-	}
+	p.cmd.signal(p.t, syscall.SIGTERM)
 	p.awaitLine("draining")
 }
 
@@ -582,7 +567,7 @@
 func TestShutdown_requestWithoutServer(t *testing.T) {
 	t.Parallel()
 	p := launch(t, conf{"settings": settings(patience, patience), "known": conf{"rev": 1, "all": true, "targets": []conf{{
-		"uid": "s", "endpoint": bound(t, 0), "az": "z", "model": "m", "state": "Ready", "capacity_hint": 1,
+		"uid": "s", "endpoint": sidecartest.BindAddr(t, 0), "az": "z", "model": "m", "state": "Ready", "capacity_hint": 1,
 	}}}})
 	idempotent, nonIdempotent := p.dial(), p.dial()
 	idempotent.request("safe", "")
@@ -596,29 +581,6 @@
 	p.awaitEnd()
 }
 
-// bound is an address that is held for the test, bound and not listening, with an option set on its socket; 0: none.
-func bound(t *testing.T, option int) string {
-	t.Helper()
-	fd, err := unix.Socket(unix.AF_INET, unix.SOCK_STREAM|unix.SOCK_CLOEXEC, 0)
-	if err != nil {
-		t.Fatal(err)
-	}
-	t.Cleanup(func() { unix.Close(fd) })
-	if option != 0 {
-		if err := unix.SetsockoptInt(fd, unix.SOL_SOCKET, option, 1); err != nil {
-			t.Fatal(err)
-		}
-	}
-	if err := unix.Bind(fd, &unix.SockaddrInet4{Addr: [4]byte{127, 0, 0, 1}}); err != nil {
-		t.Fatal(err)
-	}
-	addr, err := unix.Getsockname(fd)
-	if err != nil {
-		t.Fatal(err)
-	}
-	return fmt.Sprintf("127.0.0.1:%d", addr.(*unix.SockaddrInet4).Port)
-}
-
 // shortDir is a directory whose path is short enough for that of a Unix socket.
 func shortDir(t *testing.T) string {
 	t.Helper()
@@ -636,7 +598,7 @@
 	t.Helper()
 	dir := shortDir(t)
 	c := conf{
-		"listen": bound(t, unix.SO_REUSEPORT), "management": "127.0.0.1:0", "TMPDIR": dir,
+		"listen": sidecartest.BindAddr(t, unix.SO_REUSEPORT), "management": "127.0.0.1:0", "TMPDIR": dir,
 	}
 	older = launch(t, c)
 	older.meets(dir)
--- a/cmd/sidecar/members_test.go
+++ b/cmd/sidecar/members_test.go
@@ -13,6 +13,7 @@
 	"golang.org/x/sys/unix"
 
 	"marblelane/internal/membership"
+	"marblelane/internal/sidecar/sidecartest"
 )
 
 // These tests hold docs/membership.md on real processes.
@@ -97,9 +98,7 @@
 
 func (m *member) signal(s syscall.Signal) {
 	m.t.Helper()
-	if err := m.cmd.Process.Signal(s); err != nil {
-		m.t.Fatal(err)
-	}
+	m.cmd.signal(m.t, s)
 }
 
 func TestMembers_processes(t *testing.T) {
@@ -172,7 +171,7 @@
 func TestMembers_upgrade(t *testing.T) {
 	t.Parallel()
 	a := joined(t, "a", nil)
-	c := conf{"listen": bound(t, unix.SO_REUSEPORT), "TMPDIR": shortDir(t)}
+	c := conf{"listen": sidecartest.BindAddr(t, unix.SO_REUSEPORT), "TMPDIR": shortDir(t)}
 	older := joined(t, "b", c, a.gossips())
 	a.counts(2, 2)
 	older.meets(c["TMPDIR"].(string))
--- a/internal/lab/cluster/clients.go
+++ b/internal/lab/cluster/clients.go
@@ -21,7 +21,7 @@
 
 	"marblelane/internal/lab/harness"
 	"marblelane/internal/lab/record"
-	"marblelane/internal/registry"
+	"marblelane/internal/registry/state"
 )
 
 // writer writes and reads single entries through replicas drawn at random, as fast as its pause lets it.
@@ -167,7 +167,7 @@
 	cluster   *Cluster
 	rng       *rand.Rand
 	mu        sync.Mutex
-	list      map[string]registry.Entry
+	list      map[string]state.Entry
 	rev       int64
 	firstSeen []ackedWrite // when it first had a revision
 }
@@ -219,7 +219,7 @@
 		if line = bytes.TrimSpace(line); len(line) == 0 {
 			continue
 		}
-		var l registry.List
+		var l state.List
 		if err := json.Unmarshal(line, &l); err != nil {
 			w.cluster.breach("watchers-agree", fmt.Sprintf("a line that cannot be read: %v", err))
 			return
@@ -230,7 +230,7 @@
 }
 
 // apply applies a line and compares the list with what others had at this revision.
-func (w *watcher) apply(l *registry.List) {
+func (w *watcher) apply(l *state.List) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if !l.All && l.Rev <= w.rev {
@@ -244,7 +244,7 @@
 		clear(w.list)
 	}
 	for _, e := range l.Targets {
-		if e.State == registry.Gone {
+		if e.State == state.Gone {
 			delete(w.list, e.UID)
 		} else {
 			w.list[e.UID] = e
@@ -255,12 +255,12 @@
 	w.cluster.checkListHash(l.Rev, listHash(w.list))
 }
 
-func listHash(list map[string]registry.Entry) uint64 {
-	all := make([]registry.Entry, 0, len(list))
+func listHash(list map[string]state.Entry) uint64 {
+	all := make([]state.Entry, 0, len(list))
 	for _, e := range list {
 		all = append(all, e)
 	}
-	slices.SortFunc(all, func(a, b registry.Entry) int { return strings.Compare(a.UID, b.UID) })
+	slices.SortFunc(all, func(a, b state.Entry) int { return strings.Compare(a.UID, b.UID) })
 	return record.Sum(fmt.Append(nil, all))
 }
 
--- a/internal/lab/cluster/cluster.go
+++ b/internal/lab/cluster/cluster.go
@@ -23,7 +23,7 @@
 	"marblelane/internal/lab/process"
 	"marblelane/internal/lab/relay"
 	"marblelane/internal/lab/scenario"
-	"marblelane/internal/registry"
+	"marblelane/internal/registry/listserver"
 )
 
 // Cluster is a registry whose replicas reach each other through proxies, so that faults can be put between them. It also
@@ -260,7 +260,7 @@
 func (c *Cluster) Leader(ctx context.Context) *Replica {
 	var best *Replica
 	for _, replica := range c.Replicas {
-		var st registry.Status
+		var st listserver.Status
 		code, text, err := Call(ctx, http.MethodGet, replica.URL("/registry/status"), nil)
 		if err == nil && code == http.StatusOK && json.Unmarshal(text, &st) == nil && st.Leads && st.Rev > 0 {
 			best = replica
--- a/internal/lab/cluster/operators.go
+++ b/internal/lab/cluster/operators.go
@@ -2,10 +2,12 @@
 
 import (
 	"fmt"
-	"github.com/pelletier/go-toml/v2"
-	"marblelane/internal/lab/scenario"
 	"os"
 	"path/filepath"
+
+	"github.com/pelletier/go-toml/v2"
+
+	"marblelane/internal/lab/scenario"
 )
 
 // routesConfig are the lines of a replica's configuration that turn routes on.
--- a/internal/lab/cluster/run.go
+++ b/internal/lab/cluster/run.go
@@ -7,13 +7,14 @@
 	"encoding/json"
 	"errors"
 	"fmt"
-	"marblelane/internal/lab/harness"
-	"marblelane/internal/lab/report"
-	"marblelane/internal/registry"
 	"math/rand/v2"
 	"net/http"
 	"sync"
 	"time"
+
+	"marblelane/internal/lab/harness"
+	"marblelane/internal/lab/report"
+	"marblelane/internal/registry/state"
 )
 
 // registryRun is a run of the registry alone: writers, readers and watchers call the replicas through all faults.
@@ -49,7 +50,7 @@
 	ctx, r.stopWatching = context.WithCancel(ctx)
 	for i := range r.config.Watchers {
 		rng := rand.New(rand.NewPCG(r.Plan.Seed, uint64(i)+1<<32))
-		w := &watcher{cluster: r.Cluster, rng: rng, list: map[string]registry.Entry{}}
+		w := &watcher{cluster: r.Cluster, rng: rng, list: map[string]state.Entry{}}
 		r.watchers = append(r.watchers, w)
 		r.watching.Go(func() { w.follow(ctx) })
 	}
@@ -97,13 +98,13 @@
 	defer cancel()
 	for {
 		behind, wrong := 0, 0
-		var l registry.List
+		var l state.List
 		if lead := c.Leader(ctx); lead != nil {
 			if code, text, err := Call(ctx, http.MethodGet, lead.URL("/registry/instances"), nil); err == nil && code == http.StatusOK {
 				_ = json.Unmarshal(text, &l) // an unreadable one has no revision, and all are behind
 			}
 		}
-		want := map[string]registry.Entry{}
+		want := map[string]state.Entry{}
 		for _, e := range l.Targets {
 			want[e.UID] = e
 		}
--- a/internal/lab/experiment/membercold/membercold.go
+++ b/internal/lab/experiment/membercold/membercold.go
@@ -43,13 +43,13 @@
 
 // Row is the result of one fleet, over its seeds.
 type Row struct {
-	Sidecars   int               `json:"sidecars"`
-	Rate       float64           `json:"rate"`
-	Servers    int               `json:"servers"` // initial
-	Change     string            `json:"change"`
+	Sidecars   int                `json:"sidecars"`
+	Rate       float64            `json:"rate"`
+	Servers    int                `json:"servers"` // initial
+	Change     string             `json:"change"`
 	CountMode  simulate.CountMode `json:"count"`
-	SlowStarts int               `json:"cold_starts"`
-	Overloaded int               `json:"pushed_over"`
+	SlowStarts int                `json:"cold_starts"`
+	Overloaded int                `json:"pushed_over"`
 	// Peak is the largest load of a cold server, as a share of that under which it falls. PeakMean is the mean of the
 	// seeds' peaks.
 	Peak     float64 `json:"peak"`
--- a/internal/lab/registry_proxy.go
+++ b/internal/lab/registry_proxy.go
@@ -22,7 +22,7 @@
 	"marblelane/internal/lab/relay"
 	"marblelane/internal/lab/rollouts"
 	"marblelane/internal/lab/scenario"
-	"marblelane/internal/registry"
+	"marblelane/internal/registry/state"
 	"marblelane/internal/route"
 )
 
@@ -297,7 +297,7 @@
 // rewriteList writes a sidecar's own addresses into a line. Once the line was sent, the changes in it are recorded. A line
 // that is no list stays as it is.
 func (s *registryProxy) rewriteList(sidecar int, line []byte) (text []byte, sent func()) {
-	var l registry.List
+	var l state.List
 	if len(bytes.TrimSpace(line)) == 0 || json.Unmarshal(line, &l) != nil {
 		return line, func() {}
 	}
--- a/internal/lab/scenario/leave.go
+++ b/internal/lab/scenario/leave.go
@@ -13,13 +13,13 @@
 	LeaveReset     = "reset"      // it resets the connection
 )
 
-// LeaveWays lists the ways in which a client leaves early.
+// LeaveModes lists the ways in which a client leaves early.
 func LeaveModes() []string { return []string{LeaveClose, LeaveHalfClose, LeaveReset} }
 
-func (s *Scenario) checkLeave(bad func(string, string, ...any) *invalidKey) *invalidKey {
-	for i, way := range s.Traffic.LeaveModes {
-		if !slices.Contains(LeaveModes(), way) {
-			return bad(fmt.Sprintf("traffic.leave[%d]", i), "%q is no way to leave; they are %s", way, strings.Join(LeaveModes(), ", "))
+func (s *Scenario) checkLeaveModes() *invalidKey {
+	for i, mode := range s.Traffic.LeaveModes {
+		if !slices.Contains(LeaveModes(), mode) {
+			return invalid(fmt.Sprintf("traffic.leave[%d]", i), "%q is no way to leave; they are %s", mode, strings.Join(LeaveModes(), ", "))
 		}
 	}
 	return nil
--- a/internal/lab/simulate/faults.go
+++ b/internal/lab/simulate/faults.go
@@ -2,116 +2,157 @@
 
 import (
 	"fmt"
+	"slices"
 
 	"marblelane/balance"
 	"marblelane/internal/lab/record"
 	"marblelane/internal/lab/scenario"
 )
 
-// deadFor is how long a server that is drained and started again is away, in ms, as in the lab.
+// restartTime is how long a server that is drained and started again is down, in ms, as in the lab.
 const restartTime = 1000.0
 
-// addFault lets a fault happen at its times.
+// faultSteps is what a simulated run does for one kind of fault. One of the functions is set.
+type faultSteps struct {
+	kind string
+	// once happens at the fault's time.
+	once func(sim *simulation, p *scenario.FaultPlan)
+	// server is set (on) at each server for the fault's time, and taken back after it.
+	server func(sim *simulation, f *scenario.Fault, s *server, on bool)
+	// link is set (on) at each link of the fault's servers and sidecars, and taken back after its time.
+	link func(f *scenario.Fault, l *link, on bool)
+}
+
+// allFaultSteps are the kinds of faults that simulated runs play. Package scenario marks each as simulated.
+var allFaultSteps = []faultSteps{
+	{kind: scenario.FaultBurst, once: func(*simulation, *scenario.FaultPlan) {}}, // it is in the arrivals already
+	{kind: scenario.FaultSlow, server: func(sim *simulation, f *scenario.Fault, s *server, on bool) {
+		s.slowFactor = sizeIf(on, f)
+		sim.applyServerFaults(s)
+	}},
+	{kind: scenario.FaultHang, server: func(sim *simulation, _ *scenario.Fault, s *server, on bool) {
+		s.hangs = on
+		sim.applyServerFaults(s)
+	}},
+	{kind: scenario.FaultFail, server: func(_ *simulation, f *scenario.Fault, s *server, on bool) { s.failFraction = sizeIf(on, f) }},
+	{kind: scenario.FaultDrop, server: func(_ *simulation, f *scenario.Fault, s *server, on bool) { s.dropFraction = sizeIf(on, f) }},
+	{kind: scenario.FaultKill, once: func(sim *simulation, p *scenario.FaultPlan) {
+		sim.eachServer(p.Servers, func(s *server) { sim.crashServer(s, true) })
+	}},
+	{kind: scenario.FaultRestart, server: func(sim *simulation, _ *scenario.Fault, s *server, on bool) {
+		if on {
+			sim.crashServer(s, true)
+		} else {
+			sim.startServer(s)
+		}
+	}},
+	{kind: scenario.FaultDrain, once: drainAndRestart},
+	{kind: scenario.FaultReplace, once: func(sim *simulation, p *scenario.FaultPlan) {
+		sim.eachServer(p.Replacements, sim.startServer)
+		sim.drainServers(p.Servers, func(s *server) { sim.publish(s, balance.Gone, "Gone", sim.scenario.Discovery.DrainDelay) })
+	}},
+	{kind: scenario.FaultVanish, server: func(sim *simulation, _ *scenario.Fault, s *server, on bool) {
+		for i := range sim.sidecars {
+			sim.setLink(s, i, func(l *link) { l.cutTo, l.cutFrom = on, on })
+			delete(sim.sidecars[i].idle, s.number)
+		}
+	}},
+	{kind: scenario.FaultCut, link: func(f *scenario.Fault, l *link, on bool) {
+		if f.Direction != scenario.DirectionFrom {
+			l.cutTo = on
+		}
+		if f.Direction != scenario.DirectionTo {
+			l.cutFrom = on
+		}
+	}},
+	{kind: scenario.FaultLatency, link: func(f *scenario.Fault, l *link, on bool) {
+		if l.latency = 0; on {
+			l.latency = f.Latency.Milliseconds()
+		}
+	}},
+	{kind: scenario.FaultLose, link: func(f *scenario.Fault, l *link, on bool) { l.answerLoss = sizeIf(on, f) }},
+	{kind: scenario.FaultReject, link: func(_ *scenario.Fault, l *link, on bool) { l.reject = on }},
+}
+
+// FaultKinds lists the kinds of faults that simulated runs play.
+func FaultKinds() []string {
+	var kinds []string
+	for _, steps := range allFaultSteps {
+		kinds = append(kinds, steps.kind)
+	}
+	return kinds
+}
+
+func sizeIf(on bool, f *scenario.Fault) float64 {
+	if on {
+		return f.Size
+	}
+	return 0
+}
+
+// The status of fault records: a fault that happens once, and the start and end of one that lasts.
+const (
+	faultOnce int32 = iota
+	faultStarts
+	faultEnds
+)
+
+// addFault schedules the steps of a fault.
 func (sim *simulation) addFault(p *scenario.FaultPlan) error {
-	f := p.Fault
-	if f.Link == "discovery" {
+	f := &p.Fault
+	if f.Link == scenario.LinkDiscovery {
 		return fmt.Errorf("fault %s of links to discovery: a simulated run has no such links", f.Kind)
 	}
-	at, until := runStart+ms(p.At), runStart+ms(p.Until)
-	mark := func(status int32) {
-		sim.record(record.Event{Kind: record.Fault, Sidecar: record.None, Server: record.None, Class: record.None, Status: status, Note: f.Kind})
+	i := slices.IndexFunc(allFaultSteps, func(steps faultSteps) bool { return steps.kind == f.Kind })
+	if i < 0 {
+		return fmt.Errorf("a simulated run cannot play a fault of the kind %q", f.Kind)
 	}
-	once := func(do func()) error {
-		sim.At(at, func() { mark(0); do() })
-		return nil
-	}
-	each := func(set func(s *server, on bool)) error {
-		for _, on := range []bool{true, false} {
-			when, status := at, int32(1)
-			if !on {
-				when, status = until, 2
-			}
-			sim.At(when, func() {
-				mark(status)
-				for _, i := range p.Servers {
-					set(sim.servers[i], on)
-				}
-			})
-		}
-		return nil
-	}
-	links := func(set func(l *link, on bool)) error {
-		return each(func(s *server, on bool) {
-			for _, i := range p.Sidecars {
-				sim.setLink(s, i, func(l *link) { set(l, on) })
-			}
+	steps := &allFaultSteps[i]
+	start, end := runStart+ms(p.At), runStart+ms(p.Until)
+	if steps.once != nil {
+		sim.At(start, func() {
+			sim.recordFault(f, faultOnce)
+			steps.once(sim, p)
 		})
+		return nil
 	}
-	size := func(on bool) float64 {
-		if on {
-			return f.Size
+	sim.At(start, func() {
+		sim.recordFault(f, faultStarts)
+		sim.setFault(steps, p, true)
+	})
+	sim.At(end, func() {
+		sim.recordFault(f, faultEnds)
+		sim.setFault(steps, p, false)
+	})
+	return nil
+}
+
+func (sim *simulation) recordFault(f *scenario.Fault, status int32) {
+	sim.record(record.Event{Kind: record.Fault, Sidecar: record.None, Server: record.None, Class: record.None, Status: status, Note: f.Kind})
+}
+
+// setFault sets a fault at its servers or links, or takes it back.
+func (sim *simulation) setFault(steps *faultSteps, p *scenario.FaultPlan, on bool) {
+	sim.eachServer(p.Servers, func(s *server) {
+		if steps.server != nil {
+			steps.server(sim, &p.Fault, s, on)
+			return
 		}
-		return 0
-	}
-	switch f.Kind {
-	case "burst": // it is in the arrivals already
-		return once(func() {})
-	case "slow":
-		return each(func(s *server, on bool) { s.slowFactor = size(on); sim.applyServerFaults(s) })
-	case "hang":
-		return each(func(s *server, on bool) { s.hangs = on; sim.applyServerFaults(s) })
-	case "fail":
-		return each(func(s *server, on bool) { s.failFraction = size(on) })
-	case "drop":
-		return each(func(s *server, on bool) { s.dropFraction = size(on) })
-	case "kill":
-		return once(func() { sim.eachServer(p.Servers, func(s *server) { sim.crashServer(s, true) }) })
-	case "restart":
-		return each(func(s *server, on bool) {
-			if on {
-				sim.crashServer(s, true)
-			} else {
-				sim.startServer(s)
-			}
-		})
-	case "drain":
-		if f.KeepServing {
-			return once(func() { sim.eachServer(p.Servers, sim.announceDrain) })
+		for _, i := range p.Sidecars {
+			sim.setLink(s, i, func(l *link) { steps.link(&p.Fault, l, on) })
 		}
-		return once(func() { sim.drainServers(p.Servers, func(s *server) { sim.After(restartTime, func() { sim.startServer(s) }) }) })
-	case "replace":
-		return once(func() {
-			sim.eachServer(p.Replacements, sim.startServer)
-			sim.drainServers(p.Servers, func(s *server) { sim.publish(s, balance.Gone, "Gone", sim.scenario.Discovery.DrainDelay) })
-		})
-	case "vanish":
-		return each(func(s *server, on bool) {
-			for i := range sim.sidecars {
-				sim.setLink(s, i, func(l *link) { l.cutTo, l.cutFrom = on, on })
-				delete(sim.sidecars[i].idle, s.number)
-			}
-		})
-	case "cut":
-		return links(func(l *link, on bool) {
-			if f.Direction != "from" {
-				l.cutTo = on
-			}
-			if f.Direction != "to" {
-				l.cutFrom = on
-			}
-		})
-	case "latency":
-		return links(func(l *link, on bool) {
-			if l.latency = 0; on {
-				l.latency = f.Latency.Milliseconds()
-			}
-		})
-	case "lose":
-		return links(func(l *link, on bool) { l.answerLoss = size(on) })
-	case "refuse":
-		return links(func(l *link, on bool) { l.reject = on })
+	})
+}
+
+// drainAndRestart drains servers. Those that do not keep serving restart after it.
+func drainAndRestart(sim *simulation, p *scenario.FaultPlan) {
+	if p.Fault.KeepServing {
+		sim.eachServer(p.Servers, sim.announceDrain)
+		return
 	}
-	return fmt.Errorf("a simulated run cannot play a fault of the kind %q", f.Kind)
+	sim.drainServers(p.Servers, func(s *server) {
+		sim.After(restartTime, func() { sim.startServer(s) })
+	})
 }
 
 func (sim *simulation) eachServer(numbers []int, do func(*server)) {
@@ -120,7 +161,7 @@
 	}
 }
 
-// setLink changes what is wrong between a server and a sidecar.
+// setLink changes the faults of the link between a server and a sidecar.
 func (sim *simulation) setLink(s *server, sidecar int, change func(*link)) {
 	l := s.links[sidecar]
 	if l == nil {
@@ -132,15 +173,15 @@
 	}
 }
 
-// behave hands what is wrong with a server on to its model.
+// applyServerFaults hands a server's faults on to its model.
 func (sim *simulation) applyServerFaults(s *server) {
 	sim.advance(s.pod)
 	s.pod.model.SetSpeed(s.inPod, s.slowFactor, s.hangs)
 	sim.advance(s.pod)
 }
 
-// drain ends servers in order: they tell that they drain, turn away what is new once all sidecars know and their grace
-// is over, and end.
+// drainServers drains servers and ends them: they announce it, reject new requests once all sidecars are notified and the
+// grace has passed, and stop.
 func (sim *simulation) drainServers(numbers []int, then func(*server)) {
 	wait := sim.scenario.Discovery.DrainDelay.Milliseconds() + sim.scenario.Discovery.Spread.Milliseconds() + sim.scenario.Rules.DrainGrace.Milliseconds()
 	sim.eachServer(numbers, func(s *server) {
--- a/internal/lab/simulate/members_views.go
+++ b/internal/lab/simulate/member_view.go
@@ -1,7 +1,7 @@
 package simulate
 
-// This file models what sidecars hear of each other, in place of internal/membership: delays are drawn evenly from the
-// spans below. What is told of it to a balancer is told as a group tells it: at each change and once a second.
+// This file models what sidecars know of each other, in place of internal/membership. Delays are drawn evenly from the
+// ranges below. A balancer gets the fleet's size at each change and once a second, as from a membership group.
 
 import (
 	"math"
@@ -10,47 +10,53 @@
 	"marblelane/balance"
 )
 
-// The delays in ms, from the least to the most.
+// The delays in ms, from the shortest to the longest.
 var (
-	observeDelay  = [2]float64{200, 1000}  // of a start, of the end of a cut, of an acknowledgement
-	detectDelay = [2]float64{3000, 5000} // until the detector takes one for dead
-	proofDelay = [2]float64{0, 2000}    // ... and it is proved gone, where it is
+	observeDelay = [2]float64{200, 1000}  // of a start, of the end of a cut, of an acknowledgement
+	detectDelay  = [2]float64{3000, 5000} // from a death or a cut until the failure detector notices
+	proofDelay   = [2]float64{0, 2000}    // from there until the member is proved gone
 )
 
 const (
-	admitTimeout = 5000.0 // ms after which a newcomer counts itself in
-	updateInterval   = 250.0  // ms between two looks of a sidecar at what it hears
-	reportInterval   = 1000.0 // ms between two times that a balancer is told the same
-	clockJump        = 1e9    // ms by which the clock of naive counts goes on: they fall at once
+	admitTimeout   = 5000.0 // ms after which a joining member admits itself
+	updateInterval = 250.0  // ms between two updates of a view
+	reportInterval = 1000.0 // ms after which a balancer gets the same size again
+	clockJump      = 1e9    // ms by which the balancer's clock is ahead with CountReachable, so that counts drop at once
 )
 
-// What a sidecar has of another.
+// The flags of a member in a view. Bit k is counted in counts[k].
 const (
-	flagKnown = 1 << iota // not proved gone
-	flagReachable
-	flagSeen // ever known
+	flagKnown     = 1 << iota // not proved gone
+	flagReachable             // not taken for dead by the failure detector
+	flagSeen                  // ever known
+
+	known     = 0
+	reachable = 1
+	seen      = 2
 )
 
-// view is what one sidecar has of the others.
+// memberView is what one sidecar knows of the fleet.
 type memberView struct {
 	flags      []uint8 // by sidecar
-	counts   [3]int  // how many are known, heard, met; itself included
-	pending  []observation
-	startedAt    float64 // start of its process
-	admitted bool
-	fleetSize     balance.FleetSize
-	reportedAt   float64
-	clockJumps    float64
+	counts     [3]int  // members that are known, reachable and seen, itself included
+	pending    []observation
+	startedAt  float64 // start of the sidecar's process
+	admitted   bool
+	fleetSize  balance.FleetSize
+	reportedAt float64
+	clockJumps float64
 }
 
-// hearing is one thing that a sidecar will hear of another.
+// observation is a change of flags that a sidecar will make for a member of an incarnation.
 type observation struct {
-	at       float64
+	at                  float64
 	member, incarnation int
-	set, unset uint8
+	set, unset          uint8
 }
 
-func (m *fleet) drawDelay(span [2]float64) float64 { return span[0] + (span[1]-span[0])*m.rng.Float64() }
+func (m *fleet) drawDelay(span [2]float64) float64 {
+	return span[0] + (span[1]-span[0])*m.rng.Float64()
+}
 
 func (v *memberView) mark(member int, set, unset uint8) {
 	before, after := v.flags[member], v.flags[member]&^unset|set
@@ -60,6 +66,7 @@
 	v.flags[member] = after
 }
 
+// observe schedules a change of flags in the view of a sidecar.
 func (m *fleet) observe(viewer, member int, after float64, set, unset uint8) float64 {
 	at := m.sim.Now() + after
 	v := &m.views[viewer]
@@ -67,7 +74,7 @@
 	return at
 }
 
-// established lets those that are there at the start know each other, as a fleet that has run for long.
+// initViews lets the first sidecars know each other, as in a fleet that has run for long.
 func (m *fleet) initViews() {
 	m.views = make([]memberView, len(m.sim.sidecars))
 	for i := range m.views {
@@ -84,7 +91,7 @@
 	}
 }
 
-// silent is when a process has died.
+// processDied schedules the detection of a death.
 func (m *fleet) processDied(dead int) {
 	for i := range m.views {
 		if i == dead || m.sim.sidecars[i].down {
@@ -92,13 +99,13 @@
 		}
 		gone := m.drawDelay(detectDelay)
 		m.observe(i, dead, gone, 0, flagReachable)
-		if proved := gone + m.drawDelay(proofDelay); m.sides[i] == m.sides[dead] { // else it gets no proof before the cut ends
+		if proved := gone + m.drawDelay(proofDelay); m.sides[i] == m.sides[dead] { // others get no proof before the partition heals
 			m.observe(i, dead, proved, 0, flagKnown)
 		}
 	}
 }
 
-// split lets sidecars of different sides lose each other, and those that come together hear and learn all.
+// partition lets sidecars lose those on the other sides, and meet those on their own.
 func (m *fleet) partition(sides []int) {
 	before := m.sides
 	m.sides = slices.Clone(sides)
@@ -118,8 +125,8 @@
 	}
 }
 
-// join lets processes that have just started and the others hear of each other. A newcomer learns, too, of those that
-// the others have no proof against.
+// join lets processes that have just started and the others observe each other. A joining member learns indirectly of
+// unreachable members that the others have not proved gone.
 func (m *fleet) join(started []int) {
 	fresh := make([]bool, len(m.views))
 	for _, i := range started {
@@ -146,23 +153,23 @@
 	}
 }
 
-// learns lets a newcomer know of one that it cannot hear, as the first of its side that is there has it.
+// learnIndirectly gives a joining member what the first running member on its side knows of an unreachable one.
 func (m *fleet) learnIndirectly(joining, member int) {
 	for k := range m.views {
 		if k == joining || m.sim.sidecars[k].down || m.sides[k] != m.sides[joining] || m.views[k].flags[member]&flagKnown == 0 {
 			continue
 		}
 		m.observe(joining, member, m.drawDelay(observeDelay), flagKnown|flagSeen, 0)
-		for _, h := range m.views[k].pending { // the proof that is on its way comes to all
-			if h.member == member && h.unset&flagKnown != 0 {
-				m.observe(joining, member, math.Max(h.at-m.sim.Now(), observeDelay[1]), 0, flagKnown)
+		for _, o := range m.views[k].pending { // a proof that is under way reaches the joining member, too
+			if o.member == member && o.unset&flagKnown != 0 {
+				m.observe(joining, member, math.Max(o.at-m.sim.Now(), observeDelay[1]), 0, flagKnown)
 			}
 		}
 		return
 	}
 }
 
-// follow tells a sidecar what it hears, as its variant of counting has it, until its process ends.
+// start gives a sidecar the fleet's size by the way of counting, until its process ends.
 func (m *fleet) start(i int) {
 	c := m.sim.sidecars[i]
 	switch m.Count {
@@ -177,19 +184,16 @@
 	}
 }
 
+// update applies the due observations of a sidecar and tells its balancer the fleet's size.
 func (m *fleet) update(i int) {
 	c, v, now := m.sim.sidecars[i], &m.views[i], m.sim.Now()
-	v.pending = slices.DeleteFunc(v.pending, func(h observation) bool {
-		if h.at <= now && m.sim.sidecars[h.member].incarnation == h.incarnation {
-			v.mark(h.member, h.set, h.unset)
+	v.pending = slices.DeleteFunc(v.pending, func(o observation) bool {
+		if o.at <= now && m.sim.sidecars[o.member].incarnation == o.incarnation {
+			v.mark(o.member, o.set, o.unset)
 		}
-		return h.at <= now
+		return o.at <= now
 	})
-	s := balance.FleetSize{Known: v.counts[1], Reachable: v.counts[1], Admitted: true}
-	if m.Count == CountMembership {
-		v.admitted = v.admitted || now-v.startedAt >= admitTimeout || m.isAcknowledged(i)
-		s = balance.FleetSize{Known: v.counts[0] + max(0, m.Peers-v.counts[2]), Reachable: v.counts[1], Admitted: v.admitted}
-	}
+	s := m.fleetSize(i)
 	if s != v.fleetSize || now-v.reportedAt >= reportInterval {
 		v.fleetSize, v.reportedAt = s, now
 		if m.Count == CountReachable {
@@ -201,21 +205,32 @@
 	m.sim.After(updateInterval, c.inThisIncarnation(func() { m.update(i) }))
 }
 
-// acknowledged tells whether all that a newcomer knows know it. Nobody has acknowledged it before the slowest could.
+// fleetSize is the fleet's size as a sidecar counts it now.
+func (m *fleet) fleetSize(i int) balance.FleetSize {
+	v := &m.views[i]
+	if m.Count == CountReachable {
+		return balance.FleetSize{Known: v.counts[reachable], Reachable: v.counts[reachable], Admitted: true}
+	}
+	v.admitted = v.admitted || m.sim.Now()-v.startedAt >= admitTimeout || m.isAcknowledged(i)
+	unseen := max(0, m.Peers-v.counts[seen])
+	return balance.FleetSize{Known: v.counts[known] + unseen, Reachable: v.counts[reachable], Admitted: v.admitted}
+}
+
+// isAcknowledged tells whether all that a joining member knows know it, and the slowest had the time to answer.
 func (m *fleet) isAcknowledged(joining int) bool {
 	v := &m.views[joining]
-	if m.sim.Now()-v.startedAt < observeDelay[1] || v.counts[0] != v.counts[1] {
+	if m.sim.Now()-v.startedAt < observeDelay[1] || v.counts[known] != v.counts[reachable] {
 		return false
 	}
-	for i, has := range v.flags {
-		if has&flagKnown != 0 && m.views[i].flags[joining]&flagKnown == 0 {
+	for i, flags := range v.flags {
+		if flags&flagKnown != 0 && m.views[i].flags[joining]&flagKnown == 0 {
 			return false
 		}
 	}
 	return true
 }
 
-// tellNaive tells a count that falls at once: the time that this news is told at is far after that of the last.
+// handleReachable tells a size that drops at once: the balancer's clock is far ahead of the last time.
 func (m *fleet) handleReachable(c *sidecar, s balance.FleetSize) {
 	v := &m.views[c.number]
 	v.clockJumps++
@@ -224,7 +239,7 @@
 	}
 }
 
-// part is a sidecar's part of what is assumed together, as it acts on it.
+// quota is the fraction of the fleet's allowance that a sidecar assumes to be its own.
 func (m *fleet) quota(i int) float64 {
 	switch m.Count {
 	case CountNone, CountFixed:
--- a/internal/lab/simulate/simulate.go
+++ b/internal/lab/simulate/simulate.go
@@ -1,13 +1,12 @@
-// Package simulate plays a scenario on a simulated clock: the real decision module of each sidecar (package balance)
-// between the model of servers that the lab's stand-ins have, clients that do as the lab's, and links with faults. A
-// thousand sidecars and two thousand servers fit into one process, and a run is its seed's, byte for byte.
+// Package simulate plays a scenario on a simulated clock. Each sidecar has the real decision module (package balance);
+// clients, links with faults and servers are simulated, the latter by the model of the lab's stand-in servers. A thousand
+// sidecars and two thousand servers fit into one process, and the same seed gives the same run, byte for byte.
 //
-// It writes the records that a run of processes writes, so the same rules and figures come of them. It leaves out what
-// has no part in a decision: sockets, processor time and memory, batches of events, bodies. Way not taken: a model of
-// the balancer; what is simulated is the world around it, never it.
+// It writes the records that a run of processes writes, so that the same invariants and measures apply. It leaves out what
+// has no part in a decision: sockets, processor time and memory, batches of events, bodies.
 //
-// Failure modes: a scenario with a fault that it cannot play is an error that names the fault; a module that asks for
-// something the world does not know is one too.
+// Failure modes: a scenario with a fault that it cannot play is an error that names the fault; so is an action of the
+// balancer for an unknown request.
 package simulate
 
 import (
@@ -17,6 +16,7 @@
 	"fmt"
 	"math"
 	"math/rand/v2"
+	"net/http"
 	"slices"
 	"time"
 
@@ -29,41 +29,41 @@
 	"marblelane/internal/wire"
 )
 
-// Options are what a run may be given beside its plan.
+// Options are the options of a run.
 type Options struct {
-	// Change alters the settings of a sidecar before it starts, to compare; nil: it does not.
+	// ChangeConfig changes the configuration of a sidecar before it starts; nil: it stays.
 	ChangeConfig func(sidecar int, cfg *balance.Config)
-	// Progress is told now and then how far the run is, as a share; nil: nobody is.
-	Progress func(share float64)
-	// Observe is given the actions of a sidecar's balancer in order, and must not keep the slice; nil: nobody is.
+	// Progress is called now and then with the fraction of the run that is done; nil: it is not reported.
+	Progress func(fraction float64)
+	// Observe is given the actions of a sidecar's balancer in order, and must not keep the slice. It may be nil.
 	Observe func(sidecar int, actions []balance.Action)
-	// Members lets the fleet of sidecars change, and tells them how many they are; nil: it stays as it is, untold.
+	// Members lets the fleet of sidecars change; nil: it stays, and sidecars get no count.
 	Members *Members
 }
 
-// Run is what came of it.
+// Run is the result of a run.
 type Run struct {
-	Events []record.Event // by time
+	Events   []record.Event // by time
 	WorkDone float64        // by all servers, in milliseconds of a core of speed 1
-	Sends  []Send         // by time
+	Sends    []Send         // by time
 
 	Members *MembersResult // nil: the fleet did not change
 }
 
-// begin is the simulated time at which a run begins: a server's start at 0 means long ago.
+// runStart is the simulated time in ms at which a run starts. A server's start at 0 means long ago.
 const runStart = 1000.0
 
-// listen is how long after its time a client still listens, as the lab's clients do.
+// lateAnswerWait is how long in ms a client still reads after its timeout, as the lab's clients do.
 const lateAnswerWait = 500.0
 
-// tail is how long after the last arrival a run goes on at most.
+// maxTail is how long in ms a run goes on after its length at most.
 const maxTail = 20000.0
 
-// world is a run under way.
+// simulation is a run in progress.
 type simulation struct {
 	simclock.Clock
 	plan     *scenario.Plan
-	scenario        *scenario.Scenario
+	scenario *scenario.Scenario
 	rng      *rand.Rand
 	events   []record.Event
 	sends    []Send
@@ -75,49 +75,49 @@
 }
 
 type pod struct {
-	model *stock.SimulatedPod
-	nextCheck  float64 // when it is looked at next; negative: not
+	model     *stock.SimulatedPod
+	nextCheck float64 // when it is advanced next; negative: not scheduled
 }
 
 type server struct {
-	number, inPod int
-	pod           *pod
-	entry         balance.Server
-	down          bool
-	bootMS        int64
-	failFraction, dropFraction    float64
-	hangs, rejects   bool
-	slowFactor          float64
-	links         map[int]*link // by sidecar, where they are not as the network has them
-	connections         int16
-	listVersion   int            // changes of it that were published
-	listed        balance.Server // as discovery has it now; followed only where sidecars may start later
-	listedVersion    int            // the change that listed is of
-	slowStart       *slowStartLoad       // since its last start, where that is followed
+	number, inPod              int
+	pod                        *pod
+	entry                      balance.Server
+	down                       bool
+	bootMS                     int64
+	failFraction, dropFraction float64
+	hangs, rejects             bool
+	slowFactor                 float64
+	links                      map[int]*link // by sidecar, where they have faults
+	connections                int16
+	listVersion                int            // number of its published changes
+	listed                     balance.Server // as discovery has it now; maintained only where sidecars may start later
+	listedVersion              int            // listVersion of listed
+	slowStart                  *slowStartLoad // since its last start; nil: not tracked
 }
 
-// link is what is wrong between one sidecar and one server.
+// link holds the faults of the link between one sidecar and one server.
 type link struct {
 	cutTo, cutFrom bool // cut
-	reject   bool
+	reject         bool
 	answerLoss     float64
-	latency  float64 // 0: as the network has it
+	latency        float64 // 0: as the network has it
 }
 
 type sidecar struct {
-	number  int
-	sim       *simulation
-	observe func(sidecar int, actions []balance.Action) // nil: nobody does
-	balancer       *balance.Balancer
-	config     balance.Config
-	attempts   map[balance.RequestID]*clientAttempt
-	idle    map[int][]float64 // by server: until when each kept connection is open
-	notifiedVersion   map[int]int       // by server: the last change that it was told
-	down    bool              // no process runs
-	incarnation    int               // grows with each end of a process
+	number          int
+	sim             *simulation
+	observe         func(sidecar int, actions []balance.Action) // may be nil
+	balancer        *balance.Balancer
+	config          balance.Config
+	attempts        map[balance.RequestID]*clientAttempt
+	idle            map[int][]float64 // by server: until when each idle connection is open
+	notifiedVersion map[int]int       // by server: listVersion of the last notice
+	down            bool              // no process runs
+	incarnation     int               // number of processes that have ended
 }
 
-// Play plays a plan.
+// Play runs a plan.
 func Play(ctx context.Context, plan *scenario.Plan, o Options) (*Run, error) {
 	s := plan.Scenario
 	if s.Registry.Replicas > 0 || s.Discovery.RegistryReplicas > 0 {
@@ -169,7 +169,7 @@
 	return out, nil
 }
 
-// quiet tells whether no client waits for anything.
+// idle tells whether no client attempt is in flight.
 func (sim *simulation) idle() bool {
 	for _, c := range sim.sidecars {
 		if len(c.attempts) > 0 {
@@ -181,7 +181,7 @@
 
 func ms(d time.Duration) float64 { return float64(d) / float64(time.Millisecond) }
 
-// clock is the time of the run as records and servers have it.
+// elapsed is the time since the start of the run, as in records.
 func (sim *simulation) elapsed() time.Duration {
 	return time.Duration(math.Round((sim.Now() - runStart) * float64(time.Millisecond)))
 }
@@ -240,84 +240,90 @@
 	return nil
 }
 
-// begin starts the process of a sidecar with the list as it is then.
-func (sidecar *sidecar) start(list []balance.Server) {
-	if sidecar.down {
+// start starts the process of a sidecar with a list of servers.
+func (sc *sidecar) start(list []balance.Server) {
+	if sc.down {
 		return
 	}
-	sidecar.execute(sidecar.balancer.Start(sidecar.sim.Now()))
-	sidecar.handle(balance.ServerList{Kind: balance.ListFull, Servers: list})
+	sc.execute(sc.balancer.Start(sc.sim.Now()))
+	sc.handle(balance.ServerList{Kind: balance.ListFull, Servers: list})
 	for _, e := range list {
 		number := int(e.ID) - 1
-		sidecar.notifiedVersion[number] = sidecar.sim.servers[number].listedVersion
-		sidecar.sim.record(record.Event{Kind: record.Notified, Sidecar: int32(sidecar.number), Server: int32(number), Class: record.None, Note: "Ready"})
+		sc.notifiedVersion[number] = sc.sim.servers[number].listedVersion
+		sc.sim.record(record.Event{Kind: record.Notified, Sidecar: int32(sc.number), Server: int32(number), Class: record.None, Note: "Ready"})
 	}
 }
 
-// tell gives a sidecar an event and does what it wants.
-func (sidecar *sidecar) handle(ev balance.Event) {
-	if sidecar.down {
+// handle gives an event to the balancer and executes its actions.
+func (sc *sidecar) handle(ev balance.Event) {
+	if sc.down {
 		return
 	}
-	actions, err := sidecar.balancer.Handle(sidecar.sim.Now(), ev)
+	actions, err := sc.balancer.Handle(sc.sim.Now(), ev)
 	if err != nil {
-		sidecar.sim.failed = fmt.Errorf("sidecar %d, %T: %w", sidecar.number, ev, err)
+		sc.sim.failed = fmt.Errorf("sidecar %d, %T: %w", sc.number, ev, err)
 		return
 	}
-	sidecar.execute(actions)
+	sc.execute(actions)
 }
 
-// act does what a balancer wants, in order. What it leads to happens later: the balancer is not called again from here.
-func (sidecar *sidecar) execute(actions []balance.Action) {
-	sim := sidecar.sim
-	if sidecar.observe != nil {
-		sidecar.observe(sidecar.number, actions)
+// execute executes a balancer's actions in order. The balancer must not be called from here: results come later.
+func (sc *sidecar) execute(actions []balance.Action) {
+	sim := sc.sim
+	if sc.observe != nil {
+		sc.observe(sc.number, actions)
 	}
 	for _, a := range slices.Clone(actions) {
-		t := sidecar.attempts[a.Request]
+		attempt := sc.attempts[a.Request]
 		switch a.Kind {
 		case balance.Send:
-			if t == nil {
-				sim.failed = fmt.Errorf("sidecar %d sends request %d, which no client waits for", sidecar.number, a.Request)
+			if attempt == nil {
+				sim.failed = fmt.Errorf("sidecar %d sends request %d, which no client waits for", sc.number, a.Request)
 				return
 			}
-			t.send(sim.servers[a.Server-1], a.At)
+			attempt.send(sim.servers[a.Server-1], a.At)
 		case balance.Reject:
-			t.answer(429, a.At)
+			attempt.answer(http.StatusTooManyRequests, a.At)
 		case balance.Fail:
-			t.answer(504, 0)
+			attempt.answer(http.StatusGatewayTimeout, 0)
 		case balance.Cancel:
-			if t != nil && a.Attempt < len(t.attempts) {
-				t.attempts[a.Attempt].cancel()
+			if attempt != nil && a.Attempt < len(attempt.attempts) {
+				attempt.attempts[a.Attempt].cancel()
 			}
 		case balance.SetTimer:
-			sim.After(a.At, sidecar.inThisIncarnation(func() { sidecar.handle(balance.Timer{Token: a.Token}) }))
+			sim.After(a.At, sc.inThisIncarnation(func() { sc.handle(balance.Timer{Token: a.Token}) }))
 		case balance.HealthCheck:
-			// Only where the settings allow it; one costs what it costs and tells no more than that the process runs.
-			s := sim.servers[a.Server-1]
-			l := sim.link(sidecar, s)
-			result, wait := balance.OK, 2*sim.latency(sidecar, s)
-			if s.down || l.reject {
-				result = balance.ConnectFailed
-			} else if l.cutTo || l.cutFrom || s.hangs {
-				result, wait = balance.TimedOut, connectTimeout
-			}
-			sim.After(wait, sidecar.inThisIncarnation(func() { sidecar.handle(balance.HealthCheckResult{Server: a.Server, Result: result, Elapsed: wait}) }))
+			sc.checkHealth(sim.servers[a.Server-1])
 		}
 	}
 }
 
-// alive is what happens only while the process runs that it was set by.
-func (sidecar *sidecar) inThisIncarnation(do func()) func() {
-	life := sidecar.incarnation
+// checkHealth asks a server whether its process runs.
+func (sc *sidecar) checkHealth(s *server) {
+	l := sc.sim.link(sc, s)
+	result, wait := balance.OK, 2*sc.sim.latency(sc, s)
+	switch {
+	case s.down || l.reject:
+		result = balance.ConnectFailed
+	case l.cutTo || l.cutFrom || s.hangs:
+		result, wait = balance.TimedOut, connectTimeout
+	}
+	sc.sim.After(wait, sc.inThisIncarnation(func() {
+		sc.handle(balance.HealthCheckResult{Server: s.entry.ID, Result: result, Elapsed: wait})
+	}))
+}
+
+// inThisIncarnation wraps a callback that is skipped if the sidecar's process has ended by then.
+func (sc *sidecar) inThisIncarnation(do func()) func() {
+	incarnation := sc.incarnation
 	return func() {
-		if sidecar.incarnation == life {
+		if sc.incarnation == incarnation {
 			do()
 		}
 	}
 }
 
-// link is what is wrong between a sidecar and a server.
+// link gives the faults of the link between a sidecar and a server.
 func (sim *simulation) link(c *sidecar, s *server) link {
 	if l := s.links[c.number]; l != nil {
 		return *l
@@ -325,7 +331,7 @@
 	return link{}
 }
 
-// latency is one way between a sidecar and a server.
+// latency draws the one-way latency between a sidecar and a server, in ms.
 func (sim *simulation) latency(c *sidecar, s *server) float64 {
 	if l := s.links[c.number]; l != nil && l.latency > 0 {
 		return l.latency
@@ -334,7 +340,7 @@
 	return base * (1 + sim.scenario.Network.Jitter*(2*sim.rng.Float64()-1))
 }
 
-// advance brings a pod to now and comes again when something ends in it.
+// advance brings a pod's model to the current time and schedules the next end of work in it.
 func (sim *simulation) advance(p *pod) {
 	next := p.model.Advance(sim.elapsed())
 	if next < 0 {
@@ -342,7 +348,7 @@
 		return
 	}
 	due := math.Max(runStart+ms(next), sim.Now())
-	if p.nextCheck >= sim.Now() && p.nextCheck <= due { // already coming, soon enough
+	if p.nextCheck >= sim.Now() && p.nextCheck <= due { // already scheduled, soon enough
 		return
 	}
 	p.nextCheck = due
@@ -354,8 +360,8 @@
 	})
 }
 
-// publish tells all sidecars of a server after the notice that this news takes, the last a spread later than the first.
-// News that later news have overtaken are not told: discovery never goes back, as the lab's agents never do.
+// publish notifies all sidecars of a server's state after a delay, the last one a spread later than the first. A notice
+// that a later version has overtaken is dropped: discovery never goes back, as in the lab's agents.
 func (sim *simulation) publish(s *server, state balance.ServerState, name string, delay scenario.Duration) {
 	s.listVersion++
 	e, boot, version := s.entry, s.bootMS, s.listVersion
@@ -389,7 +395,7 @@
 	s.down = true
 	s.pod.model.Kill(s.inPod)
 	sim.advance(s.pod)
-	var cut []*serverAttempt // in the order of their sends: a map has none, and a run is its seed's
+	var cut []*serverAttempt // in the order of their sends, as the order of a map is random
 	for _, c := range sim.sidecars {
 		delete(c.idle, s.number)
 		for _, t := range c.attempts {
--- a/internal/registry/config.go
+++ b/internal/registry/config.go
@@ -10,11 +10,16 @@
 
 	"marblelane/internal/fault"
 	"marblelane/internal/membership"
+	"marblelane/internal/membership/addrcheck"
+	"marblelane/internal/registry/listserver"
+	"marblelane/internal/registry/operators"
+	"marblelane/internal/registry/recovery"
+	"marblelane/internal/registry/routeleader"
 	"marblelane/internal/retry"
 	"marblelane/internal/tomlfile"
 )
 
-// file is a replica's configuration as its file has it.
+// file is the configuration file of a replica.
 type file struct {
 	Name   string `toml:"name"`
 	Listen string `toml:"listen"`
@@ -23,8 +28,8 @@
 
 	Advertise string `toml:"advertise"`
 
-	Join  bool   `toml:"join"`
-	Peers []Peer `toml:"peer"`
+	Join  bool              `toml:"join"`
+	Peers []listserver.Peer `toml:"peer"`
 
 	Keep               int               `toml:"keep"`
 	Beat               tomlfile.Duration `toml:"beat"`
@@ -34,7 +39,7 @@
 	MaxStaleness       tomlfile.Duration `toml:"most_stale"`
 	MaxExpiredFraction float64           `toml:"hold_share"`
 
-	Routes string `toml:"routes"` // the operators' file, from this file's folder; empty: routes are off
+	Routes string `toml:"routes"` // path of the operators' file, relative to this file; empty: routes are off
 
 	Members *membership.Section `toml:"members"` // absent: off
 
@@ -44,8 +49,24 @@
 	Faults      string            `toml:"lab_faults"` // a file of the lab's, see package fault
 }
 
-// LoadConfig reads a replica's configuration. A file that cannot be opened or read for a moment is tried again, for up
-// to retry.StartLimit, which Open shares. Errors name file, line and key.
+// membersConfig returns the configuration of the membership group; nil: off.
+func (f *file) membersConfig() (*membership.Config, error) {
+	if f.Members == nil {
+		return nil, nil
+	}
+	c, err := f.Members.Config() // its errors name the key
+	if err != nil {
+		return nil, err
+	}
+	c.Name, c.Role, c.Observer = f.Name, listserver.MemberRole, true
+	if err := addrcheck.Check(c); err != nil {
+		return nil, fmt.Errorf("this copy as a member: %w", err)
+	}
+	return &c, nil
+}
+
+// LoadConfig reads the configuration of a replica. Transient read failures are retried for up to retry.StartLimit, which
+// Open shares. Errors name file, line and key.
 func LoadConfig(path string) (Config, error) { return loadConfig(path, os.ReadFile) }
 
 func loadConfig(path string, readFile func(path string) ([]byte, error)) (Config, error) {
@@ -62,7 +83,7 @@
 		return Config{}, fmt.Errorf("configuration %w", err)
 	}
 	c := Config{start: start, Name: f.Name, Listen: f.Listen, Raft: f.Raft, Advertise: f.Advertise, Dir: f.Dir, Join: f.Join, Peers: f.Peers, Keep: f.Keep,
-		Beat: time.Duration(f.Beat), SlowDisk: time.Duration(f.SlowDisk), Options: Options{Batch: time.Duration(f.Batch), Watches: f.Watches, Burst: f.Burst,
+		Beat: time.Duration(f.Beat), SlowDisk: time.Duration(f.SlowDisk), Options: listserver.Options{Batch: time.Duration(f.Batch), Watches: f.Watches, Burst: f.Burst,
 			MaxStaleness: time.Duration(f.MaxStaleness), MaxExpiredFraction: f.MaxExpiredFraction, EachEncodes: f.EachEncodes, Planted: f.RouteDefect}}
 	err := c.check()
 	if err != nil {
@@ -78,14 +99,14 @@
 		if !filepath.IsAbs(f.Routes) {
 			f.Routes = filepath.Join(filepath.Dir(path), f.Routes)
 		}
-		if c.Operators, err = LoadOperators(f.Routes); err != nil {
+		if c.Operators, err = operators.Load(f.Routes); err != nil {
 			return Config{}, fmt.Errorf("configuration %s: routes: %w", path, err)
 		}
 	}
 	return c, nil
 }
 
-// check finds what cannot be meant.
+// check validates the configuration.
 func (c *Config) check() error {
 	for _, k := range []struct{ key, value string }{{"name", c.Name}, {"listen", c.Listen}, {"raft", c.Raft}} {
 		if k.value == "" {
@@ -104,8 +125,8 @@
 		return errors.New("watches_per_s: it or watch_burst is negative")
 	case c.MaxExpiredFraction < 0 || c.MaxExpiredFraction > 1:
 		return errors.New("hold_share: is not between 0 and 1")
-	case !defect(c.Planted).known():
-		return fmt.Errorf("lab_route_defect: %q is none of %v", c.Planted, defects())
+	case !routeleader.Defect(c.Planted).Known():
+		return fmt.Errorf("lab_route_defect: %q is none of %v", c.Planted, routeleader.Defects())
 	case c.Join && len(c.Peers) > 0:
 		return errors.New("join: a copy that joins has no peers of its own; the leader tells it")
 	}
@@ -123,3 +144,21 @@
 	}
 	return nil
 }
+
+// RecoveryTarget is the replica as package recovery restores it.
+func (c *Config) RecoveryTarget() recovery.Target {
+	address := c.advertised()
+	if address == "" {
+		address = c.Raft
+	}
+	return recovery.Target{Name: c.Name, Dir: c.Dir, Raft: address, Join: c.Join}
+}
+
+// Endpoints are the HTTP addresses of this replica and of its peers.
+func (c *Config) Endpoints() []recovery.Endpoint {
+	all := []recovery.Endpoint{{Name: c.Name, Address: c.Listen}}
+	for _, p := range c.Peers {
+		all = append(all, recovery.Endpoint{Name: p.Name, Address: p.Serve})
+	}
+	return all
+}
--- a/internal/registry/node.go
+++ b/internal/registry/node.go
@@ -1,6 +1,7 @@
 package registry
 
 import (
+	"cmp"
 	"context"
 	"encoding/json"
 	"errors"
@@ -21,10 +22,15 @@
 	"marblelane/internal/fault"
 	"marblelane/internal/listener"
 	"marblelane/internal/membership"
+	"marblelane/internal/registry/listserver"
+	"marblelane/internal/registry/routeleader"
+	"marblelane/internal/registry/state"
+	"marblelane/internal/registry/storage"
+	"marblelane/internal/registry/transport"
 	"marblelane/internal/retry"
 )
 
-// Config is one replica of the service.
+// Config configures a replica.
 type Config struct {
 	Name   string // its name among the replicas
 	Listen string // where it serves readers and writers
@@ -32,9 +38,9 @@
 	Dir    string // its folder; empty: it keeps nothing, for development alone
 	// Advertise is where the other replicas reach raft; empty: as the peers have it, or where it listens.
 	Advertise string
-	Peers     []Peer // all copies of a cluster that is founded now, itself too; empty: it founds one alone or joins later
-	Join      bool   // wait to be added to a cluster, found none
-	Keep      int    // changes kept for watchers that come back; 10,000
+	Peers     []listserver.Peer // all copies of a cluster that is founded now, itself too; empty: it founds one alone or joins later
+	Join      bool              // wait to be added to a cluster, found none
+	Keep      int               // changes kept for watchers that come back; 10,000
 	// Beat is the time between a leader's heartbeats; elections follow after a few of them. 200 ms.
 	Beat time.Duration
 	// SlowDisk is how long a write may take; a leader whose writes all take longer gives its place up. Five beats.
@@ -43,51 +49,58 @@
 	Members  *membership.Config // nil: off
 	start    *retry.Start       // what LoadConfig began; nil: nothing
 
-	Options
+	listserver.Options
 
 	reopened bool // a replica was opened from the folder before: one without a log is not the replica's
 }
 
-// Peer is a replica as others know it.
-type Peer struct {
-	Name  string `toml:"name" json:"name"`
-	Raft  string `toml:"raft" json:"raft"`
-	Serve string `toml:"serve" json:"serve"`
+// advertised is where the other replicas reach this one: as the peers have it, or where it listens.
+func (c *Config) advertised() string {
+	if c.Advertise != "" {
+		return c.Advertise
+	}
+	for _, p := range c.Peers {
+		if p.Name == c.Name {
+			return p.Raft
+		}
+	}
+	return ""
 }
 
 // Node is one running replica.
 type Node struct {
 	cfg         Config
 	raft        *raft.Raft
-	transport   *transport
-	regressions *regressionDetector
+	transport   *transport.Transport
+	regressions *transport.RegressionDetector
 	readers     readerRevisions
 	fresh       freshness
-	hub         *hub
-	server      *Server
-	members     *members // nil: off
+	hub         *listserver.Hub
+	server      *listserver.Server
+	routes      *routeleader.Routing
+	members     *listserver.Members // nil: off
 	http        *http.Server
 	listen      net.Listener
-	raftAt      net.Addr // where raft listens
-	store       *store   // nil: nothing is kept
-	close       []func() error
+	raftAt      net.Addr       // where raft listens
+	store       *storage.Store // nil: nothing is kept
+	closers     []func() error
 	log         *slog.Logger
-	// settled is the last term in which this replica led and had applied all that was committed before it.
+	// readyTerm is the last term in which this replica led and had applied all that was committed before it.
 	readyTerm atomic.Uint64
 }
 
 // Open starts the replica's raft and binds its address; Run serves.
 func Open(cfg Config) (n *Node, err error) {
-	cfg.defaults()
+	cfg.SetDefaults()
 	if cfg.Keep == 0 {
 		cfg.Keep = 10_000
 	}
-	orDuration(&cfg.Beat, 200*time.Millisecond)
-	orDuration(&cfg.SlowDisk, 5*cfg.Beat)
-	n = &Node{cfg: cfg, hub: newHub(cfg.Keep), log: cfg.Log}
+	cfg.Beat = cmp.Or(cfg.Beat, 200*time.Millisecond)
+	cfg.SlowDisk = cmp.Or(cfg.SlowDisk, 5*cfg.Beat)
+	n = &Node{cfg: cfg, hub: listserver.NewHub(cfg.Keep), log: cfg.Log}
 	defer func(opened *Node) {
 		if err != nil {
-			opened.shut()
+			opened.closeAll()
 		}
 	}(n)
 	start := cfg.start
@@ -102,16 +115,17 @@
 		return nil, fmt.Errorf("registry: listen: %w", err)
 	}
 	n.listen = listener.Wrap(l, "registry", cfg.Log)
-	n.close = append(n.close, n.listen.Close)
-	n.server = newServer(n.hub, n, cfg.Options)
-	if n.members = newMembers(cfg.Members, cfg.Options); n.members != nil {
-		n.server.join(n.members)
+	n.closers = append(n.closers, n.listen.Close)
+	n.server = listserver.New(n.hub, n, cfg.Options)
+	n.routes = routeleader.New(n.server, n.hub, n, routeleader.Config{Name: cfg.Name, Wall: cfg.Faults.Now, Planted: cfg.Planted, Log: cfg.Log})
+	n.server.Mount(n.routes)
+	if n.members = listserver.NewMembers(cfg.Members, cfg.Options); n.members != nil {
+		n.server.Join(n.members)
 	}
-	n.server.routes.name, n.server.routes.wall = cfg.Name, cfg.Faults.Now
 	if err := n.openRaft(start); err != nil {
 		return nil, err
 	}
-	n.http = &http.Server{Handler: n.readers.watched(n.server.Handler()), ReadHeaderTimeout: 5 * time.Second,
+	n.http = &http.Server{Handler: n.readers.observeRequests(n.server.Handler()), ReadHeaderTimeout: 5 * time.Second,
 		ErrorLog: slog.NewLogLogger(cfg.Log.Handler(), slog.LevelDebug)}
 	return n, nil
 }
@@ -130,13 +144,13 @@
 	if err := n.bootstrap(c, st, wire); err != nil {
 		return err
 	}
-	if n.raft, err = raft.NewRaft(c, (*machine)(n), st.logs, st.stable, st.snaps, n.regressions); err != nil {
+	if n.raft, err = raft.NewRaft(c, (*stateMachine)(n), st.logs, st.stable, st.snaps, n.regressions); err != nil {
 		return fmt.Errorf("registry: raft: %w", err)
 	}
-	n.transport.wanted = n.follows
-	n.close = append(n.close, func() error {
+	n.transport.NeedsEntries = n.follows
+	n.closers = append(n.closers, func() error {
 		ended := n.raft.Shutdown()
-		n.transport.stop() // raft waits for pending sends
+		n.transport.Stop() // raft waits for pending sends
 		return ended.Error()
 	})
 	if err := n.diskFailure(); err != nil {
@@ -159,59 +173,59 @@
 }
 
 // storage is what raft persists: its log, its term and vote, and snapshots.
-type storage struct {
+type raftStores struct {
 	logs   raft.LogStore
 	stable raft.StableStore
 	snaps  raft.SnapshotStore
 }
 
 // openStorage opens the data directory, after recovery, or storage in memory if none is configured.
-func (n *Node) openStorage(logger hclog.Logger) (*storage, error) {
+func (n *Node) openStorage(logger hclog.Logger) (*raftStores, error) {
 	if n.cfg.Dir == "" {
 		mem := raft.NewInmemStore()
-		return &storage{mem, mem, raft.NewInmemSnapshotStore()}, nil
+		return &raftStores{mem, mem, raft.NewInmemSnapshotStore()}, nil
 	}
 	if n.cfg.reopened {
-		if _, err := os.Stat(filepath.Join(n.cfg.Dir, storeFile)); err != nil {
+		if _, err := os.Stat(filepath.Join(n.cfg.Dir, storage.StoreFile)); err != nil {
 			return nil, fmt.Errorf("registry: %w", err)
 		}
 	}
-	release, err := takeDir(n.cfg.Dir)
+	release, err := storage.LockDir(n.cfg.Dir)
 	if err != nil {
 		return nil, fmt.Errorf("registry: %w", err)
 	}
-	n.close = append(n.close, release)
-	if err := recoverDir(n.cfg.Dir, n.log); err != nil {
+	n.closers = append(n.closers, release)
+	if err := storage.Recover(n.cfg.Dir, n.log); err != nil {
 		return nil, fmt.Errorf("registry: %w", err)
 	}
-	file, err := openStore(filepath.Join(n.cfg.Dir, storeFile), n.cfg.SlowDisk, n.cfg.Faults)
+	file, err := storage.OpenStore(filepath.Join(n.cfg.Dir, storage.StoreFile), n.cfg.SlowDisk, n.cfg.Faults)
 	if err != nil {
 		return nil, fmt.Errorf("registry: log: %w", err)
 	}
 	n.store = file
-	file.onFailure = func(err error) { n.log.Error("registry: the disk takes no more", "error", err) }
-	n.close = append(n.close, file.Close)
-	files, err := openSnapshots(n.cfg.Dir, logger, n.log)
+	file.OnFailure = func(err error) { n.log.Error("registry: the disk takes no more", "error", err) }
+	n.closers = append(n.closers, file.Close)
+	files, err := storage.OpenSnapshots(n.cfg.Dir, logger, n.log)
 	if err != nil {
 		return nil, fmt.Errorf("registry: snapshots in %s: %w", n.cfg.Dir, err)
 	}
-	return &storage{file, termStore{file}, files}, nil
+	return &raftStores{file, storage.TermStore{Store: file}, files}, nil
 }
 
 // openTransport listens for raft and sets up the transport; a busy address is retried until start gives up.
-func (n *Node) openTransport(start *retry.Start, logger hclog.Logger) (*transport, error) {
-	var streams *layer
+func (n *Node) openTransport(start *retry.Start, logger hclog.Logger) (*transport.Transport, error) {
+	var streams *transport.StreamLayer
 	if err := start.Do("raft", func() (failed error) {
-		streams, failed = listenRaft(n.cfg.Raft, n.cfg.advertised())
+		streams, failed = transport.Listen(n.cfg.Raft, n.cfg.advertised())
 		return failed
 	}); err != nil {
 		return nil, fmt.Errorf("registry: raft at %s: %w", n.cfg.Raft, err)
 	}
-	wire := newTransport(raft.NewNetworkTransportWithConfig(&raft.NetworkTransportConfig{
+	wire := transport.New(raft.NewNetworkTransportWithConfig(&raft.NetworkTransportConfig{
 		Stream: streams, MaxPool: 3, Timeout: 10 * n.cfg.Beat, Logger: logger}), n.cfg.Beat)
 	n.raftAt = streams.Listener.Addr()
-	n.transport, n.regressions = wire, newRegressionDetector(wire, n.log)
-	n.close = append(n.close, func() error {
+	n.transport, n.regressions = wire, transport.NewRegressionDetector(wire, n.log)
+	n.closers = append(n.closers, func() error {
 		wire.CloseStreams() // closes the other replicas' ends, too
 		return wire.Close()
 	})
@@ -220,7 +234,7 @@
 
 // bootstrap writes the founding configuration at the first start of a founder, or completes one that was interrupted.
 // It runs before raft does: a replica that has taken part in an election must not bootstrap any more.
-func (n *Node) bootstrap(c *raft.Config, st *storage, wire *transport) error {
+func (n *Node) bootstrap(c *raft.Config, st *raftStores, wire *transport.Transport) error {
 	old, err := raft.HasExistingState(st.logs, st.stable, st.snaps)
 	if err != nil {
 		return fmt.Errorf("registry: %w", err)
@@ -244,11 +258,11 @@
 	return nil
 }
 
-// founders are the copies of a cluster that is founded now.
-func (n *Node) founders(wire *transport) (out raft.Configuration) {
+// founders is the initial configuration of a new cluster.
+func (n *Node) founders(wire *transport.Transport) (out raft.Configuration) {
 	peers := n.cfg.Peers
 	if len(peers) == 0 {
-		peers = []Peer{{Name: n.cfg.Name, Raft: string(wire.LocalAddr()), Serve: n.Addr()}}
+		peers = []listserver.Peer{{Name: n.cfg.Name, Raft: string(wire.LocalAddr()), Serve: n.Addr()}}
 	}
 	for _, p := range peers {
 		out.Servers = append(out.Servers, raft.Server{ID: raft.ServerID(p.Name), Address: raft.ServerAddress(p.Raft)})
@@ -256,15 +270,15 @@
 	return out
 }
 
-// Addr is where readers and writers come.
+// Addr is the address of the HTTP API.
 func (n *Node) Addr() string { return n.listen.Addr().String() }
 
-// Server is what answers them.
-func (n *Node) Server() *Server { return n.server }
+// Server is the HTTP API of the list.
+func (n *Node) Server() *listserver.Server { return n.server }
 
-// Run serves until ctx ends, or the folder refuses a write: then with a *DiskError, and all is closed.
+// Run serves until ctx ends or a disk write fails; then it closes the replica and returns a *DiskError.
 func (n *Node) Run(ctx context.Context) error {
-	defer n.shut()
+	defer n.closeAll()
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	var wg sync.WaitGroup
@@ -273,9 +287,9 @@
 	wg.Go(func() { n.server.Run(ctx) })
 	wg.Go(func() { n.handleNewLeadership(ctx) })
 	wg.Go(func() { n.trackStaleness(ctx) })
-	wg.Go(func() { n.heed(ctx) })
+	wg.Go(func() { n.watchReaderRevisions(ctx) })
 	if n.members != nil {
-		wg.Go(func() { n.members.run(ctx) })
+		wg.Go(func() { n.members.Run(ctx) })
 	}
 	if n.store != nil {
 		wg.Go(func() { n.watchDisk(ctx) })
@@ -289,7 +303,7 @@
 	var broken error
 	var disk <-chan error
 	if n.store != nil {
-		disk = n.store.failed
+		disk = n.store.Failed
 	}
 	select {
 	case err := <-failed:
@@ -308,29 +322,29 @@
 	return broken
 }
 
-// shut closes in the order opposite to opening.
-func (n *Node) shut() {
-	for i := len(n.close) - 1; i >= 0; i-- {
-		if err := n.close[i](); err != nil && !errors.Is(err, net.ErrClosed) {
+// closeAll closes everything in the reverse order of opening.
+func (n *Node) closeAll() {
+	for i := len(n.closers) - 1; i >= 0; i-- {
+		if err := n.closers[i](); err != nil && !errors.Is(err, net.ErrClosed) {
 			n.log.Debug("registry: close", "error", err)
 		}
 	}
-	n.close = nil
+	n.closers = nil
 }
 
 const (
-	slowWritesToYield = 3           // in a row, after which a leader's disk counts as slow
-	minYieldInterval  = time.Minute // between two attempts to give the lead up: where all disks are slow it would only wander
+	slowWritesToYield = 3           // consecutive slow writes after which a leader transfers the leadership
+	minYieldInterval  = time.Minute // between two transfers: with slow disks everywhere the leadership would only wander
 )
 
-// result is what the machine gives back for a command.
+// result is the outcome of an applied command.
 type result struct {
 	rev int64
 	err error
 }
 
-// Apply carries out a command once a quorum has it.
-func (n *Node) Apply(c *Command, wait time.Duration) (int64, error) {
+// Apply replicates a command to a quorum and applies it.
+func (n *Node) Apply(c *state.Command, wait time.Duration) (int64, error) {
 	data, err := json.Marshal(c)
 	if err != nil {
 		return 0, fmt.Errorf("registry: %w", err)
@@ -339,11 +353,11 @@
 	if err := f.Error(); err != nil {
 		switch {
 		case errors.Is(err, raft.ErrNotLeader), errors.Is(err, raft.ErrLeadershipTransferInProgress):
-			return 0, ErrNotLeader
+			return 0, listserver.ErrNotLeader
 		case errors.Is(err, raft.ErrLeadershipLost), errors.Is(err, raft.ErrEnqueueTimeout):
-			return 0, fmt.Errorf("%w; whether the write has happened is not known", ErrNoQuorum)
+			return 0, fmt.Errorf("%w; whether the write has happened is not known", listserver.ErrNoQuorum)
 		case n.diskFailure() != nil:
-			return 0, fmt.Errorf("%w: the disk takes no more; whether the write has happened is not known", ErrNoQuorum)
+			return 0, fmt.Errorf("%w: the disk takes no more; whether the write has happened is not known", listserver.ErrNoQuorum)
 		}
 		return 0, fmt.Errorf("registry: %w", err)
 	}
@@ -354,20 +368,20 @@
 // maxConfirmAttempts covers one stale answer, in flight when the first attempt began, of each of eight other replicas.
 const maxConfirmAttempts = 9
 
-// Add makes another replica a member of the cluster, a voter. It is the leader's to do.
-func (n *Node) Add(p Peer) error {
-	if err := n.raft.AddVoter(raft.ServerID(p.Name), raft.ServerAddress(p.Raft), 0, applyTimeout).Error(); err != nil {
+// Add adds a replica to the cluster as a voter. Only the leader can.
+func (n *Node) Add(p listserver.Peer) error {
+	if err := n.raft.AddVoter(raft.ServerID(p.Name), raft.ServerAddress(p.Raft), 0, listserver.ApplyTimeout).Error(); err != nil {
 		return fmt.Errorf("registry: add %s: %w", p.Name, err)
 	}
-	_, err := n.Apply(&Command{Op: OpMember, UID: p.Name, Address: p.Serve}, applyTimeout)
+	_, err := n.Apply(&state.Command{Op: state.OpMember, UID: p.Name, Address: p.Serve}, listserver.ApplyTimeout)
 	return err
 }
 
-// Remove takes a replica out of the cluster. It is the leader's to do.
+// Remove removes a replica from the cluster. Only the leader can.
 func (n *Node) Remove(name string) error {
-	if err := n.raft.RemoveServer(raft.ServerID(name), 0, applyTimeout).Error(); err != nil {
+	if err := n.raft.RemoveServer(raft.ServerID(name), 0, listserver.ApplyTimeout).Error(); err != nil {
 		return fmt.Errorf("registry: remove %s: %w", name, err)
 	}
-	_, err := n.Apply(&Command{Op: OpMember, UID: name}, applyTimeout)
+	_, err := n.Apply(&state.Command{Op: state.OpMember, UID: name}, listserver.ApplyTimeout)
 	return err
 }
--- a/internal/registry/node_lead.go
+++ b/internal/registry/node_lead.go
@@ -1,6 +1,6 @@
 package registry
 
-// This file says whether this replica leads, and makes sure of it.
+// This file tracks and confirms the leadership of this replica.
 
 import (
 	"context"
@@ -8,6 +8,9 @@
 	"time"
 
 	"github.com/hashicorp/raft"
+
+	"marblelane/internal/registry/listserver"
+	"marblelane/internal/registry/state"
 )
 
 // handleNewLeadership makes the first writes of a new leader: the first epoch if there is none, and the HTTP addresses
@@ -25,31 +28,31 @@
 			continue
 		}
 		n.log.Info("registry: leads", "name", n.cfg.Name)
-		// All that was committed before has to be applied first: whether there is a history shows only then.
+		// The barrier applies all entries committed earlier: only then it is known whether there is an epoch.
 		term := n.raft.CurrentTerm()
-		if err := n.raft.Barrier(applyTimeout).Error(); err != nil {
-			continue // it leads no more
+		if err := n.raft.Barrier(listserver.ApplyTimeout).Error(); err != nil {
+			continue // it has lost the leadership
 		}
 		if n.raft.CurrentTerm() == term {
 			n.readyTerm.Store(term)
 		}
-		commands := []*Command{}
+		commands := []*state.Command{}
 		var rev int64
 		var members map[string]string
-		n.hub.read(func(s *State) { rev, members = s.Rev(), s.Members() })
+		n.hub.Read(func(s *state.State) { rev, members = s.Rev(), s.Members() })
 		if rev == 0 {
-			commands = append(commands, &Command{Op: OpBegin, Epoch: NextEpoch(n.cfg.Faults.Now(), 0)})
+			commands = append(commands, &state.Command{Op: state.OpBegin, Epoch: state.NextEpoch(n.cfg.Faults.Now(), 0)})
 		}
 		if members[n.cfg.Name] != n.Addr() {
-			commands = append(commands, &Command{Op: OpMember, UID: n.cfg.Name, Address: n.Addr()})
+			commands = append(commands, &state.Command{Op: state.OpMember, UID: n.cfg.Name, Address: n.Addr()})
 		}
 		for _, p := range n.cfg.Peers {
 			if p.Name != n.cfg.Name && members[p.Name] == "" {
-				commands = append(commands, &Command{Op: OpMember, UID: p.Name, Address: p.Serve})
+				commands = append(commands, &state.Command{Op: state.OpMember, UID: p.Name, Address: p.Serve})
 			}
 		}
 		for _, c := range commands {
-			if _, err := n.Apply(c, applyTimeout); err != nil {
+			if _, err := n.Apply(c, listserver.ApplyTimeout); err != nil {
 				n.log.Warn("registry: a new leader's first writes", "error", err)
 				break
 			}
@@ -67,21 +70,21 @@
 		return false, ""
 	}
 	var address string
-	n.hub.read(func(s *State) { address = s.members[string(id)] })
+	n.hub.Read(func(s *state.State) { address = s.MemberAddress(string(id)) })
 	return false, address
 }
 
 // Staleness is an upper bound of the age of this replica's list: it has every write acknowledged before then.
 func (n *Node) Staleness() time.Duration {
 	var rev int64
-	n.hub.read(func(s *State) { rev = s.Rev() })
+	n.hub.Read(func(s *state.State) { rev = s.Rev() })
 	if at := n.fresh.since(rev); !at.IsZero() {
 		return time.Since(at)
 	}
-	return time.Hour // never yet
+	return time.Hour // no confirmation yet
 }
 
-// follows tells whether this replica still leads in a term, with another as a member.
+// follows reports whether this replica still leads in a term and another is a member.
 func (n *Node) follows(id raft.ServerID, term uint64) bool {
 	if n.raft.State() != raft.Leader || n.raft.CurrentTerm() != term {
 		return false
@@ -90,7 +93,7 @@
 	return f.Error() == nil && slices.ContainsFunc(f.Configuration().Servers, func(s raft.Server) bool { return s.ID == id })
 }
 
-// Term numbers the lead of this replica.
+// Term is the raft term in which this replica leads and is ready; 0 if it does not or is not.
 func (n *Node) Term() uint64 {
 	if term := n.readyTerm.Load(); n.raft.State() == raft.Leader && n.raft.CurrentTerm() == term {
 		return term
@@ -100,23 +103,23 @@
 
 // Confirm verifies with a quorum that this replica still leads.
 func (n *Node) Confirm() error {
-	// A new leader may not have applied yet what its predecessors acknowledged.
+	// A new leader may not have applied yet all entries that earlier leaders committed.
 	at, term := time.Now(), n.raft.CurrentTerm()
 	if n.readyTerm.Load() != term {
-		return ErrNotLeader
+		return listserver.ErrNotLeader
 	}
 	for range maxConfirmAttempts {
 		if err := n.raft.VerifyLeader().Error(); err != nil {
-			return ErrNotLeader
+			return listserver.ErrNotLeader
 		}
 		if n.confirmedSince(at, term) {
 			return nil
 		}
 	}
-	return ErrNotLeader
+	return listserver.ErrNotLeader
 }
 
-// confirmedSince tells whether a quorum has acknowledged what this replica has sent as leader of a term after a time.
+// confirmedSince reports whether a quorum has acknowledged messages that this leader of a term sent after a time.
 func (n *Node) confirmedSince(at time.Time, term uint64) bool {
 	f := n.raft.GetConfiguration()
 	if f.Error() != nil {
@@ -128,7 +131,7 @@
 			continue
 		}
 		voters++
-		if s.ID == raft.ServerID(n.cfg.Name) || n.transport.follows(s.ID, term, at) {
+		if s.ID == raft.ServerID(n.cfg.Name) || n.transport.Follows(s.ID, term, at) {
 			with++
 		}
 	}
--- a/internal/registry/node_test.go
+++ b/internal/registry/node_test.go
@@ -5,7 +5,6 @@
 	"bytes"
 	"context"
 	"encoding/json"
-	"errors"
 	"fmt"
 	"io"
 	"math/rand/v2"
@@ -18,8 +17,10 @@
 	"testing"
 	"time"
 
-	"github.com/hashicorp/raft"
 	"go.uber.org/goleak"
+
+	"marblelane/internal/registry/listserver"
+	"marblelane/internal/registry/state"
 )
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
@@ -81,14 +82,14 @@
 // cluster starts n replicas and waits for their leader and its first writes.
 func cluster(t *testing.T, n int, change func(*Config)) []*copyOf {
 	t.Helper()
-	var peers []Peer
+	var peers []listserver.Peer
 	for i := range n {
-		peers = append(peers, Peer{Name: fmt.Sprint("r", i), Raft: freePort(t), Serve: freePort(t)})
+		peers = append(peers, listserver.Peer{Name: fmt.Sprint("r", i), Raft: freePort(t), Serve: freePort(t)})
 	}
 	var all []*copyOf
 	for i, p := range peers {
 		c := &copyOf{cfg: Config{Name: p.Name, Listen: p.Serve, Raft: p.Raft, Peers: peers, Beat: 50 * time.Millisecond,
-			Dir: filepath.Join(t.TempDir(), fmt.Sprint(i)), Options: Options{Batch: time.Millisecond}}}
+			Dir: filepath.Join(t.TempDir(), fmt.Sprint(i)), Options: listserver.Options{Batch: time.Millisecond}}}
 		if change != nil {
 			change(&c.cfg)
 		}
@@ -152,18 +153,22 @@
 	return resp.StatusCode, string(text)
 }
 
+func testEntry(uid string, boot int64) *state.Entry {
+	return &state.Entry{UID: uid, Endpoint: "127.0.0.1:1", Zone: "a", State: state.Ready, Capacity: 1, BootMS: boot}
+}
+
 func put(t *testing.T, c *copyOf, uid string, boot, lease int64) {
 	t.Helper()
 	body := fmt.Sprintf(`{"endpoint":"127.0.0.1:1","az":"a","boot_ms":%d,"lease_ms":%d}`, boot, lease)
-	if code, text := call(t, "POST", c.cfg.Listen, listPath+"/"+uid, body); code != 200 {
+	if code, text := call(t, "POST", c.cfg.Listen, listserver.ListPath+"/"+uid, body); code != 200 {
 		t.Fatalf("put %s: %d %s", uid, code, text)
 	}
 }
 
 func uids(t *testing.T, c *copyOf) string {
 	t.Helper()
-	_, text := call(t, "GET", c.cfg.Listen, listPath, "")
-	var l List
+	_, text := call(t, "GET", c.cfg.Listen, listserver.ListPath, "")
+	var l state.List
 	if err := json.Unmarshal([]byte(text), &l); err != nil {
 		t.Fatalf("%s: %v", text, err)
 	}
@@ -176,7 +181,7 @@
 
 // watcher follows one replica and checks the lines it receives.
 type watcher struct {
-	lines chan List
+	lines chan state.List
 	stop  context.CancelFunc
 	done  chan struct{}
 }
@@ -184,7 +189,7 @@
 func watch(t *testing.T, addr string, after int64) *watcher {
 	t.Helper()
 	ctx, stop := context.WithCancel(t.Context())
-	req, err := http.NewRequestWithContext(ctx, "GET", fmt.Sprintf("http://%s%s?watch=1&after=%d", addr, listPath, after), nil)
+	req, err := http.NewRequestWithContext(ctx, "GET", fmt.Sprintf("http://%s%s?watch=1&after=%d", addr, listserver.ListPath, after), nil)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -192,7 +197,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	w := &watcher{lines: make(chan List, 1000), stop: stop, done: make(chan struct{})}
+	w := &watcher{lines: make(chan state.List, 1000), stop: stop, done: make(chan struct{})}
 	go func() {
 		defer close(w.done)
 		defer resp.Body.Close()
@@ -205,7 +210,7 @@
 			if line = bytes.TrimSpace(line); len(line) == 0 {
 				continue
 			}
-			var l List
+			var l state.List
 			if json.Unmarshal(line, &l) == nil {
 				w.lines <- l
 			}
@@ -218,14 +223,14 @@
 	return w
 }
 
-func (w *watcher) next(t *testing.T) List {
+func (w *watcher) next(t *testing.T) state.List {
 	t.Helper()
 	select {
 	case l := <-w.lines:
 		return l
 	case <-time.After(patience):
 		t.Fatal("the watcher was told nothing")
-		return List{}
+		return state.List{}
 	}
 }
 
@@ -233,34 +238,34 @@
 	all := cluster(t, 1, func(c *Config) { c.Dir, c.Peers = "", nil })
 	one := all[0]
 	w := watch(t, one.cfg.Listen, 0)
-	if l := w.next(t); !l.All || len(l.Targets) != 0 || EpochOf(l.Rev) == 0 {
+	if l := w.next(t); !l.All || len(l.Targets) != 0 || state.EpochOf(l.Rev) == 0 {
 		t.Errorf("at first %+v", l)
 	}
 	put(t, one, "s1", 5, 0)
 	first := w.next(t)
-	if first.All || len(first.Targets) != 1 || first.Targets[0].UID != "s1" || first.Targets[0].State != Ready {
+	if first.All || len(first.Targets) != 1 || first.Targets[0].UID != "s1" || first.Targets[0].State != state.Ready {
 		t.Errorf("a change: %+v", first)
 	}
-	if code, _ := call(t, "POST", one.cfg.Listen, listPath+"/s1/drain", ""); code != 200 {
+	if code, _ := call(t, "POST", one.cfg.Listen, listserver.ListPath+"/s1/drain", ""); code != 200 {
 		t.Errorf("drain: %d", code)
 	}
-	if l := w.next(t); len(l.Targets) != 1 || l.Targets[0].State != Terminating || l.Rev <= first.Rev {
+	if l := w.next(t); len(l.Targets) != 1 || l.Targets[0].State != state.Terminating || l.Rev <= first.Rev {
 		t.Errorf("a drain: %+v", l)
 	}
-	if code, text := call(t, "POST", one.cfg.Listen, listPath+"/s1", `{"endpoint":"127.0.0.1:1","az":"a","boot_ms":5}`); code != 409 {
+	if code, text := call(t, "POST", one.cfg.Listen, listserver.ListPath+"/s1", `{"endpoint":"127.0.0.1:1","az":"a","boot_ms":5}`); code != 409 {
 		t.Errorf("a late registration: %d %s", code, text)
 	}
-	if code, _ := call(t, "DELETE", one.cfg.Listen, listPath+"/s1?if=1", ""); code != 409 {
+	if code, _ := call(t, "DELETE", one.cfg.Listen, listserver.ListPath+"/s1?if=1", ""); code != 409 {
 		t.Errorf("a conditional removal: %d", code)
 	}
-	if code, _ := call(t, "DELETE", one.cfg.Listen, listPath+"/s1", ""); code != 200 {
+	if code, _ := call(t, "DELETE", one.cfg.Listen, listserver.ListPath+"/s1", ""); code != 200 {
 		t.Errorf("removal: %d", code)
 	}
-	if l := w.next(t); len(l.Targets) != 1 || l.Targets[0].State != Gone {
+	if l := w.next(t); len(l.Targets) != 1 || l.Targets[0].State != state.Gone {
 		t.Errorf("a removal: %+v", l)
 	}
 	late := watch(t, one.cfg.Listen, first.Rev)
-	if l := late.next(t); l.All || len(l.Targets) != 1 || l.Targets[0].State != Gone {
+	if l := late.next(t); l.All || len(l.Targets) != 1 || l.Targets[0].State != state.Gone {
 		t.Errorf("who comes back is told %+v", l)
 	}
 	for _, bad := range []struct{ method, path, body, text string }{
@@ -269,7 +274,7 @@
 		{"POST", "/s2", `{"endpoint":"x:1","state":"Gone"}`, "neither Ready nor"}, {"POST", "/s2?if=x", `{"endpoint":"x:1"}`, "if is no"},
 		{"GET", "?watch=1&after=x", "", "after is no"},
 	} {
-		if code, text := call(t, bad.method, one.cfg.Listen, listPath+bad.path, bad.body); code != 400 || !strings.Contains(text, bad.text) {
+		if code, text := call(t, bad.method, one.cfg.Listen, listserver.ListPath+bad.path, bad.body); code != 400 || !strings.Contains(text, bad.text) {
 			t.Errorf("%s %s %s: %d %s", bad.method, bad.path, bad.body, code, text)
 		}
 	}
@@ -345,8 +350,8 @@
 		return !me && leader == ""
 	})
 	startedAt := time.Now()
-	code, text := call(t, "POST", alone.cfg.Listen, listPath+"/s3", `{"endpoint":"127.0.0.1:1"}`)
-	if code != 503 || !strings.Contains(text, "no majority") || time.Since(startedAt) > applyTimeout/2 {
+	code, text := call(t, "POST", alone.cfg.Listen, listserver.ListPath+"/s3", `{"endpoint":"127.0.0.1:1"}`)
+	if code != 503 || !strings.Contains(text, "no majority") || time.Since(startedAt) > listserver.ApplyTimeout/2 {
 		t.Errorf("a write without a majority: %d %s after %v", code, text, time.Since(startedAt))
 	}
 	if got := uids(t, alone); got != "s1=Ready s2=Ready" {
@@ -361,13 +366,13 @@
 	one := cluster(t, 1, nil)[0]
 	put(t, one, "s1", 1, 0)
 	two := &copyOf{cfg: Config{Name: "r9", Listen: freePort(t), Raft: freePort(t), Join: true, Beat: 50 * time.Millisecond,
-		Dir: t.TempDir(), Options: Options{Batch: time.Millisecond}}}
+		Dir: t.TempDir(), Options: listserver.Options{Batch: time.Millisecond}}}
 	two.start(t)
 	t.Cleanup(func() { two.end(t) })
 	if code, _ := call(t, "GET", two.cfg.Listen, "/healthcheck", ""); code != 503 {
 		t.Errorf("a copy that nobody has added is healthy: %d", code)
 	}
-	if err := one.node.Add(Peer{Name: "r9", Raft: two.cfg.Raft, Serve: two.cfg.Listen}); err != nil {
+	if err := one.node.Add(listserver.Peer{Name: "r9", Raft: two.cfg.Raft, Serve: two.cfg.Listen}); err != nil {
 		t.Fatal(err)
 	}
 	until(t, "the list at the added copy", func() bool { return uids(t, two) == "s1=Ready" })
@@ -391,7 +396,7 @@
 	}
 	renew := func(n int) {
 		for i := range n {
-			if code, text := call(t, "POST", one.cfg.Listen, fmt.Sprint(listPath, "/stays", i, "/renew"), ""); code != 200 {
+			if code, text := call(t, "POST", one.cfg.Listen, fmt.Sprint(listserver.ListPath, "/stays", i, "/renew"), ""); code != 200 {
 				t.Fatalf("renew: %d %s", code, text)
 			}
 		}
@@ -400,7 +405,7 @@
 		renew(9)
 		return !strings.Contains(uids(t, one), "dies")
 	})
-	if code, _ := call(t, "POST", one.cfg.Listen, listPath+"/dies/renew", ""); code != 404 {
+	if code, _ := call(t, "POST", one.cfg.Listen, listserver.ListPath+"/dies/renew", ""); code != 404 {
 		t.Errorf("the renewal of an ended lease: %d", code)
 	}
 	// No lease is renewed any more, as in a partition: all but the fraction that may expire stay listed.
@@ -420,7 +425,7 @@
 	// Most come back: the others have died after all.
 	until(t, "the end of the two that did not come back", func() bool {
 		for _, uid := range left[2:] {
-			if code, text := call(t, "POST", one.cfg.Listen, listPath+"/"+uid+"/renew", ""); code != 200 {
+			if code, text := call(t, "POST", one.cfg.Listen, listserver.ListPath+"/"+uid+"/renew", ""); code != 200 {
 				t.Fatalf("renew: %d %s", code, text)
 			}
 		}
@@ -428,50 +433,11 @@
 	})
 }
 
-// A cut-off ends leases one after the other, as servers renew at different times; it takes no more than the share off
-// the list. Servers that die now and then are taken off all the same.
-func TestLeases_massExpiryHeld(t *testing.T) {
-	const term = 15 * time.Second
-	start := time.Unix(0, 0)
-	for _, dead := range []int{100, 3} { // of 100 servers: all are cut off, or three die within a minute
-		l := newLeases()
-		listed := map[string]bool{}
-		for i := range 100 {
-			uid := fmt.Sprint(i)
-			listed[uid] = true
-			l.renew(uid, term, start.Add(time.Duration(i)*term/300)) // spread over a third of the term
-		}
-		held := 0
-		for now := start; now.Before(start.Add(5 * term)); now = now.Add(leaseCheckInterval) {
-			var all []lease
-			for i := range 100 {
-				if uid := fmt.Sprint(i); listed[uid] {
-					all = append(all, lease{uid, 1, term})
-					if i >= dead {
-						l.renew(uid, term, now)
-					}
-				}
-			}
-			var expired map[string]int64
-			expired, held = l.due(all, 0.3, now)
-			for uid := range expired {
-				delete(listed, uid)
-			}
-		}
-		if dead == 100 && (len(listed) < 70 || held != len(listed)) {
-			t.Errorf("cut off from all, %d stay listed and %d are held", len(listed), held)
-		}
-		if dead == 3 && (len(listed) != 97 || held != 0) {
-			t.Errorf("three have died, %d stay listed and %d are held", len(listed), held)
-		}
-	}
-}
-
 func TestAdmission_rate(t *testing.T) {
 	one := cluster(t, 1, func(c *Config) { c.Dir, c.Peers, c.Watches, c.Burst = "", nil, 0.001, 3 })[0]
 	codes := map[int]int{}
 	for range 6 {
-		resp, err := http.Get("http://" + one.cfg.Listen + listPath)
+		resp, err := http.Get("http://" + one.cfg.Listen + listserver.ListPath)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -490,14 +456,14 @@
 // Clients that arrive together and return after their Retry-After are all admitted, at about the configured rate.
 func TestAdmission_retriesSucceed(t *testing.T) {
 	for _, crowd := range []int{10, 1000, 20_000} {
-		b := &bucket{level: 200}
+		b := &listserver.TokenBucket{Level: 200}
 		const step = 250 * time.Microsecond
 		due := map[int]int{0: crowd} // how many come at each step
 		calls, in, last := 0, 0, 0
 		for at := 0; in < crowd && at < 4000*120; at++ {
 			for range due[at] {
 				calls++
-				if wait := b.take(time.Unix(0, 0).Add(time.Duration(at)*step), 500, 200); wait > 0 {
+				if wait := b.Take(time.Unix(0, 0).Add(time.Duration(at)*step), 500, 200); wait > 0 {
 					due[at+int((wait+step-1)/step)]++
 				} else {
 					in, last = in+1, at
@@ -513,10 +479,10 @@
 
 // held is a watcher that takes its first line only when it is let.
 type held struct {
-	header http.Header
-	began  chan struct{}
-	let    chan struct{}
-	lines  int
+	header  http.Header
+	started chan struct{}
+	release chan struct{}
+	lines   int
 }
 
 func (h *held) Header() http.Header              { return h.header }
@@ -525,8 +491,8 @@
 func (h *held) SetWriteDeadline(time.Time) error { return nil }
 func (h *held) Write(text []byte) (int, error) {
 	if h.lines++; h.lines == 1 {
-		close(h.began)
-		<-h.let
+		close(h.started)
+		<-h.release
 	}
 	return len(text), nil
 }
@@ -535,23 +501,25 @@
 func TestWatch_slowClientClosed(t *testing.T) {
 	one := cluster(t, 1, func(c *Config) { c.Dir, c.Peers = "", nil })[0]
 	s := one.node.Server()
-	slow := &held{header: http.Header{}, began: make(chan struct{}), let: make(chan struct{})}
+	slow := &held{header: http.Header{}, started: make(chan struct{}), release: make(chan struct{})}
 	ended := make(chan struct{})
 	go func() {
 		defer close(ended)
-		s.watch(slow, httptest.NewRequestWithContext(t.Context(), "GET", listPath+"?watch=1&after=0", nil), 0, 0)
+		s.Handler().ServeHTTP(slow, httptest.NewRequestWithContext(t.Context(), "GET", listserver.ListPath+"?watch=1&after=0", nil))
 	}()
-	<-slow.began
+	<-slow.started
 	quick := watch(t, one.cfg.Listen, 0)
 	quick.next(t)
-	for i := range maxWatcherLag + 2 {
-		s.hub.read(func(st *State) { _, _ = st.Apply(&Command{Op: OpPut, Entry: entry("s", int64(i))}) })
-		if err := s.hub.publish(); err != nil {
+	for i := range listserver.MaxWatcherLag + 2 {
+		one.node.hub.Read(func(st *state.State) {
+			_, _ = st.Apply(&state.Command{Op: state.OpPut, Entry: testEntry("s", int64(i))})
+		})
+		if err := one.node.hub.Publish(); err != nil {
 			t.Fatal(err)
 		}
 		quick.next(t)
 	}
-	close(slow.let)
+	close(slow.release)
 	select {
 	case <-ended:
 	case <-time.After(patience):
@@ -565,93 +533,18 @@
 	}
 }
 
-func TestStore(t *testing.T) {
-	path := filepath.Join(t.TempDir(), "raft.db")
-	s, err := openStore(path, time.Second, nil)
-	if err != nil {
-		t.Fatal(err)
-	}
-	if _, err := openStore(path, time.Second, nil); err == nil || !strings.Contains(err.Error(), "another process") {
-		t.Errorf("opened twice: %v", err)
-	}
-	var logs []*raft.Log
-	for i := uint64(1); i <= 500; i++ {
-		logs = append(logs, &raft.Log{Index: i, Term: 3, Data: fmt.Appendf(nil, "entry %d", i)})
-	}
-	if err := s.StoreLogs(logs); err != nil {
-		t.Fatal(err)
-	}
-	if err := s.DeleteRange(1, 100); err != nil {
-		t.Fatal(err)
-	}
-	if err := s.DeleteRange(401, 500); err != nil {
-		t.Fatal(err)
-	}
-	first, _ := s.FirstIndex()
-	last, _ := s.LastIndex()
-	if first != 101 || last != 400 {
-		t.Errorf("it keeps %d to %d", first, last)
-	}
-	var l raft.Log
-	for i := uint64(101); i <= 400; i++ {
-		if err := s.GetLog(i, &l); err != nil || string(l.Data) != fmt.Sprintf("entry %d", i) || l.Term != 3 {
-			t.Fatalf("entry %d: %+v, %v", i, l, err)
-		}
-	}
-	if err := s.GetLog(100, &l); !errors.Is(err, raft.ErrLogNotFound) {
-		t.Errorf("a removed entry: %v", err)
-	}
-	if _, err := s.GetUint64([]byte("none")); err == nil || err.Error() != "not found" {
-		t.Errorf("an absent value: %v", err)
-	}
-	if err := s.SetUint64([]byte("term"), 7); err != nil {
-		t.Fatal(err)
-	}
-	if v, err := s.GetUint64([]byte("term")); v != 7 || err != nil {
-		t.Errorf("a value: %d, %v", v, err)
-	}
-	if err := s.Close(); err != nil {
-		t.Fatal(err)
-	}
-}
-
-// Every flipped bit of a log entry is found out.
-func TestStore_corruptEntry(t *testing.T) {
-	dir := t.TempDir()
-	s, err := openStore(filepath.Join(dir, "raft.db"), time.Second, nil)
-	if err != nil {
-		t.Fatal(err)
-	}
-	defer s.Close()
-	if err := s.StoreLog(&raft.Log{Index: 1, Term: 1, Data: []byte("precious")}); err != nil {
-		t.Fatal(err)
-	}
-	good, err := s.raw(1)
-	if err != nil {
-		t.Fatal(err)
-	}
-	var l raft.Log
-	for bit := range 8 * len(good) {
-		bad := bytes.Clone(good)
-		bad[bit/8] ^= 1 << (bit % 8)
-		if err := decodeLog(1, bad, &l); !errors.Is(err, errCorrupt) {
-			t.Fatalf("bit %d: %v", bit, err)
-		}
-	}
-}
-
 // A replica whose disk takes no more ends with an error; it does not go on as if it had written.
 func TestNode_diskFailure(t *testing.T) {
 	all := cluster(t, 3, nil)
 	lead := leader(t, all)
 	put(t, lead, "s1", 1, 0)
 	ended := lead.ended
-	if err := lead.node.store.db.Close(); err != nil { // every write fails from now on
+	if err := lead.node.store.Close(); err != nil { // every write fails from now on
 		t.Fatal(err)
 	}
 	// The write may be answered by the next leader, or not at all; it is not acknowledged by the replica that lost its
 	// disk.
-	call(t, "POST", lead.cfg.Listen, listPath+"/s2", `{"endpoint":"127.0.0.1:1"}`)
+	call(t, "POST", lead.cfg.Listen, listserver.ListPath+"/s2", `{"endpoint":"127.0.0.1:1"}`)
 	select {
 	case err := <-ended:
 		if err == nil || !strings.Contains(err.Error(), "the disk takes no more") {
--- a/internal/registry/restore_seen.go
+++ b/internal/registry/reader_revisions.go
@@ -12,6 +12,9 @@
 	"time"
 
 	"github.com/hashicorp/raft"
+
+	"marblelane/internal/registry/listserver"
+	"marblelane/internal/registry/state"
 )
 
 // readerRevisions tracks the revisions that readers resume from.
@@ -35,13 +38,13 @@
 // minEpochInterval is the minimum time between two epochs begun because a reader was ahead.
 const minEpochInterval = time.Minute
 
-func (r *readerRevisions) take(rev int64) {
+func (r *readerRevisions) observe(rev int64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.seen == nil {
 		r.seen = map[int64]int64{}
 	}
-	e := EpochOf(rev)
+	e := state.EpochOf(rev)
 	r.seen[e] = max(r.seen[e], rev)
 	if len(r.seen) > maxReaderEpochs { // the latest epoch is the least likely to be of this cluster
 		delete(r.seen, slices.Max(slices.Collect(maps.Keys(r.seen))))
@@ -53,36 +56,36 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for e, rev := range r.seen {
-		if e < EpochOf(of) || rev <= of {
+		if e < state.EpochOf(of) || rev <= of {
 			delete(r.seen, e)
 		}
 	}
-	return r.seen[EpochOf(of)]
+	return r.seen[state.EpochOf(of)]
 }
 
 const seenKey = "seen"
 
-// watched hands requests on, and takes in what readers have seen.
-func (r *readerRevisions) watched(next http.Handler) http.Handler {
+// observeRequests passes requests on, and records the revisions that readers resume from.
+func (r *readerRevisions) observeRequests(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, req *http.Request) {
 		name := ""
 		switch strings.TrimSuffix(req.URL.Path, "/") {
-		case listPath:
+		case listserver.ListPath:
 			name = "after"
-		case leaderRevPath:
+		case listserver.LeaderRevPath:
 			name = seenKey
 		}
 		if name != "" && req.URL.RawQuery != "" {
 			if rev, err := strconv.ParseInt(req.URL.Query().Get(name), 10, 64); err == nil && rev > 0 {
-				r.take(rev)
+				r.observe(rev)
 			}
 		}
 		next.ServeHTTP(w, req)
 	})
 }
 
-// heed looks at each beat whether a reader has seen more than there is, until ctx ends.
-func (n *Node) heed(ctx context.Context) {
+// watchReaderRevisions checks at each heartbeat interval whether a reader is ahead of this replica, until ctx ends.
+func (n *Node) watchReaderRevisions(ctx context.Context) {
 	client := &http.Client{Timeout: 5 * n.cfg.Beat, Transport: &http.Transport{DisableKeepAlives: true}}
 	t := time.NewTicker(n.cfg.Beat)
 	defer t.Stop()
@@ -101,7 +104,7 @@
 				n.log.Debug("registry: the leader does not hear what a reader has seen", "error", err)
 			}
 		case n.Term() != 0 && (last.IsZero() || time.Since(last) > minEpochInterval):
-			if n.beginAgain() {
+			if n.beginNewEpoch() {
 				last = time.Now()
 			}
 		}
@@ -109,7 +112,7 @@
 }
 
 func (n *Node) rev() (rev int64) {
-	n.hub.read(func(s *State) { rev = s.Rev() })
+	n.hub.Read(func(s *state.State) { rev = s.Rev() })
 	return rev
 }
 
@@ -119,7 +122,7 @@
 	if leader == "" {
 		return nil
 	}
-	url := fmt.Sprintf("http://%s%s?%s=%d", leader, leaderRevPath, seenKey, seen)
+	url := fmt.Sprintf("http://%s%s?%s=%d", leader, listserver.LeaderRevPath, seenKey, seen)
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
 	if err != nil {
 		return err
@@ -131,9 +134,9 @@
 	return resp.Body.Close()
 }
 
-// beginAgain begins a new history if a reader is ahead of all that was ever committed, as far as this leader can know.
-func (n *Node) beginAgain() bool {
-	if n.raft.Barrier(applyTimeout).Error() != nil || n.Confirm() != nil {
+// beginNewEpoch begins a new epoch if a reader is ahead of everything that this leader knows to be committed.
+func (n *Node) beginNewEpoch() bool {
+	if n.raft.Barrier(listserver.ApplyTimeout).Error() != nil || n.Confirm() != nil {
 		return false
 	}
 	rev := n.rev()
@@ -141,10 +144,10 @@
 	if seen == 0 {
 		return false // this replica had not applied it yet
 	}
-	next := NextEpoch(n.cfg.Faults.Now(), EpochOf(rev))
+	next := state.NextEpoch(n.cfg.Faults.Now(), state.EpochOf(rev))
 	n.log.Error("registry: a reader was told more than the copies have: their folders lost what was committed, or old images "+
 		"were put back; a new history begins, and readers take the list whole", "seen", seen, "has", rev, "epoch", next)
-	if _, err := n.Apply(&Command{Op: OpBegin, Epoch: next}, applyTimeout); err != nil {
+	if _, err := n.Apply(&state.Command{Op: state.OpBegin, Epoch: next}, listserver.ApplyTimeout); err != nil {
 		n.log.Warn("registry: the new history", "error", err)
 		return false
 	}
--- a/internal/registry/verify.go
+++ b/internal/registry/recovery/verify.go
@@ -1,4 +1,4 @@
-package registry
+package recovery
 
 import (
 	"encoding/json"
@@ -9,23 +9,26 @@
 	"path/filepath"
 
 	"github.com/hashicorp/raft"
+
+	"marblelane/internal/registry/state"
+	"marblelane/internal/registry/storage"
 )
 
-// Verified is what a folder was found to have, and what its revisions come to.
+// Verified is the content of a data directory, and the revision that its log leads to.
 type Verified struct {
-	*Found
-	Rev   int64 // after the newest sound snapshot and all of the log, as if all of it were committed
+	*storage.Found
+	Rev   int64 // after the newest valid snapshot and the whole log, as if all entries were committed
 	Epoch int64
 }
 
-// Verify reads a stopped replica's folder and changes nothing. The error is that it could not be read; what is wrong
-// with what was read stands in Faults.
+// Verify reads the data directory of a stopped replica and changes nothing. The error says that it could not be read;
+// faults of its content are in Faults.
 func Verify(dir string) (*Verified, error) {
 	if _, err := os.Stat(dir); err != nil {
 		return nil, err
 	}
 	var all []*raft.Log
-	found, err := inspect(dir, func(l *raft.Log) {
+	found, err := storage.Inspect(dir, func(l *raft.Log) {
 		all = append(all, &raft.Log{Index: l.Index, Term: l.Term, Type: l.Type, Data: l.Data})
 	})
 	if err != nil {
@@ -36,54 +39,54 @@
 		out.Notes = append(out.Notes, "a copy that starts here has nothing, as a new one")
 	}
 	if len(out.Faults) > 0 {
-		return out, nil // what the log comes to would be a guess
+		return out, nil // the revision of a faulty log would be a guess
 	}
-	state := NewState(1)
+	restored := state.NewState(1)
 	for _, s := range found.Snapshots {
 		if s.Fault == nil {
-			if state, err = loadSnapshot(filepath.Join(dir, snapshotsDir, s.Name, stateFile)); err != nil {
-				out.fault(filepath.Join(dir, snapshotsDir, s.Name), err)
+			if restored, err = loadSnapshot(filepath.Join(dir, storage.SnapshotsDir, s.Name, storage.StateFile)); err != nil {
+				out.AddFault(filepath.Join(dir, storage.SnapshotsDir, s.Name), err)
 				return out, nil
 			}
 			break
 		}
 	}
-	covered := found.covered()
+	covered := found.Covered()
 	for _, l := range all {
 		if l.Type != raft.LogCommand || l.Index <= covered {
 			continue
 		}
-		var c Command
+		var c state.Command
 		if err := json.Unmarshal(l.Data, &c); err != nil {
-			out.fault(fmt.Sprintf("%s: bucket log, entry %d", filepath.Join(dir, storeFile), l.Index), err)
+			out.AddFault(fmt.Sprintf("%s: bucket log, entry %d", filepath.Join(dir, storage.StoreFile), l.Index), err)
 			continue
 		}
 		if c.Term == 0 || c.Term == l.Term {
-			_, _ = state.Apply(&c) // what a command is refused for is no fault of the folder
+			_, _ = restored.Apply(&c) // a rejected command is no fault of the directory
 		}
 	}
-	out.Rev, out.Epoch = state.Rev(), EpochOf(state.Rev())
+	out.Rev, out.Epoch = restored.Rev(), state.EpochOf(restored.Rev())
 	return out, nil
 }
 
-func loadSnapshot(path string) (*State, error) {
+func loadSnapshot(path string) (*state.State, error) {
 	f, err := os.Open(path)
 	if err != nil {
 		return nil, err
 	}
 	defer f.Close()
-	var in saved
+	var in state.Snapshot
 	if err := json.NewDecoder(f).Decode(&in); err != nil {
 		return nil, err
 	}
-	s := NewState(1)
-	return s, s.load(&in)
+	s := state.NewState(1)
+	return s, s.Restore(&in)
 }
 
-// Sound tells whether a replica may start from the folder.
+// Sound reports whether a replica may start from the directory.
 func (v *Verified) Sound() bool { return len(v.Faults) == 0 }
 
-// Print writes what was found, a line each.
+// Print writes the findings, one line each.
 func (v *Verified) Print(w io.Writer) error {
 	var failed error
 	say := func(form string, of ...any) {
@@ -93,11 +96,11 @@
 	say("log: %d entries, index %d to %d, terms %d to %d", v.Entries, v.First, v.Last, v.LowTerm, v.Top)
 	say("copy: in term %d, voted last in term %d for %q", v.Term, v.VotedTerm, v.Vote)
 	for _, s := range v.Snapshots {
-		state := "sound"
+		restored := "sound"
 		if s.Fault != nil {
-			state = s.Fault.Error()
+			restored = s.Fault.Error()
 		}
-		say("snapshot %s: index %d, term %d, revision %d, %d bytes: %s", s.Name, s.Index, s.Term, s.Rev, s.Bytes, state)
+		say("snapshot %s: index %d, term %d, revision %d, %d bytes: %s", s.Name, s.Index, s.Term, s.Rev, s.Bytes, restored)
 	}
 	if v.Sound() {
 		say("revision %d of epoch %d, if all of the log was committed", v.Rev, v.Epoch)
--- a/internal/registry/routes_past.go
+++ b/internal/registry/routeleader/audit_history.go
@@ -1,4 +1,4 @@
-package registry
+package routeleader
 
 import (
 	"context"
@@ -7,6 +7,9 @@
 	"io"
 	"net/http"
 	"time"
+
+	"marblelane/internal/registry/listserver"
+	"marblelane/internal/registry/state"
 )
 
 // This file is what each replica notes for the audit, leader or not, so that one that comes to lead can answer for
@@ -25,33 +28,33 @@
 )
 
 // clock converts a time to milliseconds since this replica started, rounded up.
-func (r *routing) clock(at time.Time) int64 {
+func (r *Routing) clock(at time.Time) int64 {
 	return (at.Sub(r.opened) + time.Millisecond - 1).Milliseconds()
 }
 
 // markAuditLog records how much of the audit log this replica has applied. The time is read after the state.
-func (r *routing) markAuditLog() {
-	r.s.hub.read(func(s *State) { s.audit.Mark(r.clock(time.Now())) })
+func (r *Routing) markAuditLog() {
+	r.list.Read(func(s *state.State) { s.AuditLog.Mark(r.clock(time.Now())) })
 }
 
 // handleNewestRev answers polls of followers with the newest routes revision, if this replica leads and no change is in
 // flight: a change in flight may be applied on a follower before it is applied here.
-func (r *routing) handleNewestRev(w http.ResponseWriter, req *http.Request) {
+func (r *Routing) handleNewestRev(w http.ResponseWriter, req *http.Request) {
 	if r.rejectIfOff(w) {
 		return
 	}
 	l := r.current()
 	rev, still := r.tables.settled()
 	if l == nil || !still {
-		writeRejection(w, &rejection{status: http.StatusServiceUnavailable, after: time.Second, Error: "this copy does not lead, or a change is under way"})
+		writeRejection(w, &Rejection{status: http.StatusServiceUnavailable, after: time.Second, Error: "this copy does not lead, or a change is under way"})
 		return
 	}
-	if err := r.s.replica.Confirm(); err != nil {
+	if err := r.replica.Confirm(); err != nil {
 		writeRejection(w, rejectionOf(err))
 		return
 	}
 	if r.current() != l {
-		writeRejection(w, rejectionOf(ErrNotLeader))
+		writeRejection(w, rejectionOf(listserver.ErrNotLeader))
 		return
 	}
 	writeJSON(w, struct {
@@ -60,7 +63,7 @@
 }
 
 // pollRevs polls the leader for the newest routes revision until ctx ends.
-func (r *routing) pollRevs(ctx context.Context) {
+func (r *Routing) pollRevs(ctx context.Context) {
 	client := &http.Client{Timeout: revPollTimeout, Transport: &http.Transport{MaxIdleConnsPerHost: 1}}
 	defer client.CloseIdleConnections()
 	t := time.NewTicker(revPollInterval)
@@ -71,13 +74,13 @@
 			return
 		case <-t.C:
 		}
-		me, address := r.s.replica.Leader()
-		if me || address == "" || r.s.o.Load().Operators == nil {
+		me, address := r.replica.Leader()
+		if me || address == "" || r.server.Options().Operators == nil {
 			continue
 		}
 		at := time.Now()
 		if rev, err := pollRoutesRev(ctx, client, address); err != nil {
-			r.s.log.Debug("registry: routes: the leader does not say what it has", "error", err)
+			r.log.Debug("registry: routes: the leader does not say what it has", "error", err)
 		} else {
 			r.tables.observeRev(at, rev)
 		}
@@ -118,6 +121,16 @@
 	return rev, len(t.proposed) == 0
 }
 
+// LastRevPoll is when the leader's newest revision was polled last; zero if never.
+func (r *Routing) LastRevPoll() time.Time {
+	r.tables.mu.Lock()
+	defer r.tables.mu.Unlock()
+	if len(r.tables.upperBounds) == 0 {
+		return time.Time{}
+	}
+	return r.tables.upperBounds[len(r.tables.upperBounds)-1].at
+}
+
 // observeRev records that no revision newer than rev was committed by time at.
 func (t *tables) observeRev(at time.Time, rev int64) {
 	t.mu.Lock()
@@ -138,7 +151,7 @@
 // since returns the latest time at which rev is known not to be committed; zero if unknown. The first revision of an
 // epoch is not proposed by a routes leader, so nothing is known of it.
 func (t *tables) since(rev int64) (at time.Time) {
-	if rev == EpochOf(rev)<<countBits {
+	if rev == state.EpochOf(rev)<<state.CountBits {
 		return at
 	}
 	for _, m := range t.upperBounds {
--- a/internal/registry/routes_budgets.go
+++ b/internal/registry/routeleader/budgets.go
@@ -1,4 +1,4 @@
-package registry
+package routeleader
 
 // This file grants rollout budget to processes.
 
@@ -6,12 +6,15 @@
 	"slices"
 	"time"
 
+	"marblelane/internal/registry/listserver"
+	"marblelane/internal/registry/operators"
+	"marblelane/internal/registry/state"
 	"marblelane/internal/rollout"
 	"marblelane/internal/route"
 )
 
 // answerBudgetRequests settles spent budget and grants requested budget for a batch of requests.
-func (r *routing) answerBudgetRequests(all []budgetCall) {
+func (r *Routing) answerBudgetRequests(all []budgetCall) {
 	answers, err := r.grant(all)
 	for i, a := range all {
 		if err != nil {
@@ -22,33 +25,31 @@
 	}
 }
 
-func (r *routing) grant(all []budgetCall) ([]route.BudgetResponse, error) {
+func (r *Routing) grant(all []budgetCall) ([]route.BudgetResponse, error) {
 	l := r.current()
 	if l == nil {
-		return nil, ErrNotLeader
+		return nil, listserver.ErrNotLeader
 	}
-	l.decisionMu.Lock()
-	defer l.decisionMu.Unlock()
+	l.decisions.mu.Lock()
+	defer l.decisions.mu.Unlock()
 	var entries []rollout.LedgerEntry
 	keep := true
 	var err error
-	l.mu.Lock()
-	r.s.hub.read(func(st *State) {
+	l.processes.withState(r.list, func(st *state.State) {
 		var s *rollout.State
-		if s, keep, err = r.planted.ledger(st.routes, l.uncommittedGrants); err != nil {
+		if s, keep, err = r.planted.ledger(st.Routes, l.decisions.uncommittedGrants); err != nil {
 			return
 		}
 		for _, a := range all {
 			r.planted.requestedBudgets(a.request)
-			entries = append(entries, l.controller.BudgetEntries(l.floor(time.Now()), s, a.request)...)
+			entries = append(entries, l.processes.controller.BudgetEntries(l.floor(time.Now()), s, a.request)...)
 		}
 	})
-	l.mu.Unlock()
 	if err != nil {
 		return nil, err
 	}
 	if !keep {
-		l.uncommittedGrants = append(l.uncommittedGrants, entries...)
+		l.decisions.uncommittedGrants = append(l.decisions.uncommittedGrants, entries...)
 		entries = nil
 	}
 	for some := range slices.Chunk(entries, maxCommandEntries) {
@@ -57,18 +58,16 @@
 			return nil, err
 		}
 	}
-	l.mu.Lock()
-	defer l.mu.Unlock()
 	answers := make([]route.BudgetResponse, len(all))
-	r.s.hub.read(func(st *State) {
+	l.processes.withState(r.list, func(st *state.State) {
 		var s *rollout.State
-		if s, _, err = r.planted.ledger(st.routes, l.uncommittedGrants); err != nil {
+		if s, _, err = r.planted.ledger(st.Routes, l.decisions.uncommittedGrants); err != nil {
 			return
 		}
 		for i, a := range all {
-			answers[i] = l.controller.BudgetResponse(s, a.request)
+			answers[i] = l.processes.controller.BudgetResponse(s, a.request)
 			for k, g := range answers[i].Budgets {
-				answers[i].Budgets[k].Tenant = outside(g.Tenant)
+				answers[i].Budgets[k].Tenant = operators.ConfiguredTenantName(g.Tenant)
 			}
 		}
 	})
--- a/internal/registry/routes_metrics.go
+++ b/internal/registry/routeleader/metrics.go
@@ -1,4 +1,4 @@
-package registry
+package routeleader
 
 // This file gives the metrics of routes and rollouts.
 
@@ -6,14 +6,16 @@
 	"time"
 
 	"github.com/prometheus/client_golang/prometheus"
+
+	"marblelane/internal/registry/state"
 )
 
 // Describe says nothing: what is shown depends on the rollouts that there are.
-func (r *routing) Describe(chan<- *prometheus.Desc) {}
+func (r *Routing) Describe(chan<- *prometheus.Desc) {}
 
 // Collect gives the figures of routes; none where they are off.
-func (r *routing) Collect(out chan<- prometheus.Metric) {
-	if r.s.o.Load().Operators == nil {
+func (r *Routing) Collect(out chan<- prometheus.Metric) {
+	if r.server.Options().Operators == nil {
 		return
 	}
 	gauge := func(name, help string, v float64, labels ...string) {
@@ -23,15 +25,15 @@
 		}
 		out <- prometheus.MustNewConstMetric(prometheus.NewDesc(name, help, names, nil), prometheus.GaugeValue, v, values...)
 	}
-	r.s.hub.read(func(s *State) {
-		gauge("routes_revision", "Revision of the routes' last change.", float64(s.routes.Rev()))
-		gauge("routes_closed", "Newest revision of routes under which no attempt begins any more.", float64(s.routes.Closed()))
-		gauge("audit_transitions", "Transitions of processes that are kept.", float64(s.audit.Len()))
-		for i, one := range s.routes.LiveSpecs() {
+	r.list.Read(func(s *state.State) {
+		gauge("routes_revision", "Revision of the routes' last change.", float64(s.Routes.Rev()))
+		gauge("routes_closed", "Newest revision of routes under which no attempt begins any more.", float64(s.Routes.Closed()))
+		gauge("audit_transitions", "Transitions of processes that are kept.", float64(s.AuditLog.Len()))
+		for i, one := range s.Routes.LiveSpecs() {
 			if i == maxRolloutMetrics {
 				break
 			}
-			granted, _, returned := s.routes.BudgetTotals(one.Tenant, one.Name)
+			granted, _, returned := s.Routes.BudgetTotals(one.Tenant, one.Name)
 			gauge("routes_units_left", "Units of a rollout's budget that nobody holds or has spent; of 100 rollouts at most.",
 				float64(one.Budget-(granted-returned)), "tenant", one.Tenant, "rollout", one.Name)
 		}
--- a/internal/registry/routes.go
+++ b/internal/registry/routeleader/routing.go
@@ -1,37 +1,46 @@
-package registry
+// Package routeleader leads the routes and rollouts: it answers reports and budget requests, replicates the decisions of
+// the controller, serves tables, tenants' changes and the audit.
+package routeleader
 
 import (
 	"fmt"
+	"log/slog"
 	"math"
 	"net/http"
 	"sync/atomic"
 	"time"
 
-	"marblelane/internal/fault"
+	"marblelane/internal/registry/listserver"
+	"marblelane/internal/registry/operators"
+	"marblelane/internal/registry/state"
 	"marblelane/internal/rollout"
 	"marblelane/internal/route"
 )
 
 // Bounds of requests and answers.
 const (
+	maxBodyBytes         = 64 << 10  // body of a tenant's request
 	maxReportBytes       = 512 << 10 // body of a report or a budget request
 	maxListedProcesses   = 20        // processes listed in a rejection
 	maxBudgetsPerRequest = 256       // budgets in one budget request
 	minListedRevs        = 16        // default minimum of revisions whose counts a process reports; the same as in the client
-	clockSlackMS         = 10        // error of wall times converted to the leader's clock, rounding included
+	ClockSlackMS         = 10        // error of wall times converted to the leader's clock, rounding included
 )
 
-// routing serves the routes API of a replica. Without an operators' file it is off and its paths answer 404.
-type routing struct {
-	s       *Server
+// Routing serves the routes API of a replica. Without an operators' file it is off and its paths answer 404.
+type Routing struct {
+	server  *listserver.Server
+	list    stateReader
+	replica replica
+	log     *slog.Logger
 	name    string           // of the replica
 	opened  time.Time        // monotonic
 	wall    func() time.Time // wall clock
-	planted defect
-	rules   rules
+	planted Defect
+	rules   operators.Validator
 
 	tables      *tables
-	admit       bucket
+	admit       *listserver.TokenBucket
 	watches     atomic.Int64
 	reportCalls chan reportCall
 	budgetCalls chan budgetCall
@@ -40,15 +49,39 @@
 	leaderships atomic.Int64 // leaderships started by this process
 }
 
-func newRouting(s *Server, o Options) *routing {
-	r := &routing{s: s, opened: time.Now(), wall: (*fault.Plan)(nil).Now, planted: defect(o.Planted), tables: newTables(defect(o.Planted)), rules: newRules(),
-		reportCalls: make(chan reportCall, maxWaitingCalls), budgetCalls: make(chan budgetCall, maxWaitingCalls), changing: make(chan struct{}, 1)}
-	r.admit.level = float64(o.Burst)
-	return r
+// stateReader gives access to the replicated state.
+type stateReader interface {
+	// Read calls f with the state, which f must not keep.
+	Read(f func(*state.State))
 }
 
-// handle registers the HTTP handlers of the routes API.
-func (r *routing) handle(m *http.ServeMux) {
+// replica is the replicated log; its methods are those of registry.Node.
+type replica interface {
+	Apply(c *state.Command, wait time.Duration) (rev int64, err error)
+	Confirm() error
+	Leader() (me bool, address string)
+	Staleness() time.Duration
+	Term() uint64
+}
+
+// Config are the fixed parameters of a routing.
+type Config struct {
+	Name    string           // of the replica
+	Wall    func() time.Time // wall clock
+	Planted string           // defect injected by the lab; empty: none
+	Log     *slog.Logger
+}
+
+// New makes the routes API of a replica. It serves once the server has mounted it.
+func New(server *listserver.Server, list stateReader, replicated replica, c Config) *Routing {
+	return &Routing{server: server, list: list, replica: replicated, log: c.Log, name: c.Name, opened: time.Now(), wall: c.Wall,
+		planted: Defect(c.Planted), tables: newTables(Defect(c.Planted)), rules: operators.NewValidator(),
+		reportCalls: make(chan reportCall, maxWaitingCalls), budgetCalls: make(chan budgetCall, maxWaitingCalls), changing: make(chan struct{}, 1),
+		admit: listserver.NewTokenBucket(server.Options().Burst)}
+}
+
+// Handle registers the HTTP handlers of the routes API.
+func (r *Routing) Handle(m *http.ServeMux) {
 	m.HandleFunc("GET "+route.TablePath, r.table)
 	m.HandleFunc("POST "+route.ReportPath, r.report)
 	m.HandleFunc("POST "+route.BudgetsPath, r.handleBudgets)
@@ -65,7 +98,7 @@
 }
 
 // wait queues a call for the leader's batch processing and writes its answer.
-func wait[Q, A any](r *routing, w http.ResponseWriter, req *http.Request, in chan<- leaderCall[Q, A], what *Q) {
+func wait[Q, A any](r *Routing, w http.ResponseWriter, req *http.Request, in chan<- leaderCall[Q, A], what *Q) {
 	type outcome struct {
 		a   *A
 		err error
@@ -74,7 +107,7 @@
 	select {
 	case in <- leaderCall[Q, A]{what, func(a *A, err error) { done <- outcome{a, err} }}:
 	default:
-		writeRejection(w, &rejection{status: http.StatusServiceUnavailable, after: time.Second,
+		writeRejection(w, &Rejection{status: http.StatusServiceUnavailable, after: time.Second,
 			Error: fmt.Sprintf("more than %d calls of this kind wait", maxWaitingCalls)})
 		return
 	}
@@ -90,8 +123,8 @@
 }
 
 // report answers a process's report, POST /routes/reports.
-func (r *routing) report(w http.ResponseWriter, req *http.Request) {
-	if r.rejectIfOff(w) || !r.s.leading(w, req) {
+func (r *Routing) report(w http.ResponseWriter, req *http.Request) {
+	if r.rejectIfOff(w) || !r.server.Leading(w, req) {
 		return
 	}
 	var p route.Report
@@ -110,8 +143,8 @@
 }
 
 // handleBudgets answers a process's budget request, POST /routes/units.
-func (r *routing) handleBudgets(w http.ResponseWriter, req *http.Request) {
-	if r.rejectIfOff(w) || !r.s.leading(w, req) {
+func (r *Routing) handleBudgets(w http.ResponseWriter, req *http.Request) {
+	if r.rejectIfOff(w) || !r.server.Leading(w, req) {
 		return
 	}
 	var a route.BudgetRequest
@@ -123,7 +156,7 @@
 		f = rejectf(http.StatusBadRequest, "purses", "are %d, more than %d", len(a.Budgets), maxBudgetsPerRequest)
 	}
 	for i, p := range a.Budgets {
-		a.Budgets[i].Tenant = inside(p.Tenant)
+		a.Budgets[i].Tenant = operators.StateTenantName(p.Tenant)
 		if f == nil && (p.Spent < 0 || p.Returned < 0 || p.Granted < 0 || p.Wanted < 0 || max(p.Spent, p.Returned, p.Granted, p.Wanted) > math.MaxInt64/4) {
 			f = rejectf(http.StatusBadRequest, fmt.Sprintf("purses[%d]", i), "granted, spent, returned and want are not all between 0 and 2^61")
 		}
@@ -136,25 +169,25 @@
 }
 
 // leader returns this replica's leadership and the operators' file; nil if it has already answered the call.
-func (r *routing) leader(w http.ResponseWriter, req *http.Request) (*leadership, *Operators) {
-	if r.rejectIfOff(w) || !r.s.leading(w, req) {
+func (r *Routing) leader(w http.ResponseWriter, req *http.Request) (*leadership, *operators.Operators) {
+	if r.rejectIfOff(w) || !r.server.Leading(w, req) {
 		return nil, nil
 	}
 	l := r.current()
 	if l == nil {
-		writeRejection(w, &rejection{status: http.StatusServiceUnavailable, after: time.Second, Error: "this copy has only just begun to lead"})
+		writeRejection(w, &Rejection{status: http.StatusServiceUnavailable, after: time.Second, Error: "this copy has only just begun to lead"})
 		return nil, nil
 	}
-	return l, r.s.o.Load().Operators
+	return l, r.server.Options().Operators
 }
 
 // tenant finds the tenant of a call and checks the caller's token.
-func (r *routing) tenant(o *Operators, req *http.Request) (*Tenant, *rejection) {
-	t, ok := o.tenant(req.PathValue("tenant"))
+func (r *Routing) tenant(o *operators.Operators, req *http.Request) (*operators.Tenant, *Rejection) {
+	t, ok := o.Tenant(req.PathValue("tenant"))
 	switch {
 	case !ok:
 		return nil, rejectf(http.StatusNotFound, "tenant", "%q is not in the operators' file", clip(req.PathValue("tenant")))
-	case !admits(t.Token, req) && (o.Token == "" || !admits(o.Token, req)):
+	case !operators.TokenMatches(t.Token, req) && (o.Token == "" || !operators.TokenMatches(o.Token, req)):
 		return nil, rejectf(http.StatusUnauthorized, "Authorization", "tenant %q needs its token: Authorization: Bearer TOKEN", t.Name)
 	}
 	return t, nil
--- a/internal/registry/routes_table.go
+++ b/internal/registry/routeleader/tables.go
@@ -1,4 +1,4 @@
-package registry
+package routeleader
 
 import (
 	"errors"
@@ -10,6 +10,8 @@
 	"sync"
 	"time"
 
+	"marblelane/internal/registry/listserver"
+	"marblelane/internal/registry/operators"
 	"marblelane/internal/rollout"
 	"marblelane/internal/route"
 )
@@ -22,7 +24,7 @@
 	moments     []moment
 	upperBounds []moment           // newest revision by time, from polls of the leader; see observeRev
 	proposed    map[*proposal]bool // changes in flight
-	planted     defect
+	planted     Defect
 }
 
 // proposal is a change that this replica has proposed as leader of a term.
@@ -37,7 +39,7 @@
 	next  *tableNode
 	ready chan struct{}
 
-	planted defect
+	planted Defect
 	mu      sync.Mutex
 	table   route.Table
 	texts   map[string]encodedTable // by set of schemas
@@ -62,7 +64,7 @@
 	maxSchemasPerProcess = 16   // schemas that a process may name
 )
 
-func newTables(planted defect) *tables {
+func newTables(planted Defect) *tables {
 	t := &tables{planted: planted, proposed: map[*proposal]bool{}}
 	t.tail = t.line(0, route.Table{})
 	return t
@@ -79,12 +81,15 @@
 	}
 }
 
+// Follow publishes the table of a state; see tables.follow.
+func (r *Routing) Follow(s *rollout.State, term uint64, now time.Time) { r.tables.follow(s, term, now) }
+
 // set publishes a table. A new revision wakes the watches; a newly closed one only shows in later reads.
 func (t *tables) set(table route.Table, term uint64, now time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for i := range table.Routes {
-		table.Routes[i].Tenant = outside(table.Routes[i].Tenant)
+		table.Routes[i].Tenant = operators.ConfiguredTenantName(table.Routes[i].Tenant)
 	}
 	tail := t.tail
 	rev, closed := tail.revisions()
@@ -235,69 +240,67 @@
 }
 
 // table answers GET /routes.
-func (r *routing) table(w http.ResponseWriter, req *http.Request) {
+func (r *Routing) table(w http.ResponseWriter, req *http.Request) {
 	if r.rejectIfOff(w) {
 		return
 	}
-	s := r.s
-	if age, stale := s.stale(); stale {
-		writeRejection(w, &rejection{status: http.StatusServiceUnavailable, after: time.Second,
+	if age, stale := r.server.Stale(); stale {
+		writeRejection(w, &Rejection{status: http.StatusServiceUnavailable, after: time.Second,
 			Error: fmt.Sprintf("what this copy has may be %v old", age.Round(time.Millisecond))})
 		return
 	}
 	reads, err := readsOf(req)
 	if err != nil {
-		writeRejection(w, &rejection{status: http.StatusBadRequest, Field: "schema", Error: err.Error()})
+		writeRejection(w, &Rejection{status: http.StatusBadRequest, Field: "schema", Error: err.Error()})
 		return
 	}
 	after := int64(-1)
 	if text := req.URL.Query().Get("after"); text != "" {
 		if after, err = strconv.ParseInt(text, 10, 64); err != nil {
-			writeRejection(w, &rejection{status: http.StatusBadRequest, Field: "after", Error: "after: " + strconv.Quote(clip(text)) + " is no revision"})
+			writeRejection(w, &Rejection{status: http.StatusBadRequest, Field: "after", Error: "after: " + strconv.Quote(clip(text)) + " is no revision"})
 			return
 		}
 	}
-	o := s.o.Load()
-	if wait := r.admit.take(time.Now(), o.Watches, float64(o.Burst)); wait > 0 {
-		s.metrics.turned.Inc()
-		writeRejection(w, &rejection{status: http.StatusServiceUnavailable, after: wait, Error: "too many readers come at once"})
+	o := r.server.Options()
+	if wait := r.admit.Take(time.Now(), o.Watches, float64(o.Burst)); wait > 0 {
+		r.server.CountTurnedAway()
+		writeRejection(w, &Rejection{status: http.StatusServiceUnavailable, after: wait, Error: "too many readers come at once"})
 		return
 	}
-	staleness, at := s.replica.Staleness(), r.tables.newest()
+	staleness, at := r.replica.Staleness(), r.tables.newest()
 	if req.URL.Query().Get("watch") != "" {
 		r.watch(w, req, at, reads, after, staleness)
 		return
 	}
 	encoded, err := at.text(reads)
 	if err != nil {
-		writeRejection(w, &rejection{status: http.StatusInternalServerError, Error: err.Error()})
+		writeRejection(w, &Rejection{status: http.StatusInternalServerError, Error: err.Error()})
 		return
 	}
 	if encoded.text == nil {
-		writeRejection(w, &rejection{status: http.StatusConflict, Field: "schema", Findings: encoded.findings,
+		writeRejection(w, &Rejection{status: http.StatusConflict, Field: "schema", Findings: encoded.findings,
 			Error: fmt.Sprintf("schema: the table would be %s by who reads %v", encoded.verdict, reads)})
 		return
 	}
 	rev, _ := at.revisions()
-	s.writeReplicaHeaders(w, rev, staleness)
+	r.server.WriteReplicaHeaders(w, rev, staleness)
 	w.Header().Set("Content-Type", "application/json")
 	w.Header().Set("Content-Length", strconv.Itoa(len(encoded.text)))
 	_, _ = w.Write(encoded.text) // the reader may have disconnected
 }
 
 // watch sends each newer table that the schemas of the client can express, until either side ends the watch.
-func (r *routing) watch(w http.ResponseWriter, req *http.Request, at *tableNode, reads []int, after int64, staleness time.Duration) {
-	s := r.s
+func (r *Routing) watch(w http.ResponseWriter, req *http.Request, at *tableNode, reads []int, after int64, staleness time.Duration) {
 	r.watches.Add(1)
 	defer r.watches.Add(-1)
 	rev, _ := at.revisions()
-	s.writeReplicaHeaders(w, rev, staleness)
+	r.server.WriteReplicaHeaders(w, rev, staleness)
 	w.Header().Set("Content-Type", "application/json")
-	say := s.lineWriter(w)
+	say := r.server.LineWriter(w)
 	tell := func(l *tableNode) error {
 		encoded, err := l.text(reads)
 		if err != nil {
-			s.log.Error("registry: a table of routes cannot be told", "error", err)
+			r.log.Error("registry: a table of routes cannot be told", "error", err)
 			return err
 		}
 		text := encoded.text
@@ -311,27 +314,27 @@
 		}
 		return nil
 	}
-	tick := time.NewTicker(watchHeartbeat)
+	tick := time.NewTicker(listserver.WatchHeartbeat)
 	defer tick.Stop()
 	for err := tell(at); err == nil; {
 		select {
 		case <-req.Context().Done():
 			return
 		case <-tick.C:
-			if _, stale := s.stale(); stale || !say([]byte("\n")) {
+			if _, stale := r.server.Stale(); stale || !say([]byte("\n")) {
 				return // a watch on a partitioned replica would stay open without changes
 			}
 			continue
 		case <-at.ready:
 		}
 		at = at.next
-		if r.tables.newest().n-at.n > maxWatcherLag {
+		if r.tables.newest().n-at.n > listserver.MaxWatcherLag {
 			err = errSlowWatcher
 		} else {
 			err = tell(at)
 		}
 		if errors.Is(err, errSlowWatcher) {
-			s.metrics.slow.Inc()
+			r.server.CountSlowWatcher()
 		}
 	}
 }
--- a/internal/registry/routes_tenants.go
+++ b/internal/registry/routeleader/tenants.go
@@ -1,4 +1,4 @@
-package registry
+package routeleader
 
 // This file serves tenants' changes of their routes and rollouts.
 
@@ -9,13 +9,14 @@
 	"strconv"
 	"time"
 
-	"golang.org/x/time/rate"
-
+	"marblelane/internal/registry/listserver"
+	"marblelane/internal/registry/operators"
+	"marblelane/internal/registry/state"
 	"marblelane/internal/rollout"
 	"marblelane/internal/route"
 )
 
-// Wish is a rollout as a tenant posts it.
+// Wish is the body of a posted rollout.
 type Wish struct {
 	To      string   `json:"to" validate:"required,bytes=100"`
 	Classes []string `json:"classes" validate:"max=100,unique,dive,min=1,bytes=200"`
@@ -26,73 +27,74 @@
 	Note    string   `json:"note" validate:"bytes=1000"`
 }
 
-// Stride is a step as it is posted.
+// Stride is a step in the body of a posted rollout.
 type Stride struct {
 	CanaryFraction float64 `json:"share" validate:"gt=0,lte=1"`
 	HoldMS         int64   `json:"hold_ms" validate:"gte=0,lte=2592000000"`
 	MinAttempts    int64   `json:"requests" validate:"gte=0,lte=1000000000000"`
 }
 
-func (r *routing) post(w http.ResponseWriter, req *http.Request) {
-	r.make(w, req, func(o *Operators, t *Tenant) (*rollout.Command, *rejection) {
+func (r *Routing) post(w http.ResponseWriter, req *http.Request) {
+	r.handleChange(w, req, func(o *operators.Operators, t *operators.Tenant) (*rollout.Command, *Rejection) {
 		var wish Wish
 		if f := r.body(w, req, maxBodyBytes, &wish); f != nil {
 			return nil, f
 		}
-		spec, f := t.spec(o, req.PathValue("name"), &wish)
-		return &rollout.Command{Op: rollout.OpPost, Tenant: inside(t.Name), Spec: spec}, f
+		spec, f := rolloutSpec(o, t, req.PathValue("name"), &wish)
+		return &rollout.Command{Op: rollout.OpPost, Tenant: operators.StateTenantName(t.Name), Spec: spec}, f
 	})
 }
 
-// spec is a wish with what its names stand for, if it is within the tenant's bounds.
-func (t *Tenant) spec(o *Operators, name string, wish *Wish) (*rollout.Spec, *rejection) {
+// rolloutSpec resolves the names of a posted rollout and checks it against the bounds of its tenant.
+func rolloutSpec(o *operators.Operators, t *operators.Tenant, name string, wish *Wish) (*rollout.Spec, *Rejection) {
 	if name == "" || len(name) > rollout.MaxRolloutNameBytes {
 		return nil, rejectf(http.StatusBadRequest, "name", "has %d bytes, not 1 to %d", len(name), rollout.MaxRolloutNameBytes)
 	}
-	s := &rollout.Spec{Tenant: inside(t.Name), Name: name, SubsetName: wish.To, Classes: wish.Classes, Budget: wish.Budget, LateIsFailure: wish.Late,
+	s := &rollout.Spec{Tenant: operators.StateTenantName(t.Name), Name: name, SubsetName: wish.To, Classes: wish.Classes, Budget: wish.Budget, LateIsFailure: wish.Late,
 		AtEnd: wish.AtEnd, Note: wish.Note}
 	for i, st := range wish.Steps {
-		if st.CanaryFraction > *t.MaxShare {
-			return nil, rejectf(http.StatusForbidden, fmt.Sprintf("steps[%d].share", i), "%v is above max_share of tenant %q, %v", st.CanaryFraction, t.Name, *t.MaxShare)
+		if st.CanaryFraction > *t.MaxCanaryFraction {
+			return nil, rejectf(http.StatusForbidden, fmt.Sprintf("steps[%d].share", i), "%v is above max_share of tenant %q, %v", st.CanaryFraction, t.Name, *t.MaxCanaryFraction)
 		}
 		s.Steps = append(s.Steps, rollout.Step(st))
 	}
 	if wish.Budget > t.MaxBudget {
 		return nil, rejectf(http.StatusForbidden, "budget", "%d is above max_budget of tenant %q, %d", wish.Budget, t.Name, t.MaxBudget)
 	}
-	var f *rejection
-	s.Canary, f = t.canary(o, wish.To)
+	var f *Rejection
+	s.Canary, f = canarySubset(o, t, wish.To)
 	return s, f
 }
 
-func (t *Tenant) canary(o *Operators, name string) (route.Subset, *rejection) {
-	sub, known := o.subset(name)
+// canarySubset finds a subset that the tenant may send its requests to.
+func canarySubset(o *operators.Operators, t *operators.Tenant, name string) (route.Subset, *Rejection) {
+	sub, known := o.Subset(name)
 	if !known || !slices.Contains(t.Subsets, name) {
 		return sub, rejectf(http.StatusForbidden, "to", "%q is not among subsets of tenant %q, %v", clip(name), t.Name, t.Subsets)
 	}
 	return sub, nil
 }
 
-func (r *routing) base(w http.ResponseWriter, req *http.Request) {
-	r.make(w, req, func(o *Operators, t *Tenant) (*rollout.Command, *rejection) {
+func (r *Routing) base(w http.ResponseWriter, req *http.Request) {
+	r.handleChange(w, req, func(o *operators.Operators, t *operators.Tenant) (*rollout.Command, *Rejection) {
 		var wish struct {
 			To string `json:"to" validate:"bytes=100"` // empty: all servers
 		}
 		if f := r.body(w, req, maxBodyBytes, &wish); f != nil {
 			return nil, f
 		}
-		c := &rollout.Command{Op: rollout.OpBase, Tenant: inside(t.Name)}
-		var f *rejection
+		c := &rollout.Command{Op: rollout.OpBase, Tenant: operators.StateTenantName(t.Name)}
+		var f *Rejection
 		if wish.To != "" {
-			c.Base, f = t.canary(o, wish.To)
+			c.Base, f = canarySubset(o, t, wish.To)
 		}
 		return c, f
 	})
 }
 
 // handleRolloutOp pauses, resumes, rolls back or stops a rollout.
-func (r *routing) handleRolloutOp(w http.ResponseWriter, req *http.Request, op rollout.Op) {
-	r.make(w, req, func(_ *Operators, t *Tenant) (*rollout.Command, *rejection) {
+func (r *Routing) handleRolloutOp(w http.ResponseWriter, req *http.Request, op rollout.Op) {
+	r.handleChange(w, req, func(_ *operators.Operators, t *operators.Tenant) (*rollout.Command, *Rejection) {
 		wish := struct {
 			Why string `json:"why" validate:"bytes=200"`
 		}{"by command"}
@@ -102,28 +104,30 @@
 		if op != rollout.OpStop && req.URL.Query().Has("if") {
 			return nil, rejectf(http.StatusBadRequest, "if", "is for post, base and stop alone")
 		}
-		return &rollout.Command{Op: op, Tenant: inside(t.Name), Name: req.PathValue("name"), Reason: wish.Why}, nil
+		return &rollout.Command{Op: op, Tenant: operators.StateTenantName(t.Name), Name: req.PathValue("name"), Reason: wish.Why}, nil
 	})
 }
 
-// make makes a tenant's change, once it is within all bounds and is read alike by all processes that count.
-func (r *routing) make(w http.ResponseWriter, req *http.Request, build func(*Operators, *Tenant) (*rollout.Command, *rejection)) {
+// handleChange answers a tenant's change. It is replicated if it is within the bounds of the tenant and all relevant
+// processes read the new table alike.
+func (r *Routing) handleChange(w http.ResponseWriter, req *http.Request, build func(*operators.Operators, *operators.Tenant) (*rollout.Command, *Rejection)) {
 	l, o := r.leader(w, req)
 	if l == nil {
 		return
 	}
-	rev, f := r.made(l, o, req, build)
+	rev, f := r.replicateChange(l, o, req, build)
 	if f != nil {
 		writeRejection(w, f)
 		return
 	}
-	r.s.writeReplicaHeaders(w, 0, r.s.replica.Staleness())
+	r.server.WriteReplicaHeaders(w, 0, r.replica.Staleness())
 	writeJSON(w, struct {
 		Rev int64 `json:"rev"`
 	}{rev})
 }
 
-func (r *routing) made(l *leadership, o *Operators, req *http.Request, build func(*Operators, *Tenant) (*rollout.Command, *rejection)) (int64, *rejection) {
+// replicateChange checks a tenant's change and replicates it. It returns the revision of the change.
+func (r *Routing) replicateChange(l *leadership, o *operators.Operators, req *http.Request, build func(*operators.Operators, *operators.Tenant) (*rollout.Command, *Rejection)) (int64, *Rejection) {
 	t, f := r.tenant(o, req)
 	if f != nil {
 		return 0, f
@@ -139,14 +143,14 @@
 		}
 		c.IfRev = &rev
 	}
-	// One change is tried and made at a time, so that what is checked is what is made.
+	// Changes are checked and replicated one at a time, so that the check holds at the commit.
 	select {
 	case r.changing <- struct{}{}:
 		defer func() { <-r.changing }()
-	case <-time.After(applyTimeout):
-		return 0, &rejection{status: http.StatusServiceUnavailable, after: time.Second, Error: "other changes are under way"}
+	case <-time.After(listserver.ApplyTimeout):
+		return 0, &Rejection{status: http.StatusServiceUnavailable, after: time.Second, Error: "other changes are under way"}
 	case <-req.Context().Done():
-		return 0, &rejection{status: http.StatusServiceUnavailable, Error: "the caller is gone"}
+		return 0, &Rejection{status: http.StatusServiceUnavailable, Error: "the caller is gone"}
 	}
 	c.AtMS = l.wall(time.Now())
 	anew, f := r.dryRun(l, c, t)
@@ -154,8 +158,8 @@
 		return 0, f
 	}
 	if limited := c.Op == rollout.OpPost || c.Op == rollout.OpBase || c.Op == rollout.OpResume; anew && limited {
-		if wait := l.limit(t); wait > 0 {
-			return 0, &rejection{status: http.StatusTooManyRequests, after: wait, Field: "changes_per_minute",
+		if wait := l.limits.take(t); wait > 0 {
+			return 0, &Rejection{status: http.StatusTooManyRequests, after: wait, Field: "changes_per_minute",
 				Error: fmt.Sprintf("changes_per_minute: tenant %q has made its %v", t.Name, t.Changes)}
 		}
 	}
@@ -167,15 +171,15 @@
 }
 
 // dryRun applies a change to a clone of the state. It reports whether the change has an effect, or why it is rejected.
-func (r *routing) dryRun(l *leadership, c *rollout.Command, t *Tenant) (anew bool, f *rejection) {
+func (r *Routing) dryRun(l *leadership, c *rollout.Command, t *operators.Tenant) (anew bool, f *Rejection) {
 	var table route.Table
 	var err error
 	under := 0
-	r.s.hub.read(func(s *State) {
-		if _, live := s.routes.LiveSpec(inside(t.Name)); live {
+	r.list.Read(func(s *state.State) {
+		if _, live := s.Routes.LiveSpec(operators.StateTenantName(t.Name)); live {
 			under = 1
 		}
-		table, anew, err = s.routes.Preview(c)
+		table, anew, err = s.Routes.Preview(c)
 	})
 	switch {
 	case err != nil:
@@ -187,13 +191,13 @@
 		return true, rejectf(http.StatusForbidden, "rollouts", "tenant %q has %d under way, and may have %d", t.Name, under, *t.Rollouts)
 	}
 	if c.Op != rollout.OpPost && c.Op != rollout.OpBase && c.Op != rollout.OpResume {
-		return true, nil // what takes a canary away is never refused
+		return true, nil // a command that ends a canary is never rejected
 	}
 	return true, r.compare(l, &table)
 }
 
-// compare tells whether all processes that count read a table alike.
-func (r *routing) compare(l *leadership, table *route.Table) *rejection {
+// compare rejects a table that relevant processes would read differently.
+func (r *Routing) compare(l *leadership, table *route.Table) *Rejection {
 	alike := true
 	for schema := 1; schema < route.Newest; schema++ {
 		_, v, _ := route.ChooseSchema(r.planted.meant(table, []int{schema}), []int{schema})
@@ -204,10 +208,10 @@
 	}
 	all, wait := r.relevantProcesses(l)
 	if wait > 0 {
-		return &rejection{status: http.StatusServiceUnavailable, after: wait,
+		return &Rejection{status: http.StatusServiceUnavailable, after: wait,
 			Error: "this copy has only just begun to lead and does not know yet which schemas the processes read"}
 	}
-	out := &rejection{status: http.StatusConflict}
+	out := &Rejection{status: http.StatusConflict}
 	for _, p := range all {
 		reads := known(p.Schemas)
 		if _, v, findings := route.ChooseSchema(r.planted.meant(table, reads), reads); v > route.SameWhenDowngraded {
@@ -232,59 +236,36 @@
 	return out
 }
 
-// limit takes one change from what a tenant may make, or says how long to wait.
-func (l *leadership) limit(t *Tenant) time.Duration {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	per, burst := rate.Limit(t.Changes/60), max(1, int(t.Changes))
-	lim := l.changeLimits[t.Name]
-	if lim == nil {
-		lim = rate.NewLimiter(per, burst)
-		l.changeLimits[t.Name] = lim
-	}
-	now := time.Now()
-	if lim.Limit() != per || lim.Burst() != burst {
-		lim.SetLimitAt(now, per)
-		lim.SetBurstAt(now, burst)
-	}
-	got := lim.ReserveN(now, 1)
-	wait := got.DelayFrom(now)
-	if wait > 0 {
-		got.CancelAt(now)
-	}
-	return wait
-}
-
 // schema shuts out the processes that do not read a schema, POST /routes/schema.
-func (r *routing) schema(w http.ResponseWriter, req *http.Request) {
+func (r *Routing) schema(w http.ResponseWriter, req *http.Request) {
 	l, o := r.leader(w, req)
 	if l == nil {
 		return
 	}
-	if !admits(o.Token, req) {
+	if !operators.TokenMatches(o.Token, req) {
 		writeRejection(w, rejectf(http.StatusUnauthorized, "Authorization", "this needs operator_token: Authorization: Bearer TOKEN"))
 		return
 	}
 	var wish struct {
-		Least int `json:"least"`
+		MinSchema int `json:"least"`
 	}
 	f := r.body(w, req, maxBodyBytes, &wish)
-	if f == nil && (wish.Least < 1 || wish.Least > route.Newest) {
-		f = rejectf(http.StatusBadRequest, "least", "%d is not between 1 and %d", wish.Least, route.Newest)
+	if f == nil && (wish.MinSchema < 1 || wish.MinSchema > route.Newest) {
+		f = rejectf(http.StatusBadRequest, "least", "%d is not between 1 and %d", wish.MinSchema, route.Newest)
 	}
 	if f != nil {
 		writeRejection(w, f)
 		return
 	}
-	rev, err := r.change(l, &rollout.Command{Op: rollout.OpSchema, AtMS: l.wall(time.Now()), Schema: wish.Least})
+	rev, err := r.change(l, &rollout.Command{Op: rollout.OpSchema, AtMS: l.wall(time.Now()), Schema: wish.MinSchema})
 	if err != nil {
 		writeRejection(w, rejectionOf(err))
 		return
 	}
 	var minSchema int
-	r.s.hub.read(func(s *State) { minSchema = s.routes.MinSchema() })
+	r.list.Read(func(s *state.State) { minSchema = s.Routes.MinSchema() })
 	writeJSON(w, struct {
-		Rev   int64 `json:"rev"`
-		Least int   `json:"least"`
+		Rev       int64 `json:"rev"`
+		MinSchema int   `json:"least"`
 	}{rev, minSchema})
 }
--- a/internal/registry/routes_views.go
+++ b/internal/registry/routeleader/views.go
@@ -1,4 +1,4 @@
-package registry
+package routeleader
 
 // This file serves the read-only operator API: routes, rollouts, processes and the audit.
 
@@ -9,28 +9,30 @@
 	"time"
 
 	"marblelane/internal/audit"
+	"marblelane/internal/registry/operators"
+	"marblelane/internal/registry/state"
 	"marblelane/internal/rollout"
 	"marblelane/internal/route"
 )
 
 // RolloutView is the JSON form of a rollout.
 type RolloutView struct {
-	Name     string        `json:"name"`
-	To       string        `json:"to"`
-	Phase    rollout.Phase `json:"phase"`
-	Step     int           `json:"step"`
-	Steps    int           `json:"steps"`
-	Share    float64       `json:"share"` // of the tenant's requests, at this moment
-	Rev      int64         `json:"rev"`
-	SinceMS  int64         `json:"since_ms"`
-	Why      string        `json:"why,omitempty"`
-	Budget   int64         `json:"budget"`
-	Granted  int64         `json:"granted"` // to processes, in all
-	Spent    int64         `json:"spent"`
-	Returned int64         `json:"returned"`
-	Left     int64         `json:"left"`     // neither held by a process nor spent
-	Evidence float64       `json:"evidence"` // against the canary; it is rolled back at 1/alpha
-	Note     string        `json:"note,omitempty"`
+	Name           string        `json:"name"`
+	To             string        `json:"to"`
+	Phase          rollout.Phase `json:"phase"`
+	Step           int           `json:"step"`
+	Steps          int           `json:"steps"`
+	CanaryFraction float64       `json:"share"` // of the tenant's requests, at this moment
+	Rev            int64         `json:"rev"`
+	SinceMS        int64         `json:"since_ms"`
+	Why            string        `json:"why,omitempty"`
+	Budget         int64         `json:"budget"`
+	Granted        int64         `json:"granted"` // to processes, in all
+	Spent          int64         `json:"spent"`
+	Returned       int64         `json:"returned"`
+	Left           int64         `json:"left"`     // neither held by a process nor spent
+	Evidence       float64       `json:"evidence"` // against the canary; it is rolled back at 1/alpha
+	Note           string        `json:"note,omitempty"`
 }
 
 // TenantView is the JSON form of a tenant's routes.
@@ -44,7 +46,7 @@
 }
 
 // show answers GET /routes/{tenant}.
-func (r *routing) show(w http.ResponseWriter, req *http.Request) {
+func (r *Routing) show(w http.ResponseWriter, req *http.Request) {
 	l, o := r.leader(w, req)
 	if l == nil {
 		return
@@ -54,40 +56,38 @@
 		writeRejection(w, f)
 		return
 	}
-	if err := r.s.replica.Confirm(); err != nil {
+	if err := r.replica.Confirm(); err != nil {
 		writeRejection(w, rejectionOf(err))
 		return
 	}
 	writeJSON(w, r.view(l, t.Name))
 }
 
-func (r *routing) view(l *leadership, tenant string) TenantView {
-	l.mu.Lock()
-	defer l.mu.Unlock()
+func (r *Routing) view(l *leadership, tenant string) TenantView {
 	v := TenantView{Tenant: tenant, Rollouts: []RolloutView{}}
-	tenant = inside(tenant)
-	r.s.hub.read(func(s *State) {
-		table := s.routes.Table()
-		v.Rev, v.Table, v.Closed = s.routes.TenantRev(tenant), table.Rev, table.Closed
+	tenant = operators.StateTenantName(tenant)
+	l.processes.withState(r.list, func(s *state.State) {
+		table := s.Routes.Table()
+		v.Rev, v.Table, v.Closed = s.Routes.TenantRev(tenant), table.Rev, table.Closed
 		fraction := map[string]float64{}
 		for _, one := range table.Routes {
 			if one.Tenant == tenant {
 				v.Base, fraction[rollout.RolloutName(one.Rollout)] = one.Base, one.Share
 			}
 		}
-		for _, one := range s.routes.RolloutsOf(tenant) {
-			g, spent, back := s.routes.BudgetTotals(tenant, one.Spec.Name)
+		for _, one := range s.Routes.RolloutsOf(tenant) {
+			g, spent, back := s.Routes.BudgetTotals(tenant, one.Spec.Name)
 			v.Rollouts = append(v.Rollouts, RolloutView{Name: one.Spec.Name, To: one.Spec.SubsetName, Phase: one.Phase, Step: one.Step,
-				Steps: len(one.Spec.Steps), Share: fraction[one.Spec.Name], Rev: one.Rev, SinceMS: one.ChangedAtMS, Why: one.Reason,
+				Steps: len(one.Spec.Steps), CanaryFraction: fraction[one.Spec.Name], Rev: one.Rev, SinceMS: one.ChangedAtMS, Why: one.Reason,
 				Budget: one.Spec.Budget, Granted: g, Spent: spent, Returned: back, Left: one.Spec.Budget - (g - back),
-				Evidence: min(l.controller.Evidence(tenant, one.Spec.Name), math.MaxFloat64), Note: one.Spec.Note})
+				Evidence: min(l.processes.controller.Evidence(tenant, one.Spec.Name), math.MaxFloat64), Note: one.Spec.Note})
 		}
 	})
 	return v
 }
 
 // processes answers GET /routes/processes.
-func (r *routing) processes(w http.ResponseWriter, req *http.Request) {
+func (r *Routing) processes(w http.ResponseWriter, req *http.Request) {
 	l, _ := r.leader(w, req)
 	if l == nil {
 		return
@@ -99,14 +99,14 @@
 }
 
 // processStatuses returns the status of each process known to the controller.
-func (r *routing) processStatuses(l *leadership) []rollout.ProcessStatus {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	return l.controller.Processes(l.floor(time.Now()))
+func (r *Routing) processStatuses(l *leadership) []rollout.ProcessStatus {
+	l.processes.mu.Lock()
+	defer l.processes.mu.Unlock()
+	return l.processes.controller.Processes(l.floor(time.Now()))
 }
 
 // handleAudit answers GET /routes/audit: which processes acted on a revision within a time range.
-func (r *routing) handleAudit(w http.ResponseWriter, req *http.Request) {
+func (r *Routing) handleAudit(w http.ResponseWriter, req *http.Request) {
 	l, _ := r.leader(w, req)
 	if l == nil {
 		return
@@ -125,7 +125,7 @@
 		writeRejection(w, rejectf(http.StatusBadRequest, "from", "%d is after to, %d", n[1], n[2]))
 		return
 	}
-	if err := r.s.replica.Confirm(); err != nil {
+	if err := r.replica.Confirm(); err != nil {
 		writeRejection(w, rejectionOf(err))
 		return
 	}
@@ -137,26 +137,26 @@
 	writeJSON(w, out)
 }
 
-func (r *routing) auditSummary(l *leadership, rev, from, to int64) (out audit.Summary, f *rejection) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
+func (r *Routing) auditSummary(l *leadership, rev, from, to int64) (out audit.Summary, f *Rejection) {
+	l.processes.mu.Lock()
+	defer l.processes.mu.Unlock()
 	ms := func(wall int64) int64 { return wall - l.startedWallMS + l.floor(l.startedAt) }
 	now := time.Now()
 	committed, closed := r.tables.when(rev)
 	q := audit.Query{Rev: rev, From: ms(from), To: ms(to), CommittedAt: math.MinInt64, ClosedKnown: !closed.IsZero(), Now: l.ceil(now),
-		Slack: clockSlackMS, ClockAhead: l.ceil(r.opened)}
+		Slack: ClockSlackMS, ClockAhead: l.ceil(r.opened)}
 	if !committed.IsZero() {
 		q.CommittedAt = l.floor(committed)
 	}
 	if q.ClosedKnown {
 		q.ClosedAt = l.ceil(closed)
 	}
-	r.s.hub.read(func(s *State) {
-		if newest := s.routes.Rev(); rev > newest {
+	r.list.Read(func(s *state.State) {
+		if newest := s.Routes.Rev(); rev > newest {
 			f = rejectf(http.StatusNotFound, "rev", "%d is not committed; the newest is %d", rev, newest)
 			return
 		}
-		out = l.tracker.Summarize(q, s.audit)
+		out = l.processes.tracker.Summarize(q, s.AuditLog)
 	})
 	out.Answers = r.planted.answers(out.Answers)
 	return out, f
--- a/internal/registry/routes_test.go
+++ b/internal/registry/routes_test.go
@@ -5,7 +5,6 @@
 	"encoding/json"
 	"fmt"
 	"io"
-	"math"
 	"net"
 	"net/http"
 	"os"
@@ -18,6 +17,10 @@
 	"github.com/stretchr/testify/require"
 
 	"marblelane/internal/audit"
+	"marblelane/internal/registry/listserver"
+	"marblelane/internal/registry/operators"
+	"marblelane/internal/registry/routeleader"
+	"marblelane/internal/registry/state"
 	"marblelane/internal/rollout"
 	"marblelane/internal/route"
 )
@@ -49,17 +52,17 @@
 subsets = ["new"]
 `
 
-func operators(t *testing.T, text string) (*Operators, error) {
+func loadOperators(t *testing.T, text string) (*operators.Operators, error) {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "o.toml")
 	require.NoError(t, os.WriteFile(path, []byte(text), 0o600))
-	return LoadOperators(path)
+	return operators.Load(path)
 }
 
 // routed starts replicas with an operators' file, and waits until their leader answers for routes.
 func routed(t *testing.T, n int, change func(*Config)) []*copyOf {
 	t.Helper()
-	o, err := operators(t, operatorsText)
+	o, err := loadOperators(t, operatorsText)
 	require.NoError(t, err)
 	all := cluster(t, n, func(c *Config) {
 		if c.Operators = o; change != nil {
@@ -74,7 +77,7 @@
 	t.Helper()
 	until(t, "a leader of routes", func() bool {
 		lead = leader(t, all)
-		return lead.node.server.routes.current() != nil
+		return lead.node.routes.Leads()
 	})
 	return lead
 }
@@ -84,7 +87,7 @@
 // putCanary lists a server of the canary's: without one a rollout pauses.
 func putCanary(t *testing.T, c *copyOf) {
 	t.Helper()
-	code, text := call(t, "POST", c.cfg.Listen, listPath+"/s", `{"endpoint":"127.0.0.1:1","model":"m2"}`)
+	code, text := call(t, "POST", c.cfg.Listen, listserver.ListPath+"/s", `{"endpoint":"127.0.0.1:1","model":"m2"}`)
 	require.Equal(t, 200, code, text)
 }
 
@@ -134,7 +137,7 @@
 }
 
 func routesRev(c *copyOf) (rev int64) {
-	c.node.hub.read(func(s *State) { rev = s.routes.Rev() })
+	c.node.hub.Read(func(s *state.State) { rev = s.Routes.Rev() })
 	return rev
 }
 
@@ -149,7 +152,7 @@
 	return a.Rev
 }
 
-func view(t *testing.T, addr string) (v TenantView) {
+func view(t *testing.T, addr string) (v routeleader.TenantView) {
 	t.Helper()
 	until(t, "the tenant's routes", func() bool { // the leader may be another by now, or not settled
 		code, text := call(t, "GET", addr, "/routes/a", "")
@@ -158,39 +161,6 @@
 	return v
 }
 
-func TestOperators_fileErrors(t *testing.T) {
-	for text, says := range map[string]string{
-		"term = \"5\"":                                    `o.toml:1: term: "5" is not a duration`,
-		"term = \"10ms\"":                                 "o.toml:1: term: 10ms is below 500ms",
-		"\nshut_after = \"1s\"":                           "o.toml:2: shut_after: 1000 ms is not after behind_after, 2000 ms",
-		"remember = \"5s\"":                               "o.toml:1: remember: 5000 ms is less than two terms",
-		"behind_share = 1.5":                              "o.toml:1: behind_share: 1.5 is above 1",
-		"alpha = 1.0":                                     "alpha: 1 is not below 1",
-		"nonsense = 1":                                    "o.toml:1: nonsense: there is no such key",
-		"[[tenant]]\nmax_share = 1.5":                     "o.toml:2: tenant[0].max_share: 1.5 is above 1",
-		"[[tenant]]\nname = \"x/y\"":                      `o.toml:2: tenant[0].name: "x/y" has a character of "/"`,
-		"[[tenant]]\nname = \"audit\"":                    `tenant[0].name: "audit" has another meaning in paths`,
-		"[[tenant]]\n[[tenant]]":                          "tenant: a name comes twice",
-		"[[tenant]]\nrollouts = 101":                      "tenant[0].rollouts: 101 is above 100",
-		"[[tenant]]\nsubsets = [\"x\"]":                   `o.toml:2: tenant[0].subsets[0]: there is no subset "x"`,
-		"[[tenant]]\nmax_budget = -1":                     "tenant[0].max_budget: -1 is not above 0",
-		"[[subset]]\nmodel = [\"m\"]":                     "o.toml:1: subset[0].name: is missing",
-		"[[subset]]\nname = \"s\"":                        "subset[0]: selects all servers",
-		"[[subset]]\nname = \"s\"\nuid = [\"\"]":          `o.toml:3: subset[0].uid[0]: "" is below 1 bytes`,
-		"[[subset]]\nname = \"s\"\npod_group = [\"a\"]":   "o.toml:3: subset.pod_group",
-		"# " + strings.Repeat("x", maxOperatorsFileBytes): "bytes, 1048576 at most",
-		// Bounds are bytes: 101 characters of two bytes would be 101 by their number.
-		"operator_token = \"" + strings.Repeat("é", 101) + `"`:                  "operator_token: \"" + strings.Repeat("é", 20) + "...\" is above 200 bytes",
-		"[[tenant]]\nname = \"" + strings.Repeat("é", 51) + `"`:                 "tenant[0].name: \"" + strings.Repeat("é", 20) + "...\" is above 100 bytes",
-		"[[subset]]\nname = \"s\"\naz = [\"x" + strings.Repeat("é", 100) + `"]`: "subset[0].az[0]: \"x" + strings.Repeat("é", 19) + "...\" is above 200 bytes",
-	} {
-		_, err := operators(t, text)
-		assert.ErrorContains(t, err, says, text[:min(len(text), 80)])
-	}
-	_, err := LoadOperators(filepath.Join(t.TempDir(), "none"))
-	assert.ErrorContains(t, err, "operators' file")
-}
-
 func TestRoutes_offWithoutOperators(t *testing.T) {
 	one := cluster(t, 1, single)[0]
 	for _, path := range []string{"GET /routes?schema=2", "POST /routes/reports", "POST /routes/units", "GET /routes/a", "POST /routes/a/base",
@@ -249,10 +219,10 @@
 		{reports, `{"name":"p","start":1,"seq":1}`, 400, "schemas", "are 0"},
 		{reports, `{"name":"p","start":1,"seq":1,"schemas":[1],"counts":[{"ended":1,"failed":2}]}`, 400, "counts[0]", "more failed"},
 		{units, `{"name":"p","start":1,"purses":[{"want":-1}]}`, 400, "purses[0]", "want"},
-		{units, `{"name":"p","start":1,"purses":[` + strings.Repeat("{},", maxBudgetsPerRequest) + `{}]}`, 400, "purses", "257, more than 256"},
+		{units, `{"name":"p","start":1,"purses":[` + strings.Repeat("{},", 256) + `{}]}`, 400, "purses", "257, more than 256"},
 	} {
 		code, text := call(t, "POST", one.cfg.Listen, c.path, c.body)
-		var f rejection
+		var f routeleader.Rejection
 		require.NoError(t, json.Unmarshal([]byte(text), &f), text)
 		if code != c.code || f.Field != c.field || !strings.Contains(f.Error, c.why) {
 			t.Errorf("%s %.100s: %d %s", c.path, c.body, code, text)
@@ -359,7 +329,7 @@
 	all := routed(t, 3, nil)
 	addr := routesLeader(t, all).cfg.Listen
 	var list int64
-	all[0].node.hub.read(func(s *State) { list = s.Rev() })
+	all[0].node.hub.Read(func(s *state.State) { list = s.Rev() })
 	follow := func(c *copyOf, schema int) *bufio.Reader {
 		req, err := http.NewRequestWithContext(t.Context(), "GET", fmt.Sprintf("http://%s/routes?schema=%d&watch=1", c.cfg.Listen, schema), nil)
 		require.NoError(t, err)
@@ -419,20 +389,14 @@
 			told(older, 1, rev)
 		}
 	}
-	line := all[0].node.server.routes.tables.newest()
-	one, err := line.text([]int{2})
-	require.NoError(t, err)
-	two, err := line.text([]int{2, 2, 7})
-	require.NoError(t, err)
-	assert.Same(t, &one.text[0], &two.text[0], "the table is encoded twice")
-	all[0].node.hub.read(func(s *State) { assert.Equal(t, list, s.Rev()) })
+	all[0].node.hub.Read(func(s *state.State) { assert.Equal(t, list, s.Rev()) })
 }
 
 // Grants are on a quorum before they are answered: a new leader grants no unit twice, and undoes no rollback. With the
 // planted defect it does.
 func TestGrants_leaderChange(t *testing.T) {
 	t.Parallel()
-	for _, planted := range []defect{"", grantUncommitted} {
+	for _, planted := range []routeleader.Defect{"", routeleader.GrantUncommitted} {
 		t.Run(string(planted), func(t *testing.T) {
 			t.Parallel()
 			all := routed(t, 3, func(c *Config) { c.Planted = string(planted) })
@@ -502,7 +466,7 @@
 // A new leader closes nothing while a term that the one before granted may last; with the planted defect it does.
 func TestLeader_waitsForEarlierLeases(t *testing.T) {
 	t.Parallel()
-	for _, planted := range []defect{"", noWait} {
+	for _, planted := range []routeleader.Defect{"", routeleader.NoWait} {
 		t.Run(string(planted), func(t *testing.T) {
 			t.Parallel()
 			all := routed(t, 3, func(c *Config) {
@@ -536,19 +500,6 @@
 	}
 }
 
-// A longer term than this leader grants may be out: it decides nothing until that is over.
-func TestLeader_shorterLeaseTerm(t *testing.T) {
-	t.Parallel()
-	one := routed(t, 1, single)[0]
-	r := one.node.server.routes
-	_, err := one.node.Apply(&Command{Op: OpTerm, TermMS: 3_600_000}, applyTimeout)
-	require.NoError(t, err)
-	r.lead.Store(nil)
-	var l *leadership
-	until(t, "another lead", func() bool { l = r.current(); return l != nil })
-	assert.Equal(t, withClockMargin(3_600_000, 0.02), l.decisionsFrom.Sub(l.startedAt))
-}
-
 // Reports cost no disk.
 func TestReports_noDiskWrites(t *testing.T) {
 	t.Parallel()
@@ -556,7 +507,7 @@
 	p := newProcess("p", 2)
 	p.report(t, one.cfg.Listen)
 	known := func() (n int) {
-		one.node.hub.read(func(s *State) { n = len(s.seen) })
+		one.node.hub.Read(func(s *state.State) { n = len(s.Processes) })
 		return n
 	}
 	until(t, "the process to be remembered, and what is closed first", func() bool {
@@ -582,16 +533,16 @@
 		require.Equal(t, 200, code)
 	}
 	newProcess("new", 1, 2).report(t, one.cfg.Listen)
-	var f rejection
+	var f routeleader.Rejection
 	until(t, "a verdict", func() bool { // a new leader does not know all yet
 		code, text := call(t, "POST", one.cfg.Listen, path, classes)
-		f = rejection{}
+		f = routeleader.Rejection{}
 		require.NoError(t, json.Unmarshal([]byte(text), &f))
 		return code == 409
 	})
 	assert.Equal(t, "classes", f.Field)
 	assert.Contains(t, f.Findings[0].Effect, "all classes to the canary")
-	assert.Len(t, f.Processes, maxListedProcesses)
+	assert.Len(t, f.Processes, 20)
 	assert.Equal(t, 5, f.Others)
 	assert.Equal(t, "old00", f.Processes[0].Name)
 	for range 3 {
@@ -608,45 +559,37 @@
 		code, text := call(t, "GET", one.cfg.Listen, "/routes?schema=1", "")
 		return code == 409 && strings.Contains(text, "classes")
 	})
-	assert.Equal(t, route.SameReading, must(encodeTable(ignorable.meant(&route.Table{Rev: 1, Routes: []route.Route{{Classes: []string{"x"},
-		Share: 1, Rollout: "r"}}}, []int{1}), []int{1})).verdict, "the planted defect shows nothing")
-}
-
-func must[T any](v T, err error) T {
-	if err != nil {
-		panic(err)
-	}
-	return v
 }
 
 // The audit tells who acted and who did not, and of who is silent that it cannot be known; the planted defect says that
 // it did not.
 func TestAudit(t *testing.T) {
 	t.Parallel()
-	for _, planted := range []defect{"", auditSilent} {
+	for _, planted := range []routeleader.Defect{"", routeleader.AuditSilent} {
+		startedAt := time.Now()
 		one := routed(t, 1, func(c *Config) { single(c); c.Planted = string(planted) })[0]
 		code, text := call(t, "POST", one.cfg.Listen, "/routes/a/base", `{"to":"old"}`)
 		require.Equal(t, 200, code, text)
 		rev := revOf(t, text)
-		acts, rests, silent := newProcess("acts", 2), newProcess("rests", 2), newProcess("silent", 2)
-		for _, p := range []*process{acts, rests, silent} {
+		acts, idle, silent := newProcess("acts", 2), newProcess("rests", 2), newProcess("silent", 2)
+		for _, p := range []*process{acts, idle, silent} {
 			p.AcknowledgedRev = rev
 			p.report(t, one.cfg.Listen)
 		}
 		acts.Counts = []route.Count{{Rev: rev, Tenant: "a", Started: 3}}
 		acts.report(t, one.cfg.Listen)
-		l := one.node.server.routes.current()
+		routes := one.node.routes
 		later := func() int64 {
-			from := l.wall(time.Now())
-			until(t, "a time that is later for sure", func() bool { return l.wall(time.Now()) > from+2*clockSlackMS })
-			return l.wall(time.Now())
+			from := routes.WallMS(time.Now())
+			until(t, "a time that is later for sure", func() bool { return routes.WallMS(time.Now()) > from+2*routeleader.ClockSlackMS })
+			return routes.WallMS(time.Now())
 		}
 		to := later()
 		later()
 		until(t, "verdicts", func() bool { // an echo is from before the time's end at first
-			rests.report(t, one.cfg.Listen)
-			rests.report(t, one.cfg.Listen)
-			code, text = call(t, "GET", one.cfg.Listen, fmt.Sprintf("/routes/audit?rev=%d&from=%d&to=%d", rev, l.startedWallMS-1000, to), "")
+			idle.report(t, one.cfg.Listen)
+			idle.report(t, one.cfg.Listen)
+			code, text = call(t, "GET", one.cfg.Listen, fmt.Sprintf("/routes/audit?rev=%d&from=%d&to=%d", rev, routes.WallMS(startedAt.Add(-time.Second)), to), "")
 			require.Equal(t, 200, code, text)
 			var s audit.Summary
 			require.NoError(t, json.Unmarshal([]byte(text), &s))
@@ -675,12 +618,12 @@
 	t.Parallel()
 	all := routed(t, 3, nil)
 	lead := routesLeader(t, all)
-	followers := func(what string, is func(r *routing, s *State) bool) {
+	followers := func(what string, is func(r *routeleader.Routing, s *state.State) bool) {
 		t.Helper()
 		until(t, what, func() bool {
 			for _, c := range all {
-				r, ok := c.node.server.routes, false
-				if c.node.hub.read(func(s *State) { ok = is(r, s) }); c != lead && !ok {
+				r, ok := c.node.routes, false
+				if c.node.hub.Read(func(s *state.State) { ok = is(r, s) }); c != lead && !ok {
 					return false
 				}
 			}
@@ -689,17 +632,15 @@
 	}
 	passed := func() time.Time { // that both ends of a window are apart by more than what turning them may cost
 		at := time.Now()
-		until(t, "some time", func() bool { return time.Since(at) > 4*clockSlackMS*time.Millisecond })
+		until(t, "some time", func() bool { return time.Since(at) > 4*routeleader.ClockSlackMS*time.Millisecond })
 		return time.Now()
 	}
 	before := passed()
 	polled := passed()
-	followers("what the leader has", func(r *routing, _ *State) bool {
-		r.tables.mu.Lock()
-		defer r.tables.mu.Unlock()
-		return len(r.tables.upperBounds) > 0 && r.tables.upperBounds[len(r.tables.upperBounds)-1].at.After(polled)
+	followers("what the leader has", func(r *routeleader.Routing, _ *state.State) bool {
+		return r.LastRevPoll().After(polled)
 	})
-	acts, rests := newProcess("acts", 2), newProcess("rests", 2)
+	acts, idle := newProcess("acts", 2), newProcess("rests", 2)
 	var revs [2]int64
 	var within time.Time // after the commit of the first, before anybody acts on it
 	for i, to := range []string{"old", "new"} {
@@ -708,18 +649,18 @@
 		if revs[i] = revOf(t, text); i == 0 {
 			within = time.Now()
 		}
-		for _, p := range []*process{acts, rests} {
+		for _, p := range []*process{acts, idle} {
 			p.AcknowledgedRev = revs[i]
 			acts.Counts = []route.Count{{Rev: revs[0], Tenant: "a", Started: 3}}
 			p.report(t, lead.cfg.Listen)
 		}
 	}
-	followers("transitions", func(_ *routing, s *State) bool { return s.audit.Len() >= 6 })
+	followers("transitions", func(_ *routeleader.Routing, s *state.State) bool { return s.AuditLog.Len() >= 6 })
 	passed()
 	held := passed()
 	lead.end(t)
 	lead = routesLeader(t, all)
-	l := lead.node.server.routes.current()
+	routes := lead.node.routes
 	for _, c := range []struct {
 		what     string
 		from, to time.Time
@@ -730,7 +671,7 @@
 		{"from within", within, held, []audit.Verdict{audit.Unknown, audit.DidNot}},
 		{"after the end", held, held.Add(time.Hour), []audit.Verdict{audit.DidNot, audit.DidNot}},
 	} {
-		audited := fmt.Sprintf("/routes/audit?rev=%d&from=%d&to=%d", revs[0], l.wall(c.from), l.wall(c.to))
+		audited := fmt.Sprintf("/routes/audit?rev=%d&from=%d&to=%d", revs[0], routes.WallMS(c.from), routes.WallMS(c.to))
 		var code int
 		var text string
 		until(t, "an answer of the new leader", func() bool { // it says 503 until a quorum has confirmed it
@@ -747,39 +688,3 @@
 		assert.Equal(t, c.want, got, "%s: %+v", c.what, s.Answers)
 	}
 }
-
-// What costs are counted late is handed out again.
-func TestDefect_countLate(t *testing.T) {
-	a := &route.BudgetRequest{Budgets: []route.BudgetState{{Granted: 5, Spent: 3, Returned: 1}}}
-	defect("").requestedBudgets(a)
-	assert.Equal(t, int64(3), a.Budgets[0].Spent)
-	countLate.requestedBudgets(a)
-	assert.Equal(t, route.BudgetState{Granted: 5, Returned: 4}, a.Budgets[0])
-}
-
-// A snapshot keeps the routes; one from before there were any is read, and written while there are none.
-func TestSnapshot_routes(t *testing.T) {
-	s := newStartedState(10)
-	base := rollout.Command{Op: rollout.OpBase, Tenant: "a", Base: route.Subset{Model: []string{"m"}}}
-	for _, c := range []*Command{{Op: OpTerm, TermMS: 5}, {Op: OpRoutes, Routes: &base},
-		{Op: OpAudit, Audit: []audit.Transition{{Process: route.Process{Name: "p", Start: 1}, Kind: audit.FirstReport, Rev: 1}},
-			Seen: []SchemaSupport{{Process: route.Process{Name: "p", Start: 1}, Schemas: []int{1}}}}} {
-		before := s.Rev()
-		_, err := s.Apply(c)
-		require.NoError(t, err)
-		assert.Equal(t, before, s.Rev(), "the list's revision moved")
-	}
-	stored := must(s.save())
-	assert.Equal(t, savedForm, stored.Form)
-	back := NewState(10)
-	require.NoError(t, back.load(stored))
-	assert.Equal(t, asJSON(t, stored), asJSON(t, must(back.save())))
-	assert.Equal(t, s.routes.Table(), back.routes.Table())
-	assert.Equal(t, 1, back.audit.Len())
-
-	require.NoError(t, back.load(&saved{Form: formBefore, Rev: 7<<countBits + 3}))
-	assert.Equal(t, int64(7<<countBits), back.routes.Rev())
-	assert.Equal(t, formBefore, must(back.save()).Form)
-	assert.Error(t, back.load(&saved{Form: savedForm, Routes: []byte("{"), Audit: []byte("{}")}))
-	assert.Less(t, back.routes.Rev(), int64(math.MaxInt64))
-}
--- a/internal/registry/state_machine.go
+++ b/internal/registry/state_machine.go
@@ -1,70 +1,60 @@
 package registry
 
-// This file is raft's state machine: commands, snapshots and their restoring.
+// This file is the state machine of raft: it applies commands, takes snapshots and restores them.
 
 import (
 	"encoding/json"
-	"errors"
 	"fmt"
 	"io"
 	"time"
 
 	"github.com/hashicorp/raft"
+
+	"marblelane/internal/registry/listserver"
+	"marblelane/internal/registry/state"
+	"marblelane/internal/registry/storage"
 )
 
-// machine is the node as raft drives it.
-type machine Node
+// stateMachine is the node as the finite state machine of raft.
+type stateMachine Node
 
-// Apply carries out a committed command.
-func (m *machine) Apply(l *raft.Log) any {
-	var c Command
+// Apply applies a committed command.
+func (m *stateMachine) Apply(l *raft.Log) any {
+	var c state.Command
 	if err := json.Unmarshal(l.Data, &c); err != nil {
 		return result{err: fmt.Errorf("registry: log entry %d: %w", l.Index, err)}
 	}
 	var r result
 	if c.Term != 0 && c.Term != l.Term {
-		return result{err: ErrNotLeader} // decided in an earlier lead
+		return result{err: listserver.ErrNotLeader} // proposed in an earlier term
 	}
-	m.hub.read(func(s *State) {
+	m.hub.Read(func(s *state.State) {
 		r.rev, r.err = s.Apply(&c)
-		m.server.routes.tables.follow(s.routes, l.Term, time.Now())
+		m.routes.Follow(s.Routes, l.Term, time.Now())
 	})
-	m.server.signalChange()
+	m.server.SignalChange()
 	return r
 }
 
-// Snapshot takes a copy of the state, which is written out later.
-func (m *machine) Snapshot() (raft.FSMSnapshot, error) {
-	var s *saved
+// Snapshot copies the state; raft persists the copy later.
+func (m *stateMachine) Snapshot() (raft.FSMSnapshot, error) {
+	var s *state.Snapshot
 	var err error
-	m.hub.read(func(st *State) { s, err = st.save() })
-	return snapshot{s}, err
+	m.hub.Read(func(st *state.State) { s, err = st.Snapshot() })
+	return storage.StateSnapshot{Content: s}, err
 }
 
-// Restore puts a snapshot in the state's place.
-func (m *machine) Restore(from io.ReadCloser) error {
+// Restore replaces the state by a snapshot.
+func (m *stateMachine) Restore(from io.ReadCloser) error {
 	defer from.Close()
-	var in saved
+	var in state.Snapshot
 	if err := json.NewDecoder(from).Decode(&in); err != nil {
 		return fmt.Errorf("registry: snapshot: %w", err)
 	}
-	s := NewState(m.cfg.Keep)
-	if err := s.load(&in); err != nil {
+	s := state.NewState(m.cfg.Keep)
+	if err := s.Restore(&in); err != nil {
 		return err
 	}
-	m.server.routes.tables.follow(s.routes, 0, time.Now())
-	return m.hub.replace(s)
-}
-
-type snapshot struct{ s *saved }
-
-// Persist writes the snapshot whole or not at all.
-func (s snapshot) Persist(sink raft.SnapshotSink) error {
-	if err := json.NewEncoder(sink).Encode(s.s); err != nil {
-		return errors.Join(fmt.Errorf("registry: snapshot: %w", err), sink.Cancel())
-	}
-	return sink.Close()
+	m.routes.Follow(s.Routes, 0, time.Now())
+	return m.hub.Replace(s)
 }
-
-// Release does nothing: the snapshot is this process's own copy.
-func (snapshot) Release() {}
