--- a/cmd/marblelane/members_diff.go
+++ b/cmd/marblelane/members_diff.go
@@ -118,7 +118,7 @@
 			}
 			fmt.Fprintf(t, "  %s\t%s\t%s\t%s\n", s.Addr, s.State, since, s.Proof)
 		}
-		t.Flush() // as in printMembers
+		_ = t.Flush() // as in printMembers
 	}
 	for _, addr := range slices.Sorted(maps.Keys(d.Unobserved)) {
 		fmt.Fprintf(w, "ADDR %s: cannot be asked: %s\n", addr, d.Unobserved[addr])
--- a/cmd/marblelane/members_list.go
+++ b/cmd/marblelane/members_list.go
@@ -47,5 +47,5 @@
 		fmt.Fprintf(t, "%s\t%d\t%s\t%s\t%s\t%s\t%s\t%s\t%s\t%s\n", m.Name, m.Start, m.State, forText(m.SinceMS), lastAlive,
 			orDash(m.Role), orDash(m.Zone), orDash(m.Version), orDash(m.Addr), orDash(strings.Join(notes, ", ")))
 	}
-	t.Flush() // its writer is not given errors by commands
+	_ = t.Flush() // its writer is not given errors by commands
 }
--- a/internal/lab/relay/handshake_delay.go
+++ b/internal/lab/relay/handshake_delay.go
@@ -61,7 +61,7 @@
 	h.cancel = cancel
 	for p, callers := range h.callersByPort {
 		if err := p.setDelayed(callers, h.fraction); err != nil {
-			h.Stop()
+			_ = h.Stop()
 			return err
 		}
 	}
--- a/internal/lab/simulate/member_view.go
+++ b/internal/lab/simulate/member_view.go
@@ -67,11 +67,10 @@
 }
 
 // observe schedules a change of flags in the view of a sidecar.
-func (m *fleet) observe(viewer, member int, after float64, set, unset uint8) float64 {
+func (m *fleet) observe(viewer, member int, after float64, set, unset uint8) {
 	at := m.sim.Now() + after
 	v := &m.views[viewer]
 	v.pending = append(v.pending, observation{at, member, m.sim.sidecars[member].incarnation, set, unset})
-	return at
 }
 
 // initViews lets the first sidecars know each other, as in a fleet that has run for long.
--- a/internal/lab/stock/request_run.go
+++ b/internal/lab/stock/request_run.go
@@ -23,14 +23,15 @@
 	replied atomic.Bool
 }
 
-func (v *requestRun) record(k record.Kind, status int, sum uint64) {
+// record adds an event of the request to the records of the run.
+func (v *requestRun) record(k record.Kind, status int) {
 	v.server.log.Add(record.Event{Kind: k, Request: v.id, Sidecar: int32(v.conn.Caller),
-		Server: int32(v.server.Number), Attempt: v.serial, Status: int32(status), Sum: sum, Class: record.None})
+		Server: int32(v.server.Number), Attempt: v.serial, Status: int32(status), Class: record.None})
 }
 
 func (v *requestRun) sidecarClosed() {
 	if !v.closed.Swap(true) {
-		v.record(record.SidecarClosed, 0, 0)
+		v.record(record.SidecarClosed, 0)
 	}
 }
 
@@ -42,7 +43,7 @@
 		return
 	}
 	if affects(b.FailOf, request.Class) && s.chance(b.Fail) {
-		v.record(record.WorkStarted, 0, 0)
+		v.record(record.WorkStarted, 0)
 		s.finish(v, 500, nil, "")
 		return
 	}
@@ -55,7 +56,7 @@
 
 // reject answers that the request has not run.
 func (s *Server) reject(v *requestRun, reason string) {
-	v.record(record.Rejected, 503, 0)
+	v.record(record.Rejected, 503)
 	s.finish(v, 503, []byte(reason+"\n"), "X-Not-Processed: 1\r\n")
 }
 
@@ -74,7 +75,7 @@
 	return &job{
 		work: work, remaining: work,
 		onStart: func() {
-			v.record(record.WorkStarted, 0, 0)
+			v.record(record.WorkStarted, 0)
 			if resets {
 				time.AfterFunc(s.partOf(work), func() { v.reset() })
 			}
@@ -181,7 +182,7 @@
 	}
 	v.replied.Store(true)
 	s.startIdle(v.conn)
-	v.record(record.Replied, status, 0)
+	v.record(record.Replied, status)
 	if s.chance(s.behaviour.Load().ExtraAnswer) {
 		s.writeExtra(v.conn, status, body)
 	}
--- a/internal/sidecar/clientserver/body.go
+++ b/internal/sidecar/clientserver/body.go
@@ -89,7 +89,7 @@
 	startedAt := time.Now()
 	deadline := startedAt.Add(min(p.waitLeft(), maxStall))
 	if p.open == nil {
-		p.setDeadline(deadline)
+		_ = p.setDeadline(deadline)
 	} else if !p.open.setDeadline(p, deadline) {
 		return 0, errServiceEnded
 	}
@@ -100,7 +100,7 @@
 	case p.received > inflight.MaxBody:
 		return 0, errBodyTooLarge
 	case err == io.EOF:
-		p.setDeadline(time.Time{})
+		_ = p.setDeadline(time.Time{})
 	case err != nil && p.open != nil && p.open.isAborted():
 		err = errServiceEnded
 	case errors.Is(err, os.ErrDeadlineExceeded):
@@ -144,7 +144,7 @@
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	if !o.aborted {
-		p.setDeadline(deadline)
+		_ = p.setDeadline(deadline)
 	}
 	return !o.aborted
 }
@@ -160,7 +160,7 @@
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	for p := range o.bodies {
-		p.setDeadline(netcall.PastDeadline)
+		_ = p.setDeadline(netcall.PastDeadline)
 	}
 	o.aborted = true
 }
--- a/internal/sidecar/clientserver/client_conn.go
+++ b/internal/sidecar/clientserver/client_conn.go
@@ -172,7 +172,7 @@
 
 // discardInput reads what still comes, up to the client's end, and closes the connection.
 func (c *ClientConn) discardInput() {
-	timeout := time.AfterFunc(CloseWindow, func() { c.end() })
+	timeout := time.AfterFunc(CloseWindow, func() { _ = c.end() })
 	defer timeout.Stop()
 	c.Conn.SetReadDeadline(time.Time{})
 	buf := inflight.CopyBuffers.Get().(*[]byte)
@@ -182,7 +182,7 @@
 			break
 		}
 	}
-	c.end()
+	_ = c.end()
 }
 
 // cutOff makes Close end the connection at once: its answer is not complete.
--- a/internal/sidecar/clientserver/conn_limiter.go
+++ b/internal/sidecar/clientserver/conn_limiter.go
@@ -84,7 +84,7 @@
 			return
 		}
 		if victim != nil {
-			victim.end()
+			_ = victim.end()
 			continue
 		}
 		select {
@@ -232,7 +232,7 @@
 	}
 	l.mu.Unlock()
 	for _, conn := range ending {
-		conn.end()
+		_ = conn.end()
 	}
 	return more
 }
--- a/internal/sidecar/clientserver/pending_call.go
+++ b/internal/sidecar/clientserver/pending_call.go
@@ -118,7 +118,7 @@
 	if upload := p.call.Outbound.Upload; upload != nil {
 		upload.Abort()
 		if p.uploadEnded != nil {
-			<-p.uploadEnded
+			p.uploadErr = <-p.uploadEnded
 		}
 	}
 	p.watch.stop()
@@ -135,7 +135,7 @@
 		p.bodyReceived(p.call.Deadline.Add(-p.call.Timeout))
 		return
 	}
-	p.control.EnableFullDuplex()
+	_ = p.control.EnableFullDuplex()
 	ended := make(chan error, 1)
 	p.uploadEnded = ended
 	go func() { ended <- upload.Feed(body) }()
@@ -256,6 +256,6 @@
 	p.server.options.Metrics.CountAnswer(p.call.Request.Class, p.answer.Status)
 	writeAnswer(p.writer, p.answer)
 	if bodyComing {
-		p.control.Flush() // the client may go on sending for long
+		_ = p.control.Flush() // the client may go on sending for long
 	}
 }
--- a/internal/sidecar/clientserver/response_writer.go
+++ b/internal/sidecar/clientserver/response_writer.go
@@ -77,7 +77,7 @@
 	}
 	header.Set("Content-Length", strconv.Itoa(len(answer.Body)))
 	w.WriteHeader(answer.Status)
-	w.Write(answer.Body)
+	_, _ = w.Write(answer.Body)
 }
 
 // setContentType sets the type that the server gave, and keeps net/http from guessing one.
@@ -99,9 +99,9 @@
 // over unread bytes is reset, and the answer may be lost.
 func discardBody(w http.ResponseWriter, r *http.Request) {
 	control := http.NewResponseController(w)
-	control.Flush()
-	control.SetReadDeadline(time.Now().Add(discardWait))
-	io.Copy(io.Discard, r.Body)
+	_ = control.Flush()
+	_ = control.SetReadDeadline(time.Now().Add(discardWait))
+	_, _ = io.Copy(io.Discard, r.Body)
 }
 
 // errorStatus is the status for a request that could not be read.
--- a/internal/sidecar/clientserver/server.go
+++ b/internal/sidecar/clientserver/server.go
@@ -182,7 +182,7 @@
 		http.Error(w, "draining", http.StatusServiceUnavailable)
 		return
 	}
-	io.WriteString(w, "ready\n")
+	_, _ = io.WriteString(w, "ready\n")
 }
 
 // allowMethods reports whether a request has one of the methods, and answers it if not.
@@ -199,7 +199,7 @@
 func writeParseError(w http.ResponseWriter, r *http.Request, err error) {
 	tooLarge := errors.Is(err, errBodyTooLarge)
 	if tooLarge {
-		http.NewResponseController(w).EnableFullDuplex()
+		_ = http.NewResponseController(w).EnableFullDuplex()
 	}
 	writeError(w, err, errorStatus(err))
 	if tooLarge {
--- a/internal/sidecar/management.go
+++ b/internal/sidecar/management.go
@@ -69,6 +69,6 @@
 	case s.loop.Metrics.Servers.Load().Ready == 0:
 		http.Error(w, "no server is known to be ready", http.StatusServiceUnavailable)
 	default:
-		io.WriteString(w, "ok\n")
+		_, _ = io.WriteString(w, "ok\n")
 	}
 }
--- a/internal/sidecar/netcall/conn.go
+++ b/internal/sidecar/netcall/conn.go
@@ -22,7 +22,7 @@
 // LimitBuffer bounds what the system takes for a peer that does not read.
 func LimitBuffer(c net.Conn) {
 	if tcp, ok := c.(interface{ SetWriteBuffer(int) error }); ok {
-		tcp.SetWriteBuffer(sendBufferBytes)
+		_ = tcp.SetWriteBuffer(sendBufferBytes)
 	}
 }
 
@@ -33,7 +33,7 @@
 		return
 	}
 	if raw, err := conn.SyscallConn(); err == nil {
-		raw.Control(func(fd uintptr) { syscall.Write(int(fd), []byte(text)) })
+		_ = raw.Control(func(fd uintptr) { _, _ = syscall.Write(int(fd), []byte(text)) })
 	}
 }
 
--- a/internal/sidecar/netcall/conn_state.go
+++ b/internal/sidecar/netcall/conn_state.go
@@ -42,7 +42,7 @@
 // Learn finds out with an established connection whether states can be trusted.
 func (s *ConnStates) Learn(c net.Conn) {
 	if !s.trusted.Load() {
-		s.State(c)
+		_, _ = s.State(c) // State itself learns from it
 	}
 }
 
--- a/internal/sidecar/routing/check.go
+++ b/internal/sidecar/routing/check.go
@@ -62,8 +62,8 @@
 // does.
 func (check *Check) RecordEnd(r inflight.Reply) inflight.Reply {
 	if check != nil && !check.Started && (r.Result == balance.ConnectFailed || r.Result == balance.Unreachable) {
-		check.fixed = false // no head was written
-		check.Begin()       // an error leaves it uncounted
+		check.fixed = false  // no head was written
+		_, _ = check.Begin() // an error leaves it uncounted
 	}
 	return r
 }
--- a/internal/sidecar/sidecartest/client_gone.go
+++ b/internal/sidecar/sidecartest/client_gone.go
@@ -10,8 +10,8 @@
 // Ends are the ways in which a client leaves.
 var Ends = map[string]func(*net.TCPConn){
 	"close":      func(c *net.TCPConn) { c.Close() },
-	"half-close": func(c *net.TCPConn) { c.CloseWrite() },
-	"reset":      func(c *net.TCPConn) { c.SetLinger(0); c.Close() },
+	"half-close": func(c *net.TCPConn) { _ = c.CloseWrite() },
+	"reset":      func(c *net.TCPConn) { _ = c.SetLinger(0); c.Close() },
 }
 
 // Barrier blocks all goroutines that pass it until it is released.
--- a/internal/sidecar/sidecartest/sidecar.go
+++ b/internal/sidecar/sidecartest/sidecar.go
@@ -184,7 +184,7 @@
 				if !more {
 					return
 				}
-				io.WriteString(w, line+"\n")
+				_, _ = io.WriteString(w, line+"\n")
 				w.(http.Flusher).Flush()
 			}
 		}
