--- a/internal/registry/freshness_test.go
+++ b/internal/registry/freshness_test.go
@@ -15,10 +15,10 @@
 	at := func(s int) time.Time { return time.Unix(int64(s), 0) }
 	var f freshness
 	for _, c := range []struct {
-		asked int // 0: nothing is asked
-		rev   int64
-		has   int64
-		want  int
+		polled int // 0: nothing is polled
+		rev    int64
+		has    int64
+		want   int
 	}{
 		{0, 0, 5, 0},
 		{10, 5, 4, 0},
@@ -29,8 +29,8 @@
 		{14, 20, 20, 14},
 		{0, 0, 30, 14}, // more than was ever promised makes it no newer
 	} {
-		if c.asked > 0 {
-			f.observeLeader(at(c.asked), c.rev)
+		if c.polled > 0 {
+			f.observeLeader(at(c.polled), c.rev)
 		}
 		if got := f.since(c.has); c.want == 0 && !got.IsZero() || c.want > 0 && !got.Equal(at(c.want)) {
 			t.Fatalf("%+v: %v", c, got)
--- a/internal/registry/routeleader/budgets.go
+++ b/internal/registry/routeleader/budgets.go
@@ -33,11 +33,10 @@
 	l.decisions.mu.Lock()
 	defer l.decisions.mu.Unlock()
 	var entries []rollout.LedgerEntry
-	keep := true
 	var err error
 	l.processes.withState(r.list, func(st *state.State) {
 		var s *rollout.State
-		if s, keep, err = r.planted.ledger(st.Routes, l.decisions.uncommittedGrants); err != nil {
+		if s, err = l.decisions.ledger.base(st.Routes); err != nil {
 			return
 		}
 		for _, a := range all {
@@ -48,11 +47,7 @@
 	if err != nil {
 		return nil, err
 	}
-	if !keep {
-		l.decisions.uncommittedGrants = append(l.decisions.uncommittedGrants, entries...)
-		entries = nil
-	}
-	for some := range slices.Chunk(entries, maxCommandEntries) {
+	for some := range slices.Chunk(l.decisions.ledger.toReplicate(entries), maxCommandEntries) {
 		c := &rollout.Command{Op: rollout.OpLedger, AtMS: l.wall(time.Now()), Entries: some}
 		if _, err := r.change(l, c); err != nil {
 			return nil, err
@@ -61,7 +56,7 @@
 	answers := make([]route.BudgetResponse, len(all))
 	l.processes.withState(r.list, func(st *state.State) {
 		var s *rollout.State
-		if s, _, err = r.planted.ledger(st.Routes, l.decisions.uncommittedGrants); err != nil {
+		if s, err = l.decisions.ledger.base(st.Routes); err != nil {
 			return
 		}
 		for i, a := range all {
--- a/internal/registry/routeleader/decisions.go
+++ b/internal/registry/routeleader/decisions.go
@@ -15,9 +15,9 @@
 // decisionState serialises decisions with their commits. It is taken before the lock of processRecords, which has no access
 // to it, and is the only lock that is held during a commit.
 type decisionState struct {
-	mu                sync.Mutex
-	lowersLeaseTerm   bool                  // at decisionsFrom, lower the replicated maximum lease term to this leader's
-	uncommittedGrants []rollout.LedgerEntry // used by the defect GrantUncommitted only
+	mu              sync.Mutex
+	lowersLeaseTerm bool // at decisionsFrom, lower the replicated maximum lease term to this leader's
+	ledger          grantLedger
 }
 
 // apply replicates a command and waits until it is applied.
--- a/internal/registry/routeleader/defects.go
+++ b/internal/registry/routeleader/defects.go
@@ -54,14 +54,30 @@
 	}
 }
 
-// ledger returns the state from which budget is granted, and whether grants are replicated.
-func (d Defect) ledger(s *rollout.State, uncommitted []rollout.LedgerEntry) (of *rollout.State, replicated bool, err error) {
-	if d != GrantUncommitted {
-		return s, true, nil
+// grantLedger is the state from which budget is granted. Without a defect that is the replicated state, and all grants are
+// replicated.
+type grantLedger struct {
+	planted     Defect
+	uncommitted []rollout.LedgerEntry // grants that the defect GrantUncommitted keeps in memory
+}
+
+// base returns the state from which budget is granted.
+func (g *grantLedger) base(s *rollout.State) (*rollout.State, error) {
+	if g.planted != GrantUncommitted {
+		return s, nil
+	}
+	s = s.Clone()
+	_, err := s.Apply(&rollout.Command{Op: rollout.OpLedger, Entries: g.uncommitted})
+	return s, err
+}
+
+// toReplicate returns the entries that are replicated.
+func (g *grantLedger) toReplicate(entries []rollout.LedgerEntry) []rollout.LedgerEntry {
+	if g.planted != GrantUncommitted {
+		return entries
 	}
-	of = s.Clone()
-	_, err = of.Apply(&rollout.Command{Op: rollout.OpLedger, Entries: uncommitted})
-	return of, false, err
+	g.uncommitted = append(g.uncommitted, entries...)
+	return nil
 }
 
 // answers modifies the answers of the audit as the defect demands.
--- a/internal/registry/routeleader/leadership.go
+++ b/internal/registry/routeleader/leadership.go
@@ -158,6 +158,7 @@
 	l := &leadership{leaderClock: leaderClock{startedAt: at, startedWallMS: state.EpochZeroMS + r.wall().Sub(state.EpochZero).Milliseconds()},
 		term: term, id: fmt.Sprintf("%s@%d.%d", r.name, term, r.leaderships.Add(1)), decisionsFrom: at, o: o.ControllerOptions()}
 	l.o.Leader, l.leaseTermMS = l.id, l.o.LeaseTerm
+	l.decisions.ledger.planted = r.planted
 	l.limits.byTenant = map[string]*rate.Limiter{}
 	l.processes = processRecords{
 		clock:       l.leaderClock,
--- a/internal/registry/routes_test.go
+++ b/internal/registry/routes_test.go
@@ -373,8 +373,8 @@
 			return code == 200
 		})
 	}
-	// told reads up to a revision. An earlier one may come first, whose answer was lost and which was requested again.
-	told := func(in *bufio.Reader, schema int, rev int64) {
+	// readUpTo reads up to a revision. An earlier one may come first, whose answer was lost and which was requested again.
+	readUpTo := func(in *bufio.Reader, schema int, rev int64) {
 		got := next(in, schema).Rev
 		for got < rev {
 			got = next(in, schema).Rev
@@ -383,10 +383,10 @@
 	}
 	for i, rev := range revs {
 		for _, in := range newer {
-			told(in, 2, rev)
+			readUpTo(in, 2, rev)
 		}
 		if i != 4 {
-			told(older, 1, rev)
+			readUpTo(older, 1, rev)
 		}
 	}
 	all[0].node.hub.Read(func(s *state.State) { assert.Equal(t, list, s.Rev()) })
--- a/internal/registry/supervisor_test.go
+++ b/internal/registry/supervisor_test.go
@@ -220,10 +220,10 @@
 				until(t, "the first write", func() bool { return len(served(t, failing)) > 0 })
 				failing.plant(t, set)
 				failing.closed(t)
-				if rest := others(all, failing); len(rest) > 0 {
-					leading(t, rest)
-					until(t, "a write without the copy", func() bool { return register(rest, "meanwhile") })
-					until(t, "a read without the copy", func() bool { return served(t, rest[0])["meanwhile"] })
+				if running := others(all, failing); len(running) > 0 {
+					leading(t, running)
+					until(t, "a write without the copy", func() bool { return register(running, "meanwhile") })
+					until(t, "a read without the copy", func() bool { return served(t, running[0])["meanwhile"] })
 				}
 				failing.plant(t, fault.Set{})
 				until(t, "the copy to be back", func() bool {
@@ -272,10 +272,10 @@
 			lead.plant(t, set)
 			register(all, "lost") // ends the lead
 			lead.closed(t)
-			rest := others(all, lead) // where one is closed, the other begins no election
+			running := others(all, lead) // where one is closed, the other begins no election
 			until(t, "another to close", func() bool {
-				_, first := rest[0].status()
-				_, second := rest[1].status()
+				_, first := running[0].status()
+				_, second := running[1].status()
 				return !first || !second
 			})
 			for _, c := range all {
