--- a/internal/registry/listserver/hub.go
+++ b/internal/registry/listserver/hub.go
@@ -11,7 +11,7 @@
 
 // Hub distributes changes of the list to watches. Each change is encoded once, as a line shared by all watches, in a
 // linked list that each watch follows at its own pace, without a queue of its own. A watch that falls MaxWatcherLag
-// lines behind, or does not take a line within writeWait, is closed; its client resumes from the revision it has.
+// lines behind, or does not take a line within lineWriteTimeout, is closed; its client resumes from the revision it has.
 type Hub struct {
 	mu        sync.Mutex
 	state     *state.State
--- a/internal/registry/listserver/replicas.go
+++ b/internal/registry/listserver/replicas.go
@@ -14,7 +14,7 @@
 // ReplicasPath is the path of changes of the cluster.
 const ReplicasPath = "/registry/copies"
 
-// Peer is a replica as others know it.
+// Peer is a replica with its addresses.
 type Peer struct {
 	Name  string `toml:"name" json:"name"`
 	Raft  string `toml:"raft" json:"raft"`
@@ -24,14 +24,14 @@
 // ErrRejected rejects a membership change that would put the quorum at risk.
 var ErrRejected = errors.New("the copies stay as they are")
 
-// ReplicaStatus is one replica as another has it.
+// ReplicaStatus is one replica in the status of another.
 type ReplicaStatus struct {
 	Name   string                 `json:"name"`
 	Raft   string                 `json:"raft"`
 	Serve  string                 `json:"serve"`
 	Votes  bool                   `json:"votes"`
-	AckMS  int64                  `json:"ack_ms"` // at the leader: age of what it has acknowledged in this lead; -1: nothing
-	Member membership.MemberState `json:"member"` // what membership says; it has no say in who votes
+	AckMS  int64                  `json:"ack_ms"` // at the leader: age of the newest acknowledged message of this term; -1: none
+	Member membership.MemberState `json:"member"` // from membership; it does not affect who votes
 }
 
 // ReplicaSet is a replica whose members can be changed.
--- a/internal/registry/node.go
+++ b/internal/registry/node.go
@@ -33,28 +33,29 @@
 // Config configures a replica.
 type Config struct {
 	Name   string // its name among the replicas
-	Listen string // where it serves readers and writers
-	Raft   string // where the replicas talk to each other
-	Dir    string // its folder; empty: it keeps nothing, for development alone
-	// Advertise is where the other replicas reach raft; empty: as the peers have it, or where it listens.
+	Listen string // address of the HTTP API
+	Raft   string // address of raft
+	Dir    string // data directory; empty: storage is in memory, for development only
+	// Advertise is where other replicas reach raft; empty: as listed among the peers, or where it listens.
 	Advertise string
-	Peers     []listserver.Peer // all copies of a cluster that is founded now, itself too; empty: it founds one alone or joins later
-	Join      bool              // wait to be added to a cluster, found none
-	Keep      int               // changes kept for watchers that come back; 10,000
-	// Beat is the time between a leader's heartbeats; elections follow after a few of them. 200 ms.
+	Peers     []listserver.Peer // all replicas of a new cluster, this one included; empty: a cluster of one, or Join
+	Join      bool              // wait to be added to a cluster instead of bootstrapping one
+	Keep      int               // changes kept for watches that resume; 10,000
+	// Beat is the heartbeat interval; the election timeout is a multiple of it. 200 ms.
 	Beat time.Duration
-	// SlowDisk is how long a write may take; a leader whose writes all take longer gives its place up. Five beats.
+	// SlowDisk is the duration from which a disk write is slow; a leader with slow writes only transfers the leadership.
+	// Five heartbeat intervals.
 	SlowDisk time.Duration
-	Faults   *fault.Plan        // the lab's; nil: none
+	Faults   *fault.Plan        // injected by the lab; nil: none
 	Members  *membership.Config // nil: off
-	start    *retry.Start       // what LoadConfig began; nil: nothing
+	start    *retry.Start       // retries begun by LoadConfig; nil: none
 
 	listserver.Options
 
-	reopened bool // a replica was opened from the folder before: one without a log is not the replica's
+	reopened bool // the directory was open before: one without a log is not that of this replica
 }
 
-// advertised is where the other replicas reach this one: as the peers have it, or where it listens.
+// advertised is where other replicas reach raft: as configured, or as listed among the peers; empty: where it listens.
 func (c *Config) advertised() string {
 	if c.Advertise != "" {
 		return c.Advertise
@@ -82,7 +83,7 @@
 	http        *http.Server
 	listen      net.Listener
 	raftAt      net.Addr       // where raft listens
-	store       *storage.Store // nil: nothing is kept
+	store       *storage.Store // nil: storage is in memory
 	closers     []func() error
 	log         *slog.Logger
 	// readyTerm is the last term in which this replica led and had applied all that was committed before it.
@@ -172,7 +173,7 @@
 	return c
 }
 
-// storage is what raft persists: its log, its term and vote, and snapshots.
+// raftStores is what raft persists: its log, its term and vote, and snapshots.
 type raftStores struct {
 	logs   raft.LogStore
 	stable raft.StableStore
--- a/internal/registry/storage/inspect.go
+++ b/internal/registry/storage/inspect.go
@@ -37,7 +37,7 @@
 // the log are complete without it; otherwise the replica stops.
 //
 // Not detected: a disk that reports a sync without doing it and leaves an older consistent state; a directory rolled
-// back to an old disk image. See regressionDetector for how the leader detects these.
+// back to an old disk image. See transport.RegressionDetector for how the leader detects these.
 
 // CorruptionError is a data directory from which a replica must not start.
 type CorruptionError struct {
--- a/internal/registry/storage/pages.go
+++ b/internal/registry/storage/pages.go
@@ -36,12 +36,12 @@
 	maxPageDepth = 64
 )
 
-// order is that of the machine: bbolt writes its structures as they are in memory.
+// order is the native byte order, in which bbolt writes its structures.
 var order = binary.NativeEndian
 
-// openPages reads the two meta pages. Both have to be sound: each is written into one sector of 512 bytes, which a disk
-// writes whole, so a power loss leaves the old one or the new one. One that is neither was spoilt after it was synced.
-// bbolt would go on from the other, which is the state before the last write that was acknowledged, and say nothing.
+// openPages reads the two meta pages. Both have to be valid: each is written within one sector of 512 bytes, which a disk
+// writes atomically, so a power loss leaves the old one or the new one. An invalid one was corrupted after its sync. bbolt
+// would silently continue from the other, which is the state before the last acknowledged write.
 func openPages(f io.ReaderAt, size int64) (*pages, error) {
 	if size == 0 {
 		return nil, errors.New("the file is empty")
@@ -85,15 +85,15 @@
 	return nil
 }
 
-// visitor is given each key in order; bucket says that the value is a bucket.
+// visitor is called with each key in order; bucket is true if the value is a bucket.
 type visitor func(key, value []byte, bucket bool) error
 
-// walk reads all of the tree below a page.
+// walk visits the whole tree below a page.
 func (p *pages) walk(root uint64, visit visitor) error {
 	return p.tree(root, 0, nil, nil, visit)
 }
 
-// tree reads what is below a page; keys have to be from low to before high, where those are given.
+// tree visits the subtree of a page. Its keys have to be in [low, high), where these are given.
 func (p *pages) tree(id uint64, depth int, low, high []byte, visit visitor) error {
 	b, err := p.read(id)
 	if err != nil {
@@ -110,7 +110,7 @@
 	return err
 }
 
-// pageError says on which page something is wrong.
+// pageError adds the number of the page to an error.
 type pageError struct {
 	id  uint64
 	err error
@@ -119,7 +119,7 @@
 func (e *pageError) Error() string { return fmt.Sprintf("page %d: %v", e.id, e.err) }
 func (e *pageError) Unwrap() error { return e.err }
 
-// read gives a page with its overflow; each belongs to one place of the tree alone.
+// read returns a page with its overflow pages. Each page may be used in one place of the tree only.
 func (p *pages) read(id uint64) ([]byte, error) {
 	head := make([]byte, pageHeader)
 	if id < 2 || id >= p.high {
@@ -145,7 +145,7 @@
 	return b, nil
 }
 
-// content reads the elements of a page, which may stand inside a value.
+// content reads the elements of a page, which may be inlined in a value.
 func (p *pages) content(b []byte, id uint64, depth int, low, high []byte, visit visitor) error {
 	flags, n := order.Uint16(b[8:]), int(order.Uint16(b[10:]))
 	if flags != branchFlag && flags != leafFlag || pageHeader+n*elemSize > len(b) || flags == branchFlag && n == 0 {
