--- a/internal/lab/experiment/growth/growth.go
+++ b/internal/lab/experiment/growth/growth.go
@@ -54,7 +54,7 @@
 	Descriptors float64 `json:"descriptors"` // the most at one time
 	Connections float64 `json:"connections"` // made to servers
 	ListBytes   float64 `json:"list_bytes"`  // received from discovery
-	Served      float64 `json:"served"`      // share of the worth that is answered within the latency objective
+	Served      float64 `json:"served"`      // priority weight that is answered within the latency objective, as a share of all
 }
 
 // Row is one line of the growth table.
--- a/internal/lab/experiment/growth/process.go
+++ b/internal/lab/experiment/growth/process.go
@@ -52,8 +52,8 @@
 
 // dayRun is a day under way.
 type dayRun struct {
-	o       *Options
-	r       *harness.Run // the plan, the folder and the supervisor of the processes
+	options *Options
+	run     *harness.Run // the plan, the folder and the supervisor of the processes
 	servers *servers
 	agents  *agent.Agents
 	meter   *meteredForward
@@ -95,7 +95,7 @@
 	if err != nil {
 		return usage, err
 	}
-	d := &dayRun{o: o, r: base}
+	d := &dayRun{options: o, run: base}
 	defer func() { err = errors.Join(err, d.close()) }()
 	if d.servers, err = startServers(s.Servers.Count); err != nil {
 		return usage, err
@@ -119,7 +119,7 @@
 // serversNotifiedGone returns of how many servers the sidecar was notified that they are gone.
 func (d *dayRun) serversNotifiedGone() int {
 	gone := map[int32]bool{}
-	for _, e := range d.r.Events.Events() {
+	for _, e := range d.run.Events.Events() {
 		if e.Kind == record.Notified && e.Note == agent.Gone {
 			gone[e.Server] = true
 		}
@@ -131,7 +131,7 @@
 func (d *dayRun) startDiscovery(listed int) error {
 	link := relay.NewLink(relay.Rules{}, 1)
 	var err error
-	d.agents, err = agent.New(d.r.Events, 1, d.entries(listed),
+	d.agents, err = agent.New(d.run.Events, 1, d.entries(listed),
 		func(_, server int) string { return d.servers.addr(server) }, func(int) *relay.Link { return link })
 	if err != nil {
 		return err
@@ -143,7 +143,7 @@
 func (d *dayRun) entries(listed int) []agent.Entry {
 	var list []agent.Entry
 	for i := range listed {
-		e := d.r.Entry(i, agent.Ready, 0)
+		e := d.run.Entry(i, agent.Ready, 0)
 		e.Endpoint = d.servers.addr(i)
 		list = append(list, e)
 	}
@@ -152,22 +152,22 @@
 
 // launch starts the sidecar, configured for a fleet of this size.
 func (d *dayRun) launch(ctx context.Context, size Size) (*testbed.Sidecar, error) {
-	settings := d.r.Plan.Settings(0)
+	settings := d.run.Plan.Settings(0)
 	settings["peers_total"] = size.Sidecars
 	settings["tenants"] = []map[string]any{{"name": testbed.Tenant, "share": 1.0, "allowance_per_s": 1e6}}
-	config := testbed.BaseConfig(d.r.Scenario, sidecarSeed, d.meter.addr(), settings)
+	config := testbed.BaseConfig(d.run.Scenario, sidecarSeed, d.meter.addr(), settings)
 	config["known"] = agent.List{All: true, Targets: d.entries(size.Servers)}
 	text, err := json.Marshal(config)
 	if err != nil {
 		return nil, err
 	}
-	launcher := &testbed.Launcher{Children: d.r.Processes, Dir: d.r.Dir, MaxDescriptors: d.r.Scenario.Sidecars.Sockets, Config: text}
-	return launcher.Launch(ctx, "sidecar", d.o.Program)
+	launcher := &testbed.Launcher{Children: d.run.Processes, Dir: d.run.Dir, MaxDescriptors: d.run.Scenario.Sidecars.Sockets, Config: text}
+	return launcher.Launch(ctx, "sidecar", d.options.Program)
 }
 
 // play sends requests to the sidecar while servers are replaced, stops it, and measures until it has ended.
 func (d *dayRun) play(ctx context.Context, p *testbed.Sidecar, listed, replaced int) (Usage, error) {
-	load := testbed.NewLoad(p.Listen, d.r.Scenario.Classes[0].Name, d.o.Rate, d.o.Connections, &d.ids)
+	load := testbed.NewLoad(p.Listen, d.run.Scenario.Classes[0].Name, d.options.Rate, d.options.Connections, &d.ids)
 	driving, stopDriving := context.WithCancel(ctx)
 	var background sync.WaitGroup
 	var peak process.Usage
@@ -175,8 +175,8 @@
 	background.Go(func() { peak, sampleErr = samplePeak(driving, p.PID) })
 	background.Go(func() { d.replace(driving, listed, replaced) })
 	start := time.Now()
-	done, err := load.Drive(ctx, d.o.Length)
-	harness.Sleep(ctx, time.Until(start.Add(d.o.Length))) // the day ends some time after the last request
+	done, err := load.Drive(ctx, d.options.Length)
+	harness.Sleep(ctx, time.Until(start.Add(d.options.Length))) // the day ends some time after the last request
 	load.Close()
 	stopDriving()
 	background.Wait()
@@ -214,22 +214,22 @@
 
 // replace drains and ends servers in steps, evenly over the day, while new ones take their places.
 func (d *dayRun) replace(ctx context.Context, listed, replaced int) {
-	steps := min(d.o.Steps, replaced)
+	steps := min(d.options.Steps, replaced)
 	start := time.Now()
 	for step := range steps {
-		due := start.Add(d.o.Length * time.Duration(step+1) / time.Duration(steps+4))
+		due := start.Add(d.options.Length * time.Duration(step+1) / time.Duration(steps+4))
 		if !harness.Sleep(ctx, time.Until(due)) {
 			return
 		}
 		var changed, gone []agent.Entry
 		for i := step * replaced / steps; i < (step+1)*replaced/steps; i++ {
-			old := d.r.Entry(i*listed/replaced, agent.Terminating, 0)
-			changed = append(changed, d.r.Entry(listed+i, agent.Ready, time.Now().UnixMilli()), old)
+			old := d.run.Entry(i*listed/replaced, agent.Terminating, 0)
+			changed = append(changed, d.run.Entry(listed+i, agent.Ready, time.Now().UnixMilli()), old)
 			old.State = agent.Gone
 			gone = append(gone, old)
 		}
 		d.agents.PublishAll(changed, 0, 0)
-		if !harness.Sleep(ctx, min(drainTime, d.o.Length/time.Duration(2*steps+4))) {
+		if !harness.Sleep(ctx, min(drainTime, d.options.Length/time.Duration(2*steps+4))) {
 			return
 		}
 		d.agents.PublishAll(gone, 0, 0)
@@ -237,7 +237,7 @@
 }
 
 func (d *dayRun) close() error {
-	d.r.Close()
+	d.run.Close()
 	var err error
 	if d.meter != nil {
 		err = d.meter.close()
@@ -253,7 +253,7 @@
 
 // servers are stand-in servers that give the same answer to each request.
 type servers struct {
-	srv       *http.Server
+	http      *http.Server
 	listeners []net.Listener
 	made      atomic.Int64 // connections made to them
 	serving   sync.WaitGroup
@@ -262,7 +262,7 @@
 func startServers(count int) (*servers, error) {
 	s := &servers{}
 	answer := []byte(strings.Repeat("x", 256))
-	s.srv = &http.Server{
+	s.http = &http.Server{
 		Handler: http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 			time.Sleep(workTime)
 			_, _ = w.Write(answer) // fails if the sidecar has ended
@@ -279,7 +279,7 @@
 			return nil, errors.Join(fmt.Errorf("server %d of %d: %w", len(s.listeners)+1, count, err), s.close())
 		}
 		s.listeners = append(s.listeners, l)
-		s.serving.Go(func() { _ = s.srv.Serve(l) }) // until it is closed
+		s.serving.Go(func() { _ = s.http.Serve(l) }) // until it is closed
 	}
 	return s, nil
 }
@@ -291,7 +291,7 @@
 func (s *servers) addr(server int) string { return s.listeners[server].Addr().String() }
 
 func (s *servers) close() error {
-	err := s.srv.Close()
+	err := s.http.Close()
 	for _, l := range s.listeners { // those that are not served yet
 		_ = l.Close()
 	}
--- a/internal/lab/experiment/membercold/membercold.go
+++ b/internal/lab/experiment/membercold/membercold.go
@@ -1,7 +1,7 @@
 // Package membercold measures how a fleet of sidecars loads servers that have just started and work slower until they have
 // warmed up. What it varies is the number of sidecars, the changes of the fleet, and how sidecars count each other. Each
 // combination is played with several seeds on a simulated clock (package simulate): some servers are replaced, some
-// restart at once and some join, and the largest load of a cold server is kept. The command is `marblelane lab
+// restart at once and some join, and the largest load of a server that warms up is kept. The command is `marblelane lab
 // members-cold`.
 package membercold
 
@@ -34,7 +34,7 @@
 	Load             float64       // utilization of the initial servers while all are warm
 	RestartFraction  float64       // share of the servers that restart at once
 	Cores            int           // of a server
-	FallMultiple     float64       // a cold server falls when it is sent this multiple of what it can do
+	FallMultiple     float64       // a server that warms up falls when it is sent this multiple of what it can do
 	MeanWork         time.Duration // of a request
 	LatencyObjective time.Duration
 	Jobs             int       // runs at a time
@@ -50,8 +50,8 @@
 	CountMode  simulate.Counting `json:"count"`
 	SlowStarts int               `json:"cold_starts"`
 	Overloaded int               `json:"pushed_over"`
-	// Peak is the largest load of a cold server, as a share of that under which it falls. PeakMean is the mean of the
-	// seeds' peaks.
+	// Peak is the largest load of a server that warms up, as a share of that under which it falls. PeakMean is the mean
+	// of the seeds' peaks.
 	Peak     float64 `json:"peak"`
 	PeakMean float64 `json:"peak_mean"`
 	// FullTrafficAfter is the mean time from the start of servers that started together until they got 0.8 of their part
@@ -59,14 +59,14 @@
 	FullTrafficAfter float64 `json:"full_part_s"`
 	InObjective      float64 `json:"in_aim"`
 	WorstInObjective float64 `json:"worst_in_aim"`
-	// AssumedMax and AssumedMean are what all sidecars together assume that cold servers can take, as a multiple of what
-	// they would assume with the number of sidecars in the settings.
+	// AssumedMax and AssumedMean are what all sidecars together assume that servers can take while they warm up, as a
+	// multiple of what they would assume with the number of sidecars in the settings.
 	AssumedMax  float64 `json:"assumed_most"`
 	AssumedMean float64 `json:"assumed_mean"`
 }
 
 // The times of a run in ms since its start. Servers are replaced, restart at once, and join. The fleet of sidecars
-// changes early enough before for all sidecars to know it, except that sidecars start just as servers are cold.
+// changes early enough before for all sidecars to know it, except that sidecars start just as servers warm up.
 const (
 	replaceAtMS = 12000.0
 	restartAtMS = 14000.0 // ready again about restartTimeMS later
@@ -75,7 +75,7 @@
 
 	restartTimeMS = 6000.0
 
-	splitAtMS = 8000.0 // early enough for silent processes to be detected before the first cold server
+	splitAtMS = 8000.0 // early enough for silent processes to be detected before the first server starts
 	healAtMS  = 36000.0
 	stopAtMS  = 9000.0
 	startAtMS = 21800.0 // all sidecars have just learned of the restarted servers
--- a/internal/lab/experiment/memberscale/fleet.go
+++ b/internal/lab/experiment/memberscale/fleet.go
@@ -79,10 +79,10 @@
 
 // fleet is one fleet on a network of its own.
 type fleet struct {
-	m       *Experiment
-	net     *gossip.Network
-	members []*member
-	joined  time.Duration
+	experiment *Experiment
+	network    *gossip.Network
+	members    []*member
+	joined     time.Duration
 }
 
 // startsPerInterval is how many members start between two probes of one, as when a platform starts a fleet.
@@ -90,14 +90,14 @@
 
 // open starts a fleet and waits until all agree and are admitted.
 func (m *Experiment) open(ctx context.Context, n int, rules gossip.Rules) (*fleet, error) {
-	f := &fleet{m: m, net: gossip.New(m.Seed, rules)}
+	f := &fleet{experiment: m, network: gossip.New(m.Seed, rules)}
 	start := time.Now()
 	for i := range n {
 		due := start.Add(m.Interval * time.Duration(i) / startsPerInterval)
 		if !harness.Sleep(ctx, time.Until(due)) {
 			return nil, errors.Join(context.Cause(ctx), f.close())
 		}
-		port, err := f.net.Open(gossip.Addr(i))
+		port, err := f.network.Open(gossip.Addr(i))
 		if err != nil {
 			return nil, errors.Join(err, f.close())
 		}
@@ -123,7 +123,7 @@
 
 // close ends all members. It cuts the network first, so that members do not gossip about those that end.
 func (f *fleet) close() error {
-	f.net.Set(gossip.Rules{Cut: true})
+	f.network.Set(gossip.Rules{Cut: true})
 	for _, s := range f.members {
 		_ = s.port.Shutdown() // gives nil only
 	}
@@ -141,14 +141,14 @@
 
 // await polls until a condition holds for all members, for EventTimeout at most.
 func (f *fleet) await(ctx context.Context, failure string, holds func(*member) bool) error {
-	ctx, cancel := context.WithTimeout(ctx, f.m.EventTimeout+f.m.Interval*time.Duration(len(f.members))/10)
+	ctx, cancel := context.WithTimeout(ctx, f.experiment.EventTimeout+f.experiment.Interval*time.Duration(len(f.members))/10)
 	defer cancel()
 	for {
 		i := slices.IndexFunc(f.members, func(s *member) bool { return !holds(s) })
 		if i < 0 {
 			return nil
 		}
-		if !harness.Sleep(ctx, max(f.m.Interval/50, time.Millisecond)) {
+		if !harness.Sleep(ctx, max(f.experiment.Interval/50, time.Millisecond)) {
 			return fmt.Errorf("member %d %s: %+v: %w", i, failure, f.members[i].currentView(), context.Cause(ctx))
 		}
 	}
@@ -198,16 +198,16 @@
 
 // suspicionTime is the shortest time from a suspicion until a member is silent, as the gossip library scales it.
 func (f *fleet) suspicionTime() time.Duration {
-	return time.Duration(4 * max(1, math.Log10(float64(len(f.members)))) * float64(f.m.Interval))
+	return time.Duration(4 * max(1, math.Log10(float64(len(f.members)))) * float64(f.experiment.Interval))
 }
 
 // awaitQuiet waits until members send little but their probes, for EventTimeout at most. Members gossip about a joining
 // for a while, the longer the larger the fleet.
 func (f *fleet) awaitQuiet(ctx context.Context) bool {
 	maxPackets := uint64(3 * len(f.members)) // in one interval: a probe, its answer, and some more
-	for end := time.Now().Add(f.m.EventTimeout); ctx.Err() == nil && time.Now().Before(end); {
+	for end := time.Now().Add(f.experiment.EventTimeout); ctx.Err() == nil && time.Now().Before(end); {
 		_, before := f.sentTotals()
-		if !harness.Sleep(ctx, f.m.Interval) {
+		if !harness.Sleep(ctx, f.experiment.Interval) {
 			return false
 		}
 		if _, now := f.sentTotals(); now-before <= maxPackets {
@@ -226,7 +226,7 @@
 // measureIdle measures what a quiet fleet costs beyond the baseline, and which members it holds for dead. It sets the
 // baseline for the next fleet.
 func (f *fleet) measureIdle(ctx context.Context, baseline *baselineUsage) (*IdleCost, LossResult, error) {
-	m, n := f.m, len(f.members)
+	m, n := f.experiment, len(f.members)
 	out := &IdleCost{Joined: f.joined.Seconds()}
 	for _, s := range f.members {
 		if s.currentView().Forced {
@@ -310,13 +310,13 @@
 }
 
 // lossWindow is long enough for suspected members to be held for dead.
-func (f *fleet) lossWindow() time.Duration { return f.m.LossWindow + f.suspicionTime()*3/2 }
+func (f *fleet) lossWindow() time.Duration { return f.experiment.LossWindow + f.suspicionTime()*3/2 }
 
 // measureLoss counts false detections at one share of lost packets.
 func (f *fleet) measureLoss(ctx context.Context, loss float64) (LossResult, error) {
-	f.net.Set(gossip.Rules{Loss: loss, Delay: networkDelay})
+	f.network.Set(gossip.Rules{Loss: loss, Delay: networkDelay})
 	l, err := f.countEvents(ctx, LossResult{Loss: loss}, f.lossWindow())
-	f.net.Set(gossip.Rules{Delay: networkDelay})
+	f.network.Set(gossip.Rules{Delay: networkDelay})
 	if err != nil {
 		return l, err
 	}
@@ -335,7 +335,7 @@
 			partSize[s], part[s.port.Addr()] = first, 1
 		}
 	}
-	f.net.Split(part)
+	f.network.Split(part)
 	start := time.Now()
 	err := f.await(ctx, "hears the other side", func(s *member) bool {
 		return 2*partSize[s] < n || s.currentView().Reachable == partSize[s]
@@ -349,7 +349,7 @@
 			out.StillReachable = max(out.StillReachable, s.currentView().Reachable)
 		}
 	}
-	f.net.Heal()
+	f.network.Heal()
 	out.Agree = f.timeToAgree(ctx)
 	return out, context.Cause(ctx)
 }
--- a/internal/lab/experiment/memberscale/processes.go
+++ b/internal/lab/experiment/memberscale/processes.go
@@ -60,16 +60,16 @@
 
 // processFleet is a fleet of sidecar processes.
 type processFleet struct {
-	m        *Experiment
-	s        *scenario.Scenario
-	plan     *scenario.Plan
-	program  string
-	dir      string
-	section  bool
-	seeds    []string // addresses of the first members
-	list     *agent.Agents
-	children *process.Supervisor
-	sidecars []*testbed.Sidecar
+	experiment *Experiment
+	scenario   *scenario.Scenario
+	plan       *scenario.Plan
+	program    string
+	dir        string
+	section    bool
+	seeds      []string // addresses of the first members
+	list       *agent.Agents
+	children   *process.Supervisor
+	sidecars   []*testbed.Sidecar
 }
 
 func (m *Experiment) measureProcesses(ctx context.Context, s *scenario.Scenario, program string, n int,
@@ -81,7 +81,7 @@
 	defer os.RemoveAll(dir)
 	sized := *s
 	sized.Sidecars.Count = n
-	f := &processFleet{m: m, s: s, plan: sized.Plan(m.Seed), program: program, dir: dir, section: section,
+	f := &processFleet{experiment: m, scenario: s, plan: sized.Plan(m.Seed), program: program, dir: dir, section: section,
 		children: process.NewSupervisor(), sidecars: make([]*testbed.Sidecar, n)}
 	defer f.close()
 	if err := f.start(ctx); err != nil {
@@ -107,7 +107,7 @@
 	n := len(f.sidecars)
 	var err error
 	f.list, err = agent.New(record.New(), n, nil, func(int, int) string { return "" }, func(int) *relay.Link {
-		return relay.NewLink(relay.Rules{}, f.m.Seed)
+		return relay.NewLink(relay.Rules{}, f.experiment.Seed)
 	})
 	if err != nil {
 		return err
@@ -144,10 +144,10 @@
 // config is a sidecar's configuration.
 func (f *processFleet) config(i int) map[string]any {
 	p := &f.plan.Sidecars[i]
-	config := testbed.BaseConfig(f.s, p.Seed, f.list.Addr(i), f.plan.Settings(i))
+	config := testbed.BaseConfig(f.scenario, p.Seed, f.list.Addr(i), f.plan.Settings(i))
 	config["name"] = p.Name
 	if f.section {
-		members := membership.Section{Fleet: processFleetLabel, Bind: "127.0.0.1:0", Interval: f.m.Interval.String()}
+		members := membership.Section{Fleet: processFleetLabel, Bind: "127.0.0.1:0", Interval: f.experiment.Interval.String()}
 		if i < len(f.seeds) {
 			members.Bind = f.seeds[i]
 		}
--- a/internal/lab/experiment/requestcost/requestcost.go
+++ b/internal/lab/experiment/requestcost/requestcost.go
@@ -137,7 +137,7 @@
 		return nil, fmt.Errorf("request cost: %w", err)
 	}
 	o.warmUp, o.settleTimeout = cmp.Or(o.warmUp, defaultWarmUp), cmp.Or(o.settleTimeout, defaultSettleTimeout)
-	c := &measurement{o: o}
+	c := &measurement{options: o}
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	defer c.close()
@@ -193,8 +193,8 @@
 
 // measurement is a measurement under way.
 type measurement struct {
-	o        Options
-	r        *harness.Run      // the plan, the folder and the supervisor of the processes
+	options  Options
+	run      *harness.Run      // the plan, the folder and the supervisor of the processes
 	registry *testbed.Registry // the list service; nil: the stand-in
 	agents   *agent.Agents     // the stand-in for the list service
 	sidecars *testbed.Launcher
@@ -209,18 +209,18 @@
 	if err != nil {
 		return err
 	}
-	s.Servers.Count = c.o.Servers
-	if c.r, err = harness.New(s, harness.Options{Seed: 1, Self: c.o.Self, Dir: c.o.Dir}); err != nil {
+	s.Servers.Count = c.options.Servers
+	if c.run, err = harness.New(s, harness.Options{Seed: 1, Self: c.options.Self, Dir: c.options.Dir}); err != nil {
 		return err
 	}
-	for i := range c.r.Plan.Servers {
-		server, err := startServer(slices.Contains(c.r.Plan.Subsets[subset], i))
+	for i := range c.run.Plan.Servers {
+		server, err := startServer(slices.Contains(c.run.Plan.Subsets[subset], i))
 		if err != nil {
 			return err
 		}
 		c.servers = append(c.servers, server)
 	}
-	if slices.ContainsFunc(c.o.Variants, func(v Variant) bool { return v.WithRoutes }) {
+	if slices.ContainsFunc(c.options.Variants, func(v Variant) bool { return v.WithRoutes }) {
 		err = c.startCopies(ctx)
 	} else {
 		err = c.startAgent()
@@ -231,15 +231,15 @@
 	if err := c.makeConfig(); err != nil {
 		return err
 	}
-	if i := slices.IndexFunc(c.o.Variants, func(v Variant) bool { return v.WithMembers }); i >= 0 {
-		return c.startMembers(ctx, &c.o.Variants[i])
+	if i := slices.IndexFunc(c.options.Variants, func(v Variant) bool { return v.WithMembers }); i >= 0 {
+		return c.startMembers(ctx, &c.options.Variants[i])
 	}
 	return nil
 }
 
 // startCopies starts the list service, with all servers on its list and a route for the tenant.
 func (c *measurement) startCopies(ctx context.Context) error {
-	c.registry = testbed.NewRegistry(c.r)
+	c.registry = testbed.NewRegistry(c.run)
 	if err := c.registry.Start(ctx); err != nil {
 		return err
 	}
@@ -261,23 +261,23 @@
 	}
 	link := relay.NewLink(relay.Rules{}, 1)
 	var err error
-	c.agents, err = agent.New(c.r.Events, 1, list, func(_, server int) string { return c.servers[server].addr },
+	c.agents, err = agent.New(c.run.Events, 1, list, func(_, server int) string { return c.servers[server].addr },
 		func(int) *relay.Link { return link })
 	return err
 }
 
 // entry is the list entry of a server.
 func (c *measurement) entry(i int) agent.Entry {
-	e := c.r.Entry(i, agent.Ready, 0)
+	e := c.run.Entry(i, agent.Ready, 0)
 	e.Endpoint = c.servers[i].addr
 	return e
 }
 
 // makeConfig makes the configuration that all sidecars have in common.
 func (c *measurement) makeConfig() error {
-	settings := c.r.Plan.Settings(0)
+	settings := c.run.Plan.Settings(0)
 	settings["tenants"] = []map[string]any{{"name": testbed.Tenant, "share": 1.0, "allowance_per_s": 1e6}}
-	settings["peers_total"] = 1 + c.o.IdleMembers
+	settings["peers_total"] = 1 + c.options.IdleMembers
 	list := agent.List{All: true}
 	for i := range c.servers {
 		list.Targets = append(list.Targets, c.entry(i))
@@ -288,16 +288,16 @@
 	} else {
 		discovery = c.agents.Addr(0)
 	}
-	config := testbed.BaseConfig(c.r.Scenario, sidecarSeed, discovery, settings)
+	config := testbed.BaseConfig(c.run.Scenario, sidecarSeed, discovery, settings)
 	config["known"] = list
 	text, err := json.Marshal(config)
-	c.sidecars = &testbed.Launcher{Children: c.r.Processes, Dir: c.r.Dir, MaxDescriptors: c.r.Scenario.Sidecars.Sockets, Config: text}
+	c.sidecars = &testbed.Launcher{Children: c.run.Processes, Dir: c.run.Dir, MaxDescriptors: c.run.Scenario.Sidecars.Sockets, Config: text}
 	return err
 }
 
 // startMembers starts the idle sidecars of the fleet.
 func (c *measurement) startMembers(ctx context.Context, v *Variant) error {
-	for range c.o.IdleMembers {
+	for range c.options.IdleMembers {
 		addr, err := relay.FreeAddr("127.0.0.1")
 		if err != nil {
 			return err
@@ -319,13 +319,13 @@
 }
 
 func (c *measurement) close() {
-	if c.r == nil {
+	if c.run == nil {
 		return
 	}
 	if c.registry != nil {
 		c.registry.Close()
 	}
-	c.r.Close()
+	c.run.Close()
 	if c.agents != nil {
 		c.agents.Close()
 	}
--- a/internal/lab/experiment/requestcost/round.go
+++ b/internal/lab/experiment/requestcost/round.go
@@ -39,7 +39,7 @@
 
 // playRound starts each variant once and measures all of them beside each other.
 func (c *measurement) playRound(ctx context.Context, k int) ([]Round, error) {
-	all := make([]*variantRun, len(c.o.Variants))
+	all := make([]*variantRun, len(c.options.Variants))
 	defer func() {
 		for _, d := range all {
 			if d != nil {
@@ -50,8 +50,8 @@
 	}()
 	for _, i := range variantOrder(len(all), k) {
 		var err error
-		if all[i], err = c.startVariant(ctx, &c.o.Variants[i]); err != nil {
-			return nil, fmt.Errorf("%s: %w", c.o.Variants[i].Name, err)
+		if all[i], err = c.startVariant(ctx, &c.options.Variants[i]); err != nil {
+			return nil, fmt.Errorf("%s: %w", c.options.Variants[i].Name, err)
 		}
 	}
 	if err := c.measureIdle(ctx, all); err != nil {
@@ -62,10 +62,10 @@
 			return nil, all[i].wrapError(err)
 		}
 	}
-	slicesPerVariant := max(int(c.o.Length/sliceLength), 1)
+	slicesPerVariant := max(int(c.options.Length/sliceLength), 1)
 	for j := range slicesPerVariant {
 		for _, i := range variantOrder(len(all), k+j) {
-			if err := c.driveSlice(ctx, all[i], c.o.Length/time.Duration(slicesPerVariant)); err != nil {
+			if err := c.driveSlice(ctx, all[i], c.options.Length/time.Duration(slicesPerVariant)); err != nil {
 				return nil, all[i].wrapError(err)
 			}
 		}
@@ -108,7 +108,7 @@
 	if err != nil {
 		return nil, err
 	}
-	d := &variantRun{variant: v, sidecar: p, load: testbed.NewLoad(p.Listen, c.r.Scenario.Classes[0].Name, c.o.Rate, c.o.Connections, &c.ids)}
+	d := &variantRun{variant: v, sidecar: p, load: testbed.NewLoad(p.Listen, c.run.Scenario.Classes[0].Name, c.options.Rate, c.options.Connections, &c.ids)}
 	d.Start = harness.Milliseconds(p.StartTime)
 	return d, nil
 }
@@ -116,7 +116,7 @@
 // measureIdle measures processes without requests. The first half of the time, with the cost of the start, does not count
 // for the processor time.
 func (c *measurement) measureIdle(ctx context.Context, all []*variantRun) error {
-	harness.Sleep(ctx, c.o.IdleTime/2)
+	harness.Sleep(ctx, c.options.IdleTime/2)
 	start := time.Now()
 	for _, d := range all {
 		var err error
@@ -124,7 +124,7 @@
 			return d.wrapError(err)
 		}
 	}
-	harness.Sleep(ctx, c.o.IdleTime/2)
+	harness.Sleep(ctx, c.options.IdleTime/2)
 	for _, d := range all {
 		cpu, err := processCPU(d.sidecar.PID)
 		if err != nil {
@@ -148,16 +148,16 @@
 			return err
 		}
 	}
-	for deadline := time.Now().Add(c.o.settleTimeout); ; {
+	for deadline := time.Now().Add(c.options.settleTimeout); ; {
 		warming := *d
-		if err := c.driveSlice(ctx, &warming, c.o.warmUp); err != nil {
+		if err := c.driveSlice(ctx, &warming, c.options.warmUp); err != nil {
 			return err
 		}
 		if !d.variant.WithRoutes || warming.routedFraction() >= minRoutedFraction {
 			return nil
 		}
 		if time.Now().After(deadline) {
-			return fmt.Errorf("after %v %.1f %% of its requests go along the route", c.o.settleTimeout, 100*warming.routedFraction())
+			return fmt.Errorf("after %v %.1f %% of its requests go along the route", c.options.settleTimeout, 100*warming.routedFraction())
 		}
 	}
 }
@@ -217,7 +217,7 @@
 
 // awaitFleet waits until a sidecar is admitted and reaches all idle members.
 func (c *measurement) awaitFleet(ctx context.Context, management string) error {
-	ctx, cancel := context.WithTimeout(ctx, c.o.settleTimeout)
+	ctx, cancel := context.WithTimeout(ctx, c.options.settleTimeout)
 	defer cancel()
 	want := 1 + len(c.seeds)
 	client := &view.Client{}
--- a/internal/lab/experiment/requestcost/server.go
+++ b/internal/lab/experiment/requestcost/server.go
@@ -28,7 +28,7 @@
 	addr             string
 	inSubset         bool
 	received, routed atomic.Int64
-	srv              *http.Server
+	http             *http.Server
 	done             chan struct{}
 }
 
@@ -39,7 +39,7 @@
 	}
 	s := &server{addr: l.Addr().String(), inSubset: inSubset, done: make(chan struct{})}
 	answer := []byte(strings.Repeat("x", 256))
-	s.srv = &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+	s.http = &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		s.received.Add(1)
 		if r.Header.Get("X-Route-Rev") != "" {
 			s.routed.Add(1)
@@ -48,12 +48,12 @@
 	})}
 	go func() {
 		defer close(s.done)
-		_ = s.srv.Serve(l) // until it is closed
+		_ = s.http.Serve(l) // until it is closed
 	}()
 	return s, nil
 }
 
 func (s *server) close() {
-	s.srv.Close()
+	s.http.Close()
 	<-s.done
 }
--- a/internal/lab/experiment/routescale/fleet.go
+++ b/internal/lab/experiment/routescale/fleet.go
@@ -132,10 +132,10 @@
 
 // resourceUse is what the copies and this process have used so far.
 type resourceUse struct {
-	at                    time.Duration
-	processCPU, leaderCPU float64 // CPU seconds
-	bytes                 float64 // that all copies read and wrote, to the network and to disk
-	diskWrites            float64
+	at                time.Duration
+	ownCPU, leaderCPU float64 // CPU seconds
+	bytes             float64 // that all copies read and wrote, to the network and to disk
+	diskWrites        float64
 }
 
 func (f *fleet) resourceUse(ctx context.Context) (resourceUse, error) {
@@ -144,7 +144,7 @@
 	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &t); err != nil {
 		return u, err
 	}
-	u.processCPU = time.Duration(t.Utime.Nano() + t.Stime.Nano()).Seconds()
+	u.ownCPU = time.Duration(t.Utime.Nano() + t.Stime.Nano()).Seconds()
 	lead := f.registry.Leader(ctx)
 	if lead == nil {
 		return u, errors.New("the list service has no leader")
--- a/internal/lab/experiment/routescale/routescale.go
+++ b/internal/lab/experiment/routescale/routescale.go
@@ -272,7 +272,7 @@
 	}
 	seconds = (after.at - before.at).Seconds()
 	p.Bytes = max((after.bytes-before.bytes)/seconds-bytesNoSidecars, 0) / float64(n)
-	p.CPU = 1e6 * (after.processCPU - before.processCPU) / seconds / float64(n)
+	p.CPU = 1e6 * (after.ownCPU - before.ownCPU) / seconds / float64(n)
 	p.LeaderCPU = 1e3 * (after.leaderCPU - before.leaderCPU) / seconds
 	p.DiskWrites = (after.diskWrites - before.diskWrites) / seconds
 	return p, f.measureOverspend(ctx, p)
