--- a/internal/lab/fault_steps.go
+++ b/internal/lab/fault_steps.go
@@ -18,10 +18,19 @@
 type step struct {
 	at    time.Duration
 	text  string
-	phase int32 // 1: a fault begins, 2: it ends, 0: it happens once
+	phase faultPhase
 	run   func(context.Context) error
 }
 
+// faultPhase is what a step is to its fault, as the status of the record says it.
+type faultPhase int32
+
+const (
+	faultOnce faultPhase = iota
+	faultBegins
+	faultEnds
+)
+
 // injection is a planned fault that is to be injected into a run.
 type injection struct {
 	*run
@@ -71,13 +80,13 @@
 
 // once is a fault that happens at one moment.
 func (f injection) once(do func(context.Context) error) []step {
-	return []step{{f.At, f.describe(), 0, do}}
+	return []step{{f.At, f.describe(), faultOnce, do}}
 }
 
 // span is a fault that begins and ends.
 func (f injection) span(begin, end func(context.Context) error) []step {
 	text := f.describe()
-	return []step{{f.At, text, 1, begin}, {f.Until, text + " ends", 2, end}}
+	return []step{{f.At, text, faultBegins, begin}, {f.Until, text + " ends", faultEnds, end}}
 }
 
 // toggle is a fault that is set and taken back in the same way.
@@ -146,18 +155,18 @@
 
 func injectIntoReplicas(f injection) []step {
 	var undo func() error
-	begun := make(chan struct{}) // its beginning may take longer than it lasts
+	started := make(chan struct{}) // the start may take longer than the fault lasts
 	return f.span(func(ctx context.Context) (err error) {
-		defer close(begun)
+		defer close(started)
 		undo, err = f.registry.cluster.InjectFault(ctx, f.FaultPlan)
 		return err
 	}, func(ctx context.Context) error {
 		select {
-		case <-begun:
+		case <-started:
 		case <-ctx.Done():
 			return nil
 		}
-		if undo == nil { // it never began
+		if undo == nil { // it never started
 			return nil
 		}
 		return undo()
--- a/internal/lab/faults.go
+++ b/internal/lab/faults.go
@@ -41,7 +41,7 @@
 			return
 		}
 		r.Events.Add(record.Event{Kind: record.Fault, Sidecar: record.None, Server: record.None, Class: record.None,
-			Status: s.phase, Note: s.text})
+			Status: int32(s.phase), Note: s.text})
 		r.Log.Info("lab: fault", "what", s.text)
 		r.Tasks.Go(func() {
 			if err := s.run(ctx); err != nil && ctx.Err() == nil {
@@ -106,7 +106,7 @@
 	if len(late) == 0 {
 		return nil
 	}
-	return []step{{r.Scenario.Members.LateAt.Duration(), fmt.Sprintf("sidecars %v start", late), 0, func(ctx context.Context) error {
+	return []step{{r.Scenario.Members.LateAt.Duration(), fmt.Sprintf("sidecars %v start", late), faultOnce, func(ctx context.Context) error {
 		return harness.ForEach(late, func(i int) error { return r.sidecars[i].start(ctx) })
 	}}}
 }
--- a/internal/lab/harness/address.go
+++ b/internal/lab/harness/address.go
@@ -22,15 +22,15 @@
 // The ports of members lie below those at which relays listen on all addresses, as one of those could take a port before
 // the process binds it.
 const (
-	minMemberPort   = 2048
-	memberPortRange = 8192
-	memberPortTries = 64
+	minMemberPort      = 2048
+	memberPortRange    = 8192
+	memberPortAttempts = 64
 )
 
 // FreeMemberAddr finds a port on a loopback address that is free for connections and packets.
 func FreeMemberAddr(host string) (string, error) {
 	var last error
-	for range memberPortTries {
+	for range memberPortAttempts {
 		addr := net.JoinHostPort(host, strconv.Itoa(minMemberPort+rand.IntN(memberPortRange)))
 		l, err := net.Listen("tcp4", addr)
 		if err != nil {
--- a/internal/lab/lab_test.go
+++ b/internal/lab/lab_test.go
@@ -181,7 +181,7 @@
 }
 
 // Copies whose disks fail and heal are back by themselves, also where nobody is there meanwhile who could be read.
-func TestCopiesAreBackWhenTheirDisksHeal(t *testing.T) {
+func TestRun_replicasRecoverWhenDisksHeal(t *testing.T) {
 	for _, name := range []string{"registry-disk-heals-alone", "registry-disk-heals-killed"} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -211,7 +211,7 @@
 `
 
 // What is open before and after a run is the same, also when it was ended early or failed to start.
-func TestNothingStays(t *testing.T) {
+func TestRun_leavesNothingOpen(t *testing.T) {
 	descriptors := func() int {
 		d, err := os.ReadDir("/proc/self/fd")
 		assert.NoError(t, err)
@@ -260,7 +260,7 @@
 
 // A port that somebody takes between the look and the start is changed for another; one that is always taken is an
 // error that names the copy and the address.
-func TestPortTaken(t *testing.T) {
+func TestRun_portTaken(t *testing.T) {
 	l, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -314,7 +314,7 @@
 }
 
 // What a report saves can be read back, plots included; every picture is marked with its faults.
-func TestReportIsSaved(t *testing.T) {
+func TestReport_saved(t *testing.T) {
 	s := parse(t, small+"[[fault]]\nat = \"500ms\"\nfor = \"1s\"\nkind = \"slow\"\nservers = \"1\"\nsize = 3\n")
 	rep := play(t, s)
 	dir := filepath.Join(t.TempDir(), "new", "folder")
--- a/internal/lab/members/members_test.go
+++ b/internal/lab/members/members_test.go
@@ -56,7 +56,7 @@
 }
 
 // An endpoint refuses where its host would, and not through a cut; packets and connections pass as the faults let them.
-func TestEndpoint_refusesWhereItsHostWould(t *testing.T) {
+func TestEndpoint_rejectsAsItsHost(t *testing.T) {
 	s, err := scenario.Parse("test.toml", []byte(threeMembers))
 	require.NoError(t, err)
 	m, err := New(&harness.Run{Scenario: s, Plan: s.Plan(1)})
@@ -125,7 +125,7 @@
 }
 
 // What a report says of members follows from the records.
-func TestResult_followsFromRecords(t *testing.T) {
+func TestResult_ofRecords(t *testing.T) {
 	at := func(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
 	var events []record.Event
 	add := func(s float64, kind record.Kind, serial int, note string) *record.Event {
--- a/internal/lab/members/network.go
+++ b/internal/lab/members/network.go
@@ -22,8 +22,8 @@
 	"marblelane/internal/lab/scenario"
 )
 
-// endpointTries is how often an address is tried that is free for connections and packets.
-const endpointTries = 3
+// endpointAttempts is how often an address is tried that is free for connections and packets.
+const endpointAttempts = 3
 
 // FleetLabel is the fleet that the members of a run belong to.
 const FleetLabel = "lab"
@@ -105,7 +105,7 @@
 // openEndpoint makes an endpoint. One that is down refuses connections until a process has been prepared.
 func (m *Network) openEndpoint(party int, dead bool) (*Endpoint, error) {
 	var err error
-	for range endpointTries {
+	for range endpointAttempts {
 		f := &Endpoint{party: party, down: dead, reservedFD: -1}
 		if f.bindAddr, err = harness.FreeMemberAddr(relay.CallerAddr(party)); err != nil {
 			return nil, err
--- a/internal/lab/members_test.go
+++ b/internal/lab/members_test.go
@@ -34,7 +34,7 @@
 `
 
 // Real sidecars find each other, and notice that one of them is killed.
-func TestMembersAreFollowed(t *testing.T) {
+func TestRun_membersNoticeKill(t *testing.T) {
 	rep := play(t, parse(t, fleetOfThree))
 	end, reason := rep.Outcome()
 	if end == report.Late {
--- a/internal/lab/routes_test.go
+++ b/internal/lab/routes_test.go
@@ -11,7 +11,7 @@
 )
 
 // A redirect between copies stays behind the proxies, so that faults of a sidecar's links hold there too.
-func TestRedirectsStayBehindProxies(t *testing.T) {
+func TestRegistryProxy_redirects(t *testing.T) {
 	port, err := relay.Listen(func(int) *relay.Link { return nil }, func(*relay.Conn) {})
 	require.NoError(t, err)
 	defer port.Close()
--- a/internal/lab/sidecar_process.go
+++ b/internal/lab/sidecar_process.go
@@ -25,8 +25,8 @@
 	"marblelane/internal/lab/record"
 )
 
-// maxPortTries is how many ports are tried for a process.
-const maxPortTries = 3
+// maxPortAttempts is how many ports are tried for a process.
+const maxPortAttempts = 3
 
 // sidecar is one sidecar with its process, or two during an upgrade.
 type sidecar struct {
@@ -107,7 +107,7 @@
 // the start, so another is tried.
 func (s *sidecar) start(ctx context.Context) error {
 	var err error
-	for range maxPortTries {
+	for range maxPortAttempts {
 		var listen string
 		if listen, err = s.run.Options.FreeAddr(s.number); err != nil {
 			return err
@@ -120,7 +120,7 @@
 		}
 		s.run.Log.Warn("lab: port taken, trying another", "sidecar", s.number, "addr", s.listen)
 	}
-	return fmt.Errorf("sidecar %d: after %d ports: %w", s.number, maxPortTries, err)
+	return fmt.Errorf("sidecar %d: after %d ports: %w", s.number, maxPortAttempts, err)
 }
 
 // launch starts a process and waits until it serves.
