--- a/internal/lab/cluster/clients.go
+++ b/internal/lab/cluster/clients.go
@@ -98,7 +98,7 @@
 	if err != nil {
 		op.outcome = outcomeUnknown
 		if errors.Is(err, syscall.ECONNREFUSED) {
-			op.outcome = outcomeNotApplied // who redirects has done nothing, and nobody else was reached
+			op.outcome = outcomeNotApplied // a replica that redirects has done nothing, and no other was reached
 		}
 		return
 	}
--- a/internal/lab/cluster/cluster.go
+++ b/internal/lab/cluster/cluster.go
@@ -66,7 +66,7 @@
 	rev     int64
 }
 
-// ackedWrite is a write that was acknowledged, or a revision that a watcher was told.
+// ackedWrite is a write that was acknowledged, or a revision that a watcher was sent.
 type ackedWrite struct {
 	rev                  int64
 	called, acknowledged time.Duration
--- a/internal/lab/cluster/faults.go
+++ b/internal/lab/cluster/faults.go
@@ -242,7 +242,7 @@
 type diskFailure struct {
 	*Replica
 	child          *process.Child // as it ran when the disk began to fail
-	loggedBefore   int            // how often its log had told of a failed disk before
+	loggedBefore   int            // failures of its disk in its log before
 	revisionFailed int64          // its revision once the disk failed
 	revisionHealed int64          // its revision when the disk works again; 0: it did not say
 }
@@ -340,7 +340,7 @@
 	c.mu.Unlock()
 }
 
-// newestAcknowledged is the newest revision that a writer was told.
+// newestAcknowledged is the newest revision that was acknowledged to a writer.
 func (c *Cluster) newestAcknowledged() (newest int64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -412,7 +412,7 @@
 		i, _ := strconv.Atoi(pick[1:])
 		return c.Replicas[i : i+1]
 	}
-	return others[:1] // a follower; or whoever, if nobody leads at this moment
+	return others[:1] // a follower; any replica, if there is no leader at this moment
 }
 
 // setPartition cuts replicas from the others: what comes to them ("to"), what goes out from them ("from"), or both.
--- a/internal/lab/cluster/linearizability.go
+++ b/internal/lab/cluster/linearizability.go
@@ -43,7 +43,7 @@
 // register is one entry as the model has it.
 type register struct {
 	value int64 // 0: there is none
-	rev   int64 // of its last change; anyRev: of a write whose answer nobody saw
+	rev   int64 // of its last change; unknownRevision: of a write without an answer
 }
 
 const unknownRevision = -1
--- a/internal/lab/cluster/run.go
+++ b/internal/lab/cluster/run.go
@@ -88,7 +88,7 @@
 	r.Stop()
 }
 
-// convergenceTimeout is how long the last watcher may take to hear the last change.
+// convergenceTimeout is how long the last watcher may take to get the last change.
 const convergenceTimeout = 20 * time.Second
 
 // awaitConvergence waits until all watchers have the leader's list.
--- a/internal/lab/harness/harness.go
+++ b/internal/lab/harness/harness.go
@@ -114,7 +114,7 @@
 	return r.failure
 }
 
-// Note records an event that is told in words.
+// Note records an event that is described in words.
 func (r *Run) Note(k record.Kind, sidecar, server int, note string) {
 	r.Events.Add(record.Event{Kind: k, Sidecar: int32(sidecar), Server: int32(server), Class: record.None, Note: note})
 }
--- a/internal/lab/lab_test.go
+++ b/internal/lab/lab_test.go
@@ -180,7 +180,7 @@
 	}
 }
 
-// Copies whose disks fail and heal are back by themselves, also where nobody is there meanwhile who could be read.
+// Replicas whose disks fail and heal recover by themselves, also where no other could be read meanwhile.
 func TestRun_replicasRecoverWhenDisksHeal(t *testing.T) {
 	for _, name := range []string{"registry-disk-heals-alone", "registry-disk-heals-killed"} {
 		t.Run(name, func(t *testing.T) {
--- a/internal/lab/members/network.go
+++ b/internal/lab/members/network.go
@@ -58,7 +58,7 @@
 	proxy       *relay.Port
 	packetProxy *relay.PacketProxy
 	process     *process.Child // the process behind it
-	reservedFD  int            // while it refuses: a socket that keeps its port, so that nobody else listens there; -1: none
+	reservedFD  int            // while it refuses: a socket that keeps its port from other processes; -1: none
 	assigned    bool           // some process has had it
 	down        bool           // no process is behind it: its host refuses connections
 }
@@ -290,7 +290,7 @@
 		case from == to:
 		case f.Kind == "members-refuse":
 			lost = true
-			if refuse = refuse || to; from { // nobody but the host itself refuses: who is behind it hears nothing
+			if refuse = refuse || to; from { // only the host itself refuses: the process behind it gets nothing
 				calls = relay.Both
 			}
 		case f.Kind != "members-cut":
--- a/internal/lab/members/poller.go
+++ b/internal/lab/members/poller.go
@@ -65,7 +65,7 @@
 	return nil
 }
 
-// RecordLeaving records that a process is told to end.
+// RecordLeaving records that a process has been sent SIGTERM.
 func (m *Network) RecordLeaving(c *process.Child) {
 	m.mu.Lock()
 	serial, ok := m.serials[c]
--- a/internal/lab/members/result.go
+++ b/internal/lab/members/result.go
@@ -195,7 +195,7 @@
 		if q == p {
 			continue
 		}
-		for id, all := range q.statuses { // a member that was only told of is silent until it is heard first
+		for id, all := range q.statuses { // a member that was only named by others is silent until its first message
 			if id.name != r.name(p) {
 				continue
 			}
@@ -232,7 +232,7 @@
 	})
 }
 
-// explained tells whether a fault explains that one process did not hear another: one was frozen, or links were cut.
+// explained tells whether a fault explains that one process got no message of another: one was frozen, or links were cut.
 func (r *resultReader) explained(events []record.Event, p, q *processHistory, at time.Duration) bool {
 	on := map[string]time.Duration{} // what is there, and when it ended
 	for i := range events {
@@ -284,12 +284,12 @@
 // findAgreement finds when all counted the same after the last thing that happened, and what they counted at the end.
 func (r *resultReader) findAgreement() {
 	var living []*processHistory
-	share := 0 // the replicas of the registry are members that nobody counts
+	sidecars := 0 // that live; the replicas of the registry are members that are not counted
 	for _, p := range r.processes {
 		if p.ended == never && p.leaves == never && len(p.answers) > 0 {
 			living = append(living, p)
 			if int(p.party) < r.facts.Sidecars {
-				share++
+				sidecars++
 			}
 		}
 	}
@@ -323,7 +323,7 @@
 		}
 		agree := true
 		for _, e := range newest {
-			agree = agree && e.Status == a.e.Status && int(e.Attempt) == share
+			agree = agree && e.Status == a.e.Status && int(e.Attempt) == sidecars
 		}
 		if agree {
 			r.out.AgreeMS = float64(a.e.T-r.lastChange) / float64(time.Millisecond)
--- a/internal/lab/registry_proxy.go
+++ b/internal/lab/registry_proxy.go
@@ -109,7 +109,7 @@
 	return nil
 }
 
-// writeEntry writes the state of a server, and tries again until a leader takes it.
+// writeEntry writes the state of a server, and retries until a leader accepts it.
 func (s *registryProxy) writeEntry(ctx context.Context, e agent.Entry) error {
 	method, path, body := http.MethodPost, "/registry/instances/"+e.UID, []byte(nil)
 	switch e.State {
--- a/internal/lab/report/delayed_links.go
+++ b/internal/lab/report/delayed_links.go
@@ -5,7 +5,7 @@
 	"marblelane/internal/lab/scenario"
 )
 
-// delayedLinks are the times in which links between sidecars and servers hold back what is sent on them.
+// delayedLinks are the times in which links between sidecars and servers delay all messages.
 func delayedLinks(p *scenario.Plan) []invariant.HeldBack {
 	var all []int
 	for i := range p.Sidecars {
--- a/internal/lab/report/members.go
+++ b/internal/lab/report/members.go
@@ -30,7 +30,7 @@
 	// AgreeMS is from the last thing that happened until all counted the same; -1: not within the run.
 	AgreeMS   float64 `json:"agree_ms"`
 	Newcomers int     `json:"newcomers"`
-	Admitted  Times   `json:"admitted"` // of newcomers, from the moment they served
+	Admitted  Times   `json:"admitted"` // of joining members, from when they served
 	Forced    int     `json:"forced"`   // processes that were let in although somebody did not know them
 	Known     [2]int  `json:"known"`    // the least and the most that a process counted at the end
 	Heard     [2]int  `json:"heard"`
--- a/internal/lab/report/registry.go
+++ b/internal/lab/report/registry.go
@@ -12,7 +12,7 @@
 	Watchers  int               `json:"watchers"`
 	Writes    int               `json:"writes"`    // acknowledged
 	Conflicts int               `json:"conflicts"` // refused on their condition
-	Refused   int               `json:"refused"`   // certainly not done: nobody led
+	Refused   int               `json:"refused"`   // certainly not done: there was no leader
 	Unknown   int               `json:"unknown"`   // no answer: done or not
 	Gets      int               `json:"gets"`
 	Reads     int               `json:"reads"`      // whole lists, of any copy
@@ -20,7 +20,7 @@
 	Lines     int64             `json:"lines"`      // that watchers took
 	Rejoins   int64             `json:"rejoins"`    // watches that ended and began again
 	TellP50   float64           `json:"tell_p50_ms"`
-	TellP99   float64           `json:"tell_p99_ms"` // from a write's call until the last watcher is told
+	TellP99   float64           `json:"tell_p99_ms"` // from a write's call until the last watcher has it
 	TellMax   float64           `json:"tell_max_ms"`
 	Gaps      []float64         `json:"gaps_ms"`    // after each fault: until a write called since is acknowledged
 	Returns   []float64         `json:"returns_ms"` // of copies that were killed: from their start until they had the list
--- a/internal/lab/report/routes.go
+++ b/internal/lab/report/routes.go
@@ -11,7 +11,7 @@
 // RoutesResult is what became of a run's rollouts.
 type RoutesResult struct {
 	Rollouts []RolloutResult `json:"rollouts"`
-	Tables   int             `json:"tables"`   // revisions told
+	Tables   int             `json:"tables"`   // revisions that were published
 	Closed   int64           `json:"closed"`   // the newest revision said to be closed
 	Asked    int             `json:"asked"`    // questions that the audit answered
 	Verdicts map[string]int  `json:"verdicts"` // of processes, over all of them
@@ -23,7 +23,7 @@
 type RolloutResult struct {
 	Name     string      `json:"name"`
 	Tenant   string      `json:"tenant"`
-	End      string      `json:"end"` // its phase; "refused", or empty where nobody has said
+	End      string      `json:"end"` // its phase; "refused", or empty where it is not known
 	Why      string      `json:"why,omitempty"`
 	Step     int         `json:"step"`
 	Budget   int64       `json:"budget"`
@@ -33,7 +33,7 @@
 	Steps    []StepShare `json:"steps"`
 }
 
-// StepShare is the share of a step as it was told, and as servers saw it in the first attempts of requests.
+// StepShare is the fraction of a step as it was published, and as servers measured it in the first attempts of requests.
 type StepShare struct {
 	Step     int     `json:"step"`
 	Share    float64 `json:"share"`
--- a/internal/lab/report/slow_start.go
+++ b/internal/lab/report/slow_start.go
@@ -6,7 +6,7 @@
 	"marblelane/internal/lab/stock"
 )
 
-// slowStartLimits is what the plan's servers may be sent while they are cold, by the figures that the sidecars are told.
+// slowStartLimits is what the servers of the plan may be sent during their slow start, by the settings of the sidecars.
 func slowStartLimits(p *scenario.Plan) invariant.SlowStart {
 	rules := &p.Scenario.Rules
 	f := invariant.SlowStart{InitialCapacity: rules.ColdFrom, Time: rules.Cold.Duration(), Window: rules.FallTime.Duration(), OverloadMultiple: rules.FallMultiple}
--- a/internal/lab/rollouts/driver.go
+++ b/internal/lab/rollouts/driver.go
@@ -35,19 +35,19 @@
 	epoch    time.Time // the wall clock at the run's beginning
 
 	mu           sync.Mutex
-	newestRev    int64              // revision of any table told
+	newestRev    int64              // of any table that was published
 	newestClosed int64              // the newest revision said to be closed
-	revisions    map[int64]bool     // of all tables told
+	revisions    map[int64]bool     // of all tables that were published
 	postedAfter  []int64            // by rollout: see invariant.Rollout; -1: it was not posted
 	rejections   []string           // by rollout, why it was not taken; empty: it was
-	views        []rolloutView      // by rollout, the newest told
+	views        []rolloutView      // by rollout, the newest
 	finalPhases  []string           // by rollout, the phase as the leader has it at the end
 	answers      []invariant.Answer // of the audit
-	auditQueries int                // questions that were answered
+	auditQueries int                // that were answered
 	failures     []string
 	stalls       []invariant.Span
 
-	nextReplica atomic.Int64 // of the copy that is asked next
+	nextReplica atomic.Int64 // that is called next
 	wg          sync.WaitGroup
 }
 
@@ -373,7 +373,7 @@
 
 const (
 	collectTimeout      = 15 * time.Second
-	maxAuditedRevisions = 12 // revisions that are asked for at the end
+	maxAuditedRevisions = 12 // revisions that are audited at the end
 	auditWindows        = 6  // of each
 )
 
--- a/internal/lab/rollouts/result.go
+++ b/internal/lab/rollouts/result.go
@@ -34,25 +34,25 @@
 	return out
 }
 
-// toldShare is the share of a step as a table told it.
-type toldShare struct {
+// publishedStep is the fraction of a step as a table published it.
+type publishedStep struct {
 	rollout, step int
 	share         float64
 }
 
 // shareCount counts the first attempts of requests by the shares of their revision.
 type shareCount struct {
-	told    map[int64][]toldShare  // by revision
-	running map[int]invariant.Span // by tenant, while a rollout is under way
-	closed  int64
+	published map[int64][]publishedStep // by revision
+	running   map[int]invariant.Span    // by tenant, while a rollout is under way
+	closed    int64
 }
 
 func (o *Driver) countShares(out *report.RoutesResult, events []record.Event, facts *invariant.Routes) {
-	c := &shareCount{told: map[int64][]toldShare{}, running: map[int]invariant.Span{}}
+	c := &shareCount{published: map[int64][]publishedStep{}, running: map[int]invariant.Span{}}
 	c.readTables(events, facts)
 	out.Closed = max(out.Closed, c.closed)
 	out.Held = o.heldShare(c.running, events)
-	sums := map[toldShare]*report.StepShare{}
+	sums := map[publishedStep]*report.StepShare{}
 	counted := map[uint64]bool{} // requests whose first attempt was counted
 	for i := range events {
 		e := &events[i]
@@ -60,7 +60,7 @@
 			continue
 		}
 		counted[e.Request] = true
-		for _, t := range c.told[e.Rev] {
+		for _, t := range c.published[e.Rev] {
 			if r := &facts.Rollouts[t.rollout]; r.Tenant == int(e.Tenant) && r.Classes[e.Class] {
 				addAttempt(sums, t, e.Canary)
 				if e.Canary {
@@ -77,9 +77,9 @@
 	}
 }
 
-// addAttempt counts an attempt under the first share that was told of its step.
-func addAttempt(sums map[toldShare]*report.StepShare, t toldShare, canary bool) {
-	key := toldShare{rollout: t.rollout, step: t.step}
+// addAttempt counts an attempt under the first fraction that was published of its step.
+func addAttempt(sums map[publishedStep]*report.StepShare, t publishedStep, canary bool) {
+	key := publishedStep{rollout: t.rollout, step: t.step}
 	s := sums[key]
 	if s == nil {
 		s = &report.StepShare{Step: t.step, Share: t.share}
@@ -91,7 +91,7 @@
 	}
 }
 
-// readTables reads which shares were told under which revision, and when the rollouts of each tenant were under way.
+// readTables reads which fractions were published under which revision, and when the rollouts of each tenant were under way.
 func (c *shareCount) readTables(events []record.Event, facts *invariant.Routes) {
 	for i := range events {
 		switch e := &events[i]; e.Kind {
@@ -105,8 +105,8 @@
 			if _, ok := c.running[tenant]; !ok {
 				c.running[tenant] = invariant.Span{From: e.T + firstPermissionTime, To: math.MaxInt64}
 			}
-			if t := (toldShare{int(e.Status), int(e.Attempt), e.Work}); !slices.Contains(c.told[e.Rev], t) {
-				c.told[e.Rev] = append(c.told[e.Rev], t)
+			if t := (publishedStep{int(e.Status), int(e.Attempt), e.Work}); !slices.Contains(c.published[e.Rev], t) {
+				c.published[e.Rev] = append(c.published[e.Rev], t)
 			}
 		case record.RolloutPhase:
 			tenant := facts.Rollouts[e.Status].Tenant
--- a/internal/lab/sidecar_faults.go
+++ b/internal/lab/sidecar_faults.go
@@ -67,7 +67,7 @@
 	return err
 }
 
-// upgrade starts a second process beside the first, which is told to end once the new one serves.
+// upgrade starts a second process beside the first, which is stopped once the new one serves.
 func (s *sidecar) upgrade(ctx context.Context) error {
 	old := s.current()
 	if err := s.launch(ctx); err != nil {
