--- a/internal/lab/lab_test.go
+++ b/internal/lab/lab_test.go
@@ -211,7 +211,7 @@
 `
 
 // What is open before and after a run is the same, also when it was ended early or failed to start.
-func TestRun_leavesNothingOpen(t *testing.T) {
+func TestRun_cleanup(t *testing.T) {
 	descriptors := func() int {
 		d, err := os.ReadDir("/proc/self/fd")
 		assert.NoError(t, err)
@@ -267,15 +267,15 @@
 	}
 	defer l.Close()
 	s := parse(t, strings.Replace(small, "count = 2", "count = 1", 1))
-	asked := 0
+	calls := 0
 	rep, err := Run(t.Context(), s, harness.Options{Program: sidecarProgram, Dir: t.TempDir(), FreeAddr: func(n int) (string, error) {
-		if asked++; asked == 1 {
+		if calls++; calls == 1 {
 			return l.Addr().String(), nil
 		}
 		return harness.FreeSidecarAddr(n)
 	}})
-	if err != nil || asked != 2 {
-		t.Fatalf("after %d addresses: %v", asked, err)
+	if err != nil || calls != 2 {
+		t.Fatalf("after %d addresses: %v", calls, err)
 	}
 	if len(rep.Result.Sidecars) != 1 || rep.Result.Sidecars[0].Requests == 0 {
 		t.Errorf("it served nothing: %+v", rep.Result.Sidecars)
