--- a/internal/lab/sidecar_process.go
+++ b/internal/lab/sidecar_process.go
@@ -34,7 +34,8 @@
 	number   int
 	dir      string
 	listen   string
-	config   string // file
+	config   string     // file
+	configMu sync.Mutex // held while the file is replaced: a restart and a move of discovery may meet
 	mu       sync.Mutex
 	child    *process.Child
 	oldChild *process.Child
@@ -229,6 +230,8 @@
 	if err != nil {
 		return fmt.Errorf("sidecar %d: %w", s.number, err)
 	}
+	s.configMu.Lock()
+	defer s.configMu.Unlock()
 	if err := os.WriteFile(s.config+".new", data, 0o644); err != nil {
 		return fmt.Errorf("sidecar %d: %w", s.number, err)
 	}
