--- a/internal/lab/cluster/linearizability_test.go
+++ b/internal/lab/cluster/linearizability_test.go
@@ -22,7 +22,7 @@
 		return operation{kind: opPut, value: v, condition: -1, outcome: outcomeUnknown}
 	}
 	on := func(op operation, condition int64) operation { op.condition = condition; return op }
-	refused := func(condition int64) operation {
+	rejected := func(condition int64) operation {
 		return operation{kind: opPut, value: 99, condition: condition, outcome: outcomeConflict}
 	}
 	for name, replica := range map[string]struct {
@@ -34,7 +34,7 @@
 		"a read beside a write":         {[]operation{at(put(1, 5), 0, 1), at(put(2, 6), 2, 9), at(get(1, 5), 4, 5)}, true},
 		"a lost write":                  {[]operation{at(put(1, 5), 0, 1), at(get(0, 0), 2, 3)}, false},
 		"a condition that did not hold": {[]operation{at(put(1, 5), 0, 1), at(on(put(2, 6), 4), 2, 3)}, false},
-		"a refusal without a reason":    {[]operation{at(put(1, 5), 0, 1), at(refused(5), 2, 3)}, false},
+		"a refusal without a reason":    {[]operation{at(put(1, 5), 0, 1), at(rejected(5), 2, 3)}, false},
 		"two that both held":            {[]operation{at(on(put(1, 5), 0), 0, 9), at(on(put(2, 6), 0), 0, 9)}, false},
 		"a revision that went back":     {[]operation{at(put(1, 5), 0, 1), at(put(2, 4), 2, 3)}, false},
 		"unknown, and it happened":      {[]operation{at(put(1, 5), 0, 1), at(lost(2), 2, 3), at(get(2, 6), 8, 9)}, true},
--- a/internal/lab/cluster/result.go
+++ b/internal/lab/cluster/result.go
@@ -16,7 +16,7 @@
 
 // result sums the run up, and checks the history of the writers and the lists that were read.
 func (c *Cluster) result(watchers []*watcher, timerLag []time.Duration) *report.Report {
-	out := &report.RegistryResult{Copies: len(c.Replicas), Watchers: len(watchers), Reads: len(c.reads),
+	out := &report.RegistryResult{Replicas: len(c.Replicas), Watchers: len(watchers), Reads: len(c.reads),
 		ReadsLost: c.failedReads, Lines: c.watchLines.Load(), Rejoins: c.rewatches.Load()}
 	c.countOperations(out)
 	if text := checkLinearizable(c.history); text != "" {
@@ -39,7 +39,7 @@
 		case op.outcome == outcomeConflict:
 			out.Conflicts++
 		case op.outcome == outcomeNotApplied:
-			out.Refused++
+			out.Rejected++
 		case op.outcome == outcomeUnknown:
 			out.Unknown++
 		case op.kind == opGet:
--- a/internal/lab/gossip/port.go
+++ b/internal/lab/gossip/port.go
@@ -33,7 +33,7 @@
 
 // counters are Counts as they are kept.
 type counters struct {
-	sentPackets, sentBytes, receivedPackets, receivedBytes, lost, overflow, streams, refused atomic.Uint64
+	sentPackets, sentBytes, receivedPackets, receivedBytes, lost, overflow, streams, rejected atomic.Uint64
 }
 
 // Port is one member's place on the network.
@@ -61,7 +61,7 @@
 	c := &p.counts
 	return Counts{SentPackets: c.sentPackets.Load(), SentBytes: c.sentBytes.Load(),
 		ReceivedPackets: c.receivedPackets.Load(), ReceivedBytes: c.receivedBytes.Load(), LostPackets: c.lost.Load(),
-		OverflowPackets: c.overflow.Load(), Streams: c.streams.Load(), RejectedDials: c.refused.Load()}
+		OverflowPackets: c.overflow.Load(), Streams: c.streams.Load(), RejectedDials: c.rejected.Load()}
 }
 
 // FinalAdvertiseAddr is its address, whatever the library's configuration says.
@@ -185,7 +185,7 @@
 			return nil, err
 		}
 		if at == nil || there.RejectDials {
-			p.counts.refused.Add(1)
+			p.counts.rejected.Add(1)
 			return nil, fail(os.NewSyscallError("connect", syscall.ECONNREFUSED))
 		}
 		s, err := p.call(at)
--- a/internal/lab/harness/execute.go
+++ b/internal/lab/harness/execute.go
@@ -37,7 +37,7 @@
 	if err := phases.Start(ctx); err != nil {
 		return nil, fmt.Errorf("lab: %w", err)
 	}
-	r.Began = r.Events.Now()
+	r.StartedAt = r.Events.Now()
 	timers, err := r.drive(ctx, phases)
 	if err != nil {
 		return nil, err
@@ -91,4 +91,4 @@
 }
 
 // Elapsed is the time since all parties were up.
-func (r *Run) Elapsed() time.Duration { return r.Events.Now() - r.Began }
+func (r *Run) Elapsed() time.Duration { return r.Events.Now() - r.StartedAt }
--- a/internal/lab/harness/harness.go
+++ b/internal/lab/harness/harness.go
@@ -52,7 +52,7 @@
 	Dir       string
 	Processes *process.Supervisor
 	Tasks     sync.WaitGroup // goroutines that end with the run's context
-	Began     time.Duration  // when all parties were up, on the clock of Events; the times of the plan are from then on
+	StartedAt time.Duration  // when all parties were up, on the clock of Events; the times of the plan are from then on
 
 	removeDir     bool
 	stopProcesses sync.Once
--- a/internal/lab/harness/timer_lag.go
+++ b/internal/lab/harness/timer_lag.go
@@ -51,10 +51,10 @@
 // Spans are stalls on the clock of the plan.
 func (r *Run) Spans(stalls []Stall) []invariant.Span {
 	now, elapsed := time.Now(), r.Elapsed()
-	sinceBegan := func(t time.Time) time.Duration { return elapsed - now.Sub(t) }
+	sinceStart := func(t time.Time) time.Duration { return elapsed - now.Sub(t) }
 	var out []invariant.Span
 	for _, s := range stalls {
-		out = append(out, invariant.Span{From: sinceBegan(s.from), To: sinceBegan(s.to)})
+		out = append(out, invariant.Span{From: sinceStart(s.from), To: sinceStart(s.to)})
 	}
 	return out
 }
--- a/internal/lab/invariant/clients_test.go
+++ b/internal/lab/invariant/clients_test.go
@@ -109,11 +109,11 @@
 		broken  bool
 	}{
 		"none":                  {Starvation{}, true},
-		"as long as the excess": {Starvation{From: millis(0), To: millis(500), Longest: millis(50)}, false},
-		"shorter":               {Starvation{From: millis(0), To: millis(500), Longest: millis(49)}, true},
-		"another sidecar":       {Starvation{Sidecar: 1, From: millis(0), To: millis(500), Longest: millis(50)}, true},
-		"before the request":    {Starvation{From: millis(0), To: millis(149), Longest: millis(100)}, true},
-		"after the attempt":     {Starvation{From: millis(251), To: millis(500), Longest: millis(100)}, true},
+		"as long as the excess": {Starvation{From: millis(0), To: millis(500), MaxDelay: millis(50)}, false},
+		"shorter":               {Starvation{From: millis(0), To: millis(500), MaxDelay: millis(49)}, true},
+		"another sidecar":       {Starvation{Sidecar: 1, From: millis(0), To: millis(500), MaxDelay: millis(50)}, true},
+		"before the request":    {Starvation{From: millis(0), To: millis(149), MaxDelay: millis(100)}, true},
+		"after the attempt":     {Starvation{From: millis(251), To: millis(500), MaxDelay: millis(100)}, true},
 	} {
 		events := []record.Event{process(0, Started), process(1, Serving), sent, attempt}
 		got := Check(events, Facts{NonIdempotent: []bool{false}, MaxAttempts: 3, Starvation: []Starvation{c.starved}}).Broken()
--- a/internal/lab/invariant/starvation.go
+++ b/internal/lab/invariant/starvation.go
@@ -6,7 +6,7 @@
 type Starvation struct {
 	Sidecar  int32
 	From, To time.Duration
-	Longest  time.Duration // that one thread waited, in all, between From and To
+	MaxDelay time.Duration // that one thread waited, in all, between From and To
 }
 
 // starvedTime is the longest that a thread of a sidecar can have waited for a processor between two times.
@@ -14,7 +14,7 @@
 	sum := time.Duration(0)
 	for _, s := range c.facts.Starvation {
 		if s.Sidecar == sidecar {
-			sum += min(s.Longest, max(min(s.To, to)-max(s.From, from), 0))
+			sum += min(s.MaxDelay, max(min(s.To, to)-max(s.From, from), 0))
 		}
 	}
 	return sum
--- a/internal/lab/members/members_test.go
+++ b/internal/lab/members/members_test.go
@@ -111,12 +111,12 @@
 		_, err = m.Prepare(1)
 		require.NoError(t, err)
 	}
-	refuse := &scenario.FaultPlan{Fault: scenario.Fault{Kind: "members-refuse"}, Sidecars: []int{1}}
-	require.NoError(t, m.SetFault(refuse, true))
+	reject := &scenario.FaultPlan{Fault: scenario.Fault{Kind: "members-refuse"}, Sidecars: []int{1}}
+	require.NoError(t, m.SetFault(reject, true))
 	dials(t, "refused", f[0], f[1], "although its process lives")
 	dials(t, "silent", f[1], f[0])
 	arrives(false)
-	require.NoError(t, m.SetFault(refuse, false))
+	require.NoError(t, m.SetFault(reject, false))
 	dials(t, "taken", f[0], f[1])
 	lose := &scenario.FaultPlan{Fault: scenario.Fault{Kind: "members-lose", Size: 1}, Sidecars: []int{0}}
 	require.NoError(t, m.SetFault(lose, true))
@@ -133,9 +133,9 @@
 			N: int64(serial)})
 		return &events[len(events)-1]
 	}
-	says := func(s float64, serial, known, heard int) {
+	says := func(s float64, serial, known, reachable int) {
 		e := add(s, record.MembershipStatus, serial, "")
-		e.Status, e.Attempt, e.Canary, e.Work = int32(known), int16(heard), true, 3
+		e.Status, e.Attempt, e.Canary, e.Work = int32(known), int16(reachable), true, 3
 	}
 	of := func(s float64, by, of int, note string) { add(s, record.MemberStatus, by, note).N = int64(of) }
 	for serial := range 3 {
--- a/internal/lab/members/network.go
+++ b/internal/lab/members/network.go
@@ -198,7 +198,7 @@
 			cut = append(cut, i)
 		}
 	}
-	if (f.down || m.refusesCalls(f.party)) && len(cut) == 0 {
+	if (f.down || m.rejectsCalls(f.party)) && len(cut) == 0 {
 		f.proxy.Kill()
 		f.reservePort()
 		return nil
@@ -245,7 +245,7 @@
 	}
 }
 
-func (m *Network) refusesCalls(party int) bool {
+func (m *Network) rejectsCalls(party int) bool {
 	return slices.ContainsFunc(m.activeFaults, func(p *scenario.FaultPlan) bool {
 		return p.Fault.Kind == "members-refuse" && slices.Contains(p.Sidecars, party)
 	})
@@ -278,7 +278,7 @@
 // updateLinks sets the links from one party to another by all active faults; m.mu is held.
 func (m *Network) updateLinks(i, j int) {
 	var calls relay.Direction // that are silent, of connections from i to j
-	lost, refuse := false, false
+	lost, reject := false, false
 	lose, slow := 0.0, time.Duration(0)
 	for _, p := range m.activeFaults {
 		from, to := slices.Contains(p.Sidecars, i), slices.Contains(p.Sidecars, j)
@@ -290,7 +290,7 @@
 		case from == to:
 		case f.Kind == "members-refuse":
 			lost = true
-			if refuse = refuse || to; from { // only the host itself refuses: the process behind it gets nothing
+			if reject = reject || to; from { // only the host itself refuses: the process behind it gets nothing
 				calls = relay.Both
 			}
 		case f.Kind != "members-cut":
@@ -310,7 +310,7 @@
 		}
 	}
 	m.links[i][j].Set(func(r *relay.Rules) {
-		r.Cut, r.Reject, r.Latency = calls, refuse, m.latencyBetween(i, j)+slow
+		r.Cut, r.Reject, r.Latency = calls, reject, m.latencyBetween(i, j)+slow
 	})
 	m.packets[i][j].Set(func(r *relay.PacketRules) {
 		if r.Cut, r.PacketLoss, r.Latency = 0, lose, m.latencyBetween(i, j)+slow; lost {
--- a/internal/lab/members/poller.go
+++ b/internal/lab/members/poller.go
@@ -29,14 +29,14 @@
 		Start int64  `json:"start"`
 	} `json:"self"`
 	View struct {
-		Known    int  `json:"known"`
-		Heard    int  `json:"heard"`
-		Admitted bool `json:"admitted"`
-		Forced   bool `json:"forced"`
+		Known     int  `json:"known"`
+		Reachable int  `json:"heard"`
+		Admitted  bool `json:"admitted"`
+		Forced    bool `json:"forced"`
 	} `json:"view"`
-	Believed float64 `json:"believed"`
-	Changes  int64   `json:"changes"`
-	Members  []struct {
+	EstimatedSize float64 `json:"believed"`
+	Changes       int64   `json:"changes"`
+	Members       []struct {
 		Name  string `json:"name"`
 		Start int64  `json:"start"`
 		State string `json:"state"`
@@ -163,7 +163,7 @@
 // record records an answer, and the members whose status is another than in the answer before.
 func (w *poller) record(called, back time.Duration, got *membersAnswer) {
 	e := record.Event{T: back, Kind: record.MembershipStatus, Sidecar: int32(w.party), Sum: w.serial,
-		Want: uint64(back - called), N: got.Self.Start, Status: int32(got.View.Known), Attempt: int16(got.View.Heard), Work: got.Believed,
+		Want: uint64(back - called), N: got.Self.Start, Status: int32(got.View.Known), Attempt: int16(got.View.Reachable), Work: got.EstimatedSize,
 		Canary: got.View.Admitted, Rev: got.Changes, Server: int32(len(got.Members))}
 	if got.View.Forced {
 		e.Class = 1
--- a/internal/lab/members/result.go
+++ b/internal/lab/members/result.go
@@ -52,28 +52,28 @@
 	}
 	for i := range p.Faults {
 		if one := &p.Faults[i]; one.Fault.Kind == "members-refuse" {
-			f.FalseRefusals = append(f.FalseRefusals, invariant.Span{From: one.At, To: one.Until + refusalRecovery})
+			f.FalseRefusals = append(f.FalseRefusals, invariant.Span{From: one.At, To: one.Until + falseProofRecovery})
 		}
 	}
 	return f
 }
 
-// refusalRecovery is how long after a false refusal a process that was counted out may take to be counted again.
-const refusalRecovery = 15 * time.Second
+// falseProofRecovery is how long after a false refusal a process that was counted out may take to be counted again.
+const falseProofRecovery = 15 * time.Second
 
 // Result reads what the members knew of each other from the events of a run, by time.
 func Result(events []record.Event, facts *invariant.Members) *report.MembersResult {
 	r := &resultReader{facts: facts, out: &report.MembersResult{AgreeMS: -1}}
 	r.read(events)
 	for _, one := range invariant.QuotaMoments(events, facts) {
-		if one.Sum > r.out.MostTaken {
-			r.out.MostTaken, r.out.TakenAt = one.Sum, one.At.Seconds()
+		if one.Sum > r.out.MaxQuotaSum {
+			r.out.MaxQuotaSum, r.out.MaxQuotaSumAt = one.Sum, one.At.Seconds()
 		}
 	}
 	for _, p := range r.processes {
 		r.countDeath(p)
 		r.countFalseSuspicions(p, events)
-		r.countNewcomer(p)
+		r.countJoining(p)
 	}
 	r.findAgreement()
 	for _, t := range []*report.Times{&r.out.Noticed, &r.out.CountedOut, &r.out.Left, &r.out.Admitted} {
@@ -263,15 +263,15 @@
 	return false
 }
 
-// countNewcomer measures how long a process that came during the run waited until it was admitted.
-func (r *resultReader) countNewcomer(p *processHistory) {
+// countJoining measures how long a process that came during the run waited until it was admitted.
+func (r *resultReader) countJoining(p *processHistory) {
 	if slices.ContainsFunc(p.answers, func(e record.Event) bool { return e.Class == 1 }) {
 		r.out.Forced++
 	}
 	if p.served <= pollInterval || int(p.party) >= r.facts.Sidecars {
 		return
 	}
-	r.out.Newcomers++
+	r.out.JoiningMembers++
 	i := slices.IndexFunc(p.answers, func(e record.Event) bool { return e.Canary })
 	switch {
 	case i >= 0:
@@ -295,12 +295,12 @@
 	}
 	for i, p := range living {
 		last := p.answers[len(p.answers)-1]
-		known, heard := int(last.Status), int(last.Attempt)
+		known, reachable := int(last.Status), int(last.Attempt)
 		if i == 0 {
-			r.out.Known, r.out.Heard = [2]int{known, known}, [2]int{heard, heard}
+			r.out.Known, r.out.Reachable = [2]int{known, known}, [2]int{reachable, reachable}
 		}
 		r.out.Known = [2]int{min(r.out.Known[0], known), max(r.out.Known[1], known)}
-		r.out.Heard = [2]int{min(r.out.Heard[0], heard), max(r.out.Heard[1], heard)}
+		r.out.Reachable = [2]int{min(r.out.Reachable[0], reachable), max(r.out.Reachable[1], reachable)}
 	}
 	type answer struct {
 		of int
--- a/internal/lab/report/members.go
+++ b/internal/lab/report/members.go
@@ -11,10 +11,10 @@
 
 // MembersResult is what members of a run knew of each other. Times are in milliseconds.
 type MembersResult struct {
-	Processes int     `json:"processes"` // that were asked
-	Answers   int     `json:"answers"`
-	MostTaken float64 `json:"most_taken"` // the greatest sum of parts; 1 is what the fleet allows
-	TakenAt   float64 `json:"taken_at_s"`
+	Processes     int     `json:"processes"` // that were asked
+	Answers       int     `json:"answers"`
+	MaxQuotaSum   float64 `json:"most_taken"` // the greatest sum of parts; 1 is what the fleet allows
+	MaxQuotaSumAt float64 `json:"taken_at_s"`
 	// Of deaths without a word, for each that lived on: until it took the dead for silent, and until it counted it out.
 	Deaths     int   `json:"deaths"`
 	Noticed    Times `json:"noticed"`
@@ -28,12 +28,12 @@
 	FalseOnes   []string `json:"false_ones"` // the first of them without such a cause
 	Changes     int      `json:"changes"`    // of what some process counts
 	// AgreeMS is from the last thing that happened until all counted the same; -1: not within the run.
-	AgreeMS   float64 `json:"agree_ms"`
-	Newcomers int     `json:"newcomers"`
-	Admitted  Times   `json:"admitted"` // of joining members, from when they served
-	Forced    int     `json:"forced"`   // processes that were let in although somebody did not know them
-	Known     [2]int  `json:"known"`    // the least and the most that a process counted at the end
-	Heard     [2]int  `json:"heard"`
+	AgreeMS        float64 `json:"agree_ms"`
+	JoiningMembers int     `json:"newcomers"`
+	Admitted       Times   `json:"admitted"` // of joining members, from when they served
+	Forced         int     `json:"forced"`   // processes that were let in although somebody did not know them
+	Known          [2]int  `json:"known"`    // the least and the most that a process counted at the end
+	Reachable      [2]int  `json:"heard"`
 }
 
 // Times is how long something took, over all its cases.
@@ -105,9 +105,9 @@
 
 func (o *MembersResult) print(w io.Writer) {
 	fmt.Fprintf(w, "\nmembers       %d processes, %d answers; at the end they count %d to %d, and hear %d to %d\n",
-		o.Processes, o.Answers, o.Known[0], o.Known[1], o.Heard[0], o.Heard[1])
+		o.Processes, o.Answers, o.Known[0], o.Known[1], o.Reachable[0], o.Reachable[1])
 	fmt.Fprintf(w, "parts         at most %.3f of what the fleet allows, at %.1f s; %d let in, though not known to all\n",
-		o.MostTaken, o.TakenAt, o.Forced)
+		o.MaxQuotaSum, o.MaxQuotaSumAt, o.Forced)
 	fmt.Fprintf(w, "deaths        %d; noticed %v; counted out %v\n", o.Deaths, o.Noticed, o.CountedOut)
 	if o.Left.Cases > 0 {
 		fmt.Fprintf(w, "left          counted out %v\n", o.Left)
@@ -117,7 +117,7 @@
 	if n := len(o.FalseOnes); n > 0 {
 		fmt.Fprintf(w, "              %s\n", strings.Join(o.FalseOnes[:min(n, MaxRows)], "; "))
 	}
-	fmt.Fprintf(w, "newcomers     %d; admitted %v\n", o.Newcomers, o.Admitted)
+	fmt.Fprintf(w, "newcomers     %d; admitted %v\n", o.JoiningMembers, o.Admitted)
 	fmt.Fprintf(w, "views         %d changes; all agree %.0f ms after the last thing that happened (-1: not within the run)\n",
 		o.Changes, o.AgreeMS)
 }
--- a/internal/lab/report/outcome.go
+++ b/internal/lab/report/outcome.go
@@ -59,9 +59,9 @@
 
 // NewLateness sums up how late arrivals were sent, and by how much a timer of the lab's process was late.
 func NewLateness(arrivals, timerLag []time.Duration) Lateness {
-	p99, longest, lag := quantile(arrivals, 0.99), quantile(arrivals, 1), quantile(timerLag, 0.99)
-	return Lateness{P99MS: milliseconds(p99), MaxMS: milliseconds(longest), LagMS: milliseconds(lag),
-		TooBig: p99 > MaxLatenessP99 || longest > MaxLateness || lag > MaxLatenessP99}
+	p99, worst, lag := quantile(arrivals, 0.99), quantile(arrivals, 1), quantile(timerLag, 0.99)
+	return Lateness{P99MS: milliseconds(p99), MaxMS: milliseconds(worst), LagMS: milliseconds(lag),
+		TooBig: p99 > MaxLatenessP99 || worst > MaxLateness || lag > MaxLatenessP99}
 }
 
 func quantile(list []time.Duration, q float64) time.Duration {
@@ -133,29 +133,29 @@
 func missedFigures(e *scenario.Expect, r *Report) []string {
 	var out []string
 	f := &r.Result.Figures
-	least := func(name string, want *float64, got float64) {
+	requireMin := func(name string, want *float64, got float64) {
 		if want != nil && got < *want {
 			out = append(out, fmt.Sprintf("%s is %.3f, expected at least %.3f", name, got, *want))
 		}
 	}
-	most := func(name string, want *float64, got float64) {
+	requireMax := func(name string, want *float64, got float64) {
 		if want != nil && got > *want {
 			out = append(out, fmt.Sprintf("%s is %.3f, expected at most %.3f", name, got, *want))
 		}
 	}
-	least("in_aim", e.InObjective, f.InObjective)
-	least("worst_in_aim", e.WorstInObjective, f.WorstInObjective)
-	most("refused", e.Rejected, f.Rejected)
-	most("failed", e.Failed, f.Failed)
-	most("attempts", e.Attempts, f.ServerAttempts)
-	most("cross_zone", e.CrossZone, f.CrossZone)
-	most("waste", e.WastedWork, f.Waste)
+	requireMin("in_aim", e.InObjective, f.InObjective)
+	requireMin("worst_in_aim", e.WorstInObjective, f.WorstInObjective)
+	requireMax("refused", e.Rejected, f.Rejected)
+	requireMax("failed", e.Failed, f.Failed)
+	requireMax("attempts", e.Attempts, f.ServerAttempts)
+	requireMax("cross_zone", e.CrossZone, f.CrossZone)
+	requireMax("waste", e.WastedWork, f.Waste)
 	if e.P99 != nil {
 		want := e.P99.Milliseconds()
-		most("p99 (ms)", &want, f.P99)
+		requireMax("p99 (ms)", &want, f.P99)
 	}
 	for _, p := range r.Result.Sidecars {
-		most("memory_growth of "+p.Name, e.MemoryGrowth, p.RSSGrowth)
+		requireMax("memory_growth of "+p.Name, e.MemoryGrowth, p.RSSGrowth)
 	}
 	return out
 }
--- a/internal/lab/report/plot.go
+++ b/internal/lab/report/plot.go
@@ -20,10 +20,10 @@
 
 // The colours of what is good, bad and refused, apart for most eyes (Okabe and Ito, 2008).
 var (
-	GoodColour    = color.RGBA{0, 114, 178, 255}
-	FailedColour  = color.RGBA{213, 94, 0, 255}
-	refusedColour = color.RGBA{230, 159, 0, 255}
-	faultColour   = color.NRGBA{120, 120, 120, 50}
+	GoodColour     = color.RGBA{0, 114, 178, 255}
+	FailedColour   = color.RGBA{213, 94, 0, 255}
+	rejectedColour = color.RGBA{230, 159, 0, 255}
+	faultColour    = color.NRGBA{120, 120, 120, 50}
 )
 
 // savePlots draws the report's pictures as PNG and SVG into a folder.
@@ -63,7 +63,7 @@
 		of     func(*measure.Window) float64
 	}{
 		{"in aim", GoodColour, func(w *measure.Window) float64 { return w.InObjective }},
-		{"refused", refusedColour, func(w *measure.Window) float64 { return w.Rejected }},
+		{"refused", rejectedColour, func(w *measure.Window) float64 { return w.Rejected }},
 		{"failed", FailedColour, func(w *measure.Window) float64 { return w.Failed }},
 	} {
 		points := make(plotter.XYs, len(r.Result.Timeline))
--- a/internal/lab/report/registry.go
+++ b/internal/lab/report/registry.go
@@ -8,11 +8,11 @@
 
 // RegistryResult is what a run of the list service shows. Times are in milliseconds.
 type RegistryResult struct {
-	Copies    int               `json:"copies"`
+	Replicas  int               `json:"copies"`
 	Watchers  int               `json:"watchers"`
 	Writes    int               `json:"writes"`    // acknowledged
 	Conflicts int               `json:"conflicts"` // refused on their condition
-	Refused   int               `json:"refused"`   // certainly not done: there was no leader
+	Rejected  int               `json:"refused"`   // certainly not done: there was no leader
 	Unknown   int               `json:"unknown"`   // no answer: done or not
 	Gets      int               `json:"gets"`
 	Reads     int               `json:"reads"`      // whole lists, of any copy
@@ -31,9 +31,9 @@
 
 // print writes the result as a table.
 func (o *RegistryResult) print(w io.Writer, r *Report) {
-	fmt.Fprintf(w, "%s (seed %d): %d copies of the list service, %d watchers, %.0f s\n\n", r.Scenario, r.Seed, o.Copies, o.Watchers, r.LengthS)
+	fmt.Fprintf(w, "%s (seed %d): %d copies of the list service, %d watchers, %.0f s\n\n", r.Scenario, r.Seed, o.Replicas, o.Watchers, r.LengthS)
 	fmt.Fprintf(w, "writes    %d acknowledged, %d refused on their condition, %d refused as nobody led, %d without an answer; %d single reads\n",
-		o.Writes, o.Conflicts, o.Refused, o.Unknown, o.Gets)
+		o.Writes, o.Conflicts, o.Rejected, o.Unknown, o.Gets)
 	fmt.Fprintf(w, "lists     %d read of any copy, %d times no copy answered; the oldest was said to be of %.0f ms ago\n", o.Reads, o.ReadsLost, o.OldestMS)
 	fmt.Fprintf(w, "watches   %d lines, begun again %d times; from a write's call to the last watcher p50 %.1f  p99 %.1f  max %.1f ms\n",
 		o.Lines, o.Rejoins, o.TellP50, o.TellP99, o.TellMax)
--- a/internal/lab/report/routes.go
+++ b/internal/lab/report/routes.go
@@ -10,39 +10,39 @@
 
 // RoutesResult is what became of a run's rollouts.
 type RoutesResult struct {
-	Rollouts []RolloutResult `json:"rollouts"`
-	Tables   int             `json:"tables"`   // revisions that were published
-	Closed   int64           `json:"closed"`   // the newest revision said to be closed
-	Asked    int             `json:"asked"`    // questions that the audit answered
-	Verdicts map[string]int  `json:"verdicts"` // of processes, over all of them
-	Held     float64         `json:"held"`     // share of attempts without permission, of tenants whose rollout was under way
-	Missed   []string        `json:"-"`        // expectations that were not met; they stand in the report's own list
+	Rollouts     []RolloutResult `json:"rollouts"`
+	Tables       int             `json:"tables"`   // revisions that were published
+	Closed       int64           `json:"closed"`   // the newest revision said to be closed
+	AuditAnswers int             `json:"asked"`    // questions that the audit answered
+	Verdicts     map[string]int  `json:"verdicts"` // of processes, over all of them
+	Held         float64         `json:"held"`     // share of attempts without permission, of tenants whose rollout was under way
+	Missed       []string        `json:"-"`        // expectations that were not met; they stand in the report's own list
 }
 
 // RolloutResult is what became of one.
 type RolloutResult struct {
-	Name     string      `json:"name"`
-	Tenant   string      `json:"tenant"`
-	End      string      `json:"end"` // its phase; "refused", or empty where it is not known
-	Why      string      `json:"why,omitempty"`
-	Step     int         `json:"step"`
-	Budget   int64       `json:"budget"`
-	Failures int         `json:"failures"` // that servers saw, or made
-	Spent    int64       `json:"spent"`    // units, as the leader had it last
-	Canary   int         `json:"canary"`   // attempts to it
-	Steps    []StepShare `json:"steps"`
+	Name     string         `json:"name"`
+	Tenant   string         `json:"tenant"`
+	End      string         `json:"end"` // its phase; "refused", or empty where it is not known
+	Why      string         `json:"why,omitempty"`
+	Step     int            `json:"step"`
+	Budget   int64          `json:"budget"`
+	Failures int            `json:"failures"` // that servers saw, or made
+	Spent    int64          `json:"spent"`    // units, as the leader had it last
+	Canary   int            `json:"canary"`   // attempts to it
+	Steps    []StepFraction `json:"steps"`
 }
 
-// StepShare is the fraction of a step as it was published, and as servers measured it in the first attempts of requests.
-type StepShare struct {
+// StepFraction is the fraction of a step as it was published, and as servers measured it in the first attempts of requests.
+type StepFraction struct {
 	Step     int     `json:"step"`
-	Share    float64 `json:"share"`
+	Fraction float64 `json:"share"`
 	Attempts int     `json:"attempts"`
 	Measured float64 `json:"seen"`
 }
 
-// minShareAttempts is how many attempts a step needs before the error of its share is judged.
-const minShareAttempts = 100
+// minFractionAttempts is how many attempts a step needs before the error of its fraction is judged.
+const minFractionAttempts = 100
 
 func (o *RoutesResult) print(w io.Writer) {
 	fmt.Fprintf(w, "\n%-18s %-16s %-12s %5s %7s %7s %9s %9s  steps (share told, seen of so many first attempts)\n",
@@ -50,7 +50,7 @@
 	for _, r := range o.Rollouts {
 		fmt.Fprintf(w, "%-18s %-16s %-12s %5d %7d %7d %9d %9d ", r.Name, r.Tenant, r.End, r.Step, r.Budget, r.Spent, r.Failures, r.Canary)
 		for _, s := range r.Steps {
-			fmt.Fprintf(w, " %.3f: %.3f of %d;", s.Share, s.Measured, s.Attempts)
+			fmt.Fprintf(w, " %.3f: %.3f of %d;", s.Fraction, s.Measured, s.Attempts)
 		}
 		if r.Why != "" {
 			fmt.Fprintf(w, " (%s)", r.Why)
@@ -58,7 +58,7 @@
 		fmt.Fprintln(w)
 	}
 	fmt.Fprintf(w, "routes        %d tables told, closed up to %d; %.1f%% of attempts without permission\n", o.Tables, o.Closed, 100*o.Held)
-	fmt.Fprintf(w, "audit         %d questions; processes that did %d, did not %d, cannot be known %d\n", o.Asked,
+	fmt.Fprintf(w, "audit         %d questions; processes that did %d, did not %d, cannot be known %d\n", o.AuditAnswers,
 		o.Verdicts[string(audit.Did)], o.Verdicts[string(audit.DidNot)], o.Verdicts[string(audit.Unknown)])
 }
 
@@ -72,9 +72,9 @@
 				out = append(out, fmt.Sprintf("rollout %s ends %q (%s), expected %q", one.Name, one.End, one.Why, want))
 			}
 			for _, st := range one.Steps {
-				if off := math.Abs(st.Measured - st.Share); s.Expect.FractionError != nil && st.Attempts >= minShareAttempts && off > *s.Expect.FractionError {
+				if off := math.Abs(st.Measured - st.Fraction); s.Expect.FractionError != nil && st.Attempts >= minFractionAttempts && off > *s.Expect.FractionError {
 					out = append(out, fmt.Sprintf("rollout %s has a share of %.3f in step %d of %.3f, expected within %.3f",
-						one.Name, st.Measured, st.Step, st.Share, *s.Expect.FractionError))
+						one.Name, st.Measured, st.Step, st.Fraction, *s.Expect.FractionError))
 				}
 			}
 		}
--- a/internal/lab/rollouts/driver.go
+++ b/internal/lab/rollouts/driver.go
@@ -111,7 +111,7 @@
 		}
 		if now := o.run.Events.Now(); now > due+maxTimerLag {
 			o.mu.Lock()
-			o.stalls = append(o.stalls, invariant.Span{From: due - o.run.Began, To: now - o.run.Began + maxTimerLag})
+			o.stalls = append(o.stalls, invariant.Span{From: due - o.run.StartedAt, To: now - o.run.StartedAt + maxTimerLag})
 			o.mu.Unlock()
 		}
 	}
@@ -166,10 +166,10 @@
 	Rev    int64 `json:"rev"`
 	Closed int64 `json:"closed"`
 	Routes []struct {
-		Tenant  string  `json:"tenant"`
-		Share   float64 `json:"share"`
-		Rollout string  `json:"rollout"`
-		Step    int     `json:"step"`
+		Tenant   string  `json:"tenant"`
+		Fraction float64 `json:"share"`
+		Rollout  string  `json:"rollout"`
+		Step     int     `json:"step"`
 	} `json:"routes"`
 }
 
@@ -185,7 +185,7 @@
 	o.recordClosed(replica, t.Closed)
 	for _, one := range t.Routes {
 		if n := o.rolloutIndex(one.Tenant, rollout.RolloutName(one.Rollout)); n >= 0 {
-			e.Kind, e.Status, e.Work, e.Attempt = record.RolloutFraction, int32(n), one.Share, int16(one.Step)
+			e.Kind, e.Status, e.Work, e.Attempt = record.RolloutFraction, int32(n), one.Fraction, int16(one.Step)
 			o.run.Events.Add(e)
 		}
 	}
@@ -199,10 +199,10 @@
 // recordClosed records that a replica called a revision closed.
 func (o *Driver) recordClosed(replica int, rev int64) {
 	o.mu.Lock()
-	news := rev > o.newestClosed
+	isNew := rev > o.newestClosed
 	o.newestClosed = max(o.newestClosed, rev)
 	o.mu.Unlock()
-	if news {
+	if isNew {
 		o.run.Events.Add(record.Event{Kind: record.RevisionClosed, Sidecar: record.None, Server: int32(replica), Class: record.None, Rev: rev})
 	}
 }
--- a/internal/lab/rollouts/result.go
+++ b/internal/lab/rollouts/result.go
@@ -15,7 +15,7 @@
 
 // Result is what became of the rollouts.
 func (o *Driver) Result(all []record.Event, facts *invariant.Routes, v *invariant.Verdict) *report.RoutesResult {
-	out := &report.RoutesResult{Asked: o.auditQueries, Verdicts: map[string]int{}, Tables: len(o.revisions), Missed: o.failures}
+	out := &report.RoutesResult{AuditAnswers: o.auditQueries, Verdicts: map[string]int{}, Tables: len(o.revisions), Missed: o.failures}
 	for _, a := range o.answers {
 		out.Verdicts[string(a.Verdict)]++
 	}
@@ -30,29 +30,29 @@
 		}
 		out.Rollouts = append(out.Rollouts, one)
 	}
-	o.countShares(out, all, facts)
+	o.countFractions(out, all, facts)
 	return out
 }
 
 // publishedStep is the fraction of a step as a table published it.
 type publishedStep struct {
 	rollout, step int
-	share         float64
+	fraction      float64
 }
 
-// shareCount counts the first attempts of requests by the shares of their revision.
-type shareCount struct {
+// fractionCount counts the first attempts of requests by the canary fractions of their revision.
+type fractionCount struct {
 	published map[int64][]publishedStep // by revision
 	running   map[int]invariant.Span    // by tenant, while a rollout is under way
 	closed    int64
 }
 
-func (o *Driver) countShares(out *report.RoutesResult, events []record.Event, facts *invariant.Routes) {
-	c := &shareCount{published: map[int64][]publishedStep{}, running: map[int]invariant.Span{}}
+func (o *Driver) countFractions(out *report.RoutesResult, events []record.Event, facts *invariant.Routes) {
+	c := &fractionCount{published: map[int64][]publishedStep{}, running: map[int]invariant.Span{}}
 	c.readTables(events, facts)
 	out.Closed = max(out.Closed, c.closed)
-	out.Held = o.heldShare(c.running, events)
-	sums := map[publishedStep]*report.StepShare{}
+	out.Held = o.heldFraction(c.running, events)
+	sums := map[publishedStep]*report.StepFraction{}
 	counted := map[uint64]bool{} // requests whose first attempt was counted
 	for i := range events {
 		e := &events[i]
@@ -73,16 +73,16 @@
 		s.Measured /= float64(s.Attempts)
 		r := &out.Rollouts[t.rollout]
 		r.Steps = append(r.Steps, *s)
-		slices.SortFunc(r.Steps, func(a, b report.StepShare) int { return a.Step - b.Step })
+		slices.SortFunc(r.Steps, func(a, b report.StepFraction) int { return a.Step - b.Step })
 	}
 }
 
 // addAttempt counts an attempt under the first fraction that was published of its step.
-func addAttempt(sums map[publishedStep]*report.StepShare, t publishedStep, canary bool) {
+func addAttempt(sums map[publishedStep]*report.StepFraction, t publishedStep, canary bool) {
 	key := publishedStep{rollout: t.rollout, step: t.step}
 	s := sums[key]
 	if s == nil {
-		s = &report.StepShare{Step: t.step, Share: t.share}
+		s = &report.StepFraction{Step: t.step, Fraction: t.fraction}
 		sums[key] = s
 	}
 	s.Attempts++
@@ -92,7 +92,7 @@
 }
 
 // readTables reads which fractions were published under which revision, and when the rollouts of each tenant were under way.
-func (c *shareCount) readTables(events []record.Event, facts *invariant.Routes) {
+func (c *fractionCount) readTables(events []record.Event, facts *invariant.Routes) {
 	for i := range events {
 		switch e := &events[i]; e.Kind {
 		case record.RevisionClosed:
@@ -117,8 +117,8 @@
 	}
 }
 
-// heldShare is the share of attempts without permission while a rollout of their tenant was under way.
-func (o *Driver) heldShare(running map[int]invariant.Span, events []record.Event) float64 {
+// heldFraction is the fraction of attempts without permission while a rollout of their tenant was under way.
+func (o *Driver) heldFraction(running map[int]invariant.Span, events []record.Event) float64 {
 	held, attempts := 0, 0
 	for i := range events {
 		e := &events[i]
--- a/internal/lab/rollouts/rollback_defect.go
+++ b/internal/lab/rollouts/rollback_defect.go
@@ -30,14 +30,14 @@
 	there := map[string]bool{}
 	for i, text := range routes {
 		var one struct {
-			Tenant string  `json:"tenant"`
-			Share  float64 `json:"share"`
+			Tenant   string  `json:"tenant"`
+			Fraction float64 `json:"share"`
 		}
 		if json.Unmarshal(text, &one) != nil {
 			return line
 		}
 		there[one.Tenant] = true
-		if one.Share > 0 {
+		if one.Fraction > 0 {
 			var free map[string]any // of the budget: the true service grants nothing for it any more
 			if json.Unmarshal(text, &free) != nil {
 				return line
--- a/internal/lab/run.go
+++ b/internal/lab/run.go
@@ -67,7 +67,7 @@
 // Drive sends the arrivals of the plan and injects its faults.
 func (r *run) Drive(ctx context.Context) error {
 	r.Log.Info("lab: all parties are up", "sidecars", len(r.sidecars), "servers", len(r.servers), "seed", r.Plan.Seed)
-	r.shiftArrivals(r.Began)
+	r.shiftArrivals(r.StartedAt)
 	r.Tasks.Go(func() { r.sampleProcesses(ctx) })
 	r.Tasks.Go(func() { r.injectFaults(ctx) })
 	if r.Scenario.HasRoutes() {
@@ -108,14 +108,14 @@
 func (r *run) Check(timers harness.TimerLag) *report.Report {
 	events := r.Events.Events()
 	for i := range events { // on the clock of the plan
-		events[i].T -= r.Began
+		events[i].T -= r.StartedAt
 	}
-	r.shiftArrivals(-r.Began)
+	r.shiftArrivals(-r.StartedAt)
 	var routes *invariant.Routes
 	if o := r.rollouts.Load(); o != nil {
 		routes = o.Facts()
 	}
-	delays := report.ProcessorDelays{Lab: r.Spans(timers.Stalls), Sidecars: r.starved.since(r.Began)}
+	delays := report.ProcessorDelays{Lab: r.Spans(timers.Stalls), Sidecars: r.starved.since(r.StartedAt)}
 	rep := report.New(r.Plan, events, r.worked, routes, delays)
 	if r.members != nil { // before the expectations ask which rules were held to some case
 		facts := r.members.Facts()
--- a/internal/lab/starvation.go
+++ b/internal/lab/starvation.go
@@ -37,21 +37,21 @@
 	if !known {
 		return
 	}
-	longest := time.Duration(0)
+	maxDelay := time.Duration(0)
 	for thread, delay := range delays {
-		longest = max(longest, delay-before.delays[thread])
+		maxDelay = max(maxDelay, delay-before.delays[thread])
 	}
-	if longest >= minStarvation {
-		s.found = append(s.found, invariant.Starvation{Sidecar: int32(sidecar), From: before.at, To: at, Longest: longest})
+	if maxDelay >= minStarvation {
+		s.found = append(s.found, invariant.Starvation{Sidecar: int32(sidecar), From: before.at, To: at, MaxDelay: maxDelay})
 	}
 }
 
 // since gives what was found on the clock of a run that began at this time of its records.
-func (s *starvationSampler) since(began time.Duration) []invariant.Starvation {
+func (s *starvationSampler) since(start time.Duration) []invariant.Starvation {
 	out := make([]invariant.Starvation, len(s.found))
 	for i, f := range s.found {
-		f.From -= began
-		f.To -= began
+		f.From -= start
+		f.To -= start
 		out[i] = f
 	}
 	return out
