--- a/internal/lab/experiment/growth/simulation.go
+++ b/internal/lab/experiment/growth/simulation.go
@@ -117,7 +117,7 @@
 			opened++
 		}
 	}
-	outcome := report.New(plan, run.Events, run.WorkDone, nil, report.ProcessorDelays{})
+	outcome := report.New(plan, run.Events, run.WorkDone, nil, nil)
 	figures, broken := &outcome.Result.Figures, outcome.Verdict.Broken()
 	usage := Usage{Connections: float64(opened) / float64(size.Sidecars), Served: figures.InObjective}
 	o.progress("%s, %d sidecars, %d servers: %d requests, %.3f served, %.1f connections each, %.2f attempts, broken %v",
--- a/internal/lab/invariant/clients.go
+++ b/internal/lab/invariant/clients.go
@@ -108,7 +108,7 @@
 	remaining := c.observableAt(attempt.Sidecar, sent.T, attempt.T) + timeout - attempt.T
 	excess := time.Duration(attempt.N)*time.Millisecond - remaining
 	allowed := forwardedDeadlineSlack + c.facts.Latency + c.stallTime(sent.T, attempt.T)
-	if excess <= allowed || excess <= allowed+c.starvedTime(attempt.Sidecar, sent.T, attempt.T) {
+	if excess <= allowed {
 		return
 	}
 	c.breachOf(r, ForwardedDeadline, attempt.T, "sidecar %d told server %d that %d ms are left, %.0f ms more than its client had",
--- a/internal/lab/invariant/clients_test.go
+++ b/internal/lab/invariant/clients_test.go
@@ -98,27 +98,3 @@
 		}
 	}
 }
-
-// The time in which a thread of the sidecar was ready and got no processor is no time that the sidecar could count.
-func TestForwardedDeadline_starvation(t *testing.T) {
-	sent := record.Event{T: millis(100), Kind: record.Sent, Request: 7, Server: record.None, Work: 1000}
-	attempt := send(300)
-	attempt.N = 1000 // 200 ms more than are left, 50 ms beyond the slack
-	for name, c := range map[string]struct {
-		starved Starvation
-		broken  bool
-	}{
-		"none":                  {Starvation{}, true},
-		"as long as the excess": {Starvation{From: millis(0), To: millis(500), MaxDelay: millis(50)}, false},
-		"shorter":               {Starvation{From: millis(0), To: millis(500), MaxDelay: millis(49)}, true},
-		"another sidecar":       {Starvation{Sidecar: 1, From: millis(0), To: millis(500), MaxDelay: millis(50)}, true},
-		"before the request":    {Starvation{From: millis(0), To: millis(149), MaxDelay: millis(100)}, true},
-		"after the attempt":     {Starvation{From: millis(251), To: millis(500), MaxDelay: millis(100)}, true},
-	} {
-		events := []record.Event{process(0, Started), process(1, Serving), sent, attempt}
-		got := Check(events, Facts{NonIdempotent: []bool{false}, MaxAttempts: 3, Starvation: []Starvation{c.starved}}).Broken()
-		if slices.Contains(got, ForwardedDeadline) != c.broken {
-			t.Errorf("%s: broken are %v", name, got)
-		}
-	}
-}
--- a/internal/lab/invariant/invariant.go
+++ b/internal/lab/invariant/invariant.go
@@ -49,12 +49,10 @@
 	ServiceAfterTerm time.Duration
 	Routes           *Routes // nil: there are none
 	// Latency is the longest time one way between a sidecar and a server.
-	Latency  time.Duration
-	HeldBack []HeldBack // by links that delay what is sent
-	Stalls   []Span     // times in which the machine gave the lab, and so its processes, no processor time
-	// Starvation is the times in which a sidecar's threads were ready to run and got no processor.
-	Starvation []Starvation
-	SlowStart  SlowStart
+	Latency   time.Duration
+	HeldBack  []HeldBack // by links that delay what is sent
+	Stalls    []Span     // times in which the machine gave the lab, and so its processes, no processor time
+	SlowStart SlowStart
 	// ReadyWithin is how long a restarted process may take to be ready; 0: any time.
 	ReadyWithin time.Duration
 }
--- a/internal/lab/lab.go
+++ b/internal/lab/lab.go
@@ -37,7 +37,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("lab: %w", err)
 	}
-	rep := report.New(plan, run.Events, run.WorkDone, nil, report.ProcessorDelays{})
+	rep := report.New(plan, run.Events, run.WorkDone, nil, nil)
 	rep.ZoneFaults = simulate.ZoneFaults(plan, run.Sends)
 	rep.CheckFigures(&s.Expect)
 	return rep, nil
--- a/internal/lab/report/outcome.go
+++ b/internal/lab/report/outcome.go
@@ -92,19 +92,14 @@
 	return Pass, ""
 }
 
-// ProcessorDelays are the times in which processes were ready to run and got no processor.
-type ProcessorDelays struct {
-	Lab      []invariant.Span
-	Sidecars []invariant.Starvation
-}
-
-// New measures a run by its records and holds it to the rules; routes is nil where there are none.
-func New(p *scenario.Plan, all []record.Event, worked float64, routes *invariant.Routes, delays ProcessorDelays) *Report {
+// New measures a run by its records and holds it to the rules; routes is nil where there are none, and stalls are the times
+// in which the lab got no processor time.
+func New(p *scenario.Plan, all []record.Event, worked float64, routes *invariant.Routes, stalls []invariant.Span) *Report {
 	s := p.Scenario
 	facts := invariant.Facts{
 		MaxAttempts: s.Rules.MaxAttempts, DrainGrace: s.Rules.DrainGrace.Duration(),
 		MemoryMB: s.Sidecars.MemoryMB, Sockets: s.Sidecars.MaxSockets, ServiceAfterTerm: scenario.ServiceAfterTerm,
-		Routes: routes, Latency: p.MaxLatency(), HeldBack: delayedLinks(p), Stalls: delays.Lab, Starvation: delays.Sidecars, ReadyWithin: s.Rules.ReadyWithin.Duration(),
+		Routes: routes, Latency: p.MaxLatency(), HeldBack: delayedLinks(p), Stalls: stalls, ReadyWithin: s.Rules.ReadyWithin.Duration(),
 		SlowStart: slowStartLimits(p),
 	}
 	for _, c := range s.Classes {
--- a/internal/lab/run.go
+++ b/internal/lab/run.go
@@ -37,10 +37,9 @@
 	sidecars      []*sidecar
 	answerProxies []*answerProxy
 	load          *client.Load
-	lateness      []time.Duration   // of arrivals, behind their plan
-	worked        float64           // units that the servers have worked
-	starved       starvationSampler // measureAll uses it, and Check after the last measurement
-	serverStarts  []atomic.Int64    // when each server started last, Unix ms; 0: before the run
+	lateness      []time.Duration // of arrivals, behind their plan
+	worked        float64         // units that the servers have worked
+	serverStarts  []atomic.Int64  // when each server started last, Unix ms; 0: before the run
 	// serverClock is the offset of the servers' wall clock, in ms.
 	serverClock atomic.Int64
 
@@ -115,8 +114,7 @@
 	if o := r.rollouts.Load(); o != nil {
 		routes = o.Facts()
 	}
-	delays := report.ProcessorDelays{Lab: r.Spans(timers.Stalls), Sidecars: r.starved.since(r.StartedAt)}
-	rep := report.New(r.Plan, events, r.worked, routes, delays)
+	rep := report.New(r.Plan, events, r.worked, routes, r.Spans(timers.Stalls))
 	if r.members != nil { // before the expectations ask which rules were held to some case
 		facts := r.members.Facts()
 		invariant.CheckMembers(events, facts, rep.Verdict)
--- a/internal/lab/sampling.go
+++ b/internal/lab/sampling.go
@@ -46,8 +46,5 @@
 	for i, s := range r.sidecars { // during an upgrade two processes are one sidecar, to its limits too
 		pids, past := s.processes()
 		together(i, past, pids...)
-		for _, pid := range pids {
-			r.starved.sample(i, pid, r.Events.Now)
-		}
 	}
 }
