--- a/internal/lab/lab_test.go
+++ b/internal/lab/lab_test.go
@@ -5,10 +5,8 @@
 	"context"
 	"encoding/json"
 	"errors"
-	"fmt"
 	"net"
 	"os"
-	"os/exec"
 	"path/filepath"
 	"slices"
 	"strings"
@@ -19,37 +17,16 @@
 	"go.uber.org/goleak"
 
 	"marblelane/internal/lab/harness"
+	"marblelane/internal/lab/labtest"
 	"marblelane/internal/lab/report"
 	"marblelane/internal/lab/scenario"
 	"marblelane/lab/scenarios"
 )
 
 // The real programs, built once for all tests.
-var sidecarProgram, marblelane string
+var programs labtest.Programs
 
-func TestMain(m *testing.M) {
-	dir, err := os.MkdirTemp("", "lab-test-")
-	if err == nil {
-		sidecarProgram, marblelane = filepath.Join(dir, "sidecar"), filepath.Join(dir, "marblelane")
-		var out []byte
-		if out, err = exec.Command("go", "build", "-o", dir+"/", "marblelane/cmd/sidecar", "marblelane/cmd/marblelane").CombinedOutput(); err != nil {
-			err = fmt.Errorf("%w: %s", err, out)
-		}
-	}
-	if err != nil {
-		fmt.Fprintln(os.Stderr, "the sidecar cannot be built:", err)
-		os.Exit(1)
-	}
-	code := m.Run()
-	os.RemoveAll(dir)
-	if code == 0 {
-		if err := goleak.Find(); err != nil {
-			fmt.Fprintln(os.Stderr, err)
-			code = 1
-		}
-	}
-	os.Exit(code)
-}
+func TestMain(m *testing.M) { os.Exit(labtest.Run(m, &programs)) }
 
 func read(t *testing.T, name string) *scenario.Scenario {
 	t.Helper()
@@ -77,7 +54,7 @@
 		ctx, cancel := context.WithTimeout(t.Context(), 2*time.Minute)
 		defer cancel()
 		var err error
-		if rep, err = Run(ctx, s, harness.Options{Program: sidecarProgram, Self: marblelane, Dir: t.TempDir()}); err != nil {
+		if rep, err = Run(ctx, s, harness.Options{Program: programs.Sidecar, Self: programs.Marblelane, Dir: t.TempDir()}); err != nil {
 			t.Fatal(err)
 		}
 		if end, _ := rep.Outcome(); end != report.Late {
@@ -238,7 +215,7 @@
 	t.Run("ended early", func(t *testing.T) {
 		ctx, cancel := context.WithTimeout(t.Context(), time.Second)
 		defer cancel()
-		if _, err := Run(ctx, s, harness.Options{Program: sidecarProgram, Dir: t.TempDir()}); !errors.Is(err, context.DeadlineExceeded) {
+		if _, err := Run(ctx, s, harness.Options{Program: programs.Sidecar, Dir: t.TempDir()}); !errors.Is(err, context.DeadlineExceeded) {
 			t.Errorf("got %v", err)
 		}
 		settle(before)
@@ -272,7 +249,7 @@
 	defer l.Close()
 	s := parse(t, strings.Replace(small, "count = 2", "count = 1", 1))
 	calls := 0
-	rep, err := Run(t.Context(), s, harness.Options{Program: sidecarProgram, Dir: t.TempDir(), FreeAddr: func(n int) (string, error) {
+	rep, err := Run(t.Context(), s, harness.Options{Program: programs.Sidecar, Dir: t.TempDir(), FreeAddr: func(n int) (string, error) {
 		if calls++; calls == 1 {
 			return l.Addr().String(), nil
 		}
@@ -284,7 +261,7 @@
 	if len(rep.Result.Sidecars) != 1 || rep.Result.Sidecars[0].Requests == 0 {
 		t.Errorf("it served nothing: %+v", rep.Result.Sidecars)
 	}
-	_, err = Run(t.Context(), s, harness.Options{Program: sidecarProgram, Dir: t.TempDir(),
+	_, err = Run(t.Context(), s, harness.Options{Program: programs.Sidecar, Dir: t.TempDir(),
 		FreeAddr: func(int) (string, error) { return l.Addr().String(), nil }})
 	if err == nil || !strings.Contains(err.Error(), "sidecar 0 at "+l.Addr().String()) || !strings.Contains(err.Error(), "address already in use") {
 		t.Errorf("got %v", err)
--- a/internal/registry/freshness.go
+++ b/internal/registry/freshness.go
@@ -2,8 +2,6 @@
 
 import (
 	"context"
-	"encoding/json"
-	"fmt"
 	"net/http"
 	"sync"
 	"time"
@@ -94,7 +92,7 @@
 		if leader == "" {
 			continue
 		}
-		rev, err := pollLeader(ctx, client, leader)
+		rev, err := listserver.PollRevision(ctx, client, leader, listserver.LeaderRevPath)
 		if err != nil {
 			n.log.Debug("registry: the leader does not say what it has", "error", err)
 			continue
@@ -102,25 +100,3 @@
 		n.fresh.observeLeader(at, rev)
 	}
 }
-
-func pollLeader(ctx context.Context, client *http.Client, leader string) (int64, error) {
-	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+leader+listserver.LeaderRevPath, nil)
-	if err != nil {
-		return 0, err
-	}
-	resp, err := client.Do(req)
-	if err != nil {
-		return 0, err
-	}
-	defer resp.Body.Close()
-	var has struct {
-		Rev int64 `json:"rev"`
-	}
-	if resp.StatusCode != http.StatusOK {
-		return 0, fmt.Errorf("%s answers %s", leader, resp.Status)
-	}
-	if err := json.NewDecoder(resp.Body).Decode(&has); err != nil {
-		return 0, fmt.Errorf("%s: %w", leader, err)
-	}
-	return has.Rev, nil
-}
--- a/internal/registry/recover_test.go
+++ b/internal/registry/recover_test.go
@@ -27,6 +27,7 @@
 	"marblelane/internal/registry/recovery"
 	"marblelane/internal/registry/state"
 	"marblelane/internal/registry/storage"
+	"marblelane/internal/testutil/testfile"
 )
 
 // folder makes the folder of a replica that has led, with two snapshots and entries that are in none.
@@ -43,14 +44,6 @@
 	return one.cfg.Dir, one.cfg
 }
 
-// copied is a copy of a folder.
-func copied(t *testing.T, dir string) string {
-	t.Helper()
-	to := t.TempDir()
-	require.NoError(t, os.CopyFS(to, os.DirFS(dir)))
-	return to
-}
-
 // alter changes a store as another program would.
 func alter(t *testing.T, dir string, do func(*bolt.Tx) error) {
 	t.Helper()
@@ -67,18 +60,6 @@
 	return binary.BigEndian.AppendUint32(nil, sum)
 }
 
-func write(t *testing.T, path string, text []byte) {
-	t.Helper()
-	require.NoError(t, os.WriteFile(path, text, 0o644))
-}
-
-func read(t *testing.T, path string) []byte {
-	t.Helper()
-	text, err := os.ReadFile(path)
-	require.NoError(t, err)
-	return text
-}
-
 // A replica sets a spoilt newest snapshot aside at its start, removes what was not finished, and has all entries.
 func TestRecover_spoiltSnapshot(t *testing.T) {
 	t.Parallel()
@@ -87,11 +68,11 @@
 	require.NoError(t, err)
 	require.Len(t, found.Snapshots, 2)
 	newest := filepath.Join(dir, storage.SnapshotsDir, found.Snapshots[0].Name)
-	stored := read(t, filepath.Join(newest, storage.StateFile))
-	write(t, filepath.Join(newest, storage.StateFile), stored[:len(stored)/2])
+	stored := testfile.Read(t, filepath.Join(newest, storage.StateFile))
+	testfile.Write(t, filepath.Join(newest, storage.StateFile), stored[:len(stored)/2])
 	unfinished := filepath.Join(dir, storage.SnapshotsDir, "9-9-9"+storage.TempSuffix)
 	require.NoError(t, os.Mkdir(unfinished, 0o755))
-	write(t, filepath.Join(dir, storage.StoreFile+storage.TempSuffix), []byte("half"))
+	testfile.Write(t, filepath.Join(dir, storage.StoreFile+storage.TempSuffix), []byte("half"))
 	require.NoError(t, os.MkdirAll(filepath.Join(newest+storage.AsideSuffix+storage.TempSuffix, "x"), 0o755)) // a recovery was cut off
 	again := &copyOf{cfg: cfg}
 	again.start(t)
@@ -140,7 +121,7 @@
 			return tx.Bucket([]byte("log")).Put(bigEndian(99), append(checksum(nil, later), later...))
 		}), storage.ErrNewerVersion.Error()},
 	} {
-		dir := copied(t, made)
+		dir := testfile.CopyDir(t, made)
 		require.NoError(t, c.do(dir), name)
 		cfg.Dir, cfg.Listen = dir, "127.0.0.1:0"
 		n, err := Open(cfg)
@@ -188,7 +169,7 @@
 	put(t, lead, "s1", 1, 0)
 	until(t, "s1", func() bool { return strings.Contains(uids(t, f), "s1=") })
 	f.end(t)
-	image := copied(t, f.cfg.Dir)
+	image := testfile.CopyDir(t, f.cfg.Dir)
 	f.start(t)
 	for i := range 5 {
 		put(t, lead, fmt.Sprint("late", i), 1, 0)
@@ -226,7 +207,7 @@
 	var images []string
 	for _, c := range all {
 		c.end(t)
-		images = append(images, copied(t, c.cfg.Dir))
+		images = append(images, testfile.CopyDir(t, c.cfg.Dir))
 	}
 	for _, c := range all {
 		c.start(t)
@@ -282,7 +263,7 @@
 	}
 	left := filepath.Join(filepath.Dir(cfg.Dir), ".n0.restore") // by one that was cut off
 	require.NoError(t, os.MkdirAll(filepath.Join(left, storage.SnapshotsDir), 0o755))
-	write(t, filepath.Join(left, storage.StoreFile), []byte("half"))
+	testfile.Write(t, filepath.Join(left, storage.StoreFile), []byte("half"))
 	seen := (state.EpochOf(before) + 1_000_000) << state.CountBits // by clients, of a history that the backup does not know
 	out, err := recovery.Restore(strings.NewReader(backup), cfg.RecoveryTarget(), seen, now)
 	require.NoError(t, err)
@@ -357,11 +338,11 @@
 func TestRecover_killedAndDiskFull(t *testing.T) { // by itself: a child holds the listeners of others until it has begun
 	dir := t.TempDir()
 	path, addr := filepath.Join(dir, "one.toml"), freePort(t)
-	write(t, path, fmt.Appendf(nil, "name = \"one\"\nlisten = %q\nraft = %q\ndir = %q\nbeat = \"20ms\"\nbatch = \"1ms\"\n",
+	testfile.Write(t, path, fmt.Appendf(nil, "name = \"one\"\nlisten = %q\nraft = %q\ndir = %q\nbeat = \"20ms\"\nbatch = \"1ms\"\n",
 		addr, freePort(t), filepath.Join(dir, "one")))
 	defer func() {
 		if t.Failed() {
-			t.Logf("the copies said:\n%s", read(t, path+".said"))
+			t.Logf("the copies said:\n%s", testfile.Read(t, path+".said"))
 		}
 	}()
 	client := &http.Client{Transport: &http.Transport{DisableKeepAlives: true}, Timeout: patience}
@@ -414,7 +395,7 @@
 		_, there = one(4000)
 	}
 	ended()
-	assert.Contains(t, string(read(t, path+".said")), "the disk takes no more")
+	assert.Contains(t, string(testfile.Read(t, path+".said")), "the disk takes no more")
 	_, kill := spawn(t, "", path)
 	defer kill()
 	serves()
--- a/internal/registry/routeleader/audit_history.go
+++ b/internal/registry/routeleader/audit_history.go
@@ -2,9 +2,6 @@
 
 import (
 	"context"
-	"encoding/json"
-	"fmt"
-	"io"
 	"net/http"
 	"time"
 
@@ -79,7 +76,7 @@
 			continue
 		}
 		at := time.Now()
-		if rev, err := pollRoutesRev(ctx, client, address); err != nil {
+		if rev, err := listserver.PollRevision(ctx, client, address, routesRevPath); err != nil {
 			r.log.Debug("registry: routes: the leader does not say what it has", "error", err)
 		} else {
 			r.tables.observeRev(at, rev)
@@ -87,32 +84,6 @@
 	}
 }
 
-func pollRoutesRev(ctx context.Context, client *http.Client, address string) (int64, error) {
-	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+address+routesRevPath, nil)
-	if err != nil {
-		return 0, err
-	}
-	resp, err := client.Do(req)
-	if err != nil {
-		return 0, err
-	}
-	defer resp.Body.Close()
-	text, err := io.ReadAll(io.LimitReader(resp.Body, maxBodyBytes))
-	if err != nil {
-		return 0, fmt.Errorf("%s: %w", address, err)
-	}
-	if resp.StatusCode != http.StatusOK {
-		return 0, fmt.Errorf("%s answers %s", address, resp.Status)
-	}
-	var has struct {
-		Rev int64 `json:"rev"`
-	}
-	if err := json.Unmarshal(text, &has); err != nil {
-		return 0, fmt.Errorf("%s: %w", address, err)
-	}
-	return has.Rev, nil
-}
-
 // settled returns the newest revision, and whether this replica has no change in flight.
 func (t *tables) settled() (rev int64, still bool) {
 	t.mu.Lock()
--- a/internal/registry/storage/golden_data_test.go
+++ b/internal/registry/storage/golden_data_test.go
@@ -14,6 +14,7 @@
 	"github.com/stretchr/testify/require"
 
 	"marblelane/internal/registry/state"
+	"marblelane/internal/testutil/testfile"
 )
 
 // goldenSnapshot is the snapshot in the golden data directory, goldenRev the revision after all of its log.
@@ -73,9 +74,9 @@
 func TestGoldenSnapshotSeal(t *testing.T) {
 	stored := filepath.Join("testdata", "golden", "data", SnapshotsDir, goldenSnapshot)
 	dir := t.TempDir()
-	write(t, filepath.Join(dir, metaFile), read(t, filepath.Join(stored, metaFile)))
+	testfile.Write(t, filepath.Join(dir, metaFile), testfile.Read(t, filepath.Join(stored, metaFile)))
 	require.NoError(t, seal(dir))
-	assert.Equal(t, string(read(t, filepath.Join(stored, sealFile))), string(read(t, filepath.Join(dir, sealFile))))
+	assert.Equal(t, string(testfile.Read(t, filepath.Join(stored, sealFile))), string(testfile.Read(t, filepath.Join(dir, sealFile))))
 }
 
 func TestGoldenSnapshotMeta(t *testing.T) {
--- a/internal/registry/storage/store_test.go
+++ b/internal/registry/storage/store_test.go
@@ -21,6 +21,7 @@
 
 	"marblelane/internal/fault"
 	"marblelane/internal/registry/state"
+	"marblelane/internal/testutil/testfile"
 )
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
@@ -74,14 +75,6 @@
 	return b.String(), found
 }
 
-// copied is a copy of a folder.
-func copied(t *testing.T, dir string) string {
-	t.Helper()
-	to := t.TempDir()
-	require.NoError(t, os.CopyFS(to, os.DirFS(dir)))
-	return to
-}
-
 // alter changes a store as another program would.
 func alter(t *testing.T, dir string, do func(*bolt.Tx) error) {
 	t.Helper()
@@ -90,24 +83,12 @@
 	require.NoError(t, errors.Join(db.Update(do), db.Close()))
 }
 
-func write(t *testing.T, path string, text []byte) {
-	t.Helper()
-	require.NoError(t, os.WriteFile(path, text, 0o644))
-}
-
-func read(t *testing.T, path string) []byte {
-	t.Helper()
-	text, err := os.ReadFile(path)
-	require.NoError(t, err)
-	return text
-}
-
 // A flipped bit is found, or stands where nothing is read; a cut is found.
 func TestStore_bitFlipsAndTruncation(t *testing.T) {
 	t.Parallel()
 	dir := folder(t)
 	path := filepath.Join(dir, StoreFile)
-	good := read(t, path)
+	good := testfile.Read(t, path)
 	want, found := content(t, dir)
 	require.Empty(t, found.Faults)
 	require.NotEmpty(t, found.Vote)
@@ -125,7 +106,7 @@
 	for i, bit := range bits {
 		bad := bytes.Clone(good)
 		bad[bit/8] ^= 1 << (bit % 8)
-		write(t, path, bad)
+		testfile.Write(t, path, bad)
 		text, found := content(t, dir)
 		if len(found.Faults) > 0 {
 			faults++
@@ -140,7 +121,7 @@
 	assert.Greater(t, faults, 2*metaSize*8+20)
 	used := 0
 	for n := 0; n < len(good); n += 1024 {
-		write(t, path, good[:n])
+		testfile.Write(t, path, good[:n])
 		if _, found := content(t, dir); len(found.Faults) > 0 {
 			used++
 		} else {
@@ -148,7 +129,7 @@
 		}
 	}
 	assert.Greater(t, used, 4)
-	write(t, path, good)
+	testfile.Write(t, path, good)
 	assert.NoError(t, Recover(dir, quiet()))
 }
 
@@ -162,11 +143,11 @@
 	require.NoError(t, s.StoreLog(&raft.Log{Index: 1, Term: 1}))
 	require.NoError(t, s.StoreLog(&raft.Log{Index: 2, Term: 1}))
 	require.NoError(t, s.Close())
-	bad := read(t, path)
+	bad := testfile.Read(t, path)
 	p, err := openPages(bytes.NewReader(bad), int64(len(bad)))
 	require.NoError(t, err)
 	bad[int64(p.txid%2)*p.page+metaAt+metaSum] ^= 1
-	write(t, path, bad)
+	testfile.Write(t, path, bad)
 	err = Recover(filepath.Dir(path), quiet())
 	assert.ErrorContains(t, err, "meta page")
 	assert.ErrorContains(t, err, "replace-copy")
@@ -194,8 +175,8 @@
 	}
 	note := func() restored { // bbolt has the file open, so a replica is read
 		at := t.TempDir()
-		b := read(t, path)
-		write(t, filepath.Join(at, StoreFile), b)
+		b := testfile.Read(t, path)
+		testfile.Write(t, filepath.Join(at, StoreFile), b)
 		text, found := content(t, at)
 		require.Empty(t, found.Faults)
 		return restored{b, text}
@@ -231,7 +212,7 @@
 			}
 		}
 		at := t.TempDir()
-		write(t, filepath.Join(at, StoreFile), b)
+		testfile.Write(t, filepath.Join(at, StoreFile), b)
 		if lie { // planted: the disk said that the pages were synced, and lost some
 			lied++
 			if text, f := content(t, at); len(f.Faults)+len(f.Notes) > 0 {
@@ -258,7 +239,7 @@
 	newest := filepath.Join(dir, SnapshotsDir, found.Snapshots[0].Name)
 	for _, name := range []string{metaFile, sealFile, StateFile} {
 		path := filepath.Join(newest, name)
-		good := read(t, path)
+		good := testfile.Read(t, path)
 		step := 1
 		if name == StateFile { // a CRC that raft checks as well
 			step = 13
@@ -266,40 +247,40 @@
 		for bit := 0; bit < len(good)*8; bit += step {
 			bad := bytes.Clone(good)
 			bad[bit/8] ^= 1 << (bit % 8)
-			write(t, path, bad)
+			testfile.Write(t, path, bad)
 			var s FoundSnapshot
 			_, _ = fmt.Sscanf(filepath.Base(newest), "%d-%d-", &s.Term, &s.Index)
 			if _, err := s.read(newest); err == nil {
 				t.Fatalf("%s: bit %d is not found", name, bit)
 			}
 		}
-		write(t, path, good)
+		testfile.Write(t, path, good)
 	}
-	seal := read(t, filepath.Join(newest, sealFile))
+	seal := testfile.Read(t, filepath.Join(newest, sealFile))
 	require.NoError(t, os.Remove(filepath.Join(newest, sealFile))) // power was lost before it, or the program is older
 	require.NoError(t, Recover(dir, quiet()))
 	assert.DirExists(t, newest)
 	// What a later program wrote is neither set aside nor called damaged.
-	restored := read(t, filepath.Join(newest, StateFile))
+	restored := testfile.Read(t, filepath.Join(newest, StateFile))
 	mark := sealed{Form: sealForm + 1}
 	mark.Sum = mark.sum()
 	text, err := json.Marshal(mark)
 	require.NoError(t, err)
-	write(t, filepath.Join(newest, sealFile), text)
+	testfile.Write(t, filepath.Join(newest, sealFile), text)
 	assert.ErrorIs(t, Recover(dir, quiet()), ErrNewerVersion)
-	write(t, filepath.Join(newest, sealFile), seal)
+	testfile.Write(t, filepath.Join(newest, sealFile), seal)
 	// An old one that is spoilt is needless beside a newer one.
-	other, old := copied(t, dir), filepath.Join(SnapshotsDir, found.Snapshots[1].Name)
+	other, old := testfile.CopyDir(t, dir), filepath.Join(SnapshotsDir, found.Snapshots[1].Name)
 	require.NoError(t, os.Remove(filepath.Join(other, old, StateFile)))
 	require.NoError(t, Recover(other, quiet()))
 	assert.NoDirExists(t, filepath.Join(other, old))
 	// A spoilt one is set aside while the older one and the log have everything; what was not finished is cut.
-	write(t, filepath.Join(newest, StateFile), restored[:len(restored)/2])
+	testfile.Write(t, filepath.Join(newest, StateFile), restored[:len(restored)/2])
 	unfinished := filepath.Join(dir, SnapshotsDir, "9-9-9"+TempSuffix)
 	require.NoError(t, os.Mkdir(unfinished, 0o755))
-	write(t, filepath.Join(dir, StoreFile+TempSuffix), []byte("half"))
+	testfile.Write(t, filepath.Join(dir, StoreFile+TempSuffix), []byte("half"))
 	require.NoError(t, os.MkdirAll(filepath.Join(newest+AsideSuffix+TempSuffix, "x"), 0o755)) // a recovery was cut off
-	less := copied(t, dir)
+	less := testfile.CopyDir(t, dir)
 	require.NoError(t, Recover(dir, quiet()))
 	assert.NoDirExists(t, unfinished)
 	assert.NoFileExists(t, filepath.Join(dir, StoreFile+TempSuffix))
