--- a/cmd/marblelane/registry_replace_copy_test.go
+++ b/cmd/marblelane/registry_replace_copy_test.go
@@ -5,7 +5,6 @@
 	"context"
 	"encoding/json"
 	"fmt"
-	"math/rand/v2"
 	"net"
 	"os"
 	"os/exec"
@@ -16,8 +15,10 @@
 	"testing"
 	"time"
 
+	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
+	"marblelane/internal/lab/relay"
 	"marblelane/internal/membership"
 	"marblelane/internal/registry/listserver"
 )
@@ -28,17 +29,15 @@
 	cmd *exec.Cmd
 }
 
-// freeAddrs gives addresses that are unused, and that no connection gets as its local end: those are higher. Addresses that other
-// processes are configured with have to be known before the start.
+// freeAddrs gives addresses that are kept for the test: others that are configured with them have to know them before the
+// start, and runs of the lab in other tests must not take them meanwhile.
 func freeAddrs(t *testing.T, n int) (out []string) {
 	t.Helper()
-	for attempts := 0; len(out) < n; attempts++ {
-		require.Less(t, attempts, 100)
-		l, err := net.Listen("tcp", fmt.Sprint("127.0.0.1:", 10_000+rand.N(20_000)))
-		if err == nil {
-			defer l.Close()
-			out = append(out, l.Addr().String())
-		}
+	for range n {
+		reserved, err := relay.Reserve("127.0.0.1")
+		require.NoError(t, err)
+		t.Cleanup(func() { assert.NoError(t, reserved.Release()) })
+		out = append(out, reserved.Addr())
 	}
 	return out
 }
--- a/internal/lab/cluster/cluster.go
+++ b/internal/lab/cluster/cluster.go
@@ -33,7 +33,6 @@
 	Replicas []*Replica
 	config   *scenario.Registry
 	links    [][]*relay.Link // by calling and called replica
-	reserved []*relay.Reservation
 
 	// The planted defects.
 	dropsWatchLines  atomic.Bool
@@ -149,12 +148,10 @@
 	c.links = append(c.links, links)
 	replica := &Replica{Number: number, Name: fmt.Sprint("r", number)}
 	for _, addr := range []*string{&replica.Address, &replica.raftAddress} {
-		reserved, err := relay.Reserve(relay.CallerAddr(number))
-		if err != nil {
+		var err error
+		if *addr, err = c.ReserveAddr(relay.CallerAddr(number)); err != nil {
 			return err
 		}
-		c.reserved = append(c.reserved, reserved)
-		*addr = reserved.Addr()
 	}
 	c.Replicas = append(c.Replicas, replica)
 	return nil
@@ -224,12 +221,6 @@
 			replica.raftProxy.Close()
 		}
 	}
-	for _, reserved := range c.reserved {
-		if err := reserved.Release(); err != nil {
-			c.Log.Warn("lab: address not released", "addr", reserved.Addr(), "err", err)
-		}
-	}
-	c.reserved = nil
 }
 
 // Call makes a call that a replica answers at once or not at all.
--- a/internal/lab/experiment/requestcost/requestcost.go
+++ b/internal/lab/experiment/requestcost/requestcost.go
@@ -298,7 +298,7 @@
 // startMembers starts the idle sidecars of the fleet.
 func (c *measurement) startMembers(ctx context.Context, v *Variant) error {
 	for range c.options.IdleMembers {
-		addr, err := relay.FreeAddr("127.0.0.1")
+		addr, err := c.run.ReserveAddr("127.0.0.1")
 		if err != nil {
 			return err
 		}
--- a/internal/lab/harness/address.go
+++ b/internal/lab/harness/address.go
@@ -19,6 +19,17 @@
 	return addr, nil
 }
 
+// ReserveAddr finds an unused port of a host and keeps it until Close, so that no other run takes it before the process
+// listens there, or while the process is down. It is not for concurrent use.
+func (r *Run) ReserveAddr(host string) (string, error) {
+	reserved, err := relay.Reserve(host)
+	if err != nil {
+		return "", err
+	}
+	r.reserved = append(r.reserved, reserved)
+	return reserved.Addr(), nil
+}
+
 // The ports of members lie below those at which relays listen on all addresses, as one of those could take a port before
 // the process binds it.
 const (
--- a/internal/lab/harness/harness.go
+++ b/internal/lab/harness/harness.go
@@ -13,6 +13,7 @@
 	"marblelane/internal/lab/agent"
 	"marblelane/internal/lab/process"
 	"marblelane/internal/lab/record"
+	"marblelane/internal/lab/relay"
 	"marblelane/internal/lab/scenario"
 )
 
@@ -42,7 +43,7 @@
 	FreeAddr func(sidecar int) (string, error)
 }
 
-// Run is the base of a run. All methods may be called from any goroutine, except Close.
+// Run is the base of a run. All methods may be called from any goroutine, except ReserveAddr and Close.
 type Run struct {
 	Scenario  *scenario.Scenario
 	Plan      *scenario.Plan
@@ -54,6 +55,7 @@
 	Tasks     sync.WaitGroup // goroutines that end with the run's context
 	StartedAt time.Duration  // when all parties were up, on the clock of Events; the times of the plan are from then on
 
+	reserved      []*relay.Reservation
 	removeDir     bool
 	stopProcesses sync.Once
 	failureMu     sync.Mutex
@@ -86,9 +88,15 @@
 	return r, nil
 }
 
-// Close ends the processes of the run and removes its temporary folder.
+// Close ends the processes of the run, gives up its addresses and removes its temporary folder.
 func (r *Run) Close() {
 	r.StopProcesses()
+	for _, reserved := range r.reserved {
+		if err := reserved.Release(); err != nil {
+			r.Log.Warn("lab: address not released", "addr", reserved.Addr(), "err", err)
+		}
+	}
+	r.reserved = nil
 	if r.removeDir {
 		os.RemoveAll(r.Dir)
 	}
