--- a/balance/admission.go
+++ b/balance/admission.go
@@ -2,54 +2,58 @@
 
 import "math"
 
-// Fractions of load are of what the fleet can answer in time. Latencies are multiples of the latency
-// objective.
+// Fractions of load refer to the load that the fleet can answer in time. Latencies are multiples of the
+// latency objective.
 const (
-	spareObjective     = 0.25 // part of the objective beyond the minimum latency that queues may take
-	initialLatency     = 0.33 // minimum latency until there are enough answers
-	meanWindow         = 50   // answers or load reports over which a mean is taken
-	maxLatency         = 2    // later answers count as this late
-	shedPerExcess      = 1.5  // part of the load shed at once, per excess latency
-	shedRate           = 0.04 // growth of the lasting part per excess latency, with each request ...
-	shedStep           = 0.34 // ... and its bound, for requests that are far apart
-	shedTolerance      = 0.1  // of the lasting part that is not shed: chance fluctuations of few requests
-	maxShed            = 0.95 // some answers are needed to see that the load has gone
-	rateSpanObjectives = 8    // span of the rate of answers, in longest objectives
-	priorAnswers       = 3    // answers assumed beside the recent ones, and over which the load is averaged
-	maxQuotaCredit     = 2    // factor by which a tenant counts as under its quota at most
+	spareObjective     = 0.25 // fraction of the objective above the minimum latency that queueing may use
+	initialLatency     = 0.33 // minimum latency until enough responses were measured
+	meanWindow         = 50   // responses or load reports over which a mean is averaged
+	maxLatency         = 2    // upper limit of latencies that are recorded
+	proportionalGain   = 1.5  // fraction of the load shed at once, per unit of excess latency
+	minControllerStep  = 0.04 // least growth of sustainedShed with a request, per unit of excess latency
+	maxControllerStep  = 0.34 // greatest growth of sustainedShed, for requests that are far apart
+	shedTolerance      = 0.1  // part of sustainedShed that is not shed, as few requests fluctuate by chance
+	maxShed            = 0.95 // some responses are needed to detect that the load has fallen
+	rateSpanObjectives = 8    // span of the response rate, in longest latency objectives
+	priorResponses     = 3    // responses assumed beside the recent ones; the load is averaged over as many
+	maxQuotaCredit     = 2    // greatest factor by which requests of a tenant under its quota count more
 	shedValueBand      = 1.25 // requests whose values differ by less than this factor are shed alike
 )
 
 const (
-	shedTime milliseconds = 1500   // between two requests after which lastingShed moves by the whole excess
-	idleTime milliseconds = 60_000 // without a request, after which what is known of the load is out of date
-	longAgo  milliseconds = 1e9    // start of a rate whose span has passed
-	minWork  milliseconds = 1e-3   // least mean latency of a class that its value is divided by
+	// SustainedShed grows by the excess times the elapsed fraction of this time.
+	integralTime milliseconds = 1500
+	idleTime     milliseconds = 60_000 // time without requests after which the load estimates are out of date
+	longAgo      milliseconds = 1e9    // age of a start that lies outside the span of any rate
+	// Lower limit of the mean latency of a class by which its value is divided.
+	minWork milliseconds = 1e-3
 )
 
-// admission decides which requests are admitted. It estimates by Little's law how long answers will take,
-// from the load in flight and the rate of answers, and sheds load that the fleet cannot answer within the
-// objectives.
+// admission decides which requests are admitted. It estimates the latency of responses by Little's law,
+// from the load in flight and the response rate, and sheds load that the fleet cannot answer within the
+// latency objectives.
 type admission struct {
 	*shared
 	demand *demand
 
 	lastRequestAt milliseconds
-	lastingShed   float64 // part of the load that is shed for as long as latencies stay high
+	sustainedShed float64 // integral term: fraction of load to shed that accumulates while latencies are high
 
 	// Latencies as multiples of the objective.
-	meanLatency      float64 // of recent answers
-	latencySamples   float64 // answers that meanLatency is taken over
+	meanLatency      float64 // of recent responses
+	latencySamples   float64 // responses over which meanLatency is averaged
 	minMeanLatency   float64 // smallest meanLatency so far
 	estimatedLatency float64 // by Little's law
 
-	answers       decayingCounter // answers within rateSpanObjectives objectives
-	recentAnswers decayingCounter // answers within the last objective
-	abandoned     decayingCounter // parts of answers whose clients left
+	responses       decayingCounter // responses within the last rateSpanObjectives objectives
+	recentResponses decayingCounter // responses within the last objective
+	// Attempts whose clients disconnected, each counted by the fraction that was done.
+	abandoned decayingCounter
 
-	inFlightLoad     float64 // sum over the attempts in flight of 1 / objective
-	meanInFlightLoad float64 // exponentially weighted mean of it
-	inFlightLoadAt   milliseconds
+	inFlightLoad     float64 // sum of 1 / objective over the attempts in flight
+	meanInFlightLoad float64 // exponentially weighted mean of inFlightLoad
+	// When inFlightLoad and its mean were last updated.
+	inFlightLoadAt milliseconds
 }
 
 func newAdmission(s *shared, demand *demand) *admission {
@@ -58,118 +62,124 @@
 
 // admit reports whether a request is admitted.
 //
-// Little's law: latency = load in flight / rate of answers. The excess is what the estimated latency has
-// above a target between the minimum latency and the objective. Part of the load is shed at once, by the
-// present excess, and part lastingly, by the sum of all excesses; this is an integral controller.
+// By Little's law, latency = load in flight / response rate. The excess is the estimated latency minus a
+// target, which lies between the minimum latency and the objective. A proportional-integral controller
+// determines the fraction of load to shed. The proportional term follows the present excess, and the
+// integral term, sustainedShed, accumulates all excesses. The fraction is at most twice the integral
+// term, so that a short peak is not treated as an overload.
 func (l *admission) admit(r *request) bool {
 	abandoned := l.abandonedRate()
-	rate := l.answerRate(priorAnswers) + abandoned
+	rate := l.responseRate(priorResponses) + abandoned
 	l.addLoad(0, rate)
-	// Assumed answers count with the minimum latency.
-	assumed := 1 - (l.answerRate(0)+abandoned)/rate
-	l.estimatedLatency = l.meanInFlightLoad/rate + l.minMeanLatency*assumed
+	// Assumed responses are taken to have the minimum latency.
+	assumedFraction := 1 - (l.responseRate(0)+abandoned)/rate
+	l.estimatedLatency = l.meanInFlightLoad/rate + l.minMeanLatency*assumedFraction
 	target := l.minMeanLatency + spareObjective*(1-l.minMeanLatency)
 	excess := math.Min(l.estimatedLatency, maxLatency) - target
-	l.lastingShed = bound(l.lastingShed+l.controllerStep(l.lastRequestAt)*excess, 0, maxShed+shedTolerance)
+	step := l.controllerStep(l.lastRequestAt)
+	l.sustainedShed = bound(l.sustainedShed+step*excess, 0, maxShed+shedTolerance)
 	l.lastRequestAt = l.now
-	lasting := l.lastingShed - shedTolerance
-	shed := bound(lasting+shedPerExcess*excess, 0, math.Min(maxShed, 2*lasting))
+	sustained := l.sustainedShed - shedTolerance
+	shed := bound(sustained+proportionalGain*excess, 0, math.Min(maxShed, 2*sustained))
 	return shed == 0 || l.random() >= l.rejectChance(r, shed)
 }
 
-// controllerStep is the weight of a new excess in an integral controller whose last step was at the time
-// last.
+// controllerStep returns the factor by which an integral controller adds a new excess, if its last step
+// was at the time last.
 func (s *shared) controllerStep(last milliseconds) float64 {
-	return math.Max(shedRate, bound((s.now-last)/shedTime, 0, shedStep))
+	return math.Max(minControllerStep, bound((s.now-last)/integralTime, 0, maxControllerStep))
 }
 
-// overloaded reports whether load is shed lastingly.
-func (l *admission) overloaded() bool { return l.lastingShed > shedTolerance }
+// overloaded reports whether load is shed for a sustained overload.
+func (l *admission) overloaded() bool { return l.sustainedShed > shedTolerance }
 
-// idle reports whether the last request is so long ago that what is known of the load is out of date.
+// idle reports whether the last request was so long ago that the load estimates are out of date.
 func (l *admission) idle() bool {
 	return l.now-l.lastRequestAt > math.Max(idleTime, rateSpanObjectives*l.maxObjective)
 }
 
-// forgetLoad ends shedding after an idle time.
-func (l *admission) forgetLoad() { l.lastingShed = 0 }
+// resetShedding ends load shedding after an idle period.
+func (l *admission) resetShedding() { l.sustainedShed = 0 }
 
-// startLoad counts an attempt in the load from now on.
+// startLoad adds an attempt to the load in flight.
 func (l *admission) startLoad(r *request, a *attempt) {
 	a.inLoad = true
-	l.addLoad(1/r.class.LatencyObjective, l.answerRate(priorAnswers))
+	l.addLoad(1/r.class.LatencyObjective, l.responseRate(priorResponses))
 }
 
-// endLoad takes an attempt off the load, if it is still counted.
+// endLoad removes an attempt from the load in flight, if it is still counted.
 func (l *admission) endLoad(r *request, a *attempt) {
 	if a.inLoad {
 		a.inLoad = false
-		l.addLoad(-1/r.class.LatencyObjective, l.answerRate(priorAnswers))
+		l.addLoad(-1/r.class.LatencyObjective, l.responseRate(priorResponses))
 	}
 }
 
-// addLoad changes the load in flight and moves its mean on to now. The mean is exponentially weighted over
-// the time of priorAnswers answers at the given rate.
+// addLoad updates the mean load for the time since the last change, and then changes the load in flight.
+// The mean is exponentially weighted over the time that priorResponses responses take at the given rate.
 func (l *admission) addLoad(change, rate float64) {
-	weight := -math.Expm1((l.inFlightLoadAt - l.now) * rate / priorAnswers)
+	weight := -math.Expm1((l.inFlightLoadAt - l.now) * rate / priorResponses)
 	l.meanInFlightLoad += (l.inFlightLoad - l.meanInFlightLoad) * weight
 	l.inFlightLoad, l.inFlightLoadAt = l.inFlightLoad+change, l.now
 }
 
-// answerRate is the number of answers a millisecond, with so many assumed. A rate over the last objective
-// that is higher by two standard deviations counts instead: traffic may grow fast.
-func (l *admission) answerRate(assumed float64) float64 {
-	long := l.answers.rate(l.now, l.started, rateSpanObjectives*l.maxObjective, assumed)
-	recent := l.recentAnswers.rate(l.now, l.now-longAgo, l.maxObjective, 0) * l.maxObjective
+// responseRate returns the number of responses per ms, with a number of assumed responses added. If the
+// rate over the last objective is higher even after two standard deviations are subtracted, it counts
+// instead: traffic may grow fast.
+func (l *admission) responseRate(assumed float64) float64 {
+	long := l.responses.rate(l.now, l.started, rateSpanObjectives*l.maxObjective, assumed)
+	recent := l.recentResponses.rate(l.now, l.now-longAgo, l.maxObjective, 0) * l.maxObjective
 	return math.Max(long, (recent-2*math.Sqrt(recent))/l.maxObjective)
 }
 
-// rejectChance spreads the part of the load to be shed over classes and tenants, and returns the chance that
-// the request is rejected: 0 or less for none, 1 or more for all of its value.
+// rejectChance distributes the fraction of load to shed over classes and tenants, and returns the
+// probability that the request is rejected. At 0 or less, no request of its value is rejected; at 1 or
+// more, all of them are.
 //
-// The value of a class and tenant is what an answer adds to Config.Goal, per ms of work. All load of a
-// smaller value is shed first, then that of about the same value.
+// The value of a class and tenant is what a response contributes to Config.Goal per ms of work. All load
+// of lower values is shed first, then the load of about the same value.
 func (l *admission) rejectChance(r *request, shed float64) float64 {
 	all := l.demand.summarize()
-	total, below, like, own := 0.0, 0.0, 1e-3, l.value(&all, r.stats, r.tenant)
+	totalWork, lowerValueWork, similarValueWork, ownValue := 0.0, 0.0, 1e-3, l.value(&all, r.stats, r.tenant)
 	for c := range l.demand.classes {
 		for t := range l.demand.tenants {
 			class, tenant := &l.demand.classes[c], &l.demand.tenants[t]
 			work := class.arrived * class.mean * tenant.arrived
-			total += work
-			if value := l.value(&all, class, tenant); value*shedValueBand < own {
-				below += work
-			} else if value < own*shedValueBand {
-				like += work
+			totalWork += work
+			if value := l.value(&all, class, tenant); value*shedValueBand < ownValue {
+				lowerValueWork += work
+			} else if value < ownValue*shedValueBand {
+				similarValueWork += work
 			}
 		}
 	}
-	return (shed*total - below) / like
+	return (shed*totalWork - lowerValueWork) / similarValueWork
 }
 
-// value is what an answer to a request of the class and tenant adds to Config.Goal, per ms of work. The part
-// of a tenant's demand above its quota counts less; the class and the tenant served worst count for
-// themselves as well.
+// value returns what a response to a request of the class and tenant contributes to Config.Goal, per ms
+// of work. Demand of a tenant above its quota counts less. The class and the tenant that are served worst
+// also contribute through their own terms of the goal.
 func (l *admission) value(all *demandSummary, class *classStats, tenant *requestCounts) float64 {
 	goal := &l.cfg.Goal
 	v := (goal.Overall + goal.WorstWindow) * class.priorityWeight / all.weight
-	if class == all.weakClass {
+	if class == all.worstServedClass {
 		v += goal.WorstClass / class.arrived
 	}
 	if tenant.quota > 0 {
-		over := l.cfg.OverQuotaWeight
-		v *= over + (1-over)*math.Min(tenant.quota*all.arrived/tenant.arrived, maxQuotaCredit)
+		overQuotaWeight := l.cfg.OverQuotaWeight
+		withinQuota := math.Min(tenant.quota*all.arrived/tenant.arrived, maxQuotaCredit)
+		v *= overQuotaWeight + (1-overQuotaWeight)*withinQuota
 	}
-	if tenant == all.weakTenant {
+	if tenant == all.worstServedTenant {
 		v += goal.WorstTenant * class.priorityWeight / all.weight * all.arrived / tenant.arrived
 	}
 	return v / math.Max(class.mean, minWork)
 }
 
-// recordAnswer records a good answer and its latency as a multiple of the objective.
-func (l *admission) recordAnswer(latency float64) {
-	l.answers.add(l.now, rateSpanObjectives*l.maxObjective)
-	l.recentAnswers.add(l.now, l.maxObjective)
+// recordResponse records a successful response and its latency, a multiple of the objective.
+func (l *admission) recordResponse(latency float64) {
+	l.responses.add(l.now, rateSpanObjectives*l.maxObjective)
+	l.recentResponses.add(l.now, l.maxObjective)
 	l.latencySamples = math.Min(l.latencySamples+1, meanWindow)
 	l.meanLatency += (math.Min(latency, maxLatency) - l.meanLatency) / l.latencySamples
 	if l.latencySamples == meanWindow {
@@ -177,16 +187,18 @@
 	}
 }
 
-// recordAbandoned counts an attempt whose client left as the part of an answer that fits into the time it
-// had, by the estimated latency. So neither its load nor its missing answer moves the estimate.
+// recordAbandoned counts an attempt whose client disconnected as the fraction of a response that was
+// probably done by then, according to the estimated latency. Thus neither its load nor its missing
+// response distorts the estimate.
 func (l *admission) recordAbandoned(r *request, a *attempt) {
 	if a.inLoad && !a.endsAtObjective {
 		expected := r.class.LatencyObjective * math.Max(l.estimatedLatency, l.minMeanLatency)
-		part := (l.now - a.sentAt) / expected
-		l.abandoned.addPart(l.now, rateSpanObjectives*l.maxObjective, math.Min(part, 1))
+		fraction := (l.now - a.sentAt) / expected
+		l.abandoned.addWeighted(l.now, rateSpanObjectives*l.maxObjective, math.Min(fraction, 1))
 	}
 }
 
+// abandonedRate returns the rate of abandoned attempts per ms, in whole responses.
 func (l *admission) abandonedRate() float64 {
 	return l.abandoned.rate(l.now, l.started, rateSpanObjectives*l.maxObjective, 0)
 }
--- a/balance/admission_load_test.go
+++ b/balance/admission_load_test.go
@@ -151,7 +151,7 @@
 		id, acts := h.sendRequest(idempotentClass)
 		s, ok := sentTo(acts)
 		if !ok {
-			t.Fatalf("request %d was rejected: shed %v", id, h.b.admission.lastingShed)
+			t.Fatalf("request %d was rejected: shed %v", id, h.b.admission.sustainedShed)
 		}
 		if s == 1 {
 			hung++
--- a/balance/admission_test.go
+++ b/balance/admission_test.go
@@ -82,13 +82,13 @@
 func TestAdmission_lowTrafficOverload(t *testing.T) {
 	h := newHarness(t, baseConfig(), identicalServers(4)...)
 	for range 6 {
-		h.setOverload(h.b.admission.lastingShed, 0.8)
+		h.setOverload(h.b.admission.sustainedShed, 0.8)
 		h.now += 500
 		h.b.admission.inFlightLoadAt = h.now
 		h.sendRequest(idempotentClass)
 	}
-	if h.b.admission.lastingShed < 0.5 {
-		t.Fatalf("%.2f is shed after three seconds of overload", h.b.admission.lastingShed)
+	if h.b.admission.sustainedShed < 0.5 {
+		t.Fatalf("%.2f is shed after three seconds of overload", h.b.admission.sustainedShed)
 	}
 }
 
@@ -96,11 +96,11 @@
 // the latency objective longer than they may.
 func (h *harness) setOverload(lasting, over float64) {
 	full := h.b.admission.minMeanLatency + spareObjective*(1-h.b.admission.minMeanLatency)
-	if h.b.admission.lastingShed = lasting; lasting > 0 {
-		h.b.admission.lastingShed += shedTolerance
+	if h.b.admission.sustainedShed = lasting; lasting > 0 {
+		h.b.admission.sustainedShed += shedTolerance
 	}
-	rate := h.b.admission.answerRate(priorAnswers)
-	assumed := h.b.admission.minMeanLatency * (1 - h.b.admission.answerRate(0)/rate)
+	rate := h.b.admission.responseRate(priorResponses)
+	assumed := h.b.admission.minMeanLatency * (1 - h.b.admission.responseRate(0)/rate)
 	h.b.admission.inFlightLoad, h.b.admission.inFlightLoadAt = (full+over-assumed)*rate, h.now
 	h.b.admission.meanInFlightLoad = h.b.admission.inFlightLoad
 }
@@ -211,9 +211,9 @@
 	for class, timesOut := range map[int]bool{nonIdempotentClass: true, idempotentClass: false, cellKeyClass: false} {
 		for _, lasting := range []float64{0, 0.2} {
 			h := newHarness(t, baseConfig(), identicalServers(4)...)
-			h.b.admission.lastingShed = lasting
+			h.b.admission.sustainedShed = lasting
 			if lasting > 0 {
-				h.b.admission.lastingShed += shedTolerance
+				h.b.admission.sustainedShed += shedTolerance
 			}
 			id, acts := h.sendRequest(class)
 			s, ok := sentTo(acts)
--- a/balance/balancer.go
+++ b/balance/balancer.go
@@ -48,7 +48,7 @@
 		shared: s, locality: locality, slowStart: slowStart, clock: clock, confirmedAt: math.Inf(-1),
 	}
 	outliers := &outlierDetector{shared: s, locality: locality, capacity: capacity, list: list}
-	health := &healthChecker{shared: s, outliers: outliers, busy: 1}
+	health := &healthChecker{shared: s, outliers: outliers, busyFraction: 1}
 	picker := &picker{
 		shared: s, demand: demand, slowStart: slowStart, capacity: capacity, locality: locality, outliers: outliers,
 		reports: health,
@@ -151,7 +151,7 @@
 
 func (b *Balancer) onList(ev ServerList) {
 	if b.list.onEvent(ev) {
-		b.picker.admitNewServers()
+		b.picker.allowForNewServers()
 		b.canary.onServersChanged()
 	}
 }
--- a/balance/config_check.go
+++ b/balance/config_check.go
@@ -5,16 +5,16 @@
 	"math"
 )
 
-// configField is one number of the settings, by the path of its field.
-type configField struct {
+// numericSetting is a numeric setting and the path of its field.
+type numericSetting struct {
 	path  string
 	value float64
 }
 
-// check returns an error for the first invalid setting.
+// check returns an error for the first invalid setting that it finds.
 func (c *Config) check() error {
 	if len(c.Classes) == 0 {
-		return &ConfigError{Field: "Classes", Value: c.Classes, Reason: "at least one is needed"}
+		return &ConfigError{Field: "Classes", Value: c.Classes, Reason: "at least one class is required"}
 	}
 	for i := range c.Classes {
 		if err := c.Classes[i].check(fmt.Sprintf("Classes[%d].", i)); err != nil {
@@ -29,22 +29,23 @@
 	return nil
 }
 
-// check returns an error if the idempotency, the key scope or the deadline is invalid.
+// check returns an error if the idempotency, the key scope or the deadline is invalid. path is the prefix of the
+// fields.
 func (c *Class) check(path string) error {
 	switch {
 	case c.Idempotency > NonIdempotent:
-		return &ConfigError{Field: path + "Idempotency", Value: c.Idempotency, Reason: "there is no such value"}
+		return &ConfigError{Field: path + "Idempotency", Value: c.Idempotency, Reason: "not a known value"}
 	case c.KeyScope > KeyScopeCell:
-		return &ConfigError{Field: path + "KeyScope", Value: c.KeyScope, Reason: "there is no such value"}
+		return &ConfigError{Field: path + "KeyScope", Value: c.KeyScope, Reason: "not a known value"}
 	case !(c.Deadline > 0):
-		return &ConfigError{Field: path + "Deadline", Value: c.Deadline, Reason: "not above 0"}
+		return &ConfigError{Field: path + "Deadline", Value: c.Deadline, Reason: "must be above 0"}
 	}
 	return nil
 }
 
-// numbers lists the settings that must be finite and not negative.
-func (c *Config) numbers() []configField {
-	list := []configField{
+// numbers returns the settings that must be finite and not negative.
+func (c *Config) numbers() []numericSetting {
+	list := []numericSetting{
 		{"Quantum", c.Quantum}, {"MaxAttempts", float64(c.MaxAttempts)}, {"MaxRetryAfter", c.MaxRetryAfter},
 		{"ConnectTimeout", c.ConnectTimeout}, {"DrainGrace", c.DrainGrace}, {"SlowStartCapacity", c.SlowStartCapacity},
 		{"SlowStartTime", c.SlowStartTime}, {"OverloadMultiple", c.OverloadMultiple}, {"OverloadTime", c.OverloadTime},
@@ -61,22 +62,23 @@
 	for i := range c.Classes {
 		class, path := &c.Classes[i], fmt.Sprintf("Classes[%d].", i)
 		list = append(list,
-			configField{path + "LatencyObjective", class.LatencyObjective},
-			configField{path + "Deadline", class.Deadline},
-			configField{path + "PriorityWeight", class.PriorityWeight},
-			configField{path + "LateWeight", class.LateWeight},
-			configField{path + "ObjectiveStretch", class.ObjectiveStretch},
-			configField{path + "KeyWindow", math.Min(class.KeyWindow, math.MaxFloat64)})
+			numericSetting{path + "LatencyObjective", class.LatencyObjective},
+			numericSetting{path + "Deadline", class.Deadline},
+			numericSetting{path + "PriorityWeight", class.PriorityWeight},
+			numericSetting{path + "LateWeight", class.LateWeight},
+			numericSetting{path + "ObjectiveStretch", class.ObjectiveStretch},
+			numericSetting{path + "KeyWindow", math.Min(class.KeyWindow, math.MaxFloat64)})
 	}
 	for i := range c.Tenants {
 		path := fmt.Sprintf("Tenants[%d].", i)
 		list = append(list,
-			configField{path + "Allowance", c.Tenants[i].Allowance}, configField{path + "Quota", c.Tenants[i].Quota})
+			numericSetting{path + "Allowance", c.Tenants[i].Allowance},
+			numericSetting{path + "Quota", c.Tenants[i].Quota})
 	}
 	return list
 }
 
-// region returns the region of a zone; a zone that the settings do not name is in region 0.
+// region returns the region of a zone. Zones that Regions does not list are in region 0.
 func (c *Config) region(zone int) int {
 	if zone >= 0 && zone < len(c.Regions) {
 		return c.Regions[zone]
--- a/balance/demand.go
+++ b/balance/demand.go
@@ -3,17 +3,18 @@
 import "math"
 
 const (
-	maxLatencySamples = 300  // answers over which the mean and deviation of a class are taken
-	minSpanFraction   = 0.05 // of a span that a rate is taken over, however short the time since the start
+	classLatencyWindow = 300 // responses over which the mean and deviation of a class are averaged
+	// Least fraction of a span over which a rate is computed, even just after the start.
+	minSpanFraction = 0.05
 )
 
-// demand counts the requests of this sidecar, by class and by tenant, and follows how long answers of a class
-// take.
+// demand counts the requests of this sidecar by class and by tenant, and tracks the latency of each
+// class.
 type demand struct {
 	*shared
 	classes  []classStats
-	tenants  []requestCounts // the last is for requests without a tenant
-	arrivals decayingCounter // requests, over twice rotationPeriod
+	tenants  []requestCounts // the last entry counts requests without a tenant
+	arrivals decayingCounter // requests, over a span of twice rotationPeriod
 }
 
 func newDemand(s *shared) *demand {
@@ -35,7 +36,7 @@
 	return d
 }
 
-// tenant returns the counts of a tenant.
+// tenant returns the counts of a tenant. Tenants that the settings do not name share the last entry.
 func (d *demand) tenant(i int) *requestCounts {
 	if i < 0 || i >= len(d.cfg.Tenants) {
 		i = len(d.cfg.Tenants)
@@ -43,89 +44,94 @@
 	return &d.tenants[i]
 }
 
-// recordArrival counts a request.
+// recordArrival counts a request that has arrived.
 func (d *demand) recordArrival(r *request) {
 	d.arrivals.add(d.now, 2*rotationPeriod)
 	r.stats.arrived++
 	r.tenant.arrived++
 }
 
-// recordServed counts a request whose answer came within its latency objective.
+// recordServed counts a request whose response came within its latency objective.
 func (d *demand) recordServed(r *request) {
 	r.stats.served++
 	r.tenant.served++
 }
 
-// rate is the number of requests a millisecond.
+// rate returns the number of requests per ms.
 func (d *demand) rate() float64 {
 	return d.arrivals.rate(d.now, d.started-rotationPeriod, 2*rotationPeriod, 0)
 }
 
-// demandSummary is the sum of the demand, and the class and the tenant with the smallest part served.
+// demandSummary holds the total demand, and the class and the tenant with the lowest fraction of requests
+// served.
 type demandSummary struct {
-	arrived, weight float64
-	weakClass       *classStats
-	weakTenant      *requestCounts
+	arrived, weight   float64 // weight: sum of the priority weights of all requests
+	worstServedClass  *classStats
+	worstServedTenant *requestCounts
 }
 
+// summarize computes the summary of all classes and tenants.
 func (d *demand) summarize() demandSummary {
-	all := demandSummary{weight: 1e-9, weakClass: &d.classes[0], weakTenant: &d.tenants[0]}
+	all := demandSummary{weight: 1e-9, worstServedClass: &d.classes[0], worstServedTenant: &d.tenants[0]}
 	for c := range d.classes {
 		all.arrived += d.classes[c].arrived
 		all.weight += d.classes[c].arrived * d.classes[c].priorityWeight
-		if d.classes[c].weaker(&all.weakClass.requestCounts) {
-			all.weakClass = &d.classes[c]
+		if d.classes[c].servedWorse(&all.worstServedClass.requestCounts) {
+			all.worstServedClass = &d.classes[c]
 		}
 	}
 	for t := range d.tenants {
-		if d.tenants[t].weaker(all.weakTenant) {
-			all.weakTenant = &d.tenants[t]
+		if d.tenants[t].servedWorse(all.worstServedTenant) {
+			all.worstServedTenant = &d.tenants[t]
 		}
 	}
 	return all
 }
 
-// requestCounts counts the requests of a class or tenant, and those answered within the latency objective.
-// Both start at 1, so that they can be divided by.
+// requestCounts counts the requests of a class or tenant that arrived, and those that were served within
+// the latency objective. Both counts start at 1, so that they can be divided by. quota is a tenant's
+// fraction of the service.
 type requestCounts struct{ arrived, served, quota float64 }
 
-// weaker reports whether a smaller part of the requests was served than of the other's.
-func (c *requestCounts) weaker(other *requestCounts) bool {
+// servedWorse reports whether the fraction of requests served is smaller than the other's.
+func (c *requestCounts) servedWorse(other *requestCounts) bool {
 	return c.served*other.arrived < other.served*c.arrived
 }
 
-// classStats counts the requests of a class and follows the latency of its answers in ms.
+// classStats counts the requests of a class and tracks the latency of its responses in ms.
 type classStats struct {
 	requestCounts
-	samples        float64 // answers that mean and deviation are taken over
+	samples        float64 // responses over which mean and deviation are averaged
 	mean           milliseconds
 	deviation      milliseconds // mean absolute deviation
 	priorityWeight float64
 }
 
-// add takes in the latency of an answer: a running mean of the first maxLatencySamples answers, an
-// exponentially weighted one from then on.
-func (c *classStats) add(latency milliseconds) {
-	c.samples = math.Min(c.samples+1, maxLatencySamples)
+// addLatency records the latency of a response. The mean is arithmetic over the first classLatencyWindow
+// responses, and exponentially weighted from then on.
+func (c *classStats) addLatency(latency milliseconds) {
+	c.samples = math.Min(c.samples+1, classLatencyWindow)
 	c.mean += (latency - c.mean) / c.samples
 	c.deviation += (math.Abs(latency-c.mean) - c.deviation) / c.samples
 }
 
-// decayingCounter counts events, each with a weight that decays exponentially with its age.
+// decayingCounter counts events. The weight of each event decays exponentially with its age.
 type decayingCounter struct {
-	sum float64 // of the weights at the time at
-	at  milliseconds
+	sum       float64 // sum of the weights at updatedAt
+	updatedAt milliseconds
 }
 
-func (c *decayingCounter) add(now, span milliseconds) { c.addPart(now, span, 1) }
+// add counts an event with weight 1.
+func (c *decayingCounter) add(now, span milliseconds) { c.addWeighted(now, span, 1) }
 
-// addPart counts part of an event. The weight of an event falls to 1/e within span.
-func (c *decayingCounter) addPart(now, span milliseconds, part float64) {
-	c.sum, c.at = c.sum*math.Exp((c.at-now)/span)+part, now
+// addWeighted counts an event with an initial weight, which falls to 1/e within span.
+func (c *decayingCounter) addWeighted(now, span milliseconds, weight float64) {
+	c.sum, c.updatedAt = c.sum*math.Exp((c.updatedAt-now)/span)+weight, now
 }
 
-// rate is the number of events a millisecond since start, with so many assumed beside those counted.
+// rate returns the number of events per ms since start. assumed is a number of events within span that
+// are added to those counted.
 func (c *decayingCounter) rate(now, start, span milliseconds, assumed float64) float64 {
 	observed := math.Max(-math.Expm1((start-now)/span), minSpanFraction)
-	return (c.sum*math.Exp((c.at-now)/span)/observed + assumed) / span
+	return (c.sum*math.Exp((c.updatedAt-now)/span)/observed + assumed) / span
 }
--- a/balance/ejection.go
+++ b/balance/ejection.go
@@ -3,15 +3,17 @@
 import "math"
 
 const (
-	overdueDeviations      = 4 // mean deviations above the mean of its class at which an attempt is overdue
-	minLatencySamples      = 5 // answers of a class from which its mean and deviation count
-	errorsToEject          = 2 // consecutive errors before a server is ejected
-	maxPauseDoublings      = 3 // of an ejection, or of the pause of a zone
-	maxPauseDoublingsStale = 6 // of an ejection for refused connections while the list is stale
+	// Mean deviations above the mean latency of its class at which an attempt is overdue.
+	overdueDeviations      = 4
+	minLatencySamples      = 5 // least number of responses of a class for its mean and deviation to be used
+	errorsToEject          = 2 // consecutive errors after which a server is ejected
+	maxPauseDoublings      = 3 // limit for the doublings of an ejection, or of the suspension of a zone
+	maxPauseDoublingsStale = 6 // limit for ejections after refused connections while the list is stale
 )
 
-// outlierDetector judges servers by the outcomes of attempts. It ejects those that fail or cannot be reached:
-// they get no requests for a while, each time in a row for twice as long.
+// outlierDetector detects failing servers by the outcomes of attempts (outlier ejection). A server that
+// fails or cannot be reached is ejected: it gets no requests for a while. The duration doubles with each
+// consecutive ejection.
 type outlierDetector struct {
 	*shared
 	locality *locality
@@ -19,30 +21,31 @@
 	list     *endpointList
 }
 
-// faultRecord is what is held against a server.
-type faultRecord struct {
-	consecutiveErrors int
-	lastErrorAt       milliseconds
-	ejectedUntil      milliseconds // 0: it is not ejected
-	ejections         int          // in a row
-	healthCheckFailed bool         // the last health check got no answer
-	processDown       bool         // the last attempt could not connect
+// failureRecord is the recent failure history of a server.
+type failureRecord struct {
+	consecutiveErrors    int
+	lastErrorAt          milliseconds
+	ejectedUntil         milliseconds // end of the ejection; 0: not ejected
+	consecutiveEjections int
+	healthCheckFailed    bool // the last health check was not answered
+	processDown          bool // the last attempt could not connect to the process
 }
 
-// pardon clears the errors and ejections of a server.
-func (f *faultRecord) pardon() { *f = faultRecord{lastErrorAt: f.lastErrorAt} }
+// reset clears the errors and ejections of a server.
+func (f *failureRecord) reset() { *f = failureRecord{lastErrorAt: f.lastErrorAt} }
 
-// ejected reports whether a server gets no requests now.
+// ejected reports whether a server is ejected now.
 func (d *outlierDetector) ejected(s *server) bool { return d.now < s.ejectedUntil }
 
-// eject keeps a server out of the rotation.
+// eject ejects a server for the longest latency objective, doubled for each consecutive ejection before
+// this one.
 func (d *outlierDetector) eject(s *server) {
-	s.ejectedUntil = d.now + d.maxObjective*float64(int(1)<<min(s.ejections, d.ejectionLimit(s)))
-	s.ejections++
+	s.ejectedUntil = d.now + d.maxObjective*float64(int(1)<<min(s.consecutiveEjections, d.ejectionLimit(s)))
+	s.consecutiveEjections++
 }
 
-// ejectionLimit is how often the ejection of a server doubles. While the list is stale, no list event would
-// tell that a server which refuses connections is gone.
+// ejectionLimit returns how often the ejection of a server may double. The limit is higher for a server
+// that refuses connections while the list is stale: no list event would report its removal.
 func (d *outlierDetector) ejectionLimit(s *server) int {
 	if d.list.stale && s.processDown {
 		return maxPauseDoublingsStale
@@ -50,21 +53,21 @@
 	return maxPauseDoublings
 }
 
-// ejectForQueue ejects a server with a long queue for one round of requests, as it stays slow until the queue
-// is empty.
+// ejectForQueue ejects a server with a long queue for the time of about one request to each server, as it
+// stays slow until its queue is empty.
 func (d *outlierDetector) ejectForQueue(s *server, requestRate float64) {
 	s.ejectedUntil = d.now + math.Min(d.maxObjective, float64(len(d.servers))/requestRate)
 }
 
-// recordFailure counts an error of a server. It is ejected if it is away, or after several errors in a row.
-// The weight is that of the evidence against its zone.
-func (d *outlierDetector) recordFailure(s *server, away bool, weight float64) {
+// recordFailure counts an error of a server. The server is ejected if it is unreachable, or after several
+// consecutive errors. weight is the weight of the evidence against its zone.
+func (d *outlierDetector) recordFailure(s *server, unreachable bool, weight float64) {
 	s.consecutiveErrors++
 	s.lastErrorAt = d.now
 	d.locality.recordLatency(s.zone.tier, maxLatency)
 	d.locality.addEvidence(s, weight)
 	d.capacity.learn(s, maxRelativeLatency)
-	if away || s.consecutiveErrors >= errorsToEject {
+	if unreachable || s.consecutiveErrors >= errorsToEject {
 		d.eject(s)
 		if s.suspectedSince > 0 {
 			d.list.endSuspicion(s)
@@ -72,31 +75,33 @@
 	}
 }
 
-// recordFailedAttempt judges a server by an attempt that ended without an answer.
+// recordFailedAttempt evaluates an attempt that ended without a response.
 func (d *outlierDetector) recordFailedAttempt(r *request, a *attempt, ev Outcome) {
-	away := ev.Result.away()
-	if !away && (a.overdue || d.excused(r, a, ev.Result)) {
+	unreachable := ev.Result.away()
+	if !unreachable && (a.overdue || d.excused(r, a, ev.Result)) {
 		return
 	}
 	weight := partialEvidence
-	if away && ev.Elapsed >= d.cfg.ConnectTimeout/2 { // a refusal comes sooner: the machine runs
+	// A refused connection ends sooner: the machine runs.
+	if unreachable && ev.Elapsed >= d.cfg.ConnectTimeout/2 {
 		weight = fullEvidence
 	}
 	s := a.server
-	s.processDown = s.processDown || ev.Result == ConnectFailed // on an unreachable machine it may still run
-	d.recordFailure(s, away, weight)
+	s.processDown = s.processDown || ev.Result == ConnectFailed // an unreachable process may still run
+	d.recordFailure(s, unreachable, weight)
 }
 
-// onConnectionReady clears what was held against a server whose connection was late: it is there.
+// onConnectionReady clears the failures of a server whose connection was established after its attempt
+// had given up: the server is up.
 func (d *outlierDetector) onConnectionReady(ev ConnectionReady) {
 	if s := d.byID[ev.Server]; s != nil && s.processDown {
-		s.pardon()
+		s.reset()
 		d.locality.withdrawEvidence(s)
 	}
 }
 
-// checkOverdue counts an error for each attempt that takes far longer than its class usually does, as a hung
-// server would show late.
+// checkOverdue counts an error for an attempt that takes far longer than usual for its class. Without
+// this a hung server would be detected only by timeouts.
 func (d *outlierDetector) checkOverdue(r *request, a *attempt) {
 	if !a.overdue && d.now >= d.overdueAt(r, a) {
 		a.overdue = true
@@ -104,12 +109,13 @@
 	}
 }
 
-// overdueAt is when an attempt becomes overdue. It follows the answers of the class: in a congested fleet all
-// answers are late, by no server's fault.
+// overdueAt returns when an attempt becomes overdue. The limit follows the latencies of the class,
+// because in a congested fleet all responses are late and no single server is at fault.
 func (d *outlierDetector) overdueAt(r *request, a *attempt) milliseconds {
 	return a.sentAt + d.overdueAfter(r)
 }
 
+// overdueAfter returns the time after which an attempt of a request is overdue.
 func (d *outlierDetector) overdueAfter(r *request) milliseconds {
 	if r.stats.samples < minLatencySamples {
 		return r.class.LatencyObjective / 2
@@ -117,8 +123,9 @@
 	return r.stats.mean + overdueDeviations*r.stats.deviation
 }
 
-// excused reports whether an attempt timed out by no fault of its server: it ended at the latency objective,
-// or had less time than answers take. A server may drop what it cannot answer in time.
+// excused reports whether an attempt timed out without a fault of its server: it was ended at the latency
+// objective, or had less time than responses usually take. A server may drop requests that it cannot
+// answer in time.
 func (d *outlierDetector) excused(r *request, a *attempt, result Result) bool {
 	needed := r.class.LatencyObjective / 2
 	if r.stats.samples >= minLatencySamples {
@@ -127,11 +134,12 @@
 	return result == TimedOut && (a.endsAtObjective || a.sentAt <= d.now && d.now-a.sentAt < needed)
 }
 
-// forgetErrors drops the errors of the servers in use after an idle time: they are of another load.
+// forgetErrors clears the errors of all servers that are not ejected, after an idle period: they date
+// from another load.
 func (d *outlierDetector) forgetErrors() {
 	for _, s := range d.servers {
 		if !d.ejected(s) {
-			s.consecutiveErrors, s.ejections = 0, 0
+			s.consecutiveErrors, s.consecutiveEjections = 0, 0
 		}
 	}
 }
--- a/balance/ejection_test.go
+++ b/balance/ejection_test.go
@@ -83,8 +83,8 @@
 					h.now += 50
 				}
 				for _, s := range h.b.servers {
-					if s.consecutiveErrors > 0 || s.ejections > 0 || h.b.outliers.ejected(s) || h.b.picker.health(s) < 1 {
-						t.Errorf("%v ms: server %d has %d errors and %d ejections", left, s.ID, s.consecutiveErrors, s.ejections)
+					if s.consecutiveErrors > 0 || s.consecutiveEjections > 0 || h.b.outliers.ejected(s) || h.b.picker.health(s) < 1 {
+						t.Errorf("%v ms: server %d has %d errors and %d ejections", left, s.ID, s.consecutiveErrors, s.consecutiveEjections)
 					}
 				}
 			})
@@ -256,7 +256,7 @@
 		}
 		h.endAttempt(id, 0, OK, times[i%3])
 	}
-	h.b.admission.lastingShed = 0
+	h.b.admission.sustainedShed = 0
 	id, _ := h.sendRequest(nonIdempotentClass)
 	r := h.b.requests[id]
 	for !r.attempts[0].overdue {
@@ -281,8 +281,8 @@
 	entry := s.Server
 	entry.StartedAt = h.now
 	h.handle(ServerList{Kind: ListDelta, Servers: []Server{entry}})
-	if s.healthCheckFailed || s.ejections != 0 || h.b.outliers.ejected(s) {
-		t.Fatalf("after the restart: health check failed %v, %d ejections", s.healthCheckFailed, s.ejections)
+	if s.healthCheckFailed || s.consecutiveEjections != 0 || h.b.outliers.ejected(s) {
+		t.Fatalf("after the restart: health check failed %v, %d ejections", s.healthCheckFailed, s.consecutiveEjections)
 	}
 }
 
--- a/balance/fleet_size_test.go
+++ b/balance/fleet_size_test.go
@@ -160,7 +160,7 @@
 					require.NoError(t, err)
 				}
 			}
-			require.InDelta(t, balancers[0].slowStart.assumedAnswers, balancers[1].slowStart.assumedAnswers, 1e-12)
+			require.InDelta(t, balancers[0].slowStart.assumedResponses, balancers[1].slowStart.assumedResponses, 1e-12)
 			if len(inFlight) == 0 || rapid.Bool().Draw(t, "request") {
 				next++
 				do(Request{ID: next, Class: rapid.IntRange(0, 4).Draw(t, "class"), Remaining: 1500})
--- a/balance/harness_test.go
+++ b/balance/harness_test.go
@@ -42,7 +42,7 @@
 	h.actions = append(h.actions, h.b.Start(h.now)...)
 	h.handle(ServerList{Kind: ListCached, Servers: servers})
 	for _, s := range h.b.servers {
-		s.running, s.rank = 0, float64(s.ID) // without the random start and order, the sequence is known
+		s.currentWeight, s.rank = 0, float64(s.ID) // without the random start and order, the sequence is known
 	}
 	h.b.dropGone() // it sorts the servers
 	return h
--- a/balance/health_check.go
+++ b/balance/health_check.go
@@ -6,41 +6,43 @@
 )
 
 const (
-	maxHealthCheckCost = 0.03 // part of the result that the health checks of a request may cost
-	reportValidity     = 0.05 // part of the objective for which a load report is valid, or is waited for
-	allBusyChance      = 0.01 // accepted chance that all servers that are checked are busy
+	// Limit of the cost of one request's health checks, in the unit of Config.Prices.
+	maxHealthCheckCost = 0.03
+	// Fraction of the latency objective for which a load report is valid, or awaited.
+	reportValidity = 0.05
+	allBusyChance  = 0.01 // accepted probability that all servers checked are busy
 )
 
 // healthChecker decides which servers are health-checked, and records load reports.
 type healthChecker struct {
 	*shared
-	outliers *outlierDetector
-	busy     float64    // mean part of the reports in which a server had requests in flight
-	waiting  []*request // that wait for health checks before their first attempt
+	outliers     *outlierDetector
+	busyFraction float64    // mean fraction of load reports in which a server had requests in flight
+	waiting      []*request // requests that wait for health checks before their first attempt
 }
 
-// healthReport is what health checks and load reports say about a server.
+// healthReport holds the results of a server's health checks and its last load report.
 type healthReport struct {
 	checkPending    bool
-	reportedLoad    float64      // requests in flight at the last load report
-	reportedAt      milliseconds // 0: never
-	sentSinceReport float64      // attempts of this process since
+	reportedLoad    float64      // requests in flight in the last load report
+	reportedAt      milliseconds // 0: there was no report
+	sentSinceReport float64      // attempts of this process since the last report
 }
 
-// checkCandidates checks the next servers in turn before a first attempt, where servers report their load
-// only to health checks. With n checks all are busy in busy^n of cases; n is so large that this is rare,
-// within the cost allowed.
+// checkCandidates health-checks the servers that are next in the rotation before a first attempt, if
+// servers report their load only in health checks. With n checks, all of them are busy with the
+// probability busyFraction^n. n is chosen so that this is rare, within the allowed cost.
 func (h *healthChecker) checkCandidates(r *request, eligible func(*request, *server) bool) {
 	if !h.cfg.HealthChecks || h.cfg.Reports != ReportHealthCheck {
 		return
 	}
-	count := math.Ceil(math.Log(allBusyChance) / math.Log(bound(h.busy, 0.01, 0.99)))
+	count := math.Ceil(math.Log(allBusyChance) / math.Log(bound(h.busyFraction, 0.01, 0.99)))
 	count = math.Min(count, maxHealthCheckCost/math.Max(h.cfg.Prices.HealthCheck, 1e-3))
 	for len(r.checked) < int(count) {
 		var next *server
 		for _, s := range h.servers {
-			free := eligible(r, s) && !h.outliers.ejected(s) && !slices.Contains(r.checked, s)
-			if free && (next == nil || s.running > next.running) {
+			available := eligible(r, s) && !h.outliers.ejected(s) && !slices.Contains(r.checked, s)
+			if available && (next == nil || s.currentWeight > next.currentWeight) {
 				next = s
 			}
 		}
@@ -56,7 +58,7 @@
 	}
 }
 
-// check starts a health check, unless one is pending.
+// check starts a health check of a server, unless one is pending.
 func (h *healthChecker) check(s *server) {
 	if !s.checkPending {
 		s.checkPending = true
@@ -64,7 +66,8 @@
 	}
 }
 
-// onResult records the result of a health check and reports whether requests may wait for it.
+// onResult records the result of a health check. It reports whether the server is known, as only then
+// requests may wait for the result.
 func (h *healthChecker) onResult(ev HealthCheckResult) bool {
 	s := h.byID[ev.Server]
 	if s == nil {
@@ -73,21 +76,21 @@
 	s.checkPending = false
 	switch {
 	case ev.Result == LocalFailure:
-	case ev.Result != OK: // it cannot be reached, though the process may run
+	case ev.Result != OK: // it cannot be reached, but its process may run
 		h.outliers.eject(s)
 		s.healthCheckFailed = true
 	default:
-		h.takeReport(s, ev.Report)
+		h.recordReport(s, ev.Report)
 		if s.healthCheckFailed {
-			s.healthCheckFailed, s.ejections, s.ejectedUntil = false, 0, 0
+			s.healthCheckFailed, s.consecutiveEjections, s.ejectedUntil = false, 0, 0
 		}
 	}
 	return true
 }
 
-// takeReport records a load report and returns the wait that follows from it: queue length times service
-// time.
-func (h *healthChecker) takeReport(s *server, report []float32) milliseconds {
+// recordReport records a load report and returns the expected wait at the server: queue length times
+// service time.
+func (h *healthChecker) recordReport(s *server, report []float32) milliseconds {
 	queue, serviceTime := 0.0, 0.0
 	for i, f := range h.cfg.Fields {
 		if i >= len(report) {
@@ -96,7 +99,7 @@
 		switch v := float64(report[i]); f {
 		case FieldInFlight:
 			s.reportedLoad, s.reportedAt, s.sentSinceReport = v, h.now, 0
-			h.busy += (math.Min(s.reportedLoad, 1) - h.busy) / meanWindow
+			h.busyFraction += (math.Min(s.reportedLoad, 1) - h.busyFraction) / meanWindow
 		case FieldQueue:
 			queue = v
 		case FieldLatency:
@@ -106,13 +109,13 @@
 	return queue * serviceTime
 }
 
-// fresh reports whether the last load report of a server is still valid.
-func (h *healthChecker) fresh(s *server) bool {
+// hasFreshReport reports whether the last load report of a server is still valid.
+func (h *healthChecker) hasFreshReport(s *server) bool {
 	return s.reportedAt > 0 && h.now-s.reportedAt <= reportValidity*h.maxObjective
 }
 
-// holds reports whether a request still waits for a health check.
-func (h *healthChecker) holds(r *request) bool {
+// awaitsCheck reports whether a request still waits for a health check.
+func (h *healthChecker) awaitsCheck(r *request) bool {
 	for _, s := range r.checked {
 		if s.checkPending && h.now < r.checksUntil {
 			return true
@@ -122,7 +125,7 @@
 	return false
 }
 
-// advanceWaiting calls advance for the requests that wait, and keeps those that still do.
+// advanceWaiting calls advance for each waiting request, and keeps those that have to wait further.
 func (h *healthChecker) advanceWaiting(advance func(*request)) {
 	requests := h.waiting
 	h.waiting = requests[:0]
--- a/balance/health_check_test.go
+++ b/balance/health_check_test.go
@@ -69,7 +69,7 @@
 // little traffic does not see the load of others.
 func TestHealthCheck_reportedQueue(t *testing.T) {
 	h := newHarness(t, healthCheckConfig(), identicalServers(3)...)
-	h.b.servers[0].running = 1000 // next in the rotation
+	h.b.servers[0].currentWeight = 1000 // next in the rotation
 	id, acts := h.sendRequest(idempotentClass)
 	if hasAction(acts, Send) {
 		t.Fatal("sent before the health checks were answered")
--- a/balance/list.go
+++ b/balance/list.go
@@ -202,11 +202,11 @@
 		s = l.add(entry.ID)
 	}
 	if since, again := l.clock.restarted(s, entry, l.confirmedAt, sameHistory); again {
-		s.pardon()
-		s.running = 0
+		s.reset()
+		s.currentWeight = 0
 		l.slowStart.begin(s, since)
 	} else if entry.AddressKey != s.AddressKey {
-		s.pardon()
+		s.reset()
 	}
 	s.Server, s.suspectedSince, s.zone = *entry, 0, l.locality.zone(entry.Zone)
 	s.rank = l.rankOf(s)
@@ -216,7 +216,7 @@
 // step.
 func (l *endpointList) add(id ServerID) *server {
 	s := &server{evidenceAt: math.Inf(-1)}
-	s.running = maxInitialRunning * l.random()
+	s.currentWeight = maxInitialCurrentWeight * l.random()
 	s.slowStartAt = math.Inf(-1)
 	l.byID[id] = s
 	l.servers = append(l.servers, s)
--- a/balance/list_watch_test.go
+++ b/balance/list_watch_test.go
@@ -96,7 +96,7 @@
 	h.handle(ServerList{Kind: ListFull, Rev: 2, Servers: identicalServers(1)})
 	s := h.b.byID[1]
 	ejectionTime := func() float64 {
-		s.ejections, s.processDown = 10, true
+		s.consecutiveEjections, s.processDown = 10, true
 		h.b.now = h.now
 		h.b.outliers.eject(s)
 		return s.ejectedUntil - h.now
--- a/balance/local_failure_test.go
+++ b/balance/local_failure_test.go
@@ -16,7 +16,7 @@
 // recordOf returns the record of a server.
 func (h *harness) recordOf(id ServerID) serverRecord {
 	s := h.b.byID[id]
-	return serverRecord{s.consecutiveErrors, s.ejections, s.ejectedUntil, s.slowStartAt, s.size, s.processDown, s.healthCheckFailed, s.zone.evidence}
+	return serverRecord{s.consecutiveErrors, s.consecutiveEjections, s.ejectedUntil, s.slowStartAt, s.logSize, s.processDown, s.healthCheckFailed, s.zone.evidence}
 }
 
 // fireNextTimer moves the clock to a request's next timer, fires it, and returns the actions and the time waited.
--- a/balance/locality_test.go
+++ b/balance/locality_test.go
@@ -134,10 +134,10 @@
 		serversNeeded int
 	}{{ConnectFailed, 120, 2}, {ConnectFailed, 1, 4}, {Reset, 30, 4}, {Failed, 5, 4}} {
 		h := newZoneHarness(t, nil, 8, 8)
-		h.b.locality.zones[0].answeredAt, h.b.locality.zones[1].answeredAt = h.now, h.now+1
+		h.b.locality.zones[0].lastResponseAt, h.b.locality.zones[1].lastResponseAt = h.now, h.now+1
 		n := 0
 		for _, s := range h.b.servers {
-			if s.Zone != 0 || h.b.locality.zones[0].left {
+			if s.Zone != 0 || h.b.locality.zones[0].suspended {
 				continue
 			}
 			h.now++
@@ -148,11 +148,11 @@
 			}
 			h.b.outliers.recordFailure(s, c.result == ConnectFailed, weight)
 			h.b.outliers.recordFailure(s, c.result == ConnectFailed, weight) // a server counts once
-			h.b.locality.recordAnswer(h.b.locality.zones[1], false, 0.1)
+			h.b.locality.recordResponse(h.b.locality.zones[1], false, 0.1)
 			n++
 		}
-		if n != c.serversNeeded || !h.b.locality.zones[0].left {
-			t.Errorf("%+v: left %v after %d servers", c, h.b.locality.zones[0].left, n)
+		if n != c.serversNeeded || !h.b.locality.zones[0].suspended {
+			t.Errorf("%+v: left %v after %d servers", c, h.b.locality.zones[0].suspended, n)
 		}
 	}
 }
@@ -197,10 +197,10 @@
 	h := newZoneHarness(t, nil, 8, 8)
 	h.playRequests(20, 20, failZone(0))
 	z := h.b.locality.zones[0]
-	if z.id != 0 || !z.left {
+	if z.id != 0 || !z.suspended {
 		t.Fatalf("%+v", z)
 	}
-	h.now = z.leftUntil + 1
+	h.now = z.suspendedUntil + 1
 	for _, s := range h.b.servers {
 		s.ejectedUntil = 0
 	}
@@ -226,21 +226,21 @@
 	if n := sendRound(); n != 1 {
 		t.Fatalf("%d requests try the zone at first", n)
 	}
-	for want := 1; want < 8 && z.left; want++ {
+	for want := 1; want < 8 && z.suspended; want++ {
 		h.now += 50
 		h.endAttempt(inZone[0], 0, OK, 50)
 		inZone = inZone[1:]
 		sendRound()
-		if z.left && int(z.trials) != want {
-			t.Fatalf("after %d answers %g requests are in flight in the zone", want, z.trials)
+		if z.suspended && int(z.trialsInFlight) != want {
+			t.Fatalf("after %d answers %g requests are in flight in the zone", want, z.trialsInFlight)
 		}
 	}
-	if !z.left {
+	if !z.suspended {
 		t.Fatal("the zone was in full use too early")
 	}
 	h.now += 50
 	h.endAttempt(inZone[0], 0, OK, 50)
-	if z.left {
+	if z.suspended {
 		t.Errorf("the zone is not in full use after eight answers: %+v", z)
 	}
 }
@@ -255,9 +255,9 @@
 		var last float64
 		for range 2000 {
 			h.playRequests(1, 30, failZone(0))
-			if z := h.b.locality.zones[0]; z.left && z.leftUntil != last {
-				last = z.leftUntil
-				pauses = append(pauses, z.leftUntil-h.now)
+			if z := h.b.locality.zones[0]; z.suspended && z.suspendedUntil != last {
+				last = z.suspendedUntil
+				pauses = append(pauses, z.suspendedUntil-h.now)
 			}
 		}
 		if len(pauses) < 5 {
@@ -285,15 +285,15 @@
 	left := 0
 	for range trials {
 		h.b.now++
-		h.b.locality.recordAnswer(other, false, 0.1)
+		h.b.locality.recordResponse(other, false, 0.1)
 		if s := h.b.byID[ServerID(1+r.IntN(servers))]; s.ID <= failing {
 			h.b.locality.addEvidence(s, 1)
 		} else {
-			h.b.locality.recordAnswer(z, false, 0.1)
+			h.b.locality.recordResponse(z, false, 0.1)
 		}
-		if z.left {
+		if z.suspended {
 			left++
-			z.left, z.evidence, z.clearedAt = false, 0, h.b.now
+			z.suspended, z.evidence, z.evidenceClearedAt = false, 0, h.b.now
 		}
 	}
 	const q = float64(failing) / servers
@@ -372,22 +372,22 @@
 	h := newZoneHarness(t, nil, 8, 8)
 	h.playRequests(5, 20, failZone(0))
 	z := h.b.locality.zones[0]
-	h.now = z.leftUntil + 1
+	h.now = z.suspendedUntil + 1
 	for _, s := range h.b.servers {
 		s.ejectedUntil = 0
 	}
 	for n := 1; n < 8; n++ {
-		for i := 0; z.trials == 0 && i < 20; i++ {
+		for i := 0; z.trialsInFlight == 0 && i < 20; i++ {
 			id, acts := h.sendRequest(idempotentClass)
 			if hasAction(acts, Send) && h.lastZone(id) != 0 {
 				h.endAttempt(id, 0, OK, 50)
 			}
 		}
-		if z.trials != 1 {
-			t.Fatalf("%g trials in flight after %d started answers", z.trials, n-1)
+		if z.trialsInFlight != 1 {
+			t.Fatalf("%g trials in flight after %d started answers", z.trialsInFlight, n-1)
 		}
 		h.handle(AnswerStarted{Request: h.lastID, Server: h.b.requests[h.lastID].attempts[0].server.ID, Elapsed: 50})
-		if z.trials != 0 || z.admitLimit != float64(n) {
+		if z.trialsInFlight != 0 || z.trialLimit != float64(n) {
 			t.Fatalf("%+v after %d started answers", z, n)
 		}
 	}
--- a/balance/pick.go
+++ b/balance/pick.go
@@ -3,25 +3,28 @@
 import "math"
 
 const (
-	penaltyPerError = 0.2  // of the multiplier m for each consecutive error
-	minHealth       = 0.25 // of the multiplier m, so that a server that has recovered is found again
-	loadHeadroom    = 0.4  // multiple of its share of the load above which a server is passed over
-	minRotation     = 4    // servers in the rotation
+	penaltyPerError   = 0.2  // health that a server loses with each consecutive error
+	minHealth         = 0.25 // lowest health; some requests are needed to detect that a server has recovered
+	boundedLoadFactor = 0.4  // limit of bounded load, as a multiple of a server's weighted share of the load
+	minRotation       = 4    // least number of servers in the rotation
 
-	baseWeight        = 100  // weight of a server of size 1
-	minWeight         = 1e-6 // so that each candidate has one
-	maxInitialRunning = 100  // highest SWRR running value that a server starts with
+	baseWeight              = 100  // weight of a healthy, warm server of size 1
+	minWeight               = 1e-6 // keeps weights above 0, as 0 marks servers that are not candidates
+	maxInitialCurrentWeight = 100  // upper bound of the random current weight of a new server
 )
 
 const (
-	halfLife       milliseconds = 5000 // of the weight of an error and of the latency of a tier
-	rotationPeriod milliseconds = 1000 // in which each server of the rotation should get a request
+	// Half-life of the penalty for errors, and of the deviation of a tier's mean latency.
+	halfLife milliseconds = 5000
+	// The rotation is sized so that each of its servers gets about one request per period.
+	rotationPeriod milliseconds = 1000
 )
 
-// picker picks the server of an attempt. First attempts go by smooth weighted round robin (SWRR): at each
-// pick the running value of each candidate grows by its weight, the largest is picked and loses the sum of
-// all weights. A retry goes to the healthiest server that the request has not tried. Bounded load passes over
-// servers that hold more than their share of the requests in flight.
+// picker selects the server of each attempt. First attempts use smooth weighted round robin (SWRR): at
+// each pick the current weight of every candidate grows by its weight; the candidate with the highest
+// current weight is selected, and the sum of all weights is subtracted from its current weight. A retry
+// goes to the healthiest server that the request has not tried yet. Bounded load passes over servers that
+// have more than their share of the requests in flight.
 type picker struct {
 	*shared
 	demand    *demand
@@ -31,109 +34,118 @@
 	outliers  *outlierDetector
 	reports   *healthChecker
 
-	candidates      []*server     // of the last pick: those with a weight, in the order of servers
-	pool            candidatePool // sums over the candidates of the last first attempt
-	maxOtherRunning float64       // no running value of the other servers is above it
-	alongRoute      bool          // a pick along a route is under way
+	candidates []*server       // servers with a weight in the last pick, in the order of servers
+	totals     candidateTotals // sums over the candidates of the last first attempt
+	// Upper bound of the current weights of servers that are no candidates.
+	maxOtherCurrentWeight float64
+	pickingForRoute       bool // set during a pick for a route
 }
 
-// candidacy is a server's part in the current pick.
+// candidacy is the state of a server in the current pick.
 type candidacy struct {
-	running      float64 // SWRR running value
-	weight       float64 // 0: it is no candidate
-	loadKnown    bool    // its load is known as well as that of any candidate
-	outsideGroup bool    // it is in another group of the route
-	savedRunning float64 // running value outside routes
+	currentWeight float64 // SWRR current weight
+	weight        float64 // SWRR weight; 0: the server is not a candidate
+	// Its load can be compared with that of other candidates; see markComparableLoads.
+	loadComparable     bool
+	outsideGroup       bool    // it is in another group of the route, and excluded from the pick
+	savedCurrentWeight float64 // current weight outside routes, saved during a pick for a route
 }
 
-// candidatePool sums up the candidates of first attempts.
-type candidatePool struct {
-	weight    float64 // sum of weights
-	maxWarmth float64 // largest mean warmth of late; it decays to the present one
-	cooling   float64 // mean warmth as a part of maxWarmth
-	at        milliseconds
+// candidateTotals holds sums over the candidates of first attempts.
+type candidateTotals struct {
+	weight            float64 // sum of weights
+	maxWarmUpFraction float64 // highest recent mean warm-up fraction; decays to the present mean
+	warmUpRatio       float64 // present mean warm-up fraction, divided by maxWarmUpFraction
+	updatedAt         milliseconds
 }
 
-// update records the candidates of one more first attempt.
-func (p *candidatePool) update(now, span milliseconds, weight, warmth float64) {
-	p.maxWarmth = warmth + math.Max(0, p.maxWarmth-warmth)*math.Exp((p.at-now)/span)
-	p.weight, p.at, p.cooling = weight, now, warmth/p.maxWarmth
+// update records the candidates of another first attempt. maxWarmUpFraction decays by a factor of e
+// within span.
+func (p *candidateTotals) update(now, span milliseconds, weight, mean float64) {
+	p.maxWarmUpFraction = mean + math.Max(0, p.maxWarmUpFraction-mean)*math.Exp((p.updatedAt-now)/span)
+	p.weight, p.updatedAt, p.warmUpRatio = weight, now, mean/p.maxWarmUpFraction
 }
 
-// pick returns the server for an attempt of a request, nil if there is none now.
+// pick returns the server for an attempt of a request, or nil if no server is eligible now.
 func (p *picker) pick(r *request, retry bool, firstTier int) *server {
 	total := p.weighCandidates(r, retry, false)
-	if total == 0 { // all are ejected: the cause is hardly theirs
+	if total == 0 {
+		// All eligible servers are ejected, so the fault is probably not theirs: use them nevertheless.
 		total = p.weighCandidates(r, retry, true)
 	}
 	best, _ := p.chooseCandidate(r, retry, firstTier, total)
 	return best
 }
 
-// rotationSize is how many servers the rotation goes over at a rate of requests: the first ones by rank, so
-// many that each is used often. It bounds the connections of a sidecar and lets it learn about its servers.
+// rotationSize returns the number of servers in the rotation at a request rate per ms. The rotation
+// consists of the first servers by rank, few enough that each is used often. This bounds the connections
+// of a sidecar and lets it learn about its servers.
 func rotationSize(rate float64) int {
 	return max(minRotation, int(rotationPeriod*rate))
 }
 
-// weighCandidates sets the weights for a pick and returns their sum. For a first attempt it lets the running
-// values grow. For a retry as many servers again come from zones without evidence against them.
+// weighCandidates selects the candidates of a pick, sets their weights and returns the sum. For a first
+// attempt it also raises the current weights. For a retry it admits as many servers again from zones
+// without evidence of failure.
 func (p *picker) weighCandidates(r *request, retry, withEjected bool) float64 {
 	size := rotationSize(p.demand.rate())
-	remaining, remainingHealthyZones := size, size
-	total, warmTotal := 0.0, 0.0
+	remaining, remainingHealthyZones := size, size // servers that may still be added
+	total, fullWeights := 0.0, 0.0
 	p.clearCandidates()
 	for _, s := range p.servers {
 		if remaining == 0 && (!retry || remainingHealthyZones == 0) {
 			break
 		}
-		places := &remaining
+		openSlots := &remaining
 		if retry && s.zone.evidence == 0 {
-			places = &remainingHealthyZones
+			openSlots = &remainingHealthyZones
 		}
 		unfit := p.outliers.ejected(s) || !p.locality.admits(r, s.zone)
-		if s.outsideGroup || *places == 0 || !p.eligible(r, s) || unfit && !withEjected {
+		if s.outsideGroup || *openSlots == 0 || !p.eligible(r, s) || unfit && !withEjected {
 			continue
 		}
-		*places--
+		*openSlots--
 		s.weight = p.weight(s)
 		p.candidates = append(p.candidates, s)
 		total += s.weight
-		warmTotal += s.weight / p.slowStart.warmth(s)
+		fullWeights += s.weight / p.slowStart.warmUpFraction(s)
 	}
-	p.markKnownLoads()
+	p.markComparableLoads()
 	if !retry {
-		p.grow(total, warmTotal)
+		p.raiseCurrentWeights(total, fullWeights)
 	}
 	return total
 }
 
-// markKnownLoads marks the candidates with a fresh load report; without any, this process's own requests in
-// flight are all that is known of each.
-func (p *picker) markKnownLoads() {
+// markComparableLoads marks the candidates whose loads can be compared: those with a fresh load report.
+// If there is no fresh report, it marks all, as this process's own requests in flight are then all that
+// is known of each.
+func (p *picker) markComparableLoads() {
 	reported := false
 	for _, s := range p.candidates {
-		s.loadKnown = p.reports.fresh(s)
-		reported = reported || s.loadKnown
+		s.loadComparable = p.reports.hasFreshReport(s)
+		reported = reported || s.loadComparable
 	}
 	for _, s := range p.candidates {
-		s.loadKnown = s.loadKnown || !reported
+		s.loadComparable = s.loadComparable || !reported
 	}
 }
 
-// chooseCandidate picks one of the candidates and returns its level (see locality.level).
+// chooseCandidate selects one of the candidates and subtracts total from its current weight. It returns
+// the server and its level (see locality.level).
 func (p *picker) chooseCandidate(r *request, retry bool, firstTier int, total float64) (*server, int) {
-	knownLoad, knownWeight := p.sumKnownLoads()
+	totalLoad, totalWeight := p.sumComparableLoads()
 	var best *server
 	lowestLevel := 0
 	for _, s := range p.candidates {
 		if p.slowStart.warmingUp(s) && !p.withinBudget(s) {
 			continue
 		}
-		// Bounded load: a server above its share is slow, hung or filled by others, whatever its errors say.
-		// It keeps its running value for later.
+		// Bounded load: a server above its share is slow, hung or loaded by other clients, even if it
+		// returns no errors. It keeps its current weight, so that it is due as soon as its load has
+		// fallen.
 		load := p.load(s)
-		overLimit := !s.loadKnown || load+1 > math.Ceil(loadHeadroom*knownLoad*s.weight/knownWeight)
+		overLimit := !s.loadComparable || load+1 > math.Ceil(boundedLoadFactor*totalLoad*s.weight/totalWeight)
 		level := 0
 		if !retry {
 			level = p.locality.level(r, s, firstTier, overLimit, load)
@@ -146,17 +158,17 @@
 		}
 	}
 	if best != nil {
-		best.running = math.Max(best.running-total, -total)
+		best.currentWeight = math.Max(best.currentWeight-total, -total)
 	}
 	return best, lowestLevel
 }
 
-// sumKnownLoads returns the sum of the known loads, the attempt to be sent included, and that of their
-// weights.
-func (p *picker) sumKnownLoads() (load, weight float64) {
+// sumComparableLoads returns the sum of the comparable loads, including the attempt to be sent, and the
+// sum of the weights of their servers.
+func (p *picker) sumComparableLoads() (load, weight float64) {
 	load = 1
 	for _, s := range p.candidates {
-		if s.loadKnown {
+		if s.loadComparable {
 			load += p.load(s)
 			weight += s.weight
 		}
@@ -164,8 +176,9 @@
 	return load, weight
 }
 
-// preferred reports whether s goes before best on the same level. If both are over their share, the one with
-// the lower load for its weight goes first.
+// preferred reports whether s precedes best on the same level. For a first attempt with both servers over
+// their share, the lower load per weight decides. For a retry, the higher health decides, then the zone
+// with less evidence of failure. In all other cases the higher current weight decides.
 func (p *picker) preferred(s, best *server, retry, overLimit bool) bool {
 	if overLimit && !retry {
 		return (p.load(s)+1)*best.weight < (p.load(best)+1)*s.weight
@@ -176,16 +189,16 @@
 	if retry && s.zone != best.zone && s.zone.evidence != best.zone.evidence {
 		return s.zone.evidence < best.zone.evidence
 	}
-	return s.running > best.running
+	return s.currentWeight > best.currentWeight
 }
 
-// eligible reports whether a request may go to a server now. A request that may have run on another one goes
-// only where its idempotency key is known.
+// eligible reports whether a request may be sent to a server now. If an attempt with an idempotency key
+// may have run, the next one may go only to servers that recognise this key.
 func (p *picker) eligible(r *request, s *server) bool {
 	if s.State != Ready {
 		return false
 	}
-	latestStart := p.now + p.cfg.ConnectTimeout
+	latestStart := p.now + p.cfg.ConnectTimeout // the attempt may have to open a connection first
 	for i := range r.attempts {
 		a := &r.attempts[i]
 		if a.server == s && !a.uncounted {
@@ -203,83 +216,87 @@
 	return true
 }
 
-// weight is size × m, lowered while the server warms up.
+// weight returns the SWRR weight of a server: its size times its health, lowered while the server warms
+// up.
 func (p *picker) weight(s *server) float64 {
 	size := baseWeight * s.Rating * p.capacity.size(s)
-	return math.Max(size*p.health(s)*p.slowStart.warmth(s), minWeight)
+	return math.Max(size*p.health(s)*p.slowStart.warmUpFraction(s), minWeight)
 }
 
-// health is the multiplier m of a server: 1 without errors, lower by a penalty that decays exponentially.
+// health returns the multiplier m of a server: 1 without errors, lowered by a penalty for each
+// consecutive error. The penalty decays exponentially.
 func (p *picker) health(s *server) float64 {
 	errors := float64(s.consecutiveErrors) * math.Exp(-math.Ln2*(p.now-s.lastErrorAt)/halfLife)
 	return bound(1-penaltyPerError*errors, minHealth, 1)
 }
 
-// load is how many requests a server has in flight: by a fresh load report and what was sent since, or else
-// this process's own.
+// load returns the number of requests that a server has in flight. With a fresh load report these are the
+// reported requests and the attempts sent since; otherwise they are this process's own attempts.
 func (p *picker) load(s *server) float64 {
-	if p.reports.fresh(s) {
+	if p.reports.hasFreshReport(s) {
 		return s.reportedLoad + s.sentSinceReport
 	}
 	return float64(s.inFlight)
 }
 
 func (p *picker) withinBudget(s *server) bool {
-	return p.slowStart.withinBudget(s, &p.pool, p.alongRoute)
+	return p.slowStart.withinBudget(s, &p.totals, p.pickingForRoute)
 }
 
-// grow raises the running values of the candidates by their weights, but not above the sum of weights.
-func (p *picker) grow(total, warmTotal float64) {
+// raiseCurrentWeights adds the weight of each candidate to its current weight, up to the sum of weights.
+func (p *picker) raiseCurrentWeights(total, fullWeights float64) {
 	for _, s := range p.candidates {
-		s.running = math.Min(s.running+s.weight, total)
+		s.currentWeight = math.Min(s.currentWeight+s.weight, total)
 	}
-	p.limitOthers(total)
+	p.limitOtherCurrentWeights(total)
 	if total > 0 {
-		p.pool.update(p.now, rateSpanObjectives*p.maxObjective, total, total/warmTotal)
+		p.totals.update(p.now, rateSpanObjectives*p.maxObjective, total, total/fullWeights)
 	}
 }
 
-// limitOthers keeps the running values of the other servers within the sum of weights. The bound
-// maxOtherRunning mostly spares a walk over all servers.
-func (p *picker) limitOthers(total float64) {
-	if total >= p.maxOtherRunning && !p.alongRoute { // along a route the running values are those of its side
+// limitOtherCurrentWeights limits the current weights of all other servers to the sum of weights. The
+// upper bound maxOtherCurrentWeight makes it unnecessary to visit all servers in most picks.
+func (p *picker) limitOtherCurrentWeights(total float64) {
+	// In a pick for a route they belong to the route.
+	if total >= p.maxOtherCurrentWeight && !p.pickingForRoute {
 		return
 	}
-	p.maxOtherRunning = math.Inf(-1)
+	p.maxOtherCurrentWeight = math.Inf(-1)
 	for _, s := range p.servers {
 		if s.weight == 0 {
-			s.running = math.Min(s.running, total)
-			p.maxOtherRunning = math.Max(p.maxOtherRunning, s.running)
+			s.currentWeight = math.Min(s.currentWeight, total)
+			p.maxOtherCurrentWeight = math.Max(p.maxOtherCurrentWeight, s.currentWeight)
 		}
 	}
 }
 
-// admitNewServers accounts for servers that may have been added, with running values up to maxInitialRunning.
-func (p *picker) admitNewServers() {
-	p.maxOtherRunning = math.Max(p.maxOtherRunning, maxInitialRunning)
+// allowForNewServers raises maxOtherCurrentWeight to the highest current weight that new servers may
+// start with.
+func (p *picker) allowForNewServers() {
+	p.maxOtherCurrentWeight = math.Max(p.maxOtherCurrentWeight, maxInitialCurrentWeight)
 }
 
-// clearCandidates ends the pick before.
+// clearCandidates resets the candidates of the previous pick.
 func (p *picker) clearCandidates() {
 	for _, s := range p.candidates {
 		s.weight = 0
-		p.maxOtherRunning = math.Max(p.maxOtherRunning, s.running)
+		p.maxOtherCurrentWeight = math.Max(p.maxOtherCurrentWeight, s.currentWeight)
 	}
 	p.candidates = p.candidates[:0]
 }
 
-// saveRunning keeps the running values and the pool from a pick along a route. The function that it returns
-// restores them.
-func (p *picker) saveRunning() (restore func()) {
+// saveCurrentWeights saves the current weights and the totals before a pick for a route. It returns a
+// function that restores them.
+func (p *picker) saveCurrentWeights() (restore func()) {
 	for _, s := range p.servers {
-		s.savedRunning = s.running
+		s.savedCurrentWeight = s.currentWeight
 	}
-	pool := p.pool
-	p.alongRoute = true
+	totals := p.totals
+	p.pickingForRoute = true
 	return func() {
-		p.alongRoute, p.pool, p.maxOtherRunning = false, pool, math.Inf(1)
+		p.pickingForRoute, p.totals, p.maxOtherCurrentWeight = false, totals, math.Inf(1)
 		for _, s := range p.servers {
-			s.running, s.outsideGroup = s.savedRunning, false
+			s.currentWeight, s.outsideGroup = s.savedCurrentWeight, false
 		}
 	}
 }
--- a/balance/picker_test.go
+++ b/balance/picker_test.go
@@ -37,12 +37,12 @@
 		s.consecutiveErrors, s.lastErrorAt = 2, h.now
 	}
 	h.b.servers[2].consecutiveErrors = 1
-	h.b.servers[1].running = 1000 // next in the rotation, but not the healthiest
+	h.b.servers[1].currentWeight = 1000 // next in the rotation, but not the healthiest
 	id, acts := h.sendRequest(idempotentClass)
 	if s, _ := sentTo(acts); s != 2 {
 		t.Fatalf("first sent to %d, want 2", s)
 	}
-	h.b.servers[3].running = 1000 // next in the rotation, which must not count for a further attempt
+	h.b.servers[3].currentWeight = 1000 // next in the rotation, which must not count for a further attempt
 	if s, ok := sentTo(h.endAttempt(id, 0, Rejected, 1)); !ok || s != 3 {
 		t.Fatalf("the second attempt goes to %d, want 3", s)
 	}
@@ -60,7 +60,7 @@
 	} {
 		h := newHarness(t, baseConfig(), identicalServers(4)...)
 		for i, s := range h.b.servers {
-			s.inFlight, s.running = c.inFlight[i], float64(10*(4-i))
+			s.inFlight, s.currentWeight = c.inFlight[i], float64(10*(4-i))
 		}
 		h.b.servers[1].consecutiveErrors, h.b.servers[1].lastErrorAt = 1, h.now-5000
 		r := &request{class: &h.b.cfg.Classes[idempotentClass], stats: &h.b.demand.classes[idempotentClass]}
@@ -69,7 +69,7 @@
 				t.Errorf("%v: the further attempt went to the server of lowest health", c.inFlight)
 			}
 			for i, s := range h.b.servers {
-				s.running = float64(10 * (4 - i))
+				s.currentWeight = float64(10 * (4 - i))
 			}
 		}
 		if s := h.b.pick(r, false); s.ID != c.want {
@@ -94,8 +94,8 @@
 	if sends[3]+sends[4] < 3*(sends[1]+sends[2])/2 {
 		t.Fatalf("attempts by server: %v", sends)
 	}
-	if h.b.capacity.kindSizes[1] <= h.b.capacity.kindSizes[0] {
-		t.Fatalf("capacities by kind: %v", h.b.capacity.kindSizes)
+	if h.b.capacity.kindLogSizes[1] <= h.b.capacity.kindLogSizes[0] {
+		t.Fatalf("capacities by kind: %v", h.b.capacity.kindLogSizes)
 	}
 }
 
@@ -108,17 +108,17 @@
 		h.b.capacity.learn(fast, 0.5)
 		h.b.capacity.learn(slow, 1.5)
 	}
-	early := fast.size - slow.size
+	early := fast.logSize - slow.logSize
 	for range 2000 { // much later, one of two equal servers becomes faster
 		h.b.capacity.learn(fast, 1)
 		h.b.capacity.learn(slow, 1)
 	}
-	before := fast.size - slow.size
+	before := fast.logSize - slow.logSize
 	for range 20 {
 		h.b.capacity.learn(fast, 0.5)
 		h.b.capacity.learn(slow, 1.5)
 	}
-	if late := fast.size - slow.size - before; early < 3*late || late <= 0 {
+	if late := fast.logSize - slow.logSize - before; early < 3*late || late <= 0 {
 		t.Fatalf("learned %.3f at first and %.3f later", early, late)
 	}
 }
--- a/balance/rank.go
+++ b/balance/rank.go
@@ -2,12 +2,13 @@
 
 import "math"
 
-// zonePreference is how much earlier servers of a nearer tier come by rank, per unit of the price of
-// crossing.
+// zonePreference scales how far servers of nearer tiers are preferred by rank. Their weight is multiplied
+// by 1 + zonePreference × the price of crossing zones, for each tier.
 const zonePreference = 200
 
-// rankOf orders servers for this sidecar by weighted rendezvous hashing: a server that comes, goes or
-// restarts moves no other. The weight of a server is higher the nearer its tier.
+// rankOf returns the rank of a server for this sidecar by weighted rendezvous hashing; lower ranks are
+// used first. A server that joins, leaves or restarts changes the rank of no other. Servers of nearer
+// tiers have a higher weight.
 func (s *shared) rankOf(srv *server) float64 {
 	hash := mix(mix(uint64(s.cfg.Number)+1) ^ uint64(srv.ID))
 	exponential := -math.Log(float64(hash>>11+1) / (1 << 53)) // exponentially distributed
--- a/balance/request.go
+++ b/balance/request.go
@@ -136,6 +136,6 @@
 func (a *attempt) endTrial() {
 	if a.zoneTrial {
 		a.zoneTrial = false
-		a.server.zone.trials--
+		a.server.zone.trialsInFlight--
 	}
 }
--- a/balance/request_events.go
+++ b/balance/request_events.go
@@ -25,7 +25,7 @@
 	}
 	b.requests[ev.ID] = r
 	if b.admission.idle() {
-		b.admission.forgetLoad()
+		b.admission.resetShedding()
 		b.outliers.forgetErrors()
 	}
 	admitted := !b.shutdown && b.admission.admit(r)
@@ -159,19 +159,19 @@
 	if s.processDown && !b.slowStart.warmingUp(s) { // a restart that is not listed yet
 		b.slowStart.begin(s, b.now)
 	}
-	s.pardon()
-	if b.health.takeReport(s, ev.Report) > r.class.LatencyObjective {
+	s.reset()
+	if b.health.recordReport(s, ev.Report) > r.class.LatencyObjective {
 		b.outliers.ejectForQueue(s, b.demand.rate())
 	}
-	b.admission.recordAnswer(latency)
+	b.admission.recordResponse(latency)
 	if b.now <= r.arrivedAt+r.class.LatencyObjective {
 		b.demand.recordServed(r)
 	}
-	b.locality.recordAnswer(s.zone, a.zoneTrial, latency)
+	b.locality.recordResponse(s.zone, a.zoneTrial, latency)
 	if r.stats.samples > 0 {
 		b.capacity.learn(s, ev.Elapsed/r.stats.mean)
 	}
-	r.stats.add(ev.Elapsed)
+	r.stats.addLatency(ev.Elapsed)
 }
 
 func (b *Balancer) onClientGone(ev ClientGone) {
@@ -230,11 +230,11 @@
 	r.liveAttempts++
 	route := b.canary.takeNext()
 	a := attempt{
-		server: s, sentAt: b.now, endsAtObjective: b.retry.endsAtObjective(r), zoneTrial: s.zone.left,
+		server: s, sentAt: b.now, endsAtObjective: b.retry.endsAtObjective(r), zoneTrial: s.zone.suspended,
 		lateIsFailure: route.lateIsFailure, budget: route.budget,
 	}
 	if a.zoneTrial {
-		s.zone.trials++
+		s.zone.trialsInFlight++
 	}
 	if r.BodyStreaming {
 		a.sentAt, r.deadline, r.arrivedAt = math.Inf(1), math.Inf(1), math.Inf(1)
--- a/balance/rotation_test.go
+++ b/balance/rotation_test.go
@@ -23,15 +23,15 @@
 			bounded, exhaustive := mustNew(t, cfg), mustNew(t, cfg)
 			handle := func(now float64, ev Event) []Action {
 				t.Helper()
-				exhaustive.picker.maxOtherRunning = math.Inf(1) // no server is skipped
+				exhaustive.picker.maxOtherCurrentWeight = math.Inf(1) // no server is skipped
 				want, err := exhaustive.Handle(now, ev)
 				got, again := bounded.Handle(now, ev)
 				if err != nil || again != nil || !reflect.DeepEqual(want, got) {
 					t.Fatalf("%#v: %v %v, without skipping %v %v", ev, got, again, want, err)
 				}
 				for i, s := range exhaustive.servers {
-					if q := bounded.servers[i]; q.ID != s.ID || q.running != s.running || q.weight != s.weight {
-						t.Fatalf("%#v: server %d has the running value %v, without skipping %v", ev, s.ID, q.running, s.running)
+					if q := bounded.servers[i]; q.ID != s.ID || q.currentWeight != s.currentWeight || q.weight != s.weight {
+						t.Fatalf("%#v: server %d has the running value %v, without skipping %v", ev, s.ID, q.currentWeight, s.currentWeight)
 					}
 				}
 				return slices.Clone(got)
--- a/balance/route_state.go
+++ b/balance/route_state.go
@@ -108,7 +108,7 @@
 				continue
 			}
 			for side := range placement.running {
-				placement.running[side] = maxInitialRunning * c.randomFor(uint64(s.ID), uint64(sides*i+side)+1)
+				placement.running[side] = maxInitialCurrentWeight * c.randomFor(uint64(s.ID), uint64(sides*i+side)+1)
 			}
 		}
 	}
@@ -118,7 +118,7 @@
 func (c *canaryRouter) storeRunning(route *tenantRoute, side int) {
 	for _, s := range c.servers {
 		if !s.outsideGroup {
-			s.placements[route.slot].running[side] = s.running
+			s.placements[route.slot].running[side] = s.currentWeight
 		}
 	}
 }
--- a/balance/routes.go
+++ b/balance/routes.go
@@ -109,7 +109,7 @@
 
 // pick returns the server for an attempt of a request that has a route, nil if there is none now.
 func (c *canaryRouter) pick(route *tenantRoute, r *request, retry bool, firstTier int) *server {
-	defer c.picker.saveRunning()()
+	defer c.picker.saveCurrentWeights()()
 	p := routePick{tenantRoute: route, request: r, retry: retry, firstTier: firstTier}
 	side := baseSide
 	if c.prefersCanary(route, r) {
@@ -167,7 +167,7 @@
 func (c *canaryRouter) pickGroup(p *routePick, side int, group uint8) (*server, int) {
 	for _, s := range c.servers {
 		placement := &s.placements[p.slot]
-		s.running, s.outsideGroup = placement.running[side], placement.group[side] != group
+		s.currentWeight, s.outsideGroup = placement.running[side], placement.group[side] != group
 	}
 	total := c.picker.weighCandidates(p.request, p.retry, p.withEjected)
 	p.totalWeight += total
--- a/balance/routes_test.go
+++ b/balance/routes_test.go
@@ -356,14 +356,14 @@
 	if n := testing.AllocsPerRun(100, func() { r.positionDrawn = false; h.b.pick(r, false) }); n > 0 {
 		t.Errorf("%v allocations", n)
 	}
-	h.b.picker.pool.weight = 321
+	h.b.picker.totals.weight = 321
 	for i, s := range h.b.servers {
-		s.running = float64(i)
+		s.currentWeight = float64(i)
 	}
 	h.b.pick(r, false)
 	for i, s := range h.b.servers {
-		if s.running != float64(i) || s.outsideGroup || h.b.picker.pool.weight != 321 || h.b.picker.alongRoute {
-			t.Errorf("after a pick %+v, pool %v", s, h.b.picker.pool)
+		if s.currentWeight != float64(i) || s.outsideGroup || h.b.picker.totals.weight != 321 || h.b.picker.pickingForRoute {
+			t.Errorf("after a pick %+v, pool %v", s, h.b.picker.totals)
 		}
 	}
 }
--- a/balance/server.go
+++ b/balance/server.go
@@ -1,17 +1,17 @@
 package balance
 
-// server is what this sidecar knows of one server. Each embedded type belongs to the decision that writes it.
+// server is the state of one server. Each embedded struct belongs to the component that writes it.
 type server struct {
-	Server       // the newest entry that counts
-	listing      // of endpointList
-	candidacy    // of picker
-	faultRecord  // of outlierDetector
-	warmUp       // of slowStart
-	healthReport // of healthChecker
+	Server        // the newest accepted list entry
+	listing       // endpointList
+	candidacy     // picker
+	failureRecord // outlierDetector
+	warmUp        // slowStart
+	healthReport  // healthChecker
 
 	zone       *zone
-	size       float64          // learned logarithm of its size, beyond that of its kind and zone; of capacityModel
-	evidenceAt milliseconds     // when it last counted as evidence against its zone; of locality
-	placements []routePlacement // its place in each route, by slot; of canaryRouter
-	inFlight   int              // attempts of this process
+	logSize    float64          // learned log size without the terms of its kind and zone; written by capacityModel
+	evidenceAt milliseconds     // when it last counted as evidence against its zone; written by locality
+	placements []routePlacement // its placement in each route, by slot; written by canaryRouter
+	inFlight   int              // attempts of this process in flight
 }
--- a/balance/slow_start.go
+++ b/balance/slow_start.go
@@ -2,68 +2,76 @@
 
 import "math"
 
-// fleetHalfLife is the time in which the estimated size of the fleet halves at most.
+// fleetHalfLife is the half-life of the estimated fleet size after the fleet has become smaller.
 const fleetHalfLife milliseconds = 10_000
 
 const (
-	overloadReserve = 2 // the budget fills at OverloadMultiple divided by this
-	budgetParts     = 4 // the bucket holds the tokens of OverloadTime divided by this
+	overloadSafetyFactor = 2 // the budget fills at OverloadMultiple divided by this factor
+	budgetDivisor        = 4 // the token bucket holds the tokens of OverloadTime divided by this number
 )
 
-// slowStart bounds what is sent to servers that have just started, by all processes of the fleet together.
+// slowStart limits the requests that all processes of the fleet together send to servers that have just
+// started.
 type slowStart struct {
 	*shared
-	admission      *admission
-	processes      float64 // of this sidecar: two during an upgrade
-	assumedAnswers float64 // of this sidecar in each warm-up budget: its part of one for each peer
-	fleet          FleetEstimate
+	admission *admission
+	processes float64 // processes of this sidecar; 2 during an upgrade
+	// Responses that this sidecar assumes in each warm-up budget, beside those observed. All sidecars
+	// together assume as many as Config.Peers.
+	assumedResponses float64
+	fleet            FleetEstimate
 }
 
-// warmUp is the slow start of a server.
+// warmUp is the state of a server's slow start.
 type warmUp struct {
-	slowStartAt milliseconds // -Inf: long ago
-	tokens      float64      // attempts left in its budget, a token bucket
-	tokensAt    milliseconds
+	slowStartAt milliseconds // when the slow start began; -Inf: long ago
+	tokens      float64      // attempts that the budget, a token bucket, allows now
+	tokensAt    milliseconds // when tokens was last updated
 }
 
 func newSlowStart(s *shared, admission *admission) *slowStart {
-	return &slowStart{shared: s, admission: admission, processes: 1, assumedAnswers: 1}
+	return &slowStart{shared: s, admission: admission, processes: 1, assumedResponses: 1}
 }
 
-// begin starts the warm-up of a server. The random budget keeps the first attempts of all sidecars apart.
+// begin starts the warm-up of a server. The initial budget is random, so that the first attempts of all
+// sidecars do not come at the same time.
 func (w *slowStart) begin(s *server, since milliseconds) {
 	s.slowStartAt, s.tokens, s.tokensAt = since, w.random(), w.now
 }
 
+// warmingUp reports whether a server is in its slow start.
 func (w *slowStart) warmingUp(s *server) bool { return w.now < s.slowStartAt+w.cfg.SlowStartTime }
 
-// warmth is the fraction of its capacity that a server has at least.
-func (w *slowStart) warmth(s *server) float64 {
+// warmUpFraction returns the fraction of its full capacity that a server has at least. It grows linearly
+// from SlowStartCapacity to 1 within SlowStartTime.
+func (w *slowStart) warmUpFraction(s *server) float64 {
 	age := math.Max(0, w.now-s.slowStartAt) / w.cfg.SlowStartTime
 	return w.cfg.SlowStartCapacity + (1-w.cfg.SlowStartCapacity)*math.Min(1, age)
 }
 
-// withinBudget reports whether a server that warms up may get one more attempt, retries included. The budget
-// is a token bucket.
+// withinBudget reports whether a server that warms up may get another attempt, retries included. The
+// budget is a token bucket.
 //
-// It fills at OverloadMultiple / overloadReserve times the rate of answers that warm servers of the same size
-// give to this sidecar, lowered by the server's warmth, but at least at the rate that it would have if all
-// servers were alike. Answers count rather than requests, as clients repeat requests that fail. The rate is
-// of a while ago; pool.cooling lowers it where servers were warmer then.
+// The bucket fills at OverloadMultiple / overloadSafetyFactor times the rate of responses that this
+// sidecar gets from a warm server of the same size, multiplied by the server's warm-up fraction. It fills
+// at least at the rate that results if all servers have the same size. Responses are counted rather than
+// requests, as clients repeat requests that fail. The rate of responses is an average over past seconds;
+// totals.warmUpRatio lowers it if servers were warmer then.
 //
-// Along a route only the rate of equal servers counts, and idle time adds little: a route may bring all
-// sidecars to a server at once.
-func (w *slowStart) withinBudget(s *server, pool *candidatePool, alongRoute bool) bool {
-	fraction := s.weight / math.Max(pool.weight, s.weight) * pool.cooling
-	fraction *= math.Max(1, w.cfg.OverloadMultiple/overloadReserve)
+// In a pick for a route, only the rate for servers of the same size counts, and idle time beyond
+// OverloadTime adds no tokens: a route may direct all sidecars to one server at the same time.
+func (w *slowStart) withinBudget(s *server, totals *candidateTotals, forRoute bool) bool {
+	fraction := s.weight / math.Max(totals.weight, s.weight) * totals.warmUpRatio
+	fraction *= math.Max(1, w.cfg.OverloadMultiple/overloadSafetyFactor)
 	span := w.now - s.tokensAt
-	if alongRoute {
+	if forRoute {
 		fraction, span = 0, math.Min(span, w.cfg.OverloadTime)
 	}
-	equalRate := w.admission.answerRate(w.assumedAnswers/w.processes) * w.warmth(s) / float64(len(w.servers))
-	ownRate := w.admission.answerRate(math.Min(w.assumedAnswers, 1)/w.processes) * fraction
+	equalRate := w.admission.responseRate(w.assumedResponses / w.processes)
+	equalRate = equalRate * w.warmUpFraction(s) / float64(len(w.servers))
+	ownRate := w.admission.responseRate(math.Min(w.assumedResponses, 1)/w.processes) * fraction
 	rate := math.Max(ownRate, equalRate)
-	s.tokens = math.Min(s.tokens+rate*span, math.Max(1, rate*w.cfg.OverloadTime/budgetParts))
+	s.tokens = math.Min(s.tokens+rate*span, math.Max(1, rate*w.cfg.OverloadTime/budgetDivisor))
 	s.tokensAt = w.now
 	return s.tokens >= 1
 }
@@ -73,24 +81,25 @@
 }
 
 func (w *slowStart) onFleetSize(ev FleetSize) {
-	w.assumedAnswers = float64(w.cfg.Peers) * w.fleet.Quota(w.now, ev)
+	w.assumedResponses = float64(w.cfg.Peers) * w.fleet.Quota(w.now, ev)
 }
 
-// FleetEstimate is how many processes share what the fleet allows together, as far as one of them may rely on
-// it.
+// FleetEstimate estimates how many processes share the limits of the fleet. The estimate is high rather
+// than low, so that the quotas of all processes add up to 1 at most.
 type FleetEstimate struct {
-	size float64
-	at   milliseconds
+	size      float64
+	updatedAt milliseconds
 }
 
-// Quota updates the estimate by a FleetSize and returns the part of this process; 0: others do not know of it
-// yet. A larger fleet counts at once. A smaller one counts gradually, and not while half of the processes or
-// more are silent: this one may be cut off.
+// Quota updates the estimate from a FleetSize and returns the share of this process. The share is 0 until
+// all known processes know this one. A larger size takes effect at once. A smaller one takes effect
+// gradually, and only while more than half of the processes are reachable, as this process may be
+// partitioned from the others.
 func (e *FleetEstimate) Quota(now milliseconds, size FleetSize) float64 {
 	if 2*size.Reachable > size.Known {
-		e.size *= math.Exp2(math.Min(e.at-now, 0) / fleetHalfLife)
+		e.size *= math.Exp2(math.Min(e.updatedAt-now, 0) / fleetHalfLife)
 	}
-	e.size, e.at = math.Max(e.size, math.Max(float64(size.Known), 1)), now
+	e.size, e.updatedAt = math.Max(e.size, math.Max(float64(size.Known), 1)), now
 	if !size.Admitted {
 		return 0
 	}
--- a/balance/slow_start_test.go
+++ b/balance/slow_start_test.go
@@ -108,7 +108,7 @@
 	cfg := baseConfig()
 	list := identicalServers(4)
 	h := newHarness(t, cfg, list...)
-	h.b.byID[1].size = -maxSize
+	h.b.byID[1].logSize = -maxLogSize
 	var inFlight []RequestID
 	serve := func(ms int) int { // 200 requests a second, 8 in flight: busy servers
 		sends := 0
@@ -160,7 +160,7 @@
 		t.Fatalf("%.2f attempts in two seconds", s.tokens)
 	}
 	for range 400 { // 200 observed answers a second
-		h.b.admission.answers.add(h.now, rateSpanObjectives*h.b.maxObjective)
+		h.b.admission.responses.add(h.now, rateSpanObjectives*h.b.maxObjective)
 	}
 	s.tokens, s.tokensAt = 0, h.now-2000
 	if h.b.picker.withinBudget(s); s.tokens < 0.5 {
--- a/balance/status.go
+++ b/balance/status.go
@@ -52,7 +52,7 @@
 func (b *Balancer) ZoneStatus() ZoneStatus {
 	status := ZoneStatus{Spill: b.locality.spill[0], FarSpill: b.locality.spill[1]}
 	for _, z := range b.locality.zones {
-		if z.left {
+		if z.suspended {
 			status.Left++
 		}
 		status.Evidence = math.Max(status.Evidence, z.evidence)
--- a/balance/zones.go
+++ b/balance/zones.go
@@ -1,24 +1,26 @@
 package balance
 
-// This file decides which zones and regions get requests. It has three rules, each from what this sidecar's
-// own requests met.
+// This file decides which zones and regions get requests, based on the outcomes of this sidecar's own
+// requests. There are three rules.
 //
-// Nearest first. Servers are taken by tier: the own zone, the own region, elsewhere. A near server is passed
-// over only if its requests, one after another, would take more than maxHeldObjective of the objective. What
-// the near tiers cannot take spills over: the part of first attempts that begin one tier further moves by
-// small steps. It grows while near answers take longer than those elsewhere by more than the price of
-// crossing allows for, and falls as they get quicker.
+// Nearest first. Servers are used by tier: own zone, own region, elsewhere. A near server whose load is
+// over its share is passed over only if its requests, served one after another, would take more than
+// maxNearQueueFraction of the latency objective. Load that the near tiers cannot take spills over: the
+// fraction of first attempts that start one tier further changes in small steps. It grows while responses
+// from the near tier take longer than those from further tiers by more than the price of crossing
+// justifies, and falls when they become faster.
 //
-// Leaving a zone. A server that failed since its zone last answered is evidence against the zone: full
-// evidence if its connection never came up, partial evidence otherwise, as single servers restart and fail
-// now and then. With evidence of evidenceToLeave, and another zone that answers meanwhile, the zone is left.
-// If a part q of the servers is faulty on its own, two failures in a row without an answer between them come
-// by chance in q² of cases: 1.6 % for one in eight. A zone larger than the rest needs up to twice the
-// evidence. Where no other zone answers, the fault is nearer, and no zone is left.
+// Suspending a zone. A server that has failed since its zone last responded is evidence against the zone:
+// full evidence if its connection was not established in time, partial evidence otherwise, as single
+// servers restart and fail now and then. A zone with evidence of evidenceToSuspend is suspended if
+// another zone has responded meanwhile. If a fraction q of the servers is faulty independently of the
+// zone, two consecutive failures without a response in between occur by chance in q² of cases: 1.6 % for
+// one server in eight. A zone larger than the rest needs up to twice the evidence. If no other zone
+// responds, the fault is near this sidecar, and no zone is suspended.
 //
-// Returning. After a pause, longer each time and randomised, one request that may be repeated goes to the
-// zone. Each good answer admits one more at a time, until they are as many as the servers in the rotation. A
-// failure begins the next pause.
+// Resuming a zone. After a randomised pause, which is longer after each suspension, one request that may
+// be repeated is sent to the zone as a trial. Each successful response admits one more request at a time,
+// until they are as many as the servers in the rotation. A failure starts the next pause.
 
 import (
 	"fmt"
@@ -26,79 +28,84 @@
 )
 
 const (
-	maxHeldObjective = 0.33 // part of the objective that a near server's requests may take one after another
-	halfPrice        = 0.1  // price of crossing at which half of the spare objective is used before it
-	spillStepPart    = 0.5  // of the step of shedding: both follow the same answers, and one must be slower
-	maxSpill         = 0.9  // some near answers are needed to see that the near servers can take more again
-	tierSamples      = 20   // answers over which a tier's latency is taken
-	evidenceToLeave  = 2    // evidence against a zone at which it is left
-	fullEvidence     = 1
-	partialEvidence  = 0.5
+	// Fraction of the objective that the queued requests of a near server may take.
+	maxNearQueueFraction = 0.33
+	// Price of crossing at which half of the spare objective is used up before crossing.
+	halfPrice = 0.1
+	// Fraction of the step of load shedding; both follow the same responses, and one must be slower.
+	spillStepFraction = 0.5
+	// Some near responses are needed to detect that near servers have capacity again.
+	maxSpill          = 0.9
+	tierLatencyWindow = 20 // responses over which the latency of a tier is averaged
+	evidenceToSuspend = 2  // evidence against a zone at which it is suspended
+	fullEvidence      = 1
+	partialEvidence   = 0.5
 
-	answersToTrust   = 2           // good answers of a zone on trial before it gets non-idempotent requests
-	stableObjectives = 20          // longest objectives in use after which the pauses of a zone start again
+	responsesToTrust = 2 // successful responses of a zone on trial before it gets non-idempotent requests
+	// Time in full use, in longest objectives, after which the pauses of a zone start short again.
+	stableObjectives = 20
 	tiers            = 3           // own zone, own region, elsewhere
-	fullLevel        = 4*tiers + 1 // level of a server that cannot take one more request
+	fullLevel        = 4*tiers + 1 // level of a server that cannot take another request
 )
 
-// locality decides which zones and tiers requests may go to.
+// locality decides to which zones and tiers requests may go.
 type locality struct {
 	*shared
 	admission *admission
 	demand    *demand
 
-	zones         []*zone // in the order in which they were first listed
-	tierLatencies [tiers]tierLatency
-	spill         [tiers]float64 // part of first attempts that begin beyond each tier
-	spillDue      [tiers]float64 // attempts that are due to begin beyond it
-	spillAt       milliseconds   // when spill was last moved
+	zones          []*zone // in the order in which they were first listed
+	tierLatencies  [tiers]tierLatency
+	spill          [tiers]float64 // fraction of first attempts that start beyond each tier
+	spillCredit    [tiers]float64 // attempts that are due to start beyond each tier; at 1 the next one does
+	spillUpdatedAt milliseconds   // when spill was last updated
 }
 
-// zone is what this sidecar knows of a zone as a whole.
+// zone is the state of a zone as seen by this sidecar.
 type zone struct {
-	id            int
-	tier          int
-	ready         int          // servers listed as ready
-	answeredAt    milliseconds // when it last answered
-	clearedAt     milliseconds // when the evidence against it was last dropped
-	evidence      float64      // since then
-	evidenceSince milliseconds // the first of it
+	id                int
+	tier              int
+	ready             int          // servers listed as ready
+	lastResponseAt    milliseconds // when the zone last responded
+	evidenceClearedAt milliseconds // when the evidence against it was last cleared
+	evidence          float64      // sum of the weights of the failures since then
+	evidenceSince     milliseconds // time of the first of these failures
 
-	left       bool         // it gets nothing, or is being tried again
-	leftUntil  milliseconds // end of the pause
-	timesLeft  int          // in a row
-	returnedAt milliseconds // when it was last in full use again
-	admitLimit float64      // requests in flight at a time while it is being tried
-	trials     float64      // such requests in flight
+	suspended              bool         // set during the pause and the trial after it
+	suspendedUntil         milliseconds // end of the pause
+	consecutiveSuspensions int
+	trialEndedAt           milliseconds // when the last trial succeeded and the zone was in full use again
+	trialLimit             float64      // requests that may be in flight at the same time during a trial
+	trialsInFlight         float64      // requests of the trial in flight
 }
 
 // paused reports whether the zone gets no requests at all.
-func (z *zone) paused(now milliseconds) bool { return z.left && now < z.leftUntil }
+func (z *zone) paused(now milliseconds) bool { return z.suspended && now < z.suspendedUntil }
 
-// onTrial reports whether the zone gets a few requests after a pause.
-func (z *zone) onTrial(now milliseconds) bool { return z.left && now >= z.leftUntil }
+// onTrial reports whether the zone gets a limited number of requests after a pause.
+func (z *zone) onTrial(now milliseconds) bool { return z.suspended && now >= z.suspendedUntil }
 
-// tierLatency is the mean latency of a tier's answers, as a multiple of the objective. Failures count as
+// tierLatency is the mean latency of a tier's responses as a multiple of the objective. Failures count as
 // maxLatency.
 type tierLatency struct {
-	mean    float64
-	samples float64 // answers that mean is taken over
-	at      milliseconds
+	mean      float64
+	samples   float64 // responses over which mean is averaged
+	updatedAt milliseconds
 }
 
-// zone returns what is known of a zone.
+// zone returns the state of a zone, which is created if necessary.
 func (l *locality) zone(id int) *zone {
 	for _, z := range l.zones {
 		if z.id == id {
 			return z
 		}
 	}
-	z := &zone{id: id, tier: l.tier(id), returnedAt: math.Inf(-1)}
+	z := &zone{id: id, tier: l.tier(id), trialEndedAt: math.Inf(-1)}
 	l.zones = append(l.zones, z)
 	return z
 }
 
-// tier is how far a zone is away. Where crossing costs nothing all zones are alike.
+// tier returns the distance of a zone. If crossing zones costs nothing, all zones are in tier 0.
 func (l *locality) tier(id int) int {
 	switch {
 	case l.cfg.Prices.CrossZone == 0 || id == l.cfg.Zone:
@@ -109,24 +116,25 @@
 	return 2
 }
 
-// latency is the mean latency of a tier. Without answers it decays to the minimum of all.
+// latency returns the mean latency of a tier. Without further responses it decays to the minimum latency.
 func (l *locality) latency(tier int) float64 {
 	t := &l.tierLatencies[tier]
-	return l.admission.minMeanLatency + (t.mean-l.admission.minMeanLatency)*math.Exp2((t.at-l.now)/halfLife)
+	lowest := l.admission.minMeanLatency
+	return lowest + (t.mean-lowest)*math.Exp2((t.updatedAt-l.now)/halfLife)
 }
 
-// recordLatency records the latency of an answer of a tier.
+// recordLatency records the latency of a response from a tier.
 func (l *locality) recordLatency(tier int, latency float64) {
 	t := &l.tierLatencies[tier]
-	t.mean, t.at = l.latency(tier), l.now
-	t.samples = math.Min(t.samples+1, tierSamples)
-	t.mean += (math.Min(latency, maxLatency) - t.mean) / (t.samples + priorAnswers)
+	t.mean, t.updatedAt = l.latency(tier), l.now
+	t.samples = math.Min(t.samples+1, tierLatencyWindow)
+	t.mean += (math.Min(latency, maxLatency) - t.mean) / (t.samples + priorResponses)
 }
 
-// startTier moves the spill of all tiers and returns the tier that a first attempt begins at.
+// startTier updates the spill of all tiers, and returns the tier at which a first attempt starts.
 func (l *locality) startTier() int {
 	usable := l.usableTiers()
-	step := l.controllerStep(l.spillAt)
+	step := l.controllerStep(l.spillUpdatedAt)
 	price := l.cfg.Prices.CrossZone
 	for t := 0; t+1 < tiers; t++ {
 		further := t + 1
@@ -134,17 +142,17 @@
 			further++
 		}
 		if !usable[t] || !usable[further] {
-			l.spill[t], l.spillDue[t] = 0, 0
+			l.spill[t], l.spillCredit[t] = 0, 0
 			continue
 		}
 		l.adjustSpill(t, further, step, price)
 		price *= math.Max(1, l.cfg.RegionCost)
 	}
-	l.spillAt = l.now
-	return l.takeSpill()
+	l.spillUpdatedAt = l.now
+	return l.nextStartTier()
 }
 
-// usableTiers reports which tiers have a ready server in a zone that is in use.
+// usableTiers reports which tiers have a ready server in a zone that is not paused.
 func (l *locality) usableTiers() [tiers]bool {
 	var usable [tiers]bool
 	for _, z := range l.zones {
@@ -155,61 +163,64 @@
 	return usable
 }
 
-// adjustSpill moves the spill of a tier by the latency that it has above that of a further tier. The price of
-// crossing allows for part of the spare objective.
+// adjustSpill updates the spill of a tier by the excess of its latency over that of a further tier. The
+// price of crossing justifies an excess of a part of the spare objective.
 func (l *locality) adjustSpill(t, further int, step, price float64) {
 	spare := spareObjective * price / (price + halfPrice) * (1 - l.admission.minMeanLatency)
 	excess := l.latency(t) - math.Max(l.admission.minMeanLatency, l.latency(further)) - spare
-	l.spill[t] = bound(l.spill[t]+spillStepPart*step*bound(excess/spare, -1, 1), 0, maxSpill)
+	l.spill[t] = bound(l.spill[t]+spillStepFraction*step*bound(excess/spare, -1, 1), 0, maxSpill)
 }
 
-// takeSpill returns the first tier that is not due to be passed over.
-func (l *locality) takeSpill() int {
+// nextStartTier adds the spill of each tier to its credit, and returns the first tier without a full
+// credit.
+func (l *locality) nextStartTier() int {
 	t := 0
 	for ; t+1 < tiers; t++ {
-		if l.spillDue[t] += l.spill[t]; l.spillDue[t] < 1 {
+		if l.spillCredit[t] += l.spill[t]; l.spillCredit[t] < 1 {
 			break
 		}
-		l.spillDue[t]--
+		l.spillCredit[t]--
 	}
 	return t
 }
 
-// recordAnswer records a good answer of a zone, and judges the other zones by it.
-func (l *locality) recordAnswer(z *zone, trial bool, latency float64) {
+// recordResponse records a successful response of a zone, and reassesses the other zones.
+func (l *locality) recordResponse(z *zone, trial bool, latency float64) {
 	l.recordLatency(z.tier, latency)
-	// If this zone seemed to have failed, too, the failures in other zones meanwhile had a common cause.
-	commonCause := z.evidence >= evidenceToLeave
-	z.answeredAt, z.clearedAt, z.evidence = l.now, l.now, 0
-	if z.left && trial {
+	// If this zone seemed to have failed, too, the failures in the other zones since then had a common
+	// cause.
+	commonCause := z.evidence >= evidenceToSuspend
+	z.lastResponseAt, z.evidenceClearedAt, z.evidence = l.now, l.now, 0
+	if z.suspended && trial {
 		l.admitMore(z)
 	}
 	for _, other := range l.zones {
 		if other != z && commonCause {
-			other.clearedAt, other.evidence = l.now, 0
+			other.evidenceClearedAt, other.evidence = l.now, 0
 		} else if other != z {
-			l.judge(other)
+			l.suspendOnEvidence(other)
 		}
 	}
 }
 
-// admitMore raises the number of requests to a zone that is being tried. It ends the trial once they are as
-// many as the servers in the rotation.
+// admitMore raises the number of requests that a zone on trial may have in flight. The trial ends when
+// they are as many as the servers in the rotation.
 func (l *locality) admitMore(z *zone) {
-	z.admitLimit++
-	if z.admitLimit >= math.Min(float64(z.ready), float64(rotationSize(l.demand.rate()))) {
-		z.left, z.returnedAt = false, l.now
-		l.log(fmt.Sprintf("zones: zone %d is in full use again", z.id))
+	z.trialLimit++
+	if z.trialLimit >= math.Min(float64(z.ready), float64(rotationSize(l.demand.rate()))) {
+		z.suspended, z.trialEndedAt = false, l.now
+		l.log(fmt.Sprintf("zones: zone %d resumed", z.id))
 	}
 }
 
-// addEvidence counts the failure of a server as evidence against its zone.
+// addEvidence counts the failure of a server as evidence against its zone. A server counts once until its
+// zone responds.
 func (l *locality) addEvidence(s *server, weight float64) {
 	z := s.zone
 	if z.onTrial(l.now) {
-		l.leave(z)
+		l.suspend(z)
 	}
-	if s.evidenceAt >= z.clearedAt {
+	if s.evidenceAt >= z.evidenceClearedAt {
 		return
 	}
 	s.evidenceAt = l.now
@@ -217,60 +228,62 @@
 		z.evidenceSince = l.now
 	}
 	z.evidence += weight
-	l.judge(z)
+	l.suspendOnEvidence(z)
 }
 
-// withdrawEvidence takes back the full evidence of a server against its zone.
+// withdrawEvidence removes the full evidence of a server against its zone.
 func (l *locality) withdrawEvidence(s *server) {
-	if z := s.zone; s.evidenceAt >= z.clearedAt {
+	if z := s.zone; s.evidenceAt >= z.evidenceClearedAt {
 		s.evidenceAt, z.evidence = math.Inf(-1), math.Max(0, z.evidence-fullEvidence)
 	}
 }
 
-// judge leaves a zone with enough evidence against it, if another one has answered since the first of it.
-func (l *locality) judge(z *zone) {
+// suspendOnEvidence suspends a zone if there is enough evidence against it and another zone has responded
+// since the first of its failures.
+func (l *locality) suspendOnEvidence(z *zone) {
 	otherServers, otherAnswers := 0, false
 	for _, other := range l.zones {
-		if other != z && !other.left {
+		if other != z && !other.suspended {
 			otherServers += other.ready
-			otherAnswers = otherAnswers || other.ready > 0 && other.answeredAt >= z.evidenceSince
+			otherAnswers = otherAnswers || other.ready > 0 && other.lastResponseAt >= z.evidenceSince
 		}
 	}
-	needed := evidenceToLeave * bound(float64(z.ready)/math.Max(float64(otherServers), 1), 1, 2)
-	if z.left || !otherAnswers || z.evidence < needed {
+	needed := evidenceToSuspend * bound(float64(z.ready)/math.Max(float64(otherServers), 1), 1, 2)
+	if z.suspended || !otherAnswers || z.evidence < needed {
 		return
 	}
-	l.log(fmt.Sprintf("zones: zone %d is left: evidence %g, and other zones answer", z.id, z.evidence))
-	if l.now > z.returnedAt+stableObjectives*l.maxObjective {
-		z.timesLeft = 0
+	l.log(fmt.Sprintf("zones: zone %d suspended: failure evidence %g, other zones respond", z.id, z.evidence))
+	if l.now > z.trialEndedAt+stableObjectives*l.maxObjective {
+		z.consecutiveSuspensions = 0
 	}
-	l.leave(z)
+	l.suspend(z)
 }
 
-// leave begins a pause of a zone. Jitter makes it up to a quarter shorter or longer.
-func (l *locality) leave(z *zone) {
-	z.left, z.admitLimit = true, 0
-	longer := float64(int(1) << min(z.timesLeft, maxPauseDoublings))
+// suspend starts a pause of a zone. Jitter makes the pause up to a quarter shorter or longer.
+func (l *locality) suspend(z *zone) {
+	z.suspended, z.trialLimit = true, 0
+	factor := float64(int(1) << min(z.consecutiveSuspensions, maxPauseDoublings))
 	jitter := 0.75 + l.random()/2
-	z.leftUntil = l.now + l.maxObjective*longer*jitter
-	z.timesLeft++
+	z.suspendedUntil = l.now + l.maxObjective*factor*jitter
+	z.consecutiveSuspensions++
 }
 
-// admits reports whether a request may go to a zone. One that is being tried gets few requests, and at first
-// only those that may be repeated.
+// admits reports whether a request may be sent to a zone. A zone on trial gets few requests, and at first
+// only requests that may be repeated.
 func (l *locality) admits(r *request, z *zone) bool {
 	switch {
-	case !z.left:
+	case !z.suspended:
 		return true
-	case z.paused(l.now) || z.trials >= math.Max(1, z.admitLimit) || r.BodyStreaming:
+	case z.paused(l.now) || z.trialsInFlight >= math.Max(1, z.trialLimit) || r.BodyStreaming:
 		return false
 	}
-	return r.class.Idempotency != NonIdempotent || z.admitLimit >= answersToTrust
+	return r.class.Idempotency != NonIdempotent || z.trialLimit >= responsesToTrust
 }
 
-// level orders servers for a first attempt that begins at a tier: the lowest level goes first. Tiers are
-// ordered by how far they are from the first one, and in each the servers within their share of the load come
-// before those that can take one more request. inFlight is what the server holds.
+// level returns the level of a server for a first attempt that starts at the tier firstTier; the lowest
+// level is preferred. Tiers are ordered by their distance from the first tier. Within a tier, servers
+// within their share of the load precede those above it that can take another request. inFlight is the
+// load of the server.
 func (l *locality) level(r *request, s *server, firstTier int, overLimit bool, inFlight float64) int {
 	distance := 2 * (s.zone.tier - firstTier)
 	if distance < 0 {
@@ -280,7 +293,7 @@
 		return 2 * distance
 	}
 	latency := math.Max(r.stats.mean/r.class.LatencyObjective, l.admission.minMeanLatency)
-	if (inFlight+1)*latency <= maxHeldObjective {
+	if (inFlight+1)*latency <= maxNearQueueFraction {
 		return 2*distance + 1
 	}
 	return fullLevel
