--- a/balance/admission.go
+++ b/balance/admission.go
@@ -5,23 +5,24 @@
 // Fractions of load refer to the load that the fleet can answer in time. Latencies are multiples of the
 // latency objective.
 const (
-	spareObjective     = 0.25 // fraction of the objective above the minimum latency that queueing may use
-	initialLatency     = 0.33 // minimum latency until enough responses were measured
-	meanWindow         = 50   // responses or load reports over which a mean is averaged
-	maxLatency         = 2    // upper limit of latencies that are recorded
-	proportionalGain   = 1.5  // fraction of the load shed at once, per unit of excess latency
-	minControllerStep  = 0.04 // least growth of sustainedShed with a request, per unit of excess latency
-	maxControllerStep  = 0.34 // greatest growth of sustainedShed, for requests that are far apart
-	shedTolerance      = 0.1  // part of sustainedShed that is not shed, as few requests fluctuate by chance
-	maxShed            = 0.95 // some responses are needed to detect that the load has fallen
+	spareObjective    = 0.25 // fraction of the span from minimum latency to objective that queueing may use
+	initialLatency    = 0.33 // minimum latency until enough responses were measured
+	meanWindow        = 50   // responses or load reports over which a mean is averaged
+	maxLatency        = 2    // upper limit of latencies that are recorded
+	proportionalGain  = 1.5  // fraction of the load shed at once, per unit of excess latency
+	minControllerStep = 0.04 // least factor by which the excess of a request is added to sustainedShed
+	maxControllerStep = 0.34 // greatest such factor, for requests that are far apart
+	// Part of sustainedShed that sheds no load, as latencies of few requests vary by chance.
+	shedTolerance      = 0.1
+	maxShed            = 0.95 // upper limit; some responses are needed to detect that the load has fallen
 	rateSpanObjectives = 8    // span of the response rate, in longest latency objectives
-	priorResponses     = 3    // responses assumed beside the recent ones; the load is averaged over as many
+	priorResponses     = 3    // responses assumed beside those observed; the mean load spans as many
 	maxQuotaCredit     = 2    // greatest factor by which requests of a tenant under its quota count more
 	shedValueBand      = 1.25 // requests whose values differ by less than this factor are shed alike
 )
 
 const (
-	// SustainedShed grows by the excess times the elapsed fraction of this time.
+	// Integration time: sustainedShed grows by the excess times the elapsed fraction of it.
 	integralTime milliseconds = 1500
 	idleTime     milliseconds = 60_000 // time without requests after which the load estimates are out of date
 	longAgo      milliseconds = 1e9    // age of a start that lies outside the span of any rate
@@ -45,8 +46,8 @@
 	minMeanLatency   float64 // smallest meanLatency so far
 	estimatedLatency float64 // by Little's law
 
-	responses       decayingCounter // responses within the last rateSpanObjectives objectives
-	recentResponses decayingCounter // responses within the last objective
+	responses       decayingCounter // responses, over a span of rateSpanObjectives objectives
+	recentResponses decayingCounter // responses, over a span of one objective
 	// Attempts whose clients disconnected, each counted by the fraction that was done.
 	abandoned decayingCounter
 
@@ -84,13 +85,13 @@
 	return shed == 0 || l.random() >= l.rejectChance(r, shed)
 }
 
-// controllerStep returns the factor by which an integral controller adds a new excess, if its last step
-// was at the time last.
+// controllerStep returns the factor by which an integral controller multiplies a new excess. last is the
+// time of its previous step.
 func (s *shared) controllerStep(last milliseconds) float64 {
 	return math.Max(minControllerStep, bound((s.now-last)/integralTime, 0, maxControllerStep))
 }
 
-// overloaded reports whether load is shed for a sustained overload.
+// overloaded reports whether there is a sustained overload, for which load is shed.
 func (l *admission) overloaded() bool { return l.sustainedShed > shedTolerance }
 
 // idle reports whether the last request was so long ago that the load estimates are out of date.
--- a/balance/admission_load_test.go
+++ b/balance/admission_load_test.go
@@ -5,9 +5,9 @@
 	"testing"
 )
 
-// rejectedWithLateConnects plays 4000 requests, of which each third waits for its first connection until the connect
-// timeout, at a load that servers answer in a sixth of the latency objective. It returns the number of rejected
-// requests.
+// rejectedWithLateConnects sends 4000 requests at a load that servers answer within a sixth of the latency
+// objective. Every third request waits for its first connection until the connect timeout. reported states whether
+// the balancer gets Connecting events. The function returns the number of rejected requests.
 func rejectedWithLateConnects(t *testing.T, reported bool) (rejected int) {
 	cfg := baseConfig()
 	cfg.ConnectTimeout = 160
@@ -19,8 +19,8 @@
 		end     float64
 		result  Result
 	}
-	var running []attemptInFlight
-	send := func(id RequestID, attempt int, acts []Action, late bool) {
+	var inFlight []attemptInFlight
+	send := func(id RequestID, attempt int, acts []Action, connectFails bool) {
 		if hasAction(acts, Reject) {
 			rejected++
 		}
@@ -28,20 +28,20 @@
 			return
 		}
 		o := attemptInFlight{id, attempt, h.now + latency, OK}
-		if late {
+		if connectFails {
 			o.end, o.result = h.now+cfg.ConnectTimeout, ConnectFailed
 			if reported {
 				h.handle(Connecting{Request: id, Attempt: attempt})
 			}
 		}
-		running = append(running, o)
+		inFlight = append(inFlight, o)
 	}
 	for n := range 4000 {
 		h.now += step
-		var still []attemptInFlight
-		for _, o := range running {
+		var remaining []attemptInFlight
+		for _, o := range inFlight {
 			if o.end > h.now {
-				still = append(still, o)
+				remaining = append(remaining, o)
 				continue
 			}
 			elapsed := latency
@@ -50,20 +50,20 @@
 			}
 			acts := h.endAttempt(o.id, o.attempt, o.result, float64(elapsed))
 			if o.result == ConnectFailed {
-				running = nil
+				inFlight = nil
 				send(o.id, o.attempt+1, acts, false)
-				still = append(still, running...)
+				remaining = append(remaining, inFlight...)
 			}
 		}
-		running = still
+		inFlight = remaining
 		id, acts := h.sendRequest(idempotentClass)
 		send(id, 0, acts, n%3 == 0)
 	}
 	return rejected
 }
 
-// An attempt that waits for its connection uses no server capacity, so it must not count as load: otherwise requests
-// are rejected while servers have free capacity.
+// An attempt that waits for its connection uses no server capacity and must not count as load. Otherwise requests
+// would be rejected while servers have free capacity.
 func TestAdmission_lateConnectsExcluded(t *testing.T) {
 	if rejected := rejectedWithLateConnects(t, true); rejected > 0 {
 		t.Errorf("%d of 4000 requests are rejected while servers have free capacity", rejected)
@@ -73,51 +73,51 @@
 	}
 }
 
-// Requests whose client leaves before the answer say nothing about the latency of answers. If their time counted as
-// load, requests would be rejected while servers have free capacity.
+// Requests whose client disconnects before the response are no measure of the latency of responses. If their time
+// counted as load, requests would be rejected while servers have free capacity.
 func TestAdmission_clientAbortsExcluded(t *testing.T) {
 	cfg := baseConfig()
 	h := newHarness(t, cfg, identicalServers(12)...)
 	const step, latency, leaveAfter = 30, 75, 70 // ms
 	type attemptInFlight struct {
-		id   RequestID
-		end  float64
-		gone bool
+		id           RequestID
+		end          float64
+		clientLeaves bool
 	}
-	var running []attemptInFlight
+	var inFlight []attemptInFlight
 	rejected := 0
 	for n := range 4000 {
 		h.now += step
-		var still []attemptInFlight
-		for _, o := range running {
+		var remaining []attemptInFlight
+		for _, o := range inFlight {
 			switch {
 			case o.end > h.now:
-				still = append(still, o)
-			case o.gone:
+				remaining = append(remaining, o)
+			case o.clientLeaves:
 				h.handle(ClientGone{Request: o.id})
 				h.endAttempt(o.id, 0, Cancelled, leaveAfter)
 			default:
 				h.endAttempt(o.id, 0, OK, latency)
 			}
 		}
-		running = still
+		inFlight = remaining
 		id, acts := h.sendRequest(idempotentClass)
 		if _, sent := sentTo(acts); !sent {
 			rejected++
 			continue
 		}
 		o := attemptInFlight{id, h.now + latency, n%2 == 0}
-		if o.gone {
+		if o.clientLeaves {
 			o.end = h.now + leaveAfter
 		}
-		running = append(running, o)
+		inFlight = append(inFlight, o)
 	}
 	if rejected > 0 {
 		t.Errorf("%d of 4000 requests are rejected while servers have free capacity", rejected)
 	}
 }
 
-// Overdue attempts at an ejected server do not count as load: one hung server is no overload of the others.
+// Overdue attempts at an ejected server do not count as load: one hung server does not overload the others.
 func TestAdmission_ejectedServerExcluded(t *testing.T) {
 	h := newHarness(t, baseConfig(), identicalServers(1)...)
 	var ids []RequestID
@@ -126,7 +126,7 @@
 		ids = append(ids, id)
 	}
 	before := h.b.admission.inFlightLoad
-	h.now += baseConfig().Classes[idempotentClass].LatencyObjective / 2 // with few answers known, an attempt is overdue then
+	h.now += baseConfig().Classes[idempotentClass].LatencyObjective / 2 // with few known latencies, an attempt is overdue then
 	for _, id := range ids {
 		h.handle(Timer{Token: uint64(id)})
 	}
@@ -138,8 +138,8 @@
 	}
 }
 
-// A server that hangs is avoided at once for what it has in flight, and ejected after errorsToEject failures. Its
-// pending attempts must not be taken for an overload of the fleet.
+// A hung server is passed over immediately because of its requests in flight, and ejected after errorsToEject
+// failures. Its pending attempts must not be mistaken for an overload of the fleet.
 func TestAdmission_hungServer(t *testing.T) {
 	h := newHarness(t, baseConfig(), identicalServers(6)...)
 	hung := 0
@@ -165,7 +165,7 @@
 	}
 }
 
-// dueTimers returns the timers of unanswered requests whose time has come.
+// dueTimers returns the timers of unanswered requests that are due.
 func (h *harness) dueTimers() []Timer {
 	var list []Timer
 	for id := RequestID(1); id <= h.lastID; id++ {
@@ -176,7 +176,8 @@
 	return list
 }
 
-// A pending attempt counts as load for one latency objective at most, so that a hung server does not shed load.
+// A pending attempt counts as load for at most one latency objective, so that a hung server causes no load
+// shedding.
 func TestAdmission_overdueAttemptExcluded(t *testing.T) {
 	h := newHarness(t, baseConfig(), identicalServers(2)...)
 	id, _ := h.sendRequest(idempotentClass)
@@ -192,7 +193,7 @@
 	}
 }
 
-// A few requests that arrive together are no overload.
+// A few requests that arrive together are not treated as an overload.
 func TestAdmission_smallBurst(t *testing.T) {
 	h := newHarness(t, baseConfig(), identicalServers(4)...)
 	for range 40 {
@@ -212,8 +213,8 @@
 	}
 }
 
-// Traffic that grows tenfold within nine seconds is no overload while answers stay fast: the load in flight must not
-// be compared with an answer rate of the past.
+// Traffic that grows tenfold within nine seconds is not an overload while responses stay fast. The load in flight
+// must not be compared with a response rate of the past.
 func TestAdmission_fastTrafficGrowth(t *testing.T) {
 	h := newHarness(t, baseConfig(), identicalServers(12)...)
 	var inFlight []RequestID
@@ -226,7 +227,7 @@
 			continue
 		}
 		inFlight = append(inFlight, id)
-		for len(inFlight) > 0 && h.b.requests[inFlight[0]].arrivedAt <= h.now-80 { // each answer takes about 80 ms
+		for len(inFlight) > 0 && h.b.requests[inFlight[0]].arrivedAt <= h.now-80 { // each response takes about 80 ms
 			h.endAttempt(inFlight[0], 0, OK, 80)
 			inFlight = inFlight[1:]
 		}
--- a/balance/admission_test.go
+++ b/balance/admission_test.go
@@ -6,7 +6,8 @@
 	"testing"
 )
 
-// A rejected request carries a retry pause if the settings allow it. A request that failed at servers carries none.
+// A request that is rejected by load shedding carries a retry pause if the settings allow it. A request that failed
+// at servers carries none.
 func TestAdmission_retryAfter(t *testing.T) {
 	for _, test := range []struct {
 		enabled            bool
@@ -20,7 +21,7 @@
 		h := newHarness(t, cfg, identicalServers(2)...)
 		rejected := 0
 		var inFlight []RequestID
-		for range 500 { // answers take nearly the whole latency objective
+		for range 500 { // responses take nearly the whole latency objective
 			h.now += 5
 			id, acts := h.sendRequest(idempotentClass)
 			if _, sent := sentTo(acts); sent {
@@ -53,8 +54,8 @@
 	}
 }
 
-// In overload, requests that cannot be answered in time are rejected before they are sent, those of low priority
-// weight first.
+// In overload, requests that cannot be answered in time are rejected before they are sent, starting with those of
+// low priority weight.
 func TestAdmission_lowPriorityFirst(t *testing.T) {
 	h := newHarness(t, baseConfig(), identicalServers(4)...)
 	rejected := map[int]int{}
@@ -68,7 +69,7 @@
 			continue
 		}
 		inFlight = append(inFlight, id)
-		if len(inFlight) > 150 { // answers take 300 ms and more
+		if len(inFlight) > 150 { // responses take 300 ms and more
 			h.endAttempt(inFlight[0], 0, OK, 300)
 			inFlight = inFlight[1:]
 		}
@@ -78,7 +79,7 @@
 	}
 }
 
-// A sidecar with two requests a second sheds at least half of the excess after three seconds of overload.
+// A sidecar with two requests per second sheds at least half of the excess after three seconds of overload.
 func TestAdmission_lowTrafficOverload(t *testing.T) {
 	h := newHarness(t, baseConfig(), identicalServers(4)...)
 	for range 6 {
@@ -92,28 +93,28 @@
 	}
 }
 
-// setOverload sets the lasting part of the load to shed, and a load in flight with which answers take this part of
-// the latency objective longer than they may.
-func (h *harness) setOverload(lasting, over float64) {
-	full := h.b.admission.minMeanLatency + spareObjective*(1-h.b.admission.minMeanLatency)
-	if h.b.admission.sustainedShed = lasting; lasting > 0 {
+// setOverload sets the sustained fraction of the load to shed, and a load in flight for which the estimated latency
+// exceeds the target by excess, a fraction of the latency objective.
+func (h *harness) setOverload(sustained, excess float64) {
+	target := h.b.admission.minMeanLatency + spareObjective*(1-h.b.admission.minMeanLatency)
+	if h.b.admission.sustainedShed = sustained; sustained > 0 {
 		h.b.admission.sustainedShed += shedTolerance
 	}
 	rate := h.b.admission.responseRate(priorResponses)
 	assumed := h.b.admission.minMeanLatency * (1 - h.b.admission.responseRate(0)/rate)
-	h.b.admission.inFlightLoad, h.b.admission.inFlightLoadAt = (full+over-assumed)*rate, h.now
+	h.b.admission.inFlightLoad, h.b.admission.inFlightLoadAt = (target+excess-assumed)*rate, h.now
 	h.b.admission.meanInFlightLoad = h.b.admission.inFlightLoad
 }
 
-// rejectedFractions brings 4000 requests, drawn from arrivals of (class, tenant), while 0.4 of the work is to be
-// shed. It returns the rejected part of each class and of each tenant.
+// rejectedFractions sends 4000 requests, chosen at random from the (class, tenant) pairs in arrivals, while 0.4 of
+// the work is to be shed. It returns the rejected fraction of each class and of each tenant.
 func rejectedFractions(t *testing.T, cfg Config, arrivals ...[2]int) (byClass, byTenant [5]float64) {
 	t.Helper()
 	h := newHarness(t, cfg, identicalServers(4)...)
 	var arrived [2][5]float64
-	draw := rand.New(rand.NewPCG(1, 2))
+	rng := rand.New(rand.NewPCG(1, 2))
 	for i := range 4000 {
-		arrival := arrivals[draw.IntN(len(arrivals))]
+		arrival := arrivals[rng.IntN(len(arrivals))]
 		h.now++
 		h.setOverload(0.4, 0)
 		arrived[0][arrival[0]]++
@@ -134,12 +135,12 @@
 	return byClass, byTenant
 }
 
-// The rejected part follows the current load, from nothing to twice the lasting part. Without a lasting part, nearly
-// nothing is rejected: a short peak is no overload.
+// The rejected fraction follows the present load, from 0 to twice the sustained fraction. Without a sustained
+// fraction, nearly nothing is rejected, because a short peak is not an overload.
 func TestAdmission_shedFollowsLoad(t *testing.T) {
 	for _, c := range []struct {
-		lasting, over            float64 // over: part of the objective beyond what answers may take
-		minRejected, maxRejected float64 // part of the requests
+		sustained, excess        float64 // excess: latency above the target, as a fraction of the objective
+		minRejected, maxRejected float64 // fractions of the requests
 	}{{0, 0.5, 0, 0.05}, {0.4, 0, 0.3, 0.5}, {0.4, 0.5, 0.7, 0.9}, {0.4, -0.3, 0, 0}} {
 		h := newHarness(t, baseConfig(), identicalServers(4)...)
 		for range 100 {
@@ -149,7 +150,7 @@
 		}
 		rejected := 0.0
 		for range 200 {
-			h.setOverload(c.lasting, c.over)
+			h.setOverload(c.sustained, c.excess)
 			if _, acts := h.sendRequest(idempotentClass); hasAction(acts, Reject) {
 				rejected++
 			}
@@ -160,8 +161,8 @@
 	}
 }
 
-// Of two tenants with equal quotas, the one with three times the traffic loses the part over its quota. With equal
-// traffic both lose the same part.
+// Of two tenants with equal quotas, the one with three times the traffic loses the part above its quota. With equal
+// traffic both lose the same fraction.
 func TestAdmission_tenantOverQuota(t *testing.T) {
 	cfg := baseConfig()
 	cfg.Tenants = []Tenant{{Quota: 0.5}, {Quota: 0.5}}
@@ -175,8 +176,8 @@
 	}
 }
 
-// A goal that counts the worst-served class brings the rejected parts of the classes near each other. Without it the
-// class of lowest priority weight is rejected first.
+// A goal with a weight for the worst-served class makes the rejected fractions of the classes similar. Without that
+// weight, the class of lowest priority weight is rejected first.
 func TestAdmission_worstClassGoal(t *testing.T) {
 	cfg := baseConfig()
 	arrivals := [][2]int{{idempotentClass, 0}, {nonIdempotentClass, 0}}
@@ -190,7 +191,7 @@
 	}
 }
 
-// A goal that counts the worst-served tenant keeps a tenant over its quota served.
+// With a weight for the worst-served tenant in the goal, a tenant above its quota is still served.
 func TestAdmission_worstTenantGoal(t *testing.T) {
 	cfg := baseConfig()
 	cfg.Tenants = []Tenant{{Quota: 0.8}, {Quota: 0.2}}
@@ -205,14 +206,14 @@
 	}
 }
 
-// While load is shed, an attempt of a non-idempotent class ends at its latency objective, which counts as no error of
-// its server. Other classes get no such timeout, as their clients would retry.
+// While load is shed, an attempt of a non-idempotent class ends at its latency objective, which does not count as
+// an error of its server. Other classes get no such timeout, because their clients would retry.
 func TestAdmission_nonIdempotentTimeout(t *testing.T) {
 	for class, timesOut := range map[int]bool{nonIdempotentClass: true, idempotentClass: false, cellKeyClass: false} {
-		for _, lasting := range []float64{0, 0.2} {
+		for _, sustained := range []float64{0, 0.2} {
 			h := newHarness(t, baseConfig(), identicalServers(4)...)
-			h.b.admission.sustainedShed = lasting
-			if lasting > 0 {
+			h.b.admission.sustainedShed = sustained
+			if sustained > 0 {
 				h.b.admission.sustainedShed += shedTolerance
 			}
 			id, acts := h.sendRequest(class)
@@ -222,12 +223,12 @@
 				s, ok = sentTo(acts)
 			}
 			want := 0.0
-			if timesOut && lasting > 0 {
+			if timesOut && sustained > 0 {
 				want = h.now + h.b.cfg.Classes[class].LatencyObjective
 			}
 			for _, a := range acts {
 				if a.Kind == Send && a.At != want {
-					t.Errorf("class %d, %v shed: the attempt ends at %v, want %v", class, lasting, a.At, want)
+					t.Errorf("class %d, %v shed: the attempt ends at %v, want %v", class, sustained, a.At, want)
 				}
 			}
 			if want > 0 {
--- a/balance/demand.go
+++ b/balance/demand.go
@@ -89,8 +89,8 @@
 }
 
 // requestCounts counts the requests of a class or tenant that arrived, and those that were served within
-// the latency objective. Both counts start at 1, so that they can be divided by. quota is a tenant's
-// fraction of the service.
+// the latency objective. Both counts start at 1 to avoid divisions by 0. quota is a tenant's fraction of
+// the service.
 type requestCounts struct{ arrived, served, quota float64 }
 
 // servedWorse reports whether the fraction of requests served is smaller than the other's.
--- a/balance/ejection.go
+++ b/balance/ejection.go
@@ -3,7 +3,7 @@
 import "math"
 
 const (
-	// Mean deviations above the mean latency of its class at which an attempt is overdue.
+	// An attempt is overdue this many mean deviations above the mean latency of its class.
 	overdueDeviations      = 4
 	minLatencySamples      = 5 // least number of responses of a class for its mean and deviation to be used
 	errorsToEject          = 2 // consecutive errors after which a server is ejected
@@ -53,8 +53,8 @@
 	return maxPauseDoublings
 }
 
-// ejectForQueue ejects a server with a long queue for the time of about one request to each server, as it
-// stays slow until its queue is empty.
+// ejectForQueue ejects a server that reports a long queue for about one round of requests over all
+// servers, as it stays slow until its queue is empty.
 func (d *outlierDetector) ejectForQueue(s *server, requestRate float64) {
 	s.ejectedUntil = d.now + math.Min(d.maxObjective, float64(len(d.servers))/requestRate)
 }
@@ -82,12 +82,13 @@
 		return
 	}
 	weight := partialEvidence
-	// A refused connection ends sooner: the machine runs.
+	// Full evidence needs a connect timeout. A refused connection ends sooner, and shows that the machine
+	// runs.
 	if unreachable && ev.Elapsed >= d.cfg.ConnectTimeout/2 {
 		weight = fullEvidence
 	}
 	s := a.server
-	s.processDown = s.processDown || ev.Result == ConnectFailed // an unreachable process may still run
+	s.processDown = s.processDown || ev.Result == ConnectFailed // after Unreachable it may still run
 	d.recordFailure(s, unreachable, weight)
 }
 
@@ -134,8 +135,8 @@
 	return result == TimedOut && (a.endsAtObjective || a.sentAt <= d.now && d.now-a.sentAt < needed)
 }
 
-// forgetErrors clears the errors of all servers that are not ejected, after an idle period: they date
-// from another load.
+// forgetErrors clears the errors of all servers that are not ejected, after an idle period: they occurred
+// under another load.
 func (d *outlierDetector) forgetErrors() {
 	for _, s := range d.servers {
 		if !d.ejected(s) {
--- a/balance/ejection_test.go
+++ b/balance/ejection_test.go
@@ -6,12 +6,12 @@
 	"testing"
 )
 
-// A server whose connection is ready after the connect timeout is up: it is not ejected, is no evidence against its
-// zone, and does not start slowly.
+// A server whose connection is established only after the connect timeout is up: it is not ejected, is no evidence
+// against its zone, and does not go into slow start.
 func TestEjection_lateConnection(t *testing.T) {
 	cfg := baseConfig()
 	cfg.ConnectTimeout = 120
-	play := func(comesUp bool) (left, avoided, warmingUp int) {
+	play := func(comesUp bool) (suspended, avoided, warmingUp int) {
 		h := newHarness(t, cfg, identicalServers(8)...) // two zones of four
 		failed := map[ServerID]bool{}
 		for range 40 {
@@ -32,7 +32,7 @@
 					h.handle(ConnectionReady{Server: s})
 				}
 			}
-			left = max(left, h.b.ZoneStatus().Left)
+			suspended = max(suspended, h.b.ZoneStatus().Left)
 		}
 		_, avoided = h.b.CountServers(h.now)
 		for s := range failed {
@@ -40,26 +40,26 @@
 				warmingUp++
 			}
 		}
-		return left, avoided, warmingUp
+		return suspended, avoided, warmingUp
 	}
-	if left, avoided, warmingUp := play(true); left+avoided+warmingUp > 0 {
-		t.Errorf("late connections: %d zones left, %d servers avoided, %d in slow start", left, avoided, warmingUp)
+	if suspended, avoided, warmingUp := play(true); suspended+avoided+warmingUp > 0 {
+		t.Errorf("late connections: %d zones suspended, %d servers avoided, %d in slow start", suspended, avoided, warmingUp)
 	}
-	if left, _, _ := play(false); left == 0 {
-		t.Error("no connection is ready, and the zone is not left")
+	if suspended, _, _ := play(false); suspended == 0 {
+		t.Error("no connection is established, and the zone is not suspended")
 	}
 }
 
-// A server that does not answer within a very short deadline is not at fault: it is neither ejected nor gets a lower
-// weight, and each request gets one answer after at most one attempt.
+// A server that does not answer within a very short deadline is not at fault: it is not ejected and its weight does
+// not fall. Each request gets one final response after at most one attempt.
 func TestEjection_shortTimeout(t *testing.T) {
 	for class, name := range map[int]string{
 		idempotentClass: "idempotent", nonIdempotentClass: "non-idempotent", globalKeyClass: "with key",
 	} {
-		for _, left := range []float64{1, 2, 5, 10, 20} {
-			t.Run(fmt.Sprint(name, ", ", left, " ms"), func(t *testing.T) {
+		for _, remaining := range []float64{1, 2, 5, 10, 20} {
+			t.Run(fmt.Sprint(name, ", ", remaining, " ms"), func(t *testing.T) {
 				h := newHarness(t, baseConfig(), identicalServers(4)...)
-				for range 100 { // answers take 60 ms
+				for range 100 { // responses take 60 ms
 					id, _ := h.sendRequest(class)
 					h.now += 60
 					h.endAttempt(id, 0, OK, 60)
@@ -67,24 +67,24 @@
 				for range 20 {
 					h.lastID++
 					id := h.lastID
-					acts := h.handle(Request{ID: id, Class: class, Remaining: left})
+					acts := h.handle(Request{ID: id, Class: class, Remaining: remaining})
 					if _, sent := sentTo(acts); !sent {
-						continue // rejected, as the time is too short
+						continue // rejected, as the remaining time is too short
 					}
-					h.now += left
+					h.now += remaining
 					acts = h.handle(Timer{Token: uint64(id)})
 					if !hasAction(acts, Fail) && !hasAction(acts, Reject) {
-						t.Fatalf("%v ms: no answer at the deadline: %+v", left, acts)
+						t.Fatalf("%v ms: no final response at the deadline: %+v", remaining, acts)
 					}
 					if hasAction(acts, Send) {
-						t.Errorf("%v ms: a second attempt", left)
+						t.Errorf("%v ms: a second attempt", remaining)
 					}
-					h.endAttempt(id, 0, TimedOut, left)
+					h.endAttempt(id, 0, TimedOut, remaining)
 					h.now += 50
 				}
 				for _, s := range h.b.servers {
 					if s.consecutiveErrors > 0 || s.consecutiveEjections > 0 || h.b.outliers.ejected(s) || h.b.picker.health(s) < 1 {
-						t.Errorf("%v ms: server %d has %d errors and %d ejections", left, s.ID, s.consecutiveErrors, s.consecutiveEjections)
+						t.Errorf("%v ms: server %d has %d errors and %d ejections", remaining, s.ID, s.consecutiveErrors, s.consecutiveEjections)
 					}
 				}
 			})
@@ -92,7 +92,7 @@
 	}
 }
 
-// A server that has not answered in more than the mean latency of its class has failed.
+// A server that has not answered within the mean latency of its class has failed.
 func TestEjection_timeoutBeyondMean(t *testing.T) {
 	h := newHarness(t, baseConfig(), identicalServers(4)...)
 	for range 100 {
@@ -111,8 +111,8 @@
 	}
 }
 
-// A server without a network path is ejected like one whose process is down. As its process has not restarted, it
-// does not start slowly when it is back.
+// A server without a network path is ejected like one whose process is down. Its process has not restarted, so it
+// does not go into slow start when it can be reached again.
 func TestEjection_unreachableServer(t *testing.T) {
 	for _, test := range []struct {
 		result    Result
@@ -140,8 +140,8 @@
 	}
 }
 
-// The health score falls by penaltyPerError for each error down to minHealth, recovers by half in a half-life, and
-// is restored by one success.
+// The health falls by penaltyPerError for each error down to minHealth, recovers by half within a half-life, and is
+// restored by one success.
 func TestEjection_healthScore(t *testing.T) {
 	h := newHarness(t, baseConfig(), identicalServers(2)...)
 	s := h.b.servers[0]
@@ -161,7 +161,7 @@
 		t.Fatalf("health after 1000 errors is %v, want the floor", m)
 	}
 	if m := h.b.picker.health(h.b.servers[1]); m != 1 {
-		t.Fatalf("another server's errors moved the health to %v", m)
+		t.Fatalf("another server's errors changed the health to %v", m)
 	}
 	s.consecutiveErrors = 2
 	id, _ := h.sendRequest(idempotentClass)
@@ -173,8 +173,8 @@
 	}
 }
 
-// A connection that breaks while a request is written counts as one error. It is no evidence of a restart: the server
-// does not start slowly.
+// A connection that breaks while a request is written counts as one error. It is no evidence of a restart, so the
+// server does not go into slow start.
 func TestEjection_brokenConnection(t *testing.T) {
 	h := newHarness(t, baseConfig(), identicalServers(2)...)
 	id, acts := h.sendRequest(nonIdempotentClass)
@@ -198,7 +198,7 @@
 	}
 }
 
-// A reported queue with a wait beyond the latency objective ejects the server.
+// A server that reports a queue with a wait longer than the latency objective is ejected.
 func TestEjection_reportedQueue(t *testing.T) {
 	cfg := baseConfig()
 	cfg.Reports, cfg.Fields = ReportPiggyback, []Field{FieldErrorRate, FieldLatency, FieldQueue}
@@ -214,8 +214,8 @@
 	}
 }
 
-// An ejection for a reported queue lasts one period of the rotation, so that a busy sidecar does not overload the
-// other servers meanwhile.
+// An ejection for a reported queue lasts for one round of the rotation, so that a busy sidecar does not overload
+// the other servers meanwhile.
 func TestEjection_reportedQueueDuration(t *testing.T) {
 	cfg := baseConfig()
 	cfg.Reports, cfg.Fields = ReportPiggyback, []Field{FieldLatency, FieldQueue}
@@ -231,12 +231,12 @@
 	s := h.b.byID[to]
 	h.handle(Outcome{Request: id, Server: to, Elapsed: 5, Finished: true, Report: []float32{50, 40}})
 	if duration := s.ejectedUntil - h.now; duration < 10 || duration > 60 {
-		t.Fatalf("ejected for %.0f ms, a period of the rotation takes 30", duration)
+		t.Fatalf("ejected for %.0f ms, a round of the rotation takes 30", duration)
 	}
 }
 
-// In a congested fleet, late answers are no server's fault: once the mean latency of a class is high, an attempt of
-// 430 ms with an objective of 300 ms is no error. An attempt far beyond all others still is.
+// In a congested fleet, late responses are no server's fault. Once the mean latency of a class is high, an attempt
+// of 430 ms with an objective of 300 ms is not an error. An attempt far slower than all others still is.
 func TestEjection_congestedFleet(t *testing.T) {
 	h := newHarness(t, baseConfig(), identicalServers(4)...)
 	times := []float64{370, 430, 400}
@@ -266,7 +266,7 @@
 		h.handle(Timer{Token: uint64(id)})
 	}
 	if r.attempts[0].server.consecutiveErrors == 0 {
-		t.Fatal("an attempt far beyond all others counts as no error")
+		t.Fatal("an attempt far slower than all others does not count as an error")
 	}
 }
 
@@ -286,8 +286,8 @@
 	}
 }
 
-// A server is ejected after errorsToEject consecutive errors, gets no request meanwhile, and is used again after one
-// answer.
+// A server is ejected after errorsToEject consecutive errors, gets no request meanwhile, and is used again after
+// one successful response.
 func TestEjection_consecutiveErrors(t *testing.T) {
 	h := newHarness(t, baseConfig(), identicalServers(3)...)
 	s := h.b.servers[0]
@@ -319,7 +319,7 @@
 	t.Fatal("the server was not used after its ejection")
 }
 
-// When all servers are ejected, requests are sent nevertheless.
+// If all servers are ejected, requests are still sent.
 func TestEjection_allServersEjected(t *testing.T) {
 	h := newHarness(t, baseConfig(), identicalServers(3)...)
 	for _, s := range h.b.servers {
@@ -330,7 +330,7 @@
 	}
 }
 
-// CountServers counts ejected servers, as long as their ejection lasts, and draining ones as avoided.
+// CountServers counts draining servers, and ejected servers while their ejection lasts, as avoided.
 func TestEjection_serverCounts(t *testing.T) {
 	servers := identicalServers(4)
 	servers[3].State = Draining
--- a/balance/fleet_size_test.go
+++ b/balance/fleet_size_test.go
@@ -10,13 +10,13 @@
 	"pgregory.net/rapid"
 )
 
-// A larger process count is taken over at once. With a smaller one the estimate falls by half in 10 s, but not while
-// half or more of the processes are silent. A process that is not admitted has no quota.
+// A larger process count takes effect at once. With a smaller one the estimate halves in 10 s, but does not change
+// while half or more of the processes are silent. A process that is not admitted has no quota.
 func TestFleetEstimate_growthAndDecay(t *testing.T) {
 	var c FleetEstimate
 	all := func(n int) FleetSize { return FleetSize{Known: n, Reachable: n, Admitted: true} }
 	assert.Equal(t, 1.0/10, c.Quota(1000, all(10)))
-	assert.Equal(t, 1.0/40, c.Quota(1000, all(40)), "a larger count is accepted at once")
+	assert.Equal(t, 1.0/40, c.Quota(1000, all(40)), "a larger count takes effect at once")
 	assert.InDelta(t, 2.0/40, c.Quota(11000, all(10)), 1e-12, "a smaller count halves the estimate in 10 s")
 	silent := FleetSize{Known: 10, Reachable: 5, Admitted: true}
 	assert.InDelta(t, 2.0/40, c.Quota(21000, silent), 1e-12, "no change while half are silent")
@@ -27,8 +27,9 @@
 	}
 }
 
-// The quota is over 0 and at most one part of all known processes, grows at most as fast as the count may decay, and
-// does not grow while half or more are silent. A clock that goes back for a while gives no larger quota.
+// The quota is positive and at most 1 divided by the number of known processes. It grows at most as fast as the
+// estimate may decay, and does not grow while half or more of the processes are silent. A clock that is set back
+// temporarily does not increase it.
 func TestFleetEstimate_property(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var c FleetEstimate
@@ -53,15 +54,16 @@
 	})
 }
 
-// The quotas of processes add up to at most one, if each knows at least all admitted ones, however late it learns of
-// ended ones. A process that admits itself too early exceeds it, which shows that the check can fail.
+// The quotas of all processes add up to at most 1 if each process knows at least all admitted ones, however late it
+// learns that others have ended. A process that is admitted too early exceeds the limit, which shows that the check
+// can fail.
 func TestFleetEstimate_quotasSumToOne(t *testing.T) {
 	maxSumTooEarly := 0.0
 	rapid.Check(t, func(t *rapid.T) {
 		type process struct {
 			FleetEstimate
 			quota float64
-			ended int // ended processes that it still counts
+			ended int // ended processes that this one still counts
 		}
 		var all []*process
 		now := 0.0
@@ -78,7 +80,7 @@
 		for range rapid.IntRange(1, 40).Draw(t, "steps") {
 			now += rapid.Float64Range(0, 20000).Draw(t, "passed")
 			switch rapid.IntRange(0, 3).Draw(t, "what") {
-			case 0: // one starts: all others count it before it is admitted
+			case 0: // a process starts: all others count it before it is admitted
 				started := &process{}
 				if len(all) > 0 {
 					maxSumTooEarly = math.Max(maxSumTooEarly, sum(1/float64(len(all))))
@@ -89,7 +91,7 @@
 				}
 				require.Zero(t, started.quota)
 				update(started, true)
-			case 1: // one ends, and the others still count it
+			case 1: // a process ends, and the others still count it
 				if len(all) > 1 {
 					all = all[:len(all)-1]
 					for _, p := range all {
@@ -114,7 +116,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		cfg := baseConfig()
 		cfg.Peers, cfg.Seed = rapid.IntRange(1, 3000).Draw(t, "peers"), rapid.Uint64().Draw(t, "seed")
-		var balancers [3]*Balancer // without a report, with the count of the settings, with a tenth of it
+		var balancers [3]*Balancer // without a report, with the count in the settings, with a tenth of that
 		for i := range balancers {
 			b, err := New(cfg)
 			require.NoError(t, err)
--- a/balance/harness_test.go
+++ b/balance/harness_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-// harness drives one balancer by a script of events and keeps all actions that it returned.
+// harness passes events to a balancer and keeps all actions that it returns.
 type harness struct {
 	t          *testing.T
 	b          *Balancer
@@ -36,19 +36,19 @@
 	zoneKeyClass
 )
 
-// newHarness starts a balancer at 1000 ms with these servers, in the order of their IDs.
+// newHarness starts a balancer at 1000 ms with the given servers, ranked by their IDs.
 func newHarness(t *testing.T, cfg Config, servers ...Server) *harness {
 	h := &harness{t: t, b: mustNew(t, cfg), now: 1000}
 	h.actions = append(h.actions, h.b.Start(h.now)...)
 	h.handle(ServerList{Kind: ListCached, Servers: servers})
 	for _, s := range h.b.servers {
-		s.currentWeight, s.rank = 0, float64(s.ID) // without the random start and order, the sequence is known
+		s.currentWeight, s.rank = 0, float64(s.ID) // makes the sequence of servers predictable
 	}
-	h.b.dropGone() // it sorts the servers
+	h.b.dropGone() // sorts the servers by rank
 	return h
 }
 
-// mustNew returns a balancer with these settings, or ends the test.
+// mustNew returns a balancer with the given settings, or fails the test.
 func mustNew(t testing.TB, cfg Config) *Balancer {
 	t.Helper()
 	b, err := New(cfg)
@@ -67,7 +67,7 @@
 	return list
 }
 
-// handle brings an event and returns a copy of the actions. An error ends the test.
+// handle passes an event to the balancer and returns a copy of its actions. An error fails the test.
 func (h *harness) handle(event Event) []Action {
 	h.t.Helper()
 	actions, err := h.b.Handle(h.now, event)
@@ -79,7 +79,7 @@
 	return actions
 }
 
-// sendRequest brings a request with its whole deadline left, and returns its ID and the actions.
+// sendRequest passes a request with its full deadline remaining, and returns its ID and the actions.
 func (h *harness) sendRequest(class int) (RequestID, []Action) {
 	h.t.Helper()
 	h.lastID++
@@ -94,7 +94,7 @@
 	return h.handle(Outcome{Request: id, Attempt: attempt, Server: s.ID, Result: result, Elapsed: elapsed, Finished: done})
 }
 
-// sentTo returns the server of the first Send among the actions.
+// sentTo returns the server of the first Send action.
 func sentTo(acts []Action) (ServerID, bool) {
 	for _, a := range acts {
 		if a.Kind == Send {
@@ -104,7 +104,7 @@
 	return 0, false
 }
 
-// hasAction reports whether an action of this kind is among the actions.
+// hasAction reports whether the actions include one of the given kind.
 func hasAction(acts []Action, kind ActionKind) bool {
 	for _, a := range acts {
 		if a.Kind == kind {
@@ -114,7 +114,7 @@
 	return false
 }
 
-// findAction returns the first action of this kind, or nil.
+// findAction returns the first action of the given kind, or nil.
 func findAction(acts []Action, kind ActionKind) *Action {
 	for i := range acts {
 		if acts[i].Kind == kind {
@@ -134,7 +134,7 @@
 			h.t.Fatal("nothing was sent")
 		}
 		ids = append(ids, s)
-		h.b.requests[id].stats.samples = 0 // no learning from these answers
+		h.b.requests[id].stats.samples = 0 // these responses must not change the learned sizes
 		h.endAttempt(id, 0, OK, 10)
 	}
 	return ids
--- a/balance/health_check.go
+++ b/balance/health_check.go
@@ -8,7 +8,8 @@
 const (
 	// Limit of the cost of one request's health checks, in the unit of Config.Prices.
 	maxHealthCheckCost = 0.03
-	// Fraction of the latency objective for which a load report is valid, or awaited.
+	// Fraction of the latency objective for which a load report is valid, and for which requests wait for
+	// one.
 	reportValidity = 0.05
 	allBusyChance  = 0.01 // accepted probability that all servers checked are busy
 )
@@ -66,8 +67,8 @@
 	}
 }
 
-// onResult records the result of a health check. It reports whether the server is known, as only then
-// requests may wait for the result.
+// onResult records the result of a health check. It reports whether the server is known; only then can
+// requests be waiting for the result.
 func (h *healthChecker) onResult(ev HealthCheckResult) bool {
 	s := h.byID[ev.Server]
 	if s == nil {
--- a/balance/health_check_test.go
+++ b/balance/health_check_test.go
@@ -2,14 +2,14 @@
 
 import "testing"
 
-// A health check that this machine could not send says nothing about the server.
+// A health check that this machine could not send does not affect the server.
 func TestHealthCheck_localFailure(t *testing.T) {
 	h := newHarness(t, baseConfig(), identicalServers(8)...)
 	before := h.recordOf(3)
 	h.b.byID[3].checkPending = true
 	h.handle(HealthCheckResult{Server: 3, Result: LocalFailure, Elapsed: 0.1})
 	if after := h.recordOf(3); after != before || h.b.byID[3].checkPending {
-		t.Errorf("%+v, was %+v; a further check is possible: %v", after, before, !h.b.byID[3].checkPending)
+		t.Errorf("record %+v, was %+v; another check is possible: %v", after, before, !h.b.byID[3].checkPending)
 	}
 }
 
@@ -37,8 +37,8 @@
 	return after
 }
 
-// Servers that do not answer health checks are ejected, so that they are not checked again for each request, and are
-// used again when they answer.
+// Servers that do not answer health checks are ejected, so that they are not checked again for each request. They
+// are used again when they answer.
 func TestHealthCheck_unreachableServers(t *testing.T) {
 	h := newHarness(t, healthCheckConfig(), identicalServers(3)...)
 	unreachable := map[ServerID]bool{1: true, 2: true}
@@ -65,8 +65,8 @@
 	}
 }
 
-// A request waits for its health checks and goes to the server with the fewest reported requests, as a sidecar with
-// little traffic does not see the load of others.
+// A request waits for its health checks and goes to the server with the fewest reported requests, because a sidecar
+// with little traffic does not know the load that others cause.
 func TestHealthCheck_reportedQueue(t *testing.T) {
 	h := newHarness(t, healthCheckConfig(), identicalServers(3)...)
 	h.b.servers[0].currentWeight = 1000 // next in the rotation
@@ -81,7 +81,7 @@
 	}
 }
 
-// A request waits for health checks for a tenth of its latency objective at most.
+// A request waits for health checks for at most a tenth of its latency objective.
 func TestHealthCheck_waitLimit(t *testing.T) {
 	h := newHarness(t, healthCheckConfig(), identicalServers(3)...)
 	id, _ := h.sendRequest(idempotentClass)
@@ -91,7 +91,8 @@
 	}
 }
 
-// Few servers are checked per request while servers are idle, and all while they are busy: a check has a cost.
+// Few servers are checked per request while servers are idle, and all while they are busy, because each check has a
+// cost.
 func TestHealthCheck_countFollowsLoad(t *testing.T) {
 	h := newHarness(t, healthCheckConfig(), identicalServers(12)...)
 	checksSent := func(inFlight float32) int {
--- a/balance/idle_period_test.go
+++ b/balance/idle_period_test.go
@@ -7,7 +7,7 @@
 
 const idlePeriod = 600_000 // ms without a request
 
-// priorStates are the states of a balancer in which the idle period begins.
+// priorStates holds functions that bring a balancer into the state in which the idle period begins.
 var priorStates = map[string]func(*harness){
 	"calm": func(h *harness) { h.serveRequests(200, 50) },
 	"overload": func(h *harness) {
@@ -27,7 +27,7 @@
 	},
 }
 
-// serveRequests plays n requests one after another, each answered after this time.
+// serveRequests sends n requests one after another, each of which is answered after elapsed ms.
 func (h *harness) serveRequests(n int, elapsed float64) {
 	h.t.Helper()
 	for range n {
@@ -38,7 +38,7 @@
 	}
 }
 
-// failRequests plays n requests whose attempts all fail after 1 ms, and returns the number of attempts.
+// failRequests sends n requests whose attempts all fail after 1 ms, and returns the number of attempts.
 func (h *harness) failRequests(n int) (attempts int) {
 	h.t.Helper()
 	for range n {
@@ -53,7 +53,7 @@
 	return attempts
 }
 
-// timeOutUnanswered ends all pending attempts as timed out.
+// timeOutUnanswered lets all pending attempts time out.
 func (h *harness) timeOutUnanswered() {
 	h.now += 10_000
 	for _, id := range h.unanswered {
@@ -65,7 +65,8 @@
 	h.unanswered = nil
 }
 
-// afterIdlePeriod returns a balancer that has just started, and one that was in this state before an idle period.
+// afterIdlePeriod returns a balancer that has just started, and one that was in the given state before an idle
+// period.
 func afterIdlePeriod(t *testing.T, state string) (newProcess, idleProcess *harness) {
 	t.Helper()
 	newProcess, idleProcess = newHarness(t, baseConfig(), identicalServers(4)...), newHarness(t, baseConfig(), identicalServers(4)...)
@@ -75,8 +76,8 @@
 	return newProcess, idleProcess
 }
 
-// After ten minutes without a request, a burst is admitted as by a process that has just started: no earlier
-// shedding, count or ejection has an effect.
+// After ten minutes without a request, a burst is admitted as by a process that has just started: earlier load
+// shedding, counts and ejections have no effect.
 func TestAdmission_burstAfterIdlePeriod(t *testing.T) {
 	for state := range priorStates {
 		t.Run(state, func(t *testing.T) {
@@ -100,7 +101,7 @@
 	}
 }
 
-// Servers that begin to fail after an idle period are treated as by a process that has just started.
+// Servers that start to fail after an idle period are handled as by a process that has just started.
 func TestEjection_failuresAfterIdlePeriod(t *testing.T) {
 	for state := range priorStates {
 		t.Run(state, func(t *testing.T) {
@@ -117,7 +118,7 @@
 					t.Errorf("after one error: health %v, ejected %v", m, h.b.outliers.ejected(s))
 				}
 			}
-			// Learned latencies stay, so shedding may differ a little while no server answers.
+			// Learned latencies are kept, so load shedding may differ slightly while no server responds.
 			if a, b := newProcess.failRequests(50), idleProcess.failRequests(50); 5*b < 4*a || 5*b > 6*a {
 				t.Errorf("%d attempts after the idle period, %d by a new process", b, a)
 			}
--- a/balance/limits_test.go
+++ b/balance/limits_test.go
@@ -26,7 +26,7 @@
 	return b
 }
 
-// changeListOnce brings one list change: a server that drains, goes and joins again in turn.
+// changeListOnce applies one list change: a server drains, is removed and joins again in turn.
 func changeListOnce(t testing.TB, b *Balancer, round int) {
 	t.Helper()
 	one := identicalServers(1)
@@ -36,7 +36,7 @@
 	}
 }
 
-// requestOnce brings a request, at 20 a second, and its answer after 20 ms.
+// requestOnce sends a request, at a rate of 20 per second, and answers it after 20 ms.
 func requestOnce(t testing.TB, b *Balancer, round int) {
 	t.Helper()
 	now, id := 1000+50*float64(round), RequestID(round+1)
@@ -47,8 +47,8 @@
 	if acts[0].Kind != Send {
 		return
 	}
-	answer := Outcome{Request: id, Server: acts[0].Server, Result: OK, Elapsed: 20, Finished: true}
-	if _, err := b.Handle(now+20, answer); err != nil {
+	outcome := Outcome{Request: id, Server: acts[0].Server, Result: OK, Elapsed: 20, Finished: true}
+	if _, err := b.Handle(now+20, outcome); err != nil {
 		t.Fatal(err)
 	}
 }
@@ -71,8 +71,8 @@
 	}
 }
 
-// Neither a request nor a list change may visit all servers: with 16 times the servers, each takes at most 5 times as
-// long. The fastest of several samples counts, as the machine may be busy.
+// Neither a request nor a list change may visit all servers: with 16 times the servers, each may take at most 5
+// times as long. The fastest of several samples is used, as the machine may be busy.
 func TestLimits_costInLargeFleet(t *testing.T) {
 	const samples, rounds, maxRatio = 7, 400, 5
 	for name, do := range map[string]func(testing.TB, *Balancer, int){"request": requestOnce, "change": changeListOnce} {
@@ -96,20 +96,20 @@
 	}
 }
 
-// Limits of a source file, so that each has one subject.
+// Limits of a source file, which keep each file to one subject.
 const (
-	maxLines         = 400 // without blank lines
-	maxPolicyColumns = 110 // of a file of decisions
-	maxColumns       = 120 // of any other file
+	maxLines         = 400 // lines that are not blank
+	maxPolicyColumns = 110 // line width of a file that makes decisions
+	maxColumns       = 120 // line width of any other file
 )
 
-// nonPolicyFiles are the files that take no decisions.
+// nonPolicyFiles are the files that make no decisions.
 var nonPolicyFiles = []string{
 	"api.go", "balance.go", "balancer.go", "canary_budget.go", "config.go", "config_check.go", "errors.go", "request.go",
 	"request_events.go", "route_state.go", "server.go", "shared.go", "status.go",
 }
 
-// Each file of decisions is listed as policy in the deploy file, and no file is too long.
+// Each file that makes decisions is listed as policy in the deploy file, and no file exceeds its limits.
 func TestLimits_policyFiles(t *testing.T) {
 	deploy, err := os.ReadFile("../deploy/balancer.toml")
 	if err != nil {
@@ -118,7 +118,7 @@
 	_, list, found := strings.Cut(string(deploy), "policy = [")
 	list, _, closed := strings.Cut(list, "]")
 	if !found || !closed {
-		t.Fatal("the deploy file lists no policy")
+		t.Fatal("the deploy file has no policy list")
 	}
 	var listed []string
 	for name := range strings.SplitSeq(list, ",") {
@@ -169,7 +169,7 @@
 	}
 }
 
-// README shows the tested example word for word.
+// README shows the tested example verbatim.
 func TestLimits_readmeExample(t *testing.T) {
 	example, err := os.ReadFile("example_test.go")
 	if err != nil {
@@ -185,7 +185,7 @@
 	}
 }
 
-// Ended requests, removed servers and answered health checks are forgotten.
+// Ended requests, removed servers and answered health checks are removed from memory.
 func TestLimits_memory(t *testing.T) {
 	h := newHarness(t, healthCheckConfig(), identicalServers(5)...)
 	for i := range 20000 {
@@ -196,7 +196,7 @@
 		if _, ok := sentTo(acts); ok {
 			h.endAttempt(id, 0, OK, 5)
 		}
-		if i%20 == 0 { // a rolling deploy with new names
+		if i%20 == 0 { // a rolling deploy with new server IDs
 			list := identicalServers(5)
 			for k := range list {
 				list[k].ID = ServerID(i + k + 1)
@@ -211,7 +211,7 @@
 	}
 }
 
-// BenchmarkRequest measures one answered request.
+// BenchmarkRequest measures the time of a request and its response.
 func BenchmarkRequest(b *testing.B) {
 	for _, n := range []int{12, 100, 300} {
 		b.Run(fmt.Sprintf("%d-servers", n), func(b *testing.B) {
--- a/balance/local_failure_test.go
+++ b/balance/local_failure_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// serverRecord is all that failures may change of a server.
+// serverRecord is the state of a server that failures can change.
 type serverRecord struct {
 	consecutiveErrors, ejections    int
 	ejectedUntil, slowStartAt, size float64
@@ -19,7 +19,8 @@
 	return serverRecord{s.consecutiveErrors, s.consecutiveEjections, s.ejectedUntil, s.slowStartAt, s.logSize, s.processDown, s.healthCheckFailed, s.zone.evidence}
 }
 
-// fireNextTimer moves the clock to a request's next timer, fires it, and returns the actions and the time waited.
+// fireNextTimer advances the clock to a request's next timer, fires it, and returns the actions and the time
+// waited.
 func (h *harness) fireNextTimer(id RequestID) (acts []Action, waited float64) {
 	h.t.Helper()
 	due := h.b.requests[id].wakeAt
@@ -31,8 +32,8 @@
 	return h.handle(Timer{Token: uint64(id)}), waited
 }
 
-// A failure of this machine counts against no server and uses up no attempt. The request is sent again after a pause
-// that doubles, whatever its idempotency.
+// A local failure counts neither as an error of the server nor as an attempt. The request is sent again after a
+// backoff that doubles, whatever its idempotency.
 func TestRetry_localFailure(t *testing.T) {
 	for name, class := range map[string]int{
 		"idempotent": idempotentClass, "non-idempotent": nonIdempotentClass, "with key": cellKeyClass,
@@ -58,7 +59,7 @@
 				}
 			}
 			sends := 0
-			for n := 4; hasAction(acts, Send); n++ { // all attempts are left
+			for n := 4; hasAction(acts, Send); n++ { // all attempts are still available
 				sends++
 				acts = h.endAttempt(id, n, ConnectFailed, 0.1)
 			}
@@ -69,14 +70,14 @@
 	}
 }
 
-// A request whose attempts all fail on this machine is rejected at its deadline, after at most 12 attempts.
+// If all attempts of a request fail locally, it is rejected at its deadline, after at most 12 attempts.
 func TestRetry_localFailureUntilDeadline(t *testing.T) {
 	for name, class := range map[string]int{
 		"idempotent": idempotentClass, "non-idempotent": nonIdempotentClass, "with key": globalKeyClass,
 	} {
 		t.Run(name, func(t *testing.T) {
 			h := newHarness(t, baseConfig(), identicalServers(8)...)
-			earliestStart, n := h.now, 0
+			start, n := h.now, 0
 			id, acts := h.sendRequest(class)
 			for !hasAction(acts, Reject) {
 				if hasAction(acts, Send) {
@@ -89,14 +90,14 @@
 					t.Fatalf("%+v, want a rejection", acts)
 				}
 			}
-			if elapsed := h.now - earliestStart; elapsed > h.b.cfg.Classes[class].Deadline || n > 12 {
+			if elapsed := h.now - start; elapsed > h.b.cfg.Classes[class].Deadline || n > 12 {
 				t.Errorf("rejected after %v ms and %d attempts, want by the deadline and at most 12", elapsed, n)
 			}
 		})
 	}
 }
 
-// While the body of a request still arrives there is no deadline; maxLocalFailures then bounds the attempts.
+// While the body of a request is arriving there is no deadline, and maxLocalFailures limits the attempts.
 func TestRetry_localFailureLimit(t *testing.T) {
 	h := newHarness(t, baseConfig(), identicalServers(8)...)
 	h.lastID++
@@ -104,7 +105,7 @@
 	acts := h.handle(Request{ID: id, Class: idempotentClass, Remaining: 500, BodyStreaming: true})
 	for !hasAction(acts, Reject) {
 		if n > maxLocalFailures+h.b.cfg.MaxAttempts {
-			t.Fatalf("%d attempts and no answer", n)
+			t.Fatalf("no final response after %d attempts", n)
 		}
 		if hasAction(acts, Send) {
 			acts = h.endAttempt(id, n, LocalFailure, 0.1)
--- a/balance/locality_test.go
+++ b/balance/locality_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// With a price on crossing zones, the own zone gets more requests and other zones still get some.
+// With a price for crossing zones, the own zone gets more requests, and other zones still get some.
 func TestLocality_crossZonePrice(t *testing.T) {
 	for price, minOwn := range map[float64]int{0: 10, 0.05: 25} {
 		cfg := baseConfig()
@@ -24,8 +24,8 @@
 	}
 }
 
-// newZoneHarness returns a harness in zone 0 with a price on crossing zones. Each zone has so many servers, with IDs
-// from 1, and the demand is known.
+// newZoneHarness returns a harness in zone 0 with a price for crossing zones. zones holds the number of servers of
+// each zone; their IDs count from 1. Enough requests were served for all servers to be in the rotation.
 func newZoneHarness(t *testing.T, change func(*Config), zones ...int) *harness {
 	t.Helper()
 	cfg := baseConfig()
@@ -40,7 +40,7 @@
 		}
 	}
 	h := newHarness(t, cfg, list...)
-	for range 40 { // the demand is known, so all servers are in the rotation
+	for range 40 { // brings all servers into the rotation
 		h.now += 5
 		id, _ := h.sendRequest(idempotentClass)
 		h.endAttempt(id, 0, OK, 50)
@@ -54,18 +54,18 @@
 	return r.attempts[len(r.attempts)-1].server.Zone
 }
 
-// playRequests plays n requests, one each so many ms; the verdict decides the result of each attempt by its server.
-// It returns the number of first attempts by zone.
+// playRequests sends n requests at intervals of every ms; the verdict decides the result of each attempt by its
+// server. It returns the number of first attempts by zone.
 func (h *harness) playRequests(n int, every float64, verdict func(s *server) Result) map[int]int {
 	h.t.Helper()
-	first := map[int]int{}
+	firstAttempts := map[int]int{}
 	for range n {
 		h.now += every
 		id, _ := h.sendRequest(idempotentClass)
 		for attempt := 0; h.b.requests[id] != nil && attempt < len(h.b.requests[id].attempts); attempt++ {
 			s := h.b.requests[id].attempts[attempt].server
 			if attempt == 0 {
-				first[s.Zone]++
+				firstAttempts[s.Zone]++
 			}
 			result, elapsed := verdict(s), 50.0
 			if result == ConnectFailed {
@@ -75,10 +75,10 @@
 			h.endAttempt(id, attempt, result, elapsed)
 		}
 	}
-	return first
+	return firstAttempts
 }
 
-// failZone returns a verdict that no server of this zone can be reached.
+// failZone returns a verdict by which no server of the given zone can be reached.
 func failZone(zone int) func(*server) Result {
 	return func(s *server) Result {
 		if s.Zone == zone {
@@ -88,11 +88,11 @@
 	}
 }
 
-// alwaysOK is the verdict that each attempt succeeds.
+// alwaysOK is a verdict by which each attempt succeeds.
 func alwaysOK(*server) Result { return OK }
 
-// The own zone is left after connect timeouts at two of its servers. A dead remote zone costs attempts at two servers
-// at most.
+// The own zone is suspended after connect timeouts at two of its servers. A dead remote zone costs attempts at no
+// more than two servers.
 func TestLocality_deadZone(t *testing.T) {
 	for _, change := range []func(*Config){nil, func(c *Config) { c.Zone = 1 }} {
 		h := newZoneHarness(t, change, 8, 8)
@@ -103,30 +103,30 @@
 			}
 			return failZone(0)(s)
 		})
-		left := h.b.ZoneStatus().Left == 1
-		// A dead own zone is found at once. A dead remote zone needs no attempts.
-		if near := h.b.cfg.Zone == 0; near && (!left || len(tried) != 2) || !near && len(tried) > 2 {
-			t.Errorf("own zone %d: %d servers of the dead zone were tried, left %v", h.b.cfg.Zone, len(tried), left)
+		suspended := h.b.ZoneStatus().Left == 1
+		// A dead own zone is detected at once. A dead remote zone needs no attempts.
+		if near := h.b.cfg.Zone == 0; near && (!suspended || len(tried) != 2) || !near && len(tried) > 2 {
+			t.Errorf("own zone %d: %d servers of the dead zone were tried, suspended %v", h.b.cfg.Zone, len(tried), suspended)
 		}
 	}
 }
 
-// No zone is left when all of them fail. As soon as one answers, those that still fail are left.
+// No zone is suspended when all of them fail. As soon as one responds, those that still fail are suspended.
 func TestLocality_allZonesFail(t *testing.T) {
 	h := newZoneHarness(t, nil, 6, 6, 6)
 	h.playRequests(60, 100, func(*server) Result { return ConnectFailed })
 	if z := h.b.ZoneStatus(); z.Left != 0 || z.Evidence == 0 {
 		t.Errorf("%+v", z)
 	}
-	// When one zone answers again, the zone that still fails is left.
+	// When one zone responds again, the zone that still fails is suspended.
 	h.playRequests(60, 100, failZone(0))
 	if z := h.b.ZoneStatus(); z.Left != 1 {
-		t.Errorf("one zone answers and another does not: %+v", z)
+		t.Errorf("one zone responds and another does not: %+v", z)
 	}
 }
 
-// A connect timeout is full evidence against a zone. A refused connection, a reset or a failure is half as much, and
-// a server counts once however often it fails.
+// A connect timeout is full evidence against a zone. A refused connection, a reset or a failure is half as much. A
+// server counts once, however often it fails.
 func TestLocality_partialEvidence(t *testing.T) {
 	for _, c := range []struct {
 		result        Result
@@ -152,12 +152,12 @@
 			n++
 		}
 		if n != c.serversNeeded || !h.b.locality.zones[0].suspended {
-			t.Errorf("%+v: left %v after %d servers", c, h.b.locality.zones[0].suspended, n)
+			t.Errorf("%+v: suspended %v after %d servers", c, h.b.locality.zones[0].suspended, n)
 		}
 	}
 }
 
-// An answer clears the evidence against its zone: a zone that answers every second request is not left.
+// A response clears the evidence against its zone: a zone that answers every second request is not suspended.
 func TestLocality_answerClearsEvidence(t *testing.T) {
 	h := newZoneHarness(t, nil, 8, 8)
 	n := 0
@@ -170,11 +170,12 @@
 		return OK
 	})
 	if z := h.b.ZoneStatus(); z.Left != 0 {
-		t.Errorf("a zone that answers every second request was left: %+v", z)
+		t.Errorf("a zone that answers every second request was suspended: %+v", z)
 	}
 }
 
-// A zone with most of the servers needs more evidence to be left, as the other zones could not bear its load.
+// A zone with most of the servers is suspended only with more evidence, as the other zones could not take over its
+// load.
 func TestLocality_largeZone(t *testing.T) {
 	for _, c := range []struct{ own, other, need int }{{4, 12, 2}, {8, 8, 2}, {12, 4, 4}, {15, 1, 4}} {
 		h := newZoneHarness(t, nil, c.own, c.other)
@@ -186,13 +187,13 @@
 			return failZone(0)(s)
 		})
 		if len(tried) != c.need {
-			t.Errorf("%d of %d servers: left after %d of them", c.own, c.own+c.other, len(tried))
+			t.Errorf("%d of %d servers: suspended after %d of them", c.own, c.own+c.other, len(tried))
 		}
 	}
 }
 
-// A zone that was left gets one idempotent request at first, then as many in flight as it has answered. It is in full
-// use after as many answers as it has servers.
+// A suspended zone gets one idempotent request at first, and then as many in flight as it has answered. It is in
+// full use after as many responses as it has servers.
 func TestLocality_zoneReturn(t *testing.T) {
 	h := newZoneHarness(t, nil, 8, 8)
 	h.playRequests(20, 20, failZone(0))
@@ -205,7 +206,7 @@
 		s.ejectedUntil = 0
 	}
 	if id, _ := h.sendRequest(nonIdempotentClass); h.lastZone(id) != 1 {
-		t.Error("a non-idempotent request tries a zone that was left")
+		t.Error("a non-idempotent request is sent to a suspended zone")
 	}
 	var inZone []RequestID
 	sendRound := func() (n int) {
@@ -232,7 +233,7 @@
 		inZone = inZone[1:]
 		sendRound()
 		if z.suspended && int(z.trialsInFlight) != want {
-			t.Fatalf("after %d answers %g requests are in flight in the zone", want, z.trialsInFlight)
+			t.Fatalf("after %d responses %g requests are in flight in the zone", want, z.trialsInFlight)
 		}
 	}
 	if !z.suspended {
@@ -241,22 +242,22 @@
 	h.now += 50
 	h.endAttempt(inZone[0], 0, OK, 50)
 	if z.suspended {
-		t.Errorf("the zone is not in full use after eight answers: %+v", z)
+		t.Errorf("the zone is not in full use after eight responses: %+v", z)
 	}
 }
 
-// A zone that fails on its return stays left for longer each time. The pauses of sidecars differ, so that they do not
-// return together.
+// A zone that fails on its return is suspended for longer each time. The pauses of different sidecars differ, so
+// that they do not return at the same time.
 func TestLocality_returnBackoff(t *testing.T) {
-	seen := map[string]bool{}
+	distinctPauses := map[string]bool{}
 	for seed := range uint64(5) {
 		h := newZoneHarness(t, func(c *Config) { c.Seed = seed }, 8, 8)
 		var pauses []float64
-		var last float64
+		var lastEnd float64
 		for range 2000 {
 			h.playRequests(1, 30, failZone(0))
-			if z := h.b.locality.zones[0]; z.suspended && z.suspendedUntil != last {
-				last = z.suspendedUntil
+			if z := h.b.locality.zones[0]; z.suspended && z.suspendedUntil != lastEnd {
+				lastEnd = z.suspendedUntil
 				pauses = append(pauses, z.suspendedUntil-h.now)
 			}
 		}
@@ -268,21 +269,21 @@
 				t.Errorf("seed %d: pauses %v", seed, pauses[:5])
 			}
 		}
-		seen[fmt.Sprintf("%.0f", pauses[0])] = true
+		distinctPauses[fmt.Sprintf("%.0f", pauses[0])] = true
 	}
-	if len(seen) < 3 {
-		t.Errorf("five sidecars have the pauses %v", seen)
+	if len(distinctPauses) < 3 {
+		t.Errorf("five sidecars have the pauses %v", distinctPauses)
 	}
 }
 
-// With a fraction q of a zone's servers failing, random requests, and another zone that answers, the zone is left in
-// q² of the cases, as zones.go states. The rate is checked from both sides.
+// With a fraction q of a zone's servers failing, random requests, and another zone that responds, the zone is
+// suspended in q² of the cases, as zones.go states. The rate has an upper and a lower limit.
 func TestLocality_falseAlarmRate(t *testing.T) {
 	const servers, failing, trials = 64, 8, 100000
 	h := newZoneHarness(t, nil, servers, servers)
 	z, other := h.b.locality.zone(0), h.b.locality.zone(1)
 	r := rand.New(rand.NewPCG(1, 2))
-	left := 0
+	suspensions := 0
 	for range trials {
 		h.b.now++
 		h.b.locality.recordResponse(other, false, 0.1)
@@ -292,17 +293,17 @@
 			h.b.locality.recordResponse(z, false, 0.1)
 		}
 		if z.suspended {
-			left++
+			suspensions++
 			z.suspended, z.evidence, z.evidenceClearedAt = false, 0, h.b.now
 		}
 	}
 	const q = float64(failing) / servers
-	if rate := float64(left) / trials; rate > q*q || rate < q*q/2 {
-		t.Errorf("left in %.2f %% of the trials, want about %.2f", 100*rate, 100*q*q)
+	if rate := float64(suspensions) / trials; rate > q*q || rate < q*q/2 {
+		t.Errorf("suspended in %.2f %% of the trials, want about %.2f", 100*rate, 100*q*q)
 	}
 }
 
-// Without a need, nearly no request crosses zones.
+// While the near servers are fast, nearly no request crosses zones.
 func TestLocality_noNeedlessCrossing(t *testing.T) {
 	h := newZoneHarness(t, nil, 8, 8)
 	if first := h.playRequests(500, 20, alwaysOK); first[1] > 5 {
@@ -310,7 +311,7 @@
 	}
 }
 
-// Load that the near servers cannot bear moves to another zone in steps, and comes back when they can.
+// Load that the near servers cannot take moves to another zone in steps, and returns when they can take it again.
 func TestLocality_spillover(t *testing.T) {
 	h := newZoneHarness(t, nil, 8, 8)
 	nearLatency := 220.0
@@ -367,7 +368,7 @@
 	}
 }
 
-// A streamed answer counts for its zone as soon as it starts: the next trial does not wait for its end.
+// A streamed response counts for its zone as soon as it starts: the next trial does not wait for its end.
 func TestLocality_zoneReturnOfStreams(t *testing.T) {
 	h := newZoneHarness(t, nil, 8, 8)
 	h.playRequests(5, 20, failZone(0))
@@ -384,11 +385,11 @@
 			}
 		}
 		if z.trialsInFlight != 1 {
-			t.Fatalf("%g trials in flight after %d started answers", z.trialsInFlight, n-1)
+			t.Fatalf("%g trials in flight after %d started responses", z.trialsInFlight, n-1)
 		}
 		h.handle(AnswerStarted{Request: h.lastID, Server: h.b.requests[h.lastID].attempts[0].server.ID, Elapsed: 50})
 		if z.trialsInFlight != 0 || z.trialLimit != float64(n) {
-			t.Fatalf("%+v after %d started answers", z, n)
+			t.Fatalf("%+v after %d started responses", z, n)
 		}
 	}
 }
--- a/balance/pick.go
+++ b/balance/pick.go
@@ -36,7 +36,7 @@
 
 	candidates []*server       // servers with a weight in the last pick, in the order of servers
 	totals     candidateTotals // sums over the candidates of the last first attempt
-	// Upper bound of the current weights of servers that are no candidates.
+	// Upper bound of the current weights of servers that are not candidates.
 	maxOtherCurrentWeight float64
 	pickingForRoute       bool // set during a pick for a route
 }
@@ -59,8 +59,8 @@
 	updatedAt         milliseconds
 }
 
-// update records the candidates of another first attempt. maxWarmUpFraction decays by a factor of e
-// within span.
+// update records the sum of weights and the mean warm-up fraction of the candidates of another first
+// attempt. The difference between maxWarmUpFraction and a lower mean decays by a factor of e within span.
 func (p *candidateTotals) update(now, span milliseconds, weight, mean float64) {
 	p.maxWarmUpFraction = mean + math.Max(0, p.maxWarmUpFraction-mean)*math.Exp((p.updatedAt-now)/span)
 	p.weight, p.updatedAt, p.warmUpRatio = weight, now, mean/p.maxWarmUpFraction
@@ -70,7 +70,8 @@
 func (p *picker) pick(r *request, retry bool, firstTier int) *server {
 	total := p.weighCandidates(r, retry, false)
 	if total == 0 {
-		// All eligible servers are ejected, so the fault is probably not theirs: use them nevertheless.
+		// All eligible servers are ejected or in suspended zones. Their failures probably have a common
+		// cause, so they are used nevertheless.
 		total = p.weighCandidates(r, retry, true)
 	}
 	best, _ := p.chooseCandidate(r, retry, firstTier, total)
@@ -85,7 +86,7 @@
 }
 
 // weighCandidates selects the candidates of a pick, sets their weights and returns the sum. For a first
-// attempt it also raises the current weights. For a retry it admits as many servers again from zones
+// attempt it also raises the current weights. For a retry it adds as many servers again from zones
 // without evidence of failure.
 func (p *picker) weighCandidates(r *request, retry, withEjected bool) float64 {
 	size := rotationSize(p.demand.rate())
@@ -143,7 +144,7 @@
 		}
 		// Bounded load: a server above its share is slow, hung or loaded by other clients, even if it
 		// returns no errors. It keeps its current weight, so that it is due as soon as its load has
-		// fallen.
+		// fallen. Servers whose load cannot be compared count as above their share.
 		load := p.load(s)
 		overLimit := !s.loadComparable || load+1 > math.Ceil(boundedLoadFactor*totalLoad*s.weight/totalWeight)
 		level := 0
@@ -243,7 +244,8 @@
 	return p.slowStart.withinBudget(s, &p.totals, p.pickingForRoute)
 }
 
-// raiseCurrentWeights adds the weight of each candidate to its current weight, up to the sum of weights.
+// raiseCurrentWeights adds the weight of each candidate to its current weight, up to the sum of weights
+// total. fullWeights is the sum that the weights would have if no candidate were warming up.
 func (p *picker) raiseCurrentWeights(total, fullWeights float64) {
 	for _, s := range p.candidates {
 		s.currentWeight = math.Min(s.currentWeight+s.weight, total)
@@ -254,10 +256,12 @@
 	}
 }
 
-// limitOtherCurrentWeights limits the current weights of all other servers to the sum of weights. The
-// upper bound maxOtherCurrentWeight makes it unnecessary to visit all servers in most picks.
+// limitOtherCurrentWeights limits the current weights of all servers that are not candidates to the sum
+// of weights. The upper bound maxOtherCurrentWeight makes it unnecessary to visit all servers in most
+// picks.
 func (p *picker) limitOtherCurrentWeights(total float64) {
-	// In a pick for a route they belong to the route.
+	// In a pick for a route the current weights are those of the route, to which the upper bound does not
+	// apply.
 	if total >= p.maxOtherCurrentWeight && !p.pickingForRoute {
 		return
 	}
--- a/balance/picker_test.go
+++ b/balance/picker_test.go
@@ -30,7 +30,7 @@
 	}
 }
 
-// A further attempt goes to the healthiest server that the request has not used yet, whatever the rotation says.
+// A retry goes to the healthiest server that the request has not used yet, regardless of the rotation.
 func TestPicker_rerouteByHealth(t *testing.T) {
 	h := newHarness(t, baseConfig(), identicalServers(4)...)
 	for _, s := range h.b.servers {
@@ -42,21 +42,21 @@
 	if s, _ := sentTo(acts); s != 2 {
 		t.Fatalf("first sent to %d, want 2", s)
 	}
-	h.b.servers[3].currentWeight = 1000 // next in the rotation, which must not count for a further attempt
+	h.b.servers[3].currentWeight = 1000 // next in the rotation, which must not affect a retry
 	if s, ok := sentTo(h.endAttempt(id, 0, Rejected, 1)); !ok || s != 3 {
 		t.Fatalf("the second attempt goes to %d, want 3", s)
 	}
 }
 
-// When each server has far more in flight than its part, a first attempt goes to the one with the least for its
-// weight, and a further attempt goes by health. While one server is not over its part, the rotation decides.
+// If each server has far more in flight than its share, a first attempt goes to the one with the lowest load per
+// weight, and a retry goes by health. While one server is within its share, the rotation decides.
 func TestPicker_allServersLoaded(t *testing.T) {
 	for _, c := range []struct {
 		inFlight [4]int
 		want     ServerID
 	}{
-		{[4]int{4, 3, 4, 4}, 2}, // all are over their part
-		{[4]int{4, 4, 1, 0}, 3}, // 3 and 4 are not over, and 3 is next in the rotation
+		{[4]int{4, 3, 4, 4}, 2}, // all are over their share
+		{[4]int{4, 4, 1, 0}, 3}, // 3 and 4 are within their share, and 3 is next in the rotation
 	} {
 		h := newHarness(t, baseConfig(), identicalServers(4)...)
 		for i, s := range h.b.servers {
@@ -66,7 +66,7 @@
 		r := &request{class: &h.b.cfg.Classes[idempotentClass], stats: &h.b.demand.classes[idempotentClass]}
 		if c.want == 2 {
 			if s := h.b.pick(r, true); s.ID == 2 {
-				t.Errorf("%v: the further attempt went to the server of lowest health", c.inFlight)
+				t.Errorf("%v: the retry went to the server of lowest health", c.inFlight)
 			}
 			for i, s := range h.b.servers {
 				s.currentWeight = float64(10 * (4 - i))
@@ -78,7 +78,7 @@
 	}
 }
 
-// Servers that answer twice as fast get a larger learned capacity, and so does their kind.
+// Servers that respond twice as fast get a larger learned size, and so does their kind.
 func TestPicker_learnedCapacity(t *testing.T) {
 	servers := identicalServers(4)
 	servers[2].Kind, servers[3].Kind = 1, 1
@@ -95,12 +95,12 @@
 		t.Fatalf("attempts by server: %v", sends)
 	}
 	if h.b.capacity.kindLogSizes[1] <= h.b.capacity.kindLogSizes[0] {
-		t.Fatalf("capacities by kind: %v", h.b.capacity.kindLogSizes)
+		t.Fatalf("log sizes by kind: %v", h.b.capacity.kindLogSizes)
 	}
 }
 
-// The first answers change the learned capacity faster than later ones, so that a restarted sidecar with little
-// traffic soon knows slow servers.
+// The first responses change the learned sizes faster than later ones, so that a restarted sidecar with little
+// traffic soon detects slow servers.
 func TestPicker_capacityLearningRate(t *testing.T) {
 	h := newHarness(t, baseConfig(), identicalServers(2)...)
 	fast, slow := h.b.servers[0], h.b.servers[1]
@@ -108,7 +108,7 @@
 		h.b.capacity.learn(fast, 0.5)
 		h.b.capacity.learn(slow, 1.5)
 	}
-	early := fast.logSize - slow.logSize
+	firstChange := fast.logSize - slow.logSize
 	for range 2000 { // much later, one of two equal servers becomes faster
 		h.b.capacity.learn(fast, 1)
 		h.b.capacity.learn(slow, 1)
@@ -118,7 +118,7 @@
 		h.b.capacity.learn(fast, 0.5)
 		h.b.capacity.learn(slow, 1.5)
 	}
-	if late := fast.logSize - slow.logSize - before; early < 3*late || late <= 0 {
-		t.Fatalf("learned %.3f at first and %.3f later", early, late)
+	if laterChange := fast.logSize - slow.logSize - before; firstChange < 3*laterChange || laterChange <= 0 {
+		t.Fatalf("learned %.3f at first and %.3f later", firstChange, laterChange)
 	}
 }
--- a/balance/rank.go
+++ b/balance/rank.go
@@ -2,8 +2,8 @@
 
 import "math"
 
-// zonePreference scales how far servers of nearer tiers are preferred by rank. Their weight is multiplied
-// by 1 + zonePreference × the price of crossing zones, for each tier.
+// zonePreference scales how far servers of nearer tiers are preferred by rank. The weight of a server is
+// divided by 1 + zonePreference × price of crossing zones for each tier that it is further away.
 const zonePreference = 200
 
 // rankOf returns the rank of a server for this sidecar by weighted rendezvous hashing; lower ranks are
--- a/balance/retry_test.go
+++ b/balance/retry_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// What may follow the end of a first attempt, for each kind of idempotency, key scope and result, within the key
-// window and after it: another attempt, a rejection or a failure.
+// After the end of a first attempt, a request gets another attempt, a rejection or a failure, depending on its
+// idempotency, its key scope, the result, and whether the key window has ended.
 func TestRetry_afterFirstAttempt(t *testing.T) {
 	for _, class := range []int{idempotentClass, nonIdempotentClass, cellKeyClass, globalKeyClass, zoneKeyClass} {
 		for _, result := range []Result{Failed, Rejected, TimedOut, ConnectFailed, Reset, Cancelled, WriteFailed} {
@@ -19,7 +19,7 @@
 	}
 }
 
-// checkAfterFirstAttempt checks one combination. A second attempt must also keep to the key scope.
+// checkAfterFirstAttempt checks one combination. A second attempt must also stay within the key scope.
 func checkAfterFirstAttempt(t *testing.T, class int, result Result, afterWindow bool) {
 	cfg := baseConfig()
 	for i := range cfg.Classes {
@@ -56,8 +56,8 @@
 	}
 }
 
-// A further attempt must reach its server within the key window. It may wait for a connection for up to the connect
-// timeout first, so that time is subtracted from the window.
+// A retry must reach its server within the key window. As it may first wait for a connection for up to the connect
+// timeout, that time is subtracted from the window.
 func TestRetry_keyWindow(t *testing.T) {
 	const connect, window = 120.0, 300.0
 	cfg := baseConfig()
@@ -79,7 +79,7 @@
 	}
 }
 
-// The key window starts with the first attempt that may have run: attempts that never ran use up none of it.
+// The key window starts with the first attempt that may have run. Attempts that never ran do not shorten it.
 func TestRetry_keyWindowStart(t *testing.T) {
 	cfg := baseConfig()
 	cfg.ConnectTimeout = 120
@@ -88,7 +88,7 @@
 	id, _ := h.sendRequest(globalKeyClass)
 	h.now += 250
 	if !hasAction(h.endAttempt(id, 0, ConnectFailed, 250), Send) {
-		t.Fatal("not sent again after a connect that failed")
+		t.Fatal("not sent again after a failed connect")
 	}
 	h.now += 70
 	if !hasAction(h.endAttempt(id, 1, Failed, 70), Send) {
@@ -96,8 +96,8 @@
 	}
 }
 
-// At its deadline, a request with a pending attempt that may run fails: it may not be rejected, which would promise
-// that nothing ran.
+// At its deadline, a request with a pending attempt that may run fails. It must not be rejected, as a rejection
+// promises that nothing ran.
 func TestRetry_deadlineAfterSend(t *testing.T) {
 	h := newHarness(t, baseConfig(), identicalServers(4)...)
 	for _, class := range []int{nonIdempotentClass, cellKeyClass, zoneKeyClass} {
@@ -110,16 +110,16 @@
 	}
 }
 
-// A request without time left is rejected at once.
+// A request whose remaining time is 0 is rejected at once.
 func TestRetry_noTimeLeft(t *testing.T) {
 	h := newHarness(t, baseConfig(), identicalServers(4)...)
 	acts := h.handle(Request{ID: 1, Class: nonIdempotentClass, Remaining: 0})
 	if !hasAction(acts, Reject) || hasAction(acts, Send) {
-		t.Fatalf("a request without time left: %+v", acts)
+		t.Fatalf("a request with no time remaining: %+v", acts)
 	}
 }
 
-// Without a usable server a request waits until its deadline, and is then rejected and forgotten.
+// If no server is usable, a request waits until its deadline. It is then rejected and removed.
 func TestRetry_noUsableServer(t *testing.T) {
 	drained := identicalServers(3)
 	for i := range drained {
@@ -137,12 +137,12 @@
 			rejected = rejected || hasAction(h.handle(Timer{Token: uint64(id)}), Reject)
 		}
 		if !rejected || len(h.b.requests) != 0 {
-			t.Fatalf("%s: rejected %v, %d requests remembered", name, rejected, len(h.b.requests))
+			t.Fatalf("%s: rejected %v, %d requests kept", name, rejected, len(h.b.requests))
 		}
 	}
 }
 
-// After MaxAttempts attempts that never ran, a request is rejected.
+// A request is rejected after MaxAttempts attempts that never ran.
 func TestRetry_attemptLimit(t *testing.T) {
 	cfg := baseConfig()
 	cfg.MaxAttempts = 1
@@ -153,8 +153,9 @@
 	}
 }
 
-// A streamed answer that has started belongs to the client: no deadline, retry or answer of the sidecar follows. Its
-// server counts as answered, and a break counts as an error.
+// A streamed response that has started belongs to the client: the sidecar applies no deadline and sends no retry or
+// response of its own. The attempt no longer counts as in flight, and a broken stream counts as an error of the
+// server.
 func TestRetry_startedStream(t *testing.T) {
 	cfg := baseConfig()
 	cfg.Classes[idempotentClass].Stream = true
@@ -171,15 +172,15 @@
 	}
 	h.handle(Outcome{Request: id, Server: s, Result: Reset, Elapsed: 5000, Finished: true})
 	if len(h.b.requests) != 0 {
-		t.Fatal("an ended stream is remembered")
+		t.Fatal("an ended stream is kept")
 	}
 	if server := h.b.byID[s]; server.consecutiveErrors != 1 || server.inFlight != 0 {
 		t.Errorf("after a reset: %d errors, %d in flight", server.consecutiveErrors, server.inFlight)
 	}
 }
 
-// While the body of a request arrives, neither its deadline nor the server's time runs, and it counts as no load.
-// Both start with its last byte.
+// While the body of a request is arriving, neither its deadline nor the server's time runs, and the attempt does
+// not count as load. Both start with the last byte.
 func TestRetry_streamingBodyDeadline(t *testing.T) {
 	h := newHarness(t, baseConfig(), identicalServers(3)...)
 	h.lastID++
@@ -202,11 +203,11 @@
 	}
 	h.endAttempt(id, 0, Cancelled, 601)
 	if h.b.admission.inFlightLoad != 0 {
-		t.Errorf("load %v is left", h.b.admission.inFlightLoad)
+		t.Errorf("the load is %v after the attempt ended, want 0", h.b.admission.inFlightLoad)
 	}
 }
 
-// A request that never ran is sent again only while its body is still held.
+// A request that never ran is sent again only if its body is still available.
 func TestRetry_consumedBody(t *testing.T) {
 	for _, consumed := range []bool{false, true} {
 		h := newHarness(t, baseConfig(), identicalServers(3)...)
@@ -220,7 +221,7 @@
 	}
 }
 
-// Attempts that never ran are repeated up to MaxAttempts. A request that may have run is sent again once at most.
+// Attempts that never ran are repeated up to MaxAttempts. A request that may have run is sent again at most once.
 func TestRetry_rerouteLimit(t *testing.T) {
 	for res, sends := range map[Result]int{ConnectFailed: 4, WriteFailed: 4, Rejected: 4, Failed: 2} {
 		h := newHarness(t, baseConfig(), identicalServers(8)...)
--- a/balance/rotation_test.go
+++ b/balance/rotation_test.go
@@ -9,12 +9,12 @@
 	"testing"
 )
 
-// A pick that skips the servers outside the rotation leaves each server's running value as a pick over all servers
-// does.
+// A pick that skips the servers outside the rotation leaves each server with the same current weight as a pick that
+// visits all servers.
 func TestRotation_skippedServers(t *testing.T) {
 	for _, c := range []struct {
 		name      string
-		rating    float64 // if small, the sum of weights is less than the initial running values
+		rating    float64 // if small, the sum of weights is below the initial current weights
 		withRoute bool
 	}{{"usual ratings", 1, false}, {"small ratings", 0.05, false}, {"with a route", 1, true}} {
 		t.Run(c.name, func(t *testing.T) {
@@ -31,7 +31,7 @@
 				}
 				for i, s := range exhaustive.servers {
 					if q := bounded.servers[i]; q.ID != s.ID || q.currentWeight != s.currentWeight || q.weight != s.weight {
-						t.Fatalf("%#v: server %d has the running value %v, without skipping %v", ev, s.ID, q.currentWeight, s.currentWeight)
+						t.Fatalf("%#v: server %d has the current weight %v, without skipping %v", ev, s.ID, q.currentWeight, s.currentWeight)
 					}
 				}
 				return slices.Clone(got)
@@ -46,7 +46,7 @@
 	}
 }
 
-// playRandomEvents brings random requests, results of their attempts, and list changes.
+// playRandomEvents passes random requests, results of their attempts, and list changes to handle.
 func playRandomEvents(handle func(now float64, ev Event) []Action, rating float64) {
 	rng := rand.New(rand.NewPCG(3, 4))
 	for i := range 4000 {
@@ -74,8 +74,8 @@
 	}
 }
 
-// Along a route, the running values of a group are bounded by its own sum of weights, even when the preferred group
-// has no server at all.
+// In a pick for a route, the current weights of a group are limited by its own sum of weights, even if the
+// preferred group has no server.
 func TestRotation_skippedServersOfRoute(t *testing.T) {
 	list := identicalServers(20)
 	for i := range list {
@@ -95,14 +95,15 @@
 		t.Fatal("all servers are in the rotation")
 	}
 	for _, s := range h.b.servers {
-		if running := s.placements[0].running[baseSide]; running > total {
-			t.Errorf("server %d has the running value %v, the sum of weights is %v", s.ID, running, total)
+		if weight := s.placements[0].running[baseSide]; weight > total {
+			t.Errorf("server %d has the current weight %v, the sum of weights is %v", s.ID, weight, total)
 		}
 	}
 }
 
-// A sidecar with little traffic uses minRotation servers, so that a large fleet does not fill the servers' connection
-// tables. All sidecars together use all servers evenly, and a restarted one uses the same as before.
+// A sidecar with little traffic uses minRotation servers, so that a large fleet does not fill the connection tables
+// of the servers. All sidecars together use all servers evenly, and a restarted sidecar uses the same servers as
+// before.
 func TestRotation_lowTraffic(t *testing.T) {
 	sidecars, servers := 400, 60
 	all := map[ServerID]int{}
@@ -143,7 +144,7 @@
 	}
 }
 
-// The rotation grows with traffic, up to all servers, and replaces servers that are ejected.
+// The rotation grows with the traffic, up to all servers, and replaces ejected servers.
 func TestRotation_growth(t *testing.T) {
 	h := newHarness(t, baseConfig(), identicalServers(60)...)
 	usedServers := func(gap float64, n int) int {
--- a/balance/settings_test.go
+++ b/balance/settings_test.go
@@ -7,8 +7,8 @@
 	"testing"
 )
 
-// Settings that the deployment does not use keep the rules of simulation, answer each request, and send nearly all of
-// them.
+// Settings that the deployment does not use keep the rules of the simulation: each request is answered, and nearly
+// all are sent.
 func TestSettings_variants(t *testing.T) {
 	for name, change := range map[string]func(*Config, *int){
 		"one server":  func(_ *Config, n *int) { *n = 1 },
@@ -68,9 +68,9 @@
 	}
 }
 
-// New returns an error for invalid settings that names the field.
+// New returns an error that names the field of an invalid setting.
 func TestSettings_invalid(t *testing.T) {
-	for name, spoil := range map[string]func(*Config){
+	for name, makeInvalid := range map[string]func(*Config){
 		"Classes":                     func(c *Config) { c.Classes = nil },
 		"Idempotency":                 func(c *Config) { c.Classes[1].Idempotency = 9 },
 		"KeyScope":                    func(c *Config) { c.Classes[1].KeyScope = 9 },
@@ -85,7 +85,7 @@
 		"Tenants[0].Allowance":        func(c *Config) { c.Tenants = []Tenant{{Allowance: -1}} },
 	} {
 		cfg := baseConfig()
-		spoil(&cfg)
+		makeInvalid(&cfg)
 		if b, err := New(cfg); b != nil || err == nil || !strings.Contains(err.Error(), name) {
 			t.Errorf("%s: balancer %v, error %v", name, b != nil, err)
 		}
--- a/balance/slow_start.go
+++ b/balance/slow_start.go
@@ -2,7 +2,7 @@
 
 import "math"
 
-// fleetHalfLife is the half-life of the estimated fleet size after the fleet has become smaller.
+// fleetHalfLife is the half-life of the estimated fleet size while smaller sizes are reported.
 const fleetHalfLife milliseconds = 10_000
 
 const (
@@ -54,7 +54,7 @@
 //
 // The bucket fills at OverloadMultiple / overloadSafetyFactor times the rate of responses that this
 // sidecar gets from a warm server of the same size, multiplied by the server's warm-up fraction. It fills
-// at least at the rate that results if all servers have the same size. Responses are counted rather than
+// at least at the rate that would result if all servers had the same size. Responses are counted rather than
 // requests, as clients repeat requests that fail. The rate of responses is an average over past seconds;
 // totals.warmUpRatio lowers it if servers were warmer then.
 //
--- a/balance/slow_start_fleet_test.go
+++ b/balance/slow_start_fleet_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// fleetScenarios returns all scenarios, as changes of one base scenario.
+// fleetScenarios returns all scenarios, each a variation of one base scenario.
 func fleetScenarios() []fleetScenario {
 	base := fleetScenario{
 		servers: 10, cores: 2, meanWork: 85, load: 0.6, restartFraction: 0.2, notifySpread: 2000, mixedSpeeds: true,
@@ -100,7 +100,7 @@
 }
 
 // The attempts of all processes to a server in slow start stay within its budget in each window, for any number of
-// processes, distribution of traffic, and state of their memory.
+// processes and distribution of traffic, and whether processes have just restarted or not.
 func TestSlowStart_fleetWithinBudget(t *testing.T) {
 	for _, c := range fleetScenarios() {
 		t.Run(c.name, func(t *testing.T) {
@@ -109,10 +109,10 @@
 				worst := worstPeak(t, c, processes, 2)
 				t.Logf("%2d processes: %s", processes, worst)
 				if worst.fraction > 1 {
-					t.Errorf("%d processes: over the budget: %s", processes, worst)
+					t.Errorf("%d processes exceed the budget: %s", processes, worst)
 				}
 				if worst.total == 0 {
-					t.Errorf("%d processes: servers in slow start get nothing", processes)
+					t.Errorf("%d processes: servers in slow start get no requests", processes)
 				}
 			}
 		})
@@ -136,17 +136,18 @@
 	return worst
 }
 
-// The answer rate of the last seconds was measured on warm servers. It must not raise the budgets when nearly all
-// servers start at once under overload.
+// The response rate of the last seconds was measured on warm servers. It must not raise the budgets when nearly all
+// servers start at the same time under overload.
 func TestSlowStart_simultaneousStarts(t *testing.T) {
 	for _, processes := range []int{2, 3} {
 		if worst := worstPeak(t, scenarioByName("all restart under overload"), processes, 8); worst.fraction > 1 {
-			t.Errorf("%d processes: over the budget: %s", processes, worst)
+			t.Errorf("%d processes exceed the budget: %s", processes, worst)
 		}
 	}
 }
 
-// The check of these tests can fail: without budgets, or without slow start, servers get more than allowed.
+// The check of these tests detects violations: without budgets, or without slow start, servers get more than
+// allowed.
 func TestSlowStart_fleetCheckDetectsOverload(t *testing.T) {
 	noBudget, noSlowStart := scenarioByName("all restart under overload"), scenarioByName("overload")
 	noBudget.noBudget, noSlowStart.noSlowStart = true, true
--- a/balance/slow_start_simulation_test.go
+++ b/balance/slow_start_simulation_test.go
@@ -9,8 +9,8 @@
 	"testing"
 )
 
-// fleetSimulation runs the balancers of a fleet on one clock in front of servers of which some start slowly. The
-// balancers are real. Servers are a model of a few cores with one queue, and clients retry.
+// fleetSimulation runs the balancers of a fleet on a simulated clock against servers, some of which are in slow
+// start. The balancers are real. Each server is modelled as a few cores with one queue, and clients retry.
 type fleetSimulation struct {
 	t         *testing.T
 	scenario  fleetScenario
@@ -30,19 +30,19 @@
 	name            string
 	servers         int
 	cores           int
-	meanWork        float64 // mean of a request, ms of a core at speed 1
-	load            float64 // traffic as a part of the warm capacity of all servers
-	busyFraction    float64 // part of the traffic that goes to one process; 0: all get the same
+	meanWork        float64 // mean work of a request, in ms of a core at speed 1
+	load            float64 // traffic as a fraction of the warm capacity of all servers
+	busyFraction    float64 // fraction of the traffic that goes to one process; 0: all get the same
 	idleBeforeBurst bool    // no traffic until the burst
 	burstFactor     float64 // multiple of the traffic from burstAt on; 0: no burst
-	restartFraction float64 // part of the servers that restart at serverStartAt
+	restartFraction float64 // fraction of the servers that restart at serverStartAt
 	newServers      int     // number of servers that join at serverStartAt
-	downtime        float64 // of servers that restart, before their start
-	notifySpread    float64 // time between the first notified process and the last
-	notifications   int     // how often each start is notified; 0: once
-	resetFraction   float64 // part of the processes that restart without memory at resetAt
+	downtime        float64 // time for which restarting servers are down before they start
+	notifySpread    float64 // time between the notification of the first process and of the last
+	notifications   int     // number of notifications of each start; 0: one
+	resetFraction   float64 // fraction of the processes that restart without state at resetAt
 	resetAt         float64
-	fleetSizeFactor float64 // reported number of processes over the true one; 0: no report
+	fleetSizeFactor float64 // ratio of the reported number of processes to the true one; 0: no report
 	upgrade         bool    // each process runs beside a second one of its sidecar
 	drainTime       float64 // how long started servers drain, 3 s after the start; 0: not at all
 	unreachableTime float64 // how long started servers cannot be reached, 1 s after the start
@@ -69,7 +69,8 @@
 	slowStartSends []slowStartSend
 }
 
-// slowStartSend is an attempt to a server in slow start; notified tells whether its sender knew of the start.
+// slowStartSend is an attempt to a server in slow start. notified is set if the sender had been notified of the
+// start.
 type slowStartSend struct {
 	at       float64
 	notified bool
@@ -97,7 +98,7 @@
 	clientRetries map[RequestID]int // of each request in flight
 }
 
-// scheduledEvent is a step of the simulation; order decides between equal times.
+// scheduledEvent is a step of the simulation. Of steps at the same time, the one with the lower order runs first.
 type scheduledEvent struct {
 	at    float64
 	order int
@@ -124,7 +125,7 @@
 	return last
 }
 
-// schedule plans a step of the simulation.
+// schedule adds a step of the simulation.
 func (f *fleetSimulation) schedule(when float64, do func()) {
 	f.scheduled++
 	heap.Push(&f.events, scheduledEvent{when, f.scheduled, do})
@@ -149,7 +150,7 @@
 	return cfg
 }
 
-// newFleetSimulation prepares a scenario with so many processes.
+// newFleetSimulation prepares a scenario with the given number of processes.
 func newFleetSimulation(t *testing.T, c fleetScenario, procs int, seed uint64) *fleetSimulation {
 	f := &fleetSimulation{t: t, scenario: c, rnd: rand.New(rand.NewPCG(seed, 0x636f6c64)), now: 1000, processCount: procs}
 	for i := range c.servers + c.newServers {
@@ -178,7 +179,7 @@
 	return f
 }
 
-// startProcess starts a process with no memory and the current list.
+// startProcess starts a process without state and passes it the current list.
 func (f *fleetSimulation) startProcess(p *simulatedProcess, seed uint64) {
 	p.balancer = mustNew(f.t, f.scenario.config(p.number, f.processCount, seed))
 	p.notifiedStart, p.jobs, p.clientRetries = map[ServerID]float64{}, map[RequestID][]*serverJob{}, map[RequestID]int{}
@@ -200,7 +201,7 @@
 	}
 }
 
-// scheduleStarts plans the stops and starts of servers.
+// scheduleStarts schedules the stops and starts of servers.
 func (f *fleetSimulation) scheduleStarts() {
 	restarts := int(math.Ceil(f.scenario.restartFraction * float64(f.scenario.servers)))
 	for i, s := range f.servers {
@@ -228,7 +229,7 @@
 	}
 }
 
-// stopServer ends a server's process and resets all that it had in flight.
+// stopServer ends a server's process and resets all its requests.
 func (f *fleetSimulation) stopServer(s *simulatedServer) {
 	s.up = false
 	lost := append(s.running, s.queue...)
@@ -245,7 +246,7 @@
 	f.notifyAll(s, max(1, f.scenario.notifications))
 }
 
-// notifyAll notifies each process of a server's entry, each at a random time within notifySpread.
+// notifyAll sends a server's entry to each process, at a random time within notifySpread.
 func (f *fleetSimulation) notifyAll(s *simulatedServer, times int) {
 	for range times {
 		for _, p := range f.sidecars {
@@ -258,7 +259,7 @@
 	}
 }
 
-// arrivalRate returns the requests per ms of all clients.
+// arrivalRate returns the rate of requests from all clients, per ms.
 func (f *fleetSimulation) arrivalRate() float64 {
 	capacity := 0.0
 	for _, s := range f.servers[:f.scenario.servers] {
@@ -271,12 +272,12 @@
 	return rate
 }
 
-// capacity returns the requests per ms that a warm server can answer.
+// capacity returns the rate of requests that a warm server can answer, per ms.
 func (f *fleetSimulation) capacity(s *simulatedServer) float64 {
 	return float64(f.scenario.cores) * s.speed / f.scenario.meanWork
 }
 
-// arrive brings a client's request to a random process and plans the next one.
+// arrive passes a client's request to a random process and schedules the next request.
 func (f *fleetSimulation) arrive() {
 	f.schedule(f.now+f.rnd.ExpFloat64()/f.arrivalRate(), f.arrive)
 	if f.scenario.idleBeforeBurst && f.now < burstAt {
@@ -289,7 +290,7 @@
 	f.sendRequest(p, 0)
 }
 
-// sendRequest brings a request, which its client has already retried so often.
+// sendRequest passes a request to a process; retries is the number of earlier attempts of the client.
 func (f *fleetSimulation) sendRequest(p *simulatedProcess, retries int) {
 	f.lastID++
 	class := 0
@@ -300,7 +301,7 @@
 	f.handle(p, Request{ID: f.lastID, Class: class, Remaining: p.balancer.cfg.Classes[class].Deadline})
 }
 
-// handle brings an event to a process and carries out its actions.
+// handle passes an event to a process and executes its actions.
 func (f *fleetSimulation) handle(p *simulatedProcess, ev Event) {
 	acts, err := p.balancer.Handle(f.now, ev)
 	if err != nil {
@@ -309,7 +310,7 @@
 	f.carryOut(p, acts)
 }
 
-// carryOut does what a sidecar does with the actions of its balancer.
+// carryOut executes the actions of a balancer as a sidecar does.
 func (f *fleetSimulation) carryOut(p *simulatedProcess, acts []Action) {
 	for _, a := range slices.Clone(acts) {
 		incarnation := p.incarnation
@@ -334,7 +335,7 @@
 	}
 }
 
-// startAttempt sends an attempt to its server and plans its timeout.
+// startAttempt sends an attempt to its server and schedules its timeout.
 func (f *fleetSimulation) startAttempt(p *simulatedProcess, a Action) {
 	s := f.servers[a.Server-1]
 	j := &serverJob{
@@ -378,12 +379,12 @@
 	}
 }
 
-// capacityFraction returns the part of its warm capacity that a server has: a linear ramp from its start on.
+// capacityFraction returns the fraction of its warm capacity that a server has: a linear ramp from its start on.
 func (f *fleetSimulation) capacityFraction(s *simulatedServer, at float64) float64 {
 	return 0.17 + 0.83*bound((at-s.startedAt)/warmUpTime, 0, 1)
 }
 
-// remove takes a job from its server.
+// remove removes a job from its server.
 func (f *fleetSimulation) remove(j *serverJob) {
 	is := func(other *serverJob) bool { return other == j }
 	j.server.running, j.server.queue = slices.DeleteFunc(j.server.running, is), slices.DeleteFunc(j.server.queue, is)
@@ -398,7 +399,7 @@
 	}
 }
 
-// finish reports the result of an attempt to its process, unless that has restarted since.
+// finish reports the result of an attempt to its process, unless the process has restarted since.
 func (f *fleetSimulation) finish(j *serverJob, res Result) {
 	if j.done {
 		return
@@ -413,7 +414,7 @@
 	})
 }
 
-// run plays the scenario until simulationEnd.
+// run executes the scenario until simulationEnd.
 func (f *fleetSimulation) run() {
 	for len(f.events) > 0 {
 		e := heap.Pop(&f.events).(scheduledEvent)
@@ -428,16 +429,17 @@
 type budgetPeak struct {
 	fraction, age  float64
 	sends, allowed float64
-	notifiedSends  float64 // sends of processes that knew of the start
+	notifiedSends  float64 // sends of processes that had been notified of the start
 	total          int
 }
 
-// maxBudgetUse looks at each window of OverloadTime that begins with a send to a server in slow start. All sends
-// count if over two thirds of them came from notified processes; otherwise only those of notified processes do.
+// maxBudgetUse evaluates each window of OverloadTime that begins with a send to a server in slow start. If more
+// than two thirds of the sends came from notified processes, all sends count; otherwise only those from notified
+// processes do.
 func (f *fleetSimulation) maxBudgetUse() budgetPeak {
-	var out budgetPeak
+	var peak budgetPeak
 	for _, s := range f.servers {
-		out.total += len(s.slowStartSends)
+		peak.total += len(s.slowStartSends)
 		for i, first := range s.slowStartSends {
 			all, notified := 0.0, 0.0
 			for _, later := range s.slowStartSends[i:] {
@@ -453,17 +455,17 @@
 				all = notified
 			}
 			n := 4 * f.capacity(s) * f.capacityFraction(s, first.at) * 3000
-			if fraction := all / allowedSends(n); fraction > out.fraction {
-				out.fraction, out.age = fraction, first.at-s.startedAt
-				out.sends, out.allowed, out.notifiedSends = all, allowedSends(n), notified
+			if fraction := all / allowedSends(n); fraction > peak.fraction {
+				peak.fraction, peak.age = fraction, first.at-s.startedAt
+				peak.sends, peak.allowed, peak.notifiedSends = all, allowedSends(n), notified
 			}
 		}
 	}
-	return out
+	return peak
 }
 
-// allowedSends returns the sends that a window may have under a budget: independent senders exceed it by a few
-// standard deviations.
+// allowedSends returns the number of sends that a window may have under a budget. Independent senders exceed the
+// budget by a few standard deviations.
 func allowedSends(budget float64) float64 {
 	if budget < 30 {
 		return budget + 3*math.Sqrt(budget) + 3
--- a/balance/slow_start_test.go
+++ b/balance/slow_start_test.go
@@ -6,8 +6,8 @@
 	"testing"
 )
 
-// A route that leads all sidecars to one server in slow start exceeds its budget no more than an unrouted rotation
-// may.
+// A route that directs all sidecars to one server in slow start does not send it more than a rotation without
+// routes may.
 func TestSlowStart_routedFleet(t *testing.T) {
 	const sidecars, servers, gap = 120, 30, 250.0
 	cfg := tenantConfig()
@@ -24,7 +24,7 @@
 		h.handle(Routes{Rev: 1, List: []Route{canaryRoute(1, 1)}})
 		harnesses = append(harnesses, h)
 	}
-	sent := make([]int, 20) // in each second
+	sent := make([]int, 20) // requests in each second
 	for now := 1000.0; now < 21000; now += gap {
 		for i, h := range harnesses {
 			h.now = now + gap*float64(i)/sidecars
@@ -39,16 +39,16 @@
 		}
 	}
 	for at, n := range sent {
-		warmth := cfg.SlowStartCapacity + (1-cfg.SlowStartCapacity)*float64(at+1)*1000/cfg.SlowStartTime
-		if fair := sidecars * 1000 / gap / servers * warmth; float64(n) > cfg.OverloadMultiple*fair {
-			t.Errorf("second %d: %d requests, an equal part is %.1f", at, n, fair)
+		warmUpFraction := cfg.SlowStartCapacity + (1-cfg.SlowStartCapacity)*float64(at+1)*1000/cfg.SlowStartTime
+		if share := sidecars * 1000 / gap / servers * warmUpFraction; float64(n) > cfg.OverloadMultiple*share {
+			t.Errorf("second %d: %d requests, an equal share is %.1f", at, n, share)
 		}
 	}
 	t.Logf("sent in each second: %v", sent)
 }
 
 // A server that restarts under load gets no more than OverloadMultiple times its capacity from all sidecars in its
-// first second. The budget counts answers, not requests, which clients repeat.
+// first second. The budget counts responses rather than requests, which clients repeat.
 func TestSlowStart_restartUnderLoad(t *testing.T) {
 	const sidecars, perSecond, seconds = 4, 150, 6
 	cfg := baseConfig()
@@ -74,15 +74,16 @@
 			h.now += 1000 / perSecond
 		}
 	}
-	// A warm server gets a fifth of the traffic. A started one can answer SlowStartCapacity of that, a little
-	// more as it warms up, and fails at OverloadMultiple times that.
+	// A warm server gets a fifth of the traffic. A server that has just started can answer SlowStartCapacity of
+	// that, slightly more as it warms up, and fails at OverloadMultiple times that.
 	limit := float64(sidecars*perSecond) / 5 * cfg.OverloadMultiple * (cfg.SlowStartCapacity + 0.05)
 	if sends == 0 || float64(sends) > limit {
 		t.Fatalf("%d attempts in the first second of a slow start, want 1 to %.0f", sends, limit)
 	}
 }
 
-// A server that could not be connected and then answers has restarted, whatever the list says, and is in slow start.
+// A server that could not be connected and then responds has restarted, whatever the list says, and is in slow
+// start.
 func TestSlowStart_unreachableThenBack(t *testing.T) {
 	h := newHarness(t, baseConfig(), identicalServers(2)...)
 	id, acts := h.sendRequest(idempotentClass)
@@ -102,8 +103,8 @@
 	}
 }
 
-// The budget of a restarted server depends on what servers can answer, and not on how little this sidecar used that
-// one before: it gets requests even if its learned capacity is the lowest.
+// The budget of a restarted server depends on what servers can answer, and not on how little this sidecar used it
+// before: it gets requests even if its learned size is the lowest.
 func TestSlowStart_smallServer(t *testing.T) {
 	cfg := baseConfig()
 	list := identicalServers(4)
@@ -133,13 +134,15 @@
 	h.handle(ServerList{Kind: ListDelta, Servers: list[:1]})
 	serve(4000)
 	sent := serve(4000)
-	// In these 4 s it can answer 0.36 to 0.52 of its quarter of 800, and fails at OverloadMultiple times that.
+	// In these 4 s it can answer 0.36 to 0.52 of its quarter of 800 requests, and fails at OverloadMultiple times
+	// that.
 	if sent < 30 || float64(sent) > cfg.OverloadMultiple*0.36*200 {
 		t.Errorf("%d of 800 requests to a server at two fifths of its capacity", sent)
 	}
 }
 
-// restartFirstServer puts the first server into slow start, with a budget that has grown for two seconds from nothing.
+// restartFirstServer restarts the first server, which goes into slow start with a budget that has grown from 0 for
+// two seconds.
 func (h *harness) restartFirstServer() *server {
 	entry := h.b.servers[0].Server
 	entry.StartedAt = h.now
@@ -151,15 +154,15 @@
 	return s
 }
 
-// The answers that are assumed for sidecars with little traffic give no budget for servers in slow start, as they
-// would add up over the fleet. Observed answers do.
+// The responses that are assumed for sidecars with little traffic add nearly nothing to the budget of servers in
+// slow start, as they would add up over the fleet. Observed responses do.
 func TestSlowStart_assumedAnswers(t *testing.T) {
 	h := newHarness(t, baseConfig(), identicalServers(4)...)
 	s := h.restartFirstServer()
-	if h.b.picker.withinBudget(s); s.tokens > 0.2 { // would be 1 with ten assumed answers
+	if h.b.picker.withinBudget(s); s.tokens > 0.2 { // would be 1 with ten assumed responses
 		t.Fatalf("%.2f attempts in two seconds", s.tokens)
 	}
-	for range 400 { // 200 observed answers a second
+	for range 400 { // 200 observed responses per second
 		h.b.admission.responses.add(h.now, rateSpanObjectives*h.b.maxObjective)
 	}
 	s.tokens, s.tokensAt = 0, h.now-2000
@@ -168,7 +171,7 @@
 	}
 }
 
-// The two processes of a sidecar during an upgrade share the assumed answers.
+// The two processes of a sidecar during an upgrade share the assumed responses.
 func TestSlowStart_processCount(t *testing.T) {
 	budget := func(processes int) float64 {
 		h := newHarness(t, baseConfig(), identicalServers(4)...)
@@ -183,8 +186,8 @@
 }
 
 // In any window of OverloadTime, all sidecars together send a server in slow start at most OverloadMultiple times
-// what it can answer at that moment, plus one standard deviation. Its warm traffic counts as its capacity, which is
-// the least that this can be.
+// what it can answer at that moment, plus one standard deviation. Its traffic when warm is taken as its capacity,
+// which is a lower bound.
 func TestSlowStart_manySidecars(t *testing.T) {
 	for _, c := range []struct{ sidecars, servers int }{{3, 6}, {200, 20}, {600, 60}} {
 		cfg := baseConfig()
@@ -234,7 +237,7 @@
 			}
 		}
 		if len(sendTimes) == 0 {
-			t.Errorf("%d sidecars, %d servers: the server in slow start gets nothing", c.sidecars, c.servers)
+			t.Errorf("%d sidecars, %d servers: the server in slow start gets no requests", c.sidecars, c.servers)
 		}
 	}
 }
--- a/balance/zones.go
+++ b/balance/zones.go
@@ -20,7 +20,7 @@
 //
 // Resuming a zone. After a randomised pause, which is longer after each suspension, one request that may
 // be repeated is sent to the zone as a trial. Each successful response admits one more request at a time,
-// until they are as many as the servers in the rotation. A failure starts the next pause.
+// up to the number of servers in the rotation. A failure starts the next pause.
 
 import (
 	"fmt"
@@ -30,11 +30,14 @@
 const (
 	// Fraction of the objective that the queued requests of a near server may take.
 	maxNearQueueFraction = 0.33
-	// Price of crossing at which half of the spare objective is used up before crossing.
+	// Price of crossing at which responses may be slower by half of the spare objective before requests
+	// cross.
 	halfPrice = 0.1
-	// Fraction of the step of load shedding; both follow the same responses, and one must be slower.
+	// The spill moves by this fraction of the step of load shedding. Both react to the same latencies, so
+	// one must be slower.
 	spillStepFraction = 0.5
-	// Some near responses are needed to detect that near servers have capacity again.
+	// Upper limit of the spill. Some near responses are needed to detect that near servers have capacity
+	// again.
 	maxSpill          = 0.9
 	tierLatencyWindow = 20 // responses over which the latency of a tier is averaged
 	evidenceToSuspend = 2  // evidence against a zone at which it is suspended
@@ -42,7 +45,7 @@
 	partialEvidence   = 0.5
 
 	responsesToTrust = 2 // successful responses of a zone on trial before it gets non-idempotent requests
-	// Time in full use, in longest objectives, after which the pauses of a zone start short again.
+	// A zone in full use for this many longest objectives starts again with short pauses.
 	stableObjectives = 20
 	tiers            = 3           // own zone, own region, elsewhere
 	fullLevel        = 4*tiers + 1 // level of a server that cannot take another request
@@ -164,15 +167,15 @@
 }
 
 // adjustSpill updates the spill of a tier by the excess of its latency over that of a further tier. The
-// price of crossing justifies an excess of a part of the spare objective.
+// price of crossing zones justifies that near responses are slower by a part of the spare objective.
 func (l *locality) adjustSpill(t, further int, step, price float64) {
 	spare := spareObjective * price / (price + halfPrice) * (1 - l.admission.minMeanLatency)
 	excess := l.latency(t) - math.Max(l.admission.minMeanLatency, l.latency(further)) - spare
 	l.spill[t] = bound(l.spill[t]+spillStepFraction*step*bound(excess/spare, -1, 1), 0, maxSpill)
 }
 
-// nextStartTier adds the spill of each tier to its credit, and returns the first tier without a full
-// credit.
+// nextStartTier adds the spill of each tier to its credit. It returns the first tier whose credit is
+// below 1; each tier before it is passed over and its credit falls by 1.
 func (l *locality) nextStartTier() int {
 	t := 0
 	for ; t+1 < tiers; t++ {
@@ -204,7 +207,7 @@
 }
 
 // admitMore raises the number of requests that a zone on trial may have in flight. The trial ends when
-// they are as many as the servers in the rotation.
+// this number reaches that of the servers in the rotation.
 func (l *locality) admitMore(z *zone) {
 	z.trialLimit++
 	if z.trialLimit >= math.Min(float64(z.ready), float64(rotationSize(l.demand.rate()))) {
@@ -241,15 +244,15 @@
 // suspendOnEvidence suspends a zone if there is enough evidence against it and another zone has responded
 // since the first of its failures.
 func (l *locality) suspendOnEvidence(z *zone) {
-	otherServers, otherAnswers := 0, false
+	otherServers, otherResponds := 0, false
 	for _, other := range l.zones {
 		if other != z && !other.suspended {
 			otherServers += other.ready
-			otherAnswers = otherAnswers || other.ready > 0 && other.lastResponseAt >= z.evidenceSince
+			otherResponds = otherResponds || other.ready > 0 && other.lastResponseAt >= z.evidenceSince
 		}
 	}
 	needed := evidenceToSuspend * bound(float64(z.ready)/math.Max(float64(otherServers), 1), 1, 2)
-	if z.suspended || !otherAnswers || z.evidence < needed {
+	if z.suspended || !otherResponds || z.evidence < needed {
 		return
 	}
 	l.log(fmt.Sprintf("zones: zone %d suspended: failure evidence %g, other zones respond", z.id, z.evidence))
