--- a/balance/admission_load_test.go
+++ b/balance/admission_load_test.go
@@ -20,11 +20,11 @@
 		result  Result
 	}
 	var inFlight []attemptInFlight
-	send := func(id RequestID, attempt int, acts []Action, connectFails bool) {
-		if hasAction(acts, Reject) {
+	send := func(id RequestID, attempt int, actions []Action, connectFails bool) {
+		if hasAction(actions, Reject) {
 			rejected++
 		}
-		if _, sent := sentTo(acts); !sent {
+		if _, sent := sentTo(actions); !sent {
 			return
 		}
 		o := attemptInFlight{id, attempt, h.now + latency, OK}
@@ -48,16 +48,16 @@
 			if o.result == ConnectFailed {
 				elapsed = int(cfg.ConnectTimeout)
 			}
-			acts := h.endAttempt(o.id, o.attempt, o.result, float64(elapsed))
+			actions := h.endAttempt(o.id, o.attempt, o.result, float64(elapsed))
 			if o.result == ConnectFailed {
 				inFlight = nil
-				send(o.id, o.attempt+1, acts, false)
+				send(o.id, o.attempt+1, actions, false)
 				remaining = append(remaining, inFlight...)
 			}
 		}
 		inFlight = remaining
-		id, acts := h.sendRequest(idempotentClass)
-		send(id, 0, acts, n%3 == 0)
+		id, actions := h.sendRequest(idempotentClass)
+		send(id, 0, actions, n%3 == 0)
 	}
 	return rejected
 }
@@ -101,8 +101,8 @@
 			}
 		}
 		inFlight = remaining
-		id, acts := h.sendRequest(idempotentClass)
-		if _, sent := sentTo(acts); !sent {
+		id, actions := h.sendRequest(idempotentClass)
+		if _, sent := sentTo(actions); !sent {
 			rejected++
 			continue
 		}
@@ -148,8 +148,8 @@
 		for _, a := range h.dueTimers() {
 			h.handle(a)
 		}
-		id, acts := h.sendRequest(idempotentClass)
-		s, ok := sentTo(acts)
+		id, actions := h.sendRequest(idempotentClass)
+		s, ok := sentTo(actions)
 		if !ok {
 			t.Fatalf("request %d was rejected: shed %v", id, h.b.admission.sustainedShed)
 		}
@@ -200,8 +200,8 @@
 		h.now += 2000
 		var inFlight []RequestID
 		for range 4 {
-			id, acts := h.sendRequest(idempotentClass)
-			if hasAction(acts, Reject) {
+			id, actions := h.sendRequest(idempotentClass)
+			if hasAction(actions, Reject) {
 				t.Fatalf("request %d was rejected", id)
 			}
 			inFlight = append(inFlight, id)
@@ -221,8 +221,8 @@
 	rejected := 0
 	for gap := 20.0; gap > 2; gap *= 0.998 { // tenfold within nine seconds
 		h.now += gap
-		id, acts := h.sendRequest(idempotentClass)
-		if hasAction(acts, Reject) {
+		id, actions := h.sendRequest(idempotentClass)
+		if hasAction(actions, Reject) {
 			rejected++
 			continue
 		}
--- a/balance/admission_test.go
+++ b/balance/admission_test.go
@@ -23,15 +23,15 @@
 		var inFlight []RequestID
 		for range 500 { // responses take nearly the whole latency objective
 			h.now += 5
-			id, acts := h.sendRequest(idempotentClass)
-			if _, sent := sentTo(acts); sent {
+			id, actions := h.sendRequest(idempotentClass)
+			if _, sent := sentTo(actions); sent {
 				inFlight = append(inFlight, id)
 			}
 			if len(inFlight) > 55 {
 				h.endAttempt(inFlight[0], 0, OK, 275)
 				inFlight = inFlight[1:]
 			}
-			for _, a := range acts {
+			for _, a := range actions {
 				if a.Kind == Reject {
 					rejected++
 					if a.At < test.minPause || a.At > test.maxPause {
@@ -63,8 +63,8 @@
 	for i := range 2000 {
 		h.now += 2
 		class := []int{idempotentClass, nonIdempotentClass}[i%2]
-		id, acts := h.sendRequest(class)
-		if hasAction(acts, Reject) {
+		id, actions := h.sendRequest(class)
+		if hasAction(actions, Reject) {
 			rejected[class]++
 			continue
 		}
@@ -120,8 +120,8 @@
 		arrived[0][arrival[0]]++
 		arrived[1][arrival[1]]++
 		id := RequestID(i + 1)
-		acts := h.handle(Request{ID: id, Class: arrival[0], Tenant: arrival[1], Remaining: cfg.Classes[arrival[0]].Deadline})
-		if hasAction(acts, Reject) {
+		actions := h.handle(Request{ID: id, Class: arrival[0], Tenant: arrival[1], Remaining: cfg.Classes[arrival[0]].Deadline})
+		if hasAction(actions, Reject) {
 			byClass[arrival[0]]++
 			byTenant[arrival[1]]++
 		} else {
@@ -151,7 +151,7 @@
 		rejected := 0.0
 		for range 200 {
 			h.setOverload(c.sustained, c.excess)
-			if _, acts := h.sendRequest(idempotentClass); hasAction(acts, Reject) {
+			if _, actions := h.sendRequest(idempotentClass); hasAction(actions, Reject) {
 				rejected++
 			}
 		}
@@ -216,17 +216,17 @@
 			if sustained > 0 {
 				h.b.admission.sustainedShed += shedTolerance
 			}
-			id, acts := h.sendRequest(class)
-			s, ok := sentTo(acts)
+			id, actions := h.sendRequest(class)
+			s, ok := sentTo(actions)
 			for n := 0; !ok && n < 50; n++ {
-				id, acts = h.sendRequest(class)
-				s, ok = sentTo(acts)
+				id, actions = h.sendRequest(class)
+				s, ok = sentTo(actions)
 			}
 			want := 0.0
 			if timesOut && sustained > 0 {
 				want = h.now + h.b.cfg.Classes[class].LatencyObjective
 			}
-			for _, a := range acts {
+			for _, a := range actions {
 				if a.Kind == Send && a.At != want {
 					t.Errorf("class %d, %v shed: the attempt ends at %v, want %v", class, sustained, a.At, want)
 				}
--- a/balance/ejection_test.go
+++ b/balance/ejection_test.go
@@ -16,9 +16,9 @@
 		failed := map[ServerID]bool{}
 		for range 40 {
 			h.now += 30
-			id, acts := h.sendRequest(idempotentClass)
+			id, actions := h.sendRequest(idempotentClass)
 			for attempt := 0; ; attempt++ {
-				s, sent := sentTo(acts)
+				s, sent := sentTo(actions)
 				if !sent {
 					break
 				}
@@ -27,7 +27,7 @@
 					break
 				}
 				failed[s] = true
-				acts = h.endAttempt(id, attempt, ConnectFailed, cfg.ConnectTimeout)
+				actions = h.endAttempt(id, attempt, ConnectFailed, cfg.ConnectTimeout)
 				if comesUp {
 					h.handle(ConnectionReady{Server: s})
 				}
@@ -67,16 +67,16 @@
 				for range 20 {
 					h.lastID++
 					id := h.lastID
-					acts := h.handle(Request{ID: id, Class: class, Remaining: remaining})
-					if _, sent := sentTo(acts); !sent {
+					actions := h.handle(Request{ID: id, Class: class, Remaining: remaining})
+					if _, sent := sentTo(actions); !sent {
 						continue // rejected, as the remaining time is too short
 					}
 					h.now += remaining
-					acts = h.handle(Timer{Token: uint64(id)})
-					if !hasAction(acts, Fail) && !hasAction(acts, Reject) {
-						t.Fatalf("%v ms: no final response at the deadline: %+v", remaining, acts)
+					actions = h.handle(Timer{Token: uint64(id)})
+					if !hasAction(actions, Fail) && !hasAction(actions, Reject) {
+						t.Fatalf("%v ms: no final response at the deadline: %+v", remaining, actions)
 					}
-					if hasAction(acts, Send) {
+					if hasAction(actions, Send) {
 						t.Errorf("%v ms: a second attempt", remaining)
 					}
 					h.endAttempt(id, 0, TimedOut, remaining)
@@ -119,18 +119,18 @@
 		warmingUp bool
 	}{{ConnectFailed, true}, {Unreachable, false}} {
 		h := newHarness(t, baseConfig(), identicalServers(8)...)
-		id, acts := h.sendRequest(idempotentClass)
-		server, _ := sentTo(acts)
+		id, actions := h.sendRequest(idempotentClass)
+		server, _ := sentTo(actions)
 		s := h.b.byID[server]
-		if acts = h.endAttempt(id, 0, test.result, 1); !hasAction(acts, Send) || !h.b.outliers.ejected(s) {
-			t.Errorf("result %v: %+v, ejected %v, want another attempt and an ejection", test.result, acts, h.b.outliers.ejected(s))
+		if actions = h.endAttempt(id, 0, test.result, 1); !hasAction(actions, Send) || !h.b.outliers.ejected(s) {
+			t.Errorf("result %v: %+v, ejected %v, want another attempt and an ejection", test.result, actions, h.b.outliers.ejected(s))
 		}
 		h.now = s.ejectedUntil
 		for h.b.outliers.ejected(s) || s.consecutiveErrors > 0 { // until it answers again
 			h.now += 10
-			id, acts := h.sendRequest(idempotentClass)
-			if to, sent := sentTo(acts); !sent || to == 0 {
-				t.Fatalf("%+v", acts)
+			id, actions := h.sendRequest(idempotentClass)
+			if to, sent := sentTo(actions); !sent || to == 0 {
+				t.Fatalf("%+v", actions)
 			}
 			h.endAttempt(id, 0, OK, 10)
 		}
@@ -177,8 +177,8 @@
 // server does not go into slow start.
 func TestEjection_brokenConnection(t *testing.T) {
 	h := newHarness(t, baseConfig(), identicalServers(2)...)
-	id, acts := h.sendRequest(nonIdempotentClass)
-	s, _ := sentTo(acts)
+	id, actions := h.sendRequest(nonIdempotentClass)
+	s, _ := sentTo(actions)
 	next, sent := sentTo(h.endAttempt(id, 0, WriteFailed, 1))
 	if !sent || next == s {
 		t.Fatalf("sent again %v, to server %d: want another server, as the request never ran", sent, next)
@@ -204,8 +204,8 @@
 	cfg.Reports, cfg.Fields = ReportPiggyback, []Field{FieldErrorRate, FieldLatency, FieldQueue}
 	for queue, ejected := range map[float32]bool{2: false, 8: true} {
 		h := newHarness(t, cfg, identicalServers(3)...)
-		id, acts := h.sendRequest(idempotentClass)
-		s, _ := sentTo(acts)
+		id, actions := h.sendRequest(idempotentClass)
+		s, _ := sentTo(actions)
 		h.now += 200
 		h.handle(Outcome{Request: id, Server: s, Elapsed: 200, Finished: true, Report: []float32{0, 50, queue}})
 		if got := h.b.outliers.ejected(h.b.byID[s]); got != ejected {
@@ -222,12 +222,12 @@
 	h := newHarness(t, cfg, identicalServers(3)...)
 	for range 400 { // a hundred requests a second
 		h.now += 10
-		id, acts := h.sendRequest(idempotentClass)
-		to, _ := sentTo(acts)
+		id, actions := h.sendRequest(idempotentClass)
+		to, _ := sentTo(actions)
 		h.handle(Outcome{Request: id, Server: to, Elapsed: 5, Finished: true, Report: []float32{50, 0}})
 	}
-	id, acts := h.sendRequest(idempotentClass)
-	to, _ := sentTo(acts)
+	id, actions := h.sendRequest(idempotentClass)
+	to, _ := sentTo(actions)
 	s := h.b.byID[to]
 	h.handle(Outcome{Request: id, Server: to, Elapsed: 5, Finished: true, Report: []float32{50, 40}})
 	if duration := s.ejectedUntil - h.now; duration < 10 || duration > 60 {
@@ -241,8 +241,8 @@
 	h := newHarness(t, baseConfig(), identicalServers(4)...)
 	times := []float64{370, 430, 400}
 	for i := range 60 {
-		id, acts := h.sendRequest(nonIdempotentClass)
-		if !hasAction(acts, Send) {
+		id, actions := h.sendRequest(nonIdempotentClass)
+		if !hasAction(actions, Send) {
 			continue
 		}
 		end := h.now + times[i%3]
@@ -302,16 +302,16 @@
 		t.Fatal("not ejected after the last error")
 	}
 	for range 12 {
-		id, acts := h.sendRequest(idempotentClass)
-		if to, _ := sentTo(acts); to == s.ID {
+		id, actions := h.sendRequest(idempotentClass)
+		if to, _ := sentTo(actions); to == s.ID {
 			t.Fatal("an ejected server got a request")
 		}
 		h.endAttempt(id, 0, OK, 10)
 	}
 	h.now = s.ejectedUntil
 	for range 12 {
-		id, acts := h.sendRequest(idempotentClass)
-		to, _ := sentTo(acts)
+		id, actions := h.sendRequest(idempotentClass)
+		to, _ := sentTo(actions)
 		if h.endAttempt(id, 0, OK, 10); to == s.ID && s.ejectedUntil == 0 && s.consecutiveErrors == 0 {
 			return
 		}
@@ -325,8 +325,8 @@
 	for _, s := range h.b.servers {
 		h.b.outliers.recordFailure(s, true, partialEvidence)
 	}
-	if _, acts := h.sendRequest(idempotentClass); !hasAction(acts, Send) {
-		t.Fatalf("nothing was sent: %+v", acts)
+	if _, actions := h.sendRequest(idempotentClass); !hasAction(actions, Send) {
+		t.Fatalf("nothing was sent: %+v", actions)
 	}
 }
 
--- a/balance/fleet_size_test.go
+++ b/balance/fleet_size_test.go
@@ -126,17 +126,17 @@
 		attempts := map[RequestID]int{}
 		var inFlight []Action
 		do := func(ev Event) {
-			var acts [3][]Action
+			var actions [3][]Action
 			for i, b := range balancers {
 				got, err := b.Handle(now, ev)
 				if i < 2 {
 					require.NoError(t, err)
 				}
-				acts[i] = append([]Action{}, got...)
+				actions[i] = append([]Action{}, got...)
 			}
-			require.Empty(t, cmp.Diff(acts[0], acts[1]), "%#v", ev)
-			differed = differed || cmp.Diff(acts[0], acts[2]) != ""
-			for _, a := range acts[0] {
+			require.Empty(t, cmp.Diff(actions[0], actions[1]), "%#v", ev)
+			differed = differed || cmp.Diff(actions[0], actions[2]) != ""
+			for _, a := range actions[0] {
 				if a.Kind == Send {
 					a.Attempt = attempts[a.Request]
 					attempts[a.Request]++
--- a/balance/harness_test.go
+++ b/balance/harness_test.go
@@ -95,8 +95,8 @@
 }
 
 // sentTo returns the server of the first Send action.
-func sentTo(acts []Action) (ServerID, bool) {
-	for _, a := range acts {
+func sentTo(actions []Action) (ServerID, bool) {
+	for _, a := range actions {
 		if a.Kind == Send {
 			return a.Server, true
 		}
@@ -105,8 +105,8 @@
 }
 
 // hasAction reports whether the actions include one of the given kind.
-func hasAction(acts []Action, kind ActionKind) bool {
-	for _, a := range acts {
+func hasAction(actions []Action, kind ActionKind) bool {
+	for _, a := range actions {
 		if a.Kind == kind {
 			return true
 		}
@@ -115,10 +115,10 @@
 }
 
 // findAction returns the first action of the given kind, or nil.
-func findAction(acts []Action, kind ActionKind) *Action {
-	for i := range acts {
-		if acts[i].Kind == kind {
-			return &acts[i]
+func findAction(actions []Action, kind ActionKind) *Action {
+	for i := range actions {
+		if actions[i].Kind == kind {
+			return &actions[i]
 		}
 	}
 	return nil
@@ -128,8 +128,8 @@
 func sendSequence(h *harness, n int) []ServerID {
 	var ids []ServerID
 	for range n {
-		id, acts := h.sendRequest(idempotentClass)
-		s, ok := sentTo(acts)
+		id, actions := h.sendRequest(idempotentClass)
+		s, ok := sentTo(actions)
 		if !ok {
 			h.t.Fatal("nothing was sent")
 		}
--- a/balance/health_check_test.go
+++ b/balance/health_check_test.go
@@ -22,9 +22,9 @@
 
 // answerHealthChecks answers the health checks among the actions: unreachable servers time out, others report n
 // requests in flight.
-func (h *harness) answerHealthChecks(acts []Action, n float32, unreachable map[ServerID]bool) []Action {
+func (h *harness) answerHealthChecks(actions []Action, n float32, unreachable map[ServerID]bool) []Action {
 	var after []Action
-	for _, a := range acts {
+	for _, a := range actions {
 		if a.Kind != HealthCheck {
 			continue
 		}
@@ -43,11 +43,11 @@
 	h := newHarness(t, healthCheckConfig(), identicalServers(3)...)
 	unreachable := map[ServerID]bool{1: true, 2: true}
 	for i := range 4 {
-		id, acts := h.sendRequest(idempotentClass)
-		if checked := len(acts) - 1; i > 0 && checked > 1 {
+		id, actions := h.sendRequest(idempotentClass)
+		if checked := len(actions) - 1; i > 0 && checked > 1 {
 			t.Fatalf("request %d: %d servers are checked, want at most 1 while two are ejected", id, checked)
 		}
-		if s, ok := sentTo(h.answerHealthChecks(acts, 0, unreachable)); !ok || s != 3 {
+		if s, ok := sentTo(h.answerHealthChecks(actions, 0, unreachable)); !ok || s != 3 {
 			t.Fatalf("request %d went to %d", id, s)
 		}
 		h.endAttempt(id, 0, OK, 10)
@@ -55,8 +55,8 @@
 	h.now += 10000 // the ejections have ended and the servers answer again
 	used := map[ServerID]bool{}
 	for range 6 {
-		id, acts := h.sendRequest(idempotentClass)
-		s, _ := sentTo(h.answerHealthChecks(acts, 0, nil))
+		id, actions := h.sendRequest(idempotentClass)
+		s, _ := sentTo(h.answerHealthChecks(actions, 0, nil))
 		used[s] = true
 		h.endAttempt(id, 0, OK, 10)
 	}
@@ -70,8 +70,8 @@
 func TestHealthCheck_reportedQueue(t *testing.T) {
 	h := newHarness(t, healthCheckConfig(), identicalServers(3)...)
 	h.b.servers[0].currentWeight = 1000 // next in the rotation
-	id, acts := h.sendRequest(idempotentClass)
-	if hasAction(acts, Send) {
+	id, actions := h.sendRequest(idempotentClass)
+	if hasAction(actions, Send) {
 		t.Fatal("sent before the health checks were answered")
 	}
 	h.handle(HealthCheckResult{Server: 1, Report: []float32{5}})
@@ -86,8 +86,8 @@
 	h := newHarness(t, healthCheckConfig(), identicalServers(3)...)
 	id, _ := h.sendRequest(idempotentClass)
 	h.now = h.b.requests[id].wakeAt
-	if acts := h.handle(Timer{Token: uint64(id)}); !hasAction(acts, Send) || h.now > 1000+0.1*300 {
-		t.Fatalf("at %v: %+v", h.now, acts)
+	if actions := h.handle(Timer{Token: uint64(id)}); !hasAction(actions, Send) || h.now > 1000+0.1*300 {
+		t.Fatalf("at %v: %+v", h.now, actions)
 	}
 }
 
@@ -99,14 +99,14 @@
 		n := 0
 		for range 60 {
 			h.now += 10
-			id, acts := h.sendRequest(idempotentClass)
+			id, actions := h.sendRequest(idempotentClass)
 			n = 0
-			for _, a := range acts {
+			for _, a := range actions {
 				if a.Kind == HealthCheck {
 					n++
 				}
 			}
-			h.answerHealthChecks(acts, inFlight, nil)
+			h.answerHealthChecks(actions, inFlight, nil)
 			h.endAttempt(id, 0, OK, 10)
 		}
 		return n
--- a/balance/idle_period_test.go
+++ b/balance/idle_period_test.go
@@ -13,8 +13,8 @@
 	"overload": func(h *harness) {
 		h.serveRequests(200, 50)
 		for range 2000 {
-			id, acts := h.sendRequest(idempotentClass)
-			if _, sent := sentTo(acts); sent {
+			id, actions := h.sendRequest(idempotentClass)
+			if _, sent := sentTo(actions); sent {
 				h.unanswered = append(h.unanswered, id)
 			}
 			h.now += 5
@@ -31,7 +31,7 @@
 func (h *harness) serveRequests(n int, elapsed float64) {
 	h.t.Helper()
 	for range n {
-		if id, acts := h.sendRequest(idempotentClass); hasAction(acts, Send) {
+		if id, actions := h.sendRequest(idempotentClass); hasAction(actions, Send) {
 			h.now += elapsed
 			h.endAttempt(id, 0, OK, elapsed)
 		}
@@ -42,11 +42,11 @@
 func (h *harness) failRequests(n int) (attempts int) {
 	h.t.Helper()
 	for range n {
-		id, acts := h.sendRequest(idempotentClass)
-		for i := 0; hasAction(acts, Send); i++ {
+		id, actions := h.sendRequest(idempotentClass)
+		for i := 0; hasAction(actions, Send); i++ {
 			attempts++
 			h.now++
-			acts = h.endAttempt(id, i, Failed, 1)
+			actions = h.endAttempt(id, i, Failed, 1)
 		}
 		h.now += 10
 	}
@@ -85,8 +85,8 @@
 			var rejected [2]int
 			for i, h := range []*harness{newProcess, idleProcess} {
 				for range 40 {
-					id, acts := h.sendRequest(idempotentClass)
-					if hasAction(acts, Reject) {
+					id, actions := h.sendRequest(idempotentClass)
+					if hasAction(actions, Reject) {
 						rejected[i]++
 						continue
 					}
@@ -107,8 +107,8 @@
 		t.Run(state, func(t *testing.T) {
 			newProcess, idleProcess := afterIdlePeriod(t, state)
 			for _, h := range []*harness{newProcess, idleProcess} {
-				id, acts := h.sendRequest(idempotentClass)
-				if !hasAction(acts, Send) {
+				id, actions := h.sendRequest(idempotentClass)
+				if !hasAction(actions, Send) {
 					t.Fatal("the first request after the idle period is not sent")
 				}
 				h.now++
@@ -141,8 +141,8 @@
 			}
 			sent := map[ServerID]int{}
 			for range 100 {
-				id, acts := h.sendRequest(idempotentClass)
-				if to, ok := sentTo(acts); ok {
+				id, actions := h.sendRequest(idempotentClass)
+				if to, ok := sentTo(actions); ok {
 					sent[to]++
 					h.now += 20
 					h.endAttempt(id, 0, OK, 20)
--- a/balance/limits_test.go
+++ b/balance/limits_test.go
@@ -40,14 +40,14 @@
 func requestOnce(t testing.TB, b *Balancer, round int) {
 	t.Helper()
 	now, id := 1000+50*float64(round), RequestID(round+1)
-	acts, err := b.Handle(now, Request{ID: id, Class: idempotentClass, Remaining: 1500})
+	actions, err := b.Handle(now, Request{ID: id, Class: idempotentClass, Remaining: 1500})
 	if err != nil {
 		t.Fatal(err)
 	}
-	if acts[0].Kind != Send {
+	if actions[0].Kind != Send {
 		return
 	}
-	outcome := Outcome{Request: id, Server: acts[0].Server, Result: OK, Elapsed: 20, Finished: true}
+	outcome := Outcome{Request: id, Server: actions[0].Server, Result: OK, Elapsed: 20, Finished: true}
 	if _, err := b.Handle(now+20, outcome); err != nil {
 		t.Fatal(err)
 	}
@@ -191,9 +191,9 @@
 	for i := range 20000 {
 		h.actions = h.actions[:0]
 		h.now += 5
-		id, acts := h.sendRequest(idempotentClass)
-		acts = append(acts, h.answerHealthChecks(acts, 0, nil)...)
-		if _, ok := sentTo(acts); ok {
+		id, actions := h.sendRequest(idempotentClass)
+		actions = append(actions, h.answerHealthChecks(actions, 0, nil)...)
+		if _, ok := sentTo(actions); ok {
 			h.endAttempt(id, 0, OK, 5)
 		}
 		if i%20 == 0 { // a rolling deploy with new server IDs
@@ -225,14 +225,14 @@
 			for i := range b.N {
 				now += 5
 				id := RequestID(i + 1)
-				acts, err := balancer.Handle(now, Request{ID: id, Remaining: 1500})
-				if err != nil || len(acts) == 0 {
-					b.Fatal(err, acts)
+				actions, err := balancer.Handle(now, Request{ID: id, Remaining: 1500})
+				if err != nil || len(actions) == 0 {
+					b.Fatal(err, actions)
 				}
-				if acts[0].Kind != Send {
+				if actions[0].Kind != Send {
 					continue
 				}
-				if _, err := balancer.Handle(now+4, Outcome{Request: id, Server: acts[0].Server, Elapsed: 4, Finished: true}); err != nil {
+				if _, err := balancer.Handle(now+4, Outcome{Request: id, Server: actions[0].Server, Elapsed: 4, Finished: true}); err != nil {
 					b.Fatal(err)
 				}
 			}
--- a/balance/local_failure_test.go
+++ b/balance/local_failure_test.go
@@ -16,12 +16,15 @@
 // recordOf returns the record of a server.
 func (h *harness) recordOf(id ServerID) serverRecord {
 	s := h.b.byID[id]
-	return serverRecord{s.consecutiveErrors, s.consecutiveEjections, s.ejectedUntil, s.slowStartAt, s.logSize, s.processDown, s.healthCheckFailed, s.zone.evidence}
+	return serverRecord{
+		s.consecutiveErrors, s.consecutiveEjections, s.ejectedUntil, s.slowStartAt, s.logSize, s.processDown,
+		s.healthCheckFailed, s.zone.evidence,
+	}
 }
 
 // fireNextTimer advances the clock to a request's next timer, fires it, and returns the actions and the time
 // waited.
-func (h *harness) fireNextTimer(id RequestID) (acts []Action, waited float64) {
+func (h *harness) fireNextTimer(id RequestID) (actions []Action, waited float64) {
 	h.t.Helper()
 	due := h.b.requests[id].wakeAt
 	if math.IsInf(due, 1) {
@@ -40,31 +43,32 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			h := newHarness(t, baseConfig(), identicalServers(8)...)
-			id, acts := h.sendRequest(class)
+			id, actions := h.sendRequest(class)
 			for n, pause := range []float64{5, 10, 20, 40} {
-				server, sent := sentTo(acts)
+				server, sent := sentTo(actions)
 				if !sent {
-					t.Fatalf("attempt %d was not sent: %+v", n, acts)
+					t.Fatalf("attempt %d was not sent: %+v", n, actions)
 				}
 				before := h.recordOf(server)
-				if acts = h.endAttempt(id, n, LocalFailure, 0.1); hasAction(acts, Send) || hasAction(acts, Reject) || hasAction(acts, Fail) {
-					t.Fatalf("after failure %d: %+v, want a pause", n, acts)
+				actions = h.endAttempt(id, n, LocalFailure, 0.1)
+				if hasAction(actions, Send) || hasAction(actions, Reject) || hasAction(actions, Fail) {
+					t.Fatalf("after failure %d: %+v, want a pause", n, actions)
 				}
 				if after := h.recordOf(server); after != before {
 					t.Errorf("server %d: %+v, was %+v", server, after, before)
 				}
 				var waited float64
-				if acts, waited = h.fireNextTimer(id); waited != pause {
+				if actions, waited = h.fireNextTimer(id); waited != pause {
 					t.Errorf("pause %d lasts %v ms, want %v", n, waited, pause)
 				}
 			}
 			sends := 0
-			for n := 4; hasAction(acts, Send); n++ { // all attempts are still available
+			for n := 4; hasAction(actions, Send); n++ { // all attempts are still available
 				sends++
-				acts = h.endAttempt(id, n, ConnectFailed, 0.1)
+				actions = h.endAttempt(id, n, ConnectFailed, 0.1)
 			}
-			if sends != baseConfig().MaxAttempts || !hasAction(acts, Reject) {
-				t.Errorf("%d further attempts, then %+v, want %d and a rejection", sends, acts, baseConfig().MaxAttempts)
+			if sends != baseConfig().MaxAttempts || !hasAction(actions, Reject) {
+				t.Errorf("%d further attempts, then %+v, want %d and a rejection", sends, actions, baseConfig().MaxAttempts)
 			}
 		})
 	}
@@ -78,16 +82,16 @@
 		t.Run(name, func(t *testing.T) {
 			h := newHarness(t, baseConfig(), identicalServers(8)...)
 			start, n := h.now, 0
-			id, acts := h.sendRequest(class)
-			for !hasAction(acts, Reject) {
-				if hasAction(acts, Send) {
-					acts = h.endAttempt(id, n, LocalFailure, 0.1)
+			id, actions := h.sendRequest(class)
+			for !hasAction(actions, Reject) {
+				if hasAction(actions, Send) {
+					actions = h.endAttempt(id, n, LocalFailure, 0.1)
 					n++
 				} else {
-					acts, _ = h.fireNextTimer(id)
+					actions, _ = h.fireNextTimer(id)
 				}
-				if hasAction(acts, Fail) {
-					t.Fatalf("%+v, want a rejection", acts)
+				if hasAction(actions, Fail) {
+					t.Fatalf("%+v, want a rejection", actions)
 				}
 			}
 			if elapsed := h.now - start; elapsed > h.b.cfg.Classes[class].Deadline || n > 12 {
@@ -102,16 +106,16 @@
 	h := newHarness(t, baseConfig(), identicalServers(8)...)
 	h.lastID++
 	id, n := h.lastID, 0
-	acts := h.handle(Request{ID: id, Class: idempotentClass, Remaining: 500, BodyStreaming: true})
-	for !hasAction(acts, Reject) {
+	actions := h.handle(Request{ID: id, Class: idempotentClass, Remaining: 500, BodyStreaming: true})
+	for !hasAction(actions, Reject) {
 		if n > maxLocalFailures+h.b.cfg.MaxAttempts {
 			t.Fatalf("no final response after %d attempts", n)
 		}
-		if hasAction(acts, Send) {
-			acts = h.endAttempt(id, n, LocalFailure, 0.1)
+		if hasAction(actions, Send) {
+			actions = h.endAttempt(id, n, LocalFailure, 0.1)
 			n++
 		} else {
-			acts, _ = h.fireNextTimer(id)
+			actions, _ = h.fireNextTimer(id)
 		}
 	}
 }
--- a/balance/locality_test.go
+++ b/balance/locality_test.go
@@ -211,8 +211,8 @@
 	var inZone []RequestID
 	sendRound := func() (n int) {
 		for range 20 {
-			id, acts := h.sendRequest(idempotentClass)
-			if !hasAction(acts, Send) {
+			id, actions := h.sendRequest(idempotentClass)
+			if !hasAction(actions, Send) {
 				continue
 			}
 			if h.lastZone(id) != 0 {
@@ -318,8 +318,8 @@
 	load := func(n int) (crossed int) {
 		for range n {
 			h.now += 20
-			id, acts := h.sendRequest(idempotentClass)
-			if !hasAction(acts, Send) {
+			id, actions := h.sendRequest(idempotentClass)
+			if !hasAction(actions, Send) {
 				continue
 			}
 			elapsed := 50.0
@@ -379,8 +379,8 @@
 	}
 	for n := 1; n < 8; n++ {
 		for i := 0; z.trialsInFlight == 0 && i < 20; i++ {
-			id, acts := h.sendRequest(idempotentClass)
-			if hasAction(acts, Send) && h.lastZone(id) != 0 {
+			id, actions := h.sendRequest(idempotentClass)
+			if hasAction(actions, Send) && h.lastZone(id) != 0 {
 				h.endAttempt(id, 0, OK, 50)
 			}
 		}
--- a/balance/picker_test.go
+++ b/balance/picker_test.go
@@ -38,8 +38,8 @@
 	}
 	h.b.servers[2].consecutiveErrors = 1
 	h.b.servers[1].currentWeight = 1000 // next in the rotation, but not the healthiest
-	id, acts := h.sendRequest(idempotentClass)
-	if s, _ := sentTo(acts); s != 2 {
+	id, actions := h.sendRequest(idempotentClass)
+	if s, _ := sentTo(actions); s != 2 {
 		t.Fatalf("first sent to %d, want 2", s)
 	}
 	h.b.servers[3].currentWeight = 1000 // next in the rotation, which must not affect a retry
@@ -85,8 +85,8 @@
 	h := newHarness(t, baseConfig(), servers...)
 	sends := map[ServerID]int{}
 	for range 1500 {
-		id, acts := h.sendRequest(idempotentClass)
-		s, _ := sentTo(acts)
+		id, actions := h.sendRequest(idempotentClass)
+		s, _ := sentTo(actions)
 		sends[s]++
 		h.now += 5
 		h.endAttempt(id, 0, OK, map[bool]float64{true: 20, false: 40}[s > 2])
--- a/balance/retry_test.go
+++ b/balance/retry_test.go
@@ -27,25 +27,25 @@
 		cfg.Classes[i].KeyWindow = 200
 	}
 	h := newHarness(t, cfg, identicalServers(8)...)
-	id, acts := h.sendRequest(class)
-	first, ok := sentTo(acts)
+	id, actions := h.sendRequest(class)
+	first, ok := sentTo(actions)
 	if !ok {
 		t.Fatal("the request was not sent")
 	}
 	if h.now += 100; afterWindow {
 		h.now += 200
 	}
-	acts = h.endAttempt(id, 0, result, 100)
+	actions = h.endAttempt(id, 0, result, 100)
 	c := cfg.Classes[class]
 	mayResend := c.Idempotency == Idempotent || result.NeverRan() || c.Idempotency == IdempotentWithKey && !afterWindow
-	second, sent := sentTo(acts)
+	second, sent := sentTo(actions)
 	if sent != mayResend {
-		t.Fatalf("sent again: %v, want %v (%+v)", sent, mayResend, acts)
+		t.Fatalf("sent again: %v, want %v (%+v)", sent, mayResend, actions)
 	}
 	if !sent {
 		mayReject := c.Idempotency == IdempotentWithKey && c.KeyScope == KeyScopeAll
-		if hasAction(acts, Reject) != mayReject || hasAction(acts, Fail) == mayReject {
-			t.Fatalf("rejection allowed: %v, got %+v", mayReject, acts)
+		if hasAction(actions, Reject) != mayReject || hasAction(actions, Fail) == mayReject {
+			t.Fatalf("rejection allowed: %v, got %+v", mayReject, actions)
 		}
 		return
 	}
@@ -71,8 +71,8 @@
 			h := newHarness(t, cfg, identicalServers(8)...)
 			id, _ := h.sendRequest(class)
 			h.now += after
-			acts := h.endAttempt(id, 0, Failed, after)
-			if sent, allowed := hasAction(acts, Send), class == idempotentClass || after+connect < window; sent != allowed {
+			actions := h.endAttempt(id, 0, Failed, after)
+			if sent, allowed := hasAction(actions, Send), class == idempotentClass || after+connect < window; sent != allowed {
 				t.Errorf("class %d, failed after %v ms: sent again %v, want %v", class, after, sent, allowed)
 			}
 		}
@@ -103,9 +103,9 @@
 	for _, class := range []int{nonIdempotentClass, cellKeyClass, zoneKeyClass} {
 		id, _ := h.sendRequest(class)
 		h.now = h.b.requests[id].deadline
-		acts := h.handle(Timer{Token: uint64(id)})
-		if hasAction(acts, Reject) || !hasAction(acts, Fail) {
-			t.Errorf("class %d at its deadline with a pending attempt: %+v", class, acts)
+		actions := h.handle(Timer{Token: uint64(id)})
+		if hasAction(actions, Reject) || !hasAction(actions, Fail) {
+			t.Errorf("class %d at its deadline with a pending attempt: %+v", class, actions)
 		}
 	}
 }
@@ -113,9 +113,9 @@
 // A request whose remaining time is 0 is rejected at once.
 func TestRetry_noTimeLeft(t *testing.T) {
 	h := newHarness(t, baseConfig(), identicalServers(4)...)
-	acts := h.handle(Request{ID: 1, Class: nonIdempotentClass, Remaining: 0})
-	if !hasAction(acts, Reject) || hasAction(acts, Send) {
-		t.Fatalf("a request with no time remaining: %+v", acts)
+	actions := h.handle(Request{ID: 1, Class: nonIdempotentClass, Remaining: 0})
+	if !hasAction(actions, Reject) || hasAction(actions, Send) {
+		t.Fatalf("a request with no time remaining: %+v", actions)
 	}
 }
 
@@ -127,9 +127,9 @@
 	}
 	for name, servers := range map[string][]Server{"empty": nil, "draining": drained} {
 		h := newHarness(t, baseConfig(), servers...)
-		id, acts := h.sendRequest(nonIdempotentClass)
-		if hasAction(acts, Send) || !hasAction(acts, SetTimer) {
-			t.Fatalf("%s: %+v", name, acts)
+		id, actions := h.sendRequest(nonIdempotentClass)
+		if hasAction(actions, Send) || !hasAction(actions, SetTimer) {
+			t.Fatalf("%s: %+v", name, actions)
 		}
 		rejected := false
 		for h.now < 1000+baseConfig().Classes[nonIdempotentClass].Deadline {
@@ -148,8 +148,8 @@
 	cfg.MaxAttempts = 1
 	h := newHarness(t, cfg, identicalServers(4)...)
 	id, _ := h.sendRequest(idempotentClass)
-	if acts := h.endAttempt(id, 0, Rejected, 1); hasAction(acts, Send) || !hasAction(acts, Reject) {
-		t.Fatalf("after the only attempt allowed: %+v", acts)
+	if actions := h.endAttempt(id, 0, Rejected, 1); hasAction(actions, Send) || !hasAction(actions, Reject) {
+		t.Fatalf("after the only attempt allowed: %+v", actions)
 	}
 }
 
@@ -160,15 +160,15 @@
 	cfg := baseConfig()
 	cfg.Classes[idempotentClass].Stream = true
 	h := newHarness(t, cfg, identicalServers(3)...)
-	id, acts := h.sendRequest(idempotentClass)
-	s, _ := sentTo(acts)
+	id, actions := h.sendRequest(idempotentClass)
+	s, _ := sentTo(actions)
 	h.handle(AnswerStarted{Request: id, Server: s, Elapsed: 20})
 	if a := h.b.requests[id].attempts[0]; a.server.inFlight != 0 || h.b.demand.classes[idempotentClass].mean != 20 {
 		t.Errorf("%d in flight at the server, mean latency %v", a.server.inFlight, h.b.demand.classes[idempotentClass].mean)
 	}
 	h.now += 5000
-	if acts := h.handle(Timer{Token: uint64(id)}); hasAction(acts, Fail) || hasAction(acts, Reject) || hasAction(acts, Send) {
-		t.Fatalf("a started stream got %+v", acts)
+	if actions := h.handle(Timer{Token: uint64(id)}); hasAction(actions, Fail) || hasAction(actions, Reject) || hasAction(actions, Send) {
+		t.Fatalf("a started stream got %+v", actions)
 	}
 	h.handle(Outcome{Request: id, Server: s, Result: Reset, Elapsed: 5000, Finished: true})
 	if len(h.b.requests) != 0 {
@@ -191,15 +191,16 @@
 		t.Fatal("the request is not sent at once")
 	}
 	h.now += 60000
-	if acts := h.handle(Timer{Token: uint64(id)}); len(acts) > 0 || r.attempts[0].server.consecutiveErrors > 0 || h.b.admission.inFlightLoad > 0 {
-		t.Fatalf("while the body arrives: %+v, %d errors, load %v", acts, r.attempts[0].server.consecutiveErrors, h.b.admission.inFlightLoad)
+	actions := h.handle(Timer{Token: uint64(id)})
+	if len(actions) > 0 || r.attempts[0].server.consecutiveErrors > 0 || h.b.admission.inFlightLoad > 0 {
+		t.Fatalf("while the body arrives: %+v, %d errors, load %v", actions, r.attempts[0].server.consecutiveErrors, h.b.admission.inFlightLoad)
 	}
-	if acts := h.handle(BodyComplete{Request: id, Remaining: 600}); !hasAction(acts, SetTimer) || h.b.admission.inFlightLoad == 0 {
-		t.Fatalf("at its last byte: %+v, load %v", acts, h.b.admission.inFlightLoad)
+	if actions := h.handle(BodyComplete{Request: id, Remaining: 600}); !hasAction(actions, SetTimer) || h.b.admission.inFlightLoad == 0 {
+		t.Fatalf("at its last byte: %+v, load %v", actions, h.b.admission.inFlightLoad)
 	}
 	h.now += 601
-	if acts := h.handle(Timer{Token: uint64(id)}); !hasAction(acts, Fail) {
-		t.Errorf("at its deadline: %+v", acts)
+	if actions := h.handle(Timer{Token: uint64(id)}); !hasAction(actions, Fail) {
+		t.Errorf("at its deadline: %+v", actions)
 	}
 	h.endAttempt(id, 0, Cancelled, 601)
 	if h.b.admission.inFlightLoad != 0 {
@@ -214,9 +215,9 @@
 		h.lastID++
 		h.handle(Request{ID: h.lastID, Class: nonIdempotentClass, Remaining: 600, BodyStreaming: true})
 		s := h.b.requests[h.lastID].attempts[0].server.ID
-		acts := h.handle(Outcome{Request: h.lastID, Server: s, Result: Rejected, Elapsed: 5, BodyConsumed: consumed})
-		if hasAction(acts, Send) == consumed || hasAction(acts, Reject) != consumed {
-			t.Errorf("body consumed %v: %+v", consumed, acts)
+		actions := h.handle(Outcome{Request: h.lastID, Server: s, Result: Rejected, Elapsed: 5, BodyConsumed: consumed})
+		if hasAction(actions, Send) == consumed || hasAction(actions, Reject) != consumed {
+			t.Errorf("body consumed %v: %+v", consumed, actions)
 		}
 	}
 }
--- a/balance/rotation_test.go
+++ b/balance/rotation_test.go
@@ -24,14 +24,14 @@
 			handle := func(now float64, ev Event) []Action {
 				t.Helper()
 				exhaustive.picker.maxOtherCurrentWeight = math.Inf(1) // no server is skipped
-				want, err := exhaustive.Handle(now, ev)
-				got, again := bounded.Handle(now, ev)
-				if err != nil || again != nil || !reflect.DeepEqual(want, got) {
-					t.Fatalf("%#v: %v %v, without skipping %v %v", ev, got, again, want, err)
+				want, wantErr := exhaustive.Handle(now, ev)
+				got, gotErr := bounded.Handle(now, ev)
+				if wantErr != nil || gotErr != nil || !reflect.DeepEqual(want, got) {
+					t.Fatalf("%#v: %v %v, without skipping %v %v", ev, got, gotErr, want, wantErr)
 				}
 				for i, s := range exhaustive.servers {
-					if q := bounded.servers[i]; q.ID != s.ID || q.currentWeight != s.currentWeight || q.weight != s.weight {
-						t.Fatalf("%#v: server %d has the current weight %v, without skipping %v", ev, s.ID, q.currentWeight, s.currentWeight)
+					if other := bounded.servers[i]; other.ID != s.ID || other.currentWeight != s.currentWeight || other.weight != s.weight {
+						t.Fatalf("%#v: server %d has the current weight %v, without skipping %v", ev, s.ID, other.currentWeight, s.currentWeight)
 					}
 				}
 				return slices.Clone(got)
@@ -59,13 +59,13 @@
 			handle(now, ServerList{Kind: ListDelta, Servers: entries})
 		}
 		id := RequestID(i + 1)
-		acts := handle(now, Request{ID: id, Class: rng.IntN(2), Tenant: rng.IntN(2), Remaining: 600})
+		actions := handle(now, Request{ID: id, Class: rng.IntN(2), Tenant: rng.IntN(2), Remaining: 600})
 		for attempt, sent := 0, true; sent; attempt++ {
 			sent = false
-			for _, a := range acts {
+			for _, a := range actions {
 				if a.Kind == Send && a.Request == id {
 					result := []Result{OK, OK, OK, Failed, ConnectFailed}[rng.IntN(5)]
-					acts, sent = handle(now+20, Outcome{Request: id, Attempt: attempt, Server: a.Server, Result: result,
+					actions, sent = handle(now+20, Outcome{Request: id, Attempt: attempt, Server: a.Server, Result: result,
 						Elapsed: 20, Finished: result == OK}), true
 					break
 				}
@@ -84,8 +84,8 @@
 	h := newHarness(t, baseConfig(), list...)
 	const nowhere = 99
 	h.handle(Routes{Rev: 1, List: []Route{{Tenant: -1, Base: Subset{Zones: []int{nowhere}}}}})
-	if _, acts := h.sendRequest(idempotentClass); !hasAction(acts, Send) {
-		t.Fatalf("not sent: %v", acts)
+	if _, actions := h.sendRequest(idempotentClass); !hasAction(actions, Send) {
+		t.Fatalf("not sent: %v", actions)
 	}
 	total := 0.0
 	for _, s := range h.b.picker.candidates {
@@ -118,8 +118,8 @@
 		sends := map[ServerID]int{}
 		for range 60 {
 			h.now += 1000
-			id, acts := h.sendRequest(idempotentClass)
-			s, _ := sentTo(acts)
+			id, actions := h.sendRequest(idempotentClass)
+			s, _ := sentTo(actions)
 			sends[s]++
 			h.endAttempt(id, 0, OK, 10)
 		}
@@ -151,8 +151,8 @@
 		used := map[ServerID]bool{}
 		for range n {
 			h.now += gap
-			id, acts := h.sendRequest(idempotentClass)
-			s, _ := sentTo(acts)
+			id, actions := h.sendRequest(idempotentClass)
+			s, _ := sentTo(actions)
 			used[s] = true
 			h.endAttempt(id, 0, OK, 10)
 		}
--- a/balance/slow_start_simulation_test.go
+++ b/balance/slow_start_simulation_test.go
@@ -303,16 +303,16 @@
 
 // handle passes an event to a process and executes its actions.
 func (f *fleetSimulation) handle(p *simulatedProcess, ev Event) {
-	acts, err := p.balancer.Handle(f.now, ev)
+	actions, err := p.balancer.Handle(f.now, ev)
 	if err != nil {
 		f.t.Fatalf("process %d, %#v: %v", p.number, ev, err)
 	}
-	f.carryOut(p, acts)
+	f.carryOut(p, actions)
 }
 
 // carryOut executes the actions of a balancer as a sidecar does.
-func (f *fleetSimulation) carryOut(p *simulatedProcess, acts []Action) {
-	for _, a := range slices.Clone(acts) {
+func (f *fleetSimulation) carryOut(p *simulatedProcess, actions []Action) {
+	for _, a := range slices.Clone(actions) {
 		incarnation := p.incarnation
 		switch a.Kind {
 		case Send:
--- a/balance/slow_start_test.go
+++ b/balance/slow_start_test.go
@@ -62,8 +62,8 @@
 				servers[0].StartedAt = h.now
 				h.handle(ServerList{Kind: ListDelta, Servers: servers[:1]})
 			}
-			id, acts := h.sendRequest(idempotentClass)
-			s, ok := sentTo(acts)
+			id, actions := h.sendRequest(idempotentClass)
+			s, ok := sentTo(actions)
 			if !ok {
 				t.Fatal("the request was not sent")
 			}
@@ -86,13 +86,13 @@
 // start.
 func TestSlowStart_unreachableThenBack(t *testing.T) {
 	h := newHarness(t, baseConfig(), identicalServers(2)...)
-	id, acts := h.sendRequest(idempotentClass)
-	s, _ := sentTo(acts)
+	id, actions := h.sendRequest(idempotentClass)
+	s, _ := sentTo(actions)
 	h.endAttempt(id, 0, ConnectFailed, 150)
 	h.now += 60000
 	for range 8 {
-		id, acts = h.sendRequest(idempotentClass)
-		if again, _ := sentTo(acts); again == s {
+		id, actions = h.sendRequest(idempotentClass)
+		if again, _ := sentTo(actions); again == s {
 			h.endAttempt(id, 0, OK, 10)
 			break
 		}
@@ -115,8 +115,8 @@
 		sends := 0
 		for range ms / 5 {
 			h.now += 5
-			id, acts := h.sendRequest(idempotentClass)
-			if s, sent := sentTo(acts); sent {
+			id, actions := h.sendRequest(idempotentClass)
+			if s, sent := sentTo(actions); sent {
 				inFlight = append(inFlight, id)
 				if s == 1 {
 					sends++
@@ -214,8 +214,8 @@
 			if s := h.b.byID[1]; now >= warm && s.StartedAt != warm {
 				h.handle(ServerList{Kind: ListDelta, Servers: []Server{restarted}})
 			}
-			id, acts := h.sendRequest(idempotentClass)
-			to, ok := sentTo(acts)
+			id, actions := h.sendRequest(idempotentClass)
+			to, ok := sentTo(actions)
 			if !ok {
 				continue
 			}
