--- a/internal/sidecar/client_gone_test.go
+++ b/internal/sidecar/client_gone_test.go
@@ -26,7 +26,7 @@
 
 // setClientPoll sets the time between two checks whether a client has gone.
 func (s *Sidecar) setClientPoll(interval time.Duration) {
-	s.clients.Configure(func(o *clientserver.Options) { o.ClientPoll = interval })
+	s.clients.Configure(func(o *clientserver.Options) { o.ClientPollInterval = interval })
 }
 
 // leavingClient is a client that sends one request and leaves before its answer.
--- a/internal/sidecar/clientserver/client_conn.go
+++ b/internal/sidecar/clientserver/client_conn.go
@@ -211,8 +211,8 @@
 	c.readLock.Unlock()
 }
 
-// RequestAnswered tells that the request is answered.
-func (c *ClientConn) RequestAnswered() {
+// ResponseWritten tells that the request is answered.
+func (c *ClientConn) ResponseWritten() {
 	c.readLock.Lock()
 	c.working, c.unprocessed = false, true // the next request may have come with this one
 	c.readLock.Unlock()
@@ -221,8 +221,8 @@
 	c.limiter.mu.Unlock()
 }
 
-// Transport is the connection of the system.
-func (c *ClientConn) Transport() net.Conn { return c.Conn }
+// NetConn is the connection of the system.
+func (c *ClientConn) NetConn() net.Conn { return c.Conn }
 
 // requestStarted reports whether some of a request has come since the last one, and since when the client is silent.
 // Limiter.mu is held.
--- a/internal/sidecar/clientserver/client_gone.go
+++ b/internal/sidecar/clientserver/client_watch.go
@@ -20,14 +20,14 @@
 		return nil
 	}
 	states := s.options.ConnStates
-	call.ClientGone = func() bool { return r.Context().Err() != nil || clientGone(conn, states) }
+	call.PollDisconnect = func() bool { return r.Context().Err() != nil || clientGone(conn, states) }
 	return conn
 }
 
 // clientGone reports whether the client of a connection is known to have gone.
 func clientGone(conn *framing.HeadConn, states *netcall.ConnStates) bool {
 	tracked, ok := conn.Conn.(framing.TrackedConn)
-	return ok && states.PeerGone(tracked.Transport())
+	return ok && states.PeerGone(tracked.NetConn())
 }
 
 // clientWatch says when to check whether the client of a request has gone. net/http sees the end of a connection only
@@ -64,7 +64,7 @@
 	if w.conn.Reading() {
 		return false
 	}
-	if call.ClientLeft() {
+	if call.ClientDisconnected() {
 		return true
 	}
 	w.schedule()
--- a/internal/sidecar/clientserver/conn_limiter_shutdown_test.go
+++ b/internal/sidecar/clientserver/conn_limiter_shutdown_test.go
@@ -108,7 +108,7 @@
 // closed.
 func TestCloseIdle_reading(t *testing.T) {
 	limiter, client, conn := acceptOne(t, 2)
-	conn.RequestAnswered()
+	conn.ResponseWritten()
 	bytesRead := newGate()
 	conn.Conn = gatedConn{conn.Conn.(*net.TCPConn), bytesRead}
 	read := make(chan int, 1)
@@ -144,7 +144,7 @@
 // From the decision that a connection ends until its client is notified nothing is read from it.
 func TestCloseIdle_notifying(t *testing.T) {
 	limiter, _, conn := acceptOne(t, 2)
-	conn.RequestAnswered()
+	conn.ResponseWritten()
 	conn.unprocessed = false // as when net/http reads again
 	notified := false
 	conn.Conn = closeWriteConn{conn.Conn.(*net.TCPConn), func() {
@@ -163,11 +163,11 @@
 // serveLimiter serves the connections of a limiter through net/http, as the sidecar does.
 func serveLimiter(t *testing.T, limiter *Limiter, stateChanged func(net.Conn, http.ConnState), handler http.HandlerFunc) {
 	t.Helper()
-	server := FollowConnections(&http.Server{
+	server := TrackConnections(&http.Server{
 		Handler: handler, ConnContext: withConn, ReadHeaderTimeout: sidecartest.Patience,
 		ConnState: func(conn net.Conn, state http.ConnState) {
 			if state == http.StateIdle {
-				conn.(*framing.HeadConn).NextRequest()
+				conn.(*framing.HeadConn).PrepareNextRequest()
 			}
 			stateChanged(conn, state)
 		},
--- a/internal/sidecar/clientserver/conn_limiter_test.go
+++ b/internal/sidecar/clientserver/conn_limiter_test.go
@@ -114,7 +114,7 @@
 	t.Cleanup(func() { limiter.Close() })
 	pair := func() (net.Conn, *ClientConn) {
 		client, accepted := acceptPair(t, listener, limiter)
-		accepted.RequestAnswered()
+		accepted.ResponseWritten()
 		return client, accepted
 	}
 	buf := make([]byte, 8)
--- a/internal/sidecar/clientserver/events.go
+++ b/internal/sidecar/clientserver/events.go
@@ -7,6 +7,6 @@
 // Arrival tells the event loop of a new request.
 type Arrival struct{ Call *inflight.Call }
 
-// ClientGone tells the event loop that a request needs no answer any more: its client has gone, its body could not be
+// CallAbandoned tells the event loop that a request needs no answer any more: its client has gone, its body could not be
 // received, or its answer was overdue.
-type ClientGone struct{ Call *inflight.Call }
+type CallAbandoned struct{ Call *inflight.Call }
--- a/internal/sidecar/clientserver/framing.go
+++ b/internal/sidecar/clientserver/framing.go
@@ -77,9 +77,9 @@
 	return nil
 }
 
-// FollowConnections lets a Limiter know what net/http does with its connections. A request is at work once its head has
+// TrackConnections lets a Limiter know what net/http does with its connections. A request is at work once its head has
 // been read: from then on net/http reads ahead, and the handler may not have run yet.
-func FollowConnections(server *http.Server) *http.Server {
+func TrackConnections(server *http.Server) *http.Server {
 	connState, handler := server.ConnState, server.Handler
 	server.ConnState = func(conn net.Conn, state http.ConnState) {
 		if conn, ok := conn.(*framing.HeadConn); ok && state == http.StateActive {
--- a/internal/sidecar/clientserver/pending_call.go
+++ b/internal/sidecar/clientserver/pending_call.go
@@ -51,9 +51,9 @@
 }
 
 // stateOf is the state of a request for which the event loop has decided an answer.
-func stateOf(answer inflight.Answer) callState {
+func stateOf(answer inflight.Response) callState {
 	switch {
-	case answer.ClientLeft:
+	case answer.ClientDisconnected:
 		return callClientGone
 	case answer.Status == http.StatusOK:
 		return callAnswered
@@ -74,8 +74,8 @@
 	call    *inflight.Call
 
 	state   callState
-	answer  inflight.Answer // valid in the states after callPending
-	overdue *time.Timer     // fires when the event loop has given no answer in time
+	answer  inflight.Response // valid in the states after callPending
+	overdue *time.Timer       // fires when the event loop has given no answer in time
 	watch   *clientWatch
 	counted bool // in the gauge of requests in flight
 
@@ -109,7 +109,7 @@
 	return &pendingCall{
 		server: s, writer: w, request: r, control: http.NewResponseController(w), call: call,
 		overdue: time.NewTimer(unarmed),
-		watch:   newClientWatch(s.watchClient(r, call), s.options.ClientPoll),
+		watch:   newClientWatch(s.watchClient(r, call), s.options.ClientPollInterval),
 	}
 }
 
@@ -157,17 +157,17 @@
 // awaitEvent waits for the next thing that happens to a pending request, and takes it in.
 func (p *pendingCall) awaitEvent() {
 	select {
-	case answer := <-p.call.Answers:
+	case answer := <-p.call.Response:
 		p.takeAnswer(answer)
 	case err := <-p.uploadEnded:
 		p.takeUploadEnd(err)
 	case <-p.request.Context().Done():
-		p.conclude(callClientGone, inflight.Answer{})
+		p.conclude(callClientGone, inflight.Response{})
 	case <-p.watch.received:
 		p.watch.schedule()
 	case <-p.watch.due:
 		if p.watch.clientGone(p.call) {
-			p.conclude(callClientGone, inflight.Answer{})
+			p.conclude(callClientGone, inflight.Response{})
 		}
 	case <-p.overdue.C:
 		p.expire()
@@ -175,7 +175,7 @@
 }
 
 // takeAnswer ends the request with the answer that the event loop has decided.
-func (p *pendingCall) takeAnswer(answer inflight.Answer) {
+func (p *pendingCall) takeAnswer(answer inflight.Response) {
 	p.state, p.answer = stateOf(answer), answer
 }
 
@@ -187,25 +187,25 @@
 		return
 	}
 	p.uploadErr = err
-	p.conclude(callFailed, inflight.Answer{})
+	p.conclude(callFailed, inflight.Response{})
 }
 
 // expire answers a request for which the event loop has decided nothing in time. That is a bug of the sidecar, but the
 // client is not left without an answer.
 func (p *pendingCall) expire() {
-	if p.conclude(callFailed, inflight.Answer{Status: inflight.StatusTimedOut}) {
+	if p.conclude(callFailed, inflight.Response{Status: inflight.StatusTimedOut}) {
 		slog.Error("clients: no answer from the event loop in time", "request", p.request.Header.Get("X-Request-ID"))
 	}
 }
 
 // conclude ends the request here and tells the event loop, and reports true. Where the event loop has decided an answer
 // before, that answer holds.
-func (p *pendingCall) conclude(state callState, answer inflight.Answer) bool {
+func (p *pendingCall) conclude(state callState, answer inflight.Response) bool {
 	if !p.call.Finish() {
-		p.takeAnswer(<-p.call.Answers)
+		p.takeAnswer(<-p.call.Response)
 		return false
 	}
-	p.server.options.Post(ClientGone{p.call})
+	p.server.options.Post(CallAbandoned{p.call})
 	p.state, p.answer = state, answer
 	return true
 }
@@ -217,22 +217,22 @@
 		p.call.Outbound.Upload.Abort()
 		p.uploadErr, p.uploadEnded = <-p.uploadEnded, nil
 	}
-	p.answer = inflight.Answer{Status: inflight.StatusFailed}
+	p.answer = inflight.Response{Status: inflight.StatusFailed}
 	p.writer.Header().Set("Connection", "close")
 }
 
 // awaitAttemptWriter waits for an attempt that passed its last check before the answer was decided, and may still be
 // writing.
 func (p *pendingCall) awaitAttemptWriter() {
-	p.call.Writing.Lock()
+	p.call.WriteLock.Lock()
 	//lint:ignore SA2001 it only waits for the attempt that holds it
-	p.call.Writing.Unlock()
+	p.call.WriteLock.Unlock()
 }
 
 // receiveUploadFailure takes in the failure of the body where the attempt that read it ended before its feeder did.
 func (p *pendingCall) receiveUploadFailure() {
 	upload := p.call.Outbound.Upload
-	if p.uploadErr == nil && upload != nil && upload.Broken() {
+	if p.uploadErr == nil && upload != nil && upload.Failed() {
 		p.uploadErr, p.uploadEnded = <-p.uploadEnded, nil
 	}
 }
--- a/internal/sidecar/clientserver/request_parser.go
+++ b/internal/sidecar/clientserver/request_parser.go
@@ -128,7 +128,7 @@
 	if cfg.Routes != nil {
 		request.RouteKey = cfg.Routes.RouteKey(r.Header)
 	}
-	return &inflight.Call{Request: request, Timeout: timeout, Answers: make(chan inflight.Answer, 1)}, nil
+	return &inflight.Call{Request: request, Timeout: timeout, Response: make(chan inflight.Response, 1)}, nil
 }
 
 // parseTimeout is how long the client waits: what X-Timeout-Ms says, or the limit of its class.
--- a/internal/sidecar/clientserver/response_writer.go
+++ b/internal/sidecar/clientserver/response_writer.go
@@ -13,7 +13,7 @@
 
 // streamAnswer writes an answer as it comes. One that breaks off makes net/http close the connection, by a panic with
 // http.ErrAbortHandler, so that the client can tell.
-func (s *Server) streamAnswer(w http.ResponseWriter, r *http.Request, call *inflight.Call, answer inflight.Answer) {
+func (s *Server) streamAnswer(w http.ResponseWriter, r *http.Request, call *inflight.Call, answer inflight.Response) {
 	control := http.NewResponseController(w)
 	stream, header := answer.Stream, w.Header()
 	conn := headConn(r)
@@ -28,11 +28,11 @@
 	buf := inflight.CopyBuffers.Get().(*[]byte)
 	defer inflight.CopyBuffers.Put(buf)
 	var readErr error
-	for part := stream.First; ; {
+	for part := stream.Prefix; ; {
 		if len(part) > 0 {
 			s.limitWrite(w)
 			if _, err := w.Write(part); err != nil || control.Flush() != nil {
-				s.recordBreakOff(stream, call, inflight.ErrClientGone)
+				s.recordBreakOff(stream, call, inflight.ErrClientWriteFailed)
 				panic(http.ErrAbortHandler)
 			}
 		}
@@ -46,17 +46,17 @@
 	if readErr != io.EOF {
 		s.recordBreakOff(stream, call, readErr)
 		if conn != nil && !r.ProtoAtLeast(1, 1) {
-			conn.Reset() // an orderly end of the connection would be the end of the answer
+			conn.ResetOnClose() // an orderly end of the connection would be the end of the answer
 		}
 		panic(http.ErrAbortHandler)
 	}
-	stream.Ended <- nil
+	stream.WriteResult <- nil
 	s.options.Metrics.CountAnswer(call.Request.Class, answer.Status)
 }
 
 // recordBreakOff tells the attempt why its answer broke off, and counts the request as failed.
-func (s *Server) recordBreakOff(stream *inflight.AnswerStream, call *inflight.Call, cause error) {
-	stream.Ended <- cause
+func (s *Server) recordBreakOff(stream *inflight.ResponseStream, call *inflight.Call, cause error) {
+	stream.WriteResult <- cause
 	s.options.Metrics.CountAnswer(call.Request.Class, inflight.StatusFailed)
 }
 
@@ -69,7 +69,7 @@
 }
 
 // writeAnswer writes an answer that is held completely.
-func writeAnswer(w http.ResponseWriter, answer inflight.Answer) {
+func writeAnswer(w http.ResponseWriter, answer inflight.Response) {
 	header := w.Header()
 	setContentType(header, answer)
 	if answer.RetryAfter > 0 {
@@ -81,7 +81,7 @@
 }
 
 // setContentType sets the type that the server gave, and keeps net/http from guessing one.
-func setContentType(header http.Header, answer inflight.Answer) {
+func setContentType(header http.Header, answer inflight.Response) {
 	header["Content-Type"] = nil
 	if answer.ContentType != "" {
 		header.Set("Content-Type", answer.ContentType)
@@ -120,7 +120,7 @@
 
 // closeAfterAnswer ends a connection after the answer to its request, unless a further request may have come with it.
 func closeAfterAnswer(w http.ResponseWriter, r *http.Request) {
-	if conn := headConn(r); conn == nil || !conn.NextMayFollow(r.ContentLength) {
+	if conn := headConn(r); conn == nil || !conn.NextRequestMayFollow(r.ContentLength) {
 		w.Header().Set("Connection", "close")
 	}
 }
--- a/internal/sidecar/clientserver/server.go
+++ b/internal/sidecar/clientserver/server.go
@@ -38,11 +38,11 @@
 	Metrics *metrics.Metrics
 	Post    func(any) // gives an Arrival or a ClientGone to the event loop
 
-	ReadTimeout  time.Duration       // optional: DefaultReadTimeout
-	WriteTimeout time.Duration       // optional: DefaultWriteTimeout
-	ClientPoll   time.Duration       // optional: between two checks whether a client has gone that is not read from
-	ConnStates   *netcall.ConnStates // optional: of clients' connections
-	Checkpoints  checkpoint.Hook     // optional: where tests hold a request up
+	ReadTimeout        time.Duration       // optional: DefaultReadTimeout
+	WriteTimeout       time.Duration       // optional: DefaultWriteTimeout
+	ClientPollInterval time.Duration       // optional: between two checks whether a client has gone that is not read from
+	ConnStates         *netcall.ConnStates // optional: of clients' connections
+	Checkpoints        checkpoint.Hook     // optional: where tests hold a request up
 }
 
 // Server is the HTTP handler for the application.
@@ -70,7 +70,7 @@
 	change(&s.options)
 	s.options.ReadTimeout = cmp.Or(s.options.ReadTimeout, DefaultReadTimeout)
 	s.options.WriteTimeout = cmp.Or(s.options.WriteTimeout, DefaultWriteTimeout)
-	s.options.ClientPoll = cmp.Or(s.options.ClientPoll, defaultClientPoll)
+	s.options.ClientPollInterval = cmp.Or(s.options.ClientPollInterval, defaultClientPoll)
 	if s.options.ConnStates == nil {
 		s.options.ConnStates = netcall.NewConnStates()
 	}
@@ -118,7 +118,7 @@
 	switch state {
 	case http.StateIdle:
 		if conn, ok := conn.(*framing.HeadConn); ok {
-			conn.NextRequest()
+			conn.PrepareNextRequest()
 		}
 	case http.StateNew:
 		s.conns.Add(1)
@@ -166,7 +166,7 @@
 	if s.requests.Add(1) > s.requestLimit.Load() {
 		s.requests.Add(-1)
 		s.options.Metrics.CountAnswer(call.Request.Class, inflight.StatusRejected)
-		writeAnswer(w, inflight.Answer{Status: inflight.StatusRejected})
+		writeAnswer(w, inflight.Response{Status: inflight.StatusRejected})
 		return
 	}
 	defer s.requests.Add(-1)
--- a/internal/sidecar/clientserver/server_test.go
+++ b/internal/sidecar/clientserver/server_test.go
@@ -42,7 +42,7 @@
 		t.Errorf("%s", resp.Status)
 	}
 	call := (<-posted).(Arrival).Call
-	if gone, is := (<-posted).(ClientGone); !is || gone.Call != call || call.Finish() {
+	if gone, is := (<-posted).(CallAbandoned); !is || gone.Call != call || call.Finish() {
 		t.Error("the event loop is not notified that the request is over")
 	}
 	http.DefaultClient.CloseIdleConnections()
@@ -51,7 +51,7 @@
 // Retry-After goes to the client in seconds.
 func TestWriteAnswer_retryAfter(t *testing.T) {
 	w := httptest.NewRecorder()
-	writeAnswer(w, inflight.Answer{Status: inflight.StatusRejected, RetryAfter: 1250})
+	writeAnswer(w, inflight.Response{Status: inflight.StatusRejected, RetryAfter: 1250})
 	if got := w.Header().Get("Retry-After"); got != "1.250" {
 		t.Errorf("Retry-After: %q", got)
 	}
--- a/internal/sidecar/eventloop/actions.go
+++ b/internal/sidecar/eventloop/actions.go
@@ -96,11 +96,11 @@
 	l.cancelUnwritten(c.Call)
 	switch {
 	case action.Kind == balance.Reject:
-		c.Answers <- inflight.Answer{Status: inflight.StatusRejected, RetryAfter: action.At}
+		c.Response <- inflight.Response{Status: inflight.StatusRejected, RetryAfter: action.At}
 	case !c.Deadline.IsZero() && now >= l.Clock.Millis(c.Deadline):
-		c.Answers <- inflight.Answer{Status: inflight.StatusTimedOut}
+		c.Response <- inflight.Response{Status: inflight.StatusTimedOut}
 	default:
-		c.Answers <- inflight.Answer{Status: inflight.StatusFailed}
+		c.Response <- inflight.Response{Status: inflight.StatusFailed}
 	}
 	l.release(c.Call)
 }
--- a/internal/sidecar/eventloop/calls.go
+++ b/internal/sidecar/eventloop/calls.go
@@ -42,14 +42,14 @@
 }
 
 // takeAnswerStarted gives the client an answer that is forwarded as it comes.
-func (l *Loop) takeAnswerStarted(now float64, a *upstream.Attempt, answer inflight.Answer) {
+func (l *Loop) takeAnswerStarted(now float64, a *upstream.Attempt, answer inflight.Response) {
 	c := a.Call
 	if !c.Finish() {
-		answer.Stream.Ended <- inflight.ErrBodyUnwanted
+		answer.Stream.WriteResult <- inflight.ErrBodyNotNeeded
 		return
 	}
 	a.FirstByteAfter = now - a.StartedAt
-	c.Answers <- answer
+	c.Response <- answer
 	l.cancelUnwritten(c)
 	l.HandleEvent(now, balance.AnswerStarted{
 		Request: c.Request.ID, Attempt: a.Number, Server: a.Server.ID, Elapsed: a.FirstByteAfter,
@@ -57,18 +57,18 @@
 }
 
 // takeAttemptDone hands the balancer the one outcome of an attempt. The first that is served is the client's answer.
-func (l *Loop) takeAttemptDone(now float64, a *upstream.Attempt, reply inflight.Reply) {
+func (l *Loop) takeAttemptDone(now float64, a *upstream.Attempt, reply inflight.AttemptOutcome) {
 	a.Cancel()
 	c := a.Call
 	if open := l.calls[c.Request.ID]; open != nil {
 		open.liveAttempts--
 	}
 	if reply.Result == balance.OK && c.Finish() {
-		c.Answers <- reply.Answer
+		c.Response <- reply.Response
 		l.cancelUnwritten(c)
 	}
-	if c.SeenGone() && c.Finish() { // the attempt has seen that the client left: no other is made
-		c.Answers <- inflight.Answer{ClientLeft: true}
+	if c.DisconnectSeen() && c.Finish() { // the attempt has seen that the client left: no other is made
+		c.Response <- inflight.Response{ClientDisconnected: true}
 		l.takeClientGone(now, c)
 	}
 	streamed := a.FirstByteAfter > 0
@@ -81,7 +81,7 @@
 	}
 	l.HandleEvent(now, balance.Outcome{
 		Request: c.Request.ID, Attempt: a.Number, Server: a.Server.ID, Result: reply.Result, Elapsed: elapsed,
-		Finished: c.Finished(), Report: reply.Report, BodyConsumed: reply.BodyConsumed,
+		Finished: c.Finished(), Report: reply.LoadReport, BodyConsumed: reply.BodyConsumed,
 		RouteRevoked: reply.RouteRevoked,
 	})
 	l.release(c)
--- a/internal/sidecar/eventloop/loop.go
+++ b/internal/sidecar/eventloop/loop.go
@@ -27,14 +27,14 @@
 // attemptDone is the end of an attempt.
 type attemptDone struct {
 	attempt *upstream.Attempt
-	reply   inflight.Reply
+	reply   inflight.AttemptOutcome
 }
 
 // healthCheckDone is the end of a health check.
 type healthCheckDone struct {
 	server    *upstream.Server
 	startedAt float64 // ms
-	reply     inflight.Reply
+	reply     inflight.AttemptOutcome
 }
 
 // openCall is a call that has not ended.
@@ -181,7 +181,7 @@
 	switch m := message.(type) {
 	case clientserver.Arrival:
 		l.takeArrival(now, m.Call)
-	case clientserver.ClientGone:
+	case clientserver.CallAbandoned:
 		l.takeClientGone(now, m.Call)
 	case upstream.BodyComplete:
 		l.takeBodyComplete(now, m.Call)
@@ -199,7 +199,7 @@
 		l.takeAttemptDone(now, m.attempt, m.reply)
 	case healthCheckDone:
 		l.HandleEvent(now, balance.HealthCheckResult{
-			Server: m.server.ID, Result: m.reply.Result, Elapsed: now - m.startedAt, Report: m.reply.Report,
+			Server: m.server.ID, Result: m.reply.Result, Elapsed: now - m.startedAt, Report: m.reply.LoadReport,
 		})
 	case discovery.ListEvent:
 		l.takeListEvent(now, m)
--- a/internal/sidecar/eventloop/loop_test.go
+++ b/internal/sidecar/eventloop/loop_test.go
@@ -59,9 +59,9 @@
 				Outbound: &inflight.Outbound{
 					Method: http.MethodGet, URL: &url.URL{Path: "/api"}, Host: "h", Header: http.Header{"X-Request-Id": {"1"}},
 				},
-				Timeout: time.Hour, Deadline: time.Now().Add(time.Hour), Answers: make(chan inflight.Answer, 1),
+				Timeout: time.Hour, Deadline: time.Now().Add(time.Hour), Response: make(chan inflight.Response, 1),
 			}
-			c.ClientGone = func() bool { checks.Add(1); checking.Pass(); return true }
+			c.PollDisconnect = func() bool { checks.Add(1); checking.Pass(); return true }
 			l.take(now, clientserver.Arrival{Call: c})
 			open := l.calls[c.Request.ID]
 			checking.WaitFor(t, 1) // the attempt has passed all other checks
@@ -74,10 +74,10 @@
 				_, over = ev.(attemptDone)
 				l.take(l.Clock.Millis(time.Now()), ev)
 			}
-			if byLoop := len(c.Answers) == 1; byLoop == handlerFirst || !c.Finished() {
+			if byLoop := len(c.Response) == 1; byLoop == handlerFirst || !c.Finished() {
 				t.Errorf("the event loop ends the call: %v, finished %v", byLoop, c.Finished())
 			}
-			l.take(l.Clock.Millis(time.Now()), clientserver.ClientGone{Call: c}) // late, or twice
+			l.take(l.Clock.Millis(time.Now()), clientserver.CallAbandoned{Call: c}) // late, or twice
 			if n := len(l.calls); n != 0 {
 				t.Errorf("%d calls are left", n)
 			}
--- a/internal/sidecar/framing/framing.go
+++ b/internal/sidecar/framing/framing.go
@@ -17,9 +17,9 @@
 // TrackedConn is a connection that follows the requests on it.
 type TrackedConn interface {
 	net.Conn
-	RequestRead()        // the head of a request is complete
-	RequestAnswered()    // its answer was written
-	Transport() net.Conn // the connection of the system
+	RequestRead()      // the head of a request is complete
+	ResponseWritten()  // its answer was written
+	NetConn() net.Conn // the connection of the system
 }
 
 // HeadConn keeps the head of the message that is being read, as it came. net/http drops a Content-Length beside a
@@ -95,10 +95,10 @@
 	return c.reads > 0
 }
 
-// NextRequest drops the head: its request has been answered.
-func (c *HeadConn) NextRequest() {
+// PrepareNextRequest drops the head: its request has been answered.
+func (c *HeadConn) PrepareNextRequest() {
 	if tracked, ok := c.Conn.(TrackedConn); ok {
-		tracked.RequestAnswered()
+		tracked.ResponseWritten()
 	}
 	c.mu.Lock()
 	c.head, c.complete, c.startedAt = c.head[:0], false, time.Time{}
@@ -116,22 +116,22 @@
 // LimitBuffer keeps the system from buffering megabytes of an answer for a slow client.
 func (c *HeadConn) LimitBuffer() {
 	if tracked, ok := c.Conn.(TrackedConn); ok {
-		netcall.LimitBuffer(tracked.Transport())
+		netcall.LimitBuffer(tracked.NetConn())
 	}
 }
 
-// Reset makes the connection end with an error when it is closed.
-func (c *HeadConn) Reset() {
+// ResetOnClose makes the connection end with an error when it is closed.
+func (c *HeadConn) ResetOnClose() {
 	if tracked, ok := c.Conn.(TrackedConn); ok {
-		if tcp, ok := tracked.Transport().(interface{ SetLinger(seconds int) error }); ok {
+		if tcp, ok := tracked.NetConn().(interface{ SetLinger(seconds int) error }); ok {
 			_ = netcall.RetryQuery(func() error { return tcp.SetLinger(0) }) // if that fails the end is an orderly one
 		}
 	}
 }
 
-// NextMayFollow reports whether another request has come behind the one at work, or may have. bodyLength is that of the
+// NextRequestMayFollow reports whether another request has come behind the one at work, or may have. bodyLength is that of the
 // body of the one at work; what comes behind a body that is still on its way is not seen.
-func (c *HeadConn) NextMayFollow(bodyLength int64) bool {
+func (c *HeadConn) NextRequestMayFollow(bodyLength int64) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if !c.complete {
@@ -145,7 +145,7 @@
 	if !ok {
 		return false
 	}
-	_, unread := netcall.Peek(tracked.Transport())
+	_, unread := netcall.Peek(tracked.NetConn())
 	return unread
 }
 
@@ -181,7 +181,7 @@
 	if !late || !ok {
 		return now
 	}
-	if waited := netcall.SinceLastData(tracked.Transport()); waited >= netcall.LateAccept {
+	if waited := netcall.SinceLastData(tracked.NetConn()); waited >= netcall.LateAccept {
 		return now.Add(-waited)
 	}
 	return now
--- a/internal/sidecar/inflight/call.go
+++ b/internal/sidecar/inflight/call.go
@@ -27,15 +27,15 @@
 	HeldBytes int           // of the memory for bodies
 	Timeout   time.Duration // the client's, from its last byte
 	Deadline  time.Time     // zero while the body is still coming
-	Answers   chan Answer   // has the event loop's answer: one at most, with a buffer for it; never closed
+	Response  chan Response // has the event loop's answer: one at most, with a buffer for it; never closed
 
-	// ClientGone reports without waiting whether the client is known to have gone; nil: that cannot be known.
-	ClientGone func() bool
-	seenGone   atomic.Bool
+	// PollDisconnect reports without waiting whether the client is known to have gone; nil: that cannot be known.
+	PollDisconnect func() bool
+	disconnectSeen atomic.Bool
 
 	finished atomic.Bool
-	// Writing is held from the last check before an attempt's first byte to its last byte.
-	Writing sync.Mutex
+	// WriteLock is held from the last check before an attempt's first byte to its last byte.
+	WriteLock sync.Mutex
 }
 
 // Finish finishes the call, and reports whether the caller is the one to answer: the first one is.
@@ -44,16 +44,16 @@
 // Finished reports whether the answer is decided.
 func (c *Call) Finished() bool { return c.finished.Load() }
 
-// ClientLeft checks whether the client is known to have gone. One that has does not come back.
-func (c *Call) ClientLeft() bool {
-	if c.ClientGone != nil && !c.seenGone.Load() && c.ClientGone() {
-		c.seenGone.Store(true)
+// ClientDisconnected checks whether the client is known to have gone. One that has does not come back.
+func (c *Call) ClientDisconnected() bool {
+	if c.PollDisconnect != nil && !c.disconnectSeen.Load() && c.PollDisconnect() {
+		c.disconnectSeen.Store(true)
 	}
-	return c.seenGone.Load()
+	return c.disconnectSeen.Load()
 }
 
-// SeenGone reports whether some ClientLeft was true, and does not check again.
-func (c *Call) SeenGone() bool { return c.seenGone.Load() }
+// DisconnectSeen reports whether some ClientLeft was true, and does not check again.
+func (c *Call) DisconnectSeen() bool { return c.disconnectSeen.Load() }
 
 // UploadTimeLeft is the time that the client of a streamed body has left: all of it until the last byte has come.
 func (c *Call) UploadTimeLeft() time.Duration {
--- a/internal/sidecar/inflight/outbound.go
+++ b/internal/sidecar/inflight/outbound.go
@@ -15,7 +15,7 @@
 	Body   []byte
 	Upload *Upload // in place of Body: it is streamed
 
-	// LastFirstByte is when the latest attempt sent its first byte, and MayRunSince when the first attempt did that may
+	// LastFirstByteAt is when the latest attempt sent its first byte, and MayHaveRunSince when the first attempt did that may
 	// have run; zero: none. The attempts of a request follow each other, so that there is no lock.
-	LastFirstByte, MayRunSince time.Time
+	LastFirstByteAt, MayHaveRunSince time.Time
 }
--- a/internal/sidecar/inflight/upload.go
+++ b/internal/sidecar/inflight/upload.go
@@ -20,27 +20,27 @@
 	discardWait = 3 * time.Second
 )
 
-// ErrBodyUnwanted ends a body after which the request was answered, or an answer after which its call was.
-var ErrBodyUnwanted = errors.New("nobody wants the body any more")
+// ErrBodyNotNeeded ends a body after which the request was answered, or an answer after which its call was.
+var ErrBodyNotNeeded = errors.New("nobody wants the body any more")
 
 // Upload is a request's body that is streamed to the server. Its first part is held: until more of it has been sent it
 // can be sent again.
 type Upload struct {
 	Length int64 // bytes; -1: not known
-	first  []byte
+	prefix []byte
 
 	mu          sync.Mutex // guards the fields below
 	changed     sync.Cond
-	next        []byte // behind the first part, not sent yet
+	pending     []byte // behind the first part, not sent yet
 	consumed    bool   // some bytes behind the first part were sent
 	aborted     bool   // nothing more is sent
-	ended       error  // io.EOF: the body is complete; nil: more of it comes
+	endErr      error  // io.EOF: the body is complete; nil: more of it comes
 	completedAt time.Time
 }
 
 // NewUpload is a body of which the first part has come.
 func NewUpload(length int64, first []byte) *Upload {
-	u := &Upload{Length: length, first: first}
+	u := &Upload{Length: length, prefix: first}
 	u.changed.L = &u.mu
 	return u
 }
@@ -62,7 +62,7 @@
 		case err != nil:
 			return err
 		case !abortedAt.IsZero() && time.Since(abortedAt) > discardWait:
-			return ErrBodyUnwanted
+			return ErrBodyNotNeeded
 		}
 	}
 }
@@ -72,12 +72,12 @@
 func (u *Upload) Put(b []byte, err error) bool {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	u.next = b
+	u.pending = b
 	if err != nil {
-		u.ended, u.completedAt = err, time.Now()
+		u.endErr, u.completedAt = err, time.Now()
 	}
 	u.changed.Broadcast()
-	for len(u.next) > 0 && !u.aborted {
+	for len(u.pending) > 0 && !u.aborted {
 		u.changed.Wait()
 	}
 	return !u.aborted
@@ -98,11 +98,11 @@
 	return u.consumed
 }
 
-// Broken reports whether the client did not send all of the body.
-func (u *Upload) Broken() bool {
+// Failed reports whether the client did not send all of the body.
+func (u *Upload) Failed() bool {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	return u.ended != nil && u.ended != io.EOF
+	return u.endErr != nil && u.endErr != io.EOF
 }
 
 // CompletedAt is when the last byte came; zero: not yet.
@@ -122,33 +122,33 @@
 // UploadReader reads the body, from its first byte, for one attempt.
 type UploadReader struct {
 	*Upload
-	first   []byte
+	prefix  []byte
 	stopped bool // under Upload.mu
 }
 
 // NewReader is a reader for the next attempt. There is one at a time.
-func (u *Upload) NewReader() *UploadReader { return &UploadReader{Upload: u, first: u.first} }
+func (u *Upload) NewReader() *UploadReader { return &UploadReader{Upload: u, prefix: u.prefix} }
 
 // Read waits for bytes of the body. It fails with ErrBodyUnwanted after Stop or Abort.
 func (r *UploadReader) Read(p []byte) (int, error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if len(r.first) > 0 && !r.stopped {
-		n := copy(p, r.first)
-		r.first = r.first[n:]
+	if len(r.prefix) > 0 && !r.stopped {
+		n := copy(p, r.prefix)
+		r.prefix = r.prefix[n:]
 		return n, nil
 	}
-	for len(r.next) == 0 && r.ended == nil && !r.stopped && !r.aborted {
+	for len(r.pending) == 0 && r.endErr == nil && !r.stopped && !r.aborted {
 		r.changed.Wait()
 	}
 	switch {
 	case r.stopped || r.aborted:
-		return 0, ErrBodyUnwanted
-	case len(r.next) == 0:
-		return 0, r.ended
+		return 0, ErrBodyNotNeeded
+	case len(r.pending) == 0:
+		return 0, r.endErr
 	}
-	n := copy(p, r.next)
-	r.next = r.next[n:]
+	n := copy(p, r.pending)
+	r.pending = r.pending[n:]
 	r.consumed = true
 	r.changed.Broadcast()
 	return n, nil
--- a/internal/sidecar/inflight/upload_test.go
+++ b/internal/sidecar/inflight/upload_test.go
@@ -18,7 +18,7 @@
 			t.Errorf("%q, %v", buf[:n], err)
 		}
 		reader.Stop()
-		if _, err := reader.Read(buf); !errors.Is(err, ErrBodyUnwanted) {
+		if _, err := reader.Read(buf); !errors.Is(err, ErrBodyNotNeeded) {
 			t.Errorf("after Stop: %v", err)
 		}
 	}
@@ -31,8 +31,8 @@
 	if err != nil || string(body) != "first and more" {
 		t.Errorf("%q, %v", body, err)
 	}
-	if err := <-fed; err != nil || !upload.Consumed() || upload.Broken() || upload.CompletedAt().IsZero() {
-		t.Errorf("fed: %v, consumed %v, broken %v, completed at %v", err, upload.Consumed(), upload.Broken(), upload.CompletedAt())
+	if err := <-fed; err != nil || !upload.Consumed() || upload.Failed() || upload.CompletedAt().IsZero() {
+		t.Errorf("fed: %v, consumed %v, broken %v, completed at %v", err, upload.Consumed(), upload.Failed(), upload.CompletedAt())
 	}
 }
 
@@ -45,7 +45,7 @@
 	if <-put {
 		t.Error("bytes are wanted after Abort")
 	}
-	if _, err := upload.NewReader().Read(make([]byte, 1)); !errors.Is(err, ErrBodyUnwanted) {
+	if _, err := upload.NewReader().Read(make([]byte, 1)); !errors.Is(err, ErrBodyNotNeeded) {
 		t.Errorf("read after Abort: %v", err)
 	}
 }
@@ -56,8 +56,8 @@
 	if err := upload.Feed(io.MultiReader(strings.NewReader(""), errReader{})); !errors.Is(err, io.ErrUnexpectedEOF) {
 		t.Errorf("feeder: %v", err)
 	}
-	if _, err := upload.NewReader().Read(make([]byte, 1)); !errors.Is(err, io.ErrUnexpectedEOF) || !upload.Broken() {
-		t.Errorf("reader: %v, broken %v", err, upload.Broken())
+	if _, err := upload.NewReader().Read(make([]byte, 1)); !errors.Is(err, io.ErrUnexpectedEOF) || !upload.Failed() {
+		t.Errorf("reader: %v, broken %v", err, upload.Failed())
 	}
 }
 
@@ -88,16 +88,16 @@
 // A client that has gone does not come back, and is not checked again.
 func TestCall_ClientLeft(t *testing.T) {
 	checks, gone := 0, false
-	call := Call{ClientGone: func() bool { checks++; return gone }}
-	if call.ClientLeft() || call.SeenGone() {
+	call := Call{PollDisconnect: func() bool { checks++; return gone }}
+	if call.ClientDisconnected() || call.DisconnectSeen() {
 		t.Error("gone before it is")
 	}
 	gone = true
-	if call.SeenGone() || !call.ClientLeft() {
+	if call.DisconnectSeen() || !call.ClientDisconnected() {
 		t.Error("not checked")
 	}
 	gone = false
-	if !call.ClientLeft() || !call.SeenGone() || checks != 2 {
+	if !call.ClientDisconnected() || !call.DisconnectSeen() || checks != 2 {
 		t.Errorf("back again, %d checks", checks)
 	}
 }
--- a/internal/sidecar/routing/check.go
+++ b/internal/sidecar/routing/check.go
@@ -60,7 +60,7 @@
 
 // RecordEnd counts an attempt whose connection was never established as started: it says of the server what a failed one
 // does.
-func (check *Check) RecordEnd(r inflight.Reply) inflight.Reply {
+func (check *Check) RecordEnd(r inflight.AttemptOutcome) inflight.AttemptOutcome {
 	if check != nil && !check.Started && (r.Result == balance.ConnectFailed || r.Result == balance.Unreachable) {
 		check.fixed = false  // no head was written
 		_, _ = check.Begin() // an error leaves it uncounted
--- a/internal/sidecar/routing/router.go
+++ b/internal/sidecar/routing/router.go
@@ -305,7 +305,7 @@
 }
 
 // CountOutcome counts how an attempt that has a check ended. Streamed: its answer had started.
-func (r *Router) CountOutcome(now float64, check *Check, c *inflight.Call, reply *inflight.Reply, elapsed float64, streamed bool) {
+func (r *Router) CountOutcome(now float64, check *Check, c *inflight.Call, reply *inflight.AttemptOutcome, elapsed float64, streamed bool) {
 	r.changed(now)
 	if reply.RouteRevoked {
 		r.revokedAttempts++
--- a/internal/sidecar/sidecar.go
+++ b/internal/sidecar/sidecar.go
@@ -266,7 +266,7 @@
 
 // serveClients begins to serve, and says so in the log and to the predecessor.
 func (s *Sidecar) serveClients(ctx context.Context, failed chan<- error) *http.Server {
-	srv := clientserver.FollowConnections(s.clients.HTTPServer())
+	srv := clientserver.TrackConnections(s.clients.HTTPServer())
 	go func() { failed <- srv.Serve(s.clients.HeadListener(s.listener)) }()
 	s.serving.Store(true)
 	slog.Info("ready", "name", s.cfg.Name, "management", s.ManagementAddr(), "listen", s.Addr())
--- a/internal/sidecar/upstream/answer.go
+++ b/internal/sidecar/upstream/answer.go
@@ -30,7 +30,7 @@
 
 // readReply reads the answer to a request that was written to its last byte: if the connection breaks now, the request may
 // have run. It reports whether the connection can be reused.
-func (x *exchange) readReply(ctx context.Context, conn *serverConn, idle time.Duration) (reply inflight.Reply, reusable bool) {
+func (x *exchange) readReply(ctx context.Context, conn *serverConn, idle time.Duration) (reply inflight.AttemptOutcome, reusable bool) {
 	resp, interim, err := readHead(conn, x.request)
 	nothingRead := conn.readLimit.N == maxHeldAnswer
 	if err == nil {
@@ -50,7 +50,7 @@
 	result := answerResult(ctx, err)
 	x.pool.idleAges.record(time.Now(), idle, result == balance.Reset && nothingRead)
 	if err != nil {
-		return inflight.Reply{Result: result}, false
+		return inflight.AttemptOutcome{Result: result}, false
 	}
 	return x.heldReply(resp, body), reusableAfter(conn, resp)
 }
@@ -84,12 +84,12 @@
 }
 
 // heldReply is the reply of an answer that was read to its end.
-func (x *exchange) heldReply(resp *http.Response, body []byte) inflight.Reply {
-	reply := inflight.Reply{Report: x.loadReport(resp)}
+func (x *exchange) heldReply(resp *http.Response, body []byte) inflight.AttemptOutcome {
+	reply := inflight.AttemptOutcome{LoadReport: x.loadReport(resp)}
 	switch {
 	case resp.StatusCode == http.StatusOK:
 		reply.Result = balance.OK
-		reply.Answer = inflight.Answer{Status: http.StatusOK, ContentType: resp.Header.Get("Content-Type"), Body: body}
+		reply.Response = inflight.Response{Status: http.StatusOK, ContentType: resp.Header.Get("Content-Type"), Body: body}
 	case notProcessed(resp):
 		reply.Result = balance.Rejected
 	default: // also 503 without the mark: it may have run
@@ -99,21 +99,21 @@
 }
 
 // forwardAnswer hands the start of an answer to the event loop for the client, and returns once the rest was forwarded.
-func (x *exchange) forwardAnswer(ctx context.Context, conn *serverConn, resp *http.Response, first []byte) (reply inflight.Reply,
+func (x *exchange) forwardAnswer(ctx context.Context, conn *serverConn, resp *http.Response, first []byte) (reply inflight.AttemptOutcome,
 	reusable bool) {
 	remainder := &streamReader{ctx: ctx, conn: conn, body: unbuffered(conn, resp), left: inflight.MaxBody - int64(len(first))}
-	stream := &inflight.AnswerStream{Length: resp.ContentLength, First: first, Remaining: remainder, Ended: make(chan error, 1)}
-	x.pool.post(AnswerStarted{x.attempt, inflight.Answer{
+	stream := &inflight.ResponseStream{Length: resp.ContentLength, Prefix: first, Remaining: remainder, WriteResult: make(chan error, 1)}
+	x.pool.post(AnswerStarted{x.attempt, inflight.Response{
 		Status: http.StatusOK, ContentType: resp.Header.Get("Content-Type"), Stream: stream,
 	}})
 	var err error
 	select {
-	case err = <-stream.Ended:
+	case err = <-stream.WriteResult:
 	case <-x.pool.stopped: // the event loop hands the answer to no client any more
-		err = inflight.ErrBodyUnwanted
+		err = inflight.ErrBodyNotNeeded
 	}
-	reply = inflight.Reply{Report: x.loadReport(resp), Result: answerResult(ctx, err)}
-	if err == inflight.ErrBodyUnwanted || err == inflight.ErrClientGone {
+	reply = inflight.AttemptOutcome{LoadReport: x.loadReport(resp), Result: answerResult(ctx, err)}
+	if err == inflight.ErrBodyNotNeeded || err == inflight.ErrClientWriteFailed {
 		reply.Result = balance.Cancelled
 	}
 	return reply, err == nil && reusableAfter(conn, resp)
--- a/internal/sidecar/upstream/attempt_test.go
+++ b/internal/sidecar/upstream/attempt_test.go
@@ -70,7 +70,7 @@
 // The answer to a forwarded body may be noticed before the write of its last byte returns. It is the answer to a complete
 // request and is read to its end. The last byte may be written before the end of the body is known.
 func TestUpload_answerWithLastByte(t *testing.T) {
-	const size = inflight.CopySize / 2 // of one write
+	const size = inflight.CopyBufferSize / 2 // of one write
 	for name, more := range map[string]int{"with the last write": 10, "ahead of the body's end": 0} {
 		t.Run(name, func(t *testing.T) {
 			returns := make(chan struct{})
@@ -85,8 +85,8 @@
 			held.length = setUpload(t, a, size, more)
 			conn.Conn, conn.head.Conn = held, held
 			p.put(conn)
-			if r := p.Send(a); r.Result != balance.OK || string(r.Answer.Body) != "done" {
-				t.Errorf("result %v with %q, want the server's answer", r.Result, r.Answer.Body)
+			if r := p.Send(a); r.Result != balance.OK || string(r.Response.Body) != "done" {
+				t.Errorf("result %v with %q, want the server's answer", r.Result, r.Response.Body)
 			}
 			if n := b.Requests.Load(); n != 1 {
 				t.Errorf("the server got %d complete requests, want 1", n)
@@ -124,11 +124,11 @@
 		t.Fatalf("the first attempt: result %v", r.Result)
 	}
 	next := nextAttempt(a)
-	next.Call.Writing.Lock() // it waits here with its connection
-	done := make(chan inflight.Reply, 1)
+	next.Call.WriteLock.Lock() // it waits here with its connection
+	done := make(chan inflight.AttemptOutcome, 1)
 	go func() { done <- p.Send(next) }()
-	<-time.After(time.Until(a.Call.Outbound.MayRunSince.Add(window)))
-	next.Call.Writing.Unlock()
+	<-time.After(time.Until(a.Call.Outbound.MayHaveRunSince.Add(window)))
+	next.Call.WriteLock.Unlock()
 	if r := sidecartest.Receive(t, "the retry", done); r.Result != balance.NotSent {
 		t.Errorf("result %v, want that nothing was sent", r.Result)
 	}
@@ -172,8 +172,8 @@
 	p.put(conn)
 	const window = 50 * time.Millisecond
 	setKeyWindow(p, a, window, make([]byte, inflight.MaxBody))
-	a.Call.Outbound.MayRunSince = time.Now() // an earlier attempt may have run
-	done := make(chan inflight.Reply, 1)
+	a.Call.Outbound.MayHaveRunSince = time.Now() // an earlier attempt may have run
+	done := make(chan inflight.AttemptOutcome, 1)
 	go func() { done <- p.Send(a) }()
 	select {
 	case r := <-done:
@@ -224,13 +224,13 @@
 			posted := make(chan any, 4)
 			p.post = func(ev any) { posted <- ev }
 			setReceivedUpload(t, a, wait)
-			a.Call.Writing.Lock() // the attempt waits here
-			done := make(chan inflight.Reply, 1)
+			a.Call.WriteLock.Lock() // the attempt waits here
+			done := make(chan inflight.AttemptOutcome, 1)
 			go func() { done <- p.Send(a) }()
 			sidecartest.Until(t, "the connection to be taken", func() bool { return idleCount(p, a.Server) == 0 })
 			u := a.Call.Outbound.Upload
 			u.SetCompletedAt(u.CompletedAt().Add(-test.passed))
-			a.Call.Writing.Unlock()
+			a.Call.WriteLock.Unlock()
 			r := sidecartest.Receive(t, "the end", done)
 			if n := len(posted); n != map[bool]int{true: 2, false: 1}[test.sent] {
 				t.Errorf("the event loop got BodyComplete %d times, want before the attempt and after its last byte", n)
@@ -269,7 +269,7 @@
 	a.Call.Timeout = sidecartest.Patience
 	a.Call.Outbound = outboundPost(nil)
 	a.Call.Outbound.Upload = inflight.NewUpload(inflight.MaxBody, sidecartest.Pattern(inflight.MinHeldBody)) // the remainder never arrives
-	done := make(chan inflight.Reply, 1)
+	done := make(chan inflight.AttemptOutcome, 1)
 	go func() { done <- p.Send(a) }()
 	select {
 	case <-heads:
--- a/internal/sidecar/upstream/checkpoint_test.go
+++ b/internal/sidecar/upstream/checkpoint_test.go
@@ -67,7 +67,7 @@
 			}
 			p.hook = func(c checkpoint.Checkpoint) {
 				if c == at {
-					<-time.After(time.Until(a.Call.Outbound.MayRunSince.Add(sidecartest.Hold)))
+					<-time.After(time.Until(a.Call.Outbound.MayHaveRunSince.Add(sidecartest.Hold)))
 					time.Sleep(20 * time.Millisecond) // the deadline on the connection has passed, too
 				}
 			}
--- a/internal/sidecar/upstream/errno_test.go
+++ b/internal/sidecar/upstream/errno_test.go
@@ -128,8 +128,8 @@
 			p, a, _, _ := newExchange(t, b)
 			a.Call.Outbound = outboundPost([]byte("plate 12-34"))
 			sidecartest.Dialing(p, sidecartest.Succeed, sidecartest.FaultyConn{FailRead: sidecartest.FailTimes(2, sidecartest.OpError("read", errno))})
-			if r := p.Send(a); r.Result != balance.OK || string(r.Answer.Body) != "done" {
-				t.Errorf("result %v with %q, want the answer", r.Result, r.Answer.Body)
+			if r := p.Send(a); r.Result != balance.OK || string(r.Response.Body) != "done" {
+				t.Errorf("result %v with %q, want the answer", r.Result, r.Response.Body)
 			}
 		})
 	}
@@ -173,8 +173,8 @@
 				p.dialContext = dial
 				sidecartest.Dialing(p, sidecartest.Succeed, sidecartest.FaultyConn{ByteAtATime: true, FailRead: sidecartest.FailNth(int32(n+1), sidecartest.OpError("read", errno))})
 				r := p.Send(a)
-				if r.Result != want || r.Result == balance.OK && string(r.Answer.Body) != "done" {
-					t.Errorf("at byte %d: result %v with %q, want %v", n, r.Result, r.Answer.Body, want)
+				if r.Result != want || r.Result == balance.OK && string(r.Response.Body) != "done" {
+					t.Errorf("at byte %d: result %v with %q, want %v", n, r.Result, r.Response.Body, want)
 				}
 				p.CloseIdle(a.Server)
 			}
--- a/internal/sidecar/upstream/events.go
+++ b/internal/sidecar/upstream/events.go
@@ -10,7 +10,7 @@
 // AnswerStarted is posted to the event loop with an answer that is forwarded as it arrives.
 type AnswerStarted struct {
 	Attempt *Attempt
-	Answer  inflight.Answer
+	Answer  inflight.Response
 }
 
 // Connecting is posted to the event loop when an attempt starts to wait for a new connection, and again when it has one.
--- a/internal/sidecar/upstream/exchange.go
+++ b/internal/sidecar/upstream/exchange.go
@@ -24,29 +24,29 @@
 )
 
 // Send carries out an attempt and returns how it ended.
-func (p *Pool) Send(attempt *Attempt) inflight.Reply {
+func (p *Pool) Send(attempt *Attempt) inflight.AttemptOutcome {
 	p.hook.At(checkpoint.AttemptDecided)
 	reply := p.exchangeCall(attempt)
-	if out := attempt.Call.Outbound; out.MayRunSince.IsZero() && !reply.Result.NeverRan() {
-		out.MayRunSince = out.LastFirstByte
+	if out := attempt.Call.Outbound; out.MayHaveRunSince.IsZero() && !reply.Result.NeverRan() {
+		out.MayHaveRunSince = out.LastFirstByteAt
 	}
 	return attempt.RouteCheck.RecordEnd(reply)
 }
 
 // HealthCheck sends a request of the sidecar's own that reads a server's state and load report.
-func (p *Pool) HealthCheck(ctx context.Context, server *Server) inflight.Reply {
+func (p *Pool) HealthCheck(ctx context.Context, server *Server) inflight.AttemptOutcome {
 	x := &exchange{pool: p, server: server, deadline: time.Now().Add(healthCheckTimeout), request: &http.Request{
 		Method: http.MethodGet, URL: &url.URL{Path: p.healthCheckPath}, Host: server.Endpoint, Header: http.Header{},
 	}}
 	reply := x.run(ctx)
-	if len(reply.Report) == 0 {
-		reply.Report = parseReport(string(reply.Answer.Body), p.reportNames)
+	if len(reply.LoadReport) == 0 {
+		reply.LoadReport = parseReport(string(reply.Response.Body), p.reportNames)
 	}
 	return reply
 }
 
 // exchangeCall sends the client's request within the client's time.
-func (p *Pool) exchangeCall(attempt *Attempt) inflight.Reply {
+func (p *Pool) exchangeCall(attempt *Attempt) inflight.AttemptOutcome {
 	x := &exchange{pool: p, server: attempt.Server, deadline: attempt.Deadline, attempt: attempt,
 		request: outboundRequest(attempt.Call.Outbound)}
 	upload := attempt.upload()
@@ -72,7 +72,7 @@
 func (p *Pool) uploadDeadline(call *inflight.Call) time.Time {
 	deadline := time.Now().Add(inflight.MaxTimeout)
 	upload := call.Outbound.Upload
-	if received := upload.CompletedAt(); !received.IsZero() && !upload.Broken() {
+	if received := upload.CompletedAt(); !received.IsZero() && !upload.Failed() {
 		deadline = received.Add(call.Timeout)
 		p.post(BodyComplete{call})
 	}
@@ -91,10 +91,10 @@
 // retryBefore is when the last byte of an attempt must have been written, as servers then forget the idempotency key of an
 // earlier attempt that may have run. It is zero if there is no such bound.
 func (p *Pool) retryBefore(attempt *Attempt) time.Time {
-	if attempt == nil || attempt.Call.Outbound.MayRunSince.IsZero() || p.retryWindows[attempt.Call.Request.Class] == 0 {
+	if attempt == nil || attempt.Call.Outbound.MayHaveRunSince.IsZero() || p.retryWindows[attempt.Call.Request.Class] == 0 {
 		return time.Time{}
 	}
-	return attempt.Call.Outbound.MayRunSince.Add(p.retryWindows[attempt.Call.Request.Class])
+	return attempt.Call.Outbound.MayHaveRunSince.Add(p.retryWindows[attempt.Call.Request.Class])
 }
 
 // exchange writes a request once and reads its answer. net/http's Transport would send a request again by itself when a
@@ -111,7 +111,7 @@
 }
 
 // run sends the request, over a second connection if the first one was stale.
-func (x *exchange) run(ctx context.Context) inflight.Reply {
+func (x *exchange) run(ctx context.Context) inflight.AttemptOutcome {
 	x.sendBy, x.writeBy = x.deadline, x.pool.retryBefore(x.attempt)
 	if !x.writeBy.IsZero() && x.writeBy.Before(x.deadline) {
 		x.sendBy = x.writeBy
@@ -126,12 +126,12 @@
 
 // runOnConnection sends the request over one connection. It reports a stale one if nothing of the request has run and the
 // request may move to another connection.
-func (x *exchange) runOnConnection(ctx context.Context) (reply inflight.Reply, stale bool) {
+func (x *exchange) runOnConnection(ctx context.Context) (reply inflight.AttemptOutcome, stale bool) {
 	conn, reused, err := x.pool.acquire(ctx, x.server, x.sendBy, x.attempt)
 	if err != nil {
-		return inflight.Reply{Result: unsentResult(ctx, x.sendBy, err)}, false
+		return inflight.AttemptOutcome{Result: unsentResult(ctx, x.sendBy, err)}, false
 	}
-	conn.head.NextRequest()
+	conn.head.PrepareNextRequest()
 	conn.readLimit.N = maxHeldAnswer
 	writer := &requestWriter{conn: conn, reused: reused, writeBy: x.writeBy, hook: x.pool.hook}
 	detach := context.AfterFunc(ctx, writer.stop)
@@ -178,19 +178,19 @@
 }
 
 // endUnwritten ends a request whose last byte was not written, or reports that its connection was stale.
-func (x *exchange) endUnwritten(ctx context.Context, writer *requestWriter, cause error) (reply inflight.Reply, stale bool) {
+func (x *exchange) endUnwritten(ctx context.Context, writer *requestWriter, cause error) (reply inflight.AttemptOutcome, stale bool) {
 	result := balance.Rejected
 	if !writer.answeredEarly() || !rejectedEarly(writer.conn, x.request) {
 		result = unwrittenResult(ctx, x.sendBy, cause)
 	}
 	x.pool.discard(writer.conn)
 	if errors.Is(cause, routing.ErrRevoked) {
-		return inflight.Reply{Result: balance.NotSent, RouteRevoked: true}, false
+		return inflight.AttemptOutcome{Result: balance.NotSent, RouteRevoked: true}, false
 	}
 	if writer.reused && x.mayUseAnother(ctx, result, cause) {
-		return inflight.Reply{}, true
+		return inflight.AttemptOutcome{}, true
 	}
-	return inflight.Reply{Result: result}, false
+	return inflight.AttemptOutcome{Result: result}, false
 }
 
 // mayUseAnother reports whether a request that was not written to a reused connection may be written to another one: the server
--- a/internal/sidecar/upstream/exchange_test.go
+++ b/internal/sidecar/upstream/exchange_test.go
@@ -171,7 +171,7 @@
 	p, a, conn, _ := newExchange(t, b)
 	p.put(conn)
 	r := p.HealthCheck(a.Context, a.Server)
-	if r.Result != balance.OK || len(r.Report) != 2 || r.Report[0] != 0.5 || r.Report[1] != 7 {
+	if r.Result != balance.OK || len(r.LoadReport) != 2 || r.LoadReport[0] != 0.5 || r.LoadReport[1] != 7 {
 		t.Errorf("%+v", r)
 	}
 	if path := <-paths; path != "/stats" {
--- a/internal/sidecar/upstream/pool_test.go
+++ b/internal/sidecar/upstream/pool_test.go
@@ -53,15 +53,15 @@
 			sidecartest.Until(t, "the connection to be idle", func() bool { return idleCount(p, a.Server) == 1 })
 
 			next := nextAttempt(a)
-			next.Call.Writing.Lock() // it takes the connection and waits here
-			done := make(chan inflight.Reply, 1)
+			next.Call.WriteLock.Lock() // it takes the connection and waits here
+			done := make(chan inflight.AttemptOutcome, 1)
 			go func() { done <- p.Send(next) }()
 			sidecartest.Until(t, "the connection to be taken", func() bool { return idleCount(p, a.Server) == 0 })
 			change(reused)
 			sidecartest.Until(t, "the change to arrive", func() bool { return !conn.quiet() })
-			next.Call.Writing.Unlock()
-			if r := sidecartest.Receive(t, "the answer", done); r.Result != balance.OK || string(r.Answer.Body) != "done" {
-				t.Errorf("result %v with %q, want the answer to this request", r.Result, r.Answer.Body)
+			next.Call.WriteLock.Unlock()
+			if r := sidecartest.Receive(t, "the answer", done); r.Result != balance.OK || string(r.Response.Body) != "done" {
+				t.Errorf("result %v with %q, want the answer to this request", r.Result, r.Response.Body)
 			}
 			if n := b.Requests.Load(); n != 2 {
 				t.Errorf("the server got %d requests, want 2", n)
@@ -237,8 +237,8 @@
 	p.mu.Unlock()
 	next := nextAttempt(a)
 	next.Call.Outbound = outboundPost([]byte("second"))
-	if r := p.Send(next); r.Result != balance.OK || string(r.Answer.Body) != "second" {
-		t.Errorf("result %v with %q, want the answer to this request", r.Result, r.Answer.Body)
+	if r := p.Send(next); r.Result != balance.OK || string(r.Response.Body) != "second" {
+		t.Errorf("result %v with %q, want the answer to this request", r.Result, r.Response.Body)
 	}
 }
 
--- a/internal/sidecar/upstream/request_stream.go
+++ b/internal/sidecar/upstream/request_stream.go
@@ -16,7 +16,7 @@
 )
 
 const (
-	streamBufferSize = inflight.CopySize / 2
+	streamBufferSize = inflight.CopyBufferSize / 2
 	// routedStreamBufferSize is less than what is held of a body in any case: an attempt whose route is revoked at its first
 	// write has consumed nothing of the body.
 	routedStreamBufferSize = inflight.MinHeldBody
@@ -104,7 +104,7 @@
 	w.stop()
 	<-w.early.peeked
 	switch {
-	case upload.Broken(): // by the client
+	case upload.Failed(): // by the client
 		return errNotNeeded
 	case answeredFirst && w.early.connErr != nil: // the connection broke
 		return errors.Join(w.early.connErr, syscall.EPIPE)
@@ -145,7 +145,7 @@
 // startStream makes the last checks before the first byte: the client's, then the route's. The head is rendered by then, so
 // a route that counts the attempt under another revision ends it.
 func (w *requestWriter) startStream() error {
-	if w.call != nil && w.call.ClientLeft() {
+	if w.call != nil && w.call.ClientDisconnected() {
 		return errNotNeeded
 	}
 	if w.routeCheck == nil {
--- a/internal/sidecar/upstream/request_writer.go
+++ b/internal/sidecar/upstream/request_writer.go
@@ -91,8 +91,8 @@
 // write reports whether the last byte was written: only then may the request run. attempt is nil for a health check.
 func (w *requestWriter) write(deadline time.Time, req *http.Request, attempt *Attempt) (written bool, err error) {
 	if attempt != nil {
-		attempt.Call.Writing.Lock()
-		defer attempt.Call.Writing.Unlock()
+		attempt.Call.WriteLock.Lock()
+		defer attempt.Call.WriteLock.Unlock()
 		if attempt.Call.Finished() {
 			return false, errNotNeeded
 		}
@@ -149,7 +149,7 @@
 	}
 	if attempt != nil {
 		w.recordFirstByte(attempt.Call.Outbound)
-		if attempt.Call.ClientLeft() {
+		if attempt.Call.ClientDisconnected() {
 			return false, errNotNeeded
 		}
 	}
@@ -190,7 +190,7 @@
 
 // recordFirstByte reads the clock for the first byte. The process may be held up at any point after this.
 func (w *requestWriter) recordFirstByte(out *inflight.Outbound) {
-	out.LastFirstByte = time.Now()
+	out.LastFirstByteAt = time.Now()
 	w.hook.At(checkpoint.ClockRead)
 }
 
