--- a/internal/sidecar/clientserver/pending_call.go
+++ b/internal/sidecar/clientserver/pending_call.go
@@ -98,7 +98,7 @@
 	if p.state == callClientGone {
 		p.failForClientGone()
 	}
-	s.options.Checkpoints.At(checkpoint.AnswerDecided)
+	s.options.Checkpoints.At(checkpoint.ResponseDecided)
 	p.awaitAttemptWriter()
 	s.limitWrite(w)
 	p.receiveUploadFailure()
@@ -253,7 +253,7 @@
 		p.server.streamAnswer(p.writer, p.request, p.call, p.answer)
 		return
 	}
-	p.server.options.Metrics.CountAnswer(p.call.Request.Class, p.answer.Status)
+	p.server.options.Metrics.CountResponse(p.call.Request.Class, p.answer.Status)
 	writeAnswer(p.writer, p.answer)
 	if bodyComing {
 		_ = p.control.Flush() // the client may go on sending for long
--- a/internal/sidecar/clientserver/response_writer.go
+++ b/internal/sidecar/clientserver/response_writer.go
@@ -51,13 +51,13 @@
 		panic(http.ErrAbortHandler)
 	}
 	stream.Ended <- nil
-	s.options.Metrics.CountAnswer(call.Request.Class, answer.Status)
+	s.options.Metrics.CountResponse(call.Request.Class, answer.Status)
 }
 
 // recordBreakOff tells the attempt why its answer broke off, and counts the request as failed.
 func (s *Server) recordBreakOff(stream *inflight.AnswerStream, call *inflight.Call, cause error) {
 	stream.Ended <- cause
-	s.options.Metrics.CountAnswer(call.Request.Class, inflight.StatusFailed)
+	s.options.Metrics.CountResponse(call.Request.Class, inflight.StatusFailed)
 }
 
 // limitWrite bounds the time for the next part of an answer: a client that does not read must not keep its connection
--- a/internal/sidecar/clientserver/server.go
+++ b/internal/sidecar/clientserver/server.go
@@ -165,7 +165,7 @@
 	// a rejection is true.
 	if s.requests.Add(1) > s.requestLimit.Load() {
 		s.requests.Add(-1)
-		s.options.Metrics.CountAnswer(call.Request.Class, inflight.StatusRejected)
+		s.options.Metrics.CountResponse(call.Request.Class, inflight.StatusRejected)
 		writeAnswer(w, inflight.Answer{Status: inflight.StatusRejected})
 		return
 	}
--- a/internal/sidecar/eventloop/actions.go
+++ b/internal/sidecar/eventloop/actions.go
@@ -22,13 +22,13 @@
 	case balance.Send:
 		l.startAttempt(now, action)
 	case balance.Reject, balance.Fail:
-		l.endCall(now, action)
+		l.respondWithoutServer(now, action)
 	case balance.Cancel:
 		if c := l.calls[action.Request]; c != nil && action.Attempt < len(c.attempts) {
 			c.attempts[action.Attempt].Cancel()
 		}
 	case balance.SetTimer:
-		l.timers.set(timer{due: now + math.Max(action.At, 0), token: action.Token})
+		l.timers.add(timer{due: now + math.Max(action.At, 0), token: action.Token})
 	case balance.HealthCheck:
 		l.healthCheck(now, action.Server)
 	case balance.CloseIdle:
@@ -62,7 +62,7 @@
 		}
 	}
 	a := &upstream.Attempt{
-		Call: c.Call, Number: len(c.attempts), Server: l.serverOf(action.Server),
+		Call: c.Call, Number: len(c.attempts), Server: l.serverByID(action.Server),
 		RouteCheck: l.Routing.Check(now, c.Call, action), StartedAt: now, Deadline: deadline,
 	}
 	a.Context, a.Cancel = context.WithCancel(l.ctx)
@@ -73,12 +73,12 @@
 
 // healthCheck asks a server how it is, in a goroutine that ends with the answer.
 func (l *Loop) healthCheck(now float64, id balance.ServerID) {
-	server := l.serverOf(id)
+	server := l.serverByID(id)
 	l.Workers.Go(func() { l.Post(healthCheckDone{server, now, l.Pool.HealthCheck(l.ctx, server)}) })
 }
 
-// serverOf gives the server of an ID. One that is not in the table is retired: nothing is sent to it.
-func (l *Loop) serverOf(id balance.ServerID) *upstream.Server {
+// serverByID gives the server of an ID. One that is not in the table is retired: nothing is sent to it.
+func (l *Loop) serverByID(id balance.ServerID) *upstream.Server {
 	if server := l.servers[id]; server != nil {
 		return server
 	}
@@ -87,8 +87,8 @@
 	return server
 }
 
-// endCall gives a client the balancer's own answer: rejected, where a retry does no harm, or failed.
-func (l *Loop) endCall(now float64, action *balance.Action) {
+// respondWithoutServer gives a client the balancer's own answer: rejected, where a retry does no harm, or failed.
+func (l *Loop) respondWithoutServer(now float64, action *balance.Action) {
 	c := l.calls[action.Request]
 	if c == nil || !c.Finish() {
 		return
--- a/internal/sidecar/eventloop/calls.go
+++ b/internal/sidecar/eventloop/calls.go
@@ -8,8 +8,8 @@
 	"marblelane/internal/sidecar/upstream"
 )
 
-// takeArrival gives a new call its ID and hands it to the balancer.
-func (l *Loop) takeArrival(now float64, c *inflight.Call) {
+// startCall gives a new call its ID and hands it to the balancer.
+func (l *Loop) startCall(now float64, c *inflight.Call) {
 	l.lastID++
 	c.Request.ID = l.lastID
 	l.calls[l.lastID] = &openCall{Call: c}
@@ -23,8 +23,8 @@
 	l.HandleEvent(now, request)
 }
 
-// takeBodyComplete starts the times of a call, and of its attempts, whose body has been forwarded to its end.
-func (l *Loop) takeBodyComplete(now float64, c *inflight.Call) {
+// handleBodyComplete starts the times of a call, and of its attempts, whose body has been forwarded to its end.
+func (l *Loop) handleBodyComplete(now float64, c *inflight.Call) {
 	c.Deadline = c.Outbound.Upload.CompletedAt().Add(c.Timeout)
 	if open := l.calls[c.Request.ID]; open != nil {
 		for _, a := range open.attempts {
@@ -34,15 +34,15 @@
 	l.HandleEvent(now, balance.BodyComplete{Request: c.Request.ID, Remaining: l.Clock.Millis(c.Deadline) - now})
 }
 
-// takeClientGone ends a call whose client has left.
-func (l *Loop) takeClientGone(now float64, c *inflight.Call) {
+// handleClientGone ends a call whose client has left.
+func (l *Loop) handleClientGone(now float64, c *inflight.Call) {
 	l.cancelUnwritten(c)
 	l.HandleEvent(now, balance.ClientGone{Request: c.Request.ID})
 	l.release(c)
 }
 
-// takeAnswerStarted gives the client an answer that is forwarded as it comes.
-func (l *Loop) takeAnswerStarted(now float64, a *upstream.Attempt, answer inflight.Answer) {
+// handleResponseStarted gives the client an answer that is forwarded as it comes.
+func (l *Loop) handleResponseStarted(now float64, a *upstream.Attempt, answer inflight.Answer) {
 	c := a.Call
 	if !c.Finish() {
 		answer.Stream.Ended <- inflight.ErrBodyUnwanted
@@ -56,8 +56,8 @@
 	})
 }
 
-// takeAttemptDone hands the balancer the one outcome of an attempt. The first that is served is the client's answer.
-func (l *Loop) takeAttemptDone(now float64, a *upstream.Attempt, reply inflight.Reply) {
+// handleAttemptDone hands the balancer the one outcome of an attempt. The first that is served is the client's answer.
+func (l *Loop) handleAttemptDone(now float64, a *upstream.Attempt, reply inflight.Reply) {
 	a.Cancel()
 	c := a.Call
 	if open := l.calls[c.Request.ID]; open != nil {
@@ -69,7 +69,7 @@
 	}
 	if c.SeenGone() && c.Finish() { // the attempt has seen that the client left: no other is made
 		c.Answers <- inflight.Answer{ClientLeft: true}
-		l.takeClientGone(now, c)
+		l.handleClientGone(now, c)
 	}
 	streamed := a.FirstByteAfter > 0
 	elapsed := now - a.StartedAt
--- a/internal/sidecar/eventloop/list.go
+++ b/internal/sidecar/eventloop/list.go
@@ -9,9 +9,9 @@
 	"marblelane/internal/sidecar/upstream"
 )
 
-// takeListEvent lets the balancer decide which entries it accepts, and brings the table of servers in line before any
+// handleListEvent lets the balancer decide which entries it accepts, and brings the table of servers in line before any
 // other message is taken, so that attempts on their way see at their first byte what the balancer sees.
-func (l *Loop) takeListEvent(now float64, event discovery.ListEvent) {
+func (l *Loop) handleListEvent(now float64, event discovery.ListEvent) {
 	l.checkClock(now)
 	l.listReceived = l.listReceived || event.Kind == balance.ListFull || event.Kind == balance.ListDelta
 	actions, err := l.balancer.Handle(now, l.serverList(event))
@@ -21,10 +21,10 @@
 	}
 	l.Discovery.Revision.Store(l.balancer.ListRev())
 	for i := range event.List.Targets {
-		l.alignServer(&event.List.Targets[i])
+		l.updateServer(&event.List.Targets[i])
 	}
 	if event.Kind != balance.ListDelta {
-		l.retireUnused()
+		l.retireUnusedServers()
 	}
 	l.Execute(now, actions)
 }
@@ -43,8 +43,8 @@
 	return list
 }
 
-// retireUnused retires the servers of the table that the balancer does not use any more.
-func (l *Loop) retireUnused() {
+// retireUnusedServers retires the servers of the table that the balancer does not use any more.
+func (l *Loop) retireUnusedServers() {
 	for id, server := range l.servers {
 		if _, used := l.balancer.UsableServer(id); !used {
 			l.retireServer(server)
@@ -52,9 +52,9 @@
 	}
 }
 
-// alignServer brings one server of the table in line with what the balancer makes of its entry. A restart or another
+// updateServer brings one server of the table in line with what the balancer makes of its entry. A restart or another
 // address makes a new server.
-func (l *Loop) alignServer(target *endpointlist.Target) {
+func (l *Loop) updateServer(target *endpointlist.Target) {
 	id := endpointlist.ServerID(target.UID)
 	entry, used := l.balancer.UsableServer(id)
 	if !used {
--- a/internal/sidecar/eventloop/loop.go
+++ b/internal/sidecar/eventloop/loop.go
@@ -105,7 +105,7 @@
 	l.ctx = ctx
 	now := l.now()
 	l.Execute(now, l.balancer.Start(now))
-	l.takeListEvent(now, discovery.ListEvent{Kind: balance.ListCached, List: l.cfg.Known})
+	l.handleListEvent(now, discovery.ListEvent{Kind: balance.ListCached, List: l.cfg.Known})
 	l.publishMetrics(now)
 	defer l.Routing.Start(func(f func()) { l.Workers.Go(f) })()
 	defer l.Members.Start()()
@@ -123,14 +123,14 @@
 		case <-ctx.Done():
 			return
 		case message := <-l.inbox:
-			l.takeBatch(message)
+			l.handleBatch(message)
 		case <-alarm.C:
 			l.lastTimerWake = l.now()
 			l.fireTimers(l.lastTimerWake)
 		case <-l.Routing.Woken():
 			l.Routing.Take(l.now())
 		case <-l.Members.Woken():
-			l.takeFleetSize(l.now())
+			l.updateFleetSize(l.now())
 		case <-publish:
 			l.checkClock(l.now())
 			l.publishMetrics(l.now())
@@ -150,13 +150,13 @@
 	alarm.Reset(clock.Duration(next - l.now()))
 }
 
-// takeBatch takes a message and those that wait behind it.
-func (l *Loop) takeBatch(first any) {
+// handleBatch takes a message and those that wait behind it.
+func (l *Loop) handleBatch(first any) {
 	now := l.now()
 	l.fireTimers(now)
-	l.take(now, first)
+	l.handleMessage(now, first)
 	for n := len(l.inbox); n > 0; n-- {
-		l.take(now, <-l.inbox)
+		l.handleMessage(now, <-l.inbox)
 	}
 }
 
@@ -171,22 +171,22 @@
 
 // fireTimers delivers the timers that are due. A timer that is set meanwhile waits for the next batch.
 func (l *Loop) fireTimers(now float64) {
-	for _, t := range l.timers.takeDue(now) {
+	for _, t := range l.timers.popDue(now) {
 		l.HandleEvent(now, balance.Timer{Token: t.token})
 	}
 }
 
-// take takes one message.
-func (l *Loop) take(now float64, message any) {
+// handleMessage takes one message.
+func (l *Loop) handleMessage(now float64, message any) {
 	switch m := message.(type) {
 	case clientserver.Arrival:
-		l.takeArrival(now, m.Call)
+		l.startCall(now, m.Call)
 	case clientserver.ClientGone:
-		l.takeClientGone(now, m.Call)
+		l.handleClientGone(now, m.Call)
 	case upstream.BodyComplete:
-		l.takeBodyComplete(now, m.Call)
+		l.handleBodyComplete(now, m.Call)
 	case upstream.AnswerStarted:
-		l.takeAnswerStarted(now, m.Attempt, m.Answer)
+		l.handleResponseStarted(now, m.Attempt, m.Answer)
 	case upstream.Connecting:
 		l.HandleEvent(now, balance.Connecting{
 			Request: m.Attempt.Call.Request.ID, Attempt: m.Attempt.Number, Established: m.Established,
@@ -196,13 +196,13 @@
 			l.HandleEvent(now, balance.ConnectionReady{Server: m.Server.ID})
 		}
 	case attemptDone:
-		l.takeAttemptDone(now, m.attempt, m.reply)
+		l.handleAttemptDone(now, m.attempt, m.reply)
 	case healthCheckDone:
 		l.HandleEvent(now, balance.HealthCheckResult{
 			Server: m.server.ID, Result: m.reply.Result, Elapsed: now - m.startedAt, Report: m.reply.Report,
 		})
 	case discovery.ListEvent:
-		l.takeListEvent(now, m)
+		l.handleListEvent(now, m)
 	case balance.ProcessCount:
 		l.HandleEvent(now, m)
 	case balance.ListServices:
@@ -229,8 +229,8 @@
 	}
 }
 
-// takeFleetSize hands the balancer the number of processes in the fleet.
-func (l *Loop) takeFleetSize(now float64) {
+// updateFleetSize hands the balancer the number of processes in the fleet.
+func (l *Loop) updateFleetSize(now float64) {
 	if size, known := l.Members.Size(); known {
 		l.HandleEvent(now, size)
 		l.Members.SetEstimate(l.balancer.FleetSize())
--- a/internal/sidecar/eventloop/loop_test.go
+++ b/internal/sidecar/eventloop/loop_test.go
@@ -37,7 +37,7 @@
 	l.ctx = ctx
 	now = l.now()
 	l.Execute(now, l.balancer.Start(now))
-	l.takeListEvent(now, discovery.ListEvent{Kind: balance.ListCached, List: cfg.Known})
+	l.handleListEvent(now, discovery.ListEvent{Kind: balance.ListCached, List: cfg.Known})
 	return l, now
 }
 
@@ -62,7 +62,7 @@
 				Timeout: time.Hour, Deadline: time.Now().Add(time.Hour), Answers: make(chan inflight.Answer, 1),
 			}
 			c.ClientGone = func() bool { checks.Add(1); checking.Pass(); return true }
-			l.take(now, clientserver.Arrival{Call: c})
+			l.handleMessage(now, clientserver.Arrival{Call: c})
 			open := l.calls[c.Request.ID]
 			checking.WaitFor(t, 1) // the attempt has passed all other checks
 			if handlerFirst && !c.Finish() {
@@ -72,12 +72,12 @@
 			for over := false; !over; {
 				ev := sidecartest.Receive(t, "the attempt's outcome", l.inbox)
 				_, over = ev.(attemptDone)
-				l.take(l.Clock.Millis(time.Now()), ev)
+				l.handleMessage(l.Clock.Millis(time.Now()), ev)
 			}
 			if byLoop := len(c.Answers) == 1; byLoop == handlerFirst || !c.Finished() {
 				t.Errorf("the event loop ends the call: %v, finished %v", byLoop, c.Finished())
 			}
-			l.take(l.Clock.Millis(time.Now()), clientserver.ClientGone{Call: c}) // late, or twice
+			l.handleMessage(l.Clock.Millis(time.Now()), clientserver.ClientGone{Call: c}) // late, or twice
 			if n := len(l.calls); n != 0 {
 				t.Errorf("%d calls are left", n)
 			}
--- a/internal/sidecar/eventloop/timers.go
+++ b/internal/sidecar/eventloop/timers.go
@@ -11,11 +11,11 @@
 // timerHeap holds timers, the earliest first.
 type timerHeap []timer
 
-// set adds a timer.
-func (h *timerHeap) set(t timer) { heap.Push(h, t) }
+// add adds a timer.
+func (h *timerHeap) add(t timer) { heap.Push(h, t) }
 
-// takeDue removes the timers that are due and gives them in order.
-func (h *timerHeap) takeDue(now float64) []timer {
+// popDue removes the timers that are due and gives them in order.
+func (h *timerHeap) popDue(now float64) []timer {
 	var due []timer
 	for len(*h) > 0 && (*h)[0].due <= now {
 		due = append(due, heap.Pop(h).(timer))
--- a/internal/sidecar/fleet/membership.go
+++ b/internal/sidecar/fleet/membership.go
@@ -291,7 +291,7 @@
 	}{
 		{"known", "gauge", float64(size.Known)},
 		{"believed", "gauge", math.Float64frombits(m.estimate.Load())},
-		{"admitted", "gauge", float64(metrics.Bool(size.Admitted))},
+		{"admitted", "gauge", float64(metrics.BoolValue(size.Admitted))},
 		{"changes_total", "counter", float64(report.Changes)},
 		{"dropped_total", "counter", float64(report.Dropped)},
 		{"oldest_unheard_seconds", "gauge", float64(oldest) / 1e3},
--- a/internal/sidecar/kill_time_test.go
+++ b/internal/sidecar/kill_time_test.go
@@ -79,7 +79,7 @@
 			time.Sleep(sidecartest.Hold)
 		}
 	}
-	d.s.hook = hook
+	d.s.checkpoints = hook
 	d.s.loop.Pool.SetHook(hook)
 	d.s.clients.Configure(func(o *clientserver.Options) { o.Checkpoints = hook })
 	ctx, cancel := context.WithCancel(context.Background())
@@ -331,7 +331,7 @@
 				t.Parallel()
 				held := slices.Concat([]checkpoint.Checkpoint{""}, checkpoints)
 				if maxDeadline > maxDrain { // SIGKILL comes no later
-					held = []checkpoint.Checkpoint{"", checkpoint.ServiceEnding}
+					held = []checkpoint.Checkpoint{"", checkpoint.ServiceEndDue}
 				}
 				for round := 1; len(held) > 0; round++ {
 					held = playShutdowns(t, maxDeadline, held, round == sidecartest.MaxRounds)
@@ -370,5 +370,5 @@
 }
 
 var checkpoints = []checkpoint.Checkpoint{
-	checkpoint.RequestRead, checkpoint.AttemptDecided, checkpoint.ClockRead, checkpoint.AnswerDecided, checkpoint.DrainSignalled, checkpoint.ServiceEnding, checkpoint.WaitingEnding,
+	checkpoint.RequestRead, checkpoint.AttemptDecided, checkpoint.ClockRead, checkpoint.ResponseDecided, checkpoint.DrainSignalled, checkpoint.ServiceEndDue, checkpoint.ServiceEnded,
 }
--- a/internal/sidecar/limits.go
+++ b/internal/sidecar/limits.go
@@ -46,9 +46,9 @@
 	return b
 }
 
-// divideLimits divides the budget among the processes of this sidecar. The caller holds siblings, or is alone.
+// divideLimits divides the budget among the processes of this sidecar. The caller holds processMu, or is alone.
 func (s *Sidecar) divideLimits() {
-	processes := 1 + s.older + s.newer
+	processes := 1 + s.olderProcesses + s.newerProcesses
 	if processes > 1 {
 		slog.Info("upgrade: this sidecar shares its limits", "processes", processes)
 	}
@@ -67,21 +67,21 @@
 
 // predecessorAlive reports whether the predecessor still runs.
 func (s *Sidecar) predecessorAlive() bool {
-	s.siblings.Lock()
-	defer s.siblings.Unlock()
-	return s.older > 0
+	s.processMu.Lock()
+	defer s.processMu.Unlock()
+	return s.olderProcesses > 0
 }
 
-// setSiblings sets older or newer, and divides the limits anew.
-func (s *Sidecar) setSiblings(which *int, alive int) {
-	s.siblings.Lock()
-	defer s.siblings.Unlock()
+// setProcessCount sets olderProcesses or newerProcesses, and divides the limits anew.
+func (s *Sidecar) setProcessCount(which *int, alive int) {
+	s.processMu.Lock()
+	defer s.processMu.Unlock()
 	*which = alive
 	s.divideLimits()
 }
 
-// Limit tells the runtime what the configuration allows this process.
-func Limit(cfg *config.Config) {
+// SetRuntimeLimits tells the runtime what the configuration allows this process.
+func SetRuntimeLimits(cfg *config.Config) {
 	debug.SetGCPercent(gcPercent)
 	debug.SetMemoryLimit(cfg.MemoryLimit(1))
 	if cfg.Cores > 0 {
--- a/internal/sidecar/listener_shutdown_test.go
+++ b/internal/sidecar/listener_shutdown_test.go
@@ -37,8 +37,8 @@
 	held := make(chan struct{})
 	var closed, queried atomic.Bool
 	s := start(t, configtest.NewConf(sidecartest.NewRegistry(t).Addr(), b.Target), func(s *Sidecar) {
-		s.listener.Listener = heldListener{s.tcp, held, &closed}
-		s.unaccepted = func(l *net.TCPListener) int {
+		s.listener.Listener = heldListener{s.tcpListener, held, &closed}
+		s.countUnaccepted = func(l *net.TCPListener) int {
 			n := netcall.Unaccepted(l)
 			queried.Store(true)
 			return n
@@ -73,7 +73,7 @@
 	held := make(chan struct{})
 	var closed atomic.Bool
 	s := start(t, configtest.NewConf(sidecartest.NewRegistry(t).Addr()), func(s *Sidecar) {
-		s.listener.Listener = heldListener{s.tcp, held, &closed}
+		s.listener.Listener = heldListener{s.tcpListener, held, &closed}
 	})
 	c, err := net.Dial("tcp", s.Addr())
 	if err != nil {
--- a/internal/sidecar/management.go
+++ b/internal/sidecar/management.go
@@ -56,11 +56,11 @@
 		s.loop.Members.WriteMetrics(w)
 		return
 	}
-	s.answerHealth(w)
+	s.writeHealth(w)
 }
 
-// answerHealth says whether this process can serve.
-func (s *Sidecar) answerHealth(w http.ResponseWriter) {
+// writeHealth says whether this process can serve.
+func (s *Sidecar) writeHealth(w http.ResponseWriter) {
 	switch {
 	case s.clients.Draining():
 		http.Error(w, "draining", http.StatusServiceUnavailable)
--- a/internal/sidecar/metrics/metrics.go
+++ b/internal/sidecar/metrics/metrics.go
@@ -14,10 +14,10 @@
 
 // Metrics counts from the start of the process. Each request counts once, by the answer that was decided for it.
 type Metrics struct {
-	ServerCalls atomic.Int64 // attempts of which the last byte was written
-	InFlight    atomic.Int64 // requests that were accepted and have not ended
-	Servers     atomic.Pointer[ServerMetrics]
-	classes     []classCounters
+	WrittenAttempts atomic.Int64 // attempts of which the last byte was written
+	InFlight        atomic.Int64 // requests that were accepted and have not ended
+	Servers         atomic.Pointer[ServerMetrics]
+	classes         []classCounters
 }
 
 // classCounters counts the answers of a class.
@@ -52,8 +52,8 @@
 	return m
 }
 
-// CountAnswer counts the final answer of a request, by its HTTP status.
-func (m *Metrics) CountAnswer(class, status int) {
+// CountResponse counts the final answer of a request, by its HTTP status.
+func (m *Metrics) CountResponse(class, status int) {
 	c := &m.classes[class]
 	switch status {
 	case http.StatusOK:
@@ -65,8 +65,8 @@
 	}
 }
 
-// Bool is 1 for true and 0 for false.
-func Bool(value bool) int64 {
+// BoolValue is 1 for true and 0 for false.
+func BoolValue(value bool) int64 {
 	if value {
 		return 1
 	}
@@ -90,7 +90,7 @@
 	}
 	servers := m.Servers.Load()
 	figures := []figure{
-		{"backend_calls", "counter", m.ServerCalls.Load()},
+		{"backend_calls", "counter", m.WrittenAttempts.Load()},
 		{"inflight", "gauge", m.InFlight.Load()},
 		{"hosts_listed", "gauge", int64(servers.Listed)},
 		{"hosts_down", "gauge", int64(servers.Avoided)},
@@ -98,8 +98,8 @@
 		{"list_revision", "gauge", servers.List.Rev},
 		{"list_age_ms", "gauge", int64(servers.List.Age)},
 		{"list_source", "gauge", int64(servers.List.Source)},
-		{"list_stale", "gauge", Bool(servers.List.Stale)},
-		{"list_refused", "gauge", Bool(servers.List.Rejected)},
+		{"list_stale", "gauge", BoolValue(servers.List.Stale)},
+		{"list_refused", "gauge", BoolValue(servers.List.Rejected)},
 		{"zones_left", "gauge", int64(servers.Zones.Left)},
 		{"zone_spill_percent", "gauge", int64(100 * servers.Zones.Spill)},
 		{"region_spill_percent", "gauge", int64(100 * servers.Zones.FarSpill)},
@@ -108,7 +108,7 @@
 		figures = append(figures,
 			figure{"steer_revision", "gauge", s.ActingRev},
 			figure{"steer_unread_revision", "gauge", s.UnreadableRev},
-			figure{"steer_permitted", "gauge", Bool(s.HasLease)},
+			figure{"steer_permitted", "gauge", BoolValue(s.HasLease)},
 			figure{"steer_units_free", "gauge", s.FreeUnits},
 			figure{"steer_voids", "counter", s.RevokedAttempts},
 			figure{"steer_samples_lost", "counter", s.LostSamples},
--- a/internal/sidecar/shutdown.go
+++ b/internal/sidecar/shutdown.go
@@ -34,8 +34,8 @@
 type drainPhase uint8
 
 const (
-	drainServing  drainPhase = iota // requests that come are still served
-	drainAnswered                   // service has ended: all that is open is answered, or its answer is being forwarded
+	drainServing      drainPhase = iota // requests that come are still served
+	drainServiceEnded                   // service has ended: all that is open is answered, or its answer is being forwarded
 )
 
 func (p drainPhase) String() string {
@@ -50,25 +50,25 @@
 // SIGKILL may come, all open requests get their answers, those included of which only a part has come, and answers that
 // have started are forwarded to their end.
 type drainState struct {
-	s          *Sidecar
-	startedAt  time.Time
-	serviceEnd time.Time // when service ends
-	idleEnd    time.Time // when connections without a request are ended
-	crossedAt  time.Time // when a request was last likely to come again
-	accepting  bool
-	phase      drainPhase
+	s             *Sidecar
+	startedAt     time.Time
+	serviceEnd    time.Time // when service ends
+	idleEnd       time.Time // when connections without a request are ended
+	lastCrossedAt time.Time // when a request was last likely to come again
+	accepting     bool
+	phase         drainPhase
 }
 
 // drain ends the service gracefully.
 func (s *Sidecar) drain(srv *http.Server) error {
-	s.hook.At(checkpoint.DrainSignalled)
+	s.checkpoints.At(checkpoint.DrainSignalled)
 	startedAt := time.Now()
 	s.clients.StartDraining()
 	s.predecessor.AnnounceEnd()
 	slog.Info("draining")
 	untilEnd := s.killTime() - finalAnswerMargin
 	d := &drainState{
-		s: s, startedAt: startedAt, serviceEnd: startedAt.Add(untilEnd), crossedAt: startedAt, accepting: true,
+		s: s, startedAt: startedAt, serviceEnd: startedAt.Add(untilEnd), lastCrossedAt: startedAt, accepting: true,
 		// A request that crosses the end of an idle connection has to come again before the listener closes.
 		idleEnd: startedAt.Add(min(s.drainAccept, untilEnd-clientserver.CloseWindow)),
 	}
@@ -79,7 +79,7 @@
 		time.Sleep(drainStep)
 	}
 	err := srv.Close()
-	s.awaitClosedConns()
+	s.awaitConnsClosed()
 	s.loop.Members.Leave(d.serviceEnd.Add(finalAnswerMargin))
 	if err != nil && !errors.Is(err, net.ErrClosed) {
 		return fmt.Errorf("drain: %w", err)
@@ -91,7 +91,7 @@
 // step does what is due, and reports whether nothing is left to wait for.
 func (d *drainState) step(now time.Time) (done bool) {
 	if !now.Before(d.idleEnd) && d.s.listener.CloseIdle(d.startedAt) {
-		d.crossedAt = now
+		d.lastCrossedAt = now
 	}
 	sinceEnd := now.Sub(d.serviceEnd)
 	if d.phase == drainServing && sinceEnd >= 0 {
@@ -100,7 +100,7 @@
 	if d.accepting && d.mayStopAccepting(now) {
 		d.accepting = !d.s.stopAccepting(sinceEnd >= finalAnswerMargin)
 	}
-	if d.phase == drainAnswered {
+	if d.phase == drainServiceEnded {
 		d.s.listener.RejectPartial()
 		d.s.clients.AbortBodies()
 	}
@@ -111,22 +111,22 @@
 
 // endService lets the balancer answer all open requests. Nothing is sent to servers from here on.
 func (d *drainState) endService() {
-	d.phase = drainAnswered
-	d.s.hook.At(checkpoint.ServiceEnding)
+	d.phase = drainServiceEnded
+	d.s.checkpoints.At(checkpoint.ServiceEndDue)
 	d.s.loop.Post(balance.Shutdown{})
 	d.s.loop.Members.BeginLeave(finalAnswerMargin)
-	d.s.hook.At(checkpoint.WaitingEnding)
+	d.s.checkpoints.At(checkpoint.ServiceEnded)
 }
 
 // mayStopAccepting reports whether no request needs this process's listener any more.
 func (d *drainState) mayStopAccepting(now time.Time) bool {
 	newerServes := d.s.successors.Serving.Load() > 0
-	noneCrosses := !now.Before(d.idleEnd) && now.Sub(d.crossedAt) >= clientserver.CloseWindow
-	return newerServes || d.phase == drainAnswered || noneCrosses
+	noneCrosses := !now.Before(d.idleEnd) && now.Sub(d.lastCrossedAt) >= clientserver.CloseWindow
+	return newerServes || d.phase == drainServiceEnded || noneCrosses
 }
 
-// awaitClosedConns waits a moment for clients to read answers that have just been written.
-func (s *Sidecar) awaitClosedConns() {
+// awaitConnsClosed waits a moment for clients to read answers that have just been written.
+func (s *Sidecar) awaitConnsClosed() {
 	for startedAt := time.Now(); !s.listener.Empty() && time.Since(startedAt) < clientserver.CloseWindow; {
 		time.Sleep(drainStep)
 	}
@@ -135,7 +135,7 @@
 // stopAccepting closes the listener, and reports whether it has. Connections that wait to be accepted would be reset: it
 // waits for them, unless it has to close now, or a newer process has the socket too and accepts them.
 func (s *Sidecar) stopAccepting(now bool) bool {
-	if !now && !s.successors.ShareListener() && s.unaccepted(s.tcp) > 0 {
+	if !now && !s.successors.ShareListener() && s.countUnaccepted(s.tcpListener) > 0 {
 		return false
 	}
 	s.listener.Close()
--- a/internal/sidecar/sidecar.go
+++ b/internal/sidecar/sidecar.go
@@ -35,7 +35,7 @@
 // Sidecar is one running sidecar.
 type Sidecar struct {
 	cfg         *config.Config
-	tcp         *net.TCPListener      // under listener
+	tcpListener *net.TCPListener      // under listener
 	listener    *clientserver.Limiter // of clients
 	management  *clientserver.Limiter // nil: no management address
 	loop        *eventloop.Loop
@@ -46,13 +46,13 @@
 	budget      budget
 
 	// Tests change these before Run.
-	drainAccept time.Duration              // how long connections are accepted after SIGTERM
-	listTimeout time.Duration              // how long a newer process waits for discovery
-	unaccepted  func(*net.TCPListener) int // how many connections wait to be accepted
-	hook        checkpoint.Hook
+	drainAccept     time.Duration              // how long connections are accepted after SIGTERM
+	listTimeout     time.Duration              // how long a newer process waits for discovery
+	countUnaccepted func(*net.TCPListener) int // how many connections wait to be accepted
+	checkpoints     checkpoint.Hook
 
-	siblings     sync.Mutex // guards older and newer
-	older, newer int        // processes of this sidecar beside this one
+	processMu                      sync.Mutex // guards older and newer
+	olderProcesses, newerProcesses int        // processes of this sidecar beside this one
 }
 
 // Open reads the configuration as LoadConfig does, tells the runtime its limits and prepares a sidecar as New does. What
@@ -63,7 +63,7 @@
 	if err != nil {
 		return nil, err
 	}
-	Limit(cfg)
+	SetRuntimeLimits(cfg)
 	return newSidecar(cfg, start)
 }
 
@@ -97,17 +97,17 @@
 	loop := newLoop(cfg, balancer, router, limits.servers)
 	accepted := listening.Wrap(netcall.WithFaults(listener, cfg.Faults), "clients", nil)
 	s := &Sidecar{
-		cfg: cfg, tcp: listener.(*net.TCPListener), listener: clientserver.NewLimiter(accepted, limits.clients),
+		cfg: cfg, tcpListener: listener.(*net.TCPListener), listener: clientserver.NewLimiter(accepted, limits.clients),
 		management: management, loop: loop, predecessor: predecessor, budget: limits,
-		drainAccept: drainAccept, listTimeout: handover.ListTimeout, unaccepted: netcall.Unaccepted,
+		drainAccept: drainAccept, listTimeout: handover.ListTimeout, countUnaccepted: netcall.Unaccepted,
 		clients: clientserver.New(clientserver.Options{Config: cfg, Post: loop.Post, Metrics: loop.Metrics}),
 	}
 	s.successors = handover.Successors{
-		Listener: s.tcp, Faults: cfg.Faults, Bind: net.ListenUnix,
-		Changed: func(alive int) { s.setSiblings(&s.newer, alive) },
+		Listener: s.tcpListener, Faults: cfg.Faults, Bind: net.ListenUnix,
+		Changed: func(alive int) { s.setProcessCount(&s.newerProcesses, alive) },
 	}
 	if predecessor != nil {
-		s.older = 1
+		s.olderProcesses = 1
 	}
 	if cfg.Membership != nil {
 		loop.Members = fleet.New(cfg.Membership, s.predecessorAlive)
@@ -255,7 +255,7 @@
 	followed.Go(func() {
 		s.predecessor.AwaitEnd()
 		close(gone)
-		s.setSiblings(&s.older, 0)
+		s.setProcessCount(&s.olderProcesses, 0)
 	})
 	s.awaitServers(ctx, gone)
 	return func() {
--- a/internal/sidecar/upstream/exchange.go
+++ b/internal/sidecar/upstream/exchange.go
@@ -158,7 +158,7 @@
 	if x.attempt == nil {
 		return
 	}
-	x.pool.metrics.ServerCalls.Add(1)
+	x.pool.metrics.WrittenAttempts.Add(1)
 	upload := x.attempt.upload()
 	if upload == nil {
 		return
