--- a/internal/sidecar/client_gone_test.go
+++ b/internal/sidecar/client_gone_test.go
@@ -87,7 +87,7 @@
 	c.t.Helper()
 	end(c.TCPConn)
 	sidecartest.Until(c.t, "the end to arrive", func() bool {
-		state, err := netcall.NewConnStates().State(c.accepted.Conn)
+		state, err := netcall.NewConnStateReader().State(c.accepted.Conn)
 		return err != nil || state != unix.BPF_TCP_ESTABLISHED
 	})
 }
@@ -295,7 +295,7 @@
 func TestClientGone_withoutConnStates(t *testing.T) {
 	withoutConnStates := func(s *Sidecar) {
 		s.clients.Configure(func(o *clientserver.Options) {
-			o.ConnStates = &netcall.ConnStates{Query: func(int) (uint8, error) { return 0, syscall.ENOPROTOOPT }}
+			o.ConnStates = &netcall.ConnStateReader{Query: func(int) (uint8, error) { return 0, syscall.ENOPROTOOPT }}
 		})
 	}
 	t.Run("pipelined", func(t *testing.T) {
--- a/internal/sidecar/clientserver/client_gone.go
+++ b/internal/sidecar/clientserver/client_gone.go
@@ -25,9 +25,9 @@
 }
 
 // clientGone reports whether the client of a connection is known to have gone.
-func clientGone(conn *framing.HeadConn, states *netcall.ConnStates) bool {
+func clientGone(conn *framing.HeadConn, states *netcall.ConnStateReader) bool {
 	tracked, ok := conn.Conn.(framing.TrackedConn)
-	return ok && states.PeerGone(tracked.Transport())
+	return ok && states.PeerClosed(tracked.Transport())
 }
 
 // clientWatch says when to check whether the client of a request has gone. net/http sees the end of a connection only
--- a/internal/sidecar/clientserver/conn_limiter.go
+++ b/internal/sidecar/clientserver/conn_limiter.go
@@ -73,7 +73,7 @@
 // acceptsFailed reports whether accepts have failed of late, so that a connection may have waited to be accepted.
 func (l *Limiter) acceptsFailed() bool {
 	listener, ok := l.Listener.(*listening.Listener)
-	return ok && listener.FailedWithin(netcall.AcceptFailureMemory)
+	return ok && listener.FailedWithin(netcall.AcceptFailureWindow)
 }
 
 // admit waits until there is a slot for a connection, or the listener is closed.
--- a/internal/sidecar/clientserver/framing.go
+++ b/internal/sidecar/clientserver/framing.go
@@ -17,7 +17,7 @@
 // HeadListener makes connections keep the head of the request that is being read.
 type HeadListener struct {
 	net.Listener
-	connStates *netcall.ConnStates
+	connStates *netcall.ConnStateReader
 }
 
 // HeadListener wraps the listener from which the server is to be served.
@@ -33,8 +33,8 @@
 	}
 	acceptedLate := false
 	if client, ok := conn.(*ClientConn); ok {
-		l.connStates.Learn(client.Conn)
-		acceptedLate = client.limiter.acceptsFailed() && netcall.SinceLastData(client.Conn) >= netcall.LateAccept
+		l.connStates.VerifyQuery(client.Conn)
+		acceptedLate = client.limiter.acceptsFailed() && netcall.SinceLastData(client.Conn) >= netcall.LateAcceptThreshold
 	}
 	return framing.NewClientHeadConn(conn, acceptedLate), nil
 }
--- a/internal/sidecar/clientserver/server.go
+++ b/internal/sidecar/clientserver/server.go
@@ -38,11 +38,11 @@
 	Metrics *metrics.Metrics
 	Post    func(any) // gives an Arrival or a ClientGone to the event loop
 
-	ReadTimeout  time.Duration       // optional: DefaultReadTimeout
-	WriteTimeout time.Duration       // optional: DefaultWriteTimeout
-	ClientPoll   time.Duration       // optional: between two checks whether a client has gone that is not read from
-	ConnStates   *netcall.ConnStates // optional: of clients' connections
-	Checkpoints  checkpoint.Hook     // optional: where tests hold a request up
+	ReadTimeout  time.Duration            // optional: DefaultReadTimeout
+	WriteTimeout time.Duration            // optional: DefaultWriteTimeout
+	ClientPoll   time.Duration            // optional: between two checks whether a client has gone that is not read from
+	ConnStates   *netcall.ConnStateReader // optional: of clients' connections
+	Checkpoints  checkpoint.Hook          // optional: where tests hold a request up
 }
 
 // Server is the HTTP handler for the application.
@@ -72,7 +72,7 @@
 	s.options.WriteTimeout = cmp.Or(s.options.WriteTimeout, DefaultWriteTimeout)
 	s.options.ClientPoll = cmp.Or(s.options.ClientPoll, defaultClientPoll)
 	if s.options.ConnStates == nil {
-		s.options.ConnStates = netcall.NewConnStates()
+		s.options.ConnStates = netcall.NewConnStateReader()
 	}
 }
 
--- a/internal/sidecar/discovery/watch.go
+++ b/internal/sidecar/discovery/watch.go
@@ -41,7 +41,7 @@
 func (c *Client) followWithRetry(ctx context.Context, source int) (context.Context, error) {
 	for failures := 0; ; failures++ {
 		address, err := c.follow(ctx, source)
-		if ctx.Err() != nil || !netcall.LocalErrnos.Has(err) {
+		if ctx.Err() != nil || !netcall.LocalErrnos.Contains(err) {
 			return address, err
 		}
 		if failures == 0 {
--- a/internal/sidecar/errno_random_test.go
+++ b/internal/sidecar/errno_random_test.go
@@ -50,7 +50,7 @@
 }
 
 func (c *randomConn) Read(p []byte) (int, error) {
-	if err := c.schedule.draw("read", 20, slices.Concat(netcall.MomentaryErrnos, netcall.EndedErrnos)); err != nil {
+	if err := c.schedule.draw("read", 20, slices.Concat(netcall.TransientErrnos, netcall.ConnClosedErrnos)); err != nil {
 		return 0, err
 	}
 	if c.byteAtATime && len(p) > 1 {
@@ -60,10 +60,10 @@
 }
 
 func (c *randomConn) Write(p []byte) (int, error) {
-	if err := c.schedule.draw("write", 30, slices.Concat(netcall.LocalErrnos, netcall.EndedErrnos)); err != nil {
+	if err := c.schedule.draw("write", 30, slices.Concat(netcall.LocalErrnos, netcall.ConnClosedErrnos)); err != nil {
 		return 0, err
 	}
-	if err := c.schedule.draw("write", 30, slices.Concat(netcall.LocalErrnos, netcall.EndedErrnos)); err != nil {
+	if err := c.schedule.draw("write", 30, slices.Concat(netcall.LocalErrnos, netcall.ConnClosedErrnos)); err != nil {
 		n, _ := c.TCPConn.Write(p[:len(p)/2])
 		return n, err
 	}
--- a/internal/sidecar/eventloop/calls.go
+++ b/internal/sidecar/eventloop/calls.go
@@ -48,11 +48,11 @@
 		answer.Stream.Ended <- inflight.ErrBodyUnwanted
 		return
 	}
-	a.FirstByteAfter = now - a.StartedAt
+	a.TimeToFirstByte = now - a.StartedAt
 	c.Answers <- answer
 	l.cancelUnwritten(c)
 	l.HandleEvent(now, balance.AnswerStarted{
-		Request: c.Request.ID, Attempt: a.Number, Server: a.Server.ID, Elapsed: a.FirstByteAfter,
+		Request: c.Request.ID, Attempt: a.Number, Server: a.Server.ID, Elapsed: a.TimeToFirstByte,
 	})
 }
 
@@ -71,10 +71,10 @@
 		c.Answers <- inflight.Answer{ClientLeft: true}
 		l.takeClientGone(now, c)
 	}
-	streamed := a.FirstByteAfter > 0
+	streamed := a.TimeToFirstByte > 0
 	elapsed := now - a.StartedAt
 	if streamed {
-		elapsed = a.FirstByteAfter
+		elapsed = a.TimeToFirstByte
 	}
 	if a.RouteCheck != nil {
 		l.Routing.CountOutcome(now, a.RouteCheck, c, &reply, elapsed, streamed)
--- a/internal/sidecar/eventloop/loop.go
+++ b/internal/sidecar/eventloop/loop.go
@@ -78,7 +78,7 @@
 		Metrics: pool.Metrics(), inbox: make(chan any, inboxSize), stopped: make(chan struct{}),
 		calls: map[balance.RequestID]*openCall{}, servers: map[balance.ServerID]*upstream.Server{},
 	}
-	pool.ReportTo(l.Post, l.stopped)
+	pool.SetEventLoop(l.Post, l.stopped)
 	return l
 }
 
@@ -185,8 +185,8 @@
 		l.takeClientGone(now, m.Call)
 	case upstream.BodyComplete:
 		l.takeBodyComplete(now, m.Call)
-	case upstream.AnswerStarted:
-		l.takeAnswerStarted(now, m.Attempt, m.Answer)
+	case upstream.ResponseStarted:
+		l.takeAnswerStarted(now, m.Attempt, m.Response)
 	case upstream.Connecting:
 		l.HandleEvent(now, balance.Connecting{
 			Request: m.Attempt.Call.Request.ID, Attempt: m.Attempt.Number, Established: m.Established,
--- a/internal/sidecar/framing/framing.go
+++ b/internal/sidecar/framing/framing.go
@@ -116,7 +116,7 @@
 // LimitBuffer keeps the system from buffering megabytes of an answer for a slow client.
 func (c *HeadConn) LimitBuffer() {
 	if tracked, ok := c.Conn.(TrackedConn); ok {
-		netcall.LimitBuffer(tracked.Transport())
+		netcall.LimitSendBuffer(tracked.Transport())
 	}
 }
 
@@ -181,7 +181,7 @@
 	if !late || !ok {
 		return now
 	}
-	if waited := netcall.SinceLastData(tracked.Transport()); waited >= netcall.LateAccept {
+	if waited := netcall.SinceLastData(tracked.Transport()); waited >= netcall.LateAcceptThreshold {
 		return now.Add(-waited)
 	}
 	return now
--- a/internal/sidecar/listener_shutdown_test.go
+++ b/internal/sidecar/listener_shutdown_test.go
@@ -39,7 +39,7 @@
 	s := start(t, configtest.NewConf(sidecartest.NewRegistry(t).Addr(), b.Target), func(s *Sidecar) {
 		s.listener.Listener = heldListener{s.tcp, held, &closed}
 		s.unaccepted = func(l *net.TCPListener) int {
-			n := netcall.Unaccepted(l)
+			n := netcall.AcceptQueueLength(l)
 			queried.Store(true)
 			return n
 		}
--- a/internal/sidecar/netcall/conn.go
+++ b/internal/sidecar/netcall/conn.go
@@ -19,8 +19,8 @@
 // DialFunc opens a connection, as net.Dialer.DialContext does.
 type DialFunc = func(ctx context.Context, network, addr string) (net.Conn, error)
 
-// LimitBuffer bounds what the system takes for a peer that does not read.
-func LimitBuffer(c net.Conn) {
+// LimitSendBuffer bounds what the system takes for a peer that does not read.
+func LimitSendBuffer(c net.Conn) {
 	if tcp, ok := c.(interface{ SetWriteBuffer(int) error }); ok {
 		_ = tcp.SetWriteBuffer(sendBufferBytes)
 	}
--- a/internal/sidecar/netcall/conn_state.go
+++ b/internal/sidecar/netcall/conn_state.go
@@ -12,9 +12,9 @@
 // errNoTCP reports a connection without a descriptor of the system.
 var errNoTCP = errors.New("no TCP connection of the system")
 
-// ConnStates reports whether the peer of a connection has closed, half-closed or reset it, also behind unread bytes, and
+// ConnStateReader reports whether the peer of a connection has closed, half-closed or reset it, also behind unread bytes, and
 // reads none of them.
-type ConnStates struct {
+type ConnStateReader struct {
 	// Query returns the state of a connection, one of unix.BPF_TCP_*.
 	Query func(fd int) (uint8, error)
 	// trusted is set once Query has reported an established connection. Where something stands between this process and
@@ -22,8 +22,8 @@
 	trusted atomic.Bool
 }
 
-// NewConnStates returns states that query the system, and trust it once it has reported an established connection.
-func NewConnStates() *ConnStates { return &ConnStates{Query: tcpState} }
+// NewConnStateReader returns states that query the system, and trust it once it has reported an established connection.
+func NewConnStateReader() *ConnStateReader { return &ConnStateReader{Query: tcpState} }
 
 // tcpState queries the system for the state of a connection, one of unix.BPF_TCP_*.
 func tcpState(fd int) (uint8, error) {
@@ -39,15 +39,15 @@
 	return unix.GetsockoptTCPInfo(fd, unix.IPPROTO_TCP, unix.TCP_INFO)
 }
 
-// Learn finds out with an established connection whether states can be trusted.
-func (s *ConnStates) Learn(c net.Conn) {
+// VerifyQuery finds out with an established connection whether states can be trusted.
+func (s *ConnStateReader) VerifyQuery(c net.Conn) {
 	if !s.trusted.Load() {
 		_, _ = s.State(c) // State itself learns from it
 	}
 }
 
 // State returns the state of a connection; a query for which the system is short of resources is repeated.
-func (s *ConnStates) State(c net.Conn) (state uint8, err error) {
+func (s *ConnStateReader) State(c net.Conn) (state uint8, err error) {
 	tcp, ok := c.(syscall.Conn)
 	if !ok {
 		return 0, errNoTCP
@@ -72,9 +72,9 @@
 	return state, nil
 }
 
-// PeerGone reports whether the peer is known to have gone. Where the state of a connection cannot be had the connection is
+// PeerClosed reports whether the peer is known to have gone. Where the state of a connection cannot be had the connection is
 // peeked at: that does not see an end behind unread bytes.
-func (s *ConnStates) PeerGone(c net.Conn) bool {
+func (s *ConnStateReader) PeerClosed(c net.Conn) bool {
 	state, err := s.State(c)
 	if err == nil && s.trusted.Load() {
 		return closedByPeer(state)
--- a/internal/sidecar/netcall/conn_state_test.go
+++ b/internal/sidecar/netcall/conn_state_test.go
@@ -52,10 +52,10 @@
 		for how, end := range sidecartest.Ends {
 			for _, unread := range []bool{false, true} {
 				t.Run(fmt.Sprintf("%s, %s, unread %v", name, how, unread), func(t *testing.T) {
-					states := &ConnStates{Query: test.call}
+					states := &ConnStateReader{Query: test.call}
 					client, server := tcpPair(t)
-					states.Learn(server)
-					if states.PeerGone(server) {
+					states.VerifyQuery(server)
+					if states.PeerClosed(server) {
 						t.Fatal("a client that is there has gone")
 					}
 					if unread {
@@ -63,24 +63,24 @@
 							t.Fatal(err)
 						}
 						sidecartest.Until(t, "a byte", func() bool { _, unread := Peek(server); return unread })
-						if states.PeerGone(server) {
+						if states.PeerClosed(server) {
 							t.Fatal("a client that has sent something has gone")
 						}
 					}
 					end(client)
 					sidecartest.Until(t, "the end to arrive", func() bool {
-						state, err := NewConnStates().State(server)
+						state, err := NewConnStateReader().State(server)
 						return err == nil && state != unix.BPF_TCP_ESTABLISHED
 					})
 					want := test.behind || !unread
-					if got := states.PeerGone(server); got != want {
+					if got := states.PeerClosed(server); got != want {
 						t.Errorf("gone: %v, want %v", got, want)
 					}
 				})
 			}
 		}
 	}
-	if client, _ := net.Pipe(); NewConnStates().PeerGone(client) {
+	if client, _ := net.Pipe(); NewConnStateReader().PeerClosed(client) {
 		t.Error("what is no connection of the system has gone")
 	}
 }
--- a/internal/sidecar/netcall/errno.go
+++ b/internal/sidecar/netcall/errno.go
@@ -9,26 +9,26 @@
 // Errnos is a set of error numbers.
 type Errnos []syscall.Errno
 
-// Has reports whether an error comes from one of them.
-func (set Errnos) Has(err error) bool {
+// Contains reports whether an error comes from one of them.
+func (set Errnos) Contains(err error) bool {
 	var errno syscall.Errno
 	return errors.As(err, &errno) && slices.Contains(set, errno)
 }
 
 // The classes of error numbers by the party that they blame. They are constant.
 var (
-	// MomentaryErrnos report a call that found no memory or was interrupted. Nothing was done, and it can be made again.
-	MomentaryErrnos = Errnos{syscall.EINTR, syscall.EAGAIN, syscall.ENOMEM, syscall.ENOBUFS}
+	// TransientErrnos report a call that found no memory or was interrupted. Nothing was done, and it can be made again.
+	TransientErrnos = Errnos{syscall.EINTR, syscall.EAGAIN, syscall.ENOMEM, syscall.ENOBUFS}
 	// LocalErrnos report that this machine has no socket, port, memory, poller's entry or route left, or that a filter of
 	// its own (EPERM, EACCES) forbids the call. They say nothing of the other end.
 	LocalErrnos = slices.Concat(Errnos{
 		syscall.EMFILE, syscall.ENFILE, syscall.EADDRNOTAVAIL, syscall.EADDRINUSE, syscall.ENOSPC,
 		syscall.ENETUNREACH, syscall.ENETDOWN, syscall.EPERM, syscall.EACCES,
-	}, MomentaryErrnos)
+	}, TransientErrnos)
 	// UnreachableErrnos report that the network has no way to the other end, whose process may well run.
 	UnreachableErrnos = Errnos{syscall.EHOSTUNREACH, syscall.EHOSTDOWN, syscall.ETIMEDOUT}
-	// EndedErrnos report that a connection is over.
-	EndedErrnos = slices.Concat(Errnos{
+	// ConnClosedErrnos report that a connection is over.
+	ConnClosedErrnos = slices.Concat(Errnos{
 		syscall.ECONNRESET, syscall.EPIPE, syscall.ECONNABORTED, syscall.ECONNREFUSED, syscall.ENETUNREACH,
 		syscall.ENETDOWN, syscall.ENETRESET, syscall.ENOTCONN, syscall.ESHUTDOWN,
 	}, UnreachableErrnos)
--- a/internal/sidecar/netcall/listen_queue.go
+++ b/internal/sidecar/netcall/listen_queue.go
@@ -8,15 +8,15 @@
 )
 
 const (
-	// LateAccept is from when on a connection counts as accepted late: the longest pause between two accepts. A shorter
+	// LateAcceptThreshold is from when on a connection counts as accepted late: the longest pause between two accepts. A shorter
 	// wait, as on a busy machine, is within the tolerance of the time that servers are given.
-	LateAccept = 100 * time.Millisecond
-	// AcceptFailureMemory is for how long after a failed accept the accepted connections may have waited in the queue.
-	AcceptFailureMemory = 5 * time.Second
+	LateAcceptThreshold = 100 * time.Millisecond
+	// AcceptFailureWindow is for how long after a failed accept the accepted connections may have waited in the queue.
+	AcceptFailureWindow = 5 * time.Second
 )
 
-// Unaccepted is how many connections are complete and wait to be accepted, see listenQueue.waiting.
-func Unaccepted(l *net.TCPListener) (connections int) { return systemQueue.waiting(l) }
+// AcceptQueueLength is how many connections are complete and wait to be accepted, see listenQueue.waiting.
+func AcceptQueueLength(l *net.TCPListener) (connections int) { return systemQueue.waiting(l) }
 
 // listenQueue queries the system for the connections that wait in a listening socket.
 type listenQueue struct {
--- a/internal/sidecar/netcall/peek.go
+++ b/internal/sidecar/netcall/peek.go
@@ -73,7 +73,7 @@
 			return peekQuiet
 		case n > 0:
 			return peekUnread
-		case err == nil, EndedErrnos.Has(err):
+		case err == nil, ConnClosedErrnos.Contains(err):
 			return peekEnded
 		default:
 			return peekUnknown
--- a/internal/sidecar/netcall/retry.go
+++ b/internal/sidecar/netcall/retry.go
@@ -84,7 +84,7 @@
 	}
 	for pause := minRetryPause; ; pause = min(2*pause, MaxRetryPause) {
 		n, err := conn.Read(p)
-		if n == 0 && MomentaryErrnos.Has(err) {
+		if n == 0 && TransientErrnos.Contains(err) {
 			time.Sleep(pause)
 			continue
 		}
--- a/internal/sidecar/netcall/retry_test.go
+++ b/internal/sidecar/netcall/retry_test.go
@@ -78,23 +78,23 @@
 	for _, errno := range sidecartest.ResourceErrnos {
 		t.Run(unix.ErrnoName(errno), func(t *testing.T) {
 			failure := func() error { return nil }
-			states := &ConnStates{Query: func(fd int) (uint8, error) {
+			states := &ConnStateReader{Query: func(fd int) (uint8, error) {
 				if err := failure(); err != nil {
 					return 0, err
 				}
 				return tcpState(fd)
 			}}
 			client, server := tcpPair(t)
-			states.Learn(server)
-			system := NewConnStates()
-			system.Learn(server)
+			states.VerifyQuery(server)
+			system := NewConnStateReader()
+			system.VerifyQuery(server)
 			if _, err := io.WriteString(client, "x"); err != nil {
 				t.Fatal(err)
 			}
 			client.Close()
-			sidecartest.Until(t, "the end to arrive", func() bool { return system.PeerGone(server) })
+			sidecartest.Until(t, "the end to arrive", func() bool { return system.PeerClosed(server) })
 			failure = sidecartest.FailFirst(maxQueries-1, errno)
-			if !states.PeerGone(server) {
+			if !states.PeerClosed(server) {
 				t.Error("a client that has gone is taken for one that is there")
 			}
 		})
--- a/internal/sidecar/sidecar.go
+++ b/internal/sidecar/sidecar.go
@@ -99,7 +99,7 @@
 	s := &Sidecar{
 		cfg: cfg, tcp: listener.(*net.TCPListener), listener: clientserver.NewLimiter(accepted, limits.clients),
 		management: management, loop: loop, predecessor: predecessor, budget: limits,
-		drainAccept: drainAccept, listTimeout: handover.ListTimeout, unaccepted: netcall.Unaccepted,
+		drainAccept: drainAccept, listTimeout: handover.ListTimeout, unaccepted: netcall.AcceptQueueLength,
 		clients: clientserver.New(clientserver.Options{Config: cfg, Post: loop.Post, Metrics: loop.Metrics}),
 	}
 	s.successors = handover.Successors{
--- a/internal/sidecar/upstream/attempt.go
+++ b/internal/sidecar/upstream/attempt.go
@@ -22,9 +22,9 @@
 	// StartedAt is when the balancer decided on the attempt, or when the body was complete if that came later, in ms of the
 	// balancer's clock. Only the event loop uses it.
 	StartedAt float64
-	// FirstByteAfter is how many ms after StartedAt an answer started that is forwarded as it arrives; 0 if none did. Only
+	// TimeToFirstByte is how many ms after StartedAt an answer started that is forwarded as it arrives; 0 if none did. Only
 	// the event loop uses it.
-	FirstByteAfter float64
+	TimeToFirstByte float64
 	// Deadline is when the answer must have been read. It is not used for a body that is forwarded as it arrives: the
 	// client's time runs from the last byte of that.
 	Deadline time.Time
--- a/internal/sidecar/upstream/dial.go
+++ b/internal/sidecar/upstream/dial.go
@@ -123,7 +123,7 @@
 	p.open--
 	switch {
 	case len(server.waiting) <= server.dialing:
-	case netcall.LocalErrnos.Has(err):
+	case netcall.LocalErrnos.Contains(err):
 		server.popLastWaiter().result <- dialResult{err: err}
 	default:
 		server.popFirstWaiter().result <- dialResult{err: err}
--- a/internal/sidecar/upstream/errno_test.go
+++ b/internal/sidecar/upstream/errno_test.go
@@ -122,7 +122,7 @@
 
 // A read that fails for a moment is repeated, and the answer is complete.
 func TestReadErrno_momentary(t *testing.T) {
-	for _, errno := range netcall.MomentaryErrnos {
+	for _, errno := range netcall.TransientErrnos {
 		t.Run(errno.Error(), func(t *testing.T) {
 			b := sidecartest.NewBackend(t, "a", sidecartest.OK)
 			p, a, _, _ := newExchange(t, b)
--- a/internal/sidecar/upstream/events.go
+++ b/internal/sidecar/upstream/events.go
@@ -7,10 +7,10 @@
 // BodyComplete is posted to the event loop when the last byte of a forwarded body has arrived.
 type BodyComplete struct{ Call *inflight.Call }
 
-// AnswerStarted is posted to the event loop with an answer that is forwarded as it arrives.
-type AnswerStarted struct {
-	Attempt *Attempt
-	Answer  inflight.Answer
+// ResponseStarted is posted to the event loop with an answer that is forwarded as it arrives.
+type ResponseStarted struct {
+	Attempt  *Attempt
+	Response inflight.Answer
 }
 
 // Connecting is posted to the event loop when an attempt starts to wait for a new connection, and again when it has one.
--- a/internal/sidecar/upstream/pool.go
+++ b/internal/sidecar/upstream/pool.go
@@ -75,9 +75,11 @@
 	return p
 }
 
-// ReportTo sets where events go, and the channel that is closed at the event loop's end. It is called before the first
+// SetEventLoop sets where events go, and the channel that is closed at the event loop's end. It is called before the first
 // attempt.
-func (p *Pool) ReportTo(post func(any), stopped <-chan struct{}) { p.post, p.stopped = post, stopped }
+func (p *Pool) SetEventLoop(post func(any), stopped <-chan struct{}) {
+	p.post, p.stopped = post, stopped
+}
 
 // Metrics returns the figures of the process, in which attempts are counted.
 func (p *Pool) Metrics() *metrics.Metrics { return p.metrics }
--- a/internal/sidecar/upstream/pool_test.go
+++ b/internal/sidecar/upstream/pool_test.go
@@ -391,7 +391,7 @@
 	if conn.quiet() {
 		t.Error("an idle connection that cannot be peeked at is used")
 	}
-	if netcall.NewConnStates().PeerGone(conn.Conn) {
+	if netcall.NewConnStateReader().PeerClosed(conn.Conn) {
 		t.Error("a client that cannot be peeked at is taken for gone")
 	}
 }
--- a/internal/sidecar/upstream/request_stream.go
+++ b/internal/sidecar/upstream/request_stream.go
@@ -55,7 +55,7 @@
 
 // stream writes a request whose body is still arriving. A server that answers before its end wants no more of it.
 func (w *requestWriter) stream(req *http.Request, upload *inflight.Upload) error {
-	netcall.LimitBuffer(w.conn.Conn)
+	netcall.LimitSendBuffer(w.conn.Conn)
 	body := w.openBody(upload)
 	w.early = w.watchForAnswer()
 	req.Body = io.NopCloser(body)
--- a/internal/sidecar/upstream/answer.go
+++ b/internal/sidecar/upstream/response.go
@@ -103,7 +103,7 @@
 	reusable bool) {
 	remainder := &streamReader{ctx: ctx, conn: conn, body: unbuffered(conn, resp), left: inflight.MaxBody - int64(len(first))}
 	stream := &inflight.AnswerStream{Length: resp.ContentLength, First: first, Remaining: remainder, Ended: make(chan error, 1)}
-	x.pool.post(AnswerStarted{x.attempt, inflight.Answer{
+	x.pool.post(ResponseStarted{x.attempt, inflight.Answer{
 		Status: http.StatusOK, ContentType: resp.Header.Get("Content-Type"), Stream: stream,
 	}})
 	var err error
--- a/internal/sidecar/upstream/result.go
+++ b/internal/sidecar/upstream/result.go
@@ -31,9 +31,9 @@
 		return balance.NotSent // no failure of the server
 	case errors.Is(err, syscall.ECONNRESET), errors.Is(err, syscall.EPIPE):
 		return balance.WriteFailed // something answered
-	case netcall.LocalErrnos.Has(err):
+	case netcall.LocalErrnos.Contains(err):
 		return balance.LocalFailure
-	case netcall.UnreachableErrnos.Has(err):
+	case netcall.UnreachableErrnos.Contains(err):
 		return balance.Unreachable
 	default:
 		return balance.ConnectFailed
