--- a/internal/sidecar/clientserver/server.go
+++ b/internal/sidecar/clientserver/server.go
@@ -41,7 +41,7 @@
 	ReadTimeout        time.Duration       // optional: DefaultReadTimeout
 	WriteTimeout       time.Duration       // optional: DefaultWriteTimeout
 	ClientPollInterval time.Duration       // optional: between two checks whether a client has gone that is not read from
-	ConnStates         *netcall.ConnStates // optional: of clients' connections
+	ConnStates         *netcall.ConnStateReader // optional: of clients' connections
 	Checkpoints        checkpoint.Hook     // optional: where tests hold a request up
 }
 
@@ -72,7 +72,7 @@
 	s.options.WriteTimeout = cmp.Or(s.options.WriteTimeout, DefaultWriteTimeout)
 	s.options.ClientPollInterval = cmp.Or(s.options.ClientPollInterval, defaultClientPoll)
 	if s.options.ConnStates == nil {
-		s.options.ConnStates = netcall.NewConnStates()
+		s.options.ConnStates = netcall.NewConnStateReader()
 	}
 }
 
--- a/internal/sidecar/eventloop/calls.go
+++ b/internal/sidecar/eventloop/calls.go
@@ -48,11 +48,11 @@
 		answer.Stream.WriteResult <- inflight.ErrBodyNotNeeded
 		return
 	}
-	a.FirstByteAfter = now - a.StartedAt
+	a.TimeToFirstByte = now - a.StartedAt
 	c.Response <- answer
 	l.cancelUnwritten(c)
 	l.HandleEvent(now, balance.AnswerStarted{
-		Request: c.Request.ID, Attempt: a.Number, Server: a.Server.ID, Elapsed: a.FirstByteAfter,
+		Request: c.Request.ID, Attempt: a.Number, Server: a.Server.ID, Elapsed: a.TimeToFirstByte,
 	})
 }
 
@@ -71,10 +71,10 @@
 		c.Response <- inflight.Response{ClientDisconnected: true}
 		l.handleClientGone(now, c)
 	}
-	streamed := a.FirstByteAfter > 0
+	streamed := a.TimeToFirstByte > 0
 	elapsed := now - a.StartedAt
 	if streamed {
-		elapsed = a.FirstByteAfter
+		elapsed = a.TimeToFirstByte
 	}
 	if a.RouteCheck != nil {
 		l.Routing.CountOutcome(now, a.RouteCheck, c, &reply, elapsed, streamed)
