--- a/internal/sidecar/clientserver/server.go
+++ b/internal/sidecar/clientserver/server.go
@@ -38,11 +38,11 @@
 	Metrics *metrics.Metrics
 	Post    func(any) // gives an Arrival or a ClientGone to the event loop
 
-	ReadTimeout        time.Duration       // optional: DefaultReadTimeout
-	WriteTimeout       time.Duration       // optional: DefaultWriteTimeout
-	ClientPollInterval time.Duration       // optional: between two checks whether a client has gone that is not read from
+	ReadTimeout        time.Duration            // optional: DefaultReadTimeout
+	WriteTimeout       time.Duration            // optional: DefaultWriteTimeout
+	ClientPollInterval time.Duration            // optional: between two checks whether a client has gone that is not read from
 	ConnStates         *netcall.ConnStateReader // optional: of clients' connections
-	Checkpoints        checkpoint.Hook     // optional: where tests hold a request up
+	Checkpoints        checkpoint.Hook          // optional: where tests hold a request up
 }
 
 // Server is the HTTP handler for the application.
