--- a/balance/admission_load_test.go
+++ b/balance/admission_load_test.go
@@ -94,7 +94,7 @@
 			case o.end > h.now:
 				still = append(still, o)
 			case o.gone:
-				h.handle(ClientGone{Request: o.id})
+				h.handle(ClientDisconnected{Request: o.id})
 				h.endAttempt(o.id, 0, Cancelled, leaveAfter)
 			default:
 				h.endAttempt(o.id, 0, OK, latency)
@@ -169,7 +169,7 @@
 func (h *harness) dueTimers() []Timer {
 	var list []Timer
 	for id := RequestID(1); id <= h.lastID; id++ {
-		if r := h.b.requests[id]; r != nil && r.wakeAt <= h.now && r.state != requestAnswered {
+		if r := h.b.requests[id]; r != nil && r.wakeAt <= h.now && r.state != requestDone {
 			list = append(list, Timer{Token: uint64(id)})
 		}
 	}
--- a/balance/api.go
+++ b/balance/api.go
@@ -15,7 +15,7 @@
 const (
 	Ready ServerState = iota
 	Draining
-	Gone
+	Removed
 )
 
 // Server is one entry of the server list.
@@ -39,11 +39,11 @@
 
 // The kinds of list events.
 const (
-	ListFull   ListKind = iota // all servers
-	ListCached                 // all servers as last seen, before a restart
-	ListDelta                  // changed entries only
-	ListFailed                 // a call failed, or the subscription ended; nothing else changed
-	ListAlive                  // nothing has changed
+	ListFull      ListKind = iota // all servers
+	ListCached                    // all servers as last seen, before a restart
+	ListDelta                     // changed entries only
+	ListFailed                    // a call failed, or the subscription ended; nothing else changed
+	ListUnchanged                 // nothing has changed
 )
 
 // ServerList is a list event. Servers is not kept.
@@ -122,8 +122,8 @@
 	return false
 }
 
-// away reports whether the result says that the server cannot be reached at present.
-func (r Result) away() bool { return r == ConnectFailed || r == Unreachable }
+// serverUnreachable reports whether the result says that the server cannot be reached at present.
+func (r Result) serverUnreachable() bool { return r == ConnectFailed || r == Unreachable }
 
 // Outcome is the end of an attempt; each attempt gets one.
 type Outcome struct {
@@ -138,9 +138,9 @@
 	RouteRevoked bool      // the route was revoked before the first byte was sent: it counts as no attempt
 }
 
-// AnswerStarted says that a streamed answer has started; the client owns the attempt now. The attempt's Outcome follows
+// ResponseStarted says that a streamed answer has started; the client owns the attempt now. The attempt's Outcome follows
 // when the answer has ended.
-type AnswerStarted struct {
+type ResponseStarted struct {
 	Request RequestID
 	Attempt int
 	Server  ServerID
@@ -198,8 +198,8 @@
 	MaxIdle int64 // units that may stay free; those beyond are returned
 }
 
-// ClientGone says that the client is gone: no answer is needed.
-type ClientGone struct{ Request RequestID }
+// ClientDisconnected says that the client is gone: no answer is needed.
+type ClientDisconnected struct{ Request RequestID }
 
 // Timer says that a timer set by SetTimer is due.
 type Timer struct{ Token uint64 }
@@ -218,43 +218,43 @@
 	Data []byte
 }
 
-func (ServerList) event()        {}
-func (Request) event()           {}
-func (Outcome) event()           {}
-func (AnswerStarted) event()     {}
-func (ClientGone) event()        {}
-func (Timer) event()             {}
-func (HealthCheckResult) event() {}
-func (Message) event()           {}
-func (ProcessCount) event()      {}
-func (FleetSize) event()         {}
-func (ListServices) event()      {}
-func (Connecting) event()        {}
-func (ConnectionReady) event()   {}
-func (Shutdown) event()          {}
-func (ClockStepped) event()      {}
-func (BodyComplete) event()      {}
-func (Routes) event()            {}
-func (CanaryLease) event()       {}
-func (BudgetGrant) event()       {}
+func (ServerList) event()         {}
+func (Request) event()            {}
+func (Outcome) event()            {}
+func (ResponseStarted) event()    {}
+func (ClientDisconnected) event() {}
+func (Timer) event()              {}
+func (HealthCheckResult) event()  {}
+func (Message) event()            {}
+func (ProcessCount) event()       {}
+func (FleetSize) event()          {}
+func (ListServices) event()       {}
+func (Connecting) event()         {}
+func (ConnectionReady) event()    {}
+func (Shutdown) event()           {}
+func (ClockStepped) event()       {}
+func (BodyComplete) event()       {}
+func (Routes) event()             {}
+func (CanaryLease) event()        {}
+func (BudgetGrant) event()        {}
 
 // ActionKind says what to do.
 type ActionKind uint8
 
 // The kinds of actions. The comments name the fields of Action that count.
 const (
-	Send        ActionKind = iota // Request, Server, At: when it is given up (0: the client's deadline); routes
-	Reject                        // Request, At: how long to wait; a final answer: a retry does no harm
-	Fail                          // Request; a final answer that promises nothing
-	Cancel                        // Request, Attempt
-	SetTimer                      // Token, At: time from now
-	HealthCheck                   // Server
-	CloseIdle                     // Server: close its idle connections
-	SendMessage                   // Peer (-1: all), Data
-	Log                           // Text
-	Watch                         // Source, After: watch the server list, in place of the watch before
-	Fetch                         // Source: request the full list once
-	Forget                        // Server: it is gone, though no list said so
+	Send         ActionKind = iota // Request, Server, At: when it is given up (0: the client's deadline); routes
+	Reject                         // Request, At: how long to wait; a final answer: a retry does no harm
+	Fail                           // Request; a final answer that promises nothing
+	Cancel                         // Request, Attempt
+	SetTimer                       // Token, At: time from now
+	HealthCheck                    // Server
+	CloseIdle                      // Server: close its idle connections
+	SendMessage                    // Peer (-1: all), Data
+	Log                            // Text
+	Watch                          // Source, After: watch the server list, in place of the watch before
+	Fetch                          // Source: request the full list once
+	RemoveServer                   // Server: it is gone, though no list said so
 )
 
 // Action is one thing to do, in the order given.
--- a/balance/balancer.go
+++ b/balance/balancer.go
@@ -4,9 +4,9 @@
 
 // Tokens of the timers of the endpoint list. Timers of requests have the request's ID, which is below 2^52.
 const (
-	listTimer = 1<<60 + iota
-	checkTimer
-	stuckTimer
+	listRetryTimer = 1<<60 + iota
+	serviceCheckTimer
+	stalledWatchTimer
 	suspectTimer
 )
 
@@ -27,8 +27,8 @@
 	canary    *canaryRouter
 	retry     *retryPolicy
 
-	requests map[RequestID]*request // without a final answer, or with attempts that have not ended
-	shutdown bool                   // this process goes: nothing more is sent
+	requests     map[RequestID]*request // without a final answer, or with attempts that have not ended
+	shuttingDown bool                   // this process goes: nothing more is sent
 }
 
 // New returns a balancer with the given settings; call Start before Handle. It keeps the slices of cfg, which must not
@@ -75,9 +75,9 @@
 func (b *Balancer) Handle(now float64, ev Event) ([]Action, error) {
 	b.startEvent(now)
 	err := b.dispatch(ev)
-	if b.list.goneServers {
-		b.list.goneServers = false
-		b.dropGone()
+	if b.list.hasRemovedServers {
+		b.list.hasRemovedServers = false
+		b.dropRemovedServers()
 	}
 	return b.actions, err
 }
@@ -90,12 +90,12 @@
 		b.onBodyComplete(ev)
 	case Connecting:
 		b.onConnecting(ev)
-	case AnswerStarted:
-		b.onAnswerStarted(ev)
+	case ResponseStarted:
+		b.onResponseStarted(ev)
 	case Outcome:
 		return b.onOutcome(ev)
-	case ClientGone:
-		b.onClientGone(ev)
+	case ClientDisconnected:
+		b.onClientDisconnected(ev)
 	case Timer:
 		b.onTimer(ev)
 	case HealthCheckResult:
@@ -128,16 +128,16 @@
 
 func (b *Balancer) onTimer(ev Timer) {
 	switch ev.Token {
-	case listTimer:
+	case listRetryTimer:
 		b.list.updateStaleness()
 		b.list.watch()
 		return
-	case checkTimer:
+	case serviceCheckTimer:
 		b.list.updateStaleness()
 		b.list.checkService()
 		return
-	case stuckTimer:
-		b.list.onStuckTimer()
+	case stalledWatchTimer:
+		b.list.onStalledWatchTimer()
 		return
 	case suspectTimer:
 		b.list.onSuspectTimer()
@@ -150,14 +150,14 @@
 }
 
 func (b *Balancer) onList(ev ServerList) {
-	if b.list.onEvent(ev) {
+	if b.list.onServerList(ev) {
 		b.picker.admitNewServers()
 		b.canary.onServersChanged()
 	}
 }
 
-// dropGone forgets the servers that are gone.
-func (b *Balancer) dropGone() {
-	b.list.dropGone()
+// dropRemovedServers forgets the servers that are gone.
+func (b *Balancer) dropRemovedServers() {
+	b.list.dropRemoved()
 	b.canary.onServersChanged()
 }
--- a/balance/canary_budget_test.go
+++ b/balance/canary_budget_test.go
@@ -57,7 +57,7 @@
 	}
 	stream := func(elapsed float64, res Result) func(*harness, RequestID) {
 		return func(h *harness, id RequestID) {
-			h.handle(AnswerStarted{Request: id, Elapsed: elapsed})
+			h.handle(ResponseStarted{Request: id, Elapsed: elapsed})
 			if budget := h.b.CanaryBudgets()[0]; budget.Reserved != 1 || budget.Spent != 0 {
 				t.Errorf("when the answer starts: %+v", budget)
 			}
@@ -85,17 +85,17 @@
 				end(Cancelled, 1500)(h, id)
 			}, true},
 			"client left, then hung": {idempotentClass, func(h *harness, id RequestID) {
-				h.handle(ClientGone{Request: id})
+				h.handle(ClientDisconnected{Request: id})
 				end(Cancelled, 1500)(h, id)
 			}, false},
 			"client left after the objective": {idempotentClass, func(h *harness, id RequestID) {
 				h.now += 310
-				h.handle(ClientGone{Request: id})
+				h.handle(ClientDisconnected{Request: id})
 				end(Cancelled, 310)(h, id)
 			}, late},
 			"client left just before the deadline": {idempotentClass, func(h *harness, id RequestID) {
 				h.now += 1400
-				h.handle(ClientGone{Request: id})
+				h.handle(ClientDisconnected{Request: id})
 				end(Cancelled, 1400)(h, id)
 			}, true},
 			"shutdown": {idempotentClass, func(h *harness, id RequestID) {
@@ -142,7 +142,7 @@
 	if budget := h.b.CanaryBudgets()[0]; budget != want {
 		t.Errorf("%s, late answers fail %v: %+v, want %+v", name, late, budget, want)
 	}
-	if !h.b.shutdown {
+	if !h.b.shuttingDown {
 		if _, a := h.sendForTenant(idempotentClass); a.ToCanary == c.failed {
 			t.Errorf("%s: the next attempt: %+v", name, a)
 		}
--- a/balance/digest_test.go
+++ b/balance/digest_test.go
@@ -71,7 +71,7 @@
 				d.status()
 			}
 		}
-		d.now += 2 * suspectLimit
+		d.now += 2 * maxSuspectTime
 		d.fireTimers()
 		d.handle(Shutdown{})
 		d.status()
@@ -124,7 +124,7 @@
 			d.handle(HealthCheckResult{Server: s, Result: []Result{OK, OK, OK, TimedOut}[d.rnd.Intn(4)], Elapsed: 1, Report: d.report()})
 		}
 	case n < 35:
-		d.handle(ClientGone{Request: id - RequestID(d.rnd.Intn(20))})
+		d.handle(ClientDisconnected{Request: id - RequestID(d.rnd.Intn(20))})
 	default:
 		d.rareEvent()
 	}
@@ -168,7 +168,7 @@
 
 // sendList brings a random list event.
 func (d *digestDriver) sendList() {
-	kind := []ListKind{ListFull, ListFull, ListCached, ListDelta, ListDelta, ListDelta, ListFailed, ListAlive}[d.rnd.Intn(8)]
+	kind := []ListKind{ListFull, ListFull, ListCached, ListDelta, ListDelta, ListDelta, ListFailed, ListUnchanged}[d.rnd.Intn(8)]
 	ev := ServerList{Kind: kind, Busy: d.rnd.Intn(3) == 0, FromFetch: d.rnd.Intn(4) == 0}
 	if d.cfg.ListServices > 1 {
 		d.rev += int64(d.rnd.Intn(4)) - 1
@@ -180,7 +180,7 @@
 		}
 		s := Server{
 			ID: ServerID(i + 1), Rating: 1 + float64(i%3)/2, Cell: i % 5, Zone: i % 4, Kind: i % 2,
-			AddressKey: uint64(1 + d.rnd.Intn(30)), State: []ServerState{Ready, Ready, Ready, Ready, Draining, Gone}[d.rnd.Intn(6)],
+			AddressKey: uint64(1 + d.rnd.Intn(30)), State: []ServerState{Ready, Ready, Ready, Ready, Draining, Removed}[d.rnd.Intn(6)],
 		}
 		if d.rnd.Intn(3) == 0 {
 			s.StartedAt = d.now - 100 + float64(d.rnd.Intn(200))
@@ -216,7 +216,7 @@
 	case 7:
 		if len(d.live) > 0 {
 			a := d.live[d.rnd.Intn(len(d.live))]
-			d.handle(AnswerStarted{Request: a.request, Attempt: a.number, Server: a.server, Elapsed: d.now - a.sent})
+			d.handle(ResponseStarted{Request: a.request, Attempt: a.number, Server: a.server, Elapsed: d.now - a.sent})
 		}
 	case 8, 9:
 		if len(d.streaming) > 0 {
@@ -297,7 +297,7 @@
 		}
 	}
 	d.words(
-		uint64(l.Rev), math.Float64bits(l.Age), uint64(l.Source), uint64(l.Suspected), flags, uint64(z.Left),
+		uint64(l.Rev), math.Float64bits(l.Age), uint64(l.Source), uint64(l.Suspected), flags, uint64(z.Suspended),
 		math.Float64bits(z.Spill), math.Float64bits(z.FarSpill), math.Float64bits(z.Evidence), uint64(listed),
 		uint64(avoided), math.Float64bits(d.b.FleetSize()),
 	)
--- a/balance/ejection.go
+++ b/balance/ejection.go
@@ -67,14 +67,14 @@
 	if away || s.consecutiveErrors >= errorsToEject {
 		d.eject(s)
 		if s.suspectedSince > 0 {
-			d.list.endSuspicion(s)
+			d.list.removeSuspected(s)
 		}
 	}
 }
 
 // recordFailedAttempt judges a server by an attempt that ended without an answer.
 func (d *outlierDetector) recordFailedAttempt(r *request, a *attempt, ev Outcome) {
-	away := ev.Result.away()
+	away := ev.Result.serverUnreachable()
 	if !away && (a.overdue || d.excused(r, a, ev.Result)) {
 		return
 	}
--- a/balance/ejection_test.go
+++ b/balance/ejection_test.go
@@ -32,7 +32,7 @@
 					h.handle(ConnectionReady{Server: s})
 				}
 			}
-			left = max(left, h.b.ZoneStatus().Left)
+			left = max(left, h.b.ZoneStatus().Suspended)
 		}
 		_, avoided = h.b.CountServers(h.now)
 		for s := range failed {
@@ -246,7 +246,7 @@
 			continue
 		}
 		end := h.now + times[i%3]
-		for r := h.b.requests[id]; r.state != requestAnswered && r.wakeAt < end; {
+		for r := h.b.requests[id]; r.state != requestDone && r.wakeAt < end; {
 			h.now = r.wakeAt
 			h.handle(Timer{Token: uint64(id)})
 		}
--- a/balance/endpoint_list_test.go
+++ b/balance/endpoint_list_test.go
@@ -60,7 +60,7 @@
 	for _, s := range b.servers {
 		placements[s.ID] = slices.Clone(s.placements)
 	}
-	b.dropGone()
+	b.dropRemovedServers()
 	if !slices.Equal(servers, b.servers) || known != len(b.byID) {
 		t.Fatalf("%d servers by a change, %d by a rebuild, or in another order", len(servers), len(b.servers))
 	}
@@ -118,7 +118,7 @@
 	if h.b.ListStatus(h.now).Rev != 10 || !h.b.ListStatus(h.now).Rejected || !hasAction(acts, SetTimer) {
 		t.Fatalf("an older list: %+v, %+v", h.b.ListStatus(h.now), acts)
 	}
-	if w := findAction(h.fireTimer(listTimer), Watch); w == nil || w.Source != 1 || w.After != 10 {
+	if w := findAction(h.fireTimer(listRetryTimer), Watch); w == nil || w.Source != 1 || w.After != 10 {
 		t.Fatalf("the next service is not watched from the current revision: %+v", w)
 	}
 	h.handle(ServerList{Kind: ListDelta, Rev: 9, Servers: []Server{{ID: 7}}})
@@ -133,7 +133,7 @@
 	// An older list removes servers that it names as going, unless they have restarted since.
 	h.handle(ServerList{Kind: ListDelta, Rev: 13, Servers: []Server{{ID: 1, StartedAt: 900}, {ID: 2, StartedAt: 900}}})
 	h.handle(ServerList{Kind: ListFull, Rev: 5, Source: 1, Servers: []Server{
-		{ID: 1, State: Draining}, {ID: 2, State: Draining, StartedAt: 900}, {ID: 3, State: Gone}}})
+		{ID: 1, State: Draining}, {ID: 2, State: Draining, StartedAt: 900}, {ID: 3, State: Removed}}})
 	h.requireUsable("an older list with removals", "1 4 7")
 
 	// A newer epoch is accepted with a full list only.
@@ -149,7 +149,7 @@
 	h.handle(ServerList{Kind: ListFull, Rev: 3 << epochBits, Servers: identicalServers(4)})
 	old := ServerList{Kind: ListFull, Rev: 1 << epochBits, Servers: identicalServers(2)}
 	var pauses []float64
-	for start := h.now; h.now-start <= historyTime; {
+	for start := h.now; h.now-start <= newHistoryTime; {
 		pauses = append(pauses, findAction(h.handle(old), SetTimer).At)
 		h.requireUsable("an older epoch", "1 2 3 4")
 		h.now += 3000
@@ -176,7 +176,7 @@
 		"empty list":       {0.3, nil, "1 2 3 4 5 6 7 8 9", 9},
 		"suspicion off":    {0, nil, "", 0},
 		"new server":       {0.3, []Server{{ID: 12}}, "1 2 3 4 5 6 7 8 9 12", 9},
-		"named as going":   {0.3, []Server{{ID: 1, State: Draining}, {ID: 2, State: Gone}}, "3 4 5 6 7 8 9", 7},
+		"named as going":   {0.3, []Server{{ID: 1, State: Draining}, {ID: 2, State: Removed}}, "3 4 5 6 7 8 9", 7},
 		"half, one drains": {0.3, append(without(4, 9), Server{ID: 5, State: Draining}), "1 2 3 4 6 7 8 9", 4},
 	} {
 		h := newListHarness(t, func(c2 *Config) { c2.SuspectFraction = c.suspectFraction }, identicalServers(9)...)
@@ -199,7 +199,7 @@
 	}
 	t.Run("by an entry", func(t *testing.T) {
 		h := newSuspicion()
-		h.handle(ServerList{Kind: ListDelta, Rev: 3, Servers: []Server{{ID: 1, State: Draining}, {ID: 2, State: Gone}, {ID: 3}}})
+		h.handle(ServerList{Kind: ListDelta, Rev: 3, Servers: []Server{{ID: 1, State: Draining}, {ID: 2, State: Removed}, {ID: 3}}})
 		h.requireUsable("changes that name them", "3 4 5 6")
 		if got := h.b.ListStatus(h.now).Suspected; got != 3 {
 			t.Errorf("%d are suspected, want 3", got)
@@ -217,7 +217,7 @@
 		id, acts := h.sendRequest(idempotentClass)
 		first, _ := sentTo(acts)
 		acts = h.endAttempt(id, 0, ConnectFailed, 5)
-		if f := findAction(acts, Forget); f == nil || f.Server != first {
+		if f := findAction(acts, RemoveServer); f == nil || f.Server != first {
 			t.Fatalf("no Forget for the server: %+v", acts)
 		}
 		if next, ok := sentTo(acts); !ok || next == first {
@@ -234,7 +234,7 @@
 				list = identicalServers(2)
 			}
 			h := newSuspicion(list...)
-			h.now += suspectLimit
+			h.now += maxSuspectTime
 			h.fireTimer(suspectTimer)
 			if want := map[bool]string{true: "1 2 3 4 5 6", false: "1 2"}[empty]; h.usableServers() != want {
 				t.Errorf("empty list %v: usable %q", empty, h.usableServers())
@@ -252,7 +252,7 @@
 		usable string
 	}{
 		"twice, one drains":         {[]Server{{ID: 1, State: Draining}, {ID: 1}, {ID: 2}}, "2"},
-		"twice, one is gone":        {[]Server{{ID: 1}, {ID: 1, State: Gone}, {ID: 2}}, "2"},
+		"twice, one is gone":        {[]Server{{ID: 1}, {ID: 1, State: Removed}, {ID: 2}}, "2"},
 		"twice, both ready":         {[]Server{{ID: 1, AddressKey: 5, StartedAt: 2}, {ID: 1, AddressKey: 6, StartedAt: 1}}, "1"},
 		"two at one address":        {[]Server{{ID: 1, AddressKey: 5}, {ID: 2, AddressKey: 5, StartedAt: 7}, {ID: 3, AddressKey: 6}}, "2 3"},
 		"two at one address, equal": {[]Server{{ID: 2, AddressKey: 5}, {ID: 1, AddressKey: 5}}, "1"},
@@ -313,15 +313,15 @@
 		next := RequestID(0)
 		for range rapid.IntRange(1, 30).Draw(rt, "steps") {
 			now += rapid.Float64Range(0, 4000).Draw(rt, "pause")
-			ev := ServerList{Kind: rapid.SampledFrom([]ListKind{ListFull, ListDelta, ListDelta, ListFailed, ListAlive}).Draw(rt, "kind"),
+			ev := ServerList{Kind: rapid.SampledFrom([]ListKind{ListFull, ListDelta, ListDelta, ListFailed, ListUnchanged}).Draw(rt, "kind"),
 				Source: rapid.IntRange(0, cfg.ListServices-1).Draw(rt, "source"), FromFetch: rapid.IntRange(0, 4).Draw(rt, "check") == 0,
 				Rev: rapid.Int64Range(1, 12).Draw(rt, "rev") + rapid.Int64Range(0, 1).Draw(rt, "epoch")<<epochBits}
 			for range rapid.IntRange(0, 5).Draw(rt, "entries") {
 				ev.Servers = append(ev.Servers, Server{ID: ServerID(rapid.IntRange(1, 6).Draw(rt, "id")),
-					State:     rapid.SampledFrom([]ServerState{Ready, Ready, Draining, Gone}).Draw(rt, "state"),
+					State:     rapid.SampledFrom([]ServerState{Ready, Ready, Draining, Removed}).Draw(rt, "state"),
 					StartedAt: float64(rapid.IntRange(0, 3).Draw(rt, "start")), AddressKey: uint64(rapid.IntRange(0, 4).Draw(rt, "address"))})
 			}
-			if ev.Kind == ListFailed || ev.Kind == ListAlive {
+			if ev.Kind == ListFailed || ev.Kind == ListUnchanged {
 				ev.Servers = nil
 			}
 			before := b.ListStatus(now)
--- a/balance/harness_test.go
+++ b/balance/harness_test.go
@@ -44,7 +44,7 @@
 	for _, s := range h.b.servers {
 		s.running, s.rank = 0, float64(s.ID) // without the random start and order, the sequence is known
 	}
-	h.b.dropGone() // it sorts the servers
+	h.b.dropRemovedServers() // it sorts the servers
 	return h
 }
 
@@ -90,7 +90,7 @@
 func (h *harness) endAttempt(id RequestID, attempt int, result Result, elapsed float64) []Action {
 	h.t.Helper()
 	s := h.b.requests[id].attempts[attempt].server
-	done := result == OK || h.b.requests[id].state == requestAnswered
+	done := result == OK || h.b.requests[id].state == requestDone
 	return h.handle(Outcome{Request: id, Attempt: attempt, Server: s.ID, Result: result, Elapsed: elapsed, Finished: done})
 }
 
--- a/balance/health_check.go
+++ b/balance/health_check.go
@@ -36,10 +36,10 @@
 	}
 	count := math.Ceil(math.Log(allBusyChance) / math.Log(bound(h.busy, 0.01, 0.99)))
 	count = math.Min(count, maxHealthCheckCost/math.Max(h.cfg.Prices.HealthCheck, 1e-3))
-	for len(r.checked) < int(count) {
+	for len(r.healthChecked) < int(count) {
 		var next *server
 		for _, s := range h.servers {
-			free := eligible(r, s) && !h.outliers.ejected(s) && !slices.Contains(r.checked, s)
+			free := eligible(r, s) && !h.outliers.ejected(s) && !slices.Contains(r.healthChecked, s)
 			if free && (next == nil || s.running > next.running) {
 				next = s
 			}
@@ -47,11 +47,11 @@
 		if next == nil {
 			break
 		}
-		r.checked = append(r.checked, next)
+		r.healthChecked = append(r.healthChecked, next)
 		h.check(next)
-		r.checksUntil = h.now + reportValidity*r.class.LatencyObjective
+		r.healthChecksUntil = h.now + reportValidity*r.class.LatencyObjective
 	}
-	if len(r.checked) > 0 {
+	if len(r.healthChecked) > 0 {
 		h.waiting = append(h.waiting, r)
 	}
 }
@@ -113,12 +113,12 @@
 
 // holds reports whether a request still waits for a health check.
 func (h *healthChecker) holds(r *request) bool {
-	for _, s := range r.checked {
-		if s.checkPending && h.now < r.checksUntil {
+	for _, s := range r.healthChecked {
+		if s.checkPending && h.now < r.healthChecksUntil {
 			return true
 		}
 	}
-	r.checksUntil = 0
+	r.healthChecksUntil = 0
 	return false
 }
 
@@ -128,7 +128,7 @@
 	h.waiting = requests[:0]
 	for _, r := range requests {
 		advance(r)
-		if r.state != requestAnswered && r.checksUntil > h.now {
+		if r.state != requestDone && r.healthChecksUntil > h.now {
 			h.waiting = append(h.waiting, r)
 		}
 	}
--- a/balance/idle_period_test.go
+++ b/balance/idle_period_test.go
@@ -71,7 +71,7 @@
 	newProcess, idleProcess = newHarness(t, baseConfig(), identicalServers(4)...), newHarness(t, baseConfig(), identicalServers(4)...)
 	priorStates[state](idleProcess)
 	idleProcess.now += idlePeriod
-	idleProcess.handle(ServerList{Kind: ListAlive})
+	idleProcess.handle(ServerList{Kind: ListUnchanged})
 	return newProcess, idleProcess
 }
 
--- a/balance/list.go
+++ b/balance/list.go
@@ -25,9 +25,9 @@
 )
 
 const (
-	suspectLimit milliseconds = 600_000 // for which a server that no list names is used
-	historyTime  milliseconds = 30_000  // of nothing but older lists after which they count as a new history
-	futureSlack  milliseconds = 1000    // by which a server's start may lie ahead of this sidecar's clock
+	maxSuspectTime milliseconds = 600_000 // for which a server that no list names is used
+	newHistoryTime milliseconds = 30_000  // of nothing but older lists after which they count as a new history
+	maxFutureStart milliseconds = 1000    // by which a server's start may lie ahead of this sidecar's clock
 )
 
 // EpochOf is the history that a revision belongs to: revisions of one epoch can be compared.
@@ -40,35 +40,35 @@
 	slowStart *slowStart
 	clock     *wallClock
 
-	rev           int64        // of the list held
-	lastContact   milliseconds // when a service last said anything
-	confirmedAt   milliseconds // when the service watched last said that it is the newest; -Inf: not yet
-	rejectedSince milliseconds // since when only older lists have come; 0: they have not
-	namedNone     bool         // the last complete list named no server
-	stale         bool         // no service has said anything for Config.StaleAfter
-	goneServers   bool         // servers are gone that must still be dropped, though no list said so
+	rev               int64        // of the list held
+	lastContact       milliseconds // when a service last said anything
+	confirmedAt       milliseconds // when the service watched last said that it is the newest; -Inf: not yet
+	rejectedSince     milliseconds // since when only older lists have come; 0: they have not
+	lastListEmpty     bool         // the last complete list named no server
+	stale             bool         // no service has said anything for Config.StaleAfter
+	hasRemovedServers bool         // servers are gone that must still be dropped, though no list said so
 
-	source         int   // the service watched, by preference
-	watchRev       int64 // the newest revision from the service watched
-	failedPolls    int   // in a row
-	checkScheduled bool  // the timer of the next check of another service runs
-	aheadRev       int64 // the newest revision found at a check of another service ...
-	aheadSource    int   // ... and which service it was
-	goodChecks     int   // in a row, at which a nearer service was not behind
+	source              int   // the service watched, by preference
+	watchRev            int64 // the newest revision from the service watched
+	failedPolls         int   // in a row
+	checkScheduled      bool  // the timer of the next check of another service runs
+	newestFetchedRev    int64 // the newest revision found at a check of another service ...
+	newestFetchedSource int   // ... and which service it was
+	upToDateChecks      int   // in a row, at which a nearer service was not behind
 }
 
 // listing is a server's state in the endpoint list.
 type listing struct {
 	rank           float64      // position in this sidecar's own order
-	ownStart       milliseconds // its start on the balancer's clock
+	localStart     milliseconds // its start on the balancer's clock
 	suspectedSince milliseconds // since when no list has named it; 0: one does
 }
 
-// onEvent applies a list event and reports whether servers may have changed.
-func (l *endpointList) onEvent(ev ServerList) (changed bool) {
+// onServerList applies a list event and reports whether servers may have changed.
+func (l *endpointList) onServerList(ev ServerList) (changed bool) {
 	if ev.Kind == ListFailed {
 		if !ev.FromFetch {
-			l.pollAgain(&ev)
+			l.scheduleRetry(&ev)
 		}
 		return false
 	}
@@ -76,7 +76,7 @@
 		l.lastContact = l.now
 	}
 	l.updateStaleness()
-	if ev.Kind == ListAlive {
+	if ev.Kind == ListUnchanged {
 		if !ev.FromFetch {
 			l.failedPolls, l.confirmedAt = 0, l.now
 		}
@@ -86,14 +86,14 @@
 	sameHistory := ev.Rev > l.rev && EpochOf(ev.Rev) == EpochOf(l.rev)
 	if !l.accepts(&ev) {
 		l.applyRemovals(entries)
-		l.dropGone()
+		l.dropRemoved()
 		return true
 	}
-	l.hold(&ev)
+	l.recordAccepted(&ev)
 	if ev.Kind == ListDelta {
 		l.applyChanges(entries, sameHistory)
 	} else {
-		l.replace(entries, ev.Kind == ListFull, sameHistory)
+		l.replaceEntries(entries, ev.Kind == ListFull, sameHistory)
 	}
 	if ev.Kind != ListCached {
 		l.confirmedAt = l.now
@@ -124,34 +124,34 @@
 // acceptsOlder reports whether an older list is accepted. It is once no service has had a newer one for
 // historyTime: then the services have started a new history.
 func (l *endpointList) acceptsOlder(ev *ServerList) bool {
-	if l.rejectedSince > 0 && l.now-l.rejectedSince > historyTime {
+	if l.rejectedSince > 0 && l.now-l.rejectedSince > newHistoryTime {
 		l.log(fmt.Sprintf("list: revision %d accepted after %d: no service has a newer one", ev.Rev, l.rev))
-		l.watchRev, l.aheadRev = ev.Rev, ev.Rev
+		l.watchRev, l.newestFetchedRev = ev.Rev, ev.Rev
 		return true
 	}
 	if l.rejectedSince == 0 {
 		l.rejectedSince = l.now
 		l.log(fmt.Sprintf("list: revision %d of service %d rejected, %d is held", ev.Rev, ev.Source, l.rev))
 	}
-	l.pollAgain(ev)
+	l.scheduleRetry(ev)
 	return false
 }
 
-// hold notes that a list was accepted.
-func (l *endpointList) hold(ev *ServerList) {
+// recordAccepted notes that a list was accepted.
+func (l *endpointList) recordAccepted(ev *ServerList) {
 	l.rev, l.rejectedSince = ev.Rev, 0
 	if !ev.FromFetch && ev.Kind != ListCached {
 		l.failedPolls = 0
 	}
 }
 
-// replace puts the entries of a complete list in place of those held.
-func (l *endpointList) replace(entries []Server, maySuspect, sameHistory bool) {
+// replaceEntries puts the entries of a complete list in place of those held.
+func (l *endpointList) replaceEntries(entries []Server, maySuspect, sameHistory bool) {
 	l.markUnlisted(entries, maySuspect)
 	for i := range entries {
-		l.update(&entries[i], sameHistory)
+		l.applyEntry(&entries[i], sameHistory)
 	}
-	l.dropGone()
+	l.dropRemoved()
 }
 
 // applyChanges applies changed entries. It leaves servers and zones as dropGone would, but walks over the
@@ -172,18 +172,18 @@
 			s.zone.ready--
 		}
 	}
-	l.update(entry, sameHistory)
+	l.applyEntry(entry, sameHistory)
 	if s = l.byID[entry.ID]; s == nil { // gone before it was known
 		return
 	}
 	if s.State == Ready {
 		s.zone.ready++
 	}
-	if known && s.State != Gone && s.rank == oldRank {
+	if known && s.State != Removed && s.rank == oldRank {
 		return
 	}
 	l.servers = slices.Delete(l.servers, at, at+1)
-	if s.State == Gone {
+	if s.State == Removed {
 		delete(l.byID, s.ID)
 		return
 	}
@@ -191,15 +191,15 @@
 	l.servers = slices.Insert(l.servers, at, s)
 }
 
-// update applies one entry. A restart clears what was held against the server, another address what was held
+// applyEntry applies one entry. A restart clears what was held against the server, another address what was held
 // against the old one.
-func (l *endpointList) update(entry *Server, sameHistory bool) {
+func (l *endpointList) applyEntry(entry *Server, sameHistory bool) {
 	s := l.byID[entry.ID]
 	if s == nil {
-		if entry.State == Gone {
+		if entry.State == Removed {
 			return
 		}
-		s = l.add(entry.ID)
+		s = l.addServer(entry.ID)
 	}
 	if since, again := l.clock.restarted(s, entry, l.confirmedAt, sameHistory); again {
 		s.pardon()
@@ -212,9 +212,9 @@
 	s.rank = l.rankOf(s)
 }
 
-// add starts to keep a server. Its random running value keeps sidecars that start together from picking in
+// addServer starts to keep a server. Its random running value keeps sidecars that start together from picking in
 // step.
-func (l *endpointList) add(id ServerID) *server {
+func (l *endpointList) addServer(id ServerID) *server {
 	s := &server{evidenceAt: math.Inf(-1)}
 	s.running = maxInitialRunning * l.random()
 	s.slowStartAt = math.Inf(-1)
@@ -223,14 +223,14 @@
 	return s
 }
 
-// dropGone forgets servers that are gone, sorts the others by rank and counts the ready servers of each zone.
-func (l *endpointList) dropGone() {
+// dropRemoved forgets servers that are gone, sorts the others by rank and counts the ready servers of each zone.
+func (l *endpointList) dropRemoved() {
 	for _, z := range l.locality.zones {
 		z.ready = 0
 	}
 	remaining := l.servers[:0]
 	for _, s := range l.servers {
-		if s.State == Gone {
+		if s.State == Removed {
 			delete(l.byID, s.ID)
 			continue
 		}
@@ -266,37 +266,37 @@
 			}
 		}
 	}
-	l.namedNone = len(entries) == 0
+	l.lastListEmpty = len(entries) == 0
 	limit := l.cfg.SuspectFraction * float64(inUse)
 	suspect := maySuspect && limit > 0 && unlisted >= minSuspected && float64(unlisted) > limit
 	if suspect {
 		l.log(fmt.Sprintf("list: %d of %d servers are left out, and stay while they answer", unlisted, inUse))
-		l.emit(Action{Kind: SetTimer, Token: suspectTimer, At: suspectLimit})
+		l.emit(Action{Kind: SetTimer, Token: suspectTimer, At: maxSuspectTime})
 	}
 	for _, s := range l.servers {
 		switch {
 		case listed[s.ID]:
 		case !suspect || s.State != Ready:
-			s.State = Gone
+			s.State = Removed
 		case s.suspectedSince == 0:
 			s.suspectedSince = l.now
 		}
 	}
 }
 
-// endSuspicion drops a suspected server: the list was right about it.
-func (l *endpointList) endSuspicion(s *server) {
-	s.State = Gone
-	l.goneServers = true
-	l.emit(Action{Kind: Forget, Server: s.ID})
+// removeSuspected drops a suspected server: the list was right about it.
+func (l *endpointList) removeSuspected(s *server) {
+	s.State = Removed
+	l.hasRemovedServers = true
+	l.emit(Action{Kind: RemoveServer, Server: s.ID})
 }
 
 // onSuspectTimer drops the servers that no list has named for suspectLimit, unless the list names none at
 // all: an empty list is never meant.
 func (l *endpointList) onSuspectTimer() {
 	for _, s := range l.servers {
-		if s.suspectedSince > 0 && l.now-s.suspectedSince >= suspectLimit && !l.namedNone {
-			l.endSuspicion(s)
+		if s.suspectedSince > 0 && l.now-s.suspectedSince >= maxSuspectTime && !l.lastListEmpty {
+			l.removeSuspected(s)
 		}
 	}
 }
--- a/balance/list_entries.go
+++ b/balance/list_entries.go
@@ -19,7 +19,7 @@
 		case !repeated:
 			index[s.ID] = len(entries)
 			entries = append(entries, s)
-		case l.replaces(&s, &entries[i]):
+		case l.supersedes(&s, &entries[i]):
 			entries[i] = s
 		}
 	}
@@ -27,10 +27,10 @@
 	return entries
 }
 
-// replaces reports whether an entry counts in place of another one with the same ID: if it is further on its
+// supersedes reports whether an entry counts in place of another one with the same ID: if it is further on its
 // way out (Gone before Draining before Ready), or else started later.
-func (l *endpointList) replaces(entry, other *Server) bool {
-	return entry.State > other.State || entry.State == other.State && l.startOf(entry) > l.startOf(other)
+func (l *endpointList) supersedes(entry, other *Server) bool {
+	return entry.State > other.State || entry.State == other.State && l.startTime(entry) > l.startTime(other)
 }
 
 // separateAddresses leaves one ready server for each address: the one that started last. The others count as
@@ -46,7 +46,7 @@
 		switch other := &entries[max(j, 0)]; {
 		case !held:
 			holders[s.AddressKey] = i
-		case l.startOf(s) > l.startOf(other) || l.startOf(s) == l.startOf(other) && s.ID < other.ID:
+		case l.startTime(s) > l.startTime(other) || l.startTime(s) == l.startTime(other) && s.ID < other.ID:
 			other.State, holders[s.AddressKey] = Draining, i
 		default:
 			s.State = Draining
@@ -54,14 +54,14 @@
 	}
 }
 
-// startOf returns the start by which an entry is compared with others: as the list has it, or on the
+// startTime returns the start by which an entry is compared with others: as the list has it, or on the
 // balancer's own clock once a step of the wall clock was noticed.
-func (l *endpointList) startOf(entry *Server) milliseconds {
-	if !l.clock.known() {
+func (l *endpointList) startTime(entry *Server) milliseconds {
+	if !l.clock.hasOffsets() {
 		return entry.StartedAt
 	}
 	if s := l.byID[entry.ID]; s != nil && s.StartedAt == entry.StartedAt {
-		return s.ownStart
+		return s.localStart
 	}
 	return l.clock.latestStart(entry.StartedAt)
 }
--- a/balance/list_services.go
+++ b/balance/list_services.go
@@ -10,15 +10,15 @@
 )
 
 const (
-	checkInterval  milliseconds = 15_000 // between two checks of another list service, with jitter
-	stuckTime      milliseconds = 2000   // within which a watch must bring what a check has found
-	minPollBackoff milliseconds = 500    // before a failed list call is made again
+	checkInterval    milliseconds = 15_000 // between two checks of another list service, with jitter
+	stalledWatchTime milliseconds = 2000   // within which a watch must bring what a check has found
+	minPollBackoff   milliseconds = 500    // before a failed list call is made again
 )
 
 const (
 	maxBackoffDoublings     = 4 // of minPollBackoff
 	maxBusyBackoffDoublings = 6 // ... if the service rejects calls
-	goodChecksToReturn      = 2 // in a row before the watch returns to a nearer service
+	checksToSwitchBack      = 2 // in a row before the watch returns to a nearer service
 )
 
 // start begins to watch the nearest service.
@@ -37,7 +37,7 @@
 
 func (l *endpointList) switchWatch(source int, reason string) {
 	l.log(fmt.Sprintf("list: watch moved from service %d to %d: %s", l.source, source, reason))
-	l.source, l.goodChecks, l.aheadRev, l.confirmedAt = source, 0, 0, math.Inf(-1)
+	l.source, l.upToDateChecks, l.newestFetchedRev, l.confirmedAt = source, 0, 0, math.Inf(-1)
 	l.watch()
 }
 
@@ -53,7 +53,7 @@
 		return
 	}
 	l.checkScheduled = true
-	l.emit(Action{Kind: SetTimer, Token: checkTimer, At: checkInterval * (0.5 + l.random())})
+	l.emit(Action{Kind: SetTimer, Token: serviceCheckTimer, At: checkInterval * (0.5 + l.random())})
 }
 
 // checkService fetches the list of another service: of the nearest one, or if that is watched, of a random
@@ -77,32 +77,32 @@
 		l.watchRev = max(l.watchRev, ev.Rev)
 		return
 	}
-	if ev.Rev > l.aheadRev {
-		l.aheadRev, l.aheadSource = ev.Rev, ev.Source
+	if ev.Rev > l.newestFetchedRev {
+		l.newestFetchedRev, l.newestFetchedSource = ev.Rev, ev.Source
 	}
-	if l.aheadRev > l.watchRev {
-		l.emit(Action{Kind: SetTimer, Token: stuckTimer, At: stuckTime})
+	if l.newestFetchedRev > l.watchRev {
+		l.emit(Action{Kind: SetTimer, Token: stalledWatchTimer, At: stalledWatchTime})
 	}
-	l.goodChecks++
+	l.upToDateChecks++
 	if ev.Rev < l.rev || ev.Source >= l.source {
-		l.goodChecks = 0
+		l.upToDateChecks = 0
 	}
-	if l.goodChecks >= goodChecksToReturn {
+	if l.upToDateChecks >= checksToSwitchBack {
 		l.switchWatch(ev.Source, "the nearer service is not behind")
 	}
 }
 
-// onStuckTimer leaves a watch that has still not brought what a check of another service found.
-func (l *endpointList) onStuckTimer() {
-	if l.aheadRev > l.watchRev {
-		l.switchWatch(l.aheadSource, "no changes came from it")
+// onStalledWatchTimer leaves a watch that has still not brought what a check of another service found.
+func (l *endpointList) onStalledWatchTimer() {
+	if l.newestFetchedRev > l.watchRev {
+		l.switchWatch(l.newestFetchedSource, "no changes came from it")
 	}
 }
 
-// pollAgain calls the next service after a backoff with jitter, which grows once each service was called. A
+// scheduleRetry calls the next service after a backoff with jitter, which grows once each service was called. A
 // service that rejects calls has too many callers: the backoff grows faster then, up to three times
 // PollInterval. Config.MaxPollBackoff bounds all backoffs.
-func (l *endpointList) pollAgain(ev *ServerList) {
+func (l *endpointList) scheduleRetry(ev *ServerList) {
 	services := max(l.cfg.ListServices, 1)
 	round := l.failedPolls / services
 	backoff := minPollBackoff * float64(int(1)<<min(round, maxBackoffDoublings))
@@ -121,5 +121,5 @@
 	}
 	l.failedPolls++
 	l.source = (l.source + 1) % services
-	l.emit(Action{Kind: SetTimer, Token: listTimer, At: backoff * (0.5 + l.random()/2)})
+	l.emit(Action{Kind: SetTimer, Token: listRetryTimer, At: backoff * (0.5 + l.random()/2)})
 }
--- a/balance/list_watch_test.go
+++ b/balance/list_watch_test.go
@@ -17,7 +17,7 @@
 			t.Errorf("call %d waits %v ms", i, at)
 		}
 		h.now += findAction(acts, SetTimer).At
-		order = append(order, findAction(h.fireTimer(listTimer), Watch).Source)
+		order = append(order, findAction(h.fireTimer(listRetryTimer), Watch).Source)
 	}
 	if fmt.Sprint(order) != "[1 2 0 1 2 0]" {
 		t.Errorf("services are tried in the order %v", order)
@@ -34,7 +34,7 @@
 	h.handle(ServerList{Kind: ListFull, Rev: 5, Servers: identicalServers(3)})
 	expectCheck := func(source int) {
 		t.Helper()
-		if f := findAction(h.fireTimer(checkTimer), Fetch); f == nil || f.Source != source {
+		if f := findAction(h.fireTimer(serviceCheckTimer), Fetch); f == nil || f.Source != source {
 			t.Fatalf("a check of %+v, want service %d", f, source)
 		}
 	}
@@ -44,19 +44,19 @@
 		t.Fatal("no timer is set for the watch to deliver it")
 	}
 	h.handle(ServerList{Kind: ListDelta, Rev: 8, Servers: identicalServers(4)})
-	if hasAction(h.fireTimer(stuckTimer), Watch) {
+	if hasAction(h.fireTimer(stalledWatchTimer), Watch) {
 		t.Fatal("a watch that has delivered the revision is left")
 	}
 	expectCheck(1)
 	h.handle(ServerList{Kind: ListFull, Rev: 9, Source: 1, FromFetch: true, Servers: identicalServers(5)})
-	h.handle(ServerList{Kind: ListAlive})
-	if w := findAction(h.fireTimer(stuckTimer), Watch); w == nil || w.Source != 1 {
+	h.handle(ServerList{Kind: ListUnchanged})
+	if w := findAction(h.fireTimer(stalledWatchTimer), Watch); w == nil || w.Source != 1 {
 		t.Fatalf("a stuck watch is not left: %+v", w)
 	}
-	for i := range goodChecksToReturn {
+	for i := range checksToSwitchBack {
 		expectCheck(0)
 		w := findAction(h.handle(ServerList{Kind: ListFull, Rev: 9, FromFetch: true, Servers: identicalServers(5)}), Watch)
-		if last := i == goodChecksToReturn-1; (w != nil) != last || last && w.Source != 0 {
+		if last := i == checksToSwitchBack-1; (w != nil) != last || last && w.Source != 0 {
 			t.Fatalf("check %d of the nearer service: %+v", i, w)
 		}
 	}
@@ -67,7 +67,7 @@
 	h := newListHarness(t, func(c *Config) { c.ListServices = 1 }, identicalServers(3)...)
 	scheduledChecks := func(acts []Action) (n int) {
 		for _, a := range acts {
-			if a.Kind == SetTimer && a.Token == checkTimer {
+			if a.Kind == SetTimer && a.Token == serviceCheckTimer {
 				n++
 			}
 		}
@@ -77,8 +77,8 @@
 		ev   Event
 		want int
 	}{
-		{ListServices{Count: 1}, 0}, {ListServices{Count: 2}, 1}, {ListServices{Count: 3}, 0}, {Timer{Token: checkTimer}, 1},
-		{ListServices{Count: 1}, 0}, {Timer{Token: checkTimer}, 0}, {ListServices{Count: 2}, 1},
+		{ListServices{Count: 1}, 0}, {ListServices{Count: 2}, 1}, {ListServices{Count: 3}, 0}, {Timer{Token: serviceCheckTimer}, 1},
+		{ListServices{Count: 1}, 0}, {Timer{Token: serviceCheckTimer}, 0}, {ListServices{Count: 2}, 1},
 	} {
 		if got := scheduledChecks(h.handle(c.ev)); got != c.want {
 			t.Errorf("step %d, %+v: %d checks are scheduled, want %d", i, c.ev, got, c.want)
@@ -103,10 +103,10 @@
 	}
 	beforeStale := ejectionTime()
 	h.now += h.b.cfg.StaleAfter + 1
-	if h.fireTimer(listTimer); !h.b.ListStatus(h.now).Stale || ejectionTime() <= beforeStale {
+	if h.fireTimer(listRetryTimer); !h.b.ListStatus(h.now).Stale || ejectionTime() <= beforeStale {
 		t.Errorf("stale %v: ejected for %v ms, before for %v", h.b.ListStatus(h.now).Stale, ejectionTime(), beforeStale)
 	}
-	if acts := h.handle(ServerList{Kind: ListAlive}); h.b.ListStatus(h.now).Stale || !hasAction(acts, Log) || ejectionTime() != beforeStale {
+	if acts := h.handle(ServerList{Kind: ListUnchanged}); h.b.ListStatus(h.now).Stale || !hasAction(acts, Log) || ejectionTime() != beforeStale {
 		t.Error("after a sign of life the list is still stale")
 	}
 }
@@ -118,7 +118,7 @@
 	h := newHarness(t, cfg, identicalServers(4)...)
 	pause := func() float64 {
 		for _, a := range h.handle(ServerList{Kind: ListFailed}) {
-			if a.Kind == SetTimer && a.Token == listTimer {
+			if a.Kind == SetTimer && a.Token == listRetryTimer {
 				return a.At
 			}
 		}
@@ -132,7 +132,7 @@
 	if last <= minPollBackoff {
 		t.Fatalf("the fourth pause is %v ms", last)
 	}
-	h.handle(ServerList{Kind: ListAlive})
+	h.handle(ServerList{Kind: ListUnchanged})
 	if got := pause(); got > minPollBackoff {
 		t.Errorf("after a sign of life the next pause is %v ms, want at most %v", got, minPollBackoff)
 	}
@@ -143,13 +143,13 @@
 func TestEndpointList_quietWatch(t *testing.T) {
 	h := newListHarness(t, nil)
 	h.handle(ServerList{Kind: ListCached, Rev: 5, Servers: identicalServers(4)})
-	h.handle(ServerList{Kind: ListAlive})
+	h.handle(ServerList{Kind: ListUnchanged})
 	acts := h.handle(ServerList{Kind: ListFull, Rev: 5, Source: 1, FromFetch: true, Servers: identicalServers(4)})
-	if hasAction(acts, SetTimer) || hasAction(h.fireTimer(stuckTimer), Watch) {
+	if hasAction(acts, SetTimer) || hasAction(h.fireTimer(stalledWatchTimer), Watch) {
 		t.Fatal("a watch without a newer revision counts as stuck")
 	}
 	h.handle(ServerList{Kind: ListFull, Rev: 6, Source: 1, FromFetch: true, Servers: identicalServers(4)})
-	if w := findAction(h.fireTimer(stuckTimer), Watch); w == nil || w.Source != 1 {
+	if w := findAction(h.fireTimer(stalledWatchTimer), Watch); w == nil || w.Source != 1 {
 		t.Fatal("a stuck watch is not left")
 	}
 }
@@ -169,7 +169,7 @@
 				at := findAction(h.handle(failure), SetTimer).At
 				maxPause = math.Max(maxPause, at)
 				h.now += at
-				h.fireTimer(listTimer)
+				h.fireTimer(listRetryTimer)
 			}
 			if maxPause > cfg.MaxPollBackoff || maxPause < cfg.MaxPollBackoff/2 && (pollInterval != 10000 || failure.Busy) {
 				t.Errorf("%s, PollInterval %v: the largest of 40 pauses is %v ms", name, pollInterval, maxPause)
@@ -195,12 +195,12 @@
 		var pauses []float64
 		for range 6 {
 			acts := h.handle(ServerList{Kind: ListFailed, Busy: c.busy})
-			if len(acts) != 1 || acts[0].Token != listTimer || acts[0].At > c.maxPause {
+			if len(acts) != 1 || acts[0].Token != listRetryTimer || acts[0].At > c.maxPause {
 				t.Fatalf("after a failed call: %+v", acts)
 			}
 			pauses = append(pauses, acts[0].At)
 			h.now += acts[0].At
-			if !hasAction(h.handle(Timer{Token: listTimer}), Watch) {
+			if !hasAction(h.handle(Timer{Token: listRetryTimer}), Watch) {
 				t.Fatal("the call is not repeated")
 			}
 		}
--- a/balance/locality_test.go
+++ b/balance/locality_test.go
@@ -103,7 +103,7 @@
 			}
 			return failZone(0)(s)
 		})
-		left := h.b.ZoneStatus().Left == 1
+		left := h.b.ZoneStatus().Suspended == 1
 		// A dead own zone is found at once. A dead remote zone needs no attempts.
 		if near := h.b.cfg.Zone == 0; near && (!left || len(tried) != 2) || !near && len(tried) > 2 {
 			t.Errorf("own zone %d: %d servers of the dead zone were tried, left %v", h.b.cfg.Zone, len(tried), left)
@@ -115,12 +115,12 @@
 func TestLocality_allZonesFail(t *testing.T) {
 	h := newZoneHarness(t, nil, 6, 6, 6)
 	h.playRequests(60, 100, func(*server) Result { return ConnectFailed })
-	if z := h.b.ZoneStatus(); z.Left != 0 || z.Evidence == 0 {
+	if z := h.b.ZoneStatus(); z.Suspended != 0 || z.Evidence == 0 {
 		t.Errorf("%+v", z)
 	}
 	// When one zone answers again, the zone that still fails is left.
 	h.playRequests(60, 100, failZone(0))
-	if z := h.b.ZoneStatus(); z.Left != 1 {
+	if z := h.b.ZoneStatus(); z.Suspended != 1 {
 		t.Errorf("one zone answers and another does not: %+v", z)
 	}
 }
@@ -169,7 +169,7 @@
 		}
 		return OK
 	})
-	if z := h.b.ZoneStatus(); z.Left != 0 {
+	if z := h.b.ZoneStatus(); z.Suspended != 0 {
 		t.Errorf("a zone that answers every second request was left: %+v", z)
 	}
 }
@@ -386,7 +386,7 @@
 		if z.trials != 1 {
 			t.Fatalf("%g trials in flight after %d started answers", z.trials, n-1)
 		}
-		h.handle(AnswerStarted{Request: h.lastID, Server: h.b.requests[h.lastID].attempts[0].server.ID, Elapsed: 50})
+		h.handle(ResponseStarted{Request: h.lastID, Server: h.b.requests[h.lastID].attempts[0].server.ID, Elapsed: 50})
 		if z.trials != 0 || z.admitLimit != float64(n) {
 			t.Fatalf("%+v after %d started answers", z, n)
 		}
--- a/balance/random_events_test.go
+++ b/balance/random_events_test.go
@@ -110,7 +110,7 @@
 		if r := sim.requests[left]; r != nil {
 			r.answered = true
 		}
-		sim.handle(ClientGone{Request: left})
+		sim.handle(ClientDisconnected{Request: left})
 	}
 }
 
--- a/balance/request.go
+++ b/balance/request.go
@@ -8,8 +8,8 @@
 const (
 	requestQueued     requestState = iota // no attempt is in flight
 	requestAttempting                     // an attempt is in flight
-	requestAnswering                      // its streamed answer has started: the client owns the attempt
-	requestAnswered                       // it has its final answer, or its client is gone
+	requestResponding                     // its streamed answer has started: the client owns the attempt
+	requestDone                           // it has its final answer, or its client is gone
 )
 
 func (s requestState) String() string {
@@ -18,14 +18,14 @@
 
 // requestTransitions are the states that may follow each state.
 var requestTransitions = [...][]requestState{
-	requestQueued:     {requestAttempting, requestAnswered},
-	requestAttempting: {requestQueued, requestAnswering, requestAnswered},
-	requestAnswering:  {requestAnswered},
-	requestAnswered:   {},
+	requestQueued:     {requestAttempting, requestDone},
+	requestAttempting: {requestQueued, requestResponding, requestDone},
+	requestResponding: {requestDone},
+	requestDone:       {},
 }
 
-// become moves the request to a state, if that may follow the present one, and reports whether it does.
-func (r *request) become(next requestState) bool {
+// transitionTo moves the request to a state, if that may follow the present one, and reports whether it does.
+func (r *request) transitionTo(next requestState) bool {
 	if !slices.Contains(requestTransitions[r.state], next) {
 		return false
 	}
@@ -39,7 +39,7 @@
 const (
 	attemptSent       attemptState = iota // it is at the server, or on its way there
 	attemptConnecting                     // it waits for a new connection
-	attemptAnswering                      // its streamed answer has started
+	attemptResponding                     // its streamed answer has started
 	attemptEnded                          // its Outcome has come
 )
 
@@ -49,14 +49,14 @@
 
 // attemptTransitions are the states that may follow each state.
 var attemptTransitions = [...][]attemptState{
-	attemptSent:       {attemptConnecting, attemptAnswering, attemptEnded},
-	attemptConnecting: {attemptSent, attemptAnswering, attemptEnded},
-	attemptAnswering:  {attemptEnded},
+	attemptSent:       {attemptConnecting, attemptResponding, attemptEnded},
+	attemptConnecting: {attemptSent, attemptResponding, attemptEnded},
+	attemptResponding: {attemptEnded},
 	attemptEnded:      {},
 }
 
-// become moves the attempt to a state, if that may follow the present one, and reports whether it does.
-func (a *attempt) become(next attemptState) bool {
+// transitionTo moves the attempt to a state, if that may follow the present one, and reports whether it does.
+func (a *attempt) transitionTo(next attemptState) bool {
 	if !slices.Contains(attemptTransitions[a.state], next) {
 		return false
 	}
@@ -76,9 +76,9 @@
 	endsAtObjective bool // it is given up at the latency objective
 	zoneTrial       bool // it is one of the few requests to a zone that is being tried
 
-	budget          *CanaryBudget // that it has a unit reserved of; nil: none
-	lateIsFailure   bool          // an answer after the objective is a failure of its canary
-	missedForCanary bool          // its answer started too late for its canary, or never
+	budget        *CanaryBudget // that it has a unit reserved of; nil: none
+	lateIsFailure bool          // an answer after the objective is a failure of its canary
+	lateForCanary bool          // its answer started too late for its canary, or never
 }
 
 // request is a client's request without its final answer, or one with attempts that have not ended.
@@ -100,11 +100,11 @@
 	localFailures   uint8 // attempts that count as none, as this machine could not send them
 	bodyConsumed    bool  // it cannot be sent again
 
-	checked     []*server    // health-checked before the first attempt
-	checksUntil milliseconds // until when the first attempt waits for the health checks
+	healthChecked     []*server    // health-checked before the first attempt
+	healthChecksUntil milliseconds // until when the first attempt waits for the health checks
 
-	positionDrawn  bool
-	canaryPosition float64 // in [0, 1): below the canary fraction of its route it prefers the canary
+	hasCanaryPosition bool
+	canaryPosition    float64 // in [0, 1): below the canary fraction of its route it prefers the canary
 }
 
 // countedAttempts is how many attempts count.
@@ -120,20 +120,22 @@
 	return &r.attempts[number]
 }
 
-// restart lets the time of a request begin now.
-func (r *request) restart(now, remaining milliseconds) { r.arrivedAt, r.deadline = now, now+remaining }
+// resetDeadline lets the time of a request begin now.
+func (r *request) resetDeadline(now, remaining milliseconds) {
+	r.arrivedAt, r.deadline = now, now+remaining
+}
 
-// end notes that an attempt has ended.
-func (r *request) end(a *attempt) {
-	a.become(attemptEnded)
+// endAttempt notes that an attempt has ended.
+func (r *request) endAttempt(a *attempt) {
+	a.transitionTo(attemptEnded)
 	r.liveAttempts--
 	if r.liveAttempts == 0 {
-		r.become(requestQueued)
+		r.transitionTo(requestQueued)
 	}
 }
 
-// endTrial ends an attempt's part in the trial of its zone: it has ended, or its answer has started.
-func (a *attempt) endTrial() {
+// endZoneTrial ends an attempt's part in the trial of its zone: it has ended, or its answer has started.
+func (a *attempt) endZoneTrial() {
 	if a.zoneTrial {
 		a.zoneTrial = false
 		a.server.zone.trials--
--- a/balance/request_events.go
+++ b/balance/request_events.go
@@ -28,10 +28,10 @@
 		b.admission.forgetLoad()
 		b.outliers.forgetErrors()
 	}
-	admitted := !b.shutdown && b.admission.admit(r)
+	admitted := !b.shuttingDown && b.admission.admit(r)
 	b.demand.recordArrival(r) // after admit: else its own class would seem to be served a little worse
 	if !admitted {
-		b.answer(r, b.retry.retryAfter(r))
+		b.rejectOrFail(r, b.retry.retryAfter(r))
 		return nil
 	}
 	b.health.checkCandidates(r, b.picker.eligible)
@@ -42,11 +42,11 @@
 // onBodyComplete starts the time of a request and of its attempts: the server has the complete request only now.
 func (b *Balancer) onBodyComplete(ev BodyComplete) {
 	r := b.requests[ev.Request]
-	if r == nil || r.state == requestAnswered || !r.BodyStreaming {
+	if r == nil || r.state == requestDone || !r.BodyStreaming {
 		return
 	}
 	r.BodyStreaming = false
-	r.restart(b.now, ev.Remaining)
+	r.resetDeadline(b.now, ev.Remaining)
 	for i := range r.attempts {
 		if a := &r.attempts[i]; a.state != attemptEnded {
 			a.sentAt = b.now
@@ -65,35 +65,35 @@
 	a := r.liveAttempt(ev.Attempt)
 	switch {
 	case a == nil:
-	case !ev.Established && a.inLoad && a.become(attemptConnecting):
+	case !ev.Established && a.inLoad && a.transitionTo(attemptConnecting):
 		b.admission.endLoad(r, a)
-	case ev.Established && a.state == attemptConnecting && a.become(attemptSent):
+	case ev.Established && a.state == attemptConnecting && a.transitionTo(attemptSent):
 		if b.now < a.sentAt+r.class.LatencyObjective {
 			b.admission.startLoad(r, a)
 		}
 	}
 }
 
-// onAnswerStarted ends the balancer's part in a request: the client owns the answer now, without deadline or retry.
+// onResponseStarted ends the balancer's part in a request: the client owns the answer now, without deadline or retry.
 // The server has done its work; how long the rest takes depends on the client, too.
-func (b *Balancer) onAnswerStarted(ev AnswerStarted) {
+func (b *Balancer) onResponseStarted(ev ResponseStarted) {
 	r := b.requests[ev.Request]
-	if r == nil || r.state == requestAnswered || r.state == requestAnswering {
+	if r == nil || r.state == requestDone || r.state == requestResponding {
 		return
 	}
 	a := r.liveAttempt(ev.Attempt)
 	if a == nil {
 		return
 	}
-	r.become(requestAnswering)
+	r.transitionTo(requestResponding)
 	b.cancelOthers(r, ev.Attempt)
 	a.server.inFlight--
 	b.admission.endLoad(r, a)
 	answer := Outcome{Result: OK, Elapsed: ev.Elapsed}
-	b.recordAnswer(r, a, answer)
-	a.missedForCanary = a.spendsUnit(r, answer)
-	a.become(attemptAnswering)
-	a.endTrial()
+	b.recordResponse(r, a, answer)
+	a.lateForCanary = a.spendsUnit(r, answer)
+	a.transitionTo(attemptResponding)
+	a.endZoneTrial()
 }
 
 func (b *Balancer) onOutcome(ev Outcome) error {
@@ -108,7 +108,7 @@
 			Reason: fmt.Sprintf("which is not in flight for request %d", ev.Request),
 		}
 	}
-	answerStarted := a.state == attemptAnswering
+	answerStarted := a.state == attemptResponding
 	if ev.RouteRevoked && !answerStarted {
 		ev.Result = NotSent
 		r.uncountRevoked(a)
@@ -116,12 +116,12 @@
 	if ev.Result == LocalFailure {
 		b.retry.recordLocalFailure(r, a)
 	}
-	a.settle(r, ev)
+	a.settleBudget(r, ev)
 	a.neverRan = ev.Result.NeverRan()
-	r.end(a)
+	r.endAttempt(a)
 	r.bodyConsumed = r.bodyConsumed || ev.BodyConsumed
 	if r.BodyStreaming { // a next attempt has all of its time
-		r.restart(b.now, r.Remaining)
+		r.resetDeadline(b.now, r.Remaining)
 	}
 	if !answerStarted {
 		a.server.inFlight--
@@ -131,9 +131,9 @@
 		b.admission.endLoad(r, a)
 	}
 	b.recordOutcome(r, a, ev, answerStarted)
-	a.endTrial()
-	if r.state == requestAnswered || r.state == requestAnswering || ev.Finished {
-		b.close(r)
+	a.endZoneTrial()
+	if r.state == requestDone || r.state == requestResponding || ev.Finished {
+		b.closeRequest(r)
 	}
 	b.advance(r)
 	return nil
@@ -144,7 +144,7 @@
 	switch {
 	case ev.Result == Cancelled || ev.Result == NotSent || ev.Result == LocalFailure: // nothing about the server
 	case ev.Result == OK && !answerStarted:
-		b.recordAnswer(r, a, ev)
+		b.recordResponse(r, a, ev)
 	case ev.Result == OK: // recorded when the answer started
 	case answerStarted: // the answer broke off
 		b.outliers.recordFailure(a.server, false, partialEvidence)
@@ -153,8 +153,8 @@
 	}
 }
 
-// recordAnswer passes a good answer on to the decisions that learn from it.
-func (b *Balancer) recordAnswer(r *request, a *attempt, ev Outcome) {
+// recordResponse passes a good answer on to the decisions that learn from it.
+func (b *Balancer) recordResponse(r *request, a *attempt, ev Outcome) {
 	s, latency := a.server, ev.Elapsed/r.class.LatencyObjective
 	if s.processDown && !b.slowStart.warmingUp(s) { // a restart that is not listed yet
 		b.slowStart.begin(s, b.now)
@@ -174,40 +174,40 @@
 	r.stats.add(ev.Elapsed)
 }
 
-func (b *Balancer) onClientGone(ev ClientGone) {
+func (b *Balancer) onClientDisconnected(ev ClientDisconnected) {
 	if r := b.requests[ev.Request]; r != nil {
-		b.canary.recordMissed(r)
-		b.close(r)
+		b.canary.recordLateAttempts(r)
+		b.closeRequest(r)
 	}
 }
 
 // onShutdown answers all requests without a final answer: this process will not see their outcomes.
 func (b *Balancer) onShutdown() {
-	b.shutdown = true
+	b.shuttingDown = true
 	for _, id := range slices.Sorted(maps.Keys(b.requests)) {
 		r := b.requests[id]
 		if r.state == requestQueued || r.state == requestAttempting {
-			b.answer(r, 0)
+			b.rejectOrFail(r, 0)
 		}
 	}
 }
 
 // advance takes the next step for a request: an attempt, its final answer, or a wait.
 func (b *Balancer) advance(r *request) {
-	if r.state == requestAnswering || r.state == requestAnswered {
+	if r.state == requestResponding || r.state == requestDone {
 		return
 	}
 	b.checkAttempts(r)
 	switch b.retry.next(r) {
 	case stepGiveUp:
-		b.answer(r, 0)
+		b.rejectOrFail(r, 0)
 		return
 	case stepAttempt:
 		if s := b.pick(r, r.countedAttempts() > 0); s != nil {
 			b.send(r, s)
 		}
 	}
-	b.wake(r)
+	b.setWakeTimer(r)
 }
 
 // pick returns the server for an attempt of a request, nil if there is none now.
@@ -228,7 +228,7 @@
 	s.inFlight++
 	s.sentSinceReport++
 	r.liveAttempts++
-	route := b.canary.takeNext()
+	route := b.canary.takeNextAttempt()
 	a := attempt{
 		server: s, sentAt: b.now, endsAtObjective: b.retry.endsAtObjective(r), zoneTrial: s.zone.left,
 		lateIsFailure: route.lateIsFailure, budget: route.budget,
@@ -242,7 +242,7 @@
 		b.admission.startLoad(r, &a)
 	}
 	r.attempts = append(r.attempts, a)
-	r.become(requestAttempting)
+	r.transitionTo(requestAttempting)
 	act := Action{
 		Kind: Send, Request: r.ID, Server: s.ID,
 		RoutesRev: route.rev, CanaryID: route.canaryID, ToCanary: route.toCanary,
@@ -276,10 +276,10 @@
 	return next
 }
 
-// wake sets the timer for the next time at which something may be due for a request.
-func (b *Balancer) wake(r *request) {
+// setWakeTimer sets the timer for the next time at which something may be due for a request.
+func (b *Balancer) setWakeTimer(r *request) {
 	next := b.checkAttempts(r)
-	if hold := math.Max(r.checksUntil, r.retryAt); hold > b.now {
+	if hold := math.Max(r.healthChecksUntil, r.retryAt); hold > b.now {
 		next = math.Min(next, hold)
 	} else if r.state == requestQueued {
 		next = math.Min(next, b.now+math.Max(b.cfg.Quantum, r.class.LatencyObjective/pollsPerObjective))
@@ -290,21 +290,21 @@
 	}
 }
 
-// answer ends a request without a server's answer: rejected where a retry does no harm, else failed. A client that is
+// rejectOrFail ends a request without a server's rejectOrFail: rejected where a retry does no harm, else failed. A client that is
 // rejected may return after retryAfter; 0: at once.
-func (b *Balancer) answer(r *request, retryAfter milliseconds) {
+func (b *Balancer) rejectOrFail(r *request, retryAfter milliseconds) {
 	act := Action{Kind: Fail, Request: r.ID}
 	if r.clientMayRetry() {
 		act.Kind, act.At = Reject, retryAfter
 	}
 	b.emit(act)
-	b.canary.recordMissed(r)
-	b.close(r)
+	b.canary.recordLateAttempts(r)
+	b.closeRequest(r)
 }
 
-// close marks a request as answered and gives up its attempts in flight.
-func (b *Balancer) close(r *request) {
-	r.become(requestAnswered)
+// closeRequest marks a request as answered and gives up its attempts in flight.
+func (b *Balancer) closeRequest(r *request) {
+	r.transitionTo(requestDone)
 	b.cancelOthers(r, -1)
 	if r.liveAttempts == 0 {
 		delete(b.requests, r.ID)
--- a/balance/request_test.go
+++ b/balance/request_test.go
@@ -9,12 +9,12 @@
 		want     bool
 	}{
 		{requestQueued, requestAttempting, true}, {requestAttempting, requestQueued, true},
-		{requestAttempting, requestAnswering, true}, {requestAnswering, requestAnswered, true},
-		{requestQueued, requestAnswering, false}, {requestAnswering, requestQueued, false},
-		{requestAnswered, requestQueued, false}, {requestAnswered, requestAttempting, false},
+		{requestAttempting, requestResponding, true}, {requestResponding, requestDone, true},
+		{requestQueued, requestResponding, false}, {requestResponding, requestQueued, false},
+		{requestDone, requestQueued, false}, {requestDone, requestAttempting, false},
 	} {
 		r := request{state: test.from}
-		if got := r.become(test.to); got != test.want || (r.state == test.to) != test.want {
+		if got := r.transitionTo(test.to); got != test.want || (r.state == test.to) != test.want {
 			t.Errorf("%v to %v: %v, state %v", test.from, test.to, got, r.state)
 		}
 	}
@@ -23,16 +23,16 @@
 		want     bool
 	}{
 		{attemptSent, attemptConnecting, true}, {attemptConnecting, attemptSent, true},
-		{attemptConnecting, attemptAnswering, true}, {attemptAnswering, attemptEnded, true},
-		{attemptAnswering, attemptConnecting, false}, {attemptAnswering, attemptSent, false},
-		{attemptEnded, attemptSent, false}, {attemptEnded, attemptAnswering, false},
+		{attemptConnecting, attemptResponding, true}, {attemptResponding, attemptEnded, true},
+		{attemptResponding, attemptConnecting, false}, {attemptResponding, attemptSent, false},
+		{attemptEnded, attemptSent, false}, {attemptEnded, attemptResponding, false},
 	} {
 		a := attempt{state: test.from}
-		if got := a.become(test.to); got != test.want || (a.state == test.to) != test.want {
+		if got := a.transitionTo(test.to); got != test.want || (a.state == test.to) != test.want {
 			t.Errorf("%v to %v: %v, state %v", test.from, test.to, got, a.state)
 		}
 	}
-	if len(requestTransitions) != int(requestAnswered)+1 || len(attemptTransitions) != int(attemptEnded)+1 {
+	if len(requestTransitions) != int(requestDone)+1 || len(attemptTransitions) != int(attemptEnded)+1 {
 		t.Error("a state has no transitions listed")
 	}
 }
--- a/balance/retry_test.go
+++ b/balance/retry_test.go
@@ -161,7 +161,7 @@
 	h := newHarness(t, cfg, identicalServers(3)...)
 	id, acts := h.sendRequest(idempotentClass)
 	s, _ := sentTo(acts)
-	h.handle(AnswerStarted{Request: id, Server: s, Elapsed: 20})
+	h.handle(ResponseStarted{Request: id, Server: s, Elapsed: 20})
 	if a := h.b.requests[id].attempts[0]; a.server.inFlight != 0 || h.b.demand.classes[idempotentClass].mean != 20 {
 		t.Errorf("%d in flight at the server, mean latency %v", a.server.inFlight, h.b.demand.classes[idempotentClass].mean)
 	}
--- a/balance/rotation_test.go
+++ b/balance/rotation_test.go
@@ -95,7 +95,7 @@
 		t.Fatal("all servers are in the rotation")
 	}
 	for _, s := range h.b.servers {
-		if running := s.placements[0].running[baseSide]; running > total {
+		if running := s.placements[0].currentWeight[baseSide]; running > total {
 			t.Errorf("server %d has the running value %v, the sum of weights is %v", s.ID, running, total)
 		}
 	}
@@ -113,7 +113,7 @@
 		for _, s := range h.b.servers {
 			s.rank = h.b.rankOf(s)
 		}
-		h.b.dropGone()
+		h.b.dropRemovedServers()
 		sends := map[ServerID]int{}
 		for range 60 {
 			h.now += 1000
--- a/balance/route_state.go
+++ b/balance/route_state.go
@@ -16,8 +16,8 @@
 
 // routePlacement is a server's place in a route, by side.
 type routePlacement struct {
-	group   [sides]uint8
-	running [sides]float64 // SWRR running value
+	group         [sides]uint8
+	currentWeight [sides]float64 // SWRR running value
 }
 
 // attemptRoute is what an attempt acts on; see Action.
@@ -104,21 +104,21 @@
 			placement := &s.placements[route.slot]
 			placement.group = route.groupsOf(&s.Server)
 			if i < len(old) && old[i] != nil && old[i].slot < len(before) {
-				placement.running = before[old[i].slot].running
+				placement.currentWeight = before[old[i].slot].currentWeight
 				continue
 			}
-			for side := range placement.running {
-				placement.running[side] = maxInitialRunning * c.randomFor(uint64(s.ID), uint64(sides*i+side)+1)
+			for side := range placement.currentWeight {
+				placement.currentWeight[side] = maxInitialRunning * c.randomFor(uint64(s.ID), uint64(sides*i+side)+1)
 			}
 		}
 	}
 }
 
-// storeRunning keeps the running values that a pick has left for the side of a route.
-func (c *canaryRouter) storeRunning(route *tenantRoute, side int) {
+// storeCurrentWeights keeps the running values that a pick has left for the side of a route.
+func (c *canaryRouter) storeCurrentWeights(route *tenantRoute, side int) {
 	for _, s := range c.servers {
 		if !s.outsideGroup {
-			s.placements[route.slot].running[side] = s.running
+			s.placements[route.slot].currentWeight[side] = s.running
 		}
 	}
 }
--- a/balance/routes.go
+++ b/balance/routes.go
@@ -20,9 +20,9 @@
 )
 
 const (
-	goldenRatio        = 0.6180339887498949 // step whose multiples cover [0, 1) most evenly
-	maxRevokedAttempts = 3                  // attempts of a request that count as none; more of them count
-	missedFraction     = 0.9                // of a client's time: a client that left later has waited in vain
+	goldenRatio            = 0.6180339887498949 // step whose multiples cover [0, 1) most evenly
+	maxRevokedAttempts     = 3                  // attempts of a request that count as none; more of them count
+	missedDeadlineFraction = 0.9                // of a client's time: a client that left later has waited in vain
 )
 
 // The sides of a request, and the groups of servers that are used for each, one after the other.
@@ -32,19 +32,19 @@
 	sides
 )
 
-// groups is how many groups of servers each side has.
-const groups = 3
+// groupsPerSide is how many groupsPerSide of servers each side has.
+const groupsPerSide = 3
 
 // canaryRouter decides which servers the requests of a tenant prefer, and holds the canary budgets.
 type canaryRouter struct {
 	*shared
 	picker *picker
 
-	rev        int64          // of the routes
-	routes     []*tenantRoute // by tenant, from -1 on; nil: there are no routes
-	leaseUntil milliseconds   // until when canaries may be acted on
-	budgets    canaryBudgets
-	next       attemptRoute // what the attempt of the last pick acts on
+	rev         int64          // of the routes
+	routes      []*tenantRoute // by tenant, from -1 on; nil: there are no routes
+	leaseUntil  milliseconds   // until when canaries may be acted on
+	budgets     canaryBudgets
+	nextAttempt attemptRoute // what the attempt of the last pick acts on
 }
 
 // groupsOf returns the group of a server on each side.
@@ -79,8 +79,8 @@
 	if len(route.Classes) > 0 && !slices.Contains(route.Classes, r.Class) {
 		return false
 	}
-	if !r.positionDrawn {
-		r.positionDrawn, r.canaryPosition = true, route.drawPosition(r)
+	if !r.hasCanaryPosition {
+		r.hasCanaryPosition, r.canaryPosition = true, route.drawPosition(r)
 	}
 	return r.canaryPosition < route.CanaryFraction
 }
@@ -128,20 +128,20 @@
 	if s == nil {
 		return nil
 	}
-	c.storeRunning(route, side)
+	c.storeCurrentWeights(route, side)
 	if c.now < c.leaseUntil {
-		c.next = attemptRoute{rev: c.rev, canaryID: route.ID, toCanary: toCanary}
+		c.nextAttempt = attemptRoute{rev: c.rev, canaryID: route.ID, toCanary: toCanary}
 	}
 	if toCanary {
-		c.next.lateIsFailure, c.next.budget = route.LateIsFailure, route.budget
+		c.nextAttempt.lateIsFailure, c.nextAttempt.budget = route.LateIsFailure, route.budget
 	}
 	return s
 }
 
-// takeNext returns what the attempt of the last pick acts on.
-func (c *canaryRouter) takeNext() attemptRoute {
-	next := c.next
-	c.next = attemptRoute{}
+// takeNextAttempt returns what the attempt of the last pick acts on.
+func (c *canaryRouter) takeNextAttempt() attemptRoute {
+	next := c.nextAttempt
+	c.nextAttempt = attemptRoute{}
 	return next
 }
 
@@ -150,8 +150,8 @@
 // canary whose units were spent on failures gets requests of the base only if no other server is left.
 func (c *canaryRouter) pickSide(p *routePick, side int) (*server, int) {
 	for _, acceptFull := range [2]bool{p.retry, true} {
-		for group := range groups {
-			lastResort := group == groups-1 && side == baseSide
+		for group := range groupsPerSide {
+			lastResort := group == groupsPerSide-1 && side == baseSide
 			if !acceptFull && lastResort && p.budget != nil && p.budget.exhausted() {
 				continue
 			}
@@ -160,14 +160,14 @@
 			}
 		}
 	}
-	return nil, groups
+	return nil, groupsPerSide
 }
 
 // pickGroup picks within a group, with the running values of the side.
 func (c *canaryRouter) pickGroup(p *routePick, side int, group uint8) (*server, int) {
 	for _, s := range c.servers {
 		placement := &s.placements[p.slot]
-		s.running, s.outsideGroup = placement.running[side], placement.group[side] != group
+		s.running, s.outsideGroup = placement.currentWeight[side], placement.group[side] != group
 	}
 	total := c.picker.weighCandidates(p.request, p.retry, p.withEjected)
 	p.totalWeight += total
@@ -182,33 +182,33 @@
 	case NotSent, LocalFailure:
 		return false
 	case Cancelled:
-		return a.missedForCanary
+		return a.lateForCanary
 	case OK:
 		late := ev.Elapsed > r.class.LatencyObjective
-		return a.missedForCanary || a.lateIsFailure && a.state != attemptAnswering && late
+		return a.lateForCanary || a.lateIsFailure && a.state != attemptResponding && late
 	}
 	return true
 }
 
-// settle ends an attempt's use of its budget.
-func (a *attempt) settle(r *request, ev Outcome) {
+// settleBudget ends an attempt's use of its budget.
+func (a *attempt) settleBudget(r *request, ev Outcome) {
 	if a.budget != nil {
 		a.budget.Settle(a.spendsUnit(r, ev))
 		a.budget = nil
 	}
 }
 
-// recordMissed marks the attempts in flight whose answer did not come in the client's time, or within the
+// recordLateAttempts marks the attempts in flight whose answer did not come in the client's time, or within the
 // objective where that counts. That the client has left, or is about to be answered, is no excuse for those.
-func (c *canaryRouter) recordMissed(r *request) {
-	timeOver := c.now >= r.arrivedAt+missedFraction*(r.deadline-r.arrivedAt)
+func (c *canaryRouter) recordLateAttempts(r *request) {
+	timeOver := c.now >= r.arrivedAt+missedDeadlineFraction*(r.deadline-r.arrivedAt)
 	for i := range r.attempts {
 		a := &r.attempts[i]
 		if a.state == attemptEnded {
 			continue
 		}
-		late := a.lateIsFailure && a.state != attemptAnswering && c.now > a.sentAt+r.class.LatencyObjective
-		a.missedForCanary = a.missedForCanary || timeOver || late
+		late := a.lateIsFailure && a.state != attemptResponding && c.now > a.sentAt+r.class.LatencyObjective
+		a.lateForCanary = a.lateForCanary || timeOver || late
 	}
 }
 
--- a/balance/routes_test.go
+++ b/balance/routes_test.go
@@ -190,14 +190,14 @@
 		"base":         {0, func(*harness) {}, false, []ServerID{3, 4}},
 		"one draining": {1, func(h *harness) { h.handle(list(Draining, 1)) }, true, []ServerID{2}},
 		"draining":     {1, func(h *harness) { h.handle(list(Draining, 1, 2)) }, false, []ServerID{3, 4}},
-		"gone":         {1, func(h *harness) { h.handle(list(Gone, 1, 2)) }, false, []ServerID{3, 4}},
+		"gone":         {1, func(h *harness) { h.handle(list(Removed, 1, 2)) }, false, []ServerID{3, 4}},
 		"not listed": {1, func(h *harness) {
 			h.handle(ServerList{Kind: ListFull, Servers: all[4:]})
-			h.handle(list(Gone, 1, 2, 3, 4))
+			h.handle(list(Removed, 1, 2, 3, 4))
 		}, false, others[2:]},
 		"ejected":      {1, func(h *harness) { eject(h, 1, 2) }, false, []ServerID{3, 4}},
 		"loaded":       {1, func(h *harness) { h.b.byID[1].inFlight, h.b.byID[2].inFlight = 9, 9 }, false, []ServerID{3, 4}},
-		"base gone":    {1, func(h *harness) { h.handle(list(Gone, 1, 2, 3, 4)) }, false, others[2:]},
+		"base gone":    {1, func(h *harness) { h.handle(list(Removed, 1, 2, 3, 4)) }, false, others[2:]},
 		"base ejected": {0, func(h *harness) { eject(h, 3, 4) }, false, others[2:]},
 		"canary left":  {0, func(h *harness) { eject(h, others...) }, false, []ServerID{1, 2}},
 		"all ejected":  {1, func(h *harness) { eject(h, 1, 2, 3, 4, 5, 6, 7, 8) }, false, []ServerID{3, 4}},
@@ -263,7 +263,7 @@
 			t.Errorf("has canary %d and revision %d", a.CanaryID, a.RoutesRev)
 		}
 		h.endAttempt(id, 0, NotSent, 0)
-		h.handle(ClientGone{Request: id})
+		h.handle(ClientDisconnected{Request: id})
 		h.cancelAttempts(id)
 		h.b.servers[0].inFlight = before
 	}
@@ -353,7 +353,7 @@
 	route.Base = Subset{Zones: []int{1}}
 	h := newRoutedHarness(t, route)
 	r := &request{class: &h.b.cfg.Classes[idempotentClass], stats: &h.b.demand.classes[idempotentClass], tenant: h.b.demand.tenant(0)}
-	if n := testing.AllocsPerRun(100, func() { r.positionDrawn = false; h.b.pick(r, false) }); n > 0 {
+	if n := testing.AllocsPerRun(100, func() { r.hasCanaryPosition = false; h.b.pick(r, false) }); n > 0 {
 		t.Errorf("%v allocations", n)
 	}
 	h.b.picker.pool.weight = 321
--- a/balance/slow_start_simulation_test.go
+++ b/balance/slow_start_simulation_test.go
@@ -409,7 +409,7 @@
 	}
 	f.handle(j.process, Outcome{
 		Request: j.request, Attempt: j.attempt, Server: j.server.entry.ID, Result: res, Elapsed: f.now - j.sentAt,
-		Finished: res == OK || j.process.balancer.requests[j.request].state == requestAnswered,
+		Finished: res == OK || j.process.balancer.requests[j.request].state == requestDone,
 	})
 }
 
--- a/balance/slow_start_test.go
+++ b/balance/slow_start_test.go
@@ -196,7 +196,7 @@
 			for _, s := range harnesses[i].b.servers {
 				s.rank = harnesses[i].b.rankOf(s)
 			}
-			harnesses[i].b.dropGone()
+			harnesses[i].b.dropRemovedServers()
 		}
 		const warm, end, perServer = 11000.0, 16000.0, 20.0 // perServer: requests a second
 		gap := 1000 / perServer / float64(c.servers)
--- a/balance/status.go
+++ b/balance/status.go
@@ -42,10 +42,10 @@
 
 // ZoneStatus is the state of zones, for monitoring.
 type ZoneStatus struct {
-	Left     int     // zones that get nothing, or are being tried
-	Spill    float64 // part of first attempts that begin beyond the own zone
-	FarSpill float64 // part of first attempts that begin beyond the own region
-	Evidence float64 // highest evidence against a zone
+	Suspended int     // zones that get nothing, or are being tried
+	Spill     float64 // part of first attempts that begin beyond the own zone
+	FarSpill  float64 // part of first attempts that begin beyond the own region
+	Evidence  float64 // highest evidence against a zone
 }
 
 // ZoneStatus returns the state of zones.
@@ -53,7 +53,7 @@
 	status := ZoneStatus{Spill: b.locality.spill[0], FarSpill: b.locality.spill[1]}
 	for _, z := range b.locality.zones {
 		if z.left {
-			status.Left++
+			status.Suspended++
 		}
 		status.Evidence = math.Max(status.Evidence, z.evidence)
 	}
--- a/balance/wallclock.go
+++ b/balance/wallclock.go
@@ -28,8 +28,8 @@
 // wallClock knows by how much the wall clock was ahead of the balancer's clock.
 type wallClock struct {
 	*shared
-	offsets []milliseconds // by which the wall clock was ahead, the newest last; nil: no step was noticed
-	stepped bool           // a step was noticed, or starts were listed that only a step explains
+	offsets      []milliseconds // by which the wall clock was ahead, the newest last; nil: no step was noticed
+	stepDetected bool           // a step was noticed, or starts were listed that only a step explains
 }
 
 // onClockStepped keeps the new offset beside those before it.
@@ -44,14 +44,14 @@
 	if len(c.offsets) > maxOffsets {
 		c.offsets = slices.Delete(c.offsets, 0, 1)
 	}
-	c.stepped = true
+	c.stepDetected = true
 	c.log(fmt.Sprintf(
 		"list: the wall clock was stepped, and is %.3f s ahead of this process's", ev.Offset/1000,
 	))
 }
 
-// known reports whether offsets of the wall clock are known.
-func (c *wallClock) known() bool { return len(c.offsets) > 0 }
+// hasOffsets reports whether offsets of the wall clock are hasOffsets.
+func (c *wallClock) hasOffsets() bool { return len(c.offsets) > 0 }
 
 // latestStart returns the latest time on the balancer's clock at which a server can have started whose start
 // on the wall clock is given. It is not after now, except for a start within futureSlack while no step has
@@ -60,15 +60,15 @@
 	if wall == 0 {
 		return 0
 	}
-	if !c.known() {
-		if wall > c.now+futureSlack {
+	if !c.hasOffsets() {
+		if wall > c.now+maxFutureStart {
 			return c.now
 		}
 		return wall
 	}
 	latest := math.Inf(-1)
 	for _, offset := range c.offsets {
-		if start := wall - offset; start <= c.now+futureSlack {
+		if start := wall - offset; start <= c.now+maxFutureStart {
 			latest = math.Max(latest, start)
 		}
 	}
@@ -91,16 +91,16 @@
 	}
 	since = c.latestStart(entry.StartedAt)
 	listed := s.zone != nil && s.suspectedSince == 0
-	inFuture := entry.StartedAt > c.now+futureSlack
+	inFuture := entry.StartedAt > c.now+maxFutureStart
 	if steppedBack || inFuture || listed && since < confirmedAt-maxListDelay {
-		c.stepped = true
+		c.stepDetected = true
 	}
 	switch {
-	case steppedBack && !c.known():
+	case steppedBack && !c.hasOffsets():
 		since = c.now
-	case listed && c.stepped:
+	case listed && c.stepDetected:
 		since = math.Max(since, confirmedAt)
 	}
-	s.ownStart = since
+	s.localStart = since
 	return since, true
 }
--- a/balance/wallclock_test.go
+++ b/balance/wallclock_test.go
@@ -47,7 +47,7 @@
 func (h *harness) passTime(ms float64) {
 	h.t.Helper()
 	h.now += ms
-	h.handle(ServerList{Kind: ListAlive})
+	h.handle(ServerList{Kind: ListUnchanged})
 }
 
 // stepClock steps this machine's wall clock to this offset in all.
@@ -68,7 +68,7 @@
 				h.now += 8e3
 				started := h.now - 200
 				s := h.updateServer(11, Server{ID: id, StartedAt: started + step})
-				if !h.b.slowStart.warmingUp(s) || s.slowStartAt < started-futureSlack || s.slowStartAt > h.now {
+				if !h.b.slowStart.warmingUp(s) || s.slowStartAt < started-maxFutureStart || s.slowStartAt > h.now {
 					t.Fatalf("started %.0f ms ago, slow start is %.0f ms old", h.now-started, h.now-s.slowStartAt)
 				}
 				h.passTime(h.b.cfg.SlowStartTime + 1)
@@ -87,7 +87,7 @@
 		check := func(h *harness, started, listed float64) {
 			t.Helper()
 			h.now += 500
-			if s := h.updateServer(11, Server{ID: 9, StartedAt: listed}); !h.b.slowStart.warmingUp(s) || s.slowStartAt < started-futureSlack {
+			if s := h.updateServer(11, Server{ID: 9, StartedAt: listed}); !h.b.slowStart.warmingUp(s) || s.slowStartAt < started-maxFutureStart {
 				t.Errorf("step %v s: started %.0f ms ago, slow start is %.0f ms old", step/1000, h.now-started, h.now-s.slowStartAt)
 			}
 		}
@@ -171,7 +171,7 @@
 				list.Servers[3].StartedAt = 0
 			}
 			h.handle(list)
-			if h.b.slowStart.warmingUp(h.b.byID[4]) || h.b.clock.stepped {
+			if h.b.slowStart.warmingUp(h.b.byID[4]) || h.b.clock.stepDetected {
 				t.Errorf("a restart is assumed: %+v", h.b.byID[4])
 			}
 		})
@@ -220,7 +220,7 @@
 	for rev, start := range []float64{-30e3, -100, 500} {
 		h.passTime(60e3)
 		s := h.updateServer(int64(11+rev), Server{ID: 4, StartedAt: h.now + start})
-		if s.slowStartAt != h.now+start || h.b.clock.stepped {
+		if s.slowStartAt != h.now+start || h.b.clock.stepDetected {
 			t.Errorf("start %v: slow start begins at %v", start, s.slowStartAt-h.now)
 		}
 	}
--- a/internal/lab/simulate/client_request.go
+++ b/internal/lab/simulate/client_request.go
@@ -126,7 +126,7 @@
 	c.clientDone = true
 	c.record(record.ClientLeft, record.Event{})
 	c.forget()
-	c.sidecar.handle(balance.ClientGone{Request: balance.RequestID(c.id)})
+	c.sidecar.handle(balance.ClientDisconnected{Request: balance.RequestID(c.id)})
 	c.request.scheduleRetry(0)
 }
 
--- a/internal/lab/simulate/faults.go
+++ b/internal/lab/simulate/faults.go
@@ -49,7 +49,7 @@
 	{kind: scenario.FaultDrain, once: drainAndRestart},
 	{kind: scenario.FaultReplace, once: func(sim *simulation, p *scenario.FaultPlan) {
 		sim.eachServer(p.Replacements, sim.startServer)
-		sim.drainServers(p.Servers, func(s *server) { sim.publish(s, balance.Gone, "Gone", sim.scenario.Discovery.DrainDelay) })
+		sim.drainServers(p.Servers, func(s *server) { sim.publish(s, balance.Removed, "Gone", sim.scenario.Discovery.DrainDelay) })
 	}},
 	{kind: scenario.FaultVanish, server: func(sim *simulation, _ *scenario.Fault, s *server, on bool) {
 		for i := range sim.sidecars {
--- a/internal/lab/simulate/fleet.go
+++ b/internal/lab/simulate/fleet.go
@@ -92,7 +92,7 @@
 	sim.members = m
 	for _, s := range sim.servers {
 		if s.listed = s.entry; s.down {
-			s.listed.State = balance.Gone
+			s.listed.State = balance.Removed
 		}
 	}
 	for _, c := range sim.sidecars {
@@ -155,7 +155,7 @@
 func (sim *simulation) currentList() []balance.Server {
 	var out []balance.Server
 	for _, s := range sim.servers {
-		if s.listed.State != balance.Gone {
+		if s.listed.State != balance.Removed {
 			out = append(out, s.listed)
 		}
 	}
--- a/internal/lab/simulate/simulate.go
+++ b/internal/lab/simulate/simulate.go
@@ -413,7 +413,7 @@
 		a.deliver(func() { a.reportFailure(balance.Reset) })
 	}
 	if announce {
-		sim.publish(s, balance.Gone, "Gone", sim.scenario.Discovery.CrashDelay)
+		sim.publish(s, balance.Removed, "Gone", sim.scenario.Discovery.CrashDelay)
 	}
 }
 
--- a/internal/route/decisions_test.go
+++ b/internal/route/decisions_test.go
@@ -140,7 +140,7 @@
 	case n < 97:
 		return p.handle(balance.CanaryLease{Until: p.now + float64(p.rng.Intn(400))})
 	case n < 98:
-		return p.handle(balance.ClientGone{Request: p.next})
+		return p.handle(balance.ClientDisconnected{Request: p.next})
 	case n < 99 && len(newer.List) > 0:
 		units, id := int64(p.rng.Intn(100)), newer.List[p.rng.Intn(len(newer.List))].ID
 		return id == 0 || p.handle(balance.BudgetGrant{ID: id, Units: 1e6 + units, MaxIdle: units})
--- a/internal/sidecar/config/server.go
+++ b/internal/sidecar/config/server.go
@@ -17,7 +17,7 @@
 	case "Ready":
 		s.State = balance.Ready
 	case "Gone":
-		s.State = balance.Gone
+		s.State = balance.Removed
 	default: // Terminating, or a state that this program does not know: it is not ready
 		s.State = balance.Draining
 	}
--- a/internal/sidecar/discovery/call.go
+++ b/internal/sidecar/discovery/call.go
@@ -133,7 +133,7 @@
 // post posts the event of an object, or of an empty line, which shows that the list service is alive.
 func (c *call) post(text []byte) error {
 	if len(text) == 0 {
-		c.client.post(ListEvent{Kind: balance.ListAlive, Source: c.source})
+		c.client.post(ListEvent{Kind: balance.ListUnchanged, Source: c.source})
 		return nil
 	}
 	var list endpointlist.List
--- a/internal/sidecar/discovery/client_test.go
+++ b/internal/sidecar/discovery/client_test.go
@@ -48,7 +48,7 @@
 		t.Errorf("%+v", n)
 	}
 	call.Line(t, "")
-	expectEvent(t, "that it is alive", events, balance.ListAlive)
+	expectEvent(t, "that it is alive", events, balance.ListUnchanged)
 	call.Send(t, endpointlist.List{Rev: 44, All: true})
 	expectEvent(t, "the list", events, balance.ListFull)
 	close(call.Lines)
--- a/internal/sidecar/discovery/lists_test.go
+++ b/internal/sidecar/discovery/lists_test.go
@@ -60,7 +60,7 @@
 			if n := sidecartest.Receive(t, "the change", events); n.Kind != balance.ListDelta || n.List.Rev != 43 || n.List.Targets[0].UID != `a"}}}` {
 				t.Errorf("%+v", n)
 			}
-			if n := sidecartest.Receive(t, "that it is alive", events); n.Kind != balance.ListAlive {
+			if n := sidecartest.Receive(t, "that it is alive", events); n.Kind != balance.ListUnchanged {
 				t.Errorf("%+v", n)
 			}
 			if n := sidecartest.Receive(t, "the list", events); n.Kind != balance.ListFull || n.List.Rev != 44 {
@@ -139,7 +139,7 @@
 	client.Subscribe(ctx)
 	first := sidecartest.Receive(t, "the watch", r.Calls)
 	first.Line(t, "")
-	if n := sidecartest.Receive(t, "that it is alive", events); n.Kind != balance.ListAlive {
+	if n := sidecartest.Receive(t, "that it is alive", events); n.Kind != balance.ListUnchanged {
 		t.Errorf("%+v", n)
 	}
 	sidecartest.AnswerAll(t, r, endpointlist.List{Rev: 7})
--- a/internal/sidecar/eventloop/actions.go
+++ b/internal/sidecar/eventloop/actions.go
@@ -42,7 +42,7 @@
 		l.Discovery.Watch(l.ctx, action.Source)
 	case balance.Fetch:
 		l.Discovery.Fetch(l.ctx, action.Source)
-	case balance.Forget:
+	case balance.RemoveServer:
 		l.retireServer(l.servers[action.Server])
 	default:
 		slog.Error("eventloop: unknown action of the balancer", "action", action.Kind)
--- a/internal/sidecar/eventloop/calls.go
+++ b/internal/sidecar/eventloop/calls.go
@@ -37,7 +37,7 @@
 // takeClientGone ends a call whose client has left.
 func (l *Loop) takeClientGone(now float64, c *inflight.Call) {
 	l.cancelUnwritten(c)
-	l.HandleEvent(now, balance.ClientGone{Request: c.Request.ID})
+	l.HandleEvent(now, balance.ClientDisconnected{Request: c.Request.ID})
 	l.release(c)
 }
 
@@ -51,7 +51,7 @@
 	a.FirstByteAfter = now - a.StartedAt
 	c.Answers <- answer
 	l.cancelUnwritten(c)
-	l.HandleEvent(now, balance.AnswerStarted{
+	l.HandleEvent(now, balance.ResponseStarted{
 		Request: c.Request.ID, Attempt: a.Number, Server: a.Server.ID, Elapsed: a.FirstByteAfter,
 	})
 }
--- a/internal/sidecar/metrics/metrics.go
+++ b/internal/sidecar/metrics/metrics.go
@@ -100,7 +100,7 @@
 		{"list_source", "gauge", int64(servers.List.Source)},
 		{"list_stale", "gauge", Bool(servers.List.Stale)},
 		{"list_refused", "gauge", Bool(servers.List.Rejected)},
-		{"zones_left", "gauge", int64(servers.Zones.Left)},
+		{"zones_left", "gauge", int64(servers.Zones.Suspended)},
 		{"zone_spill_percent", "gauge", int64(100 * servers.Zones.Spill)},
 		{"region_spill_percent", "gauge", int64(100 * servers.Zones.FarSpill)},
 	}
--- a/internal/wire/decode.go
+++ b/internal/wire/decode.go
@@ -136,13 +136,13 @@
 	case codeTimerFired:
 		rec.Event = balance.Timer{Token: f.u64()}
 	case codeAnswerStarted:
-		ev := balance.AnswerStarted{Request: balance.RequestID(f.u64()), Attempt: int(f.u8()), Server: f.server()}
+		ev := balance.ResponseStarted{Request: balance.RequestID(f.u64()), Attempt: int(f.u8()), Server: f.server()}
 		ev.Elapsed = f.f64()
 		rec.Event = ev
 	case codeOutcome:
 		rec.Event, err = r.readOutcome(f)
 	case codeClientGone:
-		rec.Event = balance.ClientGone{Request: balance.RequestID(f.u64())}
+		rec.Event = balance.ClientDisconnected{Request: balance.RequestID(f.u64())}
 	case codeHealthCheckResult:
 		rec.Event, err = r.readHealthCheckResult(f)
 	case codeMessage:
@@ -179,7 +179,7 @@
 		case 2:
 			s.State = balance.Draining
 		case 1:
-			s.State = balance.Gone
+			s.State = balance.Removed
 		default:
 			return fmt.Errorf("entry %d: unknown condition %d", i, state)
 		}
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -72,7 +72,7 @@
 	if ev := recs[1].Event; ev != any(balance.Timer{Token: 77}) {
 		t.Errorf("timer: %+v", ev)
 	}
-	if ev := recs[2].Event; ev != any(balance.ClientGone{Request: 0xb677a0e6f2b19}) || recs[2].Instance != 5 {
+	if ev := recs[2].Event; ev != any(balance.ClientDisconnected{Request: 0xb677a0e6f2b19}) || recs[2].Instance != 5 {
 		t.Errorf("client gone: %+v", recs[2])
 	}
 	list := recs[3].Event.(balance.ServerList)
