--- a/balance/ejection.go
+++ b/balance/ejection.go
@@ -70,14 +70,14 @@
 	if unreachable || s.consecutiveErrors >= errorsToEject {
 		d.eject(s)
 		if s.suspectedSince > 0 {
-			d.list.endSuspicion(s)
+			d.list.removeSuspected(s)
 		}
 	}
 }
 
 // recordFailedAttempt evaluates an attempt that ended without a response.
 func (d *outlierDetector) recordFailedAttempt(r *request, a *attempt, ev Outcome) {
-	unreachable := ev.Result.away()
+	unreachable := ev.Result.serverUnreachable()
 	if !unreachable && (a.overdue || d.excused(r, a, ev.Result)) {
 		return
 	}
--- a/balance/locality_test.go
+++ b/balance/locality_test.go
@@ -103,7 +103,7 @@
 			}
 			return failZone(0)(s)
 		})
-		suspended := h.b.ZoneStatus().Left == 1
+		suspended := h.b.ZoneStatus().Suspended == 1
 		// A dead own zone is detected at once. A dead remote zone needs no attempts.
 		if near := h.b.cfg.Zone == 0; near && (!suspended || len(tried) != 2) || !near && len(tried) > 2 {
 			t.Errorf("own zone %d: %d servers of the dead zone were tried, suspended %v", h.b.cfg.Zone, len(tried), suspended)
@@ -115,12 +115,12 @@
 func TestLocality_allZonesFail(t *testing.T) {
 	h := newZoneHarness(t, nil, 6, 6, 6)
 	h.playRequests(60, 100, func(*server) Result { return ConnectFailed })
-	if z := h.b.ZoneStatus(); z.Left != 0 || z.Evidence == 0 {
+	if z := h.b.ZoneStatus(); z.Suspended != 0 || z.Evidence == 0 {
 		t.Errorf("%+v", z)
 	}
 	// When one zone responds again, the zone that still fails is suspended.
 	h.playRequests(60, 100, failZone(0))
-	if z := h.b.ZoneStatus(); z.Left != 1 {
+	if z := h.b.ZoneStatus(); z.Suspended != 1 {
 		t.Errorf("one zone responds and another does not: %+v", z)
 	}
 }
@@ -169,7 +169,7 @@
 		}
 		return OK
 	})
-	if z := h.b.ZoneStatus(); z.Left != 0 {
+	if z := h.b.ZoneStatus(); z.Suspended != 0 {
 		t.Errorf("a zone that answers every second request was suspended: %+v", z)
 	}
 }
@@ -387,7 +387,7 @@
 		if z.trialsInFlight != 1 {
 			t.Fatalf("%g trials in flight after %d started responses", z.trialsInFlight, n-1)
 		}
-		h.handle(AnswerStarted{Request: h.lastID, Server: h.b.requests[h.lastID].attempts[0].server.ID, Elapsed: 50})
+		h.handle(ResponseStarted{Request: h.lastID, Server: h.b.requests[h.lastID].attempts[0].server.ID, Elapsed: 50})
 		if z.trialsInFlight != 0 || z.trialLimit != float64(n) {
 			t.Fatalf("%+v after %d started responses", z, n)
 		}
--- a/balance/rotation_test.go
+++ b/balance/rotation_test.go
@@ -95,7 +95,7 @@
 		t.Fatal("all servers are in the rotation")
 	}
 	for _, s := range h.b.servers {
-		if weight := s.placements[0].running[baseSide]; weight > total {
+		if weight := s.placements[0].currentWeight[baseSide]; weight > total {
 			t.Errorf("server %d has the current weight %v, the sum of weights is %v", s.ID, weight, total)
 		}
 	}
@@ -114,7 +114,7 @@
 		for _, s := range h.b.servers {
 			s.rank = h.b.rankOf(s)
 		}
-		h.b.dropGone()
+		h.b.dropRemovedServers()
 		sends := map[ServerID]int{}
 		for range 60 {
 			h.now += 1000
--- a/internal/sidecar/clientserver/framing.go
+++ b/internal/sidecar/clientserver/framing.go
@@ -17,7 +17,7 @@
 // HeadListener makes connections keep the head of the request that is being read.
 type HeadListener struct {
 	net.Listener
-	connStates *netcall.ConnStates
+	connStates *netcall.ConnStateReader
 }
 
 // HeadListener wraps the listener from which the server is to be served.
@@ -33,8 +33,8 @@
 	}
 	acceptedLate := false
 	if client, ok := conn.(*ClientConn); ok {
-		l.connStates.Learn(client.Conn)
-		acceptedLate = client.limiter.acceptsFailed() && netcall.SinceLastData(client.Conn) >= netcall.LateAccept
+		l.connStates.VerifyQuery(client.Conn)
+		acceptedLate = client.limiter.acceptsFailed() && netcall.SinceLastData(client.Conn) >= netcall.LateAcceptThreshold
 	}
 	return framing.NewClientHeadConn(conn, acceptedLate), nil
 }
@@ -77,9 +77,9 @@
 	return nil
 }
 
-// FollowConnections lets a Limiter know what net/http does with its connections. A request is at work once its head has
+// TrackConnections lets a Limiter know what net/http does with its connections. A request is at work once its head has
 // been read: from then on net/http reads ahead, and the handler may not have run yet.
-func FollowConnections(server *http.Server) *http.Server {
+func TrackConnections(server *http.Server) *http.Server {
 	connState, handler := server.ConnState, server.Handler
 	server.ConnState = func(conn net.Conn, state http.ConnState) {
 		if conn, ok := conn.(*framing.HeadConn); ok && state == http.StateActive {
