--- a/balance/locality_test.go
+++ b/balance/locality_test.go
@@ -158,7 +158,7 @@
 }
 
 // A response clears the evidence against its zone: a zone that answers every second request is not suspended.
-func TestLocality_answerClearsEvidence(t *testing.T) {
+func TestLocality_responseClearsEvidence(t *testing.T) {
 	h := newZoneHarness(t, nil, 8, 8)
 	n := 0
 	h.playRequests(200, 50, func(s *server) Result {
--- a/balance/retry_test.go
+++ b/balance/retry_test.go
@@ -111,7 +111,7 @@
 }
 
 // A request whose remaining time is 0 is rejected at once.
-func TestRetry_noTimeLeft(t *testing.T) {
+func TestRetry_noRemainingTime(t *testing.T) {
 	h := newHarness(t, baseConfig(), identicalServers(4)...)
 	actions := h.handle(Request{ID: 1, Class: nonIdempotentClass, Remaining: 0})
 	if !hasAction(actions, Reject) || hasAction(actions, Send) {
--- a/balance/slow_start_simulation_test.go
+++ b/balance/slow_start_simulation_test.go
@@ -183,7 +183,7 @@
 func (f *fleetSimulation) startProcess(p *simulatedProcess, seed uint64) {
 	p.balancer = mustNew(f.t, f.scenario.config(p.number, f.processCount, seed))
 	p.notifiedStart, p.jobs, p.clientRetries = map[ServerID]float64{}, map[RequestID][]*serverJob{}, map[RequestID]int{}
-	f.carryOut(p, p.balancer.Start(f.now))
+	f.executeActions(p, p.balancer.Start(f.now))
 	var list []Server
 	for _, s := range f.servers {
 		if s.up || s.entry.StartedAt > 0 {
@@ -307,11 +307,11 @@
 	if err != nil {
 		f.t.Fatalf("process %d, %#v: %v", p.number, ev, err)
 	}
-	f.carryOut(p, actions)
+	f.executeActions(p, actions)
 }
 
-// carryOut executes the actions of a balancer as a sidecar does.
-func (f *fleetSimulation) carryOut(p *simulatedProcess, actions []Action) {
+// executeActions executes the actions of a balancer as a sidecar does.
+func (f *fleetSimulation) executeActions(p *simulatedProcess, actions []Action) {
 	for _, a := range slices.Clone(actions) {
 		incarnation := p.incarnation
 		switch a.Kind {
--- a/balance/slow_start_test.go
+++ b/balance/slow_start_test.go
@@ -156,7 +156,7 @@
 
 // The responses that are assumed for sidecars with little traffic add nearly nothing to the budget of servers in
 // slow start, as they would add up over the fleet. Observed responses do.
-func TestSlowStart_assumedAnswers(t *testing.T) {
+func TestSlowStart_assumedResponses(t *testing.T) {
 	h := newHarness(t, baseConfig(), identicalServers(4)...)
 	s := h.restartFirstServer()
 	if h.b.picker.withinBudget(s); s.tokens > 0.2 { // would be 1 with ten assumed responses
