--- a/balance/admission.go
+++ b/balance/admission.go
@@ -9,7 +9,7 @@
 	initialLatency    = 0.33 // minimum latency until enough responses were measured
 	meanWindow        = 50   // responses or load reports over which a mean is averaged
 	maxLatency        = 2    // upper limit of latencies that are recorded
-	proportionalGain  = 1.5  // fraction of the load shed at once, per unit of excess latency
+	proportionalGain  = 1.5  // fraction of the load that is shed at once, per unit of excess latency
 	minControllerStep = 0.04 // least factor by which the excess of a request is added to sustainedShed
 	maxControllerStep = 0.34 // greatest such factor, for requests that are far apart
 	// Part of sustainedShed that sheds no load, as latencies of few requests vary by chance.
@@ -41,10 +41,10 @@
 	sustainedShed float64 // integral term: fraction of load to shed that accumulates while latencies are high
 
 	// Latencies as multiples of the objective.
-	meanLatency      float64 // of recent responses
+	meanLatency      float64 // mean latency of recent responses
 	latencySamples   float64 // responses over which meanLatency is averaged
 	minMeanLatency   float64 // smallest meanLatency so far
-	estimatedLatency float64 // by Little's law
+	estimatedLatency float64 // latency estimated by Little's law
 
 	responses       decayingCounter // responses, over a span of rateSpanObjectives objectives
 	recentResponses decayingCounter // responses, over a span of one objective
--- a/balance/server.go
+++ b/balance/server.go
@@ -3,11 +3,11 @@
 // server is the state of one server. Each embedded struct belongs to the component that writes it.
 type server struct {
 	Server        // the newest accepted list entry
-	listing       // endpointList
-	candidacy     // picker
-	failureRecord // outlierDetector
-	warmUp        // slowStart
-	healthReport  // healthChecker
+	listing       // written by endpointList
+	candidacy     // written by picker
+	failureRecord // written by outlierDetector
+	warmUp        // written by slowStart
+	healthReport  // written by healthChecker
 
 	zone       *zone
 	logSize    float64          // learned log size without the terms of its kind and zone; written by capacityModel
