--- a/internal/sidecar/netcall/conn.go
+++ b/internal/sidecar/netcall/conn.go
@@ -9,24 +9,25 @@
 	"golang.org/x/sys/unix"
 )
 
-// PastDeadline as a deadline ends every read and write that waits on a connection.
+// PastDeadline is a deadline that makes every read and write of a connection fail at once, including those that are
+// waiting.
 var PastDeadline = time.Unix(1, 0)
 
-// sendBufferBytes keeps the system from taking megabytes for a slow peer, and from waking a writer only once a third of them
-// is gone.
+// sendBufferBytes keeps the system from buffering megabytes for a slow receiver, and from waking a writer only once a
+// third of them has been sent.
 const sendBufferBytes = 64 << 10
 
 // DialFunc opens a connection, as net.Dialer.DialContext does.
 type DialFunc = func(ctx context.Context, network, addr string) (net.Conn, error)
 
-// LimitSendBuffer bounds what the system takes for a peer that does not read.
+// LimitSendBuffer limits how many bytes the system buffers for a remote side that does not read.
 func LimitSendBuffer(c net.Conn) {
 	if tcp, ok := c.(interface{ SetWriteBuffer(int) error }); ok {
 		_ = tcp.SetWriteBuffer(sendBufferBytes)
 	}
 }
 
-// WriteNow writes what the system takes without waiting: a client that does not read gets nothing.
+// WriteNow writes what the system accepts without waiting. A client that does not read gets nothing.
 func WriteNow(c net.Conn, text string) {
 	conn, ok := c.(syscall.Conn)
 	if !ok {
@@ -37,8 +38,9 @@
 	}
 }
 
-// SinceLastData is how long ago the system got the last bytes from the peer of a connection or, before any, the connection,
-// with the resolution of its clock, some milliseconds. It is 0 where the system does not say.
+// SinceLastData returns how long ago the system received the last bytes from the remote side or, if there were none,
+// how long ago the connection was established. The resolution is that of the system's clock, some milliseconds. It
+// returns 0 if the system does not report the time.
 func SinceLastData(conn net.Conn) time.Duration {
 	tcp, ok := conn.(syscall.Conn)
 	if !ok {
@@ -49,14 +51,14 @@
 		return 0
 	}
 	var info *unix.TCPInfo
-	var failed error
+	var queryErr error
 	err = raw.Control(func(fd uintptr) {
-		failed = RetryQuery(func() (err error) {
+		queryErr = RetryQuery(func() (err error) {
 			info, err = tcpInfo(int(fd))
 			return err
 		})
 	})
-	if err != nil || failed != nil || info.State != unix.BPF_TCP_ESTABLISHED && info.State != unix.BPF_TCP_CLOSE_WAIT {
+	if err != nil || queryErr != nil || info.State != unix.BPF_TCP_ESTABLISHED && info.State != unix.BPF_TCP_CLOSE_WAIT {
 		return 0
 	}
 	return time.Duration(info.Last_data_recv) * time.Millisecond
--- a/internal/sidecar/netcall/conn_state.go
+++ b/internal/sidecar/netcall/conn_state.go
@@ -9,23 +9,24 @@
 	"golang.org/x/sys/unix"
 )
 
-// errNoTCP reports a connection without a descriptor of the system.
-var errNoTCP = errors.New("no TCP connection of the system")
+// errNoDescriptor reports a connection that is not a socket of the system.
+var errNoDescriptor = errors.New("connection has no socket descriptor")
 
-// ConnStateReader reports whether the peer of a connection has closed, half-closed or reset it, also behind unread bytes, and
-// reads none of them.
+// ConnStateReader reports whether the remote side has closed, half-closed or reset a connection, even if unread bytes
+// arrived before that. It consumes no bytes.
 type ConnStateReader struct {
-	// Query returns the state of a connection, one of unix.BPF_TCP_*.
+	// Query returns the TCP state of a connection, one of unix.BPF_TCP_*.
 	Query func(fd int) (uint8, error)
-	// trusted is set once Query has reported an established connection. Where something stands between this process and
-	// the system and does not know the call, an answer may be about something else.
+	// trusted is set once Query has reported an established connection. Where a layer between this process and the
+	// kernel does not implement the query, it may return unrelated data.
 	trusted atomic.Bool
 }
 
-// NewConnStateReader returns states that query the system, and trust it once it has reported an established connection.
+// NewConnStateReader returns a reader that queries the system. It trusts the results once one of them was an
+// established connection.
 func NewConnStateReader() *ConnStateReader { return &ConnStateReader{Query: tcpState} }
 
-// tcpState queries the system for the state of a connection, one of unix.BPF_TCP_*.
+// tcpState queries the system for the TCP state of a connection, one of unix.BPF_TCP_*.
 func tcpState(fd int) (uint8, error) {
 	info, err := tcpInfo(fd)
 	if err != nil {
@@ -34,36 +35,36 @@
 	return info.State, nil
 }
 
-// tcpInfo queries the system for what it knows of a socket.
+// tcpInfo queries the system for the TCP_INFO of a socket.
 func tcpInfo(fd int) (*unix.TCPInfo, error) {
 	return unix.GetsockoptTCPInfo(fd, unix.IPPROTO_TCP, unix.TCP_INFO)
 }
 
-// VerifyQuery finds out with an established connection whether states can be trusted.
+// VerifyQuery checks with an established connection whether the results of Query can be trusted.
 func (s *ConnStateReader) VerifyQuery(c net.Conn) {
 	if !s.trusted.Load() {
-		_, _ = s.State(c) // State itself learns from it
+		_, _ = s.State(c) // State records whether Query can be trusted
 	}
 }
 
-// State returns the state of a connection; a query for which the system is short of resources is repeated.
+// State returns the TCP state of a connection. It repeats a query that fails because the system is short of resources.
 func (s *ConnStateReader) State(c net.Conn) (state uint8, err error) {
 	tcp, ok := c.(syscall.Conn)
 	if !ok {
-		return 0, errNoTCP
+		return 0, errNoDescriptor
 	}
 	raw, err := tcp.SyscallConn()
 	if err != nil {
 		return 0, err
 	}
-	var failed error
+	var queryErr error
 	err = raw.Control(func(fd uintptr) {
-		failed = RetryQuery(func() (err error) {
+		queryErr = RetryQuery(func() (err error) {
 			state, err = s.Query(int(fd))
 			return err
 		})
 	})
-	if err = errors.Join(err, failed); err != nil {
+	if err = errors.Join(err, queryErr); err != nil {
 		return 0, err
 	}
 	if state == unix.BPF_TCP_ESTABLISHED {
@@ -72,20 +73,20 @@
 	return state, nil
 }
 
-// PeerClosed reports whether the peer is known to have gone. Where the state of a connection cannot be had the connection is
-// peeked at: that does not see an end behind unread bytes.
+// PeerClosed reports whether the remote side is known to have closed the connection. If the state of the connection is
+// not available, it peeks at the connection, which does not show a close behind unread bytes.
 func (s *ConnStateReader) PeerClosed(c net.Conn) bool {
 	state, err := s.State(c)
 	if err == nil && s.trusted.Load() {
 		return closedByPeer(state)
 	}
-	if errors.Is(err, errNoTCP) {
+	if errors.Is(err, errNoDescriptor) {
 		return false
 	}
 	return peekState(c) == peekEnded
 }
 
-// closedByPeer reports whether a connection in a state gets nothing more from its peer.
+// closedByPeer reports whether a connection in the given state receives nothing more from its remote side.
 func closedByPeer(state uint8) bool {
 	switch state {
 	case unix.BPF_TCP_CLOSE_WAIT, unix.BPF_TCP_LAST_ACK, unix.BPF_TCP_CLOSING, unix.BPF_TCP_TIME_WAIT, unix.BPF_TCP_CLOSE:
--- a/internal/sidecar/netcall/doc.go
+++ b/internal/sidecar/netcall/doc.go
@@ -1,5 +1,6 @@
-// Package netcall holds what the sidecar asks of the system beside package net: which party an errno blames, calls that are
-// repeated while the system is short of resources, the state of a connection without reading from it, and planted faults.
+// Package netcall adds to package net what the sidecar needs of the system. It classifies error numbers by the party at fault,
+// repeats calls while the system is short of resources, queries the state of a connection without reading from it, and
+// injects faults.
 //
-// It starts no goroutine and holds no lock. Its calls wait only where their name or comment says that they retry.
+// It starts no goroutine and holds no lock. A call waits only where its name or comment says that it retries.
 package netcall
--- a/internal/sidecar/netcall/faults.go
+++ b/internal/sidecar/netcall/faults.go
@@ -7,13 +7,13 @@
 	"marblelane/internal/fault"
 )
 
-// faultyListener fails as planned before it accepts.
+// faultyListener returns the planned failures from Accept.
 type faultyListener struct {
 	net.Listener
 	faults *fault.Plan
 }
 
-// WithFaults makes a listener's accepts fail as planned; without a plan it returns the listener itself.
+// WithFaults returns a listener whose Accept fails as planned. Without a plan it returns the listener itself.
 func WithFaults(l net.Listener, faults *fault.Plan) net.Listener {
 	if faults == nil {
 		return l
@@ -29,7 +29,7 @@
 	return l.Listener.Accept()
 }
 
-// ReadFile reads a file, or fails as planned when it is opened.
+// ReadFile reads a file. Opening it fails if the plan says so.
 func ReadFile(path string, faults *fault.Plan) ([]byte, error) {
 	if err := faults.Call(fault.CallOpen); err != nil {
 		return nil, &os.PathError{Op: "open", Path: path, Err: err}
--- a/internal/sidecar/netcall/peek.go
+++ b/internal/sidecar/netcall/peek.go
@@ -11,14 +11,14 @@
 	return state == peekQuiet || state == peekUnread, state == peekUnread
 }
 
-// peekResult is what peeking at a connection shows.
+// peekResult is the state of a connection as a peek shows it.
 type peekResult uint8
 
 const (
 	peekUnknown peekResult = iota // peeking failed
 	peekQuiet                     // open, with nothing to read
-	peekUnread                    // it holds unread bytes
-	peekEnded                     // its other end has closed or broken it, or this one has closed it
+	peekUnread                    // open, with unread bytes
+	peekEnded                     // closed or reset by the remote side, or closed by this side
 )
 
 // String returns the name of the result.
@@ -34,10 +34,10 @@
 	return "unknown"
 }
 
-// maxPeeks is how often a call that is interrupted is made in all.
-const maxPeeks = 10
+// maxPeekTries is how many times peekWith makes a call that is interrupted.
+const maxPeekTries = 10
 
-// peekState peeks at a connection, which loses no bytes by it.
+// peekState peeks at a connection without consuming bytes.
 func peekState(c net.Conn) peekResult {
 	tcp, ok := c.(syscall.Conn)
 	if !ok {
@@ -48,7 +48,7 @@
 		return peekUnknown
 	}
 	var state peekResult
-	// Control and not Read, as another goroutine may be reading the connection.
+	// Control instead of Read, as another goroutine may be reading the connection.
 	err = raw.Control(func(fd uintptr) {
 		var first [1]byte
 		state = peekWith(func() (int, error) {
@@ -57,14 +57,14 @@
 		})
 	})
 	if err != nil {
-		return peekEnded // closed by this end
+		return peekEnded // closed by this side
 	}
 	return state
 }
 
-// peekWith peeks with a call that returns how many bytes there are, up to one, and leaves them to be read.
+// peekWith peeks with a call that returns the number of bytes that can be read, at most 1, and does not consume them.
 func peekWith(receive func() (int, error)) peekResult {
-	for range maxPeeks {
+	for range maxPeekTries {
 		n, err := receive()
 		switch {
 		case err == syscall.EINTR:
--- a/internal/sidecar/netcall/peek_test.go
+++ b/internal/sidecar/netcall/peek_test.go
@@ -12,7 +12,7 @@
 		n   int
 		err error
 	}
-	endless := slices.Repeat([]callResult{{-1, syscall.EINTR}}, maxPeeks)
+	endless := slices.Repeat([]callResult{{-1, syscall.EINTR}}, maxPeekTries)
 	for name, test := range map[string]struct {
 		calls []callResult
 		want  peekResult
--- a/internal/sidecar/netcall/retry.go
+++ b/internal/sidecar/netcall/retry.go
@@ -11,23 +11,24 @@
 )
 
 const (
-	// maxQueries is how often RetryQuery makes a call in all.
-	maxQueries = 3
+	// maxQueryTries is how many times RetryQuery makes a call at most.
+	maxQueryTries = 3
 
-	// RetryCall pauses for minCallPause to maxCallPause between two calls, and for maxCallTime in all.
+	// RetryCall pauses for minCallPause to maxCallPause between two calls, and stops repeating after maxCallTime.
 	minCallPause = time.Millisecond
 	maxCallPause = 20 * time.Millisecond
 	maxCallTime  = time.Second
 
-	minRetryPause = 5 * time.Millisecond // of RetryingReader; each pause is twice the one before
-	// MaxRetryPause is the longest pause before a read or a call to a list service is made again.
+	minRetryPause = 5 * time.Millisecond // first pause of RetryingReader; each further pause is twice the previous one
+	// MaxRetryPause is the longest pause before a read or a call to a list service is repeated.
 	MaxRetryPause = 100 * time.Millisecond
 )
 
-// RetryQuery makes a system call again, at once and a few times, while the system is short of resources for it.
+// RetryQuery makes a system call, and repeats it at once up to maxQueryTries calls in total while the system is short
+// of resources.
 func RetryQuery(call func() error) error {
 	var err error
-	for range maxQueries {
+	for range maxQueryTries {
 		if err = call(); !retry.ShortOfResources(err) {
 			return err
 		}
@@ -35,7 +36,7 @@
 	return err
 }
 
-// RetryCall makes a call again for up to maxCallTime while the system is short of resources for it.
+// RetryCall makes a call, and repeats it for up to maxCallTime while the system is short of resources.
 func RetryCall(call func() error) error {
 	err := call()
 	if !retry.ShortOfResources(err) {
@@ -48,10 +49,10 @@
 	return err
 }
 
-// RetryingConn repeats reads and writes for which the system is short of resources.
+// RetryingConn repeats reads and writes that fail because the system is short of resources.
 type RetryingConn struct{ net.Conn }
 
-// Read reads what has come.
+// Read reads the bytes that have arrived.
 func (c RetryingConn) Read(p []byte) (n int, err error) {
 	err = RetryCall(func() (failed error) {
 		n, failed = c.Conn.Read(p)
@@ -70,17 +71,18 @@
 	return n, err
 }
 
-// RetryingReader reads a connection. After a momentary failure of the system it reads again until the connection's deadline
-// ends it: a read that failed so has taken no bytes. After any other failure it goes on to fail: package bufio drops an error
-// behind the start of a line, and as the system may report it only once the remainder would be read as another line.
+// RetryingReader reads from a connection. It repeats a read that failed with a transient error, which has consumed no
+// bytes, until the deadline of the connection passes. After any other failure all later reads return the same error:
+// package bufio drops an error that follows the start of a line, and as the system may report the error only once, the
+// remainder would otherwise be read as another line.
 type RetryingReader struct {
-	failed error // nil after momentary failures and the connection's deadline
+	permanentErr error // returned by all later reads; nil after transient errors and after the deadline of the connection
 }
 
-// Read returns the errors of the connection but for momentary ones.
+// Read reads from the connection and returns its errors except for transient ones.
 func (r *RetryingReader) Read(conn io.Reader, p []byte) (int, error) {
-	if r.failed != nil {
-		return 0, r.failed
+	if r.permanentErr != nil {
+		return 0, r.permanentErr
 	}
 	for pause := minRetryPause; ; pause = min(2*pause, MaxRetryPause) {
 		n, err := conn.Read(p)
@@ -89,7 +91,7 @@
 			continue
 		}
 		if err != nil && !errors.Is(err, os.ErrDeadlineExceeded) {
-			r.failed = err
+			r.permanentErr = err
 		}
 		return n, err
 	}
--- a/internal/sidecar/netcall/retry_test.go
+++ b/internal/sidecar/netcall/retry_test.go
@@ -26,7 +26,7 @@
 			if err := failure(); err != nil {
 				return nil, err
 			}
-			return systemQueue.tcpInfo(fd)
+			return systemListenQueue.tcpInfo(fd)
 		}
 	}
 	type test struct {
@@ -34,7 +34,7 @@
 		empty, two, closed int
 	}
 	tests := map[string]test{
-		"known":             {systemQueue, 0, 2, 0},
+		"known":             {systemListenQueue, 0, 2, 0},
 		"unknown call":      {listenQueue{failing(unix.ENOPROTOOPT), unix.Poll}, 0, 1, 0},
 		"neither call":      {listenQueue{failing(unix.EPERM), noPoll}, 1, 1, 0},
 		"of something else": {listenQueue{func(int) (*unix.TCPInfo, error) { return &unix.TCPInfo{}, nil }, noPoll}, 0, 0, 0},
@@ -51,7 +51,7 @@
 			}
 			defer l.Close()
 			tcp := l.(*net.TCPListener)
-			if got := test.queue.waiting(tcp); got != test.empty {
+			if got := test.queue.length(tcp); got != test.empty {
 				t.Errorf("none waits: %d, want %d", got, test.empty)
 			}
 			for range 2 {
@@ -61,12 +61,12 @@
 				}
 				defer c.Close()
 			}
-			sidecartest.Until(t, "two that wait", func() bool { return systemQueue.waiting(tcp) == 2 })
-			if got := test.queue.waiting(tcp); got != test.two {
+			sidecartest.Until(t, "two that wait", func() bool { return systemListenQueue.length(tcp) == 2 })
+			if got := test.queue.length(tcp); got != test.two {
 				t.Errorf("two wait: %d, want %d", got, test.two)
 			}
 			l.Close()
-			if got := test.queue.waiting(tcp); got != test.closed {
+			if got := test.queue.length(tcp); got != test.closed {
 				t.Errorf("closed: %d, want %d", got, test.closed)
 			}
 		})
@@ -93,7 +93,7 @@
 			}
 			client.Close()
 			sidecartest.Until(t, "the end to arrive", func() bool { return system.PeerClosed(server) })
-			failure = sidecartest.FailFirst(maxQueries-1, errno)
+			failure = sidecartest.FailFirst(maxQueryTries-1, errno)
 			if !states.PeerClosed(server) {
 				t.Error("a client that has gone is taken for one that is there")
 			}
--- a/internal/sidecar/upstream/attempt_test.go
+++ b/internal/sidecar/upstream/attempt_test.go
@@ -84,7 +84,7 @@
 			held := &heldConn{TCPConn: conn.Conn.(*net.TCPConn), noticed: make(chan struct{}), returns: returns}
 			held.length = setUpload(t, a, size, more)
 			conn.Conn, conn.head.Conn = held, held
-			p.put(conn)
+			p.release(conn)
 			if r := p.Send(a); r.Result != balance.OK || string(r.Answer.Body) != "done" {
 				t.Errorf("result %v with %q, want the server's answer", r.Result, r.Answer.Body)
 			}
@@ -117,7 +117,7 @@
 func TestKeyWindow_endsBeforeFirstByte(t *testing.T) {
 	b := sidecartest.NewBackend(t, "a", sidecartest.Respond("HTTP/1.1 500 Oh\r\nContent-Length: 0\r\n\r\n", true))
 	p, a, conn, _ := newExchange(t, b)
-	p.put(conn)
+	p.release(conn)
 	const window = 50 * time.Millisecond
 	setKeyWindow(p, a, window, []byte("plate 12-34"))
 	if r := p.Send(a); r.Result != balance.Failed {
@@ -141,7 +141,7 @@
 func TestKeyWindow_startsWithPossibleRun(t *testing.T) {
 	b := sidecartest.NewBackend(t, "a", sidecartest.Respond("HTTP/1.1 503 No\r\nX-Not-Processed: 1\r\nContent-Length: 0\r\n\r\n", true))
 	p, a, conn, _ := newExchange(t, b)
-	p.put(conn)
+	p.release(conn)
 	setKeyWindow(p, a, time.Nanosecond, []byte("plate 12-34"))
 	for range 2 {
 		if r := p.Send(a); r.Result != balance.Rejected {
@@ -169,7 +169,7 @@
 	b := sidecartest.NewBackend(t, "b", sidecartest.OK)
 	b.Target = at
 	p, a, conn, _ := newExchange(t, b)
-	p.put(conn)
+	p.release(conn)
 	const window = 50 * time.Millisecond
 	setKeyWindow(p, a, window, make([]byte, inflight.MaxBody))
 	a.Call.Outbound.MayRunSince = time.Now() // an earlier attempt may have run
@@ -220,7 +220,7 @@
 				return sidecartest.OK(c, r, body)
 			})
 			p, a, conn, _ := newExchange(t, b)
-			p.put(conn)
+			p.release(conn)
 			posted := make(chan any, 4)
 			p.post = func(ev any) { posted <- ev }
 			setReceivedUpload(t, a, wait)
@@ -265,7 +265,7 @@
 	b := sidecartest.NewBackend(t, "b", sidecartest.OK)
 	b.Target = at
 	p, a, conn, _ := newExchange(t, b)
-	p.put(conn)
+	p.release(conn)
 	a.Call.Timeout = sidecartest.Patience
 	a.Call.Outbound = outboundPost(nil)
 	a.Call.Outbound.Upload = inflight.NewUpload(inflight.MaxBody, sidecartest.Pattern(inflight.MinHeldBody)) // the remainder never arrives
@@ -324,7 +324,7 @@
 			a.Call.Outbound = outboundPost([]byte("plate 12-34"))
 			gone := &cancellingConn{TCPConn: conn.Conn.(*net.TCPConn), cancel: a.Cancel, stopped: make(chan struct{})}
 			conn.Conn, conn.head.Conn = gone, gone
-			p.put(conn)
+			p.release(conn)
 			if r := p.Send(a); r.Result != test.want {
 				t.Errorf("result %v, want %v", r.Result, test.want)
 			}
--- a/internal/sidecar/upstream/checkpoint_test.go
+++ b/internal/sidecar/upstream/checkpoint_test.go
@@ -30,7 +30,7 @@
 					return sidecartest.OK(c, r, body)
 				})
 				p, a, conn, _ := newExchange(t, b)
-				p.put(conn)
+				p.release(conn)
 				p.post = func(any) {}
 				a.Call.Outbound = outboundPost([]byte("plate 12-34"))
 				if upload {
@@ -60,7 +60,7 @@
 		t.Run(string(at), func(t *testing.T) {
 			b := sidecartest.NewBackend(t, "a", sidecartest.Respond("HTTP/1.1 500 Oh\r\nContent-Length: 0\r\n\r\n", true))
 			p, a, conn, _ := newExchange(t, b)
-			p.put(conn)
+			p.release(conn)
 			setKeyWindow(p, a, sidecartest.Hold, []byte("plate 12-34"))
 			if r := p.Send(a); r.Result != balance.Failed {
 				t.Fatalf("the first attempt: result %v", r.Result)
--- a/internal/sidecar/upstream/dial.go
+++ b/internal/sidecar/upstream/dial.go
@@ -31,13 +31,13 @@
 func (p *Pool) acquire(ctx context.Context, server *Server, deadline time.Time, attempt *Attempt) (conn *serverConn, reused bool,
 	err error) {
 	if server.Retired.Load() || !time.Now().Before(deadline) {
-		return nil, false, errNotNeeded
+		return nil, false, errAttemptObsolete
 	}
 	if conn := p.takeFreshIdle(server); conn != nil {
 		return conn, true, nil
 	}
 	if !p.reserve() {
-		return nil, false, errNoSocket
+		return nil, false, errPoolExhausted
 	}
 	if attempt != nil {
 		p.post(Connecting{attempt, false})
@@ -74,7 +74,7 @@
 	server.dialing++
 	p.mu.Unlock()
 	p.dialers.Go(func() { p.dial(server) })
-	late := time.NewTimer(min(p.connectWait, time.Until(deadline)))
+	late := time.NewTimer(min(p.connectTimeout, time.Until(deadline)))
 	defer late.Stop()
 	select {
 	case got := <-waiter.result:
@@ -109,7 +109,7 @@
 		return
 	}
 	conn := newServerConn(raw, server)
-	if p.handOver(conn) {
+	if p.deliver(conn) {
 		return
 	}
 	p.post(ConnectionReady{server}) // not under the lock, for which the event loop may be waiting
@@ -130,9 +130,9 @@
 	}
 }
 
-// handOver gives a new connection to the attempt that has waited longest, or keeps it idle if none waits. It reports whether
+// deliver gives a new connection to the attempt that has waited longest, or keeps it idle if none waits. It reports whether
 // one did.
-func (p *Pool) handOver(conn *serverConn) bool {
+func (p *Pool) deliver(conn *serverConn) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	conn.server.dialing--
--- a/internal/sidecar/upstream/errno_test.go
+++ b/internal/sidecar/upstream/errno_test.go
@@ -36,7 +36,7 @@
 			p, a, conn, _ := newExchange(t, b)
 			a.Call.Outbound = outboundPost([]byte("plate 12-34"))
 			injectFaults(t, conn).FailRead = sidecartest.FailTimes(sidecartest.Always, sidecartest.OpError("read", errno))
-			p.put(conn)
+			p.release(conn)
 			if r := p.Send(a); r.Result != balance.Reset || r.Result.NeverRan() {
 				t.Errorf("result %v, want %v, which may have run", r.Result, balance.Reset)
 			}
@@ -50,7 +50,7 @@
 	p, a, conn, _ := newExchange(t, b)
 	a.Call.Outbound = outboundPost([]byte("plate 12-34"))
 	a.Deadline = time.Now().Add(20 * time.Millisecond)
-	p.put(conn)
+	p.release(conn)
 	if r := p.Send(a); r.Result != balance.TimedOut {
 		t.Errorf("result %v, want %v", r.Result, balance.TimedOut)
 	}
@@ -90,7 +90,7 @@
 	}
 	p := NewPool(cfg, 10)
 	t.Cleanup(p.Close)
-	p.connectWait = sidecartest.Patience
+	p.connectTimeout = sidecartest.Patience
 	dial, first := p.dialContext, sidecartest.NewBarrier()
 	t.Cleanup(first.Release)
 	var dials atomic.Int32
@@ -106,7 +106,7 @@
 	go func() {
 		conn, _, err := p.acquire(t.Context(), server, deadline, nil)
 		if err == nil {
-			p.put(conn)
+			p.release(conn)
 		}
 		older <- err
 	}()
@@ -167,7 +167,7 @@
 			a.Call.Outbound = outboundPost([]byte("plate 12-34"))
 			stopped := make(chan struct{}) // no client takes a forwarded answer
 			close(stopped)
-			p.stopped = stopped
+			p.loopStopped = stopped
 			dial := p.dialContext
 			for n := range len(text) {
 				p.dialContext = dial
--- a/internal/sidecar/upstream/exchange.go
+++ b/internal/sidecar/upstream/exchange.go
@@ -19,8 +19,8 @@
 	// streamTimeout bounds the wait for the next bytes of a body that is forwarded as it arrives, in either direction.
 	streamTimeout      = 5 * time.Second
 	healthCheckTimeout = 250 * time.Millisecond
-	// earlyAnswerTimeout bounds the reading of an answer that came before the whole request was written.
-	earlyAnswerTimeout = healthCheckTimeout
+	// earlyResponseTimeout bounds the reading of an answer that came before the whole request was written.
+	earlyResponseTimeout = healthCheckTimeout
 )
 
 // Send carries out an attempt and returns how it ended.
@@ -88,9 +88,9 @@
 	return max(clock.Duration(class.KeyWindow), 1)
 }
 
-// retryBefore is when the last byte of an attempt must have been written, as servers then forget the idempotency key of an
+// retryDeadline is when the last byte of an attempt must have been written, as servers then forget the idempotency key of an
 // earlier attempt that may have run. It is zero if there is no such bound.
-func (p *Pool) retryBefore(attempt *Attempt) time.Time {
+func (p *Pool) retryDeadline(attempt *Attempt) time.Time {
 	if attempt == nil || attempt.Call.Outbound.MayRunSince.IsZero() || p.retryWindows[attempt.Call.Request.Class] == 0 {
 		return time.Time{}
 	}
@@ -106,15 +106,15 @@
 	request  *http.Request
 	attempt  *Attempt  // nil for a health check
 	deadline time.Time // for the answer; of a forwarded body, set anew once its last byte has arrived
-	writeBy  time.Time // for the last byte of the request, see retryBefore; zero if there is no bound
-	sendBy   time.Time // the earlier of the two
+	writeDeadline  time.Time // for the last byte of the request, see retryBefore; zero if there is no bound
+	sendDeadline   time.Time // the earlier of the two
 }
 
 // run sends the request, over a second connection if the first one was stale.
 func (x *exchange) run(ctx context.Context) inflight.Reply {
-	x.sendBy, x.writeBy = x.deadline, x.pool.retryBefore(x.attempt)
-	if !x.writeBy.IsZero() && x.writeBy.Before(x.deadline) {
-		x.sendBy = x.writeBy
+	x.sendDeadline, x.writeDeadline = x.deadline, x.pool.retryDeadline(x.attempt)
+	if !x.writeDeadline.IsZero() && x.writeDeadline.Before(x.deadline) {
+		x.sendDeadline = x.writeDeadline
 	}
 	for {
 		reply, stale := x.runOnConnection(ctx)
@@ -127,26 +127,26 @@
 // runOnConnection sends the request over one connection. It reports a stale one if nothing of the request has run and the
 // request may move to another connection.
 func (x *exchange) runOnConnection(ctx context.Context) (reply inflight.Reply, stale bool) {
-	conn, reused, err := x.pool.acquire(ctx, x.server, x.sendBy, x.attempt)
+	conn, reused, err := x.pool.acquire(ctx, x.server, x.sendDeadline, x.attempt)
 	if err != nil {
-		return inflight.Reply{Result: unsentResult(ctx, x.sendBy, err)}, false
+		return inflight.Reply{Result: unsentResult(ctx, x.sendDeadline, err)}, false
 	}
 	conn.head.NextRequest()
-	conn.readLimit.N = maxHeldAnswer
-	writer := &requestWriter{conn: conn, reused: reused, writeBy: x.writeBy, hook: x.pool.hook}
+	conn.readLimit.N = maxBufferedResponse
+	writer := &requestWriter{conn: conn, reused: reused, writeDeadline: x.writeDeadline, hook: x.pool.hook}
 	detach := context.AfterFunc(ctx, writer.stop)
 	if x.attempt.upload() == nil {
-		writer.limit(x.deadline)
+		writer.setDeadline(x.deadline)
 	}
 	written, err := writer.write(x.deadline, x.request, x.attempt)
 	if !written {
 		detach()
-		return x.endUnwritten(ctx, writer, err)
+		return x.finishUnwritten(ctx, writer, err)
 	}
 	x.recordWritten(writer)
 	reply, reusable := x.readReply(ctx, conn, idleTime(conn, reused))
 	if detach() && reusable {
-		x.pool.put(conn)
+		x.pool.release(conn)
 	} else {
 		x.pool.discard(conn)
 	}
@@ -164,9 +164,9 @@
 		return
 	}
 	x.deadline = upload.CompletedAt().Add(x.attempt.Call.Timeout)
-	writer.limit(x.deadline)
+	writer.setDeadline(x.deadline)
 	x.pool.post(BodyComplete{x.attempt.Call})
-	<-writer.early.peeked
+	<-writer.earlyResponse.done
 }
 
 // idleTime is how long a connection was idle before this request; 0 for a new one.
@@ -177,30 +177,30 @@
 	return time.Since(conn.idleSince)
 }
 
-// endUnwritten ends a request whose last byte was not written, or reports that its connection was stale.
-func (x *exchange) endUnwritten(ctx context.Context, writer *requestWriter, cause error) (reply inflight.Reply, stale bool) {
+// finishUnwritten ends a request whose last byte was not written, or reports that its connection was stale.
+func (x *exchange) finishUnwritten(ctx context.Context, writer *requestWriter, cause error) (reply inflight.Reply, stale bool) {
 	result := balance.Rejected
-	if !writer.answeredEarly() || !rejectedEarly(writer.conn, x.request) {
-		result = unwrittenResult(ctx, x.sendBy, cause)
+	if !writer.respondedEarly() || !rejectedEarly(writer.conn, x.request) {
+		result = unwrittenResult(ctx, x.sendDeadline, cause)
 	}
 	x.pool.discard(writer.conn)
 	if errors.Is(cause, routing.ErrRevoked) {
 		return inflight.Reply{Result: balance.NotSent, RouteRevoked: true}, false
 	}
-	if writer.reused && x.mayUseAnother(ctx, result, cause) {
+	if writer.reused && x.mayUseAnotherConnection(ctx, result, cause) {
 		return inflight.Reply{}, true
 	}
 	return inflight.Reply{Result: result}, false
 }
 
-// mayUseAnother reports whether a request that was not written to a reused connection may be written to another one: the server
+// mayUseAnotherConnection reports whether a request that was not written to a reused connection may be written to another one: the server
 // has closed the first while it was idle, and there is time and a body left.
-func (x *exchange) mayUseAnother(ctx context.Context, result balance.Result, cause error) bool {
+func (x *exchange) mayUseAnotherConnection(ctx context.Context, result balance.Result, cause error) bool {
 	if result == balance.Rejected || result == balance.LocalFailure || ctx.Err() != nil {
 		return false
 	}
 	connFailed := cause == errStaleConn || errors.As(cause, new(*net.OpError))
-	if !connFailed || !time.Now().Before(x.sendBy) {
+	if !connFailed || !time.Now().Before(x.sendDeadline) {
 		return false
 	}
 	upload := x.attempt.upload()
--- a/internal/sidecar/upstream/exchange_test.go
+++ b/internal/sidecar/upstream/exchange_test.go
@@ -53,7 +53,7 @@
 			p, a, conn, req := newExchange(t, b)
 			change(p, a)
 			all, err := (&requestWriter{conn: conn}).write(a.Deadline, req, a)
-			if all || err != errNotNeeded || unsentResult(a.Context, a.Deadline, err) != balance.NotSent {
+			if all || err != errAttemptObsolete || unsentResult(a.Context, a.Deadline, err) != balance.NotSent {
 				t.Errorf("written %v, error %v", all, err)
 			}
 			conn.Close()
@@ -98,8 +98,8 @@
 		{op("connect", syscall.EADDRINUSE), balance.LocalFailure},
 		{op("write", syscall.ENOBUFS), balance.LocalFailure},
 		{op("connect", syscall.EHOSTUNREACH), balance.Unreachable},
-		{errNotNeeded, balance.NotSent},
-		{errNoSocket, balance.NotSent},
+		{errAttemptObsolete, balance.NotSent},
+		{errPoolExhausted, balance.NotSent},
 	} {
 		if got := unsentResult(t.Context(), time.Now().Add(time.Hour), test.err); got != test.want || !got.NeverRan() {
 			t.Errorf("%v: result %v, want %v", test.err, got, test.want)
@@ -116,7 +116,7 @@
 		Method: "POST", URL: &url.URL{Path: "/api"}, Host: "b", Header: http.Header{}, Body: []byte("plate 12-34"),
 	}
 	conn.Conn.(*net.TCPConn).CloseWrite() // peeking shows it open
-	p.put(conn)
+	p.release(conn)
 	if r := p.Send(a); r.Result != balance.OK {
 		t.Errorf("result %v", r.Result)
 	}
@@ -131,15 +131,15 @@
 	p, a, conn, _ := newExchange(t, b)
 	p.limit = 1
 	server := &Server{ID: 2, Endpoint: other.Target.Endpoint}
-	if _, _, err := p.acquire(a.Context, server, a.Deadline, nil); err != errNoSocket || unsentResult(a.Context, a.Deadline, err) != balance.NotSent {
+	if _, _, err := p.acquire(a.Context, server, a.Deadline, nil); err != errPoolExhausted || unsentResult(a.Context, a.Deadline, err) != balance.NotSent {
 		t.Fatalf("a second connection: %v", err)
 	}
-	p.put(conn)
+	p.release(conn)
 	second, reused, err := p.acquire(a.Context, server, a.Deadline, nil)
 	if err != nil || reused {
 		t.Fatalf("with an idle one to close: %v", err)
 	}
-	p.put(second)
+	p.release(second)
 	if p.open != 1 {
 		t.Errorf("%d connections are counted", p.open)
 	}
@@ -149,7 +149,7 @@
 func TestPool_reapIdle(t *testing.T) {
 	b := sidecartest.NewBackend(t, "a", sidecartest.OK)
 	p, _, conn, _ := newExchange(t, b)
-	p.put(conn)
+	p.release(conn)
 	p.ReapIdle(time.Now().Add(8 * time.Second))
 	if p.open != 1 {
 		t.Error("reaped early")
@@ -169,7 +169,7 @@
 		return err == nil
 	})
 	p, a, conn, _ := newExchange(t, b)
-	p.put(conn)
+	p.release(conn)
 	r := p.HealthCheck(a.Context, a.Server)
 	if r.Result != balance.OK || len(r.Report) != 2 || r.Report[0] != 0.5 || r.Report[1] != 7 {
 		t.Errorf("%+v", r)
@@ -196,7 +196,7 @@
 	if _, _, err := p.acquire(t.Context(), server, deadline, nil); unsentResult(t.Context(), deadline, err) != balance.ConnectFailed {
 		t.Fatalf("an attempt whose connection is late ends with %v", err)
 	}
-	p.connectWait = sidecartest.Patience
+	p.connectTimeout = sidecartest.Patience
 	got := make(chan error, 1)
 	go func() {
 		conn, reused, err := p.acquire(t.Context(), server, deadline, nil)
--- a/internal/sidecar/upstream/idle_age.go
+++ b/internal/sidecar/upstream/idle_age.go
@@ -25,9 +25,9 @@
 // than the likelihood of a single rate.
 type idleAges struct {
 	mu         sync.Mutex          // guards all
-	used, lost [ageBuckets]float64 // requests and losses by idle time; 0: new connections
+	requests, losses [ageBuckets]float64 // requests and losses by idle time; 0: new connections
 	decayedAt  time.Time           // when these last decayed
-	learned    time.Duration       // the bound; 0: there is none
+	learnedBound    time.Duration       // the bound; 0: there is none
 }
 
 // ageBucket returns the index of an idle time; a negative one counts as that of a new connection.
@@ -49,12 +49,12 @@
 	defer a.mu.Unlock()
 	a.decay(now)
 	bucket := ageBucket(idle)
-	a.used[bucket]++
+	a.requests[bucket]++
 	if lost {
-		a.lost[bucket]++
+		a.losses[bucket]++
 	}
-	if lost || a.learned > 0 {
-		a.learned = a.estimate()
+	if lost || a.learnedBound > 0 {
+		a.learnedBound = a.estimateBound()
 	}
 }
 
@@ -65,26 +65,26 @@
 		factor = math.Exp(-float64(now.Sub(a.decayedAt)) / float64(ageDecayTime))
 	}
 	a.decayedAt = now
-	for i := range a.used {
-		a.used[i] *= factor
-		a.lost[i] *= factor
+	for i := range a.requests {
+		a.requests[i] *= factor
+		a.losses[i] *= factor
 	}
 }
 
-// estimate returns the idle time from which on connections are lost far more often, or 0: some are lost at any idle time. The
+// estimateBound returns the idle time from which on connections are lost far more often, or 0: some are lost at any idle time. The
 // caller holds the lock.
-func (a *idleAges) estimate() time.Duration {
+func (a *idleAges) estimateBound() time.Duration {
 	var used, lost float64
-	for i := range a.used {
-		used += a.used[i]
-		lost += a.lost[i]
+	for i := range a.requests {
+		used += a.requests[i]
+		lost += a.losses[i]
 	}
 	single := logLikelihood(used, lost)
 	maxGain, bound := minLikelihoodGain, 0
 	var usedBelow, lostBelow float64
 	for i := 1; i < ageBuckets; i++ {
-		usedBelow += a.used[i-1]
-		lostBelow += a.lost[i-1]
+		usedBelow += a.requests[i-1]
+		lostBelow += a.losses[i-1]
 		usedFrom, lostFrom := used-usedBelow, lost-lostBelow
 		if lostFrom*(usedBelow+1) < minLossRatio*(lostBelow+1)*usedFrom {
 			continue
@@ -112,8 +112,8 @@
 func (a *idleAges) bound(idle time.Duration) time.Duration {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	if a.learned > 0 {
-		return min(idle, a.learned)
+	if a.learnedBound > 0 {
+		return min(idle, a.learnedBound)
 	}
 	return idle
 }
--- a/internal/sidecar/upstream/pool.go
+++ b/internal/sidecar/upstream/pool.go
@@ -28,7 +28,7 @@
 type Pool struct {
 	dialer          net.Dialer
 	dialContext     netcall.DialFunc // dials with dialer, and with what WrapDial puts around it
-	connectWait     time.Duration    // of an attempt for a new connection
+	connectTimeout     time.Duration    // of an attempt for a new connection
 	maxIdle         time.Duration    // after which an idle connection is closed
 	reportNames     []string         // the figures of a load report, in order
 	healthCheckPath string
@@ -38,7 +38,7 @@
 	hook            checkpoint.Hook
 
 	post    func(any)       // hands an event to the event loop
-	stopped <-chan struct{} // closed by the event loop at its end
+	loopStopped <-chan struct{} // closed by the event loop at its end
 
 	dialsContext context.Context // of all dials, which may outlast the attempt that started them
 	cancelDials  context.CancelFunc
@@ -57,7 +57,7 @@
 		connectWait = maxConnectTime
 	}
 	p := &Pool{
-		dialer: net.Dialer{Timeout: max(connectWait, maxConnectTime), KeepAlive: -1}, connectWait: connectWait,
+		dialer: net.Dialer{Timeout: max(connectWait, maxConnectTime), KeepAlive: -1}, connectTimeout: connectWait,
 		maxIdle:     time.Duration(float64(cfg.ConnIdle) * idleFraction),
 		reportNames: cfg.ReportNames, healthCheckPath: "/health/live",
 		idleServers: map[*Server]struct{}{}, limit: limit, post: func(any) {}, metrics: metrics.New(cfg.ClassNames),
@@ -78,7 +78,7 @@
 // SetEventLoop sets where events go, and the channel that is closed at the event loop's end. It is called before the first
 // attempt.
 func (p *Pool) SetEventLoop(post func(any), stopped <-chan struct{}) {
-	p.post, p.stopped = post, stopped
+	p.post, p.loopStopped = post, stopped
 }
 
 // Metrics returns the figures of the process, in which attempts are counted.
@@ -108,8 +108,8 @@
 	return p.open, idle
 }
 
-// put gives back a connection that can carry another request.
-func (p *Pool) put(conn *serverConn) {
+// release gives back a connection that can carry another request.
+func (p *Pool) release(conn *serverConn) {
 	conn.SetDeadline(time.Time{})
 	conn.idleSince = time.Now()
 	p.mu.Lock()
--- a/internal/sidecar/upstream/pool_test.go
+++ b/internal/sidecar/upstream/pool_test.go
@@ -44,7 +44,7 @@
 				return sidecartest.OK(c, r, body)
 			})
 			p, a, conn, _ := newExchange(t, b)
-			p.put(conn)
+			p.release(conn)
 			a.Call.Outbound = outboundPost([]byte("plate 12-34"))
 			if r := p.Send(a); r.Result != balance.OK {
 				t.Fatalf("the first request: result %v", r.Result)
@@ -58,7 +58,7 @@
 			go func() { done <- p.Send(next) }()
 			sidecartest.Until(t, "the connection to be taken", func() bool { return idleCount(p, a.Server) == 0 })
 			change(reused)
-			sidecartest.Until(t, "the change to arrive", func() bool { return !conn.quiet() })
+			sidecartest.Until(t, "the change to arrive", func() bool { return !conn.reusable() })
 			next.Call.Writing.Unlock()
 			if r := sidecartest.Receive(t, "the answer", done); r.Result != balance.OK || string(r.Answer.Body) != "done" {
 				t.Errorf("result %v with %q, want the answer to this request", r.Result, r.Answer.Body)
@@ -125,7 +125,7 @@
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			p := NewPool(cfg, 12)
 			t.Cleanup(p.Close)
-			p.connectWait = 2 * time.Millisecond // so that some connections are late
+			p.connectTimeout = 2 * time.Millisecond // so that some connections are late
 			refusing := sidecartest.NewBackend(t, "r", sidecartest.OK)
 			refusing.Close()
 			targets := []endpointlist.Target{refusing.Target}
@@ -197,8 +197,8 @@
 		t.Fatal(err)
 	}
 	p.SetLimit(1)
-	p.put(first)
-	p.put(second)
+	p.release(first)
+	p.release(second)
 	if n := openCount(p); n != 1 || idleCount(p, a.Server) != 1 {
 		t.Errorf("%d connections are counted and %d idle, want 1", n, idleCount(p, a.Server))
 	}
@@ -229,7 +229,7 @@
 	if r := p.Send(a); r.Result != balance.OK { // over a connection of its own
 		t.Fatalf("the first request: result %v", r.Result)
 	}
-	p.put(idleConn)
+	p.release(idleConn)
 	p.mu.Lock()
 	slices.Reverse(a.Server.idle) // as if it had been put before
 	a.Server.idle[0].idleSince = time.Now().Add(-time.Second)
@@ -301,7 +301,7 @@
 			b := sidecartest.NewBackend(t, "a", sidecartest.OK)
 			p, a, conn, _ := newExchange(t, b)
 			end(p, a.Server)
-			p.put(conn)
+			p.release(conn)
 			if n, idle := openCount(p), idleCount(p, a.Server); n != 0 || idle != 0 {
 				t.Errorf("%d connections are counted, %d are idle, want none", n, idle)
 			}
@@ -384,11 +384,11 @@
 func TestReusedConn_peekFails(t *testing.T) {
 	b := sidecartest.NewBackend(t, "a", sidecartest.OK)
 	_, _, conn, _ := newExchange(t, b)
-	if !conn.quiet() {
+	if !conn.reusable() {
 		t.Error("an idle connection is not quiet")
 	}
 	conn.Conn = unpeekableConn{conn.Conn}
-	if conn.quiet() {
+	if conn.reusable() {
 		t.Error("an idle connection that cannot be peeked at is used")
 	}
 	if netcall.NewConnStateReader().PeerClosed(conn.Conn) {
--- a/internal/sidecar/upstream/request_stream.go
+++ b/internal/sidecar/upstream/request_stream.go
@@ -28,48 +28,48 @@
 	return &requestWriter{conn: &serverConn{Conn: conn}, routeCheck: check, headerRevision: headerRevision}
 }
 
-// earlyAnswer watches for an answer, or the end of the connection, while a body is being forwarded.
-type earlyAnswer struct {
-	decided  atomic.Bool   // the write or the watch has ended; the first of them sets it
-	peeked   chan struct{} // closed by the watch's goroutine at its end, after which others may read the connection
-	answered bool          // the answer started before the write ended; read it after peeked
+// earlyResponseWatch watches for an answer, or the end of the connection, while a body is being forwarded.
+type earlyResponseWatch struct {
+	settled  atomic.Bool   // the write or the watch has ended; the first of them sets it
+	done   chan struct{} // closed by the watch's goroutine at its end, after which others may read the connection
+	responded bool          // the answer started before the write ended; read it after peeked
 	connErr  error         // the connection ended before the write did; read it after peeked
 }
 
-// watchForAnswer starts the watch, whose goroutine ends with the first byte of an answer or the connection's deadline.
-func (w *requestWriter) watchForAnswer() *earlyAnswer {
-	early := &earlyAnswer{peeked: make(chan struct{})}
+// watchForResponse starts the watch, whose goroutine ends with the first byte of an answer or the connection's deadline.
+func (w *requestWriter) watchForResponse() *earlyResponseWatch {
+	early := &earlyResponseWatch{done: make(chan struct{})}
 	go func() {
-		defer close(early.peeked)
-		_, err := w.conn.in.Peek(1)
-		if early.decided.CompareAndSwap(false, true) {
-			early.answered, early.connErr = err == nil, err
+		defer close(early.done)
+		_, err := w.conn.reader.Peek(1)
+		if early.settled.CompareAndSwap(false, true) {
+			early.responded, early.connErr = err == nil, err
 			w.interrupt()
 		}
 	}()
 	return early
 }
 
-// answeredEarly reports whether the server answered before the whole request was written. It is called after write.
-func (w *requestWriter) answeredEarly() bool { return w.early != nil && w.early.answered }
+// respondedEarly reports whether the server answered before the whole request was written. It is called after write.
+func (w *requestWriter) respondedEarly() bool { return w.earlyResponse != nil && w.earlyResponse.responded }
 
-// stream writes a request whose body is still arriving. A server that answers before its end wants no more of it.
-func (w *requestWriter) stream(req *http.Request, upload *inflight.Upload) error {
+// forwardBody writes a request whose body is still arriving. A server that answers before its end wants no more of it.
+func (w *requestWriter) forwardBody(req *http.Request, upload *inflight.Upload) error {
 	netcall.LimitSendBuffer(w.conn.Conn)
 	body := w.openBody(upload)
-	w.early = w.watchForAnswer()
+	w.earlyResponse = w.watchForResponse()
 	req.Body = io.NopCloser(body)
 	if upload.Length >= 0 {
 		// net/http reads on behind the last byte: an error there would be reported for a request that is complete.
 		req.Body = io.NopCloser(io.LimitReader(body, upload.Length))
 	}
 	err := w.writeBuffered(req)
-	answeredFirst := !w.early.decided.CompareAndSwap(false, true)
+	answeredFirst := !w.earlyResponse.settled.CompareAndSwap(false, true)
 	if err != nil {
-		return w.endStream(upload, answeredFirst, err)
+		return w.abortStream(upload, answeredFirst, err)
 	}
 	if answeredFirst {
-		<-w.early.peeked // the answer came with the last byte: interrupt must not follow the next limit
+		<-w.earlyResponse.done // the answer came with the last byte: interrupt must not follow the next limit
 	}
 	return nil
 }
@@ -99,15 +99,15 @@
 	return out.Flush()
 }
 
-// endStream ends a request that was not written to its end and returns the cause.
-func (w *requestWriter) endStream(upload *inflight.Upload, answeredFirst bool, err error) error {
+// abortStream ends a request that was not written to its end and returns the cause.
+func (w *requestWriter) abortStream(upload *inflight.Upload, answeredFirst bool, err error) error {
 	w.stop()
-	<-w.early.peeked
+	<-w.earlyResponse.done
 	switch {
 	case upload.Broken(): // by the client
-		return errNotNeeded
-	case answeredFirst && w.early.connErr != nil: // the connection broke
-		return errors.Join(w.early.connErr, syscall.EPIPE)
+		return errAttemptObsolete
+	case answeredFirst && w.earlyResponse.connErr != nil: // the connection broke
+		return errors.Join(w.earlyResponse.connErr, syscall.EPIPE)
 	}
 	return err
 }
@@ -132,11 +132,11 @@
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if w.state != writerRunning {
-		return errNotNeeded
+		return errAttemptObsolete
 	}
 	deadline := time.Now().Add(streamTimeout)
-	if !w.writeBy.IsZero() && w.writeBy.Before(deadline) {
-		deadline = w.writeBy
+	if !w.writeDeadline.IsZero() && w.writeDeadline.Before(deadline) {
+		deadline = w.writeDeadline
 	}
 	w.conn.SetWriteDeadline(deadline)
 	return nil
@@ -146,7 +146,7 @@
 // a route that counts the attempt under another revision ends it.
 func (w *requestWriter) startStream() error {
 	if w.call != nil && w.call.ClientLeft() {
-		return errNotNeeded
+		return errAttemptObsolete
 	}
 	if w.routeCheck == nil {
 		return nil
--- a/internal/sidecar/upstream/request_writer.go
+++ b/internal/sidecar/upstream/request_writer.go
@@ -21,14 +21,14 @@
 type requestWriter struct {
 	conn    *serverConn
 	reused  bool      // the connection has carried requests before
-	writeBy time.Time // when the last byte must have been written; zero: when the answer must have been read
+	writeDeadline time.Time // when the last byte must have been written; zero: when the answer must have been read
 	hook    checkpoint.Hook
 
 	routeCheck     *routing.Check // nil if no route applies
 	headerRevision int64          // the revision of the routes in the head that was rendered
 	call           *inflight.Call // of a forwarded body; nil otherwise
 	streamStarted  bool           // the first byte of a request with a forwarded body has been written
-	early          *earlyAnswer   // nil until a body is forwarded
+	earlyResponse          *earlyResponseWatch   // nil until a body is forwarded
 
 	mu    sync.Mutex // guards the fields below and the deadlines of conn
 	state writerState
@@ -75,16 +75,16 @@
 	w.body.Stop()
 }
 
-// limit sets the deadline of the connection.
-func (w *requestWriter) limit(deadline time.Time) {
+// setDeadline sets the deadline of the connection.
+func (w *requestWriter) setDeadline(deadline time.Time) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if w.state == writerStopped {
 		return
 	}
 	w.conn.SetDeadline(deadline)
-	if !w.writeBy.IsZero() && w.writeBy.Before(deadline) {
-		w.conn.SetWriteDeadline(w.writeBy)
+	if !w.writeDeadline.IsZero() && w.writeDeadline.Before(deadline) {
+		w.conn.SetWriteDeadline(w.writeDeadline)
 	}
 }
 
@@ -94,19 +94,19 @@
 		attempt.Call.Writing.Lock()
 		defer attempt.Call.Writing.Unlock()
 		if attempt.Call.Finished() {
-			return false, errNotNeeded
+			return false, errAttemptObsolete
 		}
 	}
 	timeLeft := time.Until(deadline)
 	if w.conn.server.Retired.Load() || timeLeft <= 0 {
-		return false, errNotNeeded
+		return false, errAttemptObsolete
 	}
 	omitUserAgent(req.Header)
-	w.expectRoute(req.Header, attempt)
+	w.setRouteHeaders(req.Header, attempt)
 	if attempt.upload() != nil {
 		written, err = w.writeStreamed(req, attempt)
 	} else {
-		written, err = w.writeHeld(req, attempt, timeLeft)
+		written, err = w.writeFromMemory(req, attempt, timeLeft)
 	}
 	if written && attempt != nil {
 		attempt.Written.Store(true)
@@ -126,8 +126,8 @@
 	header.Set(timeoutHeader, strconv.FormatInt(max(timeLeft.Milliseconds(), 1), 10))
 }
 
-// expectRoute writes into the head what the attempt's route is expected to count it under.
-func (w *requestWriter) expectRoute(header http.Header, attempt *Attempt) {
+// setRouteHeaders writes into the head what the attempt's route is expected to count it under.
+func (w *requestWriter) setRouteHeaders(header http.Header, attempt *Attempt) {
 	if attempt == nil || attempt.RouteCheck == nil {
 		return
 	}
@@ -135,14 +135,14 @@
 	attempt.RouteCheck.SetHeaders(header, w.headerRevision)
 }
 
-// writeHeld writes a request whose body is held in memory. The client and the route are checked after the clock was read for
+// writeFromMemory writes a request whose body is held in memory. The client and the route are checked after the clock was read for
 // the first byte, and the route last, right before it: an attempt that is held up in between must not be written by
 // outdated checks.
-func (w *requestWriter) writeHeld(req *http.Request, attempt *Attempt, timeLeft time.Duration) (written bool, err error) {
+func (w *requestWriter) writeFromMemory(req *http.Request, attempt *Attempt, timeLeft time.Duration) (written bool, err error) {
 	setTimeLeft(req.Header, timeLeft)
 	var text bytes.Buffer
 	if err := render(&text, req, attempt); err != nil {
-		return false, errNotNeeded
+		return false, errAttemptObsolete
 	}
 	if err := w.checkConnection(); err != nil {
 		return false, err
@@ -150,7 +150,7 @@
 	if attempt != nil {
 		w.recordFirstByte(attempt.Call.Outbound)
 		if attempt.Call.ClientLeft() {
-			return false, errNotNeeded
+			return false, errAttemptObsolete
 		}
 	}
 	if err := w.startOnRoute(&text, req, attempt); err != nil {
@@ -165,24 +165,24 @@
 	w.call = attempt.Call
 	timeLeft := attempt.Call.UploadTimeLeft()
 	if timeLeft <= 0 {
-		return false, errNotNeeded
+		return false, errAttemptObsolete
 	}
 	setTimeLeft(req.Header, timeLeft)
 	if err := w.checkConnection(); err != nil {
 		return false, err
 	}
 	w.recordFirstByte(attempt.Call.Outbound)
-	err = w.stream(req, attempt.upload())
+	err = w.forwardBody(req, attempt.upload())
 	return err == nil, err
 }
 
 // checkConnection checks that the last byte may still be written and that the connection is in step: what a reused one holds
 // already cannot answer this request.
 func (w *requestWriter) checkConnection() error {
-	if !w.writeBy.IsZero() && !time.Now().Before(w.writeBy) {
-		return errNotNeeded
+	if !w.writeDeadline.IsZero() && !time.Now().Before(w.writeDeadline) {
+		return errAttemptObsolete
 	}
-	if w.reused && !w.conn.quiet() {
+	if w.reused && !w.conn.reusable() {
 		return errStaleConn
 	}
 	return nil
@@ -210,7 +210,7 @@
 	w.routeCheck.SetHeaders(req.Header, revision)
 	text.Reset()
 	if err := render(text, req, attempt); err != nil {
-		return errNotNeeded
+		return errAttemptObsolete
 	}
 	return nil
 }
--- a/internal/sidecar/upstream/response_body.go
+++ b/internal/sidecar/upstream/response_body.go
@@ -15,8 +15,8 @@
 )
 
 const (
-	// holdTime is how long the start of an answer of unknown length is held: all of it may be short.
-	holdTime = 25 * time.Millisecond
+	// maxBufferTime is how long the start of an answer of unknown length is held: all of it may be short.
+	maxBufferTime = 25 * time.Millisecond
 	// minBodyBuffer is the first size of the buffer of a body.
 	minBodyBuffer = 4 << 10
 )
@@ -29,8 +29,8 @@
 	mayForward bool      // a long body may be forwarded; otherwise it is an error
 
 	body      io.Reader
-	startedAt time.Time // of the read that got the first bytes
-	held      []byte
+	firstReadAt time.Time // of the read that got the first bytes
+	buffered      []byte
 }
 
 // read returns a body, or an error: one that is cut short is never taken for a complete one. more reports that there is more
@@ -43,49 +43,49 @@
 		_, err = io.ReadFull(r.resp.Body, held)
 		return held, false, err
 	case length > inflight.MaxBody, length > inflight.MaxHeldBody && !r.mayForward:
-		return nil, false, errAnswerLarge
+		return nil, false, errBodyTooLarge
 	}
 	r.conn.readLimit.N = math.MaxInt64 // from here on the body's own bounds hold
-	r.body = unbuffered(r.conn, r.resp)
+	r.body = streamingBody(r.conn, r.resp)
 	return r.readStart(ctx)
 }
 
 // readStart reads a body that is long or of unknown length until its end, or until it may be forwarded.
 func (r *bodyReader) readStart(ctx context.Context) (held []byte, more bool, err error) {
-	r.startedAt = time.Now()
+	r.firstReadAt = time.Now()
 	for {
-		if r.mayForward && len(r.held) > 0 {
-			arrived, err := r.conn.moreBy(ctx, r.startedAt.Add(holdTime), r.deadline)
+		if r.mayForward && len(r.buffered) > 0 {
+			arrived, err := r.conn.waitForMore(ctx, r.firstReadAt.Add(maxBufferTime), r.deadline)
 			if !arrived || err != nil {
-				return r.held, err == nil, err
+				return r.buffered, err == nil, err
 			}
 		}
 		err := r.readOnce()
 		switch {
-		case err == io.EOF && r.unframed() && len(r.held) == 0:
-			return nil, false, errUnframed
+		case err == io.EOF && r.unframed() && len(r.buffered) == 0:
+			return nil, false, errHeadOnly
 		case err == io.EOF:
-			return r.held, false, nil
+			return r.buffered, false, nil
 		case err != nil:
 			return nil, false, err
-		case !r.mayForward && len(r.held) > inflight.MaxHeldBody:
-			return nil, false, errAnswerLarge
-		case r.mayForward && len(r.held) > 0 && r.isLong():
-			return r.held, true, nil
+		case !r.mayForward && len(r.buffered) > inflight.MaxHeldBody:
+			return nil, false, errBodyTooLarge
+		case r.mayForward && len(r.buffered) > 0 && r.exceedsBuffer():
+			return r.buffered, true, nil
 		}
 	}
 }
 
 // readOnce reads what has arrived.
 func (r *bodyReader) readOnce() error {
-	if len(r.held) == cap(r.held) {
-		r.held = append(r.held, make([]byte, max(minBodyBuffer, len(r.held)))...)[:len(r.held)]
+	if len(r.buffered) == cap(r.buffered) {
+		r.buffered = append(r.buffered, make([]byte, max(minBodyBuffer, len(r.buffered)))...)[:len(r.buffered)]
 	}
-	n, err := r.body.Read(r.held[len(r.held):cap(r.held)])
-	if len(r.held) == 0 {
-		r.startedAt = time.Now()
+	n, err := r.body.Read(r.buffered[len(r.buffered):cap(r.buffered)])
+	if len(r.buffered) == 0 {
+		r.firstReadAt = time.Now()
 	}
-	r.held = r.held[:len(r.held)+n]
+	r.buffered = r.buffered[:len(r.buffered)+n]
 	return err
 }
 
@@ -94,19 +94,19 @@
 	return r.resp.ContentLength < 0 && len(r.resp.TransferEncoding) == 0
 }
 
-// isLong reports whether the body is longer than what is held.
-func (r *bodyReader) isLong() bool {
-	return r.resp.ContentLength > inflight.MaxHeldBody || len(r.held) > inflight.MaxHeldBody
+// exceedsBuffer reports whether the body is longer than what is held.
+func (r *bodyReader) exceedsBuffer() bool {
+	return r.resp.ContentLength > inflight.MaxHeldBody || len(r.buffered) > inflight.MaxHeldBody
 }
 
-// moreBy waits for the next bytes or the end of the answer until a time, which is not after the deadline. It leaves the bytes
+// waitForMore waits for the next bytes or the end of the answer until a time, which is not after the deadline. It leaves the bytes
 // to be read. An error is returned, as the system reports it only once.
-func (c *serverConn) moreBy(ctx context.Context, until, deadline time.Time) (bool, error) {
-	if c.in.Buffered() > 0 || until.After(deadline) {
+func (c *serverConn) waitForMore(ctx context.Context, until, deadline time.Time) (bool, error) {
+	if c.reader.Buffered() > 0 || until.After(deadline) {
 		return true, nil
 	}
 	c.SetReadDeadline(until)
-	_, err := c.in.Peek(1)
+	_, err := c.reader.Peek(1)
 	c.SetReadDeadline(deadline)
 	if ctx.Err() != nil { // the lines above may have undone the cancellation
 		c.SetReadDeadline(netcall.PastDeadline)
@@ -126,7 +126,7 @@
 	ctx  context.Context
 	conn *serverConn
 	body io.Reader
-	left int64 // bytes up to inflight.MaxBody
+	remaining int64 // bytes up to inflight.MaxBody
 }
 
 // Read implements io.Reader.
@@ -136,39 +136,39 @@
 		return 0, err
 	}
 	n, err := r.body.Read(p)
-	if r.left -= int64(n); r.left < 0 {
-		return 0, errAnswerLarge
+	if r.remaining -= int64(n); r.remaining < 0 {
+		return 0, errBodyTooLarge
 	}
 	return n, err
 }
 
-// unbuffered returns a reader of a body's bytes as they arrive. net/http's reader of chunks goes on until it has filled its
+// streamingBody returns a reader of a body's bytes as they arrive. net/http's reader of chunks goes on until it has filled its
 // buffer or a chunk has ended, and holds back what a slow server has sent.
-func unbuffered(conn *serverConn, resp *http.Response) io.Reader {
+func streamingBody(conn *serverConn, resp *http.Response) io.Reader {
 	if len(resp.TransferEncoding) == 0 {
 		return resp.Body
 	}
-	return &chunkReader{conn.in, resp.Body}
+	return &chunkReader{conn.reader, resp.Body}
 }
 
 // chunkReader reads a chunked body as it arrives.
 type chunkReader struct {
-	in   *bufio.Reader // under body
+	buffer   *bufio.Reader // under body
 	body io.Reader
 }
 
 // Read never reads more than half of what has arrived, as the rest may be the framing of chunks. It stops at the end of a
 // chunk, as the next one may not have started.
 func (r *chunkReader) Read(p []byte) (n int, err error) {
-	if _, err := r.in.Peek(1); err == io.EOF {
+	if _, err := r.buffer.Peek(1); err == io.EOF {
 		return 0, io.ErrUnexpectedEOF
 	} else if err != nil {
 		return 0, err
 	}
 	for n < len(p) && err == nil {
-		buffered := r.in.Buffered()
+		buffered := r.buffer.Buffered()
 		if n > 0 {
-			if next, _ := r.in.Peek(min(buffered, 1)); len(next) == 0 || next[0] == '\r' {
+			if next, _ := r.buffer.Peek(min(buffered, 1)); len(next) == 0 || next[0] == '\r' {
 				break
 			}
 		}
--- a/internal/sidecar/upstream/server.go
+++ b/internal/sidecar/upstream/server.go
@@ -29,7 +29,7 @@
 // serverConn is a connection to a server. It carries one request at a time.
 type serverConn struct {
 	net.Conn
-	in        *bufio.Reader     // reads readLimit
+	reader        *bufio.Reader     // reads readLimit
 	readLimit *io.LimitedReader // reads head; bounds an answer, headers included
 	head      *framing.HeadConn // reads Conn; has the head of the answer
 	server    *Server
@@ -40,13 +40,13 @@
 func newServerConn(conn net.Conn, server *Server) *serverConn {
 	head := framing.NewHeadConn(conn)
 	limited := &io.LimitedReader{R: head}
-	return &serverConn{Conn: conn, in: bufio.NewReader(limited), readLimit: limited, head: head, server: server, idleSince: time.Now()}
+	return &serverConn{Conn: conn, reader: bufio.NewReader(limited), readLimit: limited, head: head, server: server, idleSince: time.Now()}
 }
 
-// quiet reports whether an idle connection is open with nothing to read. A server may have closed it meanwhile; a request
+// reusable reports whether an idle connection is open with nothing to read. A server may have closed it meanwhile; a request
 // written to it would end as a reset, after which it may have run.
-func (c *serverConn) quiet() bool {
-	if c.in.Buffered() > 0 {
+func (c *serverConn) reusable() bool {
+	if c.reader.Buffered() > 0 {
 		return false
 	}
 	open, unread := netcall.Peek(c.Conn)
