--- a/internal/sidecar/netcall/conn_state_test.go
+++ b/internal/sidecar/netcall/conn_state_test.go
@@ -33,30 +33,30 @@
 	return c.(*net.TCPConn), server
 }
 
-// Where the state of a connection cannot be had, or is that of something else, an end is seen as far as peeking shows it. A
-// peer that is there is never taken for one that has gone.
-func TestPeerGone(t *testing.T) {
-	type call = func(int) (uint8, error)
-	unknown := func(int) (uint8, error) { return 0, syscall.ENOPROTOOPT }
-	wrong := func(int) (uint8, error) { return unix.BPF_TCP_CLOSE, nil }
-	nothing := func(int) (uint8, error) { return 0, nil }
+// If the state of a connection is not available, or the query returns unrelated data, a close is detected as far as a
+// peek shows it. An open connection is never reported as closed.
+func TestPeerClosed(t *testing.T) {
+	type query = func(int) (uint8, error)
+	notSupported := func(int) (uint8, error) { return 0, syscall.ENOPROTOOPT }
+	unrelated := func(int) (uint8, error) { return unix.BPF_TCP_CLOSE, nil }
+	noState := func(int) (uint8, error) { return 0, nil }
 	for name, test := range map[string]struct {
-		call   call
-		behind bool // an end behind unread bytes is seen
+		query        query
+		behindUnread bool // a close behind unread bytes is detected
 	}{
-		"known":                 {tcpState, true},
-		"unknown":               {unknown, false},
-		"about something else":  {wrong, false},
-		"answered with nothing": {nothing, false},
+		"state":           {tcpState, true},
+		"not supported":   {notSupported, false},
+		"unrelated state": {unrelated, false},
+		"no state":        {noState, false},
 	} {
 		for how, end := range sidecartest.Ends {
 			for _, unread := range []bool{false, true} {
 				t.Run(fmt.Sprintf("%s, %s, unread %v", name, how, unread), func(t *testing.T) {
-					states := &ConnStateReader{Query: test.call}
+					states := &ConnStateReader{Query: test.query}
 					client, server := tcpPair(t)
 					states.VerifyQuery(server)
 					if states.PeerClosed(server) {
-						t.Fatal("a client that is there has gone")
+						t.Fatal("an open connection is reported as closed")
 					}
 					if unread {
 						if _, err := io.WriteString(client, "x"); err != nil {
@@ -64,23 +64,23 @@
 						}
 						sidecartest.Until(t, "a byte", func() bool { _, unread := Peek(server); return unread })
 						if states.PeerClosed(server) {
-							t.Fatal("a client that has sent something has gone")
+							t.Fatal("an open connection with unread bytes is reported as closed")
 						}
 					}
 					end(client)
-					sidecartest.Until(t, "the end to arrive", func() bool {
+					sidecartest.Until(t, "the close to arrive", func() bool {
 						state, err := NewConnStateReader().State(server)
 						return err == nil && state != unix.BPF_TCP_ESTABLISHED
 					})
-					want := test.behind || !unread
+					want := test.behindUnread || !unread
 					if got := states.PeerClosed(server); got != want {
-						t.Errorf("gone: %v, want %v", got, want)
+						t.Errorf("closed: %v, want %v", got, want)
 					}
 				})
 			}
 		}
 	}
 	if client, _ := net.Pipe(); NewConnStateReader().PeerClosed(client) {
-		t.Error("what is no connection of the system has gone")
+		t.Error("a connection without a descriptor is reported as closed")
 	}
 }
--- a/internal/sidecar/netcall/retry_test.go
+++ b/internal/sidecar/netcall/retry_test.go
@@ -14,12 +14,13 @@
 	"marblelane/internal/sidecar/sidecartest"
 )
 
-// While the length of a queue cannot be had, or only for a moment, connections that wait in it are not overlooked.
+// Waiting connections are not overlooked if the length of the accept queue is not available, or not at the first
+// query.
 func TestListenQueue_queryFails(t *testing.T) {
 	failing := func(errno syscall.Errno) func(int) (*unix.TCPInfo, error) {
 		return func(int) (*unix.TCPInfo, error) { return nil, errno }
 	}
-	noPoll := func([]unix.PollFd, int) (int, error) { return 0, unix.ENOMEM }
+	failingPoll := func([]unix.PollFd, int) (int, error) { return 0, unix.ENOMEM }
 	once := func(errno syscall.Errno) func(int) (*unix.TCPInfo, error) {
 		failure := sidecartest.FailFirst(1, errno)
 		return func(fd int) (*unix.TCPInfo, error) {
@@ -34,13 +35,13 @@
 		empty, two, closed int
 	}
 	tests := map[string]test{
-		"known":             {systemListenQueue, 0, 2, 0},
-		"unknown call":      {listenQueue{failing(unix.ENOPROTOOPT), unix.Poll}, 0, 1, 0},
-		"neither call":      {listenQueue{failing(unix.EPERM), noPoll}, 1, 1, 0},
-		"of something else": {listenQueue{func(int) (*unix.TCPInfo, error) { return &unix.TCPInfo{}, nil }, noPoll}, 0, 0, 0},
+		"length":          {systemListenQueue, 0, 2, 0},
+		"not supported":   {listenQueue{failing(unix.ENOPROTOOPT), unix.Poll}, 0, 1, 0},
+		"both calls fail": {listenQueue{failing(unix.EPERM), failingPoll}, 1, 1, 0},
+		"unrelated state": {listenQueue{func(int) (*unix.TCPInfo, error) { return &unix.TCPInfo{}, nil }, failingPoll}, 0, 0, 0},
 	}
 	for _, errno := range sidecartest.ResourceErrnos {
-		tests["once "+unix.ErrnoName(errno)] = test{listenQueue{once(errno), noPoll}, 0, 2, 0}
+		tests["once "+unix.ErrnoName(errno)] = test{listenQueue{once(errno), failingPoll}, 0, 2, 0}
 		tests["always "+unix.ErrnoName(errno)] = test{listenQueue{failing(errno), unix.Poll}, 0, 1, 0}
 	}
 	for name, test := range tests {
@@ -52,7 +53,7 @@
 			defer l.Close()
 			tcp := l.(*net.TCPListener)
 			if got := test.queue.length(tcp); got != test.empty {
-				t.Errorf("none waits: %d, want %d", got, test.empty)
+				t.Errorf("length %d with no connection, want %d", got, test.empty)
 			}
 			for range 2 {
 				c, err := net.Dial("tcp", l.Addr().String())
@@ -61,20 +62,20 @@
 				}
 				defer c.Close()
 			}
-			sidecartest.Until(t, "two that wait", func() bool { return systemListenQueue.length(tcp) == 2 })
+			sidecartest.Until(t, "two waiting connections", func() bool { return systemListenQueue.length(tcp) == 2 })
 			if got := test.queue.length(tcp); got != test.two {
-				t.Errorf("two wait: %d, want %d", got, test.two)
+				t.Errorf("length %d with two connections, want %d", got, test.two)
 			}
 			l.Close()
 			if got := test.queue.length(tcp); got != test.closed {
-				t.Errorf("closed: %d, want %d", got, test.closed)
+				t.Errorf("length %d of a closed socket, want %d", got, test.closed)
 			}
 		})
 	}
 }
 
-// An end behind unread bytes is seen though the first queries of the connection's state fail.
-func TestPeerGone_queryFailsOnce(t *testing.T) {
+// A close behind unread bytes is detected even if the first queries of the connection's state fail.
+func TestPeerClosed_queryFailsOnce(t *testing.T) {
 	for _, errno := range sidecartest.ResourceErrnos {
 		t.Run(unix.ErrnoName(errno), func(t *testing.T) {
 			failure := func() error { return nil }
@@ -92,22 +93,22 @@
 				t.Fatal(err)
 			}
 			client.Close()
-			sidecartest.Until(t, "the end to arrive", func() bool { return system.PeerClosed(server) })
+			sidecartest.Until(t, "the close to arrive", func() bool { return system.PeerClosed(server) })
 			failure = sidecartest.FailFirst(maxQueryTries-1, errno)
 			if !states.PeerClosed(server) {
-				t.Error("a client that has gone is taken for one that is there")
+				t.Error("a closed connection is taken for an open one")
 			}
 		})
 	}
 }
 
-// A call is repeated for maxCallTime at most.
+// A call is repeated for about maxCallTime, and no longer than maxCallTime and one pause.
 func TestRetryCall_timeLimit(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		startedAt := time.Now()
 		err := RetryCall(func() error { return unix.ENOMEM })
 		if took := time.Since(startedAt); !errors.Is(err, unix.ENOMEM) || took < maxCallTime || took > maxCallTime+maxCallPause {
-			t.Errorf("%v after %v", err, took)
+			t.Errorf("error %v after %v", err, took)
 		}
 	})
 }
--- a/internal/sidecar/upstream/attempt_test.go
+++ b/internal/sidecar/upstream/attempt_test.go
@@ -18,17 +18,17 @@
 	"marblelane/internal/sidecar/sidecartest"
 )
 
-// heldConn delays the return of the write that completes a request until the answer has been noticed.
-type heldConn struct {
+// delayedWriteConn delays the return of the write that completes a request until the response has been noticed.
+type delayedWriteConn struct {
 	*net.TCPConn
-	length  int // of the request
+	length  int // of the request, in bytes
 	written int
 	noticed chan struct{}
 	returns chan struct{}
 	once    sync.Once
 }
 
-func (c *heldConn) Write(p []byte) (int, error) {
+func (c *delayedWriteConn) Write(p []byte) (int, error) {
 	n, err := c.TCPConn.Write(p)
 	if c.written += n; c.written == c.length {
 		<-c.noticed
@@ -37,16 +37,16 @@
 	return n, err
 }
 
-func (c *heldConn) SetDeadline(t time.Time) error {
+func (c *delayedWriteConn) SetDeadline(t time.Time) error {
 	if t.Equal(netcall.PastDeadline) {
 		defer c.once.Do(func() { close(c.noticed) })
 	}
 	return c.TCPConn.SetDeadline(t)
 }
 
-// setUpload gives an attempt a body that is forwarded as it arrives. The request ends more bytes behind a multiple of size.
-// It returns the length of the request.
-func setUpload(t *testing.T, a *Attempt, size, more int) int {
+// setUpload gives an attempt a body that is forwarded as it arrives, and returns the length of the request: a multiple
+// of size, plus extra bytes.
+func setUpload(t *testing.T, a *Attempt, size, extra int) int {
 	t.Helper()
 	req := &http.Request{Method: "POST", URL: &url.URL{Path: "/api"}, Host: "b",
 		Header: http.Header{"User-Agent": nil, "X-Timeout-Ms": {"9000"}}}
@@ -57,21 +57,22 @@
 		t.Fatal(err)
 	}
 	length -= text.Len() % size
-	length += more
+	length += extra
 	a.Call.Timeout = 9 * time.Second
 	a.Call.Outbound = outboundPost(nil)
 	body := sidecartest.Pattern(length)
 	a.Call.Outbound.Upload = inflight.NewUpload(int64(length), body[:size])
 	go a.Call.Outbound.Upload.Feed(bytes.NewReader(body[size:]))
 	t.Cleanup(a.Call.Outbound.Upload.Abort)
-	return text.Len()/size*size + more
+	return text.Len()/size*size + extra
 }
 
-// The answer to a forwarded body may be noticed before the write of its last byte returns. It is the answer to a complete
-// request and is read to its end. The last byte may be written before the end of the body is known.
-func TestUpload_answerWithLastByte(t *testing.T) {
-	const size = inflight.CopySize / 2 // of one write
-	for name, more := range map[string]int{"with the last write": 10, "ahead of the body's end": 0} {
+// The response to a forwarded body may be noticed before the write of the last byte of the body returns. It is the
+// response to a complete request and must be read completely. The last byte may also be written before the end of the
+// body is known.
+func TestUpload_responseWithLastByte(t *testing.T) {
+	const size = inflight.CopySize / 2 // bytes of one write
+	for name, extra := range map[string]int{"with the last write": 10, "before the end of the body is known": 0} {
 		t.Run(name, func(t *testing.T) {
 			returns := make(chan struct{})
 			b := sidecartest.NewBackend(t, "a", func(c net.Conn, _ *http.Request, _ string) bool {
@@ -81,12 +82,12 @@
 				return err == nil
 			})
 			p, a, conn, _ := newExchange(t, b)
-			held := &heldConn{TCPConn: conn.Conn.(*net.TCPConn), noticed: make(chan struct{}), returns: returns}
-			held.length = setUpload(t, a, size, more)
-			conn.Conn, conn.head.Conn = held, held
+			delayed := &delayedWriteConn{TCPConn: conn.Conn.(*net.TCPConn), noticed: make(chan struct{}), returns: returns}
+			delayed.length = setUpload(t, a, size, extra)
+			conn.Conn, conn.head.Conn = delayed, delayed
 			p.release(conn)
 			if r := p.Send(a); r.Result != balance.OK || string(r.Answer.Body) != "done" {
-				t.Errorf("result %v with %q, want the server's answer", r.Result, r.Answer.Body)
+				t.Errorf("result %v with %q, want the server's response", r.Result, r.Answer.Body)
 			}
 			if n := b.Requests.Load(); n != 1 {
 				t.Errorf("the server got %d complete requests, want 1", n)
@@ -95,12 +96,12 @@
 	}
 }
 
-// outboundPost returns a request with a body, as servers get it.
+// outboundPost returns a request with a body, as it is sent to servers.
 func outboundPost(body []byte) *inflight.Outbound {
 	return &inflight.Outbound{Method: "POST", URL: &url.URL{Path: "/api"}, Host: "b", Header: http.Header{}, Body: body}
 }
 
-// setKeyWindow gives an attempt a class whose idempotency key servers remember for window.
+// setKeyWindow gives an attempt a class whose idempotency keys servers remember for window.
 func setKeyWindow(p *Pool, a *Attempt, window time.Duration, body []byte) {
 	a.Call.Request.Class = 1
 	p.retryWindows[1] = window
@@ -112,8 +113,8 @@
 	return &Attempt{Call: a.Call, Number: a.Number + 1, Server: a.Server, Deadline: a.Deadline, Context: a.Context, Cancel: a.Cancel}
 }
 
-// A request with an idempotency key may be sent again within the key's window only. If that ends while the retry waits for
-// its first byte, nothing is sent.
+// A request with an idempotency key may be sent again only within the window of the key. If the window ends while the
+// retry waits for its first byte, nothing may be sent.
 func TestKeyWindow_endsBeforeFirstByte(t *testing.T) {
 	b := sidecartest.NewBackend(t, "a", sidecartest.Respond("HTTP/1.1 500 Oh\r\nContent-Length: 0\r\n\r\n", true))
 	p, a, conn, _ := newExchange(t, b)
@@ -124,20 +125,20 @@
 		t.Fatalf("the first attempt: result %v", r.Result)
 	}
 	next := nextAttempt(a)
-	next.Call.Writing.Lock() // it waits here with its connection
+	next.Call.Writing.Lock() // the retry waits here with its connection
 	done := make(chan inflight.Reply, 1)
 	go func() { done <- p.Send(next) }()
 	<-time.After(time.Until(a.Call.Outbound.MayRunSince.Add(window)))
 	next.Call.Writing.Unlock()
 	if r := sidecartest.Receive(t, "the retry", done); r.Result != balance.NotSent {
-		t.Errorf("result %v, want that nothing was sent", r.Result)
+		t.Errorf("result %v, want not sent", r.Result)
 	}
 	if n := b.Requests.Load(); n != 1 {
-		t.Errorf("%d attempts at the server, want the first alone", n)
+		t.Errorf("the server got %d attempts, want only the first", n)
 	}
 }
 
-// An answer that proves that nothing ran starts no window.
+// A response that guarantees that nothing ran does not start the window.
 func TestKeyWindow_startsWithPossibleRun(t *testing.T) {
 	b := sidecartest.NewBackend(t, "a", sidecartest.Respond("HTTP/1.1 503 No\r\nX-Not-Processed: 1\r\nContent-Length: 0\r\n\r\n", true))
 	p, a, conn, _ := newExchange(t, b)
@@ -145,21 +146,21 @@
 	setKeyWindow(p, a, time.Nanosecond, []byte("plate 12-34"))
 	for range 2 {
 		if r := p.Send(a); r.Result != balance.Rejected {
-			t.Errorf("result %v, want that the server rejected it", r.Result)
+			t.Errorf("result %v, want rejected", r.Result)
 		}
 		a = nextAttempt(a)
 	}
 	if n := b.Requests.Load(); n != 2 {
-		t.Errorf("%d attempts at the server, want 2", n)
+		t.Errorf("the server got %d attempts, want 2", n)
 	}
 }
 
-// A server that does not read delays the write: the last byte must not be written after the window.
+// A server that does not read delays the write: the last byte must not be written after the window has ended.
 func TestKeyWindow_endsDuringWrite(t *testing.T) {
-	reads := make(chan struct{})
+	startReading := make(chan struct{})
 	complete := make(chan bool, 1)
 	at := sidecartest.RawBackend(t, "a", func(c net.Conn, in *bufio.Reader) {
-		<-reads
+		<-startReading
 		req, err := http.ReadRequest(in)
 		if err == nil {
 			_, err = io.Copy(io.Discard, req.Body)
@@ -178,18 +179,18 @@
 	select {
 	case r := <-done:
 		if r.Result != balance.NotSent {
-			t.Errorf("result %v, want that it was not sent", r.Result)
+			t.Errorf("result %v, want not sent", r.Result)
 		}
 	case <-time.After(sidecartest.Patience / 2):
 		t.Error("the write went on after the window")
 	}
-	close(reads)
+	close(startReading)
 	if sidecartest.Receive(t, "the server", complete) {
 		t.Error("the server got the complete request after the window")
 	}
 }
 
-// setReceivedUpload gives an attempt a forwarded body of which all has arrived and nothing was read.
+// setReceivedUpload gives an attempt a forwarded body that has arrived completely and of which nothing has been read.
 func setReceivedUpload(t *testing.T, a *Attempt, wait time.Duration) {
 	t.Helper()
 	body := sidecartest.Pattern(inflight.MaxHeldBody + 100)
@@ -202,12 +203,12 @@
 	sidecartest.Until(t, "the last byte", func() bool { return !u.CompletedAt().IsZero() })
 }
 
-// The last byte of a forwarded body may arrive before the attempt has its connection. The server gets what the client has
-// left since then; once that is over nothing is sent.
+// The last byte of a forwarded body may arrive before the attempt has its connection. The server is sent the time that
+// the client has left since then. If none is left, nothing is sent.
 func TestUpload_timeLeftOfReceivedBody(t *testing.T) {
 	const wait = 9 * time.Second
 	for name, test := range map[string]struct {
-		passed time.Duration // from the last byte that arrived to the first one that is written
+		passed time.Duration // from the arrival of the last byte to the writing of the first one
 		sent   bool
 	}{
 		"some": {4 * time.Second, true},
@@ -233,11 +234,11 @@
 			a.Call.Writing.Unlock()
 			r := sidecartest.Receive(t, "the end", done)
 			if n := len(posted); n != map[bool]int{true: 2, false: 1}[test.sent] {
-				t.Errorf("the event loop got BodyComplete %d times, want before the attempt and after its last byte", n)
+				t.Errorf("the event loop got BodyComplete %d times, want one before the attempt and, if it is sent, one after its last byte", n)
 			}
 			if !test.sent {
 				if r.Result != balance.NotSent || b.Requests.Load() != 0 {
-					t.Errorf("result %v, %d requests at the server", r.Result, b.Requests.Load())
+					t.Errorf("result %v with %d requests at the server, want not sent and none", r.Result, b.Requests.Load())
 				}
 				return
 			}
@@ -246,14 +247,14 @@
 			}
 			maxMS := (wait - test.passed).Milliseconds()
 			if ms, err := strconv.ParseInt(<-timeLeftHeaders, 10, 64); err != nil || ms > maxMS || ms < 1 {
-				t.Errorf("the server got %d ms, %v, and the client has at most %d", ms, err, maxMS)
+				t.Errorf("the server got %d ms, error %v, and the client has at most %d", ms, err, maxMS)
 			}
 		})
 	}
 }
 
-// The first byte of an attempt is written right after its last checks: a client that is slow with the remainder of its body
-// must not delay it, as the checks would become wrong.
+// The first byte of an attempt is written right after its last checks. A client that is slow with the rest of its body
+// must not delay it, as the checks would be outdated by then.
 func TestUpload_firstByteBeforeBody(t *testing.T) {
 	heads := make(chan struct{})
 	at := sidecartest.RawBackend(t, "a", func(c net.Conn, in *bufio.Reader) {
@@ -268,7 +269,7 @@
 	p.release(conn)
 	a.Call.Timeout = sidecartest.Patience
 	a.Call.Outbound = outboundPost(nil)
-	a.Call.Outbound.Upload = inflight.NewUpload(inflight.MaxBody, sidecartest.Pattern(inflight.MinHeldBody)) // the remainder never arrives
+	a.Call.Outbound.Upload = inflight.NewUpload(inflight.MaxBody, sidecartest.Pattern(inflight.MinHeldBody)) // the rest never arrives
 	done := make(chan inflight.Reply, 1)
 	go func() { done <- p.Send(a) }()
 	select {
@@ -282,11 +283,11 @@
 	}
 }
 
-// cancellingConn cancels an attempt whenever it reads a part of the answer.
+// cancellingConn cancels an attempt whenever it reads a part of the response.
 type cancellingConn struct {
 	*net.TCPConn
 	cancel  func()
-	stopped chan struct{} // closed when the connection gets its past deadline
+	stopped chan struct{} // closed when the connection gets PastDeadline
 	once    sync.Once
 }
 
@@ -306,24 +307,24 @@
 	return c.TCPConn.SetDeadline(t)
 }
 
-// An answer may arrive as its attempt is cancelled: it counts once or not at all, and its connection, whose deadline has
-// passed, is not reused.
-func TestAttempt_answerAtCancel(t *testing.T) {
+// A response may arrive at the moment at which its attempt is cancelled. It is counted once or not at all, and its
+// connection, whose deadline has passed, is not reused.
+func TestAttempt_responseAtCancel(t *testing.T) {
 	head := "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\n"
 	for name, test := range map[string]struct {
-		answer string
-		want   balance.Result
+		response string
+		want     balance.Result
 	}{
 		"complete": {head + "done", balance.OK},
 		"half":     {head + "do", balance.Cancelled},
 		"head":     {head, balance.Cancelled},
 	} {
 		t.Run(name, func(t *testing.T) {
-			b := sidecartest.NewBackend(t, "a", sidecartest.Respond(test.answer, true))
+			b := sidecartest.NewBackend(t, "a", sidecartest.Respond(test.response, true))
 			p, a, conn, _ := newExchange(t, b)
 			a.Call.Outbound = outboundPost([]byte("plate 12-34"))
-			gone := &cancellingConn{TCPConn: conn.Conn.(*net.TCPConn), cancel: a.Cancel, stopped: make(chan struct{})}
-			conn.Conn, conn.head.Conn = gone, gone
+			cancelling := &cancellingConn{TCPConn: conn.Conn.(*net.TCPConn), cancel: a.Cancel, stopped: make(chan struct{})}
+			conn.Conn, conn.head.Conn = cancelling, cancelling
 			p.release(conn)
 			if r := p.Send(a); r.Result != test.want {
 				t.Errorf("result %v, want %v", r.Result, test.want)
--- a/internal/sidecar/upstream/checkpoint_test.go
+++ b/internal/sidecar/upstream/checkpoint_test.go
@@ -12,9 +12,10 @@
 	"marblelane/internal/sidecar/sidecartest"
 )
 
-// While the process is held up once, the server gets at most that much more time than the client has left.
+// If the process is delayed once during an attempt, the time that the server is given exceeds what the client has left
+// by at most that delay.
 func TestHeldUp_timeLeftHeader(t *testing.T) {
-	const slack = 50 * time.Millisecond // of sockets
+	const slack = 50 * time.Millisecond // for the transfer through sockets
 	for at, maxExcess := range map[checkpoint.Checkpoint]time.Duration{checkpoint.AttemptDecided: slack, checkpoint.ClockRead: sidecartest.Hold + slack} {
 		for _, upload := range []bool{false, true} {
 			t.Run(string(at)+", forwarded "+strconv.FormatBool(upload), func(t *testing.T) {
@@ -47,14 +48,14 @@
 					t.Fatalf("result %v", r.Result)
 				}
 				if over := <-excess; over > maxExcess+lag() {
-					t.Errorf("the server got %v more than the client has left, want %v at most", over, maxExcess)
+					t.Errorf("the server was given %v more than the client has left, want %v at most", over, maxExcess)
 				}
 			})
 		}
 	}
 }
 
-// A retry that is held up until the window of its key is over is not sent.
+// A retry that is delayed until the window of its idempotency key has ended is not sent.
 func TestHeldUp_keyWindowEnds(t *testing.T) {
 	for _, at := range []checkpoint.Checkpoint{checkpoint.AttemptDecided, checkpoint.ClockRead} {
 		t.Run(string(at), func(t *testing.T) {
@@ -68,14 +69,14 @@
 			p.hook = func(c checkpoint.Checkpoint) {
 				if c == at {
 					<-time.After(time.Until(a.Call.Outbound.MayRunSince.Add(sidecartest.Hold)))
-					time.Sleep(20 * time.Millisecond) // the deadline on the connection has passed, too
+					time.Sleep(20 * time.Millisecond) // until the deadline of the connection has passed, too
 				}
 			}
 			if r := p.Send(nextAttempt(a)); r.Result != balance.NotSent {
-				t.Errorf("result %v, want that nothing was sent", r.Result)
+				t.Errorf("result %v, want not sent", r.Result)
 			}
 			if n := b.Requests.Load(); n != 1 {
-				t.Errorf("%d attempts at the server, want the first alone", n)
+				t.Errorf("the server got %d attempts, want only the first", n)
 			}
 		})
 	}
--- a/internal/sidecar/upstream/dial.go
+++ b/internal/sidecar/upstream/dial.go
@@ -9,27 +9,28 @@
 	"marblelane/internal/sidecar/netcall"
 )
 
-// maxConnectTime is how long a new connection may take to come up. An attempt does not wait that long: a late connection is
-// there for the next attempt.
+// maxConnectTime is how long a dial may take, unless the configured connect timeout is longer. An attempt waits only
+// for the connect timeout: a connection that is established later serves the next attempt.
 const maxConnectTime = time.Second
 
-// connWaiter is an attempt that waits for a new connection: its own, or one that was dialed for another attempt. It does not
-// get one that has just carried an answer: some servers close those right then, and what is written to them is lost.
+// connWaiter is an attempt that waits for a new connection, which may have been dialed for another attempt. It gets no
+// connection that has just carried a response: some servers close such a connection at that moment, and what is
+// written to it is lost.
 type connWaiter struct {
-	result chan dialResult // has room for the one result; never closed
+	result chan dialResult // buffered for its one result; never closed
 }
 
-// dialResult is the connection that a waiter gets, or the error of a dial.
+// dialResult is the connection for a waiter, or the error of a dial.
 type dialResult struct {
 	conn *serverConn
 	err  error
 }
 
-// acquire returns an idle connection, or dials a new one. The request writer checks an idle one right before it writes.
-// Dialing is bounded by the settings and the deadline. The event loop gets Connecting for an attempt that dials; attempt is
-// nil for a health check.
-func (p *Pool) acquire(ctx context.Context, server *Server, deadline time.Time, attempt *Attempt) (conn *serverConn, reused bool,
-	err error) {
+// acquire returns an idle connection, or dials a new one. The request writer checks a reused connection right before
+// it writes. The wait for a new connection is limited by the connect timeout and the deadline. The event loop gets
+// Connecting events for an attempt that dials; attempt is nil for a health check.
+func (p *Pool) acquire(ctx context.Context, server *Server, deadline time.Time, attempt *Attempt) (
+	conn *serverConn, reused bool, err error) {
 	if server.Retired.Load() || !time.Now().Before(deadline) {
 		return nil, false, errAttemptObsolete
 	}
@@ -52,8 +53,8 @@
 	return conn, false, nil
 }
 
-// takeFreshIdle takes an idle connection that its server has not closed for its age yet, and closes older ones. It returns
-// nil if there is none.
+// takeFreshIdle takes an idle connection that its server is unlikely to have closed yet, and closes connections that
+// have been idle for longer than that. It returns nil if there is none.
 func (p *Pool) takeFreshIdle(server *Server) *serverConn {
 	maxIdle := p.idleAges.bound(p.maxIdle)
 	for {
@@ -65,8 +66,8 @@
 	}
 }
 
-// awaitConnection dials a connection that reserve has counted, and takes the first one to the server that comes up. One that
-// is too late for this attempt serves a later one.
+// awaitConnection starts a dial, which reserve has counted, and waits for the first new connection to the server. A
+// connection that is established too late for this attempt serves a later one.
 func (p *Pool) awaitConnection(ctx context.Context, server *Server, deadline time.Time) (*serverConn, error) {
 	waiter := &connWaiter{result: make(chan dialResult, 1)}
 	p.mu.Lock()
@@ -74,19 +75,20 @@
 	server.dialing++
 	p.mu.Unlock()
 	p.dialers.Go(func() { p.dial(server) })
-	late := time.NewTimer(min(p.connectTimeout, time.Until(deadline)))
-	defer late.Stop()
+	timer := time.NewTimer(min(p.connectTimeout, time.Until(deadline)))
+	defer timer.Stop()
 	select {
-	case got := <-waiter.result:
-		return got.conn, got.err
-	case <-late.C:
+	case received := <-waiter.result:
+		return received.conn, received.err
+	case <-timer.C:
 		return p.stopWaiting(server, waiter, os.ErrDeadlineExceeded)
 	case <-ctx.Done():
 		return p.stopWaiting(server, waiter, ctx.Err())
 	}
 }
 
-// stopWaiting takes an attempt out of the line. It may have got its connection at the same moment.
+// stopWaiting removes an attempt from the waiting ones and returns the cause. It returns the result of a dial instead
+// if that was delivered at the same moment.
 func (p *Pool) stopWaiting(server *Server, waiter *connWaiter, cause error) (*serverConn, error) {
 	p.mu.Lock()
 	if i := slices.Index(server.waiting, waiter); i >= 0 {
@@ -94,8 +96,8 @@
 	}
 	p.mu.Unlock()
 	select {
-	case got := <-waiter.result:
-		return got.conn, got.err
+	case received := <-waiter.result:
+		return received.conn, received.err
 	default:
 		return nil, cause
 	}
@@ -112,10 +114,11 @@
 	if p.deliver(conn) {
 		return
 	}
-	p.post(ConnectionReady{server}) // not under the lock, for which the event loop may be waiting
+	p.post(ConnectionReady{server}) // not under the lock, which the event loop may be waiting for
 }
 
-// failDial ends one attempt with the error of a dial, unless as many dials are running as attempts wait.
+// failDial ends one waiting attempt with the error of a dial, unless the dials that are still running are enough for
+// all waiting attempts. If the failure is one of this machine, it ends the attempt that has waited least.
 func (p *Pool) failDial(server *Server, err error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -130,8 +133,8 @@
 	}
 }
 
-// deliver gives a new connection to the attempt that has waited longest, or keeps it idle if none waits. It reports whether
-// one did.
+// deliver passes a new connection to the attempt that has waited longest, and returns true. If no attempt waits, it
+// keeps the connection idle and returns false.
 func (p *Pool) deliver(conn *serverConn) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -144,14 +147,14 @@
 	return true
 }
 
-// popFirstWaiter removes the attempt that has waited longest; the caller holds the lock of the pool.
+// popFirstWaiter removes and returns the attempt that has waited longest. The caller holds the lock of the pool.
 func (s *Server) popFirstWaiter() *connWaiter { return s.popWaiter(0) }
 
-// popLastWaiter removes the attempt that has waited least and so has most time to go elsewhere; the caller holds the lock of
-// the pool. The dials that are running are left for those before it.
+// popLastWaiter removes and returns the attempt that has waited least, which has the most time left to try another
+// server. The dials that are running serve the attempts before it. The caller holds the lock of the pool.
 func (s *Server) popLastWaiter() *connWaiter { return s.popWaiter(len(s.waiting) - 1) }
 
-// popWaiter removes the waiter with an index; the caller holds the lock of the pool.
+// popWaiter removes and returns the waiter at an index. The caller holds the lock of the pool.
 func (s *Server) popWaiter(i int) *connWaiter {
 	waiter := s.waiting[i]
 	s.waiting = slices.Delete(s.waiting, i, i+1)
--- a/internal/sidecar/upstream/errno_test.go
+++ b/internal/sidecar/upstream/errno_test.go
@@ -15,7 +15,7 @@
 	"marblelane/internal/sidecar/sidecartest"
 )
 
-// injectFaults replaces the connection below conn by one that can fail.
+// injectFaults replaces the TCP connection of conn by one that can fail.
 func injectFaults(t *testing.T, conn *serverConn) *sidecartest.FaultyConn {
 	t.Helper()
 	c := &sidecartest.FaultyConn{TCPConn: conn.Conn.(*net.TCPConn)}
@@ -23,8 +23,8 @@
 	return c
 }
 
-// A request whose connection breaks while its answer is awaited may have run, whatever the errno. ETIMEDOUT, which reports
-// Timeout as this process's own deadline does, is no exception.
+// A request whose connection breaks while its response is awaited may have run, whatever the errno. That includes
+// ETIMEDOUT, which reports Timeout just as a deadline of this process does.
 func TestReadErrno_isReset(t *testing.T) {
 	for _, errno := range []syscall.Errno{
 		syscall.ETIMEDOUT, syscall.EHOSTUNREACH, syscall.ENETUNREACH, syscall.ECONNRESET, syscall.ECONNREFUSED,
@@ -44,8 +44,8 @@
 	}
 }
 
-// This process's own deadline of a read is a time-out.
-func TestAnswer_ownDeadline(t *testing.T) {
+// A read that ends at the deadline set by this process is a timeout.
+func TestResponse_ownDeadline(t *testing.T) {
 	b := sidecartest.NewBackend(t, "a", func(net.Conn, *http.Request, string) bool { return true })
 	p, a, conn, _ := newExchange(t, b)
 	a.Call.Outbound = outboundPost([]byte("plate 12-34"))
@@ -56,7 +56,7 @@
 	}
 }
 
-// The result of an attempt and of a health check for each errno.
+// Each errno leads to the same result for an attempt and for a health check.
 func TestErrno_attemptResult(t *testing.T) {
 	for _, test := range sidecartest.ErrnoCases() {
 		t.Run(test.Call+" "+test.Errno.Error(), func(t *testing.T) {
@@ -74,14 +74,14 @@
 				t.Errorf("the server got %d requests", n)
 			}
 			if n := openCount(p); n != 1 {
-				t.Errorf("%d connections are counted, want the test's own", n)
+				t.Errorf("%d connections are counted, want only the test's own", n)
 			}
 		})
 	}
 }
 
-// A dial that fails on this machine's side fails the attempt that came last; the dials that are running serve the one that
-// has waited longer.
+// If a dial fails because of this machine, the attempt that came last fails. The dials that are still running serve
+// the attempt that has waited longer.
 func TestDial_localFailureOfNewestWaiter(t *testing.T) {
 	b := sidecartest.NewBackend(t, "a", sidecartest.OK)
 	cfg, err := configtest.NewConf("127.0.0.1:1").Load(t)
@@ -112,16 +112,16 @@
 	}()
 	first.WaitFor(t, 1)
 	if _, _, err := p.acquire(t.Context(), server, deadline, nil); unsentResult(t.Context(), deadline, err) != balance.LocalFailure {
-		t.Errorf("the newer attempt ends with %v", err)
+		t.Errorf("the newer attempt ended with %v, want a local failure", err)
 	}
 	first.Release()
 	if err := sidecartest.Receive(t, "the older attempt", older); err != nil {
-		t.Errorf("the older attempt ends with %v", err)
+		t.Errorf("the older attempt ended with %v", err)
 	}
 }
 
-// A read that fails for a moment is repeated, and the answer is complete.
-func TestReadErrno_momentary(t *testing.T) {
+// A read that fails with a transient error is repeated, and the response is complete.
+func TestReadErrno_transient(t *testing.T) {
 	for _, errno := range netcall.TransientErrnos {
 		t.Run(errno.Error(), func(t *testing.T) {
 			b := sidecartest.NewBackend(t, "a", sidecartest.OK)
@@ -129,15 +129,15 @@
 			a.Call.Outbound = outboundPost([]byte("plate 12-34"))
 			sidecartest.Dialing(p, sidecartest.Succeed, sidecartest.FaultyConn{FailRead: sidecartest.FailTimes(2, sidecartest.OpError("read", errno))})
 			if r := p.Send(a); r.Result != balance.OK || string(r.Answer.Body) != "done" {
-				t.Errorf("result %v with %q, want the answer", r.Result, r.Answer.Body)
+				t.Errorf("result %v with %q, want the complete response", r.Result, r.Answer.Body)
 			}
 		})
 	}
 }
 
-// A read that fails again and again ends at the attempt's deadline.
-func TestReadErrno_momentaryUntilDeadline(t *testing.T) {
-	// It never answers: the answer of one that does could be read in the moment in which the deadline passes.
+// A read that keeps failing with a transient error ends at the deadline of the attempt.
+func TestReadErrno_transientUntilDeadline(t *testing.T) {
+	// The backend never responds: a response could be read at the moment at which the deadline passes.
 	b := sidecartest.NewBackend(t, "a", func(net.Conn, *http.Request, string) bool { return true })
 	p, a, _, _ := newExchange(t, b)
 	a.Call.Outbound = outboundPost([]byte("plate 12-34"))
@@ -154,9 +154,10 @@
 	}
 }
 
-// One read fails at any byte of an answer, also within a line of its head, and the later ones do not. After a momentary
-// failure the answer is complete. After any other it has broken off, and is never taken for a shorter one.
-func TestReadErrno_atEveryByteOfAnswer(t *testing.T) {
+// One read fails at any byte of a response, also within a line of its head, and later reads succeed. After a transient
+// error the response is complete. After any other error the attempt fails: the bytes up to there are never taken for a
+// shorter response.
+func TestReadErrno_atEveryByteOfResponse(t *testing.T) {
 	const text = "HTTP/1.1 200 OK\r\nX-Server-Load: busy=0.5,rate=7\r\nContent-Length: 4\r\n\r\ndone"
 	for errno, want := range map[syscall.Errno]balance.Result{
 		syscall.ECONNRESET: balance.Reset, syscall.ETIMEDOUT: balance.Reset, syscall.EINTR: balance.OK,
@@ -165,7 +166,7 @@
 			b := sidecartest.NewBackend(t, "a", sidecartest.Respond(text, true))
 			p, a, _, _ := newExchange(t, b)
 			a.Call.Outbound = outboundPost([]byte("plate 12-34"))
-			stopped := make(chan struct{}) // no client takes a forwarded answer
+			stopped := make(chan struct{}) // no client takes a forwarded response
 			close(stopped)
 			p.loopStopped = stopped
 			dial := p.dialContext
--- a/internal/sidecar/upstream/exchange.go
+++ b/internal/sidecar/upstream/exchange.go
@@ -16,24 +16,24 @@
 )
 
 const (
-	// streamTimeout bounds the wait for the next bytes of a body that is forwarded as it arrives, in either direction.
+	// streamTimeout limits the wait for the next bytes of a request or response body that is forwarded as it arrives.
 	streamTimeout      = 5 * time.Second
 	healthCheckTimeout = 250 * time.Millisecond
-	// earlyResponseTimeout bounds the reading of an answer that came before the whole request was written.
+	// earlyResponseTimeout limits the reading of a response that arrived before the whole request was written.
 	earlyResponseTimeout = healthCheckTimeout
 )
 
-// Send carries out an attempt and returns how it ended.
+// Send carries out an attempt and returns its reply.
 func (p *Pool) Send(attempt *Attempt) inflight.Reply {
 	p.hook.At(checkpoint.AttemptDecided)
 	reply := p.exchangeCall(attempt)
-	if out := attempt.Call.Outbound; out.MayRunSince.IsZero() && !reply.Result.NeverRan() {
-		out.MayRunSince = out.LastFirstByte
+	if outbound := attempt.Call.Outbound; outbound.MayRunSince.IsZero() && !reply.Result.NeverRan() {
+		outbound.MayRunSince = outbound.LastFirstByte
 	}
 	return attempt.RouteCheck.RecordEnd(reply)
 }
 
-// HealthCheck sends a request of the sidecar's own that reads a server's state and load report.
+// HealthCheck sends a health check of the sidecar's own, which returns a server's state and load report.
 func (p *Pool) HealthCheck(ctx context.Context, server *Server) inflight.Reply {
 	x := &exchange{pool: p, server: server, deadline: time.Now().Add(healthCheckTimeout), request: &http.Request{
 		Method: http.MethodGet, URL: &url.URL{Path: p.healthCheckPath}, Host: server.Endpoint, Header: http.Header{},
@@ -45,7 +45,7 @@
 	return reply
 }
 
-// exchangeCall sends the client's request within the client's time.
+// exchangeCall sends the client's request within the time limit of the client.
 func (p *Pool) exchangeCall(attempt *Attempt) inflight.Reply {
 	x := &exchange{pool: p, server: attempt.Server, deadline: attempt.Deadline, attempt: attempt,
 		request: outboundRequest(attempt.Call.Outbound)}
@@ -60,15 +60,16 @@
 	return reply
 }
 
-// outboundRequest returns a request for one attempt, with headers of its own.
-func outboundRequest(out *inflight.Outbound) *http.Request {
+// outboundRequest returns the request for one attempt, with its own copy of the headers.
+func outboundRequest(outbound *inflight.Outbound) *http.Request {
 	return &http.Request{
-		Method: out.Method, URL: out.URL, Host: out.Host, Header: out.Header.Clone(), ContentLength: int64(len(out.Body)),
+		Method: outbound.Method, URL: outbound.URL, Host: outbound.Host, Header: outbound.Header.Clone(),
+		ContentLength: int64(len(outbound.Body)),
 	}
 }
 
-// uploadDeadline is when a call with a forwarded body ends. A body whose last byte arrived while no attempt was reading it
-// has not been reported to the event loop yet.
+// uploadDeadline returns the deadline of a call with a forwarded body. If the last byte of the body arrived while no
+// attempt was reading the body, the event loop has not been notified yet, and gets BodyComplete here.
 func (p *Pool) uploadDeadline(call *inflight.Call) time.Time {
 	deadline := time.Now().Add(inflight.MaxTimeout)
 	upload := call.Outbound.Upload
@@ -79,8 +80,8 @@
 	return deadline
 }
 
-// retryWindow is how long servers remember an idempotency key of a class. It is 0 if the class has no key, or if the window
-// is longer than any request lasts.
+// retryWindow returns for how long servers remember an idempotency key of a class. It returns 0 if the class uses no
+// key, or if the window is longer than any request lasts.
 func retryWindow(class *balance.Class) time.Duration {
 	if class.Idempotency != balance.IdempotentWithKey || class.KeyWindow >= float64(inflight.MaxTimeout/time.Millisecond) {
 		return 0
@@ -88,8 +89,8 @@
 	return max(clock.Duration(class.KeyWindow), 1)
 }
 
-// retryDeadline is when the last byte of an attempt must have been written, as servers then forget the idempotency key of an
-// earlier attempt that may have run. It is zero if there is no such bound.
+// retryDeadline returns when the last byte of an attempt must have been written. After that, servers forget the
+// idempotency key of an earlier attempt that may have run. It returns the zero time if there is no such limit.
 func (p *Pool) retryDeadline(attempt *Attempt) time.Time {
 	if attempt == nil || attempt.Call.Outbound.MayRunSince.IsZero() || p.retryWindows[attempt.Call.Request.Class] == 0 {
 		return time.Time{}
@@ -97,20 +98,20 @@
 	return attempt.Call.Outbound.MayRunSince.Add(p.retryWindows[attempt.Call.Request.Class])
 }
 
-// exchange writes a request once and reads its answer. net/http's Transport would send a request again by itself when a
-// reused connection breaks, which would be one more attempt. Here a request moves to another connection only while its last
-// byte has not been written.
+// exchange writes a request once and reads its response. net/http's Transport is not used, as it sends a request again
+// by itself when a reused connection breaks, which would be an additional attempt. Here a request moves to another
+// connection only as long as its last byte has not been written.
 type exchange struct {
-	pool     *Pool
-	server   *Server
-	request  *http.Request
-	attempt  *Attempt  // nil for a health check
-	deadline time.Time // for the answer; of a forwarded body, set anew once its last byte has arrived
-	writeDeadline  time.Time // for the last byte of the request, see retryBefore; zero if there is no bound
-	sendDeadline   time.Time // the earlier of the two
+	pool          *Pool
+	server        *Server
+	request       *http.Request
+	attempt       *Attempt  // nil for a health check
+	deadline      time.Time // for the response; set again once the last byte of a forwarded body has arrived
+	writeDeadline time.Time // for the last byte of the request, see retryDeadline; zero if there is none
+	sendDeadline  time.Time // the earlier of deadline and writeDeadline
 }
 
-// run sends the request, over a second connection if the first one was stale.
+// run sends the request. It moves on to another connection as long as the current one is stale.
 func (x *exchange) run(ctx context.Context) inflight.Reply {
 	x.sendDeadline, x.writeDeadline = x.deadline, x.pool.retryDeadline(x.attempt)
 	if !x.writeDeadline.IsZero() && x.writeDeadline.Before(x.deadline) {
@@ -124,7 +125,7 @@
 	}
 }
 
-// runOnConnection sends the request over one connection. It reports a stale one if nothing of the request has run and the
+// runOnConnection sends the request on one connection. It returns stale if nothing of the request has run and the
 // request may move to another connection.
 func (x *exchange) runOnConnection(ctx context.Context) (reply inflight.Reply, stale bool) {
 	conn, reused, err := x.pool.acquire(ctx, x.server, x.sendDeadline, x.attempt)
@@ -153,7 +154,8 @@
 	return reply, false
 }
 
-// recordWritten counts an attempt whose last byte is written. The time for the answer to a forwarded body starts here.
+// recordWritten counts an attempt whose last byte has been written. With a forwarded body, the time limit for the
+// response starts here.
 func (x *exchange) recordWritten(writer *requestWriter) {
 	if x.attempt == nil {
 		return
@@ -169,7 +171,7 @@
 	<-writer.earlyResponse.done
 }
 
-// idleTime is how long a connection was idle before this request; 0 for a new one.
+// idleTime returns how long a connection was idle before this request. It is 0 for a new connection.
 func idleTime(conn *serverConn, reused bool) time.Duration {
 	if !reused {
 		return 0
@@ -177,7 +179,8 @@
 	return time.Since(conn.idleSince)
 }
 
-// finishUnwritten ends a request whose last byte was not written, or reports that its connection was stale.
+// finishUnwritten ends a request whose last byte was not written. It returns either its reply or that the connection
+// was stale.
 func (x *exchange) finishUnwritten(ctx context.Context, writer *requestWriter, cause error) (reply inflight.Reply, stale bool) {
 	result := balance.Rejected
 	if !writer.respondedEarly() || !rejectedEarly(writer.conn, x.request) {
@@ -193,8 +196,9 @@
 	return inflight.Reply{Result: result}, false
 }
 
-// mayUseAnotherConnection reports whether a request that was not written to a reused connection may be written to another one: the server
-// has closed the first while it was idle, and there is time and a body left.
+// mayUseAnotherConnection reports whether a request that was not completely written to a reused connection may move to
+// another one. It may if the server closed the connection while it was idle, there is time left, and no byte of a
+// forwarded body has been consumed.
 func (x *exchange) mayUseAnotherConnection(ctx context.Context, result balance.Result, cause error) bool {
 	if result == balance.Rejected || result == balance.LocalFailure || ctx.Err() != nil {
 		return false
--- a/internal/sidecar/upstream/exchange_test.go
+++ b/internal/sidecar/upstream/exchange_test.go
@@ -18,7 +18,7 @@
 	"marblelane/internal/sidecar/sidecartest"
 )
 
-// newExchange sets up an attempt with an open connection, one step before its first byte.
+// newExchange prepares an attempt with an open connection, right before its first byte is written.
 func newExchange(t *testing.T, b *sidecartest.Backend) (*Pool, *Attempt, *serverConn, *http.Request) {
 	t.Helper()
 	cfg, err := configtest.NewConf("127.0.0.1:1").Load(t)
@@ -40,21 +40,21 @@
 	return p, a, conn, req
 }
 
-// Between the decision and the first byte the endpoint list may change or the request may be answered: nothing is sent then,
-// and it is no failure of the server.
+// Between the decision and the first byte the endpoint list may change, or the request may get its response. Nothing
+// is sent then, and it is not a failure of the server.
 func TestWrite_checksBeforeFirstByte(t *testing.T) {
 	for name, change := range map[string]func(*Pool, *Attempt){
-		"server retired":   func(p *Pool, a *Attempt) { p.Retire(a.Server) },
-		"request answered": func(_ *Pool, a *Attempt) { a.Call.Finish() },
-		"time is over":     func(_ *Pool, a *Attempt) { a.Deadline = time.Now() },
+		"server retired": func(p *Pool, a *Attempt) { p.Retire(a.Server) },
+		"response sent":  func(_ *Pool, a *Attempt) { a.Call.Finish() },
+		"no time left":   func(_ *Pool, a *Attempt) { a.Deadline = time.Now() },
 	} {
 		t.Run(name, func(t *testing.T) {
 			b := sidecartest.NewBackend(t, "a", sidecartest.OK)
 			p, a, conn, req := newExchange(t, b)
 			change(p, a)
-			all, err := (&requestWriter{conn: conn}).write(a.Deadline, req, a)
-			if all || err != errAttemptObsolete || unsentResult(a.Context, a.Deadline, err) != balance.NotSent {
-				t.Errorf("written %v, error %v", all, err)
+			written, err := (&requestWriter{conn: conn}).write(a.Deadline, req, a)
+			if written || err != errAttemptObsolete || unsentResult(a.Context, a.Deadline, err) != balance.NotSent {
+				t.Errorf("written %v, error %v", written, err)
 			}
 			conn.Close()
 			if b.Requests.Load() != 0 {
@@ -64,21 +64,21 @@
 	}
 }
 
-// A write that ends short proves that nothing ran.
+// An incomplete write guarantees that nothing ran.
 func TestWrite_shortNeverRan(t *testing.T) {
 	b := sidecartest.NewBackend(t, "a", sidecartest.OK)
 	_, a, conn, req := newExchange(t, b)
 	conn.Conn.(*net.TCPConn).CloseWrite()
-	all, err := (&requestWriter{conn: conn}).write(a.Deadline, req, a)
-	if got := unsentResult(a.Context, a.Deadline, err); all || got != balance.WriteFailed {
-		t.Errorf("written %v, %v, result %v", all, err, got)
+	written, err := (&requestWriter{conn: conn}).write(a.Deadline, req, a)
+	if got := unsentResult(a.Context, a.Deadline, err); written || got != balance.WriteFailed {
+		t.Errorf("written %v, error %v, result %v", written, err, got)
 	}
 	if a.Written.Load() {
-		t.Error("it counts as written")
+		t.Error("the attempt counts as written")
 	}
 }
 
-// Only an error that no process answered is a failed connect: a reset shows that something is there.
+// A connect counts as failed only if no process responded: a reset shows that a process is there.
 func TestUnsentResult(t *testing.T) {
 	op := func(op string, err error) error {
 		return &net.OpError{Op: op, Net: "tcp", Err: os.NewSyscallError(op, err)}
@@ -107,37 +107,38 @@
 	}
 }
 
-// A request whose reused connection breaks during the write moves to a new one: nothing of it has run, and it is no failure
-// of the server.
+// A request whose reused connection breaks during the write moves to a new one: nothing of it has run, and it is not a
+// failure of the server.
 func TestReusedConn_writeBreaks(t *testing.T) {
 	b := sidecartest.NewBackend(t, "a", sidecartest.OK)
 	p, a, conn, _ := newExchange(t, b)
 	a.Call.Outbound = &inflight.Outbound{
 		Method: "POST", URL: &url.URL{Path: "/api"}, Host: "b", Header: http.Header{}, Body: []byte("plate 12-34"),
 	}
-	conn.Conn.(*net.TCPConn).CloseWrite() // peeking shows it open
+	conn.Conn.(*net.TCPConn).CloseWrite() // a peek still shows the connection as open
 	p.release(conn)
 	if r := p.Send(a); r.Result != balance.OK {
 		t.Errorf("result %v", r.Result)
 	}
 	if n := b.Requests.Load(); n != 1 {
-		t.Errorf("%d sends, want 1", n)
+		t.Errorf("the server got %d requests, want 1", n)
 	}
 }
 
-// Connections are limited over all servers; at the limit an idle one of another server is closed.
+// The limit applies to the connections of all servers together. At the limit an idle connection of another server is
+// closed.
 func TestPool_limitOverAllServers(t *testing.T) {
 	b, other := sidecartest.NewBackend(t, "a", sidecartest.OK), sidecartest.NewBackend(t, "b", sidecartest.OK)
 	p, a, conn, _ := newExchange(t, b)
 	p.limit = 1
 	server := &Server{ID: 2, Endpoint: other.Target.Endpoint}
 	if _, _, err := p.acquire(a.Context, server, a.Deadline, nil); err != errPoolExhausted || unsentResult(a.Context, a.Deadline, err) != balance.NotSent {
-		t.Fatalf("a second connection: %v", err)
+		t.Fatalf("a second connection: error %v, want errPoolExhausted", err)
 	}
 	p.release(conn)
 	second, reused, err := p.acquire(a.Context, server, a.Deadline, nil)
 	if err != nil || reused {
-		t.Fatalf("with an idle one to close: %v", err)
+		t.Fatalf("with an idle connection to close: %v", err)
 	}
 	p.release(second)
 	if p.open != 1 {
@@ -152,15 +153,15 @@
 	p.release(conn)
 	p.ReapIdle(time.Now().Add(8 * time.Second))
 	if p.open != 1 {
-		t.Error("reaped early")
+		t.Error("the connection was closed early")
 	}
 	p.ReapIdle(time.Now().Add(9 * time.Second))
 	if p.open != 0 || len(p.idleServers) != 0 {
-		t.Error("not reaped in time")
+		t.Error("the connection was not closed in time")
 	}
 }
 
-// A health check returns the load report in the body of the answer.
+// A health check returns the load report in the body of the response.
 func TestHealthCheck_loadReport(t *testing.T) {
 	paths := make(chan string, 1)
 	b := sidecartest.NewBackend(t, "a", func(c net.Conn, r *http.Request, _ string) bool {
@@ -172,14 +173,15 @@
 	p.release(conn)
 	r := p.HealthCheck(a.Context, a.Server)
 	if r.Result != balance.OK || len(r.Report) != 2 || r.Report[0] != 0.5 || r.Report[1] != 7 {
-		t.Errorf("%+v", r)
+		t.Errorf("reply %+v, want the report in the body", r)
 	}
 	if path := <-paths; path != "/stats" {
-		t.Errorf("the health check got %s", path)
+		t.Errorf("the health check requested %s", path)
 	}
 }
 
-// A connection that comes up too late for its attempt serves one that waits then, or is idle for the next one.
+// A connection that is established too late for its attempt serves an attempt that is waiting then, or is idle for the
+// next one.
 func TestDial_lateConnectionServesNext(t *testing.T) {
 	cfg, err := configtest.NewConf("127.0.0.1:1").Load(t)
 	if err != nil {
@@ -188,13 +190,13 @@
 	b := sidecartest.NewBackend(t, "a", sidecartest.OK)
 	p := NewPool(cfg, 10)
 	t.Cleanup(p.Close)
-	handshake := make(chan struct{}) // each connection waits for one
+	handshake := make(chan struct{}) // each connection waits for one value
 	p.dialer.Control = func(string, string, syscall.RawConn) error { <-handshake; return nil }
 	server := &Server{ID: 1, Endpoint: b.Target.Endpoint}
 	deadline := time.Now().Add(sidecartest.Patience)
 
 	if _, _, err := p.acquire(t.Context(), server, deadline, nil); unsentResult(t.Context(), deadline, err) != balance.ConnectFailed {
-		t.Fatalf("an attempt whose connection is late ends with %v", err)
+		t.Fatalf("an attempt with a late connection ended with %v", err)
 	}
 	p.connectTimeout = sidecartest.Patience
 	got := make(chan error, 1)
@@ -213,19 +215,19 @@
 		defer p.mu.Unlock()
 		return len(server.waiting) == 1 && server.dialing == 2
 	})
-	handshake <- struct{}{} // of either: the attempt takes the first that comes up
+	handshake <- struct{}{} // for either dial: the attempt takes the first connection
 	if err := sidecartest.Receive(t, "a connection", got); err != nil {
 		t.Error(err)
 	}
 	handshake <- struct{}{}
-	sidecartest.Until(t, "the other to be idle", func() bool {
+	sidecartest.Until(t, "the other connection to be idle", func() bool {
 		p.mu.Lock()
 		defer p.mu.Unlock()
 		return len(server.idle) == 1 && server.dialing == 0
 	})
 	next, reused, err := p.acquire(t.Context(), server, deadline, nil)
 	if !reused || err != nil {
-		t.Fatalf("the next attempt dials: %v", err)
+		t.Fatalf("the next attempt got no idle connection: %v", err)
 	}
 	p.discard(next)
 }
--- a/internal/sidecar/upstream/idle_age.go
+++ b/internal/sidecar/upstream/idle_age.go
@@ -7,30 +7,34 @@
 )
 
 const (
-	// ageBuckets is the number of counts by idle time: two to a doubling from 1 ms on, the last one beyond an hour.
+	// ageBuckets is the number of buckets by idle time: two for each doubling from 1 ms on. The last one starts beyond
+	// an hour.
 	ageBuckets = 48
-	// ageDecayTime is the time constant of the counts: the network may change.
+	// ageDecayTime is the time constant of the exponential decay of the counts: the network may change.
 	ageDecayTime = 30 * time.Second
-	// minLikelihoodGain is by how much two loss rates must explain the counts better than one, as a log-likelihood ratio.
+	// minLikelihoodGain is how much better two loss rates must explain the counts than a single one, as a
+	// log-likelihood ratio.
 	minLikelihoodGain = 6.0
-	// minLossRatio is how many times more often the older connections must be lost than the younger ones.
+	// minLossRatio is how many times higher the loss rate of the older connections must be than that of the younger
+	// ones.
 	minLossRatio = 3
 )
 
-// idleAges learns how long a connection may be idle. Something on the way may forget a connection sooner than its server
-// closes it, without a sign: a request written to it then ends as a reset, after which it may have run.
+// idleAges learns how long a connection may stay idle. A device on the network path may drop an idle connection sooner
+// than its server closes it, without notifying either side. A request written to the connection then fails with a
+// reset, and counts as one that may have run.
 //
-// It counts requests and losses by the idle time of their connection, as exponentially decayed sums. The bound is the idle
-// time at which a model with two loss rates (below and from there on) has the highest likelihood, if that is enough more
-// than the likelihood of a single rate.
+// It counts requests and lost connections by the idle time of the connection, as exponentially decayed sums. The bound
+// is the idle time at which a model with two loss rates (one below the bound, one from there on) has the highest
+// likelihood, provided that it exceeds the likelihood of a single rate by minLikelihoodGain.
 type idleAges struct {
-	mu         sync.Mutex          // guards all
-	requests, losses [ageBuckets]float64 // requests and losses by idle time; 0: new connections
-	decayedAt  time.Time           // when these last decayed
-	learnedBound    time.Duration       // the bound; 0: there is none
+	mu               sync.Mutex          // guards the fields below
+	requests, losses [ageBuckets]float64 // by bucket of idle time; bucket 0 is that of new connections
+	decayedAt        time.Time           // when the counts were last decayed
+	learnedBound     time.Duration       // 0 if there is none
 }
 
-// ageBucket returns the index of an idle time; a negative one counts as that of a new connection.
+// ageBucket returns the bucket of an idle time. A negative time counts as that of a new connection.
 func ageBucket(idle time.Duration) int {
 	if idle <= 0 {
 		return 0
@@ -38,12 +42,13 @@
 	return int(min(max(2*math.Log2(float64(idle)/float64(time.Millisecond))+1, 0), ageBuckets-1))
 }
 
-// bucketStart is the least idle time of a bucket above 0.
+// bucketStart returns the shortest idle time of a bucket above 0.
 func bucketStart(bucket int) time.Duration {
 	return time.Duration(math.Exp2(float64(bucket-1)/2) * float64(time.Millisecond))
 }
 
-// record counts a request on a connection that was idle for a time, 0 for a new one, and whether the connection was lost.
+// record counts a request on a connection that had been idle for a time, 0 for a new connection, and whether the
+// connection was lost.
 func (a *idleAges) record(now time.Time, idle time.Duration, lost bool) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -58,7 +63,7 @@
 	}
 }
 
-// decay takes from the counts what is due since the last time; the caller holds the lock.
+// decay reduces the counts by the decay since the last call. The caller holds the lock.
 func (a *idleAges) decay(now time.Time) {
 	factor := 1.0
 	if !a.decayedAt.IsZero() {
@@ -71,25 +76,25 @@
 	}
 }
 
-// estimateBound returns the idle time from which on connections are lost far more often, or 0: some are lost at any idle time. The
-// caller holds the lock.
+// estimateBound returns the idle time from which on connections are lost far more often. It returns 0 if there is
+// none, as when connections are lost at any idle time. The caller holds the lock.
 func (a *idleAges) estimateBound() time.Duration {
-	var used, lost float64
+	var requests, losses float64
 	for i := range a.requests {
-		used += a.requests[i]
-		lost += a.losses[i]
+		requests += a.requests[i]
+		losses += a.losses[i]
 	}
-	single := logLikelihood(used, lost)
+	single := logLikelihood(requests, losses)
 	maxGain, bound := minLikelihoodGain, 0
-	var usedBelow, lostBelow float64
+	var requestsBelow, lossesBelow float64
 	for i := 1; i < ageBuckets; i++ {
-		usedBelow += a.requests[i-1]
-		lostBelow += a.losses[i-1]
-		usedFrom, lostFrom := used-usedBelow, lost-lostBelow
-		if lostFrom*(usedBelow+1) < minLossRatio*(lostBelow+1)*usedFrom {
+		requestsBelow += a.requests[i-1]
+		lossesBelow += a.losses[i-1]
+		requestsFrom, lossesFrom := requests-requestsBelow, losses-lossesBelow
+		if lossesFrom*(requestsBelow+1) < minLossRatio*(lossesBelow+1)*requestsFrom {
 			continue
 		}
-		if gain := logLikelihood(usedBelow, lostBelow) + logLikelihood(usedFrom, lostFrom) - single; gain > maxGain {
+		if gain := logLikelihood(requestsBelow, lossesBelow) + logLikelihood(requestsFrom, lossesFrom) - single; gain > maxGain {
 			maxGain, bound = gain, i
 		}
 	}
@@ -99,16 +104,17 @@
 	return bucketStart(bound)
 }
 
-// logLikelihood is the log-likelihood of so many losses among so many requests, at their own loss rate.
-func logLikelihood(used, lost float64) float64 {
-	survived := used - lost
-	if lost <= 0 || survived <= 0 {
+// logLikelihood returns the log-likelihood of the given number of losses among the given number of requests, at their
+// own loss rate.
+func logLikelihood(requests, losses float64) float64 {
+	survived := requests - losses
+	if losses <= 0 || survived <= 0 {
 		return 0
 	}
-	return lost*math.Log(lost/used) + survived*math.Log(survived/used)
+	return losses*math.Log(losses/requests) + survived*math.Log(survived/requests)
 }
 
-// bound returns the shorter of an idle time and the learned bound.
+// bound returns the given idle time, limited to the learned bound.
 func (a *idleAges) bound(idle time.Duration) time.Duration {
 	a.mu.Lock()
 	defer a.mu.Unlock()
--- a/internal/sidecar/upstream/load_report.go
+++ b/internal/sidecar/upstream/load_report.go
@@ -5,8 +5,8 @@
 	"strings"
 )
 
-// parseReport reads a load report, "name=value,name=value", into the order of names. It returns nil for a report that lacks
-// one of them.
+// parseReport parses a load report of the form "name=value,name=value" and returns its values in the order of names.
+// It returns nil if one of the names is missing.
 func parseReport(text string, names []string) []float32 {
 	if text == "" || len(names) == 0 {
 		return nil
--- a/internal/sidecar/upstream/pool.go
+++ b/internal/sidecar/upstream/pool.go
@@ -17,47 +17,47 @@
 )
 
 const (
-	// idleFraction is the part of the time after which a server closes an idle connection for which it is reused.
+	// idleFraction is the fraction of a server's idle timeout for which an idle connection is reused.
 	idleFraction = 0.85
-	// reuseDelay is how long a connection that has just carried an answer is left alone while others are idle: a second
-	// answer may come some milliseconds late, and nothing tells it from that to the next request.
+	// reuseDelay is how long a connection is not reused after a response while other connections are idle. A server may
+	// send a second response some milliseconds late, which cannot be distinguished from the response to the next request.
 	reuseDelay = 10 * time.Millisecond
 )
 
-// Pool has the connections to all servers and bounds how many there are.
+// Pool holds the connections to all servers and limits their total number.
 type Pool struct {
 	dialer          net.Dialer
-	dialContext     netcall.DialFunc // dials with dialer, and with what WrapDial puts around it
-	connectTimeout     time.Duration    // of an attempt for a new connection
-	maxIdle         time.Duration    // after which an idle connection is closed
-	reportNames     []string         // the figures of a load report, in order
+	dialContext     netcall.DialFunc // opens a connection with dialer; WrapDial wraps it
+	connectTimeout  time.Duration    // how long an attempt waits for a new connection
+	maxIdle         time.Duration    // idle time after which a connection is closed
+	reportNames     []string         // names of the values in a load report, in order
 	healthCheckPath string
 	retryWindows    []time.Duration // by class, see retryWindow
 	idleAges        idleAges
 	metrics         *metrics.Metrics
 	hook            checkpoint.Hook
 
-	post    func(any)       // hands an event to the event loop
-	loopStopped <-chan struct{} // closed by the event loop at its end
+	post        func(any)       // posts an event to the event loop
+	loopStopped <-chan struct{} // closed when the event loop ends
 
-	dialsContext context.Context // of all dials, which may outlast the attempt that started them
+	dialsContext context.Context // for all dials, which may outlast the attempts that started them
 	cancelDials  context.CancelFunc
-	dialers      sync.WaitGroup // the goroutines of dial
+	dialers      sync.WaitGroup // the goroutines that run dial
 
-	mu          sync.Mutex           // guards the fields below and those of each Server that say so
-	idleServers map[*Server]struct{} // those with idle connections
+	mu          sync.Mutex           // guards the fields below and the marked fields of each Server
+	idleServers map[*Server]struct{} // servers with idle connections
 	open        int                  // connections that are open or being dialed
-	limit       int                  // of open
+	limit       int                  // maximum of open
 }
 
-// NewPool returns a pool of up to limit connections. Its events go nowhere until ReportTo is called.
+// NewPool returns a pool of at most limit connections. Its events are dropped until SetEventLoop is called.
 func NewPool(cfg *config.Config, limit int) *Pool {
-	connectWait := clock.Duration(cfg.Balance.ConnectTimeout)
-	if connectWait <= 0 {
-		connectWait = maxConnectTime
+	connectTimeout := clock.Duration(cfg.Balance.ConnectTimeout)
+	if connectTimeout <= 0 {
+		connectTimeout = maxConnectTime
 	}
 	p := &Pool{
-		dialer: net.Dialer{Timeout: max(connectWait, maxConnectTime), KeepAlive: -1}, connectTimeout: connectWait,
+		dialer: net.Dialer{Timeout: max(connectTimeout, maxConnectTime), KeepAlive: -1}, connectTimeout: connectTimeout,
 		maxIdle:     time.Duration(float64(cfg.ConnIdle) * idleFraction),
 		reportNames: cfg.ReportNames, healthCheckPath: "/health/live",
 		idleServers: map[*Server]struct{}{}, limit: limit, post: func(any) {}, metrics: metrics.New(cfg.ClassNames),
@@ -75,27 +75,27 @@
 	return p
 }
 
-// SetEventLoop sets where events go, and the channel that is closed at the event loop's end. It is called before the first
-// attempt.
+// SetEventLoop sets the function that receives events, and the channel that is closed when the event loop ends. It is
+// called before the first attempt.
 func (p *Pool) SetEventLoop(post func(any), stopped <-chan struct{}) {
 	p.post, p.loopStopped = post, stopped
 }
 
-// Metrics returns the figures of the process, in which attempts are counted.
+// Metrics returns the metrics of the process, in which attempts are counted.
 func (p *Pool) Metrics() *metrics.Metrics { return p.metrics }
 
-// WrapDial puts wrap around the dialing of new connections. It is called before the first attempt.
+// WrapDial wraps the function that dials new connections. It is called before the first attempt.
 func (p *Pool) WrapDial(wrap func(netcall.DialFunc) netcall.DialFunc) {
 	p.dialContext = wrap(p.dialContext)
 }
 
-// SetDialControl sets what is called with each new socket before it connects, as net.Dialer.Control. It is called before the
-// first attempt, by tests.
+// SetDialControl sets a function that is called with each new socket before it connects, as net.Dialer.Control. Tests
+// call it before the first attempt.
 func (p *Pool) SetDialControl(control func(network, addr string, c syscall.RawConn) error) {
 	p.dialer.Control = control
 }
 
-// SetHook sets what is called at each checkpoint of an attempt. It is called before the first attempt, by tests.
+// SetHook sets a function that is called at each checkpoint of an attempt. Tests call it before the first attempt.
 func (p *Pool) SetHook(hook checkpoint.Hook) { p.hook = hook }
 
 // Counts returns how many connections are open or being dialed, and how many of them are idle.
@@ -108,7 +108,7 @@
 	return p.open, idle
 }
 
-// release gives back a connection that can carry another request.
+// release returns a connection to the pool that can carry another request.
 func (p *Pool) release(conn *serverConn) {
 	conn.SetDeadline(time.Time{})
 	conn.idleSince = time.Now()
@@ -117,11 +117,12 @@
 	p.addIdle(conn)
 }
 
-// addIdle keeps an idle connection. It closes one whose server was retired, or whose pool was closed or got a lower limit
-// meanwhile: Retire, Close and SetLimit have closed only those that were idle. The caller holds the lock.
+// addIdle adds a connection to the idle ones of its server. It closes the connection instead if the server was
+// retired, the pool was closed or the limit was lowered in the meantime: Retire, Close and SetLimit only close
+// connections that are idle at the time. The caller holds the lock.
 func (p *Pool) addIdle(conn *serverConn) {
-	ended := conn.server.Retired.Load() || p.dialsContext.Err() != nil
-	if ended || p.open > p.limit {
+	unusable := conn.server.Retired.Load() || p.dialsContext.Err() != nil
+	if unusable || p.open > p.limit {
 		conn.Close()
 		p.open--
 		return
@@ -130,8 +131,8 @@
 	p.idleServers[conn.server] = struct{}{}
 }
 
-// takeIdle takes the connection that was used last, but for those within reuseDelay of their last answer; if there are only
-// such, it takes the one that has been idle for longest. It returns nil if none is idle.
+// takeIdle takes the connection that was used last, except for those whose last response is less than reuseDelay ago.
+// If there are no others, it takes the connection that has been idle for longest. It returns nil if none is idle.
 func (p *Pool) takeIdle(server *Server) *serverConn {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -144,14 +145,15 @@
 		newest--
 	}
 	conn := server.idle[newest]
-	server.idle = slices.Delete(server.idle, newest, newest+1) // which clears the last element, or it would hold its buffers
+	// Delete clears the last element, which would otherwise keep the buffers of a connection in memory.
+	server.idle = slices.Delete(server.idle, newest, newest+1)
 	if len(server.idle) == 0 {
 		delete(p.idleServers, server)
 	}
 	return conn
 }
 
-// discard closes a connection that was taken.
+// discard closes a connection that is not among the idle ones.
 func (p *Pool) discard(conn *serverConn) {
 	conn.Close()
 	p.mu.Lock()
@@ -159,8 +161,8 @@
 	p.open--
 }
 
-// reserve counts one more connection. At the limit it closes the one that has been idle for longest; it returns false if
-// none is idle.
+// reserve counts one more connection. At the limit it first closes the connection that has been idle for longest; it
+// returns false if none is idle.
 func (p *Pool) reserve() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -171,7 +173,7 @@
 	return true
 }
 
-// SetLimit changes the limit of connections. Idle connections over it are closed at once.
+// SetLimit changes the maximum number of connections. Idle connections above the limit are closed at once.
 func (p *Pool) SetLimit(limit int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -180,7 +182,8 @@
 	}
 }
 
-// evict closes the connection that has been idle for longest; the caller holds the lock. It returns false if none is idle.
+// evict closes the connection that has been idle for longest. It returns false if none is idle. The caller holds the
+// lock.
 func (p *Pool) evict() bool {
 	var oldest *Server
 	for server := range p.idleServers {
@@ -195,7 +198,7 @@
 	return true
 }
 
-// closeOldest closes the n connections of a server that have been idle for longest; the caller holds the lock.
+// closeOldest closes the n connections of a server that have been idle for longest. The caller holds the lock.
 func (p *Pool) closeOldest(server *Server, n int) {
 	for _, conn := range server.idle[:n] {
 		conn.Close()
@@ -207,7 +210,8 @@
 	}
 }
 
-// Retire marks a server's process as over and closes its idle connections; busy ones are closed after their answer.
+// Retire marks a server's process as no longer used and closes its idle connections. Busy connections are closed after
+// their response.
 func (p *Pool) Retire(server *Server) {
 	server.Retired.Store(true)
 	p.CloseIdle(server)
@@ -220,7 +224,7 @@
 	p.closeOldest(server, len(server.idle))
 }
 
-// ReapIdle closes idle connections before their servers would.
+// ReapIdle closes idle connections before their servers would close them.
 func (p *Pool) ReapIdle(now time.Time) {
 	maxIdle := p.idleAges.bound(p.maxIdle)
 	p.mu.Lock()
--- a/internal/sidecar/upstream/pool_test.go
+++ b/internal/sidecar/upstream/pool_test.go
@@ -24,14 +24,14 @@
 	"marblelane/internal/sidecar/sidecartest"
 )
 
-// An idle connection may change between the moment it is taken and the first byte. What arrives on it then is no answer to
-// the request, and its end is no reset of the request.
+// An idle connection may change between the moment at which it is taken and the first byte. What arrives on it then is
+// not the response to the request, and its end is not a reset of the request.
 func TestReusedConn_changesBeforeFirstByte(t *testing.T) {
 	second := "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nother"
 	for name, change := range map[string]func(net.Conn){
-		"second answer": func(c net.Conn) { io.WriteString(c, second) },
-		"half a line":   func(c net.Conn) { io.WriteString(c, second[:9]) },
-		"closed":        func(c net.Conn) { c.Close() },
+		"second response": func(c net.Conn) { io.WriteString(c, second) },
+		"half a line":     func(c net.Conn) { io.WriteString(c, second[:9]) },
+		"closed":          func(c net.Conn) { c.Close() },
 		"reset": func(c net.Conn) {
 			c.(*net.TCPConn).SetLinger(0)
 			c.Close()
@@ -53,21 +53,21 @@
 			sidecartest.Until(t, "the connection to be idle", func() bool { return idleCount(p, a.Server) == 1 })
 
 			next := nextAttempt(a)
-			next.Call.Writing.Lock() // it takes the connection and waits here
+			next.Call.Writing.Lock() // the attempt takes the connection and waits here
 			done := make(chan inflight.Reply, 1)
 			go func() { done <- p.Send(next) }()
 			sidecartest.Until(t, "the connection to be taken", func() bool { return idleCount(p, a.Server) == 0 })
 			change(reused)
 			sidecartest.Until(t, "the change to arrive", func() bool { return !conn.reusable() })
 			next.Call.Writing.Unlock()
-			if r := sidecartest.Receive(t, "the answer", done); r.Result != balance.OK || string(r.Answer.Body) != "done" {
-				t.Errorf("result %v with %q, want the answer to this request", r.Result, r.Answer.Body)
+			if r := sidecartest.Receive(t, "the response", done); r.Result != balance.OK || string(r.Answer.Body) != "done" {
+				t.Errorf("result %v with %q, want the response to this request", r.Result, r.Answer.Body)
 			}
 			if n := b.Requests.Load(); n != 2 {
 				t.Errorf("the server got %d requests, want 2", n)
 			}
 			if n := openCount(p); n != 1 {
-				t.Errorf("%d connections are counted, want the reused one", n)
+				t.Errorf("%d connections are counted, want only the reused one", n)
 			}
 		})
 	}
@@ -93,29 +93,29 @@
 	idle := 0
 	for i, server := range servers {
 		idle += len(server.idle)
-		if _, reused := p.idleServers[server]; reused != (len(server.idle) > 0) {
-			t.Errorf("server %d has %d idle connections, and idleServers says %v", i, len(server.idle), reused)
+		if _, listed := p.idleServers[server]; listed != (len(server.idle) > 0) {
+			t.Errorf("server %d has %d idle connections, but its entry in idleServers is %v", i, len(server.idle), listed)
 		}
 		if server.dialing != 0 || len(server.waiting) != 0 {
-			t.Errorf("server %d: %d dials, %d waiting", i, server.dialing, len(server.waiting))
+			t.Errorf("server %d: %d dials are running and %d attempts wait, want none", i, server.dialing, len(server.waiting))
 		}
 		if server.Retired.Load() && len(server.idle) > 0 {
 			t.Errorf("retired server %d has %d idle connections", i, len(server.idle))
 		}
 		for _, conn := range server.idle[len(server.idle):cap(server.idle)] {
 			if conn != nil {
-				t.Errorf("server %d holds a connection that is not its own any more", i)
+				t.Errorf("server %d still references a connection that was removed", i)
 				break
 			}
 		}
 	}
 	if p.open != idle || p.open > p.limit {
-		t.Errorf("%d connections are counted of at most %d, %d are there", p.open, p.limit, idle)
+		t.Errorf("%d connections are counted with a limit of %d, %d are idle", p.open, p.limit, idle)
 	}
 }
 
-// Connections are counted while they are open and no longer, whatever attempts, dials, retirements and limits do at the same
-// time.
+// A connection is counted exactly as long as it is open, whatever attempts, dials, retirements and changes of the
+// limit run at the same time.
 func TestPool_countsConnections(t *testing.T) {
 	cfg, err := configtest.NewConf("127.0.0.1:1").Load(t)
 	if err != nil {
@@ -132,7 +132,7 @@
 			for range 3 {
 				targets = append(targets, sidecartest.NewBackend(t, "s", sidecartest.OK).Target)
 			}
-			// Servers that reject, break off and answer twice.
+			// Servers that reject, close the connection within a response, and respond twice.
 			targets = append(targets, sidecartest.NewBackend(t, "f", sidecartest.Respond("HTTP/1.1 503 No\r\nX-Not-Processed: 1\r\nContent-Length: 0\r\n\r\n", true)).Target)
 			targets = append(targets, sidecartest.NewBackend(t, "b", sidecartest.Respond("HTTP/1.1 200 OK\r\nConte", false)).Target)
 			targets = append(targets, sidecartest.NewBackend(t, "d", sidecartest.Respond(strings.Repeat("HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\ndone", 2), true)).Target)
@@ -160,13 +160,13 @@
 			checkPool(t, p, servers)
 			p.Close()
 			if n := openCount(p); n != 0 || len(p.idleServers) != 0 {
-				t.Errorf("at the end %d connections are counted, those of %d servers are idle", n, len(p.idleServers))
+				t.Errorf("after Close, %d connections are counted and %d servers have idle ones", n, len(p.idleServers))
 			}
 		})
 	}
 }
 
-// useConnection does one random step with a server's connections.
+// useConnection performs one random operation on a server's connections.
 func useConnection(p *Pool, server *Server, random *rand.Rand) {
 	switch random.IntN(12) {
 	case 0:
@@ -188,7 +188,7 @@
 	}
 }
 
-// A lower limit also closes connections that were busy when it was set, once they are idle.
+// After the limit was lowered, connections that were busy at that time are closed once they are idle.
 func TestPool_lowerLimitForBusyConns(t *testing.T) {
 	b := sidecartest.NewBackend(t, "a", sidecartest.OK)
 	p, a, first, _ := newExchange(t, b)
@@ -204,49 +204,49 @@
 	}
 }
 
-// lateRepeatedAnswers is a server that repeats an answer on its connection, behind the next request and before that one's
-// answer.
-func lateRepeatedAnswers() sidecartest.ServeOne {
+// lateRepeatedResponses is a server that sends each response again on its connection, after the next request and
+// before the response to that request.
+func lateRepeatedResponses() sidecartest.ServeOne {
 	var mu sync.Mutex
 	before := map[net.Conn]string{}
 	return func(c net.Conn, _ *http.Request, body string) bool {
-		answer := fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
+		response := fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
 		mu.Lock()
-		late := before[c]
-		before[c] = answer
+		repeated := before[c]
+		before[c] = response
 		mu.Unlock()
-		_, err := io.WriteString(c, late+answer)
+		_, err := io.WriteString(c, repeated+response)
 		return err == nil
 	}
 }
 
-// A second answer may come some milliseconds late, behind the next request: that uses a connection that has been idle for a
-// while, if there is one.
+// A server may send a second response some milliseconds late, after the next request was sent. That request uses a
+// connection that has been idle for a while, if there is one.
 func TestTakeIdle_reuseDelay(t *testing.T) {
-	b := sidecartest.NewBackend(t, "a", lateRepeatedAnswers())
+	b := sidecartest.NewBackend(t, "a", lateRepeatedResponses())
 	p, a, idleConn, _ := newExchange(t, b)
 	a.Call.Outbound = outboundPost([]byte("first"))
-	if r := p.Send(a); r.Result != balance.OK { // over a connection of its own
+	if r := p.Send(a); r.Result != balance.OK { // on a new connection
 		t.Fatalf("the first request: result %v", r.Result)
 	}
 	p.release(idleConn)
 	p.mu.Lock()
-	slices.Reverse(a.Server.idle) // as if it had been put before
+	slices.Reverse(a.Server.idle) // as if this connection had been released before the other one
 	a.Server.idle[0].idleSince = time.Now().Add(-time.Second)
-	a.Server.idle[1].idleSince = time.Now().Add(sidecartest.Patience) // however slow this machine is: it has just been put
+	a.Server.idle[1].idleSince = time.Now().Add(sidecartest.Patience) // within reuseDelay, however slow this machine is
 	p.mu.Unlock()
 	next := nextAttempt(a)
 	next.Call.Outbound = outboundPost([]byte("second"))
 	if r := p.Send(next); r.Result != balance.OK || string(r.Answer.Body) != "second" {
-		t.Errorf("result %v with %q, want the answer to this request", r.Result, r.Answer.Body)
+		t.Errorf("result %v with %q, want the response to this request", r.Result, r.Answer.Body)
 	}
 }
 
-// The order in which idle connections are taken.
+// takeIdle takes the connection that was used last among those idle for reuseDelay, or else the one idle for longest.
 func TestTakeIdle_order(t *testing.T) {
 	now := time.Now()
 	for name, test := range map[string]struct {
-		ages []time.Duration // oldest first
+		ages []time.Duration // idle times, longest first
 		want int
 	}{
 		"all idle for long": {[]time.Duration{3 * time.Second, 2 * time.Second, time.Second}, 2},
@@ -263,16 +263,16 @@
 			}
 			all := slices.Clone(server.idle)
 			if got := slices.Index(all, p.takeIdle(server)); got != test.want {
-				t.Errorf("took number %d, want %d", got, test.want)
+				t.Errorf("took connection %d, want %d", got, test.want)
 			}
-			if _, reused := p.idleServers[server]; reused != (len(all) > 1) || len(server.idle) != len(all)-1 {
-				t.Errorf("%d are left, in idleServers %v", len(server.idle), reused)
+			if _, listed := p.idleServers[server]; listed != (len(all) > 1) || len(server.idle) != len(all)-1 {
+				t.Errorf("%d idle connections remain, entry in idleServers: %v", len(server.idle), listed)
 			}
 		})
 	}
 }
 
-// A machine that has no descriptor left for a connection says nothing of the server.
+// A dial that fails because this machine has no descriptor left says nothing about the server.
 func TestDial_noDescriptorLeft(t *testing.T) {
 	b := sidecartest.NewBackend(t, "a", sidecartest.OK)
 	p, a, _, _ := newExchange(t, b)
@@ -281,23 +281,23 @@
 	}
 	a.Call.Outbound = outboundPost([]byte("plate 12-34"))
 	if r := p.Send(a); r.Result != balance.LocalFailure {
-		t.Errorf("result %v, want that no server is blamed", r.Result)
+		t.Errorf("result %v, want a local failure", r.Result)
 	}
 	if n := openCount(p); n != 1 {
-		t.Errorf("%d connections are counted, want the other one", n)
+		t.Errorf("%d connections are counted, want only the other one", n)
 	}
 }
 
-// A connection that is given back or comes up after its server was retired, or after the pool was closed, is closed.
+// A connection that is released or established after its server was retired, or after the pool was closed, is closed.
 func TestPool_closesConnOfEndedServer(t *testing.T) {
-	ends := map[string]func(*Pool, *Server){
+	endings := map[string]func(*Pool, *Server){
 		"server retired": func(p *Pool, server *Server) { p.Retire(server) },
 		"all closed": func(p *Pool, _ *Server) {
-			p.cancelDials() // the first step of Close, which waits for dials
+			p.cancelDials() // the first step of Close, which also waits for dials
 		},
 	}
-	for name, end := range ends {
-		t.Run(name+", at work", func(t *testing.T) {
+	for name, end := range endings {
+		t.Run(name+", connection in use", func(t *testing.T) {
 			b := sidecartest.NewBackend(t, "a", sidecartest.OK)
 			p, a, conn, _ := newExchange(t, b)
 			end(p, a.Server)
@@ -309,7 +309,7 @@
 				t.Errorf("the connection is not closed: %v", err)
 			}
 		})
-		t.Run(name+", on its way", func(t *testing.T) {
+		t.Run(name+", connection being dialed", func(t *testing.T) {
 			b := sidecartest.NewBackend(t, "a", sidecartest.OK)
 			p, a, conn, _ := newExchange(t, b)
 			p.discard(conn)
@@ -328,7 +328,7 @@
 			})
 			cancel()
 			if err := sidecartest.Receive(t, "the attempt to end", got); !errors.Is(err, context.Canceled) {
-				t.Errorf("it ended with %v", err)
+				t.Errorf("the attempt ended with %v", err)
 			}
 			end(p, a.Server)
 			close(handshake)
@@ -340,7 +340,8 @@
 	}
 }
 
-// An attempt that is cancelled in the moment in which its connection comes up gets the connection and gives it back.
+// An attempt that is cancelled at the moment at which its connection is established either gets the connection or
+// leaves it idle: the connection is counted correctly in both cases.
 func TestAcquire_connectedAtCancel(t *testing.T) {
 	b := sidecartest.NewBackend(t, "a", sidecartest.OK)
 	p, a, conn, _ := newExchange(t, b)
@@ -361,10 +362,10 @@
 		defer p.mu.Unlock()
 		return len(a.Server.waiting) == 1
 	})
-	p.mu.Lock() // neither the attempt nor the connection gets any further: their order is open
+	p.mu.Lock() // stops both the attempt and the dial, so that either may go first
 	cancel()
 	close(handshake)
-	sidecartest.Until(t, "the connection to come up", func() bool { return b.Conns.Load() == 2 })
+	sidecartest.Until(t, "the connection to be established", func() bool { return b.Conns.Load() == 2 })
 	p.mu.Unlock()
 	sidecartest.Receive(t, "the attempt to end", got)
 	p.dialers.Wait()
@@ -373,25 +374,26 @@
 	}
 }
 
-// unpeekableConn is a connection whose descriptor cannot be had.
+// unpeekableConn is a connection whose descriptor is not available.
 type unpeekableConn struct{ net.Conn }
 
 func (unpeekableConn) SyscallConn() (syscall.RawConn, error) {
 	return nil, sidecartest.OpError("fcntl", syscall.ENOMEM)
 }
 
-// An idle connection that cannot be peeked at is not reused, and a client that cannot be peeked at is not taken for gone.
+// An idle connection that cannot be peeked at is not reused. A client whose connection cannot be peeked at is not
+// taken for one that has disconnected.
 func TestReusedConn_peekFails(t *testing.T) {
 	b := sidecartest.NewBackend(t, "a", sidecartest.OK)
 	_, _, conn, _ := newExchange(t, b)
 	if !conn.reusable() {
-		t.Error("an idle connection is not quiet")
+		t.Error("an idle connection is not reusable")
 	}
 	conn.Conn = unpeekableConn{conn.Conn}
 	if conn.reusable() {
-		t.Error("an idle connection that cannot be peeked at is used")
+		t.Error("an idle connection that cannot be peeked at is reusable")
 	}
 	if netcall.NewConnStateReader().PeerClosed(conn.Conn) {
-		t.Error("a client that cannot be peeked at is taken for gone")
+		t.Error("a client that cannot be peeked at is taken for disconnected")
 	}
 }
--- a/internal/sidecar/upstream/request_stream.go
+++ b/internal/sidecar/upstream/request_stream.go
@@ -17,64 +17,68 @@
 
 const (
 	streamBufferSize = inflight.CopySize / 2
-	// routedStreamBufferSize is less than what is held of a body in any case: an attempt whose route is revoked at its first
-	// write has consumed nothing of the body.
+	// routedStreamBufferSize is as much of a body as is held even if memory is short. As the first write also contains
+	// the head, an attempt whose route is revoked at that write has consumed nothing of the body.
 	routedStreamBufferSize = inflight.MinHeldBody
 )
 
-// NewStreamWriter returns the writer under a forwarded body whose head was rendered for a revision of the routes. Its first
-// Write makes the last check of the route. It lets tests make that check without an exchange.
+// NewStreamWriter returns the writer for a request with a forwarded body whose head was rendered for a revision of the
+// routes. Its first Write makes the last check of the route. Tests use it to make that check without an exchange.
 func NewStreamWriter(conn net.Conn, check *routing.Check, headerRevision int64) io.Writer {
 	return &requestWriter{conn: &serverConn{Conn: conn}, routeCheck: check, headerRevision: headerRevision}
 }
 
-// earlyResponseWatch watches for an answer, or the end of the connection, while a body is being forwarded.
+// earlyResponseWatch waits for a response, or for the end of the connection, while a body is being forwarded.
 type earlyResponseWatch struct {
-	settled  atomic.Bool   // the write or the watch has ended; the first of them sets it
-	done   chan struct{} // closed by the watch's goroutine at its end, after which others may read the connection
-	responded bool          // the answer started before the write ended; read it after peeked
-	connErr  error         // the connection ended before the write did; read it after peeked
+	settled   atomic.Bool   // set by the first to end, the write or the watch
+	done      chan struct{} // closed when the watch's goroutine ends; only then may others read the connection
+	responded bool          // the response started before the write ended; valid once done is closed
+	connErr   error         // the connection ended before the write did; valid once done is closed
 }
 
-// watchForResponse starts the watch, whose goroutine ends with the first byte of an answer or the connection's deadline.
+// watchForResponse starts the watch. Its goroutine ends at the first byte of a response, at a connection error or at
+// the deadline of the connection.
 func (w *requestWriter) watchForResponse() *earlyResponseWatch {
-	early := &earlyResponseWatch{done: make(chan struct{})}
+	watch := &earlyResponseWatch{done: make(chan struct{})}
 	go func() {
-		defer close(early.done)
+		defer close(watch.done)
 		_, err := w.conn.reader.Peek(1)
-		if early.settled.CompareAndSwap(false, true) {
-			early.responded, early.connErr = err == nil, err
+		if watch.settled.CompareAndSwap(false, true) {
+			watch.responded, watch.connErr = err == nil, err
 			w.interrupt()
 		}
 	}()
-	return early
+	return watch
 }
 
-// respondedEarly reports whether the server answered before the whole request was written. It is called after write.
-func (w *requestWriter) respondedEarly() bool { return w.earlyResponse != nil && w.earlyResponse.responded }
+// respondedEarly reports whether the server responded before the whole request was written. It is called after write.
+func (w *requestWriter) respondedEarly() bool {
+	return w.earlyResponse != nil && w.earlyResponse.responded
+}
 
-// forwardBody writes a request whose body is still arriving. A server that answers before its end wants no more of it.
+// forwardBody writes a request whose body is still arriving. It stops if the server responds before the end of the
+// body, as the server then does not need the rest.
 func (w *requestWriter) forwardBody(req *http.Request, upload *inflight.Upload) error {
 	netcall.LimitSendBuffer(w.conn.Conn)
 	body := w.openBody(upload)
 	w.earlyResponse = w.watchForResponse()
 	req.Body = io.NopCloser(body)
 	if upload.Length >= 0 {
-		// net/http reads on behind the last byte: an error there would be reported for a request that is complete.
+		// net/http reads on after the last byte: an error there would be reported although the request is complete.
 		req.Body = io.NopCloser(io.LimitReader(body, upload.Length))
 	}
 	err := w.writeBuffered(req)
-	answeredFirst := !w.earlyResponse.settled.CompareAndSwap(false, true)
+	respondedFirst := !w.earlyResponse.settled.CompareAndSwap(false, true)
 	if err != nil {
-		return w.abortStream(upload, answeredFirst, err)
+		return w.abortStream(upload, respondedFirst, err)
 	}
-	if answeredFirst {
-		<-w.earlyResponse.done // the answer came with the last byte: interrupt must not follow the next limit
+	if respondedFirst {
+		<-w.earlyResponse.done // the response came with the last byte: interrupt must not run after the next setDeadline
 	}
 	return nil
 }
 
-// openBody returns a reader of the body that stop ends.
+// openBody returns a reader of the body. stop and interrupt end its reads.
 func (w *requestWriter) openBody(upload *inflight.Upload) *inflight.UploadReader {
 	body := upload.NewReader()
 	w.mu.Lock()
@@ -86,34 +90,34 @@
 	return body
 }
 
-// writeBuffered writes the request through Write, in parts of a buffer's size.
+// writeBuffered writes the request through Write, in pieces of the size of a buffer.
 func (w *requestWriter) writeBuffered(req *http.Request) error {
 	size := streamBufferSize
 	if w.routeCheck != nil {
 		size = routedStreamBufferSize
 	}
-	out := bufio.NewWriterSize(w, size)
-	if err := req.Write(out); err != nil {
+	buffer := bufio.NewWriterSize(w, size)
+	if err := req.Write(buffer); err != nil {
 		return err
 	}
-	return out.Flush()
+	return buffer.Flush()
 }
 
-// abortStream ends a request that was not written to its end and returns the cause.
-func (w *requestWriter) abortStream(upload *inflight.Upload, answeredFirst bool, err error) error {
+// abortStream ends a request that was not written completely and returns the cause.
+func (w *requestWriter) abortStream(upload *inflight.Upload, respondedFirst bool, err error) error {
 	w.stop()
 	<-w.earlyResponse.done
 	switch {
-	case upload.Broken(): // by the client
+	case upload.Broken(): // the client did not complete it
 		return errAttemptObsolete
-	case answeredFirst && w.earlyResponse.connErr != nil: // the connection broke
+	case respondedFirst && w.earlyResponse.connErr != nil: // the connection broke
 		return errors.Join(w.earlyResponse.connErr, syscall.EPIPE)
 	}
 	return err
 }
 
-// Write writes a part of a request with a forwarded body: a server may be slow to read it, but must go on. The first part is
-// written after the last checks.
+// Write writes a piece of a request with a forwarded body. Each piece must be written within streamTimeout. The last
+// checks are made before the first piece.
 func (w *requestWriter) Write(p []byte) (int, error) {
 	if err := w.extendWriteDeadline(); err != nil {
 		return 0, err
@@ -127,7 +131,7 @@
 	return w.conn.Write(p)
 }
 
-// extendWriteDeadline gives the next part its time, unless the request was stopped.
+// extendWriteDeadline sets the deadline for the next piece, unless the writer was interrupted or stopped.
 func (w *requestWriter) extendWriteDeadline() error {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -142,8 +146,8 @@
 	return nil
 }
 
-// startStream makes the last checks before the first byte: the client's, then the route's. The head is rendered by then, so
-// a route that counts the attempt under another revision ends it.
+// startStream makes the last checks before the first byte: whether the client has disconnected, then the route. As the
+// head has been rendered already, it returns ErrRevoked if the route counts the attempt under another revision.
 func (w *requestWriter) startStream() error {
 	if w.call != nil && w.call.ClientLeft() {
 		return errAttemptObsolete
--- a/internal/sidecar/upstream/request_writer.go
+++ b/internal/sidecar/upstream/request_writer.go
@@ -14,33 +14,33 @@
 	"marblelane/internal/sidecar/routing"
 )
 
-// timeoutHeader carries to a server the time that the client has left, in ms.
+// timeoutHeader is the request header that gives a server the time that the client has left, in ms.
 const timeoutHeader = "X-Timeout-Ms"
 
 // requestWriter writes one request to a connection. Another goroutine may stop it at any time.
 type requestWriter struct {
-	conn    *serverConn
-	reused  bool      // the connection has carried requests before
-	writeDeadline time.Time // when the last byte must have been written; zero: when the answer must have been read
-	hook    checkpoint.Hook
+	conn          *serverConn
+	reused        bool      // the connection has carried requests before
+	writeDeadline time.Time // for the last byte of the request; zero if only the deadline of the response applies
+	hook          checkpoint.Hook
 
-	routeCheck     *routing.Check // nil if no route applies
-	headerRevision int64          // the revision of the routes in the head that was rendered
-	call           *inflight.Call // of a forwarded body; nil otherwise
-	streamStarted  bool           // the first byte of a request with a forwarded body has been written
-	earlyResponse          *earlyResponseWatch   // nil until a body is forwarded
+	routeCheck     *routing.Check      // nil if no route applies
+	headerRevision int64               // the revision of the routes in the rendered head
+	call           *inflight.Call      // set if the body is forwarded, nil otherwise
+	streamStarted  bool                // the first byte of a request with a forwarded body has been written
+	earlyResponse  *earlyResponseWatch // nil until a body is forwarded
 
 	mu    sync.Mutex // guards the fields below and the deadlines of conn
 	state writerState
 	body  *inflight.UploadReader // nil until a body is forwarded
 }
 
-// writerState is what a request writer may still do. It only grows.
+// writerState is how far a request writer has been stopped. It never decreases.
 type writerState uint8
 
 const (
 	writerRunning     writerState = iota
-	writerInterrupted             // nothing more of the body is forwarded; the answer may be read
+	writerInterrupted             // no more of the body is forwarded; the response may be read
 	writerStopped                 // nothing more is written or read
 )
 
@@ -55,7 +55,7 @@
 	return "running"
 }
 
-// stop ends every read and write of the connection, now and later.
+// stop makes all current and later reads and writes of the connection fail.
 func (w *requestWriter) stop() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -66,7 +66,7 @@
 	}
 }
 
-// interrupt ends the forwarding of a body. The connection can be read again after limit.
+// interrupt ends the forwarding of a body. The connection can be read again after setDeadline.
 func (w *requestWriter) interrupt() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -75,7 +75,7 @@
 	w.body.Stop()
 }
 
-// setDeadline sets the deadline of the connection.
+// setDeadline sets the deadline of the connection, unless the writer was stopped.
 func (w *requestWriter) setDeadline(deadline time.Time) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -88,7 +88,8 @@
 	}
 }
 
-// write reports whether the last byte was written: only then may the request run. attempt is nil for a health check.
+// write writes the request and reports whether its last byte was written: only then may the request run. attempt is
+// nil for a health check.
 func (w *requestWriter) write(deadline time.Time, req *http.Request, attempt *Attempt) (written bool, err error) {
 	if attempt != nil {
 		attempt.Call.Writing.Lock()
@@ -114,19 +115,20 @@
 	return written, err
 }
 
-// omitUserAgent keeps net/http from adding a User-Agent of its own.
+// omitUserAgent keeps net/http from adding its own User-Agent.
 func omitUserAgent(header http.Header) {
 	if _, ok := header["User-Agent"]; !ok {
 		header["User-Agent"] = nil
 	}
 }
 
-// setTimeLeft states the client's time to the server, at least 1 ms.
+// setTimeLeft sets the header that gives the server the client's remaining time, at least 1 ms.
 func setTimeLeft(header http.Header, timeLeft time.Duration) {
 	header.Set(timeoutHeader, strconv.FormatInt(max(timeLeft.Milliseconds(), 1), 10))
 }
 
-// setRouteHeaders writes into the head what the attempt's route is expected to count it under.
+// setRouteHeaders sets the headers of the attempt's route, with the revision under which the route is expected to
+// count the attempt.
 func (w *requestWriter) setRouteHeaders(header http.Header, attempt *Attempt) {
 	if attempt == nil || attempt.RouteCheck == nil {
 		return
@@ -135,10 +137,11 @@
 	attempt.RouteCheck.SetHeaders(header, w.headerRevision)
 }
 
-// writeFromMemory writes a request whose body is held in memory. The client and the route are checked after the clock was read for
-// the first byte, and the route last, right before it: an attempt that is held up in between must not be written by
-// outdated checks.
-func (w *requestWriter) writeFromMemory(req *http.Request, attempt *Attempt, timeLeft time.Duration) (written bool, err error) {
+// writeFromMemory writes a request whose body is held in memory. The client and the route are checked after the clock
+// was read for the first byte, and the route last, right before the first byte: an attempt that is delayed in between
+// must not be written on the basis of outdated checks.
+func (w *requestWriter) writeFromMemory(req *http.Request, attempt *Attempt, timeLeft time.Duration) (
+	written bool, err error) {
 	setTimeLeft(req.Header, timeLeft)
 	var text bytes.Buffer
 	if err := render(&text, req, attempt); err != nil {
@@ -160,7 +163,7 @@
 	return n == text.Len(), err
 }
 
-// writeStreamed writes a request whose body is forwarded as it arrives. Write makes the checks of the client and the route.
+// writeStreamed writes a request whose body is forwarded as it arrives. Write checks the client and the route.
 func (w *requestWriter) writeStreamed(req *http.Request, attempt *Attempt) (written bool, err error) {
 	w.call = attempt.Call
 	timeLeft := attempt.Call.UploadTimeLeft()
@@ -176,8 +179,8 @@
 	return err == nil, err
 }
 
-// checkConnection checks that the last byte may still be written and that the connection is in step: what a reused one holds
-// already cannot answer this request.
+// checkConnection checks that the last byte may still be written, and that a reused connection is open and has no
+// unread bytes: bytes that arrived before the request cannot be the response to it.
 func (w *requestWriter) checkConnection() error {
 	if !w.writeDeadline.IsZero() && !time.Now().Before(w.writeDeadline) {
 		return errAttemptObsolete
@@ -188,14 +191,15 @@
 	return nil
 }
 
-// recordFirstByte reads the clock for the first byte. The process may be held up at any point after this.
-func (w *requestWriter) recordFirstByte(out *inflight.Outbound) {
-	out.LastFirstByte = time.Now()
+// recordFirstByte records the current time as that of the first byte. The process may be delayed at any point after
+// this.
+func (w *requestWriter) recordFirstByte(outbound *inflight.Outbound) {
+	outbound.LastFirstByte = time.Now()
 	w.hook.At(checkpoint.ClockRead)
 }
 
-// startOnRoute starts the attempt on its route. If that counts it under another revision than expected, the request is
-// rendered again.
+// startOnRoute starts the attempt on its route. If the route counts it under another revision than expected, the
+// request is rendered again with that revision.
 func (w *requestWriter) startOnRoute(text *bytes.Buffer, req *http.Request, attempt *Attempt) error {
 	if w.routeCheck == nil {
 		return nil
@@ -215,11 +219,11 @@
 	return nil
 }
 
-// render writes the bytes of a request whose body is held in memory.
+// render renders a request whose body is held in memory.
 func render(text *bytes.Buffer, req *http.Request, attempt *Attempt) error {
 	req.Body = http.NoBody
 	if attempt != nil && len(attempt.Call.Outbound.Body) > 0 {
-		// A new reader each time: an earlier rendering has used up its own.
+		// Each rendering needs a new reader, as the previous one was read to its end.
 		req.Body = io.NopCloser(bytes.NewReader(attempt.Call.Outbound.Body))
 	}
 	return req.Write(text)
--- a/internal/sidecar/upstream/response.go
+++ b/internal/sidecar/upstream/response.go
@@ -11,25 +11,28 @@
 	"marblelane/internal/sidecar/inflight"
 )
 
-// maxBufferedResponse bounds what is held of an answer, its head included. A head without end must not fill the memory.
+// maxBufferedResponse limits the bytes that are buffered of a response, including its head: an endless head must not
+// fill the memory.
 const maxBufferedResponse = framing.MaxHeader + 2*inflight.MaxHeldBody
 
 const (
-	notProcessedHeader = "X-Not-Processed" // of an answer; 1: the server has not started to process the request
+	notProcessedHeader = "X-Not-Processed" // response header; 1: the server has not started to process the request
 	loadReportHeader   = "X-Server-Load"
 )
 
 var (
-	errNotHTTP1          = errors.New("an answer in another protocol than HTTP/1")
-	errConflictingLength = errors.New("an answer with Transfer-Encoding beside Content-Length")
-	// errHeadOnly reports a connection that ended right behind a head which does not say where its answer ends.
-	errHeadOnly = errors.New("an answer of nothing but its head")
-	// errBodyTooLarge reports an answer above inflight.MaxBody, or one above inflight.MaxHeldBody that goes to no client.
-	errBodyTooLarge = errors.New("body too large")
+	errNotHTTP1          = errors.New("response is not HTTP/1")
+	errConflictingLength = errors.New("response has both Transfer-Encoding and Content-Length")
+	// errHeadOnly reports a connection that was closed right after a response head that does not state the length of
+	// the body.
+	errHeadOnly = errors.New("connection closed after a response head that states no length")
+	// errBodyTooLarge reports a response body larger than inflight.MaxBody, or larger than inflight.MaxHeldBody if it
+	// must not be forwarded to a client.
+	errBodyTooLarge = errors.New("response body too large")
 )
 
-// readReply reads the answer to a request that was written to its last byte: if the connection breaks now, the request may
-// have run. It reports whether the connection can be reused.
+// readReply reads the response to a request whose last byte has been written: if the connection breaks now, the
+// request may have run. It also reports whether the connection can be reused.
 func (x *exchange) readReply(ctx context.Context, conn *serverConn, idle time.Duration) (reply inflight.Reply, reusable bool) {
 	resp, interim, err := readHead(conn, x.request)
 	nothingRead := conn.readLimit.N == maxBufferedResponse
@@ -38,7 +41,7 @@
 	}
 	var body []byte
 	if err == nil {
-		// Only a client's 200 is forwarded as it arrives.
+		// Only a 200 for a client is forwarded as it arrives.
 		mayForward := x.attempt != nil && resp.StatusCode == http.StatusOK
 		reader := &bodyReader{conn: conn, resp: resp, deadline: x.deadline, mayForward: mayForward}
 		var more bool
@@ -55,7 +58,7 @@
 	return x.completeReply(resp, body), reusableAfter(conn, resp)
 }
 
-// readHead reads the head of the final answer. It reports whether interim ones (1xx) came before it.
+// readHead reads the head of the final response. It also reports whether interim responses (1xx) preceded it.
 func readHead(conn *serverConn, req *http.Request) (resp *http.Response, interim bool, err error) {
 	resp, err = http.ReadResponse(conn.reader, req)
 	for err == nil && resp.StatusCode < 200 && resp.StatusCode != http.StatusSwitchingProtocols {
@@ -65,7 +68,8 @@
 	return resp, interim, err
 }
 
-// checkResponse returns an error for what net/http reads all the same, but would leave the connection out of step.
+// checkResponse returns an error for a response that net/http accepts although its end is ambiguous: the connection
+// could not be reused safely.
 func checkResponse(conn *serverConn, resp *http.Response, interim bool) error {
 	if resp.ProtoMajor != 1 || resp.StatusCode == http.StatusSwitchingProtocols {
 		return errNotHTTP1
@@ -74,7 +78,7 @@
 		return nil
 	}
 	if interim {
-		resp.Close = true // the head that conn has is the interim one
+		resp.Close = true // conn.head holds the interim head, so the final one cannot be checked
 		return nil
 	}
 	if _, length, err := conn.head.LengthHeaders(); err != nil || length {
@@ -83,7 +87,7 @@
 	return nil
 }
 
-// completeReply is the reply of an answer that was read to its end.
+// completeReply returns the reply for a response that was read completely.
 func (x *exchange) completeReply(resp *http.Response, body []byte) inflight.Reply {
 	reply := inflight.Reply{Report: x.loadReport(resp)}
 	switch {
@@ -92,16 +96,19 @@
 		reply.Answer = inflight.Answer{Status: http.StatusOK, ContentType: resp.Header.Get("Content-Type"), Body: body}
 	case notProcessed(resp):
 		reply.Result = balance.Rejected
-	default: // also 503 without the mark: it may have run
+	default: // also 503 without X-Not-Processed: the request may have run
 		reply.Result = balance.Failed
 	}
 	return reply
 }
 
-// forwardResponse hands the start of an answer to the event loop for the client, and returns once the rest was forwarded.
-func (x *exchange) forwardResponse(ctx context.Context, conn *serverConn, resp *http.Response, first []byte) (reply inflight.Reply,
-	reusable bool) {
-	remainder := &streamReader{ctx: ctx, conn: conn, body: streamingBody(conn, resp), remaining: inflight.MaxBody - int64(len(first))}
+// forwardResponse passes the start of a response to the event loop, which sends it to the client. It returns once the
+// rest has been forwarded.
+func (x *exchange) forwardResponse(ctx context.Context, conn *serverConn, resp *http.Response, first []byte) (
+	reply inflight.Reply, reusable bool) {
+	remainder := &streamReader{
+		ctx: ctx, conn: conn, body: streamingBody(conn, resp), remaining: inflight.MaxBody - int64(len(first)),
+	}
 	stream := &inflight.AnswerStream{Length: resp.ContentLength, First: first, Remaining: remainder, Ended: make(chan error, 1)}
 	x.pool.post(ResponseStarted{x.attempt, inflight.Answer{
 		Status: http.StatusOK, ContentType: resp.Header.Get("Content-Type"), Stream: stream,
@@ -109,7 +116,7 @@
 	var err error
 	select {
 	case err = <-stream.Ended:
-	case <-x.pool.loopStopped: // the event loop hands the answer to no client any more
+	case <-x.pool.loopStopped: // the event loop has ended and passes nothing to clients
 		err = inflight.ErrBodyUnwanted
 	}
 	reply = inflight.Reply{Report: x.loadReport(resp), Result: responseResult(ctx, err)}
@@ -119,25 +126,26 @@
 	return reply, err == nil && reusableAfter(conn, resp)
 }
 
-// reusableAfter reports whether a connection can carry another request after an answer that was read to its end.
+// reusableAfter reports whether a connection can carry another request after a response that was read completely.
 func reusableAfter(conn *serverConn, resp *http.Response) bool {
 	return !resp.Close && conn.reader.Buffered() == 0
 }
 
-// rejectedEarly reads the answer of a server that did not wait for the whole request.
+// rejectedEarly reads the response of a server that did not wait for the whole request, and reports whether the server
+// rejected the request.
 func rejectedEarly(conn *serverConn, req *http.Request) bool {
 	conn.SetDeadline(time.Now().Add(earlyResponseTimeout))
 	resp, err := http.ReadResponse(conn.reader, req)
 	return err == nil && notProcessed(resp)
 }
 
-// notProcessed reports whether an answer promises that nothing of the request ran.
+// notProcessed reports whether a response guarantees that nothing of the request has run.
 func notProcessed(resp *http.Response) bool {
 	return resp.Header.Get(notProcessedHeader) == "1" &&
 		(resp.StatusCode == http.StatusServiceUnavailable || resp.StatusCode == http.StatusGatewayTimeout)
 }
 
-// loadReport returns the load figures that the server stated beside its answer.
+// loadReport returns the load report in the headers of a response, or nil if there is none.
 func (x *exchange) loadReport(resp *http.Response) []float32 {
 	return parseReport(resp.Header.Get(loadReportHeader), x.pool.reportNames)
 }
--- a/internal/sidecar/upstream/response_body.go
+++ b/internal/sidecar/upstream/response_body.go
@@ -15,43 +15,44 @@
 )
 
 const (
-	// maxBufferTime is how long the start of an answer of unknown length is held: all of it may be short.
+	// maxBufferTime is how long the start of a response of unknown length is buffered before it is forwarded, as the
+	// whole response may be short.
 	maxBufferTime = 25 * time.Millisecond
-	// minBodyBuffer is the first size of the buffer of a body.
+	// minBodyBuffer is the initial size of the buffer of a body, in bytes.
 	minBodyBuffer = 4 << 10
 )
 
-// bodyReader reads the body of an answer to its end, or up to where it may be forwarded to a client.
+// bodyReader reads the body of a response completely, or until it may be forwarded to a client.
 type bodyReader struct {
 	conn       *serverConn
 	resp       *http.Response
 	deadline   time.Time // for the whole body, unless it is forwarded
-	mayForward bool      // a long body may be forwarded; otherwise it is an error
+	mayForward bool      // whether a long body may be forwarded; if not, it is an error
 
-	body      io.Reader
-	firstReadAt time.Time // of the read that got the first bytes
-	buffered      []byte
+	body        io.Reader
+	firstReadAt time.Time // when the first bytes were read; until then, when reading started
+	buffered    []byte
 }
 
-// read returns a body, or an error: one that is cut short is never taken for a complete one. more reports that there is more
-// of it than is held, and that its start is to be forwarded.
-func (r *bodyReader) read(ctx context.Context) (held []byte, more bool, err error) {
+// read returns a body, or an error: a truncated body is never returned as complete. If more is true, the returned
+// bytes are the start of a body that is to be forwarded.
+func (r *bodyReader) read(ctx context.Context) (buffered []byte, more bool, err error) {
 	length := r.resp.ContentLength
 	switch {
 	case length >= 0 && length <= inflight.MaxHeldBody:
-		held = make([]byte, length)
-		_, err = io.ReadFull(r.resp.Body, held)
-		return held, false, err
+		buffered = make([]byte, length)
+		_, err = io.ReadFull(r.resp.Body, buffered)
+		return buffered, false, err
 	case length > inflight.MaxBody, length > inflight.MaxHeldBody && !r.mayForward:
 		return nil, false, errBodyTooLarge
 	}
-	r.conn.readLimit.N = math.MaxInt64 // from here on the body's own bounds hold
+	r.conn.readLimit.N = math.MaxInt64 // from here on the limits of the body apply
 	r.body = streamingBody(r.conn, r.resp)
 	return r.readStart(ctx)
 }
 
-// readStart reads a body that is long or of unknown length until its end, or until it may be forwarded.
-func (r *bodyReader) readStart(ctx context.Context) (held []byte, more bool, err error) {
+// readStart reads a body that is long or of unknown length, until its end or until it may be forwarded.
+func (r *bodyReader) readStart(ctx context.Context) (buffered []byte, more bool, err error) {
 	r.firstReadAt = time.Now()
 	for {
 		if r.mayForward && len(r.buffered) > 0 {
@@ -76,7 +77,7 @@
 	}
 }
 
-// readOnce reads what has arrived.
+// readOnce reads the bytes that have arrived, or waits for the next ones.
 func (r *bodyReader) readOnce() error {
 	if len(r.buffered) == cap(r.buffered) {
 		r.buffered = append(r.buffered, make([]byte, max(minBodyBuffer, len(r.buffered)))...)[:len(r.buffered)]
@@ -89,18 +90,19 @@
 	return err
 }
 
-// unframed reports whether the body ends with its connection.
+// unframed reports whether the end of the body is the end of the connection.
 func (r *bodyReader) unframed() bool {
 	return r.resp.ContentLength < 0 && len(r.resp.TransferEncoding) == 0
 }
 
-// exceedsBuffer reports whether the body is longer than what is held.
+// exceedsBuffer reports whether the body is longer than what may be buffered.
 func (r *bodyReader) exceedsBuffer() bool {
 	return r.resp.ContentLength > inflight.MaxHeldBody || len(r.buffered) > inflight.MaxHeldBody
 }
 
-// waitForMore waits for the next bytes or the end of the answer until a time, which is not after the deadline. It leaves the bytes
-// to be read. An error is returned, as the system reports it only once.
+// waitForMore reports whether the next bytes or the end of the response arrive before the time until. If until is
+// after the deadline, it returns true without waiting. It consumes no bytes. A connection error is returned, as the
+// system reports it only once.
 func (c *serverConn) waitForMore(ctx context.Context, until, deadline time.Time) (bool, error) {
 	if c.reader.Buffered() > 0 || until.After(deadline) {
 		return true, nil
@@ -108,7 +110,7 @@
 	c.SetReadDeadline(until)
 	_, err := c.reader.Peek(1)
 	c.SetReadDeadline(deadline)
-	if ctx.Err() != nil { // the lines above may have undone the cancellation
+	if ctx.Err() != nil { // the calls above may have replaced the deadline that the cancellation set
 		c.SetReadDeadline(netcall.PastDeadline)
 	}
 	switch {
@@ -121,18 +123,19 @@
 	}
 }
 
-// streamReader reads the rest of an answer that is forwarded as it arrives: the server may be slow, but must go on.
+// streamReader reads the rest of a response that is forwarded as it arrives. The next bytes must arrive within
+// streamTimeout each time.
 type streamReader struct {
-	ctx  context.Context
-	conn *serverConn
-	body io.Reader
-	remaining int64 // bytes up to inflight.MaxBody
+	ctx       context.Context
+	conn      *serverConn
+	body      io.Reader
+	remaining int64 // bytes that may still be read, up to inflight.MaxBody in all
 }
 
 // Read implements io.Reader.
 func (r *streamReader) Read(p []byte) (int, error) {
 	r.conn.SetReadDeadline(time.Now().Add(streamTimeout))
-	if err := r.ctx.Err(); err != nil { // the line above may have undone the cancellation
+	if err := r.ctx.Err(); err != nil { // the call above may have replaced the deadline that the cancellation set
 		return 0, err
 	}
 	n, err := r.body.Read(p)
@@ -142,8 +145,8 @@
 	return n, err
 }
 
-// streamingBody returns a reader of a body's bytes as they arrive. net/http's reader of chunks goes on until it has filled its
-// buffer or a chunk has ended, and holds back what a slow server has sent.
+// streamingBody returns a reader that returns the bytes of a body as they arrive. net/http's reader of chunked bodies
+// reads on until its buffer is full or a chunk has ended, and so delays the bytes of a slow server.
 func streamingBody(conn *serverConn, resp *http.Response) io.Reader {
 	if len(resp.TransferEncoding) == 0 {
 		return resp.Body
@@ -153,12 +156,12 @@
 
 // chunkReader reads a chunked body as it arrives.
 type chunkReader struct {
-	buffer   *bufio.Reader // under body
-	body io.Reader
+	buffer *bufio.Reader // the buffered connection that body reads from
+	body   io.Reader
 }
 
-// Read never reads more than half of what has arrived, as the rest may be the framing of chunks. It stops at the end of a
-// chunk, as the next one may not have started.
+// Read never reads more than half of the buffered bytes, as the rest may be the framing of chunks. It stops at the end
+// of a chunk, as the next chunk may not have started.
 func (r *chunkReader) Read(p []byte) (n int, err error) {
 	if _, err := r.buffer.Peek(1); err == io.EOF {
 		return 0, io.ErrUnexpectedEOF
--- a/internal/sidecar/upstream/result.go
+++ b/internal/sidecar/upstream/result.go
@@ -12,25 +12,26 @@
 )
 
 var (
-	// errAttemptObsolete ends an attempt before its first byte: its request was answered, its client left, its time ran out or
-	// its server was retired. It is checked last of all, as the endpoint list may change while a connection comes up.
-	errAttemptObsolete = errors.New("the attempt is not needed any more")
+	// errAttemptObsolete ends an attempt before its first byte is written: its request has a response already, its
+	// client has disconnected, its time is up or its server was retired. This is checked last, as the endpoint list may
+	// change while a connection is being opened.
+	errAttemptObsolete = errors.New("attempt is no longer needed")
 
-	// errStaleConn reports a reused connection that its server closed while it was idle, or that holds bytes which answer
-	// no request.
-	errStaleConn = errors.New("the reused connection is closed or out of step")
+	// errStaleConn reports a reused connection that its server closed while it was idle, or that has unread bytes,
+	// which belong to no request.
+	errStaleConn = errors.New("reused connection was closed or has unexpected bytes to read")
 
-	// errPoolExhausted reports that all connections are in use.
-	errPoolExhausted = errors.New("no socket is free")
+	// errPoolExhausted reports that the connection limit is reached and no connection is idle.
+	errPoolExhausted = errors.New("connection limit is reached and no connection is idle")
 )
 
-// unsentResult is the result of an attempt without a connection.
+// unsentResult returns the result of an attempt that got no connection or was not written to one.
 func unsentResult(ctx context.Context, deadline time.Time, err error) balance.Result {
 	switch {
 	case ctx.Err() != nil, err == errAttemptObsolete, err == errPoolExhausted, !time.Now().Before(deadline):
-		return balance.NotSent // no failure of the server
+		return balance.NotSent // not a failure of the server
 	case errors.Is(err, syscall.ECONNRESET), errors.Is(err, syscall.EPIPE):
-		return balance.WriteFailed // something answered
+		return balance.WriteFailed // a process responded
 	case netcall.LocalErrnos.Contains(err):
 		return balance.LocalFailure
 	case netcall.UnreachableErrnos.Contains(err):
@@ -40,8 +41,9 @@
 	}
 }
 
-// unwrittenResult is the result of an attempt whose last byte was not written to an open connection. An errno then means
-// that the connection is over and not that no server is there, unless it is this machine's own failure.
+// unwrittenResult returns the result of an attempt whose last byte was not written to an open connection. An errno
+// then means that the connection has failed and not that the server is unreachable, unless it reports a failure of
+// this machine.
 func unwrittenResult(ctx context.Context, deadline time.Time, err error) balance.Result {
 	result := unsentResult(ctx, deadline, err)
 	failed := result == balance.Unreachable || result == balance.ConnectFailed
@@ -51,8 +53,9 @@
 	return result
 }
 
-// responseResult is the result of an attempt whose answer ended with an error. Only os.ErrDeadlineExceeded is this process's
-// own deadline: the system's ETIMEDOUT also reports Timeout, and is a connection that broke.
+// responseResult returns the result of an attempt whose response was read with the given error. Only
+// os.ErrDeadlineExceeded reports a deadline of this process: the system's ETIMEDOUT also reports Timeout, but means
+// that the connection broke.
 func responseResult(ctx context.Context, err error) balance.Result {
 	switch {
 	case err == nil:
