--- a/internal/sidecar/upstream/attempt_test.go
+++ b/internal/sidecar/upstream/attempt_test.go
@@ -21,10 +21,10 @@
 // delayedWriteConn delays the return of the write that completes a request until the response has been noticed.
 type delayedWriteConn struct {
 	*net.TCPConn
-	length  int // of the request, in bytes
+	length  int // length of the request in bytes
 	written int
-	noticed chan struct{}
-	returns chan struct{}
+	noticed chan struct{} // closed when the response has been noticed
+	returns chan struct{} // closed when the completing write returns
 	once    sync.Once
 }
 
--- a/internal/sidecar/upstream/checkpoint_test.go
+++ b/internal/sidecar/upstream/checkpoint_test.go
@@ -69,7 +69,7 @@
 			p.hook = func(c checkpoint.Checkpoint) {
 				if c == at {
 					<-time.After(time.Until(a.Call.Outbound.MayRunSince.Add(sidecartest.Hold)))
-					time.Sleep(20 * time.Millisecond) // until the deadline of the connection has passed, too
+					time.Sleep(20 * time.Millisecond) // so that the deadline of the connection has passed, too
 				}
 			}
 			if r := p.Send(nextAttempt(a)); r.Result != balance.NotSent {
--- a/internal/sidecar/upstream/idle_age_test.go
+++ b/internal/sidecar/upstream/idle_age_test.go
@@ -21,7 +21,7 @@
 	}
 	for name, test := range map[string]struct {
 		runs     []run
-		min, max time.Duration // of the bound
+		min, max time.Duration // range of the bound
 	}{
 		"nothing":                   {nil, idle, idle},
 		"no losses":                 {[]run{{0, 50, 0}, {50 * time.Millisecond, 50, 0}, {time.Second, 50, 0}}, idle, idle},
--- a/internal/sidecar/upstream/pool_test.go
+++ b/internal/sidecar/upstream/pool_test.go
@@ -231,7 +231,7 @@
 	}
 	p.release(idleConn)
 	p.mu.Lock()
-	slices.Reverse(a.Server.idle) // as if this connection had been released before the other one
+	slices.Reverse(a.Server.idle) // as if idleConn had been released before the other connection
 	a.Server.idle[0].idleSince = time.Now().Add(-time.Second)
 	a.Server.idle[1].idleSince = time.Now().Add(sidecartest.Patience) // within reuseDelay, however slow this machine is
 	p.mu.Unlock()
@@ -362,7 +362,7 @@
 		defer p.mu.Unlock()
 		return len(a.Server.waiting) == 1
 	})
-	p.mu.Lock() // stops both the attempt and the dial, so that either may go first
+	p.mu.Lock() // keeps both the attempt and the dial waiting, so that either may go first
 	cancel()
 	close(handshake)
 	sidecartest.Until(t, "the connection to be established", func() bool { return b.Conns.Load() == 2 })
--- a/internal/sidecar/upstream/request_stream.go
+++ b/internal/sidecar/upstream/request_stream.go
@@ -33,7 +33,7 @@
 	settled   atomic.Bool   // set by the first to end, the write or the watch
 	done      chan struct{} // closed when the watch's goroutine ends; only then may others read the connection
 	responded bool          // the response started before the write ended; valid once done is closed
-	connErr   error         // the connection ended before the write did; valid once done is closed
+	connErr   error         // why the connection failed before the write ended; valid once done is closed
 }
 
 // watchForResponse starts the watch. Its goroutine ends at the first byte of a response, at a connection error or at
