--- a/internal/sidecar/upstream/attempt_test.go
+++ b/internal/sidecar/upstream/attempt_test.go
@@ -71,7 +71,7 @@
 // response to a complete request and must be read completely. The last byte may also be written before the end of the
 // body is known.
 func TestUpload_responseWithLastByte(t *testing.T) {
-	const size = inflight.CopySize / 2 // bytes of one write
+	const size = inflight.CopyBufferSize / 2 // bytes of one write
 	for name, extra := range map[string]int{"with the last write": 10, "before the end of the body is known": 0} {
 		t.Run(name, func(t *testing.T) {
 			returns := make(chan struct{})
@@ -86,8 +86,8 @@
 			delayed.length = setUpload(t, a, size, extra)
 			conn.Conn, conn.head.Conn = delayed, delayed
 			p.release(conn)
-			if r := p.Send(a); r.Result != balance.OK || string(r.Answer.Body) != "done" {
-				t.Errorf("result %v with %q, want the server's response", r.Result, r.Answer.Body)
+			if r := p.Send(a); r.Result != balance.OK || string(r.Response.Body) != "done" {
+				t.Errorf("result %v with %q, want the server's response", r.Result, r.Response.Body)
 			}
 			if n := b.Requests.Load(); n != 1 {
 				t.Errorf("the server got %d complete requests, want 1", n)
@@ -125,11 +125,11 @@
 		t.Fatalf("the first attempt: result %v", r.Result)
 	}
 	next := nextAttempt(a)
-	next.Call.Writing.Lock() // the retry waits here with its connection
-	done := make(chan inflight.Reply, 1)
+	next.Call.WriteLock.Lock() // the retry waits here with its connection
+	done := make(chan inflight.AttemptOutcome, 1)
 	go func() { done <- p.Send(next) }()
-	<-time.After(time.Until(a.Call.Outbound.MayRunSince.Add(window)))
-	next.Call.Writing.Unlock()
+	<-time.After(time.Until(a.Call.Outbound.MayHaveRunSince.Add(window)))
+	next.Call.WriteLock.Unlock()
 	if r := sidecartest.Receive(t, "the retry", done); r.Result != balance.NotSent {
 		t.Errorf("result %v, want not sent", r.Result)
 	}
@@ -173,8 +173,8 @@
 	p.release(conn)
 	const window = 50 * time.Millisecond
 	setKeyWindow(p, a, window, make([]byte, inflight.MaxBody))
-	a.Call.Outbound.MayRunSince = time.Now() // an earlier attempt may have run
-	done := make(chan inflight.Reply, 1)
+	a.Call.Outbound.MayHaveRunSince = time.Now() // an earlier attempt may have run
+	done := make(chan inflight.AttemptOutcome, 1)
 	go func() { done <- p.Send(a) }()
 	select {
 	case r := <-done:
@@ -225,13 +225,13 @@
 			posted := make(chan any, 4)
 			p.post = func(ev any) { posted <- ev }
 			setReceivedUpload(t, a, wait)
-			a.Call.Writing.Lock() // the attempt waits here
-			done := make(chan inflight.Reply, 1)
+			a.Call.WriteLock.Lock() // the attempt waits here
+			done := make(chan inflight.AttemptOutcome, 1)
 			go func() { done <- p.Send(a) }()
 			sidecartest.Until(t, "the connection to be taken", func() bool { return idleCount(p, a.Server) == 0 })
 			u := a.Call.Outbound.Upload
 			u.SetCompletedAt(u.CompletedAt().Add(-test.passed))
-			a.Call.Writing.Unlock()
+			a.Call.WriteLock.Unlock()
 			r := sidecartest.Receive(t, "the end", done)
 			if n := len(posted); n != map[bool]int{true: 2, false: 1}[test.sent] {
 				t.Errorf("the event loop got BodyComplete %d times, want one before the attempt and, if it is sent, one after its last byte", n)
@@ -270,7 +270,7 @@
 	a.Call.Timeout = sidecartest.Patience
 	a.Call.Outbound = outboundPost(nil)
 	a.Call.Outbound.Upload = inflight.NewUpload(inflight.MaxBody, sidecartest.Pattern(inflight.MinHeldBody)) // the rest never arrives
-	done := make(chan inflight.Reply, 1)
+	done := make(chan inflight.AttemptOutcome, 1)
 	go func() { done <- p.Send(a) }()
 	select {
 	case <-heads:
--- a/internal/sidecar/upstream/exchange.go
+++ b/internal/sidecar/upstream/exchange.go
@@ -24,29 +24,29 @@
 )
 
 // Send carries out an attempt and returns its reply.
-func (p *Pool) Send(attempt *Attempt) inflight.Reply {
+func (p *Pool) Send(attempt *Attempt) inflight.AttemptOutcome {
 	p.hook.At(checkpoint.AttemptDecided)
 	reply := p.exchangeCall(attempt)
-	if outbound := attempt.Call.Outbound; outbound.MayRunSince.IsZero() && !reply.Result.NeverRan() {
-		outbound.MayRunSince = outbound.LastFirstByte
+	if outbound := attempt.Call.Outbound; outbound.MayHaveRunSince.IsZero() && !reply.Result.NeverRan() {
+		outbound.MayHaveRunSince = outbound.LastFirstByteAt
 	}
 	return attempt.RouteCheck.RecordEnd(reply)
 }
 
 // HealthCheck sends a health check of the sidecar's own, which returns a server's state and load report.
-func (p *Pool) HealthCheck(ctx context.Context, server *Server) inflight.Reply {
+func (p *Pool) HealthCheck(ctx context.Context, server *Server) inflight.AttemptOutcome {
 	x := &exchange{pool: p, server: server, deadline: time.Now().Add(healthCheckTimeout), request: &http.Request{
 		Method: http.MethodGet, URL: &url.URL{Path: p.healthCheckPath}, Host: server.Endpoint, Header: http.Header{},
 	}}
 	reply := x.run(ctx)
-	if len(reply.Report) == 0 {
-		reply.Report = parseReport(string(reply.Answer.Body), p.reportNames)
+	if len(reply.LoadReport) == 0 {
+		reply.LoadReport = parseReport(string(reply.Response.Body), p.reportNames)
 	}
 	return reply
 }
 
 // exchangeCall sends the client's request within the time limit of the client.
-func (p *Pool) exchangeCall(attempt *Attempt) inflight.Reply {
+func (p *Pool) exchangeCall(attempt *Attempt) inflight.AttemptOutcome {
 	x := &exchange{pool: p, server: attempt.Server, deadline: attempt.Deadline, attempt: attempt,
 		request: outboundRequest(attempt.Call.Outbound)}
 	upload := attempt.upload()
@@ -73,7 +73,7 @@
 func (p *Pool) uploadDeadline(call *inflight.Call) time.Time {
 	deadline := time.Now().Add(inflight.MaxTimeout)
 	upload := call.Outbound.Upload
-	if received := upload.CompletedAt(); !received.IsZero() && !upload.Broken() {
+	if received := upload.CompletedAt(); !received.IsZero() && !upload.Failed() {
 		deadline = received.Add(call.Timeout)
 		p.post(BodyComplete{call})
 	}
@@ -92,10 +92,10 @@
 // retryDeadline returns when the last byte of an attempt must have been written. After that, servers forget the
 // idempotency key of an earlier attempt that may have run. It returns the zero time if there is no such limit.
 func (p *Pool) retryDeadline(attempt *Attempt) time.Time {
-	if attempt == nil || attempt.Call.Outbound.MayRunSince.IsZero() || p.retryWindows[attempt.Call.Request.Class] == 0 {
+	if attempt == nil || attempt.Call.Outbound.MayHaveRunSince.IsZero() || p.retryWindows[attempt.Call.Request.Class] == 0 {
 		return time.Time{}
 	}
-	return attempt.Call.Outbound.MayRunSince.Add(p.retryWindows[attempt.Call.Request.Class])
+	return attempt.Call.Outbound.MayHaveRunSince.Add(p.retryWindows[attempt.Call.Request.Class])
 }
 
 // exchange writes a request once and reads its response. net/http's Transport is not used, as it sends a request again
@@ -112,7 +112,7 @@
 }
 
 // run sends the request. It moves on to another connection as long as the current one is stale.
-func (x *exchange) run(ctx context.Context) inflight.Reply {
+func (x *exchange) run(ctx context.Context) inflight.AttemptOutcome {
 	x.sendDeadline, x.writeDeadline = x.deadline, x.pool.retryDeadline(x.attempt)
 	if !x.writeDeadline.IsZero() && x.writeDeadline.Before(x.deadline) {
 		x.sendDeadline = x.writeDeadline
@@ -127,12 +127,12 @@
 
 // runOnConnection sends the request on one connection. It returns stale if nothing of the request has run and the
 // request may move to another connection.
-func (x *exchange) runOnConnection(ctx context.Context) (reply inflight.Reply, stale bool) {
+func (x *exchange) runOnConnection(ctx context.Context) (reply inflight.AttemptOutcome, stale bool) {
 	conn, reused, err := x.pool.acquire(ctx, x.server, x.sendDeadline, x.attempt)
 	if err != nil {
-		return inflight.Reply{Result: unsentResult(ctx, x.sendDeadline, err)}, false
+		return inflight.AttemptOutcome{Result: unsentResult(ctx, x.sendDeadline, err)}, false
 	}
-	conn.head.NextRequest()
+	conn.head.PrepareNextRequest()
 	conn.readLimit.N = maxBufferedResponse
 	writer := &requestWriter{conn: conn, reused: reused, writeDeadline: x.writeDeadline, hook: x.pool.hook}
 	detach := context.AfterFunc(ctx, writer.stop)
@@ -160,7 +160,7 @@
 	if x.attempt == nil {
 		return
 	}
-	x.pool.metrics.ServerCalls.Add(1)
+	x.pool.metrics.WrittenAttempts.Add(1)
 	upload := x.attempt.upload()
 	if upload == nil {
 		return
@@ -181,19 +181,19 @@
 
 // finishUnwritten ends a request whose last byte was not written. It returns either its reply or that the connection
 // was stale.
-func (x *exchange) finishUnwritten(ctx context.Context, writer *requestWriter, cause error) (reply inflight.Reply, stale bool) {
+func (x *exchange) finishUnwritten(ctx context.Context, writer *requestWriter, cause error) (reply inflight.AttemptOutcome, stale bool) {
 	result := balance.Rejected
 	if !writer.respondedEarly() || !rejectedEarly(writer.conn, x.request) {
 		result = unwrittenResult(ctx, x.sendDeadline, cause)
 	}
 	x.pool.discard(writer.conn)
 	if errors.Is(cause, routing.ErrRevoked) {
-		return inflight.Reply{Result: balance.NotSent, RouteRevoked: true}, false
+		return inflight.AttemptOutcome{Result: balance.NotSent, RouteRevoked: true}, false
 	}
 	if writer.reused && x.mayUseAnotherConnection(ctx, result, cause) {
-		return inflight.Reply{}, true
+		return inflight.AttemptOutcome{}, true
 	}
-	return inflight.Reply{Result: result}, false
+	return inflight.AttemptOutcome{Result: result}, false
 }
 
 // mayUseAnotherConnection reports whether a request that was not completely written to a reused connection may move to
--- a/internal/sidecar/upstream/request_stream.go
+++ b/internal/sidecar/upstream/request_stream.go
@@ -16,7 +16,7 @@
 )
 
 const (
-	streamBufferSize = inflight.CopySize / 2
+	streamBufferSize = inflight.CopyBufferSize / 2
 	// routedStreamBufferSize is as much of a body as is held even if memory is short. As the first write also contains
 	// the head, an attempt whose route is revoked at that write has consumed nothing of the body.
 	routedStreamBufferSize = inflight.MinHeldBody
@@ -108,7 +108,7 @@
 	w.stop()
 	<-w.earlyResponse.done
 	switch {
-	case upload.Broken(): // the client did not complete it
+	case upload.Failed(): // the client did not complete it
 		return errAttemptObsolete
 	case respondedFirst && w.earlyResponse.connErr != nil: // the connection broke
 		return errors.Join(w.earlyResponse.connErr, syscall.EPIPE)
@@ -149,7 +149,7 @@
 // startStream makes the last checks before the first byte: whether the client has disconnected, then the route. As the
 // head has been rendered already, it returns ErrRevoked if the route counts the attempt under another revision.
 func (w *requestWriter) startStream() error {
-	if w.call != nil && w.call.ClientLeft() {
+	if w.call != nil && w.call.ClientDisconnected() {
 		return errAttemptObsolete
 	}
 	if w.routeCheck == nil {
--- a/internal/sidecar/upstream/request_writer.go
+++ b/internal/sidecar/upstream/request_writer.go
@@ -92,8 +92,8 @@
 // nil for a health check.
 func (w *requestWriter) write(deadline time.Time, req *http.Request, attempt *Attempt) (written bool, err error) {
 	if attempt != nil {
-		attempt.Call.Writing.Lock()
-		defer attempt.Call.Writing.Unlock()
+		attempt.Call.WriteLock.Lock()
+		defer attempt.Call.WriteLock.Unlock()
 		if attempt.Call.Finished() {
 			return false, errAttemptObsolete
 		}
@@ -152,7 +152,7 @@
 	}
 	if attempt != nil {
 		w.recordFirstByte(attempt.Call.Outbound)
-		if attempt.Call.ClientLeft() {
+		if attempt.Call.ClientDisconnected() {
 			return false, errAttemptObsolete
 		}
 	}
@@ -194,7 +194,7 @@
 // recordFirstByte records the current time as that of the first byte. The process may be delayed at any point after
 // this.
 func (w *requestWriter) recordFirstByte(outbound *inflight.Outbound) {
-	outbound.LastFirstByte = time.Now()
+	outbound.LastFirstByteAt = time.Now()
 	w.hook.At(checkpoint.ClockRead)
 }
 
--- a/internal/sidecar/upstream/response.go
+++ b/internal/sidecar/upstream/response.go
@@ -33,7 +33,7 @@
 
 // readReply reads the response to a request whose last byte has been written: if the connection breaks now, the
 // request may have run. It also reports whether the connection can be reused.
-func (x *exchange) readReply(ctx context.Context, conn *serverConn, idle time.Duration) (reply inflight.Reply, reusable bool) {
+func (x *exchange) readReply(ctx context.Context, conn *serverConn, idle time.Duration) (reply inflight.AttemptOutcome, reusable bool) {
 	resp, interim, err := readHead(conn, x.request)
 	nothingRead := conn.readLimit.N == maxBufferedResponse
 	if err == nil {
@@ -53,7 +53,7 @@
 	result := responseResult(ctx, err)
 	x.pool.idleAges.record(time.Now(), idle, result == balance.Reset && nothingRead)
 	if err != nil {
-		return inflight.Reply{Result: result}, false
+		return inflight.AttemptOutcome{Result: result}, false
 	}
 	return x.completeReply(resp, body), reusableAfter(conn, resp)
 }
@@ -88,12 +88,12 @@
 }
 
 // completeReply returns the reply for a response that was read completely.
-func (x *exchange) completeReply(resp *http.Response, body []byte) inflight.Reply {
-	reply := inflight.Reply{Report: x.loadReport(resp)}
+func (x *exchange) completeReply(resp *http.Response, body []byte) inflight.AttemptOutcome {
+	reply := inflight.AttemptOutcome{LoadReport: x.loadReport(resp)}
 	switch {
 	case resp.StatusCode == http.StatusOK:
 		reply.Result = balance.OK
-		reply.Answer = inflight.Answer{Status: http.StatusOK, ContentType: resp.Header.Get("Content-Type"), Body: body}
+		reply.Response = inflight.Response{Status: http.StatusOK, ContentType: resp.Header.Get("Content-Type"), Body: body}
 	case notProcessed(resp):
 		reply.Result = balance.Rejected
 	default: // also 503 without X-Not-Processed: the request may have run
@@ -105,22 +105,22 @@
 // forwardResponse passes the start of a response to the event loop, which sends it to the client. It returns once the
 // rest has been forwarded.
 func (x *exchange) forwardResponse(ctx context.Context, conn *serverConn, resp *http.Response, first []byte) (
-	reply inflight.Reply, reusable bool) {
+	reply inflight.AttemptOutcome, reusable bool) {
 	remainder := &streamReader{
 		ctx: ctx, conn: conn, body: streamingBody(conn, resp), remaining: inflight.MaxBody - int64(len(first)),
 	}
-	stream := &inflight.AnswerStream{Length: resp.ContentLength, First: first, Remaining: remainder, Ended: make(chan error, 1)}
-	x.pool.post(ResponseStarted{x.attempt, inflight.Answer{
+	stream := &inflight.ResponseStream{Length: resp.ContentLength, Prefix: first, Remaining: remainder, WriteResult: make(chan error, 1)}
+	x.pool.post(ResponseStarted{x.attempt, inflight.Response{
 		Status: http.StatusOK, ContentType: resp.Header.Get("Content-Type"), Stream: stream,
 	}})
 	var err error
 	select {
-	case err = <-stream.Ended:
+	case err = <-stream.WriteResult:
 	case <-x.pool.loopStopped: // the event loop has ended and passes nothing to clients
-		err = inflight.ErrBodyUnwanted
+		err = inflight.ErrBodyNotNeeded
 	}
-	reply = inflight.Reply{Report: x.loadReport(resp), Result: responseResult(ctx, err)}
-	if err == inflight.ErrBodyUnwanted || err == inflight.ErrClientGone {
+	reply = inflight.AttemptOutcome{LoadReport: x.loadReport(resp), Result: responseResult(ctx, err)}
+	if err == inflight.ErrBodyNotNeeded || err == inflight.ErrClientWriteFailed {
 		reply.Result = balance.Cancelled
 	}
 	return reply, err == nil && reusableAfter(conn, resp)
