--- a/internal/sidecar/upstream/events.go
+++ b/internal/sidecar/upstream/events.go
@@ -9,8 +9,8 @@
 
 // ResponseStarted is posted to the event loop when a response starts that is forwarded as it arrives.
 type ResponseStarted struct {
-	Attempt *Attempt
-	Response  inflight.Response
+	Attempt  *Attempt
+	Response inflight.Response
 }
 
 // Connecting is posted to the event loop when an attempt starts to wait for a new connection, and again when the
--- a/internal/sidecar/upstream/exchange.go
+++ b/internal/sidecar/upstream/exchange.go
@@ -23,14 +23,14 @@
 	earlyResponseTimeout = healthCheckTimeout
 )
 
-// Send carries out an attempt and returns its reply.
+// Send carries out an attempt and returns its outcome.
 func (p *Pool) Send(attempt *Attempt) inflight.AttemptOutcome {
 	p.hook.At(checkpoint.AttemptDecided)
-	reply := p.exchangeCall(attempt)
-	if outbound := attempt.Call.Outbound; outbound.MayHaveRunSince.IsZero() && !reply.Result.NeverRan() {
+	outcome := p.exchangeCall(attempt)
+	if outbound := attempt.Call.Outbound; outbound.MayHaveRunSince.IsZero() && !outcome.Result.NeverRan() {
 		outbound.MayHaveRunSince = outbound.LastFirstByteAt
 	}
-	return attempt.RouteCheck.RecordEnd(reply)
+	return attempt.RouteCheck.RecordEnd(outcome)
 }
 
 // HealthCheck sends a health check of the sidecar's own, which returns a server's state and load report.
@@ -38,11 +38,11 @@
 	x := &exchange{pool: p, server: server, deadline: time.Now().Add(healthCheckTimeout), request: &http.Request{
 		Method: http.MethodGet, URL: &url.URL{Path: p.healthCheckPath}, Host: server.Endpoint, Header: http.Header{},
 	}}
-	reply := x.run(ctx)
-	if len(reply.LoadReport) == 0 {
-		reply.LoadReport = parseReport(string(reply.Response.Body), p.reportNames)
+	outcome := x.run(ctx)
+	if len(outcome.LoadReport) == 0 {
+		outcome.LoadReport = parseReport(string(outcome.Response.Body), p.reportNames)
 	}
-	return reply
+	return outcome
 }
 
 // exchangeCall sends the client's request within the time limit of the client.
@@ -55,9 +55,9 @@
 	}
 	x.request.ContentLength = upload.Length
 	x.deadline = p.uploadDeadline(attempt.Call)
-	reply := x.run(attempt.Context)
-	reply.BodyConsumed = upload.Consumed()
-	return reply
+	outcome := x.run(attempt.Context)
+	outcome.BodyConsumed = upload.Consumed()
+	return outcome
 }
 
 // outboundRequest returns the request for one attempt, with its own copy of the headers.
@@ -118,16 +118,16 @@
 		x.sendDeadline = x.writeDeadline
 	}
 	for {
-		reply, stale := x.runOnConnection(ctx)
+		outcome, stale := x.runOnConnection(ctx)
 		if !stale {
-			return reply
+			return outcome
 		}
 	}
 }
 
 // runOnConnection sends the request on one connection. It returns stale if nothing of the request has run and the
 // request may move to another connection.
-func (x *exchange) runOnConnection(ctx context.Context) (reply inflight.AttemptOutcome, stale bool) {
+func (x *exchange) runOnConnection(ctx context.Context) (outcome inflight.AttemptOutcome, stale bool) {
 	conn, reused, err := x.pool.acquire(ctx, x.server, x.sendDeadline, x.attempt)
 	if err != nil {
 		return inflight.AttemptOutcome{Result: unsentResult(ctx, x.sendDeadline, err)}, false
@@ -145,13 +145,13 @@
 		return x.finishUnwritten(ctx, writer, err)
 	}
 	x.recordWritten(writer)
-	reply, reusable := x.readReply(ctx, conn, idleTime(conn, reused))
+	outcome, reusable := x.readResponse(ctx, conn, idleTime(conn, reused))
 	if detach() && reusable {
 		x.pool.release(conn)
 	} else {
 		x.pool.discard(conn)
 	}
-	return reply, false
+	return outcome, false
 }
 
 // recordWritten counts an attempt whose last byte has been written. With a forwarded body, the time limit for the
@@ -179,9 +179,10 @@
 	return time.Since(conn.idleSince)
 }
 
-// finishUnwritten ends a request whose last byte was not written. It returns either its reply or that the connection
+// finishUnwritten ends a request whose last byte was not written. It returns either its outcome or that the connection
 // was stale.
-func (x *exchange) finishUnwritten(ctx context.Context, writer *requestWriter, cause error) (reply inflight.AttemptOutcome, stale bool) {
+func (x *exchange) finishUnwritten(ctx context.Context, writer *requestWriter, cause error) (
+	outcome inflight.AttemptOutcome, stale bool) {
 	result := balance.Rejected
 	if !writer.respondedEarly() || !rejectedEarly(writer.conn, x.request) {
 		result = unwrittenResult(ctx, x.sendDeadline, cause)
--- a/internal/sidecar/upstream/exchange_test.go
+++ b/internal/sidecar/upstream/exchange_test.go
@@ -173,7 +173,7 @@
 	p.release(conn)
 	r := p.HealthCheck(a.Context, a.Server)
 	if r.Result != balance.OK || len(r.LoadReport) != 2 || r.LoadReport[0] != 0.5 || r.LoadReport[1] != 7 {
-		t.Errorf("reply %+v, want the report in the body", r)
+		t.Errorf("outcome %+v, want the report in the body", r)
 	}
 	if path := <-paths; path != "/stats" {
 		t.Errorf("the health check requested %s", path)
--- a/internal/sidecar/upstream/response.go
+++ b/internal/sidecar/upstream/response.go
@@ -31,9 +31,10 @@
 	errBodyTooLarge = errors.New("response body too large")
 )
 
-// readReply reads the response to a request whose last byte has been written: if the connection breaks now, the
+// readResponse reads the response to a request whose last byte has been written: if the connection breaks now, the
 // request may have run. It also reports whether the connection can be reused.
-func (x *exchange) readReply(ctx context.Context, conn *serverConn, idle time.Duration) (reply inflight.AttemptOutcome, reusable bool) {
+func (x *exchange) readResponse(ctx context.Context, conn *serverConn, idle time.Duration) (
+	outcome inflight.AttemptOutcome, reusable bool) {
 	resp, interim, err := readHead(conn, x.request)
 	nothingRead := conn.readLimit.N == maxBufferedResponse
 	if err == nil {
@@ -55,7 +56,7 @@
 	if err != nil {
 		return inflight.AttemptOutcome{Result: result}, false
 	}
-	return x.completeReply(resp, body), reusableAfter(conn, resp)
+	return x.completeOutcome(resp, body), reusableAfter(conn, resp)
 }
 
 // readHead reads the head of the final response. It also reports whether interim responses (1xx) preceded it.
@@ -87,29 +88,31 @@
 	return nil
 }
 
-// completeReply returns the reply for a response that was read completely.
-func (x *exchange) completeReply(resp *http.Response, body []byte) inflight.AttemptOutcome {
-	reply := inflight.AttemptOutcome{LoadReport: x.loadReport(resp)}
+// completeOutcome returns the outcome for a response that was read completely.
+func (x *exchange) completeOutcome(resp *http.Response, body []byte) inflight.AttemptOutcome {
+	outcome := inflight.AttemptOutcome{LoadReport: x.loadReport(resp)}
 	switch {
 	case resp.StatusCode == http.StatusOK:
-		reply.Result = balance.OK
-		reply.Response = inflight.Response{Status: http.StatusOK, ContentType: resp.Header.Get("Content-Type"), Body: body}
+		outcome.Result = balance.OK
+		outcome.Response = inflight.Response{Status: http.StatusOK, ContentType: resp.Header.Get("Content-Type"), Body: body}
 	case notProcessed(resp):
-		reply.Result = balance.Rejected
+		outcome.Result = balance.Rejected
 	default: // also 503 without X-Not-Processed: the request may have run
-		reply.Result = balance.Failed
+		outcome.Result = balance.Failed
 	}
-	return reply
+	return outcome
 }
 
 // forwardResponse passes the start of a response to the event loop, which sends it to the client. It returns once the
 // rest has been forwarded.
-func (x *exchange) forwardResponse(ctx context.Context, conn *serverConn, resp *http.Response, first []byte) (
-	reply inflight.AttemptOutcome, reusable bool) {
+func (x *exchange) forwardResponse(ctx context.Context, conn *serverConn, resp *http.Response, prefix []byte) (
+	outcome inflight.AttemptOutcome, reusable bool) {
 	remainder := &streamReader{
-		ctx: ctx, conn: conn, body: streamingBody(conn, resp), remaining: inflight.MaxBody - int64(len(first)),
+		ctx: ctx, conn: conn, body: streamingBody(conn, resp), remaining: inflight.MaxBody - int64(len(prefix)),
+	}
+	stream := &inflight.ResponseStream{
+		Length: resp.ContentLength, Prefix: prefix, Remaining: remainder, WriteResult: make(chan error, 1),
 	}
-	stream := &inflight.ResponseStream{Length: resp.ContentLength, Prefix: first, Remaining: remainder, WriteResult: make(chan error, 1)}
 	x.pool.post(ResponseStarted{x.attempt, inflight.Response{
 		Status: http.StatusOK, ContentType: resp.Header.Get("Content-Type"), Stream: stream,
 	}})
@@ -119,11 +122,11 @@
 	case <-x.pool.loopStopped: // the event loop has ended and passes nothing to clients
 		err = inflight.ErrBodyNotNeeded
 	}
-	reply = inflight.AttemptOutcome{LoadReport: x.loadReport(resp), Result: responseResult(ctx, err)}
+	outcome = inflight.AttemptOutcome{LoadReport: x.loadReport(resp), Result: responseResult(ctx, err)}
 	if err == inflight.ErrBodyNotNeeded || err == inflight.ErrClientWriteFailed {
-		reply.Result = balance.Cancelled
+		outcome.Result = balance.Cancelled
 	}
-	return reply, err == nil && reusableAfter(conn, resp)
+	return outcome, err == nil && reusableAfter(conn, resp)
 }
 
 // reusableAfter reports whether a connection can carry another request after a response that was read completely.
