--- a/internal/sidecar/netcall/conn_state.go
+++ b/internal/sidecar/netcall/conn_state.go
@@ -74,7 +74,8 @@
 }
 
 // PeerClosed reports whether the remote side is known to have closed or reset the connection. If the state of the
-// connection is not available, it peeks at the connection, which does not show a close behind unread bytes.
+// connection is not available or not trusted, it peeks at the connection, which does not show a close behind unread
+// bytes.
 func (s *ConnStateReader) PeerClosed(c net.Conn) bool {
 	state, err := s.State(c)
 	if err == nil && s.trusted.Load() {
--- a/internal/sidecar/netcall/peek.go
+++ b/internal/sidecar/netcall/peek.go
@@ -34,7 +34,7 @@
 	return "unknown"
 }
 
-// maxPeekTries is how many times peekWith makes a call that is interrupted.
+// maxPeekTries is the maximum number of times that peekWith makes a call that is interrupted.
 const maxPeekTries = 10
 
 // peekState peeks at a connection without consuming bytes.
--- a/internal/sidecar/netcall/retry.go
+++ b/internal/sidecar/netcall/retry.go
@@ -11,7 +11,7 @@
 )
 
 const (
-	// maxQueryTries is how many times RetryQuery makes a call at most.
+	// maxQueryTries is the maximum number of times that RetryQuery makes a call.
 	maxQueryTries = 3
 
 	// RetryCall pauses for minCallPause to maxCallPause between two calls, and stops repeating after maxCallTime.
@@ -54,9 +54,9 @@
 
 // Read reads the bytes that have arrived.
 func (c RetryingConn) Read(p []byte) (n int, err error) {
-	err = RetryCall(func() (failed error) {
-		n, failed = c.Conn.Read(p)
-		return failed
+	err = RetryCall(func() (readErr error) {
+		n, readErr = c.Conn.Read(p)
+		return readErr
 	})
 	return n, err
 }
@@ -64,9 +64,9 @@
 // Write writes all of p, or returns an error.
 func (c RetryingConn) Write(p []byte) (n int, err error) {
 	err = RetryCall(func() error {
-		written, failed := c.Conn.Write(p[n:])
+		written, writeErr := c.Conn.Write(p[n:])
 		n += written
-		return failed
+		return writeErr
 	})
 	return n, err
 }
--- a/internal/sidecar/upstream/dial.go
+++ b/internal/sidecar/upstream/dial.go
@@ -53,8 +53,8 @@
 	return conn, false, nil
 }
 
-// takeFreshIdle takes an idle connection that its server is unlikely to have closed yet, and closes connections that
-// have been idle for longer than that. It returns nil if there is none.
+// takeFreshIdle takes a connection that has been idle for less than the maximum idle time, and closes connections that
+// have been idle for longer, as their server may close them at any time. It returns nil if there is none.
 func (p *Pool) takeFreshIdle(server *Server) *serverConn {
 	maxIdle := p.idleAges.bound(p.maxIdle)
 	for {
--- a/internal/sidecar/upstream/idle_age.go
+++ b/internal/sidecar/upstream/idle_age.go
@@ -29,9 +29,9 @@
 // likelihood, provided that it exceeds the likelihood of a single rate by minLikelihoodGain.
 type idleAges struct {
 	mu               sync.Mutex          // guards the fields below
-	requests, losses [ageBuckets]float64 // by bucket of idle time; bucket 0 is that of new connections
+	requests, losses [ageBuckets]float64 // counts by bucket of idle time; bucket 0 also counts new connections
 	decayedAt        time.Time           // when the counts were last decayed
-	learnedBound     time.Duration       // 0 if there is none
+	learnedBound     time.Duration       // idle time from which on connections are lost far more often; 0 if there is none
 }
 
 // ageBucket returns the bucket of an idle time. A negative time counts as that of a new connection.
