--- a/internal/sidecar/eventloop/calls.go
+++ b/internal/sidecar/eventloop/calls.go
@@ -37,7 +37,7 @@
 // handleClientGone ends a call whose client has left.
 func (l *Loop) handleClientGone(now float64, c *inflight.Call) {
 	l.cancelUnwritten(c)
-	l.HandleEvent(now, balance.ClientGone{Request: c.Request.ID})
+	l.HandleEvent(now, balance.ClientDisconnected{Request: c.Request.ID})
 	l.release(c)
 }
 
@@ -51,7 +51,7 @@
 	a.TimeToFirstByte = now - a.StartedAt
 	c.Response <- answer
 	l.cancelUnwritten(c)
-	l.HandleEvent(now, balance.AnswerStarted{
+	l.HandleEvent(now, balance.ResponseStarted{
 		Request: c.Request.ID, Attempt: a.Number, Server: a.Server.ID, Elapsed: a.TimeToFirstByte,
 	})
 }
