--- a/internal/sidecar/clientserver/body.go
+++ b/internal/sidecar/clientserver/body.go
@@ -13,34 +13,36 @@
 )
 
 const (
-	// MaxHeldIfMemory is the longest body of a request that is held completely while there is memory for it, in bytes.
+	// MaxHeldIfMemory is the length up to which a request body is held in memory completely if the memory for held
+	// bodies allows it, in bytes.
 	MaxHeldIfMemory = 1 << 20
 
-	// minBodyRate is in bytes a second: part of the 64 kB a second at which a client may send.
+	// minBodyRate is the slowest accepted rate of a body, in bytes a second. It is below the 64 kB a second at which a
+	// client may send.
 	minBodyRate = 48 << 10
-	// minBodyWait is for waiting for a body in any case, however long its head took.
-	minBodyWait = time.Second
-	// maxStall is for the next bytes of a body.
+	// minBodyAllowance is the minimum time to wait for a body, however long the head took.
+	minBodyAllowance = time.Second
+	// maxStall is the maximum time to wait for the next bytes of a body.
 	maxStall = 2 * time.Second
-	// discardWait is for reading on behind a body that is too large.
-	discardWait = time.Second
+	// discardTimeout is how long the rest of a body that is too large is read and discarded.
+	discardTimeout = time.Second
 )
 
-// The texts of these errors go to clients.
+// The texts of these errors are sent to clients.
 var (
 	errBodyTooLarge = errors.New("the body is larger than 32 MB")
 	errBodyTooSlow  = errors.New("the body does not come")
-	// errServiceEnded: nothing of the request has run.
+	// errServiceEnded means that no server has run the request.
 	errServiceEnded = errors.New("the service ended before the body was whole")
 )
 
-// bodyMemory bounds what all bodies that are held take together.
+// bodyMemory limits the total size of all held bodies.
 type bodyMemory struct {
 	mu          sync.Mutex
 	limit, used int64 // bytes
 }
 
-// reserve takes memory for a body, and reports whether there is as much.
+// reserve reserves memory for a body. It returns false, and reserves nothing, if the limit would be exceeded.
 func (m *bodyMemory) reserve(bytes int) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -51,43 +53,43 @@
 	return true
 }
 
-// release gives back what reserve has taken.
+// release returns memory that reserve has reserved.
 func (m *bodyMemory) release(bytes int) {
 	m.mu.Lock()
 	m.used -= int64(bytes)
 	m.mu.Unlock()
 }
 
-// setLimit changes the bound. What is reserved stays so.
+// setLimit changes the limit. Memory that is already reserved stays reserved.
 func (m *bodyMemory) setLimit(bytes int64) {
 	m.mu.Lock()
 	m.limit = bytes
 	m.mu.Unlock()
 }
 
-// pacedBody reads a client's body, which may come slowly but has to go on. Only the time that is spent waiting for the
-// client counts, and each byte buys more of it.
+// pacedBody reads a client's body and fails if it is received too slowly. Only the time that is spent waiting for the
+// client counts, and each received byte extends that time, at a rate of minBodyRate.
 type pacedBody struct {
 	body        io.Reader
-	open        *openBodies           // nil: AbortBodies does not concern it
-	setDeadline func(time.Time) error // for the next read
-	allowance   time.Duration         // for waiting, beside what the bytes so far have bought
-	waited      time.Duration
-	received    int64 // bytes
+	open        *openBodies           // nil: AbortBodies does not affect this body
+	setDeadline func(time.Time) error // sets the deadline of the next read
+	allowance   time.Duration         // waiting time that is granted beside the time for the received bytes
+	waited      time.Duration         // total time spent waiting for the client
+	received    int64                 // bytes
 }
 
 func newPacedBody(w http.ResponseWriter, r *http.Request, timeout time.Duration) *pacedBody {
 	allowance := timeout
 	if conn := headConn(r); conn != nil {
-		allowance = max(timeout-time.Since(conn.StartedAt()), min(timeout, minBodyWait))
+		allowance = max(timeout-time.Since(conn.StartedAt()), min(timeout, minBodyAllowance))
 	}
 	return &pacedBody{body: r.Body, setDeadline: http.NewResponseController(w).SetReadDeadline, allowance: allowance}
 }
 
-// Read reads what has come of the body, and fails where it is too slow or too large, or was aborted.
+// Read reads the next bytes of the body. It fails if the body is too slow or too large, or was aborted.
 func (p *pacedBody) Read(b []byte) (int, error) {
 	startedAt := time.Now()
-	deadline := startedAt.Add(min(p.waitLeft(), maxStall))
+	deadline := startedAt.Add(min(p.remainingWait(), maxStall))
 	if p.open == nil {
 		_ = p.setDeadline(deadline)
 	} else if !p.open.setDeadline(p, deadline) {
@@ -109,13 +111,13 @@
 	return n, err
 }
 
-// waitLeft is for how much longer the client is waited for, if it sends nothing more.
-func (p *pacedBody) waitLeft() time.Duration {
-	bought := time.Duration(float64(p.received) / minBodyRate * float64(time.Second))
-	return p.allowance + bought - p.waited
+// remainingWait returns how much longer to wait for a client that sends nothing more.
+func (p *pacedBody) remainingWait() time.Duration {
+	extension := time.Duration(float64(p.received) / minBodyRate * float64(time.Second))
+	return p.allowance + extension - p.waited
 }
 
-// openBodies are the bodies that are being read before the event loop knows their requests.
+// openBodies is the set of bodies that are being read before their requests are passed to the event loop.
 type openBodies struct {
 	mu      sync.Mutex
 	bodies  map[*pacedBody]struct{}
@@ -131,7 +133,7 @@
 	o.bodies[p], p.open = struct{}{}, o
 }
 
-// remove makes a body independent of abort.
+// remove removes a body from the set; abort no longer affects it.
 func (o *openBodies) remove(p *pacedBody) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -139,7 +141,7 @@
 	p.open = nil
 }
 
-// setDeadline sets the time by which more of a body has to come, and reports false after abort.
+// setDeadline sets the time by which more of a body has to arrive. After abort it returns false and sets nothing.
 func (o *openBodies) setDeadline(p *pacedBody, deadline time.Time) bool {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -155,7 +157,7 @@
 	return o.aborted
 }
 
-// abort ends the reads of all bodies, also of those that are added later.
+// abort makes the reads of all bodies fail, including the reads of bodies that are added later.
 func (o *openBodies) abort() {
 	o.mu.Lock()
 	defer o.mu.Unlock()
--- a/internal/sidecar/clientserver/body_test.go
+++ b/internal/sidecar/clientserver/body_test.go
@@ -13,7 +13,7 @@
 	"marblelane/internal/sidecar/sidecartest"
 )
 
-// Only the time spent waiting for the client counts, and only what it sends buys more.
+// Only the time spent waiting for the client counts against its allowance, and only received bytes extend it.
 func TestPacedBody_deadlines(t *testing.T) {
 	var deadline time.Time
 	p := &pacedBody{
@@ -22,24 +22,24 @@
 	}
 	p.Read(make([]byte, minBodyRate))
 	if wait := time.Until(deadline); wait > 100*time.Millisecond {
-		t.Errorf("%v for the first byte", wait)
+		t.Errorf("deadline for the first byte is in %v", wait)
 	}
 	p.Read(make([]byte, 1))
 	if wait := time.Until(deadline); wait < time.Second || wait > 1200*time.Millisecond {
-		t.Errorf("%v after bytes that buy a second", wait)
+		t.Errorf("deadline after one second's worth of bytes is in %v", wait)
 	}
 	p.waited = 900 * time.Millisecond
 	p.Read(make([]byte, 1))
 	if wait := time.Until(deadline); wait > 250*time.Millisecond {
-		t.Errorf("%v after 900 ms", wait)
+		t.Errorf("deadline after 900 ms of waiting is in %v", wait)
 	}
 	p.received = inflight.MaxBody
 	if _, err := p.Read(make([]byte, 1)); !errors.Is(err, errBodyTooLarge) {
-		t.Errorf("above the limit: %v", err)
+		t.Errorf("read beyond the maximum length: error %v", err)
 	}
 }
 
-// A client's body is slow only if the deadline set here ended the read, however long the read took.
+// A read error means that the client is too slow only if the read deadline caused it, however long the read took.
 func TestPacedBody_errors(t *testing.T) {
 	for _, test := range []struct {
 		err  error
@@ -54,7 +54,7 @@
 			body := &pacedBody{body: iotest.ErrReader(test.err), setDeadline: func(time.Time) error { return nil }}
 			_, err := body.Read(make([]byte, 1))
 			if errors.Is(err, errBodyTooSlow) != test.slow || !test.slow && err != test.err {
-				t.Errorf("error %v, want one of a slow body: %v", err, test.slow)
+				t.Errorf("error %v, want errBodyTooSlow: %v", err, test.slow)
 			}
 		})
 	}
--- a/internal/sidecar/clientserver/client_conn.go
+++ b/internal/sidecar/clientserver/client_conn.go
@@ -15,34 +15,34 @@
 	"marblelane/internal/sidecar/netcall"
 )
 
-// epoch is what ClientConn.lastRead counts from, by the monotonic clock.
+// epoch is the time from which ClientConn.lastRead counts, on the monotonic clock.
 var epoch = time.Now()
 
-// inputClosed in place of a time of ClientConn.lastRead: what the client sends from now on is discarded.
+// inputClosed is a special value of ClientConn.lastRead: bytes that the client sends are read and discarded.
 const inputClosed = math.MinInt64
 
 // ClientConn is the connection of a client.
 type ClientConn struct {
 	net.Conn
 	limiter  *Limiter
-	lastRead atomic.Int64 // when bytes were last read, in ns since epoch; 0: never; or inputClosed
+	lastRead atomic.Int64 // when bytes were last read, in ns since epoch; 0: never; inputClosed: input is discarded
 
-	// readLock is held while bytes are read from the system, and while the end of the connection is decided and sent.
-	// What the client sends is either read before that, and becomes a request, or after it, and is discarded. It may be
-	// locked while Limiter.mu is held, not the other way round.
-	readLock    sync.Mutex
-	unprocessed bool // net/http may hold bytes that it has not started a request with
-	working     bool // like busy, under this lock
+	// readLock is held while bytes are read from the system, and while the connection is selected for closing and
+	// half-closed. So bytes from the client are either read before the half-close and become part of a request, or are
+	// read after it and discarded. It may be locked while Limiter.mu is held, but not the other way round.
+	readLock      sync.Mutex
+	inputBuffered bool // net/http may hold bytes that it has not started to parse as a request
+	working       bool // same as busy, but guarded by readLock
 
 	// Limiter.mu guards the fields below.
-	since        time.Time // the connection was accepted, or its last request was answered
-	reused       bool      // it has had a request
-	busy         bool      // a request is at work
-	answerCutOff bool      // its answer broke off
-	endSentAt    time.Time // when the client was notified of the end of the connection; zero: it was not
+	readySince         time.Time // when the connection was accepted, or when its last response was written
+	reused             bool      // at least one response has been written
+	busy               bool      // the head of a request was read and its response is not written yet
+	responseIncomplete bool      // the response was broken off
+	halfClosedAt       time.Time // when the client was notified by a half-close that the connection ends; zero: it was not
 }
 
-// LastRead is when bytes were last read from the client; zero: there were none, or its input is closed.
+// LastRead returns when bytes were last read from the client. It is zero if none were read or if the input is closed.
 func (c *ClientConn) LastRead() time.Time {
 	if at := c.lastRead.Load(); at != 0 && at != inputClosed {
 		return epoch.Add(time.Duration(at))
@@ -50,8 +50,9 @@
 	return time.Time{}
 }
 
-// Read discards what comes on a connection whose input is closed, up to the client's end. While the system is short of
-// memory the bytes stay in it and are read again, until netcall.RetryCall gives up.
+// Read reads from the connection. If the input is closed it discards all bytes until the client closes its side. If the
+// system is short of memory the bytes stay in the socket buffer and the read is repeated, until netcall.RetryCall gives
+// up.
 func (c *ClientConn) Read(p []byte) (int, error) {
 	conn, ok := c.Conn.(syscall.Conn)
 	if !ok {
@@ -62,28 +63,28 @@
 		return 0, err
 	}
 	c.readLock.Lock()
-	c.unprocessed = c.working // net/http reads on when it has used up what it has read
+	c.inputBuffered = c.working // net/http reads again only when it has parsed all bytes that it has read
 	c.readLock.Unlock()
 	var n int
-	var failed error
-	// raw.Read waits for more bytes only after EAGAIN: a wait after another error would not end with the bytes that are
-	// there already.
+	var readErr error
+	// raw.Read waits for more bytes only after EAGAIN. After another error the wait would not be woken by bytes that
+	// are already in the socket buffer.
 	_ = netcall.RetryCall(func() error {
 		err = raw.Read(func(fd uintptr) (done bool) {
-			n, failed = c.readAvailable(int(fd), p)
-			return failed != syscall.EAGAIN
+			n, readErr = c.readAvailable(int(fd), p)
+			return readErr != syscall.EAGAIN
 		})
 		if err != nil {
 			return err
 		}
-		return failed
+		return readErr
 	})
 	switch {
 	case err != nil:
 		return 0, asReadError(err)
-	case failed != nil:
+	case readErr != nil:
 		return 0, &net.OpError{
-			Op: "read", Net: "tcp", Source: c.LocalAddr(), Addr: c.RemoteAddr(), Err: os.NewSyscallError("read", failed),
+			Op: "read", Net: "tcp", Source: c.LocalAddr(), Addr: c.RemoteAddr(), Err: os.NewSyscallError("read", readErr),
 		}
 	case n == 0 && len(p) > 0:
 		return 0, io.EOF
@@ -91,7 +92,7 @@
 	return n, nil
 }
 
-// readAvailable reads the bytes that are there; EAGAIN: none.
+// readAvailable reads the bytes in the socket buffer, without waiting. It returns EAGAIN if there are none.
 func (c *ClientConn) readAvailable(fd int, p []byte) (n int, err error) {
 	c.readLock.Lock()
 	defer c.readLock.Unlock()
@@ -108,12 +109,13 @@
 			continue
 		}
 		c.lastRead.Store(int64(time.Since(epoch)))
-		c.unprocessed = true
+		c.inputBuffered = true
 		return n, nil
 	}
 }
 
-// asReadError names an error as that of a read: net/http answers no client whose connection failed while it was read.
+// asReadError sets the operation of a network error to "read": after such an error net/http sends no response to the
+// client.
 func asReadError(err error) error {
 	var op *net.OpError
 	if errors.As(err, &op) {
@@ -122,8 +124,9 @@
 	return err
 }
 
-// SetReadDeadline also shows that a request has started, all of which may have come with the one before: net/http sets a
-// deadline for a head from its first bytes on, and none between requests.
+// SetReadDeadline sets the deadline of reads. It also records that the client has started a request: net/http sets a
+// deadline when it has the first bytes of a head, and none between requests. This detects requests that arrived
+// completely with the previous one, for which no bytes are read.
 func (c *ClientConn) SetReadDeadline(t time.Time) error {
 	c.readLock.Lock()
 	if !t.IsZero() && !c.working && c.lastRead.Load() != inputClosed && c.lastRead.Load() != 0 {
@@ -133,21 +136,23 @@
 	return c.Conn.SetReadDeadline(t)
 }
 
-// Close ends the connection. Where an answer has just been written it half-closes it, and closes it when the client has
-// gone or CloseWindow is over: a close over unread bytes resets the connection, and the answer is lost.
+// Close closes the connection. If a response has just been written it only half-closes the connection, and closes it
+// when the client closes its side or after CloseWindow: closing a connection with unread bytes resets it, and the
+// response is lost.
 func (c *ClientConn) Close() error {
-	if !c.halfCloseAfterAnswer() {
-		return c.end()
+	if !c.halfCloseAfterResponse() {
+		return c.closeNow()
 	}
 	go c.discardInput()
 	return nil
 }
 
-// halfCloseAfterAnswer half-closes the connection, if it has an answer that its client may not have read.
-func (c *ClientConn) halfCloseAfterAnswer() bool {
+// halfCloseAfterResponse half-closes the connection if the client may not have read the last response yet. It reports
+// whether it has done so.
+func (c *ClientConn) halfCloseAfterResponse() bool {
 	c.limiter.mu.Lock()
 	defer c.limiter.mu.Unlock()
-	if !c.busy || c.answerCutOff || !c.endSentAt.IsZero() {
+	if !c.busy || c.responseIncomplete || !c.halfClosedAt.IsZero() {
 		return false
 	}
 	c.readLock.Lock()
@@ -159,20 +164,21 @@
 		return false
 	}
 	c.lastRead.Store(inputClosed)
-	c.unprocessed = false
-	c.endSentAt = time.Now()
+	c.inputBuffered = false
+	c.halfClosedAt = time.Now()
 	return true
 }
 
-// closeWrite half-closes the connection, and reports whether it has.
+// closeWrite half-closes the connection and reports whether that succeeded.
 func (c *ClientConn) closeWrite() bool {
 	conn, ok := c.Conn.(interface{ CloseWrite() error })
 	return ok && conn.CloseWrite() == nil
 }
 
-// discardInput reads what still comes, up to the client's end, and closes the connection.
+// discardInput reads and discards input until the client closes its side, at most for CloseWindow, and closes the
+// connection.
 func (c *ClientConn) discardInput() {
-	timeout := time.AfterFunc(CloseWindow, func() { _ = c.end() })
+	timeout := time.AfterFunc(CloseWindow, func() { _ = c.closeNow() })
 	defer timeout.Stop()
 	c.Conn.SetReadDeadline(time.Time{})
 	buf := inflight.CopyBuffers.Get().(*[]byte)
@@ -182,18 +188,18 @@
 			break
 		}
 	}
-	_ = c.end()
+	_ = c.closeNow()
 }
 
-// cutOff makes Close end the connection at once: its answer is not complete.
-func (c *ClientConn) cutOff() {
+// markResponseIncomplete records that the response was broken off, so that Close closes the connection immediately.
+func (c *ClientConn) markResponseIncomplete() {
 	c.limiter.mu.Lock()
-	c.answerCutOff = true
+	c.responseIncomplete = true
 	c.limiter.mu.Unlock()
 }
 
-// end closes the connection and frees its slot.
-func (c *ClientConn) end() error {
+// closeNow closes the connection immediately and frees its slot.
+func (c *ClientConn) closeNow() error {
 	c.limiter.mu.Lock()
 	delete(c.limiter.conns, c)
 	c.limiter.mu.Unlock()
@@ -201,7 +207,8 @@
 	return c.Conn.Close()
 }
 
-// RequestRead tells that a head is complete: the limiter does not close the connection before its answer.
+// RequestRead records that the head of a request was read completely. The limiter does not close the connection until
+// the response is written.
 func (c *ClientConn) RequestRead() {
 	c.limiter.mu.Lock()
 	c.busy = true
@@ -211,37 +218,38 @@
 	c.readLock.Unlock()
 }
 
-// ResponseWritten tells that the request is answered.
+// ResponseWritten records that the response to the request was written.
 func (c *ClientConn) ResponseWritten() {
 	c.readLock.Lock()
-	c.working, c.unprocessed = false, true // the next request may have come with this one
+	c.working, c.inputBuffered = false, true // the next request may have been read together with this one
 	c.readLock.Unlock()
 	c.limiter.mu.Lock()
-	c.busy, c.reused, c.since = false, true, time.Now()
+	c.busy, c.reused, c.readySince = false, true, time.Now()
 	c.limiter.mu.Unlock()
 }
 
-// NetConn is the connection of the system.
+// NetConn returns the underlying connection.
 func (c *ClientConn) NetConn() net.Conn { return c.Conn }
 
-// requestStarted reports whether some of a request has come since the last one, and since when the client is silent.
-// Limiter.mu is held.
+// requestStarted reports whether bytes of a request have arrived since the last response, and since when the client has
+// sent nothing. The caller holds Limiter.mu.
 func (c *ClientConn) requestStarted() (silentSince time.Time, started bool) {
-	if lastRead := c.LastRead(); lastRead.After(c.since) {
+	if lastRead := c.LastRead(); lastRead.After(c.readySince) {
 		return lastRead, true
 	}
-	return c.since, false
+	return c.readySince, false
 }
 
-// evictionRank says how early the connection is evicted, and since when it is silent. Limiter.mu is held.
+// evictionRank returns the rank of the connection for eviction, and since when the client has sent nothing. The caller
+// holds Limiter.mu.
 func (c *ClientConn) evictionRank(now time.Time) (rank evictionRank, silentSince time.Time) {
 	silentSince, started := c.requestStarted()
 	silence := now.Sub(silentSince)
 	switch {
-	case !c.endSentAt.IsZero():
-		return evictSilent, c.endSentAt
+	case !c.halfClosedAt.IsZero():
+		return evictSilent, c.halfClosedAt
 	case (started || !c.reused) && silence < newConnGrace:
-		return evictNew, c.since
+		return evictNew, c.readySince
 	case started:
 		return evictPartial, silentSince
 	case !c.reused:
@@ -253,17 +261,18 @@
 	}
 }
 
-// closeInput closes the input of the connection, unless bytes have come on it that have not become a request: those are
-// read and answered. What comes after it never runs, and its client sends it again.
+// closeInput closes the input of the connection and reports whether it has done so. It does nothing if bytes have
+// arrived that are not part of an active request yet: they are still read, and the request gets a response. Bytes that
+// arrive after closeInput are never part of a request that runs, so the client can safely send the request again.
 func (c *ClientConn) closeInput() bool {
 	c.readLock.Lock()
 	defer c.readLock.Unlock()
 	return c.closeInputLocked()
 }
 
-// closeInputLocked is closeInput with readLock held.
+// closeInputLocked does the work of closeInput. The caller holds readLock.
 func (c *ClientConn) closeInputLocked() bool {
-	if c.unprocessed {
+	if c.inputBuffered {
 		return false
 	}
 	if _, unread := netcall.Peek(c.Conn); unread {
@@ -273,9 +282,11 @@
 	return true
 }
 
-// sendEnd closes the input of the connection as closeInput does, unless part of a request has come on it, and notifies
-// the client by a half-close. Nothing is read from it in between. Limiter.mu is held.
-func (c *ClientConn) sendEnd() (inputEnded, notified bool) {
+// halfCloseIdle closes the input of the connection as closeInput does, unless part of a request has arrived, and
+// notifies the client by a half-close. Nothing is read between the two steps.
+// inputEnded reports whether the input was closed, and notified whether the half-close succeeded. The caller holds
+// Limiter.mu.
+func (c *ClientConn) halfCloseIdle() (inputEnded, notified bool) {
 	c.readLock.Lock()
 	defer c.readLock.Unlock()
 	if _, started := c.requestStarted(); started || !c.closeInputLocked() {
@@ -284,8 +295,9 @@
 	return true, c.closeWrite()
 }
 
-// rejectPartial answers part of a request, if there is one, and notifies the client of the end of the connection. It
-// reports whether it has: not where bytes of the client are on the way to a handler. Limiter.mu is held.
+// rejectPartial sends a 503 if part of a request has arrived, and half-closes the connection. It reports whether the
+// connection was half-closed. It does nothing if a request is active or if bytes have arrived that net/http has not
+// parsed. The caller holds Limiter.mu.
 func (c *ClientConn) rejectPartial() bool {
 	c.readLock.Lock()
 	defer c.readLock.Unlock()
@@ -294,7 +306,7 @@
 		return false
 	}
 	if started {
-		netcall.WriteNow(c.Conn, partialAnswer)
+		netcall.WriteNow(c.Conn, partialRequestResponse)
 	}
 	return c.closeWrite()
 }
--- a/internal/sidecar/clientserver/client_conn_test.go
+++ b/internal/sidecar/clientserver/client_conn_test.go
@@ -11,7 +11,7 @@
 	"golang.org/x/sys/unix"
 )
 
-// A lasting error ends a read at once.
+// A read is not repeated after an error that is not temporary.
 func TestClientConnRead_lastingError(t *testing.T) {
 	limiter, client, conn := acceptOne(t, 1)
 	reads := 0
@@ -23,11 +23,11 @@
 		t.Fatal(err)
 	}
 	if _, err := conn.Read(make([]byte, 1)); !errors.Is(err, unix.ECONNRESET) || reads != 1 {
-		t.Errorf("%v after %d reads", err, reads)
+		t.Errorf("error %v after %d system calls", err, reads)
 	}
 }
 
-// A deadline ends a read at once.
+// A read is not repeated after its deadline.
 func TestClientConnRead_deadline(t *testing.T) {
 	limiter, _, conn := acceptOne(t, 1)
 	reads := 0
@@ -40,6 +40,6 @@
 	}
 	var timeout net.Error
 	if _, err := conn.Read(make([]byte, 1)); !errors.As(err, &timeout) || !timeout.Timeout() || reads != 1 {
-		t.Errorf("%v after %d reads", err, reads)
+		t.Errorf("error %v after %d system calls", err, reads)
 	}
 }
--- a/internal/sidecar/clientserver/client_watch.go
+++ b/internal/sidecar/clientserver/client_watch.go
@@ -9,35 +9,38 @@
 	"marblelane/internal/sidecar/netcall"
 )
 
-// defaultClientPoll is the time between two checks of a client whose connection is not being read. It bounds how long a
-// request counts as load after its client has gone; attempts check by themselves before their first byte.
-const defaultClientPoll = 50 * time.Millisecond
+// defaultClientPollInterval is the time between two checks whether a client has disconnected while its connection is
+// not being read. It limits how long a request counts as load after its client has disconnected. Attempts make a check
+// of their own before their first byte.
+const defaultClientPollInterval = 50 * time.Millisecond
 
-// watchClient lets a call learn that its client has gone, and returns the connection to watch; nil: it is not known.
+// watchClient sets the call's PollDisconnect. It returns the connection to watch, or nil if the connection of the
+// request is not known.
 func (s *Server) watchClient(r *http.Request, call *inflight.Call) *framing.HeadConn {
 	conn := headConn(r)
 	if conn == nil {
 		return nil
 	}
 	states := s.options.ConnStates
-	call.PollDisconnect = func() bool { return r.Context().Err() != nil || clientGone(conn, states) }
+	call.PollDisconnect = func() bool { return r.Context().Err() != nil || clientDisconnected(conn, states) }
 	return conn
 }
 
-// clientGone reports whether the client of a connection is known to have gone.
-func clientGone(conn *framing.HeadConn, states *netcall.ConnStates) bool {
+// clientDisconnected reports whether the client of a connection is known to have disconnected.
+func clientDisconnected(conn *framing.HeadConn, states *netcall.ConnStates) bool {
 	tracked, ok := conn.Conn.(framing.TrackedConn)
 	return ok && states.PeerGone(tracked.NetConn())
 }
 
-// clientWatch says when to check whether the client of a request has gone. net/http sees the end of a connection only
-// while it reads: once it has read a byte behind a request it stops until that request is answered.
+// clientWatch schedules the checks whether the client of a request has disconnected. net/http notices the end of a
+// connection only while it reads: once it has read a byte that follows a request, it does not read again until the
+// response to that request is written.
 type clientWatch struct {
-	conn     *framing.HeadConn // nil: not known
+	conn     *framing.HeadConn // nil: the connection is not known and no checks are made
 	interval time.Duration
 	timer    *time.Timer
-	due      <-chan time.Time // a check is due
-	received <-chan struct{}  // something was read from the connection
+	due      <-chan time.Time // receives a value when a check is due
+	received <-chan struct{}  // receives a token after bytes were read from the connection
 }
 
 func newClientWatch(conn *framing.HeadConn, interval time.Duration) *clientWatch {
@@ -55,12 +58,13 @@
 	}
 }
 
-// schedule sets the time of the next check.
+// schedule schedules the next check.
 func (w *clientWatch) schedule() { w.timer.Reset(w.interval) }
 
-// clientGone reports whether the call's client has gone. While the connection is being read its reader sees the end, and
-// the next check is scheduled when something was read.
-func (w *clientWatch) clientGone(call *inflight.Call) bool {
+// clientDisconnected reports whether the call's client has disconnected, and schedules the next check if it has not.
+// While the connection is being read the reader notices the end, so it returns false and schedules no check: the next
+// one is scheduled after bytes were read.
+func (w *clientWatch) clientDisconnected(call *inflight.Call) bool {
 	if w.conn.Reading() {
 		return false
 	}
--- a/internal/sidecar/clientserver/conn_limiter.go
+++ b/internal/sidecar/clientserver/conn_limiter.go
@@ -12,37 +12,40 @@
 )
 
 const (
-	// evictAfterSilence is how long a connection must have been silent before it is evicted: a client with a request to
-	// send does so at once, but this process must get to read it.
+	// evictAfterSilence is the minimum time without input before a connection may be evicted. A client that connects to
+	// send a request does so immediately, but this process needs time to read it.
 	evictAfterSilence = 50 * time.Millisecond
-	// newConnGrace is how long a client may pause within its request: it may take 2 s for a head.
+	// newConnGrace is how long a client may pause within its request without being evicted early. A client may take 2 s
+	// to send a head.
 	newConnGrace = time.Second
-	// minKeepAlive is how long a connection without a request is kept, unless all others have gone.
+	// minKeepAlive is how long a connection is kept after its last response, unless no connection of a lower
+	// evictionRank is left to evict.
 	minKeepAlive = 2 * time.Second
-	// CloseWindow is how long a request may be on its way: on a new connection after its client's connect, and once more
-	// on a new one after the end of its old one crossed it.
+	// CloseWindow is the maximum time that a request is assumed to be in transit. It is granted on a new connection
+	// after the client has connected, and again on the replacement of a connection whose end crossed the request.
 	CloseWindow = 200 * time.Millisecond
 )
 
-// partialAnswer tells a client that is in the middle of a head that nothing of its request has run.
-const partialAnswer = "HTTP/1.1 503 Service Unavailable\r\nConnection: close\r\nContent-Length: 0\r\n\r\n"
+// partialRequestResponse rejects a request of which only part of the head has arrived. No server has run it.
+const partialRequestResponse = "HTTP/1.1 503 Service Unavailable\r\nConnection: close\r\nContent-Length: 0\r\n\r\n"
 
-// Limiter is a listener that bounds the connections it has open. At the limit the connection that has been silent for
-// longest, and has no request at work, is closed for a new one: silent clients cannot shut others out.
+// Limiter is a listener that limits the number of open connections. At the limit it evicts a connection for each new
+// one, so that silent clients cannot prevent others from connecting. It never evicts a connection with an active
+// request, and evicts connections in the order of their evictionRank.
 type Limiter struct {
 	net.Listener
-	slotFreed    chan struct{} // a token: a connection ended, or the limit grew; never closed
+	slotFreed    chan struct{} // gets a token when a connection was closed or the limit was changed; never closed
 	closed       chan struct{} // closed by Close
 	closeOnce    sync.Once
-	acceptsEnded atomic.Bool // after Close: no connection is waiting in Accept any more
+	acceptsEnded atomic.Bool // Accept has failed after Close, so no further connection will be accepted
 	readCall     func(fd int, p []byte) (n int, err error)
 
-	mu    sync.Mutex
+	mu    sync.Mutex // guards the fields below
 	limit int
 	conns map[*ClientConn]struct{}
 }
 
-// NewLimiter bounds the connections of a listener.
+// NewLimiter returns a Limiter that accepts connections from a listener.
 func NewLimiter(listener net.Listener, limit int) *Limiter {
 	return &Limiter{
 		Listener: listener, limit: limit, conns: map[*ClientConn]struct{}{},
@@ -50,11 +53,11 @@
 	}
 }
 
-// SetReadCall replaces the system call that reads from connections, so that tests can make it fail. It has to come
+// SetReadCall replaces the system call that reads from connections. Tests use it to simulate errors. It must be called
 // before the first Accept.
 func (l *Limiter) SetReadCall(read func(fd int, p []byte) (n int, err error)) { l.readCall = read }
 
-// Accept waits for the next connection and until there is a slot for it.
+// Accept waits for the next connection, and then until there is a slot for it.
 func (l *Limiter) Accept() (net.Conn, error) {
 	accepted, err := l.Listener.Accept()
 	if err != nil {
@@ -65,18 +68,18 @@
 		}
 		return nil, err
 	}
-	conn := &ClientConn{Conn: accepted, limiter: l, since: time.Now()}
+	conn := &ClientConn{Conn: accepted, limiter: l, readySince: time.Now()}
 	l.admit(conn)
 	return conn, nil
 }
 
-// acceptsFailed reports whether accepts have failed of late, so that a connection may have waited to be accepted.
+// acceptsFailed reports whether accepts have failed recently, so that connections may have waited to be accepted.
 func (l *Limiter) acceptsFailed() bool {
 	listener, ok := l.Listener.(*listening.Listener)
 	return ok && listener.FailedWithin(netcall.AcceptFailureMemory)
 }
 
-// admit waits until there is a slot for a connection, or the listener is closed.
+// admit waits until there is a slot for a connection, or until the listener is closed.
 func (l *Limiter) admit(conn *ClientConn) {
 	for {
 		admitted, victim := l.claimSlot(conn)
@@ -84,14 +87,14 @@
 			return
 		}
 		if victim != nil {
-			_ = victim.end()
+			_ = victim.closeNow()
 			continue
 		}
 		select {
 		case <-l.slotFreed:
 		case <-time.After(evictAfterSilence):
 		case <-l.closed:
-			// The client connected before the end and does not know of it: its connection is one above the limit.
+			// The client connected before the listener was closed, so its connection is admitted above the limit.
 			l.mu.Lock()
 			l.conns[conn] = struct{}{}
 			l.mu.Unlock()
@@ -100,7 +103,8 @@
 	}
 }
 
-// claimSlot claims a slot for a new connection. Where all are taken it returns the connection to close; nil: none yet.
+// claimSlot claims a slot for a new connection. If all slots are taken it returns the connection to close, or nil if
+// none can be closed yet.
 func (l *Limiter) claimSlot(conn *ClientConn) (admitted bool, victim *ClientConn) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -108,7 +112,7 @@
 		l.conns[conn] = struct{}{}
 		return true, nil
 	}
-	spared := map[*ClientConn]bool{} // bytes from their clients are on the way to a handler
+	spared := map[*ClientConn]bool{} // not evicted: bytes from their clients have not reached a handler yet
 	for {
 		victim = l.evictionCandidate(spared)
 		if victim == nil || victim.closeInput() {
@@ -118,14 +122,14 @@
 	}
 }
 
-// evictionCandidate is the first connection to evict, but for those that are spared; nil: there is none.
+// evictionCandidate returns the first connection to evict among those that are not spared, or nil if there is none.
 func (l *Limiter) evictionCandidate(spared map[*ClientConn]bool) *ClientConn {
 	now := time.Now()
 	var first *ClientConn
 	var firstRank evictionRank
 	var firstSilentSince time.Time
 	for conn := range l.conns {
-		if conn.busy && conn.endSentAt.IsZero() || spared[conn] {
+		if conn.busy && conn.halfClosedAt.IsZero() || spared[conn] {
 			continue
 		}
 		rank, silentSince := conn.evictionRank(now)
@@ -139,19 +143,19 @@
 	return first
 }
 
-// evictionRank orders connections for eviction, the first to be closed first. A client that is closed out before its
-// request is read loses that request; one between two requests loses nothing.
+// evictionRank orders connections for eviction: lower ranks are evicted first. Evicting a connection between two
+// requests costs the client nothing, but evicting it before its request is read makes that request fail.
 type evictionRank int
 
 const (
-	evictSilent   evictionRank = iota // has never sent a byte, or was notified of its end
-	evictIdleLong                     // has been without a request for minKeepAlive
-	evictPartial                      // stopped in the middle of a request
-	evictIdle                         // is between two requests
-	evictNew                          // is new, or started a request a moment ago
+	evictSilent   evictionRank = iota // has sent no byte since it was accepted at least newConnGrace ago, or is half-closed
+	evictIdleLong                     // has been between two requests for at least minKeepAlive
+	evictPartial                      // has sent part of a request, the last of it at least newConnGrace ago
+	evictIdle                         // has been between two requests for less than minKeepAlive
+	evictNew                          // was accepted, or has sent part of a request, less than newConnGrace ago
 )
 
-// String names the rank for logs and tests.
+// String returns the name of the rank for logs and tests.
 func (r evictionRank) String() string {
 	switch r {
 	case evictSilent:
@@ -169,14 +173,14 @@
 	}
 }
 
-// Limit is how many connections there may be.
+// Limit returns the maximum number of connections.
 func (l *Limiter) Limit() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.limit
 }
 
-// SetLimit changes the limit. Connections above it are not closed for that.
+// SetLimit changes the limit. It does not close connections that exceed the new limit.
 func (l *Limiter) SetLimit(limit int) {
 	l.mu.Lock()
 	l.limit = limit
@@ -184,7 +188,7 @@
 	l.wakeAdmit()
 }
 
-// Each calls a function with each open connection, under the limiter's lock.
+// Each calls a function with each open connection, while holding the limiter's lock.
 func (l *Limiter) Each(visit func(*ClientConn)) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -193,63 +197,68 @@
 	}
 }
 
-// Empty reports whether the limiter is closed, and no connection is open or about to be.
+// Empty reports whether the limiter is closed, no connection is open and none is waiting for a slot.
 func (l *Limiter) Empty() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.acceptsEnded.Load() && len(l.conns) == 0
 }
 
-// CloseIdle ends the connections on which nothing was sent since their last request. It reports whether a client may yet
-// need a new connection for a request that crosses such an end: some connection that was open before the given time, and
-// whose answers may not have ended it, has not gone. Each is notified by a half-close and goes with its client: what
-// crosses that is read and discarded, as a reset could destroy an answer that the client has not read yet.
+// CloseIdle half-closes the connections on which the client has sent nothing since its last request. The half-close
+// notifies the client. A connection is closed when its client closes its side, or in a later call after CloseWindow.
+// Input after the half-close is read and discarded, because a reset could destroy a response that the client has not
+// read yet.
+//
+// It returns true if a client may still need a new connection, for a request that crosses the end of its old one. That
+// is the case while an idle or half-closed connection is open. It is also the case while a busy or newly accepted
+// connection is open that was ready for its request before the given time, since its response may not have announced
+// the end.
 func (l *Limiter) CloseIdle(before time.Time) (more bool) {
-	var ending []*ClientConn
+	var toClose []*ClientConn
 	now := time.Now()
 	l.mu.Lock()
 	for conn := range l.conns {
 		_, started := conn.requestStarted()
 		switch {
-		case !conn.endSentAt.IsZero():
-			if more = true; now.Sub(conn.endSentAt) >= CloseWindow {
-				ending = append(ending, conn)
+		case !conn.halfClosedAt.IsZero():
+			if more = true; now.Sub(conn.halfClosedAt) >= CloseWindow {
+				toClose = append(toClose, conn)
 			}
 		case conn.busy:
-			more = more || conn.since.Before(before)
-		case started: // its answer ends it
-		case !conn.reused && now.Sub(conn.since) < CloseWindow:
-			more = more || conn.since.Before(before)
+			more = more || conn.readySince.Before(before)
+		case started: // closed after the response to its request
+		case !conn.reused && now.Sub(conn.readySince) < CloseWindow:
+			more = more || conn.readySince.Before(before)
 		default:
 			more = true
-			switch inputEnded, notified := conn.sendEnd(); {
+			switch inputEnded, notified := conn.halfCloseIdle(); {
 			case notified:
-				conn.endSentAt = now
+				conn.halfClosedAt = now
 			case inputEnded:
-				ending = append(ending, conn)
+				toClose = append(toClose, conn)
 			}
 		}
 	}
 	l.mu.Unlock()
-	for _, conn := range ending {
-		_ = conn.end()
+	for _, conn := range toClose {
+		_ = conn.closeNow()
 	}
 	return more
 }
 
-// RejectPartial ends the connections without a complete head. Those from which part of one has come get a 503, all are
-// notified by a half-close, and what still comes is read and discarded. CloseIdle closes them later.
+// RejectPartial half-closes the connections without a complete request head. If part of a head has arrived it sends a
+// 503 first. Further input is read and discarded, and a later CloseIdle closes the connections.
 func (l *Limiter) RejectPartial() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for conn := range l.conns {
-		if !conn.busy && conn.endSentAt.IsZero() && conn.rejectPartial() {
-			conn.endSentAt = time.Now()
+		if !conn.busy && conn.halfClosedAt.IsZero() && conn.rejectPartial() {
+			conn.halfClosedAt = time.Now()
 		}
 	}
 }
 
-// wakeAdmit makes a connection that waits for a slot look again.
+// wakeAdmit wakes a connection that waits in admit, so that it tries again to claim a slot.
 func (l *Limiter) wakeAdmit() {
 	select {
 	case l.slotFreed <- struct{}{}:
@@ -257,7 +266,7 @@
 	}
 }
 
-// Close closes the listener. Connections stay open, and one that waits for a slot gets it.
+// Close closes the listener. Open connections stay open, and a connection that waits for a slot is admitted.
 func (l *Limiter) Close() error {
 	l.closeOnce.Do(func() { close(l.closed) })
 	return l.Listener.Close()
--- a/internal/sidecar/clientserver/conn_limiter_shutdown_test.go
+++ b/internal/sidecar/clientserver/conn_limiter_shutdown_test.go
@@ -15,15 +15,15 @@
 	"marblelane/internal/sidecar/sidecartest"
 )
 
-// gate holds a goroutine up until the test lets it go on. After that it lets all pass.
+// gate blocks goroutines until the test closes passed. After that it lets every goroutine pass.
 type gate struct {
-	reached chan struct{}
-	passed  chan struct{} // closed by the test
+	reached chan struct{} // receives a token when a goroutine has reached the gate
+	passed  chan struct{} // closed by the test to open the gate
 }
 
 func newGate() *gate { return &gate{reached: make(chan struct{}), passed: make(chan struct{})} }
 
-// pass tells the test, and waits until it closes passed.
+// pass signals reached and waits until the test closes passed.
 func (g *gate) pass() {
 	select {
 	case g.reached <- struct{}{}:
@@ -32,7 +32,7 @@
 	}
 }
 
-// gatedConn passes a gate whenever it has read bytes from the system, before it returns them.
+// gatedConn waits at a gate after each read from the system, before it returns the bytes.
 type gatedConn struct {
 	*net.TCPConn
 	read *gate
@@ -66,7 +66,7 @@
 	})
 }
 
-// acceptOne is a limiter, a client that has connected to it, and its connection here.
+// acceptOne returns a limiter, a client that has connected to it, and the accepted connection.
 func acceptOne(t *testing.T, limit int) (*Limiter, net.Conn, *ClientConn) {
 	t.Helper()
 	listener, err := net.Listen("tcp", sidecartest.Loopback)
@@ -79,7 +79,7 @@
 	return limiter, client, accepted
 }
 
-// acceptPair connects a client to a limiter, and gives both ends.
+// acceptPair connects a client to a limiter and returns both ends of the connection.
 func acceptPair(t *testing.T, listener net.Listener, limiter *Limiter) (net.Conn, *ClientConn) {
 	t.Helper()
 	client, err := net.Dial("tcp", listener.Addr().String())
@@ -97,15 +97,15 @@
 	return client, accepted.(*ClientConn)
 }
 
-// endSent reports whether the client of a connection was notified of its end.
-func (l *Limiter) endSent(conn *ClientConn) bool {
+// halfClosed reports whether the limiter has half-closed a connection.
+func (l *Limiter) halfClosed(conn *ClientConn) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return !conn.endSentAt.IsZero()
+	return !conn.halfClosedAt.IsZero()
 }
 
-// Bytes that were read from the system become a request, though they are not returned yet when idle connections are
-// closed.
+// CloseIdle does not close a connection while Read has bytes from the system that it has not returned yet: they become
+// a request.
 func TestCloseIdle_reading(t *testing.T) {
 	limiter, client, conn := acceptOne(t, 2)
 	conn.ResponseWritten()
@@ -121,46 +121,46 @@
 	}
 	sidecartest.Receive(t, "the bytes to be read", bytesRead.reached)
 	limiter.CloseIdle(time.Now())
-	if limiter.endSent(conn) {
-		t.Error("the client is notified of an end after its request was read")
+	if limiter.halfClosed(conn) {
+		t.Error("the connection was half-closed after bytes of a request were read")
 	}
 	close(bytesRead.passed)
 	if n := sidecartest.Receive(t, "the bytes", read); n != 8 {
-		t.Errorf("%d bytes of a request are returned", n)
+		t.Errorf("Read returned %d bytes of the request, want 8", n)
 	}
 }
 
-// closeWriteConn calls a function within the half-close.
+// closeWriteConn calls a function before each half-close.
 type closeWriteConn struct {
 	*net.TCPConn
-	within func()
+	beforeCloseWrite func()
 }
 
 func (c closeWriteConn) CloseWrite() error {
-	c.within()
+	c.beforeCloseWrite()
 	return c.TCPConn.CloseWrite()
 }
 
-// From the decision that a connection ends until its client is notified nothing is read from it.
+// CloseIdle reads nothing from a connection between the decision to close it and the half-close.
 func TestCloseIdle_notifying(t *testing.T) {
 	limiter, _, conn := acceptOne(t, 2)
 	conn.ResponseWritten()
-	conn.unprocessed = false // as when net/http reads again
+	conn.inputBuffered = false // as after net/http has parsed all bytes and reads again
 	notified := false
 	conn.Conn = closeWriteConn{conn.Conn.(*net.TCPConn), func() {
 		notified = true
 		if conn.readLock.TryLock() {
 			conn.readLock.Unlock()
-			t.Error("a request may be read and discarded before its client is notified")
+			t.Error("readLock is not held: a request may be read and discarded before its client is notified")
 		}
 	}}
 	limiter.CloseIdle(time.Now())
 	if !notified {
-		t.Error("the client was not notified")
+		t.Error("CloseIdle did not half-close the connection")
 	}
 }
 
-// serveLimiter serves the connections of a limiter through net/http, as the sidecar does.
+// serveLimiter serves the connections of a limiter with net/http, as the sidecar does.
 func serveLimiter(t *testing.T, limiter *Limiter, stateChanged func(net.Conn, http.ConnState), handler http.HandlerFunc) {
 	t.Helper()
 	server := TrackConnections(&http.Server{
@@ -180,7 +180,7 @@
 	})
 }
 
-// newLimiterOfOne is a limiter for one connection, and a client that has connected to it.
+// newLimiterOfOne returns a limiter with a limit of one connection, and a client that has connected to it.
 func newLimiterOfOne(t *testing.T) (*Limiter, net.Conn) {
 	t.Helper()
 	listener, err := net.Listen("tcp", sidecartest.Loopback)
@@ -196,11 +196,11 @@
 	return NewLimiter(listener, 1), client
 }
 
-// plainRequest has the place of the path.
+// plainRequest is a format string for a request; its argument is the path without the slash.
 const plainRequest = "GET /%s HTTP/1.1\r\nHost: a\r\n\r\n"
 
-// A request that came together with the one before is at work, or waits in net/http's buffer between the two: its
-// connection is not idle, and is not evicted.
+// A pipelined request that was read together with the previous one waits in net/http's buffer between the two requests.
+// Its connection is neither closed as idle nor evicted, also if only half of the request has arrived.
 func TestCloseIdle_betweenPipelinedRequests(t *testing.T) {
 	complete := fmt.Sprintf(plainRequest, "b")
 	for _, second := range []string{complete, complete[:len(complete)/2]} {
@@ -218,16 +218,16 @@
 		}
 		sidecartest.Receive(t, "the first request's end", between.reached)
 		limiter.CloseIdle(time.Now())
-		limiter.Each(func(conn *ClientConn) { conn.since = time.Now().Add(-time.Hour) })
+		limiter.Each(func(conn *ClientConn) { conn.readySince = time.Now().Add(-time.Hour) })
 		if _, victim := limiter.claimSlot(&ClientConn{}); victim != nil {
-			t.Error("it is evicted")
+			t.Error("the connection of a pipelined request was selected for eviction")
 		}
-		limiter.Each(func(conn *ClientConn) { conn.since = time.Now() })
+		limiter.Each(func(conn *ClientConn) { conn.readySince = time.Now() })
 		close(between.passed)
 		in := bufio.NewReader(client)
 		for _, want := range []string{"/a", "/b"} {
 			if want == "/b" && second != complete {
-				// Half of it waits for the other half, and its connection is not idle either.
+				// The handler has not run, as half of the request is missing. The connection is not idle either.
 				sidecartest.Until(t, "half a request", limiter.requestStarted)
 				limiter.CloseIdle(time.Now())
 				if _, err := io.WriteString(client, complete[len(second):]); err != nil {
@@ -245,16 +245,16 @@
 	}
 }
 
-// requestStarted reports whether some connection has part of a request.
+// requestStarted reports whether part of a request has arrived on some connection.
 func (l *Limiter) requestStarted() (started bool) {
 	l.Each(func(conn *ClientConn) {
-		_, has := conn.requestStarted()
-		started = started || has
+		_, connStarted := conn.requestStarted()
+		started = started || connStarted
 	})
 	return started
 }
 
-// signalListener signals each wait for bytes that starts on its connections.
+// signalListener sends a token to reads before each read on one of its connections.
 type signalListener struct {
 	net.Listener
 	reads chan struct{}
@@ -288,8 +288,8 @@
 	return r.RawConn.Read(f)
 }
 
-// A connection with a complete request that net/http has read is not evicted, though its handler has not run for long and
-// net/http waits for what comes behind the request.
+// A connection whose complete request net/http has read is not evicted, even if the handler has not run for a long time
+// and net/http already waits for bytes that follow the request.
 func TestLimiter_readRequestStays(t *testing.T) {
 	limiter, client := newLimiterOfOne(t)
 	reads := make(chan struct{}, 10)
@@ -304,13 +304,13 @@
 		t.Fatal(err)
 	}
 	sidecartest.Receive(t, "the handler", handled.reached)
-	sidecartest.Receive(t, "the wait for what comes behind", reads)
+	sidecartest.Receive(t, "the wait for bytes after the request", reads)
 	limiter.Each(func(conn *ClientConn) {
-		conn.since = time.Now().Add(-time.Hour)
+		conn.readySince = time.Now().Add(-time.Hour)
 		conn.lastRead.Store(int64(time.Since(epoch) - time.Minute))
 	})
 	if _, victim := limiter.claimSlot(&ClientConn{}); victim != nil {
-		t.Error("it is evicted")
+		t.Error("the connection of an active request was selected for eviction")
 	}
 	close(handled.passed)
 	resp, err := http.ReadResponse(bufio.NewReader(client), nil)
@@ -320,17 +320,18 @@
 	resp.Body.Close()
 }
 
-// unreadBytes reports whether bytes of a client wait in the system.
-func (l *Limiter) unreadBytes() (some bool) {
+// hasUnreadBytes reports whether some connection has bytes in its socket buffer that were not read yet.
+func (l *Limiter) hasUnreadBytes() (found bool) {
 	l.Each(func(conn *ClientConn) {
 		_, unread := netcall.Peek(conn.Conn)
-		some = some || unread
+		found = found || unread
 	})
-	return some
+	return found
 }
 
-// The last answer on a connection reaches a client that has sent more than was read, and so does the connection's end.
-func TestClose_overUnreadBytes(t *testing.T) {
+// A client that has sent more bytes than the server has read still receives the last response on its connection, and an
+// orderly end instead of a reset.
+func TestClose_unreadBytes(t *testing.T) {
 	for name, request := range map[string]string{
 		"client asks to close":  "GET /a HTTP/1.1\r\nHost: a\r\nConnection: close\r\n\r\n",
 		"handler asks to close": "GET /last HTTP/1.1\r\nHost: a\r\n\r\n",
@@ -352,7 +353,7 @@
 			if _, err := client.Write(make([]byte, 100_000)); err != nil {
 				t.Fatal(err)
 			}
-			sidecartest.Until(t, "unread bytes", limiter.unreadBytes)
+			sidecartest.Until(t, "unread bytes", limiter.hasUnreadBytes)
 			close(handled.passed)
 			in := bufio.NewReader(client)
 			resp, err := http.ReadResponse(in, nil)
@@ -360,10 +361,10 @@
 				t.Fatal(err)
 			}
 			if _, err := io.ReadAll(resp.Body); err != nil || !resp.Close {
-				t.Errorf("close: %v, %v", resp.Close, err)
+				t.Errorf("resp.Close is %v, error %v", resp.Close, err)
 			}
-			if behind, err := io.ReadAll(in); err != nil || len(behind) > 0 {
-				t.Errorf("not just the connection's end but %q, %v", behind, err)
+			if extra, err := io.ReadAll(in); err != nil || len(extra) > 0 {
+				t.Errorf("after the response: read %q, error %v, want the end of the connection", extra, err)
 			}
 			sidecartest.Until(t, "its slot to be freed", func() bool {
 				limiter.mu.Lock()
--- a/internal/sidecar/clientserver/conn_limiter_test.go
+++ b/internal/sidecar/clientserver/conn_limiter_test.go
@@ -10,8 +10,8 @@
 	"marblelane/internal/sidecar/sidecartest"
 )
 
-// Connections are evicted by rank, and within a rank by their silence. None with a request at work is, and none that is
-// just accepted.
+// Connections are evicted in the order of their rank, and within a rank the one that has been silent longest goes
+// first. A connection with an active request, or one that was just accepted, is never evicted.
 func TestLimiter_evictionOrder(t *testing.T) {
 	now := time.Now()
 	ago := func(d time.Duration) time.Time { return now.Add(-d) }
@@ -20,16 +20,16 @@
 		return conn
 	}
 	named := map[string]*ClientConn{
-		"silent":       {since: ago(2 * time.Second)},
-		"silent later": {since: ago(3 * time.Second / 2)},
-		"new":          {since: ago(time.Second / 2)},
-		"slow head":    lastRead(&ClientConn{since: ago(time.Second / 4)}, ago(time.Second/5)),
-		"idle long":    {since: ago(3 * time.Second), reused: true},
-		"half":         lastRead(&ClientConn{since: ago(3 * time.Second)}, ago(2*time.Second)),
-		"half, later":  lastRead(&ClientConn{since: ago(2 * time.Second)}, ago(time.Second)),
-		"idle":         {since: ago(time.Second), reused: true},
-		"busy":         {since: ago(time.Hour), busy: true},
-		"just now":     {since: now.Add(time.Hour)},
+		"silent":       {readySince: ago(2 * time.Second)},
+		"silent later": {readySince: ago(3 * time.Second / 2)},
+		"new":          {readySince: ago(time.Second / 2)},
+		"slow head":    lastRead(&ClientConn{readySince: ago(time.Second / 4)}, ago(time.Second/5)),
+		"idle long":    {readySince: ago(3 * time.Second), reused: true},
+		"half":         lastRead(&ClientConn{readySince: ago(3 * time.Second)}, ago(2*time.Second)),
+		"half, later":  lastRead(&ClientConn{readySince: ago(2 * time.Second)}, ago(time.Second)),
+		"idle":         {readySince: ago(time.Second), reused: true},
+		"busy":         {readySince: ago(time.Hour), busy: true},
+		"just now":     {readySince: now.Add(time.Hour)},
 	}
 	limiter := NewLimiter(nil, len(named))
 	for _, conn := range named {
@@ -38,13 +38,13 @@
 	for _, want := range []string{"silent", "silent later", "idle long", "half", "half, later", "idle", "new", "slow head"} {
 		_, victim := limiter.claimSlot(&ClientConn{})
 		if victim == nil || victim != named[want] {
-			t.Fatalf("not %q but %+v is evicted next", want, victim)
+			t.Fatalf("next connection to evict is %+v, want %q", victim, want)
 		}
 		delete(limiter.conns, victim)
 		limiter.limit--
 	}
 	if admitted, victim := limiter.claimSlot(&ClientConn{}); victim != nil || admitted {
-		t.Errorf("%+v is evicted, or a connection above the limit is admitted: %v", victim, admitted)
+		t.Errorf("victim %+v, admitted %v; want no victim and no admission above the limit", victim, admitted)
 	}
 }
 
@@ -52,14 +52,15 @@
 	seen := map[string]bool{}
 	for rank := evictSilent; rank <= evictNew; rank++ {
 		if name := rank.String(); name == "unknown" || seen[name] {
-			t.Errorf("rank %d is %q", int(rank), name)
+			t.Errorf("name of rank %d is unknown or duplicate: %q", int(rank), name)
 		} else {
 			seen[name] = true
 		}
 	}
 }
 
-// A freed slot goes to a connection that waits for one. At Close a waiting connection is admitted; none comes after it.
+// A freed slot is given to a connection that waits for one. Close admits a waiting connection, and no connection is
+// accepted after it.
 func TestLimiter_slotFreedAndClose(t *testing.T) {
 	listener, err := net.Listen("tcp", sidecartest.Loopback)
 	if err != nil {
@@ -91,7 +92,7 @@
 		t.Error(err)
 	}
 	go func() {
-		limiter.admit(&ClientConn{since: time.Now(), busy: true})
+		limiter.admit(&ClientConn{readySince: time.Now(), busy: true})
 		admitted <- nil
 	}()
 	limiter.Close()
@@ -103,8 +104,8 @@
 	}
 }
 
-// CloseIdle notifies idle clients by a half-close: what they send after it is discarded, what they sent before it is
-// read.
+// CloseIdle half-closes idle connections. Bytes that a client sent before the half-close are read; bytes that it sends
+// after it are discarded.
 func TestLimiter_CloseIdle(t *testing.T) {
 	listener, err := net.Listen("tcp", sidecartest.Loopback)
 	if err != nil {
@@ -129,38 +130,38 @@
 		n, _ := idle.Read(make([]byte, 8))
 		read <- n
 	}()
-	sidecartest.Until(t, "a reader, as an idle connection has", idle.isRead)
+	sidecartest.Until(t, "a reader that waits, as on an idle connection", idle.readerWaiting)
 	if !limiter.CloseIdle(time.Now()) {
-		t.Error("no request is said to be able to cross an end")
+		t.Error("CloseIdle returned false though a request may cross the end of its connection")
 	}
 	if n, err := idleClient.Read(buf); n != 0 || err != io.EOF {
-		t.Errorf("an idle client reads %d, %v", n, err)
+		t.Errorf("an idle client read %d bytes, error %v; want 0, EOF", n, err)
 	}
 	if _, err := idleClient.Write(buf); err != nil {
 		t.Fatal(err)
 	}
 	// A reader may have read bytes just before the limiter checks whether there are any.
 	if n, err := unread.Read(buf); n == 0 || err != nil {
-		t.Errorf("what came before is read as %d, %v", n, err)
+		t.Errorf("read of the bytes sent before CloseIdle: %d bytes, error %v", n, err)
 	}
-	if inputEnded, notified := unread.sendEnd(); inputEnded || notified {
-		t.Error("a client that has sent part of a request is notified of its end")
+	if inputEnded, notified := unread.halfCloseIdle(); inputEnded || notified {
+		t.Error("the connection was closed although its client has sent part of a request")
 	}
 	if unread.closeInput() {
-		t.Error("a connection is evicted, though nothing has become of what its client sent")
+		t.Error("the input was closed although it holds bytes that are not part of a request yet")
 	}
-	sidecartest.Until(t, "the connections that do not go to be closed", func() bool {
+	sidecartest.Until(t, "the half-closed connections to be closed", func() bool {
 		limiter.CloseIdle(time.Now())
 		return len(limiter.conns) == 1
 	})
 	if n := sidecartest.Receive(t, "the end", read); n != 0 {
-		t.Errorf("%d bytes came after the end", n)
+		t.Errorf("read %d bytes after the half-close, want 0", n)
 	}
 }
 
-// isRead reports whether the reader of the connection has used up its bytes and waits for more.
-func (c *ClientConn) isRead() bool {
+// readerWaiting reports whether net/http has parsed all bytes that it has read and waits for more.
+func (c *ClientConn) readerWaiting() bool {
 	c.readLock.Lock()
 	defer c.readLock.Unlock()
-	return !c.unprocessed
+	return !c.inputBuffered
 }
--- a/internal/sidecar/clientserver/doc.go
+++ b/internal/sidecar/clientserver/doc.go
@@ -1,14 +1,16 @@
-// Package clientserver serves HTTP to the application: it reads requests, gives them to the event loop and writes the
-// one answer of each.
+// Package clientserver serves HTTP to the application: it reads requests, passes them to the event loop and writes
+// exactly one response to each.
 //
-// Server is the handler. pendingCall carries one request from its parsed head to its written answer. Limiter is the
-// listener that bounds the connections of clients, and ClientConn one such connection.
+// Server is the HTTP handler. pendingCall handles one request from its parsed head until its response is written.
+// Limiter is the listener that limits the number of client connections, and ClientConn is one such connection.
 //
-// Goroutines: net/http runs one for each connection, which ends with it. A request whose body is streamed to the server
-// has one more, which feeds the body to the attempt and ends before the request's handler returns. A connection that is
-// closed after an answer has one that discards input until the client closes too, CloseWindow at most.
+// Goroutines: net/http runs one for each connection, which ends with the connection. A request whose body is streamed
+// to the server has one more, which passes the body to the attempts and ends before the handler of the request returns.
+// A connection that is closed after a response has one that discards input until the client closes its side, for at
+// most CloseWindow.
 //
-// Locks: Limiter.mu guards the connections and what they say about their requests. ClientConn.readLock guards the input
-// of one connection. openBodies.mu guards the bodies that are being read, and bodyMemory.mu the memory for bodies. Only
-// readLock may be taken while another one is held, which is Limiter.mu or openBodies.mu; nothing is locked under it.
+// Locks: Limiter.mu guards the connections and the state of their requests. ClientConn.readLock guards the input of one
+// connection. openBodies.mu guards the bodies that are being read, and bodyMemory.mu the memory for bodies. readLock is
+// the only lock that may be taken while another lock is held, which is then Limiter.mu or openBodies.mu. No lock is
+// taken while readLock is held.
 package clientserver
--- a/internal/sidecar/clientserver/drain_test.go
+++ b/internal/sidecar/clientserver/drain_test.go
@@ -11,8 +11,8 @@
 	"marblelane/internal/sidecar/sidecartest"
 )
 
-// A drain between two requests that were sent at once does not take the connection for an idle one: the second has been
-// read, and is answered.
+// A drain that starts between two pipelined requests does not treat their connection as idle: the second request has
+// already been read and gets a response.
 func TestDrain_betweenPipelinedRequests(t *testing.T) {
 	listener, err := net.Listen("tcp", sidecartest.Loopback)
 	if err != nil {
@@ -32,7 +32,7 @@
 	connState := httpServer.ConnState
 	httpServer.ConnState = func(conn net.Conn, state http.ConnState) {
 		connState(conn, state)
-		if state == http.StateIdle && served == 1 { // the first is answered, the second is not parsed yet
+		if state == http.StateIdle && served == 1 { // the first response is written, the second request is not parsed yet
 			limiter.CloseIdle(time.Now())
 		}
 	}
@@ -52,17 +52,17 @@
 	for i := range 2 {
 		resp, err := http.ReadResponse(in, nil)
 		if err != nil || resp.StatusCode != 200 {
-			t.Fatalf("answer %d: %+v, %v", i+1, resp, err)
+			t.Fatalf("response %d: %+v, error %v", i+1, resp, err)
 		}
 		io.Copy(io.Discard, resp.Body)
 	}
-	sidecartest.Until(t, "the connection to be idle, and the client notified of its end", func() bool {
+	sidecartest.Until(t, "the connection to be idle and half-closed", func() bool {
 		limiter.CloseIdle(time.Now())
-		allNotified := true
-		limiter.Each(func(conn *ClientConn) { allNotified = allNotified && !conn.endSentAt.IsZero() })
-		return allNotified
+		allHalfClosed := true
+		limiter.Each(func(conn *ClientConn) { allHalfClosed = allHalfClosed && !conn.halfClosedAt.IsZero() })
+		return allHalfClosed
 	})
 	if _, err := in.ReadByte(); err != io.EOF {
-		t.Errorf("after the last answer: %v, want the end", err)
+		t.Errorf("after the last response: error %v, want EOF", err)
 	}
 }
--- a/internal/sidecar/clientserver/events.go
+++ b/internal/sidecar/clientserver/events.go
@@ -4,9 +4,9 @@
 	"marblelane/internal/sidecar/inflight"
 )
 
-// Arrival tells the event loop of a new request.
+// Arrival notifies the event loop of a new request.
 type Arrival struct{ Call *inflight.Call }
 
-// CallAbandoned tells the event loop that a request needs no answer any more: its client has gone, its body could not be
-// received, or its answer was overdue.
+// CallAbandoned notifies the event loop that a request no longer needs a response from it: the client has disconnected,
+// the body could not be received, or the response was overdue.
 type CallAbandoned struct{ Call *inflight.Call }
--- a/internal/sidecar/clientserver/framing.go
+++ b/internal/sidecar/clientserver/framing.go
@@ -11,16 +11,16 @@
 	"marblelane/internal/sidecar/netcall"
 )
 
-// errFraming goes to clients.
+// errFraming is sent to clients.
 var errFraming = errors.New("Transfer-Encoding beside Content-Length, or in a request whose head was not seen")
 
-// HeadListener makes connections keep the head of the request that is being read.
+// HeadListener is a listener whose connections record the head of the request that is being read (framing.HeadConn).
 type HeadListener struct {
 	net.Listener
 	connStates *netcall.ConnStates
 }
 
-// HeadListener wraps the listener from which the server is to be served.
+// HeadListener wraps the listener that the HTTP server accepts connections from.
 func (s *Server) HeadListener(listener net.Listener) HeadListener {
 	return HeadListener{Listener: listener, connStates: s.options.ConnStates}
 }
@@ -41,18 +41,18 @@
 
 type connKey struct{}
 
-// withConn lets handlers find their connection.
+// withConn stores the connection in the context of its requests, for headConn.
 func withConn(ctx context.Context, conn net.Conn) context.Context {
 	return context.WithValue(ctx, connKey{}, conn)
 }
 
-// headConn is the connection of a request; nil: it did not come through a HeadListener.
+// headConn returns the connection of a request, or nil if it was not accepted by a HeadListener.
 func headConn(r *http.Request) *framing.HeadConn {
 	conn, _ := r.Context().Value(connKey{}).(*framing.HeadConn)
 	return conn
 }
 
-// receivedAt is when the last byte of a request came that has just been read.
+// receivedAt returns when the last byte of a request that has just been read was received.
 func receivedAt(r *http.Request) time.Time {
 	if conn := headConn(r); conn != nil {
 		return conn.ReceivedAt()
@@ -60,8 +60,8 @@
 	return time.Now()
 }
 
-// checkFraming fails for a request whose length two headers give (RFC 9112, 6.3). HTTP/1.0 has no chunks, and net/http
-// reads such a request by its Content-Length alone.
+// checkFraming returns an error if two headers of a request state its length (RFC 9112, 6.3). HTTP/1.0 has no chunked
+// encoding, and net/http reads an HTTP/1.0 request with both headers by its Content-Length alone.
 func checkFraming(r *http.Request) error {
 	if len(r.TransferEncoding) == 0 && r.ProtoAtLeast(1, 1) {
 		return nil
@@ -77,8 +77,9 @@
 	return nil
 }
 
-// TrackConnections lets a Limiter know what net/http does with its connections. A request is at work once its head has
-// been read: from then on net/http reads ahead, and the handler may not have run yet.
+// TrackConnections makes an HTTP server notify the Limiter of the progress of the requests on its connections. A
+// request is active as soon as its head has been read: net/http then continues to read, possibly before the handler has
+// run.
 func TrackConnections(server *http.Server) *http.Server {
 	connState, handler := server.ConnState, server.Handler
 	server.ConnState = func(conn net.Conn, state http.ConnState) {
@@ -88,14 +89,14 @@
 		connState(conn, state)
 	}
 	server.Handler = http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		answered := false
+		returned := false
 		defer func() {
-			if conn := headConn(r); conn != nil && !answered { // the handler has panicked
-				conn.Conn.(*ClientConn).cutOff()
+			if conn := headConn(r); conn != nil && !returned { // the handler has panicked
+				conn.Conn.(*ClientConn).markResponseIncomplete()
 			}
 		}()
 		handler.ServeHTTP(w, r)
-		answered = true
+		returned = true
 	})
 	return server
 }
--- a/internal/sidecar/clientserver/pending_call.go
+++ b/internal/sidecar/clientserver/pending_call.go
@@ -12,60 +12,61 @@
 )
 
 const (
-	// overdueWait is how long after the deadline and the answer slack the event loop's answer is awaited.
-	overdueWait = 25 * time.Millisecond
-	// unarmed is the first span of the overdue timer, which is reset once the request is complete.
-	unarmed = time.Hour
+	// overdueSlack is how long to wait for the event loop's response after the deadline plus AnswerSlack.
+	overdueSlack = 25 * time.Millisecond
+	// overdueUnset is the initial duration of the overdue timer. The timer is reset when the request has been received.
+	overdueUnset = time.Hour
 )
 
-// callState is how far a request has come, as this package sees it. docs/architecture.md has the states of a request.
+// callState is the state of a request in this package. docs/architecture.md describes all states of a request.
 type callState int
 
 const (
-	callReceived   callState = iota // parsed; the event loop does not know it yet
-	callPending                     // queued or attempting: the event loop decides its answer
-	callAnswered                    // a server's answer goes to the client
-	callRejected                    // 503: running it again does no harm
-	callFailed                      // 502, 504, or the status of a body that was not received as announced
-	callClientGone                  // no client is left to be answered
+	callReceived     callState = iota // the head is parsed; the request was not passed to the event loop yet
+	callPending                       // queued or attempting; the event loop decides the response
+	callResponded                     // a server's response is sent to the client
+	callRejected                      // 503: retrying the request does no harm
+	callFailed                        // 502, 504, or the status for a body that was not received as announced
+	callDisconnected                  // the client has disconnected
 )
 
-// String names the state for logs and tests.
+// String returns the name of the state for logs and tests.
 func (s callState) String() string {
 	switch s {
 	case callReceived:
 		return "received"
 	case callPending:
 		return "pending"
-	case callAnswered:
+	case callResponded:
 		return "answered"
 	case callRejected:
 		return "rejected"
 	case callFailed:
 		return "failed"
-	case callClientGone:
+	case callDisconnected:
 		return "client gone"
 	default:
 		return "unknown"
 	}
 }
 
-// stateOf is the state of a request for which the event loop has decided an answer.
-func stateOf(answer inflight.Response) callState {
+// stateOfResponse returns the state of a request for which the event loop has decided on a response.
+func stateOfResponse(response inflight.Response) callState {
 	switch {
-	case answer.ClientDisconnected:
-		return callClientGone
-	case answer.Status == http.StatusOK:
-		return callAnswered
-	case answer.Status == inflight.StatusRejected:
+	case response.ClientDisconnected:
+		return callDisconnected
+	case response.Status == http.StatusOK:
+		return callResponded
+	case response.Status == inflight.StatusRejected:
 		return callRejected
 	default:
 		return callFailed
 	}
 }
 
-// pendingCall carries one request from its parsed head to its written answer. It belongs to the goroutine of its
-// handler; the one goroutine that it starts feeds the upload, and ends before release returns.
+// pendingCall handles one request from its parsed head until its response is written. It is used only by the goroutine
+// of the request's handler. The one goroutine that it starts receives the streamed body, and ends before release
+// returns.
 type pendingCall struct {
 	server  *Server
 	writer  http.ResponseWriter
@@ -73,19 +74,20 @@
 	control *http.ResponseController
 	call    *inflight.Call
 
-	state   callState
-	answer  inflight.Response // valid in the states after callPending
-	overdue *time.Timer       // fires when the event loop has given no answer in time
-	watch   *clientWatch
-	counted bool // in the gauge of requests in flight
+	state           callState
+	response        inflight.Response // set in the states after callPending
+	overdue         *time.Timer       // fires if the event loop has not decided on a response in time
+	watch           *clientWatch
+	countedInFlight bool // the request is counted in the metric of requests in flight
 
-	// uploadEnded has the result of the goroutine that feeds the upload. It is nil where there is no upload, or where
-	// the result was received.
-	uploadEnded <-chan error
-	uploadErr   error // why the body could not be received
+	// uploadDone receives the result of the goroutine that receives the streamed body. It is nil if the body is not
+	// streamed, or if the result has already been read from it.
+	uploadDone <-chan error
+	uploadErr  error // why the body could not be received; nil: no failure is known
 }
 
-// serve answers a parsed request. body is what is still to come of one whose body is streamed to the server.
+// serve handles a parsed request and writes the response. body reads the rest of a body that is streamed to the server;
+// it is nil for other requests.
 func (s *Server) serve(w http.ResponseWriter, r *http.Request, call *inflight.Call, body io.Reader) {
 	p := s.newPendingCall(w, r, call)
 	defer p.release()
@@ -95,8 +97,8 @@
 	for p.state == callPending {
 		p.awaitEvent()
 	}
-	if p.state == callClientGone {
-		p.failForClientGone()
+	if p.state == callDisconnected {
+		p.failForDisconnect()
 	}
 	s.options.Checkpoints.At(checkpoint.AnswerDecided)
 	p.awaitAttemptWriter()
@@ -108,27 +110,29 @@
 func (s *Server) newPendingCall(w http.ResponseWriter, r *http.Request, call *inflight.Call) *pendingCall {
 	return &pendingCall{
 		server: s, writer: w, request: r, control: http.NewResponseController(w), call: call,
-		overdue: time.NewTimer(unarmed),
+		overdue: time.NewTimer(overdueUnset),
 		watch:   newClientWatch(s.watchClient(r, call), s.options.ClientPollInterval),
 	}
 }
 
-// release ends what the request holds, also when its answer was broken off by a panic. The body is not read after it.
+// release releases the resources of the request, also if a panic has broken off its response. The body is not read
+// after release has returned.
 func (p *pendingCall) release() {
 	if upload := p.call.Outbound.Upload; upload != nil {
 		upload.Abort()
-		if p.uploadEnded != nil {
-			p.uploadErr = <-p.uploadEnded
+		if p.uploadDone != nil {
+			p.uploadErr = <-p.uploadDone
 		}
 	}
 	p.watch.stop()
-	if p.counted {
+	if p.countedInFlight {
 		p.server.options.Metrics.InFlight.Add(-1)
 	}
 	p.overdue.Stop()
 }
 
-// receiveBody starts to feed the upload, or starts the client's time where the body is complete.
+// receiveBody starts the goroutine that receives a streamed body. If the body is complete it starts the client's
+// timeout.
 func (p *pendingCall) receiveBody(body io.Reader) {
 	upload := p.call.Outbound.Upload
 	if upload == nil {
@@ -137,125 +141,127 @@
 	}
 	_ = p.control.EnableFullDuplex()
 	ended := make(chan error, 1)
-	p.uploadEnded = ended
+	p.uploadDone = ended
 	go func() { ended <- upload.Feed(body) }()
 }
 
-// bodyReceived starts the client's time: the last byte of the request came at the given time.
+// bodyReceived starts the client's timeout at the given time, when the last byte of the request was received.
 func (p *pendingCall) bodyReceived(at time.Time) {
-	p.overdue.Reset(time.Until(at.Add(p.call.Timeout)) + clock.Duration(p.server.options.Config.Balance.AnswerSlack) + overdueWait)
-	p.counted = true
+	p.overdue.Reset(time.Until(at.Add(p.call.Timeout)) + clock.Duration(p.server.options.Config.Balance.AnswerSlack) + overdueSlack)
+	p.countedInFlight = true
 	p.server.options.Metrics.InFlight.Add(1)
 }
 
-// submit gives the request to the event loop.
+// submit passes the request to the event loop.
 func (p *pendingCall) submit() {
 	p.state = callPending
 	p.server.options.Post(Arrival{p.call})
 }
 
-// awaitEvent waits for the next thing that happens to a pending request, and takes it in.
+// awaitEvent waits for the next event of a pending request and handles it.
 func (p *pendingCall) awaitEvent() {
 	select {
-	case answer := <-p.call.Response:
-		p.takeAnswer(answer)
-	case err := <-p.uploadEnded:
-		p.takeUploadEnd(err)
+	case response := <-p.call.Response:
+		p.setResponse(response)
+	case err := <-p.uploadDone:
+		p.handleUploadEnd(err)
 	case <-p.request.Context().Done():
-		p.conclude(callClientGone, inflight.Response{})
+		p.finish(callDisconnected, inflight.Response{})
 	case <-p.watch.received:
 		p.watch.schedule()
 	case <-p.watch.due:
-		if p.watch.clientGone(p.call) {
-			p.conclude(callClientGone, inflight.Response{})
+		if p.watch.clientDisconnected(p.call) {
+			p.finish(callDisconnected, inflight.Response{})
 		}
 	case <-p.overdue.C:
-		p.expire()
+		p.handleOverdue()
 	}
 }
 
-// takeAnswer ends the request with the answer that the event loop has decided.
-func (p *pendingCall) takeAnswer(answer inflight.Response) {
-	p.state, p.answer = stateOf(answer), answer
+// setResponse sets the response that the event loop has decided on, and the state that follows from it.
+func (p *pendingCall) setResponse(response inflight.Response) {
+	p.state, p.response = stateOfResponse(response), response
 }
 
-// takeUploadEnd takes in that the body was received, or why it could not be.
-func (p *pendingCall) takeUploadEnd(err error) {
-	p.uploadEnded = nil
+// handleUploadEnd handles the end of a streamed body. err is nil if the whole body was received.
+func (p *pendingCall) handleUploadEnd(err error) {
+	p.uploadDone = nil
 	if err == nil {
 		p.bodyReceived(p.call.Outbound.Upload.CompletedAt())
 		return
 	}
 	p.uploadErr = err
-	p.conclude(callFailed, inflight.Response{})
+	p.finish(callFailed, inflight.Response{})
 }
 
-// expire answers a request for which the event loop has decided nothing in time. That is a bug of the sidecar, but the
-// client is not left without an answer.
-func (p *pendingCall) expire() {
-	if p.conclude(callFailed, inflight.Response{Status: inflight.StatusTimedOut}) {
-		slog.Error("clients: no answer from the event loop in time", "request", p.request.Header.Get("X-Request-ID"))
+// handleOverdue fails a request for which the event loop has not decided on a response in time. That is a bug of the
+// sidecar, but the client still gets a response.
+func (p *pendingCall) handleOverdue() {
+	if p.finish(callFailed, inflight.Response{Status: inflight.StatusTimedOut}) {
+		slog.Error("clients: no response from the event loop before the deadline", "request", p.request.Header.Get("X-Request-ID"))
 	}
 }
 
-// conclude ends the request here and tells the event loop, and reports true. Where the event loop has decided an answer
-// before, that answer holds.
-func (p *pendingCall) conclude(state callState, answer inflight.Response) bool {
+// finish sets the state and the response of the request, notifies the event loop and returns true. If the event loop
+// has already decided on a response, finish uses that one and returns false.
+func (p *pendingCall) finish(state callState, response inflight.Response) bool {
 	if !p.call.Finish() {
-		p.takeAnswer(<-p.call.Response)
+		p.setResponse(<-p.call.Response)
 		return false
 	}
 	p.server.options.Post(CallAbandoned{p.call})
-	p.state, p.answer = state, answer
+	p.state, p.response = state, response
 	return true
 }
 
-// failForClientGone gives a client that has gone a failure and the end of its connection. One that closed only its
-// sending side still reads, and a handler that returns without an answer would answer 200.
-func (p *pendingCall) failForClientGone() {
-	if p.uploadEnded != nil { // the error of the body says how the client left
+// failForDisconnect prepares a failure response and the end of the connection for a client that has disconnected. The
+// response is needed because a client that has closed only its sending side still reads, and because net/http sends a
+// 200 if a handler returns without writing one.
+func (p *pendingCall) failForDisconnect() {
+	if p.uploadDone != nil { // the error of the body states how the client disconnected
 		p.call.Outbound.Upload.Abort()
-		p.uploadErr, p.uploadEnded = <-p.uploadEnded, nil
+		p.uploadErr, p.uploadDone = <-p.uploadDone, nil
 	}
-	p.answer = inflight.Response{Status: inflight.StatusFailed}
+	p.response = inflight.Response{Status: inflight.StatusFailed}
 	p.writer.Header().Set("Connection", "close")
 }
 
-// awaitAttemptWriter waits for an attempt that passed its last check before the answer was decided, and may still be
-// writing.
+// awaitAttemptWriter waits for an attempt that may still be writing, because it passed its last check before the
+// response was decided.
 func (p *pendingCall) awaitAttemptWriter() {
 	p.call.WriteLock.Lock()
-	//lint:ignore SA2001 it only waits for the attempt that holds it
+	//lint:ignore SA2001 locked only to wait for the attempt that holds it
 	p.call.WriteLock.Unlock()
 }
 
-// receiveUploadFailure takes in the failure of the body where the attempt that read it ended before its feeder did.
+// receiveUploadFailure records the failure to receive the body if the attempt that reads the body has ended before the
+// goroutine that receives it.
 func (p *pendingCall) receiveUploadFailure() {
 	upload := p.call.Outbound.Upload
 	if p.uploadErr == nil && upload != nil && upload.Failed() {
-		p.uploadErr, p.uploadEnded = <-p.uploadEnded, nil
+		p.uploadErr, p.uploadDone = <-p.uploadDone, nil
 	}
 }
 
-// respond writes the answer.
+// respond writes the response.
 func (p *pendingCall) respond() {
 	if p.uploadErr != nil {
 		writeError(p.writer, p.uploadErr, errorStatus(p.uploadErr))
 		return
 	}
-	bodyComing := p.uploadEnded != nil
-	if bodyComing {
+	bodyIncomplete := p.uploadDone != nil
+	if bodyIncomplete {
 		p.writer.Header().Set("Connection", "close")
 	} else if p.server.Draining() { // the drain may have started after the head was read
-		closeAfterAnswer(p.writer, p.request)
+		closeAfterResponse(p.writer, p.request)
 	}
-	if p.answer.Stream != nil {
-		p.server.streamAnswer(p.writer, p.request, p.call, p.answer)
+	if p.response.Stream != nil {
+		p.server.streamResponse(p.writer, p.request, p.call, p.response)
 		return
 	}
-	p.server.options.Metrics.CountAnswer(p.call.Request.Class, p.answer.Status)
-	writeAnswer(p.writer, p.answer)
-	if bodyComing {
-		_ = p.control.Flush() // the client may go on sending for long
+	p.server.options.Metrics.CountAnswer(p.call.Request.Class, p.response.Status)
+	writeResponse(p.writer, p.response)
+	if bodyIncomplete {
+		_ = p.control.Flush() // the client may continue to send its body for a long time
 	}
 }
--- a/internal/sidecar/clientserver/pending_call_test.go
+++ b/internal/sidecar/clientserver/pending_call_test.go
@@ -6,11 +6,11 @@
 	"marblelane/internal/sidecar/inflight"
 )
 
-// The state of a request follows from its answer.
-func TestCallState_ofAnswer(t *testing.T) {
+// The state of a request follows from its response.
+func TestCallState_ofResponse(t *testing.T) {
 	for _, test := range []struct {
-		answer inflight.Response
-		want   string
+		response inflight.Response
+		want     string
 	}{
 		{inflight.Response{Status: 200}, "answered"},
 		{inflight.Response{Status: inflight.StatusRejected}, "rejected"},
@@ -18,8 +18,8 @@
 		{inflight.Response{Status: inflight.StatusTimedOut}, "failed"},
 		{inflight.Response{ClientDisconnected: true}, "client gone"},
 	} {
-		if got := stateOf(test.answer).String(); got != test.want {
-			t.Errorf("%+v: %q, want %q", test.answer, got, test.want)
+		if got := stateOfResponse(test.response).String(); got != test.want {
+			t.Errorf("response %+v: state %q, want %q", test.response, got, test.want)
 		}
 	}
 }
--- a/internal/sidecar/clientserver/request_parser.go
+++ b/internal/sidecar/clientserver/request_parser.go
@@ -16,18 +16,19 @@
 	"marblelane/internal/sidecar/routing"
 )
 
-// maxCost bounds X-Cost, in microseconds.
+// maxCost is the exclusive upper limit of X-Cost, in microseconds.
 const maxCost = 1e12
 
-// parse reads a request; a malformed one reaches neither the event loop nor a server. Where the body is not held
-// completely the reader gives what is still to come of it. The caller releases the call's HeldBytes.
+// parse parses a request. A malformed one is passed neither to the event loop nor to a server. If the body is not held
+// completely, the returned reader reads the rest of it; otherwise the reader is nil. The caller releases the call's
+// HeldBytes.
 func (s *Server) parse(w http.ResponseWriter, r *http.Request) (*inflight.Call, io.Reader, error) {
 	call, err := s.parseHead(r)
 	if err != nil {
 		return nil, nil, err
 	}
 	call.Outbound = &inflight.Outbound{Method: r.Method, URL: r.URL, Host: r.Host, Header: endToEnd(r.Header)}
-	if s.options.Config.Routes != nil { // the sidecar alone sets these
+	if s.options.Config.Routes != nil { // only the sidecar may set these
 		call.Outbound.Header.Del(routing.RevisionHeader)
 		call.Outbound.Header.Del(routing.CanaryHeader)
 	}
@@ -39,7 +40,7 @@
 		}
 	}
 	if remaining == nil {
-		call.Deadline = receivedAt(r).Add(call.Timeout) // the client's time counts from its last byte
+		call.Deadline = receivedAt(r).Add(call.Timeout) // the client's timeout starts at the last byte of the request
 	}
 	if r.Method == http.MethodGet && (remaining != nil || len(call.Outbound.Body) > 0) {
 		s.bodyMemory.release(call.HeldBytes)
@@ -48,7 +49,7 @@
 	return call, remaining, nil
 }
 
-// readBody reads as much of a body as is held.
+// readBody reads the part of a body that is held in memory. It returns a reader for the rest, or nil if there is none.
 func (s *Server) readBody(w http.ResponseWriter, r *http.Request, call *inflight.Call) (remaining io.Reader, err error) {
 	length := r.ContentLength
 	if length > inflight.MaxBody {
@@ -79,7 +80,7 @@
 	return body, nil
 }
 
-// reserveBody reserves memory for a body, and returns how many bytes of it are held.
+// reserveBody reserves memory for a body and returns how many bytes of the body may be held.
 func (s *Server) reserveBody(length int64, call *inflight.Call) int {
 	held := inflight.MaxHeldBody
 	if length >= 0 && length <= MaxHeldIfMemory {
@@ -92,7 +93,8 @@
 	return held
 }
 
-// parseHead reads from the head what the balancer and the client's deadline need. The texts of its errors go to clients.
+// parseHead parses the parts of the head that the balancer and the client's deadline need. The texts of its errors are
+// sent to clients.
 func (s *Server) parseHead(r *http.Request) (*inflight.Call, error) {
 	if r.Header.Get("X-Request-ID") == "" {
 		return nil, errors.New("no X-Request-ID")
@@ -131,7 +133,8 @@
 	return &inflight.Call{Request: request, Timeout: timeout, Response: make(chan inflight.Response, 1)}, nil
 }
 
-// parseTimeout is how long the client waits: what X-Timeout-Ms says, or the limit of its class.
+// parseTimeout returns the client's timeout: the value of X-Timeout-Ms, or the limit of the class if the header is
+// missing.
 func parseTimeout(r *http.Request, classLimit time.Duration) (time.Duration, error) {
 	value := r.Header.Get("X-Timeout-Ms")
 	if value == "" {
@@ -145,7 +148,8 @@
 	return timeout, nil
 }
 
-// parseCost is the work of a request as X-Cost says it in microseconds, in milliseconds; 0: it says nothing.
+// parseCost returns the cost of a request in milliseconds, from the header X-Cost, which is in microseconds. It returns
+// 0 if the header is missing.
 func parseCost(r *http.Request) (milliseconds float64, err error) {
 	value := r.Header.Get("X-Cost")
 	if value == "" {
@@ -158,7 +162,7 @@
 	return microseconds / 1e3, nil
 }
 
-// checkMethod checks that the method and the idempotency key are those of the class.
+// checkMethod checks the method and the presence of the idempotency key against the idempotency of the class.
 func checkMethod(idempotency balance.Idempotency, r *http.Request) error {
 	hasKey := r.Header.Get("Idempotency-Key") != ""
 	switch {
@@ -166,7 +170,7 @@
 		return errors.New("the class is sent with GET")
 	case idempotency != balance.Idempotent && r.Method != http.MethodPost:
 		return errors.New("the class is sent with POST")
-	case idempotency == balance.IdempotentWithKey && !hasKey: // it would run twice
+	case idempotency == balance.IdempotentWithKey && !hasKey: // without a key a retry could run the request twice
 		return errors.New("no Idempotency-Key")
 	case idempotency == balance.NonIdempotent && hasKey:
 		return errors.New("the class takes no Idempotency-Key")
@@ -174,7 +178,7 @@
 	return nil
 }
 
-// endToEnd leaves out the headers that concern the client's connection only.
+// endToEnd returns a copy of the headers without those that apply only to the client's connection.
 func endToEnd(h http.Header) http.Header {
 	out := h.Clone()
 	for _, line := range h["Connection"] {
--- a/internal/sidecar/clientserver/response_writer.go
+++ b/internal/sidecar/clientserver/response_writer.go
@@ -11,20 +11,20 @@
 	"marblelane/internal/sidecar/inflight"
 )
 
-// streamAnswer writes an answer as it comes. One that breaks off makes net/http close the connection, by a panic with
-// http.ErrAbortHandler, so that the client can tell.
-func (s *Server) streamAnswer(w http.ResponseWriter, r *http.Request, call *inflight.Call, answer inflight.Response) {
+// streamResponse writes a response while its body is received from the server. If the body is cut short, it panics with
+// http.ErrAbortHandler, which makes net/http close the connection, so that the client can detect the truncation.
+func (s *Server) streamResponse(w http.ResponseWriter, r *http.Request, call *inflight.Call, response inflight.Response) {
 	control := http.NewResponseController(w)
-	stream, header := answer.Stream, w.Header()
+	stream, header := response.Stream, w.Header()
 	conn := headConn(r)
 	if conn != nil {
 		conn.LimitBuffer()
 	}
-	setContentType(header, answer)
+	setContentType(header, response)
 	if stream.Length >= 0 {
 		header.Set("Content-Length", strconv.FormatInt(stream.Length, 10))
 	}
-	w.WriteHeader(answer.Status)
+	w.WriteHeader(response.Status)
 	buf := inflight.CopyBuffers.Get().(*[]byte)
 	defer inflight.CopyBuffers.Put(buf)
 	var readErr error
@@ -32,7 +32,7 @@
 		if len(part) > 0 {
 			s.limitWrite(w)
 			if _, err := w.Write(part); err != nil || control.Flush() != nil {
-				s.recordBreakOff(stream, call, inflight.ErrClientWriteFailed)
+				s.recordStreamFailure(stream, call, inflight.ErrClientWriteFailed)
 				panic(http.ErrAbortHandler)
 			}
 		}
@@ -44,67 +44,68 @@
 		part = (*buf)[:n]
 	}
 	if readErr != io.EOF {
-		s.recordBreakOff(stream, call, readErr)
+		s.recordStreamFailure(stream, call, readErr)
 		if conn != nil && !r.ProtoAtLeast(1, 1) {
-			conn.ResetOnClose() // an orderly end of the connection would be the end of the answer
+			conn.ResetOnClose() // HTTP/1.0 clients take an orderly close as the end of the response
 		}
 		panic(http.ErrAbortHandler)
 	}
 	stream.WriteResult <- nil
-	s.options.Metrics.CountAnswer(call.Request.Class, answer.Status)
+	s.options.Metrics.CountAnswer(call.Request.Class, response.Status)
 }
 
-// recordBreakOff tells the attempt why its answer broke off, and counts the request as failed.
-func (s *Server) recordBreakOff(stream *inflight.ResponseStream, call *inflight.Call, cause error) {
+// recordStreamFailure reports to the attempt why its response was cut short, and counts the request as failed.
+func (s *Server) recordStreamFailure(stream *inflight.ResponseStream, call *inflight.Call, cause error) {
 	stream.WriteResult <- cause
 	s.options.Metrics.CountAnswer(call.Request.Class, inflight.StatusFailed)
 }
 
-// limitWrite bounds the time for the next part of an answer: a client that does not read must not keep its connection
-// and its place among the requests.
+// limitWrite sets the write deadline for the next part of a response, so that a client that does not read cannot occupy
+// a connection and a slot of the request limit forever.
 func (s *Server) limitWrite(w http.ResponseWriter) {
 	if err := http.NewResponseController(w).SetWriteDeadline(time.Now().Add(s.options.WriteTimeout)); err != nil {
-		slog.Error("clients: the write deadline could not be set", "err", err)
+		slog.Error("clients: failed to set the write deadline", "err", err)
 	}
 }
 
-// writeAnswer writes an answer that is held completely.
-func writeAnswer(w http.ResponseWriter, answer inflight.Response) {
+// writeResponse writes a response whose body is held completely.
+func writeResponse(w http.ResponseWriter, response inflight.Response) {
 	header := w.Header()
-	setContentType(header, answer)
-	if answer.RetryAfter > 0 {
-		header.Set("Retry-After", strconv.FormatFloat(answer.RetryAfter/1e3, 'f', 3, 64))
+	setContentType(header, response)
+	if response.RetryAfter > 0 {
+		header.Set("Retry-After", strconv.FormatFloat(response.RetryAfter/1e3, 'f', 3, 64))
 	}
-	header.Set("Content-Length", strconv.Itoa(len(answer.Body)))
-	w.WriteHeader(answer.Status)
-	_, _ = w.Write(answer.Body)
+	header.Set("Content-Length", strconv.Itoa(len(response.Body)))
+	w.WriteHeader(response.Status)
+	_, _ = w.Write(response.Body)
 }
 
-// setContentType sets the type that the server gave, and keeps net/http from guessing one.
-func setContentType(header http.Header, answer inflight.Response) {
+// setContentType sets the content type that the server has sent. Without one it prevents net/http from detecting a
+// type.
+func setContentType(header http.Header, response inflight.Response) {
 	header["Content-Type"] = nil
-	if answer.ContentType != "" {
-		header.Set("Content-Type", answer.ContentType)
+	if response.ContentType != "" {
+		header.Set("Content-Type", response.ContentType)
 	}
 }
 
-// writeError answers a request that is malformed or was not received completely, and ends its connection: what may follow
-// cannot be trusted to be a request.
+// writeError responds to a request that is malformed or was not received completely, and closes the connection: bytes
+// that follow may be part of the bad request instead of another request.
 func writeError(w http.ResponseWriter, err error, status int) {
 	w.Header().Set("Connection", "close")
 	http.Error(w, err.Error(), status)
 }
 
-// discardBody reads on for a while, so that a client that is still sending sees its answer: a connection that is closed
-// over unread bytes is reset, and the answer may be lost.
+// discardBody reads and discards the body for up to discardTimeout, so that a client that is still sending sees its
+// response: closing a connection with unread bytes resets it, and the response may be lost.
 func discardBody(w http.ResponseWriter, r *http.Request) {
 	control := http.NewResponseController(w)
 	_ = control.Flush()
-	_ = control.SetReadDeadline(time.Now().Add(discardWait))
+	_ = control.SetReadDeadline(time.Now().Add(discardTimeout))
 	_, _ = io.Copy(io.Discard, r.Body)
 }
 
-// errorStatus is the status for a request that could not be read.
+// errorStatus returns the response status for a request that could not be read.
 func errorStatus(err error) int {
 	switch {
 	case errors.Is(err, errBodyTooLarge):
@@ -118,8 +119,9 @@
 	}
 }
 
-// closeAfterAnswer ends a connection after the answer to its request, unless a further request may have come with it.
-func closeAfterAnswer(w http.ResponseWriter, r *http.Request) {
+// closeAfterResponse closes the connection after the response to the request, unless the client may already have sent
+// another request.
+func closeAfterResponse(w http.ResponseWriter, r *http.Request) {
 	if conn := headConn(r); conn == nil || !conn.NextRequestMayFollow(r.ContentLength) {
 		w.Header().Set("Connection", "close")
 	}
--- a/internal/sidecar/clientserver/server.go
+++ b/internal/sidecar/clientserver/server.go
@@ -22,27 +22,27 @@
 
 const (
 	apiPath = "/api"
-	// ReadyPath answers whether the sidecar takes requests.
+	// ReadyPath is the path of the ready check, which reports whether the sidecar accepts requests.
 	ReadyPath = "/health/ready"
 
-	// DefaultReadTimeout is for a complete request, from when its connection or its first byte came. A client that sends
-	// nothing or stops halfway gets an end within 3 s of connecting.
+	// DefaultReadTimeout is the time to receive a complete request, from the accept of its connection or from its first
+	// byte. With it, the connection of a client that sends nothing, or stops halfway, ends within 3 s of connecting.
 	DefaultReadTimeout = 2500 * time.Millisecond
-	// DefaultWriteTimeout is for each part of an answer.
+	// DefaultWriteTimeout is the time to write each part of a response.
 	DefaultWriteTimeout = 5 * time.Second
 )
 
-// Options are what a Server works with. The optional ones have their default where they are zero.
+// Options configure a Server. Optional fields that are zero get their default.
 type Options struct {
 	Config  *config.Config
 	Metrics *metrics.Metrics
-	Post    func(any) // gives an Arrival or a ClientGone to the event loop
+	Post    func(any) // passes an Arrival or a CallAbandoned to the event loop
 
 	ReadTimeout        time.Duration       // optional: DefaultReadTimeout
 	WriteTimeout       time.Duration       // optional: DefaultWriteTimeout
-	ClientPollInterval time.Duration       // optional: between two checks whether a client has gone that is not read from
-	ConnStates         *netcall.ConnStates // optional: of clients' connections
-	Checkpoints        checkpoint.Hook     // optional: where tests hold a request up
+	ClientPollInterval time.Duration       // optional: time between two checks whether a client has disconnected
+	ConnStates         *netcall.ConnStates // optional: reads the state of client connections
+	Checkpoints        checkpoint.Hook     // optional: called at each checkpoint; tests can delay a request there
 }
 
 // Server is the HTTP handler for the application.
@@ -52,59 +52,59 @@
 	bodies     openBodies
 
 	draining       atomic.Bool
-	conns          atomic.Int64 // open connections
-	requests       atomic.Int64 // requests that were read and are not answered
-	keepAliveLimit atomic.Int64 // open connections from which on they are closed after an answer
-	requestLimit   atomic.Int64 // requests at a time
+	conns          atomic.Int64 // number of open connections
+	requests       atomic.Int64 // number of requests that were read and whose response is not written yet
+	keepAliveLimit atomic.Int64 // number of open connections at which connections are closed after a response
+	requestLimit   atomic.Int64 // maximum number of concurrent requests
 }
 
-// New makes a server that rejects all requests until its limits are set.
+// New returns a server that rejects all requests until its limits are set.
 func New(options Options) *Server {
 	s := &Server{}
 	s.Configure(func(o *Options) { *o = options })
 	return s
 }
 
-// Configure changes options. It has to come before HTTPServer and the first request.
+// Configure changes options. It must be called before HTTPServer and before the first request.
 func (s *Server) Configure(change func(*Options)) {
 	change(&s.options)
 	s.options.ReadTimeout = cmp.Or(s.options.ReadTimeout, DefaultReadTimeout)
 	s.options.WriteTimeout = cmp.Or(s.options.WriteTimeout, DefaultWriteTimeout)
-	s.options.ClientPollInterval = cmp.Or(s.options.ClientPollInterval, defaultClientPoll)
+	s.options.ClientPollInterval = cmp.Or(s.options.ClientPollInterval, defaultClientPollInterval)
 	if s.options.ConnStates == nil {
 		s.options.ConnStates = netcall.NewConnStates()
 	}
 }
 
-// StartDraining makes the ready check fail, and connections end after the answers that they owe.
+// StartDraining makes the ready check fail, and closes each connection after the responses to its pending requests.
 func (s *Server) StartDraining() { s.draining.Store(true) }
 
 // Draining reports whether StartDraining was called.
 func (s *Server) Draining() bool { return s.draining.Load() }
 
-// OpenConns is how many connections of clients are open.
+// OpenConns returns the number of open client connections.
 func (s *Server) OpenConns() int { return int(s.conns.Load()) }
 
-// OpenRequests is how many requests have been read and not answered.
+// OpenRequests returns the number of requests that were read and whose response is not written yet.
 func (s *Server) OpenRequests() int { return int(s.requests.Load()) }
 
-// SetKeepAliveLimit sets how many connections may be open before they are closed after an answer.
+// SetKeepAliveLimit sets the number of open connections at which connections are closed after a response.
 func (s *Server) SetKeepAliveLimit(conns int) { s.keepAliveLimit.Store(int64(conns)) }
 
-// SetRequestLimit sets how many requests there may be at a time. Those above it are rejected.
+// SetRequestLimit sets the maximum number of concurrent requests. Requests above the limit are rejected.
 func (s *Server) SetRequestLimit(requests int) { s.requestLimit.Store(int64(requests)) }
 
-// RequestLimit is how many requests there may be at a time.
+// RequestLimit returns the maximum number of concurrent requests.
 func (s *Server) RequestLimit() int { return int(s.requestLimit.Load()) }
 
-// SetBodyMemory sets how many bytes all bodies that are held may take, beside inflight.MinHeldBody of each.
+// SetBodyMemory sets the memory for all held bodies, in bytes. A body may use up to inflight.MinHeldBody beyond it.
 func (s *Server) SetBodyMemory(bytes int64) { s.bodyMemory.setLimit(bytes) }
 
-// AbortBodies rejects the requests whose bodies are being read and that the event loop does not know yet, and all
-// requests with a body that come later.
+// AbortBodies rejects all requests whose body is being read before they are passed to the event loop, and all later
+// requests with a body.
 func (s *Server) AbortBodies() { s.bodies.abort() }
 
-// HTTPServer is the server of net/http for this handler.
+// HTTPServer returns a net/http server that uses s as its handler.
 func (s *Server) HTTPServer() *http.Server {
 	return &http.Server{
 		Handler: s, ReadHeaderTimeout: s.options.ReadTimeout, MaxHeaderBytes: framing.MaxHeader, ConnContext: withConn,
@@ -113,7 +113,7 @@
 	}
 }
 
-// connStateChanged counts connections, and tells one that its request has been answered.
+// connStateChanged counts connections, and prepares a connection for the next request after a response.
 func (s *Server) connStateChanged(conn net.Conn, state http.ConnState) {
 	switch state {
 	case http.StateIdle:
@@ -127,13 +127,13 @@
 	}
 }
 
-// ServeHTTP answers the ready check and gives requests to the event loop.
+// ServeHTTP serves the ready check and passes API requests to the event loop.
 func (s *Server) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	if conn := headConn(r); conn != nil {
 		conn.RequestRead()
 	}
 	if s.Draining() || s.conns.Load() >= s.keepAliveLimit.Load() {
-		closeAfterAnswer(w, r)
+		closeAfterResponse(w, r)
 	}
 	s.limitWrite(w)
 	if err := checkFraming(r); err != nil {
@@ -150,7 +150,7 @@
 	}
 }
 
-// serveAPI parses a request, and answers it where the limit of requests allows.
+// serveAPI parses a request and serves it, or rejects it if the request limit is reached.
 func (s *Server) serveAPI(w http.ResponseWriter, r *http.Request) {
 	if !allowMethods(w, r, http.MethodGet, http.MethodPost) {
 		return
@@ -161,19 +161,19 @@
 		return
 	}
 	defer s.bodyMemory.release(call.HeldBytes)
-	// The limit bounds what is open together with goroutines and connections to servers. Nothing has been sent, so that
-	// a rejection is true.
+	// The limit also bounds the number of goroutines and of connections to servers. The request has not been sent to a
+	// server, so a rejection is correct.
 	if s.requests.Add(1) > s.requestLimit.Load() {
 		s.requests.Add(-1)
 		s.options.Metrics.CountAnswer(call.Request.Class, inflight.StatusRejected)
-		writeAnswer(w, inflight.Response{Status: inflight.StatusRejected})
+		writeResponse(w, inflight.Response{Status: inflight.StatusRejected})
 		return
 	}
 	defer s.requests.Add(-1)
 	s.serve(w, r, call, body)
 }
 
-// serveReady answers the ready check.
+// serveReady serves the ready check.
 func (s *Server) serveReady(w http.ResponseWriter, r *http.Request) {
 	if !allowMethods(w, r, http.MethodGet, http.MethodHead) {
 		return
@@ -185,7 +185,7 @@
 	_, _ = io.WriteString(w, "ready\n")
 }
 
-// allowMethods reports whether a request has one of the methods, and answers it if not.
+// allowMethods reports whether a request has one of the methods. If not, it responds with 405.
 func allowMethods(w http.ResponseWriter, r *http.Request, methods ...string) bool {
 	if slices.Contains(methods, r.Method) {
 		return true
@@ -195,7 +195,7 @@
 	return false
 }
 
-// writeParseError answers a request that could not be parsed.
+// writeParseError responds to a request that could not be parsed.
 func writeParseError(w http.ResponseWriter, r *http.Request, err error) {
 	tooLarge := errors.Is(err, errBodyTooLarge)
 	if tooLarge {
--- a/internal/sidecar/clientserver/server_test.go
+++ b/internal/sidecar/clientserver/server_test.go
@@ -11,8 +11,8 @@
 	"marblelane/internal/sidecar/sidecartest"
 )
 
-// An event loop that never answers is a bug, but the client gets one failed answer in time.
-func TestServer_overdueAnswer(t *testing.T) {
+// If the event loop never decides on a response, which is a bug, the client still gets one failure response in time.
+func TestServer_overdueResponse(t *testing.T) {
 	cfg, err := configtest.NewConf("127.0.0.1:1").Load(t)
 	if err != nil {
 		t.Fatal(err)
@@ -39,20 +39,20 @@
 	}
 	resp.Body.Close()
 	if resp.StatusCode != inflight.StatusTimedOut {
-		t.Errorf("%s", resp.Status)
+		t.Errorf("status %s, want %d", resp.Status, inflight.StatusTimedOut)
 	}
 	call := (<-posted).(Arrival).Call
-	if gone, is := (<-posted).(CallAbandoned); !is || gone.Call != call || call.Finish() {
-		t.Error("the event loop is not notified that the request is over")
+	if abandoned, ok := (<-posted).(CallAbandoned); !ok || abandoned.Call != call || call.Finish() {
+		t.Error("the event loop was not notified that the call is abandoned, or the call is not finished")
 	}
 	http.DefaultClient.CloseIdleConnections()
 }
 
-// Retry-After goes to the client in seconds.
-func TestWriteAnswer_retryAfter(t *testing.T) {
+// The Retry-After header is in seconds.
+func TestWriteResponse_retryAfter(t *testing.T) {
 	w := httptest.NewRecorder()
-	writeAnswer(w, inflight.Response{Status: inflight.StatusRejected, RetryAfter: 1250})
+	writeResponse(w, inflight.Response{Status: inflight.StatusRejected, RetryAfter: 1250})
 	if got := w.Header().Get("Retry-After"); got != "1.250" {
-		t.Errorf("Retry-After: %q", got)
+		t.Errorf("Retry-After: %q, want 1.250", got)
 	}
 }
--- a/internal/sidecar/framing/framing.go
+++ b/internal/sidecar/framing/framing.go
@@ -11,47 +11,50 @@
 	"marblelane/internal/sidecar/netcall"
 )
 
-// MaxHeader bounds the head of a request or an answer, in bytes.
+// MaxHeader is the maximum size of the head of a request or response, in bytes.
 const MaxHeader = 32 << 10
 
-// TrackedConn is a connection that follows the requests on it.
+// TrackedConn is a connection that is notified of the progress of the requests on it.
 type TrackedConn interface {
 	net.Conn
-	RequestRead()      // the head of a request is complete
-	ResponseWritten()  // its answer was written
-	NetConn() net.Conn // the connection of the system
+	RequestRead()      // called when the head of a request has been read completely
+	ResponseWritten()  // called when the response to the request has been written
+	NetConn() net.Conn // returns the underlying connection
 }
 
-// HeadConn keeps the head of the message that is being read, as it came. net/http drops a Content-Length beside a
-// Transfer-Encoding and reads on behind the last chunk: what the sender means as more of its body would be read as
-// a request of its own.
+// HeadConn is a connection that records the head of the message that is being read, byte for byte. net/http drops a
+// Content-Length beside a Transfer-Encoding and continues to read after the last chunk: bytes that the sender means as
+// more of the body would be read as another request.
 type HeadConn struct {
 	net.Conn
-	reader netcall.RetryingReader // of the goroutine that reads: there is one at a time
+	reader netcall.RetryingReader // used only by the goroutine that reads; there is one at a time
 
-	mu           sync.Mutex // guards the fields below: net/http also reads while a handler works
-	head         []byte
-	complete     bool
-	startedAt    time.Time // the first byte of the message, or the start of the connection; zero: not yet
-	reads        int       // that are waiting
-	acceptedLate bool      // the first request may have waited before its connection was accepted
+	mu           sync.Mutex // guards the fields below: net/http also reads while a handler runs
+	head         []byte     // the head as received, and the bytes that were read together with its end
+	complete     bool       // head contains the empty line at its end, or is too long to be a head
+	startedAt    time.Time  // when the first byte of the message came, or the connection was accepted; zero: not yet
+	reads        int        // number of calls of Read that are in progress
+	acceptedLate bool       // the first request may have arrived long before its connection was accepted
 
-	received chan struct{} // a token: something was read; never closed; nil: no goroutine waits for it
+	// received gets a token after each read that returned bytes. It is never closed, and nil if no goroutine waits for
+	// it.
+	received chan struct{}
 }
 
-// NewHeadConn keeps the heads of what is read from a connection.
+// NewHeadConn returns a HeadConn for a connection to a server. It records the heads of responses.
 func NewHeadConn(c net.Conn) *HeadConn { return &HeadConn{Conn: c} }
 
-// NewClientHeadConn keeps the heads of a client's requests, and says when something was read. acceptedLate is true where
-// the first request may have waited before the connection was accepted.
+// NewClientHeadConn returns a HeadConn for the connection of a client. It records the heads of requests and signals
+// through Received when bytes were read. acceptedLate is true if the first request may have arrived long before the
+// connection was accepted.
 func NewClientHeadConn(c net.Conn, acceptedLate bool) *HeadConn {
 	return &HeadConn{Conn: c, startedAt: time.Now(), received: make(chan struct{}, 1), acceptedLate: acceptedLate}
 }
 
-// Received gives a token after something was read. It is nil for the connection of a server.
+// Received returns a channel that gets a token after bytes were read. It is nil for a connection to a server.
 func (c *HeadConn) Received() <-chan struct{} { return c.received }
 
-// Read reads from the connection, and keeps what belongs to the head.
+// Read reads from the connection and records the bytes that belong to the head.
 func (c *HeadConn) Read(p []byte) (int, error) {
 	c.mu.Lock()
 	c.reads++
@@ -72,7 +75,7 @@
 	return n, err
 }
 
-// notifyReceived leaves a token, unless one is there or no goroutine waits for it.
+// notifyReceived sends a token to received, unless it already holds one or is nil.
 func (c *HeadConn) notifyReceived() {
 	select {
 	case c.received <- struct{}{}:
@@ -80,22 +83,22 @@
 	}
 }
 
-// appendHead adds bytes to the head until it has its empty line, or is too long to be one.
+// appendHead appends bytes to the head, until the head contains its empty line or is too long to be a head.
 func (c *HeadConn) appendHead(p []byte) {
-	seen := max(len(c.head)-3, 0) // the empty line may have come in two parts
+	searchFrom := max(len(c.head)-3, 0) // the empty line may be split between two reads
 	c.head = append(c.head, p...)
-	c.complete = bytes.Contains(c.head[seen:], []byte("\n\r\n")) || bytes.Contains(c.head[seen:], []byte("\n\n")) ||
-		len(c.head) > 2*MaxHeader
+	c.complete = bytes.Contains(c.head[searchFrom:], []byte("\n\r\n")) ||
+		bytes.Contains(c.head[searchFrom:], []byte("\n\n")) || len(c.head) > 2*MaxHeader
 }
 
-// Reading reports whether a read is waiting, which would see the end of the connection.
+// Reading reports whether a Read is in progress. Such a Read notices when the remote side closes the connection.
 func (c *HeadConn) Reading() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.reads > 0
 }
 
-// PrepareNextRequest drops the head: its request has been answered.
+// PrepareNextRequest discards the recorded head, after the response to its request.
 func (c *HeadConn) PrepareNextRequest() {
 	if tracked, ok := c.Conn.(TrackedConn); ok {
 		tracked.ResponseWritten()
@@ -106,40 +109,42 @@
 	c.mu.Unlock()
 }
 
-// RequestRead tells the connection below that the head is complete and its request at work.
+// RequestRead notifies the underlying TrackedConn that a head has been read completely and its request is active.
 func (c *HeadConn) RequestRead() {
 	if tracked, ok := c.Conn.(TrackedConn); ok {
 		tracked.RequestRead()
 	}
 }
 
-// LimitBuffer keeps the system from buffering megabytes of an answer for a slow client.
+// LimitBuffer limits the send buffer of the operating system, which would otherwise hold megabytes of a response to a
+// slow client.
 func (c *HeadConn) LimitBuffer() {
 	if tracked, ok := c.Conn.(TrackedConn); ok {
 		netcall.LimitBuffer(tracked.NetConn())
 	}
 }
 
-// ResetOnClose makes the connection end with an error when it is closed.
+// ResetOnClose makes a later Close reset the connection, so that the remote side reads an error instead of an end.
 func (c *HeadConn) ResetOnClose() {
 	if tracked, ok := c.Conn.(TrackedConn); ok {
 		if tcp, ok := tracked.NetConn().(interface{ SetLinger(seconds int) error }); ok {
-			_ = netcall.RetryQuery(func() error { return tcp.SetLinger(0) }) // if that fails the end is an orderly one
+			_ = netcall.RetryQuery(func() error { return tcp.SetLinger(0) }) // on failure Close ends the connection in order
 		}
 	}
 }
 
-// NextRequestMayFollow reports whether another request has come behind the one at work, or may have. bodyLength is that of the
-// body of the one at work; what comes behind a body that is still on its way is not seen.
+// NextRequestMayFollow reports whether the client has sent, or may have sent, another request after the active one.
+// bodyLength is the length of the active request's body, or -1 if it is unknown. A request that follows a body which is
+// still being received is not detected.
 func (c *HeadConn) NextRequestMayFollow(bodyLength int64) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if !c.complete {
-		return true // it came together with the one before, and so may others
+		return true // the active request arrived together with the previous one, and so may further ones
 	}
-	behindHead := int64(len(c.head) - headEnd(c.head))
-	if behindHead != bodyLength {
-		return bodyLength >= 0 && behindHead > bodyLength
+	afterHead := int64(len(c.head) - headEnd(c.head))
+	if afterHead != bodyLength {
+		return bodyLength >= 0 && afterHead > bodyLength
 	}
 	tracked, ok := c.Conn.(TrackedConn)
 	if !ok {
@@ -149,7 +154,8 @@
 	return unread
 }
 
-// headEnd is the length of a head with its empty line; all of the bytes where there is none.
+// headEnd returns the length of the head including its empty line, or the number of all bytes if there is no empty
+// line.
 func headEnd(head []byte) int {
 	end := len(head)
 	for _, emptyLine := range []string{"\n\r\n", "\n\n"} {
@@ -160,18 +166,20 @@
 	return end
 }
 
-// StartedAt is when the first byte of the message came; for the first message it is the start of the connection.
+// StartedAt returns when the first byte of the message was received. For the first message of a client's connection it
+// is the time when the connection was accepted.
 func (c *HeadConn) StartedAt() time.Time {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.startedAt.IsZero() { // pipelined: it came with the request before
+	if c.startedAt.IsZero() { // pipelined: it was read together with the previous request
 		c.startedAt = time.Now()
 	}
 	return c.startedAt
 }
 
-// ReceivedAt is when the last byte of a request came that has just been read. That is now, but for the first request of a
-// connection that was accepted late: its client's time has run since the system has had it.
+// ReceivedAt returns when the last byte of the request that has just been read arrived. That is now, except for the
+// first request on a connection that was accepted late: its client's timeout has been running since the operating
+// system received the request.
 func (c *HeadConn) ReceivedAt() time.Time {
 	now := time.Now()
 	c.mu.Lock()
@@ -187,7 +195,8 @@
 	return now
 }
 
-// LengthHeaders reports which of the headers Transfer-Encoding and Content-Length the head has.
+// LengthHeaders reports whether the head has the header Transfer-Encoding (chunked) and the header Content-Length
+// (length).
 func (c *HeadConn) LengthHeaders() (chunked, length bool, err error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/sidecar/framing/framing_test.go
+++ b/internal/sidecar/framing/framing_test.go
@@ -12,12 +12,13 @@
 	"marblelane/internal/sidecar/sidecartest"
 )
 
-// Where a read fails once at any byte of a client's request, the request is complete or there is none.
+// A read error at any byte of a client's request: EINTR is retried and the request is read completely; after ECONNRESET
+// no request is read.
 func TestHeadConnRead_errno(t *testing.T) {
 	const text = "POST /api HTTP/1.1\r\nHost: b\r\nX-Timeout-Ms: 1000\r\nContent-Length: 4\r\n\r\ndone"
 	for errno, complete := range map[syscall.Errno]bool{syscall.ECONNRESET: false, syscall.EINTR: true} {
 		t.Run(errno.Error(), func(t *testing.T) {
-			sender := sidecartest.NewBackend(t, "a", sidecartest.Respond(text, true)) // sends to its caller what a client would
+			sender := sidecartest.NewBackend(t, "a", sidecartest.Respond(text, true)) // sends a request, as a client does
 			for n := range len(text) {
 				c, err := net.Dial("tcp", sender.Target.Endpoint)
 				if err != nil {
@@ -31,14 +32,14 @@
 				client := &HeadConn{Conn: &sidecartest.FaultyConn{TCPConn: c.(*net.TCPConn), ByteAtATime: true, FailRead: fail}}
 				client.SetReadDeadline(time.Now().Add(sidecartest.Patience))
 				if got := readsRequest(client); got != complete {
-					t.Errorf("at byte %d: a request was read: %v", n, got)
+					t.Errorf("error at byte %d: request read completely: %v, want %v", n, got, complete)
 				}
 			}
 		})
 	}
 }
 
-// readsRequest reports whether a request with its body can be read.
+// readsRequest reports whether a complete request, including its body, can be read from the connection.
 func readsRequest(conn net.Conn) bool {
 	req, err := http.ReadRequest(bufio.NewReader(conn))
 	if err != nil {
--- a/internal/sidecar/inflight/attempt_outcome.go
+++ b/internal/sidecar/inflight/attempt_outcome.go
@@ -4,11 +4,11 @@
 	"marblelane/balance"
 )
 
-// AttemptOutcome is how an attempt or a health check ended.
+// AttemptOutcome is the outcome of an attempt or of a health check.
 type AttemptOutcome struct {
 	Result       balance.Result
 	Response     Response
 	LoadReport   []float32 // the server's load report
-	BodyConsumed bool      // the request's body cannot be sent again
-	RouteRevoked bool      // the request's route does not hold any more
+	BodyConsumed bool      // part of the request body was sent and not kept, so the body cannot be sent again
+	RouteRevoked bool      // the request was not sent because its route was no longer valid
 }
--- a/internal/sidecar/inflight/call.go
+++ b/internal/sidecar/inflight/call.go
@@ -9,42 +9,45 @@
 	"marblelane/balance"
 )
 
-// Final answers other than 200. 429 and 503 promise the client that a retry does no harm, so that no other answer of the
-// sidecar may have those statuses.
+// Statuses of the sidecar's own final responses. 429 and 503 promise the client that a retry does no harm, so the
+// sidecar sends them only if no server can have run the request.
 const (
 	StatusRejected = http.StatusServiceUnavailable
 	StatusFailed   = http.StatusBadGateway
 	StatusTimedOut = http.StatusGatewayTimeout
 )
 
-// MaxTimeout is the longest X-Timeout-Ms.
+// MaxTimeout is the largest timeout that a client may set in X-Timeout-Ms.
 const MaxTimeout = time.Hour
 
-// Call is a client's request. The goroutine whose Finish is true decides the one answer.
+// Call is a request of a client. It gets exactly one response, which is decided by the goroutine whose call of Finish
+// returns true.
 type Call struct {
 	Request   balance.Request
 	Outbound  *Outbound
-	HeldBytes int           // of the memory for bodies
-	Timeout   time.Duration // the client's, from its last byte
-	Deadline  time.Time     // zero while the body is still coming
-	Response  chan Response // has the event loop's answer: one at most, with a buffer for it; never closed
+	HeldBytes int           // bytes reserved for the body in the memory for held bodies
+	Timeout   time.Duration // the client's timeout, which starts when the last byte of the request is received
+	Deadline  time.Time     // when the timeout expires; zero while the body is still being received
+	Response  chan Response // the event loop sends at most one response; buffered for it; never closed
 
-	// PollDisconnect reports without waiting whether the client is known to have gone; nil: that cannot be known.
+	// PollDisconnect reports without blocking whether the client is known to have disconnected. It is nil if the
+	// connection cannot be checked.
 	PollDisconnect func() bool
 	disconnectSeen atomic.Bool
 
 	finished atomic.Bool
-	// WriteLock is held from the last check before an attempt's first byte to its last byte.
+	// WriteLock is held by an attempt from its last check before its first byte until it has written its last byte.
 	WriteLock sync.Mutex
 }
 
-// Finish finishes the call, and reports whether the caller is the one to answer: the first one is.
+// Finish marks the call as finished. It returns true for the first caller only, which decides the response.
 func (c *Call) Finish() bool { return c.finished.CompareAndSwap(false, true) }
 
-// Finished reports whether the answer is decided.
+// Finished reports whether the response has been decided.
 func (c *Call) Finished() bool { return c.finished.Load() }
 
-// ClientDisconnected checks whether the client is known to have gone. One that has does not come back.
+// ClientDisconnected polls the connection and reports whether the client has disconnected. Once it has returned true it
+// always does, and no longer polls.
 func (c *Call) ClientDisconnected() bool {
 	if c.PollDisconnect != nil && !c.disconnectSeen.Load() && c.PollDisconnect() {
 		c.disconnectSeen.Store(true)
@@ -52,10 +55,11 @@
 	return c.disconnectSeen.Load()
 }
 
-// DisconnectSeen reports whether some ClientLeft was true, and does not check again.
+// DisconnectSeen reports whether ClientDisconnected has returned true before. It does not poll the connection.
 func (c *Call) DisconnectSeen() bool { return c.disconnectSeen.Load() }
 
-// UploadTimeLeft is the time that the client of a streamed body has left: all of it until the last byte has come.
+// UploadTimeLeft returns how much of the client's timeout remains for a request with a streamed body. The whole timeout
+// remains until the last byte of the body is received.
 func (c *Call) UploadTimeLeft() time.Duration {
 	if completedAt := c.Outbound.Upload.CompletedAt(); !completedAt.IsZero() {
 		return time.Until(completedAt.Add(c.Timeout))
--- a/internal/sidecar/inflight/doc.go
+++ b/internal/sidecar/inflight/doc.go
@@ -1,6 +1,6 @@
-// Package inflight has the types of a request in flight, which the packages that carry it share: the call of the client,
-// what servers get of it, and the one answer.
+// Package inflight defines the types of a request in flight that several packages share: the client's call, the request
+// that is sent to servers, the outcome of an attempt, and the response.
 //
-// It starts no goroutines. Upload.mu guards a body between the goroutine that feeds it and the attempts that read it.
-// Call.Writing is held by an attempt that writes.
+// It starts no goroutines. Upload.mu synchronizes the goroutine that receives a body with the attempt that sends it. An
+// attempt holds Call.WriteLock while it writes its request.
 package inflight
--- a/internal/sidecar/inflight/response.go
+++ b/internal/sidecar/inflight/response.go
@@ -6,29 +6,32 @@
 	"sync"
 )
 
-// CopyBufferSize is the size of the buffers for bodies that are streamed, in bytes.
+// CopyBufferSize is the size of the buffers for streamed bodies, in bytes.
 const CopyBufferSize = 16 << 10
 
-// CopyBuffers has buffers of CopySize for bodies that are streamed.
+// CopyBuffers holds buffers of CopyBufferSize bytes for streamed bodies.
 var CopyBuffers = sync.Pool{New: func() any { b := make([]byte, CopyBufferSize); return &b }}
 
-// ErrClientWriteFailed ends an AnswerStream whose client does not read it.
-var ErrClientWriteFailed = errors.New("the client does not take the answer")
+// ErrClientWriteFailed is the result of a ResponseStream that could not be written to the client.
+var ErrClientWriteFailed = errors.New("response could not be written to the client")
 
-// Response is what the client gets.
+// Response is the response to a client's request.
 type Response struct {
 	Status             int
-	RetryAfter         float64 // milliseconds; 0: none
+	RetryAfter         float64 // value of the Retry-After header, in milliseconds; 0: the header is not sent
 	ContentType        string
 	Body               []byte
-	Stream             *ResponseStream // in place of Body
-	ClientDisconnected bool            // in place of all else: the client has gone
+	Stream             *ResponseStream // replaces Body if the body is streamed; otherwise nil
+	ClientDisconnected bool            // the client has disconnected; the other fields are not set
 }
 
-// ResponseStream is the body of an answer that is written to the client as it comes from the server.
+// ResponseStream is a response body that is written to the client while it is received from the server.
 type ResponseStream struct {
-	Length      int64 // bytes; -1: not known
-	Prefix      []byte
-	Remaining   io.Reader  // what comes after First
-	WriteResult chan error // the writer sends how the stream ended, once; nil: all of it was written; never closed
+	Length    int64     // total length in bytes; -1: unknown
+	Prefix    []byte    // the bytes that have been received so far
+	Remaining io.Reader // reads the bytes that follow Prefix
+
+	// WriteResult receives exactly one value, when the stream ends: nil if the whole body was written to the client, or
+	// the reason why it was not. It is never closed.
+	WriteResult chan error
 }
--- a/internal/sidecar/inflight/upload.go
+++ b/internal/sidecar/inflight/upload.go
@@ -8,45 +8,47 @@
 )
 
 const (
-	// MaxBody is the longest body of a request or an answer, in bytes.
+	// MaxBody is the maximum length of a request or response body, in bytes.
 	MaxBody = 32 << 20
-	// MaxHeldBody is the longest body, of a request or an answer, that is always held completely, in bytes: such a
-	// request can be sent again, and such an answer, if it is cut short, is a failed attempt that the client does not see.
+	// MaxHeldBody is the length up to which a request or response body is always held in memory completely, in bytes. A
+	// request that is held completely can be sent again. A response that is held completely and is cut short is a
+	// failed attempt that the client does not see.
 	MaxHeldBody = 64 << 10
-	// MinHeldBody is how much of a body is held where there is no memory left, in bytes.
+	// MinHeldBody is how many bytes of a request body are held even if the memory for held bodies is used up.
 	MinHeldBody = 4 << 10
 
-	// discardWait is for reading on behind the answer to a body.
-	discardWait = 3 * time.Second
+	// discardTimeout is how long the rest of a request body is read and discarded after Upload.Abort.
+	discardTimeout = 3 * time.Second
 )
 
-// ErrBodyNotNeeded ends a body after which the request was answered, or an answer after which its call was.
-var ErrBodyNotNeeded = errors.New("nobody wants the body any more")
+// ErrBodyNotNeeded ends the transfer of a request body or response body because the response to the request has already
+// been decided, or because the attempt that read the body has ended.
+var ErrBodyNotNeeded = errors.New("body is no longer needed")
 
-// Upload is a request's body that is streamed to the server. Its first part is held: until more of it has been sent it
-// can be sent again.
+// Upload is a request body that is streamed to the server. Its prefix is kept in memory, so that the body can be sent
+// again until an attempt has read more than the prefix.
 type Upload struct {
-	Length int64 // bytes; -1: not known
+	Length int64 // total length in bytes; -1: unknown
 	prefix []byte
 
 	mu          sync.Mutex // guards the fields below
-	changed     sync.Cond
-	pending     []byte // behind the first part, not sent yet
-	consumed    bool   // some bytes behind the first part were sent
-	aborted     bool   // nothing more is sent
-	endErr      error  // io.EOF: the body is complete; nil: more of it comes
+	changed     sync.Cond  // signals changes of the fields below
+	pending     []byte     // bytes after the prefix that were received and not yet read by an attempt
+	consumed    bool       // an attempt has read bytes after the prefix
+	aborted     bool       // Abort was called
+	endErr      error      // io.EOF: the whole body was received; nil: more bytes are expected; otherwise the receive error
 	completedAt time.Time
 }
 
-// NewUpload is a body of which the first part has come.
-func NewUpload(length int64, first []byte) *Upload {
-	u := &Upload{Length: length, prefix: first}
+// NewUpload returns the upload of a body of which the prefix has been received.
+func NewUpload(length int64, prefix []byte) *Upload {
+	u := &Upload{Length: length, prefix: prefix}
 	u.changed.L = &u.mu
 	return u
 }
 
-// Feed streams what is still to come of the body until it ends. After Abort it reads on for discardWait: a client that is
-// still sending would not see its answer.
+// Feed passes the rest of the body to the attempts until it ends. After Abort it reads and discards the body for up to
+// discardTimeout, because a client that is still sending would not see its response.
 func (u *Upload) Feed(body io.Reader) error {
 	buf := CopyBuffers.Get().(*[]byte)
 	defer CopyBuffers.Put(buf)
@@ -61,14 +63,14 @@
 			return nil
 		case err != nil:
 			return err
-		case !abortedAt.IsZero() && time.Since(abortedAt) > discardWait:
+		case !abortedAt.IsZero() && time.Since(abortedAt) > discardTimeout:
 			return ErrBodyNotNeeded
 		}
 	}
 }
 
-// Put gives bytes to the reader and waits until it has read them. A non-nil error ends the body; io.EOF: it is complete.
-// Put reports false after Abort.
+// Put passes bytes to the reader and blocks until it has read them or Abort is called. An error that is not nil ends
+// the body; io.EOF means that the body is complete. Put returns false after Abort.
 func (u *Upload) Put(b []byte, err error) bool {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -83,7 +85,7 @@
 	return !u.aborted
 }
 
-// Abort makes readers fail and Put return.
+// Abort makes all reads fail and all calls of Put return.
 func (u *Upload) Abort() {
 	u.mu.Lock()
 	u.aborted = true
@@ -91,45 +93,46 @@
 	u.mu.Unlock()
 }
 
-// Consumed reports whether more than the first part was sent, so that the body cannot be sent again.
+// Consumed reports whether an attempt has read more than the prefix, so that the body cannot be sent again.
 func (u *Upload) Consumed() bool {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	return u.consumed
 }
 
-// Failed reports whether the client did not send all of the body.
+// Failed reports whether receiving the body from the client ended before the body was complete.
 func (u *Upload) Failed() bool {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	return u.endErr != nil && u.endErr != io.EOF
 }
 
-// CompletedAt is when the last byte came; zero: not yet.
+// CompletedAt returns when the last byte of the body was received, or when receiving it failed. It is zero before that.
 func (u *Upload) CompletedAt() time.Time {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	return u.completedAt
 }
 
-// SetCompletedAt changes the time of the last byte, so that tests can let a client's time pass.
+// SetCompletedAt replaces the time at which the last byte was received. Tests use it to let a client's timeout expire.
 func (u *Upload) SetCompletedAt(at time.Time) {
 	u.mu.Lock()
 	u.completedAt = at
 	u.mu.Unlock()
 }
 
-// UploadReader reads the body, from its first byte, for one attempt.
+// UploadReader reads the body from its first byte on, for one attempt.
 type UploadReader struct {
 	*Upload
-	prefix  []byte
-	stopped bool // under Upload.mu
+	prefix  []byte // the part of Upload.prefix that this reader has not returned yet
+	stopped bool   // Stop was called; guarded by Upload.mu
 }
 
-// NewReader is a reader for the next attempt. There is one at a time.
+// NewReader returns a reader for the next attempt. Only one reader may be in use at a time.
 func (u *Upload) NewReader() *UploadReader { return &UploadReader{Upload: u, prefix: u.prefix} }
 
-// Read waits for bytes of the body. It fails with ErrBodyUnwanted after Stop or Abort.
+// Read blocks until bytes of the body are available. It returns ErrBodyNotNeeded after Stop, and after Abort once the
+// prefix has been read.
 func (r *UploadReader) Read(p []byte) (int, error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -154,7 +157,7 @@
 	return n, nil
 }
 
-// Stop ends a Read that may be waiting.
+// Stop makes a blocked Read and all later ones return ErrBodyNotNeeded.
 func (r *UploadReader) Stop() {
 	r.mu.Lock()
 	r.stopped = true
