--- a/internal/sidecar/clientserver/client_watch.go
+++ b/internal/sidecar/clientserver/client_watch.go
@@ -27,9 +27,9 @@
 }
 
 // clientDisconnected reports whether the client of a connection is known to have disconnected.
-func clientDisconnected(conn *framing.HeadConn, states *netcall.ConnStates) bool {
+func clientDisconnected(conn *framing.HeadConn, states *netcall.ConnStateReader) bool {
 	tracked, ok := conn.Conn.(framing.TrackedConn)
-	return ok && states.PeerGone(tracked.NetConn())
+	return ok && states.PeerClosed(tracked.NetConn())
 }
 
 // clientWatch schedules the checks whether the client of a request has disconnected. net/http notices the end of a
--- a/internal/sidecar/clientserver/pending_call.go
+++ b/internal/sidecar/clientserver/pending_call.go
@@ -100,7 +100,7 @@
 	if p.state == callDisconnected {
 		p.failForDisconnect()
 	}
-	s.options.Checkpoints.At(checkpoint.AnswerDecided)
+	s.options.Checkpoints.At(checkpoint.ResponseDecided)
 	p.awaitAttemptWriter()
 	s.limitWrite(w)
 	p.receiveUploadFailure()
@@ -259,7 +259,7 @@
 		p.server.streamResponse(p.writer, p.request, p.call, p.response)
 		return
 	}
-	p.server.options.Metrics.CountAnswer(p.call.Request.Class, p.response.Status)
+	p.server.options.Metrics.CountResponse(p.call.Request.Class, p.response.Status)
 	writeResponse(p.writer, p.response)
 	if bodyIncomplete {
 		_ = p.control.Flush() // the client may continue to send its body for a long time
--- a/internal/sidecar/clientserver/response_writer.go
+++ b/internal/sidecar/clientserver/response_writer.go
@@ -51,13 +51,13 @@
 		panic(http.ErrAbortHandler)
 	}
 	stream.WriteResult <- nil
-	s.options.Metrics.CountAnswer(call.Request.Class, response.Status)
+	s.options.Metrics.CountResponse(call.Request.Class, response.Status)
 }
 
 // recordStreamFailure reports to the attempt why its response was cut short, and counts the request as failed.
 func (s *Server) recordStreamFailure(stream *inflight.ResponseStream, call *inflight.Call, cause error) {
 	stream.WriteResult <- cause
-	s.options.Metrics.CountAnswer(call.Request.Class, inflight.StatusFailed)
+	s.options.Metrics.CountResponse(call.Request.Class, inflight.StatusFailed)
 }
 
 // limitWrite sets the write deadline for the next part of a response, so that a client that does not read cannot occupy
--- a/internal/sidecar/clientserver/server.go
+++ b/internal/sidecar/clientserver/server.go
@@ -41,7 +41,7 @@
 	ReadTimeout        time.Duration       // optional: DefaultReadTimeout
 	WriteTimeout       time.Duration       // optional: DefaultWriteTimeout
 	ClientPollInterval time.Duration       // optional: time between two checks whether a client has disconnected
-	ConnStates         *netcall.ConnStates // optional: reads the state of client connections
+	ConnStates         *netcall.ConnStateReader // optional: reads the state of client connections
 	Checkpoints        checkpoint.Hook     // optional: called at each checkpoint; tests can delay a request there
 }
 
@@ -72,7 +72,7 @@
 	s.options.WriteTimeout = cmp.Or(s.options.WriteTimeout, DefaultWriteTimeout)
 	s.options.ClientPollInterval = cmp.Or(s.options.ClientPollInterval, defaultClientPollInterval)
 	if s.options.ConnStates == nil {
-		s.options.ConnStates = netcall.NewConnStates()
+		s.options.ConnStates = netcall.NewConnStateReader()
 	}
 }
 
@@ -165,7 +165,7 @@
 	// server, so a rejection is correct.
 	if s.requests.Add(1) > s.requestLimit.Load() {
 		s.requests.Add(-1)
-		s.options.Metrics.CountAnswer(call.Request.Class, inflight.StatusRejected)
+		s.options.Metrics.CountResponse(call.Request.Class, inflight.StatusRejected)
 		writeResponse(w, inflight.Response{Status: inflight.StatusRejected})
 		return
 	}
