--- a/internal/sidecar/clientserver/server.go
+++ b/internal/sidecar/clientserver/server.go
@@ -38,11 +38,11 @@
 	Metrics *metrics.Metrics
 	Post    func(any) // passes an Arrival or a CallAbandoned to the event loop
 
-	ReadTimeout        time.Duration       // optional: DefaultReadTimeout
-	WriteTimeout       time.Duration       // optional: DefaultWriteTimeout
-	ClientPollInterval time.Duration       // optional: time between two checks whether a client has disconnected
+	ReadTimeout        time.Duration            // optional: DefaultReadTimeout
+	WriteTimeout       time.Duration            // optional: DefaultWriteTimeout
+	ClientPollInterval time.Duration            // optional: time between two checks whether a client has disconnected
 	ConnStates         *netcall.ConnStateReader // optional: reads the state of client connections
-	Checkpoints        checkpoint.Hook     // optional: called at each checkpoint; tests can delay a request there
+	Checkpoints        checkpoint.Hook          // optional: called at each checkpoint; tests can delay a request there
 }
 
 // Server is the HTTP handler for the application.
--- a/internal/sidecar/framing/framing.go
+++ b/internal/sidecar/framing/framing.go
@@ -128,7 +128,7 @@
 func (c *HeadConn) ResetOnClose() {
 	if tracked, ok := c.Conn.(TrackedConn); ok {
 		if tcp, ok := tracked.NetConn().(interface{ SetLinger(seconds int) error }); ok {
-			_ = netcall.RetryQuery(func() error { return tcp.SetLinger(0) }) // on failure Close ends the connection in order
+			_ = netcall.RetryQuery(func() error { return tcp.SetLinger(0) }) // on failure Close does not reset the connection
 		}
 	}
 }
