--- a/balance/list.go
+++ b/balance/list.go
@@ -216,7 +216,7 @@
 // step.
 func (l *endpointList) addServer(id ServerID) *server {
 	s := &server{evidenceAt: math.Inf(-1)}
-	s.currentWeight = maxInitialCurrentWeight * l.random()
+	s.currentWeight = maxInitialWeight * l.random()
 	s.slowStartAt = math.Inf(-1)
 	l.byID[id] = s
 	l.servers = append(l.servers, s)
--- a/balance/pick.go
+++ b/balance/pick.go
@@ -8,9 +8,9 @@
 	boundedLoadFactor = 0.4  // limit of bounded load, as a multiple of a server's weighted share of the load
 	minRotation       = 4    // least number of servers in the rotation
 
-	baseWeight              = 100  // weight of a healthy, warm server of size 1
-	minWeight               = 1e-6 // keeps weights above 0, as 0 marks servers that are not candidates
-	maxInitialCurrentWeight = 100  // upper bound of the random current weight of a new server
+	baseWeight       = 100  // weight of a healthy, warm server of size 1
+	minWeight        = 1e-6 // keeps weights above 0, as 0 marks servers that are not candidates
+	maxInitialWeight = 100  // upper bound of the random current weight of a new server
 )
 
 const (
@@ -277,7 +277,7 @@
 // allowForNewServers raises maxOtherCurrentWeight to the highest current weight that new servers may
 // start with.
 func (p *picker) allowForNewServers() {
-	p.maxOtherCurrentWeight = math.Max(p.maxOtherCurrentWeight, maxInitialCurrentWeight)
+	p.maxOtherCurrentWeight = math.Max(p.maxOtherCurrentWeight, maxInitialWeight)
 }
 
 // clearCandidates resets the candidates of the previous pick.
--- a/balance/route_state.go
+++ b/balance/route_state.go
@@ -108,7 +108,7 @@
 				continue
 			}
 			for side := range placement.currentWeight {
-				placement.currentWeight[side] = maxInitialCurrentWeight * c.randomFor(uint64(s.ID), uint64(sides*i+side)+1)
+				placement.currentWeight[side] = maxInitialWeight * c.randomFor(uint64(s.ID), uint64(sides*i+side)+1)
 			}
 		}
 	}
