--- a/balance/slow_start.go
+++ b/balance/slow_start.go
@@ -87,7 +87,7 @@
 // FleetEstimate estimates how many processes share the limits of the fleet. The estimate is high rather
 // than low, so that the quotas of all processes add up to 1 at most.
 type FleetEstimate struct {
-	size      float64
+	size      float64 // estimated number of processes; 0: no FleetSize has come yet
 	updatedAt milliseconds
 }
 
--- a/balance/zones.go
+++ b/balance/zones.go
@@ -57,7 +57,7 @@
 	admission *admission
 	demand    *demand
 
-	zones          []*zone // in the order in which they were first listed
+	zones          []*zone // all zones, in the order in which they were first listed
 	tierLatencies  [tiers]tierLatency
 	spill          [tiers]float64 // fraction of first attempts that start beyond each tier
 	spillCredit    [tiers]float64 // attempts that are due to start beyond each tier; at 1 the next one does
