--- a/balance/request.go
+++ b/balance/request.go
@@ -138,6 +138,6 @@
 func (a *attempt) endZoneTrial() {
 	if a.zoneTrial {
 		a.zoneTrial = false
-		a.server.zone.trials--
+		a.server.zone.trialsInFlight--
 	}
 }
