--- a/internal/audit/answers_test.go
+++ b/internal/audit/answers_test.go
@@ -17,11 +17,11 @@
 	tracker := NewTracker(TrackerOptions{}, "x", 0)
 	for i, at := range []int64{10, 30} {
 		r := newReport("p", int64(i+1), 5, int64(i+1))
-		r.Echo = route.Moment{Leader: "x", MS: at}
+		r.Echo = route.LeaderTime{Leader: "x", MS: at}
 		tracker.Report(at+10, 0, r)
 	}
 	last := newReport("p", 3, 5, 2)
-	last.Echo = route.Moment{Leader: "x", MS: 80}
+	last.Echo = route.LeaderTime{Leader: "x", MS: 80}
 	tracker.Report(90, 0, last)
 	none := int64(math.MinInt64)
 	for i, c := range []struct {
@@ -260,7 +260,7 @@
 func sampleAtArrival(w *fleetWorld) {
 	w.onArrival = func(w *fleetWorld, r *route.Report) *route.Report {
 		late := *r
-		late.Echo = route.Moment{Leader: w.leader, MS: w.clock(w.now)}
+		late.Echo = route.LeaderTime{Leader: w.leader, MS: w.clock(w.now)}
 		return &late
 	}
 }
--- a/internal/audit/fleet_world_test.go
+++ b/internal/audit/fleet_world_test.go
@@ -118,7 +118,7 @@
 	}
 	now := w.clock(w.now)
 	w.log.Add(w.log.Fresh(w.tracker.Report(now, w.now, r)))
-	stamp := route.Moment{Leader: w.leader, MS: now}
+	stamp := route.LeaderTime{Leader: w.leader, MS: now}
 	for _, p := range w.processes {
 		if p.Process == r.Process {
 			w.answers = append(w.answers, func() { p.report.Echo = stamp })
--- a/internal/audit/golden_test.go
+++ b/internal/audit/golden_test.go
@@ -39,7 +39,7 @@
 	const leader = "leader"
 	tracker := NewTracker(TrackerOptions{}, leader, 0)
 	p := route.Process{Name: "sidecar-1", Start: 9}
-	report := &route.Report{Process: p, Seq: 1, Echo: route.Moment{Leader: leader, MS: 50},
+	report := &route.Report{Process: p, Seq: 1, Echo: route.LeaderTime{Leader: leader, MS: 50},
 		AcknowledgedRev: 3, UnreadableRev: 4, NoLease: true,
 		ListRev: 5, Version: "v", Config: "c", Schemas: []int{1, 2}, Counts: []route.Count{{Rev: 3, Started: 2}}}
 	golden.RequireJSON(t, "transitions.golden.json", tracker.Report(100, 1000, report))
--- a/internal/audit/tracker_test.go
+++ b/internal/audit/tracker_test.go
@@ -24,7 +24,7 @@
 	tracker := NewTracker(o, "x", 0)
 	for i := range int64(2000) {
 		r := newReport(fmt.Sprint("p", i%12), i+1, i/100, i)
-		r.Echo = route.Moment{Leader: "x", MS: i - 1}
+		r.Echo = route.LeaderTime{Leader: "x", MS: i - 1}
 		for rev := range i % 40 {
 			r.Counts = append(r.Counts, route.Count{Rev: rev, Tenant: "t"})
 		}
@@ -90,7 +90,7 @@
 		t.Errorf("%+v", got)
 	}
 	newer := newReport("a", 1, 7, 0)
-	newer.Start, newer.Echo = 2, route.Moment{Leader: "x", MS: 10}
+	newer.Start, newer.Echo = 2, route.LeaderTime{Leader: "x", MS: 10}
 	tracker.Report(13, 13, newer)
 	if got := tracker.Present(14); !got[0].Superseded || got[1].Superseded || got[1].SampledAgoMS != 4 {
 		t.Errorf("%+v", got)
--- a/internal/lab/experiment/routescale/routescale.go
+++ b/internal/lab/experiment/routescale/routescale.go
@@ -171,7 +171,7 @@
 				p.route = r
 			}
 		}
-		p.client.ActOn(t.Rev)
+		p.client.SetActingRev(t.Rev)
 		p.actedAt[t.Rev] = p.play.now()
 	}
 	for _, g := range update.Grants {
@@ -218,7 +218,7 @@
 	}
 	tenant := r.Tenant
 	p.mu.Unlock()
-	if _, ok := p.client.Begin(rev, tenant, true); !ok {
+	if _, ok := p.client.StartAttempt(rev, tenant, true); !ok {
 		p.mu.Lock()
 		p.budget.Settle(false)
 		p.mu.Unlock()
--- a/internal/registry/routeleader/reports.go
+++ b/internal/registry/routeleader/reports.go
@@ -77,7 +77,7 @@
 			l.processes.observe(s, a.request, l.wall(now))
 			l.processes.queueTransitions(s, l.processes.tracker.Report(l.ceil(now), l.wall(now), a.request))
 		})
-		answer.Stamp = route.Moment{Leader: l.id, MS: l.floor(now)}
+		answer.Stamp = route.LeaderTime{Leader: l.id, MS: l.floor(now)}
 		if answer.Resync {
 			encoded, err := line.text(a.request.Schemas)
 			if err != nil {
--- a/internal/rollout/model/budget_world.go
+++ b/internal/rollout/model/budget_world.go
@@ -267,7 +267,7 @@
 	s.Seq = 0
 	answer := w.controller.Report(w.clock, w.state, &report)
 	s.ApplyAnswer(w.clock, &answer)
-	s.Stamp = route.Moment{}
+	s.Stamp = route.LeaderTime{}
 	table := w.state.Table()
 	s.ApplyTable(&table)
 }
--- a/internal/rollout/model/sidecar.go
+++ b/internal/rollout/model/sidecar.go
@@ -15,11 +15,11 @@
 	route.Process
 	Tenant, Rollout string
 	Budget          balance.CanaryBudget
-	ActingRev       int64        // revision of the table that it acts on
-	CanaryActive    bool         // that table sends requests to the canary
-	LeaseUntil      int64        // end of its canary lease
-	Seq             int64        // of the newest report
-	Stamp           route.Moment // of the newest answer
+	ActingRev       int64            // revision of the table that it acts on
+	CanaryActive    bool             // that table sends requests to the canary
+	LeaseUntil      int64            // end of its canary lease
+	Seq             int64            // of the newest report
+	Stamp           route.LeaderTime // of the newest answer
 }
 
 // ApplyTable takes in a table that is newer than the present one.
--- a/internal/rollout/reports.go
+++ b/internal/rollout/reports.go
@@ -15,7 +15,7 @@
 // table.
 func (c *Controller) Report(now int64, s *State, r *route.Report) route.ReportResponse {
 	c.sync(now, s)
-	answer := route.ReportResponse{Stamp: route.Moment{Leader: c.options.Leader, MS: c.now}, NewestRev: s.Rev()}
+	answer := route.ReportResponse{Stamp: route.LeaderTime{Leader: c.options.Leader, MS: c.now}, NewestRev: s.Rev()}
 	if answer.Reason = checkReport(r); answer.Reason != "" {
 		return answer
 	}
--- a/internal/route/bind.go
+++ b/internal/route/bind.go
@@ -29,11 +29,11 @@
 // Bind translates a table to a balancer's numbers, and returns messages on what it skipped, as the settings do not name
 // it. A name that is not known never widens a route: an unknown zone or model has no server, no requests go to a canary
 // whose classes are all unknown, and a route whose tenant is unknown is left out.
-func Bind(t *Table, n Names) (balance.Routes, []string) {
+func Bind(t *Table, n NameIndexes) (balance.Routes, []string) {
 	b := binder{names: n}
 	out := balance.Routes{Rev: t.Rev}
 	for i := range t.Routes {
-		if r, ok := b.route(&t.Routes[i]); ok {
+		if r, ok := b.bindRoute(&t.Routes[i]); ok {
 			out.List = append(out.List, r)
 		}
 	}
@@ -45,51 +45,51 @@
 
 // binder binds the routes of one table.
 type binder struct {
-	names        Names
+	names        NameIndexes
 	tenant       string
 	skipped      []string
 	skippedCount int
 }
 
-func (b *binder) skip(format string, args ...any) {
+func (b *binder) skipf(format string, args ...any) {
 	if b.skippedCount++; b.skippedCount <= maxSkipped {
 		b.skipped = append(b.skipped, fmt.Sprintf("route of tenant %q: ", b.tenant)+fmt.Sprintf(format, args...))
 	}
 }
 
-func (b *binder) route(r *Route) (balance.Route, bool) {
+func (b *binder) bindRoute(r *Route) (balance.Route, bool) {
 	b.tenant = r.Tenant
 	tenant, ok := b.names.Tenants[r.Tenant]
 	switch {
 	case r.Tenant == "" && len(b.names.Tenants) > 0:
-		b.skip("left out, as the settings name tenants")
+		b.skipf("left out, as the settings name tenants")
 		return balance.Route{}, false
 	case r.Tenant == "":
 		tenant = -1
 	case !ok:
-		b.skip("left out, as the settings do not name the tenant")
+		b.skipf("left out, as the settings do not name the tenant")
 		return balance.Route{}, false
 	}
-	out := balance.Route{Tenant: tenant, Base: b.subset("base", &r.Base)}
+	out := balance.Route{Tenant: tenant, Base: b.bindSubset("base", &r.Base)}
 	if r.Rollout == "" {
 		return out, true
 	}
-	out.Canary, out.CanaryFraction, out.ID = b.subset("canary", &r.Canary), r.Share, RolloutID(r.Tenant, r.Rollout)
+	out.Canary, out.CanaryFraction, out.ID = b.bindSubset("canary", &r.Canary), r.Share, RolloutID(r.Tenant, r.Rollout)
 	out.Budgeted, out.LateIsFailure = r.Budget, r.Late
-	if out.Classes, ok = b.classes(r.Classes); !ok {
+	if out.Classes, ok = b.bindClasses(r.Classes); !ok {
 		// The canary stays, so that the base leaves its servers out, as it does for a reader of schema 1, which knows no
 		// classes.
 		out.CanaryFraction = 0
-		b.skip("no requests go to the canary, as the settings name none of its classes")
+		b.skipf("no requests go to the canary, as the settings name none of its classes")
 	}
 	return out, true
 }
 
-// classes are the numbers of classes. It is not ok where all are unknown, as an empty list would select all classes.
-func (b *binder) classes(names []string) (numbers []int, ok bool) {
+// bindClasses are the numbers of bindClasses. It is not ok where all are unknown, as an empty list would select all bindClasses.
+func (b *binder) bindClasses(names []string) (numbers []int, ok bool) {
 	for _, name := range names {
 		if class, known := b.names.Classes[name]; !known {
-			b.skip("class %q is none of the settings'", name)
+			b.skipf("class %q is none of the settings'", name)
 		} else if !slices.Contains(numbers, class) {
 			numbers = append(numbers, class)
 		}
@@ -97,14 +97,14 @@
 	return numbers, len(numbers) > 0 || len(names) == 0
 }
 
-func (b *binder) subset(which string, s *Subset) balance.Subset {
+func (b *binder) bindSubset(which string, s *Subset) balance.Subset {
 	out := balance.Subset{
 		Kinds: b.numbersOf(which+".model", s.Model, b.names.Kinds), Cells: slices.Clone(nilIfEmpty(s.PodGroup)),
 		Zones: b.numbersOf(which+".az", s.Zone, b.names.Zones),
 	}
 	for _, uid := range s.UID {
 		if b.names.Server == nil {
-			b.skip("%s.uid: servers are not known by uid here", which)
+			b.skipf("%s.uid: servers are not known by uid here", which)
 			out.Kinds = []int{matchesNothing}
 			break
 		}
@@ -118,7 +118,7 @@
 	for _, name := range names {
 		number, ok := known[name]
 		if !ok {
-			b.skip("%s: %q is none of the settings', so no server has it", where, name)
+			b.skipf("%s: %q is none of the settings', so no server has it", where, name)
 			number = matchesNothing
 		}
 		list = append(list, number)
--- a/internal/route/bind_test.go
+++ b/internal/route/bind_test.go
@@ -19,8 +19,8 @@
 	return balance.ServerID(h.Sum64())
 }
 
-func testNames() Names {
-	return Names{
+func testNames() NameIndexes {
+	return NameIndexes{
 		Tenants: map[string]int{"a": 0, "b": 1, "c": 2}, Classes: map[string]int{"gold": 0, "silver": 1, "other": 2},
 		Zones: map[string]int{"east": 0, "west": 1}, Kinds: map[string]int{"m4": 0, "m5": 1}, Server: serverID,
 	}
@@ -64,7 +64,7 @@
 
 func TestBind_noTenants(t *testing.T) {
 	table := &Table{Rev: 1, Routes: []Route{{Base: Subset{UID: []string{"u"}}}, {Tenant: "a"}}}
-	got, skipped := Bind(table, Names{})
+	got, skipped := Bind(table, NameIndexes{})
 	want := []balance.Route{{Tenant: -1, Base: balance.Subset{Kinds: []int{math.MinInt}}}}
 	if diff := cmp.Diff(want, got.List); diff != "" || len(skipped) != 2 {
 		t.Error(diff, skipped)
@@ -73,7 +73,7 @@
 
 // TestBind_unknownNames: names that the settings lack never widen a subset, or the classes of a canary, to all.
 func TestBind_unknownNames(t *testing.T) {
-	names := Names{Tenants: testNames().Tenants}
+	names := NameIndexes{Tenants: testNames().Tenants}
 	for _, s := range []Subset{{Zone: []string{"east"}}, {Model: []string{"m4"}}, {UID: []string{"u"}}, {PodGroup: []int{1}}} {
 		table := &Table{Rev: 1, Routes: []Route{{Tenant: "a", Base: s, Canary: s, Share: 1, Rollout: "r"}}}
 		r, _ := Bind(table, names)
@@ -93,7 +93,7 @@
 	for i := range MaxEntries {
 		table.Routes = append(table.Routes, Route{Tenant: fmt.Sprint(i)})
 	}
-	if _, skipped := Bind(table, Names{}); len(skipped) != maxSkipped+1 || skipped[maxSkipped] != "and 9900 more" {
+	if _, skipped := Bind(table, NameIndexes{}); len(skipped) != maxSkipped+1 || skipped[maxSkipped] != "and 9900 more" {
 		t.Error(len(skipped), skipped[len(skipped)-1])
 	}
 }
--- a/internal/route/checks.go
+++ b/internal/route/checks.go
@@ -44,8 +44,8 @@
 	return nil
 }
 
-// checkRevs checks the revisions of a table: the closed one is below the other, except in the table before any change.
-func checkRevs(rev, closed int64, routes int) error {
+// checkRevisions checks the revisions of a table: the closed one is below the other, except in the table before any change.
+func checkRevisions(rev, closed int64, routes int) error {
 	switch {
 	case rev < 0:
 		return fieldErrorf("rev", "%d is negative", rev)
--- a/internal/route/compare.go
+++ b/internal/route/compare.go
@@ -39,7 +39,7 @@
 // Compare says how a reader of an older schema reads a table, and why where it reads it differently or not at all. A
 // route's classes count as a difference unless no requests go to its canary: only sidecars know which classes there are,
 // so even a list of all classes is taken to leave one out.
-func Compare(t *Table, older int) (Verdict, []Finding) { return compare(t, older, Declared()) }
+func Compare(t *Table, older int) (Verdict, []Finding) { return compare(t, older, DeclaredFields()) }
 
 func compare(t *Table, older int, fields []Field) (Verdict, []Finding) {
 	if older < 1 {
--- a/internal/route/decisions_test.go
+++ b/internal/route/decisions_test.go
@@ -149,7 +149,7 @@
 }
 
 // differOnRandomEvents reports whether the two readings differ on events of all kinds.
-func differOnRandomEvents(seed int64, names Names, servers []balance.Server, older, newer balance.Routes) (bool, error) {
+func differOnRandomEvents(seed int64, names NameIndexes, servers []balance.Server, older, newer balance.Routes) (bool, error) {
 	p := newBalancerPair(seed, len(names.Tenants))
 	same := p.err == nil && p.start(servers, older, newer)
 	for range 400 {
@@ -160,7 +160,7 @@
 
 // differOnRequests reports whether the two readings differ on n requests of one tenant and class, which are all answered.
 func differOnRequests(
-	n uint64, tenant, class int, names Names, servers []balance.Server, older, newer balance.Routes,
+	n uint64, tenant, class int, names NameIndexes, servers []balance.Server, older, newer balance.Routes,
 ) (bool, error) {
 	p := newBalancerPair(1, len(names.Tenants))
 	same := p.err == nil && p.start(servers, older, newer)
@@ -176,14 +176,14 @@
 }
 
 // allNames are settings with each name of drawTable's but the class lost; the class other is in no table.
-func allNames() Names {
+func allNames() NameIndexes {
 	n := testNames()
 	n.Tenants["nobody"], n.Zones["mars"], n.Kinds["m9"] = 3, 2, 2
 	return n
 }
 
 // serversFor are servers of each zone, model and group, among them one that a canary selects.
-func serversFor(n Names, canary Subset) []balance.Server {
+func serversFor(n NameIndexes, canary Subset) []balance.Server {
 	list := []balance.Server{}
 	for zone := range len(n.Zones) {
 		for kind := range len(n.Kinds) {
@@ -240,7 +240,7 @@
 	if v == DifferentReading {
 		return checkDifferentReading(a, b, found)
 	}
-	for i, names := range []Names{testNames(), allNames()} {
+	for i, names := range []NameIndexes{testNames(), allNames()} {
 		older, _ := Bind(a, names)
 		newer, _ := Bind(b, names)
 		differ, err := differOnRandomEvents(seed, names, serversFor(names, Subset{}), older, newer)
@@ -284,7 +284,7 @@
 		table, seed := drawTable(t), rapid.Int64Range(1, 1<<40).Draw(t, "seed")
 		v, _ := Compare(table, 1)
 		seen[v]++
-		if err := checkVerdict(table, Declared(), seed); err != nil {
+		if err := checkVerdict(table, DeclaredFields(), seed); err != nil {
 			t.Fatalf("%+v: %v", table.Routes, err)
 		}
 	})
@@ -297,7 +297,7 @@
 // one that is wrongly said to change no decision. Each is found by the decisions of balancers.
 func TestCompare_wrongDeclarations(t *testing.T) {
 	plant := func(path string, change func(f *Field)) []Field {
-		fields := Declared()
+		fields := DeclaredFields()
 		change(&fields[slices.IndexFunc(fields, func(f Field) bool { return f.Path == path })])
 		return fields
 	}
@@ -312,7 +312,7 @@
 		"a note matters":            {noted, plant("routes[].note", func(f *Field) { f.Rule = MustUnderstand })},
 	} {
 		table := &Table{Rev: 2, Routes: []Route{c.route}}
-		if err := checkVerdict(table, Declared(), 1); err != nil {
+		if err := checkVerdict(table, DeclaredFields(), 1); err != nil {
 			t.Errorf("as declared: %v", err)
 		}
 		if err := checkVerdict(table, c.fields, 1); !errors.Is(err, errWrongVerdict) {
--- a/internal/route/document.go
+++ b/internal/route/document.go
@@ -37,14 +37,14 @@
 	}
 	newer := head.Schema > version
 	if min(head.Schema, version) == 1 {
-		return read1(text, newer)
+		return readSchema1(text, newer)
 	}
-	return read2(text, newer)
+	return readSchema2(text, newer)
 }
 
 // Write writes a table in a schema, sorted by tenant: of tables that mean the same it writes the same bytes. The error is
 // an UnwritableError where the schema cannot express the table, and a FieldError where the table itself is invalid.
-func Write(t *Table, version int) ([]byte, error) { return write(t, version, Declared()) }
+func Write(t *Table, version int) ([]byte, error) { return write(t, version, DeclaredFields()) }
 
 func write(t *Table, version int, fields []Field) ([]byte, error) {
 	if version < 1 || version > Newest {
--- a/internal/route/document_test.go
+++ b/internal/route/document_test.go
@@ -238,7 +238,7 @@
 
 func TestFields_declared(t *testing.T) {
 	for i, doc := range []any{document1{}, document2{}} {
-		for _, fault := range declarationFaults(doc, i+1, Declared()) {
+		for _, fault := range declarationFaults(doc, i+1, DeclaredFields()) {
 			t.Errorf("schema %d: %s", i+1, fault)
 		}
 	}
@@ -247,11 +247,11 @@
 		document2
 		Hedge float64 `json:"hedge"`
 	}
-	without := slices.DeleteFunc(Declared(), func(f Field) bool { return f.Path == "routes[].note" })
-	with := append(Declared(), Field{Path: "routes[].hedge", Since: 2})
+	without := slices.DeleteFunc(DeclaredFields(), func(f Field) bool { return f.Path == "routes[].note" })
+	with := append(DeclaredFields(), Field{Path: "routes[].hedge", Since: 2})
 	for name, faults := range map[string][]string{
-		"a new field": declarationFaults(planted{}, 2, Declared()), "a lost declaration": declarationFaults(document2{}, 2, without),
-		"a lost field": declarationFaults(document2{}, 2, with), "a field in an older schema": declarationFaults(document2{}, 1, Declared()),
+		"a new field": declarationFaults(planted{}, 2, DeclaredFields()), "a lost declaration": declarationFaults(document2{}, 2, without),
+		"a lost field": declarationFaults(document2{}, 2, with), "a field in an older schema": declarationFaults(document2{}, 1, DeclaredFields()),
 	} {
 		if len(faults) == 0 {
 			t.Errorf("%s is not found", name)
--- a/internal/route/fields.go
+++ b/internal/route/fields.go
@@ -26,14 +26,14 @@
 	Since int    // the first schema that has it
 	Rule  Rule
 
-	effectOfLoss func(r *Route) string // what a reader that does not know the field does with r; nil: no words
+	describeLoss func(r *Route) string // what a reader that does not know the field does with r; nil: no words
 	unused       func(r *Route) bool   // the field is set but changes no decision of r; nil: it always may
 }
 
-// Declared are all fields of the newest schema. Those of an older schema are the ones with Since up to it.
-func Declared() []Field {
+// DeclaredFields are all fields of the newest schema. Those of an older schema are the ones with Since up to it.
+func DeclaredFields() []Field {
 	list := []Field{
-		{Path: "routes[].classes", Since: 2, Rule: MustUnderstand, unused: hasNoCanary, effectOfLoss: classesLost},
+		{Path: "routes[].classes", Since: 2, Rule: MustUnderstand, unused: hasNoCanary, describeLoss: describeClassesLoss},
 		{Path: "routes[].note", Since: 2, Rule: Ignorable},
 	}
 	for _, path := range []string{
@@ -52,7 +52,7 @@
 
 func hasNoCanary(r *Route) bool { return r.Rollout == "" || r.Share == 0 }
 
-func classesLost(r *Route) string {
+func describeClassesLoss(r *Route) string {
 	return "sends requests of all classes to the canary, not those of " + strings.Join(r.Classes, ", ") + " alone"
 }
 
@@ -68,7 +68,7 @@
 type fieldUse struct {
 	declaredPath string // as Field.Path has it
 	path         string // in the document
-	route        int    // index in routes; outsideRoutes
+	routeIndex   int    // index in routes; outsideRoutes
 }
 
 // usedFields lists the fields that a document sets.
@@ -106,7 +106,7 @@
 		if f.Since <= older || f.Rule == Ignorable {
 			continue
 		}
-		if u.route >= 0 && f.unused != nil && f.unused(&t.Routes[u.route]) {
+		if u.routeIndex >= 0 && f.unused != nil && f.unused(&t.Routes[u.routeIndex]) {
 			unused++
 			continue
 		}
@@ -117,11 +117,11 @@
 
 func lossFinding(t *Table, u fieldUse, f *Field, older int) Finding {
 	effect, whose := "passes this field over", ""
-	if u.route >= 0 {
-		r := &t.Routes[u.route]
+	if u.routeIndex >= 0 {
+		r := &t.Routes[u.routeIndex]
 		whose = fmt.Sprintf("tenant %q: ", r.Tenant)
-		if f.effectOfLoss != nil {
-			effect = f.effectOfLoss(r)
+		if f.describeLoss != nil {
+			effect = f.describeLoss(r)
 		}
 	}
 	return Finding{
--- a/internal/route/parser.go
+++ b/internal/route/parser.go
@@ -43,10 +43,10 @@
 	}
 	p := &parser{dec: json.NewDecoder(bytes.NewReader(text)), skipUnknown: newer, layouts: map[reflect.Type]structLayout{}}
 	p.dec.UseNumber()
-	return p.value("", reflect.ValueOf(into).Elem())
+	return p.parseValue("", reflect.ValueOf(into).Elem())
 }
 
-func (p *parser) value(path string, v reflect.Value) error {
+func (p *parser) parseValue(path string, v reflect.Value) error {
 	tok, err := p.dec.Token()
 	if err != nil {
 		return fieldErrorf(path, "%v", err)
@@ -54,26 +54,26 @@
 	switch v.Kind() {
 	case reflect.Struct:
 		if tok == json.Delim('{') {
-			return p.object(path, v)
+			return p.parseObject(path, v)
 		}
-		return fieldErrorf(path, "%s is not an object", describe(tok))
+		return fieldErrorf(path, "%s is not an object", describeToken(tok))
 	case reflect.Slice:
 		if tok == json.Delim('[') {
-			return p.list(path, v)
+			return p.parseList(path, v)
 		}
-		return fieldErrorf(path, "%s is not a list", describe(tok))
+		return fieldErrorf(path, "%s is not a list", describeToken(tok))
 	case reflect.String:
 		if s, ok := tok.(string); ok {
 			v.SetString(s)
 			return nil
 		}
-		return fieldErrorf(path, "%s is not a string", describe(tok))
+		return fieldErrorf(path, "%s is not a string", describeToken(tok))
 	case reflect.Bool:
 		if b, ok := tok.(bool); ok {
 			v.SetBool(b)
 			return nil
 		}
-		return fieldErrorf(path, "%s is neither true nor false", describe(tok))
+		return fieldErrorf(path, "%s is neither true nor false", describeToken(tok))
 	}
 	return parseNumber(path, tok, v)
 }
@@ -81,25 +81,25 @@
 func parseNumber(path string, tok json.Token, v reflect.Value) error {
 	n, ok := tok.(json.Number)
 	if !ok {
-		return fieldErrorf(path, "%s is not a number", describe(tok))
+		return fieldErrorf(path, "%s is not a number", describeToken(tok))
 	}
 	if v.Kind() == reflect.Float64 {
 		f, err := strconv.ParseFloat(n.String(), 64)
 		if err != nil {
-			return fieldErrorf(path, "%s is out of range", describe(tok))
+			return fieldErrorf(path, "%s is out of range", describeToken(tok))
 		}
 		v.SetFloat(f + 0) // makes 0 of -0
 		return nil
 	}
 	i, err := strconv.ParseInt(n.String(), 10, 64)
 	if err != nil || v.OverflowInt(i) {
-		return fieldErrorf(path, "%s is not a whole number of 64 bits", describe(tok))
+		return fieldErrorf(path, "%s is not a whole number of 64 bits", describeToken(tok))
 	}
 	v.SetInt(i)
 	return nil
 }
 
-func (p *parser) object(path string, v reflect.Value) error {
+func (p *parser) parseObject(path string, v reflect.Value) error {
 	l := p.layoutOf(v.Type())
 	seen := map[string]bool{}
 	for p.dec.More() {
@@ -116,7 +116,7 @@
 		i, known := l.index[name]
 		switch {
 		case known:
-			err = p.value(at, v.Field(i))
+			err = p.parseValue(at, v.Field(i))
 		case p.skipUnknown:
 			var skipped json.RawMessage
 			err = p.dec.Decode(&skipped)
@@ -136,14 +136,14 @@
 	return err
 }
 
-func (p *parser) list(path string, v reflect.Value) error {
+func (p *parser) parseList(path string, v reflect.Value) error {
 	for i := 0; p.dec.More(); i++ {
 		if i == MaxEntries {
 			return fieldErrorf(path, "it has more than %d entries", MaxEntries)
 		}
 		v.Grow(1)
 		v.SetLen(i + 1)
-		if err := p.value(fmt.Sprintf("%s[%d]", path, i), v.Index(i)); err != nil {
+		if err := p.parseValue(fmt.Sprintf("%s[%d]", path, i), v.Index(i)); err != nil {
 			return err
 		}
 	}
@@ -177,7 +177,7 @@
 	return path + "." + name
 }
 
-func describe(tok json.Token) string {
+func describeToken(tok json.Token) string {
 	switch v := tok.(type) {
 	case nil:
 		return "null"
--- a/internal/route/protocol.go
+++ b/internal/route/protocol.go
@@ -16,8 +16,8 @@
 	Start int64  `json:"start"`
 }
 
-// Moment is a time on one leader's clock; another leader cannot read it.
-type Moment struct {
+// LeaderTime is a time on one leader's clock; another leader cannot read it.
+type LeaderTime struct {
 	Leader string `json:"leader"` // its name and the number of its start
 	MS     int64  `json:"ms"`     // monotonic
 }
@@ -26,18 +26,18 @@
 // arrive twice, late, or not at all. It is made after Echo was received and before it is sent.
 type Report struct {
 	Process
-	Seq             int64   `json:"seq"`              // from 1
-	Echo            Moment  `json:"echo"`             // stamp of the newest response
-	Version         string  `json:"version"`          // of the program
-	Config          string  `json:"config"`           // digest of the configuration, in hexadecimal
-	Schemas         []int   `json:"schemas"`          // that the process reads
-	ListRev         int64   `json:"list_rev"`         // revision of the server list that it acts on
-	AcknowledgedRev int64   `json:"have"`             // revision of the routes that it acts on; it never falls
-	UnreadableRev   int64   `json:"unread"`           // a newer one that it cannot read; 0: none
-	NoLease         bool    `json:"held,omitempty"`   // it has no canary lease at this moment
-	Counts          []Count `json:"counts,omitempty"` // by growing revision
-	CountsTruncated bool    `json:"cut,omitempty"`    // too many counts: those of the oldest revisions are left out
-	LostSamples     int64   `json:"lost,omitempty"`   // samples of its event loop that were dropped
+	Seq             int64      `json:"seq"`              // from 1
+	Echo            LeaderTime `json:"echo"`             // stamp of the newest response
+	Version         string     `json:"version"`          // of the program
+	Config          string     `json:"config"`           // digest of the configuration, in hexadecimal
+	Schemas         []int      `json:"schemas"`          // that the process reads
+	ListRev         int64      `json:"list_rev"`         // revision of the server list that it acts on
+	AcknowledgedRev int64      `json:"have"`             // revision of the routes that it acts on; it never falls
+	UnreadableRev   int64      `json:"unread"`           // a newer one that it cannot read; 0: none
+	NoLease         bool       `json:"held,omitempty"`   // it has no canary lease at this moment
+	Counts          []Count    `json:"counts,omitempty"` // by growing revision
+	CountsTruncated bool       `json:"cut,omitempty"`    // too many counts: those of the oldest revisions are left out
+	LostSamples     int64      `json:"lost,omitempty"`   // samples of its event loop that were dropped
 }
 
 // Count is how many attempts a process has made under one revision for one tenant and side. Attempts without a lease
@@ -56,9 +56,9 @@
 
 // ReportResponse is the leader's answer to a Report.
 type ReportResponse struct {
-	Stamp     Moment `json:"stamp"`
-	NewestRev int64  `json:"rev"`     // of the table
-	LeaseMS   int64  `json:"term_ms"` // canary lease, counted from when the report was made; 0: none
+	Stamp     LeaderTime `json:"stamp"`
+	NewestRev int64      `json:"rev"`     // of the table
+	LeaseMS   int64      `json:"term_ms"` // canary lease, counted from when the report was made; 0: none
 	// Resync tells a process that is behind for too long to break its watch. Table is then the whole document, in a
 	// schema that the process reads.
 	Resync bool            `json:"anew,omitempty"`
--- a/internal/route/protocol_test.go
+++ b/internal/route/protocol_test.go
@@ -14,13 +14,13 @@
 	p := Process{Name: "sidecar-1", Start: 1764720000000000001}
 	return []any{
 		&Report{
-			Process: p, Seq: 3, Echo: Moment{Leader: "a@1", MS: 50}, Version: "v", Config: "c0ffee", Schemas: []int{1, 2},
+			Process: p, Seq: 3, Echo: LeaderTime{Leader: "a@1", MS: 50}, Version: "v", Config: "c0ffee", Schemas: []int{1, 2},
 			ListRev: 4, AcknowledgedRev: 5, UnreadableRev: 6, NoLease: true, CountsTruncated: true, LostSamples: 7,
 			Counts: []Count{{Rev: 5, Tenant: "t", Canary: true, Started: 9, Ended: 8, Failed: 2, Late: 1}},
 		},
 		&Report{},
 		&ReportResponse{
-			Stamp: Moment{Leader: "a@1", MS: 60}, NewestRev: 5, LeaseMS: 5000, Resync: true,
+			Stamp: LeaderTime{Leader: "a@1", MS: 60}, NewestRev: 5, LeaseMS: 5000, Resync: true,
 			Table:  json.RawMessage(`{"schema":1}`),
 			Reason: "a reason", NewestStart: 8,
 		},
--- a/internal/route/route.go
+++ b/internal/route/route.go
@@ -36,8 +36,8 @@
 	UID      []string `json:"uid,omitempty" toml:"uid"`
 }
 
-// Names are the numbers by which a sidecar's balancer knows what its settings name.
-type Names struct {
+// NameIndexes are the numbers by which a sidecar's balancer knows what its settings name.
+type NameIndexes struct {
 	Tenants, Classes, Zones, Kinds map[string]int
 	Server                         func(uid string) balance.ServerID
 }
--- a/internal/route/schema1.go
+++ b/internal/route/schema1.go
@@ -36,8 +36,8 @@
 	UID      []string `json:"uid,omitempty"`
 }
 
-// read1 reads a document of schema 1, or a newer one that says that readers of schema 1 read it the same.
-func read1(text []byte, newer bool) (*Table, error) {
+// readSchema1 reads a document of schema 1, or a newer one that says that readers of schema 1 read it the same.
+func readSchema1(text []byte, newer bool) (*Table, error) {
 	var d document1
 	if err := parseDocument(text, &d, newer); err != nil {
 		return nil, err
@@ -58,7 +58,7 @@
 }
 
 func (d *document1) check() error {
-	if err := checkRevs(d.Rev, d.Closed, len(d.Routes)); err != nil {
+	if err := checkRevisions(d.Rev, d.Closed, len(d.Routes)); err != nil {
 		return err
 	}
 	seen := make(map[string]int, len(d.Routes))
--- a/internal/route/schema2.go
+++ b/internal/route/schema2.go
@@ -40,8 +40,8 @@
 	UID      []string `json:"uid,omitempty"`
 }
 
-// read2 reads a document of schema 2, or a newer one that says that readers of schema 2 read it the same.
-func read2(text []byte, newer bool) (*Table, error) {
+// readSchema2 reads a document of schema 2, or a newer one that says that readers of schema 2 read it the same.
+func readSchema2(text []byte, newer bool) (*Table, error) {
 	var d document2
 	if err := parseDocument(text, &d, newer); err != nil {
 		return nil, err
@@ -63,7 +63,7 @@
 }
 
 func (d *document2) check() error {
-	if err := checkRevs(d.Rev, d.Closed, len(d.Routes)); err != nil {
+	if err := checkRevisions(d.Rev, d.Closed, len(d.Routes)); err != nil {
 		return err
 	}
 	seen := make(map[string]int, len(d.Routes))
--- a/internal/routeclient/attempts.go
+++ b/internal/routeclient/attempts.go
@@ -2,14 +2,14 @@
 
 // This file is the last check of an attempt before its first byte.
 
-// Begin checks what an attempt was decided on, right before its first byte is written. It returns the revision under
+// StartAttempt checks what an attempt was decided on, right before its first byte is written. It returns the revision under
 // which the attempt counts, and counts it in the same moment; if it is not ok the attempt must not begin. A canary attempt
 // begins under the revision that is acted on, during a lease; any other one begins under that revision, or without a lease
 // under 0. An attempt that was decided on without a lease, for which rev is 0, begins under 0 in any case.
 //
 // An attempt that moves to another connection is checked and counted again, so that the counts are never below what has
 // begun.
-func (c *Client) Begin(rev int64, tenant string, canary bool) (counted int64, ok bool) {
+func (c *Client) StartAttempt(rev int64, tenant string, canary bool) (counted int64, ok bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if counted, ok = c.countedRev(rev, canary); ok {
@@ -18,10 +18,10 @@
 	return counted, ok
 }
 
-// BeginAs is Begin for an attempt whose head, already written, names the revision under which it counts. If it would count
+// StartAttemptAs is Begin for an attempt whose head, already written, names the revision under which it counts. If it would count
 // under another one it must not begin, and is not counted. Check and count are one step: a count that is taken back would
 // make the counts fall.
-func (c *Client) BeginAs(rev int64, tenant string, canary bool, counted int64) (ok bool) {
+func (c *Client) StartAttemptAs(rev int64, tenant string, canary bool, counted int64) (ok bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if now, ok := c.countedRev(rev, canary); !ok || now != counted {
--- a/internal/routeclient/attempts_test.go
+++ b/internal/routeclient/attempts_test.go
@@ -32,30 +32,30 @@
 		{"canary decided on without a lease", 0, 0, true, 0, false},
 	} {
 		client.clock.advance(c.passed)
-		under, ok := client.Begin(c.rev, "a", c.canary)
+		under, ok := client.StartAttempt(c.rev, "a", c.canary)
 		require.Equal(t, []any{c.under, c.ok}, []any{under, ok}, c.name)
 	}
-	client.ActOn(4)
+	client.SetActingRev(4)
 	require.EqualValues(t, 5, client.Status().ActingRev, "the revision fell")
 	require.Equal(t, []route.Count{
 		{Tenant: "a", Started: 2}, {Rev: 5, Tenant: "a", Started: 1}, {Rev: 5, Tenant: "a", Canary: true, Started: 2},
-	}, client.makeReport(1, route.Moment{}).Counts)
+	}, client.makeReport(1, route.LeaderTime{}).Counts)
 }
 
 // TestBeginAs_headWritten: an attempt that would count under another revision than its head says does not begin, and is
 // not counted whatever the order of checks and reports.
 func TestBeginAs_headWritten(t *testing.T) {
 	client := newLeasedClient(t, 5, time.Second)
-	require.True(t, client.BeginAs(5, "a", false, 5))
-	require.False(t, client.BeginAs(4, "a", false, 5), "an older revision")
+	require.True(t, client.StartAttemptAs(5, "a", false, 5))
+	require.False(t, client.StartAttemptAs(4, "a", false, 5), "an older revision")
 	client.clock.advance(time.Second)
-	require.False(t, client.BeginAs(5, "a", false, 5), "the lease has expired")
-	require.False(t, client.BeginAs(5, "a", true, 0), "no canary without a lease")
+	require.False(t, client.StartAttemptAs(5, "a", false, 5), "the lease has expired")
+	require.False(t, client.StartAttemptAs(5, "a", true, 0), "no canary without a lease")
 	counted := []route.Count{{Rev: 5, Tenant: "a", Started: 1}}
-	require.Equal(t, counted, client.makeReport(1, route.Moment{}).Counts)
-	require.True(t, client.BeginAs(5, "a", false, 0), "the head was written after the lease")
+	require.Equal(t, counted, client.makeReport(1, route.LeaderTime{}).Counts)
+	require.True(t, client.StartAttemptAs(5, "a", false, 0), "the head was written after the lease")
 	client.setLease(client.clock.Now(), time.Second)
-	require.False(t, client.BeginAs(5, "a", false, 0), "a lease came after the head was written")
+	require.False(t, client.StartAttemptAs(5, "a", false, 0), "a lease came after the head was written")
 	counted = append([]route.Count{{Tenant: "a", Started: 1}}, counted...)
-	require.Equal(t, counted, client.makeReport(2, route.Moment{}).Counts)
+	require.Equal(t, counted, client.makeReport(2, route.LeaderTime{}).Counts)
 }
--- a/internal/routeclient/budgets.go
+++ b/internal/routeclient/budgets.go
@@ -12,8 +12,8 @@
 // budgetKey names a budget.
 type budgetKey struct{ tenant, rollout string }
 
-// budgetHolder is the state of the duty to hold budgets.
-type budgetHolder struct {
+// budgetRequester is the state of the duty to hold budgets.
+type budgetRequester struct {
 	client        *Client
 	caller        caller
 	reportedSpent map[budgetKey]int64 // as of the newest answered request
@@ -24,9 +24,9 @@
 	failing       bool
 }
 
-// holdBudgets requests units, and settles what was spent or is returned, until ctx ends; then once more.
-func (c *Client) holdBudgets(ctx context.Context) {
-	h := budgetHolder{
+// requestBudgets requests units, and settles what was spent or is returned, until ctx ends; then once more.
+func (c *Client) requestBudgets(ctx context.Context) {
+	h := budgetRequester{
 		client: c, caller: caller{client: c}, minInterval: c.timings.minBudgetInterval,
 		backoff: c.newBackoff(c.timings.budgetInterval),
 	}
@@ -35,7 +35,7 @@
 	for {
 		select {
 		case <-ctx.Done():
-			h.settleFinally(ctx)
+			h.sendFinalRequest(ctx)
 			return
 		case <-timer.C:
 		case <-c.sampleOffered:
@@ -52,8 +52,8 @@
 	}
 }
 
-// settleFinally settles once more after ctx has ended.
-func (h *budgetHolder) settleFinally(ctx context.Context) {
+// sendFinalRequest settles once more after ctx has ended.
+func (h *budgetRequester) sendFinalRequest(ctx context.Context) {
 	budgets := h.demand().budgets
 	if len(budgets) == 0 || h.failing {
 		return
@@ -66,29 +66,29 @@
 
 // budgetDemand is what the next request says, and why it is urgent.
 type budgetDemand struct {
-	budgets    []route.BudgetState
-	needsUnits bool // an attempt lacked a unit
-	unreported bool // more was spent than the service knows
+	budgets               []route.BudgetState
+	needsUnits            bool // an attempt lacked a unit
+	hasUnreportedSpending bool // more was spent than the service knows
 }
 
-func (h *budgetHolder) demand() budgetDemand {
+func (h *budgetRequester) demand() budgetDemand {
 	c := h.client
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.drainSamples()
 	d := budgetDemand{budgets: c.newestSample.Budgets, needsUnits: c.needsUnits}
 	for _, b := range d.budgets {
-		d.unreported = d.unreported || b.Spent > h.reportedSpent[budgetKey{b.Tenant, b.Rollout}]
+		d.hasUnreportedSpending = d.hasUnreportedSpending || b.Spent > h.reportedSpent[budgetKey{b.Tenant, b.Rollout}]
 	}
 	return d
 }
 
 // interval is the time from the last request to the next one.
-func (h *budgetHolder) interval(d budgetDemand) time.Duration {
+func (h *budgetRequester) interval(d budgetDemand) time.Duration {
 	switch {
 	case h.failing:
 		return h.minInterval
-	case d.unreported:
+	case d.hasUnreportedSpending:
 		return h.client.timings.minBudgetInterval
 	case d.needsUnits:
 		return h.minInterval
@@ -97,7 +97,7 @@
 }
 
 // requestOnce sends a request, and returns the time until the next one is looked at.
-func (h *budgetHolder) requestOnce(ctx context.Context, d budgetDemand) (next time.Duration) {
+func (h *budgetRequester) requestOnce(ctx context.Context, d budgetDemand) (next time.Duration) {
 	timings := &h.client.timings
 	gained, err := h.request(ctx, d.budgets)
 	h.lastRequestAt = time.Now()
@@ -120,7 +120,7 @@
 }
 
 // request sends one request, and reports whether more was granted than before.
-func (h *budgetHolder) request(ctx context.Context, budgets []route.BudgetState) (gained bool, err error) {
+func (h *budgetRequester) request(ctx context.Context, budgets []route.BudgetState) (gained bool, err error) {
 	c := h.client
 	c.mu.Lock()
 	c.needsUnits = false // a need from here on belongs to the next request
@@ -130,7 +130,7 @@
 	if err := h.caller.post(ctx, route.BudgetsPath, &request, &answer); err != nil {
 		return false, err
 	}
-	h.noteRequested(budgets)
+	h.recordReported(budgets)
 	var grants []route.BudgetGrant
 	for _, grant := range answer.Budgets {
 		key := budgetKey{grant.Tenant, grant.Rollout}
@@ -147,8 +147,8 @@
 	return gained, nil
 }
 
-// noteRequested notes what the service knows of budgets, and forgets those that were not part of the request.
-func (h *budgetHolder) noteRequested(budgets []route.BudgetState) {
+// recordReported notes what the service knows of budgets, and forgets those that were not part of the request.
+func (h *budgetRequester) recordReported(budgets []route.BudgetState) {
 	before := h.granted
 	h.reportedSpent, h.granted = map[budgetKey]int64{}, map[budgetKey]int64{}
 	for _, b := range budgets {
--- a/internal/routeclient/client.go
+++ b/internal/routeclient/client.go
@@ -72,12 +72,12 @@
 	pendingUpdate Update
 	hasUpdate     bool
 
-	heldRev       int64 // of the newest table that was offered to the loop
-	actingRev     int64
-	unreadableRev int64 // newer than heldRev; 0: none
-	garbledLogged bool  // a document without a revision was logged
-	start         int64 // of this process, as it is reported
-	leaseUntil    time.Time
+	offeredRev       int64 // of the newest table that was offered to the loop
+	actingRev        int64
+	unreadableRev    int64 // newer than heldRev; 0: none
+	unparsableLogged bool  // a document without a revision was logged
+	start            int64 // of this process, as it is reported
+	leaseUntil       time.Time
 
 	revisions       map[int64]*revisionCounts
 	revisionOrder   []int64 // of revisions, growing; without 0
@@ -145,7 +145,7 @@
 	var duties sync.WaitGroup
 	duties.Go(func() { c.followTable(ctx) })
 	duties.Go(func() { c.reportPeriodically(ctx) })
-	duties.Go(func() { c.holdBudgets(ctx) })
+	duties.Go(func() { c.requestBudgets(ctx) })
 	duties.Wait()
 	c.httpClient.CloseIdleConnections()
 }
@@ -162,8 +162,8 @@
 	c.breakWatch(errAddrsChanged)
 }
 
-// ActOn says that from now on the loop decides by the table of a revision. The revision never falls.
-func (c *Client) ActOn(rev int64) {
+// SetActingRev says that from now on the loop decides by the table of a revision. The revision never falls.
+func (c *Client) SetActingRev(rev int64) {
 	c.mu.Lock()
 	later := rev > c.actingRev
 	c.actingRev = max(c.actingRev, rev)
@@ -236,7 +236,7 @@
 // offerTable hands a table to the loop, if it is later than the one held.
 func (c *Client) offerTable(table *route.Table) error {
 	c.mu.Lock()
-	if table.Rev <= c.heldRev {
+	if table.Rev <= c.offeredRev {
 		c.mu.Unlock()
 		return nil
 	}
@@ -244,8 +244,8 @@
 		c.mu.Unlock()
 		return errTooManyRevisions
 	}
-	c.heldRev = table.Rev
-	c.garbledLogged = false
+	c.offeredRev = table.Rev
+	c.unparsableLogged = false
 	if c.unreadableRev <= table.Rev {
 		c.unreadableRev = 0
 	}
--- a/internal/routeclient/counts.go
+++ b/internal/routeclient/counts.go
@@ -65,7 +65,7 @@
 }
 
 // makeReport is a report of this moment: the revision acted on, the lease and the counts belong together.
-func (c *Client) makeReport(seq int64, echo route.Moment) route.Report {
+func (c *Client) makeReport(seq int64, echo route.LeaderTime) route.Report {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.drainSamples()
@@ -122,10 +122,10 @@
 	return 1
 }
 
-// reportReceived notes that the leader has a report. Counts of the oldest revisions, beyond minRetainedRevs, are dropped if
+// dropReceivedCounts notes that the leader has a report. Counts of the oldest revisions, beyond minRetainedRevs, are dropped if
 // they are final and received: under a revision before the report's nothing has begun since. Counts that a report had no
 // space for are dropped as well, as there would never be space for them.
-func (c *Client) reportReceived(r *route.Report) {
+func (c *Client) dropReceivedCounts(r *route.Report) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for _, count := range r.Counts {
--- a/internal/routeclient/counts_test.go
+++ b/internal/routeclient/counts_test.go
@@ -29,7 +29,7 @@
 				default:
 				}
 				rev := client.Status().ActingRev
-				if under, ok := client.Begin(rev, "a", true); ok {
+				if under, ok := client.StartAttempt(rev, "a", true); ok {
 					started[under].Add(1)
 				}
 			}
@@ -37,8 +37,8 @@
 	}
 	final := map[int64]int64{}
 	for rev := int64(2); rev <= last; rev++ {
-		client.ActOn(rev)
-		for _, count := range client.makeReport(rev, route.Moment{}).Counts {
+		client.SetActingRev(rev)
+		for _, count := range client.makeReport(rev, route.LeaderTime{}).Counts {
 			if count.Rev < rev {
 				if earlier, known := final[count.Rev]; known {
 					require.Equal(t, earlier, count.Started, "attempts began under %d after a report", count.Rev)
@@ -57,14 +57,14 @@
 // TestSampleRing_full: a full ring drops and counts the oldest sample; the need of units stays, and totals lose nothing.
 func TestSampleRing_full(t *testing.T) {
 	client := newLeasedClient(t, 1, time.Hour)
-	client.Begin(1, "a", true)
+	client.StartAttempt(1, "a", true)
 	for i := range int64(sampleRingSize + 3) {
 		counts := []route.Count{{Rev: 1, Tenant: "a", Canary: true, Ended: i}}
 		client.OfferSample(Sample{ListRev: i, NeedsUnits: i == 1, Counts: counts})
 	}
 	oldest, newest := client.samples.items[client.samples.first], client.samples.items[(client.samples.first+7)%8]
 	require.Equal(t, []int64{3, 10}, []int64{oldest.ListRev, newest.ListRev})
-	r := client.makeReport(1, route.Moment{})
+	r := client.makeReport(1, route.LeaderTime{})
 	require.Equal(t, []int64{3, 10}, []int64{r.LostSamples, r.ListRev})
 	require.Equal(t, []route.Count{{Rev: 1, Tenant: "a", Canary: true, Started: 1, Ended: 10}}, r.Counts)
 	require.True(t, client.needsUnits)
@@ -78,16 +78,16 @@
 	for range maxRevs {
 		rev++
 		require.NoError(t, client.offerTable(&route.Table{Rev: rev}))
-		client.ActOn(rev)
-		_, ok := client.Begin(rev, "a", false)
+		client.SetActingRev(rev)
+		_, ok := client.StartAttempt(rev, "a", false)
 		require.True(t, ok)
 	}
-	r := client.makeReport(1, route.Moment{})
+	r := client.makeReport(1, route.LeaderTime{})
 	require.Len(t, r.Counts, maxRevs)
 	require.ErrorIs(t, client.offerTable(&route.Table{Rev: rev + 1}), errTooManyRevisions)
-	client.reportReceived(&r)
+	client.dropReceivedCounts(&r)
 	require.NoError(t, client.offerTable(&route.Table{Rev: rev + 1}))
-	left := client.makeReport(2, route.Moment{}).Counts
+	left := client.makeReport(2, route.LeaderTime{}).Counts
 	require.Len(t, left, minRetainedRevs)
 	require.Equal(t, rev-minRetainedRevs+1, left[0].Rev)
 }
@@ -97,16 +97,16 @@
 	client := newLeasedClient(t, 1, time.Hour)
 	for rev := int64(1); rev <= 2*maxRevs; rev++ {
 		require.NoError(t, client.offerTable(&route.Table{Rev: rev}), "revision %d", rev)
-		client.ActOn(rev)
+		client.SetActingRev(rev)
 		for tenant := range 200 {
-			_, ok := client.Begin(rev, fmt.Sprint("tenant-", tenant), false)
+			_, ok := client.StartAttempt(rev, fmt.Sprint("tenant-", tenant), false)
 			require.True(t, ok)
 		}
-		r := client.makeReport(rev, route.Moment{})
+		r := client.makeReport(rev, route.LeaderTime{})
 		require.LessOrEqual(t, len(r.Counts), maxCounts)
 		require.Equal(t, rev, r.Counts[len(r.Counts)-1].Rev)
 		require.Equal(t, rev > maxCounts/200, r.CountsTruncated)
-		client.reportReceived(&r)
+		client.dropReceivedCounts(&r)
 	}
 	require.LessOrEqual(t, len(client.revisions), minRetainedRevs+1)
 }
--- a/internal/routeclient/helpers_test.go
+++ b/internal/routeclient/helpers_test.go
@@ -171,16 +171,16 @@
 	})
 	require.NoError(t, err)
 	underTest.timings = timings{
-		watchSilence:        time.Hour,
-		minBackoff:          time.Millisecond,
-		maxBackoff:          4 * time.Millisecond,
-		firstReportInterval: 4 * time.Millisecond,
-		minReportInterval:   time.Millisecond,
-		maxReportInterval:   4 * time.Millisecond,
-		callTimeout:         waitLimit,
-		budgetInterval:      4 * time.Millisecond,
-		minBudgetInterval:   time.Millisecond,
-		finalCallTimeout:    waitLimit,
+		watchTimeout:          time.Hour,
+		minBackoff:            time.Millisecond,
+		maxBackoff:            4 * time.Millisecond,
+		noLeaseReportInterval: 4 * time.Millisecond,
+		minReportInterval:     time.Millisecond,
+		maxReportInterval:     4 * time.Millisecond,
+		callTimeout:           waitLimit,
+		budgetInterval:        4 * time.Millisecond,
+		minBudgetInterval:     time.Millisecond,
+		finalCallTimeout:      waitLimit,
 	}
 	if change != nil {
 		change(underTest)
@@ -244,7 +244,7 @@
 // newLeasedClient makes a client that acts on a revision, with a lease for a term from now.
 func newLeasedClient(t *testing.T, rev int64, term time.Duration) *testClient {
 	client := startClient(t, nil)
-	client.ActOn(rev)
+	client.SetActingRev(rev)
 	client.setLease(client.clock.Now(), term)
 	return client
 }
--- a/internal/routeclient/limits.go
+++ b/internal/routeclient/limits.go
@@ -21,27 +21,27 @@
 
 // timings are the times of the duties. Tests set shorter ones.
 type timings struct {
-	watchSilence        time.Duration // after which a watch is broken; the service sends an empty line each 2 s
-	minBackoff          time.Duration // between failed calls, growing
-	maxBackoff          time.Duration
-	firstReportInterval time.Duration // while no lease is granted
-	minReportInterval   time.Duration
-	maxReportInterval   time.Duration
-	callTimeout         time.Duration // of one report or budget request
-	budgetInterval      time.Duration // between budget requests, where no units are needed
-	minBudgetInterval   time.Duration
-	finalCallTimeout    time.Duration // of the final report and budget request
+	watchTimeout          time.Duration // after which a watch is broken; the service sends an empty line each 2 s
+	minBackoff            time.Duration // between failed calls, growing
+	maxBackoff            time.Duration
+	noLeaseReportInterval time.Duration // while no lease is granted
+	minReportInterval     time.Duration
+	maxReportInterval     time.Duration
+	callTimeout           time.Duration // of one report or budget request
+	budgetInterval        time.Duration // between budget requests, where no units are needed
+	minBudgetInterval     time.Duration
+	finalCallTimeout      time.Duration // of the final report and budget request
 }
 
 var defaultTimings = timings{
-	watchSilence:        5 * time.Second,
-	minBackoff:          100 * time.Millisecond,
-	maxBackoff:          5 * time.Second,
-	firstReportInterval: time.Second,
-	minReportInterval:   100 * time.Millisecond,
-	maxReportInterval:   10 * time.Second,
-	callTimeout:         time.Second,
-	budgetInterval:      time.Second,
-	minBudgetInterval:   50 * time.Millisecond,
-	finalCallTimeout:    200 * time.Millisecond,
+	watchTimeout:          5 * time.Second,
+	minBackoff:            100 * time.Millisecond,
+	maxBackoff:            5 * time.Second,
+	noLeaseReportInterval: time.Second,
+	minReportInterval:     100 * time.Millisecond,
+	maxReportInterval:     10 * time.Second,
+	callTimeout:           time.Second,
+	budgetInterval:        time.Second,
+	minBudgetInterval:     50 * time.Millisecond,
+	finalCallTimeout:      200 * time.Millisecond,
 }
--- a/internal/routeclient/reporter.go
+++ b/internal/routeclient/reporter.go
@@ -15,16 +15,16 @@
 	client   *Client
 	caller   caller
 	seq      int64
-	echo     route.Moment  // stamp of the newest answer
-	term     time.Duration // of the newest answer's lease; 0: none
-	reason   string        // why there was no lease, as logged
-	accepted bool          // the leader has taken this process for the newest of its name
+	echo     route.LeaderTime // stamp of the newest answer
+	term     time.Duration    // of the newest answer's lease; 0: none
+	reason   string           // why there was no lease, as logged
+	accepted bool             // the leader has taken this process for the newest of its name
 }
 
 // reportPeriodically reports until ctx ends, and then once more.
 func (c *Client) reportPeriodically(ctx context.Context) {
 	r := reporter{client: c, caller: caller{client: c}}
-	backoff, failing := c.newBackoff(c.timings.firstReportInterval), false
+	backoff, failing := c.newBackoff(c.timings.noLeaseReportInterval), false
 	for {
 		err := r.report(ctx)
 		interval := r.interval()
@@ -54,7 +54,7 @@
 func (r *reporter) interval() time.Duration {
 	timings := &r.client.timings
 	if r.term <= 0 {
-		return timings.firstReportInterval
+		return timings.noLeaseReportInterval
 	}
 	return min(max(r.term/reportsPerTerm, timings.minReportInterval), timings.maxReportInterval)
 }
@@ -75,7 +75,7 @@
 	}
 	r.reason = answer.Reason
 	r.raiseStart(answer.NewestStart)
-	r.client.reportReceived(&report)
+	r.client.dropReceivedCounts(&report)
 	r.client.setLease(requestedAt, r.term)
 	if answer.Resync {
 		r.client.resync(answer.Table)
--- a/internal/routeclient/reporter_test.go
+++ b/internal/routeclient/reporter_test.go
@@ -31,14 +31,14 @@
 	}
 	service.report.Store(&answer)
 	client := startClient(t, func(s *Client) { // the second report follows from the rejection
-		s.timings.firstReportInterval, s.timings.maxReportInterval = time.Hour, time.Hour
+		s.timings.noLeaseReportInterval, s.timings.maxReportInterval = time.Hour, time.Hour
 	}, service)
 	require.EqualValues(t, 7, receive(t, "first report", starts))
 	require.Equal(t, newest+1, receive(t, "second report", starts))
 	client.waitUpdate("lease", func(n Update) bool { return !n.LeaseUntil.IsZero() })
 	otherStart.Store(newest + 9)
 	for rev := range int64(3) {
-		client.ActOn(rev + 1) // causes a report
+		client.SetActingRev(rev + 1) // causes a report
 		require.Equal(t, newest+1, receive(t, "report beside the later start", starts))
 	}
 	requests := make(chan route.BudgetRequest, 1)
@@ -68,7 +68,7 @@
 		service.report.Store(&f)
 		return http.StatusOK, route.ReportResponse{LeaseMS: term.Milliseconds()}
 	}
-	client := startClient(t, func(s *Client) { s.ActOn(3) }, newFakeService(t)) // not c yet: it needs the clock of p
+	client := startClient(t, func(s *Client) { s.SetActingRev(3) }, newFakeService(t)) // not c yet: it needs the clock of p
 	clock = client.clock
 	service.report.Store(&once)
 	client.SetAddrs([]string{service.addr()})
@@ -76,13 +76,13 @@
 	n := client.waitUpdate("lease", func(n Update) bool { return !n.LeaseUntil.IsZero() })
 	require.Equal(t, sentAt.Add(term), n.LeaseUntil)
 	client.clock.advance(term - delay - 1)
-	_, ok := client.Begin(3, "a", true)
+	_, ok := client.StartAttempt(3, "a", true)
 	require.True(t, ok, "just before the end")
 	client.clock.advance(1)
-	_, ok = client.Begin(3, "a", true)
+	_, ok = client.StartAttempt(3, "a", true)
 	require.False(t, ok, "at the end")
 	require.False(t, client.Status().HasLease)
-	require.True(t, client.makeReport(1, route.Moment{}).NoLease)
+	require.True(t, client.makeReport(1, route.LeaderTime{}).NoLease)
 }
 
 // TestReport_redirectToLeader: a redirect keeps the body, and the leader is called directly from then on; when it fails
@@ -95,7 +95,7 @@
 	var seq atomic.Int64
 	accept := func(r route.Report) (int, any) {
 		got <- r
-		return http.StatusOK, route.ReportResponse{Stamp: route.Moment{Leader: "l", MS: seq.Add(1)}, LeaseMS: 10}
+		return http.StatusOK, route.ReportResponse{Stamp: route.LeaderTime{Leader: "l", MS: seq.Add(1)}, LeaseMS: 10}
 	}
 	leader.report.Store(&accept)
 	client := startClient(t, nil, follower)
@@ -104,7 +104,7 @@
 	require.Equal(t, []any{"v", "d", int64(1)}, []any{first.Version, first.Config, first.Seq})
 	require.Equal(t, []int{1, 2}, first.Schemas)
 	require.True(t, first.NoLease)
-	require.Equal(t, route.Moment{Leader: "l", MS: 1}, second.Echo)
+	require.Equal(t, route.LeaderTime{Leader: "l", MS: 1}, second.Echo)
 	require.EqualValues(t, 1, follower.posts.Load())
 	unavailable := func(route.Report) (int, any) { return http.StatusServiceUnavailable, nil }
 	leader.report.Store(&unavailable)
--- a/internal/routeclient/watch.go
+++ b/internal/routeclient/watch.go
@@ -22,7 +22,7 @@
 var (
 	errResync       = errors.New("the service asks for the watch to be begun anew")
 	errAddrsChanged = errors.New("the list services are at other addresses now")
-	errSilent       = errors.New("no line in time")
+	errWatchTimeout = errors.New("no line in time")
 	errLineTooLong  = fmt.Errorf("a line of more than %d bytes", maxDocumentBytes)
 )
 
@@ -54,7 +54,7 @@
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
 	c.mu.Lock()
-	addr, held := cursor.addr(c), c.heldRev
+	addr, held := cursor.addr(c), c.offeredRev
 	c.breakWatch = cancel
 	c.mu.Unlock()
 	defer func() {
@@ -62,7 +62,7 @@
 			err = cause
 		}
 	}()
-	silence := time.AfterFunc(c.timings.watchSilence, func() { cancel(errSilent) })
+	silence := time.AfterFunc(c.timings.watchTimeout, func() { cancel(errWatchTimeout) })
 	defer silence.Stop()
 	resp, err := c.openWatch(ctx, addr, held)
 	if err != nil {
@@ -74,7 +74,7 @@
 		if err != nil {
 			return anyLine, err
 		}
-		silence.Reset(c.timings.watchSilence)
+		silence.Reset(c.timings.watchTimeout)
 		if len(line) > 0 {
 			if err := c.readDocument(line); err != nil {
 				return anyLine, err
@@ -137,27 +137,27 @@
 	if json.Unmarshal(text, &head) != nil {
 		head.Rev = 0
 	}
-	if held, first := c.noteUnreadable(head.Rev); first {
+	if held, first := c.recordUnreadable(head.Rev); first {
 		c.cfg.Log.Error("routes: document cannot be read, the last table stays",
 			"revision", head.Rev, "held", held, "schema", c.schema, "err", err)
 	}
 	return nil
 }
 
-// noteUnreadable notes that a document cannot be read; rev is 0 if its revision cannot either. first says that this is
+// recordUnreadable notes that a document cannot be read; rev is 0 if its revision cannot either. first says that this is
 // not known yet.
-func (c *Client) noteUnreadable(rev int64) (held int64, first bool) {
+func (c *Client) recordUnreadable(rev int64) (held int64, first bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	switch {
-	case rev > max(c.heldRev, c.unreadableRev):
+	case rev > max(c.offeredRev, c.unreadableRev):
 		c.unreadableRev = rev
 		first = true
-	case rev <= 0 && !c.garbledLogged:
-		c.garbledLogged = true
+	case rev <= 0 && !c.unparsableLogged:
+		c.unparsableLogged = true
 		first = true
 	}
-	return c.heldRev, first
+	return c.offeredRev, first
 }
 
 // resync takes in a whole table that came with an answer, and begins the watch anew.
--- a/internal/routeclient/watch_test.go
+++ b/internal/routeclient/watch_test.go
@@ -34,7 +34,7 @@
 
 func TestWatch_silent(t *testing.T) {
 	a, b := newFakeService(t), newFakeService(t)
-	startClient(t, func(s *Client) { s.timings.watchSilence = 20 * time.Millisecond }, a, b)
+	startClient(t, func(s *Client) { s.timings.watchTimeout = 20 * time.Millisecond }, a, b)
 	receive(t, "end of the silent watch", receive(t, "watch", a.watches).ended)
 	receive(t, "watch at the next copy", b.watches)
 }
@@ -49,7 +49,7 @@
 	newer := `{"schema":9,"reads":9,"rev":6,"closed":0,"routes":[]}` + "\n"
 	watch.write(t, newer+newer+`{"schema":2,"reads":1,"rev":7,"closed":0,"routes":[{"tenant":"a","share":1.5}]}`+"\n")
 	eventually(t, "report that revision 7 is unreadable", func() bool {
-		return client.makeReport(1, route.Moment{}).UnreadableRev == 7
+		return client.makeReport(1, route.LeaderTime{}).UnreadableRev == 7
 	})
 	watch.write(t, newer+"no document\nno document\n"+document(t, 8)[:20]+"\n")
 	half := document(t, 9)
--- a/internal/sidecar/routing/check.go
+++ b/internal/sidecar/routing/check.go
@@ -38,13 +38,13 @@
 // Begin is the last check before the first byte. It gives the revision under which the attempt counts.
 func (check *Check) Begin() (revision int64, err error) {
 	if check.fixed {
-		if !check.client.BeginAs(check.rev, check.tenant, check.canary, check.headerRevision) {
+		if !check.client.StartAttemptAs(check.rev, check.tenant, check.canary, check.headerRevision) {
 			return 0, ErrRevoked
 		}
 		check.Started, check.countedRevision = true, check.headerRevision
 		return check.headerRevision, nil
 	}
-	revision, ok := check.client.Begin(check.rev, check.tenant, check.canary)
+	revision, ok := check.client.StartAttempt(check.rev, check.tenant, check.canary)
 	if !ok {
 		return 0, ErrRevoked
 	}
--- a/internal/sidecar/routing/router.go
+++ b/internal/sidecar/routing/router.go
@@ -67,7 +67,7 @@
 
 	Client  *routeclient.Client
 	wake    chan struct{} // capacity 1: the client has an update, or a sample is due
-	names   route.Names
+	names   route.NameIndexes
 	Tenants []string // by number; empty: requests name none
 
 	canaries        []canary
@@ -85,7 +85,7 @@
 func New(cfg *config.Config) (*Router, error) {
 	r := &Router{
 		wake: make(chan struct{}, 1), Tenants: make([]string, len(cfg.Tenants)), counts: map[countKey]*route.Count{},
-		names: route.Names{
+		names: route.NameIndexes{
 			Tenants: cfg.Tenants, Classes: cfg.Classes, Zones: cfg.Zones, Kinds: cfg.Kinds, Server: endpointlist.ServerID,
 		},
 	}
@@ -190,7 +190,7 @@
 		r.Client.RejectTable(t.Rev)
 		return
 	}
-	r.Client.ActOn(t.Rev)
+	r.Client.SetActingRev(t.Rev)
 	r.setCanaries(now, t, routes)
 	r.loop.Execute(now, actions)
 }
