--- a/internal/route/bind_test.go
+++ b/internal/route/bind_test.go
@@ -57,7 +57,7 @@
 	messages := strings.Join(skipped, "\n")
 	for _, word := range []string{`"lost"`, `"m9"`, `"mars"`, `"nobody"`, "settings name tenants", "no requests go to the canary"} {
 		if !strings.Contains(messages, word) {
-			t.Errorf("%s is missing in\n%s", word, messages)
+			t.Errorf("%s is missing from the messages\n%s", word, messages)
 		}
 	}
 }
@@ -71,7 +71,8 @@
 	}
 }
 
-// TestBind_unknownNames: names that the settings lack never widen a subset, or the classes of a canary, to all.
+// TestBind_unknownNames verifies that names missing from the settings never widen a subset to all servers, nor match the
+// servers whose own zone or model is unknown.
 func TestBind_unknownNames(t *testing.T) {
 	names := NameIndexes{Tenants: testNames().Tenants}
 	for _, s := range []Subset{{Zone: []string{"east"}}, {Model: []string{"m4"}}, {UID: []string{"u"}}, {PodGroup: []int{1}}} {
@@ -79,10 +80,10 @@
 		r, _ := Bind(table, names)
 		for _, got := range []balance.Subset{r.List[0].Base, r.List[0].Canary} {
 			if len(got.Kinds)+len(got.Cells)+len(got.Zones)+len(got.IDs) == 0 {
-				t.Errorf("%+v became all servers", s)
+				t.Errorf("%+v selects all servers", s)
 			}
-			if slices.Contains(append(got.Kinds, got.Zones...), -1) { // matches each server whose own name is unknown
-				t.Errorf("%+v became %+v", s, got)
+			if slices.Contains(append(got.Kinds, got.Zones...), -1) { // matches each server whose own zone or model is unknown
+				t.Errorf("%+v is bound to %+v, which matches servers of unknown zone or model", s, got)
 			}
 		}
 	}
@@ -103,11 +104,11 @@
 	for _, pair := range [][2]string{{"a", "bc"}, {"ab", "c"}, {"abc", ""}, {"", "abc"}, {"", ""}, {"a", "2:bc"}, {"1:a", "bc"}} {
 		id := RolloutID(pair[0], pair[1])
 		if other, twice := seen[id]; id == 0 || twice {
-			t.Errorf("%q has %d, as %s", pair, id, other)
+			t.Errorf("rollout %q has ID %d, like %s", pair, id, other)
 		}
 		seen[id] = fmt.Sprint(pair)
 	}
 	if id := RolloutID("acme", "m5-try"); id != 0x4a03ec50b49e2fa3 {
-		t.Errorf("%#x: processes of other versions have another number", id)
+		t.Errorf("RolloutID = %#x, but other versions use 0x4a03ec50b49e2fa3", id)
 	}
 }
--- a/internal/route/checks.go
+++ b/internal/route/checks.go
@@ -1,23 +1,23 @@
 package route
 
-// The checks of this file are shared by the readers of all schemas. Like the parser they are frozen.
+// The readers of all schemas share the checks of this file. Like the parser, the checks are frozen.
 
 import (
 	"fmt"
 	"unicode/utf8"
 )
 
-// Bounds of a document. They belong to each schema: programs in the fleet reject what is beyond, so none of them may be
-// widened without a new schema.
+// Bounds of a document. They are part of each schema: programs in the fleet reject documents that exceed them, so a bound
+// may only be raised in a new schema.
 const (
 	MaxDocumentBytes = 1 << 20
-	MaxEntries       = 10000 // of each list
-	MaxNameBytes     = 200   // of a tenant, rollout, class, model, zone or uid
-	MaxNoteBytes     = 1000
-	maxShownBytes    = 60 // of an invalid value that an error shows
+	MaxEntries       = 10000 // maximum length of each list
+	MaxNameBytes     = 200   // maximum name length of a tenant, rollout, class, model, zone or uid
+	MaxNoteBytes     = 1000  // maximum length of Route.Note
+	maxShownBytes    = 60    // maximum length of an invalid value in an error text
 )
 
-// checkName checks a name, which may be empty.
+// checkName checks the length and the encoding of a name. An empty name is valid.
 func checkName(path, name string) error {
 	if len(name) > MaxNameBytes {
 		return fieldErrorf(path, "%q has %d bytes, more than %d", truncate(name), len(name), MaxNameBytes)
@@ -28,6 +28,7 @@
 	return nil
 }
 
+// checkNames checks a list of names. An empty name is invalid.
 func checkNames(path string, names []string) error {
 	if len(names) > MaxEntries {
 		return fieldErrorf(path, "it has more than %d entries", MaxEntries)
@@ -44,7 +45,8 @@
 	return nil
 }
 
-// checkRevisions checks the revisions of a table: the closed one is below the other, except in the table before any change.
+// checkRevisions checks the revisions of a table: closed is below rev, except in the initial table, where all is zero. It
+// also checks the number of routes.
 func checkRevisions(rev, closed int64, routes int) error {
 	switch {
 	case rev < 0:
@@ -61,7 +63,7 @@
 	return nil
 }
 
-// checkSubset checks the four lists of a subset.
+// checkSubset checks the lists of a subset.
 func checkSubset(path string, model, zone, uid []string, groups []int) error {
 	if err := checkNames(path+".model", model); err != nil {
 		return err
@@ -75,6 +77,7 @@
 	return checkNames(path+".uid", uid)
 }
 
+// checkFraction checks that a fraction is between 0 and 1; NaN is not.
 func checkFraction(path string, fraction float64) error {
 	if !(fraction >= 0 && fraction <= 1) {
 		return fieldErrorf(path, "%v is not between 0 and 1", fraction)
--- a/internal/route/compare.go
+++ b/internal/route/compare.go
@@ -2,18 +2,19 @@
 
 import "fmt"
 
-// Verdict says how a reader of an older schema reads a table: whether a balancer decides the same with the older reading.
+// Verdict is the result of comparing how readers of the newest schema and of an older one interpret a table: whether a
+// balancer makes the same decisions with both.
 type Verdict int
 
-// The verdicts, the best first.
+// Verdicts, from best to worst.
 const (
-	SameReading        Verdict = iota // it decides the same with the document of the newest schema
-	SameWhenDowngraded                // it decides the same once the table is written in its schema
-	DifferentReading                  // it would decide differently
-	NoReading                         // no document can be written for it
+	SameReading        Verdict = iota // same decisions, with the document in the newest schema
+	SameWhenDowngraded                // same decisions, if the document is written in the older schema
+	DifferentReading                  // the reader of the older schema would decide differently
+	NoReading                         // no document can be written: the table or the schema is invalid
 )
 
-// String is the verdict in words.
+// String describes the verdict.
 func (v Verdict) String() string {
 	switch v {
 	case SameReading:
@@ -25,20 +26,20 @@
 	case NoReading:
 		return "not read"
 	}
-	return fmt.Sprintf("verdict %d", int(v))
+	return fmt.Sprintf("Verdict(%d)", int(v))
 }
 
-// Finding is one reason why a reader of an older schema reads a table differently. Rejections over HTTP have it as JSON
-// with the names of its fields, which therefore stay as they are.
+// Finding is one reason why a reader of an older schema interprets a table differently. HTTP rejections contain findings
+// as JSON with the Go field names as keys, so the field names must not change.
 type Finding struct {
-	Path   string // in the document, whose routes are sorted by tenant
-	Field  string
-	Effect string // in words
+	Path   string // path in the document, whose routes are sorted by tenant
+	Field  string // last element of Path
+	Effect string // description of the difference
 }
 
-// Compare says how a reader of an older schema reads a table, and why where it reads it differently or not at all. A
-// route's classes count as a difference unless no requests go to its canary: only sidecars know which classes there are,
-// so even a list of all classes is taken to leave one out.
+// Compare reports how a reader of schema older interprets a table, with the reasons if the verdict is DifferentReading or
+// NoReading. The classes of a route count as a difference unless its canary gets no requests. Only sidecars know which
+// classes exist, so even a list of all classes is assumed to omit some.
 func Compare(t *Table, older int) (Verdict, []Finding) { return compare(t, older, DeclaredFields()) }
 
 func compare(t *Table, older int, fields []Field) (Verdict, []Finding) {
@@ -58,15 +59,15 @@
 	if unused > 0 {
 		verdict, version = SameWhenDowngraded, older
 	}
-	if _, err := write(t, version, fields); err != nil { // too large
+	if _, err := write(t, version, fields); err != nil { // the document is too large
 		return NoReading, []Finding{errorFinding(err)}
 	}
 	return verdict, nil
 }
 
-// ChooseSchema chooses the schema in which to write a table for a process that reads some schemas, with the verdict on how
-// the process reads it. Where none gives the same decisions the version is 0, and the table must not be sent; the findings
-// are those of the schema that comes closest.
+// ChooseSchema chooses the schema in which to write a table for a process that reads the given schemas, and returns the
+// verdict for that process. If no schema gives the same decisions, the version is 0, the table must not be sent, and the
+// findings are those of the schema with the best verdict.
 func ChooseSchema(t *Table, reads []int) (version int, verdict Verdict, findings []Finding) {
 	best, verdict := 0, NoReading
 	findings = []Finding{{Path: "schema", Field: "schema", Effect: "the process names no schema that it reads"}}
--- a/internal/route/compare_test.go
+++ b/internal/route/compare_test.go
@@ -27,21 +27,21 @@
 		{"classes of a paused canary", canary(0, "gold"), 1, SameWhenDowngraded, 0},
 		{"classes of no canary", ended, 1, SameWhenDowngraded, 0},
 		{"no such schema", canary(1), 0, NoReading, 1},
-		{"a table that cannot be", canary(1.2), 1, NoReading, 1},
-		{"a table that cannot be, at the same schema", canary(1.2), 2, NoReading, 1},
+		{"an invalid table", canary(1.2), 1, NoReading, 1},
+		{"an invalid table, at the same schema", canary(1.2), 2, NoReading, 1},
 	} {
 		v, found := Compare(c.table, c.older)
 		if v != c.want || len(found) != c.finds {
-			t.Errorf("%s: %v, %v", c.name, v, found)
+			t.Errorf("%s: verdict %v, findings %v", c.name, v, found)
 		}
 	}
 	if got := fmt.Sprint(SameReading, SameWhenDowngraded, DifferentReading, NoReading, Verdict(9)); got !=
-		"read alike read alike after writing it down to the older schema read otherwise not read verdict 9" {
+		"read alike read alike after writing it down to the older schema read otherwise not read Verdict(9)" {
 		t.Error(got)
 	}
 }
 
-func TestChoose(t *testing.T) {
+func TestChooseSchema(t *testing.T) {
 	table := func(fraction float64, classes ...string) *Table {
 		return &Table{Rev: 2, Routes: []Route{{Tenant: "a", Rollout: "r", Share: fraction, Classes: classes}}}
 	}
@@ -64,12 +64,12 @@
 	} {
 		version, v, found := ChooseSchema(c.table, c.reads)
 		if version != c.version || v != c.want || len(found) != c.finds {
-			t.Errorf("%+v for %v: %d, %v, %v", c.table.Routes, c.reads, version, v, found)
+			t.Errorf("%+v for readers of %v: version %d, verdict %v, findings %v", c.table.Routes, c.reads, version, v, found)
 		}
 	}
 }
 
-// drawTable generates tables of names that testNames has, and some that it has not. The class other is in no list.
+// drawTable generates tables with names that testNames contains, and with some others. No table has the class "other".
 func drawTable(t *rapid.T) *Table {
 	subset := rapid.Custom(func(t *rapid.T) Subset {
 		some := func(of ...string) []string {
--- a/internal/route/decisions_test.go
+++ b/internal/route/decisions_test.go
@@ -15,9 +15,11 @@
 	"marblelane/balance"
 )
 
-// The verdicts are about decisions: here balancers get what readers of two schemas read of one table.
+// The tests of this file verify the verdicts of Compare by the decisions of two balancers, which get one table as decoded by
+// readers of two schemas.
 
-// balancerPair is two balancers with the same events; one acts on the older reading of a table, one on the newer.
+// balancerPair feeds the same events to two balancers. One uses the table as decoded by the older reader, the other as
+// decoded by the newer one.
 type balancerPair struct {
 	older, newer *balance.Balancer
 	now          float64
@@ -64,7 +66,8 @@
 	return p
 }
 
-// handleEach reports whether both do the same. The two events differ in routes only.
+// handleEach passes one event to each balancer, and reports whether both respond with the same actions. The two events may
+// differ in routes only.
 func (p *balancerPair) handleEach(older, newer balance.Event) bool {
 	a, errA := p.older.Handle(p.now, older)
 	b, errB := p.newer.Handle(p.now, newer)
@@ -89,7 +92,7 @@
 
 func (p *balancerPair) handle(ev balance.Event) bool { return p.handleEach(ev, ev) }
 
-// start gives both the servers and the routes, and a canary lease.
+// start passes the servers, the routes, a canary lease and budget grants to both balancers.
 func (p *balancerPair) start(servers []balance.Server, older, newer balance.Routes) bool {
 	same := p.handle(balance.ServerList{Kind: balance.ListFull, Servers: servers}) && p.handleEach(older, newer) &&
 		p.handle(balance.CanaryLease{Until: p.now + 1e9})
@@ -114,7 +117,7 @@
 	})
 }
 
-// randomEvent is one event of any kind.
+// randomEvent passes a random event to both balancers, after the timers that are due.
 func (p *balancerPair) randomEvent(servers []balance.Server, older, newer balance.Routes) bool {
 	p.now += p.rng.ExpFloat64() * 5
 	for _, token := range slices.Sorted(maps.Keys(p.timers)) {
@@ -130,7 +133,7 @@
 	}
 	switch n := p.rng.Intn(100); {
 	case n < 50:
-		return p.request(p.rng.Intn(4)-1, p.rng.Intn(3), uint64(p.rng.Intn(40))) // 0: by the process's own sequence
+		return p.request(p.rng.Intn(4)-1, p.rng.Intn(3), uint64(p.rng.Intn(40))) // key 0: the balancer uses its own sequence
 	case n < 92:
 		return len(p.inFlight) == 0 || p.endAttempt(p.rng.Intn(len(p.inFlight)), results[p.rng.Intn(len(results))])
 	case n < 95:
@@ -148,7 +151,7 @@
 	return p.handleEach(older, newer)
 }
 
-// differOnRandomEvents reports whether the two readings differ on events of all kinds.
+// differOnRandomEvents reports whether decisions differ between the two readings on random events of all kinds.
 func differOnRandomEvents(seed int64, names NameIndexes, servers []balance.Server, older, newer balance.Routes) (bool, error) {
 	p := newBalancerPair(seed, len(names.Tenants))
 	same := p.err == nil && p.start(servers, older, newer)
@@ -158,7 +161,8 @@
 	return !same, p.err
 }
 
-// differOnRequests reports whether the two readings differ on n requests of one tenant and class, which are all answered.
+// differOnRequests reports whether decisions differ between the two readings on n requests of one tenant and class, all of
+// which succeed.
 func differOnRequests(
 	n uint64, tenant, class int, names NameIndexes, servers []balance.Server, older, newer balance.Routes,
 ) (bool, error) {
@@ -175,14 +179,14 @@
 	return !same, p.err
 }
 
-// allNames are settings with each name of drawTable's but the class lost; the class other is in no table.
+// allNames returns settings with all names of drawTable except the class "lost". No table has their class "other".
 func allNames() NameIndexes {
 	n := testNames()
 	n.Tenants["nobody"], n.Zones["mars"], n.Kinds["m9"] = 3, 2, 2
 	return n
 }
 
-// serversFor are servers of each zone, model and group, among them one that a canary selects.
+// serversFor returns servers of each zone, model and cell. One of them matches the canary subset.
 func serversFor(n NameIndexes, canary Subset) []balance.Server {
 	list := []balance.Server{}
 	for zone := range len(n.Zones) {
@@ -208,8 +212,8 @@
 	return list
 }
 
-// readings are what readers of schemas 1 and 2 read of a table, written in the schema that the verdict names. A table that
-// the older one reads differently is forced on it, as if its fields need not be understood.
+// readings returns a table as decoded by readers of schemas 1 and 2, from a document in the schema that the verdict
+// requires. For DifferentReading the document is altered so that the older reader accepts it despite unknown fields.
 func readings(t *Table, v Verdict, fields []Field) (older, newer *Table, err error) {
 	text, err := write(t, 2, fields)
 	if err != nil {
@@ -230,7 +234,7 @@
 	return older, newer, err
 }
 
-// checkVerdict compares the decisions by the two readings of a table with the verdict on it.
+// checkVerdict checks the verdict on a table by comparing the decisions with both readings.
 func checkVerdict(t *Table, fields []Field, seed int64) error {
 	v, found := compare(t, 1, fields)
 	a, b, err := readings(t, v, fields)
@@ -244,14 +248,14 @@
 		older, _ := Bind(a, names)
 		newer, _ := Bind(b, names)
 		differ, err := differOnRandomEvents(seed, names, serversFor(names, Subset{}), older, newer)
-		for j := 0; err == nil && !differ && j < len(b.Routes); j++ { // requests that would show a different reading
+		for j := 0; err == nil && !differ && j < len(b.Routes); j++ { // requests on which different readings would differ
 			if tenant, known := names.Tenants[b.Routes[j].Tenant]; known {
 				servers := serversFor(allNames(), b.Routes[j].Canary)
 				differ, err = differOnRequests(200, tenant, names.Classes["other"], names, servers, older, newer)
 			}
 		}
 		if err != nil || differ {
-			return fmt.Errorf("%w: %v, names %d, decisions differ: %v", errWrongVerdict, v, i, err)
+			return fmt.Errorf("%w: %v with names %d, but decisions differ: %v", errWrongVerdict, v, i, err)
 		}
 	}
 	return nil
@@ -272,7 +276,7 @@
 		differ, err := differOnRequests(2000, names.Tenants[r.Tenant], names.Classes["other"], names, serversFor(names, r.Canary),
 			older, newer)
 		if err != nil || !differ {
-			return fmt.Errorf("%w: %s: called a different reading, decisions are the same: %v", errWrongVerdict, f.Path, err)
+			return fmt.Errorf("%w: %s: DifferentReading, but decisions are the same: %v", errWrongVerdict, f.Path, err)
 		}
 	}
 	return nil
@@ -293,8 +297,8 @@
 	}
 }
 
-// TestCompare_wrongDeclarations plants a field that is wrongly called ignorable, one that is wrongly said to matter, and
-// one that is wrongly said to change no decision. Each is found by the decisions of balancers.
+// TestCompare_wrongDeclarations declares a field wrongly as ignorable, one wrongly as affecting decisions, and one wrongly
+// as unused. checkVerdict must detect each by the decisions of the balancers.
 func TestCompare_wrongDeclarations(t *testing.T) {
 	plant := func(path string, change func(f *Field)) []Field {
 		fields := DeclaredFields()
@@ -316,7 +320,7 @@
 			t.Errorf("as declared: %v", err)
 		}
 		if err := checkVerdict(table, c.fields, 1); !errors.Is(err, errWrongVerdict) {
-			t.Errorf("%s: not found: %v", name, err)
+			t.Errorf("%s: not detected: %v", name, err)
 		}
 	}
 }
--- a/internal/route/document.go
+++ b/internal/route/document.go
@@ -1,6 +1,6 @@
 package route
 
-// This file reads and writes documents.
+// This file decodes documents into tables, and encodes tables as documents.
 
 import (
 	"bytes"
@@ -13,12 +13,12 @@
 // Newest is the newest schema that this program reads and writes.
 const Newest = 2
 
-// Read reads a document as a reader of a schema does. It accepts documents of its own schema and of older ones, and newer
-// ones that say that it reads them the same; fields that it does not know are skipped then. Anything else is an
-// UnreadableError or a FieldError, and never is a part of a document accepted.
+// Read decodes a document as a reader of schema version. It accepts documents of that schema and of older ones. It accepts
+// a document of a newer schema if the document's "reads" field allows readers of this version, and then skips unknown
+// fields. Otherwise it returns an UnreadableError or a FieldError. A document is accepted as a whole or not at all.
 func Read(version int, text []byte) (*Table, error) {
 	if version < 1 || version > Newest {
-		return nil, fmt.Errorf("there is no reader of schema %d, only of 1 to %d", version, Newest)
+		return nil, fmt.Errorf("read document: schema %d is not supported, want 1 to %d", version, Newest)
 	}
 	var head struct {
 		Schema int `json:"schema"`
@@ -42,13 +42,13 @@
 	return readSchema2(text, newer)
 }
 
-// Write writes a table in a schema, sorted by tenant: of tables that mean the same it writes the same bytes. The error is
-// an UnwritableError where the schema cannot express the table, and a FieldError where the table itself is invalid.
+// Write encodes a table in schema version, sorted by tenant, so that equivalent tables give the same bytes. The error is
+// an UnwritableError if the schema cannot express the table, and a FieldError if the table itself is invalid.
 func Write(t *Table, version int) ([]byte, error) { return write(t, version, DeclaredFields()) }
 
 func write(t *Table, version int, fields []Field) ([]byte, error) {
 	if version < 1 || version > Newest {
-		return nil, fmt.Errorf("schema %d cannot be written, only 1 to %d", version, Newest)
+		return nil, fmt.Errorf("write document: schema %d is not supported, want 1 to %d", version, Newest)
 	}
 	t = sortedTable(t)
 	complete := newDocument2(t)
@@ -69,7 +69,7 @@
 	enc := json.NewEncoder(&text)
 	enc.SetEscapeHTML(false)
 	if err := enc.Encode(doc); err != nil {
-		return nil, fmt.Errorf("writing schema %d: %w", version, err)
+		return nil, fmt.Errorf("write document of schema %d: %w", version, err)
 	}
 	if text.Truncate(text.Len() - 1); text.Len() > MaxDocumentBytes { // without the newline
 		return nil, fieldErrorf("", "it has %d bytes, more than %d", text.Len(), MaxDocumentBytes)
@@ -77,18 +77,19 @@
 	return text.Bytes(), nil
 }
 
+// sortedTable returns a copy of a table with its routes sorted by tenant, and with 0 for a share of -0.
 func sortedTable(t *Table) *Table {
 	out := &Table{Rev: t.Rev, Closed: t.Closed, Routes: slices.Clone(t.Routes)}
 	slices.SortStableFunc(out.Routes, func(a, b Route) int { return cmp.Compare(a.Tenant, b.Tenant) })
 	for i := range out.Routes {
 		if out.Routes[i].Share == 0 {
-			out.Routes[i].Share = 0 // makes 0 of -0
+			out.Routes[i].Share = 0 // replaces -0 by 0
 		}
 	}
 	return out
 }
 
-// oldestReader is the oldest schema whose readers read a document the same.
+// oldestReader returns the oldest schema whose readers interpret a document correctly.
 func oldestReader(doc any, fields []Field) int {
 	reads := 1
 	for _, u := range usedFields(doc) {
--- a/internal/route/document_test.go
+++ b/internal/route/document_test.go
@@ -18,7 +18,7 @@
 	"pgregory.net/rapid"
 )
 
-var update = flag.Bool("update", false, "write testdata/readings.golden anew; only for documents that are new")
+var update = flag.Bool("update", false, "rewrite testdata/readings.golden; only allowed after adding documents")
 
 func goldenDocuments(t testing.TB, pattern string) map[string][]byte {
 	t.Helper()
@@ -37,7 +37,7 @@
 	return docs
 }
 
-// TestRead_frozenReaders compares what each frozen reader reads of each document with a file, so that a change shows.
+// TestRead_frozenReaders compares the result of each frozen reader for each document with a golden file.
 func TestRead_frozenReaders(t *testing.T) {
 	var got bytes.Buffer
 	for _, pattern := range []string{"*.json", "refused/*.json"} {
@@ -49,7 +49,7 @@
 					t.Errorf("%s: a reader of schema %d accepts it: %+v", name, version, table)
 				}
 				if (err == nil) == (table == nil) {
-					t.Errorf("%s: %+v with error %v", name, table, err)
+					t.Errorf("%s: table %+v with error %v", name, table, err)
 				}
 				if err != nil {
 					fmt.Fprintf(&got, "%s, reader %d: %v\n", name, version, err)
@@ -82,7 +82,7 @@
 	}
 }
 
-// goldenTables are the contents of the documents with these names, which are written byte for byte.
+// goldenTables returns the tables of the golden documents by name. Write must reproduce these documents byte for byte.
 func goldenTables() map[string]*Table {
 	classes := fullRoute()
 	classes.Classes, classes.Note = []string{"gold", "silver"}, "n"
@@ -130,23 +130,23 @@
 			var not UnreadableError
 			switch {
 			case reads <= version && (err != nil || len(table.Routes) != 1 || table.Routes[0].Tenant != "a"):
-				t.Errorf("%s: reader %d has %+v, %v", name, version, table, err)
+				t.Errorf("%s: reader %d returns %+v, %v", name, version, table, err)
 			case reads > version && (!errors.As(err, &not) || not != UnreadableError{Schema: 3, Reads: reads}):
-				t.Errorf("%s: reader %d says %v", name, version, err)
+				t.Errorf("%s: reader %d returns error %v", name, version, err)
 			}
 		}
 	}
 	for _, version := range []int{-1, 0, Newest + 1} {
 		if _, err := Read(version, docs["3-reads1"]); err == nil {
-			t.Errorf("there is a reader of schema %d", version)
+			t.Errorf("Read accepts schema version %d", version)
 		}
 		if _, err := Write(&Table{}, version); err == nil {
-			t.Errorf("schema %d is written", version)
+			t.Errorf("Write accepts schema version %d", version)
 		}
 	}
 }
 
-// TestDocument_bounds: readers and Write accept a document at its bounds, and none beyond them.
+// TestDocument_bounds verifies that Read and Write accept a document at its bounds, and reject one that exceeds them.
 func TestDocument_bounds(t *testing.T) {
 	many := &Table{Rev: 9}
 	for i := range MaxEntries {
@@ -187,10 +187,11 @@
 		}
 	}
 	if v, f := Compare(big, 1); v != NoReading || len(f) != 1 {
-		t.Errorf("a table that is too large is %v: %v", v, f)
+		t.Errorf("Compare of a too large table: verdict %v, findings %v", v, f)
 	}
 }
 
+// wireFields returns the paths of all JSON fields of a document type.
 func wireFields(doc any) map[string]bool {
 	fields := map[string]bool{}
 	var walk func(t reflect.Type, path string)
@@ -212,7 +213,7 @@
 	return fields
 }
 
-// declarationFaults compares a schema's wire form with the declarations.
+// declarationFaults compares the JSON fields of a schema's document type with the declared fields.
 func declarationFaults(doc any, schema int, fields []Field) (faults []string) {
 	wire, known := wireFields(doc), map[string]bool{}
 	for _, f := range fields {
@@ -220,9 +221,9 @@
 		case known[f.Path]:
 			faults = append(faults, f.Path+" is declared twice")
 		case f.Since < 1 || f.Since > Newest || f.Rule != Ignorable && f.Rule != MustUnderstand:
-			faults = append(faults, f.Path+" has no such schema or rule")
+			faults = append(faults, f.Path+" has an unknown schema or rule")
 		case f.Since <= schema && !wire[f.Path]:
-			faults = append(faults, f.Path+" is declared and not there")
+			faults = append(faults, f.Path+" is declared but not in the document type")
 		case f.Since > schema && wire[f.Path]:
 			faults = append(faults, f.Path+" is declared for a newer schema")
 		}
@@ -242,7 +243,7 @@
 			t.Errorf("schema %d: %s", i+1, fault)
 		}
 	}
-	// Planted: a field that is not declared, one that is not there, one that came later.
+	// Faults that must be detected: an undeclared field, a declared field that does not exist, and one of a newer schema.
 	type planted struct {
 		document2
 		Hedge float64 `json:"hedge"`
@@ -250,11 +251,13 @@
 	without := slices.DeleteFunc(DeclaredFields(), func(f Field) bool { return f.Path == "routes[].note" })
 	with := append(DeclaredFields(), Field{Path: "routes[].hedge", Since: 2})
 	for name, faults := range map[string][]string{
-		"a new field": declarationFaults(planted{}, 2, DeclaredFields()), "a lost declaration": declarationFaults(document2{}, 2, without),
-		"a lost field": declarationFaults(document2{}, 2, with), "a field in an older schema": declarationFaults(document2{}, 1, DeclaredFields()),
+		"a new field":                declarationFaults(planted{}, 2, DeclaredFields()),
+		"a missing declaration":      declarationFaults(document2{}, 2, without),
+		"a missing field":            declarationFaults(document2{}, 2, with),
+		"a field in an older schema": declarationFaults(document2{}, 1, DeclaredFields()),
 	} {
 		if len(faults) == 0 {
-			t.Errorf("%s is not found", name)
+			t.Errorf("%s is not detected", name)
 		}
 	}
 }
@@ -295,7 +298,8 @@
 	}
 }
 
-// TestDocument_roundTrip: what is written is read back, and written again to the same bytes from any order of routes.
+// TestDocument_roundTrip verifies that Read restores what Write has written, and that Write gives the same bytes for any
+// order of the routes.
 func TestDocument_roundTrip(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		table := drawTable(t)
@@ -318,7 +322,7 @@
 	})
 }
 
-// FuzzRead: any bytes give an error, or a table that can be written and is then read as the same.
+// FuzzRead verifies that any bytes give either an error or a table that survives Write and Read unchanged.
 func FuzzRead(f *testing.F) {
 	for _, pattern := range []string{"*.json", "refused/*.json"} {
 		for _, text := range goldenDocuments(f, pattern) {
@@ -329,7 +333,7 @@
 		for version := 1; version <= Newest; version++ {
 			table, err := Read(version, text)
 			if (err == nil) == (table == nil) {
-				t.Fatalf("%+v with error %v", table, err)
+				t.Fatalf("table %+v with error %v", table, err)
 			}
 			if err != nil {
 				continue
@@ -339,7 +343,7 @@
 				t.Fatalf("%+v: %v", table, err)
 			}
 			if back, err := Read(version, again); err != nil || !cmp.Equal(table, back) {
-				t.Fatalf("%+v became %+v, %v", table, back, err)
+				t.Fatalf("%+v is read back as %+v, %v", table, back, err)
 			}
 		}
 	})
--- a/internal/route/errors.go
+++ b/internal/route/errors.go
@@ -5,9 +5,9 @@
 	"strings"
 )
 
-// FieldError says which field of a document is invalid, and why.
+// FieldError reports an invalid field of a document.
 type FieldError struct {
-	Path   string // such as routes[2].share; empty: the document itself
+	Path   string // such as routes[2].share; empty: the whole document
 	Reason string
 }
 
@@ -18,12 +18,12 @@
 	return e.Path + ": " + e.Reason
 }
 
-// fieldErrorf makes a FieldError.
+// fieldErrorf returns a FieldError with a formatted reason.
 func fieldErrorf(path, format string, args ...any) error {
 	return FieldError{path, fmt.Sprintf(format, args...)}
 }
 
-// truncate bounds a value from a document that an error shows.
+// truncate shortens a value from a document for use in an error text.
 func truncate(s string) string {
 	if len(s) > maxShownBytes {
 		return strings.ToValidUTF8(s[:maxShownBytes], "") + "..."
@@ -31,17 +31,17 @@
 	return s
 }
 
-// UnreadableError says that a document is for readers of a newer schema only.
+// UnreadableError reports that a document requires a reader of a newer schema.
 type UnreadableError struct {
-	Schema int // in which the document is written
-	Reads  int // the oldest schema whose readers read it the same
+	Schema int // schema of the document
+	Reads  int // oldest schema whose readers interpret the document correctly
 }
 
 func (e UnreadableError) Error() string {
-	return fmt.Sprintf("document: it is of schema %d and needs a reader of schema %d or newer", e.Schema, e.Reads)
+	return fmt.Sprintf("document: schema %d requires a reader of schema %d or newer", e.Schema, e.Reads)
 }
 
-// UnwritableError says that a schema cannot express what a table means.
+// UnwritableError reports that a schema cannot express a table.
 type UnwritableError struct {
 	Version int
 	Fields  []Finding
@@ -52,5 +52,5 @@
 	for _, f := range e.Fields {
 		list = append(list, f.Path+": "+f.Effect)
 	}
-	return fmt.Sprintf("schema %d cannot tell what the table means: %s", e.Version, strings.Join(list, "; "))
+	return fmt.Sprintf("schema %d cannot express the table: %s", e.Version, strings.Join(list, "; "))
 }
--- a/internal/route/fields.go
+++ b/internal/route/fields.go
@@ -1,6 +1,6 @@
 package route
 
-// This file declares the fields of all schemas, and finds those that a reader of an older schema would miss.
+// This file declares the fields of all schemas, and finds the fields that a reader of an older schema would skip.
 
 import (
 	"errors"
@@ -10,27 +10,27 @@
 	"strings"
 )
 
-// Rule says what it means for a reader not to know a field.
+// Rule defines what happens if a reader does not know a field.
 type Rule int
 
-// The two rules.
+// Rules of fields.
 const (
-	MustUnderstand Rule = iota // a reader that skips the field acts differently
-	Ignorable                  // the field changes no decision
+	MustUnderstand Rule = iota // a reader that skips the field makes different decisions
+	Ignorable                  // the field affects no decision
 )
 
-// Field declares one field of the wire form. A field stays in all newer schemas, with the same meaning: a new meaning
-// gets a new name.
+// Field declares one field of the encoded document. A field stays in all newer schemas with the same meaning: a new
+// meaning needs a new field name.
 type Field struct {
 	Path  string // such as routes[].share
-	Since int    // the first schema that has it
+	Since int    // first schema with this field
 	Rule  Rule
 
-	describeLoss func(r *Route) string // what a reader that does not know the field does with r; nil: no words
-	unused       func(r *Route) bool   // the field is set but changes no decision of r; nil: it always may
+	describeLoss func(r *Route) string // what a reader without the field does with the route; nil: a general text
+	unused       func(r *Route) bool   // whether the field, though set, affects no decision of the route; nil: it may
 }
 
-// DeclaredFields are all fields of the newest schema. Those of an older schema are the ones with Since up to it.
+// DeclaredFields returns all fields of the newest schema. An older schema has those whose Since is not above its number.
 func DeclaredFields() []Field {
 	list := []Field{
 		{Path: "routes[].classes", Since: 2, Rule: MustUnderstand, unused: hasNoCanary, describeLoss: describeClassesLoss},
@@ -50,13 +50,15 @@
 	return list
 }
 
+// hasNoCanary reports whether no requests of a route go to a canary.
 func hasNoCanary(r *Route) bool { return r.Rollout == "" || r.Share == 0 }
 
 func describeClassesLoss(r *Route) string {
 	return "sends requests of all classes to the canary, not those of " + strings.Join(r.Classes, ", ") + " alone"
 }
 
-// declarationOf finds the declaration of a field. An undeclared one counts as new, and as MustUnderstand.
+// declarationOf returns the declaration of a field. An undeclared field is treated as one of the newest schema that must be
+// understood.
 func declarationOf(fields []Field, path string) *Field {
 	if i := slices.IndexFunc(fields, func(f Field) bool { return f.Path == path }); i >= 0 {
 		return &fields[i]
@@ -64,14 +66,14 @@
 	return &Field{Path: path, Since: Newest, Rule: MustUnderstand}
 }
 
-// fieldUse is a field that a document sets.
+// fieldUse is one occurrence of a field that is set in a document.
 type fieldUse struct {
-	declaredPath string // as Field.Path has it
-	path         string // in the document
-	routeIndex   int    // index in routes; outsideRoutes
+	declaredPath string // matches Field.Path
+	path         string // path in the document, with indexes
+	routeIndex   int    // index in routes, or outsideRoutes
 }
 
-// usedFields lists the fields that a document sets.
+// usedFields returns the fields that are set in a document.
 func usedFields(doc any) []fieldUse {
 	var list []fieldUse
 	var walk func(v reflect.Value, field, path string, route int)
@@ -98,8 +100,8 @@
 	return list
 }
 
-// lostFields are the fields of a document that a reader of an older schema skips and acts differently for, and the number
-// of further ones that it would have to understand but that change no decision with these routes.
+// lostFields returns a finding for each field that a reader of an older schema would skip and therefore decide differently.
+// unused is the number of skipped fields that must be understood in general but affect no decision of this table.
 func lostFields(t *Table, doc *document2, older int, fields []Field) (lost []Finding, unused int) {
 	for _, u := range usedFields(doc) {
 		f := declarationOf(fields, u.declaredPath)
@@ -115,6 +117,7 @@
 	return lost, unused
 }
 
+// lossFinding returns the finding for a field that a reader of an older schema would skip.
 func lossFinding(t *Table, u fieldUse, f *Field, older int) Finding {
 	effect, whose := "passes this field over", ""
 	if u.routeIndex >= 0 {
@@ -130,7 +133,7 @@
 	}
 }
 
-// errorFinding is an error as a finding.
+// errorFinding converts an error to a finding.
 func errorFinding(err error) Finding {
 	var fe FieldError
 	if errors.As(err, &fe) {
@@ -139,5 +142,5 @@
 	return Finding{Path: "schema", Field: "schema", Effect: err.Error()}
 }
 
-// outsideRoutes is the index of a field that belongs to no route.
+// outsideRoutes is the routeIndex of a field that belongs to no route.
 const outsideRoutes = -1
--- a/internal/route/parser.go
+++ b/internal/route/parser.go
@@ -12,22 +12,23 @@
 	"unicode/utf8"
 )
 
-// parser reads a document into the structs of a schema. It is stricter than encoding/json, which accepts names in any
-// case, the last of two equal names, and null for any value: two programs could read such a document differently. All
-// frozen readers use it, so what it accepts may not change either; the golden documents hold it to that.
+// parser decodes a document into the structs of a schema. It is stricter than encoding/json, which ignores the case of
+// names, uses the last of duplicate names, and accepts null for any value: two programs could interpret such a document
+// differently. All frozen readers use the parser, so the set of accepted documents must not change. The golden documents
+// in testdata verify this.
 type parser struct {
 	dec         *json.Decoder
-	skipUnknown bool // the document is of a newer schema: unknown fields are skipped
+	skipUnknown bool // the document has a newer schema: unknown fields are skipped
 	layouts     map[reflect.Type]structLayout
 }
 
-// structLayout has the fields of a struct by their names on the wire. Those without omitempty or omitzero are required.
+// structLayout maps the JSON names of a struct's fields to their indexes. Fields without omitempty or omitzero are required.
 type structLayout struct {
 	index    map[string]int
 	required []string
 }
 
-// parseDocument reads text into the struct that into points to. newer says that unknown fields are skipped.
+// parseDocument decodes text into the struct that into points to. If newer is set, unknown fields are skipped.
 func parseDocument(text []byte, into any, newer bool) error {
 	switch {
 	case len(text) == 0:
@@ -37,9 +38,9 @@
 	case !utf8.Valid(text):
 		return fieldErrorf("", "it is not UTF-8")
 	}
-	var document json.RawMessage // finds text after the document, and nesting that is too deep
+	var document json.RawMessage // rejects text after the document, and too deep nesting
 	if err := json.Unmarshal(text, &document); err != nil {
-		return FieldError{"", fmt.Sprintf("it is not JSON: %v", err)}
+		return FieldError{"", fmt.Sprintf("invalid JSON: %v", err)}
 	}
 	p := &parser{dec: json.NewDecoder(bytes.NewReader(text)), skipUnknown: newer, layouts: map[reflect.Type]structLayout{}}
 	p.dec.UseNumber()
@@ -88,7 +89,7 @@
 		if err != nil {
 			return fieldErrorf(path, "%s is out of range", describeToken(tok))
 		}
-		v.SetFloat(f + 0) // makes 0 of -0
+		v.SetFloat(f + 0) // replaces -0 by 0
 		return nil
 	}
 	i, err := strconv.ParseInt(n.String(), 10, 64)
@@ -110,7 +111,7 @@
 		name, _ := tok.(string)
 		at := joinPath(path, name)
 		if seen[name] {
-			return fieldErrorf(at, "it is there twice")
+			return fieldErrorf(at, "the field is duplicated")
 		}
 		seen[name] = true
 		i, known := l.index[name]
@@ -121,7 +122,7 @@
 			var skipped json.RawMessage
 			err = p.dec.Decode(&skipped)
 		default:
-			err = fieldErrorf(at, "there is no such field in this schema")
+			err = fieldErrorf(at, "the field is unknown in this schema")
 		}
 		if err != nil {
 			return err
@@ -129,7 +130,7 @@
 	}
 	for _, name := range l.required {
 		if !seen[name] {
-			return fieldErrorf(joinPath(path, name), "it is missing")
+			return fieldErrorf(joinPath(path, name), "the field is missing")
 		}
 	}
 	_, err := p.dec.Token()
@@ -167,6 +168,7 @@
 	return l
 }
 
+// joinPath appends a field name to a path. A name with other characters than those of declared fields is quoted.
 func joinPath(path, name string) string {
 	if name = truncate(name); strings.ContainsFunc(name, func(c rune) bool { return c != '_' && (c < 'a' || c > 'z') }) {
 		name = strconv.Quote(name)
@@ -177,6 +179,7 @@
 	return path + "." + name
 }
 
+// describeToken describes a JSON value in an error text.
 func describeToken(tok json.Token) string {
 	switch v := tok.(type) {
 	case nil:
--- a/internal/route/protocol_test.go
+++ b/internal/route/protocol_test.go
@@ -9,7 +9,7 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-// protocolMessages are the calls between sidecars and the list service, with every field set, and empty.
+// protocolMessages returns each message between sidecars and the list service, once with every field set and once empty.
 func protocolMessages() []any {
 	p := Process{Name: "sidecar-1", Start: 1764720000000000001}
 	return []any{
@@ -32,8 +32,8 @@
 	}
 }
 
-// TestProtocol_wireForm holds the JSON of each message to testdata/protocol.golden, one a line. The file is what earlier
-// builds have sent; it is never written anew.
+// TestProtocol_wireForm compares the JSON of each message with a line of testdata/protocol.golden. The file contains what
+// earlier builds send, so it must not be regenerated.
 func TestProtocol_wireForm(t *testing.T) {
 	text, err := os.ReadFile("testdata/protocol.golden")
 	if err != nil {
@@ -52,7 +52,7 @@
 	}
 }
 
-// TestFinding_wireForm holds the JSON of a finding, whose keys are the names of its fields, as rejections have it.
+// TestFinding_wireForm verifies the JSON of a finding in HTTP rejections. Its keys are the Go names of the fields.
 func TestFinding_wireForm(t *testing.T) {
 	text, err := json.Marshal(Finding{Path: "routes[0].classes", Field: "classes", Effect: "an effect"})
 	if want := `{"Path":"routes[0].classes","Field":"classes","Effect":"an effect"}`; err != nil || string(text) != want {
--- a/internal/route/schema1.go
+++ b/internal/route/schema1.go
@@ -1,8 +1,8 @@
 package route
 
-// This file is schema 1 as programs in the fleet read it. It must never change: those programs stay as they are, and a
-// table is checked against this reader before it is committed, so that it reads what they read. New fields belong to a
-// newer schema, with structs of its own.
+// This file defines schema 1 as programs in the fleet read it. What it reads and writes must never change: those programs
+// stay in use, and a table is checked with this reader before it is committed, so the reader has to interpret it as they do.
+// New fields belong to a newer schema with structs of its own.
 
 import (
 	"cmp"
@@ -36,7 +36,7 @@
 	UID      []string `json:"uid,omitempty"`
 }
 
-// readSchema1 reads a document of schema 1, or a newer one that says that readers of schema 1 read it the same.
+// readSchema1 decodes a document of schema 1. If newer is set, the schema is a newer one that readers of schema 1 may read.
 func readSchema1(text []byte, newer bool) (*Table, error) {
 	var d document1
 	if err := parseDocument(text, &d, newer); err != nil {
@@ -102,7 +102,7 @@
 	return Subset{Model: nilIfEmpty(s.Model), PodGroup: nilIfEmpty(s.PodGroup), Zone: nilIfEmpty(s.Zone), UID: nilIfEmpty(s.UID)}
 }
 
-// nilIfEmpty makes an empty list nil, so that equal lists are deeply equal.
+// nilIfEmpty replaces an empty list by nil, so that equal lists are deeply equal.
 func nilIfEmpty[T any](list []T) []T {
 	if len(list) == 0 {
 		return nil
@@ -110,7 +110,7 @@
 	return list
 }
 
-// newDocument1 is the document of a table whose routes are sorted; what schema 1 lacks is left out.
+// newDocument1 returns the document of a table whose routes are sorted. It omits the fields that schema 1 lacks.
 func newDocument1(t *Table) *document1 {
 	d := &document1{Schema: 1, Rev: t.Rev, Closed: t.Closed, Routes: make([]route1, 0, len(t.Routes))}
 	for i := range t.Routes {
--- a/internal/route/schema2.go
+++ b/internal/route/schema2.go
@@ -1,8 +1,8 @@
 package route
 
-// This file is schema 2, which adds a route's classes and its note. Once a program that reads it is in the fleet it
-// must never change, like schema 1: new fields belong to a newer schema, with structs of its own. It shares no struct with
-// schema 1, so that no change can reach both.
+// This file defines schema 2, which adds the classes and the note of a route. Once a program in the fleet reads schema 2,
+// what this file reads and writes must never change, as for schema 1: new fields belong to a newer schema with structs of
+// its own. It shares no struct with schema 1, so that a change cannot affect both.
 
 import (
 	"cmp"
@@ -40,7 +40,7 @@
 	UID      []string `json:"uid,omitempty"`
 }
 
-// readSchema2 reads a document of schema 2, or a newer one that says that readers of schema 2 read it the same.
+// readSchema2 decodes a document of schema 2. If newer is set, the schema is a newer one that readers of schema 2 may read.
 func readSchema2(text []byte, newer bool) (*Table, error) {
 	var d document2
 	if err := parseDocument(text, &d, newer); err != nil {
@@ -117,7 +117,7 @@
 	return Subset{Model: nilIfEmpty(s.Model), PodGroup: nilIfEmpty(s.PodGroup), Zone: nilIfEmpty(s.Zone), UID: nilIfEmpty(s.UID)}
 }
 
-// newDocument2 is the document of a table whose routes are sorted.
+// newDocument2 returns the document of a table whose routes are sorted.
 func newDocument2(t *Table) *document2 {
 	d := &document2{Schema: 2, Rev: t.Rev, Closed: t.Closed, Routes: make([]route2, 0, len(t.Routes))}
 	for i := range t.Routes {
