--- a/internal/routeclient/attempts.go
+++ b/internal/routeclient/attempts.go
@@ -1,14 +1,16 @@
 package routeclient
 
-// This file is the last check of an attempt before its first byte.
+// This file checks and counts an attempt right before its first byte is written.
 
-// StartAttempt checks what an attempt was decided on, right before its first byte is written. It returns the revision under
-// which the attempt counts, and counts it in the same moment; if it is not ok the attempt must not begin. A canary attempt
-// begins under the revision that is acted on, during a lease; any other one begins under that revision, or without a lease
-// under 0. An attempt that was decided on without a lease, for which rev is 0, begins under 0 in any case.
+// StartAttempt checks, right before the first byte of an attempt is written, whether the attempt may still start. rev is the
+// revision under which the attempt was decided on, or 0 if that happened without a lease. If ok is false, the attempt must
+// not start. Otherwise StartAttempt counts it, and returns the revision under which it is counted.
 //
-// An attempt that moves to another connection is checked and counted again, so that the counts are never below what has
-// begun.
+// A canary attempt may start under the acting revision and during a lease only. Any other attempt may start under the acting
+// revision, and is counted under revision 0 without a lease. An attempt with rev 0 is always counted under 0.
+//
+// An attempt that moves to another connection is checked and counted again, so that the counts are never below the number of
+// attempts started.
 func (c *Client) StartAttempt(rev int64, tenant string, canary bool) (counted int64, ok bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -18,9 +20,9 @@
 	return counted, ok
 }
 
-// StartAttemptAs is Begin for an attempt whose head, already written, names the revision under which it counts. If it would count
-// under another one it must not begin, and is not counted. Check and count are one step: a count that is taken back would
-// make the counts fall.
+// StartAttemptAs is StartAttempt for an attempt whose head contains the revision under which it counts, counted, and is
+// already written. If the attempt would now count under another revision, it must not start and is not counted. The check
+// and the count are one step, because undoing a count would make the totals decrease.
 func (c *Client) StartAttemptAs(rev int64, tenant string, canary bool, counted int64) (ok bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -31,7 +33,7 @@
 	return true
 }
 
-// countedRev is the revision under which an attempt counts, if it may begin; c.mu is held.
+// countedRev returns the revision under which an attempt counts. ok is false if it must not start. The caller holds c.mu.
 func (c *Client) countedRev(rev int64, canary bool) (counted int64, ok bool) {
 	counted = rev
 	if !c.hasLease() {
@@ -43,8 +45,8 @@
 	return counted, true
 }
 
-// ExpectedRev is what Begin would return for an attempt that is no canary's, without counting it. The head of an attempt
-// is written for it.
+// ExpectedRev returns the revision that StartAttempt would return for an attempt to the base, without counting the attempt.
+// The head of the attempt contains this revision.
 func (c *Client) ExpectedRev(rev int64) int64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/routeclient/attempts_test.go
+++ b/internal/routeclient/attempts_test.go
@@ -9,7 +9,7 @@
 	"marblelane/internal/route"
 )
 
-func TestBegin_lastCheck(t *testing.T) {
+func TestStartAttempt_check(t *testing.T) {
 	client := newLeasedClient(t, 5, time.Second)
 	for _, c := range []struct {
 		name   string
@@ -36,26 +36,26 @@
 		require.Equal(t, []any{c.under, c.ok}, []any{under, ok}, c.name)
 	}
 	client.SetActingRev(4)
-	require.EqualValues(t, 5, client.Status().ActingRev, "the revision fell")
+	require.EqualValues(t, 5, client.Status().ActingRev, "the acting revision decreased")
 	require.Equal(t, []route.Count{
 		{Tenant: "a", Started: 2}, {Rev: 5, Tenant: "a", Started: 1}, {Rev: 5, Tenant: "a", Canary: true, Started: 2},
 	}, client.makeReport(1, route.LeaderTime{}).Counts)
 }
 
-// TestBeginAs_headWritten: an attempt that would count under another revision than its head says does not begin, and is
-// not counted whatever the order of checks and reports.
-func TestBeginAs_headWritten(t *testing.T) {
+// TestStartAttemptAs_headWritten verifies that an attempt does not start and is not counted if it would count under another
+// revision than its head contains.
+func TestStartAttemptAs_headWritten(t *testing.T) {
 	client := newLeasedClient(t, 5, time.Second)
 	require.True(t, client.StartAttemptAs(5, "a", false, 5))
 	require.False(t, client.StartAttemptAs(4, "a", false, 5), "an older revision")
 	client.clock.advance(time.Second)
 	require.False(t, client.StartAttemptAs(5, "a", false, 5), "the lease has expired")
-	require.False(t, client.StartAttemptAs(5, "a", true, 0), "no canary without a lease")
+	require.False(t, client.StartAttemptAs(5, "a", true, 0), "canary without a lease")
 	counted := []route.Count{{Rev: 5, Tenant: "a", Started: 1}}
 	require.Equal(t, counted, client.makeReport(1, route.LeaderTime{}).Counts)
-	require.True(t, client.StartAttemptAs(5, "a", false, 0), "the head was written after the lease")
+	require.True(t, client.StartAttemptAs(5, "a", false, 0), "the head was written after the end of the lease")
 	client.setLease(client.clock.Now(), time.Second)
-	require.False(t, client.StartAttemptAs(5, "a", false, 0), "a lease came after the head was written")
+	require.False(t, client.StartAttemptAs(5, "a", false, 0), "a lease was granted after the head was written")
 	counted = append([]route.Count{{Tenant: "a", Started: 1}}, counted...)
 	require.Equal(t, counted, client.makeReport(2, route.LeaderTime{}).Counts)
 }
--- a/internal/routeclient/backoff.go
+++ b/internal/routeclient/backoff.go
@@ -7,7 +7,7 @@
 	"github.com/cenkalti/backoff/v5"
 )
 
-// boundedBackoff is an exponential backoff between failed calls. It is jittered by half, and never leaves its bounds.
+// boundedBackoff is an exponential backoff between failed calls, with a jitter of 50 %. Its intervals are from min to max.
 type boundedBackoff struct {
 	backoff.ExponentialBackOff
 	min, max time.Duration
@@ -22,7 +22,7 @@
 
 func (b *boundedBackoff) next() time.Duration { return min(max(b.NextBackOff(), b.min), b.max) }
 
-// wait waits for a time, or until the early signal. It reports false once ctx has ended.
+// wait returns after d, on a signal from early, or when ctx ends. It reports whether ctx is still active.
 func wait(ctx context.Context, d time.Duration, early <-chan struct{}) bool {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
--- a/internal/routeclient/budgets.go
+++ b/internal/routeclient/budgets.go
@@ -1,6 +1,6 @@
 package routeclient
 
-// This file requests units of rollouts' budgets, and settles what was spent and returned.
+// This file requests units of rollouts' budgets, and reports the units that were spent and returned.
 
 import (
 	"context"
@@ -9,22 +9,22 @@
 	"marblelane/internal/route"
 )
 
-// budgetKey names a budget.
+// budgetKey identifies a budget.
 type budgetKey struct{ tenant, rollout string }
 
-// budgetRequester is the state of the duty to hold budgets.
+// budgetRequester is the state of the task that requests budget units.
 type budgetRequester struct {
 	client        *Client
 	caller        caller
-	reportedSpent map[budgetKey]int64 // as of the newest answered request
-	granted       map[budgetKey]int64 // as of its answer
+	reportedSpent map[budgetKey]int64 // as of the newest request with a response
+	granted       map[budgetKey]int64 // as of the response to that request
 	lastRequestAt time.Time
-	minInterval   time.Duration // to the next request, while units are needed or requests fail
+	minInterval   time.Duration // time between requests while units are needed or requests fail
 	backoff       *boundedBackoff
 	failing       bool
 }
 
-// requestBudgets requests units, and settles what was spent or is returned, until ctx ends; then once more.
+// requestBudgets requests units, and reports spent and returned units, until ctx ends. Then it sends a final request.
 func (c *Client) requestBudgets(ctx context.Context) {
 	h := budgetRequester{
 		client: c, caller: caller{client: c}, minInterval: c.timings.minBudgetInterval,
@@ -52,7 +52,7 @@
 	}
 }
 
-// sendFinalRequest settles once more after ctx has ended.
+// sendFinalRequest sends a request after ctx has ended, unless there are no budgets or requests fail at present.
 func (h *budgetRequester) sendFinalRequest(ctx context.Context) {
 	budgets := h.demand().budgets
 	if len(budgets) == 0 || h.failing {
@@ -64,13 +64,14 @@
 	})
 }
 
-// budgetDemand is what the next request says, and why it is urgent.
+// budgetDemand is the content of the next request, with the reasons to send it soon.
 type budgetDemand struct {
 	budgets               []route.BudgetState
-	needsUnits            bool // an attempt lacked a unit
-	hasUnreportedSpending bool // more was spent than the service knows
+	needsUnits            bool // an attempt to a canary was not possible for lack of a unit
+	hasUnreportedSpending bool // units were spent since the newest request with a response
 }
 
+// demand returns the demand as of the newest sample of the event loop.
 func (h *budgetRequester) demand() budgetDemand {
 	c := h.client
 	c.mu.Lock()
@@ -83,7 +84,7 @@
 	return d
 }
 
-// interval is the time from the last request to the next one.
+// interval returns the time between the last request and the next one.
 func (h *budgetRequester) interval(d budgetDemand) time.Duration {
 	switch {
 	case h.failing:
@@ -96,24 +97,24 @@
 	return h.client.timings.budgetInterval
 }
 
-// requestOnce sends a request, and returns the time until the next one is looked at.
+// requestOnce sends a request, and returns the time after which to consider the next one.
 func (h *budgetRequester) requestOnce(ctx context.Context, d budgetDemand) (next time.Duration) {
 	timings := &h.client.timings
 	gained, err := h.request(ctx, d.budgets)
 	h.lastRequestAt = time.Now()
 	next = timings.budgetInterval
 	switch {
-	case ctx.Err() != nil: // the error says nothing of the service
+	case ctx.Err() != nil: // the error is that of ctx, not of the service
 	case err != nil:
 		if !h.failing {
-			h.client.cfg.Log.Warn("routes: budget request not answered", "err", err)
+			h.client.cfg.Log.Warn("routes: budget request failed", "err", err)
 		}
 		h.failing, h.minInterval = true, h.backoff.next()
 		next = h.minInterval
 	case gained || h.failing:
 		h.failing, h.minInterval = false, timings.minBudgetInterval
 		h.backoff.Reset()
-	case d.needsUnits: // no unit is left at present
+	case d.needsUnits: // no unit is available at present
 		h.minInterval = min(2*h.minInterval, timings.budgetInterval)
 	}
 	return next
@@ -123,16 +124,16 @@
 func (h *budgetRequester) request(ctx context.Context, budgets []route.BudgetState) (gained bool, err error) {
 	c := h.client
 	c.mu.Lock()
-	c.needsUnits = false // a need from here on belongs to the next request
+	c.needsUnits = false // needs that arise from now on belong to the next request
 	request := route.BudgetRequest{Process: route.Process{Name: c.cfg.Name, Start: c.start}, Budgets: budgets}
 	c.mu.Unlock()
-	var answer route.BudgetResponse
-	if err := h.caller.post(ctx, route.BudgetsPath, &request, &answer); err != nil {
+	var response route.BudgetResponse
+	if err := h.caller.post(ctx, route.BudgetsPath, &request, &response); err != nil {
 		return false, err
 	}
 	h.recordReported(budgets)
 	var grants []route.BudgetGrant
-	for _, grant := range answer.Budgets {
+	for _, grant := range response.Budgets {
 		key := budgetKey{grant.Tenant, grant.Rollout}
 		if known, requested := h.granted[key]; requested && grant.Granted >= known {
 			gained = gained || grant.Granted > known
@@ -147,7 +148,8 @@
 	return gained, nil
 }
 
-// recordReported notes what the service knows of budgets, and forgets those that were not part of the request.
+// recordReported records the spent units that the service has received. It removes the budgets that were not part of the
+// request.
 func (h *budgetRequester) recordReported(budgets []route.BudgetState) {
 	before := h.granted
 	h.reportedSpent, h.granted = map[budgetKey]int64{}, map[budgetKey]int64{}
--- a/internal/routeclient/caller.go
+++ b/internal/routeclient/caller.go
@@ -1,6 +1,6 @@
 package routeclient
 
-// This file calls the copies of the list service.
+// This file calls the replicas of the list service.
 
 import (
 	"bytes"
@@ -11,16 +11,16 @@
 	"net/http"
 )
 
-var errResponseTooLong = fmt.Errorf("an answer of more than %d bytes", maxResponseBytes)
+var errResponseTooLong = fmt.Errorf("response exceeds %d bytes", maxResponseBytes)
 
-// caller calls the leader: by way of a copy that redirects to it, and directly once its address is known.
+// caller calls the leader. While the leader's address is unknown, it calls a replica, which redirects the call.
 type caller struct {
 	client     *Client
 	cursor     endpointCursor
-	leaderAddr string // empty: not known
+	leaderAddr string // empty: unknown
 }
 
-// post makes one call. After a failure the next call goes to another copy.
+// post makes one call. After a failure the next call goes to another replica.
 func (c *caller) post(ctx context.Context, path string, request, response any) error {
 	c.client.mu.Lock()
 	if c.cursor.addrsVersion != c.client.addrsVersion {
@@ -31,18 +31,18 @@
 	if c.leaderAddr != "" {
 		addr = c.leaderAddr
 	}
-	answeredBy, err := c.call(ctx, addr, path, request, response)
+	respondedBy, err := c.call(ctx, addr, path, request, response)
 	if err != nil {
 		c.cursor.next()
 		c.leaderAddr = ""
-		return fmt.Errorf("%s%s: %w", addr, path, err)
+		return fmt.Errorf("call %s%s: %w", addr, path, err)
 	}
-	c.leaderAddr = answeredBy
+	c.leaderAddr = respondedBy
 	return nil
 }
 
-// call makes a call, and returns the address that has answered, after redirects.
-func (c *caller) call(ctx context.Context, addr, path string, request, response any) (answeredBy string, err error) {
+// call makes a call, and returns the address that has responded, which differs from addr after redirects.
+func (c *caller) call(ctx context.Context, addr, path string, request, response any) (respondedBy string, err error) {
 	ctx, cancel := context.WithTimeout(ctx, c.client.timings.callTimeout)
 	defer cancel()
 	body, err := json.Marshal(request)
@@ -70,15 +70,15 @@
 		return "", errResponseTooLong
 	}
 	if err := json.Unmarshal(text, response); err != nil {
-		return "", fmt.Errorf("an answer that cannot be read: %w", err)
+		return "", fmt.Errorf("decode response: %w", err)
 	}
 	return resp.Request.URL.Host, nil
 }
 
-// endpointCursor is a place in the list of copies, which may be replaced at any time.
+// endpointCursor is a position in the list of addresses, which SetAddrs may replace at any time.
 type endpointCursor struct{ index, addrsVersion int }
 
-// addr is the address at the place; client.mu is held.
+// addr returns the address at the cursor. The caller holds client.mu.
 func (e *endpointCursor) addr(client *Client) string {
 	if e.addrsVersion != client.addrsVersion {
 		e.index, e.addrsVersion = 0, client.addrsVersion
@@ -88,8 +88,8 @@
 
 func (e *endpointCursor) next() { e.index++ }
 
-// statusError is the error of a response whose status is not 200, with the beginning of its body.
+// statusError returns the error for a response whose status is not 200, with the beginning of its body.
 func statusError(resp *http.Response) error {
 	reason, _ := io.ReadAll(io.LimitReader(resp.Body, maxReasonBytes))
-	return fmt.Errorf("%s answers %s: %s", resp.Request.URL.Host, resp.Status, bytes.TrimSpace(reason))
+	return fmt.Errorf("%s responded with status %s: %s", resp.Request.URL.Host, resp.Status, bytes.TrimSpace(reason))
 }
--- a/internal/routeclient/client.go
+++ b/internal/routeclient/client.go
@@ -14,83 +14,83 @@
 	"marblelane/internal/route"
 )
 
-// Config is what a Client is made of. Name, Start, Version, ConfigDigest and Schemas are part of each report.
+// Config configures a Client. Each report contains Name, Start, Version, ConfigDigest and Schemas.
 type Config struct {
-	Addrs        []string // of the copies of the list service, host:port, in order of preference; at least one
-	Name         string   // of the sidecar
-	Start        int64    // of this process, Unix ns
-	Version      string
-	ConfigDigest string // of the sidecar's configuration, in hexadecimal
-	Schemas      []int  // that this process reads; the newest is requested
+	Addrs        []string // replicas of the list service, host:port, in order of preference; at least one
+	Name         string   // name of the sidecar
+	Start        int64    // start time of this process, Unix ns
+	Version      string   // version of this program
+	ConfigDigest string   // digest of the sidecar's configuration, in hexadecimal
+	Schemas      []int    // schemas that this process reads; the newest is requested
 
-	// Wake is called when TakeUpdate has something. It must not block; nil: no call.
+	// Wake is called when TakeUpdate has an update to return. It must not block. It may be nil.
 	Wake func()
-	Log  *slog.Logger // nil: the default one
-	// Now is the clock, which must be monotonic; nil: time.Now.
+	Log  *slog.Logger // nil: slog.Default()
+	// Now returns the time, with a monotonic clock reading; nil: time.Now.
 	Now func() time.Time
 }
 
-// Sample is what the event loop says of itself, in totals since its start. Its slices are handed over.
+// Sample is the state of the event loop, with totals since its start. The Client owns its slices after OfferSample.
 type Sample struct {
 	ListRev    int64         // revision of the server list
-	Counts     []route.Count // Ended, Failed and Late of each revision; Started is counted here
+	Counts     []route.Count // Ended, Failed and Late of each revision; the Client counts Started itself
 	Budgets    []route.BudgetState
-	NeedsUnits bool // an attempt went elsewhere for lack of a unit: units are requested at once
+	NeedsUnits bool // an attempt did not go to a canary for lack of a unit: units are requested at once
 }
 
-// Update is what the event loop is notified of.
+// Update contains the changes that the event loop has to apply.
 type Update struct {
 	Table      *route.Table // nil: no change
-	LeaseUntil time.Time    // canaries may be used until then; zero: they may not
+	LeaseUntil time.Time    // end of the canary lease; zero: no lease
 	Grants     []route.BudgetGrant
 }
 
-// Status is a client's figures.
+// Status is the state of a Client, for metrics.
 type Status struct {
 	ActingRev, UnreadableRev, LostSamples int64
 	HasLease                              bool
 }
 
-// Client does the duties of one process.
+// Client follows the routing table, reports to the leader and requests budget units for one process.
 type Client struct {
 	cfg              Config
 	timings          timings
 	httpClient       *http.Client
-	schema           int           // that is requested
-	actingRevChanged chan struct{} // capacity 1: a later revision is acted on
-	sampleOffered    chan struct{} // capacity 1: the ring has something
+	schema           int           // requested schema
+	actingRevChanged chan struct{} // capacity 1: the acting revision has increased
+	sampleOffered    chan struct{} // capacity 1: the ring contains a sample
 
-	mu           sync.Mutex // guards what follows; never held over a call
+	mu           sync.Mutex // guards the fields below; never held during a call
 	addrs        []string
-	addrsVersion int                     // grows with each change of addrs
-	breakWatch   context.CancelCauseFunc // ends the present watch
+	addrsVersion int                     // incremented on each change of addrs
+	breakWatch   context.CancelCauseFunc // ends the current watch
 
 	samples      sampleRing
 	newestSample Sample
-	needsUnits   bool // by a sample since the last budget request
+	needsUnits   bool // according to a sample since the last budget request
 
 	pendingUpdate Update
 	hasUpdate     bool
 
-	offeredRev       int64 // of the newest table that was offered to the loop
-	actingRev        int64
-	unreadableRev    int64 // newer than heldRev; 0: none
-	unparsableLogged bool  // a document without a revision was logged
-	start            int64 // of this process, as it is reported
+	offeredRev       int64 // revision of the newest table that was offered to the loop
+	actingRev        int64 // revision of the table that the loop uses
+	unreadableRev    int64 // newest revision after offeredRev that cannot be read; 0: none
+	unparsableLogged bool  // a document without a readable revision was logged since the last table
+	start            int64 // start number of this process in reports; see raiseStart
 	leaseUntil       time.Time
 
 	revisions       map[int64]*revisionCounts
-	revisionOrder   []int64 // of revisions, growing; without 0
-	countsTruncated bool    // counts were dropped that no report had
+	revisionOrder   []int64 // keys of revisions except 0, ascending
+	countsTruncated bool    // counts were dropped that no report contained
 }
 
-// New makes a Client, which does nothing until Run.
+// New returns a Client, which does nothing until Run is called.
 func New(cfg Config) (*Client, error) {
 	if len(cfg.Addrs) == 0 {
-		return nil, errors.New("routeclient: no addresses of list services")
+		return nil, errors.New("routeclient: Addrs is empty")
 	}
 	if len(cfg.Schemas) == 0 {
-		return nil, errors.New("routeclient: no schemas that are read")
+		return nil, errors.New("routeclient: Schemas is empty")
 	}
 	if cfg.Wake == nil {
 		cfg.Wake = func() {}
@@ -128,29 +128,29 @@
 	}
 }
 
-// checkRedirect follows a few redirects that keep the method, and with it the body.
+// checkRedirect allows a few redirects. It rejects those that change the method, as they would drop the body.
 func checkRedirect(r *http.Request, via []*http.Request) error {
 	if len(via) > maxRedirects {
-		return fmt.Errorf("more than %d redirects", maxRedirects)
+		return fmt.Errorf("stopped after %d redirects", maxRedirects)
 	}
 	if r.Method != via[0].Method {
-		return fmt.Errorf("a redirect from %s to %s", via[0].Method, r.Method)
+		return fmt.Errorf("redirect changes the method from %s to %s", via[0].Method, r.Method)
 	}
 	return nil
 }
 
-// Run does the duties until ctx ends. Then it sends a final report and a final budget request, and returns when all its
-// goroutines have ended. It is called once.
+// Run runs the tasks until ctx ends. Then it sends a final report and a final budget request, and returns when all its
+// goroutines have ended. It must be called only once.
 func (c *Client) Run(ctx context.Context) {
-	var duties sync.WaitGroup
-	duties.Go(func() { c.followTable(ctx) })
-	duties.Go(func() { c.reportPeriodically(ctx) })
-	duties.Go(func() { c.requestBudgets(ctx) })
-	duties.Wait()
+	var tasks sync.WaitGroup
+	tasks.Go(func() { c.followTable(ctx) })
+	tasks.Go(func() { c.reportPeriodically(ctx) })
+	tasks.Go(func() { c.requestBudgets(ctx) })
+	tasks.Wait()
 	c.httpClient.CloseIdleConnections()
 }
 
-// SetAddrs makes all calls from now on go to other addresses, in order of preference. With none nothing changes.
+// SetAddrs replaces the addresses of the list service, in order of preference, for all later calls. An empty list is ignored.
 func (c *Client) SetAddrs(addrs []string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -162,7 +162,7 @@
 	c.breakWatch(errAddrsChanged)
 }
 
-// SetActingRev says that from now on the loop decides by the table of a revision. The revision never falls.
+// SetActingRev records that the loop now uses the table of a revision. A revision below the current one is ignored.
 func (c *Client) SetActingRev(rev int64) {
 	c.mu.Lock()
 	later := rev > c.actingRev
@@ -173,14 +173,14 @@
 	}
 }
 
-// RejectTable says that the loop cannot act on the table of a revision.
+// RejectTable records that the loop cannot use the table of a revision.
 func (c *Client) RejectTable(rev int64) {
 	c.mu.Lock()
 	c.unreadableRev = max(c.unreadableRev, rev)
 	c.mu.Unlock()
 }
 
-// OfferSample hands over a sample. It never waits.
+// OfferSample adds a sample of the event loop. It never blocks.
 func (c *Client) OfferSample(sample Sample) {
 	sample.Budgets = sample.Budgets[:min(len(sample.Budgets), maxBudgets)]
 	c.mu.Lock()
@@ -189,7 +189,7 @@
 	signal(c.sampleOffered)
 }
 
-// TakeUpdate returns what is new since the last call, if anything is.
+// TakeUpdate returns the changes since the last call, and whether there are any.
 func (c *Client) TakeUpdate() (Update, bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -198,7 +198,7 @@
 	return update, fresh
 }
 
-// Status returns the client's figures.
+// Status returns the state of the Client.
 func (c *Client) Status() Status {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -207,10 +207,10 @@
 	}
 }
 
-// hasLease reports whether the lease lasts; c.mu is held.
+// hasLease reports whether the lease is valid. The caller holds c.mu.
 func (c *Client) hasLease() bool { return c.cfg.Now().Before(c.leaseUntil) }
 
-// signal signals without waiting; a signal that is already there says the same.
+// signal sends a signal without blocking. A pending signal is sufficient.
 func signal(to chan<- struct{}) {
 	select {
 	case to <- struct{}{}:
@@ -218,8 +218,8 @@
 	}
 }
 
-// setLease takes in a term that counts from when it was requested. Answers come in the order of the requests, so the
-// latest counts, even if it ends earlier. Without a term the lease stays: the service waits for its end.
+// setLease sets the lease to a term that starts when it was requested. Responses arrive in the order of the requests, so the
+// latest one replaces the lease, even if it ends earlier. Without a term the lease stays: the service waits for its end.
 func (c *Client) setLease(requestedAt time.Time, term time.Duration) {
 	if term <= 0 {
 		return
@@ -231,9 +231,9 @@
 	c.cfg.Wake()
 }
 
-var errTooManyRevisions = errors.New("too many revisions that no report was answered for")
+var errTooManyRevisions = errors.New("too many revisions without a confirmed report")
 
-// offerTable hands a table to the loop, if it is later than the one held.
+// offerTable passes a table to the loop, if it is newer than the last one offered.
 func (c *Client) offerTable(table *route.Table) error {
 	c.mu.Lock()
 	if table.Rev <= c.offeredRev {
@@ -255,7 +255,7 @@
 	return nil
 }
 
-// offerGrants hands grants to the loop, each in place of an earlier one of the same budget.
+// offerGrants passes grants to the loop. Each replaces a pending one of the same budget.
 func (c *Client) offerGrants(grants []route.BudgetGrant) {
 	c.mu.Lock()
 	pending := &c.pendingUpdate
--- a/internal/routeclient/client_test.go
+++ b/internal/routeclient/client_test.go
@@ -10,7 +10,7 @@
 	"marblelane/internal/route"
 )
 
-// TestTakeUpdate_latest: of what the loop has not taken the latest of each kind stays.
+// TestTakeUpdate_latest verifies that a pending update contains the latest table, lease and grant of each budget.
 func TestTakeUpdate_latest(t *testing.T) {
 	client := startClient(t, nil)
 	_, fresh := client.TakeUpdate()
@@ -34,7 +34,7 @@
 	require.False(t, fresh)
 }
 
-// TestRun_silentServiceAtEnd: the end does not wait for a silent service.
+// TestRun_silentServiceAtEnd verifies that Run ends although the service does not respond.
 func TestRun_silentServiceAtEnd(t *testing.T) {
 	service := newFakeService(t)
 	release := make(chan struct{})
--- a/internal/routeclient/counts.go
+++ b/internal/routeclient/counts.go
@@ -1,6 +1,6 @@
 package routeclient
 
-// This file counts the attempts of each revision, and makes reports of the counts.
+// This file counts the attempts of each revision, and adds the counts to reports.
 
 import (
 	"cmp"
@@ -9,26 +9,26 @@
 	"marblelane/internal/route"
 )
 
-// countKey names a count within one revision.
+// countKey identifies a count within one revision.
 type countKey struct {
 	tenant string
 	canary bool
 }
 
-// revisionCounts are the counts of one revision.
+// revisionCounts holds the counts of one revision.
 type revisionCounts struct {
 	counts   map[countKey]*route.Count
-	received bool // the leader has the final counts of attempts started
+	received bool // the leader has received the final numbers of attempts started
 }
 
-// countOf is the count of a tenant's side under a revision; c.mu is held.
+// countOf returns the count of a key under a revision, and adds it if necessary. The caller holds c.mu.
 func (c *Client) countOf(rev int64, key countKey) *route.Count {
 	revision := c.revisions[rev]
 	if revision == nil {
 		revision = &revisionCounts{counts: map[countKey]*route.Count{}}
 		c.revisions[rev] = revision
 		if rev > 0 {
-			c.revisionOrder = append(c.revisionOrder, rev) // the revision acted on only grows
+			c.revisionOrder = append(c.revisionOrder, rev) // ascending, as the acting revision never decreases
 		}
 	}
 	count := revision.counts[key]
@@ -39,8 +39,8 @@
 	return count
 }
 
-// drainSamples takes the samples out of the ring; c.mu is held. What ended under a revision that is no longer kept is left
-// out.
+// drainSamples applies and removes the samples of the ring. It ignores counts of revisions that are no longer kept. The
+// caller holds c.mu.
 func (c *Client) drainSamples() {
 	for {
 		sample, more := c.samples.take()
@@ -57,14 +57,15 @@
 	}
 }
 
-// update takes in what the event loop has counted.
+// update applies a count of the event loop.
 func (r *revisionCounts) update(sampled route.Count) {
 	if count := r.counts[countKey{sampled.Tenant, sampled.Canary}]; count != nil {
 		count.Ended, count.Failed, count.Late = sampled.Ended, sampled.Failed, sampled.Late
 	}
 }
 
-// makeReport is a report of this moment: the revision acted on, the lease and the counts belong together.
+// makeReport returns a report of the current state. The acting revision, the lease and the counts are read under one lock, so
+// they are consistent.
 func (c *Client) makeReport(seq int64, echo route.LeaderTime) route.Report {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -87,7 +88,8 @@
 	return r
 }
 
-// appendCounts adds counts to a report: the newest revisions first, as many as it may have, and revision 0.
+// appendCounts adds counts to a report: all of revision 0 and of the acting revision, and those of the newest revisions
+// before it as far as maxCounts allows.
 func (c *Client) appendCounts(r *route.Report) {
 	for _, rev := range slices.Backward(c.revisionOrder) {
 		revision := c.revisions[rev]
@@ -122,9 +124,10 @@
 	return 1
 }
 
-// dropReceivedCounts notes that the leader has a report. Counts of the oldest revisions, beyond minRetainedRevs, are dropped if
-// they are final and received: under a revision before the report's nothing has begun since. Counts that a report had no
-// space for are dropped as well, as there would never be space for them.
+// dropReceivedCounts records that the leader has received a report, and drops counts of the oldest revisions. The newest
+// minRetainedRevs revisions are kept in any case. The counts of an older revision are dropped if the leader has received
+// their final values: no attempt starts under a revision before the reported one after the report. Counts that did not fit
+// into the report are dropped as well, as they would not fit into a later one either.
 func (c *Client) dropReceivedCounts(r *route.Report) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/routeclient/counts_test.go
+++ b/internal/routeclient/counts_test.go
@@ -12,8 +12,8 @@
 	"marblelane/internal/route"
 )
 
-// TestReport_concurrentAttempts: under a revision before the acknowledged one nothing begins after the report was made,
-// and all that began before is counted in it.
+// TestReport_concurrentAttempts verifies that no attempt starts under a revision before the acknowledged one after the report
+// was made, and that the report counts all attempts started before.
 func TestReport_concurrentAttempts(t *testing.T) {
 	client := newLeasedClient(t, 1, time.Hour)
 	const last = 200
@@ -41,7 +41,7 @@
 		for _, count := range client.makeReport(rev, route.LeaderTime{}).Counts {
 			if count.Rev < rev {
 				if earlier, known := final[count.Rev]; known {
-					require.Equal(t, earlier, count.Started, "attempts began under %d after a report", count.Rev)
+					require.Equal(t, earlier, count.Started, "attempts started under revision %d after a report", count.Rev)
 				}
 				final[count.Rev] = count.Started
 			}
@@ -54,7 +54,7 @@
 	}
 }
 
-// TestSampleRing_full: a full ring drops and counts the oldest sample; the need of units stays, and totals lose nothing.
+// TestSampleRing_full verifies that a full ring drops and counts the oldest sample, and keeps its NeedsUnits.
 func TestSampleRing_full(t *testing.T) {
 	client := newLeasedClient(t, 1, time.Hour)
 	client.StartAttempt(1, "a", true)
@@ -70,8 +70,8 @@
 	require.True(t, client.needsUnits)
 }
 
-// TestCounts_droppedOnceReceived: counts of old revisions stay until they are received; meanwhile, with too many of them,
-// no newer table is taken.
+// TestCounts_droppedOnceReceived verifies that counts of old revisions are kept until the leader has received them, and that
+// newer tables are rejected while counts of too many revisions are kept.
 func TestCounts_droppedOnceReceived(t *testing.T) {
 	client := newLeasedClient(t, 1, time.Hour)
 	rev := int64(0)
@@ -87,12 +87,13 @@
 	require.ErrorIs(t, client.offerTable(&route.Table{Rev: rev + 1}), errTooManyRevisions)
 	client.dropReceivedCounts(&r)
 	require.NoError(t, client.offerTable(&route.Table{Rev: rev + 1}))
-	left := client.makeReport(2, route.LeaderTime{}).Counts
-	require.Len(t, left, minRetainedRevs)
-	require.Equal(t, rev-minRetainedRevs+1, left[0].Rev)
+	retained := client.makeReport(2, route.LeaderTime{}).Counts
+	require.Len(t, retained, minRetainedRevs)
+	require.Equal(t, rev-minRetainedRevs+1, retained[0].Rev)
 }
 
-// TestReport_boundedCounts: with many tenants a report has the newest revisions only, and says so; the others are dropped.
+// TestReport_boundedCounts verifies that with many tenants a report contains only the newest revisions and has CountsTruncated
+// set, and that the counts of older revisions are dropped.
 func TestReport_boundedCounts(t *testing.T) {
 	client := newLeasedClient(t, 1, time.Hour)
 	for rev := int64(1); rev <= 2*maxRevs; rev++ {
--- a/internal/routeclient/doc.go
+++ b/internal/routeclient/doc.go
@@ -1,36 +1,37 @@
-// Package routeclient is a sidecar's side of the routes of docs/routes.md.
+// Package routeclient implements the sidecar's side of routes, which docs/routes.md describes.
 //
-// A Client has three duties, each in a goroutine of its own: it follows the table of routes by a watch at one copy of the
-// list service after another, it reports to the leader what this process acts on and gets canary leases for it, and it
-// requests and returns units of rollouts' budgets.
+// A Client runs three tasks, each in its own goroutine. It follows the routing table by a watch at one replica of the list
+// service, and moves to the next replica when the watch ends. It reports the state of this process to the leader and gets
+// canary leases in return. It requests and returns units of rollouts' budgets.
 //
-// # What it promises
+// # Guarantees
 //
-//   - The event loop never waits for a duty, and a duty never waits for the loop.
-//   - From the loop to the duties goes a ring of samples. When it is full the oldest is dropped and counted in
-//     route.Report.LostSamples. Samples are totals, so nothing is lost by it.
-//   - From the duties to the loop goes one pending Update, in which a later table, lease or grant replaces an earlier one.
-//     A stop, a rollback and the end of a lease therefore always arrive.
-//   - The revision that is acted on never falls. Under a revision before the one of a report nothing begins after the
-//     report was made, and what began before is counted in it.
-//   - A canary attempt begins only under the revision that is acted on, and only during a lease. Begin checks both right
-//     before the attempt's first byte, and counts the attempt in the same moment.
-//   - A lease counts from before its report was made, so the leader counts its end later than this process does.
-//   - Run returns soon after its context ends, whether or not the service answers.
+//   - The event loop never waits for a task, and a task never waits for the loop.
+//   - The loop passes samples to the tasks through a ring. When the ring is full, the oldest sample is dropped and counted
+//     in route.Report.LostSamples. Samples contain totals, so a dropped sample loses no data.
+//   - The tasks pass one pending Update to the loop, in which a later table, lease or grant replaces an earlier one. A stop,
+//     a rollback and the end of a lease therefore always reach the loop.
+//   - The acting revision, which is the revision of the table that the loop uses, never decreases. After a report is made,
+//     no attempt starts under a revision before the reported one, and the report includes all attempts that have.
+//   - A canary attempt starts only under the acting revision and during a lease. StartAttempt checks both right before the
+//     attempt's first byte, and counts the attempt in the same critical section.
+//   - The term of a lease starts before its report is made, so the lease ends for this process before it ends for the leader.
+//   - Run returns soon after its context ends, whether or not the service responds.
 //
-// One mutex guards what the goroutines share. It is held for a few map look-ups, and never over a call.
+// One mutex guards the shared state. It is held for a few map look-ups, and never during a call.
 //
 // # Bounds
 //
-// The bounds stand at their constants, in limits.go. Counts are kept for the newest minRetainedRevs revisions, and for older
-// ones until an answer confirms that their final counts were received. With maxRevs revisions kept no newer table is taken
-// until reports are answered again; as attempts count under a revision only for a term after an answer, this takes maxRevs
-// changes of the table within one term. A report has maxCounts counts, or all of the revision acted on if these are more.
-// Where it leaves out older revisions it says so from then on, and their counts are dropped.
+// The constants in limits.go define the bounds. Counts are kept for the newest minRetainedRevs revisions, and for older
+// revisions until a response confirms that the leader has received their final counts. While counts of maxRevs revisions are
+// kept, newer tables are rejected until the leader responds to reports again. Attempts count under a revision only for one
+// term after a response, so this happens only if the table changes maxRevs times within a term. A report has at most
+// maxCounts counts, or all counts of the acting revision if these are more. If a report omits the counts of older revisions,
+// they are dropped, and all later reports have CountsTruncated set.
 //
 // # Clocks
 //
-// The lease is a time on Go's monotonic clock. On Linux that is CLOCK_MONOTONIC: it goes on while the process is stopped,
-// and stands still while the machine is suspended. A machine that is suspended during a lease is not covered by what the
-// service says of closed revisions.
+// The end of a lease is a time on Go's monotonic clock. On Linux this is CLOCK_MONOTONIC, which advances while the process is
+// stopped, but not while the machine is suspended. The guarantees of the service for closed revisions therefore do not cover
+// a machine that is suspended during a lease.
 package routeclient
--- a/internal/routeclient/helpers_test.go
+++ b/internal/routeclient/helpers_test.go
@@ -20,7 +20,7 @@
 	"marblelane/internal/route"
 )
 
-// waitLimit bounds every wait of the tests; none is expected to last.
+// waitLimit is the timeout of every wait in the tests. A passing test waits far less.
 const waitLimit = 10 * time.Second
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
@@ -43,12 +43,12 @@
 	c.mu.Unlock()
 }
 
-// fakeService is a copy of the list service. Each watch sends what the test writes to it.
+// fakeService is a replica of the list service. Each watch sends the text that the test writes to it.
 type fakeService struct {
 	*httptest.Server
 	watches chan fakeWatch
-	report  atomic.Pointer[func(route.Report) (int, any)] // nil: 503
-	budgets atomic.Pointer[func(route.BudgetRequest) (int, any)]
+	report  atomic.Pointer[func(route.Report) (int, any)]        // handler of reports: returns the status and the body; nil: 503
+	budgets atomic.Pointer[func(route.BudgetRequest) (int, any)] // handler of budget requests, like report
 	posts   atomic.Int64
 }
 
@@ -70,7 +70,7 @@
 
 func (s *fakeService) addr() string { return s.Listener.Addr().String() }
 
-func (s *fakeService) answerReports(with route.ReportResponse) {
+func (s *fakeService) respondToReports(with route.ReportResponse) {
 	f := func(route.Report) (int, any) { return http.StatusOK, with }
 	s.report.Store(&f)
 }
@@ -108,13 +108,13 @@
 		http.Error(w, "no leader", http.StatusServiceUnavailable)
 		return
 	}
-	status, answer := (*f)(in)
-	if to, ok := answer.(string); ok {
+	status, response := (*f)(in)
+	if to, ok := response.(string); ok { // the URL of a redirect
 		http.Redirect(w, r, to+r.URL.Path, status)
 		return
 	}
 	w.WriteHeader(status)
-	json.NewEncoder(w).Encode(answer)
+	json.NewEncoder(w).Encode(response)
 }
 
 func (w fakeWatch) write(t *testing.T, text string) {
@@ -122,7 +122,7 @@
 	select {
 	case w.text <- text:
 	case <-time.After(waitLimit):
-		t.Fatal("the watch takes no line")
+		t.Fatal("timeout writing to the watch")
 	}
 }
 
@@ -136,7 +136,7 @@
 	stop  func()
 }
 
-// logBuffer is a log.
+// logBuffer collects log output.
 type logBuffer struct {
 	mu   sync.Mutex
 	text strings.Builder
@@ -154,12 +154,13 @@
 	return strings.Count(l.text.String(), text)
 }
 
-// startClient runs a client with short times, after change has changed it. Without copies it does not run.
-func startClient(t *testing.T, change func(*Client), copies ...*fakeService) *testClient {
+// startClient runs a client with short intervals at the replicas. change, if any, modifies it before. Without replicas the
+// client does not run.
+func startClient(t *testing.T, change func(*Client), replicas ...*fakeService) *testClient {
 	t.Helper()
 	client := &testClient{t: t, clock: &manualClock{now: time.Now()}, wake: make(chan struct{}, 1), log: &logBuffer{}}
 	var addrs []string
-	for _, c := range copies {
+	for _, c := range replicas {
 		addrs = append(addrs, c.addr())
 	}
 	if addrs == nil {
@@ -186,7 +187,7 @@
 		change(underTest)
 	}
 	client.Client = underTest
-	if copies == nil {
+	if replicas == nil {
 		return client
 	}
 	ctx, cancel := context.WithCancel(context.Background())
@@ -209,12 +210,12 @@
 	case v := <-from:
 		return v
 	case <-time.After(waitLimit):
-		t.Fatalf("no %s in time", what)
+		t.Fatalf("timeout waiting for %s", what)
 		panic("unreachable")
 	}
 }
 
-// waitUpdate waits for an update that wanted accepts.
+// waitUpdate waits for an update for which wanted returns true.
 func (c *testClient) waitUpdate(what string, wanted func(Update) bool) Update {
 	c.t.Helper()
 	for limit := time.After(waitLimit); ; {
@@ -224,7 +225,7 @@
 		select {
 		case <-c.wake:
 		case <-limit:
-			c.t.Fatalf("no %s in time", what)
+			c.t.Fatalf("timeout waiting for %s", what)
 		}
 	}
 }
@@ -241,7 +242,7 @@
 	return string(text)
 }
 
-// newLeasedClient makes a client that acts on a revision, with a lease for a term from now.
+// newLeasedClient returns a client that is not running, with an acting revision and a lease for a term from now.
 func newLeasedClient(t *testing.T, rev int64, term time.Duration) *testClient {
 	client := startClient(t, nil)
 	client.SetActingRev(rev)
--- a/internal/routeclient/reporter.go
+++ b/internal/routeclient/reporter.go
@@ -1,6 +1,6 @@
 package routeclient
 
-// This file reports to the leader what this process acts on, and gets canary leases.
+// This file reports the state of this process to the leader, and gets canary leases.
 
 import (
 	"context"
@@ -10,18 +10,18 @@
 	"marblelane/internal/route"
 )
 
-// reporter is the state of the duty to report.
+// reporter is the state of the task that sends reports.
 type reporter struct {
 	client   *Client
 	caller   caller
 	seq      int64
-	echo     route.LeaderTime // stamp of the newest answer
-	term     time.Duration    // of the newest answer's lease; 0: none
-	reason   string           // why there was no lease, as logged
-	accepted bool             // the leader has taken this process for the newest of its name
+	echo     route.LeaderTime // stamp of the newest response
+	term     time.Duration    // term of the lease in the newest response; 0: no lease
+	reason   string           // last logged reason for granting no lease
+	accepted bool             // the leader has accepted this process as the newest of its name
 }
 
-// reportPeriodically reports until ctx ends, and then once more.
+// reportPeriodically sends reports until ctx ends, and then a final one unless reports fail at present.
 func (c *Client) reportPeriodically(ctx context.Context) {
 	r := reporter{client: c, caller: caller{client: c}}
 	backoff, failing := c.newBackoff(c.timings.noLeaseReportInterval), false
@@ -35,11 +35,11 @@
 		case ctx.Err() == nil:
 			interval = min(backoff.next(), interval)
 			if !failing {
-				c.cfg.Log.Warn("routes: report not answered", "err", err)
+				c.cfg.Log.Warn("routes: report failed", "err", err)
 			}
 			failing = true
 		}
-		// Report soon after a later revision is acted on, so that the one before can be closed.
+		// Report soon after the acting revision has increased, so that the service can close the one before.
 		shortest := c.timings.minReportInterval
 		if !wait(ctx, shortest, nil) || !wait(ctx, interval-shortest, c.actingRevChanged) {
 			break
@@ -50,7 +50,7 @@
 	}
 }
 
-// interval is the time until the next report.
+// interval returns the time until the next report.
 func (r *reporter) interval() time.Duration {
 	timings := &r.client.timings
 	if r.term <= 0 {
@@ -59,34 +59,34 @@
 	return min(max(r.term/reportsPerTerm, timings.minReportInterval), timings.maxReportInterval)
 }
 
-// report sends one report and takes in the answer.
+// report sends one report and applies the response.
 func (r *reporter) report(ctx context.Context) error {
-	requestedAt := r.client.cfg.Now() // the lease counts from here, before the report is made
+	requestedAt := r.client.cfg.Now() // start of the lease, before the report is made
 	r.seq++
 	report := r.client.makeReport(r.seq, r.echo)
-	var answer route.ReportResponse
-	if err := r.caller.post(ctx, route.ReportPath, &report, &answer); err != nil {
+	var response route.ReportResponse
+	if err := r.caller.post(ctx, route.ReportPath, &report, &response); err != nil {
 		return err
 	}
-	r.echo = answer.Stamp
-	r.term = time.Duration(min(max(answer.LeaseMS, 0), maxLeaseTerm.Milliseconds())) * time.Millisecond
-	if answer.Reason != r.reason && answer.Reason != "" {
-		r.client.cfg.Log.Warn("routes: no lease", "why", answer.Reason)
+	r.echo = response.Stamp
+	r.term = time.Duration(min(max(response.LeaseMS, 0), maxLeaseTerm.Milliseconds())) * time.Millisecond
+	if response.Reason != r.reason && response.Reason != "" {
+		r.client.cfg.Log.Warn("routes: lease not granted", "why", response.Reason)
 	}
-	r.reason = answer.Reason
-	r.raiseStart(answer.NewestStart)
+	r.reason = response.Reason
+	r.raiseStart(response.NewestStart)
 	r.client.dropReceivedCounts(&report)
 	r.client.setLease(requestedAt, r.term)
-	if answer.Resync {
-		r.client.resync(answer.Table)
+	if response.Resync {
+		r.client.resync(response.Table)
 	}
 	return nil
 }
 
-// raiseStart raises this process's start above that of an earlier process of its name: the wall clock was stepped back
-// between the two, and the process with the lower start counts as the one that has ended. It is for a process that was
-// never accepted as the newest one, which has counted only attempts without a lease, and has no grants. An accepted process
-// gives way to a later one: it is being replaced.
+// raiseStart raises the start number of this process above newest, that of an earlier process of the same name. It is lower
+// if the wall clock was stepped back between the two starts, and the leader treats the process with the lower number as
+// ended. Only a process that the leader has never accepted as the newest one may raise its number: it has counted only
+// attempts without a lease, and has no grants. An accepted process keeps its number, as the later process replaces it.
 func (r *reporter) raiseStart(newest int64) {
 	if newest == 0 {
 		r.accepted = true
@@ -100,13 +100,13 @@
 	c.start = max(before, newest+1)
 	c.mu.Unlock()
 	if before <= newest {
-		c.cfg.Log.Warn("routes: start raised above that of an earlier process of this name",
+		c.cfg.Log.Warn("routes: raised start number above that of an earlier process of the same name",
 			"start", before, "above", newest)
-		signal(c.actingRevChanged) // the next report need not wait
+		signal(c.actingRevChanged) // send the next report without delay
 	}
 }
 
-// finalCall makes a call once more after ctx has ended, for a short time.
+// finalCall makes a call after ctx has ended, with finalCallTimeout.
 func (c *Client) finalCall(ctx context.Context, call func(context.Context) error) {
 	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), c.timings.finalCallTimeout)
 	defer cancel()
--- a/internal/routeclient/reporter_test.go
+++ b/internal/routeclient/reporter_test.go
@@ -12,14 +12,15 @@
 	"marblelane/internal/route"
 )
 
-// TestReport_raisedStart: a process whose start is below that of an earlier one of its name raises it, and gets a lease
-// with the next report. A process that was the newest one does not: it is being replaced.
+// TestReport_raisedStart verifies that a process whose start number is below that of an earlier process of its name raises
+// the number, and gets a lease with the next report. A process that was accepted as the newest one keeps its number, as it is
+// being replaced.
 func TestReport_raisedStart(t *testing.T) {
 	const newest = int64(1) << 40
 	service := newFakeService(t)
 	var otherStart atomic.Int64
 	starts := make(chan int64, 1000)
-	answer := func(r route.Report) (int, any) {
+	respond := func(r route.Report) (int, any) {
 		select {
 		case starts <- r.Start:
 		default:
@@ -29,8 +30,8 @@
 		}
 		return http.StatusOK, route.ReportResponse{LeaseMS: 1000}
 	}
-	service.report.Store(&answer)
-	client := startClient(t, func(s *Client) { // the second report follows from the rejection
+	service.report.Store(&respond)
+	client := startClient(t, func(s *Client) { // a rejected report causes the second one at once
 		s.timings.noLeaseReportInterval, s.timings.maxReportInterval = time.Hour, time.Hour
 	}, service)
 	require.EqualValues(t, 7, receive(t, "first report", starts))
@@ -39,23 +40,23 @@
 	otherStart.Store(newest + 9)
 	for rev := range int64(3) {
 		client.SetActingRev(rev + 1) // causes a report
-		require.Equal(t, newest+1, receive(t, "report beside the later start", starts))
+		require.Equal(t, newest+1, receive(t, "report after that of a later start", starts))
 	}
 	requests := make(chan route.BudgetRequest, 1)
-	answerRequest := func(a route.BudgetRequest) (int, any) {
+	respondToRequest := func(a route.BudgetRequest) (int, any) {
 		select {
 		case requests <- a:
 		default:
 		}
 		return http.StatusOK, route.BudgetResponse{}
 	}
-	service.budgets.Store(&answerRequest)
+	service.budgets.Store(&respondToRequest)
 	client.OfferSample(Sample{Budgets: []route.BudgetState{{Tenant: "a", Rollout: "r", Wanted: 1}}, NeedsUnits: true})
 	require.Equal(t, newest+1, receive(t, "budget request", requests).Start)
 }
 
-// TestLease_countsFromRequest: the lease counts from before the report. One that counted from the answer would let
-// canaries begin after the leader has counted its end.
+// TestLease_countsFromRequest verifies that the term of a lease starts before the report is made. With a term from the
+// response on, canary attempts could start after the lease has ended for the leader.
 func TestLease_countsFromRequest(t *testing.T) {
 	const term, delay = time.Second, 400 * time.Millisecond
 	service := newFakeService(t)
@@ -68,7 +69,7 @@
 		service.report.Store(&f)
 		return http.StatusOK, route.ReportResponse{LeaseMS: term.Milliseconds()}
 	}
-	client := startClient(t, func(s *Client) { s.SetActingRev(3) }, newFakeService(t)) // not c yet: it needs the clock of p
+	client := startClient(t, func(s *Client) { s.SetActingRev(3) }, newFakeService(t)) // service needs the clock of the client, so it is added below
 	clock = client.clock
 	service.report.Store(&once)
 	client.SetAddrs([]string{service.addr()})
@@ -85,8 +86,8 @@
 	require.True(t, client.makeReport(1, route.LeaderTime{}).NoLease)
 }
 
-// TestReport_redirectToLeader: a redirect keeps the body, and the leader is called directly from then on; when it fails
-// the copies are called again.
+// TestReport_redirectToLeader verifies that a redirect keeps the body, that the leader is called directly from then on, and
+// that the replicas are called again after the leader has failed.
 func TestReport_redirectToLeader(t *testing.T) {
 	follower, leader := newFakeService(t), newFakeService(t)
 	redirect := func(route.Report) (int, any) { return http.StatusTemporaryRedirect, leader.URL }
@@ -110,19 +111,19 @@
 	leader.report.Store(&unavailable)
 	follower.report.Store(&accept)
 	before := second.Seq
-	for receive(t, "report by way of the follower", got).Seq == before {
+	for receive(t, "report redirected by the follower", got).Seq == before {
 	}
 	client.stop()
 }
 
-// TestReport_resync: a process that is behind gets the whole table with the answer, and begins a new watch.
+// TestReport_resync verifies that a process that is behind applies the table of the response and starts a new watch.
 func TestReport_resync(t *testing.T) {
 	service := newFakeService(t)
-	service.answerReports(route.ReportResponse{})
+	service.respondToReports(route.ReportResponse{})
 	client := startClient(t, nil, service)
 	watch := receive(t, "watch", service.watches)
 	once := func(route.Report) (int, any) {
-		service.answerReports(route.ReportResponse{})
+		service.respondToReports(route.ReportResponse{})
 		return http.StatusOK, route.ReportResponse{Resync: true, Table: json.RawMessage(document(t, 9)), Reason: "behind"}
 	}
 	service.report.Store(&once)
--- a/internal/routeclient/sample_ring.go
+++ b/internal/routeclient/sample_ring.go
@@ -1,14 +1,14 @@
 package routeclient
 
-// sampleRing holds the newest samples.
+// sampleRing is a ring buffer of the newest samples.
 type sampleRing struct {
 	items       [sampleRingSize]Sample
 	first, used int
-	lost        int64 // samples that were dropped
+	lost        int64 // number of dropped samples
 }
 
-// put adds a sample. In a full ring it drops the oldest one; totals lose nothing by that, and the need of units, which is
-// no total, passes to the new one.
+// put adds a sample. If the ring is full, it drops the oldest sample. This loses no data: the newer samples contain the same
+// totals, and NeedsUnits, which is not a total, is copied to the new sample.
 func (r *sampleRing) put(s Sample) {
 	if r.used == sampleRingSize {
 		s.NeedsUnits = s.NeedsUnits || r.items[r.first].NeedsUnits
@@ -19,7 +19,7 @@
 	r.used++
 }
 
-// take removes the oldest sample.
+// take removes and returns the oldest sample, if any.
 func (r *sampleRing) take() (Sample, bool) {
 	if r.used == 0 {
 		return Sample{}, false
--- a/internal/routeclient/watch.go
+++ b/internal/routeclient/watch.go
@@ -1,6 +1,6 @@
 package routeclient
 
-// This file follows the table of routes.
+// This file follows the routing table.
 
 import (
 	"bufio"
@@ -18,29 +18,29 @@
 	"marblelane/internal/route"
 )
 
-// Why a watch has ended. After errResync and errAddrsChanged the next one begins at once.
+// Reasons for the end of a watch. After errResync and errAddrsChanged the next watch starts without delay.
 var (
-	errResync       = errors.New("the service asks for the watch to be begun anew")
-	errAddrsChanged = errors.New("the list services are at other addresses now")
-	errWatchTimeout = errors.New("no line in time")
-	errLineTooLong  = fmt.Errorf("a line of more than %d bytes", maxDocumentBytes)
+	errResync       = errors.New("the list service requested a new watch")
+	errAddrsChanged = errors.New("the addresses of the list service have changed")
+	errWatchTimeout = errors.New("timeout waiting for a line")
+	errLineTooLong  = fmt.Errorf("line exceeds %d bytes", maxDocumentBytes)
 )
 
-// followTable keeps a watch of the table at one copy after another until ctx ends.
+// followTable watches the table at one replica until the watch ends, then at the next one, until ctx ends.
 func (c *Client) followTable(ctx context.Context) {
 	backoff := c.newBackoff(c.timings.maxBackoff)
 	var cursor endpointCursor
 	for {
-		anyLine, err := c.watch(ctx, &cursor)
+		receivedLine, err := c.watch(ctx, &cursor)
 		if ctx.Err() != nil {
 			return
 		}
 		cursor.next()
 		c.cfg.Log.Warn("routes: watch ended", "err", err)
 		if errors.Is(err, errAddrsChanged) || errors.Is(err, errResync) {
-			continue // bounded by how often the addresses change and reports are answered
+			continue // no backoff: the rate is limited by that of address changes and report responses
 		}
-		if anyLine {
+		if receivedLine {
 			backoff.Reset()
 		}
 		if !wait(ctx, backoff.next(), nil) {
@@ -49,12 +49,12 @@
 	}
 }
 
-// watch follows the table at one copy until that fails. anyLine says that the copy has sent a line.
-func (c *Client) watch(ctx context.Context, cursor *endpointCursor) (anyLine bool, err error) {
+// watch follows the table at one replica until an error occurs. receivedLine reports whether the replica has sent a line.
+func (c *Client) watch(ctx context.Context, cursor *endpointCursor) (receivedLine bool, err error) {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
 	c.mu.Lock()
-	addr, held := cursor.addr(c), c.offeredRev
+	addr, after := cursor.addr(c), c.offeredRev
 	c.breakWatch = cancel
 	c.mu.Unlock()
 	defer func() {
@@ -62,9 +62,9 @@
 			err = cause
 		}
 	}()
-	silence := time.AfterFunc(c.timings.watchTimeout, func() { cancel(errWatchTimeout) })
-	defer silence.Stop()
-	resp, err := c.openWatch(ctx, addr, held)
+	timeout := time.AfterFunc(c.timings.watchTimeout, func() { cancel(errWatchTimeout) })
+	defer timeout.Stop()
+	resp, err := c.openWatch(ctx, addr, after)
 	if err != nil {
 		return false, err
 	}
@@ -72,19 +72,19 @@
 	for body := bufio.NewReader(resp.Body); ; {
 		line, err := readLine(body)
 		if err != nil {
-			return anyLine, err
+			return receivedLine, err
 		}
-		silence.Reset(c.timings.watchTimeout)
+		timeout.Reset(c.timings.watchTimeout)
 		if len(line) > 0 {
 			if err := c.readDocument(line); err != nil {
-				return anyLine, err
+				return receivedLine, err
 			}
 		}
-		anyLine = true
+		receivedLine = true
 	}
 }
 
-// openWatch requests the tables after a revision.
+// openWatch requests a watch of the tables after a revision.
 func (c *Client) openWatch(ctx context.Context, addr string, after int64) (*http.Response, error) {
 	query := url.Values{
 		"schema": {strconv.Itoa(c.schema)}, "watch": {"1"}, "after": {strconv.FormatInt(after, 10)},
@@ -105,7 +105,8 @@
 	return resp, nil
 }
 
-// readLine reads the next line, without white space around it. A line without its end is half of one, and an error.
+// readLine reads the next line and trims white space. A line without a newline at the end of the response is incomplete, which
+// is an error.
 func readLine(body *bufio.Reader) ([]byte, error) {
 	var line []byte
 	for {
@@ -118,14 +119,15 @@
 		case err == nil:
 			return bytes.TrimSpace(line), nil
 		case err == io.EOF:
-			return nil, io.ErrUnexpectedEOF // a watch has no end
+			return nil, io.ErrUnexpectedEOF // a watch never ends normally
 		case err != bufio.ErrBufferFull:
 			return nil, err
 		}
 	}
 }
 
-// readDocument takes a document in. One that cannot be read is logged and noted, and no error.
+// readDocument decodes a document and passes its table to the loop. An unreadable document is logged and recorded, and does
+// not end the watch.
 func (c *Client) readDocument(text []byte) error {
 	table, err := route.Read(c.schema, text)
 	if err == nil {
@@ -137,16 +139,16 @@
 	if json.Unmarshal(text, &head) != nil {
 		head.Rev = 0
 	}
-	if held, first := c.recordUnreadable(head.Rev); first {
-		c.cfg.Log.Error("routes: document cannot be read, the last table stays",
-			"revision", head.Rev, "held", held, "schema", c.schema, "err", err)
+	if offered, first := c.recordUnreadable(head.Rev); first {
+		c.cfg.Log.Error("routes: failed to read document, keeping the last table",
+			"revision", head.Rev, "held", offered, "schema", c.schema, "err", err)
 	}
 	return nil
 }
 
-// recordUnreadable notes that a document cannot be read; rev is 0 if its revision cannot either. first says that this is
-// not known yet.
-func (c *Client) recordUnreadable(rev int64) (held int64, first bool) {
+// recordUnreadable records that the document of a revision cannot be read; rev is 0 if the revision cannot be read either.
+// first reports whether this has to be logged, as it was not recorded before.
+func (c *Client) recordUnreadable(rev int64) (offered int64, first bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	switch {
@@ -160,11 +162,11 @@
 	return c.offeredRev, first
 }
 
-// resync takes in a whole table that came with an answer, and begins the watch anew.
+// resync applies the whole table of a report response, and restarts the watch.
 func (c *Client) resync(table []byte) {
 	if len(table) > 0 {
 		if err := c.readDocument(table); err != nil {
-			c.cfg.Log.Warn("routes: table of an answer not taken", "err", err)
+			c.cfg.Log.Warn("routes: table of a report response rejected", "err", err)
 		}
 	}
 	c.mu.Lock()
--- a/internal/routeclient/watch_test.go
+++ b/internal/routeclient/watch_test.go
@@ -11,8 +11,8 @@
 	"marblelane/internal/route"
 )
 
-// TestWatch_nextCopy: after a copy that fails comes the next one, and the table never goes back.
-func TestWatch_nextCopy(t *testing.T) {
+// TestWatch_nextReplica verifies that the watch moves to the next replica after an error, and that an older table is ignored.
+func TestWatch_nextReplica(t *testing.T) {
 	a, b := newFakeService(t), newFakeService(t)
 	client := startClient(t, nil, a, b)
 	first := receive(t, "watch", a.watches)
@@ -22,7 +22,7 @@
 	first.write(t, document(t, 4)+"\n"+document(t, 5)+"\n"+document(t, 7)+"\n")
 	client.waitTable(7)
 	close(first.text)
-	second := receive(t, "watch at the next copy", b.watches)
+	second := receive(t, "watch at the next replica", b.watches)
 	require.Equal(t, "after=7&schema=2&watch=1", second.query)
 	second.write(t, document(t, 6)+"\n"+document(t, 8)+"\n")
 	client.waitTable(8)
@@ -36,10 +36,11 @@
 	a, b := newFakeService(t), newFakeService(t)
 	startClient(t, func(s *Client) { s.timings.watchTimeout = 20 * time.Millisecond }, a, b)
 	receive(t, "end of the silent watch", receive(t, "watch", a.watches).ended)
-	receive(t, "watch at the next copy", b.watches)
+	receive(t, "watch at the next replica", b.watches)
 }
 
-// TestWatch_unreadableDocuments: a document that cannot be read changes nothing, and is logged once for each revision.
+// TestWatch_unreadableDocuments verifies that an unreadable document changes nothing and is logged once for each revision.
+// The same holds for text that is no document, and for incomplete and overlong lines.
 func TestWatch_unreadableDocuments(t *testing.T) {
 	service := newFakeService(t)
 	client := startClient(t, nil, service)
@@ -71,7 +72,7 @@
 	next := receive(t, "last watch", service.watches)
 	require.Equal(t, "after=5&schema=2&watch=1", next.query)
 	for rev, times := range map[int]int{6: 1, 7: 1, 0: 1} {
-		require.Equal(t, times, client.log.count(fmt.Sprintf("revision=%d ", rev)), "log of revision %d", rev)
+		require.Equal(t, times, client.log.count(fmt.Sprintf("revision=%d ", rev)), "log entries of revision %d", rev)
 	}
 	require.Equal(t, 2, client.log.count(errLineTooLong.Error()))
 	next.write(t, document(t, 10)+"\n")
