--- a/internal/route/bind.go
+++ b/internal/route/bind.go
@@ -10,15 +10,15 @@
 	"marblelane/balance"
 )
 
-// matchesNothing is a number that no zone, model or class has. It is not -1, which is the number of servers whose zone or
-// model is unknown to the settings.
+// matchesNothing is a number that no zone, model or class has. It is not -1, which is the number of servers whose zone
+// or model is unknown to the settings.
 const matchesNothing = math.MinInt
 
 // maxSkipped is the maximum number of messages of Bind, without the one that counts the rest.
 const maxSkipped = 100
 
-// RolloutID returns the number that balancers use for a tenant's rollout. It is the same on every sidecar and after every
-// restart, and never 0.
+// RolloutID returns the number that balancers use for a tenant's rollout. It is the same on every sidecar and after
+// every restart, and never 0.
 func RolloutID(tenant, rollout string) uint64 {
 	h := fnv.New64a()
 	fmt.Fprintf(h, "%d:", len(tenant)) // distinguishes "a", "bc" from "ab", "c"
@@ -27,9 +27,10 @@
 	return max(h.Sum64(), 1)
 }
 
-// Bind translates the names of a table to the numbers of a balancer. It returns a message for each part that was skipped
-// because the settings do not contain a name. An unknown name never widens a route: an unknown zone or model matches no
-// server, a canary whose classes are all unknown gets no requests, and a route whose tenant is unknown is skipped.
+// Bind translates the names of a table to the numbers of a balancer. It returns a message for each part that was
+// skipped because the settings do not contain a name. An unknown name never widens a route: an unknown zone or model
+// matches no server, a canary whose classes are all unknown gets no requests, and a route whose tenant is unknown is
+// skipped.
 func Bind(t *Table, n NameIndexes) (balance.Routes, []string) {
 	b := binder{names: n}
 	out := balance.Routes{Rev: t.Rev}
@@ -80,8 +81,8 @@
 	out.Canary, out.CanaryFraction, out.ID = b.bindSubset("canary", &r.Canary), r.Share, RolloutID(r.Tenant, r.Rollout)
 	out.Budgeted, out.LateIsFailure = r.Budget, r.Late
 	if out.Classes, ok = b.bindClasses(r.Classes); !ok {
-		// The canary subset stays, so that the base excludes its servers, as it does for a reader of schema 1, which does
-		// not know classes.
+		// The canary subset stays, so that the base excludes its servers, as it does for a reader of schema 1, which
+		// does not know classes.
 		out.CanaryFraction = 0
 		b.skipf("no requests go to the canary, as none of its classes is in the settings")
 	}
--- a/internal/route/bind_test.go
+++ b/internal/route/bind_test.go
@@ -71,8 +71,8 @@
 	}
 }
 
-// TestBind_unknownNames verifies that names missing from the settings never widen a subset to all servers, nor match the
-// servers whose own zone or model is unknown.
+// TestBind_unknownNames verifies that names missing from the settings never widen a subset to all servers, nor match
+// the servers whose own zone or model is unknown.
 func TestBind_unknownNames(t *testing.T) {
 	names := NameIndexes{Tenants: testNames().Tenants}
 	for _, s := range []Subset{{Zone: []string{"east"}}, {Model: []string{"m4"}}, {UID: []string{"u"}}, {PodGroup: []int{1}}} {
--- a/internal/route/checks.go
+++ b/internal/route/checks.go
@@ -7,8 +7,8 @@
 	"unicode/utf8"
 )
 
-// Bounds of a document. They are part of each schema: programs in the fleet reject documents that exceed them, so a bound
-// may only be raised in a new schema.
+// Bounds of a document. They are part of each schema: programs in the fleet reject documents that exceed them, so a
+// bound may only be raised in a new schema.
 const (
 	MaxDocumentBytes = 1 << 20
 	MaxEntries       = 10000 // maximum length of each list
@@ -45,8 +45,8 @@
 	return nil
 }
 
-// checkRevisions checks the revisions of a table: closed is below rev, except in the initial table, where all is zero. It
-// also checks the number of routes.
+// checkRevisions checks the revisions of a table: closed is below rev, except in the initial table, where all is zero.
+// It also checks the number of routes.
 func checkRevisions(rev, closed int64, routes int) error {
 	switch {
 	case rev < 0:
--- a/internal/route/compare.go
+++ b/internal/route/compare.go
@@ -29,17 +29,17 @@
 	return fmt.Sprintf("Verdict(%d)", int(v))
 }
 
-// Finding is one reason why a reader of an older schema interprets a table differently. HTTP rejections contain findings
-// as JSON with the Go field names as keys, so the field names must not change.
+// Finding is one reason why a reader of an older schema interprets a table differently. HTTP rejections contain
+// findings as JSON with the Go field names as keys, so the field names must not change.
 type Finding struct {
 	Path   string // path in the document, whose routes are sorted by tenant
 	Field  string // last element of Path
 	Effect string // description of the difference
 }
 
-// Compare reports how a reader of schema older interprets a table, with the reasons if the verdict is DifferentReading or
-// NoReading. The classes of a route count as a difference unless its canary gets no requests. Only sidecars know which
-// classes exist, so even a list of all classes is assumed to omit some.
+// Compare reports how a reader of schema older interprets a table, with the reasons if the verdict is DifferentReading
+// or NoReading. The classes of a route count as a difference unless its canary gets no requests. Only sidecars know
+// which classes exist, so even a list of all classes is assumed to omit some.
 func Compare(t *Table, older int) (Verdict, []Finding) { return compare(t, older, DeclaredFields()) }
 
 func compare(t *Table, older int, fields []Field) (Verdict, []Finding) {
@@ -66,8 +66,8 @@
 }
 
 // ChooseSchema chooses the schema in which to write a table for a process that reads the given schemas, and returns the
-// verdict for that process. If no schema gives the same decisions, the version is 0, the table must not be sent, and the
-// findings are those of the schema with the best verdict.
+// verdict for that process. If no schema gives the same decisions, the version is 0, the table must not be sent, and
+// the findings are those of the schema with the best verdict.
 func ChooseSchema(t *Table, reads []int) (version int, verdict Verdict, findings []Finding) {
 	best, verdict := 0, NoReading
 	findings = []Finding{{Path: "schema", Field: "schema", Effect: "the process names no schema that it reads"}}
--- a/internal/route/decisions_test.go
+++ b/internal/route/decisions_test.go
@@ -15,8 +15,8 @@
 	"marblelane/balance"
 )
 
-// The tests of this file verify the verdicts of Compare by the decisions of two balancers, which get one table as decoded by
-// readers of two schemas.
+// The tests of this file verify the verdicts of Compare by the decisions of two balancers, which get one table as
+// decoded by readers of two schemas.
 
 // balancerPair feeds the same events to two balancers. One uses the table as decoded by the older reader, the other as
 // decoded by the newer one.
@@ -66,8 +66,8 @@
 	return p
 }
 
-// handleEach passes one event to each balancer, and reports whether both respond with the same actions. The two events may
-// differ in routes only.
+// handleEach passes one event to each balancer, and reports whether both respond with the same actions. The two events
+// may differ in routes only.
 func (p *balancerPair) handleEach(older, newer balance.Event) bool {
 	a, errA := p.older.Handle(p.now, older)
 	b, errB := p.newer.Handle(p.now, newer)
@@ -161,8 +161,8 @@
 	return !same, p.err
 }
 
-// differOnRequests reports whether decisions differ between the two readings on n requests of one tenant and class, all of
-// which succeed.
+// differOnRequests reports whether decisions differ between the two readings on n requests of one tenant and class, all
+// of which succeed.
 func differOnRequests(
 	n uint64, tenant, class int, names NameIndexes, servers []balance.Server, older, newer balance.Routes,
 ) (bool, error) {
@@ -297,8 +297,8 @@
 	}
 }
 
-// TestCompare_wrongDeclarations declares a field wrongly as ignorable, one wrongly as affecting decisions, and one wrongly
-// as unused. checkVerdict must detect each by the decisions of the balancers.
+// TestCompare_wrongDeclarations declares a field wrongly as ignorable, one wrongly as affecting decisions, and one
+// wrongly as unused. checkVerdict must detect each by the decisions of the balancers.
 func TestCompare_wrongDeclarations(t *testing.T) {
 	plant := func(path string, change func(f *Field)) []Field {
 		fields := DeclaredFields()
--- a/internal/route/document.go
+++ b/internal/route/document.go
@@ -13,9 +13,10 @@
 // Newest is the newest schema that this program reads and writes.
 const Newest = 2
 
-// Read decodes a document as a reader of schema version. It accepts documents of that schema and of older ones. It accepts
-// a document of a newer schema if the document's "reads" field allows readers of this version, and then skips unknown
-// fields. Otherwise it returns an UnreadableError or a FieldError. A document is accepted as a whole or not at all.
+// Read decodes a document as a reader of schema version. It accepts documents of that schema and of older ones. It
+// accepts a document of a newer schema if the document's "reads" field allows readers of this version, and then skips
+// unknown fields. Otherwise it returns an UnreadableError or a FieldError. A document is accepted as a whole or not at
+// all.
 func Read(version int, text []byte) (*Table, error) {
 	if version < 1 || version > Newest {
 		return nil, fmt.Errorf("read document: schema %d is not supported, want 1 to %d", version, Newest)
@@ -42,8 +43,8 @@
 	return readSchema2(text, newer)
 }
 
-// Write encodes a table in schema version, sorted by tenant, so that equivalent tables give the same bytes. The error is
-// an UnwritableError if the schema cannot express the table, and a FieldError if the table itself is invalid.
+// Write encodes a table in schema version, sorted by tenant, so that equivalent tables give the same bytes. The error
+// is an UnwritableError if the schema cannot express the table, and a FieldError if the table itself is invalid.
 func Write(t *Table, version int) ([]byte, error) { return write(t, version, DeclaredFields()) }
 
 func write(t *Table, version int, fields []Field) ([]byte, error) {
--- a/internal/route/document_test.go
+++ b/internal/route/document_test.go
@@ -243,7 +243,8 @@
 			t.Errorf("schema %d: %s", i+1, fault)
 		}
 	}
-	// Faults that must be detected: an undeclared field, a declared field that does not exist, and one of a newer schema.
+	// Faults that must be detected: an undeclared field, a declared field that does not exist, and one of a newer
+	// schema.
 	type planted struct {
 		document2
 		Hedge float64 `json:"hedge"`
@@ -298,8 +299,8 @@
 	}
 }
 
-// TestDocument_roundTrip verifies that Read restores what Write has written, and that Write gives the same bytes for any
-// order of the routes.
+// TestDocument_roundTrip verifies that Read restores what Write has written, and that Write gives the same bytes for
+// any order of the routes.
 func TestDocument_roundTrip(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		table := drawTable(t)
--- a/internal/route/fields.go
+++ b/internal/route/fields.go
@@ -30,7 +30,8 @@
 	unused       func(r *Route) bool   // whether the field, though set, affects no decision of the route; nil: it may
 }
 
-// DeclaredFields returns all fields of the newest schema. An older schema has those whose Since is not above its number.
+// DeclaredFields returns all fields of the newest schema. An older schema has those whose Since is not above its
+// number.
 func DeclaredFields() []Field {
 	list := []Field{
 		{Path: "routes[].classes", Since: 2, Rule: MustUnderstand, unused: hasNoCanary, describeLoss: describeClassesLoss},
@@ -57,8 +58,8 @@
 	return "sends requests of all classes to the canary, not those of " + strings.Join(r.Classes, ", ") + " alone"
 }
 
-// declarationOf returns the declaration of a field. An undeclared field is treated as one of the newest schema that must be
-// understood.
+// declarationOf returns the declaration of a field. An undeclared field is treated as one of the newest schema that
+// must be understood.
 func declarationOf(fields []Field, path string) *Field {
 	if i := slices.IndexFunc(fields, func(f Field) bool { return f.Path == path }); i >= 0 {
 		return &fields[i]
@@ -100,8 +101,9 @@
 	return list
 }
 
-// lostFields returns a finding for each field that a reader of an older schema would skip and therefore decide differently.
-// unused is the number of skipped fields that must be understood in general but affect no decision of this table.
+// lostFields returns a finding for each field that a reader of an older schema would skip and therefore decide
+// differently. unused is the number of skipped fields that must be understood in general but affect no decision of this
+// table.
 func lostFields(t *Table, doc *document2, older int, fields []Field) (lost []Finding, unused int) {
 	for _, u := range usedFields(doc) {
 		f := declarationOf(fields, u.declaredPath)
--- a/internal/route/parser.go
+++ b/internal/route/parser.go
@@ -14,15 +14,16 @@
 
 // parser decodes a document into the structs of a schema. It is stricter than encoding/json, which ignores the case of
 // names, uses the last of duplicate names, and accepts null for any value: two programs could interpret such a document
-// differently. All frozen readers use the parser, so the set of accepted documents must not change. The golden documents
-// in testdata verify this.
+// differently. All frozen readers use the parser, so the set of accepted documents must not change. The golden
+// documents in testdata verify this.
 type parser struct {
 	dec         *json.Decoder
 	skipUnknown bool // the document has a newer schema: unknown fields are skipped
 	layouts     map[reflect.Type]structLayout
 }
 
-// structLayout maps the JSON names of a struct's fields to their indexes. Fields without omitempty or omitzero are required.
+// structLayout maps the JSON names of a struct's fields to their indexes. Fields without omitempty or omitzero are
+// required.
 type structLayout struct {
 	index    map[string]int
 	required []string
--- a/internal/route/protocol.go
+++ b/internal/route/protocol.go
@@ -21,8 +21,8 @@
 	MS     int64  `json:"ms"`     // monotonic time in milliseconds
 }
 
-// Report is the state of a process. All counts are totals since the process started, so a report may arrive twice, late, or
-// not at all. The state is that of a time after Echo was received and before the report is sent.
+// Report is the state of a process. All counts are totals since the process started, so a report may arrive twice,
+// late, or not at all. The state is that of a time after Echo was received and before the report is sent.
 type Report struct {
 	Process
 	Seq             int64      `json:"seq"`              // from 1
@@ -39,8 +39,8 @@
 	LostSamples     int64      `json:"lost,omitempty"`   // samples of the event loop that were dropped
 }
 
-// Count holds the numbers of attempts that a process has made under one revision for one tenant, to either the canary or
-// the base. Attempts without a lease are counted under revision 0.
+// Count holds the numbers of attempts that a process has made under one revision for one tenant, to either the canary
+// or the base. Attempts without a lease are counted under revision 0.
 type Count struct {
 	Rev     int64  `json:"rev"`
 	Tenant  string `json:"tenant"`
@@ -63,9 +63,9 @@
 	Resync bool            `json:"anew,omitempty"`
 	Table  json.RawMessage `json:"table,omitempty"`
 	Reason string          `json:"why,omitempty"` // reason for granting no lease
-	// NewestStart is the newest start among the reports of this name, if it is later than that of this report. No lease is
-	// granted then. If the process is really the newer one, as the wall clock was stepped back between the two starts, it
-	// raises its start number above NewestStart.
+	// NewestStart is the newest start among the reports of this name, if it is later than that of this report. No lease
+	// is granted then. If the process is really the newer one, as the wall clock was stepped back between the two
+	// starts, it raises its start number above NewestStart.
 	NewestStart int64 `json:"start,omitempty"`
 }
 
--- a/internal/route/protocol_test.go
+++ b/internal/route/protocol_test.go
@@ -9,7 +9,8 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-// protocolMessages returns each message between sidecars and the list service, once with every field set and once empty.
+// protocolMessages returns each message between sidecars and the list service, once with every field set and once
+// empty.
 func protocolMessages() []any {
 	p := Process{Name: "sidecar-1", Start: 1764720000000000001}
 	return []any{
@@ -32,8 +33,8 @@
 	}
 }
 
-// TestProtocol_wireForm compares the JSON of each message with a line of testdata/protocol.golden. The file contains what
-// earlier builds send, so it must not be regenerated.
+// TestProtocol_wireForm compares the JSON of each message with a line of testdata/protocol.golden. The file contains
+// what earlier builds send, so it must not be regenerated.
 func TestProtocol_wireForm(t *testing.T) {
 	text, err := os.ReadFile("testdata/protocol.golden")
 	if err != nil {
--- a/internal/route/route.go
+++ b/internal/route/route.go
@@ -1,7 +1,7 @@
-// Package route defines the routing table, its encoded documents, and the messages between sidecars and the list service.
-// A route selects the servers that the requests of one tenant prefer. The service writes a document in a schema that the
-// sidecar reads. Readers of earlier schemas are frozen, and Compare reports whether one of them would act differently on a
-// table.
+// Package route defines the routing table, its encoded documents, and the messages between sidecars and the list
+// service. A route selects the servers that the requests of one tenant prefer. The service writes a document in a
+// schema that the sidecar reads. Readers of earlier schemas are frozen, and Compare reports whether one of them would
+// act differently on a table.
 //
 // The guarantees of routes are described in docs/routes.md.
 package route
--- a/internal/route/schema1.go
+++ b/internal/route/schema1.go
@@ -1,8 +1,8 @@
 package route
 
-// This file defines schema 1 as programs in the fleet read it. What it reads and writes must never change: those programs
-// stay in use, and a table is checked with this reader before it is committed, so the reader has to interpret it as they do.
-// New fields belong to a newer schema with structs of its own.
+// This file defines schema 1 as programs in the fleet read it. What it reads and writes must never change: those
+// programs stay in use, and a table is checked with this reader before it is committed, so the reader has to interpret
+// it as they do. New fields belong to a newer schema with structs of its own.
 
 import (
 	"cmp"
@@ -36,7 +36,8 @@
 	UID      []string `json:"uid,omitempty"`
 }
 
-// readSchema1 decodes a document of schema 1. If newer is set, the schema is a newer one that readers of schema 1 may read.
+// readSchema1 decodes a document of schema 1. If newer is set, the schema is a newer one that readers of schema 1 may
+// read.
 func readSchema1(text []byte, newer bool) (*Table, error) {
 	var d document1
 	if err := parseDocument(text, &d, newer); err != nil {
--- a/internal/route/schema2.go
+++ b/internal/route/schema2.go
@@ -1,8 +1,8 @@
 package route
 
-// This file defines schema 2, which adds the classes and the note of a route. Once a program in the fleet reads schema 2,
-// what this file reads and writes must never change, as for schema 1: new fields belong to a newer schema with structs of
-// its own. It shares no struct with schema 1, so that a change cannot affect both.
+// This file defines schema 2, which adds the classes and the note of a route. Once a program in the fleet reads schema
+// 2, what this file reads and writes must never change, as for schema 1: new fields belong to a newer schema with
+// structs of its own. It shares no struct with schema 1, so that a change cannot affect both.
 
 import (
 	"cmp"
@@ -40,7 +40,8 @@
 	UID      []string `json:"uid,omitempty"`
 }
 
-// readSchema2 decodes a document of schema 2. If newer is set, the schema is a newer one that readers of schema 2 may read.
+// readSchema2 decodes a document of schema 2. If newer is set, the schema is a newer one that readers of schema 2 may
+// read.
 func readSchema2(text []byte, newer bool) (*Table, error) {
 	var d document2
 	if err := parseDocument(text, &d, newer); err != nil {
--- a/internal/routeclient/attempts_test.go
+++ b/internal/routeclient/attempts_test.go
@@ -42,8 +42,8 @@
 	}, client.makeReport(1, route.LeaderTime{}).Counts)
 }
 
-// TestStartAttemptAs_headWritten verifies that an attempt does not start and is not counted if it would count under another
-// revision than its head contains.
+// TestStartAttemptAs_headWritten verifies that an attempt does not start and is not counted if it would count under
+// another revision than its head contains.
 func TestStartAttemptAs_headWritten(t *testing.T) {
 	client := newLeasedClient(t, 5, time.Second)
 	require.True(t, client.StartAttemptAs(5, "a", false, 5))
--- a/internal/routeclient/backoff.go
+++ b/internal/routeclient/backoff.go
@@ -7,7 +7,8 @@
 	"github.com/cenkalti/backoff/v5"
 )
 
-// boundedBackoff is an exponential backoff between failed calls, with a jitter of 50 %. Its intervals are from min to max.
+// boundedBackoff is an exponential backoff between failed calls, with a jitter of 50 %. Its intervals are from min to
+// max.
 type boundedBackoff struct {
 	backoff.ExponentialBackOff
 	min, max time.Duration
--- a/internal/routeclient/budgets.go
+++ b/internal/routeclient/budgets.go
@@ -26,7 +26,7 @@
 
 // requestBudgets requests units, and reports spent and returned units, until ctx ends. Then it sends a final request.
 func (c *Client) requestBudgets(ctx context.Context) {
-	h := budgetRequester{
+	r := budgetRequester{
 		client: c, caller: caller{client: c}, minInterval: c.timings.minBudgetInterval,
 		backoff: c.newBackoff(c.timings.budgetInterval),
 	}
@@ -35,31 +35,31 @@
 	for {
 		select {
 		case <-ctx.Done():
-			h.sendFinalRequest(ctx)
+			r.sendFinalRequest(ctx)
 			return
 		case <-timer.C:
 		case <-c.sampleOffered:
 		}
-		demand := h.demand()
+		demand := r.demand()
 		if len(demand.budgets) == 0 {
 			continue
 		}
-		if early := time.Until(h.lastRequestAt.Add(h.interval(demand))); early > 0 {
+		if early := time.Until(r.lastRequestAt.Add(r.interval(demand))); early > 0 {
 			timer.Reset(early)
 			continue
 		}
-		timer.Reset(h.requestOnce(ctx, demand))
+		timer.Reset(r.requestOnce(ctx, demand))
 	}
 }
 
 // sendFinalRequest sends a request after ctx has ended, unless there are no budgets or requests fail at present.
-func (h *budgetRequester) sendFinalRequest(ctx context.Context) {
-	budgets := h.demand().budgets
-	if len(budgets) == 0 || h.failing {
+func (r *budgetRequester) sendFinalRequest(ctx context.Context) {
+	budgets := r.demand().budgets
+	if len(budgets) == 0 || r.failing {
 		return
 	}
-	h.client.finalCall(ctx, func(ctx context.Context) error {
-		_, err := h.request(ctx, budgets)
+	r.client.finalCall(ctx, func(ctx context.Context) error {
+		_, err := r.request(ctx, budgets)
 		return err
 	})
 }
@@ -72,72 +72,72 @@
 }
 
 // demand returns the demand as of the newest sample of the event loop.
-func (h *budgetRequester) demand() budgetDemand {
-	c := h.client
+func (r *budgetRequester) demand() budgetDemand {
+	c := r.client
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.drainSamples()
 	d := budgetDemand{budgets: c.newestSample.Budgets, needsUnits: c.needsUnits}
 	for _, b := range d.budgets {
-		d.hasUnreportedSpending = d.hasUnreportedSpending || b.Spent > h.reportedSpent[budgetKey{b.Tenant, b.Rollout}]
+		d.hasUnreportedSpending = d.hasUnreportedSpending || b.Spent > r.reportedSpent[budgetKey{b.Tenant, b.Rollout}]
 	}
 	return d
 }
 
 // interval returns the time between the last request and the next one.
-func (h *budgetRequester) interval(d budgetDemand) time.Duration {
+func (r *budgetRequester) interval(d budgetDemand) time.Duration {
 	switch {
-	case h.failing:
-		return h.minInterval
+	case r.failing:
+		return r.minInterval
 	case d.hasUnreportedSpending:
-		return h.client.timings.minBudgetInterval
+		return r.client.timings.minBudgetInterval
 	case d.needsUnits:
-		return h.minInterval
+		return r.minInterval
 	}
-	return h.client.timings.budgetInterval
+	return r.client.timings.budgetInterval
 }
 
 // requestOnce sends a request, and returns the time after which to consider the next one.
-func (h *budgetRequester) requestOnce(ctx context.Context, d budgetDemand) (next time.Duration) {
-	timings := &h.client.timings
-	gained, err := h.request(ctx, d.budgets)
-	h.lastRequestAt = time.Now()
+func (r *budgetRequester) requestOnce(ctx context.Context, d budgetDemand) (next time.Duration) {
+	timings := &r.client.timings
+	gained, err := r.request(ctx, d.budgets)
+	r.lastRequestAt = time.Now()
 	next = timings.budgetInterval
 	switch {
 	case ctx.Err() != nil: // the error is that of ctx, not of the service
 	case err != nil:
-		if !h.failing {
-			h.client.cfg.Log.Warn("routes: budget request failed", "err", err)
+		if !r.failing {
+			r.client.cfg.Log.Warn("routes: budget request failed", "err", err)
 		}
-		h.failing, h.minInterval = true, h.backoff.next()
-		next = h.minInterval
-	case gained || h.failing:
-		h.failing, h.minInterval = false, timings.minBudgetInterval
-		h.backoff.Reset()
+		r.failing, r.minInterval = true, r.backoff.next()
+		next = r.minInterval
+	case gained || r.failing:
+		r.failing, r.minInterval = false, timings.minBudgetInterval
+		r.backoff.Reset()
 	case d.needsUnits: // no unit is available at present
-		h.minInterval = min(2*h.minInterval, timings.budgetInterval)
+		r.minInterval = min(2*r.minInterval, timings.budgetInterval)
 	}
 	return next
 }
 
 // request sends one request, and reports whether more was granted than before.
-func (h *budgetRequester) request(ctx context.Context, budgets []route.BudgetState) (gained bool, err error) {
-	c := h.client
+func (r *budgetRequester) request(ctx context.Context, budgets []route.BudgetState) (gained bool, err error) {
+	c := r.client
 	c.mu.Lock()
 	c.needsUnits = false // needs that arise from now on belong to the next request
 	request := route.BudgetRequest{Process: route.Process{Name: c.cfg.Name, Start: c.start}, Budgets: budgets}
 	c.mu.Unlock()
 	var response route.BudgetResponse
-	if err := h.caller.post(ctx, route.BudgetsPath, &request, &response); err != nil {
+	if err := r.caller.post(ctx, route.BudgetsPath, &request, &response); err != nil {
 		return false, err
 	}
-	h.recordReported(budgets)
+	r.recordReported(budgets)
 	var grants []route.BudgetGrant
 	for _, grant := range response.Budgets {
 		key := budgetKey{grant.Tenant, grant.Rollout}
-		if known, requested := h.granted[key]; requested && grant.Granted >= known {
+		if known, requested := r.granted[key]; requested && grant.Granted >= known {
 			gained = gained || grant.Granted > known
-			h.granted[key] = grant.Granted
+			r.granted[key] = grant.Granted
 			grant.MaxIdle = max(grant.MaxIdle, 0)
 			grants = append(grants, grant)
 		}
@@ -148,13 +148,13 @@
 	return gained, nil
 }
 
-// recordReported records the spent units that the service has received. It removes the budgets that were not part of the
-// request.
-func (h *budgetRequester) recordReported(budgets []route.BudgetState) {
-	before := h.granted
-	h.reportedSpent, h.granted = map[budgetKey]int64{}, map[budgetKey]int64{}
+// recordReported records the spent units that the service has received. It removes the budgets that were not part of
+// the request.
+func (r *budgetRequester) recordReported(budgets []route.BudgetState) {
+	before := r.granted
+	r.reportedSpent, r.granted = map[budgetKey]int64{}, map[budgetKey]int64{}
 	for _, b := range budgets {
 		key := budgetKey{b.Tenant, b.Rollout}
-		h.reportedSpent[key], h.granted[key] = b.Spent, before[key]
+		r.reportedSpent[key], r.granted[key] = b.Spent, before[key]
 	}
 }
--- a/internal/routeclient/budgets_test.go
+++ b/internal/routeclient/budgets_test.go
@@ -10,8 +10,8 @@
 	"marblelane/internal/route"
 )
 
-// TestBudgets_requests verifies that requests are sent only if there are budgets, and at once when units are needed or were
-// spent.
+// TestBudgets_requests verifies that requests are sent only if there are budgets, and at once when units are needed or
+// were spent.
 func TestBudgets_requests(t *testing.T) {
 	service := newFakeService(t)
 	requests := make(chan route.BudgetRequest, 1000)
--- a/internal/routeclient/client.go
+++ b/internal/routeclient/client.go
@@ -74,7 +74,7 @@
 
 	offeredRev       int64 // revision of the newest table that was offered to the loop
 	actingRev        int64 // revision of the table that the loop uses
-	unreadableRev    int64 // newest revision after offeredRev that cannot be read; 0: none
+	unreadableRev    int64 // newest revision that is unreadable or rejected; 0: none since the last table
 	unparsableLogged bool  // a document without a readable revision was logged since the last table
 	start            int64 // start number of this process in reports; see raiseStart
 	leaseUntil       time.Time
@@ -150,7 +150,8 @@
 	c.httpClient.CloseIdleConnections()
 }
 
-// SetAddrs replaces the addresses of the list service, in order of preference, for all later calls. An empty list is ignored.
+// SetAddrs replaces the addresses of the list service, in order of preference, for all later calls. An empty list is
+// ignored.
 func (c *Client) SetAddrs(addrs []string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -218,8 +219,9 @@
 	}
 }
 
-// setLease sets the lease to a term that starts when it was requested. Responses arrive in the order of the requests, so the
-// latest one replaces the lease, even if it ends earlier. Without a term the lease stays: the service waits for its end.
+// setLease sets the lease to a term that starts when it was requested. Responses arrive in the order of the requests,
+// so the latest one replaces the lease, even if it ends earlier. Without a term the lease stays: the service waits for
+// its end.
 func (c *Client) setLease(requestedAt time.Time, term time.Duration) {
 	if term <= 0 {
 		return
--- a/internal/routeclient/counts.go
+++ b/internal/routeclient/counts.go
@@ -64,8 +64,8 @@
 	}
 }
 
-// makeReport returns a report of the current state. The acting revision, the lease and the counts are read under one lock, so
-// they are consistent.
+// makeReport returns a report of the current state. The acting revision, the lease and the counts are read under one
+// lock, so they are consistent.
 func (c *Client) makeReport(seq int64, echo route.LeaderTime) route.Report {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -124,10 +124,10 @@
 	return 1
 }
 
-// dropReceivedCounts records that the leader has received a report, and drops counts of the oldest revisions. The newest
-// minRetainedRevs revisions are kept in any case. The counts of an older revision are dropped if the leader has received
-// their final values: no attempt starts under a revision before the reported one after the report. Counts that did not fit
-// into the report are dropped as well, as they would not fit into a later one either.
+// dropReceivedCounts records that the leader has received a report, and drops counts of the oldest revisions. The
+// newest minRetainedRevs revisions are kept in any case. The counts of an older revision are dropped if the leader has
+// received their final values: no attempt starts under a revision before the reported one after the report. Counts that
+// did not fit into the report are dropped as well, as they would not fit into a later one either.
 func (c *Client) dropReceivedCounts(r *route.Report) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/routeclient/counts_test.go
+++ b/internal/routeclient/counts_test.go
@@ -12,8 +12,8 @@
 	"marblelane/internal/route"
 )
 
-// TestReport_concurrentAttempts verifies that no attempt starts under a revision before the acknowledged one after the report
-// was made, and that the report counts all attempts started before.
+// TestReport_concurrentAttempts verifies that no attempt starts under a revision before the acknowledged one after the
+// report was made, and that the report counts all attempts started before.
 func TestReport_concurrentAttempts(t *testing.T) {
 	client := newLeasedClient(t, 1, time.Hour)
 	const last = 200
@@ -70,8 +70,8 @@
 	require.True(t, client.needsUnits)
 }
 
-// TestCounts_droppedOnceReceived verifies that counts of old revisions are kept until the leader has received them, and that
-// newer tables are rejected while counts of too many revisions are kept.
+// TestCounts_droppedOnceReceived verifies that counts of old revisions are kept until the leader has received them, and
+// that newer tables are rejected while counts of too many revisions are kept.
 func TestCounts_droppedOnceReceived(t *testing.T) {
 	client := newLeasedClient(t, 1, time.Hour)
 	rev := int64(0)
@@ -92,8 +92,8 @@
 	require.Equal(t, rev-minRetainedRevs+1, retained[0].Rev)
 }
 
-// TestReport_boundedCounts verifies that with many tenants a report contains only the newest revisions and has CountsTruncated
-// set, and that the counts of older revisions are dropped.
+// TestReport_boundedCounts verifies that with many tenants a report contains only the newest revisions and has
+// CountsTruncated set, and that the counts of older revisions are dropped.
 func TestReport_boundedCounts(t *testing.T) {
 	client := newLeasedClient(t, 1, time.Hour)
 	for rev := int64(1); rev <= 2*maxRevs; rev++ {
--- a/internal/routeclient/helpers_test.go
+++ b/internal/routeclient/helpers_test.go
@@ -154,8 +154,8 @@
 	return strings.Count(l.text.String(), text)
 }
 
-// startClient runs a client with short intervals at the replicas. change, if any, modifies it before. Without replicas the
-// client does not run.
+// startClient runs a client with short intervals at the replicas. change, if any, modifies it before. Without replicas
+// the client does not run.
 func startClient(t *testing.T, change func(*Client), replicas ...*fakeService) *testClient {
 	t.Helper()
 	client := &testClient{t: t, clock: &manualClock{now: time.Now()}, wake: make(chan struct{}, 1), log: &logBuffer{}}
--- a/internal/routeclient/reporter.go
+++ b/internal/routeclient/reporter.go
@@ -83,10 +83,11 @@
 	return nil
 }
 
-// raiseStart raises the start number of this process above newest, that of an earlier process of the same name. It is lower
-// if the wall clock was stepped back between the two starts, and the leader treats the process with the lower number as
-// ended. Only a process that the leader has never accepted as the newest one may raise its number: it has counted only
-// attempts without a lease, and has no grants. An accepted process keeps its number, as the later process replaces it.
+// raiseStart raises the start number of this process above newest, that of an earlier process of the same name. It is
+// lower if the wall clock was stepped back between the two starts, and the leader treats the process with the lower
+// number as ended. Only a process that the leader has never accepted as the newest one may raise its number: it has
+// counted only attempts without a lease, and has no grants. An accepted process keeps its number, as the later process
+// replaces it.
 func (r *reporter) raiseStart(newest int64) {
 	if newest == 0 {
 		r.accepted = true
--- a/internal/routeclient/reporter_test.go
+++ b/internal/routeclient/reporter_test.go
@@ -12,9 +12,9 @@
 	"marblelane/internal/route"
 )
 
-// TestReport_raisedStart verifies that a process whose start number is below that of an earlier process of its name raises
-// the number, and gets a lease with the next report. A process that was accepted as the newest one keeps its number, as it is
-// being replaced.
+// TestReport_raisedStart verifies that a process whose start number is below that of an earlier process of its name
+// raises the number, and gets a lease with the next report. A process that was accepted as the newest one keeps its
+// number, as it is being replaced.
 func TestReport_raisedStart(t *testing.T) {
 	const newest = int64(1) << 40
 	service := newFakeService(t)
@@ -86,8 +86,8 @@
 	require.True(t, client.makeReport(1, route.LeaderTime{}).NoLease)
 }
 
-// TestReport_redirectToLeader verifies that a redirect keeps the body, that the leader is called directly from then on, and
-// that the replicas are called again after the leader has failed.
+// TestReport_redirectToLeader verifies that a redirect keeps the body, that the leader is called directly from then on,
+// and that the replicas are called again after the leader has failed.
 func TestReport_redirectToLeader(t *testing.T) {
 	follower, leader := newFakeService(t), newFakeService(t)
 	redirect := func(route.Report) (int, any) { return http.StatusTemporaryRedirect, leader.URL }
--- a/internal/routeclient/sample_ring.go
+++ b/internal/routeclient/sample_ring.go
@@ -7,8 +7,8 @@
 	lost        int64 // number of dropped samples
 }
 
-// put adds a sample. If the ring is full, it drops the oldest sample. This loses no data: the newer samples contain the same
-// totals, and NeedsUnits, which is not a total, is copied to the new sample.
+// put adds a sample. If the ring is full, it drops the oldest sample. This loses no data: the newer samples contain the
+// same totals, and NeedsUnits, which is not a total, is copied to the new sample.
 func (r *sampleRing) put(s Sample) {
 	if r.used == sampleRingSize {
 		s.NeedsUnits = s.NeedsUnits || r.items[r.first].NeedsUnits
--- a/internal/routeclient/watch.go
+++ b/internal/routeclient/watch.go
@@ -49,7 +49,8 @@
 	}
 }
 
-// watch follows the table at one replica until an error occurs. receivedLine reports whether the replica has sent a line.
+// watch follows the table at one replica until an error occurs. receivedLine reports whether the replica has sent a
+// line.
 func (c *Client) watch(ctx context.Context, cursor *endpointCursor) (receivedLine bool, err error) {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
@@ -105,8 +106,8 @@
 	return resp, nil
 }
 
-// readLine reads the next line and trims white space. A line without a newline at the end of the response is incomplete, which
-// is an error.
+// readLine reads the next line and trims white space. A line without a newline at the end of the response is
+// incomplete, which is an error.
 func readLine(body *bufio.Reader) ([]byte, error) {
 	var line []byte
 	for {
@@ -126,8 +127,8 @@
 	}
 }
 
-// readDocument decodes a document and passes its table to the loop. An unreadable document is logged and recorded, and does
-// not end the watch.
+// readDocument decodes a document and passes its table to the loop. An unreadable document is logged and recorded, and
+// does not end the watch.
 func (c *Client) readDocument(text []byte) error {
 	table, err := route.Read(c.schema, text)
 	if err == nil {
@@ -146,8 +147,8 @@
 	return nil
 }
 
-// recordUnreadable records that the document of a revision cannot be read; rev is 0 if the revision cannot be read either.
-// first reports whether this has to be logged, as it was not recorded before.
+// recordUnreadable records that the document of a revision cannot be read; rev is 0 if the revision cannot be read
+// either. first reports whether this has to be logged, as it was not recorded before.
 func (c *Client) recordUnreadable(rev int64) (offered int64, first bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/routeclient/watch_test.go
+++ b/internal/routeclient/watch_test.go
@@ -11,7 +11,8 @@
 	"marblelane/internal/route"
 )
 
-// TestWatch_nextReplica verifies that the watch moves to the next replica after an error, and that an older table is ignored.
+// TestWatch_nextReplica verifies that the watch moves to the next replica after an error, and that an older table is
+// ignored.
 func TestWatch_nextReplica(t *testing.T) {
 	a, b := newFakeService(t), newFakeService(t)
 	client := startClient(t, nil, a, b)
@@ -39,8 +40,8 @@
 	receive(t, "watch at the next replica", b.watches)
 }
 
-// TestWatch_unreadableDocuments verifies that an unreadable document changes nothing and is logged once for each revision.
-// The same holds for text that is no document, and for incomplete and overlong lines.
+// TestWatch_unreadableDocuments verifies that an unreadable document changes nothing and is logged once for each
+// revision. The same holds for text that is no document, and for incomplete and overlong lines.
 func TestWatch_unreadableDocuments(t *testing.T) {
 	service := newFakeService(t)
 	client := startClient(t, nil, service)
