--- a/internal/sidecar/attempt_test.go
+++ b/internal/sidecar/attempt_test.go
@@ -16,9 +16,9 @@
 	b.Target.Capacity = 1000 // it gets the first attempt
 	never := sidecartest.Ready("b", unanswering(t))
 	c := configtest.NewConf(sidecartest.NewRegistry(t).Addr(), b.Target, never).
-		Setting(`"window_ms": 2000`, `"window_ms": 100`).
-		Setting(`"connect_timeout_ms": 100`, `"connect_timeout_ms": 60000`).
-		Setting(`"hard_limit_ms": 1000, "worth": 8`, `"hard_limit_ms": 9000, "worth": 8`)
+		ReplaceSetting(`"window_ms": 2000`, `"window_ms": 100`).
+		ReplaceSetting(`"connect_timeout_ms": 100`, `"connect_timeout_ms": 60000`).
+		ReplaceSetting(`"hard_limit_ms": 1000, "worth": 8`, `"hard_limit_ms": 9000, "worth": 8`)
 	s := start(t, c)
 	if got := s.do(s.request("reserve", 9*time.Second)); got.status != inflight.StatusFailed {
 		t.Errorf("%+v, want a failure", got)
--- a/internal/sidecar/body_test.go
+++ b/internal/sidecar/body_test.go
@@ -68,7 +68,7 @@
 func TestTimeout_fromLastByte(t *testing.T) {
 	b := sidecartest.NewBackend(t, "a", sidecartest.OK)
 	s := start(t, configtest.NewConf(sidecartest.NewRegistry(t).Addr(), b.Target).
-		Setting(`"on_time_ms": 500, "hard_limit_ms": 1000}]`, `"on_time_ms": 50, "hard_limit_ms": 100}]`))
+		ReplaceSetting(`"on_time_ms": 500, "hard_limit_ms": 1000}]`, `"on_time_ms": 50, "hard_limit_ms": 100}]`))
 	in, out := io.Pipe()
 	req := s.request("charge", 100*time.Millisecond)
 	req.Body, req.ContentLength = in, -1
@@ -318,7 +318,7 @@
 		io.CopyN(c, sidecartest.Zeros{}, size)
 	})
 	// A dial may be slow on a busy machine, which this test is not about.
-	s := start(t, configtest.NewConf(sidecartest.NewRegistry(t).Addr(), server).Setting(`"connect_timeout_ms": 100`, `"connect_timeout_ms": 60000`))
+	s := start(t, configtest.NewConf(sidecartest.NewRegistry(t).Addr(), server).ReplaceSetting(`"connect_timeout_ms": 100`, `"connect_timeout_ms": 60000`))
 	t.Cleanup(release)
 	var sent sync.WaitGroup
 	var conns []net.Conn
--- a/internal/sidecar/client_gone_test.go
+++ b/internal/sidecar/client_gone_test.go
@@ -102,7 +102,7 @@
 func startHeldDial(t *testing.T, poll time.Duration, changes ...func(*Sidecar)) (*running, *sidecartest.Backend, *sidecartest.Barrier) {
 	t.Helper()
 	b, dialing := sidecartest.NewBackend(t, "a", sidecartest.OK), sidecartest.NewBarrier()
-	c := configtest.NewConf(sidecartest.NewRegistry(t).Addr(), b.Target).Setting(`"connect_timeout_ms": 100`, longDial)
+	c := configtest.NewConf(sidecartest.NewRegistry(t).Addr(), b.Target).ReplaceSetting(`"connect_timeout_ms": 100`, longDial)
 	changes = append(changes, func(s *Sidecar) {
 		s.setClientPoll(poll)
 		s.loop.Pool.SetDialControl(func(string, string, syscall.RawConn) error { dialing.Pass(); return nil })
@@ -156,7 +156,7 @@
 	for name, end := range sidecartest.Ends {
 		t.Run("without a server, "+name, func(t *testing.T) {
 			registry := sidecartest.NewRegistry(t)
-			s := start(t, configtest.NewConf(registry.Addr()).Setting(`"on_time_ms": 750, "hard_limit_ms": 2500`, longWait))
+			s := start(t, configtest.NewConf(registry.Addr()).ReplaceSetting(`"on_time_ms": 750, "hard_limit_ms": 2500`, longWait))
 			watch := sidecartest.Receive(t, "a call", registry.Calls)
 			client := s.newLeavingClient(t, "lookup", "HTTP/1.1", "", "")
 			client.sendAhead()
@@ -191,7 +191,7 @@
 	for name, end := range sidecartest.Ends {
 		t.Run(name, func(t *testing.T) {
 			registry := sidecartest.NewRegistry(t)
-			c := configtest.NewConf(registry.Addr()).Setting(`"on_time_ms": 750, "hard_limit_ms": 2500`, longWait)
+			c := configtest.NewConf(registry.Addr()).ReplaceSetting(`"on_time_ms": 750, "hard_limit_ms": 2500`, longWait)
 			s := start(t, c, func(s *Sidecar) { s.setClientPoll(noClientPoll) })
 			watch := sidecartest.Receive(t, "a call", registry.Calls)
 			client := s.newLeavingClient(t, "lookup", "HTTP/1.1", "", "")
--- a/internal/sidecar/clientserver_test.go
+++ b/internal/sidecar/clientserver_test.go
@@ -90,8 +90,8 @@
 
 // Without X-Timeout-Ms the timeout is the limit of the class.
 func TestTimeout_classDefault(t *testing.T) {
-	s := start(t, configtest.NewConf(sidecartest.NewRegistry(t).Addr()).Setting(`"hard_limit_ms": 2500`, `"hard_limit_ms": 100`).
-		Setting(`"on_time_ms": 750`, `"on_time_ms": 100`))
+	s := start(t, configtest.NewConf(sidecartest.NewRegistry(t).Addr()).ReplaceSetting(`"hard_limit_ms": 2500`, `"hard_limit_ms": 100`).
+		ReplaceSetting(`"on_time_ms": 750`, `"on_time_ms": 100`))
 	req := s.request("lookup", time.Second)
 	req.Header.Del("X-Timeout-Ms")
 	if got := s.do(req); got.status != inflight.StatusRejected || got.took > 900*time.Millisecond {
@@ -108,7 +108,7 @@
 	})
 	c := configtest.NewConf(sidecartest.NewRegistry(t).Addr(), b.Target)
 	c["limits"] = map[string]any{"sockets": config.MinSockets, "memory_mb": 64}
-	c.Setting(`"open_cap": 20000`, `"open_cap": 5`)
+	c.ReplaceSetting(`"open_cap": 20000`, `"open_cap": 5`)
 	s := start(t, c)
 	var held []<-chan result
 	for range 5 {
@@ -270,7 +270,7 @@
 
 // A connection without a request does not delay a drain beyond the longest deadline.
 func TestDrain_unusedConnection(t *testing.T) {
-	s := start(t, configtest.NewConf(sidecartest.NewRegistry(t).Addr()).Setting(`"hard_limit_ms": 2500`, `"hard_limit_ms": 1000`))
+	s := start(t, configtest.NewConf(sidecartest.NewRegistry(t).Addr()).ReplaceSetting(`"hard_limit_ms": 2500`, `"hard_limit_ms": 1000`))
 	conn, err := net.Dial("tcp", s.Addr())
 	if err != nil {
 		t.Fatal(err)
--- a/internal/sidecar/config/config.go
+++ b/internal/sidecar/config/config.go
@@ -25,28 +25,28 @@
 
 // Config is the configuration of a sidecar.
 type Config struct {
-	Name       string
-	Listen     string   // where the application connects
-	Discovery  string   // address of discovery
-	Lists      []string // addresses of several list services, in order of preference; empty: Discovery alone
-	Management string   // address for the platform; empty: there is none
-	Cores      float64  // 0: no limit
-	MemoryMB   int      // 0: no limit
-	Sockets    int      // descriptors in all
-
-	Balance     balance.Config
-	Classes     map[string]int // number by name
-	ClassNames  []string       // by number
-	Tenants     map[string]int // number by name; empty: the site has none
-	Zones       map[string]int
-	Kinds       map[string]int
-	ReportNames []string          // of a load report's figures, in the order of balance.Config.Fields
-	ConnIdle    time.Duration     // after which a server closes an idle connection
-	MaxOpen     int               // requests at a time; 0: no limit of the settings
-	Known       endpointlist.List // the last list of this sidecar, which may be old
-	Routes      *Routes           // nil: off
-	Membership  *Membership       // nil: off
-	Faults      *fault.Plan       // planted by the lab; nil: none
+	Name         string
+	Listen       string   // where the application connects
+	Discovery    string   // address of discovery
+	ListServices []string // addresses of several list services, in order of preference; empty: Discovery alone
+	Management   string   // address for the platform; empty: there is none
+	Cores        float64  // 0: no limit
+	MemoryMB     int      // 0: no limit
+	Sockets      int      // descriptors in all
+
+	Balance         balance.Config
+	Classes         map[string]int // number by name
+	ClassNames      []string       // by number
+	Tenants         map[string]int // number by name; empty: the site has none
+	Zones           map[string]int
+	Kinds           map[string]int
+	ReportFields    []string          // of a load report's figures, in the order of balance.Config.Fields
+	ConnIdleTimeout time.Duration     // after which a server closes an idle connection
+	MaxOpenRequests int               // requests at a time; 0: no limit of the settings
+	KnownList       endpointlist.List // the last list of this sidecar, which may be old
+	Routes          *Routes           // nil: off
+	Membership      *Membership       // nil: off
+	Faults          *fault.Plan       // planted by the lab; nil: none
 
 	tempDir string // shared with the processes before and after this one; empty: none
 }
@@ -54,12 +54,12 @@
 // defaultSockets is the limit where the configuration sets none.
 const defaultSockets = 1024
 
-// MinReserve is the least number of sockets that the listeners, discovery, the log, the runtime and the management
+// MinReservedSockets is the least number of sockets that the listeners, discovery, the log, the runtime and the management
 // address need.
-const MinReserve = 24
+const MinReservedSockets = 24
 
 // MinSockets is the least limit that leaves connections for clients and servers beside the reserve.
-const MinSockets = 2 * MinReserve
+const MinSockets = 2 * MinReservedSockets
 
 // Limits beyond these are mistakes, and are more than the arithmetic of the limits holds.
 const (
@@ -76,8 +76,8 @@
 // ManagementTimeout bounds a complete call of the management address, and the time for its answer to be taken.
 const ManagementTimeout = 2 * time.Second
 
-// named is an entry of the settings that has a name.
-type named struct {
+// namedEntry is an entry of the settings that has a name.
+type namedEntry struct {
 	Name string `json:"name"`
 }
 
@@ -113,11 +113,11 @@
 
 // siteSettings is what the sidecar itself reads of the settings: names of what the balancer numbers, and limits.
 type siteSettings struct {
-	Classes []named  `json:"classes"`
-	Tenants []named  `json:"tenants"`
-	Zones   []string `json:"zones"`
-	Zone    int      `json:"zone"`
-	Kinds   []string `json:"kinds"`
+	Classes []namedEntry `json:"classes"`
+	Tenants []namedEntry `json:"tenants"`
+	Zones   []string     `json:"zones"`
+	Zone    int          `json:"zone"`
+	Kinds   []string     `json:"kinds"`
 	Report  struct {
 		Fields []string `json:"fields"`
 	} `json:"report"`
@@ -245,8 +245,8 @@
 		Name: f.Name, Listen: f.Listen, Discovery: f.Discovery, Management: f.Management,
 		Cores: f.Limits.Cores, MemoryMB: f.Limits.MemoryMB, Sockets: f.Limits.Sockets,
 		Balance: settings, Zones: numberByName(site.Zones), Kinds: numberByName(site.Kinds),
-		ReportNames: site.Report.Fields, ConnIdle: clock.Duration(site.Limits.ConnIdle),
-		MaxOpen: site.Limits.MaxOpen, Known: f.Known,
+		ReportFields: site.Report.Fields, ConnIdleTimeout: clock.Duration(site.Limits.ConnIdle),
+		MaxOpenRequests: site.Limits.MaxOpen, KnownList: f.Known,
 	}
 	for _, step := range []func(*Config, *siteSettings) error{
 		f.setLimits, f.setListServices, f.setRegions, f.setNames, f.setSections,
@@ -295,12 +295,12 @@
 			return fmt.Errorf("lists[%d].addr: %w", i, err)
 		}
 		if hasZone && l.Zone == zone {
-			cfg.Lists = append(cfg.Lists, l.Addr)
+			cfg.ListServices = append(cfg.ListServices, l.Addr)
 		} else {
 			elsewhere = append(elsewhere, l.Addr)
 		}
 	}
-	cfg.Lists = append(cfg.Lists, elsewhere...)
+	cfg.ListServices = append(cfg.ListServices, elsewhere...)
 	if !(f.SuspectFraction >= 0 && f.SuspectFraction <= 1) {
 		return fmt.Errorf("list_doubt_share: %v is not between 0 and 1", f.SuspectFraction)
 	}
@@ -308,14 +308,14 @@
 		return fmt.Errorf("list_stale_ms: %v is negative", f.StaleMS)
 	}
 	b := &cfg.Balance
-	b.ListServices, b.SuspectFraction, b.StaleAfter = len(cfg.Lists), f.SuspectFraction, f.StaleMS
+	b.ListServices, b.SuspectFraction, b.StaleAfter = len(cfg.ListServices), f.SuspectFraction, f.StaleMS
 	b.MaxPollBackoff = float64(discovery.MaxPollBackoff.Milliseconds())
-	b.Subscribe = b.Subscribe || len(cfg.Lists) > 0 // the balancer decides which service is called
+	b.Subscribe = b.Subscribe || len(cfg.ListServices) > 0 // the balancer decides which service is called
 	return nil
 }
 
 func (f *file) setRegions(cfg *Config, site *siteSettings) (err error) {
-	if cfg.Balance.Regions, err = f.regions(site.Zones); err != nil {
+	if cfg.Balance.Regions, err = f.regionNumbers(site.Zones); err != nil {
 		return err
 	}
 	if cfg.Balance.RegionCost = f.RegionCost; f.RegionCost == 0 {
@@ -348,8 +348,8 @@
 	return err
 }
 
-// regions gives each of the settings' zones the number of its region; nil where there are none.
-func (f *file) regions(zones []string) ([]int, error) {
+// regionNumbers gives each of the settings' zones the number of its region; nil where there are none.
+func (f *file) regionNumbers(zones []string) ([]int, error) {
 	if !(f.RegionCost == 0 || f.RegionCost >= 1 && f.RegionCost <= maxRegionCost) {
 		return nil, fmt.Errorf("region_cost: %v is not between 1 and %d", f.RegionCost, maxRegionCost)
 	}
@@ -382,7 +382,7 @@
 }
 
 // numberUnique numbers entries in order, and rejects a name that is empty or given twice.
-func numberUnique(key string, entries []named) (map[string]int, error) {
+func numberUnique(key string, entries []namedEntry) (map[string]int, error) {
 	numbers := make(map[string]int, len(entries))
 	for i, entry := range entries {
 		if _, twice := numbers[entry.Name]; twice || entry.Name == "" {
@@ -395,8 +395,8 @@
 
 // ListAddrs are the addresses of all list services, in order of preference.
 func (cfg *Config) ListAddrs() []string {
-	if len(cfg.Lists) > 0 {
-		return cfg.Lists
+	if len(cfg.ListServices) > 0 {
+		return cfg.ListServices
 	}
 	return []string{cfg.Discovery}
 }
--- a/internal/sidecar/config/environment_test.go
+++ b/internal/sidecar/config/environment_test.go
@@ -19,9 +19,9 @@
 		"seed":           {func(c configtest.Conf) { c["seed"] = "xyz" }, "seed"},
 		"no settings":    {func(c configtest.Conf) { delete(c, "settings") }, "no settings"},
 		"no classes":     {func(c configtest.Conf) { c["settings"] = map[string]any{} }, "no classes"},
-		"unknown effect": {func(c configtest.Conf) { c.Setting("non_idempotent", "other") }, "effect"},
-		"class names":    {func(c configtest.Conf) { c.Setting(`"name": "charge"`, `"name": "lookup"`) }, "classes"},
-		"tenant names":   {func(c configtest.Conf) { c.Setting(`"name": "kita"`, `"name": ""`) }, "tenants"},
+		"unknown effect": {func(c configtest.Conf) { c.ReplaceSetting("non_idempotent", "other") }, "effect"},
+		"class names":    {func(c configtest.Conf) { c.ReplaceSetting(`"name": "charge"`, `"name": "lookup"`) }, "classes"},
+		"tenant names":   {func(c configtest.Conf) { c.ReplaceSetting(`"name": "kita"`, `"name": ""`) }, "tenants"},
 		"sockets":        {func(c configtest.Conf) { c["limits"] = map[string]any{"sockets": 10} }, "sockets"},
 		"wrong type":     {func(c configtest.Conf) { c["limits"] = 3 }, "limits"},
 	} {
--- a/internal/sidecar/config/lists_test.go
+++ b/internal/sidecar/config/lists_test.go
@@ -15,7 +15,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if got := fmt.Sprint(cfg.Lists); got != "[127.0.0.1:3 127.0.0.1:2 127.0.0.1:4]" || cfg.Balance.ListServices != 3 || !cfg.Balance.Subscribe {
+	if got := fmt.Sprint(cfg.ListServices); got != "[127.0.0.1:3 127.0.0.1:2 127.0.0.1:4]" || cfg.Balance.ListServices != 3 || !cfg.Balance.Subscribe {
 		t.Fatalf("%v, %d, subscribes %v", got, cfg.Balance.ListServices, cfg.Balance.Subscribe)
 	}
 	for name, change := range map[string]func(configtest.Conf){
--- a/internal/sidecar/config/members_test.go
+++ b/internal/sidecar/config/members_test.go
@@ -23,12 +23,12 @@
 		"bad address": {func(c configtest.Conf) { c["members"].(map[string]any)["bind"] = "x" }, "members.bind: "},
 		"name":        {func(c configtest.Conf) { c["name"] = "side car" }, "members.name: "},
 		"long name":   {func(c configtest.Conf) { c["name"] = strings.Repeat("n", 65) }, "members.name: "},
-		"zone":        {func(c configtest.Conf) { c.Setting(`["z"]`, `["z\u00a0"]`) }, "members.zone: "},
+		"zone":        {func(c configtest.Conf) { c.ReplaceSetting(`["z"]`, `["z\u00a0"]`) }, "members.zone: "},
 		"no host":     {func(c configtest.Conf) { c["members"].(map[string]any)["bind"] = ":0" }, "members.bind: "},
 		"unknown key": {func(c configtest.Conf) { c["members"].(map[string]any)["bnd"] = "x" }, `members: json: unknown field "bnd"`},
 	} {
 		t.Run(name, func(t *testing.T) {
-			c := configtest.Joining(configtest.NewConf("127.0.0.1:1"), "n", sidecartest.Loopback)
+			c := configtest.WithMembership(configtest.NewConf("127.0.0.1:1"), "n", sidecartest.Loopback)
 			test.change(c)
 			cfg, err := c.Load(t)
 			if test.says != "" {
@@ -39,7 +39,7 @@
 			require.Nil(t, cfg.Membership)
 		})
 	}
-	cfg, err := configtest.Joining(configtest.NewConf("127.0.0.1:1"), "n", sidecartest.Loopback).Setting(`"zones"`, `"peers_total": 7, "zones"`).Load(t)
+	cfg, err := configtest.WithMembership(configtest.NewConf("127.0.0.1:1"), "n", sidecartest.Loopback).ReplaceSetting(`"zones"`, `"peers_total": 7, "zones"`).Load(t)
 	require.NoError(t, err)
 	g := cfg.Membership.Group
 	require.Equal(t, []any{"n", "z", config.RoleSidecar, 7}, []any{g.Name, g.Zone, g.Role, g.Peers})
--- a/internal/sidecar/config/routes.go
+++ b/internal/sidecar/config/routes.go
@@ -19,8 +19,8 @@
 const (
 	defaultKeyHeader = "X-Route-Key"
 
-	// MaxEndpoints bounds the addresses of the section.
-	MaxEndpoints    = 16
+	// MaxRouteAddrs bounds the addresses of the section.
+	MaxRouteAddrs   = 16
 	maxHeaderName   = 100 // bytes
 	headerNameChars = "-0123456789ABCDEFGHIJKLMNOPQRSTUVWXYZabcdefghijklmnopqrstuvwxyz"
 )
@@ -54,8 +54,8 @@
 	if f.Name == "" {
 		return nil, errors.New("name: empty, and a sidecar with routes is known by it")
 	}
-	if len(in.Addrs) > MaxEndpoints {
-		return nil, fmt.Errorf("routes.addrs: %d addresses, more than %d", len(in.Addrs), MaxEndpoints)
+	if len(in.Addrs) > MaxRouteAddrs {
+		return nil, fmt.Errorf("routes.addrs: %d addresses, more than %d", len(in.Addrs), MaxRouteAddrs)
 	}
 	for i, addr := range in.Addrs {
 		if _, _, err := net.SplitHostPort(addr); err != nil {
--- a/internal/sidecar/config/routes_test.go
+++ b/internal/sidecar/config/routes_test.go
@@ -16,9 +16,9 @@
 	for text, want := range map[string]string{
 		`null`: "off",
 		`{}`:   "[127.0.0.1:1] [1 2] X-Route-Key",
-		`{"addrs": ["127.0.0.1:2"], "schemas": [1], "key_header": "x-side"}`:      "[127.0.0.1:2] [1] X-Side",
-		`{"addrs": ["127.0.0.1:2", "there"]}`:                                     "routes.addrs[1]: ",
-		`{"addrs": [` + strings.Repeat(`"a:1",`, config.MaxEndpoints) + `"a:1"]}`: "routes.addrs: 17 addresses",
+		`{"addrs": ["127.0.0.1:2"], "schemas": [1], "key_header": "x-side"}`:       "[127.0.0.1:2] [1] X-Side",
+		`{"addrs": ["127.0.0.1:2", "there"]}`:                                      "routes.addrs[1]: ",
+		`{"addrs": [` + strings.Repeat(`"a:1",`, config.MaxRouteAddrs) + `"a:1"]}`: "routes.addrs: 17 addresses",
 		`{"schemas": [2, 3]}`:   "routes.schemas[1]: 3 ",
 		`{"schemas": [2, 2]}`:   "routes.schemas[1]: 2 ",
 		`{"key_header": "a b"}`: `routes.key_header: "a b"`,
--- a/internal/sidecar/config/watch_sums_test.go
+++ b/internal/sidecar/config/watch_sums_test.go
@@ -19,7 +19,7 @@
 // worstPause gives the longest pause that the real balancer makes in a row of such failures, as the sidecar reports them.
 func worstPause(t *testing.T, settings string, row int, err error) time.Duration {
 	t.Helper()
-	c := configtest.NewConf("127.0.0.1:1").Setting(`"ask_within_ms": 10000, `, settings)
+	c := configtest.NewConf("127.0.0.1:1").ReplaceSetting(`"ask_within_ms": 10000, `, settings)
 	cfg, bad := c.Load(t)
 	if bad != nil {
 		t.Fatal(bad)
@@ -65,7 +65,7 @@
 			pause := func(row int, err error) time.Duration { return worstPause(t, settings, row, err) }
 			for way, sum := range map[string]time.Duration{
 				"a watch is reset":                  pause(1, http.ErrServerClosed),
-				"a watch falls silent":              discovery.WatchTimeout + pause(1, discovery.ErrStopped),
+				"a watch falls silent":              discovery.WatchTimeout + pause(1, discovery.ErrWatchTimeout),
 				"connections are refused":           pause(rowOfFailures, http.ErrServerClosed),
 				"connections never come up":         discovery.DialTimeout + pause(rowOfFailures, http.ErrServerClosed),
 				"this machine cannot make a call":   netcall.MaxRetryPause + discovery.DialTimeout,
@@ -73,8 +73,8 @@
 				"calls are turned away for an hour": discovery.DialTimeout + pause(rowOfFailures, hold),
 				"calls end at once":                 discovery.DialTimeout + pause(rowOfFailures, io.ErrUnexpectedEOF),
 			} {
-				if sum >= discovery.NotifiedWithin {
-					t.Errorf("%s: the next call begins %v after discovery could be reached, and the change counts as notified after %v", way, sum, discovery.NotifiedWithin)
+				if sum >= discovery.MaxNotificationDelay {
+					t.Errorf("%s: the next call begins %v after discovery could be reached, and the change counts as notified after %v", way, sum, discovery.MaxNotificationDelay)
 				}
 			}
 		})
@@ -89,14 +89,14 @@
 		afterWait   = 2 * time.Second // STANDING: beyond the wait of a call that may wait
 	)
 	for _, settings := range []string{`"ask_within_ms": 10000, `, `"ask_within_ms": 600000, `, ``} {
-		again := discovery.CallTimeout + worstPause(t, settings, rowOfFailures, discovery.ErrSilent)
-		if again >= discovery.NotifiedWithin {
-			t.Errorf("%q: the next call begins %v after one that stayed silent, and a change counts as notified after %v", settings, again, discovery.NotifiedWithin)
+		again := discovery.CallTimeout + worstPause(t, settings, rowOfFailures, discovery.ErrCallTimeout)
+		if again >= discovery.MaxNotificationDelay {
+			t.Errorf("%q: the next call begins %v after one that stayed silent, and a change counts as notified after %v", settings, again, discovery.MaxNotificationDelay)
 		}
 		if late := max(afterSignal, discovery.CallTimeout+afterWait); again >= late {
 			t.Errorf("%q: after SIGHUP it begins after %v, and what is there counts as notified after %v", settings, again, late)
 		}
-		if late := discovery.WatchTimeout + worstPause(t, settings, 1, discovery.ErrStopped) + again; late >= discovery.WatchTimeout+discovery.SilentCallPause+discovery.CallTimeout+afterWait {
+		if late := discovery.WatchTimeout + worstPause(t, settings, 1, discovery.ErrWatchTimeout) + again; late >= discovery.WatchTimeout+discovery.SilentCallPause+discovery.CallTimeout+afterWait {
 			t.Errorf("%q: what a silent watch missed is requested twice in %v", settings, late)
 		}
 	}
--- a/internal/sidecar/config_test.go
+++ b/internal/sidecar/config_test.go
@@ -17,7 +17,7 @@
 	for _, mode := range []string{"subscribe", "automatic"} {
 		t.Run(mode, func(t *testing.T) {
 			b, r, other := sidecartest.NewBackend(t, "a", sidecartest.OK), sidecartest.NewRegistry(t), sidecartest.NewRegistry(t)
-			c := configtest.NewConf(r.Addr(), b.Target).Setting(`"discovery": "subscribe"`, `"discovery": "`+mode+`"`)
+			c := configtest.NewConf(r.Addr(), b.Target).ReplaceSetting(`"discovery": "subscribe"`, `"discovery": "`+mode+`"`)
 			s := start(t, c, func(s *Sidecar) { s.loop.Discovery.SetTimeouts(discovery.Timeouts{PushedDelay: time.Hour}) })
 			watch := sidecartest.Receive(t, "the watch", r.Calls)
 			c["discovery"] = other.Addr()
@@ -72,7 +72,7 @@
 	for _, mode := range []string{"subscribe", "automatic"} {
 		t.Run(mode, func(t *testing.T) {
 			first, second, third := sidecartest.NewRegistry(t), sidecartest.NewRegistry(t), sidecartest.NewRegistry(t)
-			c := configtest.NewConf(first.Addr()).Setting(`"discovery": "subscribe"`, `"discovery": "`+mode+`"`)
+			c := configtest.NewConf(first.Addr()).ReplaceSetting(`"discovery": "subscribe"`, `"discovery": "`+mode+`"`)
 			s := start(t, c, func(s *Sidecar) { s.loop.Discovery.SetTimeouts(discovery.Timeouts{PushedDelay: time.Hour}) })
 			started := sidecartest.Receive(t, "the watch, before any answer", first.Calls)
 			paths := map[*sidecartest.Registry]string{}
--- a/internal/sidecar/configtest/sidecar.go
+++ b/internal/sidecar/configtest/sidecar.go
@@ -38,8 +38,8 @@
 	}
 }
 
-// Setting replaces text in the settings.
-func (c Conf) Setting(old, to string) Conf {
+// ReplaceSetting replaces text in the settings.
+func (c Conf) ReplaceSetting(old, to string) Conf {
 	text := string(c["settings"].(json.RawMessage))
 	if !strings.Contains(text, old) {
 		panic("the settings lack " + old)
--- a/internal/sidecar/discovery/call.go
+++ b/internal/sidecar/discovery/call.go
@@ -56,7 +56,7 @@
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
 	defer context.AfterFunc(address, func() { cancel(context.Cause(address)) })()
-	guard := newSilenceGuard(c.firstTimeout, max(c.firstTimeout, c.client.timeouts.Call), func() { cancel(ErrSilent) })
+	guard := newSilenceGuard(c.firstTimeout, max(c.firstTimeout, c.client.timeouts.Call), func() { cancel(ErrCallTimeout) })
 	defer guard.stop()
 	resp, err := c.send(ctx, "http://"+addr+instancesPath+query, guard)
 	if err != nil {
@@ -79,7 +79,7 @@
 
 // send makes the request; the guard learns of the bytes that come.
 func (c *call) send(ctx context.Context, url string, guard *silenceGuard) (*http.Response, error) {
-	req, err := http.NewRequestWithContext(context.WithValue(ctx, receivedKey{}, guard.received), http.MethodGet, url, nil)
+	req, err := http.NewRequestWithContext(context.WithValue(ctx, onReceivedKey{}, guard.received), http.MethodGet, url, nil)
 	if err != nil {
 		return nil, err
 	}
@@ -102,15 +102,15 @@
 	return &RejectedError{resp.Status, 1000 * seconds}
 }
 
-// answerProgress is what a call has read of its answer.
-type answerProgress struct {
-	alive bool // an object or an empty line, with more to come
-	list  bool // a list
+// responseProgress is what a call has read of its answer.
+type responseProgress struct {
+	gotLine bool // an object or an empty line, with more to come
+	gotList bool // a list
 }
 
 // postObjects posts each object and empty line until the answer ends.
 func (c *call) postObjects(ctx context.Context, in *objectReader, guard *silenceGuard) error {
-	var progress answerProgress
+	var progress responseProgress
 	for {
 		text, err := in.next()
 		if err == nil || err == io.EOF && len(text) > 0 {
@@ -120,12 +120,12 @@
 			if err := c.post(text); err != nil {
 				return err
 			}
-			progress.list = progress.list || len(text) > 0
+			progress.gotList = progress.gotList || len(text) > 0
 		}
 		if err != nil {
 			return progress.endError(ctx, err)
 		}
-		progress.alive = true
+		progress.gotLine = true
 		guard.objectRead(c.nextTimeout)
 	}
 }
@@ -149,14 +149,14 @@
 }
 
 // endError returns why an answer ended, given the error of its last read.
-func (p answerProgress) endError(ctx context.Context, err error) error {
+func (p responseProgress) endError(ctx context.Context, err error) error {
 	cause := context.Cause(ctx)
 	switch {
-	case cause == ErrSilent && p.alive:
-		return ErrStopped
+	case cause == ErrCallTimeout && p.gotLine:
+		return ErrWatchTimeout
 	case cause != nil:
 		return cause
-	case err == io.EOF && !p.list:
+	case err == io.EOF && !p.gotList:
 		return io.ErrUnexpectedEOF
 	}
 	return err
--- a/internal/sidecar/discovery/client.go
+++ b/internal/sidecar/discovery/client.go
@@ -34,10 +34,10 @@
 	start     func(func())       // starts a goroutine that the event loop waits for at its end
 	stopWatch context.CancelFunc // ends the watch that Watch started last; only the event loop calls it
 
-	mu         sync.Mutex
-	addrs      []string                // by preference
-	address    context.Context         // ends when addrs changes
-	endAddress context.CancelCauseFunc // ends address
+	mu             sync.Mutex
+	addrs          []string                // by preference
+	addrsCtx       context.Context         // ends when addrs changes
+	cancelAddrsCtx context.CancelCauseFunc // ends address
 }
 
 // New returns a client of the list services at addrs, the preferred one first. Events go to post; start starts goroutines.
@@ -45,7 +45,7 @@
 func New(addrs []string, memoryMB int, post func(any), start func(func())) *Client {
 	address, endAddress := context.WithCancelCause(context.Background())
 	return &Client{
-		addrs: addrs, address: address, endAddress: endAddress, post: post, start: start, stopWatch: func() {},
+		addrs: addrs, addrsCtx: address, cancelAddrsCtx: endAddress, post: post, start: start, stopWatch: func() {},
 		timeouts:  Timeouts{Call: CallTimeout, Watch: WatchTimeout, PushedDelay: PushedDelay(initialDrainGraceMS)},
 		maxObject: maxObjectFor(memoryMB),
 		// Without keep-alives: on a broken connection the transport would make a second call by itself.
@@ -89,24 +89,24 @@
 		return
 	}
 	slog.Info("discovery: address changed", "addr", strings.Join(addrs, " "))
-	c.endAddress(errAddrChanged)
+	c.cancelAddrsCtx(errAddrChanged)
 	if len(addrs) != len(c.addrs) {
 		c.post(balance.ListServices{Count: len(addrs)})
 	}
 	c.addrs = addrs
-	c.address, c.endAddress = context.WithCancelCause(context.Background())
+	c.addrsCtx, c.cancelAddrsCtx = context.WithCancelCause(context.Background())
 }
 
-// currentAddress returns the context of the addresses that hold now.
-func (c *Client) currentAddress() context.Context {
+// currentAddrsCtx returns the context of the addresses that hold now.
+func (c *Client) currentAddrsCtx() context.Context {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.address
+	return c.addrsCtx
 }
 
 // serviceAddr returns the address of a list service, and the context that ends when it changes.
 func (c *Client) serviceAddr(source int) (string, context.Context) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.addrs[min(source, len(c.addrs)-1)], c.address
+	return c.addrs[min(source, len(c.addrs)-1)], c.addrsCtx
 }
--- a/internal/sidecar/discovery/events.go
+++ b/internal/sidecar/discovery/events.go
@@ -8,14 +8,14 @@
 )
 
 var (
-	// ErrSilent ends a call whose first object did not come in time.
-	ErrSilent = errors.New("no line in time")
-	// ErrStopped ends a watch that had got an object and then fell silent: its connection is broken.
-	ErrStopped = errors.New("no further line in time")
-
-	errSuperseded  = errors.New("another call was answered first")
-	errLineTooLong = errors.New("line too long")
-	errAddrChanged = errors.New("the list service has another address now")
+	// ErrCallTimeout ends a call whose first object did not come in time.
+	ErrCallTimeout = errors.New("no line in time")
+	// ErrWatchTimeout ends a watch that had got an object and then fell silent: its connection is broken.
+	ErrWatchTimeout = errors.New("no further line in time")
+
+	errSuperseded     = errors.New("another call was answered first")
+	errObjectTooLarge = errors.New("line too long")
+	errAddrChanged    = errors.New("the list service has another address now")
 )
 
 // RejectedError is an answer of a list service that is no list.
@@ -45,7 +45,7 @@
 	if errors.As(err, &rejected) {
 		event.Busy, event.RetryAfter = true, rejected.RetryAfter
 	}
-	if errors.Is(err, ErrSilent) {
+	if errors.Is(err, ErrCallTimeout) {
 		event.Busy = true
 		event.RetryAfter = float64(SilentCallPause.Milliseconds()) / 2 // the balancer waits for once to twice as long
 	}
--- a/internal/sidecar/discovery/lists_test.go
+++ b/internal/sidecar/discovery/lists_test.go
@@ -28,11 +28,11 @@
 			continue
 		}
 		line, err := newObjectReader(strings.NewReader(strings.Repeat("x", 2*c.maxBytes)), client.maxObject).next()
-		if !errors.Is(err, errLineTooLong) || line != nil {
+		if !errors.Is(err, errObjectTooLarge) || line != nil {
 			t.Errorf("%d bytes, %v", len(line), err)
 		}
 		many := newObjectReader(strings.NewReader(strings.Repeat("{\n", c.maxBytes)), client.maxObject)
-		if _, err := many.next(); !errors.Is(err, errLineTooLong) {
+		if _, err := many.next(); !errors.Is(err, errObjectTooLarge) {
 			t.Errorf("over many lines: %v", err)
 		}
 	}
--- a/internal/sidecar/discovery/object_reader.go
+++ b/internal/sidecar/discovery/object_reader.go
@@ -28,7 +28,7 @@
 		open.add(part)
 		switch {
 		case len(text) > r.maxBytes:
-			return nil, errLineTooLong
+			return nil, errObjectTooLarge
 		case err == bufio.ErrBufferFull:
 		case err == io.EOF && open.depth > 0:
 			return nil, io.ErrUnexpectedEOF
@@ -40,8 +40,8 @@
 
 // nesting follows how deep in objects and arrays a JSON text is.
 type nesting struct {
-	depth           int
-	quoted, escaped bool // inside a string; behind a backslash of it
+	depth             int
+	inString, escaped bool // inside a string; behind a backslash of it
 }
 
 // add goes on over the next part of the text.
@@ -50,11 +50,11 @@
 		switch {
 		case n.escaped:
 			n.escaped = false
-		case n.quoted && c == '\\':
+		case n.inString && c == '\\':
 			n.escaped = true
 		case c == '"':
-			n.quoted = !n.quoted
-		case n.quoted:
+			n.inString = !n.inString
+		case n.inString:
 		case c == '{' || c == '[':
 			n.depth++
 		case c == '}' || c == ']':
--- a/internal/sidecar/discovery/silence_guard.go
+++ b/internal/sidecar/discovery/silence_guard.go
@@ -13,11 +13,11 @@
 // list service is alive, as an answer may come in small pieces. Afterwards only complete objects and the empty lines between
 // them do.
 type silenceGuard struct {
-	mu       sync.Mutex // guards all
-	timer    *time.Timer
-	timeout  time.Duration // between two reads, before the first object is complete
-	deadline time.Time     // for the first object
-	complete bool          // the first object
+	mu              sync.Mutex // guards all
+	timer           *time.Timer
+	timeout         time.Duration // between two reads, before the first object is complete
+	deadline        time.Time     // for the first object
+	firstObjectRead bool          // the first object
 }
 
 // newSilenceGuard calls expire when no byte comes for timeout, or when the first object is not complete within limit.
@@ -29,7 +29,7 @@
 func (g *silenceGuard) received() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if !g.complete {
+	if !g.firstObjectRead {
 		g.timer.Reset(min(g.timeout, time.Until(g.deadline)))
 	}
 }
@@ -38,15 +38,15 @@
 func (g *silenceGuard) objectRead(nextTimeout time.Duration) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.complete = true
+	g.firstObjectRead = true
 	g.timer.Reset(nextTimeout)
 }
 
 // stop ends the guard.
 func (g *silenceGuard) stop() { g.timer.Stop() }
 
-// receivedKey is the key in a request's context of the function that reportingConn calls.
-type receivedKey struct{}
+// onReceivedKey is the key in a request's context of the function that reportingConn calls.
+type onReceivedKey struct{}
 
 // reportingConn reports each read that got bytes.
 type reportingConn struct {
@@ -72,7 +72,7 @@
 		if err != nil {
 			return nil, err
 		}
-		if received, ok := ctx.Value(receivedKey{}).(func()); ok {
+		if received, ok := ctx.Value(onReceivedKey{}).(func()); ok {
 			return reportingConn{conn, new(netcall.RetryingReader), received}, nil
 		}
 		return conn, nil
--- a/internal/sidecar/discovery/timeouts.go
+++ b/internal/sidecar/discovery/timeouts.go
@@ -15,12 +15,12 @@
 	CallTimeout = 5 * time.Second
 	// DialTimeout bounds the wait for a connection.
 	DialTimeout = time.Second
-	// NotifiedWithin is how long after a list service got a change and could be reached the change counts as notified,
+	// MaxNotificationDelay is how long after a list service got a change and could be reached the change counts as notified,
 	// whatever failed before.
-	NotifiedWithin = 6 * time.Second
+	MaxNotificationDelay = 6 * time.Second
 	// MaxPollBackoff leaves time for the call after a pause, whose connection may not come up at first.
-	MaxPollBackoff = NotifiedWithin - DialTimeout - 500*time.Millisecond
-	// SilentCallPause follows a call that ended with ErrSilent. Such a call takes most of NotifiedWithin, as it may have
+	MaxPollBackoff = MaxNotificationDelay - DialTimeout - 500*time.Millisecond
+	// SilentCallPause follows a call that ended with ErrCallTimeout. Such a call takes most of MaxNotificationDelay, as it may have
 	// started just before the list service's return.
 	SilentCallPause = 500 * time.Millisecond
 )
@@ -33,9 +33,9 @@
 	pushedDelayParts = 5
 	// minPushedDelay is the tolerance of deadlines on sockets.
 	minPushedDelay = 50 * time.Millisecond
-	// maxPushedDelay keeps a watch that falls silent and its next two calls, 4 delays, together below NotifiedWithin,
+	// maxPushedDelay keeps a watch that falls silent and its next two calls, 4 delays, together below MaxNotificationDelay,
 	// however long the grace.
-	maxPushedDelay = (NotifiedWithin - WatchTimeout) / 5
+	maxPushedDelay = (MaxNotificationDelay - WatchTimeout) / 5
 	// initialDrainGraceMS holds until the settings' own is known.
 	initialDrainGraceMS = 500
 )
--- a/internal/sidecar/discovery/watch.go
+++ b/internal/sidecar/discovery/watch.go
@@ -59,7 +59,7 @@
 // address changes just before the call, that is the context of the one before, and the new one is called once more.
 func (c *Client) follow(ctx context.Context, source int) (context.Context, error) {
 	for {
-		address := c.currentAddress()
+		address := c.currentAddrsCtx()
 		watch := &call{client: c, kind: watchCall, source: source, claim: unclaimed,
 			firstTimeout: c.timeouts.Call, nextTimeout: c.timeouts.Watch}
 		err := watch.run(ctx)
--- a/internal/sidecar/discovery_test.go
+++ b/internal/sidecar/discovery_test.go
@@ -22,7 +22,7 @@
 		t.Run(mode, func(t *testing.T) {
 			b := sidecartest.NewBackend(t, "a", sidecartest.OK)
 			before, after := sidecartest.NewRegistry(t), sidecartest.NewRegistry(t)
-			c := configtest.NewConf(before.Addr()).Setting(`"discovery": "subscribe"`, `"discovery": "`+mode+`"`)
+			c := configtest.NewConf(before.Addr()).ReplaceSetting(`"discovery": "subscribe"`, `"discovery": "`+mode+`"`)
 			s := start(t, c, func(s *Sidecar) { s.loop.Discovery.SetTimeouts(discovery.Timeouts{PushedDelay: time.Hour}) }) // one call at a time
 			first := sidecartest.Receive(t, "the watch", before.Calls)
 			first.Send(t, endpointlist.List{Rev: 41, All: true})
@@ -157,7 +157,7 @@
 func TestDiscovery_pushedLists(t *testing.T) {
 	b := sidecartest.NewBackend(t, "a", sidecartest.OK)
 	r := sidecartest.NewRegistry(t)
-	s := start(t, configtest.NewConf(r.Addr()).Setting(`"discovery": "subscribe"`, `"discovery": "automatic"`))
+	s := start(t, configtest.NewConf(r.Addr()).ReplaceSetting(`"discovery": "subscribe"`, `"discovery": "automatic"`))
 	close(sidecartest.Receive(t, "the watch", r.Calls).Lines)
 	sidecartest.AnswerAll(t, r, endpointlist.List{Rev: 5, All: true, Targets: []endpointlist.Target{b.Target}})
 	sidecartest.Until(t, "the list to be taken", func() bool { return s.loop.Discovery.Revision.Load() == 5 })
--- a/internal/sidecar/errno_random_test.go
+++ b/internal/sidecar/errno_random_test.go
@@ -192,8 +192,8 @@
 	}
 	registry := sidecartest.NewRegistry(t)
 	c := configtest.NewConf(registry.Addr(), known...).
-		Setting(`"max_attempts": 6`, fmt.Sprintf(`"max_attempts": %d`, scheduleAttempts)).
-		Setting(`"parallel_tries": true`, `"parallel_tries": false`)
+		ReplaceSetting(`"max_attempts": 6`, fmt.Sprintf(`"max_attempts": %d`, scheduleAttempts)).
+		ReplaceSetting(`"parallel_tries": true`, `"parallel_tries": false`)
 	c["management"] = sidecartest.Loopback // so that the figures of servers are made
 	faults := &schedule{rnd: rand.New(rand.NewPCG(seed, 0))}
 	s := start(t, c, func(s *Sidecar) {
--- a/internal/sidecar/eventloop/loop.go
+++ b/internal/sidecar/eventloop/loop.go
@@ -105,7 +105,7 @@
 	l.ctx = ctx
 	now := l.now()
 	l.Execute(now, l.balancer.Start(now))
-	l.handleListEvent(now, discovery.ListEvent{Kind: balance.ListCached, List: l.cfg.Known})
+	l.handleListEvent(now, discovery.ListEvent{Kind: balance.ListCached, List: l.cfg.KnownList})
 	l.publishMetrics(now)
 	defer l.Routing.Start(func(f func()) { l.Workers.Go(f) })()
 	defer l.Members.Start()()
--- a/internal/sidecar/eventloop/loop_test.go
+++ b/internal/sidecar/eventloop/loop_test.go
@@ -37,7 +37,7 @@
 	l.ctx = ctx
 	now = l.now()
 	l.Execute(now, l.balancer.Start(now))
-	l.handleListEvent(now, discovery.ListEvent{Kind: balance.ListCached, List: cfg.Known})
+	l.handleListEvent(now, discovery.ListEvent{Kind: balance.ListCached, List: cfg.KnownList})
 	return l, now
 }
 
--- a/internal/sidecar/exchange_test.go
+++ b/internal/sidecar/exchange_test.go
@@ -223,7 +223,7 @@
 	})
 	t.Run("time left", func(t *testing.T) {
 		c := configtest.NewConf(sidecartest.NewRegistry(t).Addr(), sidecartest.Ready("a", addr)).
-			Setting(`"connect_timeout_ms": 100`, `"connect_timeout_ms": 60000`)
+			ReplaceSetting(`"connect_timeout_ms": 100`, `"connect_timeout_ms": 60000`)
 		s := start(t, c)
 		got := s.do(s.request("charge", 100*time.Millisecond))
 		if got.status != inflight.StatusRejected && got.status != inflight.StatusTimedOut || got.took > time.Second {
--- a/internal/sidecar/handover_test.go
+++ b/internal/sidecar/handover_test.go
@@ -23,7 +23,7 @@
 // for the test by a socket that does not listen.
 func upgradable(t *testing.T, discovery string, known ...endpointlist.Target) configtest.Conf {
 	t.Helper()
-	c := configtest.Managed(configtest.NewConf(discovery, known...))
+	c := configtest.WithManagement(configtest.NewConf(discovery, known...))
 	c["listen"] = sidecartest.BindAddr(t, unix.SO_REUSEPORT)
 	c["TMPDIR"] = t.TempDir()
 	return c
--- a/internal/sidecar/limits.go
+++ b/internal/sidecar/limits.go
@@ -29,7 +29,7 @@
 
 // newBudget divides the limits of the configuration.
 func newBudget(cfg *config.Config) budget {
-	reserve := min(max(int(float64(cfg.Sockets)*reserveFraction), config.MinReserve), maxReserve)
+	reserve := min(max(int(float64(cfg.Sockets)*reserveFraction), config.MinReservedSockets), maxReserve)
 	free := cfg.Sockets - reserve
 	b := budget{
 		management: int(float64(reserve) * managementFraction),
@@ -40,8 +40,8 @@
 	if cfg.MemoryMB > 0 {
 		b.requests = min(b.requests, int(float64(cfg.MemoryMB)*requestFraction*bytesPerMB/requestMemory))
 	}
-	if cfg.MaxOpen > 0 {
-		b.requests = min(b.requests, cfg.MaxOpen)
+	if cfg.MaxOpenRequests > 0 {
+		b.requests = min(b.requests, cfg.MaxOpenRequests)
 	}
 	return b
 }
--- a/internal/sidecar/management_test.go
+++ b/internal/sidecar/management_test.go
@@ -38,7 +38,7 @@
 
 func TestHealthcheck_waitsForList(t *testing.T) {
 	discovery := sidecartest.NewRegistry(t)
-	s := start(t, configtest.Managed(configtest.NewConf(discovery.Addr())))
+	s := start(t, configtest.WithManagement(configtest.NewConf(discovery.Addr())))
 	if status, text := s.manage(t, "GET", healthPath); status != 503 {
 		t.Errorf("without a list: %d %q", status, text)
 	}
@@ -75,8 +75,8 @@
 	})
 	draining := sidecartest.Ready("b", "127.0.0.1:1")
 	draining.State = "Terminating"
-	c := configtest.Managed(configtest.NewConf(sidecartest.NewRegistry(t).Addr(), b.Target, draining)).Setting(`"lookup"`, `"look\"up"`).
-		Setting(`"open_cap": 20000`, `"open_cap": 1`)
+	c := configtest.WithManagement(configtest.NewConf(sidecartest.NewRegistry(t).Addr(), b.Target, draining)).ReplaceSetting(`"lookup"`, `"look\"up"`).
+		ReplaceSetting(`"open_cap": 20000`, `"open_cap": 1`)
 	s := start(t, c)
 	wants := func(lines ...string) {
 		t.Helper()
@@ -121,7 +121,7 @@
 
 // Callers that hold connections and say nothing, or half of a call, shut no other caller out.
 func TestManagement_silentCallers(t *testing.T) {
-	s := start(t, configtest.Managed(configtest.NewConf(sidecartest.NewRegistry(t).Addr(), sidecartest.Ready("a", "127.0.0.1:1"))))
+	s := start(t, configtest.WithManagement(configtest.NewConf(sidecartest.NewRegistry(t).Addr(), sidecartest.Ready("a", "127.0.0.1:1"))))
 	for i := range 3 * s.management.Limit() {
 		c, err := net.Dial("tcp", s.ManagementAddr())
 		if err != nil {
--- a/internal/sidecar/members_test.go
+++ b/internal/sidecar/members_test.go
@@ -56,7 +56,7 @@
 // Without the section there is nothing of it: no goroutine, no page, no figure, and the balancer gets no event.
 func TestMembersOff(t *testing.T) {
 	b := sidecartest.NewBackend(t, "a", sidecartest.OK)
-	s := start(t, configtest.Managed(configtest.NewConf(sidecartest.NewRegistry(t).Addr(), b.Target)))
+	s := start(t, configtest.WithManagement(configtest.NewConf(sidecartest.NewRegistry(t).Addr(), b.Target)))
 	sidecartest.Until(t, "a server", func() bool { return s.healthy(t) })
 	require.Equal(t, 200, s.do(s.request("lookup", time.Second)).status)
 	stacks := make([]byte, 1<<20)
@@ -73,10 +73,10 @@
 }
 
 func TestMembers_joinAndLeave(t *testing.T) {
-	a := start(t, configtest.Joining(configtest.NewConf("127.0.0.1:1"), "a", sidecartest.Loopback))
+	a := start(t, configtest.WithMembership(configtest.NewConf("127.0.0.1:1"), "a", sidecartest.Loopback))
 	seed := a.gossips(t)
-	b := start(t, configtest.Joining(configtest.NewConf("127.0.0.1:1"), "b", sidecartest.Loopback, seed))
-	c := start(t, configtest.Joining(configtest.NewConf("127.0.0.1:1"), "c", sidecartest.Loopback, seed))
+	b := start(t, configtest.WithMembership(configtest.NewConf("127.0.0.1:1"), "b", sidecartest.Loopback, seed))
+	c := start(t, configtest.WithMembership(configtest.NewConf("127.0.0.1:1"), "c", sidecartest.Loopback, seed))
 	for _, one := range []*running{a, b, c} {
 		one.shows(t, "svc_members_known 3")
 		one.shows(t, "svc_members_admitted 1")
@@ -100,7 +100,7 @@
 
 // A watch lasts longer than other calls, and few may be there.
 func TestMembersWatch(t *testing.T) {
-	s := start(t, configtest.Joining(configtest.NewConf("127.0.0.1:1"), "a", sidecartest.Loopback))
+	s := start(t, configtest.WithMembership(configtest.NewConf("127.0.0.1:1"), "a", sidecartest.Loopback))
 	s.gossips(t)
 	for range 2 * fleet.MaxWatchers { // it would stay unseen
 		resp, err := s.client.Head("http://" + s.ManagementAddr() + fleet.MembersPath + "?watch=1")
@@ -128,8 +128,8 @@
 	l, err := net.Listen("tcp", sidecartest.Loopback)
 	require.NoError(t, err)
 	b := sidecartest.NewBackend(t, "a", sidecartest.OK)
-	s := start(t, configtest.Joining(configtest.NewConf(sidecartest.NewRegistry(t).Addr(), b.Target), "a", l.Addr().String()).
-		Setting(`"zones"`, `"peers_total": 3, "zones"`))
+	s := start(t, configtest.WithMembership(configtest.NewConf(sidecartest.NewRegistry(t).Addr(), b.Target), "a", l.Addr().String()).
+		ReplaceSetting(`"zones"`, `"peers_total": 3, "zones"`))
 	sidecartest.Until(t, "health", func() bool { return s.healthy(t) })
 	require.Equal(t, 200, s.do(s.request("lookup", time.Second)).status)
 	status, _ := s.manage(t, "GET", fleet.MembersPath)
@@ -148,7 +148,7 @@
 	l, err := net.Listen("tcp", sidecartest.Loopback)
 	require.NoError(t, err)
 	b := sidecartest.NewBackend(t, "a", sidecartest.OK)
-	c := configtest.Joining(upgradable(t, sidecartest.NewRegistry(t).Addr(), b.Target), "a", l.Addr().String())
+	c := configtest.WithMembership(upgradable(t, sidecartest.NewRegistry(t).Addr(), b.Target), "a", l.Addr().String())
 	require.NoError(t, l.Close())
 	quick := func(s *Sidecar) { s.drainAccept, s.listTimeout = 50*time.Millisecond, 0 }
 	old := start(t, c, quick)
--- a/internal/sidecar/routes_test.go
+++ b/internal/sidecar/routes_test.go
@@ -278,8 +278,8 @@
 			s := newRoutesService(t, longTerm, 0)
 			dials, release := make(chan string, 10), make(chan struct{})
 			base, canary := newHeaderRecorder(t, "b", sidecartest.OK), newHeaderRecorder(t, "c", sidecartest.OK)
-			c := configtest.NewConf("127.0.0.1:1", base.Target, canary.Target).Setting(`"connect_timeout_ms": 100`, `"connect_timeout_ms": 9000`).
-				Setting(`"parallel_tries": true`, `"parallel_tries": false`).Setting(`"max_attempts": 6`, `"max_attempts": 1`)
+			c := configtest.NewConf("127.0.0.1:1", base.Target, canary.Target).ReplaceSetting(`"connect_timeout_ms": 100`, `"connect_timeout_ms": 9000`).
+				ReplaceSetting(`"parallel_tries": true`, `"parallel_tries": false`).ReplaceSetting(`"max_attempts": 6`, `"max_attempts": 1`)
 			c["routes"], c["management"] = map[string]any{"addrs": []string{s.Listener.Addr().String()}}, sidecartest.Loopback
 			r := start(t, c, func(s *Sidecar) {
 				s.loop.Pool.SetDialControl(func(_, addr string, _ syscall.RawConn) error {
@@ -342,8 +342,8 @@
 	s := newRoutesService(t, 1000, 3)
 	release := make(chan struct{})
 	r, _, canary := routed(t, s, func(net.Conn, *http.Request, string) bool { <-release; return false }, func(c configtest.Conf) {
-		c.Setting(`"parallel_tries": true`, `"parallel_tries": false`).Setting(`"max_attempts": 6`, `"max_attempts": 1`).
-			Setting(`"on_time_ms": 750`, fmt.Sprint(`"on_time_ms": `, objective.Milliseconds()))
+		c.ReplaceSetting(`"parallel_tries": true`, `"parallel_tries": false`).ReplaceSetting(`"max_attempts": 6`, `"max_attempts": 1`).
+			ReplaceSetting(`"on_time_ms": 750`, fmt.Sprint(`"on_time_ms": `, objective.Milliseconds()))
 	})
 	t.Cleanup(sync.OnceFunc(func() { close(release) }))
 	one := toCanary(1, true)
--- a/internal/sidecar/sites_test.go
+++ b/internal/sidecar/sites_test.go
@@ -129,7 +129,9 @@
 	for i := range many {
 		many[i] = fmt.Sprintf(`{"name": "extra%d", "effect": "read_like", "on_time_ms": %d, "hard_limit_ms": %d}`, i, 100+i, 1000+i)
 	}
-	set := func(old, to string) func(configtest.Conf) { return func(c configtest.Conf) { c.Setting(old, to) } }
+	set := func(old, to string) func(configtest.Conf) {
+		return func(c configtest.Conf) { c.ReplaceSetting(old, to) }
+	}
 	for name, changes := range map[string][]func(configtest.Conf){
 		"short objective and deadline": {set(`"on_time_ms": 750, "hard_limit_ms": 2500`, `"on_time_ms": 20, "hard_limit_ms": 50`),
 			set(`"on_time_ms": 500, "hard_limit_ms": 1000`, `"on_time_ms": 20, "hard_limit_ms": 50`),
--- a/internal/sidecar/upstream/pool.go
+++ b/internal/sidecar/upstream/pool.go
@@ -58,8 +58,8 @@
 	}
 	p := &Pool{
 		dialer: net.Dialer{Timeout: max(connectTimeout, maxConnectTime), KeepAlive: -1}, connectTimeout: connectTimeout,
-		maxIdle:     time.Duration(float64(cfg.ConnIdle) * idleFraction),
-		reportNames: cfg.ReportNames, healthCheckPath: "/health/live",
+		maxIdle:     time.Duration(float64(cfg.ConnIdleTimeout) * idleFraction),
+		reportNames: cfg.ReportFields, healthCheckPath: "/health/live",
 		idleServers: map[*Server]struct{}{}, limit: limit, post: func(any) {}, metrics: metrics.New(cfg.ClassNames),
 	}
 	for i := range cfg.Balance.Classes {
--- a/internal/sidecar/watch_faults_test.go
+++ b/internal/sidecar/watch_faults_test.go
@@ -103,7 +103,7 @@
 				var answering sync.WaitGroup
 				t.Cleanup(answering.Wait) // once the sidecar and discovery are closed, in that order
 				disc, addr := sidecartest.NewHandAgent(t)
-				r := startImpatient(t, configtest.NewConf(addr, a.Target, b.Target).Setting(`"discovery": "subscribe"`, `"discovery": "`+mode+`"`))
+				r := startImpatient(t, configtest.NewConf(addr, a.Target, b.Target).ReplaceSetting(`"discovery": "subscribe"`, `"discovery": "`+mode+`"`))
 				held := mustJSON(t, endpointlist.List{Rev: 41, All: true, Targets: []endpointlist.Target{a.Target, b.Target}})
 				left := mustJSON(t, endpointlist.List{Rev: 43, All: true, Targets: []endpointlist.Target{b.Target}})
 				misbehave(disc.Next(t), held)
