--- a/internal/sidecar/config/config.go
+++ b/internal/sidecar/config/config.go
@@ -23,60 +23,60 @@
 	"marblelane/internal/wire"
 )
 
-// Config is the configuration of a sidecar.
+// Config is the checked configuration of a sidecar: the configuration file, its settings and the environment.
 type Config struct {
 	Name         string
-	Listen       string   // where the application connects
-	Discovery    string   // address of discovery
-	ListServices []string // addresses of several list services, in order of preference; empty: Discovery alone
-	Management   string   // address for the platform; empty: there is none
-	Cores        float64  // 0: no limit
-	MemoryMB     int      // 0: no limit
-	Sockets      int      // descriptors in all
+	Listen       string   // address for the application's connections
+	Discovery    string   // address of the list service where ListServices is empty
+	ListServices []string // addresses of the list services, preferred first; empty: only Discovery
+	Management   string   // address for the platform's calls; empty: no management address
+	Cores        float64  // processor limit; 0: no limit
+	MemoryMB     int      // memory limit in MiB; 0: no limit
+	Sockets      int      // limit of file descriptors for the whole sidecar
 
 	Balance         balance.Config
-	Classes         map[string]int // number by name
-	ClassNames      []string       // by number
-	Tenants         map[string]int // number by name; empty: the site has none
-	Zones           map[string]int
-	Kinds           map[string]int
-	ReportFields    []string          // of a load report's figures, in the order of balance.Config.Fields
-	ConnIdleTimeout time.Duration     // after which a server closes an idle connection
-	MaxOpenRequests int               // requests at a time; 0: no limit of the settings
-	KnownList       endpointlist.List // the last list of this sidecar, which may be old
-	Routes          *Routes           // nil: off
-	Membership      *Membership       // nil: off
-	Faults          *fault.Plan       // planted by the lab; nil: none
-
-	tempDir string // shared with the processes before and after this one; empty: none
+	Classes         map[string]int    // class numbers by name
+	ClassNames      []string          // class names by number
+	Tenants         map[string]int    // tenant numbers by name; empty: the site has no tenants
+	Zones           map[string]int    // zone numbers by name
+	Kinds           map[string]int    // numbers of server models by name
+	ReportFields    []string          // names of the figures in a load report, in the order of balance.Config.Fields
+	ConnIdleTimeout time.Duration     // time after which a server closes an idle connection
+	MaxOpenRequests int               // limit of concurrent requests; 0: the settings set no limit
+	KnownList       endpointlist.List // last known endpoint list, maybe outdated; used until a list service responds
+	Routes          *Routes           // section routes; nil: routing is off
+	Membership      *Membership       // section members; nil: membership is off
+	Faults          *fault.Plan       // faults injected by the lab; nil: none
+
+	tempDir string // directory shared with the predecessor and successor process; empty: none
 }
 
-// defaultSockets is the limit where the configuration sets none.
+// defaultSockets is the limit of sockets if the configuration sets none.
 const defaultSockets = 1024
 
-// MinReservedSockets is the least number of sockets that the listeners, discovery, the log, the runtime and the management
-// address need.
+// MinReservedSockets is the minimum number of sockets for the listeners, discovery, the log, the runtime and the
+// management address.
 const MinReservedSockets = 24
 
-// MinSockets is the least limit that leaves connections for clients and servers beside the reserve.
+// MinSockets is the lowest limit of sockets that leaves some for clients and servers beside the reserved sockets.
 const MinSockets = 2 * MinReservedSockets
 
-// Limits beyond these are mistakes, and are more than the arithmetic of the limits holds.
+// Upper bounds of the limits. Higher values are mistakes and would overflow the calculations with them.
 const (
 	maxMemoryMB = 1 << 30
 	maxCores    = 1 << 20
 )
 
-// maxRegionCost bounds region_cost.
+// maxRegionCost is the highest region_cost that is accepted.
 const maxRegionCost = 1000
 
-// defaultRegionCost is the cost of crossing regions where the configuration names none.
+// defaultRegionCost is the region_cost if the configuration sets none.
 const defaultRegionCost = 2
 
-// ManagementTimeout bounds a complete call of the management address, and the time for its answer to be taken.
+// ManagementTimeout limits the time to read a request at the management address, and the time to write the response.
 const ManagementTimeout = 2 * time.Second
 
-// namedEntry is an entry of the settings that has a name.
+// namedEntry is the name of a class or tenant in the settings.
 type namedEntry struct {
 	Name string `json:"name"`
 }
@@ -94,24 +94,25 @@
 		Sockets  int     `json:"sockets"`
 	} `json:"limits"`
 	Known endpointlist.List `json:"known"`
-	// Keys that the platform never sets.
+	// The platform does not set the keys from here to Faults.
 	Lists []struct {
 		Addr string `json:"addr"`
 		Zone string `json:"zone"`
-	} `json:"lists"` // services of the own zone are preferred, the others keep their order
+	} `json:"lists"` // list services; those of the sidecar's zone come first, the others keep their order
 	SuspectFraction float64 `json:"list_doubt_share"`
 	StaleMS         float64 `json:"list_stale_ms"`
-	// Regions groups the settings' zones by name, and RegionCost is what an answer from another region costs, as a
-	// multiple of one from another zone; 0: defaultRegionCost.
+	// Regions maps the name of each region to its zones. RegionCost is the cost of a response from another region as a
+	// multiple of the cost of one from another zone; 0: defaultRegionCost.
 	Regions    map[string][]string `json:"regions"`
 	RegionCost float64             `json:"region_cost"`
 	Routes     json.RawMessage     `json:"routes"`  // see routesFile
 	Members    json.RawMessage     `json:"members"` // see membership.Section
-	Faults     string              `json:"faults"`  // the lab's file of faults; empty: none
+	Faults     string              `json:"faults"`  // path of the lab's fault file; empty: no faults
 	Settings   json.RawMessage     `json:"settings"`
 }
 
-// siteSettings is what the sidecar itself reads of the settings: names of what the balancer numbers, and limits.
+// siteSettings is the part of the settings that the sidecar reads: the names of everything that the balancer knows by
+// number, and limits.
 type siteSettings struct {
 	Classes []namedEntry `json:"classes"`
 	Tenants []namedEntry `json:"tenants"`
@@ -127,27 +128,27 @@
 	} `json:"limits"`
 }
 
-// parseSiteSettings reads and checks what the sidecar itself needs of the settings.
+// parseSiteSettings parses and checks the part of the settings that the sidecar reads.
 func parseSiteSettings(text json.RawMessage) (*siteSettings, error) {
 	var s siteSettings
 	if err := json.Unmarshal(text, &s); err != nil {
 		return nil, wire.KeyError(err)
 	}
 	if s.Limits.ConnIdle < 0 {
-		return nil, fmt.Errorf("limits.conn_idle_ms is %v", s.Limits.ConnIdle)
+		return nil, fmt.Errorf("limits.conn_idle_ms is %v, must not be negative", s.Limits.ConnIdle)
 	}
 	if s.Limits.MaxOpen < 0 {
-		return nil, fmt.Errorf("limits.open_cap is %d", s.Limits.MaxOpen)
+		return nil, fmt.Errorf("limits.open_cap is %d, must not be negative", s.Limits.MaxOpen)
 	}
 	for i, zone := range s.Zones {
 		if slices.Index(s.Zones, zone) != i {
-			return nil, fmt.Errorf("zones: %q stands there twice", zone)
+			return nil, fmt.Errorf("zones: %q is listed twice", zone)
 		}
 	}
 	return &s, nil
 }
 
-// zoneName is the name of the own zone, if the settings have one.
+// zoneName returns the name of the sidecar's zone; ok is false if the settings don't name one.
 func (s *siteSettings) zoneName() (name string, ok bool) {
 	if s.Zone < 0 || s.Zone >= len(s.Zones) {
 		return "", false
@@ -155,29 +156,29 @@
 	return s.Zones[s.Zone], true
 }
 
-// checkServiceAddr rejects an address that cannot be called.
+// checkServiceAddr returns an error if addr is not a host and port that an HTTP client can call.
 func checkServiceAddr(addr string) error {
 	host, port, err := net.SplitHostPort(addr)
 	if err != nil {
 		return err
 	}
 	if n, err := strconv.ParseUint(port, 10, 16); err != nil || n == 0 || host == "" {
-		return fmt.Errorf("address %q has no host, or a port that is not between 1 and 65535", addr)
+		return fmt.Errorf("address %q needs a host and a port between 1 and 65535", addr)
 	}
 	if u, err := url.Parse("http://" + addr); err != nil || u.Host != addr {
-		return fmt.Errorf("address %q is no host and port", addr)
+		return fmt.Errorf("address %q is not a valid host:port", addr)
 	}
 	return nil
 }
 
-// Load reads the configuration file that NODE_CONFIG names. NODE_NAME, NODE_LISTEN, NODE_DISCOVERY and NODE_MANAGEMENT,
-// where set, take precedence over the file. A file that cannot be opened or read for a moment is read again, for up to
-// retry.StartLimit. Errors name the file, and the key where there is one.
+// Load reads the configuration file that NODE_CONFIG names. NODE_NAME, NODE_LISTEN, NODE_DISCOVERY and NODE_MANAGEMENT
+// take precedence over the file if they are set. If reading the file fails with a temporary error, it is read again for
+// up to retry.StartLimit. Errors name the file, and the key if there is one.
 func Load(getenv func(string) string) (*Config, error) {
 	return LoadWith(getenv, RetryingRead(retry.NewStart(context.Background(), nil), os.ReadFile))
 }
 
-// RetryingRead gives a reader of files that retries, within the limits of a start, what fails for a moment.
+// RetryingRead returns a function that reads a file and retries temporary errors within the limits of start.
 func RetryingRead(start *retry.Start, readFile func(path string) ([]byte, error)) func(path string) ([]byte, error) {
 	return func(path string) (data []byte, err error) {
 		err = start.Do("read "+path, func() (failed error) {
@@ -188,7 +189,7 @@
 	}
 }
 
-// LoadWith is Load with a reader of files in place of os.ReadFile.
+// LoadWith is Load with readFile in place of a retrying os.ReadFile.
 func LoadWith(getenv func(string) string, readFile func(path string) ([]byte, error)) (*Config, error) {
 	path := getenv("NODE_CONFIG")
 	if path == "" {
@@ -221,17 +222,17 @@
 	return cfg, nil
 }
 
-// config checks the file and gives the configuration that it stands for. Errors name the key.
+// config checks the file and converts it into a Config. Errors name the key.
 func (f *file) config() (*Config, error) {
 	if err := f.checkAddrs(); err != nil {
 		return nil, err
 	}
 	seed, err := strconv.ParseUint(f.Seed, 16, 64)
 	if err != nil {
-		return nil, fmt.Errorf("seed: %w", err)
+		return nil, fmt.Errorf("seed: not a hexadecimal number of up to 64 bits: %w", err)
 	}
 	if len(f.Settings) == 0 {
-		return nil, errors.New("no settings")
+		return nil, errors.New("settings: the section is missing")
 	}
 	settings, err := wire.ParseSettings(seed, f.Settings)
 	if err != nil {
@@ -277,16 +278,17 @@
 	}
 	switch {
 	case cfg.Sockets < MinSockets:
-		return fmt.Errorf("limits.sockets is %d, at least %d", cfg.Sockets, MinSockets)
+		return fmt.Errorf("limits.sockets is %d, must be at least %d", cfg.Sockets, MinSockets)
 	case cfg.MemoryMB < 0 || cfg.MemoryMB > maxMemoryMB:
-		return fmt.Errorf("limits.memory_mb is %d, not between 0 and %d", cfg.MemoryMB, maxMemoryMB)
+		return fmt.Errorf("limits.memory_mb is %d, must be between 0 and %d", cfg.MemoryMB, maxMemoryMB)
 	case !(cfg.Cores >= 0 && cfg.Cores <= maxCores):
-		return fmt.Errorf("limits.cores is %v, not between 0 and %d", cfg.Cores, maxCores)
+		return fmt.Errorf("limits.cores is %v, must be between 0 and %d", cfg.Cores, maxCores)
 	}
 	return nil
 }
 
-// setListServices orders the list services, those of the own zone first, and sets how their lists are taken.
+// setListServices sets the list services, those of the sidecar's zone first, and the balancer's settings for their
+// lists.
 func (f *file) setListServices(cfg *Config, site *siteSettings) error {
 	zone, hasZone := site.zoneName()
 	var elsewhere []string
@@ -305,7 +307,7 @@
 		return fmt.Errorf("list_doubt_share: %v is not between 0 and 1", f.SuspectFraction)
 	}
 	if !(f.StaleMS >= 0) {
-		return fmt.Errorf("list_stale_ms: %v is negative", f.StaleMS)
+		return fmt.Errorf("list_stale_ms: %v is negative, must be at least 0", f.StaleMS)
 	}
 	b := &cfg.Balance
 	b.ListServices, b.SuspectFraction, b.StaleAfter = len(cfg.ListServices), f.SuspectFraction, f.StaleMS
@@ -335,7 +337,7 @@
 	return err
 }
 
-// setSections reads the sections that are off unless the file has them.
+// setSections reads the sections routes, members and faults, each of which is off unless the file contains it.
 func (f *file) setSections(cfg *Config, site *siteSettings) (err error) {
 	if cfg.Routes, err = f.routes(cfg.ListAddrs()); err != nil {
 		return err
@@ -348,31 +350,32 @@
 	return err
 }
 
-// regionNumbers gives each of the settings' zones the number of its region; nil where there are none.
+// regionNumbers returns the number of each zone's region, from 1, in the order of zones. It returns nil if no regions
+// are configured.
 func (f *file) regionNumbers(zones []string) ([]int, error) {
 	if !(f.RegionCost == 0 || f.RegionCost >= 1 && f.RegionCost <= maxRegionCost) {
-		return nil, fmt.Errorf("region_cost: %v is not between 1 and %d", f.RegionCost, maxRegionCost)
+		return nil, fmt.Errorf("region_cost: %v is not 0 (default) or between 1 and %d", f.RegionCost, maxRegionCost)
 	}
 	if len(f.Regions) == 0 {
 		return nil, nil
 	}
-	known, out := numberByName(zones), make([]int, len(zones))
+	zoneNumbers, regions := numberByName(zones), make([]int, len(zones))
 	for number, name := range slices.Sorted(maps.Keys(f.Regions)) {
 		for _, zone := range f.Regions[name] {
-			i, ok := known[zone]
-			if !ok || out[i] != 0 {
-				return nil, fmt.Errorf("regions: %s: %q is none of the settings' zones %v, or in two regions", name, zone, zones)
+			i, ok := zoneNumbers[zone]
+			if !ok || regions[i] != 0 {
+				return nil, fmt.Errorf("regions: %s: zone %q is not in settings.zones %v, or is listed twice", name, zone, zones)
 			}
-			out[i] = number + 1
+			regions[i] = number + 1
 		}
 	}
-	if i := slices.Index(out, 0); i >= 0 {
-		return nil, fmt.Errorf("regions: zone %q is in none", zones[i])
+	if i := slices.Index(regions, 0); i >= 0 {
+		return nil, fmt.Errorf("regions: zone %q belongs to no region", zones[i])
 	}
-	return out, nil
+	return regions, nil
 }
 
-// numberByName numbers names in order.
+// numberByName maps each name to its index.
 func numberByName(names []string) map[string]int {
 	numbers := make(map[string]int, len(names))
 	for i, name := range names {
@@ -381,19 +384,20 @@
 	return numbers
 }
 
-// numberUnique numbers entries in order, and rejects a name that is empty or given twice.
+// numberUnique maps the name of each entry to its index. It returns an error if a name is empty or used twice. key is
+// the key of the entries in the settings.
 func numberUnique(key string, entries []namedEntry) (map[string]int, error) {
 	numbers := make(map[string]int, len(entries))
 	for i, entry := range entries {
-		if _, twice := numbers[entry.Name]; twice || entry.Name == "" {
-			return nil, fmt.Errorf("settings: %s: entry %d has no name of its own: %q", key, i, entry.Name)
+		if _, duplicate := numbers[entry.Name]; duplicate || entry.Name == "" {
+			return nil, fmt.Errorf("settings: %s: entry %d: name %q is empty or used twice", key, i, entry.Name)
 		}
 		numbers[entry.Name] = i
 	}
 	return numbers, nil
 }
 
-// ListAddrs are the addresses of all list services, in order of preference.
+// ListAddrs returns the addresses of all list services, the preferred one first.
 func (cfg *Config) ListAddrs() []string {
 	if len(cfg.ListServices) > 0 {
 		return cfg.ListServices
--- a/internal/sidecar/config/config_test.go
+++ b/internal/sidecar/config/config_test.go
@@ -11,7 +11,8 @@
 	"marblelane/internal/sidecar/sidecartest"
 )
 
-// loadText loads a configuration file of that text, and gives its error without the file's place.
+// loadText loads a configuration file with the given text. It returns the error's text without the path of the file,
+// and the error.
 func loadText(t *testing.T, text string) (*config.Config, string, error) {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "config.json")
@@ -27,15 +28,15 @@
 	if err == nil {
 		return cfg, "", nil
 	}
-	said, named := strings.CutPrefix(err.Error(), "configuration "+path+": ")
-	if !named {
-		t.Errorf("the error does not name the file: %v", err)
+	message, hasPath := strings.CutPrefix(err.Error(), "configuration "+path+": ")
+	if !hasPath {
+		t.Errorf("the error does not start with the path of the file: %v", err)
 	}
-	return nil, said, err
+	return nil, message, err
 }
 
-// Each mistake in a configuration is one line that names the file, the key and the word, in the file's own
-// terms.
+// The error for each mistake in a configuration is one line. It names the file, the key and the value in terms of the
+// file and contains no Go types.
 func TestConfig_errorTexts(t *testing.T) {
 	valid, err := os.ReadFile(configtest.NewConf("127.0.0.1:1", sidecartest.Ready("a", "127.0.0.1:2")).Write(t))
 	if err != nil {
@@ -75,16 +76,16 @@
 		if text == string(valid) {
 			t.Fatalf("the configuration lacks %s", c.old)
 		}
-		_, said, err := loadText(t, text)
-		if err == nil || !strings.HasPrefix(said, c.want) || strings.ContainsAny(said, "\n") || strings.Contains(said, "Go ") {
-			t.Errorf("%s: error %q, want %q first", c.to, said, c.want)
+		_, message, err := loadText(t, text)
+		if err == nil || !strings.HasPrefix(message, c.want) || strings.ContainsAny(message, "\n") || strings.Contains(message, "Go ") {
+			t.Errorf("%s: error %q, want one line that starts with %q", c.to, message, c.want)
 		}
 	}
 	for text, want := range map[string]string{
 		"": "byte 0: ", "{": "byte 1: ", string(valid[:len(valid)/2]): "byte ", "[]": "", "null": "listen: ", `{"name":"n0"}{`: "byte 14: ",
 	} {
-		if _, said, err := loadText(t, text); err == nil || !strings.HasPrefix(said, want) {
-			t.Errorf("%.20q: error %q, want %q first", text, said, want)
+		if _, message, err := loadText(t, text); err == nil || !strings.HasPrefix(message, want) {
+			t.Errorf("%.20q: error %q, want one that starts with %q", text, message, want)
 		}
 	}
 }
--- a/internal/sidecar/config/doc.go
+++ b/internal/sidecar/config/doc.go
@@ -1,2 +1,2 @@
-// Package config reads the configuration file of a sidecar.
+// Package config reads and checks the configuration file of a sidecar.
 package config
--- a/internal/sidecar/config/environment_test.go
+++ b/internal/sidecar/config/environment_test.go
@@ -17,7 +17,7 @@
 		"listen":         {func(c configtest.Conf) { c["listen"] = "here" }, "listen"},
 		"discovery":      {func(c configtest.Conf) { delete(c, "discovery") }, "discovery"},
 		"seed":           {func(c configtest.Conf) { c["seed"] = "xyz" }, "seed"},
-		"no settings":    {func(c configtest.Conf) { delete(c, "settings") }, "no settings"},
+		"no settings":    {func(c configtest.Conf) { delete(c, "settings") }, "settings: the section is missing"},
 		"no classes":     {func(c configtest.Conf) { c["settings"] = map[string]any{} }, "no classes"},
 		"unknown effect": {func(c configtest.Conf) { c.ReplaceSetting("non_idempotent", "other") }, "effect"},
 		"class names":    {func(c configtest.Conf) { c.ReplaceSetting(`"name": "charge"`, `"name": "lookup"`) }, "classes"},
@@ -35,11 +35,11 @@
 		})
 	}
 	if _, err := config.Load(func(string) string { return "" }); err == nil {
-		t.Error("no error without NODE_CONFIG")
+		t.Error("Load succeeded without NODE_CONFIG")
 	}
 }
 
-// The environment wins over the file.
+// The environment takes precedence over the file.
 func TestEnvironment(t *testing.T) {
 	path := configtest.NewConf("127.0.0.1:1").Write(t)
 	env := map[string]string{"NODE_CONFIG": path, "NODE_NAME": "n7", "NODE_LISTEN": "127.0.0.1:2", "NODE_DISCOVERY": "127.0.0.1:3"}
@@ -48,6 +48,6 @@
 		t.Fatal(err)
 	}
 	if cfg.Name != "n7" || cfg.Listen != "127.0.0.1:2" || cfg.Discovery != "127.0.0.1:3" {
-		t.Errorf("%+v", cfg)
+		t.Errorf("%+v, want name and addresses from the environment", cfg)
 	}
 }
--- a/internal/sidecar/config/handover_socket.go
+++ b/internal/sidecar/config/handover_socket.go
@@ -8,8 +8,9 @@
 	"path/filepath"
 )
 
-// HandoverSocket is the path of the Unix socket where two processes for the same address meet at an upgrade; empty: they
-// cannot, as there is no management address or no shared directory, or the system chooses the port.
+// HandoverSocket returns the path of the Unix socket through which predecessor and successor, two processes with the
+// same address, connect for the handover of an upgrade. It returns "" if a handover is impossible: without a management
+// address or a shared directory, or if the system chooses the port.
 func (cfg *Config) HandoverSocket() string {
 	_, port, err := net.SplitHostPort(cfg.Listen)
 	if cfg.Management == "" || cfg.tempDir == "" || err != nil || port == "0" {
--- a/internal/sidecar/config/lists_test.go
+++ b/internal/sidecar/config/lists_test.go
@@ -16,7 +16,7 @@
 		t.Fatal(err)
 	}
 	if got := fmt.Sprint(cfg.ListServices); got != "[127.0.0.1:3 127.0.0.1:2 127.0.0.1:4]" || cfg.Balance.ListServices != 3 || !cfg.Balance.Subscribe {
-		t.Fatalf("%v, %d, subscribes %v", got, cfg.Balance.ListServices, cfg.Balance.Subscribe)
+		t.Fatalf("list services %v, number in the balancer %d, Subscribe %v", got, cfg.Balance.ListServices, cfg.Balance.Subscribe)
 	}
 	for name, change := range map[string]func(configtest.Conf){
 		"lists[1].addr":    func(c configtest.Conf) { c["lists"] = []map[string]any{{"addr": "127.0.0.1:2"}, {"addr": "there"}} },
@@ -26,7 +26,7 @@
 		c := configtest.NewConf("127.0.0.1:1")
 		change(c)
 		if _, err := c.Load(t); err == nil || !strings.Contains(err.Error(), name) {
-			t.Errorf("%s: %v", name, err)
+			t.Errorf("%s: error %v does not name the key", name, err)
 		}
 	}
 }
--- a/internal/sidecar/config/members_test.go
+++ b/internal/sidecar/config/members_test.go
@@ -13,8 +13,8 @@
 
 func TestMembersConfiguration(t *testing.T) {
 	for name, test := range map[string]struct {
-		change func(configtest.Conf)
-		says   string // "": it is good
+		change  func(configtest.Conf)
+		wantErr string // "": the configuration is valid
 	}{
 		"absent":      {func(c configtest.Conf) { delete(c, "members") }, ""},
 		"null":        {func(c configtest.Conf) { c["members"] = nil }, ""},
@@ -31,8 +31,8 @@
 			c := configtest.WithMembership(configtest.NewConf("127.0.0.1:1"), "n", sidecartest.Loopback)
 			test.change(c)
 			cfg, err := c.Load(t)
-			if test.says != "" {
-				require.ErrorContains(t, err, test.says)
+			if test.wantErr != "" {
+				require.ErrorContains(t, err, test.wantErr)
 				return
 			}
 			require.NoError(t, err)
--- a/internal/sidecar/config/membership.go
+++ b/internal/sidecar/config/membership.go
@@ -11,18 +11,18 @@
 )
 
 const (
-	// RoleSidecar is the role of a sidecar among the members.
+	// RoleSidecar is the role under which a sidecar joins the members.
 	RoleSidecar = "sidecar"
-	maxVersion  = 64 // bytes of a member's version
+	maxVersion  = 64 // maximum length in bytes of the version that a member announces
 )
 
-// Membership is the section members.
+// Membership is the section members of the configuration.
 type Membership struct {
 	Group membership.Config
-	text  string // the section in compact form
+	text  string // the section's JSON text without insignificant white space
 }
 
-// members reads the section; nil: there is none.
+// members parses the section members. It returns nil if there is none.
 func (f *file) members(zone string, peers int) (*Membership, error) {
 	if len(f.Members) == 0 || bytes.Equal(f.Members, []byte("null")) {
 		return nil, nil
@@ -34,9 +34,9 @@
 		return nil, fmt.Errorf("members: %w", err)
 	}
 	if f.Name == "" {
-		return nil, errors.New("name: empty, and a member is known by it")
+		return nil, errors.New("name: empty, but required by the section members")
 	}
-	group, err := in.Config() // its errors name the key
+	group, err := in.Config() // errors name the key
 	if err != nil {
 		return nil, err
 	}
@@ -47,12 +47,12 @@
 	group.Name, group.Zone, group.Role, group.Peers = f.Name, zone, RoleSidecar, peers
 	group.Version = fmt.Sprintf("%.*s", maxVersion, ProgramVersion())
 	if err := addrcheck.Check(group); err != nil {
-		return nil, fmt.Errorf("this sidecar as a member: %w", err)
+		return nil, fmt.Errorf("membership of this sidecar: %w", err)
 	}
 	return &Membership{group, text.String()}, nil
 }
 
-// SameMembership reports whether two sections are the same.
+// SameMembership reports whether two sections members are the same, or are both absent.
 func SameMembership(a, b *Membership) bool {
 	return a == nil && b == nil || a != nil && b != nil && a.text == b.text
 }
--- a/internal/sidecar/config/memory.go
+++ b/internal/sidecar/config/memory.go
@@ -3,12 +3,13 @@
 import "math"
 
 const (
-	heapFraction = 0.75 // of the memory limit; the rest is for what the runtime does not count
-	bodyFraction = 0.15 // of the memory limit, for held bodies of requests
+	heapFraction = 0.75 // fraction of the memory limit for the Go runtime, which does not count all memory of the process
+	bodyFraction = 0.15 // fraction of the memory limit for buffered request bodies
 	bytesPerMB   = 1 << 20
 )
 
-// MemoryLimit is the limit, in bytes, of the runtime in each of so many processes of this sidecar.
+// MemoryLimit returns the memory limit in bytes of the Go runtime in each process if the sidecar consists of that many
+// processes.
 func (cfg *Config) MemoryLimit(processes int) int64 {
 	if cfg.MemoryMB == 0 {
 		return math.MaxInt64
@@ -16,7 +17,7 @@
 	return int64(float64(cfg.MemoryMB) * heapFraction * bytesPerMB / float64(processes))
 }
 
-// BodyMemory is how many bytes held bodies may take in all processes of this sidecar together.
+// BodyMemory returns the maximum number of bytes of buffered request bodies in all processes of this sidecar together.
 func (cfg *Config) BodyMemory() int64 {
 	if cfg.MemoryMB == 0 {
 		return math.MaxInt32
--- a/internal/sidecar/config/regions_test.go
+++ b/internal/sidecar/config/regions_test.go
@@ -12,9 +12,9 @@
 		`"regions": {"west": ["a", "c"], "east": ["b"]}`:         "[2 1 2] 2",
 		`"regions": {"west": ["a", "b", "c"]}, "region_cost": 3`: "[1 1 1] 3",
 		`"region_cost": 1`:                                         "[] 1",
-		`"regions": {"west": ["a", "b"]}`:                          `regions: zone "c" is in none`,
-		`"regions": {"west": ["a", "b", "c", "d"]}`:                `regions: west: "d" is none`,
-		`"regions": {"east": ["a"], "west": ["a", "b", "c"]}`:      `regions: west: "a" is none`,
+		`"regions": {"west": ["a", "b"]}`:                          `regions: zone "c" belongs to no region`,
+		`"regions": {"west": ["a", "b", "c", "d"]}`:                `regions: west: zone "d" is not in settings.zones`,
+		`"regions": {"east": ["a"], "west": ["a", "b", "c"]}`:      `regions: west: zone "a" is not in settings.zones`,
 		`"regions": {"west": ["a", "b", "c"]}, "region_cost": 0.5`: "region_cost: 0.5",
 		`"regions": {"west": ["a", "b", "c"]}, "region_cost": 1e9`: "region_cost: 1e+09",
 	} {
@@ -30,7 +30,7 @@
 			got = fmt.Sprint(cfg.Balance.Regions, cfg.Balance.RegionCost)
 		}
 		if !strings.HasPrefix(got, want) {
-			t.Errorf("%s: %s, not %s", text, got, want)
+			t.Errorf("%s: got %s, want a text that starts with %s", text, got, want)
 		}
 	}
 }
--- a/internal/sidecar/config/routes.go
+++ b/internal/sidecar/config/routes.go
@@ -19,28 +19,29 @@
 const (
 	defaultKeyHeader = "X-Route-Key"
 
-	// MaxRouteAddrs bounds the addresses of the section.
+	// MaxRouteAddrs is the maximum number of addresses in the section.
 	MaxRouteAddrs   = 16
-	maxHeaderName   = 100 // bytes
+	maxHeaderName   = 100 // maximum length of a header name in bytes
 	headerNameChars = "-0123456789ABCDEFGHIJKLMNOPQRSTUVWXYZabcdefghijklmnopqrstuvwxyz"
 )
 
-// Routes is the section routes.
+// Routes is the section routes of the configuration.
 type Routes struct {
-	Addrs     []string // of the list services
-	Schemas   []int    // of routes that this sidecar reads
-	KeyHeader string   // header of a request's route key, in canonical form
+	Addrs     []string // addresses of the list services that serve the routing table
+	Schemas   []int    // schemas of the routing table that this sidecar reads
+	KeyHeader string   // name of the header that holds a request's route key, in canonical form
 	Digest    string   // SHA-256 of the configuration file, in hex
 }
 
-// routesFile is the JSON form of the section.
+// routesFile is the JSON form of the section routes.
 type routesFile struct {
-	Addrs     []string `json:"addrs"`   // of the list services; empty: those of the server list
-	Schemas   []int    `json:"schemas"` // that are read; empty: all that this program reads
+	Addrs     []string `json:"addrs"`   // empty: the list services of the endpoint list
+	Schemas   []int    `json:"schemas"` // empty: all schemas that this program reads
 	KeyHeader string   `json:"key_header"`
 }
 
-// routes reads the section, without Digest; nil: there is none.
+// routes parses the section routes; lists are the addresses that it uses by default. It returns nil if there is no
+// section. It leaves Digest empty.
 func (f *file) routes(lists []string) (*Routes, error) {
 	if len(f.Routes) == 0 || bytes.Equal(f.Routes, []byte("null")) {
 		return nil, nil
@@ -52,10 +53,10 @@
 		return nil, fmt.Errorf("routes: %w", err)
 	}
 	if f.Name == "" {
-		return nil, errors.New("name: empty, and a sidecar with routes is known by it")
+		return nil, errors.New("name: empty, but required by the section routes")
 	}
 	if len(in.Addrs) > MaxRouteAddrs {
-		return nil, fmt.Errorf("routes.addrs: %d addresses, more than %d", len(in.Addrs), MaxRouteAddrs)
+		return nil, fmt.Errorf("routes.addrs: %d addresses, at most %d are allowed", len(in.Addrs), MaxRouteAddrs)
 	}
 	for i, addr := range in.Addrs {
 		if _, _, err := net.SplitHostPort(addr); err != nil {
@@ -64,14 +65,14 @@
 	}
 	for i, schema := range in.Schemas {
 		if schema < 1 || schema > route.Newest || slices.Contains(in.Schemas[:i], schema) {
-			return nil, fmt.Errorf("routes.schemas[%d]: %d is not between 1 and %d, or there twice", i, schema, route.Newest)
+			return nil, fmt.Errorf("routes.schemas[%d]: %d is not between 1 and %d, or is listed twice", i, schema, route.Newest)
 		}
 	}
 	if in.KeyHeader == "" {
 		in.KeyHeader = defaultKeyHeader
 	}
 	if len(in.KeyHeader) > maxHeaderName || strings.Trim(in.KeyHeader, headerNameChars) != "" {
-		return nil, fmt.Errorf("routes.key_header: %.100q is no name of a header", in.KeyHeader)
+		return nil, fmt.Errorf("routes.key_header: %.100q is not up to 100 letters, digits and hyphens", in.KeyHeader)
 	}
 	cfg := &Routes{Addrs: in.Addrs, Schemas: in.Schemas, KeyHeader: http.CanonicalHeaderKey(in.KeyHeader)}
 	if len(cfg.Addrs) == 0 {
@@ -83,7 +84,7 @@
 	return cfg, nil
 }
 
-// RouteKey is the route key of a request as the balancer takes it; 0: it has none.
+// RouteKey returns the hash of a request's route key, which is never 0, or 0 if the request has no route key.
 func (c *Routes) RouteKey(h http.Header) uint64 {
 	v := h.Get(c.KeyHeader)
 	if v == "" {
@@ -92,14 +93,14 @@
 	return max(Hash(v), 1)
 }
 
-// Hash is the FNV-1a hash of a text.
+// Hash returns the 64-bit FNV-1a hash of text.
 func Hash(text string) uint64 {
 	h := fnv.New64a()
 	io.WriteString(h, text)
 	return h.Sum64()
 }
 
-// ProgramVersion is the version of this program as reports name it.
+// ProgramVersion returns the version of this program for reports, at most 100 bytes; "unknown" if the build has none.
 func ProgramVersion() string {
 	info, ok := debug.ReadBuildInfo()
 	if !ok || info.Main.Version == "" {
--- a/internal/sidecar/config/server.go
+++ b/internal/sidecar/config/server.go
@@ -5,8 +5,8 @@
 	"marblelane/internal/sidecar/endpointlist"
 )
 
-// Server is a target as the balancer knows it. The ID follows from the UID alone, so that a restarted sidecar ranks the
-// servers as it did before.
+// Server converts an entry of an endpoint list into a server of the balancer. The ID depends only on the UID, so a
+// restarted sidecar ranks the servers as before.
 func (cfg *Config) Server(t *endpointlist.Target) balance.Server {
 	s := balance.Server{
 		ID: endpointlist.ServerID(t.UID), StartedAt: t.BootMS, Rating: t.Capacity, Cell: t.PodGroup,
@@ -18,7 +18,7 @@
 		s.State = balance.Ready
 	case "Gone":
 		s.State = balance.Removed
-	default: // Terminating, or a state that this program does not know: it is not ready
+	default: // Terminating, or a state that this program does not know, which counts as not ready
 		s.State = balance.Draining
 	}
 	return s
--- a/internal/sidecar/config/start_test.go
+++ b/internal/sidecar/config/start_test.go
@@ -25,7 +25,7 @@
 			}
 			start := retry.NewStart(t.Context(), slog.New(slog.DiscardHandler))
 			if _, err := config.LoadWith(env, config.RetryingRead(start, read)); err != nil || attempts != 3 {
-				t.Errorf("%v after %d attempts", err, attempts)
+				t.Errorf("error %v after %d attempts, want success at the third", err, attempts)
 			}
 		})
 	}
--- a/internal/sidecar/configtest/doc.go
+++ b/internal/sidecar/configtest/doc.go
@@ -1,2 +1,2 @@
-// Package configtest makes configuration files for the tests of the sidecar.
+// Package configtest creates configuration files of sidecars for tests.
 package configtest
--- a/internal/sidecar/configtest/management.go
+++ b/internal/sidecar/configtest/management.go
@@ -2,7 +2,7 @@
 
 import "marblelane/internal/sidecar/sidecartest"
 
-// WithManagement gives a configuration a management address.
+// WithManagement sets a management address in c and returns c.
 func WithManagement(c Conf) Conf {
 	c["management"] = sidecartest.Loopback
 	return c
--- a/internal/sidecar/configtest/members.go
+++ b/internal/sidecar/configtest/members.go
@@ -1,6 +1,7 @@
 package configtest
 
-// WithMembership is a configuration of a member; it finds others by the seeds.
+// WithMembership sets a management address, a name and the section members in c and returns c. The member looks for
+// others at the addresses in seeds.
 func WithMembership(c Conf, name, bind string, seeds ...string) Conf {
 	c = WithManagement(c)
 	c["name"] = name
--- a/internal/sidecar/configtest/sidecar.go
+++ b/internal/sidecar/configtest/sidecar.go
@@ -25,10 +25,11 @@
  "rules": {"answer_slack_ms": 8, "ask_within_ms": 10000, "cold_from": 0.12, "cold_ms": 24000,
   "drain_grace_ms": 250, "fall_ms": 3000, "fall_multiple": 2.5}}`
 
-// Conf is a configuration file that a test changes.
+// Conf is the content of a configuration file, by key. Tests change it before they write or load it.
 type Conf map[string]any
 
-// NewConf gives a configuration with an address of discovery and a last known list.
+// NewConf returns a valid configuration with the address of a list service and an initial endpoint list of the known
+// servers.
 func NewConf(discovery string, known ...endpointlist.Target) Conf {
 	return Conf{
 		"name": "n0", "listen": sidecartest.Loopback, "discovery": discovery, "seed": "8c1f30d27a5be964",
@@ -38,17 +39,18 @@
 	}
 }
 
-// ReplaceSetting replaces text in the settings.
+// ReplaceSetting replaces the first occurrence of old in the JSON text of the settings and returns c. It panics if old
+// does not occur.
 func (c Conf) ReplaceSetting(old, to string) Conf {
 	text := string(c["settings"].(json.RawMessage))
 	if !strings.Contains(text, old) {
-		panic("the settings lack " + old)
+		panic("settings do not contain " + old)
 	}
 	c["settings"] = json.RawMessage(strings.Replace(text, old, to, 1))
 	return c
 }
 
-// Write writes the file and gives its path.
+// Write writes the configuration to a temporary file and returns its path.
 func (c Conf) Write(t *testing.T) string {
 	t.Helper()
 	data, err := json.Marshal(c)
@@ -62,7 +64,7 @@
 	return path
 }
 
-// Load writes the file and loads it.
+// Load writes the configuration to a temporary file and loads it.
 func (c Conf) Load(t *testing.T) (*config.Config, error) {
 	path := c.Write(t)
 	return config.Load(func(name string) string {
--- a/internal/sidecar/discovery/agent_watch.go
+++ b/internal/sidecar/discovery/agent_watch.go
@@ -9,8 +9,9 @@
 	"time"
 )
 
-// Subscribe keeps a watch where lists are pushed and the balancer does not poll. The agent is local and its answers cost
-// nothing, so pauses do not grow: a long one could start just before the agent's return.
+// Subscribe keeps a watch of a local agent that pushes lists, which the balancer does not poll. The pauses between
+// failed watches do not grow: calls to a local agent are cheap, and a long pause could begin just before the agent
+// recovers.
 func (c *Client) Subscribe(ctx context.Context) {
 	c.start(func() {
 		for ctx.Err() == nil {
@@ -18,7 +19,7 @@
 			if err == errAddrChanged {
 				continue
 			}
-			slog.Warn("discovery: agent's watch ended", "err", err)
+			slog.Warn("discovery: watch of the agent ended", "err", err)
 			select {
 			case <-ctx.Done():
 			case <-time.After(c.timeouts.PushedDelay/2 + rand.N(c.timeouts.PushedDelay)/2):
@@ -27,13 +28,13 @@
 	})
 }
 
-// agentCall tells apart the two calls that are made to an agent at the same time.
+// agentCall identifies one of the two concurrent calls to an agent.
 type agentCall int32
 
 const (
 	noAgentCall agentCall = iota
-	patientCall           // waits as long as any call, as a busy machine is slow to answer
-	eagerCall             // is given up early and made again, as a call from before the agent's return may stay silent
+	patientCall           // waits for the full CallTimeout, as a busy machine responds slowly
+	eagerCall             // is repeated with a short timeout, as a call from before the agent's recovery may get no response
 )
 
 // String returns the name of the call.
@@ -47,14 +48,15 @@
 	return "none"
 }
 
-// agentWatch makes both calls to an agent and follows the first that is answered, the leader.
+// agentWatch makes both calls to an agent and keeps the first one that gets a response, the leader, as the watch.
 type agentWatch struct {
 	client *Client
-	leader atomic.Int32 // an agentCall
-	ended  chan error   // has room for an error of each call; never closed
+	leader atomic.Int32 // the agentCall that got a response first, or noAgentCall
+	ended  chan error   // receives the error that ends the watch; buffered for both calls, never closed
 }
 
-// followAgent follows an agent until its watch ends. It waits for the goroutines of both calls.
+// followAgent keeps one watch of an agent and returns the error that ended it. It waits for the goroutines of both
+// calls.
 func (c *Client) followAgent(ctx context.Context) error {
 	var calls sync.WaitGroup
 	defer calls.Wait()
@@ -66,14 +68,15 @@
 	return <-w.ended
 }
 
-// runPatient makes the patient call. Its end is that of the watch, unless an eager call leads.
+// runPatient makes the patient call. If it ends, the watch ends, unless an eager call is the leader.
 func (w *agentWatch) runPatient(ctx context.Context) {
 	if err := w.call(ctx, patientCall, w.client.timeouts.Call); w.current() != eagerCall {
 		w.ended <- err
 	}
 }
 
-// runEager makes eager calls until one of them has led or the patient call leads.
+// runEager makes eager calls until the patient call is the leader, or until an eager call that was the leader has
+// ended.
 func (w *agentWatch) runEager(ctx context.Context) {
 	for {
 		select {
@@ -91,17 +94,17 @@
 	}
 }
 
-// call makes one call, whose first object has to come within a time.
+// call makes one call and returns the error that ended it. firstTimeout limits the wait for its first object.
 func (w *agentWatch) call(ctx context.Context, kind agentCall, firstTimeout time.Duration) error {
 	watch := &call{client: w.client, kind: watchCall, claim: func() bool { return w.claim(kind) },
 		firstTimeout: firstTimeout, nextTimeout: w.client.timeouts.Watch}
 	return watch.run(ctx)
 }
 
-// current returns the call that leads.
+// current returns the leader, or noAgentCall if no call has got a response.
 func (w *agentWatch) current() agentCall { return agentCall(w.leader.Load()) }
 
-// claim makes a call that is answered the leader, if there is none, and reports whether it leads.
+// claim makes a call that got a response the leader if there is none. It reports whether the call is the leader.
 func (w *agentWatch) claim(kind agentCall) bool {
 	return w.current() == kind || w.leader.CompareAndSwap(int32(noAgentCall), int32(kind))
 }
--- a/internal/sidecar/discovery/call.go
+++ b/internal/sidecar/discovery/call.go
@@ -14,15 +14,15 @@
 	"marblelane/internal/wire"
 )
 
-// instancesPath is where a list service answers.
+// instancesPath is the URL path of the endpoint list at a list service.
 const instancesPath = "/registry/instances"
 
-// callKind is what is asked of a list service.
+// callKind is the type of a call to a list service.
 type callKind uint8
 
 const (
-	watchCall callKind = iota // what changed after the list that is held, and each later change
-	fetchCall                 // the whole list, once
+	watchCall callKind = iota // requests all changes since the revision of the balancer's list, including future ones
+	fetchCall                 // requests the full list once
 )
 
 // String returns the name of the kind.
@@ -33,23 +33,24 @@
 	return "watch"
 }
 
-// call is one call of a list service.
+// call is one call to a list service.
 type call struct {
 	client *Client
 	kind   callKind
-	source int
-	// claim is called for each object that was read. If it returns false another call has been answered first, and this one
-	// ends without an event.
+	source int // index of the list service; 0 is the preferred one
+	// claim is called for each object that is read. If it returns false, a concurrent call got a response first, and this
+	// call ends without posting an event.
 	claim func() bool
-	// firstTimeout bounds the silence until the first object is complete; nextTimeout bounds the time to each later one.
+	// firstTimeout limits the time without any bytes until the first object is complete. nextTimeout limits the time
+	// between complete objects or empty lines after that.
 	firstTimeout, nextTimeout time.Duration
 }
 
-// unclaimed is the claim of a call that no other competes with.
+// unclaimed is the claim function of a call without a concurrent one. It always succeeds.
 func unclaimed() bool { return true }
 
-// run makes the call and posts each object of its answer until that ends. The error says why it did; io.EOF is the end of a
-// complete answer.
+// run makes the call and posts each object of the response until the response ends. It returns the reason, which is
+// io.EOF for a complete response.
 func (c *call) run(ctx context.Context) error {
 	query := c.query()
 	addr, address := c.client.serviceAddr(c.source)
@@ -69,7 +70,7 @@
 	return c.postObjects(ctx, newObjectReader(resp.Body, c.client.maxObject), guard)
 }
 
-// query asks for what came after the list that is held, or for all.
+// query returns the query string: empty for the full list, or the revision after which changes are requested.
 func (c *call) query() string {
 	if c.kind == fetchCall {
 		return ""
@@ -77,7 +78,7 @@
 	return fmt.Sprintf("?watch=1&after=%d", c.client.Revision.Load())
 }
 
-// send makes the request; the guard learns of the bytes that come.
+// send sends the request and returns the response. The guard is notified of received bytes.
 func (c *call) send(ctx context.Context, url string, guard *silenceGuard) (*http.Response, error) {
 	req, err := http.NewRequestWithContext(context.WithValue(ctx, onReceivedKey{}, guard.received), http.MethodGet, url, nil)
 	if err != nil {
@@ -93,7 +94,7 @@
 	return nil, err
 }
 
-// rejection returns the error of an answer that is no list.
+// rejection returns the RejectedError of a response with a status other than 200.
 func rejection(resp *http.Response) error {
 	seconds, err := strconv.ParseFloat(resp.Header.Get("Retry-After"), 64)
 	if err != nil || !(seconds > 0) {
@@ -102,13 +103,13 @@
 	return &RejectedError{resp.Status, 1000 * seconds}
 }
 
-// responseProgress is what a call has read of its answer.
+// responseProgress records what a call has read of its response.
 type responseProgress struct {
-	gotLine bool // an object or an empty line, with more to come
-	gotList bool // a list
+	gotLine bool // an object or an empty line has been read, and the response goes on
+	gotList bool // a list has been read
 }
 
-// postObjects posts each object and empty line until the answer ends.
+// postObjects posts an event for each object and each empty line, and returns the error that ended the response.
 func (c *call) postObjects(ctx context.Context, in *objectReader, guard *silenceGuard) error {
 	var progress responseProgress
 	for {
@@ -130,7 +131,7 @@
 	}
 }
 
-// post posts the event of an object, or of an empty line, which shows that the list service is alive.
+// post posts the event of an object, or ListUnchanged for an empty line, which shows that the list service is alive.
 func (c *call) post(text []byte) error {
 	if len(text) == 0 {
 		c.client.post(ListEvent{Kind: balance.ListUnchanged, Source: c.source})
@@ -148,7 +149,7 @@
 	return nil
 }
 
-// endError returns why an answer ended, given the error of its last read.
+// endError returns the reason for the end of a response. err is the error of the last read.
 func (p responseProgress) endError(ctx context.Context, err error) error {
 	cause := context.Cause(ctx)
 	switch {
--- a/internal/sidecar/discovery/client.go
+++ b/internal/sidecar/discovery/client.go
@@ -14,41 +14,41 @@
 )
 
 const (
-	// maxObjectBytes and minObjectBytes bound an object, which is held and read into entries, where the memory has no limit
-	// or a small one.
+	// maxObjectBytes is the size limit of an object if the memory limit is large or absent, and minObjectBytes if it is
+	// small. An object is buffered completely before it is parsed.
 	maxObjectBytes       = 16 << 20
 	minObjectBytes       = 1 << 20
-	objectMemoryFraction = 1. / 16 // of the memory's limit
+	objectMemoryFraction = 1. / 16 // fraction of the memory limit that an object may take
 )
 
-// Client calls the list services. Each call or watch that fails or ends is reported once; when to call again is the balancer's
-// decision.
+// Client calls the list services. It posts one event for each call or watch that fails or ends. The balancer decides
+// when to call again.
 type Client struct {
-	// Revision is that of the list that the balancer has accepted. The event loop sets it.
+	// Revision is the revision of the list that the balancer has accepted. The event loop sets it.
 	Revision atomic.Int64
 
 	http      *http.Client
-	maxObject int // bytes
+	maxObject int // size limit of an object in bytes
 	timeouts  Timeouts
-	post      func(any)          // hands an event to the event loop
-	start     func(func())       // starts a goroutine that the event loop waits for at its end
-	stopWatch context.CancelFunc // ends the watch that Watch started last; only the event loop calls it
+	post      func(any)          // passes an event to the event loop
+	start     func(func())       // starts a goroutine that the event loop waits for before it ends
+	stopWatch context.CancelFunc // stops the watch that Watch started last; called only by the event loop
 
 	mu             sync.Mutex
-	addrs          []string                // by preference
-	addrsCtx       context.Context         // ends when addrs changes
-	cancelAddrsCtx context.CancelCauseFunc // ends address
+	addrs          []string                // addresses of the list services, preferred first
+	addrsCtx       context.Context         // canceled with errAddrChanged when addrs changes
+	cancelAddrsCtx context.CancelCauseFunc // cancels addrsCtx
 }
 
-// New returns a client of the list services at addrs, the preferred one first. Events go to post; start starts goroutines.
-// memoryMB is the memory's limit, 0 for none.
+// New returns a client of the list services at addrs, the preferred one first. The client passes events to post and
+// starts goroutines through start. memoryMB is the memory limit in MiB; 0: no limit.
 func New(addrs []string, memoryMB int, post func(any), start func(func())) *Client {
-	address, endAddress := context.WithCancelCause(context.Background())
+	addrsCtx, cancelAddrsCtx := context.WithCancelCause(context.Background())
 	return &Client{
-		addrs: addrs, addrsCtx: address, cancelAddrsCtx: endAddress, post: post, start: start, stopWatch: func() {},
+		addrs: addrs, addrsCtx: addrsCtx, cancelAddrsCtx: cancelAddrsCtx, post: post, start: start, stopWatch: func() {},
 		timeouts:  Timeouts{Call: CallTimeout, Watch: WatchTimeout, PushedDelay: PushedDelay(initialDrainGraceMS)},
 		maxObject: maxObjectFor(memoryMB),
-		// Without keep-alives: on a broken connection the transport would make a second call by itself.
+		// Keep-alives are disabled because the transport repeats a call by itself if a reused connection breaks.
 		http: &http.Client{Transport: &http.Transport{
 			DisableKeepAlives: true, DisableCompression: true,
 			DialContext: dialReporting((&net.Dialer{Timeout: DialTimeout, KeepAlive: -1}).DialContext),
@@ -56,7 +56,7 @@
 	}
 }
 
-// maxObjectFor returns how many bytes an object may have under a limit of the memory.
+// maxObjectFor returns the size limit of an object in bytes for a memory limit in MiB.
 func maxObjectFor(memoryMB int) int {
 	if memoryMB <= 0 {
 		return maxObjectBytes
@@ -64,7 +64,7 @@
 	return min(max(int(float64(memoryMB)*objectMemoryFraction*(1<<20)), minObjectBytes), maxObjectBytes)
 }
 
-// SetTimeouts replaces those timeouts that are not zero. It is called before the first call.
+// SetTimeouts replaces each timeout for which timeouts has a value above 0. It must be called before the first call.
 func (c *Client) SetTimeouts(timeouts Timeouts) {
 	if timeouts.Call > 0 {
 		c.timeouts.Call = timeouts.Call
@@ -77,18 +77,19 @@
 	}
 }
 
-// Timeouts returns the timeouts that hold.
+// Timeouts returns the current timeouts.
 func (c *Client) Timeouts() Timeouts { return c.timeouts }
 
-// SetAddrs makes all calls go to other addresses. Calls to the old ones end, as those may close them at any time or fall silent; a
-// watch goes on at the new address with what changed since.
+// SetAddrs replaces the addresses of the list services. Calls to the old addresses end, as the list services there may
+// close them or stop sending at any time. A watch continues at its new address with the changes since the last
+// revision.
 func (c *Client) SetAddrs(addrs []string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if slices.Equal(addrs, c.addrs) {
 		return
 	}
-	slog.Info("discovery: address changed", "addr", strings.Join(addrs, " "))
+	slog.Info("discovery: addresses of the list services changed", "addr", strings.Join(addrs, " "))
 	c.cancelAddrsCtx(errAddrChanged)
 	if len(addrs) != len(c.addrs) {
 		c.post(balance.ListServices{Count: len(addrs)})
@@ -97,14 +98,14 @@
 	c.addrsCtx, c.cancelAddrsCtx = context.WithCancelCause(context.Background())
 }
 
-// currentAddrsCtx returns the context of the addresses that hold now.
+// currentAddrsCtx returns the context that ends when the current addresses change.
 func (c *Client) currentAddrsCtx() context.Context {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.addrsCtx
 }
 
-// serviceAddr returns the address of a list service, and the context that ends when it changes.
+// serviceAddr returns the address of a list service and the context that ends when the addresses change.
 func (c *Client) serviceAddr(source int) (string, context.Context) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/sidecar/discovery/client_test.go
+++ b/internal/sidecar/discovery/client_test.go
@@ -13,7 +13,8 @@
 	"marblelane/internal/sidecar/sidecartest"
 )
 
-// newTestClient returns a client whose events the test takes in place of the event loop.
+// newTestClient returns a client of the list service at addr, and the channel that receives its events in place of the
+// event loop.
 func newTestClient(t *testing.T, addr string) (*Client, chan ListEvent) {
 	events := make(chan ListEvent, 16)
 	var work sync.WaitGroup
@@ -25,15 +26,15 @@
 	return client, events
 }
 
-// expectEvent waits for the next event, which has to be of a kind.
+// expectEvent waits for the next event and checks its kind.
 func expectEvent(t *testing.T, what string, events <-chan ListEvent, want balance.ListKind) {
 	t.Helper()
 	if n := sidecartest.Receive(t, what, events); n.Kind != want {
-		t.Errorf("%s: %+v", what, n)
+		t.Errorf("%s: unexpected kind of event: %+v", what, n)
 	}
 }
 
-// A watch posts changes, signs of life, full lists and its end.
+// A watch posts an event for each change, each heartbeat, each full list and its end.
 func TestWatch_eventKinds(t *testing.T) {
 	r := sidecartest.NewRegistry(t)
 	client, events := newTestClient(t, r.Addr())
@@ -41,24 +42,24 @@
 	client.Watch(t.Context(), 0)
 	call := sidecartest.Receive(t, "the call", r.Calls)
 	if call.Query != "watch=1&after=41" {
-		t.Errorf("query %q", call.Query)
+		t.Errorf("unexpected query %q", call.Query)
 	}
 	call.Send(t, endpointlist.List{Rev: 43, Targets: []endpointlist.Target{sidecartest.Ready("a", "127.0.0.1:1")}})
 	if n := sidecartest.Receive(t, "the change", events); n.Kind != balance.ListDelta || n.List.Rev != 43 || n.List.Targets[0].UID != "a" {
 		t.Errorf("%+v", n)
 	}
 	call.Line(t, "")
-	expectEvent(t, "that it is alive", events, balance.ListUnchanged)
+	expectEvent(t, "the heartbeat", events, balance.ListUnchanged)
 	call.Send(t, endpointlist.List{Rev: 44, All: true})
 	expectEvent(t, "the list", events, balance.ListFull)
 	close(call.Lines)
 	expectEvent(t, "the end", events, balance.ListFailed)
 	if len(events)+len(r.Calls) > 0 {
-		t.Error("more than one report of the end, or a call by itself")
+		t.Error("the end was posted more than once, or the client called again by itself")
 	}
 }
 
-// Each failed call is reported once and not repeated.
+// Each failed call is reported once. The client does not repeat it by itself.
 func TestCall_failureReportedOnce(t *testing.T) {
 	r := sidecartest.NewRegistry(t)
 	client, events := newTestClient(t, r.Addr())
@@ -71,11 +72,11 @@
 	client.Watch(t.Context(), 0)
 	expectEvent(t, "the refused connection", events, balance.ListFailed)
 	if len(events)+len(r.Calls) > 0 {
-		t.Error("more than one report of a failure, or a call by itself")
+		t.Error("a failure was posted more than once, or the client called again by itself")
 	}
 }
 
-// A fetch posts the full list and nothing else.
+// A fetch posts one event with the full list.
 func TestFetch_fullList(t *testing.T) {
 	r := sidecartest.NewRegistry(t)
 	client, events := newTestClient(t, r.Addr())
@@ -91,7 +92,7 @@
 	}
 }
 
-// A watch that gets no line for much longer than the heartbeat has ended, though its connection is open.
+// A watch that receives no line within the watch timeout ends although its connection is open.
 func TestWatch_silentEnds(t *testing.T) {
 	r := sidecartest.NewRegistry(t)
 	client, events := newTestClient(t, r.Addr())
@@ -100,7 +101,7 @@
 	call := sidecartest.Receive(t, "the call", r.Calls)
 	call.Send(t, endpointlist.List{Rev: 1})
 	sidecartest.Receive(t, "the first line", events)
-	if n := sidecartest.Receive(t, "the end", events); n.Kind != balance.ListFailed || n.Busy { // it is broken, not busy
+	if n := sidecartest.Receive(t, "the end", events); n.Kind != balance.ListFailed || n.Busy { // the connection is broken, the list service is not busy
 		t.Errorf("%+v", n)
 	}
 	select {
@@ -110,7 +111,8 @@
 	}
 }
 
-// A call that a list service accepts and never answers fails.
+// A call that a list service accepts without sending a response fails after the call timeout, and the list service
+// counts as busy.
 func TestWatch_unanswered(t *testing.T) {
 	ln, err := net.Listen("tcp", sidecartest.Loopback)
 	if err != nil {
@@ -125,7 +127,7 @@
 	}
 }
 
-// A watch that was replaced by another posts nothing more.
+// A watch that another watch has replaced posts no more events.
 func TestWatch_replaced(t *testing.T) {
 	r := sidecartest.NewRegistry(t)
 	client, events := newTestClient(t, r.Addr())
@@ -133,9 +135,9 @@
 	first := sidecartest.Receive(t, "the first call", r.Calls)
 	client.Watch(t.Context(), 0)
 	second := sidecartest.Receive(t, "the second call", r.Calls)
-	sidecartest.Receive(t, "the first to end", first.Gone)
+	sidecartest.Receive(t, "the end of the first call", first.Gone)
 	second.Send(t, endpointlist.List{Rev: 2})
-	if n := sidecartest.Receive(t, "the second's line", events); n.Kind != balance.ListDelta || len(events) > 0 {
+	if n := sidecartest.Receive(t, "the list of the second call", events); n.Kind != balance.ListDelta || len(events) > 0 {
 		t.Errorf("%+v", n)
 	}
 }
--- a/internal/sidecar/discovery/errno_test.go
+++ b/internal/sidecar/discovery/errno_test.go
@@ -16,7 +16,7 @@
 	"marblelane/internal/sidecar/sidecartest"
 )
 
-// failingDials makes the first dials of a client fail.
+// failingDials makes the first dials of a client, as many as times, fail with err.
 func (c *Client) failingDials(times int32, err error) {
 	transport := c.http.Transport.(*http.Transport)
 	dial, fail := transport.DialContext, sidecartest.FailTimes(times, err)
@@ -28,8 +28,8 @@
 	}
 }
 
-// A call that this machine cannot make is made again soon, and no list service has failed. Any other failure is the list
-// service's and is reported at once.
+// A call that fails with an error of this machine is retried soon and does not count as a failure of the list service.
+// Any other error is one of the list service and is reported at once.
 func TestErrno_callToListService(t *testing.T) {
 	const failures = 3
 	services := netcall.Errnos{syscall.ECONNREFUSED, syscall.EHOSTUNREACH, syscall.ETIMEDOUT, syscall.ECONNRESET}
@@ -41,19 +41,19 @@
 			client.Watch(t.Context(), 0)
 			if slices.Contains(services, errno) {
 				if n := sidecartest.Receive(t, "the failure", events); n.Kind != balance.ListFailed {
-					t.Errorf("%+v, want that the service has failed", n)
+					t.Errorf("got %+v, want a failure of the list service", n)
 				}
 				return
 			}
 			sidecartest.Receive(t, "the call", r.Calls).Send(t, endpointlist.List{Rev: 7})
 			if n := sidecartest.Receive(t, "the list", events); n.Kind != balance.ListDelta || n.List.Rev != 7 {
-				t.Errorf("%+v, want the list alone", n)
+				t.Errorf("got %+v, want only the list", n)
 			}
 		})
 	}
 }
 
-// A call to an agent that pushes lists is made again after an errno of this machine.
+// A call to an agent that pushes lists is retried after an error of this machine.
 func TestErrno_callToAgent(t *testing.T) {
 	for _, errno := range netcall.LocalErrnos {
 		t.Run(errno.Error(), func(t *testing.T) {
@@ -66,19 +66,20 @@
 			client.Subscribe(ctx)
 			sidecartest.Receive(t, "the call", r.Calls).Send(t, endpointlist.List{Rev: 7})
 			if n := sidecartest.Receive(t, "the list", events); n.Kind != balance.ListDelta || n.List.Rev != 7 {
-				t.Errorf("%+v, want the list alone", n)
+				t.Errorf("got %+v, want only the list", n)
 			}
 		})
 	}
 }
 
-// One read fails at any byte of a list: after a momentary failure the list is complete, after any other there is none.
+// One read fails at each byte of a list in turn. After a temporary error the list is read completely. After any other
+// error no list is posted.
 func TestReadErrno_atEveryByteOfList(t *testing.T) {
 	const text = "HTTP/1.1 200 OK\r\nContent-Length: 24\r\nConnection: close\r\n\r\n{\"rev\": 7, \"all\": true}\n"
 	for errno, complete := range map[syscall.Errno]bool{syscall.ECONNRESET: false, syscall.ENOMEM: true} {
 		t.Run(errno.Error(), func(t *testing.T) {
 			b := sidecartest.NewBackend(t, "a", sidecartest.Respond(text, false))
-			for n := range len(text) - 1 { // behind the last byte only an empty line is left
+			for n := range len(text) - 1 { // after the last byte of the list only the end of the line follows
 				client, events := newTestClient(t, b.Target.Endpoint)
 				transport := client.http.Transport.(*http.Transport)
 				var dialer net.Dialer
@@ -92,7 +93,7 @@
 				})
 				err := (&call{client: client, kind: fetchCall, claim: unclaimed, firstTimeout: sidecartest.Patience, nextTimeout: sidecartest.Patience}).run(t.Context())
 				if got := len(events) == 1 && (<-events).List.Rev == 7 && errors.Is(err, io.EOF); got != complete {
-					t.Errorf("at byte %d: the list was posted: %v, %v", n, got, err)
+					t.Errorf("error at byte %d: list posted: %v, call ended with %v", n, got, err)
 				}
 			}
 		})
--- a/internal/sidecar/discovery/events.go
+++ b/internal/sidecar/discovery/events.go
@@ -8,37 +8,39 @@
 )
 
 var (
-	// ErrCallTimeout ends a call whose first object did not come in time.
-	ErrCallTimeout = errors.New("no line in time")
-	// ErrWatchTimeout ends a watch that had got an object and then fell silent: its connection is broken.
-	ErrWatchTimeout = errors.New("no further line in time")
-
-	errSuperseded     = errors.New("another call was answered first")
-	errObjectTooLarge = errors.New("line too long")
-	errAddrChanged    = errors.New("the list service has another address now")
+	// ErrCallTimeout is the error of a call whose first object was not received within its timeout.
+	ErrCallTimeout = errors.New("timeout: no list received")
+	// ErrWatchTimeout is the error of a watch that received no further object or empty line within its timeout, which
+	// means that its connection is broken.
+	ErrWatchTimeout = errors.New("timeout: no further list or heartbeat received")
+
+	errSuperseded     = errors.New("a concurrent call received a response first")
+	errObjectTooLarge = errors.New("object in the response exceeds the size limit")
+	errAddrChanged    = errors.New("address of the list service changed")
 )
 
-// RejectedError is an answer of a list service that is no list.
+// RejectedError is the error of a call to which a list service responded with a status other than 200.
 type RejectedError struct {
 	Status     string
-	RetryAfter float64 // ms; 0 if the answer does not say
+	RetryAfter float64 // pause that the response requests in ms; 0: none
 }
 
 // Error implements error.
-func (e *RejectedError) Error() string { return "discovery answers " + e.Status }
+func (e *RejectedError) Error() string { return "list service responded with status " + e.Status }
 
-// ListEvent is posted to the event loop for each object and each empty line of an answer, and once for a call that failed.
+// ListEvent is posted to the event loop for each object and each empty line of a response, and once for each failed
+// call.
 type ListEvent struct {
 	Kind       balance.ListKind
 	List       endpointlist.List
-	Source     int     // the list service, by preference
-	FromFetch  bool    // it answers a single call and not the watch
-	Busy       bool    // of a call that failed: the list service runs
-	RetryAfter float64 // ms; 0 if the list service does not say
+	Source     int     // index of the list service; 0 is the preferred one
+	FromFetch  bool    // the call was a fetch, not a watch
+	Busy       bool    // the call failed, but the list service is running
+	RetryAfter float64 // pause that the list service requests in ms; 0: none
 }
 
-// FailedEvent makes an event that of a call which failed with an error. A list service that leaves a call unanswered until it
-// is given up runs, and is busy.
+// FailedEvent returns event as that of a call that failed with err. A list service that rejects a call, or accepts it
+// and sends no response until the timeout, counts as running and busy.
 func FailedEvent(event ListEvent, err error) ListEvent {
 	event.Kind = balance.ListFailed
 	var rejected *RejectedError
@@ -47,7 +49,7 @@
 	}
 	if errors.Is(err, ErrCallTimeout) {
 		event.Busy = true
-		event.RetryAfter = float64(SilentCallPause.Milliseconds()) / 2 // the balancer waits for once to twice as long
+		event.RetryAfter = float64(SilentCallPause.Milliseconds()) / 2 // the balancer waits once to twice as long
 	}
 	return event
 }
--- a/internal/sidecar/discovery/lists_test.go
+++ b/internal/sidecar/discovery/lists_test.go
@@ -15,33 +15,33 @@
 	"marblelane/internal/sidecar/sidecartest"
 )
 
-// An object may take a part of the memory's limit and no more.
+// An object that exceeds its fraction of the memory limit is rejected.
 func TestObjectReader_maxBytes(t *testing.T) {
 	for _, c := range []struct {
 		memoryMB, maxBytes int
 	}{{0, maxObjectBytes}, {1 << 10, maxObjectBytes}, {64, 4 << 20}, {8, minObjectBytes}} {
 		client := New([]string{"127.0.0.1:1"}, c.memoryMB, func(any) {}, func(func()) {})
 		if client.maxObject != c.maxBytes {
-			t.Errorf("with %d MB an object may have %d bytes, want %d", c.memoryMB, client.maxObject, c.maxBytes)
+			t.Errorf("size limit of an object with %d MiB of memory: got %d bytes, want %d", c.memoryMB, client.maxObject, c.maxBytes)
 		}
 		if c.memoryMB != 8 {
 			continue
 		}
 		line, err := newObjectReader(strings.NewReader(strings.Repeat("x", 2*c.maxBytes)), client.maxObject).next()
 		if !errors.Is(err, errObjectTooLarge) || line != nil {
-			t.Errorf("%d bytes, %v", len(line), err)
+			t.Errorf("object of one line: got %d bytes and error %v, want errObjectTooLarge", len(line), err)
 		}
 		many := newObjectReader(strings.NewReader(strings.Repeat("{\n", c.maxBytes)), client.maxObject)
 		if _, err := many.next(); !errors.Is(err, errObjectTooLarge) {
-			t.Errorf("over many lines: %v", err)
+			t.Errorf("object of many lines: got error %v, want errObjectTooLarge", err)
 		}
 	}
 }
 
-// An object may be spread over lines, with empty ones among them. Empty lines between objects show that the list service is
-// alive.
+// An object may span several lines, empty ones included. An empty line between objects is a heartbeat of the list
+// service.
 func TestObjectReader_indented(t *testing.T) {
-	const odd = `{"rev": 43, "all": false,
+	const indented = `{"rev": 43, "all": false,
 
  "targets": [
   {"uid": "a\"}}}", "endpoint": "127.0.0.1:1", "state": "Ready"}
@@ -50,9 +50,9 @@
 }`
 	compact := `{"rev":44,"all":true,"targets":[]}`
 	for name, text := range map[string]string{
-		"lines":               odd + "\n\n" + compact + "\n",
-		"carriage returns":    strings.ReplaceAll(odd+"\n\n"+compact+"\n", "\n", "\r\n"),
-		"no end of last line": odd + "\n\n" + compact,
+		"lines":                 indented + "\n\n" + compact + "\n",
+		"carriage returns":      strings.ReplaceAll(indented+"\n\n"+compact+"\n", "\n", "\r\n"),
+		"last line without end": indented + "\n\n" + compact,
 	} {
 		t.Run(name, func(t *testing.T) {
 			client, events := clientOf(t, text)
@@ -60,7 +60,7 @@
 			if n := sidecartest.Receive(t, "the change", events); n.Kind != balance.ListDelta || n.List.Rev != 43 || n.List.Targets[0].UID != `a"}}}` {
 				t.Errorf("%+v", n)
 			}
-			if n := sidecartest.Receive(t, "that it is alive", events); n.Kind != balance.ListUnchanged {
+			if n := sidecartest.Receive(t, "the heartbeat", events); n.Kind != balance.ListUnchanged {
 				t.Errorf("%+v", n)
 			}
 			if n := sidecartest.Receive(t, "the list", events); n.Kind != balance.ListFull || n.List.Rev != 44 {
@@ -72,14 +72,14 @@
 		})
 	}
 	t.Run("full list", func(t *testing.T) {
-		client, events := clientOf(t, odd)
+		client, events := clientOf(t, indented)
 		client.Fetch(t.Context(), 0)
 		if n := sidecartest.Receive(t, "the list", events); n.List.Rev != 43 {
 			t.Errorf("%+v", n)
 		}
 	})
 	t.Run("cut off", func(t *testing.T) {
-		client, events := clientOf(t, odd[:len(odd)-2])
+		client, events := clientOf(t, indented[:len(indented)-2])
 		client.Watch(t.Context(), 0)
 		if n := sidecartest.Receive(t, "the failure", events); n.Kind != balance.ListFailed {
 			t.Errorf("%+v", n)
@@ -87,32 +87,31 @@
 	})
 }
 
-// clientOf returns a client of a list service that answers each call with a text.
+// clientOf returns a client of a list service that answers each call with text, and the channel of its events.
 func clientOf(t *testing.T, text string) (*Client, chan ListEvent) {
 	srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { io.WriteString(w, text) }))
 	t.Cleanup(srv.Close)
 	return newTestClient(t, srv.Listener.Addr().String())
 }
 
-// Each worst case of docs/list.md for pushed lists is below the drain grace and the time after which a change counts as
-// notified.
+// Each worst case that docs/list.md gives for pushed lists must stay below the drain grace and MaxNotificationDelay.
 func TestPushedDelay_worstCases(t *testing.T) {
-	const notifiedWithin = 6 * time.Second // of a change that a silent watch misses
+	const notifiedWithin = 6 * time.Second // for a change that a silent watch misses
 	for _, grace := range []time.Duration{250 * time.Millisecond, 500 * time.Millisecond, 2 * time.Second, 20 * time.Second} {
 		delay := PushedDelay(float64(grace.Milliseconds()))
 		if lost, limit := 3*delay, grace*3/4; lost > limit {
-			t.Errorf("grace %v: a call starts %v after the agent's return, over %v", grace, lost, limit)
+			t.Errorf("grace %v: a call starts %v after the agent recovers, want at most %v", grace, lost, limit)
 		}
 		if lost := WatchTimeout + 3*delay; lost > notifiedWithin+grace/2 {
-			t.Errorf("grace %v: what a silent watch misses is known after %v", grace, lost)
+			t.Errorf("grace %v: a change that a silent watch misses is known only after %v", grace, lost)
 		}
 		if delay < minPushedDelay || delay > maxPushedDelay {
-			t.Errorf("grace %v: delay %v", grace, delay)
+			t.Errorf("grace %v: delay %v is out of bounds", grace, delay)
 		}
 	}
 }
 
-// While an agent leaves calls unanswered others follow, and the first that is answered goes on as the one watch.
+// While an agent does not respond, further calls are made. The first one that gets a response becomes the watch.
 func TestSubscribe_agentReturns(t *testing.T) {
 	r := sidecartest.NewAgent(t)
 	client, events := newTestClient(t, r.Addr())
@@ -120,7 +119,7 @@
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
 	client.Subscribe(ctx)
-	for range 8 { // it is away, and these are never answered
+	for range 8 { // the agent is down and never responds to these
 		sidecartest.Receive(t, "another call", r.Calls)
 	}
 	sidecartest.AnswerAll(t, r, endpointlist.List{Rev: 7})
@@ -129,7 +128,7 @@
 	}
 }
 
-// A watch that falls silent is closed, and the agent is called again for what it missed.
+// A watch that receives no lines is closed, and the next call to the agent requests the changes that it missed.
 func TestSubscribe_silentAgent(t *testing.T) {
 	r := sidecartest.NewAgent(t)
 	client, events := newTestClient(t, r.Addr())
@@ -139,17 +138,18 @@
 	client.Subscribe(ctx)
 	first := sidecartest.Receive(t, "the watch", r.Calls)
 	first.Line(t, "")
-	if n := sidecartest.Receive(t, "that it is alive", events); n.Kind != balance.ListUnchanged {
+	if n := sidecartest.Receive(t, "the heartbeat", events); n.Kind != balance.ListUnchanged {
 		t.Errorf("%+v", n)
 	}
 	sidecartest.AnswerAll(t, r, endpointlist.List{Rev: 7})
 	if n := sidecartest.Receive(t, "the change", events); n.List.Rev != 7 {
 		t.Errorf("%+v", n)
 	}
-	sidecartest.Receive(t, "the silent watch to end", first.Gone)
+	sidecartest.Receive(t, "the end of the silent watch", first.Gone)
 }
 
-// A busy machine answers late: the first call waits for long, whatever becomes of the later ones, and is then the only one.
+// On a busy machine the response comes late. The patient call waits for it whatever happens to the eager calls, and
+// then becomes the watch.
 func TestSubscribe_slowAgent(t *testing.T) {
 	r := sidecartest.NewAgent(t)
 	client, events := newTestClient(t, r.Addr())
@@ -159,7 +159,7 @@
 	client.Subscribe(ctx)
 	first := sidecartest.Receive(t, "the watch", r.Calls)
 	for range 3 {
-		sidecartest.Receive(t, "the eager call to end", sidecartest.Receive(t, "an eager call", r.Calls).Gone)
+		sidecartest.Receive(t, "the end of the eager call", sidecartest.Receive(t, "an eager call", r.Calls).Gone)
 	}
 	first.Send(t, endpointlist.List{Rev: 7})
 	if n := sidecartest.Receive(t, "the list", events); n.List.Rev != 7 {
@@ -171,7 +171,7 @@
 	}
 }
 
-// Pauses do not grow while the agent is away: a long one could start just before its return.
+// Pauses between calls do not grow while the agent is down, as a long pause could begin just before it recovers.
 func TestSubscribe_constantPauses(t *testing.T) {
 	r := sidecartest.NewAgent(t)
 	client, _ := newTestClient(t, r.Addr())
@@ -180,7 +180,7 @@
 	defer cancel()
 	client.Subscribe(ctx)
 	startedAt := time.Now()
-	for range 20 { // with pauses that grow to 2 s they take 27 s
+	for range 20 { // with pauses that grow up to 2 s these calls would take 27 s
 		call := sidecartest.Receive(t, "the next call", r.Calls)
 		select {
 		case call.Fail <- http.StatusServiceUnavailable:
@@ -192,11 +192,11 @@
 	}
 }
 
-// Of two calls that are answered one is followed; the other posts nothing.
+// A call posts nothing if a concurrent call got a response first.
 func TestCall_superseded(t *testing.T) {
 	client, events := clientOf(t, `{"rev":7}`)
 	never := func() bool { return false }
 	if err := (&call{client: client, kind: watchCall, claim: never, firstTimeout: time.Hour, nextTimeout: time.Hour}).run(t.Context()); err != errSuperseded || len(events) > 0 {
-		t.Errorf("%v, %d events", err, len(events))
+		t.Errorf("got error %v and %d events, want errSuperseded and no event", err, len(events))
 	}
 }
--- a/internal/sidecar/discovery/object_reader.go
+++ b/internal/sidecar/discovery/object_reader.go
@@ -6,19 +6,19 @@
 	"io"
 )
 
-// objectReader reads an answer object by object.
+// objectReader splits a response into its JSON objects and empty lines.
 type objectReader struct {
 	in       *bufio.Reader
-	maxBytes int // of an object
+	maxBytes int // size limit of an object
 }
 
-// newObjectReader returns a reader of objects of up to maxBytes.
+// newObjectReader returns a reader that fails for objects of more than maxBytes.
 func newObjectReader(in io.Reader, maxBytes int) *objectReader {
 	return &objectReader{in: bufio.NewReader(in), maxBytes: maxBytes}
 }
 
-// next returns the next object, which may be spread over lines, or nothing for an empty line before it. At the end of the
-// answer it returns what is left, and io.EOF.
+// next returns the next object, which may span several lines, or an empty slice for an empty line between objects. At
+// the end of the response it returns the remaining text and io.EOF.
 func (r *objectReader) next() ([]byte, error) {
 	var text []byte
 	var open nesting
@@ -38,13 +38,13 @@
 	}
 }
 
-// nesting follows how deep in objects and arrays a JSON text is.
+// nesting tracks the depth of nested objects and arrays while it scans a JSON text.
 type nesting struct {
 	depth             int
-	inString, escaped bool // inside a string; behind a backslash of it
+	inString, escaped bool // the scan is inside a string; the last character there was a backslash
 }
 
-// add goes on over the next part of the text.
+// add scans the next part of the text.
 func (n *nesting) add(text []byte) {
 	for _, c := range text {
 		switch {
--- a/internal/sidecar/discovery/set_addrs_test.go
+++ b/internal/sidecar/discovery/set_addrs_test.go
@@ -14,7 +14,7 @@
 	"marblelane/internal/sidecar/sidecartest"
 )
 
-// heldDial holds up the first dial until it is released, and reports that it waits.
+// heldDial blocks the first dial of a client until release is closed. It closes waits when that dial begins.
 func heldDial(client *Client) (waits chan struct{}, release chan struct{}) {
 	transport := client.http.Transport.(*http.Transport)
 	dial := transport.DialContext
@@ -30,8 +30,8 @@
 	return waits, release
 }
 
-// The address changes between the moment at which a call has read the old one and the one at which its connection is up, and
-// again before the answer. The call goes on at the new address at once and posts what is there, once.
+// The address changes after a call has read the old one and before its connection is established, and changes again
+// before the response. Each time the call must continue at the new address at once. The list is posted once.
 func TestSetAddrs_duringCallStart(t *testing.T) {
 	begin := map[string]func(context.Context, *Client){
 		"polled": func(ctx context.Context, client *Client) { client.Watch(ctx, 0) },
@@ -46,25 +46,25 @@
 			defer cancel()
 			waits, release := heldDial(client)
 			watch(ctx, client)
-			sidecartest.Receive(t, "the connection to begin", waits)
+			sidecartest.Receive(t, "the start of the dial", waits)
 			client.SetAddrs([]string{after.Addr()})
 			first := sidecartest.Receive(t, "the call at the new address", after.Calls)
-			close(release) // the old connection comes up only now
+			close(release) // the old connection is established only now
 			client.SetAddrs([]string{before.Addr()})
-			sidecartest.Receive(t, "the call before its answer to end", first.Gone)
+			sidecartest.Receive(t, "the end of the call without a response", first.Gone)
 			second := sidecartest.Receive(t, "the call back at the first address", before.Calls)
 			second.Send(t, endpointlist.List{Rev: 7})
 			if n := sidecartest.Receive(t, "its list", events); n.Kind != balance.ListDelta || n.List.Rev != 7 {
 				t.Errorf("%+v", n)
 			}
 			if len(events) > 0 {
-				t.Errorf("another event: %+v", <-events)
+				t.Errorf("unexpected further event: %+v", <-events)
 			}
 		})
 	}
 }
 
-// An error in a line is reported with its key.
+// The error for a malformed list names the key of the wrong value.
 func TestCall_malformedLineNamesKey(t *testing.T) {
 	for text, want := range map[string]string{
 		`{"rev": "x"}`: "list: rev: a string", `{"rev": 1, "targets": [{"boot_ms": "now"}]}`: "list: targets.boot_ms: a string", `}`: "list: byte 1: ",
--- a/internal/sidecar/discovery/silence_guard.go
+++ b/internal/sidecar/discovery/silence_guard.go
@@ -9,23 +9,24 @@
 	"marblelane/internal/sidecar/netcall"
 )
 
-// silenceGuard ends a call that falls silent. Until the first object is complete any bytes, of the head too, show that the
-// list service is alive, as an answer may come in small pieces. Afterwards only complete objects and the empty lines between
-// them do.
+// silenceGuard ends a call whose response stops coming. Until the first object is complete, any received bytes, those
+// of the head included, restart the timeout, as a response may come in small pieces. Afterwards only complete objects
+// and the empty lines between them restart it.
 type silenceGuard struct {
-	mu              sync.Mutex // guards all
+	mu              sync.Mutex // guards all fields
 	timer           *time.Timer
-	timeout         time.Duration // between two reads, before the first object is complete
-	deadline        time.Time     // for the first object
-	firstObjectRead bool          // the first object
+	timeout         time.Duration // time without received bytes before the first object is complete
+	deadline        time.Time     // when the first object must be complete, even if bytes keep coming
+	firstObjectRead bool          // the first object or empty line is complete
 }
 
-// newSilenceGuard calls expire when no byte comes for timeout, or when the first object is not complete within limit.
+// newSilenceGuard returns a guard that calls expire if no byte is received for timeout, or if the first object is not
+// complete within limit.
 func newSilenceGuard(timeout, limit time.Duration, expire func()) *silenceGuard {
 	return &silenceGuard{timer: time.AfterFunc(timeout, expire), timeout: timeout, deadline: time.Now().Add(limit)}
 }
 
-// received notes that bytes came.
+// received restarts the timeout after bytes were received, if the first object is not complete yet.
 func (g *silenceGuard) received() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -34,7 +35,7 @@
 	}
 }
 
-// objectRead notes an object or an empty line; the next one has to come within a time.
+// objectRead restarts the timer after a complete object or an empty line. The next one must follow within nextTimeout.
 func (g *silenceGuard) objectRead(nextTimeout time.Duration) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -42,13 +43,13 @@
 	g.timer.Reset(nextTimeout)
 }
 
-// stop ends the guard.
+// stop stops the timer.
 func (g *silenceGuard) stop() { g.timer.Stop() }
 
-// onReceivedKey is the key in a request's context of the function that reportingConn calls.
+// onReceivedKey is the context key of the function that reportingConn calls for a request.
 type onReceivedKey struct{}
 
-// reportingConn reports each read that got bytes.
+// reportingConn is a connection that calls received after each read of at least one byte.
 type reportingConn struct {
 	net.Conn
 	retrying *netcall.RetryingReader
@@ -64,8 +65,8 @@
 	return n, err
 }
 
-// dialReporting makes a connection report its reads to the request that it was dialed for. Without keep-alives it serves no
-// other.
+// dialReporting wraps dial so that a connection reports its reads to the request for which it was dialed. As
+// keep-alives are disabled, the connection serves no other request.
 func dialReporting(dial netcall.DialFunc) netcall.DialFunc {
 	return func(ctx context.Context, network, addr string) (net.Conn, error) {
 		conn, err := dial(ctx, network, addr)
--- a/internal/sidecar/discovery/watch.go
+++ b/internal/sidecar/discovery/watch.go
@@ -9,16 +9,17 @@
 	"marblelane/internal/sidecar/netcall"
 )
 
-// Watch follows changes at a list service, in place of the watch before. Its failure is reported once. The balancer then
-// pauses before the next watch; that pause is for the address that failed, so if the addresses change meanwhile the new one
-// is called at once, until the balancer's next watch takes over.
+// Watch starts a watch of a list service, which replaces the previous watch. Its failure is posted once. The balancer
+// then pauses before it starts the next watch. That pause is meant for the address that failed: if the addresses change
+// during the pause, the new address is called at once, and this watch continues until the balancer's next one replaces
+// it.
 func (c *Client) Watch(ctx context.Context, source int) {
 	c.stopWatch()
 	ctx, c.stopWatch = context.WithCancel(ctx)
 	c.start(func() { c.keepWatch(ctx, source) })
 }
 
-// keepWatch follows a list service at one address after another until ctx ends.
+// keepWatch watches a list service until ctx ends. After a failure it waits until the addresses change.
 func (c *Client) keepWatch(ctx context.Context, source int) {
 	for reported := false; ctx.Err() == nil; reported = true {
 		address, err := c.followWithRetry(ctx, source)
@@ -36,8 +37,8 @@
 	}
 }
 
-// followWithRetry follows a list service and starts again while this machine cannot make the call: then no list service has
-// failed. It returns what follow does.
+// followWithRetry calls follow and repeats it after errors of this machine, such as a lack of sockets, as these are no
+// failures of the list service. It returns the results of the last follow.
 func (c *Client) followWithRetry(ctx context.Context, source int) (context.Context, error) {
 	for failures := 0; ; failures++ {
 		address, err := c.follow(ctx, source)
@@ -45,7 +46,7 @@
 			return address, err
 		}
 		if failures == 0 {
-			slog.Warn("discovery: this machine cannot make the call", "service", source, "err", err)
+			slog.Warn("discovery: call failed for a local reason and is retried", "service", source, "err", err)
 		}
 		select {
 		case <-ctx.Done():
@@ -55,8 +56,9 @@
 	}
 }
 
-// follow keeps one watch over any number of changes of the address. It returns the context of the address that failed. If the
-// address changes just before the call, that is the context of the one before, and the new one is called once more.
+// follow keeps one watch, which continues at the new address whenever the addresses change. It returns the error that
+// ended the watch and the context of the addresses at that time. If the addresses change just before a call, that is
+// the context of the previous addresses, and the caller then calls the new address once more.
 func (c *Client) follow(ctx context.Context, source int) (context.Context, error) {
 	for {
 		address := c.currentAddrsCtx()
@@ -69,14 +71,14 @@
 	}
 }
 
-// Fetch gets the whole list from a list service once.
+// Fetch requests the full list from a list service once.
 func (c *Client) Fetch(ctx context.Context, source int) {
 	c.start(func() {
 		fetch := &call{client: c, kind: fetchCall, source: source, claim: unclaimed,
 			firstTimeout: c.timeouts.Call, nextTimeout: c.timeouts.Call}
 		err := fetch.run(ctx)
 		if err != io.EOF && ctx.Err() == nil {
-			slog.Warn("discovery: list call failed", "service", source, "err", err)
+			slog.Warn("discovery: fetch of the full list failed", "service", source, "err", err)
 			c.post(FailedEvent(ListEvent{Source: source, FromFetch: true}, err))
 		}
 	})
--- a/internal/sidecar/discovery/watch_test.go
+++ b/internal/sidecar/discovery/watch_test.go
@@ -14,9 +14,9 @@
 	"marblelane/internal/sidecar/sidecartest"
 )
 
-// After a failed call the balancer pauses for seconds. What a list service has counts as notified 4 s after SIGHUP, so a
-// change of the address during the pause calls the new one at once. There is no balancer here: nothing but the change can
-// make the second call.
+// After a failed call the balancer pauses for seconds, but a list must be known 4 s after SIGHUP. A change of the
+// address during the pause must therefore call the new address at once. This test has no balancer, so only the change
+// of the address can cause the second call.
 func TestSetAddrs_endsPauseAfterFailure(t *testing.T) {
 	for name, fail := range map[string]func(*testing.T, *sidecartest.Registry){
 		"refused": func(_ *testing.T, r *sidecartest.Registry) { r.Close() },
@@ -45,20 +45,21 @@
 			client.SetAddrs([]string{after.Addr()})
 			call := sidecartest.Receive(t, "the call at the new address", after.Calls)
 			call.Send(t, endpointlist.List{Rev: 7})
-			if n := sidecartest.Receive(t, "what it has", events); n.List.Rev != 7 {
+			if n := sidecartest.Receive(t, "the list at the new address", events); n.List.Rev != 7 {
 				t.Errorf("%+v", n)
 			}
-			close(call.Lines) // the balancer's next call is due: a second report would make it call twice
+			close(call.Lines) // the balancer's next call is due; a second failure event would make it call twice
 			client.SetAddrs([]string{third.Addr()})
 			sidecartest.Receive(t, "the call after the second change", third.Calls)
 			if len(events) > 0 {
-				t.Errorf("a second failure is reported: %+v", <-events)
+				t.Errorf("the failure was posted a second time: %+v", <-events)
 			}
 		})
 	}
 }
 
-// inPieces writes an answer one byte at a time; its list ends after duration at the earliest.
+// inPieces writes a response one byte at a time. It writes spaces before the last byte until lasting has passed, so
+// that the list is not complete earlier.
 func inPieces(c net.Conn, lasting time.Duration, text string) {
 	startedAt := time.Now()
 	pieces := time.NewTicker(2 * time.Millisecond)
@@ -78,8 +79,9 @@
 	io.WriteString(c, "\n")
 }
 
-// The patient call is from before the agent's return and stays silent. The eager ones are answered in pieces, head and list,
-// over twice the time after which a silent agent is called again: they must be read to the end.
+// The patient call was made before the agent recovered and gets no response. The responses to the eager calls, head and
+// list, come in small pieces and take twice the pushed delay, which is their timeout without received bytes. They must
+// be read to the end.
 func TestSubscribe_answerInPieces(t *testing.T) {
 	a, addr := sidecartest.NewHandAgent(t)
 	client, events := newTestClient(t, addr)
@@ -87,7 +89,7 @@
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
 	client.Subscribe(ctx)
-	a.Next(t) // silent for good
+	a.Next(t) // never gets a response
 	for end := time.After(sidecartest.Patience); ; {
 		select {
 		case n := <-events:
@@ -99,23 +101,23 @@
 			defer c.Close()
 			inPieces(c, 2*client.timeouts.PushedDelay, sidecartest.WatchHead+`{"rev": 7, "all": true, "targets": []}`)
 		case <-end:
-			t.Fatal("no answer in pieces is read to its end")
+			t.Fatal("no response in small pieces was read to its end")
 		}
 	}
 }
 
-// A call whose first object is not complete in time ends, though bytes keep coming. One that stops within the object ends as
-// soon as one that never started.
+// A call ends if its first object is not complete within the limit, even if bytes keep coming. A response that stops
+// within the first object ends the call after the same timeout as no response at all.
 func TestSilenceGuard(t *testing.T) {
 	var fired atomic.Bool
 	now := make(chan struct{}, 1)
 	g := newSilenceGuard(time.Hour, 0, func() { fired.Store(true); now <- struct{}{} })
 	g.received()
-	sidecartest.Receive(t, "the end of a call past its time", now)
+	sidecartest.Receive(t, "the end of a call past its limit", now)
 	g = newSilenceGuard(time.Millisecond, time.Hour, func() { now <- struct{}{} })
 	g.received()
 	sidecartest.Receive(t, "the end of a call that stopped", now)
-	g = newSilenceGuard(time.Hour, time.Hour, func() { t.Error("a watch that has its first object is ended by bytes") })
+	g = newSilenceGuard(time.Hour, time.Hour, func() { t.Error("received bytes ended a watch after its first object") })
 	g.objectRead(time.Hour)
 	g.timeout = 0
 	g.received()
--- a/internal/sidecar/endpointlist/doc.go
+++ b/internal/sidecar/endpointlist/doc.go
@@ -1,2 +1,3 @@
-// Package endpointlist is the JSON form in which list services name servers. It has no goroutines and no locks.
+// Package endpointlist defines the JSON form of the endpoint lists that list services send. It has no goroutines and no
+// locks.
 package endpointlist
