--- a/balance/config_check.go
+++ b/balance/config_check.go
@@ -14,7 +14,7 @@
 // check returns an error for the first invalid setting that it finds.
 func (c *Config) check() error {
 	if len(c.Classes) == 0 {
-		return &ConfigError{Field: "Classes", Value: c.Classes, Reason: "at least one class is required"}
+		return &ConfigError{Field: "Classes", Value: c.Classes, Reason: "at least one is needed"}
 	}
 	for i := range c.Classes {
 		if err := c.Classes[i].check(fmt.Sprintf("Classes[%d].", i)); err != nil {
@@ -34,11 +34,11 @@
 func (c *Class) check(path string) error {
 	switch {
 	case c.Idempotency > NonIdempotent:
-		return &ConfigError{Field: path + "Idempotency", Value: c.Idempotency, Reason: "not a known value"}
+		return &ConfigError{Field: path + "Idempotency", Value: c.Idempotency, Reason: "there is no such value"}
 	case c.KeyScope > KeyScopeCell:
-		return &ConfigError{Field: path + "KeyScope", Value: c.KeyScope, Reason: "not a known value"}
+		return &ConfigError{Field: path + "KeyScope", Value: c.KeyScope, Reason: "there is no such value"}
 	case !(c.Deadline > 0):
-		return &ConfigError{Field: path + "Deadline", Value: c.Deadline, Reason: "must be above 0"}
+		return &ConfigError{Field: path + "Deadline", Value: c.Deadline, Reason: "not above 0"}
 	}
 	return nil
 }
--- a/balance/errors_test.go
+++ b/balance/errors_test.go
@@ -37,7 +37,7 @@
 	cfg.Classes[1].Deadline = 0
 	_, err := New(cfg)
 	var got *ConfigError
-	if !errors.As(err, &got) || got.Field != "Classes[1].Deadline" || err.Error() != "Classes[1].Deadline is 0, must be above 0" {
+	if !errors.As(err, &got) || got.Field != "Classes[1].Deadline" || err.Error() != "Classes[1].Deadline is 0, not above 0" {
 		t.Errorf("%+v (%v)", got, err)
 	}
 }
