--- a/internal/sidecar/config/config.go
+++ b/internal/sidecar/config/config.go
@@ -27,7 +27,7 @@
 type Config struct {
 	Name         string
 	Listen       string   // address for the application's connections
-	Discovery    string   // address of the list service where ListServices is empty
+	Discovery    string   // address of the list service if ListServices is empty
 	ListServices []string // addresses of the list services, preferred first; empty: only Discovery
 	Management   string   // address for the platform's calls; empty: no management address
 	Cores        float64  // processor limit; 0: no limit
@@ -105,8 +105,8 @@
 	// multiple of the cost of one from another zone; 0: defaultRegionCost.
 	Regions    map[string][]string `json:"regions"`
 	RegionCost float64             `json:"region_cost"`
-	Routes     json.RawMessage     `json:"routes"`  // see routesFile
-	Members    json.RawMessage     `json:"members"` // see membership.Section
+	Routes     json.RawMessage     `json:"routes"`  // parsed as routesFile
+	Members    json.RawMessage     `json:"members"` // parsed as membership.Section
 	Faults     string              `json:"faults"`  // path of the lab's fault file; empty: no faults
 	Settings   json.RawMessage     `json:"settings"`
 }
--- a/internal/sidecar/config/membership.go
+++ b/internal/sidecar/config/membership.go
@@ -13,7 +13,7 @@
 const (
 	// RoleSidecar is the role under which a sidecar joins the members.
 	RoleSidecar = "sidecar"
-	maxVersion  = 64 // maximum length in bytes of the version that a member announces
+	maxVersion  = 64 // maximum length in characters of the version that a member announces
 )
 
 // Membership is the section members of the configuration.
@@ -52,7 +52,7 @@
 	return &Membership{group, text.String()}, nil
 }
 
-// SameMembership reports whether two sections members are the same, or are both absent.
+// SameMembership reports whether two memberships have the same configuration or are both off.
 func SameMembership(a, b *Membership) bool {
 	return a == nil && b == nil || a != nil && b != nil && a.text == b.text
 }
--- a/internal/sidecar/config/routes.go
+++ b/internal/sidecar/config/routes.go
@@ -19,7 +19,7 @@
 const (
 	defaultKeyHeader = "X-Route-Key"
 
-	// MaxRouteAddrs is the maximum number of addresses in the section.
+	// MaxRouteAddrs is the maximum number of addresses in the section routes.
 	MaxRouteAddrs   = 16
 	maxHeaderName   = 100 // maximum length of a header name in bytes
 	headerNameChars = "-0123456789ABCDEFGHIJKLMNOPQRSTUVWXYZabcdefghijklmnopqrstuvwxyz"
@@ -72,7 +72,7 @@
 		in.KeyHeader = defaultKeyHeader
 	}
 	if len(in.KeyHeader) > maxHeaderName || strings.Trim(in.KeyHeader, headerNameChars) != "" {
-		return nil, fmt.Errorf("routes.key_header: %.100q is not up to 100 letters, digits and hyphens", in.KeyHeader)
+		return nil, fmt.Errorf("routes.key_header: %.100q must consist of at most 100 letters, digits and hyphens", in.KeyHeader)
 	}
 	cfg := &Routes{Addrs: in.Addrs, Schemas: in.Schemas, KeyHeader: http.CanonicalHeaderKey(in.KeyHeader)}
 	if len(cfg.Addrs) == 0 {
@@ -100,7 +100,8 @@
 	return h.Sum64()
 }
 
-// ProgramVersion returns the version of this program for reports, at most 100 bytes; "unknown" if the build has none.
+// ProgramVersion returns the version of this program for reports, at most 100 characters; "unknown" if the build has
+// none.
 func ProgramVersion() string {
 	info, ok := debug.ReadBuildInfo()
 	if !ok || info.Main.Version == "" {
--- a/internal/sidecar/discovery/agent_watch.go
+++ b/internal/sidecar/discovery/agent_watch.go
@@ -9,9 +9,8 @@
 	"time"
 )
 
-// Subscribe keeps a watch of a local agent that pushes lists, which the balancer does not poll. The pauses between
-// failed watches do not grow: calls to a local agent are cheap, and a long pause could begin just before the agent
-// recovers.
+// Subscribe watches a local agent that pushes lists and that the balancer does not poll. The pauses between failed
+// watches do not grow: calls to a local agent are cheap, and a long pause could begin just before the agent recovers.
 func (c *Client) Subscribe(ctx context.Context) {
 	c.start(func() {
 		for ctx.Err() == nil {
--- a/internal/sidecar/discovery/call.go
+++ b/internal/sidecar/discovery/call.go
@@ -38,8 +38,8 @@
 	client *Client
 	kind   callKind
 	source int // index of the list service; 0 is the preferred one
-	// claim is called for each object that is read. If it returns false, a concurrent call got a response first, and this
-	// call ends without posting an event.
+	// claim is called for each object or empty line that is read. If it returns false, a concurrent call got a response
+	// first, and this call ends without posting an event.
 	claim func() bool
 	// firstTimeout limits the time without any bytes until the first object is complete. nextTimeout limits the time
 	// between complete objects or empty lines after that.
--- a/internal/sidecar/discovery/timeouts.go
+++ b/internal/sidecar/discovery/timeouts.go
@@ -44,8 +44,8 @@
 
 // Timeouts are the limits of how long a list service may send nothing. 0 stands for the default.
 type Timeouts struct {
-	Call        time.Duration // until the first object of a response is complete
-	Watch       time.Duration // between two objects or empty lines of a watch
+	Call        time.Duration // time until the first object of a response is complete
+	Watch       time.Duration // time between two objects or empty lines of a watch
 	PushedDelay time.Duration // if an agent pushes lists: pause between two calls, and timeout of an eager call
 }
 
