--- a/internal/sidecar/discovery/client_test.go
+++ b/internal/sidecar/discovery/client_test.go
@@ -101,7 +101,7 @@
 	call := sidecartest.Receive(t, "the call", r.Calls)
 	call.Send(t, endpointlist.List{Rev: 1})
 	sidecartest.Receive(t, "the first line", events)
-	if n := sidecartest.Receive(t, "the end", events); n.Kind != balance.ListFailed || n.Busy { // the connection is broken, the list service is not busy
+	if n := sidecartest.Receive(t, "the end", events); n.Kind != balance.ListFailed || n.Busy { // the connection is broken: not busy
 		t.Errorf("%+v", n)
 	}
 	select {
