--- a/internal/sidecar/discovery/call.go
+++ b/internal/sidecar/discovery/call.go
@@ -14,15 +14,15 @@
 	"marblelane/internal/wire"
 )
 
-// instancesPath is where a list service answers.
+// instancesPath is the URL path of the endpoint list at a list service.
 const instancesPath = "/registry/instances"
 
-// callKind is what is asked of a list service.
+// callKind is the type of a call to a list service.
 type callKind uint8
 
 const (
-	watchCall callKind = iota // what changed after the list that is held, and each later change
-	fetchCall                 // the whole list, once
+	watchCall callKind = iota // requests all changes since the revision of the balancer's list, including future ones
+	fetchCall                 // requests the full list once
 )
 
 // String returns the name of the kind.
@@ -33,30 +33,31 @@
 	return "watch"
 }
 
-// call is one call of a list service.
+// call is one call to a list service.
 type call struct {
 	client *Client
 	kind   callKind
-	source int
-	// claim is called for each object that was read. If it returns false another call has been answered first, and this one
-	// ends without an event.
+	source int // index of the list service; 0 is the preferred one
+	// claim is called for each object or empty line that is read. If it returns false, a concurrent call got a response
+	// first, and this call ends without posting an event.
 	claim func() bool
-	// firstTimeout bounds the silence until the first object is complete; nextTimeout bounds the time to each later one.
+	// firstTimeout limits the time without any bytes until the first object is complete. nextTimeout limits the time
+	// between complete objects or empty lines after that.
 	firstTimeout, nextTimeout time.Duration
 }
 
-// unclaimed is the claim of a call that no other competes with.
+// unclaimed is the claim function of a call without a concurrent one. It always succeeds.
 func unclaimed() bool { return true }
 
-// run makes the call and posts each object of its answer until that ends. The error says why it did; io.EOF is the end of a
-// complete answer.
+// run makes the call and posts each object of the response until the response ends. It returns the reason, which is
+// io.EOF for a complete response.
 func (c *call) run(ctx context.Context) error {
 	query := c.query()
 	addr, address := c.client.serviceAddr(c.source)
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
 	defer context.AfterFunc(address, func() { cancel(context.Cause(address)) })()
-	guard := newSilenceGuard(c.firstTimeout, max(c.firstTimeout, c.client.timeouts.Call), func() { cancel(ErrSilent) })
+	guard := newSilenceGuard(c.firstTimeout, max(c.firstTimeout, c.client.timeouts.Call), func() { cancel(ErrCallTimeout) })
 	defer guard.stop()
 	resp, err := c.send(ctx, "http://"+addr+instancesPath+query, guard)
 	if err != nil {
@@ -69,7 +70,7 @@
 	return c.postObjects(ctx, newObjectReader(resp.Body, c.client.maxObject), guard)
 }
 
-// query asks for what came after the list that is held, or for all.
+// query returns the query string: empty for the full list, or the revision after which changes are requested.
 func (c *call) query() string {
 	if c.kind == fetchCall {
 		return ""
@@ -77,9 +78,9 @@
 	return fmt.Sprintf("?watch=1&after=%d", c.client.Revision.Load())
 }
 
-// send makes the request; the guard learns of the bytes that come.
+// send sends the request and returns the response. The guard is notified of received bytes.
 func (c *call) send(ctx context.Context, url string, guard *silenceGuard) (*http.Response, error) {
-	req, err := http.NewRequestWithContext(context.WithValue(ctx, receivedKey{}, guard.received), http.MethodGet, url, nil)
+	req, err := http.NewRequestWithContext(context.WithValue(ctx, onReceivedKey{}, guard.received), http.MethodGet, url, nil)
 	if err != nil {
 		return nil, err
 	}
@@ -93,7 +94,7 @@
 	return nil, err
 }
 
-// rejection returns the error of an answer that is no list.
+// rejection returns the RejectedError of a response with a status other than 200.
 func rejection(resp *http.Response) error {
 	seconds, err := strconv.ParseFloat(resp.Header.Get("Retry-After"), 64)
 	if err != nil || !(seconds > 0) {
@@ -102,15 +103,15 @@
 	return &RejectedError{resp.Status, 1000 * seconds}
 }
 
-// answerProgress is what a call has read of its answer.
-type answerProgress struct {
-	alive bool // an object or an empty line, with more to come
-	list  bool // a list
+// responseProgress records what a call has read of its response.
+type responseProgress struct {
+	gotLine bool // an object or an empty line has been read, and the response goes on
+	gotList bool // a list has been read
 }
 
-// postObjects posts each object and empty line until the answer ends.
+// postObjects posts an event for each object and each empty line, and returns the error that ended the response.
 func (c *call) postObjects(ctx context.Context, in *objectReader, guard *silenceGuard) error {
-	var progress answerProgress
+	var progress responseProgress
 	for {
 		text, err := in.next()
 		if err == nil || err == io.EOF && len(text) > 0 {
@@ -120,17 +121,17 @@
 			if err := c.post(text); err != nil {
 				return err
 			}
-			progress.list = progress.list || len(text) > 0
+			progress.gotList = progress.gotList || len(text) > 0
 		}
 		if err != nil {
 			return progress.endError(ctx, err)
 		}
-		progress.alive = true
+		progress.gotLine = true
 		guard.objectRead(c.nextTimeout)
 	}
 }
 
-// post posts the event of an object, or of an empty line, which shows that the list service is alive.
+// post posts the event of an object, or ListUnchanged for an empty line, which shows that the list service is alive.
 func (c *call) post(text []byte) error {
 	if len(text) == 0 {
 		c.client.post(ListEvent{Kind: balance.ListUnchanged, Source: c.source})
@@ -148,15 +149,15 @@
 	return nil
 }
 
-// endError returns why an answer ended, given the error of its last read.
-func (p answerProgress) endError(ctx context.Context, err error) error {
+// endError returns the reason for the end of a response. err is the error of the last read.
+func (p responseProgress) endError(ctx context.Context, err error) error {
 	cause := context.Cause(ctx)
 	switch {
-	case cause == ErrSilent && p.alive:
-		return ErrStopped
+	case cause == ErrCallTimeout && p.gotLine:
+		return ErrWatchTimeout
 	case cause != nil:
 		return cause
-	case err == io.EOF && !p.list:
+	case err == io.EOF && !p.gotList:
 		return io.ErrUnexpectedEOF
 	}
 	return err
