--- a/internal/sidecar/discovery/object_reader.go
+++ b/internal/sidecar/discovery/object_reader.go
@@ -6,19 +6,19 @@
 	"io"
 )
 
-// objectReader reads an answer object by object.
+// objectReader splits a response into its JSON objects and empty lines.
 type objectReader struct {
 	in       *bufio.Reader
-	maxBytes int // of an object
+	maxBytes int // size limit of an object
 }
 
-// newObjectReader returns a reader of objects of up to maxBytes.
+// newObjectReader returns a reader that fails for objects of more than maxBytes.
 func newObjectReader(in io.Reader, maxBytes int) *objectReader {
 	return &objectReader{in: bufio.NewReader(in), maxBytes: maxBytes}
 }
 
-// next returns the next object, which may be spread over lines, or nothing for an empty line before it. At the end of the
-// answer it returns what is left, and io.EOF.
+// next returns the next object, which may span several lines, or an empty slice for an empty line between objects. At
+// the end of the response it returns the remaining text and io.EOF.
 func (r *objectReader) next() ([]byte, error) {
 	var text []byte
 	var open nesting
@@ -28,7 +28,7 @@
 		open.add(part)
 		switch {
 		case len(text) > r.maxBytes:
-			return nil, errLineTooLong
+			return nil, errObjectTooLarge
 		case err == bufio.ErrBufferFull:
 		case err == io.EOF && open.depth > 0:
 			return nil, io.ErrUnexpectedEOF
@@ -38,23 +38,23 @@
 	}
 }
 
-// nesting follows how deep in objects and arrays a JSON text is.
+// nesting tracks the depth of nested objects and arrays while it scans a JSON text.
 type nesting struct {
-	depth           int
-	quoted, escaped bool // inside a string; behind a backslash of it
+	depth             int
+	inString, escaped bool // the scan is inside a string; the last character there was a backslash
 }
 
-// add goes on over the next part of the text.
+// add scans the next part of the text.
 func (n *nesting) add(text []byte) {
 	for _, c := range text {
 		switch {
 		case n.escaped:
 			n.escaped = false
-		case n.quoted && c == '\\':
+		case n.inString && c == '\\':
 			n.escaped = true
 		case c == '"':
-			n.quoted = !n.quoted
-		case n.quoted:
+			n.inString = !n.inString
+		case n.inString:
 		case c == '{' || c == '[':
 			n.depth++
 		case c == '}' || c == ']':
