--- a/internal/routeclient/doc.go
+++ b/internal/routeclient/doc.go
@@ -12,7 +12,8 @@
 //   - The tasks pass one pending Update to the loop, in which a later table, lease or grant replaces an earlier one. A
 //     stop, a rollback and the end of a lease therefore always reach the loop.
 //   - The acting revision, which is the revision of the table that the loop uses, never decreases. After a report is
-//     made, no attempt starts under a revision before the reported one, and the report includes all attempts that have.
+//     made, no attempt starts under a revision before the reported one. The report counts all attempts that have
+//     started under such revisions.
 //   - A canary attempt starts only under the acting revision and during a lease. StartAttempt checks both right before
 //     the attempt's first byte, and counts the attempt in the same critical section.
 //   - The term of a lease starts before its report is made, so the lease ends for this process before it ends for the
--- a/internal/routeclient/reporter_test.go
+++ b/internal/routeclient/reporter_test.go
@@ -69,7 +69,8 @@
 		service.report.Store(&f)
 		return http.StatusOK, route.ReportResponse{LeaseMS: term.Milliseconds()}
 	}
-	client := startClient(t, func(s *Client) { s.SetActingRev(3) }, newFakeService(t)) // service needs the clock of the client, so it is added below
+	// The client starts with another service, as the handler of service needs the clock of the client.
+	client := startClient(t, func(s *Client) { s.SetActingRev(3) }, newFakeService(t))
 	clock = client.clock
 	service.report.Store(&once)
 	client.SetAddrs([]string{service.addr()})
