--- a/internal/sidecar/checkpoint/checkpoint.go
+++ b/internal/sidecar/checkpoint/checkpoint.go
@@ -1,23 +1,24 @@
 package checkpoint
 
-// Checkpoint names a step of a request or of the shutdown between which and the next one a process may be held up.
+// Checkpoint names a point in the handling of a request or in the shutdown. The operating system may hold up the process
+// there, before it takes the next step.
 type Checkpoint string
 
 // The checkpoints.
 const (
-	RequestRead     Checkpoint = "request read"          // before the event loop gets it
-	AttemptDecided  Checkpoint = "attempt decided"       // before a connection is taken
-	ClockRead       Checkpoint = "clock read"            // of an attempt: before its last checks and its first byte
-	ResponseDecided Checkpoint = "answer decided"        // before it is written
-	DrainSignalled  Checkpoint = "drain signalled"       // before the clock is read
-	ServiceEndDue   Checkpoint = "end of service is due" // the clock was read, nothing is ended yet
-	ServiceEnded    Checkpoint = "waiting connections"   // service has ended, waiting connections have not
+	RequestRead     Checkpoint = "request read"          // the event loop has not received the request yet
+	AttemptDecided  Checkpoint = "attempt decided"       // the attempt has no connection yet
+	ClockRead       Checkpoint = "clock read"            // the attempt has not made its last checks and sent its first byte yet
+	ResponseDecided Checkpoint = "response decided"      // the response to the client is not written yet
+	DrainSignalled  Checkpoint = "drain signalled"       // the shutdown has not read the clock yet
+	ServiceEndDue   Checkpoint = "end of service is due" // the clock was read, no request has been ended yet
+	ServiceEnded    Checkpoint = "service ended"         // connections that wait for the rest of a request are still open
 )
 
-// Hook is called at each checkpoint, where a test may hold the caller up; nil: no test does.
+// Hook is called at each checkpoint and may hold up the caller. It is nil except in tests.
 type Hook func(Checkpoint)
 
-// At calls the hook.
+// At calls the hook, if there is one.
 func (h Hook) At(c Checkpoint) {
 	if h != nil {
 		h(c)
--- a/internal/sidecar/checkpoint/doc.go
+++ b/internal/sidecar/checkpoint/doc.go
@@ -1,2 +1,2 @@
-// Package checkpoint names the steps between which a process may be held up, so that tests can hold it up there.
+// Package checkpoint names points in the handling of a request and in the shutdown where tests can hold up the process.
 package checkpoint
--- a/internal/sidecar/clock/step_detector.go
+++ b/internal/sidecar/clock/step_detector.go
@@ -9,30 +9,31 @@
 )
 
 const (
-	// minStep is by how many ms the wall clock has to differ from the monotonic one to count as stepped. Both are slewed
-	// alike, so that only steps part them. Smaller steps add up until they count.
+	// minStep is the change of the offset between the wall clock and the monotonic clock, in ms, from which on the wall
+	// clock counts as stepped. Slewing changes both clocks alike, so only a step changes the offset. Smaller steps add up
+	// until they reach minStep.
 	minStep = 250
-	// stepTolerance is by how many ms two readings of one step may differ.
+	// stepTolerance is the largest difference, in ms, between two readings of the same step.
 	stepTolerance = 10
-	// maxReadTime is how long reading both clocks may take: a process that is held up between the two sees a step that
-	// was none.
+	// maxReadTime limits the time for reading both clocks: if the process is held up between the two reads, they differ
+	// without a step.
 	maxReadTime = 5 * time.Millisecond
 )
 
-// StepDetector detects steps of the wall clock, from which lists give the starts of servers.
+// StepDetector detects steps of the wall clock, in whose time endpoint lists state the start times of servers.
 type StepDetector struct {
 	clock  Clock
 	read   func() (wall, monotonic time.Time, ok bool) // see wallReader
-	offset float64                                     // ms that the wall clock was ahead of clock at the last step
+	offset float64                                     // ms by which the wall clock was ahead of clock after the last step
 }
 
-// NewStepDetector watches the wall clock, in which faults may plant a step.
+// NewStepDetector returns a detector for the wall clock, which includes steps injected by faults.
 func NewStepDetector(c Clock, faults *fault.Plan) *StepDetector {
 	return &StepDetector{clock: c, read: wallReader(faults)}
 }
 
-// wallReader gives a function that reads the wall clock and the monotonic one at one moment; not ok: it was held up
-// between the two.
+// wallReader returns a function that reads the wall clock and the monotonic clock at the same moment. ok is false if the
+// process was held up between the two reads.
 func wallReader(faults *fault.Plan) func() (wall, monotonic time.Time, ok bool) {
 	if faults == nil {
 		return func() (wall, monotonic time.Time, ok bool) {
@@ -47,8 +48,8 @@
 	}
 }
 
-// Check reads the clocks, and reads them again where the wall clock seems to have been stepped: the process may have been
-// held up between the two clocks of a reading, but not twice for the same time.
+// Check reads the clocks and reports whether the wall clock was stepped. An apparent step is confirmed by a second reading:
+// the process may have been held up between the two clocks of one reading, but hardly twice for the same time.
 func (d *StepDetector) Check() (step balance.ClockStepped, stepped bool) {
 	offset, ok := d.readOffset()
 	if !ok || math.Abs(offset-d.offset) < minStep {
@@ -62,11 +63,11 @@
 	return balance.ClockStepped{Offset: confirmed}, true
 }
 
-// readOffset gives how many ms the wall clock is ahead of the sidecar's.
+// readOffset returns the number of ms by which the wall clock is ahead of the sidecar's clock. ok is as in wallReader.
 func (d *StepDetector) readOffset() (offset float64, ok bool) {
 	wall, monotonic, ok := d.read()
 	return UnixMillis(wall) - d.clock.Millis(monotonic), ok
 }
 
-// UnixMillis converts a time of the wall clock to Unix milliseconds.
+// UnixMillis converts a wall-clock time to Unix milliseconds.
 func UnixMillis(t time.Time) float64 { return float64(t.UnixMicro()) / 1e3 }
--- a/internal/sidecar/eventloop/actions.go
+++ b/internal/sidecar/eventloop/actions.go
@@ -10,7 +10,7 @@
 	"marblelane/internal/sidecar/upstream"
 )
 
-// Execute carries out actions of the balancer, in order.
+// Execute executes actions of the balancer, in order.
 func (l *Loop) Execute(now float64, actions []balance.Action) {
 	for i := range actions {
 		l.execute(now, &actions[i])
@@ -45,11 +45,11 @@
 	case balance.Forget:
 		l.retireServer(l.servers[action.Server])
 	default:
-		slog.Error("eventloop: unknown action of the balancer", "action", action.Kind)
+		slog.Error("eventloop: unknown balancer action", "action", action.Kind)
 	}
 }
 
-// startAttempt sends a call to a server, in a goroutine that ends with the attempt.
+// startAttempt sends the request of a call to a server, in a goroutine that ends with the attempt.
 func (l *Loop) startAttempt(now float64, action *balance.Action) {
 	c := l.calls[action.Request]
 	if c == nil {
@@ -71,13 +71,13 @@
 	l.Workers.Go(func() { l.Post(attemptDone{a, l.Pool.Send(a)}) })
 }
 
-// healthCheck asks a server how it is, in a goroutine that ends with the answer.
+// healthCheck sends a health check to a server, in a goroutine that ends with its result.
 func (l *Loop) healthCheck(now float64, id balance.ServerID) {
 	server := l.serverByID(id)
 	l.Workers.Go(func() { l.Post(healthCheckDone{server, now, l.Pool.HealthCheck(l.ctx, server)}) })
 }
 
-// serverByID gives the server of an ID. One that is not in the table is retired: nothing is sent to it.
+// serverByID returns the server with an ID. If the table has none it returns a retired server, to which nothing is sent.
 func (l *Loop) serverByID(id balance.ServerID) *upstream.Server {
 	if server := l.servers[id]; server != nil {
 		return server
@@ -87,7 +87,8 @@
 	return server
 }
 
-// respondWithoutServer gives a client the balancer's own answer: rejected, where a retry does no harm, or failed.
+// respondWithoutServer ends a call with a response of the balancer's own: rejected, if the request did not run and may be
+// sent again, or failed.
 func (l *Loop) respondWithoutServer(now float64, action *balance.Action) {
 	c := l.calls[action.Request]
 	if c == nil || !c.Finish() {
--- a/internal/sidecar/eventloop/calls.go
+++ b/internal/sidecar/eventloop/calls.go
@@ -8,7 +8,7 @@
 	"marblelane/internal/sidecar/upstream"
 )
 
-// startCall gives a new call its ID and hands it to the balancer.
+// startCall assigns an ID to a new call and passes its request to the balancer.
 func (l *Loop) startCall(now float64, c *inflight.Call) {
 	l.lastID++
 	c.Request.ID = l.lastID
@@ -23,7 +23,7 @@
 	l.HandleEvent(now, request)
 }
 
-// handleBodyComplete starts the times of a call, and of its attempts, whose body has been forwarded to its end.
+// handleBodyComplete starts the deadline of a call and the clocks of its attempts once its body has been forwarded in full.
 func (l *Loop) handleBodyComplete(now float64, c *inflight.Call) {
 	c.Deadline = c.Outbound.Upload.CompletedAt().Add(c.Timeout)
 	if open := l.calls[c.Request.ID]; open != nil {
@@ -34,14 +34,14 @@
 	l.HandleEvent(now, balance.BodyComplete{Request: c.Request.ID, Remaining: l.Clock.Millis(c.Deadline) - now})
 }
 
-// handleClientGone ends a call whose client has left.
+// handleClientGone ends a call whose client has closed the connection.
 func (l *Loop) handleClientGone(now float64, c *inflight.Call) {
 	l.cancelUnwritten(c)
 	l.HandleEvent(now, balance.ClientGone{Request: c.Request.ID})
 	l.release(c)
 }
 
-// handleResponseStarted gives the client an answer that is forwarded as it comes.
+// handleResponseStarted passes the client a response that is forwarded while it is received.
 func (l *Loop) handleResponseStarted(now float64, a *upstream.Attempt, answer inflight.Answer) {
 	c := a.Call
 	if !c.Finish() {
@@ -56,7 +56,8 @@
 	})
 }
 
-// handleAttemptDone hands the balancer the one outcome of an attempt. The first that is served is the client's answer.
+// handleAttemptDone reports the outcome of an attempt to the balancer, once per attempt. The first successful response of a
+// call goes to the client.
 func (l *Loop) handleAttemptDone(now float64, a *upstream.Attempt, reply inflight.Reply) {
 	a.Cancel()
 	c := a.Call
@@ -67,7 +68,7 @@
 		c.Answers <- reply.Answer
 		l.cancelUnwritten(c)
 	}
-	if c.SeenGone() && c.Finish() { // the attempt has seen that the client left: no other is made
+	if c.SeenGone() && c.Finish() { // the attempt has noticed that the client closed the connection: no retry
 		c.Answers <- inflight.Answer{ClientLeft: true}
 		l.handleClientGone(now, c)
 	}
@@ -87,7 +88,7 @@
 	l.release(c)
 }
 
-// cancelUnwritten cancels the attempts that are not written yet: after the final answer nothing more is sent.
+// cancelUnwritten cancels the attempts of a call whose request is not written yet: nothing is sent after the final response.
 func (l *Loop) cancelUnwritten(c *inflight.Call) {
 	open := l.calls[c.Request.ID]
 	if open == nil {
@@ -100,7 +101,7 @@
 	}
 }
 
-// release drops a call that is answered and has no live attempt.
+// release removes a call from the table once it has its response and no attempt is in flight.
 func (l *Loop) release(c *inflight.Call) {
 	if open := l.calls[c.Request.ID]; open != nil && open.liveAttempts == 0 && c.Finished() {
 		delete(l.calls, c.Request.ID)
--- a/internal/sidecar/eventloop/doc.go
+++ b/internal/sidecar/eventloop/doc.go
@@ -1,3 +1,3 @@
-// Package eventloop owns the balancer of a sidecar. It is the only caller: messages come in, are handed to the balancer as events,
-// and its actions are carried out.
+// Package eventloop owns the balancer of a sidecar and is its only caller. It passes incoming messages to the balancer as
+// events and executes the actions that the balancer returns.
 package eventloop
--- a/internal/sidecar/eventloop/list.go
+++ b/internal/sidecar/eventloop/list.go
@@ -9,14 +9,15 @@
 	"marblelane/internal/sidecar/upstream"
 )
 
-// handleListEvent lets the balancer decide which entries it accepts, and brings the table of servers in line before any
-// other message is taken, so that attempts on their way see at their first byte what the balancer sees.
+// handleListEvent passes an endpoint list to the balancer, which decides which entries to accept, and updates the table of
+// servers accordingly. Both happen before the next message is handled, so that attempts in flight see the balancer's
+// current state when they are about to send their first byte.
 func (l *Loop) handleListEvent(now float64, event discovery.ListEvent) {
 	l.checkClock(now)
 	l.listReceived = l.listReceived || event.Kind == balance.ListFull || event.Kind == balance.ListDelta
 	actions, err := l.balancer.Handle(now, l.serverList(event))
 	if err != nil {
-		slog.Error("eventloop: the balancer rejects a list", "err", err)
+		slog.Error("eventloop: balancer rejected endpoint list", "err", err)
 		return
 	}
 	l.Discovery.Revision.Store(l.balancer.ListRev())
@@ -29,7 +30,7 @@
 	l.Execute(now, actions)
 }
 
-// serverList converts what discovery has said to the balancer's event. Targets without a UID are left out.
+// serverList converts an endpoint list to the balancer's event. Targets without a UID are left out.
 func (l *Loop) serverList(event discovery.ListEvent) balance.ServerList {
 	list := balance.ServerList{
 		Kind: event.Kind, Rev: event.List.Rev, Source: event.Source, FromFetch: event.FromFetch, Busy: event.Busy,
@@ -43,7 +44,7 @@
 	return list
 }
 
-// retireUnusedServers retires the servers of the table that the balancer does not use any more.
+// retireUnusedServers retires the servers of the table that the balancer no longer uses.
 func (l *Loop) retireUnusedServers() {
 	for id, server := range l.servers {
 		if _, used := l.balancer.UsableServer(id); !used {
@@ -52,8 +53,8 @@
 	}
 }
 
-// updateServer brings one server of the table in line with what the balancer makes of its entry. A restart or another
-// address makes a new server.
+// updateServer updates the server of a list entry to the balancer's decision about the entry. After a restart or a change
+// of address the server is replaced by a new one.
 func (l *Loop) updateServer(target *endpointlist.Target) {
 	id := endpointlist.ServerID(target.UID)
 	entry, used := l.balancer.UsableServer(id)
@@ -62,7 +63,7 @@
 		return
 	}
 	if entry.AddressKey != endpointlist.AddressKey(target.Endpoint) || entry.StartedAt != target.BootMS {
-		return // another entry of this UID counts, or an older list
+		return // the balancer uses another entry of this UID, or that of an older list
 	}
 	old := l.servers[id]
 	if old == nil || old.Endpoint != target.Endpoint || old.BootMS != target.BootMS {
@@ -71,7 +72,7 @@
 	}
 }
 
-// retireServer takes a server's process out of the table: nothing new goes to it, and its connections are closed.
+// retireServer removes a server from the table and closes its connections. It gets no further requests. nil is ignored.
 func (l *Loop) retireServer(server *upstream.Server) {
 	if server != nil {
 		delete(l.servers, server.ID)
--- a/internal/sidecar/eventloop/loop.go
+++ b/internal/sidecar/eventloop/loop.go
@@ -18,59 +18,59 @@
 	"marblelane/internal/sidecar/upstream"
 )
 
-// publishInterval is how far the figures of servers may lag.
+// publishInterval is the interval at which the metrics of servers are updated.
 const publishInterval = 100 * time.Millisecond
 
-// inboxSize lets socket goroutines hand over messages while the loop is at work.
+// inboxSize is the number of messages that goroutines can post without blocking while the loop is busy.
 const inboxSize = 1024
 
-// attemptDone is the end of an attempt.
+// attemptDone is the message that an attempt has ended.
 type attemptDone struct {
 	attempt *upstream.Attempt
 	reply   inflight.Reply
 }
 
-// healthCheckDone is the end of a health check.
+// healthCheckDone is the message that a health check has ended.
 type healthCheckDone struct {
 	server    *upstream.Server
 	startedAt float64 // ms
 	reply     inflight.Reply
 }
 
-// openCall is a call that has not ended.
+// openCall is a call that has no response yet, or has attempts in flight.
 type openCall struct {
 	*inflight.Call
-	attempts     []*upstream.Attempt // in order
-	liveAttempts int                 // without an outcome
+	attempts     []*upstream.Attempt // by attempt number
+	liveAttempts int                 // number of attempts without an outcome
 }
 
-// Loop is the one owner of the balancer, its timers and the table of calls. Nothing in it blocks on I/O. What is not set by
-// New is set before Run.
+// Loop owns the balancer, its timers and the table of calls. It never blocks on I/O. The exported fields that New leaves
+// unset are set before Run.
 type Loop struct {
 	Clock     clock.Clock
 	Pool      *upstream.Pool
 	Discovery *discovery.Client
 	Metrics   *metrics.Metrics
-	Routing   *routing.Router   // nil: off
-	Members   *fleet.Membership // nil: off
+	Routing   *routing.Router   // nil: the section routes is not configured
+	Members   *fleet.Membership // nil: the section members is not configured
 	Workers   sync.WaitGroup    // goroutines that Run waits for
 
 	cfg      *config.Config
 	balancer *balance.Balancer
-	inbox    chan any        // messages of Post; never closed
-	stopped  chan struct{}   // closed by Run at its end
-	ctx      context.Context // ends all attempts and health checks
+	inbox    chan any        // messages from Post; never closed
+	stopped  chan struct{}   // closed when Run returns
+	ctx      context.Context // cancelled to end all attempts and health checks
 
 	calls         map[balance.RequestID]*openCall
 	lastID        balance.RequestID
-	servers       map[balance.ServerID]*upstream.Server // those that are ready
+	servers       map[balance.ServerID]*upstream.Server // servers that the balancer uses
 	timers        timerHeap
-	lastTimerWake float64 // ms; when timers last woke the loop
-	listReceived  bool    // from discovery
+	lastTimerWake float64 // ms; the last time that a timer woke the loop
+	listReceived  bool    // since the start, from a list service
 	clockSteps    *clock.StepDetector
 }
 
-// New gives a loop for a balancer that sends by a pool of connections.
+// New returns an event loop for a balancer, whose requests are sent over the connections of a pool.
 func New(cfg *config.Config, balancer *balance.Balancer, pool *upstream.Pool) *Loop {
 	c := clock.New(cfg.Faults)
 	l := &Loop{
@@ -82,7 +82,7 @@
 	return l
 }
 
-// Post hands the loop a message; take has the types. After the loop's end messages are dropped.
+// Post queues a message for the loop; handleMessage lists the types. Once the loop has stopped, messages are dropped.
 func (l *Loop) Post(message any) {
 	select {
 	case l.inbox <- message:
@@ -90,15 +90,15 @@
 	}
 }
 
-// OpenCalls is how many calls have not ended. It is called after Run has returned.
+// OpenCalls returns the number of calls in the table. It may be called only after Run has returned.
 func (l *Loop) OpenCalls() int { return len(l.calls) }
 
-// Balancer gives the balancer for its status methods. They are called only while no message is being handled.
+// Balancer returns the balancer, for its status methods. They may be called only while the loop handles no message.
 func (l *Loop) Balancer() *balance.Balancer { return l.balancer }
 
-// Run works until ctx ends, and then waits for the goroutines that the loop has started. All messages that are there make
-// one batch with one reading of the clock. Timers wake the loop no more often than the quantum of the settings; messages
-// are not delayed by it.
+// Run handles messages and timers until ctx is cancelled, and then waits for the goroutines that the loop has started. All
+// queued messages form one batch with one reading of the clock. Timers wake the loop at most once per quantum of the
+// settings; messages are not delayed by it.
 func (l *Loop) Run(ctx context.Context) {
 	defer l.Workers.Wait()
 	defer close(l.stopped)
@@ -111,7 +111,7 @@
 	defer l.Members.Start()()
 	alarm := time.NewTimer(time.Hour)
 	defer alarm.Stop()
-	var publish <-chan time.Time // nil: the figures are not read
+	var publish <-chan time.Time // nil: no management address, so the metrics are not read
 	if l.cfg.Management != "" {
 		ticker := time.NewTicker(publishInterval)
 		defer ticker.Stop()
@@ -138,10 +138,10 @@
 	}
 }
 
-// now is the balancer's time in ms.
+// now returns the time for the balancer, in ms of the clock.
 func (l *Loop) now() float64 { return l.Clock.Millis(time.Now()) }
 
-// setAlarm sets the alarm to the next timer.
+// setAlarm sets the alarm to the next time at which timers may wake the loop.
 func (l *Loop) setAlarm(alarm *time.Timer) {
 	if len(l.timers) == 0 {
 		return
@@ -150,7 +150,7 @@
 	alarm.Reset(clock.Duration(next - l.now()))
 }
 
-// handleBatch takes a message and those that wait behind it.
+// handleBatch handles a message and those that are queued behind it.
 func (l *Loop) handleBatch(first any) {
 	now := l.now()
 	l.fireTimers(now)
@@ -160,7 +160,7 @@
 	}
 }
 
-// publishMetrics leaves what the balancer knows of the servers where the management address reads it.
+// publishMetrics publishes the balancer's state of servers and lists for the management address.
 func (l *Loop) publishMetrics(now float64) {
 	listed, avoided := l.balancer.CountServers(now)
 	l.Metrics.Servers.Store(&metrics.ServerMetrics{
@@ -169,14 +169,14 @@
 	})
 }
 
-// fireTimers delivers the timers that are due. A timer that is set meanwhile waits for the next batch.
+// fireTimers delivers the timers that are due. A timer that is set in the meantime waits for the next batch.
 func (l *Loop) fireTimers(now float64) {
 	for _, t := range l.timers.popDue(now) {
 		l.HandleEvent(now, balance.Timer{Token: t.token})
 	}
 }
 
-// handleMessage takes one message.
+// handleMessage handles one message.
 func (l *Loop) handleMessage(now float64, message any) {
 	switch m := message.(type) {
 	case clientserver.Arrival:
@@ -212,24 +212,24 @@
 	}
 }
 
-// HandleEvent hands the balancer an event and carries out its actions.
+// HandleEvent passes an event to the balancer and executes the resulting actions.
 func (l *Loop) HandleEvent(now float64, event balance.Event) {
 	actions, err := l.balancer.Handle(now, event)
 	if err != nil {
-		slog.Error("eventloop: the balancer rejects an event", "err", err)
+		slog.Error("eventloop: balancer rejected event", "err", err)
 		return
 	}
 	l.Execute(now, actions)
 }
 
-// checkClock tells the balancer of a step of the wall clock.
+// checkClock notifies the balancer if the wall clock was stepped.
 func (l *Loop) checkClock(now float64) {
 	if step, stepped := l.clockSteps.Check(); stepped {
 		l.HandleEvent(now, step)
 	}
 }
 
-// updateFleetSize hands the balancer the number of processes in the fleet.
+// updateFleetSize passes the number of processes in the fleet to the balancer, if it is known.
 func (l *Loop) updateFleetSize(now float64) {
 	if size, known := l.Members.Size(); known {
 		l.HandleEvent(now, size)
--- a/internal/sidecar/eventloop/timers.go
+++ b/internal/sidecar/eventloop/timers.go
@@ -2,19 +2,19 @@
 
 import "container/heap"
 
-// timer is a timer that the balancer has set.
+// timer is a timer set by the balancer.
 type timer struct {
 	due   float64 // ms
 	token uint64
 }
 
-// timerHeap holds timers, the earliest first.
+// timerHeap is a min-heap of timers by due time.
 type timerHeap []timer
 
 // add adds a timer.
 func (h *timerHeap) add(t timer) { heap.Push(h, t) }
 
-// popDue removes the timers that are due and gives them in order.
+// popDue removes the timers that are due and returns them, the earliest first.
 func (h *timerHeap) popDue(now float64) []timer {
 	var due []timer
 	for len(*h) > 0 && (*h)[0].due <= now {
@@ -23,19 +23,19 @@
 	return due
 }
 
-// Len is part of heap.Interface.
+// Len implements heap.Interface.
 func (h timerHeap) Len() int { return len(h) }
 
-// Less is part of heap.Interface.
+// Less implements heap.Interface.
 func (h timerHeap) Less(i, j int) bool { return h[i].due < h[j].due }
 
-// Swap is part of heap.Interface.
+// Swap implements heap.Interface.
 func (h timerHeap) Swap(i, j int) { h[i], h[j] = h[j], h[i] }
 
-// Push is part of heap.Interface.
+// Push implements heap.Interface.
 func (h *timerHeap) Push(v any) { *h = append(*h, v.(timer)) }
 
-// Pop is part of heap.Interface.
+// Pop implements heap.Interface.
 func (h *timerHeap) Pop() any {
 	last := (*h)[len(*h)-1]
 	*h = (*h)[:len(*h)-1]
--- a/internal/sidecar/metrics/doc.go
+++ b/internal/sidecar/metrics/doc.go
@@ -1,2 +1,2 @@
-// Package metrics holds the figures of a sidecar's process, and writes them in Prometheus's text form.
+// Package metrics holds the metrics of a sidecar process and writes them in the Prometheus text format.
 package metrics
--- a/internal/sidecar/metrics/metrics.go
+++ b/internal/sidecar/metrics/metrics.go
@@ -12,36 +12,37 @@
 	"marblelane/internal/sidecar/routing"
 )
 
-// Metrics counts from the start of the process. Each request counts once, by the answer that was decided for it.
+// Metrics holds counters since the start of the process, and gauges. Each request is counted once, by the response that
+// was decided for it.
 type Metrics struct {
-	WrittenAttempts atomic.Int64 // attempts of which the last byte was written
-	InFlight        atomic.Int64 // requests that were accepted and have not ended
+	WrittenAttempts atomic.Int64 // attempts whose last byte was written to a server
+	InFlight        atomic.Int64 // requests that were accepted and have not completed
 	Servers         atomic.Pointer[ServerMetrics]
 	classes         []classCounters
 }
 
-// classCounters counts the answers of a class.
+// classCounters counts the responses to requests of one class.
 type classCounters struct {
-	name                     string // escaped for a label
+	name                     string // escaped for use as a label value
 	served, rejected, failed atomic.Int64
 }
 
-// ServerMetrics is what the event loop last published of servers and lists.
+// ServerMetrics is the state of servers and endpoint lists that the event loop published last.
 type ServerMetrics struct {
 	Listed, Avoided, Ready int
-	ListReceived           bool // from discovery, since the start
+	ListReceived           bool // since the start, from a list service
 	List                   balance.ListStatus
 	Zones                  balance.ZoneStatus
-	Routes                 *routing.Figures // nil: off
+	Routes                 *routing.Figures // nil: the section routes is not configured
 }
 
-// figure is one line of the text form, without the prefix svc_.
-type figure struct {
+// sample is one metric of the text format; its name is without the prefix svc_.
+type sample struct {
 	name, kind string
 	value      int64
 }
 
-// New gives metrics of classes by name.
+// New returns the metrics for classes of the given names. A class is identified by its index.
 func New(classes []string) *Metrics {
 	m := &Metrics{classes: make([]classCounters, len(classes))}
 	label := strings.NewReplacer(`\`, `\\`, `"`, `\"`, "\n", `\n`)
@@ -52,7 +53,7 @@
 	return m
 }
 
-// CountResponse counts the final answer of a request, by its HTTP status.
+// CountResponse counts the final response to a request of a class, by its HTTP status.
 func (m *Metrics) CountResponse(class, status int) {
 	c := &m.classes[class]
 	switch status {
@@ -65,7 +66,7 @@
 	}
 }
 
-// BoolValue is 1 for true and 0 for false.
+// BoolValue returns the value of a boolean gauge: 1 for true and 0 for false.
 func BoolValue(value bool) int64 {
 	if value {
 		return 1
@@ -73,23 +74,23 @@
 	return 0
 }
 
-// Write writes all figures in Prometheus's text form.
+// Write writes all metrics in the Prometheus text format.
 func (m *Metrics) Write(w io.Writer) {
-	for _, by := range []struct {
-		name string
-		of   func(*classCounters) int64
+	for _, counter := range []struct {
+		name  string
+		value func(*classCounters) int64
 	}{
 		{"success", func(c *classCounters) int64 { return c.served.Load() }},
 		{"busy", func(c *classCounters) int64 { return c.rejected.Load() }},
 		{"failure", func(c *classCounters) int64 { return c.failed.Load() }},
 	} {
-		fmt.Fprintf(w, "# TYPE svc_%s counter\n", by.name)
+		fmt.Fprintf(w, "# TYPE svc_%s counter\n", counter.name)
 		for i := range m.classes {
-			fmt.Fprintf(w, "svc_%s{tier=\"%s\"} %d\n", by.name, m.classes[i].name, by.of(&m.classes[i]))
+			fmt.Fprintf(w, "svc_%s{tier=\"%s\"} %d\n", counter.name, m.classes[i].name, counter.value(&m.classes[i]))
 		}
 	}
 	servers := m.Servers.Load()
-	figures := []figure{
+	samples := []sample{
 		{"backend_calls", "counter", m.WrittenAttempts.Load()},
 		{"inflight", "gauge", m.InFlight.Load()},
 		{"hosts_listed", "gauge", int64(servers.Listed)},
@@ -105,16 +106,16 @@
 		{"region_spill_percent", "gauge", int64(100 * servers.Zones.FarSpill)},
 	}
 	if s := servers.Routes; s != nil {
-		figures = append(figures,
-			figure{"steer_revision", "gauge", s.ActingRev},
-			figure{"steer_unread_revision", "gauge", s.UnreadableRev},
-			figure{"steer_permitted", "gauge", BoolValue(s.HasLease)},
-			figure{"steer_units_free", "gauge", s.FreeUnits},
-			figure{"steer_voids", "counter", s.RevokedAttempts},
-			figure{"steer_samples_lost", "counter", s.LostSamples},
+		samples = append(samples,
+			sample{"steer_revision", "gauge", s.ActingRev},
+			sample{"steer_unread_revision", "gauge", s.UnreadableRev},
+			sample{"steer_permitted", "gauge", BoolValue(s.HasLease)},
+			sample{"steer_units_free", "gauge", s.FreeUnits},
+			sample{"steer_voids", "counter", s.RevokedAttempts},
+			sample{"steer_samples_lost", "counter", s.LostSamples},
 		)
 	}
-	for _, one := range figures {
-		fmt.Fprintf(w, "# TYPE svc_%s %s\nsvc_%s %d\n", one.name, one.kind, one.name, one.value)
+	for _, s := range samples {
+		fmt.Fprintf(w, "# TYPE svc_%s %s\nsvc_%s %d\n", s.name, s.kind, s.name, s.value)
 	}
 }
