--- a/internal/sidecar/clock/step_detector.go
+++ b/internal/sidecar/clock/step_detector.go
@@ -48,8 +48,8 @@
 	}
 }
 
-// Check reads the clocks and reports whether the wall clock was stepped. An apparent step is confirmed by a second reading:
-// the process may have been held up between the two clocks of one reading, but hardly twice for the same time.
+// Check reads the clocks and reports whether the wall clock was stepped. An apparent step is confirmed by a second
+// reading: the process may have been held up between the two clocks of one reading, but hardly twice for the same time.
 func (d *StepDetector) Check() (step balance.ClockStepped, stepped bool) {
 	offset, ok := d.readOffset()
 	if !ok || math.Abs(offset-d.offset) < minStep {
--- a/internal/sidecar/doc.go
+++ b/internal/sidecar/doc.go
@@ -1,3 +1,4 @@
-// Package sidecar joins the packages below it to one process: applications in front, servers behind, discovery beside. All
-// decisions are those of package balance.
+// Package sidecar assembles the sidecar process from the packages below it: it accepts requests of clients, forwards
+// them to servers and follows the endpoint lists of discovery. All load-balancing decisions are made by package
+// balance.
 package sidecar
--- a/internal/sidecar/eventloop/calls.go
+++ b/internal/sidecar/eventloop/calls.go
@@ -23,7 +23,8 @@
 	l.HandleEvent(now, request)
 }
 
-// handleBodyComplete starts the deadline of a call and the clocks of its attempts once its body has been forwarded in full.
+// handleBodyComplete starts the deadline of a call and the clocks of its attempts once its body has been forwarded in
+// full.
 func (l *Loop) handleBodyComplete(now float64, c *inflight.Call) {
 	c.Deadline = c.Outbound.Upload.CompletedAt().Add(c.Timeout)
 	if open := l.calls[c.Request.ID]; open != nil {
@@ -56,8 +57,8 @@
 	})
 }
 
-// handleAttemptDone reports the outcome of an attempt to the balancer, once per attempt. The first successful response of a
-// call goes to the client.
+// handleAttemptDone reports the outcome of an attempt to the balancer, once per attempt. The first successful response
+// of a call goes to the client.
 func (l *Loop) handleAttemptDone(now float64, a *upstream.Attempt, reply inflight.Reply) {
 	a.Cancel()
 	c := a.Call
@@ -88,7 +89,8 @@
 	l.release(c)
 }
 
-// cancelUnwritten cancels the attempts of a call whose request is not written yet: nothing is sent after the final response.
+// cancelUnwritten cancels the attempts of a call whose request is not written yet. Nothing is sent after the
+// final response.
 func (l *Loop) cancelUnwritten(c *inflight.Call) {
 	open := l.calls[c.Request.ID]
 	if open == nil {
--- a/internal/sidecar/eventloop/list.go
+++ b/internal/sidecar/eventloop/list.go
@@ -9,8 +9,8 @@
 	"marblelane/internal/sidecar/upstream"
 )
 
-// handleListEvent passes an endpoint list to the balancer, which decides which entries to accept, and updates the table of
-// servers accordingly. Both happen before the next message is handled, so that attempts in flight see the balancer's
+// handleListEvent passes an endpoint list to the balancer, which decides which entries to accept, and updates the table
+// of servers accordingly. Both happen before the next message is handled, so that attempts in flight see the balancer's
 // current state when they are about to send their first byte.
 func (l *Loop) handleListEvent(now float64, event discovery.ListEvent) {
 	l.checkClock(now)
--- a/internal/sidecar/eventloop/loop.go
+++ b/internal/sidecar/eventloop/loop.go
@@ -96,9 +96,9 @@
 // Balancer returns the balancer, for its status methods. They may be called only while the loop handles no message.
 func (l *Loop) Balancer() *balance.Balancer { return l.balancer }
 
-// Run handles messages and timers until ctx is cancelled, and then waits for the goroutines that the loop has started. All
-// queued messages form one batch with one reading of the clock. Timers wake the loop at most once per quantum of the
-// settings; messages are not delayed by it.
+// Run handles messages and timers until ctx is cancelled, and then waits for the goroutines that the loop has started.
+// All queued messages form one batch with one reading of the clock. Timers wake the loop at most once per quantum of
+// the settings; messages are not delayed by it.
 func (l *Loop) Run(ctx context.Context) {
 	defer l.Workers.Wait()
 	defer close(l.stopped)
--- a/internal/sidecar/limits.go
+++ b/internal/sidecar/limits.go
@@ -11,23 +11,25 @@
 )
 
 const (
-	// A part of the sockets is reserved for the listeners, discovery, the log, the runtime and the management address.
+	// reserveFraction of all sockets, at most maxReserve, is reserved for the listeners, discovery, the log, the
+	// runtime and the management address.
 	reserveFraction    = 1. / 6
-	maxReserve         = 64
-	managementFraction = 0.25 // of the reserve, for connections to the management address
-	clientFraction     = 0.55 // of the rest, for clients; servers have what is left
-	keepAliveFraction  = 0.75 // of the client connections: beyond it they are closed between requests
+	maxReserve         = 64   // sockets
+	managementFraction = 0.25 // fraction of the reserve that connections to the management address may use
+	clientFraction     = 0.55 // fraction of the remaining sockets for clients; servers get the others
+	keepAliveFraction  = 0.75 // fraction of the client connections; above it connections are closed after a response
 
-	requestFraction = 0.5      // of the memory limit, for all but held bodies of requests
-	requestMemory   = 96 << 10 // bytes that a long body or answer takes on its way: buffers, connections and stacks
+	requestFraction = 0.5      // fraction of the memory limit for everything but buffered request bodies
+	requestMemory   = 96 << 10 // bytes for forwarding a long body or response: buffers, connections and stacks
 	bytesPerMB      = 1 << 20
-	gcPercent       = 400 // garbage is small beside the limit, and there is one core
+	gcPercent       = 400 // garbage is small compared to the memory limit, and there is one core
 )
 
-// budget is what all processes of a sidecar may use together: connections, and requests at a time.
+// budget limits all processes of a sidecar together: the connections to the management address, from clients and to
+// servers, and the number of concurrent requests.
 type budget struct{ management, clients, servers, requests int }
 
-// newBudget divides the limits of the configuration.
+// newBudget derives the budget from the limits of the configuration.
 func newBudget(cfg *config.Config) budget {
 	reserve := min(max(int(float64(cfg.Sockets)*reserveFraction), config.MinReserve), maxReserve)
 	free := cfg.Sockets - reserve
@@ -46,11 +48,12 @@
 	return b
 }
 
-// divideLimits divides the budget among the processes of this sidecar. The caller holds processMu, or is alone.
+// divideLimits divides the budget evenly among the processes of this sidecar and applies the share of this one. The
+// caller holds processMu, or no other goroutine uses the sidecar yet.
 func (s *Sidecar) divideLimits() {
 	processes := 1 + s.olderProcesses + s.newerProcesses
 	if processes > 1 {
-		slog.Info("upgrade: this sidecar shares its limits", "processes", processes)
+		slog.Info("upgrade: limits divided", "processes", processes)
 	}
 	if s.management != nil {
 		s.management.SetLimit(max(s.budget.management/processes, 1))
@@ -65,22 +68,22 @@
 	limitMemory(s.cfg, processes)
 }
 
-// predecessorAlive reports whether the predecessor still runs.
+// predecessorAlive reports whether the predecessor is still running.
 func (s *Sidecar) predecessorAlive() bool {
 	s.processMu.Lock()
 	defer s.processMu.Unlock()
 	return s.olderProcesses > 0
 }
 
-// setProcessCount sets olderProcesses or newerProcesses, and divides the limits anew.
-func (s *Sidecar) setProcessCount(which *int, alive int) {
+// setProcessCount sets olderProcesses or newerProcesses and divides the limits again.
+func (s *Sidecar) setProcessCount(count *int, alive int) {
 	s.processMu.Lock()
 	defer s.processMu.Unlock()
-	*which = alive
+	*count = alive
 	s.divideLimits()
 }
 
-// SetRuntimeLimits tells the runtime what the configuration allows this process.
+// SetRuntimeLimits applies the memory and CPU limits of the configuration to the Go runtime.
 func SetRuntimeLimits(cfg *config.Config) {
 	debug.SetGCPercent(gcPercent)
 	debug.SetMemoryLimit(cfg.MemoryLimit(1))
@@ -89,9 +92,9 @@
 	}
 }
 
-// limitMemory sets the runtime's limit to this process's part, if Limit has set one.
+// limitMemory sets the memory limit of the runtime to the share of this process, if SetRuntimeLimits has set a limit.
 func limitMemory(cfg *config.Config, processes int) {
-	current := debug.SetMemoryLimit(-1) // a negative value only reads it
+	current := debug.SetMemoryLimit(-1) // a negative value only reads the limit
 	if current == math.MaxInt64 || current == cfg.MemoryLimit(processes) {
 		return
 	}
--- a/internal/sidecar/management.go
+++ b/internal/sidecar/management.go
@@ -18,24 +18,24 @@
 	maxManagementHead = 8 << 10 // bytes
 )
 
-// managementServer serves the address for the platform. It has descriptors of its own and reads only what others have
-// published, so that it answers under any load.
+// managementServer returns the server of the management address, which the platform calls. It has sockets reserved for
+// it and reads only published state, so that it responds under any load.
 func (s *Sidecar) managementServer() *http.Server {
 	srv := &http.Server{
 		Handler: http.HandlerFunc(s.manage), ReadTimeout: config.ManagementTimeout, WriteTimeout: config.ManagementTimeout,
 		MaxHeaderBytes: maxManagementHead,
 		ConnState: func(c net.Conn, state http.ConnState) {
 			if conn, ok := c.(*clientserver.ClientConn); ok && state == http.StateActive {
-				conn.RequestRead() // ManagementTimeout bounds it in any case
+				conn.RequestRead() // ManagementTimeout still limits the time of the request
 			}
 		},
 		ErrorLog: slog.NewLogLogger(slog.Default().Handler(), slog.LevelDebug),
 	}
-	srv.SetKeepAlivesEnabled(false) // one call to a connection
+	srv.SetKeepAlivesEnabled(false) // one request per connection
 	return srv
 }
 
-// manage answers one call of the management address.
+// manage handles one request to the management address.
 func (s *Sidecar) manage(w http.ResponseWriter, r *http.Request) {
 	if fleet.IsMembersPath(r.URL.Path) {
 		s.loop.Members.ServeHTTP(w, r)
@@ -59,7 +59,7 @@
 	s.writeHealth(w)
 }
 
-// writeHealth says whether this process can serve.
+// writeHealth responds with 200 if this process can serve clients, and with 503 and the reason otherwise.
 func (s *Sidecar) writeHealth(w http.ResponseWriter) {
 	switch {
 	case s.clients.Draining():
--- a/internal/sidecar/reload.go
+++ b/internal/sidecar/reload.go
@@ -11,16 +11,16 @@
 	"marblelane/internal/sidecar/netcall"
 )
 
-// The pauses between two readings of a configuration that cannot be read, or is malformed. The longest leaves discovery
-// well within 4 s to move where the file is complete 2 s after the signal.
+// Shortest and longest pause before a configuration that is unreadable or malformed is read again. With a file that is
+// complete 2 s after the signal, maxReloadPause lets discovery use the new address well within 4 s of the signal.
 const (
 	minReloadPause = 20 * time.Millisecond
 	maxReloadPause = 500 * time.Millisecond
 )
 
-// Reload applies a configuration file that was replaced: the addresses of discovery and of the routes. NODE_DISCOVERY is
-// ignored, as it still names the address that this process was started with. An error names the file, and the key where
-// there is one; nothing has changed then.
+// Reload reads the configuration file again and applies its addresses of discovery and of the routes. NODE_DISCOVERY is
+// ignored, as it still holds the address that this process was started with. On an error nothing has changed. The error
+// names the file and, if the fault is in one of its values, the key.
 func (s *Sidecar) Reload(getenv func(string) string) error {
 	cfg, err := config.LoadWith(func(name string) string {
 		if name == "NODE_DISCOVERY" {
@@ -32,17 +32,18 @@
 		return err
 	}
 	s.loop.Discovery.SetAddrs(cfg.ListAddrs())
-	if s.loop.Routing != nil && cfg.Routes != nil { // the section itself is added or removed by a restart
+	if s.loop.Routing != nil && cfg.Routes != nil { // adding or removing the section takes a restart
 		s.loop.Routing.Client.SetAddrs(cfg.Routes.Addrs)
 	}
 	if !config.SameMembership(s.cfg.Membership, cfg.Membership) {
-		slog.Warn("reload: the section members has changed; that holds from the next start")
+		slog.Warn("reload: change of section members ignored until the next start")
 	}
 	return nil
 }
 
-// ReloadOnSignal reloads at each signal until ctx ends. A configuration that cannot be applied is read again, after pauses
-// that double from minReloadPause to maxReloadPause, until it can be or the next signal starts anew.
+// ReloadOnSignal reloads the configuration at each signal, until ctx is cancelled. If that fails it tries again, after
+// pauses that double from minReloadPause to maxReloadPause, until it succeeds or the next signal starts a new series of
+// attempts.
 func (s *Sidecar) ReloadOnSignal(ctx context.Context, signals <-chan os.Signal, getenv func(string) string) {
 	for {
 		select {
@@ -55,8 +56,8 @@
 	}
 }
 
-// reloadUntilDone repeats a reload until it succeeds or ctx ends, and reports whether another signal came before that.
-// The first failure is logged, and later ones once each retry.LogInterval.
+// reloadUntilDone repeats a reload until it succeeds, ctx is cancelled or another signal arrives, which it reports. The
+// first failure is logged, and later ones at most once per retry.LogInterval.
 func reloadUntilDone(ctx context.Context, signals <-chan os.Signal, reload func() error) (again bool) {
 	backoff := retry.Backoff{Min: minReloadPause, Max: maxReloadPause}
 	var limiter retry.LogLimiter
@@ -64,12 +65,12 @@
 		err := reload()
 		if err == nil {
 			if attempts > 1 {
-				slog.Info("reload: the configuration was taken in", "attempts", attempts)
+				slog.Info("reload: configuration applied", "attempts", attempts)
 			}
 			return false
 		}
 		if ok, suppressed := limiter.Allow(); ok {
-			slog.Error("reload: the configuration stays as it was; it is read again", "err", err, "suppressed", suppressed)
+			slog.Error("reload: apply configuration, will retry", "err", err, "suppressed", suppressed)
 		}
 		pause := time.NewTimer(backoff.Next())
 		select {
--- a/internal/sidecar/shutdown.go
+++ b/internal/sidecar/shutdown.go
@@ -16,61 +16,65 @@
 )
 
 const (
-	// drainAccept is how long connections are accepted after SIGTERM.
+	// drainAccept is the time after SIGTERM during which connections are accepted.
 	drainAccept = 500 * time.Millisecond
-	drainStep   = 5 * time.Millisecond
-	// SIGKILL comes no earlier than killAfter beyond the longest deadline, of which maxDrain counts at most.
+	// drainStep is the interval between two steps of a shutdown.
+	drainStep = 5 * time.Millisecond
+	// SIGKILL follows SIGTERM after the longest deadline, of which at most maxDrain counts, plus killAfter, at the
+	// earliest.
 	maxDrain  = 3 * time.Second
 	killAfter = 700 * time.Millisecond
-	// finalAnswerMargin is how long before SIGKILL service ends and all open requests are answered: a client without an
-	// answer cannot tell a request that may be sent again from one that ran. It covers a process that is held up for
-	// 0.15 s, after SIGTERM before it reads its clock, or after that before it writes the answers.
-	finalAnswerMargin = 250 * time.Millisecond
-	// maxAnswerTail is how long answers that have started are forwarded where no SIGKILL comes.
-	maxAnswerTail = 30 * time.Second
+	// finalResponseMargin is the time before the earliest SIGKILL at which service ends and all open requests get their
+	// response. Without a response a client cannot tell whether the request ran or may be sent again. The margin allows
+	// for a process that is held up for 0.15 s, between SIGTERM and reading its clock or before it writes the responses.
+	finalResponseMargin = 250 * time.Millisecond
+	// maxResponseTail limits the time for which responses that have started are forwarded after the end of service, in
+	// case no SIGKILL comes.
+	maxResponseTail = 30 * time.Second
 )
 
-// drainPhase is how far a graceful shutdown has come.
+// drainPhase is the phase of a graceful shutdown.
 type drainPhase uint8
 
 const (
-	drainServing      drainPhase = iota // requests that come are still served
-	drainServiceEnded                   // service has ended: all that is open is answered, or its answer is being forwarded
+	drainServing      drainPhase = iota // new requests are still served
+	drainServiceEnded                   // all open requests have their response, or it is being forwarded
 )
 
 func (p drainPhase) String() string {
 	return [...]string{"serving", "answered"}[p]
 }
 
-// drainState is a graceful shutdown under way; docs/on-call.md has it by the states of a client's connection.
+// drainState is the state of a graceful shutdown. docs/on-call.md describes it by the states of a client's connection.
 //
-// Where a newer process serves, what comes is that one's at once. Otherwise connections are accepted for drainAccept, and
-// then while a request may come again on a new connection because the end of its old one crossed it. Each answer ends its
-// connection; connections without a request are ended after drainAccept. At the end of service, finalAnswerMargin before
-// SIGKILL may come, all open requests get their answers, those included of which only a part has come, and answers that
-// have started are forwarded to their end.
+// If a successor serves, this process stops accepting connections at once. Otherwise it accepts connections for
+// drainAccept, and then for as long as a client may send a request again on a new connection, because its old one was
+// closed while the request was on its way. Each response closes its connection. Connections without a request are
+// closed after drainAccept. At the end of service, finalResponseMargin before the earliest SIGKILL, all open requests
+// get their response, including requests that have arrived only in part, and responses that have started are forwarded
+// to their end.
 type drainState struct {
 	s             *Sidecar
 	startedAt     time.Time
-	serviceEnd    time.Time // when service ends
-	idleEnd       time.Time // when connections without a request are ended
-	lastCrossedAt time.Time // when a request was last likely to come again
+	serviceEnd    time.Time // time at which service ends
+	idleEnd       time.Time // time from which on connections without a request are closed
+	lastCrossedAt time.Time // last time at which a close may have crossed a request, which the client then sends again
 	accepting     bool
 	phase         drainPhase
 }
 
-// drain ends the service gracefully.
+// drain shuts the service down gracefully.
 func (s *Sidecar) drain(srv *http.Server) error {
 	s.checkpoints.At(checkpoint.DrainSignalled)
 	startedAt := time.Now()
 	s.clients.StartDraining()
 	s.predecessor.AnnounceEnd()
 	slog.Info("draining")
-	untilEnd := s.killTime() - finalAnswerMargin
+	serviceTime := s.killTime() - finalResponseMargin
 	d := &drainState{
-		s: s, startedAt: startedAt, serviceEnd: startedAt.Add(untilEnd), lastCrossedAt: startedAt, accepting: true,
-		// A request that crosses the end of an idle connection has to come again before the listener closes.
-		idleEnd: startedAt.Add(min(s.drainAccept, untilEnd-clientserver.CloseWindow)),
+		s: s, startedAt: startedAt, serviceEnd: startedAt.Add(serviceTime), lastCrossedAt: startedAt, accepting: true,
+		// A request that crosses the close of its idle connection has to be sent again before the listener closes.
+		idleEnd: startedAt.Add(min(s.drainAccept, serviceTime-clientserver.CloseWindow)),
 	}
 	for d.accepting || !s.listener.Empty() {
 		if done := d.step(time.Now()); done {
@@ -80,7 +84,7 @@
 	}
 	err := srv.Close()
 	s.awaitConnsClosed()
-	s.loop.Members.Leave(d.serviceEnd.Add(finalAnswerMargin))
+	s.loop.Members.Leave(d.serviceEnd.Add(finalResponseMargin))
 	if err != nil && !errors.Is(err, net.ErrClosed) {
 		return fmt.Errorf("drain: %w", err)
 	}
@@ -88,7 +92,7 @@
 	return nil
 }
 
-// step does what is due, and reports whether nothing is left to wait for.
+// step performs the actions that are due and reports whether the shutdown is done.
 func (d *drainState) step(now time.Time) (done bool) {
 	if !now.Before(d.idleEnd) && d.s.listener.CloseIdle(d.startedAt) {
 		d.lastCrossedAt = now
@@ -98,42 +102,43 @@
 		d.endService()
 	}
 	if d.accepting && d.mayStopAccepting(now) {
-		d.accepting = !d.s.stopAccepting(sinceEnd >= finalAnswerMargin)
+		d.accepting = !d.s.stopAccepting(sinceEnd >= finalResponseMargin)
 	}
 	if d.phase == drainServiceEnded {
 		d.s.listener.RejectPartial()
 		d.s.clients.AbortBodies()
 	}
-	// The connections that are left then have never sent a complete request.
-	answered := sinceEnd >= finalAnswerMargin && !d.accepting && d.s.clients.OpenRequests() == 0
-	return answered || sinceEnd >= maxAnswerTail
+	// Connections that are still open now have never sent a complete request.
+	allResponded := sinceEnd >= finalResponseMargin && !d.accepting && d.s.clients.OpenRequests() == 0
+	return allResponded || sinceEnd >= maxResponseTail
 }
 
-// endService lets the balancer answer all open requests. Nothing is sent to servers from here on.
+// endService makes the balancer end all open requests with a response. Nothing is sent to servers from now on.
 func (d *drainState) endService() {
 	d.phase = drainServiceEnded
 	d.s.checkpoints.At(checkpoint.ServiceEndDue)
 	d.s.loop.Post(balance.Shutdown{})
-	d.s.loop.Members.BeginLeave(finalAnswerMargin)
+	d.s.loop.Members.BeginLeave(finalResponseMargin)
 	d.s.checkpoints.At(checkpoint.ServiceEnded)
 }
 
-// mayStopAccepting reports whether no request needs this process's listener any more.
+// mayStopAccepting reports whether no further request depends on the listener of this process.
 func (d *drainState) mayStopAccepting(now time.Time) bool {
-	newerServes := d.s.successors.Serving.Load() > 0
-	noneCrosses := !now.Before(d.idleEnd) && now.Sub(d.lastCrossedAt) >= clientserver.CloseWindow
-	return newerServes || d.phase == drainServiceEnded || noneCrosses
+	successorServes := d.s.successors.Serving.Load() > 0
+	noneInTransit := !now.Before(d.idleEnd) && now.Sub(d.lastCrossedAt) >= clientserver.CloseWindow
+	return successorServes || d.phase == drainServiceEnded || noneInTransit
 }
 
-// awaitConnsClosed waits a moment for clients to read answers that have just been written.
+// awaitConnsClosed waits until all client connections are closed, at most for CloseWindow, so that clients can read the
+// responses that were written last.
 func (s *Sidecar) awaitConnsClosed() {
 	for startedAt := time.Now(); !s.listener.Empty() && time.Since(startedAt) < clientserver.CloseWindow; {
 		time.Sleep(drainStep)
 	}
 }
 
-// stopAccepting closes the listener, and reports whether it has. Connections that wait to be accepted would be reset: it
-// waits for them, unless it has to close now, or a newer process has the socket too and accepts them.
+// stopAccepting closes the listener and reports whether it did. Closing resets connections that wait to be accepted. As
+// long as there are any the listener stays open, unless now is set or a successor shares the socket and accepts them.
 func (s *Sidecar) stopAccepting(now bool) bool {
 	if !now && !s.successors.ShareListener() && s.countUnaccepted(s.tcpListener) > 0 {
 		return false
@@ -142,11 +147,11 @@
 	return true
 }
 
-// killTime is the time from SIGTERM to the earliest SIGKILL.
+// killTime returns the time from SIGTERM to the earliest SIGKILL.
 func (s *Sidecar) killTime() time.Duration {
-	latest := 0.0
+	maxDeadline := 0.0
 	for i := range s.cfg.Balance.Classes {
-		latest = math.Max(latest, s.cfg.Balance.Classes[i].Deadline)
+		maxDeadline = math.Max(maxDeadline, s.cfg.Balance.Classes[i].Deadline)
 	}
-	return min(clock.Duration(latest), maxDrain) + killAfter
+	return min(clock.Duration(maxDeadline), maxDrain) + killAfter
 }
--- a/internal/sidecar/sidecar.go
+++ b/internal/sidecar/sidecar.go
@@ -26,37 +26,37 @@
 	"marblelane/internal/sidecar/upstream"
 )
 
-// reapInterval is how often idle connections to servers are closed that have become too old.
+// reapInterval is the interval at which connections to servers that have been idle for too long are closed.
 const reapInterval = time.Second
 
-// serversPollInterval is how often a newer process looks whether it knows servers.
+// serversPollInterval is the interval at which a successor checks whether it has servers.
 const serversPollInterval = 10 * time.Millisecond
 
-// Sidecar is one running sidecar.
+// Sidecar is one sidecar process: its listeners, the event loop and the state of upgrades and shutdown.
 type Sidecar struct {
 	cfg         *config.Config
-	tcpListener *net.TCPListener      // under listener
-	listener    *clientserver.Limiter // of clients
+	tcpListener *net.TCPListener      // the socket of listener
+	listener    *clientserver.Limiter // accepts connections from clients
 	management  *clientserver.Limiter // nil: no management address
 	loop        *eventloop.Loop
 	clients     *clientserver.Server
-	predecessor *handover.Predecessor // nil: none
+	predecessor *handover.Predecessor // nil: there is none
 	successors  handover.Successors
 	serving     atomic.Bool
 	budget      budget
 
-	// Tests change these before Run.
-	drainAccept     time.Duration              // how long connections are accepted after SIGTERM
-	listTimeout     time.Duration              // how long a newer process waits for discovery
-	countUnaccepted func(*net.TCPListener) int // how many connections wait to be accepted
+	// Tests may change these fields before Run.
+	drainAccept     time.Duration              // time after SIGTERM during which connections are accepted
+	listTimeout     time.Duration              // time for which a successor waits for a list service
+	countUnaccepted func(*net.TCPListener) int // returns the number of connections that wait to be accepted
 	checkpoints     checkpoint.Hook
 
 	processMu                      sync.Mutex // guards older and newer
-	olderProcesses, newerProcesses int        // processes of this sidecar beside this one
+	olderProcesses, newerProcesses int        // other processes of this sidecar, by whether they started before or after this one
 }
 
-// Open reads the configuration as LoadConfig does, tells the runtime its limits and prepares a sidecar as New does. What
-// fails for a moment is tried again, for retry.StartLimit in all, and not beyond the end of ctx.
+// Open reads the configuration, applies its limits to the Go runtime and prepares a sidecar as New does. Operations
+// that fail with a transient error are retried, for at most retry.StartLimit in total and until ctx is cancelled.
 func Open(ctx context.Context, getenv func(string) string) (*Sidecar, error) {
 	start := retry.NewStart(ctx, nil)
 	cfg, err := config.LoadWith(getenv, config.RetryingRead(start, os.ReadFile))
@@ -67,8 +67,8 @@
 	return newSidecar(cfg, start)
 }
 
-// New prepares a sidecar and binds its addresses. An address that cannot be bound for a moment is tried again, for up to
-// retry.StartLimit; the error names the key of the address.
+// New prepares a sidecar and binds its addresses. If binding an address fails with a transient error it is retried, for
+// up to retry.StartLimit. The error names the key of the address.
 func New(cfg *config.Config) (*Sidecar, error) {
 	return newSidecar(cfg, retry.NewStart(context.Background(), nil))
 }
@@ -117,7 +117,7 @@
 	return s, nil
 }
 
-// newRouter gives the router of the section routes; nil: there is no such section.
+// newRouter returns the router of the section routes, or nil if the section is not configured.
 func newRouter(cfg *config.Config) (*routing.Router, error) {
 	if cfg.Routes == nil {
 		return nil, nil
@@ -125,7 +125,7 @@
 	return routing.New(cfg)
 }
 
-// listenManagement binds the management address; nil: there is none.
+// listenManagement binds the management address. It returns nil if none is configured.
 func listenManagement(cfg *config.Config, start *retry.Start) (*clientserver.Limiter, error) {
 	if cfg.Management == "" {
 		return nil, nil
@@ -141,7 +141,7 @@
 	return clientserver.NewLimiter(listening.Wrap(netcall.WithFaults(listener, cfg.Faults), "management", nil), 1), nil
 }
 
-// listenClients takes the clients' listening socket over from the process that serves now, or binds the address.
+// listenClients takes over the listening socket for clients from the predecessor, or binds the address if there is none.
 func listenClients(cfg *config.Config, start *retry.Start) (*handover.Predecessor, net.Listener, error) {
 	var predecessor *handover.Predecessor
 	var listener net.Listener
@@ -150,7 +150,7 @@
 		return failed
 	})
 	if err != nil {
-		slog.Info("upgrade: no process before this one", "err", err)
+		slog.Info("upgrade: find predecessor", "err", err)
 	}
 	if listener != nil {
 		return predecessor, listener, nil
@@ -162,9 +162,10 @@
 	return predecessor, listener, err
 }
 
-// newLoop joins the event loop with connections to servers, of which there may be so many, and with discovery.
-func newLoop(cfg *config.Config, balancer *balance.Balancer, router *routing.Router, servers int) *eventloop.Loop {
-	loop := eventloop.New(cfg, balancer, upstream.NewPool(cfg, servers))
+// newLoop returns an event loop with a pool of at most maxServerConns connections to servers, a router and a discovery
+// client.
+func newLoop(cfg *config.Config, balancer *balance.Balancer, router *routing.Router, maxServerConns int) *eventloop.Loop {
+	loop := eventloop.New(cfg, balancer, upstream.NewPool(cfg, maxServerConns))
 	loop.Routing = router
 	router.Attach(loop, balancer, loop.Clock, cfg.Balance.Classes)
 	loop.Discovery = discovery.New(cfg.ListAddrs(), cfg.MemoryMB, loop.Post, func(f func()) { loop.Workers.Go(f) })
@@ -174,7 +175,7 @@
 	return loop
 }
 
-// ManagementAddr is the address for the platform; empty: there is none.
+// ManagementAddr returns the management address, or an empty string if there is none.
 func (s *Sidecar) ManagementAddr() string {
 	if s.management == nil {
 		return ""
@@ -182,10 +183,10 @@
 	return s.management.Addr().String()
 }
 
-// Addr is the address where clients connect.
+// Addr returns the address to which clients connect.
 func (s *Sidecar) Addr() string { return s.listener.Addr().String() }
 
-// Run serves until ctx ends, goes on while clients still come, answers all it took and returns.
+// Run serves clients until ctx is cancelled, and then shuts down gracefully: every accepted request gets a response.
 func (s *Sidecar) Run(ctx context.Context) error {
 	defer s.startWork()()
 	failed := make(chan error, 2) // one for each server of net/http
@@ -201,7 +202,8 @@
 	return s.drain(srv)
 }
 
-// startWork starts the event loop, the calls to discovery and the reaper of idle connections. Its result ends them all.
+// startWork starts the event loop, the calls to discovery and the reaper of idle connections. The returned function stops
+// all of them.
 func (s *Sidecar) startWork() (end func()) {
 	work, stop := context.WithCancel(context.Background())
 	ended := make(chan struct{})
@@ -220,7 +222,7 @@
 	}
 }
 
-// reapIdle closes old idle connections to servers until ctx ends.
+// reapIdle closes connections to servers that have been idle for too long, until ctx is cancelled.
 func (s *Sidecar) reapIdle(ctx context.Context) {
 	ticker := time.NewTicker(reapInterval)
 	defer ticker.Stop()
@@ -234,7 +236,7 @@
 	}
 }
 
-// serveManagement serves the management address, if there is one.
+// serveManagement serves the management address, if there is one, until the returned function is called.
 func (s *Sidecar) serveManagement(failed chan<- error) (end func()) {
 	if s.management == nil {
 		return func() {}
@@ -244,27 +246,27 @@
 	return func() { srv.Close() }
 }
 
-// awaitTakeover waits until this process can take over from its predecessor, if there is one, and follows that to its
-// end.
+// awaitTakeover waits until this process can take over from its predecessor, if there is one. Afterwards it watches in
+// the background for the predecessor to exit, until the returned function is called.
 func (s *Sidecar) awaitTakeover(ctx context.Context) (end func()) {
 	if s.predecessor == nil {
 		return func() {}
 	}
-	var followed sync.WaitGroup
-	gone := make(chan struct{})
-	followed.Go(func() {
+	var watching sync.WaitGroup
+	exited := make(chan struct{})
+	watching.Go(func() {
 		s.predecessor.AwaitEnd()
-		close(gone)
+		close(exited)
 		s.setProcessCount(&s.olderProcesses, 0)
 	})
-	s.awaitServers(ctx, gone)
+	s.awaitServers(ctx, exited)
 	return func() {
 		s.predecessor.Close()
-		followed.Wait()
+		watching.Wait()
 	}
 }
 
-// serveClients begins to serve, and says so in the log and to the predecessor.
+// serveClients starts serving clients, logs that and notifies the predecessor.
 func (s *Sidecar) serveClients(ctx context.Context, failed chan<- error) *http.Server {
 	srv := clientserver.FollowConnections(s.clients.HTTPServer())
 	go func() { failed <- srv.Serve(s.clients.HeadListener(s.listener)) }()
@@ -276,7 +278,7 @@
 	return srv
 }
 
-// acceptSuccessors lets newer processes meet this one.
+// acceptSuccessors accepts connections from successors on the handover socket, until the returned function is called.
 func (s *Sidecar) acceptSuccessors(ctx context.Context) (end func()) {
 	socket := s.cfg.HandoverSocket()
 	if socket == "" {
@@ -284,15 +286,15 @@
 	}
 	start := retry.NewStart(ctx, nil)
 	if err := start.Do("upgrade", func() error { return s.successors.Await(socket) }); err != nil {
-		slog.Warn("upgrade: a newer process cannot meet this one", "err", err)
+		slog.Warn("upgrade: listen for successors", "err", err)
 		return func() {}
 	}
 	return s.successors.Close
 }
 
-// awaitServers waits until this process knows servers: from discovery or, after listTimeout, from the list that it was
-// started with. The predecessor serves meanwhile; gone is closed at its end.
-func (s *Sidecar) awaitServers(ctx context.Context, gone <-chan struct{}) {
+// awaitServers waits until this process has servers: from a list service or, after listTimeout, from the list in its
+// configuration. Meanwhile the predecessor serves. exited is closed when the predecessor exits, which ends the wait.
+func (s *Sidecar) awaitServers(ctx context.Context, exited <-chan struct{}) {
 	startedAt := time.Now()
 	ticker := time.NewTicker(serversPollInterval)
 	defer ticker.Stop()
@@ -303,7 +305,7 @@
 		}
 		select {
 		case <-ticker.C:
-		case <-gone:
+		case <-exited:
 			return
 		case <-ctx.Done():
 			return
