--- a/internal/sidecar/acceptance_test.go
+++ b/internal/sidecar/acceptance_test.go
@@ -111,7 +111,7 @@
 }
 
 // Complete answers without a length are forwarded, whatever their size and pace.
-func TestAnswer_withoutLength(t *testing.T) {
+func TestResponse_withoutLength(t *testing.T) {
 	for name, test := range map[string]struct {
 		size  int
 		parts int
--- a/internal/sidecar/body_test.go
+++ b/internal/sidecar/body_test.go
@@ -206,7 +206,7 @@
 }
 
 // The first bytes of a long answer are written at once, and the remaining ones also after the client's deadline.
-func TestAnswer_streamed(t *testing.T) {
+func TestResponse_streamed(t *testing.T) {
 	for _, chunked := range []bool{false, true} {
 		t.Run(fmt.Sprintf("chunked %v", chunked), func(t *testing.T) {
 			released := make(chan struct{})
@@ -252,7 +252,7 @@
 }
 
 // A client can tell that a long answer was cut short, whatever its framing.
-func TestAnswer_cutShort(t *testing.T) {
+func TestResponse_cutShort(t *testing.T) {
 	for name, answer := range map[string]string{
 		"length":  "HTTP/1.1 200 OK\r\nContent-Length: 1000000\r\n\r\n" + string(sidecartest.Pattern(inflight.MaxHeldBody+1)),
 		"chunked": fmt.Sprintf("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n%x\r\n%s\r\n", 2*inflight.MaxHeldBody, sidecartest.Pattern(2*inflight.MaxHeldBody)),
@@ -284,7 +284,7 @@
 }
 
 // An endless answer is cut off at inflight.MaxBody, and the client can tell.
-func TestAnswer_endless(t *testing.T) {
+func TestResponse_endless(t *testing.T) {
 	at := sidecartest.RawBackend(t, "a", func(c net.Conn, in *bufio.Reader) {
 		if _, err := http.ReadRequest(in); err == nil {
 			io.WriteString(c, "HTTP/1.1 200 OK\r\n\r\n")
--- a/internal/sidecar/checkpoint_test.go
+++ b/internal/sidecar/checkpoint_test.go
@@ -54,7 +54,7 @@
 	watch := sidecartest.Receive(t, "the watch", registry.Calls)
 	done := s.goDo(s.request("charge", sidecartest.Patience))
 	held.WaitFor(t, 1)
-	watch.Send(t, toggled(2, a, b, "Terminating"))
+	watch.Send(t, listWithState(2, a, b, "Terminating"))
 	watch.Line(t, "") // taken only after the line before was written
 	sidecartest.Until(t, "the list to be taken", func() bool { return s.loop.Discovery.Revision.Load() == 2 })
 	held.Release()
--- a/internal/sidecar/discovery_test.go
+++ b/internal/sidecar/discovery_test.go
@@ -72,8 +72,8 @@
 	}
 }
 
-// toggled returns a list of a and b, with a in a state.
-func toggled(rev int64, a, b *sidecartest.Backend, state string) endpointlist.List {
+// listWithState returns a list of a and b, with a in a state.
+func listWithState(rev int64, a, b *sidecartest.Backend, state string) endpointlist.List {
 	first := a.Target
 	first.State = state
 	return endpointlist.List{Rev: rev, Targets: []endpointlist.Target{first, b.Target}}
@@ -88,7 +88,7 @@
 	rev := int64(1)
 	for _, state := range []string{"Terminating", "Ready", "Gone"} {
 		rev++
-		watch.Send(t, toggled(rev, a, b, state))
+		watch.Send(t, listWithState(rev, a, b, state))
 		watch.Line(t, "") // taken only after the line before was written
 		sidecartest.Until(t, "the list to be taken", func() bool { return s.loop.Discovery.Revision.Load() == rev })
 		before := a.Requests.Load()
--- a/internal/sidecar/drain_test.go
+++ b/internal/sidecar/drain_test.go
@@ -13,7 +13,7 @@
 
 // A request whose time outlasts the process gets its answer before SIGKILL may come: failed where it may have run,
 // refused where trying again does no harm.
-func TestDrain_OpenRequestsAnswered(t *testing.T) {
+func TestDrain_openRequestsGetResponse(t *testing.T) {
 	received := make(chan string, 4)
 	b := sidecartest.NewBackend(t, "hung", func(_ net.Conn, req *http.Request, _ string) bool {
 		received <- req.Header.Get("X-Priority-Class")
--- a/internal/sidecar/errno_random_test.go
+++ b/internal/sidecar/errno_random_test.go
@@ -26,14 +26,14 @@
 	"marblelane/internal/sidecar/upstream"
 )
 
-// schedule draws which system calls fail, and how. It is safe for concurrent use.
-type schedule struct {
+// faultSchedule draws which system calls fail, and how. It is safe for concurrent use.
+type faultSchedule struct {
 	mu  sync.Mutex
 	rnd *rand.Rand
 }
 
-// draw fails a call with one of some errnos in perMille of a thousand cases.
-func (s *schedule) draw(call string, perMille int, from netcall.Errnos) error {
+// maybeFail fails a call with one of some errnos in perMille of a thousand cases.
+func (s *faultSchedule) maybeFail(call string, perMille int, from netcall.Errnos) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.rnd.IntN(1000) >= perMille {
@@ -45,12 +45,12 @@
 // randomConn fails reads and writes, transfers single bytes, and writes in part, as its schedule draws.
 type randomConn struct {
 	*net.TCPConn
-	schedule    *schedule
+	schedule    *faultSchedule
 	byteAtATime bool
 }
 
 func (c *randomConn) Read(p []byte) (int, error) {
-	if err := c.schedule.draw("read", 20, slices.Concat(netcall.MomentaryErrnos, netcall.EndedErrnos)); err != nil {
+	if err := c.schedule.maybeFail("read", 20, slices.Concat(netcall.MomentaryErrnos, netcall.EndedErrnos)); err != nil {
 		return 0, err
 	}
 	if c.byteAtATime && len(p) > 1 {
@@ -60,10 +60,10 @@
 }
 
 func (c *randomConn) Write(p []byte) (int, error) {
-	if err := c.schedule.draw("write", 30, slices.Concat(netcall.LocalErrnos, netcall.EndedErrnos)); err != nil {
+	if err := c.schedule.maybeFail("write", 30, slices.Concat(netcall.LocalErrnos, netcall.EndedErrnos)); err != nil {
 		return 0, err
 	}
-	if err := c.schedule.draw("write", 30, slices.Concat(netcall.LocalErrnos, netcall.EndedErrnos)); err != nil {
+	if err := c.schedule.maybeFail("write", 30, slices.Concat(netcall.LocalErrnos, netcall.EndedErrnos)); err != nil {
 		n, _ := c.TCPConn.Write(p[:len(p)/2])
 		return n, err
 	}
@@ -78,12 +78,12 @@
 	return len(p), nil
 }
 
-// disturb makes dials and connections of a pool fail as the schedule draws.
-func (s *schedule) disturb(p *upstream.Pool) {
+// injectInto makes dials and connections of a pool fail as the schedule draws.
+func (s *faultSchedule) injectInto(p *upstream.Pool) {
 	dialErrnos := slices.Concat(netcall.Errnos{syscall.ECONNREFUSED, syscall.ECONNRESET}, netcall.LocalErrnos, netcall.UnreachableErrnos)
 	p.WrapDial(func(dial netcall.DialFunc) netcall.DialFunc {
 		return func(ctx context.Context, network, addr string) (net.Conn, error) {
-			if err := s.draw("connect", 150, dialErrnos); err != nil {
+			if err := s.maybeFail("connect", 150, dialErrnos); err != nil {
 				return nil, err
 			}
 			c, err := dial(ctx, network, addr)
@@ -97,15 +97,15 @@
 	})
 }
 
-// runs counts by X-Request-ID how often each request reached a server to its last byte.
-type runs struct {
+// runCounter counts by X-Request-ID how often each request reached a server to its last byte.
+type runCounter struct {
 	t  *testing.T
 	mu sync.Mutex
 	by map[string]int
 }
 
 // serve counts a request, checks its X-Timeout-Ms and answers it.
-func (r *runs) serve(c net.Conn, req *http.Request, body string) bool {
+func (r *runCounter) serve(c net.Conn, req *http.Request, body string) bool {
 	r.mu.Lock()
 	r.by[req.Header.Get("X-Request-ID")]++
 	r.mu.Unlock()
@@ -116,7 +116,7 @@
 	return sidecartest.OK(c, req, body)
 }
 
-func (r *runs) of(id string) int {
+func (r *runCounter) count(id string) int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.by[id]
@@ -129,10 +129,10 @@
 	scheduleAttempts = 3  // at most for each request
 )
 
-// check compares the answer to a request with how often it ran.
-func (r *runs) check(class, id string, status int) {
+// checkResponse compares the answer to a request with how often it ran.
+func (r *runCounter) checkResponse(class, id string, status int) {
 	r.t.Helper()
-	n := r.of(id)
+	n := r.count(id)
 	switch {
 	case status != 200 && status != inflight.StatusRejected && status != inflight.StatusFailed && status != inflight.StatusTimedOut:
 		r.t.Errorf("%s %s: status %d", class, id, status)
@@ -147,15 +147,15 @@
 	}
 }
 
-// send makes the requests of one client and returns how many were served.
-func (r *runs) send(s *running, seed uint64) (served int) {
+// runClient makes the requests of one client and returns how many were served.
+func (r *runCounter) runClient(s *running, seed uint64) (served int) {
 	rnd := rand.New(rand.NewPCG(seed, 1))
 	for range scheduleRequests {
 		class := []string{"lookup", "reserve", "charge"}[rnd.IntN(3)]
 		req := s.request(class, scheduleWait)
 		id := req.Header.Get("X-Request-ID")
 		got := s.do(req)
-		r.check(class, id, got.status)
+		r.checkResponse(class, id, got.status)
 		if got.status == 200 {
 			served++
 		}
@@ -163,12 +163,12 @@
 	return served
 }
 
-// phase makes the requests of all clients and returns how many were served.
-func (r *runs) phase(s *running, seed uint64) int {
+// runClients makes the requests of all clients and returns how many were served.
+func (r *runCounter) runClients(s *running, seed uint64) int {
 	var clients sync.WaitGroup
 	served := make([]int, scheduleClients)
 	for i := range served {
-		clients.Go(func() { served[i] = r.send(s, seed+uint64(i)) })
+		clients.Go(func() { served[i] = r.runClient(s, seed+uint64(i)) })
 	}
 	clients.Wait()
 	all := 0
@@ -183,7 +183,7 @@
 func TestErrno_random(t *testing.T) {
 	seed := uint64(time.Now().UnixNano())
 	t.Logf("seed %d", seed)
-	counted := &runs{t: t, by: map[string]int{}}
+	counted := &runCounter{t: t, by: map[string]int{}}
 	servers := make([]*sidecartest.Backend, 4)
 	known := make([]endpointlist.Target, len(servers))
 	for i := range servers {
@@ -195,15 +195,15 @@
 		Setting(`"max_attempts": 6`, fmt.Sprintf(`"max_attempts": %d`, scheduleAttempts)).
 		Setting(`"parallel_tries": true`, `"parallel_tries": false`)
 	c["management"] = sidecartest.Loopback // so that the figures of servers are made
-	faults := &schedule{rnd: rand.New(rand.NewPCG(seed, 0))}
+	faults := &faultSchedule{rnd: rand.New(rand.NewPCG(seed, 0))}
 	s := start(t, c, func(s *Sidecar) {
-		faults.disturb(s.loop.Pool)
+		faults.injectInto(s.loop.Pool)
 		s.loop.Discovery.SetTimeouts(discovery.Timeouts{Call: time.Hour, Watch: time.Hour}) // the list service is silent for a while
 	})
 	watch := sidecartest.Receive(t, "the call to discovery", registry.Calls)
 
 	const all = scheduleClients * scheduleRequests
-	served := counted.phase(s, seed)
+	served := counted.runClients(s, seed)
 	t.Logf("served %d of %d", served, all)
 	if 2*served < all {
 		t.Errorf("served %d of %d, want most of them", served, all)
@@ -215,7 +215,7 @@
 	watch.Send(t, endpointlist.List{Rev: 2, Targets: []endpointlist.Target{leaving}})
 	sidecartest.Until(t, "the drain to be known", func() bool { return s.loop.Metrics.Servers.Load().Ready == len(servers)-1 })
 	before := drains.Requests.Load()
-	served = counted.phase(s, seed+scheduleClients)
+	served = counted.runClients(s, seed+scheduleClients)
 	t.Logf("served %d of %d beside a server that drains", served, all)
 	if n := drains.Requests.Load() - before; n > 0 {
 		t.Errorf("%d requests reached a server that drains", n)
--- a/internal/sidecar/errno_test.go
+++ b/internal/sidecar/errno_test.go
@@ -14,7 +14,7 @@
 // The answer to a client where a system call fails once and there is one server. A non-idempotent request goes on if the
 // failure is this machine's, and is rejected if it is the server's; it runs once or not at all. Rejections last as long as
 // their client waits, so one errno of each call and result stands for the others.
-func TestErrno_answerToClient(t *testing.T) {
+func TestErrno_responseToClient(t *testing.T) {
 	type rejection struct {
 		call   string
 		result balance.Result
--- a/internal/sidecar/exchange_test.go
+++ b/internal/sidecar/exchange_test.go
@@ -105,7 +105,7 @@
 }
 
 // An answer that ends with its connection is complete only if that ended in order.
-func TestAnswer_endsWithReset(t *testing.T) {
+func TestResponse_endsWithReset(t *testing.T) {
 	b := sidecartest.NewBackend(t, "a", func(c net.Conn, r *http.Request, body string) bool {
 		io.WriteString(c, "HTTP/1.1 200 OK\r\n\r\ndo")
 		c.(*net.TCPConn).SetLinger(0)
@@ -181,8 +181,8 @@
 	sidecartest.Receive(t, "the connection to close", closed)
 }
 
-// unanswering returns the address of a listener whose queue is full: new connections never come up.
-func unanswering(t *testing.T) string {
+// unresponsiveAddr returns the address of a listener whose queue is full: new connections never come up.
+func unresponsiveAddr(t *testing.T) string {
 	t.Helper()
 	fd, err := syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM|syscall.SOCK_CLOEXEC, 0)
 	if err != nil {
@@ -211,7 +211,7 @@
 
 // Dialing is bounded by the settings and by the time that the request has left.
 func TestDial_neverConnects(t *testing.T) {
-	addr := unanswering(t)
+	addr := unresponsiveAddr(t)
 	t.Run("settings", func(t *testing.T) {
 		good := sidecartest.NewBackend(t, "b", sidecartest.OK)
 		s := start(t, configtest.NewConf(sidecartest.NewRegistry(t).Addr(), sidecartest.Ready("a", addr), good.Target))
--- a/internal/sidecar/framing_test.go
+++ b/internal/sidecar/framing_test.go
@@ -185,7 +185,7 @@
 
 // An answer ends where all its headers say, or the attempt has failed and may have run: then the answer is not forwarded
 // and its connection not reused.
-func TestFraming_answers(t *testing.T) {
+func TestFraming_responses(t *testing.T) {
 	const done = "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\ndone"
 	const chunks = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4\r\ndone\r\n0\r\n\r\n"
 	for name, test := range map[string]struct {
--- a/internal/sidecar/handover_shutdown_test.go
+++ b/internal/sidecar/handover_shutdown_test.go
@@ -17,7 +17,7 @@
 	b := sidecartest.NewBackend(t, "a", sidecartest.OK)
 	c := upgradable(t, sidecartest.NewRegistry(t).Addr(), b.Target)
 	old := start(t, c, func(s *Sidecar) { s.drainAccept = sidecartest.Patience })
-	old.awaitMeetable(t, nil)
+	old.awaitHandoverReady(t, nil)
 	next := start(t, c, func(s *Sidecar) { s.listTimeout, s.drainAccept = 0, sidecartest.Patience })
 	sidecartest.Until(t, "its word", func() bool { return old.successors.Serving.Load() == 1 })
 	next.term()
@@ -78,7 +78,7 @@
 	if next.predecessor == nil {
 		t.Fatal("it has no predecessor")
 	}
-	next.end(t)
+	next.shutDown(t)
 	if said := sidecartest.Receive(t, "its words", words); said != string([]byte{handover.EndingByte}) {
 		t.Errorf("it said %q", said)
 	}
--- a/internal/sidecar/handover_test.go
+++ b/internal/sidecar/handover_test.go
@@ -30,7 +30,7 @@
 }
 
 func (r *running) healthy(t *testing.T) bool {
-	status, _ := r.manage(t, "GET", healthPath)
+	status, _ := r.requestManagement(t, "GET", healthPath)
 	return status == 200
 }
 
@@ -43,9 +43,9 @@
 	return info
 }
 
-// awaitMeetable waits until the process serves and its own socket has taken the place of the one before, if there was any.
+// awaitHandoverReady waits until the process serves and its own socket has taken the place of the one before, if there was any.
 // Its health check succeeds a moment before; a newer process that starts in between finds no process before it.
-func (r *running) awaitMeetable(t *testing.T, before os.FileInfo) {
+func (r *running) awaitHandoverReady(t *testing.T, before os.FileInfo) {
 	t.Helper()
 	sidecartest.Until(t, "the process", func() bool { return r.healthy(t) })
 	sidecartest.Until(t, "its socket", func() bool {
@@ -54,7 +54,7 @@
 	})
 }
 
-func (r *running) end(t *testing.T) {
+func (r *running) shutDown(t *testing.T) {
 	t.Helper()
 	r.term()
 	err := sidecartest.Receive(t, "the end", r.ended)
@@ -70,7 +70,7 @@
 	c := upgradable(t, sidecartest.NewRegistry(t).Addr(), b.Target)
 	quick := func(s *Sidecar) { s.drainAccept, s.listTimeout = 50*time.Millisecond, 0 }
 	old := start(t, c, quick)
-	old.awaitMeetable(t, nil)
+	old.awaitHandoverReady(t, nil)
 
 	stop := make(chan struct{})
 	var served atomic.Int64
@@ -102,7 +102,7 @@
 	for range 3 { // each is the old one of the next
 		socket := process.handoverSocket()
 		next := start(t, c, quick)
-		next.awaitMeetable(t, socket)
+		next.awaitHandoverReady(t, socket)
 		sidecartest.Until(t, "its word", func() bool { return process.successors.Serving.Load() == 1 })
 		if got, want := process.listener.Limit(), process.budget.clients/2; got != want {
 			t.Errorf("the older process may hold %d clients, want %d", got, want)
@@ -110,7 +110,7 @@
 		if got, want := next.clients.RequestLimit(), next.budget.requests/2; got != want {
 			t.Errorf("the newer process may take %d requests, want %d", got, want)
 		}
-		process.end(t)
+		process.shutDown(t)
 		sidecartest.Until(t, "all of the limits for the newer process", func() bool {
 			return next.listener.Limit() == next.budget.clients
 		})
@@ -128,10 +128,10 @@
 	c := upgradable(t, sidecartest.NewRegistry(t).Addr(), b.Target)
 	deaf := func(s *Sidecar) { // it accepts no connection
 		s.drainAccept = 0
-		s.listener.Listener = refuser{s.listener.Listener, new(sync.Once), make(chan struct{})}
+		s.listener.Listener = blockedListener{s.listener.Listener, new(sync.Once), make(chan struct{})}
 	}
 	old := start(t, c, deaf)
-	old.awaitMeetable(t, nil)
+	old.awaitHandoverReady(t, nil)
 	waiting := old.writeRequests(t, 10)
 	defer func() { // before the next process ends
 		for _, conn := range waiting {
@@ -140,7 +140,7 @@
 	}()
 	next := start(t, c, func(s *Sidecar) { s.listTimeout = 0 })
 	sidecartest.Until(t, "its word", func() bool { return old.successors.Serving.Load() == 1 })
-	old.end(t)
+	old.shutDown(t)
 	for _, conn := range waiting {
 		resp, err := http.ReadResponse(bufio.NewReader(conn), nil)
 		if err != nil {
@@ -153,19 +153,19 @@
 	sidecartest.Until(t, "all of the limits", func() bool { return next.listener.Limit() == next.budget.clients })
 }
 
-// refuser is a listener whose accept only ends with it.
-type refuser struct {
+// blockedListener is a listener whose accept only ends with it.
+type blockedListener struct {
 	net.Listener
 	closed *sync.Once
 	end    chan struct{}
 }
 
-func (r refuser) Accept() (net.Conn, error) {
+func (r blockedListener) Accept() (net.Conn, error) {
 	<-r.end
 	return nil, net.ErrClosed
 }
 
-func (r refuser) Close() error {
+func (r blockedListener) Close() error {
 	r.closed.Do(func() { close(r.end) })
 	return r.Listener.Close()
 }
@@ -175,7 +175,7 @@
 	b := sidecartest.NewBackend(t, "a", sidecartest.OK)
 	c := upgradable(t, sidecartest.NewRegistry(t).Addr(), b.Target)
 	old := start(t, c)
-	old.awaitMeetable(t, nil)
+	old.awaitHandoverReady(t, nil)
 	cfg, err := c.Load(t)
 	if err != nil {
 		t.Fatal(err)
--- a/internal/sidecar/kill_time_test.go
+++ b/internal/sidecar/kill_time_test.go
@@ -99,32 +99,32 @@
 	d.failures = append(d.failures, fmt.Sprintf(format, args...))
 }
 
-// caller is one connection of a client.
-type caller struct {
+// clientConn is one connection of a client.
+type clientConn struct {
 	net.Conn
 	d    *shutdown
 	what string
 	in   *bufio.Reader
 }
 
-func (d *shutdown) dial(what string) (*caller, error) {
+func (d *shutdown) dial(what string) (*clientConn, error) {
 	c, err := net.Dial("tcp", d.s.Addr())
 	if err != nil {
 		return nil, fmt.Errorf("%s: %w", what, err)
 	}
-	return &caller{Conn: c, d: d, what: what, in: bufio.NewReader(c)}, nil
+	return &clientConn{Conn: c, d: d, what: what, in: bufio.NewReader(c)}, nil
 }
 
 // open reports whether the sidecar has said nothing on its own: neither an answer nor the connection's end.
-func (c *caller) open() bool {
+func (c *clientConn) open() bool {
 	c.SetReadDeadline(time.Now().Add(time.Millisecond))
 	_, err := c.in.Peek(1)
 	var timeout net.Error
 	return errors.As(err, &timeout) && timeout.Timeout()
 }
 
-// answer reads a complete answer, which has to come before SIGKILL may; io.EOF: the connection ended without one.
-func (c *caller) answer() (last bool, err error) {
+// readResponse reads a complete readResponse, which has to come before SIGKILL may; io.EOF: the connection ended without one.
+func (c *clientConn) readResponse() (last bool, err error) {
 	c.SetReadDeadline(time.Now().Add(sidecartest.Patience))
 	if _, err := c.in.Peek(1); err == io.EOF {
 		return true, err
@@ -143,8 +143,8 @@
 	return resp.Close, nil
 }
 
-// deaf sends one more request on a connection that has ended: it must not reach a server.
-func (c *caller) deaf() {
+// sendAfterClose sends one more request on a connection that has ended: it must not reach a server.
+func (c *clientConn) sendAfterClose() {
 	id, text := c.d.request("GET", "")
 	if _, err := io.WriteString(c, text); err != nil {
 		return // reset: the peer has ended
@@ -176,7 +176,7 @@
 
 // keepSending sends request after request, on a new connection as long as new ones come, to the end.
 func (d *shutdown) keepSending(what, method, query string) {
-	var c *caller
+	var c *clientConn
 	defer func() {
 		if c != nil {
 			c.Close()
@@ -194,19 +194,19 @@
 			}
 		}
 		if !c.open() {
-			c.deaf()
+			c.sendAfterClose()
 			c.Close()
 			c = nil
 			continue
 		}
 		_, text := d.request(method, query)
 		io.WriteString(c, text)
-		last, err := c.answer()
+		last, err := c.readResponse()
 		if err == io.EOF { // it crossed the end of its connection, and comes once more on a new one
 			c.Close()
 			if c, err = d.dial(what + ", again"); err == nil {
 				io.WriteString(c, text)
-				last, err = c.answer()
+				last, err = c.readResponse()
 			}
 		}
 		if err != nil {
@@ -214,7 +214,7 @@
 			return
 		}
 		if last {
-			c.deaf()
+			c.sendAfterClose()
 			c.Close()
 			c = nil
 		}
@@ -222,7 +222,7 @@
 }
 
 // completeLate completes a request so long before SIGKILL, unless the sidecar has answered or ended its connection.
-func (d *shutdown) completeLate(c *caller, remainder string, before time.Duration) {
+func (d *shutdown) completeLate(c *clientConn, remainder string, before time.Duration) {
 	defer c.Close()
 	type received struct {
 		last bool
@@ -230,7 +230,7 @@
 	}
 	answered := make(chan received, 1)
 	go func() {
-		last, err := c.answer()
+		last, err := c.readResponse()
 		answered <- received{last, err}
 	}()
 	excused := true // it may end without an answer
@@ -244,7 +244,7 @@
 	}
 	switch {
 	case got.err == nil && got.last:
-		c.deaf()
+		c.sendAfterClose()
 	case got.err == nil:
 		d.errorf("%s: its answer does not end its connection", c.what)
 	case !excused:
@@ -253,7 +253,7 @@
 }
 
 // begin connects a client and sends what it has sent when its sidecar is terminated; the remainder is for later.
-func (d *shutdown) begin(what string) (c *caller, remainder string, err error) {
+func (d *shutdown) begin(what string) (c *clientConn, remainder string, err error) {
 	if c, err = d.dial(what); err != nil {
 		return nil, "", err
 	}
@@ -267,7 +267,7 @@
 	case sidecartest.IdleConn:
 		_, first := d.request(method, "")
 		io.WriteString(c, first)
-		_, err = c.answer()
+		_, err = c.readResponse()
 	case sidecartest.PartialHead:
 		cut = len(text) / 2
 	case sidecartest.PartialBody:
@@ -322,7 +322,7 @@
 
 // What was taken is answered when SIGKILL may come, whatever the longest deadline is, though servers hang, clients
 // send to the end, and the process is held up at any one step. What is read after a connection's end is not forwarded.
-func TestKillTime_AllAnswered(t *testing.T) {
+func TestKillTime_allRequestsGetResponse(t *testing.T) {
 	before := runtime.NumGoroutine()
 	t.Run("longest deadline", func(t *testing.T) {
 		for _, ms := range []int{50, 100, 250, 500, 1000, 2000, 3000, 5000, 10_000} {
@@ -339,7 +339,7 @@
 			})
 		}
 	})
-	noMoreGoroutines(t, before)
+	awaitGoroutinesEnded(t, before)
 }
 
 // playShutdowns ends one sidecar for each checkpoint at which it is held up, and gives those whose failures say nothing
--- a/internal/sidecar/lists_test.go
+++ b/internal/sidecar/lists_test.go
@@ -43,7 +43,7 @@
 	figure := func(want string) {
 		t.Helper()
 		sidecartest.Until(t, want, func() bool {
-			_, text := s.manage(t, "GET", statsPath)
+			_, text := s.requestManagement(t, "GET", statsPath)
 			return strings.Contains(text, want+"\n")
 		})
 	}
--- a/internal/sidecar/management.go
+++ b/internal/sidecar/management.go
@@ -22,7 +22,7 @@
 // it and reads only published state, so that it responds under any load.
 func (s *Sidecar) managementServer() *http.Server {
 	srv := &http.Server{
-		Handler: http.HandlerFunc(s.manage), ReadTimeout: config.ManagementTimeout, WriteTimeout: config.ManagementTimeout,
+		Handler: http.HandlerFunc(s.handleManagement), ReadTimeout: config.ManagementTimeout, WriteTimeout: config.ManagementTimeout,
 		MaxHeaderBytes: maxManagementHead,
 		ConnState: func(c net.Conn, state http.ConnState) {
 			if conn, ok := c.(*clientserver.ClientConn); ok && state == http.StateActive {
@@ -35,8 +35,8 @@
 	return srv
 }
 
-// manage handles one request to the management address.
-func (s *Sidecar) manage(w http.ResponseWriter, r *http.Request) {
+// handleManagement handles one request to the management address.
+func (s *Sidecar) handleManagement(w http.ResponseWriter, r *http.Request) {
 	if fleet.IsMembersPath(r.URL.Path) {
 		s.loop.Members.ServeHTTP(w, r)
 		return
--- a/internal/sidecar/management_test.go
+++ b/internal/sidecar/management_test.go
@@ -15,7 +15,7 @@
 	"marblelane/internal/sidecar/sidecartest"
 )
 
-func (r *running) manage(t *testing.T, method, path string) (int, string) {
+func (r *running) requestManagement(t *testing.T, method, path string) (int, string) {
 	t.Helper()
 	req, err := http.NewRequest(method, "http://"+r.ManagementAddr()+path, nil)
 	if err != nil {
@@ -39,25 +39,25 @@
 func TestHealthcheck_waitsForList(t *testing.T) {
 	discovery := sidecartest.NewRegistry(t)
 	s := start(t, configtest.Managed(configtest.NewConf(discovery.Addr())))
-	if status, text := s.manage(t, "GET", healthPath); status != 503 {
+	if status, text := s.requestManagement(t, "GET", healthPath); status != 503 {
 		t.Errorf("without a list: %d %q", status, text)
 	}
 	call := sidecartest.Receive(t, "the watch", discovery.Calls)
 	call.Send(t, endpointlist.List{Rev: 2, All: true, Targets: []endpointlist.Target{sidecartest.Ready("a", "127.0.0.1:1")}})
 	sidecartest.Until(t, "the list to count", func() bool {
-		status, _ := s.manage(t, "GET", healthPath)
+		status, _ := s.requestManagement(t, "GET", healthPath)
 		return status == 200
 	})
 	for _, test := range []struct {
 		method, path string
 		want         int
 	}{{"GET", "/", 404}, {"GET", "/api", 404}, {"GET", "//stats", 404}, {"POST", statsPath, 405}, {"DELETE", healthPath, 405}} {
-		if status, _ := s.manage(t, test.method, test.path); status != test.want {
+		if status, _ := s.requestManagement(t, test.method, test.path); status != test.want {
 			t.Errorf("%s %s: %d, want %d", test.method, test.path, status, test.want)
 		}
 	}
 	s.clients.StartDraining()
-	if status, _ := s.manage(t, "GET", healthPath); status != 503 {
+	if status, _ := s.requestManagement(t, "GET", healthPath); status != 503 {
 		t.Errorf("while it drains: %d", status)
 	}
 }
@@ -82,7 +82,7 @@
 		t.Helper()
 		text := ""
 		sidecartest.Until(t, strings.Join(lines, ", "), func() bool {
-			_, text = s.manage(t, "GET", statsPath)
+			_, text = s.requestManagement(t, "GET", statsPath)
 			for _, line := range lines {
 				if !strings.Contains(text, line+"\n") {
 					return false
@@ -133,7 +133,7 @@
 		}
 	}
 	startedAt := time.Now()
-	if status, _ := s.manage(t, "GET", healthPath); status != 200 || time.Since(startedAt) > config.ManagementTimeout {
+	if status, _ := s.requestManagement(t, "GET", healthPath); status != 200 || time.Since(startedAt) > config.ManagementTimeout {
 		t.Errorf("%d after %v", status, time.Since(startedAt))
 	}
 }
--- a/internal/sidecar/members_test.go
+++ b/internal/sidecar/members_test.go
@@ -18,10 +18,10 @@
 	"marblelane/internal/sidecar/sidecartest"
 )
 
-// report is what a sidecar says of its fleet; ok: it is bound.
-func (r *running) report(t *testing.T) (out membership.Report, ok bool) {
+// membershipReport is what a sidecar says of its fleet; ok: it is bound.
+func (r *running) membershipReport(t *testing.T) (out membership.Report, ok bool) {
 	t.Helper()
-	status, text := r.manage(t, "GET", fleet.MembersPath)
+	status, text := r.requestManagement(t, "GET", fleet.MembersPath)
 	if status != 200 {
 		return out, false
 	}
@@ -29,11 +29,11 @@
 	return out, true
 }
 
-// gossips waits for the address where others reach it.
-func (r *running) gossips(t *testing.T) (addr string) {
+// awaitGossipAddr waits for the address where others reach it.
+func (r *running) awaitGossipAddr(t *testing.T) (addr string) {
 	t.Helper()
 	sidecartest.Until(t, "its address", func() bool {
-		report, ok := r.report(t)
+		report, ok := r.membershipReport(t)
 		for _, m := range report.Members {
 			if m.Name == report.Self.Name && m.Start == report.Self.Start {
 				addr = m.Addr
@@ -44,11 +44,11 @@
 	return addr
 }
 
-// shows waits for a line of the figures.
-func (r *running) shows(t *testing.T, line string) {
+// awaitMetric waits for a line of the figures.
+func (r *running) awaitMetric(t *testing.T, line string) {
 	t.Helper()
 	sidecartest.Until(t, line, func() bool {
-		_, text := r.manage(t, "GET", statsPath)
+		_, text := r.requestManagement(t, "GET", statsPath)
 		return regexp.MustCompile(`(?m)^` + line + `$`).MatchString(text)
 	})
 }
@@ -64,44 +64,44 @@
 		text := string(stacks[:runtime.Stack(stacks, true)])
 		return !strings.Contains(text, "internal/membership") && !strings.Contains(text, "memberlist")
 	})
-	status, _ := s.manage(t, "GET", fleet.MembersPath)
+	status, _ := s.requestManagement(t, "GET", fleet.MembersPath)
 	require.Equal(t, 404, status)
-	_, figures := s.manage(t, "GET", statsPath)
+	_, figures := s.requestManagement(t, "GET", statsPath)
 	require.NotContains(t, figures, "svc_members")
-	s.end(t)
+	s.shutDown(t)
 	require.Zero(t, s.loop.Balancer().FleetSize())
 }
 
 func TestMembers_joinAndLeave(t *testing.T) {
 	a := start(t, configtest.Joining(configtest.NewConf("127.0.0.1:1"), "a", sidecartest.Loopback))
-	seed := a.gossips(t)
+	seed := a.awaitGossipAddr(t)
 	b := start(t, configtest.Joining(configtest.NewConf("127.0.0.1:1"), "b", sidecartest.Loopback, seed))
 	c := start(t, configtest.Joining(configtest.NewConf("127.0.0.1:1"), "c", sidecartest.Loopback, seed))
 	for _, one := range []*running{a, b, c} {
-		one.shows(t, "svc_members_known 3")
-		one.shows(t, "svc_members_admitted 1")
-		one.shows(t, "svc_members_believed 3") // a rise is taken over at once
+		one.awaitMetric(t, "svc_members_known 3")
+		one.awaitMetric(t, "svc_members_admitted 1")
+		one.awaitMetric(t, "svc_members_believed 3") // a rise is taken over at once
 	}
 	startedAt := time.Now()
-	b.end(t)
+	b.shutDown(t)
 	if took := time.Since(startedAt); took > b.killTime() {
 		t.Errorf("the end took %v, SIGKILL may come after %v", took, b.killTime())
 	}
-	a.shows(t, "svc_members_known 2")
-	a.shows(t, `svc_members_believed 2\.[0-9]+`) // fewer slowly
+	a.awaitMetric(t, "svc_members_known 2")
+	a.awaitMetric(t, `svc_members_believed 2\.[0-9]+`) // fewer slowly
 	// An operator's word: it takes no part any more, and serves on.
-	status, text := c.manage(t, "POST", fleet.LeavePath)
+	status, text := c.requestManagement(t, "POST", fleet.LeavePath)
 	require.Less(t, status, 300, text)
 	require.True(t, c.loop.Members.Left.Load())
-	c.shows(t, "svc_members_admitted 0")
-	a.shows(t, "svc_members_known 1")
-	a.shows(t, `svc_members{state="gone"} 2`)
+	c.awaitMetric(t, "svc_members_admitted 0")
+	a.awaitMetric(t, "svc_members_known 1")
+	a.awaitMetric(t, `svc_members{state="gone"} 2`)
 }
 
 // A watch lasts longer than other calls, and few may be there.
 func TestMembersWatch(t *testing.T) {
 	s := start(t, configtest.Joining(configtest.NewConf("127.0.0.1:1"), "a", sidecartest.Loopback))
-	s.gossips(t)
+	s.awaitGossipAddr(t)
 	for range 2 * fleet.MaxWatchers { // it would stay unseen
 		resp, err := s.client.Head("http://" + s.ManagementAddr() + fleet.MembersPath + "?watch=1")
 		require.NoError(t, err)
@@ -132,15 +132,15 @@
 		Setting(`"zones"`, `"peers_total": 3, "zones"`))
 	sidecartest.Until(t, "health", func() bool { return s.healthy(t) })
 	require.Equal(t, 200, s.do(s.request("lookup", time.Second)).status)
-	status, _ := s.manage(t, "GET", fleet.MembersPath)
+	status, _ := s.requestManagement(t, "GET", fleet.MembersPath)
 	require.Equal(t, 503, status)
-	s.shows(t, "svc_members_believed 3")
-	s.shows(t, "svc_members_known 3")
-	s.shows(t, "svc_members_admitted 1") // the balancer was notified: its part is that of the settings
+	s.awaitMetric(t, "svc_members_believed 3")
+	s.awaitMetric(t, "svc_members_known 3")
+	s.awaitMetric(t, "svc_members_admitted 1") // the balancer was notified: its part is that of the settings
 	require.True(t, s.loop.Members.Latest.Load().Admitted)
 	require.NoError(t, l.Close())
-	require.Equal(t, l.Addr().String(), s.gossips(t))
-	s.shows(t, "svc_members_admitted 1")
+	require.Equal(t, l.Addr().String(), s.awaitGossipAddr(t))
+	s.awaitMetric(t, "svc_members_admitted 1")
 }
 
 // In an upgrade the newer process binds the older one's address when that is gone, and takes no part before.
@@ -152,18 +152,18 @@
 	require.NoError(t, l.Close())
 	quick := func(s *Sidecar) { s.drainAccept, s.listTimeout = 50*time.Millisecond, 0 }
 	old := start(t, c, quick)
-	old.awaitMeetable(t, nil)
-	old.shows(t, "svc_members_admitted 1")
-	before, _ := old.report(t)
+	old.awaitHandoverReady(t, nil)
+	old.awaitMetric(t, "svc_members_admitted 1")
+	before, _ := old.membershipReport(t)
 	next := start(t, c, quick)
 	sidecartest.Until(t, "the newer process", func() bool { return next.healthy(t) })
 	sidecartest.Until(t, "what it assumes meanwhile", func() bool {
 		v := next.loop.Members.Latest.Load()
 		return v != nil && !v.Admitted
 	})
-	next.shows(t, "svc_members_admitted 0")
-	old.end(t)
-	next.shows(t, "svc_members_admitted 1")
-	after, _ := next.report(t)
+	next.awaitMetric(t, "svc_members_admitted 0")
+	old.shutDown(t)
+	next.awaitMetric(t, "svc_members_admitted 1")
+	after, _ := next.membershipReport(t)
 	require.Greater(t, after.Self.Start, before.Self.Start)
 }
--- a/internal/sidecar/pipeline_test.go
+++ b/internal/sidecar/pipeline_test.go
@@ -15,8 +15,8 @@
 	"marblelane/internal/sidecar/sidecartest"
 )
 
-// expectAnswers reads so many answers, each of which has to be 200.
-func expectAnswers(t *testing.T, in *bufio.Reader, n int) {
+// expectResponses reads so many answers, each of which has to be 200.
+func expectResponses(t *testing.T, in *bufio.Reader, n int) {
 	t.Helper()
 	for i := range n {
 		resp, err := http.ReadResponse(in, nil)
@@ -42,7 +42,7 @@
 				t.Fatal(err)
 			}
 			in := bufio.NewReader(c)
-			expectAnswers(t, in, requests)
+			expectResponses(t, in, requests)
 			if _, err := io.WriteString(c, request); err != nil { // alone
 				t.Fatal(err)
 			}
@@ -74,7 +74,7 @@
 	sidecartest.Until(t, "the drain", s.clients.Draining)
 	answer.Release()
 	in := bufio.NewReader(c)
-	expectAnswers(t, in, requests)
+	expectResponses(t, in, requests)
 	if _, err := in.ReadByte(); err != io.EOF {
 		t.Errorf("after the last answer: %v, want the end", err)
 	}
--- a/internal/sidecar/planted_test.go
+++ b/internal/sidecar/planted_test.go
@@ -19,8 +19,8 @@
 	"marblelane/internal/sidecar/sidecartest"
 )
 
-// countFailures counts below the listener that goes on after them.
-func countFailures(t *testing.T, l *clientserver.Limiter, failures *atomic.Int64) {
+// countAcceptFailures counts below the listener that goes on after them.
+func countAcceptFailures(t *testing.T, l *clientserver.Limiter, failures *atomic.Int64) {
 	t.Helper()
 	wrapped, ok := l.Listener.(*listener.Listener)
 	if !ok {
@@ -37,11 +37,11 @@
 		t.Run(errno, func(t *testing.T) {
 			b := sidecartest.NewBackend(t, "a", sidecartest.OK)
 			path := filepath.Join(t.TempDir(), "faults.toml")
-			plan(t, path, fault.CallAccept, errno)
+			planFault(t, path, fault.CallAccept, errno)
 			c := configtest.NewConf(sidecartest.NewRegistry(t).Addr(), b.Target)
 			c["faults"] = path
 			var failures atomic.Int64
-			s := start(t, c, func(s *Sidecar) { countFailures(t, s.listener, &failures) })
+			s := start(t, c, func(s *Sidecar) { countAcceptFailures(t, s.listener, &failures) })
 			sidecartest.Until(t, "accepts that fail", func() bool { return failures.Load() >= 3 })
 			if err := (fault.Set{}).Write(path); err != nil {
 				t.Fatal(err)
@@ -53,8 +53,8 @@
 	}
 }
 
-// plan makes a system call fail from the next one on.
-func plan(t *testing.T, path, call, errno string) {
+// planFault makes a system call fail from the next one on.
+func planFault(t *testing.T, path, call, errno string) {
 	t.Helper()
 	if err := (fault.Set{Calls: map[string]string{call: errno}}).Write(path); err != nil {
 		t.Fatal(err)
@@ -66,10 +66,10 @@
 	b := sidecartest.NewBackend(t, "a", sidecartest.OK)
 	c := upgradable(t, sidecartest.NewRegistry(t).Addr(), b.Target)
 	path := filepath.Join(t.TempDir(), "faults.toml")
-	plan(t, path, fault.CallAccept, "EPROTO")
+	planFault(t, path, fault.CallAccept, "EPROTO")
 	c["faults"] = path
 	var failures atomic.Int64
-	old := start(t, c, func(s *Sidecar) { countFailures(t, s.management, &failures) })
+	old := start(t, c, func(s *Sidecar) { countAcceptFailures(t, s.management, &failures) })
 	sidecartest.Until(t, "accepts that fail", func() bool { return failures.Load() >= 3 })
 	cfg, err := c.Load(t)
 	if err != nil {
@@ -105,11 +105,11 @@
 		return sidecartest.OK(c, r, body)
 	})
 	path := filepath.Join(t.TempDir(), "faults.toml")
-	plan(t, path, fault.CallAccept, "ENOMEM")
+	planFault(t, path, fault.CallAccept, "ENOMEM")
 	c := configtest.NewConf(sidecartest.NewRegistry(t).Addr(), b.Target)
 	c["faults"] = path
 	var failures atomic.Int64
-	s := start(t, c, func(s *Sidecar) { countFailures(t, s.listener, &failures) })
+	s := start(t, c, func(s *Sidecar) { countAcceptFailures(t, s.listener, &failures) })
 	sidecartest.Until(t, "accepts that fail", func() bool { return failures.Load() > 0 })
 	conn := s.dial(t)
 	defer conn.Close()
--- a/internal/sidecar/reload_test.go
+++ b/internal/sidecar/reload_test.go
@@ -102,7 +102,7 @@
 			if failure.errno == "" {
 				replace([]byte(failure.text))
 			} else {
-				plan(t, faults, fault.CallOpen, failure.errno)
+				planFault(t, faults, fault.CallOpen, failure.errno)
 			}
 			var reads atomic.Int64
 			env := func(name string) string {
--- a/internal/sidecar/routes_test.go
+++ b/internal/sidecar/routes_test.go
@@ -36,7 +36,7 @@
 	mu      sync.Mutex
 	text    []byte
 	changed chan struct{}
-	term    int64 // ms; 0: no lease
+	lease   int64 // ms; 0: no lease
 	budget  int64 // units left
 	granted int64
 	report  route.Report        // the newest
@@ -44,7 +44,7 @@
 }
 
 func newRoutesService(t *testing.T, term, budget int64) *routesService {
-	s := &routesService{term: term, budget: budget, changed: make(chan struct{})}
+	s := &routesService{lease: term, budget: budget, changed: make(chan struct{})}
 	s.Server = httptest.NewServer(s)
 	t.Cleanup(func() {
 		s.CloseClientConnections()
@@ -90,7 +90,7 @@
 		}
 	case route.ReportPath:
 		json.NewDecoder(r.Body).Decode(&s.report)
-		json.NewEncoder(w).Encode(route.ReportResponse{LeaseMS: s.term})
+		json.NewEncoder(w).Encode(route.ReportResponse{LeaseMS: s.lease})
 	case route.BudgetsPath:
 		var request route.BudgetRequest
 		json.NewDecoder(r.Body).Decode(&request)
@@ -133,7 +133,7 @@
 	return w
 }
 
-func (w *headerRecorder) all() []string {
+func (w *headerRecorder) headers() []string {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return slices.Clone(w.seen)
@@ -145,10 +145,10 @@
 	}
 }
 
-const longTerm = 60_000 // ms
+const longLease = 60_000 // ms
 
-// routed starts a sidecar with routes, a base of two servers and a canary.
-func routed(t *testing.T, s *routesService, serve sidecartest.ServeOne, changes ...func(configtest.Conf)) (r *running, base, canary *headerRecorder) {
+// startWithRoutes starts a sidecar with routes, a base of two servers and a canary.
+func startWithRoutes(t *testing.T, s *routesService, serve sidecartest.ServeOne, changes ...func(configtest.Conf)) (r *running, base, canary *headerRecorder) {
 	t.Helper()
 	base, canary = newHeaderRecorder(t, "b", sidecartest.OK), newHeaderRecorder(t, "c", serve)
 	c := configtest.NewConf("127.0.0.1:1", base.Target, canary.Target)
@@ -169,14 +169,14 @@
 	})
 	if hasLease { // the event loop has it, too
 		sidecartest.Until(r.t, "the figures", func() bool {
-			_, text := r.manage(r.t, "GET", statsPath)
+			_, text := r.requestManagement(r.t, "GET", statsPath)
 			return strings.Contains(text, "svc_steer_permitted 1\n") && strings.Contains(text, fmt.Sprintf("svc_steer_revision %d\n", rev))
 		})
 	}
 }
 
 func (r *running) revokedAttempts() (n int) {
-	_, text := r.manage(r.t, "GET", statsPath)
+	_, text := r.requestManagement(r.t, "GET", statsPath)
 	_, text, _ = strings.Cut(text, "\nsvc_steer_voids ")
 	fmt.Sscan(text, &n)
 	return n
@@ -192,8 +192,8 @@
 
 // A key stays on its side, the share of the keys is met, and servers and the list service see the same.
 func TestRoutes_CanaryFraction(t *testing.T) {
-	s := newRoutesService(t, longTerm, 0)
-	r, base, canary := routed(t, s, sidecartest.OK)
+	s := newRoutesService(t, longLease, 0)
+	r, base, canary := startWithRoutes(t, s, sidecartest.OK)
 	s.publish(t, 5, toCanary(0.5, false))
 	r.awaitRevision(5, true)
 	const keys = 40
@@ -212,13 +212,13 @@
 	}
 	n := canary.Requests.Load()
 	require.InDelta(t, keys, n, keys/2)
-	require.Equal(t, []string{"5/1"}, slices.Compact(canary.all()))
-	require.Equal(t, []string{"5/"}, slices.Compact(base.all()))
+	require.Equal(t, []string{"5/1"}, slices.Compact(canary.headers()))
+	require.Equal(t, []string{"5/"}, slices.Compact(base.headers()))
 	want := map[string]route.Count{
 		"5 kita false": {Rev: 5, Tenant: "kita", Started: 2*keys - n, Ended: 2*keys - n},
 		"5 kita true":  {Rev: 5, Tenant: "kita", Canary: true, Started: n, Ended: n},
 	}
-	s.set(func() { s.term = 500 }) // as of the next report, which comes soon after the revision, they come often
+	s.set(func() { s.lease = 500 }) // as of the next report, which comes soon after the revision, they come often
 	s.publish(t, 6)
 	sidecartest.Until(t, "the counts", func() bool { return maps.Equal(want, s.counts()) })
 	s.set(func() {
@@ -228,9 +228,9 @@
 }
 
 // What a canary for some classes is compared with is of those classes alone.
-func TestRoutes_OthersNotCompared(t *testing.T) {
+func TestRoutes_otherClassesNotCompared(t *testing.T) {
 	s := newRoutesService(t, 500, 0)
-	r, base, _ := routed(t, s, sidecartest.OK)
+	r, base, _ := startWithRoutes(t, s, sidecartest.OK)
 	one := toCanary(0, false)
 	one.Classes = []string{"charge"}
 	s.publish(t, 5, one)
@@ -239,7 +239,7 @@
 		require.Equal(t, 200, r.do(r.request("lookup", 5*time.Second)).status)
 		require.Equal(t, 200, r.do(r.request("charge", 5*time.Second)).status)
 	}
-	require.Len(t, base.all(), 6)
+	require.Len(t, base.headers(), 6)
 	want := route.Count{Rev: 5, Tenant: "kita", Started: 6, Ended: 3}
 	sidecartest.Until(t, "the counts", func() bool { return s.counts()["5 kita false"] == want })
 }
@@ -247,18 +247,18 @@
 // When the service is silent canaries end with the lease, and all requests go to the base.
 func TestRoutes_leaseExpires(t *testing.T) {
 	s := newRoutesService(t, 400, 0)
-	r, base, canary := routed(t, s, sidecartest.OK)
+	r, base, canary := startWithRoutes(t, s, sidecartest.OK)
 	s.publish(t, 5, toCanary(1, false))
 	r.awaitRevision(5, true)
 	sidecartest.Until(t, "a canary", func() bool { return r.do(r.requestWithRouteKey("k")).status == 200 && canary.Requests.Load() > 0 })
-	s.set(func() { s.term = 0 })
+	s.set(func() { s.lease = 0 })
 	r.awaitRevision(5, false)
 	n, b, v := canary.Requests.Load(), base.Requests.Load(), r.revokedAttempts()
 	for range 20 {
 		require.Equal(t, 200, r.do(r.requestWithRouteKey("k")).status)
 	}
 	require.Equal(t, []int64{n, b + 20}, []int64{canary.Requests.Load(), base.Requests.Load()})
-	require.Equal(t, "/", base.all()[b])
+	require.Equal(t, "/", base.headers()[b])
 	sidecartest.Until(t, "the count without a lease", func() bool { return s.counts()["0 kita false"].Ended >= 20 })
 	require.Equal(t, v, r.revokedAttempts(), "the module decides with a lease that has expired")
 }
@@ -275,7 +275,7 @@
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
-			s := newRoutesService(t, longTerm, 0)
+			s := newRoutesService(t, longLease, 0)
 			dials, release := make(chan string, 10), make(chan struct{})
 			base, canary := newHeaderRecorder(t, "b", sidecartest.OK), newHeaderRecorder(t, "c", sidecartest.OK)
 			c := configtest.NewConf("127.0.0.1:1", base.Target, canary.Target).Setting(`"connect_timeout_ms": 100`, `"connect_timeout_ms": 9000`).
@@ -308,7 +308,7 @@
 // not counted: one whose head can be written anew begins without a lease.
 func TestRoutes_RevokedUpload(t *testing.T) {
 	s := newRoutesService(t, 700, 0)
-	r, _, _ := routed(t, s, sidecartest.OK)
+	r, _, _ := startWithRoutes(t, s, sidecartest.OK)
 	s.publish(t, 5, toCanary(0, false))
 	r.awaitRevision(5, true)
 	due := time.NewTimer(time.Hour)
@@ -321,7 +321,7 @@
 		require.EqualValues(t, 5, k.Expect())
 		checks = append(checks, k)
 	}
-	s.set(func() { s.term = 0 })
+	s.set(func() { s.lease = 0 })
 	r.awaitRevision(5, false)
 	out, in := net.Pipe()
 	defer in.Close()
@@ -341,7 +341,7 @@
 	const objective = 100 * time.Millisecond
 	s := newRoutesService(t, 1000, 3)
 	release := make(chan struct{})
-	r, _, canary := routed(t, s, func(net.Conn, *http.Request, string) bool { <-release; return false }, func(c configtest.Conf) {
+	r, _, canary := startWithRoutes(t, s, func(net.Conn, *http.Request, string) bool { <-release; return false }, func(c configtest.Conf) {
 		c.Setting(`"parallel_tries": true`, `"parallel_tries": false`).Setting(`"max_attempts": 6`, `"max_attempts": 1`).
 			Setting(`"on_time_ms": 750`, fmt.Sprint(`"on_time_ms": `, objective.Milliseconds()))
 	})
@@ -351,7 +351,7 @@
 	s.publish(t, 5, one)
 	r.awaitRevision(5, true)
 	sidecartest.Until(t, "units", func() bool {
-		_, text := r.manage(t, "GET", statsPath)
+		_, text := r.requestManagement(t, "GET", statsPath)
 		return !strings.Contains(text, "svc_steer_units_free 0\n")
 	})
 	leave := func(after time.Duration) {
@@ -386,9 +386,9 @@
 // Failures of the canary stay within the units, cost no request its answer, and are reported; what is left is returned.
 func TestRoutes_budgetBoundsFailures(t *testing.T) {
 	const units = 3
-	s := newRoutesService(t, longTerm, units)
+	s := newRoutesService(t, longLease, units)
 	fails := sidecartest.Respond("HTTP/1.1 500 Internal Server Error\r\nContent-Length: 0\r\n\r\n", true)
-	r, _, canary := routed(t, s, fails)
+	r, _, canary := startWithRoutes(t, s, fails)
 	s.publish(t, 5, toCanary(1, true))
 	r.awaitRevision(5, true)
 	spent := func() (n int64) {
@@ -421,22 +421,22 @@
 
 // Without the section nothing is called and nothing added, and a client's headers are forwarded as any other.
 func TestRoutes_notConfigured(t *testing.T) {
-	s := newRoutesService(t, longTerm, 0)
+	s := newRoutesService(t, longLease, 0)
 	b := newHeaderRecorder(t, "b", sidecartest.OK)
 	c := configtest.NewConf("127.0.0.1:1", b.Target)
 	c["lists"] = []map[string]any{{"addr": s.Listener.Addr().String()}}
 	r := start(t, c)
 	require.Equal(t, 200, r.do(r.requestWithRouteKey("k")).status)
 	require.Nil(t, r.loop.Routing)
-	require.Equal(t, []string{"99/7"}, b.all())
+	require.Equal(t, []string{"99/7"}, b.headers())
 	sidecartest.Until(t, "the call for the list", func() bool { return s.calls.Load() > 0 })
 	s.set(func() { require.Empty(t, s.report.Name) })
 }
 
 func TestRoutes_reloadAddrs(t *testing.T) {
-	before, after := newRoutesService(t, longTerm, 0), newRoutesService(t, longTerm, 0)
+	before, after := newRoutesService(t, longLease, 0), newRoutesService(t, longLease, 0)
 	var path string
-	r, _, _ := routed(t, before, sidecartest.OK, func(c configtest.Conf) {
+	r, _, _ := startWithRoutes(t, before, sidecartest.OK, func(c configtest.Conf) {
 		c["routes"] = map[string]any{"addrs": []string{after.Listener.Addr().String()}}
 		path = c.Write(t)
 		c["routes"] = map[string]any{"addrs": []string{before.Listener.Addr().String()}, "schemas": []int{1}}
--- a/internal/sidecar/sidecar_test.go
+++ b/internal/sidecar/sidecar_test.go
@@ -65,7 +65,7 @@
 			t.Errorf("the sidecar ended with %v", err)
 		}
 		r.ended <- nil
-		noMoreGoroutines(t, before)
+		awaitGoroutinesEnded(t, before)
 	})
 	return r
 }
@@ -95,8 +95,8 @@
 	return all
 }
 
-// noMoreGoroutines waits until only those of before are left, beside the test's own servers' few.
-func noMoreGoroutines(t *testing.T, before int) {
+// awaitGoroutinesEnded waits until only those of before are left, beside the test's own servers' few.
+func awaitGoroutinesEnded(t *testing.T, before int) {
 	t.Helper()
 	sidecartest.Until(t, "goroutines to end", func() bool { return runtime.NumGoroutine() <= before+3 })
 }
--- a/internal/sidecar/sites_test.go
+++ b/internal/sidecar/sites_test.go
@@ -61,9 +61,9 @@
 	return req
 }
 
-// check plays a sidecar of the site: its own requests are served by its own server, the other site's class is none here,
+// checkIsolated plays a sidecar of the site: its own requests are served by its own server, the other site's class is none here,
 // and its figures begin at nothing and know only its own classes.
-func (p *site) check(t *testing.T, s *running) {
+func (p *site) checkIsolated(t *testing.T, s *running) {
 	t.Helper()
 	const requests = 20
 	before := p.backend.Requests.Load()
@@ -82,7 +82,7 @@
 	if _, known := s.cfg.Tenants[p.foreign["X-Tenant-Id"]]; known {
 		t.Errorf("%s knows the other site's tenant", p.class)
 	}
-	_, text := s.manage(t, "GET", statsPath)
+	_, text := s.requestManagement(t, "GET", statsPath)
 	if strings.Contains(text, p.foreign["X-Priority-Class"]) || !strings.Contains(text, p.class) {
 		t.Errorf("the figures of the site of %s: %s", p.class, text)
 	}
@@ -97,21 +97,21 @@
 			t.Run(fmt.Sprint(i), func(t *testing.T) {
 				s := start(t, sites[i%2].conf)
 				figure := fmt.Sprintf("svc_success{tier=%q} 0\n", sites[i%2].class)
-				if _, text := s.manage(t, "GET", statsPath); !strings.Contains(text, figure) || !strings.Contains(text, "svc_backend_calls 0\n") {
+				if _, text := s.requestManagement(t, "GET", statsPath); !strings.Contains(text, figure) || !strings.Contains(text, "svc_backend_calls 0\n") {
 					t.Errorf("it does not begin at nothing: %s", text)
 				}
-				sites[i%2].check(t, s)
+				sites[i%2].checkIsolated(t, s)
 			})
 		}
 	})
 	t.Run("side by side", func(t *testing.T) {
 		sites := twoSites(t)
 		running := []*running{start(t, sites[0].conf), nil}
-		sites[0].check(t, running[0]) // its connections are there before the goroutines of the other are counted
+		sites[0].checkIsolated(t, running[0]) // its connections are there before the goroutines of the other are counted
 		running[1] = start(t, sites[1].conf)
 		var work sync.WaitGroup
 		for i, p := range sites {
-			work.Go(func() { p.check(t, running[i]) })
+			work.Go(func() { p.checkIsolated(t, running[i]) })
 		}
 		work.Wait()
 		if a, b := running[0].budget, running[1].budget; a == b || a.clients <= b.clients {
--- a/internal/sidecar/start_test.go
+++ b/internal/sidecar/start_test.go
@@ -101,5 +101,5 @@
 	})
 	next := start(t, c, func(s *Sidecar) { s.listTimeout = 0 })
 	sidecartest.Until(t, "the next process's word", func() bool { return old.successors.Serving.Load() == 1 })
-	next.end(t)
+	next.shutDown(t)
 }
--- a/internal/sidecar/watch_faults_test.go
+++ b/internal/sidecar/watch_faults_test.go
@@ -56,8 +56,8 @@
 	"a line that is no JSON": func(c net.Conn, held string) { io.WriteString(c, sidecartest.WatchHead+held+"\n}{ gone\n") },
 }
 
-// answerForms are how the change arrives, as the answer to the next call.
-var answerForms = map[string]func(c net.Conn, text string){
+// responseForms are how the change arrives, as the answer to the next call.
+var responseForms = map[string]func(c net.Conn, text string){
 	"complete": func(c net.Conn, text string) { io.WriteString(c, sidecartest.WatchHead+text+"\n") },
 	"indented": func(c net.Conn, text string) { io.WriteString(c, sidecartest.WatchHead+indent(text)+"\n") },
 	"in pieces": func(c net.Conn, text string) {
@@ -103,17 +103,17 @@
 				var answering sync.WaitGroup
 				t.Cleanup(answering.Wait) // once the sidecar and discovery are closed, in that order
 				disc, addr := sidecartest.NewHandAgent(t)
-				r := startImpatient(t, configtest.NewConf(addr, a.Target, b.Target).Setting(`"discovery": "subscribe"`, `"discovery": "`+mode+`"`))
+				r := startWithShortTimeouts(t, configtest.NewConf(addr, a.Target, b.Target).Setting(`"discovery": "subscribe"`, `"discovery": "`+mode+`"`))
 				held := mustJSON(t, endpointlist.List{Rev: 41, All: true, Targets: []endpointlist.Target{a.Target, b.Target}})
 				left := mustJSON(t, endpointlist.List{Rev: 43, All: true, Targets: []endpointlist.Target{b.Target}})
 				misbehave(disc.Next(t), held)
-				r.serveCharges(4, "after the fault")
+				r.expectChargesServed(4, "after the fault")
 				answering.Go(func() {
 					for conn := range disc.Conns {
 						answering.Go(func() {
 							defer conn.Close()
 							if _, err := http.ReadRequest(bufio.NewReader(conn)); err == nil {
-								answerForms[form](conn, left)
+								responseForms[form](conn, left)
 								io.Copy(io.Discard, conn) // it stays until the sidecar ends it
 							}
 						})
@@ -121,7 +121,7 @@
 				})
 				sidecartest.Until(t, "the full list", func() bool { return r.loop.Discovery.Revision.Load() == 43 })
 				before := a.Requests.Load()
-				r.serveCharges(8, "after the list")
+				r.expectChargesServed(8, "after the list")
 				if got := a.Requests.Load() - before; got > 0 {
 					t.Errorf("a server that the full list left out got %d requests", got)
 				}
@@ -130,8 +130,8 @@
 	}
 }
 
-// startImpatient runs a sidecar whose calls to list services end early. It may run beside other tests.
-func startImpatient(t *testing.T, c configtest.Conf) *running {
+// startWithShortTimeouts runs a sidecar whose calls to list services end early. It may run beside other tests.
+func startWithShortTimeouts(t *testing.T, c configtest.Conf) *running {
 	t.Helper()
 	s := newFromConf(t, c)
 	s.drainAccept = 0
@@ -152,8 +152,8 @@
 	return r
 }
 
-// serveCharges sends requests of class charge, each of which has to be served.
-func (r *running) serveCharges(n int, when string) {
+// expectChargesServed sends requests of class charge, each of which has to be served.
+func (r *running) expectChargesServed(n int, when string) {
 	r.t.Helper()
 	for range n {
 		if got := r.do(r.request("charge", time.Second)); got.status != http.StatusOK {
