--- a/internal/sidecar/acceptance_test.go
+++ b/internal/sidecar/acceptance_test.go
@@ -16,11 +16,11 @@
 	"marblelane/internal/sidecar/sidecartest"
 )
 
-// With the default timeouts, clients that stop in the middle of a request and stay get an error or a close within 3 s of
-// connecting, and those that send 60 MB within 6 s.
+// Clients that stop in the middle of a request without closing would hold connections for ever. With the default timeouts
+// they get an error or a close within 3 s of connecting, and within 6 s if they send 60 MB.
 func TestReadTimeout_acceptance(t *testing.T) {
 	const limit, limitLarge = 3 * time.Second, 6 * time.Second
-	before := sidecartest.WireRequest("1", "Content-Length: 1000\r\n", "")
+	withLength := sidecartest.WireRequest("1", "Content-Length: 1000\r\n", "")
 	chunked := sidecartest.WireRequest("2", "Transfer-Encoding: chunked\r\n", "")
 	large := sidecartest.WireRequest("3", "Content-Length: 60000000\r\n", "")
 	b := sidecartest.NewBackend(t, "a", sidecartest.OK)
@@ -34,15 +34,15 @@
 		pause time.Duration // before the first byte
 	}{
 		"nothing":                    {limit: limit},
-		"one byte":                   {text: before[:1], limit: limit},
-		"one byte, late":             {text: before[:1], limit: limit, pause: 2 * time.Second},
-		"a request line":             {text: before[:strings.Index(before, "\r\n")+2], limit: limit},
-		"a header name":              {text: before[:60], limit: limit},
-		"a head, one byte short":     {text: before[:len(before)-1], limit: limit},
-		"a head":                     {text: before, limit: limit},
-		"a head, late":               {text: before, limit: limit, pause: time.Second},
-		"half a body":                {text: before + strings.Repeat("b", 500), limit: limit},
-		"a body, one byte short":     {text: before + strings.Repeat("b", 999), limit: limit},
+		"one byte":                   {text: withLength[:1], limit: limit},
+		"one byte, late":             {text: withLength[:1], limit: limit, pause: 2 * time.Second},
+		"a request line":             {text: withLength[:strings.Index(withLength, "\r\n")+2], limit: limit},
+		"a header name":              {text: withLength[:60], limit: limit},
+		"a head, one byte short":     {text: withLength[:len(withLength)-1], limit: limit},
+		"a head":                     {text: withLength, limit: limit},
+		"a head, late":               {text: withLength, limit: limit, pause: time.Second},
+		"half a body":                {text: withLength + strings.Repeat("b", 500), limit: limit},
+		"a body, one byte short":     {text: withLength + strings.Repeat("b", 999), limit: limit},
 		"half the size of a chunk":   {text: chunked + "1", limit: limit},
 		"half a chunk":               {text: chunked + "10\r\nbbbb", limit: limit},
 		"chunks without the last":    {text: chunked + "4\r\nbbbb\r\n", limit: limit},
@@ -69,7 +69,7 @@
 			c.SetReadDeadline(startedAt.Add(sidecartest.Patience))
 			c.Read(make([]byte, 1)) // an error or a close
 			if took := time.Since(startedAt); took > test.limit+lag() {
-				t.Errorf("%s: an answer or an end after %v, want within %v", name, took, test.limit)
+				t.Errorf("%s: a response or a close after %v, want within %v", name, took, test.limit)
 			}
 		})
 	}
@@ -79,17 +79,17 @@
 	}
 }
 
-// A request with a very short timeout whose server closes the connection without an answer gets one answer in time, from
-// one attempt at most, and the server stays in use.
+// A request with a very short timeout, whose server closes the connection without a response, gets one response in
+// time, makes at most one attempt, and does not take the server out of use.
 func TestTimeout_short(t *testing.T) {
-	var seen sync.Map // attempts by request id
+	var attempts sync.Map // number of attempts by request ID
 	b := sidecartest.NewBackend(t, "a", func(c net.Conn, r *http.Request, body string) bool {
-		n, _ := seen.LoadOrStore(r.Header.Get("X-Request-ID"), new(atomic.Int64))
+		n, _ := attempts.LoadOrStore(r.Header.Get("X-Request-ID"), new(atomic.Int64))
 		n.(*atomic.Int64).Add(1)
 		return len(r.Header.Get("X-Timeout-Ms")) < 3 || sidecartest.OK(c, r, body)
 	})
 	s := start(t, configtest.NewConf(sidecartest.NewRegistry(t).Addr(), b.Target))
-	const slack = 500 * time.Millisecond // after the timeout; the client waits no longer
+	const slack = 500 * time.Millisecond // time after the timeout for which the client waits
 	lag := sidecartest.MachineLag(t)
 	for _, class := range []string{"lookup", "reserve", "charge"} {
 		for _, left := range []time.Duration{1, 2, 5, 10, 20} {
@@ -99,23 +99,23 @@
 			}
 		}
 	}
-	seen.Range(func(id, n any) bool {
+	attempts.Range(func(id, n any) bool {
 		if n := n.(*atomic.Int64).Load(); n > 1 {
 			t.Errorf("request %v: %d attempts", id, n)
 		}
 		return true
 	})
 	if got := s.do(s.request("charge", time.Second)); got.status != 200 {
-		t.Errorf("after that: %+v", got)
+		t.Errorf("the next request: %+v, want it served", got)
 	}
 }
 
-// Complete answers without a length are forwarded, whatever their size and pace.
+// Complete responses without a length are forwarded, whatever their size and speed.
 func TestResponse_withoutLength(t *testing.T) {
 	for name, test := range map[string]struct {
 		size  int
 		parts int
-		pause time.Duration // between parts
+		pause time.Duration // before each part
 	}{
 		"short":               {100, 1, 0},
 		"short, in pieces":    {100, 5, 0},
@@ -136,36 +136,36 @@
 			})
 			s := start(t, configtest.NewConf(sidecartest.NewRegistry(t).Addr(), b.Target))
 			const requests = 10
-			var answers []<-chan result
+			var responses []<-chan result
 			for i := range requests {
-				answers = append(answers, s.goDo(s.request([]string{"lookup", "charge"}[i%2], 2*time.Second)))
+				responses = append(responses, s.goDo(s.request([]string{"lookup", "charge"}[i%2], 2*time.Second)))
 			}
 			complete := 0
-			for _, answer := range answers {
-				if got := sidecartest.Receive(t, "an answer", answer); got.status == 200 && len(got.body) == test.size {
+			for _, response := range responses {
+				if got := sidecartest.Receive(t, "a response", response); got.status == 200 && len(got.body) == test.size {
 					complete++
 				}
 			}
 			if 2*complete < requests {
-				t.Errorf("%d of %d complete answers are forwarded, want half at least", complete, requests)
+				t.Errorf("%d of %d complete responses were forwarded, want at least half", complete, requests)
 			}
 		})
 	}
 }
 
-// Idle connections that a server closes or resets cost no request, not even one that is not idempotent.
+// No request fails because a server closes or resets idle connections, not even a non-idempotent one.
 func TestIdleConn_closedByServer(t *testing.T) {
 	for name, end := range sidecartest.Ends {
 		t.Run(name, func(t *testing.T) {
 			b := sidecartest.NewBackend(t, "a", sidecartest.OK)
 			s := start(t, configtest.NewConf(sidecartest.NewRegistry(t).Addr(), b.Target))
 			for range 5 {
-				var answers []<-chan result
-				for range 4 { // so that several connections are idle
-					answers = append(answers, s.goDo(s.request("charge", time.Second)))
+				var responses []<-chan result
+				for range 4 { // concurrent, so that several connections become idle
+					responses = append(responses, s.goDo(s.request("charge", time.Second)))
 				}
-				for _, answer := range answers {
-					if got := sidecartest.Receive(t, "an answer", answer); got.status != 200 {
+				for _, response := range responses {
+					if got := sidecartest.Receive(t, "a response", response); got.status != 200 {
 						t.Errorf("%+v", got)
 					}
 				}
@@ -183,8 +183,8 @@
 	}
 }
 
-// A request whose attempts all fail at once gets one answer after no more attempts than the settings allow: one where it
-// is not idempotent.
+// A request whose attempts all fail immediately gets one response and makes no more attempts than the settings allow, or
+// only one if it is not idempotent.
 func TestRetry_immediateFailures(t *testing.T) {
 	for name, serve := range map[string]sidecartest.ServeOne{
 		"error": sidecartest.Respond("HTTP/1.1 500 Oh\r\nContent-Length: 0\r\n\r\n", true),
--- a/internal/sidecar/attempt_test.go
+++ b/internal/sidecar/attempt_test.go
@@ -9,11 +9,11 @@
 	"marblelane/internal/sidecar/sidecartest"
 )
 
-// A request whose key's window ends while its retry connects is answered then and not only at its deadline, as it cannot be
-// sent any more.
+// A request may not be retried after the window of its idempotency key. If the window ends while a retry connects, the
+// request gets its response then and not only at its deadline.
 func TestKeyWindow_endsWhileConnecting(t *testing.T) {
 	b := sidecartest.NewBackend(t, "a", sidecartest.Respond("HTTP/1.1 500 Oh\r\nContent-Length: 0\r\n\r\n", true))
-	b.Target.Capacity = 1000 // it gets the first attempt
+	b.Target.Capacity = 1000 // so that it gets the first attempt
 	never := sidecartest.Ready("b", unresponsiveAddr(t))
 	c := configtest.NewConf(sidecartest.NewRegistry(t).Addr(), b.Target, never).
 		Setting(`"window_ms": 2000`, `"window_ms": 100`).
--- a/internal/sidecar/body_test.go
+++ b/internal/sidecar/body_test.go
@@ -21,14 +21,14 @@
 	"marblelane/internal/sidecar/sidecartest"
 )
 
-// checksum is short enough for the message of a failed test.
+// checksum returns the length and a hash of b, for short failure messages.
 func checksum(b []byte) string {
 	h := fnv.New64a()
 	h.Write(b)
 	return fmt.Sprintf("%d bytes, %x", len(b), h.Sum64())
 }
 
-// Bodies of requests and answers arrive unchanged, whatever their size and framing.
+// Bodies of requests and responses are forwarded unchanged, whatever their size and framing.
 func TestBody_sizes(t *testing.T) {
 	for _, size := range []int{0, 1, inflight.MaxHeldBody, inflight.MaxHeldBody + 1, clientserver.MaxHeldIfMemory + 1, inflight.MaxBody} {
 		for _, chunked := range []bool{false, true} {
@@ -64,7 +64,7 @@
 	}
 }
 
-// The client's timeout counts from its last byte, however long the body takes.
+// The timeout of a request counts from its last byte, however long its body takes to arrive.
 func TestTimeout_fromLastByte(t *testing.T) {
 	b := sidecartest.NewBackend(t, "a", sidecartest.OK)
 	s := start(t, configtest.NewConf(sidecartest.NewRegistry(t).Addr(), b.Target).
@@ -75,21 +75,21 @@
 	done := s.goDo(req)
 	for range 4 {
 		out.Write(make([]byte, inflight.MaxHeldBody/2))
-		time.Sleep(60 * time.Millisecond) // in sum longer than the deadline
+		time.Sleep(60 * time.Millisecond) // in total longer than the deadline
 	}
 	out.Close()
-	if got := sidecartest.Receive(t, "the answer", done); got.status != 200 {
+	if got := sidecartest.Receive(t, "the response", done); got.status != 200 {
 		t.Errorf("%+v", got)
 	}
 }
 
-// upload writes the head of a request with a body, and part of the body.
+// upload writes the head of a request and the given first part of its body.
 func (r *running) upload(t *testing.T, framing, body string) net.Conn {
 	t.Helper()
 	return r.uploadWithin(t, 900*time.Millisecond, framing, body)
 }
 
-// uploadWithin is upload by a client with the given timeout.
+// uploadWithin is upload with the given timeout of the request.
 func (r *running) uploadWithin(t *testing.T, timeout time.Duration, framing, body string) net.Conn {
 	t.Helper()
 	c, err := net.Dial("tcp", r.Addr())
@@ -106,23 +106,23 @@
 	return c
 }
 
-// A body that is cut short, malformed, too large or missing reaches no server as a complete request. The client gets a
-// 4xx or the end of its connection.
+// A request whose body is cut short, malformed, too large or missing does not reach a server as a complete request. The
+// client gets a 4xx response, or its connection is closed.
 func TestBody_incomplete(t *testing.T) {
 	part := strings.Repeat("x", 3*inflight.MaxHeldBody)
 	chunk := fmt.Sprintf("%x\r\n%s\r\n", len(part), part)
 	for name, test := range map[string]struct {
 		framing, body string
 		end           func(net.Conn)
-		want          int // 0: none
+		want          int // status; 0: no response
 	}{
 		"cut short":           {"Content-Length: 1000000", part, func(c net.Conn) { c.(*net.TCPConn).CloseWrite() }, 400},
 		"cut short, held":     {"Content-Length: 100", "x", func(c net.Conn) { c.(*net.TCPConn).CloseWrite() }, 400},
 		"chunks cut short":    {"Transfer-Encoding: chunked", chunk, func(c net.Conn) { c.(*net.TCPConn).CloseWrite() }, 400},
-		"gone":                {"Content-Length: 1000000", part, func(c net.Conn) { c.Close() }, 0},
+		"connection closed":   {"Content-Length: 1000000", part, func(c net.Conn) { c.Close() }, 0},
 		"malformed chunk":     {"Transfer-Encoding: chunked", chunk + "no number\r\n", nil, 400},
-		"silent":              {"Content-Length: 1000000", part, nil, 408},
-		"silent, held":        {"Content-Length: 100", "x", nil, 408},
+		"stalled":             {"Content-Length: 1000000", part, nil, 408},
+		"stalled, held":       {"Content-Length: 100", "x", nil, 408},
 		"too large":           {fmt.Sprintf("Content-Length: %d", inflight.MaxBody+1), "", nil, 413},
 		"too large, unframed": {"Content-Length: 99999999999999999999", part, nil, 400},
 	} {
@@ -150,7 +150,7 @@
 					t.Errorf("%+v, %v, want %d", resp, err, test.want)
 				}
 			}
-			sidecartest.Until(t, "the request to be over", func() bool { return s.clients.OpenRequests() == 0 })
+			sidecartest.Until(t, "the request to end", func() bool { return s.clients.OpenRequests() == 0 })
 			select {
 			case <-complete:
 				t.Error("the server got a complete request")
@@ -160,7 +160,8 @@
 	}
 }
 
-// A request that its server rejects before its body is complete goes to another server, while all of the body is held.
+// A request that its server rejects before its body is complete is sent to another server, as long as the sidecar still
+// holds the whole body.
 func TestBody_rejectedByServer(t *testing.T) {
 	size := 8 * inflight.MaxHeldBody
 	for _, held := range []bool{true, false} {
@@ -184,12 +185,12 @@
 				}
 				return sidecartest.OK(c, r, body)
 			})
-			if held { // the third to get the request
+			if held { // the third server to get the request
 				c["known"] = endpointlist.List{Rev: 1, All: true, Targets: append(c["known"].(endpointlist.List).Targets, good.Target)}
 			}
 			s := start(t, c)
 			conn := s.upload(t, "Transfer-Encoding: chunked", fmt.Sprintf("%x\r\n%s\r\n", inflight.MaxHeldBody+1, strings.Repeat("x", inflight.MaxHeldBody+1)))
-			if held { // the others have rejected it by then
+			if held { // the other servers have rejected it by then
 				sidecartest.Until(t, "the good server to get the request", func() bool { return good.Conns.Load() > 0 })
 			}
 			more := strings.Repeat("x", size-inflight.MaxHeldBody-1)
@@ -205,7 +206,7 @@
 	}
 }
 
-// The first bytes of a long answer are written at once, and the remaining ones also after the client's deadline.
+// The first bytes of a long response are forwarded at once, and the remaining ones even after the client's deadline.
 func TestResponse_streamed(t *testing.T) {
 	for _, chunked := range []bool{false, true} {
 		t.Run(fmt.Sprintf("chunked %v", chunked), func(t *testing.T) {
@@ -251,15 +252,15 @@
 	}
 }
 
-// A client can tell that a long answer was cut short, whatever its framing.
+// A client can tell that a long response was cut short, whatever its framing.
 func TestResponse_cutShort(t *testing.T) {
-	for name, answer := range map[string]string{
+	for name, response := range map[string]string{
 		"length":  "HTTP/1.1 200 OK\r\nContent-Length: 1000000\r\n\r\n" + string(sidecartest.Pattern(inflight.MaxHeldBody+1)),
 		"chunked": fmt.Sprintf("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n%x\r\n%s\r\n", 2*inflight.MaxHeldBody, sidecartest.Pattern(2*inflight.MaxHeldBody)),
 	} {
 		for _, proto := range []string{"HTTP/1.1", "HTTP/1.0"} {
 			t.Run(name+" "+proto, func(t *testing.T) {
-				b := sidecartest.NewBackend(t, "a", sidecartest.Respond(answer, false))
+				b := sidecartest.NewBackend(t, "a", sidecartest.Respond(response, false))
 				s := start(t, configtest.NewConf(sidecartest.NewRegistry(t).Addr(), b.Target))
 				c := s.dial(t)
 				defer c.Close()
@@ -272,9 +273,9 @@
 					_, err = io.Copy(io.Discard, resp.Body)
 				}
 				if err == nil {
-					t.Error("the answer looks complete")
+					t.Error("the response looks complete")
 				}
-				sidecartest.Until(t, "the request to be over", func() bool { return s.clients.OpenRequests() == 0 })
+				sidecartest.Until(t, "the request to end", func() bool { return s.clients.OpenRequests() == 0 })
 				if n := b.Requests.Load(); n != 1 {
 					t.Errorf("%d attempts", n)
 				}
@@ -283,7 +284,7 @@
 	}
 }
 
-// An endless answer is cut off at inflight.MaxBody, and the client can tell.
+// An endless response is cut off at inflight.MaxBody, and the client can tell that it is incomplete.
 func TestResponse_endless(t *testing.T) {
 	at := sidecartest.RawBackend(t, "a", func(c net.Conn, in *bufio.Reader) {
 		if _, err := http.ReadRequest(in); err == nil {
@@ -302,7 +303,7 @@
 	}
 }
 
-// The memory for the bodies of many requests at a time is bounded, however slow clients and servers are.
+// The memory for the bodies of concurrent requests is bounded, however slow clients and servers are.
 func TestBodyMemory_bounded(t *testing.T) {
 	const uploads, size = 48, 4 << 20
 	released := make(chan struct{})
@@ -312,12 +313,12 @@
 		if err != nil {
 			return
 		}
-		<-released // until then it reads nothing
+		<-released // reads nothing until then
 		io.Copy(io.Discard, req.Body)
 		fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\nConnection: close\r\n\r\n", size)
 		io.CopyN(c, sidecartest.Zeros{}, size)
 	})
-	// A dial may be slow on a busy machine, which this test is not about.
+	// A slow dial on a busy machine must not fail this test.
 	s := start(t, configtest.NewConf(sidecartest.NewRegistry(t).Addr(), server).Setting(`"connect_timeout_ms": 100`, `"connect_timeout_ms": 60000`))
 	t.Cleanup(release)
 	var sent sync.WaitGroup
@@ -336,12 +337,12 @@
 	}
 	const maxMB = uploads * 4 * inflight.MaxHeldBody >> 20
 	if mb := heap(); mb > maxMB {
-		t.Errorf("%d MB are held on the way to the server, at most %d of %d are allowed", mb, maxMB, uploads*size>>20)
+		t.Errorf("%d MB are held while forwarding requests, want at most %d of %d", mb, maxMB, uploads*size>>20)
 	}
 	release()
 	sent.Wait()
 	if mb := heap(); mb > maxMB {
-		t.Errorf("%d MB are held on the way back, at most %d of %d are allowed", mb, maxMB, uploads*size>>20)
+		t.Errorf("%d MB are held while forwarding responses, want at most %d of %d", mb, maxMB, uploads*size>>20)
 	}
 	for _, c := range conns {
 		resp, err := http.ReadResponse(bufio.NewReader(c), nil)
@@ -354,7 +355,7 @@
 	}
 }
 
-// The memory limit bounds the requests at a time where the sockets allow more of them.
+// The memory limit bounds the number of concurrent requests if the sockets allow more.
 func TestRequestLimit_byMemory(t *testing.T) {
 	for mb, want := range map[int]int{0: 432, 32: 170, 192: 432} {
 		c := configtest.NewConf("127.0.0.1:1")
@@ -362,7 +363,7 @@
 		s := newFromConf(t, c)
 		s.listener.Close()
 		if got := s.budget.requests; got != want {
-			t.Errorf("%d MB: %d requests at a time, want %d", mb, got, want)
+			t.Errorf("%d MB: %d concurrent requests, want %d", mb, got, want)
 		}
 	}
 }
--- a/internal/sidecar/checkpoint_test.go
+++ b/internal/sidecar/checkpoint_test.go
@@ -10,16 +10,17 @@
 	"marblelane/internal/sidecar/sidecartest"
 )
 
-// holdAt holds up each caller at a checkpoint until the barrier is released.
-func holdAt(at checkpoint.Checkpoint, g *sidecartest.Barrier) checkpoint.Hook {
+// holdAt returns a hook that blocks each caller at a checkpoint until the barrier is released.
+func holdAt(at checkpoint.Checkpoint, barrier *sidecartest.Barrier) checkpoint.Hook {
 	return func(c checkpoint.Checkpoint) {
 		if c == at {
-			g.Pass()
+			barrier.Pass()
 		}
 	}
 }
 
-// A client is noticed that leaves while its attempt is held up after it has read the clock for its first byte.
+// If a client closes its connection while its attempt is held up before the first byte, the attempt notices that and
+// sends nothing.
 func TestHeldUp_clientLeaves(t *testing.T) {
 	for name, body := range map[string]string{"held": "", "forwarded": string(sidecartest.Pattern(inflight.MaxHeldBody / 2))} {
 		for _, at := range []checkpoint.Checkpoint{checkpoint.AttemptDecided, checkpoint.ClockRead} {
@@ -31,7 +32,7 @@
 				})
 				t.Cleanup(held.Release)
 				if body != "" {
-					s.clients.SetBodyMemory(0) // nothing more than the least is held
+					s.clients.SetBodyMemory(0) // only inflight.MinHeldBody of a body is held
 				}
 				client := s.newLeavingClient(t, "charge", "HTTP/1.1", "Content-Length: "+strconv.Itoa(len(body))+"\r\n", body)
 				held.WaitFor(t, 1)
@@ -43,7 +44,7 @@
 	}
 }
 
-// A server that starts to drain while an attempt to it is held up gets nothing: another one does.
+// A server that starts to drain while an attempt to it is held up does not get the request; another server does.
 func TestHeldUp_serverDrains(t *testing.T) {
 	a, b, held := sidecartest.NewBackend(t, "a", sidecartest.OK), sidecartest.NewBackend(t, "b", sidecartest.OK), sidecartest.NewBarrier()
 	registry := sidecartest.NewRegistry(t)
@@ -55,10 +56,10 @@
 	done := s.goDo(s.request("charge", sidecartest.Patience))
 	held.WaitFor(t, 1)
 	watch.Send(t, listWithState(2, a, b, "Terminating"))
-	watch.Line(t, "") // taken only after the line before was written
-	sidecartest.Until(t, "the list to be taken", func() bool { return s.loop.Discovery.Revision.Load() == 2 })
+	watch.Line(t, "") // is received only after the line before was written
+	sidecartest.Until(t, "the list to be applied", func() bool { return s.loop.Discovery.Revision.Load() == 2 })
 	held.Release()
-	if got := sidecartest.Receive(t, "the answer", done); got.status != 200 {
+	if got := sidecartest.Receive(t, "the response", done); got.status != 200 {
 		t.Errorf("%+v", got)
 	}
 	if n, m := a.Requests.Load(), b.Requests.Load(); n != 0 || m != 1 {
--- a/internal/sidecar/client_gone_test.go
+++ b/internal/sidecar/client_gone_test.go
@@ -21,22 +21,22 @@
 	"marblelane/internal/sidecar/sidecartest"
 )
 
-// noClientPoll is an interval between two checks of a client that is longer than any test.
+// noClientPoll is an interval between two checks of a client connection that is longer than any test.
 const noClientPoll = time.Hour
 
-// setClientPoll sets the time between two checks whether a client has gone.
+// setClientPoll sets the interval at which the sidecar checks whether a client has closed its connection.
 func (s *Sidecar) setClientPoll(interval time.Duration) {
 	s.clients.Configure(func(o *clientserver.Options) { o.ClientPoll = interval })
 }
 
-// leavingClient is a client that sends one request and leaves before its answer.
+// leavingClient is a client that sends one request and closes its connection before the response.
 type leavingClient struct {
 	*net.TCPConn
 	t        *testing.T
-	accepted *clientserver.ClientConn // its connection in the sidecar
+	accepted *clientserver.ClientConn // the sidecar's end of the connection
 }
 
-// newLeavingClient sends a request, and returns the client once the sidecar works at it.
+// newLeavingClient sends a request, and returns the client once the sidecar has read the request.
 func (r *running) newLeavingClient(t *testing.T, class, proto, lines, body string) *leavingClient {
 	t.Helper()
 	before := r.clients.OpenRequests()
@@ -67,8 +67,8 @@
 	return client
 }
 
-// sendAhead sends what may be the start of a next request, and returns once net/http has read its first byte, behind
-// which it reads no more while a request is at work.
+// sendAhead sends the possible start of a next request, so that unread bytes hide a close of the connection. net/http
+// reads only the first of these bytes while a request is being handled. sendAhead returns once it has.
 func (c *leavingClient) sendAhead() {
 	c.t.Helper()
 	before := c.accepted.LastRead()
@@ -79,26 +79,27 @@
 	if _, err := io.WriteString(c, "\nGET"); err != nil {
 		c.t.Fatal(err)
 	}
-	sidecartest.Until(c.t, "more bytes to come", func() bool { _, unread := netcall.Peek(c.accepted.Conn); return unread })
+	sidecartest.Until(c.t, "more bytes to arrive", func() bool { _, unread := netcall.Peek(c.accepted.Conn); return unread })
 }
 
-// leave ends the connection, and returns once the system of the sidecar knows it.
+// leave closes the connection, and returns once the operating system has reported that to the sidecar's end.
 func (c *leavingClient) leave(end func(*net.TCPConn)) {
 	c.t.Helper()
 	end(c.TCPConn)
-	sidecartest.Until(c.t, "the end to arrive", func() bool {
+	sidecartest.Until(c.t, "the close to arrive", func() bool {
 		state, err := netcall.NewConnStates().State(c.accepted.Conn)
 		return err != nil || state != unix.BPF_TCP_ESTABLISHED
 	})
 }
 
-// Settings under which a request waits for a connection, or for a server, longer than any test.
+// Settings that let a request wait for a connection, or for a server, for longer than any test.
 const (
 	longDial = `"connect_timeout_ms": 60000`
 	longWait = `"on_time_ms": 60000, "hard_limit_ms": 60000`
 )
 
-// startHeldDial starts a sidecar with one server, to which connections are set up only once the barrier is released.
+// startHeldDial starts a sidecar with one server. Connections to the server are established only once the barrier is
+// released.
 func startHeldDial(t *testing.T, poll time.Duration, changes ...func(*Sidecar)) (*running, *sidecartest.Backend, *sidecartest.Barrier) {
 	t.Helper()
 	b, dialing := sidecartest.NewBackend(t, "a", sidecartest.OK), sidecartest.NewBarrier()
@@ -108,32 +109,32 @@
 		s.loop.Pool.SetDialControl(func(string, string, syscall.RawConn) error { dialing.Pass(); return nil })
 	})
 	s := start(t, c, changes...)
-	t.Cleanup(dialing.Release) // before the sidecar ends
+	t.Cleanup(dialing.Release) // runs before the sidecar shuts down
 	return s, b, dialing
 }
 
-// expectNothingSent returns once all requests are over, and fails if a server got one of them.
+// expectNothingSent waits until all requests have ended, and fails if a server got one of them.
 func (r *running) expectNothingSent(t *testing.T, servers ...*sidecartest.Backend) {
 	t.Helper()
-	sidecartest.Until(t, "the request to be over", func() bool { return r.clients.OpenRequests() == 0 })
+	sidecartest.Until(t, "the request to end", func() bool { return r.clients.OpenRequests() == 0 })
 	before := int64(0)
 	for _, b := range servers {
 		before += b.Requests.Load()
 	}
-	if got := r.do(r.request("lookup", sidecartest.Patience)); got.status != 200 { // by its answer servers have read all that was sent
-		t.Errorf("another client gets %+v", got)
+	if got := r.do(r.request("lookup", sidecartest.Patience)); got.status != 200 { // when it has its response, servers have read everything that was sent
+		t.Errorf("the request of another client: %+v", got)
 	}
 	after := int64(-1)
 	for _, b := range servers {
 		after += b.Requests.Load()
 	}
 	if after > 0 || before > 0 {
-		t.Errorf("servers got %d requests of a client that has gone", max(after, before))
+		t.Errorf("servers got %d requests of a client that has closed its connection", max(after, before))
 	}
 }
 
-// Right before its first byte an attempt sees that its client has gone, though unread bytes hide the end of the
-// connection.
+// Right before its first byte an attempt notices that its client has closed the connection, even if unread bytes hide the
+// close.
 func TestClientGone_beforeFirstByte(t *testing.T) {
 	for name, end := range sidecartest.Ends {
 		for _, proto := range []string{"HTTP/1.1", "HTTP/1.0"} {
@@ -150,8 +151,9 @@
 	}
 }
 
-// A request whose client leaves while it waits ends long before its deadline, though unread bytes hide the end of the
-// connection: it does not count as load, and the connection that was being set up for it stays in the pool for others.
+// A request whose client closes the connection while the request waits ends long before its deadline, even if unread
+// bytes hide the close. It does not count as load, and the connection that was being established for it stays in the
+// pool.
 func TestClientGone_whileWaiting(t *testing.T) {
 	for name, end := range sidecartest.Ends {
 		t.Run("without a server, "+name, func(t *testing.T) {
@@ -161,7 +163,7 @@
 			client := s.newLeavingClient(t, "lookup", "HTTP/1.1", "", "")
 			client.sendAhead()
 			client.leave(end)
-			sidecartest.Until(t, "the request to be over", func() bool { return s.clients.OpenRequests() == 0 })
+			sidecartest.Until(t, "the request to end", func() bool { return s.clients.OpenRequests() == 0 })
 			b := sidecartest.NewBackend(t, "a", sidecartest.OK)
 			watch.Send(t, endpointlist.List{Rev: 2, All: true, Targets: []endpointlist.Target{b.Target}})
 			s.expectNothingSent(t, b)
@@ -172,7 +174,7 @@
 			dialing.WaitFor(t, 1)
 			client.sendAhead()
 			client.leave(end)
-			sidecartest.Until(t, "the request to be over", func() bool { return s.clients.OpenRequests() == 0 })
+			sidecartest.Until(t, "the request to end", func() bool { return s.clients.OpenRequests() == 0 })
 			dialing.Release()
 			sidecartest.Until(t, "the connection to be idle in the pool", func() bool {
 				_, idle := s.loop.Pool.Counts()
@@ -180,13 +182,13 @@
 			})
 			s.expectNothingSent(t, b)
 			if n := b.Conns.Load(); n != 1 {
-				t.Errorf("%d connections, want the one that was being set up", n)
+				t.Errorf("%d connections, want only the one that was being established", n)
 			}
 		})
 	}
 }
 
-// A request without a server is not sent to one that a list event names right after its client has left.
+// A request that waits for a server is not sent to one that appears right after its client has closed the connection.
 func TestClientGone_beforeListEvent(t *testing.T) {
 	for name, end := range sidecartest.Ends {
 		t.Run(name, func(t *testing.T) {
@@ -204,7 +206,7 @@
 	}
 }
 
-// No retry starts for a client that left during the attempt before, however that ended.
+// There is no retry for a client that closed its connection during the attempt before, however that attempt ended.
 func TestClientGone_noRetry(t *testing.T) {
 	for how, first := range map[string]sidecartest.ServeOne{
 		"rejected": sidecartest.Respond("HTTP/1.1 503 No\r\nX-Not-Processed: 1\r\nContent-Length: 0\r\n\r\n", true),
@@ -216,30 +218,30 @@
 	} {
 		for name, end := range sidecartest.Ends {
 			t.Run(how+", "+name, func(t *testing.T) {
-				answer := sidecartest.NewBarrier()
+				respond := sidecartest.NewBarrier()
 				var attempts atomic.Int64
 				serve := func(c net.Conn, r *http.Request, body string) bool {
 					if attempts.Add(1) > 1 {
 						return sidecartest.OK(c, r, body)
 					}
-					answer.Pass()
+					respond.Pass()
 					return first(c, r, body)
 				}
 				b, other := sidecartest.NewBackend(t, "a", serve), sidecartest.NewBackend(t, "b", serve)
 				s := start(t, configtest.NewConf(sidecartest.NewRegistry(t).Addr(), b.Target, other.Target), func(s *Sidecar) {
 					s.setClientPoll(noClientPoll)
 				})
-				t.Cleanup(answer.Release)
+				t.Cleanup(respond.Release)
 				client := s.newLeavingClient(t, "lookup", "HTTP/1.1", "", "")
-				answer.WaitFor(t, 1)
+				respond.WaitFor(t, 1)
 				client.sendAhead()
 				client.leave(end)
-				answer.Release()
-				sidecartest.Until(t, "the request to be over", func() bool { return s.clients.OpenRequests() == 0 })
+				respond.Release()
+				sidecartest.Until(t, "the request to end", func() bool { return s.clients.OpenRequests() == 0 })
 				if got := s.do(s.request("lookup", time.Second)); got.status != 200 {
-					t.Errorf("another client gets %+v", got)
+					t.Errorf("the request of another client: %+v", got)
 				}
-				if n := attempts.Load(); n != 2 { // one attempt for either client
+				if n := attempts.Load(); n != 2 { // one attempt for each client
 					t.Errorf("%d attempts, want 2", n)
 				}
 			})
@@ -247,15 +249,15 @@
 	}
 }
 
-// An attempt with a streamed body sees before its first byte that its client has gone, whether the body is complete or
-// not.
+// An attempt with a streamed body notices before its first byte that its client has closed the connection, whether the
+// body is complete or not.
 func TestClientGone_beforeUpload(t *testing.T) {
-	const length = inflight.MaxHeldBody / 2 // which fits into the buffers of the system
+	const length = inflight.MaxHeldBody / 2 // fits into the socket buffers
 	for _, sent := range []int{length / 2, length} {
 		for name, end := range sidecartest.Ends {
 			t.Run(fmt.Sprintf("%d bytes, %s", sent, name), func(t *testing.T) {
 				s, b, dialing := startHeldDial(t, noClientPoll)
-				s.clients.SetBodyMemory(0) // of a body only inflight.MinHeldBody is held
+				s.clients.SetBodyMemory(0) // only inflight.MinHeldBody of a body is held
 				client := s.newLeavingClient(t, "charge", "HTTP/1.1", fmt.Sprintf("Content-Length: %d\r\n", length), string(sidecartest.Pattern(sent)))
 				dialing.WaitFor(t, 1)
 				client.leave(end)
@@ -266,7 +268,8 @@
 	}
 }
 
-// A client that has half-closed counts as gone, but may still read: it gets a failure, and nothing else.
+// A client that has half-closed its connection counts as gone but may still read: it gets a failure response and
+// nothing else.
 func TestClientGone_halfClose(t *testing.T) {
 	for _, ahead := range []bool{false, true} {
 		t.Run(fmt.Sprintf("more sent %v", ahead), func(t *testing.T) {
@@ -280,18 +283,18 @@
 			in := bufio.NewReader(client)
 			resp, err := http.ReadResponse(in, nil)
 			if err != nil || resp.StatusCode != inflight.StatusFailed || !resp.Close {
-				t.Fatalf("%+v, %v, want %d and the end", resp, err, inflight.StatusFailed)
+				t.Fatalf("%+v, %v, want %d and a close", resp, err, inflight.StatusFailed)
 			}
 			io.Copy(io.Discard, resp.Body)
-			if more, _ := io.ReadAll(in); len(more) > 0 { // its end may be a reset
-				t.Errorf("%q after the answer", more)
+			if more, _ := io.ReadAll(in); len(more) > 0 { // the close may be a reset
+				t.Errorf("%q after the response", more)
 			}
 		})
 	}
 }
 
-// Where the state of a connection is unavailable, pipelined requests are served all the same, and the end of a client
-// that has sent nothing more is still seen right before the first byte.
+// If the state of TCP connections is unavailable, pipelined requests are served all the same, and an attempt still
+// notices right before its first byte that a client which has sent nothing more has closed the connection.
 func TestClientGone_withoutConnStates(t *testing.T) {
 	withoutConnStates := func(s *Sidecar) {
 		s.clients.Configure(func(o *clientserver.Options) {
--- a/internal/sidecar/client_read_test.go
+++ b/internal/sidecar/client_read_test.go
@@ -11,7 +11,7 @@
 	"marblelane/internal/sidecar/sidecartest"
 )
 
-// Bytes of a client that cannot be read for a moment are read and answered later.
+// A request is served although reading from its client fails at first with a transient error.
 func TestClientRead_momentaryErrno(t *testing.T) {
 	for _, errno := range []syscall.Errno{unix.EINTR, unix.ENOBUFS, unix.ENOMEM} {
 		t.Run(unix.ErrnoName(errno), func(t *testing.T) {
--- a/internal/sidecar/clientserver_test.go
+++ b/internal/sidecar/clientserver_test.go
@@ -31,7 +31,7 @@
 	}
 }
 
-// A malformed request gets a 4xx, not a rejection, and reaches no server.
+// A malformed request gets a 4xx response, not a rejection, and does not reach a server.
 func TestMalformedRequests(t *testing.T) {
 	b := sidecartest.NewBackend(t, "a", sidecartest.OK)
 	s := start(t, configtest.NewConf(sidecartest.NewRegistry(t).Addr(), b.Target))
@@ -88,7 +88,7 @@
 	}
 }
 
-// Without X-Timeout-Ms the timeout is the limit of the class.
+// Without X-Timeout-Ms the timeout of a request is the deadline of its class.
 func TestTimeout_classDefault(t *testing.T) {
 	s := start(t, configtest.NewConf(sidecartest.NewRegistry(t).Addr()).Setting(`"hard_limit_ms": 2500`, `"hard_limit_ms": 100`).
 		Setting(`"on_time_ms": 750`, `"on_time_ms": 100`))
@@ -99,7 +99,7 @@
 	}
 }
 
-// Requests above the limit are rejected at once, not dropped, and the others are served.
+// Requests above the limit get a rejection at once, and the others are served.
 func TestRequestLimit_rejects(t *testing.T) {
 	release := make(chan struct{})
 	b := sidecartest.NewBackend(t, "a", func(c net.Conn, r *http.Request, body string) bool {
@@ -122,13 +122,14 @@
 	}
 	close(release)
 	for _, h := range held {
-		if got := sidecartest.Receive(t, "an answer", h); got.status != 200 {
+		if got := sidecartest.Receive(t, "a response", h); got.status != 200 {
 			t.Errorf("%+v", got)
 		}
 	}
 }
 
-// Above the keep-alive limit connections end with their answers, so that idle ones do not shut others out.
+// Above the keep-alive limit connections are closed after their response, so that idle connections do not shut out new
+// ones.
 func TestKeepAliveLimit(t *testing.T) {
 	b := sidecartest.NewBackend(t, "a", sidecartest.OK)
 	c := configtest.NewConf(sidecartest.NewRegistry(t).Addr(), b.Target)
@@ -152,7 +153,7 @@
 	}
 }
 
-// A client that does not read its answers loses its connection, and its place among the requests.
+// The connection of a client that does not read its responses is closed, and its requests no longer count as open.
 func TestWriteTimeout(t *testing.T) {
 	body := strings.Repeat("x", inflight.MaxBody)
 	b := sidecartest.NewBackend(t, "a", sidecartest.Respond(fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body), body), true))
@@ -166,18 +167,18 @@
 	defer conn.Close()
 	conn.(*net.TCPConn).SetReadBuffer(4096)
 	conn.SetDeadline(time.Now().Add(sidecartest.Patience))
-	for range 1000 { // more answers than the buffers between hold
+	for range 1000 { // more responses than the socket buffers hold
 		if err := s.request("lookup", time.Second).Write(conn); err != nil {
 			break
 		}
 	}
-	sidecartest.Until(t, "the connection to end", func() bool {
+	sidecartest.Until(t, "the connection to close", func() bool {
 		return s.clients.OpenConns() == 0 && s.clients.OpenRequests() == 0
 	})
 }
 
-// After SIGTERM open requests are served, new connections are accepted for a while, and each connection is closed after
-// an answer. The address can be bound again.
+// After SIGTERM open requests are served, new connections are accepted for a while, and each connection is closed after a
+// response. Afterwards the address can be bound again.
 func TestDrain(t *testing.T) {
 	release, got := make(chan struct{}), make(chan struct{}, 1)
 	b := sidecartest.NewBackend(t, "a", func(c net.Conn, r *http.Request, body string) bool {
@@ -190,7 +191,7 @@
 	conf := configtest.NewConf(sidecartest.NewRegistry(t).Addr(), b.Target)
 	s := start(t, conf)
 	s.drainAccept = time.Second
-	s.do(s.request("charge", time.Second)) // leaves an idle connection
+	s.do(s.request("charge", time.Second)) // leaves an idle connection behind
 	slow := s.request("lookup", 2500*time.Millisecond)
 	slow.URL.RawQuery = "slow"
 	held := s.goDo(slow)
@@ -211,8 +212,8 @@
 	if resp.StatusCode != 200 || !resp.Close {
 		t.Errorf("on a new connection while draining: %s, closed %v", resp.Status, resp.Close)
 	}
-	time.AfterFunc(1200*time.Millisecond, func() { close(release) }) // after the last connection was accepted
-	if r := sidecartest.Receive(t, "the slow answer", held); r.status != 200 {
+	time.AfterFunc(1200*time.Millisecond, func() { close(release) }) // later than the last connection is accepted
+	if r := sidecartest.Receive(t, "the slow response", held); r.status != 200 {
 		t.Errorf("%+v", r)
 	}
 	if err := sidecartest.Receive(t, "the end", s.ended); err != nil {
@@ -227,7 +228,7 @@
 	}
 }
 
-// Clients that send requests for a while after SIGTERM, as they may, lose none.
+// Clients may send requests for a while after SIGTERM: all of them are served.
 func TestDrain_underLoad(t *testing.T) {
 	b := sidecartest.NewBackend(t, "a", sidecartest.OK)
 	s := start(t, configtest.NewConf(sidecartest.NewRegistry(t).Addr(), b.Target))
@@ -268,7 +269,7 @@
 	s.ended <- nil
 }
 
-// A connection without a request does not delay a drain beyond the longest deadline.
+// A connection that never sends a request does not delay the shutdown beyond the longest deadline.
 func TestDrain_unusedConnection(t *testing.T) {
 	s := start(t, configtest.NewConf(sidecartest.NewRegistry(t).Addr()).Setting(`"hard_limit_ms": 2500`, `"hard_limit_ms": 1000`))
 	conn, err := net.Dial("tcp", s.Addr())
@@ -286,12 +287,12 @@
 	s.ended <- nil
 }
 
-// Concurrent requests, some of whose clients leave, release calls and connections.
+// After concurrent requests, some of whose clients close their connection early, no call and no connection is left.
 func TestRequest_releasesAll(t *testing.T) {
 	b := sidecartest.NewBackend(t, "a", sidecartest.OK)
 	b2 := sidecartest.NewBackend(t, "b", sidecartest.Respond("HTTP/1.1 503 No\r\nX-Not-Processed: 1\r\nContent-Length: 0\r\n\r\n", false))
 	s := start(t, configtest.NewConf(sidecartest.NewRegistry(t).Addr(), b.Target, b2.Target))
-	var answers []<-chan result
+	var responses []<-chan result
 	for i := range 60 {
 		req := s.request([]string{"lookup", "reserve", "charge"}[i%3], time.Second)
 		if i%5 == 0 {
@@ -302,28 +303,28 @@
 			}
 			continue
 		}
-		answers = append(answers, s.goDo(req))
+		responses = append(responses, s.goDo(req))
 	}
-	for _, r := range answers {
-		if got := sidecartest.Receive(t, "an answer", r); got.status != 200 && got.status != inflight.StatusRejected {
+	for _, r := range responses {
+		if got := sidecartest.Receive(t, "a response", r); got.status != 200 && got.status != inflight.StatusRejected {
 			t.Errorf("%+v", got)
 		}
 	}
-	sidecartest.Until(t, "all requests to be over", func() bool { return s.clients.OpenRequests() == 0 })
+	sidecartest.Until(t, "all requests to end", func() bool { return s.clients.OpenRequests() == 0 })
 	s.term()
 	if err := sidecartest.Receive(t, "the end", s.ended); err != nil {
 		t.Error(err)
 	}
 	s.ended <- nil
 	if n := s.loop.OpenCalls(); n != 0 {
-		t.Errorf("%d requests are still in the table", n)
+		t.Errorf("%d calls are left in the table", n)
 	}
 	if open, _ := s.loop.Pool.Counts(); open != 0 {
-		t.Errorf("%d connections are counted as open", open)
+		t.Errorf("%d connections still count as open", open)
 	}
 }
 
-// The error of a sidecar whose address is in use names the key of the address.
+// If the address for clients is in use, the error names the key of the address.
 func TestAddressInUse(t *testing.T) {
 	s := start(t, configtest.NewConf(sidecartest.NewRegistry(t).Addr()))
 	c := configtest.NewConf("127.0.0.1:1")
@@ -333,6 +334,6 @@
 		t.Fatal(err)
 	}
 	if _, err := New(cfg); err == nil || !strings.Contains(err.Error(), "listen") {
-		t.Errorf("error %v", err)
+		t.Errorf("error %v, want one that names the key listen", err)
 	}
 }
--- a/internal/sidecar/clock/clock_test.go
+++ b/internal/sidecar/clock/clock_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// A time that is too long for a duration is cut to maxDuration, and is not negative.
+// A time that would overflow a time.Duration is converted to maxDuration and not to a negative duration.
 func TestDuration_TooLong(t *testing.T) {
 	for _, ms := range []float64{1e13, 1e18, 1e300} {
 		if d := Duration(ms); d != maxDuration {
--- a/internal/sidecar/clock/step_detector_test.go
+++ b/internal/sidecar/clock/step_detector_test.go
@@ -9,15 +9,15 @@
 
 func TestStepDetector(t *testing.T) {
 	type reading struct {
-		apart time.Duration // of the wall clock from the monotonic one
-		held  bool          // between the two
+		offset time.Duration // of the wall clock from the monotonic clock
+		held   bool          // whether the process was held up between the two reads
 	}
 	const ahead, back = time.Hour, -30 * time.Second
 	const fifth, tenth = 200 * time.Millisecond, 100 * time.Millisecond
-	at := func(apart time.Duration) reading { return reading{apart, false} }
-	held := func(apart time.Duration) reading { return reading{apart, true} }
+	at := func(offset time.Duration) reading { return reading{offset, false} }
+	held := func(offset time.Duration) reading { return reading{offset, true} }
 	for name, c := range map[string]struct {
-		readings []reading // in order; each check takes one, or two where the first seems to be stepped
+		readings []reading // in order; each check uses one, or two if the first shows a step
 		checks   int
 		steps    []float64 // offsets in ms
 	}{
@@ -27,29 +27,29 @@
 		"a second":            {[]reading{at(time.Second), at(time.Second)}, 1, []float64{1e3}},
 		"held up once":        {[]reading{at(-time.Second), at(0), at(0)}, 2, nil},
 		"held up twice":       {[]reading{at(-time.Second), at(-2 * time.Second), at(0)}, 2, nil},
-		"held up, and known":  {[]reading{held(ahead), at(0)}, 2, nil},
+		"held up, noticed":    {[]reading{held(ahead), at(0)}, 2, nil},
 		"held up over a step": {[]reading{at(ahead), held(ahead), at(ahead), at(ahead)}, 2, []float64{3.6e6}},
-		"less than counts":    {[]reading{at(tenth), at(-tenth)}, 2, nil},
-		"little by little":    {[]reading{at(fifth), at(2 * fifth), at(2 * fifth)}, 2, []float64{400}},
+		"below the minimum":   {[]reading{at(tenth), at(-tenth)}, 2, nil},
+		"small steps add up":  {[]reading{at(fifth), at(2 * fifth), at(2 * fifth)}, 2, []float64{400}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			start := time.Now()
-			w := NewStepDetector(Clock{start: start, base: UnixMillis(start)}, nil)
+			detector := NewStepDetector(Clock{start: start, base: UnixMillis(start)}, nil)
 			next := 0
-			w.read = func() (wall, at time.Time, ok bool) {
+			detector.read = func() (wall, at time.Time, ok bool) {
 				r := c.readings[next]
 				next++
 				at = start.Add(time.Duration(next) * time.Second)
-				return at.Add(r.apart), at, !r.held
+				return at.Add(r.offset), at, !r.held
 			}
 			var steps []float64
 			for range c.checks {
-				if step, stepped := w.Check(); stepped {
+				if step, stepped := detector.Check(); stepped {
 					steps = append(steps, math.Round(step.Offset))
 				}
 			}
 			if fmt.Sprint(steps) != fmt.Sprint(c.steps) || next != len(c.readings) {
-				t.Errorf("steps %v, want %v, with %d of %d readings", steps, c.steps, next, len(c.readings))
+				t.Errorf("steps %v, want %v; used %d of %d readings", steps, c.steps, next, len(c.readings))
 			}
 		})
 	}
--- a/internal/sidecar/config_test.go
+++ b/internal/sidecar/config_test.go
@@ -12,7 +12,8 @@
 	"marblelane/internal/sidecar/sidecartest"
 )
 
-// A configuration that cannot be used leaves everything as it was at SIGHUP: no call moves, and the error names the file.
+// If the configuration file is unusable, Reload changes nothing: the watch of the list service goes on and no call is
+// made to the new address. The error names the file.
 func TestReload_BadFile(t *testing.T) {
 	for _, mode := range []string{"subscribe", "automatic"} {
 		t.Run(mode, func(t *testing.T) {
@@ -31,22 +32,22 @@
 			}
 			bad := map[string]string{
 				"half written": string(text[:len(text)/2]), "empty": "", "no discovery": strings.Replace(string(text), `"discovery":"127`, `"x":"127`, 1),
-				"port of no use": strings.Replace(string(text), other.Addr(), "127.0.0.1:99999", 1),
-				"other type":     strings.Replace(string(text), `"`+other.Addr()+`"`, "5", 1),
+				"invalid port": strings.Replace(string(text), other.Addr(), "127.0.0.1:99999", 1),
+				"wrong type":   strings.Replace(string(text), `"`+other.Addr()+`"`, "5", 1),
 			}
 			for name, text := range bad {
 				if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
 					t.Fatal(err)
 				}
 				if err := reload(); err == nil || !strings.Contains(err.Error(), path) {
-					t.Errorf("%s: error %v", name, err)
+					t.Errorf("%s: error %v, want one that names the file", name, err)
 				}
 			}
 			if err := os.Remove(path); err != nil {
 				t.Fatal(err)
 			}
 			if err := reload(); err == nil || !strings.Contains(err.Error(), path) {
-				t.Errorf("missing: error %v", err)
+				t.Errorf("missing: error %v, want one that names the file", err)
 			}
 			rev := int64(41)
 			watch.Send(t, endpointlist.List{Rev: rev, Targets: []endpointlist.Target{b.Target}}) // the first watch goes on
@@ -61,20 +62,21 @@
 				t.Errorf("query %q", call.Query)
 			}
 			if len(r.Calls)+len(other.Calls) > 0 {
-				t.Error("a bad file made a call")
+				t.Error("reloading an unusable file made a call to a list service")
 			}
 		})
 	}
 }
 
-// Two reloads at once, and one back to the first address, each leave one watch, at the address of the last.
+// After two concurrent reloads, and after one more that returns to the first address, there is exactly one watch, at the
+// address of the last reload.
 func TestReload_Repeated(t *testing.T) {
 	for _, mode := range []string{"subscribe", "automatic"} {
 		t.Run(mode, func(t *testing.T) {
 			first, second, third := sidecartest.NewRegistry(t), sidecartest.NewRegistry(t), sidecartest.NewRegistry(t)
 			c := configtest.NewConf(first.Addr()).Setting(`"discovery": "subscribe"`, `"discovery": "`+mode+`"`)
 			s := start(t, c, func(s *Sidecar) { s.loop.Discovery.SetTimeouts(discovery.Timeouts{PushedDelay: time.Hour}) })
-			started := sidecartest.Receive(t, "the watch, before any answer", first.Calls)
+			started := sidecartest.Receive(t, "the watch, before any response", first.Calls)
 			paths := map[*sidecartest.Registry]string{}
 			for _, r := range []*sidecartest.Registry{first, second, third} {
 				paths[r] = withDiscovery(c, r.Addr()).Write(t)
@@ -101,21 +103,22 @@
 			sidecartest.Until(t, "the list", func() bool { return s.loop.Discovery.Revision.Load() == 9 })
 			for _, r := range []*sidecartest.Registry{second, third} {
 				for len(r.Calls) > 0 {
-					sidecartest.Receive(t, "what was started between to end", (<-r.Calls).Gone)
+					sidecartest.Receive(t, "calls to the other addresses to end", (<-r.Calls).Gone)
 				}
 			}
 			if len(first.Calls) > 0 {
-				t.Error("a second watch at the first address")
+				t.Error("there is a second watch at the first address")
 			}
 		})
 	}
 }
 
+// withDiscovery returns a copy of c with another address of the list service.
 func withDiscovery(c configtest.Conf, addr string) configtest.Conf {
-	out := configtest.Conf{}
+	changed := configtest.Conf{}
 	for key, value := range c {
-		out[key] = value
+		changed[key] = value
 	}
-	out["discovery"] = addr
-	return out
+	changed["discovery"] = addr
+	return changed
 }
--- a/internal/sidecar/discovery_test.go
+++ b/internal/sidecar/discovery_test.go
@@ -15,8 +15,8 @@
 	"marblelane/internal/sidecar/sidecartest"
 )
 
-// When the address of the list service changes, the watch goes on at the new one at once, with what came after the list that
-// is held, and no failure is reported.
+// When a reload changes the address of the list service, the watch continues at the new address at once, from the
+// revision of the current list, and no failure is reported.
 func TestDiscovery_addressChange(t *testing.T) {
 	for _, mode := range []string{"subscribe", "automatic"} {
 		t.Run(mode, func(t *testing.T) {
@@ -26,7 +26,7 @@
 			s := start(t, c, func(s *Sidecar) { s.loop.Discovery.SetTimeouts(discovery.Timeouts{PushedDelay: time.Hour}) }) // one call at a time
 			first := sidecartest.Receive(t, "the watch", before.Calls)
 			first.Send(t, endpointlist.List{Rev: 41, All: true})
-			sidecartest.Until(t, "the list to be taken", func() bool { return s.loop.Discovery.Revision.Load() == 41 })
+			sidecartest.Until(t, "the list to be applied", func() bool { return s.loop.Discovery.Revision.Load() == 41 })
 
 			c["discovery"] = after.Addr()
 			path := c.Write(t)
@@ -40,7 +40,7 @@
 			}
 			sidecartest.Receive(t, "the old watch to end", first.Gone)
 			second.Send(t, endpointlist.List{Rev: 42, Targets: []endpointlist.Target{b.Target}})
-			sidecartest.Until(t, "the change to be taken", func() bool { return s.loop.Discovery.Revision.Load() == 42 })
+			sidecartest.Until(t, "the change to be applied", func() bool { return s.loop.Discovery.Revision.Load() == 42 })
 			if got := s.do(s.request("lookup", time.Second)); got.status != 200 {
 				t.Errorf("%+v", got)
 			}
@@ -49,17 +49,18 @@
 				t.Fatal(err)
 			}
 			if err := s.Reload(func(name string) string { return env[name] }); err == nil {
-				t.Error("no error for a file that is no configuration")
+				t.Error("no error for a file that is not a configuration")
 			}
 			second.Line(t, "") // the watch goes on
 			if len(before.Calls)+len(after.Calls) > 0 {
-				t.Error("more calls than the two")
+				t.Error("there were more than two calls")
 			}
 		})
 	}
 }
 
-// The list of the configuration is used until the list service answers; the first call gets what came after it.
+// The list in the configuration is used until the list service responds. The first call asks for the changes since that
+// list.
 func TestDiscovery_configuredList(t *testing.T) {
 	b := sidecartest.NewBackend(t, "a", sidecartest.OK)
 	r := sidecartest.NewRegistry(t)
@@ -72,14 +73,14 @@
 	}
 }
 
-// listWithState returns a list of a and b, with a in a state.
+// listWithState returns a list of a, in the given state, and b.
 func listWithState(rev int64, a, b *sidecartest.Backend, state string) endpointlist.List {
 	first := a.Target
 	first.State = state
 	return endpointlist.List{Rev: rev, Targets: []endpointlist.Target{first, b.Target}}
 }
 
-// A server that drains or is gone gets nothing new, and one that appears is used.
+// A server that drains or was removed gets no new requests, and a server that is added is used.
 func TestDiscovery_stateChanges(t *testing.T) {
 	a, b := sidecartest.NewBackend(t, "a", sidecartest.OK), sidecartest.NewBackend(t, "b", sidecartest.OK)
 	r := sidecartest.NewRegistry(t)
@@ -89,8 +90,8 @@
 	for _, state := range []string{"Terminating", "Ready", "Gone"} {
 		rev++
 		watch.Send(t, listWithState(rev, a, b, state))
-		watch.Line(t, "") // taken only after the line before was written
-		sidecartest.Until(t, "the list to be taken", func() bool { return s.loop.Discovery.Revision.Load() == rev })
+		watch.Line(t, "") // is received only after the line before was written
+		sidecartest.Until(t, "the list to be applied", func() bool { return s.loop.Discovery.Revision.Load() == rev })
 		before := a.Requests.Load()
 		for i := range 8 {
 			if got := s.do(s.request("charge", time.Second)); got.status != 200 {
@@ -98,7 +99,7 @@
 			}
 		}
 		if used := a.Requests.Load() > before; used != (state == "Ready") {
-			t.Errorf("%s: used is %v", state, used)
+			t.Errorf("%s: used: %v", state, used)
 		}
 	}
 	if b.Requests.Load() == 0 {
@@ -106,7 +107,8 @@
 	}
 }
 
-// Connections to a process that is over are closed when the list event arrives and not by their age.
+// Connections to a server that was restarted, drained, removed or moved are closed when the list arrives, not only when
+// they have been idle for too long.
 func TestDiscovery_closesOldConnections(t *testing.T) {
 	for name, listAfter := range map[string]func(endpointlist.Target) endpointlist.List{
 		"restarted": func(s endpointlist.Target) endpointlist.List {
@@ -147,20 +149,20 @@
 			watch.Send(t, listAfter(a.Target))
 			sidecartest.Receive(t, "the old connection to close", closed)
 			if took := time.Since(sentAt); took > 5*time.Second {
-				t.Errorf("it closed after %v, by its age", took)
+				t.Errorf("the connection was closed after %v, want when the list arrives", took)
 			}
 		})
 	}
 }
 
-// Where lists are pushed the balancer does not poll: the sidecar keeps the watch by itself.
+// If lists are pushed the balancer does not poll: the sidecar renews the watch itself.
 func TestDiscovery_pushedLists(t *testing.T) {
 	b := sidecartest.NewBackend(t, "a", sidecartest.OK)
 	r := sidecartest.NewRegistry(t)
 	s := start(t, configtest.NewConf(r.Addr()).Setting(`"discovery": "subscribe"`, `"discovery": "automatic"`))
 	close(sidecartest.Receive(t, "the watch", r.Calls).Lines)
 	sidecartest.AnswerAll(t, r, endpointlist.List{Rev: 5, All: true, Targets: []endpointlist.Target{b.Target}})
-	sidecartest.Until(t, "the list to be taken", func() bool { return s.loop.Discovery.Revision.Load() == 5 })
+	sidecartest.Until(t, "the list to be applied", func() bool { return s.loop.Discovery.Revision.Load() == 5 })
 	if got := s.do(s.request("lookup", time.Second)); got.status != 200 {
 		t.Errorf("%+v", got)
 	}
--- a/internal/sidecar/drain_test.go
+++ b/internal/sidecar/drain_test.go
@@ -11,15 +11,15 @@
 	"marblelane/internal/sidecar/sidecartest"
 )
 
-// A request whose time outlasts the process gets its answer before SIGKILL may come: failed where it may have run,
-// refused where trying again does no harm.
+// A request whose deadline is later than the earliest SIGKILL gets its response before then: failed if it may have run,
+// rejected if it may be sent again without harm.
 func TestDrain_openRequestsGetResponse(t *testing.T) {
 	received := make(chan string, 4)
 	b := sidecartest.NewBackend(t, "hung", func(_ net.Conn, req *http.Request, _ string) bool {
 		received <- req.Header.Get("X-Priority-Class")
-		return true // and says nothing
+		return true // without a response
 	})
-	// The classes' latest deadline is 2.5 s: what a client allows beyond it is not waited for.
+	// The longest deadline of a class is 2.5 s. A longer timeout of a client does not extend the shutdown.
 	s := start(t, configtest.NewConf(sidecartest.NewRegistry(t).Addr(), b.Target))
 	sidecartest.Until(t, "a server", func() bool { return s.loop.Metrics.Servers.Load().Ready > 0 })
 	charge := s.goDo(s.request("charge", 5*time.Second))
@@ -38,7 +38,7 @@
 		}
 	}
 	if took := time.Since(startedAt); took > s.killTime() {
-		t.Errorf("answered %v after the signal, SIGKILL may come after %v", took, s.killTime())
+		t.Errorf("responses came %v after SIGTERM, SIGKILL may come after %v", took, s.killTime())
 	}
 	if err := sidecartest.Receive(t, "the end", s.ended); err != nil {
 		t.Error(err)
--- a/internal/sidecar/errno_random_test.go
+++ b/internal/sidecar/errno_random_test.go
@@ -26,13 +26,13 @@
 	"marblelane/internal/sidecar/upstream"
 )
 
-// faultSchedule draws which system calls fail, and how. It is safe for concurrent use.
+// faultSchedule decides at random which system calls fail, and how. It is safe for concurrent use.
 type faultSchedule struct {
 	mu  sync.Mutex
 	rnd *rand.Rand
 }
 
-// maybeFail fails a call with one of some errnos in perMille of a thousand cases.
+// maybeFail returns an error of a call with a random errno out of from, with a probability of perMille in 1000.
 func (s *faultSchedule) maybeFail(call string, perMille int, from netcall.Errnos) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -42,7 +42,8 @@
 	return sidecartest.OpError(call, from[s.rnd.IntN(len(from))])
 }
 
-// randomConn fails reads and writes, transfers single bytes, and writes in part, as its schedule draws.
+// randomConn is a connection whose reads and writes fail at random, before or after a part of the bytes. It may transfer
+// single bytes.
 type randomConn struct {
 	*net.TCPConn
 	schedule    *faultSchedule
@@ -78,7 +79,7 @@
 	return len(p), nil
 }
 
-// injectInto makes dials and connections of a pool fail as the schedule draws.
+// injectInto makes dials and connections of a pool fail at random.
 func (s *faultSchedule) injectInto(p *upstream.Pool) {
 	dialErrnos := slices.Concat(netcall.Errnos{syscall.ECONNREFUSED, syscall.ECONNRESET}, netcall.LocalErrnos, netcall.UnreachableErrnos)
 	p.WrapDial(func(dial netcall.DialFunc) netcall.DialFunc {
@@ -97,21 +98,21 @@
 	})
 }
 
-// runCounter counts by X-Request-ID how often each request reached a server to its last byte.
+// runCounter counts, by X-Request-ID, how often each request reached a server completely.
 type runCounter struct {
 	t  *testing.T
 	mu sync.Mutex
-	by map[string]int
+	by map[string]int // by X-Request-ID
 }
 
-// serve counts a request, checks its X-Timeout-Ms and answers it.
+// serve counts a request, checks its X-Timeout-Ms and responds to it.
 func (r *runCounter) serve(c net.Conn, req *http.Request, body string) bool {
 	r.mu.Lock()
 	r.by[req.Header.Get("X-Request-ID")]++
 	r.mu.Unlock()
 	left, err := strconv.Atoi(req.Header.Get("X-Timeout-Ms"))
 	if err != nil || left < 1 || left > int(scheduleWait.Milliseconds()) {
-		r.t.Errorf("a server got %q ms, %v", req.Header.Get("X-Timeout-Ms"), err)
+		r.t.Errorf("a server got the X-Timeout-Ms %q, %v", req.Header.Get("X-Timeout-Ms"), err)
 	}
 	return sidecartest.OK(c, req, body)
 }
@@ -123,13 +124,13 @@
 }
 
 const (
-	scheduleWait     = time.Second // of each client
+	scheduleWait     = time.Second // timeout of each request
 	scheduleClients  = 6
-	scheduleRequests = 60 // of each client in each phase
-	scheduleAttempts = 3  // at most for each request
+	scheduleRequests = 60 // requests of each client in each phase
+	scheduleAttempts = 3  // maximum number of attempts per request
 )
 
-// checkResponse compares the answer to a request with how often it ran.
+// checkResponse compares the response to a request with the number of times that the request ran.
 func (r *runCounter) checkResponse(class, id string, status int) {
 	r.t.Helper()
 	n := r.count(id)
@@ -137,17 +138,17 @@
 	case status != 200 && status != inflight.StatusRejected && status != inflight.StatusFailed && status != inflight.StatusTimedOut:
 		r.t.Errorf("%s %s: status %d", class, id, status)
 	case n > scheduleAttempts:
-		r.t.Errorf("%s %s: ran %d times, at most %d", class, id, n, scheduleAttempts)
+		r.t.Errorf("%s %s: ran %d times, want at most %d", class, id, n, scheduleAttempts)
 	case class == "charge" && n > 1:
-		r.t.Errorf("%s %s: ran %d times", class, id, n)
+		r.t.Errorf("%s %s: non-idempotent, but ran %d times", class, id, n)
 	case class == "charge" && n > 0 && status == inflight.StatusRejected:
 		r.t.Errorf("%s %s: rejected, but it ran", class, id)
 	case status == 200 && n == 0:
-		r.t.Errorf("%s %s: answered, but it did not run", class, id)
+		r.t.Errorf("%s %s: served, but it did not run", class, id)
 	}
 }
 
-// runClient makes the requests of one client and returns how many were served.
+// runClient sends the requests of one client and returns how many were served.
 func (r *runCounter) runClient(s *running, seed uint64) (served int) {
 	rnd := rand.New(rand.NewPCG(seed, 1))
 	for range scheduleRequests {
@@ -163,7 +164,7 @@
 	return served
 }
 
-// runClients makes the requests of all clients and returns how many were served.
+// runClients sends the requests of all clients in one phase and returns how many were served.
 func (r *runCounter) runClients(s *running, seed uint64) int {
 	var clients sync.WaitGroup
 	served := make([]int, scheduleClients)
@@ -178,8 +179,8 @@
 	return all
 }
 
-// While system calls fail at random each request has one answer, a non-idempotent one runs once at most, servers get
-// the time that is left, and one that drains gets nothing more.
+// While system calls fail at random, each request gets one response, a non-idempotent request runs at most once,
+// servers get the remaining time of a request, and a draining server gets no new requests.
 func TestErrno_random(t *testing.T) {
 	seed := uint64(time.Now().UnixNano())
 	t.Logf("seed %d", seed)
@@ -194,11 +195,11 @@
 	c := configtest.NewConf(registry.Addr(), known...).
 		Setting(`"max_attempts": 6`, fmt.Sprintf(`"max_attempts": %d`, scheduleAttempts)).
 		Setting(`"parallel_tries": true`, `"parallel_tries": false`)
-	c["management"] = sidecartest.Loopback // so that the figures of servers are made
+	c["management"] = sidecartest.Loopback // so that the metrics of servers are published
 	faults := &faultSchedule{rnd: rand.New(rand.NewPCG(seed, 0))}
 	s := start(t, c, func(s *Sidecar) {
 		faults.injectInto(s.loop.Pool)
-		s.loop.Discovery.SetTimeouts(discovery.Timeouts{Call: time.Hour, Watch: time.Hour}) // the list service is silent for a while
+		s.loop.Discovery.SetTimeouts(discovery.Timeouts{Call: time.Hour, Watch: time.Hour}) // the list service may stay silent
 	})
 	watch := sidecartest.Receive(t, "the call to discovery", registry.Calls)
 
@@ -209,24 +210,25 @@
 		t.Errorf("served %d of %d, want most of them", served, all)
 	}
 
-	drains := servers[0]
-	leaving := drains.Target
-	leaving.State = "Terminating"
-	watch.Send(t, endpointlist.List{Rev: 2, Targets: []endpointlist.Target{leaving}})
-	sidecartest.Until(t, "the drain to be known", func() bool { return s.loop.Metrics.Servers.Load().Ready == len(servers)-1 })
-	before := drains.Requests.Load()
+	draining := servers[0]
+	target := draining.Target
+	target.State = "Terminating"
+	watch.Send(t, endpointlist.List{Rev: 2, Targets: []endpointlist.Target{target}})
+	sidecartest.Until(t, "the drain to be applied", func() bool { return s.loop.Metrics.Servers.Load().Ready == len(servers)-1 })
+	before := draining.Requests.Load()
 	served = counted.runClients(s, seed+scheduleClients)
-	t.Logf("served %d of %d beside a server that drains", served, all)
-	if n := drains.Requests.Load() - before; n > 0 {
-		t.Errorf("%d requests reached a server that drains", n)
+	t.Logf("served %d of %d while a server drains", served, all)
+	if n := draining.Requests.Load() - before; n > 0 {
+		t.Errorf("%d requests reached the draining server", n)
 	}
 	if 2*served < all {
-		t.Errorf("served %d of %d beside a server that drains, want most of them", served, all)
+		t.Errorf("served %d of %d while a server drains, want most of them", served, all)
 	}
 	sidecartest.Until(t, "connections to be idle or closed", func() bool { open, idle := s.loop.Pool.Counts(); return idle == open })
 }
 
-// A long body and its answer arrive complete when both directions, to the client and to the server, transfer single bytes.
+// A long body and the response to it arrive complete although the connections to the client and to the server transfer
+// single bytes in both directions.
 func TestConnection_byteAtATime(t *testing.T) {
 	body := string(sidecartest.Pattern(20_000))
 	b := sidecartest.NewBackend(t, "a", func(c net.Conn, _ *http.Request, got string) bool {
@@ -253,8 +255,8 @@
 	if err := req.Write(&text); err != nil {
 		t.Fatal(err)
 	}
-	for _, one := range text.Bytes() {
-		if _, err := client.Write([]byte{one}); err != nil {
+	for _, b := range text.Bytes() {
+		if _, err := client.Write([]byte{b}); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -264,9 +266,9 @@
 		t.Fatal(err)
 	}
 	defer got.Body.Close()
-	answer, err := io.ReadAll(iotest.OneByteReader(got.Body))
-	if err != nil || got.StatusCode != 200 || string(answer) != body {
-		t.Errorf("%d with %d bytes, %v, want the %d bytes that were sent", got.StatusCode, len(answer), err, len(body))
+	response, err := io.ReadAll(iotest.OneByteReader(got.Body))
+	if err != nil || got.StatusCode != 200 || string(response) != body {
+		t.Errorf("%d with %d bytes, %v, want the %d bytes that were sent", got.StatusCode, len(response), err, len(body))
 	}
 	if n := b.Requests.Load(); n != 1 {
 		t.Errorf("%d requests at the server, want 1", n)
--- a/internal/sidecar/errno_test.go
+++ b/internal/sidecar/errno_test.go
@@ -11,9 +11,9 @@
 	"marblelane/internal/sidecar/sidecartest"
 )
 
-// The answer to a client where a system call fails once and there is one server. A non-idempotent request goes on if the
-// failure is this machine's, and is rejected if it is the server's; it runs once or not at all. Rejections last as long as
-// their client waits, so one errno of each call and result stands for the others.
+// With a single server a system call fails once. A non-idempotent request is sent again if the failure is local to this
+// machine, and is rejected if it is one of the server; it runs once or not at all. A rejection takes as long as its
+// client waits, so the test covers only one errno for each rejected pair of call and result.
 func TestErrno_responseToClient(t *testing.T) {
 	type rejection struct {
 		call   string
@@ -35,18 +35,18 @@
 			if got := s.do(s.request("charge", wait)); got.status != test.Status {
 				t.Errorf("%+v, want %d", got, test.Status)
 			}
-			runs := int64(0)
+			wantRuns := int64(0)
 			if test.Status == 200 {
-				runs = 1
+				wantRuns = 1
 			}
-			if n := b.Requests.Load(); n != runs {
-				t.Errorf("it ran %d times, want %d", n, runs)
+			if n := b.Requests.Load(); n != wantRuns {
+				t.Errorf("it ran %d times, want %d", n, wantRuns)
 			}
 		})
 	}
 }
 
-// A request goes on within its time over more failures of this machine than it has attempts.
+// Failures of this machine do not count as attempts: a request is served after more of them than it has attempts.
 func TestErrno_localFailuresCostNoAttempt(t *testing.T) {
 	const failures = 9 // the settings allow 6 attempts
 	b := sidecartest.NewBackend(t, "a", sidecartest.OK)
@@ -60,13 +60,13 @@
 	}
 }
 
-// A request that cannot be sent within its time is rejected at the end of it, once.
+// A request that cannot be sent before its deadline gets one rejection, at its deadline.
 func TestErrno_localFailuresUntilDeadline(t *testing.T) {
 	b := sidecartest.NewBackend(t, "a", sidecartest.OK)
 	fail := sidecartest.ErrnoCase{Call: "connect", Errno: syscall.EADDRNOTAVAIL}
 	s := start(t, configtest.NewConf(sidecartest.NewRegistry(t).Addr(), b.Target), func(s *Sidecar) { fail.Failing(s.loop.Pool, sidecartest.Always) })
 	got := s.do(s.request("charge", 300*time.Millisecond))
 	if got.status != inflight.StatusRejected || got.took < 250*time.Millisecond {
-		t.Errorf("%+v after %v, want a rejection when its time is over", got, got.took)
+		t.Errorf("%+v after %v, want a rejection at the deadline", got, got.took)
 	}
 }
--- a/internal/sidecar/eventloop/loop_test.go
+++ b/internal/sidecar/eventloop/loop_test.go
@@ -18,7 +18,8 @@
 	"marblelane/internal/sidecar/upstream"
 )
 
-// newLoop gives a loop that a test drives in place of Run, and its time. It knows the servers of the configuration.
+// newLoop returns a loop that a test drives instead of Run, and its current time. It has the servers of the
+// configuration.
 func newLoop(t *testing.T, cfg *config.Config) (l *Loop, now float64) {
 	t.Helper()
 	balancer, err := balance.New(cfg.Balance)
@@ -41,8 +42,8 @@
 	return l, now
 }
 
-// The outcome of an attempt that sees that its client has gone crosses the ClientGone of the client's handler: the call
-// ends once, whichever comes first, and there is no retry.
+// An attempt that notices that its client has closed the connection ends at the same time as the client's handler sends
+// ClientGone. The call ends once, whichever message comes first, and there is no retry.
 func TestClientGone_crossesAttempt(t *testing.T) {
 	for name, handlerFirst := range map[string]bool{"outcome first": false, "ClientGone first": true} {
 		t.Run(name, func(t *testing.T) {
@@ -66,20 +67,20 @@
 			open := l.calls[c.Request.ID]
 			checking.WaitFor(t, 1) // the attempt has passed all other checks
 			if handlerFirst && !c.Finish() {
-				t.Fatal("the call is over before its end")
+				t.Fatal("the call has finished early")
 			}
 			checking.Release()
-			for over := false; !over; {
-				ev := sidecartest.Receive(t, "the attempt's outcome", l.inbox)
-				_, over = ev.(attemptDone)
-				l.handleMessage(l.Clock.Millis(time.Now()), ev)
+			for ended := false; !ended; {
+				message := sidecartest.Receive(t, "the attempt's outcome", l.inbox)
+				_, ended = message.(attemptDone)
+				l.handleMessage(l.Clock.Millis(time.Now()), message)
 			}
 			if byLoop := len(c.Answers) == 1; byLoop == handlerFirst || !c.Finished() {
-				t.Errorf("the event loop ends the call: %v, finished %v", byLoop, c.Finished())
+				t.Errorf("the event loop ended the call: %v, finished: %v", byLoop, c.Finished())
 			}
-			l.handleMessage(l.Clock.Millis(time.Now()), clientserver.ClientGone{Call: c}) // late, or twice
+			l.handleMessage(l.Clock.Millis(time.Now()), clientserver.ClientGone{Call: c}) // it may come late, or a second time
 			if n := len(l.calls); n != 0 {
-				t.Errorf("%d calls are left", n)
+				t.Errorf("%d calls are left in the table", n)
 			}
 			if n := checks.Load(); n != 1 || len(open.attempts) != 1 {
 				t.Errorf("%d attempts, want 1", len(open.attempts))
--- a/internal/sidecar/exchange_test.go
+++ b/internal/sidecar/exchange_test.go
@@ -15,8 +15,8 @@
 	"marblelane/internal/sidecar/sidecartest"
 )
 
-// A reused connection that breaks during a request ends the attempt: a non-idempotent request is not sent again, and its
-// answer is a failure, as it may have run.
+// If a reused connection breaks during a non-idempotent request, the request is not sent again, and its response is a
+// failure, as it may have run.
 func TestReusedConn_brokenNotResent(t *testing.T) {
 	served := 0
 	b := sidecartest.NewBackend(t, "a", func(c net.Conn, r *http.Request, body string) bool {
@@ -35,7 +35,7 @@
 	}
 }
 
-// A connection that the server closed while it was idle is noticed before a request is written to it.
+// The pool notices that a server has closed an idle connection before it writes a request to it.
 func TestReusedConn_closedWhileIdle(t *testing.T) {
 	b := sidecartest.NewBackend(t, "a", sidecartest.OK)
 	s := start(t, configtest.NewConf(sidecartest.NewRegistry(t).Addr(), b.Target))
@@ -50,7 +50,7 @@
 	}
 }
 
-// Sequential requests use one connection.
+// Sequential requests reuse one connection.
 func TestReusedConn_sequentialRequests(t *testing.T) {
 	b := sidecartest.NewBackend(t, "a", sidecartest.OK)
 	s := start(t, configtest.NewConf(sidecartest.NewRegistry(t).Addr(), b.Target))
@@ -62,49 +62,49 @@
 	}
 }
 
-// Which answers prove that nothing ran, and which do not.
+// A non-idempotent request is rejected only if the response proves that it did not run, and fails otherwise.
 func TestAttempt_nonIdempotentOutcomes(t *testing.T) {
 	for name, test := range map[string]struct {
-		answer string
-		want   int
+		response string
+		want     int
 	}{
-		"error":                  {"HTTP/1.1 500 Oh\r\nContent-Length: 0\r\n\r\n", inflight.StatusFailed},
-		"503 without mark":       {"HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n", inflight.StatusFailed},
-		"504 without mark":       {"HTTP/1.1 504 No\r\nContent-Length: 0\r\n\r\n", inflight.StatusFailed},
-		"429":                    {"HTTP/1.1 429 No\r\nContent-Length: 0\r\n\r\n", inflight.StatusFailed},
-		"500 with mark":          {"HTTP/1.1 500 No\r\nX-Not-Processed: 1\r\nContent-Length: 0\r\n\r\n", inflight.StatusFailed},
-		"503 with mark":          {"HTTP/1.1 503 No\r\nX-Not-Processed: 1\r\nContent-Length: 0\r\n\r\n", inflight.StatusRejected},
-		"504 with mark":          {"HTTP/1.1 504 No\r\nX-Not-Processed: 1\r\nContent-Length: 0\r\n\r\n", inflight.StatusRejected},
-		"body cut short":         {"HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\ndone", inflight.StatusFailed},
-		"chunks cut short":       {"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4\r\ndone\r\n", inflight.StatusFailed},
-		"no framing, no body":    {"HTTP/1.1 200 OK\r\n\r\n", inflight.StatusFailed},
-		"no framing":             {"HTTP/1.1 200\r\n\r\ndone", 200},
-		"headers without end":    {"HTTP/1.1 200 OK\r\n" + strings.Repeat("X-More: of the same\r\n", 20000) + "Content-Length: 4\r\n\r\ndone", inflight.StatusFailed},
-		"hints without end":      {strings.Repeat("HTTP/1.1 102 Wait\r\n\r\n", 20000), inflight.StatusFailed},
-		"not HTTP":               {"hello\r\n\r\n", inflight.StatusFailed},
-		"complete":               {"HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\ndone", 200},
-		"complete after a hint":  {"HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\ndone", 200},
-		"complete, chunked":      {"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4\r\ndone\r\n0\r\n\r\n", 200},
-		"head cut short":         {"HTTP/1.1 200 OK\r\nConte", inflight.StatusFailed},
-		"error above the limit":  {"HTTP/1.1 500 Oh\r\nContent-Length: 70000\r\n\r\n" + strings.Repeat("x", 70000), inflight.StatusFailed},
-		"answer above the limit": {"HTTP/1.1 200 OK\r\nContent-Length: 33554433\r\n\r\n" + strings.Repeat("x", 70000), inflight.StatusFailed},
-		"error without end":      {"HTTP/1.1 500 Oh\r\nTransfer-Encoding: chunked\r\n\r\n20000\r\n" + strings.Repeat("x", 1<<17), inflight.StatusFailed},
+		"error":                    {"HTTP/1.1 500 Oh\r\nContent-Length: 0\r\n\r\n", inflight.StatusFailed},
+		"503 without mark":         {"HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n", inflight.StatusFailed},
+		"504 without mark":         {"HTTP/1.1 504 No\r\nContent-Length: 0\r\n\r\n", inflight.StatusFailed},
+		"429":                      {"HTTP/1.1 429 No\r\nContent-Length: 0\r\n\r\n", inflight.StatusFailed},
+		"500 with mark":            {"HTTP/1.1 500 No\r\nX-Not-Processed: 1\r\nContent-Length: 0\r\n\r\n", inflight.StatusFailed},
+		"503 with mark":            {"HTTP/1.1 503 No\r\nX-Not-Processed: 1\r\nContent-Length: 0\r\n\r\n", inflight.StatusRejected},
+		"504 with mark":            {"HTTP/1.1 504 No\r\nX-Not-Processed: 1\r\nContent-Length: 0\r\n\r\n", inflight.StatusRejected},
+		"body cut short":           {"HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\ndone", inflight.StatusFailed},
+		"chunks cut short":         {"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4\r\ndone\r\n", inflight.StatusFailed},
+		"no framing, no body":      {"HTTP/1.1 200 OK\r\n\r\n", inflight.StatusFailed},
+		"no framing":               {"HTTP/1.1 200\r\n\r\ndone", 200},
+		"headers without end":      {"HTTP/1.1 200 OK\r\n" + strings.Repeat("X-More: of the same\r\n", 20000) + "Content-Length: 4\r\n\r\ndone", inflight.StatusFailed},
+		"hints without end":        {strings.Repeat("HTTP/1.1 102 Wait\r\n\r\n", 20000), inflight.StatusFailed},
+		"not HTTP":                 {"hello\r\n\r\n", inflight.StatusFailed},
+		"complete":                 {"HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\ndone", 200},
+		"complete after a hint":    {"HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\ndone", 200},
+		"complete, chunked":        {"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4\r\ndone\r\n0\r\n\r\n", 200},
+		"head cut short":           {"HTTP/1.1 200 OK\r\nConte", inflight.StatusFailed},
+		"error above the limit":    {"HTTP/1.1 500 Oh\r\nContent-Length: 70000\r\n\r\n" + strings.Repeat("x", 70000), inflight.StatusFailed},
+		"response above the limit": {"HTTP/1.1 200 OK\r\nContent-Length: 33554433\r\n\r\n" + strings.Repeat("x", 70000), inflight.StatusFailed},
+		"error without end":        {"HTTP/1.1 500 Oh\r\nTransfer-Encoding: chunked\r\n\r\n20000\r\n" + strings.Repeat("x", 1<<17), inflight.StatusFailed},
 	} {
 		t.Run(name, func(t *testing.T) {
-			b := sidecartest.NewBackend(t, "a", sidecartest.Respond(test.answer, false))
+			b := sidecartest.NewBackend(t, "a", sidecartest.Respond(test.response, false))
 			s := start(t, configtest.NewConf(sidecartest.NewRegistry(t).Addr(), b.Target))
 			got := s.do(s.request("charge", 300*time.Millisecond))
 			if got.status != test.want || test.want == 200 && got.body != "done" {
-				t.Errorf("answer %d %q, want %d", got.status, got.body, test.want)
+				t.Errorf("response %d %q, want %d", got.status, got.body, test.want)
 			}
 			if n := b.Requests.Load(); n != 1 {
-				t.Errorf("%d sends, want 1", n)
+				t.Errorf("%d requests at the server, want 1", n)
 			}
 		})
 	}
 }
 
-// An answer that ends with its connection is complete only if that ended in order.
+// A response without a length that ends with its connection is complete only if the connection was not reset.
 func TestResponse_endsWithReset(t *testing.T) {
 	b := sidecartest.NewBackend(t, "a", func(c net.Conn, r *http.Request, body string) bool {
 		io.WriteString(c, "HTTP/1.1 200 OK\r\n\r\ndo")
@@ -117,7 +117,7 @@
 	}
 }
 
-// A request that was rejected unprocessed, or whose connect failed, goes to another server, also a non-idempotent one.
+// A request that a server rejected unprocessed, or whose dial failed, is sent to another server, even if non-idempotent.
 func TestRetry_neverRan(t *testing.T) {
 	full := sidecartest.NewBackend(t, "a", sidecartest.Respond("HTTP/1.1 503 No\r\nX-Not-Processed: 1\r\nContent-Length: 0\r\n\r\n", true))
 	refusing := sidecartest.NewBackend(t, "c", sidecartest.OK)
@@ -134,7 +134,7 @@
 	}
 }
 
-// A server gets the request as it came, with the time that is left.
+// A server gets the request unchanged except for hop-by-hop headers, with the remaining time as X-Timeout-Ms.
 func TestAttempt_requestAtServer(t *testing.T) {
 	type seen struct {
 		req  *http.Request
@@ -165,7 +165,8 @@
 	}
 }
 
-// If the server is silent the client gets one answer at its deadline, not a rejection, and the connection is closed.
+// If the server does not respond the client gets a timeout, not a rejection, at its deadline, and the connection is
+// closed.
 func TestSilentServer(t *testing.T) {
 	closed := make(chan struct{})
 	b := sidecartest.NewBackend(t, "a", func(c net.Conn, _ *http.Request, _ string) bool {
@@ -181,7 +182,7 @@
 	sidecartest.Receive(t, "the connection to close", closed)
 }
 
-// unresponsiveAddr returns the address of a listener whose queue is full: new connections never come up.
+// unresponsiveAddr returns the address of a listener whose accept queue is full: connecting to it never completes.
 func unresponsiveAddr(t *testing.T) string {
 	t.Helper()
 	fd, err := syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM|syscall.SOCK_CLOEXEC, 0)
@@ -209,7 +210,7 @@
 	}
 }
 
-// Dialing is bounded by the settings and by the time that the request has left.
+// The time for dialing is limited by the settings and by the remaining time of the request.
 func TestDial_neverConnects(t *testing.T) {
 	addr := unresponsiveAddr(t)
 	t.Run("settings", func(t *testing.T) {
@@ -227,12 +228,12 @@
 		s := start(t, c)
 		got := s.do(s.request("charge", 100*time.Millisecond))
 		if got.status != inflight.StatusRejected && got.status != inflight.StatusTimedOut || got.took > time.Second {
-			t.Errorf("%+v, want an answer at the deadline", got)
+			t.Errorf("%+v, want a response at the deadline", got)
 		}
 	})
 }
 
-// A client that leaves ends its attempt.
+// An attempt ends when its client closes the connection.
 func TestAttempt_clientLeaves(t *testing.T) {
 	got, closed := make(chan struct{}), make(chan struct{})
 	b := sidecartest.NewBackend(t, "a", func(c net.Conn, _ *http.Request, _ string) bool {
@@ -251,12 +252,12 @@
 	}()
 	sidecartest.Receive(t, "the request", got)
 	leave()
-	gone := time.Now()
+	leftAt := time.Now()
 	sidecartest.Receive(t, "the connection to close", closed)
-	if took := time.Since(gone); took > time.Second {
-		t.Errorf("the attempt went on for %v", took)
+	if took := time.Since(leftAt); took > time.Second {
+		t.Errorf("the attempt continued for %v", took)
 	}
 	if sidecartest.Receive(t, "the client", done) == nil {
-		t.Error("a client that left got an answer")
+		t.Error("a client that had left got a response")
 	}
 }
--- a/internal/sidecar/framing_test.go
+++ b/internal/sidecar/framing_test.go
@@ -17,14 +17,15 @@
 	"marblelane/internal/sidecar/sidecartest"
 )
 
-// A request ends where all its headers say, or gets an error: bytes of a body are never a request.
+// If all headers agree on where a request ends it ends there, and otherwise it gets an error. Bytes of a body are never
+// taken for a request (request smuggling).
 func TestFraming_requests(t *testing.T) {
 	inner := sidecartest.WireRequest("inner", "Content-Length: 0\r\n", "")
 	http10 := func(s string) string { return strings.Replace(s, "HTTP/1.1", "HTTP/1.0", 1) }
 	for name, test := range map[string]struct {
 		bytes  string
-		status []int  // of the answers, in order
-		bodies string // of what reaches the server
+		status []int  // of the responses, in order
+		bodies string // bodies that reach the server, each in brackets
 		closed bool
 	}{
 		"length":          {sidecartest.WireRequest("1", "Content-Length: 3\r\n", "abc"), []int{200}, "[abc]", false},
@@ -110,9 +111,9 @@
 				t.Errorf("announced close: %v, want %v", closed, test.closed)
 			}
 			if closed {
-				// The end may be a reset: there is more to read that never will be.
+				// The close may be a reset, as the sidecar does not read all bytes that were sent.
 				if more, _ := io.ReadAll(in); len(more) > 0 {
-					t.Errorf("%q after the last answer", more)
+					t.Errorf("%q after the last response", more)
 				}
 			}
 			mu.Lock()
@@ -124,15 +125,15 @@
 	}
 }
 
-// setReadTimeout sets the time for a complete request.
+// setReadTimeout sets the time within which a request has to be complete.
 func (s *Sidecar) setReadTimeout(timeout time.Duration) {
 	s.clients.Configure(func(o *clientserver.Options) { o.ReadTimeout = timeout })
 }
 
-// A client that sends nothing, stops before its request is complete or sends it too slowly loses its connection.
+// The connection of a client that sends nothing, stops before its request is complete or sends it too slowly is closed.
 func TestReadTimeout(t *testing.T) {
 	if clientserver.DefaultReadTimeout >= 3*time.Second {
-		t.Errorf("clients wait %v for their end, 3 s are allowed", clientserver.DefaultReadTimeout)
+		t.Errorf("the default read timeout is %v, want less than 3 s", clientserver.DefaultReadTimeout)
 	}
 	const readTimeout = 200 * time.Millisecond
 	head := sidecartest.WireRequest("1", "Content-Length: 1000\r\n", "")
@@ -172,7 +173,7 @@
 				select {
 				case <-ended:
 					if took := time.Since(startedAt); took > 15*readTimeout {
-						t.Errorf("it took %v", took)
+						t.Errorf("the connection was closed after %v", took)
 					}
 					return
 				case <-tick.C:
@@ -183,32 +184,32 @@
 	}
 }
 
-// An answer ends where all its headers say, or the attempt has failed and may have run: then the answer is not forwarded
-// and its connection not reused.
+// If all headers agree on where a response ends it ends there. Otherwise the attempt has failed and may have run: the
+// response is not forwarded and its connection is not reused.
 func TestFraming_responses(t *testing.T) {
 	const done = "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\ndone"
 	const chunks = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4\r\ndone\r\n0\r\n\r\n"
 	for name, test := range map[string]struct {
-		answer string
-		status int
-		reused bool
+		response string
+		status   int
+		reused   bool
 	}{
-		"length":               {done, 200, true},
-		"chunks":               {chunks, 200, true},
-		"after an interim one": {"HTTP/1.1 103 Early Hints\r\nLink: x\r\n\r\n" + done, 200, true},
-		"chunks after interim": {"HTTP/1.1 100 Continue\r\n\r\n" + chunks, 200, false},
-		"two answers":          {done + done, 200, false},
-		"HTTP/1.0":             {strings.Replace(done, "1.1", "1.0", 1), 200, false},
-		"length, then chunks":  {strings.Replace(chunks, "Transfer", "Content-Length: 4\r\nTransfer", 1), 502, false},
-		"chunks, then length":  {strings.Replace(chunks, "chunked", "chunked\r\ncontent-length: 4", 1), 502, false},
-		"two lengths":          {strings.Replace(done, "Length: 4", "Length: 4\r\nContent-Length: 5", 1), 502, false},
-		"other coding":         {strings.Replace(chunks, "chunked", "gzip, chunked", 1), 502, false},
-		"other protocol":       {"HTTP/1.1 101 Switching Protocols\r\nUpgrade: x\r\n\r\n" + done, 502, false},
-		"other version":        {strings.Replace(done, "1.1", "2.0", 1), 502, false},
-		"rejected, two ends":   {"HTTP/1.1 503 No\r\nX-Not-Processed: 1\r\nContent-Length: 4\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n", 502, false},
+		"length":                    {done, 200, true},
+		"chunks":                    {chunks, 200, true},
+		"after an interim response": {"HTTP/1.1 103 Early Hints\r\nLink: x\r\n\r\n" + done, 200, true},
+		"chunks after interim":      {"HTTP/1.1 100 Continue\r\n\r\n" + chunks, 200, false},
+		"two responses":             {done + done, 200, false},
+		"HTTP/1.0":                  {strings.Replace(done, "1.1", "1.0", 1), 200, false},
+		"length, then chunks":       {strings.Replace(chunks, "Transfer", "Content-Length: 4\r\nTransfer", 1), 502, false},
+		"chunks, then length":       {strings.Replace(chunks, "chunked", "chunked\r\ncontent-length: 4", 1), 502, false},
+		"two lengths":               {strings.Replace(done, "Length: 4", "Length: 4\r\nContent-Length: 5", 1), 502, false},
+		"other coding":              {strings.Replace(chunks, "chunked", "gzip, chunked", 1), 502, false},
+		"other protocol":            {"HTTP/1.1 101 Switching Protocols\r\nUpgrade: x\r\n\r\n" + done, 502, false},
+		"other version":             {strings.Replace(done, "1.1", "2.0", 1), 502, false},
+		"rejected, two ends":        {"HTTP/1.1 503 No\r\nX-Not-Processed: 1\r\nContent-Length: 4\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n", 502, false},
 	} {
 		t.Run(name, func(t *testing.T) {
-			b := sidecartest.NewBackend(t, "a", sidecartest.Respond(test.answer, true))
+			b := sidecartest.NewBackend(t, "a", sidecartest.Respond(test.response, true))
 			s := start(t, configtest.NewConf(sidecartest.NewRegistry(t).Addr(), b.Target))
 			for range 2 {
 				got := s.do(s.request("charge", time.Second))
--- a/internal/sidecar/handover_shutdown_test.go
+++ b/internal/sidecar/handover_shutdown_test.go
@@ -11,22 +11,22 @@
 	"marblelane/internal/sidecar/sidecartest"
 )
 
-// Both processes of an upgrade are terminated: while the newer one drains, which may be short, the older one does not
-// leave new connections to it.
+// Both processes of an upgrade are terminated, the successor first. The older process must not leave new connections to
+// the successor, which drains and may exit soon.
 func TestShutdownOfBothProcesses(t *testing.T) {
 	b := sidecartest.NewBackend(t, "a", sidecartest.OK)
 	c := upgradable(t, sidecartest.NewRegistry(t).Addr(), b.Target)
 	old := start(t, c, func(s *Sidecar) { s.drainAccept = sidecartest.Patience })
 	old.awaitHandoverReady(t, nil)
 	next := start(t, c, func(s *Sidecar) { s.listTimeout, s.drainAccept = 0, sidecartest.Patience })
-	sidecartest.Until(t, "its word", func() bool { return old.successors.Serving.Load() == 1 })
+	sidecartest.Until(t, "the successor to announce that it serves", func() bool { return old.successors.Serving.Load() == 1 })
 	next.term()
-	sidecartest.Until(t, "its other word", func() bool { return old.successors.Serving.Load() == 0 })
+	sidecartest.Until(t, "the successor to announce its end", func() bool { return old.successors.Serving.Load() == 0 })
 	if got, want := old.listener.Limit(), old.budget.clients/2; got != want {
-		t.Errorf("the older process may hold %d clients beside the one that ends, want %d", got, want)
+		t.Errorf("the older process may hold %d clients beside the ending successor, want %d", got, want)
 	}
 	old.term()
-	sidecartest.Until(t, "its drain", old.clients.Draining)
+	sidecartest.Until(t, "the drain of the older process", old.clients.Draining)
 	for range 4 {
 		client := &http.Client{Transport: &http.Transport{DisableKeepAlives: true}, Timeout: sidecartest.Patience}
 		resp, err := client.Do(old.request("charge", time.Second))
@@ -40,7 +40,7 @@
 	}
 }
 
-// A newer process that is terminated before it serves never says that it does: the older one goes on.
+// A successor that is terminated before it serves announces only its end, and the older process goes on serving.
 func TestShutdownBeforeItServes(t *testing.T) {
 	c := upgradable(t, sidecartest.NewRegistry(t).Addr())
 	cfg, err := c.Load(t)
@@ -52,34 +52,34 @@
 		t.Fatal(err)
 	}
 	defer shared.Close()
-	place, err := net.ListenUnix("unix", &net.UnixAddr{Name: cfg.HandoverSocket(), Net: "unix"})
+	socket, err := net.ListenUnix("unix", &net.UnixAddr{Name: cfg.HandoverSocket(), Net: "unix"})
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer place.Close()
-	place.SetDeadline(time.Now().Add(sidecartest.Patience))
-	words := make(chan string, 1)
+	defer socket.Close()
+	socket.SetDeadline(time.Now().Add(sidecartest.Patience))
+	received := make(chan string, 1)
 	go func() { // the older process
-		c, err := place.AcceptUnix()
+		c, err := socket.AcceptUnix()
 		if err != nil {
-			words <- err.Error()
+			received <- err.Error()
 			return
 		}
 		defer c.Close()
 		c.SetDeadline(time.Now().Add(sidecartest.Patience))
 		if err := (&handover.Successors{Listener: shared.(*net.TCPListener)}).SendListener(c); err != nil {
-			words <- err.Error()
+			received <- err.Error()
 			return
 		}
-		said, _ := io.ReadAll(c)
-		words <- string(said)
+		sent, _ := io.ReadAll(c)
+		received <- string(sent)
 	}()
 	next := start(t, c, func(s *Sidecar) { s.listTimeout = time.Hour }) // it waits for a server
 	if next.predecessor == nil {
-		t.Fatal("it has no predecessor")
+		t.Fatal("the successor has not found its predecessor")
 	}
 	next.shutDown(t)
-	if said := sidecartest.Receive(t, "its words", words); said != string([]byte{handover.EndingByte}) {
-		t.Errorf("it said %q", said)
+	if sent := sidecartest.Receive(t, "the bytes from the successor", received); sent != string([]byte{handover.EndingByte}) {
+		t.Errorf("the successor sent %q", sent)
 	}
 }
--- a/internal/sidecar/handover_test.go
+++ b/internal/sidecar/handover_test.go
@@ -19,8 +19,8 @@
 	"marblelane/internal/sidecar/sidecartest"
 )
 
-// upgradable is a configuration whose address two processes can share. The port is the system's choice and held
-// for the test by a socket that does not listen.
+// upgradable returns a configuration whose address two processes can share. The system chooses the port, which a socket
+// that does not listen keeps reserved during the test.
 func upgradable(t *testing.T, discovery string, known ...endpointlist.Target) configtest.Conf {
 	t.Helper()
 	c := configtest.Managed(configtest.NewConf(discovery, known...))
@@ -29,12 +29,13 @@
 	return c
 }
 
+// healthy reports whether the health check of the process succeeds.
 func (r *running) healthy(t *testing.T) bool {
 	status, _ := r.requestManagement(t, "GET", healthPath)
 	return status == 200
 }
 
-// handoverSocket is the file of the socket where a newer process meets the one that serves; nil: there is none.
+// handoverSocket returns the file of the socket to which a successor connects, or nil if there is none.
 func (r *running) handoverSocket() os.FileInfo {
 	info, err := os.Lstat(r.cfg.HandoverSocket())
 	if err != nil {
@@ -43,17 +44,18 @@
 	return info
 }
 
-// awaitHandoverReady waits until the process serves and its own socket has taken the place of the one before, if there was any.
-// Its health check succeeds a moment before; a newer process that starts in between finds no process before it.
+// awaitHandoverReady waits until the process serves and its own handover socket has replaced the socket before. The
+// health check succeeds a moment earlier, and a successor that starts in between would find no predecessor.
 func (r *running) awaitHandoverReady(t *testing.T, before os.FileInfo) {
 	t.Helper()
-	sidecartest.Until(t, "the process", func() bool { return r.healthy(t) })
-	sidecartest.Until(t, "its socket", func() bool {
+	sidecartest.Until(t, "the process to serve", func() bool { return r.healthy(t) })
+	sidecartest.Until(t, "its handover socket", func() bool {
 		socket := r.handoverSocket()
 		return socket != nil && !os.SameFile(socket, before)
 	})
 }
 
+// shutDown terminates the sidecar and waits until it has ended.
 func (r *running) shutDown(t *testing.T) {
 	t.Helper()
 	r.term()
@@ -64,7 +66,7 @@
 	r.ended <- nil
 }
 
-// While one process follows the other, each request on a connection of its own and on kept ones is served.
+// During upgrades every request is served, whether its connection is new or kept alive.
 func TestUpgrade_NoRequestRejected(t *testing.T) {
 	b := sidecartest.NewBackend(t, "a", sidecartest.OK)
 	c := upgradable(t, sidecartest.NewRegistry(t).Addr(), b.Target)
@@ -99,11 +101,11 @@
 		})
 	}
 	process := old
-	for range 3 { // each is the old one of the next
+	for range 3 { // each process is the predecessor of the next
 		socket := process.handoverSocket()
 		next := start(t, c, quick)
 		next.awaitHandoverReady(t, socket)
-		sidecartest.Until(t, "its word", func() bool { return process.successors.Serving.Load() == 1 })
+		sidecartest.Until(t, "the successor to announce that it serves", func() bool { return process.successors.Serving.Load() == 1 })
 		if got, want := process.listener.Limit(), process.budget.clients/2; got != want {
 			t.Errorf("the older process may hold %d clients, want %d", got, want)
 		}
@@ -111,35 +113,35 @@
 			t.Errorf("the newer process may take %d requests, want %d", got, want)
 		}
 		process.shutDown(t)
-		sidecartest.Until(t, "all of the limits for the newer process", func() bool {
+		sidecartest.Until(t, "the successor to get all of the limits", func() bool {
 			return next.listener.Limit() == next.budget.clients
 		})
 		before := served.Load()
-		sidecartest.Until(t, "requests to go on", func() bool { return served.Load() > before+10 })
+		sidecartest.Until(t, "further requests to be served", func() bool { return served.Load() > before+10 })
 		process = next
 	}
 	close(stop)
 	clients.Wait()
 }
 
-// Connections that wait to be accepted when the process ends are the next one's.
+// Connections that wait to be accepted when a process ends are accepted by its successor.
 func TestUpgrade_QueueHandedOver(t *testing.T) {
 	b := sidecartest.NewBackend(t, "a", sidecartest.OK)
 	c := upgradable(t, sidecartest.NewRegistry(t).Addr(), b.Target)
-	deaf := func(s *Sidecar) { // it accepts no connection
+	acceptNothing := func(s *Sidecar) {
 		s.drainAccept = 0
 		s.listener.Listener = blockedListener{s.listener.Listener, new(sync.Once), make(chan struct{})}
 	}
-	old := start(t, c, deaf)
+	old := start(t, c, acceptNothing)
 	old.awaitHandoverReady(t, nil)
 	waiting := old.writeRequests(t, 10)
-	defer func() { // before the next process ends
+	defer func() { // runs before the successor ends
 		for _, conn := range waiting {
 			conn.Close()
 		}
 	}()
 	next := start(t, c, func(s *Sidecar) { s.listTimeout = 0 })
-	sidecartest.Until(t, "its word", func() bool { return old.successors.Serving.Load() == 1 })
+	sidecartest.Until(t, "the successor to announce that it serves", func() bool { return old.successors.Serving.Load() == 1 })
 	old.shutDown(t)
 	for _, conn := range waiting {
 		resp, err := http.ReadResponse(bufio.NewReader(conn), nil)
@@ -150,10 +152,10 @@
 			t.Error(resp.Status)
 		}
 	}
-	sidecartest.Until(t, "all of the limits", func() bool { return next.listener.Limit() == next.budget.clients })
+	sidecartest.Until(t, "the successor to get all of the limits", func() bool { return next.listener.Limit() == next.budget.clients })
 }
 
-// blockedListener is a listener whose accept only ends with it.
+// blockedListener is a listener whose Accept blocks until it is closed.
 type blockedListener struct {
 	net.Listener
 	closed *sync.Once
@@ -170,7 +172,7 @@
 	return r.Listener.Close()
 }
 
-// A process that ends before it serves leaves the older one as it was.
+// If a successor ends before it serves, the older process goes on with all of its limits.
 func TestUpgrade_SuccessorFails(t *testing.T) {
 	b := sidecartest.NewBackend(t, "a", sidecartest.OK)
 	c := upgradable(t, sidecartest.NewRegistry(t).Addr(), b.Target)
@@ -187,25 +189,25 @@
 	sidecartest.Until(t, "limits to be shared", func() bool { return old.listener.Limit() == old.budget.clients/2 })
 	l.Close()
 	p.Close()
-	sidecartest.Until(t, "limits to be whole again", func() bool { return old.listener.Limit() == old.budget.clients })
+	sidecartest.Until(t, "all of the limits to be restored", func() bool { return old.listener.Limit() == old.budget.clients })
 	if got := old.do(old.request("charge", time.Second)); got.status != 200 {
 		t.Errorf("%+v", got)
 	}
 }
 
-// What lies at the meeting place may be left by a process that is gone, or by anybody else.
+// A process starts whatever lies at the path of the handover socket: that of a dead process, or a foreign file.
 func TestUpgrade_StaleSocket(t *testing.T) {
-	for name, leave := range map[string]func(place string) error{
-		"a dead process's socket": func(place string) error {
-			l, err := net.ListenUnix("unix", &net.UnixAddr{Name: place, Net: "unix"})
+	for name, leave := range map[string]func(path string) error{
+		"a dead process's socket": func(path string) error {
+			l, err := net.ListenUnix("unix", &net.UnixAddr{Name: path, Net: "unix"})
 			if err != nil {
 				return err
 			}
 			l.SetUnlinkOnClose(false)
 			return l.Close()
 		},
-		"a file":      func(place string) error { return os.WriteFile(place, []byte("stale"), 0o600) },
-		"a directory": func(place string) error { return os.MkdirAll(filepath.Join(place, "stale"), 0o700) },
+		"a file":      func(path string) error { return os.WriteFile(path, []byte("stale"), 0o600) },
+		"a directory": func(path string) error { return os.MkdirAll(filepath.Join(path, "stale"), 0o700) },
 		"nothing":     func(string) error { return nil },
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -219,12 +221,12 @@
 				t.Fatal(err)
 			}
 			s := start(t, c)
-			sidecartest.Until(t, "the process", func() bool { return s.healthy(t) })
+			sidecartest.Until(t, "the process to serve", func() bool { return s.healthy(t) })
 			if got := s.do(s.request("charge", time.Second)); got.status != 200 {
 				t.Errorf("%+v", got)
 			}
 			if got := s.listener.Limit(); got != s.budget.clients {
-				t.Errorf("it holds %d clients, want %d", got, s.budget.clients)
+				t.Errorf("the process may hold %d clients, want %d", got, s.budget.clients)
 			}
 		})
 	}
--- a/internal/sidecar/kill_time_test.go
+++ b/internal/sidecar/kill_time_test.go
@@ -24,18 +24,18 @@
 	"marblelane/internal/sidecar/sidecartest"
 )
 
-// lateSends are the times before SIGKILL at which clients complete a request on a connection that is open.
+// lateSends are times before SIGKILL at which clients complete a request on an open connection.
 var lateSends = []time.Duration{
 	300 * time.Millisecond, 220 * time.Millisecond, 140 * time.Millisecond, 20 * time.Millisecond,
 }
 
-// shutdown is one sidecar that is terminated while it is held up at one checkpoint.
+// shutdown is the shutdown of one sidecar that is held up at one checkpoint.
 type shutdown struct {
 	held        checkpoint.Checkpoint
 	s           *Sidecar
 	stop        context.CancelFunc
 	ended       chan error
-	started     chan struct{} // closed: term and kill are set
+	started     chan struct{} // closed once term and kill are set
 	term        time.Time
 	kill        time.Time
 	maxDeadline time.Duration
@@ -43,10 +43,10 @@
 	clients     sync.WaitGroup
 
 	mu       sync.Mutex
-	arrived  map[string]time.Time // at the server, by request id
+	arrived  map[string]time.Time // time of arrival at the server, by request ID
 	failures []string
 
-	lag atomic.Int64 // the most that a timer was late from SIGTERM to SIGKILL, in ns
+	lag atomic.Int64 // maximum delay of a timer between SIGTERM and SIGKILL, in ns
 }
 
 func newShutdown(t *testing.T, maxDeadline time.Duration, held checkpoint.Checkpoint) *shutdown {
@@ -61,7 +61,7 @@
 		d.mu.Unlock()
 		return req.URL.RawQuery == "hang" || sidecartest.OK(c, req, "")
 	})
-	c := configtest.NewConf("127.0.0.1:1", b.Target) // no registry listens there
+	c := configtest.NewConf("127.0.0.1:1", b.Target) // no list service listens there
 	c["settings"] = json.RawMessage(fmt.Sprintf(`{"classes": [
 	 {"name": "lookup", "effect": "read_like", "on_time_ms": %[1]d, "hard_limit_ms": %[1]d},
 	 {"name": "charge", "effect": "non_idempotent", "on_time_ms": %[1]d, "hard_limit_ms": %[1]d}],
@@ -99,7 +99,7 @@
 	d.failures = append(d.failures, fmt.Sprintf(format, args...))
 }
 
-// clientConn is one connection of a client.
+// clientConn is one client connection to the sidecar.
 type clientConn struct {
 	net.Conn
 	d    *shutdown
@@ -115,7 +115,7 @@
 	return &clientConn{Conn: c, d: d, what: what, in: bufio.NewReader(c)}, nil
 }
 
-// open reports whether the sidecar has said nothing on its own: neither an answer nor the connection's end.
+// open reports whether the sidecar has neither sent a response nor closed the connection.
 func (c *clientConn) open() bool {
 	c.SetReadDeadline(time.Now().Add(time.Millisecond))
 	_, err := c.in.Peek(1)
@@ -123,7 +123,8 @@
 	return errors.As(err, &timeout) && timeout.Timeout()
 }
 
-// readResponse reads a complete readResponse, which has to come before SIGKILL may; io.EOF: the connection ended without one.
+// readResponse reads a complete response, which has to arrive before the earliest SIGKILL. last reports whether it closes
+// the connection. The error is io.EOF if the connection was closed without a response.
 func (c *clientConn) readResponse() (last bool, err error) {
 	c.SetReadDeadline(time.Now().Add(sidecartest.Patience))
 	if _, err := c.in.Peek(1); err == io.EOF {
@@ -138,21 +139,21 @@
 		return true, err
 	}
 	if late := time.Since(c.d.kill); late > 0 && !c.d.kill.IsZero() {
-		c.d.errorf("%s: answered %d %q %v after SIGKILL may come", c.what, resp.StatusCode, body, late)
+		c.d.errorf("%s: response %d %q came %v after the earliest SIGKILL", c.what, resp.StatusCode, body, late)
 	}
 	return resp.Close, nil
 }
 
-// sendAfterClose sends one more request on a connection that has ended: it must not reach a server.
+// sendAfterClose sends one more request on a connection that the sidecar has closed. It must not reach a server.
 func (c *clientConn) sendAfterClose() {
 	id, text := c.d.request("GET", "")
 	if _, err := io.WriteString(c, text); err != nil {
-		return // reset: the peer has ended
+		return // the connection was reset
 	}
 	c.d.clients.Go(func() {
 		<-time.After(time.Until(c.d.kill))
 		if at := c.d.arrival(id); !at.IsZero() {
-			c.d.errorf("%s: a request sent after the end of its connection reached a server", c.what)
+			c.d.errorf("%s: a request sent after the close of its connection reached a server", c.what)
 		}
 	})
 }
@@ -174,7 +175,8 @@
 		method, query, id, class, d.maxDeadline.Milliseconds(), len(body), body)
 }
 
-// keepSending sends request after request, on a new connection as long as new ones come, to the end.
+// keepSending sends one request after the other until SIGKILL. It opens a new connection when the old one was closed,
+// for as long as new clients may connect.
 func (d *shutdown) keepSending(what, method, query string) {
 	var c *clientConn
 	defer func() {
@@ -202,15 +204,15 @@
 		_, text := d.request(method, query)
 		io.WriteString(c, text)
 		last, err := c.readResponse()
-		if err == io.EOF { // it crossed the end of its connection, and comes once more on a new one
+		if err == io.EOF { // it crossed the close of its connection: send it again on a new connection
 			c.Close()
-			if c, err = d.dial(what + ", again"); err == nil {
+			if c, err = d.dial(what + ", second connection"); err == nil {
 				io.WriteString(c, text)
 				last, err = c.readResponse()
 			}
 		}
 		if err != nil {
-			d.errorf("%s: no answer but %v, %v after SIGTERM", what, err, time.Since(d.term))
+			d.errorf("%s: no response but %v, %v after SIGTERM", what, err, time.Since(d.term))
 			return
 		}
 		if last {
@@ -221,38 +223,39 @@
 	}
 }
 
-// completeLate completes a request so long before SIGKILL, unless the sidecar has answered or ended its connection.
+// completeLate completes a request at the given time before SIGKILL, unless the sidecar has responded or closed the
+// connection by then.
 func (d *shutdown) completeLate(c *clientConn, remainder string, before time.Duration) {
 	defer c.Close()
 	type received struct {
 		last bool
 		err  error
 	}
-	answered := make(chan received, 1)
+	done := make(chan received, 1)
 	go func() {
 		last, err := c.readResponse()
-		answered <- received{last, err}
+		done <- received{last, err}
 	}()
-	excused := true // it may end without an answer
+	mayClose := true // whether the connection may be closed without a response
 	var got received
 	select {
-	case got = <-answered:
+	case got = <-done:
 	case <-time.After(time.Until(d.kill.Add(-before))):
 		io.WriteString(c, remainder)
-		excused = c.what == sidecartest.IdleConn
-		got = <-answered
+		mayClose = c.what == sidecartest.IdleConn
+		got = <-done
 	}
 	switch {
 	case got.err == nil && got.last:
 		c.sendAfterClose()
 	case got.err == nil:
-		d.errorf("%s: its answer does not end its connection", c.what)
-	case !excused:
-		d.errorf("%s: completed %v before SIGKILL and not answered, but %v", c.what, before, got.err)
+		d.errorf("%s: the response does not close the connection", c.what)
+	case !mayClose:
+		d.errorf("%s: completed %v before SIGKILL and got no response but %v", c.what, before, got.err)
 	}
 }
 
-// begin connects a client and sends what it has sent when its sidecar is terminated; the remainder is for later.
+// begin connects a client and sends what the client has sent by the time of SIGTERM. It returns the rest of the request.
 func (d *shutdown) begin(what string) (c *clientConn, remainder string, err error) {
 	if c, err = d.dial(what); err != nil {
 		return nil, "", err
@@ -277,7 +280,7 @@
 	return c, text[cut:], err
 }
 
-// play sends everything that clients may send, ends the sidecar and waits for all answers.
+// play runs clients of all kinds, terminates the sidecar and waits for all responses.
 func (d *shutdown) play() {
 	for _, query := range []string{"", "hang"} {
 		for _, method := range []string{"GET", "POST"} {
@@ -315,13 +318,14 @@
 	d.mu.Unlock()
 	for id, at := range arrived {
 		if at.After(d.kill) {
-			d.errorf("request %s reached a server %v after SIGKILL may come", id, at.Sub(d.kill))
+			d.errorf("request %s reached a server %v after the earliest SIGKILL", id, at.Sub(d.kill))
 		}
 	}
 }
 
-// What was taken is answered when SIGKILL may come, whatever the longest deadline is, though servers hang, clients
-// send to the end, and the process is held up at any one step. What is read after a connection's end is not forwarded.
+// Without a response a client cannot tell whether its request ran. By the earliest SIGKILL every accepted request has
+// its response, whatever the longest deadline is, although servers hang, clients send until the end and the process is
+// held up at any one checkpoint. What arrives after the close of a connection is not forwarded.
 func TestKillTime_allRequestsGetResponse(t *testing.T) {
 	before := runtime.NumGoroutine()
 	t.Run("longest deadline", func(t *testing.T) {
@@ -342,8 +346,8 @@
 	awaitGoroutinesEnded(t, before)
 }
 
-// playShutdowns ends one sidecar for each checkpoint at which it is held up, and gives those whose failures say nothing
-// because the machine was late on top of the hold. In the last round they count all the same.
+// playShutdowns shuts down one sidecar for each checkpoint in held. It returns the checkpoints to try again: those with
+// failures while timers of the machine were late as well, which prove nothing. In the last round such failures count.
 func playShutdowns(t *testing.T, maxDeadline time.Duration, held []checkpoint.Checkpoint, last bool) (again []checkpoint.Checkpoint) {
 	t.Helper()
 	var all []*shutdown
@@ -360,15 +364,16 @@
 		switch {
 		case len(d.failures) == 0:
 		case lag > sidecartest.LateMachine && !last:
-			t.Logf("held at %q: %d failures, the machine was %v late: once more", d.held, len(d.failures), lag)
+			t.Logf("held at %q: %d failures, timers were up to %v late: trying again", d.held, len(d.failures), lag)
 			again = append(again, d.held)
 		default:
-			t.Errorf("held at %q, the machine at most %v late:\n%s", d.held, lag, strings.Join(d.failures, "\n"))
+			t.Errorf("held at %q, timers up to %v late:\n%s", d.held, lag, strings.Join(d.failures, "\n"))
 		}
 	}
 	return again
 }
 
 var checkpoints = []checkpoint.Checkpoint{
-	checkpoint.RequestRead, checkpoint.AttemptDecided, checkpoint.ClockRead, checkpoint.ResponseDecided, checkpoint.DrainSignalled, checkpoint.ServiceEndDue, checkpoint.ServiceEnded,
+	checkpoint.RequestRead, checkpoint.AttemptDecided, checkpoint.ClockRead, checkpoint.ResponseDecided,
+	checkpoint.DrainSignalled, checkpoint.ServiceEndDue, checkpoint.ServiceEnded,
 }
--- a/internal/sidecar/listener_shutdown_test.go
+++ b/internal/sidecar/listener_shutdown_test.go
@@ -14,7 +14,7 @@
 	"marblelane/internal/sidecar/sidecartest"
 )
 
-// heldListener accepts no connection before the test lets it.
+// heldListener accepts no connection before held is closed.
 type heldListener struct {
 	*net.TCPListener
 	held   chan struct{}
@@ -31,7 +31,7 @@
 	return l.TCPListener.Close()
 }
 
-// Connections that the system has completed are accepted and answered before the listener closes.
+// Connections in the accept queue at SIGTERM are accepted and get their response before the listener closes.
 func TestShutdown_acceptQueue(t *testing.T) {
 	b := sidecartest.NewBackend(t, "a", sidecartest.OK)
 	held := make(chan struct{})
@@ -47,7 +47,7 @@
 	sidecartest.Until(t, "a server", func() bool { return s.loop.Metrics.Servers.Load().Ready > 0 })
 	waiting := s.writeRequests(t, 10)
 	s.term()
-	sidecartest.Until(t, "the listener to close, or to wait for them", func() bool { return closed.Load() || queried.Load() })
+	sidecartest.Until(t, "the listener to close, or to wait for the queue", func() bool { return closed.Load() || queried.Load() })
 	close(held)
 	for _, c := range waiting {
 		resp, err := http.ReadResponse(bufio.NewReader(c), nil)
@@ -64,11 +64,11 @@
 	}
 	s.ended <- nil
 	if _, err := net.Dial("tcp", s.Addr()); !errors.Is(err, syscall.ECONNREFUSED) {
-		t.Errorf("after the end a connect gets %v", err)
+		t.Errorf("connecting after the shutdown: %v, want ECONNREFUSED", err)
 	}
 }
 
-// What never is accepted does not keep the process.
+// A connection that is never accepted does not keep the process from ending.
 func TestShutdown_AcceptStalled(t *testing.T) {
 	held := make(chan struct{})
 	var closed atomic.Bool
@@ -81,6 +81,6 @@
 	}
 	defer c.Close()
 	s.term()
-	sidecartest.Until(t, "the listener's end", closed.Load)
+	sidecartest.Until(t, "the listener to close", closed.Load)
 	close(held)
 }
--- a/internal/sidecar/lists_test.go
+++ b/internal/sidecar/lists_test.go
@@ -22,8 +22,8 @@
 	return c
 }
 
-// The second list service is watched once the first fails. What it has from before the list that is held is not accepted, a
-// server that it leaves out stays while it answers, and the figures say so.
+// The second list service is watched once the first fails. Its list is not accepted while it is older than the current
+// one. A server that a newer list leaves out stays in use while it responds. The metrics show both.
 func TestListServices_failover(t *testing.T) {
 	a, b, c := sidecartest.NewBackend(t, "a", sidecartest.OK), sidecartest.NewBackend(t, "b", sidecartest.OK), sidecartest.NewBackend(t, "c", sidecartest.OK)
 	near, far := sidecartest.NewRegistry(t), sidecartest.NewRegistry(t)
@@ -40,31 +40,31 @@
 	}
 	second.Send(t, endpointlist.List{Rev: 40, All: true})
 	third := sidecartest.Receive(t, "the next attempt", near.Calls)
-	figure := func(want string) {
+	awaitMetric := func(want string) {
 		t.Helper()
 		sidecartest.Until(t, want, func() bool {
 			_, text := s.requestManagement(t, "GET", statsPath)
 			return strings.Contains(text, want+"\n")
 		})
 	}
-	figure("svc_list_refused 1")
-	figure("svc_hosts_listed 3")
+	awaitMetric("svc_list_refused 1")
+	awaitMetric("svc_hosts_listed 3")
 	third.Send(t, endpointlist.List{Rev: 42, All: true, Targets: []endpointlist.Target{c.Target}})
-	figure("svc_list_revision 42")
-	figure("svc_hosts_doubted 2")
-	figure("svc_list_refused 0")
+	awaitMetric("svc_list_revision 42")
+	awaitMetric("svc_hosts_doubted 2")
+	awaitMetric("svc_list_refused 0")
 	for range 6 {
 		if got := s.do(s.request("lookup", time.Second)); got.status != 200 {
 			t.Errorf("%+v", got)
 		}
 	}
-	gone := a.Target
-	gone.State = "Gone"
-	third.Send(t, endpointlist.List{Rev: 43, Targets: []endpointlist.Target{gone}})
-	figure("svc_hosts_doubted 1")
+	removed := a.Target
+	removed.State = "Gone"
+	third.Send(t, endpointlist.List{Rev: 43, Targets: []endpointlist.Target{removed}})
+	awaitMetric("svc_hosts_doubted 1")
 }
 
-// A bad entry never costs the rest of the list.
+// An invalid entry does not affect the rest of the list.
 func TestListServices_badEntries(t *testing.T) {
 	good, dup := sidecartest.NewBackend(t, "good", sidecartest.OK), sidecartest.NewBackend(t, "dup", sidecartest.OK)
 	r := sidecartest.NewRegistry(t)
@@ -78,12 +78,12 @@
 	sidecartest.Until(t, "the list", func() bool { return s.loop.Discovery.Revision.Load() == 41 })
 	var used []string
 	for _, uid := range []string{"x", "y", "z", "v", "", "twin", "dup", "good"} {
-		if _, ok := s.loop.Balancer().UsableServer(endpointlist.ServerID(uid)); ok { // the loop is idle: nothing has been sent yet
+		if _, ok := s.loop.Balancer().UsableServer(endpointlist.ServerID(uid)); ok { // the loop is idle, as no request has been sent yet
 			used = append(used, uid)
 		}
 	}
-	if fmt.Sprint(used) != "[twin good]" { // of two names at one address the one that started later
-		t.Errorf("used are %v", used)
+	if fmt.Sprint(used) != "[twin good]" { // of two UIDs with the same address the one that started later is used
+		t.Errorf("servers in use: %v, want [twin good]", used)
 	}
 	for range 4 {
 		if got := s.do(s.request("lookup", time.Second)); got.status != http.StatusOK {
@@ -92,7 +92,7 @@
 	}
 }
 
-// The number of list services may change with the configuration.
+// A reload may change the number of list services.
 func TestListServices_reload(t *testing.T) {
 	b := sidecartest.NewBackend(t, "a", sidecartest.OK)
 	one, two := sidecartest.NewRegistry(t), sidecartest.NewRegistry(t)
--- a/internal/sidecar/management_test.go
+++ b/internal/sidecar/management_test.go
@@ -15,6 +15,7 @@
 	"marblelane/internal/sidecar/sidecartest"
 )
 
+// requestManagement sends a request to the management address and returns status and body of the response.
 func (r *running) requestManagement(t *testing.T, method, path string) (int, string) {
 	t.Helper()
 	req, err := http.NewRequest(method, "http://"+r.ManagementAddr()+path, nil)
@@ -31,7 +32,7 @@
 		t.Fatal(err)
 	}
 	if !resp.Close {
-		t.Errorf("%s %s: the connection is kept", method, path)
+		t.Errorf("%s %s: the response does not close the connection", method, path)
 	}
 	return resp.StatusCode, string(body)
 }
@@ -44,7 +45,7 @@
 	}
 	call := sidecartest.Receive(t, "the watch", discovery.Calls)
 	call.Send(t, endpointlist.List{Rev: 2, All: true, Targets: []endpointlist.Target{sidecartest.Ready("a", "127.0.0.1:1")}})
-	sidecartest.Until(t, "the list to count", func() bool {
+	sidecartest.Until(t, "the list to be applied", func() bool {
 		status, _ := s.requestManagement(t, "GET", healthPath)
 		return status == 200
 	})
@@ -58,7 +59,7 @@
 	}
 	s.clients.StartDraining()
 	if status, _ := s.requestManagement(t, "GET", healthPath); status != 503 {
-		t.Errorf("while it drains: %d", status)
+		t.Errorf("while draining: %d", status)
 	}
 }
 
@@ -78,7 +79,7 @@
 	c := configtest.Managed(configtest.NewConf(sidecartest.NewRegistry(t).Addr(), b.Target, draining)).Setting(`"lookup"`, `"look\"up"`).
 		Setting(`"open_cap": 20000`, `"open_cap": 1`)
 	s := start(t, c)
-	wants := func(lines ...string) {
+	awaitMetrics := func(lines ...string) {
 		t.Helper()
 		text := ""
 		sidecartest.Until(t, strings.Join(lines, ", "), func() bool {
@@ -91,7 +92,7 @@
 			return true
 		})
 	}
-	wants(`svc_success{tier="look\"up"} 0`, "svc_backend_calls 0", "svc_inflight 0", "svc_hosts_listed 2", "svc_hosts_down 1")
+	awaitMetrics(`svc_success{tier="look\"up"} 0`, "svc_backend_calls 0", "svc_inflight 0", "svc_hosts_listed 2", "svc_hosts_down 1")
 	for range 3 {
 		req := s.request("lookup", time.Second)
 		req.Header.Set("X-Priority-Class", `look"up`)
@@ -106,20 +107,20 @@
 		t.Errorf("%+v", got)
 	}
 	held := s.goDo(s.request("reserve", time.Second))
-	wants("svc_inflight 1", "svc_backend_calls 5")
+	awaitMetrics("svc_inflight 1", "svc_backend_calls 5")
 	if got := s.do(s.request("charge", time.Second)); got.status != inflight.StatusRejected {
 		t.Errorf("%+v", got)
 	}
 	close(release)
-	if got := sidecartest.Receive(t, "an answer", held); got.status != 200 {
+	if got := sidecartest.Receive(t, "a response", held); got.status != 200 {
 		t.Errorf("%+v", got)
 	}
-	wants(`svc_success{tier="look\"up"} 3`, `svc_success{tier="reserve"} 1`, `svc_success{tier="charge"} 0`,
+	awaitMetrics(`svc_success{tier="look\"up"} 3`, `svc_success{tier="reserve"} 1`, `svc_success{tier="charge"} 0`,
 		`svc_busy{tier="charge"} 1`, `svc_failure{tier="charge"} 1`, `svc_failure{tier="look\"up"} 0`,
 		"svc_inflight 0", "svc_backend_calls 5")
 }
 
-// Callers that hold connections and say nothing, or half of a call, shut no other caller out.
+// Callers that hold connections without sending a complete request do not shut out other callers.
 func TestManagement_silentCallers(t *testing.T) {
 	s := start(t, configtest.Managed(configtest.NewConf(sidecartest.NewRegistry(t).Addr(), sidecartest.Ready("a", "127.0.0.1:1"))))
 	for i := range 3 * s.management.Limit() {
@@ -142,26 +143,26 @@
 	c := configtest.NewConf("127.0.0.1:1")
 	c["management"] = "nowhere"
 	if _, err := c.Load(t); err == nil || !strings.Contains(err.Error(), "management") {
-		t.Errorf("an address that cannot be read: %v", err)
+		t.Errorf("malformed address: error %v, want one that names the key management", err)
 	}
-	taken, err := net.Listen("tcp", sidecartest.Loopback)
+	occupied, err := net.Listen("tcp", sidecartest.Loopback)
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer taken.Close()
-	c["management"] = taken.Addr().String()
+	defer occupied.Close()
+	c["management"] = occupied.Addr().String()
 	cfg, err := c.Load(t)
 	if err != nil {
 		t.Fatal(err)
 	}
 	if _, err := New(cfg); err == nil || !strings.Contains(err.Error(), "management") {
-		t.Errorf("an address that is taken: %v", err)
+		t.Errorf("address in use: error %v, want one that names the key management", err)
 	}
 }
 
 func TestManagement_Off(t *testing.T) {
 	s := start(t, configtest.NewConf(sidecartest.NewRegistry(t).Addr()))
 	if s.ManagementAddr() != "" {
-		t.Errorf("it listens at %s", s.ManagementAddr())
+		t.Errorf("the sidecar listens at %s without a management address", s.ManagementAddr())
 	}
 }
--- a/internal/sidecar/members_test.go
+++ b/internal/sidecar/members_test.go
@@ -18,21 +18,21 @@
 	"marblelane/internal/sidecar/sidecartest"
 )
 
-// membershipReport is what a sidecar says of its fleet; ok: it is bound.
-func (r *running) membershipReport(t *testing.T) (out membership.Report, ok bool) {
+// membershipReport returns what the sidecar reports about its fleet. ok is false if it has not joined yet.
+func (r *running) membershipReport(t *testing.T) (report membership.Report, ok bool) {
 	t.Helper()
 	status, text := r.requestManagement(t, "GET", fleet.MembersPath)
 	if status != 200 {
-		return out, false
+		return report, false
 	}
-	require.NoError(t, json.Unmarshal([]byte(text), &out))
-	return out, true
+	require.NoError(t, json.Unmarshal([]byte(text), &report))
+	return report, true
 }
 
-// awaitGossipAddr waits for the address where others reach it.
+// awaitGossipAddr waits until the sidecar has joined, and returns its address for other members.
 func (r *running) awaitGossipAddr(t *testing.T) (addr string) {
 	t.Helper()
-	sidecartest.Until(t, "its address", func() bool {
+	sidecartest.Until(t, "the address of the member", func() bool {
 		report, ok := r.membershipReport(t)
 		for _, m := range report.Members {
 			if m.Name == report.Self.Name && m.Start == report.Self.Start {
@@ -44,7 +44,7 @@
 	return addr
 }
 
-// awaitMetric waits for a line of the figures.
+// awaitMetric waits until the metrics have a line that matches the given pattern.
 func (r *running) awaitMetric(t *testing.T, line string) {
 	t.Helper()
 	sidecartest.Until(t, line, func() bool {
@@ -53,21 +53,22 @@
 	})
 }
 
-// Without the section there is nothing of it: no goroutine, no page, no figure, and the balancer gets no event.
+// Without the section members there is no goroutine, page or metric of the membership, and the balancer gets no event
+// of it.
 func TestMembersOff(t *testing.T) {
 	b := sidecartest.NewBackend(t, "a", sidecartest.OK)
 	s := start(t, configtest.Managed(configtest.NewConf(sidecartest.NewRegistry(t).Addr(), b.Target)))
 	sidecartest.Until(t, "a server", func() bool { return s.healthy(t) })
 	require.Equal(t, 200, s.do(s.request("lookup", time.Second)).status)
 	stacks := make([]byte, 1<<20)
-	sidecartest.Until(t, "no goroutine of it, nor of tests before", func() bool {
+	sidecartest.Until(t, "goroutines of the membership to end, also those of earlier tests", func() bool {
 		text := string(stacks[:runtime.Stack(stacks, true)])
 		return !strings.Contains(text, "internal/membership") && !strings.Contains(text, "memberlist")
 	})
 	status, _ := s.requestManagement(t, "GET", fleet.MembersPath)
 	require.Equal(t, 404, status)
-	_, figures := s.requestManagement(t, "GET", statsPath)
-	require.NotContains(t, figures, "svc_members")
+	_, metrics := s.requestManagement(t, "GET", statsPath)
+	require.NotContains(t, metrics, "svc_members")
 	s.shutDown(t)
 	require.Zero(t, s.loop.Balancer().FleetSize())
 }
@@ -77,19 +78,19 @@
 	seed := a.awaitGossipAddr(t)
 	b := start(t, configtest.Joining(configtest.NewConf("127.0.0.1:1"), "b", sidecartest.Loopback, seed))
 	c := start(t, configtest.Joining(configtest.NewConf("127.0.0.1:1"), "c", sidecartest.Loopback, seed))
-	for _, one := range []*running{a, b, c} {
-		one.awaitMetric(t, "svc_members_known 3")
-		one.awaitMetric(t, "svc_members_admitted 1")
-		one.awaitMetric(t, "svc_members_believed 3") // a rise is taken over at once
+	for _, r := range []*running{a, b, c} {
+		r.awaitMetric(t, "svc_members_known 3")
+		r.awaitMetric(t, "svc_members_admitted 1")
+		r.awaitMetric(t, "svc_members_believed 3") // an increase takes effect at once
 	}
 	startedAt := time.Now()
 	b.shutDown(t)
 	if took := time.Since(startedAt); took > b.killTime() {
-		t.Errorf("the end took %v, SIGKILL may come after %v", took, b.killTime())
+		t.Errorf("the shutdown took %v, SIGKILL may come after %v", took, b.killTime())
 	}
 	a.awaitMetric(t, "svc_members_known 2")
-	a.awaitMetric(t, `svc_members_believed 2\.[0-9]+`) // fewer slowly
-	// An operator's word: it takes no part any more, and serves on.
+	a.awaitMetric(t, `svc_members_believed 2\.[0-9]+`) // a decrease takes effect slowly
+	// On an operator's request the sidecar leaves the fleet and goes on serving.
 	status, text := c.requestManagement(t, "POST", fleet.LeavePath)
 	require.Less(t, status, 300, text)
 	require.True(t, c.loop.Members.Left.Load())
@@ -98,11 +99,11 @@
 	a.awaitMetric(t, `svc_members{state="gone"} 2`)
 }
 
-// A watch lasts longer than other calls, and few may be there.
+// A watch may last longer than other requests, and the number of watches is limited.
 func TestMembersWatch(t *testing.T) {
 	s := start(t, configtest.Joining(configtest.NewConf("127.0.0.1:1"), "a", sidecartest.Loopback))
 	s.awaitGossipAddr(t)
-	for range 2 * fleet.MaxWatchers { // it would stay unseen
+	for range 2 * fleet.MaxWatchers { // a HEAD request would occupy the place of a watch unnoticed
 		resp, err := s.client.Head("http://" + s.ManagementAddr() + fleet.MembersPath + "?watch=1")
 		require.NoError(t, err)
 		require.Equal(t, 405, resp.StatusCode)
@@ -123,7 +124,8 @@
 	}
 }
 
-// Where the address is taken the sidecar serves all the same, counts as before, and joins once it is free.
+// While its address is in use the sidecar serves all the same, with the fleet size of the settings. It joins once the
+// address is free.
 func TestMembers_addressInUse(t *testing.T) {
 	l, err := net.Listen("tcp", sidecartest.Loopback)
 	require.NoError(t, err)
@@ -136,14 +138,15 @@
 	require.Equal(t, 503, status)
 	s.awaitMetric(t, "svc_members_believed 3")
 	s.awaitMetric(t, "svc_members_known 3")
-	s.awaitMetric(t, "svc_members_admitted 1") // the balancer was notified: its part is that of the settings
+	s.awaitMetric(t, "svc_members_admitted 1") // the balancer was notified: its share is that of the settings
 	require.True(t, s.loop.Members.Latest.Load().Admitted)
 	require.NoError(t, l.Close())
 	require.Equal(t, l.Addr().String(), s.awaitGossipAddr(t))
 	s.awaitMetric(t, "svc_members_admitted 1")
 }
 
-// In an upgrade the newer process binds the older one's address when that is gone, and takes no part before.
+// In an upgrade both processes have the same membership address. The successor binds it and joins only after the older
+// process has ended.
 func TestMembers_upgradeWithOnePort(t *testing.T) {
 	l, err := net.Listen("tcp", sidecartest.Loopback)
 	require.NoError(t, err)
@@ -156,8 +159,8 @@
 	old.awaitMetric(t, "svc_members_admitted 1")
 	before, _ := old.membershipReport(t)
 	next := start(t, c, quick)
-	sidecartest.Until(t, "the newer process", func() bool { return next.healthy(t) })
-	sidecartest.Until(t, "what it assumes meanwhile", func() bool {
+	sidecartest.Until(t, "the successor to serve", func() bool { return next.healthy(t) })
+	sidecartest.Until(t, "the fleet size of the successor before it joins", func() bool {
 		v := next.loop.Members.Latest.Load()
 		return v != nil && !v.Admitted
 	})
--- a/internal/sidecar/planted_test.go
+++ b/internal/sidecar/planted_test.go
@@ -19,17 +19,18 @@
 	"marblelane/internal/sidecar/sidecartest"
 )
 
-// countAcceptFailures counts below the listener that goes on after them.
+// countAcceptFailures counts failing accepts below the listener that retries them.
 func countAcceptFailures(t *testing.T, l *clientserver.Limiter, failures *atomic.Int64) {
 	t.Helper()
 	wrapped, ok := l.Listener.(*listener.Listener)
 	if !ok {
-		t.Fatalf("the listener is a %T, which ends at the first failure", l.Listener)
+		t.Fatalf("the listener is a %T, which does not retry failing accepts", l.Listener)
 	}
 	wrapped.Listener = sidecartest.FailureCounter{Listener: wrapped.Listener, Failures: failures}
 }
 
-// Failing accepts, of which net/http takes few for temporary, do not end the process; once they work it serves.
+// Failing accepts, most of which net/http does not treat as temporary, do not end the process. It serves once they
+// succeed.
 func TestAccept_TransientFailure(t *testing.T) {
 	for _, errno := range []string{
 		"ENOBUFS", "ENOMEM", "EPROTO", "ENETUNREACH", "EHOSTUNREACH", "ENETDOWN", "EPERM", "EMFILE", "ENFILE",
@@ -42,7 +43,7 @@
 			c["faults"] = path
 			var failures atomic.Int64
 			s := start(t, c, func(s *Sidecar) { countAcceptFailures(t, s.listener, &failures) })
-			sidecartest.Until(t, "accepts that fail", func() bool { return failures.Load() >= 3 })
+			sidecartest.Until(t, "failing accepts", func() bool { return failures.Load() >= 3 })
 			if err := (fault.Set{}).Write(path); err != nil {
 				t.Fatal(err)
 			}
@@ -53,7 +54,7 @@
 	}
 }
 
-// planFault makes a system call fail from the next one on.
+// planFault makes all further calls of a system call fail, for sidecars that read the file at path.
 func planFault(t *testing.T, path, call, errno string) {
 	t.Helper()
 	if err := (fault.Set{Calls: map[string]string{call: errno}}).Write(path); err != nil {
@@ -61,7 +62,7 @@
 	}
 }
 
-// The platform's address and the place where a newer process meets this one stay, too.
+// Failing accepts do not close the management address or the handover socket either.
 func TestAccept_OtherListeners(t *testing.T) {
 	b := sidecartest.NewBackend(t, "a", sidecartest.OK)
 	c := upgradable(t, sidecartest.NewRegistry(t).Addr(), b.Target)
@@ -70,34 +71,34 @@
 	c["faults"] = path
 	var failures atomic.Int64
 	old := start(t, c, func(s *Sidecar) { countAcceptFailures(t, s.management, &failures) })
-	sidecartest.Until(t, "accepts that fail", func() bool { return failures.Load() >= 3 })
+	sidecartest.Until(t, "failing accepts", func() bool { return failures.Load() >= 3 })
 	cfg, err := c.Load(t)
 	if err != nil {
 		t.Fatal(err)
 	}
 	var successor sync.WaitGroup
-	sidecartest.Until(t, "the meeting place", func() bool {
+	sidecartest.Until(t, "the handover socket", func() bool {
 		_, err := os.Lstat(cfg.HandoverSocket())
 		return err == nil
 	})
 	successor.Go(func() {
 		p, l, err := handover.FindPredecessor(cfg)
 		if err != nil || p == nil {
-			t.Errorf("a newer process meets %v: %v", p, err)
+			t.Errorf("a successor finds the predecessor %v: %v", p, err)
 			return
 		}
 		l.Close()
 		p.Close()
 	})
-	sidecartest.Until(t, "more accepts that fail", func() bool { return failures.Load() >= 6 })
+	sidecartest.Until(t, "more failing accepts", func() bool { return failures.Load() >= 6 })
 	if err := (fault.Set{}).Write(path); err != nil {
 		t.Fatal(err)
 	}
-	sidecartest.Until(t, "the platform's address", func() bool { return old.healthy(t) })
+	sidecartest.Until(t, "the health check to succeed", func() bool { return old.healthy(t) })
 	successor.Wait()
 }
 
-// The time of a request that waits until its connection is accepted counts: its server gets what is left.
+// The time that a request waits until its connection is accepted counts towards its timeout: the server gets the rest.
 func TestDeadline_includesAcceptQueue(t *testing.T) {
 	timeouts := make(chan string, 1)
 	b := sidecartest.NewBackend(t, "a", func(c net.Conn, r *http.Request, body string) bool {
@@ -110,7 +111,7 @@
 	c["faults"] = path
 	var failures atomic.Int64
 	s := start(t, c, func(s *Sidecar) { countAcceptFailures(t, s.listener, &failures) })
-	sidecartest.Until(t, "accepts that fail", func() bool { return failures.Load() > 0 })
+	sidecartest.Until(t, "failing accepts", func() bool { return failures.Load() > 0 })
 	conn := s.dial(t)
 	defer conn.Close()
 	const wait, waited, coarse = 5 * time.Second, 300 * time.Millisecond, 20 * time.Millisecond
@@ -118,7 +119,7 @@
 		t.Fatal(err)
 	}
 	sent := time.Now()
-	sidecartest.Until(t, "some of its time to pass", func() bool { return time.Since(sent) >= waited })
+	sidecartest.Until(t, "the request to wait in the accept queue", func() bool { return time.Since(sent) >= waited })
 	if err := (fault.Set{}).Write(path); err != nil {
 		t.Fatal(err)
 	}
@@ -127,6 +128,6 @@
 		t.Fatal(err)
 	}
 	if limit := wait - waited + coarse; time.Duration(left)*time.Millisecond > limit {
-		t.Errorf("the server got %d ms, want %v at most", left, limit)
+		t.Errorf("the server got a timeout of %d ms, want at most %v", left, limit)
 	}
 }
--- a/internal/sidecar/reload_test.go
+++ b/internal/sidecar/reload_test.go
@@ -16,7 +16,7 @@
 	"marblelane/internal/sidecar/sidecartest"
 )
 
-// failingReload fails until a time, and counts its calls.
+// failingReload is a reload that fails until a given time. It counts its calls.
 type failingReload struct {
 	until time.Time
 	calls int
@@ -35,10 +35,10 @@
 		startedAt := time.Now()
 		file := failingReload{until: startedAt.Add(2 * time.Second)}
 		if again := reloadUntilDone(t.Context(), nil, file.reload); again {
-			t.Error("a signal came")
+			t.Error("reported a signal without one")
 		}
 		if late := time.Since(file.until); late < 0 || late > maxReloadPause {
-			t.Errorf("taken in %v after the file was complete", late)
+			t.Errorf("applied %v after the file was complete, want within %v", late, maxReloadPause)
 		}
 		if file.calls > 12 {
 			t.Errorf("read %d times in 2 s", file.calls)
@@ -70,14 +70,15 @@
 	})
 }
 
-// One signal is enough: what cannot be opened, or is half written, is read again, and then discovery moves.
+// One signal is enough: a file that cannot be opened or is half written is read again until discovery can use its
+// address.
 func TestReload_MovesOnceReadable(t *testing.T) {
 	for name, failure := range map[string]struct {
-		errno string // of the opening
-		text  string // in the file's place
+		errno string // with which opening the file fails; empty: it does not fail
+		text  string // content of the file
 	}{
 		"no descriptor left in the system": {errno: "ENFILE"},
-		"no permission for a moment":       {errno: "EACCES"},
+		"no permission at first":           {errno: "EACCES"},
 		"half written":                     {text: `{"listen":`},
 		"empty":                            {text: ""},
 	} {
@@ -113,7 +114,7 @@
 				return path
 			}
 			if err := s.Reload(env); err == nil {
-				t.Fatal("nothing fails")
+				t.Fatal("the reload did not fail")
 			}
 			ctx, cancel := context.WithCancel(t.Context())
 			signals, ended := make(chan os.Signal, 1), make(chan struct{})
--- a/internal/sidecar/routes_test.go
+++ b/internal/sidecar/routes_test.go
@@ -28,7 +28,7 @@
 	"marblelane/internal/sidecar/upstream"
 )
 
-// routesService is a stand-in list service with routes: one replica, the leader.
+// routesService is a fake list service with a single replica, the leader, that serves routes, reports and budgets.
 type routesService struct {
 	*httptest.Server
 	calls atomic.Int64
@@ -36,11 +36,11 @@
 	mu      sync.Mutex
 	text    []byte
 	changed chan struct{}
-	lease   int64 // ms; 0: no lease
-	budget  int64 // units left
-	granted int64
-	report  route.Report        // the newest
-	request route.BudgetRequest // the newest
+	lease   int64               // ms; 0: grants no lease
+	budget  int64               // units that are not granted yet
+	granted int64               // units granted in total
+	report  route.Report        // the last one received
+	request route.BudgetRequest // the last one received
 }
 
 func newRoutesService(t *testing.T, term, budget int64) *routesService {
@@ -53,6 +53,7 @@
 	return s
 }
 
+// set calls f while it holds the lock.
 func (s *routesService) set(f func()) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -94,28 +95,29 @@
 	case route.BudgetsPath:
 		var request route.BudgetRequest
 		json.NewDecoder(r.Body).Decode(&request)
-		var a route.BudgetResponse
+		var response route.BudgetResponse
 		for _, p := range request.Budgets {
 			more := min(max(p.Wanted-(s.granted-p.Spent-p.Returned), 0), s.budget)
 			s.budget, s.granted = s.budget-more, s.granted+more
-			a.Budgets = append(a.Budgets, route.BudgetGrant{Tenant: p.Tenant, Rollout: p.Rollout, Granted: s.granted, MaxIdle: 100})
+			response.Budgets = append(response.Budgets, route.BudgetGrant{Tenant: p.Tenant, Rollout: p.Rollout, Granted: s.granted, MaxIdle: 100})
 		}
 		s.request = request
-		json.NewEncoder(w).Encode(a)
+		json.NewEncoder(w).Encode(response)
 	}
 }
 
+// counts returns the counts of the last report, by revision, tenant and whether they are of the canary.
 func (s *routesService) counts() map[string]route.Count {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	out := map[string]route.Count{}
+	counts := map[string]route.Count{}
 	for _, c := range s.report.Counts {
-		out[fmt.Sprintf("%d %s %v", c.Rev, c.Tenant, c.Canary)] = c
+		counts[fmt.Sprintf("%d %s %v", c.Rev, c.Tenant, c.Canary)] = c
 	}
-	return out
+	return counts
 }
 
-// headerRecorder is a server that keeps what the headers of routes say.
+// headerRecorder is a server that records the routing headers of its requests, as revision/canary.
 type headerRecorder struct {
 	*sidecartest.Backend
 	mu   sync.Mutex
@@ -145,9 +147,9 @@
 	}
 }
 
-const longLease = 60_000 // ms
+const longLease = 60_000 // ms; longer than any test
 
-// startWithRoutes starts a sidecar with routes, a base of two servers and a canary.
+// startWithRoutes starts a sidecar with routes and two servers, a base server and a canary.
 func startWithRoutes(t *testing.T, s *routesService, serve sidecartest.ServeOne, changes ...func(configtest.Conf)) (r *running, base, canary *headerRecorder) {
 	t.Helper()
 	base, canary = newHeaderRecorder(t, "b", sidecartest.OK), newHeaderRecorder(t, "c", serve)
@@ -160,21 +162,22 @@
 	return r, base, canary
 }
 
-// awaitRevision waits until the sidecar acts on a revision, with a lease or without.
+// awaitRevision waits until the sidecar applies a revision, with or without a lease.
 func (r *running) awaitRevision(rev int64, hasLease bool) {
 	r.t.Helper()
 	sidecartest.Until(r.t, fmt.Sprint("revision ", rev), func() bool {
 		s := r.loop.Routing.Client.Status()
 		return s.ActingRev == rev && s.HasLease == hasLease
 	})
-	if hasLease { // the event loop has it, too
-		sidecartest.Until(r.t, "the figures", func() bool {
+	if hasLease { // wait until the event loop has applied it as well
+		sidecartest.Until(r.t, "the metrics", func() bool {
 			_, text := r.requestManagement(r.t, "GET", statsPath)
 			return strings.Contains(text, "svc_steer_permitted 1\n") && strings.Contains(text, fmt.Sprintf("svc_steer_revision %d\n", rev))
 		})
 	}
 }
 
+// revokedAttempts returns the metric of attempts that were revoked before their first byte.
 func (r *running) revokedAttempts() (n int) {
 	_, text := r.requestManagement(r.t, "GET", statsPath)
 	_, text, _ = strings.Cut(text, "\nsvc_steer_voids ")
@@ -182,31 +185,33 @@
 	return n
 }
 
+// requestWithRouteKey returns a request with a route key, and with routing headers that the sidecar has to replace.
 func (r *running) requestWithRouteKey(key string) *http.Request {
 	req := r.request("lookup", 5*time.Second)
 	req.Header.Set("X-Route-Key", key)
-	req.Header.Set(routing.RevisionHeader, "99") // clients may not set it
+	req.Header.Set(routing.RevisionHeader, "99") // the sidecar does not accept these from clients
 	req.Header.Set(routing.CanaryHeader, "7")
 	return req
 }
 
-// A key stays on its side, the share of the keys is met, and servers and the list service see the same.
+// All requests with the same key go to the same side, the canary gets its fraction of the keys, and the headers at the
+// servers agree with the counts at the list service.
 func TestRoutes_CanaryFraction(t *testing.T) {
 	s := newRoutesService(t, longLease, 0)
 	r, base, canary := startWithRoutes(t, s, sidecartest.OK)
 	s.publish(t, 5, toCanary(0.5, false))
 	r.awaitRevision(5, true)
 	const keys = 40
-	side := map[string]int64{}
+	canaryRequests := map[string]int64{} // by key
 	for round := range 2 {
 		for i := range keys {
 			key := fmt.Sprint("key-", i)
 			before := canary.Requests.Load()
 			require.Equal(t, 200, r.do(r.requestWithRouteKey(key)).status)
-			if went := canary.Requests.Load() - before; round == 0 {
-				side[key] = went
+			if n := canary.Requests.Load() - before; round == 0 {
+				canaryRequests[key] = n
 			} else {
-				require.Equal(t, side[key], went, key)
+				require.Equal(t, canaryRequests[key], n, key)
 			}
 		}
 	}
@@ -218,7 +223,7 @@
 		"5 kita false": {Rev: 5, Tenant: "kita", Started: 2*keys - n, Ended: 2*keys - n},
 		"5 kita true":  {Rev: 5, Tenant: "kita", Canary: true, Started: n, Ended: n},
 	}
-	s.set(func() { s.lease = 500 }) // as of the next report, which comes soon after the revision, they come often
+	s.set(func() { s.lease = 500 }) // a new revision triggers a report soon; a short lease makes later reports frequent
 	s.publish(t, 6)
 	sidecartest.Until(t, "the counts", func() bool { return maps.Equal(want, s.counts()) })
 	s.set(func() {
@@ -227,13 +232,13 @@
 	})
 }
 
-// What a canary for some classes is compared with is of those classes alone.
+// If a canary is restricted to some classes, the base is compared with it only by requests of those classes.
 func TestRoutes_otherClassesNotCompared(t *testing.T) {
 	s := newRoutesService(t, 500, 0)
 	r, base, _ := startWithRoutes(t, s, sidecartest.OK)
-	one := toCanary(0, false)
-	one.Classes = []string{"charge"}
-	s.publish(t, 5, one)
+	canaryRoute := toCanary(0, false)
+	canaryRoute.Classes = []string{"charge"}
+	s.publish(t, 5, canaryRoute)
 	r.awaitRevision(5, true)
 	for range 3 {
 		require.Equal(t, 200, r.do(r.request("lookup", 5*time.Second)).status)
@@ -244,7 +249,7 @@
 	sidecartest.Until(t, "the counts", func() bool { return s.counts()["5 kita false"] == want })
 }
 
-// When the service is silent canaries end with the lease, and all requests go to the base.
+// If the list service does not renew the lease, canaries end with it, and all requests go to the base.
 func TestRoutes_leaseExpires(t *testing.T) {
 	s := newRoutesService(t, 400, 0)
 	r, base, canary := startWithRoutes(t, s, sidecartest.OK)
@@ -260,15 +265,15 @@
 	require.Equal(t, []int64{n, b + 20}, []int64{canary.Requests.Load(), base.Requests.Load()})
 	require.Equal(t, "/", base.headers()[b])
 	sidecartest.Until(t, "the count without a lease", func() bool { return s.counts()["0 kita false"].Ended >= 20 })
-	require.Equal(t, v, r.revokedAttempts(), "the module decides with a lease that has expired")
+	require.Equal(t, v, r.revokedAttempts(), "the balancer used a lease that had expired")
 }
 
-// A revision that ends between the decision and the first byte ends the attempt before it begins, and the request has
-// its one answer elsewhere.
+// If a revision is replaced between the decision for an attempt and its first byte, the attempt is revoked, and the
+// request is served by another server.
 func TestRoutes_revokedAttempt(t *testing.T) {
 	for name, send := range map[string]func(*running) *http.Request{
 		"held": func(r *running) *http.Request { return r.request("charge", 5*time.Second) },
-		"passed on": func(r *running) *http.Request {
+		"streamed": func(r *running) *http.Request {
 			req := r.request("charge", 5*time.Second)
 			req.Body, req.ContentLength = io.NopCloser(strings.NewReader(strings.Repeat("x", 300<<10))), -1
 			return req
@@ -292,34 +297,34 @@
 			})
 			s.publish(t, 5, toCanary(1, false))
 			r.awaitRevision(5, true)
-			answer := r.goDo(send(r))
+			response := r.goDo(send(r))
 			require.Equal(t, canary.Target.Endpoint, sidecartest.Receive(t, "the dial", dials))
 			s.publish(t, 6)
 			r.awaitRevision(6, true)
 			close(release)
-			require.Equal(t, 200, sidecartest.Receive(t, "the answer", answer).status)
+			require.Equal(t, 200, sidecartest.Receive(t, "the response", response).status)
 			require.Equal(t, []int64{0, 1}, []int64{canary.Requests.Load(), base.Requests.Load()})
-			sidecartest.Until(t, "the void", func() bool { return r.revokedAttempts() == 1 })
+			sidecartest.Until(t, "the revoked attempt to be counted", func() bool { return r.revokedAttempts() == 1 })
 		})
 	}
 }
 
-// An upload whose lease ends after its head was written, and before a byte of it was sent, does not begin, and is
-// not counted: one whose head can be written anew begins without a lease.
+// If the lease ends after the head of an attempt was built and before its first byte is sent, a streamed upload is
+// revoked and not counted, as its head cannot be built again. A request with a held body starts without a lease.
 func TestRoutes_RevokedUpload(t *testing.T) {
 	s := newRoutesService(t, 700, 0)
 	r, _, _ := startWithRoutes(t, s, sidecartest.OK)
 	s.publish(t, 5, toCanary(0, false))
 	r.awaitRevision(5, true)
-	due := time.NewTimer(time.Hour)
-	defer due.Stop()
-	duty := &routing.Router{Client: r.loop.Routing.Client, Tenants: []string{"kita"}, Routed: map[int]routing.RoutedTenant{0: {}}, SampleTimer: due}
-	passedOn, held := &inflight.Call{Outbound: &inflight.Outbound{Upload: inflight.NewUpload(-1, nil)}}, &inflight.Call{Outbound: &inflight.Outbound{}}
+	sampleTimer := time.NewTimer(time.Hour)
+	defer sampleTimer.Stop()
+	router := &routing.Router{Client: r.loop.Routing.Client, Tenants: []string{"kita"}, Routed: map[int]routing.RoutedTenant{0: {}}, SampleTimer: sampleTimer}
+	streamed, held := &inflight.Call{Outbound: &inflight.Outbound{Upload: inflight.NewUpload(-1, nil)}}, &inflight.Call{Outbound: &inflight.Outbound{}}
 	var checks []*routing.Check
-	for _, c := range []*inflight.Call{passedOn, held} {
-		k := duty.Check(0, c, &balance.Action{RoutesRev: 5})
-		require.EqualValues(t, 5, k.Expect())
-		checks = append(checks, k)
+	for _, c := range []*inflight.Call{streamed, held} {
+		check := router.Check(0, c, &balance.Action{RoutesRev: 5})
+		require.EqualValues(t, 5, check.Expect())
+		checks = append(checks, check)
 	}
 	s.set(func() { s.lease = 0 })
 	r.awaitRevision(5, false)
@@ -328,15 +333,16 @@
 	_, err := upstream.NewStreamWriter(out, checks[0], 5).Write([]byte("x"))
 	require.ErrorIs(t, err, routing.ErrRevoked)
 	require.False(t, checks[0].Started)
-	under, err := checks[1].Begin()
+	rev, err := checks[1].Begin()
 	require.NoError(t, err)
-	require.Zero(t, under)
+	require.Zero(t, rev)
 	sidecartest.Until(t, "the count", func() bool { return s.counts()["0 kita false"].Started > 0 })
 	require.Equal(t, map[string]route.Count{"0 kita false": {Tenant: "kita", Started: 1}}, s.counts())
 }
 
-// A client that leaves after the latency objective, and long before the end of its time, has met a failure of a canary whose late
-// answers are failures: it costs a unit, and is compared. One that leaves earlier is no evidence.
+// If late responses of a canary count as failures, so does a client that closes its connection after the latency
+// objective and long before its deadline: that costs a budget unit and counts in the comparison. A client that leaves
+// earlier does not count.
 func TestRoutes_clientLeavesLate(t *testing.T) {
 	const objective = 100 * time.Millisecond
 	s := newRoutesService(t, 1000, 3)
@@ -346,11 +352,11 @@
 			Setting(`"on_time_ms": 750`, fmt.Sprint(`"on_time_ms": `, objective.Milliseconds()))
 	})
 	t.Cleanup(sync.OnceFunc(func() { close(release) }))
-	one := toCanary(1, true)
-	one.Late = true
-	s.publish(t, 5, one)
+	canaryRoute := toCanary(1, true)
+	canaryRoute.Late = true
+	s.publish(t, 5, canaryRoute)
 	r.awaitRevision(5, true)
-	sidecartest.Until(t, "units", func() bool {
+	sidecartest.Until(t, "granted units", func() bool {
 		_, text := r.requestManagement(t, "GET", statsPath)
 		return !strings.Contains(text, "svc_steer_units_free 0\n")
 	})
@@ -367,28 +373,29 @@
 		}()
 		sidecartest.Until(t, "the attempt", func() bool { return canary.Requests.Load() > before })
 		sent := time.Now()
-		sidecartest.Until(t, "the client's patience", func() bool { return time.Since(sent) >= after })
+		sidecartest.Until(t, "the time at which the client leaves", func() bool { return time.Since(sent) >= after })
 		cancel()
-		sidecartest.Receive(t, "the client's end", gone)
+		sidecartest.Receive(t, "the client to end", gone)
 	}
 	leave(0)
-	sidecartest.Until(t, "the count of who left early", func() bool { return s.counts()["5 kita true"].Started == 1 })
+	sidecartest.Until(t, "the count of the client that left early", func() bool { return s.counts()["5 kita true"].Started == 1 })
 	leave(objective + 50*time.Millisecond)
 	want := route.Count{Rev: 5, Tenant: "kita", Canary: true, Started: 2, Ended: 1, Late: 1}
 	sidecartest.Until(t, "the counts", func() bool { return s.counts()["5 kita true"] == want })
-	sidecartest.Until(t, "the unit", func() bool {
+	sidecartest.Until(t, "the spent unit", func() bool {
 		s.mu.Lock()
 		defer s.mu.Unlock()
 		return s.request.Budgets[0].Spent == 1
 	})
 }
 
-// Failures of the canary stay within the units, cost no request its answer, and are reported; what is left is returned.
+// Failures of the canary stay within the granted budget units, are retried at the base so that every request is served,
+// and are reported. Unused units are returned at the end.
 func TestRoutes_budgetBoundsFailures(t *testing.T) {
 	const units = 3
 	s := newRoutesService(t, longLease, units)
-	fails := sidecartest.Respond("HTTP/1.1 500 Internal Server Error\r\nContent-Length: 0\r\n\r\n", true)
-	r, _, canary := startWithRoutes(t, s, fails)
+	failing := sidecartest.Respond("HTTP/1.1 500 Internal Server Error\r\nContent-Length: 0\r\n\r\n", true)
+	r, _, canary := startWithRoutes(t, s, failing)
 	s.publish(t, 5, toCanary(1, true))
 	r.awaitRevision(5, true)
 	spent := func() (n int64) {
@@ -419,7 +426,8 @@
 	sidecartest.Until(t, "the last report", func() bool { return s.counts()["5 kita true"].Failed == units })
 }
 
-// Without the section nothing is called and nothing added, and a client's headers are forwarded as any other.
+// Without the section routes the sidecar makes no calls for routes and adds no headers, and forwards the client's
+// unchanged.
 func TestRoutes_notConfigured(t *testing.T) {
 	s := newRoutesService(t, longLease, 0)
 	b := newHeaderRecorder(t, "b", sidecartest.OK)
--- a/internal/sidecar/sidecar_test.go
+++ b/internal/sidecar/sidecar_test.go
@@ -23,16 +23,16 @@
 	os.Exit(m.Run())
 }
 
-// running is a sidecar under test.
+// running is a sidecar under test whose Run has been called.
 type running struct {
 	*Sidecar
 	t      *testing.T
 	client *http.Client
-	term   context.CancelFunc
-	ended  chan error
+	term   context.CancelFunc // has the effect of SIGTERM
+	ended  chan error         // result of Run
 }
 
-// newFromConf makes the sidecar of a configuration, which does not run yet.
+// newFromConf returns the sidecar of a configuration. It does not run yet.
 func newFromConf(t *testing.T, c configtest.Conf) *Sidecar {
 	t.Helper()
 	cfg, err := c.Load(t)
@@ -46,6 +46,7 @@
 	return s
 }
 
+// start runs a sidecar, to which changes are applied before, until the end of the test. Then no goroutine may be left.
 func start(t *testing.T, c configtest.Conf, changes ...func(*Sidecar)) *running {
 	t.Helper()
 	before := runtime.NumGoroutine()
@@ -81,7 +82,7 @@
 	return c
 }
 
-// writeRequests writes a request on each of some connections, and does not wait until they are accepted.
+// writeRequests opens connections and writes one request on each, without waiting until they are accepted.
 func (r *running) writeRequests(t *testing.T, connections int) (all []net.Conn) {
 	t.Helper()
 	for range connections {
@@ -95,7 +96,7 @@
 	return all
 }
 
-// awaitGoroutinesEnded waits until only those of before are left, beside the test's own servers' few.
+// awaitGoroutinesEnded waits until there are no more goroutines than before, except for a few of the test's own servers.
 func awaitGoroutinesEnded(t *testing.T, before int) {
 	t.Helper()
 	sidecartest.Until(t, "goroutines to end", func() bool { return runtime.NumGoroutine() <= before+3 })
@@ -103,7 +104,7 @@
 
 var requestIDs atomic.Int64
 
-// request makes a well-formed request of a class.
+// request returns a well-formed request of a class.
 func (r *running) request(class string, timeout time.Duration) *http.Request {
 	r.t.Helper()
 	method, body := http.MethodPost, io.Reader(strings.NewReader("plate 12-34"))
@@ -124,6 +125,7 @@
 	return req
 }
 
+// result is the response to a request.
 type result struct {
 	status int
 	header http.Header
@@ -131,6 +133,7 @@
 	took   time.Duration
 }
 
+// do sends a request and returns its response.
 func (r *running) do(req *http.Request) result {
 	r.t.Helper()
 	startedAt := time.Now()
@@ -147,7 +150,7 @@
 	return result{resp.StatusCode, resp.Header, string(body), time.Since(startedAt)}
 }
 
-// goDo makes a request beside the test.
+// goDo sends a request in the background.
 func (r *running) goDo(req *http.Request) <-chan result {
 	done := make(chan result, 1)
 	go func() { done <- r.do(req) }()
--- a/internal/sidecar/start_test.go
+++ b/internal/sidecar/start_test.go
@@ -14,7 +14,7 @@
 	"marblelane/internal/sidecar/sidecartest"
 )
 
-// logSignal tells of each line that is logged.
+// logSignal is a writer for log lines that signals each line on its channel.
 type logSignal chan struct{}
 
 func (s logSignal) Write(p []byte) (int, error) {
@@ -25,7 +25,7 @@
 	return len(p), nil
 }
 
-// An address that another process gives up a moment later is bound.
+// An address that is in use at first is bound once the other process has closed it.
 func TestStart_AddressFreedLater(t *testing.T) {
 	for _, key := range []string{"listen", "management"} {
 		t.Run(key, func(t *testing.T) {
@@ -51,7 +51,7 @@
 				}
 				bound <- err
 			}()
-			sidecartest.Receive(t, "a bind that fails", failed)
+			sidecartest.Receive(t, "a failing bind", failed)
 			holder.Close()
 			if err := sidecartest.Receive(t, "the start", bound); err != nil {
 				t.Error(err)
@@ -60,7 +60,7 @@
 	}
 }
 
-// What cannot heal ends the start at once, and the error names the key.
+// An error that is not transient ends the start without a retry, and the error names the key.
 func TestStart_ForeignAddress(t *testing.T) {
 	for _, key := range []string{"listen", "management"} {
 		t.Run(key, func(t *testing.T) {
@@ -73,13 +73,13 @@
 			failed := make(logSignal, 1)
 			_, err = newSidecar(cfg, retry.NewStart(t.Context(), slog.New(slog.NewTextHandler(failed, nil))))
 			if !errors.Is(err, syscall.EADDRNOTAVAIL) || !strings.Contains(err.Error(), key) || len(failed) > 0 {
-				t.Errorf("%v, tried again: %v", err, len(failed) > 0)
+				t.Errorf("error %v, retried: %v", err, len(failed) > 0)
 			}
 		})
 	}
 }
 
-// The place where a newer process meets this one is bound a moment later, too.
+// Binding the handover socket is retried as well.
 func TestStart_HandoverSocketRetry(t *testing.T) {
 	c := upgradable(t, sidecartest.NewRegistry(t).Addr(), sidecartest.NewBackend(t, "a", sidecartest.OK).Target)
 	failure := sidecartest.FailTimes(3, syscall.ENFILE)
@@ -95,11 +95,11 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	sidecartest.Until(t, "the meeting place", func() bool {
+	sidecartest.Until(t, "the handover socket", func() bool {
 		_, err := os.Lstat(cfg.HandoverSocket())
 		return err == nil
 	})
 	next := start(t, c, func(s *Sidecar) { s.listTimeout = 0 })
-	sidecartest.Until(t, "the next process's word", func() bool { return old.successors.Serving.Load() == 1 })
+	sidecartest.Until(t, "the successor to announce that it serves", func() bool { return old.successors.Serving.Load() == 1 })
 	next.shutDown(t)
 }
--- a/internal/sidecar/wallclock_test.go
+++ b/internal/sidecar/wallclock_test.go
@@ -12,7 +12,8 @@
 	"marblelane/internal/sidecar/sidecartest"
 )
 
-// A server that started behind a step of the wall clock gets a warming up server's part, whichever way the step was.
+// Lists state the start times of servers in wall-clock time. A server that starts after a step of the wall clock,
+// forward or back, still gets only the share of a server that is warming up.
 func TestClockStep_SlowStart(t *testing.T) {
 	for _, step := range []time.Duration{-time.Hour, -30 * time.Second, time.Hour} {
 		t.Run(step.String(), func(t *testing.T) {
@@ -28,9 +29,9 @@
 			if err := fault.NewSet(step, 0, "").Write(path); err != nil {
 				t.Fatal(err)
 			}
-			again := b.Target
-			again.BootMS = clock.UnixMillis(time.Now().Add(step))
-			watch.Send(t, endpointlist.List{Rev: 42, Targets: []endpointlist.Target{again}})
+			restarted := b.Target
+			restarted.BootMS = clock.UnixMillis(time.Now().Add(step))
+			watch.Send(t, endpointlist.List{Rev: 42, Targets: []endpointlist.Target{restarted}})
 			sidecartest.Until(t, "the restart", func() bool { return s.loop.Discovery.Revision.Load() == 42 })
 			for range 60 {
 				if got := s.do(s.request("lookup", time.Second)); got.status != 200 {
@@ -38,7 +39,7 @@
 				}
 			}
 			if n := b.Requests.Load(); n > 15 {
-				t.Errorf("%d of 60 requests reached the warming up server, %d the warm one", n, a.Requests.Load())
+				t.Errorf("%d of 60 requests reached the server that is warming up, %d the other one", n, a.Requests.Load())
 			}
 		})
 	}
--- a/internal/sidecar/watch_faults_test.go
+++ b/internal/sidecar/watch_faults_test.go
@@ -18,7 +18,7 @@
 	"marblelane/internal/sidecar/sidecartest"
 )
 
-// watchFaults are what happens to a watch that the list service has accepted, before the change.
+// watchFaults are faults of a watch that the list service has accepted. held is the list that the sidecar already has.
 var watchFaults = map[string]func(c net.Conn, held string){
 	"silent at once": func(net.Conn, string) {},
 	"head, no line":  func(c net.Conn, _ string) { io.WriteString(c, sidecartest.WatchHead) },
@@ -42,7 +42,7 @@
 		io.WriteString(c, sidecartest.WatchHead+held+"\n")
 		c.Close()
 	},
-	"ended in place of telling": func(c net.Conn, _ string) {
+	"ended without a list": func(c net.Conn, _ string) {
 		io.WriteString(c, sidecartest.WatchHead)
 		c.Close()
 	},
@@ -56,7 +56,7 @@
 	"a line that is no JSON": func(c net.Conn, held string) { io.WriteString(c, sidecartest.WatchHead+held+"\n}{ gone\n") },
 }
 
-// responseForms are how the change arrives, as the answer to the next call.
+// responseForms are forms of the response to the next call, which carries the change.
 var responseForms = map[string]func(c net.Conn, text string){
 	"complete": func(c net.Conn, text string) { io.WriteString(c, sidecartest.WatchHead+text+"\n") },
 	"indented": func(c net.Conn, text string) { io.WriteString(c, sidecartest.WatchHead+indent(text)+"\n") },
@@ -76,20 +76,22 @@
 	},
 }
 
+// indent returns JSON over several lines.
 func indent(text string) string {
 	var v any
 	if err := json.Unmarshal([]byte(text), &v); err != nil {
 		panic(err)
 	}
-	out, err := json.MarshalIndent(v, "", "  ")
+	indented, err := json.MarshalIndent(v, "", "  ")
 	if err != nil {
 		panic(err)
 	}
-	return string(out)
+	return string(indented)
 }
 
-// Whatever happens to a watch, the list that is held is used, the next call is made, and a server that its full list leaves
-// out gets nothing more, though it still answers. So it is for pushed lists and for polled ones.
+// After any fault of a watch the sidecar keeps using the list that it has and makes the next call. A server that the
+// next full list leaves out gets no more requests, although it still responds. This holds for pushed lists and for
+// polled ones.
 func TestWatch_faultThenChange(t *testing.T) {
 	formNames := []string{"complete", "indented", "in pieces", "chunked"}
 	formIndex := 0
@@ -100,21 +102,21 @@
 			t.Run(mode+"/"+fault+"/"+form, func(t *testing.T) {
 				t.Parallel()
 				a, b := sidecartest.NewBackend(t, "a", sidecartest.OK), sidecartest.NewBackend(t, "b", sidecartest.OK)
-				var answering sync.WaitGroup
-				t.Cleanup(answering.Wait) // once the sidecar and discovery are closed, in that order
-				disc, addr := sidecartest.NewHandAgent(t)
+				var responding sync.WaitGroup
+				t.Cleanup(responding.Wait) // runs after the sidecar and the list service are closed, in that order
+				service, addr := sidecartest.NewHandAgent(t)
 				r := startWithShortTimeouts(t, configtest.NewConf(addr, a.Target, b.Target).Setting(`"discovery": "subscribe"`, `"discovery": "`+mode+`"`))
 				held := mustJSON(t, endpointlist.List{Rev: 41, All: true, Targets: []endpointlist.Target{a.Target, b.Target}})
-				left := mustJSON(t, endpointlist.List{Rev: 43, All: true, Targets: []endpointlist.Target{b.Target}})
-				misbehave(disc.Next(t), held)
+				changed := mustJSON(t, endpointlist.List{Rev: 43, All: true, Targets: []endpointlist.Target{b.Target}})
+				misbehave(service.Next(t), held)
 				r.expectChargesServed(4, "after the fault")
-				answering.Go(func() {
-					for conn := range disc.Conns {
-						answering.Go(func() {
+				responding.Go(func() {
+					for conn := range service.Conns {
+						responding.Go(func() {
 							defer conn.Close()
 							if _, err := http.ReadRequest(bufio.NewReader(conn)); err == nil {
-								responseForms[form](conn, left)
-								io.Copy(io.Discard, conn) // it stays until the sidecar ends it
+								responseForms[form](conn, changed)
+								io.Copy(io.Discard, conn) // until the sidecar closes it
 							}
 						})
 					}
@@ -123,14 +125,15 @@
 				before := a.Requests.Load()
 				r.expectChargesServed(8, "after the list")
 				if got := a.Requests.Load() - before; got > 0 {
-					t.Errorf("a server that the full list left out got %d requests", got)
+					t.Errorf("the server that the full list left out got %d requests", got)
 				}
 			})
 		}
 	}
 }
 
-// startWithShortTimeouts runs a sidecar whose calls to list services end early. It may run beside other tests.
+// startWithShortTimeouts runs a sidecar whose calls to list services time out early. Unlike start it allows parallel
+// tests.
 func startWithShortTimeouts(t *testing.T, c configtest.Conf) *running {
 	t.Helper()
 	s := newFromConf(t, c)
@@ -152,7 +155,7 @@
 	return r
 }
 
-// expectChargesServed sends requests of class charge, each of which has to be served.
+// expectChargesServed sends n requests of class charge, each of which has to be served.
 func (r *running) expectChargesServed(n int, when string) {
 	r.t.Helper()
 	for range n {
