--- a/internal/sidecar/eventloop/actions.go
+++ b/internal/sidecar/eventloop/actions.go
@@ -42,7 +42,7 @@
 		l.Discovery.Watch(l.ctx, action.Source)
 	case balance.Fetch:
 		l.Discovery.Fetch(l.ctx, action.Source)
-	case balance.Forget:
+	case balance.RemoveServer:
 		l.retireServer(l.servers[action.Server])
 	default:
 		slog.Error("eventloop: unknown balancer action", "action", action.Kind)
@@ -97,11 +97,11 @@
 	l.cancelUnwritten(c.Call)
 	switch {
 	case action.Kind == balance.Reject:
-		c.Answers <- inflight.Answer{Status: inflight.StatusRejected, RetryAfter: action.At}
+		c.Response <- inflight.Response{Status: inflight.StatusRejected, RetryAfter: action.At}
 	case !c.Deadline.IsZero() && now >= l.Clock.Millis(c.Deadline):
-		c.Answers <- inflight.Answer{Status: inflight.StatusTimedOut}
+		c.Response <- inflight.Response{Status: inflight.StatusTimedOut}
 	default:
-		c.Answers <- inflight.Answer{Status: inflight.StatusFailed}
+		c.Response <- inflight.Response{Status: inflight.StatusFailed}
 	}
 	l.release(c.Call)
 }
--- a/internal/sidecar/eventloop/calls.go
+++ b/internal/sidecar/eventloop/calls.go
@@ -38,52 +38,52 @@
 // handleClientGone ends a call whose client has closed the connection.
 func (l *Loop) handleClientGone(now float64, c *inflight.Call) {
 	l.cancelUnwritten(c)
-	l.HandleEvent(now, balance.ClientGone{Request: c.Request.ID})
+	l.HandleEvent(now, balance.ClientDisconnected{Request: c.Request.ID})
 	l.release(c)
 }
 
 // handleResponseStarted passes the client a response that is forwarded while it is received.
-func (l *Loop) handleResponseStarted(now float64, a *upstream.Attempt, answer inflight.Answer) {
+func (l *Loop) handleResponseStarted(now float64, a *upstream.Attempt, answer inflight.Response) {
 	c := a.Call
 	if !c.Finish() {
-		answer.Stream.Ended <- inflight.ErrBodyUnwanted
+		answer.Stream.WriteResult <- inflight.ErrBodyNotNeeded
 		return
 	}
-	a.FirstByteAfter = now - a.StartedAt
-	c.Answers <- answer
+	a.TimeToFirstByte = now - a.StartedAt
+	c.Response <- answer
 	l.cancelUnwritten(c)
-	l.HandleEvent(now, balance.AnswerStarted{
-		Request: c.Request.ID, Attempt: a.Number, Server: a.Server.ID, Elapsed: a.FirstByteAfter,
+	l.HandleEvent(now, balance.ResponseStarted{
+		Request: c.Request.ID, Attempt: a.Number, Server: a.Server.ID, Elapsed: a.TimeToFirstByte,
 	})
 }
 
 // handleAttemptDone reports the outcome of an attempt to the balancer, once per attempt. The first successful response
 // of a call goes to the client.
-func (l *Loop) handleAttemptDone(now float64, a *upstream.Attempt, reply inflight.Reply) {
+func (l *Loop) handleAttemptDone(now float64, a *upstream.Attempt, reply inflight.AttemptOutcome) {
 	a.Cancel()
 	c := a.Call
 	if open := l.calls[c.Request.ID]; open != nil {
 		open.liveAttempts--
 	}
 	if reply.Result == balance.OK && c.Finish() {
-		c.Answers <- reply.Answer
+		c.Response <- reply.Response
 		l.cancelUnwritten(c)
 	}
-	if c.SeenGone() && c.Finish() { // the attempt has noticed that the client closed the connection: no retry
-		c.Answers <- inflight.Answer{ClientLeft: true}
+	if c.DisconnectSeen() && c.Finish() { // the attempt has noticed that the client closed the connection: no retry
+		c.Response <- inflight.Response{ClientDisconnected: true}
 		l.handleClientGone(now, c)
 	}
-	streamed := a.FirstByteAfter > 0
+	streamed := a.TimeToFirstByte > 0
 	elapsed := now - a.StartedAt
 	if streamed {
-		elapsed = a.FirstByteAfter
+		elapsed = a.TimeToFirstByte
 	}
 	if a.RouteCheck != nil {
 		l.Routing.CountOutcome(now, a.RouteCheck, c, &reply, elapsed, streamed)
 	}
 	l.HandleEvent(now, balance.Outcome{
 		Request: c.Request.ID, Attempt: a.Number, Server: a.Server.ID, Result: reply.Result, Elapsed: elapsed,
-		Finished: c.Finished(), Report: reply.Report, BodyConsumed: reply.BodyConsumed,
+		Finished: c.Finished(), Report: reply.LoadReport, BodyConsumed: reply.BodyConsumed,
 		RouteRevoked: reply.RouteRevoked,
 	})
 	l.release(c)
--- a/internal/sidecar/eventloop/loop.go
+++ b/internal/sidecar/eventloop/loop.go
@@ -27,14 +27,14 @@
 // attemptDone is the message that an attempt has ended.
 type attemptDone struct {
 	attempt *upstream.Attempt
-	reply   inflight.Reply
+	reply   inflight.AttemptOutcome
 }
 
 // healthCheckDone is the message that a health check has ended.
 type healthCheckDone struct {
 	server    *upstream.Server
 	startedAt float64 // ms
-	reply     inflight.Reply
+	reply     inflight.AttemptOutcome
 }
 
 // openCall is a call that has no response yet, or has attempts in flight.
@@ -78,7 +78,7 @@
 		Metrics: pool.Metrics(), inbox: make(chan any, inboxSize), stopped: make(chan struct{}),
 		calls: map[balance.RequestID]*openCall{}, servers: map[balance.ServerID]*upstream.Server{},
 	}
-	pool.ReportTo(l.Post, l.stopped)
+	pool.SetEventLoop(l.Post, l.stopped)
 	return l
 }
 
@@ -181,12 +181,12 @@
 	switch m := message.(type) {
 	case clientserver.Arrival:
 		l.startCall(now, m.Call)
-	case clientserver.ClientGone:
+	case clientserver.CallAbandoned:
 		l.handleClientGone(now, m.Call)
 	case upstream.BodyComplete:
 		l.handleBodyComplete(now, m.Call)
-	case upstream.AnswerStarted:
-		l.handleResponseStarted(now, m.Attempt, m.Answer)
+	case upstream.ResponseStarted:
+		l.handleResponseStarted(now, m.Attempt, m.Response)
 	case upstream.Connecting:
 		l.HandleEvent(now, balance.Connecting{
 			Request: m.Attempt.Call.Request.ID, Attempt: m.Attempt.Number, Established: m.Established,
@@ -199,7 +199,7 @@
 		l.handleAttemptDone(now, m.attempt, m.reply)
 	case healthCheckDone:
 		l.HandleEvent(now, balance.HealthCheckResult{
-			Server: m.server.ID, Result: m.reply.Result, Elapsed: now - m.startedAt, Report: m.reply.Report,
+			Server: m.server.ID, Result: m.reply.Result, Elapsed: now - m.startedAt, Report: m.reply.LoadReport,
 		})
 	case discovery.ListEvent:
 		l.handleListEvent(now, m)
--- a/internal/sidecar/sidecar.go
+++ b/internal/sidecar/sidecar.go
@@ -99,7 +99,7 @@
 	s := &Sidecar{
 		cfg: cfg, tcpListener: listener.(*net.TCPListener), listener: clientserver.NewLimiter(accepted, limits.clients),
 		management: management, loop: loop, predecessor: predecessor, budget: limits,
-		drainAccept: drainAccept, listTimeout: handover.ListTimeout, countUnaccepted: netcall.Unaccepted,
+		drainAccept: drainAccept, listTimeout: handover.ListTimeout, countUnaccepted: netcall.AcceptQueueLength,
 		clients: clientserver.New(clientserver.Options{Config: cfg, Post: loop.Post, Metrics: loop.Metrics}),
 	}
 	s.successors = handover.Successors{
@@ -268,7 +268,7 @@
 
 // serveClients starts serving clients, logs that and notifies the predecessor.
 func (s *Sidecar) serveClients(ctx context.Context, failed chan<- error) *http.Server {
-	srv := clientserver.FollowConnections(s.clients.HTTPServer())
+	srv := clientserver.TrackConnections(s.clients.HTTPServer())
 	go func() { failed <- srv.Serve(s.clients.HeadListener(s.listener)) }()
 	s.serving.Store(true)
 	slog.Info("ready", "name", s.cfg.Name, "management", s.ManagementAddr(), "listen", s.Addr())
