--- a/internal/sidecar/eventloop/calls.go
+++ b/internal/sidecar/eventloop/calls.go
@@ -35,22 +35,22 @@
 	l.HandleEvent(now, balance.BodyComplete{Request: c.Request.ID, Remaining: l.Clock.Millis(c.Deadline) - now})
 }
 
-// handleClientGone ends a call whose client has closed the connection.
-func (l *Loop) handleClientGone(now float64, c *inflight.Call) {
+// handleCallAbandoned ends a call whose client has closed the connection.
+func (l *Loop) handleCallAbandoned(now float64, c *inflight.Call) {
 	l.cancelUnwritten(c)
 	l.HandleEvent(now, balance.ClientDisconnected{Request: c.Request.ID})
 	l.release(c)
 }
 
 // handleResponseStarted passes the client a response that is forwarded while it is received.
-func (l *Loop) handleResponseStarted(now float64, a *upstream.Attempt, answer inflight.Response) {
+func (l *Loop) handleResponseStarted(now float64, a *upstream.Attempt, response inflight.Response) {
 	c := a.Call
 	if !c.Finish() {
-		answer.Stream.WriteResult <- inflight.ErrBodyNotNeeded
+		response.Stream.WriteResult <- inflight.ErrBodyNotNeeded
 		return
 	}
 	a.TimeToFirstByte = now - a.StartedAt
-	c.Response <- answer
+	c.Response <- response
 	l.cancelUnwritten(c)
 	l.HandleEvent(now, balance.ResponseStarted{
 		Request: c.Request.ID, Attempt: a.Number, Server: a.Server.ID, Elapsed: a.TimeToFirstByte,
@@ -59,19 +59,19 @@
 
 // handleAttemptDone reports the outcome of an attempt to the balancer, once per attempt. The first successful response
 // of a call goes to the client.
-func (l *Loop) handleAttemptDone(now float64, a *upstream.Attempt, reply inflight.AttemptOutcome) {
+func (l *Loop) handleAttemptDone(now float64, a *upstream.Attempt, outcome inflight.AttemptOutcome) {
 	a.Cancel()
 	c := a.Call
 	if open := l.calls[c.Request.ID]; open != nil {
 		open.liveAttempts--
 	}
-	if reply.Result == balance.OK && c.Finish() {
-		c.Response <- reply.Response
+	if outcome.Result == balance.OK && c.Finish() {
+		c.Response <- outcome.Response
 		l.cancelUnwritten(c)
 	}
 	if c.DisconnectSeen() && c.Finish() { // the attempt has noticed that the client closed the connection: no retry
 		c.Response <- inflight.Response{ClientDisconnected: true}
-		l.handleClientGone(now, c)
+		l.handleCallAbandoned(now, c)
 	}
 	streamed := a.TimeToFirstByte > 0
 	elapsed := now - a.StartedAt
@@ -79,18 +79,18 @@
 		elapsed = a.TimeToFirstByte
 	}
 	if a.RouteCheck != nil {
-		l.Routing.CountOutcome(now, a.RouteCheck, c, &reply, elapsed, streamed)
+		l.Routing.CountOutcome(now, a.RouteCheck, c, &outcome, elapsed, streamed)
 	}
 	l.HandleEvent(now, balance.Outcome{
-		Request: c.Request.ID, Attempt: a.Number, Server: a.Server.ID, Result: reply.Result, Elapsed: elapsed,
-		Finished: c.Finished(), Report: reply.LoadReport, BodyConsumed: reply.BodyConsumed,
-		RouteRevoked: reply.RouteRevoked,
+		Request: c.Request.ID, Attempt: a.Number, Server: a.Server.ID, Result: outcome.Result, Elapsed: elapsed,
+		Finished: c.Finished(), Report: outcome.LoadReport, BodyConsumed: outcome.BodyConsumed,
+		RouteRevoked: outcome.RouteRevoked,
 	})
 	l.release(c)
 }
 
-// cancelUnwritten cancels the attempts of a call whose request is not written yet. Nothing is sent after the
-// final response.
+// cancelUnwritten cancels the attempts of a call whose request is not written yet. Nothing is sent after the final
+// response.
 func (l *Loop) cancelUnwritten(c *inflight.Call) {
 	open := l.calls[c.Request.ID]
 	if open == nil {
--- a/internal/sidecar/eventloop/loop.go
+++ b/internal/sidecar/eventloop/loop.go
@@ -27,14 +27,14 @@
 // attemptDone is the message that an attempt has ended.
 type attemptDone struct {
 	attempt *upstream.Attempt
-	reply   inflight.AttemptOutcome
+	outcome inflight.AttemptOutcome
 }
 
 // healthCheckDone is the message that a health check has ended.
 type healthCheckDone struct {
 	server    *upstream.Server
 	startedAt float64 // ms
-	reply     inflight.AttemptOutcome
+	outcome   inflight.AttemptOutcome
 }
 
 // openCall is a call that has no response yet, or has attempts in flight.
@@ -182,7 +182,7 @@
 	case clientserver.Arrival:
 		l.startCall(now, m.Call)
 	case clientserver.CallAbandoned:
-		l.handleClientGone(now, m.Call)
+		l.handleCallAbandoned(now, m.Call)
 	case upstream.BodyComplete:
 		l.handleBodyComplete(now, m.Call)
 	case upstream.ResponseStarted:
@@ -196,10 +196,10 @@
 			l.HandleEvent(now, balance.ConnectionReady{Server: m.Server.ID})
 		}
 	case attemptDone:
-		l.handleAttemptDone(now, m.attempt, m.reply)
+		l.handleAttemptDone(now, m.attempt, m.outcome)
 	case healthCheckDone:
 		l.HandleEvent(now, balance.HealthCheckResult{
-			Server: m.server.ID, Result: m.reply.Result, Elapsed: now - m.startedAt, Report: m.reply.LoadReport,
+			Server: m.server.ID, Result: m.outcome.Result, Elapsed: now - m.startedAt, Report: m.outcome.LoadReport,
 		})
 	case discovery.ListEvent:
 		l.handleListEvent(now, m)
--- a/internal/sidecar/eventloop/loop_test.go
+++ b/internal/sidecar/eventloop/loop_test.go
@@ -43,9 +43,9 @@
 }
 
 // An attempt that notices that its client has closed the connection ends at the same time as the client's handler sends
-// ClientGone. The call ends once, whichever message comes first, and there is no retry.
-func TestClientGone_crossesAttempt(t *testing.T) {
-	for name, handlerFirst := range map[string]bool{"outcome first": false, "ClientGone first": true} {
+// CallAbandoned. The call ends once, whichever message comes first, and there is no retry.
+func TestCallAbandoned_crossesAttempt(t *testing.T) {
+	for name, handlerFirst := range map[string]bool{"outcome first": false, "CallAbandoned first": true} {
 		t.Run(name, func(t *testing.T) {
 			b, other := sidecartest.NewBackend(t, "a", sidecartest.OK), sidecartest.NewBackend(t, "b", sidecartest.OK)
 			cfg, err := configtest.NewConf(sidecartest.NewRegistry(t).Addr(), b.Target, other.Target).Load(t)
--- a/internal/sidecar/limits.go
+++ b/internal/sidecar/limits.go
@@ -17,7 +17,7 @@
 	maxReserve         = 64   // sockets
 	managementFraction = 0.25 // fraction of the reserve that connections to the management address may use
 	clientFraction     = 0.55 // fraction of the remaining sockets for clients; servers get the others
-	keepAliveFraction  = 0.75 // fraction of the client connections; above it connections are closed after a response
+	keepAliveFraction  = 0.75 // fraction of the client connections; beyond it connections are closed after a response
 
 	requestFraction = 0.5      // fraction of the memory limit for everything but buffered request bodies
 	requestMemory   = 96 << 10 // bytes for forwarding a long body or response: buffers, connections and stacks
--- a/internal/sidecar/reload.go
+++ b/internal/sidecar/reload.go
@@ -36,7 +36,7 @@
 		s.loop.Routing.Client.SetAddrs(cfg.Routes.Addrs)
 	}
 	if !config.SameMembership(s.cfg.Membership, cfg.Membership) {
-		slog.Warn("reload: change of section members ignored until the next start")
+		slog.Warn("reload: change of section members not applied, restart required")
 	}
 	return nil
 }
--- a/internal/sidecar/shutdown.go
+++ b/internal/sidecar/shutdown.go
@@ -20,8 +20,8 @@
 	drainAccept = 500 * time.Millisecond
 	// drainStep is the interval between two steps of a shutdown.
 	drainStep = 5 * time.Millisecond
-	// SIGKILL follows SIGTERM after the longest deadline, of which at most maxDrain counts, plus killAfter, at the
-	// earliest.
+	// After SIGTERM, SIGKILL comes no earlier than the longest deadline of a class, or maxDrain if that is shorter, plus
+	// killAfter.
 	maxDrain  = 3 * time.Second
 	killAfter = 700 * time.Millisecond
 	// finalResponseMargin is the time before the earliest SIGKILL at which service ends and all open requests get their
--- a/internal/sidecar/sidecar.go
+++ b/internal/sidecar/sidecar.go
@@ -51,7 +51,7 @@
 	countUnaccepted func(*net.TCPListener) int // returns the number of connections that wait to be accepted
 	checkpoints     checkpoint.Hook
 
-	processMu                      sync.Mutex // guards older and newer
+	processMu                      sync.Mutex // guards olderProcesses and newerProcesses
 	olderProcesses, newerProcesses int        // other processes of this sidecar, by whether they started before or after this one
 }
 
