--- a/internal/sidecar/acceptance_test.go
+++ b/internal/sidecar/acceptance_test.go
@@ -166,7 +166,7 @@
 				}
 				for _, response := range responses {
 					if got := sidecartest.Receive(t, "a response", response); got.status != 200 {
-						t.Errorf("%+v", got)
+						t.Errorf("response %+v, want 200", got)
 					}
 				}
 				b.Mu.Lock()
--- a/internal/sidecar/body_test.go
+++ b/internal/sidecar/body_test.go
@@ -79,7 +79,7 @@
 	}
 	out.Close()
 	if got := sidecartest.Receive(t, "the response", done); got.status != 200 {
-		t.Errorf("%+v", got)
+		t.Errorf("response %+v, want 200", got)
 	}
 }
 
--- a/internal/sidecar/checkpoint_test.go
+++ b/internal/sidecar/checkpoint_test.go
@@ -60,7 +60,7 @@
 	sidecartest.Until(t, "the list to be applied", func() bool { return s.loop.Discovery.Revision.Load() == 2 })
 	held.Release()
 	if got := sidecartest.Receive(t, "the response", done); got.status != 200 {
-		t.Errorf("%+v", got)
+		t.Errorf("response %+v, want 200", got)
 	}
 	if n, m := a.Requests.Load(), b.Requests.Load(); n != 0 || m != 1 {
 		t.Errorf("the draining server got %d requests, the other one %d", n, m)
--- a/internal/sidecar/client_read_test.go
+++ b/internal/sidecar/client_read_test.go
@@ -25,7 +25,7 @@
 				})
 			})
 			if got := s.do(s.request("charge", sidecartest.Patience)); got.status != 200 {
-				t.Errorf("%+v", got)
+				t.Errorf("response %+v, want 200", got)
 			}
 		})
 	}
--- a/internal/sidecar/clientserver_test.go
+++ b/internal/sidecar/clientserver_test.go
@@ -123,7 +123,7 @@
 	close(release)
 	for _, h := range held {
 		if got := sidecartest.Receive(t, "a response", h); got.status != 200 {
-			t.Errorf("%+v", got)
+			t.Errorf("response %+v, want 200", got)
 		}
 	}
 }
@@ -198,7 +198,7 @@
 	sidecartest.Receive(t, "the slow request", got)
 
 	s.term()
-	sidecartest.Until(t, "the drain", s.clients.Draining)
+	sidecartest.Until(t, "the drain to start", s.clients.Draining)
 	late := s.request("charge", time.Second)
 	if r := s.do(late); r.status != 200 {
 		t.Errorf("on an idle connection while draining: %+v", r)
@@ -216,7 +216,7 @@
 	if r := sidecartest.Receive(t, "the slow response", held); r.status != 200 {
 		t.Errorf("%+v", r)
 	}
-	if err := sidecartest.Receive(t, "the end", s.ended); err != nil {
+	if err := sidecartest.Receive(t, "the sidecar to end", s.ended); err != nil {
 		t.Error(err)
 	}
 	s.ended <- nil
@@ -246,7 +246,7 @@
 				default:
 				}
 				if got := s.do(s.request("charge", time.Second)); got.status != 200 {
-					t.Errorf("%+v", got)
+					t.Errorf("response %+v, want 200", got)
 				}
 				n++
 			}
@@ -254,7 +254,7 @@
 	}
 	sidecartest.Until(t, "some load", func() bool { return b.Requests.Load() > 50 })
 	s.term()
-	sidecartest.Until(t, "the drain", s.clients.Draining)
+	sidecartest.Until(t, "the drain to start", s.clients.Draining)
 	before := b.Requests.Load()
 	sidecartest.Until(t, "requests during the drain", func() bool { return b.Requests.Load() > before+50 })
 	close(stop)
@@ -263,7 +263,7 @@
 			t.Error("a client was served nothing")
 		}
 	}
-	if err := sidecartest.Receive(t, "the end", s.ended); err != nil {
+	if err := sidecartest.Receive(t, "the sidecar to end", s.ended); err != nil {
 		t.Error(err)
 	}
 	s.ended <- nil
@@ -280,7 +280,7 @@
 	sidecartest.Until(t, "the connection", func() bool { return s.clients.OpenConns() == 1 })
 	startedAt := time.Now()
 	s.term()
-	err = sidecartest.Receive(t, "the end", s.ended)
+	err = sidecartest.Receive(t, "the sidecar to end", s.ended)
 	if took := time.Since(startedAt); err != nil || took > 3*time.Second {
 		t.Errorf("%v after %v", err, took)
 	}
@@ -307,12 +307,12 @@
 	}
 	for _, r := range responses {
 		if got := sidecartest.Receive(t, "a response", r); got.status != 200 && got.status != inflight.StatusRejected {
-			t.Errorf("%+v", got)
+			t.Errorf("response %+v, want 200 or %d", got, inflight.StatusRejected)
 		}
 	}
 	sidecartest.Until(t, "all requests to end", func() bool { return s.clients.OpenRequests() == 0 })
 	s.term()
-	if err := sidecartest.Receive(t, "the end", s.ended); err != nil {
+	if err := sidecartest.Receive(t, "the sidecar to end", s.ended); err != nil {
 		t.Error(err)
 	}
 	s.ended <- nil
--- a/internal/sidecar/config_test.go
+++ b/internal/sidecar/config_test.go
@@ -51,7 +51,7 @@
 			}
 			rev := int64(41)
 			watch.Send(t, endpointlist.List{Rev: rev, Targets: []endpointlist.Target{b.Target}}) // the first watch goes on
-			sidecartest.Until(t, "the list", func() bool { return s.loop.Discovery.Revision.Load() == rev })
+			sidecartest.Until(t, "the list to be applied", func() bool { return s.loop.Discovery.Revision.Load() == rev })
 			if err := os.WriteFile(path, text, 0o600); err != nil {
 				t.Fatal(err)
 			}
@@ -100,7 +100,7 @@
 			}
 			back := sidecartest.Receive(t, "the watch back at the first address", first.Calls)
 			back.Send(t, endpointlist.List{Rev: 9, All: true})
-			sidecartest.Until(t, "the list", func() bool { return s.loop.Discovery.Revision.Load() == 9 })
+			sidecartest.Until(t, "the list to be applied", func() bool { return s.loop.Discovery.Revision.Load() == 9 })
 			for _, r := range []*sidecartest.Registry{second, third} {
 				for len(r.Calls) > 0 {
 					sidecartest.Receive(t, "calls to the other addresses to end", (<-r.Calls).Gone)
--- a/internal/sidecar/discovery_test.go
+++ b/internal/sidecar/discovery_test.go
@@ -42,7 +42,7 @@
 			second.Send(t, endpointlist.List{Rev: 42, Targets: []endpointlist.Target{b.Target}})
 			sidecartest.Until(t, "the change to be applied", func() bool { return s.loop.Discovery.Revision.Load() == 42 })
 			if got := s.do(s.request("lookup", time.Second)); got.status != 200 {
-				t.Errorf("%+v", got)
+				t.Errorf("response %+v, want 200", got)
 			}
 
 			if err := os.WriteFile(path, []byte("{"), 0o600); err != nil {
@@ -66,7 +66,7 @@
 	r := sidecartest.NewRegistry(t)
 	s := start(t, configtest.NewConf(r.Addr(), b.Target))
 	if got := s.do(s.request("lookup", time.Second)); got.status != 200 {
-		t.Errorf("%+v", got)
+		t.Errorf("response %+v, want 200", got)
 	}
 	if call := sidecartest.Receive(t, "the watch", r.Calls); !strings.HasPrefix(call.Query, "watch=1") {
 		t.Errorf("query %q", call.Query)
@@ -143,7 +143,7 @@
 			s := start(t, configtest.NewConf(r.Addr(), a.Target))
 			watch := sidecartest.Receive(t, "the watch", r.Calls)
 			if got := s.do(s.request("lookup", time.Second)); got.status != 200 {
-				t.Fatalf("%+v", got)
+				t.Fatalf("response %+v, want 200", got)
 			}
 			sentAt := time.Now()
 			watch.Send(t, listAfter(a.Target))
@@ -164,6 +164,6 @@
 	sidecartest.AnswerAll(t, r, endpointlist.List{Rev: 5, All: true, Targets: []endpointlist.Target{b.Target}})
 	sidecartest.Until(t, "the list to be applied", func() bool { return s.loop.Discovery.Revision.Load() == 5 })
 	if got := s.do(s.request("lookup", time.Second)); got.status != 200 {
-		t.Errorf("%+v", got)
+		t.Errorf("response %+v, want 200", got)
 	}
 }
--- a/internal/sidecar/drain_test.go
+++ b/internal/sidecar/drain_test.go
@@ -40,7 +40,7 @@
 	if took := time.Since(startedAt); took > s.killTime() {
 		t.Errorf("responses came %v after SIGTERM, SIGKILL may come after %v", took, s.killTime())
 	}
-	if err := sidecartest.Receive(t, "the end", s.ended); err != nil {
+	if err := sidecartest.Receive(t, "the sidecar to end", s.ended); err != nil {
 		t.Error(err)
 	}
 	s.ended <- nil
--- a/internal/sidecar/exchange_test.go
+++ b/internal/sidecar/exchange_test.go
@@ -113,7 +113,7 @@
 	})
 	s := start(t, configtest.NewConf(sidecartest.NewRegistry(t).Addr(), b.Target))
 	if got := s.do(s.request("charge", time.Second)); got.status != inflight.StatusFailed {
-		t.Errorf("%+v", got)
+		t.Errorf("response %+v, want %d", got, inflight.StatusFailed)
 	}
 }
 
--- a/internal/sidecar/handover_test.go
+++ b/internal/sidecar/handover_test.go
@@ -59,7 +59,7 @@
 func (r *running) shutDown(t *testing.T) {
 	t.Helper()
 	r.term()
-	err := sidecartest.Receive(t, "the end", r.ended)
+	err := sidecartest.Receive(t, "the sidecar to end", r.ended)
 	if err != nil {
 		t.Error(err)
 	}
@@ -191,7 +191,7 @@
 	p.Close()
 	sidecartest.Until(t, "all of the limits to be restored", func() bool { return old.listener.Limit() == old.budget.clients })
 	if got := old.do(old.request("charge", time.Second)); got.status != 200 {
-		t.Errorf("%+v", got)
+		t.Errorf("response %+v, want 200", got)
 	}
 }
 
@@ -223,7 +223,7 @@
 			s := start(t, c)
 			sidecartest.Until(t, "the process to serve", func() bool { return s.healthy(t) })
 			if got := s.do(s.request("charge", time.Second)); got.status != 200 {
-				t.Errorf("%+v", got)
+				t.Errorf("response %+v, want 200", got)
 			}
 			if got := s.listener.Limit(); got != s.budget.clients {
 				t.Errorf("the process may hold %d clients, want %d", got, s.budget.clients)
--- a/internal/sidecar/listener_shutdown_test.go
+++ b/internal/sidecar/listener_shutdown_test.go
@@ -59,7 +59,7 @@
 		}
 		c.Close()
 	}
-	if err := sidecartest.Receive(t, "the end", s.ended); err != nil {
+	if err := sidecartest.Receive(t, "the sidecar to end", s.ended); err != nil {
 		t.Error(err)
 	}
 	s.ended <- nil
--- a/internal/sidecar/lists_test.go
+++ b/internal/sidecar/lists_test.go
@@ -32,9 +32,9 @@
 	s := start(t, cfg)
 	watch := sidecartest.Receive(t, "the watch", near.Calls)
 	watch.Send(t, endpointlist.List{Rev: 41, All: true, Targets: []endpointlist.Target{a.Target, b.Target, c.Target}})
-	sidecartest.Until(t, "the list", func() bool { return s.loop.Discovery.Revision.Load() == 41 })
+	sidecartest.Until(t, "the list to be applied", func() bool { return s.loop.Discovery.Revision.Load() == 41 })
 	close(watch.Lines)
-	second := sidecartest.Receive(t, "the watch at the second", far.Calls)
+	second := sidecartest.Receive(t, "the watch at the second list service", far.Calls)
 	if second.Query != "watch=1&after=41" {
 		t.Errorf("query %q", second.Query)
 	}
@@ -55,7 +55,7 @@
 	awaitMetric("svc_list_refused 0")
 	for range 6 {
 		if got := s.do(s.request("lookup", time.Second)); got.status != 200 {
-			t.Errorf("%+v", got)
+			t.Errorf("response %+v, want 200", got)
 		}
 	}
 	removed := a.Target
@@ -75,7 +75,7 @@
 		{UID: "z", Endpoint: "127.0.0.1:1", State: "Sleeping"}, {UID: "twin", Endpoint: dup.Target.Endpoint, State: "Ready", BootMS: 1},
 		{UID: "v", Endpoint: "127.0.0.1:99999", State: "Ready"}, dup.Target, good.Target,
 	}})
-	sidecartest.Until(t, "the list", func() bool { return s.loop.Discovery.Revision.Load() == 41 })
+	sidecartest.Until(t, "the list to be applied", func() bool { return s.loop.Discovery.Revision.Load() == 41 })
 	var used []string
 	for _, uid := range []string{"x", "y", "z", "v", "", "twin", "dup", "good"} {
 		if _, ok := s.loop.Balancer().UsableServer(endpointlist.ServerID(uid)); ok { // the loop is idle, as no request has been sent yet
@@ -87,7 +87,7 @@
 	}
 	for range 4 {
 		if got := s.do(s.request("lookup", time.Second)); got.status != http.StatusOK {
-			t.Errorf("%+v", got)
+			t.Errorf("response %+v, want 200", got)
 		}
 	}
 }
@@ -100,15 +100,15 @@
 	s := start(t, c)
 	first := sidecartest.Receive(t, "the watch", one.Calls)
 	first.Send(t, endpointlist.List{Rev: 5, All: true, Targets: []endpointlist.Target{b.Target}})
-	sidecartest.Until(t, "the list", func() bool { return s.loop.Discovery.Revision.Load() == 5 })
+	sidecartest.Until(t, "the list to be applied", func() bool { return s.loop.Discovery.Revision.Load() == 5 })
 	path := withLists(c, two.Addr(), one.Addr()).Write(t)
 	if err := s.Reload(func(name string) string { return map[string]string{"NODE_CONFIG": path}[name] }); err != nil {
 		t.Fatal(err)
 	}
-	watch := sidecartest.Receive(t, "the watch at the new first", two.Calls)
+	watch := sidecartest.Receive(t, "the watch at the new first address", two.Calls)
 	if watch.Query != "watch=1&after=5" {
 		t.Errorf("query %q", watch.Query)
 	}
 	close(watch.Lines)
-	sidecartest.Receive(t, "the watch at the new second", one.Calls)
+	sidecartest.Receive(t, "the watch at the new second address", one.Calls)
 }
--- a/internal/sidecar/management_test.go
+++ b/internal/sidecar/management_test.go
@@ -97,23 +97,23 @@
 		req := s.request("lookup", time.Second)
 		req.Header.Set("X-Priority-Class", `look"up`)
 		if got := s.do(req); got.status != 200 {
-			t.Errorf("%+v", got)
+			t.Errorf("response %+v, want 200", got)
 		}
 	}
 	if got := s.do(s.request("charge", time.Second)); got.status != inflight.StatusFailed {
-		t.Errorf("%+v", got)
+		t.Errorf("response %+v, want %d", got, inflight.StatusFailed)
 	}
 	if got := s.do(s.request("nope", time.Second)); got.status != 400 {
-		t.Errorf("%+v", got)
+		t.Errorf("response %+v, want 400", got)
 	}
 	held := s.goDo(s.request("reserve", time.Second))
 	awaitMetrics("svc_inflight 1", "svc_backend_calls 5")
 	if got := s.do(s.request("charge", time.Second)); got.status != inflight.StatusRejected {
-		t.Errorf("%+v", got)
+		t.Errorf("response %+v, want %d", got, inflight.StatusRejected)
 	}
 	close(release)
 	if got := sidecartest.Receive(t, "a response", held); got.status != 200 {
-		t.Errorf("%+v", got)
+		t.Errorf("response %+v, want 200", got)
 	}
 	awaitMetrics(`svc_success{tier="look\"up"} 3`, `svc_success{tier="reserve"} 1`, `svc_success{tier="charge"} 0`,
 		`svc_busy{tier="charge"} 1`, `svc_failure{tier="charge"} 1`, `svc_failure{tier="look\"up"} 0`,
--- a/internal/sidecar/members_test.go
+++ b/internal/sidecar/members_test.go
@@ -132,7 +132,7 @@
 	b := sidecartest.NewBackend(t, "a", sidecartest.OK)
 	s := start(t, configtest.Joining(configtest.NewConf(sidecartest.NewRegistry(t).Addr(), b.Target), "a", l.Addr().String()).
 		Setting(`"zones"`, `"peers_total": 3, "zones"`))
-	sidecartest.Until(t, "health", func() bool { return s.healthy(t) })
+	sidecartest.Until(t, "the health check to succeed", func() bool { return s.healthy(t) })
 	require.Equal(t, 200, s.do(s.request("lookup", time.Second)).status)
 	status, _ := s.requestManagement(t, "GET", fleet.MembersPath)
 	require.Equal(t, 503, status)
--- a/internal/sidecar/pipeline_test.go
+++ b/internal/sidecar/pipeline_test.go
@@ -71,7 +71,7 @@
 	}
 	respond.WaitFor(t, 1)
 	s.term()
-	sidecartest.Until(t, "the drain", s.clients.Draining)
+	sidecartest.Until(t, "the drain to start", s.clients.Draining)
 	respond.Release()
 	in := bufio.NewReader(c)
 	expectResponses(t, in, requests)
--- a/internal/sidecar/planted_test.go
+++ b/internal/sidecar/planted_test.go
@@ -48,7 +48,7 @@
 				t.Fatal(err)
 			}
 			if got := s.do(s.request("charge", 5*time.Second)); got.status != 200 {
-				t.Errorf("%+v", got)
+				t.Errorf("response %+v, want 200", got)
 			}
 		})
 	}
--- a/internal/sidecar/wallclock_test.go
+++ b/internal/sidecar/wallclock_test.go
@@ -25,17 +25,17 @@
 			s := start(t, conf)
 			watch := sidecartest.Receive(t, "the watch", reg.Calls)
 			watch.Send(t, endpointlist.List{Rev: 41, All: true, Targets: []endpointlist.Target{a.Target, b.Target}})
-			sidecartest.Until(t, "the list", func() bool { return s.loop.Discovery.Revision.Load() == 41 })
+			sidecartest.Until(t, "the list to be applied", func() bool { return s.loop.Discovery.Revision.Load() == 41 })
 			if err := fault.NewSet(step, 0, "").Write(path); err != nil {
 				t.Fatal(err)
 			}
 			restarted := b.Target
 			restarted.BootMS = clock.UnixMillis(time.Now().Add(step))
 			watch.Send(t, endpointlist.List{Rev: 42, Targets: []endpointlist.Target{restarted}})
-			sidecartest.Until(t, "the restart", func() bool { return s.loop.Discovery.Revision.Load() == 42 })
+			sidecartest.Until(t, "the restart to be applied", func() bool { return s.loop.Discovery.Revision.Load() == 42 })
 			for range 60 {
 				if got := s.do(s.request("lookup", time.Second)); got.status != 200 {
-					t.Fatalf("%+v", got)
+					t.Fatalf("response %+v, want 200", got)
 				}
 			}
 			if n := b.Requests.Load(); n > 15 {
