--- a/internal/sidecar/handover_test.go
+++ b/internal/sidecar/handover_test.go
@@ -23,7 +23,7 @@
 // that does not listen keeps reserved during the test.
 func upgradable(t *testing.T, discovery string, known ...endpointlist.Target) configtest.Conf {
 	t.Helper()
-	c := configtest.Managed(configtest.NewConf(discovery, known...))
+	c := configtest.WithManagement(configtest.NewConf(discovery, known...))
 	c["listen"] = sidecartest.BindAddr(t, unix.SO_REUSEPORT)
 	c["TMPDIR"] = t.TempDir()
 	return c
--- a/internal/sidecar/management_test.go
+++ b/internal/sidecar/management_test.go
@@ -39,7 +39,7 @@
 
 func TestHealthcheck_waitsForList(t *testing.T) {
 	discovery := sidecartest.NewRegistry(t)
-	s := start(t, configtest.Managed(configtest.NewConf(discovery.Addr())))
+	s := start(t, configtest.WithManagement(configtest.NewConf(discovery.Addr())))
 	if status, text := s.requestManagement(t, "GET", healthPath); status != 503 {
 		t.Errorf("without a list: %d %q", status, text)
 	}
@@ -76,8 +76,8 @@
 	})
 	draining := sidecartest.Ready("b", "127.0.0.1:1")
 	draining.State = "Terminating"
-	c := configtest.Managed(configtest.NewConf(sidecartest.NewRegistry(t).Addr(), b.Target, draining)).Setting(`"lookup"`, `"look\"up"`).
-		Setting(`"open_cap": 20000`, `"open_cap": 1`)
+	c := configtest.WithManagement(configtest.NewConf(sidecartest.NewRegistry(t).Addr(), b.Target, draining)).ReplaceSetting(`"lookup"`, `"look\"up"`).
+		ReplaceSetting(`"open_cap": 20000`, `"open_cap": 1`)
 	s := start(t, c)
 	awaitMetrics := func(lines ...string) {
 		t.Helper()
@@ -122,7 +122,7 @@
 
 // Callers that hold connections without sending a complete request do not shut out other callers.
 func TestManagement_silentCallers(t *testing.T) {
-	s := start(t, configtest.Managed(configtest.NewConf(sidecartest.NewRegistry(t).Addr(), sidecartest.Ready("a", "127.0.0.1:1"))))
+	s := start(t, configtest.WithManagement(configtest.NewConf(sidecartest.NewRegistry(t).Addr(), sidecartest.Ready("a", "127.0.0.1:1"))))
 	for i := range 3 * s.management.Limit() {
 		c, err := net.Dial("tcp", s.ManagementAddr())
 		if err != nil {
--- a/internal/sidecar/members_test.go
+++ b/internal/sidecar/members_test.go
@@ -57,7 +57,7 @@
 // of it.
 func TestMembersOff(t *testing.T) {
 	b := sidecartest.NewBackend(t, "a", sidecartest.OK)
-	s := start(t, configtest.Managed(configtest.NewConf(sidecartest.NewRegistry(t).Addr(), b.Target)))
+	s := start(t, configtest.WithManagement(configtest.NewConf(sidecartest.NewRegistry(t).Addr(), b.Target)))
 	sidecartest.Until(t, "a server", func() bool { return s.healthy(t) })
 	require.Equal(t, 200, s.do(s.request("lookup", time.Second)).status)
 	stacks := make([]byte, 1<<20)
@@ -74,10 +74,10 @@
 }
 
 func TestMembers_joinAndLeave(t *testing.T) {
-	a := start(t, configtest.Joining(configtest.NewConf("127.0.0.1:1"), "a", sidecartest.Loopback))
+	a := start(t, configtest.WithMembership(configtest.NewConf("127.0.0.1:1"), "a", sidecartest.Loopback))
 	seed := a.awaitGossipAddr(t)
-	b := start(t, configtest.Joining(configtest.NewConf("127.0.0.1:1"), "b", sidecartest.Loopback, seed))
-	c := start(t, configtest.Joining(configtest.NewConf("127.0.0.1:1"), "c", sidecartest.Loopback, seed))
+	b := start(t, configtest.WithMembership(configtest.NewConf("127.0.0.1:1"), "b", sidecartest.Loopback, seed))
+	c := start(t, configtest.WithMembership(configtest.NewConf("127.0.0.1:1"), "c", sidecartest.Loopback, seed))
 	for _, r := range []*running{a, b, c} {
 		r.awaitMetric(t, "svc_members_known 3")
 		r.awaitMetric(t, "svc_members_admitted 1")
@@ -101,7 +101,7 @@
 
 // A watch may last longer than other requests, and the number of watches is limited.
 func TestMembersWatch(t *testing.T) {
-	s := start(t, configtest.Joining(configtest.NewConf("127.0.0.1:1"), "a", sidecartest.Loopback))
+	s := start(t, configtest.WithMembership(configtest.NewConf("127.0.0.1:1"), "a", sidecartest.Loopback))
 	s.awaitGossipAddr(t)
 	for range 2 * fleet.MaxWatchers { // a HEAD request would occupy the place of a watch unnoticed
 		resp, err := s.client.Head("http://" + s.ManagementAddr() + fleet.MembersPath + "?watch=1")
@@ -130,8 +130,8 @@
 	l, err := net.Listen("tcp", sidecartest.Loopback)
 	require.NoError(t, err)
 	b := sidecartest.NewBackend(t, "a", sidecartest.OK)
-	s := start(t, configtest.Joining(configtest.NewConf(sidecartest.NewRegistry(t).Addr(), b.Target), "a", l.Addr().String()).
-		Setting(`"zones"`, `"peers_total": 3, "zones"`))
+	s := start(t, configtest.WithMembership(configtest.NewConf(sidecartest.NewRegistry(t).Addr(), b.Target), "a", l.Addr().String()).
+		ReplaceSetting(`"zones"`, `"peers_total": 3, "zones"`))
 	sidecartest.Until(t, "the health check to succeed", func() bool { return s.healthy(t) })
 	require.Equal(t, 200, s.do(s.request("lookup", time.Second)).status)
 	status, _ := s.requestManagement(t, "GET", fleet.MembersPath)
@@ -151,7 +151,7 @@
 	l, err := net.Listen("tcp", sidecartest.Loopback)
 	require.NoError(t, err)
 	b := sidecartest.NewBackend(t, "a", sidecartest.OK)
-	c := configtest.Joining(upgradable(t, sidecartest.NewRegistry(t).Addr(), b.Target), "a", l.Addr().String())
+	c := configtest.WithMembership(upgradable(t, sidecartest.NewRegistry(t).Addr(), b.Target), "a", l.Addr().String())
 	require.NoError(t, l.Close())
 	quick := func(s *Sidecar) { s.drainAccept, s.listTimeout = 50*time.Millisecond, 0 }
 	old := start(t, c, quick)
--- a/internal/sidecar/watch_faults_test.go
+++ b/internal/sidecar/watch_faults_test.go
@@ -105,7 +105,7 @@
 				var responding sync.WaitGroup
 				t.Cleanup(responding.Wait) // runs after the sidecar and the list service are closed, in that order
 				service, addr := sidecartest.NewHandAgent(t)
-				r := startWithShortTimeouts(t, configtest.NewConf(addr, a.Target, b.Target).Setting(`"discovery": "subscribe"`, `"discovery": "`+mode+`"`))
+				r := startWithShortTimeouts(t, configtest.NewConf(addr, a.Target, b.Target).ReplaceSetting(`"discovery": "subscribe"`, `"discovery": "`+mode+`"`))
 				held := mustJSON(t, endpointlist.List{Rev: 41, All: true, Targets: []endpointlist.Target{a.Target, b.Target}})
 				changed := mustJSON(t, endpointlist.List{Rev: 43, All: true, Targets: []endpointlist.Target{b.Target}})
 				misbehave(service.Next(t), held)
