--- a/internal/sidecar/management_test.go
+++ b/internal/sidecar/management_test.go
@@ -15,7 +15,8 @@
 	"marblelane/internal/sidecar/sidecartest"
 )
 
-func (r *running) manage(t *testing.T, method, path string) (int, string) {
+// requestManagement sends a request to the management address and returns status and body of the response.
+func (r *running) requestManagement(t *testing.T, method, path string) (int, string) {
 	t.Helper()
 	req, err := http.NewRequest(method, "http://"+r.ManagementAddr()+path, nil)
 	if err != nil {
@@ -31,7 +32,7 @@
 		t.Fatal(err)
 	}
 	if !resp.Close {
-		t.Errorf("%s %s: the connection is kept", method, path)
+		t.Errorf("%s %s: the response does not close the connection", method, path)
 	}
 	return resp.StatusCode, string(body)
 }
@@ -39,26 +40,26 @@
 func TestHealthcheck_waitsForList(t *testing.T) {
 	discovery := sidecartest.NewRegistry(t)
 	s := start(t, configtest.WithManagement(configtest.NewConf(discovery.Addr())))
-	if status, text := s.manage(t, "GET", healthPath); status != 503 {
+	if status, text := s.requestManagement(t, "GET", healthPath); status != 503 {
 		t.Errorf("without a list: %d %q", status, text)
 	}
 	call := sidecartest.Receive(t, "the watch", discovery.Calls)
 	call.Send(t, endpointlist.List{Rev: 2, All: true, Targets: []endpointlist.Target{sidecartest.Ready("a", "127.0.0.1:1")}})
-	sidecartest.Until(t, "the list to count", func() bool {
-		status, _ := s.manage(t, "GET", healthPath)
+	sidecartest.Until(t, "the list to be applied", func() bool {
+		status, _ := s.requestManagement(t, "GET", healthPath)
 		return status == 200
 	})
 	for _, test := range []struct {
 		method, path string
 		want         int
 	}{{"GET", "/", 404}, {"GET", "/api", 404}, {"GET", "//stats", 404}, {"POST", statsPath, 405}, {"DELETE", healthPath, 405}} {
-		if status, _ := s.manage(t, test.method, test.path); status != test.want {
+		if status, _ := s.requestManagement(t, test.method, test.path); status != test.want {
 			t.Errorf("%s %s: %d, want %d", test.method, test.path, status, test.want)
 		}
 	}
 	s.clients.StartDraining()
-	if status, _ := s.manage(t, "GET", healthPath); status != 503 {
-		t.Errorf("while it drains: %d", status)
+	if status, _ := s.requestManagement(t, "GET", healthPath); status != 503 {
+		t.Errorf("while draining: %d", status)
 	}
 }
 
@@ -78,11 +79,11 @@
 	c := configtest.WithManagement(configtest.NewConf(sidecartest.NewRegistry(t).Addr(), b.Target, draining)).ReplaceSetting(`"lookup"`, `"look\"up"`).
 		ReplaceSetting(`"open_cap": 20000`, `"open_cap": 1`)
 	s := start(t, c)
-	wants := func(lines ...string) {
+	awaitMetrics := func(lines ...string) {
 		t.Helper()
 		text := ""
 		sidecartest.Until(t, strings.Join(lines, ", "), func() bool {
-			_, text = s.manage(t, "GET", statsPath)
+			_, text = s.requestManagement(t, "GET", statsPath)
 			for _, line := range lines {
 				if !strings.Contains(text, line+"\n") {
 					return false
@@ -91,35 +92,35 @@
 			return true
 		})
 	}
-	wants(`svc_success{tier="look\"up"} 0`, "svc_backend_calls 0", "svc_inflight 0", "svc_hosts_listed 2", "svc_hosts_down 1")
+	awaitMetrics(`svc_success{tier="look\"up"} 0`, "svc_backend_calls 0", "svc_inflight 0", "svc_hosts_listed 2", "svc_hosts_down 1")
 	for range 3 {
 		req := s.request("lookup", time.Second)
 		req.Header.Set("X-Priority-Class", `look"up`)
 		if got := s.do(req); got.status != 200 {
-			t.Errorf("%+v", got)
+			t.Errorf("response %+v, want 200", got)
 		}
 	}
 	if got := s.do(s.request("charge", time.Second)); got.status != inflight.StatusFailed {
-		t.Errorf("%+v", got)
+		t.Errorf("response %+v, want %d", got, inflight.StatusFailed)
 	}
 	if got := s.do(s.request("nope", time.Second)); got.status != 400 {
-		t.Errorf("%+v", got)
+		t.Errorf("response %+v, want 400", got)
 	}
 	held := s.goDo(s.request("reserve", time.Second))
-	wants("svc_inflight 1", "svc_backend_calls 5")
+	awaitMetrics("svc_inflight 1", "svc_backend_calls 5")
 	if got := s.do(s.request("charge", time.Second)); got.status != inflight.StatusRejected {
-		t.Errorf("%+v", got)
+		t.Errorf("response %+v, want %d", got, inflight.StatusRejected)
 	}
 	close(release)
-	if got := sidecartest.Receive(t, "an answer", held); got.status != 200 {
-		t.Errorf("%+v", got)
+	if got := sidecartest.Receive(t, "a response", held); got.status != 200 {
+		t.Errorf("response %+v, want 200", got)
 	}
-	wants(`svc_success{tier="look\"up"} 3`, `svc_success{tier="reserve"} 1`, `svc_success{tier="charge"} 0`,
+	awaitMetrics(`svc_success{tier="look\"up"} 3`, `svc_success{tier="reserve"} 1`, `svc_success{tier="charge"} 0`,
 		`svc_busy{tier="charge"} 1`, `svc_failure{tier="charge"} 1`, `svc_failure{tier="look\"up"} 0`,
 		"svc_inflight 0", "svc_backend_calls 5")
 }
 
-// Callers that hold connections and say nothing, or half of a call, shut no other caller out.
+// Callers that hold connections without sending a complete request do not shut out other callers.
 func TestManagement_silentCallers(t *testing.T) {
 	s := start(t, configtest.WithManagement(configtest.NewConf(sidecartest.NewRegistry(t).Addr(), sidecartest.Ready("a", "127.0.0.1:1"))))
 	for i := range 3 * s.management.Limit() {
@@ -133,7 +134,7 @@
 		}
 	}
 	startedAt := time.Now()
-	if status, _ := s.manage(t, "GET", healthPath); status != 200 || time.Since(startedAt) > config.ManagementTimeout {
+	if status, _ := s.requestManagement(t, "GET", healthPath); status != 200 || time.Since(startedAt) > config.ManagementTimeout {
 		t.Errorf("%d after %v", status, time.Since(startedAt))
 	}
 }
@@ -142,26 +143,26 @@
 	c := configtest.NewConf("127.0.0.1:1")
 	c["management"] = "nowhere"
 	if _, err := c.Load(t); err == nil || !strings.Contains(err.Error(), "management") {
-		t.Errorf("an address that cannot be read: %v", err)
+		t.Errorf("malformed address: error %v, want one that names the key management", err)
 	}
-	taken, err := net.Listen("tcp", sidecartest.Loopback)
+	occupied, err := net.Listen("tcp", sidecartest.Loopback)
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer taken.Close()
-	c["management"] = taken.Addr().String()
+	defer occupied.Close()
+	c["management"] = occupied.Addr().String()
 	cfg, err := c.Load(t)
 	if err != nil {
 		t.Fatal(err)
 	}
 	if _, err := New(cfg); err == nil || !strings.Contains(err.Error(), "management") {
-		t.Errorf("an address that is taken: %v", err)
+		t.Errorf("address in use: error %v, want one that names the key management", err)
 	}
 }
 
 func TestManagement_Off(t *testing.T) {
 	s := start(t, configtest.NewConf(sidecartest.NewRegistry(t).Addr()))
 	if s.ManagementAddr() != "" {
-		t.Errorf("it listens at %s", s.ManagementAddr())
+		t.Errorf("the sidecar listens at %s without a management address", s.ManagementAddr())
 	}
 }
