--- a/balance/api.go
+++ b/balance/api.go
@@ -1,11 +1,12 @@
 package balance
 
-// This file is the interface of the package: events in, actions out. The settings are in config.go. Times are in ms.
+// This file is the interface of the package: events go in, actions come out. The settings are in config.go. All times
+// are in milliseconds.
 
 // ServerID identifies a server.
 type ServerID uint64
 
-// RequestID identifies a request; a client's retry has an ID of its own.
+// RequestID identifies a request. A retry that the client sends has its own ID.
 type RequestID uint64
 
 // ServerState is the state of a server in the server list.
@@ -22,95 +23,97 @@
 type Server struct {
 	ID               ServerID
 	State            ServerState
-	StartedAt        float64 // 0: long ago
-	Rating           float64 // relative size; 1 where nothing is known
+	StartedAt        float64 // start of the process on the wall clock; 0: long ago
+	Rating           float64 // capacity relative to other servers; 1 if unknown
 	Cell, Zone, Kind int
-	AddressKey       uint64 // identifies the address; 0: addresses are not known, NoAddress: it cannot be read
+	AddressKey       uint64 // identifies the address; 0: the list has no addresses, NoAddress: the address is invalid
 }
 
-// NoAddress is the AddressKey of a server whose address cannot be read.
+// NoAddress is the AddressKey of a server whose address cannot be parsed.
 const NoAddress = ^uint64(0)
 
 // Event is an input of the balancer: one of the types below.
 type Event interface{ event() }
 
-// ListKind says how a server list is to be read.
+// ListKind is the kind of a server list event.
 type ListKind uint8
 
 // The kinds of list events.
 const (
 	ListFull      ListKind = iota // all servers
-	ListCached                    // all servers as last seen, before a restart
+	ListCached                    // all servers as they were known before a restart of this process
 	ListDelta                     // changed entries only
-	ListFailed                    // a call failed, or the subscription ended; nothing else changed
-	ListUnchanged                 // nothing has changed
+	ListFailed                    // a call failed or the subscription ended; the list has not changed
+	ListUnchanged                 // a list service reported that nothing has changed
 )
 
-// ServerList is a list event. Servers is not kept.
+// ServerList is a list event. The balancer does not retain Servers.
 type ServerList struct {
 	Kind       ListKind
 	Servers    []Server
-	Rev        int64   // revision of the list; 0 where there are none
-	Source     int     // the list service, by preference
-	FromFetch  bool    // it answers a Fetch, not the Watch
-	Busy       bool    // with ListFailed: the service is there, but rejected the call or let it wait in vain
-	RetryAfter float64 // with ListFailed: when the service wants the next call; 0: it does not say
+	Rev        int64   // revision of the list; 0: the list has no revisions
+	Source     int     // index of the list service, in order of preference
+	FromFetch  bool    // the response to a Fetch action, not to Watch
+	Busy       bool    // with ListFailed: the service is reachable, but rejected the call or let it time out
+	RetryAfter float64 // with ListFailed: delay that the service asks for before the next call; 0: none
 }
 
-// Shutdown says that this process ends before its requests' time is over: each needs its final answer now.
+// Shutdown reports that this process ends before the deadlines of its requests. Each request gets its final response
+// at once.
 type Shutdown struct{}
 
-// ClockStepped says that the wall clock was stepped, on which lists give the starts of servers. Before the first step
-// it agrees with the time of events.
+// ClockStepped reports that the wall clock was stepped. Lists give the start times of servers on the wall clock. Before
+// the first step the wall clock agrees with the clock of the events.
 type ClockStepped struct {
-	Offset float64 // by which the wall clock is ahead of the time of events from now on; negative: behind it
+	Offset float64 // wall clock minus the clock of the events from now on
 }
 
-// FleetSize says how many processes of the fleet share what it allows together (docs/membership.md). Until the first
-// one comes, they are as many as Config.Peers.
+// FleetSize reports how many processes of the fleet share the limits of the fleet (docs/membership.md). Until the first
+// such event the balancer assumes Config.Peers processes.
 type FleetSize struct {
-	Known, Reachable int  // not known to be gone, and in contact now; this process is among both
-	Admitted         bool // all known processes know this one
+	Known     int  // processes that are not known to have ended, including this one
+	Reachable int  // processes that are in contact now, including this one
+	Admitted  bool // all known processes know this one
 }
 
-// ListServices says how many list services there are from now on.
+// ListServices sets the number of list services.
 type ListServices struct{ Count int }
 
-// Request is a client's request. Each gets one final answer.
+// Request is a client's request. Each request gets exactly one final response.
 type Request struct {
 	ID             RequestID
 	Class, Tenant  int
 	WorkHint       float64 // expected work; 0: unknown
 	IdempotencyKey uint64
-	Remaining      float64 // time until the client gives it up
-	ClientRetry    bool    // the client marks it as a retry
+	Remaining      float64 // time until the client's deadline
+	ClientRetry    bool    // the client marked the request as a retry
 	Write          bool
-	BodyStreaming  bool   // its body is still coming and is forwarded meanwhile; no time counts until BodyComplete
-	RouteKey       uint64 // equal for all retries of one client; chooses the subset of a route. 0: IdempotencyKey does
+	BodyStreaming  bool   // the body is forwarded while it arrives; the deadline is set by BodyComplete
+	RouteKey       uint64 // equal for all retries of one client, selects the subset of a route; 0: IdempotencyKey does
 }
 
-// BodyComplete says that the last byte of a streamed request body was forwarded. The request's time begins now.
+// BodyComplete reports that the last byte of a streamed request body was forwarded. The time of the request starts now.
 type BodyComplete struct {
 	Request   RequestID
 	Remaining float64
 }
 
-// Result is how an attempt or a health check ended.
+// Result is the result of an attempt or a health check.
 type Result uint8
 
-// The results. NeverRan reports which of them prove that nothing ran.
+// The results. NeverRan reports which of them prove that the request was not executed.
 const (
 	OK Result = iota
 	Failed
 	Rejected
 	TimedOut
-	ConnectFailed // refused, or not established in time: no process is there
+	ConnectFailed // the connection was refused or not established in time: no process listens there
 	Reset
 	Cancelled
 	NotSent
 	WriteFailed  // the connection broke before the whole request was written
-	LocalFailure // this machine could not start the attempt, for want of a socket, port, route, memory or permission
-	Unreachable  // the network reports that there is no way to the server, whose process may well run
+	LocalFailure // this machine could not start the attempt: it lacks a socket, port, route, memory or permission
+	Unreachable  // the network reports that the server cannot be reached; its process may still run
 )
 
 // NeverRan reports whether the result proves that the attempt was not executed.
@@ -122,24 +125,24 @@
 	return false
 }
 
-// serverUnreachable reports whether the result says that the server cannot be reached at present.
+// serverUnreachable reports whether the result means that the server cannot be reached at present.
 func (r Result) serverUnreachable() bool { return r == ConnectFailed || r == Unreachable }
 
-// Outcome is the end of an attempt; each attempt gets one.
+// Outcome is the end of an attempt. Each attempt gets exactly one.
 type Outcome struct {
 	Request      RequestID
 	Attempt      int
 	Server       ServerID
 	Result       Result
 	Elapsed      float64
-	Finished     bool      // the request needs no answer any more
-	Report       []float32 // load report, empty if none; not kept
-	BodyConsumed bool      // the request's body is used up: it cannot be sent again
-	RouteRevoked bool      // the route was revoked before the first byte was sent: it counts as no attempt
+	Finished     bool      // the request needs no further response
+	Report       []float32 // load report, empty if there is none; not retained
+	BodyConsumed bool      // the request body was consumed, so the request cannot be sent again
+	RouteRevoked bool      // the route was revoked before the first byte was sent; does not count as an attempt
 }
 
-// ResponseStarted says that a streamed answer has started; the client owns the attempt now. The attempt's Outcome follows
-// when the answer has ended.
+// ResponseStarted reports that a streamed response has started. From now on the client controls the attempt. Its
+// Outcome follows at the end of the response.
 type ResponseStarted struct {
 	Request RequestID
 	Attempt int
@@ -147,61 +150,62 @@
 	Elapsed float64
 }
 
-// Connecting says that an attempt waits for a new connection, or that this is established. Meanwhile the attempt is no
-// work for the server. It never comes where connections are opened out of sight.
+// Connecting reports that an attempt waits for a new connection, or that the connection was established. A waiting
+// attempt adds no load to the server. The event never occurs where the balancer's user cannot observe connections.
 type Connecting struct {
 	Request     RequestID
 	Attempt     int
 	Established bool
 }
 
-// ConnectionReady says that a connection to a server was established that no attempt waits for any more.
+// ConnectionReady reports a connection to a server that was established after the attempt waiting for it had ended.
 type ConnectionReady struct{ Server ServerID }
 
-// ProcessCount says how many processes, each with a balancer, this sidecar consists of now. During an upgrade there are
-// two: the one that ends and its successor.
+// ProcessCount sets the number of processes of this sidecar, each with its own balancer. During an upgrade there are
+// two: the predecessor and its successor.
 type ProcessCount struct{ Processes int }
 
-// Routes replace the routes of before. A canary that stays keeps its budget. A tenant has one route at most, and a
-// canary belongs to one route. Routes have a revision above 0. List is not kept.
+// Routes replaces all routes. A canary that is also in the new routes keeps its budget. A tenant has at most one route,
+// and a canary belongs to one route. A non-empty List needs a revision above 0. The balancer does not retain List.
 type Routes struct {
 	Rev  int64
 	List []Route
 }
 
-// Route is what the requests of a tenant prefer. Within the base and within the canary, servers are picked as without
-// a route; servers outside both get what those cannot take. While there is a canary the base leaves its servers out.
+// Route sets which servers the requests of a tenant prefer. Within the base and within the canary, servers are picked
+// as without a route. Other servers get the requests that neither can take. While there is a canary, the base excludes
+// the servers of the canary.
 type Route struct {
 	Tenant         int    // as in Request; -1: all requests, where the settings name no tenants
-	Classes        []int  // those that may go to the canary; empty: all
-	Base           Subset // preferred by all requests that do not go to the canary
+	Classes        []int  // classes whose requests may go to the canary; empty: all
+	Base           Subset // preferred by all requests that do not prefer the canary
 	Canary         Subset
-	CanaryFraction float64 // of the requests that prefer the canary, 0 to 1
-	ID             uint64  // identifies the canary; 0: there is none
+	CanaryFraction float64 // fraction of the requests that prefer the canary, 0 to 1
+	ID             uint64  // identifies the canary; 0: the route has no canary
 	Budgeted       bool    // an attempt to the canary needs a unit of its budget
-	LateIsFailure  bool    // an answer after the latency objective is a failure of the canary
+	LateIsFailure  bool    // a response after the latency objective is a failure of the canary
 }
 
-// Subset selects servers: those that match each list that is not empty. The zero Subset is all servers.
+// Subset selects the servers that match each non-empty list. The zero Subset selects all servers.
 type Subset struct {
 	Kinds, Cells, Zones []int
 	IDs                 []ServerID
 }
 
-// CanaryLease says until when canaries may be acted on. After it this sidecar acts on the bases alone.
+// CanaryLease allows this sidecar to use canaries until a time. After that it uses only the bases of the routes.
 type CanaryLease struct{ Until float64 }
 
-// BudgetGrant says how many units this process was granted for a canary since its start, in all.
+// BudgetGrant reports the total number of units that this process was granted for a canary since its start.
 type BudgetGrant struct {
 	ID      uint64
 	Units   int64
-	MaxIdle int64 // units that may stay free; those beyond are returned
+	MaxIdle int64 // units that may stay free; further free units are returned
 }
 
-// ClientDisconnected says that the client is gone: no answer is needed.
+// ClientDisconnected reports that the client closed its connection: the request needs no response.
 type ClientDisconnected struct{ Request RequestID }
 
-// Timer says that a timer set by SetTimer is due.
+// Timer reports that a timer set by SetTimer has fired.
 type Timer struct{ Token uint64 }
 
 // HealthCheckResult is the result of a health check.
@@ -209,10 +213,10 @@
 	Server  ServerID
 	Result  Result
 	Elapsed float64
-	Report  []float32 // not kept
+	Report  []float32 // not retained
 }
 
-// Message is a message from another sidecar. Data is not kept.
+// Message is a message from another sidecar. The balancer does not retain Data.
 type Message struct {
 	From int
 	Data []byte
@@ -238,26 +242,26 @@
 func (CanaryLease) event()        {}
 func (BudgetGrant) event()        {}
 
-// ActionKind says what to do.
+// ActionKind is the kind of an action.
 type ActionKind uint8
 
-// The kinds of actions. The comments name the fields of Action that count.
+// The kinds of actions. Each comment names the fields of Action that the kind uses.
 const (
-	Send         ActionKind = iota // Request, Server, At: when it is given up (0: the client's deadline); routes
-	Reject                         // Request, At: how long to wait; a final answer: a retry does no harm
-	Fail                           // Request; a final answer that promises nothing
+	Send         ActionKind = iota // Request, Server, At (time of cancellation; 0: the client's deadline), route fields
+	Reject                         // Request, At (delay before a retry): final response, a retry is harmless
+	Fail                           // Request: final response, the request may have been executed
 	Cancel                         // Request, Attempt
-	SetTimer                       // Token, At: time from now
+	SetTimer                       // Token, At (delay from now)
 	HealthCheck                    // Server
-	CloseIdle                      // Server: close its idle connections
+	CloseIdle                      // Server: close idle connections to it
 	SendMessage                    // Peer (-1: all), Data
 	Log                            // Text
-	Watch                          // Source, After: watch the server list, in place of the watch before
+	Watch                          // Source, After: watch the server list, replacing the previous watch
 	Fetch                          // Source: request the full list once
-	RemoveServer                   // Server: it is gone, though no list said so
+	RemoveServer                   // Server: the balancer removed it, though no list did
 )
 
-// Action is one thing to do, in the order given.
+// Action is an action for the caller. Actions are carried out in the order in which they are returned.
 type Action struct {
 	Kind    ActionKind
 	Request RequestID
@@ -268,11 +272,11 @@
 	Peer    int
 	Data    []byte
 	Text    string
-	Source  int   // list service, by preference
-	After   int64 // revision of the list held; 0: none
+	Source  int   // index of the list service, in order of preference
+	After   int64 // revision of the current list; 0: none
 
-	// With Send: what the attempt acts on under the lease. Without a lease these are zero.
+	// With Send: the route of the attempt. The fields are zero without a lease.
 	RoutesRev int64  // revision of the routes; 0: none
-	CanaryID  uint64 // the canary that the route has; 0: none
-	ToCanary  bool   // it goes to the canary, and counts for it
+	CanaryID  uint64 // canary of the route; 0: none
+	ToCanary  bool   // the attempt goes to the canary and counts for it
 }
--- a/balance/balancer.go
+++ b/balance/balancer.go
@@ -2,7 +2,7 @@
 
 import "math"
 
-// Tokens of the timers of the endpoint list. Timers of requests have the request's ID, which is below 2^52.
+// Timer tokens of the endpoint list. The timer of a request has the request's ID as its token, which is below 2^52.
 const (
 	listRetryTimer = 1<<60 + iota
 	serviceCheckTimer
@@ -10,8 +10,8 @@
 	suspectTimer
 )
 
-// Balancer decides for one sidecar. It holds one value for each decision, dispatches events to them and returns the
-// actions. It is not safe for concurrent use.
+// Balancer balances the requests of one sidecar. It holds one component per kind of decision, dispatches events to the
+// components and returns their actions. It is not safe for concurrent use.
 type Balancer struct {
 	*shared
 	demand    *demand
@@ -27,12 +27,12 @@
 	canary    *canaryRouter
 	retry     *retryPolicy
 
-	requests     map[RequestID]*request // without a final answer, or with attempts that have not ended
-	shuttingDown bool                   // this process goes: nothing more is sent
+	requests     map[RequestID]*request // without a final response, or with attempts in flight
+	shuttingDown bool                   // this process ends: no request is sent any more
 }
 
-// New returns a balancer with the given settings; call Start before Handle. It keeps the slices of cfg, which must not
-// change afterwards. The error for invalid settings is a *ConfigError.
+// New returns a balancer with the given settings. Call Start before Handle. The balancer retains the slices of cfg,
+// which must not change afterwards. The error for invalid settings is a *ConfigError.
 func New(cfg Config) (*Balancer, error) {
 	if err := cfg.check(); err != nil {
 		return nil, err
@@ -62,7 +62,7 @@
 	}, nil
 }
 
-// Start returns the first actions. They are valid until the next call.
+// Start returns the initial actions. They are valid until the next call.
 func (b *Balancer) Start(now float64) []Action {
 	b.startEvent(now)
 	b.started = now
@@ -70,8 +70,8 @@
 	return b.actions
 }
 
-// Handle takes one event and returns what to do. The actions are valid until the next call. The error for an invalid
-// event is an *EventError; the balancer is unchanged then.
+// Handle processes one event and returns the resulting actions, which are valid until the next call. For an invalid
+// event it returns an *EventError and leaves the balancer unchanged.
 func (b *Balancer) Handle(now float64, ev Event) ([]Action, error) {
 	b.startEvent(now)
 	err := b.dispatch(ev)
@@ -144,7 +144,7 @@
 		return
 	}
 	if r := b.requests[RequestID(ev.Token)]; r != nil {
-		r.wakeAt = math.Inf(1) // not compared with the clock: a timer may come a rounding error early
+		r.wakeAt = math.Inf(1) // not compared with the clock, as a timer may fire a rounding error too early
 		b.advance(r)
 	}
 }
@@ -156,7 +156,7 @@
 	}
 }
 
-// dropRemovedServers forgets the servers that are gone.
+// dropRemovedServers deletes the state of removed servers.
 func (b *Balancer) dropRemovedServers() {
 	b.list.dropRemoved()
 	b.canary.onServersChanged()
--- a/balance/canary_budget.go
+++ b/balance/canary_budget.go
@@ -2,25 +2,25 @@
 
 import "slices"
 
-// maxEndedBudgets bounds the budgets that are kept of canaries whose route has ended. A canary that comes back after
-// so many others have ended starts with an empty budget.
+// maxEndedBudgets limits the number of budgets kept for canaries whose route has ended. A canary whose budget was
+// dropped starts with an empty budget when it returns.
 const maxEndedBudgets = 64
 
-// CanaryBudget is the budget that this process holds for one canary, in units since its start. An attempt reserves a
-// unit before it is sent. A failure spends the unit; a good answer, and an end that says nothing about the canary,
-// releases it. What was granted and neither spent nor returned is this process's alone to use, so failures never exceed
-// what was granted.
+// CanaryBudget is the budget of this process for one canary, in units since the start of the process. An attempt
+// reserves a unit before it is sent. A failure spends the unit. A successful response releases it, and so does an end
+// that says nothing about the canary. No other process uses the granted units that are neither spent nor returned, so
+// failures never exceed the units granted.
 type CanaryBudget struct {
 	ID                       uint64
 	Granted, Spent, Returned int64
-	Reserved                 int64 // by attempts in flight
-	Denied                   int64 // attempts that went elsewhere for want of a unit
+	Reserved                 int64 // units reserved by attempts in flight
+	Denied                   int64 // attempts that were sent elsewhere because no unit was free
 }
 
-// Free is how many units can be reserved.
+// Free returns the number of units that can be reserved.
 func (c *CanaryBudget) Free() int64 { return c.Granted - c.Spent - c.Returned - c.Reserved }
 
-// Reserve reserves a unit, if one is free.
+// Reserve reserves a unit and reports whether one was free.
 func (c *CanaryBudget) Reserve() bool {
 	if c.Free() <= 0 {
 		c.Denied++
@@ -30,7 +30,7 @@
 	return true
 }
 
-// Settle ends an attempt that reserved a unit.
+// Settle ends the reservation of an attempt: a failure spends the unit, any other end releases it.
 func (c *CanaryBudget) Settle(failed bool) {
 	c.Reserved--
 	if failed {
@@ -38,7 +38,7 @@
 	}
 }
 
-// Grant records how many units were granted in all, and returns those that are free beyond maxIdle.
+// Grant records the total number of units granted, and marks the free units above maxIdle as returned.
 func (c *CanaryBudget) Grant(units, maxIdle int64) {
 	c.Granted = max(c.Granted, units)
 	if idle := c.Free(); idle > maxIdle {
@@ -46,14 +46,14 @@
 	}
 }
 
-// exhausted reports whether units were spent on failures and none is left.
+// exhausted reports whether units were spent on failures and none is free.
 func (c *CanaryBudget) exhausted() bool { return c.Spent > 0 && c.Free() <= 0 }
 
-// canaryBudgets are the budgets of all canaries, in the order in which their routes ended and then of those that have
-// a route.
+// canaryBudgets holds the budgets of all canaries: first those whose route has ended, in the order of the ends, then
+// those with a route.
 type canaryBudgets []*CanaryBudget
 
-// get returns the budget of a canary; it starts empty.
+// get returns the budget of a canary, and creates an empty one if there is none.
 func (c *canaryBudgets) get(id uint64) *CanaryBudget {
 	for _, budget := range *c {
 		if budget.ID == id {
@@ -65,7 +65,8 @@
 	return budget
 }
 
-// dropEnded drops the oldest of too many budgets whose canary has no route and that no attempt has reserved from.
+// dropEnded keeps the newest maxEndedBudgets of the budgets whose canary has no route and that have no unit reserved.
+// It drops the older ones.
 func (c *canaryBudgets) dropEnded(routes []*tenantRoute) {
 	routed := make(map[uint64]bool)
 	for _, route := range routes {
@@ -95,7 +96,7 @@
 	*c = append(ended, live...)
 }
 
-// snapshot copies the newest state of each budget.
+// snapshot returns a copy of each budget.
 func (c canaryBudgets) snapshot() []CanaryBudget {
 	copies := make([]CanaryBudget, len(c))
 	for i, budget := range c {
--- a/balance/list.go
+++ b/balance/list.go
@@ -1,16 +1,17 @@
 package balance
 
 // This file decides which lists and entries of a list service are accepted. All sidecars share the list, so a
-// wrong one can empty a fleet faster than any crash.
+// wrong list can remove the servers of a whole fleet faster than any crash.
 //
-// What a list service says of a server by name always counts: Gone and Draining end new attempts at once.
-// What a full list leaves out is gone, too, unless Config.SuspectFraction is set. Then a list that leaves out
-// more than that fraction of the servers in use is suspect, and those servers stay in use for as long as
-// their own outcomes are good. With several list services (Config.ListServices) the list never goes back in
-// revision: a service that lags is left for the next.
+// An entry that names a server as draining or removed always counts: the server gets no new attempts. A
+// server that a full list omits is removed, too, unless Config.SuspectFraction is set. Then a list that omits
+// more than that fraction of the servers in use is suspect: the omitted servers are marked as suspected and
+// stay in use as long as their own outcomes are good. With several list services (Config.ListServices), the
+// revision of the list never decreases: a service with an older list is skipped.
 //
-// Rejected alternative: to request the list of several services and accept the majority. A list
-// that is half loaded is half loaded everywhere, and the calls would multiply with the size of the fleet.
+// Rejected alternative: to fetch the list from several services and accept the majority. A list that the
+// services have loaded by half is the same half everywhere, and the number of calls would multiply with the
+// size of the fleet.
 
 import (
 	"fmt"
@@ -20,17 +21,18 @@
 )
 
 const (
-	epochBits    = 28 // of a revision that count within an epoch; see EpochOf
-	minSuspected = 2  // servers that a list must leave out to be suspect
+	epochBits    = 28 // low bits of a revision, which count within an epoch; see EpochOf
+	minSuspected = 2  // number of omitted servers from which a list can be suspect
 )
 
 const (
-	maxSuspectTime milliseconds = 600_000 // for which a server that no list names is used
-	newHistoryTime milliseconds = 30_000  // of nothing but older lists after which they count as a new history
-	maxFutureStart milliseconds = 1000    // by which a server's start may lie ahead of this sidecar's clock
+	maxSuspectTime milliseconds = 600_000 // time for which a server that no list names stays in use
+	newHistoryTime milliseconds = 30_000  // an older list is accepted after this time without a newer one
+	maxFutureStart milliseconds = 1000    // tolerance for start times ahead of this sidecar's clock
 )
 
-// EpochOf is the history that a revision belongs to: revisions of one epoch can be compared.
+// EpochOf returns the epoch of a revision, which identifies a history of the list. Only revisions of the same
+// epoch can be compared.
 func EpochOf(rev int64) int64 { return rev >> epochBits }
 
 // endpointList decides which lists are accepted, and which list service is watched.
@@ -40,28 +42,28 @@
 	slowStart *slowStart
 	clock     *wallClock
 
-	rev               int64        // of the list held
-	lastContact       milliseconds // when a service last said anything
-	confirmedAt       milliseconds // when the service watched last said that it is the newest; -Inf: not yet
-	rejectedSince     milliseconds // since when only older lists have come; 0: they have not
-	lastListEmpty     bool         // the last complete list named no server
-	stale             bool         // no service has said anything for Config.StaleAfter
-	hasRemovedServers bool         // servers are gone that must still be dropped, though no list said so
+	rev               int64        // revision of the current list
+	lastContact       milliseconds // time of the last event from a service
+	confirmedAt       milliseconds // time of the last confirmation by the watched service; -Inf: none yet
+	rejectedSince     milliseconds // time since which only older lists were received; 0: not so
+	lastListEmpty     bool         // the last complete list was empty
+	stale             bool         // no event from a service for Config.StaleAfter
+	hasRemovedServers bool         // suspected servers were removed and must still be deleted
 
-	source              int   // the service watched, by preference
-	watchRev            int64 // the newest revision from the service watched
-	failedPolls         int   // in a row
-	checkScheduled      bool  // the timer of the next check of another service runs
-	newestFetchedRev    int64 // the newest revision found at a check of another service ...
-	newestFetchedSource int   // ... and which service it was
-	upToDateChecks      int   // in a row, at which a nearer service was not behind
+	source              int   // index of the watched service, in order of preference
+	watchRev            int64 // newest revision from the watched service
+	failedPolls         int   // consecutive failed calls
+	checkScheduled      bool  // the timer of the next check of another service is set
+	newestFetchedRev    int64 // newest revision found in checks of other services
+	newestFetchedSource int   // the service that returned it
+	upToDateChecks      int   // consecutive checks in which a preferred service was not behind
 }
 
-// listing is a server's state in the endpoint list.
+// listing is the state of a server that the endpoint list maintains.
 type listing struct {
-	rank           float64      // position in this sidecar's own order
-	localStart     milliseconds // its start on the balancer's clock
-	suspectedSince milliseconds // since when no list has named it; 0: one does
+	rank           float64      // sort key of this sidecar's own order of servers
+	localStart     milliseconds // start of the server on the balancer's clock
+	suspectedSince milliseconds // since when lists omit the server; 0: it is listed
 }
 
 // onServerList applies a list event and reports whether servers may have changed.
@@ -101,7 +103,7 @@
 	return true
 }
 
-// accepts reports whether a list replaces or changes the one held. With one list service all do.
+// accepts reports whether a list is applied to the current one. With one list service every list is.
 func (l *endpointList) accepts(ev *ServerList) bool {
 	l.compareServices(ev)
 	newer := ev.Rev > l.rev && (ev.Kind == ListFull || EpochOf(ev.Rev) == EpochOf(l.rev))
@@ -109,10 +111,10 @@
 		return true
 	}
 	switch {
-	case ev.Rev == l.rev && ev.Kind == ListFull: // the same list again: it may end a suspicion
+	case ev.Rev == l.rev && ev.Kind == ListFull: // the same list again may clear a suspicion
 		return true
 	case ev.FromFetch || ev.Rev == l.rev:
-	case ev.Rev > l.rev: // changes of a history whose beginning this sidecar does not hold
+	case ev.Rev > l.rev: // changes of another history: watch again from a full list
 		l.rev = 0
 		l.watch()
 	case ev.Kind == ListFull:
@@ -121,23 +123,23 @@
 	return false
 }
 
-// acceptsOlder reports whether an older list is accepted. It is once no service has had a newer one for
-// historyTime: then the services have started a new history.
+// acceptsOlder reports whether an older list is accepted. That is the case once only older lists have come
+// for newHistoryTime: then the services have started a new history.
 func (l *endpointList) acceptsOlder(ev *ServerList) bool {
 	if l.rejectedSince > 0 && l.now-l.rejectedSince > newHistoryTime {
-		l.log(fmt.Sprintf("list: revision %d accepted after %d: no service has a newer one", ev.Rev, l.rev))
+		l.log(fmt.Sprintf("list: accepted revision %d after %d: no service has a newer one", ev.Rev, l.rev))
 		l.watchRev, l.newestFetchedRev = ev.Rev, ev.Rev
 		return true
 	}
 	if l.rejectedSince == 0 {
 		l.rejectedSince = l.now
-		l.log(fmt.Sprintf("list: revision %d of service %d rejected, %d is held", ev.Rev, ev.Source, l.rev))
+		l.log(fmt.Sprintf("list: rejected revision %d of service %d: %d is newer", ev.Rev, ev.Source, l.rev))
 	}
 	l.scheduleRetry(ev)
 	return false
 }
 
-// recordAccepted notes that a list was accepted.
+// recordAccepted updates the state of the list and its service after a list was accepted.
 func (l *endpointList) recordAccepted(ev *ServerList) {
 	l.rev, l.rejectedSince = ev.Rev, 0
 	if !ev.FromFetch && ev.Kind != ListCached {
@@ -145,7 +147,7 @@
 	}
 }
 
-// replaceEntries puts the entries of a complete list in place of those held.
+// replaceEntries replaces all entries by those of a complete list.
 func (l *endpointList) replaceEntries(entries []Server, maySuspect, sameHistory bool) {
 	l.markUnlisted(entries, maySuspect)
 	for i := range entries {
@@ -154,32 +156,32 @@
 	l.dropRemoved()
 }
 
-// applyChanges applies changed entries. It leaves servers and zones as dropGone would, but walks over the
-// named servers alone: a fleet has thousands.
+// applyChanges applies changed entries. The result is the same as that of dropRemoved, but only the named
+// servers are visited, as a fleet has thousands.
 func (l *endpointList) applyChanges(entries []Server, sameHistory bool) {
 	for i := range entries {
 		l.applyChange(&entries[i], sameHistory)
 	}
 }
 
-// applyChange applies one changed entry and moves its server alone.
+// applyChange applies one changed entry and updates the position of its server.
 func (l *endpointList) applyChange(entry *Server, sameHistory bool) {
 	s, at := l.byID[entry.ID], len(l.servers)
-	known, oldRank := s != nil, 0.0
-	if known {
+	listed, oldRank := s != nil, 0.0
+	if listed {
 		at, oldRank = l.indexOf(s), s.rank
 		if s.State == Ready {
 			s.zone.ready--
 		}
 	}
 	l.applyEntry(entry, sameHistory)
-	if s = l.byID[entry.ID]; s == nil { // gone before it was known
+	if s = l.byID[entry.ID]; s == nil { // removed before it was ever listed
 		return
 	}
 	if s.State == Ready {
 		s.zone.ready++
 	}
-	if known && s.State != Removed && s.rank == oldRank {
+	if listed && s.State != Removed && s.rank == oldRank {
 		return
 	}
 	l.servers = slices.Delete(l.servers, at, at+1)
@@ -191,8 +193,7 @@
 	l.servers = slices.Insert(l.servers, at, s)
 }
 
-// applyEntry applies one entry. A restart clears what was held against the server, another address what was held
-// against the old one.
+// applyEntry applies one entry. A restart of the server resets its failure record, and so does a new address.
 func (l *endpointList) applyEntry(entry *Server, sameHistory bool) {
 	s := l.byID[entry.ID]
 	if s == nil {
@@ -201,7 +202,7 @@
 		}
 		s = l.addServer(entry.ID)
 	}
-	if since, again := l.clock.restarted(s, entry, l.confirmedAt, sameHistory); again {
+	if since, restarted := l.clock.restarted(s, entry, l.confirmedAt, sameHistory); restarted {
 		s.pardon()
 		s.running = 0
 		l.slowStart.begin(s, since)
@@ -212,8 +213,8 @@
 	s.rank = l.rankOf(s)
 }
 
-// addServer starts to keep a server. Its random running value keeps sidecars that start together from picking in
-// step.
+// addServer adds a server. Its initial SWRR value is random, so that sidecars that start together don't pick
+// the same servers in the same order.
 func (l *endpointList) addServer(id ServerID) *server {
 	s := &server{evidenceAt: math.Inf(-1)}
 	s.running = maxInitialRunning * l.random()
@@ -223,7 +224,7 @@
 	return s
 }
 
-// dropRemoved forgets servers that are gone, sorts the others by rank and counts the ready servers of each zone.
+// dropRemoved deletes removed servers, sorts the others by rank and counts the ready servers of each zone.
 func (l *endpointList) dropRemoved() {
 	for _, z := range l.locality.zones {
 		z.ready = 0
@@ -243,16 +244,16 @@
 	sort.Slice(remaining, func(i, j int) bool { return remaining[i].rank < remaining[j].rank })
 }
 
-// indexOf finds a server among those listed.
+// indexOf returns the index of a listed server.
 func (l *endpointList) indexOf(s *server) int {
 	at := sort.Search(len(l.servers), func(i int) bool { return l.servers[i].rank >= s.rank })
-	for l.servers[at] != s { // another one of the same rank
+	for l.servers[at] != s { // another server with the same rank
 		at++
 	}
 	return at
 }
 
-// markUnlisted marks the servers that a complete list leaves out as gone or as suspected.
+// markUnlisted marks the servers that a complete list omits as removed or as suspected.
 func (l *endpointList) markUnlisted(entries []Server, maySuspect bool) {
 	listed := make(map[ServerID]bool, len(entries))
 	for i := range entries {
@@ -270,7 +271,7 @@
 	limit := l.cfg.SuspectFraction * float64(inUse)
 	suspect := maySuspect && limit > 0 && unlisted >= minSuspected && float64(unlisted) > limit
 	if suspect {
-		l.log(fmt.Sprintf("list: %d of %d servers are left out, and stay while they answer", unlisted, inUse))
+		l.log(fmt.Sprintf("list: omits %d of %d servers in use, kept until they fail", unlisted, inUse))
 		l.emit(Action{Kind: SetTimer, Token: suspectTimer, At: maxSuspectTime})
 	}
 	for _, s := range l.servers {
@@ -284,15 +285,15 @@
 	}
 }
 
-// removeSuspected drops a suspected server: the list was right about it.
+// removeSuspected removes a suspected server, after the list has proved right about it.
 func (l *endpointList) removeSuspected(s *server) {
 	s.State = Removed
 	l.hasRemovedServers = true
 	l.emit(Action{Kind: RemoveServer, Server: s.ID})
 }
 
-// onSuspectTimer drops the servers that no list has named for suspectLimit, unless the list names none at
-// all: an empty list is never meant.
+// onSuspectTimer removes the servers that no list has named for maxSuspectTime. It keeps them if the last
+// list was empty, as an empty list is never intended.
 func (l *endpointList) onSuspectTimer() {
 	for _, s := range l.servers {
 		if s.suspectedSince > 0 && l.now-s.suspectedSince >= maxSuspectTime && !l.lastListEmpty {
@@ -301,7 +302,7 @@
 	}
 }
 
-// updateStaleness follows whether the list is stale.
+// updateStaleness recomputes whether the list is stale, and logs each change.
 func (l *endpointList) updateStaleness() {
 	stale := l.cfg.StaleAfter > 0 && l.now-l.lastContact > l.cfg.StaleAfter
 	if stale != l.stale {
--- a/balance/list_entries.go
+++ b/balance/list_entries.go
@@ -3,7 +3,7 @@
 import "math"
 
 // normalizeEntries returns one entry for each server, and at most one ready server for each address, so that
-// a bad entry never costs the list. A server without an address cannot be called and counts as draining.
+// an invalid entry does not invalidate the list. A server without a valid address counts as draining.
 func (l *endpointList) normalizeEntries(servers []Server) []Server {
 	entries := make([]Server, 0, len(servers))
 	index := make(map[ServerID]int, len(servers))
@@ -27,35 +27,35 @@
 	return entries
 }
 
-// supersedes reports whether an entry counts in place of another one with the same ID: if it is further on its
-// way out (Gone before Draining before Ready), or else started later.
+// supersedes reports whether an entry replaces another one with the same ID. It does if its state is further
+// (Removed after Draining after Ready), or if the state is the same and it started later.
 func (l *endpointList) supersedes(entry, other *Server) bool {
 	return entry.State > other.State || entry.State == other.State && l.startTime(entry) > l.startTime(other)
 }
 
-// separateAddresses leaves one ready server for each address: the one that started last. The others count as
-// draining until they have an address of their own.
+// separateAddresses keeps one ready server for each address: the one that started last. The others count as
+// draining until they have their own address.
 func (l *endpointList) separateAddresses(entries []Server) {
-	holders := make(map[uint64]int, len(entries))
+	ready := make(map[uint64]int, len(entries))
 	for i := range entries {
 		s := &entries[i]
 		if s.State != Ready || s.AddressKey == 0 {
 			continue
 		}
-		j, held := holders[s.AddressKey]
+		j, taken := ready[s.AddressKey]
 		switch other := &entries[max(j, 0)]; {
-		case !held:
-			holders[s.AddressKey] = i
+		case !taken:
+			ready[s.AddressKey] = i
 		case l.startTime(s) > l.startTime(other) || l.startTime(s) == l.startTime(other) && s.ID < other.ID:
-			other.State, holders[s.AddressKey] = Draining, i
+			other.State, ready[s.AddressKey] = Draining, i
 		default:
 			s.State = Draining
 		}
 	}
 }
 
-// startTime returns the start by which an entry is compared with others: as the list has it, or on the
-// balancer's own clock once a step of the wall clock was noticed.
+// startTime returns the start time by which an entry is compared with others: as listed, or converted to the
+// balancer's own clock once a step of the wall clock was reported.
 func (l *endpointList) startTime(entry *Server) milliseconds {
 	if !l.clock.hasOffsets() {
 		return entry.StartedAt
@@ -66,9 +66,9 @@
 	return l.clock.latestStart(entry.StartedAt)
 }
 
-// applyRemovals applies what a list that was not accepted says of servers that drain or are gone, unless they
-// have started again since. A server never comes back from the end of a start, so this holds however old the
-// list is.
+// applyRemovals applies the entries of a rejected list that name a server as draining or removed, unless the
+// server has restarted since. A process that drains or has ended never becomes ready again, so such an entry
+// is valid however old the list is.
 func (l *endpointList) applyRemovals(entries []Server) {
 	for i := range entries {
 		e := &entries[i]
--- a/balance/list_services.go
+++ b/balance/list_services.go
@@ -1,8 +1,9 @@
 package balance
 
-// This file decides which list service is watched, and when a service is called again. The nearest service is
-// watched. Another one is checked now and then: that the changes of a watch have stopped shows in nothing
-// else, and the watch returns to a nearer service only once that is found not to be behind.
+// This file decides which list service is watched, and when a service is called again. The services are
+// ordered by preference, and the first one is watched. From time to time the list of another service is
+// fetched as a check. Only a check reveals that a watch has stalled, and the watch returns to a preferred
+// service only after checks that found it up to date.
 
 import (
 	"fmt"
@@ -10,18 +11,18 @@
 )
 
 const (
-	checkInterval    milliseconds = 15_000 // between two checks of another list service, with jitter
-	stalledWatchTime milliseconds = 2000   // within which a watch must bring what a check has found
-	minPollBackoff   milliseconds = 500    // before a failed list call is made again
+	checkInterval    milliseconds = 15_000 // mean time between two checks of another list service
+	stalledWatchTime milliseconds = 2000   // time for a watch to deliver a revision found in a check
+	minPollBackoff   milliseconds = 500    // before the first retry of a failed list call
 )
 
 const (
-	maxBackoffDoublings     = 4 // of minPollBackoff
-	maxBusyBackoffDoublings = 6 // ... if the service rejects calls
-	checksToSwitchBack      = 2 // in a row before the watch returns to a nearer service
+	maxBackoffDoublings     = 4 // limit for the doubling of minPollBackoff
+	maxBusyBackoffDoublings = 6 // the same for a service that rejects calls
+	checksToSwitchBack      = 2 // consecutive up-to-date checks of a preferred service before the switch
 )
 
-// start begins to watch the nearest service.
+// start starts to watch the first service.
 func (l *endpointList) start() {
 	l.lastContact = l.now
 	if l.cfg.Subscribe {
@@ -36,7 +37,7 @@
 }
 
 func (l *endpointList) switchWatch(source int, reason string) {
-	l.log(fmt.Sprintf("list: watch moved from service %d to %d: %s", l.source, source, reason))
+	l.log(fmt.Sprintf("list: watch switched from service %d to %d: %s", l.source, source, reason))
 	l.source, l.upToDateChecks, l.newestFetchedRev, l.confirmedAt = source, 0, 0, math.Inf(-1)
 	l.watch()
 }
@@ -56,8 +57,8 @@
 	l.emit(Action{Kind: SetTimer, Token: serviceCheckTimer, At: checkInterval * (0.5 + l.random())})
 }
 
-// checkService fetches the list of another service: of the nearest one, or if that is watched, of a random
-// one.
+// checkService fetches the list of another service: of the first one, or of a random one if the first is
+// watched.
 func (l *endpointList) checkService() {
 	l.checkScheduled = false
 	if l.cfg.ListServices <= 1 {
@@ -71,7 +72,7 @@
 	l.scheduleCheck()
 }
 
-// compareServices compares the list of the service watched with those found at checks.
+// compareServices compares the revision of the watched service with the revisions found in checks.
 func (l *endpointList) compareServices(ev *ServerList) {
 	if !ev.FromFetch {
 		l.watchRev = max(l.watchRev, ev.Rev)
@@ -88,20 +89,21 @@
 		l.upToDateChecks = 0
 	}
 	if l.upToDateChecks >= checksToSwitchBack {
-		l.switchWatch(ev.Source, "the nearer service is not behind")
+		l.switchWatch(ev.Source, "the preferred service is up to date")
 	}
 }
 
-// onStalledWatchTimer leaves a watch that has still not brought what a check of another service found.
+// onStalledWatchTimer ends a watch that has still not delivered the revision found in a check of another
+// service, and watches that service.
 func (l *endpointList) onStalledWatchTimer() {
 	if l.newestFetchedRev > l.watchRev {
-		l.switchWatch(l.newestFetchedSource, "no changes came from it")
+		l.switchWatch(l.newestFetchedSource, "the watch delivered no changes")
 	}
 }
 
-// scheduleRetry calls the next service after a backoff with jitter, which grows once each service was called. A
-// service that rejects calls has too many callers: the backoff grows faster then, up to three times
-// PollInterval. Config.MaxPollBackoff bounds all backoffs.
+// scheduleRetry schedules a call of the next service, after a backoff with jitter that grows each time all
+// services have failed. A service that rejects calls has too many callers: then the backoff grows faster, up
+// to three times PollInterval. Config.MaxPollBackoff limits all backoffs.
 func (l *endpointList) scheduleRetry(ev *ServerList) {
 	services := max(l.cfg.ListServices, 1)
 	round := l.failedPolls / services
@@ -112,7 +114,7 @@
 		maxBackoff = 3 * l.cfg.PollInterval
 	}
 	if ev.RetryAfter > 0 {
-		backoff = 2 * ev.RetryAfter // with jitter at least RetryAfter
+		backoff = 2 * ev.RetryAfter // the jitter halves it at most, so that it is at least RetryAfter
 	}
 	for _, limit := range []milliseconds{maxBackoff, l.cfg.MaxPollBackoff} {
 		if limit > 0 {
--- a/balance/request.go
+++ b/balance/request.go
@@ -2,21 +2,21 @@
 
 import "slices"
 
-// requestState says how far a request is.
+// requestState is the state of a request.
 type requestState uint8
 
 const (
-	requestQueued     requestState = iota // no attempt is in flight
-	requestAttempting                     // an attempt is in flight
-	requestResponding                     // its streamed answer has started: the client owns the attempt
-	requestDone                           // it has its final answer, or its client is gone
+	requestQueued     requestState = iota // no attempt in flight
+	requestAttempting                     // at least one attempt in flight
+	requestResponding                     // the streamed response has started: the client controls the attempt
+	requestDone                           // the final response was sent, or the client disconnected
 )
 
 func (s requestState) String() string {
 	return [...]string{"queued", "attempting", "answering", "answered"}[s]
 }
 
-// requestTransitions are the states that may follow each state.
+// requestTransitions lists the permitted next states of each state.
 var requestTransitions = [...][]requestState{
 	requestQueued:     {requestAttempting, requestDone},
 	requestAttempting: {requestQueued, requestResponding, requestDone},
@@ -24,7 +24,7 @@
 	requestDone:       {},
 }
 
-// transitionTo moves the request to a state, if that may follow the present one, and reports whether it does.
+// transitionTo sets the next state if the transition is permitted, and reports whether it is.
 func (r *request) transitionTo(next requestState) bool {
 	if !slices.Contains(requestTransitions[r.state], next) {
 		return false
@@ -33,21 +33,21 @@
 	return true
 }
 
-// attemptState says how far an attempt is.
+// attemptState is the state of an attempt.
 type attemptState uint8
 
 const (
-	attemptSent       attemptState = iota // it is at the server, or on its way there
-	attemptConnecting                     // it waits for a new connection
-	attemptResponding                     // its streamed answer has started
-	attemptEnded                          // its Outcome has come
+	attemptSent       attemptState = iota // sent to the server, or being sent
+	attemptConnecting                     // waiting for a new connection
+	attemptResponding                     // the streamed response has started
+	attemptEnded                          // the Outcome has been received
 )
 
 func (s attemptState) String() string {
 	return [...]string{"sent", "connecting", "answering", "ended"}[s]
 }
 
-// attemptTransitions are the states that may follow each state.
+// attemptTransitions lists the permitted next states of each state.
 var attemptTransitions = [...][]attemptState{
 	attemptSent:       {attemptConnecting, attemptResponding, attemptEnded},
 	attemptConnecting: {attemptSent, attemptResponding, attemptEnded},
@@ -55,7 +55,7 @@
 	attemptEnded:      {},
 }
 
-// transitionTo moves the attempt to a state, if that may follow the present one, and reports whether it does.
+// transitionTo sets the next state if the transition is permitted, and reports whether it is.
 func (a *attempt) transitionTo(next attemptState) bool {
 	if !slices.Contains(attemptTransitions[a.state], next) {
 		return false
@@ -64,24 +64,24 @@
 	return true
 }
 
-// attempt is one send of a request to a server.
+// attempt is one attempt to send a request to a server.
 type attempt struct {
 	server          *server
-	sentAt          milliseconds // when its time began; +Inf while the request's body is still coming
+	sentAt          milliseconds // start of the attempt; +Inf while the request body is still arriving
 	state           attemptState
-	neverRan        bool // proved not to have been executed
-	uncounted       bool // it counts as no attempt of its request
-	overdue         bool // it took so long that it counts as an error of its server
-	inLoad          bool // it counts in the load in flight
-	endsAtObjective bool // it is given up at the latency objective
-	zoneTrial       bool // it is one of the few requests to a zone that is being tried
-
-	budget        *CanaryBudget // that it has a unit reserved of; nil: none
-	lateIsFailure bool          // an answer after the objective is a failure of its canary
-	lateForCanary bool          // its answer started too late for its canary, or never
+	neverRan        bool // the result proved that the server did not execute the request
+	uncounted       bool // not counted in the number of attempts of the request
+	overdue         bool // took so long that it was counted as an error of the server
+	inLoad          bool // counted in the load in flight
+	endsAtObjective bool // cancelled at the latency objective
+	zoneTrial       bool // one of the few requests to a zone on trial
+
+	budget        *CanaryBudget // canary budget with a unit reserved for the attempt; nil: none
+	lateIsFailure bool          // a response after the latency objective is a failure of the canary
+	lateForCanary bool          // the response was missing or late in a way that the canary is charged for
 }
 
-// request is a client's request without its final answer, or one with attempts that have not ended.
+// request is a client's request that has no final response yet or has attempts in flight.
 type request struct {
 	Request
 	class  *Class
@@ -89,30 +89,30 @@
 	tenant *requestCounts
 	state  requestState
 
-	arrivedAt milliseconds // when its time began; +Inf while its body is still coming
-	deadline  milliseconds // when the client gives it up
-	wakeAt    milliseconds // when its next timer comes
-	retryAt   milliseconds // nothing is sent before it; 0: at any time
+	arrivedAt milliseconds // start of the request's time; +Inf while the body is still arriving
+	deadline  milliseconds // the client's deadline
+	wakeAt    milliseconds // time of the next timer
+	retryAt   milliseconds // no attempt is sent earlier; 0: no such limit
 
 	attempts        []attempt
-	liveAttempts    int   // those that have not ended
-	revokedAttempts uint8 // attempts that count as none, as their route was revoked
-	localFailures   uint8 // attempts that count as none, as this machine could not send them
-	bodyConsumed    bool  // it cannot be sent again
+	liveAttempts    int   // attempts in flight
+	revokedAttempts uint8 // attempts that are not counted because their route was revoked
+	localFailures   uint8 // attempts that are not counted because this machine could not send them
+	bodyConsumed    bool  // the body was consumed, so the request cannot be sent again
 
-	healthChecked     []*server    // health-checked before the first attempt
-	healthChecksUntil milliseconds // until when the first attempt waits for the health checks
+	healthChecked     []*server    // servers that are health-checked before the first attempt
+	healthChecksUntil milliseconds // the first attempt waits for the health checks until then
 
 	hasCanaryPosition bool
-	canaryPosition    float64 // in [0, 1): below the canary fraction of its route it prefers the canary
+	canaryPosition    float64 // in [0, 1); the request prefers the canary if it is below the canary fraction
 }
 
-// countedAttempts is how many attempts count.
+// countedAttempts returns the number of attempts that count towards Config.MaxAttempts.
 func (r *request) countedAttempts() int {
 	return len(r.attempts) - int(r.revokedAttempts) - int(r.localFailures)
 }
 
-// liveAttempt returns an attempt by its number, nil if it does not exist or has ended.
+// liveAttempt returns the attempt with this number, or nil if it does not exist or has ended.
 func (r *request) liveAttempt(number int) *attempt {
 	if number >= len(r.attempts) || r.attempts[number].state == attemptEnded {
 		return nil
@@ -120,12 +120,12 @@
 	return &r.attempts[number]
 }
 
-// resetDeadline lets the time of a request begin now.
+// resetDeadline restarts the time of the request.
 func (r *request) resetDeadline(now, remaining milliseconds) {
 	r.arrivedAt, r.deadline = now, now+remaining
 }
 
-// endAttempt notes that an attempt has ended.
+// endAttempt records that an attempt has ended.
 func (r *request) endAttempt(a *attempt) {
 	a.transitionTo(attemptEnded)
 	r.liveAttempts--
@@ -134,7 +134,7 @@
 	}
 }
 
-// endZoneTrial ends an attempt's part in the trial of its zone: it has ended, or its answer has started.
+// endZoneTrial removes an attempt from the trial of its zone, when it has ended or its response has started.
 func (a *attempt) endZoneTrial() {
 	if a.zoneTrial {
 		a.zoneTrial = false
--- a/balance/request_events.go
+++ b/balance/request_events.go
@@ -1,7 +1,7 @@
 package balance
 
-// This file keeps count of requests and attempts as events tell of them. It takes no decisions: each event goes to the
-// decisions that need it.
+// This file tracks requests and attempts from the events about them. It takes no decisions: it passes each event to the
+// components that do.
 
 import (
 	"fmt"
@@ -10,7 +10,7 @@
 	"slices"
 )
 
-// pollsPerObjective is how often within its latency objective a request that has found no server looks for one.
+// pollsPerObjective is how many times per latency objective a request without a usable server looks for one again.
 const pollsPerObjective = 20
 
 func (b *Balancer) onRequest(ev Request) error {
@@ -29,7 +29,7 @@
 		b.outliers.forgetErrors()
 	}
 	admitted := !b.shuttingDown && b.admission.admit(r)
-	b.demand.recordArrival(r) // after admit: else its own class would seem to be served a little worse
+	b.demand.recordArrival(r) // after admit, so that the request does not make its own class look worse served
 	if !admitted {
 		b.rejectOrFail(r, b.retry.retryAfter(r))
 		return nil
@@ -39,7 +39,8 @@
 	return nil
 }
 
-// onBodyComplete starts the time of a request and of its attempts: the server has the complete request only now.
+// onBodyComplete starts the time of a request and of its attempts, as the server has received the complete request only
+// now.
 func (b *Balancer) onBodyComplete(ev BodyComplete) {
 	r := b.requests[ev.Request]
 	if r == nil || r.state == requestDone || !r.BodyStreaming {
@@ -56,7 +57,7 @@
 	b.advance(r)
 }
 
-// onConnecting keeps an attempt out of the load while it waits for a connection: it is no work for the server.
+// onConnecting removes an attempt from the load while it waits for a connection, as it is no work for the server.
 func (b *Balancer) onConnecting(ev Connecting) {
 	r := b.requests[ev.Request]
 	if r == nil {
@@ -74,8 +75,8 @@
 	}
 }
 
-// onResponseStarted ends the balancer's part in a request: the client owns the answer now, without deadline or retry.
-// The server has done its work; how long the rest takes depends on the client, too.
+// onResponseStarted stops the supervision of a request: the client controls the streamed response, which has neither
+// deadline nor retry. The attempt no longer counts as load, as the rest of its time depends on the client, too.
 func (b *Balancer) onResponseStarted(ev ResponseStarted) {
 	r := b.requests[ev.Request]
 	if r == nil || r.state == requestDone || r.state == requestResponding {
@@ -89,9 +90,9 @@
 	b.cancelOthers(r, ev.Attempt)
 	a.server.inFlight--
 	b.admission.endLoad(r, a)
-	answer := Outcome{Result: OK, Elapsed: ev.Elapsed}
-	b.recordResponse(r, a, answer)
-	a.lateForCanary = a.spendsUnit(r, answer)
+	outcome := Outcome{Result: OK, Elapsed: ev.Elapsed}
+	b.recordResponse(r, a, outcome)
+	a.lateForCanary = a.spendsUnit(r, outcome)
 	a.transitionTo(attemptResponding)
 	a.endZoneTrial()
 }
@@ -105,11 +106,11 @@
 	if a == nil {
 		return &EventError{
 			Event: "Outcome", Field: "Attempt", Value: ev.Attempt,
-			Reason: fmt.Sprintf("which is not in flight for request %d", ev.Request),
+			Reason: fmt.Sprintf("which is not an attempt in flight of request %d", ev.Request),
 		}
 	}
-	answerStarted := a.state == attemptResponding
-	if ev.RouteRevoked && !answerStarted {
+	responseStarted := a.state == attemptResponding
+	if ev.RouteRevoked && !responseStarted {
 		ev.Result = NotSent
 		r.uncountRevoked(a)
 	}
@@ -120,17 +121,17 @@
 	a.neverRan = ev.Result.NeverRan()
 	r.endAttempt(a)
 	r.bodyConsumed = r.bodyConsumed || ev.BodyConsumed
-	if r.BodyStreaming { // a next attempt has all of its time
+	if r.BodyStreaming { // the next attempt gets the full time
 		r.resetDeadline(b.now, r.Remaining)
 	}
-	if !answerStarted {
+	if !responseStarted {
 		a.server.inFlight--
 		if ev.Result == Cancelled {
 			b.admission.recordAbandoned(r, a)
 		}
 		b.admission.endLoad(r, a)
 	}
-	b.recordOutcome(r, a, ev, answerStarted)
+	b.recordOutcome(r, a, ev, responseStarted)
 	a.endZoneTrial()
 	if r.state == requestDone || r.state == requestResponding || ev.Finished {
 		b.closeRequest(r)
@@ -139,24 +140,24 @@
 	return nil
 }
 
-// recordOutcome passes the end of an attempt on to the decisions that learn from it.
-func (b *Balancer) recordOutcome(r *request, a *attempt, ev Outcome, answerStarted bool) {
+// recordOutcome passes the end of an attempt to the components that learn from it.
+func (b *Balancer) recordOutcome(r *request, a *attempt, ev Outcome, responseStarted bool) {
 	switch {
-	case ev.Result == Cancelled || ev.Result == NotSent || ev.Result == LocalFailure: // nothing about the server
-	case ev.Result == OK && !answerStarted:
+	case ev.Result == Cancelled || ev.Result == NotSent || ev.Result == LocalFailure: // says nothing about the server
+	case ev.Result == OK && !responseStarted:
 		b.recordResponse(r, a, ev)
-	case ev.Result == OK: // recorded when the answer started
-	case answerStarted: // the answer broke off
+	case ev.Result == OK: // recorded at the start of the response
+	case responseStarted: // the response ended prematurely
 		b.outliers.recordFailure(a.server, false, partialEvidence)
 	default:
 		b.outliers.recordFailedAttempt(r, a, ev)
 	}
 }
 
-// recordResponse passes a good answer on to the decisions that learn from it.
+// recordResponse passes a successful response to the components that learn from it.
 func (b *Balancer) recordResponse(r *request, a *attempt, ev Outcome) {
 	s, latency := a.server, ev.Elapsed/r.class.LatencyObjective
-	if s.processDown && !b.slowStart.warmingUp(s) { // a restart that is not listed yet
+	if s.processDown && !b.slowStart.warmingUp(s) { // a restart that the list does not show yet
 		b.slowStart.begin(s, b.now)
 	}
 	s.pardon()
@@ -181,7 +182,7 @@
 	}
 }
 
-// onShutdown answers all requests without a final answer: this process will not see their outcomes.
+// onShutdown rejects or fails all requests without a final response, as this process will not see their outcomes.
 func (b *Balancer) onShutdown() {
 	b.shuttingDown = true
 	for _, id := range slices.Sorted(maps.Keys(b.requests)) {
@@ -192,7 +193,7 @@
 	}
 }
 
-// advance takes the next step for a request: an attempt, its final answer, or a wait.
+// advance takes the next step for a request: an attempt, its final response, or a wait.
 func (b *Balancer) advance(r *request) {
 	if r.state == requestResponding || r.state == requestDone {
 		return
@@ -210,7 +211,7 @@
 	b.setWakeTimer(r)
 }
 
-// pick returns the server for an attempt of a request, nil if there is none now.
+// pick returns the server for an attempt of a request, or nil if no server is usable now.
 func (b *Balancer) pick(r *request, retry bool) *server {
 	firstTier := 0
 	if !retry {
@@ -222,7 +223,7 @@
 	return b.picker.pick(r, retry, firstTier)
 }
 
-// send makes an attempt and counts it. While the body is still coming neither its time nor its load counts.
+// send starts an attempt. While the request body is still arriving, the attempt has no deadline and adds no load.
 func (b *Balancer) send(r *request, s *server) {
 	s.tokens--
 	s.inFlight++
@@ -243,18 +244,18 @@
 	}
 	r.attempts = append(r.attempts, a)
 	r.transitionTo(requestAttempting)
-	act := Action{
+	action := Action{
 		Kind: Send, Request: r.ID, Server: s.ID,
 		RoutesRev: route.rev, CanaryID: route.canaryID, ToCanary: route.toCanary,
 	}
 	if a.endsAtObjective {
-		act.At = r.arrivedAt + r.class.LatencyObjective
+		action.At = r.arrivedAt + r.class.LatencyObjective
 	}
-	b.emit(act)
+	b.emit(action)
 }
 
-// checkAttempts looks for attempts that are overdue. It takes off the load those that have had their latency
-// objective, and those that hang at an ejected server. It returns when to check again.
+// checkAttempts marks overdue attempts. It removes from the load the attempts whose latency objective has passed and
+// the overdue attempts at ejected servers. It returns the time of the next check.
 func (b *Balancer) checkAttempts(r *request) (next milliseconds) {
 	next = r.deadline
 	for i := range r.attempts {
@@ -276,7 +277,7 @@
 	return next
 }
 
-// setWakeTimer sets the timer for the next time at which something may be due for a request.
+// setWakeTimer sets the timer of a request for its next check or step.
 func (b *Balancer) setWakeTimer(r *request) {
 	next := b.checkAttempts(r)
 	if hold := math.Max(r.healthChecksUntil, r.retryAt); hold > b.now {
@@ -290,19 +291,19 @@
 	}
 }
 
-// rejectOrFail ends a request without a server's rejectOrFail: rejected where a retry does no harm, else failed. A client that is
-// rejected may return after retryAfter; 0: at once.
+// rejectOrFail ends a request without a response of a server. The request is rejected if a retry is harmless, else it
+// fails. A rejected client may retry after retryAfter; 0: at once.
 func (b *Balancer) rejectOrFail(r *request, retryAfter milliseconds) {
-	act := Action{Kind: Fail, Request: r.ID}
+	action := Action{Kind: Fail, Request: r.ID}
 	if r.clientMayRetry() {
-		act.Kind, act.At = Reject, retryAfter
+		action.Kind, action.At = Reject, retryAfter
 	}
-	b.emit(act)
+	b.emit(action)
 	b.canary.recordLateAttempts(r)
 	b.closeRequest(r)
 }
 
-// closeRequest marks a request as answered and gives up its attempts in flight.
+// closeRequest marks a request as done and cancels its attempts in flight.
 func (b *Balancer) closeRequest(r *request) {
 	r.transitionTo(requestDone)
 	b.cancelOthers(r, -1)
@@ -311,7 +312,7 @@
 	}
 }
 
-// cancelOthers gives up the attempts of a request that are in flight, except one; -1: all.
+// cancelOthers cancels all attempts in flight of a request but one; except -1 cancels all.
 func (b *Balancer) cancelOthers(r *request, except int) {
 	for i := range r.attempts {
 		if r.attempts[i].state != attemptEnded && i != except && b.cfg.Cancel {
--- a/balance/route_state.go
+++ b/balance/route_state.go
@@ -6,30 +6,30 @@
 	"slices"
 )
 
-// tenantRoute is a route with what this process keeps for it.
+// tenantRoute is a route with the state that this process keeps for it.
 type tenantRoute struct {
 	Route
-	slot         int           // of its placement in each server
-	lastPosition float64       // drawn last without a key
+	slot         int           // index of its placement in server.placements
+	lastPosition float64       // canary position of the last request without a key
 	budget       *CanaryBudget // nil: attempts need no unit
 }
 
-// routePlacement is a server's place in a route, by side.
+// routePlacement is the state of a server in a route, by side.
 type routePlacement struct {
 	group         [sides]uint8
-	currentWeight [sides]float64 // SWRR running value
+	currentWeight [sides]float64 // SWRR value
 }
 
-// attemptRoute is what an attempt acts on; see Action.
+// attemptRoute is the route of an attempt; see Action.
 type attemptRoute struct {
 	rev           int64
 	canaryID      uint64
 	toCanary      bool
 	lateIsFailure bool
-	budget        *CanaryBudget // that a unit is reserved from; nil: none is
+	budget        *CanaryBudget // canary budget with a unit reserved for the attempt; nil: none
 }
 
-// onRoutes puts routes in place of those before.
+// onRoutes replaces the routes.
 func (c *canaryRouter) onRoutes(ev Routes) error {
 	if err := ev.check(&c.cfg); err != nil {
 		return err
@@ -42,9 +42,9 @@
 	for i := range ev.List {
 		route := &tenantRoute{Route: ev.List[i].clone(), slot: i}
 		route.lastPosition = c.randomFor(route.ID, 0)
-		for _, before := range old {
-			if before != nil && before.ID == route.ID {
-				route.lastPosition = before.lastPosition
+		for _, previous := range old {
+			if previous != nil && previous.ID == route.ID {
+				route.lastPosition = previous.lastPosition
 			}
 		}
 		if route.ID != 0 && route.Budgeted {
@@ -74,15 +74,15 @@
 	return nil
 }
 
-// onServersChanged places servers in the routes after a change of the endpoint list.
+// onServersChanged recomputes the placements of the servers after a change of the endpoint list.
 func (c *canaryRouter) onServersChanged() {
 	if c.routes != nil {
 		c.placeServers(c.routes)
 	}
 }
 
-// placeServers sets the place of each server in each route, after the routes or the servers have changed. Where a
-// tenant had a route before, the running values stay.
+// placeServers recomputes the placement of each server in each route, after the routes or the servers have changed. The
+// SWRR values are kept if the tenant had a route before.
 func (c *canaryRouter) placeServers(old []*tenantRoute) {
 	slots := 0
 	for _, route := range c.routes {
@@ -91,7 +91,7 @@
 		}
 	}
 	for _, s := range c.servers {
-		before := s.placements
+		previous := s.placements
 		s.placements = nil
 		if slots == 0 {
 			continue
@@ -103,8 +103,8 @@
 			}
 			placement := &s.placements[route.slot]
 			placement.group = route.groupsOf(&s.Server)
-			if i < len(old) && old[i] != nil && old[i].slot < len(before) {
-				placement.currentWeight = before[old[i].slot].currentWeight
+			if i < len(old) && old[i] != nil && old[i].slot < len(previous) {
+				placement.currentWeight = previous[old[i].slot].currentWeight
 				continue
 			}
 			for side := range placement.currentWeight {
@@ -114,7 +114,7 @@
 	}
 }
 
-// storeCurrentWeights keeps the running values that a pick has left for the side of a route.
+// storeCurrentWeights stores the SWRR values after a pick for a side of a route.
 func (c *canaryRouter) storeCurrentWeights(route *tenantRoute, side int) {
 	for _, s := range c.servers {
 		if !s.outsideGroup {
@@ -136,16 +136,16 @@
 		}
 		switch {
 		case tenants[route.Tenant]:
-			return routeError(path+"Tenant", route.Tenant, "which has a route already")
+			return routeError(path+"Tenant", route.Tenant, "which already has a route")
 		case route.ID != 0 && ids[route.ID]:
-			return routeError(path+"ID", route.ID, "which is another route's already")
+			return routeError(path+"ID", route.ID, "which another route already has")
 		}
 		tenants[route.Tenant], ids[route.ID] = true, true
 	}
 	return nil
 }
 
-// check returns an error for the first field of a route that is invalid by itself.
+// check returns an error for the first invalid field of a route, without regard to other routes.
 func (r *Route) check(path string, cfg *Config) error {
 	if r.Tenant < -1 || r.Tenant >= len(cfg.Tenants) {
 		return routeError(path+"Tenant", r.Tenant, fmt.Sprintf("there are %d", len(cfg.Tenants)))
@@ -167,17 +167,17 @@
 }
 
 func (r *Route) clone() Route {
-	out := *r
-	out.Classes = slices.Clone(r.Classes)
-	for _, s := range []*Subset{&out.Base, &out.Canary} {
+	c := *r
+	c.Classes = slices.Clone(r.Classes)
+	for _, s := range []*Subset{&c.Base, &c.Canary} {
 		s.Kinds, s.Cells, s.Zones = slices.Clone(s.Kinds), slices.Clone(s.Cells), slices.Clone(s.Zones)
 		s.IDs = slices.Clone(s.IDs)
 		slices.Sort(s.IDs)
 	}
-	return out
+	return c
 }
 
-// contains reports whether a server is in the subset; IDs are sorted.
+// contains reports whether a server is in the subset. The IDs must be sorted.
 func (u *Subset) contains(s *Server) bool {
 	matches := func(list []int, v int) bool { return len(list) == 0 || slices.Contains(list, v) }
 	if !matches(u.Kinds, s.Kind) || !matches(u.Cells, s.Cell) || !matches(u.Zones, s.Zone) {
--- a/balance/routes.go
+++ b/balance/routes.go
@@ -1,18 +1,18 @@
 package balance
 
-// This file decides which servers a tenant's requests prefer, and when an attempt may go to a canary:
-// docs/routes.md. What it remembers is in route_state.go.
+// This file decides which servers the requests of a tenant prefer, and when an attempt may go to a canary:
+// see docs/routes.md. The state of the routes is in route_state.go.
 //
-// Canary fraction. A position in [0, 1) is drawn once for a request, and those below the fraction prefer the
-// canary: a fraction that grows moves no request back. With a key all sidecars draw the same position, so the
-// fraction is as exact as there are many keys. Without a key a process goes through its positions by the
-// golden ratio from a random start: over S processes with n requests each, up to a thousand, the fraction
-// that results has a standard error of at most 1 / (n √S); with 300 processes and ten requests each that is
-// 0.6 % of all requests.
+// Canary fraction. Each request has one position in [0, 1) and prefers the canary if the position is below
+// the fraction, so a growing fraction moves no request back to the base. All sidecars compute the same
+// position from a key, so the error of the fraction depends only on the number of keys. For requests without
+// a key, a process steps through positions by the golden ratio from a random start. Over S processes with n
+// requests each, n up to a thousand, the resulting fraction has a standard error of at most 1 / (n √S). With
+// 300 processes and ten requests each that is 0.6 % of all requests.
 //
-// Budget. An attempt that counts for the canary has a unit reserved, so failures never exceed what was
-// granted, and a process without units sends no such attempt. The canary's servers are also the last resort
-// of all other requests; such an attempt does not count for the canary and costs no unit.
+// Budget. An attempt that counts for the canary reserves a unit, so failures never exceed the units granted,
+// and a process without units sends no such attempt. The servers of the canary are also the last resort of
+// all other requests. Such an attempt does not count for the canary and needs no unit.
 
 import (
 	"math"
@@ -20,34 +20,35 @@
 )
 
 const (
-	goldenRatio            = 0.6180339887498949 // step whose multiples cover [0, 1) most evenly
-	maxRevokedAttempts     = 3                  // attempts of a request that count as none; more of them count
-	missedDeadlineFraction = 0.9                // of a client's time: a client that left later has waited in vain
+	goldenRatio            = 0.6180339887498949 // step whose multiples modulo 1 cover [0, 1) most evenly
+	maxRevokedAttempts     = 3                  // uncounted revoked attempts of a request; further ones count
+	missedDeadlineFraction = 0.9                // of the client's time, after which an attempt counts as late
 )
 
-// The sides of a request, and the groups of servers that are used for each, one after the other.
+// The sides of a route. A request prefers one side, and each side tries the groups of servers in its own
+// order.
 const (
 	baseSide = iota
 	canarySide
 	sides
 )
 
-// groupsPerSide is how many groupsPerSide of servers each side has.
+// groupsPerSide is the number of groups of servers on each side.
 const groupsPerSide = 3
 
-// canaryRouter decides which servers the requests of a tenant prefer, and holds the canary budgets.
+// canaryRouter decides which servers the requests of a tenant prefer, and keeps the canary budgets.
 type canaryRouter struct {
 	*shared
 	picker *picker
 
-	rev         int64          // of the routes
-	routes      []*tenantRoute // by tenant, from -1 on; nil: there are no routes
-	leaseUntil  milliseconds   // until when canaries may be acted on
+	rev         int64          // revision of the routes
+	routes      []*tenantRoute // indexed by tenant + 1; nil: there are no routes
+	leaseUntil  milliseconds   // end of the lease, which allows the use of canaries
 	budgets     canaryBudgets
-	nextAttempt attemptRoute // what the attempt of the last pick acts on
+	nextAttempt attemptRoute // route of the attempt of the last pick
 }
 
-// groupsOf returns the group of a server on each side.
+// groupsOf returns the index of a server's group on each side; the group with the index 0 is tried first.
 func (t *tenantRoute) groupsOf(s *Server) [sides]uint8 {
 	canary := t.ID != 0 && t.Canary.contains(s)
 	switch {
@@ -59,7 +60,7 @@
 	return [sides]uint8{1, 2}
 }
 
-// routeOf returns the route of a request, nil if it has none.
+// routeOf returns the route of a request, or nil if it has none.
 func (c *canaryRouter) routeOf(r *request) *tenantRoute {
 	if c.routes == nil {
 		return nil
@@ -70,8 +71,8 @@
 	return c.routes[0]
 }
 
-// prefersCanary reports whether a request prefers the canary by the newest routes and lease. Each pick
-// decides anew.
+// prefersCanary reports whether a request prefers the canary by the current routes and lease. It is evaluated
+// again for each pick.
 func (c *canaryRouter) prefersCanary(route *tenantRoute, r *request) bool {
 	if route.ID == 0 || c.now >= c.leaseUntil {
 		return false
@@ -103,11 +104,11 @@
 	request     *request
 	retry       bool
 	firstTier   int
-	totalWeight float64 // sum of weights of all groups so far
-	withEjected bool    // no other server is left
+	totalWeight float64 // sum of the weights of all groups tried so far
+	withEjected bool    // ejected servers are candidates, too, as no other server is left
 }
 
-// pick returns the server for an attempt of a request that has a route, nil if there is none now.
+// pick returns the server for an attempt of a request that has a route, or nil if no server is usable now.
 func (c *canaryRouter) pick(route *tenantRoute, r *request, retry bool, firstTier int) *server {
 	defer c.picker.saveRunning()()
 	p := routePick{tenantRoute: route, request: r, retry: retry, firstTier: firstTier}
@@ -121,7 +122,7 @@
 		toCanary, side = false, baseSide
 		s, _ = c.pickSide(&p, side)
 	}
-	if p.totalWeight == 0 { // all are ejected: the cause is hardly the canary's
+	if p.totalWeight == 0 { // all servers are ejected, so the canary is hardly the cause
 		side, p.withEjected = baseSide, true
 		s, _ = c.pickSide(&p, side)
 	}
@@ -138,16 +139,17 @@
 	return s
 }
 
-// takeNextAttempt returns what the attempt of the last pick acts on.
+// takeNextAttempt returns and clears the route of the attempt of the last pick.
 func (c *canaryRouter) takeNextAttempt() attemptRoute {
 	next := c.nextAttempt
 	c.nextAttempt = attemptRoute{}
 	return next
 }
 
-// pickSide goes through the groups of a side and takes the first that has a server for the request. A first
-// attempt passes over a group whose servers cannot take one more request, unless that is so in all groups. A
-// canary whose units were spent on failures gets requests of the base only if no other server is left.
+// pickSide tries the groups of a side in order and returns a server of the first group that has one for the
+// request, and the group. A first attempt skips a group whose servers cannot take one more request, unless
+// this holds for all groups. A canary whose units were spent on failures gets requests of the base only if no
+// other server is left.
 func (c *canaryRouter) pickSide(p *routePick, side int) (*server, int) {
 	for _, acceptFull := range [2]bool{p.retry, true} {
 		for group := range groupsPerSide {
@@ -163,7 +165,7 @@
 	return nil, groupsPerSide
 }
 
-// pickGroup picks within a group, with the running values of the side.
+// pickGroup picks a server of a group by the SWRR values of the side, and returns it with its level.
 func (c *canaryRouter) pickGroup(p *routePick, side int, group uint8) (*server, int) {
 	for _, s := range c.servers {
 		placement := &s.placements[p.slot]
@@ -174,9 +176,10 @@
 	return c.picker.chooseCandidate(p.request, p.retry, p.firstTier, total)
 }
 
-// spendsUnit reports whether the end of an attempt costs its unit; for a streamed answer it is decided at its
-// start. That the client left says nothing about the canary; that its time ran out does. An attempt that was
-// not sent costs nothing, but a canary that rejects or cannot be reached has failed.
+// spendsUnit reports whether the end of an attempt spends its unit. For a streamed response this is decided
+// at the start of the response. A disconnected client says nothing about the canary, but a request that
+// missed its deadline is a failure of the canary. An attempt that was not sent spends nothing, but a canary
+// that rejects an attempt or cannot be reached has failed.
 func (a *attempt) spendsUnit(r *request, ev Outcome) bool {
 	switch ev.Result {
 	case NotSent, LocalFailure:
@@ -190,7 +193,7 @@
 	return true
 }
 
-// settleBudget ends an attempt's use of its budget.
+// settleBudget spends or releases the unit that an attempt has reserved.
 func (a *attempt) settleBudget(r *request, ev Outcome) {
 	if a.budget != nil {
 		a.budget.Settle(a.spendsUnit(r, ev))
@@ -198,22 +201,23 @@
 	}
 }
 
-// recordLateAttempts marks the attempts in flight whose answer did not come in the client's time, or within the
-// objective where that counts. That the client has left, or is about to be answered, is no excuse for those.
+// recordLateAttempts marks the attempts in flight that got no response before the client's deadline, or
+// before the latency objective where a late response counts as a failure. These are failures of the canary
+// even if the client disconnects or its request is rejected.
 func (c *canaryRouter) recordLateAttempts(r *request) {
-	timeOver := c.now >= r.arrivedAt+missedDeadlineFraction*(r.deadline-r.arrivedAt)
+	missedDeadline := c.now >= r.arrivedAt+missedDeadlineFraction*(r.deadline-r.arrivedAt)
 	for i := range r.attempts {
 		a := &r.attempts[i]
 		if a.state == attemptEnded {
 			continue
 		}
 		late := a.lateIsFailure && a.state != attemptResponding && c.now > a.sentAt+r.class.LatencyObjective
-		a.lateForCanary = a.lateForCanary || timeOver || late
+		a.lateForCanary = a.lateForCanary || missedDeadline || late
 	}
 }
 
-// uncountRevoked takes an attempt out of the count whose route was revoked before it started. The bound keeps
-// a request from going on for ever where routes change faster than it is sent.
+// uncountRevoked excludes an attempt whose route was revoked before it was sent from the number of attempts.
+// The limit ends a request whose routes change faster than it can be sent.
 func (r *request) uncountRevoked(a *attempt) {
 	if r.revokedAttempts < maxRevokedAttempts {
 		r.revokedAttempts++
--- a/balance/status.go
+++ b/balance/status.go
@@ -5,11 +5,11 @@
 // ListStatus is the state of the server list, for monitoring.
 type ListStatus struct {
 	Rev       int64
-	Age       float64 // ms since a list service last said anything
-	Source    int     // the service watched, by preference
-	Suspected int     // servers in use that the last full list left out
-	Stale     bool    // outcomes count more than the list
-	Rejected  bool    // the lists that come are older than the one held
+	Age       float64 // ms since the last event from a list service
+	Source    int     // index of the watched list service, in order of preference
+	Suspected int     // servers that the last full list omitted and that are still in use
+	Stale     bool    // no list service has responded for Config.StaleAfter
+	Rejected  bool    // the received lists are rejected because they are older than the current one
 }
 
 // ListStatus returns the state of the server list.
@@ -26,10 +26,10 @@
 	return status
 }
 
-// ListRev returns the revision of the list held; 0: there is no list, or it has no revisions.
+// ListRev returns the revision of the current list; 0: there is no list, or it has no revisions.
 func (b *Balancer) ListRev() int64 { return b.list.rev }
 
-// UsableServer returns the entry of a server that requests may be sent to.
+// UsableServer returns the entry of a server, and false unless the server is listed as ready.
 func (b *Balancer) UsableServer(id ServerID) (Server, bool) {
 	if s := b.byID[id]; s != nil && s.State == Ready {
 		return s.Server, true
@@ -37,15 +37,15 @@
 	return Server{}, false
 }
 
-// FleetSize returns the estimated number of processes that share what the fleet allows together; 0: not known.
+// FleetSize returns the estimated number of processes that share the limits of the fleet; 0: unknown.
 func (b *Balancer) FleetSize() float64 { return b.slowStart.fleet.size }
 
 // ZoneStatus is the state of zones, for monitoring.
 type ZoneStatus struct {
-	Suspended int     // zones that get nothing, or are being tried
-	Spill     float64 // part of first attempts that begin beyond the own zone
-	FarSpill  float64 // part of first attempts that begin beyond the own region
-	Evidence  float64 // highest evidence against a zone
+	Suspended int     // zones that get no requests, or only the few of a trial
+	Spill     float64 // fraction of first attempts that skip the own zone
+	FarSpill  float64 // fraction of those attempts that also skip the own region
+	Evidence  float64 // highest failure evidence against any zone
 }
 
 // ZoneStatus returns the state of zones.
@@ -60,8 +60,8 @@
 	return status
 }
 
-// CountServers returns how many servers are listed, and how many of them get no requests now, as they drain or are
-// ejected.
+// CountServers returns the number of listed servers, and how many of them get no requests now because they are draining
+// or ejected.
 func (b *Balancer) CountServers(now float64) (listed, avoided int) {
 	b.now = now
 	for _, s := range b.servers {
@@ -72,6 +72,6 @@
 	return len(b.servers), avoided
 }
 
-// CanaryBudgets returns the newest state of the budgets of all canaries that need one or were granted units; of the
-// canaries whose route has ended, the last 64.
+// CanaryBudgets returns the budgets of all canaries that need one or were granted units. Of the canaries whose route
+// has ended, only the budgets of the last maxEndedBudgets are kept.
 func (b *Balancer) CanaryBudgets() []CanaryBudget { return b.canary.budgets.snapshot() }
--- a/balance/wallclock.go
+++ b/balance/wallclock.go
@@ -1,16 +1,16 @@
 package balance
 
-// This file converts the start of a server, which a list gives on the wall clock, to the balancer's own
-// clock, which is monotonic. The two agree until the wall clock is stepped (ClockStepped). From then on a
-// start is the latest time, not after now, at which a clock can have shown it whose offset is one that this
-// process's clock had: the clocks of other machines may be stepped earlier or later, or not at all. A warm
-// server that is taken for one that warms up costs little; a server that is taken for warm too early may fall
-// over.
+// This file converts the start time of a server, which a list gives on the wall clock, to the balancer's own
+// monotonic clock. The two clocks agree until the wall clock is stepped (ClockStepped). The clocks of other
+// machines may be stepped earlier, later or not at all. So after a step a start time may stand for several
+// times on the balancer's clock, one for each offset that this process has observed. The latest of them that
+// is not after now is used: it costs little to treat a warm server as warming up, but a server that is
+// treated as warm too early may be overloaded.
 //
-// Until a step is noticed, here or by an impossible start, starts are taken as the list has them.
+// Until a step is noticed, by an event or by an impossible start time, listed start times are used unchanged.
 //
-// Rejected alternative: to infer the offset of another machine's clock from the starts in the list.
-// A start gives an offset only if it is known when the server did start, and then no offset is needed.
+// Rejected alternative: to infer the offset of another machine's clock from the start times in the list. That
+// needs the true start time of a server, and with it no offset would be needed.
 
 import (
 	"fmt"
@@ -18,21 +18,21 @@
 	"slices"
 )
 
-const maxOffsets = 8 // offsets of the wall clock that are kept, the newest ones
+const maxOffsets = 8 // number of wall clock offsets kept, the newest ones
 
 const (
-	minOffsetChange milliseconds = 100    // offsets that differ by less are the same
-	maxListDelay    milliseconds = 60_000 // from a start to its listing; beyond it a clock was set back
+	minOffsetChange milliseconds = 100    // offsets that differ by less count as equal
+	maxListDelay    milliseconds = 60_000 // from a start to its listing; a longer one implies a clock step
 )
 
-// wallClock knows by how much the wall clock was ahead of the balancer's clock.
+// wallClock keeps the offsets of the wall clock from the balancer's clock.
 type wallClock struct {
 	*shared
-	offsets      []milliseconds // by which the wall clock was ahead, the newest last; nil: no step was noticed
-	stepDetected bool           // a step was noticed, or starts were listed that only a step explains
+	offsets      []milliseconds // wall clock minus balancer's clock, newest last; nil: no step
+	stepDetected bool           // a step was reported, or a listed start time implies one
 }
 
-// onClockStepped keeps the new offset beside those before it.
+// onClockStepped adds the new offset to the earlier ones.
 func (c *wallClock) onClockStepped(ev ClockStepped) {
 	if len(c.offsets) == 0 {
 		c.offsets = append(c.offsets, 0)
@@ -45,17 +45,15 @@
 		c.offsets = slices.Delete(c.offsets, 0, 1)
 	}
 	c.stepDetected = true
-	c.log(fmt.Sprintf(
-		"list: the wall clock was stepped, and is %.3f s ahead of this process's", ev.Offset/1000,
-	))
+	c.log(fmt.Sprintf("list: wall clock stepped: now %.3f s ahead of the monotonic clock", ev.Offset/1000))
 }
 
-// hasOffsets reports whether offsets of the wall clock are hasOffsets.
+// hasOffsets reports whether a step of the wall clock was reported, so that offsets are known.
 func (c *wallClock) hasOffsets() bool { return len(c.offsets) > 0 }
 
-// latestStart returns the latest time on the balancer's clock at which a server can have started whose start
-// on the wall clock is given. It is not after now, except for a start within futureSlack while no step has
-// been noticed. 0 stays 0, long ago.
+// latestStart returns the latest time on the balancer's clock at which a server with this start time on the
+// wall clock can have started. The result is not after now, except that a start time up to maxFutureStart
+// ahead is accepted until a step is noticed. 0 (long ago) stays 0.
 func (c *wallClock) latestStart(wall milliseconds) milliseconds {
 	if wall == 0 {
 		return 0
@@ -72,18 +70,19 @@
 			latest = math.Max(latest, start)
 		}
 	}
-	if math.IsInf(latest, -1) { // no known offset allows the start
+	if math.IsInf(latest, -1) { // the start time is in the future by every known offset
 		return c.now
 	}
 	return math.Min(latest, c.now)
 }
 
-// restarted reports whether an entry has another start than the server's known one, and since when the server
-// runs then. A smaller start is one after a step back of the clock if the list is a later one of the same
-// history, else it is of long ago. confirmedAt is when the list with the known start was last said to be the
-// newest: a server that was in it has started later.
+// restarted reports whether the start time of an entry shows that the server has restarted, and if so since
+// when the server has been running. A start time that is earlier than the known one is a restart after the
+// clock was set back, provided that the list is a later one of the same history; otherwise it is an old start
+// time. confirmedAt is when a service last confirmed the list with the known start time: a server in that
+// list has restarted after it.
 func (c *wallClock) restarted(s *server, entry *Server, confirmedAt milliseconds, sameHistory bool) (
-	since milliseconds, again bool,
+	since milliseconds, restarted bool,
 ) {
 	steppedBack := sameHistory && entry.StartedAt != 0 && entry.StartedAt < s.StartedAt
 	if !steppedBack && !(entry.StartedAt > s.StartedAt) {
