--- a/balance/digest_test.go
+++ b/balance/digest_test.go
@@ -11,8 +11,8 @@
 	"testing"
 )
 
-// wantDigest is the SHA-256 of all actions of TestActionDigest. It changes with each change of a decision, and with no
-// other one: a change that only rearranges code leaves it as it is.
+// wantDigest is the SHA-256 of all actions of TestActionDigest. It changes if and only if a decision changes, so a pure
+// refactoring keeps it.
 const wantDigest = "11be903de6e33704fcd380a0c12e45e67196b45b5921888b2bce5e44490d0362"
 
 // The digest covers digestRuns seeded runs of digestSteps events each.
@@ -21,7 +21,7 @@
 	digestSteps = 4000
 )
 
-// digestDriver feeds one balancer random events of every type, and hashes the actions that it returns.
+// digestDriver sends random events of every type to one balancer and hashes the returned actions.
 type digestDriver struct {
 	t            *testing.T
 	rnd          *rand.Rand
@@ -31,13 +31,13 @@
 	now          float64
 	rev          int64
 	live         []digestAttempt
-	streaming    []RequestID // requests whose body is still coming
+	streaming    []RequestID // requests whose body is still arriving
 	timers       []pendingTimer
 	healthChecks []ServerID
 	sends        map[RequestID]int
 }
 
-// digestAttempt is an attempt without an outcome.
+// digestAttempt is an attempt in flight.
 type digestAttempt struct {
 	request RequestID
 	number  int
@@ -45,8 +45,8 @@
 	sent    float64
 }
 
-// TestActionDigest feeds seeded random events to balancers of varied settings and compares the hash of all their
-// actions and status values.
+// TestActionDigest sends random events from fixed seeds to balancers with different settings and compares the hash of all
+// their actions and status values.
 func TestActionDigest(t *testing.T) {
 	if runtime.GOARCH != "amd64" {
 		t.Skip("other architectures may fuse floating-point operations, which changes last digits")
@@ -79,11 +79,11 @@
 	got := hex.EncodeToString(sum.Sum(nil))
 	t.Logf("digest of all actions: %s", got)
 	if got != wantDigest {
-		t.Errorf("digest %s, want %s: a decision has changed", got, wantDigest)
+		t.Errorf("digest %s, want %s: a decision of the balancer has changed", got, wantDigest)
 	}
 }
 
-// digestConfig varies the settings by seed, so that each decision has a part in some run.
+// digestConfig varies the settings by seed, so that each kind of decision occurs in some run.
 func digestConfig(seed int64) Config {
 	cfg := baseConfig()
 	cfg.Seed, cfg.Number = uint64(seed), int(seed%3)
@@ -107,8 +107,8 @@
 	return cfg
 }
 
-// step brings one event: a request with this ID, an outcome, a list, a health check result, a client that leaves, or
-// a rarer one.
+// step sends one event: a request with this ID, an outcome, a list, a health check result, a disconnected client, or a
+// rarer event.
 func (d *digestDriver) step(id RequestID) {
 	switch n := d.rnd.Intn(40); {
 	case n < 16:
@@ -130,7 +130,7 @@
 	}
 }
 
-// sendRequest brings a request of a random class and tenant.
+// sendRequest sends a request of a random class and tenant.
 func (d *digestDriver) sendRequest(id RequestID) {
 	class := d.rnd.Intn(len(d.cfg.Classes))
 	r := Request{
@@ -148,7 +148,7 @@
 	return []float32{float32(d.rnd.Intn(6)), float32(d.rnd.Intn(4)), float32(d.rnd.Intn(200))}
 }
 
-// endAttempt gives one attempt, mostly an old one, a random outcome.
+// endAttempt ends one of the oldest attempts in flight with a random result.
 func (d *digestDriver) endAttempt() {
 	if len(d.live) == 0 {
 		return
@@ -166,7 +166,7 @@
 	})
 }
 
-// sendList brings a random list event.
+// sendList sends a random list event.
 func (d *digestDriver) sendList() {
 	kind := []ListKind{ListFull, ListFull, ListCached, ListDelta, ListDelta, ListDelta, ListFailed, ListUnchanged}[d.rnd.Intn(8)]
 	ev := ServerList{Kind: kind, Busy: d.rnd.Intn(3) == 0, FromFetch: d.rnd.Intn(4) == 0}
@@ -190,7 +190,7 @@
 	d.handle(ev)
 }
 
-// rareEvent brings one of the rarer events.
+// rareEvent sends one of the rarer events.
 func (d *digestDriver) rareEvent() {
 	switch d.rnd.Intn(13) {
 	case 0:
@@ -234,7 +234,7 @@
 	}
 }
 
-// sendRoutes brings random routes.
+// sendRoutes sends random routes.
 func (d *digestDriver) sendRoutes() {
 	ev := Routes{Rev: 1 + int64(d.rnd.Intn(100))}
 	for tenant := -1; tenant < len(d.cfg.Tenants); tenant++ {
@@ -249,18 +249,18 @@
 	d.handle(ev)
 }
 
-// handle brings an event and records the actions.
+// handle sends an event to the balancer and records the actions.
 func (d *digestDriver) handle(ev Event) {
-	acts, err := d.b.Handle(d.now, ev)
+	actions, err := d.b.Handle(d.now, ev)
 	if err != nil {
 		d.t.Fatalf("%#v: %v", ev, err)
 	}
-	d.record(acts)
+	d.record(actions)
 }
 
-// record hashes actions and notes what has to be answered. Texts of log lines are left out.
-func (d *digestDriver) record(acts []Action) {
-	for _, a := range acts {
+// record hashes actions, without the texts of log lines, and keeps the attempts, timers and health checks among them.
+func (d *digestDriver) record(actions []Action) {
+	for _, a := range actions {
 		d.hash(a)
 		switch a.Kind {
 		case Send:
--- a/balance/endpoint_list_test.go
+++ b/balance/endpoint_list_test.go
@@ -10,8 +10,8 @@
 	"pgregory.net/rapid"
 )
 
-// randomEntries returns random list changes: servers that join, drain, go, restart or change their zone, and removals
-// of unknown ones.
+// randomEntries returns random list changes: servers that are added, drain, are removed, restart or change their zone,
+// and removals of unknown servers.
 func randomEntries(rng *rand.Rand, maxID int) []Server {
 	list := make([]Server, 1+rng.IntN(4))
 	for i := range list {
@@ -43,7 +43,7 @@
 				requireSettled(t, b)
 			}
 			if len(b.servers) == 0 {
-				t.Error("no server is left, so the changes test nothing")
+				t.Error("no server is listed at the end, so the test checks nothing")
 			}
 		})
 	}
@@ -62,16 +62,16 @@
 	}
 	b.dropRemovedServers()
 	if !slices.Equal(servers, b.servers) || known != len(b.byID) {
-		t.Fatalf("%d servers by a change, %d by a rebuild, or in another order", len(servers), len(b.servers))
+		t.Fatalf("%d servers after a change, %d after a rebuild, or another order", len(servers), len(b.servers))
 	}
 	for _, z := range b.locality.zones {
 		if z.ready != ready[z.id] {
-			t.Fatalf("zone %d: %d ready by changes, %d by a rebuild", z.id, ready[z.id], z.ready)
+			t.Fatalf("zone %d: %d ready servers after changes, %d after a rebuild", z.id, ready[z.id], z.ready)
 		}
 	}
 	for _, s := range b.servers {
 		if !slices.Equal(placements[s.ID], s.placements) {
-			t.Fatalf("server %d: %v by a change, %v by a rebuild", s.ID, placements[s.ID], s.placements)
+			t.Fatalf("server %d: placements %v after a change, %v after a rebuild", s.ID, placements[s.ID], s.placements)
 		}
 	}
 }
@@ -86,7 +86,7 @@
 	return newHarness(t, cfg, servers...)
 }
 
-// usableServers returns the IDs of all servers that may get requests, separated by blanks.
+// usableServers returns the IDs of all servers that may get requests, separated by spaces.
 func (h *harness) usableServers() string {
 	var out []string
 	for id := ServerID(1); id < 20; id++ {
@@ -108,18 +108,18 @@
 // fireTimer fires the timer of this token.
 func (h *harness) fireTimer(token uint64) []Action { return h.handle(Timer{Token: token}) }
 
-// A list or a change with an older revision is rejected, except that servers which it names as draining or gone are
-// removed. The next service is then watched from the current revision.
+// A list or a change with an older revision is rejected, except that servers which it names as draining or removed are
+// not used any more. The next service is then watched from the current revision.
 func TestEndpointList_olderRevision(t *testing.T) {
 	h := newListHarness(t, nil)
 	h.handle(ServerList{Kind: ListFull, Rev: 10, Servers: identicalServers(4)})
-	acts := h.handle(ServerList{Kind: ListFull, Rev: 8, Source: 1, Servers: identicalServers(6)})
+	actions := h.handle(ServerList{Kind: ListFull, Rev: 8, Source: 1, Servers: identicalServers(6)})
 	h.requireUsable("an older list", "1 2 3 4")
-	if h.b.ListStatus(h.now).Rev != 10 || !h.b.ListStatus(h.now).Rejected || !hasAction(acts, SetTimer) {
-		t.Fatalf("an older list: %+v, %+v", h.b.ListStatus(h.now), acts)
+	if h.b.ListStatus(h.now).Rev != 10 || !h.b.ListStatus(h.now).Rejected || !hasAction(actions, SetTimer) {
+		t.Fatalf("after an older list: status %+v, actions %+v", h.b.ListStatus(h.now), actions)
 	}
 	if w := findAction(h.fireTimer(listRetryTimer), Watch); w == nil || w.Source != 1 || w.After != 10 {
-		t.Fatalf("the next service is not watched from the current revision: %+v", w)
+		t.Fatalf("next service not watched from the current revision: %+v", w)
 	}
 	h.handle(ServerList{Kind: ListDelta, Rev: 9, Servers: []Server{{ID: 7}}})
 	h.handle(ServerList{Kind: ListDelta, Rev: 10, Servers: []Server{{ID: 7}}})
@@ -127,10 +127,10 @@
 	h.handle(ServerList{Kind: ListDelta, Rev: 12, Servers: []Server{{ID: 7}}})
 	h.requireUsable("newer changes", "1 2 3 4 7")
 	if h.b.ListStatus(h.now).Rejected {
-		t.Error("the last list still counts as rejected")
+		t.Error("lists still count as rejected after a newer one")
 	}
 
-	// An older list removes servers that it names as going, unless they have restarted since.
+	// An older list removes servers that it names as draining or removed, unless they have restarted since.
 	h.handle(ServerList{Kind: ListDelta, Rev: 13, Servers: []Server{{ID: 1, StartedAt: 900}, {ID: 2, StartedAt: 900}}})
 	h.handle(ServerList{Kind: ListFull, Rev: 5, Source: 1, Servers: []Server{
 		{ID: 1, State: Draining}, {ID: 2, State: Draining, StartedAt: 900}, {ID: 3, State: Removed}}})
@@ -142,8 +142,8 @@
 	h.requireUsable("changes of an unknown epoch", "1 2 3 4")
 }
 
-// A list of an older epoch is accepted only when no other list has come for historyTime. Until then it is polled with
-// growing pauses.
+// A list of an older epoch is accepted only after no other list was received for newHistoryTime. Until then it is polled
+// with a growing backoff.
 func TestEndpointList_olderHistory(t *testing.T) {
 	h := newListHarness(t, func(c *Config) { c.SuspectFraction = 0 }, identicalServers(4)...)
 	h.handle(ServerList{Kind: ListFull, Rev: 3 << epochBits, Servers: identicalServers(4)})
@@ -155,14 +155,14 @@
 		h.now += 3000
 	}
 	if last := len(pauses) - 1; pauses[last] < 2*pauses[0] {
-		t.Errorf("rejected lists are polled without a growing pause: %v", pauses)
+		t.Errorf("polling of rejected lists without a growing backoff: %v", pauses)
 	}
 	h.handle(old)
-	h.requireUsable("only an older epoch for historyTime", "1 2")
+	h.requireUsable("only an older epoch for newHistoryTime", "1 2")
 }
 
-// When a full list leaves out more than SuspectFraction of the servers, the missing ones are suspected and stay in
-// use. Servers that a list names as draining or gone are removed in any case.
+// If a full list omits more than SuspectFraction of the servers, the omitted servers are suspected and stay in use.
+// Servers that a list names as draining or removed are not used in any case.
 func TestEndpointList_suspectedServers(t *testing.T) {
 	without := func(from, to int) []Server { f := identicalServers(9); return append(f[:from:from], f[to:]...) }
 	for name, c := range map[string]struct {
@@ -171,12 +171,12 @@
 		usable          string
 		suspected       int
 	}{
-		"few missing":      {0.3, without(0, 2), "3 4 5 6 7 8 9", 0},
-		"many missing":     {0.3, without(0, 3), "1 2 3 4 5 6 7 8 9", 3},
+		"few omitted":      {0.3, without(0, 2), "3 4 5 6 7 8 9", 0},
+		"many omitted":     {0.3, without(0, 3), "1 2 3 4 5 6 7 8 9", 3},
 		"empty list":       {0.3, nil, "1 2 3 4 5 6 7 8 9", 9},
 		"suspicion off":    {0, nil, "", 0},
 		"new server":       {0.3, []Server{{ID: 12}}, "1 2 3 4 5 6 7 8 9 12", 9},
-		"named as going":   {0.3, []Server{{ID: 1, State: Draining}, {ID: 2, State: Removed}}, "3 4 5 6 7 8 9", 7},
+		"named as removed": {0.3, []Server{{ID: 1, State: Draining}, {ID: 2, State: Removed}}, "3 4 5 6 7 8 9", 7},
 		"half, one drains": {0.3, append(without(4, 9), Server{ID: 5, State: Draining}), "1 2 3 4 6 7 8 9", 4},
 	} {
 		h := newListHarness(t, func(c2 *Config) { c2.SuspectFraction = c.suspectFraction }, identicalServers(9)...)
@@ -187,8 +187,8 @@
 	}
 }
 
-// A suspected server is removed by a list event that names it, by a refused connection, or after suspectLimit unless
-// the list is empty. A list that names it again clears the suspicion.
+// A suspected server is removed by a list event that names it as draining or removed, by a refused connection, or after
+// maxSuspectTime unless the list is empty. A list that names it as ready clears the suspicion.
 func TestEndpointList_suspicionEnds(t *testing.T) {
 	newSuspicion := func(list ...Server) *harness {
 		h := newListHarness(t, nil, identicalServers(6)...)
@@ -202,29 +202,29 @@
 		h.handle(ServerList{Kind: ListDelta, Rev: 3, Servers: []Server{{ID: 1, State: Draining}, {ID: 2, State: Removed}, {ID: 3}}})
 		h.requireUsable("changes that name them", "3 4 5 6")
 		if got := h.b.ListStatus(h.now).Suspected; got != 3 {
-			t.Errorf("%d are suspected, want 3", got)
+			t.Errorf("%d servers are suspected, want 3", got)
 		}
 	})
 	t.Run("by a full list", func(t *testing.T) {
 		h := newSuspicion()
 		h.handle(ServerList{Kind: ListFull, Rev: 3, Servers: identicalServers(5)})
 		if h.requireUsable("a full list with nearly all", "1 2 3 4 5"); h.b.ListStatus(h.now).Suspected != 0 {
-			t.Error("a server is still suspected")
+			t.Error("a server is still suspected after a full list with nearly all servers")
 		}
 	})
 	t.Run("by a failed connection", func(t *testing.T) {
 		h := newSuspicion()
-		id, acts := h.sendRequest(idempotentClass)
-		first, _ := sentTo(acts)
-		acts = h.endAttempt(id, 0, ConnectFailed, 5)
-		if f := findAction(acts, RemoveServer); f == nil || f.Server != first {
-			t.Fatalf("no Forget for the server: %+v", acts)
+		id, actions := h.sendRequest(idempotentClass)
+		first, _ := sentTo(actions)
+		actions = h.endAttempt(id, 0, ConnectFailed, 5)
+		if f := findAction(actions, RemoveServer); f == nil || f.Server != first {
+			t.Fatalf("no RemoveServer for the server: %+v", actions)
 		}
-		if next, ok := sentTo(acts); !ok || next == first {
-			t.Errorf("the request does not go to another server: %+v", acts)
+		if next, ok := sentTo(actions); !ok || next == first {
+			t.Errorf("request not retried at another server: %+v", actions)
 		}
 		if _, ok := h.b.UsableServer(first); ok {
-			t.Error("the server is still used")
+			t.Error("server is still usable")
 		}
 	})
 	t.Run("by time unless empty", func(t *testing.T) {
@@ -243,16 +243,16 @@
 	})
 }
 
-// Inconsistent entries: of duplicates the newest start counts and a removal wins; of servers at one address, the
-// ready one with the newest start stays; servers without an address are not used; a rating that is not positive gets
-// a default.
+// Of inconsistent entries, one is used. Of duplicates, the newest start counts and a removal wins. Of the ready servers
+// at one address, the one with the newest start stays. Servers without an address are not used. A rating that is not
+// positive is replaced by a default.
 func TestEndpointList_badEntries(t *testing.T) {
 	for name, c := range map[string]struct {
 		list   []Server
 		usable string
 	}{
 		"twice, one drains":         {[]Server{{ID: 1, State: Draining}, {ID: 1}, {ID: 2}}, "2"},
-		"twice, one is gone":        {[]Server{{ID: 1}, {ID: 1, State: Removed}, {ID: 2}}, "2"},
+		"twice, one is removed":     {[]Server{{ID: 1}, {ID: 1, State: Removed}, {ID: 2}}, "2"},
 		"twice, both ready":         {[]Server{{ID: 1, AddressKey: 5, StartedAt: 2}, {ID: 1, AddressKey: 6, StartedAt: 1}}, "1"},
 		"two at one address":        {[]Server{{ID: 1, AddressKey: 5}, {ID: 2, AddressKey: 5, StartedAt: 7}, {ID: 3, AddressKey: 6}}, "2 3"},
 		"two at one address, equal": {[]Server{{ID: 2, AddressKey: 5}, {ID: 1, AddressKey: 5}}, "1"},
@@ -267,7 +267,7 @@
 		}
 		for _, s := range h.b.servers {
 			if !(s.Rating > 0) {
-				t.Errorf("%s: a server with the rating %v", name, s.Rating)
+				t.Errorf("%s: server with rating %v", name, s.Rating)
 			}
 		}
 	}
@@ -276,23 +276,23 @@
 		h.handle(ServerList{Kind: ListFull, Rev: 2, Servers: []Server{{ID: 1, AddressKey: 6, StartedAt: 1}, {ID: 1, AddressKey: 5, StartedAt: 2}}})
 		return h.b.UsableServer(1)
 	}(); s.AddressKey != 5 {
-		t.Errorf("of two entries the older one counts: %+v", s)
+		t.Errorf("of two entries for a server, the older one was used: %+v", s)
 	}
 }
 
-// A new address clears the ejection of a server, as failures of the old address say nothing about the new one. A new
-// zone moves the server.
+// A new address ends the ejection of a server, as failures at the old address say nothing about the new one. A new zone
+// in the entry is applied.
 func TestEndpointList_addressChange(t *testing.T) {
 	h := newListHarness(t, nil, Server{ID: 1, AddressKey: 4}, Server{ID: 2, AddressKey: 5})
 	for range 4 {
-		id, acts := h.sendRequest(idempotentClass)
-		if s, _ := sentTo(acts); s == 1 {
+		id, actions := h.sendRequest(idempotentClass)
+		if s, _ := sentTo(actions); s == 1 {
 			h.endAttempt(id, 0, ConnectFailed, 5)
 			break
 		}
 	}
 	if !h.b.outliers.ejected(h.b.byID[1]) {
-		t.Fatal("the server is not ejected")
+		t.Fatal("server not ejected after a failed connection")
 	}
 	h.handle(ServerList{Kind: ListDelta, Rev: 3, Servers: []Server{{ID: 1, AddressKey: 9, Zone: 3}}})
 	if s := h.b.byID[1]; h.b.outliers.ejected(s) || s.Zone != 3 || h.b.slowStart.warmingUp(s) {
@@ -300,8 +300,8 @@
 	}
 }
 
-// For any sequence of lists from several services: the revision goes back only after a rejected list, a server that
-// is named as draining or gone is not used, and requests go to usable servers alone.
+// For any sequence of lists from several services, the revision decreases only after a rejected list, a server that is
+// named as draining or removed is not used, and requests go only to usable servers.
 func TestEndpointList_property(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		cfg := baseConfig()
@@ -330,45 +330,45 @@
 			}
 			after := b.ListStatus(now)
 			if after.Rev < before.Rev && after.Rev != 0 && !before.Rejected {
-				rt.Fatalf("the list went back from %d to %d", before.Rev, after.Rev)
+				rt.Fatalf("revision decreased from %d to %d", before.Rev, after.Rev)
 			}
 			for _, e := range b.list.normalizeEntries(ev.Servers) {
 				s, used := b.UsableServer(e.ID)
 				if used && e.State != Ready && e.StartedAt >= s.StartedAt {
-					rt.Fatalf("%+v is used although an entry removes it: %+v", s, e)
+					rt.Fatalf("server %+v is usable although an entry removes it: %+v", s, e)
 				}
 			}
 			next++
-			acts, err := b.Handle(now, Request{ID: next, Remaining: 1500})
+			actions, err := b.Handle(now, Request{ID: next, Remaining: 1500})
 			if err != nil {
 				rt.Fatal(err)
 			}
-			if to, ok := sentTo(acts); ok {
+			if to, ok := sentTo(actions); ok {
 				if _, used := b.UsableServer(to); !used {
-					rt.Fatalf("a request goes to server %d, which may not be used", to)
+					rt.Fatalf("request sent to server %d, which is not usable", to)
 				}
 			}
 		}
 	})
 }
 
-// A draining server gets no new requests, and a full list removes servers that it leaves out.
+// A draining server gets no new requests, and a full list removes the servers that it omits.
 func TestEndpointList_drainingServer(t *testing.T) {
 	h := newHarness(t, baseConfig(), identicalServers(2)...)
 	draining := identicalServers(1)[0]
 	draining.State = Draining
 	h.handle(ServerList{Kind: ListDelta, Servers: []Server{draining}})
 	for range 20 {
-		id, acts := h.sendRequest(idempotentClass)
-		if s, _ := sentTo(acts); s != 2 {
+		id, actions := h.sendRequest(idempotentClass)
+		if s, _ := sentTo(actions); s != 2 {
 			t.Fatalf("sent to %d", s)
 		}
 		h.endAttempt(id, 0, OK, 10)
 	}
 	draining.State = Ready
-	h.handle(ServerList{Kind: ListFull, Servers: []Server{draining}}) // the list leaves the other one out
-	id, acts := h.sendRequest(idempotentClass)
-	if s, _ := sentTo(acts); s != 1 {
+	h.handle(ServerList{Kind: ListFull, Servers: []Server{draining}}) // the list omits the other server
+	id, actions := h.sendRequest(idempotentClass)
+	if s, _ := sentTo(actions); s != 1 {
 		t.Fatalf("sent to %d, request %d", s, id)
 	}
 }
--- a/balance/list_watch_test.go
+++ b/balance/list_watch_test.go
@@ -6,67 +6,67 @@
 	"testing"
 )
 
-// After a failed call the next service is tried; the pause grows only after all of them have failed. A failed check
+// After a failed call the next service is called. The backoff grows only after all services have failed. A failed check
 // of another service does not switch the watch.
 func TestEndpointList_serviceFailover(t *testing.T) {
 	h := newListHarness(t, func(c *Config) { c.ListServices = 3 }, identicalServers(3)...)
 	var order []int
 	for i := range 6 {
-		acts := h.handle(ServerList{Kind: ListFailed, Source: h.b.list.source})
-		if at := findAction(acts, SetTimer).At; i < 3 && at > minPollBackoff {
-			t.Errorf("call %d waits %v ms", i, at)
+		actions := h.handle(ServerList{Kind: ListFailed, Source: h.b.list.source})
+		if at := findAction(actions, SetTimer).At; i < 3 && at > minPollBackoff {
+			t.Errorf("call %d: backoff of %v ms", i, at)
 		}
-		h.now += findAction(acts, SetTimer).At
+		h.now += findAction(actions, SetTimer).At
 		order = append(order, findAction(h.fireTimer(listRetryTimer), Watch).Source)
 	}
 	if fmt.Sprint(order) != "[1 2 0 1 2 0]" {
-		t.Errorf("services are tried in the order %v", order)
+		t.Errorf("services called in the order %v", order)
 	}
 	if h.handle(ServerList{Kind: ListFailed, FromFetch: true}); h.b.list.source != 0 {
-		t.Error("a failed check switches the watch")
+		t.Error("failed check switched the watch")
 	}
 }
 
-// When a check finds a newer revision at another service than the watch delivers within its time, the watch switches
-// to that service. It returns to the nearer one after goodChecksToReturn successful checks.
-func TestEndpointList_stuckWatch(t *testing.T) {
+// If a check finds a newer revision at another service and the watch does not deliver it in time, the watch switches to
+// that service. It returns to the preferred service after checksToSwitchBack up-to-date checks.
+func TestEndpointList_stalledWatch(t *testing.T) {
 	h := newListHarness(t, nil, identicalServers(3)...)
 	h.handle(ServerList{Kind: ListFull, Rev: 5, Servers: identicalServers(3)})
 	expectCheck := func(source int) {
 		t.Helper()
 		if f := findAction(h.fireTimer(serviceCheckTimer), Fetch); f == nil || f.Source != source {
-			t.Fatalf("a check of %+v, want service %d", f, source)
+			t.Fatalf("check %+v, want a check of service %d", f, source)
 		}
 	}
 	expectCheck(1)
-	acts := h.handle(ServerList{Kind: ListFull, Rev: 8, Source: 1, FromFetch: true, Servers: identicalServers(4)})
-	if h.requireUsable("a newer list at another service", "1 2 3 4"); findAction(acts, SetTimer) == nil {
-		t.Fatal("no timer is set for the watch to deliver it")
+	actions := h.handle(ServerList{Kind: ListFull, Rev: 8, Source: 1, FromFetch: true, Servers: identicalServers(4)})
+	if h.requireUsable("a newer list at another service", "1 2 3 4"); findAction(actions, SetTimer) == nil {
+		t.Fatal("no timer set for the watch to deliver the revision")
 	}
 	h.handle(ServerList{Kind: ListDelta, Rev: 8, Servers: identicalServers(4)})
 	if hasAction(h.fireTimer(stalledWatchTimer), Watch) {
-		t.Fatal("a watch that has delivered the revision is left")
+		t.Fatal("watch switched although it delivered the revision")
 	}
 	expectCheck(1)
 	h.handle(ServerList{Kind: ListFull, Rev: 9, Source: 1, FromFetch: true, Servers: identicalServers(5)})
 	h.handle(ServerList{Kind: ListUnchanged})
 	if w := findAction(h.fireTimer(stalledWatchTimer), Watch); w == nil || w.Source != 1 {
-		t.Fatalf("a stuck watch is not left: %+v", w)
+		t.Fatalf("stalled watch not switched: %+v", w)
 	}
 	for i := range checksToSwitchBack {
 		expectCheck(0)
 		w := findAction(h.handle(ServerList{Kind: ListFull, Rev: 9, FromFetch: true, Servers: identicalServers(5)}), Watch)
 		if last := i == checksToSwitchBack-1; (w != nil) != last || last && w.Source != 0 {
-			t.Fatalf("check %d of the nearer service: %+v", i, w)
+			t.Fatalf("check %d of the preferred service: %+v", i, w)
 		}
 	}
 }
 
-// Checks of other services begin with the second service, end without one, and are never scheduled twice.
+// Checks start when there is a second service, stop when there is none, and are never scheduled twice.
 func TestEndpointList_checksByServiceCount(t *testing.T) {
 	h := newListHarness(t, func(c *Config) { c.ListServices = 1 }, identicalServers(3)...)
-	scheduledChecks := func(acts []Action) (n int) {
-		for _, a := range acts {
+	scheduledChecks := func(actions []Action) (n int) {
+		for _, a := range actions {
 			if a.Kind == SetTimer && a.Token == serviceCheckTimer {
 				n++
 			}
@@ -81,7 +81,7 @@
 		{ListServices{Count: 1}, 0}, {Timer{Token: serviceCheckTimer}, 0}, {ListServices{Count: 2}, 1},
 	} {
 		if got := scheduledChecks(h.handle(c.ev)); got != c.want {
-			t.Errorf("step %d, %+v: %d checks are scheduled, want %d", i, c.ev, got, c.want)
+			t.Errorf("step %d, %+v: %d checks scheduled, want %d", i, c.ev, got, c.want)
 		}
 	}
 	if scheduledChecks(h.actions) != 3 {
@@ -89,7 +89,7 @@
 	}
 }
 
-// While the list is stale, a server that refuses connections is ejected for longer. A sign of life of the watch ends
+// While the list is stale, a server that refuses connections is ejected for longer. A watch that reports no change ends
 // this.
 func TestEndpointList_stale(t *testing.T) {
 	h := newListHarness(t, nil, identicalServers(1)...)
@@ -104,14 +104,14 @@
 	beforeStale := ejectionTime()
 	h.now += h.b.cfg.StaleAfter + 1
 	if h.fireTimer(listRetryTimer); !h.b.ListStatus(h.now).Stale || ejectionTime() <= beforeStale {
-		t.Errorf("stale %v: ejected for %v ms, before for %v", h.b.ListStatus(h.now).Stale, ejectionTime(), beforeStale)
+		t.Errorf("stale %v: ejected for %v ms, before that for %v ms", h.b.ListStatus(h.now).Stale, ejectionTime(), beforeStale)
 	}
-	if acts := h.handle(ServerList{Kind: ListUnchanged}); h.b.ListStatus(h.now).Stale || !hasAction(acts, Log) || ejectionTime() != beforeStale {
-		t.Error("after a sign of life the list is still stale")
+	if actions := h.handle(ServerList{Kind: ListUnchanged}); h.b.ListStatus(h.now).Stale || !hasAction(actions, Log) || ejectionTime() != beforeStale {
+		t.Error("list still stale after an event of the watch")
 	}
 }
 
-// A watch that delivers anything, even without a change, ends the backoff: the next pause is the first one again.
+// A watch that delivers anything, even without a change, resets the backoff.
 func TestEndpointList_backoffReset(t *testing.T) {
 	cfg := baseConfig()
 	cfg.Subscribe = true
@@ -122,7 +122,7 @@
 				return a.At
 			}
 		}
-		t.Fatal("no further call is scheduled")
+		t.Fatal("no retry scheduled")
 		return 0
 	}
 	var last float64
@@ -130,31 +130,31 @@
 		last = pause()
 	}
 	if last <= minPollBackoff {
-		t.Fatalf("the fourth pause is %v ms", last)
+		t.Fatalf("fourth backoff: %v ms", last)
 	}
 	h.handle(ServerList{Kind: ListUnchanged})
 	if got := pause(); got > minPollBackoff {
-		t.Errorf("after a sign of life the next pause is %v ms, want at most %v", got, minPollBackoff)
+		t.Errorf("backoff after an event of the watch: %v ms, want at most %v", got, minPollBackoff)
 	}
 }
 
-// A watch that starts from the cached revision and delivers nothing is stuck only when another service has a newer
-// revision.
+// A watch that starts from the cached revision and delivers nothing counts as stalled only if another service has a
+// newer revision.
 func TestEndpointList_quietWatch(t *testing.T) {
 	h := newListHarness(t, nil)
 	h.handle(ServerList{Kind: ListCached, Rev: 5, Servers: identicalServers(4)})
 	h.handle(ServerList{Kind: ListUnchanged})
-	acts := h.handle(ServerList{Kind: ListFull, Rev: 5, Source: 1, FromFetch: true, Servers: identicalServers(4)})
-	if hasAction(acts, SetTimer) || hasAction(h.fireTimer(stalledWatchTimer), Watch) {
-		t.Fatal("a watch without a newer revision counts as stuck")
+	actions := h.handle(ServerList{Kind: ListFull, Rev: 5, Source: 1, FromFetch: true, Servers: identicalServers(4)})
+	if hasAction(actions, SetTimer) || hasAction(h.fireTimer(stalledWatchTimer), Watch) {
+		t.Fatal("watch counts as stalled although there is no newer revision")
 	}
 	h.handle(ServerList{Kind: ListFull, Rev: 6, Source: 1, FromFetch: true, Servers: identicalServers(4)})
 	if w := findAction(h.fireTimer(stalledWatchTimer), Watch); w == nil || w.Source != 1 {
-		t.Fatal("a stuck watch is not left")
+		t.Fatal("stalled watch not switched")
 	}
 }
 
-// MaxPollBackoff bounds each pause, whatever PollInterval and the service's retry pause say.
+// MaxPollBackoff limits each backoff, whatever PollInterval and RetryAfter are.
 func TestEndpointList_maxPollBackoff(t *testing.T) {
 	for _, pollInterval := range []float64{0, 10000, 600000} {
 		cfg := baseConfig()
@@ -172,20 +172,20 @@
 				h.fireTimer(listRetryTimer)
 			}
 			if maxPause > cfg.MaxPollBackoff || maxPause < cfg.MaxPollBackoff/2 && (pollInterval != 10000 || failure.Busy) {
-				t.Errorf("%s, PollInterval %v: the largest of 40 pauses is %v ms", name, pollInterval, maxPause)
+				t.Errorf("%s, PollInterval %v: the longest of 40 backoffs is %v ms", name, pollInterval, maxPause)
 			}
 		}
 	}
 }
 
-// Failed list calls keep the current list and are repeated with growing pauses up to a limit. The limit is larger for
-// a service that is busy, and a retry pause that the service names is kept.
+// Failed list calls keep the current list and are retried with a growing backoff up to a limit. The limit is larger for a
+// busy service, and the RetryAfter of a service is respected.
 func TestEndpointList_pollBackoff(t *testing.T) {
 	cfg := baseConfig()
 	cfg.Subscribe = true
 	h := newHarness(t, cfg, identicalServers(3)...)
 	if !hasAction(h.actions, Watch) {
-		t.Fatal("the watch does not start at once")
+		t.Fatal("watch not started at once")
 	}
 	for _, c := range []struct {
 		busy     bool
@@ -194,23 +194,23 @@
 		h.handle(ServerList{Kind: ListFull, Servers: identicalServers(3)})
 		var pauses []float64
 		for range 6 {
-			acts := h.handle(ServerList{Kind: ListFailed, Busy: c.busy})
-			if len(acts) != 1 || acts[0].Token != listRetryTimer || acts[0].At > c.maxPause {
-				t.Fatalf("after a failed call: %+v", acts)
+			actions := h.handle(ServerList{Kind: ListFailed, Busy: c.busy})
+			if len(actions) != 1 || actions[0].Token != listRetryTimer || actions[0].At > c.maxPause {
+				t.Fatalf("actions after a failed call: %+v", actions)
 			}
-			pauses = append(pauses, acts[0].At)
-			h.now += acts[0].At
+			pauses = append(pauses, actions[0].At)
+			h.now += actions[0].At
 			if !hasAction(h.handle(Timer{Token: listRetryTimer}), Watch) {
-				t.Fatal("the call is not repeated")
+				t.Fatal("call not retried")
 			}
 		}
 		if pauses[5] < c.maxPause/2 || pauses[0] > minPollBackoff || len(h.b.servers) != 3 {
-			t.Fatalf("busy %v: pauses %v, %d servers", c.busy, pauses, len(h.b.servers))
+			t.Fatalf("busy %v: backoffs %v, %d servers", c.busy, pauses, len(h.b.servers))
 		}
 	}
-	for range 20 { // the service's retry pause is kept
+	for range 20 { // the RetryAfter of the service is respected
 		if at := findAction(h.handle(ServerList{Kind: ListFailed, Busy: true, RetryAfter: 700}), SetTimer).At; at < 700 || at > 1400 {
-			t.Fatalf("with a retry pause of 700 ms the next call comes in %v", at)
+			t.Fatalf("with RetryAfter 700 ms the next call comes after %v ms", at)
 		}
 	}
 }
--- a/balance/random_events_test.go
+++ b/balance/random_events_test.go
@@ -6,8 +6,9 @@
 	"testing"
 )
 
-// simulation feeds one balancer random but legal events and checks each action: no attempt after the answer, at
-// servers that may not be used, beyond the attempt limit, or where an earlier one may have run; one answer in time.
+// simulation sends random but valid events to one balancer and checks each action. No attempt may follow the final
+// response, go to an unusable server, exceed the attempt limit, or follow one that may have run where that is not
+// allowed. Each request gets one final response in time.
 type simulation struct {
 	t            *testing.T
 	rnd          *rand.Rand
@@ -21,17 +22,17 @@
 	healthChecks []ServerID
 }
 
-// simulatedRequest is what the simulation knows of a request.
+// simulatedRequest is the state of a request in the simulation.
 type simulatedRequest struct {
 	class    int
 	deadline float64
-	answered bool
+	done     bool
 	attempts []simulatedAttempt
 }
 
-// simulatedAttempt is what the simulation knows of an attempt.
+// simulatedAttempt is the state of an attempt in the simulation.
 type simulatedAttempt struct {
-	localFailure bool // a failure of this machine
+	localFailure bool // ended with LocalFailure
 	server       Server
 	sent         float64
 	live         bool
@@ -54,8 +55,8 @@
 	return sim
 }
 
-// Random sequences of events keep the rules of simulation for 40 seeds and several settings, and each request gets an
-// answer.
+// Random sequences of events, for 40 seeds and several settings, satisfy the checks of simulation, and each request gets
+// a final response.
 func TestEvents_randomSequences(t *testing.T) {
 	for seed := range int64(40) {
 		rnd := rand.New(rand.NewSource(seed))
@@ -74,27 +75,27 @@
 			sim.fireTimers()
 			sim.randomEvent(id)
 		}
-		for sim.now += 10; len(sim.timers) > 0 && sim.hasUnanswered(); sim.now += 10 {
+		for sim.now += 10; len(sim.timers) > 0 && sim.hasOpenRequests(); sim.now += 10 {
 			sim.fireTimers()
 		}
-		if sim.hasUnanswered() {
-			t.Fatalf("seed %d: a request was never answered", seed)
+		if sim.hasOpenRequests() {
+			t.Fatalf("seed %d: a request got no final response", seed)
 		}
 	}
 }
 
-// randomEvent brings one event: a request with this ID, an outcome, a list, a health check result or a client that
-// leaves.
+// randomEvent sends one event: a request with this ID, an outcome, a list, a health check result or a disconnected
+// client.
 func (sim *simulation) randomEvent(id RequestID) {
 	switch n := sim.rnd.Intn(20); {
 	case n < 9:
 		class := sim.rnd.Intn(len(sim.cfg.Classes))
-		left := sim.cfg.Classes[class].Deadline * sim.rnd.Float64()
+		remaining := sim.cfg.Classes[class].Deadline * sim.rnd.Float64()
 		if sim.rnd.Intn(20) == 0 {
-			left = 0
+			remaining = 0
 		}
-		sim.requests[id] = &simulatedRequest{class: class, deadline: sim.now + left}
-		sim.handle(Request{ID: id, Class: class, Remaining: left})
+		sim.requests[id] = &simulatedRequest{class: class, deadline: sim.now + remaining}
+		sim.handle(Request{ID: id, Class: class, Remaining: remaining})
 	case n < 17:
 		sim.endRandomAttempt(id)
 	case n < 18:
@@ -106,15 +107,15 @@
 			sim.handle(HealthCheckResult{Server: s, Elapsed: 1, Report: []float32{float32(sim.rnd.Intn(6)), 0, 0.5}})
 		}
 	default:
-		left := id - RequestID(sim.rnd.Intn(20)) // an unknown or ended request is ignored
-		if r := sim.requests[left]; r != nil {
-			r.answered = true
+		target := id - RequestID(sim.rnd.Intn(20)) // an unknown or ended request is ignored
+		if r := sim.requests[target]; r != nil {
+			r.done = true
 		}
-		sim.handle(ClientDisconnected{Request: left})
+		sim.handle(ClientDisconnected{Request: target})
 	}
 }
 
-// endRandomAttempt ends one pending attempt of a recent request with a random result.
+// endRandomAttempt ends one attempt in flight of a recent request with a random result.
 func (sim *simulation) endRandomAttempt(before RequestID) {
 	for id := before; id > 0 && id+60 > before; id-- {
 		r := sim.requests[id]
@@ -123,13 +124,13 @@
 		}
 		for i := range r.attempts {
 			if a := &r.attempts[i]; a.live && sim.rnd.Intn(3) > 0 {
-				res := []Result{
+				result := []Result{
 					OK, OK, OK, OK, Failed, Rejected, ConnectFailed, Reset, TimedOut, WriteFailed, LocalFailure, Unreachable,
 				}[sim.rnd.Intn(12)]
-				a.live, a.neverRan, a.localFailure = false, res.NeverRan(), res == LocalFailure
-				r.answered = r.answered || res == OK
+				a.live, a.neverRan, a.localFailure = false, result.NeverRan(), result == LocalFailure
+				r.done = r.done || result == OK
 				sim.handle(Outcome{
-					Request: id, Attempt: i, Server: a.server.ID, Result: res, Elapsed: sim.now - a.sent, Finished: r.answered,
+					Request: id, Attempt: i, Server: a.server.ID, Result: result, Elapsed: sim.now - a.sent, Finished: r.done,
 				})
 				return
 			}
@@ -137,7 +138,7 @@
 	}
 }
 
-// sendList brings a list in which some servers have changed and some are missing.
+// sendList sends a list in which some servers have changed and some are omitted.
 func (sim *simulation) sendList(kind ListKind) {
 	var entries []Server
 	for i := range 10 {
@@ -163,33 +164,33 @@
 	sim.handle(ServerList{Kind: kind, Servers: entries})
 }
 
-// handle brings an event and checks the actions.
+// handle sends an event to the balancer and checks the actions.
 func (sim *simulation) handle(ev Event) {
-	acts, err := sim.b.Handle(sim.now, ev)
+	actions, err := sim.b.Handle(sim.now, ev)
 	if err != nil {
 		sim.t.Fatalf("%#v: %v", ev, err)
 	}
-	sim.checkActions(acts)
+	sim.checkActions(actions)
 }
 
-// checkActions checks each action and notes what has to be answered.
-func (sim *simulation) checkActions(acts []Action) {
-	for _, a := range acts {
+// checkActions checks each action and records timers, health checks and attempts.
+func (sim *simulation) checkActions(actions []Action) {
+	for _, a := range actions {
 		switch a.Kind {
 		case SetTimer:
 			sim.timers = append(sim.timers, pendingTimer{sim.now + a.At, a.Token})
 		case HealthCheck:
 			if !sim.cfg.HealthChecks {
-				sim.t.Fatal("a health check without Config.HealthChecks")
+				sim.t.Fatal("health check without Config.HealthChecks")
 			}
 			sim.healthChecks = append(sim.healthChecks, a.Server)
 		case Send:
 			sim.checkSend(a)
 		case Reject, Fail:
-			sim.checkAnswer(a)
+			sim.checkFinalResponse(a)
 		case Cancel:
 			if !sim.cfg.Cancel || a.Attempt >= len(sim.requests[a.Request].attempts) {
-				sim.t.Fatalf("cancel of %+v", a)
+				sim.t.Fatalf("invalid cancellation: %+v", a)
 			}
 		}
 	}
@@ -199,10 +200,10 @@
 func (sim *simulation) checkSend(a Action) {
 	r, class := sim.requests[a.Request], sim.cfg.Classes[sim.requests[a.Request].class]
 	switch {
-	case r.answered:
-		sim.t.Fatalf("request %d was sent after its answer", a.Request)
+	case r.done:
+		sim.t.Fatalf("request %d was sent after its final response", a.Request)
 	case !sim.usable[a.Server]:
-		sim.t.Fatalf("request %d was sent to server %d, which is draining or gone", a.Request, a.Server)
+		sim.t.Fatalf("request %d was sent to server %d, which is draining or removed", a.Request, a.Server)
 	case r.countedAttempts() >= sim.cfg.MaxAttempts:
 		sim.t.Fatalf("request %d has more attempts than allowed", a.Request)
 	case len(r.attempts) >= sim.cfg.MaxAttempts+maxLocalFailures:
@@ -211,20 +212,20 @@
 	to := *sim.servers[a.Server]
 	for _, p := range r.attempts {
 		if p.live && !sim.cfg.Hedging {
-			sim.t.Fatalf("request %d has two attempts in flight without hedging", a.Request)
+			sim.t.Fatalf("request %d has two attempts in flight without Config.Hedging", a.Request)
 		}
 		if p.neverRan || class.Idempotency == Idempotent {
 			continue
 		}
-		apart := class.KeyScope == KeyScopeCell && p.server.Cell != to.Cell || class.KeyScope == KeyScopeZone && p.server.Zone != to.Zone
-		if class.Idempotency == NonIdempotent || apart || sim.now >= p.sent+class.KeyWindow {
+		keyUnknown := class.KeyScope == KeyScopeCell && p.server.Cell != to.Cell || class.KeyScope == KeyScopeZone && p.server.Zone != to.Zone
+		if class.Idempotency == NonIdempotent || keyUnknown || sim.now >= p.sent+class.KeyWindow {
 			sim.t.Fatalf("request %d may have run and was sent again", a.Request)
 		}
 	}
 	r.attempts = append(r.attempts, simulatedAttempt{server: to, sent: sim.now, live: true})
 }
 
-// countedAttempts returns the attempts that are no failures of this machine.
+// countedAttempts returns the number of attempts without local failures.
 func (r *simulatedRequest) countedAttempts() int {
 	n := 0
 	for i := range r.attempts {
@@ -235,13 +236,14 @@
 	return n
 }
 
-// checkAnswer checks that an answer is the first one, is in time, and rejects only what cannot have run.
-func (sim *simulation) checkAnswer(a Action) {
+// checkFinalResponse checks that a final response is the first one and in time, and that it rejects only a request that
+// cannot have run or may be repeated.
+func (sim *simulation) checkFinalResponse(a Action) {
 	r, class := sim.requests[a.Request], sim.cfg.Classes[sim.requests[a.Request].class]
-	if r.answered || sim.now > r.deadline+sim.cfg.AnswerSlack {
-		sim.t.Fatalf("request %d: a second or late answer at %v, deadline %v", a.Request, sim.now, r.deadline)
+	if r.done || sim.now > r.deadline+sim.cfg.AnswerSlack {
+		sim.t.Fatalf("request %d: second or late final response at %v, deadline %v", a.Request, sim.now, r.deadline)
 	}
-	r.answered = true
+	r.done = true
 	if a.Kind == Fail || class.Idempotency == Idempotent || class.Idempotency == IdempotentWithKey && class.KeyScope == KeyScopeAll {
 		return
 	}
@@ -255,8 +257,8 @@
 // fireTimers fires the timers that are due, each at its own time.
 func (sim *simulation) fireTimers() { fireDueTimers(&sim.timers, &sim.now, sim.handle) }
 
-// fireDueTimers hands over the timers that are due, the earliest first. The clock stands at each one's time meanwhile;
-// timers that are set meanwhile and are due are fired too.
+// fireDueTimers fires the timers that are due, the earliest first, with the clock set to the time of each. It also fires
+// due timers that are set meanwhile.
 func fireDueTimers(timers *[]pendingTimer, now *float64, handle func(Event)) {
 	end := *now
 	for {
@@ -277,22 +279,22 @@
 	*now = end
 }
 
-// hasUnanswered reports whether a request has no answer yet.
-func (sim *simulation) hasUnanswered() bool {
+// hasOpenRequests reports whether a request has no final response yet.
+func (sim *simulation) hasOpenRequests() bool {
 	for _, r := range sim.requests {
-		if !r.answered {
+		if !r.done {
 			return true
 		}
 	}
 	return false
 }
 
-// answer ends a request's pending attempts with OK.
-func (sim *simulation) answer(id RequestID) {
+// respond ends the attempts in flight of a request with OK.
+func (sim *simulation) respond(id RequestID) {
 	r := sim.requests[id]
 	for i := range r.attempts {
 		if a := &r.attempts[i]; a.live {
-			a.live, r.answered = false, true
+			a.live, r.done = false, true
 			sim.handle(Outcome{Request: id, Attempt: i, Server: a.server.ID, Elapsed: sim.now - a.sent, Finished: true})
 		}
 	}
--- a/balance/request_test.go
+++ b/balance/request_test.go
@@ -2,7 +2,8 @@
 
 import "testing"
 
-// Requests and attempts change their state only along the transitions, and each state has a name.
+// Requests and attempts change their state only along the permitted transitions, and each state has an entry in the
+// transition tables.
 func TestRequest_states(t *testing.T) {
 	for _, test := range []struct {
 		from, to requestState
@@ -15,7 +16,7 @@
 	} {
 		r := request{state: test.from}
 		if got := r.transitionTo(test.to); got != test.want || (r.state == test.to) != test.want {
-			t.Errorf("%v to %v: %v, state %v", test.from, test.to, got, r.state)
+			t.Errorf("transition from %v to %v: permitted %v, state afterwards %v", test.from, test.to, got, r.state)
 		}
 	}
 	for _, test := range []struct {
@@ -29,10 +30,10 @@
 	} {
 		a := attempt{state: test.from}
 		if got := a.transitionTo(test.to); got != test.want || (a.state == test.to) != test.want {
-			t.Errorf("%v to %v: %v, state %v", test.from, test.to, got, a.state)
+			t.Errorf("transition from %v to %v: permitted %v, state afterwards %v", test.from, test.to, got, a.state)
 		}
 	}
 	if len(requestTransitions) != int(requestDone)+1 || len(attemptTransitions) != int(attemptEnded)+1 {
-		t.Error("a state has no transitions listed")
+		t.Error("a state has no entry in a transition table")
 	}
 }
--- a/balance/routes_property_test.go
+++ b/balance/routes_property_test.go
@@ -33,7 +33,7 @@
 	}}}
 }
 
-// tenantPair is two balancers that get different events for tenant 0 and the same requests of tenant 1.
+// tenantPair holds two balancers that get different route events for tenant 0 and the same requests of tenant 1.
 type tenantPair struct {
 	rt        *rapid.T
 	balancers [2]*Balancer
@@ -42,8 +42,9 @@
 	routed    bool // tenant 1 has a route of its own
 }
 
-// Routes, budget and lease of one tenant change no pick of another. Two balancers get different events for tenant 0
-// and the same requests of tenant 1, whose actions are equal. In half of the runs tenant 0 has requests as well.
+// The routes, budget and lease of one tenant change no pick for another tenant. Two balancers get different route events
+// for tenant 0 and the same requests of tenant 1, for which their actions must be equal. In some runs tenant 0 has
+// requests as well.
 func TestRoutes_tenantIsolation(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		cfg := tenantConfig()
@@ -76,16 +77,16 @@
 	})
 }
 
-// handle brings an event to one balancer.
+// handle sends an event to one balancer.
 func (p *tenantPair) handle(b *Balancer, ev Event) []Action {
-	acts, err := b.Handle(p.now, ev)
+	actions, err := b.Handle(p.now, ev)
 	if err != nil {
 		p.rt.Fatalf("%+v: %v", ev, err)
 	}
-	return slices.Clone(acts)
+	return slices.Clone(actions)
 }
 
-// sendRouteEvent brings an event for tenant 0. Tenant 1 keeps its own route and a lease, if it has a route.
+// sendRouteEvent sends an event for tenant 0. If tenant 1 has a route, it keeps that and a lease.
 func (p *tenantPair) sendRouteEvent(b *Balancer, ev Event) {
 	if p.routed {
 		switch e := ev.(type) {
@@ -103,7 +104,7 @@
 	p.handle(b, ev)
 }
 
-// requestOfTenant0 brings a request of tenant 0 to both, which is not sent.
+// requestOfTenant0 sends a request of tenant 0 to both balancers and ends its attempt as not sent.
 func (p *tenantPair) requestOfTenant0(class int) {
 	p.lastID++
 	for _, b := range p.balancers {
@@ -114,31 +115,31 @@
 	}
 }
 
-// compareTenant1 brings a request of tenant 1 to both, ends its attempts, and compares the actions.
+// compareTenant1 sends a request of tenant 1 to both balancers, ends its attempts and compares the actions.
 func (p *tenantPair) compareTenant1(class int) {
 	p.lastID++
 	result := rapid.SampledFrom([]Result{OK, OK, OK, Failed, Rejected, Cancelled}).Draw(p.rt, "result")
 	for attempt := -1; attempt < 3; attempt++ {
-		var acts [2][]Action
+		var actions [2][]Action
 		for i, b := range p.balancers {
 			if attempt < 0 {
-				acts[i] = p.handle(b, Request{ID: p.lastID, Class: class, Tenant: 1, Remaining: 500})
+				actions[i] = p.handle(b, Request{ID: p.lastID, Class: class, Tenant: 1, Remaining: 500})
 			} else {
-				acts[i] = p.handle(b, Outcome{
+				actions[i] = p.handle(b, Outcome{
 					Request: p.lastID, Attempt: attempt, Result: result, Elapsed: 40, Finished: attempt == 2 || result == OK,
 				})
 			}
 		}
-		if !slices.EqualFunc(acts[0], acts[1], equalPlacement) {
-			p.rt.Fatalf("tenant 1 got %+v and %+v", acts[0], acts[1])
+		if !slices.EqualFunc(actions[0], actions[1], equalPlacement) {
+			p.rt.Fatalf("different actions for tenant 1: %+v and %+v", actions[0], actions[1])
 		}
-		if !hasAction(acts[0], Send) {
+		if !hasAction(actions[0], Send) {
 			break
 		}
 	}
 }
 
-// equalPlacement reports whether two actions do the same with a request.
+// equalPlacement reports whether two actions are equal in kind, server, time and route.
 func equalPlacement(a, b Action) bool {
 	return a.Kind == b.Kind && a.Server == b.Server && a.At == b.At && a.RoutesRev == b.RoutesRev && a.ToCanary == b.ToCanary
 }
@@ -148,7 +149,7 @@
 	return (len(subset.IDs) == 0 || slices.Contains(subset.IDs, s.ID)) && (len(subset.Zones) == 0 || slices.Contains(subset.Zones, s.Zone))
 }
 
-// routeSimulation plays random events of routes, and checks each attempt and all budgets.
+// routeSimulation sends random events about routes to a balancer, and checks each attempt and all budgets.
 type routeSimulation struct {
 	rt         *rapid.T
 	h          *harness
@@ -158,7 +159,7 @@
 	attempts   map[RequestID]int
 }
 
-// routedAttempt is a pending attempt; budget is 0 if it holds no unit.
+// routedAttempt is an attempt in flight. budget is the canary whose unit it has reserved, 0 if none.
 type routedAttempt struct {
 	id      RequestID
 	attempt int
@@ -166,8 +167,8 @@
 	budget  uint64
 }
 
-// For any order of events: an attempt to a canary has a lease, a class and server that the newest route names, and a
-// unit of the budget. Reserved and spent units are those of the attempts.
+// For any order of events, an attempt to a canary has a lease, a class and a server that the current route allows, and a
+// unit of the budget. The reserved and spent units match the attempts.
 func TestRoutes_property(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		cfg := tenantConfig()
@@ -183,7 +184,7 @@
 	})
 }
 
-// randomEvent brings a request, an outcome, a list, or an event of routes.
+// randomEvent sends a request, an outcome, a list or a route event.
 func (sim *routeSimulation) randomEvent() {
 	before := sim.budgets()
 	switch k := rapid.IntRange(0, 9).Draw(sim.rt, "event"); {
@@ -204,7 +205,7 @@
 	}
 }
 
-// endAttempt ends a pending attempt, and checks what that costs its budget.
+// endAttempt ends an attempt in flight and checks whether that spends a unit of its budget.
 func (sim *routeSimulation) endAttempt(before map[uint64]CanaryBudget) {
 	i := rapid.IntRange(0, len(sim.inFlight)-1).Draw(sim.rt, "which")
 	a := sim.inFlight[i]
@@ -220,11 +221,11 @@
 	before[a.budget] = budget
 	sim.checkSends(before, sim.h.handle(ev))
 	if after, ok := sim.budgets()[a.budget]; a.budget > 0 && (!ok || after.Spent != budget.Spent) {
-		sim.rt.Fatalf("%+v: %+v, want %+v", ev, after, budget)
+		sim.rt.Fatalf("%+v: budget %+v, want %+v", ev, after, budget)
 	}
 }
 
-// sendRouteEvent brings routes, possibly none, a lease or a grant.
+// sendRouteEvent sends routes (possibly none), a lease or a grant.
 func (sim *routeSimulation) sendRouteEvent() {
 	switch ev := drawRouteEvent(sim.rt).(type) {
 	case Routes:
@@ -240,44 +241,44 @@
 	}
 }
 
-// checkSends checks the attempts among the actions against the routes, and notes them.
-func (sim *routeSimulation) checkSends(before map[uint64]CanaryBudget, acts []Action) {
-	for _, a := range acts {
+// checkSends checks the Send actions against the routes and records the attempts.
+func (sim *routeSimulation) checkSends(before map[uint64]CanaryBudget, actions []Action) {
+	for _, a := range actions {
 		if a.Kind != Send {
 			continue
 		}
 		sent := routedAttempt{id: a.Request, attempt: sim.attempts[a.Request], server: a.Server}
 		sim.attempts[a.Request]++
 		if s := sim.h.b.byID[a.Server]; s == nil || s.State != Ready {
-			sim.rt.Fatalf("sent to server %d", a.Server)
+			sim.rt.Fatalf("sent to server %d, which is not ready", a.Server)
 		}
-		leaseHeld := sim.h.now < sim.leaseUntil && len(sim.routes.List) > 0
-		if (a.RoutesRev != 0) != leaseHeld ||
-			leaseHeld && (a.RoutesRev != sim.routes.Rev || a.CanaryID != sim.routes.List[0].ID) {
-			sim.rt.Fatalf("%+v under %+v, lease held %v", a, sim.routes, leaseHeld)
+		leaseValid := sim.h.now < sim.leaseUntil && len(sim.routes.List) > 0
+		if (a.RoutesRev != 0) != leaseValid ||
+			leaseValid && (a.RoutesRev != sim.routes.Rev || a.CanaryID != sim.routes.List[0].ID) {
+			sim.rt.Fatalf("%+v with routes %+v, lease valid %v", a, sim.routes, leaseValid)
 		}
 		if a.ToCanary {
-			sent.budget = sim.checkCanary(before, a, leaseHeld)
+			sent.budget = sim.checkCanary(before, a, leaseValid)
 		}
 		sim.inFlight = append(sim.inFlight, sent)
 	}
 }
 
-// checkCanary checks an attempt to the canary, and returns the budget of which it holds a unit, if any.
-func (sim *routeSimulation) checkCanary(before map[uint64]CanaryBudget, a Action, leaseHeld bool) (budget uint64) {
-	if !leaseHeld {
-		sim.rt.Fatalf("%+v under %+v", a, sim.routes)
+// checkCanary checks an attempt to the canary and returns the ID of the budget whose unit it has reserved, 0 if none.
+func (sim *routeSimulation) checkCanary(before map[uint64]CanaryBudget, a Action, leaseValid bool) (budget uint64) {
+	if !leaseValid {
+		sim.rt.Fatalf("attempt to the canary not allowed: %+v with routes %+v", a, sim.routes)
 	}
 	route, r := sim.routes.List[0], sim.h.b.requests[a.Request]
 	if route.ID == 0 || route.CanaryFraction == 0 || !subsetContains(route.Canary, sim.h.b.byID[a.Server]) ||
 		len(route.Classes) > 0 && !slices.Contains(route.Classes, r.Class) {
-		sim.rt.Fatalf("%+v under %+v", a, sim.routes)
+		sim.rt.Fatalf("attempt to the canary not allowed: %+v with routes %+v", a, sim.routes)
 	}
 	if !route.Budgeted {
 		return 0
 	}
 	if b := before[route.ID]; b.Free() <= 0 {
-		sim.rt.Fatalf("no unit is free: %+v", b)
+		sim.rt.Fatalf("attempt to the canary without a free unit: %+v", b)
 	}
 	return route.ID
 }
@@ -291,7 +292,7 @@
 	return all
 }
 
-// checkBudgets checks that reserved units are those of the pending attempts, and that no budget is overdrawn.
+// checkBudgets checks that the reserved units match the attempts in flight, and that no budget is overdrawn.
 func (sim *routeSimulation) checkBudgets() {
 	units := map[uint64]int64{}
 	for _, a := range sim.inFlight {
@@ -299,7 +300,7 @@
 	}
 	for id, budget := range sim.budgets() {
 		if budget.Free() < 0 || budget.Reserved != units[id] || budget.Spent+budget.Returned+budget.Reserved > budget.Granted {
-			sim.rt.Fatalf("%+v with %d in flight", budget, units[id])
+			sim.rt.Fatalf("%+v with %d attempts in flight", budget, units[id])
 		}
 	}
 }
--- a/balance/routes_test.go
+++ b/balance/routes_test.go
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-// tenantConfig returns settings with two tenants and a class of streamed answers.
+// tenantConfig returns settings with two tenants and a class of streamed responses.
 func tenantConfig() Config {
 	cfg := baseConfig()
 	cfg.Tenants = []Tenant{{Allowance: 1, Quota: 0.5}, {Allowance: 1, Quota: 0.5}}
@@ -17,7 +17,7 @@
 	return cfg
 }
 
-// streamClass is the class of streamed answers in tenantConfig.
+// streamClass is the class of streamed responses in tenantConfig.
 const streamClass = zoneKeyClass + 1
 
 // canaryRoute returns a route of tenant 0 whose canary is these servers.
@@ -25,7 +25,7 @@
 	return Route{Tenant: 0, Canary: Subset{IDs: ids}, CanaryFraction: fraction, ID: 9}
 }
 
-// newRoutedHarness returns a harness with eight servers, this route and a lease without end.
+// newRoutedHarness returns a harness with eight servers, this route and a lease that never expires.
 func newRoutedHarness(t *testing.T, route Route) *harness {
 	h := newHarness(t, tenantConfig(), identicalServers(8)...)
 	h.handle(Routes{Rev: 5, List: []Route{route}})
@@ -33,7 +33,7 @@
 	return h
 }
 
-// sendForTenant brings a request of tenant 0 and returns its first attempt.
+// sendForTenant sends a request of tenant 0 and returns the action of its first attempt.
 func (h *harness) sendForTenant(class int) (RequestID, Action) {
 	h.t.Helper()
 	h.lastID++
@@ -41,16 +41,16 @@
 }
 
 // requireSend returns the first Send among the actions, and fails without one.
-func (h *harness) requireSend(acts []Action) Action {
+func (h *harness) requireSend(actions []Action) Action {
 	h.t.Helper()
-	i := slices.IndexFunc(acts, func(a Action) bool { return a.Kind == Send })
+	i := slices.IndexFunc(actions, func(a Action) bool { return a.Kind == Send })
 	if i < 0 {
-		h.t.Fatalf("nothing was sent: %+v", acts)
+		h.t.Fatalf("no attempt among the actions: %+v", actions)
 	}
-	return acts[i]
+	return actions[i]
 }
 
-// An invalid event is an error that names field and value, and changes nothing.
+// An invalid event returns an error with the field and its value, and leaves the balancer unchanged.
 func TestRoutes_invalid(t *testing.T) {
 	with := func(change func(*Route)) Routes {
 		route := canaryRoute(0.5, 1)
@@ -78,19 +78,19 @@
 		h := newRoutedHarness(t, route)
 		h.handle(BudgetGrant{ID: 9, Units: 3, MaxIdle: 3})
 		routes := h.b.canary.routes
-		if acts, err := h.b.Handle(h.now, ev); err == nil || !strings.Contains(err.Error(), want) || len(acts) > 0 {
-			t.Errorf("%+v: error %v, want one with %q", ev, err, want)
+		if actions, err := h.b.Handle(h.now, ev); err == nil || !strings.Contains(err.Error(), want) || len(actions) > 0 {
+			t.Errorf("%+v: got error %v, want one that contains %q", ev, err, want)
 		}
 		if &h.b.canary.routes[0] != &routes[0] || h.b.canary.rev != 5 || h.b.CanaryBudgets()[0].Granted != 3 {
 			t.Errorf("%+v changed the balancer", ev)
 		}
 		if _, a := h.sendForTenant(idempotentClass); !a.ToCanary || a.RoutesRev != 5 || a.CanaryID != 9 {
-			t.Errorf("%+v: the next attempt is %+v", ev, a)
+			t.Errorf("%+v: next attempt %+v", ev, a)
 		}
 	}
 }
 
-// A key that prefers the canary at some fraction does so at every larger one, and in every process.
+// A key that prefers the canary at some fraction prefers it at every larger fraction, and in every process.
 func TestRoutes_stableKeys(t *testing.T) {
 	var harnesses []*harness
 	for seed := range uint64(3) {
@@ -112,7 +112,7 @@
 				route := canaryRoute(fraction, 1)
 				preferred := h.b.canary.prefersCanary(&tenantRoute{Route: route}, &request{Request: r})
 				if i > 0 && preferred != side || last[key] && !preferred {
-					t.Fatalf("key %d at fraction %v changes its side", key, fraction)
+					t.Fatalf("key %d at fraction %v: side differs between processes or from a lower fraction", key, fraction)
 				}
 				side = preferred
 			}
@@ -121,13 +121,13 @@
 			}
 		}
 		if d := math.Abs(float64(n)/float64(keys) - fraction); d > 4*math.Sqrt(fraction*(1-fraction)/float64(keys)) {
-			t.Errorf("%d of %d keys at fraction %v", n, keys, fraction)
+			t.Errorf("%d of %d keys prefer the canary at fraction %v", n, keys, fraction)
 		}
 	}
 }
 
-// The part of canary requests of 300 sidecars with n requests each stays within the standard error that routes.go
-// states.
+// The fraction of canary requests of 300 sidecars with n requests each stays within the standard error stated in
+// routes.go.
 func TestRoutes_canaryFraction(t *testing.T) {
 	const sidecars = 300
 	for _, n := range []int{1, 10, 40} {
@@ -151,7 +151,7 @@
 							canaryRequests++
 						}
 						if again := b.canary.prefersCanary(b.canary.routeOf(r), r); again != first {
-							t.Fatal("a request changed its side")
+							t.Fatal("a request changed its side between two picks")
 						}
 					}
 				}
@@ -167,8 +167,8 @@
 	}
 }
 
-// When the canary cannot take a request, the request goes to the base or to other servers at once. Requests of the
-// base go to the canary only when no other server is left.
+// If the canary cannot take a request, the request goes to the base or to other servers at once. Requests of the base go
+// to the canary only if no other server is usable.
 func TestRoutes_unusableServers(t *testing.T) {
 	all := identicalServers(8)
 	list := func(state ServerState, ids ...ServerID) ServerList {
@@ -190,22 +190,22 @@
 		"base":         {0, func(*harness) {}, false, []ServerID{3, 4}},
 		"one draining": {1, func(h *harness) { h.handle(list(Draining, 1)) }, true, []ServerID{2}},
 		"draining":     {1, func(h *harness) { h.handle(list(Draining, 1, 2)) }, false, []ServerID{3, 4}},
-		"gone":         {1, func(h *harness) { h.handle(list(Removed, 1, 2)) }, false, []ServerID{3, 4}},
+		"removed":      {1, func(h *harness) { h.handle(list(Removed, 1, 2)) }, false, []ServerID{3, 4}},
 		"not listed": {1, func(h *harness) {
 			h.handle(ServerList{Kind: ListFull, Servers: all[4:]})
 			h.handle(list(Removed, 1, 2, 3, 4))
 		}, false, others[2:]},
 		"ejected":      {1, func(h *harness) { eject(h, 1, 2) }, false, []ServerID{3, 4}},
 		"loaded":       {1, func(h *harness) { h.b.byID[1].inFlight, h.b.byID[2].inFlight = 9, 9 }, false, []ServerID{3, 4}},
-		"base gone":    {1, func(h *harness) { h.handle(list(Removed, 1, 2, 3, 4)) }, false, others[2:]},
+		"base removed": {1, func(h *harness) { h.handle(list(Removed, 1, 2, 3, 4)) }, false, others[2:]},
 		"base ejected": {0, func(h *harness) { eject(h, 3, 4) }, false, others[2:]},
-		"canary left":  {0, func(h *harness) { eject(h, others...) }, false, []ServerID{1, 2}},
+		"only canary":  {0, func(h *harness) { eject(h, others...) }, false, []ServerID{1, 2}},
 		"all ejected":  {1, func(h *harness) { eject(h, 1, 2, 3, 4, 5, 6, 7, 8) }, false, []ServerID{3, 4}},
 		"all loaded": {1, func(h *harness) {
 			for _, s := range h.b.servers {
 				s.inFlight = 9
 			}
-		}, true, []ServerID{1}}, // the one with the least in flight, of equals the first
+		}, true, []ServerID{1}}, // the one with the fewest requests in flight; the first of equal ones
 		"base loaded": {0, func(h *harness) {
 			for _, id := range others {
 				h.b.byID[id].inFlight = 9
@@ -236,7 +236,8 @@
 	}
 }
 
-// placementCase is a state of the servers, and where requests go then: to the canary or not, and to which servers.
+// placementCase is a state of the servers and the expected placement of requests: whether they count for the canary, and
+// their servers.
 type placementCase struct {
 	fraction float64
 	fault    func(*harness)
@@ -244,7 +245,7 @@
 	to       []ServerID
 }
 
-// checkPlacement sends 16 requests along a route with canary 1 and 2 and base 1, 3 and 4.
+// checkPlacement sends 16 requests by a route whose canary is servers 1 and 2 and whose base is servers 1, 3 and 4.
 func checkPlacement(t *testing.T, name string, c placementCase) {
 	t.Helper()
 	route := canaryRoute(c.fraction, 2, 1)
@@ -256,11 +257,11 @@
 		before := h.b.servers[0].inFlight
 		id, a := h.sendForTenant(idempotentClass)
 		if seen[a.Server] = true; a.ToCanary != c.canary {
-			t.Errorf("to the canary: %v (%+v)", a.ToCanary, a)
+			t.Errorf("ToCanary is %v: %+v", a.ToCanary, a)
 		}
 		leaseHeld := name != "lease expired"
 		if leaseHeld != (a.RoutesRev > 0) || (leaseHeld && name != "no canary") != (a.CanaryID > 0) {
-			t.Errorf("has canary %d and revision %d", a.CanaryID, a.RoutesRev)
+			t.Errorf("attempt with canary %d and revision %d", a.CanaryID, a.RoutesRev)
 		}
 		h.endAttempt(id, 0, NotSent, 0)
 		h.handle(ClientDisconnected{Request: id})
@@ -269,23 +270,23 @@
 	}
 	for s := range seen {
 		if !slices.Contains(c.to, s) {
-			t.Errorf("sent to %d, want one of %v", s, c.to)
+			t.Errorf("sent to server %d, want one of %v", s, c.to)
 		}
 	}
 	if len(seen) < min(2, len(c.to)) {
-		t.Errorf("all went to %v of %v", seen, c.to)
+		t.Errorf("all requests went to %v, want several of %v", seen, c.to)
 	}
 }
 
-// cancelAttempts ends all pending attempts of a request as not sent.
+// cancelAttempts ends all attempts in flight of a request as not sent.
 func (h *harness) cancelAttempts(id RequestID) {
 	for r := h.b.requests[id]; r != nil && r.liveAttempts > 0; r = h.b.requests[id] {
 		h.endAttempt(id, slices.IndexFunc(r.attempts, func(a attempt) bool { return a.state != attemptEnded }), NotSent, 0)
 	}
 }
 
-// Further attempts stay in the group of the first one: the healthiest unused server of the canary, then of the base,
-// then of the other servers.
+// Retries prefer the group of the first attempt. They go to the healthiest server of the canary that the request has not
+// tried, then to one of the base, then to one of the other servers.
 func TestRoutes_retryPlacement(t *testing.T) {
 	route := canaryRoute(1, 1, 2, 3)
 	route.Base = Subset{IDs: []ServerID{4, 5}}
@@ -295,20 +296,20 @@
 	h.b.byID[1].inFlight = 20
 	id, a := h.sendForTenant(idempotentClass)
 	if a.Server != 3 || !a.ToCanary {
-		t.Fatalf("the first attempt is %+v", a)
+		t.Fatalf("first attempt %+v", a)
 	}
 	h.b.byID[1].inFlight = 0
 	for i, want := range []ServerID{1, 2, 4} {
 		h.b.requests[id].stats.samples = 0
 		if a = h.requireSend(h.endAttempt(id, i, Rejected, 1)); a.Server != want || a.ToCanary != (want < 4) {
-			t.Errorf("retry %d: %+v, want %d", i+1, a, want)
+			t.Errorf("retry %d: %+v, want server %d", i+1, a, want)
 		}
-		if i == 1 { // the newest revision counts
+		if i == 1 { // the next attempt must use the new revision
 			h.handle(Routes{Rev: 8, List: []Route{route}})
 		}
 	}
 	if a.RoutesRev != 8 {
-		t.Errorf("the last attempt has revision %d", a.RoutesRev)
+		t.Errorf("last attempt has revision %d, want 8", a.RoutesRev)
 	}
 }
 
@@ -323,38 +324,38 @@
 	for i := range maxRevokedAttempts {
 		a := h.requireSend(h.handle(Outcome{Request: id, Attempt: i, Server: 1, Result: Failed, RouteRevoked: true}))
 		if a.Server != 1 || h.b.byID[1].consecutiveErrors != 0 {
-			t.Fatalf("after %d: %+v, %d errors", i+1, a, h.b.byID[1].consecutiveErrors)
+			t.Fatalf("after %d revoked attempts: %+v, %d errors", i+1, a, h.b.byID[1].consecutiveErrors)
 		}
 	}
 	last := Outcome{Request: id, Attempt: maxRevokedAttempts, Server: 1, Result: Failed, RouteRevoked: true}
-	if acts := h.handle(last); hasAction(acts, Send) {
-		t.Errorf("after the last: %+v", acts)
+	if actions := h.handle(last); hasAction(actions, Send) {
+		t.Errorf("sent again after maxRevokedAttempts: %+v", actions)
 	}
 	if h.b.byID[1].consecutiveErrors != 0 || h.b.byID[1].inFlight != 0 || h.b.requests[id].countedAttempts() != 1 {
-		t.Errorf("%d errors, %d in flight", h.b.byID[1].consecutiveErrors, h.b.byID[1].inFlight)
+		t.Errorf("%d errors and %d requests in flight at the server, or a wrong number of counted attempts", h.b.byID[1].consecutiveErrors, h.b.byID[1].inFlight)
 	}
 }
 
-// An ejected server is not used because all others are in slow start and have no budget left.
+// An ejected server is not used, even if all other servers are in slow start and their budgets are exhausted.
 func TestRoutes_ejectedDuringSlowStart(t *testing.T) {
 	h := newRoutedHarness(t, canaryRoute(0, 8))
 	for _, s := range h.b.servers {
 		s.slowStartAt, s.tokens, s.tokensAt = h.now, -100, h.now
 	}
 	h.b.byID[8].slowStartAt, h.b.byID[8].ejectedUntil = math.Inf(-1), math.Inf(1)
-	if _, acts := h.sendRequest(idempotentClass); hasAction(acts, Send) {
-		t.Errorf("%+v", acts)
+	if _, actions := h.sendRequest(idempotentClass); hasAction(actions, Send) {
+		t.Errorf("request sent to an ejected server: %+v", actions)
 	}
 }
 
-// A pick along a route allocates nothing and leaves no state behind that another request would see.
+// A pick for a route allocates no memory and leaves the state of picks without a route unchanged.
 func TestRoutes_pickSideEffects(t *testing.T) {
 	route := canaryRoute(0.5, 1, 2)
 	route.Base = Subset{Zones: []int{1}}
 	h := newRoutedHarness(t, route)
 	r := &request{class: &h.b.cfg.Classes[idempotentClass], stats: &h.b.demand.classes[idempotentClass], tenant: h.b.demand.tenant(0)}
 	if n := testing.AllocsPerRun(100, func() { r.hasCanaryPosition = false; h.b.pick(r, false) }); n > 0 {
-		t.Errorf("%v allocations", n)
+		t.Errorf("%v allocations in a pick, want 0", n)
 	}
 	h.b.picker.pool.weight = 321
 	for i, s := range h.b.servers {
@@ -363,7 +364,7 @@
 	h.b.pick(r, false)
 	for i, s := range h.b.servers {
 		if s.running != float64(i) || s.outsideGroup || h.b.picker.pool.weight != 321 || h.b.picker.alongRoute {
-			t.Errorf("after a pick %+v, pool %v", s, h.b.picker.pool)
+			t.Errorf("state after a pick: server %+v, pool %v", s, h.b.picker.pool)
 		}
 	}
 }
--- a/balance/settings_test.go
+++ b/balance/settings_test.go
@@ -55,14 +55,14 @@
 				}
 				sent += len(sim.requests[id].attempts)
 				if id > 2 {
-					sim.answer(id - 2)
+					sim.respond(id - 2)
 				}
 			}
-			for sim.now += 1000; sim.hasUnanswered() && len(sim.timers) > 0; sim.now += 1000 {
+			for sim.now += 1000; sim.hasOpenRequests() && len(sim.timers) > 0; sim.now += 1000 {
 				sim.fireTimers()
 			}
-			if sim.hasUnanswered() || sent < 300 {
-				t.Fatalf("unanswered requests: %v; %d of 400 sent", sim.hasUnanswered(), sent)
+			if sim.hasOpenRequests() || sent < 300 {
+				t.Fatalf("unanswered requests: %v; %d of 400 sent", sim.hasOpenRequests(), sent)
 			}
 		})
 	}
--- a/balance/wallclock_test.go
+++ b/balance/wallclock_test.go
@@ -6,24 +6,24 @@
 	"testing"
 )
 
-// A start in the future comes from a clock that is off: the server is in slow start for SlowStartTime and no longer.
+// A start time in the future comes from a wrong clock: the server is in slow start for SlowStartTime and no longer.
 func TestWallClock_startInFuture(t *testing.T) {
 	h := newListHarness(t, nil)
 	list := ServerList{Kind: ListFull, Rev: 2, Servers: []Server{{ID: 1, StartedAt: h.now + 3.6e6}}}
 	h.handle(list)
 	if !h.b.slowStart.warmingUp(h.b.byID[1]) {
-		t.Error("a started server is not in slow start")
+		t.Error("server not in slow start after its start")
 	}
 	h.now += h.b.cfg.SlowStartTime
 	h.handle(list) // the same start again is no restart
 	if h.b.slowStart.warmingUp(h.b.byID[1]) {
-		t.Error("the server is still in slow start")
+		t.Error("server still in slow start after SlowStartTime")
 	}
 }
 
 const (
 	testHour = 3.6e6
-	testBoot = 1.7e12 // start time in ms since 1970, as lists have it
+	testBoot = 1.7e12 // start of the test in ms since 1970, as in lists
 )
 
 // newClockHarness returns a harness with one list service and servers 1 to 3 that started long ago. Server 4 started
@@ -36,28 +36,28 @@
 	return h
 }
 
-// updateServer brings a list change of one server and returns its state.
+// updateServer applies a list change of one server and returns the server's state.
 func (h *harness) updateServer(rev int64, s Server) *server {
 	h.t.Helper()
 	h.handle(ServerList{Kind: ListDelta, Rev: rev, Servers: []Server{s}})
 	return h.b.byID[s.ID]
 }
 
-// passTime lets time pass, at the end of which the list service gives a sign of life.
+// passTime lets time pass and then reports an unchanged list.
 func (h *harness) passTime(ms float64) {
 	h.t.Helper()
 	h.now += ms
 	h.handle(ServerList{Kind: ListUnchanged})
 }
 
-// stepClock steps this machine's wall clock to this offset in all.
+// stepClock steps this machine's wall clock to this total offset.
 func (h *harness) stepClock(offset float64) {
 	h.t.Helper()
 	h.handle(ClockStepped{Offset: offset})
 	h.now += 50
 }
 
-// After a noticed step of the wall clock, the slow start of a server begins at its true start.
+// After a reported step of the wall clock, the slow start of a server begins at its true start.
 func TestWallClock_startAfterStep(t *testing.T) {
 	for _, step := range []float64{-testHour, -30e3, -1e3, 1e3, 30e3, testHour} {
 		for name, id := range map[string]ServerID{"new": 9, "restarted": 4, "restarted, started long ago": 2} {
@@ -107,8 +107,8 @@
 	}
 }
 
-// After two steps that cancel each other out, a start that was stamped between them is an hour off, and a later
-// restart is still noticed.
+// After two steps that cancel each other out, a start time listed between them is an hour off, and a later restart is
+// still noticed.
 func TestWallClock_stepForthAndBack(t *testing.T) {
 	for _, step := range []float64{-testHour, testHour} {
 		h := newClockHarness(t)
@@ -116,21 +116,21 @@
 		s := h.updateServer(11, Server{ID: 4, StartedAt: h.now + step})
 		h.passTime(2 * h.b.cfg.SlowStartTime)
 		if h.b.slowStart.warmingUp(s) {
-			t.Fatalf("%v: a warm server is in slow start", step)
+			t.Fatalf("step %v: a warm server is in slow start", step)
 		}
 		h.stepClock(0)
 		h.now += 1000
 		if s = h.updateServer(12, Server{ID: 4, StartedAt: h.now - 100}); !h.b.slowStart.warmingUp(s) || s.slowStartAt < h.now-1100 {
-			t.Errorf("%v: after a restart behind the second step, the slow start is %v ms old", step, h.now-s.slowStartAt)
+			t.Errorf("step %v: after a restart following the second step, the slow start is %v ms old", step, h.now-s.slowStartAt)
 		}
 	}
 }
 
-// A step that this process did not notice shows in implausible starts, which count as restarts now. Plausible ones
-// are taken as they are.
+// A step that was not reported shows in implausible start times, which count as a restart at the present time. Plausible
+// start times are used unchanged.
 func TestWallClock_implausibleStarts(t *testing.T) {
 	for name, c := range map[string]struct {
-		starts    []float64 // listed starts of server 4, one after the other, after testBoot
+		starts    []float64 // successive listed start times of server 4, relative to testBoot
 		warmingUp bool
 	}{
 		"in the future":                     {[]float64{testHour}, true},
@@ -155,7 +155,7 @@
 	}
 }
 
-// A list that is not newer than the current one is no evidence of a restart, however old the starts that it names.
+// A list that is not newer than the current one is no evidence of a restart, however old its start times are.
 func TestWallClock_olderLists(t *testing.T) {
 	for name, list := range map[string]ServerList{
 		"the same revision":  {Kind: ListFull, Rev: 10},
@@ -172,7 +172,7 @@
 			}
 			h.handle(list)
 			if h.b.slowStart.warmingUp(h.b.byID[4]) || h.b.clock.stepDetected {
-				t.Errorf("a restart is assumed: %+v", h.b.byID[4])
+				t.Errorf("restart assumed: %+v", h.b.byID[4])
 			}
 		})
 	}
@@ -191,15 +191,15 @@
 	}
 }
 
-// After any number of steps, a restarted server is in slow start from about its true start on, and the number of
-// remembered offsets is bounded.
+// After any number of steps, the slow start of a restarted server begins at about its true start, and the number of
+// offsets kept is limited.
 func TestWallClock_manySteps(t *testing.T) {
 	for seed := range uint64(200) {
-		h, offset, rev, draw := newClockHarness(t), 0.0, int64(10), seed
+		h, offset, rev, random := newClockHarness(t), 0.0, int64(10), seed
 		for range 30 {
-			draw = mix(draw + 1)
-			h.now += 10e3 + float64(draw%7)*10e3
-			offset += []float64{1e3, -1e3, 30e3, -30e3, testHour, -testHour}[mix(draw)%6]
+			random = mix(random + 1)
+			h.now += 10e3 + float64(random%7)*10e3
+			offset += []float64{1e3, -1e3, 30e3, -30e3, testHour, -testHour}[mix(random)%6]
 			h.stepClock(offset)
 			h.now += 1000
 			rev++
@@ -208,13 +208,13 @@
 				t.Fatalf("seed %d, offset %v: started %v ms ago", seed, offset, h.now-s.slowStartAt)
 			}
 			if len(h.b.clock.offsets) > maxOffsets {
-				t.Fatal(len(h.b.clock.offsets), "offsets are remembered")
+				t.Fatal(len(h.b.clock.offsets), "offsets are kept")
 			}
 		}
 	}
 }
 
-// Without a step, starts are taken as they are listed.
+// Without a step, listed start times are used unchanged.
 func TestWallClock_noStep(t *testing.T) {
 	h := newClockHarness(t)
 	for rev, start := range []float64{-30e3, -100, 500} {
@@ -225,6 +225,6 @@
 		}
 	}
 	if s := h.b.byID[1]; !math.IsInf(s.slowStartAt, -1) {
-		t.Errorf("started long ago: slow start begins at %v", s.slowStartAt)
+		t.Errorf("server started long ago: slow start begins at %v", s.slowStartAt)
 	}
 }
