--- a/balance/health_check_test.go
+++ b/balance/health_check_test.go
@@ -2,14 +2,14 @@
 
 import "testing"
 
-// A health check that this machine could not send says nothing about the server.
+// A health check that this machine could not send does not affect the server.
 func TestHealthCheck_localFailure(t *testing.T) {
 	h := newHarness(t, baseConfig(), identicalServers(8)...)
 	before := h.recordOf(3)
 	h.b.byID[3].checkPending = true
 	h.handle(HealthCheckResult{Server: 3, Result: LocalFailure, Elapsed: 0.1})
 	if after := h.recordOf(3); after != before || h.b.byID[3].checkPending {
-		t.Errorf("%+v, was %+v; a further check is possible: %v", after, before, !h.b.byID[3].checkPending)
+		t.Errorf("record %+v, was %+v; another check is possible: %v", after, before, !h.b.byID[3].checkPending)
 	}
 }
 
@@ -22,9 +22,9 @@
 
 // answerHealthChecks answers the health checks among the actions: unreachable servers time out, others report n
 // requests in flight.
-func (h *harness) answerHealthChecks(acts []Action, n float32, unreachable map[ServerID]bool) []Action {
+func (h *harness) answerHealthChecks(actions []Action, n float32, unreachable map[ServerID]bool) []Action {
 	var after []Action
-	for _, a := range acts {
+	for _, a := range actions {
 		if a.Kind != HealthCheck {
 			continue
 		}
@@ -37,17 +37,17 @@
 	return after
 }
 
-// Servers that do not answer health checks are ejected, so that they are not checked again for each request, and are
-// used again when they answer.
+// Servers that do not answer health checks are ejected, so that they are not checked again for each request. They
+// are used again when they answer.
 func TestHealthCheck_unreachableServers(t *testing.T) {
 	h := newHarness(t, healthCheckConfig(), identicalServers(3)...)
 	unreachable := map[ServerID]bool{1: true, 2: true}
 	for i := range 4 {
-		id, acts := h.sendRequest(idempotentClass)
-		if checked := len(acts) - 1; i > 0 && checked > 1 {
+		id, actions := h.sendRequest(idempotentClass)
+		if checked := len(actions) - 1; i > 0 && checked > 1 {
 			t.Fatalf("request %d: %d servers are checked, want at most 1 while two are ejected", id, checked)
 		}
-		if s, ok := sentTo(h.answerHealthChecks(acts, 0, unreachable)); !ok || s != 3 {
+		if s, ok := sentTo(h.answerHealthChecks(actions, 0, unreachable)); !ok || s != 3 {
 			t.Fatalf("request %d went to %d", id, s)
 		}
 		h.endAttempt(id, 0, OK, 10)
@@ -55,8 +55,8 @@
 	h.now += 10000 // the ejections have ended and the servers answer again
 	used := map[ServerID]bool{}
 	for range 6 {
-		id, acts := h.sendRequest(idempotentClass)
-		s, _ := sentTo(h.answerHealthChecks(acts, 0, nil))
+		id, actions := h.sendRequest(idempotentClass)
+		s, _ := sentTo(h.answerHealthChecks(actions, 0, nil))
 		used[s] = true
 		h.endAttempt(id, 0, OK, 10)
 	}
@@ -65,13 +65,13 @@
 	}
 }
 
-// A request waits for its health checks and goes to the server with the fewest reported requests, as a sidecar with
-// little traffic does not see the load of others.
+// A request waits for its health checks and goes to the server with the fewest reported requests, because a sidecar
+// with little traffic does not know the load that others cause.
 func TestHealthCheck_reportedQueue(t *testing.T) {
 	h := newHarness(t, healthCheckConfig(), identicalServers(3)...)
-	h.b.servers[0].running = 1000 // next in the rotation
-	id, acts := h.sendRequest(idempotentClass)
-	if hasAction(acts, Send) {
+	h.b.servers[0].currentWeight = 1000 // next in the rotation
+	id, actions := h.sendRequest(idempotentClass)
+	if hasAction(actions, Send) {
 		t.Fatal("sent before the health checks were answered")
 	}
 	h.handle(HealthCheckResult{Server: 1, Report: []float32{5}})
@@ -81,31 +81,32 @@
 	}
 }
 
-// A request waits for health checks for a tenth of its latency objective at most.
+// A request waits for health checks for at most a tenth of its latency objective.
 func TestHealthCheck_waitLimit(t *testing.T) {
 	h := newHarness(t, healthCheckConfig(), identicalServers(3)...)
 	id, _ := h.sendRequest(idempotentClass)
 	h.now = h.b.requests[id].wakeAt
-	if acts := h.handle(Timer{Token: uint64(id)}); !hasAction(acts, Send) || h.now > 1000+0.1*300 {
-		t.Fatalf("at %v: %+v", h.now, acts)
+	if actions := h.handle(Timer{Token: uint64(id)}); !hasAction(actions, Send) || h.now > 1000+0.1*300 {
+		t.Fatalf("at %v: %+v", h.now, actions)
 	}
 }
 
-// Few servers are checked per request while servers are idle, and all while they are busy: a check has a cost.
+// Few servers are checked per request while servers are idle, and all while they are busy, because each check has a
+// cost.
 func TestHealthCheck_countFollowsLoad(t *testing.T) {
 	h := newHarness(t, healthCheckConfig(), identicalServers(12)...)
 	checksSent := func(inFlight float32) int {
 		n := 0
 		for range 60 {
 			h.now += 10
-			id, acts := h.sendRequest(idempotentClass)
+			id, actions := h.sendRequest(idempotentClass)
 			n = 0
-			for _, a := range acts {
+			for _, a := range actions {
 				if a.Kind == HealthCheck {
 					n++
 				}
 			}
-			h.answerHealthChecks(acts, inFlight, nil)
+			h.answerHealthChecks(actions, inFlight, nil)
 			h.endAttempt(id, 0, OK, 10)
 		}
 		return n
--- a/balance/route_state.go
+++ b/balance/route_state.go
@@ -108,7 +108,7 @@
 				continue
 			}
 			for side := range placement.currentWeight {
-				placement.currentWeight[side] = maxInitialRunning * c.randomFor(uint64(s.ID), uint64(sides*i+side)+1)
+				placement.currentWeight[side] = maxInitialWeight * c.randomFor(uint64(s.ID), uint64(sides*i+side)+1)
 			}
 		}
 	}
@@ -118,7 +118,7 @@
 func (c *canaryRouter) storeCurrentWeights(route *tenantRoute, side int) {
 	for _, s := range c.servers {
 		if !s.outsideGroup {
-			s.placements[route.slot].currentWeight[side] = s.running
+			s.placements[route.slot].currentWeight[side] = s.currentWeight
 		}
 	}
 }
--- a/internal/sidecar/eventloop/calls.go
+++ b/internal/sidecar/eventloop/calls.go
@@ -8,8 +8,8 @@
 	"marblelane/internal/sidecar/upstream"
 )
 
-// takeArrival gives a new call its ID and hands it to the balancer.
-func (l *Loop) takeArrival(now float64, c *inflight.Call) {
+// startCall gives a new call its ID and hands it to the balancer.
+func (l *Loop) startCall(now float64, c *inflight.Call) {
 	l.lastID++
 	c.Request.ID = l.lastID
 	l.calls[l.lastID] = &openCall{Call: c}
@@ -23,8 +23,8 @@
 	l.HandleEvent(now, request)
 }
 
-// takeBodyComplete starts the times of a call, and of its attempts, whose body has been forwarded to its end.
-func (l *Loop) takeBodyComplete(now float64, c *inflight.Call) {
+// handleBodyComplete starts the times of a call, and of its attempts, whose body has been forwarded to its end.
+func (l *Loop) handleBodyComplete(now float64, c *inflight.Call) {
 	c.Deadline = c.Outbound.Upload.CompletedAt().Add(c.Timeout)
 	if open := l.calls[c.Request.ID]; open != nil {
 		for _, a := range open.attempts {
@@ -34,54 +34,54 @@
 	l.HandleEvent(now, balance.BodyComplete{Request: c.Request.ID, Remaining: l.Clock.Millis(c.Deadline) - now})
 }
 
-// takeClientGone ends a call whose client has left.
-func (l *Loop) takeClientGone(now float64, c *inflight.Call) {
+// handleClientGone ends a call whose client has left.
+func (l *Loop) handleClientGone(now float64, c *inflight.Call) {
 	l.cancelUnwritten(c)
 	l.HandleEvent(now, balance.ClientDisconnected{Request: c.Request.ID})
 	l.release(c)
 }
 
-// takeAnswerStarted gives the client an answer that is forwarded as it comes.
-func (l *Loop) takeAnswerStarted(now float64, a *upstream.Attempt, answer inflight.Answer) {
+// handleResponseStarted gives the client an answer that is forwarded as it comes.
+func (l *Loop) handleResponseStarted(now float64, a *upstream.Attempt, answer inflight.Response) {
 	c := a.Call
 	if !c.Finish() {
-		answer.Stream.Ended <- inflight.ErrBodyUnwanted
+		answer.Stream.WriteResult <- inflight.ErrBodyNotNeeded
 		return
 	}
-	a.FirstByteAfter = now - a.StartedAt
-	c.Answers <- answer
+	a.TimeToFirstByte = now - a.StartedAt
+	c.Response <- answer
 	l.cancelUnwritten(c)
 	l.HandleEvent(now, balance.ResponseStarted{
-		Request: c.Request.ID, Attempt: a.Number, Server: a.Server.ID, Elapsed: a.FirstByteAfter,
+		Request: c.Request.ID, Attempt: a.Number, Server: a.Server.ID, Elapsed: a.TimeToFirstByte,
 	})
 }
 
-// takeAttemptDone hands the balancer the one outcome of an attempt. The first that is served is the client's answer.
-func (l *Loop) takeAttemptDone(now float64, a *upstream.Attempt, reply inflight.Reply) {
+// handleAttemptDone hands the balancer the one outcome of an attempt. The first that is served is the client's answer.
+func (l *Loop) handleAttemptDone(now float64, a *upstream.Attempt, reply inflight.AttemptOutcome) {
 	a.Cancel()
 	c := a.Call
 	if open := l.calls[c.Request.ID]; open != nil {
 		open.liveAttempts--
 	}
 	if reply.Result == balance.OK && c.Finish() {
-		c.Answers <- reply.Answer
+		c.Response <- reply.Response
 		l.cancelUnwritten(c)
 	}
-	if c.SeenGone() && c.Finish() { // the attempt has seen that the client left: no other is made
-		c.Answers <- inflight.Answer{ClientLeft: true}
-		l.takeClientGone(now, c)
+	if c.DisconnectSeen() && c.Finish() { // the attempt has seen that the client left: no other is made
+		c.Response <- inflight.Response{ClientDisconnected: true}
+		l.handleClientGone(now, c)
 	}
-	streamed := a.FirstByteAfter > 0
+	streamed := a.TimeToFirstByte > 0
 	elapsed := now - a.StartedAt
 	if streamed {
-		elapsed = a.FirstByteAfter
+		elapsed = a.TimeToFirstByte
 	}
 	if a.RouteCheck != nil {
 		l.Routing.CountOutcome(now, a.RouteCheck, c, &reply, elapsed, streamed)
 	}
 	l.HandleEvent(now, balance.Outcome{
 		Request: c.Request.ID, Attempt: a.Number, Server: a.Server.ID, Result: reply.Result, Elapsed: elapsed,
-		Finished: c.Finished(), Report: reply.Report, BodyConsumed: reply.BodyConsumed,
+		Finished: c.Finished(), Report: reply.LoadReport, BodyConsumed: reply.BodyConsumed,
 		RouteRevoked: reply.RouteRevoked,
 	})
 	l.release(c)
--- /dev/null
+++ b/internal/sidecar/upstream/response.go
@@ -0,0 +1,154 @@
+package upstream
+
+import (
+	"context"
+	"errors"
+	"net/http"
+	"time"
+
+	"marblelane/balance"
+	"marblelane/internal/sidecar/framing"
+	"marblelane/internal/sidecar/inflight"
+)
+
+// maxBufferedResponse limits the bytes that are buffered of a response, including its head: an endless head must not
+// fill the memory.
+const maxBufferedResponse = framing.MaxHeader + 2*inflight.MaxHeldBody
+
+const (
+	notProcessedHeader = "X-Not-Processed" // response header; 1: the server has not started to process the request
+	loadReportHeader   = "X-Server-Load"
+)
+
+var (
+	errNotHTTP1          = errors.New("response is not HTTP/1")
+	errConflictingLength = errors.New("response has both Transfer-Encoding and Content-Length")
+	// errHeadOnly reports a connection that was closed right after a response head that does not state the length of
+	// the body.
+	errHeadOnly = errors.New("connection closed after a response head that states no length")
+	// errBodyTooLarge reports a response body larger than inflight.MaxBody, or larger than inflight.MaxHeldBody if it
+	// must not be forwarded to a client.
+	errBodyTooLarge = errors.New("response body too large")
+)
+
+// readResponse reads the response to a request whose last byte has been written: if the connection breaks now, the
+// request may have run. It also reports whether the connection can be reused.
+func (x *exchange) readResponse(ctx context.Context, conn *serverConn, idle time.Duration) (
+	outcome inflight.AttemptOutcome, reusable bool) {
+	resp, interim, err := readHead(conn, x.request)
+	nothingRead := conn.readLimit.N == maxBufferedResponse
+	if err == nil {
+		err = checkResponse(conn, resp, interim)
+	}
+	var body []byte
+	if err == nil {
+		// Only a 200 for a client is forwarded as it arrives.
+		mayForward := x.attempt != nil && resp.StatusCode == http.StatusOK
+		reader := &bodyReader{conn: conn, resp: resp, deadline: x.deadline, mayForward: mayForward}
+		var more bool
+		if body, more, err = reader.read(ctx); more {
+			x.pool.idleAges.record(time.Now(), idle, false)
+			return x.forwardResponse(ctx, conn, resp, body)
+		}
+	}
+	result := responseResult(ctx, err)
+	x.pool.idleAges.record(time.Now(), idle, result == balance.Reset && nothingRead)
+	if err != nil {
+		return inflight.AttemptOutcome{Result: result}, false
+	}
+	return x.completeOutcome(resp, body), reusableAfter(conn, resp)
+}
+
+// readHead reads the head of the final response. It also reports whether interim responses (1xx) preceded it.
+func readHead(conn *serverConn, req *http.Request) (resp *http.Response, interim bool, err error) {
+	resp, err = http.ReadResponse(conn.reader, req)
+	for err == nil && resp.StatusCode < 200 && resp.StatusCode != http.StatusSwitchingProtocols {
+		interim = true
+		resp, err = http.ReadResponse(conn.reader, req)
+	}
+	return resp, interim, err
+}
+
+// checkResponse returns an error for a response that net/http accepts although its end is ambiguous: the connection
+// could not be reused safely.
+func checkResponse(conn *serverConn, resp *http.Response, interim bool) error {
+	if resp.ProtoMajor != 1 || resp.StatusCode == http.StatusSwitchingProtocols {
+		return errNotHTTP1
+	}
+	if len(resp.TransferEncoding) == 0 {
+		return nil
+	}
+	if interim {
+		resp.Close = true // conn.head holds the interim head, so the final one cannot be checked
+		return nil
+	}
+	if _, length, err := conn.head.LengthHeaders(); err != nil || length {
+		return errConflictingLength
+	}
+	return nil
+}
+
+// completeOutcome returns the outcome for a response that was read completely.
+func (x *exchange) completeOutcome(resp *http.Response, body []byte) inflight.AttemptOutcome {
+	outcome := inflight.AttemptOutcome{LoadReport: x.loadReport(resp)}
+	switch {
+	case resp.StatusCode == http.StatusOK:
+		outcome.Result = balance.OK
+		outcome.Response = inflight.Response{Status: http.StatusOK, ContentType: resp.Header.Get("Content-Type"), Body: body}
+	case notProcessed(resp):
+		outcome.Result = balance.Rejected
+	default: // also 503 without X-Not-Processed: the request may have run
+		outcome.Result = balance.Failed
+	}
+	return outcome
+}
+
+// forwardResponse passes the start of a response to the event loop, which sends it to the client. It returns once the
+// rest has been forwarded.
+func (x *exchange) forwardResponse(ctx context.Context, conn *serverConn, resp *http.Response, prefix []byte) (
+	outcome inflight.AttemptOutcome, reusable bool) {
+	remainder := &streamReader{
+		ctx: ctx, conn: conn, body: streamingBody(conn, resp), remaining: inflight.MaxBody - int64(len(prefix)),
+	}
+	stream := &inflight.ResponseStream{
+		Length: resp.ContentLength, Prefix: prefix, Remaining: remainder, WriteResult: make(chan error, 1),
+	}
+	x.pool.post(ResponseStarted{x.attempt, inflight.Response{
+		Status: http.StatusOK, ContentType: resp.Header.Get("Content-Type"), Stream: stream,
+	}})
+	var err error
+	select {
+	case err = <-stream.WriteResult:
+	case <-x.pool.loopStopped: // the event loop has ended and passes nothing to clients
+		err = inflight.ErrBodyNotNeeded
+	}
+	outcome = inflight.AttemptOutcome{LoadReport: x.loadReport(resp), Result: responseResult(ctx, err)}
+	if err == inflight.ErrBodyNotNeeded || err == inflight.ErrClientWriteFailed {
+		outcome.Result = balance.Cancelled
+	}
+	return outcome, err == nil && reusableAfter(conn, resp)
+}
+
+// reusableAfter reports whether a connection can carry another request after a response that was read completely.
+func reusableAfter(conn *serverConn, resp *http.Response) bool {
+	return !resp.Close && conn.reader.Buffered() == 0
+}
+
+// rejectedEarly reads the response of a server that did not wait for the whole request, and reports whether the server
+// rejected the request.
+func rejectedEarly(conn *serverConn, req *http.Request) bool {
+	conn.SetDeadline(time.Now().Add(earlyResponseTimeout))
+	resp, err := http.ReadResponse(conn.reader, req)
+	return err == nil && notProcessed(resp)
+}
+
+// notProcessed reports whether a response guarantees that nothing of the request has run.
+func notProcessed(resp *http.Response) bool {
+	return resp.Header.Get(notProcessedHeader) == "1" &&
+		(resp.StatusCode == http.StatusServiceUnavailable || resp.StatusCode == http.StatusGatewayTimeout)
+}
+
+// loadReport returns the load report in the headers of a response, or nil if there is none.
+func (x *exchange) loadReport(resp *http.Response) []float32 {
+	return parseReport(resp.Header.Get(loadReportHeader), x.pool.reportNames)
+}
