--- a/balance/list.go
+++ b/balance/list.go
@@ -9,9 +9,8 @@
 // stay in use as long as their own outcomes are good. With several list services (Config.ListServices), the
 // revision of the list never decreases: a service with an older list is skipped.
 //
-// Rejected alternative: to fetch the list from several services and accept the majority. A list that the
-// services have loaded by half is the same half everywhere, and the number of calls would multiply with the
-// size of the fleet.
+// Rejected alternative: to fetch the list from several services and accept the majority. A half-loaded
+// list is the same at all services, and the number of calls would multiply with the size of the fleet.
 
 import (
 	"fmt"
@@ -28,7 +27,7 @@
 const (
 	maxSuspectTime milliseconds = 600_000 // time for which a server that no list names stays in use
 	newHistoryTime milliseconds = 30_000  // an older list is accepted after this time without a newer one
-	maxFutureStart milliseconds = 1000    // tolerance for start times ahead of this sidecar's clock
+	maxFutureStart milliseconds = 1000    // limit for start times ahead of this sidecar's clock
 )
 
 // EpochOf returns the epoch of a revision, which identifies a history of the list. Only revisions of the same
@@ -45,7 +44,7 @@
 	rev               int64        // revision of the current list
 	lastContact       milliseconds // time of the last event from a service
 	confirmedAt       milliseconds // time of the last confirmation by the watched service; -Inf: none yet
-	rejectedSince     milliseconds // time since which only older lists were received; 0: not so
+	rejectedSince     milliseconds // start of a period with only older lists; 0: the last list was accepted
 	lastListEmpty     bool         // the last complete list was empty
 	stale             bool         // no event from a service for Config.StaleAfter
 	hasRemovedServers bool         // suspected servers were removed and must still be deleted
@@ -56,7 +55,7 @@
 	checkScheduled      bool  // the timer of the next check of another service is set
 	newestFetchedRev    int64 // newest revision found in checks of other services
 	newestFetchedSource int   // the service that returned it
-	upToDateChecks      int   // consecutive checks in which a preferred service was not behind
+	upToDateChecks      int   // consecutive checks in which a preferred service was up to date
 }
 
 // listing is the state of a server that the endpoint list maintains.
@@ -213,8 +212,8 @@
 	s.rank = l.rankOf(s)
 }
 
-// addServer adds a server. Its initial SWRR value is random, so that sidecars that start together don't pick
-// the same servers in the same order.
+// addServer adds a server. Its initial current weight is random, so that sidecars that start together don't
+// pick the same servers in the same order.
 func (l *endpointList) addServer(id ServerID) *server {
 	s := &server{evidenceAt: math.Inf(-1)}
 	s.currentWeight = maxInitialWeight * l.random()
--- a/balance/list_services.go
+++ b/balance/list_services.go
@@ -114,7 +114,7 @@
 		maxBackoff = 3 * l.cfg.PollInterval
 	}
 	if ev.RetryAfter > 0 {
-		backoff = 2 * ev.RetryAfter // the jitter halves it at most, so that it is at least RetryAfter
+		backoff = 2 * ev.RetryAfter // the jitter at most halves it, which leaves RetryAfter
 	}
 	for _, limit := range []milliseconds{maxBackoff, l.cfg.MaxPollBackoff} {
 		if limit > 0 {
--- a/balance/request.go
+++ b/balance/request.go
@@ -78,7 +78,7 @@
 
 	budget        *CanaryBudget // canary budget with a unit reserved for the attempt; nil: none
 	lateIsFailure bool          // a response after the latency objective is a failure of the canary
-	lateForCanary bool          // the response was missing or late in a way that the canary is charged for
+	lateForCanary bool          // missing or late response that counts as a failure of the canary
 }
 
 // request is a client's request that has no final response yet or has attempts in flight.
--- a/balance/request_events.go
+++ b/balance/request_events.go
@@ -106,7 +106,7 @@
 	if a == nil {
 		return &EventError{
 			Event: "Outcome", Field: "Attempt", Value: ev.Attempt,
-			Reason: fmt.Sprintf("which is not an attempt in flight of request %d", ev.Request),
+			Reason: fmt.Sprintf("which is not in flight for request %d", ev.Request),
 		}
 	}
 	responseStarted := a.state == attemptResponding
--- a/balance/route_state.go
+++ b/balance/route_state.go
@@ -17,7 +17,7 @@
 // routePlacement is the state of a server in a route, by side.
 type routePlacement struct {
 	group         [sides]uint8
-	currentWeight [sides]float64 // SWRR value
+	currentWeight [sides]float64 // current weight in smooth weighted round robin (SWRR)
 }
 
 // attemptRoute is the route of an attempt; see Action.
@@ -82,7 +82,7 @@
 }
 
 // placeServers recomputes the placement of each server in each route, after the routes or the servers have changed. The
-// SWRR values are kept if the tenant had a route before.
+// current weights are kept if the tenant had a route before.
 func (c *canaryRouter) placeServers(old []*tenantRoute) {
 	slots := 0
 	for _, route := range c.routes {
@@ -114,7 +114,7 @@
 	}
 }
 
-// storeCurrentWeights stores the SWRR values after a pick for a side of a route.
+// storeCurrentWeights stores the current weights after a pick for a side of a route.
 func (c *canaryRouter) storeCurrentWeights(route *tenantRoute, side int) {
 	for _, s := range c.servers {
 		if !s.outsideGroup {
@@ -136,9 +136,9 @@
 		}
 		switch {
 		case tenants[route.Tenant]:
-			return routeError(path+"Tenant", route.Tenant, "which already has a route")
+			return routeError(path+"Tenant", route.Tenant, "which has a route already")
 		case route.ID != 0 && ids[route.ID]:
-			return routeError(path+"ID", route.ID, "which another route already has")
+			return routeError(path+"ID", route.ID, "which is another route's already")
 		}
 		tenants[route.Tenant], ids[route.ID] = true, true
 	}
--- a/balance/routes.go
+++ b/balance/routes.go
@@ -22,7 +22,7 @@
 const (
 	goldenRatio            = 0.6180339887498949 // step whose multiples modulo 1 cover [0, 1) most evenly
 	maxRevokedAttempts     = 3                  // uncounted revoked attempts of a request; further ones count
-	missedDeadlineFraction = 0.9                // of the client's time, after which an attempt counts as late
+	missedDeadlineFraction = 0.9                // of the client's time; an attempt cancelled later is a miss
 )
 
 // The sides of a route. A request prefers one side, and each side tries the groups of servers in its own
@@ -165,7 +165,7 @@
 	return nil, groupsPerSide
 }
 
-// pickGroup picks a server of a group by the SWRR values of the side, and returns it with its level.
+// pickGroup picks a server of a group by the current weights of the side, and returns it with its level.
 func (c *canaryRouter) pickGroup(p *routePick, side int, group uint8) (*server, int) {
 	for _, s := range c.servers {
 		placement := &s.placements[p.slot]
