--- a/internal/routeclient/budgets.go
+++ b/internal/routeclient/budgets.go
@@ -1,6 +1,6 @@
 package routeclient
 
-// This file requests units of rollouts' budgets, and settles what was spent and returned.
+// This file requests units of rollouts' budgets, and reports the units that were spent and returned.
 
 import (
 	"context"
@@ -9,24 +9,24 @@
 	"marblelane/internal/route"
 )
 
-// budgetKey names a budget.
+// budgetKey identifies a budget.
 type budgetKey struct{ tenant, rollout string }
 
-// budgetHolder is the state of the duty to hold budgets.
-type budgetHolder struct {
+// budgetRequester is the state of the task that requests budget units.
+type budgetRequester struct {
 	client        *Client
 	caller        caller
-	reportedSpent map[budgetKey]int64 // as of the newest answered request
-	granted       map[budgetKey]int64 // as of its answer
+	reportedSpent map[budgetKey]int64 // as of the newest request with a response
+	granted       map[budgetKey]int64 // as of the response to that request
 	lastRequestAt time.Time
-	minInterval   time.Duration // to the next request, while units are needed or requests fail
+	minInterval   time.Duration // time between requests while units are needed or requests fail
 	backoff       *boundedBackoff
 	failing       bool
 }
 
-// holdBudgets requests units, and settles what was spent or is returned, until ctx ends; then once more.
-func (c *Client) holdBudgets(ctx context.Context) {
-	h := budgetHolder{
+// requestBudgets requests units, and reports spent and returned units, until ctx ends. Then it sends a final request.
+func (c *Client) requestBudgets(ctx context.Context) {
+	r := budgetRequester{
 		client: c, caller: caller{client: c}, minInterval: c.timings.minBudgetInterval,
 		backoff: c.newBackoff(c.timings.budgetInterval),
 	}
@@ -35,108 +35,109 @@
 	for {
 		select {
 		case <-ctx.Done():
-			h.settleFinally(ctx)
+			r.sendFinalRequest(ctx)
 			return
 		case <-timer.C:
 		case <-c.sampleOffered:
 		}
-		demand := h.demand()
+		demand := r.demand()
 		if len(demand.budgets) == 0 {
 			continue
 		}
-		if early := time.Until(h.lastRequestAt.Add(h.interval(demand))); early > 0 {
+		if early := time.Until(r.lastRequestAt.Add(r.interval(demand))); early > 0 {
 			timer.Reset(early)
 			continue
 		}
-		timer.Reset(h.requestOnce(ctx, demand))
+		timer.Reset(r.requestOnce(ctx, demand))
 	}
 }
 
-// settleFinally settles once more after ctx has ended.
-func (h *budgetHolder) settleFinally(ctx context.Context) {
-	budgets := h.demand().budgets
-	if len(budgets) == 0 || h.failing {
+// sendFinalRequest sends a request after ctx has ended, unless there are no budgets or requests fail at present.
+func (r *budgetRequester) sendFinalRequest(ctx context.Context) {
+	budgets := r.demand().budgets
+	if len(budgets) == 0 || r.failing {
 		return
 	}
-	h.client.finalCall(ctx, func(ctx context.Context) error {
-		_, err := h.request(ctx, budgets)
+	r.client.finalCall(ctx, func(ctx context.Context) error {
+		_, err := r.request(ctx, budgets)
 		return err
 	})
 }
 
-// budgetDemand is what the next request says, and why it is urgent.
+// budgetDemand is the content of the next request, with the reasons to send it soon.
 type budgetDemand struct {
-	budgets    []route.BudgetState
-	needsUnits bool // an attempt lacked a unit
-	unreported bool // more was spent than the service knows
+	budgets               []route.BudgetState
+	needsUnits            bool // an attempt to a canary was not possible for lack of a unit
+	hasUnreportedSpending bool // units were spent since the newest request with a response
 }
 
-func (h *budgetHolder) demand() budgetDemand {
-	c := h.client
+// demand returns the demand as of the newest sample of the event loop.
+func (r *budgetRequester) demand() budgetDemand {
+	c := r.client
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.drainSamples()
 	d := budgetDemand{budgets: c.newestSample.Budgets, needsUnits: c.needsUnits}
 	for _, b := range d.budgets {
-		d.unreported = d.unreported || b.Spent > h.reportedSpent[budgetKey{b.Tenant, b.Rollout}]
+		d.hasUnreportedSpending = d.hasUnreportedSpending || b.Spent > r.reportedSpent[budgetKey{b.Tenant, b.Rollout}]
 	}
 	return d
 }
 
-// interval is the time from the last request to the next one.
-func (h *budgetHolder) interval(d budgetDemand) time.Duration {
+// interval returns the time between the last request and the next one.
+func (r *budgetRequester) interval(d budgetDemand) time.Duration {
 	switch {
-	case h.failing:
-		return h.minInterval
-	case d.unreported:
-		return h.client.timings.minBudgetInterval
+	case r.failing:
+		return r.minInterval
+	case d.hasUnreportedSpending:
+		return r.client.timings.minBudgetInterval
 	case d.needsUnits:
-		return h.minInterval
+		return r.minInterval
 	}
-	return h.client.timings.budgetInterval
+	return r.client.timings.budgetInterval
 }
 
-// requestOnce sends a request, and returns the time until the next one is looked at.
-func (h *budgetHolder) requestOnce(ctx context.Context, d budgetDemand) (next time.Duration) {
-	timings := &h.client.timings
-	gained, err := h.request(ctx, d.budgets)
-	h.lastRequestAt = time.Now()
+// requestOnce sends a request, and returns the time after which to consider the next one.
+func (r *budgetRequester) requestOnce(ctx context.Context, d budgetDemand) (next time.Duration) {
+	timings := &r.client.timings
+	gained, err := r.request(ctx, d.budgets)
+	r.lastRequestAt = time.Now()
 	next = timings.budgetInterval
 	switch {
-	case ctx.Err() != nil: // the error says nothing of the service
+	case ctx.Err() != nil: // the error is that of ctx, not of the service
 	case err != nil:
-		if !h.failing {
-			h.client.cfg.Log.Warn("routes: budget request not answered", "err", err)
+		if !r.failing {
+			r.client.cfg.Log.Warn("routes: budget request failed", "err", err)
 		}
-		h.failing, h.minInterval = true, h.backoff.next()
-		next = h.minInterval
-	case gained || h.failing:
-		h.failing, h.minInterval = false, timings.minBudgetInterval
-		h.backoff.Reset()
-	case d.needsUnits: // no unit is left at present
-		h.minInterval = min(2*h.minInterval, timings.budgetInterval)
+		r.failing, r.minInterval = true, r.backoff.next()
+		next = r.minInterval
+	case gained || r.failing:
+		r.failing, r.minInterval = false, timings.minBudgetInterval
+		r.backoff.Reset()
+	case d.needsUnits: // no unit is available at present
+		r.minInterval = min(2*r.minInterval, timings.budgetInterval)
 	}
 	return next
 }
 
 // request sends one request, and reports whether more was granted than before.
-func (h *budgetHolder) request(ctx context.Context, budgets []route.BudgetState) (gained bool, err error) {
-	c := h.client
+func (r *budgetRequester) request(ctx context.Context, budgets []route.BudgetState) (gained bool, err error) {
+	c := r.client
 	c.mu.Lock()
-	c.needsUnits = false // a need from here on belongs to the next request
+	c.needsUnits = false // needs that arise from now on belong to the next request
 	request := route.BudgetRequest{Process: route.Process{Name: c.cfg.Name, Start: c.start}, Budgets: budgets}
 	c.mu.Unlock()
-	var answer route.BudgetResponse
-	if err := h.caller.post(ctx, route.BudgetsPath, &request, &answer); err != nil {
+	var response route.BudgetResponse
+	if err := r.caller.post(ctx, route.BudgetsPath, &request, &response); err != nil {
 		return false, err
 	}
-	h.noteRequested(budgets)
+	r.recordReported(budgets)
 	var grants []route.BudgetGrant
-	for _, grant := range answer.Budgets {
+	for _, grant := range response.Budgets {
 		key := budgetKey{grant.Tenant, grant.Rollout}
-		if known, requested := h.granted[key]; requested && grant.Granted >= known {
+		if known, requested := r.granted[key]; requested && grant.Granted >= known {
 			gained = gained || grant.Granted > known
-			h.granted[key] = grant.Granted
+			r.granted[key] = grant.Granted
 			grant.MaxIdle = max(grant.MaxIdle, 0)
 			grants = append(grants, grant)
 		}
@@ -147,12 +148,13 @@
 	return gained, nil
 }
 
-// noteRequested notes what the service knows of budgets, and forgets those that were not part of the request.
-func (h *budgetHolder) noteRequested(budgets []route.BudgetState) {
-	before := h.granted
-	h.reportedSpent, h.granted = map[budgetKey]int64{}, map[budgetKey]int64{}
+// recordReported records the spent units that the service has received. It removes the budgets that were not part of
+// the request.
+func (r *budgetRequester) recordReported(budgets []route.BudgetState) {
+	before := r.granted
+	r.reportedSpent, r.granted = map[budgetKey]int64{}, map[budgetKey]int64{}
 	for _, b := range budgets {
 		key := budgetKey{b.Tenant, b.Rollout}
-		h.reportedSpent[key], h.granted[key] = b.Spent, before[key]
+		r.reportedSpent[key], r.granted[key] = b.Spent, before[key]
 	}
 }
