--- a/cmd/sidecar/drain_test.go
+++ b/cmd/sidecar/drain_test.go
@@ -30,11 +30,11 @@
 	finalMargin  = 250 * time.Millisecond // from the end of service to the earliest SIGKILL
 	serviceEndAt = killAt - finalMargin
 	stayOpen     = 500 * time.Millisecond
-	patience     = 20 * time.Second // bounds every wait; none is expected to last
+	waitTimeout  = 20 * time.Second // bounds every wait; none is expected to last
 
 	heldBody     = 1000    // bytes of a body that is held
 	streamedBody = 2 << 20 // of a body that is forwarded as it comes
-	longAnswer   = 200_000 // of an answer that is forwarded as it comes
+	longBody     = 200_000 // of an answer that is forwarded as it comes
 )
 
 // standInServer answers, by the query of the request, at once, in two parts, or never.
@@ -70,16 +70,16 @@
 	case "hang":
 		<-r.Context().Done()
 	case "pieces":
-		w.Header().Set("Content-Length", fmt.Sprint(longAnswer))
-		w.Write(make([]byte, longAnswer/2))
+		w.Header().Set("Content-Length", fmt.Sprint(longBody))
+		w.Write(make([]byte, longBody/2))
 		w.(http.Flusher).Flush()
 		select {
 		case <-s.sendSecondPart:
-			w.Write(make([]byte, longAnswer/2))
+			w.Write(make([]byte, longBody/2))
 		case <-r.Context().Done():
 		}
 	case "short":
-		w.Write(make([]byte, longAnswer/4))
+		w.Write(make([]byte, longBody/4))
 	default:
 		io.WriteString(w, "done")
 	}
@@ -90,7 +90,7 @@
 	t.Helper()
 	select {
 	case <-s.received:
-	case <-time.After(patience):
+	case <-time.After(waitTimeout):
 		t.Fatal("no request came")
 	}
 }
@@ -128,12 +128,12 @@
 // launch starts a sidecar that knows one server of its own, and waits until it is ready.
 func launch(t *testing.T, changes conf) *process {
 	t.Helper()
-	p, _ := launched(t, changes)
+	p, _ := launchWithLine(t, changes)
 	return p
 }
 
-// launched also gives the log line that says that it is ready.
-func launched(t *testing.T, changes conf) (p *process, ready string) {
+// launchWithLine also gives the log line that says that it is ready.
+func launchWithLine(t *testing.T, changes conf) (p *process, ready string) {
 	t.Helper()
 	s := newStandInServer(t)
 	c := conf{
@@ -164,7 +164,7 @@
 func (p *process) awaitLine(with string) string {
 	p.t.Helper()
 	var seen []string
-	for limit := time.After(patience); ; {
+	for limit := time.After(waitTimeout); ; {
 		select {
 		case line, more := <-p.log:
 			if strings.Contains(line, with) {
@@ -198,18 +198,18 @@
 	}
 }
 
-// notBefore checks that what has just happened was not too early after SIGTERM.
-func (p *process) notBefore(d time.Duration, what string) {
+// expectNotBefore checks that what has just happened was not too early after SIGTERM.
+func (p *process) expectNotBefore(d time.Duration, what string) {
 	p.t.Helper()
 	if after := time.Since(p.sigtermAt); after < d {
 		p.t.Errorf("%s after %v, want not before %v", what, after, d)
 	}
 }
 
-// between checks that what has just happened was in time after SIGTERM.
-func (p *process) between(from, to time.Duration, what string) {
+// expectBetween checks that what has just happened was in time after SIGTERM.
+func (p *process) expectBetween(from, to time.Duration, what string) {
 	p.t.Helper()
-	p.notBefore(from, what)
+	p.expectNotBefore(from, what)
 	if after, lag := time.Since(p.sigtermAt), time.Duration(p.lag.Load()); after > to+lag {
 		p.t.Errorf("%s after %v, want at most %v, with timers at most %v late", what, after, to, lag)
 	}
@@ -218,7 +218,7 @@
 // awaitRejectedConnections waits until new connections are rejected.
 func (p *process) awaitRejectedConnections() {
 	p.t.Helper()
-	for limit := time.Now().Add(patience); time.Now().Before(limit); time.Sleep(time.Millisecond) {
+	for limit := time.Now().Add(waitTimeout); time.Now().Before(limit); time.Sleep(time.Millisecond) {
 		c, err := net.Dial("tcp", p.addr)
 		if err != nil {
 			return
@@ -253,7 +253,7 @@
 		p.t.Fatal(err)
 	}
 	p.t.Cleanup(func() { c.Close() })
-	c.SetDeadline(time.Now().Add(patience))
+	c.SetDeadline(time.Now().Add(waitTimeout))
 	return &client{c.(*net.TCPConn), p.t, bufio.NewReader(c)}
 }
 
@@ -285,8 +285,8 @@
 	return id
 }
 
-// expectAnswer reads a complete answer; last: it has to end the connection.
-func (c *client) expectAnswer(status int, last bool) []byte {
+// expectResponse reads a complete answer; last: it has to end the connection.
+func (c *client) expectResponse(status int, last bool) []byte {
 	c.t.Helper()
 	resp, err := http.ReadResponse(c.in, nil)
 	if err != nil {
@@ -319,7 +319,7 @@
 	p.t.Helper()
 	c := p.dial()
 	c.request("safe", "")
-	c.expectAnswer(200, false)
+	c.expectResponse(200, false)
 	return c
 }
 
@@ -334,7 +334,7 @@
 		p.sigterm()
 		c := p.dial()
 		c.request("unsafe", "")
-		c.expectAnswer(200, true)
+		c.expectResponse(200, true)
 		p.awaitEnd()
 		if c, err := net.Dial("tcp", p.addr); err == nil {
 			c.Close()
@@ -346,9 +346,9 @@
 		c.request("unsafe", "hang")
 		p.server.awaitRequest(p.t)
 		p.sigterm()
-		c.expectAnswer(502, false)
+		c.expectResponse(502, false)
 		p.awaitRejectedConnections()
-		p.between(serviceEndAt, killAt, "new connections were refused")
+		p.expectBetween(serviceEndAt, killAt, "new connections were refused")
 		c.Close()
 		p.awaitEnd()
 	},
@@ -356,11 +356,11 @@
 		used, left, silent := p.idleClient(), p.idleClient(), p.dial()
 		p.sigterm()
 		used.request("unsafe", "")
-		used.expectAnswer(200, true)
+		used.expectResponse(200, true)
 		silent.expectEnd()
-		p.notBefore(stayOpen, "a silent connection ended")
+		p.expectNotBefore(stayOpen, "a silent connection ended")
 		left.expectEnd()
-		p.notBefore(stayOpen, "an idle connection ended")
+		p.expectNotBefore(stayOpen, "an idle connection ended")
 		left.Close()
 		silent.Close()
 		p.awaitEnd()
@@ -380,9 +380,9 @@
 		never.send(first)
 		idle.expectEnd()
 		c.send(second)
-		c.expectAnswer(200, true)
-		never.expectAnswer(503, true)
-		p.between(serviceEndAt, killAt, "half a head was answered")
+		c.expectResponse(200, true)
+		never.expectResponse(503, true)
+		p.expectBetween(serviceEndAt, killAt, "half a head was answered")
 		p.awaitEnd()
 	},
 	"head half read, after the end of service": func(p *process) {
@@ -395,14 +395,14 @@
 		id, text := request("unsafe", "", 0)
 		first, second := halves(text, 20)
 		c.send(first)
-		hung.expectAnswer(502, false)
+		hung.expectResponse(502, false)
 		c.send(second)
-		c.expectAnswer(503, true)
+		c.expectResponse(503, true)
 		if p.server.timesRun(id) != 0 {
 			p.t.Error("a request was sent to a server after the end of service")
 		}
 		close(p.server.sendSecondPart)
-		stream.expectAnswer(200, false)
+		stream.expectResponse(200, false)
 		stream.Close()
 		p.awaitEnd()
 	},
@@ -417,9 +417,9 @@
 		never.send(first)
 		idle.expectEnd()
 		c.send(second)
-		c.expectAnswer(200, true)
-		never.expectAnswer(503, true)
-		p.between(serviceEndAt, killAt, "half a body was answered")
+		c.expectResponse(200, true)
+		never.expectResponse(503, true)
+		p.expectBetween(serviceEndAt, killAt, "half a body was answered")
 		p.awaitEnd()
 		if p.server.timesRun(neverID) != 0 {
 			p.t.Error("half a request has run")
@@ -439,9 +439,9 @@
 		p.server.awaitRequest(p.t)
 		idle.expectEnd()
 		c.send(second)
-		c.expectAnswer(200, true)
-		never.expectAnswer(502, false)
-		p.between(serviceEndAt, killAt, "half a body was answered")
+		c.expectResponse(200, true)
+		never.expectResponse(502, false)
+		p.expectBetween(serviceEndAt, killAt, "half a body was answered")
 		never.Close()
 		p.awaitEnd()
 		if p.server.timesRun(neverID) != 0 {
@@ -455,9 +455,9 @@
 		p.server.awaitRequest(p.t)
 		p.server.awaitRequest(p.t)
 		p.sigterm()
-		idempotent.expectAnswer(503, false)
-		p.between(serviceEndAt, killAt, "a request was given up")
-		nonIdempotent.expectAnswer(502, false)
+		idempotent.expectResponse(503, false)
+		p.expectBetween(serviceEndAt, killAt, "a request was given up")
+		nonIdempotent.expectResponse(502, false)
 		idempotent.Close()
 		nonIdempotent.Close()
 		p.awaitEnd()
@@ -470,8 +470,8 @@
 		}
 		p.sigterm()
 		time.AfterFunc(time.Until(p.sigtermAt.Add(killAt+stayOpen)), func() { close(p.server.sendSecondPart) })
-		if body := c.expectAnswer(200, false); len(body) != longAnswer {
-			p.t.Errorf("%d bytes of an answer of %d", len(body), longAnswer)
+		if body := c.expectResponse(200, false); len(body) != longBody {
+			p.t.Errorf("%d bytes of an answer of %d", len(body), longBody)
 		}
 		c.Close()
 		p.awaitEnd()
@@ -485,8 +485,8 @@
 		}
 		p.sigterm()
 		p.awaitEnd()
-		if body := c.expectAnswer(200, false); len(body) != longAnswer/4 {
-			p.t.Errorf("%d bytes of an answer of %d", len(body), longAnswer/4)
+		if body := c.expectResponse(200, false); len(body) != longBody/4 {
+			p.t.Errorf("%d bytes of an answer of %d", len(body), longBody/4)
 		}
 		c.expectEnd()
 	},
@@ -499,8 +499,8 @@
 		c.send(text) // to the process this is as if it had not seen the end yet
 		again := p.dial()
 		again.send(text)
-		again.expectAnswer(200, true)
-		busy.expectAnswer(502, false)
+		again.expectResponse(200, true)
+		busy.expectResponse(502, false)
 		busy.Close()
 		p.awaitEnd()
 		if n := p.server.timesRun(id); n != 1 {
@@ -515,7 +515,7 @@
 		c.send(text)
 		again := p.dial()
 		again.send(text)
-		again.expectAnswer(200, true)
+		again.expectResponse(200, true)
 		p.awaitEnd()
 		if n := p.server.timesRun(id); n != 1 {
 			p.t.Errorf("the request has run %d times", n)
@@ -553,9 +553,9 @@
 			c.request("unsafe", "hang")
 			p.server.awaitRequest(t)
 			p.sigterm()
-			c.expectAnswer(502, false)
+			c.expectResponse(502, false)
 			kill := deadline + 700*time.Millisecond
-			p.between(kill-finalMargin, kill, "a request was given up")
+			p.expectBetween(kill-finalMargin, kill, "a request was given up")
 			c.Close()
 			p.awaitEnd()
 		})
@@ -566,16 +566,16 @@
 // count at most.
 func TestShutdown_requestWithoutServer(t *testing.T) {
 	t.Parallel()
-	p := launch(t, conf{"settings": settings(patience, patience), "known": conf{"rev": 1, "all": true, "targets": []conf{{
+	p := launch(t, conf{"settings": settings(waitTimeout, waitTimeout), "known": conf{"rev": 1, "all": true, "targets": []conf{{
 		"uid": "s", "endpoint": sidecartest.BindAddr(t, 0), "az": "z", "model": "m", "state": "Ready", "capacity_hint": 1,
 	}}}})
 	idempotent, nonIdempotent := p.dial(), p.dial()
 	idempotent.request("safe", "")
 	nonIdempotent.request("unsafe", "")
 	p.sigterm()
-	idempotent.expectAnswer(503, false)
-	p.between(3700*time.Millisecond-finalMargin, 3700*time.Millisecond, "a request was given up")
-	nonIdempotent.expectAnswer(503, false) // it was never sent
+	idempotent.expectResponse(503, false)
+	p.expectBetween(3700*time.Millisecond-finalMargin, 3700*time.Millisecond, "a request was given up")
+	nonIdempotent.expectResponse(503, false) // it was never sent
 	idempotent.Close()
 	nonIdempotent.Close()
 	p.awaitEnd()
@@ -601,7 +601,7 @@
 		"listen": sidecartest.BindAddr(t, unix.SO_REUSEPORT), "management": "127.0.0.1:0", "TMPDIR": dir,
 	}
 	older = launch(t, c)
-	older.meets(dir)
+	older.awaitHandoverSocket(dir)
 	return older, func() *process {
 		newer := launch(t, c)
 		older.awaitLine("the next process serves")
@@ -609,10 +609,10 @@
 	}
 }
 
-// meets waits until a newer process can find this one.
-func (p *process) meets(dir string) {
+// awaitHandoverSocket waits until a newer process can find this one.
+func (p *process) awaitHandoverSocket(dir string) {
 	p.t.Helper()
-	for limit := time.Now().Add(patience); ; time.Sleep(time.Millisecond) {
+	for limit := time.Now().Add(waitTimeout); ; time.Sleep(time.Millisecond) {
 		if found, _ := filepath.Glob(filepath.Join(dir, "serving-*")); len(found) == 1 && !strings.Contains(filepath.Base(found[0]), ".") {
 			return
 		}
@@ -629,21 +629,21 @@
 			newer := next()
 			older.sigterm()
 			older.awaitEnd() // nothing is open
-			newer.answers()
+			newer.awaitResponse()
 		},
 		"idle, a request crosses the close": func(older *process, next func() *process) {
 			used, c := older.idleClient(), older.idleClient()
 			newer := next()
 			older.sigterm()
 			used.request("unsafe", "")
-			used.expectAnswer(200, true)
+			used.expectResponse(200, true)
 			c.expectEnd()
-			older.notBefore(stayOpen, "an idle connection ended")
+			older.expectNotBefore(stayOpen, "an idle connection ended")
 			id, text := request("unsafe", "", 0)
 			c.send(text)
 			again := newer.dial()
 			again.send(text)
-			again.expectAnswer(200, false)
+			again.expectResponse(200, false)
 			older.awaitEnd()
 			if o, n := older.server.timesRun(id), newer.server.timesRun(id); o != 0 || n != 1 {
 				older.t.Errorf("the request has run %d times by the older process and %d by the newer one", o, n)
@@ -657,12 +657,12 @@
 			older.server.awaitRequest(older.t)
 			newer := next()
 			older.sigterm()
-			newer.answers()
-			hung.expectAnswer(502, false)
-			older.between(serviceEndAt, killAt, "a request was given up")
+			newer.awaitResponse()
+			hung.expectResponse(502, false)
+			older.expectBetween(serviceEndAt, killAt, "a request was given up")
 			time.AfterFunc(time.Until(older.sigtermAt.Add(killAt+stayOpen)), func() { close(older.server.sendSecondPart) })
-			if body := stream.expectAnswer(200, false); len(body) != longAnswer {
-				older.t.Errorf("%d bytes of an answer of %d", len(body), longAnswer)
+			if body := stream.expectResponse(200, false); len(body) != longBody {
+				older.t.Errorf("%d bytes of an answer of %d", len(body), longBody)
 			}
 			hung.Close()
 			stream.Close()
@@ -676,14 +676,14 @@
 	}
 }
 
-// answers sends requests on new connections until this process has answered one. Another process that is about to stop
+// awaitResponse sends requests on new connections until this process has answered one. Another process that is about to stop
 // accepting may answer some.
-func (p *process) answers() {
+func (p *process) awaitResponse() {
 	p.t.Helper()
-	for limit := time.Now().Add(patience); ; {
+	for limit := time.Now().Add(waitTimeout); ; {
 		c := p.dial()
 		id := c.request("unsafe", "")
-		c.expectAnswer(200, false)
+		c.expectResponse(200, false)
 		c.Close()
 		if p.server.timesRun(id) == 1 {
 			return
--- a/cmd/sidecar/main_test.go
+++ b/cmd/sidecar/main_test.go
@@ -20,15 +20,15 @@
 )
 
 // The test binary stands in for the program where this is set.
-const asProgram = "SIDECAR_TEST_AS_PROGRAM"
+const runAsProgramEnv = "SIDECAR_TEST_AS_PROGRAM"
 
 // Where this is set, the program gets signals between the end of its work and its own.
-const signalsAtTheEnd = "SIDECAR_TEST_SIGNALS_AT_THE_END"
+const signalsAfterRunEnv = "SIDECAR_TEST_SIGNALS_AT_THE_END"
 
 func TestMain(m *testing.M) {
-	if os.Getenv(asProgram) != "" {
+	if os.Getenv(runAsProgramEnv) != "" {
 		main()
-		if os.Getenv(signalsAtTheEnd) != "" {
+		if os.Getenv(signalsAfterRunEnv) != "" {
 			for _, s := range []syscall.Signal{syscall.SIGHUP, syscall.SIGTERM, syscall.SIGINT} {
 				syscall.Kill(os.Getpid(), s)
 			}
@@ -62,7 +62,7 @@
 		t.Fatal(err)
 	}
 	cmd := exec.CommandContext(t.Context(), os.Args[0])
-	cmd.Env = append(os.Environ(), asProgram+"=1", "NODE_CONFIG="+path)
+	cmd.Env = append(os.Environ(), runAsProgramEnv+"=1", "NODE_CONFIG="+path)
 	return &command{cmd, path}
 }
 
--- a/cmd/sidecar/signal_shutdown_test.go
+++ b/cmd/sidecar/signal_shutdown_test.go
@@ -11,7 +11,7 @@
 
 // Signals that come once the work is done do not make a crash of an orderly end.
 func TestShutdown_signalsToTheEnd(t *testing.T) {
-	t.Setenv(signalsAtTheEnd, "1")
+	t.Setenv(signalsAfterRunEnv, "1")
 	p := launch(t, nil)
 	p.sigterm()
 	p.awaitEnd()
@@ -29,9 +29,9 @@
 	}
 	c := p.dial()
 	c.request("unsafe", "")
-	c.expectAnswer(200, true)
-	hung.expectAnswer(502, false)
-	p.between(serviceEndAt, killAt, "a request was given up")
+	c.expectResponse(200, true)
+	hung.expectResponse(502, false)
+	p.expectBetween(serviceEndAt, killAt, "a request was given up")
 	hung.Close()
 	p.awaitEnd()
 }
@@ -51,7 +51,7 @@
 			t.Log(log)
 		}
 	})
-	waitForCall(t, calls, "first", patience)
+	waitForCall(t, calls, "first", waitTimeout)
 	replace := func(text string) {
 		t.Helper()
 		next := cmd.config + ".next"
@@ -84,7 +84,7 @@
 		t.Fatal(err)
 	}
 	slow.Close()
-	waitForCall(t, calls, "last", patience)
+	waitForCall(t, calls, "last", waitTimeout)
 	select {
 	case name := <-calls:
 		if name != "last" && !strings.HasSuffix(name, " left") {
--- a/internal/sidecar/acceptance_test.go
+++ b/internal/sidecar/acceptance_test.go
@@ -20,11 +20,11 @@
 // connecting, and those that send 60 MB within 6 s.
 func TestReadTimeout_acceptance(t *testing.T) {
 	const limit, limitLarge = 3 * time.Second, 6 * time.Second
-	before := sidecartest.WireRequest("1", "Content-Length: 1000\r\n", "")
-	chunked := sidecartest.WireRequest("2", "Transfer-Encoding: chunked\r\n", "")
-	large := sidecartest.WireRequest("3", "Content-Length: 60000000\r\n", "")
+	before := sidecartest.RequestText("1", "Content-Length: 1000\r\n", "")
+	chunked := sidecartest.RequestText("2", "Transfer-Encoding: chunked\r\n", "")
+	large := sidecartest.RequestText("3", "Content-Length: 60000000\r\n", "")
 	b := sidecartest.NewBackend(t, "a", sidecartest.OK)
-	s := start(t, configtest.NewConf(sidecartest.NewRegistry(t).Addr(), b.Target))
+	s := start(t, configtest.NewConf(sidecartest.NewFakeDiscovery(t).Addr(), b.Target))
 	var clients sync.WaitGroup
 	lag := sidecartest.MachineLag(t)
 	for name, test := range map[string]struct {
@@ -47,9 +47,9 @@
 		"half a chunk":               {text: chunked + "10\r\nbbbb", limit: limit},
 		"chunks without the last":    {text: chunked + "4\r\nbbbb\r\n", limit: limit},
 		"chunks without their end":   {text: chunked + "4\r\nbbbb\r\n0\r\n", limit: limit},
-		"60 MB":                      {text: large, more: io.LimitReader(sidecartest.Zeros{}, 60_000_000), limit: limitLarge},
-		"60 MB that stops at 1 MB":   {text: large, more: io.LimitReader(sidecartest.Zeros{}, 1_000_000), limit: limitLarge},
-		"60 MB that stops at 100 kB": {text: large, more: io.LimitReader(sidecartest.Zeros{}, 100_000), limit: limitLarge},
+		"60 MB":                      {text: large, more: io.LimitReader(sidecartest.ZeroReader{}, 60_000_000), limit: limitLarge},
+		"60 MB that stops at 1 MB":   {text: large, more: io.LimitReader(sidecartest.ZeroReader{}, 1_000_000), limit: limitLarge},
+		"60 MB that stops at 100 kB": {text: large, more: io.LimitReader(sidecartest.ZeroReader{}, 100_000), limit: limitLarge},
 	} {
 		clients.Go(func() {
 			startedAt := time.Now()
@@ -66,7 +66,7 @@
 					io.Copy(c, test.more)
 				}
 			}()
-			c.SetReadDeadline(startedAt.Add(sidecartest.Patience))
+			c.SetReadDeadline(startedAt.Add(sidecartest.WaitTimeout))
 			c.Read(make([]byte, 1)) // an error or a close
 			if took := time.Since(startedAt); took > test.limit+lag() {
 				t.Errorf("%s: an answer or an end after %v, want within %v", name, took, test.limit)
@@ -88,7 +88,7 @@
 		n.(*atomic.Int64).Add(1)
 		return len(r.Header.Get("X-Timeout-Ms")) < 3 || sidecartest.OK(c, r, body)
 	})
-	s := start(t, configtest.NewConf(sidecartest.NewRegistry(t).Addr(), b.Target))
+	s := start(t, configtest.NewConf(sidecartest.NewFakeDiscovery(t).Addr(), b.Target))
 	const slack = 500 * time.Millisecond // after the timeout; the client waits no longer
 	lag := sidecartest.MachineLag(t)
 	for _, class := range []string{"lookup", "reserve", "charge"} {
@@ -134,7 +134,7 @@
 				}
 				return false
 			})
-			s := start(t, configtest.NewConf(sidecartest.NewRegistry(t).Addr(), b.Target))
+			s := start(t, configtest.NewConf(sidecartest.NewFakeDiscovery(t).Addr(), b.Target))
 			const requests = 10
 			var answers []<-chan result
 			for i := range requests {
@@ -155,10 +155,10 @@
 
 // Idle connections that a server closes or resets cost no request, not even one that is not idempotent.
 func TestIdleConn_closedByServer(t *testing.T) {
-	for name, end := range sidecartest.Ends {
+	for name, end := range sidecartest.CloseMethods {
 		t.Run(name, func(t *testing.T) {
 			b := sidecartest.NewBackend(t, "a", sidecartest.OK)
-			s := start(t, configtest.NewConf(sidecartest.NewRegistry(t).Addr(), b.Target))
+			s := start(t, configtest.NewConf(sidecartest.NewFakeDiscovery(t).Addr(), b.Target))
 			for range 5 {
 				var answers []<-chan result
 				for range 4 { // so that several connections are idle
@@ -186,7 +186,7 @@
 // A request whose attempts all fail at once gets one answer after no more attempts than the settings allow: one where it
 // is not idempotent.
 func TestRetry_immediateFailures(t *testing.T) {
-	for name, serve := range map[string]sidecartest.ServeOne{
+	for name, serve := range map[string]sidecartest.ServeFunc{
 		"error": sidecartest.Respond("HTTP/1.1 500 Oh\r\nContent-Length: 0\r\n\r\n", true),
 		"close": func(net.Conn, *http.Request, string) bool { return false },
 		"reset": func(c net.Conn, _ *http.Request, _ string) bool {
@@ -207,7 +207,7 @@
 				})
 				servers = append(servers, b.Target)
 			}
-			s := start(t, configtest.NewConf(sidecartest.NewRegistry(t).Addr(), servers...))
+			s := start(t, configtest.NewConf(sidecartest.NewFakeDiscovery(t).Addr(), servers...))
 			for _, class := range []string{"lookup", "reserve", "charge"} {
 				maxAttempts := 3
 				if class == "charge" {
--- a/internal/sidecar/attempt_test.go
+++ b/internal/sidecar/attempt_test.go
@@ -15,7 +15,7 @@
 	b := sidecartest.NewBackend(t, "a", sidecartest.Respond("HTTP/1.1 500 Oh\r\nContent-Length: 0\r\n\r\n", true))
 	b.Target.Capacity = 1000 // it gets the first attempt
 	never := sidecartest.Ready("b", unanswering(t))
-	c := configtest.NewConf(sidecartest.NewRegistry(t).Addr(), b.Target, never).
+	c := configtest.NewConf(sidecartest.NewFakeDiscovery(t).Addr(), b.Target, never).
 		Setting(`"window_ms": 2000`, `"window_ms": 100`).
 		Setting(`"connect_timeout_ms": 100`, `"connect_timeout_ms": 60000`).
 		Setting(`"hard_limit_ms": 1000, "worth": 8`, `"hard_limit_ms": 9000, "worth": 8`)
--- a/internal/sidecar/body_test.go
+++ b/internal/sidecar/body_test.go
@@ -33,7 +33,7 @@
 	for _, size := range []int{0, 1, inflight.MaxHeldBody, inflight.MaxHeldBody + 1, clientserver.MaxHeldIfMemory + 1, inflight.MaxBody} {
 		for _, chunked := range []bool{false, true} {
 			t.Run(fmt.Sprintf("%d, chunked %v", size, chunked), func(t *testing.T) {
-				want := sidecartest.Pattern(size)
+				want := sidecartest.PatternBody(size)
 				b := sidecartest.NewBackend(t, "a", func(c net.Conn, r *http.Request, body string) bool {
 					if got := checksum([]byte(body)); got != checksum(want) || (r.ContentLength < 0) != (chunked && size > inflight.MaxHeldBody) {
 						t.Errorf("the server got %s %s with %s of length %d, %v", r.Method, r.URL, got, r.ContentLength, r.Header)
@@ -47,8 +47,8 @@
 					}
 					return resp.Write(c) == nil
 				})
-				s := start(t, configtest.NewConf(sidecartest.NewRegistry(t).Addr(), b.Target))
-				req := s.request("charge", sidecartest.Patience)
+				s := start(t, configtest.NewConf(sidecartest.NewFakeDiscovery(t).Addr(), b.Target))
+				req := s.request("charge", sidecartest.WaitTimeout)
 				req.Body, req.ContentLength = io.NopCloser(bytes.NewReader(want)), int64(size)
 				if chunked {
 					req.ContentLength = -1
@@ -67,7 +67,7 @@
 // The client's timeout counts from its last byte, however long the body takes.
 func TestTimeout_fromLastByte(t *testing.T) {
 	b := sidecartest.NewBackend(t, "a", sidecartest.OK)
-	s := start(t, configtest.NewConf(sidecartest.NewRegistry(t).Addr(), b.Target).
+	s := start(t, configtest.NewConf(sidecartest.NewFakeDiscovery(t).Addr(), b.Target).
 		Setting(`"on_time_ms": 500, "hard_limit_ms": 1000}]`, `"on_time_ms": 50, "hard_limit_ms": 100}]`))
 	in, out := io.Pipe()
 	req := s.request("charge", 100*time.Millisecond)
@@ -97,7 +97,7 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { c.Close() })
-	c.SetDeadline(time.Now().Add(max(sidecartest.Patience, timeout)))
+	c.SetDeadline(time.Now().Add(max(sidecartest.WaitTimeout, timeout)))
 	_, err = fmt.Fprintf(c, "POST /api HTTP/1.1\r\nHost: b\r\nX-Request-ID: %d\r\nX-Priority-Class: charge\r\n"+
 		"X-Tenant-Id: kita\r\nX-Timeout-Ms: %d\r\n%s\r\n\r\n%s", requestIDs.Add(1), timeout.Milliseconds(), framing, body)
 	if err != nil {
@@ -139,7 +139,7 @@
 				}
 				gone <- "gone"
 			})
-			s := start(t, configtest.NewConf(sidecartest.NewRegistry(t).Addr(), at), func(s *Sidecar) { s.setReadTimeout(300 * time.Millisecond) })
+			s := start(t, configtest.NewConf(sidecartest.NewFakeDiscovery(t).Addr(), at), func(s *Sidecar) { s.setReadTimeout(300 * time.Millisecond) })
 			c := s.upload(t, test.framing, test.body)
 			if test.end != nil {
 				test.end(c)
@@ -177,7 +177,7 @@
 				c.(*net.TCPConn).CloseWrite()
 				io.Copy(io.Discard, in)
 			}
-			c := configtest.NewConf(sidecartest.NewRegistry(t).Addr(), sidecartest.RawBackend(t, "a", reject), sidecartest.RawBackend(t, "b", reject))
+			c := configtest.NewConf(sidecartest.NewFakeDiscovery(t).Addr(), sidecartest.RawBackend(t, "a", reject), sidecartest.RawBackend(t, "b", reject))
 			good := sidecartest.NewBackend(t, "c", func(c net.Conn, r *http.Request, body string) bool {
 				if len(body) != size {
 					t.Errorf("the server got %d bytes", len(body))
@@ -211,7 +211,7 @@
 		t.Run(fmt.Sprintf("chunked %v", chunked), func(t *testing.T) {
 			released := make(chan struct{})
 			release := sync.OnceFunc(func() { close(released) })
-			first, remaining := sidecartest.Pattern(1000), sidecartest.Pattern(4*inflight.MaxHeldBody)
+			first, remaining := sidecartest.PatternBody(1000), sidecartest.PatternBody(4*inflight.MaxHeldBody)
 			at := sidecartest.RawBackend(t, "a", func(c net.Conn, in *bufio.Reader) {
 				if _, err := http.ReadRequest(in); err != nil {
 					return
@@ -229,7 +229,7 @@
 				}
 			})
 			t.Cleanup(release)
-			s := start(t, configtest.NewConf(sidecartest.NewRegistry(t).Addr(), at))
+			s := start(t, configtest.NewConf(sidecartest.NewFakeDiscovery(t).Addr(), at))
 			deadline := 200 * time.Millisecond
 			startedAt := time.Now()
 			resp, err := s.client.Do(s.request("charge", deadline))
@@ -254,13 +254,13 @@
 // A client can tell that a long answer was cut short, whatever its framing.
 func TestAnswer_cutShort(t *testing.T) {
 	for name, answer := range map[string]string{
-		"length":  "HTTP/1.1 200 OK\r\nContent-Length: 1000000\r\n\r\n" + string(sidecartest.Pattern(inflight.MaxHeldBody+1)),
-		"chunked": fmt.Sprintf("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n%x\r\n%s\r\n", 2*inflight.MaxHeldBody, sidecartest.Pattern(2*inflight.MaxHeldBody)),
+		"length":  "HTTP/1.1 200 OK\r\nContent-Length: 1000000\r\n\r\n" + string(sidecartest.PatternBody(inflight.MaxHeldBody+1)),
+		"chunked": fmt.Sprintf("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n%x\r\n%s\r\n", 2*inflight.MaxHeldBody, sidecartest.PatternBody(2*inflight.MaxHeldBody)),
 	} {
 		for _, proto := range []string{"HTTP/1.1", "HTTP/1.0"} {
 			t.Run(name+" "+proto, func(t *testing.T) {
 				b := sidecartest.NewBackend(t, "a", sidecartest.Respond(answer, false))
-				s := start(t, configtest.NewConf(sidecartest.NewRegistry(t).Addr(), b.Target))
+				s := start(t, configtest.NewConf(sidecartest.NewFakeDiscovery(t).Addr(), b.Target))
 				c := s.dial(t)
 				defer c.Close()
 				fmt.Fprintf(c, "GET /api %s\r\nHost: b\r\nX-Request-ID: 1\r\nX-Priority-Class: lookup\r\nX-Tenant-Id: kita\r\n\r\n", proto)
@@ -288,10 +288,10 @@
 	at := sidecartest.RawBackend(t, "a", func(c net.Conn, in *bufio.Reader) {
 		if _, err := http.ReadRequest(in); err == nil {
 			io.WriteString(c, "HTTP/1.1 200 OK\r\n\r\n")
-			io.Copy(c, sidecartest.Zeros{})
+			io.Copy(c, sidecartest.ZeroReader{})
 		}
 	})
-	s := start(t, configtest.NewConf(sidecartest.NewRegistry(t).Addr(), at))
+	s := start(t, configtest.NewConf(sidecartest.NewFakeDiscovery(t).Addr(), at))
 	resp, err := s.client.Do(s.request("charge", time.Second))
 	if err != nil {
 		t.Fatal(err)
@@ -315,17 +315,17 @@
 		<-released // until then it reads nothing
 		io.Copy(io.Discard, req.Body)
 		fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\nConnection: close\r\n\r\n", size)
-		io.CopyN(c, sidecartest.Zeros{}, size)
+		io.CopyN(c, sidecartest.ZeroReader{}, size)
 	})
 	// A dial may be slow on a busy machine, which this test is not about.
-	s := start(t, configtest.NewConf(sidecartest.NewRegistry(t).Addr(), server).Setting(`"connect_timeout_ms": 100`, `"connect_timeout_ms": 60000`))
+	s := start(t, configtest.NewConf(sidecartest.NewFakeDiscovery(t).Addr(), server).Setting(`"connect_timeout_ms": 100`, `"connect_timeout_ms": 60000`))
 	t.Cleanup(release)
 	var sent sync.WaitGroup
 	var conns []net.Conn
 	for range uploads {
 		c := s.uploadWithin(t, 2*time.Minute, fmt.Sprintf("Content-Length: %d", size), "")
 		conns = append(conns, c)
-		sent.Go(func() { io.CopyN(c, sidecartest.Zeros{}, size) })
+		sent.Go(func() { io.CopyN(c, sidecartest.ZeroReader{}, size) })
 	}
 	sidecartest.Until(t, "all requests to be read", func() bool { return s.clients.OpenRequests() == uploads })
 	heap := func() uint64 {
--- a/internal/sidecar/checkpoint_test.go
+++ b/internal/sidecar/checkpoint_test.go
@@ -21,11 +21,11 @@
 
 // A client is noticed that leaves while its attempt is held up after it has read the clock for its first byte.
 func TestHeldUp_clientLeaves(t *testing.T) {
-	for name, body := range map[string]string{"held": "", "forwarded": string(sidecartest.Pattern(inflight.MaxHeldBody / 2))} {
+	for name, body := range map[string]string{"held": "", "forwarded": string(sidecartest.PatternBody(inflight.MaxHeldBody / 2))} {
 		for _, at := range []checkpoint.Checkpoint{checkpoint.AttemptDecided, checkpoint.ClockRead} {
 			t.Run(name+", "+string(at), func(t *testing.T) {
 				b, held := sidecartest.NewBackend(t, "a", sidecartest.OK), sidecartest.NewBarrier()
-				s := start(t, configtest.NewConf(sidecartest.NewRegistry(t).Addr(), b.Target), func(s *Sidecar) {
+				s := start(t, configtest.NewConf(sidecartest.NewFakeDiscovery(t).Addr(), b.Target), func(s *Sidecar) {
 					s.setClientPoll(noClientPoll)
 					s.loop.Pool.SetHook(holdAt(at, held))
 				})
@@ -35,7 +35,7 @@
 				}
 				client := s.newLeavingClient(t, "charge", "HTTP/1.1", "Content-Length: "+strconv.Itoa(len(body))+"\r\n", body)
 				held.WaitFor(t, 1)
-				client.leave(sidecartest.Ends["close"])
+				client.leave(sidecartest.CloseMethods["close"])
 				held.Release()
 				s.expectNothingSent(t, b)
 			})
@@ -46,16 +46,16 @@
 // A server that starts to drain while an attempt to it is held up gets nothing: another one does.
 func TestHeldUp_serverDrains(t *testing.T) {
 	a, b, held := sidecartest.NewBackend(t, "a", sidecartest.OK), sidecartest.NewBackend(t, "b", sidecartest.OK), sidecartest.NewBarrier()
-	registry := sidecartest.NewRegistry(t)
+	registry := sidecartest.NewFakeDiscovery(t)
 	s := start(t, configtest.NewConf(registry.Addr(), a.Target), func(s *Sidecar) {
 		s.loop.Pool.SetHook(holdAt(checkpoint.AttemptDecided, held))
 	})
 	t.Cleanup(held.Release)
 	watch := sidecartest.Receive(t, "the watch", registry.Calls)
-	done := s.goDo(s.request("charge", sidecartest.Patience))
+	done := s.goDo(s.request("charge", sidecartest.WaitTimeout))
 	held.WaitFor(t, 1)
-	watch.Send(t, toggled(2, a, b, "Terminating"))
-	watch.Line(t, "") // taken only after the line before was written
+	watch.SendList(t, toggled(2, a, b, "Terminating"))
+	watch.SendLine(t, "") // taken only after the line before was written
 	sidecartest.Until(t, "the list to be taken", func() bool { return s.loop.Discovery.Revision.Load() == 2 })
 	held.Release()
 	if got := sidecartest.Receive(t, "the answer", done); got.status != 200 {
--- a/internal/sidecar/client_gone_test.go
+++ b/internal/sidecar/client_gone_test.go
@@ -47,7 +47,7 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { c.Close() })
-	c.SetDeadline(time.Now().Add(sidecartest.Patience))
+	c.SetDeadline(time.Now().Add(sidecartest.WaitTimeout))
 	method := "POST"
 	if class == "lookup" {
 		method = "GET"
@@ -102,7 +102,7 @@
 func startHeldDial(t *testing.T, poll time.Duration, changes ...func(*Sidecar)) (*running, *sidecartest.Backend, *sidecartest.Barrier) {
 	t.Helper()
 	b, dialing := sidecartest.NewBackend(t, "a", sidecartest.OK), sidecartest.NewBarrier()
-	c := configtest.NewConf(sidecartest.NewRegistry(t).Addr(), b.Target).Setting(`"connect_timeout_ms": 100`, longDial)
+	c := configtest.NewConf(sidecartest.NewFakeDiscovery(t).Addr(), b.Target).Setting(`"connect_timeout_ms": 100`, longDial)
 	changes = append(changes, func(s *Sidecar) {
 		s.setClientPoll(poll)
 		s.loop.Pool.SetDialControl(func(string, string, syscall.RawConn) error { dialing.Pass(); return nil })
@@ -120,7 +120,7 @@
 	for _, b := range servers {
 		before += b.Requests.Load()
 	}
-	if got := r.do(r.request("lookup", sidecartest.Patience)); got.status != 200 { // by its answer servers have read all that was sent
+	if got := r.do(r.request("lookup", sidecartest.WaitTimeout)); got.status != 200 { // by its answer servers have read all that was sent
 		t.Errorf("another client gets %+v", got)
 	}
 	after := int64(-1)
@@ -135,7 +135,7 @@
 // Right before its first byte an attempt sees that its client has gone, though unread bytes hide the end of the
 // connection.
 func TestClientGone_beforeFirstByte(t *testing.T) {
-	for name, end := range sidecartest.Ends {
+	for name, end := range sidecartest.CloseMethods {
 		for _, proto := range []string{"HTTP/1.1", "HTTP/1.0"} {
 			t.Run(name+" "+proto, func(t *testing.T) {
 				s, b, dialing := startHeldDial(t, noClientPoll)
@@ -153,9 +153,9 @@
 // A request whose client leaves while it waits ends long before its deadline, though unread bytes hide the end of the
 // connection: it does not count as load, and the connection that was being set up for it stays in the pool for others.
 func TestClientGone_whileWaiting(t *testing.T) {
-	for name, end := range sidecartest.Ends {
+	for name, end := range sidecartest.CloseMethods {
 		t.Run("without a server, "+name, func(t *testing.T) {
-			registry := sidecartest.NewRegistry(t)
+			registry := sidecartest.NewFakeDiscovery(t)
 			s := start(t, configtest.NewConf(registry.Addr()).Setting(`"on_time_ms": 750, "hard_limit_ms": 2500`, longWait))
 			watch := sidecartest.Receive(t, "a call", registry.Calls)
 			client := s.newLeavingClient(t, "lookup", "HTTP/1.1", "", "")
@@ -163,7 +163,7 @@
 			client.leave(end)
 			sidecartest.Until(t, "the request to be over", func() bool { return s.clients.OpenRequests() == 0 })
 			b := sidecartest.NewBackend(t, "a", sidecartest.OK)
-			watch.Send(t, endpointlist.List{Rev: 2, All: true, Targets: []endpointlist.Target{b.Target}})
+			watch.SendList(t, endpointlist.List{Rev: 2, All: true, Targets: []endpointlist.Target{b.Target}})
 			s.expectNothingSent(t, b)
 		})
 		t.Run("dialing, "+name, func(t *testing.T) {
@@ -188,9 +188,9 @@
 
 // A request without a server is not sent to one that a list event names right after its client has left.
 func TestClientGone_beforeListEvent(t *testing.T) {
-	for name, end := range sidecartest.Ends {
+	for name, end := range sidecartest.CloseMethods {
 		t.Run(name, func(t *testing.T) {
-			registry := sidecartest.NewRegistry(t)
+			registry := sidecartest.NewFakeDiscovery(t)
 			c := configtest.NewConf(registry.Addr()).Setting(`"on_time_ms": 750, "hard_limit_ms": 2500`, longWait)
 			s := start(t, c, func(s *Sidecar) { s.setClientPoll(noClientPoll) })
 			watch := sidecartest.Receive(t, "a call", registry.Calls)
@@ -198,7 +198,7 @@
 			client.sendAhead()
 			client.leave(end)
 			b := sidecartest.NewBackend(t, "a", sidecartest.OK)
-			watch.Send(t, endpointlist.List{Rev: 2, All: true, Targets: []endpointlist.Target{b.Target}})
+			watch.SendList(t, endpointlist.List{Rev: 2, All: true, Targets: []endpointlist.Target{b.Target}})
 			s.expectNothingSent(t, b)
 		})
 	}
@@ -206,7 +206,7 @@
 
 // No retry starts for a client that left during the attempt before, however that ended.
 func TestClientGone_noRetry(t *testing.T) {
-	for how, first := range map[string]sidecartest.ServeOne{
+	for how, first := range map[string]sidecartest.ServeFunc{
 		"rejected": sidecartest.Respond("HTTP/1.1 503 No\r\nX-Not-Processed: 1\r\nContent-Length: 0\r\n\r\n", true),
 		"failed":   sidecartest.Respond("HTTP/1.1 500 Oh\r\nContent-Length: 0\r\n\r\n", true),
 		"reset": func(c net.Conn, _ *http.Request, _ string) bool {
@@ -214,7 +214,7 @@
 			return false
 		},
 	} {
-		for name, end := range sidecartest.Ends {
+		for name, end := range sidecartest.CloseMethods {
 			t.Run(how+", "+name, func(t *testing.T) {
 				answer := sidecartest.NewBarrier()
 				var attempts atomic.Int64
@@ -226,7 +226,7 @@
 					return first(c, r, body)
 				}
 				b, other := sidecartest.NewBackend(t, "a", serve), sidecartest.NewBackend(t, "b", serve)
-				s := start(t, configtest.NewConf(sidecartest.NewRegistry(t).Addr(), b.Target, other.Target), func(s *Sidecar) {
+				s := start(t, configtest.NewConf(sidecartest.NewFakeDiscovery(t).Addr(), b.Target, other.Target), func(s *Sidecar) {
 					s.setClientPoll(noClientPoll)
 				})
 				t.Cleanup(answer.Release)
@@ -252,11 +252,11 @@
 func TestClientGone_beforeUpload(t *testing.T) {
 	const length = inflight.MaxHeldBody / 2 // which fits into the buffers of the system
 	for _, sent := range []int{length / 2, length} {
-		for name, end := range sidecartest.Ends {
+		for name, end := range sidecartest.CloseMethods {
 			t.Run(fmt.Sprintf("%d bytes, %s", sent, name), func(t *testing.T) {
 				s, b, dialing := startHeldDial(t, noClientPoll)
 				s.clients.SetBodyMemory(0) // of a body only inflight.MinHeldBody is held
-				client := s.newLeavingClient(t, "charge", "HTTP/1.1", fmt.Sprintf("Content-Length: %d\r\n", length), string(sidecartest.Pattern(sent)))
+				client := s.newLeavingClient(t, "charge", "HTTP/1.1", fmt.Sprintf("Content-Length: %d\r\n", length), string(sidecartest.PatternBody(sent)))
 				dialing.WaitFor(t, 1)
 				client.leave(end)
 				dialing.Release()
@@ -276,7 +276,7 @@
 			if ahead {
 				client.sendAhead()
 			}
-			client.leave(sidecartest.Ends["half-close"])
+			client.leave(sidecartest.CloseMethods["half-close"])
 			in := bufio.NewReader(client)
 			resp, err := http.ReadResponse(in, nil)
 			if err != nil || resp.StatusCode != inflight.StatusFailed || !resp.Close {
@@ -300,10 +300,10 @@
 	}
 	t.Run("pipelined", func(t *testing.T) {
 		b := sidecartest.NewBackend(t, "a", sidecartest.OK)
-		s := start(t, configtest.NewConf(sidecartest.NewRegistry(t).Addr(), b.Target), withoutConnStates)
+		s := start(t, configtest.NewConf(sidecartest.NewFakeDiscovery(t).Addr(), b.Target), withoutConnStates)
 		c := s.dial(t)
 		defer c.Close()
-		io.WriteString(c, sidecartest.WireRequest("1", "", "")+sidecartest.WireRequest("2", "", ""))
+		io.WriteString(c, sidecartest.RequestText("1", "", "")+sidecartest.RequestText("2", "", ""))
 		in := bufio.NewReader(c)
 		for range 2 {
 			resp, err := http.ReadResponse(in, nil)
@@ -313,7 +313,7 @@
 			io.Copy(io.Discard, resp.Body)
 		}
 	})
-	for name, end := range sidecartest.Ends {
+	for name, end := range sidecartest.CloseMethods {
 		t.Run(name, func(t *testing.T) {
 			s, b, dialing := startHeldDial(t, noClientPoll, withoutConnStates)
 			client := s.newLeavingClient(t, "lookup", "HTTP/1.1", "", "")
--- a/internal/sidecar/client_read_test.go
+++ b/internal/sidecar/client_read_test.go
@@ -16,7 +16,7 @@
 	for _, errno := range []syscall.Errno{unix.EINTR, unix.ENOBUFS, unix.ENOMEM} {
 		t.Run(unix.ErrnoName(errno), func(t *testing.T) {
 			var failures atomic.Int64
-			s := start(t, configtest.NewConf(sidecartest.NewRegistry(t).Addr(), sidecartest.NewBackend(t, "a", sidecartest.OK).Target), func(s *Sidecar) {
+			s := start(t, configtest.NewConf(sidecartest.NewFakeDiscovery(t).Addr(), sidecartest.NewBackend(t, "a", sidecartest.OK).Target), func(s *Sidecar) {
 				s.listener.SetReadCall(func(fd int, p []byte) (int, error) {
 					if failures.Add(1) <= 3 {
 						return 0, errno
@@ -24,7 +24,7 @@
 					return syscall.Read(fd, p)
 				})
 			})
-			if got := s.do(s.request("charge", sidecartest.Patience)); got.status != 200 {
+			if got := s.do(s.request("charge", sidecartest.WaitTimeout)); got.status != 200 {
 				t.Errorf("%+v", got)
 			}
 		})
--- a/internal/sidecar/clientserver/body_test.go
+++ b/internal/sidecar/clientserver/body_test.go
@@ -17,7 +17,7 @@
 func TestPacedBody_deadlines(t *testing.T) {
 	var deadline time.Time
 	p := &pacedBody{
-		body: sidecartest.Zeros{}, allowance: 100 * time.Millisecond,
+		body: sidecartest.ZeroReader{}, allowance: 100 * time.Millisecond,
 		setDeadline: func(t time.Time) error { deadline = t; return nil },
 	}
 	p.Read(make([]byte, minBodyRate))
--- a/internal/sidecar/clientserver/conn_limiter_shutdown_test.go
+++ b/internal/sidecar/clientserver/conn_limiter_shutdown_test.go
@@ -87,13 +87,13 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { client.Close() })
-	client.SetDeadline(time.Now().Add(sidecartest.Patience))
+	client.SetDeadline(time.Now().Add(sidecartest.WaitTimeout))
 	accepted, err := limiter.Accept()
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { accepted.Close() })
-	accepted.SetDeadline(time.Now().Add(sidecartest.Patience))
+	accepted.SetDeadline(time.Now().Add(sidecartest.WaitTimeout))
 	return client, accepted.(*ClientConn)
 }
 
@@ -164,7 +164,7 @@
 func serveLimiter(t *testing.T, limiter *Limiter, stateChanged func(net.Conn, http.ConnState), handler http.HandlerFunc) {
 	t.Helper()
 	server := TrackConnections(&http.Server{
-		Handler: handler, ConnContext: withConn, ReadHeaderTimeout: sidecartest.Patience,
+		Handler: handler, ConnContext: withConn, ReadHeaderTimeout: sidecartest.WaitTimeout,
 		ConnState: func(conn net.Conn, state http.ConnState) {
 			if state == http.StateIdle {
 				conn.(*framing.HeadConn).PrepareNextRequest()
@@ -192,7 +192,7 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { client.Close() })
-	client.SetDeadline(time.Now().Add(sidecartest.Patience))
+	client.SetDeadline(time.Now().Add(sidecartest.WaitTimeout))
 	return NewLimiter(listener, 1), client
 }
 
--- a/internal/sidecar/clientserver/drain_test.go
+++ b/internal/sidecar/clientserver/drain_test.go
@@ -20,7 +20,7 @@
 	}
 	limiter := NewLimiter(listener, 3)
 	served := 0
-	s := New(Options{ReadTimeout: sidecartest.Patience, WriteTimeout: sidecartest.Patience})
+	s := New(Options{ReadTimeout: sidecartest.WaitTimeout, WriteTimeout: sidecartest.WaitTimeout})
 	httpServer := s.HTTPServer()
 	httpServer.Handler = http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if conn := headConn(r); conn != nil {
@@ -44,8 +44,8 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { c.Close() })
-	c.SetDeadline(time.Now().Add(sidecartest.Patience))
-	if _, err := io.WriteString(c, sidecartest.WireRequest("1", "", "")+sidecartest.WireRequest("2", "", "")); err != nil {
+	c.SetDeadline(time.Now().Add(sidecartest.WaitTimeout))
+	if _, err := io.WriteString(c, sidecartest.RequestText("1", "", "")+sidecartest.RequestText("2", "", "")); err != nil {
 		t.Fatal(err)
 	}
 	in := bufio.NewReader(c)
--- a/internal/sidecar/clientserver/server_test.go
+++ b/internal/sidecar/clientserver/server_test.go
@@ -19,7 +19,7 @@
 	}
 	posted := make(chan any, 4)
 	s := New(Options{
-		Config: cfg, Metrics: metrics.New(cfg.ClassNames), Post: func(ev any) { posted <- ev }, WriteTimeout: sidecartest.Patience,
+		Config: cfg, Metrics: metrics.New(cfg.ClassNames), Post: func(ev any) { posted <- ev }, WriteTimeout: sidecartest.WaitTimeout,
 	})
 	s.SetKeepAliveLimit(10)
 	s.SetRequestLimit(10)
--- a/internal/sidecar/clientserver_test.go
+++ b/internal/sidecar/clientserver_test.go
@@ -20,7 +20,7 @@
 )
 
 func TestReadyCheck(t *testing.T) {
-	s := start(t, configtest.NewConf(sidecartest.NewRegistry(t).Addr()))
+	s := start(t, configtest.NewConf(sidecartest.NewFakeDiscovery(t).Addr()))
 	resp, err := s.client.Get("http://" + s.Addr() + clientserver.ReadyPath)
 	if err != nil {
 		t.Fatal(err)
@@ -34,7 +34,7 @@
 // A malformed request gets a 4xx, not a rejection, and reaches no server.
 func TestMalformedRequests(t *testing.T) {
 	b := sidecartest.NewBackend(t, "a", sidecartest.OK)
-	s := start(t, configtest.NewConf(sidecartest.NewRegistry(t).Addr(), b.Target))
+	s := start(t, configtest.NewConf(sidecartest.NewFakeDiscovery(t).Addr(), b.Target))
 	for name, test := range map[string]struct {
 		class  string
 		change func(*http.Request)
@@ -90,7 +90,7 @@
 
 // Without X-Timeout-Ms the timeout is the limit of the class.
 func TestTimeout_classDefault(t *testing.T) {
-	s := start(t, configtest.NewConf(sidecartest.NewRegistry(t).Addr()).Setting(`"hard_limit_ms": 2500`, `"hard_limit_ms": 100`).
+	s := start(t, configtest.NewConf(sidecartest.NewFakeDiscovery(t).Addr()).Setting(`"hard_limit_ms": 2500`, `"hard_limit_ms": 100`).
 		Setting(`"on_time_ms": 750`, `"on_time_ms": 100`))
 	req := s.request("lookup", time.Second)
 	req.Header.Del("X-Timeout-Ms")
@@ -106,7 +106,7 @@
 		<-release
 		return sidecartest.OK(c, r, body)
 	})
-	c := configtest.NewConf(sidecartest.NewRegistry(t).Addr(), b.Target)
+	c := configtest.NewConf(sidecartest.NewFakeDiscovery(t).Addr(), b.Target)
 	c["limits"] = map[string]any{"sockets": config.MinSockets, "memory_mb": 64}
 	c.Setting(`"open_cap": 20000`, `"open_cap": 5`)
 	s := start(t, c)
@@ -131,7 +131,7 @@
 // Above the keep-alive limit connections end with their answers, so that idle ones do not shut others out.
 func TestKeepAliveLimit(t *testing.T) {
 	b := sidecartest.NewBackend(t, "a", sidecartest.OK)
-	c := configtest.NewConf(sidecartest.NewRegistry(t).Addr(), b.Target)
+	c := configtest.NewConf(sidecartest.NewFakeDiscovery(t).Addr(), b.Target)
 	c["limits"] = map[string]any{"sockets": config.MinSockets}
 	s := start(t, c)
 	for i := range 2 * config.MinSockets {
@@ -156,7 +156,7 @@
 func TestWriteTimeout(t *testing.T) {
 	body := strings.Repeat("x", inflight.MaxBody)
 	b := sidecartest.NewBackend(t, "a", sidecartest.Respond(fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body), body), true))
-	s := start(t, configtest.NewConf(sidecartest.NewRegistry(t).Addr(), b.Target), func(s *Sidecar) {
+	s := start(t, configtest.NewConf(sidecartest.NewFakeDiscovery(t).Addr(), b.Target), func(s *Sidecar) {
 		s.clients.Configure(func(o *clientserver.Options) { o.WriteTimeout = 100 * time.Millisecond })
 	})
 	conn, err := net.Dial("tcp", s.Addr())
@@ -165,7 +165,7 @@
 	}
 	defer conn.Close()
 	conn.(*net.TCPConn).SetReadBuffer(4096)
-	conn.SetDeadline(time.Now().Add(sidecartest.Patience))
+	conn.SetDeadline(time.Now().Add(sidecartest.WaitTimeout))
 	for range 1000 { // more answers than the buffers between hold
 		if err := s.request("lookup", time.Second).Write(conn); err != nil {
 			break
@@ -187,7 +187,7 @@
 		}
 		return sidecartest.OK(c, r, body)
 	})
-	conf := configtest.NewConf(sidecartest.NewRegistry(t).Addr(), b.Target)
+	conf := configtest.NewConf(sidecartest.NewFakeDiscovery(t).Addr(), b.Target)
 	s := start(t, conf)
 	s.drainAccept = time.Second
 	s.do(s.request("charge", time.Second)) // leaves an idle connection
@@ -230,7 +230,7 @@
 // Clients that send requests for a while after SIGTERM, as they may, lose none.
 func TestDrain_underLoad(t *testing.T) {
 	b := sidecartest.NewBackend(t, "a", sidecartest.OK)
-	s := start(t, configtest.NewConf(sidecartest.NewRegistry(t).Addr(), b.Target))
+	s := start(t, configtest.NewConf(sidecartest.NewFakeDiscovery(t).Addr(), b.Target))
 	s.drainAccept = 2 * time.Second
 	stop := make(chan struct{})
 	served := make(chan int)
@@ -270,7 +270,7 @@
 
 // A connection without a request does not delay a drain beyond the longest deadline.
 func TestDrain_unusedConnection(t *testing.T) {
-	s := start(t, configtest.NewConf(sidecartest.NewRegistry(t).Addr()).Setting(`"hard_limit_ms": 2500`, `"hard_limit_ms": 1000`))
+	s := start(t, configtest.NewConf(sidecartest.NewFakeDiscovery(t).Addr()).Setting(`"hard_limit_ms": 2500`, `"hard_limit_ms": 1000`))
 	conn, err := net.Dial("tcp", s.Addr())
 	if err != nil {
 		t.Fatal(err)
@@ -290,7 +290,7 @@
 func TestRequest_releasesAll(t *testing.T) {
 	b := sidecartest.NewBackend(t, "a", sidecartest.OK)
 	b2 := sidecartest.NewBackend(t, "b", sidecartest.Respond("HTTP/1.1 503 No\r\nX-Not-Processed: 1\r\nContent-Length: 0\r\n\r\n", false))
-	s := start(t, configtest.NewConf(sidecartest.NewRegistry(t).Addr(), b.Target, b2.Target))
+	s := start(t, configtest.NewConf(sidecartest.NewFakeDiscovery(t).Addr(), b.Target, b2.Target))
 	var answers []<-chan result
 	for i := range 60 {
 		req := s.request([]string{"lookup", "reserve", "charge"}[i%3], time.Second)
@@ -325,7 +325,7 @@
 
 // The error of a sidecar whose address is in use names the key of the address.
 func TestAddressInUse(t *testing.T) {
-	s := start(t, configtest.NewConf(sidecartest.NewRegistry(t).Addr()))
+	s := start(t, configtest.NewConf(sidecartest.NewFakeDiscovery(t).Addr()))
 	c := configtest.NewConf("127.0.0.1:1")
 	c["listen"] = s.Addr()
 	cfg, err := c.Load(t)
--- a/internal/sidecar/config/config.go
+++ b/internal/sidecar/config/config.go
@@ -131,7 +131,7 @@
 func parseSiteSettings(text json.RawMessage) (*siteSettings, error) {
 	var s siteSettings
 	if err := json.Unmarshal(text, &s); err != nil {
-		return nil, wire.KeyError(err)
+		return nil, wire.LocateJSONError(err)
 	}
 	if s.Limits.ConnIdle < 0 {
 		return nil, fmt.Errorf("limits.conn_idle_ms is %v", s.Limits.ConnIdle)
@@ -200,7 +200,7 @@
 	}
 	var f file
 	if err := json.Unmarshal(data, &f); err != nil {
-		return nil, fmt.Errorf("configuration %s: %w", path, wire.KeyError(err))
+		return nil, fmt.Errorf("configuration %s: %w", path, wire.LocateJSONError(err))
 	}
 	for name, field := range map[string]*string{
 		"NODE_NAME": &f.Name, "NODE_LISTEN": &f.Listen, "NODE_DISCOVERY": &f.Discovery,
--- a/internal/sidecar/config_test.go
+++ b/internal/sidecar/config_test.go
@@ -16,7 +16,7 @@
 func TestReload_BadFile(t *testing.T) {
 	for _, mode := range []string{"subscribe", "automatic"} {
 		t.Run(mode, func(t *testing.T) {
-			b, r, other := sidecartest.NewBackend(t, "a", sidecartest.OK), sidecartest.NewRegistry(t), sidecartest.NewRegistry(t)
+			b, r, other := sidecartest.NewBackend(t, "a", sidecartest.OK), sidecartest.NewFakeDiscovery(t), sidecartest.NewFakeDiscovery(t)
 			c := configtest.NewConf(r.Addr(), b.Target).Setting(`"discovery": "subscribe"`, `"discovery": "`+mode+`"`)
 			s := start(t, c, func(s *Sidecar) { s.loop.Discovery.SetTimeouts(discovery.Timeouts{PushedDelay: time.Hour}) })
 			watch := sidecartest.Receive(t, "the watch", r.Calls)
@@ -49,7 +49,7 @@
 				t.Errorf("missing: error %v", err)
 			}
 			rev := int64(41)
-			watch.Send(t, endpointlist.List{Rev: rev, Targets: []endpointlist.Target{b.Target}}) // the first watch goes on
+			watch.SendList(t, endpointlist.List{Rev: rev, Targets: []endpointlist.Target{b.Target}}) // the first watch goes on
 			sidecartest.Until(t, "the list", func() bool { return s.loop.Discovery.Revision.Load() == rev })
 			if err := os.WriteFile(path, text, 0o600); err != nil {
 				t.Fatal(err)
@@ -71,20 +71,20 @@
 func TestReload_Repeated(t *testing.T) {
 	for _, mode := range []string{"subscribe", "automatic"} {
 		t.Run(mode, func(t *testing.T) {
-			first, second, third := sidecartest.NewRegistry(t), sidecartest.NewRegistry(t), sidecartest.NewRegistry(t)
+			first, second, third := sidecartest.NewFakeDiscovery(t), sidecartest.NewFakeDiscovery(t), sidecartest.NewFakeDiscovery(t)
 			c := configtest.NewConf(first.Addr()).Setting(`"discovery": "subscribe"`, `"discovery": "`+mode+`"`)
 			s := start(t, c, func(s *Sidecar) { s.loop.Discovery.SetTimeouts(discovery.Timeouts{PushedDelay: time.Hour}) })
 			started := sidecartest.Receive(t, "the watch, before any answer", first.Calls)
-			paths := map[*sidecartest.Registry]string{}
-			for _, r := range []*sidecartest.Registry{first, second, third} {
+			paths := map[*sidecartest.FakeDiscovery]string{}
+			for _, r := range []*sidecartest.FakeDiscovery{first, second, third} {
 				paths[r] = withDiscovery(c, r.Addr()).Write(t)
 			}
-			reload := func(r *sidecartest.Registry) error {
+			reload := func(r *sidecartest.FakeDiscovery) error {
 				path := paths[r]
 				return s.Reload(func(name string) string { return map[string]string{"NODE_CONFIG": path}[name] })
 			}
 			ended := make(chan error, 2)
-			for _, r := range []*sidecartest.Registry{second, third} {
+			for _, r := range []*sidecartest.FakeDiscovery{second, third} {
 				go func() { ended <- reload(r) }()
 			}
 			for range 2 {
@@ -92,16 +92,16 @@
 					t.Fatal(err)
 				}
 			}
-			sidecartest.Receive(t, "the watch at the first address to end", started.Gone)
+			sidecartest.Receive(t, "the watch at the first address to end", started.Cancelled)
 			if err := reload(first); err != nil {
 				t.Fatal(err)
 			}
 			back := sidecartest.Receive(t, "the watch back at the first address", first.Calls)
-			back.Send(t, endpointlist.List{Rev: 9, All: true})
+			back.SendList(t, endpointlist.List{Rev: 9, All: true})
 			sidecartest.Until(t, "the list", func() bool { return s.loop.Discovery.Revision.Load() == 9 })
-			for _, r := range []*sidecartest.Registry{second, third} {
+			for _, r := range []*sidecartest.FakeDiscovery{second, third} {
 				for len(r.Calls) > 0 {
-					sidecartest.Receive(t, "what was started between to end", (<-r.Calls).Gone)
+					sidecartest.Receive(t, "what was started between to end", (<-r.Calls).Cancelled)
 				}
 			}
 			if len(first.Calls) > 0 {
--- a/internal/sidecar/discovery/client_test.go
+++ b/internal/sidecar/discovery/client_test.go
@@ -35,7 +35,7 @@
 
 // A watch posts changes, signs of life, full lists and its end.
 func TestWatch_eventKinds(t *testing.T) {
-	r := sidecartest.NewRegistry(t)
+	r := sidecartest.NewFakeDiscovery(t)
 	client, events := newTestClient(t, r.Addr())
 	client.Revision.Store(41)
 	client.Watch(t.Context(), 0)
@@ -43,13 +43,13 @@
 	if call.Query != "watch=1&after=41" {
 		t.Errorf("query %q", call.Query)
 	}
-	call.Send(t, endpointlist.List{Rev: 43, Targets: []endpointlist.Target{sidecartest.Ready("a", "127.0.0.1:1")}})
+	call.SendList(t, endpointlist.List{Rev: 43, Targets: []endpointlist.Target{sidecartest.Ready("a", "127.0.0.1:1")}})
 	if n := sidecartest.Receive(t, "the change", events); n.Kind != balance.ListDelta || n.List.Rev != 43 || n.List.Targets[0].UID != "a" {
 		t.Errorf("%+v", n)
 	}
-	call.Line(t, "")
+	call.SendLine(t, "")
 	expectEvent(t, "that it is alive", events, balance.ListUnchanged)
-	call.Send(t, endpointlist.List{Rev: 44, All: true})
+	call.SendList(t, endpointlist.List{Rev: 44, All: true})
 	expectEvent(t, "the list", events, balance.ListFull)
 	close(call.Lines)
 	expectEvent(t, "the end", events, balance.ListFailed)
@@ -60,7 +60,7 @@
 
 // Each failed call is reported once and not repeated.
 func TestCall_failureReportedOnce(t *testing.T) {
-	r := sidecartest.NewRegistry(t)
+	r := sidecartest.NewFakeDiscovery(t)
 	client, events := newTestClient(t, r.Addr())
 	for name, call := range map[string]func(context.Context, int){"watch": client.Watch, "list": client.Fetch} {
 		call(t.Context(), 0)
@@ -77,11 +77,11 @@
 
 // A fetch posts the full list and nothing else.
 func TestFetch_fullList(t *testing.T) {
-	r := sidecartest.NewRegistry(t)
+	r := sidecartest.NewFakeDiscovery(t)
 	client, events := newTestClient(t, r.Addr())
 	client.Fetch(t.Context(), 0)
 	call := sidecartest.Receive(t, "the call", r.Calls)
-	call.Send(t, endpointlist.List{Rev: 7, All: true, Targets: []endpointlist.Target{sidecartest.Ready("a", "127.0.0.1:1")}})
+	call.SendList(t, endpointlist.List{Rev: 7, All: true, Targets: []endpointlist.Target{sidecartest.Ready("a", "127.0.0.1:1")}})
 	close(call.Lines)
 	if n := sidecartest.Receive(t, "the list", events); n.Kind != balance.ListFull || len(n.List.Targets) != 1 {
 		t.Errorf("%+v", n)
@@ -93,19 +93,19 @@
 
 // A watch that gets no line for much longer than the heartbeat has ended, though its connection is open.
 func TestWatch_silentEnds(t *testing.T) {
-	r := sidecartest.NewRegistry(t)
+	r := sidecartest.NewFakeDiscovery(t)
 	client, events := newTestClient(t, r.Addr())
 	client.timeouts.Watch = 50 * time.Millisecond
 	client.Watch(t.Context(), 0)
 	call := sidecartest.Receive(t, "the call", r.Calls)
-	call.Send(t, endpointlist.List{Rev: 1})
+	call.SendList(t, endpointlist.List{Rev: 1})
 	sidecartest.Receive(t, "the first line", events)
 	if n := sidecartest.Receive(t, "the end", events); n.Kind != balance.ListFailed || n.Busy { // it is broken, not busy
 		t.Errorf("%+v", n)
 	}
 	select {
-	case <-call.Gone:
-	case <-time.After(sidecartest.Patience):
+	case <-call.Cancelled:
+	case <-time.After(sidecartest.WaitTimeout):
 		t.Error("the silent connection is still open")
 	}
 }
@@ -127,14 +127,14 @@
 
 // A watch that was replaced by another posts nothing more.
 func TestWatch_replaced(t *testing.T) {
-	r := sidecartest.NewRegistry(t)
+	r := sidecartest.NewFakeDiscovery(t)
 	client, events := newTestClient(t, r.Addr())
 	client.Watch(t.Context(), 0)
 	first := sidecartest.Receive(t, "the first call", r.Calls)
 	client.Watch(t.Context(), 0)
 	second := sidecartest.Receive(t, "the second call", r.Calls)
-	sidecartest.Receive(t, "the first to end", first.Gone)
-	second.Send(t, endpointlist.List{Rev: 2})
+	sidecartest.Receive(t, "the first to end", first.Cancelled)
+	second.SendList(t, endpointlist.List{Rev: 2})
 	if n := sidecartest.Receive(t, "the second's line", events); n.Kind != balance.ListDelta || len(events) > 0 {
 		t.Errorf("%+v", n)
 	}
--- a/internal/sidecar/discovery/errno_test.go
+++ b/internal/sidecar/discovery/errno_test.go
@@ -35,7 +35,7 @@
 	services := netcall.Errnos{syscall.ECONNREFUSED, syscall.EHOSTUNREACH, syscall.ETIMEDOUT, syscall.ECONNRESET}
 	for _, errno := range slices.Concat(netcall.LocalErrnos, services) {
 		t.Run(errno.Error(), func(t *testing.T) {
-			r := sidecartest.NewRegistry(t)
+			r := sidecartest.NewFakeDiscovery(t)
 			client, events := newTestClient(t, r.Addr())
 			client.failingDials(failures, sidecartest.OpError("connect", errno))
 			client.Watch(t.Context(), 0)
@@ -45,7 +45,7 @@
 				}
 				return
 			}
-			sidecartest.Receive(t, "the call", r.Calls).Send(t, endpointlist.List{Rev: 7})
+			sidecartest.Receive(t, "the call", r.Calls).SendList(t, endpointlist.List{Rev: 7})
 			if n := sidecartest.Receive(t, "the list", events); n.Kind != balance.ListDelta || n.List.Rev != 7 {
 				t.Errorf("%+v, want the list alone", n)
 			}
@@ -57,14 +57,14 @@
 func TestErrno_callToAgent(t *testing.T) {
 	for _, errno := range netcall.LocalErrnos {
 		t.Run(errno.Error(), func(t *testing.T) {
-			r := sidecartest.NewRegistry(t)
+			r := sidecartest.NewFakeDiscovery(t)
 			client, events := newTestClient(t, r.Addr())
 			client.timeouts.PushedDelay = minPushedDelay
 			client.failingDials(3, sidecartest.OpError("connect", errno))
 			ctx, cancel := context.WithCancel(t.Context())
 			t.Cleanup(cancel)
 			client.Subscribe(ctx)
-			sidecartest.Receive(t, "the call", r.Calls).Send(t, endpointlist.List{Rev: 7})
+			sidecartest.Receive(t, "the call", r.Calls).SendList(t, endpointlist.List{Rev: 7})
 			if n := sidecartest.Receive(t, "the list", events); n.Kind != balance.ListDelta || n.List.Rev != 7 {
 				t.Errorf("%+v, want the list alone", n)
 			}
@@ -90,7 +90,7 @@
 					fail := sidecartest.FailNth(int32(n+1), sidecartest.OpError("read", errno))
 					return &sidecartest.FaultyConn{TCPConn: c.(*net.TCPConn), ByteAtATime: true, FailRead: fail}, nil
 				})
-				err := (&call{client: client, kind: fetchCall, claim: unclaimed, firstTimeout: sidecartest.Patience, nextTimeout: sidecartest.Patience}).run(t.Context())
+				err := (&call{client: client, kind: fetchCall, claim: unclaimed, firstTimeout: sidecartest.WaitTimeout, nextTimeout: sidecartest.WaitTimeout}).run(t.Context())
 				if got := len(events) == 1 && (<-events).List.Rev == 7 && errors.Is(err, io.EOF); got != complete {
 					t.Errorf("at byte %d: the list was posted: %v, %v", n, got, err)
 				}
--- a/internal/sidecar/discovery/lists_test.go
+++ b/internal/sidecar/discovery/lists_test.go
@@ -114,7 +114,7 @@
 
 // While an agent leaves calls unanswered others follow, and the first that is answered goes on as the one watch.
 func TestSubscribe_agentReturns(t *testing.T) {
-	r := sidecartest.NewAgent(t)
+	r := sidecartest.NewDrainedDiscovery(t)
 	client, events := newTestClient(t, r.Addr())
 	client.timeouts.PushedDelay, client.timeouts.Call = 5*time.Millisecond, time.Hour
 	ctx, cancel := context.WithCancel(t.Context())
@@ -123,7 +123,7 @@
 	for range 8 { // it is away, and these are never answered
 		sidecartest.Receive(t, "another call", r.Calls)
 	}
-	sidecartest.AnswerAll(t, r, endpointlist.List{Rev: 7})
+	sidecartest.RespondToAll(t, r, endpointlist.List{Rev: 7})
 	if n := sidecartest.Receive(t, "its list", events); n.List.Rev != 7 {
 		t.Errorf("%+v", n)
 	}
@@ -131,27 +131,27 @@
 
 // A watch that falls silent is closed, and the agent is called again for what it missed.
 func TestSubscribe_silentAgent(t *testing.T) {
-	r := sidecartest.NewAgent(t)
+	r := sidecartest.NewDrainedDiscovery(t)
 	client, events := newTestClient(t, r.Addr())
 	client.timeouts.PushedDelay, client.timeouts.Watch = 50*time.Millisecond, 50*time.Millisecond
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
 	client.Subscribe(ctx)
 	first := sidecartest.Receive(t, "the watch", r.Calls)
-	first.Line(t, "")
+	first.SendLine(t, "")
 	if n := sidecartest.Receive(t, "that it is alive", events); n.Kind != balance.ListUnchanged {
 		t.Errorf("%+v", n)
 	}
-	sidecartest.AnswerAll(t, r, endpointlist.List{Rev: 7})
+	sidecartest.RespondToAll(t, r, endpointlist.List{Rev: 7})
 	if n := sidecartest.Receive(t, "the change", events); n.List.Rev != 7 {
 		t.Errorf("%+v", n)
 	}
-	sidecartest.Receive(t, "the silent watch to end", first.Gone)
+	sidecartest.Receive(t, "the silent watch to end", first.Cancelled)
 }
 
 // A busy machine answers late: the first call waits for long, whatever becomes of the later ones, and is then the only one.
 func TestSubscribe_slowAgent(t *testing.T) {
-	r := sidecartest.NewAgent(t)
+	r := sidecartest.NewDrainedDiscovery(t)
 	client, events := newTestClient(t, r.Addr())
 	client.timeouts.PushedDelay, client.timeouts.Call, client.timeouts.Watch = 5*time.Millisecond, time.Hour, time.Hour
 	ctx, cancel := context.WithCancel(t.Context())
@@ -159,13 +159,13 @@
 	client.Subscribe(ctx)
 	first := sidecartest.Receive(t, "the watch", r.Calls)
 	for range 3 {
-		sidecartest.Receive(t, "the eager call to end", sidecartest.Receive(t, "an eager call", r.Calls).Gone)
+		sidecartest.Receive(t, "the eager call to end", sidecartest.Receive(t, "an eager call", r.Calls).Cancelled)
 	}
-	first.Send(t, endpointlist.List{Rev: 7})
+	first.SendList(t, endpointlist.List{Rev: 7})
 	if n := sidecartest.Receive(t, "the list", events); n.List.Rev != 7 {
 		t.Errorf("%+v", n)
 	}
-	first.Send(t, endpointlist.List{Rev: 8})
+	first.SendList(t, endpointlist.List{Rev: 8})
 	if n := sidecartest.Receive(t, "the change", events); n.List.Rev != 8 {
 		t.Errorf("%+v", n)
 	}
@@ -173,7 +173,7 @@
 
 // Pauses do not grow while the agent is away: a long one could start just before its return.
 func TestSubscribe_constantPauses(t *testing.T) {
-	r := sidecartest.NewAgent(t)
+	r := sidecartest.NewDrainedDiscovery(t)
 	client, _ := newTestClient(t, r.Addr())
 	client.timeouts.PushedDelay = 5 * time.Millisecond
 	ctx, cancel := context.WithCancel(t.Context())
@@ -184,10 +184,10 @@
 		call := sidecartest.Receive(t, "the next call", r.Calls)
 		select {
 		case call.Fail <- http.StatusServiceUnavailable:
-		case <-call.Gone:
+		case <-call.Cancelled:
 		}
 	}
-	if took := time.Since(startedAt); took > sidecartest.Patience {
+	if took := time.Since(startedAt); took > sidecartest.WaitTimeout {
 		t.Errorf("20 calls took %v", took)
 	}
 }
--- a/internal/sidecar/discovery/set_addrs_test.go
+++ b/internal/sidecar/discovery/set_addrs_test.go
@@ -39,7 +39,7 @@
 	}
 	for mode, watch := range begin {
 		t.Run(mode, func(t *testing.T) {
-			before, after := sidecartest.NewAgent(t), sidecartest.NewAgent(t)
+			before, after := sidecartest.NewDrainedDiscovery(t), sidecartest.NewDrainedDiscovery(t)
 			client, events := newTestClient(t, before.Addr())
 			client.timeouts.PushedDelay = time.Hour // one call at a time
 			ctx, cancel := context.WithCancel(t.Context())
@@ -51,9 +51,9 @@
 			first := sidecartest.Receive(t, "the call at the new address", after.Calls)
 			close(release) // the old connection comes up only now
 			client.SetAddrs([]string{before.Addr()})
-			sidecartest.Receive(t, "the call before its answer to end", first.Gone)
+			sidecartest.Receive(t, "the call before its answer to end", first.Cancelled)
 			second := sidecartest.Receive(t, "the call back at the first address", before.Calls)
-			second.Send(t, endpointlist.List{Rev: 7})
+			second.SendList(t, endpointlist.List{Rev: 7})
 			if n := sidecartest.Receive(t, "its list", events); n.Kind != balance.ListDelta || n.List.Rev != 7 {
 				t.Errorf("%+v", n)
 			}
--- a/internal/sidecar/discovery/watch_test.go
+++ b/internal/sidecar/discovery/watch_test.go
@@ -18,20 +18,22 @@
 // change of the address during the pause calls the new one at once. There is no balancer here: nothing but the change can
 // make the second call.
 func TestSetAddrs_endsPauseAfterFailure(t *testing.T) {
-	for name, fail := range map[string]func(*testing.T, *sidecartest.Registry){
-		"refused": func(_ *testing.T, r *sidecartest.Registry) { r.Close() },
-		"rejected": func(t *testing.T, r *sidecartest.Registry) {
+	for name, fail := range map[string]func(*testing.T, *sidecartest.FakeDiscovery){
+		"refused": func(_ *testing.T, r *sidecartest.FakeDiscovery) { r.Close() },
+		"rejected": func(t *testing.T, r *sidecartest.FakeDiscovery) {
 			sidecartest.Receive(t, "the call", r.Calls).Fail <- http.StatusServiceUnavailable
 		},
-		"ended early": func(t *testing.T, r *sidecartest.Registry) { close(sidecartest.Receive(t, "the call", r.Calls).Lines) },
-		"reset": func(t *testing.T, r *sidecartest.Registry) {
+		"ended early": func(t *testing.T, r *sidecartest.FakeDiscovery) {
+			close(sidecartest.Receive(t, "the call", r.Calls).Lines)
+		},
+		"reset": func(t *testing.T, r *sidecartest.FakeDiscovery) {
 			call := sidecartest.Receive(t, "the call", r.Calls)
-			call.Send(t, endpointlist.List{Rev: 6})
+			call.SendList(t, endpointlist.List{Rev: 6})
 			r.CloseClientConnections()
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
-			before, after, third := sidecartest.NewRegistry(t), sidecartest.NewRegistry(t), sidecartest.NewRegistry(t)
+			before, after, third := sidecartest.NewFakeDiscovery(t), sidecartest.NewFakeDiscovery(t), sidecartest.NewFakeDiscovery(t)
 			client, events := newTestClient(t, before.Addr())
 			if name == "refused" {
 				fail(t, before)
@@ -44,7 +46,7 @@
 			}
 			client.SetAddrs([]string{after.Addr()})
 			call := sidecartest.Receive(t, "the call at the new address", after.Calls)
-			call.Send(t, endpointlist.List{Rev: 7})
+			call.SendList(t, endpointlist.List{Rev: 7})
 			if n := sidecartest.Receive(t, "what it has", events); n.List.Rev != 7 {
 				t.Errorf("%+v", n)
 			}
@@ -81,14 +83,14 @@
 // The patient call is from before the agent's return and stays silent. The eager ones are answered in pieces, head and list,
 // over twice the time after which a silent agent is called again: they must be read to the end.
 func TestSubscribe_answerInPieces(t *testing.T) {
-	a, addr := sidecartest.NewHandAgent(t)
+	a, addr := sidecartest.NewRawDiscovery(t)
 	client, events := newTestClient(t, addr)
 	client.timeouts.PushedDelay, client.timeouts.Call, client.timeouts.Watch = 400*time.Millisecond, time.Hour, time.Hour
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
 	client.Subscribe(ctx)
-	a.Next(t) // silent for good
-	for end := time.After(sidecartest.Patience); ; {
+	a.NextCall(t) // silent for good
+	for end := time.After(sidecartest.WaitTimeout); ; {
 		select {
 		case n := <-events:
 			if n.Kind != balance.ListFull || n.List.Rev != 7 {
--- a/internal/sidecar/discovery_test.go
+++ b/internal/sidecar/discovery_test.go
@@ -21,11 +21,11 @@
 	for _, mode := range []string{"subscribe", "automatic"} {
 		t.Run(mode, func(t *testing.T) {
 			b := sidecartest.NewBackend(t, "a", sidecartest.OK)
-			before, after := sidecartest.NewRegistry(t), sidecartest.NewRegistry(t)
+			before, after := sidecartest.NewFakeDiscovery(t), sidecartest.NewFakeDiscovery(t)
 			c := configtest.NewConf(before.Addr()).Setting(`"discovery": "subscribe"`, `"discovery": "`+mode+`"`)
 			s := start(t, c, func(s *Sidecar) { s.loop.Discovery.SetTimeouts(discovery.Timeouts{PushedDelay: time.Hour}) }) // one call at a time
 			first := sidecartest.Receive(t, "the watch", before.Calls)
-			first.Send(t, endpointlist.List{Rev: 41, All: true})
+			first.SendList(t, endpointlist.List{Rev: 41, All: true})
 			sidecartest.Until(t, "the list to be taken", func() bool { return s.loop.Discovery.Revision.Load() == 41 })
 
 			c["discovery"] = after.Addr()
@@ -38,8 +38,8 @@
 			if second.Query != "watch=1&after=41" {
 				t.Errorf("query %q", second.Query)
 			}
-			sidecartest.Receive(t, "the old watch to end", first.Gone)
-			second.Send(t, endpointlist.List{Rev: 42, Targets: []endpointlist.Target{b.Target}})
+			sidecartest.Receive(t, "the old watch to end", first.Cancelled)
+			second.SendList(t, endpointlist.List{Rev: 42, Targets: []endpointlist.Target{b.Target}})
 			sidecartest.Until(t, "the change to be taken", func() bool { return s.loop.Discovery.Revision.Load() == 42 })
 			if got := s.do(s.request("lookup", time.Second)); got.status != 200 {
 				t.Errorf("%+v", got)
@@ -51,7 +51,7 @@
 			if err := s.Reload(func(name string) string { return env[name] }); err == nil {
 				t.Error("no error for a file that is no configuration")
 			}
-			second.Line(t, "") // the watch goes on
+			second.SendLine(t, "") // the watch goes on
 			if len(before.Calls)+len(after.Calls) > 0 {
 				t.Error("more calls than the two")
 			}
@@ -62,7 +62,7 @@
 // The list of the configuration is used until the list service answers; the first call gets what came after it.
 func TestDiscovery_configuredList(t *testing.T) {
 	b := sidecartest.NewBackend(t, "a", sidecartest.OK)
-	r := sidecartest.NewRegistry(t)
+	r := sidecartest.NewFakeDiscovery(t)
 	s := start(t, configtest.NewConf(r.Addr(), b.Target))
 	if got := s.do(s.request("lookup", time.Second)); got.status != 200 {
 		t.Errorf("%+v", got)
@@ -82,14 +82,14 @@
 // A server that drains or is gone gets nothing new, and one that appears is used.
 func TestDiscovery_stateChanges(t *testing.T) {
 	a, b := sidecartest.NewBackend(t, "a", sidecartest.OK), sidecartest.NewBackend(t, "b", sidecartest.OK)
-	r := sidecartest.NewRegistry(t)
+	r := sidecartest.NewFakeDiscovery(t)
 	s := start(t, configtest.NewConf(r.Addr(), a.Target))
 	watch := sidecartest.Receive(t, "the watch", r.Calls)
 	rev := int64(1)
 	for _, state := range []string{"Terminating", "Ready", "Gone"} {
 		rev++
-		watch.Send(t, toggled(rev, a, b, state))
-		watch.Line(t, "") // taken only after the line before was written
+		watch.SendList(t, toggled(rev, a, b, state))
+		watch.SendLine(t, "") // taken only after the line before was written
 		sidecartest.Until(t, "the list to be taken", func() bool { return s.loop.Discovery.Revision.Load() == rev })
 		before := a.Requests.Load()
 		for i := range 8 {
@@ -137,14 +137,14 @@
 				}
 				return false
 			})
-			r := sidecartest.NewRegistry(t)
+			r := sidecartest.NewFakeDiscovery(t)
 			s := start(t, configtest.NewConf(r.Addr(), a.Target))
 			watch := sidecartest.Receive(t, "the watch", r.Calls)
 			if got := s.do(s.request("lookup", time.Second)); got.status != 200 {
 				t.Fatalf("%+v", got)
 			}
 			sentAt := time.Now()
-			watch.Send(t, listAfter(a.Target))
+			watch.SendList(t, listAfter(a.Target))
 			sidecartest.Receive(t, "the old connection to close", closed)
 			if took := time.Since(sentAt); took > 5*time.Second {
 				t.Errorf("it closed after %v, by its age", took)
@@ -156,10 +156,10 @@
 // Where lists are pushed the balancer does not poll: the sidecar keeps the watch by itself.
 func TestDiscovery_pushedLists(t *testing.T) {
 	b := sidecartest.NewBackend(t, "a", sidecartest.OK)
-	r := sidecartest.NewRegistry(t)
+	r := sidecartest.NewFakeDiscovery(t)
 	s := start(t, configtest.NewConf(r.Addr()).Setting(`"discovery": "subscribe"`, `"discovery": "automatic"`))
 	close(sidecartest.Receive(t, "the watch", r.Calls).Lines)
-	sidecartest.AnswerAll(t, r, endpointlist.List{Rev: 5, All: true, Targets: []endpointlist.Target{b.Target}})
+	sidecartest.RespondToAll(t, r, endpointlist.List{Rev: 5, All: true, Targets: []endpointlist.Target{b.Target}})
 	sidecartest.Until(t, "the list to be taken", func() bool { return s.loop.Discovery.Revision.Load() == 5 })
 	if got := s.do(s.request("lookup", time.Second)); got.status != 200 {
 		t.Errorf("%+v", got)
--- a/internal/sidecar/drain_test.go
+++ b/internal/sidecar/drain_test.go
@@ -20,7 +20,7 @@
 		return true // and says nothing
 	})
 	// The classes' latest deadline is 2.5 s: what a client allows beyond it is not waited for.
-	s := start(t, configtest.NewConf(sidecartest.NewRegistry(t).Addr(), b.Target))
+	s := start(t, configtest.NewConf(sidecartest.NewFakeDiscovery(t).Addr(), b.Target))
 	sidecartest.Until(t, "a server", func() bool { return s.loop.Metrics.Servers.Load().Ready > 0 })
 	charge := s.goDo(s.request("charge", 5*time.Second))
 	lookup := s.goDo(s.request("lookup", 5*time.Second))
--- a/internal/sidecar/errno_random_test.go
+++ b/internal/sidecar/errno_random_test.go
@@ -190,7 +190,7 @@
 		servers[i] = sidecartest.NewBackend(t, fmt.Sprintf("s%d", i), counted.serve)
 		known[i] = servers[i].Target
 	}
-	registry := sidecartest.NewRegistry(t)
+	registry := sidecartest.NewFakeDiscovery(t)
 	c := configtest.NewConf(registry.Addr(), known...).
 		Setting(`"max_attempts": 6`, fmt.Sprintf(`"max_attempts": %d`, scheduleAttempts)).
 		Setting(`"parallel_tries": true`, `"parallel_tries": false`)
@@ -212,7 +212,7 @@
 	drains := servers[0]
 	leaving := drains.Target
 	leaving.State = "Terminating"
-	watch.Send(t, endpointlist.List{Rev: 2, Targets: []endpointlist.Target{leaving}})
+	watch.SendList(t, endpointlist.List{Rev: 2, Targets: []endpointlist.Target{leaving}})
 	sidecartest.Until(t, "the drain to be known", func() bool { return s.loop.Metrics.Servers.Load().Ready == len(servers)-1 })
 	before := drains.Requests.Load()
 	served = counted.phase(s, seed+scheduleClients)
@@ -228,7 +228,7 @@
 
 // A long body and its answer arrive complete when both directions, to the client and to the server, transfer single bytes.
 func TestConnection_byteAtATime(t *testing.T) {
-	body := string(sidecartest.Pattern(20_000))
+	body := string(sidecartest.PatternBody(20_000))
 	b := sidecartest.NewBackend(t, "a", func(c net.Conn, _ *http.Request, got string) bool {
 		text := fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(got), got)
 		for i := range len(text) {
@@ -238,8 +238,8 @@
 		}
 		return true
 	})
-	s := start(t, configtest.NewConf(sidecartest.NewRegistry(t).Addr(), b.Target), func(s *Sidecar) {
-		sidecartest.Dialing(s.loop.Pool, sidecartest.Succeed, sidecartest.FaultyConn{ByteAtATime: true})
+	s := start(t, configtest.NewConf(sidecartest.NewFakeDiscovery(t).Addr(), b.Target), func(s *Sidecar) {
+		sidecartest.InjectDialFaults(s.loop.Pool, sidecartest.Succeed, sidecartest.FaultyConn{ByteAtATime: true})
 	})
 	client, err := net.Dial("tcp", s.Addr())
 	if err != nil {
@@ -258,7 +258,7 @@
 			t.Fatal(err)
 		}
 	}
-	client.SetReadDeadline(time.Now().Add(sidecartest.Patience))
+	client.SetReadDeadline(time.Now().Add(sidecartest.WaitTimeout))
 	got, err := http.ReadResponse(bufio.NewReaderSize(iotest.OneByteReader(client), 16), req)
 	if err != nil {
 		t.Fatal(err)
--- a/internal/sidecar/errno_test.go
+++ b/internal/sidecar/errno_test.go
@@ -31,7 +31,7 @@
 		}
 		t.Run(test.Call+" "+test.Errno.Error(), func(t *testing.T) {
 			b := sidecartest.NewBackend(t, "a", sidecartest.OK)
-			s := start(t, configtest.NewConf(sidecartest.NewRegistry(t).Addr(), b.Target), func(s *Sidecar) { test.Failing(s.loop.Pool, 1) })
+			s := start(t, configtest.NewConf(sidecartest.NewFakeDiscovery(t).Addr(), b.Target), func(s *Sidecar) { test.Inject(s.loop.Pool, 1) })
 			if got := s.do(s.request("charge", wait)); got.status != test.Status {
 				t.Errorf("%+v, want %d", got, test.Status)
 			}
@@ -51,7 +51,7 @@
 	const failures = 9 // the settings allow 6 attempts
 	b := sidecartest.NewBackend(t, "a", sidecartest.OK)
 	fail := sidecartest.ErrnoCase{Call: "socket", Errno: syscall.EMFILE}
-	s := start(t, configtest.NewConf(sidecartest.NewRegistry(t).Addr(), b.Target), func(s *Sidecar) { fail.Failing(s.loop.Pool, failures) })
+	s := start(t, configtest.NewConf(sidecartest.NewFakeDiscovery(t).Addr(), b.Target), func(s *Sidecar) { fail.Inject(s.loop.Pool, failures) })
 	if got := s.do(s.request("lookup", time.Second)); got.status != 200 {
 		t.Errorf("%+v, want it served", got)
 	}
@@ -64,7 +64,7 @@
 func TestErrno_localFailuresUntilDeadline(t *testing.T) {
 	b := sidecartest.NewBackend(t, "a", sidecartest.OK)
 	fail := sidecartest.ErrnoCase{Call: "connect", Errno: syscall.EADDRNOTAVAIL}
-	s := start(t, configtest.NewConf(sidecartest.NewRegistry(t).Addr(), b.Target), func(s *Sidecar) { fail.Failing(s.loop.Pool, sidecartest.Always) })
+	s := start(t, configtest.NewConf(sidecartest.NewFakeDiscovery(t).Addr(), b.Target), func(s *Sidecar) { fail.Inject(s.loop.Pool, sidecartest.Unlimited) })
 	got := s.do(s.request("charge", 300*time.Millisecond))
 	if got.status != inflight.StatusRejected || got.took < 250*time.Millisecond {
 		t.Errorf("%+v after %v, want a rejection when its time is over", got, got.took)
--- a/internal/sidecar/eventloop/actions.go
+++ b/internal/sidecar/eventloop/actions.go
@@ -63,7 +63,7 @@
 	}
 	a := &upstream.Attempt{
 		Call: c.Call, Number: len(c.attempts), Server: l.serverByID(action.Server),
-		RouteCheck: l.Routing.Check(now, c.Call, action), StartedAt: now, Deadline: deadline,
+		RouteCheck: l.Routing.NewCheck(now, c.Call, action), StartedAt: now, Deadline: deadline,
 	}
 	a.Context, a.Cancel = context.WithCancel(l.ctx)
 	c.attempts = append(c.attempts, a)
--- a/internal/sidecar/eventloop/loop.go
+++ b/internal/sidecar/eventloop/loop.go
@@ -127,9 +127,9 @@
 		case <-alarm.C:
 			l.lastTimerWake = l.now()
 			l.fireTimers(l.lastTimerWake)
-		case <-l.Routing.Woken():
-			l.Routing.Take(l.now())
-		case <-l.Members.Woken():
+		case <-l.Routing.Wakeups():
+			l.Routing.ApplyUpdate(l.now())
+		case <-l.Members.Wakeups():
 			l.updateFleetSize(l.now())
 		case <-publish:
 			l.checkClock(l.now())
@@ -165,7 +165,7 @@
 	listed, avoided := l.balancer.CountServers(now)
 	l.Metrics.Servers.Store(&metrics.ServerMetrics{
 		Listed: listed, Avoided: avoided, Ready: len(l.servers), ListReceived: l.listReceived,
-		List: l.balancer.ListStatus(now), Zones: l.balancer.ZoneStatus(), Routes: l.Routing.Figures(),
+		List: l.balancer.ListStatus(now), Zones: l.balancer.ZoneStatus(), Routes: l.Routing.Stats(),
 	})
 }
 
--- a/internal/sidecar/eventloop/loop_test.go
+++ b/internal/sidecar/eventloop/loop_test.go
@@ -47,7 +47,7 @@
 	for name, handlerFirst := range map[string]bool{"outcome first": false, "ClientGone first": true} {
 		t.Run(name, func(t *testing.T) {
 			b, other := sidecartest.NewBackend(t, "a", sidecartest.OK), sidecartest.NewBackend(t, "b", sidecartest.OK)
-			cfg, err := configtest.NewConf(sidecartest.NewRegistry(t).Addr(), b.Target, other.Target).Load(t)
+			cfg, err := configtest.NewConf(sidecartest.NewFakeDiscovery(t).Addr(), b.Target, other.Target).Load(t)
 			if err != nil {
 				t.Fatal(err)
 			}
--- a/internal/sidecar/exchange_test.go
+++ b/internal/sidecar/exchange_test.go
@@ -23,7 +23,7 @@
 		served++
 		return served == 1 && sidecartest.OK(c, r, body)
 	})
-	s := start(t, configtest.NewConf(sidecartest.NewRegistry(t).Addr(), b.Target))
+	s := start(t, configtest.NewConf(sidecartest.NewFakeDiscovery(t).Addr(), b.Target))
 	if got := s.do(s.request("charge", time.Second)); got.status != 200 || got.body != "done" {
 		t.Fatalf("first: %+v", got)
 	}
@@ -38,12 +38,12 @@
 // A connection that the server closed while it was idle is noticed before a request is written to it.
 func TestReusedConn_closedWhileIdle(t *testing.T) {
 	b := sidecartest.NewBackend(t, "a", sidecartest.OK)
-	s := start(t, configtest.NewConf(sidecartest.NewRegistry(t).Addr(), b.Target))
+	s := start(t, configtest.NewConf(sidecartest.NewFakeDiscovery(t).Addr(), b.Target))
 	for i := range 3 {
 		if got := s.do(s.request("charge", time.Second)); got.status != 200 {
 			t.Fatalf("request %d: %+v", i, got)
 		}
-		b.Drop()
+		b.CloseConns()
 	}
 	if n := b.Conns.Load(); n != 3 {
 		t.Errorf("%d connections, want 3", n)
@@ -53,7 +53,7 @@
 // Sequential requests use one connection.
 func TestReusedConn_sequentialRequests(t *testing.T) {
 	b := sidecartest.NewBackend(t, "a", sidecartest.OK)
-	s := start(t, configtest.NewConf(sidecartest.NewRegistry(t).Addr(), b.Target))
+	s := start(t, configtest.NewConf(sidecartest.NewFakeDiscovery(t).Addr(), b.Target))
 	for range 5 {
 		s.do(s.request("lookup", time.Second))
 	}
@@ -92,7 +92,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			b := sidecartest.NewBackend(t, "a", sidecartest.Respond(test.answer, false))
-			s := start(t, configtest.NewConf(sidecartest.NewRegistry(t).Addr(), b.Target))
+			s := start(t, configtest.NewConf(sidecartest.NewFakeDiscovery(t).Addr(), b.Target))
 			got := s.do(s.request("charge", 300*time.Millisecond))
 			if got.status != test.want || test.want == 200 && got.body != "done" {
 				t.Errorf("answer %d %q, want %d", got.status, got.body, test.want)
@@ -111,7 +111,7 @@
 		c.(*net.TCPConn).SetLinger(0)
 		return false
 	})
-	s := start(t, configtest.NewConf(sidecartest.NewRegistry(t).Addr(), b.Target))
+	s := start(t, configtest.NewConf(sidecartest.NewFakeDiscovery(t).Addr(), b.Target))
 	if got := s.do(s.request("charge", time.Second)); got.status != inflight.StatusFailed {
 		t.Errorf("%+v", got)
 	}
@@ -123,7 +123,7 @@
 	refusing := sidecartest.NewBackend(t, "c", sidecartest.OK)
 	refusing.Close()
 	good := sidecartest.NewBackend(t, "b", sidecartest.OK)
-	s := start(t, configtest.NewConf(sidecartest.NewRegistry(t).Addr(), full.Target, refusing.Target, good.Target))
+	s := start(t, configtest.NewConf(sidecartest.NewFakeDiscovery(t).Addr(), full.Target, refusing.Target, good.Target))
 	for i := range 6 {
 		if got := s.do(s.request("charge", time.Second)); got.status != 200 {
 			t.Errorf("request %d: %+v", i, got)
@@ -145,7 +145,7 @@
 		requests <- seen{r, body}
 		return sidecartest.OK(c, r, body)
 	})
-	s := start(t, configtest.NewConf(sidecartest.NewRegistry(t).Addr(), b.Target))
+	s := start(t, configtest.NewConf(sidecartest.NewFakeDiscovery(t).Addr(), b.Target))
 	req := s.request("reserve", 800*time.Millisecond)
 	req.URL.RawQuery = "b=2&a=%2F"
 	req.Header.Set("X-Other", "kept")
@@ -173,7 +173,7 @@
 		close(closed)
 		return false
 	})
-	s := start(t, configtest.NewConf(sidecartest.NewRegistry(t).Addr(), b.Target))
+	s := start(t, configtest.NewConf(sidecartest.NewFakeDiscovery(t).Addr(), b.Target))
 	got := s.do(s.request("charge", 200*time.Millisecond))
 	if got.status != inflight.StatusTimedOut || got.took < 200*time.Millisecond || got.took > time.Second {
 		t.Errorf("%d after %v, want %d at the deadline", got.status, got.took, inflight.StatusTimedOut)
@@ -214,7 +214,7 @@
 	addr := unanswering(t)
 	t.Run("settings", func(t *testing.T) {
 		good := sidecartest.NewBackend(t, "b", sidecartest.OK)
-		s := start(t, configtest.NewConf(sidecartest.NewRegistry(t).Addr(), sidecartest.Ready("a", addr), good.Target))
+		s := start(t, configtest.NewConf(sidecartest.NewFakeDiscovery(t).Addr(), sidecartest.Ready("a", addr), good.Target))
 		for i := range 3 {
 			if got := s.do(s.request("charge", time.Second)); got.status != 200 || got.took > 600*time.Millisecond {
 				t.Errorf("request %d: %+v", i, got)
@@ -222,7 +222,7 @@
 		}
 	})
 	t.Run("time left", func(t *testing.T) {
-		c := configtest.NewConf(sidecartest.NewRegistry(t).Addr(), sidecartest.Ready("a", addr)).
+		c := configtest.NewConf(sidecartest.NewFakeDiscovery(t).Addr(), sidecartest.Ready("a", addr)).
 			Setting(`"connect_timeout_ms": 100`, `"connect_timeout_ms": 60000`)
 		s := start(t, c)
 		got := s.do(s.request("charge", 100*time.Millisecond))
@@ -241,7 +241,7 @@
 		close(closed)
 		return false
 	})
-	s := start(t, configtest.NewConf(sidecartest.NewRegistry(t).Addr(), b.Target))
+	s := start(t, configtest.NewConf(sidecartest.NewFakeDiscovery(t).Addr(), b.Target))
 	ctx, leave := context.WithCancel(context.Background())
 	done := make(chan error, 1)
 	req := s.request("lookup", 2500*time.Millisecond).WithContext(ctx)
--- a/internal/sidecar/fleet/membership.go
+++ b/internal/sidecar/fleet/membership.go
@@ -31,11 +31,11 @@
 	MaxWatchers = 2
 	// leaveTimeout bounds how long the end of the process waits until the others know that it leaves.
 	leaveTimeout = 300 * time.Millisecond
-	// An address that cannot be bound is tried again after minBindPause, and then after twice as long each time, up to
+	// An address that cannot be bound is tried again after minBindBackoff, and then after twice as long each time, up to
 	// maxBindPause, or to maxBindPauseUpgrade while the predecessor may have it.
-	minBindPause        = 100 * time.Millisecond
-	maxBindPause        = 10 * time.Second
-	maxBindPauseUpgrade = 250 * time.Millisecond
+	minBindBackoff        = 100 * time.Millisecond
+	maxBindBackoff        = 10 * time.Second
+	maxBindBackoffUpgrade = 250 * time.Millisecond
 )
 
 // Membership is this process's part in the membership. Its goroutine is run, which ends with Leave. nil: there is no
@@ -44,13 +44,13 @@
 	Config           membership.Config
 	predecessorAlive func() bool
 
-	Latest      atomic.Pointer[roster.View] // replaced by each newer view, so that nothing waits for the loop
-	wake        chan struct{}               // capacity 1: the loop has not read Latest
-	viewChanged chan struct{}               // capacity 1: run has not seen the change
-	estimate    atomic.Uint64               // bits of the fleet size that the balancer goes by
-	Left        atomic.Bool                 // an operator made it leave
-	group       atomic.Pointer[membership.Group]
-	watchers    streamlimit.Limiter
+	Latest         atomic.Pointer[roster.View] // replaced by each newer view, so that nothing waits for the loop
+	wake           chan struct{}               // capacity 1: the loop has not read Latest
+	viewChanged    chan struct{}               // capacity 1: run has not seen the change
+	estimate       atomic.Uint64               // bits of the fleet size that the balancer goes by
+	LeftByOperator atomic.Bool                 // an operator made it leave
+	group          atomic.Pointer[membership.Group]
+	watchers       streamlimit.Limiter
 
 	leaveOnce    sync.Once
 	leaveTimeout time.Duration // for the group to say that it leaves; set before quit is closed
@@ -67,13 +67,13 @@
 		watchers: streamlimit.Limiter{MaxOpen: MaxWatchers, WriteTimeout: config.ManagementTimeout},
 	}
 	m.Config.EstimatedSize = func() float64 { return math.Float64frombits(m.estimate.Load()) }
-	m.Config.ViewChanged = m.changed
+	m.Config.ViewChanged = m.publishView
 	m.Config.Log = slog.Default()
 	return m
 }
 
-// changed publishes a new view.
-func (m *Membership) changed(v roster.View) {
+// publishView publishes a new view.
+func (m *Membership) publishView(v roster.View) {
 	m.Latest.Store(&v)
 	signal(m.wake)
 	signal(m.viewChanged)
@@ -87,8 +87,8 @@
 	}
 }
 
-// Woken says when Size has changed; nil: membership is off.
-func (m *Membership) Woken() <-chan struct{} {
+// Wakeups says when Size has changed; nil: membership is off.
+func (m *Membership) Wakeups() <-chan struct{} {
 	if m == nil {
 		return nil
 	}
@@ -113,13 +113,13 @@
 	if view == nil {
 		return balance.FleetSize{Known: max(m.Config.Peers, 1), Reachable: 1, Admitted: true}, false
 	}
-	return balance.FleetSize{Known: view.Known, Reachable: view.Reachable, Admitted: view.Admitted && !m.Left.Load()}, true
+	return balance.FleetSize{Known: view.Known, Reachable: view.Reachable, Admitted: view.Admitted && !m.LeftByOperator.Load()}, true
 }
 
 // run joins, logs whether this process is admitted, and leaves.
 func (m *Membership) run() {
 	defer close(m.ended)
-	group := m.open()
+	group := m.openGroup()
 	if group == nil {
 		return
 	}
@@ -150,10 +150,10 @@
 	}
 }
 
-// open binds the address and joins, however often it takes; nil: the process ends first. Until then this process works
+// openGroup binds the address and joins, however often it takes; nil: the process ends first. Until then this process works
 // without members, but is not admitted beside its predecessor, whose address it may need.
-func (m *Membership) open() *membership.Group {
-	wait := minBindPause
+func (m *Membership) openGroup() *membership.Group {
+	wait := minBindBackoff
 	for first := true; ; first = false {
 		group, err := membership.Open(m.Config)
 		if err == nil {
@@ -169,13 +169,13 @@
 		case first:
 			slog.Error("members: the address cannot be bound, it is tried again", "addr", m.Config.Bind, "err", err)
 		}
-		m.changed(roster.View{Known: max(m.Config.Peers, 1), Reachable: 1, Admitted: !upgrading})
+		m.publishView(roster.View{Known: max(m.Config.Peers, 1), Reachable: 1, Admitted: !upgrading})
 		if upgrading {
-			wait = min(wait, maxBindPauseUpgrade)
+			wait = min(wait, maxBindBackoffUpgrade)
 		}
 		select {
 		case <-time.After(wait):
-			wait = min(2*wait, maxBindPause)
+			wait = min(2*wait, maxBindBackoff)
 		case <-m.quit:
 			return nil
 		}
@@ -236,14 +236,14 @@
 
 // serveLeave lets an operator make this process leave. It is not admitted any more before others stop counting it.
 func (m *Membership) serveLeave(w http.ResponseWriter, r *http.Request, group *membership.Group) {
-	m.Left.Store(true)
+	m.LeftByOperator.Store(true)
 	signal(m.wake)
 	ctx, cancel := context.WithTimeout(r.Context(), config.ManagementTimeout/2) // the rest is for the answer
 	defer cancel()
 	recorder := &statusRecorder{ResponseWriter: w}
 	group.Handler().ServeHTTP(recorder, r.WithContext(ctx))
 	if recorder.status >= http.StatusMultipleChoices {
-		m.Left.Store(false)
+		m.LeftByOperator.Store(false)
 		signal(m.wake)
 	}
 }
--- a/internal/sidecar/fleet/membership_test.go
+++ b/internal/sidecar/fleet/membership_test.go
@@ -18,14 +18,14 @@
 	startedAt := time.Now()
 	m.Leave(startedAt.Add(time.Hour))
 	require.GreaterOrEqual(t, time.Since(startedAt), leaveTimeout)
-	require.Less(t, time.Since(startedAt), sidecartest.Patience)
+	require.Less(t, time.Since(startedAt), sidecartest.WaitTimeout)
 	require.Equal(t, leaveTimeout*2/3, m.leaveTimeout)
 	m.Leave(startedAt) // too late
 
-	m.changed(roster.View{Known: 2, Reachable: 2, Admitted: true})
+	m.publishView(roster.View{Known: 2, Reachable: 2, Admitted: true})
 	s, _ := m.Size()
 	require.True(t, s.Admitted)
-	m.Left.Store(true) // an operator's word comes before what the group says last
+	m.LeftByOperator.Store(true) // an operator's word comes before what the group says last
 	s, _ = m.Size()
 	require.False(t, s.Admitted)
 }
--- a/internal/sidecar/framing/framing_test.go
+++ b/internal/sidecar/framing/framing_test.go
@@ -30,7 +30,7 @@
 				}
 				fail := sidecartest.FailNth(int32(n+1), sidecartest.OpError("read", errno))
 				client := &HeadConn{Conn: &sidecartest.FaultyConn{TCPConn: c.(*net.TCPConn), ByteAtATime: true, FailRead: fail}}
-				client.SetReadDeadline(time.Now().Add(sidecartest.Patience))
+				client.SetReadDeadline(time.Now().Add(sidecartest.WaitTimeout))
 				if got := readsRequest(client); got != complete {
 					t.Errorf("error at byte %d: request read completely: %v, want %v", n, got, complete)
 				}
--- a/internal/sidecar/framing_test.go
+++ b/internal/sidecar/framing_test.go
@@ -19,7 +19,7 @@
 
 // A request ends where all its headers say, or gets an error: bytes of a body are never a request.
 func TestFraming_requests(t *testing.T) {
-	inner := sidecartest.WireRequest("inner", "Content-Length: 0\r\n", "")
+	inner := sidecartest.RequestText("inner", "Content-Length: 0\r\n", "")
 	http10 := func(s string) string { return strings.Replace(s, "HTTP/1.1", "HTTP/1.0", 1) }
 	for name, test := range map[string]struct {
 		bytes  string
@@ -27,55 +27,55 @@
 		bodies string // of what reaches the server
 		closed bool
 	}{
-		"length":          {sidecartest.WireRequest("1", "Content-Length: 3\r\n", "abc"), []int{200}, "[abc]", false},
-		"chunks":          {sidecartest.WireRequest("1", "Transfer-Encoding: chunked\r\n", "3\r\nabc\r\n0\r\n\r\n"), []int{200}, "[abc]", false},
-		"chunks and tail": {sidecartest.WireRequest("1", "Transfer-Encoding: chunked\r\nTrailer: X-A\r\n", "3\r\nabc\r\n0\r\nX-A: b\r\n\r\n"), []int{200}, "[abc]", false},
-		"no body":         {sidecartest.WireRequest("1", "", ""), []int{200}, "[]", false},
+		"length":          {sidecartest.RequestText("1", "Content-Length: 3\r\n", "abc"), []int{200}, "[abc]", false},
+		"chunks":          {sidecartest.RequestText("1", "Transfer-Encoding: chunked\r\n", "3\r\nabc\r\n0\r\n\r\n"), []int{200}, "[abc]", false},
+		"chunks and tail": {sidecartest.RequestText("1", "Transfer-Encoding: chunked\r\nTrailer: X-A\r\n", "3\r\nabc\r\n0\r\nX-A: b\r\n\r\n"), []int{200}, "[abc]", false},
+		"no body":         {sidecartest.RequestText("1", "", ""), []int{200}, "[]", false},
 		"one length, twice": {
-			sidecartest.WireRequest("1", "Content-Length: 3\r\nContent-Length: 3\r\n", "abc"), []int{200}, "[abc]", false,
+			sidecartest.RequestText("1", "Content-Length: 3\r\nContent-Length: 3\r\n", "abc"), []int{200}, "[abc]", false,
 		},
 		"a request as body": {
-			sidecartest.WireRequest("1", "Content-Length: "+strconv.Itoa(len(inner))+"\r\n", inner), []int{200}, "[" + inner + "]", false,
+			sidecartest.RequestText("1", "Content-Length: "+strconv.Itoa(len(inner))+"\r\n", inner), []int{200}, "[" + inner + "]", false,
 		},
 		"pipelined": {
-			sidecartest.WireRequest("1", "Content-Length: 3\r\n", "abc") + sidecartest.WireRequest("2", "Content-Length: 2\r\n", "de"),
+			sidecartest.RequestText("1", "Content-Length: 3\r\n", "abc") + sidecartest.RequestText("2", "Content-Length: 2\r\n", "de"),
 			[]int{200, 200}, "[abc][de]", false,
 		},
 		"length, then chunks": {
-			sidecartest.WireRequest("1", "Content-Length: "+strconv.Itoa(5+len(inner))+"\r\nTransfer-Encoding: chunked\r\n", "0\r\n\r\n"+inner),
+			sidecartest.RequestText("1", "Content-Length: "+strconv.Itoa(5+len(inner))+"\r\nTransfer-Encoding: chunked\r\n", "0\r\n\r\n"+inner),
 			[]int{400}, "", true,
 		},
 		"chunks, then length": {
-			sidecartest.WireRequest("1", "transfer-encoding: chunked\r\ncontent-length: "+strconv.Itoa(5+len(inner))+"\r\n", "0\r\n\r\n"+inner),
+			sidecartest.RequestText("1", "transfer-encoding: chunked\r\ncontent-length: "+strconv.Itoa(5+len(inner))+"\r\n", "0\r\n\r\n"+inner),
 			[]int{400}, "", true,
 		},
 		"both behind another": {
-			sidecartest.WireRequest("0", "Content-Length: 3\r\n", "abc") +
-				sidecartest.WireRequest("1", "Transfer-Encoding: chunked\r\nContent-Length: "+strconv.Itoa(5+len(inner))+"\r\n", "0\r\n\r\n"+inner),
+			sidecartest.RequestText("0", "Content-Length: 3\r\n", "abc") +
+				sidecartest.RequestText("1", "Transfer-Encoding: chunked\r\nContent-Length: "+strconv.Itoa(5+len(inner))+"\r\n", "0\r\n\r\n"+inner),
 			[]int{200, 400}, "[abc]", true,
 		},
 		"both, bare line feeds": {
-			strings.ReplaceAll(sidecartest.WireRequest("1", "Content-Length: 5\r\nTransfer-Encoding: chunked\r\n", ""), "\r\n", "\n") + "0\r\n\r\n" + inner,
+			strings.ReplaceAll(sidecartest.RequestText("1", "Content-Length: 5\r\nTransfer-Encoding: chunked\r\n", ""), "\r\n", "\n") + "0\r\n\r\n" + inner,
 			[]int{400}, "", true,
 		},
 		"both by HTTP/1.0": {
-			http10(sidecartest.WireRequest("1", "Connection: keep-alive\r\nContent-Length: 5\r\nTransfer-Encoding: chunked\r\n", "0\r\n\r\n"+inner)),
+			http10(sidecartest.RequestText("1", "Connection: keep-alive\r\nContent-Length: 5\r\nTransfer-Encoding: chunked\r\n", "0\r\n\r\n"+inner)),
 			[]int{400}, "", true,
 		},
-		"two lengths":         {sidecartest.WireRequest("1", "Content-Length: 3\r\nContent-Length: 4\r\n", "abc"+inner), []int{400}, "", true},
-		"length not a number": {sidecartest.WireRequest("1", "Content-Length: ten\r\n", "abc"+inner), []int{400}, "", true},
-		"length negative":     {sidecartest.WireRequest("1", "Content-Length: -3\r\n", "abc"+inner), []int{400}, "", true},
-		"other coding":        {sidecartest.WireRequest("1", "Transfer-Encoding: gzip, chunked\r\n", "0\r\n\r\n"+inner), []int{501}, "", true},
-		"malformed chunk":     {sidecartest.WireRequest("1", "Transfer-Encoding: chunked\r\n", "zz\r\n"+inner), []int{400}, "", true},
+		"two lengths":         {sidecartest.RequestText("1", "Content-Length: 3\r\nContent-Length: 4\r\n", "abc"+inner), []int{400}, "", true},
+		"length not a number": {sidecartest.RequestText("1", "Content-Length: ten\r\n", "abc"+inner), []int{400}, "", true},
+		"length negative":     {sidecartest.RequestText("1", "Content-Length: -3\r\n", "abc"+inner), []int{400}, "", true},
+		"other coding":        {sidecartest.RequestText("1", "Transfer-Encoding: gzip, chunked\r\n", "0\r\n\r\n"+inner), []int{501}, "", true},
+		"malformed chunk":     {sidecartest.RequestText("1", "Transfer-Encoding: chunked\r\n", "zz\r\n"+inner), []int{400}, "", true},
 		"oversized": {
-			sidecartest.WireRequest("1", "Content-Length: "+strconv.Itoa(inflight.MaxBody+1+len(inner))+"\r\n", strings.Repeat("x", inflight.MaxBody+1)+inner),
+			sidecartest.RequestText("1", "Content-Length: "+strconv.Itoa(inflight.MaxBody+1+len(inner))+"\r\n", strings.Repeat("x", inflight.MaxBody+1)+inner),
 			[]int{413}, "", true,
 		},
 		"behind a malformed one": {
 			strings.Replace(inner, "X-Request-ID: inner\r\n", "", 1) + inner, []int{400}, "", true,
 		},
 		"GET with a body": {
-			strings.NewReplacer("POST", "GET", "charge", "lookup").Replace(sidecartest.WireRequest("1", "Content-Length: "+strconv.Itoa(len(inner))+"\r\n", "")) + inner,
+			strings.NewReplacer("POST", "GET", "charge", "lookup").Replace(sidecartest.RequestText("1", "Content-Length: "+strconv.Itoa(len(inner))+"\r\n", "")) + inner,
 			[]int{400}, "", true,
 		},
 	} {
@@ -88,7 +88,7 @@
 				mu.Unlock()
 				return sidecartest.OK(c, r, body)
 			})
-			s := start(t, configtest.NewConf(sidecartest.NewRegistry(t).Addr(), b.Target))
+			s := start(t, configtest.NewConf(sidecartest.NewFakeDiscovery(t).Addr(), b.Target))
 			conn := s.dial(t)
 			defer conn.Close()
 			if _, err := io.WriteString(conn, test.bytes); err != nil {
@@ -135,10 +135,10 @@
 		t.Errorf("clients wait %v for their end, 3 s are allowed", clientserver.DefaultReadTimeout)
 	}
 	const readTimeout = 200 * time.Millisecond
-	head := sidecartest.WireRequest("1", "Content-Length: 1000\r\n", "")
-	complete := sidecartest.WireRequest("0", "Content-Length: 3\r\n", "abc")
+	head := sidecartest.RequestText("1", "Content-Length: 1000\r\n", "")
+	complete := sidecartest.RequestText("0", "Content-Length: 3\r\n", "abc")
 	b := sidecartest.NewBackend(t, "a", sidecartest.OK)
-	s := start(t, configtest.NewConf(sidecartest.NewRegistry(t).Addr(), b.Target), func(s *Sidecar) { s.setReadTimeout(readTimeout) })
+	s := start(t, configtest.NewConf(sidecartest.NewFakeDiscovery(t).Addr(), b.Target), func(s *Sidecar) { s.setReadTimeout(readTimeout) })
 	for name, test := range map[string]struct{ first, then string }{
 		"silent":               {"", ""},
 		"half a head":          {head[:40], ""},
@@ -146,7 +146,7 @@
 		"half a body":          {head + "abc", ""},
 		"head byte by byte":    {head[:40], "x"},
 		"body byte by byte":    {head, "x"},
-		"chunks byte by byte":  {sidecartest.WireRequest("1", "Transfer-Encoding: chunked\r\n", "fff\r\n"), "x"},
+		"chunks byte by byte":  {sidecartest.RequestText("1", "Transfer-Encoding: chunked\r\n", "fff\r\n"), "x"},
 		"after a complete one": {complete + head, "x"},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -157,7 +157,7 @@
 			}
 			defer conn.Close()
 			startedAt := time.Now()
-			conn.SetDeadline(startedAt.Add(sidecartest.Patience))
+			conn.SetDeadline(startedAt.Add(sidecartest.WaitTimeout))
 			if _, err := io.WriteString(conn, test.first); err != nil {
 				t.Fatal(err)
 			}
@@ -209,7 +209,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			b := sidecartest.NewBackend(t, "a", sidecartest.Respond(test.answer, true))
-			s := start(t, configtest.NewConf(sidecartest.NewRegistry(t).Addr(), b.Target))
+			s := start(t, configtest.NewConf(sidecartest.NewFakeDiscovery(t).Addr(), b.Target))
 			for range 2 {
 				got := s.do(s.request("charge", time.Second))
 				if got.status != test.status || got.status == 200 && got.body != "done" {
--- a/internal/sidecar/handover/handover.go
+++ b/internal/sidecar/handover/handover.go
@@ -16,8 +16,8 @@
 // serves meanwhile.
 const ListTimeout = 1500 * time.Millisecond
 
-// answerTimeout is for the older process to answer: it may hang, or be another program.
-const answerTimeout = time.Second
+// responseTimeout is for the older process to answer: it may hang, or be another program.
+const responseTimeout = time.Second
 
 // The bytes that the newer process sends.
 const (
--- a/internal/sidecar/handover/predecessor.go
+++ b/internal/sidecar/handover/predecessor.go
@@ -32,7 +32,7 @@
 	if _, err := os.Lstat(path); errors.Is(err, os.ErrNotExist) {
 		return nil, nil, nil
 	}
-	conn, err := net.DialTimeout("unix", path, answerTimeout)
+	conn, err := net.DialTimeout("unix", path, responseTimeout)
 	if err != nil {
 		return nil, nil, fmt.Errorf("no process answers: %w", err)
 	}
@@ -51,7 +51,7 @@
 
 // receiveListener waits for the message that brings the listening socket.
 func (p *Predecessor) receiveListener() (net.Listener, error) {
-	p.conn.SetReadDeadline(time.Now().Add(answerTimeout))
+	p.conn.SetReadDeadline(time.Now().Add(responseTimeout))
 	defer p.conn.SetReadDeadline(time.Time{})
 	buf := make([]byte, 1)
 	rights := make([]byte, unix.CmsgSpace(descriptorBytes))
--- a/internal/sidecar/handover/successors.go
+++ b/internal/sidecar/handover/successors.go
@@ -19,22 +19,22 @@
 
 // Successors are the newer processes that meet this one.
 type Successors struct {
-	Listener *net.TCPListener // the clients' listening socket, which they are given
-	Changed  func(alive int)  // is called with their number when it changes
-	Faults   *fault.Plan      // planted by the lab; nil: none
-	Bind     func(network string, addr *net.UnixAddr) (*net.UnixListener, error)
-	Serving  atomic.Int64 // how many of them serve
+	Listener     *net.TCPListener // the clients' listening socket, which they are given
+	CountChanged func(alive int)  // is called with their number when it changes
+	Faults       *fault.Plan      // planted by the lab; nil: none
+	Bind         func(network string, addr *net.UnixAddr) (*net.UnixListener, error)
+	Serving      atomic.Int64 // how many of them serve
 
-	socket net.Listener
-	ended  sync.WaitGroup // goroutines of accept and follow
-	mu     sync.Mutex     // guards closed and conns
-	closed bool
-	conns  map[net.Conn]struct{}
+	socket     net.Listener
+	goroutines sync.WaitGroup // goroutines of accept and follow
+	mu         sync.Mutex     // guards closed and conns
+	closed     bool
+	conns      map[net.Conn]struct{}
 }
 
-// Await takes the socket at a path over from the process that had it, and accepts newer processes in the background, up
+// Listen takes the socket at a path over from the process that had it, and accepts newer processes in the background, up
 // to Close.
-func (s *Successors) Await(path string) error {
+func (s *Successors) Listen(path string) error {
 	// It is bound under a name of its own first, so that the path always names a complete socket, or none.
 	fresh := fmt.Sprintf("%s.%d", path, os.Getpid())
 	os.Remove(fresh)
@@ -50,7 +50,7 @@
 	}
 	s.socket = listener.Wrap(netcall.WithFaults(l, s.Faults), "upgrade", nil)
 	s.conns = map[net.Conn]struct{}{}
-	s.ended.Go(s.accept)
+	s.goroutines.Go(s.accept)
 	return nil
 }
 
@@ -66,7 +66,7 @@
 			return
 		}
 		if next := c.(*net.UnixConn); s.add(next) {
-			s.ended.Go(func() { s.follow(next) })
+			s.goroutines.Go(func() { s.serveSuccessor(next) })
 		}
 	}
 }
@@ -80,35 +80,35 @@
 		return false
 	}
 	s.conns[c] = struct{}{}
-	s.Changed(len(s.conns))
+	s.CountChanged(len(s.conns))
 	return true
 }
 
-// ShareListener reports whether a newer process may hold the listening socket.
-func (s *Successors) ShareListener() bool {
+// ListenerShared reports whether a newer process may hold the listening socket.
+func (s *Successors) ListenerShared() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return len(s.conns) > 0
 }
 
-// follow gives a newer process the listening socket and follows it to its end.
-func (s *Successors) follow(c *net.UnixConn) {
+// serveSuccessor gives a newer process the listening socket and follows it to its end.
+func (s *Successors) serveSuccessor(c *net.UnixConn) {
 	if err := s.SendListener(c); err != nil {
 		slog.Warn("upgrade: the listening socket was not handed over", "err", err)
 	} else {
-		s.followServing(netcall.RetryingConn{Conn: c})
+		s.trackServing(netcall.RetryingConn{Conn: c})
 	}
 	c.Close()
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	delete(s.conns, c)
 	if !s.closed {
-		s.Changed(len(s.conns))
+		s.CountChanged(len(s.conns))
 	}
 }
 
-// followServing counts a newer process while it serves, and waits for its end.
-func (s *Successors) followServing(next io.Reader) {
+// trackServing counts a newer process while it serves, and waits for its end.
+func (s *Successors) trackServing(next io.Reader) {
 	var word [1]byte
 	if _, err := io.ReadFull(next, word[:]); err != nil || word[0] != servingByte {
 		return
@@ -145,5 +145,5 @@
 		c.Close()
 	}
 	s.mu.Unlock()
-	s.ended.Wait()
+	s.goroutines.Wait()
 }
--- a/internal/sidecar/handover_shutdown_test.go
+++ b/internal/sidecar/handover_shutdown_test.go
@@ -15,10 +15,10 @@
 // leave new connections to it.
 func TestShutdownOfBothProcesses(t *testing.T) {
 	b := sidecartest.NewBackend(t, "a", sidecartest.OK)
-	c := upgradable(t, sidecartest.NewRegistry(t).Addr(), b.Target)
-	old := start(t, c, func(s *Sidecar) { s.drainAccept = sidecartest.Patience })
+	c := upgradable(t, sidecartest.NewFakeDiscovery(t).Addr(), b.Target)
+	old := start(t, c, func(s *Sidecar) { s.drainAccept = sidecartest.WaitTimeout })
 	old.awaitMeetable(t, nil)
-	next := start(t, c, func(s *Sidecar) { s.listTimeout, s.drainAccept = 0, sidecartest.Patience })
+	next := start(t, c, func(s *Sidecar) { s.listTimeout, s.drainAccept = 0, sidecartest.WaitTimeout })
 	sidecartest.Until(t, "its word", func() bool { return old.successors.Serving.Load() == 1 })
 	next.term()
 	sidecartest.Until(t, "its other word", func() bool { return old.successors.Serving.Load() == 0 })
@@ -28,7 +28,7 @@
 	old.term()
 	sidecartest.Until(t, "its drain", old.clients.Draining)
 	for range 4 {
-		client := &http.Client{Transport: &http.Transport{DisableKeepAlives: true}, Timeout: sidecartest.Patience}
+		client := &http.Client{Transport: &http.Transport{DisableKeepAlives: true}, Timeout: sidecartest.WaitTimeout}
 		resp, err := client.Do(old.request("charge", time.Second))
 		if err != nil {
 			t.Fatal(err)
@@ -42,7 +42,7 @@
 
 // A newer process that is terminated before it serves never says that it does: the older one goes on.
 func TestShutdownBeforeItServes(t *testing.T) {
-	c := upgradable(t, sidecartest.NewRegistry(t).Addr())
+	c := upgradable(t, sidecartest.NewFakeDiscovery(t).Addr())
 	cfg, err := c.Load(t)
 	if err != nil {
 		t.Fatal(err)
@@ -57,7 +57,7 @@
 		t.Fatal(err)
 	}
 	defer place.Close()
-	place.SetDeadline(time.Now().Add(sidecartest.Patience))
+	place.SetDeadline(time.Now().Add(sidecartest.WaitTimeout))
 	words := make(chan string, 1)
 	go func() { // the older process
 		c, err := place.AcceptUnix()
@@ -66,7 +66,7 @@
 			return
 		}
 		defer c.Close()
-		c.SetDeadline(time.Now().Add(sidecartest.Patience))
+		c.SetDeadline(time.Now().Add(sidecartest.WaitTimeout))
 		if err := (&handover.Successors{Listener: shared.(*net.TCPListener)}).SendListener(c); err != nil {
 			words <- err.Error()
 			return
--- a/internal/sidecar/handover_test.go
+++ b/internal/sidecar/handover_test.go
@@ -67,7 +67,7 @@
 // While one process follows the other, each request on a connection of its own and on kept ones is served.
 func TestUpgrade_NoRequestRejected(t *testing.T) {
 	b := sidecartest.NewBackend(t, "a", sidecartest.OK)
-	c := upgradable(t, sidecartest.NewRegistry(t).Addr(), b.Target)
+	c := upgradable(t, sidecartest.NewFakeDiscovery(t).Addr(), b.Target)
 	quick := func(s *Sidecar) { s.drainAccept, s.listTimeout = 50*time.Millisecond, 0 }
 	old := start(t, c, quick)
 	old.awaitMeetable(t, nil)
@@ -76,7 +76,7 @@
 	var served atomic.Int64
 	var clients sync.WaitGroup
 	for i := range 4 {
-		client := &http.Client{Transport: &http.Transport{DisableKeepAlives: i%2 == 0}, Timeout: sidecartest.Patience}
+		client := &http.Client{Transport: &http.Transport{DisableKeepAlives: i%2 == 0}, Timeout: sidecartest.WaitTimeout}
 		clients.Go(func() {
 			defer client.CloseIdleConnections()
 			for {
@@ -125,7 +125,7 @@
 // Connections that wait to be accepted when the process ends are the next one's.
 func TestUpgrade_QueueHandedOver(t *testing.T) {
 	b := sidecartest.NewBackend(t, "a", sidecartest.OK)
-	c := upgradable(t, sidecartest.NewRegistry(t).Addr(), b.Target)
+	c := upgradable(t, sidecartest.NewFakeDiscovery(t).Addr(), b.Target)
 	deaf := func(s *Sidecar) { // it accepts no connection
 		s.drainAccept = 0
 		s.listener.Listener = refuser{s.listener.Listener, new(sync.Once), make(chan struct{})}
@@ -173,7 +173,7 @@
 // A process that ends before it serves leaves the older one as it was.
 func TestUpgrade_SuccessorFails(t *testing.T) {
 	b := sidecartest.NewBackend(t, "a", sidecartest.OK)
-	c := upgradable(t, sidecartest.NewRegistry(t).Addr(), b.Target)
+	c := upgradable(t, sidecartest.NewFakeDiscovery(t).Addr(), b.Target)
 	old := start(t, c)
 	old.awaitMeetable(t, nil)
 	cfg, err := c.Load(t)
@@ -210,7 +210,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			b := sidecartest.NewBackend(t, "a", sidecartest.OK)
-			c := upgradable(t, sidecartest.NewRegistry(t).Addr(), b.Target)
+			c := upgradable(t, sidecartest.NewFakeDiscovery(t).Addr(), b.Target)
 			cfg, err := c.Load(t)
 			if err != nil {
 				t.Fatal(err)
--- a/internal/sidecar/kill_time_test.go
+++ b/internal/sidecar/kill_time_test.go
@@ -76,7 +76,7 @@
 	}
 	hook := func(c checkpoint.Checkpoint) {
 		if c == held && d.holding.Load() {
-			time.Sleep(sidecartest.Hold)
+			time.Sleep(sidecartest.StallTime)
 		}
 	}
 	d.s.checkpoints = hook
@@ -125,7 +125,7 @@
 
 // answer reads a complete answer, which has to come before SIGKILL may; io.EOF: the connection ended without one.
 func (c *caller) answer() (last bool, err error) {
-	c.SetReadDeadline(time.Now().Add(sidecartest.Patience))
+	c.SetReadDeadline(time.Now().Add(sidecartest.WaitTimeout))
 	if _, err := c.in.Peek(1); err == io.EOF {
 		return true, err
 	}
@@ -185,7 +185,7 @@
 	for time.Now().Before(d.kill) {
 		var err error
 		if c == nil {
-			if time.Since(d.term) > sidecartest.NewClientsFor {
+			if time.Since(d.term) > sidecartest.NewClientsTime {
 				return
 			}
 			if c, err = d.dial(what); err != nil {
@@ -302,7 +302,7 @@
 	d.holding.Store(true)
 	close(d.started)
 	d.stop()
-	d.clients.Go(func() { sidecartest.FollowLag(&d.lag, func() bool { return time.Now().After(d.kill) }) })
+	d.clients.Go(func() { sidecartest.TrackLag(&d.lag, func() bool { return time.Now().After(d.kill) }) })
 	for _, complete := range late {
 		d.clients.Go(complete)
 	}
@@ -359,7 +359,7 @@
 		lag := time.Duration(d.lag.Load())
 		switch {
 		case len(d.failures) == 0:
-		case lag > sidecartest.LateMachine && !last:
+		case lag > sidecartest.MaxMachineLag && !last:
 			t.Logf("held at %q: %d failures, the machine was %v late: once more", d.held, len(d.failures), lag)
 			again = append(again, d.held)
 		default:
--- a/internal/sidecar/listener_shutdown_test.go
+++ b/internal/sidecar/listener_shutdown_test.go
@@ -36,7 +36,7 @@
 	b := sidecartest.NewBackend(t, "a", sidecartest.OK)
 	held := make(chan struct{})
 	var closed, queried atomic.Bool
-	s := start(t, configtest.NewConf(sidecartest.NewRegistry(t).Addr(), b.Target), func(s *Sidecar) {
+	s := start(t, configtest.NewConf(sidecartest.NewFakeDiscovery(t).Addr(), b.Target), func(s *Sidecar) {
 		s.listener.Listener = heldListener{s.tcpListener, held, &closed}
 		s.countUnaccepted = func(l *net.TCPListener) int {
 			n := netcall.AcceptQueueLength(l)
@@ -72,7 +72,7 @@
 func TestShutdown_AcceptStalled(t *testing.T) {
 	held := make(chan struct{})
 	var closed atomic.Bool
-	s := start(t, configtest.NewConf(sidecartest.NewRegistry(t).Addr()), func(s *Sidecar) {
+	s := start(t, configtest.NewConf(sidecartest.NewFakeDiscovery(t).Addr()), func(s *Sidecar) {
 		s.listener.Listener = heldListener{s.tcpListener, held, &closed}
 	})
 	c, err := net.Dial("tcp", s.Addr())
--- a/internal/sidecar/lists_test.go
+++ b/internal/sidecar/lists_test.go
@@ -26,19 +26,19 @@
 // server that it leaves out stays while it answers, and the figures say so.
 func TestListServices_failover(t *testing.T) {
 	a, b, c := sidecartest.NewBackend(t, "a", sidecartest.OK), sidecartest.NewBackend(t, "b", sidecartest.OK), sidecartest.NewBackend(t, "c", sidecartest.OK)
-	near, far := sidecartest.NewRegistry(t), sidecartest.NewRegistry(t)
+	near, far := sidecartest.NewFakeDiscovery(t), sidecartest.NewFakeDiscovery(t)
 	cfg := withLists(configtest.NewConf(near.Addr()), near.Addr(), far.Addr())
 	cfg["management"] = sidecartest.Loopback
 	s := start(t, cfg)
 	watch := sidecartest.Receive(t, "the watch", near.Calls)
-	watch.Send(t, endpointlist.List{Rev: 41, All: true, Targets: []endpointlist.Target{a.Target, b.Target, c.Target}})
+	watch.SendList(t, endpointlist.List{Rev: 41, All: true, Targets: []endpointlist.Target{a.Target, b.Target, c.Target}})
 	sidecartest.Until(t, "the list", func() bool { return s.loop.Discovery.Revision.Load() == 41 })
 	close(watch.Lines)
 	second := sidecartest.Receive(t, "the watch at the second", far.Calls)
 	if second.Query != "watch=1&after=41" {
 		t.Errorf("query %q", second.Query)
 	}
-	second.Send(t, endpointlist.List{Rev: 40, All: true})
+	second.SendList(t, endpointlist.List{Rev: 40, All: true})
 	third := sidecartest.Receive(t, "the next attempt", near.Calls)
 	figure := func(want string) {
 		t.Helper()
@@ -49,7 +49,7 @@
 	}
 	figure("svc_list_refused 1")
 	figure("svc_hosts_listed 3")
-	third.Send(t, endpointlist.List{Rev: 42, All: true, Targets: []endpointlist.Target{c.Target}})
+	third.SendList(t, endpointlist.List{Rev: 42, All: true, Targets: []endpointlist.Target{c.Target}})
 	figure("svc_list_revision 42")
 	figure("svc_hosts_doubted 2")
 	figure("svc_list_refused 0")
@@ -60,17 +60,17 @@
 	}
 	gone := a.Target
 	gone.State = "Gone"
-	third.Send(t, endpointlist.List{Rev: 43, Targets: []endpointlist.Target{gone}})
+	third.SendList(t, endpointlist.List{Rev: 43, Targets: []endpointlist.Target{gone}})
 	figure("svc_hosts_doubted 1")
 }
 
 // A bad entry never costs the rest of the list.
 func TestListServices_badEntries(t *testing.T) {
 	good, dup := sidecartest.NewBackend(t, "good", sidecartest.OK), sidecartest.NewBackend(t, "dup", sidecartest.OK)
-	r := sidecartest.NewRegistry(t)
+	r := sidecartest.NewFakeDiscovery(t)
 	s := start(t, configtest.NewConf(r.Addr()))
 	watch := sidecartest.Receive(t, "the watch", r.Calls)
-	watch.Send(t, endpointlist.List{Rev: 41, All: true, Targets: []endpointlist.Target{
+	watch.SendList(t, endpointlist.List{Rev: 41, All: true, Targets: []endpointlist.Target{
 		{UID: "x", Endpoint: "nowhere", State: "Ready"}, {UID: "y", Endpoint: ":0", State: "Ready"}, {UID: "", State: "Ready"},
 		{UID: "z", Endpoint: "127.0.0.1:1", State: "Sleeping"}, {UID: "twin", Endpoint: dup.Target.Endpoint, State: "Ready", BootMS: 1},
 		{UID: "v", Endpoint: "127.0.0.1:99999", State: "Ready"}, dup.Target, good.Target,
@@ -95,11 +95,11 @@
 // The number of list services may change with the configuration.
 func TestListServices_reload(t *testing.T) {
 	b := sidecartest.NewBackend(t, "a", sidecartest.OK)
-	one, two := sidecartest.NewRegistry(t), sidecartest.NewRegistry(t)
+	one, two := sidecartest.NewFakeDiscovery(t), sidecartest.NewFakeDiscovery(t)
 	c := withLists(configtest.NewConf(one.Addr(), b.Target), one.Addr())
 	s := start(t, c)
 	first := sidecartest.Receive(t, "the watch", one.Calls)
-	first.Send(t, endpointlist.List{Rev: 5, All: true, Targets: []endpointlist.Target{b.Target}})
+	first.SendList(t, endpointlist.List{Rev: 5, All: true, Targets: []endpointlist.Target{b.Target}})
 	sidecartest.Until(t, "the list", func() bool { return s.loop.Discovery.Revision.Load() == 5 })
 	path := withLists(c, two.Addr(), one.Addr()).Write(t)
 	if err := s.Reload(func(name string) string { return map[string]string{"NODE_CONFIG": path}[name] }); err != nil {
--- a/internal/sidecar/management_test.go
+++ b/internal/sidecar/management_test.go
@@ -37,13 +37,13 @@
 }
 
 func TestHealthcheck_waitsForList(t *testing.T) {
-	discovery := sidecartest.NewRegistry(t)
+	discovery := sidecartest.NewFakeDiscovery(t)
 	s := start(t, configtest.Managed(configtest.NewConf(discovery.Addr())))
 	if status, text := s.manage(t, "GET", healthPath); status != 503 {
 		t.Errorf("without a list: %d %q", status, text)
 	}
 	call := sidecartest.Receive(t, "the watch", discovery.Calls)
-	call.Send(t, endpointlist.List{Rev: 2, All: true, Targets: []endpointlist.Target{sidecartest.Ready("a", "127.0.0.1:1")}})
+	call.SendList(t, endpointlist.List{Rev: 2, All: true, Targets: []endpointlist.Target{sidecartest.Ready("a", "127.0.0.1:1")}})
 	sidecartest.Until(t, "the list to count", func() bool {
 		status, _ := s.manage(t, "GET", healthPath)
 		return status == 200
@@ -75,7 +75,7 @@
 	})
 	draining := sidecartest.Ready("b", "127.0.0.1:1")
 	draining.State = "Terminating"
-	c := configtest.Managed(configtest.NewConf(sidecartest.NewRegistry(t).Addr(), b.Target, draining)).Setting(`"lookup"`, `"look\"up"`).
+	c := configtest.Managed(configtest.NewConf(sidecartest.NewFakeDiscovery(t).Addr(), b.Target, draining)).Setting(`"lookup"`, `"look\"up"`).
 		Setting(`"open_cap": 20000`, `"open_cap": 1`)
 	s := start(t, c)
 	wants := func(lines ...string) {
@@ -121,7 +121,7 @@
 
 // Callers that hold connections and say nothing, or half of a call, shut no other caller out.
 func TestManagement_silentCallers(t *testing.T) {
-	s := start(t, configtest.Managed(configtest.NewConf(sidecartest.NewRegistry(t).Addr(), sidecartest.Ready("a", "127.0.0.1:1"))))
+	s := start(t, configtest.Managed(configtest.NewConf(sidecartest.NewFakeDiscovery(t).Addr(), sidecartest.Ready("a", "127.0.0.1:1"))))
 	for i := range 3 * s.management.Limit() {
 		c, err := net.Dial("tcp", s.ManagementAddr())
 		if err != nil {
@@ -160,7 +160,7 @@
 }
 
 func TestManagement_Off(t *testing.T) {
-	s := start(t, configtest.NewConf(sidecartest.NewRegistry(t).Addr()))
+	s := start(t, configtest.NewConf(sidecartest.NewFakeDiscovery(t).Addr()))
 	if s.ManagementAddr() != "" {
 		t.Errorf("it listens at %s", s.ManagementAddr())
 	}
--- a/internal/sidecar/members_test.go
+++ b/internal/sidecar/members_test.go
@@ -56,7 +56,7 @@
 // Without the section there is nothing of it: no goroutine, no page, no figure, and the balancer gets no event.
 func TestMembersOff(t *testing.T) {
 	b := sidecartest.NewBackend(t, "a", sidecartest.OK)
-	s := start(t, configtest.Managed(configtest.NewConf(sidecartest.NewRegistry(t).Addr(), b.Target)))
+	s := start(t, configtest.Managed(configtest.NewConf(sidecartest.NewFakeDiscovery(t).Addr(), b.Target)))
 	sidecartest.Until(t, "a server", func() bool { return s.healthy(t) })
 	require.Equal(t, 200, s.do(s.request("lookup", time.Second)).status)
 	stacks := make([]byte, 1<<20)
@@ -92,7 +92,7 @@
 	// An operator's word: it takes no part any more, and serves on.
 	status, text := c.manage(t, "POST", fleet.LeavePath)
 	require.Less(t, status, 300, text)
-	require.True(t, c.loop.Members.Left.Load())
+	require.True(t, c.loop.Members.LeftByOperator.Load())
 	c.shows(t, "svc_members_admitted 0")
 	a.shows(t, "svc_members_known 1")
 	a.shows(t, `svc_members{state="gone"} 2`)
@@ -128,7 +128,7 @@
 	l, err := net.Listen("tcp", sidecartest.Loopback)
 	require.NoError(t, err)
 	b := sidecartest.NewBackend(t, "a", sidecartest.OK)
-	s := start(t, configtest.Joining(configtest.NewConf(sidecartest.NewRegistry(t).Addr(), b.Target), "a", l.Addr().String()).
+	s := start(t, configtest.Joining(configtest.NewConf(sidecartest.NewFakeDiscovery(t).Addr(), b.Target), "a", l.Addr().String()).
 		Setting(`"zones"`, `"peers_total": 3, "zones"`))
 	sidecartest.Until(t, "health", func() bool { return s.healthy(t) })
 	require.Equal(t, 200, s.do(s.request("lookup", time.Second)).status)
@@ -148,7 +148,7 @@
 	l, err := net.Listen("tcp", sidecartest.Loopback)
 	require.NoError(t, err)
 	b := sidecartest.NewBackend(t, "a", sidecartest.OK)
-	c := configtest.Joining(upgradable(t, sidecartest.NewRegistry(t).Addr(), b.Target), "a", l.Addr().String())
+	c := configtest.Joining(upgradable(t, sidecartest.NewFakeDiscovery(t).Addr(), b.Target), "a", l.Addr().String())
 	require.NoError(t, l.Close())
 	quick := func(s *Sidecar) { s.drainAccept, s.listTimeout = 50*time.Millisecond, 0 }
 	old := start(t, c, quick)
--- a/internal/sidecar/metrics/metrics.go
+++ b/internal/sidecar/metrics/metrics.go
@@ -32,7 +32,7 @@
 	ListReceived           bool // from discovery, since the start
 	List                   balance.ListStatus
 	Zones                  balance.ZoneStatus
-	Routes                 *routing.Figures // nil: off
+	Routes                 *routing.Stats // nil: off
 }
 
 // figure is one line of the text form, without the prefix svc_.
--- a/internal/sidecar/netcall/conn_state_test.go
+++ b/internal/sidecar/netcall/conn_state_test.go
@@ -49,7 +49,7 @@
 		"unrelated state": {unrelated, false},
 		"no state":        {noState, false},
 	} {
-		for how, end := range sidecartest.Ends {
+		for how, end := range sidecartest.CloseMethods {
 			for _, unread := range []bool{false, true} {
 				t.Run(fmt.Sprintf("%s, %s, unread %v", name, how, unread), func(t *testing.T) {
 					states := &ConnStateReader{Query: test.query}
--- a/internal/sidecar/pipeline_test.go
+++ b/internal/sidecar/pipeline_test.go
@@ -31,13 +31,13 @@
 func TestPipeline_overKeepAliveLimit(t *testing.T) {
 	const requests = 5
 	b := sidecartest.NewBackend(t, "a", sidecartest.OK)
-	s := start(t, configtest.NewConf(sidecartest.NewRegistry(t).Addr(), b.Target))
+	s := start(t, configtest.NewConf(sidecartest.NewFakeDiscovery(t).Addr(), b.Target))
 	s.clients.SetKeepAliveLimit(0) // each connection is above it
 	for name, body := range map[string]string{"no bodies": "", "bodies": "abc"} {
 		t.Run(name, func(t *testing.T) {
 			c := s.dial(t)
 			defer c.Close()
-			request := sidecartest.WireRequest("1", fmt.Sprintf("Content-Length: %d\r\n", len(body)), body)
+			request := sidecartest.RequestText("1", fmt.Sprintf("Content-Length: %d\r\n", len(body)), body)
 			if _, err := io.WriteString(c, strings.Repeat(request, requests)); err != nil {
 				t.Fatal(err)
 			}
@@ -61,12 +61,12 @@
 		answer.Pass()
 		return sidecartest.OK(c, r, body)
 	})
-	s := start(t, configtest.NewConf(sidecartest.NewRegistry(t).Addr(), b.Target))
+	s := start(t, configtest.NewConf(sidecartest.NewFakeDiscovery(t).Addr(), b.Target))
 	t.Cleanup(answer.Release)
 	c := s.dial(t)
 	defer c.Close()
 	const requests = 3
-	if _, err := io.WriteString(c, strings.Repeat(sidecartest.WireRequest("1", "", ""), requests)); err != nil {
+	if _, err := io.WriteString(c, strings.Repeat(sidecartest.RequestText("1", "", ""), requests)); err != nil {
 		t.Fatal(err)
 	}
 	answer.WaitFor(t, 1)
@@ -96,7 +96,7 @@
 				answer.Pass()
 				return sidecartest.OK(c, r, body)
 			})
-			s := start(t, configtest.NewConf(sidecartest.NewRegistry(t).Addr(), b.Target))
+			s := start(t, configtest.NewConf(sidecartest.NewFakeDiscovery(t).Addr(), b.Target))
 			t.Cleanup(answer.Release)
 			client := s.newLeavingClient(t, "lookup", "HTTP/1.1", "", "")
 			answer.WaitFor(t, 1)
--- a/internal/sidecar/planted_test.go
+++ b/internal/sidecar/planted_test.go
@@ -38,7 +38,7 @@
 			b := sidecartest.NewBackend(t, "a", sidecartest.OK)
 			path := filepath.Join(t.TempDir(), "faults.toml")
 			plan(t, path, fault.CallAccept, errno)
-			c := configtest.NewConf(sidecartest.NewRegistry(t).Addr(), b.Target)
+			c := configtest.NewConf(sidecartest.NewFakeDiscovery(t).Addr(), b.Target)
 			c["faults"] = path
 			var failures atomic.Int64
 			s := start(t, c, func(s *Sidecar) { countFailures(t, s.listener, &failures) })
@@ -64,7 +64,7 @@
 // The platform's address and the place where a newer process meets this one stay, too.
 func TestAccept_OtherListeners(t *testing.T) {
 	b := sidecartest.NewBackend(t, "a", sidecartest.OK)
-	c := upgradable(t, sidecartest.NewRegistry(t).Addr(), b.Target)
+	c := upgradable(t, sidecartest.NewFakeDiscovery(t).Addr(), b.Target)
 	path := filepath.Join(t.TempDir(), "faults.toml")
 	plan(t, path, fault.CallAccept, "EPROTO")
 	c["faults"] = path
@@ -106,7 +106,7 @@
 	})
 	path := filepath.Join(t.TempDir(), "faults.toml")
 	plan(t, path, fault.CallAccept, "ENOMEM")
-	c := configtest.NewConf(sidecartest.NewRegistry(t).Addr(), b.Target)
+	c := configtest.NewConf(sidecartest.NewFakeDiscovery(t).Addr(), b.Target)
 	c["faults"] = path
 	var failures atomic.Int64
 	s := start(t, c, func(s *Sidecar) { countFailures(t, s.listener, &failures) })
--- a/internal/sidecar/reload_test.go
+++ b/internal/sidecar/reload_test.go
@@ -82,7 +82,7 @@
 		"empty":                            {text: ""},
 	} {
 		t.Run(name, func(t *testing.T) {
-			before, after := sidecartest.NewRegistry(t), sidecartest.NewRegistry(t)
+			before, after := sidecartest.NewFakeDiscovery(t), sidecartest.NewFakeDiscovery(t)
 			faults := filepath.Join(t.TempDir(), "faults.toml")
 			c := configtest.NewConf(before.Addr())
 			c["faults"] = faults
--- a/internal/sidecar/routes_test.go
+++ b/internal/sidecar/routes_test.go
@@ -122,7 +122,7 @@
 	seen []string
 }
 
-func newHeaderRecorder(t *testing.T, uid string, serve sidecartest.ServeOne) *headerRecorder {
+func newHeaderRecorder(t *testing.T, uid string, serve sidecartest.ServeFunc) *headerRecorder {
 	w := &headerRecorder{}
 	w.Backend = sidecartest.NewBackend(t, uid, func(c net.Conn, r *http.Request, body string) bool {
 		w.mu.Lock()
@@ -148,7 +148,7 @@
 const longTerm = 60_000 // ms
 
 // routed starts a sidecar with routes, a base of two servers and a canary.
-func routed(t *testing.T, s *routesService, serve sidecartest.ServeOne, changes ...func(configtest.Conf)) (r *running, base, canary *headerRecorder) {
+func routed(t *testing.T, s *routesService, serve sidecartest.ServeFunc, changes ...func(configtest.Conf)) (r *running, base, canary *headerRecorder) {
 	t.Helper()
 	base, canary = newHeaderRecorder(t, "b", sidecartest.OK), newHeaderRecorder(t, "c", serve)
 	c := configtest.NewConf("127.0.0.1:1", base.Target, canary.Target)
@@ -313,12 +313,12 @@
 	r.awaitRevision(5, true)
 	due := time.NewTimer(time.Hour)
 	defer due.Stop()
-	duty := &routing.Router{Client: r.loop.Routing.Client, Tenants: []string{"kita"}, Routed: map[int]routing.RoutedTenant{0: {}}, SampleTimer: due}
+	duty := &routing.Router{Client: r.loop.Routing.Client, Tenants: []string{"kita"}, RoutedTenants: map[int]routing.RoutedTenant{0: {}}, SampleTimer: due}
 	passedOn, held := &inflight.Call{Outbound: &inflight.Outbound{Upload: inflight.NewUpload(-1, nil)}}, &inflight.Call{Outbound: &inflight.Outbound{}}
-	var checks []*routing.Check
+	var checks []*routing.AttemptCheck
 	for _, c := range []*inflight.Call{passedOn, held} {
-		k := duty.Check(0, c, &balance.Action{RoutesRev: 5})
-		require.EqualValues(t, 5, k.Expect())
+		k := duty.NewCheck(0, c, &balance.Action{RoutesRev: 5})
+		require.EqualValues(t, 5, k.ExpectRevision())
 		checks = append(checks, k)
 	}
 	s.set(func() { s.term = 0 })
--- a/internal/sidecar/routing/router.go
+++ b/internal/sidecar/routing/router.go
@@ -21,12 +21,12 @@
 	maxSampleInterval = time.Second
 	// leaseMargin is how many ms earlier the balancer's lease ends than this process's: what it decided in the last
 	// moment would be revoked before its first byte.
-	leaseMargin         = 1.
-	waitedInVain        = 0.9  // part of a client's time after which its leaving counts; package balance has the same
-	maxCountedRevisions = 64   // revisions whose ended attempts are counted
-	maxWantedUnits      = 1024 // units of one budget that are requested
-	settleTime          = 1e4  // ms for which the budget of a canary that is gone is settled
-	maxSettling         = 64   // canaries that are gone and being settled
+	leaseMargin            = 1.
+	missedDeadlineFraction = 0.9  // part of a client's time after which its leaving counts; package balance has the same
+	maxCountedRevisions    = 64   // revisions whose ended attempts are counted
+	maxWantedUnits         = 1024 // units of one budget that are requested
+	settleTime             = 1e4  // ms for which the budget of a canary that is gone is settled
+	maxSettlingCanaries    = 64   // canaries that are gone and being settled
 )
 
 // countKey names one count of attempts.
@@ -42,7 +42,7 @@
 	tenant, rollout string
 	peakReserved    float64 // units reserved at once, with those denied; halved each second
 	denied          int64   // as the balancer counted it at the last sample
-	endedAt         float64 // ms, when its route was gone; 0: it is there
+	removedAt       float64 // ms, when its route was gone; 0: it is there
 }
 
 // RoutedTenant is how attempts of a tenant with a route are counted.
@@ -71,7 +71,7 @@
 	Tenants []string // by number; empty: requests name none
 
 	canaries        []canary
-	Routed          map[int]RoutedTenant // by tenant; -1: all requests
+	RoutedTenants   map[int]RoutedTenant // by tenant; -1: all requests
 	counts          map[countKey]*route.Count
 	revs            []int64 // of counts, ascending; without 0
 	SampleTimer     *time.Timer
@@ -115,8 +115,8 @@
 	}
 }
 
-// Woken says when to call Take; nil: routing is off.
-func (r *Router) Woken() <-chan struct{} {
+// Wakeups says when to call Take; nil: routing is off.
+func (r *Router) Wakeups() <-chan struct{} {
 	if r == nil {
 		return nil
 	}
@@ -137,13 +137,13 @@
 		for _, budget := range r.balancer.CanaryBudgets() {
 			r.loop.HandleEvent(now, balance.BudgetGrant{ID: budget.ID, Units: budget.Granted, MaxIdle: 0})
 		}
-		r.sample(now)
+		r.offerSample(now)
 		cancel()
 	}
 }
 
-// Take applies what the client has received, and offers it a sample that is due.
-func (r *Router) Take(now float64) {
+// ApplyUpdate applies what the client has received, and offers it a sample that is due.
+func (r *Router) ApplyUpdate(now float64) {
 	if update, fresh := r.Client.TakeUpdate(); fresh {
 		r.apply(now, update)
 		r.sampleSoon = true
@@ -156,7 +156,7 @@
 		r.SampleTimer.Reset(left)
 		return
 	}
-	r.sample(now)
+	r.offerSample(now)
 	r.SampleTimer.Reset(maxSampleInterval)
 }
 
@@ -168,7 +168,7 @@
 	}
 	r.loop.HandleEvent(now, balance.CanaryLease{Until: until})
 	if update.Table != nil {
-		r.takeTable(now, update.Table)
+		r.applyTable(now, update.Table)
 	}
 	for _, g := range update.Grants {
 		id := route.RolloutID(g.Tenant, g.Rollout)
@@ -178,8 +178,8 @@
 	}
 }
 
-// takeTable brings a table to the balancer. The client knows of it before an attempt that was decided on it can start.
-func (r *Router) takeTable(now float64, t *route.Table) {
+// applyTable brings a table to the balancer. The client knows of it before an attempt that was decided on it can start.
+func (r *Router) applyTable(now float64, t *route.Table) {
 	routes, skipped := route.Bind(t, r.names)
 	for _, text := range skipped {
 		slog.Warn("routes: a part is not acted on", "revision", t.Rev, "why", text)
@@ -199,10 +199,10 @@
 // has gone is kept for a while, until its budget is settled.
 func (r *Router) setCanaries(now float64, t *route.Table, routes balance.Routes) {
 	before := r.canaries
-	r.canaries, r.Routed = nil, make(map[int]RoutedTenant, len(routes.List))
+	r.canaries, r.RoutedTenants = nil, make(map[int]RoutedTenant, len(routes.List))
 	budgeted := map[uint64]bool{}
 	for _, one := range routes.List {
-		r.Routed[one.Tenant] = RoutedTenant{one.Classes, one.LateIsFailure}
+		r.RoutedTenants[one.Tenant] = RoutedTenant{one.Classes, one.LateIsFailure}
 		budgeted[one.ID] = one.Budgeted
 	}
 	for i := range t.Routes {
@@ -214,17 +214,17 @@
 		c := canary{id: id, tenant: from.Tenant, rollout: from.Rollout}
 		if i := indexOfCanary(before, id); i >= 0 {
 			c = before[i]
-			c.endedAt = 0
+			c.removedAt = 0
 		}
 		r.canaries = append(r.canaries, c)
 	}
 	live := len(r.canaries)
 	for _, old := range before {
-		if indexOfCanary(r.canaries, old.id) >= 0 || len(r.canaries)-live >= maxSettling {
+		if indexOfCanary(r.canaries, old.id) >= 0 || len(r.canaries)-live >= maxSettlingCanaries {
 			continue
 		}
-		if old.endedAt == 0 {
-			old.endedAt = now
+		if old.removedAt == 0 {
+			old.removedAt = now
 		}
 		r.canaries = append(r.canaries, old)
 	}
@@ -235,16 +235,16 @@
 	return slices.IndexFunc(canaries, func(c canary) bool { return c.id == id })
 }
 
-// changed makes the next sample due soon.
-func (r *Router) changed(now float64) {
+// scheduleSample makes the next sample due soon.
+func (r *Router) scheduleSample(now float64) {
 	if !r.sampleSoon {
 		r.sampleSoon = true
 		r.SampleTimer.Reset(max(clock.Duration(r.sampledAt-now)+minSampleInterval, 0))
 	}
 }
 
-// sample offers the client the state of this moment.
-func (r *Router) sample(now float64) {
+// offerSample offers the client the state of this moment.
+func (r *Router) offerSample(now float64) {
 	s := routeclient.Sample{ListRev: r.balancer.ListRev(), Counts: make([]route.Count, 0, len(r.counts))}
 	for _, c := range r.counts {
 		s.Counts = append(s.Counts, *c)
@@ -257,7 +257,7 @@
 	}
 	decay := math.Exp2(-(now - r.sampledAt) / 1e3)
 	r.canaries = slices.DeleteFunc(r.canaries, func(c canary) bool {
-		return c.endedAt > 0 && now > c.endedAt+settleTime && held[c.id].Reserved == 0
+		return c.removedAt > 0 && now > c.removedAt+settleTime && held[c.id].Reserved == 0
 	})
 	for i := range r.canaries {
 		c := &r.canaries[i]
@@ -271,7 +271,7 @@
 		state := route.BudgetState{
 			Tenant: c.tenant, Rollout: c.rollout, Granted: budget.Granted, Spent: budget.Spent, Returned: budget.Returned,
 		}
-		if c.endedAt == 0 {
+		if c.removedAt == 0 {
 			state.Wanted = int64(min(1+math.Ceil(c.peakReserved), maxWantedUnits))
 		}
 		s.Budgets = append(s.Budgets, state)
@@ -280,23 +280,23 @@
 	r.Client.OfferSample(s)
 }
 
-// Check gives the check of an attempt that follows a route, or is compared with those that do; nil: it needs none.
-func (r *Router) Check(now float64, c *inflight.Call, action *balance.Action) *Check {
+// NewCheck gives the check of an attempt that follows a route, or is compared with those that do; nil: it needs none.
+func (r *Router) NewCheck(now float64, c *inflight.Call, action *balance.Action) *AttemptCheck {
 	if r == nil {
 		return nil
 	}
-	tenant, ok := r.Routed[c.Request.Tenant]
+	tenant, ok := r.RoutedTenants[c.Request.Tenant]
 	if !ok {
-		tenant, ok = r.Routed[-1]
+		tenant, ok = r.RoutedTenants[-1]
 	}
 	if action.RoutesRev == 0 && !ok {
 		return nil
 	}
-	r.changed(now)
-	check := &Check{
+	r.scheduleSample(now)
+	check := &AttemptCheck{
 		client: r.Client, rev: action.RoutesRev, canary: action.ToCanary, lateIsFailure: tenant.lateIsFailure,
-		fixed:      c.Outbound.Upload != nil,
-		comparable: len(tenant.classes) == 0 || slices.Contains(tenant.classes, c.Request.Class),
+		revisionFixed: c.Outbound.Upload != nil,
+		comparable:    len(tenant.classes) == 0 || slices.Contains(tenant.classes, c.Request.Class),
 	}
 	if c.Request.Tenant < len(r.Tenants) {
 		check.tenant = r.Tenants[c.Request.Tenant]
@@ -305,14 +305,14 @@
 }
 
 // CountOutcome counts how an attempt that has a check ended. Streamed: its answer had started.
-func (r *Router) CountOutcome(now float64, check *Check, c *inflight.Call, reply *inflight.AttemptOutcome, elapsed float64, streamed bool) {
-	r.changed(now)
+func (r *Router) CountOutcome(now float64, check *AttemptCheck, c *inflight.Call, reply *inflight.AttemptOutcome, elapsed float64, streamed bool) {
+	r.scheduleSample(now)
 	if reply.RouteRevoked {
 		r.revokedAttempts++
 	}
 	objective := r.classes[c.Request.Class].LatencyObjective
 	// As the balancer judges it: a client that left nearly at the end of its time has waited in vain.
-	overdueAt := c.Deadline.Add(-time.Duration(float64(c.Timeout) * (1 - waitedInVain)))
+	overdueAt := c.Deadline.Add(-time.Duration(float64(c.Timeout) * (1 - missedDeadlineFraction)))
 	overdue := !c.Deadline.IsZero() && now >= r.clock.Millis(overdueAt)
 	abandoned := reply.Result == balance.Cancelled && !overdue
 	late := elapsed > objective
@@ -360,17 +360,17 @@
 	return c
 }
 
-// Figures are the figures of routes.
-type Figures struct {
+// Stats are the figures of routes.
+type Stats struct {
 	routeclient.Status
 	RevokedAttempts int64
 	FreeUnits       int64 // of all canary budgets
 }
 
-// Figures gives the figures of routes; nil: routing is off.
-func (r *Router) Figures() *Figures {
+// Stats gives the figures of routes; nil: routing is off.
+func (r *Router) Stats() *Stats {
 	if r == nil {
 		return nil
 	}
-	return &Figures{r.Client.Status(), r.revokedAttempts, r.freeUnits}
+	return &Stats{r.Client.Status(), r.revokedAttempts, r.freeUnits}
 }
--- a/internal/sidecar/shutdown.go
+++ b/internal/sidecar/shutdown.go
@@ -135,7 +135,7 @@
 // stopAccepting closes the listener, and reports whether it has. Connections that wait to be accepted would be reset: it
 // waits for them, unless it has to close now, or a newer process has the socket too and accepts them.
 func (s *Sidecar) stopAccepting(now bool) bool {
-	if !now && !s.successors.ShareListener() && s.countUnaccepted(s.tcpListener) > 0 {
+	if !now && !s.successors.ListenerShared() && s.countUnaccepted(s.tcpListener) > 0 {
 		return false
 	}
 	s.listener.Close()
--- a/internal/sidecar/sidecar.go
+++ b/internal/sidecar/sidecar.go
@@ -104,7 +104,7 @@
 	}
 	s.successors = handover.Successors{
 		Listener: s.tcpListener, Faults: cfg.Faults, Bind: net.ListenUnix,
-		Changed: func(alive int) { s.setProcessCount(&s.newerProcesses, alive) },
+		CountChanged: func(alive int) { s.setProcessCount(&s.newerProcesses, alive) },
 	}
 	if predecessor != nil {
 		s.olderProcesses = 1
@@ -283,7 +283,7 @@
 		return func() {}
 	}
 	start := retry.NewStart(ctx, nil)
-	if err := start.Do("upgrade", func() error { return s.successors.Await(socket) }); err != nil {
+	if err := start.Do("upgrade", func() error { return s.successors.Listen(socket) }); err != nil {
 		slog.Warn("upgrade: a newer process cannot meet this one", "err", err)
 		return func() {}
 	}
--- a/internal/sidecar/sidecar_test.go
+++ b/internal/sidecar/sidecar_test.go
@@ -56,7 +56,7 @@
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	r := &running{Sidecar: s, t: t, term: cancel, ended: make(chan error, 1)}
-	r.client = &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 100}, Timeout: sidecartest.Patience}
+	r.client = &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 100}, Timeout: sidecartest.WaitTimeout}
 	go func() { r.ended <- s.Run(ctx) }()
 	t.Cleanup(func() {
 		r.client.CloseIdleConnections()
@@ -77,7 +77,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	c.SetDeadline(time.Now().Add(sidecartest.Patience))
+	c.SetDeadline(time.Now().Add(sidecartest.WaitTimeout))
 	return c
 }
 
--- a/internal/sidecar/sidecartest/sidecar.go
+++ b/internal/sidecar/sidecartest/backend.go
@@ -20,8 +20,8 @@
 	"marblelane/internal/sidecar/endpointlist"
 )
 
-// Patience bounds every wait of the tests; none is expected to last.
-const Patience = 10 * time.Second
+// WaitTimeout bounds every wait of the tests; none is expected to last.
+const WaitTimeout = 10 * time.Second
 
 // Loopback is where the tests of a package listen, on a port of the system's choice. Each package has an address of its
 // own: tests of other packages run at the same time and go on calling ports that they have closed, and the system may give
@@ -39,7 +39,7 @@
 // Until waits for a state that has no event, by polling.
 func Until(t *testing.T, what string, done func() bool) {
 	t.Helper()
-	for end := time.Now().Add(Patience); !done(); time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(WaitTimeout); !done(); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
 			buf := make([]byte, 1<<16)
 			t.Fatalf("waited in vain for %s\n%s", what, buf[:runtime.Stack(buf, true)])
@@ -53,7 +53,7 @@
 	select {
 	case v := <-from:
 		return v
-	case <-time.After(Patience):
+	case <-time.After(WaitTimeout):
 		t.Fatalf("waited in vain for %s", what)
 		panic("unreachable")
 	}
@@ -70,11 +70,11 @@
 	Open map[net.Conn]bool
 }
 
-// ServeOne answers one request that was read completely; false ends the connection.
-type ServeOne func(c net.Conn, req *http.Request, body string) bool
+// ServeFunc answers one request that was read completely; false ends the connection.
+type ServeFunc func(c net.Conn, req *http.Request, body string) bool
 
 // NewBackend starts a server that answers with serve.
-func NewBackend(t *testing.T, uid string, serve ServeOne) *Backend {
+func NewBackend(t *testing.T, uid string, serve ServeFunc) *Backend {
 	t.Helper()
 	ln, err := net.Listen("tcp", Loopback)
 	if err != nil {
@@ -97,13 +97,13 @@
 	})
 	t.Cleanup(func() {
 		ln.Close()
-		b.Drop()
+		b.CloseConns()
 		handlers.Wait()
 	})
 	return b
 }
 
-func (b *Backend) handle(c net.Conn, serve ServeOne) {
+func (b *Backend) handle(c net.Conn, serve ServeFunc) {
 	defer c.Close()
 	in := bufio.NewReader(c)
 	for {
@@ -122,8 +122,8 @@
 	}
 }
 
-// Drop closes all connections, as the end of a process does.
-func (b *Backend) Drop() {
+// CloseConns closes all connections, as the end of a process does.
+func (b *Backend) CloseConns() {
 	b.Mu.Lock()
 	defer b.Mu.Unlock()
 	for c := range b.Open {
@@ -144,38 +144,38 @@
 }
 
 // Respond answers with fixed text and keeps the connection or ends it.
-func Respond(text string, keep bool) ServeOne {
+func Respond(text string, keep bool) ServeFunc {
 	return func(c net.Conn, _ *http.Request, _ string) bool {
 		_, err := io.WriteString(c, text)
 		return err == nil && keep
 	}
 }
 
-// Registry is discovery: a test answers each call by hand.
-type Registry struct {
+// FakeDiscovery is discovery: a test answers each call by hand.
+type FakeDiscovery struct {
 	*httptest.Server
-	Calls chan RegistryCall
+	Calls chan DiscoveryCall
 }
 
-// RegistryCall is a call to discovery that waits for its answer.
-type RegistryCall struct {
-	Query string
-	Lines chan string // closed: the answer ends
-	Fail  chan int    // a status instead of lines
-	Gone  <-chan struct{}
+// DiscoveryCall is a call to discovery that waits for its answer.
+type DiscoveryCall struct {
+	Query     string
+	Lines     chan string // closed: the answer ends
+	Fail      chan int    // a status instead of lines
+	Cancelled <-chan struct{}
 }
 
-// NewRegistry starts discovery.
-func NewRegistry(t *testing.T) *Registry {
-	r := &Registry{Calls: make(chan RegistryCall, 16)}
+// NewFakeDiscovery starts discovery.
+func NewFakeDiscovery(t *testing.T) *FakeDiscovery {
+	r := &FakeDiscovery{Calls: make(chan DiscoveryCall, 16)}
 	r.Server = httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, req *http.Request) {
-		call := RegistryCall{
-			Query: req.URL.RawQuery, Lines: make(chan string), Fail: make(chan int), Gone: req.Context().Done(),
+		call := DiscoveryCall{
+			Query: req.URL.RawQuery, Lines: make(chan string), Fail: make(chan int), Cancelled: req.Context().Done(),
 		}
 		r.Calls <- call
 		for {
 			select {
-			case <-call.Gone:
+			case <-call.Cancelled:
 				return
 			case status := <-call.Fail:
 				w.WriteHeader(status)
@@ -194,24 +194,24 @@
 }
 
 // Addr is the address of discovery.
-func (r *Registry) Addr() string { return r.Listener.Addr().String() }
+func (r *FakeDiscovery) Addr() string { return r.Listener.Addr().String() }
 
-// Send answers with a list.
-func (c RegistryCall) Send(t *testing.T, l endpointlist.List) {
+// SendList answers with a list.
+func (c DiscoveryCall) SendList(t *testing.T, l endpointlist.List) {
 	t.Helper()
 	data, err := json.Marshal(l)
 	if err != nil {
 		t.Fatal(err)
 	}
-	c.Line(t, string(data))
+	c.SendLine(t, string(data))
 }
 
-// Line answers with one line.
-func (c RegistryCall) Line(t *testing.T, text string) {
+// SendLine answers with one line.
+func (c DiscoveryCall) SendLine(t *testing.T, text string) {
 	t.Helper()
 	select {
 	case c.Lines <- text:
-	case <-time.After(Patience):
+	case <-time.After(WaitTimeout):
 		t.Fatal("discovery's line is not taken")
 	}
 }
--- a/internal/sidecar/sidecartest/client_gone.go
+++ b/internal/sidecar/sidecartest/client_close.go
@@ -7,8 +7,8 @@
 	"testing"
 )
 
-// Ends are the ways in which a client leaves.
-var Ends = map[string]func(*net.TCPConn){
+// CloseMethods are the ways in which a client leaves.
+var CloseMethods = map[string]func(*net.TCPConn){
 	"close":      func(c *net.TCPConn) { c.Close() },
 	"half-close": func(c *net.TCPConn) { _ = c.CloseWrite() },
 	"reset":      func(c *net.TCPConn) { _ = c.SetLinger(0); c.Close() },
--- a/internal/sidecar/sidecartest/lists.go
+++ b/internal/sidecar/sidecartest/drained_discovery.go
@@ -7,11 +7,11 @@
 	"marblelane/internal/sidecar/endpointlist"
 )
 
-// NewAgent is a registry that is called more often than a test looks: what is left of the calls is taken at its end.
-func NewAgent(t *testing.T) *Registry {
+// NewDrainedDiscovery is a registry that is called more often than a test looks: what is left of the calls is taken at its end.
+func NewDrainedDiscovery(t *testing.T) *FakeDiscovery {
 	done := make(chan struct{})
 	t.Cleanup(func() { close(done) })
-	r := NewRegistry(t)
+	r := NewFakeDiscovery(t)
 	t.Cleanup(func() {
 		go func() {
 			for {
@@ -26,8 +26,8 @@
 	return r
 }
 
-// AnswerAll answers each further call with a list, and leaves it open.
-func AnswerAll(t *testing.T, r *Registry, l endpointlist.List) {
+// RespondToAll answers each further call with a list, and leaves it open.
+func RespondToAll(t *testing.T, r *FakeDiscovery, l endpointlist.List) {
 	text, err := json.Marshal(l)
 	if err != nil {
 		t.Fatal(err)
@@ -41,7 +41,7 @@
 			case call := <-r.Calls:
 				select {
 				case call.Lines <- string(text):
-				case <-call.Gone:
+				case <-call.Cancelled:
 				}
 			}
 		}
--- a/internal/sidecar/sidecartest/errno.go
+++ b/internal/sidecar/sidecartest/errno.go
@@ -66,8 +66,8 @@
 	WrapDial(wrap func(DialFunc) DialFunc)
 }
 
-// Dialing makes the dialer of a pool fail as a test says, and gives connections that fail so.
-func Dialing(p dialWrapper, failDial func() error, conn FaultyConn) {
+// InjectDialFaults makes the dialer of a pool fail as a test says, and gives connections that fail so.
+func InjectDialFaults(p dialWrapper, failDial func() error, conn FaultyConn) {
 	p.WrapDial(func(dial DialFunc) DialFunc {
 		return func(ctx context.Context, network, addr string) (net.Conn, error) {
 			if err := failDial(); err != nil {
@@ -87,8 +87,8 @@
 // Succeed is for a call that does not fail.
 func Succeed() error { return nil }
 
-// Always is more failures than any test waits for.
-const Always = 1 << 30
+// Unlimited is more failures than any test waits for.
+const Unlimited = 1 << 30
 
 // ErrnoCase says what is made of the failure of a system call on the way to a server.
 type ErrnoCase struct {
@@ -132,14 +132,14 @@
 	return cases
 }
 
-// Failing makes the pool's calls fail as the case says, so many times.
-func (c *ErrnoCase) Failing(p dialWrapper, times int32) {
+// Inject makes the pool's calls fail as the case says, so many times.
+func (c *ErrnoCase) Inject(p dialWrapper, times int32) {
 	fail := FailTimes(times, OpError(c.Call, c.Errno))
 	if c.Call == "write" {
-		Dialing(p, Succeed, FaultyConn{failWrite: fail})
+		InjectDialFaults(p, Succeed, FaultyConn{failWrite: fail})
 		return
 	}
-	Dialing(p, fail, FaultyConn{})
+	InjectDialFaults(p, fail, FaultyConn{})
 }
 
 // FailNth fails the nth call, counted from 1, and no other.
--- a/internal/sidecar/sidecartest/body.go
+++ b/internal/sidecar/sidecartest/raw_backend.go
@@ -10,8 +10,8 @@
 	"marblelane/internal/sidecar/endpointlist"
 )
 
-// Pattern is a body of n bytes, no part of which is like another.
-func Pattern(n int) []byte {
+// PatternBody is a body of n bytes, no part of which is like another.
+func PatternBody(n int) []byte {
 	b := make([]byte, n)
 	x := uint32(n)
 	for i := range b {
@@ -37,7 +37,7 @@
 			}
 			ended.Go(func() {
 				defer c.Close()
-				c.SetDeadline(time.Now().Add(Patience))
+				c.SetDeadline(time.Now().Add(WaitTimeout))
 				serve(c, bufio.NewReader(c))
 			})
 		}
@@ -49,8 +49,8 @@
 	return Ready(uid, l.Addr().String())
 }
 
-// Zeros is a reader of zero bytes without end.
-type Zeros struct{}
+// ZeroReader is a reader of zero bytes without end.
+type ZeroReader struct{}
 
 // Read is part of io.Reader.
-func (Zeros) Read(p []byte) (int, error) { return len(p), nil }
+func (ZeroReader) Read(p []byte) (int, error) { return len(p), nil }
--- a/internal/sidecar/sidecartest/watch.go
+++ b/internal/sidecar/sidecartest/raw_discovery.go
@@ -8,16 +8,16 @@
 	"testing"
 )
 
-// Agent is discovery whose connections a test serves by hand.
-type Agent struct{ Conns chan net.Conn }
+// RawDiscovery is discovery whose connections a test serves by hand.
+type RawDiscovery struct{ Conns chan net.Conn }
 
-// NewHandAgent starts an agent and gives its address.
-func NewHandAgent(t *testing.T) (*Agent, string) {
+// NewRawDiscovery starts an agent and gives its address.
+func NewRawDiscovery(t *testing.T) (*RawDiscovery, string) {
 	ln, err := net.Listen("tcp", Loopback)
 	if err != nil {
 		t.Fatal(err)
 	}
-	a := &Agent{Conns: make(chan net.Conn, 1024)}
+	a := &RawDiscovery{Conns: make(chan net.Conn, 1024)}
 	var accepting sync.WaitGroup
 	accepting.Go(func() {
 		for {
@@ -39,8 +39,8 @@
 	return a, ln.Addr().String()
 }
 
-// Next gives the next call, its head read.
-func (a *Agent) Next(t *testing.T) net.Conn {
+// NextCall gives the next call, its head read.
+func (a *RawDiscovery) NextCall(t *testing.T) net.Conn {
 	t.Helper()
 	c := Receive(t, "a call", a.Conns)
 	t.Cleanup(func() { c.Close() })
--- a/internal/sidecar/sidecartest/kill_time.go
+++ b/internal/sidecar/sidecartest/shutdown_times.go
@@ -8,10 +8,10 @@
 
 // Times and rounds of shutdowns under test.
 const (
-	Hold          = 150 * time.Millisecond // for which a process may be held up
-	NewClientsFor = 400 * time.Millisecond // after SIGTERM
-	LateMachine   = 20 * time.Millisecond  // for which this process had no processor: that is a second hold
-	MaxRounds     = 6                      // of a shutdown on a machine that is late
+	StallTime      = 150 * time.Millisecond // for which a process may be held up
+	NewClientsTime = 400 * time.Millisecond // after SIGTERM
+	MaxMachineLag  = 20 * time.Millisecond  // for which this process had no processor: that is a second hold
+	MaxRounds      = 6                      // of a shutdown on a machine that is late
 )
 
 // What a client has sent when its sidecar is terminated.
@@ -21,8 +21,8 @@
 	PartialBody = "partial body"
 )
 
-// FollowLag records by how many ns this process's timers were late at the most, until ended.
-func FollowLag(maxLag *atomic.Int64, ended func() bool) {
+// TrackLag records by how many ns this process's timers were late at the most, until ended.
+func TrackLag(maxLag *atomic.Int64, ended func() bool) {
 	const step = 2 * time.Millisecond
 	for last := time.Now(); !ended(); {
 		time.Sleep(step)
@@ -36,6 +36,6 @@
 func MachineLag(t *testing.T) func() time.Duration {
 	t.Helper()
 	maxLag := new(atomic.Int64)
-	go FollowLag(maxLag, func() bool { return t.Context().Err() != nil })
+	go TrackLag(maxLag, func() bool { return t.Context().Err() != nil })
 	return func() time.Duration { return time.Duration(maxLag.Load()) }
 }
--- a/internal/sidecar/sites_test.go
+++ b/internal/sidecar/sites_test.go
@@ -160,7 +160,7 @@
 		"no reports and no probes":       {set(`"report": {"via": "piggyback", "fields": ["busy", "rate"]},`, ``), set(`"probes": true`, `"probes": false`)},
 	} {
 		t.Run(name, func(t *testing.T) {
-			b, r := sidecartest.NewBackend(t, "a", sidecartest.OK), sidecartest.NewAgent(t)
+			b, r := sidecartest.NewBackend(t, "a", sidecartest.OK), sidecartest.NewDrainedDiscovery(t)
 			c := configtest.NewConf(r.Addr(), b.Target)
 			for _, change := range changes {
 				change(c)
--- a/internal/sidecar/start_test.go
+++ b/internal/sidecar/start_test.go
@@ -81,7 +81,7 @@
 
 // The place where a newer process meets this one is bound a moment later, too.
 func TestStart_HandoverSocketRetry(t *testing.T) {
-	c := upgradable(t, sidecartest.NewRegistry(t).Addr(), sidecartest.NewBackend(t, "a", sidecartest.OK).Target)
+	c := upgradable(t, sidecartest.NewFakeDiscovery(t).Addr(), sidecartest.NewBackend(t, "a", sidecartest.OK).Target)
 	failure := sidecartest.FailTimes(3, syscall.ENFILE)
 	old := start(t, c, func(s *Sidecar) {
 		s.successors.Bind = func(network string, at *net.UnixAddr) (*net.UnixListener, error) {
--- a/internal/sidecar/upstream/attempt.go
+++ b/internal/sidecar/upstream/attempt.go
@@ -18,7 +18,7 @@
 	// Server is the server that the attempt is sent to.
 	Server *Server
 	// RouteCheck makes the last check of the route that the attempt was decided on. It is nil if no route applies.
-	RouteCheck *routing.Check
+	RouteCheck *routing.AttemptCheck
 	// StartedAt is when the balancer decided on the attempt, or when the body was complete if that was later, in ms on
 	// the balancer's clock. Only the event loop uses it.
 	StartedAt float64
--- a/internal/sidecar/upstream/attempt_test.go
+++ b/internal/sidecar/upstream/attempt_test.go
@@ -51,7 +51,7 @@
 	req := &http.Request{Method: "POST", URL: &url.URL{Path: "/api"}, Host: "b",
 		Header: http.Header{"User-Agent": nil, "X-Timeout-Ms": {"9000"}}}
 	length := 4 * size
-	req.ContentLength, req.Body = int64(length), io.NopCloser(bytes.NewReader(sidecartest.Pattern(length)))
+	req.ContentLength, req.Body = int64(length), io.NopCloser(bytes.NewReader(sidecartest.PatternBody(length)))
 	var text bytes.Buffer
 	if err := req.Write(&text); err != nil {
 		t.Fatal(err)
@@ -60,7 +60,7 @@
 	length += extra
 	a.Call.Timeout = 9 * time.Second
 	a.Call.Outbound = outboundPost(nil)
-	body := sidecartest.Pattern(length)
+	body := sidecartest.PatternBody(length)
 	a.Call.Outbound.Upload = inflight.NewUpload(int64(length), body[:size])
 	go a.Call.Outbound.Upload.Feed(bytes.NewReader(body[size:]))
 	t.Cleanup(a.Call.Outbound.Upload.Abort)
@@ -181,7 +181,7 @@
 		if r.Result != balance.NotSent {
 			t.Errorf("result %v, want not sent", r.Result)
 		}
-	case <-time.After(sidecartest.Patience / 2):
+	case <-time.After(sidecartest.WaitTimeout / 2):
 		t.Error("the write went on after the window")
 	}
 	close(startReading)
@@ -193,7 +193,7 @@
 // setReceivedUpload gives an attempt a forwarded body that has arrived completely and of which nothing has been read.
 func setReceivedUpload(t *testing.T, a *Attempt, wait time.Duration) {
 	t.Helper()
-	body := sidecartest.Pattern(inflight.MaxHeldBody + 100)
+	body := sidecartest.PatternBody(inflight.MaxHeldBody + 100)
 	a.Call.Timeout = wait
 	a.Call.Outbound = outboundPost(nil)
 	u := inflight.NewUpload(int64(len(body)), body[:inflight.MaxHeldBody])
@@ -267,14 +267,14 @@
 	b.Target = at
 	p, a, conn, _ := newExchange(t, b)
 	p.release(conn)
-	a.Call.Timeout = sidecartest.Patience
+	a.Call.Timeout = sidecartest.WaitTimeout
 	a.Call.Outbound = outboundPost(nil)
-	a.Call.Outbound.Upload = inflight.NewUpload(inflight.MaxBody, sidecartest.Pattern(inflight.MinHeldBody)) // the rest never arrives
+	a.Call.Outbound.Upload = inflight.NewUpload(inflight.MaxBody, sidecartest.PatternBody(inflight.MinHeldBody)) // the rest never arrives
 	done := make(chan inflight.AttemptOutcome, 1)
 	go func() { done <- p.Send(a) }()
 	select {
 	case <-heads:
-	case <-time.After(sidecartest.Patience / 2):
+	case <-time.After(sidecartest.WaitTimeout / 2):
 		t.Error("the server got no head")
 	}
 	a.Cancel()
--- a/internal/sidecar/upstream/checkpoint_test.go
+++ b/internal/sidecar/upstream/checkpoint_test.go
@@ -16,7 +16,7 @@
 // by at most that delay.
 func TestHeldUp_timeLeftHeader(t *testing.T) {
 	const slack = 50 * time.Millisecond // for the transfer through sockets
-	for at, maxExcess := range map[checkpoint.Checkpoint]time.Duration{checkpoint.AttemptDecided: slack, checkpoint.ClockRead: sidecartest.Hold + slack} {
+	for at, maxExcess := range map[checkpoint.Checkpoint]time.Duration{checkpoint.AttemptDecided: slack, checkpoint.ClockRead: sidecartest.StallTime + slack} {
 		for _, upload := range []bool{false, true} {
 			t.Run(string(at)+", forwarded "+strconv.FormatBool(upload), func(t *testing.T) {
 				lag := sidecartest.MachineLag(t)
@@ -35,13 +35,13 @@
 				p.post = func(any) {}
 				a.Call.Outbound = outboundPost([]byte("plate 12-34"))
 				if upload {
-					setReceivedUpload(t, a, sidecartest.Patience)
-					a.Deadline = a.Call.Outbound.Upload.CompletedAt().Add(sidecartest.Patience)
+					setReceivedUpload(t, a, sidecartest.WaitTimeout)
+					a.Deadline = a.Call.Outbound.Upload.CompletedAt().Add(sidecartest.WaitTimeout)
 				}
 				deadline = a.Deadline
 				p.hook = func(c checkpoint.Checkpoint) {
 					if c == at {
-						time.Sleep(sidecartest.Hold)
+						time.Sleep(sidecartest.StallTime)
 					}
 				}
 				if r := p.Send(a); r.Result != balance.OK {
@@ -62,13 +62,13 @@
 			b := sidecartest.NewBackend(t, "a", sidecartest.Respond("HTTP/1.1 500 Oh\r\nContent-Length: 0\r\n\r\n", true))
 			p, a, conn, _ := newExchange(t, b)
 			p.release(conn)
-			setKeyWindow(p, a, sidecartest.Hold, []byte("plate 12-34"))
+			setKeyWindow(p, a, sidecartest.StallTime, []byte("plate 12-34"))
 			if r := p.Send(a); r.Result != balance.Failed {
 				t.Fatalf("the first attempt: result %v", r.Result)
 			}
 			p.hook = func(c checkpoint.Checkpoint) {
 				if c == at {
-					<-time.After(time.Until(a.Call.Outbound.MayHaveRunSince.Add(sidecartest.Hold)))
+					<-time.After(time.Until(a.Call.Outbound.MayHaveRunSince.Add(sidecartest.StallTime)))
 					time.Sleep(20 * time.Millisecond) // so that the deadline of the connection has passed, too
 				}
 			}
--- a/internal/sidecar/upstream/errno_test.go
+++ b/internal/sidecar/upstream/errno_test.go
@@ -35,7 +35,7 @@
 			b := sidecartest.NewBackend(t, "a", sidecartest.OK)
 			p, a, conn, _ := newExchange(t, b)
 			a.Call.Outbound = outboundPost([]byte("plate 12-34"))
-			injectFaults(t, conn).FailRead = sidecartest.FailTimes(sidecartest.Always, sidecartest.OpError("read", errno))
+			injectFaults(t, conn).FailRead = sidecartest.FailTimes(sidecartest.Unlimited, sidecartest.OpError("read", errno))
 			p.release(conn)
 			if r := p.Send(a); r.Result != balance.Reset || r.Result.NeverRan() {
 				t.Errorf("result %v, want %v, which may have run", r.Result, balance.Reset)
@@ -63,7 +63,7 @@
 			b := sidecartest.NewBackend(t, "a", sidecartest.OK)
 			p, a, _, _ := newExchange(t, b)
 			a.Call.Outbound = outboundPost([]byte("plate 12-34"))
-			test.Failing(p, sidecartest.Always)
+			test.Inject(p, sidecartest.Unlimited)
 			if r := p.Send(a); r.Result != test.Result || !r.Result.NeverRan() {
 				t.Errorf("an attempt: result %v, want %v", r.Result, test.Result)
 			}
@@ -90,7 +90,7 @@
 	}
 	p := NewPool(cfg, 10)
 	t.Cleanup(p.Close)
-	p.connectTimeout = sidecartest.Patience
+	p.connectTimeout = sidecartest.WaitTimeout
 	dial, first := p.dialContext, sidecartest.NewBarrier()
 	t.Cleanup(first.Release)
 	var dials atomic.Int32
@@ -101,7 +101,7 @@
 		first.Pass()
 		return dial(ctx, network, addr)
 	}
-	server, deadline := &Server{ID: 1, Endpoint: b.Target.Endpoint}, time.Now().Add(sidecartest.Patience)
+	server, deadline := &Server{ID: 1, Endpoint: b.Target.Endpoint}, time.Now().Add(sidecartest.WaitTimeout)
 	older := make(chan error, 1)
 	go func() {
 		conn, _, err := p.acquire(t.Context(), server, deadline, nil)
@@ -127,7 +127,7 @@
 			b := sidecartest.NewBackend(t, "a", sidecartest.OK)
 			p, a, _, _ := newExchange(t, b)
 			a.Call.Outbound = outboundPost([]byte("plate 12-34"))
-			sidecartest.Dialing(p, sidecartest.Succeed, sidecartest.FaultyConn{FailRead: sidecartest.FailTimes(2, sidecartest.OpError("read", errno))})
+			sidecartest.InjectDialFaults(p, sidecartest.Succeed, sidecartest.FaultyConn{FailRead: sidecartest.FailTimes(2, sidecartest.OpError("read", errno))})
 			if r := p.Send(a); r.Result != balance.OK || string(r.Response.Body) != "done" {
 				t.Errorf("result %v with %q, want the complete response", r.Result, r.Response.Body)
 			}
@@ -143,7 +143,7 @@
 	a.Call.Outbound = outboundPost([]byte("plate 12-34"))
 	deadline := time.Now().Add(50 * time.Millisecond)
 	a.Deadline = deadline
-	sidecartest.Dialing(p, sidecartest.Succeed, sidecartest.FaultyConn{FailRead: func() error {
+	sidecartest.InjectDialFaults(p, sidecartest.Succeed, sidecartest.FaultyConn{FailRead: func() error {
 		if time.Now().Before(deadline) {
 			return sidecartest.OpError("read", syscall.ENOMEM)
 		}
@@ -172,7 +172,7 @@
 			dial := p.dialContext
 			for n := range len(text) {
 				p.dialContext = dial
-				sidecartest.Dialing(p, sidecartest.Succeed, sidecartest.FaultyConn{ByteAtATime: true, FailRead: sidecartest.FailNth(int32(n+1), sidecartest.OpError("read", errno))})
+				sidecartest.InjectDialFaults(p, sidecartest.Succeed, sidecartest.FaultyConn{ByteAtATime: true, FailRead: sidecartest.FailNth(int32(n+1), sidecartest.OpError("read", errno))})
 				r := p.Send(a)
 				if r.Result != want || r.Result == balance.OK && string(r.Response.Body) != "done" {
 					t.Errorf("at byte %d: result %v with %q, want %v", n, r.Result, r.Response.Body, want)
--- a/internal/sidecar/upstream/exchange_test.go
+++ b/internal/sidecar/upstream/exchange_test.go
@@ -28,7 +28,7 @@
 	p := NewPool(cfg, 10)
 	t.Cleanup(p.Close)
 	server := &Server{ID: 1, Endpoint: b.Target.Endpoint}
-	a := &Attempt{Call: &inflight.Call{Outbound: &inflight.Outbound{}}, Server: server, Deadline: time.Now().Add(sidecartest.Patience)}
+	a := &Attempt{Call: &inflight.Call{Outbound: &inflight.Outbound{}}, Server: server, Deadline: time.Now().Add(sidecartest.WaitTimeout)}
 	a.Context, a.Cancel = context.WithCancel(t.Context())
 	t.Cleanup(a.Cancel)
 	conn, _, err := p.acquire(a.Context, server, a.Deadline, nil)
@@ -193,12 +193,12 @@
 	handshake := make(chan struct{}) // each connection waits for one value
 	p.dialer.Control = func(string, string, syscall.RawConn) error { <-handshake; return nil }
 	server := &Server{ID: 1, Endpoint: b.Target.Endpoint}
-	deadline := time.Now().Add(sidecartest.Patience)
+	deadline := time.Now().Add(sidecartest.WaitTimeout)
 
 	if _, _, err := p.acquire(t.Context(), server, deadline, nil); unsentResult(t.Context(), deadline, err) != balance.ConnectFailed {
 		t.Fatalf("an attempt with a late connection ended with %v", err)
 	}
-	p.connectTimeout = sidecartest.Patience
+	p.connectTimeout = sidecartest.WaitTimeout
 	got := make(chan error, 1)
 	go func() {
 		conn, reused, err := p.acquire(t.Context(), server, deadline, nil)
--- a/internal/sidecar/upstream/pool_test.go
+++ b/internal/sidecar/upstream/pool_test.go
@@ -206,7 +206,7 @@
 
 // lateRepeatedResponses is a server that sends each response again on its connection, after the next request and
 // before the response to that request.
-func lateRepeatedResponses() sidecartest.ServeOne {
+func lateRepeatedResponses() sidecartest.ServeFunc {
 	var mu sync.Mutex
 	before := map[net.Conn]string{}
 	return func(c net.Conn, _ *http.Request, body string) bool {
@@ -233,7 +233,7 @@
 	p.mu.Lock()
 	slices.Reverse(a.Server.idle) // as if idleConn had been released before the other connection
 	a.Server.idle[0].idleSince = time.Now().Add(-time.Second)
-	a.Server.idle[1].idleSince = time.Now().Add(sidecartest.Patience) // within reuseDelay, however slow this machine is
+	a.Server.idle[1].idleSince = time.Now().Add(sidecartest.WaitTimeout) // within reuseDelay, however slow this machine is
 	p.mu.Unlock()
 	next := nextAttempt(a)
 	next.Call.Outbound = outboundPost([]byte("second"))
--- a/internal/sidecar/upstream/request_stream.go
+++ b/internal/sidecar/upstream/request_stream.go
@@ -24,7 +24,7 @@
 
 // NewStreamWriter returns the writer for a request with a forwarded body whose head was rendered for a revision of the
 // routes. Its first Write makes the last check of the route. Tests use it to make that check without an exchange.
-func NewStreamWriter(conn net.Conn, check *routing.Check, headerRevision int64) io.Writer {
+func NewStreamWriter(conn net.Conn, check *routing.AttemptCheck, headerRevision int64) io.Writer {
 	return &requestWriter{conn: &serverConn{Conn: conn}, routeCheck: check, headerRevision: headerRevision}
 }
 
--- a/internal/sidecar/upstream/request_writer.go
+++ b/internal/sidecar/upstream/request_writer.go
@@ -24,11 +24,11 @@
 	writeDeadline time.Time // for the last byte of the request; zero if only the deadline of the response applies
 	hook          checkpoint.Hook
 
-	routeCheck     *routing.Check      // nil if no route applies
-	headerRevision int64               // the revision of the routes in the rendered head
-	call           *inflight.Call      // set if the body is forwarded, nil otherwise
-	streamStarted  bool                // the first byte of a request with a forwarded body has been written
-	earlyResponse  *earlyResponseWatch // nil until a body is forwarded
+	routeCheck     *routing.AttemptCheck // nil if no route applies
+	headerRevision int64                 // the revision of the routes in the rendered head
+	call           *inflight.Call        // set if the body is forwarded, nil otherwise
+	streamStarted  bool                  // the first byte of a request with a forwarded body has been written
+	earlyResponse  *earlyResponseWatch   // nil until a body is forwarded
 
 	mu    sync.Mutex // guards the fields below and the deadlines of conn
 	state writerState
@@ -133,7 +133,7 @@
 	if attempt == nil || attempt.RouteCheck == nil {
 		return
 	}
-	w.routeCheck, w.headerRevision = attempt.RouteCheck, attempt.RouteCheck.Expect()
+	w.routeCheck, w.headerRevision = attempt.RouteCheck, attempt.RouteCheck.ExpectRevision()
 	attempt.RouteCheck.SetHeaders(header, w.headerRevision)
 }
 
--- a/internal/sidecar/watch_faults_test.go
+++ b/internal/sidecar/watch_faults_test.go
@@ -102,11 +102,11 @@
 				a, b := sidecartest.NewBackend(t, "a", sidecartest.OK), sidecartest.NewBackend(t, "b", sidecartest.OK)
 				var answering sync.WaitGroup
 				t.Cleanup(answering.Wait) // once the sidecar and discovery are closed, in that order
-				disc, addr := sidecartest.NewHandAgent(t)
+				disc, addr := sidecartest.NewRawDiscovery(t)
 				r := startImpatient(t, configtest.NewConf(addr, a.Target, b.Target).Setting(`"discovery": "subscribe"`, `"discovery": "`+mode+`"`))
 				held := mustJSON(t, endpointlist.List{Rev: 41, All: true, Targets: []endpointlist.Target{a.Target, b.Target}})
 				left := mustJSON(t, endpointlist.List{Rev: 43, All: true, Targets: []endpointlist.Target{b.Target}})
-				misbehave(disc.Next(t), held)
+				misbehave(disc.NextCall(t), held)
 				r.serveCharges(4, "after the fault")
 				answering.Go(func() {
 					for conn := range disc.Conns {
@@ -141,7 +141,7 @@
 	ctx, end := context.WithCancel(context.Background())
 	ended := make(chan error, 1)
 	go func() { ended <- s.Run(ctx) }()
-	r := &running{Sidecar: s, t: t, client: &http.Client{Transport: &http.Transport{}, Timeout: sidecartest.Patience}}
+	r := &running{Sidecar: s, t: t, client: &http.Client{Transport: &http.Transport{}, Timeout: sidecartest.WaitTimeout}}
 	t.Cleanup(func() {
 		r.client.CloseIdleConnections()
 		end()
--- a/internal/wire/decode.go
+++ b/internal/wire/decode.go
@@ -15,17 +15,17 @@
 
 // Event codes.
 const (
-	codeServerTable       = 1000
-	codeRequest           = 1010
-	codeTimerFired        = 1020
-	codeAnswerStarted     = 1030
-	codeServerList        = 1040
-	codeMessage           = 1050
-	codeInstanceStop      = 1060
-	codeInstanceStart     = 1070
-	codeHealthCheckResult = 1080
-	codeOutcome           = 1090
-	codeClientGone        = 1100
+	codeServerTable        = 1000
+	codeRequest            = 1010
+	codeTimerFired         = 1020
+	codeResponseStarted    = 1030
+	codeServerList         = 1040
+	codeMessage            = 1050
+	codeInstanceStop       = 1060
+	codeInstanceStart      = 1070
+	codeHealthCheckResult  = 1080
+	codeOutcome            = 1090
+	codeClientDisconnected = 1100
 )
 
 const (
@@ -135,13 +135,13 @@
 		rec.Event = readRequest(f)
 	case codeTimerFired:
 		rec.Event = balance.Timer{Token: f.u64()}
-	case codeAnswerStarted:
+	case codeResponseStarted:
 		ev := balance.ResponseStarted{Request: balance.RequestID(f.u64()), Attempt: int(f.u8()), Server: f.server()}
 		ev.Elapsed = f.f64()
 		rec.Event = ev
 	case codeOutcome:
 		rec.Event, err = r.readOutcome(f)
-	case codeClientGone:
+	case codeClientDisconnected:
 		rec.Event = balance.ClientDisconnected{Request: balance.RequestID(f.u64())}
 	case codeHealthCheckResult:
 		rec.Event, err = r.readHealthCheckResult(f)
--- a/internal/wire/settings.go
+++ b/internal/wire/settings.go
@@ -97,7 +97,7 @@
 func ParseSettings(seed uint64, profile []byte) (balance.Config, error) {
 	var s settings
 	if err := json.Unmarshal(profile, &s); err != nil {
-		return balance.Config{}, fmt.Errorf("settings: %w", KeyError(err))
+		return balance.Config{}, fmt.Errorf("settings: %w", LocateJSONError(err))
 	}
 	cfg := balance.Config{
 		Seed: seed, Number: s.Number, Peers: max(s.Peers, 1), Zone: s.Zone,
@@ -212,8 +212,8 @@
 // negativeError names the key of a negative number.
 func negativeError(key string, v float64) error { return fmt.Errorf("settings: %s is %v", key, v) }
 
-// KeyError adds to an error of encoding/json where in the text it is: the key, or the byte if there is no key.
-func KeyError(err error) error {
+// LocateJSONError adds to an error of encoding/json where in the text it is: the key, or the byte if there is no key.
+func LocateJSONError(err error) error {
 	var mistyped *json.UnmarshalTypeError
 	var syntax *json.SyntaxError
 	switch {
