--- a/cmd/sidecar/drain_test.go
+++ b/cmd/sidecar/drain_test.go
@@ -604,7 +604,7 @@
 	older.awaitHandoverSocket(dir)
 	return older, func() *process {
 		newer := launch(t, c)
-		older.awaitLine("the next process serves")
+		older.awaitLine("the successor serves")
 		return newer
 	}
 }
--- a/internal/sidecar/fleet/doc.go
+++ b/internal/sidecar/fleet/doc.go
@@ -1,3 +1,3 @@
-// Package fleet is a sidecar's side of membership, see docs/membership.md. Without the section of the configuration nothing of it
-// runs.
+// Package fleet implements the sidecar's side of membership, see docs/membership.md. It is inactive if the
+// configuration has no section members.
 package fleet
--- a/internal/sidecar/fleet/membership.go
+++ b/internal/sidecar/fleet/membership.go
@@ -20,45 +20,45 @@
 	"marblelane/internal/streamlimit"
 )
 
-// Paths of the management address.
+// Paths that the management address serves for membership.
 const (
 	MembersPath = "/members"
 	LeavePath   = MembersPath + "/leave"
 )
 
 const (
-	// MaxWatchers bounds the watches of MembersPath at a time, as the management address has few connections.
+	// MaxWatchers is the limit of concurrent watches of MembersPath, as the management address accepts few connections.
 	MaxWatchers = 2
-	// leaveTimeout bounds how long the end of the process waits until the others know that it leaves.
+	// leaveTimeout bounds how long a process that ends waits until the other members know that it leaves.
 	leaveTimeout = 300 * time.Millisecond
-	// An address that cannot be bound is tried again after minBindBackoff, and then after twice as long each time, up to
-	// maxBindPause, or to maxBindPauseUpgrade while the predecessor may have it.
+	// If the address cannot be bound, the next attempt follows after minBindBackoff. The wait doubles with each
+	// attempt, up to maxBindBackoff, or up to maxBindBackoffUpgrade while the predecessor may still use the address.
 	minBindBackoff        = 100 * time.Millisecond
 	maxBindBackoff        = 10 * time.Second
 	maxBindBackoffUpgrade = 250 * time.Millisecond
 )
 
-// Membership is this process's part in the membership. Its goroutine is run, which ends with Leave. nil: there is no
-// section members.
+// Membership makes this process a member of the fleet. Its goroutine runs run, which returns after Leave. It is nil if
+// there is no section members.
 type Membership struct {
 	Config           membership.Config
 	predecessorAlive func() bool
 
-	Latest         atomic.Pointer[roster.View] // replaced by each newer view, so that nothing waits for the loop
-	wake           chan struct{}               // capacity 1: the loop has not read Latest
-	viewChanged    chan struct{}               // capacity 1: run has not seen the change
-	estimate       atomic.Uint64               // bits of the fleet size that the balancer goes by
-	LeftByOperator atomic.Bool                 // an operator made it leave
+	Latest         atomic.Pointer[roster.View] // replaced by each new view; the group never waits for the loop
+	wake           chan struct{}               // capacity 1; signals to the event loop that Latest has changed
+	viewChanged    chan struct{}               // capacity 1; signals to run that the view has changed
+	estimate       atomic.Uint64               // float64 bits of the fleet size that the balancer uses
+	LeftByOperator atomic.Bool                 // an operator has made this process leave
 	group          atomic.Pointer[membership.Group]
 	watchers       streamlimit.Limiter
 
 	leaveOnce    sync.Once
-	leaveTimeout time.Duration // for the group to say that it leaves; set before quit is closed
+	leaveTimeout time.Duration // for the group to notify other members; set before quit is closed
 	quit         chan struct{} // closed by BeginLeave
-	ended        chan struct{} // closed by run
+	ended        chan struct{} // closed when run returns
 }
 
-// New gives the part of a process whose predecessor may still be alive.
+// New returns the membership of a process. The function predecessorAlive reports whether the predecessor still runs.
 func New(cfg *config.Membership, predecessorAlive func() bool) *Membership {
 	m := &Membership{
 		Config: cfg.Group, predecessorAlive: predecessorAlive,
@@ -72,14 +72,14 @@
 	return m
 }
 
-// publishView publishes a new view.
+// publishView stores a new view and notifies the event loop and run.
 func (m *Membership) publishView(v roster.View) {
 	m.Latest.Store(&v)
 	signal(m.wake)
 	signal(m.viewChanged)
 }
 
-// signal sends without waiting: a signal that is there already says the same.
+// signal sends without blocking. If a signal is already pending, another one is not needed.
 func signal(c chan<- struct{}) {
 	select {
 	case c <- struct{}{}:
@@ -87,7 +87,7 @@
 	}
 }
 
-// Wakeups says when Size has changed; nil: membership is off.
+// Wakeups returns the channel that signals a change of Size. It is nil if membership is off.
 func (m *Membership) Wakeups() <-chan struct{} {
 	if m == nil {
 		return nil
@@ -95,10 +95,11 @@
 	return m.wake
 }
 
-// SetEstimate sets the fleet size that the balancer goes by, which the group sends to other members and the figures show.
+// SetEstimate sets the fleet size that the balancer uses. The group sends it to other members, and a metric exports it.
 func (m *Membership) SetEstimate(size float64) { m.estimate.Store(math.Float64bits(size)) }
 
-// Start joins in the background. Its result leaves, unless Leave was called before.
+// Start joins the fleet in the background. The function that it returns leaves the fleet and has no effect if Leave was
+// called before.
 func (m *Membership) Start() (end func()) {
 	if m == nil {
 		return func() {}
@@ -107,7 +108,8 @@
 	return func() { m.Leave(time.Now().Add(leaveTimeout)) }
 }
 
-// Size is the fleet size for the balancer; false: nothing is known yet, and the settings count.
+// Size returns the fleet size for the balancer. It returns false, and the size from the settings, before the first
+// view.
 func (m *Membership) Size() (balance.FleetSize, bool) {
 	view := m.Latest.Load()
 	if view == nil {
@@ -116,7 +118,7 @@
 	return balance.FleetSize{Known: view.Known, Reachable: view.Reachable, Admitted: view.Admitted && !m.LeftByOperator.Load()}, true
 }
 
-// run joins, logs whether this process is admitted, and leaves.
+// run joins the fleet, logs changes of this process's admission, and leaves after BeginLeave.
 func (m *Membership) run() {
 	defer close(m.ended)
 	group := m.openGroup()
@@ -143,31 +145,32 @@
 			ctx, cancel := context.WithTimeout(context.Background(), m.leaveTimeout)
 			defer cancel()
 			if err := group.Leave(ctx); err != nil {
-				slog.Info("members: others may not know that this process leaves", "err", err)
+				slog.Info("members: leave failed, other members may not be notified", "err", err)
 			}
 			return
 		}
 	}
 }
 
-// openGroup binds the address and joins, however often it takes; nil: the process ends first. Until then this process works
-// without members, but is not admitted beside its predecessor, whose address it may need.
+// openGroup binds the address and joins, with as many attempts as needed. It returns nil if BeginLeave is called
+// before. Until then this process works without other members. It is not admitted while its predecessor runs, as that
+// may have the address.
 func (m *Membership) openGroup() *membership.Group {
 	wait := minBindBackoff
 	for first := true; ; first = false {
 		group, err := membership.Open(m.Config)
 		if err == nil {
 			if !first {
-				slog.Info("members: the address is bound", "addr", m.Config.Bind)
+				slog.Info("members: address bound", "addr", m.Config.Bind)
 			}
 			return group
 		}
 		upgrading := m.predecessorAlive()
 		switch {
 		case first && upgrading:
-			slog.Info("members: the address is not free yet, it is tried again", "addr", m.Config.Bind, "err", err)
+			slog.Info("members: bind failed while the predecessor runs, retrying", "addr", m.Config.Bind, "err", err)
 		case first:
-			slog.Error("members: the address cannot be bound, it is tried again", "addr", m.Config.Bind, "err", err)
+			slog.Error("members: bind failed, retrying", "addr", m.Config.Bind, "err", err)
 		}
 		m.publishView(roster.View{Known: max(m.Config.Peers, 1), Reachable: 1, Admitted: !upgrading})
 		if upgrading {
@@ -182,8 +185,8 @@
 	}
 }
 
-// BeginLeave starts to leave. Nothing may be sent to servers from here on, as others no longer count this process. The
-// group has two thirds of the time to tell them; the rest is for its end.
+// BeginLeave starts to leave the fleet. After it nothing may be sent to servers, as other members no longer count this
+// process. The group has two thirds of the time to notify other members; the rest is for closing the group.
 func (m *Membership) BeginLeave(within time.Duration) {
 	if m != nil {
 		m.leaveOnce.Do(func() {
@@ -193,7 +196,7 @@
 	}
 }
 
-// Leave leaves and waits until it has left, but not beyond a time, nor for longer than leaveTimeout.
+// Leave leaves the fleet and waits until this is done, but not after the given time and not longer than leaveTimeout.
 func (m *Membership) Leave(by time.Time) {
 	if m == nil {
 		return
@@ -208,11 +211,11 @@
 	select {
 	case <-m.ended:
 	case <-time.After(within):
-		slog.Warn("members: leaving took too long, others may not know", "waited", within)
+		slog.Warn("members: leave timed out, other members may not be notified", "waited", within)
 	}
 }
 
-// ServeHTTP answers calls of MembersPath.
+// ServeHTTP serves MembersPath and the paths below it.
 func (m *Membership) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	if m == nil {
 		http.NotFound(w, r)
@@ -234,11 +237,12 @@
 	m.serveLeave(w, r, group)
 }
 
-// serveLeave lets an operator make this process leave. It is not admitted any more before others stop counting it.
+// serveLeave makes this process leave at an operator's request. The process stops being admitted before other members
+// stop counting it. If the group does not accept the request, the process stays a member.
 func (m *Membership) serveLeave(w http.ResponseWriter, r *http.Request, group *membership.Group) {
 	m.LeftByOperator.Store(true)
 	signal(m.wake)
-	ctx, cancel := context.WithTimeout(r.Context(), config.ManagementTimeout/2) // the rest is for the answer
+	ctx, cancel := context.WithTimeout(r.Context(), config.ManagementTimeout/2) // the rest is for the response
 	defer cancel()
 	recorder := &statusRecorder{ResponseWriter: w}
 	group.Handler().ServeHTTP(recorder, r.WithContext(ctx))
@@ -248,7 +252,7 @@
 	}
 }
 
-// statusRecorder records the status of an answer; 0: the default.
+// statusRecorder records the status code of a response; 0 if the handler has not set it.
 type statusRecorder struct {
 	http.ResponseWriter
 	status int
@@ -260,10 +264,10 @@
 	w.ResponseWriter.WriteHeader(status)
 }
 
-// Unwrap lets http.ResponseController reach the writer.
+// Unwrap returns the wrapped writer, for http.ResponseController.
 func (w *statusRecorder) Unwrap() http.ResponseWriter { return w.ResponseWriter }
 
-// WriteMetrics writes the figures of members in Prometheus's text form.
+// WriteMetrics writes the metrics of membership in the Prometheus text format.
 func (m *Membership) WriteMetrics(w io.Writer) {
 	if m == nil {
 		return
@@ -300,7 +304,7 @@
 	}
 }
 
-// IsMembersPath reports whether ServeHTTP answers a path.
+// IsMembersPath reports whether ServeHTTP serves a path.
 func IsMembersPath(path string) bool {
 	return path == MembersPath || strings.HasPrefix(path, MembersPath+"/")
 }
--- a/internal/sidecar/handover/doc.go
+++ b/internal/sidecar/handover/doc.go
@@ -1,4 +1,5 @@
-// Package handover lets the older and the newer process of an upgrade meet at a Unix socket in the directory that they share. The
-// older one gives the other its listening socket, so that what waits there is never lost with a process; the newer one
-// says when it serves. While their connection lasts, both are alive and share what one of them may use.
+// Package handover connects the predecessor and the successor of an upgrade over a Unix socket in a directory that both
+// processes share. The predecessor sends its listening socket to the successor, so that no connection that waits in the
+// accept queue is lost when a process ends. The successor reports when it starts to serve and when it will stop. As
+// long as their connection is open both processes are alive, and they share the limits of a single process.
 package handover
--- a/internal/sidecar/handover/handover.go
+++ b/internal/sidecar/handover/handover.go
@@ -12,21 +12,22 @@
 	"marblelane/internal/sidecar/config"
 )
 
-// ListTimeout is how long the newer process waits for discovery when it knows a list that may be old. The older one
-// serves meanwhile.
+// ListTimeout is how long a successor waits for discovery if it was started with a server list, which may be outdated.
+// The predecessor serves meanwhile.
 const ListTimeout = 1500 * time.Millisecond
 
-// responseTimeout is for the older process to answer: it may hang, or be another program.
+// responseTimeout bounds the wait for the predecessor's response. The process at the socket may hang, or be another
+// program.
 const responseTimeout = time.Second
 
-// The bytes that the newer process sends.
+// The bytes that the successor sends to the predecessor.
 const (
-	servingByte = 's' // it serves
-	EndingByte  = 'e' // it will soon stop serving
+	servingByte = 's' // the successor serves
+	EndingByte  = 'e' // the successor will soon stop serving
 )
 
-// Listen binds the clients' address. With a management address other processes may bind it too (SO_REUSEPORT), for an
-// upgrade whose processes cannot meet.
+// Listen binds the address for clients. With a management address it sets SO_REUSEPORT, so that an upgrade also works
+// if the successor cannot reach the handover socket of its predecessor.
 func Listen(cfg *config.Config) (net.Listener, error) {
 	var lc net.ListenConfig
 	if cfg.Management != "" {
--- a/internal/sidecar/handover/predecessor.go
+++ b/internal/sidecar/handover/predecessor.go
@@ -16,14 +16,16 @@
 	"marblelane/internal/sidecar/netcall"
 )
 
-// descriptorBytes is the size of a descriptor in a control message.
+// descriptorBytes is the size of a file descriptor in a control message.
 const descriptorBytes = 4
 
-// Predecessor is the process that served before this one, as long as it runs; nil: there is none.
+// Predecessor is the connection to the process that served before this one. It is nil if there was none, and lasts
+// until that process ends.
 type Predecessor struct{ conn *net.UnixConn }
 
-// FindPredecessor asks the process that serves the address, if any, for its listening socket. Without such a process it
-// gives nil; a socket that a process has left behind, or a file that is no socket, is an error.
+// FindPredecessor connects to the process that serves the address, if there is one, and receives its listening socket.
+// If no handover socket exists it returns nil without an error. A socket that a dead process has left behind, or a file
+// that is not a socket, is an error.
 func FindPredecessor(cfg *config.Config) (*Predecessor, net.Listener, error) {
 	path := cfg.HandoverSocket()
 	if path == "" {
@@ -34,13 +36,13 @@
 	}
 	conn, err := net.DialTimeout("unix", path, responseTimeout)
 	if err != nil {
-		return nil, nil, fmt.Errorf("no process answers: %w", err)
+		return nil, nil, fmt.Errorf("connection to the handover socket of the predecessor: %w", err)
 	}
 	p := &Predecessor{conn: conn.(*net.UnixConn)}
 	listener, err := p.receiveListener()
 	if err == nil && listener.Addr().String() != cfg.Listen {
 		listener.Close()
-		err = fmt.Errorf("it listens at another address: %s", listener.Addr())
+		err = fmt.Errorf("the predecessor listens on another address: %s", listener.Addr())
 	}
 	if err != nil {
 		conn.Close()
@@ -49,7 +51,7 @@
 	return p, listener, nil
 }
 
-// receiveListener waits for the message that brings the listening socket.
+// receiveListener waits for the message that contains the listening socket.
 func (p *Predecessor) receiveListener() (net.Listener, error) {
 	p.conn.SetReadDeadline(time.Now().Add(responseTimeout))
 	defer p.conn.SetReadDeadline(time.Time{})
@@ -66,11 +68,11 @@
 	return receivedListener(rights[:n], flags)
 }
 
-// errNoListener is the error of a message that brings no listening socket.
-var errNoListener = errors.New("no listening socket came")
+// errNoListener is the error for a message from which no listening socket could be received.
+var errNoListener = errors.New("no listening socket received")
 
-// receivedListener is the listener whose descriptor a message brought, as the only one. The system truncates the message
-// where this process may not open one more descriptor.
+// receivedListener returns the listener from a message's control data, which must contain exactly one descriptor. The
+// kernel truncates the control data if this process has reached its limit of descriptors.
 func receivedListener(rights []byte, flags int) (net.Listener, error) {
 	if flags&unix.MSG_CTRUNC != 0 {
 		return nil, fmt.Errorf("%w: the message was truncated: %w", errNoListener, syscall.EMFILE)
@@ -85,25 +87,25 @@
 	}
 	unix.CloseOnExec(fds[0])
 	file := os.NewFile(uintptr(fds[0]), "listener")
-	defer file.Close() // the listener gets a duplicate
+	defer file.Close() // the listener uses a duplicate of the descriptor
 	return net.FileListener(file)
 }
 
-// AnnounceServing tells the predecessor that this process serves.
+// AnnounceServing notifies the predecessor that this process serves.
 func (p *Predecessor) AnnounceServing() {
 	if _, err := (netcall.RetryingConn{Conn: p.conn}).Write([]byte{servingByte}); err != nil {
-		slog.Info("upgrade: the process before is gone", "err", err)
+		slog.Info("upgrade: the predecessor has ended", "err", err)
 	}
 }
 
-// AnnounceEnd tells the predecessor, if there is one, that this process will soon stop serving.
+// AnnounceEnd notifies the predecessor, if there is one, that this process will soon stop serving.
 func (p *Predecessor) AnnounceEnd() {
 	if p != nil {
 		_, _ = netcall.RetryingConn{Conn: p.conn}.Write([]byte{EndingByte})
 	}
 }
 
-// Close ends the connection to the predecessor.
+// Close closes the connection to the predecessor.
 func (p *Predecessor) Close() error { return p.conn.Close() }
 
 // AwaitEnd waits until the predecessor has ended.
--- a/internal/sidecar/handover/rawcalls_test.go
+++ b/internal/sidecar/handover/rawcalls_test.go
@@ -13,7 +13,7 @@
 	"marblelane/internal/sidecar/sidecartest"
 )
 
-// failingConn fails a few times on each side before it works.
+// failingConn fails reads and writes with the error that failure returns, until failure returns nil.
 type failingConn struct {
 	net.Conn
 	failure func() error
@@ -33,7 +33,7 @@
 	return c.Conn.Write(p)
 }
 
-// The messages between two processes at an upgrade arrive although system calls fail for a moment.
+// Messages between the two processes of an upgrade arrive even if system calls fail temporarily.
 func TestHandover_transientFailures(t *testing.T) {
 	for _, errno := range sidecartest.ResourceErrnos {
 		t.Run(unix.ErrnoName(errno), func(t *testing.T) {
@@ -50,8 +50,9 @@
 	}
 }
 
-// A message that the system has truncated, as this process may not open one more descriptor, is requested again; a message
-// without a descriptor is not.
+// A message that the kernel has truncated, because this process has reached its limit of descriptors, fails with
+// EMFILE, so that the start requests it again. A message without exactly one descriptor fails without EMFILE, and is
+// not requested again.
 func TestReceivedListener_Invalid(t *testing.T) {
 	if _, err := receivedListener(nil, unix.MSG_CTRUNC); !errors.Is(err, errNoListener) || !errors.Is(err, unix.EMFILE) ||
 		!strings.Contains(err.Error(), "truncated") {
--- a/internal/sidecar/handover/successors.go
+++ b/internal/sidecar/handover/successors.go
@@ -17,32 +17,33 @@
 	"marblelane/internal/sidecar/netcall"
 )
 
-// Successors are the newer processes that meet this one.
+// Successors manages the connections of this process's successors.
 type Successors struct {
-	Listener     *net.TCPListener // the clients' listening socket, which they are given
-	CountChanged func(alive int)  // is called with their number when it changes
-	Faults       *fault.Plan      // planted by the lab; nil: none
+	Listener     *net.TCPListener // the listening socket for clients, which is sent to successors
+	CountChanged func(alive int)  // called with the number of successors when it changes
+	Faults       *fault.Plan      // faults that the lab injects; nil: none
 	Bind         func(network string, addr *net.UnixAddr) (*net.UnixListener, error)
-	Serving      atomic.Int64 // how many of them serve
+	Serving      atomic.Int64 // number of successors that serve
 
 	socket     net.Listener
-	goroutines sync.WaitGroup // goroutines of accept and follow
+	goroutines sync.WaitGroup // running goroutines of accept and serveSuccessor
 	mu         sync.Mutex     // guards closed and conns
 	closed     bool
 	conns      map[net.Conn]struct{}
 }
 
-// Listen takes the socket at a path over from the process that had it, and accepts newer processes in the background, up
-// to Close.
+// Listen creates the handover socket at the path, in place of the predecessor's, and accepts successors in the
+// background until Close.
 func (s *Successors) Listen(path string) error {
-	// It is bound under a name of its own first, so that the path always names a complete socket, or none.
+	// The socket is bound under a temporary name and then renamed, so that the path never names a socket that does not
+	// listen yet.
 	fresh := fmt.Sprintf("%s.%d", path, os.Getpid())
 	os.Remove(fresh)
 	l, err := s.Bind("unix", &net.UnixAddr{Name: fresh, Net: "unix"})
 	if err != nil {
 		return err
 	}
-	l.SetUnlinkOnClose(false) // by then the path may be that of the next process
+	l.SetUnlinkOnClose(false) // at Close the path may already belong to the successor
 	if err := os.Rename(fresh, path); err != nil {
 		l.Close()
 		os.Remove(fresh)
@@ -54,7 +55,7 @@
 	return nil
 }
 
-// accept accepts newer processes until the socket is closed or lost.
+// accept accepts successors until the socket is closed or fails.
 func (s *Successors) accept() {
 	for {
 		c, err := s.socket.Accept()
@@ -62,7 +63,7 @@
 			return
 		}
 		if err != nil {
-			slog.Error("upgrade: no newer process can meet this one any more", "err", err)
+			slog.Error("upgrade: accept failed, no further handover is possible", "err", err)
 			return
 		}
 		if next := c.(*net.UnixConn); s.add(next) {
@@ -71,7 +72,7 @@
 	}
 }
 
-// add counts a newer process in, and reports false after Close.
+// add registers the connection of a successor. After Close it closes the connection and returns false.
 func (s *Successors) add(c net.Conn) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -84,17 +85,17 @@
 	return true
 }
 
-// ListenerShared reports whether a newer process may hold the listening socket.
+// ListenerShared reports whether a successor is connected, and so may have the listening socket.
 func (s *Successors) ListenerShared() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return len(s.conns) > 0
 }
 
-// serveSuccessor gives a newer process the listening socket and follows it to its end.
+// serveSuccessor sends the listening socket to a successor and waits until the successor disconnects.
 func (s *Successors) serveSuccessor(c *net.UnixConn) {
 	if err := s.SendListener(c); err != nil {
-		slog.Warn("upgrade: the listening socket was not handed over", "err", err)
+		slog.Warn("upgrade: handover of the listening socket failed", "err", err)
 	} else {
 		s.trackServing(netcall.RetryingConn{Conn: c})
 	}
@@ -107,20 +108,20 @@
 	}
 }
 
-// trackServing counts a newer process while it serves, and waits for its end.
+// trackServing counts a successor as serving from its servingByte to its EndingByte, and waits until it disconnects.
 func (s *Successors) trackServing(next io.Reader) {
 	var word [1]byte
 	if _, err := io.ReadFull(next, word[:]); err != nil || word[0] != servingByte {
 		return
 	}
-	slog.Info("upgrade: the next process serves")
+	slog.Info("upgrade: the successor serves")
 	s.Serving.Add(1)
-	_, _ = io.ReadFull(next, word[:]) // EndingByte, or its end
+	_, _ = io.ReadFull(next, word[:]) // EndingByte, or the end of the connection
 	s.Serving.Add(-1)
 	_, _ = io.Copy(io.Discard, next)
 }
 
-// SendListener sends a newer process the descriptor of the listening socket.
+// SendListener sends the descriptor of the listening socket to a successor.
 func (s *Successors) SendListener(c *net.UnixConn) error {
 	raw, err := s.Listener.SyscallConn()
 	if err != nil {
@@ -128,7 +129,7 @@
 	}
 	return netcall.RetryCall(func() error {
 		var failed error
-		// Within Control, as File would duplicate the descriptor and set the socket to blocking.
+		// Control is used because File would duplicate the descriptor and set the socket to blocking mode.
 		err := raw.Control(func(fd uintptr) {
 			_, _, failed = c.WriteMsgUnix([]byte{servingByte}, unix.UnixRights(int(fd)), nil)
 		})
@@ -136,7 +137,7 @@
 	})
 }
 
-// Close ends the connections to newer processes, which see it as the end of this process.
+// Close closes the socket and the connections to successors, which treat this as the end of the process.
 func (s *Successors) Close() {
 	s.socket.Close()
 	s.mu.Lock()
--- a/internal/sidecar/routing/doc.go
+++ b/internal/sidecar/routing/doc.go
@@ -1,2 +1,3 @@
-// Package routing is a sidecar's side of routes, see docs/routes.md. Without the section of the configuration nothing of it runs.
+// Package routing implements the sidecar's side of routes, see docs/routes.md. It is inactive if the configuration has
+// no section routes.
 package routing
--- a/internal/sidecar/routing/router.go
+++ b/internal/sidecar/routing/router.go
@@ -19,46 +19,46 @@
 const (
 	minSampleInterval = 50 * time.Millisecond
 	maxSampleInterval = time.Second
-	// leaseMargin is how many ms earlier the balancer's lease ends than this process's: what it decided in the last
-	// moment would be revoked before its first byte.
+	// leaseMargin is the time in ms by which the balancer's lease ends before the client's lease. An attempt that is
+	// decided on right before the end of the lease would be revoked before its first byte.
 	leaseMargin            = 1.
-	missedDeadlineFraction = 0.9  // part of a client's time after which its leaving counts; package balance has the same
-	maxCountedRevisions    = 64   // revisions whose ended attempts are counted
-	maxWantedUnits         = 1024 // units of one budget that are requested
-	settleTime             = 1e4  // ms for which the budget of a canary that is gone is settled
-	maxSettlingCanaries    = 64   // canaries that are gone and being settled
+	missedDeadlineFraction = 0.9  // of a client's timeout: a later disconnect is a missed deadline, as in package balance
+	maxCountedRevisions    = 64   // number of revisions whose ended attempts are counted
+	maxWantedUnits         = 1024 // most units of one budget that are requested
+	settleTime             = 1e4  // ms for which the budget of a removed canary is still reported
+	maxSettlingCanaries    = 64   // removed canaries whose budgets are still reported
 )
 
-// countKey names one count of attempts.
+// countKey identifies a count of attempts.
 type countKey struct {
 	rev    int64
 	tenant string
 	canary bool
 }
 
-// canary is a canary with a budget, of the table that is acted on.
+// canary is a canary with a budget, from the table that is acted on or a recent one.
 type canary struct {
 	id              uint64
 	tenant, rollout string
-	peakReserved    float64 // units reserved at once, with those denied; halved each second
-	denied          int64   // as the balancer counted it at the last sample
-	removedAt       float64 // ms, when its route was gone; 0: it is there
+	peakReserved    float64 // units in use at once, including denied ones; halves every second
+	denied          int64   // the balancer's count of denied attempts at the last sample
+	removedAt       float64 // time in ms at which the route was removed; 0: not removed
 }
 
-// RoutedTenant is how attempts of a tenant with a route are counted.
+// RoutedTenant defines how attempts of a tenant with a route are counted.
 type RoutedTenant struct {
-	classes       []int // that may go to the canary; none: all
-	lateIsFailure bool  // an answer after the latency objective is a failure of the canary
+	classes       []int // classes that may use the canary; empty: all
+	lateIsFailure bool  // a response after the latency objective counts as a failure of the canary
 }
 
-// EventLoop is the event loop as the router needs it.
+// EventLoop is the part of the event loop that the router uses.
 type EventLoop interface {
 	HandleEvent(now float64, event balance.Event)
 	Execute(now float64, actions []balance.Action)
 }
 
-// Router brings routes, leases and grants to the balancer, and counts attempts for the list service. Only the event loop
-// calls it, but for Woken's sender. nil: there is no section routes.
+// Router passes routes, leases and grants to the balancer, and counts attempts for the list service. Only the event
+// loop calls its methods, except signal, which the client and the timer call. It is nil if there is no section routes.
 type Router struct {
 	loop     EventLoop
 	balancer *balance.Balancer
@@ -66,22 +66,22 @@
 	classes  []balance.Class
 
 	Client  *routeclient.Client
-	wake    chan struct{} // capacity 1: the client has an update, or a sample is due
+	wake    chan struct{} // capacity 1; signals that the client has an update or that a sample is due
 	names   route.Names
-	Tenants []string // by number; empty: requests name none
+	Tenants []string // names by tenant number; empty if no tenants are configured
 
 	canaries        []canary
-	RoutedTenants   map[int]RoutedTenant // by tenant; -1: all requests
+	RoutedTenants   map[int]RoutedTenant // by tenant number; -1 applies to requests of all tenants
 	counts          map[countKey]*route.Count
-	revs            []int64 // of counts, ascending; without 0
+	revs            []int64 // revisions in counts, ascending, without 0
 	SampleTimer     *time.Timer
-	sampleSoon      bool    // something has changed since the last sample
-	sampledAt       float64 // ms
+	sampleSoon      bool    // a change since the last sample makes the next one due soon
+	sampledAt       float64 // time of the last sample, in ms
 	revokedAttempts int64
-	freeUnits       int64
+	freeUnits       int64 // sum over all canary budgets at the last sample
 }
 
-// New gives a router for the section routes of a configuration.
+// New returns a router for the section routes of a configuration.
 func New(cfg *config.Config) (*Router, error) {
 	r := &Router{
 		wake: make(chan struct{}, 1), Tenants: make([]string, len(cfg.Tenants)), counts: map[countKey]*route.Count{},
@@ -100,7 +100,7 @@
 	return r, err
 }
 
-// signal wakes the loop; it never waits.
+// signal wakes the event loop. It never blocks.
 func (r *Router) signal() {
 	select {
 	case r.wake <- struct{}{}:
@@ -108,14 +108,14 @@
 	}
 }
 
-// Attach sets the loop and the balancer that the router works for. It is called before Start.
+// Attach sets the event loop, balancer, clock and classes that the router uses. It must be called before Start.
 func (r *Router) Attach(loop EventLoop, balancer *balance.Balancer, c clock.Clock, classes []balance.Class) {
 	if r != nil {
 		r.loop, r.balancer, r.clock, r.classes = loop, balancer, c, classes
 	}
 }
 
-// Wakeups says when to call Take; nil: routing is off.
+// Wakeups returns the channel that signals when to call ApplyUpdate. It is nil if routing is off.
 func (r *Router) Wakeups() <-chan struct{} {
 	if r == nil {
 		return nil
@@ -123,7 +123,8 @@
 	return r.wake
 }
 
-// Start starts the client. Its result, called as the loop ends, returns what is idle and sends a last sample.
+// Start starts the client. The function that it returns is called when the event loop ends: it returns the idle units
+// of all budgets, sends a last sample and stops the client.
 func (r *Router) Start(run func(func())) (end func()) {
 	if r == nil {
 		return func() {}
@@ -142,7 +143,7 @@
 	}
 }
 
-// ApplyUpdate applies what the client has received, and offers it a sample that is due.
+// ApplyUpdate applies what the client has received, and offers it a sample if one is due.
 func (r *Router) ApplyUpdate(now float64) {
 	if update, fresh := r.Client.TakeUpdate(); fresh {
 		r.apply(now, update)
@@ -160,7 +161,7 @@
 	r.SampleTimer.Reset(maxSampleInterval)
 }
 
-// apply brings an update of the client to the balancer.
+// apply passes an update of the client to the balancer.
 func (r *Router) apply(now float64, update routeclient.Update) {
 	until := 0.
 	if !update.LeaseUntil.IsZero() {
@@ -178,15 +179,16 @@
 	}
 }
 
-// applyTable brings a table to the balancer. The client knows of it before an attempt that was decided on it can start.
+// applyTable passes a table to the balancer. The client is notified before the balancer's actions are executed, so it
+// knows the revision before an attempt that is based on it can start.
 func (r *Router) applyTable(now float64, t *route.Table) {
 	routes, skipped := route.Bind(t, r.names)
 	for _, text := range skipped {
-		slog.Warn("routes: a part is not acted on", "revision", t.Rev, "why", text)
+		slog.Warn("routes: part of the table was skipped", "revision", t.Rev, "why", text)
 	}
 	actions, err := r.balancer.Handle(now, routes)
 	if err != nil {
-		slog.Error("routes: the balancer rejects a table", "revision", t.Rev, "err", err)
+		slog.Error("routes: the balancer rejected the table", "revision", t.Rev, "err", err)
 		r.Client.RejectTable(t.Rev)
 		return
 	}
@@ -195,23 +197,23 @@
 	r.loop.Execute(now, actions)
 }
 
-// setCanaries takes over the canaries and routed tenants of a table that the balancer has accepted as routes. A canary that
-// has gone is kept for a while, until its budget is settled.
+// setCanaries sets the canaries and routed tenants from a table that the balancer has accepted. A removed canary is
+// kept for settleTime at least, so that the final state of its budget is reported.
 func (r *Router) setCanaries(now float64, t *route.Table, routes balance.Routes) {
 	before := r.canaries
 	r.canaries, r.RoutedTenants = nil, make(map[int]RoutedTenant, len(routes.List))
 	budgeted := map[uint64]bool{}
-	for _, one := range routes.List {
-		r.RoutedTenants[one.Tenant] = RoutedTenant{one.Classes, one.LateIsFailure}
-		budgeted[one.ID] = one.Budgeted
+	for _, bound := range routes.List {
+		r.RoutedTenants[bound.Tenant] = RoutedTenant{bound.Classes, bound.LateIsFailure}
+		budgeted[bound.ID] = bound.Budgeted
 	}
 	for i := range t.Routes {
-		from := &t.Routes[i]
-		id := route.RolloutID(from.Tenant, from.Rollout)
+		entry := &t.Routes[i]
+		id := route.RolloutID(entry.Tenant, entry.Rollout)
 		if !budgeted[id] {
 			continue
 		}
-		c := canary{id: id, tenant: from.Tenant, rollout: from.Rollout}
+		c := canary{id: id, tenant: entry.Tenant, rollout: entry.Rollout}
 		if i := indexOfCanary(before, id); i >= 0 {
 			c = before[i]
 			c.removedAt = 0
@@ -230,12 +232,12 @@
 	}
 }
 
-// indexOfCanary is the index of the canary with an ID; -1: there is none.
+// indexOfCanary returns the index of the canary with the ID, or -1 if there is none.
 func indexOfCanary(canaries []canary, id uint64) int {
 	return slices.IndexFunc(canaries, func(c canary) bool { return c.id == id })
 }
 
-// scheduleSample makes the next sample due soon.
+// scheduleSample makes the next sample due minSampleInterval after the last one.
 func (r *Router) scheduleSample(now float64) {
 	if !r.sampleSoon {
 		r.sampleSoon = true
@@ -243,28 +245,29 @@
 	}
 }
 
-// offerSample offers the client the state of this moment.
+// offerSample offers the client a sample of the current state.
 func (r *Router) offerSample(now float64) {
 	s := routeclient.Sample{ListRev: r.balancer.ListRev(), Counts: make([]route.Count, 0, len(r.counts))}
 	for _, c := range r.counts {
 		s.Counts = append(s.Counts, *c)
 	}
-	held := map[uint64]balance.CanaryBudget{}
+	budgets := map[uint64]balance.CanaryBudget{}
 	r.freeUnits = 0
 	for _, budget := range r.balancer.CanaryBudgets() {
-		held[budget.ID] = budget
+		budgets[budget.ID] = budget
 		r.freeUnits += budget.Free()
 	}
 	decay := math.Exp2(-(now - r.sampledAt) / 1e3)
 	r.canaries = slices.DeleteFunc(r.canaries, func(c canary) bool {
-		return c.removedAt > 0 && now > c.removedAt+settleTime && held[c.id].Reserved == 0
+		return c.removedAt > 0 && now > c.removedAt+settleTime && budgets[c.id].Reserved == 0
 	})
 	for i := range r.canaries {
 		c := &r.canaries[i]
-		budget := held[c.id]
+		budget := budgets[c.id]
 		missed := budget.Denied - c.denied
 		c.denied = budget.Denied
-		// Attempts that were denied within one sample were hardly in flight at once: the wanted units at most double.
+		// Attempts that were denied between two samples were not all in flight at once, so the wanted units at most
+		// double with each sample.
 		wanted := budget.Reserved + min(missed, budget.Reserved+1)
 		c.peakReserved = max(c.peakReserved*decay, float64(wanted))
 		s.NeedsUnits = s.NeedsUnits || missed > 0
@@ -280,7 +283,8 @@
 	r.Client.OfferSample(s)
 }
 
-// NewCheck gives the check of an attempt that follows a route, or is compared with those that do; nil: it needs none.
+// NewCheck returns the check of an attempt that follows a route or is compared with attempts that do. It returns nil
+// for any other attempt.
 func (r *Router) NewCheck(now float64, c *inflight.Call, action *balance.Action) *AttemptCheck {
 	if r == nil {
 		return nil
@@ -304,23 +308,24 @@
 	return check
 }
 
-// CountOutcome counts how an attempt that has a check ended. Streamed: its answer had started.
+// CountOutcome counts the outcome of an attempt that has a check. Streamed is set if a streamed response had started.
 func (r *Router) CountOutcome(now float64, check *AttemptCheck, c *inflight.Call, reply *inflight.AttemptOutcome, elapsed float64, streamed bool) {
 	r.scheduleSample(now)
 	if reply.RouteRevoked {
 		r.revokedAttempts++
 	}
 	objective := r.classes[c.Request.Class].LatencyObjective
-	// As the balancer judges it: a client that left nearly at the end of its time has waited in vain.
+	// By the balancer's rule, a client that disconnects shortly before its deadline has missed the deadline.
 	overdueAt := c.Deadline.Add(-time.Duration(float64(c.Timeout) * (1 - missedDeadlineFraction)))
 	overdue := !c.Deadline.IsZero() && now >= r.clock.Millis(overdueAt)
 	abandoned := reply.Result == balance.Cancelled && !overdue
 	late := elapsed > objective
-	// Where late answers are failures, a client that left after the objective has seen one: it cost a unit, too.
+	// If late responses are failures, a client that disconnects after the latency objective counts as one, since the
+	// attempt has used a unit as well.
 	conclusive := !abandoned || check.lateIsFailure && late && !streamed
 	neverSent := reply.Result == balance.NotSent || reply.Result == balance.LocalFailure
 	if !check.Started || neverSent || !conclusive || !check.canary && !check.comparable {
-		return // it says nothing of the server, or of what the canary is compared with
+		return // it says nothing about the server, or is not compared with the canary
 	}
 	count := r.countFor(countKey{check.countedRevision, check.tenant, check.canary})
 	count.Ended++
@@ -334,7 +339,8 @@
 	}
 }
 
-// countFor gives the count of a key. Counts of the oldest revisions are dropped for new ones.
+// countFor returns the count for a key, and creates it if needed. Counts of the oldest revisions are dropped to make
+// room.
 func (r *Router) countFor(key countKey) *route.Count {
 	c := r.counts[key]
 	if c != nil {
@@ -344,7 +350,7 @@
 	at, known := slices.BinarySearch(r.revs, key.rev)
 	if key.rev > 0 && !known {
 		if len(r.revs) == maxCountedRevisions && at == 0 {
-			return c // older than all that are counted
+			return c // older than all counted revisions, so it is not stored
 		}
 		r.revs = slices.Insert(r.revs, at, key.rev)
 		if len(r.revs) > maxCountedRevisions {
@@ -360,14 +366,14 @@
 	return c
 }
 
-// Stats are the figures of routes.
+// Stats holds the values of the metrics of routes.
 type Stats struct {
 	routeclient.Status
 	RevokedAttempts int64
-	FreeUnits       int64 // of all canary budgets
+	FreeUnits       int64 // sum over all canary budgets
 }
 
-// Stats gives the figures of routes; nil: routing is off.
+// Stats returns the values of the metrics of routes, or nil if routing is off.
 func (r *Router) Stats() *Stats {
 	if r == nil {
 		return nil
