--- a/cmd/adapter/main.go
+++ b/cmd/adapter/main.go
@@ -20,7 +20,7 @@
 	}
 }
 
-// run answers frames until the input ends.
+// run reads frames and writes a reply to each until the input ends.
 func run(in io.Reader, out io.Writer) error {
 	host := host{instances: map[uint16]*balance.Balancer{}}
 	reader := wire.NewReader(bufio.NewReaderSize(in, 1<<16))
@@ -39,13 +39,13 @@
 	}
 }
 
-// host holds the balancers of this process by instance; they share nothing.
+// host holds the balancers of this process by instance. They share no state.
 type host struct {
 	instances map[uint16]*balance.Balancer
 	reply     wire.Reply
 }
 
-// handle brings one record to its instance and adds the actions to the reply. A panic is reported as a fault.
+// handle passes a record to its instance and adds the resulting actions to the reply. A panic is reported as a fault.
 func (h *host) handle(clock float64, rec wire.Record) (err error) {
 	defer func() {
 		if p := recover(); p != nil {
@@ -56,7 +56,7 @@
 	case wire.InstanceStart:
 		cfg, err := wire.ParseSettings(ev.Seed, ev.Settings)
 		if err != nil {
-			h.instances[rec.Instance] = nil // later events of it are ignored
+			h.instances[rec.Instance] = nil // later events of the instance are ignored
 			h.reply.Fault(rec.Instance, err.Error())
 			return nil
 		}
--- a/cmd/adapter/main_test.go
+++ b/cmd/adapter/main_test.go
@@ -8,10 +8,10 @@
 	"testing"
 )
 
-// frameScript builds the frames of a test.
+// frameScript is the input of a test, built frame by frame.
 type frameScript struct{ bytes.Buffer }
 
-// frame appends a frame with these records.
+// frame appends a frame with the given clock and records.
 func (s *frameScript) frame(clock float64, records ...[]byte) {
 	size := 16
 	for _, r := range records {
@@ -37,12 +37,12 @@
 const settings = `{"classes": [{"effect": "read_like", "on_time_ms": 300, "hard_limit_ms": 1500}],
 	"limits": {"max_attempts": 3}}`
 
-// startRecord starts an instance.
+// startRecord returns a record that starts an instance.
 func startRecord(instance uint16, seed uint64, profile string) []byte {
 	return record(uint16(1070), instance, seed, uint32(len(profile)), []byte(profile))
 }
 
-// tableRecord is a table of n servers.
+// tableRecord returns a record with a table of n servers.
 func tableRecord(n int) []byte {
 	b := record(uint16(1000), uint16(0), uint32(n))
 	for i := range n {
@@ -51,12 +51,12 @@
 	return b
 }
 
-// cachedListRecord brings the table as a cached list.
+// cachedListRecord returns a record that sends the table as a cached list.
 func cachedListRecord(instance uint16) []byte {
 	return record(uint16(1040), instance, uint8(1), uint32(1), uint16(0))
 }
 
-// requestRecord brings a request.
+// requestRecord returns a record with a request.
 func requestRecord(instance uint16, id uint64) []byte {
 	return record(uint16(1010), instance, id, uint16(0), 0.0, uint16(0), uint64(0), 1500.0, uint16(0))
 }
@@ -71,7 +71,7 @@
 	return out.Bytes()
 }
 
-// countSends counts attempts by instance, in replies that hold attempts and timers only.
+// countSends counts attempts by instance, in replies that contain only attempts and timers.
 func countSends(t *testing.T, replies []byte) map[uint16]int {
 	t.Helper()
 	n := map[uint16]int{}
@@ -93,7 +93,7 @@
 	return n
 }
 
-// An instance acts the same whether it runs alone or beside others.
+// An instance returns the same actions whether it runs alone or with others in one process.
 func TestRun_instanceIsolation(t *testing.T) {
 	play := func(instances ...uint16) []byte {
 		s := &frameScript{}
@@ -116,7 +116,7 @@
 			t.Fatalf("instance %d sent %d together, %d alone", i, n, m)
 		}
 		if !bytes.Equal(actionsOf(together, i), actionsOf(apart, i)) {
-			t.Fatalf("instance %d acts differently in one process and in three", i)
+			t.Fatalf("instance %d returns other actions alone than together with two others", i)
 		}
 	}
 }
--- a/cmd/sidecar/main.go
+++ b/cmd/sidecar/main.go
@@ -1,5 +1,5 @@
-// Command sidecar is a client-side load-balancing sidecar: it takes its application's requests and
-// sends each to one of the servers that discovery names.
+// Command sidecar is a client-side load balancer that runs beside an application. It accepts the application's requests
+// and sends each to one of the servers that discovery lists.
 package main
 
 import (
@@ -21,13 +21,13 @@
 }
 
 func run() error {
-	// Unhandled these end the program, so they stay handled up to its end.
+	// By default these signals terminate the program, so their handlers stay installed until it exits.
 	reload := make(chan os.Signal, 1)
 	signal.Notify(reload, syscall.SIGHUP)
 	ctx, _ := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
 	s, err := sidecar.Open(ctx, os.Getenv)
 	if err != nil && ctx.Err() != nil {
-		slog.Info("ended before it was ready", "error", err)
+		slog.Info("stopped by a signal before the sidecar was ready", "error", err)
 		return nil
 	}
 	if err != nil {
--- a/internal/sidecar/sidecartest/backend.go
+++ b/internal/sidecar/sidecartest/backend.go
@@ -20,15 +20,15 @@
 	"marblelane/internal/sidecar/endpointlist"
 )
 
-// WaitTimeout bounds every wait of the tests; none is expected to last.
+// WaitTimeout bounds every wait of the tests. A passing test does not come close to it.
 const WaitTimeout = 10 * time.Second
 
-// Loopback is where the tests of a package listen, on a port of the system's choice. Each package has an address of its
-// own: tests of other packages run at the same time and go on calling ports that they have closed, and the system may give
-// such a port to another listener of the same address.
+// Loopback is the address on which the tests of a package listen, with a port that the system chooses. Each package has
+// an address of its own, because tests of packages run concurrently and may still call ports that they have closed. On
+// a shared address the system could assign such a port to a listener of another package.
 var Loopback = packageLoopback(filepath.Base(os.Args[0]))
 
-// packageLoopback gives an address of 127.64.0.0/16 for the test program of a package.
+// packageLoopback returns an address in 127.64.0.0/16, with port 0, for the test program of a package.
 func packageLoopback(program string) string {
 	h := fnv.New32a()
 	io.WriteString(h, program)
@@ -36,44 +36,44 @@
 	return fmt.Sprintf("127.64.%d.%d:0", sum>>8&0xff, 1+sum%254)
 }
 
-// Until waits for a state that has no event, by polling.
+// Until polls until done returns true, and fails the test after WaitTimeout.
 func Until(t *testing.T, what string, done func() bool) {
 	t.Helper()
 	for end := time.Now().Add(WaitTimeout); !done(); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
 			buf := make([]byte, 1<<16)
-			t.Fatalf("waited in vain for %s\n%s", what, buf[:runtime.Stack(buf, true)])
+			t.Fatalf("timed out waiting for %s\n%s", what, buf[:runtime.Stack(buf, true)])
 		}
 	}
 }
 
-// Receive receives a value, or fails the test after Patience.
+// Receive receives a value, and fails the test after WaitTimeout.
 func Receive[T any](t *testing.T, what string, from <-chan T) T {
 	t.Helper()
 	select {
 	case v := <-from:
 		return v
 	case <-time.After(WaitTimeout):
-		t.Fatalf("waited in vain for %s", what)
+		t.Fatalf("timed out waiting for %s", what)
 		panic("unreachable")
 	}
 }
 
-// Backend is a server that counts what reaches it and lets each test say what it does on a connection.
+// Backend is a server that counts requests and connections. Its ServeFunc defines how it responds.
 type Backend struct {
 	net.Listener
 	Target   endpointlist.Target
-	Requests atomic.Int64 // read completely
-	Conns    atomic.Int64 // accepted
+	Requests atomic.Int64 // requests read completely
+	Conns    atomic.Int64 // connections accepted
 
 	Mu   sync.Mutex // guards Open
 	Open map[net.Conn]bool
 }
 
-// ServeFunc answers one request that was read completely; false ends the connection.
+// ServeFunc responds to a request that was read completely. If it returns false the connection is closed.
 type ServeFunc func(c net.Conn, req *http.Request, body string) bool
 
-// NewBackend starts a server that answers with serve.
+// NewBackend starts a server that responds with serve.
 func NewBackend(t *testing.T, uid string, serve ServeFunc) *Backend {
 	t.Helper()
 	ln, err := net.Listen("tcp", Loopback)
@@ -122,7 +122,7 @@
 	}
 }
 
-// CloseConns closes all connections, as the end of a process does.
+// CloseConns closes all connections, as if the server's process had ended.
 func (b *Backend) CloseConns() {
 	b.Mu.Lock()
 	defer b.Mu.Unlock()
@@ -132,18 +132,18 @@
 	clear(b.Open)
 }
 
-// Ready is the entry of a server that is ready.
+// Ready returns the list entry of a server that is ready.
 func Ready(uid, addr string) endpointlist.Target {
 	return endpointlist.Target{UID: uid, Endpoint: addr, Zone: "z", Model: "k", PodGroup: 1, State: "Ready", Capacity: 1}
 }
 
-// OK answers with status 200 and a load report.
+// OK is a ServeFunc that responds with status 200 and a load report.
 func OK(c net.Conn, _ *http.Request, _ string) bool {
 	_, err := io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: 4\r\nX-Server-Load: busy=0.5,rate=7\r\n\r\ndone")
 	return err == nil
 }
 
-// Respond answers with fixed text and keeps the connection or ends it.
+// Respond returns a ServeFunc that responds with a fixed text, and then keeps or closes the connection.
 func Respond(text string, keep bool) ServeFunc {
 	return func(c net.Conn, _ *http.Request, _ string) bool {
 		_, err := io.WriteString(c, text)
@@ -151,21 +151,21 @@
 	}
 }
 
-// FakeDiscovery is discovery: a test answers each call by hand.
+// FakeDiscovery is a list service whose calls are answered by the test.
 type FakeDiscovery struct {
 	*httptest.Server
 	Calls chan DiscoveryCall
 }
 
-// DiscoveryCall is a call to discovery that waits for its answer.
+// DiscoveryCall is a call of the list service that waits for its response.
 type DiscoveryCall struct {
 	Query     string
-	Lines     chan string // closed: the answer ends
-	Fail      chan int    // a status instead of lines
-	Cancelled <-chan struct{}
+	Lines     chan string     // lines of the response; closing the channel ends the response
+	Fail      chan int        // a status to respond with instead of lines
+	Cancelled <-chan struct{} // closed when the caller has disconnected
 }
 
-// NewFakeDiscovery starts discovery.
+// NewFakeDiscovery starts a fake list service.
 func NewFakeDiscovery(t *testing.T) *FakeDiscovery {
 	r := &FakeDiscovery{Calls: make(chan DiscoveryCall, 16)}
 	r.Server = httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, req *http.Request) {
@@ -193,10 +193,10 @@
 	return r
 }
 
-// Addr is the address of discovery.
+// Addr returns the address of the list service.
 func (r *FakeDiscovery) Addr() string { return r.Listener.Addr().String() }
 
-// SendList answers with a list.
+// SendList sends a list as a line of the response.
 func (c DiscoveryCall) SendList(t *testing.T, l endpointlist.List) {
 	t.Helper()
 	data, err := json.Marshal(l)
@@ -206,12 +206,12 @@
 	c.SendLine(t, string(data))
 }
 
-// SendLine answers with one line.
+// SendLine sends one line of the response.
 func (c DiscoveryCall) SendLine(t *testing.T, text string) {
 	t.Helper()
 	select {
 	case c.Lines <- text:
 	case <-time.After(WaitTimeout):
-		t.Fatal("discovery's line is not taken")
+		t.Fatal("timed out sending a line of the list service")
 	}
 }
--- a/internal/sidecar/sidecartest/bind.go
+++ b/internal/sidecar/sidecartest/bind.go
@@ -7,8 +7,8 @@
 	"golang.org/x/sys/unix"
 )
 
-// BindAddr gives an address that is held for the test, bound and not listening, with an option set on its socket; 0:
-// none. With SO_REUSEPORT other sockets can bind it as well.
+// BindAddr returns an address that a socket without a listener keeps bound until the end of the test. A socket option
+// other than 0 is set on it; with SO_REUSEPORT other sockets can bind the address as well.
 func BindAddr(t *testing.T, option int) string {
 	t.Helper()
 	fd, err := unix.Socket(unix.AF_INET, unix.SOCK_STREAM|unix.SOCK_CLOEXEC, 0)
--- a/internal/sidecar/sidecartest/client_close.go
+++ b/internal/sidecar/sidecartest/client_close.go
@@ -7,21 +7,21 @@
 	"testing"
 )
 
-// CloseMethods are the ways in which a client leaves.
+// CloseMethods are the ways in which a client ends its connection, by name.
 var CloseMethods = map[string]func(*net.TCPConn){
 	"close":      func(c *net.TCPConn) { c.Close() },
 	"half-close": func(c *net.TCPConn) { _ = c.CloseWrite() },
 	"reset":      func(c *net.TCPConn) { _ = c.SetLinger(0); c.Close() },
 }
 
-// Barrier blocks all goroutines that pass it until it is released.
+// Barrier blocks all goroutines that call Pass until it is released.
 type Barrier struct {
 	waiting atomic.Int64
 	open    chan struct{}
 	once    sync.Once
 }
 
-// NewBarrier gives a barrier that blocks.
+// NewBarrier returns a barrier that is not released.
 func NewBarrier() *Barrier { return &Barrier{open: make(chan struct{})} }
 
 // Pass waits for Release.
@@ -30,11 +30,11 @@
 	<-g.open
 }
 
-// Release opens the barrier for good.
+// Release releases the barrier permanently. It may be called several times.
 func (g *Barrier) Release() { g.once.Do(func() { close(g.open) }) }
 
-// WaitFor returns once n goroutines have come to the barrier.
+// WaitFor waits until Pass has been called at least n times.
 func (g *Barrier) WaitFor(t *testing.T, n int64) {
 	t.Helper()
-	Until(t, "the barrier to be reached", func() bool { return g.waiting.Load() >= n })
+	Until(t, "goroutines to reach the barrier", func() bool { return g.waiting.Load() >= n })
 }
--- a/internal/sidecar/sidecartest/doc.go
+++ b/internal/sidecar/sidecartest/doc.go
@@ -1,2 +1,2 @@
-// Package sidecartest has stand-ins for servers and discovery, and connections that fail, for the tests of the sidecar.
+// Package sidecartest provides fake servers, a fake list service and failing connections for the tests of the sidecar.
 package sidecartest
--- a/internal/sidecar/sidecartest/drained_discovery.go
+++ b/internal/sidecar/sidecartest/drained_discovery.go
@@ -7,7 +7,8 @@
 	"marblelane/internal/sidecar/endpointlist"
 )
 
-// NewDrainedDiscovery is a registry that is called more often than a test looks: what is left of the calls is taken at its end.
+// NewDrainedDiscovery starts a fake list service that may get more calls than the test receives. Calls that are left
+// are received when the test ends, so that their handlers return.
 func NewDrainedDiscovery(t *testing.T) *FakeDiscovery {
 	done := make(chan struct{})
 	t.Cleanup(func() { close(done) })
@@ -26,7 +27,7 @@
 	return r
 }
 
-// RespondToAll answers each further call with a list, and leaves it open.
+// RespondToAll answers each further call with a list, and keeps the response open.
 func RespondToAll(t *testing.T, r *FakeDiscovery, l endpointlist.List) {
 	text, err := json.Marshal(l)
 	if err != nil {
--- a/internal/sidecar/sidecartest/errno.go
+++ b/internal/sidecar/sidecartest/errno.go
@@ -11,19 +11,20 @@
 	"marblelane/internal/sidecar/inflight"
 )
 
-// OpError is the failure of a system call as package net gives it.
+// OpError returns the error of a system call in the form that package net returns it.
 func OpError(call string, errno syscall.Errno) error {
 	return &net.OpError{Op: call, Net: "tcp", Err: os.NewSyscallError(call, errno)}
 }
 
-// FaultyConn fails reads and writes as a test says; a nil function fails none.
+// FaultyConn is a connection whose reads and writes fail with the errors of its functions. A nil function injects no
+// errors.
 type FaultyConn struct {
 	*net.TCPConn
 	FailRead, failWrite func() error
-	ByteAtATime         bool // the system takes and gives one byte with each call
+	ByteAtATime         bool // each read returns at most one byte
 }
 
-// Read reads, or fails as the test says.
+// Read reads from the connection, or returns the injected error.
 func (c *FaultyConn) Read(p []byte) (int, error) {
 	if c.FailRead != nil {
 		if err := c.FailRead(); err != nil {
@@ -36,7 +37,7 @@
 	return c.TCPConn.Read(p)
 }
 
-// Write writes, or fails as the test says.
+// Write writes to the connection, or returns the injected error.
 func (c *FaultyConn) Write(p []byte) (int, error) {
 	if c.failWrite != nil {
 		if err := c.failWrite(); err != nil {
@@ -46,7 +47,8 @@
 	return c.TCPConn.Write(p)
 }
 
-// FailTimes fails with an error so many times, and then not any more.
+// FailTimes returns a function that returns the error in its first n calls and nil afterwards. It is safe for
+// concurrent use.
 func FailTimes(n int32, err error) func() error {
 	var left atomic.Int32
 	left.Store(n)
@@ -61,12 +63,13 @@
 // DialFunc opens a connection, as net.Dialer.DialContext does.
 type DialFunc = func(ctx context.Context, network, addr string) (net.Conn, error)
 
-// dialWrapper is a pool whose dialing a test can change.
+// dialWrapper is a connection pool whose dial function a test can wrap.
 type dialWrapper interface {
 	WrapDial(wrap func(DialFunc) DialFunc)
 }
 
-// InjectDialFaults makes the dialer of a pool fail as a test says, and gives connections that fail so.
+// InjectDialFaults makes the dial function of a pool fail with the errors of failDial. Connections that it opens fail
+// like conn.
 func InjectDialFaults(p dialWrapper, failDial func() error, conn FaultyConn) {
 	p.WrapDial(func(dial DialFunc) DialFunc {
 		return func(ctx context.Context, network, addr string) (net.Conn, error) {
@@ -84,22 +87,22 @@
 	})
 }
 
-// Succeed is for a call that does not fail.
+// Succeed injects no error.
 func Succeed() error { return nil }
 
-// Unlimited is more failures than any test waits for.
+// Unlimited is a number of failures that no test exhausts.
 const Unlimited = 1 << 30
 
-// ErrnoCase says what is made of the failure of a system call on the way to a server.
+// ErrnoCase is a system call that fails while a request is sent to a server, with the expected result.
 type ErrnoCase struct {
 	Call   string
 	Errno  syscall.Errno
-	Result balance.Result // for the server
-	Status int            // of the answer to the client, where the call fails once and there is no other server
+	Result balance.Result // of the attempt, as reported to the balancer
+	Status int            // of the response to the client, if the call fails once and there is no other server
 }
 
-// ErrnoCases are the errors that socket(2), connect(2) and send(2) list for Linux, with those of a local filter, of
-// epoll_ctl(2) and of the network. Each fails before the last byte of a request was written.
+// ErrnoCases returns the errors that socket(2), connect(2) and send(2) document for Linux, with those of a local packet
+// filter, of epoll_ctl(2) and of the network. Each occurs before the last byte of a request was written.
 func ErrnoCases() []ErrnoCase {
 	var cases []ErrnoCase
 	add := func(call string, result balance.Result, status int, errnos ...syscall.Errno) {
@@ -107,7 +110,7 @@
 			cases = append(cases, ErrnoCase{call, errno, result, status})
 		}
 	}
-	// Failures of this machine: no attempt is used up, and the request goes on in time.
+	// Failures of this machine: they use up no attempt, and the request is completed in time.
 	add("socket", balance.LocalFailure, 200,
 		syscall.EACCES, syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM, syscall.EPERM)
 	add("connect", balance.LocalFailure, 200,
@@ -117,7 +120,7 @@
 	add("write", balance.LocalFailure, 200,
 		syscall.EACCES, syscall.EPERM, syscall.EAGAIN, syscall.EINTR, syscall.ENOBUFS, syscall.ENOMEM,
 		syscall.ENETUNREACH, syscall.ENETDOWN)
-	// Failures of the server, or mistakes of this program or its settings.
+	// Failures of the server, or errors in this program or its settings.
 	add("socket", balance.ConnectFailed, inflight.StatusRejected,
 		syscall.EAFNOSUPPORT, syscall.EINVAL, syscall.EPROTONOSUPPORT)
 	add("connect", balance.ConnectFailed, inflight.StatusRejected,
@@ -132,7 +135,7 @@
 	return cases
 }
 
-// Inject makes the pool's calls fail as the case says, so many times.
+// Inject makes the call of the case fail in the pool for the given number of times.
 func (c *ErrnoCase) Inject(p dialWrapper, times int32) {
 	fail := FailTimes(times, OpError(c.Call, c.Errno))
 	if c.Call == "write" {
@@ -142,7 +145,7 @@
 	InjectDialFaults(p, fail, FaultyConn{})
 }
 
-// FailNth fails the nth call, counted from 1, and no other.
+// FailNth returns a function that returns the error in its nth call, counted from 1, and nil in all others.
 func FailNth(n int32, err error) func() error {
 	var calls atomic.Int32
 	return func() error {
--- a/internal/sidecar/sidecartest/failure_counter.go
+++ b/internal/sidecar/sidecartest/failure_counter.go
@@ -5,13 +5,13 @@
 	"sync/atomic"
 )
 
-// FailureCounter counts the accepts that fail.
+// FailureCounter is a listener that counts failed calls of Accept.
 type FailureCounter struct {
 	net.Listener
 	Failures *atomic.Int64
 }
 
-// Accept accepts, and counts a failure.
+// Accept accepts a connection, and counts a failure.
 func (c FailureCounter) Accept() (net.Conn, error) {
 	conn, err := c.Listener.Accept()
 	if err != nil {
--- a/internal/sidecar/sidecartest/raw_backend.go
+++ b/internal/sidecar/sidecartest/raw_backend.go
@@ -10,7 +10,7 @@
 	"marblelane/internal/sidecar/endpointlist"
 )
 
-// PatternBody is a body of n bytes, no part of which is like another.
+// PatternBody returns a body of n pseudorandom bytes, so that a missing, repeated or swapped part is detected.
 func PatternBody(n int) []byte {
 	b := make([]byte, n)
 	x := uint32(n)
@@ -21,7 +21,7 @@
 	return b
 }
 
-// RawBackend is a server that hands each connection to serve.
+// RawBackend starts a server that calls serve for each connection, and returns its list entry.
 func RawBackend(t *testing.T, uid string, serve func(c net.Conn, in *bufio.Reader)) endpointlist.Target {
 	t.Helper()
 	l, err := net.Listen("tcp", Loopback)
@@ -49,8 +49,8 @@
 	return Ready(uid, l.Addr().String())
 }
 
-// ZeroReader is a reader of zero bytes without end.
+// ZeroReader is a body without an end. It leaves the buffer unchanged, which holds zeros if it is new.
 type ZeroReader struct{}
 
-// Read is part of io.Reader.
+// Read implements io.Reader.
 func (ZeroReader) Read(p []byte) (int, error) { return len(p), nil }
--- a/internal/sidecar/sidecartest/raw_discovery.go
+++ b/internal/sidecar/sidecartest/raw_discovery.go
@@ -8,10 +8,10 @@
 	"testing"
 )
 
-// RawDiscovery is discovery whose connections a test serves by hand.
+// RawDiscovery is a list service whose connections are served by the test.
 type RawDiscovery struct{ Conns chan net.Conn }
 
-// NewRawDiscovery starts an agent and gives its address.
+// NewRawDiscovery starts a list service and returns it with its address.
 func NewRawDiscovery(t *testing.T) (*RawDiscovery, string) {
 	ln, err := net.Listen("tcp", Loopback)
 	if err != nil {
@@ -39,10 +39,10 @@
 	return a, ln.Addr().String()
 }
 
-// NextCall gives the next call, its head read.
+// NextCall returns the connection of the next call, after reading the head of the request.
 func (a *RawDiscovery) NextCall(t *testing.T) net.Conn {
 	t.Helper()
-	c := Receive(t, "a call", a.Conns)
+	c := Receive(t, "a call of the list service", a.Conns)
 	t.Cleanup(func() { c.Close() })
 	if _, err := http.ReadRequest(bufio.NewReader(c)); err != nil {
 		t.Fatal(err)
@@ -50,5 +50,5 @@
 	return c
 }
 
-// WatchHead is the head of the answer to a watch.
+// WatchHead is the head of the response to a watch.
 const WatchHead = "HTTP/1.1 200 OK\r\nContent-Type: application/json\r\n\r\n"
--- a/internal/sidecar/sidecartest/resource_errnos.go
+++ b/internal/sidecar/sidecartest/resource_errnos.go
@@ -6,7 +6,8 @@
 	"golang.org/x/sys/unix"
 )
 
-// FailFirst gives an error so often, and then none.
+// FailFirst returns a function that returns the error in its first calls and nil afterwards. It is not safe for
+// concurrent use.
 func FailFirst(times int, err error) func() error {
 	return func() error {
 		if times == 0 {
@@ -17,5 +18,5 @@
 	}
 }
 
-// ResourceErrnos are of calls that the system is short of resources for, or that a signal has interrupted.
+// ResourceErrnos are the errors of calls for which the system lacks resources, or that a signal has interrupted.
 var ResourceErrnos = []syscall.Errno{unix.EINTR, unix.EAGAIN, unix.ENOBUFS, unix.ENOMEM}
--- a/internal/sidecar/sidecartest/shutdown_times.go
+++ b/internal/sidecar/sidecartest/shutdown_times.go
@@ -6,22 +6,22 @@
 	"time"
 )
 
-// Times and rounds of shutdowns under test.
+// Times and limits of the shutdown tests.
 const (
-	StallTime      = 150 * time.Millisecond // for which a process may be held up
-	NewClientsTime = 400 * time.Millisecond // after SIGTERM
-	MaxMachineLag  = 20 * time.Millisecond  // for which this process had no processor: that is a second hold
-	MaxRounds      = 6                      // of a shutdown on a machine that is late
+	StallTime      = 150 * time.Millisecond // time for which a process is stalled at a checkpoint
+	NewClientsTime = 400 * time.Millisecond // time after SIGTERM in which new clients connect
+	MaxMachineLag  = 20 * time.Millisecond  // a longer lag of the test process counts as a second stall
+	MaxRounds      = 6                      // attempts at a shutdown test while the machine lags
 )
 
 // What a client has sent when its sidecar is terminated.
 const (
-	IdleConn    = "resting"
+	IdleConn    = "idle"
 	PartialHead = "partial head"
 	PartialBody = "partial body"
 )
 
-// TrackLag records by how many ns this process's timers were late at the most, until ended.
+// TrackLag records the largest delay of this process's timers in ns, until ended returns true.
 func TrackLag(maxLag *atomic.Int64, ended func() bool) {
 	const step = 2 * time.Millisecond
 	for last := time.Now(); !ended(); {
@@ -32,7 +32,8 @@
 	}
 }
 
-// MachineLag gives by how much this process's timers were late since the call: no time limit can be checked closer.
+// MachineLag returns a function that returns the largest delay of this process's timers since the call. Time limits
+// cannot be checked more precisely than this.
 func MachineLag(t *testing.T) func() time.Duration {
 	t.Helper()
 	maxLag := new(atomic.Int64)
--- a/internal/wire/decode.go
+++ b/internal/wire/decode.go
@@ -1,5 +1,5 @@
-// Package wire translates the simulator's binary frames and settings to the types of package balance and back. It
-// takes no decisions.
+// Package wire converts the simulator's binary frames and settings to the types of package balance, and actions back to
+// frames. It makes no decisions of its own.
 package wire
 
 import (
@@ -29,9 +29,9 @@
 )
 
 const (
-	headerSize   = 16      // bytes of a frame header
-	entrySize    = 23      // bytes of a server in a table
-	maxFrameSize = 1 << 28 // far above any batch of the simulator
+	headerSize   = 16      // size of a frame header in bytes
+	entrySize    = 23      // size of a server in a table in bytes
+	maxFrameSize = 1 << 28 // in bytes, far above any frame of the simulator
 	maxTables    = 16
 )
 
@@ -47,7 +47,7 @@
 	Settings []byte
 }
 
-// InstanceStop says that an instance was killed.
+// InstanceStop reports that an instance was killed.
 type InstanceStop struct{}
 
 // Record is one event for one instance: an InstanceStart, an InstanceStop or a balance.Event.
@@ -56,7 +56,7 @@
 	Event    any
 }
 
-// Reader reads frames. The server tables of a frame stay valid for later frames.
+// Reader reads frames. A server table stays valid for later frames until it is replaced.
 type Reader struct {
 	in        io.Reader
 	buf       bytes.Buffer
@@ -68,9 +68,8 @@
 // NewReader returns a reader of the frames of in, which should be buffered.
 func NewReader(in io.Reader) *Reader { return &Reader{in: in} }
 
-// Read hands the events of the next frame to handle, in order, with the frame's clock.
-// It returns io.EOF at an end of input between frames. Slices in events are valid
-// during the call only.
+// Read calls handle for each event of the next frame, in order, with the frame's clock. It returns io.EOF if the input
+// ends between frames. Slices in events are valid only during the call.
 func (r *Reader) Read(handle func(clock float64, rec Record) error) error {
 	var head [headerSize]byte
 	if _, err := io.ReadFull(r.in, head[:]); err != nil {
@@ -89,7 +88,7 @@
 		return fmt.Errorf("frame clock is %v", clock)
 	}
 	r.buf.Reset()
-	// The buffer grows with what arrives, not with what the header claims.
+	// The buffer grows with the bytes received, so that a wrong length in the header does not allocate memory.
 	if n, err := io.CopyN(&r.buf, r.in, int64(size-headerSize)); err != nil {
 		return fmt.Errorf("frame of %d bytes cut short after %d: %w", size, n+headerSize, err)
 	}
@@ -113,7 +112,7 @@
 	return nil
 }
 
-// readRecord reads the next record. A server table has no event.
+// readRecord reads the next record. The event is nil for a server table.
 func (r *Reader) readRecord(f *fieldReader) (Record, error) {
 	code, first := f.u16(), f.u16()
 	if f.truncated {
@@ -217,7 +216,7 @@
 	return ev, nil
 }
 
-// readRequest reads a request of the application.
+// readRequest reads a request event.
 func readRequest(f *fieldReader) balance.Request {
 	ev := balance.Request{ID: balance.RequestID(f.u64()), Tenant: int(f.u16())}
 	hint, bits := f.f64(), f.u16()
@@ -230,7 +229,7 @@
 	return ev
 }
 
-// readOutcome reads the end of an attempt.
+// readOutcome reads the outcome of an attempt.
 func (r *Reader) readOutcome(f *fieldReader) (any, error) {
 	ev := balance.Outcome{Request: balance.RequestID(f.u64()), Attempt: int(f.u8()), Server: f.server()}
 	code := f.u16()
@@ -241,7 +240,7 @@
 	return ev, err
 }
 
-// readHealthCheckResult reads the answer to a health check.
+// readHealthCheckResult reads the result of a health check.
 func (r *Reader) readHealthCheckResult(f *fieldReader) (any, error) {
 	ev := balance.HealthCheckResult{Elapsed: f.f64()}
 	code := f.u16()
@@ -251,7 +250,7 @@
 	return ev, err
 }
 
-// readResult translates a result code.
+// readResult converts a result code.
 func readResult(code uint16, f *fieldReader) (balance.Result, error) {
 	res, ok := resultsByCode[code]
 	if !ok && !f.truncated {
@@ -260,7 +259,7 @@
 	return res, nil
 }
 
-// readReport reads a load report. The slice is reused by the next one.
+// readReport reads a load report. The next call reuses the slice.
 func (r *Reader) readReport(f *fieldReader) []float32 {
 	r.report = r.report[:0]
 	for n := f.u8(); n > 0; n-- {
@@ -269,7 +268,7 @@
 	return r.report
 }
 
-// errTruncated is the error of a record that runs past the end of its frame.
+// errTruncated is returned for a record that extends past the end of its frame.
 var errTruncated = errors.New("record runs past the end of the frame")
 
 // fieldReader reads fields from a frame. A read past the end sets truncated and returns zero.
@@ -317,7 +316,7 @@
 	return 0
 }
 
-// f64 reads a number; one that is not finite counts as absent.
+// f64 reads a number. It returns 0, which means absent, for a number that is not finite.
 func (f *fieldReader) f64() float64 {
 	v := math.Float64frombits(f.u64())
 	if math.IsNaN(v) || math.IsInf(v, 0) {
@@ -326,7 +325,7 @@
 	return v
 }
 
-// f32 reads a number; one that is not finite counts as absent.
+// f32 reads a number. It returns 0, which means absent, for a number that is not finite.
 func (f *fieldReader) f32() float32 {
 	v := math.Float32frombits(f.u32())
 	if v != v || math.IsInf(float64(v), 0) {
@@ -335,7 +334,7 @@
 	return v
 }
 
-// server reads four bytes of address and a port, which make up an ID.
+// server reads a server ID, which consists of a four-byte address and a port.
 func (f *fieldReader) server() balance.ServerID {
 	host := f.u32()
 	return balance.ServerID(uint64(host)<<16 | uint64(f.u16()))
--- a/internal/wire/encode.go
+++ b/internal/wire/encode.go
@@ -27,7 +27,7 @@
 	replyHeaderSize = 4
 )
 
-// Reply collects the actions that answer one frame.
+// Reply collects the actions for one frame.
 type Reply struct{ buf []byte }
 
 // Reset empties the reply.
@@ -101,7 +101,7 @@
 	}
 }
 
-// head appends the head of a record.
+// head appends the header of a record.
 func (r *Reply) head(code, instance uint16) {
 	r.buf = binary.BigEndian.AppendUint16(r.buf, code)
 	r.buf = binary.BigEndian.AppendUint16(r.buf, instance)
@@ -110,13 +110,13 @@
 func (r *Reply) u64(v uint64)  { r.buf = binary.BigEndian.AppendUint64(r.buf, v) }
 func (r *Reply) f64(v float64) { r.u64(math.Float64bits(v)) }
 
-// server appends an ID as four bytes of address and a port.
+// server appends a server ID as a four-byte address and a port.
 func (r *Reply) server(id balance.ServerID) {
 	r.buf = binary.BigEndian.AppendUint32(r.buf, uint32(id>>16))
 	r.buf = binary.BigEndian.AppendUint16(r.buf, uint16(id))
 }
 
-// text appends a text with its length, cut to maxTextSize.
+// text appends a text with its length, truncated to maxTextSize.
 func (r *Reply) text(b []byte) {
 	if len(b) > maxTextSize {
 		b = b[:maxTextSize]
--- a/internal/wire/settings.go
+++ b/internal/wire/settings.go
@@ -9,7 +9,7 @@
 	"marblelane/balance"
 )
 
-// settings is the JSON form of the profile. Other keys are skipped.
+// settings is the JSON form of a profile. Unknown keys are ignored.
 type settings struct {
 	Classes []struct {
 		Idempotency      string   `json:"effect"`
@@ -55,7 +55,7 @@
 		OverloadTime      float64  `json:"fall_ms"`
 		OverloadMultiple  float64  `json:"fall_multiple"`
 	} `json:"rules"`
-	Goal struct { // fields in the order of balance.Goal, to which it converts; Prices likewise
+	Goal struct { // converted to balance.Goal, so the fields have the same order; likewise Prices
 		Overall     float64 `json:"whole"`
 		WorstWindow float64 `json:"worst_window"`
 		WorstClass  float64 `json:"worst_class"`
@@ -71,29 +71,29 @@
 	} `json:"penalties"`
 }
 
-// idempotencyByWord maps the words of a class's key effect.
+// idempotencyByWord maps the values of the key effect of a class.
 var idempotencyByWord = map[string]balance.Idempotency{
 	"read_like": balance.Idempotent, "idempotency_key": balance.IdempotentWithKey, "non_idempotent": balance.NonIdempotent,
 }
 
-// keyScopeByWord maps the words of a class's key group.
+// keyScopeByWord maps the values of the key group of a class.
 var keyScopeByWord = map[string]balance.KeyScope{
 	"": balance.KeyScopeAll, "all": balance.KeyScopeAll, "zone": balance.KeyScopeZone, "cell": balance.KeyScopeCell,
 }
 
-// reportSourceByWord maps the words of report.via.
+// reportSourceByWord maps the values of the key report.via.
 var reportSourceByWord = map[string]balance.ReportSource{
 	"": balance.ReportNone, "silent": balance.ReportNone,
 	"piggyback": balance.ReportPiggyback, "pull": balance.ReportHealthCheck,
 }
 
-// fieldByWord maps the words of report.fields; others are fields that balance does not know.
+// fieldByWord maps the values of the key report.fields. Other values become balance.FieldUnknown.
 var fieldByWord = map[string]balance.Field{
 	"rif": balance.FieldInFlight, "q": balance.FieldQueue, "busy": balance.FieldUtil,
 	"lat_ms": balance.FieldLatency, "rate": balance.FieldRate, "fail_rate": balance.FieldErrorRate,
 }
 
-// ParseSettings turns the profile of an InstanceStart into a Config.
+// ParseSettings converts the profile of an InstanceStart to a Config.
 func ParseSettings(seed uint64, profile []byte) (balance.Config, error) {
 	var s settings
 	if err := json.Unmarshal(profile, &s); err != nil {
@@ -145,7 +145,7 @@
 	return cfg, s.addClasses(&cfg)
 }
 
-// checkNumbers returns an error for the first number that is negative.
+// checkNumbers returns an error for the first negative number.
 func (s *settings) checkNumbers(cfg *balance.Config) error {
 	for _, number := range []struct {
 		key   string
@@ -170,7 +170,7 @@
 	return nil
 }
 
-// addClasses translates the request classes.
+// addClasses converts the request classes.
 func (s *settings) addClasses(cfg *balance.Config) error {
 	if len(s.Classes) == 0 {
 		return fmt.Errorf("settings: no classes")
@@ -209,10 +209,10 @@
 	return nil
 }
 
-// negativeError names the key of a negative number.
+// negativeError returns the error for a negative number, with its key.
 func negativeError(key string, v float64) error { return fmt.Errorf("settings: %s is %v", key, v) }
 
-// LocateJSONError adds to an error of encoding/json where in the text it is: the key, or the byte if there is no key.
+// LocateJSONError adds the position to an error of encoding/json: the key, or the byte offset if there is no key.
 func LocateJSONError(err error) error {
 	var mistyped *json.UnmarshalTypeError
 	var syntax *json.SyntaxError
@@ -225,10 +225,10 @@
 	return err
 }
 
-// valueOr returns the value, or otherwise if its key is left out.
-func valueOr[T any](v *T, otherwise T) T {
+// valueOr returns the value, or the default if the key is missing.
+func valueOr[T any](v *T, defaultValue T) T {
 	if v == nil {
-		return otherwise
+		return defaultValue
 	}
 	return *v
 }
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -54,7 +54,7 @@
 		0442 0003 0002978f5d3a91c4 00 0a124a07 232b 0000 4032800000000000 01 00`
 )
 
-// The examples of the protocol are decoded as it says.
+// The examples of the protocol are decoded to the events that it describes.
 func TestReader_protocolExamples(t *testing.T) {
 	in := decodeHex(t, emptyFrame+eventsFrame+listFrame+endedFrame)
 	recs, clock, err := readAll(NewReader(bytes.NewReader(in)))
@@ -73,7 +73,7 @@
 		t.Errorf("timer: %+v", ev)
 	}
 	if ev := recs[2].Event; ev != any(balance.ClientDisconnected{Request: 0xb677a0e6f2b19}) || recs[2].Instance != 5 {
-		t.Errorf("client gone: %+v", recs[2])
+		t.Errorf("client disconnected: %+v", recs[2])
 	}
 	list := recs[3].Event.(balance.ServerList)
 	if list.Kind != balance.ListCached || len(list.Servers) != 2 {
@@ -140,7 +140,7 @@
 	}
 }
 
-// Settings are translated with their defaults, and an invalid one is an error that names its key.
+// Settings are converted with their defaults, and an invalid one is an error that contains its key.
 func TestParseSettings(t *testing.T) {
 	cfg, err := ParseSettings(9, []byte(`{"classes": [
 		{"effect": "read_like", "on_time_ms": 300, "hard_limit_ms": 1500, "worth": 2, "late_worth": 0.3},
@@ -178,7 +178,7 @@
 		"rules.cold_ms":       `"rules": {"cold_ms": -1}}`,
 		"limits.max_attempts": `"limits": {"max_attempts": -2}}`,
 		"penalties.probe":     `"penalties": {"probe": -0.1}}`,
-		"rules.fall_ms":       `"rules": {"fall_ms": 1e999}}`, // JSON holds no infinity: too large a number
+		"rules.fall_ms":       `"rules": {"fall_ms": 1e999}}`, // JSON has no infinity, so a number out of range is used
 	} {
 		if _, err := ParseSettings(1, []byte(class+rest)); err == nil || !strings.Contains(err.Error(), key) {
 			t.Errorf("%s: error %v", key, err)
