--- a/cmd/sidecar/drain_test.go
+++ b/cmd/sidecar/drain_test.go
@@ -22,29 +22,29 @@
 	"marblelane/internal/sidecar/sidecartest"
 )
 
-// These tests check the table of docs/on-call.md: what a process does from SIGTERM to its end.
+// These tests check the table of docs/on-call.md, which defines what a process does between SIGTERM and its exit.
 
 const (
-	deadline     = 400 * time.Millisecond // of all classes of the settings
+	deadline     = 400 * time.Millisecond // deadline of all classes in the settings
 	killAt       = deadline + 700*time.Millisecond
-	finalMargin  = 250 * time.Millisecond // from the end of service to the earliest SIGKILL
+	finalMargin  = 250 * time.Millisecond // time between the end of service and the earliest SIGKILL
 	serviceEndAt = killAt - finalMargin
 	stayOpen     = 500 * time.Millisecond
-	waitTimeout  = 20 * time.Second // bounds every wait; none is expected to last
+	waitTimeout  = 20 * time.Second // bounds every wait; a passing test does not come close to it
 
-	heldBody     = 1000    // bytes of a body that is held
-	streamedBody = 2 << 20 // of a body that is forwarded as it comes
-	longBody     = 200_000 // of an answer that is forwarded as it comes
+	heldBody     = 1000    // size in bytes of a request body that the sidecar buffers
+	streamedBody = 2 << 20 // size in bytes of a request body that the sidecar streams
+	longBody     = 200_000 // size in bytes of a response body that the sidecar streams
 )
 
-// standInServer answers, by the query of the request, at once, in two parts, or never.
+// standInServer is a server that responds at once, in two parts, or never, depending on the query of the request.
 type standInServer struct {
 	*httptest.Server
-	received       chan string   // the IDs of requests whose head was read
-	sendSecondPart chan struct{} // closed: second parts are sent
+	received       chan string   // IDs of requests whose head was read
+	sendSecondPart chan struct{} // closed to send the second part of responses
 
 	mu        sync.Mutex
-	completed map[string]int // requests that were read completely, by ID
+	completed map[string]int // number of requests that were read completely, by ID
 }
 
 func newStandInServer(t *testing.T) *standInServer {
@@ -91,7 +91,7 @@
 	select {
 	case <-s.received:
 	case <-time.After(waitTimeout):
-		t.Fatal("no request came")
+		t.Fatal("the server received no request")
 	}
 }
 
@@ -109,7 +109,7 @@
 	log       <-chan string // lines of its log
 	server    *standInServer
 	sigtermAt time.Time
-	lag       atomic.Int64 // by how many ns a timer of the test was late at most since SIGTERM
+	lag       atomic.Int64 // largest delay of the test's timers since SIGTERM, in ns
 }
 
 type conf map[string]any
@@ -125,14 +125,15 @@
 	}
 }
 
-// launch starts a sidecar that knows one server of its own, and waits until it is ready.
+// launch starts a sidecar whose list contains one server, which is started as well, and waits until the sidecar is
+// ready.
 func launch(t *testing.T, changes conf) *process {
 	t.Helper()
 	p, _ := launchWithLine(t, changes)
 	return p
 }
 
-// launchWithLine also gives the log line that says that it is ready.
+// launchWithLine is launch that also returns the log line "ready".
 func launchWithLine(t *testing.T, changes conf) (p *process, ready string) {
 	t.Helper()
 	s := newStandInServer(t)
@@ -160,7 +161,7 @@
 	return p, ready
 }
 
-// awaitLine waits for a line of the log.
+// awaitLine waits for a line of the log that contains a text.
 func (p *process) awaitLine(with string) string {
 	p.t.Helper()
 	var seen []string
@@ -175,7 +176,7 @@
 			}
 		case <-limit:
 		}
-		p.t.Fatalf("no line with %q, but %q", with, seen)
+		p.t.Fatalf("no log line contains %q, got %q", with, seen)
 	}
 }
 
@@ -187,7 +188,7 @@
 	p.awaitLine("draining")
 }
 
-// followLag measures how late timers are: no time limit can be checked closer.
+// followLag measures the delay of timers. Time limits cannot be checked more precisely than this.
 func (p *process) followLag() {
 	const step = 2 * time.Millisecond
 	for last := time.Now(); p.t.Context().Err() == nil; {
@@ -198,7 +199,7 @@
 	}
 }
 
-// expectNotBefore checks that what has just happened was not too early after SIGTERM.
+// expectNotBefore checks that an event which has just happened was not earlier than d after SIGTERM.
 func (p *process) expectNotBefore(d time.Duration, what string) {
 	p.t.Helper()
 	if after := time.Since(p.sigtermAt); after < d {
@@ -206,16 +207,16 @@
 	}
 }
 
-// expectBetween checks that what has just happened was in time after SIGTERM.
+// expectBetween checks that an event which has just happened was between from and to after SIGTERM.
 func (p *process) expectBetween(from, to time.Duration, what string) {
 	p.t.Helper()
 	p.expectNotBefore(from, what)
 	if after, lag := time.Since(p.sigtermAt), time.Duration(p.lag.Load()); after > to+lag {
-		p.t.Errorf("%s after %v, want at most %v, with timers at most %v late", what, after, to, lag)
+		p.t.Errorf("%s after %v, want at most %v; timers were up to %v late", what, after, to, lag)
 	}
 }
 
-// awaitRejectedConnections waits until new connections are rejected.
+// awaitRejectedConnections waits until new connections are refused.
 func (p *process) awaitRejectedConnections() {
 	p.t.Helper()
 	for limit := time.Now().Add(waitTimeout); time.Now().Before(limit); time.Sleep(time.Millisecond) {
@@ -228,18 +229,18 @@
 	p.t.Fatal("new connections are still accepted")
 }
 
-// awaitEnd waits for the process's end.
+// awaitEnd waits until the process has drained and exited with status 0.
 func (p *process) awaitEnd() {
 	p.t.Helper()
 	p.awaitLine("drained")
 	for range p.log {
 	}
 	if err := p.cmd.Wait(); err != nil {
-		p.t.Errorf("ended with %v", err)
+		p.t.Errorf("the sidecar exited with %v", err)
 	}
 }
 
-// client is one connection of a client.
+// client is a connection to the sidecar.
 type client struct {
 	*net.TCPConn
 	t  *testing.T
@@ -259,7 +260,7 @@
 
 var ids atomic.Int64
 
-// request is the text of a request. Its timeout is longer than all waits of these tests.
+// request returns the ID and the text of a request. Its timeout is longer than all waits of these tests.
 func request(class, query string, body int) (id, text string) {
 	method := "GET"
 	if class == "unsafe" {
@@ -277,7 +278,7 @@
 	}
 }
 
-// request sends a request without waiting for its answer.
+// request sends a request without waiting for the response.
 func (c *client) request(class, query string) (id string) {
 	c.t.Helper()
 	id, text := request(class, query, 0)
@@ -285,36 +286,36 @@
 	return id
 }
 
-// expectResponse reads a complete answer; last: it has to end the connection.
+// expectResponse reads a complete response. If last is set, the response has to close the connection.
 func (c *client) expectResponse(status int, last bool) []byte {
 	c.t.Helper()
 	resp, err := http.ReadResponse(c.in, nil)
 	if err != nil {
-		c.t.Errorf("no answer but %v, want %d", err, status)
+		c.t.Errorf("reading the response: %v, want status %d", err, status)
 		return nil
 	}
 	body, err := io.ReadAll(resp.Body)
 	if err != nil || resp.StatusCode != status {
-		c.t.Errorf("%d with %d bytes, %v, want %d", resp.StatusCode, len(body), err, status)
+		c.t.Errorf("status %d with a body of %d bytes and error %v, want status %d", resp.StatusCode, len(body), err, status)
 	}
 	if last {
 		if !resp.Close {
-			c.t.Error("the answer does not say that it ends the connection")
+			c.t.Error("the response has no Connection: close")
 		}
 		c.expectEnd()
 	}
 	return body
 }
 
-// expectEnd waits for the orderly end of the connection, with nothing before it.
+// expectEnd waits until the sidecar closes the connection in an orderly way, and checks that nothing is sent before.
 func (c *client) expectEnd() {
 	c.t.Helper()
 	if remainder, err := io.ReadAll(c.in); err != nil || len(remainder) > 0 {
-		c.t.Errorf("not just the connection's end but %q, %v", remainder, err)
+		c.t.Errorf("read %q and error %v before the end of the connection, want neither", remainder, err)
 	}
 }
 
-// idleClient is a connection that has had a request.
+// idleClient returns a connection that is idle after a request.
 func (p *process) idleClient() *client {
 	p.t.Helper()
 	c := p.dial()
@@ -323,12 +324,13 @@
 	return c
 }
 
-// halves are a request's two parts, cut in its head or so many bytes before its end.
-func halves(text string, left int) (first, second string) {
-	return text[:len(text)-left], text[len(text)-left:]
+// halves splits the text of a request; the second part has secondSize bytes.
+func halves(text string, secondSize int) (first, second string) {
+	return text[:len(text)-secondSize], text[len(text)-secondSize:]
 }
 
-// connectionStates tests the states of a connection; each has a process of its own and terminates it.
+// connectionStates has a test for each state of a connection at SIGTERM. Each test gets a sidecar process and
+// terminates it.
 var connectionStates = map[string]func(*process){
 	"new": func(p *process) {
 		p.sigterm()
@@ -338,7 +340,7 @@
 		p.awaitEnd()
 		if c, err := net.Dial("tcp", p.addr); err == nil {
 			c.Close()
-			p.t.Error("connections are accepted after the end")
+			p.t.Error("connections are accepted after the process has exited")
 		}
 	},
 	"new, after the end of service": func(p *process) {
@@ -353,22 +355,22 @@
 		p.awaitEnd()
 	},
 	"idle": func(p *process) {
-		used, left, silent := p.idleClient(), p.idleClient(), p.dial()
+		used, unused, silent := p.idleClient(), p.idleClient(), p.dial()
 		p.sigterm()
 		used.request("unsafe", "")
 		used.expectResponse(200, true)
 		silent.expectEnd()
 		p.expectNotBefore(stayOpen, "a silent connection ended")
-		left.expectEnd()
+		unused.expectEnd()
 		p.expectNotBefore(stayOpen, "an idle connection ended")
-		left.Close()
+		unused.Close()
 		silent.Close()
 		p.awaitEnd()
 	},
-	"idle, and its client does not go": func(p *process) {
-		left := p.idleClient()
+	"idle, and its client keeps it open": func(p *process) {
+		unused := p.idleClient()
 		p.sigterm()
-		left.expectEnd()
+		unused.expectEnd()
 		p.awaitEnd()
 	},
 	"head half read": func(p *process) {
@@ -382,7 +384,7 @@
 		c.send(second)
 		c.expectResponse(200, true)
 		never.expectResponse(503, true)
-		p.expectBetween(serviceEndAt, killAt, "half a head was answered")
+		p.expectBetween(serviceEndAt, killAt, "the request with half a head got its response")
 		p.awaitEnd()
 	},
 	"head half read, after the end of service": func(p *process) {
@@ -406,7 +408,7 @@
 		stream.Close()
 		p.awaitEnd()
 	},
-	"body half read, held": func(p *process) {
+	"body half read, buffered": func(p *process) {
 		c, never, idle := p.dial(), p.dial(), p.idleClient()
 		_, text := request("unsafe", "", heldBody)
 		first, second := halves(text, heldBody/2)
@@ -419,13 +421,13 @@
 		c.send(second)
 		c.expectResponse(200, true)
 		never.expectResponse(503, true)
-		p.expectBetween(serviceEndAt, killAt, "half a body was answered")
+		p.expectBetween(serviceEndAt, killAt, "the request with half a body got its response")
 		p.awaitEnd()
 		if p.server.timesRun(neverID) != 0 {
-			p.t.Error("half a request has run")
+			p.t.Error("a request with half a body has run")
 		}
 	},
-	"body half read, forwarded": func(p *process) {
+	"body half read, streamed": func(p *process) {
 		c, never, idle := p.dial(), p.dial(), p.idleClient()
 		p.server.awaitRequest(p.t)
 		_, text := request("unsafe", "", streamedBody)
@@ -441,14 +443,14 @@
 		c.send(second)
 		c.expectResponse(200, true)
 		never.expectResponse(502, false)
-		p.expectBetween(serviceEndAt, killAt, "half a body was answered")
+		p.expectBetween(serviceEndAt, killAt, "the request with half a body got its response")
 		never.Close()
 		p.awaitEnd()
 		if p.server.timesRun(neverID) != 0 {
-			p.t.Error("half a request has run")
+			p.t.Error("a request with half a body has run")
 		}
 	},
-	"out at a server": func(p *process) {
+	"in flight at a server": func(p *process) {
 		idempotent, nonIdempotent := p.dial(), p.dial()
 		idempotent.request("safe", "hang")
 		nonIdempotent.request("unsafe", "hang")
@@ -456,13 +458,13 @@
 		p.server.awaitRequest(p.t)
 		p.sigterm()
 		idempotent.expectResponse(503, false)
-		p.expectBetween(serviceEndAt, killAt, "a request was given up")
+		p.expectBetween(serviceEndAt, killAt, "a request was ended")
 		nonIdempotent.expectResponse(502, false)
 		idempotent.Close()
 		nonIdempotent.Close()
 		p.awaitEnd()
 	},
-	"answer half written": func(p *process) {
+	"response half written": func(p *process) {
 		c := p.dial()
 		c.request("safe", "pieces")
 		if _, err := c.in.Peek(1); err != nil {
@@ -471,32 +473,32 @@
 		p.sigterm()
 		time.AfterFunc(time.Until(p.sigtermAt.Add(killAt+stayOpen)), func() { close(p.server.sendSecondPart) })
 		if body := c.expectResponse(200, false); len(body) != longBody {
-			p.t.Errorf("%d bytes of an answer of %d", len(body), longBody)
+			p.t.Errorf("%d bytes of a response of %d", len(body), longBody)
 		}
 		c.Close()
 		p.awaitEnd()
 	},
-	"answer written and not read": func(p *process) {
+	"response written and not read": func(p *process) {
 		c := p.dial()
 		c.SetReadBuffer(4096)
 		id := c.request("safe", "short")
 		if _, err := c.in.Peek(1); err != nil || p.server.timesRun(id) != 1 {
-			p.t.Fatal("no answer begins", err)
+			p.t.Fatal("no response has started", err)
 		}
 		p.sigterm()
 		p.awaitEnd()
 		if body := c.expectResponse(200, false); len(body) != longBody/4 {
-			p.t.Errorf("%d bytes of an answer of %d", len(body), longBody/4)
+			p.t.Errorf("%d bytes of a response of %d", len(body), longBody/4)
 		}
 		c.expectEnd()
 	},
 	"kept alive, a request crosses the close": func(p *process) {
 		busy, c := p.dial(), p.idleClient()
-		busy.request("unsafe", "hang") // its answer will leave an idle connection: so new ones are taken to the end
+		busy.request("unsafe", "hang") // while it is in flight, new connections are accepted until the end of service
 		p.sigterm()
 		c.expectEnd()
 		id, text := request("unsafe", "", 0)
-		c.send(text) // to the process this is as if it had not seen the end yet
+		c.send(text) // as from a client that has not seen the close yet
 		again := p.dial()
 		again.send(text)
 		again.expectResponse(200, true)
@@ -533,8 +535,8 @@
 	}
 }
 
-// Where deadlines are short there is little time between SIGTERM and SIGKILL: what crosses the end of an idle
-// connection is still answered on a new one, and what is out is given up in time.
+// With short deadlines there is little time between SIGTERM and SIGKILL. A request that crosses the close of an idle
+// connection still gets a response on a new connection, and a request in flight is ended before SIGKILL.
 func TestShutdown_shortDeadlines(t *testing.T) {
 	t.Parallel()
 	for _, deadline := range []time.Duration{50 * time.Millisecond, 100 * time.Millisecond, 250 * time.Millisecond} {
@@ -546,7 +548,7 @@
 				connectionStates[row](launch(t, conf{"settings": settings(deadline, deadline)}))
 			})
 		}
-		t.Run(fmt.Sprint(deadline, ", out at a server"), func(t *testing.T) {
+		t.Run(fmt.Sprint(deadline, ", in flight at a server"), func(t *testing.T) {
 			t.Parallel()
 			p := launch(t, conf{"settings": settings(deadline, deadline)})
 			c := p.dial()
@@ -555,15 +557,15 @@
 			p.sigterm()
 			c.expectResponse(502, false)
 			kill := deadline + 700*time.Millisecond
-			p.expectBetween(kill-finalMargin, kill, "a request was given up")
+			p.expectBetween(kill-finalMargin, kill, "a request was ended")
 			c.Close()
 			p.awaitEnd()
 		})
 	}
 }
 
-// A request that the balancer holds, as no server can be used, is rejected like one that is in flight. Of a deadline 3 s
-// count at most.
+// A request that waits in the balancer, because no server can be used, is rejected at the same time as a request in
+// flight. Deadlines over 3 s count as 3 s.
 func TestShutdown_requestWithoutServer(t *testing.T) {
 	t.Parallel()
 	p := launch(t, conf{"settings": settings(waitTimeout, waitTimeout), "known": conf{"rev": 1, "all": true, "targets": []conf{{
@@ -574,14 +576,14 @@
 	nonIdempotent.request("unsafe", "")
 	p.sigterm()
 	idempotent.expectResponse(503, false)
-	p.expectBetween(3700*time.Millisecond-finalMargin, 3700*time.Millisecond, "a request was given up")
+	p.expectBetween(3700*time.Millisecond-finalMargin, 3700*time.Millisecond, "a request was ended")
 	nonIdempotent.expectResponse(503, false) // it was never sent
 	idempotent.Close()
 	nonIdempotent.Close()
 	p.awaitEnd()
 }
 
-// shortDir is a directory whose path is short enough for that of a Unix socket.
+// shortDir returns a temporary directory whose path is short enough for a Unix socket in it.
 func shortDir(t *testing.T) string {
 	t.Helper()
 	dir, err := os.MkdirTemp("", "")
@@ -592,24 +594,24 @@
 	return dir
 }
 
-// upgradable starts a process for an address that a newer one, which next starts, can share. Once there is one, either
-// may accept: connections to the older one are made before.
-func upgradable(t *testing.T) (older *process, next func() *process) {
+// upgradable starts a process whose address a successor can share; next starts the successor. From then on either
+// process may accept a connection, so connections to the predecessor have to be opened before.
+func upgradable(t *testing.T) (predecessor *process, next func() *process) {
 	t.Helper()
 	dir := shortDir(t)
 	c := conf{
 		"listen": sidecartest.BindAddr(t, unix.SO_REUSEPORT), "management": "127.0.0.1:0", "TMPDIR": dir,
 	}
-	older = launch(t, c)
-	older.awaitHandoverSocket(dir)
-	return older, func() *process {
-		newer := launch(t, c)
-		older.awaitLine("the successor serves")
-		return newer
+	predecessor = launch(t, c)
+	predecessor.awaitHandoverSocket(dir)
+	return predecessor, func() *process {
+		successor := launch(t, c)
+		predecessor.awaitLine("the successor serves")
+		return successor
 	}
 }
 
-// awaitHandoverSocket waits until a newer process can find this one.
+// awaitHandoverSocket waits until a successor can find the handover socket of this process.
 func (p *process) awaitHandoverSocket(dir string) {
 	p.t.Helper()
 	for limit := time.Now().Add(waitTimeout); ; time.Sleep(time.Millisecond) {
@@ -617,56 +619,56 @@
 			return
 		}
 		if time.Now().After(limit) {
-			p.t.Fatal("its socket does not appear")
+			p.t.Fatal("the handover socket was not created")
 		}
 	}
 }
 
 func TestUpgrade_connectionStates(t *testing.T) {
 	t.Parallel()
-	for name, row := range map[string]func(older *process, next func() *process){
-		"new": func(older *process, next func() *process) {
-			newer := next()
-			older.sigterm()
-			older.awaitEnd() // nothing is open
-			newer.awaitResponse()
+	for name, row := range map[string]func(predecessor *process, next func() *process){
+		"new": func(predecessor *process, next func() *process) {
+			successor := next()
+			predecessor.sigterm()
+			predecessor.awaitEnd() // it has no open connections
+			successor.awaitResponse()
 		},
-		"idle, a request crosses the close": func(older *process, next func() *process) {
-			used, c := older.idleClient(), older.idleClient()
-			newer := next()
-			older.sigterm()
+		"idle, a request crosses the close": func(predecessor *process, next func() *process) {
+			used, c := predecessor.idleClient(), predecessor.idleClient()
+			successor := next()
+			predecessor.sigterm()
 			used.request("unsafe", "")
 			used.expectResponse(200, true)
 			c.expectEnd()
-			older.expectNotBefore(stayOpen, "an idle connection ended")
+			predecessor.expectNotBefore(stayOpen, "an idle connection ended")
 			id, text := request("unsafe", "", 0)
 			c.send(text)
-			again := newer.dial()
+			again := successor.dial()
 			again.send(text)
 			again.expectResponse(200, false)
-			older.awaitEnd()
-			if o, n := older.server.timesRun(id), newer.server.timesRun(id); o != 0 || n != 1 {
-				older.t.Errorf("the request has run %d times by the older process and %d by the newer one", o, n)
+			predecessor.awaitEnd()
+			if o, n := predecessor.server.timesRun(id), successor.server.timesRun(id); o != 0 || n != 1 {
+				predecessor.t.Errorf("the request has run %d times by the predecessor and %d times by the successor", o, n)
 			}
 		},
-		"out at a server, and answer half written": func(older *process, next func() *process) {
-			hung, stream := older.dial(), older.dial()
+		"in flight at a server, and response half written": func(predecessor *process, next func() *process) {
+			hung, stream := predecessor.dial(), predecessor.dial()
 			hung.request("unsafe", "hang")
 			stream.request("safe", "pieces")
-			older.server.awaitRequest(older.t)
-			older.server.awaitRequest(older.t)
-			newer := next()
-			older.sigterm()
-			newer.awaitResponse()
+			predecessor.server.awaitRequest(predecessor.t)
+			predecessor.server.awaitRequest(predecessor.t)
+			successor := next()
+			predecessor.sigterm()
+			successor.awaitResponse()
 			hung.expectResponse(502, false)
-			older.expectBetween(serviceEndAt, killAt, "a request was given up")
-			time.AfterFunc(time.Until(older.sigtermAt.Add(killAt+stayOpen)), func() { close(older.server.sendSecondPart) })
+			predecessor.expectBetween(serviceEndAt, killAt, "a request was ended")
+			time.AfterFunc(time.Until(predecessor.sigtermAt.Add(killAt+stayOpen)), func() { close(predecessor.server.sendSecondPart) })
 			if body := stream.expectResponse(200, false); len(body) != longBody {
-				older.t.Errorf("%d bytes of an answer of %d", len(body), longBody)
+				predecessor.t.Errorf("%d bytes of a response of %d", len(body), longBody)
 			}
 			hung.Close()
 			stream.Close()
-			older.awaitEnd()
+			predecessor.awaitEnd()
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -676,8 +678,8 @@
 	}
 }
 
-// awaitResponse sends requests on new connections until this process has answered one. Another process that is about to stop
-// accepting may answer some.
+// awaitResponse sends requests on new connections until this process has handled one. Another process that is about to
+// stop accepting may handle some of them.
 func (p *process) awaitResponse() {
 	p.t.Helper()
 	for limit := time.Now().Add(waitTimeout); ; {
@@ -689,7 +691,7 @@
 			return
 		}
 		if time.Now().After(limit) {
-			p.t.Fatal("other processes answer all requests")
+			p.t.Fatal("other processes handle all requests")
 		}
 	}
 }
--- a/cmd/sidecar/main_test.go
+++ b/cmd/sidecar/main_test.go
@@ -19,10 +19,11 @@
 	"marblelane/internal/fault"
 )
 
-// The test binary stands in for the program where this is set.
+// runAsProgramEnv is the variable that makes the test binary run as the sidecar.
 const runAsProgramEnv = "SIDECAR_TEST_AS_PROGRAM"
 
-// Where this is set, the program gets signals between the end of its work and its own.
+// signalsAfterRunEnv is the variable that makes the program send itself signals after main has returned, before it
+// exits.
 const signalsAfterRunEnv = "SIDECAR_TEST_SIGNALS_AT_THE_END"
 
 func TestMain(m *testing.M) {
@@ -38,21 +39,22 @@
 	os.Exit(m.Run())
 }
 
-// logLimit bounds the wait for a line of the log, or for a call that a line announces.
+// logLimit bounds the wait for a line of the log or for a call of a list service.
 const logLimit = 10 * time.Second
 
-// settingsJSON are settings with one class and short limits.
+// settingsJSON contains settings with one class and short limits.
 const settingsJSON = `{"classes":[{"name":"c","effect":"read_like","on_time_ms":50,"hard_limit_ms":100}]}`
 
-// configJSON is a configuration with a listen address and a list service. More are further keys with their values.
+// configJSON returns a configuration with a listen address and a list service. More contains further keys with their
+// values, each followed by a comma.
 func configJSON(listen, discovery, more string) string {
 	return `{"listen":"` + listen + `","discovery":"` + discovery + `","seed":"1",` + more + `"settings":` + settingsJSON + `}`
 }
 
-// command is the program with a configuration file, which is not started yet.
+// command is the program, not started yet, with a configuration file.
 type command struct {
 	*exec.Cmd
-	config string // path of the file
+	config string // path of the configuration file
 }
 
 func newCommand(t *testing.T, config string) *command {
@@ -66,7 +68,7 @@
 	return &command{cmd, path}
 }
 
-// startLogged starts the program and gives the lines of its log up to its end.
+// startLogged starts the program and returns a channel of the lines of its log, which is closed when the log ends.
 func (c *command) startLogged(t *testing.T) <-chan string {
 	t.Helper()
 	stderr, err := c.StderrPipe()
@@ -86,7 +88,7 @@
 	return log
 }
 
-// startBuffered starts the program and keeps its log, which is complete once the program was waited for.
+// startBuffered starts the program and collects its log, which is complete after Wait.
 func (c *command) startBuffered(t *testing.T) *bytes.Buffer {
 	t.Helper()
 	log := &bytes.Buffer{}
@@ -104,29 +106,29 @@
 	}
 }
 
-// terminate sends SIGTERM and waits for the orderly end.
+// terminate sends SIGTERM and waits until the program exits with status 0.
 func (c *command) terminate(t *testing.T) {
 	t.Helper()
 	c.signal(t, syscall.SIGTERM)
 	if err := c.Wait(); err != nil {
-		t.Errorf("ended with %v", err)
+		t.Errorf("the sidecar exited with %v", err)
 	}
 }
 
-// terminateLogged is terminate for a program that startLogged started.
+// terminateLogged is terminate for a program started by startLogged. It writes the rest of the log to the test's log.
 func (c *command) terminateLogged(t *testing.T, log <-chan string) {
 	t.Helper()
 	c.signal(t, syscall.SIGTERM)
-	for line := range log { // up to its end
+	for line := range log {
 		t.Log(line)
 	}
 	if err := c.Wait(); err != nil {
-		t.Errorf("ended with %v", err)
+		t.Errorf("the sidecar exited with %v", err)
 	}
 }
 
-// silentDiscovery is a list service that reports each call by its name and sends no list. Where left is set, it also
-// reports that the caller has left.
+// silentDiscovery starts a list service that sends its name to calls for each call, and responds without a list. If
+// left is set, it also reports when the caller disconnects.
 func silentDiscovery(t *testing.T, name string, calls chan<- string, left bool) (addr string) {
 	t.Helper()
 	srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -141,7 +143,7 @@
 	return srv.Listener.Addr().String()
 }
 
-// waitForCall waits until a list service is called. Calls of others, and further calls of one, are passed over.
+// waitForCall waits until the wanted list service is called, and skips calls of other list services.
 func waitForCall(t *testing.T, calls <-chan string, want string, timeout time.Duration) {
 	t.Helper()
 	limit := time.After(timeout)
@@ -163,10 +165,10 @@
 	err := cmd.Wait()
 	exit, is := err.(*exec.ExitError)
 	if !is || exit.ExitCode() != 1 {
-		t.Errorf("ended with %v, want status 1", err)
+		t.Errorf("the sidecar exited with %v, want status 1", err)
 	}
 	if text := log.String(); strings.Count(text, "\n") != 1 || !strings.Contains(text, "no classes") {
-		t.Errorf("said %q, want one line about the classes", text)
+		t.Errorf("logged %q, want one line about the classes", text)
 	}
 }
 
@@ -186,7 +188,7 @@
 	cmd.terminateLogged(t, log)
 }
 
-// waitFor waits for a line of the log that holds all of the words.
+// waitFor waits for a line of the log that contains all words.
 func waitFor(t *testing.T, log <-chan string, words ...string) (line string) {
 	t.Helper()
 	limit := time.After(logLimit)
@@ -200,15 +202,15 @@
 				return line
 			}
 		case <-limit:
-			t.Fatalf("no line of the log with %q", words)
+			t.Fatalf("no log line contains %q", words)
 		}
 	}
 }
 
-// One SIGHUP is enough where the file cannot be opened for a moment, or is half written.
+// A single SIGHUP is enough even if the file temporarily cannot be opened, or is half written at first.
 func TestReload_retriesUntilComplete(t *testing.T) {
 	for name, failure := range map[string]struct {
-		errno string // of the opening; empty: the file is half written
+		errno string // error of the open call; empty if the file is half written instead
 		logs  string
 	}{
 		"ENFILE":       {"ENFILE", "too many open files in system"},
@@ -246,7 +248,8 @@
 	}
 }
 
-// The platform replaces the file and sends SIGHUP; the environment still holds the address of the start.
+// The platform replaces the file and sends SIGHUP. The environment variable still has the address from the start, which
+// the new file overrides.
 func TestReload_newAddress(t *testing.T) {
 	calls := make(chan string, 10)
 	before, after := silentDiscovery(t, "before", calls, false), silentDiscovery(t, "after", calls, false)
@@ -279,7 +282,8 @@
 	}
 }
 
-// startOn starts the program with an address that is held by the test, and waits until it has failed to bind it.
+// startOn starts the program with an address that the test has bound, and waits until the program has failed to bind
+// it.
 func startOn(t *testing.T, holder net.Listener) (*command, <-chan string) {
 	t.Helper()
 	cmd := newCommand(t, configJSON(holder.Addr().String(), "127.0.0.1:1", ""))
--- a/cmd/sidecar/signal_shutdown_test.go
+++ b/cmd/sidecar/signal_shutdown_test.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// Signals that come once the work is done do not make a crash of an orderly end.
+// Signals that arrive after the work is done, right before the exit, do not change the exit status.
 func TestShutdown_signalsToTheEnd(t *testing.T) {
 	t.Setenv(signalsAfterRunEnv, "1")
 	p := launch(t, nil)
@@ -17,7 +17,7 @@
 	p.awaitEnd()
 }
 
-// Neither a second SIGTERM nor SIGHUP ends a drain early or undoes it.
+// Further signals (SIGTERM, SIGINT, SIGHUP) neither end a drain early nor cancel it.
 func TestShutdown_repeatedSignals(t *testing.T) {
 	p := launch(t, nil)
 	hung := p.dial()
@@ -31,13 +31,13 @@
 	c.request("unsafe", "")
 	c.expectResponse(200, true)
 	hung.expectResponse(502, false)
-	p.expectBetween(serviceEndAt, killAt, "a request was given up")
+	p.expectBetween(serviceEndAt, killAt, "a request was ended")
 	hung.Close()
 	p.awaitEnd()
 }
 
-// Of several configurations in quick succession the last one counts, also where an older one is still being read when
-// it comes.
+// Of several configurations in quick succession the last one takes effect, even if an earlier one is still being read
+// when it arrives.
 func TestReload_lastOfSeveral(t *testing.T) {
 	t.Parallel()
 	calls := make(chan string, 100)
@@ -63,7 +63,7 @@
 		}
 		cmd.signal(t, syscall.SIGHUP)
 	}
-	// A pipe that takes the place of the file holds its reader up until the test has written to it.
+	// A named pipe in place of the file blocks its reader until the test writes to it.
 	pipe := filepath.Join(t.TempDir(), "slow")
 	if err := syscall.Mkfifo(pipe, 0o600); err != nil {
 		t.Fatal(err)
@@ -72,7 +72,7 @@
 		t.Fatal(err)
 	}
 	cmd.signal(t, syscall.SIGHUP)
-	slow, err := os.OpenFile(cmd.config, os.O_WRONLY, 0) // returns once it is being read
+	slow, err := os.OpenFile(cmd.config, os.O_WRONLY, 0) // returns once the sidecar has opened it for reading
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -88,7 +88,7 @@
 	select {
 	case name := <-calls:
 		if name != "last" && !strings.HasSuffix(name, " left") {
-			t.Errorf("%q is called after the last address", name)
+			t.Errorf("%q was called after the last list service", name)
 		}
 	case <-time.After(300 * time.Millisecond):
 	}
