--- a/balance/retry_test.go
+++ b/balance/retry_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// What may follow the end of a first attempt, for each kind of idempotency, key scope and result, within the key
-// window and after it: another attempt, a rejection or a failure.
+// After the end of a first attempt, a request gets another attempt, a rejection or a failure, depending on its
+// idempotency, its key scope, the result, and whether the key window has ended.
 func TestRetry_afterFirstAttempt(t *testing.T) {
 	for _, class := range []int{idempotentClass, nonIdempotentClass, cellKeyClass, globalKeyClass, zoneKeyClass} {
 		for _, result := range []Result{Failed, Rejected, TimedOut, ConnectFailed, Reset, Cancelled, WriteFailed} {
@@ -19,7 +19,7 @@
 	}
 }
 
-// checkAfterFirstAttempt checks one combination. A second attempt must also keep to the key scope.
+// checkAfterFirstAttempt checks one combination. A second attempt must also stay within the key scope.
 func checkAfterFirstAttempt(t *testing.T, class int, result Result, afterWindow bool) {
 	cfg := baseConfig()
 	for i := range cfg.Classes {
@@ -27,25 +27,25 @@
 		cfg.Classes[i].KeyWindow = 200
 	}
 	h := newHarness(t, cfg, identicalServers(8)...)
-	id, acts := h.sendRequest(class)
-	first, ok := sentTo(acts)
+	id, actions := h.sendRequest(class)
+	first, ok := sentTo(actions)
 	if !ok {
 		t.Fatal("the request was not sent")
 	}
 	if h.now += 100; afterWindow {
 		h.now += 200
 	}
-	acts = h.endAttempt(id, 0, result, 100)
+	actions = h.endAttempt(id, 0, result, 100)
 	c := cfg.Classes[class]
 	mayResend := c.Idempotency == Idempotent || result.NeverRan() || c.Idempotency == IdempotentWithKey && !afterWindow
-	second, sent := sentTo(acts)
+	second, sent := sentTo(actions)
 	if sent != mayResend {
-		t.Fatalf("sent again: %v, want %v (%+v)", sent, mayResend, acts)
+		t.Fatalf("sent again: %v, want %v (%+v)", sent, mayResend, actions)
 	}
 	if !sent {
 		mayReject := c.Idempotency == IdempotentWithKey && c.KeyScope == KeyScopeAll
-		if hasAction(acts, Reject) != mayReject || hasAction(acts, Fail) == mayReject {
-			t.Fatalf("rejection allowed: %v, got %+v", mayReject, acts)
+		if hasAction(actions, Reject) != mayReject || hasAction(actions, Fail) == mayReject {
+			t.Fatalf("rejection allowed: %v, got %+v", mayReject, actions)
 		}
 		return
 	}
@@ -56,8 +56,8 @@
 	}
 }
 
-// A further attempt must reach its server within the key window. It may wait for a connection for up to the connect
-// timeout first, so that time is subtracted from the window.
+// A retry must reach its server within the key window. As it may first wait for a connection for up to the connect
+// timeout, that time is subtracted from the window.
 func TestRetry_keyWindow(t *testing.T) {
 	const connect, window = 120.0, 300.0
 	cfg := baseConfig()
@@ -71,15 +71,15 @@
 			h := newHarness(t, cfg, identicalServers(8)...)
 			id, _ := h.sendRequest(class)
 			h.now += after
-			acts := h.endAttempt(id, 0, Failed, after)
-			if sent, allowed := hasAction(acts, Send), class == idempotentClass || after+connect < window; sent != allowed {
+			actions := h.endAttempt(id, 0, Failed, after)
+			if sent, allowed := hasAction(actions, Send), class == idempotentClass || after+connect < window; sent != allowed {
 				t.Errorf("class %d, failed after %v ms: sent again %v, want %v", class, after, sent, allowed)
 			}
 		}
 	}
 }
 
-// The key window starts with the first attempt that may have run: attempts that never ran use up none of it.
+// The key window starts with the first attempt that may have run. Attempts that never ran do not shorten it.
 func TestRetry_keyWindowStart(t *testing.T) {
 	cfg := baseConfig()
 	cfg.ConnectTimeout = 120
@@ -88,7 +88,7 @@
 	id, _ := h.sendRequest(globalKeyClass)
 	h.now += 250
 	if !hasAction(h.endAttempt(id, 0, ConnectFailed, 250), Send) {
-		t.Fatal("not sent again after a connect that failed")
+		t.Fatal("not sent again after a failed connect")
 	}
 	h.now += 70
 	if !hasAction(h.endAttempt(id, 1, Failed, 70), Send) {
@@ -96,30 +96,30 @@
 	}
 }
 
-// At its deadline, a request with a pending attempt that may run fails: it may not be rejected, which would promise
-// that nothing ran.
+// At its deadline, a request with a pending attempt that may run fails. It must not be rejected, as a rejection
+// promises that nothing ran.
 func TestRetry_deadlineAfterSend(t *testing.T) {
 	h := newHarness(t, baseConfig(), identicalServers(4)...)
 	for _, class := range []int{nonIdempotentClass, cellKeyClass, zoneKeyClass} {
 		id, _ := h.sendRequest(class)
 		h.now = h.b.requests[id].deadline
-		acts := h.handle(Timer{Token: uint64(id)})
-		if hasAction(acts, Reject) || !hasAction(acts, Fail) {
-			t.Errorf("class %d at its deadline with a pending attempt: %+v", class, acts)
+		actions := h.handle(Timer{Token: uint64(id)})
+		if hasAction(actions, Reject) || !hasAction(actions, Fail) {
+			t.Errorf("class %d at its deadline with a pending attempt: %+v", class, actions)
 		}
 	}
 }
 
-// A request without time left is rejected at once.
-func TestRetry_noTimeLeft(t *testing.T) {
+// A request whose remaining time is 0 is rejected at once.
+func TestRetry_noRemainingTime(t *testing.T) {
 	h := newHarness(t, baseConfig(), identicalServers(4)...)
-	acts := h.handle(Request{ID: 1, Class: nonIdempotentClass, Remaining: 0})
-	if !hasAction(acts, Reject) || hasAction(acts, Send) {
-		t.Fatalf("a request without time left: %+v", acts)
+	actions := h.handle(Request{ID: 1, Class: nonIdempotentClass, Remaining: 0})
+	if !hasAction(actions, Reject) || hasAction(actions, Send) {
+		t.Fatalf("a request with no time remaining: %+v", actions)
 	}
 }
 
-// Without a usable server a request waits until its deadline, and is then rejected and forgotten.
+// If no server is usable, a request waits until its deadline. It is then rejected and removed.
 func TestRetry_noUsableServer(t *testing.T) {
 	drained := identicalServers(3)
 	for i := range drained {
@@ -127,9 +127,9 @@
 	}
 	for name, servers := range map[string][]Server{"empty": nil, "draining": drained} {
 		h := newHarness(t, baseConfig(), servers...)
-		id, acts := h.sendRequest(nonIdempotentClass)
-		if hasAction(acts, Send) || !hasAction(acts, SetTimer) {
-			t.Fatalf("%s: %+v", name, acts)
+		id, actions := h.sendRequest(nonIdempotentClass)
+		if hasAction(actions, Send) || !hasAction(actions, SetTimer) {
+			t.Fatalf("%s: %+v", name, actions)
 		}
 		rejected := false
 		for h.now < 1000+baseConfig().Classes[nonIdempotentClass].Deadline {
@@ -137,49 +137,50 @@
 			rejected = rejected || hasAction(h.handle(Timer{Token: uint64(id)}), Reject)
 		}
 		if !rejected || len(h.b.requests) != 0 {
-			t.Fatalf("%s: rejected %v, %d requests remembered", name, rejected, len(h.b.requests))
+			t.Fatalf("%s: rejected %v, %d requests kept", name, rejected, len(h.b.requests))
 		}
 	}
 }
 
-// After MaxAttempts attempts that never ran, a request is rejected.
+// A request is rejected after MaxAttempts attempts that never ran.
 func TestRetry_attemptLimit(t *testing.T) {
 	cfg := baseConfig()
 	cfg.MaxAttempts = 1
 	h := newHarness(t, cfg, identicalServers(4)...)
 	id, _ := h.sendRequest(idempotentClass)
-	if acts := h.endAttempt(id, 0, Rejected, 1); hasAction(acts, Send) || !hasAction(acts, Reject) {
-		t.Fatalf("after the only attempt allowed: %+v", acts)
+	if actions := h.endAttempt(id, 0, Rejected, 1); hasAction(actions, Send) || !hasAction(actions, Reject) {
+		t.Fatalf("after the only attempt allowed: %+v", actions)
 	}
 }
 
-// A streamed answer that has started belongs to the client: no deadline, retry or answer of the sidecar follows. Its
-// server counts as answered, and a break counts as an error.
+// A streamed response that has started belongs to the client: the sidecar applies no deadline and sends no retry or
+// response of its own. The attempt no longer counts as in flight, and a broken stream counts as an error of the
+// server.
 func TestRetry_startedStream(t *testing.T) {
 	cfg := baseConfig()
 	cfg.Classes[idempotentClass].Stream = true
 	h := newHarness(t, cfg, identicalServers(3)...)
-	id, acts := h.sendRequest(idempotentClass)
-	s, _ := sentTo(acts)
+	id, actions := h.sendRequest(idempotentClass)
+	s, _ := sentTo(actions)
 	h.handle(ResponseStarted{Request: id, Server: s, Elapsed: 20})
 	if a := h.b.requests[id].attempts[0]; a.server.inFlight != 0 || h.b.demand.classes[idempotentClass].mean != 20 {
 		t.Errorf("%d in flight at the server, mean latency %v", a.server.inFlight, h.b.demand.classes[idempotentClass].mean)
 	}
 	h.now += 5000
-	if acts := h.handle(Timer{Token: uint64(id)}); hasAction(acts, Fail) || hasAction(acts, Reject) || hasAction(acts, Send) {
-		t.Fatalf("a started stream got %+v", acts)
+	if actions := h.handle(Timer{Token: uint64(id)}); hasAction(actions, Fail) || hasAction(actions, Reject) || hasAction(actions, Send) {
+		t.Fatalf("a started stream got %+v", actions)
 	}
 	h.handle(Outcome{Request: id, Server: s, Result: Reset, Elapsed: 5000, Finished: true})
 	if len(h.b.requests) != 0 {
-		t.Fatal("an ended stream is remembered")
+		t.Fatal("an ended stream is kept")
 	}
 	if server := h.b.byID[s]; server.consecutiveErrors != 1 || server.inFlight != 0 {
 		t.Errorf("after a reset: %d errors, %d in flight", server.consecutiveErrors, server.inFlight)
 	}
 }
 
-// While the body of a request arrives, neither its deadline nor the server's time runs, and it counts as no load.
-// Both start with its last byte.
+// While the body of a request is arriving, neither its deadline nor the server's time runs, and the attempt does
+// not count as load. Both start with the last byte.
 func TestRetry_streamingBodyDeadline(t *testing.T) {
 	h := newHarness(t, baseConfig(), identicalServers(3)...)
 	h.lastID++
@@ -190,37 +191,38 @@
 		t.Fatal("the request is not sent at once")
 	}
 	h.now += 60000
-	if acts := h.handle(Timer{Token: uint64(id)}); len(acts) > 0 || r.attempts[0].server.consecutiveErrors > 0 || h.b.admission.inFlightLoad > 0 {
-		t.Fatalf("while the body arrives: %+v, %d errors, load %v", acts, r.attempts[0].server.consecutiveErrors, h.b.admission.inFlightLoad)
+	actions := h.handle(Timer{Token: uint64(id)})
+	if len(actions) > 0 || r.attempts[0].server.consecutiveErrors > 0 || h.b.admission.inFlightLoad > 0 {
+		t.Fatalf("while the body arrives: %+v, %d errors, load %v", actions, r.attempts[0].server.consecutiveErrors, h.b.admission.inFlightLoad)
 	}
-	if acts := h.handle(BodyComplete{Request: id, Remaining: 600}); !hasAction(acts, SetTimer) || h.b.admission.inFlightLoad == 0 {
-		t.Fatalf("at its last byte: %+v, load %v", acts, h.b.admission.inFlightLoad)
+	if actions := h.handle(BodyComplete{Request: id, Remaining: 600}); !hasAction(actions, SetTimer) || h.b.admission.inFlightLoad == 0 {
+		t.Fatalf("at its last byte: %+v, load %v", actions, h.b.admission.inFlightLoad)
 	}
 	h.now += 601
-	if acts := h.handle(Timer{Token: uint64(id)}); !hasAction(acts, Fail) {
-		t.Errorf("at its deadline: %+v", acts)
+	if actions := h.handle(Timer{Token: uint64(id)}); !hasAction(actions, Fail) {
+		t.Errorf("at its deadline: %+v", actions)
 	}
 	h.endAttempt(id, 0, Cancelled, 601)
 	if h.b.admission.inFlightLoad != 0 {
-		t.Errorf("load %v is left", h.b.admission.inFlightLoad)
+		t.Errorf("the load is %v after the attempt ended, want 0", h.b.admission.inFlightLoad)
 	}
 }
 
-// A request that never ran is sent again only while its body is still held.
+// A request that never ran is sent again only if its body is still available.
 func TestRetry_consumedBody(t *testing.T) {
 	for _, consumed := range []bool{false, true} {
 		h := newHarness(t, baseConfig(), identicalServers(3)...)
 		h.lastID++
 		h.handle(Request{ID: h.lastID, Class: nonIdempotentClass, Remaining: 600, BodyStreaming: true})
 		s := h.b.requests[h.lastID].attempts[0].server.ID
-		acts := h.handle(Outcome{Request: h.lastID, Server: s, Result: Rejected, Elapsed: 5, BodyConsumed: consumed})
-		if hasAction(acts, Send) == consumed || hasAction(acts, Reject) != consumed {
-			t.Errorf("body consumed %v: %+v", consumed, acts)
+		actions := h.handle(Outcome{Request: h.lastID, Server: s, Result: Rejected, Elapsed: 5, BodyConsumed: consumed})
+		if hasAction(actions, Send) == consumed || hasAction(actions, Reject) != consumed {
+			t.Errorf("body consumed %v: %+v", consumed, actions)
 		}
 	}
 }
 
-// Attempts that never ran are repeated up to MaxAttempts. A request that may have run is sent again once at most.
+// Attempts that never ran are repeated up to MaxAttempts. A request that may have run is sent again at most once.
 func TestRetry_rerouteLimit(t *testing.T) {
 	for res, sends := range map[Result]int{ConnectFailed: 4, WriteFailed: 4, Rejected: 4, Failed: 2} {
 		h := newHarness(t, baseConfig(), identicalServers(8)...)
--- a/balance/rotation_test.go
+++ b/balance/rotation_test.go
@@ -9,12 +9,12 @@
 	"testing"
 )
 
-// A pick that skips the servers outside the rotation leaves each server's running value as a pick over all servers
-// does.
+// A pick that skips the servers outside the rotation leaves each server with the same current weight as a pick that
+// visits all servers.
 func TestRotation_skippedServers(t *testing.T) {
 	for _, c := range []struct {
 		name      string
-		rating    float64 // if small, the sum of weights is less than the initial running values
+		rating    float64 // if small, the sum of weights is below the initial current weights
 		withRoute bool
 	}{{"usual ratings", 1, false}, {"small ratings", 0.05, false}, {"with a route", 1, true}} {
 		t.Run(c.name, func(t *testing.T) {
@@ -23,15 +23,15 @@
 			bounded, exhaustive := mustNew(t, cfg), mustNew(t, cfg)
 			handle := func(now float64, ev Event) []Action {
 				t.Helper()
-				exhaustive.picker.maxOtherRunning = math.Inf(1) // no server is skipped
-				want, err := exhaustive.Handle(now, ev)
-				got, again := bounded.Handle(now, ev)
-				if err != nil || again != nil || !reflect.DeepEqual(want, got) {
-					t.Fatalf("%#v: %v %v, without skipping %v %v", ev, got, again, want, err)
+				exhaustive.picker.maxOtherCurrentWeight = math.Inf(1) // no server is skipped
+				want, wantErr := exhaustive.Handle(now, ev)
+				got, gotErr := bounded.Handle(now, ev)
+				if wantErr != nil || gotErr != nil || !reflect.DeepEqual(want, got) {
+					t.Fatalf("%#v: %v %v, without skipping %v %v", ev, got, gotErr, want, wantErr)
 				}
 				for i, s := range exhaustive.servers {
-					if q := bounded.servers[i]; q.ID != s.ID || q.running != s.running || q.weight != s.weight {
-						t.Fatalf("%#v: server %d has the running value %v, without skipping %v", ev, s.ID, q.running, s.running)
+					if other := bounded.servers[i]; other.ID != s.ID || other.currentWeight != s.currentWeight || other.weight != s.weight {
+						t.Fatalf("%#v: server %d has the current weight %v, without skipping %v", ev, s.ID, other.currentWeight, s.currentWeight)
 					}
 				}
 				return slices.Clone(got)
@@ -46,7 +46,7 @@
 	}
 }
 
-// playRandomEvents brings random requests, results of their attempts, and list changes.
+// playRandomEvents passes random requests, results of their attempts, and list changes to handle.
 func playRandomEvents(handle func(now float64, ev Event) []Action, rating float64) {
 	rng := rand.New(rand.NewPCG(3, 4))
 	for i := range 4000 {
@@ -59,13 +59,13 @@
 			handle(now, ServerList{Kind: ListDelta, Servers: entries})
 		}
 		id := RequestID(i + 1)
-		acts := handle(now, Request{ID: id, Class: rng.IntN(2), Tenant: rng.IntN(2), Remaining: 600})
+		actions := handle(now, Request{ID: id, Class: rng.IntN(2), Tenant: rng.IntN(2), Remaining: 600})
 		for attempt, sent := 0, true; sent; attempt++ {
 			sent = false
-			for _, a := range acts {
+			for _, a := range actions {
 				if a.Kind == Send && a.Request == id {
 					result := []Result{OK, OK, OK, Failed, ConnectFailed}[rng.IntN(5)]
-					acts, sent = handle(now+20, Outcome{Request: id, Attempt: attempt, Server: a.Server, Result: result,
+					actions, sent = handle(now+20, Outcome{Request: id, Attempt: attempt, Server: a.Server, Result: result,
 						Elapsed: 20, Finished: result == OK}), true
 					break
 				}
@@ -74,8 +74,8 @@
 	}
 }
 
-// Along a route, the running values of a group are bounded by its own sum of weights, even when the preferred group
-// has no server at all.
+// In a pick for a route, the current weights of a group are limited by its own sum of weights, even if the
+// preferred group has no server.
 func TestRotation_skippedServersOfRoute(t *testing.T) {
 	list := identicalServers(20)
 	for i := range list {
@@ -84,8 +84,8 @@
 	h := newHarness(t, baseConfig(), list...)
 	const nowhere = 99
 	h.handle(Routes{Rev: 1, List: []Route{{Tenant: -1, Base: Subset{Zones: []int{nowhere}}}}})
-	if _, acts := h.sendRequest(idempotentClass); !hasAction(acts, Send) {
-		t.Fatalf("not sent: %v", acts)
+	if _, actions := h.sendRequest(idempotentClass); !hasAction(actions, Send) {
+		t.Fatalf("not sent: %v", actions)
 	}
 	total := 0.0
 	for _, s := range h.b.picker.candidates {
@@ -95,14 +95,15 @@
 		t.Fatal("all servers are in the rotation")
 	}
 	for _, s := range h.b.servers {
-		if running := s.placements[0].currentWeight[baseSide]; running > total {
-			t.Errorf("server %d has the running value %v, the sum of weights is %v", s.ID, running, total)
+		if weight := s.placements[0].currentWeight[baseSide]; weight > total {
+			t.Errorf("server %d has the current weight %v, the sum of weights is %v", s.ID, weight, total)
 		}
 	}
 }
 
-// A sidecar with little traffic uses minRotation servers, so that a large fleet does not fill the servers' connection
-// tables. All sidecars together use all servers evenly, and a restarted one uses the same as before.
+// A sidecar with little traffic uses minRotation servers, so that a large fleet does not fill the connection tables
+// of the servers. All sidecars together use all servers evenly, and a restarted sidecar uses the same servers as
+// before.
 func TestRotation_lowTraffic(t *testing.T) {
 	sidecars, servers := 400, 60
 	all := map[ServerID]int{}
@@ -117,8 +118,8 @@
 		sends := map[ServerID]int{}
 		for range 60 {
 			h.now += 1000
-			id, acts := h.sendRequest(idempotentClass)
-			s, _ := sentTo(acts)
+			id, actions := h.sendRequest(idempotentClass)
+			s, _ := sentTo(actions)
 			sends[s]++
 			h.endAttempt(id, 0, OK, 10)
 		}
@@ -143,15 +144,15 @@
 	}
 }
 
-// The rotation grows with traffic, up to all servers, and replaces servers that are ejected.
+// The rotation grows with the traffic, up to all servers, and replaces ejected servers.
 func TestRotation_growth(t *testing.T) {
 	h := newHarness(t, baseConfig(), identicalServers(60)...)
 	usedServers := func(gap float64, n int) int {
 		used := map[ServerID]bool{}
 		for range n {
 			h.now += gap
-			id, acts := h.sendRequest(idempotentClass)
-			s, _ := sentTo(acts)
+			id, actions := h.sendRequest(idempotentClass)
+			s, _ := sentTo(actions)
 			used[s] = true
 			h.endAttempt(id, 0, OK, 10)
 		}
