--- a/internal/sidecar/fleet/membership.go
+++ b/internal/sidecar/fleet/membership.go
@@ -44,7 +44,7 @@
 	Config           membership.Config
 	predecessorAlive func() bool
 
-	Latest         atomic.Pointer[roster.View] // replaced by each new view; the group never waits for the loop
+	Latest         atomic.Pointer[roster.View] // replaced by each new view, so that the group need not wait for the loop
 	wake           chan struct{}               // capacity 1; signals to the event loop that Latest has changed
 	viewChanged    chan struct{}               // capacity 1; signals to run that the view has changed
 	estimate       atomic.Uint64               // float64 bits of the fleet size that the balancer uses
--- a/internal/sidecar/handover/predecessor.go
+++ b/internal/sidecar/handover/predecessor.go
@@ -94,7 +94,7 @@
 // AnnounceServing notifies the predecessor that this process serves.
 func (p *Predecessor) AnnounceServing() {
 	if _, err := (netcall.RetryingConn{Conn: p.conn}).Write([]byte{servingByte}); err != nil {
-		slog.Info("upgrade: the predecessor has ended", "err", err)
+		slog.Info("upgrade: the predecessor was not notified that this process serves", "err", err)
 	}
 }
 
--- a/internal/sidecar/routing/router.go
+++ b/internal/sidecar/routing/router.go
@@ -24,9 +24,9 @@
 	leaseMargin            = 1.
 	missedDeadlineFraction = 0.9  // of a client's timeout: a later disconnect is a missed deadline, as in package balance
 	maxCountedRevisions    = 64   // number of revisions whose ended attempts are counted
-	maxWantedUnits         = 1024 // most units of one budget that are requested
+	maxWantedUnits         = 1024 // limit of the units requested for one budget
 	settleTime             = 1e4  // ms for which the budget of a removed canary is still reported
-	maxSettlingCanaries    = 64   // removed canaries whose budgets are still reported
+	maxSettlingCanaries    = 64   // limit of removed canaries whose budgets are still reported
 )
 
 // countKey identifies a count of attempts.
