--- a/internal/sidecar/errno_random_test.go
+++ b/internal/sidecar/errno_random_test.go
@@ -26,14 +26,14 @@
 	"marblelane/internal/sidecar/upstream"
 )
 
-// schedule draws which system calls fail, and how. It is safe for concurrent use.
-type schedule struct {
+// faultSchedule decides at random which system calls fail, and how. It is safe for concurrent use.
+type faultSchedule struct {
 	mu  sync.Mutex
 	rnd *rand.Rand
 }
 
-// draw fails a call with one of some errnos in perMille of a thousand cases.
-func (s *schedule) draw(call string, perMille int, from netcall.Errnos) error {
+// maybeFail returns an error of a call with a random errno out of from, with a probability of perMille in 1000.
+func (s *faultSchedule) maybeFail(call string, perMille int, from netcall.Errnos) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.rnd.IntN(1000) >= perMille {
@@ -42,15 +42,16 @@
 	return sidecartest.OpError(call, from[s.rnd.IntN(len(from))])
 }
 
-// randomConn fails reads and writes, transfers single bytes, and writes in part, as its schedule draws.
+// randomConn is a connection whose reads and writes fail at random, before or after a part of the bytes. It may transfer
+// single bytes.
 type randomConn struct {
 	*net.TCPConn
-	schedule    *schedule
+	schedule    *faultSchedule
 	byteAtATime bool
 }
 
 func (c *randomConn) Read(p []byte) (int, error) {
-	if err := c.schedule.draw("read", 20, slices.Concat(netcall.TransientErrnos, netcall.ConnClosedErrnos)); err != nil {
+	if err := c.schedule.maybeFail("read", 20, slices.Concat(netcall.TransientErrnos, netcall.ConnClosedErrnos)); err != nil {
 		return 0, err
 	}
 	if c.byteAtATime && len(p) > 1 {
@@ -60,10 +61,10 @@
 }
 
 func (c *randomConn) Write(p []byte) (int, error) {
-	if err := c.schedule.draw("write", 30, slices.Concat(netcall.LocalErrnos, netcall.ConnClosedErrnos)); err != nil {
+	if err := c.schedule.maybeFail("write", 30, slices.Concat(netcall.LocalErrnos, netcall.ConnClosedErrnos)); err != nil {
 		return 0, err
 	}
-	if err := c.schedule.draw("write", 30, slices.Concat(netcall.LocalErrnos, netcall.ConnClosedErrnos)); err != nil {
+	if err := c.schedule.maybeFail("write", 30, slices.Concat(netcall.LocalErrnos, netcall.ConnClosedErrnos)); err != nil {
 		n, _ := c.TCPConn.Write(p[:len(p)/2])
 		return n, err
 	}
@@ -78,12 +79,12 @@
 	return len(p), nil
 }
 
-// disturb makes dials and connections of a pool fail as the schedule draws.
-func (s *schedule) disturb(p *upstream.Pool) {
+// injectInto makes dials and connections of a pool fail at random.
+func (s *faultSchedule) injectInto(p *upstream.Pool) {
 	dialErrnos := slices.Concat(netcall.Errnos{syscall.ECONNREFUSED, syscall.ECONNRESET}, netcall.LocalErrnos, netcall.UnreachableErrnos)
 	p.WrapDial(func(dial netcall.DialFunc) netcall.DialFunc {
 		return func(ctx context.Context, network, addr string) (net.Conn, error) {
-			if err := s.draw("connect", 150, dialErrnos); err != nil {
+			if err := s.maybeFail("connect", 150, dialErrnos); err != nil {
 				return nil, err
 			}
 			c, err := dial(ctx, network, addr)
@@ -97,65 +98,65 @@
 	})
 }
 
-// runs counts by X-Request-ID how often each request reached a server to its last byte.
-type runs struct {
+// runCounter counts, by X-Request-ID, how often each request reached a server completely.
+type runCounter struct {
 	t  *testing.T
 	mu sync.Mutex
-	by map[string]int
+	by map[string]int // by X-Request-ID
 }
 
-// serve counts a request, checks its X-Timeout-Ms and answers it.
-func (r *runs) serve(c net.Conn, req *http.Request, body string) bool {
+// serve counts a request, checks its X-Timeout-Ms and responds to it.
+func (r *runCounter) serve(c net.Conn, req *http.Request, body string) bool {
 	r.mu.Lock()
 	r.by[req.Header.Get("X-Request-ID")]++
 	r.mu.Unlock()
 	left, err := strconv.Atoi(req.Header.Get("X-Timeout-Ms"))
 	if err != nil || left < 1 || left > int(scheduleWait.Milliseconds()) {
-		r.t.Errorf("a server got %q ms, %v", req.Header.Get("X-Timeout-Ms"), err)
+		r.t.Errorf("a server got the X-Timeout-Ms %q, %v", req.Header.Get("X-Timeout-Ms"), err)
 	}
 	return sidecartest.OK(c, req, body)
 }
 
-func (r *runs) of(id string) int {
+func (r *runCounter) count(id string) int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.by[id]
 }
 
 const (
-	scheduleWait     = time.Second // of each client
+	scheduleWait     = time.Second // timeout of each request
 	scheduleClients  = 6
-	scheduleRequests = 60 // of each client in each phase
-	scheduleAttempts = 3  // at most for each request
+	scheduleRequests = 60 // requests of each client in each phase
+	scheduleAttempts = 3  // maximum number of attempts per request
 )
 
-// check compares the answer to a request with how often it ran.
-func (r *runs) check(class, id string, status int) {
+// checkResponse compares the response to a request with the number of times that the request ran.
+func (r *runCounter) checkResponse(class, id string, status int) {
 	r.t.Helper()
-	n := r.of(id)
+	n := r.count(id)
 	switch {
 	case status != 200 && status != inflight.StatusRejected && status != inflight.StatusFailed && status != inflight.StatusTimedOut:
 		r.t.Errorf("%s %s: status %d", class, id, status)
 	case n > scheduleAttempts:
-		r.t.Errorf("%s %s: ran %d times, at most %d", class, id, n, scheduleAttempts)
+		r.t.Errorf("%s %s: ran %d times, want at most %d", class, id, n, scheduleAttempts)
 	case class == "charge" && n > 1:
-		r.t.Errorf("%s %s: ran %d times", class, id, n)
+		r.t.Errorf("%s %s: non-idempotent, but ran %d times", class, id, n)
 	case class == "charge" && n > 0 && status == inflight.StatusRejected:
 		r.t.Errorf("%s %s: rejected, but it ran", class, id)
 	case status == 200 && n == 0:
-		r.t.Errorf("%s %s: answered, but it did not run", class, id)
+		r.t.Errorf("%s %s: served, but it did not run", class, id)
 	}
 }
 
-// send makes the requests of one client and returns how many were served.
-func (r *runs) send(s *running, seed uint64) (served int) {
+// runClient sends the requests of one client and returns how many were served.
+func (r *runCounter) runClient(s *running, seed uint64) (served int) {
 	rnd := rand.New(rand.NewPCG(seed, 1))
 	for range scheduleRequests {
 		class := []string{"lookup", "reserve", "charge"}[rnd.IntN(3)]
 		req := s.request(class, scheduleWait)
 		id := req.Header.Get("X-Request-ID")
 		got := s.do(req)
-		r.check(class, id, got.status)
+		r.checkResponse(class, id, got.status)
 		if got.status == 200 {
 			served++
 		}
@@ -163,12 +164,12 @@
 	return served
 }
 
-// phase makes the requests of all clients and returns how many were served.
-func (r *runs) phase(s *running, seed uint64) int {
+// runClients sends the requests of all clients in one phase and returns how many were served.
+func (r *runCounter) runClients(s *running, seed uint64) int {
 	var clients sync.WaitGroup
 	served := make([]int, scheduleClients)
 	for i := range served {
-		clients.Go(func() { served[i] = r.send(s, seed+uint64(i)) })
+		clients.Go(func() { served[i] = r.runClient(s, seed+uint64(i)) })
 	}
 	clients.Wait()
 	all := 0
@@ -178,12 +179,12 @@
 	return all
 }
 
-// While system calls fail at random each request has one answer, a non-idempotent one runs once at most, servers get
-// the time that is left, and one that drains gets nothing more.
+// While system calls fail at random, each request gets one response, a non-idempotent request runs at most once,
+// servers get the remaining time of a request, and a draining server gets no new requests.
 func TestErrno_random(t *testing.T) {
 	seed := uint64(time.Now().UnixNano())
 	t.Logf("seed %d", seed)
-	counted := &runs{t: t, by: map[string]int{}}
+	counted := &runCounter{t: t, by: map[string]int{}}
 	servers := make([]*sidecartest.Backend, 4)
 	known := make([]endpointlist.Target, len(servers))
 	for i := range servers {
@@ -192,41 +193,42 @@
 	}
 	registry := sidecartest.NewFakeDiscovery(t)
 	c := configtest.NewConf(registry.Addr(), known...).
-		Setting(`"max_attempts": 6`, fmt.Sprintf(`"max_attempts": %d`, scheduleAttempts)).
-		Setting(`"parallel_tries": true`, `"parallel_tries": false`)
-	c["management"] = sidecartest.Loopback // so that the figures of servers are made
-	faults := &schedule{rnd: rand.New(rand.NewPCG(seed, 0))}
+		ReplaceSetting(`"max_attempts": 6`, fmt.Sprintf(`"max_attempts": %d`, scheduleAttempts)).
+		ReplaceSetting(`"parallel_tries": true`, `"parallel_tries": false`)
+	c["management"] = sidecartest.Loopback // so that the metrics of servers are published
+	faults := &faultSchedule{rnd: rand.New(rand.NewPCG(seed, 0))}
 	s := start(t, c, func(s *Sidecar) {
-		faults.disturb(s.loop.Pool)
-		s.loop.Discovery.SetTimeouts(discovery.Timeouts{Call: time.Hour, Watch: time.Hour}) // the list service is silent for a while
+		faults.injectInto(s.loop.Pool)
+		s.loop.Discovery.SetTimeouts(discovery.Timeouts{Call: time.Hour, Watch: time.Hour}) // the list service may stay silent
 	})
 	watch := sidecartest.Receive(t, "the call to discovery", registry.Calls)
 
 	const all = scheduleClients * scheduleRequests
-	served := counted.phase(s, seed)
+	served := counted.runClients(s, seed)
 	t.Logf("served %d of %d", served, all)
 	if 2*served < all {
 		t.Errorf("served %d of %d, want most of them", served, all)
 	}
 
-	drains := servers[0]
-	leaving := drains.Target
-	leaving.State = "Terminating"
-	watch.SendList(t, endpointlist.List{Rev: 2, Targets: []endpointlist.Target{leaving}})
-	sidecartest.Until(t, "the drain to be known", func() bool { return s.loop.Metrics.Servers.Load().Ready == len(servers)-1 })
-	before := drains.Requests.Load()
-	served = counted.phase(s, seed+scheduleClients)
-	t.Logf("served %d of %d beside a server that drains", served, all)
-	if n := drains.Requests.Load() - before; n > 0 {
-		t.Errorf("%d requests reached a server that drains", n)
+	draining := servers[0]
+	target := draining.Target
+	target.State = "Terminating"
+	watch.SendList(t, endpointlist.List{Rev: 2, Targets: []endpointlist.Target{target}})
+	sidecartest.Until(t, "the drain to be applied", func() bool { return s.loop.Metrics.Servers.Load().Ready == len(servers)-1 })
+	before := draining.Requests.Load()
+	served = counted.runClients(s, seed+scheduleClients)
+	t.Logf("served %d of %d while a server drains", served, all)
+	if n := draining.Requests.Load() - before; n > 0 {
+		t.Errorf("%d requests reached the draining server", n)
 	}
 	if 2*served < all {
-		t.Errorf("served %d of %d beside a server that drains, want most of them", served, all)
+		t.Errorf("served %d of %d while a server drains, want most of them", served, all)
 	}
 	sidecartest.Until(t, "connections to be idle or closed", func() bool { open, idle := s.loop.Pool.Counts(); return idle == open })
 }
 
-// A long body and its answer arrive complete when both directions, to the client and to the server, transfer single bytes.
+// A long body and the response to it arrive complete although the connections to the client and to the server transfer
+// single bytes in both directions.
 func TestConnection_byteAtATime(t *testing.T) {
 	body := string(sidecartest.PatternBody(20_000))
 	b := sidecartest.NewBackend(t, "a", func(c net.Conn, _ *http.Request, got string) bool {
@@ -253,8 +255,8 @@
 	if err := req.Write(&text); err != nil {
 		t.Fatal(err)
 	}
-	for _, one := range text.Bytes() {
-		if _, err := client.Write([]byte{one}); err != nil {
+	for _, b := range text.Bytes() {
+		if _, err := client.Write([]byte{b}); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -264,9 +266,9 @@
 		t.Fatal(err)
 	}
 	defer got.Body.Close()
-	answer, err := io.ReadAll(iotest.OneByteReader(got.Body))
-	if err != nil || got.StatusCode != 200 || string(answer) != body {
-		t.Errorf("%d with %d bytes, %v, want the %d bytes that were sent", got.StatusCode, len(answer), err, len(body))
+	response, err := io.ReadAll(iotest.OneByteReader(got.Body))
+	if err != nil || got.StatusCode != 200 || string(response) != body {
+		t.Errorf("%d with %d bytes, %v, want the %d bytes that were sent", got.StatusCode, len(response), err, len(body))
 	}
 	if n := b.Requests.Load(); n != 1 {
 		t.Errorf("%d requests at the server, want 1", n)
