--- a/internal/sidecar/errno_random_test.go
+++ b/internal/sidecar/errno_random_test.go
@@ -191,7 +191,7 @@
 		servers[i] = sidecartest.NewBackend(t, fmt.Sprintf("s%d", i), counted.serve)
 		known[i] = servers[i].Target
 	}
-	registry := sidecartest.NewRegistry(t)
+	registry := sidecartest.NewFakeDiscovery(t)
 	c := configtest.NewConf(registry.Addr(), known...).
 		ReplaceSetting(`"max_attempts": 6`, fmt.Sprintf(`"max_attempts": %d`, scheduleAttempts)).
 		ReplaceSetting(`"parallel_tries": true`, `"parallel_tries": false`)
@@ -213,7 +213,7 @@
 	draining := servers[0]
 	target := draining.Target
 	target.State = "Terminating"
-	watch.Send(t, endpointlist.List{Rev: 2, Targets: []endpointlist.Target{target}})
+	watch.SendList(t, endpointlist.List{Rev: 2, Targets: []endpointlist.Target{target}})
 	sidecartest.Until(t, "the drain to be applied", func() bool { return s.loop.Metrics.Servers.Load().Ready == len(servers)-1 })
 	before := draining.Requests.Load()
 	served = counted.runClients(s, seed+scheduleClients)
@@ -230,7 +230,7 @@
 // A long body and the response to it arrive complete although the connections to the client and to the server transfer
 // single bytes in both directions.
 func TestConnection_byteAtATime(t *testing.T) {
-	body := string(sidecartest.Pattern(20_000))
+	body := string(sidecartest.PatternBody(20_000))
 	b := sidecartest.NewBackend(t, "a", func(c net.Conn, _ *http.Request, got string) bool {
 		text := fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(got), got)
 		for i := range len(text) {
@@ -240,8 +240,8 @@
 		}
 		return true
 	})
-	s := start(t, configtest.NewConf(sidecartest.NewRegistry(t).Addr(), b.Target), func(s *Sidecar) {
-		sidecartest.Dialing(s.loop.Pool, sidecartest.Succeed, sidecartest.FaultyConn{ByteAtATime: true})
+	s := start(t, configtest.NewConf(sidecartest.NewFakeDiscovery(t).Addr(), b.Target), func(s *Sidecar) {
+		sidecartest.InjectDialFaults(s.loop.Pool, sidecartest.Succeed, sidecartest.FaultyConn{ByteAtATime: true})
 	})
 	client, err := net.Dial("tcp", s.Addr())
 	if err != nil {
@@ -260,7 +260,7 @@
 			t.Fatal(err)
 		}
 	}
-	client.SetReadDeadline(time.Now().Add(sidecartest.Patience))
+	client.SetReadDeadline(time.Now().Add(sidecartest.WaitTimeout))
 	got, err := http.ReadResponse(bufio.NewReaderSize(iotest.OneByteReader(client), 16), req)
 	if err != nil {
 		t.Fatal(err)
--- a/internal/sidecar/handover/successors.go
+++ b/internal/sidecar/handover/successors.go
@@ -17,32 +17,33 @@
 	"marblelane/internal/sidecar/netcall"
 )
 
-// Successors are the newer processes that meet this one.
+// Successors manages the connections of this process's successors.
 type Successors struct {
-	Listener *net.TCPListener // the clients' listening socket, which they are given
-	Changed  func(alive int)  // is called with their number when it changes
-	Faults   *fault.Plan      // planted by the lab; nil: none
-	Bind     func(network string, addr *net.UnixAddr) (*net.UnixListener, error)
-	Serving  atomic.Int64 // how many of them serve
+	Listener     *net.TCPListener // the listening socket for clients, which is sent to successors
+	CountChanged func(alive int)  // called with the number of successors when it changes
+	Faults       *fault.Plan      // faults that the lab injects; nil: none
+	Bind         func(network string, addr *net.UnixAddr) (*net.UnixListener, error)
+	Serving      atomic.Int64 // number of successors that serve
 
-	socket net.Listener
-	ended  sync.WaitGroup // goroutines of accept and follow
-	mu     sync.Mutex     // guards closed and conns
-	closed bool
-	conns  map[net.Conn]struct{}
+	socket     net.Listener
+	goroutines sync.WaitGroup // running goroutines of accept and serveSuccessor
+	mu         sync.Mutex     // guards closed and conns
+	closed     bool
+	conns      map[net.Conn]struct{}
 }
 
-// Await takes the socket at a path over from the process that had it, and accepts newer processes in the background, up
-// to Close.
-func (s *Successors) Await(path string) error {
-	// It is bound under a name of its own first, so that the path always names a complete socket, or none.
+// Listen creates the handover socket at the path, in place of the predecessor's, and accepts successors in the
+// background until Close.
+func (s *Successors) Listen(path string) error {
+	// The socket is bound under a temporary name and then renamed, so that the path never names a socket that does not
+	// listen yet.
 	fresh := fmt.Sprintf("%s.%d", path, os.Getpid())
 	os.Remove(fresh)
 	l, err := s.Bind("unix", &net.UnixAddr{Name: fresh, Net: "unix"})
 	if err != nil {
 		return err
 	}
-	l.SetUnlinkOnClose(false) // by then the path may be that of the next process
+	l.SetUnlinkOnClose(false) // at Close the path may already belong to the successor
 	if err := os.Rename(fresh, path); err != nil {
 		l.Close()
 		os.Remove(fresh)
@@ -50,11 +51,11 @@
 	}
 	s.socket = listener.Wrap(netcall.WithFaults(l, s.Faults), "upgrade", nil)
 	s.conns = map[net.Conn]struct{}{}
-	s.ended.Go(s.accept)
+	s.goroutines.Go(s.accept)
 	return nil
 }
 
-// accept accepts newer processes until the socket is closed or lost.
+// accept accepts successors until the socket is closed or fails.
 func (s *Successors) accept() {
 	for {
 		c, err := s.socket.Accept()
@@ -62,16 +63,16 @@
 			return
 		}
 		if err != nil {
-			slog.Error("upgrade: no newer process can meet this one any more", "err", err)
+			slog.Error("upgrade: accept failed, no further handover is possible", "err", err)
 			return
 		}
 		if next := c.(*net.UnixConn); s.add(next) {
-			s.ended.Go(func() { s.follow(next) })
+			s.goroutines.Go(func() { s.serveSuccessor(next) })
 		}
 	}
 }
 
-// add counts a newer process in, and reports false after Close.
+// add registers the connection of a successor. After Close it closes the connection and returns false.
 func (s *Successors) add(c net.Conn) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -80,47 +81,47 @@
 		return false
 	}
 	s.conns[c] = struct{}{}
-	s.Changed(len(s.conns))
+	s.CountChanged(len(s.conns))
 	return true
 }
 
-// ShareListener reports whether a newer process may hold the listening socket.
-func (s *Successors) ShareListener() bool {
+// ListenerShared reports whether a successor is connected, and so may have the listening socket.
+func (s *Successors) ListenerShared() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return len(s.conns) > 0
 }
 
-// follow gives a newer process the listening socket and follows it to its end.
-func (s *Successors) follow(c *net.UnixConn) {
+// serveSuccessor sends the listening socket to a successor and waits until the successor disconnects.
+func (s *Successors) serveSuccessor(c *net.UnixConn) {
 	if err := s.SendListener(c); err != nil {
-		slog.Warn("upgrade: the listening socket was not handed over", "err", err)
+		slog.Warn("upgrade: handover of the listening socket failed", "err", err)
 	} else {
-		s.followServing(netcall.RetryingConn{Conn: c})
+		s.trackServing(netcall.RetryingConn{Conn: c})
 	}
 	c.Close()
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	delete(s.conns, c)
 	if !s.closed {
-		s.Changed(len(s.conns))
+		s.CountChanged(len(s.conns))
 	}
 }
 
-// followServing counts a newer process while it serves, and waits for its end.
-func (s *Successors) followServing(next io.Reader) {
+// trackServing counts a successor as serving from its servingByte to its EndingByte, and waits until it disconnects.
+func (s *Successors) trackServing(next io.Reader) {
 	var word [1]byte
 	if _, err := io.ReadFull(next, word[:]); err != nil || word[0] != servingByte {
 		return
 	}
-	slog.Info("upgrade: the next process serves")
+	slog.Info("upgrade: the successor serves")
 	s.Serving.Add(1)
-	_, _ = io.ReadFull(next, word[:]) // EndingByte, or its end
+	_, _ = io.ReadFull(next, word[:]) // EndingByte, or the end of the connection
 	s.Serving.Add(-1)
 	_, _ = io.Copy(io.Discard, next)
 }
 
-// SendListener sends a newer process the descriptor of the listening socket.
+// SendListener sends the descriptor of the listening socket to a successor.
 func (s *Successors) SendListener(c *net.UnixConn) error {
 	raw, err := s.Listener.SyscallConn()
 	if err != nil {
@@ -128,7 +129,7 @@
 	}
 	return netcall.RetryCall(func() error {
 		var failed error
-		// Within Control, as File would duplicate the descriptor and set the socket to blocking.
+		// Control is used because File would duplicate the descriptor and set the socket to blocking mode.
 		err := raw.Control(func(fd uintptr) {
 			_, _, failed = c.WriteMsgUnix([]byte{servingByte}, unix.UnixRights(int(fd)), nil)
 		})
@@ -136,7 +137,7 @@
 	})
 }
 
-// Close ends the connections to newer processes, which see it as the end of this process.
+// Close closes the socket and the connections to successors, which treat this as the end of the process.
 func (s *Successors) Close() {
 	s.socket.Close()
 	s.mu.Lock()
@@ -145,5 +146,5 @@
 		c.Close()
 	}
 	s.mu.Unlock()
-	s.ended.Wait()
+	s.goroutines.Wait()
 }
--- a/internal/sidecar/planted_test.go
+++ b/internal/sidecar/planted_test.go
@@ -39,7 +39,7 @@
 			b := sidecartest.NewBackend(t, "a", sidecartest.OK)
 			path := filepath.Join(t.TempDir(), "faults.toml")
 			planFault(t, path, fault.CallAccept, errno)
-			c := configtest.NewConf(sidecartest.NewRegistry(t).Addr(), b.Target)
+			c := configtest.NewConf(sidecartest.NewFakeDiscovery(t).Addr(), b.Target)
 			c["faults"] = path
 			var failures atomic.Int64
 			s := start(t, c, func(s *Sidecar) { countAcceptFailures(t, s.listener, &failures) })
@@ -65,7 +65,7 @@
 // Failing accepts do not close the management address or the handover socket either.
 func TestAccept_OtherListeners(t *testing.T) {
 	b := sidecartest.NewBackend(t, "a", sidecartest.OK)
-	c := upgradable(t, sidecartest.NewRegistry(t).Addr(), b.Target)
+	c := upgradable(t, sidecartest.NewFakeDiscovery(t).Addr(), b.Target)
 	path := filepath.Join(t.TempDir(), "faults.toml")
 	planFault(t, path, fault.CallAccept, "EPROTO")
 	c["faults"] = path
@@ -107,7 +107,7 @@
 	})
 	path := filepath.Join(t.TempDir(), "faults.toml")
 	planFault(t, path, fault.CallAccept, "ENOMEM")
-	c := configtest.NewConf(sidecartest.NewRegistry(t).Addr(), b.Target)
+	c := configtest.NewConf(sidecartest.NewFakeDiscovery(t).Addr(), b.Target)
 	c["faults"] = path
 	var failures atomic.Int64
 	s := start(t, c, func(s *Sidecar) { countAcceptFailures(t, s.listener, &failures) })
