--- a/internal/audit/answers_test.go
+++ b/internal/audit/answers_test.go
@@ -28,23 +28,23 @@
 		q    Query
 		want Verdict
 	}{
-		{Query{From: 10, To: 40, CommittedAt: none}, Did}, {Query{From: 11, To: 40, CommittedAt: none}, Unknown},
-		{Query{From: 10, To: 39, CommittedAt: none}, Unknown}, {Query{From: 11, To: 20, CommittedAt: 11}, Did},
+		{Query{From: 10, To: 40, CommittedAt: none}, Acted}, {Query{From: 11, To: 40, CommittedAt: none}, Unknown},
+		{Query{From: 10, To: 39, CommittedAt: none}, Unknown}, {Query{From: 11, To: 20, CommittedAt: 11}, Acted},
 		{Query{From: 11, To: 19, CommittedAt: 11}, Unknown}, {Query{From: 11, To: 20, CommittedAt: 10}, Unknown},
-		{Query{From: 41, To: 79, CommittedAt: none}, DidNot}, {Query{From: 40, To: 79, CommittedAt: none}, Unknown},
+		{Query{From: 41, To: 79, CommittedAt: none}, DidNotAct}, {Query{From: 40, To: 79, CommittedAt: none}, Unknown},
 		{Query{From: 41, To: 80, CommittedAt: none}, Unknown}, {Query{From: 5, To: 9, CommittedAt: none}, Unknown},
-		{Query{From: 5, To: 9, CommittedAt: 10}, DidNot}, {Query{From: 5, To: 10, CommittedAt: 10}, Unknown},
-		{Query{From: 41, To: 500, ClosedKnown: true, ClosedAt: 79}, DidNot},
+		{Query{From: 5, To: 9, CommittedAt: 10}, DidNotAct}, {Query{From: 5, To: 10, CommittedAt: 10}, Unknown},
+		{Query{From: 41, To: 500, ClosedKnown: true, ClosedAt: 79}, DidNotAct},
 		{Query{From: 41, To: 500, ClosedKnown: true, ClosedAt: 80}, Unknown},
-		{Query{From: 81, To: 500, ClosedKnown: true, ClosedAt: 80}, DidNot},
-		{Query{From: 10, To: 35, ClosedKnown: true, ClosedAt: 35}, Did},
+		{Query{From: 81, To: 500, ClosedKnown: true, ClosedAt: 80}, DidNotAct},
+		{Query{From: 10, To: 35, ClosedKnown: true, ClosedAt: 35}, Acted},
 		{Query{From: 10, To: 35, ClosedKnown: true, ClosedAt: 36}, Unknown},
-		{Query{From: 9, To: 41, Slack: 1, CommittedAt: none}, Did}, {Query{From: 10, To: 41, Slack: 1, CommittedAt: none}, Unknown},
-		{Query{From: 42, To: 78, Slack: 1, CommittedAt: none}, DidNot}, {Query{From: 42, To: 79, Slack: 1, CommittedAt: none}, Unknown},
+		{Query{From: 9, To: 41, Slack: 1, CommittedAt: none}, Acted}, {Query{From: 10, To: 41, Slack: 1, CommittedAt: none}, Unknown},
+		{Query{From: 42, To: 78, Slack: 1, CommittedAt: none}, DidNotAct}, {Query{From: 42, To: 79, Slack: 1, CommittedAt: none}, Unknown},
 		{Query{From: 60, To: 60, Slack: 30, CommittedAt: none}, Unknown}, {Query{From: 60, To: 60, Slack: -1}, Unknown},
 	} {
 		c.q.Rev = 5
-		if a := tracker.Answers(c.q, nil)[0]; a.Verdict != c.want {
+		if a := tracker.Verdicts(c.q, nil)[0]; a.Verdict != c.want {
 			t.Errorf("%d: %+v: %s (%s), want %s", i, c.q, a.Verdict, a.Reason, c.want)
 		}
 	}
@@ -60,9 +60,9 @@
 	}
 	tracker.Report(5, 5, r)
 	verdict := func(rev int64) Verdict {
-		return tracker.Answers(Query{Rev: rev, From: math.MinInt64, To: math.MaxInt64, CommittedAt: math.MinInt64}, nil)[0].Verdict
+		return tracker.Verdicts(Query{Rev: rev, From: math.MinInt64, To: math.MaxInt64, CommittedAt: math.MinInt64}, nil)[0].Verdict
 	}
-	if verdict(1) != Unknown || verdict(3) != Unknown || verdict(7) != Did || verdict(8) != DidNot {
+	if verdict(1) != Unknown || verdict(3) != Unknown || verdict(7) != Acted || verdict(8) != DidNotAct {
 		t.Errorf("%s, %s, %s, %s", verdict(1), verdict(3), verdict(7), verdict(8))
 	}
 	// A process that lists as many as it must may have left older ones out.
@@ -70,7 +70,7 @@
 	for _, c := range []struct {
 		lists int
 		want  Verdict
-	}{{3, Unknown}, {4, DidNot}} {
+	}{{3, Unknown}, {4, DidNotAct}} {
 		tracker = NewTracker(TrackerOptions{MinListedRevs: c.lists}, "x", 0)
 		tracker.Report(5, 5, r)
 		if got := verdict(2); got != c.want {
@@ -224,10 +224,10 @@
 			t.Errorf("from %d to %d: %s%+v", from, to, diff, answers)
 		}
 	}
-	want(3, 38, DidNot, Did, Did)
-	want(5, 9, DidNot, Did, Did)
-	want(8, 11, DidNot, DidNot, DidNot)
-	want(-10, 2, DidNot, DidNot, DidNot)
+	want(3, 38, DidNotAct, Acted, Acted)
+	want(5, 9, DidNotAct, Acted, Acted)
+	want(8, 11, DidNotAct, DidNotAct, DidNotAct)
+	want(-10, 2, DidNotAct, DidNotAct, DidNotAct)
 	want(36, 45, Unknown, Unknown, Unknown) // the time is not over
 
 	// Another leader has only the log until processes report; then final counts are known.
@@ -239,17 +239,17 @@
 	w.closed[5], w.rev = 40, 6
 	w.now = 50
 	w.electLeader()
-	want(3, 40, DidNot, Unknown, Unknown) // nothing was marked: the times before it led are not known
+	want(3, 40, DidNotAct, Unknown, Unknown) // nothing was marked: the times before it led are not known
 	w.log.Mark(45 + copyAhead)
 	w.committedSince[5] = 2
-	want(2, 44, DidNot, Unknown, Unknown)
-	want(2, 45, DidNot, Did, Did) // all attempts lie between
-	want(3, 45, DidNot, Unknown, Unknown)
+	want(2, 44, DidNotAct, Unknown, Unknown)
+	want(2, 45, DidNotAct, Acted, Acted) // all attempts lie between
+	want(3, 45, DidNotAct, Unknown, Unknown)
 	w.closed = map[int64]int64{}
-	want(45, 60, DidNot, Unknown, Unknown)
-	want(46, 60, DidNot, DidNot, DidNot) // final counts do not change
+	want(45, 60, DidNotAct, Unknown, Unknown)
+	want(46, 60, DidNotAct, DidNotAct, DidNotAct) // final counts do not change
 	sum := w.tracker.Summarize(Query{Rev: 5, From: math.MinInt64, To: math.MaxInt64, Now: w.clock(60)}, &w.log)
-	if sum.Did != 2 || sum.DidNot != 1 || sum.Unknown != 0 {
+	if sum.Acted != 2 || sum.DidNotAct != 1 || sum.Unknown != 0 {
 		t.Errorf("%+v", sum)
 	}
 }
@@ -310,23 +310,23 @@
 }
 
 // silenceAsDidNot answers DidNot for a process that was silent.
-func silenceAsDidNot(w *fleetWorld, q Query) []Answer {
+func silenceAsDidNot(w *fleetWorld, q Query) []ProcessVerdict {
 	out := trackerAnswers(w, q)
 	for i := range out {
 		p := w.tracker.processes[out[i].Process]
 		if silent := p == nil || p.lastReportAt < q.From; out[i].Verdict == Unknown && silent {
-			out[i].Verdict = DidNot
+			out[i].Verdict = DidNotAct
 		}
 	}
 	return out
 }
 
 // widenedDid answers Did for a time that begins earlier.
-func widenedDid(w *fleetWorld, q Query) []Answer {
+func widenedDid(w *fleetWorld, q Query) []ProcessVerdict {
 	q.From--
 	out := trackerAnswers(w, q)
 	for i := range out {
-		if out[i].Verdict == DidNot {
+		if out[i].Verdict == DidNotAct {
 			out[i].Verdict = Unknown
 		}
 	}
@@ -334,7 +334,7 @@
 }
 
 // markedTooEarly takes the log for marked before it was.
-func markedTooEarly(w *fleetWorld, q Query) []Answer {
+func markedTooEarly(w *fleetWorld, q Query) []ProcessVerdict {
 	q.ClockAhead -= 3
 	return trackerAnswers(w, q)
 }
--- a/internal/audit/audit.go
+++ b/internal/audit/audit.go
@@ -54,13 +54,13 @@
 
 // The verdicts.
 const (
-	Did     Verdict = "did"
-	DidNot  Verdict = "did not"
-	Unknown Verdict = "cannot be known"
+	Acted     Verdict = "did"
+	DidNotAct Verdict = "did not"
+	Unknown   Verdict = "cannot be known"
 )
 
-// Answer is the verdict on one process, with the reason in a few words.
-type Answer struct {
+// ProcessVerdict is the verdict on one process, with the reason in a few words.
+type ProcessVerdict struct {
 	route.Process
 	Verdict Verdict `json:"verdict"`
 	Reason  string  `json:"why"`
--- a/internal/audit/fleet_world_test.go
+++ b/internal/audit/fleet_world_test.go
@@ -117,7 +117,7 @@
 		r = w.onArrival(w, r)
 	}
 	now := w.clock(w.now)
-	w.log.Add(w.log.Fresh(w.tracker.Report(now, w.now, r)))
+	w.log.Add(w.log.FilterNew(w.tracker.Report(now, w.now, r)))
 	stamp := route.Moment{Leader: w.leader, MS: now}
 	for _, p := range w.processes {
 		if p.Process == r.Process {
@@ -162,7 +162,7 @@
 		w.rareStep(p)
 	case 15:
 		w.log.Mark(w.now + copyAhead)
-		w.tracker.Forget(w.clock(w.now))
+		w.tracker.DropExpired(w.clock(w.now))
 	}
 }
 
@@ -213,9 +213,9 @@
 // verdictCounts counts the answers to all queries, those that are known, and those that are wrong.
 type verdictCounts struct{ answers, known, wrongDid, wrongDidNot int }
 
-type answerFunc func(w *fleetWorld, q Query) []Answer
+type answerFunc func(w *fleetWorld, q Query) []ProcessVerdict
 
-func trackerAnswers(w *fleetWorld, q Query) []Answer { return w.tracker.Answers(q, &w.log) }
+func trackerAnswers(w *fleetWorld, q Query) []ProcessVerdict { return w.tracker.Verdicts(q, &w.log) }
 
 // compareWithTruth compares the answers to every query with the truth.
 func (w *fleetWorld) compareWithTruth(t *verdictCounts, answers answerFunc) {
@@ -234,10 +234,10 @@
 					if a.Verdict != Unknown {
 						t.known++
 					}
-					if a.Verdict == Did && !acted {
+					if a.Verdict == Acted && !acted {
 						t.wrongDid++
 					}
-					if a.Verdict == DidNot && acted {
+					if a.Verdict == DidNotAct && acted {
 						t.wrongDidNot++
 					}
 				}
--- a/internal/audit/golden_test.go
+++ b/internal/audit/golden_test.go
@@ -45,6 +45,6 @@
 	golden.RequireJSON(t, "transitions.golden.json", tracker.Report(100, 1000, report))
 	golden.RequireJSON(t, "shut_out.golden.json", tracker.AccessChanged(150, 1050, p, ShutOut, 3, "behind"))
 	tracker.Report(160, 1060, &route.Report{Process: route.Process{Name: "sidecar-1", Start: 10}, Seq: 1})
-	golden.RequireJSON(t, "present.golden.json", tracker.Present(200))
+	golden.RequireJSON(t, "present.golden.json", tracker.ListProcesses(200))
 	golden.RequireJSON(t, "summary.golden.json", tracker.Summarize(Query{Rev: 3, From: 60, To: 120, CommittedAt: 60}, nil))
 }
--- a/internal/audit/log.go
+++ b/internal/audit/log.go
@@ -61,8 +61,8 @@
 	l.marked = len(l.entries)
 }
 
-// Fresh is those transitions that Add would add now; the others need not be replicated.
-func (l *Log) Fresh(transitions []Transition) []Transition {
+// FilterNew is those transitions that Add would add now; the others need not be replicated.
+func (l *Log) FilterNew(transitions []Transition) []Transition {
 	var out []Transition
 	for _, t := range transitions {
 		if !l.contains(&t) {
@@ -115,8 +115,8 @@
 	return out
 }
 
-// Of is the transitions of one process, in the order of adding.
-func (l *Log) Of(p route.Process) []Transition {
+// OfProcess is the transitions of one process, in the order of adding.
+func (l *Log) OfProcess(p route.Process) []Transition {
 	var out []Transition
 	for _, e := range l.byProcess[p] {
 		out = append(out, e.Transition)
--- a/internal/audit/log_test.go
+++ b/internal/audit/log_test.go
@@ -14,7 +14,7 @@
 	var l Log
 	add := func(kind TransitionKind, rev, n int64) bool {
 		before, ts := l.Len(), []Transition{{Process: testProcess("a"), AtMS: 5, Kind: kind, Rev: rev, Attempts: n}}
-		fresh := len(l.Fresh(ts))
+		fresh := len(l.FilterNew(ts))
 		l.Add(ts)
 		if fresh != l.Len()-before {
 			t.Errorf("%s %d: %d are fresh, %d were added", kind, rev, fresh, l.Len()-before)
@@ -36,7 +36,7 @@
 	}
 	// Two final counts of one revision contradict each other, whatever is asked.
 	tracker := NewTracker(TrackerOptions{}, "x", 0)
-	for _, a := range tracker.Answers(Query{Rev: 1, From: math.MinInt64, To: 40, CommittedAt: math.MinInt64, Now: 50}, &l) {
+	for _, a := range tracker.Verdicts(Query{Rev: 1, From: math.MinInt64, To: 40, CommittedAt: math.MinInt64, Now: 50}, &l) {
 		if a.Verdict != Unknown {
 			t.Errorf("%+v", a)
 		}
@@ -50,7 +50,7 @@
 	}
 	sum := 0
 	for p := range l.byProcess {
-		sum += len(l.Of(p))
+		sum += len(l.OfProcess(p))
 	}
 	if l.Len() != MaxLogTransitions || sum != MaxLogTransitions || l.entries[0].Rev != 500 ||
 		len(l.Since(1000+MaxLogTransitions)) != 500 {
@@ -79,7 +79,7 @@
 	if err := json.Unmarshal(text, &restored); err != nil {
 		t.Fatal(err)
 	}
-	if diff := cmp.Diff(l.Since(0), restored.Since(0)); diff != "" || len(restored.Of(testProcess("b"))) != 1 {
+	if diff := cmp.Diff(l.Since(0), restored.Since(0)); diff != "" || len(restored.OfProcess(testProcess("b"))) != 1 {
 		t.Error(diff)
 	}
 	for text, want := range map[string]string{
--- a/internal/audit/query.go
+++ b/internal/audit/query.go
@@ -27,8 +27,8 @@
 
 const maxSlackMS = 24 * 60 * 60 * 1000
 
-// Check finds what is wrong with a query. Each answer to an invalid one is Unknown.
-func (q Query) Check() error {
+// Validate finds what is wrong with a query. Each answer to an invalid one is Unknown.
+func (q Query) Validate() error {
 	if q.Rev < 0 {
 		return fmt.Errorf("rev is %d, it is not negative", q.Rev)
 	}
@@ -51,9 +51,9 @@
 	return min(q.From, maxTime-q.Slack) + q.Slack, max(q.To, minTime+q.Slack) - q.Slack
 }
 
-// Answers answers for each process that the tracker or the log knows, by name and start. l may be nil. Of a process
+// Verdicts answers for each process that the tracker or the log knows, by name and start. l may be nil. Of a process
 // without an answer nothing is known.
-func (t *Tracker) Answers(q Query, l *Log) []Answer {
+func (t *Tracker) Verdicts(q Query, l *Log) []ProcessVerdict {
 	if q.Rev == 0 {
 		q.CommittedAt, q.ClosedKnown = minTime, false
 	}
@@ -62,7 +62,7 @@
 	if l != nil {
 		logged = l.byProcess
 	}
-	out := make([]Answer, 0, len(t.processes)+len(logged))
+	out := make([]ProcessVerdict, 0, len(t.processes)+len(logged))
 	for key, p := range t.processes {
 		out = append(out, t.answer(q, key, p, logged[key]))
 	}
@@ -71,29 +71,29 @@
 			out = append(out, t.answer(q, key, nil, entries))
 		}
 	}
-	slices.SortFunc(out, func(a, b Answer) int { return compareProcesses(a.Process, b.Process) })
+	slices.SortFunc(out, func(a, b ProcessVerdict) int { return compareProcesses(a.Process, b.Process) })
 	return out
 }
 
 // Summary is the answers to a query, with the number of each verdict.
 type Summary struct {
-	Rev              int64    `json:"rev"`
-	Did              int      `json:"did"`
-	DidNot           int      `json:"did_not"`
-	Unknown          int      `json:"cannot_be_known"`
-	DroppedProcesses int64    `json:"forgot"` // by the tracker, for want of space; the log may know of them
-	Answers          []Answer `json:"answers"`
+	Rev              int64            `json:"rev"`
+	Acted            int              `json:"did"`
+	DidNotAct        int              `json:"did_not"`
+	Unknown          int              `json:"cannot_be_known"`
+	DroppedProcesses int64            `json:"forgot"` // by the tracker, for want of space; the log may know of them
+	Verdicts         []ProcessVerdict `json:"answers"`
 }
 
 // Summarize counts the answers to a query.
 func (t *Tracker) Summarize(q Query, l *Log) Summary {
-	s := Summary{Rev: q.Rev, DroppedProcesses: t.droppedProcesses, Answers: t.Answers(q, l)}
-	for _, a := range s.Answers {
+	s := Summary{Rev: q.Rev, DroppedProcesses: t.droppedProcesses, Verdicts: t.Verdicts(q, l)}
+	for _, a := range s.Verdicts {
 		switch a.Verdict {
-		case Did:
-			s.Did++
-		case DidNot:
-			s.DidNot++
+		case Acted:
+			s.Acted++
+		case DidNotAct:
+			s.DidNotAct++
 		default:
 			s.Unknown++
 		}
@@ -101,22 +101,22 @@
 	return s
 }
 
-func (t *Tracker) answer(q Query, key route.Process, p *processRecord, logged []*logEntry) Answer {
+func (t *Tracker) answer(q Query, key route.Process, p *processRecord, logged []*logEntry) ProcessVerdict {
 	verdict, reason := t.verdict(q, p, logged)
-	return Answer{Process: key, Verdict: verdict, Reason: reason}
+	return ProcessVerdict{Process: key, Verdict: verdict, Reason: reason}
 }
 
 // verdict is that on one process; p is nil where only the log knows it.
 func (t *Tracker) verdict(q Query, p *processRecord, logged []*logEntry) (Verdict, string) {
-	if err := q.Check(); err != nil {
+	if err := q.Validate(); err != nil {
 		return Unknown, err.Error()
 	}
 	from, to := q.widened()
 	switch {
 	case to < q.CommittedAt:
-		return DidNot, "the time ends before the revision was committed"
+		return DidNotAct, "the time ends before the revision was committed"
 	case q.ClosedKnown && from > q.ClosedAt:
-		return DidNot, "the revision was closed before the time begins"
+		return DidNotAct, "the revision was closed before the time begins"
 	case p != nil && p.inconsistent:
 		return Unknown, "its reports contradict each other"
 	}
@@ -130,13 +130,13 @@
 	case b.contradictory(), did && didNot:
 		return Unknown, "its reports contradict each other"
 	case did && b.maxBefore == 0:
-		return Did, fmt.Sprintf("its first %d attempts lie within the time", b.minByEnd)
+		return Acted, fmt.Sprintf("its first %d attempts lie within the time", b.minByEnd)
 	case did:
-		return Did, fmt.Sprintf("its attempts grew from %d to %d within the time", b.maxBefore, b.minByEnd)
+		return Acted, fmt.Sprintf("its attempts grew from %d to %d within the time", b.maxBefore, b.minByEnd)
 	case didNot && b.maxAfter == 0:
-		return DidNot, "it had made no attempt when the time was over"
+		return DidNotAct, "it had made no attempt when the time was over"
 	case didNot:
-		return DidNot, fmt.Sprintf("its attempts were %d before the time, and after it", b.maxAfter)
+		return DidNotAct, fmt.Sprintf("its attempts were %d before the time, and after it", b.maxAfter)
 	}
 	return Unknown, t.unknownReason(&b, p, logged)
 }
--- a/internal/audit/report_check.go
+++ b/internal/audit/report_check.go
@@ -14,8 +14,8 @@
 	maxStarted   = 1 << 48 // so that the sum of a report's counts does not overflow
 )
 
-// Check finds the first field of a report that is out of its bound. Tracker.Report ignores a report that fails it.
-func Check(r *route.Report) error {
+// ValidateReport finds the first field of a report that is out of its bound. Tracker.Report ignores a report that fails it.
+func ValidateReport(r *route.Report) error {
 	switch {
 	case r.Name == "" || len(r.Name) > maxTextBytes:
 		return fmt.Errorf("report: name has %d bytes, it has 1 to %d", len(r.Name), maxTextBytes)
--- a/internal/audit/tracker.go
+++ b/internal/audit/tracker.go
@@ -87,7 +87,7 @@
 // newest one.
 func (t *Tracker) Report(now, wall int64, r *route.Report) []Transition {
 	t.now = max(t.now, now)
-	if Check(r) != nil {
+	if ValidateReport(r) != nil {
 		return nil
 	}
 	p := t.recordOf(r.Process)
@@ -185,9 +185,9 @@
 	p.lastReportAt, p.sampledAfter = now, lo
 }
 
-// Forget drops processes that have not reported for the retention, and facts that are older. Of a count that goes on,
+// DropExpired drops processes that have not reported for the retention, and facts that are older. Of a count that goes on,
 // the newest of these stays, as what the count grows from.
-func (t *Tracker) Forget(now int64) {
+func (t *Tracker) DropExpired(now int64) {
 	t.now = max(t.now, now)
 	cutoff := t.now - t.options.Retention
 	for key, p := range t.processes {
@@ -235,9 +235,9 @@
 	Superseded      bool           `json:"superseded,omitempty"` // a later start of its name has reported
 }
 
-// Present lists the known processes by name and start. One that is superseded or gone may still act: it is not to be
+// ListProcesses lists the known processes by name and start. One that is superseded or gone may still act: it is not to be
 // counted on, and not ruled out.
-func (t *Tracker) Present(now int64) []Presence {
+func (t *Tracker) ListProcesses(now int64) []Presence {
 	t.now = max(t.now, now)
 	out := make([]Presence, 0, len(t.processes))
 	for key, p := range t.processes {
--- a/internal/audit/tracker_test.go
+++ b/internal/audit/tracker_test.go
@@ -42,14 +42,14 @@
 			t.Fatalf("%d processes", len(tracker.processes))
 		}
 	}
-	if s := tracker.Summarize(Query{Rev: 3, To: 5}, nil); s.DroppedProcesses == 0 || len(s.Answers) != 10 {
+	if s := tracker.Summarize(Query{Rev: 3, To: 5}, nil); s.DroppedProcesses == 0 || len(s.Verdicts) != 10 {
 		t.Errorf("%+v", s)
 	}
-	tracker.Forget(2500)
+	tracker.DropExpired(2500)
 	if len(tracker.processes) != 10 {
 		t.Errorf("%d processes are left before the time is over", len(tracker.processes))
 	}
-	tracker.Forget(3500)
+	tracker.DropExpired(3500)
 	if len(tracker.processes) != 0 {
 		t.Errorf("%d processes are left", len(tracker.processes))
 	}
@@ -80,19 +80,19 @@
 			t.Errorf("%d: %s", i, diff)
 		}
 	}
-	for _, a := range tracker.Answers(Query{Rev: 5, From: 0, To: 9, CommittedAt: 0}, nil) {
-		if want := map[string]Verdict{"a": Did, "b": Unknown}[a.Name]; a.Verdict != want {
+	for _, a := range tracker.Verdicts(Query{Rev: 5, From: 0, To: 9, CommittedAt: 0}, nil) {
+		if want := map[string]Verdict{"a": Acted, "b": Unknown}[a.Name]; a.Verdict != want {
 			t.Errorf("%+v, want %s: the revision of b fell", a, want)
 		}
 	}
-	got := tracker.Present(12)
+	got := tracker.ListProcesses(12)
 	if len(got) != 2 || got[0].AcknowledgedRev != 7 || got[0].LastReportAgoMS != 3 || got[0].SampledAgoMS != -1 {
 		t.Errorf("%+v", got)
 	}
 	newer := newReport("a", 1, 7, 0)
 	newer.Start, newer.Echo = 2, route.Moment{Leader: "x", MS: 10}
 	tracker.Report(13, 13, newer)
-	if got := tracker.Present(14); !got[0].Superseded || got[1].Superseded || got[1].SampledAgoMS != 4 {
+	if got := tracker.ListProcesses(14); !got[0].Superseded || got[1].Superseded || got[1].SampledAgoMS != 4 {
 		t.Errorf("%+v", got)
 	}
 	for i, c := range []struct {
@@ -106,7 +106,7 @@
 			t.Errorf("%d: %s", i, diff)
 		}
 	}
-	if q := (Query{Rev: 5, From: 3, To: 2}); q.Check() == nil || tracker.Answers(q, nil)[0].Verdict != Unknown {
+	if q := (Query{Rev: 5, From: 3, To: 2}); q.Validate() == nil || tracker.Verdicts(q, nil)[0].Verdict != Unknown {
 		t.Error("a query whose time ends before it begins is answered")
 	}
 }
--- a/internal/lab/invariant/routes.go
+++ b/internal/lab/invariant/routes.go
@@ -378,7 +378,7 @@
 			r.out.Checked[AuditTrue]++
 		}
 		switch a.Verdict {
-		case audit.DidNot:
+		case audit.DidNotAct:
 			// Not before the start of the window: what arrives just after it may have begun before it.
 			for _, t := range attempts {
 				if t < a.From+r.maxDelay() || t > a.To || !onlyProcess(lifetimes, k, t-r.maxDelay(), t) {
@@ -388,7 +388,7 @@
 					a.Name, a.Start, a.Rev, ms(a.From), ms(a.To), a.Reason, ms(t))
 				break
 			}
-		case audit.Did:
+		case audit.Acted:
 			if r.faultBetween(a.From, a.To) {
 				continue // an attempt that began may have reached no server
 			}
--- a/internal/lab/invariant/routes_test.go
+++ b/internal/lab/invariant/routes_test.go
@@ -132,16 +132,16 @@
 		a      Answer
 		broken bool
 	}{
-		"did":                                 {Answer{From: 0, To: millis(3000), Start: first, Verdict: audit.Did}, false},
-		"did not, and it did":                 {Answer{From: 0, To: millis(3000), Start: first, Verdict: audit.DidNot}, true},
+		"did":                                 {Answer{From: 0, To: millis(3000), Start: first, Verdict: audit.Acted}, false},
+		"did not, and it did":                 {Answer{From: 0, To: millis(3000), Start: first, Verdict: audit.DidNotAct}, true},
 		"cannot be known":                     {Answer{From: 0, To: millis(3000), Start: first, Verdict: audit.Unknown}, false},
-		"did not, before":                     {Answer{From: 0, To: millis(999), Start: first, Verdict: audit.DidNot}, false},
-		"did not, and it began before":        {Answer{From: millis(990), To: millis(2000), Start: first, Verdict: audit.DidNot}, false},
-		"did not, the other life":             {Answer{From: millis(4100), To: millis(6000), Start: first, Verdict: audit.DidNot}, false},
-		"did not, the second life":            {Answer{From: 0, To: millis(6000), Start: second, Verdict: audit.DidNot}, true},
-		"did, and none was seen":              {Answer{From: millis(1200), To: millis(4800), Start: first, Verdict: audit.Did}, true},
-		"did, under another":                  {Answer{Rev: 21, From: 0, To: millis(3000), Start: first, Verdict: audit.Did}, true},
-		"did, and what it sent may have gone": {Answer{From: millis(7000), To: millis(8000), Start: second, Verdict: audit.Did}, false},
+		"did not, before":                     {Answer{From: 0, To: millis(999), Start: first, Verdict: audit.DidNotAct}, false},
+		"did not, and it began before":        {Answer{From: millis(990), To: millis(2000), Start: first, Verdict: audit.DidNotAct}, false},
+		"did not, the other life":             {Answer{From: millis(4100), To: millis(6000), Start: first, Verdict: audit.DidNotAct}, false},
+		"did not, the second life":            {Answer{From: 0, To: millis(6000), Start: second, Verdict: audit.DidNotAct}, true},
+		"did, and none was seen":              {Answer{From: millis(1200), To: millis(4800), Start: first, Verdict: audit.Acted}, true},
+		"did, under another":                  {Answer{Rev: 21, From: 0, To: millis(3000), Start: first, Verdict: audit.Acted}, true},
+		"did, and what it sent may have gone": {Answer{From: millis(7000), To: millis(8000), Start: second, Verdict: audit.Acted}, false},
 		"a process that never was":            {Answer{Start: epoch - 1, Verdict: audit.Unknown}, true},
 	} {
 		t.Run(name, func(t *testing.T) {
--- a/internal/lab/report/routes.go
+++ b/internal/lab/report/routes.go
@@ -59,7 +59,7 @@
 	}
 	fmt.Fprintf(w, "routes        %d tables told, closed up to %d; %.1f%% of attempts without permission\n", o.Tables, o.Closed, 100*o.Held)
 	fmt.Fprintf(w, "audit         %d questions; processes that did %d, did not %d, cannot be known %d\n", o.AuditAnswers,
-		o.Verdicts[string(audit.Did)], o.Verdicts[string(audit.DidNot)], o.Verdicts[string(audit.Unknown)])
+		o.Verdicts[string(audit.Acted)], o.Verdicts[string(audit.DidNotAct)], o.Verdicts[string(audit.Unknown)])
 }
 
 // missedRouteExpectations compares what became of rollouts with what was expected.
--- a/internal/lab/rollouts/driver.go
+++ b/internal/lab/rollouts/driver.go
@@ -356,7 +356,7 @@
 		return
 	}
 	var got struct {
-		Answers []audit.Answer `json:"answers"`
+		Answers []audit.ProcessVerdict `json:"answers"`
 	}
 	if err := json.Unmarshal(text, &got); code != http.StatusOK || err != nil {
 		o.fail("the audit of revision %d is answered %d %s, %v", rev, code, strings.TrimSpace(string(text)), err)
--- a/internal/registry/operators/operators.go
+++ b/internal/registry/operators/operators.go
@@ -96,8 +96,8 @@
 	if d.ShutOutAfter <= d.StragglerAfter {
 		return &InvalidValue{"shut_after", fmt.Sprintf("%d ms is not after behind_after, %d ms", d.ShutOutAfter, d.StragglerAfter)}
 	}
-	if d.ForgetAfter < 2*d.LeaseTerm {
-		return &InvalidValue{"remember", fmt.Sprintf("%d ms is less than two terms of %d ms", d.ForgetAfter, d.LeaseTerm)}
+	if d.DropAfter < 2*d.LeaseTerm {
+		return &InvalidValue{"remember", fmt.Sprintf("%d ms is less than two terms of %d ms", d.DropAfter, d.LeaseTerm)}
 	}
 	for i, s := range o.Subsets {
 		if len(s.Model)+len(s.Pod)+len(s.Zone)+len(s.UID) == 0 {
@@ -279,7 +279,7 @@
 		to   *int64
 		from tomlfile.Duration
 	}{{&out.LeaseTerm, o.Term}, {&out.StragglerAfter, o.BehindAfter}, {&out.ShutOutAfter, o.ShutAfter}, {&out.GoneAfter, o.GoneAfter},
-		{&out.ForgetAfter, o.Remember}} {
+		{&out.DropAfter, o.Remember}} {
 		if d.from > 0 {
 			*d.to = d.from.Duration().Milliseconds()
 		}
--- a/internal/registry/routeleader/defects.go
+++ b/internal/registry/routeleader/defects.go
@@ -81,10 +81,10 @@
 }
 
 // answers modifies the answers of the audit as the defect demands.
-func (d Defect) answers(all []audit.Answer) []audit.Answer {
+func (d Defect) answers(all []audit.ProcessVerdict) []audit.ProcessVerdict {
 	for i := range all {
 		if d == AuditSilent && all[i].Verdict == audit.Unknown {
-			all[i].Verdict = audit.DidNot
+			all[i].Verdict = audit.DidNotAct
 		}
 	}
 	return all
--- a/internal/registry/routeleader/leadership.go
+++ b/internal/registry/routeleader/leadership.go
@@ -179,5 +179,5 @@
 
 // remember is how long a process counts after its last report.
 func (l *leadership) remember() time.Duration {
-	return time.Duration(l.o.ForgetAfter) * time.Millisecond
+	return time.Duration(l.o.DropAfter) * time.Millisecond
 }
--- a/internal/registry/routeleader/metrics.go
+++ b/internal/registry/routeleader/metrics.go
@@ -27,7 +27,7 @@
 	}
 	r.list.Read(func(s *state.State) {
 		gauge("routes_revision", "Revision of the routes' last change.", float64(s.Routes.Rev()))
-		gauge("routes_closed", "Newest revision of routes under which no attempt begins any more.", float64(s.Routes.Closed()))
+		gauge("routes_closed", "Newest revision of routes under which no attempt begins any more.", float64(s.Routes.ClosedRev()))
 		gauge("audit_transitions", "Transitions of processes that are kept.", float64(s.AuditLog.Len()))
 		for i, one := range s.Routes.LiveSpecs() {
 			if i == maxRolloutMetrics {
--- a/internal/registry/routeleader/process_records.go
+++ b/internal/registry/routeleader/process_records.go
@@ -68,7 +68,7 @@
 
 // queueTransitions queues transitions that the audit log does not have yet for replication. The caller holds p.mu.
 func (p *processRecords) queueTransitions(s *state.State, all []audit.Transition) {
-	p.pending = append(p.pending, s.AuditLog.Fresh(all)...)
+	p.pending = append(p.pending, s.AuditLog.FilterNew(all)...)
 	if extra := len(p.pending) - maxPendingTransitions; extra > 0 {
 		p.pending = slices.Delete(p.pending, 0, extra)
 	}
@@ -80,7 +80,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if now.Sub(p.prunedAt) >= time.Minute {
-		p.tracker.Forget(p.clock.floor(now))
+		p.tracker.DropExpired(p.clock.floor(now))
 		p.prunedAt = now
 	}
 	if now.Sub(p.refreshedAt) >= p.remember/4 {
--- a/internal/registry/routeleader/reports.go
+++ b/internal/registry/routeleader/reports.go
@@ -38,7 +38,7 @@
 		}
 		for _, name := range slices.Sorted(maps.Keys(s.Processes)) {
 			p := s.Processes[name]
-			if _, ok := named[name]; !ok && l.wall(now)-p.AtMS <= l.o.ForgetAfter && !excused(p.Schemas) {
+			if _, ok := named[name]; !ok && l.wall(now)-p.AtMS <= l.o.DropAfter && !excused(p.Schemas) {
 				all = append(all, p)
 			}
 		}
--- a/internal/registry/routeleader/requests.go
+++ b/internal/registry/routeleader/requests.go
@@ -59,9 +59,9 @@
 		f.status, f.after = http.StatusServiceUnavailable, time.Second
 	case errors.Is(err, rollout.ErrConflict):
 		f.status, f.Field = http.StatusConflict, "if"
-	case errors.Is(err, rollout.ErrExists), errors.Is(err, rollout.ErrBusy), errors.Is(err, rollout.ErrOver):
+	case errors.Is(err, rollout.ErrExists), errors.Is(err, rollout.ErrBusy), errors.Is(err, rollout.ErrEnded):
 		f.status = http.StatusConflict
-	case errors.Is(err, rollout.ErrUnknown):
+	case errors.Is(err, rollout.ErrNotFound):
 		f.status = http.StatusNotFound
 	case errors.Is(err, rollout.ErrInvalid):
 		f.status = http.StatusBadRequest
@@ -153,7 +153,7 @@
 }
 
 func checkReport(p *route.Report) *Rejection {
-	if err := audit.Check(p); err != nil {
+	if err := audit.ValidateReport(p); err != nil {
 		return rejectf(http.StatusBadRequest, "", "%v", err)
 	}
 	if len(p.Schemas) == 0 || len(p.Schemas) > maxSchemasPerProcess {
--- a/internal/registry/routeleader/tables.go
+++ b/internal/registry/routeleader/tables.go
@@ -76,7 +76,7 @@
 
 // follow publishes the table of a state if it has changed. term is that of the log entry that changed it; 0: none.
 func (t *tables) follow(s *rollout.State, term uint64, now time.Time) {
-	if rev, closed := t.newest().revisions(); rev != s.Rev() || closed != s.Closed() {
+	if rev, closed := t.newest().revisions(); rev != s.Rev() || closed != s.ClosedRev() {
 		t.set(s.Table(), term, now)
 	}
 }
--- a/internal/registry/routeleader/views.go
+++ b/internal/registry/routeleader/views.go
@@ -158,6 +158,6 @@
 		}
 		out = l.processes.tracker.Summarize(q, s.AuditLog)
 	})
-	out.Answers = r.planted.answers(out.Answers)
+	out.Verdicts = r.planted.answers(out.Verdicts)
 	return out, f
 }
--- a/internal/registry/routes_test.go
+++ b/internal/registry/routes_test.go
@@ -593,16 +593,16 @@
 			require.Equal(t, 200, code, text)
 			var s audit.Summary
 			require.NoError(t, json.Unmarshal([]byte(text), &s))
-			require.Len(t, s.Answers, 3)
-			if s.Answers[1].Verdict != audit.DidNot {
+			require.Len(t, s.Verdicts, 3)
+			if s.Verdicts[1].Verdict != audit.DidNotAct {
 				return false
 			}
-			assert.Equal(t, audit.Did, s.Answers[0].Verdict, s.Answers[0].Reason)
+			assert.Equal(t, audit.Acted, s.Verdicts[0].Verdict, s.Verdicts[0].Reason)
 			want := audit.Unknown
 			if planted != "" {
-				want = audit.DidNot
+				want = audit.DidNotAct
 			}
-			assert.Equal(t, want, s.Answers[2].Verdict, s.Answers[2].Reason)
+			assert.Equal(t, want, s.Verdicts[2].Verdict, s.Verdicts[2].Reason)
 			return true
 		})
 		code, _ = call(t, "GET", one.cfg.Listen, fmt.Sprintf("/routes/audit?rev=%d&from=0&to=1", rev+1), "")
@@ -666,10 +666,10 @@
 		from, to time.Time
 		want     []audit.Verdict // of a process that acts, and of an idle one
 	}{
-		{"the whole", before, held, []audit.Verdict{audit.Did, audit.DidNot}},
-		{"before the commit", before.Add(-time.Hour), before, []audit.Verdict{audit.DidNot, audit.DidNot}},
-		{"from within", within, held, []audit.Verdict{audit.Unknown, audit.DidNot}},
-		{"after the end", held, held.Add(time.Hour), []audit.Verdict{audit.DidNot, audit.DidNot}},
+		{"the whole", before, held, []audit.Verdict{audit.Acted, audit.DidNotAct}},
+		{"before the commit", before.Add(-time.Hour), before, []audit.Verdict{audit.DidNotAct, audit.DidNotAct}},
+		{"from within", within, held, []audit.Verdict{audit.Unknown, audit.DidNotAct}},
+		{"after the end", held, held.Add(time.Hour), []audit.Verdict{audit.DidNotAct, audit.DidNotAct}},
 	} {
 		audited := fmt.Sprintf("/routes/audit?rev=%d&from=%d&to=%d", revs[0], routes.WallMS(c.from), routes.WallMS(c.to))
 		var code int
@@ -682,9 +682,9 @@
 		var s audit.Summary
 		require.NoError(t, json.Unmarshal([]byte(text), &s))
 		var got []audit.Verdict
-		for _, a := range s.Answers {
+		for _, a := range s.Verdicts {
 			got = append(got, a.Verdict)
 		}
-		assert.Equal(t, c.want, got, "%s: %+v", c.what, s.Answers)
+		assert.Equal(t, c.want, got, "%s: %+v", c.what, s.Verdicts)
 	}
 }
--- a/internal/rollout/budget_grants.go
+++ b/internal/rollout/budget_grants.go
@@ -115,7 +115,7 @@
 		if r := s.findRollout(budget.Tenant, budget.Rollout); r != nil {
 			account := r.Ledger[key]
 			grant.Granted = account.Granted
-			if progress := c.progressOf(budget.Tenant, r); !r.Phase.Over() && !account.Gone && progress != nil {
+			if progress := c.progressOf(budget.Tenant, r); !r.Phase.IsFinal() && !account.Gone && progress != nil {
 				grant.MaxIdle = c.maxIdle(progress, r, key, budget.Wanted)
 			}
 		}
--- a/internal/rollout/controller.go
+++ b/internal/rollout/controller.go
@@ -157,7 +157,7 @@
 func (c *Controller) Processes(now int64) []ProcessStatus {
 	out := make([]ProcessStatus, 0, len(c.processes))
 	for _, p := range c.processes {
-		if now-p.LastReport <= c.options.ForgetAfter {
+		if now-p.LastReport <= c.options.DropAfter {
 			status := p.ProcessStatus
 			status.Schemas = slices.Clone(p.Schemas)
 			out = append(out, status)
--- a/internal/rollout/controller_test.go
+++ b/internal/rollout/controller_test.go
@@ -27,7 +27,7 @@
 	require.Equal(t, int64(5000), reportAll(6999, 1).LeaseMS)
 	ops, _ := f.tick(t, 6999, 1)
 	require.Empty(t, ops)
-	require.Zero(t, f.state.Closed()-(f.state.Rev()-2), "a process may still act on the revision before")
+	require.Zero(t, f.state.ClosedRev()-(f.state.Rev()-2), "a process may still act on the revision before")
 	a = reportAll(7000, 1)
 	require.Zero(t, a.LeaseMS)
 	require.Contains(t, a.Reason, "has lacked a later one for 6000 ms")
@@ -37,9 +37,9 @@
 		{Process: straggler.Process, ShutOut: true, AcknowledgedRev: straggler.ActingRev},
 	}, changes)
 	f.tick(t, 12098, 1)
-	require.Less(t, f.state.Closed(), f.state.Rev()-1, "its lengthened term is not over")
+	require.Less(t, f.state.ClosedRev(), f.state.Rev()-1, "its lengthened term is not over")
 	f.tick(t, 12099, 1)
-	require.Equal(t, f.state.Rev()-1, f.state.Closed())
+	require.Equal(t, f.state.Rev()-1, f.state.ClosedRev())
 	require.Equal(t, int64(5000), reportAll(12100, 0).LeaseMS)
 	_, changes = f.tick(t, 12100, 1)
 	require.Equal(t, []AccessChange{
--- a/internal/rollout/decisions.go
+++ b/internal/rollout/decisions.go
@@ -29,7 +29,7 @@
 			commands = append(commands, command)
 		}
 	}
-	if rev := c.closableRev(s); rev > s.Closed() {
+	if rev := c.closableRev(s); rev > s.ClosedRev() {
 		c.closingRev = rev
 		commands = append(commands, Command{Op: OpClose, Rev: rev})
 	}
@@ -48,7 +48,7 @@
 		if silence > c.options.silenceUntilGone() {
 			c.markGone(p)
 		}
-		if silence > c.options.ForgetAfter && p.LeaseUntil <= c.now {
+		if silence > c.options.DropAfter && p.LeaseUntil <= c.now {
 			delete(c.processes, key)
 			if c.newestStart[p.Name] == p.Start {
 				delete(c.newestStart, p.Name)
--- a/internal/rollout/helpers_test.go
+++ b/internal/rollout/helpers_test.go
@@ -43,7 +43,7 @@
 
 func controllerOptions() Options {
 	return Options{
-		Leader: "l", LeaseTerm: 1, StragglerAfter: 1, ShutOutAfter: 100, GoneAfter: 5, ForgetAfter: 1000,
+		Leader: "l", LeaseTerm: 1, StragglerAfter: 1, ShutOutAfter: 100, GoneAfter: 5, DropAfter: 1000,
 		MaxStragglerFraction: 1, Alpha: 0, Rho: 3,
 	}
 }
--- a/internal/rollout/ledger.go
+++ b/internal/rollout/ledger.go
@@ -30,9 +30,9 @@
 	Gone     bool   `json:"gone,omitempty"` // the process has ended: all that it held counts as spent
 }
 
-// SumAccountKey is the key of the account into which others are folded: those of processes that are gone, once there
+// FoldedAccountKey is the key of the account into which others are folded: those of processes that are gone, once there
 // are many, and settled ones of a rollout that is over. No process has this key.
-const SumAccountKey = "*"
+const FoldedAccountKey = "*"
 
 const processSeparator = "@"
 
@@ -100,7 +100,7 @@
 	}
 	if e.Gone {
 		account = account.close()
-	} else if !r.Phase.Over() {
+	} else if !r.Phase.IsFinal() {
 		account = account.grant(e.Granted, r.unitsLeft()+account.Returned-old.Returned)
 	}
 	if account == old || !known && !r.ensureCapacity() {
@@ -121,17 +121,17 @@
 
 // foldAccounts adds the accounts that include picks to the account of sums.
 func (r *rolloutState) foldAccounts(include func(Account) bool) {
-	sum := r.Ledger[SumAccountKey]
+	sum := r.Ledger[FoldedAccountKey]
 	folded := 0
 	for key, account := range r.Ledger { // the order of a sum does not matter
-		if key != SumAccountKey && include(account) {
+		if key != FoldedAccountKey && include(account) {
 			sum, folded = sum.add(account, 1), folded+1
 			delete(r.Ledger, key)
 		}
 	}
 	if folded > 0 {
 		sum.Gone = true // no entry moves it
-		r.Ledger[SumAccountKey] = sum
+		r.Ledger[FoldedAccountKey] = sum
 	}
 }
 
@@ -142,7 +142,7 @@
 		return
 	}
 	r.applyEntry(e)
-	if r.Phase.Over() {
+	if r.Phase.IsFinal() {
 		if account, known := r.Ledger[AccountKey(e.Process)]; known && account.isSettled() {
 			r.foldAccounts(Account.isSettled)
 		}
--- a/internal/rollout/ledger_test.go
+++ b/internal/rollout/ledger_test.go
@@ -27,7 +27,7 @@
 	r, _ := s.Rollout(tenantName, rolloutName)
 	granted, spent, _ := s.BudgetTotals(tenantName, rolloutName)
 	require.Len(t, r.Ledger, MaxAccounts/2+500+1)
-	require.Equal(t, Account{Granted: MaxAccounts, Spent: MaxAccounts, Gone: true}, r.Ledger[SumAccountKey])
+	require.Equal(t, Account{Granted: MaxAccounts, Spent: MaxAccounts, Gone: true}, r.Ledger[FoldedAccountKey])
 	require.Equal(t, [2]int64{2 * (MaxAccounts + 500), MaxAccounts}, [2]int64{granted, spent})
 	mustApply(t, s, Command{Op: OpStop, Tenant: tenantName, Name: rolloutName})
 	for i := MaxAccounts / 2; i < MaxAccounts+500; i++ {
@@ -36,5 +36,5 @@
 	r, _ = s.Rollout(tenantName, rolloutName)
 	require.Len(t, r.Ledger, 1, "settled accounts of a rollout that is over are folded")
 	require.Equal(t, Account{Granted: 2 * (MaxAccounts + 500), Spent: MaxAccounts*3/2 + 500, Returned: MaxAccounts/2 + 500,
-		Gone: true}, r.Ledger[SumAccountKey])
+		Gone: true}, r.Ledger[FoldedAccountKey])
 }
--- a/internal/rollout/model/budget_world.go
+++ b/internal/rollout/model/budget_world.go
@@ -107,10 +107,10 @@
 		return fmt.Errorf("%d failures may come of a budget of %d", maxFailures, budget)
 	case granted-returned > budget:
 		return fmt.Errorf("%d units are granted of a budget of %d", granted-returned, budget)
-	case w.phase.Over() && phase != w.phase:
+	case w.phase.IsFinal() && phase != w.phase:
 		return fmt.Errorf("phase %s has become %s", w.phase, phase)
 	}
-	if w.Defect != None || phase.Over() {
+	if w.Defect != None || phase.IsFinal() {
 		return nil
 	}
 	for i := range w.sidecars {
@@ -130,7 +130,7 @@
 	w.withSidecar(emit, what, i, func(c *BudgetWorld, s *budgetSidecar) {
 		c.state, c.controller = w.state.Clone(), w.controller.Clone()
 		change(c, s)
-		if !c.phase.Over() {
+		if !c.phase.IsFinal() {
 			c.phase = c.state.Phase(tenantID, rolloutID)
 		}
 	})
@@ -147,7 +147,7 @@
 
 // Next implements explore.World.
 func (w *BudgetWorld) Next(emit func(string, explore.World)) {
-	over := w.Defect == None && w.phase.Over() // Check has counted all that may still fail
+	over := w.Defect == None && w.phase.IsFinal() // Check has counted all that may still fail
 	for i := range w.sidecars {
 		if !over {
 			w.attempts(emit, i)
--- a/internal/rollout/model/lease_world.go
+++ b/internal/rollout/model/lease_world.go
@@ -99,8 +99,8 @@
 // Check holds what is promised: no attempt begins under a closed revision.
 func (w *LeaseWorld) Check() error {
 	for i := range w.sidecars {
-		if s := &w.sidecars[i]; s.MayUseCanary(w.clock) && s.ActingRev <= w.state.Closed() {
-			return fmt.Errorf("an attempt may begin under %d, and %d is closed", s.ActingRev, w.state.Closed())
+		if s := &w.sidecars[i]; s.MayUseCanary(w.clock) && s.ActingRev <= w.state.ClosedRev() {
+			return fmt.Errorf("an attempt may begin under %d, and %d is closed", s.ActingRev, w.state.ClosedRev())
 		}
 	}
 	return nil
--- a/internal/rollout/model/world.go
+++ b/internal/rollout/model/world.go
@@ -56,7 +56,7 @@
 
 func controllerOptions() rollout.Options {
 	return rollout.Options{
-		Leader: "l", LeaseTerm: 1, StragglerAfter: 1, ShutOutAfter: 100, GoneAfter: 5, ForgetAfter: 1000,
+		Leader: "l", LeaseTerm: 1, StragglerAfter: 1, ShutOutAfter: 100, GoneAfter: 5, DropAfter: 1000,
 		MaxStragglerFraction: 1, Alpha: 0, Rho: 3,
 	}
 }
--- a/internal/rollout/options.go
+++ b/internal/rollout/options.go
@@ -9,7 +9,7 @@
 	StragglerAfter       int64   // without the newest revision, until a process is sent the whole table
 	ShutOutAfter         int64   // likewise, until its lease is not renewed
 	GoneAfter            int64   // silence beyond a lengthened term, until a process is gone
-	ForgetAfter          int64   // silence, until a process is forgotten
+	DropAfter            int64   // silence, until a process is forgotten
 	MaxStragglerFraction float64 // of the processes in contact; with more stragglers the service is at fault
 	ClockMargin          float64 // by which the rates of two clocks may differ
 	Alpha                float64 // significance level of one leader's sequential test; 0: no test
@@ -24,7 +24,7 @@
 		StragglerAfter:       2000,
 		ShutOutAfter:         6000,
 		GoneAfter:            15000,
-		ForgetAfter:          600_000,
+		DropAfter:            600_000,
 		MaxStragglerFraction: 0.3,
 		ClockMargin:          0.02,
 		Alpha:                0.001,
--- a/internal/rollout/reports.go
+++ b/internal/rollout/reports.go
@@ -93,7 +93,7 @@
 	p.UnreadableRev, p.ListRev = r.UnreadableRev, r.ListRev
 	p.Version, p.Config = r.Version, r.Config
 	p.Schemas = slices.Clone(r.Schemas)
-	maybeForgotten := first && c.now-c.startedAt > c.options.ForgetAfter && r.Seq > 1
+	maybeForgotten := first && c.now-c.startedAt > c.options.DropAfter && r.Seq > 1
 	c.analyzeCounts(p, r, maybeForgotten)
 }
 
@@ -108,7 +108,7 @@
 		})
 	}
 	// A revision that is closed, or that is being closed, stays so for a process that comes late with an older table.
-	if closed := max(s.Closed(), c.closingRev); reason == "" && p.AcknowledgedRev <= closed {
+	if closed := max(s.ClosedRev(), c.closingRev); reason == "" && p.AcknowledgedRev <= closed {
 		reason = fmt.Sprintf("it acts on revision %d, and %d is closed", p.AcknowledgedRev, closed)
 	}
 	// A process that cannot read the newest table gains nothing from another copy of it.
--- a/internal/rollout/rollout.go
+++ b/internal/rollout/rollout.go
@@ -20,8 +20,8 @@
 	Stopped    Phase = "stopped" // by the tenant or an operator
 )
 
-// Over reports whether a phase is final.
-func (p Phase) Over() bool { return p == Done || p == RolledBack || p == Stopped }
+// IsFinal reports whether a phase is final.
+func (p Phase) IsFinal() bool { return p == Done || p == RolledBack || p == Stopped }
 
 // Reasons that a controller gives for its commands. It resumes only a rollout that it has paused itself.
 const (
@@ -50,8 +50,8 @@
 // Errors of Apply.
 var (
 	ErrConflict = errors.New("the tenant's routes have changed meanwhile")
-	ErrUnknown  = errors.New("there is no such rollout")
-	ErrOver     = errors.New("the rollout is over")
+	ErrNotFound = errors.New("there is no such rollout")
+	ErrEnded    = errors.New("the rollout is over")
 	ErrExists   = errors.New("a rollout of this name, and another content, exists")
 	ErrBusy     = errors.New("a rollout of this tenant is under way")
 
--- a/internal/rollout/spec.go
+++ b/internal/rollout/spec.go
@@ -38,9 +38,9 @@
 	MinAttempts    int64   `json:"requests"` // canary attempts that have ended
 }
 
-// Check finds the first field of a posted rollout that is out of its bound. The error wraps ErrInvalid, and names the field
+// Validate finds the first field of a posted rollout that is out of its bound. The error wraps ErrInvalid, and names the field
 // and the bound.
-func (s *Spec) Check() error {
+func (s *Spec) Validate() error {
 	for _, field := range []struct{ name, value string }{{"tenant", s.Tenant}, {"name", s.Name}, {"to", s.SubsetName}} {
 		if err := checkName(field.name, field.value); err != nil {
 			return err
--- a/internal/rollout/state.go
+++ b/internal/rollout/state.go
@@ -44,8 +44,8 @@
 // Rev is the revision of the table's last change.
 func (s *State) Rev() int64 { return s.rev }
 
-// Closed is the newest revision under which no attempt begins any more.
-func (s *State) Closed() int64 { return s.closed }
+// ClosedRev is the newest revision under which no attempt begins any more.
+func (s *State) ClosedRev() int64 { return s.closed }
 
 // MinSchema is the oldest schema that a process must read to get a lease; 0: any.
 func (s *State) MinSchema() int { return s.minSchema }
--- a/internal/rollout/state_apply.go
+++ b/internal/rollout/state_apply.go
@@ -78,7 +78,7 @@
 	if c.Spec == nil {
 		return 0, fmt.Errorf("%w: spec is missing", ErrInvalid)
 	}
-	if err := c.Spec.Check(); err != nil {
+	if err := c.Spec.Validate(); err != nil {
 		return 0, err
 	}
 	t, err := s.tenantOrNew(c.Spec.Tenant)
@@ -112,7 +112,7 @@
 func (s *State) changePhase(c *Command) (int64, error) {
 	r := s.findRollout(c.Tenant, c.Name)
 	if r == nil {
-		return 0, ErrUnknown
+		return 0, ErrNotFound
 	}
 	t := s.tenants[c.Tenant]
 	// A pause by command replaces the controller's own; otherwise the controller would end it.
@@ -125,11 +125,11 @@
 		return s.setPhase(t, r, Paused, c.Reason, c.AtMS), nil
 	case r.Phase == target: // sent twice
 		return r.Rev, nil
-	case r.Phase.Over():
-		return 0, ErrOver
+	case r.Phase.IsFinal():
+		return 0, ErrEnded
 	case c.Op == OpStop && c.conflicts(t):
 		return 0, ErrConflict
-	case target.Over():
+	case target.IsFinal():
 		return s.stop(t, r, target, c.Reason, c.AtMS), nil
 	}
 	return s.setPhase(t, r, target, c.Reason, c.AtMS), nil
--- a/internal/rollout/state_json.go
+++ b/internal/rollout/state_json.go
@@ -47,7 +47,7 @@
 			return fmt.Errorf("rollout: a saved state: tenants[%d] is null", i)
 		}
 		for _, r := range t.rollouts() {
-			if r == nil || !r.Phase.Over() && (r.Step < 0 || r.Step >= len(r.Spec.Steps)) {
+			if r == nil || !r.Phase.IsFinal() && (r.Step < 0 || r.Step >= len(r.Spec.Steps)) {
 				return fmt.Errorf("rollout: a saved state: a rollout of tenant %q has no such step", t.Name)
 			}
 			r.restoreLedger()
--- a/internal/rollout/state_test.go
+++ b/internal/rollout/state_test.go
@@ -48,14 +48,14 @@
 	require.Empty(t, s.Table().Routes[0].Rollout)
 	for _, op := range []Op{OpPause, OpResume, OpRollBack, OpStop} {
 		_, err = s.Apply(&Command{Op: op, Tenant: tenantName, Name: rolloutName})
-		require.ErrorIs(t, err, ErrOver)
+		require.ErrorIs(t, err, ErrEnded)
 	}
 	changedSpec := *keepSpec
 	changedSpec.Budget++
 	_, err = s.Apply(&Command{Op: OpPost, Spec: &changedSpec})
 	require.ErrorIs(t, err, ErrExists)
 	_, err = s.Apply(&Command{Op: OpStop, Tenant: tenantName, Name: "none"})
-	require.ErrorIs(t, err, ErrUnknown)
+	require.ErrorIs(t, err, ErrNotFound)
 }
 
 // newCompletedState is a state with a base and a rollout that has completed its steps.
@@ -76,9 +76,9 @@
 func TestState_closedRevision(t *testing.T) {
 	s := newCompletedState(t)
 	mustApply(t, s, Command{Op: OpClose, Rev: s.Rev() + 5})
-	require.Equal(t, s.Rev()-1, s.Closed(), "what is newest is never closed")
+	require.Equal(t, s.Rev()-1, s.ClosedRev(), "what is newest is never closed")
 	mustApply(t, s, Command{Op: OpClose, Rev: 3})
-	require.Equal(t, s.Rev()-1, s.Closed())
+	require.Equal(t, s.Rev()-1, s.ClosedRev())
 }
 
 func TestState_endedRollouts(t *testing.T) {
--- a/internal/rollout/stored_state_test.go
+++ b/internal/rollout/stored_state_test.go
@@ -68,8 +68,8 @@
 			assert.Equal(t, string(stored), marshalState(t, got), "what is written again")
 			assert.Equal(t, want.Table(), got.Table())
 			assert.Equal(t, want.Rollouts(), got.Rollouts())
-			assert.Equal(t, []int64{want.Rev(), want.Closed(), int64(want.MinSchema())},
-				[]int64{got.Rev(), got.Closed(), int64(got.MinSchema())})
+			assert.Equal(t, []int64{want.Rev(), want.ClosedRev(), int64(want.MinSchema())},
+				[]int64{got.Rev(), got.ClosedRev(), int64(got.MinSchema())})
 			granted, spent, returned := got.BudgetTotals("checkout", "full")
 			wantGranted, wantSpent, wantReturned := want.BudgetTotals("checkout", "full")
 			assert.Equal(t, []int64{wantGranted, wantSpent, wantReturned}, []int64{granted, spent, returned})
