--- a/internal/audit/answers_test.go
+++ b/internal/audit/answers_test.go
@@ -79,10 +79,10 @@
 	}
 	p := &processRecord{}
 	for _, s := range []revisionRange{{0, 4}, {4, 8}, {20, 30}, {3, 5}, {6, 7}} {
-		p.addPassedOver(s, 10)
+		p.addSkipped(s, 10)
 	}
-	diff := cmp.Diff([]revisionRange{{0, 8}, {20, 30}}, p.passedOver, cmp.AllowUnexported(revisionRange{}))
-	if diff != "" || p.wasPassedOver(8) || !p.wasPassedOver(4) {
+	diff := cmp.Diff([]revisionRange{{0, 8}, {20, 30}}, p.skipped, cmp.AllowUnexported(revisionRange{}))
+	if diff != "" || p.wasSkipped(8) || !p.wasSkipped(4) {
 		t.Error(diff)
 	}
 }
@@ -94,7 +94,7 @@
 		for range rapid.IntRange(20, 150).Draw(rt, "steps") {
 			w.step()
 		}
-		w.compareWithTruth(&got, trackerAnswers)
+		w.compareWithTruth(&got, trackerVerdicts)
 		if got.wrongDid+got.wrongDidNot > 0 {
 			rt.Fatalf("wrong answers: %+v", got)
 		}
@@ -102,7 +102,7 @@
 }
 
 // runSeeds runs worlds of random choices, and counts the answers of all.
-func runSeeds(n uint64, prepare func(w *fleetWorld), answers answerFunc) verdictCounts {
+func runSeeds(n uint64, prepare func(w *fleetWorld), answers verdictFunc) verdictCounts {
 	var got verdictCounts
 	for seed := range n {
 		w := newFleetWorld(rand.New(rand.NewPCG(seed, 1)).IntN, 2)
@@ -124,8 +124,8 @@
 )
 
 func TestAnswers_known(t *testing.T) {
-	got := runSeeds(worldCount, nil, trackerAnswers)
-	if got.wrongDid+got.wrongDidNot > 0 || got.known*4 < got.answers {
+	got := runSeeds(worldCount, nil, trackerVerdicts)
+	if got.wrongDid+got.wrongDidNot > 0 || got.known*4 < got.verdicts {
 		t.Errorf("wrong answers, or few are known: %+v", got)
 	}
 	t.Logf("%+v", got)
@@ -144,14 +144,14 @@
 			at, width = at+1, append(width, n)
 			return path[at-1]
 		}
-		w := &fleetWorld{draw: draw, committed: map[int64]int64{1: 0, 2: 0}, closed: map[int64]int64{}, rev: 2}
+		w := &fleetWorld{choose: draw, committed: map[int64]int64{1: 0, 2: 0}, closed: map[int64]int64{}, rev: 2}
 		w.start("p")
 		w.electLeader()
 		w.processes[0].report.AcknowledgedRev = 1
 		for range shortSteps {
 			w.shortStep()
 		}
-		w.compareWithTruth(&got, trackerAnswers)
+		w.compareWithTruth(&got, trackerVerdicts)
 		if got.wrongDid+got.wrongDidNot > 0 {
 			t.Fatalf("%+v after the choices %v", got, path)
 		}
@@ -164,7 +164,7 @@
 		}
 		path = append(path[:last], path[last]+1)
 	}
-	if got.known*12 < got.answers {
+	if got.known*12 < got.verdicts {
 		t.Errorf("few answers are known: %+v", got)
 	}
 	t.Logf("%+v", got)
@@ -172,7 +172,7 @@
 
 func (w *fleetWorld) shortStep() {
 	p := w.processes[0]
-	switch w.draw(6) {
+	switch w.choose(6) {
 	case 0:
 		w.now++
 	case 1:
@@ -184,9 +184,9 @@
 			w.deliver(n-1, false) // the newest first, so that they arrive out of order
 		}
 	case 4:
-		if n := len(w.answers); n > 0 {
-			w.answers[n-1]()
-			w.answers = nil
+		if n := len(w.responses); n > 0 {
+			w.responses[n-1]()
+			w.responses = nil
 		}
 	case 5:
 		p.report.AcknowledgedRev = 2
@@ -207,8 +207,8 @@
 			}
 			w.send(p)
 			w.deliver(0, false)
-			w.answers[0]()
-			w.answers = nil
+			w.responses[0]()
+			w.responses = nil
 		}
 		w.now = 3
 	}
@@ -216,7 +216,7 @@
 	want := func(from, to int64, want ...Verdict) {
 		t.Helper()
 		var got []Verdict
-		answers := trackerAnswers(w, w.query(5, from, to))
+		answers := trackerVerdicts(w, w.query(5, from, to))
 		for _, a := range answers {
 			got = append(got, a.Verdict)
 		}
@@ -311,7 +311,7 @@
 
 // silenceAsDidNot answers DidNot for a process that was silent.
 func silenceAsDidNot(w *fleetWorld, q Query) []ProcessVerdict {
-	out := trackerAnswers(w, q)
+	out := trackerVerdicts(w, q)
 	for i := range out {
 		p := w.tracker.processes[out[i].Process]
 		if silent := p == nil || p.lastReportAt < q.From; out[i].Verdict == Unknown && silent {
@@ -324,7 +324,7 @@
 // widenedDid answers Did for a time that begins earlier.
 func widenedDid(w *fleetWorld, q Query) []ProcessVerdict {
 	q.From--
-	out := trackerAnswers(w, q)
+	out := trackerVerdicts(w, q)
 	for i := range out {
 		if out[i].Verdict == DidNotAct {
 			out[i].Verdict = Unknown
@@ -336,24 +336,24 @@
 // markedTooEarly takes the log for marked before it was.
 func markedTooEarly(w *fleetWorld, q Query) []ProcessVerdict {
 	q.ClockAhead -= 3
-	return trackerAnswers(w, q)
+	return trackerVerdicts(w, q)
 }
 
 // TestAnswers_plantedMistakes plants mistakes: each gives wrong answers in the worlds in which the tracker gives none.
 func TestAnswers_plantedMistakes(t *testing.T) {
 	for name, c := range map[string]struct {
 		prepare     func(w *fleetWorld)
-		answers     answerFunc
+		answers     verdictFunc
 		wrongDidNot bool // there must be wrong DidNot
 		wrongDid    bool // there must be wrong Did
 	}{
-		"sample at arrival":        {prepare: sampleAtArrival, answers: trackerAnswers, wrongDidNot: true, wrongDid: true},
-		"counts are increments":    {prepare: countsAsIncrements, answers: trackerAnswers, wrongDidNot: true},
+		"sample at arrival":        {prepare: sampleAtArrival, answers: trackerVerdicts, wrongDidNot: true, wrongDid: true},
+		"counts are increments":    {prepare: countsAsIncrements, answers: trackerVerdicts, wrongDidNot: true},
 		"silence is DidNot":        {answers: silenceAsDidNot, wrongDidNot: true},
 		"growth across the border": {answers: widenedDid, wrongDid: true},
-		"unlisted is no attempt":   {prepare: unpromisedLists, answers: trackerAnswers, wrongDidNot: true},
+		"unlisted is no attempt":   {prepare: unpromisedLists, answers: trackerVerdicts, wrongDidNot: true},
 		"log marked too early":     {answers: markedTooEarly, wrongDidNot: true, wrongDid: true},
-		"echo of another leader":   {prepare: anyEcho, answers: trackerAnswers, wrongDidNot: true},
+		"echo of another leader":   {prepare: anyEcho, answers: trackerVerdicts, wrongDidNot: true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			got := runSeeds(worldCount, c.prepare, c.answers)
--- a/internal/audit/count_bounds.go
+++ b/internal/audit/count_bounds.go
@@ -7,13 +7,13 @@
 	query Query
 
 	// For Did, with the narrowed time.
-	didFrom, didTo int64
+	actedFrom, actedTo int64
 	maxBefore      int64 // the count is at most this as the time begins
 	minByEnd       int64 // the count is at least this when the time ends
 
 	// For DidNot, with the widened time.
-	didNotFrom   int64
-	didNotAfter  int64 // a sample after it counts as one after the end
+	notActedFrom   int64
+	notActedUntil  int64 // a sample after it counts as one after the end
 	minBefore    int64 // the count is at least this before the time
 	maxAfter     int64 // the count is at most this after the time
 	sampledAfter bool  // there is a sample after the time, or a final one
@@ -25,36 +25,36 @@
 
 func newCountBounds(q Query) countBounds {
 	b := countBounds{query: q, maxBefore: math.MaxInt64, maxAfter: math.MaxInt64, minFinal: math.MaxInt64}
-	b.didFrom, b.didTo = q.narrowed()
-	b.didNotFrom, b.didNotAfter = q.widened()
+	b.actedFrom, b.actedTo = q.narrowed()
+	b.notActedFrom, b.notActedUntil = q.widened()
 	if q.ClosedKnown {
-		b.didNotAfter = min(b.didNotAfter, q.ClosedAt)
+		b.notActedUntil = min(b.notActedUntil, q.ClosedAt)
 	}
-	if q.CommittedAt >= b.didFrom {
+	if q.CommittedAt >= b.actedFrom {
 		b.maxBefore = 0
 	}
 	return b
 }
 
-// did reports whether attempts lie within the time.
-func (b *countBounds) did() bool { return b.didFrom <= b.didTo && b.minByEnd > b.maxBefore }
+// acted reports whether attempts lie within the time.
+func (b *countBounds) acted() bool { return b.actedFrom <= b.actedTo && b.minByEnd > b.maxBefore }
 
-// didNot reports whether no attempt lies within the time.
-func (b *countBounds) didNot() bool { return b.maxAfter <= b.minBefore }
+// didNotAct reports whether no attempt lies within the time.
+func (b *countBounds) didNotAct() bool { return b.maxAfter <= b.minBefore }
 
-// add takes in that the count is at least n from reachedBy on, and at most n up to heldUntil.
-func (b *countBounds) add(n, reachedBy, heldUntil int64) {
+// addBounds takes in that the count is at least n from reachedBy on, and at most n up to heldUntil.
+func (b *countBounds) addBounds(n, reachedBy, heldUntil int64) {
 	b.maxKnown = max(b.maxKnown, n)
-	if reachedBy <= b.didTo || b.query.ClosedKnown && b.query.ClosedAt <= b.didTo {
+	if reachedBy <= b.actedTo || b.query.ClosedKnown && b.query.ClosedAt <= b.actedTo {
 		b.minByEnd = max(b.minByEnd, n)
 	}
-	if heldUntil >= b.didFrom {
+	if heldUntil >= b.actedFrom {
 		b.maxBefore = min(b.maxBefore, n)
 	}
-	if reachedBy < b.didNotFrom {
+	if reachedBy < b.notActedFrom {
 		b.minBefore = max(b.minBefore, n)
 	}
-	if heldUntil > b.didNotAfter {
+	if heldUntil > b.notActedUntil {
 		b.maxAfter = min(b.maxAfter, n)
 		b.sampledAfter = true
 	}
@@ -63,12 +63,12 @@
 // addFinal takes in that the count is n in the end, and was reached by then.
 func (b *countBounds) addFinal(n, reachedBy int64) {
 	b.minFinal = min(b.minFinal, n)
-	b.add(n, reachedBy, maxTime)
+	b.addBounds(n, reachedBy, maxTime)
 }
 
 // contradictory reports whether what was taken in cannot all be true.
 func (b *countBounds) contradictory() bool {
-	withinTime := b.didFrom <= b.didTo && (b.minByEnd > b.maxAfter || b.minBefore > b.maxBefore)
+	withinTime := b.actedFrom <= b.actedTo && (b.minByEnd > b.maxAfter || b.minBefore > b.maxBefore)
 	return b.maxKnown > b.minFinal || withinTime
 }
 
@@ -77,7 +77,7 @@
 	rev := b.query.Rev
 	if h := p.history(rev); h != nil {
 		for _, step := range h.steps {
-			b.add(step.count, step.reachedBy, step.heldUntil)
+			b.addBounds(step.count, step.reachedBy, step.heldUntil)
 		}
 		if h.final >= 0 {
 			b.addFinal(h.final, maxTime)
@@ -85,10 +85,10 @@
 	}
 	for _, zero := range p.zeros {
 		if zero.fromRev <= rev {
-			b.add(0, maxTime, zero.until)
+			b.addBounds(0, maxTime, zero.until)
 		}
 	}
-	if rev > 0 && p.wasPassedOver(rev) {
+	if rev > 0 && p.wasSkipped(rev) {
 		b.addFinal(0, maxTime)
 	}
 }
@@ -102,13 +102,13 @@
 			continue
 		}
 		reachedBy := b.query.Now
-		if e.trueBy != maxTime {
-			reachedBy = min(reachedBy, e.trueBy+b.query.ClockAhead)
+		if e.happenedBy != maxTime {
+			reachedBy = min(reachedBy, e.happenedBy+b.query.ClockAhead)
 		}
 		if e.Kind == FinalCount {
 			b.addFinal(e.Attempts, reachedBy)
 		} else {
-			b.add(e.Attempts, reachedBy, minTime)
+			b.addBounds(e.Attempts, reachedBy, minTime)
 		}
 	}
 }
--- a/internal/audit/facts.go
+++ b/internal/audit/facts.go
@@ -23,9 +23,9 @@
 // countStep is two facts: the count is at least count from reachedBy on, and at most count up to heldUntil.
 type countStep struct{ count, reachedBy, heldUntil int64 }
 
-// zeroUntil says that the counts of fromRev and of all later revisions were 0 up to until. Those of a process are kept
+// zeroCounts says that the counts of fromRev and of all later revisions were 0 up to until. Those of a process are kept
 // with both fields rising; one that says less than another is left out.
-type zeroUntil struct{ fromRev, until int64 }
+type zeroCounts struct{ fromRev, until int64 }
 
 // revisionRange is the revisions between two others, both left out. Of those that a process passed over, each without a
 // history has a final count of 0.
@@ -56,8 +56,8 @@
 // lastStep is the step of the highest known count. A history has at least one.
 func (h *countHistory) lastStep() countStep { return h.steps[len(h.steps)-1] }
 
-// forgetBefore drops the steps that only tell of times before cutoff, but for the newest of them.
-func (h *countHistory) forgetBefore(cutoff int64) {
+// dropBefore drops the steps that only tell of times before cutoff, but for the newest of them.
+func (h *countHistory) dropBefore(cutoff int64) {
 	old := 0
 	for old < len(h.steps)-1 && h.steps[old+1].reachedBy < cutoff &&
 		max(h.steps[old].reachedBy, h.steps[old].heldUntil) < cutoff {
@@ -78,14 +78,14 @@
 }
 
 // addZero takes in a fact, unless another says as much.
-func (p *processRecord) addZero(z zeroUntil, maxFacts int) {
+func (p *processRecord) addZero(z zeroCounts, maxFacts int) {
 	for _, old := range p.zeros {
 		if old.fromRev <= z.fromRev && old.until >= z.until {
 			return
 		}
 	}
-	p.zeros = slices.DeleteFunc(p.zeros, func(old zeroUntil) bool { return old.fromRev >= z.fromRev && old.until <= z.until })
-	i, _ := slices.BinarySearchFunc(p.zeros, z.fromRev, func(old zeroUntil, rev int64) int {
+	p.zeros = slices.DeleteFunc(p.zeros, func(old zeroCounts) bool { return old.fromRev >= z.fromRev && old.until <= z.until })
+	i, _ := slices.BinarySearchFunc(p.zeros, z.fromRev, func(old zeroCounts, rev int64) int {
 		return cmp.Compare(old.fromRev, rev)
 	})
 	p.zeros = slices.Insert(p.zeros, i, z)
@@ -94,33 +94,33 @@
 	}
 }
 
-// addPassedOver takes in a range of revisions that were passed over, joined to those that it touches.
-func (p *processRecord) addPassedOver(r revisionRange, maxFacts int) {
+// addSkipped takes in a range of revisions that were passed over, joined to those that it touches.
+func (p *processRecord) addSkipped(r revisionRange, maxFacts int) {
 	if r.above+1 >= r.below {
 		return
 	}
-	p.passedOver = slices.DeleteFunc(p.passedOver, func(old revisionRange) bool {
+	p.skipped = slices.DeleteFunc(p.skipped, func(old revisionRange) bool {
 		if old.above >= r.below || r.above >= old.below {
 			return false
 		}
 		r.above, r.below = min(r.above, old.above), max(r.below, old.below)
 		return true
 	})
-	i, _ := slices.BinarySearchFunc(p.passedOver, r.above, func(old revisionRange, above int64) int {
+	i, _ := slices.BinarySearchFunc(p.skipped, r.above, func(old revisionRange, above int64) int {
 		return cmp.Compare(old.above, above)
 	})
-	p.passedOver = slices.Insert(p.passedOver, i, r)
-	if len(p.passedOver) > maxFacts {
-		p.passedOver = slices.Delete(p.passedOver, 0, 1)
+	p.skipped = slices.Insert(p.skipped, i, r)
+	if len(p.skipped) > maxFacts {
+		p.skipped = slices.Delete(p.skipped, 0, 1)
 	}
 }
 
-// wasPassedOver reports whether the final count of a revision is 0, as the process made no attempt under it.
-func (p *processRecord) wasPassedOver(rev int64) bool {
+// wasSkipped reports whether the final count of a revision is 0, as the process made no attempt under it.
+func (p *processRecord) wasSkipped(rev int64) bool {
 	if p.history(rev) != nil {
 		return false
 	}
-	return slices.ContainsFunc(p.passedOver, func(r revisionRange) bool { return r.contains(rev) })
+	return slices.ContainsFunc(p.skipped, func(r revisionRange) bool { return r.contains(rev) })
 }
 
 // limitFacts drops steps until at most maxFacts are left. The longest history is halved, so that older times become
@@ -159,23 +159,23 @@
 	rev := p.histories[i].rev
 	p.histories = slices.Delete(p.histories, i, i+1)
 	p.newestDroppedRev = max(p.newestDroppedRev, rev)
-	for i, r := range p.passedOver {
+	for i, r := range p.skipped {
 		if r.contains(rev) {
-			p.passedOver[i].above = rev
+			p.skipped[i].above = rev
 		}
 	}
 }
 
-// forgetBefore drops facts that only tell of times before cutoff.
-func (p *processRecord) forgetBefore(cutoff int64) {
+// dropBefore drops facts that only tell of times before cutoff.
+func (p *processRecord) dropBefore(cutoff int64) {
 	for i := len(p.histories) - 1; i >= 0; i-- {
 		h := &p.histories[i]
-		h.forgetBefore(cutoff)
+		h.dropBefore(cutoff)
 		if h.final >= 0 && h.lastSeq < p.lastReport.Seq && h.lastStep().reachedBy < cutoff {
 			p.dropHistory(i)
 		}
 	}
-	p.zeros = slices.DeleteFunc(p.zeros, func(z zeroUntil) bool { return z.until < cutoff })
+	p.zeros = slices.DeleteFunc(p.zeros, func(z zeroCounts) bool { return z.until < cutoff })
 }
 
 func (p *processRecord) historyIndex(rev int64) (int, bool) {
@@ -198,8 +198,8 @@
 	return &p.histories[i]
 }
 
-// knownCount is the highest count that is known under a revision.
-func (p *processRecord) knownCount(rev int64) int64 {
+// highestKnownCount is the highest count that is known under a revision.
+func (p *processRecord) highestKnownCount(rev int64) int64 {
 	if h := p.history(rev); h != nil {
 		return h.lastStep().count
 	}
@@ -223,16 +223,16 @@
 	}
 	complete := listedRevs < o.MinListedRevs && !r.CountsTruncated
 	if lo > minTime {
-		p.addZero(zeroUntil{fromRev: max(zeroFrom, 1), until: lo}, o.MaxFacts)
+		p.addZero(zeroCounts{fromRev: max(zeroFrom, 1), until: lo}, o.MaxFacts)
 		if complete && (len(listed) == 0 || listed[0].rev != 0) {
 			p.historyOrNew(0).addSample(r.Seq, 0, lo, hi, false)
 		}
 	}
 	switch {
 	case complete:
-		p.addPassedOver(revisionRange{above: 0, below: r.AcknowledgedRev}, o.MaxFacts)
+		p.addSkipped(revisionRange{above: 0, below: r.AcknowledgedRev}, o.MaxFacts)
 	case listedRevs > 0:
-		p.addPassedOver(revisionRange{above: oldestListed, below: r.AcknowledgedRev}, o.MaxFacts)
+		p.addSkipped(revisionRange{above: oldestListed, below: r.AcknowledgedRev}, o.MaxFacts)
 	}
 }
 
--- a/internal/audit/fleet_world_test.go
+++ b/internal/audit/fleet_world_test.go
@@ -11,7 +11,7 @@
 // fleetWorld is a fleet with its true times, a network that loses, duplicates and reorders messages, and leaders that
 // change. All that it does is drawn: draw(n) is one of 0 to n-1.
 type fleetWorld struct {
-	draw           func(n int) int
+	choose           func(n int) int
 	options        TrackerOptions
 	maxListedRevs  int // revisions that processes list at most; 0: all
 	now            int64
@@ -26,7 +26,7 @@
 	closedRev      int64 // the newest closed revision
 	processes      []*trueProcess
 	reports        []*route.Report
-	answers        []func()
+	responses        []func()
 	tracker        *Tracker
 	log            Log
 	onArrival      func(w *fleetWorld, r *route.Report) *route.Report // changes a report as it arrives, for a planted mistake
@@ -46,7 +46,7 @@
 }
 
 func newFleetWorld(draw func(n int) int, processes int) *fleetWorld {
-	w := &fleetWorld{draw: draw, committed: map[int64]int64{}, closed: map[int64]int64{}, committedSince: map[int64]int64{}}
+	w := &fleetWorld{choose: draw, committed: map[int64]int64{}, closed: map[int64]int64{}, committedSince: map[int64]int64{}}
 	w.options = TrackerOptions{Retention: []int64{1 << 40, 15, 4}[draw(3)], MaxFacts: []int{512, 4}[draw(2)], MaxProcesses: 100}
 	w.maxListedRevs = []int{0, 2, 1}[draw(3)]
 	w.options.MinListedRevs = []int{0, max(w.maxListedRevs, 1)}[draw(2)]
@@ -66,7 +66,7 @@
 func (w *fleetWorld) electLeader() {
 	w.leaders++
 	if w.leaders > 1 {
-		w.leaderOffset = int64(w.draw(9) - 4)
+		w.leaderOffset = int64(w.choose(9) - 4)
 	}
 	w.leader, w.startedAt = fmt.Sprint("leader", w.leaders), w.now
 	w.tracker = NewTracker(w.options, w.leader, w.clock(w.now))
@@ -121,38 +121,38 @@
 	stamp := route.Moment{Leader: w.leader, MS: now}
 	for _, p := range w.processes {
 		if p.Process == r.Process {
-			w.answers = append(w.answers, func() { p.report.Echo = stamp })
+			w.responses = append(w.responses, func() { p.report.Echo = stamp })
 		}
 	}
 }
 
 // step does one thing. Several may happen in one millisecond.
 func (w *fleetWorld) step() {
-	p := w.processes[w.draw(len(w.processes))]
-	switch w.draw(16) {
+	p := w.processes[w.choose(len(w.processes))]
+	switch w.choose(16) {
 	case 0, 1:
 		w.now++
 	case 2, 3:
 		w.attempt(p, true)
 	case 4:
-		w.attempt(p, w.draw(2) == 0)
+		w.attempt(p, w.choose(2) == 0)
 	case 5, 6:
 		w.send(p)
 	case 7, 8, 9:
 		if len(w.reports) > 0 {
-			w.deliver(w.draw(len(w.reports)), w.draw(4) == 0)
+			w.deliver(w.choose(len(w.reports)), w.choose(4) == 0)
 		}
 	case 10, 11:
-		if n := len(w.answers); n > 0 {
-			i := w.draw(n)
-			w.answers[i]()
-			w.answers = slices.Delete(w.answers, i, i+1)
+		if n := len(w.responses); n > 0 {
+			i := w.choose(n)
+			w.responses[i]()
+			w.responses = slices.Delete(w.responses, i, i+1)
 		}
 	case 12:
-		w.rev += 1 + int64(w.draw(2))
+		w.rev += 1 + int64(w.choose(2))
 		w.committed[w.rev] = w.now
-		if w.draw(2) == 0 {
-			w.committedSince[w.rev] = w.now - int64(w.draw(3))
+		if w.choose(2) == 0 {
+			w.committedSince[w.rev] = w.now - int64(w.choose(3))
 		}
 	case 13:
 		if w.committed[w.rev] != 0 || w.rev > 0 {
@@ -170,7 +170,7 @@
 const copyAhead = 1000
 
 func (w *fleetWorld) rareStep(p *trueProcess) {
-	switch w.draw(6) {
+	switch w.choose(6) {
 	case 0:
 		w.electLeader()
 	case 1:
@@ -185,7 +185,7 @@
 			w.reports = slices.Delete(w.reports, 0, 1)
 		}
 	case 4:
-		kind := []TransitionKind{ShutOut, Gone, Readmitted}[w.draw(3)]
+		kind := []TransitionKind{ShutOut, Gone, Readmitted}[w.choose(3)]
 		w.log.Add(w.tracker.AccessChanged(w.clock(w.now), w.now, p.Process, kind, w.rev, ""))
 	case 5:
 		text, _ := w.log.MarshalJSON()
@@ -211,14 +211,14 @@
 }
 
 // verdictCounts counts the answers to all queries, those that are known, and those that are wrong.
-type verdictCounts struct{ answers, known, wrongDid, wrongDidNot int }
+type verdictCounts struct{ verdicts, known, wrongDid, wrongDidNot int }
 
-type answerFunc func(w *fleetWorld, q Query) []ProcessVerdict
+type verdictFunc func(w *fleetWorld, q Query) []ProcessVerdict
 
-func trackerAnswers(w *fleetWorld, q Query) []ProcessVerdict { return w.tracker.Verdicts(q, &w.log) }
+func trackerVerdicts(w *fleetWorld, q Query) []ProcessVerdict { return w.tracker.Verdicts(q, &w.log) }
 
 // compareWithTruth compares the answers to every query with the truth.
-func (w *fleetWorld) compareWithTruth(t *verdictCounts, answers answerFunc) {
+func (w *fleetWorld) compareWithTruth(t *verdictCounts, answers verdictFunc) {
 	truths := map[route.Process]*trueProcess{}
 	for _, p := range w.processes {
 		truths[p.Process] = p
@@ -230,7 +230,7 @@
 					acted := slices.ContainsFunc(truths[a.Process].attempts, func(a attempt) bool {
 						return a.rev == rev && a.at >= from && a.at <= to
 					})
-					t.answers++
+					t.verdicts++
 					if a.Verdict != Unknown {
 						t.known++
 					}
--- a/internal/audit/log.go
+++ b/internal/audit/log.go
@@ -21,12 +21,12 @@
 type Log struct {
 	entries   []*logEntry
 	byProcess map[route.Process][]*logEntry
-	marked    int // of entries, from the first on
+	markedCount    int // of entries, from the first on
 }
 
 type logEntry struct {
 	Transition
-	trueBy int64 // the transition had happened by then, on this copy's clock; notMarked: not known
+	happenedBy int64 // the transition had happened by then, on this copy's clock; notMarked: not known
 }
 
 // notMarked is the trueBy of an entry that Mark has not seen.
@@ -55,10 +55,10 @@
 // monotonic. A copy that marks often knows of each transition when it held it, also of those that another leader added; so
 // once it leads itself, it can tell what was before which time. The cost is that of the transitions since the last Mark.
 func (l *Log) Mark(now int64) {
-	for _, e := range l.entries[l.marked:] {
-		e.trueBy = now
+	for _, e := range l.entries[l.markedCount:] {
+		e.happenedBy = now
 	}
-	l.marked = len(l.entries)
+	l.markedCount = len(l.entries)
 }
 
 // FilterNew is those transitions that Add would add now; the others need not be replicated.
@@ -93,7 +93,7 @@
 func (l *Log) dropOldest() {
 	process := l.entries[0].Process
 	l.entries = l.entries[1:]
-	l.marked = max(l.marked-1, 0)
+	l.markedCount = max(l.markedCount-1, 0)
 	if remaining := l.byProcess[process][1:]; len(remaining) > 0 {
 		l.byProcess[process] = remaining
 	} else {
@@ -127,21 +127,21 @@
 // logForm is the number of the stored form; any other is rejected.
 const logForm = 1
 
-// savedLog is a log as a snapshot stores it.
-type savedLog struct {
+// storedLog is a log as a snapshot stores it.
+type storedLog struct {
 	Form        int          `json:"form"`
 	Transitions []Transition `json:"transitions"`
 }
 
 // MarshalJSON encodes the whole log.
 func (l *Log) MarshalJSON() ([]byte, error) {
-	return json.Marshal(savedLog{Form: logForm, Transitions: l.Since(minTime)})
+	return json.Marshal(storedLog{Form: logForm, Transitions: l.Since(minTime)})
 }
 
 // UnmarshalJSON replaces the log by a stored one, of which nothing is marked. After an error, which names what cannot be
 // read, the log is as it was.
 func (l *Log) UnmarshalJSON(data []byte) error {
-	var stored savedLog
+	var stored storedLog
 	if err := json.Unmarshal(data, &stored); err != nil {
 		return fmt.Errorf("the audit's log: %w", err)
 	}
--- a/internal/audit/query.go
+++ b/internal/audit/query.go
@@ -64,11 +64,11 @@
 	}
 	out := make([]ProcessVerdict, 0, len(t.processes)+len(logged))
 	for key, p := range t.processes {
-		out = append(out, t.answer(q, key, p, logged[key]))
+		out = append(out, t.processVerdict(q, key, p, logged[key]))
 	}
 	for key, entries := range logged {
 		if t.processes[key] == nil {
-			out = append(out, t.answer(q, key, nil, entries))
+			out = append(out, t.processVerdict(q, key, nil, entries))
 		}
 	}
 	slices.SortFunc(out, func(a, b ProcessVerdict) int { return compareProcesses(a.Process, b.Process) })
@@ -101,7 +101,7 @@
 	return s
 }
 
-func (t *Tracker) answer(q Query, key route.Process, p *processRecord, logged []*logEntry) ProcessVerdict {
+func (t *Tracker) processVerdict(q Query, key route.Process, p *processRecord, logged []*logEntry) ProcessVerdict {
 	verdict, reason := t.verdict(q, p, logged)
 	return ProcessVerdict{Process: key, Verdict: verdict, Reason: reason}
 }
@@ -125,7 +125,7 @@
 		b.addFacts(p)
 	}
 	b.addLog(logged)
-	did, didNot := b.did(), b.didNot()
+	did, didNot := b.acted(), b.didNotAct()
 	switch {
 	case b.contradictory(), did && didNot:
 		return Unknown, "its reports contradict each other"
@@ -145,7 +145,7 @@
 func (t *Tracker) unknownReason(b *countBounds, p *processRecord, logged []*logEntry) string {
 	gone := p != nil && p.access == Gone
 	if p == nil {
-		gone = goneByLog(logged)
+		gone = isGoneByLog(logged)
 	}
 	switch {
 	case b.sampledAfter && b.minByEnd > 0 && b.query.From < t.startedAt:
@@ -164,8 +164,8 @@
 	return "what it reported of this revision is not known any more"
 }
 
-// goneByLog reports whether a process is gone by its newest change of access in the log.
-func goneByLog(logged []*logEntry) bool {
+// isGoneByLog reports whether a process is gone by its newest change of access in the log.
+func isGoneByLog(logged []*logEntry) bool {
 	gone := false
 	for _, e := range logged {
 		if e.Kind.isAccess() {
--- a/internal/audit/tracker.go
+++ b/internal/audit/tracker.go
@@ -68,8 +68,8 @@
 
 	// Facts; see facts.go.
 	histories        []countHistory // by revision, rising
-	zeros            []zeroUntil
-	passedOver       []revisionRange
+	zeros            []zeroCounts
+	skipped       []revisionRange
 	newestDroppedRev int64 // the newest revision whose history was dropped
 }
 
@@ -90,22 +90,22 @@
 	if ValidateReport(r) != nil {
 		return nil
 	}
-	p := t.recordOf(r.Process)
+	p := t.findOrAddRecord(r.Process)
 	lo := int64(minTime)
 	if r.Echo.Leader == t.leader && r.Echo.MS <= now {
 		lo = r.Echo.MS
 	}
 	before := p.lastReport
-	p.acceptNewest(r, now, lo)
+	p.recordNewest(r, now, lo)
 	listed := countsByRevision(r.Counts)
 	transitions := p.addListed(r, listed, lo, now)
 	p.addUnlisted(r, listed, lo, now, t.options)
 	if r.Seq > before.Seq && r.AcknowledgedRev > before.AcknowledgedRev {
-		if p.endedWithoutAttempt(before.AcknowledgedRev) {
+		if p.skippedAfterActing(before.AcknowledgedRev) {
 			transitions = append(transitions, Transition{Process: r.Process, Kind: FinalCount, Rev: before.AcknowledgedRev})
 		}
 		transitions = append(transitions, Transition{
-			Process: r.Process, Kind: FirstReport, Rev: r.AcknowledgedRev, Attempts: p.knownCount(r.AcknowledgedRev),
+			Process: r.Process, Kind: FirstReport, Rev: r.AcknowledgedRev, Attempts: p.highestKnownCount(r.AcknowledgedRev),
 		})
 	}
 	p.limitFacts(t.options.MaxFacts)
@@ -133,19 +133,19 @@
 	return final
 }
 
-// endedWithoutAttempt reports whether a revision that the process acted on before was never listed, as it has none.
-func (p *processRecord) endedWithoutAttempt(rev int64) bool {
-	return rev > 0 && p.history(rev) == nil && p.wasPassedOver(rev)
+// skippedAfterActing reports whether a revision that the process acted on before was never listed, as it has none.
+func (p *processRecord) skippedAfterActing(rev int64) bool {
+	return rev > 0 && p.history(rev) == nil && p.wasSkipped(rev)
 }
 
-// recordOf finds the record of a process, or makes one; the process that has not reported for the longest time gives way
+// findOrAddRecord finds the record of a process, or makes one; the process that has not reported for the longest time gives way
 // to it.
-func (t *Tracker) recordOf(key route.Process) *processRecord {
+func (t *Tracker) findOrAddRecord(key route.Process) *processRecord {
 	if p := t.processes[key]; p != nil {
 		return p
 	}
 	if len(t.processes) >= t.options.MaxProcesses {
-		delete(t.processes, t.oldest())
+		delete(t.processes, t.longestSilent())
 		t.droppedProcesses++
 	}
 	p := &processRecord{sampledAfter: minTime}
@@ -153,8 +153,8 @@
 	return p
 }
 
-// oldest is the process that has not reported for the longest time.
-func (t *Tracker) oldest() route.Process {
+// longestSilent is the process that has not reported for the longest time.
+func (t *Tracker) longestSilent() route.Process {
 	var oldest route.Process
 	at := int64(maxTime)
 	for key, p := range t.processes {
@@ -169,8 +169,8 @@
 	return cmp.Or(cmp.Compare(a.Name, b.Name), cmp.Compare(a.Start, b.Start))
 }
 
-// acceptNewest keeps the report of the highest Seq. As Seq rises, the acknowledged revision must not fall.
-func (p *processRecord) acceptNewest(r *route.Report, now, lo int64) {
+// recordNewest keeps the report of the highest Seq. As Seq rises, the acknowledged revision must not fall.
+func (p *processRecord) recordNewest(r *route.Report, now, lo int64) {
 	last := &p.lastReport
 	if r.Seq > last.Seq && r.AcknowledgedRev < last.AcknowledgedRev ||
 		r.Seq < last.Seq && r.AcknowledgedRev > last.AcknowledgedRev {
@@ -195,7 +195,7 @@
 			delete(t.processes, key)
 			continue
 		}
-		p.forgetBefore(cutoff)
+		p.dropBefore(cutoff)
 	}
 }
 
@@ -214,7 +214,7 @@
 			return nil
 		}
 		p.access = kind
-		transition.Attempts = p.knownCount(rev)
+		transition.Attempts = p.highestKnownCount(rev)
 	}
 	return []Transition{transition}
 }
--- a/internal/audit/tracker_test.go
+++ b/internal/audit/tracker_test.go
@@ -34,8 +34,8 @@
 			for i := range p.histories {
 				steps += len(p.histories[i].steps)
 			}
-			if steps > o.MaxFacts || len(p.zeros) > o.MaxFacts || len(p.passedOver) > o.MaxFacts {
-				t.Fatalf("%v holds %d steps, %d, %d", key, steps, len(p.zeros), len(p.passedOver))
+			if steps > o.MaxFacts || len(p.zeros) > o.MaxFacts || len(p.skipped) > o.MaxFacts {
+				t.Fatalf("%v holds %d steps, %d, %d", key, steps, len(p.zeros), len(p.skipped))
 			}
 		}
 		if len(tracker.processes) > o.MaxProcesses {
--- a/internal/rollout/analysis.go
+++ b/internal/rollout/analysis.go
@@ -1,21 +1,22 @@
 package rollout
 
-// This file gathers the outcomes that processes report, for the analysis of a step and for the sequential test.
+// This file collects the outcomes that processes report, for the completion of a step and for the sequential test.
 
 import "marblelane/internal/route"
 
-// countKey names a count of one process.
+// countKey identifies a count of one process.
 type countKey struct {
 	tenant string
 	rev    int64
 	canary bool
 }
 
-// outcomeCounts are attempts that have ended, and how many of these have failed.
+// outcomeCounts holds the number of attempts that have ended and how many of them have failed.
 type outcomeCounts struct{ ended, failed int64 }
 
-// sub is what came on top of earlier totals; none where the two are not of one count.
-func (t outcomeCounts) sub(earlier outcomeCounts) outcomeCounts {
+// since returns the increase over earlier totals, or zero if the difference is not plausible, so that the two cannot be
+// totals of one count.
+func (t outcomeCounts) since(earlier outcomeCounts) outcomeCounts {
 	difference := outcomeCounts{t.ended - earlier.ended, t.failed - earlier.failed}
 	if difference.failed < 0 || difference.failed > difference.ended {
 		return outcomeCounts{}
@@ -23,24 +24,24 @@
 	return difference
 }
 
-// analyzeCounts takes in the attempts since the process's last report. The first totals of a process that may have been
-// counted before, and forgotten, tell nothing.
-func (c *Controller) analyzeCounts(p *processState, r *route.Report, maybeForgotten bool) {
+// analyzeCounts adds the attempts since the process's last report to the sequential test and to the current step. If the
+// process may have been dropped, its first totals may contain attempts that were counted before, so they are only stored.
+func (c *Controller) analyzeCounts(p *processState, r *route.Report, mayHaveBeenDropped bool) {
 	counts := r.Counts[max(0, len(r.Counts)-MaxCounts):] // the newest revisions come last
 	totals := c.usableTotals(counts)
-	if !maybeForgotten {
+	if !mayHaveBeenDropped {
 		c.addWindows(p, counts, totals)
 	}
 	p.counts = totals
 }
 
-// usableTotals are the counts of live rollouts, without those that cannot be.
+// usableTotals returns the plausible counts of live rollouts.
 func (c *Controller) usableTotals(counts []route.Count) map[countKey]outcomeCounts {
 	totals := map[countKey]outcomeCounts{}
 	for i := range counts {
 		count := &counts[i]
 		progress := c.rollouts[count.Tenant]
-		if progress == nil || count.Rev < progress.postedRev || !plausible(count) {
+		if progress == nil || count.Rev < progress.postedRev || !isPlausible(count) {
 			continue
 		}
 		outcome := outcomeCounts{count.Ended, count.Failed}
@@ -52,12 +53,12 @@
 	return totals
 }
 
-func plausible(c *route.Count) bool {
+func isPlausible(c *route.Count) bool {
 	return c.Failed >= 0 && c.Late >= 0 && c.Failed <= c.Ended && c.Late <= c.Ended-c.Failed
 }
 
-// addWindows adds a window to the sequential test for each canary that is counted. A window is of one process under one
-// revision, so that the canary fraction is the same throughout.
+// addWindows adds a window to the sequential test for each listed canary count. A window covers one process and one
+// revision, so that the canary fraction is constant within it.
 func (c *Controller) addWindows(p *processState, counts []route.Count, totals map[countKey]outcomeCounts) {
 	for i := range counts {
 		count := &counts[i]
@@ -66,10 +67,10 @@
 		if !usable || !count.Canary {
 			continue
 		}
-		canary := total.sub(p.counts[key])
-		p.setCount(key, total) // a line that is there twice counts once
+		canary := total.since(p.counts[key])
+		p.setCount(key, total) // a duplicate line then adds nothing
 		key.canary = false
-		base := totals[key].sub(p.counts[key])
+		base := totals[key].since(p.counts[key])
 		c.rollouts[count.Tenant].addWindow(count.Rev, canary, base, c.options.Rho)
 	}
 }
--- a/internal/rollout/budget_grants.go
+++ b/internal/rollout/budget_grants.go
@@ -1,6 +1,6 @@
 package rollout
 
-// This file divides what is left of an error budget among the processes that request it.
+// This file divides the remaining error budget among the processes that request units of it.
 
 import (
 	"slices"
@@ -8,15 +8,15 @@
 	"marblelane/internal/route"
 )
 
-// unitDemand is one process's demand for units of a budget.
+// unitDemand is the demand of one process for units of a rollout's budget.
 type unitDemand struct {
-	requestedAt, grantedAt int64 // the last times; -1: never
-	ticket                 int64 // place in the queue; 0: not queued
+	requestedAt, grantedAt int64 // time of the last request and of the last grant; -1: never
+	ticket                 int64 // identifies the place in the queue; 0: not queued
 }
 
-// BudgetEntries are the ledger entries that a process's request makes: the settlement of what it has spent and returned,
-// and grants by need. Only a process with a lease gets a grant. The entries are to be replicated, alone or with those of
-// other requests; then BudgetResponse is the answer.
+// BudgetEntries returns the ledger entries for a process's request: settlements of the units that it has spent and
+// returned, and grants of units that it needs. Only a process with a lease gets a grant. The caller replicates the entries,
+// alone or with those of other requests, and then responds with BudgetResponse.
 func (c *Controller) BudgetEntries(now int64, s *State, request *route.BudgetRequest) []LedgerEntry {
 	c.sync(now, s)
 	key := AccountKey(request.Process)
@@ -34,8 +34,8 @@
 			continue
 		}
 		if progress := c.progressOf(budget.Tenant, r); hasLease && r.Phase == Running && progress != nil {
-			left := r.unitsLeft() + account.Returned - old.Returned
-			account.Granted += c.grantSize(progress, r, key, account, left, budget.Wanted)
+			unitsLeft := r.unitsLeft() + account.Returned - old.Returned
+			account.Granted += c.grantSize(progress, r, key, account, unitsLeft, budget.Wanted)
 		}
 		if account != old {
 			out = append(out, LedgerEntry{
@@ -47,11 +47,11 @@
 	return out
 }
 
-// grantSize is how many of the units left a process is granted: half of them, divided by the number of processes that
-// request some, so that the next requests find some, too. A process that holds none and gets none is queued; the last
-// units go to the head of the queue.
+// grantSize returns the number of units to grant to a process. A grant is at most half of the units left, divided by the
+// number of processes with a demand, so that units remain for later requests. A process that has no units and gets none
+// is queued; the last units go to the head of the queue.
 func (c *Controller) grantSize(
-	progress *rolloutProgress, r *rolloutState, key string, account Account, left, wanted int64,
+	progress *rolloutProgress, r *rolloutState, key string, account Account, unitsLeft, wanted int64,
 ) int64 {
 	demand := progress.demands[key]
 	if demand == nil {
@@ -59,18 +59,18 @@
 		progress.demands[key] = demand
 	}
 	demand.requestedAt = c.now
-	held := account.unsettled()
-	need := min(wanted, r.Spec.Budget) - held
+	outstanding := account.outstanding()
+	need := min(wanted, r.Spec.Budget) - outstanding
 	if need <= 0 {
 		progress.dequeue(demand)
 		return 0
 	}
-	if held == 0 && demand.ticket == 0 {
+	if outstanding == 0 && demand.ticket == 0 {
 		progress.enqueue(demand)
 	}
-	left -= progress.waitingBefore(demand)
-	fair := max(1, left/(2*int64(len(progress.demands))))
-	size := min(need, left, fair)
+	unitsLeft -= progress.waitingBefore(demand)
+	fair := max(1, unitsLeft/(2*int64(len(progress.demands))))
+	size := min(need, unitsLeft, fair)
 	if c.options.MaxGrant > 0 {
 		size = min(size, c.options.MaxGrant)
 	}
@@ -88,7 +88,7 @@
 	w.queue = append(w.queue, d.ticket)
 }
 
-// dequeue takes a demand out of the queue, if it is there.
+// dequeue removes a demand from the queue if it is queued.
 func (w *rolloutProgress) dequeue(d *unitDemand) {
 	if i, found := slices.BinarySearch(w.queue, d.ticket); found {
 		w.queue = slices.Delete(w.queue, i, i+1)
@@ -96,7 +96,7 @@
 	d.ticket = 0
 }
 
-// waitingBefore is how many demands in the queue come before this one; all, where it is not queued.
+// waitingBefore returns the number of queued demands before this one, or of all queued demands if it is not queued.
 func (w *rolloutProgress) waitingBefore(d *unitDemand) int64 {
 	if d.ticket == 0 {
 		return int64(len(w.queue))
@@ -105,8 +105,9 @@
 	return int64(i)
 }
 
-// BudgetResponse is the answer to a request, by the replicated ledger: it is called after the entries of BudgetEntries
-// are applied. Idle units are wanted back where other processes lack some, and all of them once the rollout is over.
+// BudgetResponse returns the response to a request from the replicated ledger. It must be called after the entries of
+// BudgetEntries are applied. The response asks a process to return idle units while other processes wait for units, and
+// all idle units once the rollout has ended.
 func (c *Controller) BudgetResponse(s *State, request *route.BudgetRequest) route.BudgetResponse {
 	key := AccountKey(request.Process)
 	var out route.BudgetResponse
@@ -124,19 +125,19 @@
 	return out
 }
 
-// maxIdle is how many idle units a process may hold: what it wants, or its fair part where others lack units. With fewer
-// units than processes, each may hold one for a term after its grant.
+// maxIdle returns the number of idle units that a process may keep: the wanted number, or its fair share if more processes
+// wait than units are left. With fewer units than processes, a process may keep one unit for a lease term after its grant.
 func (c *Controller) maxIdle(progress *rolloutProgress, r *rolloutState, key string, wanted int64) int64 {
-	demand, lacking := progress.demands[key], int64(len(progress.queue))
+	demand, othersWaiting := progress.demands[key], int64(len(progress.queue))
 	if demand != nil && demand.ticket != 0 {
-		lacking--
+		othersWaiting--
 	}
-	if lacking <= r.unitsLeft() {
+	if othersWaiting <= r.unitsLeft() {
 		return max(0, wanted)
 	}
-	part := (r.Spec.Budget - r.totals.Spent) / int64(max(1, len(progress.demands)))
-	if part == 0 && demand != nil && demand.grantedAt >= 0 && c.now-demand.grantedAt < c.options.LeaseTerm {
-		part = 1
+	share := (r.Spec.Budget - r.totals.Spent) / int64(max(1, len(progress.demands)))
+	if share == 0 && demand != nil && demand.grantedAt >= 0 && c.now-demand.grantedAt < c.options.LeaseTerm {
+		share = 1
 	}
-	return max(0, min(wanted, part))
+	return max(0, min(wanted, share))
 }
--- a/internal/rollout/budget_test.go
+++ b/internal/rollout/budget_test.go
@@ -62,9 +62,9 @@
 func (f *randomFleet) exchangeReport(t *rapid.T) {
 	sidecar := f.pick(t)
 	report := sidecar.Report(nil)
-	answer := f.controller.Report(f.now, f.state, &report)
+	response := f.controller.Report(f.now, f.state, &report)
 	table := f.state.Table()
-	sidecar.ApplyAnswer(f.now, &answer)
+	sidecar.ApplyAnswer(f.now, &response)
 	sidecar.ApplyTable(&table)
 }
 
@@ -76,7 +76,7 @@
 		f.apply(t, Command{Op: OpLedger, Entries: f.controller.BudgetEntries(f.now, f.state, &request)})
 	}
 	commit()
-	answer := f.controller.BudgetResponse(f.state, &request)
+	response := f.controller.BudgetResponse(f.state, &request)
 	switch rapid.IntRange(0, 3).Draw(t, "fate") {
 	case 0:
 		f.delayed = append(f.delayed, commit)
@@ -84,11 +84,11 @@
 		process := sidecar.Process
 		f.delayed = append(f.delayed, func() {
 			if sidecar.Process == process {
-				sidecar.ApplyGrants(&answer)
+				sidecar.ApplyGrants(&response)
 			}
 		})
 	default:
-		sidecar.ApplyGrants(&answer)
+		sidecar.ApplyGrants(&response)
 	}
 }
 
--- a/internal/rollout/clone.go
+++ b/internal/rollout/clone.go
@@ -1,13 +1,13 @@
 package rollout
 
-// This file copies states and controllers, for callers that try something on a copy.
+// This file copies states and controllers for callers that need an independent copy.
 
 import (
 	"maps"
 	"slices"
 )
 
-// Clone copies a state.
+// Clone returns an independent copy of a state.
 func (s *State) Clone() *State {
 	out := *s
 	out.tenants = maps.Clone(s.tenants)
@@ -26,12 +26,12 @@
 }
 
 func (r *rolloutState) clone() *rolloutState {
-	out := *r // the spec is shared: no command changes it
+	out := *r // the spec is shared, as no command changes it
 	out.Ledger = maps.Clone(r.Ledger)
 	return &out
 }
 
-// Clone copies a controller.
+// Clone returns an independent copy of a controller.
 func (c *Controller) Clone() *Controller {
 	out := *c
 	out.processes = maps.Clone(c.processes)
--- a/internal/rollout/controller.go
+++ b/internal/rollout/controller.go
@@ -8,34 +8,34 @@
 	"marblelane/internal/route"
 )
 
-// Controller is what a leader remembers of processes and rollouts, and what it decides from it. Each leader begins with
-// an empty one. Times are milliseconds on the leader's monotonic clock; a time below an earlier one counts as the
-// earlier one.
+// Controller tracks processes and live rollouts in the leader's memory and decides which commands are due. Each leader
+// starts with an empty one. Times are milliseconds on the leader's monotonic clock; a call with a time before that of an
+// earlier call uses the earlier call's time.
 type Controller struct {
 	options           Options
 	startedAt, now    int64
 	processes         map[string]*processState // by AccountKey
-	newestStart       map[string]int64         // by name of the process
+	newestStart       map[string]int64         // newest start, by process name
 	revisionTimes     []revisionTime           // oldest first
 	rollouts          map[string]*rolloutProgress
-	accessChanges     []AccessChange // since the last Tick
+	accessChanges     []AccessChange // changes since the last Tick
 	closingRev        int64          // newest revision that this controller has asked to close
-	serviceFault      bool           // too many stragglers; valid where serviceFaultKnown
-	serviceFaultKnown bool           // for the present time, table and reports
+	serviceFault      bool           // there are too many stragglers; valid if serviceFaultKnown
+	serviceFaultKnown bool           // serviceFault is up to date with the time, table and reports
 }
 
-// processState is one process, as of its newest report.
+// processState is the state of one process as of its newest report.
 type processState struct {
 	ProcessStatus
 	reportSeq int64
-	counts    map[countKey]outcomeCounts // newest totals, of tenants with a live rollout
+	counts    map[countKey]outcomeCounts // totals of the newest report, for tenants with a live rollout
 }
 
-// ProcessStatus is what operators see of a process. Times are milliseconds on the leader's clock.
+// ProcessStatus is the status of a process that operators see. Times are milliseconds on the leader's clock.
 type ProcessStatus struct {
 	route.Process
 	LastReport      int64  `json:"heard_ms"`
-	LeaseUntil      int64  `json:"permitted_ms"` // its lease may last until then
+	LeaseUntil      int64  `json:"permitted_ms"` // latest time at which its lease expires on any clock
 	AcknowledgedRev int64  `json:"have"`
 	UnreadableRev   int64  `json:"unread"`
 	ListRev         int64  `json:"list_rev"`
@@ -46,32 +46,33 @@
 	Gone            bool   `json:"gone"`
 }
 
-// AccessChange is a change of whether a process may get leases, for the audit. One of the three is set.
+// AccessChange records for the audit that a process lost or regained access to leases. Exactly one of ShutOut, Readmitted
+// and Gone is set.
 type AccessChange struct {
 	route.Process
 	ShutOut, Readmitted, Gone bool
 	AcknowledgedRev           int64
 }
 
-// revisionTime is when the controller first saw a revision.
+// revisionTime is a revision and the time at which the controller first saw it.
 type revisionTime struct{ rev, at int64 }
 
-// rolloutProgress is what a controller gathers of a live rollout.
+// rolloutProgress is the data that a controller collects about a live rollout.
 type rolloutProgress struct {
 	name           string
 	lateIsFailure  bool
 	postedRev, rev int64
-	revSeenAt      int64   // when the controller first saw rev
-	canaryEnded    int64   // canary attempts that ended under rev or a later one
-	logEvidence    float64 // of the sequential test
-	maxLogEvidence float64 // so far
+	revSeenAt      int64   // time at which the controller first saw rev
+	canaryEnded    int64   // number of ended canary attempts under rev or a later revision
+	logEvidence    float64 // logarithm of the evidence of the sequential test
+	maxLogEvidence float64 // highest logEvidence so far
 	demands        map[string]*unitDemand
-	queue          []int64 // tickets of the processes that lack units, growing
+	queue          []int64 // tickets of the processes that wait for units, ascending
 	lastTicket     int64
 }
 
-// NewController begins a leader's controller. now is when it began to lead, or later. The states that it is called with
-// must hold all that earlier leaders have replicated: the caller waits for that first.
+// NewController returns a controller for a new leader. now is the time at which it began to lead, or later. The states
+// passed to its methods must contain everything that earlier leaders have replicated; the caller waits for this first.
 func NewController(o Options, now int64) *Controller {
 	return &Controller{
 		options: o, startedAt: now, now: now,
@@ -81,12 +82,12 @@
 	}
 }
 
-// earlierLeasesExpired reports whether each lease that an earlier leader granted has expired.
+// earlierLeasesExpired reports whether all leases that earlier leaders granted have expired.
 func (c *Controller) earlierLeasesExpired() bool {
-	return c.now >= c.startedAt+c.options.lengthenedTerm()
+	return c.now >= c.startedAt+c.options.termWithMargin()
 }
 
-// sync takes in the time, and changes of the table.
+// sync updates the controller to the time and to changes of the table.
 func (c *Controller) sync(now int64, s *State) {
 	if now > c.now {
 		c.now, c.serviceFaultKnown = now, false
@@ -99,8 +100,8 @@
 	c.syncRollouts(s)
 }
 
-// addRevisionTime notes that a revision is seen now. An old one is dropped once the next one is old enough, too: a
-// process that lacks the former lacks the latter for long enough to be shut out.
+// addRevisionTime records that a revision is first seen now. A revision is dropped once the following one is older than
+// ShutOutAfter: a process that lacks the dropped one also lacks the following one, which is enough to shut it out.
 func (c *Controller) addRevisionTime(rev int64) {
 	c.revisionTimes = append(c.revisionTimes, revisionTime{rev, c.now})
 	for len(c.revisionTimes) > maxRevisionTimes ||
@@ -109,7 +110,7 @@
 	}
 }
 
-// syncRollouts begins and ends the progress of rollouts as they go live and end.
+// syncRollouts adds progress for rollouts that became live and deletes that of rollouts that ended.
 func (c *Controller) syncRollouts(s *State) {
 	for tenant, progress := range c.rollouts {
 		if t := s.tenants[tenant]; t == nil || t.Live == nil || t.Live.PostedRev != progress.postedRev {
@@ -135,7 +136,7 @@
 	}
 }
 
-// progressOf is the progress of a rollout if it is live; otherwise nil.
+// progressOf returns the progress of a live rollout, or nil if the rollout is not live.
 func (c *Controller) progressOf(tenant string, r *rolloutState) *rolloutProgress {
 	if progress := c.rollouts[tenant]; progress != nil && progress.postedRev == r.PostedRev {
 		return progress
@@ -143,9 +144,10 @@
 	return nil
 }
 
-// Evidence is that of the sequential test against a live rollout's canary; 0 where the rollout is not live. 1 says
-// nothing, and above 1/Alpha the rollout is rolled back. A new leader begins the test anew. The test compares like with
-// like only where the base's counts are of requests that might have gone to the canary: of the route's classes.
+// Evidence returns the evidence of the sequential test against a live rollout's canary, or 0 if the rollout is not live.
+// A value of 1 is neutral; the rollout is rolled back once the value reaches 1/Alpha. A new leader restarts the test. The
+// test is valid only if the base's counts cover just those requests that could have gone to the canary: the requests of
+// the route's classes.
 func (c *Controller) Evidence(tenant, name string) float64 {
 	if progress := c.rollouts[tenant]; progress != nil && progress.name == name {
 		return math.Exp(progress.logEvidence)
@@ -153,7 +155,7 @@
 	return 0
 }
 
-// Processes are the processes that are known, by name and start.
+// Processes returns the known processes, sorted by name and start.
 func (c *Controller) Processes(now int64) []ProcessStatus {
 	out := make([]ProcessStatus, 0, len(c.processes))
 	for _, p := range c.processes {
--- a/internal/rollout/decisions.go
+++ b/internal/rollout/decisions.go
@@ -1,7 +1,7 @@
 package rollout
 
-// This file decides what is due: which rollouts go on, pause or roll back, which revisions close, and which processes
-// are gone.
+// This file decides which rollouts advance, pause, resume or roll back, which revisions are closed, and which processes
+// count as gone.
 
 import (
 	"maps"
@@ -11,14 +11,14 @@
 	"marblelane/internal/route"
 )
 
-// Tick returns the commands that are due, whose AtMS the caller sets, and the changes of access since the last Tick.
-// It may be called as often as wanted; a command that is not carried out comes again. ready counts the ready servers of
-// a subset.
+// Tick returns the commands that are due, and the changes of access since the last Tick. The caller sets AtMS of the
+// commands. Tick may be called at any rate; a command that was not applied is returned again. ready returns the number of
+// ready servers in a subset.
 func (c *Controller) Tick(
 	now int64, s *State, ready func(route.Subset) int,
 ) (commands []Command, changes []AccessChange) {
 	c.sync(now, s)
-	c.expireSilent()
+	c.expireSilentProcesses()
 	for _, tenant := range slices.Sorted(maps.Keys(c.rollouts)) {
 		t := s.tenants[tenant]
 		if t == nil || t.Live == nil {
@@ -33,7 +33,7 @@
 		c.closingRev = rev
 		commands = append(commands, Command{Op: OpClose, Rev: rev})
 	}
-	for entries := range slices.Chunk(c.entriesOfGone(s), maxEntriesPerCommand) {
+	for entries := range slices.Chunk(c.closingEntries(s), maxEntriesPerCommand) {
 		commands = append(commands, Command{Op: OpLedger, Entries: entries})
 	}
 	changes, c.accessChanges = c.accessChanges, nil
@@ -41,11 +41,12 @@
 	return commands, changes
 }
 
-// expireSilent marks silent processes as gone, forgets them in the end, and drops their demands.
-func (c *Controller) expireSilent() {
+// expireSilentProcesses marks processes without recent reports as gone, later drops them, and drops demands that
+// were not repeated.
+func (c *Controller) expireSilentProcesses() {
 	for key, p := range c.processes {
 		silence := c.now - p.LastReport
-		if silence > c.options.silenceUntilGone() {
+		if silence > c.options.goneTimeout() {
 			c.markGone(p)
 		}
 		if silence > c.options.DropAfter && p.LeaseUntil <= c.now {
@@ -57,7 +58,7 @@
 	}
 	for _, progress := range c.rollouts {
 		for key, demand := range progress.demands {
-			if c.now-demand.requestedAt > c.options.lengthenedTerm() {
+			if c.now-demand.requestedAt > c.options.termWithMargin() {
 				progress.dequeue(demand)
 				delete(progress.demands, key)
 			}
@@ -65,7 +66,7 @@
 	}
 }
 
-// rolloutCommand is what is due for one rollout, at most one command.
+// rolloutCommand returns the command that is due for one rollout, if any.
 func (c *Controller) rolloutCommand(
 	progress *rolloutProgress, r *rolloutState, ready func(route.Subset) int,
 ) (command Command, due bool) {
@@ -86,9 +87,9 @@
 	return Command{}, false
 }
 
-// stepComplete reports whether a rollout may go on from its step: the time is over, enough attempts have ended, and
-// each process that is neither gone nor shut out has acknowledged the step's revision. A silent process is waited for
-// until it is gone, as it is not known what it acts on.
+// stepComplete reports whether a rollout may leave its step: the step has lasted long enough, enough attempts have ended,
+// and each process that is neither gone nor shut out has acknowledged the step's revision. A silent process blocks the
+// step until it counts as gone, as the revision that it acts on is unknown.
 func (c *Controller) stepComplete(progress *rolloutProgress, r *rolloutState) bool {
 	step := r.Spec.Steps[r.Step]
 	if !c.earlierLeasesExpired() || c.now-progress.revSeenAt < step.HoldMS || progress.canaryEnded < step.MinAttempts {
@@ -102,8 +103,9 @@
 	return c.anyInContact()
 }
 
-// closableRev is the newest revision under which no attempt begins any more; 0: not known. A process with a lease acts
-// on the revision that it has acknowledged, or on a later one, until its lengthened term is over.
+// closableRev returns the newest revision under which no attempt can begin any more, or 0 if none is known. A process
+// with a lease may act on the revision that it has acknowledged, or on a later one, until the lease has expired on every
+// clock.
 func (c *Controller) closableRev(s *State) int64 {
 	if !c.earlierLeasesExpired() {
 		return 0
@@ -117,13 +119,13 @@
 	return rev
 }
 
-// entriesOfGone close the accounts of processes that are gone.
-func (c *Controller) entriesOfGone(s *State) []LedgerEntry {
+// closingEntries returns ledger entries that close the accounts of processes that are gone.
+func (c *Controller) closingEntries(s *State) []LedgerEntry {
 	var out []LedgerEntry
 	for _, t := range s.sortedTenants() {
 		r := t.Live
 		if r == nil && len(t.Ended) > 0 {
-			r = t.Ended[len(t.Ended)-1] // earlier ones have no account but the sum
+			r = t.Ended[len(t.Ended)-1] // the accounts of earlier rollouts are already folded
 		}
 		if r == nil {
 			continue
@@ -139,11 +141,11 @@
 	return out
 }
 
-// isGone reports whether nothing more comes of a process. One that this leader does not know counts as silent since the
-// leader began to lead.
+// isGone reports whether a process counts as gone. A process that has not reported to this leader counts as silent since
+// the leader began to lead.
 func (c *Controller) isGone(id route.Process) bool {
 	if p := c.processes[AccountKey(id)]; p != nil {
 		return p.Gone
 	}
-	return id.Start < c.newestStart[id.Name] || c.now-c.startedAt > c.options.silenceUntilGone()
+	return id.Start < c.newestStart[id.Name] || c.now-c.startedAt > c.options.goneTimeout()
 }
--- a/internal/rollout/explore_keys.go
+++ b/internal/rollout/explore_keys.go
@@ -1,17 +1,17 @@
 package rollout
 
-// This file writes keys of states and controllers, by which an exploration (package model) tells its worlds apart. A key
-// holds all that later decisions depend on, and nothing else.
+// This file encodes states and controllers as keys, by which an exploration (package model) detects equal worlds. A key
+// contains everything that later decisions depend on, and nothing else.
 
 import "marblelane/internal/statekey"
 
-// AppendKey appends what a controller closes revisions by.
+// AppendKey appends the data from which the controller decides which revisions to close.
 func (c *Controller) AppendKey(b []byte, now int64) []byte {
-	return statekey.AppendInts(b, max(c.startedAt+c.options.lengthenedTerm(), now), c.closingRev)
+	return statekey.AppendInts(b, max(c.startedAt+c.options.termWithMargin(), now), c.closingRev)
 }
 
-// AppendLeaseKey appends what a controller grants one process's lease by. Of an expired lease it is only that it has
-// expired, and of reports' numbers their order.
+// AppendLeaseKey appends the data from which the controller decides on one process's lease. The end of an expired lease
+// and the absolute numbers of reports are left out: decisions depend only on the expiry and on the order of the reports.
 func (c *Controller) AppendLeaseKey(b []byte, key string, now int64, seqs ...int64) []byte {
 	p := c.processes[key]
 	if p == nil {
@@ -27,7 +27,7 @@
 	return b
 }
 
-// AppendDemandKey appends what a controller grants units to one process by.
+// AppendDemandKey appends the data from which the controller decides on grants of units to one process.
 func (c *Controller) AppendDemandKey(b []byte, tenant, key string) []byte {
 	progress := c.rollouts[tenant]
 	if progress == nil || progress.demands[key] == nil {
@@ -38,7 +38,7 @@
 	return statekey.AppendInts(b, demand.requestedAt, demand.grantedAt, progress.waitingBefore(demand), queued)
 }
 
-// Phase is the phase of one rollout; empty: there is none.
+// Phase returns the phase of one rollout, or an empty string if there is no such rollout.
 func (s *State) Phase(tenant, name string) Phase {
 	if r := s.findRollout(tenant, name); r != nil {
 		return r.Phase
@@ -46,7 +46,7 @@
 	return ""
 }
 
-// Account is a process's account with one rollout; the zero one: it has none.
+// Account returns a process's account in the ledger of one rollout, or the zero Account if there is none.
 func (s *State) Account(tenant, name, key string) Account {
 	if r := s.findRollout(tenant, name); r != nil {
 		return r.Ledger[key]
@@ -60,7 +60,7 @@
 	return statekey.AppendInts(b, a.Granted, a.Spent, a.Returned, statekey.Bit(a.Gone))
 }
 
-// AppendKey appends what the state holds of one rollout, without its accounts.
+// AppendKey appends the state of one rollout, without its accounts.
 func (s *State) AppendKey(b []byte, tenant, name string) []byte {
 	r := s.findRollout(tenant, name)
 	if r == nil {
--- a/internal/rollout/helpers_test.go
+++ b/internal/rollout/helpers_test.go
@@ -68,15 +68,15 @@
 
 // report has a sidecar report; if it follows, it acts on the newest table by then.
 func (f *testFleet) report(now int64, i int, follows bool, counts ...route.Count) route.ReportResponse {
-	c := &f.sidecars[i]
+	sidecar := &f.sidecars[i]
 	if follows {
 		table := f.state.Table()
-		c.ApplyTable(&table)
+		sidecar.ApplyTable(&table)
 	}
-	r := c.Report(counts)
-	a := f.controller.Report(now, f.state, &r)
-	c.ApplyAnswer(now, &a)
-	return a
+	r := sidecar.Report(counts)
+	response := f.controller.Report(now, f.state, &r)
+	sidecar.ApplyAnswer(now, &response)
+	return response
 }
 
 // tick carries out the commands that are due, and returns their operations.
--- a/internal/rollout/ledger.go
+++ b/internal/rollout/ledger.go
@@ -7,19 +7,20 @@
 	"marblelane/internal/route"
 )
 
-// This file keeps the ledger of an error budget: what each process was granted, has spent and has returned. The rules,
-// and where they are proved: docs/routes.md, "Budget"; package model explores all interleavings of them.
+// This file implements the ledger of an error budget, which records the units that each process was granted, has spent
+// and has returned. docs/routes.md, "Budget", states the rules and where they are proved; package model explores all
+// interleavings.
 
-// Account is what one process has of one rollout's budget, in totals.
+// Account holds the totals of one process in the ledger of one rollout.
 type Account struct {
 	Granted  int64 `json:"granted"`
 	Spent    int64 `json:"spent"`
 	Returned int64 `json:"returned"`
-	Gone     bool  `json:"gone,omitempty"` // closed: nothing moves it any more
+	Gone     bool  `json:"gone,omitempty"` // the account is closed and no longer changes
 }
 
-// LedgerEntry moves one process's account with one rollout. It has totals, and one below the account's own changes
-// nothing, so an entry may be applied twice or late.
+// LedgerEntry updates the account of one process in the ledger of one rollout. It contains totals, and a total below that
+// of the account has no effect, so an entry may be applied twice or late.
 type LedgerEntry struct {
 	route.Process
 	Tenant   string `json:"tenant"`
@@ -27,22 +28,22 @@
 	Granted  int64  `json:"granted"`
 	Spent    int64  `json:"spent"`
 	Returned int64  `json:"returned"`
-	Gone     bool   `json:"gone,omitempty"` // the process has ended: all that it held counts as spent
+	Gone     bool   `json:"gone,omitempty"` // the process has ended: its outstanding units count as spent
 }
 
-// FoldedAccountKey is the key of the account into which others are folded: those of processes that are gone, once there
-// are many, and settled ones of a rollout that is over. No process has this key.
+// FoldedAccountKey is the key of the account that holds the sum of folded accounts: accounts of processes that are gone,
+// once the ledger is full, and settled accounts of an ended rollout. No process has this key.
 const FoldedAccountKey = "*"
 
-const processSeparator = "@"
+const accountKeySeparator = "@"
 
-// AccountKey is the key of a process's account: name@start.
+// AccountKey returns the key of a process's account: name@start.
 func AccountKey(p route.Process) string {
-	return p.Name + processSeparator + strconv.FormatInt(p.Start, 10)
+	return p.Name + accountKeySeparator + strconv.FormatInt(p.Start, 10)
 }
 
 func parseAccountKey(key string) (p route.Process, ok bool) {
-	at := strings.LastIndex(key, processSeparator)
+	at := strings.LastIndex(key, accountKeySeparator)
 	if at < 0 {
 		return p, false
 	}
@@ -50,32 +51,32 @@
 	return route.Process{Name: key[:at], Start: start}, err == nil
 }
 
-// settle is the settlement of an account: it takes in later totals of what was spent and returned. It is not ok where
-// they exceed all that was granted; then they are the totals of another account.
+// settle returns the account with newer totals of spent and returned units. ok is false if they exceed the granted units;
+// then they must be the totals of another account.
 func (a Account) settle(spent, returned int64) (settled Account, ok bool) {
 	a.Spent, a.Returned = max(a.Spent, spent), max(a.Returned, returned)
 	return a, a.Spent <= a.Granted && a.Returned <= a.Granted-a.Spent
 }
 
-// grant is the grant of budget to an account: it raises the total granted to total, by no more than is left.
-func (a Account) grant(total, left int64) Account {
-	a.Granted += max(0, min(total-a.Granted, left))
+// grant returns the account with its granted units raised to total, but by no more than unitsLeft.
+func (a Account) grant(total, unitsLeft int64) Account {
+	a.Granted += max(0, min(total-a.Granted, unitsLeft))
 	return a
 }
 
-// close closes the account of a process that has ended: all that it held counts as spent.
+// close returns the closed account of a process that has ended: its outstanding units count as spent.
 func (a Account) close() Account {
 	a.Gone, a.Spent = true, a.Granted-a.Returned
 	return a
 }
 
-// isSettled reports whether nothing more is expected of an account.
+// isSettled reports whether no further settlement of an account is expected.
 func (a Account) isSettled() bool { return a.Gone || a.Spent+a.Returned == a.Granted }
 
-// unsettled is the most that the account's process may hold.
-func (a Account) unsettled() int64 { return a.Granted - a.Spent - a.Returned }
+// outstanding returns the maximum number of units that the process may still have.
+func (a Account) outstanding() int64 { return a.Granted - a.Spent - a.Returned }
 
-// add adds another account's totals, with a sign of 1 or -1.
+// add returns the account with the totals of b added (sign 1) or subtracted (sign -1).
 func (a Account) add(b Account, sign int64) Account {
 	return Account{
 		Granted:  a.Granted + sign*b.Granted,
@@ -85,7 +86,7 @@
 	}
 }
 
-// unitsLeft is the part of the budget that is neither spent nor held by any process.
+// unitsLeft returns the number of units that are neither spent nor outstanding at a process.
 func (r *rolloutState) unitsLeft() int64 {
 	return r.Spec.Budget - (r.totals.Granted - r.totals.Returned)
 }
@@ -93,9 +94,9 @@
 // applyEntry applies an entry to its account.
 func (r *rolloutState) applyEntry(e *LedgerEntry) {
 	key := AccountKey(e.Process)
-	old, known := r.Ledger[key]
+	old, exists := r.Ledger[key]
 	account, ok := old.settle(e.Spent, e.Returned)
-	if old.Gone || !ok || e.Gone && !known {
+	if old.Gone || !ok || e.Gone && !exists {
 		return
 	}
 	if e.Gone {
@@ -103,15 +104,15 @@
 	} else if !r.Phase.IsFinal() {
 		account = account.grant(e.Granted, r.unitsLeft()+account.Returned-old.Returned)
 	}
-	if account == old || !known && !r.ensureCapacity() {
+	if account == old || !exists && !r.ensureCapacity() {
 		return
 	}
 	r.Ledger[key] = account
 	r.totals = r.totals.add(old, -1).add(account, 1)
 }
 
-// ensureCapacity folds accounts of processes that are gone if the ledger is full, and reports whether there is space for
-// one more.
+// ensureCapacity folds the accounts of processes that are gone if the ledger is full, and reports whether an account can
+// be added.
 func (r *rolloutState) ensureCapacity() bool {
 	if len(r.Ledger) >= MaxAccounts {
 		r.foldAccounts(func(a Account) bool { return a.Gone })
@@ -119,7 +120,7 @@
 	return len(r.Ledger) < MaxAccounts
 }
 
-// foldAccounts adds the accounts that include picks to the account of sums.
+// foldAccounts moves the accounts for which include returns true into the account with FoldedAccountKey.
 func (r *rolloutState) foldAccounts(include func(Account) bool) {
 	sum := r.Ledger[FoldedAccountKey]
 	folded := 0
@@ -130,12 +131,12 @@
 		}
 	}
 	if folded > 0 {
-		sum.Gone = true // no entry moves it
+		sum.Gone = true // no entry changes it
 		r.Ledger[FoldedAccountKey] = sum
 	}
 }
 
-// applyEntry applies an entry to its account, and rolls the rollout back when its budget is spent.
+// applyEntry applies an entry to its account, and rolls the rollout back if its budget is spent.
 func (s *State) applyEntry(e *LedgerEntry, atMS int64) {
 	r := s.findRollout(e.Tenant, e.Rollout)
 	if r == nil {
@@ -143,12 +144,12 @@
 	}
 	r.applyEntry(e)
 	if r.Phase.IsFinal() {
-		if account, known := r.Ledger[AccountKey(e.Process)]; known && account.isSettled() {
+		if account, exists := r.Ledger[AccountKey(e.Process)]; exists && account.isSettled() {
 			r.foldAccounts(Account.isSettled)
 		}
 		return
 	}
 	if r.totals.Spent >= r.Spec.Budget {
-		s.stop(s.tenants[e.Tenant], r, RolledBack, ReasonBudgetSpent, atMS)
+		s.endRollout(s.tenants[e.Tenant], r, RolledBack, ReasonBudgetSpent, atMS)
 	}
 }
--- a/internal/rollout/limits.go
+++ b/internal/rollout/limits.go
@@ -2,25 +2,25 @@
 
 // Bounds of what a State holds.
 const (
-	MaxTenants          = 1000 // with a base, a rollout, or a remembered rollout
-	MaxEndedRollouts    = 50   // remembered, of one tenant
-	MaxAccounts         = 2000 // in one ledger
+	MaxTenants          = 1000 // tenants with a base, a live rollout or an ended rollout
+	MaxEndedRollouts    = 50   // ended rollouts kept for each tenant
+	MaxAccounts         = 2000 // accounts in one ledger
 	MaxSteps            = 20
 	MaxBudget           = 1_000_000
 	MaxHoldMS           = 30 * 24 * 3600 * 1000
-	MaxNameBytes        = 200 // of each name, and of each value of a subset
-	MaxRolloutNameBytes = 160 // shorter, as its ID is the name with a number
+	MaxNameBytes        = 200 // bytes of each name, and of each value of a subset
+	MaxRolloutNameBytes = 160 // lower than MaxNameBytes, as a rollout's ID is its name and a number
 	MaxClasses          = 100
-	MaxSubsetValues     = 1000 // in one list of a subset
-	MaxNoteBytes        = 1000 // of notes and reasons
+	MaxSubsetValues     = 1000 // values in each list of a subset
+	MaxNoteBytes        = 1000 // bytes of each note and each reason
 )
 
-// Bounds of what a Controller remembers and reads.
+// Bounds of what a Controller keeps in memory and reads from requests.
 const (
-	MaxProcesses         = 5000 // known at once; one more gets no lease
-	MaxCounts            = 4096 // read of one report
-	MaxBudgetsPerRequest = 1000 // read of one request
-	maxSchemas           = 100  // in one report
+	MaxProcesses         = 5000 // processes kept at a time; further processes get no lease
+	MaxCounts            = 4096 // counts read from one report
+	MaxBudgetsPerRequest = 1000 // budgets read from one budget request
+	maxSchemasPerReport  = 100  // schemas in one report
 	maxRevisionTimes     = 4096
 	maxEntriesPerCommand = 1000
 )
--- a/internal/rollout/reports.go
+++ b/internal/rollout/reports.go
@@ -1,6 +1,6 @@
 package rollout
 
-// This file takes in the reports of processes and grants canary leases.
+// This file processes the reports of processes and grants canary leases.
 
 import (
 	"fmt"
@@ -10,41 +10,41 @@
 	"marblelane/internal/route"
 )
 
-// Report takes in a report, and answers with a lease or with the reason why there is none. The caller must have
-// confirmed with a majority, after the report came, that it leads. Where the answer says Resync the caller adds the
-// table.
+// Report applies a report and returns a response with a lease, or with the reason for granting none. After the report
+// arrived, the caller must have confirmed with a majority that it is the leader. If Resync is set in the response, the
+// caller adds the table.
 func (c *Controller) Report(now int64, s *State, r *route.Report) route.ReportResponse {
 	c.sync(now, s)
-	answer := route.ReportResponse{Stamp: route.Moment{Leader: c.options.Leader, MS: c.now}, NewestRev: s.Rev()}
-	if answer.Reason = checkReport(r); answer.Reason != "" {
-		return answer
+	response := route.ReportResponse{Stamp: route.Moment{Leader: c.options.Leader, MS: c.now}, NewestRev: s.Rev()}
+	if response.Reason = checkReport(r); response.Reason != "" {
+		return response
 	}
 	if newest := c.newestStart[r.Name]; r.Start < newest {
-		answer.Reason, answer.NewestStart = "a later start of this name has reported", newest
-		return answer
+		response.Reason, response.NewestStart = "a later start of this name has reported", newest
+		return response
 	}
 	p := c.processes[AccountKey(r.Process)]
 	if p == nil {
 		if len(c.processes) >= MaxProcesses {
-			answer.Reason = fmt.Sprintf("there are %d processes, as many as are kept", MaxProcesses)
-			return answer
+			response.Reason = fmt.Sprintf("there are %d processes, as many as are kept", MaxProcesses)
+			return response
 		}
 		p = c.addProcess(r.Process)
 	}
-	p.AcknowledgedRev = max(p.AcknowledgedRev, r.AcknowledgedRev) // it never falls, so an old report may tell it as well
+	p.AcknowledgedRev = max(p.AcknowledgedRev, r.AcknowledgedRev) // the revision never falls, so an old report is valid, too
 	c.serviceFaultKnown = false
 	if r.Seq < p.reportSeq {
-		answer.Reason = "a later report of this process has come"
-		return answer
+		response.Reason = "a later report of this process has come"
+		return response
 	}
 	if r.Seq > p.reportSeq {
-		c.acceptReport(p, r)
+		c.applyReport(p, r)
 	}
-	c.renewLease(s, p, &answer)
-	return answer
+	c.renewLease(s, p, &response)
+	return response
 }
 
-// checkReport names what is out of its bound in a report; empty: nothing is.
+// checkReport returns a description of the first field of a report that is out of its bound, or an empty string.
 func checkReport(r *route.Report) string {
 	switch {
 	case r.Name == "" || len(r.Name) > MaxNameBytes:
@@ -53,15 +53,16 @@
 		return fmt.Sprintf("start is %d, below 1", r.Start)
 	case r.Seq < 1:
 		return fmt.Sprintf("seq is %d, below 1", r.Seq)
-	case len(r.Schemas) > maxSchemas:
-		return fmt.Sprintf("schemas are %d, more than %d", len(r.Schemas), maxSchemas)
+	case len(r.Schemas) > maxSchemasPerReport:
+		return fmt.Sprintf("schemas are %d, more than %d", len(r.Schemas), maxSchemasPerReport)
 	case len(r.Version) > MaxNameBytes || len(r.Config) > MaxNameBytes:
 		return fmt.Sprintf("version or config is longer than %d bytes", MaxNameBytes)
 	}
 	return ""
 }
 
-// addProcess makes a process known. The earlier one of its name is gone; its lease still lasts until its end.
+// addProcess adds a process and marks the earlier process of the same name as gone. The lease of the earlier one still
+// lasts until it expires.
 func (c *Controller) addProcess(id route.Process) *processState {
 	if earlier := c.processes[AccountKey(route.Process{Name: id.Name, Start: c.newestStart[id.Name]})]; earlier != nil {
 		c.markGone(earlier)
@@ -74,53 +75,54 @@
 func (c *Controller) markGone(p *processState) {
 	if !p.Gone {
 		p.Gone = true
-		c.noteAccess(AccessChange{Process: p.Process, Gone: true, AcknowledgedRev: p.AcknowledgedRev})
+		c.recordAccessChange(AccessChange{Process: p.Process, Gone: true, AcknowledgedRev: p.AcknowledgedRev})
 	}
 }
 
-func (c *Controller) noteAccess(change AccessChange) {
+func (c *Controller) recordAccessChange(change AccessChange) {
 	c.accessChanges = append(c.accessChanges, change)
 }
 
-// acceptReport takes in the newest report of a process.
-func (c *Controller) acceptReport(p *processState, r *route.Report) {
-	if p.Gone { // it was only silent; its accounts stay closed
+// applyReport updates a process from its newest report.
+func (c *Controller) applyReport(p *processState, r *route.Report) {
+	if p.Gone { // the process was only silent; its closed accounts stay closed
 		p.Gone = false
-		c.noteAccess(AccessChange{Process: p.Process, Readmitted: true, AcknowledgedRev: p.AcknowledgedRev})
+		c.recordAccessChange(AccessChange{Process: p.Process, Readmitted: true, AcknowledgedRev: p.AcknowledgedRev})
 	}
 	first := p.reportSeq == 0
 	p.reportSeq, p.LastReport = r.Seq, c.now
 	p.UnreadableRev, p.ListRev = r.UnreadableRev, r.ListRev
 	p.Version, p.Config = r.Version, r.Config
 	p.Schemas = slices.Clone(r.Schemas)
-	maybeForgotten := first && c.now-c.startedAt > c.options.DropAfter && r.Seq > 1
-	c.analyzeCounts(p, r, maybeForgotten)
+	mayHaveBeenDropped := first && c.now-c.startedAt > c.options.DropAfter && r.Seq > 1
+	c.analyzeCounts(p, r, mayHaveBeenDropped)
 }
 
-// renewLease grants a lease for a term, or answers why not.
-func (c *Controller) renewLease(s *State, p *processState, answer *route.ReportResponse) {
+// renewLease grants a lease for a term, or sets the reason for granting none.
+func (c *Controller) renewLease(s *State, p *processState, response *route.ReportResponse) {
 	behind := c.behindFor(p)
 	reason := c.shutOutReason(s, p, behind)
 	if shutOut := reason != ""; shutOut != p.ShutOut {
 		p.ShutOut = shutOut
-		c.noteAccess(AccessChange{
+		c.recordAccessChange(AccessChange{
 			Process: p.Process, ShutOut: shutOut, Readmitted: !shutOut, AcknowledgedRev: p.AcknowledgedRev,
 		})
 	}
-	// A revision that is closed, or that is being closed, stays so for a process that comes late with an older table.
+	// A closed revision, or one whose close is being replicated, gets no lease: the table of this process is too old.
 	if closed := max(s.ClosedRev(), c.closingRev); reason == "" && p.AcknowledgedRev <= closed {
 		reason = fmt.Sprintf("it acts on revision %d, and %d is closed", p.AcknowledgedRev, closed)
 	}
-	// A process that cannot read the newest table gains nothing from another copy of it.
-	answer.Resync = behind >= c.options.StragglerAfter && p.UnreadableRev < s.Rev()
-	answer.Reason = reason
+	// Another copy of the newest table is no use to a process that cannot read it.
+	response.Resync = behind >= c.options.StragglerAfter && p.UnreadableRev < s.Rev()
+	response.Reason = reason
 	if reason == "" {
-		answer.LeaseMS = c.options.LeaseTerm
-		p.LeaseUntil = c.now + c.options.lengthenedTerm()
+		response.LeaseMS = c.options.LeaseTerm
+		p.LeaseUntil = c.now + c.options.termWithMargin()
 	}
 }
 
-// shutOutReason says why a process is shut out of canaries; empty: it is not. behind is that of behindFor.
+// shutOutReason returns the reason why a process is shut out of canaries, or an empty string if it is not. behind is the
+// result of behindFor.
 func (c *Controller) shutOutReason(s *State, p *processState, behind int64) string {
 	if newest := slices.Max(append([]int{0}, p.Schemas...)); newest < s.MinSchema() {
 		return fmt.Sprintf("it reads schemas up to %d, and %d is asked for", newest, s.MinSchema())
@@ -131,10 +133,10 @@
 	return ""
 }
 
-// notBehind is behindFor's answer for a process that acts on the newest revision.
+// notBehind is the result of behindFor for a process that has acknowledged the newest revision.
 const notBehind = -1
 
-// behindFor is for how long there has been a revision that a process has not acknowledged.
+// behindFor returns for how many milliseconds a revision has existed that the process has not acknowledged, or notBehind.
 func (c *Controller) behindFor(p *processState) int64 {
 	i, _ := slices.BinarySearchFunc(c.revisionTimes, p.AcknowledgedRev+1, func(t revisionTime, rev int64) int {
 		return int(min(max(t.rev-rev, -1), 1))
@@ -145,12 +147,12 @@
 	return c.now - c.revisionTimes[i].at
 }
 
-// inContact reports whether a process has reported within a term.
+// inContact reports whether a process has reported within the last lease term.
 func (c *Controller) inContact(p *processState) bool {
 	return !p.Gone && c.now-p.LastReport <= c.options.LeaseTerm
 }
 
-// anyInContact reports whether any process is in contact. If none is, nothing is known of the fleet.
+// anyInContact reports whether any process is in contact. If none is, the state of the fleet is unknown.
 func (c *Controller) anyInContact() bool {
 	for _, p := range c.processes {
 		if c.inContact(p) {
@@ -160,7 +162,7 @@
 	return false
 }
 
-// serviceAtFault reports whether so many processes are stragglers that the service itself must be at fault.
+// serviceAtFault reports whether so many processes are stragglers that the cause must be the service itself.
 func (c *Controller) serviceAtFault() bool {
 	if c.serviceFaultKnown {
 		return c.serviceFault
--- a/internal/rollout/rollout.go
+++ b/internal/rollout/rollout.go
@@ -1,29 +1,30 @@
-// Package rollout moves the canaries of tenants forward step by step under an error budget, and rolls them back.
+// Package rollout advances the canaries of tenants step by step under an error budget, and rolls them back.
 //
-// The package does no input or output and reads no clock. State is replicated by the raft log of the list service and
-// changes by commands alone. Controller is what the leader remembers and decides; each call passes the time in.
+// The package does no input or output and reads no clock. State is replicated through the raft log of the list service
+// and is changed only by commands. Controller keeps the leader's view of processes and rollouts in memory and decides
+// which commands are due; each call passes the time as an argument.
 //
-// What is promised, and the alternatives that were not taken: docs/routes.md.
+// The guarantees and the rejected alternatives are described in docs/routes.md.
 package rollout
 
 import "errors"
 
-// Phase is where a rollout is.
+// Phase is the phase of a rollout's lifecycle.
 type Phase string
 
-// The phases. Done, RolledBack and Stopped are final.
+// The phases of a rollout. Done, RolledBack and Stopped are final.
 const (
 	Running    Phase = "running"
 	Paused     Phase = "paused" // no request goes to the canary until the rollout is resumed
 	Done       Phase = "done"
 	RolledBack Phase = "rolled-back"
-	Stopped    Phase = "stopped" // by the tenant or an operator
+	Stopped    Phase = "stopped" // stopped by the tenant or an operator
 )
 
 // IsFinal reports whether a phase is final.
 func (p Phase) IsFinal() bool { return p == Done || p == RolledBack || p == Stopped }
 
-// Reasons that a controller gives for its commands. It resumes only a rollout that it has paused itself.
+// Reasons of commands that a controller issues. A controller resumes only a rollout that a controller has paused.
 const (
 	ReasonNoReadyServer = "the canary has no ready server"
 	ReasonStragglers    = "too many processes are behind"
@@ -31,7 +32,7 @@
 	ReasonBudgetSpent   = "the budget is spent"
 )
 
-// pausedByController reports whether a pause with this reason was the controller's own.
+// pausedByController reports whether a pause with this reason was issued by a controller.
 func pausedByController(reason string) bool {
 	return reason == ReasonNoReadyServer || reason == ReasonStragglers
 }
@@ -41,10 +42,10 @@
 	Spec        Spec               `json:"spec"`
 	Phase       Phase              `json:"phase"`
 	Step        int                `json:"step"`
-	Rev         int64              `json:"rev"` // revision of its last change
+	Rev         int64              `json:"rev"` // revision of the rollout's last change
 	Reason      string             `json:"why,omitempty"`
-	ChangedAtMS int64              `json:"since_ms"` // the leader's wall clock at its last change; only people read it
-	Ledger      map[string]Account `json:"ledger"`   // by AccountKey
+	ChangedAtMS int64              `json:"since_ms"` // the leader's wall clock at the last change, for display only
+	Ledger      map[string]Account `json:"ledger"`   // account of each process, by AccountKey
 }
 
 // Errors of Apply.
@@ -55,6 +56,6 @@
 	ErrExists   = errors.New("a rollout of this name, and another content, exists")
 	ErrBusy     = errors.New("a rollout of this tenant is under way")
 
-	// ErrInvalid is wrapped by an error that names the field and its bound.
+	// ErrInvalid is wrapped by errors that name the invalid field and its bound.
 	ErrInvalid = errors.New("the route cannot be")
 )
--- a/internal/rollout/spec.go
+++ b/internal/rollout/spec.go
@@ -11,35 +11,35 @@
 	"marblelane/internal/route"
 )
 
-// Spec is a rollout as a tenant posts it, with the subsets that the operators' file gives for its names.
+// Spec is a rollout as a tenant posts it, together with the subset that the operators' file defines for SubsetName.
 type Spec struct {
 	Tenant        string       `json:"tenant"`
-	Name          string       `json:"name"` // chosen by the tenant; not used again while it is remembered
-	SubsetName    string       `json:"to"`   // of the canary, in the operators' file
+	Name          string       `json:"name"` // chosen by the tenant; cannot be reused while a rollout of this name is kept
+	SubsetName    string       `json:"to"`   // name of the canary's subset in the operators' file
 	Canary        route.Subset `json:"canary"`
-	Classes       []string     `json:"classes,omitempty"` // empty: all
+	Classes       []string     `json:"classes,omitempty"` // classes that the rollout covers; empty: all
 	Steps         []Step       `json:"steps"`
-	Budget        int64        `json:"budget"` // failures that the rollout may cost
-	LateIsFailure bool         `json:"late"`   // an answer after the latency objective is a failure, too
+	Budget        int64        `json:"budget"` // number of failures that the rollout may cause
+	LateIsFailure bool         `json:"late"`   // a response after the latency objective counts as a failure
 	AtEnd         string       `json:"at_end"` // AtEndKeep or AtEndReturn
 	Note          string       `json:"note,omitempty"`
 }
 
-// What becomes of a canary that has completed all its steps.
+// Values of Spec.AtEnd: what happens to a canary that has completed all its steps.
 const (
 	AtEndKeep   = "keep"   // the canary becomes the base
-	AtEndReturn = "return" // the base stays
+	AtEndReturn = "return" // the base stays as it is
 )
 
-// Step is a fraction of the tenant's requests, and what it takes to go on from it.
+// Step is the fraction of the tenant's requests that goes to the canary, and the conditions for the next step.
 type Step struct {
-	CanaryFraction float64 `json:"share"`    // above 0, at most 1, growing from step to step
-	HoldMS         int64   `json:"hold_ms"`  // minimum time
-	MinAttempts    int64   `json:"requests"` // canary attempts that have ended
+	CanaryFraction float64 `json:"share"`    // above 0, at most 1, higher than that of the step before
+	HoldMS         int64   `json:"hold_ms"`  // minimum duration of the step
+	MinAttempts    int64   `json:"requests"` // minimum number of canary attempts that have ended in the step
 }
 
-// Validate finds the first field of a posted rollout that is out of its bound. The error wraps ErrInvalid, and names the field
-// and the bound.
+// Validate returns an error for the first field of a posted rollout that is out of its bound. The error wraps ErrInvalid
+// and names the field and the bound.
 func (s *Spec) Validate() error {
 	for _, field := range []struct{ name, value string }{{"tenant", s.Tenant}, {"name", s.Name}, {"to", s.SubsetName}} {
 		if err := checkName(field.name, field.value); err != nil {
@@ -49,8 +49,9 @@
 	switch {
 	case len(s.Name) > MaxRolloutNameBytes:
 		return fmt.Errorf("%w: name has %d bytes, not 1 to %d", ErrInvalid, len(s.Name), MaxRolloutNameBytes)
-	case strings.Contains(s.Name, idSeparator):
-		return fmt.Errorf("%w: name has a %s, which is kept for telling rollouts of one name apart", ErrInvalid, idSeparator)
+	case strings.Contains(s.Name, rolloutIDSeparator):
+		return fmt.Errorf("%w: name has a %s, which is kept for telling rollouts of one name apart",
+			ErrInvalid, rolloutIDSeparator)
 	case selectsAll(s.Canary):
 		return fmt.Errorf("%w: canary selects all servers, it needs at least one list", ErrInvalid)
 	case s.Budget < 1 || s.Budget > MaxBudget:
@@ -142,13 +143,13 @@
 		Zone: slices.Clone(s.Zone), UID: slices.Clone(s.UID)}
 }
 
-// selectsAll reports whether a subset names no list, and so selects all servers.
+// selectsAll reports whether all lists of a subset are empty, so that it selects all servers.
 func selectsAll(s route.Subset) bool {
 	return len(s.Model) == 0 && len(s.PodGroup) == 0 && len(s.Zone) == 0 && len(s.UID) == 0
 }
 
-// sameJSON compares two values by their stored form, in which an empty list and an absent one are alike.
-func sameJSON(a, b any) bool {
+// equalJSON reports whether two values have the same stored form, in which an empty list equals an absent one.
+func equalJSON(a, b any) bool {
 	x, errA := json.Marshal(a)
 	y, errB := json.Marshal(b)
 	return errA == nil && errB == nil && bytes.Equal(x, y)
--- a/internal/rollout/state.go
+++ b/internal/rollout/state.go
@@ -9,48 +9,50 @@
 	"marblelane/internal/route"
 )
 
-// revisionCountBits is the low part of a revision, which counts within an epoch; the server list's is the same.
+// revisionCountBits is the number of low bits of a revision that count changes within an epoch. The revisions of the
+// server list have the same layout.
 const revisionCountBits = 28
 
-// State is the bases and rollouts of all tenants. It is deterministic: the same commands give the same state.
+// State holds the bases and rollouts of all tenants. It is deterministic: the same commands produce the same state.
 type State struct {
 	rev, closed int64
 	minSchema   int
 	tenants     map[string]*tenantState
 }
 
-// tenantState is what is stored of one tenant.
+// tenantState is the stored state of one tenant.
 type tenantState struct {
 	Name  string          `json:"tenant"`
-	Rev   int64           `json:"rev"` // of its last change
+	Rev   int64           `json:"rev"` // revision of the tenant's last change
 	Base  route.Subset    `json:"base,omitzero"`
 	Live  *rolloutState   `json:"live,omitempty"`
 	Ended []*rolloutState `json:"ended,omitempty"` // oldest first
 }
 
-// rolloutState is a rollout with what only the state needs. The embedded Rollout's fields are stored beside its own.
+// rolloutState is a rollout with the fields that only State needs. The fields of the embedded Rollout are stored at the
+// same level as its own.
 type rolloutState struct {
 	Rollout
-	PostedRev int64   `json:"posted"` // revision of its post
-	totals    Account // sums of Ledger
+	PostedRev int64   `json:"posted"` // revision at which the rollout was posted
+	totals    Account // sum of all accounts of Ledger; not stored
 }
 
 // NewState returns a state without any route.
 func NewState() *State { return &State{tenants: map[string]*tenantState{}} }
 
-// BeginEpoch begins an epoch: the next revisions are at least its first.
+// BeginEpoch begins an epoch: later revisions are higher than all revisions of earlier epochs.
 func (s *State) BeginEpoch(epoch int64) { s.rev = max(s.rev, epoch<<revisionCountBits) }
 
-// Rev is the revision of the table's last change.
+// Rev returns the revision of the table's last change.
 func (s *State) Rev() int64 { return s.rev }
 
-// ClosedRev is the newest revision under which no attempt begins any more.
+// ClosedRev returns the newest closed revision: no attempt begins under it or an older one.
 func (s *State) ClosedRev() int64 { return s.closed }
 
-// MinSchema is the oldest schema that a process must read to get a lease; 0: any.
+// MinSchema returns the schema that a process must be able to read to get a lease; 0: no requirement.
 func (s *State) MinSchema() int { return s.minSchema }
 
-// TenantRev is the revision of a tenant's last change; 0: there is none.
+// TenantRev returns the revision of a tenant's last change, or 0 for an unknown tenant.
 func (s *State) TenantRev(name string) int64 {
 	if t := s.tenants[name]; t != nil {
 		return t.Rev
@@ -58,7 +60,7 @@
 	return 0
 }
 
-// sortedTenants are all tenants by name.
+// sortedTenants returns all tenants, sorted by name.
 func (s *State) sortedTenants() []*tenantState {
 	out := make([]*tenantState, 0, len(s.tenants))
 	for _, name := range slices.Sorted(maps.Keys(s.tenants)) {
@@ -67,24 +69,24 @@
 	return out
 }
 
-// findRollout finds a live or remembered rollout by its name or ID; nil: there is none.
+// findRollout returns the live or ended rollout with this name or ID, or nil.
 func (s *State) findRollout(tenant, name string) *rolloutState {
 	t := s.tenants[tenant]
 	if t == nil {
 		return nil
 	}
-	if t.Live != nil && t.Live.named(name) {
+	if t.Live != nil && t.Live.hasNameOrID(name) {
 		return t.Live
 	}
 	for _, r := range t.Ended {
-		if r.named(name) {
+		if r.hasNameOrID(name) {
 			return r
 		}
 	}
 	return nil
 }
 
-// rollouts are a tenant's remembered rollouts and its live one.
+// rollouts returns a tenant's ended rollouts, followed by the live one.
 func (t *tenantState) rollouts() []*rolloutState {
 	if t.Live == nil {
 		return t.Ended
@@ -92,22 +94,22 @@
 	return append(slices.Clone(t.Ended), t.Live)
 }
 
-// idSeparator stands between a rollout's name and its number in its ID.
-const idSeparator = "@"
+// rolloutIDSeparator stands between a rollout's name and its number in its ID.
+const rolloutIDSeparator = "@"
 
-// id names a rollout in the table. A name may be used again once it is forgotten; an ID is not, so that the canary
-// budget which a process holds for the one is not used for the other.
+// id returns the rollout's ID in the table. A name may be reused once the rollout of that name is no longer kept, but an
+// ID is unique, so that a process cannot use the canary budget of one rollout for a later rollout of the same name.
 func (r *rolloutState) id() string {
-	return r.Spec.Name + idSeparator + strconv.FormatInt(r.PostedRev, 10)
+	return r.Spec.Name + rolloutIDSeparator + strconv.FormatInt(r.PostedRev, 10)
 }
 
-// RolloutName is the tenant's name of a rollout, from its ID in a table.
+// RolloutName returns the name of a rollout from its ID in a table.
 func RolloutName(id string) string {
-	if i := strings.LastIndex(id, idSeparator); i >= 0 {
+	if i := strings.LastIndex(id, rolloutIDSeparator); i >= 0 {
 		return id[:i]
 	}
 	return id
 }
 
-// named reports whether name is the rollout's name or ID.
-func (r *rolloutState) named(name string) bool { return r.Spec.Name == name || r.id() == name }
+// hasNameOrID reports whether name is the rollout's name or ID.
+func (r *rolloutState) hasNameOrID(name string) bool { return r.Spec.Name == name || r.id() == name }
--- a/internal/rollout/state_apply.go
+++ b/internal/rollout/state_apply.go
@@ -8,8 +8,8 @@
 	"strings"
 )
 
-// Apply carries out a command. It returns the revision from which on a reader sees the change; of a command that was
-// applied before, the revision of that time, so that one may be sent twice. A command that fails changes nothing.
+// Apply applies a command and returns the first revision that contains the change. A command may be sent twice: for one
+// that was already applied, Apply returns the revision of the first time. A command that fails changes nothing.
 func (s *State) Apply(c *Command) (rev int64, err error) {
 	switch c.Op {
 	case OpBase:
@@ -18,7 +18,7 @@
 		return s.postRollout(c)
 	case OpForward, OpPause, OpResume, OpRollBack, OpStop:
 		return s.changePhase(c)
-	case OpClose: // the newest revision stays open: attempts may always begin under it
+	case OpClose: // the newest revision stays open, as attempts may always begin under it
 		s.closed = max(s.closed, min(c.Rev, s.rev-1))
 		return s.rev, nil
 	case OpSchema:
@@ -33,7 +33,7 @@
 	return 0, fmt.Errorf("rollout: unknown operation %q", c.Op)
 }
 
-// tenantOrNew finds a tenant, or makes one that is not yet part of the state.
+// tenantOrNew returns a tenant, or creates one without adding it to the state.
 func (s *State) tenantOrNew(name string) (*tenantState, error) {
 	if t := s.tenants[name]; t != nil {
 		return t, nil
@@ -44,7 +44,8 @@
 	return &tenantState{Name: name}, nil
 }
 
-// nextRev gives a tenant's change its revision. After the last count of an epoch comes the first of the next one.
+// nextRev returns a new revision and records it as the tenant's last change. The count of an epoch overflows into the
+// next epoch.
 func (s *State) nextRev(t *tenantState) int64 {
 	s.rev++
 	t.Rev = s.rev
@@ -62,7 +63,7 @@
 	switch {
 	case err != nil:
 		return 0, err
-	case sameJSON(t.Base, c.Base): // sent twice, or no change
+	case equalJSON(t.Base, c.Base): // already applied, or no change
 		return t.Rev, nil
 	case t.Live != nil:
 		return 0, ErrBusy
@@ -87,7 +88,7 @@
 	}
 	old := s.findRollout(c.Spec.Tenant, c.Spec.Name)
 	switch {
-	case old != nil && sameJSON(old.Spec, *c.Spec): // sent twice
+	case old != nil && equalJSON(old.Spec, *c.Spec): // already applied
 		return old.PostedRev, nil
 	case old != nil:
 		return 0, ErrExists
@@ -115,7 +116,7 @@
 		return 0, ErrNotFound
 	}
 	t := s.tenants[c.Tenant]
-	// A pause by command replaces the controller's own; otherwise the controller would end it.
+	// A manual pause replaces a pause by the controller, so that the controller does not resume the rollout.
 	takesOverPause := c.Op == OpPause && r.Phase == Paused && pausedByController(r.Reason) && !pausedByController(c.Reason)
 	target := c.Op.targetPhase()
 	switch {
@@ -123,20 +124,20 @@
 		return s.advanceStep(t, r, c), nil
 	case takesOverPause:
 		return s.setPhase(t, r, Paused, c.Reason, c.AtMS), nil
-	case r.Phase == target: // sent twice
+	case r.Phase == target: // already applied
 		return r.Rev, nil
 	case r.Phase.IsFinal():
 		return 0, ErrEnded
 	case c.Op == OpStop && c.conflicts(t):
 		return 0, ErrConflict
 	case target.IsFinal():
-		return s.stop(t, r, target, c.Reason, c.AtMS), nil
+		return s.endRollout(t, r, target, c.Reason, c.AtMS), nil
 	}
 	return s.setPhase(t, r, target, c.Reason, c.AtMS), nil
 }
 
-// advanceStep goes on to the next step, or ends the rollout after its last one. It does nothing where the rollout is
-// not running, or not at the command's step.
+// advanceStep moves the rollout to its next step, or ends it after the last step. It does nothing if the rollout is not
+// running or is not at the command's step.
 func (s *State) advanceStep(t *tenantState, r *rolloutState, c *Command) int64 {
 	if r.Phase != Running || r.Step != c.Step {
 		return r.Rev
@@ -148,10 +149,10 @@
 	if r.Spec.AtEnd == AtEndKeep {
 		t.Base = cloneSubset(r.Spec.Canary)
 	}
-	return s.stop(t, r, Done, "", c.AtMS)
+	return s.endRollout(t, r, Done, "", c.AtMS)
 }
 
-// setPhase records a change of a rollout after its post, with a new revision. Only stop sets a final phase.
+// setPhase sets the phase of a posted rollout under a new revision. Only endRollout sets a final phase.
 func (s *State) setPhase(t *tenantState, r *rolloutState, phase Phase, reason string, atMS int64) int64 {
 	r.Phase = phase
 	r.Reason = strings.ToValidUTF8(reason[:min(len(reason), MaxNoteBytes)], "")
@@ -160,9 +161,9 @@
 	return r.Rev
 }
 
-// stop ends a rollout for good: done, rolled back or stopped. Every end passes here, and nothing leads back, as a
-// remembered rollout is never live again. Why the end is final when parts fail: docs/routes.md, "Budget".
-func (s *State) stop(t *tenantState, r *rolloutState, final Phase, reason string, atMS int64) int64 {
+// endRollout sets a final phase and moves the rollout to the ended ones. Every end of a rollout passes here, and an ended
+// rollout never becomes live again. docs/routes.md, "Budget", explains why the end is final under failures.
+func (s *State) endRollout(t *tenantState, r *rolloutState, final Phase, reason string, atMS int64) int64 {
 	rev := s.setPhase(t, r, final, reason, atMS)
 	t.Live, t.Ended = nil, append(t.Ended, r)
 	if extra := len(t.Ended) - MaxEndedRollouts; extra > 0 {
--- a/internal/rollout/state_views.go
+++ b/internal/rollout/state_views.go
@@ -1,6 +1,6 @@
 package rollout
 
-// This file reads the state: the table of routes, and rollouts as readers of the service see them.
+// This file builds views of the state: the table of routes, and copies of rollouts.
 
 import (
 	"maps"
@@ -10,8 +10,8 @@
 	"marblelane/internal/route"
 )
 
-// Table is the table of routes: a line for each tenant with a base or a live rollout, by name. A paused rollout has a
-// canary fraction of 0, so that processes keep their budgets for it.
+// Table returns the table of routes, with a route for each tenant that has a base or a live rollout, sorted by name. A
+// paused rollout is listed with a canary fraction of 0, so that processes keep their budgets for it.
 func (s *State) Table() route.Table {
 	out := route.Table{Rev: s.rev, Closed: s.closed}
 	for _, t := range s.sortedTenants() {
@@ -37,7 +37,7 @@
 	return line
 }
 
-// Rollouts are all live and remembered rollouts, by tenant and name.
+// Rollouts returns all live and ended rollouts, sorted by tenant and name.
 func (s *State) Rollouts() []Rollout {
 	var out []Rollout
 	for _, t := range s.sortedTenants() {
@@ -46,7 +46,7 @@
 	return out
 }
 
-// RolloutsOf are the live and remembered rollouts of one tenant, by name.
+// RolloutsOf returns the live and ended rollouts of one tenant, sorted by name.
 func (s *State) RolloutsOf(tenant string) []Rollout {
 	var out []Rollout
 	if t := s.tenants[tenant]; t != nil {
@@ -58,7 +58,7 @@
 	return out
 }
 
-// Rollout finds a live or remembered rollout by its name or ID.
+// Rollout returns the live or ended rollout with this name or ID.
 func (s *State) Rollout(tenant, name string) (Rollout, bool) {
 	if r := s.findRollout(tenant, name); r != nil {
 		return r.snapshot(), true
@@ -72,7 +72,7 @@
 	return out
 }
 
-// LiveSpecs are the specs of all live rollouts, by tenant.
+// LiveSpecs returns the specs of all live rollouts, sorted by tenant.
 func (s *State) LiveSpecs() []Spec {
 	var out []Spec
 	for _, t := range s.sortedTenants() {
@@ -83,7 +83,7 @@
 	return out
 }
 
-// LiveSpec is the spec of a tenant's live rollout.
+// LiveSpec returns the spec of a tenant's live rollout.
 func (s *State) LiveSpec(tenant string) (spec Spec, ok bool) {
 	if t := s.tenants[tenant]; t != nil && t.Live != nil {
 		return t.Live.Spec.clone(), true
@@ -91,7 +91,8 @@
 	return Spec{}, false
 }
 
-// BudgetTotals is what all processes together were granted of a rollout's budget, have spent of it and returned.
+// BudgetTotals returns the units of a rollout's budget that all processes together were granted, have spent and have
+// returned.
 func (s *State) BudgetTotals(tenant, name string) (granted, spent, returned int64) {
 	if r := s.findRollout(tenant, name); r != nil {
 		return r.totals.Granted, r.totals.Spent, r.totals.Returned
@@ -99,8 +100,8 @@
 	return 0, 0, 0
 }
 
-// Preview is the table as a tenant's command would make it, and whether it changes anything. The state stays as it is;
-// only the command's tenant is copied, without its ledgers.
+// Preview returns the table that a tenant's command would produce, and whether the command changes anything. The state is
+// not changed; only the command's tenant is copied, without its ledgers.
 func (s *State) Preview(c *Command) (table route.Table, changed bool, err error) {
 	name := c.Tenant
 	if c.Spec != nil {
