--- a/internal/audit/count_bounds.go
+++ b/internal/audit/count_bounds.go
@@ -2,25 +2,25 @@
 
 import "math"
 
-// countBounds are what is known of a count around the time of a query: see the package comment.
+// countBounds holds the bounds on a count before, within and after the time of a query: see the package comment.
 type countBounds struct {
 	query Query
 
-	// For Did, with the narrowed time.
+	// For Acted, with the narrowed time.
 	actedFrom, actedTo int64
-	maxBefore      int64 // the count is at most this as the time begins
-	minByEnd       int64 // the count is at least this when the time ends
+	maxBefore          int64 // upper bound of the count when the time begins
+	minByEnd           int64 // lower bound of the count when the time ends
 
-	// For DidNot, with the widened time.
-	notActedFrom   int64
-	notActedUntil  int64 // a sample after it counts as one after the end
-	minBefore    int64 // the count is at least this before the time
-	maxAfter     int64 // the count is at most this after the time
-	sampledAfter bool  // there is a sample after the time, or a final one
+	// For DidNotAct, with the widened time.
+	notActedFrom  int64
+	notActedUntil int64 // a sample after this moment counts as one after the time
+	minBefore     int64 // lower bound of the count before the time
+	maxAfter      int64 // upper bound of the count after the time
+	sampledAfter  bool  // there is a sample after the time, or a final count
 
-	// To find contradictions.
-	maxKnown int64 // the highest count known
-	minFinal int64 // the lowest count that was final
+	// To detect contradictions.
+	maxKnown int64 // highest count of any sample
+	minFinal int64 // lowest final count
 }
 
 func newCountBounds(q Query) countBounds {
@@ -36,13 +36,13 @@
 	return b
 }
 
-// acted reports whether attempts lie within the time.
+// acted reports whether at least one attempt lies within the time.
 func (b *countBounds) acted() bool { return b.actedFrom <= b.actedTo && b.minByEnd > b.maxBefore }
 
 // didNotAct reports whether no attempt lies within the time.
 func (b *countBounds) didNotAct() bool { return b.maxAfter <= b.minBefore }
 
-// addBounds takes in that the count is at least n from reachedBy on, and at most n up to heldUntil.
+// addBounds applies the facts that the count is at least n from reachedBy on, and at most n up to heldUntil.
 func (b *countBounds) addBounds(n, reachedBy, heldUntil int64) {
 	b.maxKnown = max(b.maxKnown, n)
 	if reachedBy <= b.actedTo || b.query.ClosedKnown && b.query.ClosedAt <= b.actedTo {
@@ -60,19 +60,19 @@
 	}
 }
 
-// addFinal takes in that the count is n in the end, and was reached by then.
+// addFinal applies the facts that the final count is n, and that it was reached by reachedBy.
 func (b *countBounds) addFinal(n, reachedBy int64) {
 	b.minFinal = min(b.minFinal, n)
 	b.addBounds(n, reachedBy, maxTime)
 }
 
-// contradictory reports whether what was taken in cannot all be true.
+// contradictory reports whether the facts contradict each other.
 func (b *countBounds) contradictory() bool {
 	withinTime := b.actedFrom <= b.actedTo && (b.minByEnd > b.maxAfter || b.minBefore > b.maxBefore)
 	return b.maxKnown > b.minFinal || withinTime
 }
 
-// addFacts takes in the facts of a process.
+// addFacts applies the facts in a process's record.
 func (b *countBounds) addFacts(p *processRecord) {
 	rev := b.query.Rev
 	if h := p.history(rev); h != nil {
@@ -93,9 +93,9 @@
 	}
 }
 
-// addLog takes in what the log knows of a process: that a count was reached by the time at which this copy held the
-// transition, and final counts. The times in the log are of wall clocks, and not used. Before the copy held a transition
-// its count may have stood for long, so no count of the log bounds the count from above up to a moment.
+// addLog applies the log's transitions of a process: each count was reached by the time at which this copy marked the
+// transition, and some counts are final. AtMS is not used, as it is of a wall clock. The count may have been reached long
+// before the copy received the transition, so a count in the log gives no upper bound at any moment.
 func (b *countBounds) addLog(logged []*logEntry) {
 	for _, e := range logged {
 		if e.Rev != b.query.Rev {
--- a/internal/audit/facts.go
+++ b/internal/audit/facts.go
@@ -1,6 +1,6 @@
 package audit
 
-// This file holds what is known of the attempts of one process, as facts that hold in whatever order they came.
+// This file stores facts about the attempts of one process. The facts hold regardless of the order of the reports.
 
 import (
 	"cmp"
@@ -9,32 +9,32 @@
 	"marblelane/internal/route"
 )
 
-// countHistory is what is known of the count under one revision.
+// countHistory holds the facts about the count under one revision.
 type countHistory struct {
 	rev                int64
-	steps              []countStep // with counts rising
-	final              int64       // the last count there will be; unknownFinal: not known
-	lastSeq, lastCount int64       // of the highest Seq that listed the revision
-	finalReported      bool        // the final count was returned as a transition
+	steps              []countStep // sorted by count
+	final              int64       // the final count, or unknownFinal
+	lastSeq, lastCount int64       // Seq and count of the newest report that lists the revision
+	finalReported      bool        // the final count was already returned as a transition
 }
 
 const unknownFinal = -1
 
-// countStep is two facts: the count is at least count from reachedBy on, and at most count up to heldUntil.
+// countStep states two facts: the count is at least count from reachedBy on, and at most count up to heldUntil.
 type countStep struct{ count, reachedBy, heldUntil int64 }
 
-// zeroCounts says that the counts of fromRev and of all later revisions were 0 up to until. Those of a process are kept
-// with both fields rising; one that says less than another is left out.
+// zeroCounts states that the counts of fromRev and of all later revisions were 0 up to until. A process's list is sorted
+// by both fields in ascending order, and contains no fact that follows from another.
 type zeroCounts struct{ fromRev, until int64 }
 
-// revisionRange is the revisions between two others, both left out. Of those that a process passed over, each without a
-// history has a final count of 0.
+// revisionRange is the range of revisions between two others, both excluded. In the skipped ranges of a process, each
+// revision without a history has a final count of 0.
 type revisionRange struct{ above, below int64 }
 
 func (r revisionRange) contains(rev int64) bool { return r.above < rev && rev < r.below }
 
-// addSample takes in that the count was n at a moment from lo to hi, and reports whether that can be true beside what is
-// known. final says that there will be no other count.
+// addSample records that the count was n at a moment from lo to hi, and reports whether this is consistent with earlier
+// samples. final means that n is the final count.
 func (h *countHistory) addSample(seq, n, lo, hi int64, final bool) (consistent bool) {
 	falls := seq > h.lastSeq && n < h.lastCount || seq < h.lastSeq && n > h.lastCount
 	exceedsFinal := h.final >= 0 && n > h.final
@@ -53,10 +53,10 @@
 	return !falls && !exceedsFinal
 }
 
-// lastStep is the step of the highest known count. A history has at least one.
+// lastStep returns the step of the highest known count. A history has at least one step.
 func (h *countHistory) lastStep() countStep { return h.steps[len(h.steps)-1] }
 
-// dropBefore drops the steps that only tell of times before cutoff, but for the newest of them.
+// dropBefore drops the steps whose facts concern only times before cutoff, except for the newest of them.
 func (h *countHistory) dropBefore(cutoff int64) {
 	old := 0
 	for old < len(h.steps)-1 && h.steps[old+1].reachedBy < cutoff &&
@@ -66,7 +66,7 @@
 	h.steps = slices.Delete(h.steps, 0, old)
 }
 
-// halve drops every second inner step, so that the times of the others become coarser.
+// halve drops every second inner step, which makes the history coarser in time.
 func (h *countHistory) halve() {
 	remaining := h.steps[:0]
 	for i, step := range h.steps {
@@ -77,7 +77,7 @@
 	h.steps = remaining
 }
 
-// addZero takes in a fact, unless another says as much.
+// addZero adds a fact unless it follows from another, and drops facts that follow from it.
 func (p *processRecord) addZero(z zeroCounts, maxFacts int) {
 	for _, old := range p.zeros {
 		if old.fromRev <= z.fromRev && old.until >= z.until {
@@ -94,7 +94,7 @@
 	}
 }
 
-// addSkipped takes in a range of revisions that were passed over, joined to those that it touches.
+// addSkipped adds a range of revisions that the process skipped, merged with the ranges that it overlaps.
 func (p *processRecord) addSkipped(r revisionRange, maxFacts int) {
 	if r.above+1 >= r.below {
 		return
@@ -115,7 +115,7 @@
 	}
 }
 
-// wasSkipped reports whether the final count of a revision is 0, as the process made no attempt under it.
+// wasSkipped reports whether the process skipped a revision, so that the final count is 0.
 func (p *processRecord) wasSkipped(rev int64) bool {
 	if p.history(rev) != nil {
 		return false
@@ -123,8 +123,8 @@
 	return slices.ContainsFunc(p.skipped, func(r revisionRange) bool { return r.contains(rev) })
 }
 
-// limitFacts drops steps until at most maxFacts are left. The longest history is halved, so that older times become
-// coarser than newer ones; where all are short, the history of the oldest revision is dropped.
+// limitFacts drops steps until at most maxFacts are left. It halves the longest history, so that older times become
+// coarser than newer ones; once all histories are short, it drops the history of the oldest revision.
 func (p *processRecord) limitFacts(maxFacts int) {
 	for {
 		total, largest := 0, 0
@@ -146,7 +146,7 @@
 	}
 }
 
-// oldestHistory is the history of the oldest revision, which is revision 0's only if there is no other.
+// oldestHistory returns the index of the oldest revision's history. Revision 0 is chosen only if there is no other.
 func (p *processRecord) oldestHistory() int {
 	if p.histories[0].rev == 0 && len(p.histories) > 1 {
 		return 1
@@ -154,7 +154,8 @@
 	return 0
 }
 
-// dropHistory drops a history. Its revision no longer is one of those that were passed over.
+// dropHistory drops a history, and cuts the skipped range that contains its revision, as revisions without a history
+// in such a range have a final count of 0.
 func (p *processRecord) dropHistory(i int) {
 	rev := p.histories[i].rev
 	p.histories = slices.Delete(p.histories, i, i+1)
@@ -166,7 +167,7 @@
 	}
 }
 
-// dropBefore drops facts that only tell of times before cutoff.
+// dropBefore drops facts that concern only times before cutoff.
 func (p *processRecord) dropBefore(cutoff int64) {
 	for i := len(p.histories) - 1; i >= 0; i-- {
 		h := &p.histories[i]
@@ -198,7 +199,7 @@
 	return &p.histories[i]
 }
 
-// highestKnownCount is the highest count that is known under a revision.
+// highestKnownCount returns the highest known count under a revision.
 func (p *processRecord) highestKnownCount(rev int64) int64 {
 	if h := p.history(rev); h != nil {
 		return h.lastStep().count
@@ -206,8 +207,8 @@
 	return 0
 }
 
-// addUnlisted takes in what follows from the revisions that a report, sampled from lo to hi, does not list: see the
-// package comment.
+// addUnlisted records the facts that follow from the absence of revisions in a report that was sampled from lo to hi: see
+// the package comment.
 func (p *processRecord) addUnlisted(r *route.Report, listed []revisionCount, lo, hi int64, o TrackerOptions) {
 	zeroFrom, oldestListed, listedRevs := r.AcknowledgedRev, int64(0), 0
 	for _, c := range listed {
@@ -236,10 +237,10 @@
 	}
 }
 
-// revisionCount is the attempts under one revision.
+// revisionCount is the number of attempts under one revision.
 type revisionCount struct{ rev, count int64 }
 
-// countsByRevision adds up a report's attempts by revision, over tenants and sides.
+// countsByRevision sums a report's attempts by revision, over tenants and over base and canary.
 func countsByRevision(counts []route.Count) []revisionCount {
 	var out []revisionCount
 	for _, c := range counts {
--- a/internal/audit/fleet_world_test.go
+++ b/internal/audit/fleet_world_test.go
@@ -11,7 +11,7 @@
 // fleetWorld is a fleet with its true times, a network that loses, duplicates and reorders messages, and leaders that
 // change. All that it does is drawn: draw(n) is one of 0 to n-1.
 type fleetWorld struct {
-	choose           func(n int) int
+	choose         func(n int) int
 	options        TrackerOptions
 	maxListedRevs  int // revisions that processes list at most; 0: all
 	now            int64
@@ -26,7 +26,7 @@
 	closedRev      int64 // the newest closed revision
 	processes      []*trueProcess
 	reports        []*route.Report
-	responses        []func()
+	responses      []func()
 	tracker        *Tracker
 	log            Log
 	onArrival      func(w *fleetWorld, r *route.Report) *route.Report // changes a report as it arrives, for a planted mistake
--- a/internal/audit/log.go
+++ b/internal/audit/log.go
@@ -7,33 +7,34 @@
 	"marblelane/internal/route"
 )
 
-// Bounds of a Log. A transition that is dropped makes answers Unknown.
+// Bounds of a Log. Dropping a transition can turn verdicts into Unknown.
 const (
 	MaxLogTransitions = 20_000
-	MaxLogAgeMS       = 7 * 24 * 60 * 60 * 1000 // before the newest transition, by the wall clocks of leaders
+	MaxLogAgeMS       = 7 * 24 * 60 * 60 * 1000 // age relative to the newest transition, by the wall clocks of leaders
 )
 
-// Log holds transitions in the order in which they were added. It is part of the replicated state: the same Adds make the
-// same Log everywhere, as ages are measured against what is added and not against a clock. The zero Log is empty and ready
-// to use. It is not safe for concurrent use.
+// Log holds transitions in the order in which they were added. It is part of the replicated state: the same calls of Add
+// produce the same Log on every replica, as ages are relative to the added transitions and not to a clock. The zero Log is
+// empty and ready to use. It is not safe for concurrent use.
 //
-// When this copy held a transition is in its memory only, and not part of the replicated state: see Mark.
+// The marks of transitions (see Mark) are only in the memory of this copy and not part of the replicated state.
 type Log struct {
-	entries   []*logEntry
-	byProcess map[route.Process][]*logEntry
-	markedCount    int // of entries, from the first on
+	entries     []*logEntry
+	byProcess   map[route.Process][]*logEntry
+	markedCount int // number of marked entries, which are the first ones
 }
 
 type logEntry struct {
 	Transition
-	happenedBy int64 // the transition had happened by then, on this copy's clock; notMarked: not known
+	happenedBy int64 // time on this copy's clock by which the transition had happened, or notMarked
 }
 
-// notMarked is the trueBy of an entry that Mark has not seen.
+// notMarked is the happenedBy of an entry that Mark has not marked yet.
 const notMarked = maxTime
 
-// Add adds transitions, and drops old ones beyond the bounds. A transition that the log contains changes nothing, so that
-// leaders may add it twice. A leader whose wall clock is far ahead drops older transitions by what it adds.
+// Add adds transitions, and drops old ones that exceed the bounds. Adding a transition that the log already contains has
+// no effect, so leaders may add one twice. A transition from a leader whose wall clock is far ahead causes older
+// transitions to be dropped early.
 func (l *Log) Add(transitions []Transition) {
 	if l.byProcess == nil {
 		l.byProcess = map[route.Process][]*logEntry{}
@@ -51,9 +52,10 @@
 	}
 }
 
-// Mark notes that all transitions held have happened by now, in ms, rounded up, on the clock of this copy, which must be
-// monotonic. A copy that marks often knows of each transition when it held it, also of those that another leader added; so
-// once it leads itself, it can tell what was before which time. The cost is that of the transitions since the last Mark.
+// Mark records that all transitions in the log have happened by now, in ms on this copy's clock, rounded up. The clock
+// must be monotonic. A copy that calls Mark often has a close upper bound for the time of each transition, including those that
+// other leaders added, so after it becomes the leader it can compare them with the time of a query. The cost of a call is
+// proportional to the number of transitions since the last call.
 func (l *Log) Mark(now int64) {
 	for _, e := range l.entries[l.markedCount:] {
 		e.happenedBy = now
@@ -61,7 +63,7 @@
 	l.markedCount = len(l.entries)
 }
 
-// FilterNew is those transitions that Add would add now; the others need not be replicated.
+// FilterNew returns the transitions that Add would add now. The others need not be replicated.
 func (l *Log) FilterNew(transitions []Transition) []Transition {
 	var out []Transition
 	for _, t := range transitions {
@@ -72,8 +74,9 @@
 	return out
 }
 
-// contains reports whether t changes nothing: a first report or a final count of a revision that the log has, or the
-// access that the process has. Two final counts of one revision are both kept, so that answers see the contradiction.
+// contains reports whether adding t would have no effect: the log already has this first report or final count, or the
+// process already has this access. Two different final counts of one revision are both kept, so that verdicts detect the
+// contradiction.
 func (l *Log) contains(t *Transition) bool {
 	entries := l.byProcess[t.Process]
 	for i := len(entries) - 1; i >= 0; i-- {
@@ -87,7 +90,7 @@
 			return true
 		}
 	}
-	return t.Kind == Readmitted // a process without a change of access has access
+	return t.Kind == Readmitted // a process without any change of access has access
 }
 
 func (l *Log) dropOldest() {
@@ -101,10 +104,11 @@
 	}
 }
 
-// Len is the number of transitions.
+// Len returns the number of transitions.
 func (l *Log) Len() int { return len(l.entries) }
 
-// Since is the transitions from a moment on, by the wall clocks of the leaders that added them, in the order of adding.
+// Since returns the transitions at or after atMS, by the wall clocks of the leaders that added them, in the order in
+// which they were added.
 func (l *Log) Since(atMS int64) []Transition {
 	var out []Transition
 	for _, e := range l.entries {
@@ -115,7 +119,7 @@
 	return out
 }
 
-// OfProcess is the transitions of one process, in the order of adding.
+// OfProcess returns the transitions of one process, in the order in which they were added.
 func (l *Log) OfProcess(p route.Process) []Transition {
 	var out []Transition
 	for _, e := range l.byProcess[p] {
@@ -124,10 +128,10 @@
 	return out
 }
 
-// logForm is the number of the stored form; any other is rejected.
+// logForm is the version of the stored form; other versions are rejected.
 const logForm = 1
 
-// storedLog is a log as a snapshot stores it.
+// storedLog is the stored form of a Log in a snapshot.
 type storedLog struct {
 	Form        int          `json:"form"`
 	Transitions []Transition `json:"transitions"`
@@ -138,19 +142,19 @@
 	return json.Marshal(storedLog{Form: logForm, Transitions: l.Since(minTime)})
 }
 
-// UnmarshalJSON replaces the log by a stored one, of which nothing is marked. After an error, which names what cannot be
-// read, the log is as it was.
+// UnmarshalJSON replaces the log with a stored one, none of whose transitions is marked. On an error, which names the
+// field that cannot be read, the log is unchanged.
 func (l *Log) UnmarshalJSON(data []byte) error {
 	var stored storedLog
 	if err := json.Unmarshal(data, &stored); err != nil {
-		return fmt.Errorf("the audit's log: %w", err)
+		return fmt.Errorf("decode audit log: %w", err)
 	}
 	if stored.Form != logForm {
-		return fmt.Errorf("the audit's log: form is %d, this program reads %d", stored.Form, logForm)
+		return fmt.Errorf("decode audit log: form is %d, this program reads form %d", stored.Form, logForm)
 	}
 	for i, t := range stored.Transitions {
 		if t.Kind != FirstReport && t.Kind != FinalCount && !t.Kind.isAccess() {
-			return fmt.Errorf("the audit's log: transitions[%d].kind is %q, which is not known", i, t.Kind)
+			return fmt.Errorf("decode audit log: transitions[%d].kind is %q, which is not a known kind", i, t.Kind)
 		}
 	}
 	restored := Log{}
--- a/internal/audit/query.go
+++ b/internal/audit/query.go
@@ -7,27 +7,27 @@
 	"marblelane/internal/route"
 )
 
-// Query asks who acted on a revision from one moment to another, both included, in ms on the leader's clock. To may lie
-// ahead; then only a close or a final count tells that a process did not act.
+// Query asks which processes acted on a revision from From to To, both included, in ms on the leader's clock. To may be in
+// the future; then a verdict of DidNotAct requires a close or a final count.
 type Query struct {
 	Rev, From, To int64
-	CommittedAt   int64 // not after the commit of Rev, so best read before it was proposed; math.MinInt64: not known
-	ClosedAt      int64 // not before the close of Rev, so best read after it was committed
+	CommittedAt   int64 // a time not after the commit of Rev, best read before the proposal; math.MinInt64: not known
+	ClosedAt      int64 // a time not before the close of Rev, best read after the close was committed
 	ClosedKnown   bool  // ClosedAt is set
 	Now           int64
 
-	// ClockAhead is by how much the leader's clock is ahead of that of the copy on which the log was marked, in ms, rounded
-	// up.
+	// ClockAhead is the time in ms, rounded up, by which the leader's clock is ahead of the clock with which the log was
+	// marked.
 	ClockAhead int64
 
-	// Slack is by how much From and To may be off on the leader's clock, in ms: they were read on another clock, or were
-	// rounded. DidNot then holds for the time widened by it at both ends, and Did for the time narrowed by it.
+	// Slack is the maximum error of From and To in ms, if they were read from another clock or rounded. DidNotAct holds for
+	// the time widened by Slack at both ends, and Acted for the time narrowed by Slack at both ends.
 	Slack int64
 }
 
 const maxSlackMS = 24 * 60 * 60 * 1000
 
-// Validate finds what is wrong with a query. Each answer to an invalid one is Unknown.
+// Validate returns an error for an invalid query. All verdicts for an invalid query are Unknown.
 func (q Query) Validate() error {
 	if q.Rev < 0 {
 		return fmt.Errorf("rev is %d, it is not negative", q.Rev)
@@ -41,18 +41,18 @@
 	return nil
 }
 
-// widened is the time that DidNot holds for.
+// widened returns the time for which DidNotAct must hold.
 func (q Query) widened() (from, to int64) {
 	return max(q.From, minTime+q.Slack) - q.Slack, min(q.To, maxTime-1-q.Slack) + q.Slack
 }
 
-// narrowed is the time that Did holds for.
+// narrowed returns the time for which Acted must hold.
 func (q Query) narrowed() (from, to int64) {
 	return min(q.From, maxTime-q.Slack) + q.Slack, max(q.To, minTime+q.Slack) - q.Slack
 }
 
-// Verdicts answers for each process that the tracker or the log knows, by name and start. l may be nil. Of a process
-// without an answer nothing is known.
+// Verdicts returns a verdict on each process in the tracker or the log, sorted by name and start. l may be nil. Nothing is
+// known about processes without a verdict.
 func (t *Tracker) Verdicts(q Query, l *Log) []ProcessVerdict {
 	if q.Rev == 0 {
 		q.CommittedAt, q.ClosedKnown = minTime, false
@@ -75,17 +75,17 @@
 	return out
 }
 
-// Summary is the answers to a query, with the number of each verdict.
+// Summary holds the verdicts for a query, with the number of processes for each verdict.
 type Summary struct {
 	Rev              int64            `json:"rev"`
 	Acted            int              `json:"did"`
 	DidNotAct        int              `json:"did_not"`
 	Unknown          int              `json:"cannot_be_known"`
-	DroppedProcesses int64            `json:"forgot"` // by the tracker, for want of space; the log may know of them
+	DroppedProcesses int64            `json:"forgot"` // dropped by the tracker for lack of space; may still be in the log
 	Verdicts         []ProcessVerdict `json:"answers"`
 }
 
-// Summarize counts the answers to a query.
+// Summarize returns the verdicts for a query and their numbers.
 func (t *Tracker) Summarize(q Query, l *Log) Summary {
 	s := Summary{Rev: q.Rev, DroppedProcesses: t.droppedProcesses, Verdicts: t.Verdicts(q, l)}
 	for _, a := range s.Verdicts {
@@ -106,7 +106,7 @@
 	return ProcessVerdict{Process: key, Verdict: verdict, Reason: reason}
 }
 
-// verdict is that on one process; p is nil where only the log knows it.
+// verdict returns the verdict on one process and its reason. p is nil if only the log contains the process.
 func (t *Tracker) verdict(q Query, p *processRecord, logged []*logEntry) (Verdict, string) {
 	if err := q.Validate(); err != nil {
 		return Unknown, err.Error()
@@ -141,7 +141,7 @@
 	return Unknown, t.unknownReason(&b, p, logged)
 }
 
-// unknownReason says what is missing for a verdict.
+// unknownReason returns the reason why the facts do not determine a verdict.
 func (t *Tracker) unknownReason(b *countBounds, p *processRecord, logged []*logEntry) string {
 	gone := p != nil && p.access == Gone
 	if p == nil {
@@ -164,7 +164,7 @@
 	return "what it reported of this revision is not known any more"
 }
 
-// isGoneByLog reports whether a process is gone by its newest change of access in the log.
+// isGoneByLog reports whether a process is gone according to its newest change of access in the log.
 func isGoneByLog(logged []*logEntry) bool {
 	gone := false
 	for _, e := range logged {
--- a/internal/audit/report_check.go
+++ b/internal/audit/report_check.go
@@ -6,15 +6,16 @@
 	"marblelane/internal/route"
 )
 
-// Bounds of what a report may hold.
+// Bounds of the fields of a report.
 const (
 	maxTextBytes = 256
 	maxSchemas   = 64
-	maxCounts    = 1 << 14 // 256 revisions, both sides, 32 tenants
-	maxStarted   = 1 << 48 // so that the sum of a report's counts does not overflow
+	maxCounts    = 1 << 14 // 256 revisions, base and canary, 32 tenants
+	maxStarted   = 1 << 48 // attempts in one count, so that the sum of a report's counts does not overflow
 )
 
-// ValidateReport finds the first field of a report that is out of its bound. Tracker.Report ignores a report that fails it.
+// ValidateReport returns an error for the first field of a report that is out of its bound. Tracker.Report ignores an
+// invalid report.
 func ValidateReport(r *route.Report) error {
 	switch {
 	case r.Name == "" || len(r.Name) > maxTextBytes:
--- a/internal/audit/tracker.go
+++ b/internal/audit/tracker.go
@@ -8,15 +8,15 @@
 	"marblelane/internal/route"
 )
 
-// TrackerOptions bound a Tracker. A field of 0 takes its default.
+// TrackerOptions are the bounds of a Tracker. A field that is 0 means the default.
 type TrackerOptions struct {
-	Retention    int64 // ms since a process last reported, and since a fact was last confirmed; 1 h
-	MaxFacts     int   // of each kind for one process; 512, at least 4
-	MaxProcesses int   // 5,000; the one that has not reported for the longest time is dropped
+	Retention    int64 // ms since a process last reported and since a fact was last confirmed; default 1 h
+	MaxFacts     int   // facts of each kind for one process; default 512, at least 4
+	MaxProcesses int   // default 5,000; to add one more, the process that has not reported for the longest time is dropped
 
-	// MinListedRevs is how many revisions other than 0 a process lists at least before it leaves any out, unless its report
-	// says that its counts are truncated. With fewer listed, a revision that is not listed has no attempts. 0: no such
-	// promise.
+	// MinListedRevs is the number of revisions other than 0 that a process lists at least before it leaves any out, unless
+	// its report states that its counts are truncated. If a report lists fewer, an unlisted revision has no attempts. 0: no
+	// such guarantee.
 	MinListedRevs int
 }
 
@@ -41,39 +41,40 @@
 	return o
 }
 
-// Times that lie before and after all others.
+// Times before and after all others.
 const (
 	minTime = math.MinInt64
 	maxTime = math.MaxInt64
 )
 
-// Tracker is what one leader knows of processes, in its memory. It is not safe for concurrent use.
+// Tracker keeps the facts that one leader learns about processes from reports. It is not safe for concurrent use.
 type Tracker struct {
 	options          TrackerOptions
 	leader           string
 	startedAt        int64
-	now              int64 // the latest time it was called with
+	now              int64 // the latest time passed to any method
 	processes        map[route.Process]*processRecord
 	droppedProcesses int64
 }
 
-// processRecord is what is known of one start of one sidecar. The facts are true in whatever order their reports came;
-// the other fields are those of the newest report.
+// processRecord holds the facts about one process, which is one start of one sidecar. The facts hold regardless of the
+// order of the reports; the other fields are of the newest report.
 type processRecord struct {
-	lastReport   route.Report // of the highest Seq, without its counts
-	lastReportAt int64        // when it first arrived
-	sampledAfter int64        // it was sampled no earlier
+	lastReport   route.Report // the report with the highest Seq, without its counts
+	lastReportAt int64        // time at which lastReport first arrived
+	sampledAfter int64        // lastReport was sampled at this time or later; minTime: not known
 	access       TransitionKind
-	inconsistent bool // its reports contradict each other
+	inconsistent bool // the reports contradict each other
 
 	// Facts; see facts.go.
-	histories        []countHistory // by revision, rising
+	histories        []countHistory // sorted by revision
 	zeros            []zeroCounts
-	skipped       []revisionRange
+	skipped          []revisionRange
 	newestDroppedRev int64 // the newest revision whose history was dropped
 }
 
-// NewTracker begins a leader's tracker. leader is the name in the stamps of its answers, and now is ms on its clock.
+// NewTracker returns a tracker for a new leader. leader is the name in the stamps of the leader's responses, and now is in
+// ms on its clock.
 func NewTracker(o TrackerOptions, leader string, now int64) *Tracker {
 	return &Tracker{
 		options: o.withDefaults(), leader: leader, startedAt: now, now: now,
@@ -81,10 +82,10 @@
 	}
 }
 
-// Report takes in a report that arrives now, ms on the leader's clock, and returns the transitions to replicate, with
-// wall as their time: FirstReport when the process is first known to act on its revision, FinalCount for each older
-// revision whose final count is known. A report may come twice, late or out of order, and of a start that is not the
-// newest one.
+// Report applies a report that arrived at now, in ms on the leader's clock, and returns the transitions to replicate, with
+// wall as their time: FirstReport if the report is the first in which the process acts on its revision, and FinalCount for
+// each older revision whose final count is now known. Reports may be duplicated, late or out of order, and may be from a
+// start that is not the newest.
 func (t *Tracker) Report(now, wall int64, r *route.Report) []Transition {
 	t.now = max(t.now, now)
 	if ValidateReport(r) != nil {
@@ -110,7 +111,7 @@
 	}
 	p.limitFacts(t.options.MaxFacts)
 	if p.inconsistent {
-		return nil // another leader would rely on them
+		return nil // other leaders must not rely on transitions from inconsistent reports
 	}
 	for i := range transitions {
 		transitions[i].AtMS = wall
@@ -118,7 +119,7 @@
 	return transitions
 }
 
-// addListed takes in the counts of a report that was sampled from lo to hi, and returns the final ones that are new.
+// addListed adds the counts of a report that was sampled from lo to hi, and returns transitions for new final counts.
 func (p *processRecord) addListed(r *route.Report, listed []revisionCount, lo, hi int64) (final []Transition) {
 	for _, c := range listed {
 		h := p.historyOrNew(c.rev)
@@ -133,13 +134,14 @@
 	return final
 }
 
-// skippedAfterActing reports whether a revision that the process acted on before was never listed, as it has none.
+// skippedAfterActing reports whether the process made no attempt under a revision that it acted on, so that the revision
+// was never listed.
 func (p *processRecord) skippedAfterActing(rev int64) bool {
 	return rev > 0 && p.history(rev) == nil && p.wasSkipped(rev)
 }
 
-// findOrAddRecord finds the record of a process, or makes one; the process that has not reported for the longest time gives way
-// to it.
+// findOrAddRecord returns the record of a process, or adds one. If the tracker is full, the process that has not reported
+// for the longest time is dropped.
 func (t *Tracker) findOrAddRecord(key route.Process) *processRecord {
 	if p := t.processes[key]; p != nil {
 		return p
@@ -153,7 +155,7 @@
 	return p
 }
 
-// longestSilent is the process that has not reported for the longest time.
+// longestSilent returns the process that has not reported for the longest time.
 func (t *Tracker) longestSilent() route.Process {
 	var oldest route.Process
 	at := int64(maxTime)
@@ -169,7 +171,8 @@
 	return cmp.Or(cmp.Compare(a.Name, b.Name), cmp.Compare(a.Start, b.Start))
 }
 
-// recordNewest keeps the report of the highest Seq. As Seq rises, the acknowledged revision must not fall.
+// recordNewest stores a report if it has the highest Seq. The record becomes inconsistent if the acknowledged revision
+// falls as Seq rises.
 func (p *processRecord) recordNewest(r *route.Report, now, lo int64) {
 	last := &p.lastReport
 	if r.Seq > last.Seq && r.AcknowledgedRev < last.AcknowledgedRev ||
@@ -185,8 +188,8 @@
 	p.lastReportAt, p.sampledAfter = now, lo
 }
 
-// DropExpired drops processes that have not reported for the retention, and facts that are older. Of a count that goes on,
-// the newest of these stays, as what the count grows from.
+// DropExpired drops processes that have not reported for the retention time, and facts older than it. If a count has no
+// final value yet, the newest of these facts is kept as the start value for later growth.
 func (t *Tracker) DropExpired(now int64) {
 	t.now = max(t.now, now)
 	cutoff := t.now - t.options.Retention
@@ -199,8 +202,8 @@
 	}
 }
 
-// AccessChanged notes that a process is shut out, readmitted or gone, and returns the transition to replicate, with the
-// attempts under rev that are known so far; none when nothing changes, and for other kinds.
+// AccessChanged records that a process is shut out, readmitted or gone, and returns the transition to replicate, with the
+// attempts under rev that are known so far. It returns none if nothing changes or if kind is not a change of access.
 func (t *Tracker) AccessChanged(
 	now, wall int64, key route.Process, kind TransitionKind, rev int64, note string,
 ) []Transition {
@@ -219,7 +222,7 @@
 	return []Transition{transition}
 }
 
-// Presence is a process by its newest report.
+// Presence is the status of a process according to its newest report.
 type Presence struct {
 	route.Process
 	AcknowledgedRev int64          `json:"have"`
@@ -230,13 +233,13 @@
 	Config          string         `json:"config"`
 	Schemas         []int          `json:"schemas"`
 	LastReportAgoMS int64          `json:"heard_ms"`
-	SampledAgoMS    int64          `json:"sampled_ms"`           // at most; -1: not known
-	Access          TransitionKind `json:"standing,omitempty"`   // its last change of access; empty: none
-	Superseded      bool           `json:"superseded,omitempty"` // a later start of its name has reported
+	SampledAgoMS    int64          `json:"sampled_ms"`           // upper bound of the sample's age; -1: not known
+	Access          TransitionKind `json:"standing,omitempty"`   // kind of the last change of access; empty: none
+	Superseded      bool           `json:"superseded,omitempty"` // a later start of the same name has reported
 }
 
-// ListProcesses lists the known processes by name and start. One that is superseded or gone may still act: it is not to be
-// counted on, and not ruled out.
+// ListProcesses returns the known processes, sorted by name and start. A process that is superseded or gone may still act;
+// callers must rely neither on that nor on the opposite.
 func (t *Tracker) ListProcesses(now int64) []Presence {
 	t.now = max(t.now, now)
 	out := make([]Presence, 0, len(t.processes))
