--- a/internal/audit/answers_test.go
+++ b/internal/audit/answers_test.go
@@ -11,8 +11,8 @@
 	"marblelane/internal/route"
 )
 
-// TestAnswers_borders has times that begin or end in the millisecond of a sample, within which there is no order: process
-// p made 2 attempts, and was sampled with 1 within [10, 20] and with 2 within [30, 40].
+// TestAnswers_borders queries times that begin or end in the millisecond of a sample; the order within a millisecond is
+// unknown. Process p made 2 attempts: its count was sampled as 1 within [10, 20] and as 2 within [30, 40].
 func TestAnswers_borders(t *testing.T) {
 	tracker := NewTracker(TrackerOptions{}, "x", 0)
 	for i, at := range []int64{10, 30} {
@@ -50,8 +50,8 @@
 	}
 }
 
-// TestAnswers_droppedFacts asks for revisions whose counts were dropped to bound memory, and for one between two ranges
-// that were passed over.
+// TestAnswers_droppedFacts queries revisions whose counts were dropped to bound memory, and a revision between two skipped
+// ranges.
 func TestAnswers_droppedFacts(t *testing.T) {
 	tracker := NewTracker(TrackerOptions{MaxFacts: 4, MinListedRevs: 10}, "x", 0)
 	r := &route.Report{Process: testProcess("p"), Seq: 1, AcknowledgedRev: 9}
@@ -65,7 +65,7 @@
 	if verdict(1) != Unknown || verdict(3) != Unknown || verdict(7) != Acted || verdict(8) != DidNotAct {
 		t.Errorf("%s, %s, %s, %s", verdict(1), verdict(3), verdict(7), verdict(8))
 	}
-	// A process that lists as many as it must may have left older ones out.
+	// A process that lists as many revisions as are guaranteed may have left out older ones.
 	r.Process, r.Counts = testProcess("q"), r.Counts[4:]
 	for _, c := range []struct {
 		lists int
@@ -74,7 +74,7 @@
 		tracker = NewTracker(TrackerOptions{MinListedRevs: c.lists}, "x", 0)
 		tracker.Report(5, 5, r)
 		if got := verdict(2); got != c.want {
-			t.Errorf("3 are listed, at least %d: %s, want %s", c.lists, got, c.want)
+			t.Errorf("3 revisions are listed, at least %d guaranteed: %s, want %s", c.lists, got, c.want)
 		}
 	}
 	p := &processRecord{}
@@ -96,12 +96,12 @@
 		}
 		w.compareWithTruth(&got, trackerVerdicts)
 		if got.wrongDid+got.wrongDidNot > 0 {
-			rt.Fatalf("wrong answers: %+v", got)
+			rt.Fatalf("wrong verdicts: %+v", got)
 		}
 	})
 }
 
-// runSeeds runs worlds of random choices, and counts the answers of all.
+// runSeeds runs n worlds with random choices, and returns the verdict counts of all of them.
 func runSeeds(n uint64, prepare func(w *fleetWorld), answers verdictFunc) verdictCounts {
 	var got verdictCounts
 	for seed := range n {
@@ -117,22 +117,21 @@
 	return got
 }
 
-// Enough for each planted mistake to show, and few enough for each run.
 const (
-	worldCount = 60
-	shortSteps = 6
+	worldCount = 60 // random worlds per test; each planted mistake causes a wrong verdict in at least one
+	shortSteps = 6  // steps of each exhaustively enumerated history
 )
 
 func TestAnswers_known(t *testing.T) {
 	got := runSeeds(worldCount, nil, trackerVerdicts)
 	if got.wrongDid+got.wrongDidNot > 0 || got.known*4 < got.verdicts {
-		t.Errorf("wrong answers, or few are known: %+v", got)
+		t.Errorf("wrong verdicts, or too few verdicts other than Unknown: %+v", got)
 	}
 	t.Logf("%+v", got)
 }
 
-// TestAnswers_shortHistories goes through every order of a few steps of one process, its reports and its leader: each
-// choice takes each value in turn.
+// TestAnswers_shortHistories enumerates all sequences of a few steps of one process, its reports and its leader, by giving
+// each choice each of its values in turn.
 func TestAnswers_shortHistories(t *testing.T) {
 	var got verdictCounts
 	for path := []int(nil); ; {
@@ -165,7 +164,7 @@
 		path = append(path[:last], path[last]+1)
 	}
 	if got.known*12 < got.verdicts {
-		t.Errorf("few answers are known: %+v", got)
+		t.Errorf("too few verdicts other than Unknown: %+v", got)
 	}
 	t.Logf("%+v", got)
 }
@@ -181,7 +180,7 @@
 		w.send(p)
 	case 3:
 		if n := len(w.reports); n > 0 {
-			w.deliver(n-1, false) // the newest first, so that they arrive out of order
+			w.deliver(n-1, false) // deliver the newest first, so that reports arrive out of order
 		}
 	case 4:
 		if n := len(w.responses); n > 0 {
@@ -230,7 +229,7 @@
 	want(-10, 2, DidNotAct, DidNotAct, DidNotAct)
 	want(36, 45, Unknown, Unknown, Unknown) // the time is not over
 
-	// Another leader has only the log until processes report; then final counts are known.
+	// A new leader has only the log until processes report to it. The final counts in the log are known.
 	for _, p := range w.processes {
 		p.report.AcknowledgedRev = 6
 		w.send(p)
@@ -239,11 +238,11 @@
 	w.closed[5], w.rev = 40, 6
 	w.now = 50
 	w.electLeader()
-	want(3, 40, DidNotAct, Unknown, Unknown) // nothing was marked: the times before it led are not known
+	want(3, 40, DidNotAct, Unknown, Unknown) // the log is not marked, so no times before this leader led are known
 	w.log.Mark(45 + copyAhead)
 	w.committedSince[5] = 2
 	want(2, 44, DidNotAct, Unknown, Unknown)
-	want(2, 45, DidNotAct, Acted, Acted) // all attempts lie between
+	want(2, 45, DidNotAct, Acted, Acted) // all attempts lie within the time
 	want(3, 45, DidNotAct, Unknown, Unknown)
 	w.closed = map[int64]int64{}
 	want(45, 60, DidNotAct, Unknown, Unknown)
@@ -254,9 +253,9 @@
 	}
 }
 
-// The mistakes below are ones that a tracker, or a process, could make.
+// The functions below plant mistakes that a tracker or a process could make.
 
-// sampleAtArrival takes the arrival of a report for the time of its sample.
+// sampleAtArrival plants the mistake that a report counts as sampled at its arrival.
 func sampleAtArrival(w *fleetWorld) {
 	w.onArrival = func(w *fleetWorld, r *route.Report) *route.Report {
 		late := *r
@@ -265,7 +264,7 @@
 	}
 }
 
-// countsAsIncrements has reports carry what came on top of the one before, and the leader add that up.
+// countsAsIncrements plants the mistake that reports contain increments since the previous report, which the leader sums.
 func countsAsIncrements(w *fleetWorld) {
 	sideKey := func(rev int64, i int) int64 { return rev*2 + int64(i%2) }
 	w.onSend = func(p *trueProcess, r *route.Report) {
@@ -293,7 +292,7 @@
 	}
 }
 
-// anyEcho reads an echo of another leader as this one's.
+// anyEcho plants the mistake that the echo of another leader's response counts as an echo of this leader's.
 func anyEcho(w *fleetWorld) {
 	w.onArrival = func(w *fleetWorld, r *route.Report) *route.Report {
 		own := *r
@@ -303,13 +302,13 @@
 	w.options.Retention = 1 << 40
 }
 
-// unpromisedLists has processes list fewer revisions than the tracker relies on.
+// unpromisedLists plants the mistake that processes list fewer revisions than the tracker relies on.
 func unpromisedLists(w *fleetWorld) {
 	w.maxListedRevs, w.options.MinListedRevs = 1, 100
 	w.electLeader()
 }
 
-// silenceAsDidNot answers DidNot for a process that was silent.
+// silenceAsDidNot plants the mistake that the verdict on a silent process is DidNotAct.
 func silenceAsDidNot(w *fleetWorld, q Query) []ProcessVerdict {
 	out := trackerVerdicts(w, q)
 	for i := range out {
@@ -321,7 +320,7 @@
 	return out
 }
 
-// widenedDid answers Did for a time that begins earlier.
+// widenedDid plants the mistake that Acted is determined for a time that begins earlier.
 func widenedDid(w *fleetWorld, q Query) []ProcessVerdict {
 	q.From--
 	out := trackerVerdicts(w, q)
@@ -333,19 +332,20 @@
 	return out
 }
 
-// markedTooEarly takes the log for marked before it was.
+// markedTooEarly plants the mistake that the log counts as marked before it was.
 func markedTooEarly(w *fleetWorld, q Query) []ProcessVerdict {
 	q.ClockAhead -= 3
 	return trackerVerdicts(w, q)
 }
 
-// TestAnswers_plantedMistakes plants mistakes: each gives wrong answers in the worlds in which the tracker gives none.
+// TestAnswers_plantedMistakes checks that each planted mistake causes wrong verdicts in the worlds in which the tracker
+// itself returns none.
 func TestAnswers_plantedMistakes(t *testing.T) {
 	for name, c := range map[string]struct {
 		prepare     func(w *fleetWorld)
 		answers     verdictFunc
-		wrongDidNot bool // there must be wrong DidNot
-		wrongDid    bool // there must be wrong Did
+		wrongDidNot bool // the mistake must cause a wrong DidNotAct
+		wrongDid    bool // the mistake must cause a wrong Acted
 	}{
 		"sample at arrival":        {prepare: sampleAtArrival, answers: trackerVerdicts, wrongDidNot: true, wrongDid: true},
 		"counts are increments":    {prepare: countsAsIncrements, answers: trackerVerdicts, wrongDidNot: true},
@@ -359,7 +359,7 @@
 			got := runSeeds(worldCount, c.prepare, c.answers)
 			t.Logf("%+v", got)
 			if c.wrongDidNot && got.wrongDidNot == 0 || c.wrongDid && got.wrongDid == 0 {
-				t.Errorf("the mistake gives no wrong answer: %+v", got)
+				t.Errorf("the mistake causes no wrong verdict: %+v", got)
 			}
 		})
 	}
--- a/internal/audit/fleet_world_test.go
+++ b/internal/audit/fleet_world_test.go
@@ -8,20 +8,20 @@
 	"marblelane/internal/route"
 )
 
-// fleetWorld is a fleet with its true times, a network that loses, duplicates and reorders messages, and leaders that
-// change. All that it does is drawn: draw(n) is one of 0 to n-1.
+// fleetWorld simulates a fleet with known true times, a network that loses, duplicates and reorders messages, and changing
+// leaders. All random decisions come from choose(n), which returns a number from 0 to n-1.
 type fleetWorld struct {
 	choose         func(n int) int
 	options        TrackerOptions
 	maxListedRevs  int // revisions that processes list at most; 0: all
 	now            int64
-	leaderOffset   int64 // of the leader's clock
+	leaderOffset   int64 // offset of the leader's clock from the true time
 	leader         string
 	leaders        int
 	startedAt      int64
-	committed      map[int64]int64 // true times
+	committed      map[int64]int64 // true time of each revision's commit
 	closed         map[int64]int64
-	committedSince map[int64]int64 // moments that are not after the commit, as a copy knows them
+	committedSince map[int64]int64 // time not after the commit, known to a copy
 	rev            int64
 	closedRev      int64 // the newest closed revision
 	processes      []*trueProcess
@@ -29,14 +29,14 @@
 	responses      []func()
 	tracker        *Tracker
 	log            Log
-	onArrival      func(w *fleetWorld, r *route.Report) *route.Report // changes a report as it arrives, for a planted mistake
-	onSend         func(p *trueProcess, r *route.Report)              // likewise, as it is sent
+	onArrival      func(w *fleetWorld, r *route.Report) *route.Report // replaces an arriving report, for a planted mistake
+	onSend         func(p *trueProcess, r *route.Report)              // changes a report before it is sent, for a planted mistake
 }
 
 // attempt is an attempt under a revision, at its true time.
 type attempt struct{ rev, at int64 }
 
-// trueProcess is a process with all that it did.
+// trueProcess is a process with all attempts that it made.
 type trueProcess struct {
 	route.Process
 	report   route.Report
@@ -126,7 +126,7 @@
 	}
 }
 
-// step does one thing. Several may happen in one millisecond.
+// step performs one random action. Several actions may happen in one millisecond.
 func (w *fleetWorld) step() {
 	p := w.processes[w.choose(len(w.processes))]
 	switch w.choose(16) {
@@ -166,7 +166,7 @@
 	}
 }
 
-// copyAhead is by how much the clock of the copy that marks the log is ahead of the true one.
+// copyAhead is the time in ms by which the clock of the copy that marks the log is ahead of the true time.
 const copyAhead = 1000
 
 func (w *fleetWorld) rareStep(p *trueProcess) {
@@ -210,14 +210,14 @@
 	return q
 }
 
-// verdictCounts counts the answers to all queries, those that are known, and those that are wrong.
+// verdictCounts counts all verdicts, those other than Unknown, and those that are wrong.
 type verdictCounts struct{ verdicts, known, wrongDid, wrongDidNot int }
 
 type verdictFunc func(w *fleetWorld, q Query) []ProcessVerdict
 
 func trackerVerdicts(w *fleetWorld, q Query) []ProcessVerdict { return w.tracker.Verdicts(q, &w.log) }
 
-// compareWithTruth compares the answers to every query with the truth.
+// compareWithTruth compares the verdicts for every query with the attempts that were made, and counts them.
 func (w *fleetWorld) compareWithTruth(t *verdictCounts, answers verdictFunc) {
 	truths := map[route.Process]*trueProcess{}
 	for _, p := range w.processes {
--- a/internal/audit/golden_test.go
+++ b/internal/audit/golden_test.go
@@ -11,7 +11,7 @@
 	"marblelane/internal/testutil/golden"
 )
 
-// goldenTransitions are one of each kind.
+// goldenTransitions returns at least one transition of each kind.
 func goldenTransitions() []Transition {
 	p := route.Process{Name: "sidecar-1", Start: 1764720000000000001}
 	return []Transition{
--- a/internal/audit/log_test.go
+++ b/internal/audit/log_test.go
@@ -17,7 +17,7 @@
 		fresh := len(l.FilterNew(ts))
 		l.Add(ts)
 		if fresh != l.Len()-before {
-			t.Errorf("%s %d: %d are fresh, %d were added", kind, rev, fresh, l.Len()-before)
+			t.Errorf("%s %d: FilterNew returned %d, Add added %d", kind, rev, fresh, l.Len()-before)
 		}
 		return fresh > 0
 	}
@@ -34,7 +34,7 @@
 			t.Errorf("%d: %s %d, %d: added %v", i, c.kind, c.rev, c.n, got)
 		}
 	}
-	// Two final counts of one revision contradict each other, whatever is asked.
+	// Two different final counts of one revision contradict each other, so every verdict is Unknown.
 	tracker := NewTracker(TrackerOptions{}, "x", 0)
 	for _, a := range tracker.Verdicts(Query{Rev: 1, From: math.MinInt64, To: 40, CommittedAt: math.MinInt64, Now: 50}, &l) {
 		if a.Verdict != Unknown {
@@ -54,7 +54,7 @@
 	}
 	if l.Len() != MaxLogTransitions || sum != MaxLogTransitions || l.entries[0].Rev != 500 ||
 		len(l.Since(1000+MaxLogTransitions)) != 500 {
-		t.Errorf("%d transitions, %d by process, from %+v on", l.Len(), sum, l.entries[0])
+		t.Errorf("%d transitions, %d by process, the oldest is %+v", l.Len(), sum, l.entries[0])
 	}
 	l.Add([]Transition{{Process: testProcess("late"), AtMS: l.entries[50].AtMS + MaxLogAgeMS, Kind: FirstReport, Rev: 1}})
 	if l.entries[0].Rev != 550 {
--- a/internal/audit/tracker_test.go
+++ b/internal/audit/tracker_test.go
@@ -11,7 +11,7 @@
 
 func testProcess(name string) route.Process { return route.Process{Name: name, Start: 1} }
 
-// newReport is the report of a process with n attempts under rev.
+// newReport returns a report of a process with n attempts under rev.
 func newReport(name string, seq, rev, n int64) *route.Report {
 	return &route.Report{
 		Process: testProcess(name), Seq: seq, AcknowledgedRev: rev,
@@ -35,7 +35,7 @@
 				steps += len(p.histories[i].steps)
 			}
 			if steps > o.MaxFacts || len(p.zeros) > o.MaxFacts || len(p.skipped) > o.MaxFacts {
-				t.Fatalf("%v holds %d steps, %d, %d", key, steps, len(p.zeros), len(p.skipped))
+				t.Fatalf("%v has %d steps, %d zero counts, %d skipped ranges", key, steps, len(p.zeros), len(p.skipped))
 			}
 		}
 		if len(tracker.processes) > o.MaxProcesses {
@@ -47,11 +47,11 @@
 	}
 	tracker.DropExpired(2500)
 	if len(tracker.processes) != 10 {
-		t.Errorf("%d processes are left before the time is over", len(tracker.processes))
+		t.Errorf("%d processes are left before the retention time has passed", len(tracker.processes))
 	}
 	tracker.DropExpired(3500)
 	if len(tracker.processes) != 0 {
-		t.Errorf("%d processes are left", len(tracker.processes))
+		t.Errorf("%d processes are left after the retention time", len(tracker.processes))
 	}
 }
 
@@ -82,7 +82,7 @@
 	}
 	for _, a := range tracker.Verdicts(Query{Rev: 5, From: 0, To: 9, CommittedAt: 0}, nil) {
 		if want := map[string]Verdict{"a": Acted, "b": Unknown}[a.Name]; a.Verdict != want {
-			t.Errorf("%+v, want %s: the revision of b fell", a, want)
+			t.Errorf("%+v, want %s: the acknowledged revision of b fell", a, want)
 		}
 	}
 	got := tracker.ListProcesses(12)
@@ -107,6 +107,6 @@
 		}
 	}
 	if q := (Query{Rev: 5, From: 3, To: 2}); q.Validate() == nil || tracker.Verdicts(q, nil)[0].Verdict != Unknown {
-		t.Error("a query whose time ends before it begins is answered")
+		t.Error("a query whose time ends before it begins got a verdict")
 	}
 }
--- a/internal/rollout/budget_test.go
+++ b/internal/rollout/budget_test.go
@@ -12,8 +12,8 @@
 	"marblelane/internal/rollout/model"
 )
 
-// randomFleet is sidecars that act in any order on one state. A second state, the twin, gets each ledger command twice,
-// and is stored and restored now and then.
+// randomFleet is a fleet of sidecars whose actions are applied to one state in random order. A second state, the twin, gets
+// each ledger command twice and is stored and restored at random times.
 type randomFleet struct {
 	budget      int64
 	state, twin *State
@@ -21,7 +21,7 @@
 	sidecars    []*model.Sidecar
 	now         int64
 	failures    int64
-	delayed     []func() // messages that arrive later
+	delayed     []func() // messages that are delivered later
 	rolledBack  bool
 }
 
@@ -48,7 +48,7 @@
 	if c.Op == OpLedger {
 		before := marshalState(t, f.twin)
 		_, _ = f.twin.Apply(&c)
-		require.Equal(t, before, marshalState(t, f.twin), "applying a command twice is applying it once")
+		require.Equal(t, before, marshalState(t, f.twin), "applying a command a second time changed the state")
 	}
 }
 
@@ -58,7 +58,7 @@
 
 func (f *randomFleet) pick(t *rapid.T) *model.Sidecar { return f.sidecars[f.pickIndex(t)] }
 
-// exchangeReport is a report with its answer, and the newest table.
+// exchangeReport sends a report and delivers the response and the newest table.
 func (f *randomFleet) exchangeReport(t *rapid.T) {
 	sidecar := f.pick(t)
 	report := sidecar.Report(nil)
@@ -68,7 +68,7 @@
 	sidecar.ApplyTable(&table)
 }
 
-// requestBudget is a budget request whose answer arrives, arrives later, or is lost, after which the request comes again.
+// requestBudget sends a budget request. The response arrives at once or later, or the request is committed again later.
 func (f *randomFleet) requestBudget(t *rapid.T) {
 	sidecar := f.pick(t)
 	request := sidecar.BudgetRequest(rapid.Int64Range(0, 9).Draw(t, "want"))
@@ -118,7 +118,7 @@
 	}
 }
 
-// crash restarts a sidecar. All attempts that were under way may have failed.
+// crash restarts a sidecar. All of its attempts in flight count as failed.
 func (f *randomFleet) crash(t *rapid.T) {
 	i := f.pickIndex(t)
 	f.failures += f.sidecars[i].Budget.Reserved
@@ -145,7 +145,7 @@
 	require.NoError(t, json.Unmarshal([]byte(data), f.twin))
 }
 
-// check holds what is promised of the budget, after each step.
+// check checks the guarantees of the budget after each step.
 func (f *randomFleet) check(t *rapid.T) {
 	granted, spent, returned := f.state.BudgetTotals(tenantName, rolloutName)
 	require.LessOrEqual(t, granted-returned, f.budget)
@@ -154,7 +154,7 @@
 	for _, sidecar := range f.sidecars {
 		maxFailures += sidecar.Budget.Free() + sidecar.Budget.Reserved
 	}
-	require.LessOrEqual(t, maxFailures, f.budget, "all that may still fail")
+	require.LessOrEqual(t, maxFailures, f.budget, "the failures so far and those still possible exceed the budget")
 	rolledBack := f.state.Phase(tenantName, rolloutName) == RolledBack
 	require.Equal(t, spent == f.budget || f.rolledBack, rolledBack)
 	f.rolledBack = rolledBack
--- a/internal/rollout/controller_test.go
+++ b/internal/rollout/controller_test.go
@@ -27,7 +27,7 @@
 	require.Equal(t, int64(5000), reportAll(6999, 1).LeaseMS)
 	ops, _ := f.tick(t, 6999, 1)
 	require.Empty(t, ops)
-	require.Zero(t, f.state.ClosedRev()-(f.state.Rev()-2), "a process may still act on the revision before")
+	require.Zero(t, f.state.ClosedRev()-(f.state.Rev()-2), "closed a revision that a process may still act on")
 	a = reportAll(7000, 1)
 	require.Zero(t, a.LeaseMS)
 	require.Contains(t, a.Reason, "has lacked a later one for 6000 ms")
@@ -37,7 +37,8 @@
 		{Process: straggler.Process, ShutOut: true, AcknowledgedRev: straggler.ActingRev},
 	}, changes)
 	f.tick(t, 12098, 1)
-	require.Less(t, f.state.ClosedRev(), f.state.Rev()-1, "its lengthened term is not over")
+	require.Less(t, f.state.ClosedRev(), f.state.Rev()-1,
+		"closed the revision before the straggler's lease has expired on every clock")
 	f.tick(t, 12099, 1)
 	require.Equal(t, f.state.Rev()-1, f.state.ClosedRev())
 	require.Equal(t, int64(5000), reportAll(12100, 0).LeaseMS)
@@ -52,7 +53,7 @@
 	r := earlier.Report(nil)
 	rejected := f.controller.Report(12200, f.state, &r)
 	require.Contains(t, rejected.Reason, "a later start")
-	require.Greater(t, rejected.NewestStart, r.Start, "the start that an earlier process has to exceed")
+	require.Greater(t, rejected.NewestStart, r.Start, "the response must name the start that the earlier process has to exceed")
 	mustApply(t, f.state, Command{Op: OpSchema, Schema: 3})
 	require.Contains(t, f.report(12300, 1, true).Reason, "reads schemas up to 2, and 3 is asked for")
 }
@@ -65,7 +66,8 @@
 	mustApply(t, f.state, Command{Op: OpForward, Tenant: tenantName, Name: rolloutName})
 	for now := int64(100); now <= 7000; now += 2300 {
 		for i := range f.sidecars {
-			require.Equal(t, int64(5000), f.report(now, i, i < 6).LeaseMS, "no process is shut out")
+			require.Equal(t, int64(5000), f.report(now, i, i < 6).LeaseMS,
+				"a process was shut out although the service is at fault")
 		}
 	}
 	ops, _ := f.tick(t, 7000, 1)
@@ -87,14 +89,14 @@
 	report := func(now int64, follow int, counts ...route.Count) {
 		for i := range f.sidecars {
 			f.report(now, i, i < follow, counts...)
-			counts = nil // only the first one has any
+			counts = nil // only the first process has counts
 		}
 	}
 	count := route.Count{Rev: f.state.Rev(), Tenant: tenantName, Canary: true, Ended: 9}
 	for now := int64(0); now <= 8000; now += 1000 {
 		report(now, 4, count)
 		ops, _ := f.tick(t, now, 1)
-		require.NotContains(t, ops, OpForward, "9 attempts of 10")
+		require.NotContains(t, ops, OpForward, "advanced after 9 of 10 attempts")
 	}
 	count.Ended = 10
 	report(8100, 4, count)
@@ -104,14 +106,14 @@
 	require.NotContains(t, ops, OpResume)
 	mustApply(t, f.state, Command{Op: OpPause, Tenant: tenantName, Name: rolloutName, Reason: "by hand"})
 	ops, _ = f.tick(t, 8200, 1)
-	require.NotContains(t, ops, OpResume, "the pause was taken over by command")
+	require.NotContains(t, ops, OpResume, "resumed although a manual pause had replaced the controller's pause")
 	mustApply(t, f.state, Command{Op: OpResume, Tenant: tenantName, Name: rolloutName})
 	f.tick(t, 8200, 0)
 	resumed, _ := f.tick(t, 8300, 1)
 	require.Equal(t, []Op{OpResume}, resumed[:1])
 	mustApply(t, f.state, Command{Op: OpPause, Tenant: tenantName, Name: rolloutName, Reason: "by hand"})
 	ops, _ = f.tick(t, 8400, 1)
-	require.NotContains(t, ops, OpResume, "it was paused by command")
+	require.NotContains(t, ops, OpResume, "resumed although the rollout was paused manually")
 	report(8450, 4)
 	resumedRev := mustApply(t, f.state, Command{Op: OpResume, Tenant: tenantName, Name: rolloutName})
 	f.tick(t, 8500, 1)
@@ -119,19 +121,20 @@
 	report(11_000, 3, count)
 	report(13_999, 3, count)
 	ops, _ = f.tick(t, 13_999, 1)
-	require.NotContains(t, ops, OpForward, "the step has not lasted long enough")
+	require.NotContains(t, ops, OpForward, "advanced before the step had lasted for its hold time")
 	ops, _ = f.tick(t, 14_000, 1)
-	require.NotContains(t, ops, OpForward, "a process does not act on it yet")
+	require.NotContains(t, ops, OpForward, "advanced before every process had acknowledged the revision")
 	report(14_001, 4, count)
 	ops, _ = f.tick(t, 14_001, 1)
 	require.Contains(t, ops, OpForward)
 
-	next := NewController(Defaults(), 0) // the next leader's
+	next := NewController(Defaults(), 0) // controller of the next leader
 	commands, _ := next.Tick(5099, f.state, oneReady)
-	require.Empty(t, commands, "a new leader waits until earlier leases have expired")
+	require.Empty(t, commands, "a new leader must wait until earlier leases have expired")
 }
 
-// TestController_silentFleet: a rollout moves on what is known of the fleet, and of a silent one nothing is known.
+// TestController_silentFleet checks that a rollout neither advances nor resumes while no process reports, as the state of
+// the fleet is then unknown.
 func TestController_silentFleet(t *testing.T) {
 	spec := newSpec(3)
 	spec.Steps = []Step{{CanaryFraction: 0.25, HoldMS: 100}, {CanaryFraction: 1}}
@@ -141,7 +144,7 @@
 			f.report(now, i, true)
 		}
 	}
-	for now := int64(10_100); now < 60_000; now += 500 { // no process reports any more
+	for now := int64(10_100); now < 60_000; now += 500 { // no process reports from here on
 		if now == 30_100 {
 			mustApply(t, f.state, Command{Op: OpPause, Tenant: tenantName, Name: rolloutName, Reason: ReasonStragglers})
 		}
@@ -151,7 +154,8 @@
 	}
 }
 
-// TestController_silentProcess: a silent process is waited for until it is gone, as it is not known what it acts on.
+// TestController_silentProcess checks that a step waits for a silent process until the process counts as gone, as the
+// revision that it acts on is unknown.
 func TestController_silentProcess(t *testing.T) {
 	spec := newSpec(3)
 	spec.Steps = []Step{{CanaryFraction: 0.25, HoldMS: 100}, {CanaryFraction: 1}}
@@ -167,9 +171,9 @@
 		}
 		ops, _ := f.tick(t, now, 1)
 		if slices.Contains(ops, OpForward) {
-			require.Greater(t, now, int64(20_100), "the process is not gone yet")
+			require.Greater(t, now, int64(20_100), "advanced before the silent process counted as gone")
 			return
 		}
-		require.Less(t, now, int64(25_000), "the process must be gone by now")
+		require.Less(t, now, int64(25_000), "the silent process must count as gone by now")
 	}
 }
--- a/internal/rollout/evidence_test.go
+++ b/internal/rollout/evidence_test.go
@@ -13,7 +13,7 @@
 	"marblelane/internal/route"
 )
 
-// TestEvidence_martingale adds up the factor of each outcome that the null hypothesis allows: the mean is 1.
+// TestEvidence_martingale checks that the factors of all possible outcomes have mean 1 under the null hypothesis.
 func TestEvidence_martingale(t *testing.T) {
 	choose := func(n, k int64) float64 {
 		a, _ := math.Lgamma(float64(n + 1))
@@ -31,11 +31,11 @@
 		}
 		require.InDelta(t, 1, mean, 1e-6)
 	})
-	require.Positive(t, LogWindowEvidence(1e6, 1e6, 3000, 1000, 3), "a large window")
+	require.Positive(t, LogWindowEvidence(1e6, 1e6, 3000, 1000, 3), "the evidence of a large window must not overflow")
 }
 
-// simulateRollout has four sidecars report each second, and returns after how many canary attempts the controller rolls
-// back, if it does.
+// simulateRollout simulates four sidecars that report each second, with the failure rates canary and base. It returns the
+// number of canary attempts, and whether the controller rolled back within the given seconds.
 func simulateRollout(
 	t require.TestingT, rng *rand.Rand, o Options, canary, base float64, seconds int,
 ) (attempts int64, found bool) {
@@ -86,9 +86,9 @@
 	var took []int64
 	for range 30 {
 		n, found := simulateRollout(t, rng, Defaults(), 0.05, 0.005, 120)
-		require.True(t, found, "5 %% against 0.5 %% is found")
+		require.True(t, found, "a canary with 5 %% failures against 0.5 %% of the base was not rolled back")
 		took = append(took, n)
 	}
 	slices.Sort(took)
-	t.Logf("5 %% against 0.5 %%, alpha 0.001: canary attempts until it is rolled back: median %d, maximum %d", took[15], took[29])
+	t.Logf("5 %% against 0.5 %%, alpha 0.001: canary attempts until the rollback: median %d, maximum %d", took[15], took[29])
 }
--- a/internal/rollout/golden_test.go
+++ b/internal/rollout/golden_test.go
@@ -12,7 +12,8 @@
 	"marblelane/internal/testutil/golden"
 )
 
-// goldenCommands are commands with every field of the stored form, in an order in which a state takes them.
+// goldenCommands returns commands that together set every field of the stored form, in an order in which they can be
+// applied to a state.
 func goldenCommands() []Command {
 	revision := int64(7<<28 + 1)
 	process := route.Process{Name: "sidecar-1", Start: 1764720000000000001}
--- a/internal/rollout/helpers_test.go
+++ b/internal/rollout/helpers_test.go
@@ -50,7 +50,7 @@
 
 func oneReady(route.Subset) int { return 1 }
 
-// testFleet is a controller, and sidecars that report to it.
+// testFleet is a controller with sidecars that report to it.
 type testFleet struct {
 	state      *State
 	controller *Controller
@@ -79,7 +79,7 @@
 	return response
 }
 
-// tick carries out the commands that are due, and returns their operations.
+// tick calls Tick, applies the returned commands, and returns their operations and the changes of access.
 func (f *testFleet) tick(t require.TestingT, now int64, ready int) (ops []Op, changes []AccessChange) {
 	commands, changes := f.controller.Tick(now, f.state, func(route.Subset) int { return ready })
 	for _, c := range commands {
--- a/internal/rollout/lease_test.go
+++ b/internal/rollout/lease_test.go
@@ -9,7 +9,8 @@
 	. "marblelane/internal/rollout"
 )
 
-// TestLease_clockRates has sidecars whose clocks are slow by up to the margin, while a revision is closed.
+// TestLease_clockRates checks that no sidecar uses the canary under a closed revision, with clocks that are slow by up to
+// the margin.
 func TestLease_clockRates(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		o := Defaults()
--- a/internal/rollout/ledger_test.go
+++ b/internal/rollout/ledger_test.go
@@ -34,7 +34,7 @@
 		applyEntry(i, LedgerEntry{Granted: 5, Spent: 1, Returned: 1})
 	}
 	r, _ = s.Rollout(tenantName, rolloutName)
-	require.Len(t, r.Ledger, 1, "settled accounts of a rollout that is over are folded")
+	require.Len(t, r.Ledger, 1, "settled accounts of an ended rollout must be folded")
 	require.Equal(t, Account{Granted: 2 * (MaxAccounts + 500), Spent: MaxAccounts*3/2 + 500, Returned: MaxAccounts/2 + 500,
 		Gone: true}, r.Ledger[FoldedAccountKey])
 }
--- a/internal/rollout/spec_test.go
+++ b/internal/rollout/spec_test.go
@@ -40,6 +40,6 @@
 		_, err := s.Apply(&Command{Op: OpPost, Spec: invalid})
 		require.ErrorIs(t, err, ErrInvalid)
 		require.ErrorContains(t, err, want)
-		require.Equal(t, marshalState(t, NewState()), marshalState(t, s), "a rejected command changes nothing")
+		require.Equal(t, marshalState(t, NewState()), marshalState(t, s), "a rejected command changed the state")
 	}
 }
--- a/internal/rollout/state_test.go
+++ b/internal/rollout/state_test.go
@@ -17,7 +17,8 @@
 	base := route.Subset{Model: []string{"old"}}
 	first := mustApply(t, s, Command{Op: OpBase, Tenant: tenantName, Base: base, IfRev: new(int64)})
 	require.Equal(t, int64(7<<28+1), first)
-	require.Equal(t, first, mustApply(t, s, Command{Op: OpBase, Tenant: tenantName, Base: base, IfRev: new(int64)}), "sent twice")
+	require.Equal(t, first, mustApply(t, s, Command{Op: OpBase, Tenant: tenantName, Base: base, IfRev: new(int64)}),
+		"the same command sent twice")
 	_, err := s.Apply(&Command{Op: OpPost, Spec: newSpec(3), IfRev: new(int64)})
 	require.ErrorIs(t, err, ErrConflict)
 
@@ -37,12 +38,12 @@
 	}
 	require.Equal(t, rev+1, apply(OpPause, 0))
 	require.Zero(t, s.Table().Routes[0].Share)
-	require.Equal(t, rolloutName, RolloutName(s.Table().Routes[0].Rollout), "a paused canary keeps its budget")
-	require.Equal(t, rev+1, apply(OpForward, 0), "a paused one stays where it is")
+	require.Equal(t, rolloutName, RolloutName(s.Table().Routes[0].Rollout), "the route of a paused rollout must still name it")
+	require.Equal(t, rev+1, apply(OpForward, 0), "a paused rollout must not advance")
 	require.Equal(t, rev+2, apply(OpResume, 0))
 	require.Equal(t, rev+3, apply(OpForward, 0))
-	require.Equal(t, rev+3, apply(OpForward, 0), "sent twice")
-	require.Equal(t, rev, mustApply(t, s, Command{Op: OpPost, Spec: keepSpec}), "sent twice, much later")
+	require.Equal(t, rev+3, apply(OpForward, 0), "the same command sent twice")
+	require.Equal(t, rev, mustApply(t, s, Command{Op: OpPost, Spec: keepSpec}), "the same post sent again after later changes")
 	require.Equal(t, rev+4, apply(OpForward, 1))
 	require.Equal(t, keepSpec.Canary, s.Table().Routes[0].Base)
 	require.Empty(t, s.Table().Routes[0].Rollout)
@@ -58,7 +59,7 @@
 	require.ErrorIs(t, err, ErrNotFound)
 }
 
-// newCompletedState is a state with a base and a rollout that has completed its steps.
+// newCompletedState returns a state with a base and a rollout that has completed its steps.
 func newCompletedState(t *testing.T) *State {
 	s := NewState()
 	s.BeginEpoch(7)
@@ -76,7 +77,7 @@
 func TestState_closedRevision(t *testing.T) {
 	s := newCompletedState(t)
 	mustApply(t, s, Command{Op: OpClose, Rev: s.Rev() + 5})
-	require.Equal(t, s.Rev()-1, s.ClosedRev(), "what is newest is never closed")
+	require.Equal(t, s.Rev()-1, s.ClosedRev(), "the newest revision must not be closed")
 	mustApply(t, s, Command{Op: OpClose, Rev: 3})
 	require.Equal(t, s.Rev()-1, s.ClosedRev())
 }
@@ -96,10 +97,10 @@
 	require.NoError(t, json.Unmarshal([]byte(marshalState(t, s)), restored))
 	require.Equal(t, marshalState(t, s), marshalState(t, restored))
 	require.ErrorContains(t, json.Unmarshal([]byte(`{"form":2}`), restored), "form 2, this program reads form 1")
-	require.Equal(t, marshalState(t, s), marshalState(t, restored), "a rejected state changes nothing")
+	require.Equal(t, marshalState(t, s), marshalState(t, restored), "a rejected stored state changed the state")
 }
 
-// TestState_reusedName: a name that is forgotten and used again is another rollout, with another budget.
+// TestState_reusedName checks that a rollout that reuses the name of one that is no longer kept has its own ID and budget.
 func TestState_reusedName(t *testing.T) {
 	s := NewState()
 	first := newSpec(3)
--- a/internal/rollout/stored_state_test.go
+++ b/internal/rollout/stored_state_test.go
@@ -12,7 +12,8 @@
 	"marblelane/internal/route"
 )
 
-// goldenState has tenants with a base alone, with rollouts under way and with some that ended, and an account of each kind.
+// goldenState returns a state with tenants that have only a base, live rollouts or ended rollouts, and with an account of
+// each kind.
 func goldenState(t *testing.T) *State {
 	s := NewState()
 	s.BeginEpoch(7)
@@ -56,16 +57,16 @@
 	return s
 }
 
-// The stored form of rollouts, as it stands in the list service's snapshots, must not change.
+// TestStoredState_lifecycle checks that the stored form of rollouts in the snapshots of the list service does not change.
 func TestStoredState_lifecycle(t *testing.T) {
 	for name, want := range map[string]*State{"full": goldenState(t), "empty": NewState()} {
 		t.Run(name, func(t *testing.T) {
 			stored, err := os.ReadFile("testdata/golden/" + name + ".json")
 			require.NoError(t, err)
-			assert.Equal(t, string(stored), marshalState(t, want), "what the commands make")
+			assert.Equal(t, string(stored), marshalState(t, want), "the state built from the commands")
 			got := NewState()
 			require.NoError(t, json.Unmarshal(stored, got))
-			assert.Equal(t, string(stored), marshalState(t, got), "what is written again")
+			assert.Equal(t, string(stored), marshalState(t, got), "the state read and encoded again")
 			assert.Equal(t, want.Table(), got.Table())
 			assert.Equal(t, want.Rollouts(), got.Rollouts())
 			assert.Equal(t, []int64{want.Rev(), want.ClosedRev(), int64(want.MinSchema())},
