--- a/internal/audit/answers_test.go
+++ b/internal/audit/answers_test.go
@@ -95,7 +95,7 @@
 			w.step()
 		}
 		w.compareWithTruth(&got, trackerVerdicts)
-		if got.wrongDid+got.wrongDidNot > 0 {
+		if got.wrongActed+got.wrongDidNotAct > 0 {
 			rt.Fatalf("wrong verdicts: %+v", got)
 		}
 	})
@@ -124,7 +124,7 @@
 
 func TestAnswers_known(t *testing.T) {
 	got := runSeeds(worldCount, nil, trackerVerdicts)
-	if got.wrongDid+got.wrongDidNot > 0 || got.known*4 < got.verdicts {
+	if got.wrongActed+got.wrongDidNotAct > 0 || got.known*4 < got.verdicts {
 		t.Errorf("wrong verdicts, or too few verdicts other than Unknown: %+v", got)
 	}
 	t.Logf("%+v", got)
@@ -151,7 +151,7 @@
 			w.shortStep()
 		}
 		w.compareWithTruth(&got, trackerVerdicts)
-		if got.wrongDid+got.wrongDidNot > 0 {
+		if got.wrongActed+got.wrongDidNotAct > 0 {
 			t.Fatalf("%+v after the choices %v", got, path)
 		}
 		last := len(path) - 1
@@ -258,9 +258,9 @@
 // sampleAtArrival plants the mistake that a report counts as sampled at its arrival.
 func sampleAtArrival(w *fleetWorld) {
 	w.onArrival = func(w *fleetWorld, r *route.Report) *route.Report {
-		late := *r
-		late.Echo = route.Moment{Leader: w.leader, MS: w.clock(w.now)}
-		return &late
+		replaced := *r
+		replaced.Echo = route.Moment{Leader: w.leader, MS: w.clock(w.now)}
+		return &replaced
 	}
 }
 
@@ -295,21 +295,21 @@
 // anyEcho plants the mistake that the echo of another leader's response counts as an echo of this leader's.
 func anyEcho(w *fleetWorld) {
 	w.onArrival = func(w *fleetWorld, r *route.Report) *route.Report {
-		own := *r
-		own.Echo.Leader = w.leader
-		return &own
+		replaced := *r
+		replaced.Echo.Leader = w.leader
+		return &replaced
 	}
 	w.options.Retention = 1 << 40
 }
 
-// unpromisedLists plants the mistake that processes list fewer revisions than the tracker relies on.
-func unpromisedLists(w *fleetWorld) {
+// tooShortLists plants the mistake that processes list fewer revisions than the tracker relies on.
+func tooShortLists(w *fleetWorld) {
 	w.maxListedRevs, w.options.MinListedRevs = 1, 100
 	w.electLeader()
 }
 
-// silenceAsDidNot plants the mistake that the verdict on a silent process is DidNotAct.
-func silenceAsDidNot(w *fleetWorld, q Query) []ProcessVerdict {
+// silenceAsDidNotAct plants the mistake that the verdict on a silent process is DidNotAct.
+func silenceAsDidNotAct(w *fleetWorld, q Query) []ProcessVerdict {
 	out := trackerVerdicts(w, q)
 	for i := range out {
 		p := w.tracker.processes[out[i].Process]
@@ -320,8 +320,8 @@
 	return out
 }
 
-// widenedDid plants the mistake that Acted is determined for a time that begins earlier.
-func widenedDid(w *fleetWorld, q Query) []ProcessVerdict {
+// widenedActed plants the mistake that Acted is determined for a time that begins earlier.
+func widenedActed(w *fleetWorld, q Query) []ProcessVerdict {
 	q.From--
 	out := trackerVerdicts(w, q)
 	for i := range out {
@@ -342,23 +342,23 @@
 // itself returns none.
 func TestAnswers_plantedMistakes(t *testing.T) {
 	for name, c := range map[string]struct {
-		prepare     func(w *fleetWorld)
-		answers     verdictFunc
-		wrongDidNot bool // the mistake must cause a wrong DidNotAct
-		wrongDid    bool // the mistake must cause a wrong Acted
+		prepare        func(w *fleetWorld)
+		answers        verdictFunc
+		wrongDidNotAct bool // the mistake must cause a wrong DidNotAct
+		wrongActed     bool // the mistake must cause a wrong Acted
 	}{
-		"sample at arrival":        {prepare: sampleAtArrival, answers: trackerVerdicts, wrongDidNot: true, wrongDid: true},
-		"counts are increments":    {prepare: countsAsIncrements, answers: trackerVerdicts, wrongDidNot: true},
-		"silence is DidNot":        {answers: silenceAsDidNot, wrongDidNot: true},
-		"growth across the border": {answers: widenedDid, wrongDid: true},
-		"unlisted is no attempt":   {prepare: unpromisedLists, answers: trackerVerdicts, wrongDidNot: true},
-		"log marked too early":     {answers: markedTooEarly, wrongDidNot: true, wrongDid: true},
-		"echo of another leader":   {prepare: anyEcho, answers: trackerVerdicts, wrongDidNot: true},
+		"sample at arrival":        {prepare: sampleAtArrival, answers: trackerVerdicts, wrongDidNotAct: true, wrongActed: true},
+		"counts are increments":    {prepare: countsAsIncrements, answers: trackerVerdicts, wrongDidNotAct: true},
+		"silence is DidNotAct":     {answers: silenceAsDidNotAct, wrongDidNotAct: true},
+		"growth across the border": {answers: widenedActed, wrongActed: true},
+		"unlisted is no attempt":   {prepare: tooShortLists, answers: trackerVerdicts, wrongDidNotAct: true},
+		"log marked too early":     {answers: markedTooEarly, wrongDidNotAct: true, wrongActed: true},
+		"echo of another leader":   {prepare: anyEcho, answers: trackerVerdicts, wrongDidNotAct: true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			got := runSeeds(worldCount, c.prepare, c.answers)
 			t.Logf("%+v", got)
-			if c.wrongDidNot && got.wrongDidNot == 0 || c.wrongDid && got.wrongDid == 0 {
+			if c.wrongDidNotAct && got.wrongDidNotAct == 0 || c.wrongActed && got.wrongActed == 0 {
 				t.Errorf("the mistake causes no wrong verdict: %+v", got)
 			}
 		})
--- a/internal/audit/facts.go
+++ b/internal/audit/facts.go
@@ -58,12 +58,12 @@
 
 // dropBefore drops the steps whose facts concern only times before cutoff, except for the newest of them.
 func (h *countHistory) dropBefore(cutoff int64) {
-	old := 0
-	for old < len(h.steps)-1 && h.steps[old+1].reachedBy < cutoff &&
-		max(h.steps[old].reachedBy, h.steps[old].heldUntil) < cutoff {
-		old++
+	droppable := 0
+	for droppable < len(h.steps)-1 && h.steps[droppable+1].reachedBy < cutoff &&
+		max(h.steps[droppable].reachedBy, h.steps[droppable].heldUntil) < cutoff {
+		droppable++
 	}
-	h.steps = slices.Delete(h.steps, 0, old)
+	h.steps = slices.Delete(h.steps, 0, droppable)
 }
 
 // halve drops every second inner step, which makes the history coarser in time.
--- a/internal/audit/fleet_world_test.go
+++ b/internal/audit/fleet_world_test.go
@@ -91,10 +91,10 @@
 		revs = append(revs, rev)
 	}
 	slices.Sort(revs)
-	named := 0
+	listed := 0
 	for _, rev := range slices.Backward(revs) {
 		if rev > 0 {
-			if named++; w.maxListedRevs > 0 && named > w.maxListedRevs && rev != r.AcknowledgedRev {
+			if listed++; w.maxListedRevs > 0 && listed > w.maxListedRevs && rev != r.AcknowledgedRev {
 				continue
 			}
 		}
@@ -211,14 +211,14 @@
 }
 
 // verdictCounts counts all verdicts, those other than Unknown, and those that are wrong.
-type verdictCounts struct{ verdicts, known, wrongDid, wrongDidNot int }
+type verdictCounts struct{ verdicts, known, wrongActed, wrongDidNotAct int }
 
 type verdictFunc func(w *fleetWorld, q Query) []ProcessVerdict
 
 func trackerVerdicts(w *fleetWorld, q Query) []ProcessVerdict { return w.tracker.Verdicts(q, &w.log) }
 
 // compareWithTruth compares the verdicts for every query with the attempts that were made, and counts them.
-func (w *fleetWorld) compareWithTruth(t *verdictCounts, answers verdictFunc) {
+func (w *fleetWorld) compareWithTruth(counts *verdictCounts, answers verdictFunc) {
 	truths := map[route.Process]*trueProcess{}
 	for _, p := range w.processes {
 		truths[p.Process] = p
@@ -230,15 +230,15 @@
 					acted := slices.ContainsFunc(truths[a.Process].attempts, func(a attempt) bool {
 						return a.rev == rev && a.at >= from && a.at <= to
 					})
-					t.verdicts++
+					counts.verdicts++
 					if a.Verdict != Unknown {
-						t.known++
+						counts.known++
 					}
 					if a.Verdict == Acted && !acted {
-						t.wrongDid++
+						counts.wrongActed++
 					}
 					if a.Verdict == DidNotAct && acted {
-						t.wrongDidNot++
+						counts.wrongDidNotAct++
 					}
 				}
 			}
--- a/internal/rollout/budget_test.go
+++ b/internal/rollout/budget_test.go
@@ -133,7 +133,7 @@
 
 func (f *randomFleet) advanceTime(t *rapid.T) {
 	f.now += rapid.Int64Range(0, 5).Draw(t, "ms")
-	commands, _ := f.controller.Tick(f.now, f.state, oneReady)
+	commands, _ := f.controller.Tick(f.now, f.state, oneServerReady)
 	for _, c := range commands {
 		f.apply(t, c)
 	}
@@ -145,8 +145,8 @@
 	require.NoError(t, json.Unmarshal([]byte(data), f.twin))
 }
 
-// check checks the guarantees of the budget after each step.
-func (f *randomFleet) check(t *rapid.T) {
+// checkGuarantees checks the guarantees of the budget after each step.
+func (f *randomFleet) checkGuarantees(t *rapid.T) {
 	granted, spent, returned := f.state.BudgetTotals(tenantName, rolloutName)
 	require.LessOrEqual(t, granted-returned, f.budget)
 	require.LessOrEqual(t, f.failures, f.budget)
@@ -174,7 +174,7 @@
 			"leader":  f.changeLeader,
 			"time":    f.advanceTime,
 			"saved":   f.restoreTwin,
-			"":        f.check,
+			"":        f.checkGuarantees,
 		})
 	})
 }
--- a/internal/rollout/controller.go
+++ b/internal/rollout/controller.go
@@ -16,7 +16,7 @@
 	startedAt, now    int64
 	processes         map[string]*processState // by AccountKey
 	newestStart       map[string]int64         // newest start, by process name
-	revisionTimes     []revisionTime           // oldest first
+	revisionTimes     []revisionTime           // sorted by revision, oldest first
 	rollouts          map[string]*rolloutProgress
 	accessChanges     []AccessChange // changes since the last Tick
 	closingRev        int64          // newest revision that this controller has asked to close
--- a/internal/rollout/controller_test.go
+++ b/internal/rollout/controller_test.go
@@ -128,8 +128,8 @@
 	ops, _ = f.tick(t, 14_001, 1)
 	require.Contains(t, ops, OpForward)
 
-	next := NewController(Defaults(), 0) // controller of the next leader
-	commands, _ := next.Tick(5099, f.state, oneReady)
+	newLeader := NewController(Defaults(), 0) // controller of the next leader
+	commands, _ := newLeader.Tick(5099, f.state, oneServerReady)
 	require.Empty(t, commands, "a new leader must wait until earlier leases have expired")
 }
 
--- a/internal/rollout/evidence_test.go
+++ b/internal/rollout/evidence_test.go
@@ -60,7 +60,7 @@
 			}
 			f.report(int64(sec)*1000, i, true, counts[i][:]...)
 		}
-		commands, _ := f.controller.Tick(int64(sec)*1000, f.state, oneReady)
+		commands, _ := f.controller.Tick(int64(sec)*1000, f.state, oneServerReady)
 		if slices.ContainsFunc(commands, func(c Command) bool { return c.Op == OpRollBack }) {
 			return attempts, true
 		}
--- a/internal/rollout/golden_test.go
+++ b/internal/rollout/golden_test.go
@@ -30,12 +30,12 @@
 	settled, gone := entry, entry
 	settled.Spent, settled.Returned = 1, 2
 	gone.Process.Name, gone.Gone = "sidecar-2", true
-	known := gone
-	known.Gone = false
+	opening := gone
+	opening.Gone = false
 	return []Command{
 		{Op: OpBase, AtMS: 1000, Tenant: "shannonside", Base: route.Subset{Model: []string{"m1"}}, IfRev: new(int64)},
 		{Op: OpPost, AtMS: 2000, Spec: first, IfRev: &revision},
-		{Op: OpLedger, AtMS: 3000, Entries: []LedgerEntry{entry, known}},
+		{Op: OpLedger, AtMS: 3000, Entries: []LedgerEntry{entry, opening}},
 		{Op: OpLedger, AtMS: 3100, Entries: []LedgerEntry{settled, gone}},
 		{Op: OpForward, AtMS: 4000, Tenant: "shannonside", Name: "v2", Step: 0},
 		{Op: OpPause, AtMS: 5000, Tenant: "shannonside", Name: "v2", Reason: ReasonStragglers},
--- a/internal/rollout/helpers_test.go
+++ b/internal/rollout/helpers_test.go
@@ -48,7 +48,7 @@
 	}
 }
 
-func oneReady(route.Subset) int { return 1 }
+func oneServerReady(route.Subset) int { return 1 }
 
 // testFleet is a controller with sidecars that report to it.
 type testFleet struct {
--- a/internal/rollout/state.go
+++ b/internal/rollout/state.go
@@ -26,7 +26,7 @@
 	Rev   int64           `json:"rev"` // revision of the tenant's last change
 	Base  route.Subset    `json:"base,omitzero"`
 	Live  *rolloutState   `json:"live,omitempty"`
-	Ended []*rolloutState `json:"ended,omitempty"` // oldest first
+	Ended []*rolloutState `json:"ended,omitempty"` // ended rollouts, oldest first
 }
 
 // rolloutState is a rollout with the fields that only State needs. The fields of the embedded Rollout are stored at the
