--- a/internal/rollout/reports.go
+++ b/internal/rollout/reports.go
@@ -15,7 +15,7 @@
 // caller adds the table.
 func (c *Controller) Report(now int64, s *State, r *route.Report) route.ReportResponse {
 	c.sync(now, s)
-	response := route.ReportResponse{Stamp: route.Moment{Leader: c.options.Leader, MS: c.now}, NewestRev: s.Rev()}
+	response := route.ReportResponse{Stamp: route.LeaderTime{Leader: c.options.Leader, MS: c.now}, NewestRev: s.Rev()}
 	if response.Reason = checkReport(r); response.Reason != "" {
 		return response
 	}
