--- a/internal/audit/answers_test.go
+++ b/internal/audit/answers_test.go
@@ -102,7 +102,7 @@
 }
 
 // runSeeds runs n worlds with random choices, and returns the verdict counts of all of them.
-func runSeeds(n uint64, prepare func(w *fleetWorld), answers verdictFunc) verdictCounts {
+func runSeeds(n uint64, prepare func(w *fleetWorld), verdicts verdictFunc) verdictCounts {
 	var got verdictCounts
 	for seed := range n {
 		w := newFleetWorld(rand.New(rand.NewPCG(seed, 1)).IntN, 2)
@@ -112,7 +112,7 @@
 		for range 120 {
 			w.step()
 		}
-		w.compareWithTruth(&got, answers)
+		w.compareWithTruth(&got, verdicts)
 	}
 	return got
 }
@@ -215,12 +215,12 @@
 	want := func(from, to int64, want ...Verdict) {
 		t.Helper()
 		var got []Verdict
-		answers := trackerVerdicts(w, w.query(5, from, to))
-		for _, a := range answers {
+		verdicts := trackerVerdicts(w, w.query(5, from, to))
+		for _, a := range verdicts {
 			got = append(got, a.Verdict)
 		}
 		if diff := cmp.Diff(want, got); diff != "" {
-			t.Errorf("from %d to %d: %s%+v", from, to, diff, answers)
+			t.Errorf("from %d to %d: %s%+v", from, to, diff, verdicts)
 		}
 	}
 	want(3, 38, DidNotAct, Acted, Acted)
@@ -343,20 +343,20 @@
 func TestAnswers_plantedMistakes(t *testing.T) {
 	for name, c := range map[string]struct {
 		prepare        func(w *fleetWorld)
-		answers        verdictFunc
+		verdicts       verdictFunc
 		wrongDidNotAct bool // the mistake must cause a wrong DidNotAct
 		wrongActed     bool // the mistake must cause a wrong Acted
 	}{
-		"sample at arrival":        {prepare: sampleAtArrival, answers: trackerVerdicts, wrongDidNotAct: true, wrongActed: true},
-		"counts are increments":    {prepare: countsAsIncrements, answers: trackerVerdicts, wrongDidNotAct: true},
-		"silence is DidNotAct":     {answers: silenceAsDidNotAct, wrongDidNotAct: true},
-		"growth across the border": {answers: widenedActed, wrongActed: true},
-		"unlisted is no attempt":   {prepare: tooShortLists, answers: trackerVerdicts, wrongDidNotAct: true},
-		"log marked too early":     {answers: markedTooEarly, wrongDidNotAct: true, wrongActed: true},
-		"echo of another leader":   {prepare: anyEcho, answers: trackerVerdicts, wrongDidNotAct: true},
+		"sample at arrival":        {prepare: sampleAtArrival, verdicts: trackerVerdicts, wrongDidNotAct: true, wrongActed: true},
+		"counts are increments":    {prepare: countsAsIncrements, verdicts: trackerVerdicts, wrongDidNotAct: true},
+		"silence is DidNotAct":     {verdicts: silenceAsDidNotAct, wrongDidNotAct: true},
+		"growth across the border": {verdicts: widenedActed, wrongActed: true},
+		"unlisted is no attempt":   {prepare: tooShortLists, verdicts: trackerVerdicts, wrongDidNotAct: true},
+		"log marked too early":     {verdicts: markedTooEarly, wrongDidNotAct: true, wrongActed: true},
+		"echo of another leader":   {prepare: anyEcho, verdicts: trackerVerdicts, wrongDidNotAct: true},
 	} {
 		t.Run(name, func(t *testing.T) {
-			got := runSeeds(worldCount, c.prepare, c.answers)
+			got := runSeeds(worldCount, c.prepare, c.verdicts)
 			t.Logf("%+v", got)
 			if c.wrongDidNotAct && got.wrongDidNotAct == 0 || c.wrongActed && got.wrongActed == 0 {
 				t.Errorf("the mistake causes no wrong verdict: %+v", got)
--- a/internal/audit/fleet_world_test.go
+++ b/internal/audit/fleet_world_test.go
@@ -218,7 +218,7 @@
 func trackerVerdicts(w *fleetWorld, q Query) []ProcessVerdict { return w.tracker.Verdicts(q, &w.log) }
 
 // compareWithTruth compares the verdicts for every query with the attempts that were made, and counts them.
-func (w *fleetWorld) compareWithTruth(counts *verdictCounts, answers verdictFunc) {
+func (w *fleetWorld) compareWithTruth(counts *verdictCounts, verdicts verdictFunc) {
 	truths := map[route.Process]*trueProcess{}
 	for _, p := range w.processes {
 		truths[p.Process] = p
@@ -226,7 +226,7 @@
 	for rev := int64(0); rev <= w.rev+1; rev++ {
 		for from := int64(-1); from <= w.now; from++ {
 			for to := from; to <= w.now+1; to++ {
-				for _, a := range answers(w, w.query(rev, from, to)) {
+				for _, a := range verdicts(w, w.query(rev, from, to)) {
 					acted := slices.ContainsFunc(truths[a.Process].attempts, func(a attempt) bool {
 						return a.rev == rev && a.at >= from && a.at <= to
 					})
