--- a/internal/audit/answers_test.go
+++ b/internal/audit/answers_test.go
@@ -11,8 +11,8 @@
 	"marblelane/internal/route"
 )
 
-// TestAnswers_borders has times that begin or end in the millisecond of a sample, within which there is no order: process
-// p made 2 attempts, and was sampled with 1 within [10, 20] and with 2 within [30, 40].
+// TestAnswers_borders queries times that begin or end in the millisecond of a sample; the order within a millisecond is
+// unknown. Process p made 2 attempts: its count was sampled as 1 within [10, 20] and as 2 within [30, 40].
 func TestAnswers_borders(t *testing.T) {
 	tracker := NewTracker(TrackerOptions{}, "x", 0)
 	for i, at := range []int64{10, 30} {
@@ -28,30 +28,30 @@
 		q    Query
 		want Verdict
 	}{
-		{Query{From: 10, To: 40, CommittedAt: none}, Did}, {Query{From: 11, To: 40, CommittedAt: none}, Unknown},
-		{Query{From: 10, To: 39, CommittedAt: none}, Unknown}, {Query{From: 11, To: 20, CommittedAt: 11}, Did},
+		{Query{From: 10, To: 40, CommittedAt: none}, Acted}, {Query{From: 11, To: 40, CommittedAt: none}, Unknown},
+		{Query{From: 10, To: 39, CommittedAt: none}, Unknown}, {Query{From: 11, To: 20, CommittedAt: 11}, Acted},
 		{Query{From: 11, To: 19, CommittedAt: 11}, Unknown}, {Query{From: 11, To: 20, CommittedAt: 10}, Unknown},
-		{Query{From: 41, To: 79, CommittedAt: none}, DidNot}, {Query{From: 40, To: 79, CommittedAt: none}, Unknown},
+		{Query{From: 41, To: 79, CommittedAt: none}, DidNotAct}, {Query{From: 40, To: 79, CommittedAt: none}, Unknown},
 		{Query{From: 41, To: 80, CommittedAt: none}, Unknown}, {Query{From: 5, To: 9, CommittedAt: none}, Unknown},
-		{Query{From: 5, To: 9, CommittedAt: 10}, DidNot}, {Query{From: 5, To: 10, CommittedAt: 10}, Unknown},
-		{Query{From: 41, To: 500, ClosedKnown: true, ClosedAt: 79}, DidNot},
+		{Query{From: 5, To: 9, CommittedAt: 10}, DidNotAct}, {Query{From: 5, To: 10, CommittedAt: 10}, Unknown},
+		{Query{From: 41, To: 500, ClosedKnown: true, ClosedAt: 79}, DidNotAct},
 		{Query{From: 41, To: 500, ClosedKnown: true, ClosedAt: 80}, Unknown},
-		{Query{From: 81, To: 500, ClosedKnown: true, ClosedAt: 80}, DidNot},
-		{Query{From: 10, To: 35, ClosedKnown: true, ClosedAt: 35}, Did},
+		{Query{From: 81, To: 500, ClosedKnown: true, ClosedAt: 80}, DidNotAct},
+		{Query{From: 10, To: 35, ClosedKnown: true, ClosedAt: 35}, Acted},
 		{Query{From: 10, To: 35, ClosedKnown: true, ClosedAt: 36}, Unknown},
-		{Query{From: 9, To: 41, Slack: 1, CommittedAt: none}, Did}, {Query{From: 10, To: 41, Slack: 1, CommittedAt: none}, Unknown},
-		{Query{From: 42, To: 78, Slack: 1, CommittedAt: none}, DidNot}, {Query{From: 42, To: 79, Slack: 1, CommittedAt: none}, Unknown},
+		{Query{From: 9, To: 41, Slack: 1, CommittedAt: none}, Acted}, {Query{From: 10, To: 41, Slack: 1, CommittedAt: none}, Unknown},
+		{Query{From: 42, To: 78, Slack: 1, CommittedAt: none}, DidNotAct}, {Query{From: 42, To: 79, Slack: 1, CommittedAt: none}, Unknown},
 		{Query{From: 60, To: 60, Slack: 30, CommittedAt: none}, Unknown}, {Query{From: 60, To: 60, Slack: -1}, Unknown},
 	} {
 		c.q.Rev = 5
-		if a := tracker.Answers(c.q, nil)[0]; a.Verdict != c.want {
+		if a := tracker.Verdicts(c.q, nil)[0]; a.Verdict != c.want {
 			t.Errorf("%d: %+v: %s (%s), want %s", i, c.q, a.Verdict, a.Reason, c.want)
 		}
 	}
 }
 
-// TestAnswers_droppedFacts asks for revisions whose counts were dropped to bound memory, and for one between two ranges
-// that were passed over.
+// TestAnswers_droppedFacts queries revisions whose counts were dropped to bound memory, and a revision between two skipped
+// ranges.
 func TestAnswers_droppedFacts(t *testing.T) {
 	tracker := NewTracker(TrackerOptions{MaxFacts: 4, MinListedRevs: 10}, "x", 0)
 	r := &route.Report{Process: testProcess("p"), Seq: 1, AcknowledgedRev: 9}
@@ -60,29 +60,29 @@
 	}
 	tracker.Report(5, 5, r)
 	verdict := func(rev int64) Verdict {
-		return tracker.Answers(Query{Rev: rev, From: math.MinInt64, To: math.MaxInt64, CommittedAt: math.MinInt64}, nil)[0].Verdict
+		return tracker.Verdicts(Query{Rev: rev, From: math.MinInt64, To: math.MaxInt64, CommittedAt: math.MinInt64}, nil)[0].Verdict
 	}
-	if verdict(1) != Unknown || verdict(3) != Unknown || verdict(7) != Did || verdict(8) != DidNot {
+	if verdict(1) != Unknown || verdict(3) != Unknown || verdict(7) != Acted || verdict(8) != DidNotAct {
 		t.Errorf("%s, %s, %s, %s", verdict(1), verdict(3), verdict(7), verdict(8))
 	}
-	// A process that lists as many as it must may have left older ones out.
+	// A process that lists as many revisions as are guaranteed may have left out older ones.
 	r.Process, r.Counts = testProcess("q"), r.Counts[4:]
 	for _, c := range []struct {
 		lists int
 		want  Verdict
-	}{{3, Unknown}, {4, DidNot}} {
+	}{{3, Unknown}, {4, DidNotAct}} {
 		tracker = NewTracker(TrackerOptions{MinListedRevs: c.lists}, "x", 0)
 		tracker.Report(5, 5, r)
 		if got := verdict(2); got != c.want {
-			t.Errorf("3 are listed, at least %d: %s, want %s", c.lists, got, c.want)
+			t.Errorf("3 revisions are listed, at least %d guaranteed: %s, want %s", c.lists, got, c.want)
 		}
 	}
 	p := &processRecord{}
 	for _, s := range []revisionRange{{0, 4}, {4, 8}, {20, 30}, {3, 5}, {6, 7}} {
-		p.addPassedOver(s, 10)
+		p.addSkipped(s, 10)
 	}
-	diff := cmp.Diff([]revisionRange{{0, 8}, {20, 30}}, p.passedOver, cmp.AllowUnexported(revisionRange{}))
-	if diff != "" || p.wasPassedOver(8) || !p.wasPassedOver(4) {
+	diff := cmp.Diff([]revisionRange{{0, 8}, {20, 30}}, p.skipped, cmp.AllowUnexported(revisionRange{}))
+	if diff != "" || p.wasSkipped(8) || !p.wasSkipped(4) {
 		t.Error(diff)
 	}
 }
@@ -94,15 +94,15 @@
 		for range rapid.IntRange(20, 150).Draw(rt, "steps") {
 			w.step()
 		}
-		w.compareWithTruth(&got, trackerAnswers)
-		if got.wrongDid+got.wrongDidNot > 0 {
-			rt.Fatalf("wrong answers: %+v", got)
+		w.compareWithTruth(&got, trackerVerdicts)
+		if got.wrongActed+got.wrongDidNotAct > 0 {
+			rt.Fatalf("wrong verdicts: %+v", got)
 		}
 	})
 }
 
-// runSeeds runs worlds of random choices, and counts the answers of all.
-func runSeeds(n uint64, prepare func(w *fleetWorld), answers answerFunc) verdictCounts {
+// runSeeds runs n worlds with random choices, and returns the verdict counts of all of them.
+func runSeeds(n uint64, prepare func(w *fleetWorld), verdicts verdictFunc) verdictCounts {
 	var got verdictCounts
 	for seed := range n {
 		w := newFleetWorld(rand.New(rand.NewPCG(seed, 1)).IntN, 2)
@@ -112,27 +112,26 @@
 		for range 120 {
 			w.step()
 		}
-		w.compareWithTruth(&got, answers)
+		w.compareWithTruth(&got, verdicts)
 	}
 	return got
 }
 
-// Enough for each planted mistake to show, and few enough for each run.
 const (
-	worldCount = 60
-	shortSteps = 6
+	worldCount = 60 // random worlds per test; each planted mistake causes a wrong verdict in at least one
+	shortSteps = 6  // steps of each exhaustively enumerated history
 )
 
 func TestAnswers_known(t *testing.T) {
-	got := runSeeds(worldCount, nil, trackerAnswers)
-	if got.wrongDid+got.wrongDidNot > 0 || got.known*4 < got.answers {
-		t.Errorf("wrong answers, or few are known: %+v", got)
+	got := runSeeds(worldCount, nil, trackerVerdicts)
+	if got.wrongActed+got.wrongDidNotAct > 0 || got.known*4 < got.verdicts {
+		t.Errorf("wrong verdicts, or too few verdicts other than Unknown: %+v", got)
 	}
 	t.Logf("%+v", got)
 }
 
-// TestAnswers_shortHistories goes through every order of a few steps of one process, its reports and its leader: each
-// choice takes each value in turn.
+// TestAnswers_shortHistories enumerates all sequences of a few steps of one process, its reports and its leader, by giving
+// each choice each of its values in turn.
 func TestAnswers_shortHistories(t *testing.T) {
 	var got verdictCounts
 	for path := []int(nil); ; {
@@ -144,15 +143,15 @@
 			at, width = at+1, append(width, n)
 			return path[at-1]
 		}
-		w := &fleetWorld{draw: draw, committed: map[int64]int64{1: 0, 2: 0}, closed: map[int64]int64{}, rev: 2}
+		w := &fleetWorld{choose: draw, committed: map[int64]int64{1: 0, 2: 0}, closed: map[int64]int64{}, rev: 2}
 		w.start("p")
 		w.electLeader()
 		w.processes[0].report.AcknowledgedRev = 1
 		for range shortSteps {
 			w.shortStep()
 		}
-		w.compareWithTruth(&got, trackerAnswers)
-		if got.wrongDid+got.wrongDidNot > 0 {
+		w.compareWithTruth(&got, trackerVerdicts)
+		if got.wrongActed+got.wrongDidNotAct > 0 {
 			t.Fatalf("%+v after the choices %v", got, path)
 		}
 		last := len(path) - 1
@@ -164,15 +163,15 @@
 		}
 		path = append(path[:last], path[last]+1)
 	}
-	if got.known*12 < got.answers {
-		t.Errorf("few answers are known: %+v", got)
+	if got.known*12 < got.verdicts {
+		t.Errorf("too few verdicts other than Unknown: %+v", got)
 	}
 	t.Logf("%+v", got)
 }
 
 func (w *fleetWorld) shortStep() {
 	p := w.processes[0]
-	switch w.draw(6) {
+	switch w.choose(6) {
 	case 0:
 		w.now++
 	case 1:
@@ -181,12 +180,12 @@
 		w.send(p)
 	case 3:
 		if n := len(w.reports); n > 0 {
-			w.deliver(n-1, false) // the newest first, so that they arrive out of order
+			w.deliver(n-1, false) // deliver the newest first, so that reports arrive out of order
 		}
 	case 4:
-		if n := len(w.answers); n > 0 {
-			w.answers[n-1]()
-			w.answers = nil
+		if n := len(w.responses); n > 0 {
+			w.responses[n-1]()
+			w.responses = nil
 		}
 	case 5:
 		p.report.AcknowledgedRev = 2
@@ -207,8 +206,8 @@
 			}
 			w.send(p)
 			w.deliver(0, false)
-			w.answers[0]()
-			w.answers = nil
+			w.responses[0]()
+			w.responses = nil
 		}
 		w.now = 3
 	}
@@ -216,21 +215,21 @@
 	want := func(from, to int64, want ...Verdict) {
 		t.Helper()
 		var got []Verdict
-		answers := trackerAnswers(w, w.query(5, from, to))
-		for _, a := range answers {
+		verdicts := trackerVerdicts(w, w.query(5, from, to))
+		for _, a := range verdicts {
 			got = append(got, a.Verdict)
 		}
 		if diff := cmp.Diff(want, got); diff != "" {
-			t.Errorf("from %d to %d: %s%+v", from, to, diff, answers)
+			t.Errorf("from %d to %d: %s%+v", from, to, diff, verdicts)
 		}
 	}
-	want(3, 38, DidNot, Did, Did)
-	want(5, 9, DidNot, Did, Did)
-	want(8, 11, DidNot, DidNot, DidNot)
-	want(-10, 2, DidNot, DidNot, DidNot)
+	want(3, 38, DidNotAct, Acted, Acted)
+	want(5, 9, DidNotAct, Acted, Acted)
+	want(8, 11, DidNotAct, DidNotAct, DidNotAct)
+	want(-10, 2, DidNotAct, DidNotAct, DidNotAct)
 	want(36, 45, Unknown, Unknown, Unknown) // the time is not over
 
-	// Another leader has only the log until processes report; then final counts are known.
+	// A new leader has only the log until processes report to it. The final counts in the log are known.
 	for _, p := range w.processes {
 		p.report.AcknowledgedRev = 6
 		w.send(p)
@@ -239,33 +238,33 @@
 	w.closed[5], w.rev = 40, 6
 	w.now = 50
 	w.electLeader()
-	want(3, 40, DidNot, Unknown, Unknown) // nothing was marked: the times before it led are not known
+	want(3, 40, DidNotAct, Unknown, Unknown) // the log is not marked, so no times before this leader led are known
 	w.log.Mark(45 + copyAhead)
 	w.committedSince[5] = 2
-	want(2, 44, DidNot, Unknown, Unknown)
-	want(2, 45, DidNot, Did, Did) // all attempts lie between
-	want(3, 45, DidNot, Unknown, Unknown)
+	want(2, 44, DidNotAct, Unknown, Unknown)
+	want(2, 45, DidNotAct, Acted, Acted) // all attempts lie within the time
+	want(3, 45, DidNotAct, Unknown, Unknown)
 	w.closed = map[int64]int64{}
-	want(45, 60, DidNot, Unknown, Unknown)
-	want(46, 60, DidNot, DidNot, DidNot) // final counts do not change
+	want(45, 60, DidNotAct, Unknown, Unknown)
+	want(46, 60, DidNotAct, DidNotAct, DidNotAct) // final counts do not change
 	sum := w.tracker.Summarize(Query{Rev: 5, From: math.MinInt64, To: math.MaxInt64, Now: w.clock(60)}, &w.log)
-	if sum.Did != 2 || sum.DidNot != 1 || sum.Unknown != 0 {
+	if sum.Acted != 2 || sum.DidNotAct != 1 || sum.Unknown != 0 {
 		t.Errorf("%+v", sum)
 	}
 }
 
-// The mistakes below are ones that a tracker, or a process, could make.
+// The functions below plant mistakes that a tracker or a process could make.
 
-// sampleAtArrival takes the arrival of a report for the time of its sample.
+// sampleAtArrival plants the mistake that a report counts as sampled at its arrival.
 func sampleAtArrival(w *fleetWorld) {
 	w.onArrival = func(w *fleetWorld, r *route.Report) *route.Report {
-		late := *r
-		late.Echo = route.LeaderTime{Leader: w.leader, MS: w.clock(w.now)}
-		return &late
+		replaced := *r
+		replaced.Echo = route.LeaderTime{Leader: w.leader, MS: w.clock(w.now)}
+		return &replaced
 	}
 }
 
-// countsAsIncrements has reports carry what came on top of the one before, and the leader add that up.
+// countsAsIncrements plants the mistake that reports contain increments since the previous report, which the leader sums.
 func countsAsIncrements(w *fleetWorld) {
 	sideKey := func(rev int64, i int) int64 { return rev*2 + int64(i%2) }
 	w.onSend = func(p *trueProcess, r *route.Report) {
@@ -293,73 +292,74 @@
 	}
 }
 
-// anyEcho reads an echo of another leader as this one's.
+// anyEcho plants the mistake that the echo of another leader's response counts as an echo of this leader's.
 func anyEcho(w *fleetWorld) {
 	w.onArrival = func(w *fleetWorld, r *route.Report) *route.Report {
-		own := *r
-		own.Echo.Leader = w.leader
-		return &own
+		replaced := *r
+		replaced.Echo.Leader = w.leader
+		return &replaced
 	}
 	w.options.Retention = 1 << 40
 }
 
-// unpromisedLists has processes list fewer revisions than the tracker relies on.
-func unpromisedLists(w *fleetWorld) {
+// tooShortLists plants the mistake that processes list fewer revisions than the tracker relies on.
+func tooShortLists(w *fleetWorld) {
 	w.maxListedRevs, w.options.MinListedRevs = 1, 100
 	w.electLeader()
 }
 
-// silenceAsDidNot answers DidNot for a process that was silent.
-func silenceAsDidNot(w *fleetWorld, q Query) []Answer {
-	out := trackerAnswers(w, q)
+// silenceAsDidNotAct plants the mistake that the verdict on a silent process is DidNotAct.
+func silenceAsDidNotAct(w *fleetWorld, q Query) []ProcessVerdict {
+	out := trackerVerdicts(w, q)
 	for i := range out {
 		p := w.tracker.processes[out[i].Process]
 		if silent := p == nil || p.lastReportAt < q.From; out[i].Verdict == Unknown && silent {
-			out[i].Verdict = DidNot
+			out[i].Verdict = DidNotAct
 		}
 	}
 	return out
 }
 
-// widenedDid answers Did for a time that begins earlier.
-func widenedDid(w *fleetWorld, q Query) []Answer {
+// widenedActed plants the mistake that Acted is determined for a time that begins earlier.
+func widenedActed(w *fleetWorld, q Query) []ProcessVerdict {
 	q.From--
-	out := trackerAnswers(w, q)
+	out := trackerVerdicts(w, q)
 	for i := range out {
-		if out[i].Verdict == DidNot {
+		if out[i].Verdict == DidNotAct {
 			out[i].Verdict = Unknown
 		}
 	}
 	return out
 }
 
-// markedTooEarly takes the log for marked before it was.
-func markedTooEarly(w *fleetWorld, q Query) []Answer {
+// markedTooEarly plants the mistake that the log counts as marked before it was.
+func markedTooEarly(w *fleetWorld, q Query) []ProcessVerdict {
 	q.ClockAhead -= 3
-	return trackerAnswers(w, q)
+	return trackerVerdicts(w, q)
 }
 
-// TestAnswers_plantedMistakes plants mistakes: each gives wrong answers in the worlds in which the tracker gives none.
+// TestAnswers_plantedMistakes checks that each planted mistake causes wrong verdicts in the worlds in which the tracker
+// itself returns none.
 func TestAnswers_plantedMistakes(t *testing.T) {
 	for name, c := range map[string]struct {
-		prepare     func(w *fleetWorld)
-		answers     answerFunc
-		wrongDidNot bool // there must be wrong DidNot
-		wrongDid    bool // there must be wrong Did
+		prepare        func(w *fleetWorld)
+		verdicts       verdictFunc
+		wrongDidNotAct bool // the mistake must cause a wrong DidNotAct
+		wrongActed     bool // the mistake must cause a wrong Acted
 	}{
-		"sample at arrival":        {prepare: sampleAtArrival, answers: trackerAnswers, wrongDidNot: true, wrongDid: true},
-		"counts are increments":    {prepare: countsAsIncrements, answers: trackerAnswers, wrongDidNot: true},
-		"silence is DidNot":        {answers: silenceAsDidNot, wrongDidNot: true},
-		"growth across the border": {answers: widenedDid, wrongDid: true},
-		"unlisted is no attempt":   {prepare: unpromisedLists, answers: trackerAnswers, wrongDidNot: true},
-		"log marked too early":     {answers: markedTooEarly, wrongDidNot: true, wrongDid: true},
-		"echo of another leader":   {prepare: anyEcho, answers: trackerAnswers, wrongDidNot: true},
+		"sample at arrival":        {prepare: sampleAtArrival, verdicts: trackerVerdicts, wrongDidNotAct: true, wrongActed: true},
+		"counts are increments":    {prepare: countsAsIncrements, verdicts: trackerVerdicts, wrongDidNotAct: true},
+		"silence is DidNotAct":     {verdicts: silenceAsDidNotAct, wrongDidNotAct: true},
+		"growth across the border": {verdicts: widenedActed, wrongActed: true},
+		"unlisted is no attempt":   {prepare: tooShortLists, verdicts: trackerVerdicts, wrongDidNotAct: true},
+		"log marked too early":     {verdicts: markedTooEarly, wrongDidNotAct: true, wrongActed: true},
+		"echo of another leader":   {prepare: anyEcho, verdicts: trackerVerdicts, wrongDidNotAct: true},
 	} {
 		t.Run(name, func(t *testing.T) {
-			got := runSeeds(worldCount, c.prepare, c.answers)
+			got := runSeeds(worldCount, c.prepare, c.verdicts)
 			t.Logf("%+v", got)
-			if c.wrongDidNot && got.wrongDidNot == 0 || c.wrongDid && got.wrongDid == 0 {
-				t.Errorf("the mistake gives no wrong answer: %+v", got)
+			if c.wrongDidNotAct && got.wrongDidNotAct == 0 || c.wrongActed && got.wrongActed == 0 {
+				t.Errorf("the mistake causes no wrong verdict: %+v", got)
 			}
 		})
 	}
--- a/internal/audit/fleet_world_test.go
+++ b/internal/audit/fleet_world_test.go
@@ -8,35 +8,35 @@
 	"marblelane/internal/route"
 )
 
-// fleetWorld is a fleet with its true times, a network that loses, duplicates and reorders messages, and leaders that
-// change. All that it does is drawn: draw(n) is one of 0 to n-1.
+// fleetWorld simulates a fleet with known true times, a network that loses, duplicates and reorders messages, and changing
+// leaders. All random decisions come from choose(n), which returns a number from 0 to n-1.
 type fleetWorld struct {
-	draw           func(n int) int
+	choose         func(n int) int
 	options        TrackerOptions
 	maxListedRevs  int // revisions that processes list at most; 0: all
 	now            int64
-	leaderOffset   int64 // of the leader's clock
+	leaderOffset   int64 // offset of the leader's clock from the true time
 	leader         string
 	leaders        int
 	startedAt      int64
-	committed      map[int64]int64 // true times
+	committed      map[int64]int64 // true time of each revision's commit
 	closed         map[int64]int64
-	committedSince map[int64]int64 // moments that are not after the commit, as a copy knows them
+	committedSince map[int64]int64 // time not after the commit, known to a copy
 	rev            int64
 	closedRev      int64 // the newest closed revision
 	processes      []*trueProcess
 	reports        []*route.Report
-	answers        []func()
+	responses      []func()
 	tracker        *Tracker
 	log            Log
-	onArrival      func(w *fleetWorld, r *route.Report) *route.Report // changes a report as it arrives, for a planted mistake
-	onSend         func(p *trueProcess, r *route.Report)              // likewise, as it is sent
+	onArrival      func(w *fleetWorld, r *route.Report) *route.Report // replaces an arriving report, for a planted mistake
+	onSend         func(p *trueProcess, r *route.Report)              // changes a report before it is sent, for a planted mistake
 }
 
 // attempt is an attempt under a revision, at its true time.
 type attempt struct{ rev, at int64 }
 
-// trueProcess is a process with all that it did.
+// trueProcess is a process with all attempts that it made.
 type trueProcess struct {
 	route.Process
 	report   route.Report
@@ -46,7 +46,7 @@
 }
 
 func newFleetWorld(draw func(n int) int, processes int) *fleetWorld {
-	w := &fleetWorld{draw: draw, committed: map[int64]int64{}, closed: map[int64]int64{}, committedSince: map[int64]int64{}}
+	w := &fleetWorld{choose: draw, committed: map[int64]int64{}, closed: map[int64]int64{}, committedSince: map[int64]int64{}}
 	w.options = TrackerOptions{Retention: []int64{1 << 40, 15, 4}[draw(3)], MaxFacts: []int{512, 4}[draw(2)], MaxProcesses: 100}
 	w.maxListedRevs = []int{0, 2, 1}[draw(3)]
 	w.options.MinListedRevs = []int{0, max(w.maxListedRevs, 1)}[draw(2)]
@@ -66,7 +66,7 @@
 func (w *fleetWorld) electLeader() {
 	w.leaders++
 	if w.leaders > 1 {
-		w.leaderOffset = int64(w.draw(9) - 4)
+		w.leaderOffset = int64(w.choose(9) - 4)
 	}
 	w.leader, w.startedAt = fmt.Sprint("leader", w.leaders), w.now
 	w.tracker = NewTracker(w.options, w.leader, w.clock(w.now))
@@ -91,10 +91,10 @@
 		revs = append(revs, rev)
 	}
 	slices.Sort(revs)
-	named := 0
+	listed := 0
 	for _, rev := range slices.Backward(revs) {
 		if rev > 0 {
-			if named++; w.maxListedRevs > 0 && named > w.maxListedRevs && rev != r.AcknowledgedRev {
+			if listed++; w.maxListedRevs > 0 && listed > w.maxListedRevs && rev != r.AcknowledgedRev {
 				continue
 			}
 		}
@@ -117,42 +117,42 @@
 		r = w.onArrival(w, r)
 	}
 	now := w.clock(w.now)
-	w.log.Add(w.log.Fresh(w.tracker.Report(now, w.now, r)))
+	w.log.Add(w.log.FilterNew(w.tracker.Report(now, w.now, r)))
 	stamp := route.LeaderTime{Leader: w.leader, MS: now}
 	for _, p := range w.processes {
 		if p.Process == r.Process {
-			w.answers = append(w.answers, func() { p.report.Echo = stamp })
+			w.responses = append(w.responses, func() { p.report.Echo = stamp })
 		}
 	}
 }
 
-// step does one thing. Several may happen in one millisecond.
+// step performs one random action. Several actions may happen in one millisecond.
 func (w *fleetWorld) step() {
-	p := w.processes[w.draw(len(w.processes))]
-	switch w.draw(16) {
+	p := w.processes[w.choose(len(w.processes))]
+	switch w.choose(16) {
 	case 0, 1:
 		w.now++
 	case 2, 3:
 		w.attempt(p, true)
 	case 4:
-		w.attempt(p, w.draw(2) == 0)
+		w.attempt(p, w.choose(2) == 0)
 	case 5, 6:
 		w.send(p)
 	case 7, 8, 9:
 		if len(w.reports) > 0 {
-			w.deliver(w.draw(len(w.reports)), w.draw(4) == 0)
+			w.deliver(w.choose(len(w.reports)), w.choose(4) == 0)
 		}
 	case 10, 11:
-		if n := len(w.answers); n > 0 {
-			i := w.draw(n)
-			w.answers[i]()
-			w.answers = slices.Delete(w.answers, i, i+1)
+		if n := len(w.responses); n > 0 {
+			i := w.choose(n)
+			w.responses[i]()
+			w.responses = slices.Delete(w.responses, i, i+1)
 		}
 	case 12:
-		w.rev += 1 + int64(w.draw(2))
+		w.rev += 1 + int64(w.choose(2))
 		w.committed[w.rev] = w.now
-		if w.draw(2) == 0 {
-			w.committedSince[w.rev] = w.now - int64(w.draw(3))
+		if w.choose(2) == 0 {
+			w.committedSince[w.rev] = w.now - int64(w.choose(3))
 		}
 	case 13:
 		if w.committed[w.rev] != 0 || w.rev > 0 {
@@ -162,15 +162,15 @@
 		w.rareStep(p)
 	case 15:
 		w.log.Mark(w.now + copyAhead)
-		w.tracker.Forget(w.clock(w.now))
+		w.tracker.DropExpired(w.clock(w.now))
 	}
 }
 
-// copyAhead is by how much the clock of the copy that marks the log is ahead of the true one.
+// copyAhead is the time in ms by which the clock of the copy that marks the log is ahead of the true time.
 const copyAhead = 1000
 
 func (w *fleetWorld) rareStep(p *trueProcess) {
-	switch w.draw(6) {
+	switch w.choose(6) {
 	case 0:
 		w.electLeader()
 	case 1:
@@ -185,7 +185,7 @@
 			w.reports = slices.Delete(w.reports, 0, 1)
 		}
 	case 4:
-		kind := []TransitionKind{ShutOut, Gone, Readmitted}[w.draw(3)]
+		kind := []TransitionKind{ShutOut, Gone, Readmitted}[w.choose(3)]
 		w.log.Add(w.tracker.AccessChanged(w.clock(w.now), w.now, p.Process, kind, w.rev, ""))
 	case 5:
 		text, _ := w.log.MarshalJSON()
@@ -210,15 +210,15 @@
 	return q
 }
 
-// verdictCounts counts the answers to all queries, those that are known, and those that are wrong.
-type verdictCounts struct{ answers, known, wrongDid, wrongDidNot int }
+// verdictCounts counts all verdicts, those other than Unknown, and those that are wrong.
+type verdictCounts struct{ verdicts, known, wrongActed, wrongDidNotAct int }
 
-type answerFunc func(w *fleetWorld, q Query) []Answer
+type verdictFunc func(w *fleetWorld, q Query) []ProcessVerdict
 
-func trackerAnswers(w *fleetWorld, q Query) []Answer { return w.tracker.Answers(q, &w.log) }
+func trackerVerdicts(w *fleetWorld, q Query) []ProcessVerdict { return w.tracker.Verdicts(q, &w.log) }
 
-// compareWithTruth compares the answers to every query with the truth.
-func (w *fleetWorld) compareWithTruth(t *verdictCounts, answers answerFunc) {
+// compareWithTruth compares the verdicts for every query with the attempts that were made, and counts them.
+func (w *fleetWorld) compareWithTruth(counts *verdictCounts, verdicts verdictFunc) {
 	truths := map[route.Process]*trueProcess{}
 	for _, p := range w.processes {
 		truths[p.Process] = p
@@ -226,19 +226,19 @@
 	for rev := int64(0); rev <= w.rev+1; rev++ {
 		for from := int64(-1); from <= w.now; from++ {
 			for to := from; to <= w.now+1; to++ {
-				for _, a := range answers(w, w.query(rev, from, to)) {
+				for _, a := range verdicts(w, w.query(rev, from, to)) {
 					acted := slices.ContainsFunc(truths[a.Process].attempts, func(a attempt) bool {
 						return a.rev == rev && a.at >= from && a.at <= to
 					})
-					t.answers++
+					counts.verdicts++
 					if a.Verdict != Unknown {
-						t.known++
+						counts.known++
 					}
-					if a.Verdict == Did && !acted {
-						t.wrongDid++
+					if a.Verdict == Acted && !acted {
+						counts.wrongActed++
 					}
-					if a.Verdict == DidNot && acted {
-						t.wrongDidNot++
+					if a.Verdict == DidNotAct && acted {
+						counts.wrongDidNotAct++
 					}
 				}
 			}
