--- a/internal/lab/experiment/routescale/routescale.go
+++ b/internal/lab/experiment/routescale/routescale.go
@@ -294,7 +294,7 @@
 func PrintSimulation(w io.Writer, sidecars int, r *plays.Result) {
 	fmt.Fprintf(w, "%d simulated: %d attempts, %d failures of a budget of %d, the last attempt %d ms after the last unit; all act on the rollback %d ms after it;"+
 		" the baseline %d failures, its last attempt %d ms after; %.1f ledger commands a second\n", sidecars, r.Attempts, r.Failures, r.Budget,
-		max(r.LastAttempt-r.LastUnit, 0), r.AllActing-r.LastUnit, r.BaselineFailures, max(r.BaselineLastAttempt-r.BaselineLastUnit, 0), r.LedgerPerSecond)
+		max(r.LastAttempt-r.LastUnitSpent, 0), r.CanaryStopped-r.LastUnitSpent, r.BaselineFailures, max(r.BaselineLastAttempt-r.BaselineLastUnit, 0), r.LedgerPerSecond)
 }
 
 // Print writes the sizes as a table.
--- a/internal/rollout/budget_test.go
+++ b/internal/rollout/budget_test.go
@@ -61,10 +61,10 @@
 // exchangeReport is a report with its answer, and the newest table.
 func (f *randomFleet) exchangeReport(t *rapid.T) {
 	sidecar := f.pick(t)
-	report := sidecar.Report(nil)
+	report := sidecar.NextReport(nil)
 	answer := f.controller.Report(f.now, f.state, &report)
 	table := f.state.Table()
-	sidecar.ApplyAnswer(f.now, &answer)
+	sidecar.ApplyReportResponse(f.now, &answer)
 	sidecar.ApplyTable(&table)
 }
 
@@ -84,11 +84,11 @@
 		process := sidecar.Process
 		f.delayed = append(f.delayed, func() {
 			if sidecar.Process == process {
-				sidecar.ApplyGrants(&answer)
+				sidecar.ApplyBudgetResponse(&answer)
 			}
 		})
 	default:
-		sidecar.ApplyGrants(&answer)
+		sidecar.ApplyBudgetResponse(&answer)
 	}
 }
 
--- a/internal/rollout/controller_test.go
+++ b/internal/rollout/controller_test.go
@@ -34,7 +34,7 @@
 	_, changes := f.tick(t, 7001, 1)
 	straggler := f.sidecars[9]
 	require.Equal(t, []AccessChange{
-		{Process: straggler.Process, ShutOut: true, AcknowledgedRev: straggler.ActingRev},
+		{Process: straggler.Process, ShutOut: true, AcknowledgedRev: straggler.TableRev},
 	}, changes)
 	f.tick(t, 12098, 1)
 	require.Less(t, f.state.Closed(), f.state.Rev()-1, "its lengthened term is not over")
@@ -49,7 +49,7 @@
 	earlier := f.sidecars[0]
 	f.sidecars[0].Start++
 	f.report(12200, 0, true)
-	r := earlier.Report(nil)
+	r := earlier.NextReport(nil)
 	rejected := f.controller.Report(12200, f.state, &r)
 	require.Contains(t, rejected.Reason, "a later start")
 	require.Greater(t, rejected.NewestStart, r.Start, "the start that an earlier process has to exceed")
--- a/internal/rollout/helpers_test.go
+++ b/internal/rollout/helpers_test.go
@@ -73,9 +73,9 @@
 		table := f.state.Table()
 		c.ApplyTable(&table)
 	}
-	r := c.Report(counts)
+	r := c.NextReport(counts)
 	a := f.controller.Report(now, f.state, &r)
-	c.ApplyAnswer(now, &a)
+	c.ApplyReportResponse(now, &a)
 	return a
 }
 
--- a/internal/rollout/lease_test.go
+++ b/internal/rollout/lease_test.go
@@ -22,7 +22,7 @@
 			for i := range f.sidecars {
 				own := int64(float64(now) * rates[i])
 				if c := &f.sidecars[i]; c.MayUseCanary(own) {
-					require.Greater(t, c.ActingRev, f.state.Closed())
+					require.Greater(t, c.TableRev, f.state.Closed())
 				}
 				if rapid.IntRange(0, 9).Draw(t, "reports") == 0 {
 					f.report(now, i, rapid.IntRange(0, 3).Draw(t, "follows") == 0)
--- a/internal/rollout/model/budget_world.go
+++ b/internal/rollout/model/budget_world.go
@@ -174,7 +174,7 @@
 // attempts emits what an attempt of sidecar i, and its crash, may do.
 func (w *BudgetWorld) attempts(emit func(string, explore.World), i int) {
 	s := &w.sidecars[i]
-	mayBegin := s.Budget.Free() > 0 || w.Defect == FailuresSummed && s.Budget.Reserved == 0
+	mayBegin := s.Budget.Free() > 0 || w.Defect == NoReservation && s.Budget.Reserved == 0
 	if s.MayUseCanary(w.clock) && mayBegin {
 		w.withSidecar(emit, "begin", i, func(_ *BudgetWorld, s *budgetSidecar) { s.Budget.Reserved++ })
 	}
@@ -210,7 +210,7 @@
 	}
 	if w.sidecars[i].delayedAnswer != nil {
 		w.withSidecar(emit, "delayed answer", i, func(_ *BudgetWorld, s *budgetSidecar) {
-			s.ApplyGrants(s.delayedAnswer)
+			s.ApplyBudgetResponse(s.delayedAnswer)
 			s.delayedAnswer = nil
 		})
 	}
@@ -241,7 +241,7 @@
 func (w *BudgetWorld) commitRequest(emit func(string, explore.World), i int) {
 	w.withState(emit, "committed and answered", i, func(c *BudgetWorld, s *budgetSidecar) {
 		answer := c.commit(s)
-		s.ApplyGrants(&answer)
+		s.ApplyBudgetResponse(&answer)
 	})
 	w.withState(emit, "committed, answer lost", i, func(c *BudgetWorld, s *budgetSidecar) { c.commit(s) })
 	if w.duplicates > 0 {
@@ -256,17 +256,17 @@
 			ahead := c.state.Clone()
 			_, _ = ahead.Apply(&rollout.Command{Op: rollout.OpLedger, Entries: s.entries})
 			answer := c.controller.BudgetResponse(ahead, &s.request)
-			s.ApplyGrants(&answer)
+			s.ApplyBudgetResponse(&answer)
 		})
 	}
 }
 
 // exchangeReport is a report with its answer. The numbers of reports and stamps play no part in this world.
 func (w *BudgetWorld) exchangeReport(s *budgetSidecar) {
-	report := s.Report(nil)
+	report := s.NextReport(nil)
 	s.Seq = 0
 	answer := w.controller.Report(w.clock, w.state, &report)
-	s.ApplyAnswer(w.clock, &answer)
+	s.ApplyReportResponse(w.clock, &answer)
 	s.Stamp = route.Moment{}
 	table := w.state.Table()
 	s.ApplyTable(&table)
@@ -276,7 +276,7 @@
 func (w *BudgetWorld) receive(s *budgetSidecar) {
 	w.exchangeReport(s)
 	s.entries, s.stage = w.controller.BudgetEntries(w.clock, w.state, &s.request), received
-	if w.Defect == FailuresSummed {
+	if w.Defect == NoReservation {
 		s.entries = []rollout.LedgerEntry{{
 			Process: s.Process, Tenant: tenantID, Rollout: rolloutID, Granted: s.request.Budgets[0].Spent,
 		}}
--- a/internal/rollout/model/explore_test.go
+++ b/internal/rollout/model/explore_test.go
@@ -60,11 +60,11 @@
 		want   string
 	}{
 		{GrantBeforeCommit, NewBudgetWorld(GrantBeforeCommit, leaderChange), "4 failures of a budget of 3"},
-		{FailuresSummed, NewBudgetWorld(FailuresSummed, Faults{}), "4 failures of a budget of 3"},
+		{NoReservation, NewBudgetWorld(NoReservation, Faults{}), "4 failures of a budget of 3"},
 		{GoneUnitsReturned, NewBudgetWorld(GoneUnitsReturned, Faults{Crashes: 1}), "4 failures of a budget of 3"},
 		{NoLeaseWait, NewLeaseWorld(NoLeaseWait, 2, 1, 2, leaderChange), "is closed"},
-		{LeaseFromAnswer, NewLeaseWorld(LeaseFromAnswer, 2, 1, 2, Faults{}), "is closed"},
-		{LeaseOnClosing, NewLeaseWorld(LeaseOnClosing, 2, 1, 2, Faults{}), "is closed"},
+		{LeaseFromResponse, NewLeaseWorld(LeaseFromResponse, 2, 1, 2, Faults{}), "is closed"},
+		{LeaseWhileClosing, NewLeaseWorld(LeaseWhileClosing, 2, 1, 2, Faults{}), "is closed"},
 		{NoBarrierOnElection, NewLeaseWorld(NoBarrierOnElection, 2, 1, 2, leaderChange), "is closed"},
 	} {
 		states, err := explore.Run(c.world, explore.Options{BreadthFirst: !raceEnabled})
--- a/internal/rollout/model/lease_world.go
+++ b/internal/rollout/model/lease_world.go
@@ -73,7 +73,7 @@
 }
 
 func (w *LeaseWorld) sidecarKey(s *leaseSidecar) []byte {
-	b := statekey.AppendInts(nil, s.Start, s.ActingRev, max(s.LeaseUntil, w.clock), int64(s.stage), min(s.sentAt-w.clock, 0))
+	b := statekey.AppendInts(nil, s.Start, s.TableRev, max(s.LeaseUntil, w.clock), int64(s.stage), min(s.sentAt-w.clock, 0))
 	var seqs []int64
 	switch s.stage {
 	case sent:
@@ -99,8 +99,8 @@
 // Check holds what is promised: no attempt begins under a closed revision.
 func (w *LeaseWorld) Check() error {
 	for i := range w.sidecars {
-		if s := &w.sidecars[i]; s.MayUseCanary(w.clock) && s.ActingRev <= w.state.Closed() {
-			return fmt.Errorf("an attempt may begin under %d, and %d is closed", s.ActingRev, w.state.Closed())
+		if s := &w.sidecars[i]; s.MayUseCanary(w.clock) && s.TableRev <= w.state.Closed() {
+			return fmt.Errorf("an attempt may begin under %d, and %d is closed", s.TableRev, w.state.Closed())
 		}
 	}
 	return nil
@@ -167,7 +167,7 @@
 
 func (w *LeaseWorld) tick() {
 	controller := w.controller
-	if w.Defect == LeaseOnClosing { // the controller does not remember what it has asked to close
+	if w.Defect == LeaseWhileClosing { // the controller does not remember what it has asked to close
 		controller = controller.Clone()
 	}
 	commands, _ := controller.Tick(w.clock, w.state, oneReady)
@@ -210,7 +210,7 @@
 // exchanges emits what may happen to sidecar i.
 func (w *LeaseWorld) exchanges(emit func(string, explore.World), i int) {
 	s := &w.sidecars[i]
-	if s.ActingRev < w.state.Rev() {
+	if s.TableRev < w.state.Rev() {
 		w.withSidecar(emit, "watch", i, func(c *LeaseWorld, s *leaseSidecar) {
 			table := c.state.Table()
 			s.ApplyTable(&table)
@@ -230,7 +230,7 @@
 		})
 	}
 	switch {
-	case s.stage == idle && s.sentAt < w.clock && s.ActingRev > 0:
+	case s.stage == idle && s.sentAt < w.clock && s.TableRev > 0:
 		w.sendReport(emit, i)
 	case s.stage == sent:
 		w.withState(emit, "report answered", i, (*LeaseWorld).answer)
@@ -241,7 +241,7 @@
 
 func (w *LeaseWorld) sendReport(emit func(string, explore.World), i int) {
 	w.withState(emit, "report", i, func(c *LeaseWorld, s *leaseSidecar) {
-		s.report, s.sentAt, s.stage = s.Report(nil), c.clock, sent
+		s.report, s.sentAt, s.stage = s.NextReport(nil), c.clock, sent
 		if c.leaderChanges == 0 { // a delayed report matters only at a leader change; a delayed answer always does
 			c.answer(s)
 		}
@@ -249,7 +249,7 @@
 	if w.duplicates > 0 {
 		w.withSidecar(emit, "report, and a duplicate later", i, func(c *LeaseWorld, s *leaseSidecar) {
 			c.duplicates--
-			s.report, s.sentAt, s.stage = s.Report(nil), c.clock, sent
+			s.report, s.sentAt, s.stage = s.NextReport(nil), c.clock, sent
 			duplicate := s.report
 			s.duplicate = &duplicate
 		})
@@ -259,10 +259,10 @@
 func (w *LeaseWorld) receiveAnswer(emit func(string, explore.World), i int) {
 	w.withSidecar(emit, "lease", i, func(c *LeaseWorld, s *leaseSidecar) {
 		from := s.sentAt
-		if c.Defect == LeaseFromAnswer {
+		if c.Defect == LeaseFromResponse {
 			from = c.clock
 		}
-		s.ApplyAnswer(from, &route.ReportResponse{LeaseMS: s.leaseTerm})
+		s.ApplyReportResponse(from, &route.ReportResponse{LeaseMS: s.leaseTerm})
 		s.stage = idle
 	})
 	w.withSidecar(emit, "answer lost", i, func(_ *LeaseWorld, s *leaseSidecar) { s.stage = idle })
--- a/internal/rollout/model/options.go
+++ b/internal/rollout/model/options.go
@@ -6,40 +6,42 @@
 	"marblelane/internal/rollout"
 )
 
-// Options describe a simulation. Times are in milliseconds.
+// Options configure a simulation. All times are in milliseconds.
 type Options struct {
 	Seed              uint64
 	Sidecars          int
 	Duration          int64
-	RequestRate       float64 // a second and sidecar
-	AttemptTime       int64   // mean
-	CanaryFailureRate float64 // part of the attempts to the canary that fail
-	BaseFailureRate   float64 // likewise, to the base
-	Budget            int64
+	RequestRate       float64 // requests per second and sidecar
+	MeanAttemptTime   int64   // mean of the exponentially distributed durations of attempts
+	CanaryFailureRate float64 // fraction of attempts that fail on the canary
+	BaseFailureRate   float64 // fraction of attempts that fail on the base
+	Budget            int64   // number of failed canary attempts that the rollout may cause
 	Steps             []rollout.Step
-	ReportInterval    int64
-	BudgetInterval    int64 // between budget requests; a sidecar that lacks units sends one earlier, after GatherTime
-	WantedUnits       int64 // that a sidecar would like to hold
-	GatherTime        int64 // in which budget requests become one command
-	CommitTime        int64 // until a command is on a majority
-	Latency           int64 // mean, of a message one way
-	LossRate          float64
-	DuplicateRate     float64 // of messages that arrive a second time, later
-	KillTimes         []int64 // at each a sidecar is killed and restarted
-	LeaderLossTimes   []int64 // at each the leader is lost, with the commands that are not committed
-	ElectionTime      int64   // until there is a new leader
-	BaselineInterval  int64   // between two sums of the baseline's counters
-	Controller        rollout.Options
+	ReportInterval    int64 // between the load reports of one sidecar
+	// BudgetInterval is the time between the budget requests of one sidecar. A sidecar without a free unit sends the next
+	// request earlier, but at least BatchTime after the last one.
+	BudgetInterval   int64
+	WantedUnits      int64   // number of units that a sidecar asks for
+	BatchTime        int64   // during which the leader collects budget requests into one command
+	CommitTime       int64   // from proposing a command until a majority has stored it
+	MeanLatency      int64   // mean one-way latency of a message
+	LossRate         float64 // fraction of messages that are lost
+	DuplicateRate    float64 // fraction of messages that are delivered a second time, later
+	KillTimes        []int64 // at each of them a random sidecar is killed and restarted
+	LeaderLossTimes  []int64 // at each of them the leader fails, and its uncommitted commands are lost
+	ElectionTime     int64   // from the failure of a leader until the next one is elected
+	BaselineInterval int64   // between two evaluations of the failure counters in the baseline
+	Controller       rollout.Options
 }
 
-// Defaults are the settings of docs/routes.md, with a canary of whose attempts a tenth fail.
+// Defaults returns the settings described in docs/routes.md, with a canary that fails 10 % of its attempts.
 func Defaults() Options {
 	return Options{
 		Seed:              1,
 		Sidecars:          100,
 		Duration:          60_000,
 		RequestRate:       10,
-		AttemptTime:       30,
+		MeanAttemptTime:   30,
 		CanaryFailureRate: 0.1,
 		BaseFailureRate:   0.001,
 		Budget:            50,
@@ -47,59 +49,62 @@
 		ReportInterval:    1000,
 		BudgetInterval:    1000,
 		WantedUnits:       2,
-		GatherTime:        20,
+		BatchTime:         20,
 		CommitTime:        5,
-		Latency:           2,
+		MeanLatency:       2,
 		ElectionTime:      1500,
 		BaselineInterval:  1000,
 		Controller:        rollout.Defaults(),
 	}
 }
 
-// maxSidecars is what a controller remembers.
+// maxSidecars is the largest number of processes that a controller tracks.
 const maxSidecars = rollout.MaxProcesses
 
-func (o *Options) check() error {
+// validate returns an error if the simulation cannot run with these options.
+func (o *Options) validate() error {
 	switch {
 	case o.Sidecars < 1 || o.Sidecars > maxSidecars:
-		return fmt.Errorf("model: sidecars are %d, not 1 to %d", o.Sidecars, maxSidecars)
+		return fmt.Errorf("model: the number of sidecars is %d, but must be between 1 and %d", o.Sidecars, maxSidecars)
 	case o.Duration < 1 || o.RequestRate <= 0:
-		return fmt.Errorf("model: the duration %d or the request rate %v is not above 0", o.Duration, o.RequestRate)
+		return fmt.Errorf("model: the duration %d ms and the request rate %v must be positive", o.Duration, o.RequestRate)
 	case o.ReportInterval < 1 || o.BudgetInterval < 1 || o.BaselineInterval < 1:
-		return fmt.Errorf("model: an interval of reports %d, budget requests %d or the baseline %d is not above 0",
+		return fmt.Errorf("model: the intervals of reports (%d ms), budget requests (%d ms) and the baseline (%d ms) must be positive",
 			o.ReportInterval, o.BudgetInterval, o.BaselineInterval)
 	}
 	return nil
 }
 
-// Result is what came of a simulation. Times are milliseconds from its beginning, notYet where it did not come to that.
+// Result is the outcome of a simulation. Times are in milliseconds since its start, and notReached for an event that did
+// not happen.
 //
-// The lab prints it as JSON with the names of its fields or their tags, which therefore stay as they are.
+// The lab prints a Result as JSON, so the tags keep the names under which the fields are known there.
 type Result struct {
 	Phase            rollout.Phase
-	Why              string // reason of the last change of phase
-	Attempts         int64  // to the canary
-	Failures, Budget int64
-	LastUnit         int64 // time of the failure that spent the budget's last unit
-	LastAttempt      int64 // time of the last attempt to the canary
-	RolledBack       int64 // time of the commit of the rollback
-	AllActing        int64 // from then on no sidecar may use the canary
-	Ledger           int64 // ledger commands
-	LedgerBytes      int64 // of the JSON of ledger commands
-	Entries          int64 // of ledger commands
-	Commands         int64 // of all kinds
-	LedgerPerSecond  float64
-	CanaryFraction   float64 `json:"Share"` // of the requests made with a lease that went to the canary
-	BudgetRequests   int64   `json:"Asks"`  // that a leader received
-	Reports          int64   // that a leader received
+	Reason           string  `json:"Why"` // reason of the last change of phase
+	Attempts         int64   // attempts to the canary
+	Failures, Budget int64   // failed attempts to the canary, and their limit
+	LastUnitSpent    int64   `json:"LastUnit"` // time of the failure that used up the budget
+	LastAttempt      int64   // time of the last attempt to the canary
+	RolledBack       int64   // time at which the rollback was committed
+	CanaryStopped    int64   `json:"AllActing"` // time from which no sidecar may use the canary
+	LedgerCommands   int64   `json:"Ledger"`
+	LedgerBytes      int64   // total size of the ledger commands as JSON
+	LedgerEntries    int64   `json:"Entries"` // total number of entries in the ledger commands
+	Commands         int64   // committed commands of all kinds
+	LedgerPerSecond  float64 // ledger commands per second
+	CanaryFraction   float64 `json:"Share"` // fraction of the requests made with a lease that went to the canary
+	BudgetRequests   int64   `json:"Asks"`  // budget requests that reached a leader
+	Reports          int64   // load reports that reached a leader
 
-	// The baseline sees the same requests and outcomes. Its sidecars use the canary until they are notified, and its
-	// leader sums their counters.
-	BaselineFailures, BaselineOver int64 // failures, and those beyond the budget
+	// The baseline processes the same requests with the same outcomes. Its sidecars use the canary until they are
+	// notified, and its leader sums their failure counters.
+	BaselineFailures, BaselineOver int64 // all failures, and the failures in excess of the budget
 	BaselineLastUnit               int64
 	BaselineLastAttempt            int64
 
-	Overclaimed bool // the ledger granted more than the budget at some time, which is a defect
+	Overclaimed bool // the units granted by the ledger exceeded the budget at some time, which is a defect
 }
 
+// notReached is the time of an event that did not happen.
 const notYet = -1
--- a/internal/rollout/model/sidecar.go
+++ b/internal/rollout/model/sidecar.go
@@ -15,7 +15,7 @@
 	route.Process
 	Tenant, Rollout string
 	Budget          balance.CanaryBudget
-	ActingRev       int64        // revision of the table that it acts on
+	TableRev        int64        // revision of the table that it acts on
 	CanaryActive    bool         // that table sends requests to the canary
 	LeaseUntil      int64        // end of its canary lease
 	Seq             int64        // of the newest report
@@ -24,10 +24,10 @@
 
 // ApplyTable takes in a table that is newer than the present one.
 func (s *Sidecar) ApplyTable(t *route.Table) {
-	if t.Rev <= s.ActingRev {
+	if t.Rev <= s.TableRev {
 		return
 	}
-	s.ActingRev, s.CanaryActive = t.Rev, false
+	s.TableRev, s.CanaryActive = t.Rev, false
 	for i := range t.Routes {
 		r := &t.Routes[i]
 		isCanary := r.Tenant == s.Tenant && rollout.RolloutName(r.Rollout) == s.Rollout && r.Share > 0
@@ -38,16 +38,16 @@
 // MayUseCanary reports whether an attempt to the canary may begin now, if a unit of the budget can be reserved.
 func (s *Sidecar) MayUseCanary(now int64) bool { return s.CanaryActive && now < s.LeaseUntil }
 
-// Report is the sidecar's next report.
-func (s *Sidecar) Report(counts []route.Count) route.Report {
+// NextReport is the sidecar's next report.
+func (s *Sidecar) NextReport(counts []route.Count) route.Report {
 	s.Seq++
 	return route.Report{
-		Process: s.Process, Seq: s.Seq, Echo: s.Stamp, Schemas: []int{1, 2}, AcknowledgedRev: s.ActingRev, Counts: counts,
+		Process: s.Process, Seq: s.Seq, Echo: s.Stamp, Schemas: []int{1, 2}, AcknowledgedRev: s.TableRev, Counts: counts,
 	}
 }
 
-// ApplyAnswer takes in the answer to a report. The lease counts from when the report was sent.
-func (s *Sidecar) ApplyAnswer(sentAt int64, a *route.ReportResponse) {
+// ApplyReportResponse takes in the answer to a report. The lease counts from when the report was sent.
+func (s *Sidecar) ApplyReportResponse(sentAt int64, a *route.ReportResponse) {
 	s.Stamp = a.Stamp
 	if a.LeaseMS > 0 {
 		s.LeaseUntil = max(s.LeaseUntil, sentAt+a.LeaseMS)
@@ -62,8 +62,8 @@
 	}}}
 }
 
-// ApplyGrants takes in the answer to a budget request.
-func (s *Sidecar) ApplyGrants(a *route.BudgetResponse) {
+// ApplyBudgetResponse takes in the answer to a budget request.
+func (s *Sidecar) ApplyBudgetResponse(a *route.BudgetResponse) {
 	for _, grant := range a.Budgets {
 		if grant.Tenant == s.Tenant && grant.Rollout == s.Rollout {
 			s.Budget.Grant(grant.Granted, grant.MaxIdle)
--- a/internal/rollout/model/simulate.go
+++ b/internal/rollout/model/simulate.go
@@ -32,7 +32,7 @@
 
 // Simulate runs a simulation. The same options give the same result.
 func Simulate(o Options) (Result, error) {
-	if err := o.check(); err != nil {
+	if err := o.validate(); err != nil {
 		return Result{}, err
 	}
 	s := &simulation{
@@ -41,7 +41,7 @@
 		service:   service{state: rollout.NewState()},
 		baseline:  baselineService{sums: make([]int64, o.Sidecars)},
 		result: Result{
-			Budget: o.Budget, LastUnit: notYet, LastAttempt: notYet, RolledBack: notYet, AllActing: notYet,
+			Budget: o.Budget, LastUnitSpent: notYet, LastAttempt: notYet, RolledBack: notYet, CanaryStopped: notYet,
 			BaselineLastUnit: notYet, BaselineLastAttempt: notYet,
 		},
 	}
@@ -93,10 +93,10 @@
 // send carries a message: it may be lost, or arrive twice.
 func (s *simulation) send(arrive func()) {
 	if s.rng.Float64() >= s.LossRate {
-		s.after(s.randomTime(s.Latency), arrive)
+		s.after(s.randomTime(s.MeanLatency), arrive)
 	}
 	if s.rng.Float64() < s.DuplicateRate {
-		s.after(s.randomTime(duplicateLatency*s.Latency), arrive)
+		s.after(s.randomTime(duplicateLatency*s.MeanLatency), arrive)
 	}
 }
 
@@ -112,8 +112,8 @@
 func (s *simulation) finish() Result {
 	r, _ := s.service.state.Rollout(playTenant, playRollout)
 	out := s.result
-	out.Phase, out.Why = r.Phase, r.Reason
-	out.LedgerPerSecond = float64(out.Ledger) / (float64(s.Duration) / 1000)
+	out.Phase, out.Reason = r.Phase, r.Reason
+	out.LedgerPerSecond = float64(out.LedgerCommands) / (float64(s.Duration) / 1000)
 	if s.leasedRequests > 0 {
 		out.CanaryFraction = float64(out.Attempts) / float64(s.leasedRequests)
 	}
--- a/internal/rollout/model/simulate_baseline.go
+++ b/internal/rollout/model/simulate_baseline.go
@@ -51,6 +51,6 @@
 	}
 	s.baseline.stopped = true
 	for _, sidecar := range s.sidecars {
-		s.after(s.CommitTime+s.randomTime(s.Latency), func() { sidecar.baseline.stopped = true })
+		s.after(s.CommitTime+s.randomTime(s.MeanLatency), func() { sidecar.baseline.stopped = true })
 	}
 }
--- a/internal/rollout/model/simulate_service.go
+++ b/internal/rollout/model/simulate_service.go
@@ -58,7 +58,7 @@
 	s.service.pending = append(s.service.pending, pendingRequest{from, request, entries})
 	if !s.service.gatherDue {
 		s.service.gatherDue = true
-		s.after(s.GatherTime, s.commitGathered)
+		s.after(s.BatchTime, s.commitGathered)
 	}
 }
 
@@ -81,7 +81,7 @@
 func (s *simulation) answerRequests(requests []pendingRequest) {
 	for _, p := range requests {
 		answer := s.service.controller.BudgetResponse(s.service.state, &p.request)
-		s.sendTo(p.sidecar, p.request.Start, func() { p.sidecar.ApplyGrants(&answer) })
+		s.sendTo(p.sidecar, p.request.Start, func() { p.sidecar.ApplyBudgetResponse(&answer) })
 	}
 }
 
@@ -105,8 +105,8 @@
 	_, _ = state.Apply(command) // one that comes too late is rejected, as it should be
 	s.result.Commands++
 	if command.Op == rollout.OpLedger {
-		s.result.Ledger++
-		s.result.Entries += int64(len(command.Entries))
+		s.result.LedgerCommands++
+		s.result.LedgerEntries += int64(len(command.Entries))
 		data, _ := json.Marshal(command) // plain values, which cannot fail
 		s.result.LedgerBytes += int64(len(data))
 	}
@@ -140,7 +140,7 @@
 
 // noteAllActing notes when the last sidecar stops using the canary after a rollback.
 func (s *simulation) noteAllActing() {
-	if s.result.RolledBack < 0 || s.result.AllActing >= 0 {
+	if s.result.RolledBack < 0 || s.result.CanaryStopped >= 0 {
 		return
 	}
 	for _, sidecar := range s.sidecars {
@@ -148,5 +148,5 @@
 			return
 		}
 	}
-	s.result.AllActing = s.now
+	s.result.CanaryStopped = s.now
 }
--- a/internal/rollout/model/simulate_sidecar.go
+++ b/internal/rollout/model/simulate_sidecar.go
@@ -66,7 +66,7 @@
 
 // attempt is one request, here and in the baseline, with one draw of the side and one of the outcome.
 func (s *simulation) attempt(sidecar *simSidecar) {
-	side, outcome, takes := s.rng.Float64(), s.rng.Float64(), s.randomTime(s.AttemptTime)
+	side, outcome, takes := s.rng.Float64(), s.rng.Float64(), s.randomTime(s.MeanAttemptTime)
 	drawsCanary := side < s.canaryFraction
 	if drawsCanary {
 		s.attemptBaseline(sidecar, outcome, takes)
@@ -85,7 +85,7 @@
 	}
 	rev, start := int64(0), sidecar.Start
 	if s.now < sidecar.LeaseUntil {
-		rev = sidecar.ActingRev
+		rev = sidecar.TableRev
 	}
 	s.after(takes, func() { s.endAttempt(sidecar, start, rev, canary, outcome) })
 }
@@ -111,7 +111,7 @@
 func (s *simulation) countFailure() {
 	s.result.Failures++
 	if s.result.Failures == s.Budget {
-		s.result.LastUnit = s.now
+		s.result.LastUnitSpent = s.now
 	}
 }
 
@@ -149,7 +149,7 @@
 }
 
 func (s *simulation) sendReport(sidecar *simSidecar) {
-	sentAt, report := s.now, sidecar.Report(sidecar.counts())
+	sentAt, report := s.now, sidecar.NextReport(sidecar.counts())
 	s.send(func() {
 		if s.service.controller == nil {
 			return
@@ -158,7 +158,7 @@
 		answer := s.service.controller.Report(s.now, s.service.state, &report)
 		table := s.service.state.Table()
 		s.sendTo(sidecar, report.Start, func() {
-			sidecar.ApplyAnswer(sentAt, &answer)
+			sidecar.ApplyReportResponse(sentAt, &answer)
 			if answer.Resync {
 				sidecar.ApplyTable(&table)
 				s.noteAllActing()
@@ -169,7 +169,7 @@
 
 // requestUnitsSoon requests units ahead of time, for a sidecar that has none.
 func (s *simulation) requestUnitsSoon(sidecar *simSidecar) {
-	if s.now-sidecar.requestedAt >= max(s.GatherTime, 1) {
+	if s.now-sidecar.requestedAt >= max(s.BatchTime, 1) {
 		s.requestUnits(sidecar)
 	}
 }
--- a/internal/rollout/model/simulate_test.go
+++ b/internal/rollout/model/simulate_test.go
@@ -41,7 +41,7 @@
 	require.Equal(t, rollout.RolledBack, res.Phase)
 	require.Equal(t, o.Budget, res.Failures)
 	require.Greater(t, res.BaselineOver, o.Budget)
-	require.LessOrEqual(t, res.LastAttempt, res.LastUnit, "no unit, no attempt")
+	require.LessOrEqual(t, res.LastAttempt, res.LastUnitSpent, "no unit, no attempt")
 	_, err = Simulate(Options{})
 	require.Error(t, err)
 }
--- a/internal/rollout/model/world.go
+++ b/internal/rollout/model/world.go
@@ -27,11 +27,11 @@
 const (
 	None                Defect = iota
 	GrantBeforeCommit          // a grant is answered before it is in the ledger
-	FailuresSummed             // failures are summed, and nothing is reserved before an attempt
+	NoReservation              // failures are summed, and nothing is reserved before an attempt
 	GoneUnitsReturned          // what a process held that is gone goes back to the budget
 	NoLeaseWait                // a new leader does not wait until earlier leases have expired
-	LeaseFromAnswer            // a sidecar counts the lease from the answer, not from its report
-	LeaseOnClosing             // a leader grants a lease on a revision that it is closing
+	LeaseFromResponse          // a sidecar counts the lease from the answer, not from its report
+	LeaseWhileClosing          // a leader grants a lease on a revision that it is closing
 	NoBarrierOnElection        // a new leader begins before it has all that is replicated
 )
 
