--- a/internal/rollout/model/budget_world.go
+++ b/internal/rollout/model/budget_world.go
@@ -31,8 +31,8 @@
 	request route.BudgetRequest
 	entries []rollout.LedgerEntry
 
-	duplicate     *route.BudgetRequest  // arrives a second time
-	delayedAnswer *route.BudgetResponse // arrives later
+	duplicate       *route.BudgetRequest  // arrives a second time
+	delayedResponse *route.BudgetResponse // arrives later
 }
 
 // jumpedClock is the clock after its jump, at which processes that have not reported since are gone.
@@ -78,8 +78,8 @@
 			b = statekey.AppendInts(b, entry.Granted, entry.Spent, entry.Returned)
 		}
 	}
-	if answer := s.delayedAnswer; answer != nil {
-		b = statekey.AppendInts(append(b, 'A'), answer.Budgets[0].Granted, answer.Budgets[0].MaxIdle)
+	if response := s.delayedResponse; response != nil {
+		b = statekey.AppendInts(append(b, 'A'), response.Budgets[0].Granted, response.Budgets[0].MaxIdle)
 	}
 	if s.duplicate != nil {
 		b = appendRequestKey(append(b, 'L'), s.duplicate)
@@ -114,10 +114,10 @@
 		return nil
 	}
 	for i := range w.sidecars {
-		held := w.sidecars[i].Budget
+		sidecarBudget := w.sidecars[i].Budget
 		account := w.state.Account(tenantID, rolloutID, rollout.AccountKey(w.sidecars[i].Process))
-		if held.Granted > account.Granted || held.Returned < account.Returned {
-			return fmt.Errorf("a budget of %+v beside an account of %+v: a unit has two owners", held, account)
+		if sidecarBudget.Granted > account.Granted || sidecarBudget.Returned < account.Returned {
+			return fmt.Errorf("a budget of %+v beside an account of %+v: a unit has two owners", sidecarBudget, account)
 		}
 	}
 	return nil
@@ -147,13 +147,13 @@
 
 // Next implements explore.World.
 func (w *BudgetWorld) Next(emit func(string, explore.World)) {
-	over := w.Defect == None && w.phase.Over() // Check has counted all that may still fail
+	ended := w.Defect == None && w.phase.Over() // Check has counted all that may still fail
 	for i := range w.sidecars {
-		if !over {
-			w.attempts(emit, i)
+		if !ended {
+			w.emitAttempts(emit, i)
 		}
-		if !over || w.sidecars[i].stage == received {
-			w.exchanges(emit, i)
+		if !ended || w.sidecars[i].stage == received {
+			w.emitExchanges(emit, i)
 		}
 	}
 	if w.leaderChanges > 0 {
@@ -171,8 +171,8 @@
 	w.withState(emit, "tick", 0, func(c *BudgetWorld, _ *budgetSidecar) { c.tick() })
 }
 
-// attempts emits what an attempt of sidecar i, and its crash, may do.
-func (w *BudgetWorld) attempts(emit func(string, explore.World), i int) {
+// emitAttempts emits what an attempt of sidecar i, and its crash, may do.
+func (w *BudgetWorld) emitAttempts(emit func(string, explore.World), i int) {
 	s := &w.sidecars[i]
 	mayBegin := s.Budget.Free() > 0 || w.Defect == NoReservation && s.Budget.Reserved == 0
 	if s.MayUseCanary(w.clock) && mayBegin {
@@ -200,18 +200,18 @@
 	w.exchangeReport(s)
 }
 
-// exchanges emits what may happen to a budget request of sidecar i.
-func (w *BudgetWorld) exchanges(emit func(string, explore.World), i int) {
+// emitExchanges emits what may happen to a budget request of sidecar i.
+func (w *BudgetWorld) emitExchanges(emit func(string, explore.World), i int) {
 	switch w.sidecars[i].stage {
 	case idle:
-		w.sendRequest(emit, i)
+		w.emitRequest(emit, i)
 	case received:
-		w.commitRequest(emit, i)
+		w.emitCommit(emit, i)
 	}
-	if w.sidecars[i].delayedAnswer != nil {
+	if w.sidecars[i].delayedResponse != nil {
 		w.withSidecar(emit, "delayed answer", i, func(_ *BudgetWorld, s *budgetSidecar) {
-			s.ApplyBudgetResponse(s.delayedAnswer)
-			s.delayedAnswer = nil
+			s.ApplyBudgetResponse(s.delayedResponse)
+			s.delayedResponse = nil
 		})
 	}
 	if w.sidecars[i].duplicate != nil {
@@ -222,10 +222,10 @@
 	}
 }
 
-func (w *BudgetWorld) sendRequest(emit func(string, explore.World), i int) {
+func (w *BudgetWorld) emitRequest(emit func(string, explore.World), i int) {
 	w.withState(emit, "request", i, func(c *BudgetWorld, s *budgetSidecar) {
 		s.request = s.BudgetRequest(wantedUnits)
-		c.receive(s)
+		c.receiveRequest(s)
 	})
 	if w.duplicates > 0 {
 		w.withState(emit, "request, and a duplicate later", i, func(c *BudgetWorld, s *budgetSidecar) {
@@ -233,12 +233,12 @@
 			s.request = s.BudgetRequest(wantedUnits)
 			duplicate := s.request
 			s.duplicate = &duplicate
-			c.receive(s)
+			c.receiveRequest(s)
 		})
 	}
 }
 
-func (w *BudgetWorld) commitRequest(emit func(string, explore.World), i int) {
+func (w *BudgetWorld) emitCommit(emit func(string, explore.World), i int) {
 	w.withState(emit, "committed and answered", i, func(c *BudgetWorld, s *budgetSidecar) {
 		answer := c.commit(s)
 		s.ApplyBudgetResponse(&answer)
@@ -248,7 +248,7 @@
 		w.withState(emit, "committed, answer delayed", i, func(c *BudgetWorld, s *budgetSidecar) {
 			c.duplicates--
 			answer := c.commit(s)
-			s.delayedAnswer = &answer
+			s.delayedResponse = &answer
 		})
 	}
 	if w.Defect == GrantBeforeCommit {
@@ -265,15 +265,15 @@
 func (w *BudgetWorld) exchangeReport(s *budgetSidecar) {
 	report := s.NextReport(nil)
 	s.Seq = 0
-	answer := w.controller.Report(w.clock, w.state, &report)
-	s.ApplyReportResponse(w.clock, &answer)
+	response := w.controller.Report(w.clock, w.state, &report)
+	s.ApplyReportResponse(w.clock, &response)
 	s.Stamp = route.Moment{}
 	table := w.state.Table()
 	s.ApplyTable(&table)
 }
 
-// receive has the leader receive a sidecar's request.
-func (w *BudgetWorld) receive(s *budgetSidecar) {
+// receiveRequest has the leader receiveRequest a sidecar's request.
+func (w *BudgetWorld) receiveRequest(s *budgetSidecar) {
 	w.exchangeReport(s)
 	s.entries, s.stage = w.controller.BudgetEntries(w.clock, w.state, &s.request), received
 	if w.Defect == NoReservation {
@@ -313,7 +313,7 @@
 
 // tick commits the ledger commands that are due; the others are LeaseWorld's.
 func (w *BudgetWorld) tick() {
-	commands, _ := w.controller.Tick(w.clock, w.state, oneReady)
+	commands, _ := w.controller.Tick(w.clock, w.state, oneServerReady)
 	for _, command := range commands {
 		if command.Op != rollout.OpLedger {
 			continue
--- a/internal/rollout/model/events.go
+++ b/internal/rollout/model/events.go
@@ -7,15 +7,15 @@
 
 // event is something that happens at a time. Events of one time happen in the order in which they were scheduled.
 type event struct {
-	at, order int64
-	do        func()
+	at, seq int64
+	run     func()
 }
 
 type eventQueue []event
 
 func (q eventQueue) Len() int { return len(q) }
 func (q eventQueue) Less(i, j int) bool {
-	return q[i].at < q[j].at || q[i].at == q[j].at && q[i].order < q[j].order
+	return q[i].at < q[j].at || q[i].at == q[j].at && q[i].seq < q[j].seq
 }
 func (q eventQueue) Swap(i, j int) { q[i], q[j] = q[j], q[i] }
 func (q *eventQueue) Push(x any)   { *q = append(*q, x.(event)) }
@@ -27,10 +27,10 @@
 
 // scheduler is the clock of a simulation, and what happens when.
 type scheduler struct {
-	now       int64
-	lastOrder int64
-	events    eventQueue
-	rng       *rand.Rand
+	now     int64
+	lastSeq int64
+	events  eventQueue
+	rng     *rand.Rand
 }
 
 // run lets events happen up to a time, that one included.
@@ -38,21 +38,21 @@
 	for len(s.events) > 0 && s.events[0].at <= until {
 		next := heap.Pop(&s.events).(event)
 		s.now = next.at
-		next.do()
+		next.run()
 	}
 }
 
 func (s *scheduler) schedule(at int64, do func()) {
-	s.lastOrder++
-	heap.Push(&s.events, event{at, s.lastOrder, do})
+	s.lastSeq++
+	heap.Push(&s.events, event{at, s.lastSeq, do})
 }
 
-func (s *scheduler) after(delay int64, do func()) { s.schedule(s.now+delay, do) }
+func (s *scheduler) scheduleAfter(delay int64, do func()) { s.schedule(s.now+delay, do) }
 
-func (s *scheduler) every(interval int64, do func()) {
-	s.after(interval, func() {
+func (s *scheduler) scheduleEvery(interval int64, do func()) {
+	s.scheduleAfter(interval, func() {
 		do()
-		s.every(interval, do)
+		s.scheduleEvery(interval, do)
 	})
 }
 
--- a/internal/rollout/model/explore_test.go
+++ b/internal/rollout/model/explore_test.go
@@ -12,8 +12,8 @@
 // exploreAll reports whether the worlds that take minutes are explored, too: EXPLORE=all.
 func exploreAll() bool { return os.Getenv("EXPLORE") == "all" }
 
-// requireExplored explores a world, which must have so many states; 0: any number, for worlds too large for each run.
-func requireExplored(t *testing.T, f Faults, w explore.World, want int) {
+// requireStateCount explores a world, which must have so many states; 0: any number, for worlds too large for each run.
+func requireStateCount(t *testing.T, f Faults, w explore.World, want int) {
 	states, err := explore.Run(w, explore.Options{})
 	require.NoError(t, err)
 	t.Logf("%+v: %d states", f, states)
@@ -32,12 +32,12 @@
 		worlds[Faults{Crashes: 1, LeaderChanges: 1, ClockJumps: 1}] = 0
 	}
 	for f, want := range worlds {
-		requireExplored(t, f, NewBudgetWorld(None, f), want)
+		requireStateCount(t, f, NewBudgetWorld(None, f), want)
 	}
 }
 
 func TestExplore_leases(t *testing.T) {
-	requireExplored(t, Faults{}, NewLeaseWorld(None, 3, 1, 2, Faults{}), 11136)
+	requireStateCount(t, Faults{}, NewLeaseWorld(None, 3, 1, 2, Faults{}), 11136)
 	worlds := map[Faults]int{{Crashes: 1}: 8176}
 	if !raceEnabled {
 		worlds[Faults{LeaderChanges: 1}], worlds[Faults{Duplicates: 1}] = 47755, 17493
@@ -45,10 +45,10 @@
 	if exploreAll() {
 		worlds[Faults{Crashes: 1, LeaderChanges: 1, Duplicates: 1}] = 0
 		f := Faults{Crashes: 1, LeaderChanges: 1}
-		requireExplored(t, f, NewLeaseWorld(None, 3, 1, 2, f), 0)
+		requireStateCount(t, f, NewLeaseWorld(None, 3, 1, 2, f), 0)
 	}
 	for f, want := range worlds {
-		requireExplored(t, f, NewLeaseWorld(None, 2, 1, 2, f), want)
+		requireStateCount(t, f, NewLeaseWorld(None, 2, 1, 2, f), want)
 	}
 }
 
--- a/internal/rollout/model/lease_world.go
+++ b/internal/rollout/model/lease_world.go
@@ -14,15 +14,15 @@
 // restart, and a deposed leader that still answers what it confirmed before.
 type LeaseWorld struct {
 	Defect
-	state         *rollout.State
-	controller    *rollout.Controller
-	deposed       *rollout.Controller // nil: it has nothing left to answer
-	deposedState  *rollout.State
-	sidecars      [fleetSize]leaseSidecar
-	count         int              // of sidecars that take part
-	closing       *rollout.Command // not committed yet
-	clock, lastMS int64
-	tableChanges  int // that may still come
+	state           *rollout.State
+	controller      *rollout.Controller
+	deposed         *rollout.Controller // nil: it has nothing left to answer
+	deposedState    *rollout.State
+	sidecars        [fleetSize]leaseSidecar
+	sidecarCount    int              // of sidecars that take part
+	closing         *rollout.Command // not committed yet
+	clock, maxClock int64
+	tableChanges    int // that may still come
 
 	crashes, leaderChanges, duplicates int // faults that may still come
 }
@@ -42,7 +42,7 @@
 func NewLeaseWorld(d Defect, sidecars, tableChanges int, lastMS int64, f Faults) *LeaseWorld {
 	w := &LeaseWorld{
 		Defect: d, state: newPostedState(), controller: rollout.NewController(controllerOptions(), 0),
-		count: min(sidecars, fleetSize), lastMS: lastMS, tableChanges: tableChanges,
+		sidecarCount: min(sidecars, fleetSize), maxClock: lastMS, tableChanges: tableChanges,
 		crashes: f.Crashes, leaderChanges: f.LeaderChanges, duplicates: f.Duplicates,
 	}
 	for i := range w.sidecars {
@@ -133,10 +133,10 @@
 
 // Next implements explore.World.
 func (w *LeaseWorld) Next(emit func(string, explore.World)) {
-	for i := range w.count {
-		w.exchanges(emit, i)
+	for i := range w.sidecarCount {
+		w.emitExchanges(emit, i)
 	}
-	if w.clock < w.lastMS {
+	if w.clock < w.maxClock {
 		w.withSidecar(emit, "clock tick", 0, func(c *LeaseWorld, _ *leaseSidecar) { c.clock++ })
 	}
 	if w.tableChanges > 0 {
@@ -159,7 +159,7 @@
 func (w *LeaseWorld) changeTable() {
 	w.tableChanges--
 	command := rollout.Command{Op: rollout.OpForward, Tenant: tenantID, Name: rolloutID}
-	if w.tableChanges == 0 && w.state.Rev() != firstRev {
+	if w.tableChanges == 0 && w.state.Rev() != postedRev {
 		command.Op = rollout.OpRollBack
 	}
 	_, _ = w.state.Apply(&command)
@@ -170,7 +170,7 @@
 	if w.Defect == LeaseWhileClosing { // the controller does not remember what it has asked to close
 		controller = controller.Clone()
 	}
-	commands, _ := controller.Tick(w.clock, w.state, oneReady)
+	commands, _ := controller.Tick(w.clock, w.state, oneServerReady)
 	for i := range commands {
 		if commands[i].Op == rollout.OpClose {
 			w.closing = &commands[i]
@@ -207,8 +207,8 @@
 	w.controller = rollout.NewController(controllerOptions(), startedAt)
 }
 
-// exchanges emits what may happen to sidecar i.
-func (w *LeaseWorld) exchanges(emit func(string, explore.World), i int) {
+// emitExchanges emits what may happen to sidecar i.
+func (w *LeaseWorld) emitExchanges(emit func(string, explore.World), i int) {
 	s := &w.sidecars[i]
 	if s.TableRev < w.state.Rev() {
 		w.withSidecar(emit, "watch", i, func(c *LeaseWorld, s *leaseSidecar) {
@@ -231,19 +231,19 @@
 	}
 	switch {
 	case s.stage == idle && s.sentAt < w.clock && s.TableRev > 0:
-		w.sendReport(emit, i)
+		w.emitReport(emit, i)
 	case s.stage == sent:
-		w.withState(emit, "report answered", i, (*LeaseWorld).answer)
+		w.withState(emit, "report answered", i, (*LeaseWorld).respond)
 	case s.stage == answered:
-		w.receiveAnswer(emit, i)
+		w.emitResponse(emit, i)
 	}
 }
 
-func (w *LeaseWorld) sendReport(emit func(string, explore.World), i int) {
+func (w *LeaseWorld) emitReport(emit func(string, explore.World), i int) {
 	w.withState(emit, "report", i, func(c *LeaseWorld, s *leaseSidecar) {
 		s.report, s.sentAt, s.stage = s.NextReport(nil), c.clock, sent
 		if c.leaderChanges == 0 { // a delayed report matters only at a leader change; a delayed answer always does
-			c.answer(s)
+			c.respond(s)
 		}
 	})
 	if w.duplicates > 0 {
@@ -256,7 +256,7 @@
 	}
 }
 
-func (w *LeaseWorld) receiveAnswer(emit func(string, explore.World), i int) {
+func (w *LeaseWorld) emitResponse(emit func(string, explore.World), i int) {
 	w.withSidecar(emit, "lease", i, func(c *LeaseWorld, s *leaseSidecar) {
 		from := s.sentAt
 		if c.Defect == LeaseFromResponse {
@@ -268,8 +268,8 @@
 	w.withSidecar(emit, "answer lost", i, func(_ *LeaseWorld, s *leaseSidecar) { s.stage = idle })
 }
 
-// answer has the leader answer a report, or the deposed one that has confirmed it.
-func (w *LeaseWorld) answer(s *leaseSidecar) {
+// respond has the leader respond a report, or the deposed one that has confirmed it.
+func (w *LeaseWorld) respond(s *leaseSidecar) {
 	controller, state := w.controller, w.state
 	if s.confirmed {
 		controller, state = w.deposed, w.deposedState
--- a/internal/rollout/model/options.go
+++ b/internal/rollout/model/options.go
@@ -107,4 +107,4 @@
 }
 
 // notReached is the time of an event that did not happen.
-const notYet = -1
+const notReached = -1
--- a/internal/rollout/model/simulate.go
+++ b/internal/rollout/model/simulate.go
@@ -11,11 +11,11 @@
 )
 
 const (
-	playTenant  = "tenant"
-	playRollout = "canary"
+	simTenant  = "tenant"
+	simRollout = "canary"
 
-	tickInterval     = 100 // ms between two looks of the controller at what is due
-	duplicateLatency = 20  // times Latency
+	tickInterval           = 100 // ms between two looks of the controller at what is due
+	duplicateLatencyFactor = 20  // times Latency
 )
 
 // simulation is a run under way.
@@ -39,24 +39,24 @@
 		Options:   o,
 		scheduler: scheduler{rng: rand.New(rand.NewPCG(o.Seed, 0))},
 		service:   service{state: rollout.NewState()},
-		baseline:  baselineService{sums: make([]int64, o.Sidecars)},
+		baseline:  baselineService{reportedFailures: make([]int64, o.Sidecars)},
 		result: Result{
-			Budget: o.Budget, LastUnitSpent: notYet, LastAttempt: notYet, RolledBack: notYet, CanaryStopped: notYet,
-			BaselineLastUnit: notYet, BaselineLastAttempt: notYet,
+			Budget: o.Budget, LastUnitSpent: notReached, LastAttempt: notReached, RolledBack: notReached, CanaryStopped: notReached,
+			BaselineLastUnit: notReached, BaselineLastAttempt: notReached,
 		},
 	}
 	if err := s.postRollout(); err != nil {
 		return Result{}, fmt.Errorf("model: %w", err)
 	}
-	s.setUp()
+	s.scheduleInitialEvents()
 	s.run(o.Duration)
-	return s.finish(), nil
+	return s.finalResult(), nil
 }
 
 func (s *simulation) postRollout() error {
 	s.service.state.BeginEpoch(1)
 	spec := &rollout.Spec{
-		Tenant: playTenant, Name: playRollout, SubsetName: "b", Canary: route.Subset{Model: []string{"b"}},
+		Tenant: simTenant, Name: simRollout, SubsetName: "b", Canary: route.Subset{Model: []string{"b"}},
 		Steps: s.Steps, Budget: s.Budget, AtEnd: rollout.AtEndReturn,
 	}
 	if _, err := s.service.state.Apply(&rollout.Command{Op: rollout.OpPost, Spec: spec}); err != nil {
@@ -66,13 +66,13 @@
 	return nil
 }
 
-// setUp schedules what begins by itself. The order matters to the random numbers that each draws.
-func (s *simulation) setUp() {
+// scheduleInitialEvents schedules what begins by itself. The order matters to the random numbers that each draws.
+func (s *simulation) scheduleInitialEvents() {
 	s.electLeader()
 	for i := range s.Sidecars {
-		sidecar := &simSidecar{Sidecar: playSidecar(fmt.Sprintf("s%04d", i), 1)}
+		sidecar := &simSidecar{Sidecar: newSimProcess(fmt.Sprintf("s%04d", i), 1)}
 		s.sidecars = append(s.sidecars, sidecar)
-		s.startDuties(sidecar)
+		s.startPeriodicRequests(sidecar)
 		s.scheduleRequest(sidecar)
 		s.scheduleBaselineReport(i)
 	}
@@ -82,21 +82,21 @@
 	for _, at := range s.LeaderLossTimes {
 		s.schedule(at, s.loseLeader)
 	}
-	s.every(tickInterval, s.tick)
-	s.every(s.BaselineInterval, s.checkBaseline)
+	s.scheduleEvery(tickInterval, s.tick)
+	s.scheduleEvery(s.BaselineInterval, s.stopSpentBaseline)
 }
 
-func playSidecar(name string, start int64) Sidecar {
-	return Sidecar{Process: route.Process{Name: name, Start: start}, Tenant: playTenant, Rollout: playRollout}
+func newSimProcess(name string, start int64) Sidecar {
+	return Sidecar{Process: route.Process{Name: name, Start: start}, Tenant: simTenant, Rollout: simRollout}
 }
 
 // send carries a message: it may be lost, or arrive twice.
 func (s *simulation) send(arrive func()) {
 	if s.rng.Float64() >= s.LossRate {
-		s.after(s.randomTime(s.MeanLatency), arrive)
+		s.scheduleAfter(s.randomTime(s.MeanLatency), arrive)
 	}
 	if s.rng.Float64() < s.DuplicateRate {
-		s.after(s.randomTime(duplicateLatency*s.MeanLatency), arrive)
+		s.scheduleAfter(s.randomTime(duplicateLatencyFactor*s.MeanLatency), arrive)
 	}
 }
 
@@ -109,14 +109,14 @@
 	})
 }
 
-func (s *simulation) finish() Result {
-	r, _ := s.service.state.Rollout(playTenant, playRollout)
-	out := s.result
-	out.Phase, out.Reason = r.Phase, r.Reason
-	out.LedgerPerSecond = float64(out.LedgerCommands) / (float64(s.Duration) / 1000)
+func (s *simulation) finalResult() Result {
+	r, _ := s.service.state.Rollout(simTenant, simRollout)
+	result := s.result
+	result.Phase, result.Reason = r.Phase, r.Reason
+	result.LedgerPerSecond = float64(result.LedgerCommands) / (float64(s.Duration) / 1000)
 	if s.leasedRequests > 0 {
-		out.CanaryFraction = float64(out.Attempts) / float64(s.leasedRequests)
+		result.CanaryFraction = float64(result.Attempts) / float64(s.leasedRequests)
 	}
-	out.BaselineOver = max(0, out.BaselineFailures-s.Budget)
-	return out
+	result.BaselineOver = max(0, result.BaselineFailures-s.Budget)
+	return result
 }
--- a/internal/rollout/model/simulate_service.go
+++ b/internal/rollout/model/simulate_service.go
@@ -11,11 +11,11 @@
 )
 
 type service struct {
-	state      *rollout.State
-	controller *rollout.Controller // nil: there is no leader
-	leaderTerm int
-	pending    []pendingRequest // in the order of arrival, until they are gathered
-	gatherDue  bool
+	state          *rollout.State
+	controller     *rollout.Controller // nil: there is no leader
+	leaderTerm     int
+	pending        []pendingRequest // in the order of arrival, until they are gathered
+	batchScheduled bool
 }
 
 // pendingRequest is a budget request whose entries are not committed.
@@ -34,7 +34,7 @@
 
 func (s *simulation) loseLeader() {
 	s.service.controller, s.service.pending = nil, nil
-	s.after(s.ElectionTime, s.electLeader)
+	s.scheduleAfter(s.ElectionTime, s.electLeader)
 }
 
 // tick commits what the controller finds due.
@@ -42,11 +42,11 @@
 	if s.service.controller == nil {
 		return
 	}
-	commands, _ := s.service.controller.Tick(s.now, s.service.state, oneReady)
+	commands, _ := s.service.controller.Tick(s.now, s.service.state, oneServerReady)
 	for i := range commands {
 		s.commit(&commands[i], nil)
 	}
-	s.noteAllActing()
+	s.recordCanaryStopped()
 }
 
 func (s *simulation) receiveBudgetRequest(from *simSidecar, request route.BudgetRequest) {
@@ -56,45 +56,45 @@
 	s.result.BudgetRequests++
 	entries := s.service.controller.BudgetEntries(s.now, s.service.state, &request)
 	s.service.pending = append(s.service.pending, pendingRequest{from, request, entries})
-	if !s.service.gatherDue {
-		s.service.gatherDue = true
-		s.after(s.BatchTime, s.commitGathered)
+	if !s.service.batchScheduled {
+		s.service.batchScheduled = true
+		s.scheduleAfter(s.BatchTime, s.commitBatch)
 	}
 }
 
-// commitGathered makes one command of the pending requests, and answers them once it is committed.
-func (s *simulation) commitGathered() {
-	s.service.gatherDue = false
-	gathered := s.service.pending
+// commitBatch makes one command of the pending requests, and answers them once it is committed.
+func (s *simulation) commitBatch() {
+	s.service.batchScheduled = false
+	batch := s.service.pending
 	s.service.pending = nil
 	command := &rollout.Command{Op: rollout.OpLedger}
-	for i := range gathered {
-		command.Entries = append(command.Entries, gathered[i].entries...)
+	for i := range batch {
+		command.Entries = append(command.Entries, batch[i].entries...)
 	}
 	if len(command.Entries) > 0 {
-		s.commit(command, func() { s.answerRequests(gathered) })
+		s.commit(command, func() { s.respondToBatch(batch) })
 	} else if s.service.controller != nil {
-		s.answerRequests(gathered)
+		s.respondToBatch(batch)
 	}
 }
 
-func (s *simulation) answerRequests(requests []pendingRequest) {
+func (s *simulation) respondToBatch(requests []pendingRequest) {
 	for _, p := range requests {
-		answer := s.service.controller.BudgetResponse(s.service.state, &p.request)
-		s.sendTo(p.sidecar, p.request.Start, func() { p.sidecar.ApplyBudgetResponse(&answer) })
+		response := s.service.controller.BudgetResponse(s.service.state, &p.request)
+		s.sendTo(p.sidecar, p.request.Start, func() { p.sidecar.ApplyBudgetResponse(&response) })
 	}
 }
 
 // commit applies a command once it is on a majority, and calls then. With its leader the command is lost.
-func (s *simulation) commit(command *rollout.Command, then func()) {
+func (s *simulation) commit(command *rollout.Command, onCommit func()) {
 	term := s.service.leaderTerm
-	s.after(s.CommitTime, func() {
+	s.scheduleAfter(s.CommitTime, func() {
 		if s.service.controller == nil || s.service.leaderTerm != term {
 			return
 		}
 		s.apply(command)
-		if then != nil {
-			then()
+		if onCommit != nil {
+			onCommit()
 		}
 	})
 }
@@ -110,7 +110,7 @@
 		data, _ := json.Marshal(command) // plain values, which cannot fail
 		s.result.LedgerBytes += int64(len(data))
 	}
-	granted, _, returned := state.BudgetTotals(playTenant, playRollout)
+	granted, _, returned := state.BudgetTotals(simTenant, simRollout)
 	s.result.Overclaimed = s.result.Overclaimed || granted-returned > s.Budget
 	if state.Rev() != before {
 		s.tableChanged()
@@ -119,7 +119,7 @@
 
 // tableChanged notifies all sidecars.
 func (s *simulation) tableChanged() {
-	r, _ := s.service.state.Rollout(playTenant, playRollout)
+	r, _ := s.service.state.Rollout(simTenant, simRollout)
 	s.canaryFraction = s.Steps[r.Step].CanaryFraction
 	if r.Phase == rollout.RolledBack && s.result.RolledBack < 0 {
 		s.result.RolledBack = s.now
@@ -134,12 +134,12 @@
 	s.sendTo(to, to.Start, func() {
 		table := s.service.state.Table()
 		to.ApplyTable(&table)
-		s.noteAllActing()
+		s.recordCanaryStopped()
 	})
 }
 
-// noteAllActing notes when the last sidecar stops using the canary after a rollback.
-func (s *simulation) noteAllActing() {
+// recordCanaryStopped notes when the last sidecar stops using the canary after a rollback.
+func (s *simulation) recordCanaryStopped() {
 	if s.result.RolledBack < 0 || s.result.CanaryStopped >= 0 {
 		return
 	}
--- a/internal/rollout/model/simulate_sidecar.go
+++ b/internal/rollout/model/simulate_sidecar.go
@@ -7,58 +7,58 @@
 // simSidecar is one sidecar, also after a restart.
 type simSidecar struct {
 	Sidecar
-	requestedAt    int64            // last budget request
-	revisionCounts []revisionCounts // newest last, those of the rollout's revisions
-	baseline       baselineSidecar
+	budgetRequestedAt int64            // last budget request
+	revisionCounts    []revisionCounts // newest last, those of the rollout's revisions
+	baseline          baselineSidecar
 }
 
 // revisionCounts are a sidecar's attempts under one revision.
 type revisionCounts struct {
 	rev          int64
-	canary, base sideCounts
+	canary, base outcomeCounts
 }
 
-type sideCounts struct{ ended, failed int64 }
+type outcomeCounts struct{ ended, failed int64 }
 
-func (c *sideCounts) add(failed bool) {
+func (c *outcomeCounts) add(failed bool) {
 	c.ended++
 	if failed {
 		c.failed++
 	}
 }
 
-// startDuties begins the duties of a process. The first of each falls somewhere within its interval, so that those of a
+// startPeriodicRequests begins the duties of a process. The first of each falls somewhere within its interval, so that those of a
 // fleet are spread.
-func (s *simulation) startDuties(sidecar *simSidecar) {
+func (s *simulation) startPeriodicRequests(sidecar *simSidecar) {
 	start := sidecar.Start
 	var report, requestBudget func()
 	report = func() {
 		if sidecar.Start == start {
 			s.sendReport(sidecar)
-			s.after(s.ReportInterval, report)
+			s.scheduleAfter(s.ReportInterval, report)
 		}
 	}
 	requestBudget = func() {
 		if sidecar.Start == start {
 			s.requestUnits(sidecar)
-			s.after(s.BudgetInterval, requestBudget)
+			s.scheduleAfter(s.BudgetInterval, requestBudget)
 		}
 	}
-	s.after(1+s.rng.Int64N(s.ReportInterval), report)
-	s.after(1+s.rng.Int64N(s.BudgetInterval), requestBudget)
+	s.scheduleAfter(1+s.rng.Int64N(s.ReportInterval), report)
+	s.scheduleAfter(1+s.rng.Int64N(s.BudgetInterval), requestBudget)
 	s.sendTable(sidecar)
 }
 
 // kill restarts a sidecar; the new process begins with nothing.
 func (s *simulation) kill() {
 	sidecar := s.sidecars[s.rng.IntN(len(s.sidecars))]
-	sidecar.Sidecar = playSidecar(sidecar.Name, sidecar.Start+1)
+	sidecar.Sidecar = newSimProcess(sidecar.Name, sidecar.Start+1)
 	sidecar.revisionCounts = nil
-	s.startDuties(sidecar)
+	s.startPeriodicRequests(sidecar)
 }
 
 func (s *simulation) scheduleRequest(sidecar *simSidecar) {
-	s.after(1+int64(s.rng.ExpFloat64()*1000/s.RequestRate), func() {
+	s.scheduleAfter(1+int64(s.rng.ExpFloat64()*1000/s.RequestRate), func() {
 		s.attempt(sidecar)
 		s.scheduleRequest(sidecar)
 	})
@@ -66,17 +66,17 @@
 
 // attempt is one request, here and in the baseline, with one draw of the side and one of the outcome.
 func (s *simulation) attempt(sidecar *simSidecar) {
-	side, outcome, takes := s.rng.Float64(), s.rng.Float64(), s.randomTime(s.MeanAttemptTime)
-	drawsCanary := side < s.canaryFraction
-	if drawsCanary {
-		s.attemptBaseline(sidecar, outcome, takes)
+	targetSample, outcomeSample, duration := s.rng.Float64(), s.rng.Float64(), s.randomTime(s.MeanAttemptTime)
+	picksCanary := targetSample < s.canaryFraction
+	if picksCanary {
+		s.attemptBaseline(sidecar, outcomeSample, duration)
 	}
 	canary := false
 	if sidecar.MayUseCanary(s.now) {
 		s.leasedRequests++
-		canary = drawsCanary && sidecar.Budget.Reserve()
-		if drawsCanary && !canary {
-			s.requestUnitsSoon(sidecar)
+		canary = picksCanary && sidecar.Budget.Reserve()
+		if picksCanary && !canary {
+			s.requestUnitsEarly(sidecar)
 		}
 	}
 	if canary {
@@ -87,14 +87,14 @@
 	if s.now < sidecar.LeaseUntil {
 		rev = sidecar.TableRev
 	}
-	s.after(takes, func() { s.endAttempt(sidecar, start, rev, canary, outcome) })
+	s.scheduleAfter(duration, func() { s.endAttempt(sidecar, start, rev, canary, outcomeSample) })
 }
 
 // endAttempt ends an attempt of the process that started at start, and counts it under rev.
-func (s *simulation) endAttempt(sidecar *simSidecar, start, rev int64, canary bool, outcome float64) {
-	failed := outcome < s.BaseFailureRate
+func (s *simulation) endAttempt(sidecar *simSidecar, start, rev int64, canary bool, outcomeSample float64) {
+	failed := outcomeSample < s.BaseFailureRate
 	if canary {
-		failed = outcome < s.CanaryFailureRate
+		failed = outcomeSample < s.CanaryFailureRate
 		if failed {
 			s.countFailure()
 		}
@@ -135,47 +135,47 @@
 	}
 }
 
-// counts are those of a report.
-func (n *simSidecar) counts() []route.Count {
-	var out []route.Count
+// reportCounts are those of a report.
+func (n *simSidecar) reportCounts() []route.Count {
+	var counts []route.Count
 	for _, c := range n.revisionCounts {
-		out = append(out, c.canary.report(c.rev, true), c.base.report(c.rev, false))
+		counts = append(counts, c.canary.routeCount(c.rev, true), c.base.routeCount(c.rev, false))
 	}
-	return out
+	return counts
 }
 
-func (c sideCounts) report(rev int64, canary bool) route.Count {
-	return route.Count{Rev: rev, Tenant: playTenant, Canary: canary, Started: c.ended, Ended: c.ended, Failed: c.failed}
+func (c outcomeCounts) routeCount(rev int64, canary bool) route.Count {
+	return route.Count{Rev: rev, Tenant: simTenant, Canary: canary, Started: c.ended, Ended: c.ended, Failed: c.failed}
 }
 
 func (s *simulation) sendReport(sidecar *simSidecar) {
-	sentAt, report := s.now, sidecar.NextReport(sidecar.counts())
+	sentAt, report := s.now, sidecar.NextReport(sidecar.reportCounts())
 	s.send(func() {
 		if s.service.controller == nil {
 			return
 		}
 		s.result.Reports++
-		answer := s.service.controller.Report(s.now, s.service.state, &report)
+		response := s.service.controller.Report(s.now, s.service.state, &report)
 		table := s.service.state.Table()
 		s.sendTo(sidecar, report.Start, func() {
-			sidecar.ApplyReportResponse(sentAt, &answer)
-			if answer.Resync {
+			sidecar.ApplyReportResponse(sentAt, &response)
+			if response.Resync {
 				sidecar.ApplyTable(&table)
-				s.noteAllActing()
+				s.recordCanaryStopped()
 			}
 		})
 	})
 }
 
-// requestUnitsSoon requests units ahead of time, for a sidecar that has none.
-func (s *simulation) requestUnitsSoon(sidecar *simSidecar) {
-	if s.now-sidecar.requestedAt >= max(s.BatchTime, 1) {
+// requestUnitsEarly requests units ahead of time, for a sidecar that has none.
+func (s *simulation) requestUnitsEarly(sidecar *simSidecar) {
+	if s.now-sidecar.budgetRequestedAt >= max(s.BatchTime, 1) {
 		s.requestUnits(sidecar)
 	}
 }
 
 func (s *simulation) requestUnits(sidecar *simSidecar) {
-	sidecar.requestedAt = s.now
+	sidecar.budgetRequestedAt = s.now
 	request := sidecar.BudgetRequest(s.WantedUnits)
 	s.send(func() { s.receiveBudgetRequest(sidecar, request) })
 }
--- a/internal/rollout/model/world.go
+++ b/internal/rollout/model/world.go
@@ -51,8 +51,8 @@
 // String names the stage.
 func (s stage) String() string { return [...]string{"idle", "sent", "received", "answered"}[s] }
 
-// firstRev is the revision of the rollout's post.
-const firstRev = 1<<28 + 1
+// postedRev is the revision of the rollout's post.
+const postedRev = 1<<28 + 1
 
 func controllerOptions() rollout.Options {
 	return rollout.Options{
@@ -84,7 +84,7 @@
 	}
 }
 
-func oneReady(route.Subset) int { return 1 }
+func oneServerReady(route.Subset) int { return 1 }
 
 // joinKeys joins the key of what is common with those of the sidecars, whose order does not matter.
 func joinKeys(common []byte, sidecars [fleetSize][]byte) []byte {
