--- a/internal/rollout/model/budget_world.go
+++ b/internal/rollout/model/budget_world.go
@@ -9,10 +9,10 @@
 	"marblelane/internal/testutil/explore"
 )
 
-// BudgetWorld is a world of budgets. A budget request may wait for its commit, be lost with the leader, have its answer
-// lost or delayed, or arrive a second time at any later point. The clock jumps at most once, by so much that all
-// processes that have not reported since are gone, with what they hold and have reserved. Reports, which LeaseWorld is
-// for, are answered at once.
+// BudgetWorld explores the failure budget. A budget request may wait for its commit, may be lost together with its
+// leader or may arrive a second time at any later point, and its response may be lost or delayed. The clock jumps at
+// most once, far enough that every process which does not report afterwards counts as gone, with its granted and
+// reserved units. Reports are answered at once, because LeaseWorld explores them.
 type BudgetWorld struct {
 	Defect
 	state      *rollout.State
@@ -22,7 +22,7 @@
 	failures   int64
 	phase      rollout.Phase
 
-	crashes, leaderChanges, duplicates, clockJumps int // faults that may still come
+	crashes, leaderChanges, duplicates, clockJumps int // remaining numbers of faults
 }
 
 type budgetSidecar struct {
@@ -31,14 +31,15 @@
 	request route.BudgetRequest
 	entries []rollout.LedgerEntry
 
-	duplicate       *route.BudgetRequest  // arrives a second time
-	delayedResponse *route.BudgetResponse // arrives later
+	duplicate       *route.BudgetRequest  // a copy of a request that has not arrived yet
+	delayedResponse *route.BudgetResponse // a response that has not arrived yet
 }
 
-// jumpedClock is the clock after its jump, at which processes that have not reported since are gone.
+// jumpedClock is the time in ms after the clock jump. It exceeds the timeout after which a silent process counts as
+// gone.
 const jumpedClock = 10
 
-// NewBudgetWorld makes a world with a defect planted.
+// NewBudgetWorld returns a world with a planted defect and a limited number of faults.
 func NewBudgetWorld(d Defect, f Faults) *BudgetWorld {
 	w := &BudgetWorld{
 		Defect: d, state: newPostedState(), controller: rollout.NewController(controllerOptions(), 0),
@@ -92,11 +93,12 @@
 	return statekey.AppendInts(b, request.Start, state.Granted, state.Spent, state.Returned)
 }
 
-// Check holds what is promised: failures and grants stay within the budget, no unit has two owners, and an end is final.
+// Check verifies that failures and grants stay within the budget, that no unit has two owners, and that a rollout which
+// has ended stays in its final phase.
 func (w *BudgetWorld) Check() error {
 	phase := w.state.Phase(tenantID, rolloutID)
 	granted, _, returned := w.state.BudgetTotals(tenantID, rolloutID)
-	maxFailures := w.failures // if all fails that is under way or may begin
+	maxFailures := w.failures // number of failures if every attempt in flight or still possible fails
 	for i := range w.sidecars {
 		maxFailures += w.sidecars[i].Budget.Free() + w.sidecars[i].Budget.Reserved
 	}
@@ -104,11 +106,11 @@
 	case w.failures > budget:
 		return fmt.Errorf("%d failures of a budget of %d", w.failures, budget)
 	case w.Defect == None && maxFailures > budget:
-		return fmt.Errorf("%d failures may come of a budget of %d", maxFailures, budget)
+		return fmt.Errorf("%d failures are possible under a budget of %d", maxFailures, budget)
 	case granted-returned > budget:
-		return fmt.Errorf("%d units are granted of a budget of %d", granted-returned, budget)
+		return fmt.Errorf("%d units are granted under a budget of %d", granted-returned, budget)
 	case w.phase.Over() && phase != w.phase:
-		return fmt.Errorf("phase %s has become %s", w.phase, phase)
+		return fmt.Errorf("the final phase %s changed to %s", w.phase, phase)
 	}
 	if w.Defect != None || phase.Over() {
 		return nil
@@ -117,13 +119,13 @@
 		sidecarBudget := w.sidecars[i].Budget
 		account := w.state.Account(tenantID, rolloutID, rollout.AccountKey(w.sidecars[i].Process))
 		if sidecarBudget.Granted > account.Granted || sidecarBudget.Returned < account.Returned {
-			return fmt.Errorf("a budget of %+v beside an account of %+v: a unit has two owners", sidecarBudget, account)
+			return fmt.Errorf("a unit has two owners: sidecar budget %+v, ledger account %+v", sidecarBudget, account)
 		}
 	}
 	return nil
 }
 
-// withState emits a copy whose state, controller and sidecar i are changed by change.
+// withState emits a copy of the world after change has modified its state, controller and sidecar i.
 func (w *BudgetWorld) withState(
 	emit func(string, explore.World), what string, i int, change func(w *BudgetWorld, s *budgetSidecar),
 ) {
@@ -136,7 +138,8 @@
 	})
 }
 
-// withSidecar emits a copy whose sidecar i is changed by change, which leaves state and controller alone.
+// withSidecar emits a copy of the world after change has modified sidecar i. The copy shares the state and the
+// controller with the original, so change must not modify them.
 func (w *BudgetWorld) withSidecar(
 	emit func(string, explore.World), what string, i int, change func(w *BudgetWorld, s *budgetSidecar),
 ) {
@@ -147,7 +150,7 @@
 
 // Next implements explore.World.
 func (w *BudgetWorld) Next(emit func(string, explore.World)) {
-	ended := w.Defect == None && w.phase.Over() // Check has counted all that may still fail
+	ended := w.Defect == None && w.phase.Over() // Check has already counted all attempts that may still fail
 	for i := range w.sidecars {
 		if !ended {
 			w.emitAttempts(emit, i)
@@ -171,16 +174,16 @@
 	w.withState(emit, "tick", 0, func(c *BudgetWorld, _ *budgetSidecar) { c.tick() })
 }
 
-// emitAttempts emits what an attempt of sidecar i, and its crash, may do.
+// emitAttempts emits the worlds in which an attempt of sidecar i begins or ends, or in which the sidecar crashes.
 func (w *BudgetWorld) emitAttempts(emit func(string, explore.World), i int) {
 	s := &w.sidecars[i]
 	mayBegin := s.Budget.Free() > 0 || w.Defect == NoReservation && s.Budget.Reserved == 0
 	if s.MayUseCanary(w.clock) && mayBegin {
-		w.withSidecar(emit, "begin", i, func(_ *BudgetWorld, s *budgetSidecar) { s.Budget.Reserved++ })
+		w.withSidecar(emit, "attempt begins", i, func(_ *BudgetWorld, s *budgetSidecar) { s.Budget.Reserved++ })
 	}
 	if s.Budget.Reserved > 0 {
-		w.withSidecar(emit, "good", i, func(_ *BudgetWorld, s *budgetSidecar) { s.Budget.Settle(false) })
-		w.withSidecar(emit, "failed", i, func(c *BudgetWorld, s *budgetSidecar) {
+		w.withSidecar(emit, "attempt succeeds", i, func(_ *BudgetWorld, s *budgetSidecar) { s.Budget.Settle(false) })
+		w.withSidecar(emit, "attempt fails", i, func(c *BudgetWorld, s *budgetSidecar) {
 			s.Budget.Settle(true)
 			c.failures++
 		})
@@ -190,7 +193,7 @@
 	}
 }
 
-// crash restarts a sidecar. All attempts that were under way may have failed.
+// crash restarts a sidecar. It counts all attempts in flight as failures, since any of them may have failed.
 func (w *BudgetWorld) crash(s *budgetSidecar, i int) {
 	w.crashes--
 	w.failures += s.Budget.Reserved
@@ -200,7 +203,8 @@
 	w.exchangeReport(s)
 }
 
-// emitExchanges emits what may happen to a budget request of sidecar i.
+// emitExchanges emits the worlds that follow when a budget request or response of sidecar i is sent, committed or
+// delivered.
 func (w *BudgetWorld) emitExchanges(emit func(string, explore.World), i int) {
 	switch w.sidecars[i].stage {
 	case idle:
@@ -209,7 +213,7 @@
 		w.emitCommit(emit, i)
 	}
 	if w.sidecars[i].delayedResponse != nil {
-		w.withSidecar(emit, "delayed answer", i, func(_ *BudgetWorld, s *budgetSidecar) {
+		w.withSidecar(emit, "delayed response arrives", i, func(_ *BudgetWorld, s *budgetSidecar) {
 			s.ApplyBudgetResponse(s.delayedResponse)
 			s.delayedResponse = nil
 		})
@@ -222,6 +226,7 @@
 	}
 }
 
+// emitRequest emits the worlds in which sidecar i sends a budget request, with or without a later duplicate.
 func (w *BudgetWorld) emitRequest(emit func(string, explore.World), i int) {
 	w.withState(emit, "request", i, func(c *BudgetWorld, s *budgetSidecar) {
 		s.request = s.BudgetRequest(wantedUnits)
@@ -238,30 +243,33 @@
 	}
 }
 
+// emitCommit emits the worlds in which the request of sidecar i is committed and its response arrives, is lost or is
+// delayed.
 func (w *BudgetWorld) emitCommit(emit func(string, explore.World), i int) {
-	w.withState(emit, "committed and answered", i, func(c *BudgetWorld, s *budgetSidecar) {
-		answer := c.commit(s)
-		s.ApplyBudgetResponse(&answer)
+	w.withState(emit, "committed, response arrives", i, func(c *BudgetWorld, s *budgetSidecar) {
+		response := c.commit(s)
+		s.ApplyBudgetResponse(&response)
 	})
-	w.withState(emit, "committed, answer lost", i, func(c *BudgetWorld, s *budgetSidecar) { c.commit(s) })
+	w.withState(emit, "committed, response lost", i, func(c *BudgetWorld, s *budgetSidecar) { c.commit(s) })
 	if w.duplicates > 0 {
-		w.withState(emit, "committed, answer delayed", i, func(c *BudgetWorld, s *budgetSidecar) {
+		w.withState(emit, "committed, response delayed", i, func(c *BudgetWorld, s *budgetSidecar) {
 			c.duplicates--
-			answer := c.commit(s)
-			s.delayedResponse = &answer
+			response := c.commit(s)
+			s.delayedResponse = &response
 		})
 	}
 	if w.Defect == GrantBeforeCommit {
-		w.withState(emit, "answered before the commit", i, func(c *BudgetWorld, s *budgetSidecar) {
+		w.withState(emit, "response before the commit", i, func(c *BudgetWorld, s *budgetSidecar) {
 			ahead := c.state.Clone()
 			_, _ = ahead.Apply(&rollout.Command{Op: rollout.OpLedger, Entries: s.entries})
-			answer := c.controller.BudgetResponse(ahead, &s.request)
-			s.ApplyBudgetResponse(&answer)
+			response := c.controller.BudgetResponse(ahead, &s.request)
+			s.ApplyBudgetResponse(&response)
 		})
 	}
 }
 
-// exchangeReport is a report with its answer. The numbers of reports and stamps play no part in this world.
+// exchangeReport sends a report and applies its response at once. It resets the sequence number and the stamp, which do
+// not affect this world, so that they do not distinguish states.
 func (w *BudgetWorld) exchangeReport(s *budgetSidecar) {
 	report := s.NextReport(nil)
 	s.Seq = 0
@@ -272,7 +280,7 @@
 	s.ApplyTable(&table)
 }
 
-// receiveRequest has the leader receiveRequest a sidecar's request.
+// receiveRequest passes a sidecar's budget request to the leader. The resulting entries stay uncommitted.
 func (w *BudgetWorld) receiveRequest(s *budgetSidecar) {
 	w.exchangeReport(s)
 	s.entries, s.stage = w.controller.BudgetEntries(w.clock, w.state, &s.request), received
@@ -283,7 +291,7 @@
 	}
 }
 
-// commit commits what a sidecar's request makes, and returns the answer.
+// commit commits the entries of a sidecar's request and returns the response.
 func (w *BudgetWorld) commit(s *budgetSidecar) route.BudgetResponse {
 	w.applyEntries(s.entries)
 	s.entries, s.stage = nil, idle
@@ -294,7 +302,7 @@
 	_, _ = w.state.Apply(&rollout.Command{Op: rollout.OpLedger, Entries: entries})
 }
 
-// changeLeader begins with the next leader; commands under way are committed or lost.
+// changeLeader replaces the leader. All uncommitted entries are either committed or lost.
 func (w *BudgetWorld) changeLeader(committed bool) {
 	w.leaderChanges--
 	for i := range w.sidecars {
@@ -311,7 +319,7 @@
 	}
 }
 
-// tick commits the ledger commands that are due; the others are LeaseWorld's.
+// tick commits the ledger commands that are due. It skips other commands, which LeaseWorld explores.
 func (w *BudgetWorld) tick() {
 	commands, _ := w.controller.Tick(w.clock, w.state, oneServerReady)
 	for _, command := range commands {
--- a/internal/rollout/model/events.go
+++ b/internal/rollout/model/events.go
@@ -5,7 +5,7 @@
 	"math/rand/v2"
 )
 
-// event is something that happens at a time. Events of one time happen in the order in which they were scheduled.
+// event is a function that runs at a time. Events with the same time run in the order in which they were scheduled.
 type event struct {
 	at, seq int64
 	run     func()
@@ -25,7 +25,7 @@
 	return last
 }
 
-// scheduler is the clock of a simulation, and what happens when.
+// scheduler holds the clock, the pending events and the random numbers of a simulation.
 type scheduler struct {
 	now     int64
 	lastSeq int64
@@ -33,7 +33,7 @@
 	rng     *rand.Rand
 }
 
-// run lets events happen up to a time, that one included.
+// run executes all events that are due at or before the time until.
 func (s *scheduler) run(until int64) {
 	for len(s.events) > 0 && s.events[0].at <= until {
 		next := heap.Pop(&s.events).(event)
@@ -42,13 +42,16 @@
 	}
 }
 
+// schedule runs a function at a time.
 func (s *scheduler) schedule(at int64, do func()) {
 	s.lastSeq++
 	heap.Push(&s.events, event{at, s.lastSeq, do})
 }
 
+// scheduleAfter runs a function once, after a delay.
 func (s *scheduler) scheduleAfter(delay int64, do func()) { s.schedule(s.now+delay, do) }
 
+// scheduleEvery runs a function at the end of each interval.
 func (s *scheduler) scheduleEvery(interval int64, do func()) {
 	s.scheduleAfter(interval, func() {
 		do()
@@ -56,7 +59,7 @@
 	})
 }
 
-// randomTime is an exponentially distributed time with about this mean, at least 1.
+// randomTime returns an exponentially distributed time of at least 1 ms, with a mean close to the given one.
 func (s *scheduler) randomTime(mean int64) int64 {
 	return 1 + int64(s.rng.ExpFloat64()*float64(mean))
 }
--- a/internal/rollout/model/explore_test.go
+++ b/internal/rollout/model/explore_test.go
@@ -9,10 +9,12 @@
 	"marblelane/internal/testutil/explore"
 )
 
-// exploreAll reports whether the worlds that take minutes are explored, too: EXPLORE=all.
+// exploreAll reports whether the environment variable EXPLORE=all also enables the worlds whose exploration takes
+// minutes.
 func exploreAll() bool { return os.Getenv("EXPLORE") == "all" }
 
-// requireStateCount explores a world, which must have so many states; 0: any number, for worlds too large for each run.
+// requireStateCount explores a world. It requires that no state violates an invariant and that there are as many states
+// as wanted. A want of 0 accepts any number, for the worlds that are too large to explore in every run.
 func requireStateCount(t *testing.T, f Faults, w explore.World, want int) {
 	states, err := explore.Run(w, explore.Options{})
 	require.NoError(t, err)
--- a/internal/rollout/model/lease_world.go
+++ b/internal/rollout/model/lease_world.go
@@ -10,39 +10,41 @@
 	"marblelane/internal/testutil/explore"
 )
 
-// LeaseWorld is a world of canary leases: reports, one a tick, that are delayed, lost or duplicated; tables, closing, a
-// restart, and a deposed leader that still answers what it confirmed before.
+// LeaseWorld explores canary leases. Each sidecar sends at most one report per clock tick. The report may be delayed,
+// lost or duplicated, and its response may be delayed or lost. The table changes, revisions are closed, sidecars
+// restart, and a deposed leader may still respond to the reports that it confirmed before its successor was elected.
 type LeaseWorld struct {
 	Defect
 	state           *rollout.State
 	controller      *rollout.Controller
-	deposed         *rollout.Controller // nil: it has nothing left to answer
+	deposed         *rollout.Controller // nil: no response of a deposed leader is outstanding
 	deposedState    *rollout.State
 	sidecars        [fleetSize]leaseSidecar
-	sidecarCount    int              // of sidecars that take part
-	closing         *rollout.Command // not committed yet
-	clock, maxClock int64
-	tableChanges    int // that may still come
+	sidecarCount    int              // number of sidecars that send reports
+	closing         *rollout.Command // close command that is not committed yet, or nil
+	clock, maxClock int64            // in ms
+	tableChanges    int              // remaining number of table changes
 
-	crashes, leaderChanges, duplicates int // faults that may still come
+	crashes, leaderChanges, duplicates int // remaining numbers of faults
 }
 
 type leaseSidecar struct {
 	Sidecar
 	stage     stage
-	sentAt    int64 // of the newest report
-	confirmed bool  // by the deposed leader, which has not answered yet
+	sentAt    int64 // time at which the newest report was sent, -1 before the first
+	confirmed bool  // whether the deposed leader confirmed the report but has not responded yet
 	report    route.Report
-	leaseTerm int64         // of the answer
-	duplicate *route.Report // arrives a second time
+	leaseTerm int64         // lease term in the response, in ms
+	duplicate *route.Report // copy of a report that has not arrived yet
 }
 
-// NewLeaseWorld makes a world of so many sidecars, three at most, with a defect planted. The table changes tableChanges
-// times, and the clock goes up to lastMS.
-func NewLeaseWorld(d Defect, sidecars, tableChanges int, lastMS int64, f Faults) *LeaseWorld {
+// NewLeaseWorld returns a world with a planted defect, the given number of sidecars (at most three) and a limited
+// number of faults. The table changes up to tableChanges times, and the clock advances up to
+// maxClock.
+func NewLeaseWorld(d Defect, sidecars, tableChanges int, maxClock int64, f Faults) *LeaseWorld {
 	w := &LeaseWorld{
 		Defect: d, state: newPostedState(), controller: rollout.NewController(controllerOptions(), 0),
-		sidecarCount: min(sidecars, fleetSize), maxClock: lastMS, tableChanges: tableChanges,
+		sidecarCount: min(sidecars, fleetSize), maxClock: maxClock, tableChanges: tableChanges,
 		crashes: f.Crashes, leaderChanges: f.LeaderChanges, duplicates: f.Duplicates,
 	}
 	for i := range w.sidecars {
@@ -96,17 +98,17 @@
 	return b
 }
 
-// Check holds what is promised: no attempt begins under a closed revision.
+// Check verifies that no attempt can begin under a closed revision.
 func (w *LeaseWorld) Check() error {
 	for i := range w.sidecars {
 		if s := &w.sidecars[i]; s.MayUseCanary(w.clock) && s.TableRev <= w.state.Closed() {
-			return fmt.Errorf("an attempt may begin under %d, and %d is closed", s.TableRev, w.state.Closed())
+			return fmt.Errorf("an attempt can begin under revision %d, but %d is closed", s.TableRev, w.state.Closed())
 		}
 	}
 	return nil
 }
 
-// withState emits a copy whose state, controllers and sidecar i are changed by change.
+// withState emits a copy of the world after change has modified its state, controllers and sidecar i.
 func (w *LeaseWorld) withState(
 	emit func(string, explore.World), what string, i int, change func(w *LeaseWorld, s *leaseSidecar),
 ) {
@@ -119,7 +121,8 @@
 	})
 }
 
-// withSidecar emits a copy whose sidecar i is changed by change, which leaves state and controllers alone.
+// withSidecar emits a copy of the world after change has modified sidecar i. The copy shares the state and the
+// controllers with the original, so change must not modify them.
 func (w *LeaseWorld) withSidecar(
 	emit func(string, explore.World), what string, i int, change func(w *LeaseWorld, s *leaseSidecar),
 ) {
@@ -155,7 +158,7 @@
 	}
 }
 
-// changeTable moves the rollout forward; a last change after others rolls it back.
+// changeTable advances the rollout by one step. The last of several changes rolls it back instead.
 func (w *LeaseWorld) changeTable() {
 	w.tableChanges--
 	command := rollout.Command{Op: rollout.OpForward, Tenant: tenantID, Name: rolloutID}
@@ -165,9 +168,10 @@
 	_, _ = w.state.Apply(&command)
 }
 
+// tick keeps the close command that the controller finds due, until commitClose or changeLeader handles it.
 func (w *LeaseWorld) tick() {
 	controller := w.controller
-	if w.Defect == LeaseWhileClosing { // the controller does not remember what it has asked to close
+	if w.Defect == LeaseWhileClosing { // only the copy records which revision it is closing
 		controller = controller.Clone()
 	}
 	commands, _ := controller.Tick(w.clock, w.state, oneServerReady)
@@ -183,8 +187,9 @@
 	w.closing = nil
 }
 
-// changeLeader begins with the next leader. If commands under way are committed, the deposed
-// leader has confirmed all reports that were sent to it.
+// changeLeader replaces the leader. A close command in flight is either committed or lost, except under the defect
+// NoBarrierOnElection, which leaves it in flight. If commands are committed, the deposed leader has also confirmed all
+// reports that were sent to it, and may still respond to them.
 func (w *LeaseWorld) changeLeader(committed bool) {
 	w.leaderChanges--
 	if committed {
@@ -207,11 +212,11 @@
 	w.controller = rollout.NewController(controllerOptions(), startedAt)
 }
 
-// emitExchanges emits what may happen to sidecar i.
+// emitExchanges emits the worlds in which sidecar i receives a table, crashes, or sends or receives a message.
 func (w *LeaseWorld) emitExchanges(emit func(string, explore.World), i int) {
 	s := &w.sidecars[i]
 	if s.TableRev < w.state.Rev() {
-		w.withSidecar(emit, "watch", i, func(c *LeaseWorld, s *leaseSidecar) {
+		w.withSidecar(emit, "table received", i, func(c *LeaseWorld, s *leaseSidecar) {
 			table := c.state.Table()
 			s.ApplyTable(&table)
 		})
@@ -233,21 +238,23 @@
 	case s.stage == idle && s.sentAt < w.clock && s.TableRev > 0:
 		w.emitReport(emit, i)
 	case s.stage == sent:
-		w.withState(emit, "report answered", i, (*LeaseWorld).respond)
+		w.withState(emit, "report arrives, response sent", i, (*LeaseWorld).respond)
 	case s.stage == answered:
 		w.emitResponse(emit, i)
 	}
 }
 
+// emitReport emits the worlds in which sidecar i sends a report, with or without a later duplicate.
 func (w *LeaseWorld) emitReport(emit func(string, explore.World), i int) {
-	w.withState(emit, "report", i, func(c *LeaseWorld, s *leaseSidecar) {
+	w.withState(emit, "report sent", i, func(c *LeaseWorld, s *leaseSidecar) {
 		s.report, s.sentAt, s.stage = s.NextReport(nil), c.clock, sent
-		if c.leaderChanges == 0 { // a delayed report matters only at a leader change; a delayed answer always does
+		// A delayed report matters only if the leader can still change. A delayed response always matters.
+		if c.leaderChanges == 0 {
 			c.respond(s)
 		}
 	})
 	if w.duplicates > 0 {
-		w.withSidecar(emit, "report, and a duplicate later", i, func(c *LeaseWorld, s *leaseSidecar) {
+		w.withSidecar(emit, "report sent, and a duplicate later", i, func(c *LeaseWorld, s *leaseSidecar) {
 			c.duplicates--
 			s.report, s.sentAt, s.stage = s.NextReport(nil), c.clock, sent
 			duplicate := s.report
@@ -256,8 +263,9 @@
 	}
 }
 
+// emitResponse emits the worlds in which the response to sidecar i arrives or is lost.
 func (w *LeaseWorld) emitResponse(emit func(string, explore.World), i int) {
-	w.withSidecar(emit, "lease", i, func(c *LeaseWorld, s *leaseSidecar) {
+	w.withSidecar(emit, "response arrives", i, func(c *LeaseWorld, s *leaseSidecar) {
 		from := s.sentAt
 		if c.Defect == LeaseFromResponse {
 			from = c.clock
@@ -265,10 +273,11 @@
 		s.ApplyReportResponse(from, &route.ReportResponse{LeaseMS: s.leaseTerm})
 		s.stage = idle
 	})
-	w.withSidecar(emit, "answer lost", i, func(_ *LeaseWorld, s *leaseSidecar) { s.stage = idle })
+	w.withSidecar(emit, "response lost", i, func(_ *LeaseWorld, s *leaseSidecar) { s.stage = idle })
 }
 
-// respond has the leader respond a report, or the deposed one that has confirmed it.
+// respond computes the response to a report, by the deposed leader if that has confirmed the report, otherwise by the
+// current leader.
 func (w *LeaseWorld) respond(s *leaseSidecar) {
 	controller, state := w.controller, w.state
 	if s.confirmed {
--- a/internal/rollout/model/options.go
+++ b/internal/rollout/model/options.go
@@ -18,8 +18,8 @@
 	Budget            int64   // number of failed canary attempts that the rollout may cause
 	Steps             []rollout.Step
 	ReportInterval    int64 // between the load reports of one sidecar
-	// BudgetInterval is the time between the budget requests of one sidecar. A sidecar without a free unit sends the next
-	// request earlier, but at least BatchTime after the last one.
+	// BudgetInterval is the time between the budget requests of one sidecar. A sidecar without a free unit sends the
+	// next request earlier, but at least BatchTime after the last one.
 	BudgetInterval   int64
 	WantedUnits      int64   // number of units that a sidecar asks for
 	BatchTime        int64   // during which the leader collects budget requests into one command
@@ -69,14 +69,14 @@
 	case o.Duration < 1 || o.RequestRate <= 0:
 		return fmt.Errorf("model: the duration %d ms and the request rate %v must be positive", o.Duration, o.RequestRate)
 	case o.ReportInterval < 1 || o.BudgetInterval < 1 || o.BaselineInterval < 1:
-		return fmt.Errorf("model: the intervals of reports (%d ms), budget requests (%d ms) and the baseline (%d ms) must be positive",
+		return fmt.Errorf("model: the report, budget and baseline intervals (%d, %d and %d ms) must be positive",
 			o.ReportInterval, o.BudgetInterval, o.BaselineInterval)
 	}
 	return nil
 }
 
-// Result is the outcome of a simulation. Times are in milliseconds since its start, and notReached for an event that did
-// not happen.
+// Result is the outcome of a simulation. Times are in milliseconds since its start, and notReached for an event that
+// did not happen.
 //
 // The lab prints a Result as JSON, so the tags keep the names under which the fields are known there.
 type Result struct {
--- a/internal/rollout/model/race_test.go
+++ b/internal/rollout/model/race_test.go
@@ -2,5 +2,5 @@
 
 package model
 
-// raceEnabled reports whether tests run with the race detector, which makes them several times slower.
+// raceEnabled is true if the tests run with the race detector, which makes them several times slower.
 const raceEnabled = true
--- a/internal/rollout/model/sidecar.go
+++ b/internal/rollout/model/sidecar.go
@@ -1,6 +1,6 @@
-// Package model has sidecars without servers and a service without sockets, which call the code of package rollout. Worlds
-// are explored through all interleavings (BudgetWorld, LeaseWorld); simulations run a fleet on a clock of their own
-// (Simulate).
+// Package model tests the protocol of package rollout with simulated sidecars and a simulated list service, without
+// servers and sockets. BudgetWorld and LeaseWorld are small worlds whose interleavings are explored exhaustively.
+// Simulate runs a whole fleet on a simulated clock.
 package model
 
 import (
@@ -9,20 +9,20 @@
 	"marblelane/internal/route"
 )
 
-// Sidecar is one process with one tenant's canary, as docs/routes.md describes it. Times are milliseconds on its own
-// clock.
+// Sidecar models one sidecar process and its part in one tenant's rollout, as described in docs/routes.md. Times are in
+// milliseconds on the sidecar's own clock.
 type Sidecar struct {
 	route.Process
 	Tenant, Rollout string
 	Budget          balance.CanaryBudget
-	TableRev        int64        // revision of the table that it acts on
-	CanaryActive    bool         // that table sends requests to the canary
+	TableRev        int64        // revision of the routing table that the sidecar uses
+	CanaryActive    bool         // whether that table sends requests to the canary
 	LeaseUntil      int64        // end of its canary lease
-	Seq             int64        // of the newest report
-	Stamp           route.Moment // of the newest answer
+	Seq             int64        // sequence number of the newest report
+	Stamp           route.Moment // stamp of the newest response, which the next report echoes
 }
 
-// ApplyTable takes in a table that is newer than the present one.
+// ApplyTable replaces the routing table. It ignores a table that is not newer than the current one.
 func (s *Sidecar) ApplyTable(t *route.Table) {
 	if t.Rev <= s.TableRev {
 		return
@@ -35,10 +35,11 @@
 	}
 }
 
-// MayUseCanary reports whether an attempt to the canary may begin now, if a unit of the budget can be reserved.
+// MayUseCanary reports whether the table and the lease permit an attempt to the canary now. The attempt also needs a
+// unit of the budget.
 func (s *Sidecar) MayUseCanary(now int64) bool { return s.CanaryActive && now < s.LeaseUntil }
 
-// NextReport is the sidecar's next report.
+// NextReport returns the next load report and increments the sequence number.
 func (s *Sidecar) NextReport(counts []route.Count) route.Report {
 	s.Seq++
 	return route.Report{
@@ -46,7 +47,8 @@
 	}
 }
 
-// ApplyReportResponse takes in the answer to a report. The lease counts from when the report was sent.
+// ApplyReportResponse applies the response to a report. The lease starts when the report was sent, not when the
+// response arrives.
 func (s *Sidecar) ApplyReportResponse(sentAt int64, a *route.ReportResponse) {
 	s.Stamp = a.Stamp
 	if a.LeaseMS > 0 {
@@ -54,7 +56,7 @@
 	}
 }
 
-// BudgetRequest is the sidecar's next budget request.
+// BudgetRequest returns a budget request that asks for the wanted number of units.
 func (s *Sidecar) BudgetRequest(wanted int64) route.BudgetRequest {
 	return route.BudgetRequest{Process: s.Process, Budgets: []route.BudgetState{{
 		Tenant: s.Tenant, Rollout: s.Rollout,
@@ -62,7 +64,7 @@
 	}}}
 }
 
-// ApplyBudgetResponse takes in the answer to a budget request.
+// ApplyBudgetResponse applies the grants in the response to a budget request.
 func (s *Sidecar) ApplyBudgetResponse(a *route.BudgetResponse) {
 	for _, grant := range a.Budgets {
 		if grant.Tenant == s.Tenant && grant.Rollout == s.Rollout {
--- a/internal/rollout/model/simulate.go
+++ b/internal/rollout/model/simulate.go
@@ -1,6 +1,6 @@
 package model
 
-// This file runs a simulation: sidecars, a service, and messages between them that are lost, late and duplicated.
+// This file runs a simulation of sidecars and a list service whose messages may be lost, delayed or duplicated.
 
 import (
 	"fmt"
@@ -14,23 +14,23 @@
 	simTenant  = "tenant"
 	simRollout = "canary"
 
-	tickInterval           = 100 // ms between two looks of the controller at what is due
-	duplicateLatencyFactor = 20  // times Latency
+	tickInterval           = 100 // ms between two calls of Controller.Tick
+	duplicateLatencyFactor = 20  // mean delay of a duplicate, as a multiple of MeanLatency
 )
 
-// simulation is a run under way.
+// simulation is the state of one run.
 type simulation struct {
 	Options
 	scheduler
 	sidecars       []*simSidecar
 	service        service
 	baseline       baselineService
-	canaryFraction float64 // of the present step
+	canaryFraction float64 // fraction of requests that the current step sends to the canary
 	leasedRequests int64
 	result         Result
 }
 
-// Simulate runs a simulation. The same options give the same result.
+// Simulate runs a simulation and returns its result. The result depends only on the options.
 func Simulate(o Options) (Result, error) {
 	if err := o.validate(); err != nil {
 		return Result{}, err
@@ -41,8 +41,8 @@
 		service:   service{state: rollout.NewState()},
 		baseline:  baselineService{reportedFailures: make([]int64, o.Sidecars)},
 		result: Result{
-			Budget: o.Budget, LastUnitSpent: notReached, LastAttempt: notReached, RolledBack: notReached, CanaryStopped: notReached,
-			BaselineLastUnit: notReached, BaselineLastAttempt: notReached,
+			Budget: o.Budget, LastUnitSpent: notReached, LastAttempt: notReached, RolledBack: notReached,
+			CanaryStopped: notReached, BaselineLastUnit: notReached, BaselineLastAttempt: notReached,
 		},
 	}
 	if err := s.postRollout(); err != nil {
@@ -66,7 +66,8 @@
 	return nil
 }
 
-// scheduleInitialEvents schedules what begins by itself. The order matters to the random numbers that each draws.
+// scheduleInitialEvents elects the first leader, starts the sidecars and schedules the faults. The order of its steps
+// determines which random numbers each of them gets.
 func (s *simulation) scheduleInitialEvents() {
 	s.electLeader()
 	for i := range s.Sidecars {
@@ -90,7 +91,7 @@
 	return Sidecar{Process: route.Process{Name: name, Start: start}, Tenant: simTenant, Rollout: simRollout}
 }
 
-// send carries a message: it may be lost, or arrive twice.
+// send delivers a message after a random delay. The message may be lost, and a duplicate may arrive later.
 func (s *simulation) send(arrive func()) {
 	if s.rng.Float64() >= s.LossRate {
 		s.scheduleAfter(s.randomTime(s.MeanLatency), arrive)
@@ -100,7 +101,8 @@
 	}
 }
 
-// sendTo carries a message to the process of a sidecar that started at start; after a restart it is lost.
+// sendTo sends a message to one process of a sidecar, identified by its start. If the sidecar has restarted when the
+// message arrives, the message is lost.
 func (s *simulation) sendTo(to *simSidecar, start int64, arrive func()) {
 	s.send(func() {
 		if to.Start == start {
--- a/internal/rollout/model/simulate_baseline.go
+++ b/internal/rollout/model/simulate_baseline.go
@@ -1,6 +1,7 @@
 package model
 
-// This file is the baseline that a simulation compares with: sidecars count failures, and a leader sums their counters.
+// This file models the baseline that a simulation compares with. Its sidecars count failures without reserving units,
+// and a leader sums the reported counters.
 
 type baselineSidecar struct {
 	stopped  bool
@@ -8,11 +9,11 @@
 }
 
 type baselineService struct {
-	reportedFailures []int64 // as last reported, by sidecar
+	reportedFailures []int64 // last reported failure counter of each sidecar
 	stopped          bool
 }
 
-// attemptBaseline is an attempt to the canary in the baseline.
+// attemptBaseline simulates an attempt to the canary in the baseline, unless the sidecar has stopped using the canary.
 func (s *simulation) attemptBaseline(sidecar *simSidecar, outcomeSample float64, duration int64) {
 	if sidecar.baseline.stopped {
 		return
@@ -30,7 +31,7 @@
 	})
 }
 
-// scheduleBaselineReport has a sidecar report its counter in each interval.
+// scheduleBaselineReport schedules the periodic reports of sidecar i. The first one starts at a random point.
 func (s *simulation) scheduleBaselineReport(i int) {
 	s.scheduleAfter(1+s.rng.Int64N(s.ReportInterval), func() {
 		s.scheduleEvery(s.ReportInterval, func() {
@@ -40,7 +41,8 @@
 	})
 }
 
-// stopSpentBaseline stops the sidecars once the sum of their counters has reached the budget.
+// stopSpentBaseline notifies all sidecars to stop using the canary once the sum of the reported failures reaches the
+// budget.
 func (s *simulation) stopSpentBaseline() {
 	total := int64(0)
 	for _, failed := range s.baseline.reportedFailures {
--- a/internal/rollout/model/simulate_service.go
+++ b/internal/rollout/model/simulate_service.go
@@ -1,6 +1,7 @@
 package model
 
-// This file is the list service of a simulation: one leader at a time, whose commands take a while to be committed.
+// This file models the list service of a simulation. It has at most one leader at a time, and a command takes
+// CommitTime to be committed.
 
 import (
 	"encoding/json"
@@ -12,13 +13,13 @@
 
 type service struct {
 	state          *rollout.State
-	controller     *rollout.Controller // nil: there is no leader
+	controller     *rollout.Controller // nil while there is no leader
 	leaderTerm     int
-	pending        []pendingRequest // in the order of arrival, until they are gathered
+	pending        []pendingRequest // budget requests of the next batch, in order of arrival
 	batchScheduled bool
 }
 
-// pendingRequest is a budget request whose entries are not committed.
+// pendingRequest is a budget request with its uncommitted ledger entries.
 type pendingRequest struct {
 	sidecar *simSidecar
 	request route.BudgetRequest
@@ -32,12 +33,13 @@
 	s.service.controller = rollout.NewController(options, s.now)
 }
 
+// loseLeader removes the leader with its pending requests and schedules the next election.
 func (s *simulation) loseLeader() {
 	s.service.controller, s.service.pending = nil, nil
 	s.scheduleAfter(s.ElectionTime, s.electLeader)
 }
 
-// tick commits what the controller finds due.
+// tick proposes the commands that the controller finds due.
 func (s *simulation) tick() {
 	if s.service.controller == nil {
 		return
@@ -49,6 +51,7 @@
 	s.recordCanaryStopped()
 }
 
+// receiveBudgetRequest adds a budget request to the next batch. Without a leader the request is lost.
 func (s *simulation) receiveBudgetRequest(from *simSidecar, request route.BudgetRequest) {
 	if s.service.controller == nil {
 		return
@@ -62,7 +65,8 @@
 	}
 }
 
-// commitBatch makes one command of the pending requests, and answers them once it is committed.
+// commitBatch combines the entries of the pending requests into one command and responds to the requests once it is
+// committed. Without entries it responds at once.
 func (s *simulation) commitBatch() {
 	s.service.batchScheduled = false
 	batch := s.service.pending
@@ -78,6 +82,7 @@
 	}
 }
 
+// respondToBatch sends the responses to committed budget requests.
 func (s *simulation) respondToBatch(requests []pendingRequest) {
 	for _, p := range requests {
 		response := s.service.controller.BudgetResponse(s.service.state, &p.request)
@@ -85,7 +90,8 @@
 	}
 }
 
-// commit applies a command once it is on a majority, and calls then. With its leader the command is lost.
+// commit applies a command after CommitTime and then calls onCommit, which may be nil. The command is lost if its
+// leader fails before that.
 func (s *simulation) commit(command *rollout.Command, onCommit func()) {
 	term := s.service.leaderTerm
 	s.scheduleAfter(s.CommitTime, func() {
@@ -102,12 +108,12 @@
 func (s *simulation) apply(command *rollout.Command) {
 	state := s.service.state
 	before := state.Rev()
-	_, _ = state.Apply(command) // one that comes too late is rejected, as it should be
+	_, _ = state.Apply(command) // a command that is no longer valid is rejected, which is intended
 	s.result.Commands++
 	if command.Op == rollout.OpLedger {
 		s.result.LedgerCommands++
 		s.result.LedgerEntries += int64(len(command.Entries))
-		data, _ := json.Marshal(command) // plain values, which cannot fail
+		data, _ := json.Marshal(command) // encoding plain values cannot fail
 		s.result.LedgerBytes += int64(len(data))
 	}
 	granted, _, returned := state.BudgetTotals(simTenant, simRollout)
@@ -117,7 +123,7 @@
 	}
 }
 
-// tableChanged notifies all sidecars.
+// tableChanged records the new step or the rollback and sends the table to all sidecars.
 func (s *simulation) tableChanged() {
 	r, _ := s.service.state.Rollout(simTenant, simRollout)
 	s.canaryFraction = s.Steps[r.Step].CanaryFraction
@@ -129,7 +135,7 @@
 	}
 }
 
-// sendTable sends the table as it is when the message arrives.
+// sendTable notifies a sidecar, which reads the table as it is when the message arrives.
 func (s *simulation) sendTable(to *simSidecar) {
 	s.sendTo(to, to.Start, func() {
 		table := s.service.state.Table()
@@ -138,7 +144,7 @@
 	})
 }
 
-// recordCanaryStopped notes when the last sidecar stops using the canary after a rollback.
+// recordCanaryStopped records the first time after a rollback at which no sidecar may use the canary.
 func (s *simulation) recordCanaryStopped() {
 	if s.result.RolledBack < 0 || s.result.CanaryStopped >= 0 {
 		return
--- a/internal/rollout/model/simulate_sidecar.go
+++ b/internal/rollout/model/simulate_sidecar.go
@@ -1,18 +1,18 @@
 package model
 
-// This file is the sidecars of a simulation: their duties and their requests.
+// This file models the sidecars of a simulation, with their reports, budget requests and routed requests.
 
 import "marblelane/internal/route"
 
-// simSidecar is one sidecar, also after a restart.
+// simSidecar is one sidecar. It keeps its identity when its process restarts.
 type simSidecar struct {
 	Sidecar
-	budgetRequestedAt int64            // last budget request
-	revisionCounts    []revisionCounts // newest last, those of the rollout's revisions
+	budgetRequestedAt int64            // time of the last budget request
+	revisionCounts    []revisionCounts // counts per revision, newest revision last
 	baseline          baselineSidecar
 }
 
-// revisionCounts are a sidecar's attempts under one revision.
+// revisionCounts holds the numbers of a sidecar's attempts under one revision.
 type revisionCounts struct {
 	rev          int64
 	canary, base outcomeCounts
@@ -27,8 +27,8 @@
 	}
 }
 
-// startPeriodicRequests begins the duties of a process. The first of each falls somewhere within its interval, so that those of a
-// fleet are spread.
+// startPeriodicRequests starts the periodic reports and budget requests of a process. Each begins at a random point of
+// its interval, which spreads the messages of a fleet.
 func (s *simulation) startPeriodicRequests(sidecar *simSidecar) {
 	start := sidecar.Start
 	var report, requestBudget func()
@@ -49,7 +49,7 @@
 	s.sendTable(sidecar)
 }
 
-// kill restarts a sidecar; the new process begins with nothing.
+// kill restarts a random sidecar. The new process has no table, lease, budget or counts.
 func (s *simulation) kill() {
 	sidecar := s.sidecars[s.rng.IntN(len(s.sidecars))]
 	sidecar.Sidecar = newSimProcess(sidecar.Name, sidecar.Start+1)
@@ -64,7 +64,8 @@
 	})
 }
 
-// attempt is one request, here and in the baseline, with one draw of the side and one of the outcome.
+// attempt simulates one request, here and in the baseline. Both use the same random target and the same random outcome,
+// so that their results are comparable.
 func (s *simulation) attempt(sidecar *simSidecar) {
 	targetSample, outcomeSample, duration := s.rng.Float64(), s.rng.Float64(), s.randomTime(s.MeanAttemptTime)
 	picksCanary := targetSample < s.canaryFraction
@@ -90,7 +91,8 @@
 	s.scheduleAfter(duration, func() { s.endAttempt(sidecar, start, rev, canary, outcomeSample) })
 }
 
-// endAttempt ends an attempt of the process that started at start, and counts it under rev.
+// endAttempt records the outcome of an attempt under the revision rev. The parameter start identifies the process that
+// made the attempt.
 func (s *simulation) endAttempt(sidecar *simSidecar, start, rev int64, canary bool, outcomeSample float64) {
 	failed := outcomeSample < s.BaseFailureRate
 	if canary {
@@ -100,7 +102,7 @@
 		}
 	}
 	if sidecar.Start != start {
-		return // the process was killed; its failure is counted all the same
+		return // The process was killed. The simulation has counted the failure, but the sidecar cannot.
 	}
 	if canary {
 		sidecar.Budget.Settle(failed)
@@ -115,7 +117,7 @@
 	}
 }
 
-// addCount counts an attempt under a revision; without a lease, for which rev is 0, none is counted.
+// addCount counts an attempt under a revision. It ignores attempts made without a lease, whose rev is 0.
 func (n *simSidecar) addCount(rev int64, canary, failed bool) {
 	if rev == 0 {
 		return
@@ -135,7 +137,7 @@
 	}
 }
 
-// reportCounts are those of a report.
+// reportCounts returns the counts for a load report.
 func (n *simSidecar) reportCounts() []route.Count {
 	var counts []route.Count
 	for _, c := range n.revisionCounts {
@@ -167,7 +169,8 @@
 	})
 }
 
-// requestUnitsEarly requests units ahead of time, for a sidecar that has none.
+// requestUnitsEarly sends a budget request before the interval has passed, for a sidecar without a free unit. It does
+// nothing if the last request is less than BatchTime old.
 func (s *simulation) requestUnitsEarly(sidecar *simSidecar) {
 	if s.now-sidecar.budgetRequestedAt >= max(s.BatchTime, 1) {
 		s.requestUnits(sidecar)
--- a/internal/rollout/model/simulate_test.go
+++ b/internal/rollout/model/simulate_test.go
@@ -19,9 +19,9 @@
 		o.Sidecars, o.Duration, o.RequestRate = rapid.IntRange(1, 30).Draw(t, "sidecars"), 15_000, 20
 		o.Budget = rapid.Int64Range(1, 50).Draw(t, "budget")
 		o.CanaryFailureRate = rapid.Float64Range(0, 1).Draw(t, "canary")
-		o.LossRate, o.DuplicateRate = rapid.Float64Range(0, 0.3).Draw(t, "loss"), rapid.Float64Range(0, 0.3).Draw(t, "twice")
+		o.LossRate, o.DuplicateRate = rapid.Float64Range(0, 0.3).Draw(t, "loss"), rapid.Float64Range(0, 0.3).Draw(t, "duplicates")
 		o.KillTimes = rapid.SliceOfN(rapid.Int64Range(0, o.Duration), 0, 8).Draw(t, "kills")
-		o.LeaderLossTimes = rapid.SliceOfN(rapid.Int64Range(0, o.Duration), 0, 1).Draw(t, "leaders")
+		o.LeaderLossTimes = rapid.SliceOfN(rapid.Int64Range(0, o.Duration), 0, 1).Draw(t, "leader losses")
 		o.Controller.Alpha = 0
 		res, err := Simulate(o)
 		require.NoError(t, err)
@@ -29,7 +29,7 @@
 		require.False(t, res.Overclaimed)
 		again, err := Simulate(o)
 		require.NoError(t, err)
-		require.Equal(t, res, again, "the same options, the same result")
+		require.Equal(t, res, again, "the same options must give the same result")
 	})
 }
 
@@ -41,12 +41,13 @@
 	require.Equal(t, rollout.RolledBack, res.Phase)
 	require.Equal(t, o.Budget, res.Failures)
 	require.Greater(t, res.BaselineOver, o.Budget)
-	require.LessOrEqual(t, res.LastAttempt, res.LastUnitSpent, "no unit, no attempt")
+	require.LessOrEqual(t, res.LastAttempt, res.LastUnitSpent, "no attempt begins after the last unit is spent")
 	_, err = Simulate(Options{})
 	require.Error(t, err)
 }
 
-// TestSimulate_golden holds the result of one simulation, and its JSON, to what earlier builds have printed.
+// TestSimulate_golden compares the JSON of one result with the recorded JSON. It guards against changes of the
+// simulation and of the JSON keys.
 func TestSimulate_golden(t *testing.T) {
 	want, err := os.ReadFile("testdata/result.golden.json")
 	require.NoError(t, err)
--- a/internal/rollout/model/world.go
+++ b/internal/rollout/model/world.go
@@ -9,8 +9,9 @@
 	"marblelane/internal/statekey"
 )
 
-// BudgetWorld and LeaseWorld are small enough for all interleavings of what may happen in them (package explore): three
-// sidecars, one leader at a time, and faults between them. States that differ only in which sidecar is which count once.
+// BudgetWorld and LeaseWorld are small enough that package explore can visit all interleavings of their events. A world
+// has up to three sidecars, one elected leader at a time, and a limited number of faults. States that become equal when
+// their sidecars are swapped count as one state.
 
 const (
 	fleetSize   = 3
@@ -20,38 +21,38 @@
 	wantedUnits = 1
 )
 
-// Defect is what may be planted in a world.
+// Defect is a fault of the protocol that is planted in a world, to show that the exploration finds it.
 type Defect int
 
 // The defects.
 const (
 	None                Defect = iota
-	GrantBeforeCommit          // a grant is answered before it is in the ledger
-	NoReservation              // failures are summed, and nothing is reserved before an attempt
-	GoneUnitsReturned          // what a process held that is gone goes back to the budget
+	GrantBeforeCommit          // a budget request is answered before the grant is committed to the ledger
+	NoReservation              // failures are summed afterwards, and no unit is reserved before an attempt
+	GoneUnitsReturned          // the outstanding units of a process that counts as gone return to the budget
 	NoLeaseWait                // a new leader does not wait until earlier leases have expired
-	LeaseFromResponse          // a sidecar counts the lease from the answer, not from its report
-	LeaseWhileClosing          // a leader grants a lease on a revision that it is closing
-	NoBarrierOnElection        // a new leader begins before it has all that is replicated
+	LeaseFromResponse          // a sidecar counts its lease from the response, not from the sending of its report
+	LeaseWhileClosing          // a leader grants a lease on a revision while it is closing that revision
+	NoBarrierOnElection        // a new leader begins before it has applied all replicated commands
 )
 
-// Faults are how many faults of each kind one exploration may have.
+// Faults limits the number of faults of each kind in one exploration.
 type Faults struct{ Crashes, LeaderChanges, Duplicates, ClockJumps int }
 
-// stage is how far an exchange between a sidecar and the leader has come.
+// stage is the progress of one request and its response between a sidecar and the leader.
 type stage int
 
 const (
 	idle stage = iota
 	sent
-	received // by the leader, which has decided; not yet replicated
+	received // the leader has processed the request, but its commands are not committed
 	answered
 )
 
-// String names the stage.
+// String returns the name of the stage.
 func (s stage) String() string { return [...]string{"idle", "sent", "received", "answered"}[s] }
 
-// postedRev is the revision of the rollout's post.
+// postedRev is the revision of the table right after the rollout was posted.
 const postedRev = 1<<28 + 1
 
 func controllerOptions() rollout.Options {
@@ -61,7 +62,7 @@
 	}
 }
 
-// newPostedState is a state with a rollout that was just posted.
+// newPostedState returns a state with a newly posted rollout.
 func newPostedState() *rollout.State {
 	s := rollout.NewState()
 	s.BeginEpoch(1)
@@ -73,7 +74,7 @@
 		},
 	}
 	if _, err := s.Apply(&rollout.Command{Op: rollout.OpPost, Spec: spec}); err != nil {
-		panic(err) // the same command each time
+		panic(err) // unreachable: this fixed command is valid
 	}
 	return s
 }
@@ -84,9 +85,11 @@
 	}
 }
 
+// oneServerReady reports one ready server for every subset.
 func oneServerReady(route.Subset) int { return 1 }
 
-// joinKeys joins the key of what is common with those of the sidecars, whose order does not matter.
+// joinKeys appends the keys of the sidecars to the key of the common state. It sorts them, so that states which differ
+// only in the order of their sidecars get the same key.
 func joinKeys(common []byte, sidecars [fleetSize][]byte) []byte {
 	slices.SortFunc(sidecars[:], bytes.Compare)
 	for _, key := range sidecars {
