--- a/internal/rollout/model/budget_world.go
+++ b/internal/rollout/model/budget_world.go
@@ -275,7 +275,7 @@
 	s.Seq = 0
 	response := w.controller.Report(w.clock, w.state, &report)
 	s.ApplyReportResponse(w.clock, &response)
-	s.Stamp = route.Moment{}
+	s.Stamp = route.LeaderTime{}
 	table := w.state.Table()
 	s.ApplyTable(&table)
 }
--- a/internal/rollout/model/sidecar.go
+++ b/internal/rollout/model/sidecar.go
@@ -19,7 +19,7 @@
 	CanaryActive    bool         // whether that table sends requests to the canary
 	LeaseUntil      int64        // end of its canary lease
 	Seq             int64        // sequence number of the newest report
-	Stamp           route.Moment // stamp of the newest response, which the next report echoes
+	Stamp           route.LeaderTime // stamp of the newest response, which the next report echoes
 }
 
 // ApplyTable replaces the routing table. It ignores a table that is not newer than the current one.
--- a/internal/route/parser.go
+++ b/internal/route/parser.go
@@ -12,22 +12,24 @@
 	"unicode/utf8"
 )
 
-// parser reads a document into the structs of a schema. It is stricter than encoding/json, which accepts names in any
-// case, the last of two equal names, and null for any value: two programs could read such a document differently. All
-// frozen readers use it, so what it accepts may not change either; the golden documents hold it to that.
+// parser decodes a document into the structs of a schema. It is stricter than encoding/json, which ignores the case of
+// names, uses the last of duplicate names, and accepts null for any value: two programs could interpret such a document
+// differently. All frozen readers use the parser, so the set of accepted documents must not change. The golden
+// documents in testdata verify this.
 type parser struct {
 	dec         *json.Decoder
-	skipUnknown bool // the document is of a newer schema: unknown fields are skipped
+	skipUnknown bool // the document has a newer schema: unknown fields are skipped
 	layouts     map[reflect.Type]structLayout
 }
 
-// structLayout has the fields of a struct by their names on the wire. Those without omitempty or omitzero are required.
+// structLayout maps the JSON names of a struct's fields to their indexes. Fields without omitempty or omitzero are
+// required.
 type structLayout struct {
 	index    map[string]int
 	required []string
 }
 
-// parseDocument reads text into the struct that into points to. newer says that unknown fields are skipped.
+// parseDocument decodes text into the struct that into points to. If newer is set, unknown fields are skipped.
 func parseDocument(text []byte, into any, newer bool) error {
 	switch {
 	case len(text) == 0:
@@ -37,16 +39,16 @@
 	case !utf8.Valid(text):
 		return fieldErrorf("", "it is not UTF-8")
 	}
-	var document json.RawMessage // finds text after the document, and nesting that is too deep
+	var document json.RawMessage // rejects text after the document, and too deep nesting
 	if err := json.Unmarshal(text, &document); err != nil {
-		return FieldError{"", fmt.Sprintf("it is not JSON: %v", err)}
+		return FieldError{"", fmt.Sprintf("invalid JSON: %v", err)}
 	}
 	p := &parser{dec: json.NewDecoder(bytes.NewReader(text)), skipUnknown: newer, layouts: map[reflect.Type]structLayout{}}
 	p.dec.UseNumber()
-	return p.value("", reflect.ValueOf(into).Elem())
+	return p.parseValue("", reflect.ValueOf(into).Elem())
 }
 
-func (p *parser) value(path string, v reflect.Value) error {
+func (p *parser) parseValue(path string, v reflect.Value) error {
 	tok, err := p.dec.Token()
 	if err != nil {
 		return fieldErrorf(path, "%v", err)
@@ -54,26 +56,26 @@
 	switch v.Kind() {
 	case reflect.Struct:
 		if tok == json.Delim('{') {
-			return p.object(path, v)
+			return p.parseObject(path, v)
 		}
-		return fieldErrorf(path, "%s is not an object", describe(tok))
+		return fieldErrorf(path, "%s is not an object", describeToken(tok))
 	case reflect.Slice:
 		if tok == json.Delim('[') {
-			return p.list(path, v)
+			return p.parseList(path, v)
 		}
-		return fieldErrorf(path, "%s is not a list", describe(tok))
+		return fieldErrorf(path, "%s is not a list", describeToken(tok))
 	case reflect.String:
 		if s, ok := tok.(string); ok {
 			v.SetString(s)
 			return nil
 		}
-		return fieldErrorf(path, "%s is not a string", describe(tok))
+		return fieldErrorf(path, "%s is not a string", describeToken(tok))
 	case reflect.Bool:
 		if b, ok := tok.(bool); ok {
 			v.SetBool(b)
 			return nil
 		}
-		return fieldErrorf(path, "%s is neither true nor false", describe(tok))
+		return fieldErrorf(path, "%s is neither true nor false", describeToken(tok))
 	}
 	return parseNumber(path, tok, v)
 }
@@ -81,25 +83,25 @@
 func parseNumber(path string, tok json.Token, v reflect.Value) error {
 	n, ok := tok.(json.Number)
 	if !ok {
-		return fieldErrorf(path, "%s is not a number", describe(tok))
+		return fieldErrorf(path, "%s is not a number", describeToken(tok))
 	}
 	if v.Kind() == reflect.Float64 {
 		f, err := strconv.ParseFloat(n.String(), 64)
 		if err != nil {
-			return fieldErrorf(path, "%s is out of range", describe(tok))
+			return fieldErrorf(path, "%s is out of range", describeToken(tok))
 		}
-		v.SetFloat(f + 0) // makes 0 of -0
+		v.SetFloat(f + 0) // replaces -0 by 0
 		return nil
 	}
 	i, err := strconv.ParseInt(n.String(), 10, 64)
 	if err != nil || v.OverflowInt(i) {
-		return fieldErrorf(path, "%s is not a whole number of 64 bits", describe(tok))
+		return fieldErrorf(path, "%s is not a whole number of 64 bits", describeToken(tok))
 	}
 	v.SetInt(i)
 	return nil
 }
 
-func (p *parser) object(path string, v reflect.Value) error {
+func (p *parser) parseObject(path string, v reflect.Value) error {
 	l := p.layoutOf(v.Type())
 	seen := map[string]bool{}
 	for p.dec.More() {
@@ -110,18 +112,18 @@
 		name, _ := tok.(string)
 		at := joinPath(path, name)
 		if seen[name] {
-			return fieldErrorf(at, "it is there twice")
+			return fieldErrorf(at, "the field is duplicated")
 		}
 		seen[name] = true
 		i, known := l.index[name]
 		switch {
 		case known:
-			err = p.value(at, v.Field(i))
+			err = p.parseValue(at, v.Field(i))
 		case p.skipUnknown:
 			var skipped json.RawMessage
 			err = p.dec.Decode(&skipped)
 		default:
-			err = fieldErrorf(at, "there is no such field in this schema")
+			err = fieldErrorf(at, "the field is unknown in this schema")
 		}
 		if err != nil {
 			return err
@@ -129,21 +131,21 @@
 	}
 	for _, name := range l.required {
 		if !seen[name] {
-			return fieldErrorf(joinPath(path, name), "it is missing")
+			return fieldErrorf(joinPath(path, name), "the field is missing")
 		}
 	}
 	_, err := p.dec.Token()
 	return err
 }
 
-func (p *parser) list(path string, v reflect.Value) error {
+func (p *parser) parseList(path string, v reflect.Value) error {
 	for i := 0; p.dec.More(); i++ {
 		if i == MaxEntries {
 			return fieldErrorf(path, "it has more than %d entries", MaxEntries)
 		}
 		v.Grow(1)
 		v.SetLen(i + 1)
-		if err := p.value(fmt.Sprintf("%s[%d]", path, i), v.Index(i)); err != nil {
+		if err := p.parseValue(fmt.Sprintf("%s[%d]", path, i), v.Index(i)); err != nil {
 			return err
 		}
 	}
@@ -167,6 +169,7 @@
 	return l
 }
 
+// joinPath appends a field name to a path. A name with other characters than those of declared fields is quoted.
 func joinPath(path, name string) string {
 	if name = truncate(name); strings.ContainsFunc(name, func(c rune) bool { return c != '_' && (c < 'a' || c > 'z') }) {
 		name = strconv.Quote(name)
@@ -177,7 +180,8 @@
 	return path + "." + name
 }
 
-func describe(tok json.Token) string {
+// describeToken describes a JSON value in an error text.
+func describeToken(tok json.Token) string {
 	switch v := tok.(type) {
 	case nil:
 		return "null"
--- a/internal/routeclient/watch_test.go
+++ b/internal/routeclient/watch_test.go
@@ -11,8 +11,9 @@
 	"marblelane/internal/route"
 )
 
-// TestWatch_nextCopy: after a copy that fails comes the next one, and the table never goes back.
-func TestWatch_nextCopy(t *testing.T) {
+// TestWatch_nextReplica verifies that the watch moves to the next replica after an error, and that an older table is
+// ignored.
+func TestWatch_nextReplica(t *testing.T) {
 	a, b := newFakeService(t), newFakeService(t)
 	client := startClient(t, nil, a, b)
 	first := receive(t, "watch", a.watches)
@@ -22,7 +23,7 @@
 	first.write(t, document(t, 4)+"\n"+document(t, 5)+"\n"+document(t, 7)+"\n")
 	client.waitTable(7)
 	close(first.text)
-	second := receive(t, "watch at the next copy", b.watches)
+	second := receive(t, "watch at the next replica", b.watches)
 	require.Equal(t, "after=7&schema=2&watch=1", second.query)
 	second.write(t, document(t, 6)+"\n"+document(t, 8)+"\n")
 	client.waitTable(8)
@@ -34,12 +35,13 @@
 
 func TestWatch_silent(t *testing.T) {
 	a, b := newFakeService(t), newFakeService(t)
-	startClient(t, func(s *Client) { s.timings.watchSilence = 20 * time.Millisecond }, a, b)
+	startClient(t, func(s *Client) { s.timings.watchTimeout = 20 * time.Millisecond }, a, b)
 	receive(t, "end of the silent watch", receive(t, "watch", a.watches).ended)
-	receive(t, "watch at the next copy", b.watches)
+	receive(t, "watch at the next replica", b.watches)
 }
 
-// TestWatch_unreadableDocuments: a document that cannot be read changes nothing, and is logged once for each revision.
+// TestWatch_unreadableDocuments verifies that an unreadable document changes nothing and is logged once for each
+// revision. The same holds for text that is no document, and for incomplete and overlong lines.
 func TestWatch_unreadableDocuments(t *testing.T) {
 	service := newFakeService(t)
 	client := startClient(t, nil, service)
@@ -49,7 +51,7 @@
 	newer := `{"schema":9,"reads":9,"rev":6,"closed":0,"routes":[]}` + "\n"
 	watch.write(t, newer+newer+`{"schema":2,"reads":1,"rev":7,"closed":0,"routes":[{"tenant":"a","share":1.5}]}`+"\n")
 	eventually(t, "report that revision 7 is unreadable", func() bool {
-		return client.makeReport(1, route.Moment{}).UnreadableRev == 7
+		return client.makeReport(1, route.LeaderTime{}).UnreadableRev == 7
 	})
 	watch.write(t, newer+"no document\nno document\n"+document(t, 8)[:20]+"\n")
 	half := document(t, 9)
@@ -71,7 +73,7 @@
 	next := receive(t, "last watch", service.watches)
 	require.Equal(t, "after=5&schema=2&watch=1", next.query)
 	for rev, times := range map[int]int{6: 1, 7: 1, 0: 1} {
-		require.Equal(t, times, client.log.count(fmt.Sprintf("revision=%d ", rev)), "log of revision %d", rev)
+		require.Equal(t, times, client.log.count(fmt.Sprintf("revision=%d ", rev)), "log entries of revision %d", rev)
 	}
 	require.Equal(t, 2, client.log.count(errLineTooLong.Error()))
 	next.write(t, document(t, 10)+"\n")
