--- a/internal/rollout/helpers_test.go
+++ b/internal/rollout/helpers_test.go
@@ -73,9 +73,9 @@
 		table := f.state.Table()
 		sidecar.ApplyTable(&table)
 	}
-	r := sidecar.Report(counts)
+	r := sidecar.NextReport(counts)
 	response := f.controller.Report(now, f.state, &r)
-	sidecar.ApplyAnswer(now, &response)
+	sidecar.ApplyReportResponse(now, &response)
 	return response
 }
 
