--- a/cmd/marblelane/registry_restore.go
+++ b/cmd/marblelane/registry_restore.go
@@ -34,7 +34,7 @@
 		return fmt.Errorf("restore: %w", err)
 	}
 	defer f.Close()
-	if alive := recovery.OldCopies(cfg.Endpoints(), oldCopyTimeout); len(alive) > 0 && !c.Force {
+	if alive := recovery.RunningReplicas(cfg.Endpoints(), oldCopyTimeout); len(alive) > 0 && !c.Force {
 		return fmt.Errorf("restore: %s still answers; end the old cluster first, or it may take the new one over; "+
 			"--force restores all the same", strings.Join(alive, ", "))
 	}
@@ -43,6 +43,6 @@
 		return err
 	}
 	fmt.Fprintf(a.out, "%d entries of revision %d are epoch %d in %s\n"+
-		"start %s, then the others with empty folders and join = true, and add-copy each\n", out.Entries, out.Before, out.Epoch, cfg.Dir, cfg.Name)
+		"start %s, then the others with empty folders and join = true, and add-copy each\n", out.Entries, out.BackupRev, out.Epoch, cfg.Dir, cfg.Name)
 	return nil
 }
--- a/internal/registry/node_lead.go
+++ b/internal/registry/node_lead.go
@@ -131,7 +131,7 @@
 			continue
 		}
 		voters++
-		if s.ID == raft.ServerID(n.cfg.Name) || n.transport.Follows(s.ID, term, at) {
+		if s.ID == raft.ServerID(n.cfg.Name) || n.transport.AcknowledgedSince(s.ID, term, at) {
 			with++
 		}
 	}
--- a/internal/registry/recovery/restore.go
+++ b/internal/registry/recovery/restore.go
@@ -37,9 +37,9 @@
 
 // Restored describes a cluster that a restore has founded.
 type Restored struct {
-	Epoch   int64 // of the new history
-	Before  int64 // revision of the backup
-	Entries int
+	Epoch     int64 // of the new history
+	BackupRev int64 // revision of the backup
+	Entries   int
 }
 
 // electionBits leaves room for a million elections in each minute between two restores.
@@ -56,8 +56,8 @@
 // Endpoint is a replica with the address of its HTTP API.
 type Endpoint struct{ Name, Address string }
 
-// ErrHasState is a folder that must not be restored into.
-var ErrHasState = errors.New("has state already; a restore founds a cluster in a folder that is empty or not there")
+// ErrDirNotEmpty is a folder that must not be restored into.
+var ErrDirNotEmpty = errors.New("has state already; a restore founds a cluster in a folder that is empty or not there")
 
 // Restore founds a cluster of one replica from a backup that `registry snapshot` has written. above is a revision or an
 // epoch that clients may have seen; 0: none beyond the backup's. now is the wall clock.
@@ -75,13 +75,13 @@
 	if above > state.MaxEpoch {
 		above = state.EpochOf(above)
 	}
-	out.Before = restored.Rev()
-	if old := state.EpochOf(out.Before); above == 0 && int64(now.Sub(state.EpochZero)/time.Minute) < old {
+	out.BackupRev = restored.Rev()
+	if old := state.EpochOf(out.BackupRev); above == 0 && int64(now.Sub(state.EpochZero)/time.Minute) < old {
 		return out, fmt.Errorf("restore: the backup's epoch is %d, and by this clock (%v) it has not begun yet: "+
 			"set the clock, or say with --above which epoch clients have seen", old, now)
 	}
-	out.Epoch = state.NextEpoch(now, max(state.EpochOf(out.Before), above))
-	if out.Epoch <= max(state.EpochOf(out.Before), above) {
+	out.Epoch = state.NextEpoch(now, max(state.EpochOf(out.BackupRev), above))
+	if out.Epoch <= max(state.EpochOf(out.BackupRev), above) {
 		return out, fmt.Errorf("restore: there is no epoch above %d", above)
 	}
 	if _, err := restored.Apply(&state.Command{Op: state.OpBegin, Epoch: out.Epoch}); err != nil {
@@ -170,7 +170,7 @@
 	case err != nil:
 		return fmt.Errorf("restore: %w", err)
 	case len(all) > 0:
-		return fmt.Errorf("restore: %s %w", dir, ErrHasState)
+		return fmt.Errorf("restore: %s %w", dir, ErrDirNotEmpty)
 	}
 	return nil
 }
@@ -208,8 +208,8 @@
 	return errors.Join(found.Faults...)
 }
 
-// OldCopies returns which replicas answer: an earlier cluster that still runs and must not reach the new one.
-func OldCopies(replicas []Endpoint, wait time.Duration) (alive []string) {
+// RunningReplicas returns which replicas answer: an earlier cluster that still runs and must not reach the new one.
+func RunningReplicas(replicas []Endpoint, wait time.Duration) (alive []string) {
 	client := &http.Client{Timeout: wait, Transport: &http.Transport{DisableKeepAlives: true}}
 	for _, p := range replicas {
 		if strings.HasSuffix(p.Address, ":0") {
--- a/internal/registry/recovery/verify.go
+++ b/internal/registry/recovery/verify.go
@@ -16,7 +16,7 @@
 
 // Verified is the content of a data directory, and the revision that its log leads to.
 type Verified struct {
-	*storage.Found
+	*storage.Inspection
 	Rev   int64 // after the newest valid snapshot and the whole log, as if all entries were committed
 	Epoch int64
 }
@@ -34,7 +34,7 @@
 	if err != nil {
 		return nil, err
 	}
-	out := &Verified{Found: found}
+	out := &Verified{Inspection: found}
 	if out.Entries == 0 && len(out.Snapshots) == 0 && out.Term == 0 && len(out.Faults) == 0 {
 		out.Notes = append(out.Notes, "a copy that starts here has nothing, as a new one")
 	}
@@ -93,8 +93,8 @@
 		_, err := fmt.Fprintf(w, form+"\n", of...)
 		failed = errors.Join(failed, err)
 	}
-	say("log: %d entries, index %d to %d, terms %d to %d", v.Entries, v.First, v.Last, v.LowTerm, v.Top)
-	say("copy: in term %d, voted last in term %d for %q", v.Term, v.VotedTerm, v.Vote)
+	say("log: %d entries, index %d to %d, terms %d to %d", v.Entries, v.First, v.Last, v.LowTerm, v.HighTerm)
+	say("copy: in term %d, voted last in term %d for %q", v.Term, v.VotedTerm, v.VotedFor)
 	for _, s := range v.Snapshots {
 		restored := "sound"
 		if s.Fault != nil {
@@ -105,7 +105,7 @@
 	if v.Sound() {
 		say("revision %d of epoch %d, if all of the log was committed", v.Rev, v.Epoch)
 	}
-	for _, c := range v.Cut {
+	for _, c := range v.Unfinished {
 		say("never finished, a start cuts it: %s", c)
 	}
 	for _, n := range v.Notes {
--- a/internal/registry/replicas.go
+++ b/internal/registry/replicas.go
@@ -37,7 +37,7 @@
 		if standing, ok := standings[name]; ok {
 			c.Member = standing
 		}
-		if at := n.transport.Acknowledged(s.ID, term); leads && name == n.cfg.Name {
+		if at := n.transport.LastAcknowledged(s.ID, term); leads && name == n.cfg.Name {
 			c.AckMS = 0
 		} else if leads && !at.IsZero() {
 			c.AckMS = time.Since(at).Milliseconds()
@@ -71,7 +71,7 @@
 	for {
 		there, has := 0, with == ""
 		for _, s := range all {
-			if s.ID == raft.ServerID(n.cfg.Name) || n.transport.Follows(s.ID, term, startedAt) {
+			if s.ID == raft.ServerID(n.cfg.Name) || n.transport.AcknowledgedSince(s.ID, term, startedAt) {
 				there++
 				has = has || s.ID == raft.ServerID(with)
 			}
--- a/internal/registry/storage/golden_data_test.go
+++ b/internal/registry/storage/golden_data_test.go
@@ -41,7 +41,7 @@
 	assert.Equal(t, 13, found.Entries)
 	assert.EqualValues(t, 2, found.Term)
 	assert.EqualValues(t, 2, found.VotedTerm)
-	assert.NotEmpty(t, found.Vote)
+	assert.NotEmpty(t, found.VotedFor)
 	old, err := OpenStore(filepath.Join(dir, StoreFile), time.Second, nil)
 	require.NoError(t, err)
 	again, err := OpenStore(filepath.Join(t.TempDir(), StoreFile), time.Second, nil)
@@ -52,9 +52,9 @@
 		var entry raft.Log
 		require.NoError(t, old.GetLog(index, &entry))
 		require.NoError(t, again.StoreLog(&entry))
-		want, err := old.raw(index)
+		want, err := old.readRaw(index)
 		require.NoError(t, err)
-		got, err := again.raw(index)
+		got, err := again.readRaw(index)
 		require.NoError(t, err)
 		require.Equal(t, string(want), string(got), "the same entry has the same bytes")
 		if entry.Type == raft.LogCommand {
--- a/internal/registry/storage/golden_test.go
+++ b/internal/registry/storage/golden_test.go
@@ -91,7 +91,7 @@
 		require.NoError(t, decodeLog(want.Index, stored, &got))
 		require.Equal(t, *want, got)
 		require.NoError(t, store.StoreLog(&got))
-		again, err := store.raw(want.Index)
+		again, err := store.readRaw(want.Index)
 		require.NoError(t, err)
 		require.Equal(t, string(stored), string(again), "the same entry has the same bytes")
 		require.NoError(t, store.GetLog(want.Index, &got))
--- a/internal/registry/storage/inspect.go
+++ b/internal/registry/storage/inspect.go
@@ -60,24 +60,24 @@
 	AsideSuffix  = ".damaged"
 )
 
-// Found is what a replica's folder has.
-type Found struct {
-	Entries         int    // in the log
-	First, Last     uint64 // their indices; 0: there are none
-	LowTerm, Top    uint64 // terms of the first and of the last
-	Term, VotedTerm uint64 // the replica's own, and the last in which it voted
-	Vote            string // for whom
-	Snapshots       []FoundSnapshot
-	Cut             []string // unfinished files; a start removes them
-	Notes           []string // remarks that are no faults
-	Faults          []error
+// Inspection is what a replica's folder has.
+type Inspection struct {
+	Entries           int    // in the log
+	First, Last       uint64 // their indices; 0: there are none
+	LowTerm, HighTerm uint64 // terms of the first and of the last
+	Term, VotedTerm   uint64 // the replica's own, and the last in which it voted
+	VotedFor          string // for whom
+	Snapshots         []SnapshotInfo
+	Unfinished        []string // unfinished files; a start removes them
+	Notes             []string // remarks that are no faults
+	Faults            []error
 
 	values     map[string][]byte
 	contentSum contentSum
 }
 
-// FoundSnapshot is one snapshot.
-type FoundSnapshot struct {
+// SnapshotInfo is one snapshot.
+type SnapshotInfo struct {
 	Name        string
 	Index, Term uint64
 	Rev         int64
@@ -87,9 +87,9 @@
 
 // Inspect reads a folder and changes nothing. The error is of the reading itself; faults of what was read are in Found.
 // each, if not nil, is given each entry of the log in order.
-func Inspect(dir string, each func(*raft.Log)) (*Found, error) {
-	out := &Found{values: map[string][]byte{}}
-	if err := out.snapshots(filepath.Join(dir, SnapshotsDir)); err != nil {
+func Inspect(dir string, each func(*raft.Log)) (*Inspection, error) {
+	out := &Inspection{values: map[string][]byte{}}
+	if err := out.readSnapshots(filepath.Join(dir, SnapshotsDir)); err != nil {
 		return nil, err
 	}
 	path := filepath.Join(dir, StoreFile)
@@ -114,7 +114,7 @@
 	if !info.Mode().IsRegular() {
 		return nil, fmt.Errorf("%s: is no file", path)
 	}
-	if err := out.store(path, f, info.Size(), each); err != nil {
+	if err := out.readStore(path, f, info.Size(), each); err != nil {
 		out.AddFault(path, err)
 	}
 	out.checkComplete(path)
@@ -137,7 +137,7 @@
 }
 
 // AddFault records a fault of a file.
-func (out *Found) AddFault(path string, err error) {
+func (out *Inspection) AddFault(path string, err error) {
 	if errors.Is(err, ErrNewerVersion) {
 		out.Faults = append(out.Faults, fmt.Errorf("%s: %w: start that program; the folder stays as it is", path, err))
 		return
@@ -149,14 +149,14 @@
 var ErrNewerVersion = errors.New("written by a later program")
 
 // Store reads the log and the values.
-func (out *Found) store(path string, f io.ReaderAt, size int64, each func(*raft.Log)) error {
+func (out *Inspection) readStore(path string, f io.ReaderAt, size int64, each func(*raft.Log)) error {
 	p, err := openPages(f, size)
 	if err != nil {
 		return err
 	}
 	metadata := map[string][]byte{}
 	buckets := map[string]visitor{
-		string(logBucket): func(k, v []byte, _ bool) error { return out.entry(path, k, v, each) },
+		string(logBucket): func(k, v []byte, _ bool) error { return out.readEntry(path, k, v, each) },
 		string(valueBucket): func(k, v []byte, _ bool) error {
 			out.values[string(k)] = append([]byte{}, v...)
 			return nil
@@ -193,8 +193,8 @@
 	return fmt.Sprintf("%s: bucket log, entry %d", path, index)
 }
 
-// entry takes in an entry of the log.
-func (out *Found) entry(path string, k, v []byte, each func(*raft.Log)) error {
+// readEntry takes in an readEntry of the log.
+func (out *Inspection) readEntry(path string, k, v []byte, each func(*raft.Log)) error {
 	if len(k) != 8 {
 		return fmt.Errorf("bucket log: the key %x is no index", k)
 	}
@@ -203,10 +203,10 @@
 	var l raft.Log
 	if err := decodeLog(index, v, &l); err != nil {
 		out.AddFault(entryAt(path, index), err)
-		l = raft.Log{Index: index, Term: out.Top}
+		l = raft.Log{Index: index, Term: out.HighTerm}
 	}
-	if l.Term < out.Top {
-		out.AddFault(entryAt(path, index), fmt.Errorf("is of term %d, after one of term %d", l.Term, out.Top))
+	if l.Term < out.HighTerm {
+		out.AddFault(entryAt(path, index), fmt.Errorf("is of term %d, after one of term %d", l.Term, out.HighTerm))
 	}
 	if out.Entries == 0 {
 		out.First, out.LowTerm = index, l.Term
@@ -215,7 +215,7 @@
 	if covered := out.Covered(); out.Entries > 0 && index != out.Last+1 && index > covered+1 {
 		out.AddFault(entryAt(path, max(out.Last, covered)+1), fmt.Errorf("entries up to %d are missing", index-1))
 	}
-	out.Entries, out.Last, out.Top = out.Entries+1, index, l.Term
+	out.Entries, out.Last, out.HighTerm = out.Entries+1, index, l.Term
 	if each != nil {
 		each(&l)
 	}
@@ -223,7 +223,7 @@
 }
 
 // Covered is the index up to which the newest sound snapshot has everything.
-func (out *Found) Covered() uint64 {
+func (out *Inspection) Covered() uint64 {
 	for _, s := range out.Snapshots {
 		if s.Fault == nil {
 			return s.Index
@@ -233,7 +233,7 @@
 }
 
 // readOwnValues reads the term and the vote of the replica.
-func (out *Found) readOwnValues() error {
+func (out *Inspection) readOwnValues() error {
 	for key, to := range map[string]*uint64{"CurrentTerm": &out.Term, "LastVoteTerm": &out.VotedTerm} {
 		v, ok := out.values[key]
 		if ok && len(v) != 8 {
@@ -243,10 +243,10 @@
 			*to = binary.BigEndian.Uint64(v)
 		}
 	}
-	out.Vote = string(out.values["LastVoteCand"])
+	out.VotedFor = string(out.values["LastVoteCand"])
 	switch {
-	case out.Top > out.Term:
-		return fmt.Errorf("bucket values, CurrentTerm: is %d, and the log has an entry of term %d", out.Term, out.Top)
+	case out.HighTerm > out.Term:
+		return fmt.Errorf("bucket values, CurrentTerm: is %d, and the log has an entry of term %d", out.Term, out.HighTerm)
 	case out.VotedTerm > out.Term:
 		return fmt.Errorf("bucket values, LastVoteTerm: is %d, and the copy is in term %d", out.VotedTerm, out.Term)
 	}
@@ -254,9 +254,9 @@
 }
 
 // checkComplete reports entries that neither the log nor a valid snapshot has.
-func (out *Found) checkComplete(path string) {
+func (out *Inspection) checkComplete(path string) {
 	covered := out.Covered()
-	var newest *FoundSnapshot // the newest of all, sound or not
+	var newest *SnapshotInfo // the newest of all, sound or not
 	for i := range out.Snapshots {
 		if s := &out.Snapshots[i]; newest == nil || s.Index > newest.Index {
 			newest = s
@@ -288,7 +288,7 @@
 	} else if n == 1 {
 		return found.Faults[0]
 	}
-	for _, name := range found.Cut {
+	for _, name := range found.Unfinished {
 		if err := os.RemoveAll(filepath.Join(dir, name)); err != nil {
 			return fmt.Errorf("cut what was not finished: %w", err)
 		}
--- a/internal/registry/storage/log.go
+++ b/internal/registry/storage/log.go
@@ -183,15 +183,15 @@
 
 // FirstIndex is the oldest entry's; 0: there is none.
 func (s *Store) FirstIndex() (uint64, error) {
-	return s.end((*bolt.Cursor).First)
+	return s.boundaryIndex((*bolt.Cursor).First)
 }
 
 // LastIndex is the newest entry's; 0: there is none.
 func (s *Store) LastIndex() (uint64, error) {
-	return s.end((*bolt.Cursor).Last)
+	return s.boundaryIndex((*bolt.Cursor).Last)
 }
 
-func (s *Store) end(of func(*bolt.Cursor) ([]byte, []byte)) (index uint64, err error) {
+func (s *Store) boundaryIndex(of func(*bolt.Cursor) ([]byte, []byte)) (index uint64, err error) {
 	err = s.db.View(func(tx *bolt.Tx) error {
 		if k, _ := of(tx.Bucket(logBucket).Cursor()); k != nil {
 			index = binary.BigEndian.Uint64(k)
@@ -203,15 +203,15 @@
 
 // GetLog reads an entry.
 func (s *Store) GetLog(index uint64, l *raft.Log) error {
-	v, err := s.raw(index)
+	v, err := s.readRaw(index)
 	if err != nil {
 		return err
 	}
 	return decodeLog(index, v, l)
 }
 
-// raw is an entry as it stands in the file.
-func (s *Store) raw(index uint64) (v []byte, err error) {
+// readRaw is an entry as it stands in the file.
+func (s *Store) readRaw(index uint64) (v []byte, err error) {
 	err = s.db.View(func(tx *bolt.Tx) error {
 		value := tx.Bucket(logBucket).Get(key(index))
 		if value == nil {
@@ -325,8 +325,8 @@
 	return binary.BigEndian.Uint64(v), nil
 }
 
-// currentTerm is the name under which raft keeps the term that a replica is in.
-const currentTerm = "CurrentTerm"
+// currentTermKey is the name under which raft keeps the term that a replica is in.
+const currentTermKey = "CurrentTerm"
 
 // TermStore stores raft's values, and hides from raft that its term could not be stored: raft would panic on a goroutine
 // of its own and end the process.
@@ -339,7 +339,7 @@
 // SetUint64 keeps a number. Where that is the term and the store has failed, no error is given.
 func (s TermStore) SetUint64(name []byte, value uint64) error {
 	err := s.Store.SetUint64(name, value)
-	if string(name) == currentTerm && s.Failure() != nil {
+	if string(name) == currentTermKey && s.Failure() != nil {
 		return nil
 	}
 	return err
--- a/internal/registry/storage/pages.go
+++ b/internal/registry/storage/pages.go
@@ -13,13 +13,13 @@
 // without checks: a page that points beyond a truncated file ends the process by SIGBUS, and a corrupt page by a panic
 // in a goroutine of bbolt, which cannot be recovered.
 type pages struct {
-	f    io.ReaderAt
-	size int64 // of the file, in bytes
-	page int64 // bytes of a page
-	root uint64
-	high uint64 // pages from here on are not in use
-	txid uint64 // of the newest transaction
-	seen map[uint64]bool
+	f         io.ReaderAt
+	size      int64 // of the file, in bytes
+	pageSize  int64 // bytes of a page
+	root      uint64
+	pageCount uint64 // pages from here on are not in use
+	txid      uint64 // of the newest transaction
+	seen      map[uint64]bool
 }
 
 const (
@@ -47,19 +47,19 @@
 		return nil, errors.New("the file is empty")
 	}
 	p := &pages{f: f, size: size, seen: map[uint64]bool{}}
-	if err := p.meta(0); err != nil {
+	if err := p.readMeta(0); err != nil {
 		return nil, fmt.Errorf("meta page 0: %w", err)
 	}
-	if err := p.meta(p.page); err != nil {
+	if err := p.readMeta(p.pageSize); err != nil {
 		return nil, fmt.Errorf("meta page 1: %w", err)
 	}
-	if uint64(size/p.page) < p.high {
-		return nil, fmt.Errorf("the file is cut short: %d bytes, and %d pages of %d are in use", size, p.high, p.page)
+	if uint64(size/p.pageSize) < p.pageCount {
+		return nil, fmt.Errorf("the file is cut short: %d bytes, and %d pages of %d are in use", size, p.pageCount, p.pageSize)
 	}
 	return p, nil
 }
 
-func (p *pages) meta(at int64) error {
+func (p *pages) readMeta(at int64) error {
 	b := make([]byte, metaAt+metaSize)
 	if _, err := p.f.ReadAt(b, at); err != nil {
 		return fmt.Errorf("cannot be read: %w", err)
@@ -75,12 +75,12 @@
 		return errors.New("has another checksum")
 	case order.Uint32(m[4:]) != boltVersion:
 		return fmt.Errorf("is of version %d of bbolt's form, this program reads version %d", order.Uint32(m[4:]), boltVersion)
-	case page < 512 || page > 1<<24 || p.page != 0 && page != p.page:
+	case page < 512 || page > 1<<24 || p.pageSize != 0 && page != p.pageSize:
 		return fmt.Errorf("has pages of %d bytes", page)
 	}
-	p.page = page
-	if id := order.Uint64(m[48:]); p.high == 0 || id > p.txid {
-		p.root, p.high, p.txid = order.Uint64(m[16:]), order.Uint64(m[40:]), id
+	p.pageSize = page
+	if id := order.Uint64(m[48:]); p.pageCount == 0 || id > p.txid {
+		p.root, p.pageCount, p.txid = order.Uint64(m[16:]), order.Uint64(m[40:]), id
 	}
 	return nil
 }
@@ -90,11 +90,11 @@
 
 // walk visits the whole tree below a page.
 func (p *pages) walk(root uint64, visit visitor) error {
-	return p.tree(root, 0, nil, nil, visit)
+	return p.walkSubtree(root, 0, nil, nil, visit)
 }
 
-// tree visits the subtree of a page. Its keys have to be in [low, high), where these are given.
-func (p *pages) tree(id uint64, depth int, low, high []byte, visit visitor) error {
+// walkSubtree visits the subtree of a page. Its keys have to be in [low, high), where these are given.
+func (p *pages) walkSubtree(id uint64, depth int, low, high []byte, visit visitor) error {
 	b, err := p.read(id)
 	if err != nil {
 		return err
@@ -102,7 +102,7 @@
 	if depth > maxPageDepth {
 		return fmt.Errorf("page %d: the tree is deeper than %d", id, maxPageDepth)
 	}
-	err = p.content(b, id, depth, low, high, visit)
+	err = p.readElements(b, id, depth, low, high, visit)
 	var inner *pageError
 	if err != nil && !errors.As(err, &inner) {
 		return &pageError{id, err}
@@ -122,14 +122,14 @@
 // read returns a page with its overflow pages. Each page may be used in one place of the tree only.
 func (p *pages) read(id uint64) ([]byte, error) {
 	head := make([]byte, pageHeader)
-	if id < 2 || id >= p.high {
-		return nil, fmt.Errorf("page %d: is pointed to, pages 2 to %d are in use", id, p.high-1)
+	if id < 2 || id >= p.pageCount {
+		return nil, fmt.Errorf("page %d: is pointed to, pages 2 to %d are in use", id, p.pageCount-1)
 	}
-	if _, err := p.f.ReadAt(head, int64(id)*p.page); err != nil {
+	if _, err := p.f.ReadAt(head, int64(id)*p.pageSize); err != nil {
 		return nil, fmt.Errorf("page %d: %w", id, err)
 	}
 	more := uint64(order.Uint32(head[12:]))
-	if order.Uint64(head) != id || id+more >= p.high {
+	if order.Uint64(head) != id || id+more >= p.pageCount {
 		return nil, fmt.Errorf("page %d: its header is that of page %d with %d more", id, order.Uint64(head), more)
 	}
 	for i := id; i <= id+more; i++ {
@@ -138,15 +138,15 @@
 		}
 		p.seen[i] = true
 	}
-	b := make([]byte, int64(more+1)*p.page)
-	if _, err := p.f.ReadAt(b, int64(id)*p.page); err != nil {
+	b := make([]byte, int64(more+1)*p.pageSize)
+	if _, err := p.f.ReadAt(b, int64(id)*p.pageSize); err != nil {
 		return nil, fmt.Errorf("page %d: %w", id, err)
 	}
 	return b, nil
 }
 
-// content reads the elements of a page, which may be inlined in a value.
-func (p *pages) content(b []byte, id uint64, depth int, low, high []byte, visit visitor) error {
+// readElements reads the elements of a page, which may be inlined in a value.
+func (p *pages) readElements(b []byte, id uint64, depth int, low, high []byte, visit visitor) error {
 	flags, n := order.Uint16(b[8:]), int(order.Uint16(b[10:]))
 	if flags != branchFlag && flags != leafFlag || pageHeader+n*elemSize > len(b) || flags == branchFlag && n == 0 {
 		return fmt.Errorf("flags %#x and %d elements cannot be", flags, n)
@@ -192,7 +192,7 @@
 		if i+1 < n {
 			before = all[i+1].key
 		}
-		if err := p.tree(e.child, depth+1, e.key, before, visit); err != nil {
+		if err := p.walkSubtree(e.child, depth+1, e.key, before, visit); err != nil {
 			return err
 		}
 	}
@@ -210,5 +210,5 @@
 	if len(value) < 16+pageHeader {
 		return errors.New("a bucket is cut short")
 	}
-	return p.content(value[16:], 0, 0, nil, nil, visit)
+	return p.readElements(value[16:], 0, 0, nil, nil, visit)
 }
--- a/internal/registry/storage/snapshots.go
+++ b/internal/registry/storage/snapshots.go
@@ -33,8 +33,8 @@
 	dir string
 	log *slog.Logger
 
-	mu   sync.Mutex
-	open map[string]bool // IDs of those that are being written
+	mu         sync.Mutex
+	inProgress map[string]bool // IDs of those that are being written
 }
 
 // OpenSnapshots opens the snapshots of a data directory.
@@ -44,7 +44,7 @@
 		return nil, err
 	}
 	return &Snapshots{FileSnapshotStore: files, dir: filepath.Join(dir, SnapshotsDir), log: log,
-		open: map[string]bool{}}, SyncDir(dir)
+		inProgress: map[string]bool{}}, SyncDir(dir)
 }
 
 // Create begins a snapshot.
@@ -54,10 +54,10 @@
 	defer s.mu.Unlock()
 	sink, err := s.FileSnapshotStore.Create(version, index, term, c, cIndex, t)
 	if err != nil {
-		s.failed(err)
+		s.handleFailure(err)
 		return nil, err
 	}
-	s.open[sink.ID()] = true
+	s.inProgress[sink.ID()] = true
 	return &sealingSink{SnapshotSink: sink, store: s, dir: filepath.Join(s.dir, sink.ID())}, nil
 }
 
@@ -65,19 +65,19 @@
 func (s *Snapshots) finished(id string, err error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	delete(s.open, id)
+	delete(s.inProgress, id)
 	if err != nil {
-		s.failed(err)
+		s.handleFailure(err)
 	}
 }
 
-// failed logs that a snapshot failed and removes unfinished ones, which raft leaves behind at each attempt; s.mu is held.
-func (s *Snapshots) failed(err error) {
+// handleFailure logs that a snapshot handleFailure and removes unfinished ones, which raft leaves behind at each attempt; s.mu is held.
+func (s *Snapshots) handleFailure(err error) {
 	s.log.Error("registry: a snapshot failed; the older ones stay, and it is tried again", "dir", s.dir, "error", err)
 	all, err := os.ReadDir(s.dir)
 	for _, e := range all {
 		id, unfinished := strings.CutSuffix(e.Name(), TempSuffix)
-		if unfinished && !s.open[id] && !strings.HasSuffix(id, AsideSuffix) {
+		if unfinished && !s.inProgress[id] && !strings.HasSuffix(id, AsideSuffix) {
 			err = errors.Join(err, os.RemoveAll(filepath.Join(s.dir, e.Name())))
 		}
 	}
@@ -89,10 +89,10 @@
 // sealingSink writes the seal when the snapshot is complete. raft closes a sink more than once.
 type sealingSink struct {
 	raft.SnapshotSink
-	store *Snapshots
-	dir   string
-	ended bool
-	err   error // why it failed
+	store  *Snapshots
+	dir    string
+	closed bool
+	err    error // why it failed
 }
 
 // Write adds to the state.
@@ -106,10 +106,10 @@
 
 // Close puts the snapshot in place. One that fails is not there, or its seal is on the disk.
 func (s *sealingSink) Close() error {
-	if s.ended {
+	if s.closed {
 		return s.err
 	}
-	s.ended = true
+	s.closed = true
 	if s.err = s.SnapshotSink.Close(); s.err == nil {
 		s.err = seal(s.dir)
 	}
@@ -130,10 +130,10 @@
 
 // Cancel gives the snapshot up.
 func (s *sealingSink) Cancel() error {
-	if s.ended {
+	if s.closed {
 		return nil
 	}
-	s.ended = true
+	s.closed = true
 	err := s.SnapshotSink.Cancel()
 	s.err = errors.Join(s.err, err)
 	s.store.finished(s.ID(), s.err)
@@ -201,8 +201,8 @@
 	CRC         []byte
 }
 
-// Snapshots reads all snapshots, newest first.
-func (out *Found) snapshots(dir string) error {
+// Snapshots reads all readSnapshots, newest first.
+func (out *Inspection) readSnapshots(dir string) error {
 	all, err := os.ReadDir(dir)
 	if err != nil && !errors.Is(err, fs.ErrNotExist) {
 		return err
@@ -212,29 +212,29 @@
 		case strings.HasSuffix(name, AsideSuffix+TempSuffix):
 			out.Notes = append(out.Notes, "a spoilt snapshot was set aside earlier: "+name)
 		case strings.HasSuffix(name, TempSuffix):
-			out.Cut = append(out.Cut, filepath.Join(SnapshotsDir, name))
+			out.Unfinished = append(out.Unfinished, filepath.Join(SnapshotsDir, name))
 		case e.IsDir():
-			s := FoundSnapshot{Name: name}
+			s := SnapshotInfo{Name: name}
 			// The folder's name has term and index even where the description is lost.
 			_, _ = fmt.Sscanf(name, "%d-%d-", &s.Term, &s.Index)
-			unsealed, err := s.read(filepath.Join(dir, name))
+			unsealed, err := s.verify(filepath.Join(dir, name))
 			if s.Fault = err; err == nil && unsealed {
 				out.Notes = append(out.Notes, "a snapshot has no seal, as an earlier program writes it: "+name)
 			}
 			out.Snapshots = append(out.Snapshots, s)
 		}
 	}
-	slices.SortFunc(out.Snapshots, func(a, b FoundSnapshot) int {
+	slices.SortFunc(out.Snapshots, func(a, b SnapshotInfo) int {
 		return cmp.Or(cmp.Compare(b.Term, a.Term), cmp.Compare(b.Index, a.Index), cmp.Compare(b.Name, a.Name))
 	})
 	if _, err := os.Stat(filepath.Join(filepath.Dir(dir), StoreFile+TempSuffix)); err == nil {
-		out.Cut = append(out.Cut, StoreFile+TempSuffix)
+		out.Unfinished = append(out.Unfinished, StoreFile+TempSuffix)
 	}
 	return nil
 }
 
-// read checks one snapshot.
-func (s *FoundSnapshot) read(dir string) (unsealed bool, err error) {
+// verify checks one snapshot.
+func (s *SnapshotInfo) verify(dir string) (unsealed bool, err error) {
 	var d description
 	meta, err := readJSON(filepath.Join(dir, metaFile), &d)
 	if err != nil {
--- a/internal/registry/storage/snapshots_test.go
+++ b/internal/registry/storage/snapshots_test.go
@@ -102,15 +102,15 @@
 			require.NoError(t, err)
 			assert.Equal(t, uint64(9), newest[0].Index)
 			require.NoError(t, readable(s, newest[0]))
-			assert.Empty(t, s.open)
+			assert.Empty(t, s.inProgress)
 		})
 	}
 }
 
 // readable tells whether a snapshot is sound.
 func readable(s *Snapshots, of *raft.SnapshotMeta) error {
-	found := FoundSnapshot{Name: of.ID, Index: of.Index, Term: of.Term}
-	unsealed, err := found.read(filepath.Join(s.dir, of.ID))
+	found := SnapshotInfo{Name: of.ID, Index: of.Index, Term: of.Term}
+	unsealed, err := found.verify(filepath.Join(s.dir, of.ID))
 	if unsealed {
 		err = errors.Join(err, errors.New("it has no seal"))
 	}
--- a/internal/registry/storage/store_test.go
+++ b/internal/registry/storage/store_test.go
@@ -66,7 +66,7 @@
 }
 
 // content is all that a folder's log and values say; found is what was thought of it.
-func content(t *testing.T, dir string) (text string, found *Found) {
+func content(t *testing.T, dir string) (text string, found *Inspection) {
 	t.Helper()
 	var b strings.Builder
 	found, err := Inspect(dir, func(l *raft.Log) { fmt.Fprintln(&b, l.Index, l.Term, l.Type, string(l.Data)) })
@@ -91,7 +91,7 @@
 	good := testfile.Read(t, path)
 	want, found := content(t, dir)
 	require.Empty(t, found.Faults)
-	require.NotEmpty(t, found.Vote)
+	require.NotEmpty(t, found.VotedFor)
 	var bits []int
 	for page := range 2 {
 		for i := range metaSize * 8 {
@@ -146,7 +146,7 @@
 	bad := testfile.Read(t, path)
 	p, err := openPages(bytes.NewReader(bad), int64(len(bad)))
 	require.NoError(t, err)
-	bad[int64(p.txid%2)*p.page+metaAt+metaSum] ^= 1
+	bad[int64(p.txid%2)*p.pageSize+metaAt+metaSum] ^= 1
 	testfile.Write(t, path, bad)
 	err = Recover(filepath.Dir(path), quiet())
 	assert.ErrorContains(t, err, "meta page")
@@ -248,9 +248,9 @@
 			bad := bytes.Clone(good)
 			bad[bit/8] ^= 1 << (bit % 8)
 			testfile.Write(t, path, bad)
-			var s FoundSnapshot
+			var s SnapshotInfo
 			_, _ = fmt.Sscanf(filepath.Base(newest), "%d-%d-", &s.Term, &s.Index)
-			if _, err := s.read(newest); err == nil {
+			if _, err := s.verify(newest); err == nil {
 				t.Fatalf("%s: bit %d is not found", name, bit)
 			}
 		}
@@ -369,7 +369,7 @@
 	if err := s.StoreLog(&raft.Log{Index: 1, Term: 1, Data: []byte("precious")}); err != nil {
 		t.Fatal(err)
 	}
-	good, err := s.raw(1)
+	good, err := s.readRaw(1)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -392,18 +392,18 @@
 	path := filepath.Join(dir, StoreFile)
 	s, err := OpenStore(path, time.Second, plan)
 	require.NoError(t, err)
-	require.NoError(t, s.SetUint64([]byte(currentTerm), 1))
+	require.NoError(t, s.SetUint64([]byte(currentTermKey), 1))
 	require.NoError(t, fault.NewSet(0, 0, fault.SyncErrorLost).Write(faults))
 	require.ErrorIs(t, s.SetUint64([]byte("number"), 1), fault.ErrSync)
 	require.NoError(t, fault.Set{}.Write(faults))
 	require.ErrorIs(t, s.SetUint64([]byte("number"), 2), fault.ErrSync)
-	assert.NoError(t, TermStore{s}.SetUint64([]byte(currentTerm), 2), "raft would panic")
+	assert.NoError(t, TermStore{s}.SetUint64([]byte(currentTermKey), 2), "raft would panic")
 	assert.ErrorIs(t, TermStore{s}.SetUint64([]byte("LastVoteTerm"), 2), fault.ErrSync)
 	require.NoError(t, s.Close())
 	s, err = OpenStore(path, time.Second, plan)
 	require.NoError(t, err)
 	defer s.Close()
-	term, err := s.GetUint64([]byte(currentTerm))
+	term, err := s.GetUint64([]byte(currentTermKey))
 	require.NoError(t, err)
 	assert.Equal(t, uint64(1), term)
 	assert.NoError(t, s.SetUint64([]byte("number"), 3), "it takes writes once it is opened anew")
--- a/internal/registry/transport/pipeline.go
+++ b/internal/registry/transport/pipeline.go
@@ -12,7 +12,7 @@
 	if err != nil {
 		return nil, err
 	}
-	p := &pipeline{AppendPipeline: inner, answers: make(chan raft.AppendFuture), end: make(chan struct{})}
+	p := &pipeline{AppendPipeline: inner, responses: make(chan raft.AppendFuture), end: make(chan struct{})}
 	go p.forward()
 	return p, nil
 }
@@ -24,13 +24,13 @@
 // receives no entries in this term. A follower whose disk write fails and that answers before it closes causes this.
 type pipeline struct {
 	raft.AppendPipeline
-	answers chan raft.AppendFuture
-	end     chan struct{}
-	once    sync.Once
+	responses chan raft.AppendFuture
+	end       chan struct{}
+	once      sync.Once
 }
 
 // Consumer gives the answers in order; after the first that is no success none comes.
-func (p *pipeline) Consumer() <-chan raft.AppendFuture { return p.answers }
+func (p *pipeline) Consumer() <-chan raft.AppendFuture { return p.responses }
 
 // Close ends the stream, and with it requests that wait to be sent.
 func (p *pipeline) Close() error {
@@ -52,7 +52,7 @@
 			_ = p.AppendPipeline.Close() // raft closes it too, and does not look at the error either
 		}
 		select {
-		case p.answers <- answer:
+		case p.responses <- answer:
 		case <-p.end:
 			return
 		}
--- a/internal/registry/transport/regression_detector.go
+++ b/internal/registry/transport/regression_detector.go
@@ -19,11 +19,11 @@
 
 	mu        sync.Mutex
 	term      uint64
-	followers map[raft.ServerID]*acknowledged
+	followers map[raft.ServerID]*followerProgress
 }
 
-// acknowledged is what a follower has acknowledged in a term.
-type acknowledged struct {
+// followerProgress is what a follower has followerProgress in a term.
+type followerProgress struct {
 	first     uint64 // index before the first entry sent, as assumed by the leader
 	index     uint64 // last index acknowledged
 	regressed bool   // regressed, and logged
@@ -31,7 +31,7 @@
 
 // NewRegressionDetector watches the answers to entries that are sent over t.
 func NewRegressionDetector(t *Transport, log *slog.Logger) *RegressionDetector {
-	return &RegressionDetector{Transport: t, log: log, followers: map[raft.ServerID]*acknowledged{}}
+	return &RegressionDetector{Transport: t, log: log, followers: map[raft.ServerID]*followerProgress{}}
 }
 
 // AppendEntries sends entries and looks at the answer.
@@ -56,7 +56,7 @@
 	}
 	h := t.followers[id]
 	if h == nil {
-		h = &acknowledged{first: a.PrevLogEntry}
+		h = &followerProgress{first: a.PrevLogEntry}
 		t.followers[id] = h
 	}
 	if a.PrevLogEntry > h.first { // raft moves on only past what was acknowledged, in a stream too
--- a/internal/registry/transport/transport.go
+++ b/internal/registry/transport/transport.go
@@ -23,8 +23,8 @@
 	end  chan struct{}
 	once sync.Once
 
-	beats sync.RWMutex // held while a heartbeat is handled
-	ended bool         // none is any more
+	heartbeats sync.RWMutex // held while a heartbeat is handled
+	stopped    bool         // none is any more
 
 	mu    sync.Mutex
 	term  uint64
@@ -72,16 +72,16 @@
 	}
 }
 
-// Follows tells whether a replica has acknowledged a message of a term that was sent after a time. It then had not voted
+// AcknowledgedSince tells whether a replica has acknowledged a message of a term that was sent after a time. It then had not voted
 // for a later leader by that time.
-func (t *Transport) Follows(id raft.ServerID, term uint64, after time.Time) bool {
+func (t *Transport) AcknowledgedSince(id raft.ServerID, term uint64, after time.Time) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return term == t.term && t.acked[id].After(after)
 }
 
-// Acknowledged is when the newest message of a term that a replica has acknowledged was sent; zero: there is none.
-func (t *Transport) Acknowledged(id raft.ServerID, term uint64) time.Time {
+// LastAcknowledged is when the newest message of a term that a replica has acknowledged was sent; zero: there is none.
+func (t *Transport) LastAcknowledged(id raft.ServerID, term uint64) time.Time {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if term != t.term {
@@ -95,9 +95,9 @@
 // write.
 func (t *Transport) SetHeartbeatHandler(handle func(raft.RPC)) {
 	t.NetworkTransport.SetHeartbeatHandler(func(rpc raft.RPC) {
-		t.beats.RLock()
-		defer t.beats.RUnlock()
-		if !t.ended {
+		t.heartbeats.RLock()
+		defer t.heartbeats.RUnlock()
+		if !t.stopped {
 			handle(rpc)
 		}
 	})
@@ -106,7 +106,7 @@
 // Stop ends the retries, and waits for heartbeats in flight.
 func (t *Transport) Stop() {
 	t.once.Do(func() { close(t.end) })
-	t.beats.Lock()
-	defer t.beats.Unlock()
-	t.ended = true
+	t.heartbeats.Lock()
+	defer t.heartbeats.Unlock()
+	t.stopped = true
 }
--- a/internal/registry/transport/transport_test.go
+++ b/internal/registry/transport/transport_test.go
@@ -25,11 +25,11 @@
 		{"r1", 5, 9, true}, {"r1", 5, 10, false}, {"r1", 5, 11, false}, // sent before the question
 		{"r1", 4, 9, false}, {"r1", 6, 9, false}, {"r2", 5, 9, false},
 	} {
-		if got := sender.Follows(raft.ServerID(c.id), c.term, at(c.after)); got != c.want {
+		if got := sender.AcknowledgedSince(raft.ServerID(c.id), c.term, at(c.after)); got != c.want {
 			t.Errorf("%+v: %v", c, got)
 		}
 	}
-	if sender.acknowledge("r2", 6, at(12)); sender.Follows("r1", 6, at(1)) || !sender.Follows("r2", 6, at(11)) {
+	if sender.acknowledge("r2", 6, at(12)); sender.AcknowledgedSince("r1", 6, at(1)) || !sender.AcknowledgedSince("r2", 6, at(11)) {
 		t.Error("what was acknowledged in an earlier term counts in a later one")
 	}
 }
