--- a/internal/registry/recover_test.go
+++ b/internal/registry/recover_test.go
@@ -96,10 +96,10 @@
 		says string
 	}{
 		"0 bytes":  {func(dir string) error { return os.Truncate(filepath.Join(dir, storage.StoreFile), 0) }, "the file is empty"},
-		"no store": {func(dir string) error { return os.Remove(filepath.Join(dir, storage.StoreFile)) }, "is not there"},
+		"no store": {func(dir string) error { return os.Remove(filepath.Join(dir, storage.StoreFile)) }, "the file is missing"},
 		"a folder for a store": {func(dir string) error {
 			return errors.Join(os.Remove(filepath.Join(dir, storage.StoreFile)), os.Mkdir(filepath.Join(dir, storage.StoreFile), 0o755))
-		}, "is no file"},
+		}, "not a regular file"},
 		"a hole": {change(func(tx *bolt.Tx) error {
 			k, _ := tx.Bucket([]byte("log")).Cursor().Last()
 			return tx.Bucket([]byte("log")).Delete(bigEndian(binary.BigEndian.Uint64(k) - 1))
--- a/internal/registry/storage/inspect.go
+++ b/internal/registry/storage/inspect.go
@@ -26,29 +26,29 @@
 // raft requires that a replica keeps each entry and vote that it has acknowledged. One that lost any and continues under
 // its name can lose committed entries, or vote twice in one term.
 //
-// A write is acknowledged when its transaction has returned, and that is after two syncs: of all its pages, and of the
-// meta page that points to them. A power loss before the second returns leaves the transaction whole or not there, and
-// it was never acknowledged. So a torn tail of the log is not reachable from the newest root; it is removed, as it was
-// never acknowledged. What the root reaches was synced before; if any of it cannot be read, even the last entry, it may
-// have been acknowledged. Then the replica stops and has to rejoin under another name. The same holds for a corrupt meta
+// A write is acknowledged when its transaction has returned. A transaction syncs twice: all its pages, and then the meta
+// page that points to them. A power loss before the second sync returns leaves the transaction complete or absent, and
+// it was never acknowledged. So a torn tail of the log is not reachable from the newest root and is dropped. All pages
+// that the root reaches were synced before it. If any of them cannot be read, even that of the last entry, its content
+// may have been acknowledged: the replica stops and has to rejoin under another name. The same holds for a corrupt meta
 // page, as the other one points to the previous state.
 //
-// A snapshot repeats entries of the log. An unfinished one is removed. A corrupt one is set aside if an older one and
-// the log are complete without it; otherwise the replica stops.
+// A snapshot repeats entries of the log. An unfinished snapshot is removed. A corrupt snapshot is set aside if an older
+// snapshot and the log are complete without it. Otherwise the replica stops.
 //
-// Not detected: a disk that reports a sync without doing it and leaves an older consistent state; a directory rolled
-// back to an old disk image. See transport.RegressionDetector for how the leader detects these.
+// Not detected here: a disk that reports a sync without doing it and leaves an older consistent state, and a directory
+// that was rolled back to an old disk image. The leader detects some of these, see transport.RegressionDetector.
 
-// CorruptionError is a data directory from which a replica must not start.
+// CorruptionError reports that a data directory is corrupt and that a replica must not start from it.
 type CorruptionError struct {
-	Path string // file, with the bucket and the key or the index where there is one
+	Path string // path of the file, followed by the bucket and the key or index if they are known
 	Err  error
 }
 
 func (e *CorruptionError) Error() string {
-	return fmt.Sprintf("%s: %v; this copy must not start from it, as it may have acknowledged what is lost: move the "+
-		"folder away, start the copy under another name with join = true, and ask a copy that runs to replace-copy the old "+
-		"name; where none runs any more, `marblelane registry restore` founds a cluster from a backup", e.Path, e.Err)
+	return fmt.Sprintf("%s: %v; this replica must not start from it, as it may have acknowledged data that is lost: move "+
+		"the data directory away, start the replica under another name with join = true, and run replace-copy for the old name "+
+		"on a running replica; if no replica runs, `marblelane registry restore` creates a cluster from a backup", e.Path, e.Err)
 }
 
 func (e *CorruptionError) Unwrap() error { return e.Err }
@@ -60,33 +60,33 @@
 	AsideSuffix  = ".damaged"
 )
 
-// Inspection is what a replica's folder has.
+// Inspection describes the content of a replica's data directory.
 type Inspection struct {
-	Entries           int    // in the log
-	First, Last       uint64 // their indices; 0: there are none
-	LowTerm, HighTerm uint64 // terms of the first and of the last
-	Term, VotedTerm   uint64 // the replica's own, and the last in which it voted
-	VotedFor          string // for whom
+	Entries           int    // number of log entries
+	First, Last       uint64 // indices of the first and the last log entry; 0 if there are none
+	LowTerm, HighTerm uint64 // terms of the first and the last log entry
+	Term, VotedTerm   uint64 // current term of the replica, and the last term in which it voted
+	VotedFor          string // candidate of the last vote
 	Snapshots         []SnapshotInfo
-	Unfinished        []string // unfinished files; a start removes them
-	Notes             []string // remarks that are no faults
+	Unfinished        []string // names of unfinished files, which the next start removes
+	Notes             []string // observations that do not prevent a start
 	Faults            []error
 
 	values     map[string][]byte
 	contentSum contentSum
 }
 
-// SnapshotInfo is one snapshot.
+// SnapshotInfo describes one snapshot.
 type SnapshotInfo struct {
 	Name        string
 	Index, Term uint64
 	Rev         int64
 	Bytes       int64
-	Fault       error // nil: it is sound
+	Fault       error // nil if the snapshot is valid
 }
 
-// Inspect reads a folder and changes nothing. The error is of the reading itself; faults of what was read are in Found.
-// each, if not nil, is given each entry of the log in order.
+// Inspect reads a data directory and changes nothing. The error reports that reading failed. Faults of the content are
+// in Inspection.Faults. each, if not nil, is called with each log entry in order.
 func Inspect(dir string, each func(*raft.Log)) (*Inspection, error) {
 	out := &Inspection{values: map[string][]byte{}}
 	if err := out.readSnapshots(filepath.Join(dir, SnapshotsDir)); err != nil {
@@ -97,7 +97,7 @@
 	switch {
 	case errors.Is(err, fs.ErrNotExist):
 		if _, err := os.Stat(filepath.Join(dir, SnapshotsDir)); err == nil {
-			out.AddFault(path, errors.New("is not there, and "+SnapshotsDir+" is"))
+			out.AddFault(path, errors.New("the file is missing, although "+SnapshotsDir+" exists"))
 		}
 		return out, nil
 	case err != nil:
@@ -112,7 +112,7 @@
 		return nil, err
 	}
 	if !info.Mode().IsRegular() {
-		return nil, fmt.Errorf("%s: is no file", path)
+		return nil, fmt.Errorf("%s: not a regular file", path)
 	}
 	if err := out.readStore(path, f, info.Size(), each); err != nil {
 		out.AddFault(path, err)
@@ -121,7 +121,7 @@
 	return out, nil
 }
 
-// LockFile takes a file or a folder, and waits for a bounded time for another process that has it.
+// LockFile locks a file or directory. It waits up to fileLockTimeout for another process to release the lock.
 func LockFile(f *os.File, how int) error {
 	for end := time.Now().Add(fileLockTimeout); ; time.Sleep(fileLockTimeout / 20) {
 		err := syscall.Flock(int(f.Fd()), how|syscall.LOCK_NB)
@@ -136,19 +136,19 @@
 	}
 }
 
-// AddFault records a fault of a file.
+// AddFault records a fault of a file or of its content.
 func (out *Inspection) AddFault(path string, err error) {
 	if errors.Is(err, ErrNewerVersion) {
-		out.Faults = append(out.Faults, fmt.Errorf("%s: %w: start that program; the folder stays as it is", path, err))
+		out.Faults = append(out.Faults, fmt.Errorf("%s: %w: start that version; the data directory is left unchanged", path, err))
 		return
 	}
 	out.Faults = append(out.Faults, &CorruptionError{path, err})
 }
 
-// ErrNewerVersion is what a later program wrote and this one does not read.
-var ErrNewerVersion = errors.New("written by a later program")
+// ErrNewerVersion reports data that a newer version of the program wrote and this version cannot read.
+var ErrNewerVersion = errors.New("written by a newer version of this program")
 
-// Store reads the log and the values.
+// readStore reads the log and the values of the store.
 func (out *Inspection) readStore(path string, f io.ReaderAt, size int64, each func(*raft.Log)) error {
 	p, err := openPages(f, size)
 	if err != nil {
@@ -171,7 +171,7 @@
 		if visit := buckets[string(name)]; visit != nil && isBucket {
 			return p.bucket(value, visit)
 		}
-		unknown = fmt.Errorf("bucket %q: is none of this program's", name)
+		unknown = fmt.Errorf("bucket %q: unknown bucket", name)
 		return nil
 	})
 	if err != nil {
@@ -180,8 +180,8 @@
 	if ours, err := checkMetadata(metadata, out.values, &out.contentSum, p.txid); err != nil {
 		return err
 	} else if !ours {
-		out.Notes = append(out.Notes, "the last write to the log is not this program's: an earlier program made it, or the "+
-			"disk has lost a page that it said was synced")
+		out.Notes = append(out.Notes, "this version did not make the last write to the log: an older version made it, or the "+
+			"disk lost a page whose sync it reported as done")
 	}
 	if unknown != nil {
 		return unknown
@@ -196,7 +196,7 @@
 // readEntry takes in an readEntry of the log.
 func (out *Inspection) readEntry(path string, k, v []byte, each func(*raft.Log)) error {
 	if len(k) != 8 {
-		return fmt.Errorf("bucket log: the key %x is no index", k)
+		return fmt.Errorf("bucket log: key %x is not an index", k)
 	}
 	index := binary.BigEndian.Uint64(k)
 	out.contentSum.add(k, v)
@@ -206,12 +206,12 @@
 		l = raft.Log{Index: index, Term: out.HighTerm}
 	}
 	if l.Term < out.HighTerm {
-		out.AddFault(entryAt(path, index), fmt.Errorf("is of term %d, after one of term %d", l.Term, out.HighTerm))
+		out.AddFault(entryAt(path, index), fmt.Errorf("has term %d, but an earlier entry has term %d", l.Term, out.HighTerm))
 	}
 	if out.Entries == 0 {
 		out.First, out.LowTerm = index, l.Term
 	}
-	// A hole is one only where the snapshots do not cover it: a replica that was sent one keeps older entries.
+	// A gap that a snapshot covers is no fault: a replica that received a snapshot keeps older entries.
 	if covered := out.Covered(); out.Entries > 0 && index != out.Last+1 && index > covered+1 {
 		out.AddFault(entryAt(path, max(out.Last, covered)+1), fmt.Errorf("entries up to %d are missing", index-1))
 	}
@@ -222,7 +222,7 @@
 	return nil
 }
 
-// Covered is the index up to which the newest sound snapshot has everything.
+// Covered returns the index of the last entry that the newest valid snapshot includes, or 0 without a valid snapshot.
 func (out *Inspection) Covered() uint64 {
 	for _, s := range out.Snapshots {
 		if s.Fault == nil {
@@ -237,7 +237,7 @@
 	for key, to := range map[string]*uint64{"CurrentTerm": &out.Term, "LastVoteTerm": &out.VotedTerm} {
 		v, ok := out.values[key]
 		if ok && len(v) != 8 {
-			return fmt.Errorf("bucket values, %s: has %d bytes", key, len(v))
+			return fmt.Errorf("bucket values, %s: has %d bytes, want 8", key, len(v))
 		}
 		if ok {
 			*to = binary.BigEndian.Uint64(v)
@@ -246,17 +246,17 @@
 	out.VotedFor = string(out.values["LastVoteCand"])
 	switch {
 	case out.HighTerm > out.Term:
-		return fmt.Errorf("bucket values, CurrentTerm: is %d, and the log has an entry of term %d", out.Term, out.HighTerm)
+		return fmt.Errorf("bucket values, CurrentTerm: is %d, but the log has an entry of term %d", out.Term, out.HighTerm)
 	case out.VotedTerm > out.Term:
-		return fmt.Errorf("bucket values, LastVoteTerm: is %d, and the copy is in term %d", out.VotedTerm, out.Term)
+		return fmt.Errorf("bucket values, LastVoteTerm: is %d, but the replica is in term %d", out.VotedTerm, out.Term)
 	}
 	return nil
 }
 
-// checkComplete reports entries that neither the log nor a valid snapshot has.
+// checkComplete records a fault for entries that neither the log nor a valid snapshot has.
 func (out *Inspection) checkComplete(path string) {
 	covered := out.Covered()
-	var newest *SnapshotInfo // the newest of all, sound or not
+	var newest *SnapshotInfo // newest snapshot, valid or not
 	for i := range out.Snapshots {
 		if s := &out.Snapshots[i]; newest == nil || s.Index > newest.Index {
 			newest = s
@@ -272,27 +272,27 @@
 	}
 	if newest != nil && newest.Fault != nil && max(covered, out.Last) < newest.Index {
 		out.AddFault(filepath.Join(filepath.Dir(path), SnapshotsDir, newest.Name),
-			fmt.Errorf("%w, and the log ends at entry %d", newest.Fault, out.Last))
+			fmt.Errorf("%w, and the log ends at entry %d already", newest.Fault, out.Last))
 	}
 }
 
-// Recover prepares a data directory for a start. It fails where the invariant above requires it, and removes unfinished
-// files. It may be interrupted at any point and run again.
+// Recover prepares a data directory for a start: it removes unfinished files and sets corrupt snapshots aside. It returns
+// an error if the invariant above forbids the start. It may be interrupted at any point and run again.
 func Recover(dir string, log *slog.Logger) error {
 	found, err := Inspect(dir, nil)
 	if err != nil {
 		return err
 	}
 	if n := len(found.Faults); n > 1 {
-		return fmt.Errorf("%w (and %d more, which `marblelane registry verify %s` tells)", found.Faults[0], n-1, dir)
+		return fmt.Errorf("%w (and %d more faults; `marblelane registry verify %s` lists them)", found.Faults[0], n-1, dir)
 	} else if n == 1 {
 		return found.Faults[0]
 	}
 	for _, name := range found.Unfinished {
 		if err := os.RemoveAll(filepath.Join(dir, name)); err != nil {
-			return fmt.Errorf("cut what was not finished: %w", err)
+			return fmt.Errorf("remove unfinished file: %w", err)
 		}
-		log.Warn("registry: was not finished when the copy ended, and is cut; nothing of it was acknowledged",
+		log.Warn("registry: removed an unfinished file; none of its content was acknowledged",
 			"file", filepath.Join(dir, name))
 	}
 	for _, s := range found.Snapshots {
@@ -300,17 +300,17 @@
 			continue
 		}
 		at := filepath.Join(dir, SnapshotsDir, s.Name)
-		if s.Index < found.Covered() { // its removal may have been cut off
+		if s.Index < found.Covered() { // its removal may have been interrupted
 			if err := os.RemoveAll(at); err != nil {
-				return fmt.Errorf("cut an old snapshot: %w", err)
+				return fmt.Errorf("remove corrupt old snapshot: %w", err)
 			}
-			log.Warn("registry: an old snapshot is spoilt and cut; a newer one is sound", "file", at, "error", s.Fault)
+			log.Warn("registry: removed a corrupt old snapshot; a newer snapshot is valid", "file", at, "error", s.Fault)
 			continue
 		}
 		if err := setAside(at); err != nil {
-			return fmt.Errorf("set a spoilt snapshot aside: %w", err)
+			return fmt.Errorf("set corrupt snapshot aside: %w", err)
 		}
-		log.Error("registry: a snapshot is spoilt and set aside; an older one and the log have all of it",
+		log.Error("registry: set a corrupt snapshot aside; an older snapshot and the log have all its entries",
 			"file", at, "error", s.Fault)
 	}
 	for _, n := range found.Notes {
@@ -319,8 +319,8 @@
 	return nil
 }
 
-// setAside renames a spoilt snapshot, over what was set aside under the same name. raft takes all folders for snapshots
-// except those that end like unfinished ones.
+// setAside renames a corrupt snapshot, and replaces one that was set aside under the same name. raft treats every
+// directory as a snapshot unless its name has the suffix of unfinished ones, so the new name ends with that suffix.
 func setAside(at string) error {
 	to := at + AsideSuffix + TempSuffix
 	if err := os.RemoveAll(to); err != nil {
@@ -332,7 +332,7 @@
 	return SyncDir(filepath.Dir(at))
 }
 
-// SyncDir puts the names in a folder on the disk.
+// SyncDir syncs a directory, so that its file names survive a power loss.
 func SyncDir(dir string) error {
 	d, err := os.Open(dir)
 	if err != nil {
@@ -341,19 +341,20 @@
 	return errors.Join(d.Sync(), d.Close())
 }
 
-// The form of the store as a whole; a later one is refused.
+// storeForm is the format version of the whole store. A newer one is rejected.
 const storeForm = 2
 
-// Keys of the metadata bucket. Form 1 of the store has no such bucket.
+// Keys of the metadata bucket. Format version 1 of the store has no such bucket.
 var (
 	metadataBucket = []byte("about")
 	formKey        = []byte("form")
-	txKey          = []byte("tx") // of the last transaction that this program made
+	txKey          = []byte("tx") // ID of the last transaction made by a version that writes this key
 	contentSumKey  = []byte("log")
 )
 
-// contentSum is how many entries the log has, and the sum of their checksums: an old page in a new one's place, which a
-// disk leaves that says it has synced and has not, is sound in itself and shows here alone.
+// contentSum holds the number of log entries and the sum of their checksums. It detects an old page in the place of a
+// newer one, which is left by a disk that reports a sync without doing it. Such a page is valid in itself, and no other
+// check finds it.
 type contentSum struct{ count, sum uint64 }
 
 func (t *contentSum) add(k, v []byte) {
@@ -387,8 +388,8 @@
 	return binary.BigEndian.AppendUint32(nil, sum)
 }
 
-// checkMetadata compares the values with their checksums. An earlier program writes values and no checksums: that the last
-// transaction was its own shows in its number, which is not the one that stands in the bucket.
+// checkMetadata compares the values with their checksums. ours is false if an older version of the program, which writes
+// no checksums, made the last transaction: the ID of that transaction is then not the one in the metadata bucket.
 func checkMetadata(metadata, values map[string][]byte, log *contentSum, txid uint64) (ours bool, err error) {
 	if len(metadata) == 0 {
 		return false, nil
@@ -396,26 +397,26 @@
 	form, tx := metadata[string(formKey)], metadata[string(txKey)]
 	if len(form) != 12 || len(tx) != 12 || string(valueSum(formKey, form[:8])) != string(form[8:]) ||
 		string(valueSum(txKey, tx[:8])) != string(tx[8:]) {
-		return false, errors.New("bucket about: has another checksum")
+		return false, errors.New("bucket about: checksum mismatch")
 	}
 	if f := binary.BigEndian.Uint64(form); f > storeForm {
-		return false, fmt.Errorf("%w: form %d, this one reads up to %d", ErrNewerVersion, f, storeForm)
+		return false, fmt.Errorf("%w: format %d, this version reads up to format %d", ErrNewerVersion, f, storeForm)
 	}
 	if binary.BigEndian.Uint64(tx) != txid {
 		return false, nil
 	}
 	if string(metadata[string(contentSumKey)]) != string(log.bytes()) {
-		return false, fmt.Errorf("bucket log: its %d entries are not those that were written last", log.count)
+		return false, fmt.Errorf("bucket log: its %d entries do not match the checksum of the last write", log.count)
 	}
 	for name, v := range values {
 		if string(metadata[string(sumKey([]byte(name)))]) != string(valueSum([]byte(name), v)) {
-			return false, fmt.Errorf("bucket values, %s: has another checksum", name)
+			return false, fmt.Errorf("bucket values, %s: checksum mismatch", name)
 		}
 	}
 	for name := range metadata {
 		if at, ok := strings.CutPrefix(name, sumPrefix); ok {
 			if _, there := values[at]; !there {
-				return false, fmt.Errorf("bucket values, %s: is missing", at)
+				return false, fmt.Errorf("bucket values, %s: value is missing", at)
 			}
 		}
 	}
@@ -428,7 +429,7 @@
 	return append(v, valueSum(name, v)...)
 }
 
-// readJSON reads a small file.
+// readJSON reads a whole JSON file, decodes it into to and returns its text.
 func readJSON(path string, to any) ([]byte, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
--- a/internal/registry/storage/log.go
+++ b/internal/registry/storage/log.go
@@ -1,5 +1,5 @@
-// Package storage keeps what a replica has to keep on its disk: the raft log with the term and the vote, and snapshots.
-// It verifies all of it before a replica starts.
+// Package storage stores the persistent state of a replica: the raft log, the term, the vote, and snapshots. It verifies
+// all of them before a replica starts.
 package storage
 
 import (
@@ -22,24 +22,23 @@
 )
 
 // Store keeps raft's log and its few values in one bbolt file. Each log entry and each value has a checksum, so that
-// one that the disk has spoilt stops the replica and is not replicated or applied.
+// a corrupt one stops the replica instead of being replicated or applied.
 //
-// A failed write is reported on failed: raft relies on earlier writes, so the replica has to be closed. Nothing is
-// written after the first failure, even if the disk works again: the kernel may drop pages of a failed sync and report
-// the next sync as done. So the newest root in the file reaches only pages whose sync succeeded, whether or not that
-// root itself is on the disk; the first transaction after the file is reopened settles this, as it syncs a root of its
-// own.
+// The first failed write is sent to Failed: raft relies on earlier writes, so the replica has to be closed. The store
+// writes nothing after the first failure, even if the disk works again, as the kernel may drop the pages of a failed sync
+// and report the next sync as done. So the newest root in the file reaches only pages whose sync succeeded. That root
+// itself may or may not be on the disk. The first transaction after a reopen syncs a root of its own, which resolves this.
 type Store struct {
 	db                    *bolt.DB
 	mu                    sync.Mutex  // held during a write
-	firstFailure          error       // first failure; every later write fails with it
-	Failed                chan error  // receives the first failure
-	OnFailure             func(error) // called with the first failure
+	firstFailure          error       // error of the first failed write, returned by every later write
+	Failed                chan error  // receives the first write failure
+	OnFailure             func(error) // called with the first write failure
 	faults                *fault.Plan
-	slowThreshold         time.Duration // a write that takes longer is a slow one
+	slowThreshold         time.Duration // a write that takes longer counts as slow
 	lastWriteNanos        atomic.Int64  // duration of the last write
-	writes                atomic.Int64  // since it was opened
-	consecutiveSlowWrites atomic.Int64  // slow writes since the last fast one
+	writes                atomic.Int64  // number of writes since the file was opened
+	consecutiveSlowWrites atomic.Int64  // number of slow writes since the last fast one
 }
 
 var (
@@ -51,10 +50,10 @@
 // fileLockTimeout bounds the wait for another process to release the lock of the file.
 const fileLockTimeout = time.Second
 
-// ErrCorrupt is a log entry that is not what was written.
+// ErrCorrupt reports a log entry or a value that differs from what was written.
 var ErrCorrupt = errors.New("the log is corrupt")
 
-// openBolt opens the file, which Recover has looked at: bbolt panics on a spoilt one.
+// openBolt opens a file that Recover has verified. bbolt panics on a corrupt file.
 func openBolt(path string) (*bolt.DB, error) {
 	db, err := bolt.Open(path, 0o600,
 		&bolt.Options{Timeout: fileLockTimeout, FreelistType: bolt.FreelistMapType, NoFreelistSync: true})
@@ -93,7 +92,7 @@
 	return errors.Join(err, metadata.Put(formKey, withChecksum(formKey, storeForm)), markTransaction(tx))
 }
 
-// markTransaction records in a transaction that this version has made it.
+// markTransaction records the ID of a transaction in its metadata, which shows that this version made it.
 func markTransaction(tx *bolt.Tx) error {
 	return tx.Bucket(metadataBucket).Put(txKey, withChecksum(txKey, uint64(tx.ID())))
 }
@@ -114,7 +113,7 @@
 	if err := os.Rename(temp, path); err != nil {
 		return err
 	}
-	return SyncDir(filepath.Dir(path)) // without it a power loss takes the file away, with the votes in it
+	return SyncDir(filepath.Dir(path)) // without this sync a power loss can remove the file together with the votes in it
 }
 
 // OpenStore opens the file, and creates it if it is absent. A write that takes longer than slow counts as slow.
@@ -131,16 +130,16 @@
 	return &Store{db: db, Failed: make(chan error, 1), OnFailure: func(error) {}, slowThreshold: slow, faults: faults}, nil
 }
 
-// LastWriteDuration is how long the last write took; 0: there was none.
+// LastWriteDuration returns how long the last write took, or 0 before the first write.
 func (s *Store) LastWriteDuration() time.Duration { return time.Duration(s.lastWriteNanos.Load()) }
 
-// WriteCount is the number of writes since the file was opened.
+// WriteCount returns the number of writes since the file was opened.
 func (s *Store) WriteCount() int64 { return s.writes.Load() }
 
-// SlowWritesInRow is the number of slow writes since the last fast one.
+// SlowWritesInRow returns the number of slow writes since the last fast one.
 func (s *Store) SlowWritesInRow() int64 { return s.consecutiveSlowWrites.Load() }
 
-// write changes the file; a failure is reported, and every later write fails with the same error.
+// write runs f in a transaction. The first failure is reported, and every later write fails with the same error.
 func (s *Store) write(f func(*bolt.Tx) error) error {
 	startedAt := time.Now()
 	s.mu.Lock()
@@ -163,13 +162,13 @@
 	}
 	if err != nil && !silent {
 		s.firstFailure = err
-		s.Failed <- err // has room for the only one
+		s.Failed <- err // does not block: the buffer holds one error, and only the first failure is sent
 		s.OnFailure(err)
 	}
 	return err
 }
 
-// Failure is the write that failed; nil: none has.
+// Failure returns the error of the first failed write, or nil if no write has failed.
 func (s *Store) Failure() error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -181,19 +180,20 @@
 
 func key(index uint64) []byte { return binary.BigEndian.AppendUint64(nil, index) }
 
-// FirstIndex is the oldest entry's; 0: there is none.
+// FirstIndex returns the index of the oldest entry, or 0 if the log is empty.
 func (s *Store) FirstIndex() (uint64, error) {
 	return s.boundaryIndex((*bolt.Cursor).First)
 }
 
-// LastIndex is the newest entry's; 0: there is none.
+// LastIndex returns the index of the newest entry, or 0 if the log is empty.
 func (s *Store) LastIndex() (uint64, error) {
 	return s.boundaryIndex((*bolt.Cursor).Last)
 }
 
-func (s *Store) boundaryIndex(of func(*bolt.Cursor) ([]byte, []byte)) (index uint64, err error) {
+// boundaryIndex returns the index of the entry to which seek moves a cursor, or 0 if the log is empty.
+func (s *Store) boundaryIndex(seek func(*bolt.Cursor) ([]byte, []byte)) (index uint64, err error) {
 	err = s.db.View(func(tx *bolt.Tx) error {
-		if k, _ := of(tx.Bucket(logBucket).Cursor()); k != nil {
+		if k, _ := seek(tx.Bucket(logBucket).Cursor()); k != nil {
 			index = binary.BigEndian.Uint64(k)
 		}
 		return nil
@@ -225,9 +225,9 @@
 
 func decodeLog(index uint64, v []byte, l *raft.Log) error {
 	if len(v) < 4 || crc32.Checksum(v[4:], castagnoli) != binary.BigEndian.Uint32(v) {
-		return fmt.Errorf("%w: entry %d has another checksum", ErrCorrupt, index)
+		return fmt.Errorf("%w: entry %d: checksum mismatch", ErrCorrupt, index)
 	}
-	if len(v) == 4 || v[4] != '{' { // the first byte is the form; that of this one is JSON's
+	if len(v) == 4 || v[4] != '{' { // the first byte identifies the format; entries of this version are JSON objects
 		return fmt.Errorf("%w: entry %d", ErrNewerVersion, index)
 	}
 	*l = raft.Log{}
@@ -235,7 +235,7 @@
 		return fmt.Errorf("%w: entry %d: %w", ErrCorrupt, index, err)
 	}
 	if l.Index != index {
-		return fmt.Errorf("%w: entry %d stands at %d", ErrCorrupt, l.Index, index)
+		return fmt.Errorf("%w: entry %d is stored at index %d", ErrCorrupt, l.Index, index)
 	}
 	return nil
 }
@@ -243,11 +243,11 @@
 // StoreLog writes an entry.
 func (s *Store) StoreLog(l *raft.Log) error { return s.StoreLogs([]*raft.Log{l}) }
 
-// StoreLogs writes entries in one transaction, which is on the disk when it returns.
+// StoreLogs writes entries in one transaction, which is synced to disk before StoreLogs returns.
 func (s *Store) StoreLogs(logs []*raft.Log) error {
 	return s.write(func(tx *bolt.Tx) error {
 		b := tx.Bucket(logBucket)
-		b.FillPercent = 0.9 // entries are appended
+		b.FillPercent = 0.9 // entries are only appended, so pages need little free space
 		t := readContentSum(tx.Bucket(metadataBucket))
 		for _, l := range logs {
 			data, err := json.Marshal(l)
@@ -268,12 +268,12 @@
 	})
 }
 
-// DeleteRange removes entries from low to high, both with them.
+// DeleteRange removes the entries from low to high, inclusive.
 func (s *Store) DeleteRange(low, high uint64) error {
 	return s.write(func(tx *bolt.Tx) error {
 		b := tx.Bucket(logBucket)
 		t := readContentSum(tx.Bucket(metadataBucket))
-		for i := low; i <= high; i++ { // a cursor must not be moved on from what it has deleted
+		for i := low; i <= high; i++ { // no cursor: it must not be advanced from an entry that was deleted
 			k := key(i)
 			if old := b.Get(k); old != nil {
 				t.remove(k, old)
@@ -286,10 +286,10 @@
 	})
 }
 
-// errNoValue has the text that raft takes for an absent value.
+// errNoValue has the text by which raft recognizes an absent value.
 var errNoValue = errors.New("not found")
 
-// Set keeps a value.
+// Set stores a value and its checksum.
 func (s *Store) Set(name, value []byte) error {
 	return s.write(func(tx *bolt.Tx) error {
 		return errors.Join(tx.Bucket(valueBucket).Put(name, value),
@@ -310,7 +310,7 @@
 	return value, err
 }
 
-// SetUint64 keeps a number.
+// SetUint64 stores a number.
 func (s *Store) SetUint64(name []byte, value uint64) error { return s.Set(name, key(value)) }
 
 // GetUint64 reads a number.
@@ -320,23 +320,23 @@
 		return 0, err
 	}
 	if len(v) != 8 {
-		return 0, fmt.Errorf("%w: the value %s has %d bytes", ErrCorrupt, name, len(v))
+		return 0, fmt.Errorf("%w: value %s has %d bytes, want 8", ErrCorrupt, name, len(v))
 	}
 	return binary.BigEndian.Uint64(v), nil
 }
 
-// currentTermKey is the name under which raft keeps the term that a replica is in.
+// currentTermKey is the key under which raft stores the current term of a replica.
 const currentTermKey = "CurrentTerm"
 
 // TermStore stores raft's values, and hides from raft that its term could not be stored: raft would panic on a goroutine
 // of its own and end the process.
 //
-// This is safe: the failed store rejects every vote and entry of the term as well, and a replica cannot lead without its
-// own vote on disk. Before it is closed the replica may only report the new term; the quorum that voted in that term
-// rejects earlier ones without this replica.
+// This is safe: the failed store also rejects every vote and entry of the term, and a replica cannot become leader
+// without its own vote on disk. Until it is closed the replica can only report the new term to others. The quorum that
+// voted in that term rejects earlier terms without this replica.
 type TermStore struct{ *Store }
 
-// SetUint64 keeps a number. Where that is the term and the store has failed, no error is given.
+// SetUint64 stores a number. It returns no error for the term if the store has failed.
 func (s TermStore) SetUint64(name []byte, value uint64) error {
 	err := s.Store.SetUint64(name, value)
 	if string(name) == currentTermKey && s.Failure() != nil {
--- a/internal/registry/supervisor_test.go
+++ b/internal/registry/supervisor_test.go
@@ -299,7 +299,7 @@
 			info, err := os.Stat(path)
 			require.NoError(t, err)
 			require.NoError(t, os.Truncate(path, info.Size()/2))
-		}, "this copy must not start from it"},
+		}, "this replica must not start from it"},
 		"not a folder": {func(t *testing.T, dir string) {
 			require.NoError(t, os.Rename(dir, dir+".away"))
 			require.NoError(t, os.WriteFile(dir, nil, 0o600))
