--- a/cmd/marblelane/registry_state_test.go
+++ b/cmd/marblelane/registry_state_test.go
@@ -128,7 +128,7 @@
 	assert.Contains(t, out, "1 entries of revision 268435457 are epoch ")
 	code, _, errOut = execute(t, "registry", "restore", backup, "--config", config)
 	assert.Equal(t, exitUse, code)
-	assert.Contains(t, errOut, "has state already")
+	assert.Contains(t, errOut, "already has state")
 
 	code, out, _ = execute(t, "registry", "verify", data)
 	require.Equal(t, exitGood, code, out)
--- a/internal/registry/recover_test.go
+++ b/internal/registry/recover_test.go
@@ -109,7 +109,7 @@
 			v = bytes.Clone(v)
 			v[len(v)/2] ^= 4
 			return tx.Bucket([]byte("log")).Put(k, v)
-		}), "another checksum"},
+		}), "checksum mismatch"},
 		"a lost term": {change(func(tx *bolt.Tx) error {
 			return tx.Bucket([]byte("values")).Delete([]byte("CurrentTerm"))
 		}), "CurrentTerm: is 0"},
--- a/internal/registry/recovery/restore.go
+++ b/internal/registry/recovery/restore.go
@@ -1,18 +1,19 @@
-// Package recovery verifies the data directory of a stopped replica, and founds a cluster from a backup.
+// Package recovery verifies the data directory of a stopped replica, and creates a cluster from a backup.
 //
 // # Restore
 //
-// The new cluster has an epoch greater than the backup's. As epochs count minutes since 2026, it is also greater than that
-// of any cluster that was founded or restored earlier by a correct clock; an epoch of a fast clock that clients have seen
-// is given by the operator (above). So a client never takes a revision of the new cluster for one that it knows, and
-// takes the full list.
+// The new cluster has an epoch greater than the backup's. As epochs count minutes since 2026, it is also greater than
+// that of any cluster that was created or restored earlier under a correct clock. If a clock ran fast, the operator
+// passes the epoch that clients have seen (above). So a client never mistakes a revision of the new cluster for one
+// that it knows, and fetches the full list.
 //
-// The data directory is written beside its final place and renamed, so that it is complete or absent, and an interrupted
-// restore can be repeated. The cluster has one voter, and the other replicas join it with empty directories: replicas that
-// bootstrapped beside it would be a quorum without the backup. Its term is higher than any that an earlier cluster can
-// have reached by elections, so that a late replica of that cluster does not become leader at once. Two such replicas can
-// raise their term, and their quorum would then take the new one over. So the earlier replicas have to be stopped for good,
-// or the new ones need other raft addresses; OldCopies finds those that still answer.
+// The data directory is written beside its final place and renamed, so that it is complete or absent, and an
+// interrupted restore can be repeated. The cluster has one voter, and the other replicas join it with empty
+// directories: replicas that bootstrapped beside it would be a quorum without the backup. Its term is higher than any
+// that an earlier cluster can have reached by elections, so that a late replica of that cluster does not become leader
+// at once. Two such replicas can raise their term, and their quorum would then take over the new cluster. So the
+// earlier replicas have to be stopped permanently, or the new ones need other raft addresses. RunningReplicas finds
+// earlier replicas that still respond.
 package recovery
 
 import (
@@ -35,38 +36,39 @@
 	"marblelane/internal/registry/storage"
 )
 
-// Restored describes a cluster that a restore has founded.
+// Restored describes a cluster that Restore has created.
 type Restored struct {
-	Epoch     int64 // of the new history
+	Epoch     int64 // epoch of the new cluster
 	BackupRev int64 // revision of the backup
-	Entries   int
+	Entries   int   // number of list entries
 }
 
-// electionBits leaves room for a million elections in each minute between two restores.
+// electionBits is the number of low bits of the first term. It leaves room for a million elections in each minute
+// between two restores.
 const electionBits = 20
 
 // Target is the first replica of the restored cluster.
 type Target struct {
 	Name string
-	Dir  string // its data directory, absent or empty
-	Raft string // where other replicas reach its raft
-	Join bool   // it is configured to join a cluster, which is rejected
+	Dir  string // data directory, which has to be absent or empty
+	Raft string // raft address at which other replicas reach it
+	Join bool   // the replica is configured to join a cluster, which Restore rejects
 }
 
 // Endpoint is a replica with the address of its HTTP API.
 type Endpoint struct{ Name, Address string }
 
-// ErrDirNotEmpty is a folder that must not be restored into.
-var ErrDirNotEmpty = errors.New("has state already; a restore founds a cluster in a folder that is empty or not there")
+// ErrDirNotEmpty reports that the target directory of a restore is not empty.
+var ErrDirNotEmpty = errors.New("already has state; a restore needs an empty or absent directory")
 
-// Restore founds a cluster of one replica from a backup that `registry snapshot` has written. above is a revision or an
-// epoch that clients may have seen; 0: none beyond the backup's. now is the wall clock.
+// Restore creates a cluster of one replica from a backup that `registry snapshot` has written. above is a revision or
+// an epoch that clients may have seen, or 0 if they have seen none beyond the backup's. now is the wall-clock time.
 func Restore(backup io.Reader, target Target, above int64, now time.Time) (out Restored, err error) {
 	if target.Dir == "" {
 		return out, errors.New("restore: the configuration has no dir")
 	}
 	if target.Join {
-		return out, errors.New("restore: the configuration says join; who joins has nothing to restore")
+		return out, errors.New("restore: the configuration sets join, but a joining replica restores nothing")
 	}
 	restored, err := readBackup(backup)
 	if err != nil {
@@ -77,12 +79,12 @@
 	}
 	out.BackupRev = restored.Rev()
 	if old := state.EpochOf(out.BackupRev); above == 0 && int64(now.Sub(state.EpochZero)/time.Minute) < old {
-		return out, fmt.Errorf("restore: the backup's epoch is %d, and by this clock (%v) it has not begun yet: "+
-			"set the clock, or say with --above which epoch clients have seen", old, now)
+		return out, fmt.Errorf("restore: the backup's epoch %d is in the future by this clock (%v): "+
+			"set the clock, or pass the epoch that clients have seen with --above", old, now)
 	}
 	out.Epoch = state.NextEpoch(now, max(state.EpochOf(out.BackupRev), above))
 	if out.Epoch <= max(state.EpochOf(out.BackupRev), above) {
-		return out, fmt.Errorf("restore: there is no epoch above %d", above)
+		return out, fmt.Errorf("restore: no epoch is available above %d", above)
 	}
 	if _, err := restored.Apply(&state.Command{Op: state.OpBegin, Epoch: out.Epoch}); err != nil {
 		return out, fmt.Errorf("restore: %w", err)
@@ -100,10 +102,10 @@
 		return nil, fmt.Errorf("restore: the backup: %w", err)
 	}
 	if _, err := d.Token(); !errors.Is(err, io.EOF) {
-		return nil, errors.New("restore: the backup: something follows its end")
+		return nil, errors.New("restore: the backup: unexpected data after its end")
 	}
 	if in.Rev <= 0 || state.EpochOf(in.Rev) > state.MaxEpoch {
-		return nil, fmt.Errorf("restore: the backup: revision %d cannot be", in.Rev)
+		return nil, fmt.Errorf("restore: the backup: invalid revision %d", in.Rev)
 	}
 	seen := map[string]bool{}
 	for i, it := range in.Items {
@@ -114,8 +116,8 @@
 			return nil, fmt.Errorf("restore: the backup: entry %d: %w", i, err)
 		}
 		if it.Changed <= 0 || it.Changed > in.Rev || it.LeaseMS < 0 || seen[it.Entry.UID] {
-			return nil, fmt.Errorf("restore: the backup: entry %d, %q: its revision %d or its lease cannot be, or it is "+
-				"there twice", i, it.Entry.UID, it.Changed)
+			return nil, fmt.Errorf("restore: the backup: entry %d, %q: invalid revision %d, invalid lease, or duplicate "+
+				"entry", i, it.Entry.UID, it.Changed)
 		}
 		seen[it.Entry.UID] = true
 	}
@@ -138,12 +140,12 @@
 	if err != nil {
 		return fmt.Errorf("restore: %w", err)
 	}
-	defer p.Close() // and with it the lock
+	defer p.Close() // also releases the lock
 	if err := storage.LockFile(p, syscall.LOCK_EX); err != nil {
 		return fmt.Errorf("restore: %w", err)
 	}
 	temp := filepath.Join(parent, "."+base+".restore")
-	if err := os.RemoveAll(temp); err != nil { // of an interrupted restore
+	if err := os.RemoveAll(temp); err != nil { // left by an interrupted restore
 		return fmt.Errorf("restore: %w", err)
 	}
 	if err := os.Mkdir(temp, 0o755); err != nil {
@@ -208,7 +210,8 @@
 	return errors.Join(found.Faults...)
 }
 
-// RunningReplicas returns which replicas answer: an earlier cluster that still runs and must not reach the new one.
+// RunningReplicas returns the replicas that respond. They belong to an earlier cluster, which must not reach the new
+// one.
 func RunningReplicas(replicas []Endpoint, wait time.Duration) (alive []string) {
 	client := &http.Client{Timeout: wait, Transport: &http.Transport{DisableKeepAlives: true}}
 	for _, p := range replicas {
--- a/internal/registry/recovery/verify.go
+++ b/internal/registry/recovery/verify.go
@@ -14,15 +14,15 @@
 	"marblelane/internal/registry/storage"
 )
 
-// Verified is the content of a data directory, and the revision that its log leads to.
+// Verified describes the content of a data directory, and the revision to which its log leads.
 type Verified struct {
 	*storage.Inspection
-	Rev   int64 // after the newest valid snapshot and the whole log, as if all entries were committed
-	Epoch int64
+	Rev   int64 // revision after the newest valid snapshot and the whole log, as if all entries were committed
+	Epoch int64 // epoch of Rev
 }
 
-// Verify reads the data directory of a stopped replica and changes nothing. The error says that it could not be read;
-// faults of its content are in Faults.
+// Verify reads the data directory of a stopped replica and changes nothing. The error reports that it could not be
+// read. Faults of its content are in Faults.
 func Verify(dir string) (*Verified, error) {
 	if _, err := os.Stat(dir); err != nil {
 		return nil, err
@@ -36,7 +36,7 @@
 	}
 	out := &Verified{Inspection: found}
 	if out.Entries == 0 && len(out.Snapshots) == 0 && out.Term == 0 && len(out.Faults) == 0 {
-		out.Notes = append(out.Notes, "a copy that starts here has nothing, as a new one")
+		out.Notes = append(out.Notes, "the data directory is empty: a replica that starts from it is new")
 	}
 	if len(out.Faults) > 0 {
 		return out, nil // the revision of a faulty log would be a guess
@@ -62,7 +62,7 @@
 			continue
 		}
 		if c.Term == 0 || c.Term == l.Term {
-			_, _ = restored.Apply(&c) // a rejected command is no fault of the directory
+			_, _ = restored.Apply(&c) // the cluster rejects some commands, which is no fault of the directory
 		}
 	}
 	out.Rev, out.Epoch = restored.Rev(), state.EpochOf(restored.Rev())
@@ -89,33 +89,33 @@
 // Print writes the findings, one line each.
 func (v *Verified) Print(w io.Writer) error {
 	var failed error
-	say := func(form string, of ...any) {
+	printLine := func(form string, of ...any) {
 		_, err := fmt.Fprintf(w, form+"\n", of...)
 		failed = errors.Join(failed, err)
 	}
-	say("log: %d entries, index %d to %d, terms %d to %d", v.Entries, v.First, v.Last, v.LowTerm, v.HighTerm)
-	say("copy: in term %d, voted last in term %d for %q", v.Term, v.VotedTerm, v.VotedFor)
+	printLine("log: %d entries, index %d to %d, terms %d to %d", v.Entries, v.First, v.Last, v.LowTerm, v.HighTerm)
+	printLine("replica: in term %d, last voted in term %d for %q", v.Term, v.VotedTerm, v.VotedFor)
 	for _, s := range v.Snapshots {
-		restored := "sound"
+		verdict := "sound"
 		if s.Fault != nil {
-			restored = s.Fault.Error()
+			verdict = s.Fault.Error()
 		}
-		say("snapshot %s: index %d, term %d, revision %d, %d bytes: %s", s.Name, s.Index, s.Term, s.Rev, s.Bytes, restored)
+		printLine("snapshot %s: index %d, term %d, revision %d, %d bytes: %s", s.Name, s.Index, s.Term, s.Rev, s.Bytes, verdict)
 	}
 	if v.Sound() {
-		say("revision %d of epoch %d, if all of the log was committed", v.Rev, v.Epoch)
+		printLine("revision %d of epoch %d, if all of the log was committed", v.Rev, v.Epoch)
 	}
 	for _, c := range v.Unfinished {
-		say("never finished, a start cuts it: %s", c)
+		printLine("unfinished, the next start removes it: %s", c)
 	}
 	for _, n := range v.Notes {
-		say("note: %s", n)
+		printLine("note: %s", n)
 	}
 	for _, f := range v.Faults {
-		say("UNSOUND: %v", f)
+		printLine("UNSOUND: %v", f)
 	}
 	if v.Sound() {
-		say("sound")
+		printLine("sound")
 	}
 	return failed
 }
--- a/internal/registry/storage/inspect.go
+++ b/internal/registry/storage/inspect.go
@@ -23,15 +23,15 @@
 //
 // # Invariant
 //
-// raft requires that a replica keeps each entry and vote that it has acknowledged. One that lost any and continues under
-// its name can lose committed entries, or vote twice in one term.
+// raft requires that a replica keeps each entry and vote that it has acknowledged. One that lost any and continues
+// under its name can lose committed entries, or vote twice in one term.
 //
-// A write is acknowledged when its transaction has returned. A transaction syncs twice: all its pages, and then the meta
-// page that points to them. A power loss before the second sync returns leaves the transaction complete or absent, and
-// it was never acknowledged. So a torn tail of the log is not reachable from the newest root and is dropped. All pages
-// that the root reaches were synced before it. If any of them cannot be read, even that of the last entry, its content
-// may have been acknowledged: the replica stops and has to rejoin under another name. The same holds for a corrupt meta
-// page, as the other one points to the previous state.
+// A write is acknowledged when its transaction has returned. A transaction syncs twice: all its pages, and then the
+// meta page that points to them. A power loss before the second sync returns leaves the transaction complete or absent,
+// and it was never acknowledged. So a torn tail of the log is not reachable from the newest root and is dropped. All
+// pages that the root reaches were synced before it. If any of them cannot be read, even that of the last entry, its
+// content may have been acknowledged: the replica stops and has to rejoin under another name. The same holds for a
+// corrupt meta page, as the other one points to the previous state.
 //
 // A snapshot repeats entries of the log. An unfinished snapshot is removed. A corrupt snapshot is set aside if an older
 // snapshot and the log are complete without it. Otherwise the replica stops.
@@ -46,9 +46,10 @@
 }
 
 func (e *CorruptionError) Error() string {
-	return fmt.Sprintf("%s: %v; this replica must not start from it, as it may have acknowledged data that is lost: move "+
-		"the data directory away, start the replica under another name with join = true, and run replace-copy for the old name "+
-		"on a running replica; if no replica runs, `marblelane registry restore` creates a cluster from a backup", e.Path, e.Err)
+	return fmt.Sprintf("%s: %v; this replica must not start from it, as it may have acknowledged data that is lost: "+
+		"move the directory away, start the replica under another name with join = true, and run replace-copy for the old "+
+		"name against a running replica; if none runs, `marblelane registry restore` creates a cluster from a backup",
+		e.Path, e.Err)
 }
 
 func (e *CorruptionError) Unwrap() error { return e.Err }
@@ -139,7 +140,7 @@
 // AddFault records a fault of a file or of its content.
 func (out *Inspection) AddFault(path string, err error) {
 	if errors.Is(err, ErrNewerVersion) {
-		out.Faults = append(out.Faults, fmt.Errorf("%s: %w: start that version; the data directory is left unchanged", path, err))
+		out.Faults = append(out.Faults, fmt.Errorf("%s: %w: start that version; the directory is unchanged", path, err))
 		return
 	}
 	out.Faults = append(out.Faults, &CorruptionError{path, err})
@@ -180,8 +181,8 @@
 	if ours, err := checkMetadata(metadata, out.values, &out.contentSum, p.txid); err != nil {
 		return err
 	} else if !ours {
-		out.Notes = append(out.Notes, "this version did not make the last write to the log: an older version made it, or the "+
-			"disk lost a page whose sync it reported as done")
+		out.Notes = append(out.Notes, "this version did not make the last write to the log: an older version made "+
+			"it, or the disk lost a page whose sync it reported as done")
 	}
 	if unknown != nil {
 		return unknown
@@ -272,12 +273,12 @@
 	}
 	if newest != nil && newest.Fault != nil && max(covered, out.Last) < newest.Index {
 		out.AddFault(filepath.Join(filepath.Dir(path), SnapshotsDir, newest.Name),
-			fmt.Errorf("%w, and the log ends at entry %d already", newest.Fault, out.Last))
+			fmt.Errorf("%w, and the log ends at entry %d", newest.Fault, out.Last))
 	}
 }
 
-// Recover prepares a data directory for a start: it removes unfinished files and sets corrupt snapshots aside. It returns
-// an error if the invariant above forbids the start. It may be interrupted at any point and run again.
+// Recover prepares a data directory for a start: it removes unfinished files and sets corrupt snapshots aside. It
+// returns an error if the invariant above forbids the start. It may be interrupted at any point and run again.
 func Recover(dir string, log *slog.Logger) error {
 	found, err := Inspect(dir, nil)
 	if err != nil {
@@ -388,8 +389,9 @@
 	return binary.BigEndian.AppendUint32(nil, sum)
 }
 
-// checkMetadata compares the values with their checksums. ours is false if an older version of the program, which writes
-// no checksums, made the last transaction: the ID of that transaction is then not the one in the metadata bucket.
+// checkMetadata compares the values with their checksums. ours is false if an older version of the program, which
+// writes no checksums, made the last transaction: the ID of that transaction is then not the one in the metadata
+// bucket.
 func checkMetadata(metadata, values map[string][]byte, log *contentSum, txid uint64) (ours bool, err error) {
 	if len(metadata) == 0 {
 		return false, nil
--- a/internal/registry/storage/log.go
+++ b/internal/registry/storage/log.go
@@ -1,5 +1,5 @@
-// Package storage stores the persistent state of a replica: the raft log, the term, the vote, and snapshots. It verifies
-// all of them before a replica starts.
+// Package storage stores the persistent state of a replica: the raft log, the term, the vote, and snapshots. It
+// verifies all of them before a replica starts.
 package storage
 
 import (
@@ -25,9 +25,10 @@
 // a corrupt one stops the replica instead of being replicated or applied.
 //
 // The first failed write is sent to Failed: raft relies on earlier writes, so the replica has to be closed. The store
-// writes nothing after the first failure, even if the disk works again, as the kernel may drop the pages of a failed sync
-// and report the next sync as done. So the newest root in the file reaches only pages whose sync succeeded. That root
-// itself may or may not be on the disk. The first transaction after a reopen syncs a root of its own, which resolves this.
+// writes nothing after the first failure, even if the disk works again, as the kernel may drop the pages of a failed
+// sync and report the next sync as done. So the newest root in the file reaches only pages whose sync succeeded. That
+// root itself may or may not be on the disk. The first transaction after a reopen syncs a root of its own, which
+// resolves this.
 type Store struct {
 	db                    *bolt.DB
 	mu                    sync.Mutex  // held during a write
@@ -210,7 +211,7 @@
 	return decodeLog(index, v, l)
 }
 
-// readRaw is an entry as it stands in the file.
+// readRaw returns an entry with its checksum, as stored in the file.
 func (s *Store) readRaw(index uint64) (v []byte, err error) {
 	err = s.db.View(func(tx *bolt.Tx) error {
 		value := tx.Bucket(logBucket).Get(key(index))
@@ -328,8 +329,8 @@
 // currentTermKey is the key under which raft stores the current term of a replica.
 const currentTermKey = "CurrentTerm"
 
-// TermStore stores raft's values, and hides from raft that its term could not be stored: raft would panic on a goroutine
-// of its own and end the process.
+// TermStore stores raft's values, and hides from raft that its term could not be stored: raft would panic on a
+// goroutine of its own and end the process.
 //
 // This is safe: the failed store also rejects every vote and entry of the term, and a replica cannot become leader
 // without its own vote on disk. Until it is closed the replica can only report the new term to others. The quorum that
--- a/internal/registry/storage/snapshots.go
+++ b/internal/registry/storage/snapshots.go
@@ -22,22 +22,22 @@
 	"marblelane/internal/registry/state"
 )
 
-// Snapshots keeps raft's snapshots. raft's own store gives the state a checksum and its description none, and does not
-// sync the folder in which both stand; raft then drops from the log what the snapshot has. So a seal is written beside
-// them, and both names and seal are synced before raft goes on.
+// Snapshots stores raft's snapshots. raft's own store writes a checksum for the state but none for its description, and
+// does not sync the directory of both files. After a snapshot raft deletes the entries that it includes from the log.
+// So this store writes a seal file beside them, and syncs the file names and the seal before raft continues.
 //
-// A snapshot that fails, on a full disk or at a sync, leaves the older ones and nothing of its own; raft retries at
-// its next interval.
+// A snapshot that fails, for example on a full disk or at a sync, is removed and leaves the older ones in place. raft
+// retries at its next interval.
 type Snapshots struct {
 	*raft.FileSnapshotStore
 	dir string
 	log *slog.Logger
 
 	mu         sync.Mutex
-	inProgress map[string]bool // IDs of those that are being written
+	inProgress map[string]bool // IDs of the snapshots that are being written
 }
 
-// OpenSnapshots opens the snapshots of a data directory.
+// OpenSnapshots opens the snapshot store of a data directory, and creates it if it is absent.
 func OpenSnapshots(dir string, raftLog hclog.Logger, log *slog.Logger) (*Snapshots, error) {
 	files, err := raft.NewFileSnapshotStoreWithLogger(dir, 2, raftLog)
 	if err != nil {
@@ -47,7 +47,7 @@
 		inProgress: map[string]bool{}}, SyncDir(dir)
 }
 
-// Create begins a snapshot.
+// Create starts a snapshot and returns the sink for its state.
 func (s *Snapshots) Create(version raft.SnapshotVersion, index, term uint64, c raft.Configuration, cIndex uint64,
 	t raft.Transport) (raft.SnapshotSink, error) {
 	s.mu.Lock()
@@ -61,7 +61,7 @@
 	return &sealingSink{SnapshotSink: sink, store: s, dir: filepath.Join(s.dir, sink.ID())}, nil
 }
 
-// finished records that a snapshot was written or cancelled, or why it failed.
+// finished records the end of a snapshot. err is nil unless the snapshot failed.
 func (s *Snapshots) finished(id string, err error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -71,9 +71,11 @@
 	}
 }
 
-// handleFailure logs that a snapshot handleFailure and removes unfinished ones, which raft leaves behind at each attempt; s.mu is held.
+// handleFailure logs that a snapshot failed, and removes unfinished snapshots, which raft leaves behind at each failed
+// attempt. The caller holds s.mu.
 func (s *Snapshots) handleFailure(err error) {
-	s.log.Error("registry: a snapshot failed; the older ones stay, and it is tried again", "dir", s.dir, "error", err)
+	s.log.Error("registry: failed to write a snapshot; older snapshots are kept, and raft retries",
+		"dir", s.dir, "error", err)
 	all, err := os.ReadDir(s.dir)
 	for _, e := range all {
 		id, unfinished := strings.CutSuffix(e.Name(), TempSuffix)
@@ -81,21 +83,21 @@
 			err = errors.Join(err, os.RemoveAll(filepath.Join(s.dir, e.Name())))
 		}
 	}
-	if err != nil { // removed at the next failure or start
-		s.log.Warn("registry: an unfinished snapshot is left", "error", err)
+	if err != nil { // the next failure or start removes it
+		s.log.Warn("registry: failed to remove an unfinished snapshot", "error", err)
 	}
 }
 
-// sealingSink writes the seal when the snapshot is complete. raft closes a sink more than once.
+// sealingSink writes the seal when the snapshot is complete. raft may close a sink more than once.
 type sealingSink struct {
 	raft.SnapshotSink
 	store  *Snapshots
 	dir    string
 	closed bool
-	err    error // why it failed
+	err    error // first error of the snapshot
 }
 
-// Write adds to the state.
+// Write appends to the state file.
 func (s *sealingSink) Write(b []byte) (int, error) {
 	n, err := s.SnapshotSink.Write(b)
 	if s.err == nil {
@@ -104,7 +106,7 @@
 	return n, err
 }
 
-// Close puts the snapshot in place. One that fails is not there, or its seal is on the disk.
+// Close completes the snapshot and writes its seal. If it fails, the snapshot is marked as unfinished.
 func (s *sealingSink) Close() error {
 	if s.closed {
 		return s.err
@@ -120,7 +122,8 @@
 	return s.err
 }
 
-// markUnfinished renames a snapshot to an unfinished one; it may not be in place yet.
+// markUnfinished gives a snapshot the name of an unfinished one. It does nothing if raft has not renamed the snapshot
+// into place yet.
 func markUnfinished(dir string) error {
 	if err := os.Rename(dir, dir+TempSuffix); err != nil && !errors.Is(err, fs.ErrNotExist) {
 		return err
@@ -128,7 +131,7 @@
 	return nil
 }
 
-// Cancel gives the snapshot up.
+// Cancel discards the snapshot.
 func (s *sealingSink) Cancel() error {
 	if s.closed {
 		return nil
@@ -147,18 +150,18 @@
 	sealForm  = 1
 )
 
-// sealed is the content of a seal. A later form is rejected.
+// sealed is the content of a seal file. A newer format version is rejected.
 type sealed struct {
 	Form int    `json:"form"`
-	Meta uint32 `json:"meta"` // CRC-32C of the description
-	Sum  uint32 `json:"sum"`  // CRC-32C of the two before, as text
+	Meta uint32 `json:"meta"` // CRC-32C of meta.json
+	Sum  uint32 `json:"sum"`  // CRC-32C of Form and Meta, written as decimal text
 }
 
 func (s *sealed) sum() uint32 {
 	return crc32.Checksum(fmt.Appendf(nil, "%d %d", s.Form, s.Meta), castagnoli)
 }
 
-// seal writes the seal of a snapshot and syncs its directory.
+// seal writes the seal file of a snapshot and syncs its directory.
 func seal(dir string) error {
 	meta, err := os.ReadFile(filepath.Join(dir, metaFile))
 	if err != nil {
@@ -193,7 +196,7 @@
 	return SyncDir(filepath.Dir(path))
 }
 
-// description is the part of raft's meta.json that is checked.
+// description holds the fields of raft's meta.json that are verified.
 type description struct {
 	Version     raft.SnapshotVersion
 	Index, Term uint64
@@ -201,7 +204,7 @@
 	CRC         []byte
 }
 
-// Snapshots reads all readSnapshots, newest first.
+// readSnapshots reads and verifies all snapshots, and sorts them with the newest first.
 func (out *Inspection) readSnapshots(dir string) error {
 	all, err := os.ReadDir(dir)
 	if err != nil && !errors.Is(err, fs.ErrNotExist) {
@@ -210,16 +213,16 @@
 	for _, e := range all {
 		switch name := e.Name(); {
 		case strings.HasSuffix(name, AsideSuffix+TempSuffix):
-			out.Notes = append(out.Notes, "a spoilt snapshot was set aside earlier: "+name)
+			out.Notes = append(out.Notes, "a corrupt snapshot was set aside earlier: "+name)
 		case strings.HasSuffix(name, TempSuffix):
 			out.Unfinished = append(out.Unfinished, filepath.Join(SnapshotsDir, name))
 		case e.IsDir():
 			s := SnapshotInfo{Name: name}
-			// The folder's name has term and index even where the description is lost.
+			// The directory name has the term and the index, even if meta.json is lost.
 			_, _ = fmt.Sscanf(name, "%d-%d-", &s.Term, &s.Index)
 			unsealed, err := s.verify(filepath.Join(dir, name))
 			if s.Fault = err; err == nil && unsealed {
-				out.Notes = append(out.Notes, "a snapshot has no seal, as an earlier program writes it: "+name)
+				out.Notes = append(out.Notes, "a snapshot has no seal, as older versions do not write one: "+name)
 			}
 			out.Snapshots = append(out.Snapshots, s)
 		}
@@ -240,25 +243,26 @@
 	if err != nil {
 		return false, fmt.Errorf("%s: %w", metaFile, err)
 	}
-	var mark sealed
-	text, err := readJSON(filepath.Join(dir, sealFile), &mark)
-	exact, err2 := json.Marshal(mark) // JSON's reader takes other spellings, too
+	var stored sealed
+	text, err := readJSON(filepath.Join(dir, sealFile), &stored)
+	encoded, err2 := json.Marshal(stored) // the JSON decoder also accepts other encodings of the same values
 	switch {
 	case errors.Is(err, fs.ErrNotExist):
 		unsealed = true
 	case err != nil || err2 != nil:
 		return false, fmt.Errorf("%s: %w", sealFile, errors.Join(err, err2))
-	case mark.Sum != mark.sum():
-		return false, fmt.Errorf("%s: has another checksum", sealFile)
-	case mark.Form > sealForm:
-		return false, fmt.Errorf("%s: %w: form %d, this one reads up to %d", sealFile, ErrNewerVersion, mark.Form, sealForm)
-	case string(text) != string(exact):
-		return false, fmt.Errorf("%s: is not as it was written", sealFile)
-	case mark.Meta != crc32.Checksum(meta, castagnoli):
-		return false, fmt.Errorf("%s: has another checksum", metaFile)
+	case stored.Sum != stored.sum():
+		return false, fmt.Errorf("%s: checksum mismatch", sealFile)
+	case stored.Form > sealForm:
+		return false, fmt.Errorf("%s: %w: format %d, this version reads up to format %d", sealFile, ErrNewerVersion,
+			stored.Form, sealForm)
+	case string(text) != string(encoded):
+		return false, fmt.Errorf("%s: differs from the encoding that was written", sealFile)
+	case stored.Meta != crc32.Checksum(meta, castagnoli):
+		return false, fmt.Errorf("%s: checksum mismatch", metaFile)
 	}
 	if d.Index != s.Index || d.Term != s.Term {
-		return false, fmt.Errorf("%s: is of term %d and index %d", metaFile, d.Term, d.Index)
+		return false, fmt.Errorf("%s: term %d and index %d do not match the directory name", metaFile, d.Term, d.Index)
 	}
 	f, err := os.Open(filepath.Join(dir, StateFile))
 	if err != nil {
@@ -270,7 +274,7 @@
 		return false, err
 	}
 	if string(sum.Sum(nil)) != string(d.CRC) || s.Bytes != d.Size {
-		return false, fmt.Errorf("%s: has another checksum", StateFile)
+		return false, fmt.Errorf("%s: checksum or size mismatch", StateFile)
 	}
 	if _, err := f.Seek(0, io.SeekStart); err != nil {
 		return false, err
@@ -283,7 +287,8 @@
 		return false, fmt.Errorf("%s: %w", StateFile, err)
 	}
 	if in.Form > state.SnapshotForm {
-		return false, fmt.Errorf("%s: %w: form %d, this one reads up to %d", StateFile, ErrNewerVersion, in.Form, state.SnapshotForm)
+		return false, fmt.Errorf("%s: %w: format %d, this version reads up to format %d", StateFile, ErrNewerVersion,
+			in.Form, state.SnapshotForm)
 	}
 	s.Rev = in.Rev
 	return unsealed, nil
--- a/internal/registry/storage/state_snapshot.go
+++ b/internal/registry/storage/state_snapshot.go
@@ -13,13 +13,13 @@
 // StateSnapshot is a copy of the state that raft writes to a snapshot.
 type StateSnapshot struct{ Content *state.Snapshot }
 
-// Persist writes the snapshot whole or not at all.
+// Persist writes the snapshot to the sink, and cancels the sink if the encoding fails.
 func (s StateSnapshot) Persist(sink raft.SnapshotSink) error {
 	if err := json.NewEncoder(sink).Encode(s.Content); err != nil {
-		return errors.Join(fmt.Errorf("registry: snapshot: %w", err), sink.Cancel())
+		return errors.Join(fmt.Errorf("registry: failed to write snapshot: %w", err), sink.Cancel())
 	}
 	return sink.Close()
 }
 
-// Release does nothing: the snapshot is this process's own copy.
+// Release does nothing: the snapshot is a copy that the garbage collector frees.
 func (StateSnapshot) Release() {}
--- a/internal/registry/storage/store_test.go
+++ b/internal/registry/storage/store_test.go
@@ -95,7 +95,7 @@
 	var bits []int
 	for page := range 2 {
 		for i := range metaSize * 8 {
-			bits = append(bits, (page*os.Getpagesize()+metaAt)*8+i)
+			bits = append(bits, (page*os.Getpagesize()+metaOffset)*8+i)
 		}
 	}
 	seed := rand.New(rand.NewPCG(1, 2))
@@ -146,7 +146,7 @@
 	bad := testfile.Read(t, path)
 	p, err := openPages(bytes.NewReader(bad), int64(len(bad)))
 	require.NoError(t, err)
-	bad[int64(p.txid%2)*p.pageSize+metaAt+metaSum] ^= 1
+	bad[int64(p.txid%2)*p.pageSize+metaOffset+metaSumOffset] ^= 1
 	testfile.Write(t, path, bad)
 	err = Recover(filepath.Dir(path), quiet())
 	assert.ErrorContains(t, err, "meta page")
--- a/internal/registry/transport/pipeline.go
+++ b/internal/registry/transport/pipeline.go
@@ -6,7 +6,7 @@
 	"github.com/hashicorp/raft"
 )
 
-// AppendEntriesPipeline opens a pipeline of entries to a follower, which closes itself at the first rejection.
+// AppendEntriesPipeline opens a pipeline of entries to a follower. The pipeline closes itself at the first rejection.
 func (t *Transport) AppendEntriesPipeline(id raft.ServerID, target raft.ServerAddress) (raft.AppendPipeline, error) {
 	inner, err := t.NetworkTransport.AppendEntriesPipeline(id, target)
 	if err != nil {
@@ -19,9 +19,10 @@
 
 // pipeline is raft's pipeline of entries to a follower, closed as soon as an entry is rejected.
 //
-// After a rejection raft's pipelineDecode reads no further answers and closes the stream once the sender has noticed. A
-// send in flight then queues its request behind one whose answer is never read: a deadlock, after which the follower
-// receives no entries in this term. A follower whose disk write fails and that answers before it closes causes this.
+// After a rejection raft's pipelineDecode reads no further responses, and closes the stream only once the sender has
+// noticed. A send in flight then queues its request behind one whose response is never read. That is a deadlock, and
+// the follower receives no more entries in this term. It happens when a follower's disk write fails and the follower
+// responds before it closes the connection.
 type pipeline struct {
 	raft.AppendPipeline
 	responses chan raft.AppendFuture
@@ -29,30 +30,30 @@
 	once      sync.Once
 }
 
-// Consumer gives the answers in order; after the first that is no success none comes.
+// Consumer returns the channel of responses, in order. The first response without success is the last one.
 func (p *pipeline) Consumer() <-chan raft.AppendFuture { return p.responses }
 
-// Close ends the stream, and with it requests that wait to be sent.
+// Close closes the stream and aborts requests that wait to be sent.
 func (p *pipeline) Close() error {
 	p.once.Do(func() { close(p.end) })
 	return p.AppendPipeline.Close()
 }
 
-// forward passes answers on until the stream ends.
+// forward passes on responses until the pipeline is closed or a response reports no success.
 func (p *pipeline) forward() {
 	for {
-		var answer raft.AppendFuture
+		var response raft.AppendFuture
 		select {
-		case answer = <-p.AppendPipeline.Consumer():
+		case response = <-p.AppendPipeline.Consumer():
 		case <-p.end:
 			return
 		}
-		failed := !answer.Response().Success // so is one that did not come
+		failed := !response.Response().Success // also false if no response arrived
 		if failed {
-			_ = p.AppendPipeline.Close() // raft closes it too, and does not look at the error either
+			_ = p.AppendPipeline.Close() // raft closes it again and ignores the error as well
 		}
 		select {
-		case p.responses <- answer:
+		case p.responses <- response:
 		case <-p.end:
 			return
 		}
--- a/internal/registry/transport/regression_detector.go
+++ b/internal/registry/transport/regression_detector.go
@@ -7,12 +7,14 @@
 	"github.com/hashicorp/raft"
 )
 
-// RegressionDetector logs, on the leader, followers whose log has regressed: one that no longer has an entry that it
-// acknowledged in this term lost synced data, or its data directory was rolled back to an old disk image. The leader
-// sends the entries again, so they are safe once the follower has caught up; a second vote in one term cannot be undone.
+// RegressionDetector runs on the leader and logs followers whose log has regressed. A follower that no longer has an
+// entry that it acknowledged in this term lost synced data, or its data directory was rolled back to an old disk image.
+// The leader sends the entries again, so they are safe once the follower has caught up. But the follower may also have
+// lost its vote, and a second vote in one term cannot be undone.
 //
-// Not detected: a regression under another leader or none, and one within a pipeline that is open since the term began.
-// A follower that was removed and added again under its name, with an empty directory, is logged as well.
+// Not detected: a regression under another leader or without one, and a regression within a pipeline that has been open
+// since the term began. A follower that was removed and added again under its name, with an empty directory, is logged
+// as well.
 type RegressionDetector struct {
 	*Transport
 	log *slog.Logger
@@ -22,19 +24,19 @@
 	followers map[raft.ServerID]*followerProgress
 }
 
-// followerProgress is what a follower has followerProgress in a term.
+// followerProgress records which entries a follower has acknowledged in a term.
 type followerProgress struct {
-	first     uint64 // index before the first entry sent, as assumed by the leader
-	index     uint64 // last index acknowledged
-	regressed bool   // regressed, and logged
+	first     uint64 // index of the entry before the first one sent, which the leader assumes the follower has
+	index     uint64 // index of the last acknowledged entry
+	regressed bool   // a regression was detected and logged
 }
 
-// NewRegressionDetector watches the answers to entries that are sent over t.
+// NewRegressionDetector returns a detector that observes the responses to entries sent over t.
 func NewRegressionDetector(t *Transport, log *slog.Logger) *RegressionDetector {
 	return &RegressionDetector{Transport: t, log: log, followers: map[raft.ServerID]*followerProgress{}}
 }
 
-// AppendEntries sends entries and looks at the answer.
+// AppendEntries sends entries and checks the response for a regression.
 func (t *RegressionDetector) AppendEntries(id raft.ServerID, target raft.ServerAddress, a *raft.AppendEntriesRequest,
 	r *raft.AppendEntriesResponse) error {
 	err := t.Transport.AppendEntries(id, target, a, r)
@@ -54,21 +56,22 @@
 		t.term = a.Term
 		clear(t.followers)
 	}
-	h := t.followers[id]
-	if h == nil {
-		h = &followerProgress{first: a.PrevLogEntry}
-		t.followers[id] = h
+	follower := t.followers[id]
+	if follower == nil {
+		follower = &followerProgress{first: a.PrevLogEntry}
+		t.followers[id] = follower
 	}
-	if a.PrevLogEntry > h.first { // raft moves on only past what was acknowledged, in a stream too
-		h.index = max(h.index, a.PrevLogEntry)
+	if a.PrevLogEntry > follower.first { // raft advances only past acknowledged entries, also in a pipeline
+		follower.index = max(follower.index, a.PrevLogEntry)
 	}
 	switch {
 	case r.Success:
-		h.index = max(h.index, a.PrevLogEntry+uint64(len(a.Entries)))
-	case r.LastLog < h.index:
-		t.log.Error("registry: a copy no longer has what it acknowledged: its disk lost it, or an old image of its folder "+
-			"was put back; replace-copy it, it may vote twice", "copy", id, "acknowledged", h.index, "has", r.LastLog)
-		h.first, h.index, h.regressed = a.PrevLogEntry, 0, true
+		follower.index = max(follower.index, a.PrevLogEntry+uint64(len(a.Entries)))
+	case r.LastLog < follower.index:
+		t.log.Error("registry: a replica lost entries that it acknowledged: its disk lost them, or its data directory was "+
+			"rolled back to an old image; replace it with replace-copy, as it may vote twice",
+			"copy", id, "acknowledged", follower.index, "has", r.LastLog)
+		follower.first, follower.index, follower.regressed = a.PrevLogEntry, 0, true
 	}
 }
 
--- a/internal/registry/transport/stream_layer.go
+++ b/internal/registry/transport/stream_layer.go
@@ -1,6 +1,6 @@
 package transport
 
-// This file carries raft's connections between the replicas.
+// This file opens and accepts raft's connections between the replicas.
 
 import (
 	"errors"
@@ -12,14 +12,15 @@
 	"marblelane/internal/listener"
 )
 
-// StreamLayer carries raft over TCP. It calls from the address it listens at, so that a firewall can tell the replicas apart.
+// StreamLayer carries raft over TCP. It dials from the IP address on which it listens, so that a firewall can
+// distinguish the replicas.
 type StreamLayer struct {
 	net.Listener
 	advertised net.Addr
 	from       *net.TCPAddr
 }
 
-// Listen opens the listener of raft. Other replicas reach it at advertised; empty: at the address it listens on.
+// Listen opens raft's listener. Other replicas reach it at advertised or, if that is empty, at the listen address.
 func Listen(listen, advertised string) (*StreamLayer, error) {
 	l, err := net.Listen("tcp", listen)
 	if err != nil {
@@ -30,7 +31,9 @@
 	if !at.IP.IsUnspecified() {
 		out.from = &net.TCPAddr{IP: at.IP}
 	} else if advertised == "" {
-		return nil, errors.Join(errors.New("other copies need an address, not one for all interfaces: name this copy among the peers"), l.Close())
+		return nil, errors.Join(
+			errors.New("the listen address is for all interfaces: list this replica with its address among the peers"),
+			l.Close())
 	}
 	if advertised != "" {
 		if out.advertised, err = net.ResolveTCPAddr("tcp", advertised); err != nil {
@@ -40,7 +43,7 @@
 	return out, nil
 }
 
-// Addr is the address at which other replicas reach this one.
+// Addr returns the address at which other replicas reach this one.
 func (l *StreamLayer) Addr() net.Addr { return l.advertised }
 
 // Dial connects to another replica.
--- a/internal/registry/transport/transport.go
+++ b/internal/registry/transport/transport.go
@@ -11,29 +11,30 @@
 // Transport is raft's network transport with two changes. It retries entries for an unreachable follower itself, as
 // raft's backoff of up to 10 s would leave a follower that returns without entries for that long.
 //
-// It also records when an acknowledged request was sent. raft's own VerifyLeader accepts any answer received after the
-// call, also one to an earlier heartbeat: a leader that was suspended would confirm itself although another was elected.
-// The lab checks this with scenario registry-leader-frozen.
+// It also records when an acknowledged request was sent. raft's own VerifyLeader accepts any response received after
+// the call, even to an earlier heartbeat: a leader that was suspended would confirm itself although another was
+// elected. The lab checks this with scenario registry-leader-frozen.
 type Transport struct {
 	*raft.NetworkTransport
-	retryInterval time.Duration // pause between two attempts
-	// wanted tells whether a replica is still to be sent the entries of a term.
+	retryInterval time.Duration // pause between two attempts to send entries
+	// NeedsEntries reports whether a replica still has to receive the entries of a term.
 	NeedsEntries func(id raft.ServerID, term uint64) bool
 
 	end  chan struct{}
 	once sync.Once
 
-	heartbeats sync.RWMutex // held while a heartbeat is handled
-	stopped    bool         // none is any more
+	heartbeats sync.RWMutex // read-locked while a heartbeat is handled
+	stopped    bool         // no more heartbeats are handled
 
 	mu    sync.Mutex
 	term  uint64
-	acked map[raft.ServerID]time.Time // when the newest message of the term that a replica has acknowledged was sent
+	acked map[raft.ServerID]time.Time // by replica: when the newest request that it acknowledged in the term was sent
 }
 
-// New wraps the transport of raft. NeedsEntries is set before raft sends entries that are to be retried.
-func New(n *raft.NetworkTransport, again time.Duration) *Transport {
-	return &Transport{NetworkTransport: n, retryInterval: again, end: make(chan struct{}),
+// New wraps raft's transport. Without NeedsEntries, which the caller may set before raft sends entries, nothing is
+// retried.
+func New(n *raft.NetworkTransport, retryInterval time.Duration) *Transport {
+	return &Transport{NetworkTransport: n, retryInterval: retryInterval, end: make(chan struct{}),
 		NeedsEntries: func(raft.ServerID, uint64) bool { return false }}
 }
 
@@ -42,7 +43,7 @@
 	return len(a.Entries) == 0 && a.PrevLogEntry == 0 && a.LeaderCommitIndex == 0
 }
 
-// AppendEntries sends entries, and retries while the follower is unreachable and still needs them.
+// AppendEntries sends entries, and retries while sending fails and the follower still needs them.
 func (t *Transport) AppendEntries(id raft.ServerID, target raft.ServerAddress, a *raft.AppendEntriesRequest, r *raft.AppendEntriesResponse) error {
 	for {
 		sent := time.Now()
@@ -72,15 +73,16 @@
 	}
 }
 
-// AcknowledgedSince tells whether a replica has acknowledged a message of a term that was sent after a time. It then had not voted
-// for a later leader by that time.
+// AcknowledgedSince reports whether a replica has acknowledged a request of a term that was sent after a time. If so,
+// the replica had not voted for a later leader by that time.
 func (t *Transport) AcknowledgedSince(id raft.ServerID, term uint64, after time.Time) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return term == t.term && t.acked[id].After(after)
 }
 
-// LastAcknowledged is when the newest message of a term that a replica has acknowledged was sent; zero: there is none.
+// LastAcknowledged returns when the newest request that a replica acknowledged in a term was sent, or the zero time
+// without one.
 func (t *Transport) LastAcknowledged(id raft.ServerID, term uint64) time.Time {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -90,9 +92,9 @@
 	return t.acked[id]
 }
 
-// SetHeartbeatHandler installs the handler of heartbeats. raft handles them as they arrive, beside all other messages,
-// and does not wait for them when it shuts down. One in flight would find the log closed, and raft panics when it cannot
-// write.
+// SetHeartbeatHandler sets the handler of heartbeats. raft handles heartbeats as they arrive, concurrently with all
+// other messages, and does not wait for them when it shuts down. A heartbeat in flight would then write to a closed
+// log, and raft panics when a write fails. So Stop waits for them.
 func (t *Transport) SetHeartbeatHandler(handle func(raft.RPC)) {
 	t.NetworkTransport.SetHeartbeatHandler(func(rpc raft.RPC) {
 		t.heartbeats.RLock()
@@ -103,7 +105,7 @@
 	})
 }
 
-// Stop ends the retries, and waits for heartbeats in flight.
+// Stop ends the retries and waits for heartbeats in flight. Later heartbeats are ignored.
 func (t *Transport) Stop() {
 	t.once.Do(func() { close(t.end) })
 	t.heartbeats.Lock()
