--- a/internal/registry/storage/inspect.go
+++ b/internal/registry/storage/inspect.go
@@ -194,7 +194,7 @@
 	return fmt.Sprintf("%s: bucket log, entry %d", path, index)
 }
 
-// readEntry takes in an readEntry of the log.
+// readEntry verifies a log entry and adds it to the inspection.
 func (out *Inspection) readEntry(path string, k, v []byte, each func(*raft.Log)) error {
 	if len(k) != 8 {
 		return fmt.Errorf("bucket log: key %x is not an index", k)
--- a/internal/registry/storage/snapshots_test.go
+++ b/internal/registry/storage/snapshots_test.go
@@ -15,10 +15,11 @@
 	"github.com/stretchr/testify/require"
 )
 
-// snapshotState is more than raft gathers before it writes.
+// snapshotState is larger than raft's write buffer, so that raft writes to the file before the sink is closed.
 var snapshotState = []byte(`{"form":1,"rev":7}` + strings.Repeat(" ", 64<<10))
 
-// takeSnapshot writes a snapshot as raft does, and spoils it before it is closed.
+// takeSnapshot writes a snapshot as raft does. spoil, if not nil, damages the unfinished snapshot before the state is
+// written.
 func takeSnapshot(t *testing.T, s *Snapshots, index uint64, spoil func(t *testing.T, unfinished string)) error {
 	t.Helper()
 	_, wire := raft.NewInmemTransport("one")
@@ -35,12 +36,12 @@
 	}
 	err = sink.Close()
 	if again := sink.Close(); (err == nil) != (again == nil) {
-		t.Errorf("closed with %v, and then with %v", err, again)
+		t.Errorf("first Close: %v, second Close: %v", err, again)
 	}
 	return err
 }
 
-// divert lets what is written to a file of this process go to a device.
+// divert redirects the writes to an open file of this process to a device.
 func divert(t *testing.T, path, device string) {
 	t.Helper()
 	to, err := os.OpenFile(device, os.O_WRONLY, 0)
@@ -62,19 +63,20 @@
 	t.Fatalf("%s is not open", path)
 }
 
-// A snapshot that fails leaves the older ones, and nothing of its own; it is taken once the folder works again.
+// A failed snapshot leaves the older snapshots and no files of its own, and a later one succeeds once the disk works
+// again.
 func TestSnapshots_failureKeepsOlder(t *testing.T) {
 	for name, spoil := range map[string]func(t *testing.T, unfinished string){
 		"no space": func(t *testing.T, unfinished string) {
 			divert(t, filepath.Join(unfinished, StateFile), "/dev/full")
 		},
 		"sync fails": func(t *testing.T, unfinished string) {
-			divert(t, filepath.Join(unfinished, StateFile), "/dev/null") // takes writes and no sync
+			divert(t, filepath.Join(unfinished, StateFile), "/dev/null") // accepts writes but fails at a sync
 		},
 		"seal fails": func(t *testing.T, unfinished string) {
 			require.NoError(t, os.Mkdir(filepath.Join(unfinished, sealFile+TempSuffix), 0o700))
 		},
-		"folder is away": func(t *testing.T, unfinished string) {
+		"directory is missing": func(t *testing.T, unfinished string) {
 			require.NoError(t, os.RemoveAll(unfinished))
 		},
 	} {
@@ -107,17 +109,17 @@
 	}
 }
 
-// readable tells whether a snapshot is sound.
+// readable returns an error if a snapshot is not valid or has no seal.
 func readable(s *Snapshots, of *raft.SnapshotMeta) error {
 	found := SnapshotInfo{Name: of.ID, Index: of.Index, Term: of.Term}
 	unsealed, err := found.verify(filepath.Join(s.dir, of.ID))
 	if unsealed {
-		err = errors.Join(err, errors.New("it has no seal"))
+		err = errors.Join(err, errors.New("the snapshot has no seal"))
 	}
 	return err
 }
 
-// What one snapshot leaves is removed, and not another that is being written meanwhile.
+// A failed snapshot removes its own files, but not those of another snapshot that is being written at the same time.
 func TestSnapshots_failureKeepsOther(t *testing.T) {
 	s, err := OpenSnapshots(t.TempDir(), hclog.NewNullLogger(), quiet())
 	require.NoError(t, err)
--- a/internal/registry/storage/store_test.go
+++ b/internal/registry/storage/store_test.go
@@ -26,8 +26,8 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// folder makes the folder of a replica that has voted, with two snapshots and entries that are in none.
-func folder(t *testing.T) string {
+// newDataDir creates the data directory of a replica that has voted. It has two snapshots, and log entries after them.
+func newDataDir(t *testing.T) string {
 	t.Helper()
 	const term = 2
 	dir := t.TempDir()
@@ -65,7 +65,7 @@
 	return dir
 }
 
-// content is all that a folder's log and values say; found is what was thought of it.
+// content returns the log entries and values of a data directory as text, and the result of its inspection.
 func content(t *testing.T, dir string) (text string, found *Inspection) {
 	t.Helper()
 	var b strings.Builder
@@ -75,7 +75,7 @@
 	return b.String(), found
 }
 
-// alter changes a store as another program would.
+// alter changes a store in a way that the program itself does not.
 func alter(t *testing.T, dir string, do func(*bolt.Tx) error) {
 	t.Helper()
 	db, err := bolt.Open(filepath.Join(dir, StoreFile), 0o600, nil)
@@ -83,10 +83,11 @@
 	require.NoError(t, errors.Join(db.Update(do), db.Close()))
 }
 
-// A flipped bit is found, or stands where nothing is read; a cut is found.
+// A flipped bit is detected unless it is in an unused part of the file, and a truncation is detected unless only unused
+// pages are lost.
 func TestStore_bitFlipsAndTruncation(t *testing.T) {
 	t.Parallel()
-	dir := folder(t)
+	dir := newDataDir(t)
 	path := filepath.Join(dir, StoreFile)
 	good := testfile.Read(t, path)
 	want, found := content(t, dir)
@@ -115,7 +116,7 @@
 				assert.ErrorIs(t, errors.Join(found.Faults...), ErrNewerVersion, "bit %d", bit)
 			}
 		} else if text != want || i < 2*metaSize*8 {
-			t.Fatalf("bit %d of page %d: is not found", bit, bit/8/os.Getpagesize())
+			t.Fatalf("bit %d of page %d: the flipped bit was not detected", bit, bit/8/os.Getpagesize())
 		}
 	}
 	assert.Greater(t, faults, 2*metaSize*8+20)
@@ -125,7 +126,7 @@
 		if _, found := content(t, dir); len(found.Faults) > 0 {
 			used++
 		} else {
-			break // only pages that are not in use are missing from here on
+			break // from here on only unused pages are missing
 		}
 	}
 	assert.Greater(t, used, 4)
@@ -133,7 +134,8 @@
 	assert.NoError(t, Recover(dir, quiet()))
 }
 
-// bbolt goes on from the state before when the newest meta page is spoilt; this program does not.
+// With a corrupt newest meta page bbolt silently continues from the previous state, which lacks an acknowledged entry.
+// Recover rejects such a store.
 func TestStore_corruptMetaPage(t *testing.T) {
 	t.Parallel()
 	path := filepath.Join(t.TempDir(), StoreFile)
@@ -157,11 +159,12 @@
 	s = &Store{db: db}
 	last, err := s.LastIndex()
 	require.NoError(t, err)
-	assert.EqualValues(t, 1, last, "the defect is there: an acknowledged entry is gone in silence")
+	assert.EqualValues(t, 1, last, "bbolt no longer drops the acknowledged entry silently")
 }
 
-// Power is lost at any point of a transaction. bbolt writes pages, syncs, writes the meta page, syncs; sectors of 512
-// bytes that no sync has covered are on the disk or not, in any mix.
+// A power loss at any point of a transaction leaves the store with the state before or after it. bbolt writes the
+// pages, syncs, writes the meta page and syncs again. Any subset of the unsynced sectors of 512 bytes may be on the
+// disk.
 func TestStore_powerLoss(t *testing.T) {
 	t.Parallel()
 	dir := t.TempDir()
@@ -173,7 +176,7 @@
 		file []byte
 		text string
 	}
-	note := func() restored { // bbolt has the file open, so a replica is read
+	note := func() restored { // bbolt has the file open, so a copy of it is read
 		at := t.TempDir()
 		b := testfile.Read(t, path)
 		testfile.Write(t, filepath.Join(at, StoreFile), b)
@@ -187,7 +190,7 @@
 		for at := max(1, first); at <= i; at++ {
 			logs = append(logs, &raft.Log{Index: at, Term: 1, Data: bytes.Repeat([]byte{byte(i)}, 40*int(i))})
 		}
-		require.NoError(t, s.DeleteRange(first, i)) // what a follower does in a conflict
+		require.NoError(t, s.DeleteRange(first, i)) // as a follower does on a log conflict
 		states = append(states, note())
 		require.NoError(t, s.StoreLogs(logs))
 		states = append(states, note())
@@ -201,7 +204,7 @@
 	for i := range 600 {
 		n := 1 + seed.IntN(len(states)-1)
 		old, next := states[n-1], states[n]
-		b := bytes.Clone(next.file) // it has grown before, with a sync of its own
+		b := bytes.Clone(next.file) // the file grew earlier, with a sync of its own
 		synced, lie := seed.IntN(3) == 0, i%4 == 0
 		for at := 0; at < len(b); at += sector {
 			meta := at < 2*os.Getpagesize()
@@ -213,19 +216,19 @@
 		}
 		at := t.TempDir()
 		testfile.Write(t, filepath.Join(at, StoreFile), b)
-		if lie { // planted: the disk said that the pages were synced, and lost some
+		if lie { // injected fault: the disk reported the pages as synced and lost some
 			lied++
 			if text, f := content(t, at); len(f.Faults)+len(f.Notes) > 0 {
-				found++ // a whole old root shows as another program's write, which is said
+				found++ // a complete old root looks like the write of another version, which is noted
 			} else if text != next.text {
-				t.Fatalf("play %d: what a lying disk lost was not found", i)
+				t.Fatalf("run %d: the pages that the disk lost after a reported sync were not detected", i)
 			}
 			continue
 		}
-		require.NoError(t, Recover(at, quiet()), "play %d", i)
+		require.NoError(t, Recover(at, quiet()), "run %d", i)
 		text, _ := content(t, at)
 		if text != old.text && (text != next.text || !synced) {
-			t.Fatalf("play %d: transaction %d is there in part", i, n)
+			t.Fatalf("run %d: transaction %d is partly applied", i, n)
 		}
 	}
 	assert.Greater(t, found, lied/4)
@@ -233,7 +236,7 @@
 
 func TestSnapshots_checked(t *testing.T) {
 	t.Parallel()
-	dir := folder(t)
+	dir := newDataDir(t)
 	_, found := content(t, dir)
 	require.Len(t, found.Snapshots, 2)
 	newest := filepath.Join(dir, SnapshotsDir, found.Snapshots[0].Name)
@@ -241,7 +244,7 @@
 		path := filepath.Join(newest, name)
 		good := testfile.Read(t, path)
 		step := 1
-		if name == StateFile { // a CRC that raft checks as well
+		if name == StateFile { // raft verifies a CRC of this file too, so every 13th bit is enough
 			step = 13
 		}
 		for bit := 0; bit < len(good)*8; bit += step {
@@ -251,16 +254,16 @@
 			var s SnapshotInfo
 			_, _ = fmt.Sscanf(filepath.Base(newest), "%d-%d-", &s.Term, &s.Index)
 			if _, err := s.verify(newest); err == nil {
-				t.Fatalf("%s: bit %d is not found", name, bit)
+				t.Fatalf("%s: the flipped bit %d was not detected", name, bit)
 			}
 		}
 		testfile.Write(t, path, good)
 	}
 	seal := testfile.Read(t, filepath.Join(newest, sealFile))
-	require.NoError(t, os.Remove(filepath.Join(newest, sealFile))) // power was lost before it, or the program is older
+	require.NoError(t, os.Remove(filepath.Join(newest, sealFile))) // as after a power loss, or from an older version
 	require.NoError(t, Recover(dir, quiet()))
 	assert.DirExists(t, newest)
-	// What a later program wrote is neither set aside nor called damaged.
+	// A snapshot of a newer version is neither set aside nor reported as corrupt.
 	restored := testfile.Read(t, filepath.Join(newest, StateFile))
 	mark := sealed{Form: sealForm + 1}
 	mark.Sum = mark.sum()
@@ -269,23 +272,24 @@
 	testfile.Write(t, filepath.Join(newest, sealFile), text)
 	assert.ErrorIs(t, Recover(dir, quiet()), ErrNewerVersion)
 	testfile.Write(t, filepath.Join(newest, sealFile), seal)
-	// An old one that is spoilt is needless beside a newer one.
+	// A corrupt old snapshot is removed if a newer one is valid.
 	other, old := testfile.CopyDir(t, dir), filepath.Join(SnapshotsDir, found.Snapshots[1].Name)
 	require.NoError(t, os.Remove(filepath.Join(other, old, StateFile)))
 	require.NoError(t, Recover(other, quiet()))
 	assert.NoDirExists(t, filepath.Join(other, old))
-	// A spoilt one is set aside while the older one and the log have everything; what was not finished is cut.
+	// A corrupt newest snapshot is set aside if the older one and the log have all its entries. Unfinished files are
+	// removed.
 	testfile.Write(t, filepath.Join(newest, StateFile), restored[:len(restored)/2])
 	unfinished := filepath.Join(dir, SnapshotsDir, "9-9-9"+TempSuffix)
 	require.NoError(t, os.Mkdir(unfinished, 0o755))
 	testfile.Write(t, filepath.Join(dir, StoreFile+TempSuffix), []byte("half"))
-	require.NoError(t, os.MkdirAll(filepath.Join(newest+AsideSuffix+TempSuffix, "x"), 0o755)) // a recovery was cut off
+	require.NoError(t, os.MkdirAll(filepath.Join(newest+AsideSuffix+TempSuffix, "x"), 0o755)) // an interrupted recovery
 	less := testfile.CopyDir(t, dir)
 	require.NoError(t, Recover(dir, quiet()))
 	assert.NoDirExists(t, unfinished)
 	assert.NoFileExists(t, filepath.Join(dir, StoreFile+TempSuffix))
 	assert.NoDirExists(t, newest)
-	// Without the entries that it had, the replica stops.
+	// Without the log entries of the corrupt snapshot the replica stops.
 	s, err := OpenStore(filepath.Join(less, StoreFile), time.Second, nil)
 	require.NoError(t, err)
 	require.NoError(t, errors.Join(s.DeleteRange(1, found.Snapshots[0].Index), s.Close()))
@@ -294,10 +298,10 @@
 	assert.ErrorContains(t, Recover(less, quiet()), "are missing")
 }
 
-// An earlier program writes values without their checksums; the next start takes them in and gives them theirs.
+// An older version writes values without checksums. The next start accepts these values and adds their checksums.
 func TestStore_earlierVersionInBetween(t *testing.T) {
 	t.Parallel()
-	dir := folder(t)
+	dir := newDataDir(t)
 	alter(t, dir, func(tx *bolt.Tx) error { return tx.Bucket(valueBucket).Put([]byte("CurrentTerm"), key(77)) })
 	require.NoError(t, Recover(dir, quiet()))
 	s, err := OpenStore(filepath.Join(dir, StoreFile), time.Second, nil)
@@ -315,7 +319,7 @@
 		t.Fatal(err)
 	}
 	if _, err := OpenStore(path, time.Second, nil); err == nil || !strings.Contains(err.Error(), "another process") {
-		t.Errorf("opened twice: %v", err)
+		t.Errorf("second OpenStore of the same file: %v", err)
 	}
 	var logs []*raft.Log
 	for i := uint64(1); i <= 500; i++ {
@@ -333,7 +337,7 @@
 	first, _ := s.FirstIndex()
 	last, _ := s.LastIndex()
 	if first != 101 || last != 400 {
-		t.Errorf("it keeps %d to %d", first, last)
+		t.Errorf("the log has entries %d to %d", first, last)
 	}
 	var l raft.Log
 	for i := uint64(101); i <= 400; i++ {
@@ -342,23 +346,23 @@
 		}
 	}
 	if err := s.GetLog(100, &l); !errors.Is(err, raft.ErrLogNotFound) {
-		t.Errorf("a removed entry: %v", err)
+		t.Errorf("GetLog of a removed entry: %v", err)
 	}
 	if _, err := s.GetUint64([]byte("none")); err == nil || err.Error() != "not found" {
-		t.Errorf("an absent value: %v", err)
+		t.Errorf("GetUint64 of an absent value: %v", err)
 	}
 	if err := s.SetUint64([]byte("term"), 7); err != nil {
 		t.Fatal(err)
 	}
 	if v, err := s.GetUint64([]byte("term")); v != 7 || err != nil {
-		t.Errorf("a value: %d, %v", v, err)
+		t.Errorf("GetUint64 of a stored value: %d, %v", v, err)
 	}
 	if err := s.Close(); err != nil {
 		t.Fatal(err)
 	}
 }
 
-// Every flipped bit of a log entry is found out.
+// Every flipped bit of a log entry is detected.
 func TestStore_corruptEntry(t *testing.T) {
 	dir := t.TempDir()
 	s, err := OpenStore(filepath.Join(dir, "raft.db"), time.Second, nil)
@@ -383,7 +387,8 @@
 	}
 }
 
-// After a failed write the store takes no other, though the disk would: a later sync says nothing of an earlier one.
+// After a failed write the store rejects all writes, even if the disk works again: a later successful sync does not
+// prove that the earlier pages were written.
 func TestStore_rejectsAfterFailedWrite(t *testing.T) {
 	dir := t.TempDir()
 	faults := filepath.Join(dir, "faults.toml")
@@ -397,7 +402,7 @@
 	require.ErrorIs(t, s.SetUint64([]byte("number"), 1), fault.ErrSync)
 	require.NoError(t, fault.Set{}.Write(faults))
 	require.ErrorIs(t, s.SetUint64([]byte("number"), 2), fault.ErrSync)
-	assert.NoError(t, TermStore{s}.SetUint64([]byte(currentTermKey), 2), "raft would panic")
+	assert.NoError(t, TermStore{s}.SetUint64([]byte(currentTermKey), 2), "raft panics on an error for the term")
 	assert.ErrorIs(t, TermStore{s}.SetUint64([]byte("LastVoteTerm"), 2), fault.ErrSync)
 	require.NoError(t, s.Close())
 	s, err = OpenStore(path, time.Second, plan)
@@ -406,5 +411,5 @@
 	term, err := s.GetUint64([]byte(currentTermKey))
 	require.NoError(t, err)
 	assert.Equal(t, uint64(1), term)
-	assert.NoError(t, s.SetUint64([]byte("number"), 3), "it takes writes once it is opened anew")
+	assert.NoError(t, s.SetUint64([]byte("number"), 3), "a reopened store accepts writes")
 }
--- a/internal/registry/transport/pipeline_test.go
+++ b/internal/registry/transport/pipeline_test.go
@@ -10,13 +10,13 @@
 	"github.com/stretchr/testify/require"
 )
 
-// answerTimeout bounds the wait for an answer.
-const answerTimeout = 20 * time.Second
+// responseTimeout bounds the wait for a response.
+const responseTimeout = 20 * time.Second
 
-// refusingCopy answers every request with no success, and gives its address.
-func refusingCopy(t *testing.T) raft.ServerAddress {
+// startRejectingReplica starts a replica that rejects every request, and returns its address.
+func startRejectingReplica(t *testing.T) raft.ServerAddress {
 	t.Helper()
-	wire, err := raft.NewTCPTransportWithLogger("127.0.0.1:0", nil, 1, answerTimeout, hclog.NewNullLogger())
+	wire, err := raft.NewTCPTransportWithLogger("127.0.0.1:0", nil, 1, responseTimeout, hclog.NewNullLogger())
 	require.NoError(t, err)
 	end := make(chan struct{})
 	var group sync.WaitGroup
@@ -38,11 +38,11 @@
 	return wire.LocalAddr()
 }
 
-// raft takes no answer after one that is no success. A request that is sent by then has to come back, or the leader
-// sends that replica nothing any more.
+// raft reads no response after a rejection. A request that is sent after it has to fail, or the leader sends nothing
+// more to that replica.
 func TestPipeline_rejectionEndsIt(t *testing.T) {
-	target := refusingCopy(t)
-	network, err := raft.NewTCPTransportWithLogger("127.0.0.1:0", nil, 1, answerTimeout, hclog.NewNullLogger())
+	target := startRejectingReplica(t)
+	network, err := raft.NewTCPTransportWithLogger("127.0.0.1:0", nil, 1, responseTimeout, hclog.NewNullLogger())
 	require.NoError(t, err)
 	defer network.Close()
 	sender, err := New(network, time.Second).AppendEntriesPipeline("one", target)
@@ -51,9 +51,9 @@
 	request := &raft.AppendEntriesRequest{Term: 1}
 	_, err = sender.AppendEntries(request, new(raft.AppendEntriesResponse))
 	require.NoError(t, err)
-	answer := <-sender.Consumer()
-	require.NoError(t, answer.Error())
-	require.False(t, answer.Response().Success)
+	response := <-sender.Consumer()
+	require.NoError(t, response.Error())
+	require.False(t, response.Response().Success)
 	ended := make(chan error, 1)
 	go func() {
 		for {
@@ -66,16 +66,16 @@
 	select {
 	case err := <-ended:
 		require.Error(t, err)
-	case <-time.After(answerTimeout):
-		require.NoError(t, sender.Close()) // lets the request go
+	case <-time.After(responseTimeout):
+		require.NoError(t, sender.Close()) // unblocks the request
 		<-ended
-		t.Fatal("a request waits for ever")
+		t.Fatal("a request after the rejection did not return")
 	}
 }
 
-// Answers that are successes come in order, as many as were sent.
-func TestPipeline_answersForwarded(t *testing.T) {
-	network, err := raft.NewTCPTransportWithLogger("127.0.0.1:0", nil, 1, answerTimeout, hclog.NewNullLogger())
+// The pipeline delivers one response for each request, in order, while all of them report success.
+func TestPipeline_responsesForwarded(t *testing.T) {
+	network, err := raft.NewTCPTransportWithLogger("127.0.0.1:0", nil, 1, responseTimeout, hclog.NewNullLogger())
 	require.NoError(t, err)
 	defer network.Close()
 	var group sync.WaitGroup
@@ -83,8 +83,8 @@
 	group.Go(func() {
 		for range requests {
 			rpc := <-network.Consumer()
-			polled := rpc.Command.(*raft.AppendEntriesRequest)
-			rpc.Respond(&raft.AppendEntriesResponse{Term: 1, LastLog: polled.PrevLogEntry, Success: true}, nil)
+			request := rpc.Command.(*raft.AppendEntriesRequest)
+			rpc.Respond(&raft.AppendEntriesResponse{Term: 1, LastLog: request.PrevLogEntry, Success: true}, nil)
 		}
 	})
 	sender, err := New(network, time.Second).AppendEntriesPipeline("one", network.LocalAddr())
@@ -92,7 +92,7 @@
 	defer sender.Close()
 	group.Go(func() {
 		for i := range uint64(requests) {
-			// All but 0, which would be a heartbeat's.
+			// Index 0 would make the request a heartbeat.
 			request := &raft.AppendEntriesRequest{Term: 1, PrevLogEntry: i + 1}
 			if _, err := sender.AppendEntries(request, new(raft.AppendEntriesResponse)); err != nil {
 				t.Errorf("request %d: %v", i, err)
@@ -101,9 +101,9 @@
 		}
 	})
 	for i := range uint64(requests) {
-		answer := <-sender.Consumer()
-		require.NoError(t, answer.Error())
-		require.Equal(t, i+1, answer.Response().LastLog)
+		response := <-sender.Consumer()
+		require.NoError(t, response.Error())
+		require.Equal(t, i+1, response.Response().LastLog)
 	}
 	group.Wait()
 }
--- a/internal/registry/transport/transport_test.go
+++ b/internal/registry/transport/transport_test.go
@@ -10,19 +10,19 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// An answer to what was sent before a question confirms nothing about it.
-func TestConfirm_staleAnswers(t *testing.T) {
+// A response to a request that was sent before a given time does not show that the replica followed after that time.
+func TestAcknowledgedSince_staleResponses(t *testing.T) {
 	sender := New(nil, time.Second)
 	at := func(s int) time.Time { return time.Unix(int64(s), 0) }
 	sender.acknowledge("r1", 5, at(10))
-	sender.acknowledge("r1", 5, at(9)) // an older message's answer comes later
+	sender.acknowledge("r1", 5, at(9)) // the response to an older request arrives later
 	for _, c := range []struct {
 		id    string
 		term  uint64
 		after int
 		want  bool
 	}{
-		{"r1", 5, 9, true}, {"r1", 5, 10, false}, {"r1", 5, 11, false}, // sent before the question
+		{"r1", 5, 9, true}, {"r1", 5, 10, false}, {"r1", 5, 11, false}, // not sent after the given time
 		{"r1", 4, 9, false}, {"r1", 6, 9, false}, {"r2", 5, 9, false},
 	} {
 		if got := sender.AcknowledgedSince(raft.ServerID(c.id), c.term, at(c.after)); got != c.want {
@@ -30,6 +30,6 @@
 		}
 	}
 	if sender.acknowledge("r2", 6, at(12)); sender.AcknowledgedSince("r1", 6, at(1)) || !sender.AcknowledgedSince("r2", 6, at(11)) {
-		t.Error("what was acknowledged in an earlier term counts in a later one")
+		t.Error("an acknowledgement of an earlier term counts in a later one")
 	}
 }
