--- a/balance/list.go
+++ b/balance/list.go
@@ -270,7 +270,7 @@
 	limit := l.cfg.SuspectFraction * float64(inUse)
 	suspect := maySuspect && limit > 0 && unlisted >= minSuspected && float64(unlisted) > limit
 	if suspect {
-		l.log(fmt.Sprintf("list: omits %d of %d servers in use, kept until they fail", unlisted, inUse))
+		l.log(fmt.Sprintf("list: %d of %d servers in use omitted, kept until they fail", unlisted, inUse))
 		l.emit(Action{Kind: SetTimer, Token: suspectTimer, At: maxSuspectTime})
 	}
 	for _, s := range l.servers {
--- a/cmd/sidecar/drain_test.go
+++ b/cmd/sidecar/drain_test.go
@@ -606,7 +606,7 @@
 	predecessor.awaitHandoverSocket(dir)
 	return predecessor, func() *process {
 		successor := launch(t, c)
-		predecessor.awaitLine("the successor serves")
+		predecessor.awaitLine("the successor started serving")
 		return successor
 	}
 }
--- a/internal/audit/log.go
+++ b/internal/audit/log.go
@@ -143,14 +143,14 @@
 func (l *Log) UnmarshalJSON(data []byte) error {
 	var stored savedLog
 	if err := json.Unmarshal(data, &stored); err != nil {
-		return fmt.Errorf("the audit's log: %w", err)
+		return fmt.Errorf("audit log: %w", err)
 	}
 	if stored.Form != logForm {
-		return fmt.Errorf("the audit's log: form is %d, this program reads %d", stored.Form, logForm)
+		return fmt.Errorf("audit log: form is %d, this program reads %d", stored.Form, logForm)
 	}
 	for i, t := range stored.Transitions {
 		if t.Kind != FirstReport && t.Kind != FinalCount && !t.Kind.isAccess() {
-			return fmt.Errorf("the audit's log: transitions[%d].kind is %q, which is not known", i, t.Kind)
+			return fmt.Errorf("audit log: transitions[%d].kind is %q, which is unknown", i, t.Kind)
 		}
 	}
 	restored := Log{}
--- a/internal/rollout/model/options.go
+++ b/internal/rollout/model/options.go
@@ -62,11 +62,11 @@
 func (o *Options) check() error {
 	switch {
 	case o.Sidecars < 1 || o.Sidecars > maxSidecars:
-		return fmt.Errorf("model: sidecars are %d, not 1 to %d", o.Sidecars, maxSidecars)
+		return fmt.Errorf("model: sidecars is %d, must be between 1 and %d", o.Sidecars, maxSidecars)
 	case o.Duration < 1 || o.RequestRate <= 0:
-		return fmt.Errorf("model: the duration %d or the request rate %v is not above 0", o.Duration, o.RequestRate)
+		return fmt.Errorf("model: duration is %d and request rate is %v, both must be above 0", o.Duration, o.RequestRate)
 	case o.ReportInterval < 1 || o.BudgetInterval < 1 || o.BaselineInterval < 1:
-		return fmt.Errorf("model: an interval of reports %d, budget requests %d or the baseline %d is not above 0",
+		return fmt.Errorf("model: intervals of reports, budget requests and baseline are %d, %d and %d, must be above 0",
 			o.ReportInterval, o.BudgetInterval, o.BaselineInterval)
 	}
 	return nil
--- a/internal/rollout/state_json.go
+++ b/internal/rollout/state_json.go
@@ -32,23 +32,23 @@
 		Form int `json:"form"`
 	}
 	if err := json.Unmarshal(data, &head); err != nil {
-		return fmt.Errorf("rollout: a saved state: %w", err)
+		return fmt.Errorf("rollout: saved state: %w", err)
 	}
 	if head.Form != stateForm {
-		return fmt.Errorf("rollout: a saved state of form %d, this program reads form %d", head.Form, stateForm)
+		return fmt.Errorf("rollout: saved state: form %d, this program reads form %d", head.Form, stateForm)
 	}
 	var stored savedState
 	if err := json.Unmarshal(data, &stored); err != nil {
-		return fmt.Errorf("rollout: a saved state: %w", err)
+		return fmt.Errorf("rollout: saved state: %w", err)
 	}
 	tenants := make(map[string]*tenantState, len(stored.Tenants))
 	for i, t := range stored.Tenants {
 		if t == nil {
-			return fmt.Errorf("rollout: a saved state: tenants[%d] is null", i)
+			return fmt.Errorf("rollout: saved state: tenants[%d] is null", i)
 		}
 		for _, r := range t.rollouts() {
 			if r == nil || !r.Phase.Over() && (r.Step < 0 || r.Step >= len(r.Spec.Steps)) {
-				return fmt.Errorf("rollout: a saved state: a rollout of tenant %q has no such step", t.Name)
+				return fmt.Errorf("rollout: saved state: tenant %q: a rollout is missing or its step is out of range", t.Name)
 			}
 			r.restoreLedger()
 		}
--- a/internal/routeclient/budgets.go
+++ b/internal/routeclient/budgets.go
@@ -107,7 +107,7 @@
 	case ctx.Err() != nil: // the error is that of ctx, not of the service
 	case err != nil:
 		if !r.failing {
-			r.client.cfg.Log.Warn("routes: budget request failed", "err", err)
+			r.client.cfg.Log.Warn("routes: failed to request budgets", "err", err)
 		}
 		r.failing, r.minInterval = true, r.backoff.next()
 		next = r.minInterval
--- a/internal/routeclient/reporter.go
+++ b/internal/routeclient/reporter.go
@@ -35,7 +35,7 @@
 		case ctx.Err() == nil:
 			interval = min(backoff.next(), interval)
 			if !failing {
-				c.cfg.Log.Warn("routes: report failed", "err", err)
+				c.cfg.Log.Warn("routes: failed to send the report", "err", err)
 			}
 			failing = true
 		}
@@ -101,7 +101,7 @@
 	c.start = max(before, newest+1)
 	c.mu.Unlock()
 	if before <= newest {
-		c.cfg.Log.Warn("routes: raised start number above that of an earlier process of the same name",
+		c.cfg.Log.Warn("routes: start number raised above that of an earlier process of the same name",
 			"start", before, "above", newest)
 		signal(c.actingRevChanged) // send the next report without delay
 	}
@@ -112,6 +112,6 @@
 	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), c.timings.finalCallTimeout)
 	defer cancel()
 	if err := call(ctx); err != nil {
-		c.cfg.Log.Info("routes: final call failed", "err", err)
+		c.cfg.Log.Info("routes: failed to make the final call", "err", err)
 	}
 }
--- a/internal/routeclient/watch.go
+++ b/internal/routeclient/watch.go
@@ -141,7 +141,7 @@
 		head.Rev = 0
 	}
 	if offered, first := c.recordUnreadable(head.Rev); first {
-		c.cfg.Log.Error("routes: failed to read document, keeping the last table",
+		c.cfg.Log.Error("routes: failed to read the document, keeping the last table",
 			"revision", head.Rev, "held", offered, "schema", c.schema, "err", err)
 	}
 	return nil
@@ -167,7 +167,7 @@
 func (c *Client) resync(table []byte) {
 	if len(table) > 0 {
 		if err := c.readDocument(table); err != nil {
-			c.cfg.Log.Warn("routes: table of a report response rejected", "err", err)
+			c.cfg.Log.Warn("routes: failed to apply the table of a report response", "err", err)
 		}
 	}
 	c.mu.Lock()
--- a/internal/sidecar/discovery/call.go
+++ b/internal/sidecar/discovery/call.go
@@ -139,7 +139,7 @@
 	}
 	var list endpointlist.List
 	if err := json.Unmarshal(text, &list); err != nil {
-		return fmt.Errorf("discovery: list: %w", wire.LocateJSONError(err))
+		return fmt.Errorf("discovery: decode list: %w", wire.LocateJSONError(err))
 	}
 	event := ListEvent{Kind: balance.ListDelta, List: list, Source: c.source, FromFetch: c.kind == fetchCall}
 	if list.All {
--- a/internal/sidecar/discovery/watch.go
+++ b/internal/sidecar/discovery/watch.go
@@ -46,7 +46,7 @@
 			return address, err
 		}
 		if failures == 0 {
-			slog.Warn("discovery: call failed for a local reason and is retried", "service", source, "err", err)
+			slog.Warn("discovery: failed to call the list service for a local reason, retrying", "service", source, "err", err)
 		}
 		select {
 		case <-ctx.Done():
@@ -78,7 +78,7 @@
 			firstTimeout: c.timeouts.Call, nextTimeout: c.timeouts.Call}
 		err := fetch.run(ctx)
 		if err != io.EOF && ctx.Err() == nil {
-			slog.Warn("discovery: fetch of the full list failed", "service", source, "err", err)
+			slog.Warn("discovery: failed to fetch the full list", "service", source, "err", err)
 			c.post(FailedEvent(ListEvent{Source: source, FromFetch: true}, err))
 		}
 	})
--- a/internal/sidecar/eventloop/list.go
+++ b/internal/sidecar/eventloop/list.go
@@ -17,7 +17,7 @@
 	l.listReceived = l.listReceived || event.Kind == balance.ListFull || event.Kind == balance.ListDelta
 	actions, err := l.balancer.Handle(now, l.serverList(event))
 	if err != nil {
-		slog.Error("eventloop: balancer rejected endpoint list", "err", err)
+		slog.Error("eventloop: the balancer rejected the endpoint list", "err", err)
 		return
 	}
 	l.Discovery.Revision.Store(l.balancer.ListRev())
--- a/internal/sidecar/eventloop/loop.go
+++ b/internal/sidecar/eventloop/loop.go
@@ -216,7 +216,7 @@
 func (l *Loop) HandleEvent(now float64, event balance.Event) {
 	actions, err := l.balancer.Handle(now, event)
 	if err != nil {
-		slog.Error("eventloop: balancer rejected event", "err", err)
+		slog.Error("eventloop: the balancer rejected the event", "err", err)
 		return
 	}
 	l.Execute(now, actions)
--- a/internal/sidecar/fleet/membership.go
+++ b/internal/sidecar/fleet/membership.go
@@ -129,7 +129,7 @@
 	defer func() {
 		m.group.Store(nil)
 		if err := group.Close(); err != nil {
-			slog.Info("members: close failed", "err", err)
+			slog.Info("members: failed to close the membership", "err", err)
 		}
 	}()
 	admitted := false
@@ -145,7 +145,7 @@
 			ctx, cancel := context.WithTimeout(context.Background(), m.leaveTimeout)
 			defer cancel()
 			if err := group.Leave(ctx); err != nil {
-				slog.Info("members: leave failed, other members may not be notified", "err", err)
+				slog.Info("members: failed to leave the membership, other members may not be notified", "err", err)
 			}
 			return
 		}
@@ -168,9 +168,10 @@
 		upgrading := m.predecessorAlive()
 		switch {
 		case first && upgrading:
-			slog.Info("members: bind failed while the predecessor runs, retrying", "addr", m.Config.Bind, "err", err)
+			slog.Info("members: failed to bind the address while the predecessor runs, retrying",
+				"addr", m.Config.Bind, "err", err)
 		case first:
-			slog.Error("members: bind failed, retrying", "addr", m.Config.Bind, "err", err)
+			slog.Error("members: failed to bind the address, retrying", "addr", m.Config.Bind, "err", err)
 		}
 		m.publishView(roster.View{Known: max(m.Config.Peers, 1), Reachable: 1, Admitted: !upgrading})
 		if upgrading {
@@ -211,7 +212,7 @@
 	select {
 	case <-m.ended:
 	case <-time.After(within):
-		slog.Warn("members: leave timed out, other members may not be notified", "waited", within)
+		slog.Warn("members: failed to leave the membership in time, other members may not be notified", "waited", within)
 	}
 }
 
--- a/internal/sidecar/handover/predecessor.go
+++ b/internal/sidecar/handover/predecessor.go
@@ -36,7 +36,7 @@
 	}
 	conn, err := net.DialTimeout("unix", path, responseTimeout)
 	if err != nil {
-		return nil, nil, fmt.Errorf("connection to the handover socket of the predecessor: %w", err)
+		return nil, nil, fmt.Errorf("connect to the handover socket of the predecessor: %w", err)
 	}
 	p := &Predecessor{conn: conn.(*net.UnixConn)}
 	listener, err := p.receiveListener()
@@ -94,7 +94,7 @@
 // AnnounceServing notifies the predecessor that this process serves.
 func (p *Predecessor) AnnounceServing() {
 	if _, err := (netcall.RetryingConn{Conn: p.conn}).Write([]byte{servingByte}); err != nil {
-		slog.Info("upgrade: the predecessor was not notified that this process serves", "err", err)
+		slog.Info("upgrade: failed to notify the predecessor that this process serves", "err", err)
 	}
 }
 
--- a/internal/sidecar/handover/successors.go
+++ b/internal/sidecar/handover/successors.go
@@ -63,7 +63,7 @@
 			return
 		}
 		if err != nil {
-			slog.Error("upgrade: accept failed, no further handover is possible", "err", err)
+			slog.Error("upgrade: failed to accept a successor, no further handover is possible", "err", err)
 			return
 		}
 		if next := c.(*net.UnixConn); s.add(next) {
@@ -95,7 +95,7 @@
 // serveSuccessor sends the listening socket to a successor and waits until the successor disconnects.
 func (s *Successors) serveSuccessor(c *net.UnixConn) {
 	if err := s.SendListener(c); err != nil {
-		slog.Warn("upgrade: handover of the listening socket failed", "err", err)
+		slog.Warn("upgrade: failed to hand over the listening socket", "err", err)
 	} else {
 		s.trackServing(netcall.RetryingConn{Conn: c})
 	}
@@ -114,7 +114,7 @@
 	if _, err := io.ReadFull(next, word[:]); err != nil || word[0] != servingByte {
 		return
 	}
-	slog.Info("upgrade: the successor serves")
+	slog.Info("upgrade: the successor started serving")
 	s.Serving.Add(1)
 	_, _ = io.ReadFull(next, word[:]) // EndingByte, or the end of the connection
 	s.Serving.Add(-1)
--- a/internal/sidecar/reload.go
+++ b/internal/sidecar/reload.go
@@ -36,7 +36,7 @@
 		s.loop.Routing.Client.SetAddrs(cfg.Routes.Addrs)
 	}
 	if !config.SameMembership(s.cfg.Membership, cfg.Membership) {
-		slog.Warn("reload: change of section members not applied, restart required")
+		slog.Warn("reload: change of the section members not applied, restart required")
 	}
 	return nil
 }
@@ -70,7 +70,7 @@
 			return false
 		}
 		if ok, suppressed := limiter.Allow(); ok {
-			slog.Error("reload: apply configuration, will retry", "err", err, "suppressed", suppressed)
+			slog.Error("reload: failed to apply the configuration, retrying", "err", err, "suppressed", suppressed)
 		}
 		pause := time.NewTimer(backoff.Next())
 		select {
--- a/internal/sidecar/sidecar.go
+++ b/internal/sidecar/sidecar.go
@@ -150,7 +150,7 @@
 		return failed
 	})
 	if err != nil {
-		slog.Info("upgrade: find predecessor", "err", err)
+		slog.Info("upgrade: failed to find a predecessor", "err", err)
 	}
 	if listener != nil {
 		return predecessor, listener, nil
@@ -286,7 +286,7 @@
 	}
 	start := retry.NewStart(ctx, nil)
 	if err := start.Do("upgrade", func() error { return s.successors.Listen(socket) }); err != nil {
-		slog.Warn("upgrade: listen for successors", "err", err)
+		slog.Warn("upgrade: failed to listen for successors", "err", err)
 		return func() {}
 	}
 	return s.successors.Close
