--- a/internal/sidecar/routing/attempt_check.go
+++ b/internal/sidecar/routing/attempt_check.go
@@ -39,13 +39,13 @@
 // attempt counts, or ErrRevoked.
 func (check *AttemptCheck) Begin() (revision int64, err error) {
 	if check.revisionFixed {
-		if !check.client.BeginAs(check.rev, check.tenant, check.canary, check.headerRevision) {
+		if !check.client.StartAttemptAs(check.rev, check.tenant, check.canary, check.headerRevision) {
 			return 0, ErrRevoked
 		}
 		check.Started, check.countedRevision = true, check.headerRevision
 		return check.headerRevision, nil
 	}
-	revision, ok := check.client.Begin(check.rev, check.tenant, check.canary)
+	revision, ok := check.client.StartAttempt(check.rev, check.tenant, check.canary)
 	if !ok {
 		return 0, ErrRevoked
 	}
