--- a/internal/audit/count_bounds.go
+++ b/internal/audit/count_bounds.go
@@ -6,19 +6,19 @@
 type countBounds struct {
 	query Query
 
-	// For Acted, with the narrowed time.
+	// Bounds for the verdict Acted, in the narrowed time.
 	actedFrom, actedTo int64
 	maxBefore          int64 // upper bound of the count when the time begins
 	minByEnd           int64 // lower bound of the count when the time ends
 
-	// For DidNotAct, with the widened time.
+	// Bounds for the verdict DidNotAct, outside the widened time.
 	notActedFrom  int64
 	notActedUntil int64 // a sample after this moment counts as one after the time
 	minBefore     int64 // lower bound of the count before the time
 	maxAfter      int64 // upper bound of the count after the time
 	sampledAfter  bool  // there is a sample after the time, or a final count
 
-	// To detect contradictions.
+	// Counts that reveal contradictions.
 	maxKnown int64 // highest count of any sample
 	minFinal int64 // lowest final count
 }
--- a/internal/audit/facts.go
+++ b/internal/audit/facts.go
@@ -183,7 +183,7 @@
 	return slices.BinarySearchFunc(p.histories, rev, func(h countHistory, rev int64) int { return cmp.Compare(h.rev, rev) })
 }
 
-// history finds the history of a revision; nil: there is none.
+// history returns the history of a revision, or nil if there is none.
 func (p *processRecord) history(rev int64) *countHistory {
 	if i, found := p.historyIndex(rev); found {
 		return &p.histories[i]
--- a/internal/audit/tracker.go
+++ b/internal/audit/tracker.go
@@ -66,7 +66,7 @@
 	access       TransitionKind
 	inconsistent bool // the reports contradict each other
 
-	// Facts; see facts.go.
+	// The facts; facts.go describes them.
 	histories        []countHistory // sorted by revision
 	zeros            []zeroCounts
 	skipped          []revisionRange
@@ -102,7 +102,7 @@
 	transitions := p.addListed(r, listed, lo, now)
 	p.addUnlisted(r, listed, lo, now, t.options)
 	if r.Seq > before.Seq && r.AcknowledgedRev > before.AcknowledgedRev {
-		if p.skippedAfterActing(before.AcknowledgedRev) {
+		if p.hasNoAttempts(before.AcknowledgedRev) {
 			transitions = append(transitions, Transition{Process: r.Process, Kind: FinalCount, Rev: before.AcknowledgedRev})
 		}
 		transitions = append(transitions, Transition{
@@ -134,9 +134,9 @@
 	return final
 }
 
-// skippedAfterActing reports whether the process made no attempt under a revision that it acted on, so that the revision
-// was never listed.
-func (p *processRecord) skippedAfterActing(rev int64) bool {
+// hasNoAttempts reports whether the process made no attempt under a revision that it has acted on, so that the
+// revision was never listed.
+func (p *processRecord) hasNoAttempts(rev int64) bool {
 	return rev > 0 && p.history(rev) == nil && p.wasSkipped(rev)
 }
 
