--- a/internal/rollout/budget_test.go
+++ b/internal/rollout/budget_test.go
@@ -61,10 +61,10 @@
 // exchangeReport sends a report and delivers the response and the newest table.
 func (f *randomFleet) exchangeReport(t *rapid.T) {
 	sidecar := f.pick(t)
-	report := sidecar.Report(nil)
+	report := sidecar.NextReport(nil)
 	response := f.controller.Report(f.now, f.state, &report)
 	table := f.state.Table()
-	sidecar.ApplyAnswer(f.now, &response)
+	sidecar.ApplyReportResponse(f.now, &response)
 	sidecar.ApplyTable(&table)
 }
 
@@ -84,11 +84,11 @@
 		process := sidecar.Process
 		f.delayed = append(f.delayed, func() {
 			if sidecar.Process == process {
-				sidecar.ApplyGrants(&response)
+				sidecar.ApplyBudgetResponse(&response)
 			}
 		})
 	default:
-		sidecar.ApplyGrants(&response)
+		sidecar.ApplyBudgetResponse(&response)
 	}
 }
 
--- a/internal/rollout/model/explore_test.go
+++ b/internal/rollout/model/explore_test.go
@@ -9,11 +9,13 @@
 	"marblelane/internal/testutil/explore"
 )
 
-// exploreAll reports whether the worlds that take minutes are explored, too: EXPLORE=all.
+// exploreAll reports whether the environment variable EXPLORE=all also enables the worlds whose exploration takes
+// minutes.
 func exploreAll() bool { return os.Getenv("EXPLORE") == "all" }
 
-// requireExplored explores a world, which must have so many states; 0: any number, for worlds too large for each run.
-func requireExplored(t *testing.T, f Faults, w explore.World, want int) {
+// requireStateCount explores a world. It requires that no state violates an invariant and that there are as many states
+// as wanted. A want of 0 accepts any number, for the worlds that are too large to explore in every run.
+func requireStateCount(t *testing.T, f Faults, w explore.World, want int) {
 	states, err := explore.Run(w, explore.Options{})
 	require.NoError(t, err)
 	t.Logf("%+v: %d states", f, states)
@@ -32,12 +34,12 @@
 		worlds[Faults{Crashes: 1, LeaderChanges: 1, ClockJumps: 1}] = 0
 	}
 	for f, want := range worlds {
-		requireExplored(t, f, NewBudgetWorld(None, f), want)
+		requireStateCount(t, f, NewBudgetWorld(None, f), want)
 	}
 }
 
 func TestExplore_leases(t *testing.T) {
-	requireExplored(t, Faults{}, NewLeaseWorld(None, 3, 1, 2, Faults{}), 11136)
+	requireStateCount(t, Faults{}, NewLeaseWorld(None, 3, 1, 2, Faults{}), 11136)
 	worlds := map[Faults]int{{Crashes: 1}: 8176}
 	if !raceEnabled {
 		worlds[Faults{LeaderChanges: 1}], worlds[Faults{Duplicates: 1}] = 47755, 17493
@@ -45,10 +47,10 @@
 	if exploreAll() {
 		worlds[Faults{Crashes: 1, LeaderChanges: 1, Duplicates: 1}] = 0
 		f := Faults{Crashes: 1, LeaderChanges: 1}
-		requireExplored(t, f, NewLeaseWorld(None, 3, 1, 2, f), 0)
+		requireStateCount(t, f, NewLeaseWorld(None, 3, 1, 2, f), 0)
 	}
 	for f, want := range worlds {
-		requireExplored(t, f, NewLeaseWorld(None, 2, 1, 2, f), want)
+		requireStateCount(t, f, NewLeaseWorld(None, 2, 1, 2, f), want)
 	}
 }
 
@@ -60,11 +62,11 @@
 		want   string
 	}{
 		{GrantBeforeCommit, NewBudgetWorld(GrantBeforeCommit, leaderChange), "4 failures of a budget of 3"},
-		{FailuresSummed, NewBudgetWorld(FailuresSummed, Faults{}), "4 failures of a budget of 3"},
+		{NoReservation, NewBudgetWorld(NoReservation, Faults{}), "4 failures of a budget of 3"},
 		{GoneUnitsReturned, NewBudgetWorld(GoneUnitsReturned, Faults{Crashes: 1}), "4 failures of a budget of 3"},
 		{NoLeaseWait, NewLeaseWorld(NoLeaseWait, 2, 1, 2, leaderChange), "is closed"},
-		{LeaseFromAnswer, NewLeaseWorld(LeaseFromAnswer, 2, 1, 2, Faults{}), "is closed"},
-		{LeaseOnClosing, NewLeaseWorld(LeaseOnClosing, 2, 1, 2, Faults{}), "is closed"},
+		{LeaseFromResponse, NewLeaseWorld(LeaseFromResponse, 2, 1, 2, Faults{}), "is closed"},
+		{LeaseWhileClosing, NewLeaseWorld(LeaseWhileClosing, 2, 1, 2, Faults{}), "is closed"},
 		{NoBarrierOnElection, NewLeaseWorld(NoBarrierOnElection, 2, 1, 2, leaderChange), "is closed"},
 	} {
 		states, err := explore.Run(c.world, explore.Options{BreadthFirst: !raceEnabled})
--- a/internal/rollout/model/simulate.go
+++ b/internal/rollout/model/simulate.go
@@ -1,6 +1,6 @@
 package model
 
-// This file runs a simulation: sidecars, a service, and messages between them that are lost, late and duplicated.
+// This file runs a simulation of sidecars and a list service whose messages may be lost, delayed or duplicated.
 
 import (
 	"fmt"
@@ -11,52 +11,52 @@
 )
 
 const (
-	playTenant  = "tenant"
-	playRollout = "canary"
+	simTenant  = "tenant"
+	simRollout = "canary"
 
-	tickInterval     = 100 // ms between two looks of the controller at what is due
-	duplicateLatency = 20  // times Latency
+	tickInterval           = 100 // ms between two calls of Controller.Tick
+	duplicateLatencyFactor = 20  // mean delay of a duplicate, as a multiple of MeanLatency
 )
 
-// simulation is a run under way.
+// simulation is the state of one run.
 type simulation struct {
 	Options
 	scheduler
 	sidecars       []*simSidecar
 	service        service
 	baseline       baselineService
-	canaryFraction float64 // of the present step
+	canaryFraction float64 // fraction of requests that the current step sends to the canary
 	leasedRequests int64
 	result         Result
 }
 
-// Simulate runs a simulation. The same options give the same result.
+// Simulate runs a simulation and returns its result. The result depends only on the options.
 func Simulate(o Options) (Result, error) {
-	if err := o.check(); err != nil {
+	if err := o.validate(); err != nil {
 		return Result{}, err
 	}
 	s := &simulation{
 		Options:   o,
 		scheduler: scheduler{rng: rand.New(rand.NewPCG(o.Seed, 0))},
 		service:   service{state: rollout.NewState()},
-		baseline:  baselineService{sums: make([]int64, o.Sidecars)},
+		baseline:  baselineService{reportedFailures: make([]int64, o.Sidecars)},
 		result: Result{
-			Budget: o.Budget, LastUnit: notYet, LastAttempt: notYet, RolledBack: notYet, AllActing: notYet,
-			BaselineLastUnit: notYet, BaselineLastAttempt: notYet,
+			Budget: o.Budget, LastUnitSpent: notReached, LastAttempt: notReached, RolledBack: notReached,
+			CanaryStopped: notReached, BaselineLastUnit: notReached, BaselineLastAttempt: notReached,
 		},
 	}
 	if err := s.postRollout(); err != nil {
 		return Result{}, fmt.Errorf("model: %w", err)
 	}
-	s.setUp()
+	s.scheduleInitialEvents()
 	s.run(o.Duration)
-	return s.finish(), nil
+	return s.finalResult(), nil
 }
 
 func (s *simulation) postRollout() error {
 	s.service.state.BeginEpoch(1)
 	spec := &rollout.Spec{
-		Tenant: playTenant, Name: playRollout, SubsetName: "b", Canary: route.Subset{Model: []string{"b"}},
+		Tenant: simTenant, Name: simRollout, SubsetName: "b", Canary: route.Subset{Model: []string{"b"}},
 		Steps: s.Steps, Budget: s.Budget, AtEnd: rollout.AtEndReturn,
 	}
 	if _, err := s.service.state.Apply(&rollout.Command{Op: rollout.OpPost, Spec: spec}); err != nil {
@@ -66,13 +66,14 @@
 	return nil
 }
 
-// setUp schedules what begins by itself. The order matters to the random numbers that each draws.
-func (s *simulation) setUp() {
+// scheduleInitialEvents elects the first leader, starts the sidecars and schedules the faults. The order of its steps
+// determines which random numbers each of them gets.
+func (s *simulation) scheduleInitialEvents() {
 	s.electLeader()
 	for i := range s.Sidecars {
-		sidecar := &simSidecar{Sidecar: playSidecar(fmt.Sprintf("s%04d", i), 1)}
+		sidecar := &simSidecar{Sidecar: newSimProcess(fmt.Sprintf("s%04d", i), 1)}
 		s.sidecars = append(s.sidecars, sidecar)
-		s.startDuties(sidecar)
+		s.startPeriodicRequests(sidecar)
 		s.scheduleRequest(sidecar)
 		s.scheduleBaselineReport(i)
 	}
@@ -82,25 +83,26 @@
 	for _, at := range s.LeaderLossTimes {
 		s.schedule(at, s.loseLeader)
 	}
-	s.every(tickInterval, s.tick)
-	s.every(s.BaselineInterval, s.checkBaseline)
+	s.scheduleEvery(tickInterval, s.tick)
+	s.scheduleEvery(s.BaselineInterval, s.stopSpentBaseline)
 }
 
-func playSidecar(name string, start int64) Sidecar {
-	return Sidecar{Process: route.Process{Name: name, Start: start}, Tenant: playTenant, Rollout: playRollout}
+func newSimProcess(name string, start int64) Sidecar {
+	return Sidecar{Process: route.Process{Name: name, Start: start}, Tenant: simTenant, Rollout: simRollout}
 }
 
-// send carries a message: it may be lost, or arrive twice.
+// send delivers a message after a random delay. The message may be lost, and a duplicate may arrive later.
 func (s *simulation) send(arrive func()) {
 	if s.rng.Float64() >= s.LossRate {
-		s.after(s.randomTime(s.Latency), arrive)
+		s.scheduleAfter(s.randomTime(s.MeanLatency), arrive)
 	}
 	if s.rng.Float64() < s.DuplicateRate {
-		s.after(s.randomTime(duplicateLatency*s.Latency), arrive)
+		s.scheduleAfter(s.randomTime(duplicateLatencyFactor*s.MeanLatency), arrive)
 	}
 }
 
-// sendTo carries a message to the process of a sidecar that started at start; after a restart it is lost.
+// sendTo sends a message to one process of a sidecar, identified by its start. If the sidecar has restarted when the
+// message arrives, the message is lost.
 func (s *simulation) sendTo(to *simSidecar, start int64, arrive func()) {
 	s.send(func() {
 		if to.Start == start {
@@ -109,14 +111,14 @@
 	})
 }
 
-func (s *simulation) finish() Result {
-	r, _ := s.service.state.Rollout(playTenant, playRollout)
-	out := s.result
-	out.Phase, out.Why = r.Phase, r.Reason
-	out.LedgerPerSecond = float64(out.Ledger) / (float64(s.Duration) / 1000)
+func (s *simulation) finalResult() Result {
+	r, _ := s.service.state.Rollout(simTenant, simRollout)
+	result := s.result
+	result.Phase, result.Reason = r.Phase, r.Reason
+	result.LedgerPerSecond = float64(result.LedgerCommands) / (float64(s.Duration) / 1000)
 	if s.leasedRequests > 0 {
-		out.CanaryFraction = float64(out.Attempts) / float64(s.leasedRequests)
+		result.CanaryFraction = float64(result.Attempts) / float64(s.leasedRequests)
 	}
-	out.BaselineOver = max(0, out.BaselineFailures-s.Budget)
-	return out
+	result.BaselineOver = max(0, result.BaselineFailures-s.Budget)
+	return result
 }
--- a/internal/sidecar/handover_test.go
+++ b/internal/sidecar/handover_test.go
@@ -69,7 +69,7 @@
 // During upgrades every request is served, whether its connection is new or kept alive.
 func TestUpgrade_NoRequestRejected(t *testing.T) {
 	b := sidecartest.NewBackend(t, "a", sidecartest.OK)
-	c := upgradable(t, sidecartest.NewRegistry(t).Addr(), b.Target)
+	c := upgradable(t, sidecartest.NewFakeDiscovery(t).Addr(), b.Target)
 	quick := func(s *Sidecar) { s.drainAccept, s.listTimeout = 50*time.Millisecond, 0 }
 	old := start(t, c, quick)
 	old.awaitHandoverReady(t, nil)
@@ -78,7 +78,7 @@
 	var served atomic.Int64
 	var clients sync.WaitGroup
 	for i := range 4 {
-		client := &http.Client{Transport: &http.Transport{DisableKeepAlives: i%2 == 0}, Timeout: sidecartest.Patience}
+		client := &http.Client{Transport: &http.Transport{DisableKeepAlives: i%2 == 0}, Timeout: sidecartest.WaitTimeout}
 		clients.Go(func() {
 			defer client.CloseIdleConnections()
 			for {
@@ -127,7 +127,7 @@
 // Connections that wait to be accepted when a process ends are accepted by its successor.
 func TestUpgrade_QueueHandedOver(t *testing.T) {
 	b := sidecartest.NewBackend(t, "a", sidecartest.OK)
-	c := upgradable(t, sidecartest.NewRegistry(t).Addr(), b.Target)
+	c := upgradable(t, sidecartest.NewFakeDiscovery(t).Addr(), b.Target)
 	acceptNothing := func(s *Sidecar) {
 		s.drainAccept = 0
 		s.listener.Listener = blockedListener{s.listener.Listener, new(sync.Once), make(chan struct{})}
@@ -175,7 +175,7 @@
 // If a successor ends before it serves, the older process goes on with all of its limits.
 func TestUpgrade_SuccessorFails(t *testing.T) {
 	b := sidecartest.NewBackend(t, "a", sidecartest.OK)
-	c := upgradable(t, sidecartest.NewRegistry(t).Addr(), b.Target)
+	c := upgradable(t, sidecartest.NewFakeDiscovery(t).Addr(), b.Target)
 	old := start(t, c)
 	old.awaitHandoverReady(t, nil)
 	cfg, err := c.Load(t)
@@ -212,7 +212,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			b := sidecartest.NewBackend(t, "a", sidecartest.OK)
-			c := upgradable(t, sidecartest.NewRegistry(t).Addr(), b.Target)
+			c := upgradable(t, sidecartest.NewFakeDiscovery(t).Addr(), b.Target)
 			cfg, err := c.Load(t)
 			if err != nil {
 				t.Fatal(err)
--- a/internal/sidecar/metrics/metrics.go
+++ b/internal/sidecar/metrics/metrics.go
@@ -33,7 +33,7 @@
 	ListReceived           bool // since the start, from a list service
 	List                   balance.ListStatus
 	Zones                  balance.ZoneStatus
-	Routes                 *routing.Figures // nil: the section routes is not configured
+	Routes                 *routing.Stats // nil: the section routes is not configured
 }
 
 // sample is one metric of the text format; its name is without the prefix svc_.
--- a/internal/sidecar/shutdown.go
+++ b/internal/sidecar/shutdown.go
@@ -140,7 +140,7 @@
 // stopAccepting closes the listener and reports whether it did. Closing resets connections that wait to be accepted. As
 // long as there are any the listener stays open, unless now is set or a successor shares the socket and accepts them.
 func (s *Sidecar) stopAccepting(now bool) bool {
-	if !now && !s.successors.ShareListener() && s.countUnaccepted(s.tcpListener) > 0 {
+	if !now && !s.successors.ListenerShared() && s.countUnaccepted(s.tcpListener) > 0 {
 		return false
 	}
 	s.listener.Close()
--- a/internal/sidecar/sidecartest/body.go
+++ b/internal/sidecar/sidecartest/raw_backend.go
@@ -10,8 +10,8 @@
 	"marblelane/internal/sidecar/endpointlist"
 )
 
-// Pattern is a body of n bytes, no part of which is like another.
-func Pattern(n int) []byte {
+// PatternBody returns a body of n pseudorandom bytes, so that a missing, repeated or swapped part is detected.
+func PatternBody(n int) []byte {
 	b := make([]byte, n)
 	x := uint32(n)
 	for i := range b {
@@ -21,7 +21,7 @@
 	return b
 }
 
-// RawBackend is a server that hands each connection to serve.
+// RawBackend starts a server that calls serve for each connection, and returns its list entry.
 func RawBackend(t *testing.T, uid string, serve func(c net.Conn, in *bufio.Reader)) endpointlist.Target {
 	t.Helper()
 	l, err := net.Listen("tcp", Loopback)
@@ -37,7 +37,7 @@
 			}
 			ended.Go(func() {
 				defer c.Close()
-				c.SetDeadline(time.Now().Add(Patience))
+				c.SetDeadline(time.Now().Add(WaitTimeout))
 				serve(c, bufio.NewReader(c))
 			})
 		}
@@ -49,8 +49,8 @@
 	return Ready(uid, l.Addr().String())
 }
 
-// Zeros is a reader of zero bytes without end.
-type Zeros struct{}
+// ZeroReader is a body without an end. It leaves the buffer unchanged, which holds zeros if it is new.
+type ZeroReader struct{}
 
-// Read is part of io.Reader.
-func (Zeros) Read(p []byte) (int, error) { return len(p), nil }
+// Read implements io.Reader.
+func (ZeroReader) Read(p []byte) (int, error) { return len(p), nil }
