--- a/internal/rollout/model/lease_world.go
+++ b/internal/rollout/model/lease_world.go
@@ -171,7 +171,7 @@
 // tick keeps the close command that the controller finds due, until commitClose or changeLeader handles it.
 func (w *LeaseWorld) tick() {
 	controller := w.controller
-	if w.Defect == LeaseWhileClosing { // only the copy records which revision it is closing
+	if w.Defect == LeaseWhileClosing { // the controller itself does not record that it is closing a revision
 		controller = controller.Clone()
 	}
 	commands, _ := controller.Tick(w.clock, w.state, oneServerReady)
--- a/internal/rollout/model/sidecar.go
+++ b/internal/rollout/model/sidecar.go
@@ -15,10 +15,10 @@
 	route.Process
 	Tenant, Rollout string
 	Budget          balance.CanaryBudget
-	TableRev        int64        // revision of the routing table that the sidecar uses
-	CanaryActive    bool         // whether that table sends requests to the canary
-	LeaseUntil      int64        // end of its canary lease
-	Seq             int64        // sequence number of the newest report
+	TableRev        int64            // revision of the routing table that the sidecar uses
+	CanaryActive    bool             // whether that table sends requests to the canary
+	LeaseUntil      int64            // end of its canary lease
+	Seq             int64            // sequence number of the newest report
 	Stamp           route.LeaderTime // stamp of the newest response, which the next report echoes
 }
 
