--- a/internal/rollout/model/events.go
+++ b/internal/rollout/model/events.go
@@ -5,7 +5,7 @@
 	"math/rand/v2"
 )
 
-// event is a function that runs at a time. Events with the same time run in the order in which they were scheduled.
+// event is a function and the time at which it runs. Events with the same time run in the order in which they were scheduled.
 type event struct {
 	at, seq int64
 	run     func()
@@ -42,16 +42,16 @@
 	}
 }
 
-// schedule runs a function at a time.
+// schedule adds an event that calls do at the given time.
 func (s *scheduler) schedule(at int64, do func()) {
 	s.lastSeq++
 	heap.Push(&s.events, event{at, s.lastSeq, do})
 }
 
-// scheduleAfter runs a function once, after a delay.
+// scheduleAfter adds an event that calls do once, after the given delay.
 func (s *scheduler) scheduleAfter(delay int64, do func()) { s.schedule(s.now+delay, do) }
 
-// scheduleEvery runs a function at the end of each interval.
+// scheduleEvery calls do at the end of each interval.
 func (s *scheduler) scheduleEvery(interval int64, do func()) {
 	s.scheduleAfter(interval, func() {
 		do()
