--- a/internal/rollout/model/events.go
+++ b/internal/rollout/model/events.go
@@ -5,7 +5,8 @@
 	"math/rand/v2"
 )
 
-// event is a function and the time at which it runs. Events with the same time run in the order in which they were scheduled.
+// event is a function and the time at which it runs. Events with the same time run in the order in which they were
+// scheduled.
 type event struct {
 	at, seq int64
 	run     func()
