--- a/internal/rollout/helpers_test.go
+++ b/internal/rollout/helpers_test.go
@@ -43,14 +43,14 @@
 
 func controllerOptions() Options {
 	return Options{
-		Leader: "l", LeaseTerm: 1, StragglerAfter: 1, ShutOutAfter: 100, GoneAfter: 5, ForgetAfter: 1000,
+		Leader: "l", LeaseTerm: 1, StragglerAfter: 1, ShutOutAfter: 100, GoneAfter: 5, DropAfter: 1000,
 		MaxStragglerFraction: 1, Alpha: 0, Rho: 3,
 	}
 }
 
-func oneReady(route.Subset) int { return 1 }
+func oneServerReady(route.Subset) int { return 1 }
 
-// testFleet is a controller, and sidecars that report to it.
+// testFleet is a controller with sidecars that report to it.
 type testFleet struct {
 	state      *State
 	controller *Controller
@@ -68,18 +68,18 @@
 
 // report has a sidecar report; if it follows, it acts on the newest table by then.
 func (f *testFleet) report(now int64, i int, follows bool, counts ...route.Count) route.ReportResponse {
-	c := &f.sidecars[i]
+	sidecar := &f.sidecars[i]
 	if follows {
 		table := f.state.Table()
-		c.ApplyTable(&table)
+		sidecar.ApplyTable(&table)
 	}
-	r := c.Report(counts)
-	a := f.controller.Report(now, f.state, &r)
-	c.ApplyAnswer(now, &a)
-	return a
+	r := sidecar.NextReport(counts)
+	response := f.controller.Report(now, f.state, &r)
+	sidecar.ApplyReportResponse(now, &response)
+	return response
 }
 
-// tick carries out the commands that are due, and returns their operations.
+// tick calls Tick, applies the returned commands, and returns their operations and the changes of access.
 func (f *testFleet) tick(t require.TestingT, now int64, ready int) (ops []Op, changes []AccessChange) {
 	commands, changes := f.controller.Tick(now, f.state, func(route.Subset) int { return ready })
 	for _, c := range commands {
