--- a/cmd/marblelane/register.go
+++ b/cmd/marblelane/register.go
@@ -35,7 +35,7 @@
 	if err != nil {
 		return fmt.Errorf("register: %w", err)
 	}
-	registration := &agent.Agent{Replicas: c.Copy, Lease: c.Lease, Health: c.Health, Drain: c.Drain, Log: a.log,
+	registration := &agent.Registrar{Replicas: c.Copy, Lease: c.Lease, HealthCheckURL: c.Health, DrainTime: c.Drain, Log: a.log,
 		Entry: state.Entry{UID: c.UID, Endpoint: c.Endpoint, Zone: c.Zone, Model: c.Model, PodGroup: c.Pod,
 			State: state.Ready, Capacity: 1, BootMS: faults.Now().UnixMilli()}}
 	command := c.Command
@@ -59,7 +59,7 @@
 	go func() { left <- registration.Run(ctx) }()
 	select {
 	case err := <-ended: // the server has ended: there is nothing to drain
-		registration.Gone()
+		registration.ServerExited()
 		cancel()
 		return errors.Join(<-left, exitOf(err))
 	case err := <-left:
--- a/internal/registry/agent/agent.go
+++ b/internal/registry/agent/agent.go
@@ -21,28 +21,28 @@
 	"marblelane/internal/registry/state"
 )
 
-// Agent registers one server and keeps it registered: from its first passed health check until its context ends. Then it
+// Registrar registers one server and keeps it registered: from its first passed health check until its context ends. Then it
 // marks the server Terminating, waits for Drain so that all watches receive that, and removes it.
 //
 // It calls the replicas in turn until one answers, and registers again after the lease has expired. A server that was
 // drained meanwhile is registered as Terminating. If the clock of the machine was set back, this start has an earlier time
 // than the start before; where that one was drained, the list would reject this one, so its first registration gets a time
 // right after.
-type Agent struct {
-	Replicas []string // addresses of replicas, in order of preference
-	Entry    state.Entry
-	Lease    time.Duration // 15 s
-	Health   string        // URL that answers 200 when the server can serve; empty: it always can
-	Drain    time.Duration // from Terminating until it is removed; 5 s
-	Log      *slog.Logger
+type Registrar struct {
+	Replicas       []string // addresses of replicas, in order of preference
+	Entry          state.Entry
+	Lease          time.Duration // 15 s
+	HealthCheckURL string        // URL that answers 200 when the server can serve; empty: it always can
+	DrainTime      time.Duration // from Terminating until it is removed; 5 s
+	Log            *slog.Logger
 
 	lastReplica int // index of the replica that answered last
 	client      http.Client
 	serverEnded atomic.Bool
 }
 
-// Gone reports that the server has ended by itself. Nothing is left to drain, so Run removes it at once.
-func (a *Agent) Gone() { a.serverEnded.Store(true) }
+// ServerExited reports that the server has ended by itself. Nothing is left to drain, so Run removes it at once.
+func (a *Registrar) ServerExited() { a.serverEnded.Store(true) }
 
 const (
 	callTimeout        = 2 * time.Second
@@ -53,9 +53,9 @@
 
 // Run keeps the server registered until ctx ends, then drains and removes it. That takes at most Drain and two calls of
 // each replica.
-func (a *Agent) Run(ctx context.Context) error {
+func (a *Registrar) Run(ctx context.Context) error {
 	a.Lease = cmp.Or(a.Lease, 15*time.Second)
-	a.Drain = cmp.Or(a.Drain, 5*time.Second)
+	a.DrainTime = cmp.Or(a.DrainTime, 5*time.Second)
 	if a.Log == nil {
 		a.Log = slog.New(slog.DiscardHandler)
 	}
@@ -115,7 +115,7 @@
 }
 
 // deregister drains and removes the server. The context of Run has ended, so the calls have timeouts of their own.
-func (a *Agent) deregister() error {
+func (a *Registrar) deregister() error {
 	ctx, cancel := context.WithTimeout(context.Background(), time.Duration(len(a.Replicas))*callTimeout)
 	defer cancel()
 	_, err := a.callAnyReplica(ctx, http.MethodPost, "/drain", nil)
@@ -126,8 +126,8 @@
 		err = fmt.Errorf("register: that it drains could not be told: %w", err)
 	}
 	if !a.serverEnded.Load() {
-		a.Log.Info("register: drains", "uid", a.Entry.UID, "for", a.Drain)
-		time.Sleep(a.Drain)
+		a.Log.Info("register: drains", "uid", a.Entry.UID, "for", a.DrainTime)
+		time.Sleep(a.DrainTime)
 	}
 	ctx, cancel = context.WithTimeout(context.Background(), time.Duration(len(a.Replicas))*callTimeout)
 	defer cancel()
@@ -138,13 +138,13 @@
 }
 
 // healthy calls the health check of the server.
-func (a *Agent) healthy(ctx context.Context) bool {
-	if a.Health == "" {
+func (a *Registrar) healthy(ctx context.Context) bool {
+	if a.HealthCheckURL == "" {
 		return true
 	}
 	ctx, cancel := context.WithTimeout(ctx, healthCheckTimeout)
 	defer cancel()
-	req, err := http.NewRequestWithContext(ctx, http.MethodGet, a.Health, nil)
+	req, err := http.NewRequestWithContext(ctx, http.MethodGet, a.HealthCheckURL, nil)
 	if err != nil {
 		return false
 	}
@@ -158,7 +158,7 @@
 }
 
 // renewOrRegister renews the lease, or registers the server.
-func (a *Agent) renewOrRegister(ctx context.Context, registered bool) error {
+func (a *Registrar) renewOrRegister(ctx context.Context, registered bool) error {
 	if registered {
 		var lease struct {
 			State string `json:"state"`
@@ -178,7 +178,7 @@
 }
 
 // listedBoot returns the start time in the list.
-func (a *Agent) listedBoot(ctx context.Context) (int64, error) {
+func (a *Registrar) listedBoot(ctx context.Context) (int64, error) {
 	answer, err := a.callAnyReplica(ctx, http.MethodGet, "", nil)
 	if err != nil {
 		return 0, err
@@ -191,7 +191,7 @@
 }
 
 // callAnyReplica calls the replicas in turn, starting with the one that answered last.
-func (a *Agent) callAnyReplica(ctx context.Context, method, what string, body []byte) (answer []byte, failed error) {
+func (a *Registrar) callAnyReplica(ctx context.Context, method, what string, body []byte) (answer []byte, failed error) {
 	for range a.Replicas {
 		answer, err := a.call(ctx, a.Replicas[a.lastReplica], method, what, body)
 		if err == nil || errors.Is(err, state.ErrUnknown) || errors.Is(err, state.ErrDrained) {
@@ -206,7 +206,7 @@
 	return nil, failed
 }
 
-func (a *Agent) call(ctx context.Context, address, method, what string, body []byte) ([]byte, error) {
+func (a *Registrar) call(ctx context.Context, address, method, what string, body []byte) ([]byte, error) {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	req, err := http.NewRequestWithContext(ctx, method, "http://"+address+listserver.ListPath+"/"+url.PathEscape(a.Entry.UID)+what, bytes.NewReader(body))
--- a/internal/registry/agent_test.go
+++ b/internal/registry/agent_test.go
@@ -24,8 +24,8 @@
 		}
 	}))
 	defer server.Close()
-	a := &agent.Agent{Replicas: []string{all[0].cfg.Listen, all[1].cfg.Listen, all[2].cfg.Listen}, Lease: 900 * time.Millisecond,
-		Health: server.URL, Drain: 300 * time.Millisecond, Entry: *testEntry("s1", 7)}
+	a := &agent.Registrar{Replicas: []string{all[0].cfg.Listen, all[1].cfg.Listen, all[2].cfg.Listen}, Lease: 900 * time.Millisecond,
+		HealthCheckURL: server.URL, DrainTime: 300 * time.Millisecond, Entry: *testEntry("s1", 7)}
 	ctx, stop := context.WithCancel(t.Context())
 	ended := make(chan error, 1)
 	go func() { ended <- a.Run(ctx) }()
@@ -82,7 +82,7 @@
 		}
 	}))
 	defer server.Close()
-	a := &agent.Agent{Replicas: []string{"127.0.0.1:1", one.cfg.Listen}, Lease: 500 * time.Millisecond, Health: server.URL, Entry: *testEntry("s1", 7)}
+	a := &agent.Registrar{Replicas: []string{"127.0.0.1:1", one.cfg.Listen}, Lease: 500 * time.Millisecond, HealthCheckURL: server.URL, Entry: *testEntry("s1", 7)}
 	ctx, stop := context.WithCancel(t.Context())
 	ended := make(chan error, 1)
 	go func() { ended <- a.Run(ctx) }()
@@ -100,7 +100,7 @@
 func TestAgent_drain(t *testing.T) {
 	one := cluster(t, 1, func(c *Config) { c.Dir, c.Peers = "", nil })[0]
 	run := func(boot int64) (stop func()) {
-		a := &agent.Agent{Replicas: []string{one.cfg.Listen}, Lease: 600 * time.Millisecond, Drain: time.Millisecond, Entry: *testEntry("s1", boot)}
+		a := &agent.Registrar{Replicas: []string{one.cfg.Listen}, Lease: 600 * time.Millisecond, DrainTime: time.Millisecond, Entry: *testEntry("s1", boot)}
 		ctx, cancel := context.WithCancel(t.Context())
 		ended := make(chan error, 1)
 		go func() { ended <- a.Run(ctx) }()
--- a/internal/registry/config.go
+++ b/internal/registry/config.go
@@ -83,8 +83,8 @@
 		return Config{}, fmt.Errorf("configuration %w", err)
 	}
 	c := Config{start: start, Name: f.Name, Listen: f.Listen, Raft: f.Raft, Advertise: f.Advertise, Dir: f.Dir, Join: f.Join, Peers: f.Peers, Keep: f.Keep,
-		Beat: time.Duration(f.Beat), SlowDisk: time.Duration(f.SlowDisk), Options: listserver.Options{Batch: time.Duration(f.Batch), Watches: f.Watches, Burst: f.Burst,
-			MaxStaleness: time.Duration(f.MaxStaleness), MaxExpiredFraction: f.MaxExpiredFraction, EachEncodes: f.EachEncodes, Planted: f.RouteDefect}}
+		Beat: time.Duration(f.Beat), SlowDisk: time.Duration(f.SlowDisk), Options: listserver.Options{BatchInterval: time.Duration(f.Batch), AdmissionRate: f.Watches, AdmissionBurst: f.Burst,
+			MaxStaleness: time.Duration(f.MaxStaleness), MaxExpiredFraction: f.MaxExpiredFraction, EncodePerWatch: f.EachEncodes, InjectedDefect: f.RouteDefect}}
 	err := c.check()
 	if err != nil {
 		return Config{}, fmt.Errorf("configuration %s: %w", path, err)
@@ -113,7 +113,7 @@
 			return fmt.Errorf("%s: is missing", k.key)
 		}
 	}
-	for key, v := range map[string]time.Duration{"beat": c.Beat, "batch": c.Batch, "most_stale": c.MaxStaleness, "slow_disk": c.SlowDisk} {
+	for key, v := range map[string]time.Duration{"beat": c.Beat, "batch": c.BatchInterval, "most_stale": c.MaxStaleness, "slow_disk": c.SlowDisk} {
 		if v < 0 {
 			return fmt.Errorf("%s: is negative", key)
 		}
@@ -121,12 +121,12 @@
 	switch {
 	case c.Keep < 0:
 		return errors.New("keep: is negative")
-	case c.Watches < 0 || c.Burst < 0:
+	case c.AdmissionRate < 0 || c.AdmissionBurst < 0:
 		return errors.New("watches_per_s: it or watch_burst is negative")
 	case c.MaxExpiredFraction < 0 || c.MaxExpiredFraction > 1:
 		return errors.New("hold_share: is not between 0 and 1")
-	case !routeleader.Defect(c.Planted).Known():
-		return fmt.Errorf("lab_route_defect: %q is none of %v", c.Planted, routeleader.Defects())
+	case !routeleader.Defect(c.InjectedDefect).Known():
+		return fmt.Errorf("lab_route_defect: %q is none of %v", c.InjectedDefect, routeleader.Defects())
 	case c.Join && len(c.Peers) > 0:
 		return errors.New("join: a copy that joins has no peers of its own; the leader tells it")
 	}
--- a/internal/registry/listserver/admission.go
+++ b/internal/registry/listserver/admission.go
@@ -10,7 +10,7 @@
 // retryAfter admits a reader and returns 0, or returns how long it has to wait.
 func (s *Server) retryAfter() time.Duration {
 	o := s.o.Load()
-	return s.admit.Take(time.Now(), o.Watches, float64(o.Burst))
+	return s.admit.Take(time.Now(), o.AdmissionRate, float64(o.AdmissionBurst))
 }
 
 // TokenBucket is a token bucket. It starts with a full burst.
--- a/internal/registry/listserver/members.go
+++ b/internal/registry/listserver/members.go
@@ -76,9 +76,9 @@
 	}
 }
 
-// Standings returns the state of each replica by name, as this one sees it. Of several members with one name an alive one
+// MemberStates returns the state of each replica by name, as this one sees it. Of several members with one name an alive one
 // counts, then the one that started last. A group that this replica has left is not consulted.
-func (m *Members) Standings() map[string]membership.MemberState {
+func (m *Members) MemberStates() map[string]membership.MemberState {
 	out := map[string]membership.MemberState{}
 	if m == nil {
 		return out
@@ -138,8 +138,8 @@
 	}
 }
 
-// Join serves the views of the group, and its metrics.
-func (s *Server) Join(m *Members) {
+// MountMembers serves the views of the group, and its metrics.
+func (s *Server) MountMembers(m *Members) {
 	s.members = m
 	prometheus.WrapRegistererWithPrefix("registry_", s.metrics.registry).MustRegister(m)
 }
--- a/internal/registry/listserver/replicas.go
+++ b/internal/registry/listserver/replicas.go
@@ -38,7 +38,7 @@
 type ReplicaSet interface {
 	Add(Peer) error
 	Remove(name string) error
-	Learn(Peer) error
+	AddLearner(Peer) error
 	Promote(name string) error
 	Retire(name string) error
 	Name() string
@@ -59,21 +59,21 @@
 				http.Error(w, "a copy has the addresses raft and serve", http.StatusBadRequest)
 				return
 			}
-			if s.Leading(w, r) {
+			if s.RequireLeader(w, r) {
 				s.answer(w, do(p))
 			}
 		}
 	}
 	named := func(do func(string) error) http.HandlerFunc {
 		return func(w http.ResponseWriter, r *http.Request) {
-			if s.Leading(w, r) {
+			if s.RequireLeader(w, r) {
 				s.answer(w, do(r.PathValue("name")))
 			}
 		}
 	}
 	m.HandleFunc("POST "+ReplicasPath+"/{name}", peer(c.Add))
 	m.HandleFunc("DELETE "+ReplicasPath+"/{name}", named(c.Remove))
-	m.HandleFunc("POST "+ReplicasPath+"/{name}/learn", peer(c.Learn))
+	m.HandleFunc("POST "+ReplicasPath+"/{name}/learn", peer(c.AddLearner))
 	m.HandleFunc("POST "+ReplicasPath+"/{name}/promote", named(c.Promote))
 	m.HandleFunc("POST "+ReplicasPath+"/{name}/retire", named(c.Retire))
 }
--- a/internal/registry/listserver/server.go
+++ b/internal/registry/listserver/server.go
@@ -46,8 +46,8 @@
 	// Term is the raft term in which this replica leads; 0 if it does not lead, or has not yet applied all entries
 	// committed in earlier terms.
 	Term() uint64
-	// DiskTook is the duration of the last disk write.
-	DiskTook() time.Duration
+	// LastDiskWriteTime is the duration of the last disk write.
+	LastDiskWriteTime() time.Duration
 	// DiskWrites is the number of disk writes.
 	DiskWrites() int64
 }
@@ -69,26 +69,26 @@
 
 // Options configure a server. Zero values stand for the defaults.
 type Options struct {
-	Batch        time.Duration // time for which changes are batched into one line; 20 ms
-	Watches      float64       // admitted watches and full lists per second; 500
-	Burst        int           // burst of admitted watches and full lists; 200
-	MaxStaleness time.Duration // reads are rejected on a replica staler than this; 0: never
-	// EachEncodes encodes each line for each watch separately; a baseline for the lab only.
-	EachEncodes        bool
+	BatchInterval  time.Duration // time for which changes are batched into one line; 20 ms
+	AdmissionRate  float64       // admitted watches and full lists per second; 500
+	AdmissionBurst int           // burst of admitted watches and full lists; 200
+	MaxStaleness   time.Duration // reads are rejected on a replica staler than this; 0: never
+	// EncodePerWatch encodes each line for each watch separately; a baseline for the lab only.
+	EncodePerWatch     bool
 	MaxExpiredFraction float64              // if more of the leased entries expire together, they are held; 0.3
 	Operators          *operators.Operators // nil: routes are off
-	Planted            string               // a defect of routes, for the lab; empty: none
+	InjectedDefect     string               // a defect of routes, for the lab; empty: none
 	Log                *slog.Logger
 }
 
 // SetDefaults replaces zero values by the defaults.
 func (o *Options) SetDefaults() {
-	o.Batch = cmp.Or(o.Batch, 20*time.Millisecond)
-	if o.Watches == 0 {
-		o.Watches = 500
+	o.BatchInterval = cmp.Or(o.BatchInterval, 20*time.Millisecond)
+	if o.AdmissionRate == 0 {
+		o.AdmissionRate = 500
 	}
-	if o.Burst == 0 {
-		o.Burst = 200
+	if o.AdmissionBurst == 0 {
+		o.AdmissionBurst = 200
 	}
 	if o.MaxExpiredFraction == 0 {
 		o.MaxExpiredFraction = 0.3
@@ -116,7 +116,7 @@
 // New makes a server over a hub whose state the replica changes. Changes are published only while Run runs.
 func New(h *Hub, r Replica, o Options) *Server {
 	o.SetDefaults()
-	s := &Server{hub: h, replica: r, log: o.Log, changed: make(chan struct{}, 1), leases: state.NewLeases(), admit: NewTokenBucket(o.Burst)}
+	s := &Server{hub: h, replica: r, log: o.Log, changed: make(chan struct{}, 1), leases: state.NewLeases(), admit: NewTokenBucket(o.AdmissionBurst)}
 	s.o.Store(&o)
 	s.metrics = newMetrics(s)
 	return s
@@ -131,8 +131,8 @@
 // Options returns the current options.
 func (s *Server) Options() *Options { return s.o.Load() }
 
-// CountTurnedAway counts a reader rejected by the rate limit.
-func (s *Server) CountTurnedAway() { s.metrics.turned.Inc() }
+// CountRejectedReader counts a reader rejected by the rate limit.
+func (s *Server) CountRejectedReader() { s.metrics.turned.Inc() }
 
 // CountSlowWatcher counts a watch closed because its client was slow.
 func (s *Server) CountSlowWatcher() { s.metrics.slow.Inc() }
@@ -169,7 +169,7 @@
 		case <-s.changed:
 		}
 		// Changes within Batch after the first one are published as one line.
-		t := time.NewTimer(s.o.Load().Batch)
+		t := time.NewTimer(s.o.Load().BatchInterval)
 		select {
 		case <-ctx.Done():
 			t.Stop()
@@ -270,7 +270,7 @@
 
 // get is a linearizable read of one entry: only the leader answers, once a quorum has confirmed it.
 func (s *Server) get(w http.ResponseWriter, r *http.Request) {
-	if !s.Leading(w, r) {
+	if !s.RequireLeader(w, r) {
 		return
 	}
 	if err := s.replica.Confirm(); err != nil {
--- a/internal/registry/listserver/status.go
+++ b/internal/registry/listserver/status.go
@@ -21,7 +21,7 @@
 	Epoch       int64             `json:"epoch"`
 	Entries     int               `json:"entries"`
 	Leased      int               `json:"leased"`
-	Held        int               `json:"held"` // expired together with too many others, and kept
+	HeldEntries int               `json:"held"` // expired together with too many others, and kept
 	Watches     int64             `json:"watches"`
 	StalenessMS int64             `json:"heard_ms"`
 	DiskMS      float64           `json:"disk_ms"` // that the last write to its disk took
@@ -41,8 +41,8 @@
 		out.Rev, out.Epoch, out.Entries, out.Members = st.Rev(), state.EpochOf(st.Rev()), st.Len(), st.Members()
 		st.Leased(func(string, int64, time.Duration) { out.Leased++ })
 	})
-	out.Held, out.Watches, out.StalenessMS = s.leases.HeldCount(), s.watches.Load(), s.replica.Staleness().Milliseconds()
-	out.DiskMS = float64(s.replica.DiskTook()) / float64(time.Millisecond)
+	out.HeldEntries, out.Watches, out.StalenessMS = s.leases.HeldCount(), s.watches.Load(), s.replica.Staleness().Milliseconds()
+	out.DiskMS = float64(s.replica.LastDiskWriteTime()) / float64(time.Millisecond)
 	return out
 }
 
@@ -92,7 +92,7 @@
 	f.registry.MustRegister(f.turned, f.slow, f.bytes,
 		gauge("registry_revision", "Revision of the last change.", func(x Status) float64 { return float64(x.Rev) }),
 		gauge("registry_entries", "Entries in the list.", func(x Status) float64 { return float64(x.Entries) }),
-		gauge("registry_entries_held", "Entries kept although their leases have ended.", func(x Status) float64 { return float64(x.Held) }),
+		gauge("registry_entries_held", "Entries kept although their leases have ended.", func(x Status) float64 { return float64(x.HeldEntries) }),
 		gauge("registry_watches", "Watches that are open.", func(x Status) float64 { return float64(x.Watches) }),
 		gauge("registry_heard_seconds", "How old at most what this copy tells is.", func(x Status) float64 { return float64(x.StalenessMS) / 1000 }),
 		gauge("registry_disk_seconds", "Time that the last write to this copy's disk took.", func(x Status) float64 { return x.DiskMS / 1000 }),
--- a/internal/registry/listserver/watch.go
+++ b/internal/registry/listserver/watch.go
@@ -45,7 +45,7 @@
 			return
 		}
 		text := at.text
-		if s.o.Load().EachEncodes {
+		if s.o.Load().EncodePerWatch {
 			if text, err = s.hub.encodeSince(before, at.rev); err != nil {
 				return
 			}
--- a/internal/registry/listserver/writes.go
+++ b/internal/registry/listserver/writes.go
@@ -54,7 +54,7 @@
 
 // renew restarts a lease with its full term. It changes no revision.
 func (s *Server) renew(w http.ResponseWriter, r *http.Request) {
-	if !s.Leading(w, r) {
+	if !s.RequireLeader(w, r) {
 		return
 	}
 	uid := r.PathValue("uid")
@@ -71,8 +71,8 @@
 	fmt.Fprintf(w, "{\"state\":%q,\"lease_ms\":%d}\n", entry.State, term.Milliseconds())
 }
 
-// Leading tells whether this replica leads; else it sends the caller on or away.
-func (s *Server) Leading(w http.ResponseWriter, r *http.Request) bool {
+// RequireLeader tells whether this replica leads; else it sends the caller on or away.
+func (s *Server) RequireLeader(w http.ResponseWriter, r *http.Request) bool {
 	me, address := s.replica.Leader()
 	if me {
 		return true
@@ -97,7 +97,7 @@
 		}
 		c.If = &rev
 	}
-	if !s.Leading(w, r) {
+	if !s.RequireLeader(w, r) {
 		return
 	}
 	rev, err := s.replica.Apply(c, ApplyTimeout)
--- a/internal/registry/node_disk.go
+++ b/internal/registry/node_disk.go
@@ -25,15 +25,15 @@
 			continue
 		}
 		last = time.Now()
-		n.log.Warn("registry: the disk is slow, this copy gives the lead up", "name", n.cfg.Name, "write", n.DiskTook())
+		n.log.Warn("registry: the disk is slow, this copy gives the lead up", "name", n.cfg.Name, "write", n.LastDiskWriteTime())
 		if err := n.raft.LeadershipTransfer().Error(); err != nil {
 			n.log.Warn("registry: nobody takes the lead over", "error", err)
 		}
 	}
 }
 
-// DiskTook is the duration of the last disk write; 0 if there was none, or storage is in memory.
-func (n *Node) DiskTook() time.Duration {
+// LastDiskWriteTime is the duration of the last disk write; 0 if there was none, or storage is in memory.
+func (n *Node) LastDiskWriteTime() time.Duration {
 	if n.store == nil {
 		return 0
 	}
--- a/internal/registry/node_test.go
+++ b/internal/registry/node_test.go
@@ -89,7 +89,7 @@
 	var all []*copyOf
 	for i, p := range peers {
 		c := &copyOf{cfg: Config{Name: p.Name, Listen: p.Serve, Raft: p.Raft, Peers: peers, Beat: 50 * time.Millisecond,
-			Dir: filepath.Join(t.TempDir(), fmt.Sprint(i)), Options: listserver.Options{Batch: time.Millisecond}}}
+			Dir: filepath.Join(t.TempDir(), fmt.Sprint(i)), Options: listserver.Options{BatchInterval: time.Millisecond}}}
 		if change != nil {
 			change(&c.cfg)
 		}
@@ -285,7 +285,7 @@
 
 // A burst becomes a few lines, and each revision is sent once.
 func TestWatch_burstBatched(t *testing.T) {
-	one := cluster(t, 1, func(c *Config) { c.Dir, c.Peers, c.Batch = "", nil, 200*time.Millisecond })[0]
+	one := cluster(t, 1, func(c *Config) { c.Dir, c.Peers, c.BatchInterval = "", nil, 200*time.Millisecond })[0]
 	w := watch(t, one.cfg.Listen, 0)
 	last := w.next(t).Rev
 	const writes = 30
@@ -366,7 +366,7 @@
 	one := cluster(t, 1, nil)[0]
 	put(t, one, "s1", 1, 0)
 	two := &copyOf{cfg: Config{Name: "r9", Listen: freePort(t), Raft: freePort(t), Join: true, Beat: 50 * time.Millisecond,
-		Dir: t.TempDir(), Options: listserver.Options{Batch: time.Millisecond}}}
+		Dir: t.TempDir(), Options: listserver.Options{BatchInterval: time.Millisecond}}}
 	two.start(t)
 	t.Cleanup(func() { two.end(t) })
 	if code, _ := call(t, "GET", two.cfg.Listen, "/healthcheck", ""); code != 503 {
@@ -409,7 +409,7 @@
 		t.Errorf("the renewal of an ended lease: %d", code)
 	}
 	// No lease is renewed any more, as in a partition: all but the fraction that may expire stay listed.
-	until(t, "leases that are held", func() bool { return one.node.Server().Status().Held >= 7 })
+	until(t, "leases that are held", func() bool { return one.node.Server().Status().HeldEntries >= 7 })
 	if _, text := call(t, "GET", one.cfg.Listen, "/healthcheck", ""); !strings.Contains(text, "entries whose leases ended together are kept") {
 		t.Errorf("health says %s", text)
 	}
@@ -434,7 +434,7 @@
 }
 
 func TestAdmission_rate(t *testing.T) {
-	one := cluster(t, 1, func(c *Config) { c.Dir, c.Peers, c.Watches, c.Burst = "", nil, 0.001, 3 })[0]
+	one := cluster(t, 1, func(c *Config) { c.Dir, c.Peers, c.AdmissionRate, c.AdmissionBurst = "", nil, 0.001, 3 })[0]
 	codes := map[int]int{}
 	for range 6 {
 		resp, err := http.Get("http://" + one.cfg.Listen + listserver.ListPath)
--- a/internal/registry/operators/operators.go
+++ b/internal/registry/operators/operators.go
@@ -29,20 +29,20 @@
 // tenants, subsets and tokens at once.
 type Operators struct {
 	Token                string            `toml:"operator_token" validate:"bytes=200"`
-	Term                 tomlfile.Duration `toml:"term" validate:"omitempty,min=500ms,max=5m"`
-	BehindAfter          tomlfile.Duration `toml:"behind_after" validate:"omitempty,min=100ms,max=1h"`
-	ShutAfter            tomlfile.Duration `toml:"shut_after" validate:"omitempty,min=100ms,max=1h"`
+	LeaseTerm            tomlfile.Duration `toml:"term" validate:"omitempty,min=500ms,max=5m"`
+	StragglerAfter       tomlfile.Duration `toml:"behind_after" validate:"omitempty,min=100ms,max=1h"`
+	ShutOutAfter         tomlfile.Duration `toml:"shut_after" validate:"omitempty,min=100ms,max=1h"`
 	GoneAfter            tomlfile.Duration `toml:"gone_after" validate:"omitempty,min=100ms,max=24h"`
 	MaxStragglerFraction float64           `toml:"behind_share" validate:"omitempty,gt=0,lte=1"`
-	Margin               float64           `toml:"margin" validate:"omitempty,gt=0,lte=1"`
+	ClockMargin          float64           `toml:"margin" validate:"omitempty,gt=0,lte=1"`
 	Alpha                float64           `toml:"alpha" validate:"omitempty,gt=0,lt=1"`
-	Remember             tomlfile.Duration `toml:"remember" validate:"omitempty,min=1s,max=720h"`
-	Subsets              []Named           `toml:"subset" validate:"max=1000,unique=Name,dive"`
+	DropAfter            tomlfile.Duration `toml:"remember" validate:"omitempty,min=1s,max=720h"`
+	Subsets              []NamedSubset     `toml:"subset" validate:"max=1000,unique=Name,dive"`
 	Tenants              []Tenant          `toml:"tenant" validate:"max=1000,unique=Name,dive"`
 }
 
-// Named is a subset of the servers with the name that tenants know it by.
-type Named struct {
+// NamedSubset is a subset of the servers with the name that tenants know it by.
+type NamedSubset struct {
 	Name  string   `toml:"name" validate:"required,bytes=100,excludesall=/"`
 	Model []string `toml:"model" validate:"max=1000,dive,min=1,bytes=200"`
 	Pod   []int    `toml:"pod_group" validate:"max=1000"`
@@ -57,7 +57,7 @@
 	Subsets           []string `toml:"subsets" validate:"max=1000"`
 	MaxCanaryFraction *float64 `toml:"max_share" validate:"omitempty,gt=0,lte=1"`             // of its requests to a canary; 1
 	Rollouts          *int     `toml:"rollouts" validate:"omitempty,gte=0,lte=100"`           // at once; 1, and no tenant has more. 0: it may begin none
-	Changes           float64  `toml:"changes_per_minute" validate:"omitempty,gt=0,lte=6000"` // 10; so many at once, then one as each comes free
+	ChangesPerMinute  float64  `toml:"changes_per_minute" validate:"omitempty,gt=0,lte=6000"` // 10; so many at once, then one as each comes free
 	MaxBudget         int64    `toml:"max_budget" validate:"omitempty,gt=0,lte=1000000"`      // units of one rollout; 1,000
 }
 
@@ -126,8 +126,8 @@
 		if t.Rollouts == nil {
 			t.Rollouts = new(1)
 		}
-		if t.Changes == 0 {
-			t.Changes = 10
+		if t.ChangesPerMinute == 0 {
+			t.ChangesPerMinute = 10
 		}
 		if t.MaxBudget == 0 {
 			t.MaxBudget = 1000
@@ -278,8 +278,8 @@
 	for _, d := range []struct {
 		to   *int64
 		from tomlfile.Duration
-	}{{&out.LeaseTerm, o.Term}, {&out.StragglerAfter, o.BehindAfter}, {&out.ShutOutAfter, o.ShutAfter}, {&out.GoneAfter, o.GoneAfter},
-		{&out.DropAfter, o.Remember}} {
+	}{{&out.LeaseTerm, o.LeaseTerm}, {&out.StragglerAfter, o.StragglerAfter}, {&out.ShutOutAfter, o.ShutOutAfter}, {&out.GoneAfter, o.GoneAfter},
+		{&out.DropAfter, o.DropAfter}} {
 		if d.from > 0 {
 			*d.to = d.from.Duration().Milliseconds()
 		}
@@ -287,7 +287,7 @@
 	for _, f := range []struct {
 		to   *float64
 		from float64
-	}{{&out.MaxStragglerFraction, o.MaxStragglerFraction}, {&out.ClockMargin, o.Margin}, {&out.Alpha, o.Alpha}} {
+	}{{&out.MaxStragglerFraction, o.MaxStragglerFraction}, {&out.ClockMargin, o.ClockMargin}, {&out.Alpha, o.Alpha}} {
 		if f.from > 0 {
 			*f.to = f.from
 		}
--- a/internal/registry/replicas.go
+++ b/internal/registry/replicas.go
@@ -26,7 +26,7 @@
 		return nil
 	}
 	leads, term := n.raft.State() == raft.Leader, n.raft.CurrentTerm()
-	standings := n.members.Standings()
+	standings := n.members.MemberStates()
 	var serve map[string]string
 	n.hub.Read(func(s *state.State) { serve = s.Members() })
 	out := make([]listserver.ReplicaStatus, 0, len(f.Configuration().Servers))
--- a/internal/registry/routeleader/change_limits.go
+++ b/internal/registry/routeleader/change_limits.go
@@ -19,7 +19,7 @@
 func (l *changeLimits) take(t *operators.Tenant) time.Duration {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	per, burst := rate.Limit(t.Changes/60), max(1, int(t.Changes))
+	per, burst := rate.Limit(t.ChangesPerMinute/60), max(1, int(t.ChangesPerMinute))
 	lim := l.byTenant[t.Name]
 	if lim == nil {
 		lim = rate.NewLimiter(per, burst)
--- a/internal/registry/routeleader/routing.go
+++ b/internal/registry/routeleader/routing.go
@@ -77,7 +77,7 @@
 	return &Routing{server: server, list: list, replica: replicated, log: c.Log, name: c.Name, opened: time.Now(), wall: c.Wall,
 		planted: Defect(c.Planted), tables: newTables(Defect(c.Planted)), rules: operators.NewValidator(),
 		reportCalls: make(chan reportCall, maxWaitingCalls), budgetCalls: make(chan budgetCall, maxWaitingCalls), changing: make(chan struct{}, 1),
-		admit: listserver.NewTokenBucket(server.Options().Burst)}
+		admit: listserver.NewTokenBucket(server.Options().AdmissionBurst)}
 }
 
 // Handle registers the HTTP handlers of the routes API.
@@ -124,7 +124,7 @@
 
 // report answers a process's report, POST /routes/reports.
 func (r *Routing) report(w http.ResponseWriter, req *http.Request) {
-	if r.rejectIfOff(w) || !r.server.Leading(w, req) {
+	if r.rejectIfOff(w) || !r.server.RequireLeader(w, req) {
 		return
 	}
 	var p route.Report
@@ -144,7 +144,7 @@
 
 // handleBudgets answers a process's budget request, POST /routes/units.
 func (r *Routing) handleBudgets(w http.ResponseWriter, req *http.Request) {
-	if r.rejectIfOff(w) || !r.server.Leading(w, req) {
+	if r.rejectIfOff(w) || !r.server.RequireLeader(w, req) {
 		return
 	}
 	var a route.BudgetRequest
@@ -170,7 +170,7 @@
 
 // leader returns this replica's leadership and the operators' file; nil if it has already answered the call.
 func (r *Routing) leader(w http.ResponseWriter, req *http.Request) (*leadership, *operators.Operators) {
-	if r.rejectIfOff(w) || !r.server.Leading(w, req) {
+	if r.rejectIfOff(w) || !r.server.RequireLeader(w, req) {
 		return nil, nil
 	}
 	l := r.current()
--- a/internal/registry/routeleader/routing_test.go
+++ b/internal/registry/routeleader/routing_test.go
@@ -54,12 +54,12 @@
 	return rev, err
 }
 
-func (r *leadingReplica) Confirm() error           { return nil }
-func (r *leadingReplica) Leader() (bool, string)   { return true, "" }
-func (r *leadingReplica) Staleness() time.Duration { return 0 }
-func (r *leadingReplica) Term() uint64             { return r.term }
-func (r *leadingReplica) DiskTook() time.Duration  { return 0 }
-func (r *leadingReplica) DiskWrites() int64        { return 0 }
+func (r *leadingReplica) Confirm() error                   { return nil }
+func (r *leadingReplica) Leader() (bool, string)           { return true, "" }
+func (r *leadingReplica) Staleness() time.Duration         { return 0 }
+func (r *leadingReplica) Term() uint64                     { return r.term }
+func (r *leadingReplica) LastDiskWriteTime() time.Duration { return 0 }
+func (r *leadingReplica) DiskWrites() int64                { return 0 }
 
 // A lease term longer than this leader grants may still run: it decides nothing until that has ended.
 func TestLeader_shorterLeaseTerm(t *testing.T) {
--- a/internal/registry/routeleader/tables.go
+++ b/internal/registry/routeleader/tables.go
@@ -262,8 +262,8 @@
 		}
 	}
 	o := r.server.Options()
-	if wait := r.admit.Take(time.Now(), o.Watches, float64(o.Burst)); wait > 0 {
-		r.server.CountTurnedAway()
+	if wait := r.admit.Take(time.Now(), o.AdmissionRate, float64(o.AdmissionBurst)); wait > 0 {
+		r.server.CountRejectedReader()
 		writeRejection(w, &Rejection{status: http.StatusServiceUnavailable, after: wait, Error: "too many readers come at once"})
 		return
 	}
--- a/internal/registry/routeleader/tenants.go
+++ b/internal/registry/routeleader/tenants.go
@@ -160,7 +160,7 @@
 	if limited := c.Op == rollout.OpPost || c.Op == rollout.OpBase || c.Op == rollout.OpResume; anew && limited {
 		if wait := l.limits.take(t); wait > 0 {
 			return 0, &Rejection{status: http.StatusTooManyRequests, after: wait, Field: "changes_per_minute",
-				Error: fmt.Sprintf("changes_per_minute: tenant %q has made its %v", t.Name, t.Changes)}
+				Error: fmt.Sprintf("changes_per_minute: tenant %q has made its %v", t.Name, t.ChangesPerMinute)}
 		}
 	}
 	rev, err := r.change(l, c)
--- a/internal/registry/routes_test.go
+++ b/internal/registry/routes_test.go
@@ -399,7 +399,7 @@
 	for _, planted := range []routeleader.Defect{"", routeleader.GrantUncommitted} {
 		t.Run(string(planted), func(t *testing.T) {
 			t.Parallel()
-			all := routed(t, 3, func(c *Config) { c.Planted = string(planted) })
+			all := routed(t, 3, func(c *Config) { c.InjectedDefect = string(planted) })
 			lead := routesLeader(t, all)
 			putCanary(t, lead)
 			code, text := call(t, "POST", lead.cfg.Listen, "/routes/a/rollouts/r", goodBody)
@@ -470,9 +470,9 @@
 		t.Run(string(planted), func(t *testing.T) {
 			t.Parallel()
 			all := routed(t, 3, func(c *Config) {
-				if c.Planted = string(planted); planted != "" {
+				if c.InjectedDefect = string(planted); planted != "" {
 					long := *c.Operators
-					long.Term, long.Remember = 300*1e9, 3600*1e9 // longer than the test lasts
+					long.LeaseTerm, long.DropAfter = 300*1e9, 3600*1e9 // longer than the test lasts
 					c.Operators = &long
 				}
 			})
@@ -567,7 +567,7 @@
 	t.Parallel()
 	for _, planted := range []routeleader.Defect{"", routeleader.AuditSilent} {
 		startedAt := time.Now()
-		one := routed(t, 1, func(c *Config) { single(c); c.Planted = string(planted) })[0]
+		one := routed(t, 1, func(c *Config) { single(c); c.InjectedDefect = string(planted) })[0]
 		code, text := call(t, "POST", one.cfg.Listen, "/routes/a/base", `{"to":"old"}`)
 		require.Equal(t, 200, code, text)
 		rev := revOf(t, text)
--- a/internal/registry/supervisor_test.go
+++ b/internal/registry/supervisor_test.go
@@ -43,7 +43,7 @@
 	for i, p := range peers {
 		c := &supervised{faults: filepath.Join(t.TempDir(), "faults.toml"), ended: make(chan error, 1)}
 		c.cfg = Config{Name: p.Name, Listen: p.Serve, Raft: p.Raft, Peers: peers, Beat: 50 * time.Millisecond,
-			Dir: filepath.Join(t.TempDir(), fmt.Sprint(i)), Options: listserver.Options{Batch: time.Millisecond}}
+			Dir: filepath.Join(t.TempDir(), fmt.Sprint(i)), Options: listserver.Options{BatchInterval: time.Millisecond}}
 		var err error
 		c.cfg.Faults, err = fault.Open(c.faults)
 		require.NoError(t, err)
@@ -354,11 +354,11 @@
 func TestSupervisor_reload(t *testing.T) {
 	all := supervise(t, 1, nil)
 	one := all[0]
-	one.supervisor.Reload(listserver.Options{MaxStaleness: time.Hour, Batch: time.Millisecond})
+	one.supervisor.Reload(listserver.Options{MaxStaleness: time.Hour, BatchInterval: time.Millisecond})
 	one.plant(t, fault.NewSet(0, 0, fault.SyncErrorLost))
 	register(all, "lost")
 	one.closed(t)
-	one.supervisor.Reload(listserver.Options{MaxStaleness: 2 * time.Hour, Batch: time.Millisecond})
+	one.supervisor.Reload(listserver.Options{MaxStaleness: 2 * time.Hour, BatchInterval: time.Millisecond})
 	one.plant(t, fault.Set{})
 	leading(t, all)
 	assert.Equal(t, 2*time.Hour, one.supervisor.Node().Server().Options().MaxStaleness)
@@ -389,7 +389,7 @@
 	plan, err := fault.Open(faults)
 	require.NoError(t, err)
 	cfg := Config{Name: "one", Listen: freePort(t), Raft: freePort(t), Dir: filepath.Join(dir, "one"),
-		Beat: 10 * time.Millisecond, Faults: plan, Options: listserver.Options{Batch: time.Millisecond}}
+		Beat: 10 * time.Millisecond, Faults: plan, Options: listserver.Options{BatchInterval: time.Millisecond}}
 	const cycles = 50
 	var goroutines, files int
 	for cycle := range cycles {
