--- a/internal/registry/agent/agent.go
+++ b/internal/registry/agent/agent.go
@@ -1,4 +1,4 @@
-// Package agent registers one server with the registry and keeps it registered.
+// Package agent registers one server with the list service and keeps it registered.
 package agent
 
 import (
@@ -21,86 +21,89 @@
 	"marblelane/internal/registry/state"
 )
 
-// Registrar registers one server and keeps it registered: from its first passed health check until its context ends. Then it
-// marks the server Terminating, waits for Drain so that all watches receive that, and removes it.
+// Registrar registers one server and keeps it registered from its first passed health check until the context of Run
+// ends. Run then marks the server Terminating, waits for DrainTime so that all watches receive the new state, and
+// removes the server.
 //
-// It calls the replicas in turn until one answers, and registers again after the lease has expired. A server that was
-// drained meanwhile is registered as Terminating. If the clock of the machine was set back, this start has an earlier time
-// than the start before; where that one was drained, the list would reject this one, so its first registration gets a time
-// right after.
+// The registrar calls the replicas in turn until one responds, and registers the server again after the lease has
+// expired. A server that an operator has drained meanwhile is registered as Terminating.
+//
+// The list rejects a registration that is not from a later start than a drained one. If the clock of the machine was set
+// back, a restarted server has an earlier start time than the drained server before it. The first registration then uses
+// a start time just after the listed one.
 type Registrar struct {
-	Replicas       []string // addresses of replicas, in order of preference
+	Replicas       []string // addresses of the replicas, in order of preference
 	Entry          state.Entry
-	Lease          time.Duration // 15 s
-	HealthCheckURL string        // URL that answers 200 when the server can serve; empty: it always can
-	DrainTime      time.Duration // from Terminating until it is removed; 5 s
+	Lease          time.Duration // term of the lease; 15 s
+	HealthCheckURL string        // URL that responds with 200 if the server is healthy; empty if it always is
+	DrainTime      time.Duration // time between marking the server Terminating and removing it; 5 s
 	Log            *slog.Logger
 
-	lastReplica int // index of the replica that answered last
-	client      http.Client
-	serverEnded atomic.Bool
+	lastReplica  int // index of the replica that responded last
+	client       http.Client
+	serverExited atomic.Bool
 }
 
-// ServerExited reports that the server has ended by itself. Nothing is left to drain, so Run removes it at once.
-func (a *Registrar) ServerExited() { a.serverEnded.Store(true) }
+// ServerExited records that the server has exited by itself. Run then removes it without waiting for DrainTime.
+func (r *Registrar) ServerExited() { r.serverExited.Store(true) }
 
 const (
 	callTimeout        = 2 * time.Second
 	healthCheckTimeout = time.Second
-	// renewalsPerLease: two renewals may be lost.
+	// renewalsPerLease is the number of renewals in one lease term; two in a row may fail.
 	renewalsPerLease = 3
 )
 
-// Run keeps the server registered until ctx ends, then drains and removes it. That takes at most Drain and two calls of
-// each replica.
-func (a *Registrar) Run(ctx context.Context) error {
-	a.Lease = cmp.Or(a.Lease, 15*time.Second)
-	a.DrainTime = cmp.Or(a.DrainTime, 5*time.Second)
-	if a.Log == nil {
-		a.Log = slog.New(slog.DiscardHandler)
+// Run keeps the server registered until ctx ends, then drains and removes it. Draining and removing takes at most
+// DrainTime and two calls to each replica.
+func (r *Registrar) Run(ctx context.Context) error {
+	r.Lease = cmp.Or(r.Lease, 15*time.Second)
+	r.DrainTime = cmp.Or(r.DrainTime, 5*time.Second)
+	if r.Log == nil {
+		r.Log = slog.New(slog.DiscardHandler)
 	}
-	if len(a.Replicas) == 0 {
-		return errors.New("register: no copy of the list service is named")
+	if len(r.Replicas) == 0 {
+		return errors.New("register: no replica of the list service is configured")
 	}
-	if a.Entry.State == "" {
-		a.Entry.State = state.Ready
+	if r.Entry.State == "" {
+		r.Entry.State = state.Ready
 	}
-	if err := a.Entry.Check(); err != nil {
+	if err := r.Entry.Check(); err != nil {
 		return fmt.Errorf("register: %w", err)
 	}
-	a.client = http.Client{Transport: &http.Transport{DisableKeepAlives: true}}
+	r.client = http.Client{Transport: &http.Transport{DisableKeepAlives: true}}
 	registered, acknowledged, bootAdjusted := false, false, false
-	pause := backoff.ExponentialBackOff{InitialInterval: 75 * time.Millisecond, MaxInterval: 1500 * time.Millisecond,
-		Multiplier: 2, RandomizationFactor: 1. / 3} // from 50 ms to 100 ms at first, up to 1 s to 2 s
+	retryDelay := backoff.ExponentialBackOff{InitialInterval: 75 * time.Millisecond, MaxInterval: 1500 * time.Millisecond,
+		Multiplier: 2, RandomizationFactor: 1. / 3} // 50 to 100 ms at first, later 1 to 2 s
 	for ctx.Err() == nil {
-		next := a.Lease / renewalsPerLease
+		next := r.Lease / renewalsPerLease
 		switch {
-		case !a.healthy(ctx):
-			// The lease is not renewed: it expires if the check fails for a whole term.
+		case !r.healthy(ctx):
+			// The lease is not renewed, so it expires if the health check fails for a whole term.
 			next = min(next, time.Second)
 			if registered {
-				a.Log.Warn("register: the health check fails, the lease is not renewed", "uid", a.Entry.UID)
+				r.Log.Warn("register: health check failed, lease not renewed", "uid", r.Entry.UID)
 			}
 		default:
-			err := a.renewOrRegister(ctx, registered)
+			err := r.renewOrRegister(ctx, registered)
 			switch {
 			case err == nil:
 				if !registered {
-					a.Log.Info("register: listed", "uid", a.Entry.UID)
+					r.Log.Info("register: server registered", "uid", r.Entry.UID)
 				}
 				registered, acknowledged = true, true
-				pause.Reset()
+				retryDelay.Reset()
 			case errors.Is(err, state.ErrDrained) && !acknowledged && !bootAdjusted:
 				bootAdjusted, next = true, 0
-				if boot, err := a.listedBoot(ctx); err == nil && boot >= a.Entry.BootMS {
-					a.Log.Warn("register: this start seems earlier than the one before; the clock was set back", "uid", a.Entry.UID)
-					a.Entry.BootMS = boot + 1
+				if boot, err := r.listedBoot(ctx); err == nil && boot >= r.Entry.BootMS {
+					r.Log.Warn("register: start time is not later than that of the previous start; the clock was set back", "uid", r.Entry.UID)
+					r.Entry.BootMS = boot + 1
 				}
-			case errors.Is(err, state.ErrUnknown): // its lease has expired
+			case errors.Is(err, state.ErrUnknown): // the lease has expired
 				registered, next = false, 0
 			default:
-				a.Log.Warn("register: no copy takes the call", "uid", a.Entry.UID, "error", err)
-				next = pause.NextBackOff()
+				r.Log.Warn("register: failed to register or renew the lease at any replica", "uid", r.Entry.UID, "error", err)
+				next = retryDelay.NextBackOff()
 			}
 		}
 		select {
@@ -111,109 +114,111 @@
 	if !acknowledged {
 		return nil
 	}
-	return a.deregister()
+	return r.deregister()
 }
 
-// deregister drains and removes the server. The context of Run has ended, so the calls have timeouts of their own.
-func (a *Registrar) deregister() error {
-	ctx, cancel := context.WithTimeout(context.Background(), time.Duration(len(a.Replicas))*callTimeout)
+// deregister drains and removes the server. Its calls have their own timeouts, since the context of Run has ended.
+func (r *Registrar) deregister() error {
+	ctx, cancel := context.WithTimeout(context.Background(), time.Duration(len(r.Replicas))*callTimeout)
 	defer cancel()
-	_, err := a.callAnyReplica(ctx, http.MethodPost, "/drain", nil)
+	_, err := r.callAnyReplica(ctx, http.MethodPost, "/drain", nil)
 	if errors.Is(err, state.ErrUnknown) {
-		return nil // it is removed already
+		return nil // the server is already removed
 	}
 	if err != nil {
-		err = fmt.Errorf("register: that it drains could not be told: %w", err)
+		err = fmt.Errorf("register: failed to mark the server as draining: %w", err)
 	}
-	if !a.serverEnded.Load() {
-		a.Log.Info("register: drains", "uid", a.Entry.UID, "for", a.DrainTime)
-		time.Sleep(a.DrainTime)
+	if !r.serverExited.Load() {
+		r.Log.Info("register: server draining", "uid", r.Entry.UID, "for", r.DrainTime)
+		time.Sleep(r.DrainTime)
 	}
-	ctx, cancel = context.WithTimeout(context.Background(), time.Duration(len(a.Replicas))*callTimeout)
+	ctx, cancel = context.WithTimeout(context.Background(), time.Duration(len(r.Replicas))*callTimeout)
 	defer cancel()
-	if _, gone := a.callAnyReplica(ctx, http.MethodDelete, "", nil); gone != nil {
-		err = errors.Join(err, fmt.Errorf("register: its removal could not be told, its lease will end: %w", gone))
+	if _, removeErr := r.callAnyReplica(ctx, http.MethodDelete, "", nil); removeErr != nil {
+		err = errors.Join(err, fmt.Errorf("register: failed to remove the server, its lease will expire: %w", removeErr))
 	}
 	return err
 }
 
-// healthy calls the health check of the server.
-func (a *Registrar) healthy(ctx context.Context) bool {
-	if a.HealthCheckURL == "" {
+// healthy calls the health check of the server and reports whether it passes.
+func (r *Registrar) healthy(ctx context.Context) bool {
+	if r.HealthCheckURL == "" {
 		return true
 	}
 	ctx, cancel := context.WithTimeout(ctx, healthCheckTimeout)
 	defer cancel()
-	req, err := http.NewRequestWithContext(ctx, http.MethodGet, a.HealthCheckURL, nil)
+	req, err := http.NewRequestWithContext(ctx, http.MethodGet, r.HealthCheckURL, nil)
 	if err != nil {
 		return false
 	}
-	resp, err := a.client.Do(req)
+	resp, err := r.client.Do(req)
 	if err != nil {
 		return false
 	}
 	defer resp.Body.Close()
-	_, _ = io.Copy(io.Discard, io.LimitReader(resp.Body, listserver.MaxWriteBodyBytes)) // only the status is used
+	_, _ = io.Copy(io.Discard, io.LimitReader(resp.Body, listserver.MaxWriteBodyBytes)) // only the status code matters
 	return resp.StatusCode == http.StatusOK
 }
 
-// renewOrRegister renews the lease, or registers the server.
-func (a *Registrar) renewOrRegister(ctx context.Context, registered bool) error {
+// renewOrRegister renews the lease of a registered server, and registers it otherwise.
+func (r *Registrar) renewOrRegister(ctx context.Context, registered bool) error {
 	if registered {
 		var lease struct {
 			State string `json:"state"`
 		}
-		answer, err := a.callAnyReplica(ctx, http.MethodPost, "/renew", nil)
-		if err == nil && json.Unmarshal(answer, &lease) == nil && lease.State == state.Terminating {
-			a.Entry.State = state.Terminating // it was drained, and must not become ready again
+		response, err := r.callAnyReplica(ctx, http.MethodPost, "/renew", nil)
+		if err == nil && json.Unmarshal(response, &lease) == nil && lease.State == state.Terminating {
+			r.Entry.State = state.Terminating // the server was drained; a later registration must not make it ready again
 		}
 		return err
 	}
-	body, err := json.Marshal(listserver.Registration{Entry: a.Entry, LeaseMS: a.Lease.Milliseconds()})
+	body, err := json.Marshal(listserver.Registration{Entry: r.Entry, LeaseMS: r.Lease.Milliseconds()})
 	if err != nil {
 		return fmt.Errorf("register: %w", err)
 	}
-	_, err = a.callAnyReplica(ctx, http.MethodPost, "", body)
+	_, err = r.callAnyReplica(ctx, http.MethodPost, "", body)
 	return err
 }
 
-// listedBoot returns the start time in the list.
-func (a *Registrar) listedBoot(ctx context.Context) (int64, error) {
-	answer, err := a.callAnyReplica(ctx, http.MethodGet, "", nil)
+// listedBoot returns the start time that the list has for the server.
+func (r *Registrar) listedBoot(ctx context.Context) (int64, error) {
+	response, err := r.callAnyReplica(ctx, http.MethodGet, "", nil)
 	if err != nil {
 		return 0, err
 	}
 	var e state.Entry
-	if err := json.Unmarshal(answer, &e); err != nil {
+	if err := json.Unmarshal(response, &e); err != nil {
 		return 0, fmt.Errorf("register: %w", err)
 	}
 	return e.BootMS, nil
 }
 
-// callAnyReplica calls the replicas in turn, starting with the one that answered last.
-func (a *Registrar) callAnyReplica(ctx context.Context, method, what string, body []byte) (answer []byte, failed error) {
-	for range a.Replicas {
-		answer, err := a.call(ctx, a.Replicas[a.lastReplica], method, what, body)
+// callAnyReplica calls the replicas in turn, starting with the one that responded last, until one responds. It returns
+// the last error if none does.
+func (r *Registrar) callAnyReplica(ctx context.Context, method, pathSuffix string, body []byte) (response []byte, lastErr error) {
+	for range r.Replicas {
+		response, err := r.call(ctx, r.Replicas[r.lastReplica], method, pathSuffix, body)
 		if err == nil || errors.Is(err, state.ErrUnknown) || errors.Is(err, state.ErrDrained) {
-			return answer, err
+			return response, err
 		}
-		failed = err
+		lastErr = err
 		if ctx.Err() != nil {
 			break
 		}
-		a.lastReplica = (a.lastReplica + 1) % len(a.Replicas)
+		r.lastReplica = (r.lastReplica + 1) % len(r.Replicas)
 	}
-	return nil, failed
+	return nil, lastErr
 }
 
-func (a *Registrar) call(ctx context.Context, address, method, what string, body []byte) ([]byte, error) {
+// call sends a request for the server's entry to one replica and returns the body of the response.
+func (r *Registrar) call(ctx context.Context, address, method, pathSuffix string, body []byte) ([]byte, error) {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
-	req, err := http.NewRequestWithContext(ctx, method, "http://"+address+listserver.ListPath+"/"+url.PathEscape(a.Entry.UID)+what, bytes.NewReader(body))
+	req, err := http.NewRequestWithContext(ctx, method, "http://"+address+listserver.ListPath+"/"+url.PathEscape(r.Entry.UID)+pathSuffix, bytes.NewReader(body))
 	if err != nil {
 		return nil, fmt.Errorf("register: %w", err)
 	}
-	resp, err := a.client.Do(req)
+	resp, err := r.client.Do(req)
 	if err != nil {
 		return nil, fmt.Errorf("register: %w", err)
 	}
@@ -222,10 +227,10 @@
 	switch {
 	case resp.StatusCode == http.StatusNotFound:
 		return nil, state.ErrUnknown
-	case resp.StatusCode == http.StatusConflict && what == "" && method == http.MethodPost:
+	case resp.StatusCode == http.StatusConflict && pathSuffix == "" && method == http.MethodPost:
 		return nil, fmt.Errorf("%w: %s", state.ErrDrained, bytes.TrimSpace(text))
 	case resp.StatusCode != http.StatusOK:
-		return nil, fmt.Errorf("register: %s answers %s: %s", address, resp.Status, bytes.TrimSpace(text))
+		return nil, fmt.Errorf("register: %s responded with %s: %s", address, resp.Status, bytes.TrimSpace(text))
 	}
 	return text, err
 }
--- a/internal/registry/listserver/admission.go
+++ b/internal/registry/listserver/admission.go
@@ -1,31 +1,32 @@
 package listserver
 
-// This file admits readers at a rate.
+// This file limits the rate at which readers are admitted.
 
 import (
 	"sync"
 	"time"
 )
 
-// retryAfter admits a reader and returns 0, or returns how long it has to wait.
+// retryAfter admits a reader and returns 0, or rejects it and returns the time after which it may retry.
 func (s *Server) retryAfter() time.Duration {
-	o := s.o.Load()
-	return s.admit.Take(time.Now(), o.AdmissionRate, float64(o.AdmissionBurst))
+	options := s.options.Load()
+	return s.admission.Take(time.Now(), options.AdmissionRate, float64(options.AdmissionBurst))
 }
 
-// TokenBucket is a token bucket. It starts with a full burst.
+// TokenBucket limits a rate and hands out staggered retry times to rejected callers. It starts full.
 type TokenBucket struct {
-	mu       sync.Mutex
-	Level    float64
-	last     time.Time
-	promised time.Time // retry time given to the reader rejected last
+	mu        sync.Mutex
+	Level     float64   // available tokens
+	last      time.Time // when Level was last updated
+	lastRetry time.Time // retry time of the most recently rejected caller
 }
 
-// NewTokenBucket makes a bucket with a full burst.
+// NewTokenBucket returns a bucket that holds burst tokens.
 func NewTokenBucket(burst int) *TokenBucket { return &TokenBucket{Level: float64(burst)} }
 
-// Take takes a token and returns 0, or returns how long to wait. A rejected reader takes no token and is given a later
-// retry time than the one before it, so that rejected readers return one by one as tokens become available.
+// Take takes a token and returns 0; without a token it returns the time after which the caller may retry. Each rejected
+// caller gets a later retry time than the previous one, so that rejected callers return one by one as tokens become
+// available. rate is in tokens per second, burst is the capacity of the bucket.
 func (b *TokenBucket) Take(now time.Time, rate, burst float64) time.Duration {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -37,9 +38,9 @@
 		b.Level--
 		return 0
 	}
-	if b.promised.Before(now) || b.promised.Sub(now) > maxRetryAfter {
-		b.promised = now
+	if b.lastRetry.Before(now) || b.lastRetry.Sub(now) > maxRetryAfter {
+		b.lastRetry = now
 	}
-	b.promised = b.promised.Add(time.Duration(float64(time.Second) / rate))
-	return b.promised.Sub(now)
+	b.lastRetry = b.lastRetry.Add(time.Duration(float64(time.Second) / rate))
+	return b.lastRetry.Sub(now)
 }
--- a/internal/registry/listserver/hub.go
+++ b/internal/registry/listserver/hub.go
@@ -9,37 +9,39 @@
 	"marblelane/internal/registry/state"
 )
 
-// Hub distributes changes of the list to watches. Each change is encoded once, as a line shared by all watches, in a
-// linked list that each watch follows at its own pace, without a queue of its own. A watch that falls MaxWatcherLag
-// lines behind, or does not take a line within lineWriteTimeout, is closed; its client resumes from the revision it has.
+// Hub distributes changes of the list to watches. Each change is encoded once, as a line that all watches share. The
+// lines form a linked list that each watch follows at its own pace, so a watch needs no queue. A watch is closed if it
+// falls MaxWatcherLag lines behind or if writing a line to it takes longer than lineWriteTimeout. Its client then
+// reconnects and resumes from its last revision.
 type Hub struct {
 	mu        sync.Mutex
 	state     *state.State
 	tail      *line
-	linkedRev int64 // newest revision published to the linked list
-	fullList  *line // cached encoding of the full list; nil: none
-	lines     atomic.Int64
+	linkedRev int64        // newest revision published to the linked list
+	fullList  *line        // cached encoding of the full list; nil if there is none
+	lines     atomic.Int64 // position of the newest line
 }
 
-// line is one encoded change. next is set before ready is closed.
+// line is one encoded batch of changes. next is set before ready is closed.
 type line struct {
-	rev   int64
-	n     int64 // its position in the linked list
-	text  []byte
-	next  *line
-	ready chan struct{}
+	rev      int64  // revision of the list after the changes
+	position int64  // position in the linked list
+	text     []byte // JSON, ends with a newline
+	next     *line
+	ready    chan struct{}
 }
 
-// MaxWatcherLag is how many lines a watch may lag before it is closed.
+// MaxWatcherLag is the number of lines that a watch may lag behind before it is closed.
 const MaxWatcherLag = 1000
 
-// NewHub makes a hub over an empty state that keeps at least so many changes.
-func NewHub(keep int) *Hub {
-	h := &Hub{state: state.NewState(keep)}
+// NewHub returns a hub with an empty state that retains at least minHistory changes.
+func NewHub(minHistory int) *Hub {
+	h := &Hub{state: state.NewState(minHistory)}
 	h.tail = &line{ready: make(chan struct{})}
 	return h
 }
 
+// encode returns the list as one line of JSON.
 func encode(l state.List) ([]byte, error) {
 	text, err := json.Marshal(l)
 	if err != nil {
@@ -48,61 +50,62 @@
 	return append(text, '\n'), nil
 }
 
-// Read calls f with the state, which f must not keep.
+// Read calls f with the state while the hub is locked. f must not retain the state.
 func (h *Hub) Read(f func(*state.State)) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	f(h.state)
 }
 
-// Replace installs the state of a snapshot and sends the full list to all watches.
+// Replace installs the state of a snapshot and publishes the full list to all watches.
 func (h *Hub) Replace(s *state.State) error {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.state, h.fullList = s, nil
-	return h.link(s.All())
+	return h.appendLine(s.All())
 }
 
-// Publish appends one line with all changes since the last one.
+// Publish appends one line with all changes since the previous line.
 func (h *Hub) Publish() error {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if h.state.Rev() == h.linkedRev {
 		return nil
 	}
-	return h.link(h.state.Since(h.linkedRev))
+	return h.appendLine(h.state.Since(h.linkedRev))
 }
 
-// link appends a line; h.mu is held.
-func (h *Hub) link(l state.List) error {
+// appendLine encodes changes and appends them as a line. The caller holds h.mu.
+func (h *Hub) appendLine(l state.List) error {
 	text, err := encode(l)
 	if err != nil {
 		return err
 	}
-	next := &line{rev: l.Rev, n: h.tail.n + 1, text: text, ready: make(chan struct{})}
+	next := &line{rev: l.Rev, position: h.tail.position + 1, text: text, ready: make(chan struct{})}
 	h.tail.next = next
 	close(h.tail.ready)
 	h.tail, h.linkedRev = next, l.Rev
-	h.lines.Store(next.n)
+	h.lines.Store(next.position)
 	return nil
 }
 
-// encodeSince encodes the changes after one revision up to another, without the cache.
+// encodeSince encodes the changes after one revision up to another, without the shared line.
 func (h *Hub) encodeSince(after, upTo int64) ([]byte, error) {
 	h.mu.Lock()
 	l := h.state.Since(after)
 	h.mu.Unlock()
-	l.Rev = max(upTo, after) // later changes come again with a later line
+	l.Rev = max(upTo, after) // a later line repeats any changes after upTo
 	return encode(l)
 }
 
-// fullLine returns the full list, encoded once for each revision.
+// fullLine returns the encoded full list. It is encoded once for each revision.
 func (h *Hub) fullLine() (*line, error) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.fullLineLocked()
 }
 
+// fullLineLocked is fullLine for callers that hold h.mu.
 func (h *Hub) fullLineLocked() (*line, error) {
 	if h.fullList != nil && h.fullList.rev == h.state.Rev() {
 		return h.fullList, nil
@@ -115,25 +118,25 @@
 	return h.fullList, nil
 }
 
-// subscribe returns the first line for a new watch and the list node from which it follows, taken atomically so that no
-// change is skipped.
-func (h *Hub) subscribe(after int64) (first []byte, at *line, err error) {
+// subscribe returns the first text to send to a new watch, empty if its client is up to date, and the line after which
+// the watch continues. Both are read under one lock, so that the watch misses no change.
+func (h *Hub) subscribe(after int64) (first []byte, last *line, err error) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	// Publish pending changes first: otherwise the first line would include a revision that a later line repeats.
+	// Publish pending changes first: otherwise the first text would include changes that a later line repeats.
 	if h.state.Rev() != h.linkedRev {
-		if err := h.link(h.state.Since(h.linkedRev)); err != nil {
+		if err := h.appendLine(h.state.Since(h.linkedRev)); err != nil {
 			return nil, nil, err
 		}
 	}
 	l := h.state.Since(after)
 	switch {
 	case l.All:
-		w, err := h.fullLineLocked()
+		full, err := h.fullLineLocked()
 		if err != nil {
 			return nil, nil, err
 		}
-		first = w.text
+		first = full.text
 	case len(l.Targets) > 0:
 		if first, err = encode(l); err != nil {
 			return nil, nil, err
--- a/internal/registry/listserver/leader_revision.go
+++ b/internal/registry/listserver/leader_revision.go
@@ -10,10 +10,10 @@
 	"marblelane/internal/registry/state"
 )
 
-// LeaderRevPath answers the revision of a confirmed leader.
+// LeaderRevPath is the path at which the leader reports its revision, once a quorum has confirmed that it leads.
 const LeaderRevPath = "/registry/leader-revision"
 
-// leaderRev answers polls of followers with the revision of this replica, if it leads.
+// leaderRev responds to polls of followers with the revision of this replica, or with 503 if it is not the leader.
 func (s *Server) leaderRev(w http.ResponseWriter, _ *http.Request) {
 	var rev int64
 	s.hub.Read(func(st *state.State) { rev = st.Rev() })
@@ -25,10 +25,10 @@
 	fmt.Fprintf(w, "{\"rev\":%d}\n", rev)
 }
 
-// maxRevisionBytes bounds the answer to a poll of a revision.
+// maxRevisionBytes bounds the response to a poll of a revision.
 const maxRevisionBytes = 64 << 10
 
-// PollRevision asks a replica for one of its revisions, at the path that answers it.
+// PollRevision reads a revision of a replica from the HTTP path that reports it.
 func PollRevision(ctx context.Context, client *http.Client, replica, path string) (int64, error) {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+replica+path, nil)
 	if err != nil {
@@ -40,13 +40,13 @@
 	}
 	defer resp.Body.Close()
 	if resp.StatusCode != http.StatusOK {
-		return 0, fmt.Errorf("%s answers %s", replica, resp.Status)
+		return 0, fmt.Errorf("%s responded with %s", replica, resp.Status)
 	}
-	var answer struct {
+	var response struct {
 		Rev int64 `json:"rev"`
 	}
-	if err := json.NewDecoder(io.LimitReader(resp.Body, maxRevisionBytes)).Decode(&answer); err != nil {
+	if err := json.NewDecoder(io.LimitReader(resp.Body, maxRevisionBytes)).Decode(&response); err != nil {
 		return 0, fmt.Errorf("%s: %w", replica, err)
 	}
-	return answer.Rev, nil
+	return response.Rev, nil
 }
--- a/internal/registry/listserver/members.go
+++ b/internal/registry/listserver/members.go
@@ -1,7 +1,8 @@
 package listserver
 
-// This file joins the replica to the membership group, see docs/membership.md. Operators read the group's view of the
-// replicas; raft alone decides who votes. It is off without its section of the configuration.
+// This file joins the replica to the membership group, see docs/membership.md. Operators read which replicas the group
+// considers alive; raft alone decides which replicas vote. Membership is off unless its section of the configuration is
+// present.
 
 import (
 	"context"
@@ -18,27 +19,29 @@
 )
 
 const (
+	// MembersPath is the path of the group's reports and watches.
 	MembersPath = "/members"
-	MemberRole  = "list"
-	// UnknownMember is the state of a replica without a membership report.
+	// MemberRole is the role of replicas of the list service in the group.
+	MemberRole = "list"
+	// UnknownMember is the state of a replica that the membership group does not report.
 	UnknownMember membership.MemberState = "unknown"
 
-	leaveTimeout = 300 * time.Millisecond // time for the leave message to reach the others
-	// MemberWatchers is the maximum of concurrent watches of /members; each holds a connection.
+	leaveTimeout = 300 * time.Millisecond // time for the leave message to reach the other members
+	// MemberWatchers is the maximum number of concurrent watches of /members; each occupies a connection.
 	MemberWatchers = 8
-	// An address that cannot be bound is retried after bindSoon, then after twice the time, up to bindLate.
-	bindSoon = 100 * time.Millisecond
-	bindLate = 10 * time.Second
+	// If the address cannot be bound, it is retried after minBindRetry; the delay then doubles up to maxBindRetry.
+	minBindRetry = 100 * time.Millisecond
+	maxBindRetry = 10 * time.Second
 )
 
-// Members is the replica as a member of the group.
+// Members is the replica's participation in the membership group.
 type Members struct {
 	cfg      membership.Config
-	group    atomic.Pointer[membership.Group] // nil: not bound yet, or closed
+	group    atomic.Pointer[membership.Group] // nil before the address is bound and after the group is closed
 	watchers streamlimit.Limiter
 }
 
-// NewMembers makes the member of a replica; nil where membership is off.
+// NewMembers returns the group membership of a replica, or nil if membership is off.
 func NewMembers(cfg *membership.Config, o Options) *Members {
 	if cfg == nil {
 		return nil
@@ -48,73 +51,74 @@
 	return m
 }
 
-// Run binds the address, with retries, and leaves the group when ctx ends. The replica serves meanwhile.
+// Run binds the address, with retries, and leaves the group when ctx ends. The replica serves requests even while the
+// address is not bound.
 func (m *Members) Run(ctx context.Context) {
-	wait := bindSoon
+	delay := minBindRetry
 	g, err := membership.Open(m.cfg)
 	for ; err != nil; g, err = membership.Open(m.cfg) {
-		if wait == bindSoon {
-			m.cfg.Log.Error("members: this copy goes on without, and tries again", "bind", m.cfg.Bind, "error", err)
+		if delay == minBindRetry {
+			m.cfg.Log.Error("members: failed to join the group; retrying in the background", "bind", m.cfg.Bind, "error", err)
 		}
 		select {
 		case <-ctx.Done():
 			return
-		case <-time.After(wait):
-			wait = min(2*wait, bindLate)
+		case <-time.After(delay):
+			delay = min(2*delay, maxBindRetry)
 		}
 	}
 	m.group.Store(g)
 	<-ctx.Done()
 	m.group.Store(nil)
-	end, cancel := context.WithTimeout(context.Background(), leaveTimeout)
+	leaveCtx, cancel := context.WithTimeout(context.Background(), leaveTimeout)
 	defer cancel()
-	if err := g.Leave(end); err != nil {
-		m.cfg.Log.Info("members: others may not know that this copy leaves", "error", err)
+	if err := g.Leave(leaveCtx); err != nil {
+		m.cfg.Log.Info("members: failed to notify the other members of leaving", "error", err)
 	}
 	if err := g.Close(); err != nil {
-		m.cfg.Log.Info("members: close", "error", err)
+		m.cfg.Log.Info("members: failed to close the group", "error", err)
 	}
 }
 
-// MemberStates returns the state of each replica by name, as this one sees it. Of several members with one name an alive one
-// counts, then the one that started last. A group that this replica has left is not consulted.
+// MemberStates returns the state of each replica by name, as this replica sees it. If several members have one name, an
+// alive one takes precedence, then the one that started last. The result is empty if this replica has left the group.
 func (m *Members) MemberStates() map[string]membership.MemberState {
-	out := map[string]membership.MemberState{}
+	states := map[string]membership.MemberState{}
 	if m == nil {
-		return out
+		return states
 	}
 	g := m.group.Load()
 	if g == nil {
-		return out
+		return states
 	}
 	latest, report := map[string]int64{}, g.Report()
-	if left(report) {
-		return out
+	if selfRemoved(report) {
+		return states
 	}
-	for _, one := range report.Members {
-		if one.Role != "" && one.Role != MemberRole {
+	for _, member := range report.Members {
+		if member.Role != "" && member.Role != MemberRole {
 			continue
 		}
-		was, seen := out[one.Name]
-		later := was != membership.Alive && one.Start >= latest[one.Name]
-		if !seen || later || one.State == membership.Alive {
-			out[one.Name], latest[one.Name] = one.State, one.Start
+		previous, seen := states[member.Name]
+		later := previous != membership.Alive && member.Start >= latest[member.Name]
+		if !seen || later || member.State == membership.Alive {
+			states[member.Name], latest[member.Name] = member.State, member.Start
 		}
 	}
-	return out
+	return states
 }
 
-// left reports whether the process of a report has left the group and so receives no further updates.
-func left(r membership.Report) bool {
-	for _, one := range r.Members {
-		if one.Name == r.Self.Name && one.Start == r.Self.Start {
-			return one.State == membership.Gone
+// selfRemoved reports whether the process that made the report has left the group, and so receives no further updates.
+func selfRemoved(r membership.Report) bool {
+	for _, member := range r.Members {
+		if member.Name == r.Self.Name && member.Start == r.Self.Start {
+			return member.State == membership.Gone
 		}
 	}
 	return false
 }
 
-// ServeHTTP serves the view of the group, and its watches.
+// ServeHTTP serves the reports of the group and watches of them.
 func (m *Members) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	g := m.group.Load()
 	if g == nil {
@@ -128,17 +132,17 @@
 	g.Handler().ServeHTTP(w, r)
 }
 
-// Describe sends nothing: there are no metrics while the address is not bound.
+// Describe sends no descriptions, since the group has no metrics while the address is not bound.
 func (m *Members) Describe(chan<- *prometheus.Desc) {}
 
 // Collect sends the metrics of the group.
-func (m *Members) Collect(out chan<- prometheus.Metric) {
+func (m *Members) Collect(metrics chan<- prometheus.Metric) {
 	if g := m.group.Load(); g != nil {
-		collect.New(g).Collect(out)
+		collect.New(g).Collect(metrics)
 	}
 }
 
-// MountMembers serves the views of the group, and its metrics.
+// MountMembers adds the reports and metrics of the group to the server. It must be called before Handler.
 func (s *Server) MountMembers(m *Members) {
 	s.members = m
 	prometheus.WrapRegistererWithPrefix("registry_", s.metrics.registry).MustRegister(m)
--- a/internal/registry/listserver/members_test.go
+++ b/internal/registry/listserver/members_test.go
@@ -8,7 +8,8 @@
 	"marblelane/internal/membership"
 )
 
-// Package streamlimit closes a watch whose client does not read within the write timeout.
+// Watches of /members must have the write timeout of watches of the list: package streamlimit then closes a watch whose
+// client stops reading.
 func TestMembers_watchTimeout(t *testing.T) {
 	m := NewMembers(&membership.Config{}, Options{})
 	require.Equal(t, lineWriteTimeout, m.watchers.WriteTimeout)
--- a/internal/registry/listserver/replicas.go
+++ b/internal/registry/listserver/replicas.go
@@ -1,6 +1,6 @@
 package listserver
 
-// This file serves the members of the cluster and changes of them.
+// This file serves changes of the set of replicas.
 
 import (
 	"encoding/json"
@@ -11,7 +11,7 @@
 	"marblelane/internal/membership"
 )
 
-// ReplicasPath is the path of changes of the cluster.
+// ReplicasPath is the path of changes of the set of replicas.
 const ReplicasPath = "/registry/copies"
 
 // Peer is a replica with its addresses.
@@ -21,24 +21,27 @@
 	Serve string `toml:"serve" json:"serve"`
 }
 
-// ErrRejected rejects a membership change that would put the quorum at risk.
+// ErrRejected is returned for a change of the replicas that would put the quorum at risk.
 var ErrRejected = errors.New("the copies stay as they are")
 
-// ReplicaStatus is one replica in the status of another.
+// ReplicaStatus is the status of a replica as seen by the replica that reports it.
 type ReplicaStatus struct {
-	Name   string                 `json:"name"`
-	Raft   string                 `json:"raft"`
-	Serve  string                 `json:"serve"`
-	Votes  bool                   `json:"votes"`
-	AckMS  int64                  `json:"ack_ms"` // at the leader: age of the newest acknowledged message of this term; -1: none
-	Member membership.MemberState `json:"member"` // from membership; it does not affect who votes
+	Name  string `json:"name"`
+	Raft  string `json:"raft"`
+	Serve string `json:"serve"`
+	Votes bool   `json:"votes"`
+	// AckMS is set by the leader: the age of its newest message of this term that the replica has acknowledged; -1 if
+	// there is none.
+	AckMS int64 `json:"ack_ms"`
+	// Member is the state in the membership group. It does not affect which replicas vote.
+	Member membership.MemberState `json:"member"`
 }
 
-// ReplicaSet is a replica whose members can be changed.
+// ReplicaSet is a replica through which the set of replicas can be changed.
 type ReplicaSet interface {
 	Add(Peer) error
 	Remove(name string) error
-	AddLearner(Peer) error
+	Learn(Peer) error
 	Promote(name string) error
 	Retire(name string) error
 	Name() string
@@ -46,9 +49,9 @@
 	Applied() uint64
 }
 
-// handleReplicas serves changes of the cluster.
+// handleReplicas registers the handlers for changes of the set of replicas.
 func (s *Server) handleReplicas(m *http.ServeMux, c ReplicaSet) {
-	peer := func(do func(Peer) error) http.HandlerFunc {
+	withPeer := func(apply func(Peer) error) http.HandlerFunc {
 		return func(w http.ResponseWriter, r *http.Request) {
 			var p Peer
 			if err := json.NewDecoder(http.MaxBytesReader(w, r.Body, MaxWriteBodyBytes)).Decode(&p); err != nil {
@@ -60,25 +63,26 @@
 				return
 			}
 			if s.RequireLeader(w, r) {
-				s.answer(w, do(p))
+				s.writeChangeResult(w, apply(p))
 			}
 		}
 	}
-	named := func(do func(string) error) http.HandlerFunc {
+	withName := func(apply func(string) error) http.HandlerFunc {
 		return func(w http.ResponseWriter, r *http.Request) {
 			if s.RequireLeader(w, r) {
-				s.answer(w, do(r.PathValue("name")))
+				s.writeChangeResult(w, apply(r.PathValue("name")))
 			}
 		}
 	}
-	m.HandleFunc("POST "+ReplicasPath+"/{name}", peer(c.Add))
-	m.HandleFunc("DELETE "+ReplicasPath+"/{name}", named(c.Remove))
-	m.HandleFunc("POST "+ReplicasPath+"/{name}/learn", peer(c.AddLearner))
-	m.HandleFunc("POST "+ReplicasPath+"/{name}/promote", named(c.Promote))
-	m.HandleFunc("POST "+ReplicasPath+"/{name}/retire", named(c.Retire))
+	m.HandleFunc("POST "+ReplicasPath+"/{name}", withPeer(c.Add))
+	m.HandleFunc("DELETE "+ReplicasPath+"/{name}", withName(c.Remove))
+	m.HandleFunc("POST "+ReplicasPath+"/{name}/learn", withPeer(c.Learn))
+	m.HandleFunc("POST "+ReplicasPath+"/{name}/promote", withName(c.Promote))
+	m.HandleFunc("POST "+ReplicasPath+"/{name}/retire", withName(c.Retire))
 }
 
-func (s *Server) answer(w http.ResponseWriter, err error) {
+// writeChangeResult responds with the outcome of a change of the replicas.
+func (s *Server) writeChangeResult(w http.ResponseWriter, err error) {
 	switch {
 	case errors.Is(err, ErrRejected):
 		http.Error(w, err.Error(), http.StatusConflict)
--- a/internal/registry/listserver/server.go
+++ b/internal/registry/listserver/server.go
@@ -1,5 +1,5 @@
-// Package listserver is the HTTP API of the list: reads and watches, writes and renewals, admission, status and metrics,
-// and changes of the replicas.
+// Package listserver provides the HTTP API of the list service: reads and watches of the list, writes, lease renewals,
+// admission of readers, status, metrics, and changes of the replicas.
 package listserver
 
 import (
@@ -23,28 +23,29 @@
 )
 
 const (
+	// ListPath is the path of the list and of its entries.
 	ListPath = "/registry/instances"
 
-	// WatchHeartbeat is the interval of empty lines on an idle watch, given by the platform's protocol.
+	// WatchHeartbeat is the interval at which a watch sends empty lines. The platform's protocol sets it.
 	WatchHeartbeat = 2 * time.Second
 	// lineWriteTimeout bounds the write of one line to a watch.
 	lineWriteTimeout  = 5 * time.Second
-	MaxWriteBodyBytes = 64 << 10 // bytes of a write's body
-	ApplyTimeout      = 5 * time.Second
+	MaxWriteBodyBytes = 64 << 10        // maximum size of the body of a write
+	ApplyTimeout      = 5 * time.Second // time for a write to be replicated and applied
 )
 
-// Replica is the replicated log under a server: raft, or a single process.
+// Replica is the replicated log that a server writes to: raft, or a single process.
 type Replica interface {
 	// Apply replicates a command to a quorum and applies it. It fails with ErrNotLeader on a follower.
 	Apply(c *state.Command, wait time.Duration) (rev int64, err error)
-	// Confirm verifies with a quorum that this replica still leads, so that its applied state is the newest.
+	// Confirm verifies with a quorum that this replica is still the leader, so that its applied state is current.
 	Confirm() error
-	// Leader reports whether this replica leads, and the HTTP address of the leader; empty if unknown.
-	Leader() (me bool, address string)
-	// Staleness is an upper bound of the age of the applied state: it has every write acknowledged before then.
+	// Leader reports whether this replica is the leader, and the HTTP address of the leader, empty if unknown.
+	Leader() (isLeader bool, address string)
+	// Staleness is an upper bound of the age of the applied state. The state includes all older acknowledged writes.
 	Staleness() time.Duration
-	// Term is the raft term in which this replica leads; 0 if it does not lead, or has not yet applied all entries
-	// committed in earlier terms.
+	// Term is the raft term in which this replica is the leader; 0 if it is not, or has not yet applied all log
+	// entries committed in earlier terms.
 	Term() uint64
 	// LastDiskWriteTime is the duration of the last disk write.
 	LastDiskWriteTime() time.Duration
@@ -52,36 +53,36 @@
 	DiskWrites() int64
 }
 
-// Errors of a replica that cannot write.
+// Errors of a replica that cannot apply a write.
 var (
 	ErrNotLeader = errors.New("this copy does not lead")
 	ErrNoQuorum  = errors.New("no majority of the copies can be reached")
 )
 
-// Routes is the API of routes and rollouts that a server offers beside the list.
+// Routes is the API of routes and rollouts that a server provides in addition to the list.
 type Routes interface {
 	// Handle registers the HTTP handlers.
 	Handle(m *http.ServeMux)
-	// Run carries out the periodic duties until ctx ends.
+	// Run runs the periodic tasks until ctx ends.
 	Run(ctx context.Context)
 	prometheus.Collector
 }
 
-// Options configure a server. Zero values stand for the defaults.
+// Options configure a server. Zero values stand for the defaults, which the comments give last.
 type Options struct {
 	BatchInterval  time.Duration // time for which changes are batched into one line; 20 ms
-	AdmissionRate  float64       // admitted watches and full lists per second; 500
-	AdmissionBurst int           // burst of admitted watches and full lists; 200
-	MaxStaleness   time.Duration // reads are rejected on a replica staler than this; 0: never
-	// EncodePerWatch encodes each line for each watch separately; a baseline for the lab only.
+	AdmissionRate  float64       // admitted reads of the list (watches and full lists) per second; 500
+	AdmissionBurst int           // reads that may be admitted at once; 200
+	MaxStaleness   time.Duration // reads are rejected if the staleness exceeds this; 0: never
+	// EncodePerWatch encodes each line separately for each watch. It is a baseline that only the lab uses.
 	EncodePerWatch     bool
-	MaxExpiredFraction float64              // if more of the leased entries expire together, they are held; 0.3
-	Operators          *operators.Operators // nil: routes are off
-	InjectedDefect     string               // a defect of routes, for the lab; empty: none
+	MaxExpiredFraction float64              // if a larger fraction of the leases expires together, their entries are kept; 0.3
+	Operators          *operators.Operators // nil if routes are off
+	InjectedDefect     string               // defect of the routes that the lab injects; empty for none
 	Log                *slog.Logger
 }
 
-// SetDefaults replaces zero values by the defaults.
+// SetDefaults replaces zero values with the defaults.
 func (o *Options) SetDefaults() {
 	o.BatchInterval = cmp.Or(o.BatchInterval, 20*time.Millisecond)
 	if o.AdmissionRate == 0 {
@@ -98,55 +99,55 @@
 	}
 }
 
-// Server answers readers and writers of one replica.
+// Server serves the HTTP API of one replica.
 type Server struct {
-	hub     *Hub
-	replica Replica
-	o       atomic.Pointer[Options]
-	log     *slog.Logger
-	leases  *state.Leases
-	admit   *TokenBucket
-	changed chan struct{}
-	metrics *metrics
-	watches atomic.Int64
-	routes  Routes   // nil: not mounted
-	members *Members // nil: off
+	hub       *Hub
+	replica   Replica
+	options   atomic.Pointer[Options]
+	log       *slog.Logger
+	leases    *state.Leases
+	admission *TokenBucket
+	changed   chan struct{} // signals a change of the state that is not published yet
+	metrics   *metrics
+	watches   atomic.Int64
+	routes    Routes   // nil if not mounted
+	members   *Members // nil if membership is off
 }
 
-// New makes a server over a hub whose state the replica changes. Changes are published only while Run runs.
+// New returns a server for a hub whose state the replica changes. Changes are published only while Run is running.
 func New(h *Hub, r Replica, o Options) *Server {
 	o.SetDefaults()
-	s := &Server{hub: h, replica: r, log: o.Log, changed: make(chan struct{}, 1), leases: state.NewLeases(), admit: NewTokenBucket(o.AdmissionBurst)}
-	s.o.Store(&o)
+	s := &Server{hub: h, replica: r, log: o.Log, changed: make(chan struct{}, 1), leases: state.NewLeases(), admission: NewTokenBucket(o.AdmissionBurst)}
+	s.options.Store(&o)
 	s.metrics = newMetrics(s)
 	return s
 }
 
-// Mount adds the routes API, before Handler and Run.
-func (s *Server) Mount(r Routes) {
-	s.routes = r
-	s.metrics.registry.MustRegister(r)
+// Mount adds the routes API. It must be called before Handler and Run.
+func (s *Server) Mount(routes Routes) {
+	s.routes = routes
+	s.metrics.registry.MustRegister(routes)
 }
 
 // Options returns the current options.
-func (s *Server) Options() *Options { return s.o.Load() }
+func (s *Server) Options() *Options { return s.options.Load() }
 
-// CountRejectedReader counts a reader rejected by the rate limit.
-func (s *Server) CountRejectedReader() { s.metrics.turned.Inc() }
+// CountRejectedReader counts a reader that the rate limit rejected.
+func (s *Server) CountRejectedReader() { s.metrics.rejectedReaders.Inc() }
 
-// CountSlowWatcher counts a watch closed because its client was slow.
-func (s *Server) CountSlowWatcher() { s.metrics.slow.Inc() }
+// CountSlowWatcher counts a watch that was closed because its client was too slow.
+func (s *Server) CountSlowWatcher() { s.metrics.slowWatchers.Inc() }
 
-// LeaseEnd is when the lease of an entry ends; zero if this replica tracks none.
+// LeaseEnd returns when the lease of an entry ends, or the zero time if this replica tracks no lease for it.
 func (s *Server) LeaseEnd(uid string) time.Time { return s.leases.End(uid) }
 
 // Reload replaces the options, except the logger.
 func (s *Server) Reload(o Options) {
 	o.SetDefaults()
-	s.o.Store(&o)
+	s.options.Store(&o)
 }
 
-// SignalChange signals that the state has changed. It never blocks.
+// SignalChange makes Run publish the changes of the state. It never blocks.
 func (s *Server) SignalChange() {
 	select {
 	case s.changed <- struct{}{}:
@@ -168,8 +169,8 @@
 			return
 		case <-s.changed:
 		}
-		// Changes within Batch after the first one are published as one line.
-		t := time.NewTimer(s.o.Load().BatchInterval)
+		// Changes within BatchInterval after the first one are published as one line.
+		t := time.NewTimer(s.options.Load().BatchInterval)
 		select {
 		case <-ctx.Done():
 			t.Stop()
@@ -177,20 +178,20 @@
 		case <-t.C:
 		}
 		if err := s.hub.Publish(); err != nil {
-			s.log.Error("registry: news cannot be told", "error", err)
+			s.log.Error("registry: failed to publish changes of the list", "error", err)
 		}
 	}
 }
 
-// Handler serves the list, writes, health and metrics.
+// Handler returns the handler of the HTTP API.
 func (s *Server) Handler() http.Handler {
 	m := http.NewServeMux()
 	m.HandleFunc("GET "+ListPath, s.list)
 	m.HandleFunc("GET "+ListPath+"/{uid}", s.get)
-	m.HandleFunc("POST "+ListPath+"/{uid}", s.put)
+	m.HandleFunc("POST "+ListPath+"/{uid}", s.writeEntry)
 	m.HandleFunc("POST "+ListPath+"/{uid}/renew", s.renew)
-	m.HandleFunc("POST "+ListPath+"/{uid}/drain", func(w http.ResponseWriter, r *http.Request) { s.change(w, r, state.OpDrain) })
-	m.HandleFunc("DELETE "+ListPath+"/{uid}", func(w http.ResponseWriter, r *http.Request) { s.change(w, r, state.OpRemove) })
+	m.HandleFunc("POST "+ListPath+"/{uid}/drain", func(w http.ResponseWriter, r *http.Request) { s.changeEntry(w, r, state.OpDrain) })
+	m.HandleFunc("DELETE "+ListPath+"/{uid}", func(w http.ResponseWriter, r *http.Request) { s.changeEntry(w, r, state.OpRemove) })
 	m.HandleFunc("GET /registry/status", s.status)
 	m.HandleFunc("GET /registry/snapshot", s.snapshot)
 	m.HandleFunc("GET "+LeaderRevPath, s.leaderRev)
@@ -209,28 +210,29 @@
 	return m
 }
 
-// Stale reports whether this replica is too stale to serve reads.
+// Stale returns the staleness of this replica, and whether it is too stale to serve reads.
 func (s *Server) Stale() (time.Duration, bool) {
-	age, limit := s.replica.Staleness(), s.o.Load().MaxStaleness
+	age, limit := s.replica.Staleness(), s.options.Load().MaxStaleness
 	return age, limit > 0 && age > limit
 }
 
-// WriteReplicaHeaders sets the headers with role, staleness and revision. staleness has to be read before the answer is
-// made, so that it is not understated.
+// WriteReplicaHeaders sets the headers with the role, the staleness and the revision of this replica. The caller must
+// read the staleness before the state that it responds with, so that the header does not understate it.
 func (s *Server) WriteReplicaHeaders(w http.ResponseWriter, rev int64, staleness time.Duration) {
-	me, _ := s.replica.Leader()
+	isLeader, _ := s.replica.Leader()
 	role := "follower"
-	if me {
+	if isLeader {
 		role = "leader"
 	}
-	h := w.Header()
-	h.Set("X-Registry-Role", role)
-	h.Set("X-Registry-Heard-Ms", strconv.FormatInt((staleness+time.Millisecond).Milliseconds(), 10))
+	header := w.Header()
+	header.Set("X-Registry-Role", role)
+	header.Set("X-Registry-Heard-Ms", strconv.FormatInt((staleness+time.Millisecond).Milliseconds(), 10))
 	if rev > 0 {
-		h.Set("X-Registry-Rev", strconv.FormatInt(rev, 10))
+		header.Set("X-Registry-Rev", strconv.FormatInt(rev, 10))
 	}
 }
 
+// list serves the full list or a watch of it.
 func (s *Server) list(w http.ResponseWriter, r *http.Request) {
 	if age, stale := s.Stale(); stale {
 		w.Header().Set("Retry-After", "1")
@@ -238,7 +240,7 @@
 		return
 	}
 	if wait := s.retryAfter(); wait > 0 {
-		s.metrics.turned.Inc()
+		s.metrics.rejectedReaders.Inc()
 		w.Header().Set("Retry-After", strconv.FormatFloat(wait.Seconds(), 'f', 3, 64))
 		http.Error(w, "too many readers come at once", http.StatusServiceUnavailable)
 		return
@@ -254,7 +256,7 @@
 		s.WriteReplicaHeaders(w, l.rev, staleness)
 		w.Header().Set("Content-Type", "application/json")
 		w.Header().Set("Content-Length", strconv.Itoa(len(l.text)))
-		_, _ = w.Write(l.text) // the reader may have disconnected
+		_, _ = w.Write(l.text) // the error is ignored: the reader may have disconnected
 		return
 	}
 	after := int64(-1)
@@ -268,7 +270,7 @@
 	s.watch(w, r, after, staleness)
 }
 
-// get is a linearizable read of one entry: only the leader answers, once a quorum has confirmed it.
+// get serves a linearizable read of one entry. Only the leader responds, once a quorum has confirmed that it leads.
 func (s *Server) get(w http.ResponseWriter, r *http.Request) {
 	if !s.RequireLeader(w, r) {
 		return
@@ -280,33 +282,33 @@
 	}
 	var e state.Entry
 	var changed int64
-	known := false
-	s.hub.Read(func(st *state.State) { e, changed, _, known = st.Get(r.PathValue("uid")) })
-	if !known {
+	found := false
+	s.hub.Read(func(st *state.State) { e, changed, _, found = st.Get(r.PathValue("uid")) })
+	if !found {
 		http.Error(w, state.ErrUnknown.Error(), http.StatusNotFound)
 		return
 	}
 	w.Header().Set("Content-Type", "application/json")
-	_ = json.NewEncoder(w).Encode(struct { // the caller may have disconnected
+	_ = json.NewEncoder(w).Encode(struct { // the error is ignored: the caller may have disconnected
 		state.Entry
 		Changed int64 `json:"changed"`
 	}{e, changed})
 }
 
-// snapshot answers with the full state of this replica, for a backup.
+// snapshot responds with the full state of this replica, for a backup.
 func (s *Server) snapshot(w http.ResponseWriter, _ *http.Request) {
-	var out *state.Snapshot
+	var snapshot *state.Snapshot
 	var err error
 	staleness := s.replica.Staleness()
-	s.hub.Read(func(st *state.State) { out, err = st.Snapshot() })
+	s.hub.Read(func(st *state.State) { snapshot, err = st.Snapshot() })
 	if err != nil {
 		http.Error(w, err.Error(), http.StatusInternalServerError)
 		return
 	}
-	s.WriteReplicaHeaders(w, out.Rev, staleness)
+	s.WriteReplicaHeaders(w, snapshot.Rev, staleness)
 	w.Header().Set("Content-Type", "application/json")
-	_ = json.NewEncoder(w).Encode(out) // the caller may have disconnected
+	_ = json.NewEncoder(w).Encode(snapshot) // the error is ignored: the caller may have disconnected
 }
 
-// maxRetryAfter bounds the Retry-After of a reader that is rate limited.
+// maxRetryAfter bounds the Retry-After header of a reader that the rate limit rejects.
 const maxRetryAfter = 10 * time.Second
--- a/internal/registry/listserver/status.go
+++ b/internal/registry/listserver/status.go
@@ -1,6 +1,6 @@
 package listserver
 
-// This file serves status, health and metrics of a replica.
+// This file serves the status, health check and metrics of a replica.
 
 import (
 	"encoding/json"
@@ -21,40 +21,40 @@
 	Epoch       int64             `json:"epoch"`
 	Entries     int               `json:"entries"`
 	Leased      int               `json:"leased"`
-	HeldEntries int               `json:"held"` // expired together with too many others, and kept
+	HeldEntries int               `json:"held"` // entries that are kept because too many leases expired together
 	Watches     int64             `json:"watches"`
 	StalenessMS int64             `json:"heard_ms"`
-	DiskMS      float64           `json:"disk_ms"` // that the last write to its disk took
+	DiskMS      float64           `json:"disk_ms"` // duration of the last disk write
 	Members     map[string]string `json:"members"`
 
-	// Only in the answer of the status path.
+	// Set only in responses of the status path.
 	Name     string          `json:"name,omitempty"`
-	Applied  uint64          `json:"applied"` // index of the last log entry that it has applied
+	Applied  uint64          `json:"applied"` // index of the last applied log entry
 	Replicas []ReplicaStatus `json:"copies,omitempty"`
 }
 
-// Status reads it.
+// Status returns the current status of this replica, without the fields that only the status path sets.
 func (s *Server) Status() Status {
-	var out Status
-	out.Leads, out.Leader = s.replica.Leader()
+	var status Status
+	status.Leads, status.Leader = s.replica.Leader()
 	s.hub.Read(func(st *state.State) {
-		out.Rev, out.Epoch, out.Entries, out.Members = st.Rev(), state.EpochOf(st.Rev()), st.Len(), st.Members()
-		st.Leased(func(string, int64, time.Duration) { out.Leased++ })
+		status.Rev, status.Epoch, status.Entries, status.Members = st.Rev(), state.EpochOf(st.Rev()), st.Len(), st.Members()
+		st.Leased(func(string, int64, time.Duration) { status.Leased++ })
 	})
-	out.HeldEntries, out.Watches, out.StalenessMS = s.leases.HeldCount(), s.watches.Load(), s.replica.Staleness().Milliseconds()
-	out.DiskMS = float64(s.replica.LastDiskWriteTime()) / float64(time.Millisecond)
-	return out
+	status.HeldEntries, status.Watches, status.StalenessMS = s.leases.HeldCount(), s.watches.Load(), s.replica.Staleness().Milliseconds()
+	status.DiskMS = float64(s.replica.LastDiskWriteTime()) / float64(time.Millisecond)
+	return status
 }
 
 func (s *Server) status(w http.ResponseWriter, _ *http.Request) {
 	w.Header().Set("Content-Type", "application/json")
-	e := json.NewEncoder(w)
-	e.SetIndent("", " ")
-	out := s.Status()
+	encoder := json.NewEncoder(w)
+	encoder.SetIndent("", " ")
+	status := s.Status()
 	if c, ok := s.replica.(ReplicaSet); ok {
-		out.Name, out.Applied, out.Replicas = c.Name(), c.Applied(), c.Replicas()
+		status.Name, status.Applied, status.Replicas = c.Name(), c.Applied(), c.Replicas()
 	}
-	_ = e.Encode(out) // a caller that is gone needs nothing
+	_ = encoder.Encode(status) // the error is ignored: the caller may have disconnected
 }
 
 func (s *Server) health(w http.ResponseWriter, _ *http.Request) {
@@ -62,7 +62,7 @@
 		http.Error(w, fmt.Sprintf("what this copy has may be %v old", age.Round(time.Millisecond)), http.StatusServiceUnavailable)
 		return
 	}
-	if me, leader := s.replica.Leader(); !me && leader == "" {
+	if isLeader, leader := s.replica.Leader(); !isLeader && leader == "" {
 		http.Error(w, "no leader is known; reads are answered, writes are not", http.StatusServiceUnavailable)
 		return
 	}
@@ -73,36 +73,37 @@
 	fmt.Fprintln(w, "ok")
 }
 
-// metrics are the metrics of /stats.
+// metrics holds the metrics that /stats serves.
 type metrics struct {
-	registry            *prometheus.Registry
-	turned, slow, bytes prometheus.Counter
+	registry                                  *prometheus.Registry
+	rejectedReaders, slowWatchers, watchBytes prometheus.Counter
 }
 
+// newMetrics returns the metrics of a server in a registry of their own.
 func newMetrics(s *Server) *metrics {
-	f := &metrics{
-		registry: prometheus.NewRegistry(),
-		turned:   prometheus.NewCounter(prometheus.CounterOpts{Name: "registry_readers_turned_away_total", Help: "Readers told to come later."}),
-		slow:     prometheus.NewCounter(prometheus.CounterOpts{Name: "registry_watchers_ended_total", Help: "Watchers ended for being slow."}),
-		bytes:    prometheus.NewCounter(prometheus.CounterOpts{Name: "registry_watch_bytes_total", Help: "Bytes of lines written to watchers."}),
+	m := &metrics{
+		registry:        prometheus.NewRegistry(),
+		rejectedReaders: prometheus.NewCounter(prometheus.CounterOpts{Name: "registry_readers_turned_away_total", Help: "Readers told to come later."}),
+		slowWatchers:    prometheus.NewCounter(prometheus.CounterOpts{Name: "registry_watchers_ended_total", Help: "Watchers ended for being slow."}),
+		watchBytes:      prometheus.NewCounter(prometheus.CounterOpts{Name: "registry_watch_bytes_total", Help: "Bytes of lines written to watchers."}),
 	}
-	gauge := func(name, help string, of func(Status) float64) prometheus.Collector {
-		return prometheus.NewGaugeFunc(prometheus.GaugeOpts{Name: name, Help: help}, func() float64 { return of(s.Status()) })
+	gauge := func(name, help string, value func(Status) float64) prometheus.Collector {
+		return prometheus.NewGaugeFunc(prometheus.GaugeOpts{Name: name, Help: help}, func() float64 { return value(s.Status()) })
 	}
-	f.registry.MustRegister(f.turned, f.slow, f.bytes,
-		gauge("registry_revision", "Revision of the last change.", func(x Status) float64 { return float64(x.Rev) }),
-		gauge("registry_entries", "Entries in the list.", func(x Status) float64 { return float64(x.Entries) }),
-		gauge("registry_entries_held", "Entries kept although their leases have ended.", func(x Status) float64 { return float64(x.HeldEntries) }),
-		gauge("registry_watches", "Watches that are open.", func(x Status) float64 { return float64(x.Watches) }),
-		gauge("registry_heard_seconds", "How old at most what this copy tells is.", func(x Status) float64 { return float64(x.StalenessMS) / 1000 }),
-		gauge("registry_disk_seconds", "Time that the last write to this copy's disk took.", func(x Status) float64 { return x.DiskMS / 1000 }),
+	m.registry.MustRegister(m.rejectedReaders, m.slowWatchers, m.watchBytes,
+		gauge("registry_revision", "Revision of the last change.", func(status Status) float64 { return float64(status.Rev) }),
+		gauge("registry_entries", "Entries in the list.", func(status Status) float64 { return float64(status.Entries) }),
+		gauge("registry_entries_held", "Entries kept although their leases have ended.", func(status Status) float64 { return float64(status.HeldEntries) }),
+		gauge("registry_watches", "Watches that are open.", func(status Status) float64 { return float64(status.Watches) }),
+		gauge("registry_heard_seconds", "How old at most what this copy tells is.", func(status Status) float64 { return float64(status.StalenessMS) / 1000 }),
+		gauge("registry_disk_seconds", "Time that the last write to this copy's disk took.", func(status Status) float64 { return status.DiskMS / 1000 }),
 		prometheus.NewCounterFunc(prometheus.CounterOpts{Name: "registry_disk_writes_total", Help: "Writes to this copy's disk since its start."},
 			func() float64 { return float64(s.replica.DiskWrites()) }),
-		gauge("registry_leads", "1 at the copy that leads.", func(x Status) float64 {
-			if x.Leads {
+		gauge("registry_leads", "1 at the copy that leads.", func(status Status) float64 {
+			if status.Leads {
 				return 1
 			}
 			return 0
 		}))
-	return f
+	return m
 }
--- a/internal/registry/listserver/watch.go
+++ b/internal/registry/listserver/watch.go
@@ -7,57 +7,57 @@
 	"time"
 )
 
-// watch sends all changes to one client until either side ends the watch.
+// watch sends all changes after a revision to one client until either side closes the watch.
 func (s *Server) watch(w http.ResponseWriter, r *http.Request, after int64, staleness time.Duration) {
-	first, at, err := s.hub.subscribe(after)
+	first, current, err := s.hub.subscribe(after)
 	if err != nil {
 		http.Error(w, err.Error(), http.StatusInternalServerError)
 		return
 	}
 	s.watches.Add(1)
 	defer s.watches.Add(-1)
-	s.WriteReplicaHeaders(w, at.rev, staleness)
+	s.WriteReplicaHeaders(w, current.rev, staleness)
 	w.Header().Set("Content-Type", "application/json")
-	say := s.LineWriter(w)
+	writeLine := s.LineWriter(w)
 	if len(first) == 0 {
 		first = []byte("\n")
 	}
-	if !say(first) {
+	if !writeLine(first) {
 		return
 	}
-	tick := time.NewTicker(WatchHeartbeat)
-	defer tick.Stop()
+	heartbeat := time.NewTicker(WatchHeartbeat)
+	defer heartbeat.Stop()
 	for {
 		select {
 		case <-r.Context().Done():
 			return
-		case <-tick.C:
-			if _, stale := s.Stale(); stale || !say([]byte("\n")) {
-				return // a watch on a replica that is cut off would look alive and tell nothing
+		case <-heartbeat.C:
+			if _, stale := s.Stale(); stale || !writeLine([]byte("\n")) {
+				return // on a replica that is cut off, heartbeats would hide from the client that it misses changes
 			}
 			continue
-		case <-at.ready:
+		case <-current.ready:
 		}
-		before := at.rev
-		at = at.next
-		if s.hub.lines.Load()-at.n > MaxWatcherLag {
-			s.metrics.slow.Inc()
+		previousRev := current.rev
+		current = current.next
+		if s.hub.lines.Load()-current.position > MaxWatcherLag {
+			s.metrics.slowWatchers.Inc()
 			return
 		}
-		text := at.text
-		if s.o.Load().EncodePerWatch {
-			if text, err = s.hub.encodeSince(before, at.rev); err != nil {
+		text := current.text
+		if s.options.Load().EncodePerWatch {
+			if text, err = s.hub.encodeSince(previousRev, current.rev); err != nil {
 				return
 			}
 		}
-		if !say(text) {
-			s.metrics.slow.Inc()
+		if !writeLine(text) {
+			s.metrics.slowWatchers.Inc()
 			return
 		}
 	}
 }
 
-// LineWriter returns a function that writes a line to a watch and reports whether it was written in time.
+// LineWriter returns a function that writes a line to a watch and reports whether it succeeded within lineWriteTimeout.
 func (s *Server) LineWriter(w http.ResponseWriter) func(text []byte) bool {
 	control := http.NewResponseController(w)
 	return func(text []byte) bool {
@@ -67,7 +67,7 @@
 		if _, err := w.Write(text); err != nil {
 			return false
 		}
-		s.metrics.bytes.Add(float64(len(text)))
+		s.metrics.watchBytes.Add(float64(len(text)))
 		return control.Flush() == nil
 	}
 }
--- a/internal/registry/listserver/writes.go
+++ b/internal/registry/listserver/writes.go
@@ -1,6 +1,6 @@
 package listserver
 
-// This file serves writes of entries and renewals of leases.
+// This file serves writes of entries and renewals of leases, and expires leases.
 
 import (
 	"context"
@@ -15,13 +15,14 @@
 	"marblelane/internal/registry/state"
 )
 
-// Registration is the body of a write: an entry in the platform's form, with its lease.
+// Registration is the body of a registration: an entry in the platform's form, and its lease.
 type Registration struct {
 	state.Entry
 	LeaseMS int64 `json:"lease_ms"`
 }
 
-func (s *Server) put(w http.ResponseWriter, r *http.Request) {
+// writeEntry registers an entry or replaces it.
+func (s *Server) writeEntry(w http.ResponseWriter, r *http.Request) {
 	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, MaxWriteBodyBytes))
 	if err != nil {
 		http.Error(w, "the body cannot be read: "+err.Error(), http.StatusBadRequest)
@@ -48,11 +49,12 @@
 	s.apply(w, r, c)
 }
 
-func (s *Server) change(w http.ResponseWriter, r *http.Request, op state.Op) {
+// changeEntry applies an operation that needs no body to an entry.
+func (s *Server) changeEntry(w http.ResponseWriter, r *http.Request, op state.Op) {
 	s.apply(w, r, &state.Command{Op: op, UID: r.PathValue("uid")})
 }
 
-// renew restarts a lease with its full term. It changes no revision.
+// renew restarts a lease with its full term. The revision does not change.
 func (s *Server) renew(w http.ResponseWriter, r *http.Request) {
 	if !s.RequireLeader(w, r) {
 		return
@@ -60,9 +62,9 @@
 	uid := r.PathValue("uid")
 	var term time.Duration
 	var entry state.Entry
-	known := false
-	s.hub.Read(func(st *state.State) { entry, _, term, known = st.Get(uid) })
-	if !known {
+	found := false
+	s.hub.Read(func(st *state.State) { entry, _, term, found = st.Get(uid) })
+	if !found {
 		http.Error(w, state.ErrUnknown.Error()+": register again", http.StatusNotFound)
 		return
 	}
@@ -71,10 +73,11 @@
 	fmt.Fprintf(w, "{\"state\":%q,\"lease_ms\":%d}\n", entry.State, term.Milliseconds())
 }
 
-// RequireLeader tells whether this replica leads; else it sends the caller on or away.
+// RequireLeader reports whether this replica is the leader. If not, it redirects the caller to the leader, or responds
+// with 503 if the leader is unknown.
 func (s *Server) RequireLeader(w http.ResponseWriter, r *http.Request) bool {
-	me, address := s.replica.Leader()
-	if me {
+	isLeader, address := s.replica.Leader()
+	if isLeader {
 		return true
 	}
 	s.WriteReplicaHeaders(w, 0, s.replica.Staleness())
@@ -87,7 +90,7 @@
 	return false
 }
 
-// apply carries out a write and answers with the revision after which readers see it.
+// apply replicates a write and responds with the revision that includes it.
 func (s *Server) apply(w http.ResponseWriter, r *http.Request, c *state.Command) {
 	if text := r.URL.Query().Get("if"); text != "" {
 		rev, err := strconv.ParseInt(text, 10, 64)
@@ -125,38 +128,39 @@
 	fmt.Fprintf(w, "{\"rev\":%d}\n", rev)
 }
 
-// expireLoop expires leases while this replica leads. When it begins to lead, each has a full term again.
+// expireLoop expires leases while this replica is the leader. When it acquires leadership, each lease starts again with
+// its full term.
 func (s *Server) expireLoop(ctx context.Context) {
-	t := time.NewTicker(state.LeaseCheckInterval)
-	defer t.Stop()
+	ticker := time.NewTicker(state.LeaseCheckInterval)
+	defer ticker.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case <-t.C:
+		case <-ticker.C:
 		}
-		me, _ := s.replica.Leader()
-		if !me {
+		isLeader, _ := s.replica.Leader()
+		if !isLeader {
 			s.leases.Forget()
 			continue
 		}
-		now := time.Now() // carries the monotonic clock, which no step moves
+		now := time.Now() // includes the monotonic clock, so changes of the wall clock do not expire leases
 		var leased []state.Lease
 		s.hub.Read(func(st *state.State) {
 			st.Leased(func(uid string, changed int64, term time.Duration) {
 				leased = append(leased, state.Lease{UID: uid, Changed: changed, Term: term})
 			})
 		})
-		expired, held := s.leases.Due(leased, s.o.Load().MaxExpiredFraction, now)
+		expired, held := s.leases.Due(leased, s.options.Load().MaxExpiredFraction, now)
 		if held > 0 {
-			s.log.Warn("registry: too many leases ended together; their entries stay listed", "entries", held, "of", len(leased))
+			s.log.Warn("registry: too many leases expired together; their entries are kept", "entries", held, "of", len(leased))
 		}
 		if len(expired) == 0 {
 			continue
 		}
-		s.log.Info("registry: leases ended", "entries", len(expired))
+		s.log.Info("registry: leases expired", "entries", len(expired))
 		if _, err := s.replica.Apply(&state.Command{Op: state.OpExpire, Expired: expired}, ApplyTimeout); err != nil {
-			s.log.Warn("registry: ended leases are not told", "error", err)
+			s.log.Warn("registry: failed to remove entries with expired leases", "error", err)
 		}
 	}
 }
--- a/internal/registry/operators/operators.go
+++ b/internal/registry/operators/operators.go
@@ -1,4 +1,4 @@
-// Package operators reads and validates the operators' file: tenants, subsets, tokens and the bounds of changes.
+// Package operators reads and validates the operators' file: tenants, subsets, tokens and limits of changes.
 package operators
 
 import (
@@ -21,12 +21,12 @@
 	"marblelane/internal/tomlfile"
 )
 
-// maxOperatorsFileBytes bounds the operators' file.
+// maxOperatorsFileBytes bounds the size of the operators' file.
 const maxOperatorsFileBytes = 1 << 20
 
-// Operators is the operators' file: who may roll out what, and how the leader deals with processes. Absent keys stand
-// for the defaults of rollout.Options. Times and shares of processes hold from when a replica next begins to lead;
-// tenants, subsets and tokens at once.
+// Operators is the operators' file: which tenants may roll out which changes, and how the leader treats processes. A
+// missing key has the default of rollout.Options. Changes of tenants, subsets and tokens take effect at once; changes of
+// the other keys take effect when a replica next acquires leadership.
 type Operators struct {
 	Token                string            `toml:"operator_token" validate:"bytes=200"`
 	LeaseTerm            tomlfile.Duration `toml:"term" validate:"omitempty,min=500ms,max=5m"`
@@ -41,7 +41,7 @@
 	Tenants              []Tenant          `toml:"tenant" validate:"max=1000,unique=Name,dive"`
 }
 
-// NamedSubset is a subset of the servers with the name that tenants know it by.
+// NamedSubset is a subset of the servers that tenants refer to by its name.
 type NamedSubset struct {
 	Name  string   `toml:"name" validate:"required,bytes=100,excludesall=/"`
 	Model []string `toml:"model" validate:"max=1000,dive,min=1,bytes=200"`
@@ -50,74 +50,80 @@
 	UID   []string `toml:"uid" validate:"max=1000,dive,min=1,bytes=200"`
 }
 
-// Tenant is what one tenant may do. The empty name stands for a site without tenants.
+// Tenant holds the permissions and limits of one tenant. The empty name is used at a site without tenants.
 type Tenant struct {
-	Name              string   `toml:"name" validate:"bytes=100,excludesall=/"`
-	Token             string   `toml:"token" validate:"bytes=200"` // empty: no authorization needed
-	Subsets           []string `toml:"subsets" validate:"max=1000"`
-	MaxCanaryFraction *float64 `toml:"max_share" validate:"omitempty,gt=0,lte=1"`             // of its requests to a canary; 1
-	Rollouts          *int     `toml:"rollouts" validate:"omitempty,gte=0,lte=100"`           // at once; 1, and no tenant has more. 0: it may begin none
-	ChangesPerMinute  float64  `toml:"changes_per_minute" validate:"omitempty,gt=0,lte=6000"` // 10; so many at once, then one as each comes free
-	MaxBudget         int64    `toml:"max_budget" validate:"omitempty,gt=0,lte=1000000"`      // units of one rollout; 1,000
+	Name    string   `toml:"name" validate:"bytes=100,excludesall=/"`
+	Token   string   `toml:"token" validate:"bytes=200"` // empty if no authorization is needed
+	Subsets []string `toml:"subsets" validate:"max=1000"`
+	// MaxCanaryFraction is the maximum fraction of the tenant's requests that a canary receives; 1 if missing.
+	MaxCanaryFraction *float64 `toml:"max_share" validate:"omitempty,gt=0,lte=1"`
+	// Rollouts is the maximum number of concurrent rollouts of the tenant; 1 if missing, 0 forbids rollouts. Values above
+	// 1 have no effect, as a tenant can have only one rollout at a time.
+	Rollouts *int `toml:"rollouts" validate:"omitempty,gte=0,lte=100"`
+	// ChangesPerMinute limits the rate of the tenant's changes, and is also the permitted burst; 10 if missing.
+	ChangesPerMinute float64 `toml:"changes_per_minute" validate:"omitempty,gt=0,lte=6000"`
+	// MaxBudget is the maximum budget of one rollout, in units; 1000 if missing.
+	MaxBudget int64 `toml:"max_budget" validate:"omitempty,gt=0,lte=1000000"`
 }
 
-// Load reads an operators' file. Errors name file, line and key.
+// Load reads and validates an operators' file. Errors contain the file, the line and the key.
 func Load(path string) (*Operators, error) {
 	info, err := os.Stat(path)
 	if err != nil {
 		return nil, fmt.Errorf("operators' file: %w", err)
 	}
 	if info.Size() > maxOperatorsFileBytes {
-		return nil, fmt.Errorf("operators' file %s: has %d bytes, %d at most", path, info.Size(), maxOperatorsFileBytes)
+		return nil, fmt.Errorf("operators' file %s: its size of %d bytes exceeds the maximum of %d bytes", path, info.Size(), maxOperatorsFileBytes)
 	}
 	text, err := os.ReadFile(path)
 	if err != nil {
 		return nil, fmt.Errorf("operators' file: %w", err)
 	}
 	o := &Operators{}
-	at, err := tomlfile.Decode(path, text, o)
+	lines, err := tomlfile.Decode(path, text, o)
 	if err != nil {
 		return nil, fmt.Errorf("operators' file %w", err)
 	}
-	bad := NewValidator().Check(o)
-	if bad == nil {
-		bad = o.check()
+	invalid := NewValidator().Check(o)
+	if invalid == nil {
+		invalid = o.checkConsistency()
 	}
-	if bad != nil {
-		return nil, fmt.Errorf("operators' file %w", &tomlfile.Error{File: path, Line: at.Line(bad.Field), Key: bad.Field, Text: bad.Text})
+	if invalid != nil {
+		return nil, fmt.Errorf("operators' file %w", &tomlfile.Error{File: path, Line: lines.Line(invalid.Field), Key: invalid.Field, Text: invalid.Text})
 	}
-	o.defaults()
+	o.setDefaults()
 	return o, nil
 }
 
-// check validates the keys against each other.
-func (o *Operators) check() *InvalidValue {
-	d := o.ControllerOptions()
-	if d.ShutOutAfter <= d.StragglerAfter {
-		return &InvalidValue{"shut_after", fmt.Sprintf("%d ms is not after behind_after, %d ms", d.ShutOutAfter, d.StragglerAfter)}
+// checkConsistency checks keys whose valid values depend on other keys.
+func (o *Operators) checkConsistency() *InvalidValue {
+	options := o.ControllerOptions()
+	if options.ShutOutAfter <= options.StragglerAfter {
+		return &InvalidValue{"shut_after", fmt.Sprintf("%d ms is not greater than behind_after (%d ms)", options.ShutOutAfter, options.StragglerAfter)}
 	}
-	if d.DropAfter < 2*d.LeaseTerm {
-		return &InvalidValue{"remember", fmt.Sprintf("%d ms is less than two terms of %d ms", d.DropAfter, d.LeaseTerm)}
+	if options.DropAfter < 2*options.LeaseTerm {
+		return &InvalidValue{"remember", fmt.Sprintf("%d ms is less than two terms of %d ms each", options.DropAfter, options.LeaseTerm)}
 	}
 	for i, s := range o.Subsets {
 		if len(s.Model)+len(s.Pod)+len(s.Zone)+len(s.UID) == 0 {
-			return &InvalidValue{fmt.Sprintf("subset[%d]", i), "selects all servers: it needs model, pod_group, az or uid"}
+			return &InvalidValue{fmt.Sprintf("subset[%d]", i), "selects all servers: set model, pod_group, az or uid"}
 		}
 	}
 	for i, t := range o.Tenants {
 		if slices.Contains([]string{emptyTenantPath, "reports", "units", "schema", "processes", "audit"}, t.Name) {
-			return &InvalidValue{fmt.Sprintf("tenant[%d].name", i), fmt.Sprintf("%q has another meaning in paths", t.Name)}
+			return &InvalidValue{fmt.Sprintf("tenant[%d].name", i), fmt.Sprintf("%q is reserved in paths", t.Name)}
 		}
 		for k, name := range t.Subsets {
 			if _, ok := o.Subset(name); !ok {
-				return &InvalidValue{fmt.Sprintf("tenant[%d].subsets[%d]", i, k), fmt.Sprintf("there is no subset %q", name)}
+				return &InvalidValue{fmt.Sprintf("tenant[%d].subsets[%d]", i, k), fmt.Sprintf("subset %q does not exist", name)}
 			}
 		}
 	}
 	return nil
 }
 
-func (o *Operators) defaults() {
+// setDefaults sets the missing limits of tenants to their defaults.
+func (o *Operators) setDefaults() {
 	for i := range o.Tenants {
 		t := &o.Tenants[i]
 		if t.MaxCanaryFraction == nil {
@@ -135,7 +141,7 @@
 	}
 }
 
-// Subset finds a subset by its name.
+// Subset returns the subset with a name.
 func (o *Operators) Subset(name string) (route.Subset, bool) {
 	for _, s := range o.Subsets {
 		if s.Name == name {
@@ -145,10 +151,10 @@
 	return route.Subset{}, false
 }
 
-// emptyTenantPath stands for the empty tenant name in paths and in the state of routes.
+// emptyTenantPath replaces the empty tenant name in paths and in the state of routes.
 const emptyTenantPath = "-"
 
-// StateTenantName gives the name under which the state of routes keeps a tenant.
+// StateTenantName returns the name of a tenant in the state of routes.
 func StateTenantName(name string) string {
 	if name == "" {
 		return emptyTenantPath
@@ -156,7 +162,8 @@
 	return name
 }
 
-// ConfiguredTenantName gives the name that settings and processes use for a tenant of the state of routes.
+// ConfiguredTenantName returns the name that settings and processes use for a tenant, given its name in a path or in the
+// state of routes.
 func ConfiguredTenantName(name string) string {
 	if name == emptyTenantPath {
 		return ""
@@ -164,38 +171,38 @@
 	return name
 }
 
-// Tenant finds a tenant by its name in a path.
-func (o *Operators) Tenant(part string) (*Tenant, bool) {
-	i := slices.IndexFunc(o.Tenants, func(t Tenant) bool { return t.Name == ConfiguredTenantName(part) })
+// Tenant returns the tenant with a name in a path.
+func (o *Operators) Tenant(pathName string) (*Tenant, bool) {
+	i := slices.IndexFunc(o.Tenants, func(t Tenant) bool { return t.Name == ConfiguredTenantName(pathName) })
 	if i < 0 {
 		return nil, false
 	}
 	return &o.Tenants[i], true
 }
 
-// TokenMatches reports whether a request carries a tenant's token. Where the token is empty, every request does.
+// TokenMatches reports whether a request carries the given token. An empty token matches every request.
 func TokenMatches(token string, r *http.Request) bool {
 	if token == "" {
 		return true
 	}
 	given, ok := strings.CutPrefix(r.Header.Get("Authorization"), "Bearer ")
-	a, b := sha256.Sum256([]byte(given)), sha256.Sum256([]byte(token)) // of one length, whatever was given
+	a, b := sha256.Sum256([]byte(given)), sha256.Sum256([]byte(token)) // equal lengths, so that the comparison takes constant time
 	return ok && subtle.ConstantTimeCompare(a[:], b[:]) == 1
 }
 
-// InvalidValue is an invalid value: the name of its key or field, and the bound that it violates.
+// InvalidValue describes an invalid value: its key and the bound that it violates.
 type InvalidValue struct {
 	Field string
 	Text  string
 }
 
-// Validator checks the bounds that validate tags set, for files and for request bodies alike.
+// Validator checks the bounds in validate tags, both of files and of request bodies.
 type Validator struct{ v *validator.Validate }
 
-// NewValidator makes a validator of the tags in this package and in request bodies.
+// NewValidator returns a validator that supports the tags used in this package and in request bodies.
 func NewValidator() Validator {
 	v := validator.New(validator.WithRequiredStructEnabled())
-	// The validator's max counts characters of a text; stored size is in bytes. An invalid bound in a tag panics.
+	// The built-in max counts the characters of a string, but the limits of stored data are in bytes.
 	if err := v.RegisterValidation("bytes", checkMaxBytes); err != nil {
 		panic(err)
 	}
@@ -207,35 +214,36 @@
 		}
 		return f.Name
 	})
-	// A duration of a file is compared as one.
+	// Compare a duration with bounds such as 500ms, not as an integer.
 	v.RegisterCustomTypeFunc(func(f reflect.Value) any { return time.Duration(f.Int()) }, tomlfile.Duration(0))
 	return Validator{v}
 }
 
+// checkMaxBytes implements the tag bytes=N. It panics if N is not a number.
 func checkMaxBytes(f validator.FieldLevel) bool {
 	limit, err := strconv.Atoi(f.Param())
 	if err != nil {
-		panic(fmt.Sprintf("registry: the bound bytes=%s of %s is no number", f.Param(), f.FieldName()))
+		panic(fmt.Sprintf("registry: validate tag bytes=%s of field %s is not a number", f.Param(), f.FieldName()))
 	}
 	return len(f.Field().String()) <= limit
 }
 
-// Check returns the first value that violates its validate tag.
-func (r Validator) Check(v any) *InvalidValue {
-	err := r.v.Struct(v)
+// Check returns the first value that violates its validate tag, or nil if there is none.
+func (v Validator) Check(value any) *InvalidValue {
+	err := v.v.Struct(value)
 	if err == nil {
 		return nil
 	}
-	var all validator.ValidationErrors
-	if !errors.As(err, &all) || len(all) == 0 {
+	var violations validator.ValidationErrors
+	if !errors.As(err, &violations) || len(violations) == 0 {
 		return &InvalidValue{"", err.Error()}
 	}
-	e := all[0]
-	_, field, _ := strings.Cut(e.Namespace(), ".")
-	return &InvalidValue{field, boundText(e)}
+	first := violations[0]
+	_, field, _ := strings.Cut(first.Namespace(), ".")
+	return &InvalidValue{field, boundText(first)}
 }
 
-// boundText is the error text of a violated bound.
+// boundText returns the error text for a violated bound. It is also sent in HTTP responses.
 func boundText(e validator.FieldError) string {
 	value := fmt.Sprint(e.Value())
 	if d, ok := e.Value().(tomlfile.Duration); ok {
@@ -272,14 +280,14 @@
 	return fmt.Sprintf("%s breaks the bound %s %s", value, e.Tag(), e.Param())
 }
 
-// ControllerOptions returns the options of the controller, with defaults for the keys that the file leaves out.
+// ControllerOptions returns the options of the rollout controller, with defaults for missing keys.
 func (o *Operators) ControllerOptions() rollout.Options {
-	out := rollout.Defaults()
+	options := rollout.Defaults()
 	for _, d := range []struct {
 		to   *int64
 		from tomlfile.Duration
-	}{{&out.LeaseTerm, o.LeaseTerm}, {&out.StragglerAfter, o.StragglerAfter}, {&out.ShutOutAfter, o.ShutOutAfter}, {&out.GoneAfter, o.GoneAfter},
-		{&out.DropAfter, o.DropAfter}} {
+	}{{&options.LeaseTerm, o.LeaseTerm}, {&options.StragglerAfter, o.StragglerAfter}, {&options.ShutOutAfter, o.ShutOutAfter}, {&options.GoneAfter, o.GoneAfter},
+		{&options.DropAfter, o.DropAfter}} {
 		if d.from > 0 {
 			*d.to = d.from.Duration().Milliseconds()
 		}
@@ -287,10 +295,10 @@
 	for _, f := range []struct {
 		to   *float64
 		from float64
-	}{{&out.MaxStragglerFraction, o.MaxStragglerFraction}, {&out.ClockMargin, o.ClockMargin}, {&out.Alpha, o.Alpha}} {
+	}{{&options.MaxStragglerFraction, o.MaxStragglerFraction}, {&options.ClockMargin, o.ClockMargin}, {&options.Alpha, o.Alpha}} {
 		if f.from > 0 {
 			*f.to = f.from
 		}
 	}
-	return out
+	return options
 }
