--- a/internal/registry/agent/agent.go
+++ b/internal/registry/agent/agent.go
@@ -96,7 +96,8 @@
 			case errors.Is(err, state.ErrDrained) && !acknowledged && !bootAdjusted:
 				bootAdjusted, next = true, 0
 				if boot, err := r.listedBoot(ctx); err == nil && boot >= r.Entry.BootMS {
-					r.Log.Warn("register: start time is not later than that of the previous start; the clock was set back", "uid", r.Entry.UID)
+					r.Log.Warn("register: start time is not later than that of the previous start; the clock was set back",
+						"uid", r.Entry.UID)
 					r.Entry.BootMS = boot + 1
 				}
 			case errors.Is(err, state.ErrUnknown): // the lease has expired
@@ -195,7 +196,8 @@
 
 // callAnyReplica calls the replicas in turn, starting with the one that responded last, until one responds. It returns
 // the last error if none does.
-func (r *Registrar) callAnyReplica(ctx context.Context, method, pathSuffix string, body []byte) (response []byte, lastErr error) {
+func (r *Registrar) callAnyReplica(ctx context.Context, method, pathSuffix string, body []byte) (
+	response []byte, lastErr error) {
 	for range r.Replicas {
 		response, err := r.call(ctx, r.Replicas[r.lastReplica], method, pathSuffix, body)
 		if err == nil || errors.Is(err, state.ErrUnknown) || errors.Is(err, state.ErrDrained) {
@@ -214,7 +216,8 @@
 func (r *Registrar) call(ctx context.Context, address, method, pathSuffix string, body []byte) ([]byte, error) {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
-	req, err := http.NewRequestWithContext(ctx, method, "http://"+address+listserver.ListPath+"/"+url.PathEscape(r.Entry.UID)+pathSuffix, bytes.NewReader(body))
+	req, err := http.NewRequestWithContext(ctx, method,
+		"http://"+address+listserver.ListPath+"/"+url.PathEscape(r.Entry.UID)+pathSuffix, bytes.NewReader(body))
 	if err != nil {
 		return nil, fmt.Errorf("register: %w", err)
 	}
--- a/internal/registry/listserver/server.go
+++ b/internal/registry/listserver/server.go
@@ -117,7 +117,8 @@
 // New returns a server for a hub whose state the replica changes. Changes are published only while Run is running.
 func New(h *Hub, r Replica, o Options) *Server {
 	o.SetDefaults()
-	s := &Server{hub: h, replica: r, log: o.Log, changed: make(chan struct{}, 1), leases: state.NewLeases(), admission: NewTokenBucket(o.AdmissionBurst)}
+	s := &Server{hub: h, replica: r, log: o.Log, changed: make(chan struct{}, 1),
+		leases: state.NewLeases(), admission: NewTokenBucket(o.AdmissionBurst)}
 	s.options.Store(&o)
 	s.metrics = newMetrics(s)
 	return s
--- a/internal/registry/listserver/status.go
+++ b/internal/registry/listserver/status.go
@@ -41,7 +41,8 @@
 		status.Rev, status.Epoch, status.Entries, status.Members = st.Rev(), state.EpochOf(st.Rev()), st.Len(), st.Members()
 		st.Leased(func(string, int64, time.Duration) { status.Leased++ })
 	})
-	status.HeldEntries, status.Watches, status.StalenessMS = s.leases.HeldCount(), s.watches.Load(), s.replica.Staleness().Milliseconds()
+	status.HeldEntries, status.Watches, status.StalenessMS =
+		s.leases.HeldCount(), s.watches.Load(), s.replica.Staleness().Milliseconds()
 	status.DiskMS = float64(s.replica.LastDiskWriteTime()) / float64(time.Millisecond)
 	return status
 }
@@ -82,21 +83,30 @@
 // newMetrics returns the metrics of a server in a registry of their own.
 func newMetrics(s *Server) *metrics {
 	m := &metrics{
-		registry:        prometheus.NewRegistry(),
-		rejectedReaders: prometheus.NewCounter(prometheus.CounterOpts{Name: "registry_readers_turned_away_total", Help: "Readers told to come later."}),
-		slowWatchers:    prometheus.NewCounter(prometheus.CounterOpts{Name: "registry_watchers_ended_total", Help: "Watchers ended for being slow."}),
-		watchBytes:      prometheus.NewCounter(prometheus.CounterOpts{Name: "registry_watch_bytes_total", Help: "Bytes of lines written to watchers."}),
+		registry: prometheus.NewRegistry(),
+		rejectedReaders: prometheus.NewCounter(prometheus.CounterOpts{Name: "registry_readers_turned_away_total",
+			Help: "Readers told to come later."}),
+		slowWatchers: prometheus.NewCounter(prometheus.CounterOpts{Name: "registry_watchers_ended_total",
+			Help: "Watchers ended for being slow."}),
+		watchBytes: prometheus.NewCounter(prometheus.CounterOpts{Name: "registry_watch_bytes_total",
+			Help: "Bytes of lines written to watchers."}),
 	}
 	gauge := func(name, help string, value func(Status) float64) prometheus.Collector {
 		return prometheus.NewGaugeFunc(prometheus.GaugeOpts{Name: name, Help: help}, func() float64 { return value(s.Status()) })
 	}
 	m.registry.MustRegister(m.rejectedReaders, m.slowWatchers, m.watchBytes,
-		gauge("registry_revision", "Revision of the last change.", func(status Status) float64 { return float64(status.Rev) }),
-		gauge("registry_entries", "Entries in the list.", func(status Status) float64 { return float64(status.Entries) }),
-		gauge("registry_entries_held", "Entries kept although their leases have ended.", func(status Status) float64 { return float64(status.HeldEntries) }),
-		gauge("registry_watches", "Watches that are open.", func(status Status) float64 { return float64(status.Watches) }),
-		gauge("registry_heard_seconds", "How old at most what this copy tells is.", func(status Status) float64 { return float64(status.StalenessMS) / 1000 }),
-		gauge("registry_disk_seconds", "Time that the last write to this copy's disk took.", func(status Status) float64 { return status.DiskMS / 1000 }),
+		gauge("registry_revision", "Revision of the last change.",
+			func(status Status) float64 { return float64(status.Rev) }),
+		gauge("registry_entries", "Entries in the list.",
+			func(status Status) float64 { return float64(status.Entries) }),
+		gauge("registry_entries_held", "Entries kept although their leases have ended.",
+			func(status Status) float64 { return float64(status.HeldEntries) }),
+		gauge("registry_watches", "Watches that are open.",
+			func(status Status) float64 { return float64(status.Watches) }),
+		gauge("registry_heard_seconds", "How old at most what this copy tells is.",
+			func(status Status) float64 { return float64(status.StalenessMS) / 1000 }),
+		gauge("registry_disk_seconds", "Time that the last write to this copy's disk took.",
+			func(status Status) float64 { return status.DiskMS / 1000 }),
 		prometheus.NewCounterFunc(prometheus.CounterOpts{Name: "registry_disk_writes_total", Help: "Writes to this copy's disk since its start."},
 			func() float64 { return float64(s.replica.DiskWrites()) }),
 		gauge("registry_leads", "1 at the copy that leads.", func(status Status) float64 {
--- a/internal/registry/operators/operators.go
+++ b/internal/registry/operators/operators.go
@@ -89,7 +89,8 @@
 		invalid = o.checkConsistency()
 	}
 	if invalid != nil {
-		return nil, fmt.Errorf("operators' file %w", &tomlfile.Error{File: path, Line: lines.Line(invalid.Field), Key: invalid.Field, Text: invalid.Text})
+		return nil, fmt.Errorf("operators' file %w",
+			&tomlfile.Error{File: path, Line: lines.Line(invalid.Field), Key: invalid.Field, Text: invalid.Text})
 	}
 	o.setDefaults()
 	return o, nil
