--- a/internal/audit/log_test.go
+++ b/internal/audit/log_test.go
@@ -14,10 +14,10 @@
 	var l Log
 	add := func(kind TransitionKind, rev, n int64) bool {
 		before, ts := l.Len(), []Transition{{Process: testProcess("a"), AtMS: 5, Kind: kind, Rev: rev, Attempts: n}}
-		fresh := len(l.Fresh(ts))
+		fresh := len(l.FilterNew(ts))
 		l.Add(ts)
 		if fresh != l.Len()-before {
-			t.Errorf("%s %d: %d are fresh, %d were added", kind, rev, fresh, l.Len()-before)
+			t.Errorf("%s %d: FilterNew returned %d, Add added %d", kind, rev, fresh, l.Len()-before)
 		}
 		return fresh > 0
 	}
@@ -34,9 +34,9 @@
 			t.Errorf("%d: %s %d, %d: added %v", i, c.kind, c.rev, c.n, got)
 		}
 	}
-	// Two final counts of one revision contradict each other, whatever is asked.
+	// Two different final counts of one revision contradict each other, so every verdict is Unknown.
 	tracker := NewTracker(TrackerOptions{}, "x", 0)
-	for _, a := range tracker.Answers(Query{Rev: 1, From: math.MinInt64, To: 40, CommittedAt: math.MinInt64, Now: 50}, &l) {
+	for _, a := range tracker.Verdicts(Query{Rev: 1, From: math.MinInt64, To: 40, CommittedAt: math.MinInt64, Now: 50}, &l) {
 		if a.Verdict != Unknown {
 			t.Errorf("%+v", a)
 		}
@@ -50,11 +50,11 @@
 	}
 	sum := 0
 	for p := range l.byProcess {
-		sum += len(l.Of(p))
+		sum += len(l.OfProcess(p))
 	}
 	if l.Len() != MaxLogTransitions || sum != MaxLogTransitions || l.entries[0].Rev != 500 ||
 		len(l.Since(1000+MaxLogTransitions)) != 500 {
-		t.Errorf("%d transitions, %d by process, from %+v on", l.Len(), sum, l.entries[0])
+		t.Errorf("%d transitions, %d by process, the oldest is %+v", l.Len(), sum, l.entries[0])
 	}
 	l.Add([]Transition{{Process: testProcess("late"), AtMS: l.entries[50].AtMS + MaxLogAgeMS, Kind: FirstReport, Rev: 1}})
 	if l.entries[0].Rev != 550 {
@@ -79,7 +79,7 @@
 	if err := json.Unmarshal(text, &restored); err != nil {
 		t.Fatal(err)
 	}
-	if diff := cmp.Diff(l.Since(0), restored.Since(0)); diff != "" || len(restored.Of(testProcess("b"))) != 1 {
+	if diff := cmp.Diff(l.Since(0), restored.Since(0)); diff != "" || len(restored.OfProcess(testProcess("b"))) != 1 {
 		t.Error(diff)
 	}
 	for text, want := range map[string]string{
--- a/internal/registry/routeleader/reports.go
+++ b/internal/registry/routeleader/reports.go
@@ -38,7 +38,7 @@
 		}
 		for _, name := range slices.Sorted(maps.Keys(s.Processes)) {
 			p := s.Processes[name]
-			if _, ok := named[name]; !ok && l.wall(now)-p.AtMS <= l.o.ForgetAfter && !excused(p.Schemas) {
+			if _, ok := named[name]; !ok && l.wall(now)-p.AtMS <= l.o.DropAfter && !excused(p.Schemas) {
 				all = append(all, p)
 			}
 		}
@@ -77,7 +77,7 @@
 			l.processes.observe(s, a.request, l.wall(now))
 			l.processes.queueTransitions(s, l.processes.tracker.Report(l.ceil(now), l.wall(now), a.request))
 		})
-		answer.Stamp = route.Moment{Leader: l.id, MS: l.floor(now)}
+		answer.Stamp = route.LeaderTime{Leader: l.id, MS: l.floor(now)}
 		if answer.Resync {
 			encoded, err := line.text(a.request.Schemas)
 			if err != nil {
--- a/internal/rollout/lease_test.go
+++ b/internal/rollout/lease_test.go
@@ -9,7 +9,8 @@
 	. "marblelane/internal/rollout"
 )
 
-// TestLease_clockRates has sidecars whose clocks are slow by up to the margin, while a revision is closed.
+// TestLease_clockRates checks that no sidecar uses the canary under a closed revision, with clocks that are slow by up to
+// the margin.
 func TestLease_clockRates(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		o := Defaults()
@@ -22,7 +23,7 @@
 			for i := range f.sidecars {
 				own := int64(float64(now) * rates[i])
 				if c := &f.sidecars[i]; c.MayUseCanary(own) {
-					require.Greater(t, c.ActingRev, f.state.Closed())
+					require.Greater(t, c.TableRev, f.state.ClosedRev())
 				}
 				if rapid.IntRange(0, 9).Draw(t, "reports") == 0 {
 					f.report(now, i, rapid.IntRange(0, 3).Draw(t, "follows") == 0)
--- a/internal/sidecar/discovery/client_test.go
+++ b/internal/sidecar/discovery/client_test.go
@@ -36,7 +36,7 @@
 
 // A watch posts an event for each change, each heartbeat, each full list and its end.
 func TestWatch_eventKinds(t *testing.T) {
-	r := sidecartest.NewRegistry(t)
+	r := sidecartest.NewFakeDiscovery(t)
 	client, events := newTestClient(t, r.Addr())
 	client.Revision.Store(41)
 	client.Watch(t.Context(), 0)
@@ -44,13 +44,13 @@
 	if call.Query != "watch=1&after=41" {
 		t.Errorf("unexpected query %q", call.Query)
 	}
-	call.Send(t, endpointlist.List{Rev: 43, Targets: []endpointlist.Target{sidecartest.Ready("a", "127.0.0.1:1")}})
+	call.SendList(t, endpointlist.List{Rev: 43, Targets: []endpointlist.Target{sidecartest.Ready("a", "127.0.0.1:1")}})
 	if n := sidecartest.Receive(t, "the change", events); n.Kind != balance.ListDelta || n.List.Rev != 43 || n.List.Targets[0].UID != "a" {
 		t.Errorf("%+v", n)
 	}
-	call.Line(t, "")
+	call.SendLine(t, "")
 	expectEvent(t, "the heartbeat", events, balance.ListUnchanged)
-	call.Send(t, endpointlist.List{Rev: 44, All: true})
+	call.SendList(t, endpointlist.List{Rev: 44, All: true})
 	expectEvent(t, "the list", events, balance.ListFull)
 	close(call.Lines)
 	expectEvent(t, "the end", events, balance.ListFailed)
@@ -61,7 +61,7 @@
 
 // Each failed call is reported once. The client does not repeat it by itself.
 func TestCall_failureReportedOnce(t *testing.T) {
-	r := sidecartest.NewRegistry(t)
+	r := sidecartest.NewFakeDiscovery(t)
 	client, events := newTestClient(t, r.Addr())
 	for name, call := range map[string]func(context.Context, int){"watch": client.Watch, "list": client.Fetch} {
 		call(t.Context(), 0)
@@ -78,11 +78,11 @@
 
 // A fetch posts one event with the full list.
 func TestFetch_fullList(t *testing.T) {
-	r := sidecartest.NewRegistry(t)
+	r := sidecartest.NewFakeDiscovery(t)
 	client, events := newTestClient(t, r.Addr())
 	client.Fetch(t.Context(), 0)
 	call := sidecartest.Receive(t, "the call", r.Calls)
-	call.Send(t, endpointlist.List{Rev: 7, All: true, Targets: []endpointlist.Target{sidecartest.Ready("a", "127.0.0.1:1")}})
+	call.SendList(t, endpointlist.List{Rev: 7, All: true, Targets: []endpointlist.Target{sidecartest.Ready("a", "127.0.0.1:1")}})
 	close(call.Lines)
 	if n := sidecartest.Receive(t, "the list", events); n.Kind != balance.ListFull || len(n.List.Targets) != 1 {
 		t.Errorf("%+v", n)
@@ -94,19 +94,19 @@
 
 // A watch that receives no line within the watch timeout ends although its connection is open.
 func TestWatch_silentEnds(t *testing.T) {
-	r := sidecartest.NewRegistry(t)
+	r := sidecartest.NewFakeDiscovery(t)
 	client, events := newTestClient(t, r.Addr())
 	client.timeouts.Watch = 50 * time.Millisecond
 	client.Watch(t.Context(), 0)
 	call := sidecartest.Receive(t, "the call", r.Calls)
-	call.Send(t, endpointlist.List{Rev: 1})
+	call.SendList(t, endpointlist.List{Rev: 1})
 	sidecartest.Receive(t, "the first line", events)
 	if n := sidecartest.Receive(t, "the end", events); n.Kind != balance.ListFailed || n.Busy { // the connection is broken: not busy
 		t.Errorf("%+v", n)
 	}
 	select {
-	case <-call.Gone:
-	case <-time.After(sidecartest.Patience):
+	case <-call.Cancelled:
+	case <-time.After(sidecartest.WaitTimeout):
 		t.Error("the silent connection is still open")
 	}
 }
@@ -129,14 +129,14 @@
 
 // A watch that another watch has replaced posts no more events.
 func TestWatch_replaced(t *testing.T) {
-	r := sidecartest.NewRegistry(t)
+	r := sidecartest.NewFakeDiscovery(t)
 	client, events := newTestClient(t, r.Addr())
 	client.Watch(t.Context(), 0)
 	first := sidecartest.Receive(t, "the first call", r.Calls)
 	client.Watch(t.Context(), 0)
 	second := sidecartest.Receive(t, "the second call", r.Calls)
-	sidecartest.Receive(t, "the end of the first call", first.Gone)
-	second.Send(t, endpointlist.List{Rev: 2})
+	sidecartest.Receive(t, "the end of the first call", first.Cancelled)
+	second.SendList(t, endpointlist.List{Rev: 2})
 	if n := sidecartest.Receive(t, "the list of the second call", events); n.Kind != balance.ListDelta || len(events) > 0 {
 		t.Errorf("%+v", n)
 	}
--- a/internal/sidecar/discovery/lists_test.go
+++ b/internal/sidecar/discovery/lists_test.go
@@ -113,7 +113,7 @@
 
 // While an agent does not respond, further calls are made. The first one that gets a response becomes the watch.
 func TestSubscribe_agentReturns(t *testing.T) {
-	r := sidecartest.NewAgent(t)
+	r := sidecartest.NewDrainedDiscovery(t)
 	client, events := newTestClient(t, r.Addr())
 	client.timeouts.PushedDelay, client.timeouts.Call = 5*time.Millisecond, time.Hour
 	ctx, cancel := context.WithCancel(t.Context())
@@ -122,7 +122,7 @@
 	for range 8 { // the agent is down and never responds to these
 		sidecartest.Receive(t, "another call", r.Calls)
 	}
-	sidecartest.AnswerAll(t, r, endpointlist.List{Rev: 7})
+	sidecartest.RespondToAll(t, r, endpointlist.List{Rev: 7})
 	if n := sidecartest.Receive(t, "its list", events); n.List.Rev != 7 {
 		t.Errorf("%+v", n)
 	}
@@ -130,28 +130,28 @@
 
 // A watch that receives no lines is closed, and the next call to the agent requests the changes that it missed.
 func TestSubscribe_silentAgent(t *testing.T) {
-	r := sidecartest.NewAgent(t)
+	r := sidecartest.NewDrainedDiscovery(t)
 	client, events := newTestClient(t, r.Addr())
 	client.timeouts.PushedDelay, client.timeouts.Watch = 50*time.Millisecond, 50*time.Millisecond
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
 	client.Subscribe(ctx)
 	first := sidecartest.Receive(t, "the watch", r.Calls)
-	first.Line(t, "")
+	first.SendLine(t, "")
 	if n := sidecartest.Receive(t, "the heartbeat", events); n.Kind != balance.ListUnchanged {
 		t.Errorf("%+v", n)
 	}
-	sidecartest.AnswerAll(t, r, endpointlist.List{Rev: 7})
+	sidecartest.RespondToAll(t, r, endpointlist.List{Rev: 7})
 	if n := sidecartest.Receive(t, "the change", events); n.List.Rev != 7 {
 		t.Errorf("%+v", n)
 	}
-	sidecartest.Receive(t, "the end of the silent watch", first.Gone)
+	sidecartest.Receive(t, "the end of the silent watch", first.Cancelled)
 }
 
 // On a busy machine the response comes late. The patient call waits for it whatever happens to the eager calls, and
 // then becomes the watch.
 func TestSubscribe_slowAgent(t *testing.T) {
-	r := sidecartest.NewAgent(t)
+	r := sidecartest.NewDrainedDiscovery(t)
 	client, events := newTestClient(t, r.Addr())
 	client.timeouts.PushedDelay, client.timeouts.Call, client.timeouts.Watch = 5*time.Millisecond, time.Hour, time.Hour
 	ctx, cancel := context.WithCancel(t.Context())
@@ -159,13 +159,13 @@
 	client.Subscribe(ctx)
 	first := sidecartest.Receive(t, "the watch", r.Calls)
 	for range 3 {
-		sidecartest.Receive(t, "the end of the eager call", sidecartest.Receive(t, "an eager call", r.Calls).Gone)
+		sidecartest.Receive(t, "the end of the eager call", sidecartest.Receive(t, "an eager call", r.Calls).Cancelled)
 	}
-	first.Send(t, endpointlist.List{Rev: 7})
+	first.SendList(t, endpointlist.List{Rev: 7})
 	if n := sidecartest.Receive(t, "the list", events); n.List.Rev != 7 {
 		t.Errorf("%+v", n)
 	}
-	first.Send(t, endpointlist.List{Rev: 8})
+	first.SendList(t, endpointlist.List{Rev: 8})
 	if n := sidecartest.Receive(t, "the change", events); n.List.Rev != 8 {
 		t.Errorf("%+v", n)
 	}
@@ -173,7 +173,7 @@
 
 // Pauses between calls do not grow while the agent is down, as a long pause could begin just before it recovers.
 func TestSubscribe_constantPauses(t *testing.T) {
-	r := sidecartest.NewAgent(t)
+	r := sidecartest.NewDrainedDiscovery(t)
 	client, _ := newTestClient(t, r.Addr())
 	client.timeouts.PushedDelay = 5 * time.Millisecond
 	ctx, cancel := context.WithCancel(t.Context())
@@ -184,10 +184,10 @@
 		call := sidecartest.Receive(t, "the next call", r.Calls)
 		select {
 		case call.Fail <- http.StatusServiceUnavailable:
-		case <-call.Gone:
+		case <-call.Cancelled:
 		}
 	}
-	if took := time.Since(startedAt); took > sidecartest.Patience {
+	if took := time.Since(startedAt); took > sidecartest.WaitTimeout {
 		t.Errorf("20 calls took %v", took)
 	}
 }
--- a/internal/sidecar/management_test.go
+++ b/internal/sidecar/management_test.go
@@ -38,13 +38,13 @@
 }
 
 func TestHealthcheck_waitsForList(t *testing.T) {
-	discovery := sidecartest.NewRegistry(t)
+	discovery := sidecartest.NewFakeDiscovery(t)
 	s := start(t, configtest.WithManagement(configtest.NewConf(discovery.Addr())))
 	if status, text := s.requestManagement(t, "GET", healthPath); status != 503 {
 		t.Errorf("without a list: %d %q", status, text)
 	}
 	call := sidecartest.Receive(t, "the watch", discovery.Calls)
-	call.Send(t, endpointlist.List{Rev: 2, All: true, Targets: []endpointlist.Target{sidecartest.Ready("a", "127.0.0.1:1")}})
+	call.SendList(t, endpointlist.List{Rev: 2, All: true, Targets: []endpointlist.Target{sidecartest.Ready("a", "127.0.0.1:1")}})
 	sidecartest.Until(t, "the list to be applied", func() bool {
 		status, _ := s.requestManagement(t, "GET", healthPath)
 		return status == 200
@@ -76,7 +76,7 @@
 	})
 	draining := sidecartest.Ready("b", "127.0.0.1:1")
 	draining.State = "Terminating"
-	c := configtest.WithManagement(configtest.NewConf(sidecartest.NewRegistry(t).Addr(), b.Target, draining)).ReplaceSetting(`"lookup"`, `"look\"up"`).
+	c := configtest.WithManagement(configtest.NewConf(sidecartest.NewFakeDiscovery(t).Addr(), b.Target, draining)).ReplaceSetting(`"lookup"`, `"look\"up"`).
 		ReplaceSetting(`"open_cap": 20000`, `"open_cap": 1`)
 	s := start(t, c)
 	awaitMetrics := func(lines ...string) {
@@ -122,7 +122,7 @@
 
 // Callers that hold connections without sending a complete request do not shut out other callers.
 func TestManagement_silentCallers(t *testing.T) {
-	s := start(t, configtest.WithManagement(configtest.NewConf(sidecartest.NewRegistry(t).Addr(), sidecartest.Ready("a", "127.0.0.1:1"))))
+	s := start(t, configtest.WithManagement(configtest.NewConf(sidecartest.NewFakeDiscovery(t).Addr(), sidecartest.Ready("a", "127.0.0.1:1"))))
 	for i := range 3 * s.management.Limit() {
 		c, err := net.Dial("tcp", s.ManagementAddr())
 		if err != nil {
@@ -161,7 +161,7 @@
 }
 
 func TestManagement_Off(t *testing.T) {
-	s := start(t, configtest.NewConf(sidecartest.NewRegistry(t).Addr()))
+	s := start(t, configtest.NewConf(sidecartest.NewFakeDiscovery(t).Addr()))
 	if s.ManagementAddr() != "" {
 		t.Errorf("the sidecar listens at %s without a management address", s.ManagementAddr())
 	}
--- a/internal/sidecar/members_test.go
+++ b/internal/sidecar/members_test.go
@@ -57,7 +57,7 @@
 // of it.
 func TestMembersOff(t *testing.T) {
 	b := sidecartest.NewBackend(t, "a", sidecartest.OK)
-	s := start(t, configtest.WithManagement(configtest.NewConf(sidecartest.NewRegistry(t).Addr(), b.Target)))
+	s := start(t, configtest.WithManagement(configtest.NewConf(sidecartest.NewFakeDiscovery(t).Addr(), b.Target)))
 	sidecartest.Until(t, "a server", func() bool { return s.healthy(t) })
 	require.Equal(t, 200, s.do(s.request("lookup", time.Second)).status)
 	stacks := make([]byte, 1<<20)
@@ -93,7 +93,7 @@
 	// On an operator's request the sidecar leaves the fleet and goes on serving.
 	status, text := c.requestManagement(t, "POST", fleet.LeavePath)
 	require.Less(t, status, 300, text)
-	require.True(t, c.loop.Members.Left.Load())
+	require.True(t, c.loop.Members.LeftByOperator.Load())
 	c.awaitMetric(t, "svc_members_admitted 0")
 	a.awaitMetric(t, "svc_members_known 1")
 	a.awaitMetric(t, `svc_members{state="gone"} 2`)
@@ -130,7 +130,7 @@
 	l, err := net.Listen("tcp", sidecartest.Loopback)
 	require.NoError(t, err)
 	b := sidecartest.NewBackend(t, "a", sidecartest.OK)
-	s := start(t, configtest.WithMembership(configtest.NewConf(sidecartest.NewRegistry(t).Addr(), b.Target), "a", l.Addr().String()).
+	s := start(t, configtest.WithMembership(configtest.NewConf(sidecartest.NewFakeDiscovery(t).Addr(), b.Target), "a", l.Addr().String()).
 		ReplaceSetting(`"zones"`, `"peers_total": 3, "zones"`))
 	sidecartest.Until(t, "the health check to succeed", func() bool { return s.healthy(t) })
 	require.Equal(t, 200, s.do(s.request("lookup", time.Second)).status)
@@ -151,7 +151,7 @@
 	l, err := net.Listen("tcp", sidecartest.Loopback)
 	require.NoError(t, err)
 	b := sidecartest.NewBackend(t, "a", sidecartest.OK)
-	c := configtest.WithMembership(upgradable(t, sidecartest.NewRegistry(t).Addr(), b.Target), "a", l.Addr().String())
+	c := configtest.WithMembership(upgradable(t, sidecartest.NewFakeDiscovery(t).Addr(), b.Target), "a", l.Addr().String())
 	require.NoError(t, l.Close())
 	quick := func(s *Sidecar) { s.drainAccept, s.listTimeout = 50*time.Millisecond, 0 }
 	old := start(t, c, quick)
--- a/internal/sidecar/routes_test.go
+++ b/internal/sidecar/routes_test.go
@@ -124,7 +124,7 @@
 	seen []string
 }
 
-func newHeaderRecorder(t *testing.T, uid string, serve sidecartest.ServeOne) *headerRecorder {
+func newHeaderRecorder(t *testing.T, uid string, serve sidecartest.ServeFunc) *headerRecorder {
 	w := &headerRecorder{}
 	w.Backend = sidecartest.NewBackend(t, uid, func(c net.Conn, r *http.Request, body string) bool {
 		w.mu.Lock()
@@ -150,7 +150,7 @@
 const longLease = 60_000 // ms; longer than any test
 
 // startWithRoutes starts a sidecar with routes and two servers, a base server and a canary.
-func startWithRoutes(t *testing.T, s *routesService, serve sidecartest.ServeOne, changes ...func(configtest.Conf)) (r *running, base, canary *headerRecorder) {
+func startWithRoutes(t *testing.T, s *routesService, serve sidecartest.ServeFunc, changes ...func(configtest.Conf)) (r *running, base, canary *headerRecorder) {
 	t.Helper()
 	base, canary = newHeaderRecorder(t, "b", sidecartest.OK), newHeaderRecorder(t, "c", serve)
 	c := configtest.NewConf("127.0.0.1:1", base.Target, canary.Target)
@@ -318,12 +318,12 @@
 	r.awaitRevision(5, true)
 	sampleTimer := time.NewTimer(time.Hour)
 	defer sampleTimer.Stop()
-	router := &routing.Router{Client: r.loop.Routing.Client, Tenants: []string{"kita"}, Routed: map[int]routing.RoutedTenant{0: {}}, SampleTimer: sampleTimer}
+	router := &routing.Router{Client: r.loop.Routing.Client, Tenants: []string{"kita"}, RoutedTenants: map[int]routing.RoutedTenant{0: {}}, SampleTimer: sampleTimer}
 	streamed, held := &inflight.Call{Outbound: &inflight.Outbound{Upload: inflight.NewUpload(-1, nil)}}, &inflight.Call{Outbound: &inflight.Outbound{}}
-	var checks []*routing.Check
+	var checks []*routing.AttemptCheck
 	for _, c := range []*inflight.Call{streamed, held} {
-		check := router.Check(0, c, &balance.Action{RoutesRev: 5})
-		require.EqualValues(t, 5, check.Expect())
+		check := router.NewCheck(0, c, &balance.Action{RoutesRev: 5})
+		require.EqualValues(t, 5, check.ExpectRevision())
 		checks = append(checks, check)
 	}
 	s.set(func() { s.lease = 0 })
--- a/internal/sidecar/sidecartest/watch.go
+++ b/internal/sidecar/sidecartest/raw_discovery.go
@@ -8,16 +8,16 @@
 	"testing"
 )
 
-// Agent is discovery whose connections a test serves by hand.
-type Agent struct{ Conns chan net.Conn }
+// RawDiscovery is a list service whose connections are served by the test.
+type RawDiscovery struct{ Conns chan net.Conn }
 
-// NewHandAgent starts an agent and gives its address.
-func NewHandAgent(t *testing.T) (*Agent, string) {
+// NewRawDiscovery starts a list service and returns it with its address.
+func NewRawDiscovery(t *testing.T) (*RawDiscovery, string) {
 	ln, err := net.Listen("tcp", Loopback)
 	if err != nil {
 		t.Fatal(err)
 	}
-	a := &Agent{Conns: make(chan net.Conn, 1024)}
+	a := &RawDiscovery{Conns: make(chan net.Conn, 1024)}
 	var accepting sync.WaitGroup
 	accepting.Go(func() {
 		for {
@@ -39,10 +39,10 @@
 	return a, ln.Addr().String()
 }
 
-// Next gives the next call, its head read.
-func (a *Agent) Next(t *testing.T) net.Conn {
+// NextCall returns the connection of the next call, after reading the head of the request.
+func (a *RawDiscovery) NextCall(t *testing.T) net.Conn {
 	t.Helper()
-	c := Receive(t, "a call", a.Conns)
+	c := Receive(t, "a call of the list service", a.Conns)
 	t.Cleanup(func() { c.Close() })
 	if _, err := http.ReadRequest(bufio.NewReader(c)); err != nil {
 		t.Fatal(err)
@@ -50,5 +50,5 @@
 	return c
 }
 
-// WatchHead is the head of the answer to a watch.
+// WatchHead is the head of the response to a watch.
 const WatchHead = "HTTP/1.1 200 OK\r\nContent-Type: application/json\r\n\r\n"
--- a/internal/sidecar/watch_faults_test.go
+++ b/internal/sidecar/watch_faults_test.go
@@ -104,11 +104,11 @@
 				a, b := sidecartest.NewBackend(t, "a", sidecartest.OK), sidecartest.NewBackend(t, "b", sidecartest.OK)
 				var responding sync.WaitGroup
 				t.Cleanup(responding.Wait) // runs after the sidecar and the list service are closed, in that order
-				service, addr := sidecartest.NewHandAgent(t)
+				service, addr := sidecartest.NewRawDiscovery(t)
 				r := startWithShortTimeouts(t, configtest.NewConf(addr, a.Target, b.Target).ReplaceSetting(`"discovery": "subscribe"`, `"discovery": "`+mode+`"`))
 				held := mustJSON(t, endpointlist.List{Rev: 41, All: true, Targets: []endpointlist.Target{a.Target, b.Target}})
 				changed := mustJSON(t, endpointlist.List{Rev: 43, All: true, Targets: []endpointlist.Target{b.Target}})
-				misbehave(service.Next(t), held)
+				misbehave(service.NextCall(t), held)
 				r.expectChargesServed(4, "after the fault")
 				responding.Go(func() {
 					for conn := range service.Conns {
@@ -144,7 +144,7 @@
 	ctx, end := context.WithCancel(context.Background())
 	ended := make(chan error, 1)
 	go func() { ended <- s.Run(ctx) }()
-	r := &running{Sidecar: s, t: t, client: &http.Client{Transport: &http.Transport{}, Timeout: sidecartest.Patience}}
+	r := &running{Sidecar: s, t: t, client: &http.Client{Transport: &http.Transport{}, Timeout: sidecartest.WaitTimeout}}
 	t.Cleanup(func() {
 		r.client.CloseIdleConnections()
 		end()
