--- a/cmd/marblelane/registry_serve.go
+++ b/cmd/marblelane/registry_serve.go
@@ -25,7 +25,7 @@
 	if err != nil {
 		return err
 	}
-	fmt.Fprintf(a.out, "ready name=%s listen=%s raft=%s\n", cfg.Name, supervisor.Node().Addr(), cfg.Raft)
+	fmt.Fprintf(a.out, "ready name=%s listen=%s raft=%s\n", cfg.Name, supervisor.Node().Addr(), cfg.RaftListen)
 	ctx, cancel := context.WithCancel(a.ctx)
 	defer cancel()
 	reload := make(chan os.Signal, 1)
--- a/internal/registry/agent/agent.go
+++ b/internal/registry/agent/agent.go
@@ -65,7 +65,7 @@
 	if a.Entry.State == "" {
 		a.Entry.State = state.Ready
 	}
-	if err := a.Entry.Check(); err != nil {
+	if err := a.Entry.Validate(); err != nil {
 		return fmt.Errorf("register: %w", err)
 	}
 	a.client = http.Client{Transport: &http.Transport{DisableKeepAlives: true}}
--- a/internal/registry/config.go
+++ b/internal/registry/config.go
@@ -82,10 +82,10 @@
 	if _, err := tomlfile.Decode(path, text, &f); err != nil {
 		return Config{}, fmt.Errorf("configuration %w", err)
 	}
-	c := Config{start: start, Name: f.Name, Listen: f.Listen, Raft: f.Raft, Advertise: f.Advertise, Dir: f.Dir, Join: f.Join, Peers: f.Peers, Keep: f.Keep,
-		Beat: time.Duration(f.Beat), SlowDisk: time.Duration(f.SlowDisk), Options: listserver.Options{Batch: time.Duration(f.Batch), Watches: f.Watches, Burst: f.Burst,
+	c := Config{start: start, Name: f.Name, Listen: f.Listen, RaftListen: f.Raft, Advertise: f.Advertise, Dir: f.Dir, Join: f.Join, Peers: f.Peers, MaxHistory: f.Keep,
+		HeartbeatInterval: time.Duration(f.Beat), SlowWriteThreshold: time.Duration(f.SlowDisk), Options: listserver.Options{Batch: time.Duration(f.Batch), Watches: f.Watches, Burst: f.Burst,
 			MaxStaleness: time.Duration(f.MaxStaleness), MaxExpiredFraction: f.MaxExpiredFraction, EachEncodes: f.EachEncodes, Planted: f.RouteDefect}}
-	err := c.check()
+	err := c.validate()
 	if err != nil {
 		return Config{}, fmt.Errorf("configuration %s: %w", path, err)
 	}
@@ -106,20 +106,20 @@
 	return c, nil
 }
 
-// check validates the configuration.
-func (c *Config) check() error {
-	for _, k := range []struct{ key, value string }{{"name", c.Name}, {"listen", c.Listen}, {"raft", c.Raft}} {
+// validate validates the configuration.
+func (c *Config) validate() error {
+	for _, k := range []struct{ key, value string }{{"name", c.Name}, {"listen", c.Listen}, {"raft", c.RaftListen}} {
 		if k.value == "" {
 			return fmt.Errorf("%s: is missing", k.key)
 		}
 	}
-	for key, v := range map[string]time.Duration{"beat": c.Beat, "batch": c.Batch, "most_stale": c.MaxStaleness, "slow_disk": c.SlowDisk} {
+	for key, v := range map[string]time.Duration{"beat": c.HeartbeatInterval, "batch": c.Batch, "most_stale": c.MaxStaleness, "slow_disk": c.SlowWriteThreshold} {
 		if v < 0 {
 			return fmt.Errorf("%s: is negative", key)
 		}
 	}
 	switch {
-	case c.Keep < 0:
+	case c.MaxHistory < 0:
 		return errors.New("keep: is negative")
 	case c.Watches < 0 || c.Burst < 0:
 		return errors.New("watches_per_s: it or watch_burst is negative")
@@ -147,9 +147,9 @@
 
 // RecoveryTarget is the replica as package recovery restores it.
 func (c *Config) RecoveryTarget() recovery.Target {
-	address := c.advertised()
+	address := c.advertisedAddress()
 	if address == "" {
-		address = c.Raft
+		address = c.RaftListen
 	}
 	return recovery.Target{Name: c.Name, Dir: c.Dir, Raft: address, Join: c.Join}
 }
--- a/internal/registry/freshness.go
+++ b/internal/registry/freshness.go
@@ -50,8 +50,8 @@
 	}
 }
 
-// since returns the latest time as of which a replica that has applied rev is complete; zero if none.
-func (f *freshness) since(rev int64) time.Time {
+// completeSince returns the latest time as of which a replica that has applied rev is complete; zero if none.
+func (f *freshness) completeSince(rev int64) time.Time {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for _, p := range []leaderRevision{f.oldest, f.newest} {
@@ -71,9 +71,9 @@
 // trackStaleness updates the staleness at each heartbeat interval until ctx ends: a leader confirms with a quorum, a
 // follower polls the leader.
 func (n *Node) trackStaleness(ctx context.Context) {
-	client := &http.Client{Timeout: 5 * n.cfg.Beat, Transport: &http.Transport{MaxIdleConnsPerHost: 1}}
+	client := &http.Client{Timeout: 5 * n.cfg.HeartbeatInterval, Transport: &http.Transport{MaxIdleConnsPerHost: 1}}
 	defer client.CloseIdleConnections()
-	t := time.NewTicker(n.cfg.Beat)
+	t := time.NewTicker(n.cfg.HeartbeatInterval)
 	defer t.Stop()
 	for {
 		select {
--- a/internal/registry/freshness_test.go
+++ b/internal/registry/freshness_test.go
@@ -32,14 +32,14 @@
 		if c.polled > 0 {
 			f.observeLeader(at(c.polled), c.rev)
 		}
-		if got := f.since(c.has); c.want == 0 && !got.IsZero() || c.want > 0 && !got.Equal(at(c.want)) {
+		if got := f.completeSince(c.has); c.want == 0 && !got.IsZero() || c.want > 0 && !got.Equal(at(c.want)) {
 			t.Fatalf("%+v: %v", c, got)
 		}
 	}
-	if f.observeLeadership(at(12)); !f.since(30).Equal(at(14)) {
+	if f.observeLeadership(at(12)); !f.completeSince(30).Equal(at(14)) {
 		t.Error("it went back")
 	}
-	if f.observeLeadership(at(15)); !f.since(30).Equal(at(15)) {
+	if f.observeLeadership(at(15)); !f.completeSince(30).Equal(at(15)) {
 		t.Error("a confirmed leader is not new")
 	}
 }
@@ -74,7 +74,7 @@
 		if c.Faults, err = fault.Open(files[c.Name]); err != nil {
 			t.Fatal(err)
 		}
-		c.SlowDisk = 100 * time.Millisecond
+		c.SlowWriteThreshold = 100 * time.Millisecond
 	})
 	old := leader(t, all)
 	put(t, old, "s1", 1, 0)
--- a/internal/registry/listen_test.go
+++ b/internal/registry/listen_test.go
@@ -36,9 +36,9 @@
 			}
 			defer holder.Close()
 			failed := make(logSignal, 1)
-			cfg := Config{Name: "r0", Listen: "127.0.0.1:0", Raft: "127.0.0.1:0"}
+			cfg := Config{Name: "r0", Listen: "127.0.0.1:0", RaftListen: "127.0.0.1:0"}
 			cfg.Log = slog.New(slog.NewTextHandler(failed, nil))
-			*map[string]*string{"listen": &cfg.Listen, "raft": &cfg.Raft}[key] = holder.Addr().String()
+			*map[string]*string{"listen": &cfg.Listen, "raft": &cfg.RaftListen}[key] = holder.Addr().String()
 			opened := make(chan error, 1)
 			go func() {
 				n, err := Open(cfg)
@@ -66,9 +66,9 @@
 	for _, key := range []string{"listen", "raft"} {
 		t.Run(key, func(t *testing.T) {
 			failed := make(logSignal, 1)
-			cfg := Config{Name: "r0", Listen: "127.0.0.1:0", Raft: "127.0.0.1:0"}
+			cfg := Config{Name: "r0", Listen: "127.0.0.1:0", RaftListen: "127.0.0.1:0"}
 			cfg.Log = slog.New(slog.NewTextHandler(failed, nil))
-			*map[string]*string{"listen": &cfg.Listen, "raft": &cfg.Raft}[key] = foreign
+			*map[string]*string{"listen": &cfg.Listen, "raft": &cfg.RaftListen}[key] = foreign
 			_, err := Open(cfg)
 			if !errors.Is(err, syscall.EADDRNOTAVAIL) || !strings.Contains(err.Error(), foreign) || len(failed) > 0 {
 				t.Errorf("%v, tried again: %v", err, len(failed) > 0)
@@ -79,7 +79,7 @@
 
 // Accepts that fail for a moment end neither the service nor raft's listener.
 func TestListeners_acceptFailures(t *testing.T) {
-	cfg := Config{Name: "r0", Listen: "127.0.0.1:0", Raft: "127.0.0.1:0"}
+	cfg := Config{Name: "r0", Listen: "127.0.0.1:0", RaftListen: "127.0.0.1:0"}
 	cfg.Log = slog.New(slog.DiscardHandler)
 	n, err := Open(cfg)
 	if err != nil {
--- a/internal/registry/listserver/hub.go
+++ b/internal/registry/listserver/hub.go
@@ -70,7 +70,7 @@
 	if h.state.Rev() == h.linkedRev {
 		return nil
 	}
-	return h.link(h.state.Since(h.linkedRev))
+	return h.link(h.state.ChangesSince(h.linkedRev))
 }
 
 // link appends a line; h.mu is held.
@@ -90,7 +90,7 @@
 // encodeSince encodes the changes after one revision up to another, without the cache.
 func (h *Hub) encodeSince(after, upTo int64) ([]byte, error) {
 	h.mu.Lock()
-	l := h.state.Since(after)
+	l := h.state.ChangesSince(after)
 	h.mu.Unlock()
 	l.Rev = max(upTo, after) // later changes come again with a later line
 	return encode(l)
@@ -122,11 +122,11 @@
 	defer h.mu.Unlock()
 	// Publish pending changes first: otherwise the first line would include a revision that a later line repeats.
 	if h.state.Rev() != h.linkedRev {
-		if err := h.link(h.state.Since(h.linkedRev)); err != nil {
+		if err := h.link(h.state.ChangesSince(h.linkedRev)); err != nil {
 			return nil, nil, err
 		}
 	}
-	l := h.state.Since(after)
+	l := h.state.ChangesSince(after)
 	switch {
 	case l.All:
 		w, err := h.fullLineLocked()
--- a/internal/registry/listserver/status.go
+++ b/internal/registry/listserver/status.go
@@ -38,8 +38,8 @@
 	var out Status
 	out.Leads, out.Leader = s.replica.Leader()
 	s.hub.Read(func(st *state.State) {
-		out.Rev, out.Epoch, out.Entries, out.Members = st.Rev(), state.EpochOf(st.Rev()), st.Len(), st.Members()
-		st.Leased(func(string, int64, time.Duration) { out.Leased++ })
+		out.Rev, out.Epoch, out.Entries, out.Members = st.Rev(), state.EpochOf(st.Rev()), st.Len(), st.ReplicaAddresses()
+		st.ForEachLease(func(string, int64, time.Duration) { out.Leased++ })
 	})
 	out.Held, out.Watches, out.StalenessMS = s.leases.HeldCount(), s.watches.Load(), s.replica.Staleness().Milliseconds()
 	out.DiskMS = float64(s.replica.DiskTook()) / float64(time.Millisecond)
--- a/internal/registry/listserver/writes.go
+++ b/internal/registry/listserver/writes.go
@@ -40,7 +40,7 @@
 		http.Error(w, "lease_ms is not between 0 and a day", http.StatusBadRequest)
 		return
 	}
-	if err := reg.Check(); err != nil {
+	if err := reg.Validate(); err != nil {
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
 	}
@@ -143,7 +143,7 @@
 		now := time.Now() // carries the monotonic clock, which no step moves
 		var leased []state.Lease
 		s.hub.Read(func(st *state.State) {
-			st.Leased(func(uid string, changed int64, term time.Duration) {
+			st.ForEachLease(func(uid string, changed int64, term time.Duration) {
 				leased = append(leased, state.Lease{UID: uid, Changed: changed, Term: term})
 			})
 		})
--- a/internal/registry/node.go
+++ b/internal/registry/node.go
@@ -32,31 +32,31 @@
 
 // Config configures a replica.
 type Config struct {
-	Name   string // its name among the replicas
-	Listen string // address of the HTTP API
-	Raft   string // address of raft
-	Dir    string // data directory; empty: storage is in memory, for development only
+	Name       string // its name among the replicas
+	Listen     string // address of the HTTP API
+	RaftListen string // address of raft
+	Dir        string // data directory; empty: storage is in memory, for development only
 	// Advertise is where other replicas reach raft; empty: as listed among the peers, or where it listens.
-	Advertise string
-	Peers     []listserver.Peer // all replicas of a new cluster, this one included; empty: a cluster of one, or Join
-	Join      bool              // wait to be added to a cluster instead of bootstrapping one
-	Keep      int               // changes kept for watches that resume; 10,000
-	// Beat is the heartbeat interval; the election timeout is a multiple of it. 200 ms.
-	Beat time.Duration
-	// SlowDisk is the duration from which a disk write is slow; a leader with slow writes only transfers the leadership.
+	Advertise  string
+	Peers      []listserver.Peer // all replicas of a new cluster, this one included; empty: a cluster of one, or Join
+	Join       bool              // wait to be added to a cluster instead of bootstrapping one
+	MaxHistory int               // changes kept for watches that resume; 10,000
+	// HeartbeatInterval is the heartbeat interval; the election timeout is a multiple of it. 200 ms.
+	HeartbeatInterval time.Duration
+	// SlowWriteThreshold is the duration from which a disk write is slow; a leader with slow writes only transfers the leadership.
 	// Five heartbeat intervals.
-	SlowDisk time.Duration
-	Faults   *fault.Plan        // injected by the lab; nil: none
-	Members  *membership.Config // nil: off
-	start    *retry.Start       // retries begun by LoadConfig; nil: none
+	SlowWriteThreshold time.Duration
+	Faults             *fault.Plan        // injected by the lab; nil: none
+	Members            *membership.Config // nil: off
+	start              *retry.Start       // retries begun by LoadConfig; nil: none
 
 	listserver.Options
 
 	reopened bool // the directory was open before: one without a log is not that of this replica
 }
 
-// advertised is where other replicas reach raft: as configured, or as listed among the peers; empty: where it listens.
-func (c *Config) advertised() string {
+// advertisedAddress is where other replicas reach raft: as configured, or as listed among the peers; empty: where it listens.
+func (c *Config) advertisedAddress() string {
 	if c.Advertise != "" {
 		return c.Advertise
 	}
@@ -82,7 +82,7 @@
 	members     *listserver.Members // nil: off
 	http        *http.Server
 	listen      net.Listener
-	raftAt      net.Addr       // where raft listens
+	raftAddr    net.Addr       // where raft listens
 	store       *storage.Store // nil: storage is in memory
 	closers     []func() error
 	log         *slog.Logger
@@ -93,12 +93,12 @@
 // Open starts the replica's raft and binds its address; Run serves.
 func Open(cfg Config) (n *Node, err error) {
 	cfg.SetDefaults()
-	if cfg.Keep == 0 {
-		cfg.Keep = 10_000
+	if cfg.MaxHistory == 0 {
+		cfg.MaxHistory = 10_000
 	}
-	cfg.Beat = cmp.Or(cfg.Beat, 200*time.Millisecond)
-	cfg.SlowDisk = cmp.Or(cfg.SlowDisk, 5*cfg.Beat)
-	n = &Node{cfg: cfg, hub: listserver.NewHub(cfg.Keep), log: cfg.Log}
+	cfg.HeartbeatInterval = cmp.Or(cfg.HeartbeatInterval, 200*time.Millisecond)
+	cfg.SlowWriteThreshold = cmp.Or(cfg.SlowWriteThreshold, 5*cfg.HeartbeatInterval)
+	n = &Node{cfg: cfg, hub: listserver.NewHub(cfg.MaxHistory), log: cfg.Log}
 	defer func(opened *Node) {
 		if err != nil {
 			opened.closeAll()
@@ -148,7 +148,7 @@
 	if n.raft, err = raft.NewRaft(c, (*stateMachine)(n), st.logs, st.stable, st.snaps, n.regressions); err != nil {
 		return fmt.Errorf("registry: raft: %w", err)
 	}
-	n.transport.NeedsEntries = n.follows
+	n.transport.NeedsEntries = n.needsEntries
 	n.closers = append(n.closers, func() error {
 		ended := n.raft.Shutdown()
 		n.transport.Stop() // raft waits for pending sends
@@ -164,8 +164,8 @@
 func (n *Node) raftConfig() *raft.Config {
 	c := raft.DefaultConfig()
 	c.LocalID = raft.ServerID(n.cfg.Name)
-	c.HeartbeatTimeout, c.ElectionTimeout = 5*n.cfg.Beat, 5*n.cfg.Beat
-	c.LeaderLeaseTimeout = 3 * n.cfg.Beat // a partitioned leader steps down before the others elect a new one
+	c.HeartbeatTimeout, c.ElectionTimeout = 5*n.cfg.HeartbeatInterval, 5*n.cfg.HeartbeatInterval
+	c.LeaderLeaseTimeout = 3 * n.cfg.HeartbeatInterval // a partitioned leader steps down before the others elect a new one
 	c.CommitTimeout = 10 * time.Millisecond
 	c.SnapshotInterval, c.SnapshotThreshold, c.TrailingLogs = 30*time.Second, 8192, 4096
 	// raft's own log is discarded; its relevant state is in this replica's status and log.
@@ -199,7 +199,7 @@
 	if err := storage.Recover(n.cfg.Dir, n.log); err != nil {
 		return nil, fmt.Errorf("registry: %w", err)
 	}
-	file, err := storage.OpenStore(filepath.Join(n.cfg.Dir, storage.StoreFile), n.cfg.SlowDisk, n.cfg.Faults)
+	file, err := storage.OpenStore(filepath.Join(n.cfg.Dir, storage.StoreFile), n.cfg.SlowWriteThreshold, n.cfg.Faults)
 	if err != nil {
 		return nil, fmt.Errorf("registry: log: %w", err)
 	}
@@ -217,14 +217,14 @@
 func (n *Node) openTransport(start *retry.Start, logger hclog.Logger) (*transport.Transport, error) {
 	var streams *transport.StreamLayer
 	if err := start.Do("raft", func() (failed error) {
-		streams, failed = transport.Listen(n.cfg.Raft, n.cfg.advertised())
+		streams, failed = transport.Listen(n.cfg.RaftListen, n.cfg.advertisedAddress())
 		return failed
 	}); err != nil {
-		return nil, fmt.Errorf("registry: raft at %s: %w", n.cfg.Raft, err)
+		return nil, fmt.Errorf("registry: raft at %s: %w", n.cfg.RaftListen, err)
 	}
 	wire := transport.New(raft.NewNetworkTransportWithConfig(&raft.NetworkTransportConfig{
-		Stream: streams, MaxPool: 3, Timeout: 10 * n.cfg.Beat, Logger: logger}), n.cfg.Beat)
-	n.raftAt = streams.Listener.Addr()
+		Stream: streams, MaxPool: 3, Timeout: 10 * n.cfg.HeartbeatInterval, Logger: logger}), n.cfg.HeartbeatInterval)
+	n.raftAddr = streams.Listener.Addr()
 	n.transport, n.regressions = wire, transport.NewRegressionDetector(wire, n.log)
 	n.closers = append(n.closers, func() error {
 		wire.CloseStreams() // closes the other replicas' ends, too
@@ -374,7 +374,7 @@
 	if err := n.raft.AddVoter(raft.ServerID(p.Name), raft.ServerAddress(p.Raft), 0, listserver.ApplyTimeout).Error(); err != nil {
 		return fmt.Errorf("registry: add %s: %w", p.Name, err)
 	}
-	_, err := n.Apply(&state.Command{Op: state.OpMember, UID: p.Name, Address: p.Serve}, listserver.ApplyTimeout)
+	_, err := n.Apply(&state.Command{Op: state.OpReplicaAddress, UID: p.Name, Address: p.Serve}, listserver.ApplyTimeout)
 	return err
 }
 
@@ -383,6 +383,6 @@
 	if err := n.raft.RemoveServer(raft.ServerID(name), 0, listserver.ApplyTimeout).Error(); err != nil {
 		return fmt.Errorf("registry: remove %s: %w", name, err)
 	}
-	_, err := n.Apply(&state.Command{Op: state.OpMember, UID: name}, listserver.ApplyTimeout)
+	_, err := n.Apply(&state.Command{Op: state.OpReplicaAddress, UID: name}, listserver.ApplyTimeout)
 	return err
 }
--- a/internal/registry/node_disk.go
+++ b/internal/registry/node_disk.go
@@ -12,7 +12,7 @@
 // watchDisk transfers the leadership while the disk of this replica is slow: each commit waits for the leader's own disk.
 // raft would keep the leader, as its heartbeats need no disk.
 func (n *Node) watchDisk(ctx context.Context) {
-	t := time.NewTicker(n.cfg.Beat)
+	t := time.NewTicker(n.cfg.HeartbeatInterval)
 	defer t.Stop()
 	var last time.Time
 	for {
--- a/internal/registry/node_lead.go
+++ b/internal/registry/node_lead.go
@@ -39,16 +39,16 @@
 		commands := []*state.Command{}
 		var rev int64
 		var members map[string]string
-		n.hub.Read(func(s *state.State) { rev, members = s.Rev(), s.Members() })
+		n.hub.Read(func(s *state.State) { rev, members = s.Rev(), s.ReplicaAddresses() })
 		if rev == 0 {
-			commands = append(commands, &state.Command{Op: state.OpBegin, Epoch: state.NextEpoch(n.cfg.Faults.Now(), 0)})
+			commands = append(commands, &state.Command{Op: state.OpBeginEpoch, Epoch: state.NextEpoch(n.cfg.Faults.Now(), 0)})
 		}
 		if members[n.cfg.Name] != n.Addr() {
-			commands = append(commands, &state.Command{Op: state.OpMember, UID: n.cfg.Name, Address: n.Addr()})
+			commands = append(commands, &state.Command{Op: state.OpReplicaAddress, UID: n.cfg.Name, Address: n.Addr()})
 		}
 		for _, p := range n.cfg.Peers {
 			if p.Name != n.cfg.Name && members[p.Name] == "" {
-				commands = append(commands, &state.Command{Op: state.OpMember, UID: p.Name, Address: p.Serve})
+				commands = append(commands, &state.Command{Op: state.OpReplicaAddress, UID: p.Name, Address: p.Serve})
 			}
 		}
 		for _, c := range commands {
@@ -70,7 +70,7 @@
 		return false, ""
 	}
 	var address string
-	n.hub.Read(func(s *state.State) { address = s.MemberAddress(string(id)) })
+	n.hub.Read(func(s *state.State) { address = s.ReplicaAddress(string(id)) })
 	return false, address
 }
 
@@ -78,14 +78,14 @@
 func (n *Node) Staleness() time.Duration {
 	var rev int64
 	n.hub.Read(func(s *state.State) { rev = s.Rev() })
-	if at := n.fresh.since(rev); !at.IsZero() {
+	if at := n.fresh.completeSince(rev); !at.IsZero() {
 		return time.Since(at)
 	}
 	return time.Hour // no confirmation yet
 }
 
-// follows reports whether this replica still leads in a term and another is a member.
-func (n *Node) follows(id raft.ServerID, term uint64) bool {
+// needsEntries reports whether this replica still leads in a term and another is a member.
+func (n *Node) needsEntries(id raft.ServerID, term uint64) bool {
 	if n.raft.State() != raft.Leader || n.raft.CurrentTerm() != term {
 		return false
 	}
--- a/internal/registry/node_test.go
+++ b/internal/registry/node_test.go
@@ -88,7 +88,7 @@
 	}
 	var all []*copyOf
 	for i, p := range peers {
-		c := &copyOf{cfg: Config{Name: p.Name, Listen: p.Serve, Raft: p.Raft, Peers: peers, Beat: 50 * time.Millisecond,
+		c := &copyOf{cfg: Config{Name: p.Name, Listen: p.Serve, RaftListen: p.Raft, Peers: peers, HeartbeatInterval: 50 * time.Millisecond,
 			Dir: filepath.Join(t.TempDir(), fmt.Sprint(i)), Options: listserver.Options{Batch: time.Millisecond}}}
 		if change != nil {
 			change(&c.cfg)
@@ -365,14 +365,14 @@
 func TestMembership_addRemove(t *testing.T) {
 	one := cluster(t, 1, nil)[0]
 	put(t, one, "s1", 1, 0)
-	two := &copyOf{cfg: Config{Name: "r9", Listen: freePort(t), Raft: freePort(t), Join: true, Beat: 50 * time.Millisecond,
+	two := &copyOf{cfg: Config{Name: "r9", Listen: freePort(t), RaftListen: freePort(t), Join: true, HeartbeatInterval: 50 * time.Millisecond,
 		Dir: t.TempDir(), Options: listserver.Options{Batch: time.Millisecond}}}
 	two.start(t)
 	t.Cleanup(func() { two.end(t) })
 	if code, _ := call(t, "GET", two.cfg.Listen, "/healthcheck", ""); code != 503 {
 		t.Errorf("a copy that nobody has added is healthy: %d", code)
 	}
-	if err := one.node.Add(listserver.Peer{Name: "r9", Raft: two.cfg.Raft, Serve: two.cfg.Listen}); err != nil {
+	if err := one.node.Add(listserver.Peer{Name: "r9", Raft: two.cfg.RaftListen, Serve: two.cfg.Listen}); err != nil {
 		t.Fatal(err)
 	}
 	until(t, "the list at the added copy", func() bool { return uids(t, two) == "s1=Ready" })
--- a/internal/registry/reader_revisions.go
+++ b/internal/registry/reader_revisions.go
@@ -51,8 +51,8 @@
 	}
 }
 
-// ahead returns the newest reader revision beyond of in the same epoch; 0 if none. Entries not ahead are dropped.
-func (r *readerRevisions) ahead(of int64) int64 {
+// newestAhead returns the newest reader revision beyond of in the same epoch; 0 if none. Entries not newestAhead are dropped.
+func (r *readerRevisions) newestAhead(of int64) int64 {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for e, rev := range r.seen {
@@ -63,7 +63,7 @@
 	return r.seen[state.EpochOf(of)]
 }
 
-const seenKey = "seen"
+const seenParam = "seen"
 
 // observeRequests passes requests on, and records the revisions that readers resume from.
 func (r *readerRevisions) observeRequests(next http.Handler) http.Handler {
@@ -73,7 +73,7 @@
 		case listserver.ListPath:
 			name = "after"
 		case listserver.LeaderRevPath:
-			name = seenKey
+			name = seenParam
 		}
 		if name != "" && req.URL.RawQuery != "" {
 			if rev, err := strconv.ParseInt(req.URL.Query().Get(name), 10, 64); err == nil && rev > 0 {
@@ -86,8 +86,8 @@
 
 // watchReaderRevisions checks at each heartbeat interval whether a reader is ahead of this replica, until ctx ends.
 func (n *Node) watchReaderRevisions(ctx context.Context) {
-	client := &http.Client{Timeout: 5 * n.cfg.Beat, Transport: &http.Transport{DisableKeepAlives: true}}
-	t := time.NewTicker(n.cfg.Beat)
+	client := &http.Client{Timeout: 5 * n.cfg.HeartbeatInterval, Transport: &http.Transport{DisableKeepAlives: true}}
+	t := time.NewTicker(n.cfg.HeartbeatInterval)
 	defer t.Stop()
 	var last time.Time
 	for {
@@ -96,7 +96,7 @@
 			return
 		case <-t.C:
 		}
-		seen := n.readers.ahead(n.rev())
+		seen := n.readers.newestAhead(n.rev())
 		switch {
 		case seen == 0:
 		case n.raft.State() != raft.Leader:
@@ -122,7 +122,7 @@
 	if leader == "" {
 		return nil
 	}
-	url := fmt.Sprintf("http://%s%s?%s=%d", leader, listserver.LeaderRevPath, seenKey, seen)
+	url := fmt.Sprintf("http://%s%s?%s=%d", leader, listserver.LeaderRevPath, seenParam, seen)
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
 	if err != nil {
 		return err
@@ -140,14 +140,14 @@
 		return false
 	}
 	rev := n.rev()
-	seen := n.readers.ahead(rev)
+	seen := n.readers.newestAhead(rev)
 	if seen == 0 {
 		return false // this replica had not applied it yet
 	}
 	next := state.NextEpoch(n.cfg.Faults.Now(), state.EpochOf(rev))
 	n.log.Error("registry: a reader was told more than the copies have: their folders lost what was committed, or old images "+
 		"were put back; a new history begins, and readers take the list whole", "seen", seen, "has", rev, "epoch", next)
-	if _, err := n.Apply(&state.Command{Op: state.OpBegin, Epoch: next}, listserver.ApplyTimeout); err != nil {
+	if _, err := n.Apply(&state.Command{Op: state.OpBeginEpoch, Epoch: next}, listserver.ApplyTimeout); err != nil {
 		n.log.Warn("registry: the new history", "error", err)
 		return false
 	}
--- a/internal/registry/recover_test.go
+++ b/internal/registry/recover_test.go
@@ -133,7 +133,7 @@
 		}
 	}
 	cfg.Dir = made
-	cfg.Raft, cfg.Peers = freePort(t), nil
+	cfg.RaftListen, cfg.Peers = freePort(t), nil
 	n, err := Open(cfg)
 	require.NoError(t, err)
 	startedAt := time.Now()
@@ -186,7 +186,7 @@
 // A founding that was cut off between raft's two writes is finished by the next start.
 func TestRecover_interruptedBootstrap(t *testing.T) {
 	t.Parallel()
-	one := &copyOf{cfg: Config{Name: "one", Listen: freePort(t), Raft: freePort(t), Dir: t.TempDir(), Beat: 50 * time.Millisecond}}
+	one := &copyOf{cfg: Config{Name: "one", Listen: freePort(t), RaftListen: freePort(t), Dir: t.TempDir(), HeartbeatInterval: 50 * time.Millisecond}}
 	s, err := storage.OpenStore(filepath.Join(one.cfg.Dir, storage.StoreFile), time.Second, nil)
 	require.NoError(t, err)
 	require.NoError(t, errors.Join(s.SetUint64([]byte("CurrentTerm"), 1), s.Close()))
@@ -251,7 +251,7 @@
 	_, err := recovery.Restore(strings.NewReader(backup), one.cfg.RecoveryTarget(), 0, now.Add(time.Hour))
 	assert.ErrorIs(t, err, recovery.ErrHasState)
 	cfg := one.cfg
-	cfg.Name, cfg.Raft, cfg.Peers, cfg.Listen = "n0", freePort(t), nil, freePort(t)
+	cfg.Name, cfg.RaftListen, cfg.Peers, cfg.Listen = "n0", freePort(t), nil, freePort(t)
 	cfg.Dir = filepath.Join(t.TempDir(), "n0")
 	_, err = recovery.Restore(strings.NewReader(backup), cfg.RecoveryTarget(), 0, now.Add(-time.Hour))
 	assert.ErrorContains(t, err, "set the clock", "a clock before the backup's")
@@ -285,11 +285,11 @@
 	assert.True(t, l.All)
 	assert.Greater(t, l.Rev, before)
 	second := &copyOf{cfg: cfg}
-	second.cfg.Name, second.cfg.Raft, second.cfg.Listen, second.cfg.Join = "n1", freePort(t), freePort(t), true
+	second.cfg.Name, second.cfg.RaftListen, second.cfg.Listen, second.cfg.Join = "n1", freePort(t), freePort(t), true
 	second.cfg.Dir = filepath.Join(t.TempDir(), "n1")
 	second.start(t)
 	defer second.end(t)
-	require.NoError(t, first.node.Add(listserver.Peer{Name: "n1", Raft: second.cfg.Raft, Serve: second.cfg.Listen}))
+	require.NoError(t, first.node.Add(listserver.Peer{Name: "n1", Raft: second.cfg.RaftListen, Serve: second.cfg.Listen}))
 	until(t, "the backup's entry at the second copy", func() bool { return strings.Contains(uids(t, second), "s1=Ready") })
 }
 
--- a/internal/registry/recovery/restore.go
+++ b/internal/registry/recovery/restore.go
@@ -84,10 +84,10 @@
 	if out.Epoch <= max(state.EpochOf(out.Before), above) {
 		return out, fmt.Errorf("restore: there is no epoch above %d", above)
 	}
-	if _, err := restored.Apply(&state.Command{Op: state.OpBegin, Epoch: out.Epoch}); err != nil {
+	if _, err := restored.Apply(&state.Command{Op: state.OpBeginEpoch, Epoch: out.Epoch}); err != nil {
 		return out, fmt.Errorf("restore: %w", err)
 	}
-	restored.ForgetMembers() // each replica registers its address once it is a member
+	restored.ForgetReplicaAddresses() // each replica registers its address once it is a member
 	out.Entries = restored.Len()
 	return out, publishDir(restored, target, uint64(out.Epoch)<<electionBits)
 }
@@ -110,7 +110,7 @@
 		if it == nil {
 			return nil, fmt.Errorf("restore: the backup: entry %d is empty", i)
 		}
-		if err := it.Entry.Check(); err != nil {
+		if err := it.Entry.Validate(); err != nil {
 			return nil, fmt.Errorf("restore: the backup: entry %d: %w", i, err)
 		}
 		if it.Changed <= 0 || it.Changed > in.Rev || it.LeaseMS < 0 || seen[it.Entry.UID] {
--- a/internal/registry/replicas.go
+++ b/internal/registry/replicas.go
@@ -28,7 +28,7 @@
 	leads, term := n.raft.State() == raft.Leader, n.raft.CurrentTerm()
 	standings := n.members.Standings()
 	var serve map[string]string
-	n.hub.Read(func(s *state.State) { serve = s.Members() })
+	n.hub.Read(func(s *state.State) { serve = s.ReplicaAddresses() })
 	out := make([]listserver.ReplicaStatus, 0, len(f.Configuration().Servers))
 	for _, s := range f.Configuration().Servers {
 		name := string(s.ID)
@@ -67,7 +67,7 @@
 // on.
 func (n *Node) awaitQuorum(all []raft.Server, with string) error {
 	term, startedAt := n.raft.CurrentTerm(), time.Now()
-	limit := startedAt.Add(replyTimeoutBeats * n.cfg.Beat)
+	limit := startedAt.Add(replyTimeoutBeats * n.cfg.HeartbeatInterval)
 	for {
 		there, has := 0, with == ""
 		for _, s := range all {
@@ -86,7 +86,7 @@
 		case time.Now().After(limit):
 			return fmt.Errorf("%w: of the %d that would vote %d answer", listserver.ErrRejected, len(all), there)
 		}
-		time.Sleep(n.cfg.Beat / 4)
+		time.Sleep(n.cfg.HeartbeatInterval / 4)
 	}
 }
 
@@ -99,7 +99,7 @@
 	return f.Configuration(), f.Index(), nil
 }
 
-func find(c raft.Configuration, name string) (raft.Server, bool) {
+func findServer(c raft.Configuration, name string) (raft.Server, bool) {
 	i := slices.IndexFunc(c.Servers, func(s raft.Server) bool { return s.ID == raft.ServerID(name) })
 	if i < 0 {
 		return raft.Server{}, false
@@ -118,9 +118,9 @@
 			return fmt.Errorf("%w: copy %s is at %s", listserver.ErrRejected, s.ID, s.Address)
 		}
 	}
-	if _, known := find(c, p.Name); !known {
+	if _, known := findServer(c, p.Name); !known {
 		// A replica that cannot be reached would stay a learner that never catches up.
-		conn, err := net.DialTimeout("tcp", p.Raft, replyTimeoutBeats*n.cfg.Beat)
+		conn, err := net.DialTimeout("tcp", p.Raft, replyTimeoutBeats*n.cfg.HeartbeatInterval)
 		if err != nil {
 			return fmt.Errorf("%w: nobody answers at %s, where %s is to be: %w", listserver.ErrRejected, p.Raft, p.Name, err)
 		}
@@ -130,7 +130,7 @@
 			return fmt.Errorf("registry: learn %s: %w", p.Name, err)
 		}
 	}
-	_, err = n.Apply(&state.Command{Op: state.OpMember, UID: p.Name, Address: p.Serve}, listserver.ApplyTimeout)
+	_, err = n.Apply(&state.Command{Op: state.OpReplicaAddress, UID: p.Name, Address: p.Serve}, listserver.ApplyTimeout)
 	return err
 }
 
@@ -140,7 +140,7 @@
 	if err != nil {
 		return err
 	}
-	s, known := find(c, name)
+	s, known := findServer(c, name)
 	switch {
 	case !known:
 		return fmt.Errorf("%w: there is no copy %s", listserver.ErrRejected, name)
@@ -163,7 +163,7 @@
 	if err != nil {
 		return err
 	}
-	if _, known := find(c, name); known {
+	if _, known := findServer(c, name); known {
 		if err := n.awaitQuorum(voters(c, name), ""); err != nil {
 			return err
 		}
@@ -177,6 +177,6 @@
 			return fmt.Errorf("registry: retire %s: %w", name, err)
 		}
 	}
-	_, err = n.Apply(&state.Command{Op: state.OpMember, UID: name}, listserver.ApplyTimeout)
+	_, err = n.Apply(&state.Command{Op: state.OpReplicaAddress, UID: name}, listserver.ApplyTimeout)
 	return err
 }
--- a/internal/registry/routeleader/decisions.go
+++ b/internal/registry/routeleader/decisions.go
@@ -34,7 +34,7 @@
 		return
 	}
 	if l.decisions.lowersLeaseTerm {
-		if err := r.apply(&state.Command{Op: state.OpTerm, TermMS: l.leaseTermMS, Term: l.term}); err != nil {
+		if err := r.apply(&state.Command{Op: state.OpMaxLeaseTerm, TermMS: l.leaseTermMS, Term: l.term}); err != nil {
 			return
 		}
 		l.decisions.lowersLeaseTerm = false
@@ -53,7 +53,7 @@
 	var commands []rollout.Command
 	l.processes.withState(r.list, func(s *state.State) {
 		var standings []rollout.AccessChange
-		commands, standings = l.processes.controller.Tick(l.floor(now), s.Routes, s.ReadyIn)
+		commands, standings = l.processes.controller.Tick(l.floor(now), s.Routes, s.CountReady)
 		l.processes.queueTransitions(s, l.processes.recordAccessChanges(standings, now))
 	})
 	return commands
--- a/internal/registry/routeleader/leadership.go
+++ b/internal/registry/routeleader/leadership.go
@@ -143,7 +143,7 @@
 	r.list.Read(func(s *state.State) { out = s.MaxLeaseTermMS })
 	switch {
 	case out < l.leaseTermMS: // replicated before the first lease of this length is granted
-		if err := r.apply(&state.Command{Op: state.OpTerm, TermMS: l.leaseTermMS, Term: term}); err != nil {
+		if err := r.apply(&state.Command{Op: state.OpMaxLeaseTerm, TermMS: l.leaseTermMS, Term: term}); err != nil {
 			return nil, err
 		}
 	case out > l.leaseTermMS:
--- a/internal/registry/routeleader/routing_test.go
+++ b/internal/registry/routeleader/routing_test.go
@@ -67,7 +67,7 @@
 	replicated := &leadingReplica{listserver.NewHub(10), 1}
 	server := listserver.New(replicated.Hub, replicated, listserver.Options{Operators: &operators.Operators{}})
 	r := New(server, replicated.Hub, replicated, Config{Name: "one", Wall: time.Now})
-	_, err := replicated.Apply(&state.Command{Op: state.OpTerm, TermMS: 3_600_000}, listserver.ApplyTimeout)
+	_, err := replicated.Apply(&state.Command{Op: state.OpMaxLeaseTerm, TermMS: 3_600_000}, listserver.ApplyTimeout)
 	require.NoError(t, err)
 	_, err = r.ensureLeadership()
 	require.NoError(t, err)
--- a/internal/registry/routes_test.go
+++ b/internal/registry/routes_test.go
@@ -446,7 +446,7 @@
 // A leader without a quorum permits nothing, though it still takes itself for one.
 func TestLeader_partitioned(t *testing.T) {
 	t.Parallel()
-	all := routed(t, 3, func(c *Config) { c.Beat = 200 * time.Millisecond })
+	all := routed(t, 3, func(c *Config) { c.HeartbeatInterval = 200 * time.Millisecond })
 	lead := routesLeader(t, all)
 	p := newProcess("p", 2)
 	p.AcknowledgedRev = routesRev(lead)
--- a/internal/registry/state/state.go
+++ b/internal/registry/state/state.go
@@ -67,15 +67,15 @@
 
 // The operations.
 const (
-	OpBegin  Op = "begin"  // a history begins, or a backup becomes one: Epoch
-	OpPut    Op = "put"    // register: Entry, Lease
-	OpDrain  Op = "drain"  // UID: Terminating from now on
-	OpRemove Op = "remove" // UID
-	OpExpire Op = "expire" // UIDs: their leases are over; only those unchanged since their If counts
-	OpMember Op = "member" // UID: a replica's name, Address: where it serves
-	OpRoutes Op = "routes" // Routes: a command of package rollout
-	OpAudit  Op = "audit"  // Audit: transitions of processes; Seen: which schemas processes read
-	OpTerm   Op = "term"   // TermMS: the maximum term of routes leases that may still run
+	OpBeginEpoch     Op = "begin"  // a history begins, or a backup becomes one: Epoch
+	OpPut            Op = "put"    // register: Entry, Lease
+	OpDrain          Op = "drain"  // UID: Terminating from now on
+	OpRemove         Op = "remove" // UID
+	OpExpire         Op = "expire" // UIDs: their leases are over; only those unchanged since their If counts
+	OpReplicaAddress Op = "member" // UID: a replica's name, Address: where it serves
+	OpRoutes         Op = "routes" // Routes: a command of package rollout
+	OpAudit          Op = "audit"  // Audit: transitions of processes; Seen: which schemas processes read
+	OpMaxLeaseTerm   Op = "term"   // TermMS: the maximum term of routes leases that may still run
 )
 
 // Command is one write, as it is replicated.
@@ -119,12 +119,12 @@
 
 // State is the list with its recent history. It is deterministic: the same commands give the same state.
 type State struct {
-	rev     int64
-	items   map[string]*entryRecord
-	members map[string]string // replicas by name: where they serve
-	history []change          // oldest first
-	from    int64             // changes after this revision are in history
-	keep    int
+	rev              int64
+	items            map[string]*entryRecord
+	replicaAddresses map[string]string // replicas by name: where they serve
+	history          []change          // oldest first
+	historyStart     int64             // changes after this revision are in history
+	maxHistory       int
 
 	// What follows moves no revision of the list.
 	Routes         *rollout.State
@@ -135,7 +135,7 @@
 
 // NewState makes an empty list that keeps at least so many changes.
 func NewState(keep int) *State {
-	return &State{items: map[string]*entryRecord{}, members: map[string]string{}, keep: keep,
+	return &State{items: map[string]*entryRecord{}, replicaAddresses: map[string]string{}, maxHistory: keep,
 		Routes: rollout.NewState(), AuditLog: &audit.Log{}, Processes: map[string]SchemaSupport{}}
 }
 
@@ -154,17 +154,17 @@
 	return it.Entry, it.Changed, time.Duration(it.LeaseMS) * time.Millisecond, true
 }
 
-// Members are the replicas by name with the addresses where they serve.
-func (s *State) Members() map[string]string { return maps.Clone(s.members) }
+// ReplicaAddresses are the replicas by name with the addresses where they serve.
+func (s *State) ReplicaAddresses() map[string]string { return maps.Clone(s.replicaAddresses) }
 
-// MemberAddress is where a replica serves; empty if it has not said so.
-func (s *State) MemberAddress(name string) string { return s.members[name] }
+// ReplicaAddress is where a replica serves; empty if it has not said so.
+func (s *State) ReplicaAddress(name string) string { return s.replicaAddresses[name] }
 
-// ForgetMembers removes all replicas' addresses.
-func (s *State) ForgetMembers() { s.members = map[string]string{} }
+// ForgetReplicaAddresses removes all replicas' addresses.
+func (s *State) ForgetReplicaAddresses() { s.replicaAddresses = map[string]string{} }
 
-// Leased calls f for each entry that has a lease.
-func (s *State) Leased(f func(uid string, changed int64, term time.Duration)) {
+// ForEachLease calls f for each entry that has a lease.
+func (s *State) ForEachLease(f func(uid string, changed int64, term time.Duration)) {
 	for uid, it := range s.items {
 		if it.LeaseMS > 0 {
 			f(uid, it.Changed, time.Duration(it.LeaseMS)*time.Millisecond)
@@ -172,8 +172,8 @@
 	}
 }
 
-// Check finds what an entry lacks.
-func (e *Entry) Check() error {
+// Validate finds what an entry lacks.
+func (e *Entry) Validate() error {
 	switch {
 	case e.UID == "" || len(e.UID) > 200:
 		return fmt.Errorf("%w: uid is empty or longer than 200 bytes", ErrInvalid)
@@ -193,19 +193,19 @@
 // one where nothing had to change, so that a write that is sent twice does no harm.
 func (s *State) Apply(c *Command) (int64, error) {
 	switch c.Op {
-	case OpBegin:
+	case OpBeginEpoch:
 		if EpochOf(s.rev) >= c.Epoch {
 			return s.rev, nil
 		}
 		s.rev = c.Epoch << CountBits
-		s.history, s.from = nil, s.rev // what came before is another history
+		s.history, s.historyStart = nil, s.rev // what came before is another history
 		s.Routes.BeginEpoch(c.Epoch)
 		return s.rev, nil
-	case OpMember:
+	case OpReplicaAddress:
 		if c.Address == "" {
-			delete(s.members, c.UID)
+			delete(s.replicaAddresses, c.UID)
 		} else {
-			s.members[c.UID] = c.Address
+			s.replicaAddresses[c.UID] = c.Address
 		}
 		return s.rev, nil
 	case OpPut:
@@ -236,9 +236,9 @@
 		return s.Routes.Apply(c.Routes)
 	case OpAudit:
 		s.AuditLog.Add(c.Audit)
-		s.rememberProcesses(c.Seen)
+		s.recordProcesses(c.Seen)
 		return s.rev, nil
-	case OpTerm:
+	case OpMaxLeaseTerm:
 		s.MaxLeaseTermMS = c.TermMS
 		return s.rev, nil
 	}
@@ -249,7 +249,7 @@
 	if c.Entry == nil {
 		return 0, fmt.Errorf("%w: there is none", ErrInvalid)
 	}
-	if err := c.Entry.Check(); err != nil {
+	if err := c.Entry.Validate(); err != nil {
 		return 0, err
 	}
 	e, old := *c.Entry, s.items[c.Entry.UID]
@@ -308,9 +308,9 @@
 func (s *State) record(e Entry) int64 {
 	s.rev++
 	s.history = append(s.history, change{s.rev, e})
-	if len(s.history) > 2*s.keep { // in steps, so that it costs little
-		drop := len(s.history) - s.keep
-		s.from = s.history[drop-1].rev
+	if len(s.history) > 2*s.maxHistory { // in steps, so that it costs little
+		drop := len(s.history) - s.maxHistory
+		s.historyStart = s.history[drop-1].rev
 		s.history = slices.Clone(s.history[drop:])
 	}
 	return s.rev
@@ -325,9 +325,9 @@
 	return l
 }
 
-// Since is what changed after a revision, each entry once as it is now; or the full list where that is not known.
-func (s *State) Since(after int64) List {
-	if after < s.from || after > s.rev {
+// ChangesSince is what changed after a revision, each entry once as it is now; or the full list where that is not known.
+func (s *State) ChangesSince(after int64) List {
+	if after < s.historyStart || after > s.rev {
 		return s.All()
 	}
 	first, _ := slices.BinarySearchFunc(s.history, after+1, func(c change, rev int64) int { return int(c.rev - rev) })
@@ -366,12 +366,12 @@
 
 // Snapshot copies the state for a snapshot.
 func (s *State) Snapshot() (*Snapshot, error) {
-	out := &Snapshot{Form: SnapshotFormWithoutRoutes, Rev: s.rev, Members: maps.Clone(s.members)}
+	out := &Snapshot{Form: SnapshotFormWithoutRoutes, Rev: s.rev, Members: maps.Clone(s.replicaAddresses)}
 	for _, uid := range slices.Sorted(maps.Keys(s.items)) {
 		it := *s.items[uid]
 		out.Items = append(out.Items, &it)
 	}
-	if !s.routed() {
+	if !s.hasRoutes() {
 		return out, nil
 	}
 	out.Form, out.TermMS = SnapshotForm, s.MaxLeaseTermMS
@@ -387,8 +387,8 @@
 	return out, nil
 }
 
-// routed tells whether there is anything of routes in the state: a leader with an operators' file says its term first.
-func (s *State) routed() bool {
+// hasRoutes tells whether there is anything of routes in the state: a leader with an operators' file says its term first.
+func (s *State) hasRoutes() bool {
 	return s.MaxLeaseTermMS > 0 || s.Routes.Rev() > EpochOf(s.Routes.Rev())<<CountBits
 }
 
@@ -407,12 +407,12 @@
 	for _, p := range from.Seen {
 		s.Processes[p.Name] = p
 	}
-	s.rev, s.from, s.history = from.Rev, from.Rev, nil
-	s.items, s.members = map[string]*entryRecord{}, map[string]string{}
+	s.rev, s.historyStart, s.history = from.Rev, from.Rev, nil
+	s.items, s.replicaAddresses = map[string]*entryRecord{}, map[string]string{}
 	for _, it := range from.Items {
 		s.items[it.Entry.UID] = it
 	}
-	maps.Copy(s.members, from.Members)
+	maps.Copy(s.replicaAddresses, from.Members)
 	return nil
 }
 
@@ -426,7 +426,7 @@
 // MaxKnownProcesses bounds the processes in the state; beyond it the one that reported longest ago is dropped.
 const MaxKnownProcesses = 10_000
 
-func (s *State) rememberProcesses(all []SchemaSupport) {
+func (s *State) recordProcesses(all []SchemaSupport) {
 	for _, p := range all {
 		s.Processes[p.Name] = p
 	}
@@ -441,16 +441,16 @@
 	}
 }
 
-// ReadyIn counts the entries that take requests and are in a subset.
-func (s *State) ReadyIn(sub route.Subset) int {
+// CountReady counts the entries that take requests and are in a subset.
+func (s *State) CountReady(sub route.Subset) int {
 	n := 0
 	for _, it := range s.items {
-		if e := &it.Entry; e.State == Ready && within(sub.Model, e.Model) && within(sub.PodGroup, e.PodGroup) &&
-			within(sub.Zone, e.Zone) && within(sub.UID, e.UID) {
+		if e := &it.Entry; e.State == Ready && matchesAny(sub.Model, e.Model) && matchesAny(sub.PodGroup, e.PodGroup) &&
+			matchesAny(sub.Zone, e.Zone) && matchesAny(sub.UID, e.UID) {
 			n++
 		}
 	}
 	return n
 }
 
-func within[T comparable](list []T, v T) bool { return len(list) == 0 || slices.Contains(list, v) }
+func matchesAny[T comparable](list []T, v T) bool { return len(list) == 0 || slices.Contains(list, v) }
--- a/internal/registry/state/state_test.go
+++ b/internal/registry/state/state_test.go
@@ -25,7 +25,7 @@
 
 func newStartedState(keep int) *State {
 	s := NewState(keep)
-	if _, err := s.Apply(&Command{Op: OpBegin, Epoch: 5}); err != nil {
+	if _, err := s.Apply(&Command{Op: OpBeginEpoch, Epoch: 5}); err != nil {
 		panic(err)
 	}
 	return s
@@ -42,7 +42,7 @@
 		}
 		readers := []*reader{{list: map[string]Entry{}}, {list: map[string]Entry{}}, {list: map[string]Entry{}}}
 		catchUp := func(r *reader) {
-			l := s.Since(r.rev)
+			l := s.ChangesSince(r.rev)
 			if l.All {
 				clear(r.list)
 			}
@@ -59,14 +59,14 @@
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
 			uid := fmt.Sprintf("s%d", rapid.IntRange(0, 4).Draw(t, "uid"))
 			before := s.Rev()
-			c := &Command{UID: uid, Op: rapid.SampledFrom([]Op{OpPut, OpPut, OpDrain, OpRemove, OpExpire, OpBegin}).Draw(t, "op")}
+			c := &Command{UID: uid, Op: rapid.SampledFrom([]Op{OpPut, OpPut, OpDrain, OpRemove, OpExpire, OpBeginEpoch}).Draw(t, "op")}
 			switch c.Op {
 			case OpPut:
 				c.Entry = entry(uid, rapid.Int64Range(0, 3).Draw(t, "boot"))
 			case OpExpire:
 				_, changed, _, _ := s.Get(uid)
 				c.Expired = map[string]int64{uid: changed}
-			case OpBegin:
+			case OpBeginEpoch:
 				c.Epoch = EpochOf(s.Rev()) + 1
 			}
 			_, _ = s.Apply(c) // a refusal is as good as a change here
@@ -110,14 +110,14 @@
 		"never told": 0, "older than what is kept": 5<<CountBits + 2, "ahead": s.Rev() + 1,
 		"of an older history": 4<<CountBits + 19, "of a newer history": 6<<CountBits + 1, "nonsense": -7,
 	} {
-		if l := s.Since(after); !l.All || len(l.Targets) != 1 {
+		if l := s.ChangesSince(after); !l.All || len(l.Targets) != 1 {
 			t.Errorf("%s: %+v", name, l)
 		}
 	}
-	if l := s.Since(s.Rev() - 1); l.All || len(l.Targets) != 1 {
+	if l := s.ChangesSince(s.Rev() - 1); l.All || len(l.Targets) != 1 {
 		t.Errorf("the last change: %+v", l)
 	}
-	if l := s.Since(s.Rev()); l.All || len(l.Targets) != 0 {
+	if l := s.ChangesSince(s.Rev()); l.All || len(l.Targets) != 0 {
 		t.Errorf("nothing new: %+v", l)
 	}
 }
@@ -208,7 +208,7 @@
 			t.Fatal(err)
 		}
 	}
-	if _, err := s.Apply(&Command{Op: OpMember, UID: "r1", Address: "127.0.0.1:9"}); err != nil {
+	if _, err := s.Apply(&Command{Op: OpReplicaAddress, UID: "r1", Address: "127.0.0.1:9"}); err != nil {
 		t.Fatal(err)
 	}
 	back := NewState(100)
@@ -222,10 +222,10 @@
 	if err := back.Restore(stored); err != nil {
 		t.Fatal(err)
 	}
-	if !slices.Equal(back.All().Targets, s.All().Targets) || back.Rev() != s.Rev() || back.Members()["r1"] != "127.0.0.1:9" {
+	if !slices.Equal(back.All().Targets, s.All().Targets) || back.Rev() != s.Rev() || back.ReplicaAddresses()["r1"] != "127.0.0.1:9" {
 		t.Errorf("%+v, want %+v", back.All(), s.All())
 	}
-	if l := back.Since(s.Rev() - 1); !l.All {
+	if l := back.ChangesSince(s.Rev() - 1); !l.All {
 		t.Error("a restored copy told a change that it does not have")
 	}
 	if err := back.Restore(&Snapshot{Form: SnapshotForm + 1}); err == nil {
@@ -252,7 +252,7 @@
 func TestSnapshot_routes(t *testing.T) {
 	s := newStartedState(10)
 	base := rollout.Command{Op: rollout.OpBase, Tenant: "a", Base: route.Subset{Model: []string{"m"}}}
-	for _, c := range []*Command{{Op: OpTerm, TermMS: 5}, {Op: OpRoutes, Routes: &base},
+	for _, c := range []*Command{{Op: OpMaxLeaseTerm, TermMS: 5}, {Op: OpRoutes, Routes: &base},
 		{Op: OpAudit, Audit: []audit.Transition{{Process: route.Process{Name: "p", Start: 1}, Kind: audit.FirstReport, Rev: 1}},
 			Seen: []SchemaSupport{{Process: route.Process{Name: "p", Start: 1}, Schemas: []int{1}}}}} {
 		before := s.Rev()
--- a/internal/registry/state_machine.go
+++ b/internal/registry/state_machine.go
@@ -51,7 +51,7 @@
 	if err := json.NewDecoder(from).Decode(&in); err != nil {
 		return fmt.Errorf("registry: snapshot: %w", err)
 	}
-	s := state.NewState(m.cfg.Keep)
+	s := state.NewState(m.cfg.MaxHistory)
 	if err := s.Restore(&in); err != nil {
 		return err
 	}
--- a/internal/registry/storage/golden_test.go
+++ b/internal/registry/storage/golden_test.go
@@ -33,7 +33,7 @@
 func goldenListCommands() []state.Command {
 	unchanged, changed := int64(0), int64(5<<state.CountBits+1)
 	return []state.Command{
-		{Op: state.OpBegin, Epoch: 5},
+		{Op: state.OpBeginEpoch, Epoch: 5},
 		{Op: state.OpPut, LeaseMS: 30_000, If: &unchanged, Entry: &state.Entry{UID: "server-0", Endpoint: "127.0.0.1:8080", Zone: "zone-é",
 			Model: "large <&>", PodGroup: 4, State: state.Ready, Capacity: 1.5, BootMS: 1_700_000_000_000}},
 		{Op: state.OpPut, Entry: &state.Entry{UID: "server-1", Endpoint: "127.0.0.1:8081", State: state.Ready}},
@@ -42,8 +42,8 @@
 		{Op: state.OpDrain, UID: "server-0", If: &changed},
 		{Op: state.OpRemove, UID: "server-1"},
 		{Op: state.OpExpire, Expired: map[string]int64{"server-2": 5<<state.CountBits + 3, "server-9": 7}, Term: 2},
-		{Op: state.OpMember, UID: "copy-a", Address: "127.0.0.1:7000"},
-		{Op: state.OpMember, UID: "copy-b", Address: "127.0.0.2:7000"},
+		{Op: state.OpReplicaAddress, UID: "copy-a", Address: "127.0.0.1:7000"},
+		{Op: state.OpReplicaAddress, UID: "copy-b", Address: "127.0.0.2:7000"},
 	}
 }
 
@@ -51,7 +51,7 @@
 func goldenRouteCommands() []state.Command {
 	process := route.Process{Name: "process-0", Start: 9}
 	return []state.Command{
-		{Op: state.OpTerm, TermMS: 15_000, Term: 2},
+		{Op: state.OpMaxLeaseTerm, TermMS: 15_000, Term: 2},
 		{Op: state.OpRoutes, Routes: &rollout.Command{Op: rollout.OpPost, AtMS: 1_700_000_001_000, Spec: &rollout.Spec{
 			Tenant: "checkout", Name: "one", SubsetName: "next", Canary: route.Subset{Model: []string{"new"}}, Budget: 10,
 			Steps: []rollout.Step{{CanaryFraction: 0.5, HoldMS: 1000, MinAttempts: 3}}, AtEnd: rollout.AtEndReturn}}},
@@ -135,7 +135,7 @@
 			require.NoError(t, got.Restore(&form))
 			assert.Equal(t, string(stored), goldenBytes(t, got), "what is written again")
 			assert.Equal(t, want.All(), got.All())
-			assert.Equal(t, want.Members(), got.Members())
+			assert.Equal(t, want.ReplicaAddresses(), got.ReplicaAddresses())
 		})
 	}
 }
--- a/internal/registry/storage/store_test.go
+++ b/internal/registry/storage/store_test.go
@@ -44,7 +44,7 @@
 	defer wire.Close()
 	list := state.NewState(100)
 	for index := uint64(2); index <= 15; index++ {
-		command := state.Command{Op: state.OpBegin, Epoch: 5}
+		command := state.Command{Op: state.OpBeginEpoch, Epoch: 5}
 		if index > 2 {
 			command = state.Command{Op: state.OpPut, Entry: &state.Entry{UID: fmt.Sprint("s", index), Endpoint: "127.0.0.1:1", State: state.Ready}}
 		}
--- a/internal/registry/supervisor.go
+++ b/internal/registry/supervisor.go
@@ -49,14 +49,14 @@
 	if err != nil {
 		return nil, err
 	}
-	cfg.Listen = withPort(cfg.Listen, n.listen.Addr())
-	cfg.Raft = withPort(cfg.Raft, n.raftAt)
+	cfg.Listen = withBoundPort(cfg.Listen, n.listen.Addr())
+	cfg.RaftListen = withBoundPort(cfg.RaftListen, n.raftAddr)
 	cfg.reopened = true
 	return &Supervisor{cfg: cfg, node: n}, nil
 }
 
-// withPort replaces port 0 of an address by the port that was bound.
-func withPort(address string, bound net.Addr) string {
+// withBoundPort replaces port 0 of an address by the port that was bound.
+func withBoundPort(address string, bound net.Addr) string {
 	host, port, err := net.SplitHostPort(address)
 	tcp, ok := bound.(*net.TCPAddr)
 	if err != nil || !ok || port != "0" {
@@ -118,7 +118,7 @@
 			log.Info("registry: the folder takes writes again and was read anew", "dir", s.cfg.Dir,
 				"after", time.Since(closed).Round(time.Millisecond))
 			return wait, nil
-		case !mayHeal(err):
+		case !mayBeTransient(err):
 			return wait, err
 		case err.Error() != lastError:
 			lastError = err.Error()
@@ -146,9 +146,9 @@
 	return nil
 }
 
-// mayHeal reports whether an error of a reopen may be transient. Only errors that are certainly permanent end the replica;
+// mayBeTransient reports whether an error of a reopen may be transient. Only errors that are certainly permanent end the replica;
 // others, also an address in use, are retried.
-func mayHeal(err error) bool {
+func mayBeTransient(err error) bool {
 	if errors.Is(err, syscall.EIO) {
 		return true // the data may be intact
 	}
--- a/internal/registry/supervisor_test.go
+++ b/internal/registry/supervisor_test.go
@@ -42,7 +42,7 @@
 	var all []*supervised
 	for i, p := range peers {
 		c := &supervised{faults: filepath.Join(t.TempDir(), "faults.toml"), ended: make(chan error, 1)}
-		c.cfg = Config{Name: p.Name, Listen: p.Serve, Raft: p.Raft, Peers: peers, Beat: 50 * time.Millisecond,
+		c.cfg = Config{Name: p.Name, Listen: p.Serve, RaftListen: p.Raft, Peers: peers, HeartbeatInterval: 50 * time.Millisecond,
 			Dir: filepath.Join(t.TempDir(), fmt.Sprint(i)), Options: listserver.Options{Batch: time.Millisecond}}
 		var err error
 		c.cfg.Faults, err = fault.Open(c.faults)
@@ -370,7 +370,7 @@
 	for given, want := range map[string]string{
 		"127.0.0.1:0": "127.0.0.1:12345", "[::1]:0": "[::1]:12345", ":0": ":12345", "127.0.0.1:80": "127.0.0.1:80", "none": "none",
 	} {
-		assert.Equal(t, want, withPort(given, bound), given)
+		assert.Equal(t, want, withBoundPort(given, bound), given)
 	}
 }
 
@@ -388,8 +388,8 @@
 	faults := filepath.Join(dir, "faults.toml")
 	plan, err := fault.Open(faults)
 	require.NoError(t, err)
-	cfg := Config{Name: "one", Listen: freePort(t), Raft: freePort(t), Dir: filepath.Join(dir, "one"),
-		Beat: 10 * time.Millisecond, Faults: plan, Options: listserver.Options{Batch: time.Millisecond}}
+	cfg := Config{Name: "one", Listen: freePort(t), RaftListen: freePort(t), Dir: filepath.Join(dir, "one"),
+		HeartbeatInterval: 10 * time.Millisecond, Faults: plan, Options: listserver.Options{Batch: time.Millisecond}}
 	const cycles = 50
 	var goroutines, files int
 	for cycle := range cycles {
@@ -424,6 +424,6 @@
 		{&storage.CorruptionError{Path: "raft.db", Err: storage.ErrCorrupt}, false},
 		{storage.ErrNewerVersion, false},
 	} {
-		assert.Equal(t, c.want, mayHeal(fmt.Errorf("registry: %w", c.err)), "%v", c.err)
+		assert.Equal(t, c.want, mayBeTransient(fmt.Errorf("registry: %w", c.err)), "%v", c.err)
 	}
 }
