--- a/internal/lab/cluster/faults.go
+++ b/internal/lab/cluster/faults.go
@@ -263,13 +263,13 @@
 	return out, nil
 }
 
-// loggedDiskFailures is how often the replica's log tells of a disk that takes no more.
+// loggedDiskFailures returns how often the replica's log reports a failed disk write.
 func (replica *Replica) loggedDiskFailures() int {
 	text, err := os.ReadFile(replica.Spec.LogPath())
 	if err != nil {
 		return 0 // the replica has said nothing yet
 	}
-	return bytes.Count(text, []byte("the disk takes no more"))
+	return bytes.Count(text, []byte("disk write failed"))
 }
 
 // healDisks makes disks work again. Each copy that noticed has to be there by itself within diskHealWait; one that
--- a/internal/registry/agent_test.go
+++ b/internal/registry/agent_test.go
@@ -14,7 +14,8 @@
 	"marblelane/internal/registry/state"
 )
 
-// A server is listed once it is healthy, survives the service being away, and leaves in order.
+// A server is registered once it is healthy, stays listed after an outage of the list service, and is drained and
+// removed when its agent stops.
 func TestAgent(t *testing.T) {
 	all := cluster(t, 3, nil)
 	var healthy atomic.Bool
@@ -30,14 +31,14 @@
 	ended := make(chan error, 1)
 	go func() { ended <- a.Run(ctx) }()
 	listed := func() string { return uids(t, leader(t, all)) }
-	time.Sleep(200 * time.Millisecond) // it has been asked, and it is not healthy
+	time.Sleep(200 * time.Millisecond) // health checks have failed meanwhile
 	if got := listed(); got != "" {
-		t.Errorf("before it is healthy the list is %s", got)
+		t.Errorf("before the server is healthy the list is %s", got)
 	}
 	healthy.Store(true)
-	until(t, "the server on the list", func() bool { return listed() == "s1=Ready" })
+	until(t, "the registration of the server", func() bool { return listed() == "s1=Ready" })
 
-	// All replicas go and come back; a new leader gives its lease a full term, and it is renewed in time.
+	// All replicas stop and start again. The new leader gives the lease a full term, in which it is renewed.
 	for _, c := range all {
 		c.end(t)
 	}
@@ -46,13 +47,13 @@
 		c.start(t)
 	}
 	if got := listed(); got != "s1=Ready" {
-		t.Errorf("after the service was away the list is %s", got)
+		t.Errorf("after the outage the list is %s", got)
 	}
-	// Taken off by somebody, it comes back.
+	// A server that someone else removed registers again.
 	if code, _ := call(t, "DELETE", leader(t, all).cfg.Listen, listserver.ListPath+"/s1", ""); code != 200 {
 		t.Fatal(code)
 	}
-	until(t, "the server on the list again", func() bool { return listed() == "s1=Ready" })
+	until(t, "the registration after the removal", func() bool { return listed() == "s1=Ready" })
 
 	w := watch(t, leader(t, all).cfg.Listen, 0)
 	w.next(t)
@@ -64,14 +65,14 @@
 		}
 	}
 	if got := strings.Join(states, " "); got != "Terminating Gone" {
-		t.Errorf("it left with %s", got)
+		t.Errorf("states while the agent stops: %s", got)
 	}
 	if err := <-ended; err != nil {
 		t.Error(err)
 	}
 }
 
-// A server that fails its check for a whole lease is off the list.
+// A server whose health checks fail for a full lease term is removed from the list.
 func TestAgent_failedHealthCheck(t *testing.T) {
 	one := cluster(t, 1, func(c *Config) { c.Dir, c.Peers = "", nil })[0]
 	var healthy atomic.Bool
@@ -86,17 +87,17 @@
 	ctx, stop := context.WithCancel(t.Context())
 	ended := make(chan error, 1)
 	go func() { ended <- a.Run(ctx) }()
-	until(t, "the server on the list", func() bool { return uids(t, one) == "s1=Ready" })
+	until(t, "the registration of the server", func() bool { return uids(t, one) == "s1=Ready" })
 	healthy.Store(false)
-	until(t, "the sick server off the list", func() bool { return uids(t, one) == "" })
+	until(t, "the removal of the unhealthy server", func() bool { return uids(t, one) == "" })
 	stop()
 	if err := <-ended; err != nil {
 		t.Error(err)
 	}
 }
 
-// A server that somebody drains while its agent renews stays drained, also when its lease has ended meanwhile; the
-// next start is ready, also on a machine whose clock was set back by an hour.
+// A server that is drained while its agent renews stays drained, even if its entry was removed meanwhile. The next
+// start of the server is ready, even if the clock of its machine was set back by an hour.
 func TestAgent_drain(t *testing.T) {
 	one := cluster(t, 1, func(c *Config) { c.Dir, c.Peers = "", nil })[0]
 	run := func(boot int64) (stop func()) {
@@ -123,15 +124,15 @@
 	until(t, "a renewal", func() bool { return !renewed() })
 	until(t, "another renewal", renewed)
 	until(t, "one more", func() bool { return !renewed() })
-	until(t, "its answer", renewed)
-	if code, _ := call(t, "DELETE", one.cfg.Listen, listserver.ListPath+"/s1", ""); code != 200 { // as an ended lease would
+	until(t, "the response to a renewal", renewed)
+	if code, _ := call(t, "DELETE", one.cfg.Listen, listserver.ListPath+"/s1", ""); code != 200 { // as an expired lease would
 		t.Fatal(code)
 	}
 	until(t, "the server again", func() bool { return uids(t, one) != "" })
 	if got := uids(t, one); got != "s1=Terminating" {
-		t.Errorf("it came back as %s", got)
+		t.Errorf("the server was registered again as %s", got)
 	}
-	// Its machine starts it anew while it is still listed, with a clock that was set back.
+	// The server is started again while it is listed, with a clock that was set back.
 	second := run(hour)
 	until(t, "the next start", func() bool { return uids(t, one) == "s1=Ready" })
 	stop()
--- a/internal/registry/bootstrap.go
+++ b/internal/registry/bootstrap.go
@@ -4,9 +4,9 @@
 	"github.com/hashicorp/raft"
 )
 
-// bootstrapInterrupted reports whether a bootstrap was interrupted. raft writes term 1 first, and the first entry with
-// the configuration after it; a replica with the term alone counts as bootstrapped and would wait for ever. It cannot
-// have received anything in between, as raft was not running.
+// bootstrapInterrupted reports whether a bootstrap was interrupted between its two writes: term 1, then the first
+// entry, which holds the configuration. raft treats a replica that has only the term as bootstrapped, and it would wait
+// forever. Nothing can have been received between the two writes, as raft was not running.
 func bootstrapInterrupted(logs raft.LogStore, stable raft.StableStore, snaps raft.SnapshotStore) (bool, error) {
 	last, err := logs.LastIndex()
 	if err != nil || last > 0 {
@@ -22,7 +22,7 @@
 	return err == nil && term == 1, nil
 }
 
-// completeBootstrap writes the first entry as raft's own bootstrap does.
+// completeBootstrap writes the first entry in the form in which raft's own bootstrap writes it.
 func completeBootstrap(logs raft.LogStore, c raft.Configuration) error {
 	return logs.StoreLog(&raft.Log{Index: 1, Term: 1, Type: raft.LogConfiguration, Data: raft.EncodeConfiguration(c)})
 }
--- a/internal/registry/config.go
+++ b/internal/registry/config.go
@@ -39,14 +39,14 @@
 	MaxStaleness       tomlfile.Duration `toml:"most_stale"`
 	MaxExpiredFraction float64           `toml:"hold_share"`
 
-	Routes string `toml:"routes"` // path of the operators' file, relative to this file; empty: routes are off
+	Routes string `toml:"routes"` // path of the operators' file, relative to this file's folder; empty: routes are off
 
-	Members *membership.Section `toml:"members"` // absent: off
+	Members *membership.Section `toml:"members"` // membership group; absent: off
 
 	EachEncodes bool              `toml:"each_encodes"`
-	RouteDefect string            `toml:"lab_route_defect"` // planted, see type defect
+	RouteDefect string            `toml:"lab_route_defect"` // a defect that the lab plants, see routeleader.Defect
 	SlowDisk    tomlfile.Duration `toml:"slow_disk"`
-	Faults      string            `toml:"lab_faults"` // a file of the lab's, see package fault
+	Faults      string            `toml:"lab_faults"` // path of the lab's fault file, see package fault
 }
 
 // membersConfig returns the configuration of the membership group; nil: off.
@@ -60,13 +60,13 @@
 	}
 	c.Name, c.Role, c.Observer = f.Name, listserver.MemberRole, true
 	if err := addrcheck.Check(c); err != nil {
-		return nil, fmt.Errorf("this copy as a member: %w", err)
+		return nil, fmt.Errorf("this replica as a member: %w", err)
 	}
 	return &c, nil
 }
 
-// LoadConfig reads the configuration of a replica. Transient read failures are retried for up to retry.StartLimit, which
-// Open shares. Errors name file, line and key.
+// LoadConfig reads the configuration of a replica. Transient read failures are retried. The limit, retry.StartLimit,
+// covers LoadConfig and Open together. Errors name the file, line and key.
 func LoadConfig(path string) (Config, error) { return loadConfig(path, os.ReadFile) }
 
 func loadConfig(path string, readFile func(path string) ([]byte, error)) (Config, error) {
@@ -106,7 +106,7 @@
 	return c, nil
 }
 
-// validate validates the configuration.
+// validate returns an error that names the key of a missing or invalid setting.
 func (c *Config) validate() error {
 	for _, k := range []struct{ key, value string }{{"name", c.Name}, {"listen", c.Listen}, {"raft", c.RaftListen}} {
 		if k.value == "" {
@@ -122,30 +122,30 @@
 	case c.MaxHistory < 0:
 		return errors.New("keep: is negative")
 	case c.Watches < 0 || c.Burst < 0:
-		return errors.New("watches_per_s: it or watch_burst is negative")
+		return errors.New("watches_per_s: watches_per_s or watch_burst is negative")
 	case c.MaxExpiredFraction < 0 || c.MaxExpiredFraction > 1:
 		return errors.New("hold_share: is not between 0 and 1")
 	case !routeleader.Defect(c.Planted).Known():
-		return fmt.Errorf("lab_route_defect: %q is none of %v", c.Planted, routeleader.Defects())
+		return fmt.Errorf("lab_route_defect: %q is not one of %v", c.Planted, routeleader.Defects())
 	case c.Join && len(c.Peers) > 0:
-		return errors.New("join: a copy that joins has no peers of its own; the leader tells it")
+		return errors.New("join: must not be combined with peers, which a joining replica receives from the leader")
 	}
-	found := len(c.Peers) == 0
+	included := len(c.Peers) == 0
 	names := map[string]bool{}
 	for i, p := range c.Peers {
 		if p.Name == "" || p.Raft == "" || p.Serve == "" || names[p.Name] {
-			return fmt.Errorf("peer[%d]: name (its own), raft and serve are needed", i)
+			return fmt.Errorf("peer[%d]: name (unique), raft and serve must be set", i)
 		}
 		names[p.Name] = true
-		found = found || p.Name == c.Name
+		included = included || p.Name == c.Name
 	}
-	if !found {
-		return fmt.Errorf("peer: this copy, %q, is not among them", c.Name)
+	if !included {
+		return fmt.Errorf("peer: replica name %q is not among the peers", c.Name)
 	}
 	return nil
 }
 
-// RecoveryTarget is the replica as package recovery restores it.
+// RecoveryTarget returns the settings of the replica that package recovery needs to restore it.
 func (c *Config) RecoveryTarget() recovery.Target {
 	address := c.advertisedAddress()
 	if address == "" {
@@ -154,7 +154,7 @@
 	return recovery.Target{Name: c.Name, Dir: c.Dir, Raft: address, Join: c.Join}
 }
 
-// Endpoints are the HTTP addresses of this replica and of its peers.
+// Endpoints returns the HTTP addresses of this replica and of its peers.
 func (c *Config) Endpoints() []recovery.Endpoint {
 	all := []recovery.Endpoint{{Name: c.Name, Address: c.Listen}}
 	for _, p := range c.Peers {
--- a/internal/registry/freshness.go
+++ b/internal/registry/freshness.go
@@ -14,24 +14,24 @@
 // freshness tracks an upper bound of the staleness of a replica's list.
 //
 // A follower polls the leader for its revision, which the leader returns once a quorum has confirmed it. Every write
-// acknowledged before the poll has at most that revision, so once the follower has applied it, its list is as new as the
-// poll. raft's time of last contact does not serve: heartbeats also reach a follower that receives no entries, and the
-// delay of a message is unknown.
+// acknowledged before the poll has at most that revision, so once the follower has applied it, its list is as new as
+// the poll. raft's time of last contact is not usable for this: heartbeats also reach a follower that receives no
+// entries, and the delay of a message is unknown.
 type freshness struct {
 	mu     sync.Mutex
-	at     time.Time      // zero: never yet
-	oldest leaderRevision // oldest revision not applied yet
-	newest leaderRevision
+	at     time.Time      // the list contains every write acknowledged before this time; zero: unknown
+	oldest leaderRevision // oldest polled revision that is not applied yet; zero: none
+	newest leaderRevision // last polled revision
 }
 
-// leaderRevision is the leader's revision at a time.
+// leaderRevision is the leader's revision and the time at which it was polled.
 type leaderRevision struct {
 	at  time.Time
 	rev int64
 }
 
-// observeLeader records the leader's revision at a time. The oldest is kept until it is applied, beside the newest:
-// otherwise a follower that always lags a little would never reach one.
+// observeLeader records the leader's revision as of a poll. The oldest revision not yet applied is kept beside the
+// newest: a follower that always lags a little would never reach the newest one.
 func (f *freshness) observeLeader(at time.Time, rev int64) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -41,7 +41,7 @@
 	}
 }
 
-// observeLeadership records that this replica led at a time, as a quorum has confirmed since.
+// observeLeadership records that this replica was the leader at a time. A quorum must have confirmed it since.
 func (f *freshness) observeLeadership(at time.Time) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -50,16 +50,17 @@
 	}
 }
 
-// completeSince returns the latest time as of which a replica that has applied rev is complete; zero if none.
+// completeSince returns the latest time for which a replica that has applied rev has every write acknowledged before
+// it; zero if no such time is known.
 func (f *freshness) completeSince(rev int64) time.Time {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	for _, p := range []leaderRevision{f.oldest, f.newest} {
-		if p.at.IsZero() || rev < p.rev {
+	for _, polled := range []leaderRevision{f.oldest, f.newest} {
+		if polled.at.IsZero() || rev < polled.rev {
 			break
 		}
-		if f.oldest = (leaderRevision{}); f.at.Before(p.at) {
-			f.at = p.at
+		if f.oldest = (leaderRevision{}); f.at.Before(polled.at) {
+			f.at = polled.at
 		}
 	}
 	if f.oldest.at.IsZero() && rev < f.newest.rev {
@@ -94,7 +95,7 @@
 		}
 		rev, err := listserver.PollRevision(ctx, client, leader, listserver.LeaderRevPath)
 		if err != nil {
-			n.log.Debug("registry: the leader does not say what it has", "error", err)
+			n.log.Debug("registry: failed to poll the leader's revision", "error", err)
 			continue
 		}
 		n.fresh.observeLeader(at, rev)
--- a/internal/registry/freshness_test.go
+++ b/internal/registry/freshness_test.go
@@ -15,19 +15,19 @@
 	at := func(s int) time.Time { return time.Unix(int64(s), 0) }
 	var f freshness
 	for _, c := range []struct {
-		polled int // 0: nothing is polled
+		polled int // time of a poll in seconds; 0: no poll
 		rev    int64
 		has    int64
 		want   int
 	}{
 		{0, 0, 5, 0},
 		{10, 5, 4, 0},
-		{11, 6, 4, 0},  // the first stays, though a newer one has come
-		{12, 9, 5, 10}, // and is reached
+		{11, 6, 4, 0},  // the first polled revision is kept beside the newer one
+		{12, 9, 5, 10}, // the first is applied
 		{0, 0, 8, 10},
-		{13, 20, 9, 12}, // what was newest when the first was reached came next
+		{13, 20, 9, 12}, // the revision that was newest then is applied
 		{14, 20, 20, 14},
-		{0, 0, 30, 14}, // more than was ever promised makes it no newer
+		{0, 0, 30, 14}, // a revision above all polled ones proves nothing newer
 	} {
 		if c.polled > 0 {
 			f.observeLeader(at(c.polled), c.rev)
@@ -37,15 +37,15 @@
 		}
 	}
 	if f.observeLeadership(at(12)); !f.completeSince(30).Equal(at(14)) {
-		t.Error("it went back")
+		t.Error("an earlier confirmation moved the time back")
 	}
 	if f.observeLeadership(at(15)); !f.completeSince(30).Equal(at(15)) {
-		t.Error("a confirmed leader is not new")
+		t.Error("a confirmed leader did not advance the time")
 	}
 }
 
-// Steps of the wall clock reach the service where it reads the clock of its faults, and nowhere else: the lab's
-// copy-clock scenario proves something only as long as no other wall time is read.
+// The service reads the wall clock only through the clock of its fault plan. Any other read would make the lab's
+// copy-clock scenario meaningless, as the clock steps that it injects would not reach it.
 func TestWallClock_singleReader(t *testing.T) {
 	files, err := filepath.Glob("*.go")
 	if err != nil || len(files) < 5 {
@@ -84,10 +84,10 @@
 	for i := int64(0); i < slowWritesToYield; i++ {
 		put(t, old, "s1", 2+i, 0)
 	}
-	var next *copyOf
+	var next *testReplica
 	until(t, "another leader", func() bool { next = leader(t, all); return next != old })
 	put(t, next, "s2", 1, 0)
 	if st := old.node.Server().Status(); st.DiskMS < 100 {
-		t.Errorf("the slow copy says that its disk takes %v ms", st.DiskMS)
+		t.Errorf("the replica with the slow disk reports writes of %v ms", st.DiskMS)
 	}
 }
--- a/internal/registry/listen_test.go
+++ b/internal/registry/listen_test.go
@@ -15,7 +15,7 @@
 	"marblelane/internal/listener"
 )
 
-// logSignal tells of each line that is logged.
+// logSignal is a log output that signals each line.
 type logSignal chan struct{}
 
 func (s logSignal) Write(p []byte) (int, error) {
@@ -26,7 +26,7 @@
 	return len(p), nil
 }
 
-// An address that another process gives up a moment later is bound.
+// An address in use is retried and bound once it is free.
 func TestStart_AddressFreedLater(t *testing.T) {
 	for _, key := range []string{"listen", "raft"} {
 		t.Run(key, func(t *testing.T) {
@@ -50,7 +50,7 @@
 			select {
 			case <-failed:
 			case <-time.After(20 * time.Second):
-				t.Error("no bind has failed")
+				t.Error("no failed bind was logged")
 			}
 			holder.Close()
 			if err := <-opened; err != nil {
@@ -60,7 +60,7 @@
 	}
 }
 
-// What cannot heal ends the start at once, and the error names the address.
+// A permanent error fails the start without retries, and the error names the address.
 func TestStart_ForeignAddress(t *testing.T) {
 	const foreign = "192.0.2.1:7001" // TEST-NET-1 (RFC 5737)
 	for _, key := range []string{"listen", "raft"} {
@@ -71,13 +71,13 @@
 			*map[string]*string{"listen": &cfg.Listen, "raft": &cfg.RaftListen}[key] = foreign
 			_, err := Open(cfg)
 			if !errors.Is(err, syscall.EADDRNOTAVAIL) || !strings.Contains(err.Error(), foreign) || len(failed) > 0 {
-				t.Errorf("%v, tried again: %v", err, len(failed) > 0)
+				t.Errorf("%v, retried: %v", err, len(failed) > 0)
 			}
 		})
 	}
 }
 
-// Accepts that fail for a moment end neither the service nor raft's listener.
+// A few failed accepts do not end the HTTP service.
 func TestListeners_acceptFailures(t *testing.T) {
 	cfg := Config{Name: "r0", Listen: "127.0.0.1:0", RaftListen: "127.0.0.1:0"}
 	cfg.Log = slog.New(slog.DiscardHandler)
@@ -87,7 +87,7 @@
 	}
 	wrapped, ok := n.listen.(*listener.Listener)
 	if !ok {
-		t.Fatalf("the listener is a %T, which ends at the first failure", n.listen)
+		t.Fatalf("the listener is a %T, which stops at the first failed accept", n.listen)
 	}
 	wrapped.Listener = &failsFirst{Listener: wrapped.Listener, left: 3}
 	ctx, cancel := context.WithCancel(t.Context())
@@ -104,9 +104,9 @@
 	if err := conn.SetReadDeadline(time.Now().Add(20 * time.Second)); err != nil {
 		t.Fatal(err)
 	}
-	answer := make([]byte, 12)
-	if _, err := conn.Read(answer); err != nil || string(answer) != "HTTP/1.1 404" {
-		t.Errorf("%q, %v", answer, err)
+	response := make([]byte, 12)
+	if _, err := conn.Read(response); err != nil || string(response) != "HTTP/1.1 404" {
+		t.Errorf("%q, %v", response, err)
 	}
 	cancel()
 	if err := <-ended; err != nil {
@@ -114,7 +114,7 @@
 	}
 }
 
-// failsFirst fails a few times before it accepts.
+// failsFirst is a listener whose first accepts fail, as many as left.
 type failsFirst struct {
 	net.Listener
 	left int
@@ -128,7 +128,7 @@
 	return f.Listener.Accept()
 }
 
-// A configuration that cannot be opened for a moment, as with no descriptor left in the system, is read a moment later.
+// A transient failure to read the configuration, such as no free file descriptor, is retried.
 func TestLoad_TransientReadFailure(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "copy.toml")
 	text := "name = \"r0\"\nlisten = \"127.0.0.1:0\"\nraft = \"127.0.0.1:0\"\n"
@@ -145,7 +145,7 @@
 				return os.ReadFile(path)
 			})
 			if err != nil || cfg.Name != "r0" || attempts != 3 {
-				t.Errorf("%v after %d tries", err, attempts)
+				t.Errorf("%v after %d attempts", err, attempts)
 			}
 		})
 	}
@@ -155,6 +155,6 @@
 		return nil, &os.PathError{Op: "open", Path: path, Err: syscall.EACCES}
 	})
 	if !errors.Is(err, syscall.EACCES) || !strings.Contains(err.Error(), path) || attempts != 1 {
-		t.Errorf("%v after %d tries, want EACCES at once", err, attempts)
+		t.Errorf("%v after %d attempts, want EACCES after one", err, attempts)
 	}
 }
--- a/internal/registry/members_test.go
+++ b/internal/registry/members_test.go
@@ -14,29 +14,30 @@
 	"marblelane/internal/registry/listserver"
 )
 
-// No step is taken that would leave less than a quorum that answers. cmd/marblelane has a whole replacement.
+// A membership change is rejected if the voters after it would have no responding quorum. A complete replacement of a
+// replica is tested in cmd/marblelane.
 func TestMembership_quorum(t *testing.T) {
 	all := cluster(t, 4, nil)
 	l := leader(t, all)
 	first := l.cfg.Name
-	require.ErrorIs(t, l.node.Retire(first), listserver.ErrNotLeader) // it gives the lead on before it goes
-	until(t, "the next leader, and the old one's end", func() bool {
+	require.ErrorIs(t, l.node.Retire(first), listserver.ErrNotLeader) // transfers the leadership first
+	until(t, "the next leader, and the removal of the old one", func() bool {
 		l = leader(t, all)
 		return l.cfg.Name != first && l.node.Retire(first) == nil
 	})
-	require.NoError(t, l.node.Retire(first), "once more")
+	require.NoError(t, l.node.Retire(first), "a repeated call")
 	require.Len(t, l.node.Replicas(), 3)
-	var others []*copyOf
+	var others []*testReplica
 	for _, c := range all {
 		if c.cfg.Name != first && c != l {
 			others = append(others, c)
 		}
 	}
-	nobody := listserver.Peer{Name: "r9", Raft: freePort(t), Serve: freePort(t)} // it does not run
+	nobody := listserver.Peer{Name: "r9", Raft: freePort(t), Serve: freePort(t)} // not running
 	before := l.node.Replicas()
 	require.ErrorIs(t, l.node.Learn(nobody), listserver.ErrRejected)
-	require.Len(t, l.node.Replicas(), len(before), "nothing is left behind")
-	mute, err := net.Listen("tcp", nobody.Raft) // and now somebody does, who says nothing
+	require.Len(t, l.node.Replicas(), len(before), "a rejected change must leave no learner")
+	mute, err := net.Listen("tcp", nobody.Raft) // accepts connections, but never responds
 	require.NoError(t, err)
 	t.Cleanup(func() { mute.Close() })
 	require.NoError(t, l.node.Learn(nobody))
@@ -44,18 +45,18 @@
 	require.Equal(t, 409, code)
 	require.Contains(t, text, "r9 does not answer")
 	require.ErrorIs(t, l.node.Promote("r7"), listserver.ErrRejected)
-	require.ErrorIs(t, l.node.Learn(listserver.Peer{Name: "r9", Raft: "127.0.0.1:1", Serve: "x"}), listserver.ErrRejected, "two of a name")
-	require.ErrorIs(t, l.node.Learn(listserver.Peer{Name: "r8", Raft: nobody.Raft, Serve: "x"}), listserver.ErrRejected, "two of an address")
+	require.ErrorIs(t, l.node.Learn(listserver.Peer{Name: "r9", Raft: "127.0.0.1:1", Serve: "x"}), listserver.ErrRejected, "the name is in use")
+	require.ErrorIs(t, l.node.Learn(listserver.Peer{Name: "r8", Raft: nobody.Raft, Serve: "x"}), listserver.ErrRejected, "the address is in use")
 	require.NoError(t, l.node.Retire("r9"))
 	others[0].end(t)
 	code, text = call(t, "POST", l.cfg.Listen, listserver.ReplicasPath+"/"+others[1].cfg.Name+"/retire", "")
 	require.Equal(t, 409, code)
 	require.Contains(t, text, "of the 2 that would vote 1 answer")
-	put(t, l, "s1", 1, 0) // nothing is lost
-	require.NoError(t, l.node.Retire(others[0].cfg.Name), "the dead one may go")
+	put(t, l, "s1", 1, 0) // the rejected change has no effect
+	require.NoError(t, l.node.Retire(others[0].cfg.Name), "the stopped replica can be removed")
 }
 
-// withMembers makes replicas members of a fleet, the first of them its seed.
+// withMembers configures a replica as a member of the membership group, with the given seed.
 func withMembers(t *testing.T, c *Config, bind, seed string) {
 	t.Helper()
 	f := file{Name: c.Name, Members: &membership.Section{Fleet: "f", Bind: bind, Seeds: []string{seed}, Interval: "50ms"}}
@@ -65,7 +66,7 @@
 	require.True(t, c.Members.Observer)
 }
 
-// What membership would refuse at each try is refused when the configuration is read.
+// A setting with which joining the membership group would always fail is rejected when the configuration is read.
 func TestMembers_configErrors(t *testing.T) {
 	for key, f := range map[string]file{
 		"name": {Name: "a copy", Members: &membership.Section{Fleet: "f", Bind: "127.0.0.1:0"}},
@@ -76,7 +77,7 @@
 	}
 }
 
-func status(t *testing.T, c *copyOf) (out listserver.Status) {
+func status(t *testing.T, c *testReplica) (out listserver.Status) {
 	t.Helper()
 	code, text := call(t, "GET", c.cfg.Listen, "/registry/status", "")
 	require.Equal(t, 200, code)
@@ -102,31 +103,31 @@
 			return true
 		}
 	}
-	// Without its address a replica serves, and membership knows nothing of it.
-	until(t, "two that are alive", stands(membership.Alive, membership.Alive, listserver.UnknownMember))
+	// A replica that cannot bind its membership address serves requests, and the group does not know it.
+	until(t, "two alive members", stands(membership.Alive, membership.Alive, listserver.UnknownMember))
 	code, _ := call(t, "GET", all[2].cfg.Listen, listserver.MembersPath, "")
 	require.Equal(t, 503, code)
 	put(t, all[2], "s1", 1, 0)
 	require.NoError(t, taken.Close())
-	until(t, "all three", stands(membership.Alive, membership.Alive, membership.Alive))
+	until(t, "three alive members", stands(membership.Alive, membership.Alive, membership.Alive))
 	code, text := call(t, "GET", all[2].cfg.Listen, listserver.MembersPath, "")
 	require.Equal(t, 200, code)
 	require.Contains(t, text, `"role":"list"`)
 	_, text = call(t, "GET", all[0].cfg.Listen, "/stats", "")
 	require.Contains(t, text, "registry_members{state=\"alive\"} 3\n")
 	all[1].end(t)
-	until(t, "the one that left", stands(membership.Alive, membership.Gone, membership.Alive))
-	require.Len(t, status(t, all[0]).Replicas, 3, "membership does not vote")
-	// A replica that takes no part any more does not go on saying what it saw last.
+	until(t, "the stopped member", stands(membership.Alive, membership.Gone, membership.Alive))
+	require.Len(t, status(t, all[0]).Replicas, 3, "the membership group does not change the voters")
+	// A replica that has left the group does not report the last states that it saw.
 	code, text = call(t, "POST", all[0].cfg.Listen, listserver.MembersPath+"/leave", "")
 	require.Less(t, code, 300, text)
 	require.True(t, stands(listserver.UnknownMember, listserver.UnknownMember, listserver.UnknownMember)())
 }
 
-// Watches of /members are counted, and a caller that takes nothing makes room.
+// The number of watches of /members is limited, and HEAD requests cannot open one.
 func TestMembers_watchLimit(t *testing.T) {
 	one := cluster(t, 1, func(c *Config) { withMembers(t, c, "127.0.0.1:0", "127.0.0.1:1") })[0]
-	until(t, "its address", func() bool {
+	until(t, "the membership group", func() bool {
 		return func() bool { code, _ := call(t, "GET", one.cfg.Listen, listserver.MembersPath, ""); return code == 200 }()
 	})
 	client := &http.Client{Transport: &http.Transport{}}
@@ -144,7 +145,7 @@
 func TestMembers_off(t *testing.T) {
 	one := cluster(t, 1, nil)[0]
 	stacks := make([]byte, 1<<20)
-	until(t, "no goroutine of it, nor of tests before", func() bool {
+	until(t, "no goroutine of memberlist, also none of earlier tests", func() bool {
 		return !strings.Contains(string(stacks[:runtime.Stack(stacks, true)]), "memberlist")
 	})
 	code, _ := call(t, "GET", one.cfg.Listen, listserver.MembersPath, "")
--- a/internal/registry/node.go
+++ b/internal/registry/node.go
@@ -32,30 +32,32 @@
 
 // Config configures a replica.
 type Config struct {
-	Name       string // its name among the replicas
+	Name       string // unique among the replicas
 	Listen     string // address of the HTTP API
 	RaftListen string // address of raft
-	Dir        string // data directory; empty: storage is in memory, for development only
-	// Advertise is where other replicas reach raft; empty: as listed among the peers, or where it listens.
+	Dir        string // data directory; empty: state is kept in memory only, for development
+	// Advertise is the address at which other replicas reach raft. Empty: this replica's address in Peers, or
+	// RaftListen.
 	Advertise  string
-	Peers      []listserver.Peer // all replicas of a new cluster, this one included; empty: a cluster of one, or Join
+	Peers      []listserver.Peer // all replicas of a new cluster, including this one; empty: a single replica, or Join
 	Join       bool              // wait to be added to a cluster instead of bootstrapping one
-	MaxHistory int               // changes kept for watches that resume; 10,000
-	// HeartbeatInterval is the heartbeat interval; the election timeout is a multiple of it. 200 ms.
+	MaxHistory int               // minimum number of changes kept for watches that resume; 0: 10,000
+	// HeartbeatInterval is the interval of raft's heartbeats, from which its timeouts are derived; 0: 200 ms.
 	HeartbeatInterval time.Duration
-	// SlowWriteThreshold is the duration from which a disk write is slow; a leader with slow writes only transfers the leadership.
-	// Five heartbeat intervals.
+	// SlowWriteThreshold is the duration from which a disk write counts as slow. A leader whose recent writes were all
+	// slow transfers its leadership. 0: five heartbeat intervals.
 	SlowWriteThreshold time.Duration
-	Faults             *fault.Plan        // injected by the lab; nil: none
-	Members            *membership.Config // nil: off
-	start              *retry.Start       // retries begun by LoadConfig; nil: none
+	Faults             *fault.Plan        // faults injected by the lab; nil: none
+	Members            *membership.Config // membership group; nil: off
+	start              *retry.Start       // start-up retries begun by LoadConfig; nil: Open begins its own
 
 	listserver.Options
 
-	reopened bool // the directory was open before: one without a log is not that of this replica
+	reopened bool // the data directory was opened before, so one without a log belongs to another replica or is not mounted
 }
 
-// advertisedAddress is where other replicas reach raft: as configured, or as listed among the peers; empty: where it listens.
+// advertisedAddress returns the address at which other replicas reach raft: as configured, or as listed in Peers. It is
+// empty if neither is set; then the listening address serves.
 func (c *Config) advertisedAddress() string {
 	if c.Advertise != "" {
 		return c.Advertise
@@ -79,18 +81,18 @@
 	hub         *listserver.Hub
 	server      *listserver.Server
 	routes      *routeleader.Routing
-	members     *listserver.Members // nil: off
+	members     *listserver.Members // membership group; nil: off
 	http        *http.Server
 	listen      net.Listener
-	raftAddr    net.Addr       // where raft listens
-	store       *storage.Store // nil: storage is in memory
-	closers     []func() error
+	raftAddr    net.Addr       // address raft listens on
+	store       *storage.Store // nil: state is kept in memory
+	closers     []func() error // in the order of opening
 	log         *slog.Logger
-	// readyTerm is the last term in which this replica led and had applied all that was committed before it.
+	// readyTerm is the last term in which this replica led and had applied every entry committed in earlier terms.
 	readyTerm atomic.Uint64
 }
 
-// Open starts the replica's raft and binds its address; Run serves.
+// Open opens the storage, binds the addresses and starts raft. Call Run to serve requests.
 func Open(cfg Config) (n *Node, err error) {
 	cfg.SetDefaults()
 	if cfg.MaxHistory == 0 {
@@ -131,7 +133,7 @@
 	return n, nil
 }
 
-// openRaft opens the storage and the transport, bootstraps the cluster at the first start of a founder, and starts raft.
+// openRaft opens the storage and the transport, bootstraps the cluster if needed, and starts raft.
 func (n *Node) openRaft(start *retry.Start) error {
 	c := n.raftConfig()
 	st, err := n.openStorage(c.Logger)
@@ -146,13 +148,13 @@
 		return err
 	}
 	if n.raft, err = raft.NewRaft(c, (*stateMachine)(n), st.logs, st.stable, st.snaps, n.regressions); err != nil {
-		return fmt.Errorf("registry: raft: %w", err)
+		return fmt.Errorf("registry: start raft: %w", err)
 	}
 	n.transport.NeedsEntries = n.needsEntries
 	n.closers = append(n.closers, func() error {
-		ended := n.raft.Shutdown()
-		n.transport.Stop() // raft waits for pending sends
-		return ended.Error()
+		shutdown := n.raft.Shutdown()
+		n.transport.Stop() // the shutdown of raft waits for pending sends
+		return shutdown.Error()
 	})
 	if err := n.diskFailure(); err != nil {
 		return &DiskError{Err: err}
@@ -165,22 +167,22 @@
 	c := raft.DefaultConfig()
 	c.LocalID = raft.ServerID(n.cfg.Name)
 	c.HeartbeatTimeout, c.ElectionTimeout = 5*n.cfg.HeartbeatInterval, 5*n.cfg.HeartbeatInterval
-	c.LeaderLeaseTimeout = 3 * n.cfg.HeartbeatInterval // a partitioned leader steps down before the others elect a new one
+	c.LeaderLeaseTimeout = 3 * n.cfg.HeartbeatInterval // a partitioned leader steps down before others elect one
 	c.CommitTimeout = 10 * time.Millisecond
 	c.SnapshotInterval, c.SnapshotThreshold, c.TrailingLogs = 30*time.Second, 8192, 4096
-	// raft's own log is discarded; its relevant state is in this replica's status and log.
+	// raft's own log messages are discarded: the replica's status and log report the relevant state.
 	c.Logger = hclog.New(&hclog.LoggerOptions{Name: "raft", Output: io.Discard, Level: hclog.Error})
 	return c
 }
 
-// raftStores is what raft persists: its log, its term and vote, and snapshots.
+// raftStores holds the stores of raft: its log, its term and vote, and its snapshots.
 type raftStores struct {
 	logs   raft.LogStore
 	stable raft.StableStore
 	snaps  raft.SnapshotStore
 }
 
-// openStorage opens the data directory, after recovery, or storage in memory if none is configured.
+// openStorage recovers and opens the data directory, or creates storage in memory if no directory is configured.
 func (n *Node) openStorage(logger hclog.Logger) (*raftStores, error) {
 	if n.cfg.Dir == "" {
 		mem := raft.NewInmemStore()
@@ -201,66 +203,66 @@
 	}
 	file, err := storage.OpenStore(filepath.Join(n.cfg.Dir, storage.StoreFile), n.cfg.SlowWriteThreshold, n.cfg.Faults)
 	if err != nil {
-		return nil, fmt.Errorf("registry: log: %w", err)
+		return nil, fmt.Errorf("registry: open log: %w", err)
 	}
 	n.store = file
-	file.OnFailure = func(err error) { n.log.Error("registry: the disk takes no more", "error", err) }
+	file.OnFailure = func(err error) { n.log.Error("registry: disk write failed", "error", err) }
 	n.closers = append(n.closers, file.Close)
 	files, err := storage.OpenSnapshots(n.cfg.Dir, logger, n.log)
 	if err != nil {
-		return nil, fmt.Errorf("registry: snapshots in %s: %w", n.cfg.Dir, err)
+		return nil, fmt.Errorf("registry: open snapshots in %s: %w", n.cfg.Dir, err)
 	}
 	return &raftStores{file, storage.TermStore{Store: file}, files}, nil
 }
 
-// openTransport listens for raft and sets up the transport; a busy address is retried until start gives up.
+// openTransport listens for raft and creates the transport. An address in use is retried until start gives up.
 func (n *Node) openTransport(start *retry.Start, logger hclog.Logger) (*transport.Transport, error) {
 	var streams *transport.StreamLayer
 	if err := start.Do("raft", func() (failed error) {
 		streams, failed = transport.Listen(n.cfg.RaftListen, n.cfg.advertisedAddress())
 		return failed
 	}); err != nil {
-		return nil, fmt.Errorf("registry: raft at %s: %w", n.cfg.RaftListen, err)
+		return nil, fmt.Errorf("registry: listen for raft at %s: %w", n.cfg.RaftListen, err)
 	}
 	wire := transport.New(raft.NewNetworkTransportWithConfig(&raft.NetworkTransportConfig{
 		Stream: streams, MaxPool: 3, Timeout: 10 * n.cfg.HeartbeatInterval, Logger: logger}), n.cfg.HeartbeatInterval)
 	n.raftAddr = streams.Listener.Addr()
 	n.transport, n.regressions = wire, transport.NewRegressionDetector(wire, n.log)
 	n.closers = append(n.closers, func() error {
-		wire.CloseStreams() // closes the other replicas' ends, too
+		wire.CloseStreams() // also closes the connections that other replicas opened
 		return wire.Close()
 	})
 	return wire, nil
 }
 
-// bootstrap writes the founding configuration at the first start of a founder, or completes one that was interrupted.
-// It runs before raft does: a replica that has taken part in an election must not bootstrap any more.
+// bootstrap writes the initial configuration at the first start of a new cluster's replica, or completes a bootstrap
+// that was interrupted. It runs before raft starts: a replica that has taken part in an election must not bootstrap.
 func (n *Node) bootstrap(c *raft.Config, st *raftStores, wire *transport.Transport) error {
-	old, err := raft.HasExistingState(st.logs, st.stable, st.snaps)
+	hasState, err := raft.HasExistingState(st.logs, st.stable, st.snaps)
 	if err != nil {
 		return fmt.Errorf("registry: %w", err)
 	}
 	if n.cfg.Join {
 		return nil
 	}
-	if !old {
-		if err := raft.BootstrapCluster(c, st.logs, st.stable, st.snaps, wire, n.founders(wire)); err != nil {
-			return fmt.Errorf("registry: found a cluster: %w", err)
+	if !hasState {
+		if err := raft.BootstrapCluster(c, st.logs, st.stable, st.snaps, wire, n.initialConfiguration(wire)); err != nil {
+			return fmt.Errorf("registry: bootstrap cluster: %w", err)
 		}
 		return nil
 	}
-	half, err := bootstrapInterrupted(st.logs, st.stable, st.snaps)
-	if err == nil && half {
-		err = completeBootstrap(st.logs, n.founders(wire))
+	interrupted, err := bootstrapInterrupted(st.logs, st.stable, st.snaps)
+	if err == nil && interrupted {
+		err = completeBootstrap(st.logs, n.initialConfiguration(wire))
 	}
 	if err != nil {
-		return fmt.Errorf("registry: found a cluster that was cut off: %w", err)
+		return fmt.Errorf("registry: complete interrupted bootstrap: %w", err)
 	}
 	return nil
 }
 
-// founders is the initial configuration of a new cluster.
-func (n *Node) founders(wire *transport.Transport) (out raft.Configuration) {
+// initialConfiguration returns the members of a new cluster.
+func (n *Node) initialConfiguration(wire *transport.Transport) (out raft.Configuration) {
 	peers := n.cfg.Peers
 	if len(peers) == 0 {
 		peers = []listserver.Peer{{Name: n.cfg.Name, Raft: string(wire.LocalAddr()), Serve: n.Addr()}}
@@ -271,13 +273,14 @@
 	return out
 }
 
-// Addr is the address of the HTTP API.
+// Addr returns the address of the HTTP API.
 func (n *Node) Addr() string { return n.listen.Addr().String() }
 
-// Server is the HTTP API of the list.
+// Server returns the HTTP API of the list.
 func (n *Node) Server() *listserver.Server { return n.server }
 
-// Run serves until ctx ends or a disk write fails; then it closes the replica and returns a *DiskError.
+// Run serves until ctx ends or a disk write fails, and then closes the replica. After a failed disk write it returns a
+// *DiskError.
 func (n *Node) Run(ctx context.Context) error {
 	defer n.closeAll()
 	ctx, cancel := context.WithCancel(ctx)
@@ -298,10 +301,10 @@
 	failed := make(chan error, 1)
 	base, stop := context.WithCancel(ctx)
 	defer stop()
-	n.http.BaseContext = func(net.Listener) context.Context { return base } // ends watches
+	n.http.BaseContext = func(net.Listener) context.Context { return base } // stop ends the watches
 	wg.Go(func() { failed <- n.http.Serve(n.listen) })
-	n.log.Info("registry: serves", "name", n.cfg.Name, "listen", n.Addr())
-	var broken error
+	n.log.Info("registry: serving", "name", n.cfg.Name, "listen", n.Addr())
+	var diskErr error
 	var disk <-chan error
 	if n.store != nil {
 		disk = n.store.Failed
@@ -310,24 +313,24 @@
 	case err := <-failed:
 		return fmt.Errorf("registry: %w", err)
 	case err := <-disk:
-		broken = &DiskError{Err: err}
-		n.log.Error("registry: ends", "error", broken)
+		diskErr = &DiskError{Err: err}
+		n.log.Error("registry: replica stopped", "error", diskErr)
 	case <-ctx.Done():
 	}
 	stop()
 	end, done := context.WithTimeout(context.Background(), time.Second)
 	defer done()
 	if err := n.http.Shutdown(end); err != nil {
-		return errors.Join(broken, n.http.Close())
+		return errors.Join(diskErr, n.http.Close())
 	}
-	return broken
+	return diskErr
 }
 
 // closeAll closes everything in the reverse order of opening.
 func (n *Node) closeAll() {
 	for i := len(n.closers) - 1; i >= 0; i-- {
 		if err := n.closers[i](); err != nil && !errors.Is(err, net.ErrClosed) {
-			n.log.Debug("registry: close", "error", err)
+			n.log.Debug("registry: failed to close the replica", "error", err)
 		}
 	}
 	n.closers = nil
@@ -335,7 +338,7 @@
 
 const (
 	slowWritesToYield = 3           // consecutive slow writes after which a leader transfers the leadership
-	minYieldInterval  = time.Minute // between two transfers: with slow disks everywhere the leadership would only wander
+	minYieldInterval  = time.Minute // minimum time between two transfers, as with slow disks everywhere none would help
 )
 
 // result is the outcome of an applied command.
@@ -366,10 +369,11 @@
 	return r.rev, r.err
 }
 
-// maxConfirmAttempts covers one stale answer, in flight when the first attempt began, of each of eight other replicas.
+// maxConfirmAttempts is the maximum number of leadership checks of one Confirm. Each of eight other replicas may have
+// one stale response in flight when the first check begins, which spoils one check.
 const maxConfirmAttempts = 9
 
-// Add adds a replica to the cluster as a voter. Only the leader can.
+// Add adds a replica to the cluster as a voter. It fails on a follower.
 func (n *Node) Add(p listserver.Peer) error {
 	if err := n.raft.AddVoter(raft.ServerID(p.Name), raft.ServerAddress(p.Raft), 0, listserver.ApplyTimeout).Error(); err != nil {
 		return fmt.Errorf("registry: add %s: %w", p.Name, err)
@@ -378,7 +382,7 @@
 	return err
 }
 
-// Remove removes a replica from the cluster. Only the leader can.
+// Remove removes a replica from the cluster. It fails on a follower.
 func (n *Node) Remove(name string) error {
 	if err := n.raft.RemoveServer(raft.ServerID(name), 0, listserver.ApplyTimeout).Error(); err != nil {
 		return fmt.Errorf("registry: remove %s: %w", name, err)
--- a/internal/registry/node_disk.go
+++ b/internal/registry/node_disk.go
@@ -1,6 +1,6 @@
 package registry
 
-// This file watches the duration of disk writes.
+// This file monitors the duration of disk writes.
 
 import (
 	"context"
@@ -9,30 +9,30 @@
 	"github.com/hashicorp/raft"
 )
 
-// watchDisk transfers the leadership while the disk of this replica is slow: each commit waits for the leader's own disk.
-// raft would keep the leader, as its heartbeats need no disk.
+// watchDisk transfers the leadership while the disk of this replica is slow, as the leader writes every entry to its
+// own disk. raft by itself would keep the leader, since heartbeats need no disk.
 func (n *Node) watchDisk(ctx context.Context) {
 	t := time.NewTicker(n.cfg.HeartbeatInterval)
 	defer t.Stop()
-	var last time.Time
+	var lastYield time.Time
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case <-t.C:
 		}
-		if n.store.SlowWritesInRow() < slowWritesToYield || n.raft.State() != raft.Leader || !last.IsZero() && time.Since(last) < minYieldInterval {
+		if n.store.SlowWritesInRow() < slowWritesToYield || n.raft.State() != raft.Leader || !lastYield.IsZero() && time.Since(lastYield) < minYieldInterval {
 			continue
 		}
-		last = time.Now()
-		n.log.Warn("registry: the disk is slow, this copy gives the lead up", "name", n.cfg.Name, "write", n.DiskTook())
+		lastYield = time.Now()
+		n.log.Warn("registry: disk is slow, transferring leadership", "name", n.cfg.Name, "write", n.DiskTook())
 		if err := n.raft.LeadershipTransfer().Error(); err != nil {
-			n.log.Warn("registry: nobody takes the lead over", "error", err)
+			n.log.Warn("registry: failed to transfer leadership", "error", err)
 		}
 	}
 }
 
-// DiskTook is the duration of the last disk write; 0 if there was none, or storage is in memory.
+// DiskTook returns the duration of the last disk write; 0 if there was none or state is kept in memory.
 func (n *Node) DiskTook() time.Duration {
 	if n.store == nil {
 		return 0
@@ -40,7 +40,7 @@
 	return n.store.LastWriteDuration()
 }
 
-// DiskWrites is the number of disk writes since the start.
+// DiskWrites returns the number of disk writes since the start.
 func (n *Node) DiskWrites() int64 {
 	if n.store == nil {
 		return 0
@@ -48,7 +48,7 @@
 	return n.store.WriteCount()
 }
 
-// diskFailure is the error of the first disk write that failed; nil if none did.
+// diskFailure returns the error of the first disk write that failed; nil if none failed.
 func (n *Node) diskFailure() error {
 	if n.store == nil {
 		return nil
--- a/internal/registry/node_lead.go
+++ b/internal/registry/node_lead.go
@@ -13,8 +13,8 @@
 	"marblelane/internal/registry/state"
 )
 
-// handleNewLeadership makes the first writes of a new leader: the first epoch if there is none, and the HTTP addresses
-// of the replicas.
+// handleNewLeadership applies the first writes after this replica acquires leadership: the first epoch if there is
+// none, and the HTTP addresses of the replicas.
 func (n *Node) handleNewLeadership(ctx context.Context) {
 	for {
 		var leads bool
@@ -24,14 +24,15 @@
 		case leads = <-n.raft.LeaderCh():
 		}
 		if !leads {
-			n.log.Info("registry: leads no more", "name", n.cfg.Name)
+			n.log.Info("registry: lost leadership", "name", n.cfg.Name)
 			continue
 		}
-		n.log.Info("registry: leads", "name", n.cfg.Name)
-		// The barrier applies all entries committed earlier: only then it is known whether there is an epoch.
+		n.log.Info("registry: acquired leadership", "name", n.cfg.Name)
+		// Only after the barrier, which waits until all earlier entries are applied, does the state show whether there
+		// is an epoch.
 		term := n.raft.CurrentTerm()
 		if err := n.raft.Barrier(listserver.ApplyTimeout).Error(); err != nil {
-			continue // it has lost the leadership
+			continue // leadership was lost
 		}
 		if n.raft.CurrentTerm() == term {
 			n.readyTerm.Store(term)
@@ -53,14 +54,14 @@
 		}
 		for _, c := range commands {
 			if _, err := n.Apply(c, listserver.ApplyTimeout); err != nil {
-				n.log.Warn("registry: a new leader's first writes", "error", err)
+				n.log.Warn("registry: failed to apply the first writes of a new leader", "error", err)
 				break
 			}
 		}
 	}
 }
 
-// Leader reports whether this replica leads, and the HTTP address of the leader.
+// Leader reports whether this replica is the leader, and the HTTP address of the leader; empty if unknown.
 func (n *Node) Leader() (bool, string) {
 	if n.raft.State() == raft.Leader {
 		return true, n.Addr()
@@ -74,7 +75,8 @@
 	return false, address
 }
 
-// Staleness is an upper bound of the age of this replica's list: it has every write acknowledged before then.
+// Staleness returns an upper bound of the age of this replica's list. The list contains every write that was
+// acknowledged at least that long ago.
 func (n *Node) Staleness() time.Duration {
 	var rev int64
 	n.hub.Read(func(s *state.State) { rev = s.Rev() })
@@ -84,7 +86,8 @@
 	return time.Hour // no confirmation yet
 }
 
-// needsEntries reports whether this replica still leads in a term and another is a member.
+// needsEntries reports whether this replica still leads in the term, and the replica id is a member that it sends
+// entries to.
 func (n *Node) needsEntries(id raft.ServerID, term uint64) bool {
 	if n.raft.State() != raft.Leader || n.raft.CurrentTerm() != term {
 		return false
@@ -93,7 +96,8 @@
 	return f.Error() == nil && slices.ContainsFunc(f.Configuration().Servers, func(s raft.Server) bool { return s.ID == id })
 }
 
-// Term is the raft term in which this replica leads and is ready; 0 if it does not or is not.
+// Term returns the raft term in which this replica leads; 0 if it does not lead, or has not yet applied all entries
+// committed in earlier terms.
 func (n *Node) Term() uint64 {
 	if term := n.readyTerm.Load(); n.raft.State() == raft.Leader && n.raft.CurrentTerm() == term {
 		return term
@@ -103,7 +107,7 @@
 
 // Confirm verifies with a quorum that this replica still leads.
 func (n *Node) Confirm() error {
-	// A new leader may not have applied yet all entries that earlier leaders committed.
+	// A new leader may not yet have applied all entries that earlier leaders committed.
 	at, term := time.Now(), n.raft.CurrentTerm()
 	if n.readyTerm.Load() != term {
 		return listserver.ErrNotLeader
@@ -119,21 +123,22 @@
 	return listserver.ErrNotLeader
 }
 
-// confirmedSince reports whether a quorum has acknowledged messages that this leader of a term sent after a time.
+// confirmedSince reports whether a quorum has acknowledged messages that this replica, as the leader of the term, sent
+// after the time at.
 func (n *Node) confirmedSince(at time.Time, term uint64) bool {
 	f := n.raft.GetConfiguration()
 	if f.Error() != nil {
 		return false
 	}
-	voters, with := 0, 0
+	voters, acknowledged := 0, 0
 	for _, s := range f.Configuration().Servers {
 		if s.Suffrage != raft.Voter {
 			continue
 		}
 		voters++
 		if s.ID == raft.ServerID(n.cfg.Name) || n.transport.Follows(s.ID, term, at) {
-			with++
+			acknowledged++
 		}
 	}
-	return 2*with > voters
+	return 2*acknowledged > voters
 }
--- a/internal/registry/node_test.go
+++ b/internal/registry/node_test.go
@@ -27,15 +27,15 @@
 
 const patience = 20 * time.Second
 
-// copyOf is a replica under test that can be stopped and started again.
-type copyOf struct {
+// testReplica is a replica under test that can be stopped and started again.
+type testReplica struct {
 	cfg   Config
 	node  *Node
 	stop  context.CancelFunc
 	ended chan error
 }
 
-func (c *copyOf) start(t *testing.T) {
+func (c *testReplica) start(t *testing.T) {
 	t.Helper()
 	n, err := Open(c.cfg)
 	if err != nil {
@@ -47,26 +47,27 @@
 	go func(ended chan error) { ended <- n.Run(ctx) }(c.ended)
 }
 
-func (c *copyOf) end(t *testing.T) {
+func (c *testReplica) end(t *testing.T) {
 	t.Helper()
 	if c.stop == nil {
 		return
 	}
 	c.stop()
 	if err := <-c.ended; err != nil {
-		t.Errorf("%s ended with %v", c.cfg.Name, err)
+		t.Errorf("%s: Run returned %v", c.cfg.Name, err)
 	}
 	c.stop = nil
 }
 
-// ports counts those that were handed out, so that tests which run side by side never get the same.
+// ports counts the ports handed out, so that tests that run in parallel never get the same one.
 var ports = func() *atomic.Uint32 {
 	var n atomic.Uint32
 	n.Store(rand.Uint32N(20_000))
 	return &n
 }()
 
-// freePort is one that is free, and that no connection is given as its own end: those are higher.
+// freePort returns the address of a free port below the range of ephemeral ports, so that no connection gets it as its
+// local port.
 func freePort(t *testing.T) string {
 	t.Helper()
 	for range 100 {
@@ -75,20 +76,20 @@
 			return l.Addr().String()
 		}
 	}
-	t.Fatal("no port is free")
+	t.Fatal("found no free port")
 	return ""
 }
 
 // cluster starts n replicas and waits for their leader and its first writes.
-func cluster(t *testing.T, n int, change func(*Config)) []*copyOf {
+func cluster(t *testing.T, n int, change func(*Config)) []*testReplica {
 	t.Helper()
 	var peers []listserver.Peer
 	for i := range n {
 		peers = append(peers, listserver.Peer{Name: fmt.Sprint("r", i), Raft: freePort(t), Serve: freePort(t)})
 	}
-	var all []*copyOf
+	var all []*testReplica
 	for i, p := range peers {
-		c := &copyOf{cfg: Config{Name: p.Name, Listen: p.Serve, RaftListen: p.Raft, Peers: peers, HeartbeatInterval: 50 * time.Millisecond,
+		c := &testReplica{cfg: Config{Name: p.Name, Listen: p.Serve, RaftListen: p.Raft, Peers: peers, HeartbeatInterval: 50 * time.Millisecond,
 			Dir: filepath.Join(t.TempDir(), fmt.Sprint(i)), Options: listserver.Options{Batch: time.Millisecond}}}
 		if change != nil {
 			change(&c.cfg)
@@ -101,11 +102,12 @@
 	return all
 }
 
-// leader waits until one replica leads and all that run know it and the beginning of the history.
-func leader(t *testing.T, all []*copyOf) *copyOf {
+// leader waits until one replica leads, and all running replicas know a leader and have applied the first epoch. It
+// returns the leader.
+func leader(t *testing.T, all []*testReplica) *testReplica {
 	t.Helper()
-	var found *copyOf
-	until(t, "a leader that all know", func() bool {
+	var found *testReplica
+	until(t, "a leader that all replicas know", func() bool {
 		found = nil
 		for _, c := range all {
 			if c.stop == nil {
@@ -124,16 +126,17 @@
 	return found
 }
 
+// until waits until a condition holds, and fails the test after patience.
 func until(t *testing.T, what string, is func() bool) {
 	t.Helper()
 	for end := time.Now().Add(patience); !is(); time.Sleep(5 * time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatalf("waited in vain for %s", what)
+			t.Fatalf("timed out waiting for %s", what)
 		}
 	}
 }
 
-// call does one request without kept connections and follows redirects, as a writer does.
+// call sends one request on a connection of its own. It follows redirects, as writers do.
 func call(t *testing.T, method, addr, path, body string) (int, string) {
 	t.Helper()
 	c := &http.Client{Transport: &http.Transport{DisableKeepAlives: true}, Timeout: patience}
@@ -157,7 +160,8 @@
 	return &state.Entry{UID: uid, Endpoint: "127.0.0.1:1", Zone: "a", State: state.Ready, Capacity: 1, BootMS: boot}
 }
 
-func put(t *testing.T, c *copyOf, uid string, boot, lease int64) {
+// put registers an entry and requires the write to succeed.
+func put(t *testing.T, c *testReplica, uid string, boot, lease int64) {
 	t.Helper()
 	body := fmt.Sprintf(`{"endpoint":"127.0.0.1:1","az":"a","boot_ms":%d,"lease_ms":%d}`, boot, lease)
 	if code, text := call(t, "POST", c.cfg.Listen, listserver.ListPath+"/"+uid, body); code != 200 {
@@ -165,7 +169,8 @@
 	}
 }
 
-func uids(t *testing.T, c *copyOf) string {
+// uids returns the entries that a replica lists, as uid=state separated by spaces.
+func uids(t *testing.T, c *testReplica) string {
 	t.Helper()
 	_, text := call(t, "GET", c.cfg.Listen, listserver.ListPath, "")
 	var l state.List
@@ -179,13 +184,14 @@
 	return strings.Join(all, " ")
 }
 
-// watcher follows one replica and checks the lines it receives.
+// watcher receives the lines of one watch.
 type watcher struct {
 	lines chan state.List
 	stop  context.CancelFunc
 	done  chan struct{}
 }
 
+// watch opens a watch that resumes after a revision.
 func watch(t *testing.T, addr string, after int64) *watcher {
 	t.Helper()
 	ctx, stop := context.WithCancel(t.Context())
@@ -229,7 +235,7 @@
 	case l := <-w.lines:
 		return l
 	case <-time.After(patience):
-		t.Fatal("the watcher was told nothing")
+		t.Fatal("the watch received no line")
 		return state.List{}
 	}
 }
@@ -239,34 +245,34 @@
 	one := all[0]
 	w := watch(t, one.cfg.Listen, 0)
 	if l := w.next(t); !l.All || len(l.Targets) != 0 || state.EpochOf(l.Rev) == 0 {
-		t.Errorf("at first %+v", l)
+		t.Errorf("first line of the watch: %+v", l)
 	}
 	put(t, one, "s1", 5, 0)
 	first := w.next(t)
 	if first.All || len(first.Targets) != 1 || first.Targets[0].UID != "s1" || first.Targets[0].State != state.Ready {
-		t.Errorf("a change: %+v", first)
+		t.Errorf("after a registration the watch received %+v", first)
 	}
 	if code, _ := call(t, "POST", one.cfg.Listen, listserver.ListPath+"/s1/drain", ""); code != 200 {
-		t.Errorf("drain: %d", code)
+		t.Errorf("drain: status %d", code)
 	}
 	if l := w.next(t); len(l.Targets) != 1 || l.Targets[0].State != state.Terminating || l.Rev <= first.Rev {
-		t.Errorf("a drain: %+v", l)
+		t.Errorf("after a drain the watch received %+v", l)
 	}
 	if code, text := call(t, "POST", one.cfg.Listen, listserver.ListPath+"/s1", `{"endpoint":"127.0.0.1:1","az":"a","boot_ms":5}`); code != 409 {
-		t.Errorf("a late registration: %d %s", code, text)
+		t.Errorf("registration of the drained start: status %d, %s", code, text)
 	}
 	if code, _ := call(t, "DELETE", one.cfg.Listen, listserver.ListPath+"/s1?if=1", ""); code != 409 {
-		t.Errorf("a conditional removal: %d", code)
+		t.Errorf("removal on an old revision: status %d", code)
 	}
 	if code, _ := call(t, "DELETE", one.cfg.Listen, listserver.ListPath+"/s1", ""); code != 200 {
-		t.Errorf("removal: %d", code)
+		t.Errorf("removal: status %d", code)
 	}
 	if l := w.next(t); len(l.Targets) != 1 || l.Targets[0].State != state.Gone {
-		t.Errorf("a removal: %+v", l)
+		t.Errorf("after a removal the watch received %+v", l)
 	}
-	late := watch(t, one.cfg.Listen, first.Rev)
-	if l := late.next(t); l.All || len(l.Targets) != 1 || l.Targets[0].State != state.Gone {
-		t.Errorf("who comes back is told %+v", l)
+	resumed := watch(t, one.cfg.Listen, first.Rev)
+	if l := resumed.next(t); l.All || len(l.Targets) != 1 || l.Targets[0].State != state.Gone {
+		t.Errorf("the resumed watch received %+v", l)
 	}
 	for _, bad := range []struct{ method, path, body, text string }{
 		{"POST", "/s2", "{", "no entry"}, {"POST", "/s2", `{"az":"a"}`, "endpoint"},
@@ -283,7 +289,7 @@
 	}
 }
 
-// A burst becomes a few lines, and each revision is sent once.
+// Guards against a line per write: a burst of writes is sent in a few lines, and each revision once.
 func TestWatch_burstBatched(t *testing.T) {
 	one := cluster(t, 1, func(c *Config) { c.Dir, c.Peers, c.Batch = "", nil, 200*time.Millisecond })[0]
 	w := watch(t, one.cfg.Listen, 0)
@@ -296,19 +302,19 @@
 	for entries < writes {
 		l := w.next(t)
 		if l.Rev <= last || l.All {
-			t.Fatalf("after revision %d came %+v", last, l)
+			t.Fatalf("the line after revision %d is %+v", last, l)
 		}
 		last, lines, entries = l.Rev, lines+1, entries+len(l.Targets)
 	}
 	if lines > writes/2 {
-		t.Errorf("%d changes came in %d lines", writes, lines)
+		t.Errorf("%d changes were sent in %d lines", writes, lines)
 	}
 }
 
 func TestRegistry_threeReplicas(t *testing.T) {
 	all := cluster(t, 3, nil)
 	lead := leader(t, all)
-	var follower *copyOf
+	var follower *testReplica
 	for _, c := range all {
 		if c != lead {
 			follower = c
@@ -319,25 +325,25 @@
 		until(t, "s1 at "+c.cfg.Name, func() bool { return uids(t, c) == "s1=Ready" })
 	}
 
-	// The leader goes; what was acknowledged stays, and writes go on.
+	// After the leader has stopped, acknowledged writes are kept and new writes succeed.
 	lead.end(t)
 	next := leader(t, all)
 	if next == lead {
-		t.Fatal("the ended copy leads")
+		t.Fatal("the stopped replica leads")
 	}
 	put(t, next, "s2", 1, 0)
 	until(t, "both entries", func() bool { return uids(t, next) == "s1=Ready s2=Ready" })
 
-	// It comes back from its disk and catches up.
+	// The stopped replica starts again from its disk and catches up.
 	lead.start(t)
-	until(t, "the copy that came back", func() bool { return uids(t, lead) == "s1=Ready s2=Ready" })
+	until(t, "both entries at the restarted replica", func() bool { return uids(t, lead) == "s1=Ready s2=Ready" })
 
-	for _, c := range all { // a follower may be behind, and could not catch up alone
+	for _, c := range all { // a follower that lags could not catch up without a quorum
 		until(t, "both entries at "+c.cfg.Name, func() bool { return uids(t, c) == "s1=Ready s2=Ready" })
 	}
 
-	// Without a quorum writes are refused, at once once the leader knows; reads go on.
-	var alone *copyOf
+	// Without a quorum, writes are rejected immediately after the leader has stepped down. Reads still succeed.
+	var alone *testReplica
 	for _, c := range all {
 		if alone == nil {
 			alone = c
@@ -345,37 +351,37 @@
 		}
 		c.end(t)
 	}
-	until(t, "the one that is left to lead no more", func() bool {
+	until(t, "the last replica to lose leadership", func() bool {
 		me, leader := alone.node.Leader()
 		return !me && leader == ""
 	})
 	startedAt := time.Now()
 	code, text := call(t, "POST", alone.cfg.Listen, listserver.ListPath+"/s3", `{"endpoint":"127.0.0.1:1"}`)
 	if code != 503 || !strings.Contains(text, "no majority") || time.Since(startedAt) > listserver.ApplyTimeout/2 {
-		t.Errorf("a write without a majority: %d %s after %v", code, text, time.Since(startedAt))
+		t.Errorf("write without a quorum: status %d, %s after %v", code, text, time.Since(startedAt))
 	}
 	if got := uids(t, alone); got != "s1=Ready s2=Ready" {
-		t.Errorf("it reads %s", got)
+		t.Errorf("without a quorum the list is %s", got)
 	}
 	if code, _ := call(t, "GET", alone.cfg.Listen, "/healthcheck", ""); code != 503 {
-		t.Errorf("its health: %d", code)
+		t.Errorf("health check without a quorum: status %d", code)
 	}
 }
 
 func TestMembership_addRemove(t *testing.T) {
 	one := cluster(t, 1, nil)[0]
 	put(t, one, "s1", 1, 0)
-	two := &copyOf{cfg: Config{Name: "r9", Listen: freePort(t), RaftListen: freePort(t), Join: true, HeartbeatInterval: 50 * time.Millisecond,
+	two := &testReplica{cfg: Config{Name: "r9", Listen: freePort(t), RaftListen: freePort(t), Join: true, HeartbeatInterval: 50 * time.Millisecond,
 		Dir: t.TempDir(), Options: listserver.Options{Batch: time.Millisecond}}}
 	two.start(t)
 	t.Cleanup(func() { two.end(t) })
 	if code, _ := call(t, "GET", two.cfg.Listen, "/healthcheck", ""); code != 503 {
-		t.Errorf("a copy that nobody has added is healthy: %d", code)
+		t.Errorf("health check of a replica that was not added yet: status %d", code)
 	}
 	if err := one.node.Add(listserver.Peer{Name: "r9", Raft: two.cfg.RaftListen, Serve: two.cfg.Listen}); err != nil {
 		t.Fatal(err)
 	}
-	until(t, "the list at the added copy", func() bool { return uids(t, two) == "s1=Ready" })
+	until(t, "the list at the added replica", func() bool { return uids(t, two) == "s1=Ready" })
 	put(t, two, "s2", 1, 0) // redirected to the first
 	if err := one.node.Remove("r9"); err != nil {
 		t.Fatal(err)
@@ -386,7 +392,7 @@
 	}
 }
 
-// Leases end on the leader's word, renewals keep them, and too many at once are kept.
+// A lease that is not renewed expires and its entry is removed. If too many expire at once, most entries are held.
 func TestLeases(t *testing.T) {
 	one := cluster(t, 1, func(c *Config) { c.Dir, c.Peers = "", nil })[0]
 	const lease = 600 // ms
@@ -401,17 +407,17 @@
 			}
 		}
 	}
-	until(t, "the end of one lease", func() bool {
+	until(t, "the removal of the entry that is not renewed", func() bool {
 		renew(9)
 		return !strings.Contains(uids(t, one), "dies")
 	})
 	if code, _ := call(t, "POST", one.cfg.Listen, listserver.ListPath+"/dies/renew", ""); code != 404 {
-		t.Errorf("the renewal of an ended lease: %d", code)
+		t.Errorf("renewal of an expired lease: status %d", code)
 	}
-	// No lease is renewed any more, as in a partition: all but the fraction that may expire stay listed.
-	until(t, "leases that are held", func() bool { return one.node.Server().Status().Held >= 7 })
+	// No lease is renewed, as in a partition. All entries but the fraction that may expire stay listed.
+	until(t, "held entries", func() bool { return one.node.Server().Status().Held >= 7 })
 	if _, text := call(t, "GET", one.cfg.Listen, "/healthcheck", ""); !strings.Contains(text, "entries whose leases ended together are kept") {
-		t.Errorf("health says %s", text)
+		t.Errorf("the health check responds with %s", text)
 	}
 	var left []string
 	for i := range 9 {
@@ -420,10 +426,10 @@
 		}
 	}
 	if len(left) < 7 {
-		t.Fatalf("%d entries are left", len(left))
+		t.Fatalf("%d entries are still listed", len(left))
 	}
-	// Most come back: the others have died after all.
-	until(t, "the end of the two that did not come back", func() bool {
+	// Once most leases are renewed, the remaining ones expire.
+	until(t, "the removal of the two entries that are not renewed", func() bool {
 		for _, uid := range left[2:] {
 			if code, text := call(t, "POST", one.cfg.Listen, listserver.ListPath+"/"+uid+"/renew", ""); code != 200 {
 				t.Fatalf("renew: %d %s", code, text)
@@ -444,12 +450,12 @@
 		resp.Body.Close()
 		codes[resp.StatusCode]++
 		if resp.StatusCode == 503 && resp.Header.Get("Retry-After") == "" {
-			t.Error("a reader is turned away and not told when to come back")
+			t.Error("a 503 response has no Retry-After")
 		}
 	}
 	http.DefaultClient.CloseIdleConnections()
 	if codes[200] != 3 || codes[503] != 3 {
-		t.Errorf("answers %v", codes)
+		t.Errorf("responses by status: %v", codes)
 	}
 }
 
@@ -458,38 +464,38 @@
 	for _, crowd := range []int{10, 1000, 20_000} {
 		b := &listserver.TokenBucket{Level: 200}
 		const step = 250 * time.Microsecond
-		due := map[int]int{0: crowd} // how many come at each step
-		calls, in, last := 0, 0, 0
-		for at := 0; in < crowd && at < 4000*120; at++ {
+		due := map[int]int{0: crowd} // number of calls at each step
+		calls, admitted, last := 0, 0, 0
+		for at := 0; admitted < crowd && at < 4000*120; at++ {
 			for range due[at] {
 				calls++
 				if wait := b.Take(time.Unix(0, 0).Add(time.Duration(at)*step), 500, 200); wait > 0 {
 					due[at+int((wait+step-1)/step)]++
 				} else {
-					in, last = in+1, at
+					admitted, last = admitted+1, at
 				}
 			}
 		}
 		took, bestSeconds := float64(last)*step.Seconds(), float64(crowd-200)/500
-		if in < crowd || took > 1.2*bestSeconds+1 || calls > 20*crowd {
-			t.Errorf("%d of %d readers are in after %.1f s and %d calls; %.1f s at best", in, crowd, took, calls, bestSeconds)
+		if admitted < crowd || took > 1.2*bestSeconds+1 || calls > 20*crowd {
+			t.Errorf("%d of %d readers admitted after %.1f s and %d calls; possible in %.1f s", admitted, crowd, took, calls, bestSeconds)
 		}
 	}
 }
 
-// held is a watcher that takes its first line only when it is let.
-type held struct {
+// blockedWatcher is the response writer of a watch. Its first write blocks until release is closed.
+type blockedWatcher struct {
 	header  http.Header
 	started chan struct{}
 	release chan struct{}
 	lines   int
 }
 
-func (h *held) Header() http.Header              { return h.header }
-func (h *held) WriteHeader(int)                  {}
-func (h *held) Flush()                           {}
-func (h *held) SetWriteDeadline(time.Time) error { return nil }
-func (h *held) Write(text []byte) (int, error) {
+func (h *blockedWatcher) Header() http.Header              { return h.header }
+func (h *blockedWatcher) WriteHeader(int)                  {}
+func (h *blockedWatcher) Flush()                           {}
+func (h *blockedWatcher) SetWriteDeadline(time.Time) error { return nil }
+func (h *blockedWatcher) Write(text []byte) (int, error) {
 	if h.lines++; h.lines == 1 {
 		close(h.started)
 		<-h.release
@@ -497,11 +503,11 @@
 	return len(text), nil
 }
 
-// A watch that is too far behind is closed, and has delayed no other watch.
+// A watch that lags too far behind is closed. It does not delay other watches.
 func TestWatch_slowClientClosed(t *testing.T) {
 	one := cluster(t, 1, func(c *Config) { c.Dir, c.Peers = "", nil })[0]
 	s := one.node.Server()
-	slow := &held{header: http.Header{}, started: make(chan struct{}), release: make(chan struct{})}
+	slow := &blockedWatcher{header: http.Header{}, started: make(chan struct{}), release: make(chan struct{})}
 	ended := make(chan struct{})
 	go func() {
 		defer close(ended)
@@ -523,17 +529,17 @@
 	select {
 	case <-ended:
 	case <-time.After(patience):
-		t.Fatal("the slow watcher goes on")
+		t.Fatal("the slow watch was not closed")
 	}
 	if slow.lines != 1 {
-		t.Errorf("it was told %d lines", slow.lines)
+		t.Errorf("the slow watch received %d lines", slow.lines)
 	}
 	if _, text := call(t, "GET", one.cfg.Listen, "/stats", ""); !strings.Contains(text, "registry_watchers_ended_total 1") {
-		t.Errorf("the figures do not show it: %s", text)
+		t.Errorf("the metrics do not count the closed watch: %s", text)
 	}
 }
 
-// A replica whose disk takes no more ends with an error; it does not go on as if it had written.
+// A replica whose disk write fails stops with an error, and does not continue as if the write had succeeded.
 func TestNode_diskFailure(t *testing.T) {
 	all := cluster(t, 3, nil)
 	lead := leader(t, all)
@@ -542,22 +548,22 @@
 	if err := lead.node.store.Close(); err != nil { // every write fails from now on
 		t.Fatal(err)
 	}
-	// The write may be answered by the next leader, or not at all; it is not acknowledged by the replica that lost its
-	// disk.
+	// The next leader may respond to the write, or no replica may. The replica that lost its disk does not acknowledge
+	// it.
 	call(t, "POST", lead.cfg.Listen, listserver.ListPath+"/s2", `{"endpoint":"127.0.0.1:1"}`)
 	select {
 	case err := <-ended:
-		if err == nil || !strings.Contains(err.Error(), "the disk takes no more") {
-			t.Errorf("it ended with %v", err)
+		if err == nil || !strings.Contains(err.Error(), "disk write failed") {
+			t.Errorf("Run returned %v", err)
 		}
 	case <-time.After(patience):
-		t.Fatal("it goes on without a disk")
+		t.Fatal("the replica runs on without a disk")
 	}
 	lead.stop()
 	lead.stop = nil
 	next := leader(t, all)
 	put(t, next, "s3", 1, 0)
 	if got := uids(t, next); !strings.Contains(got, "s1=Ready") || !strings.Contains(got, "s3=Ready") {
-		t.Errorf("the others have %s", got)
+		t.Errorf("the other replicas list %s", got)
 	}
 }
--- a/internal/registry/reader_revisions.go
+++ b/internal/registry/reader_revisions.go
@@ -19,53 +19,56 @@
 
 // readerRevisions tracks the revisions that readers resume from.
 //
-// If the data directories of a quorum were rolled back to old disk images, no replica can detect it. Readers can: each
-// sends the last revision that it received, and only committed revisions are sent. A reader ahead of a confirmed leader
-// proves that committed changes were lost, and that their revisions would be assigned again to other changes. So the
-// leader begins a new epoch, for which every reader takes the full list.
+// Replicas cannot detect that the data directories of a quorum were rolled back to old disk images, but their readers
+// make it visible: each reader sends the last revision that it received, and only committed revisions are sent to
+// readers. A reader ahead of a confirmed leader proves that committed changes were lost, and that their revisions would
+// be assigned again to other changes. The leader then begins a new epoch, and every reader receives the full list.
 //
-// Only readers of the same epoch count: one of a later epoch may belong to another cluster, and two clusters would raise
-// their epochs past each other for ever. A rollback stays undetected for a reader that returns only after the revisions
+// Only readers of the same epoch count: a reader of a later epoch may belong to another cluster, and two clusters would
+// raise their epochs past each other forever. A rollback is not detected if the reader returns only after the revisions
 // have passed its own.
 type readerRevisions struct {
 	mu   sync.Mutex
-	seen map[int64]int64 // newest revision by epoch
+	seen map[int64]int64 // newest revision of each epoch
 }
 
-// maxReaderEpochs bounds the memory that readers can make a replica use.
+// maxReaderEpochs is the maximum number of epochs tracked, as readers may send any.
 const maxReaderEpochs = 4
 
 // minEpochInterval is the minimum time between two epochs begun because a reader was ahead.
 const minEpochInterval = time.Minute
 
+// observe records a revision that a reader resumes from.
 func (r *readerRevisions) observe(rev int64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.seen == nil {
 		r.seen = map[int64]int64{}
 	}
-	e := state.EpochOf(rev)
-	r.seen[e] = max(r.seen[e], rev)
-	if len(r.seen) > maxReaderEpochs { // the latest epoch is the least likely to be of this cluster
+	epoch := state.EpochOf(rev)
+	r.seen[epoch] = max(r.seen[epoch], rev)
+	if len(r.seen) > maxReaderEpochs { // the latest epoch is the least likely to belong to this cluster
 		delete(r.seen, slices.Max(slices.Collect(maps.Keys(r.seen))))
 	}
 }
 
-// newestAhead returns the newest reader revision beyond of in the same epoch; 0 if none. Entries not newestAhead are dropped.
-func (r *readerRevisions) newestAhead(of int64) int64 {
+// newestAhead returns the newest reader revision that is higher than applied and of the same epoch; 0 if there is none.
+// It drops revisions of earlier epochs, and those that are not ahead.
+func (r *readerRevisions) newestAhead(applied int64) int64 {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	for e, rev := range r.seen {
-		if e < state.EpochOf(of) || rev <= of {
-			delete(r.seen, e)
+	for epoch, rev := range r.seen {
+		if epoch < state.EpochOf(applied) || rev <= applied {
+			delete(r.seen, epoch)
 		}
 	}
-	return r.seen[state.EpochOf(of)]
+	return r.seen[state.EpochOf(applied)]
 }
 
+// seenParam is the query parameter by which a follower reports a reader's revision to the leader.
 const seenParam = "seen"
 
-// observeRequests passes requests on, and records the revisions that readers resume from.
+// observeRequests returns a handler that records the revisions that readers resume from and calls next.
 func (r *readerRevisions) observeRequests(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, req *http.Request) {
 		name := ""
@@ -89,7 +92,7 @@
 	client := &http.Client{Timeout: 5 * n.cfg.HeartbeatInterval, Transport: &http.Transport{DisableKeepAlives: true}}
 	t := time.NewTicker(n.cfg.HeartbeatInterval)
 	defer t.Stop()
-	var last time.Time
+	var lastEpoch time.Time
 	for {
 		select {
 		case <-ctx.Done():
@@ -101,22 +104,24 @@
 		case seen == 0:
 		case n.raft.State() != raft.Leader:
 			if err := n.reportToLeader(ctx, client, seen); err != nil {
-				n.log.Debug("registry: the leader does not hear what a reader has seen", "error", err)
+				n.log.Debug("registry: failed to report a reader's revision to the leader", "error", err)
 			}
-		case n.Term() != 0 && (last.IsZero() || time.Since(last) > minEpochInterval):
+		case n.Term() != 0 && (lastEpoch.IsZero() || time.Since(lastEpoch) > minEpochInterval):
 			if n.beginNewEpoch() {
-				last = time.Now()
+				lastEpoch = time.Now()
 			}
 		}
 	}
 }
 
+// rev returns the revision that this replica has applied.
 func (n *Node) rev() (rev int64) {
 	n.hub.Read(func(s *state.State) { rev = s.Rev() })
 	return rev
 }
 
-// reportToLeader sends the leader the revision of a reader that is ahead of this replica, which may only lag.
+// reportToLeader sends the leader the revision of a reader that is ahead of this replica. This replica may merely lag,
+// so the leader decides.
 func (n *Node) reportToLeader(ctx context.Context, client *http.Client, seen int64) error {
 	_, leader := n.Leader()
 	if leader == "" {
@@ -134,7 +139,7 @@
 	return resp.Body.Close()
 }
 
-// beginNewEpoch begins a new epoch if a reader is ahead of everything that this leader knows to be committed.
+// beginNewEpoch begins a new epoch if a reader is ahead of every change that is committed. It reports whether it did.
 func (n *Node) beginNewEpoch() bool {
 	if n.raft.Barrier(listserver.ApplyTimeout).Error() != nil || n.Confirm() != nil {
 		return false
@@ -142,13 +147,13 @@
 	rev := n.rev()
 	seen := n.readers.newestAhead(rev)
 	if seen == 0 {
-		return false // this replica had not applied it yet
+		return false // this replica merely had not applied the revision yet
 	}
 	next := state.NextEpoch(n.cfg.Faults.Now(), state.EpochOf(rev))
-	n.log.Error("registry: a reader was told more than the copies have: their folders lost what was committed, or old images "+
-		"were put back; a new history begins, and readers take the list whole", "seen", seen, "has", rev, "epoch", next)
+	n.log.Error("registry: a reader is ahead of the replicas: their data directories lost committed changes or were restored from "+
+		"old images; beginning a new epoch, in which readers receive the full list", "seen", seen, "has", rev, "epoch", next)
 	if _, err := n.Apply(&state.Command{Op: state.OpBeginEpoch, Epoch: next}, listserver.ApplyTimeout); err != nil {
-		n.log.Warn("registry: the new history", "error", err)
+		n.log.Warn("registry: failed to begin a new epoch", "error", err)
 		return false
 	}
 	return true
--- a/internal/registry/recover_test.go
+++ b/internal/registry/recover_test.go
@@ -30,8 +30,8 @@
 	"marblelane/internal/testutil/testfile"
 )
 
-// folder makes the folder of a replica that has led, with two snapshots and entries that are in none.
-func folder(t *testing.T) (dir string, cfg Config) {
+// makeDataDir creates the data directory of a replica that has led, with two snapshots and entries that are in neither.
+func makeDataDir(t *testing.T) (dir string, cfg Config) {
 	t.Helper()
 	one := cluster(t, 1, nil)[0]
 	for i := range 12 {
@@ -44,15 +44,15 @@
 	return one.cfg.Dir, one.cfg
 }
 
-// alter changes a store as another program would.
-func alter(t *testing.T, dir string, do func(*bolt.Tx) error) {
+// editStore changes the content of a store directly, as damage would.
+func editStore(t *testing.T, dir string, do func(*bolt.Tx) error) {
 	t.Helper()
 	db, err := bolt.Open(filepath.Join(dir, storage.StoreFile), 0o600, nil)
 	require.NoError(t, err)
 	require.NoError(t, errors.Join(db.Update(do), db.Close()))
 }
 
-// bigEndian and checksum encode numbers and checksums as the store does.
+// bigEndian and checksum encode numbers and checksums in the format of the store.
 func bigEndian(number uint64) []byte { return binary.BigEndian.AppendUint64(nil, number) }
 
 func checksum(name, value []byte) []byte {
@@ -60,10 +60,10 @@
 	return binary.BigEndian.AppendUint32(nil, sum)
 }
 
-// A replica sets a spoilt newest snapshot aside at its start, removes what was not finished, and has all entries.
+// A replica whose newest snapshot is corrupt sets it aside at the start, deletes unfinished files, and has all entries.
 func TestRecover_spoiltSnapshot(t *testing.T) {
 	t.Parallel()
-	dir, cfg := folder(t)
+	dir, cfg := makeDataDir(t)
 	found, err := recovery.Verify(dir)
 	require.NoError(t, err)
 	require.Len(t, found.Snapshots, 2)
@@ -73,10 +73,10 @@
 	unfinished := filepath.Join(dir, storage.SnapshotsDir, "9-9-9"+storage.TempSuffix)
 	require.NoError(t, os.Mkdir(unfinished, 0o755))
 	testfile.Write(t, filepath.Join(dir, storage.StoreFile+storage.TempSuffix), []byte("half"))
-	require.NoError(t, os.MkdirAll(filepath.Join(newest+storage.AsideSuffix+storage.TempSuffix, "x"), 0o755)) // a recovery was cut off
-	again := &copyOf{cfg: cfg}
+	require.NoError(t, os.MkdirAll(filepath.Join(newest+storage.AsideSuffix+storage.TempSuffix, "x"), 0o755)) // left by an interrupted recovery
+	again := &testReplica{cfg: cfg}
 	again.start(t)
-	leader(t, []*copyOf{again})
+	leader(t, []*testReplica{again})
 	until(t, "the last entry", func() bool { return strings.Contains(uids(t, again), "s11=Ready") })
 	again.end(t)
 	assert.NoDirExists(t, unfinished)
@@ -84,12 +84,12 @@
 	assert.NoDirExists(t, newest)
 }
 
-// Each state of a folder from which a replica must not start ends in one clear line, within a bounded time.
+// Open rejects each data directory from which a replica must not start. The error names the directory and the reason.
 func TestRecover_rejectedDirectories(t *testing.T) {
 	t.Parallel()
-	made, cfg := folder(t)
+	made, cfg := makeDataDir(t)
 	change := func(do func(*bolt.Tx) error) func(string) error {
-		return func(dir string) error { alter(t, dir, do); return nil }
+		return func(dir string) error { editStore(t, dir, do); return nil }
 	}
 	for name, c := range map[string]struct {
 		do   func(dir string) error
@@ -144,10 +144,10 @@
 	assert.ErrorContains(t, err, "is open in another process")
 	n.closeAll()
 	if os.Geteuid() != 0 {
-		t.Skip("to be nobody for a moment takes root")
+		t.Skip("switching to user nobody requires root")
 	}
 	require.NoError(t, os.Chmod(made, 0o555))
-	runtime.LockOSThread() // the rest runs on a thread that may not write there
+	runtime.LockOSThread() // the rest runs on a thread without write permission for the directory
 	defer runtime.UnlockOSThread()
 	require.NoError(t, syscall.Setfsuid(65534))
 	_, err = Open(cfg)
@@ -155,12 +155,12 @@
 	assert.ErrorIs(t, err, os.ErrPermission)
 }
 
-// A follower whose folder was put back from an old image is noticed by the leader, and has everything again.
+// A follower whose data directory was replaced by an old image is detected by the leader, and catches up again.
 func TestNotice_oldDiskImage(t *testing.T) {
 	t.Parallel()
 	all := cluster(t, 3, nil)
 	lead := leader(t, all)
-	var f *copyOf
+	var f *testReplica
 	for _, c := range all {
 		if c != lead {
 			f = c
@@ -175,28 +175,28 @@
 		put(t, lead, fmt.Sprint("late", i), 1, 0)
 	}
 	until(t, "late4", func() bool { return strings.Contains(uids(t, f), "late4=") })
-	assert.False(t, lead.node.regressions.Regressed(raft.ServerID(f.cfg.Name)), "it only was away")
+	assert.False(t, lead.node.regressions.Regressed(raft.ServerID(f.cfg.Name)), "the follower was merely stopped")
 	f.end(t)
 	f.cfg.Dir = image
 	f.start(t)
-	until(t, "the leader's notice", func() bool { return lead.node.regressions.Regressed(raft.ServerID(f.cfg.Name)) })
+	until(t, "the leader to detect the old image", func() bool { return lead.node.regressions.Regressed(raft.ServerID(f.cfg.Name)) })
 	until(t, "late4 again", func() bool { return strings.Contains(uids(t, f), "late4=") })
 }
 
-// A founding that was cut off between raft's two writes is finished by the next start.
+// A bootstrap that was interrupted between raft's two writes is completed by the next start.
 func TestRecover_interruptedBootstrap(t *testing.T) {
 	t.Parallel()
-	one := &copyOf{cfg: Config{Name: "one", Listen: freePort(t), RaftListen: freePort(t), Dir: t.TempDir(), HeartbeatInterval: 50 * time.Millisecond}}
+	one := &testReplica{cfg: Config{Name: "one", Listen: freePort(t), RaftListen: freePort(t), Dir: t.TempDir(), HeartbeatInterval: 50 * time.Millisecond}}
 	s, err := storage.OpenStore(filepath.Join(one.cfg.Dir, storage.StoreFile), time.Second, nil)
 	require.NoError(t, err)
 	require.NoError(t, errors.Join(s.SetUint64([]byte("CurrentTerm"), 1), s.Close()))
 	one.start(t)
 	defer one.end(t)
-	leader(t, []*copyOf{one})
+	leader(t, []*testReplica{one})
 }
 
-// All replicas were put back from old images. A reader that has seen more makes them begin a new history; one that only
-// asked a replica that lagged, or comes from another epoch, does not.
+// The data directories of all replicas were replaced by old images. A reader ahead of them makes the leader begin a new
+// epoch. A reader that is not ahead, or comes from another epoch, does not.
 func TestNotice_allReplicasRolledBack(t *testing.T) {
 	t.Parallel()
 	all := cluster(t, 3, nil)
@@ -222,7 +222,7 @@
 		c.start(t)
 	}
 	lead := leader(t, all)
-	until(t, "all that there is", func() bool { return lead.node.Term() != 0 && strings.Contains(uids(t, lead), "s1=") })
+	until(t, "the leader to have applied the entries of the images", func() bool { return lead.node.Term() != 0 && strings.Contains(uids(t, lead), "s1=") })
 	before := lead.node.rev()
 	require.Less(t, before, seen)
 	lead.node.readers.observe(before)
@@ -230,9 +230,9 @@
 	assert.False(t, lead.node.beginNewEpoch())
 	assert.Equal(t, before, lead.node.rev())
 	for _, c := range all {
-		if c != lead { // a follower passes it on
+		if c != lead { // a follower reports the revision to the leader
 			w := watch(t, c.cfg.Listen, seen)
-			until(t, "the new history", func() bool { return state.EpochOf(w.next(t).Rev) > state.EpochOf(seen) })
+			until(t, "the new epoch", func() bool { return state.EpochOf(w.next(t).Rev) > state.EpochOf(seen) })
 			break
 		}
 	}
@@ -261,10 +261,10 @@
 		assert.Error(t, err, bad)
 		assert.NoDirExists(t, cfg.Dir)
 	}
-	left := filepath.Join(filepath.Dir(cfg.Dir), ".n0.restore") // by one that was cut off
+	left := filepath.Join(filepath.Dir(cfg.Dir), ".n0.restore") // left by an interrupted restore
 	require.NoError(t, os.MkdirAll(filepath.Join(left, storage.SnapshotsDir), 0o755))
 	testfile.Write(t, filepath.Join(left, storage.StoreFile), []byte("half"))
-	seen := (state.EpochOf(before) + 1_000_000) << state.CountBits // by clients, of a history that the backup does not know
+	seen := (state.EpochOf(before) + 1_000_000) << state.CountBits // seen by clients, of a history later than the backup
 	out, err := recovery.Restore(strings.NewReader(backup), cfg.RecoveryTarget(), seen, now)
 	require.NoError(t, err)
 	assert.Greater(t, out.Epoch, state.EpochOf(seen))
@@ -276,31 +276,31 @@
 	assert.True(t, found.Sound())
 	assert.Equal(t, out.Epoch, found.Epoch)
 
-	first := &copyOf{cfg: cfg}
+	first := &testReplica{cfg: cfg}
 	first.start(t)
 	defer first.end(t)
-	leader(t, []*copyOf{first})
+	leader(t, []*testReplica{first})
 	assert.Equal(t, out.Epoch, first.node.Server().Status().Epoch)
-	l := watch(t, first.cfg.Listen, before).next(t) // a client of the old history
+	l := watch(t, first.cfg.Listen, before).next(t) // resumes from a revision of the old history
 	assert.True(t, l.All)
 	assert.Greater(t, l.Rev, before)
-	second := &copyOf{cfg: cfg}
+	second := &testReplica{cfg: cfg}
 	second.cfg.Name, second.cfg.RaftListen, second.cfg.Listen, second.cfg.Join = "n1", freePort(t), freePort(t), true
 	second.cfg.Dir = filepath.Join(t.TempDir(), "n1")
 	second.start(t)
 	defer second.end(t)
 	require.NoError(t, first.node.Add(listserver.Peer{Name: "n1", Raft: second.cfg.RaftListen, Serve: second.cfg.Listen}))
-	until(t, "the backup's entry at the second copy", func() bool { return strings.Contains(uids(t, second), "s1=Ready") })
+	until(t, "the backup's entry at the second replica", func() bool { return strings.Contains(uids(t, second), "s1=Ready") })
 }
 
-// childEnv is the configuration's file of a replica that TestChild serves, childRoom the bytes by which a full one may
-// grow.
+// childEnv is the environment variable with the path of the configuration of the replica that TestChild runs.
+// childFileLimit is the number of bytes by which its store may grow if the path has the prefix "full:".
 const childEnv, childFileLimit = "MARBLELANE_CHILD", 256 << 10
 
 func TestChild(t *testing.T) {
 	path, full := strings.CutPrefix(os.Getenv(childEnv), "full:")
 	if path == "" {
-		t.Skip("is run by others")
+		t.Skip("runs only as a child of other tests")
 	}
 	cfg, err := LoadConfig(path)
 	require.NoError(t, err)
@@ -320,7 +320,7 @@
 	os.Exit(1)
 }
 
-// spawn starts a child that adds what it says to a file beside its configuration.
+// spawn starts TestChild in a process of its own, which appends its output to a file beside its configuration.
 func spawn(t *testing.T, full, path string) (wait, kill func()) {
 	t.Helper()
 	said, err := os.OpenFile(path+".said", os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o644)
@@ -333,22 +333,22 @@
 	return wait, func() { _ = c.Process.Kill(); wait() }
 }
 
-// A replica is killed at random points, of its recovery too, and has every write that it acknowledged; one whose disk is
-// full ends with a line, and has them as well once there is room.
-func TestRecover_killedAndDiskFull(t *testing.T) { // by itself: a child holds the listeners of others until it has begun
+// A replica that is killed at random points, also during recovery, still has every write that it acknowledged. So does
+// one that stopped because its disk was full, once there is space again.
+func TestRecover_killedAndDiskFull(t *testing.T) { // not parallel: a child inherits the listeners of other tests until it has started
 	dir := t.TempDir()
 	path, addr := filepath.Join(dir, "one.toml"), freePort(t)
 	testfile.Write(t, path, fmt.Appendf(nil, "name = \"one\"\nlisten = %q\nraft = %q\ndir = %q\nbeat = \"20ms\"\nbatch = \"1ms\"\n",
 		addr, freePort(t), filepath.Join(dir, "one")))
 	defer func() {
 		if t.Failed() {
-			t.Logf("the copies said:\n%s", testfile.Read(t, path+".said"))
+			t.Logf("output of the replicas:\n%s", testfile.Read(t, path+".said"))
 		}
 	}()
 	client := &http.Client{Transport: &http.Transport{DisableKeepAlives: true}, Timeout: patience}
 	uid := 0
 	acked := map[string]bool{}
-	one := func(pad int) (took, there bool) { // there: somebody answered
+	one := func(pad int) (took, there bool) { // there: a replica responded
 		uid++
 		name := fmt.Sprint("s", uid)
 		resp, err := client.Post("http://"+addr+listserver.ListPath+"/"+name, "", strings.NewReader(
@@ -361,20 +361,20 @@
 		return acked[name], true
 	}
 	serves := func() {
-		until(t, "the copy's first write", func() bool { took, _ := one(0); return took })
+		until(t, "the first write of the replica", func() bool { took, _ := one(0); return took })
 	}
 	check := func(when string) {
 		_, list := call(t, "GET", addr, listserver.ListPath, "")
 		for name, took := range acked {
 			if took && !strings.Contains(list, fmt.Sprintf("%q", name)) {
-				t.Fatalf("%s: %s was acknowledged and is gone", when, name)
+				t.Fatalf("%s: acknowledged entry %s is missing from the list", when, name)
 			}
 		}
 	}
 	seed := rand.New(rand.NewPCG(5, 6))
 	kills := 6
 	for play := range kills {
-		for range 3 { // a loop of starts that are cut off
+		for range 3 { // starts that are killed before they complete
 			_, kill := spawn(t, "", path)
 			time.Sleep(time.Duration(seed.IntN(60)) * time.Millisecond)
 			kill()
@@ -395,14 +395,15 @@
 		_, there = one(4000)
 	}
 	ended()
-	assert.Contains(t, string(testfile.Read(t, path+".said")), "the disk takes no more")
+	assert.Contains(t, string(testfile.Read(t, path+".said")), "disk write failed")
 	_, kill := spawn(t, "", path)
 	defer kill()
 	serves()
 	check("disk full")
 }
 
-// A replica whose snapshot fails goes on, keeps its log, and takes the snapshot once its folder works again.
+// A replica whose snapshot fails keeps running and keeps its log. It takes the snapshot once its directory is usable
+// again.
 func TestSnapshots_failureKeepsReplica(t *testing.T) {
 	one := cluster(t, 1, nil)[0]
 	put(t, one, "s1", 1, 0)
--- a/internal/registry/replicas.go
+++ b/internal/registry/replicas.go
@@ -1,8 +1,8 @@
 package registry
 
-// This file replaces a replica: the new one joins as a learner (Learn), becomes a voter once it has caught up (Promote),
-// and then the old one is removed (Retire). Each step may be repeated. Promote and Retire are rejected unless a quorum of
-// the voters after the change answers the leader.
+// This file replaces a replica. The new one joins as a learner (Learn) and becomes a voter once it has caught up
+// (Promote). Then the old one is removed (Retire). Each step may be repeated. Promote and Retire are rejected unless a
+// quorum of the voters that remain after the change responds to the leader.
 
 import (
 	"fmt"
@@ -16,10 +16,11 @@
 	"marblelane/internal/registry/state"
 )
 
-// replyTimeoutBeats is the time, in heartbeats, in which a replica has to answer to count as alive.
+// replyTimeoutBeats is the time, in heartbeat intervals, within which a replica must respond to count as alive.
 const replyTimeoutBeats = 10
 
-// Replicas returns all replicas of the cluster, as far as this one knows.
+// Replicas returns the replicas of the cluster according to this replica's configuration. Only the leader knows when
+// the others last acknowledged a message.
 func (n *Node) Replicas() []listserver.ReplicaStatus {
 	f := n.raft.GetConfiguration()
 	if f.Error() != nil {
@@ -47,13 +48,13 @@
 	return out
 }
 
-// Name is this replica's.
+// Name returns the name of this replica.
 func (n *Node) Name() string { return n.cfg.Name }
 
-// Applied is the index of the last log entry that this replica has applied.
+// Applied returns the index of the last log entry that this replica has applied.
 func (n *Node) Applied() uint64 { return n.raft.AppliedIndex() }
 
-// voters returns the voters of a configuration except one.
+// voters returns the voters of a configuration except the replica named without.
 func voters(c raft.Configuration, without string) (out []raft.Server) {
 	for _, s := range c.Servers {
 		if s.Suffrage == raft.Voter && s.ID != raft.ServerID(without) {
@@ -63,34 +64,35 @@
 	return out
 }
 
-// awaitQuorum waits until a quorum of the voters, and a required one, acknowledge messages that this leader sends from now
-// on.
-func (n *Node) awaitQuorum(all []raft.Server, with string) error {
+// awaitQuorum waits until a quorum of the voters acknowledges messages that this leader sends from now on. The replica
+// named required must be among them; empty: none is required.
+func (n *Node) awaitQuorum(all []raft.Server, required string) error {
 	term, startedAt := n.raft.CurrentTerm(), time.Now()
 	limit := startedAt.Add(replyTimeoutBeats * n.cfg.HeartbeatInterval)
 	for {
-		there, has := 0, with == ""
+		responding, hasRequired := 0, required == ""
 		for _, s := range all {
 			if s.ID == raft.ServerID(n.cfg.Name) || n.transport.Follows(s.ID, term, startedAt) {
-				there++
-				has = has || s.ID == raft.ServerID(with)
+				responding++
+				hasRequired = hasRequired || s.ID == raft.ServerID(required)
 			}
 		}
 		switch {
 		case n.raft.State() != raft.Leader || n.raft.CurrentTerm() != term:
 			return listserver.ErrNotLeader
-		case has && 2*there > len(all):
+		case hasRequired && 2*responding > len(all):
 			return nil
-		case time.Now().After(limit) && !has:
-			return fmt.Errorf("%w: %s does not answer", listserver.ErrRejected, with)
+		case time.Now().After(limit) && !hasRequired:
+			return fmt.Errorf("%w: %s does not answer", listserver.ErrRejected, required)
 		case time.Now().After(limit):
-			return fmt.Errorf("%w: of the %d that would vote %d answer", listserver.ErrRejected, len(all), there)
+			return fmt.Errorf("%w: of the %d that would vote %d answer", listserver.ErrRejected, len(all), responding)
 		}
 		time.Sleep(n.cfg.HeartbeatInterval / 4)
 	}
 }
 
-// configuration returns the members of the cluster and the index of the configuration, for conditional changes.
+// configuration returns the members of the cluster and the index of the configuration. A change that passes the index
+// is rejected if the configuration has changed since.
 func (n *Node) configuration() (raft.Configuration, uint64, error) {
 	f := n.raft.GetConfiguration()
 	if err := f.Error(); err != nil {
@@ -99,6 +101,7 @@
 	return f.Configuration(), f.Index(), nil
 }
 
+// findServer returns the member with a name, and whether there is one.
 func findServer(c raft.Configuration, name string) (raft.Server, bool) {
 	i := slices.IndexFunc(c.Servers, func(s raft.Server) bool { return s.ID == raft.ServerID(name) })
 	if i < 0 {
@@ -107,7 +110,7 @@
 	return c.Servers[i], true
 }
 
-// Learn adds a replica as a learner if its address accepts connections. Only the leader can, as with Promote and Retire.
+// Learn adds a replica as a learner if its address accepts connections. Like Promote and Retire it fails on a follower.
 func (n *Node) Learn(p listserver.Peer) error {
 	c, index, err := n.configuration()
 	if err != nil {
@@ -119,7 +122,7 @@
 		}
 	}
 	if _, known := findServer(c, p.Name); !known {
-		// A replica that cannot be reached would stay a learner that never catches up.
+		// An unreachable replica would stay a learner that never catches up.
 		conn, err := net.DialTimeout("tcp", p.Raft, replyTimeoutBeats*n.cfg.HeartbeatInterval)
 		if err != nil {
 			return fmt.Errorf("%w: nobody answers at %s, where %s is to be: %w", listserver.ErrRejected, p.Raft, p.Name, err)
@@ -156,8 +159,8 @@
 	return nil
 }
 
-// Retire removes a replica from the cluster if the others still have a quorum. A leader that is to be removed transfers the
-// leadership first and returns ErrNotLeader; the new leader has to be called.
+// Retire removes a replica from the cluster if the others still have a quorum. A leader that is to be removed transfers
+// its leadership first and returns ErrNotLeader. The caller then calls the new leader.
 func (n *Node) Retire(name string) error {
 	c, index, err := n.configuration()
 	if err != nil {
--- a/internal/registry/routes_test.go
+++ b/internal/registry/routes_test.go
@@ -59,8 +59,8 @@
 	return operators.Load(path)
 }
 
-// routed starts replicas with an operators' file, and waits until their leader answers for routes.
-func routed(t *testing.T, n int, change func(*Config)) []*copyOf {
+// routed starts replicas with an operators' file, and waits until their leader is ready to serve routes.
+func routed(t *testing.T, n int, change func(*Config)) []*testReplica {
 	t.Helper()
 	o, err := loadOperators(t, operatorsText)
 	require.NoError(t, err)
@@ -73,7 +73,7 @@
 	return all
 }
 
-func routesLeader(t *testing.T, all []*copyOf) (lead *copyOf) {
+func routesLeader(t *testing.T, all []*testReplica) (lead *testReplica) {
 	t.Helper()
 	until(t, "a leader of routes", func() bool {
 		lead = leader(t, all)
@@ -84,17 +84,17 @@
 
 func single(c *Config) { c.Dir, c.Peers = "", nil }
 
-// putCanary lists a server of the canary's: without one a rollout pauses.
-func putCanary(t *testing.T, c *copyOf) {
+// putCanary registers a server of the canary subset. A rollout without one pauses.
+func putCanary(t *testing.T, c *testReplica) {
 	t.Helper()
 	code, text := call(t, "POST", c.cfg.Listen, listserver.ListPath+"/s", `{"endpoint":"127.0.0.1:1","model":"m2"}`)
 	require.Equal(t, 200, code, text)
 }
 
-// process is a sidecar as the registry sees it.
+// process simulates the reports of a sidecar.
 type process struct {
 	route.Report
-	until time.Time // permitted
+	until time.Time // end of the last lease
 }
 
 func newProcess(name string, schemas ...int) *process {
@@ -117,7 +117,7 @@
 	return code, a
 }
 
-// ask wants units for tenant a's rollout r; it gives what was granted in all.
+// requestBudget requests units for rollout r of tenant a. It returns the total granted.
 func (p *process) requestBudget(t *testing.T, addr string, spent, want int64) int64 {
 	t.Helper()
 	code, text := call(t, "POST", addr, route.BudgetsPath, asJSON(t, route.BudgetRequest{Process: p.Process,
@@ -136,7 +136,7 @@
 	return string(text)
 }
 
-func routesRev(c *copyOf) (rev int64) {
+func routesRev(c *testReplica) (rev int64) {
 	c.node.hub.Read(func(s *state.State) { rev = s.Routes.Rev() })
 	return rev
 }
@@ -154,7 +154,7 @@
 
 func view(t *testing.T, addr string) (v routeleader.TenantView) {
 	t.Helper()
-	until(t, "the tenant's routes", func() bool { // the leader may be another by now, or not settled
+	until(t, "the tenant's routes", func() bool { // the leader may have changed, or may not be ready
 		code, text := call(t, "GET", addr, "/routes/a", "")
 		return code == 200 && json.Unmarshal([]byte(text), &v) == nil
 	})
@@ -172,7 +172,7 @@
 	}
 }
 
-// Every refusal names its field and bound, and changes nothing.
+// Each rejected request names the field and the limit, and changes nothing.
 func TestRoutes_bounds(t *testing.T) {
 	t.Parallel()
 	one := routed(t, 1, single)[0]
@@ -240,13 +240,13 @@
 	code, _ := call(t, "GET", one.cfg.Listen, "/routes/-", "")
 	assert.Equal(t, 200, code, "the tenant without a name")
 
-	// Bounds of bodies are bytes too, and a text of just so many is taken.
+	// The maximum length of a text counts bytes, and a text of exactly that length is accepted.
 	for _, n := range []int{100, 101} {
 		code, text := call(t, "POST", one.cfg.Listen, "/routes/a/rollouts/r/stop", `{"why":"`+strings.Repeat("é", n)+`"}`)
 		assert.Equal(t, n == 101, strings.Contains(text, "above 200 bytes"), "%d %s", code, text)
 	}
 
-	// With its token a tenant is let in, and bounded: no rollouts, two changes at once.
+	// A tenant with its token is authorized, within its limits: no rollouts, and two changes per minute.
 	as := func(token, path, body string) (int, string, http.Header) {
 		req, err := http.NewRequest("POST", "http://"+one.cfg.Listen+path, strings.NewReader(body))
 		require.NoError(t, err)
@@ -274,8 +274,8 @@
 	}
 }
 
-// A post that is sent twice is made once; another of its name, another beside it, and one on an old revision are
-// refused.
+// A repeated POST is applied once. A different rollout of the same name, a second rollout beside it, and a POST on an
+// old revision are rejected.
 func TestRollouts_repeatedPostsAndConflicts(t *testing.T) {
 	t.Parallel()
 	one := routed(t, 1, single)[0]
@@ -298,7 +298,7 @@
 	do(200, "rollouts/r/pause", `{"why":"tea"}`)
 	assert.Equal(t, "tea", view(t, one.cfg.Listen).Rollouts[0].Why)
 	do(200, "rollouts/r/resume", "")
-	// An empty body may come in chunks: its length is not known before it is read.
+	// An empty body may be chunked, so that its length is unknown before it is read.
 	conn, err := net.Dial("tcp", one.cfg.Listen)
 	require.NoError(t, err)
 	defer conn.Close()
@@ -322,15 +322,15 @@
 	assert.Contains(t, text, `routes_processes{standing="shut out"} 0`)
 }
 
-// Each revision is sent to readers whose schemas can express it, by any replica; the list and its revision are
-// unchanged.
+// Every replica sends each revision to the readers whose schema can express it. The list and its revision do not
+// change.
 func TestRoutes_watch(t *testing.T) {
 	t.Parallel()
 	all := routed(t, 3, nil)
 	addr := routesLeader(t, all).cfg.Listen
 	var list int64
 	all[0].node.hub.Read(func(s *state.State) { list = s.Rev() })
-	follow := func(c *copyOf, schema int) *bufio.Reader {
+	follow := func(c *testReplica, schema int) *bufio.Reader {
 		req, err := http.NewRequestWithContext(t.Context(), "GET", fmt.Sprintf("http://%s/routes?schema=%d&watch=1", c.cfg.Listen, schema), nil)
 		require.NoError(t, err)
 		resp, err := (&http.Client{Transport: &http.Transport{DisableKeepAlives: true}}).Do(req)
@@ -360,12 +360,12 @@
 	var revs []int64
 	for i := range 6 {
 		path, body := "/routes/a/base", fmt.Sprintf(`{"to":%q}`, []string{"old", "new"}[i%2])
-		if i == 4 { // which readers of schema 1 would read otherwise
+		if i == 4 { // schema 1 cannot express classes
 			path, body = "/routes/a/rollouts/r", strings.Replace(goodBody, `"budget"`, `"classes":["x"],"budget"`, 1)
 		} else if i == 5 {
 			path, body = "/routes/a/rollouts/r/stop", ""
 		}
-		until(t, "the change "+path, func() bool { // a new leader lets a while pass before the fifth
+		until(t, "the change "+path, func() bool { // a new leader rejects the fifth for a while
 			code, text := call(t, "POST", addr, path, body)
 			if code == 200 {
 				revs = append(revs, revOf(t, text))
@@ -373,7 +373,7 @@
 			return code == 200
 		})
 	}
-	// readUpTo reads up to a revision. An earlier one may come first, whose answer was lost and which was requested again.
+	// readUpTo reads up to a revision. An earlier one precedes it if a response was lost and the change was sent again.
 	readUpTo := func(in *bufio.Reader, schema int, rev int64) {
 		got := next(in, schema).Rev
 		for got < rev {
@@ -392,8 +392,8 @@
 	all[0].node.hub.Read(func(s *state.State) { assert.Equal(t, list, s.Rev()) })
 }
 
-// Grants are on a quorum before they are answered: a new leader grants no unit twice, and undoes no rollback. With the
-// planted defect it does.
+// Grants are stored on a quorum before the response, so a new leader neither grants a unit twice nor undoes a rollback.
+// With the planted defect it grants units twice.
 func TestGrants_leaderChange(t *testing.T) {
 	t.Parallel()
 	for _, planted := range []routeleader.Defect{"", routeleader.GrantUncommitted} {
@@ -415,12 +415,12 @@
 			lead.end(t)
 			lead = routesLeader(t, all)
 			second := int64(0)
-			for range 5 { // while grants of the earlier leader may be requested
+			for range 5 { // repeated, as the new leader may reject the first requests
 				two.report(t, lead.cfg.Listen)
 				second = max(second, two.requestBudget(t, lead.cfg.Listen, 0, 10))
 			}
 			if planted != "" {
-				assert.Positive(t, second, "the defect shows nothing")
+				assert.Positive(t, second, "the planted defect has no effect")
 				return
 			}
 			assert.Zero(t, second, "units of a spent budget were granted again")
@@ -443,7 +443,7 @@
 	}
 }
 
-// A leader without a quorum permits nothing, though it still takes itself for one.
+// A leader that has lost its quorum grants no lease, even before it steps down.
 func TestLeader_partitioned(t *testing.T) {
 	t.Parallel()
 	all := routed(t, 3, func(c *Config) { c.HeartbeatInterval = 200 * time.Millisecond })
@@ -463,7 +463,7 @@
 	assert.Zero(t, a.LeaseMS)
 }
 
-// A new leader closes nothing while a term that the one before granted may last; with the planted defect it does.
+// A new leader closes no revision while a lease of the previous leader may still run. With the planted defect it does.
 func TestLeader_waitsForEarlierLeases(t *testing.T) {
 	t.Parallel()
 	for _, planted := range []routeleader.Defect{"", routeleader.NoWait} {
@@ -478,7 +478,7 @@
 			})
 			lead := routesLeader(t, all)
 			p := newProcess("p", 2)
-			for _, to := range []string{"old", "new"} { // it is silent once it acts on the first
+			for _, to := range []string{"old", "new"} { // the process sends no report after it has acknowledged the first
 				code, text := call(t, "POST", lead.cfg.Listen, "/routes/a/base", fmt.Sprintf(`{"to":%q}`, to))
 				require.Equal(t, 200, code, text)
 				if p.AcknowledgedRev == 0 {
@@ -489,18 +489,18 @@
 			}
 			lead.end(t)
 			var at time.Time
-			until(t, "the close", func() bool {
+			until(t, "the revision to be closed", func() bool {
 				lead = routesLeader(t, all)
 				closed := view(t, lead.cfg.Listen).Closed
 				at = time.Now()
 				return closed >= p.AcknowledgedRev
 			})
-			assert.Equal(t, planted == "", !at.Before(p.until), "it is closed %v after the term's end", at.Sub(p.until))
+			assert.Equal(t, planted == "", !at.Before(p.until), "closed %v after the end of the lease", at.Sub(p.until))
 		})
 	}
 }
 
-// Reports cost no disk.
+// Reports cause no disk writes.
 func TestReports_noDiskWrites(t *testing.T) {
 	t.Parallel()
 	one := routed(t, 1, nil)[0]
@@ -510,7 +510,7 @@
 		one.node.hub.Read(func(s *state.State) { n = len(s.Processes) })
 		return n
 	}
-	until(t, "the process to be remembered, and what is closed first", func() bool {
+	until(t, "the process to be recorded, and the earlier revisions to be closed", func() bool {
 		return known() == 1 && view(t, one.cfg.Listen).Closed == routesRev(one)-1
 	})
 	before := one.node.DiskWrites()
@@ -521,7 +521,8 @@
 	assert.Equal(t, before, one.node.DiskWrites())
 }
 
-// What processes that are present would read otherwise is refused with their names, until they are shut out.
+// A change that running processes would misread is rejected, and the response names them. It is accepted once they are
+// shut out.
 func TestSchema_olderReadersBlock(t *testing.T) {
 	t.Parallel()
 	one := routed(t, 1, single)[0]
@@ -534,7 +535,7 @@
 	}
 	newProcess("new", 1, 2).report(t, one.cfg.Listen)
 	var f routeleader.Rejection
-	until(t, "a verdict", func() bool { // a new leader does not know all yet
+	until(t, "the rejection", func() bool { // a new leader does not know all processes yet
 		code, text := call(t, "POST", one.cfg.Listen, path, classes)
 		f = routeleader.Rejection{}
 		require.NoError(t, json.Unmarshal([]byte(text), &f))
@@ -549,20 +550,20 @@
 		code, text := call(t, "POST", one.cfg.Listen, "/routes/schema", `{"least":2}`)
 		require.Equal(t, 200, code, text)
 	}
-	until(t, "the end of their terms", func() bool {
+	until(t, "the end of their leases", func() bool {
 		code, _ := call(t, "POST", one.cfg.Listen, path, classes)
 		return code == 200
 	})
 	_, a := newProcess("old00", 1).report(t, one.cfg.Listen)
 	assert.Zero(t, a.LeaseMS)
-	until(t, "a refusal to who would read it otherwise", func() bool { // it pauses while the silent count as behind
+	until(t, "the rejection of a reader of schema 1", func() bool { // the rollout pauses while silent processes count as behind
 		code, text := call(t, "GET", one.cfg.Listen, "/routes?schema=1", "")
 		return code == 409 && strings.Contains(text, "classes")
 	})
 }
 
-// The audit tells who acted and who did not, and of who is silent that it cannot be known; the planted defect says that
-// it did not.
+// The audit reports which processes acted and which did not. For a process that sends no reports the verdict is
+// unknown. With the planted defect it is that the process did not act.
 func TestAudit(t *testing.T) {
 	t.Parallel()
 	for _, planted := range []routeleader.Defect{"", routeleader.AuditSilent} {
@@ -581,12 +582,12 @@
 		routes := one.node.routes
 		later := func() int64 {
 			from := routes.WallMS(time.Now())
-			until(t, "a time that is later for sure", func() bool { return routes.WallMS(time.Now()) > from+2*routeleader.ClockSlackMS })
+			until(t, "a time later than any clock error", func() bool { return routes.WallMS(time.Now()) > from+2*routeleader.ClockSlackMS })
 			return routes.WallMS(time.Now())
 		}
 		to := later()
 		later()
-		until(t, "verdicts", func() bool { // an echo is from before the time's end at first
+		until(t, "verdicts", func() bool { // the first echoes predate the end of the window
 			idle.report(t, one.cfg.Listen)
 			idle.report(t, one.cfg.Listen)
 			code, text = call(t, "GET", one.cfg.Listen, fmt.Sprintf("/routes/audit?rev=%d&from=%d&to=%d", rev, routes.WallMS(startedAt.Add(-time.Second)), to), "")
@@ -611,9 +612,9 @@
 	}
 }
 
-// A new leader answers for windows before it led, from what it noted as a follower: that an attempt lies between a
-// commit and an end, that no process acted before the one and after the other. What cuts into the life of a revision it
-// does not know.
+// A new leader audits windows before its leadership from what it recorded as a follower. No process acted before the
+// commit or after the end of a revision, and an attempt lies between the two. If the window begins within the life of
+// the revision the verdict is unknown.
 func TestAudit_leaderChange(t *testing.T) {
 	t.Parallel()
 	all := routed(t, 3, nil)
@@ -630,19 +631,19 @@
 			return true
 		})
 	}
-	passed := func() time.Time { // that both ends of a window are apart by more than what turning them may cost
+	passed := func() time.Time { // separates both ends of a window by more than the error of converting them
 		at := time.Now()
-		until(t, "some time", func() bool { return time.Since(at) > 4*routeleader.ClockSlackMS*time.Millisecond })
+		until(t, "the clock slack to pass", func() bool { return time.Since(at) > 4*routeleader.ClockSlackMS*time.Millisecond })
 		return time.Now()
 	}
 	before := passed()
 	polled := passed()
-	followers("what the leader has", func(r *routeleader.Routing, _ *state.State) bool {
+	followers("a poll of the leader's revision", func(r *routeleader.Routing, _ *state.State) bool {
 		return r.LastRevPoll().After(polled)
 	})
 	acts, idle := newProcess("acts", 2), newProcess("rests", 2)
 	var revs [2]int64
-	var within time.Time // after the commit of the first, before anybody acts on it
+	var within time.Time // after the commit of the first revision, before a process acts on it
 	for i, to := range []string{"old", "new"} {
 		code, text := call(t, "POST", lead.cfg.Listen, "/routes/a/base", fmt.Sprintf(`{"to":%q}`, to))
 		require.Equal(t, 200, code, text)
@@ -664,7 +665,7 @@
 	for _, c := range []struct {
 		what     string
 		from, to time.Time
-		want     []audit.Verdict // of a process that acts, and of an idle one
+		want     []audit.Verdict // of the process that acts, and of the idle one
 	}{
 		{"the whole", before, held, []audit.Verdict{audit.Acted, audit.DidNotAct}},
 		{"before the commit", before.Add(-time.Hour), before, []audit.Verdict{audit.DidNotAct, audit.DidNotAct}},
@@ -674,7 +675,7 @@
 		audited := fmt.Sprintf("/routes/audit?rev=%d&from=%d&to=%d", revs[0], routes.WallMS(c.from), routes.WallMS(c.to))
 		var code int
 		var text string
-		until(t, "an answer of the new leader", func() bool { // it says 503 until a quorum has confirmed it
+		until(t, "a response of the new leader", func() bool { // it responds with 503 until a quorum has confirmed it
 			code, text = call(t, "GET", lead.cfg.Listen, audited, "")
 			return code != http.StatusServiceUnavailable
 		})
--- a/internal/registry/state/leases_test.go
+++ b/internal/registry/state/leases_test.go
@@ -6,12 +6,12 @@
 	"time"
 )
 
-// A cut-off ends leases one after the other, as servers renew at different times; it takes no more than the share off
-// the list. Servers that die now and then are taken off all the same.
+// In a partition the leases expire one after the other, as servers renew at different times. No more than the allowed
+// fraction may be removed. A few servers that fail independently are removed.
 func TestLeases_massExpiryHeld(t *testing.T) {
 	const term = 15 * time.Second
 	start := time.Unix(0, 0)
-	for _, dead := range []int{100, 3} { // of 100 servers: all are cut off, or three die within a minute
+	for _, dead := range []int{100, 3} { // of 100 servers: all are partitioned, or three fail within a minute
 		l := NewLeases()
 		listed := map[string]bool{}
 		for i := range 100 {
@@ -37,10 +37,10 @@
 			}
 		}
 		if dead == 100 && (len(listed) < 70 || held != len(listed)) {
-			t.Errorf("cut off from all, %d stay listed and %d are held", len(listed), held)
+			t.Errorf("partitioned from all servers: %d stay listed and %d are held", len(listed), held)
 		}
 		if dead == 3 && (len(listed) != 97 || held != 0) {
-			t.Errorf("three have died, %d stay listed and %d are held", len(listed), held)
+			t.Errorf("after three failures %d stay listed and %d are held", len(listed), held)
 		}
 	}
 }
--- a/internal/registry/state/state.go
+++ b/internal/registry/state/state.go
@@ -1,5 +1,5 @@
-// Package state is the replicated state of the registry: the entries with their revisions and leases, the addresses of
-// the replicas, and the state of routes. Commands change it deterministically; it uses no clock, socket or disk.
+// Package state holds the replicated state of the registry: the entries with their revisions and leases, the addresses
+// of the replicas, and the state of routes. Commands change it deterministically. It uses no clock, socket or disk.
 package state
 
 import (
@@ -16,14 +16,14 @@
 	"marblelane/internal/route"
 )
 
-// The states of an entry, as the platform names them. Gone stands in changes only.
+// The states of an entry, named as in the platform's protocol. Gone marks a removed entry and occurs in changes only.
 const (
 	Ready       = "Ready"
 	Terminating = "Terminating"
 	Gone        = "Gone"
 )
 
-// Entry is one server in the platform's form.
+// Entry describes one server in the format of the platform's protocol.
 type Entry struct {
 	UID      string  `json:"uid"`
 	Endpoint string  `json:"endpoint"`
@@ -35,65 +35,67 @@
 	BootMS   int64   `json:"boot_ms"`
 }
 
-// List is the answer to a read or a line of a watch, in the form of the platform's protocol.
+// List is the response to a read or one line of a watch, in the format of the platform's protocol. If All is false,
+// Targets holds only the changed entries.
 type List struct {
 	Rev     int64   `json:"rev"`
 	All     bool    `json:"all"`
 	Targets []Entry `json:"targets"`
 }
 
-// CountBits is the part of a revision that counts within an epoch: 268 million changes.
+// CountBits is the number of low bits of a revision that count the changes within an epoch: up to 268 million.
 const CountBits = 28
 
-// MaxEpoch keeps a revision within 2^53, up to which every JSON reader counts exactly.
+// MaxEpoch is the highest epoch. It keeps revisions below 2^53, up to which every JSON reader represents integers
+// exactly.
 const MaxEpoch = 1<<(53-CountBits) - 1
 
-// EpochOf is the epoch of a revision.
+// EpochOf returns the epoch of a revision.
 func EpochOf(rev int64) int64 { return rev >> CountBits }
 
-// EpochZero is the time from which epochs count minutes; 25 bits of them last until 2089.
+// EpochZero is the time from which epochs count minutes. Their 25 bits last until 2089.
 var EpochZero = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 
 // EpochZeroMS is EpochZero in Unix milliseconds.
 const EpochZeroMS = 1_767_225_600_000
 
-// NextEpoch is the epoch of a history that begins now, after one with the epoch old (0: none).
+// NextEpoch returns the epoch of a history that begins now and follows one with the epoch old (0: none).
 func NextEpoch(now time.Time, old int64) int64 {
 	return min(max(old+1, int64(now.Sub(EpochZero)/time.Minute)), MaxEpoch)
 }
 
-// Op is what a command does.
+// Op is the operation of a command.
 type Op string
 
-// The operations.
+// The operations, with the fields of Command that each uses.
 const (
-	OpBeginEpoch     Op = "begin"  // a history begins, or a backup becomes one: Epoch
-	OpPut            Op = "put"    // register: Entry, Lease
-	OpDrain          Op = "drain"  // UID: Terminating from now on
-	OpRemove         Op = "remove" // UID
-	OpExpire         Op = "expire" // UIDs: their leases are over; only those unchanged since their If counts
-	OpReplicaAddress Op = "member" // UID: a replica's name, Address: where it serves
-	OpRoutes         Op = "routes" // Routes: a command of package rollout
-	OpAudit          Op = "audit"  // Audit: transitions of processes; Seen: which schemas processes read
-	OpMaxLeaseTerm   Op = "term"   // TermMS: the maximum term of routes leases that may still run
+	OpBeginEpoch     Op = "begin"  // begins a new history, also after a restore from a backup: Epoch
+	OpPut            Op = "put"    // registers an entry or changes it: Entry, LeaseMS, If
+	OpDrain          Op = "drain"  // sets the state of an entry to Terminating: UID, If
+	OpRemove         Op = "remove" // removes an entry: UID, If
+	OpExpire         Op = "expire" // removes entries whose leases have expired, unless they have changed since: Expired
+	OpReplicaAddress Op = "member" // sets the HTTP address of a replica, empty: removes it: UID (the name), Address
+	OpRoutes         Op = "routes" // applies a command of package rollout: Routes
+	OpAudit          Op = "audit"  // records transitions of processes and the schemas that processes read: Audit, Seen
+	OpMaxLeaseTerm   Op = "term"   // sets the maximum term of routes leases that may still run: TermMS
 )
 
-// Command is one write, as it is replicated.
+// Command is one replicated write.
 type Command struct {
 	Op      Op               `json:"op"`
 	UID     string           `json:"uid,omitempty"`
 	Entry   *Entry           `json:"entry,omitempty"`
 	LeaseMS int64            `json:"lease_ms,omitempty"`
-	If      *int64           `json:"if,omitempty"` // revision of the entry's last change; 0: there is none
+	If      *int64           `json:"if,omitempty"` // required revision of the entry's last change; 0: there must be no entry
 	Epoch   int64            `json:"epoch,omitempty"`
-	Expired map[string]int64 `json:"expired,omitempty"` // uid to the revision of its last change
+	Expired map[string]int64 `json:"expired,omitempty"` // revision of the last change of each entry, by uid
 	Address string           `json:"address,omitempty"`
 
 	Routes *rollout.Command   `json:"routes,omitempty"`
 	Audit  []audit.Transition `json:"audit,omitempty"`
 	Seen   []SchemaSupport    `json:"seen,omitempty"`
 	TermMS int64              `json:"term_ms,omitempty"`
-	Term   uint64             `json:"term,omitempty"` // counts only if it is committed in this one of raft's; 0: in any
+	Term   uint64             `json:"term,omitempty"` // required raft term of the log entry; 0: any
 }
 
 // Errors of writes.
@@ -104,48 +106,48 @@
 	ErrInvalid  = errors.New("the entry cannot be")
 )
 
-// item is an entry with its internal fields.
+// entryRecord is an entry with its internal fields.
 type entryRecord struct {
 	Entry   Entry `json:"entry"`
 	Changed int64 `json:"changed"` // revision of its last change
 	LeaseMS int64 `json:"lease_ms"`
 }
 
-// change is one entry as it became with a revision.
+// change is the content of an entry as of a revision.
 type change struct {
 	rev   int64
 	entry Entry
 }
 
-// State is the list with its recent history. It is deterministic: the same commands give the same state.
+// State is the list with its recent history and the state of routes. The same commands always result in the same state.
 type State struct {
 	rev              int64
 	items            map[string]*entryRecord
-	replicaAddresses map[string]string // replicas by name: where they serve
+	replicaAddresses map[string]string // HTTP addresses of the replicas by name
 	history          []change          // oldest first
-	historyStart     int64             // changes after this revision are in history
+	historyStart     int64             // history holds all changes after this revision
 	maxHistory       int
 
-	// What follows moves no revision of the list.
+	// Changes of the following fields do not change the revision of the list.
 	Routes         *rollout.State
 	AuditLog       *audit.Log
-	Processes      map[string]SchemaSupport // by the process's name: what schemas it reads
+	Processes      map[string]SchemaSupport // by the process's name
 	MaxLeaseTermMS int64                    // the maximum term of routes leases that may still run
 }
 
-// NewState makes an empty list that keeps at least so many changes.
+// NewState returns an empty state that keeps at least the newest keep changes.
 func NewState(keep int) *State {
 	return &State{items: map[string]*entryRecord{}, replicaAddresses: map[string]string{}, maxHistory: keep,
 		Routes: rollout.NewState(), AuditLog: &audit.Log{}, Processes: map[string]SchemaSupport{}}
 }
 
-// Rev is the revision of the last change.
+// Rev returns the revision of the last change.
 func (s *State) Rev() int64 { return s.rev }
 
-// Len is the number of entries.
+// Len returns the number of entries.
 func (s *State) Len() int { return len(s.items) }
 
-// Get gives an entry with the revision of its last change and its lease.
+// Get returns an entry with the revision of its last change and its lease.
 func (s *State) Get(uid string) (e Entry, changed int64, lease time.Duration, ok bool) {
 	it, ok := s.items[uid]
 	if !ok {
@@ -154,13 +156,13 @@
 	return it.Entry, it.Changed, time.Duration(it.LeaseMS) * time.Millisecond, true
 }
 
-// ReplicaAddresses are the replicas by name with the addresses where they serve.
+// ReplicaAddresses returns the HTTP addresses of the replicas by name.
 func (s *State) ReplicaAddresses() map[string]string { return maps.Clone(s.replicaAddresses) }
 
-// ReplicaAddress is where a replica serves; empty if it has not said so.
+// ReplicaAddress returns the HTTP address of a replica; empty if it is unknown.
 func (s *State) ReplicaAddress(name string) string { return s.replicaAddresses[name] }
 
-// ForgetReplicaAddresses removes all replicas' addresses.
+// ForgetReplicaAddresses removes the addresses of all replicas.
 func (s *State) ForgetReplicaAddresses() { s.replicaAddresses = map[string]string{} }
 
 // ForEachLease calls f for each entry that has a lease.
@@ -172,7 +174,7 @@
 	}
 }
 
-// Validate finds what an entry lacks.
+// Validate returns an error wrapping ErrInvalid if a field of the entry is missing or out of range.
 func (e *Entry) Validate() error {
 	switch {
 	case e.UID == "" || len(e.UID) > 200:
@@ -189,8 +191,8 @@
 	return nil
 }
 
-// Apply carries out a command. It returns the revision after which a reader sees it: of the change, or of the last
-// one where nothing had to change, so that a write that is sent twice does no harm.
+// Apply applies a command. It returns the revision from which readers see its effect. If nothing had to change, this is
+// an earlier revision, so that a write may be sent twice.
 func (s *State) Apply(c *Command) (int64, error) {
 	switch c.Op {
 	case OpBeginEpoch:
@@ -198,7 +200,7 @@
 			return s.rev, nil
 		}
 		s.rev = c.Epoch << CountBits
-		s.history, s.historyStart = nil, s.rev // what came before is another history
+		s.history, s.historyStart = nil, s.rev // earlier changes belong to another history
 		s.Routes.BeginEpoch(c.Epoch)
 		return s.rev, nil
 	case OpReplicaAddress:
@@ -223,7 +225,7 @@
 		s.remove(c.UID)
 		return s.rev, nil
 	case OpExpire:
-		for _, uid := range slices.Sorted(maps.Keys(c.Expired)) { // in an order that all replicas share
+		for _, uid := range slices.Sorted(maps.Keys(c.Expired)) { // all replicas must remove them in the same order
 			if it, ok := s.items[uid]; ok && it.Changed == c.Expired[uid] {
 				s.remove(uid)
 			}
@@ -245,6 +247,7 @@
 	return 0, fmt.Errorf("registry: unknown operation %q", c.Op)
 }
 
+// put registers an entry or replaces it.
 func (s *State) put(c *Command) (int64, error) {
 	if c.Entry == nil {
 		return 0, fmt.Errorf("%w: there is none", ErrInvalid)
@@ -255,7 +258,7 @@
 	e, old := *c.Entry, s.items[c.Entry.UID]
 	if old != nil {
 		if old.Entry == e && old.LeaseMS == c.LeaseMS {
-			return old.Changed, nil // sent twice, or nothing new
+			return old.Changed, nil // nothing changed, or the write was sent twice
 		}
 	}
 	if c.If != nil {
@@ -281,6 +284,7 @@
 	return s.rev, nil
 }
 
+// drain sets the state of an entry to Terminating.
 func (s *State) drain(c *Command) (int64, error) {
 	it, ok := s.items[c.UID]
 	switch {
@@ -296,6 +300,7 @@
 	return s.rev, nil
 }
 
+// remove removes an entry that exists.
 func (s *State) remove(uid string) {
 	e := s.items[uid].Entry
 	e.State = Gone
@@ -303,12 +308,12 @@
 	s.record(e)
 }
 
-// record assigns a revision to a change and keeps it in the history. A count that overflows continues in the next epoch,
-// the next number; the list is the same, so watches need no full list.
+// record assigns the next revision to a change and adds it to the history. If the count within the epoch overflows, the
+// next revision belongs to the next epoch. The history continues there, so watches need no full list.
 func (s *State) record(e Entry) int64 {
 	s.rev++
 	s.history = append(s.history, change{s.rev, e})
-	if len(s.history) > 2*s.maxHistory { // in steps, so that it costs little
+	if len(s.history) > 2*s.maxHistory { // dropped in batches, so that the copy is rare
 		drop := len(s.history) - s.maxHistory
 		s.historyStart = s.history[drop-1].rev
 		s.history = slices.Clone(s.history[drop:])
@@ -316,7 +321,7 @@
 	return s.rev
 }
 
-// All is the full list, by uid.
+// All returns the full list, sorted by uid.
 func (s *State) All() List {
 	l := List{Rev: s.rev, All: true, Targets: make([]Entry, 0, len(s.items))}
 	for _, uid := range slices.Sorted(maps.Keys(s.items)) {
@@ -325,7 +330,8 @@
 	return l
 }
 
-// ChangesSince is what changed after a revision, each entry once as it is now; or the full list where that is not known.
+// ChangesSince returns the entries that changed after a revision, each once with its current content. It returns the
+// full list if the history does not reach back to the revision, or the revision is ahead of the state.
 func (s *State) ChangesSince(after int64) List {
 	if after < s.historyStart || after > s.rev {
 		return s.All()
@@ -342,8 +348,8 @@
 	return l
 }
 
-// Snapshot is a state as a snapshot keeps it. The history is not part of it: a watcher that comes back to a replica which
-// was restored gets the full list.
+// Snapshot is the content of a state in the format of a snapshot. It does not contain the history, so a watch that
+// resumes at a restored replica receives the full list.
 type Snapshot struct {
 	Form    int               `json:"form"`
 	Rev     int64             `json:"rev"`
@@ -357,14 +363,14 @@
 	TermMS int64           `json:"term_ms,omitempty"`
 }
 
-// Versions of the snapshot format; a newer one is rejected. Version 1 has no routes. It is still written while there are
-// none, so that a downgrade is possible where routes are not used.
+// Versions of the snapshot format. Restore rejects newer ones. Version 1 has no routes. It is still written while there
+// are no routes, so that a downgrade is possible where routes are not used.
 const (
 	SnapshotForm              = 2
 	SnapshotFormWithoutRoutes = 1
 )
 
-// Snapshot copies the state for a snapshot.
+// Snapshot returns a copy of the state in the format of a snapshot.
 func (s *State) Snapshot() (*Snapshot, error) {
 	out := &Snapshot{Form: SnapshotFormWithoutRoutes, Rev: s.rev, Members: maps.Clone(s.replicaAddresses)}
 	for _, uid := range slices.Sorted(maps.Keys(s.items)) {
@@ -378,30 +384,31 @@
 	for _, name := range slices.Sorted(maps.Keys(s.Processes)) {
 		out.Seen = append(out.Seen, s.Processes[name])
 	}
-	var err, err2 error
-	out.Routes, err = json.Marshal(s.Routes)
-	out.Audit, err2 = json.Marshal(s.AuditLog)
-	if err := errors.Join(err, err2); err != nil {
+	var routesErr, auditErr error
+	out.Routes, routesErr = json.Marshal(s.Routes)
+	out.Audit, auditErr = json.Marshal(s.AuditLog)
+	if err := errors.Join(routesErr, auditErr); err != nil {
 		return nil, fmt.Errorf("registry: snapshot: %w", err)
 	}
 	return out, nil
 }
 
-// hasRoutes tells whether there is anything of routes in the state: a leader with an operators' file says its term first.
+// hasRoutes reports whether the state contains any routes. A leader with an operators' file records the maximum lease
+// term before anything else, so MaxLeaseTermMS shows it, too.
 func (s *State) hasRoutes() bool {
 	return s.MaxLeaseTermMS > 0 || s.Routes.Rev() > EpochOf(s.Routes.Rev())<<CountBits
 }
 
-// Restore replaces the state by that of a snapshot.
+// Restore replaces the state with the content of a snapshot.
 func (s *State) Restore(from *Snapshot) error {
 	if from.Form != SnapshotForm && from.Form != SnapshotFormWithoutRoutes {
-		return fmt.Errorf("registry: a snapshot of form %d, this program reads forms %d and %d", from.Form, SnapshotFormWithoutRoutes, SnapshotForm)
+		return fmt.Errorf("registry: unsupported snapshot format %d, supported are %d and %d", from.Form, SnapshotFormWithoutRoutes, SnapshotForm)
 	}
 	routes, log := rollout.NewState(), &audit.Log{}
 	if from.Form == SnapshotFormWithoutRoutes {
 		routes.BeginEpoch(EpochOf(from.Rev))
 	} else if err := errors.Join(json.Unmarshal(from.Routes, routes), json.Unmarshal(from.Audit, log)); err != nil {
-		return fmt.Errorf("registry: the routes of a snapshot: %w", err)
+		return fmt.Errorf("registry: decode routes of snapshot: %w", err)
 	}
 	s.Routes, s.AuditLog, s.MaxLeaseTermMS, s.Processes = routes, log, from.TermMS, map[string]SchemaSupport{}
 	for _, p := range from.Seen {
@@ -416,16 +423,18 @@
 	return nil
 }
 
-// SchemaSupport is the last report time of a process and the schemas of routes that it reads.
+// SchemaSupport holds the schemas of routes that a process reads, and the time of its last report.
 type SchemaSupport struct {
 	route.Process
 	Schemas []int `json:"schemas"`
-	AtMS    int64 `json:"at_ms"` // the leader's wall clock
+	AtMS    int64 `json:"at_ms"` // time of the last report by the leader's wall clock, Unix milliseconds
 }
 
-// MaxKnownProcesses bounds the processes in the state; beyond it the one that reported longest ago is dropped.
+// MaxKnownProcesses is the maximum number of processes in the state. If there are more, those whose last report is
+// oldest are dropped.
 const MaxKnownProcesses = 10_000
 
+// recordProcesses records the reports of processes.
 func (s *State) recordProcesses(all []SchemaSupport) {
 	for _, p := range all {
 		s.Processes[p.Name] = p
@@ -441,7 +450,7 @@
 	}
 }
 
-// CountReady counts the entries that take requests and are in a subset.
+// CountReady returns the number of ready entries that belong to a subset.
 func (s *State) CountReady(sub route.Subset) int {
 	n := 0
 	for _, it := range s.items {
@@ -453,4 +462,5 @@
 	return n
 }
 
+// matchesAny reports whether a selector contains a value. An empty selector contains all.
 func matchesAny[T comparable](list []T, v T) bool { return len(list) == 0 || slices.Contains(list, v) }
--- a/internal/registry/state/state_test.go
+++ b/internal/registry/state/state_test.go
@@ -31,8 +31,8 @@
 	return s
 }
 
-// After any writes and any lag of a reader, the changes it receives give exactly the current list, and no revision has
-// two meanings.
+// After any writes and any lag of a reader, the changes that it receives result in the current list, and no revision
+// stands for two different lists.
 func TestState_readerCatchesUp(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := newStartedState(rapid.IntRange(1, 10).Draw(t, "keep"))
@@ -55,7 +55,7 @@
 			}
 			r.rev = l.Rev
 		}
-		meant := map[int64]string{}
+		lists := map[int64]string{}
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
 			uid := fmt.Sprintf("s%d", rapid.IntRange(0, 4).Draw(t, "uid"))
 			before := s.Rev()
@@ -69,16 +69,16 @@
 			case OpBeginEpoch:
 				c.Epoch = EpochOf(s.Rev()) + 1
 			}
-			_, _ = s.Apply(c) // a refusal is as good as a change here
+			_, _ = s.Apply(c) // a rejected command is valid input, too
 			if s.Rev() < before {
 				t.Fatalf("the revision went back from %d to %d", before, s.Rev())
 			}
 			if now := fmt.Sprint(s.All().Targets); s.Rev() == before {
-				if old, ok := meant[before]; ok && old != now {
-					t.Fatalf("revision %d meant %s and means %s", before, old, now)
+				if old, ok := lists[before]; ok && old != now {
+					t.Fatalf("the list at revision %d changed from %s to %s", before, old, now)
 				}
 			} else {
-				meant[s.Rev()] = now
+				lists[s.Rev()] = now
 			}
 			for _, r := range readers {
 				if rapid.Bool().Draw(t, "reads") {
@@ -93,7 +93,7 @@
 		for _, r := range readers {
 			catchUp(r)
 			if diff := cmp.Diff(want, r.list); diff != "" {
-				t.Fatalf("a reader's list is not the state's:\n%s", diff)
+				t.Fatalf("the list of a reader differs from the state:\n%s", diff)
 			}
 		}
 	})
@@ -107,7 +107,7 @@
 		}
 	}
 	for name, after := range map[string]int64{
-		"never told": 0, "older than what is kept": 5<<CountBits + 2, "ahead": s.Rev() + 1,
+		"none": 0, "older than the history": 5<<CountBits + 2, "ahead": s.Rev() + 1,
 		"of an older history": 4<<CountBits + 19, "of a newer history": 6<<CountBits + 1, "nonsense": -7,
 	} {
 		if l := s.ChangesSince(after); !l.All || len(l.Targets) != 1 {
@@ -115,10 +115,10 @@
 		}
 	}
 	if l := s.ChangesSince(s.Rev() - 1); l.All || len(l.Targets) != 1 {
-		t.Errorf("the last change: %+v", l)
+		t.Errorf("changes since the revision before the last: %+v", l)
 	}
 	if l := s.ChangesSince(s.Rev()); l.All || len(l.Targets) != 0 {
-		t.Errorf("nothing new: %+v", l)
+		t.Errorf("changes since the newest revision: %+v", l)
 	}
 }
 
@@ -132,10 +132,10 @@
 	}
 	again, err := s.Apply(put)
 	if err != nil || again != first || s.Rev() != first {
-		t.Errorf("the second put: %d, %v; the first was %d", again, err, first)
+		t.Errorf("the second put returned %d, %v; the first returned %d", again, err, first)
 	}
 	if _, err := s.Apply(&Command{Op: OpPut, Entry: entry("s", 2), If: &zero}); !errors.Is(err, ErrConflict) {
-		t.Errorf("a put on an entry that was not there: %v", err)
+		t.Errorf("put that requires a missing entry, on an existing one: %v", err)
 	}
 	for _, op := range []Op{OpDrain, OpRemove} {
 		c := &Command{Op: op, UID: "s", If: ptr(s.Rev())}
@@ -145,11 +145,11 @@
 		}
 		two, err := s.Apply(c)
 		if err != nil || one != two {
-			t.Errorf("%s twice: %d and %d, %v", op, one, two, err)
+			t.Errorf("repeated %s returned %d and %d, %v", op, one, two, err)
 		}
 	}
 	if _, err := s.Apply(&Command{Op: OpDrain, UID: "s"}); !errors.Is(err, ErrUnknown) {
-		t.Errorf("a drain of nobody: %v", err)
+		t.Errorf("drain of an unknown entry: %v", err)
 	}
 }
 
@@ -163,17 +163,17 @@
 		}
 	}
 	if _, err := s.Apply(&Command{Op: OpPut, Entry: entry("s", 10)}); !errors.Is(err, ErrDrained) {
-		t.Errorf("a late registration of the same start: %v", err)
+		t.Errorf("registration of the drained start: %v", err)
 	}
 	if _, err := s.Apply(&Command{Op: OpPut, Entry: entry("s", 11)}); err != nil {
-		t.Errorf("a later start: %v", err)
+		t.Errorf("registration of a later start: %v", err)
 	}
 	if l := s.All(); len(l.Targets) != 1 || l.Targets[0].State != Ready || l.Targets[0].BootMS != 11 {
 		t.Errorf("the list is %+v", l)
 	}
 }
 
-// An expiry that was decided before a change does not undo it.
+// An expiry that was decided before the entry changed does not remove the changed entry.
 func TestState_expiryOfObservedRevision(t *testing.T) {
 	s := newStartedState(100)
 	rev, _ := s.Apply(&Command{Op: OpPut, Entry: entry("s", 1), LeaseMS: 10})
@@ -181,23 +181,23 @@
 		t.Fatal(err)
 	}
 	if _, err := s.Apply(&Command{Op: OpExpire, Expired: map[string]int64{"s": rev}}); err != nil || s.Len() != 1 {
-		t.Errorf("%d entries, %v", s.Len(), err)
+		t.Errorf("%d entries after the expiry, %v", s.Len(), err)
 	}
 }
 
 func TestEpochs(t *testing.T) {
 	now := EpochZero.Add(1000 * time.Minute)
 	if e := NextEpoch(now, 0); e != 1000 {
-		t.Errorf("a fresh history: %d", e)
+		t.Errorf("epoch of a new history: %d", e)
 	}
 	if e := NextEpoch(now, 1000); e != 1001 {
-		t.Errorf("a second one within the minute: %d", e)
+		t.Errorf("second epoch within the same minute: %d", e)
 	}
 	if e := NextEpoch(EpochZero.Add(-time.Hour), 7); e != 8 {
-		t.Errorf("with a clock that went back: %d", e)
+		t.Errorf("epoch after the clock was set back: %d", e)
 	}
 	if rev := int64(MaxEpoch)<<CountBits + 1<<CountBits - 1; rev != 1<<53-1 {
-		t.Errorf("the last revision is %d", rev)
+		t.Errorf("the highest revision is %d", rev)
 	}
 }
 
@@ -217,7 +217,7 @@
 		t.Fatal(err)
 	}
 	if stored.Form != SnapshotFormWithoutRoutes {
-		t.Errorf("without routes the snapshot has form %d, which an earlier program does not read", stored.Form)
+		t.Errorf("a snapshot without routes has format %d, which earlier versions cannot read", stored.Form)
 	}
 	if err := back.Restore(stored); err != nil {
 		t.Fatal(err)
@@ -226,10 +226,10 @@
 		t.Errorf("%+v, want %+v", back.All(), s.All())
 	}
 	if l := back.ChangesSince(s.Rev() - 1); !l.All {
-		t.Error("a restored copy told a change that it does not have")
+		t.Error("a restored state returned changes instead of the full list")
 	}
 	if err := back.Restore(&Snapshot{Form: SnapshotForm + 1}); err == nil {
-		t.Error("a snapshot of a newer form was read")
+		t.Error("a snapshot of a newer format was restored")
 	}
 }
 
@@ -248,7 +248,8 @@
 	return string(text)
 }
 
-// A snapshot keeps the routes; one from before there were any is read, and written while there are none.
+// A snapshot contains the routes. A snapshot of format 1, without routes, can be restored, and is written while there
+// are no routes.
 func TestSnapshot_routes(t *testing.T) {
 	s := newStartedState(10)
 	base := rollout.Command{Op: rollout.OpBase, Tenant: "a", Base: route.Subset{Model: []string{"m"}}}
@@ -258,7 +259,7 @@
 		before := s.Rev()
 		_, err := s.Apply(c)
 		require.NoError(t, err)
-		assert.Equal(t, before, s.Rev(), "the list's revision moved")
+		assert.Equal(t, before, s.Rev(), "the revision of the list changed")
 	}
 	stored := saveState(t, s)
 	assert.Equal(t, SnapshotForm, stored.Form)
--- a/internal/registry/state_machine.go
+++ b/internal/registry/state_machine.go
@@ -1,6 +1,6 @@
 package registry
 
-// This file is the state machine of raft: it applies commands, takes snapshots and restores them.
+// This file implements the state machine of raft: it applies commands, and takes and restores snapshots.
 
 import (
 	"encoding/json"
@@ -15,7 +15,7 @@
 	"marblelane/internal/registry/storage"
 )
 
-// stateMachine is the node as the finite state machine of raft.
+// stateMachine implements raft.FSM on the node.
 type stateMachine Node
 
 // Apply applies a committed command.
@@ -26,7 +26,7 @@
 	}
 	var r result
 	if c.Term != 0 && c.Term != l.Term {
-		return result{err: listserver.ErrNotLeader} // proposed in an earlier term
+		return result{err: listserver.ErrNotLeader} // proposed under the leader of an earlier term
 	}
 	m.hub.Read(func(s *state.State) {
 		r.rev, r.err = s.Apply(&c)
@@ -44,12 +44,12 @@
 	return storage.StateSnapshot{Content: s}, err
 }
 
-// Restore replaces the state by a snapshot.
+// Restore replaces the state with the one that a snapshot holds.
 func (m *stateMachine) Restore(from io.ReadCloser) error {
 	defer from.Close()
 	var in state.Snapshot
 	if err := json.NewDecoder(from).Decode(&in); err != nil {
-		return fmt.Errorf("registry: snapshot: %w", err)
+		return fmt.Errorf("registry: decode snapshot: %w", err)
 	}
 	s := state.NewState(m.cfg.MaxHistory)
 	if err := s.Restore(&in); err != nil {
--- a/internal/registry/supervisor.go
+++ b/internal/registry/supervisor.go
@@ -16,13 +16,13 @@
 	"marblelane/internal/registry/storage"
 )
 
-// DiskError is a failed disk write. The replica is closed; the content of its disk is known once it is reopened.
+// DiskError reports a failed disk write. The replica is closed: what its disk contains is unknown until it is reopened.
 type DiskError struct{ Err error }
 
 // Error implements error.
-func (e *DiskError) Error() string { return "registry: the disk takes no more: " + e.Err.Error() }
+func (e *DiskError) Error() string { return "registry: disk write failed: " + e.Err.Error() }
 
-// Unwrap gives the cause.
+// Unwrap returns the cause.
 func (e *DiskError) Unwrap() error { return e.Err }
 
 // A replica whose disk has failed is reopened after minReopenDelay, doubled after each failed attempt up to
@@ -39,10 +39,10 @@
 type Supervisor struct {
 	mu   sync.Mutex
 	cfg  Config
-	node *Node // the one opened last; closed while disk writes fail
+	node *Node // the replica opened last; closed while disk writes fail
 }
 
-// Supervise opens a replica; Run serves. Its errors are those of Open, which are not retried.
+// Supervise opens a replica. Call Run to serve requests. Errors of Open are returned and not retried.
 func Supervise(cfg Config) (*Supervisor, error) {
 	cfg.SetDefaults()
 	n, err := Open(cfg)
@@ -55,7 +55,7 @@
 	return &Supervisor{cfg: cfg, node: n}, nil
 }
 
-// withBoundPort replaces port 0 of an address by the port that was bound.
+// withBoundPort returns the address with port 0 replaced by the port that was bound.
 func withBoundPort(address string, bound net.Addr) string {
 	host, port, err := net.SplitHostPort(address)
 	tcp, ok := bound.(*net.TCPAddr)
@@ -65,14 +65,14 @@
 	return net.JoinHostPort(host, fmt.Sprint(tcp.Port))
 }
 
-// Node is the replica that was opened last.
+// Node returns the replica that was opened last.
 func (s *Supervisor) Node() *Node {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.node
 }
 
-// Reload replaces the options, also for later reopens; the logger stays.
+// Reload replaces the options of the replica, including those for later reopens. The logger stays.
 func (s *Supervisor) Reload(o listserver.Options) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -81,8 +81,8 @@
 	s.node.Server().Reload(o)
 }
 
-// Run serves until ctx ends. It waits without limit for a data directory that fails; it returns an error that waiting does
-// not resolve, such as a corrupt log or missing permissions.
+// Run serves until ctx ends. After a failed disk write it waits without limit for the data directory to become
+// writable. It returns errors that waiting does not resolve, such as a corrupt log or missing permissions.
 func (s *Supervisor) Run(ctx context.Context) error {
 	wait := minReopenDelay
 	for {
@@ -101,8 +101,8 @@
 	}
 }
 
-// reopen opens the replica once its data directory is writable. It returns the delay before the next attempt, should the
-// disk fail again. It returns no error when ctx ends.
+// reopen opens the replica once its data directory is writable. wait is the delay before the first attempt. It returns
+// the delay to use after the next disk failure, and no error when ctx ends.
 func (s *Supervisor) reopen(ctx context.Context, wait time.Duration) (time.Duration, error) {
 	closed, lastError := time.Now(), ""
 	for {
@@ -115,14 +115,14 @@
 		err := s.openIfWritable()
 		switch log := s.cfg.Log; {
 		case err == nil:
-			log.Info("registry: the folder takes writes again and was read anew", "dir", s.cfg.Dir,
+			log.Info("registry: reopened the replica, data directory is writable again", "dir", s.cfg.Dir,
 				"after", time.Since(closed).Round(time.Millisecond))
 			return wait, nil
 		case !mayBeTransient(err):
 			return wait, err
 		case err.Error() != lastError:
 			lastError = err.Error()
-			log.Warn("registry: closed until the folder takes writes again", "dir", s.cfg.Dir, "error", err)
+			log.Warn("registry: replica stays closed until the data directory is writable", "dir", s.cfg.Dir, "error", err)
 		}
 	}
 }
@@ -142,34 +142,34 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.node = n
-	n.Server().Reload(s.cfg.Options) // they may have changed meanwhile
+	n.Server().Reload(s.cfg.Options) // the options may have changed meanwhile
 	return nil
 }
 
-// mayBeTransient reports whether an error of a reopen may be transient. Only errors that are certainly permanent end the replica;
-// others, also an address in use, are retried.
+// mayBeTransient reports whether an error of a reopen may be transient. Only errors that are certainly permanent end
+// the supervisor. All others, such as an address in use, are retried.
 func mayBeTransient(err error) bool {
 	if errors.Is(err, syscall.EIO) {
 		return true // the data may be intact
 	}
-	var spoilt *storage.CorruptionError
-	if errors.As(err, &spoilt) {
+	var corruption *storage.CorruptionError
+	if errors.As(err, &corruption) {
 		return false
 	}
-	for _, lasting := range []error{storage.ErrNewerVersion, storage.ErrCorrupt, os.ErrPermission, syscall.ENOTDIR} {
-		if errors.Is(err, lasting) {
+	for _, permanent := range []error{storage.ErrNewerVersion, storage.ErrCorrupt, os.ErrPermission, syscall.ENOTDIR} {
+		if errors.Is(err, permanent) {
 			return false
 		}
 	}
 	return true
 }
 
-// writableCheckBytes is more than a replica writes at once, so that a disk which is about to be full again does not
-// count as writable.
+// writableCheckBytes is the size of the test write. It exceeds any single write of a replica, so that a disk that is
+// nearly full does not count as writable.
 const writableCheckBytes = 1 << 20
 
-// checkWritable verifies that the data directory exists and accepts a file and its sync. A directory without a log is
-// not accepted: its file system may not be mounted.
+// checkWritable writes, syncs and removes a file in the data directory. It rejects a directory without a log, as its
+// file system may not be mounted.
 func checkWritable(dir string, faults *fault.Plan) error {
 	if _, err := os.Stat(filepath.Join(dir, storage.StoreFile)); err != nil {
 		return err
@@ -178,14 +178,15 @@
 		if planted != nil {
 			return planted
 		}
-		return writeSyncRemove(filepath.Join(dir, storage.StoreFile+storage.TempSuffix)) // a start cuts one that was left
+		return writeSyncRemove(filepath.Join(dir, storage.StoreFile+storage.TempSuffix)) // truncates one left by a crash
 	})
 	if err != nil {
-		return fmt.Errorf("probe %s: %w", dir, err)
+		return fmt.Errorf("test write in %s: %w", dir, err)
 	}
 	return nil
 }
 
+// writeSyncRemove writes a file of writableCheckBytes, syncs it and removes it.
 func writeSyncRemove(path string) error {
 	f, err := os.OpenFile(path, os.O_CREATE|os.O_TRUNC|os.O_WRONLY, 0o600)
 	if err != nil {
--- a/internal/registry/supervisor_test.go
+++ b/internal/registry/supervisor_test.go
@@ -60,17 +60,17 @@
 		})
 		all = append(all, c)
 	}
-	leading(t, all)
+	awaitLeader(t, all)
 	return all
 }
 
-// plant makes the replica's disk fail, or heals it.
-func (c *supervised) plant(t *testing.T, set fault.Set) {
+// setFaults sets the faults of the replica's disk. An empty set ends them.
+func (c *supervised) setFaults(t *testing.T, set fault.Set) {
 	t.Helper()
 	require.NoError(t, set.Write(c.faults))
 }
 
-// status is what the replica says of itself; false: it does not answer.
+// status returns the status that the replica reports, and whether it responds.
 func (c *supervised) status() (st listserver.Status, answers bool) {
 	client := &http.Client{Transport: &http.Transport{DisableKeepAlives: true}, Timeout: time.Second}
 	resp, err := client.Get("http://" + c.cfg.Listen + "/registry/status")
@@ -81,8 +81,8 @@
 	return st, json.NewDecoder(resp.Body).Decode(&st) == nil
 }
 
-// leading waits until one of the replicas leads and has begun a history.
-func leading(t *testing.T, all []*supervised) *supervised {
+// awaitLeader waits until one of the replicas leads and has begun an epoch. It returns that replica.
+func awaitLeader(t *testing.T, all []*supervised) *supervised {
 	t.Helper()
 	var found *supervised
 	until(t, "a leader", func() bool {
@@ -97,7 +97,7 @@
 	return found
 }
 
-// others are the replicas but one.
+// others returns all replicas except one.
 func others(all []*supervised, but *supervised) (out []*supervised) {
 	for _, c := range all {
 		if c != but {
@@ -107,7 +107,7 @@
 	return out
 }
 
-// register writes one entry through the replicas in turn, once through each. It tells whether it was acknowledged.
+// register sends one write to the replicas in turn until one acknowledges it. It reports whether one did.
 func register(all []*supervised, uid string) bool {
 	client := &http.Client{Transport: &http.Transport{DisableKeepAlives: true}, Timeout: 2 * time.Second}
 	for _, c := range all {
@@ -123,7 +123,7 @@
 	return false
 }
 
-// writers register entries until they are stopped, which gives those that were acknowledged.
+// writers starts writers that register entries. stop ends them and returns the acknowledged entries.
 func writers(all []*supervised) (stop func() []string) {
 	ctx, cancel := context.WithCancel(context.Background())
 	var group sync.WaitGroup
@@ -148,8 +148,8 @@
 	}
 }
 
-// served is the list that a replica serves, by name.
-func served(t *testing.T, c *supervised) map[string]bool {
+// servedEntries returns the uids of the entries that a replica serves.
+func servedEntries(t *testing.T, c *supervised) map[string]bool {
 	t.Helper()
 	_, text := call(t, "GET", c.cfg.Listen, listserver.ListPath, "")
 	var l state.List
@@ -161,15 +161,15 @@
 	return out
 }
 
-// closed waits until the replica answers no calls.
-func (c *supervised) closed(t *testing.T) {
+// awaitClosed waits until the replica does not respond.
+func (c *supervised) awaitClosed(t *testing.T) {
 	t.Helper()
 	until(t, c.cfg.Name+" to close", func() bool { _, answers := c.status(); return !answers })
 }
 
-// serves waits until a replica serves all the entries. A replica that was just opened, a leader too, has not applied
-// yet what its log has.
-func (c *supervised) serves(t *testing.T, all ...string) {
+// awaitEntries waits until a replica serves all the given entries. A replica that was just opened, even a leader, may
+// not yet have applied all entries of its log.
+func (c *supervised) awaitEntries(t *testing.T, all ...string) {
 	t.Helper()
 	var missing []string
 	defer func() {
@@ -177,12 +177,12 @@
 			t.Logf("%s lacks %v", c.cfg.Name, missing)
 		}
 	}()
-	until(t, c.cfg.Name+" to serve what was acknowledged", func() bool {
+	until(t, c.cfg.Name+" to serve all acknowledged entries", func() bool {
 		missing = nil
 		if _, answers := c.status(); !answers {
 			return false
 		}
-		has := served(t, c)
+		has := servedEntries(t, c)
 		for _, uid := range all {
 			if !has[uid] {
 				missing = append(missing, uid)
@@ -192,7 +192,7 @@
 	})
 }
 
-// The ways in which a disk refuses a write.
+// diskFailures are the kinds of failed disk writes.
 var diskFailures = map[string]fault.Set{
 	"sync kept": fault.NewSet(0, 0, fault.SyncErrorPersisted),
 	"sync lost": fault.NewSet(0, 0, fault.SyncErrorLost),
@@ -200,45 +200,45 @@
 	"I/O error": {Calls: map[string]string{fault.CallWrite: "EIO"}},
 }
 
-// A replica whose disk fails for a while is back by itself, and whatever was acknowledged is served by all replicas.
+// A replica whose disk fails for a while reopens without a restart of the process, and serves all acknowledged entries.
 func TestSupervisor_diskRecovers(t *testing.T) {
 	for name, set := range diskFailures {
 		for _, c := range []struct {
-			copies string
-			count  int
-			leads  bool
+			replicas string
+			count    int
+			leads    bool
 		}{{"alone", 1, true}, {"leader of three", 3, true}, {"follower of three", 3, false}} {
-			t.Run(name+" "+c.copies, func(t *testing.T) {
+			t.Run(name+" "+c.replicas, func(t *testing.T) {
 				t.Parallel()
 				all := supervise(t, c.count, nil)
-				failing := leading(t, all)
+				failing := awaitLeader(t, all)
 				if !c.leads {
 					failing = others(all, failing)[0]
 				}
 				before := failing.supervisor.Node()
 				stop := writers(all)
-				until(t, "the first write", func() bool { return len(served(t, failing)) > 0 })
-				failing.plant(t, set)
-				failing.closed(t)
+				until(t, "the first write", func() bool { return len(servedEntries(t, failing)) > 0 })
+				failing.setFaults(t, set)
+				failing.awaitClosed(t)
 				if running := others(all, failing); len(running) > 0 {
-					leading(t, running)
-					until(t, "a write without the copy", func() bool { return register(running, "meanwhile") })
-					until(t, "a read without the copy", func() bool { return served(t, running[0])["meanwhile"] })
+					awaitLeader(t, running)
+					until(t, "a write without the replica", func() bool { return register(running, "meanwhile") })
+					until(t, "a read without the replica", func() bool { return servedEntries(t, running[0])["meanwhile"] })
 				}
-				failing.plant(t, fault.Set{})
-				until(t, "the copy to be back", func() bool {
+				failing.setFaults(t, fault.Set{})
+				until(t, "the replica to reopen", func() bool {
 					st, answers := failing.status()
 					return answers && st.Leader != ""
 				})
-				failing.serves(t, stop()...)
+				failing.awaitEntries(t, stop()...)
 				assert.NotSame(t, before, failing.supervisor.Node())
-				until(t, "a write after all", func() bool { return register(all, "after") })
+				until(t, "a write after the disk recovered", func() bool { return register(all, "after") })
 			})
 		}
 	}
 }
 
-// While the disk of a replica that is alone fails, nothing is acknowledged; and what was lost is not served afterwards.
+// While the disk of a single replica fails, no write is acknowledged. Writes that were lost are not served afterwards.
 func TestSupervisor_lostWriteNotAcknowledged(t *testing.T) {
 	for _, name := range []string{"sync lost", "no space", "I/O error"} {
 		t.Run(name, func(t *testing.T) {
@@ -246,49 +246,49 @@
 			all := supervise(t, 1, nil)
 			one := all[0]
 			require.True(t, register(all, "before"))
-			one.plant(t, diskFailures[name])
+			one.setFaults(t, diskFailures[name])
 			for i := range 5 {
 				assert.False(t, register(all, fmt.Sprint("lost-", i)))
 			}
-			one.plant(t, fault.Set{})
-			leading(t, all)
-			until(t, "a write after all", func() bool { return register(all, "after") })
-			assert.Equal(t, map[string]bool{"before": true, "after": true}, served(t, one))
+			one.setFaults(t, fault.Set{})
+			awaitLeader(t, all)
+			until(t, "a write after the disk recovered", func() bool { return register(all, "after") })
+			assert.Equal(t, map[string]bool{"before": true, "after": true}, servedEntries(t, one))
 		})
 	}
 }
 
-// raft panics where it cannot keep its term: an election that begins while the disk fails must not end the process.
+// raft panics if it cannot store its term. An election that begins while the disk fails must not end the process.
 func TestSupervisor_electionOnFailingDisk(t *testing.T) {
 	for name, set := range diskFailures {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			all := supervise(t, 3, nil)
-			lead := leading(t, all)
+			lead := awaitLeader(t, all)
 			require.True(t, register(all, "before"))
 			for _, c := range others(all, lead) {
-				c.plant(t, set) // they write nothing until they observe the next term
+				c.setFaults(t, set) // they write nothing until they observe the next term
 			}
-			lead.plant(t, set)
-			register(all, "lost") // ends the lead
-			lead.closed(t)
-			running := others(all, lead) // where one is closed, the other begins no election
-			until(t, "another to close", func() bool {
+			lead.setFaults(t, set)
+			register(all, "lost") // ends the leadership
+			lead.awaitClosed(t)
+			running := others(all, lead) // once one of them is closed, the other begins no election
+			until(t, "another replica to close", func() bool {
 				_, first := running[0].status()
 				_, second := running[1].status()
 				return !first || !second
 			})
 			for _, c := range all {
-				c.plant(t, fault.Set{})
+				c.setFaults(t, fault.Set{})
 			}
 			for _, c := range all {
-				c.serves(t, "before")
+				c.awaitEntries(t, "before")
 			}
 		})
 	}
 }
 
-// What waiting does not mend ends a replica whose folder has failed, with an error that says so.
+// A permanent failure of the data directory ends the supervisor with an error that names the directory and the reason.
 func TestSupervisor_permanentFailure(t *testing.T) {
 	for name, c := range map[string]struct {
 		harm func(t *testing.T, dir string)
@@ -310,35 +310,36 @@
 			all := supervise(t, 1, nil)
 			one := all[0]
 			require.True(t, register(all, "before"))
-			one.plant(t, fault.NewSet(0, 0, fault.SyncErrorLost))
+			one.setFaults(t, fault.NewSet(0, 0, fault.SyncErrorLost))
 			register(all, "lost")
-			one.closed(t)
+			one.awaitClosed(t)
 			c.harm(t, one.cfg.Dir)
-			one.plant(t, fault.Set{})
+			one.setFaults(t, fault.Set{})
 			select {
 			case err := <-one.ended:
 				assert.ErrorContains(t, err, c.says)
 				assert.ErrorContains(t, err, one.cfg.Dir)
 				one.ended <- nil // for the cleanup
 			case <-time.After(patience):
-				t.Error("it goes on waiting")
+				t.Error("the supervisor still waits")
 			}
 		})
 	}
 }
 
-// A folder that is away, as a file system that is not mounted, is waited for; no cluster is founded in its place.
+// The supervisor waits for a data directory that is missing, as when its file system is not mounted. It must not
+// bootstrap a new cluster in its place.
 func TestSupervisor_missingDirectory(t *testing.T) {
 	all := supervise(t, 1, nil)
 	one := all[0]
 	require.True(t, register(all, "before"))
-	one.plant(t, fault.NewSet(0, 0, fault.SyncErrorLost))
+	one.setFaults(t, fault.NewSet(0, 0, fault.SyncErrorLost))
 	register(all, "lost")
-	one.closed(t)
+	one.awaitClosed(t)
 	away := one.cfg.Dir + ".away"
 	require.NoError(t, os.Rename(one.cfg.Dir, away))
-	require.NoError(t, os.Mkdir(one.cfg.Dir, 0o700)) // as the place of a mount
-	one.plant(t, fault.Set{})
+	require.NoError(t, os.Mkdir(one.cfg.Dir, 0o700)) // an empty mount point
+	one.setFaults(t, fault.Set{})
 	cfg := one.cfg
 	cfg.reopened = true
 	_, err := Open(cfg)
@@ -346,25 +347,25 @@
 	require.Never(t, func() bool { _, answers := one.status(); return answers }, 3*minReopenDelay, minReopenDelay/2)
 	require.NoError(t, os.Remove(one.cfg.Dir))
 	require.NoError(t, os.Rename(away, one.cfg.Dir))
-	one.serves(t, "before")
-	assert.Equal(t, map[string]bool{"before": true}, served(t, one))
+	one.awaitEntries(t, "before")
+	assert.Equal(t, map[string]bool{"before": true}, servedEntries(t, one))
 }
 
-// Options that were reloaded hold after the replica was opened anew, be it before or while its disk failed.
+// Reloaded options apply after the replica is reopened, whether they were reloaded before or during the disk failure.
 func TestSupervisor_reload(t *testing.T) {
 	all := supervise(t, 1, nil)
 	one := all[0]
 	one.supervisor.Reload(listserver.Options{MaxStaleness: time.Hour, Batch: time.Millisecond})
-	one.plant(t, fault.NewSet(0, 0, fault.SyncErrorLost))
+	one.setFaults(t, fault.NewSet(0, 0, fault.SyncErrorLost))
 	register(all, "lost")
-	one.closed(t)
+	one.awaitClosed(t)
 	one.supervisor.Reload(listserver.Options{MaxStaleness: 2 * time.Hour, Batch: time.Millisecond})
-	one.plant(t, fault.Set{})
-	leading(t, all)
+	one.setFaults(t, fault.Set{})
+	awaitLeader(t, all)
 	assert.Equal(t, 2*time.Hour, one.supervisor.Node().Server().Options().MaxStaleness)
 }
 
-// A replica is opened anew at the port that the system chose the first time.
+// A replica is reopened at the port that the system chose for the first start.
 func TestSupervisor_port(t *testing.T) {
 	bound := &net.TCPAddr{IP: net.IPv4(127, 0, 0, 1), Port: 12345}
 	for given, want := range map[string]string{
@@ -374,7 +375,7 @@
 	}
 }
 
-// descriptors are how many files and sockets the process holds.
+// descriptors returns the number of open file descriptors of the process.
 func descriptors(t *testing.T) int {
 	t.Helper()
 	all, err := os.ReadDir("/proc/self/fd")
@@ -382,8 +383,8 @@
 	return len(all)
 }
 
-// A disk that fails and heals again and again leaves neither goroutines nor descriptors behind.
-func TestSupervisor_failingDiskNoLeaks(t *testing.T) { // by itself: it counts what the process holds
+// Repeated disk failures leak neither goroutines nor file descriptors.
+func TestSupervisor_failingDiskNoLeaks(t *testing.T) { // not parallel: it counts the resources of the process
 	dir := t.TempDir()
 	faults := filepath.Join(dir, "faults.toml")
 	plan, err := fault.Open(faults)
@@ -408,12 +409,12 @@
 			goroutines, files = runtime.NumGoroutine(), descriptors(t)
 		}
 	}
-	until(t, "goroutines and descriptors to go", func() bool {
+	until(t, "goroutines and descriptors to be released", func() bool {
 		return runtime.NumGoroutine() <= goroutines && descriptors(t) <= files
 	})
 }
 
-func TestMayHeal(t *testing.T) {
+func TestMayBeTransient(t *testing.T) {
 	for _, c := range []struct {
 		err  error
 		want bool
