--- a/internal/registry/agent/agent.go
+++ b/internal/registry/agent/agent.go
@@ -68,7 +68,7 @@
 	if r.Entry.State == "" {
 		r.Entry.State = state.Ready
 	}
-	if err := r.Entry.Check(); err != nil {
+	if err := r.Entry.Validate(); err != nil {
 		return fmt.Errorf("register: %w", err)
 	}
 	r.client = http.Client{Transport: &http.Transport{DisableKeepAlives: true}}
--- a/internal/registry/listserver/hub.go
+++ b/internal/registry/listserver/hub.go
@@ -72,7 +72,7 @@
 	if h.state.Rev() == h.linkedRev {
 		return nil
 	}
-	return h.appendLine(h.state.Since(h.linkedRev))
+	return h.appendLine(h.state.ChangesSince(h.linkedRev))
 }
 
 // appendLine encodes changes and appends them as a line. The caller holds h.mu.
@@ -92,7 +92,7 @@
 // encodeSince encodes the changes after one revision up to another, without the shared line.
 func (h *Hub) encodeSince(after, upTo int64) ([]byte, error) {
 	h.mu.Lock()
-	l := h.state.Since(after)
+	l := h.state.ChangesSince(after)
 	h.mu.Unlock()
 	l.Rev = max(upTo, after) // a later line repeats any changes after upTo
 	return encode(l)
@@ -125,11 +125,11 @@
 	defer h.mu.Unlock()
 	// Publish pending changes first: otherwise the first text would include changes that a later line repeats.
 	if h.state.Rev() != h.linkedRev {
-		if err := h.appendLine(h.state.Since(h.linkedRev)); err != nil {
+		if err := h.appendLine(h.state.ChangesSince(h.linkedRev)); err != nil {
 			return nil, nil, err
 		}
 	}
-	l := h.state.Since(after)
+	l := h.state.ChangesSince(after)
 	switch {
 	case l.All:
 		full, err := h.fullLineLocked()
--- a/internal/registry/listserver/status.go
+++ b/internal/registry/listserver/status.go
@@ -38,8 +38,8 @@
 	var status Status
 	status.Leads, status.Leader = s.replica.Leader()
 	s.hub.Read(func(st *state.State) {
-		status.Rev, status.Epoch, status.Entries, status.Members = st.Rev(), state.EpochOf(st.Rev()), st.Len(), st.Members()
-		st.Leased(func(string, int64, time.Duration) { status.Leased++ })
+		status.Rev, status.Epoch, status.Entries, status.Members = st.Rev(), state.EpochOf(st.Rev()), st.Len(), st.ReplicaAddresses()
+		st.ForEachLease(func(string, int64, time.Duration) { status.Leased++ })
 	})
 	status.HeldEntries, status.Watches, status.StalenessMS =
 		s.leases.HeldCount(), s.watches.Load(), s.replica.Staleness().Milliseconds()
--- a/internal/registry/listserver/writes.go
+++ b/internal/registry/listserver/writes.go
@@ -41,7 +41,7 @@
 		http.Error(w, "lease_ms is not between 0 and a day", http.StatusBadRequest)
 		return
 	}
-	if err := reg.Check(); err != nil {
+	if err := reg.Validate(); err != nil {
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
 	}
@@ -147,7 +147,7 @@
 		now := time.Now() // includes the monotonic clock, so changes of the wall clock do not expire leases
 		var leased []state.Lease
 		s.hub.Read(func(st *state.State) {
-			st.Leased(func(uid string, changed int64, term time.Duration) {
+			st.ForEachLease(func(uid string, changed int64, term time.Duration) {
 				leased = append(leased, state.Lease{UID: uid, Changed: changed, Term: term})
 			})
 		})
