--- a/internal/registry/config.go
+++ b/internal/registry/config.go
@@ -125,7 +125,7 @@
 		return errors.New("watches_per_s: it or watch_burst is negative")
 	case c.MaxExpiredFraction < 0 || c.MaxExpiredFraction > 1:
 		return errors.New("hold_share: is not between 0 and 1")
-	case !routeleader.Defect(c.Planted).Known():
+	case !routeleader.Defect(c.Planted).Valid():
 		return fmt.Errorf("lab_route_defect: %q is none of %v", c.Planted, routeleader.Defects())
 	case c.Join && len(c.Peers) > 0:
 		return errors.New("join: a copy that joins has no peers of its own; the leader tells it")
--- a/internal/registry/routeleader/audit_history.go
+++ b/internal/registry/routeleader/audit_history.go
@@ -119,9 +119,9 @@
 	}
 }
 
-// since returns the latest time at which rev is known not to be committed; zero if unknown. The first revision of an
+// notCommittedUntil returns the latest time at which rev is known not to be committed; zero if unknown. The first revision of an
 // epoch is not proposed by a routes leader, so nothing is known of it.
-func (t *tables) since(rev int64) (at time.Time) {
+func (t *tables) notCommittedUntil(rev int64) (at time.Time) {
 	if rev == state.EpochOf(rev)<<state.CountBits {
 		return at
 	}
--- a/internal/registry/routeleader/budgets.go
+++ b/internal/registry/routeleader/budgets.go
@@ -40,7 +40,7 @@
 			return
 		}
 		for _, a := range all {
-			r.planted.requestedBudgets(a.request)
+			r.defect.modifyBudgets(a.request)
 			entries = append(entries, l.processes.controller.BudgetEntries(l.floor(time.Now()), s, a.request)...)
 		}
 	})
--- a/internal/registry/routeleader/defects.go
+++ b/internal/registry/routeleader/defects.go
@@ -22,11 +22,11 @@
 // Defects lists all defects.
 func Defects() []Defect { return []Defect{GrantUncommitted, NoWait, AuditSilent, countLate, ignorable} }
 
-// Known reports whether a configured name is that of a defect, or empty.
-func (d Defect) Known() bool { return d == "" || slices.Contains(Defects(), d) }
+// Valid reports whether a configured name is that of a defect, or empty.
+func (d Defect) Valid() bool { return d == "" || slices.Contains(Defects(), d) }
 
-// meant returns the table that is compared and encoded for readers of the given schemas.
-func (d Defect) meant(t *route.Table, reads []int) *route.Table {
+// tableAsRead returns the table that is compared and encoded for readers of the given schemas.
+func (d Defect) tableAsRead(t *route.Table, reads []int) *route.Table {
 	if d != ignorable || slices.Contains(reads, route.Newest) {
 		return t
 	}
@@ -45,8 +45,8 @@
 	return nowMS
 }
 
-// requestedBudgets modifies the budgets of a request as the defect demands.
-func (d Defect) requestedBudgets(a *route.BudgetRequest) {
+// modifyBudgets modifies the budgets of a request as the defect demands.
+func (d Defect) modifyBudgets(a *route.BudgetRequest) {
 	for i := range a.Budgets {
 		if p := &a.Budgets[i]; d == countLate {
 			p.Returned, p.Spent = p.Returned+p.Spent, 0
@@ -57,13 +57,13 @@
 // grantLedger is the state from which budget is granted. Without a defect that is the replicated state, and all grants are
 // replicated.
 type grantLedger struct {
-	planted     Defect
+	defect      Defect
 	uncommitted []rollout.LedgerEntry // grants that the defect GrantUncommitted keeps in memory
 }
 
 // base returns the state from which budget is granted.
 func (g *grantLedger) base(s *rollout.State) (*rollout.State, error) {
-	if g.planted != GrantUncommitted {
+	if g.defect != GrantUncommitted {
 		return s, nil
 	}
 	s = s.Clone()
@@ -73,15 +73,15 @@
 
 // toReplicate returns the entries that are replicated.
 func (g *grantLedger) toReplicate(entries []rollout.LedgerEntry) []rollout.LedgerEntry {
-	if g.planted != GrantUncommitted {
+	if g.defect != GrantUncommitted {
 		return entries
 	}
 	g.uncommitted = append(g.uncommitted, entries...)
 	return nil
 }
 
-// answers modifies the answers of the audit as the defect demands.
-func (d Defect) answers(all []audit.ProcessVerdict) []audit.ProcessVerdict {
+// modifyVerdicts modifies the modifyVerdicts of the audit as the defect demands.
+func (d Defect) modifyVerdicts(all []audit.ProcessVerdict) []audit.ProcessVerdict {
 	for i := range all {
 		if d == AuditSilent && all[i].Verdict == audit.Unknown {
 			all[i].Verdict = audit.DidNotAct
--- a/internal/registry/routeleader/leadership.go
+++ b/internal/registry/routeleader/leadership.go
@@ -37,7 +37,7 @@
 	id            string    // replica name, raft term and count of leaderships; stamped on answers
 	decisionsFrom time.Time // no decision before it: leases of a longer term, granted by an earlier leader, may still run
 	leaseTermMS   int64
-	o             rollout.Options
+	options       rollout.Options
 	decisions     decisionState
 	processes     processRecords
 	limits        changeLimits
@@ -147,7 +147,7 @@
 			return nil, err
 		}
 	case out > l.leaseTermMS:
-		l.decisionsFrom, l.decisions.lowersLeaseTerm = l.startedAt.Add(withClockMargin(out, l.o.ClockMargin)), true
+		l.decisionsFrom, l.decisions.lowersLeaseTerm = l.startedAt.Add(withClockMargin(out, l.options.ClockMargin)), true
 	}
 	r.lead.Store(l)
 	return l, nil
@@ -156,18 +156,18 @@
 func (r *Routing) newLeadership(term uint64, o *operators.Operators) *leadership {
 	at := time.Now()
 	l := &leadership{leaderClock: leaderClock{startedAt: at, startedWallMS: state.EpochZeroMS + r.wall().Sub(state.EpochZero).Milliseconds()},
-		term: term, id: fmt.Sprintf("%s@%d.%d", r.name, term, r.leaderships.Add(1)), decisionsFrom: at, o: o.ControllerOptions()}
-	l.o.Leader, l.leaseTermMS = l.id, l.o.LeaseTerm
-	l.decisions.ledger.planted = r.planted
+		term: term, id: fmt.Sprintf("%s@%d.%d", r.name, term, r.leaderships.Add(1)), decisionsFrom: at, options: o.ControllerOptions()}
+	l.options.Leader, l.leaseTermMS = l.id, l.options.LeaseTerm
+	l.decisions.ledger.defect = r.defect
 	l.limits.byTenant = map[string]*rate.Limiter{}
 	l.processes = processRecords{
-		clock:       l.leaderClock,
-		remember:    l.remember(),
-		controller:  rollout.NewController(l.o, r.planted.controllerStart(l.floor(at))),
-		tracker:     audit.NewTracker(audit.TrackerOptions{MinListedRevs: minListedRevs}, l.id, l.floor(at)),
-		unsaved:     map[string]state.SchemaSupport{},
-		observed:    map[string]state.SchemaSupport{},
-		refreshedAt: at, flushedAt: at, prunedAt: at,
+		clock:        l.leaderClock,
+		retention:    l.retention(),
+		controller:   rollout.NewController(l.options, r.defect.controllerStart(l.floor(at))),
+		tracker:      audit.NewTracker(audit.TrackerOptions{MinListedRevs: minListedRevs}, l.id, l.floor(at)),
+		unreplicated: map[string]state.SchemaSupport{},
+		observed:     map[string]state.SchemaSupport{},
+		refreshedAt:  at, flushedAt: at, prunedAt: at,
 	}
 	return l
 }
@@ -177,7 +177,7 @@
 	return time.Duration(math.Ceil(float64(termMS)*(1+margin))) * time.Millisecond
 }
 
-// remember is how long a process counts after its last report.
-func (l *leadership) remember() time.Duration {
-	return time.Duration(l.o.DropAfter) * time.Millisecond
+// retention is how long a process counts after its last report.
+func (l *leadership) retention() time.Duration {
+	return time.Duration(l.options.DropAfter) * time.Millisecond
 }
--- a/internal/registry/routeleader/process_records.go
+++ b/internal/registry/routeleader/process_records.go
@@ -15,18 +15,18 @@
 // processRecords is what the leader knows of processes beside the replicated state, and what of it is still to be
 // replicated. Its lock is taken before that of the state, and is never held during a commit.
 type processRecords struct {
-	clock    leaderClock
-	remember time.Duration // how long a process counts after its last report
+	clock     leaderClock
+	retention time.Duration // how long a process counts after its last report
 
-	mu          sync.Mutex // guards the fields below
-	controller  *rollout.Controller
-	tracker     *audit.Tracker
-	pending     []audit.Transition             // to be replicated
-	unsaved     map[string]state.SchemaSupport // processes whose schema support is to be replicated, by name
-	observed    map[string]state.SchemaSupport // all processes that reported since refreshedAt, by name
-	refreshedAt time.Time
-	flushedAt   time.Time
-	prunedAt    time.Time
+	mu           sync.Mutex // guards the fields below
+	controller   *rollout.Controller
+	tracker      *audit.Tracker
+	pending      []audit.Transition             // to be replicated
+	unreplicated map[string]state.SchemaSupport // processes whose schema support is to be replicated, by name
+	observed     map[string]state.SchemaSupport // all processes that reported since refreshedAt, by name
+	refreshedAt  time.Time
+	flushedAt    time.Time
+	prunedAt     time.Time
 }
 
 // withState calls f with the locks of the records and of the state held, in this order.
@@ -59,7 +59,7 @@
 	seen := state.SchemaSupport{Process: report.Process, Schemas: slices.Clone(report.Schemas), AtMS: wallMS}
 	p.observed[report.Name] = seen
 	if old, ok := s.Processes[report.Name]; !ok || old.Start < report.Start || old.Start == report.Start && !slices.Equal(old.Schemas, report.Schemas) {
-		p.unsaved[report.Name] = seen
+		p.unreplicated[report.Name] = seen
 	}
 	if len(p.observed) > state.MaxKnownProcesses {
 		p.observed = map[string]state.SchemaSupport{}
@@ -74,38 +74,38 @@
 	}
 }
 
-// takeUnsaved returns a command with all that is to be replicated, and empties the queues; nil if there is nothing, or
+// takeUnreplicated returns a command with all that is to be replicated, and empties the queues; nil if there is nothing, or
 // the last one is more recent than auditBatchWait.
-func (p *processRecords) takeUnsaved(now time.Time) *state.Command {
+func (p *processRecords) takeUnreplicated(now time.Time) *state.Command {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if now.Sub(p.prunedAt) >= time.Minute {
 		p.tracker.DropExpired(p.clock.floor(now))
 		p.prunedAt = now
 	}
-	if now.Sub(p.refreshedAt) >= p.remember/4 {
-		maps.Copy(p.unsaved, p.observed)
+	if now.Sub(p.refreshedAt) >= p.retention/4 {
+		maps.Copy(p.unreplicated, p.observed)
 		p.observed, p.refreshedAt = map[string]state.SchemaSupport{}, now
 	}
-	if now.Sub(p.flushedAt) < auditBatchWait || len(p.pending) == 0 && len(p.unsaved) == 0 {
+	if now.Sub(p.flushedAt) < auditBatchWait || len(p.pending) == 0 && len(p.unreplicated) == 0 {
 		return nil
 	}
 	c := &state.Command{Op: state.OpAudit, Audit: p.pending}
-	for _, name := range slices.Sorted(maps.Keys(p.unsaved)) {
-		c.Seen = append(c.Seen, p.unsaved[name])
+	for _, name := range slices.Sorted(maps.Keys(p.unreplicated)) {
+		c.Seen = append(c.Seen, p.unreplicated[name])
 	}
-	p.pending, p.unsaved, p.flushedAt = nil, map[string]state.SchemaSupport{}, now
+	p.pending, p.unreplicated, p.flushedAt = nil, map[string]state.SchemaSupport{}, now
 	return c
 }
 
-// returnUnsaved queues again what a failed command has not replicated.
-func (p *processRecords) returnUnsaved(c *state.Command) {
+// requeue queues again what a failed command has not replicated.
+func (p *processRecords) requeue(c *state.Command) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.pending = append(c.Audit, p.pending...)
 	for _, process := range c.Seen {
-		if _, ok := p.unsaved[process.Name]; !ok {
-			p.unsaved[process.Name] = process
+		if _, ok := p.unreplicated[process.Name]; !ok {
+			p.unreplicated[process.Name] = process
 		}
 	}
 }
--- a/internal/registry/routeleader/reports.go
+++ b/internal/registry/routeleader/reports.go
@@ -18,7 +18,7 @@
 // Lease ends. wait is positive while this leader may not know all of them yet.
 func (r *Routing) relevantProcesses(l *leadership) (all []state.SchemaSupport, wait time.Duration) {
 	now := time.Now()
-	known := withClockMargin(l.leaseTermMS, l.o.ClockMargin)
+	known := withClockMargin(l.leaseTermMS, l.options.ClockMargin)
 	if since := now.Sub(l.decisionsFrom); since < known {
 		return nil, known - since
 	}
@@ -38,7 +38,7 @@
 		}
 		for _, name := range slices.Sorted(maps.Keys(s.Processes)) {
 			p := s.Processes[name]
-			if _, ok := named[name]; !ok && l.wall(now)-p.AtMS <= l.o.DropAfter && !excused(p.Schemas) {
+			if _, ok := named[name]; !ok && l.wall(now)-p.AtMS <= l.options.DropAfter && !excused(p.Schemas) {
 				all = append(all, p)
 			}
 		}
@@ -91,13 +91,13 @@
 
 // flush replicates the queued audit transitions and schema support.
 func (r *Routing) flush(l *leadership) {
-	c := l.processes.takeUnsaved(time.Now())
+	c := l.processes.takeUnreplicated(time.Now())
 	if c == nil {
 		return
 	}
 	c.Term = l.term
 	if err := r.apply(c); err != nil {
 		r.log.Warn("registry: routes: transitions are not replicated", "error", err)
-		l.processes.returnUnsaved(c)
+		l.processes.requeue(c)
 	}
 }
--- a/internal/registry/routeleader/routing.go
+++ b/internal/registry/routeleader/routing.go
@@ -36,7 +36,7 @@
 	name    string           // of the replica
 	opened  time.Time        // monotonic
 	wall    func() time.Time // wall clock
-	planted Defect
+	defect  Defect
 	rules   operators.Validator
 
 	tables      *tables
@@ -75,7 +75,7 @@
 // New makes the routes API of a replica. It serves once the server has mounted it.
 func New(server *listserver.Server, list stateReader, replicated replica, c Config) *Routing {
 	return &Routing{server: server, list: list, replica: replicated, log: c.Log, name: c.Name, opened: time.Now(), wall: c.Wall,
-		planted: Defect(c.Planted), tables: newTables(Defect(c.Planted)), rules: operators.NewValidator(),
+		defect: Defect(c.Planted), tables: newTables(Defect(c.Planted)), rules: operators.NewValidator(),
 		reportCalls: make(chan reportCall, maxWaitingCalls), budgetCalls: make(chan budgetCall, maxWaitingCalls), changing: make(chan struct{}, 1),
 		admit: listserver.NewTokenBucket(server.Options().Burst)}
 }
--- a/internal/registry/routeleader/routing_test.go
+++ b/internal/registry/routeleader/routing_test.go
@@ -28,7 +28,7 @@
 }
 
 func TestDefect_ignorable(t *testing.T) {
-	table := ignorable.meant(&route.Table{Rev: 1, Routes: []route.Route{{Classes: []string{"x"}, Share: 1, Rollout: "r"}}}, []int{1})
+	table := ignorable.tableAsRead(&route.Table{Rev: 1, Routes: []route.Route{{Classes: []string{"x"}, Share: 1, Rollout: "r"}}}, []int{1})
 	encoded, err := encodeTable(table, []int{1})
 	require.NoError(t, err)
 	assert.Equal(t, route.SameReading, encoded.verdict, "the planted defect shows nothing")
@@ -37,9 +37,9 @@
 // What costs are counted late is handed out again.
 func TestDefect_countLate(t *testing.T) {
 	a := &route.BudgetRequest{Budgets: []route.BudgetState{{Granted: 5, Spent: 3, Returned: 1}}}
-	Defect("").requestedBudgets(a)
+	Defect("").modifyBudgets(a)
 	assert.Equal(t, int64(3), a.Budgets[0].Spent)
-	countLate.requestedBudgets(a)
+	countLate.modifyBudgets(a)
 	assert.Equal(t, route.BudgetState{Granted: 5, Returned: 4}, a.Budgets[0])
 }
 
--- a/internal/registry/routeleader/tables.go
+++ b/internal/registry/routeleader/tables.go
@@ -24,7 +24,7 @@
 	moments     []moment
 	upperBounds []moment           // newest revision by time, from polls of the leader; see observeRev
 	proposed    map[*proposal]bool // changes in flight
-	planted     Defect
+	defect      Defect
 }
 
 // proposal is a change that this replica has proposed as leader of a term.
@@ -39,10 +39,10 @@
 	next  *tableNode
 	ready chan struct{}
 
-	planted Defect
-	mu      sync.Mutex
-	table   route.Table
-	texts   map[string]encodedTable // by set of schemas
+	defect Defect
+	mu     sync.Mutex
+	table  route.Table
+	texts  map[string]encodedTable // by set of schemas
 }
 
 // encodedTable is the table for readers of a set of schemas; text is nil where no schema of the set can express it.
@@ -65,13 +65,13 @@
 )
 
 func newTables(planted Defect) *tables {
-	t := &tables{planted: planted, proposed: map[*proposal]bool{}}
-	t.tail = t.line(0, route.Table{})
+	t := &tables{defect: planted, proposed: map[*proposal]bool{}}
+	t.tail = t.newNode(0, route.Table{})
 	return t
 }
 
-func (t *tables) line(n int64, table route.Table) *tableNode {
-	return &tableNode{n: n, table: table, planted: t.planted, ready: make(chan struct{}), texts: map[string]encodedTable{}}
+func (t *tables) newNode(n int64, table route.Table) *tableNode {
+	return &tableNode{n: n, table: table, defect: t.defect, ready: make(chan struct{}), texts: map[string]encodedTable{}}
 }
 
 // follow publishes the table of a state if it has changed. term is that of the log entry that changed it; 0: none.
@@ -115,7 +115,7 @@
 	if known {
 		t.addMoment(moment{table.Rev, false, earliest})
 	}
-	next := t.line(tail.n+1, table)
+	next := t.newNode(tail.n+1, table)
 	t.tail, tail.next = next, next
 	close(tail.ready)
 }
@@ -140,8 +140,8 @@
 	}
 }
 
-// when returns the earliest commit time and the latest close time of a revision; zero if unknown.
-func (t *tables) when(rev int64) (committed, closed time.Time) {
+// commitAndCloseTimes returns the earliest commit time and the latest close time of a revision; zero if unknown.
+func (t *tables) commitAndCloseTimes(rev int64) (committed, closed time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for _, m := range t.moments {
@@ -152,7 +152,7 @@
 			closed = m.at
 		}
 	}
-	if at := t.since(rev); at.After(committed) {
+	if at := t.notCommittedUntil(rev); at.After(committed) {
 		committed = at
 	}
 	return committed, closed
@@ -172,14 +172,14 @@
 
 // text returns the table encoded for readers of the given schemas, from a cache.
 func (l *tableNode) text(reads []int) (encodedTable, error) {
-	reads = known(reads)
+	reads = supportedSchemas(reads)
 	key := fmt.Sprint(reads)
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if text, ok := l.texts[key]; ok {
 		return text, nil
 	}
-	out, err := encodeTable(l.planted.meant(&l.table, reads), reads)
+	out, err := encodeTable(l.defect.tableAsRead(&l.table, reads), reads)
 	if err == nil {
 		l.texts[key] = out
 	}
@@ -200,9 +200,9 @@
 	return out, nil
 }
 
-// known reduces schemas to those that this version knows, which bounds the number of encodings. A newer one counts as
-// the newest known.
-func known(reads []int) []int {
+// supportedSchemas reduces schemas to those that this version knows, which bounds the number of encodings. A newer one counts as
+// the newest supportedSchemas.
+func supportedSchemas(reads []int) []int {
 	var out []int
 	for _, s := range reads {
 		if s = min(s, route.Newest); s >= 1 {
@@ -213,8 +213,8 @@
 	return slices.Compact(out)
 }
 
-// readsOf reads ?schema=S, or S,S of several.
-func readsOf(r *http.Request) ([]int, error) {
+// requestedSchemas reads ?schema=S, or S,S of several.
+func requestedSchemas(r *http.Request) ([]int, error) {
 	text := r.URL.Query().Get("schema")
 	parts := strings.Split(text, ",")
 	if text == "" || len(parts) > maxSchemasPerProcess {
@@ -249,7 +249,7 @@
 			Error: fmt.Sprintf("what this copy has may be %v old", age.Round(time.Millisecond))})
 		return
 	}
-	reads, err := readsOf(req)
+	reads, err := requestedSchemas(req)
 	if err != nil {
 		writeRejection(w, &Rejection{status: http.StatusBadRequest, Field: "schema", Error: err.Error()})
 		return
--- a/internal/registry/routeleader/tenants.go
+++ b/internal/registry/routeleader/tenants.go
@@ -16,19 +16,19 @@
 	"marblelane/internal/route"
 )
 
-// Wish is the body of a posted rollout.
-type Wish struct {
-	To      string   `json:"to" validate:"required,bytes=100"`
-	Classes []string `json:"classes" validate:"max=100,unique,dive,min=1,bytes=200"`
-	Steps   []Stride `json:"steps" validate:"min=1,max=20,dive"`
-	Budget  int64    `json:"budget" validate:"gte=1"`
-	Late    bool     `json:"late"`
-	AtEnd   string   `json:"at_end" validate:"oneof=keep return"`
-	Note    string   `json:"note" validate:"bytes=1000"`
+// RolloutRequest is the body of a posted rollout.
+type RolloutRequest struct {
+	To      string        `json:"to" validate:"required,bytes=100"`
+	Classes []string      `json:"classes" validate:"max=100,unique,dive,min=1,bytes=200"`
+	Steps   []StepRequest `json:"steps" validate:"min=1,max=20,dive"`
+	Budget  int64         `json:"budget" validate:"gte=1"`
+	Late    bool          `json:"late"`
+	AtEnd   string        `json:"at_end" validate:"oneof=keep return"`
+	Note    string        `json:"note" validate:"bytes=1000"`
 }
 
-// Stride is a step in the body of a posted rollout.
-type Stride struct {
+// StepRequest is a step in the body of a posted rollout.
+type StepRequest struct {
 	CanaryFraction float64 `json:"share" validate:"gt=0,lte=1"`
 	HoldMS         int64   `json:"hold_ms" validate:"gte=0,lte=2592000000"`
 	MinAttempts    int64   `json:"requests" validate:"gte=0,lte=1000000000000"`
@@ -36,7 +36,7 @@
 
 func (r *Routing) post(w http.ResponseWriter, req *http.Request) {
 	r.handleChange(w, req, func(o *operators.Operators, t *operators.Tenant) (*rollout.Command, *Rejection) {
-		var wish Wish
+		var wish RolloutRequest
 		if f := r.body(w, req, maxBodyBytes, &wish); f != nil {
 			return nil, f
 		}
@@ -46,7 +46,7 @@
 }
 
 // rolloutSpec resolves the names of a posted rollout and checks it against the bounds of its tenant.
-func rolloutSpec(o *operators.Operators, t *operators.Tenant, name string, wish *Wish) (*rollout.Spec, *Rejection) {
+func rolloutSpec(o *operators.Operators, t *operators.Tenant, name string, wish *RolloutRequest) (*rollout.Spec, *Rejection) {
 	if name == "" || len(name) > rollout.MaxRolloutNameBytes {
 		return nil, rejectf(http.StatusBadRequest, "name", "has %d bytes, not 1 to %d", len(name), rollout.MaxRolloutNameBytes)
 	}
@@ -193,14 +193,14 @@
 	if c.Op != rollout.OpPost && c.Op != rollout.OpBase && c.Op != rollout.OpResume {
 		return true, nil // a command that ends a canary is never rejected
 	}
-	return true, r.compare(l, &table)
+	return true, r.checkTableReadings(l, &table)
 }
 
-// compare rejects a table that relevant processes would read differently.
-func (r *Routing) compare(l *leadership, table *route.Table) *Rejection {
+// checkTableReadings rejects a table that relevant processes would read differently.
+func (r *Routing) checkTableReadings(l *leadership, table *route.Table) *Rejection {
 	alike := true
 	for schema := 1; schema < route.Newest; schema++ {
-		_, v, _ := route.ChooseSchema(r.planted.meant(table, []int{schema}), []int{schema})
+		_, v, _ := route.ChooseSchema(r.defect.tableAsRead(table, []int{schema}), []int{schema})
 		alike = alike && v <= route.SameWhenDowngraded
 	}
 	if alike { // for all processes
@@ -213,11 +213,11 @@
 	}
 	out := &Rejection{status: http.StatusConflict}
 	for _, p := range all {
-		reads := known(p.Schemas)
-		if _, v, findings := route.ChooseSchema(r.planted.meant(table, reads), reads); v > route.SameWhenDowngraded {
+		reads := supportedSchemas(p.Schemas)
+		if _, v, findings := route.ChooseSchema(r.defect.tableAsRead(table, reads), reads); v > route.SameWhenDowngraded {
 			if len(out.Processes) == 0 {
 				out.Findings = findings
-				out.Error = fmt.Sprintf("the routes would be %s by processes that are present or were within %v", v, l.remember())
+				out.Error = fmt.Sprintf("the routes would be %s by processes that are present or were within %v", v, l.retention())
 				if len(findings) > 0 {
 					out.Field = findings[0].Field
 					out.Error = findings[0].Path + ": " + findings[0].Effect + "; " + out.Error
--- a/internal/registry/routeleader/views.go
+++ b/internal/registry/routeleader/views.go
@@ -142,7 +142,7 @@
 	defer l.processes.mu.Unlock()
 	ms := func(wall int64) int64 { return wall - l.startedWallMS + l.floor(l.startedAt) }
 	now := time.Now()
-	committed, closed := r.tables.when(rev)
+	committed, closed := r.tables.commitAndCloseTimes(rev)
 	q := audit.Query{Rev: rev, From: ms(from), To: ms(to), CommittedAt: math.MinInt64, ClosedKnown: !closed.IsZero(), Now: l.ceil(now),
 		Slack: ClockSlackMS, ClockAhead: l.ceil(r.opened)}
 	if !committed.IsZero() {
@@ -158,6 +158,6 @@
 		}
 		out = l.processes.tracker.Summarize(q, s.AuditLog)
 	})
-	out.Verdicts = r.planted.answers(out.Verdicts)
+	out.Verdicts = r.defect.modifyVerdicts(out.Verdicts)
 	return out, f
 }
