--- a/internal/registry/routeleader/audit_history.go
+++ b/internal/registry/routeleader/audit_history.go
@@ -9,14 +9,14 @@
 	"marblelane/internal/registry/state"
 )
 
-// This file is what each replica notes for the audit, leader or not, so that one that comes to lead can answer for
-// times before. It is in memory alone: neither costs a write to a disk. Two things are noted, both on the replica's
-// monotonic clock:
+// This file keeps the history that every replica records for the audit, whether it leads or not, so that a new leader
+// can answer audit queries about times before its leadership. The history is in memory only and costs no disk writes.
+// Each replica records two things, both on its monotonic clock:
 //
-//   - by when it held each transition of the log. What a transition tells had come true by then.
-//   - that at some moment the leader had no newer revision of routes than this: each newer one was committed later. The
-//     leader is asked, as for the list (see freshness), and for the same reason: what comes from a leader by itself tells
-//     nothing of when.
+//   - The time by which it had applied each audit transition. The recorded event happened before that time.
+//   - The newest routes revision of the leader at the time of a poll. Newer revisions were committed after that.
+//     The replica polls for it, as it does for the list (see freshness), because an unrequested message from a leader
+//     may have been delayed and does not show when its content was current.
 
 const (
 	routesRevPath   = "/registry/routes-revision"
@@ -24,25 +24,26 @@
 	revPollTimeout  = time.Second
 )
 
-// clock converts a time to milliseconds since this replica started, rounded up.
+// clock converts a time to milliseconds since this Routing was created, rounded up.
 func (r *Routing) clock(at time.Time) int64 {
 	return (at.Sub(r.opened) + time.Millisecond - 1).Milliseconds()
 }
 
-// markAuditLog records how much of the audit log this replica has applied. The time is read after the state.
+// markAuditLog records how much of the audit log this replica has applied. The clock is read after the
+// state, so the recorded time is never too early.
 func (r *Routing) markAuditLog() {
 	r.list.Read(func(s *state.State) { s.AuditLog.Mark(r.clock(time.Now())) })
 }
 
-// handleNewestRev answers polls of followers with the newest routes revision, if this replica leads and no change is in
-// flight: a change in flight may be applied on a follower before it is applied here.
+// handleNewestRev answers polls of followers with the newest routes revision. It rejects them if this replica does not
+// lead or has a change in flight, because a follower may apply that change before this replica does.
 func (r *Routing) handleNewestRev(w http.ResponseWriter, req *http.Request) {
 	if r.rejectIfOff(w) {
 		return
 	}
 	l := r.current()
-	rev, still := r.tables.settled()
-	if l == nil || !still {
+	rev, idle := r.tables.settled()
+	if l == nil || !idle {
 		writeRejection(w, &Rejection{status: http.StatusServiceUnavailable, after: time.Second, Error: "this copy does not lead, or a change is under way"})
 		return
 	}
@@ -77,22 +78,22 @@
 		}
 		at := time.Now()
 		if rev, err := listserver.PollRevision(ctx, client, address, routesRevPath); err != nil {
-			r.log.Debug("registry: routes: the leader does not say what it has", "error", err)
+			r.log.Debug("registry: routes: failed to poll the newest revision of the leader", "error", err)
 		} else {
 			r.tables.observeRev(at, rev)
 		}
 	}
 }
 
-// settled returns the newest revision, and whether this replica has no change in flight.
-func (t *tables) settled() (rev int64, still bool) {
+// settled returns the newest revision and reports whether this replica has no change in flight.
+func (t *tables) settled() (rev int64, idle bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	rev, _ = t.tail.revisions()
 	return rev, len(t.proposed) == 0
 }
 
-// LastRevPoll is when the leader's newest revision was polled last; zero if never.
+// LastRevPoll returns the time of the last poll of the leader's newest revision, or zero if there was none.
 func (r *Routing) LastRevPoll() time.Time {
 	r.tables.mu.Lock()
 	defer r.tables.mu.Unlock()
@@ -108,7 +109,7 @@
 	defer t.mu.Unlock()
 	last := len(t.upperBounds) - 1
 	switch {
-	case last >= 0 && rev < t.upperBounds[last].rev: // a later answer was processed first
+	case last >= 0 && rev < t.upperBounds[last].rev: // the response to a later poll was processed first
 	case last >= 0 && rev == t.upperBounds[last].rev:
 		t.upperBounds[last].at = at
 	default:
@@ -119,8 +120,8 @@
 	}
 }
 
-// notCommittedUntil returns the latest time at which rev is known not to be committed; zero if unknown. The first revision of an
-// epoch is not proposed by a routes leader, so nothing is known of it.
+// notCommittedUntil returns the latest time at which rev is known not to have been committed, or zero if unknown. It is
+// always unknown for the first revision of an epoch, which is not proposed by a routes leader.
 func (t *tables) notCommittedUntil(rev int64) (at time.Time) {
 	if rev == state.EpochOf(rev)<<state.CountBits {
 		return at
--- a/internal/registry/routeleader/budgets.go
+++ b/internal/registry/routeleader/budgets.go
@@ -13,18 +13,20 @@
 	"marblelane/internal/route"
 )
 
-// answerBudgetRequests settles spent budget and grants requested budget for a batch of requests.
+// answerBudgetRequests processes a batch of requests: it records the budget that was spent and grants what is
+// requested.
 func (r *Routing) answerBudgetRequests(all []budgetCall) {
-	answers, err := r.grant(all)
+	responses, err := r.grant(all)
 	for i, a := range all {
 		if err != nil {
 			a.answer(nil, err)
 		} else {
-			a.answer(&answers[i], nil)
+			a.answer(&responses[i], nil)
 		}
 	}
 }
 
+// grant replicates the ledger entries of a batch of requests and returns one response for each request.
 func (r *Routing) grant(all []budgetCall) ([]route.BudgetResponse, error) {
 	l := r.current()
 	if l == nil {
@@ -53,18 +55,18 @@
 			return nil, err
 		}
 	}
-	answers := make([]route.BudgetResponse, len(all))
+	responses := make([]route.BudgetResponse, len(all))
 	l.processes.withState(r.list, func(st *state.State) {
 		var s *rollout.State
 		if s, err = l.decisions.ledger.base(st.Routes); err != nil {
 			return
 		}
 		for i, a := range all {
-			answers[i] = l.processes.controller.BudgetResponse(s, a.request)
-			for k, g := range answers[i].Budgets {
-				answers[i].Budgets[k].Tenant = operators.ConfiguredTenantName(g.Tenant)
+			responses[i] = l.processes.controller.BudgetResponse(s, a.request)
+			for k, g := range responses[i].Budgets {
+				responses[i].Budgets[k].Tenant = operators.ConfiguredTenantName(g.Tenant)
 			}
 		}
 	})
-	return answers, err
+	return responses, err
 }
--- a/internal/registry/routeleader/change_limits.go
+++ b/internal/registry/routeleader/change_limits.go
@@ -9,13 +9,14 @@
 	"marblelane/internal/registry/operators"
 )
 
-// changeLimits are the rate limits of tenants' changes.
+// changeLimits limits the rate of changes that each tenant makes to its routes and rollouts.
 type changeLimits struct {
 	mu       sync.Mutex
 	byTenant map[string]*rate.Limiter
 }
 
-// take takes a token of the tenant's rate limit and returns 0, or returns how long to wait.
+// take takes a token from the tenant's rate limiter and returns 0. If no token is available, it takes none and returns
+// the time until one is.
 func (l *changeLimits) take(t *operators.Tenant) time.Duration {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -30,10 +31,10 @@
 		lim.SetLimitAt(now, per)
 		lim.SetBurstAt(now, burst)
 	}
-	got := lim.ReserveN(now, 1)
-	wait := got.DelayFrom(now)
+	reservation := lim.ReserveN(now, 1)
+	wait := reservation.DelayFrom(now)
 	if wait > 0 {
-		got.CancelAt(now)
+		reservation.CancelAt(now)
 	}
 	return wait
 }
--- a/internal/registry/routeleader/decisions.go
+++ b/internal/registry/routeleader/decisions.go
@@ -12,11 +12,11 @@
 	"marblelane/internal/rollout"
 )
 
-// decisionState serialises decisions with their commits. It is taken before the lock of processRecords, which has no access
-// to it, and is the only lock that is held during a commit.
+// decisionState serialises decisions together with their commits. Its lock is acquired before the lock of
+// processRecords, which has no access to it, and is the only lock that is held during a commit.
 type decisionState struct {
 	mu              sync.Mutex
-	lowersLeaseTerm bool // at decisionsFrom, lower the replicated maximum lease term to this leader's
+	lowersLeaseTerm bool // whether the replicated maximum lease term is to be lowered to this leader's at decisionsFrom
 	ledger          grantLedger
 }
 
@@ -46,20 +46,21 @@
 	}
 }
 
-// tick returns the controller's decisions. Once it has decided to close a revision the controller grants no lease for
-// it, so reports need not wait for the commit.
+// tick returns the controller's decisions. Once the controller has decided to close a revision, it grants no
+// lease for that revision, so reports need not wait for the commit.
 func (r *Routing) tick(l *leadership) []rollout.Command {
 	now := time.Now()
 	var commands []rollout.Command
 	l.processes.withState(r.list, func(s *state.State) {
-		var standings []rollout.AccessChange
-		commands, standings = l.processes.controller.Tick(l.floor(now), s.Routes, s.ReadyIn)
-		l.processes.queueTransitions(s, l.processes.recordAccessChanges(standings, now))
+		var accessChanges []rollout.AccessChange
+		commands, accessChanges = l.processes.controller.Tick(l.floor(now), s.Routes, s.ReadyIn)
+		l.processes.queueTransitions(s, l.processes.recordAccessChanges(accessChanges, now))
 	})
 	return commands
 }
 
-// execute replicates a decision of the controller and reports whether this replica still leads.
+// execute replicates a decision of the controller. It returns false if the leadership or the quorum was lost, so that
+// no further decisions are replicated.
 func (r *Routing) execute(l *leadership, c *rollout.Command) bool {
 	c.AtMS = l.wall(time.Now())
 	_, err := r.change(l, c)
@@ -67,14 +68,15 @@
 	case errors.Is(err, listserver.ErrNotLeader), errors.Is(err, listserver.ErrNoQuorum):
 		return false
 	case err != nil:
-		r.log.Info("registry: routes: a decision came late", "op", c.Op, "tenant", c.Tenant, "rollout", c.Name, "error", err)
+		r.log.Info("registry: routes: decision was not applied", "op", c.Op, "tenant", c.Tenant, "rollout", c.Name, "error", err)
 	case c.Op != rollout.OpClose && c.Op != rollout.OpLedger:
-		r.log.Info("registry: routes: decided", "op", c.Op, "tenant", c.Tenant, "rollout", c.Name, "step", c.Step, "why", c.Reason)
+		r.log.Info("registry: routes: decision replicated", "op", c.Op, "tenant", c.Tenant, "rollout", c.Name, "step", c.Step, "why", c.Reason)
 	}
 	return true
 }
 
-// change replicates a command of routes. It is on the list of what is proposed from before then.
+// change replicates a routes command and returns the revision. The command is registered as in flight before it is
+// proposed, until Apply returns.
 func (r *Routing) change(l *leadership, c *rollout.Command) (int64, error) {
 	defer r.tables.propose(time.Now(), l.term)()
 	return r.replica.Apply(&state.Command{Op: state.OpRoutes, Routes: c, Term: l.term}, listserver.ApplyTimeout)
--- a/internal/registry/routeleader/defects.go
+++ b/internal/registry/routeleader/defects.go
@@ -12,20 +12,21 @@
 type Defect string
 
 const (
-	GrantUncommitted Defect = "grant-unkept" // budget is granted from this leader's memory only, so the next leader grants it again
+	GrantUncommitted Defect = "grant-unkept" // grants stay in this leader's memory, so the next leader grants them again
 	NoWait           Defect = "no-wait"      // a new leader closes revisions without waiting for leases of an earlier leader
 	AuditSilent      Defect = "audit-silent" // the audit reports a silent process as one that did not act
 	countLate        Defect = "count-late"   // spent budget is counted as returned, so it is granted again
-	ignorable        Defect = "ignorable"    // field classes is treated as one that older readers may ignore
+	ignorable        Defect = "ignorable"    // the field classes is treated as one that older readers may ignore
 )
 
 // Defects lists all defects.
 func Defects() []Defect { return []Defect{GrantUncommitted, NoWait, AuditSilent, countLate, ignorable} }
 
-// Valid reports whether a configured name is that of a defect, or empty.
+// Valid reports whether d is the name of a defect or empty.
 func (d Defect) Valid() bool { return d == "" || slices.Contains(Defects(), d) }
 
-// tableAsRead returns the table that is compared and encoded for readers of the given schemas.
+// tableAsRead returns the table that is compared and encoded for readers of the given schemas. With the defect
+// ignorable, that table has no classes for readers that do not read the newest schema.
 func (d Defect) tableAsRead(t *route.Table, reads []int) *route.Table {
 	if d != ignorable || slices.Contains(reads, route.Newest) {
 		return t
@@ -37,7 +38,7 @@
 	return out
 }
 
-// controllerStart returns the start of leadership, on the leader's clock, given to the controller.
+// controllerStart returns the start of the leadership, on the leader's clock, that the controller is created with.
 func (d Defect) controllerStart(nowMS int64) int64 {
 	if d == NoWait {
 		return nowMS - 1<<40
@@ -45,7 +46,7 @@
 	return nowMS
 }
 
-// modifyBudgets modifies the budgets of a request as the defect demands.
+// modifyBudgets modifies the budgets of a request if d is countLate.
 func (d Defect) modifyBudgets(a *route.BudgetRequest) {
 	for i := range a.Budgets {
 		if p := &a.Budgets[i]; d == countLate {
@@ -54,8 +55,8 @@
 	}
 }
 
-// grantLedger is the state from which budget is granted. Without a defect that is the replicated state, and all grants are
-// replicated.
+// grantLedger determines the state from which budget is granted. Without a defect, budget is granted from the
+// replicated state and all grants are replicated.
 type grantLedger struct {
 	defect      Defect
 	uncommitted []rollout.LedgerEntry // grants that the defect GrantUncommitted keeps in memory
@@ -71,7 +72,7 @@
 	return s, err
 }
 
-// toReplicate returns the entries that are replicated.
+// toReplicate returns the entries that are to be replicated: none with the defect GrantUncommitted, else all.
 func (g *grantLedger) toReplicate(entries []rollout.LedgerEntry) []rollout.LedgerEntry {
 	if g.defect != GrantUncommitted {
 		return entries
@@ -80,7 +81,7 @@
 	return nil
 }
 
-// modifyVerdicts modifies the modifyVerdicts of the audit as the defect demands.
+// modifyVerdicts modifies the verdicts of the audit if d is AuditSilent.
 func (d Defect) modifyVerdicts(all []audit.ProcessVerdict) []audit.ProcessVerdict {
 	for i := range all {
 		if d == AuditSilent && all[i].Verdict == audit.Unknown {
--- a/internal/registry/routeleader/leader_clock.go
+++ b/internal/registry/routeleader/leader_clock.go
@@ -8,8 +8,9 @@
 	startedWallMS int64     // wall clock at startedAt
 }
 
-// floor converts a time to the leader's clock, rounded down, also before startedAt; ceil rounds up. Starts of leases are
-// rounded up and ends are compared rounded down, so that rounding never shortens what the leader assumes of a lease.
+// floor converts a time to the leader's clock, rounded down, also for times before startedAt. The start of a lease is
+// rounded up and the time compared with its end is rounded down, so rounding never makes the leader assume that a lease
+// ended too early.
 func (c leaderClock) floor(at time.Time) int64 {
 	since := at.Sub(c.startedAt)
 	elapsed := since.Truncate(time.Millisecond)
@@ -19,6 +20,7 @@
 	return 1 + elapsed.Milliseconds()
 }
 
+// ceil converts a time to the leader's clock, rounded up.
 func (c leaderClock) ceil(at time.Time) int64 { return c.floor(at.Add(time.Millisecond - 1)) }
 
 // wall converts a time to Unix milliseconds: the wall clock at startedAt plus the monotonic time since.
--- a/internal/registry/routeleader/leadership.go
+++ b/internal/registry/routeleader/leadership.go
@@ -18,24 +18,24 @@
 	"marblelane/internal/route"
 )
 
-// Times and bounds of the leader's duties.
+// Intervals and limits of the leader's periodic work and batches.
 const (
 	leaderTickInterval    = 50 * time.Millisecond
-	reportBatchWait       = 10 * time.Millisecond  // reports are batched this long before one leadership check by the quorum
+	reportBatchWait       = 10 * time.Millisecond  // reports are batched this long before one quorum check
 	budgetBatchWait       = 20 * time.Millisecond  // budget requests are batched this long into one command
 	auditBatchWait        = 200 * time.Millisecond // audit transitions are batched this long into one command
 	maxCommandEntries     = 1000                   // entries of one ledger command
 	maxWaitingCalls       = 4096                   // queued reports, or queued budget requests; further calls are rejected with 503
-	maxPendingTransitions = 20_000                 // transitions not replicated yet; beyond it the oldest are dropped and counted
+	maxPendingTransitions = 20_000                 // transitions not replicated yet; beyond this the oldest are dropped
 )
 
-// leadership is the in-memory state of the routes leader, created anew in each raft term that this replica leads. Its own
-// fields do not change once it is stored; its parts have locks of their own.
+// leadership is the in-memory state of the routes leader, created anew in each raft term that this replica leads. Its
+// own fields do not change once it is stored. The structs in it have their own locks.
 type leadership struct {
 	leaderClock
 	term          uint64
-	id            string    // replica name, raft term and count of leaderships; stamped on answers
-	decisionsFrom time.Time // no decision before it: leases of a longer term, granted by an earlier leader, may still run
+	id            string    // replica name, raft term and count of leaderships; included in responses
+	decisionsFrom time.Time // no decisions before this time, as longer leases of an earlier leader may still be valid
 	leaseTermMS   int64
 	options       rollout.Options
 	decisions     decisionState
@@ -79,7 +79,7 @@
 	}
 }
 
-// Run processes queued calls and the periodic duties of the leader until ctx ends.
+// Run processes queued calls and does the leader's periodic work until ctx ends.
 func (r *Routing) Run(ctx context.Context) {
 	var wg sync.WaitGroup
 	defer wg.Wait()
@@ -97,7 +97,7 @@
 		r.markAuditLog()
 		l, err := r.ensureLeadership()
 		if err != nil {
-			r.log.Warn("registry: routes: a new leader's first write", "error", err)
+			r.log.Warn("registry: routes: failed to replicate the lease term", "error", err)
 		}
 		if l != nil {
 			r.decide(l)
@@ -106,7 +106,7 @@
 	}
 }
 
-// current returns the active leadership; nil if this replica does not lead or has not initialised it yet.
+// current returns the active leadership, or nil if this replica does not lead or has not initialised its leadership.
 func (r *Routing) current() *leadership {
 	l := r.lead.Load()
 	if l == nil || r.replica.Term() != l.term || r.server.Options().Operators == nil {
@@ -118,7 +118,7 @@
 // Leads reports whether this replica leads the routes and has initialised its leadership.
 func (r *Routing) Leads() bool { return r.current() != nil }
 
-// WallMS converts a time to Unix milliseconds on the clock of the leadership; 0 if this replica does not lead.
+// WallMS converts a time to Unix milliseconds on the leader's clock. It returns 0 if this replica does not lead.
 func (r *Routing) WallMS(at time.Time) int64 {
 	l := r.current()
 	if l == nil {
@@ -127,8 +127,8 @@
 	return l.wall(at)
 }
 
-// ensureLeadership returns the leadership of the current term and creates it when the term is new; nil if this replica
-// does not lead.
+// ensureLeadership returns the leadership of the current term and creates it when the term is new. It returns nil if
+// this replica does not lead.
 func (r *Routing) ensureLeadership() (*leadership, error) {
 	term, o := r.replica.Term(), r.server.Options().Operators
 	if term == 0 || o == nil {
@@ -139,15 +139,15 @@
 		return l, nil
 	}
 	l := r.newLeadership(term, o)
-	var out int64
-	r.list.Read(func(s *state.State) { out = s.MaxLeaseTermMS })
+	var replicatedTermMS int64
+	r.list.Read(func(s *state.State) { replicatedTermMS = s.MaxLeaseTermMS })
 	switch {
-	case out < l.leaseTermMS: // replicated before the first lease of this length is granted
+	case replicatedTermMS < l.leaseTermMS: // replicated before the first lease of this length is granted
 		if err := r.apply(&state.Command{Op: state.OpTerm, TermMS: l.leaseTermMS, Term: term}); err != nil {
 			return nil, err
 		}
-	case out > l.leaseTermMS:
-		l.decisionsFrom, l.decisions.lowersLeaseTerm = l.startedAt.Add(withClockMargin(out, l.options.ClockMargin)), true
+	case replicatedTermMS > l.leaseTermMS:
+		l.decisionsFrom, l.decisions.lowersLeaseTerm = l.startedAt.Add(withClockMargin(replicatedTermMS, l.options.ClockMargin)), true
 	}
 	r.lead.Store(l)
 	return l, nil
@@ -172,12 +172,13 @@
 	return l
 }
 
-// withClockMargin is the time after which a lease has expired on every clock, given the margin of their rates.
+// withClockMargin returns the time after which a lease of termMS has expired on every clock whose rate is within
+// margin, a fraction.
 func withClockMargin(termMS int64, margin float64) time.Duration {
 	return time.Duration(math.Ceil(float64(termMS)*(1+margin))) * time.Millisecond
 }
 
-// retention is how long a process counts after its last report.
+// retention returns how long a process is counted as present after its last report.
 func (l *leadership) retention() time.Duration {
 	return time.Duration(l.options.DropAfter) * time.Millisecond
 }
--- a/internal/registry/routeleader/metrics.go
+++ b/internal/registry/routeleader/metrics.go
@@ -1,6 +1,6 @@
 package routeleader
 
-// This file gives the metrics of routes and rollouts.
+// This file exports the metrics of routes and rollouts.
 
 import (
 	"time"
@@ -10,10 +10,10 @@
 	"marblelane/internal/registry/state"
 )
 
-// Describe says nothing: what is shown depends on the rollouts that there are.
+// Describe sends no descriptors, because the label values depend on the live rollouts.
 func (r *Routing) Describe(chan<- *prometheus.Desc) {}
 
-// Collect gives the figures of routes; none where they are off.
+// Collect sends the metrics of routes and rollouts, or none if the routes API is off.
 func (r *Routing) Collect(out chan<- prometheus.Metric) {
 	if r.server.Options().Operators == nil {
 		return
--- a/internal/registry/routeleader/process_records.go
+++ b/internal/registry/routeleader/process_records.go
@@ -12,24 +12,24 @@
 	"marblelane/internal/route"
 )
 
-// processRecords is what the leader knows of processes beside the replicated state, and what of it is still to be
-// replicated. Its lock is taken before that of the state, and is never held during a commit.
+// processRecords holds the leader's in-memory state of processes and the changes to it that are not replicated yet. Its
+// lock is acquired before the lock of the replicated state, and is never held during a commit.
 type processRecords struct {
 	clock     leaderClock
-	retention time.Duration // how long a process counts after its last report
+	retention time.Duration // how long a process is counted as present after its last report
 
 	mu           sync.Mutex // guards the fields below
 	controller   *rollout.Controller
 	tracker      *audit.Tracker
-	pending      []audit.Transition             // to be replicated
-	unreplicated map[string]state.SchemaSupport // processes whose schema support is to be replicated, by name
-	observed     map[string]state.SchemaSupport // all processes that reported since refreshedAt, by name
+	pending      []audit.Transition             // audit transitions that are not replicated yet
+	unreplicated map[string]state.SchemaSupport // schema support that is not replicated yet, by process name
+	observed     map[string]state.SchemaSupport // schema support reported since refreshedAt, by process name
 	refreshedAt  time.Time
 	flushedAt    time.Time
 	prunedAt     time.Time
 }
 
-// withState calls f with the locks of the records and of the state held, in this order.
+// withState calls f while it holds the lock of the records and then the lock of the state.
 func (p *processRecords) withState(list stateReader, f func(*state.State)) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -52,9 +52,9 @@
 	return out
 }
 
-// observe records which schemas a process reads; the caller holds p.mu. A new process or a changed set is replicated with
-// the next flush. All others are refreshed together every quarter of remember, so disk writes do not grow with the number
-// of processes.
+// observe records which schemas a process reads; the caller holds p.mu. A new process or a changed set is replicated
+// with the next flush. All others are replicated together every quarter of the retention, so the number of disk
+// writes does not grow with the number of processes.
 func (p *processRecords) observe(s *state.State, report *route.Report, wallMS int64) {
 	seen := state.SchemaSupport{Process: report.Process, Schemas: slices.Clone(report.Schemas), AtMS: wallMS}
 	p.observed[report.Name] = seen
@@ -66,7 +66,8 @@
 	}
 }
 
-// queueTransitions queues transitions that the audit log does not have yet for replication. The caller holds p.mu.
+// queueTransitions queues the transitions that are not in the audit log yet for replication, and drops the oldest
+// beyond maxPendingTransitions. The caller holds p.mu.
 func (p *processRecords) queueTransitions(s *state.State, all []audit.Transition) {
 	p.pending = append(p.pending, s.AuditLog.FilterNew(all)...)
 	if extra := len(p.pending) - maxPendingTransitions; extra > 0 {
@@ -74,8 +75,8 @@
 	}
 }
 
-// takeUnreplicated returns a command with all that is to be replicated, and empties the queues; nil if there is nothing, or
-// the last one is more recent than auditBatchWait.
+// takeUnreplicated returns a command with everything that is queued for replication, and empties the queues. It returns
+// nil if nothing is queued or if the previous command was returned less than auditBatchWait ago.
 func (p *processRecords) takeUnreplicated(now time.Time) *state.Command {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -98,7 +99,7 @@
 	return c
 }
 
-// requeue queues again what a failed command has not replicated.
+// requeue queues the content of a failed command again.
 func (p *processRecords) requeue(c *state.Command) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/registry/routeleader/reports.go
+++ b/internal/registry/routeleader/reports.go
@@ -1,6 +1,6 @@
 package routeleader
 
-// This file processes reports: which processes exist, and the audit transitions replicated from them.
+// This file processes reports: it tracks which processes are present and replicates the audit transitions of reports.
 
 import (
 	"encoding/json"
@@ -13,32 +13,33 @@
 	"marblelane/internal/route"
 )
 
-// relevantProcesses returns the processes that have to read a table alike: those that reported to this leader or an
-// earlier one within ForgetAfter. Processes shut out for reading less than the minimum schema count until their last
-// Lease ends. wait is positive while this leader may not know all of them yet.
+// relevantProcesses returns the processes that must all read a new table with the same meaning: those that reported to
+// this leader or an earlier one within DropAfter. A process that is shut out because it reads only schemas below the
+// minimum is included until its last lease ends. While this leader may not know all of these processes yet, it returns
+// none and the remaining time as wait.
 func (r *Routing) relevantProcesses(l *leadership) (all []state.SchemaSupport, wait time.Duration) {
 	now := time.Now()
-	known := withClockMargin(l.leaseTermMS, l.options.ClockMargin)
-	if since := now.Sub(l.decisionsFrom); since < known {
-		return nil, known - since
+	settleTime := withClockMargin(l.leaseTermMS, l.options.ClockMargin)
+	if since := now.Sub(l.decisionsFrom); since < settleTime {
+		return nil, settleTime - since
 	}
 	l.processes.mu.Lock()
 	defer l.processes.mu.Unlock()
 	at := l.floor(now)
-	reported, named := l.processes.controller.Processes(at), map[string]int64{}
+	reported, newestStart := l.processes.controller.Processes(at), map[string]int64{}
 	for _, p := range reported {
-		named[p.Name] = max(named[p.Name], p.Start)
+		newestStart[p.Name] = max(newestStart[p.Name], p.Start)
 	}
 	r.list.Read(func(s *state.State) {
-		excused := func(schemas []int) bool { return slices.Max(append([]int{0}, schemas...)) < s.Routes.MinSchema() }
+		belowMinSchema := func(schemas []int) bool { return slices.Max(append([]int{0}, schemas...)) < s.Routes.MinSchema() }
 		for _, p := range reported {
-			if p.Start == named[p.Name] && !(p.LeaseUntil <= at && excused(p.Schemas)) {
+			if p.Start == newestStart[p.Name] && !(p.LeaseUntil <= at && belowMinSchema(p.Schemas)) {
 				all = append(all, state.SchemaSupport{Process: p.Process, Schemas: p.Schemas, AtMS: l.wall(l.startedAt) + p.LastReport - l.floor(l.startedAt)})
 			}
 		}
 		for _, name := range slices.Sorted(maps.Keys(s.Processes)) {
 			p := s.Processes[name]
-			if _, ok := named[name]; !ok && l.wall(now)-p.AtMS <= l.options.DropAfter && !excused(p.Schemas) {
+			if _, ok := newestStart[name]; !ok && l.wall(now)-p.AtMS <= l.options.DropAfter && !belowMinSchema(p.Schemas) {
 				all = append(all, p)
 			}
 		}
@@ -62,30 +63,30 @@
 		fail(err)
 		return
 	}
-	if r.current() != l { // the check may have confirmed a later term
+	if r.current() != l { // the quorum may have confirmed the leadership of a later term
 		fail(listserver.ErrNotLeader)
 		return
 	}
 	l.processes.mu.Lock()
 	defer l.processes.mu.Unlock()
-	line := r.tables.newest()
+	newest := r.tables.newest()
 	for _, a := range all {
-		var answer route.ReportResponse
+		var response route.ReportResponse
 		now := time.Now()
 		r.list.Read(func(s *state.State) {
-			answer = l.processes.controller.Report(l.ceil(now), s.Routes, a.request)
+			response = l.processes.controller.Report(l.ceil(now), s.Routes, a.request)
 			l.processes.observe(s, a.request, l.wall(now))
 			l.processes.queueTransitions(s, l.processes.tracker.Report(l.ceil(now), l.wall(now), a.request))
 		})
-		answer.Stamp = route.LeaderTime{Leader: l.id, MS: l.floor(now)}
-		if answer.Resync {
-			encoded, err := line.text(a.request.Schemas)
+		response.Stamp = route.LeaderTime{Leader: l.id, MS: l.floor(now)}
+		if response.Resync {
+			encoded, err := newest.text(a.request.Schemas)
 			if err != nil {
-				r.log.Error("registry: the table of routes cannot be told", "error", err)
+				r.log.Error("registry: routes: failed to encode the table", "error", err)
 			}
-			answer.Table = json.RawMessage(encoded.text)
+			response.Table = json.RawMessage(encoded.text)
 		}
-		a.answer(&answer, nil)
+		a.answer(&response, nil)
 	}
 }
 
@@ -97,7 +98,7 @@
 	}
 	c.Term = l.term
 	if err := r.apply(c); err != nil {
-		r.log.Warn("registry: routes: transitions are not replicated", "error", err)
+		r.log.Warn("registry: routes: failed to replicate transitions", "error", err)
 		l.processes.requeue(c)
 	}
 }
--- a/internal/registry/routeleader/requests.go
+++ b/internal/registry/routeleader/requests.go
@@ -22,16 +22,17 @@
 	"marblelane/internal/route"
 )
 
-// Rejection is the error answer of the routes API. Field names the cause in the body, the path or the operators' file.
+// Rejection is an error response of the routes API. Field names the invalid field of the body, the path or the query,
+// or the setting of the operators' file that the request violates.
 type Rejection struct {
 	status int
-	after  time.Duration // Retry-After; 0: no such header
+	after  time.Duration // sent as Retry-After; 0 sends no such header
 
 	Error     string                `json:"error"`
 	Field     string                `json:"field,omitempty"`
-	Findings  []route.Finding       `json:"findings,omitempty"`  // differences in how an older schema reads the table
+	Findings  []route.Finding       `json:"findings,omitempty"`  // how readers of an older schema misread the table
 	Processes []state.SchemaSupport `json:"processes,omitempty"` // processes that block the change
-	Others    int                   `json:"others,omitempty"`    // count of blocking processes not listed
+	Others    int                   `json:"others,omitempty"`    // number of blocking processes not in Processes
 }
 
 func writeRejection(w http.ResponseWriter, f *Rejection) {
@@ -40,7 +41,7 @@
 	}
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(f.status)
-	_ = json.NewEncoder(w).Encode(f) // the caller may have disconnected
+	_ = json.NewEncoder(w).Encode(f) // the client may have disconnected
 }
 
 func rejectf(status int, field, format string, args ...any) *Rejection {
@@ -51,7 +52,7 @@
 	return &Rejection{status: status, Field: field, Error: text}
 }
 
-// rejectionOf maps an error of a write to its HTTP answer.
+// rejectionOf maps an error of a replicated write to an HTTP response.
 func rejectionOf(err error) *Rejection {
 	f := &Rejection{status: http.StatusInternalServerError, Error: err.Error()}
 	switch {
@@ -69,7 +70,7 @@
 	return f
 }
 
-// rejectIfOff answers 404 and returns true where the routes API is off.
+// rejectIfOff responds with 404 and returns true if the routes API is off.
 func (r *Routing) rejectIfOff(w http.ResponseWriter) bool {
 	if r.server.Options().Operators != nil {
 		return false
@@ -80,10 +81,11 @@
 
 func writeJSON(w http.ResponseWriter, v any) {
 	w.Header().Set("Content-Type", "application/json")
-	_ = json.NewEncoder(w).Encode(v) // the caller may have disconnected
+	_ = json.NewEncoder(w).Encode(v) // the client may have disconnected
 }
 
-// body decodes a JSON body strictly: bounded size, one value, no unknown field.
+// body reads a JSON body of at most limit bytes, decodes it into v and validates it. The body must hold one value and
+// no unknown fields.
 func (r *Routing) body(w http.ResponseWriter, req *http.Request, limit int64, v any) *Rejection {
 	text, f := readBody(w, req, limit)
 	if f == nil && len(text) == 0 {
@@ -95,8 +97,8 @@
 	return r.decode(text, v)
 }
 
-// optionalBody is body for a call whose body is optional: an empty one leaves v unchanged. Content-Length cannot tell,
-// as it is unknown for a chunked body.
+// optionalBody is like body but accepts an empty body, which leaves v unchanged. Whether the body is empty is found by
+// reading it, because a chunked body has no Content-Length.
 func (r *Routing) optionalBody(w http.ResponseWriter, req *http.Request, limit int64, v any) *Rejection {
 	text, f := readBody(w, req, limit)
 	if f != nil || len(text) == 0 {
@@ -105,7 +107,7 @@
 	return r.decode(text, v)
 }
 
-// readBody reads a bounded body and trims white space.
+// readBody reads a body of at most limit bytes and trims the white space around it.
 func readBody(w http.ResponseWriter, req *http.Request, limit int64) ([]byte, *Rejection) {
 	text, err := io.ReadAll(http.MaxBytesReader(w, req.Body, limit))
 	var large *http.MaxBytesError
--- a/internal/registry/routeleader/routing.go
+++ b/internal/registry/routeleader/routing.go
@@ -1,5 +1,5 @@
-// Package routeleader leads the routes and rollouts: it answers reports and budget requests, replicates the decisions of
-// the controller, serves tables, tenants' changes and the audit.
+// Package routeleader implements the leader of routes and rollouts. It answers reports and budget requests, replicates
+// the controller's decisions, and serves routing tables, tenants' changes and the audit.
 package routeleader
 
 import (
@@ -17,24 +17,24 @@
 	"marblelane/internal/route"
 )
 
-// Bounds of requests and answers.
+// Limits of requests and responses.
 const (
 	maxBodyBytes         = 64 << 10  // body of a tenant's request
 	maxReportBytes       = 512 << 10 // body of a report or a budget request
-	maxListedProcesses   = 20        // processes listed in a rejection
+	maxListedProcesses   = 20        // processes that a rejection lists
 	maxBudgetsPerRequest = 256       // budgets in one budget request
-	minListedRevs        = 16        // default minimum of revisions whose counts a process reports; the same as in the client
-	ClockSlackMS         = 10        // error of wall times converted to the leader's clock, rounding included
+	minListedRevs        = 16        // default minimum number of revisions in a report's counts, as in the client
+	ClockSlackMS         = 10        // maximum error of a wall time converted to the leader's clock, including rounding
 )
 
-// Routing serves the routes API of a replica. Without an operators' file it is off and its paths answer 404.
+// Routing serves the routes API of a replica. Without an operators' file the API is off and its paths respond with 404.
 type Routing struct {
 	server  *listserver.Server
 	list    stateReader
 	replica replica
 	log     *slog.Logger
-	name    string           // of the replica
-	opened  time.Time        // monotonic
+	name    string           // replica name
+	opened  time.Time        // when this Routing was created; monotonic
 	wall    func() time.Time // wall clock
 	defect  Defect
 	rules   operators.Validator
@@ -64,15 +64,15 @@
 	Term() uint64
 }
 
-// Config are the fixed parameters of a routing.
+// Config holds the fixed parameters of a Routing.
 type Config struct {
-	Name    string           // of the replica
+	Name    string           // replica name
 	Wall    func() time.Time // wall clock
-	Planted string           // defect injected by the lab; empty: none
+	Planted string           // defect injected by the lab; empty for none
 	Log     *slog.Logger
 }
 
-// New makes the routes API of a replica. It serves once the server has mounted it.
+// New creates the routes API of a replica. It serves requests once its handlers are registered with Handle.
 func New(server *listserver.Server, list stateReader, replicated replica, c Config) *Routing {
 	return &Routing{server: server, list: list, replica: replicated, log: c.Log, name: c.Name, opened: time.Now(), wall: c.Wall,
 		defect: Defect(c.Planted), tables: newTables(Defect(c.Planted)), rules: operators.NewValidator(),
@@ -97,7 +97,7 @@
 	}
 }
 
-// wait queues a call for the leader's batch processing and writes its answer.
+// wait queues a call for the leader's batch processing and writes the response.
 func wait[Q, A any](r *Routing, w http.ResponseWriter, req *http.Request, in chan<- leaderCall[Q, A], what *Q) {
 	type outcome struct {
 		a   *A
@@ -122,7 +122,7 @@
 	}
 }
 
-// report answers a process's report, POST /routes/reports.
+// report handles a process's report, POST /routes/reports.
 func (r *Routing) report(w http.ResponseWriter, req *http.Request) {
 	if r.rejectIfOff(w) || !r.server.Leading(w, req) {
 		return
@@ -142,7 +142,7 @@
 	wait(r, w, req, r.reportCalls, &p)
 }
 
-// handleBudgets answers a process's budget request, POST /routes/units.
+// handleBudgets handles a process's budget request, POST /routes/units.
 func (r *Routing) handleBudgets(w http.ResponseWriter, req *http.Request) {
 	if r.rejectIfOff(w) || !r.server.Leading(w, req) {
 		return
@@ -168,7 +168,8 @@
 	wait(r, w, req, r.budgetCalls, &a)
 }
 
-// leader returns this replica's leadership and the operators' file; nil if it has already answered the call.
+// leader returns this replica's leadership and the operators' file. If there is no leadership, it writes the response
+// and returns nil.
 func (r *Routing) leader(w http.ResponseWriter, req *http.Request) (*leadership, *operators.Operators) {
 	if r.rejectIfOff(w) || !r.server.Leading(w, req) {
 		return nil, nil
@@ -181,7 +182,7 @@
 	return l, r.server.Options().Operators
 }
 
-// tenant finds the tenant of a call and checks the caller's token.
+// tenant finds the tenant that a request names and checks the token of the request.
 func (r *Routing) tenant(o *operators.Operators, req *http.Request) (*operators.Tenant, *Rejection) {
 	t, ok := o.Tenant(req.PathValue("tenant"))
 	switch {
@@ -193,5 +194,5 @@
 	return t, nil
 }
 
-// maxRolloutMetrics is the number of rollouts exported as metrics.
+// maxRolloutMetrics is the maximum number of rollouts that are exported as metrics.
 const maxRolloutMetrics = 100
--- a/internal/registry/routeleader/routing_test.go
+++ b/internal/registry/routeleader/routing_test.go
@@ -16,7 +16,7 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// A table is encoded once for all sets of schemas that this version reads alike.
+// A table must be encoded only once for sets of schemas that are the same after reduction to the supported schemas.
 func TestTables_encodedOnce(t *testing.T) {
 	all := newTables("")
 	all.set(route.Table{Rev: 1}, 1, time.Now())
@@ -31,10 +31,10 @@
 	table := ignorable.tableAsRead(&route.Table{Rev: 1, Routes: []route.Route{{Classes: []string{"x"}, Share: 1, Rollout: "r"}}}, []int{1})
 	encoded, err := encodeTable(table, []int{1})
 	require.NoError(t, err)
-	assert.Equal(t, route.SameReading, encoded.verdict, "the planted defect shows nothing")
+	assert.Equal(t, route.SameReading, encoded.verdict, "the injected defect has no effect on the verdict")
 }
 
-// What costs are counted late is handed out again.
+// The defect countLate counts spent budget as returned, so that it can be granted again.
 func TestDefect_countLate(t *testing.T) {
 	a := &route.BudgetRequest{Budgets: []route.BudgetState{{Granted: 5, Spent: 3, Returned: 1}}}
 	Defect("").modifyBudgets(a)
@@ -61,7 +61,8 @@
 func (r *leadingReplica) DiskTook() time.Duration  { return 0 }
 func (r *leadingReplica) DiskWrites() int64        { return 0 }
 
-// A lease term longer than this leader grants may still run: it decides nothing until that has ended.
+// A lease of an earlier leader with a longer term may still be valid. A new leader must make no decision before that
+// lease has expired on every clock.
 func TestLeader_shorterLeaseTerm(t *testing.T) {
 	t.Parallel()
 	replicated := &leadingReplica{listserver.NewHub(10), 1}
@@ -75,5 +76,5 @@
 	require.NotNil(t, l)
 	assert.Equal(t, withClockMargin(3_600_000, 0.02), l.decisionsFrom.Sub(l.startedAt))
 	r.decide(l)
-	replicated.Read(func(s *state.State) { assert.EqualValues(t, 3_600_000, s.MaxLeaseTermMS, "it has decided already") })
+	replicated.Read(func(s *state.State) { assert.EqualValues(t, 3_600_000, s.MaxLeaseTermMS, "the leader decided too early") })
 }
--- a/internal/registry/routeleader/tables.go
+++ b/internal/registry/routeleader/tables.go
@@ -16,13 +16,13 @@
 	"marblelane/internal/route"
 )
 
-// tables distributes the routes table to watches as hub does the list: a linked list with one node for each revision,
-// encoded once for each set of schemas.
+// tables distributes the routes table to watches in the same way as listserver.Hub distributes the list: as a linked
+// list with one node for each revision, which is encoded once for each set of schemas.
 type tables struct {
 	mu          sync.Mutex
 	tail        *tableNode
 	moments     []moment
-	upperBounds []moment           // newest revision by time, from polls of the leader; see observeRev
+	upperBounds []moment           // newest revision of the leader at the time of each poll; see observeRev
 	proposed    map[*proposal]bool // changes in flight
 	defect      Defect
 }
@@ -33,7 +33,7 @@
 	term uint64
 }
 
-// tableNode is one revision of the table. next is set before ready is closed.
+// tableNode is one revision of the table. ready is closed when there is a newer revision, after next is set.
 type tableNode struct {
 	n     int64
 	next  *tableNode
@@ -42,26 +42,28 @@
 	defect Defect
 	mu     sync.Mutex
 	table  route.Table
-	texts  map[string]encodedTable // by set of schemas
+	texts  map[string]encodedTable // encodings by set of schemas
 }
 
-// encodedTable is the table for readers of a set of schemas; text is nil where no schema of the set can express it.
+// encodedTable is the table encoded for readers of a set of schemas. text is nil if no schema of the set can express
+// the table.
 type encodedTable struct {
 	text     []byte
 	verdict  route.Verdict
 	findings []route.Finding
 }
 
-// moment is the earliest commit time of a revision, or the latest time at which it and all before it were closed.
+// moment is the earliest possible commit time of a revision, or the latest possible time at which this revision and all
+// earlier ones were closed.
 type moment struct {
 	rev    int64
 	closed bool
-	at     time.Time // with the monotonic clock
+	at     time.Time // includes a monotonic reading
 }
 
 const (
 	maxMoments           = 4096 // commit and close times kept in memory
-	maxSchemasPerProcess = 16   // schemas that a process may name
+	maxSchemasPerProcess = 16   // maximum number of schemas that a process may name
 )
 
 func newTables(planted Defect) *tables {
@@ -74,7 +76,8 @@
 	return &tableNode{n: n, table: table, defect: t.defect, ready: make(chan struct{}), texts: map[string]encodedTable{}}
 }
 
-// follow publishes the table of a state if it has changed. term is that of the log entry that changed it; 0: none.
+// follow publishes the table of a state if it has changed. term is the term of the log entry that changed the table,
+// or 0 if no log entry did.
 func (t *tables) follow(s *rollout.State, term uint64, now time.Time) {
 	if rev, closed := t.newest().revisions(); rev != s.Rev() || closed != s.ClosedRev() {
 		t.set(s.Table(), term, now)
@@ -84,7 +87,8 @@
 // Follow publishes the table of a state; see tables.follow.
 func (r *Routing) Follow(s *rollout.State, term uint64, now time.Time) { r.tables.follow(s, term, now) }
 
-// set publishes a table. A new revision wakes the watches; a newly closed one only shows in later reads.
+// set publishes a table. A new revision wakes the watches. A newly closed revision alone does not, and appears
+// only in later reads.
 func (t *tables) set(table route.Table, term uint64, now time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -102,7 +106,7 @@
 		tail.mu.Unlock()
 		return
 	}
-	// The time of a proposal by another replica, or by this one in another term, is not known here.
+	// The time of the proposal is known only if this replica proposed the change in this term.
 	earliest, known := now, false
 	for p := range t.proposed {
 		if p.term == term {
@@ -127,7 +131,7 @@
 	t.moments = append(t.moments, m)
 }
 
-// propose records a change in flight since at; the returned function ends it.
+// propose records a change as in flight since at. The returned function ends that.
 func (t *tables) propose(at time.Time, term uint64) (end func()) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -140,7 +144,8 @@
 	}
 }
 
-// commitAndCloseTimes returns the earliest commit time and the latest close time of a revision; zero if unknown.
+// commitAndCloseTimes returns the earliest possible commit time and the latest possible close time of a revision, each
+// zero if unknown.
 func (t *tables) commitAndCloseTimes(rev int64) (committed, closed time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -170,7 +175,7 @@
 	return l.table.Rev, l.table.Closed
 }
 
-// text returns the table encoded for readers of the given schemas, from a cache.
+// text returns the table encoded for readers of the given schemas. The encoding is cached.
 func (l *tableNode) text(reads []int) (encodedTable, error) {
 	reads = supportedSchemas(reads)
 	key := fmt.Sprint(reads)
@@ -200,8 +205,8 @@
 	return out, nil
 }
 
-// supportedSchemas reduces schemas to those that this version knows, which bounds the number of encodings. A newer one counts as
-// the newest supportedSchemas.
+// supportedSchemas returns the schemas that this version supports, sorted and without duplicates, which bounds the
+// number of encodings. A schema newer than route.Newest counts as route.Newest.
 func supportedSchemas(reads []int) []int {
 	var out []int
 	for _, s := range reads {
@@ -213,7 +218,7 @@
 	return slices.Compact(out)
 }
 
-// requestedSchemas reads ?schema=S, or S,S of several.
+// requestedSchemas parses the query parameter schema: one schema, or several separated by commas.
 func requestedSchemas(r *http.Request) ([]int, error) {
 	text := r.URL.Query().Get("schema")
 	parts := strings.Split(text, ",")
@@ -239,7 +244,7 @@
 	return s
 }
 
-// table answers GET /routes.
+// table handles GET /routes.
 func (r *Routing) table(w http.ResponseWriter, req *http.Request) {
 	if r.rejectIfOff(w) {
 		return
@@ -286,7 +291,7 @@
 	r.server.WriteReplicaHeaders(w, rev, staleness)
 	w.Header().Set("Content-Type", "application/json")
 	w.Header().Set("Content-Length", strconv.Itoa(len(encoded.text)))
-	_, _ = w.Write(encoded.text) // the reader may have disconnected
+	_, _ = w.Write(encoded.text) // the client may have disconnected
 }
 
 // watch sends each newer table that the schemas of the client can express, until either side ends the watch.
@@ -296,33 +301,33 @@
 	rev, _ := at.revisions()
 	r.server.WriteReplicaHeaders(w, rev, staleness)
 	w.Header().Set("Content-Type", "application/json")
-	say := r.server.LineWriter(w)
-	tell := func(l *tableNode) error {
+	writeLine := r.server.LineWriter(w)
+	send := func(l *tableNode) error {
 		encoded, err := l.text(reads)
 		if err != nil {
-			r.log.Error("registry: a table of routes cannot be told", "error", err)
+			r.log.Error("registry: routes: failed to encode the table", "error", err)
 			return err
 		}
 		text := encoded.text
 		if rev, _ := l.revisions(); text == nil || rev <= after {
-			text = []byte("\n") // not expressible, or already sent: an empty line as heartbeat
+			text = []byte("\n") // the table cannot be expressed or was already sent: an empty line as a heartbeat
 		} else {
 			after = rev
 		}
-		if !say(text) {
+		if !writeLine(text) {
 			return errSlowWatcher
 		}
 		return nil
 	}
 	tick := time.NewTicker(listserver.WatchHeartbeat)
 	defer tick.Stop()
-	for err := tell(at); err == nil; {
+	for err := send(at); err == nil; {
 		select {
 		case <-req.Context().Done():
 			return
 		case <-tick.C:
-			if _, stale := r.server.Stale(); stale || !say([]byte("\n")) {
-				return // a watch on a partitioned replica would stay open without changes
+			if _, stale := r.server.Stale(); stale || !writeLine([]byte("\n")) {
+				return // otherwise a watch on a partitioned replica would stay open without changes
 			}
 			continue
 		case <-at.ready:
@@ -331,7 +336,7 @@
 		if r.tables.newest().n-at.n > listserver.MaxWatcherLag {
 			err = errSlowWatcher
 		} else {
-			err = tell(at)
+			err = send(at)
 		}
 		if errors.Is(err, errSlowWatcher) {
 			r.server.CountSlowWatcher()
@@ -339,4 +344,4 @@
 	}
 }
 
-var errSlowWatcher = errors.New("the watcher is slow")
+var errSlowWatcher = errors.New("the watch is too slow")
--- a/internal/registry/routeleader/tenants.go
+++ b/internal/registry/routeleader/tenants.go
@@ -16,7 +16,7 @@
 	"marblelane/internal/route"
 )
 
-// RolloutRequest is the body of a posted rollout.
+// RolloutRequest is the body of a request that posts a rollout.
 type RolloutRequest struct {
 	To      string        `json:"to" validate:"required,bytes=100"`
 	Classes []string      `json:"classes" validate:"max=100,unique,dive,min=1,bytes=200"`
@@ -27,13 +27,14 @@
 	Note    string        `json:"note" validate:"bytes=1000"`
 }
 
-// StepRequest is a step in the body of a posted rollout.
+// StepRequest is a step of a RolloutRequest.
 type StepRequest struct {
 	CanaryFraction float64 `json:"share" validate:"gt=0,lte=1"`
 	HoldMS         int64   `json:"hold_ms" validate:"gte=0,lte=2592000000"`
 	MinAttempts    int64   `json:"requests" validate:"gte=0,lte=1000000000000"`
 }
 
+// post creates a rollout, POST /routes/{tenant}/rollouts/{name}.
 func (r *Routing) post(w http.ResponseWriter, req *http.Request) {
 	r.handleChange(w, req, func(o *operators.Operators, t *operators.Tenant) (*rollout.Command, *Rejection) {
 		var wish RolloutRequest
@@ -45,7 +46,7 @@
 	})
 }
 
-// rolloutSpec resolves the names of a posted rollout and checks it against the bounds of its tenant.
+// rolloutSpec resolves the subset of a posted rollout and checks the rollout against the limits of its tenant.
 func rolloutSpec(o *operators.Operators, t *operators.Tenant, name string, wish *RolloutRequest) (*rollout.Spec, *Rejection) {
 	if name == "" || len(name) > rollout.MaxRolloutNameBytes {
 		return nil, rejectf(http.StatusBadRequest, "name", "has %d bytes, not 1 to %d", len(name), rollout.MaxRolloutNameBytes)
@@ -66,7 +67,7 @@
 	return s, f
 }
 
-// canarySubset finds a subset that the tenant may send its requests to.
+// canarySubset returns the named subset, and rejects a subset that the tenant may not send its requests to.
 func canarySubset(o *operators.Operators, t *operators.Tenant, name string) (route.Subset, *Rejection) {
 	sub, known := o.Subset(name)
 	if !known || !slices.Contains(t.Subsets, name) {
@@ -75,6 +76,7 @@
 	return sub, nil
 }
 
+// base changes the base subset of a tenant, POST /routes/{tenant}/base.
 func (r *Routing) base(w http.ResponseWriter, req *http.Request) {
 	r.handleChange(w, req, func(o *operators.Operators, t *operators.Tenant) (*rollout.Command, *Rejection) {
 		var wish struct {
@@ -108,8 +110,8 @@
 	})
 }
 
-// handleChange answers a tenant's change. It is replicated if it is within the bounds of the tenant and all relevant
-// processes read the new table alike.
+// handleChange handles a tenant's change. The change is replicated if it is within the limits of the tenant and all
+// relevant processes read the new table with the same meaning.
 func (r *Routing) handleChange(w http.ResponseWriter, req *http.Request, build func(*operators.Operators, *operators.Tenant) (*rollout.Command, *Rejection)) {
 	l, o := r.leader(w, req)
 	if l == nil {
@@ -126,7 +128,7 @@
 	}{rev})
 }
 
-// replicateChange checks a tenant's change and replicates it. It returns the revision of the change.
+// replicateChange checks a tenant's change, replicates it and returns its revision.
 func (r *Routing) replicateChange(l *leadership, o *operators.Operators, req *http.Request, build func(*operators.Operators, *operators.Tenant) (*rollout.Command, *Rejection)) (int64, *Rejection) {
 	t, f := r.tenant(o, req)
 	if f != nil {
@@ -143,7 +145,7 @@
 		}
 		c.IfRev = &rev
 	}
-	// Changes are checked and replicated one at a time, so that the check holds at the commit.
+	// Changes are checked and replicated one at a time, so that the result of the check still holds at the commit.
 	select {
 	case r.changing <- struct{}{}:
 		defer func() { <-r.changing }()
@@ -153,11 +155,11 @@
 		return 0, &Rejection{status: http.StatusServiceUnavailable, Error: "the caller is gone"}
 	}
 	c.AtMS = l.wall(time.Now())
-	anew, f := r.dryRun(l, c, t)
+	effective, f := r.dryRun(l, c, t)
 	if f != nil {
 		return 0, f
 	}
-	if limited := c.Op == rollout.OpPost || c.Op == rollout.OpBase || c.Op == rollout.OpResume; anew && limited {
+	if limited := c.Op == rollout.OpPost || c.Op == rollout.OpBase || c.Op == rollout.OpResume; effective && limited {
 		if wait := l.limits.take(t); wait > 0 {
 			return 0, &Rejection{status: http.StatusTooManyRequests, after: wait, Field: "changes_per_minute",
 				Error: fmt.Sprintf("changes_per_minute: tenant %q has made its %v", t.Name, t.Changes)}
@@ -171,39 +173,39 @@
 }
 
 // dryRun applies a change to a clone of the state. It reports whether the change has an effect, or why it is rejected.
-func (r *Routing) dryRun(l *leadership, c *rollout.Command, t *operators.Tenant) (anew bool, f *Rejection) {
+func (r *Routing) dryRun(l *leadership, c *rollout.Command, t *operators.Tenant) (effective bool, f *Rejection) {
 	var table route.Table
 	var err error
-	under := 0
+	live := 0
 	r.list.Read(func(s *state.State) {
-		if _, live := s.Routes.LiveSpec(operators.StateTenantName(t.Name)); live {
-			under = 1
+		if _, ok := s.Routes.LiveSpec(operators.StateTenantName(t.Name)); ok {
+			live = 1
 		}
-		table, anew, err = s.Routes.Preview(c)
+		table, effective, err = s.Routes.Preview(c)
 	})
 	switch {
 	case err != nil:
 		return false, rejectionOf(err)
-	case !anew:
+	case !effective:
 		return false, nil
 	}
-	if c.Op == rollout.OpPost && under >= *t.Rollouts {
-		return true, rejectf(http.StatusForbidden, "rollouts", "tenant %q has %d under way, and may have %d", t.Name, under, *t.Rollouts)
+	if c.Op == rollout.OpPost && live >= *t.Rollouts {
+		return true, rejectf(http.StatusForbidden, "rollouts", "tenant %q has %d under way, and may have %d", t.Name, live, *t.Rollouts)
 	}
 	if c.Op != rollout.OpPost && c.Op != rollout.OpBase && c.Op != rollout.OpResume {
-		return true, nil // a command that ends a canary is never rejected
+		return true, nil // this check never rejects a command that pauses or ends a canary
 	}
 	return true, r.checkTableReadings(l, &table)
 }
 
-// checkTableReadings rejects a table that relevant processes would read differently.
+// checkTableReadings rejects a table that a relevant process would read with a different meaning.
 func (r *Routing) checkTableReadings(l *leadership, table *route.Table) *Rejection {
-	alike := true
+	sameForAll := true
 	for schema := 1; schema < route.Newest; schema++ {
 		_, v, _ := route.ChooseSchema(r.defect.tableAsRead(table, []int{schema}), []int{schema})
-		alike = alike && v <= route.SameWhenDowngraded
+		sameForAll = sameForAll && v <= route.SameWhenDowngraded
 	}
-	if alike { // for all processes
+	if sameForAll { // the meaning is the same in every schema, so the processes need not be known
 		return nil
 	}
 	all, wait := r.relevantProcesses(l)
@@ -236,7 +238,8 @@
 	return out
 }
 
-// schema shuts out the processes that do not read a schema, POST /routes/schema.
+// schema sets the minimum schema, POST /routes/schema. Processes that read only schemas below the minimum are
+// shut out.
 func (r *Routing) schema(w http.ResponseWriter, req *http.Request) {
 	l, o := r.leader(w, req)
 	if l == nil {
--- a/internal/registry/routeleader/views.go
+++ b/internal/registry/routeleader/views.go
@@ -22,30 +22,30 @@
 	Phase          rollout.Phase `json:"phase"`
 	Step           int           `json:"step"`
 	Steps          int           `json:"steps"`
-	CanaryFraction float64       `json:"share"` // of the tenant's requests, at this moment
+	CanaryFraction float64       `json:"share"` // current fraction of the tenant's requests that go to the canary
 	Rev            int64         `json:"rev"`
 	SinceMS        int64         `json:"since_ms"`
 	Why            string        `json:"why,omitempty"`
 	Budget         int64         `json:"budget"`
-	Granted        int64         `json:"granted"` // to processes, in all
+	Granted        int64         `json:"granted"` // total granted to processes
 	Spent          int64         `json:"spent"`
 	Returned       int64         `json:"returned"`
-	Left           int64         `json:"left"`     // neither held by a process nor spent
-	Evidence       float64       `json:"evidence"` // against the canary; it is rolled back at 1/alpha
+	Left           int64         `json:"left"`     // budget that is neither held by a process nor spent
+	Evidence       float64       `json:"evidence"` // evidence against the canary, which is rolled back at 1/alpha
 	Note           string        `json:"note,omitempty"`
 }
 
 // TenantView is the JSON form of a tenant's routes.
 type TenantView struct {
 	Tenant   string        `json:"tenant"`
-	Rev      int64         `json:"rev"` // of its last change, for ?if=
+	Rev      int64         `json:"rev"` // revision of the tenant's last change, for ?if=
 	Table    int64         `json:"table_rev"`
 	Closed   int64         `json:"closed"`
 	Base     route.Subset  `json:"base"`
 	Rollouts []RolloutView `json:"rollouts"`
 }
 
-// show answers GET /routes/{tenant}.
+// show handles GET /routes/{tenant}.
 func (r *Routing) show(w http.ResponseWriter, req *http.Request) {
 	l, o := r.leader(w, req)
 	if l == nil {
@@ -76,17 +76,17 @@
 			}
 		}
 		for _, one := range s.Routes.RolloutsOf(tenant) {
-			g, spent, back := s.Routes.BudgetTotals(tenant, one.Spec.Name)
+			granted, spent, returned := s.Routes.BudgetTotals(tenant, one.Spec.Name)
 			v.Rollouts = append(v.Rollouts, RolloutView{Name: one.Spec.Name, To: one.Spec.SubsetName, Phase: one.Phase, Step: one.Step,
 				Steps: len(one.Spec.Steps), CanaryFraction: fraction[one.Spec.Name], Rev: one.Rev, SinceMS: one.ChangedAtMS, Why: one.Reason,
-				Budget: one.Spec.Budget, Granted: g, Spent: spent, Returned: back, Left: one.Spec.Budget - (g - back),
+				Budget: one.Spec.Budget, Granted: granted, Spent: spent, Returned: returned, Left: one.Spec.Budget - (granted - returned),
 				Evidence: min(l.processes.controller.Evidence(tenant, one.Spec.Name), math.MaxFloat64), Note: one.Spec.Note})
 		}
 	})
 	return v
 }
 
-// processes answers GET /routes/processes.
+// processes handles GET /routes/processes.
 func (r *Routing) processes(w http.ResponseWriter, req *http.Request) {
 	l, _ := r.leader(w, req)
 	if l == nil {
@@ -98,14 +98,14 @@
 	}{l.id, r.processStatuses(l)})
 }
 
-// processStatuses returns the status of each process known to the controller.
+// processStatuses returns the status of each process that the controller tracks.
 func (r *Routing) processStatuses(l *leadership) []rollout.ProcessStatus {
 	l.processes.mu.Lock()
 	defer l.processes.mu.Unlock()
 	return l.processes.controller.Processes(l.floor(time.Now()))
 }
 
-// handleAudit answers GET /routes/audit: which processes acted on a revision within a time range.
+// handleAudit handles GET /routes/audit. The response states which processes acted on a revision within a time range.
 func (r *Routing) handleAudit(w http.ResponseWriter, req *http.Request) {
 	l, _ := r.leader(w, req)
 	if l == nil {
@@ -140,10 +140,10 @@
 func (r *Routing) auditSummary(l *leadership, rev, from, to int64) (out audit.Summary, f *Rejection) {
 	l.processes.mu.Lock()
 	defer l.processes.mu.Unlock()
-	ms := func(wall int64) int64 { return wall - l.startedWallMS + l.floor(l.startedAt) }
+	leaderMS := func(wall int64) int64 { return wall - l.startedWallMS + l.floor(l.startedAt) }
 	now := time.Now()
 	committed, closed := r.tables.commitAndCloseTimes(rev)
-	q := audit.Query{Rev: rev, From: ms(from), To: ms(to), CommittedAt: math.MinInt64, ClosedKnown: !closed.IsZero(), Now: l.ceil(now),
+	q := audit.Query{Rev: rev, From: leaderMS(from), To: leaderMS(to), CommittedAt: math.MinInt64, ClosedKnown: !closed.IsZero(), Now: l.ceil(now),
 		Slack: ClockSlackMS, ClockAhead: l.ceil(r.opened)}
 	if !committed.IsZero() {
 		q.CommittedAt = l.floor(committed)
