--- a/internal/registry/node.go
+++ b/internal/registry/node.go
@@ -118,7 +118,7 @@
 	n.listen = listener.Wrap(l, "registry", cfg.Log)
 	n.closers = append(n.closers, n.listen.Close)
 	n.server = listserver.New(n.hub, n, cfg.Options)
-	n.routes = routeleader.New(n.server, n.hub, n, routeleader.Config{Name: cfg.Name, Wall: cfg.Faults.Now, Planted: cfg.Planted, Log: cfg.Log})
+	n.routes = routeleader.New(n.server, n.hub, n, routeleader.Config{Name: cfg.Name, Wall: cfg.Faults.Now, InjectedDefect: cfg.Planted, Log: cfg.Log})
 	n.server.Mount(n.routes)
 	if n.members = listserver.NewMembers(cfg.Members, cfg.Options); n.members != nil {
 		n.server.Join(n.members)
--- a/internal/registry/routeleader/audit_history.go
+++ b/internal/registry/routeleader/audit_history.go
@@ -24,15 +24,15 @@
 	revPollTimeout  = time.Second
 )
 
-// clock converts a time to milliseconds since this Routing was created, rounded up.
-func (r *Routing) clock(at time.Time) int64 {
-	return (at.Sub(r.opened) + time.Millisecond - 1).Milliseconds()
+// msSinceCreation converts a time to milliseconds since this Routing was created, rounded up.
+func (r *Routing) msSinceCreation(at time.Time) int64 {
+	return (at.Sub(r.createdAt) + time.Millisecond - 1).Milliseconds()
 }
 
 // markAuditLog records how much of the audit log this replica has applied. The clock is read after the
 // state, so the recorded time is never too early.
 func (r *Routing) markAuditLog() {
-	r.list.Read(func(s *state.State) { s.AuditLog.Mark(r.clock(time.Now())) })
+	r.list.Read(func(s *state.State) { s.AuditLog.Mark(r.msSinceCreation(time.Now())) })
 }
 
 // handleNewestRev answers polls of followers with the newest routes revision. It rejects them if this replica does not
--- a/internal/registry/routeleader/leader_clock.go
+++ b/internal/registry/routeleader/leader_clock.go
@@ -4,8 +4,8 @@
 
 // leaderClock counts milliseconds from the start of a leadership.
 type leaderClock struct {
-	startedAt     time.Time // monotonic
-	startedWallMS int64     // wall clock at startedAt
+	startedAt     time.Time // start of the leadership; has a monotonic reading
+	startedWallMS int64     // Unix milliseconds of the wall clock at startedAt
 }
 
 // floor converts a time to the leader's clock, rounded down, also for times before startedAt. The start of a lease is
--- a/internal/registry/routeleader/leadership.go
+++ b/internal/registry/routeleader/leadership.go
@@ -24,8 +24,8 @@
 	reportBatchWait       = 10 * time.Millisecond  // reports are batched this long before one quorum check
 	budgetBatchWait       = 20 * time.Millisecond  // budget requests are batched this long into one command
 	auditBatchWait        = 200 * time.Millisecond // audit transitions are batched this long into one command
-	maxCommandEntries     = 1000                   // entries of one ledger command
-	maxWaitingCalls       = 4096                   // queued reports, or queued budget requests; further calls are rejected with 503
+	maxCommandEntries     = 1000                   // maximum number of entries in one ledger command
+	maxWaitingCalls       = 4096                   // maximum number of queued reports, and of queued budget requests; further calls are rejected with 503
 	maxPendingTransitions = 20_000                 // transitions not replicated yet; beyond this the oldest are dropped
 )
 
@@ -142,7 +142,7 @@
 	var replicatedTermMS int64
 	r.list.Read(func(s *state.State) { replicatedTermMS = s.MaxLeaseTermMS })
 	switch {
-	case replicatedTermMS < l.leaseTermMS: // replicated before the first lease of this length is granted
+	case replicatedTermMS < l.leaseTermMS: // must be replicated before the first lease of this length is granted
 		if err := r.apply(&state.Command{Op: state.OpTerm, TermMS: l.leaseTermMS, Term: term}); err != nil {
 			return nil, err
 		}
--- a/internal/registry/routeleader/routing.go
+++ b/internal/registry/routeleader/routing.go
@@ -19,25 +19,25 @@
 
 // Limits of requests and responses.
 const (
-	maxBodyBytes         = 64 << 10  // body of a tenant's request
-	maxReportBytes       = 512 << 10 // body of a report or a budget request
-	maxListedProcesses   = 20        // processes that a rejection lists
-	maxBudgetsPerRequest = 256       // budgets in one budget request
+	maxBodyBytes         = 64 << 10  // maximum body size of a tenant's request
+	maxReportBytes       = 512 << 10 // maximum body size of a report or budget request
+	maxListedProcesses   = 20        // maximum number of processes that a rejection lists
+	maxBudgetsPerRequest = 256       // maximum number of budgets in one budget request
 	minListedRevs        = 16        // default minimum number of revisions in a report's counts, as in the client
 	ClockSlackMS         = 10        // maximum error of a wall time converted to the leader's clock, including rounding
 )
 
 // Routing serves the routes API of a replica. Without an operators' file the API is off and its paths respond with 404.
 type Routing struct {
-	server  *listserver.Server
-	list    stateReader
-	replica replica
-	log     *slog.Logger
-	name    string           // replica name
-	opened  time.Time        // when this Routing was created; monotonic
-	wall    func() time.Time // wall clock
-	defect  Defect
-	rules   operators.Validator
+	server    *listserver.Server
+	list      stateReader
+	replica   replica
+	log       *slog.Logger
+	name      string           // replica name
+	createdAt time.Time        // when this Routing was created; monotonic
+	wall      func() time.Time // returns the time of the wall clock
+	defect    Defect
+	rules     operators.Validator
 
 	tables      *tables
 	admit       *listserver.TokenBucket
@@ -66,16 +66,16 @@
 
 // Config holds the fixed parameters of a Routing.
 type Config struct {
-	Name    string           // replica name
-	Wall    func() time.Time // wall clock
-	Planted string           // defect injected by the lab; empty for none
-	Log     *slog.Logger
+	Name           string           // replica name
+	Wall           func() time.Time // returns the time of the wall clock
+	InjectedDefect string           // defect injected by the lab; empty for none
+	Log            *slog.Logger
 }
 
 // New creates the routes API of a replica. It serves requests once its handlers are registered with Handle.
 func New(server *listserver.Server, list stateReader, replicated replica, c Config) *Routing {
-	return &Routing{server: server, list: list, replica: replicated, log: c.Log, name: c.Name, opened: time.Now(), wall: c.Wall,
-		defect: Defect(c.Planted), tables: newTables(Defect(c.Planted)), rules: operators.NewValidator(),
+	return &Routing{server: server, list: list, replica: replicated, log: c.Log, name: c.Name, createdAt: time.Now(), wall: c.Wall,
+		defect: Defect(c.InjectedDefect), tables: newTables(Defect(c.InjectedDefect)), rules: operators.NewValidator(),
 		reportCalls: make(chan reportCall, maxWaitingCalls), budgetCalls: make(chan budgetCall, maxWaitingCalls), changing: make(chan struct{}, 1),
 		admit: listserver.NewTokenBucket(server.Options().Burst)}
 }
--- a/internal/registry/routeleader/routing_test.go
+++ b/internal/registry/routeleader/routing_test.go
@@ -76,5 +76,5 @@
 	require.NotNil(t, l)
 	assert.Equal(t, withClockMargin(3_600_000, 0.02), l.decisionsFrom.Sub(l.startedAt))
 	r.decide(l)
-	replicated.Read(func(s *state.State) { assert.EqualValues(t, 3_600_000, s.MaxLeaseTermMS, "the leader decided too early") })
+	replicated.Read(func(s *state.State) { assert.EqualValues(t, 3_600_000, s.MaxLeaseTermMS, "decided too early") })
 }
--- a/internal/registry/routeleader/tables.go
+++ b/internal/registry/routeleader/tables.go
@@ -62,12 +62,12 @@
 }
 
 const (
-	maxMoments           = 4096 // commit and close times kept in memory
+	maxMoments           = 4096 // maximum number of commit and close times kept in memory
 	maxSchemasPerProcess = 16   // maximum number of schemas that a process may name
 )
 
-func newTables(planted Defect) *tables {
-	t := &tables{defect: planted, proposed: map[*proposal]bool{}}
+func newTables(defect Defect) *tables {
+	t := &tables{defect: defect, proposed: map[*proposal]bool{}}
 	t.tail = t.newNode(0, route.Table{})
 	return t
 }
--- a/internal/registry/routeleader/views.go
+++ b/internal/registry/routeleader/views.go
@@ -144,7 +144,7 @@
 	now := time.Now()
 	committed, closed := r.tables.commitAndCloseTimes(rev)
 	q := audit.Query{Rev: rev, From: leaderMS(from), To: leaderMS(to), CommittedAt: math.MinInt64, ClosedKnown: !closed.IsZero(), Now: l.ceil(now),
-		Slack: ClockSlackMS, ClockAhead: l.ceil(r.opened)}
+		Slack: ClockSlackMS, ClockAhead: l.ceil(r.createdAt)}
 	if !committed.IsZero() {
 		q.CommittedAt = l.floor(committed)
 	}
