--- a/internal/registry/recover_test.go
+++ b/internal/registry/recover_test.go
@@ -96,10 +96,10 @@
 		says string
 	}{
 		"0 bytes":  {func(dir string) error { return os.Truncate(filepath.Join(dir, storage.StoreFile), 0) }, "the file is empty"},
-		"no store": {func(dir string) error { return os.Remove(filepath.Join(dir, storage.StoreFile)) }, "is not there"},
+		"no store": {func(dir string) error { return os.Remove(filepath.Join(dir, storage.StoreFile)) }, "the file is missing"},
 		"a folder for a store": {func(dir string) error {
 			return errors.Join(os.Remove(filepath.Join(dir, storage.StoreFile)), os.Mkdir(filepath.Join(dir, storage.StoreFile), 0o755))
-		}, "is no file"},
+		}, "not a regular file"},
 		"a hole": {change(func(tx *bolt.Tx) error {
 			k, _ := tx.Bucket([]byte("log")).Cursor().Last()
 			return tx.Bucket([]byte("log")).Delete(bigEndian(binary.BigEndian.Uint64(k) - 1))
@@ -109,7 +109,7 @@
 			v = bytes.Clone(v)
 			v[len(v)/2] ^= 4
 			return tx.Bucket([]byte("log")).Put(k, v)
-		}), "another checksum"},
+		}), "checksum mismatch"},
 		"a lost term": {change(func(tx *bolt.Tx) error {
 			return tx.Bucket([]byte("values")).Delete([]byte("CurrentTerm"))
 		}), "CurrentTerm: is 0"},
@@ -244,12 +244,12 @@
 	put(t, one, "s1", 1, 0)
 	_, backup := call(t, "GET", one.cfg.Listen, "/registry/snapshot", "")
 	before := one.node.Server().Status().Rev
-	assert.Len(t, recovery.OldCopies(one.cfg.Endpoints(), time.Second), 2, "its own address, and as a peer")
+	assert.Len(t, recovery.RunningReplicas(one.cfg.Endpoints(), time.Second), 2, "its own address, and as a peer")
 	one.end(t)
-	assert.Empty(t, recovery.OldCopies(one.cfg.Endpoints(), time.Second))
+	assert.Empty(t, recovery.RunningReplicas(one.cfg.Endpoints(), time.Second))
 	now := time.Now()
 	_, err := recovery.Restore(strings.NewReader(backup), one.cfg.RecoveryTarget(), 0, now.Add(time.Hour))
-	assert.ErrorIs(t, err, recovery.ErrHasState)
+	assert.ErrorIs(t, err, recovery.ErrDirNotEmpty)
 	cfg := one.cfg
 	cfg.Name, cfg.Raft, cfg.Peers, cfg.Listen = "n0", freePort(t), nil, freePort(t)
 	cfg.Dir = filepath.Join(t.TempDir(), "n0")
@@ -270,7 +270,7 @@
 	assert.Greater(t, out.Epoch, state.EpochOf(seen))
 	assert.NoDirExists(t, left)
 	_, err = recovery.Restore(strings.NewReader(backup), cfg.RecoveryTarget(), seen, now)
-	assert.ErrorIs(t, err, recovery.ErrHasState)
+	assert.ErrorIs(t, err, recovery.ErrDirNotEmpty)
 	found, err := recovery.Verify(cfg.Dir)
 	require.NoError(t, err)
 	assert.True(t, found.Sound())
