--- a/internal/registry/config.go
+++ b/internal/registry/config.go
@@ -125,7 +125,7 @@
 		return errors.New("watches_per_s: watches_per_s or watch_burst is negative")
 	case c.MaxExpiredFraction < 0 || c.MaxExpiredFraction > 1:
 		return errors.New("hold_share: is not between 0 and 1")
-	case !routeleader.Defect(c.InjectedDefect).Known():
+	case !routeleader.Defect(c.InjectedDefect).Valid():
 		return fmt.Errorf("lab_route_defect: %q is not one of %v", c.InjectedDefect, routeleader.Defects())
 	case c.Join && len(c.Peers) > 0:
 		return errors.New("join: must not be combined with peers, which a joining replica receives from the leader")
