--- a/internal/registry/state/state.go
+++ b/internal/registry/state/state.go
@@ -356,7 +356,7 @@
 	Items   []*entryRecord    `json:"items"`
 	Members map[string]string `json:"members"`
 
-	// Since form 2.
+	// The following fields exist since version 2 of the format.
 	Routes json.RawMessage `json:"routes,omitempty"`
 	Audit  json.RawMessage `json:"audit,omitempty"`
 	Seen   []SchemaSupport `json:"seen,omitempty"`
--- a/internal/registry/supervisor.go
+++ b/internal/registry/supervisor.go
@@ -178,7 +178,7 @@
 		if planted != nil {
 			return planted
 		}
-		return writeSyncRemove(filepath.Join(dir, storage.StoreFile+storage.TempSuffix)) // truncates one left by a crash
+		return writeSyncRemove(filepath.Join(dir, storage.StoreFile+storage.TempSuffix)) // a start deletes one left by a crash
 	})
 	if err != nil {
 		return fmt.Errorf("test write in %s: %w", dir, err)
