--- a/architecture_test.go
+++ b/architecture_test.go
@@ -1,4 +1,4 @@
-// Package marblelane has no code: this file tests how the packages below it depend on each other.
+// Package marblelane contains no code. Its test checks the dependencies between the packages of the module.
 package marblelane
 
 import (
@@ -9,8 +9,8 @@
 
 const modulePath = "marblelane/"
 
-// layers are the packages of the module from the bottom up, each line a layer. A package imports packages of lower
-// layers only. A name that ends with /... stands for a package and all below it, which may import each other.
+// layers lists the packages of the module by layer, lowest layer first. A package may only import packages of lower
+// layers. An entry that ends with /... covers a package and all packages below it, which may import each other.
 var layers = [][]string{
 	{"balance", "internal/tomlfile", "internal/streamlimit", "internal/retry", "internal/knownfailures",
 		"internal/fsys", "internal/membership/roster", "internal/statekey", "internal/wallclock"},
@@ -38,12 +38,13 @@
 	{"cmd/sidecar", "cmd/adapter", "cmd/marblelane", "cmd/cicheck"},
 }
 
-// layerOf gives the layer of a package, and the entry of layers that it belongs to; -1: it is in none.
-func layerOf(name string) (number int, entry string) {
+// layerOf returns the index of a package's layer and the entry of that layer that the package belongs to. The index is
+// -1 for a package that is in no layer.
+func layerOf(name string) (index int, entry string) {
 	for i, layer := range layers {
 		for _, e := range layer {
-			tree, isTree := strings.CutSuffix(e, "/...")
-			if name == e || isTree && (name == tree || strings.HasPrefix(name, tree+"/")) {
+			parent, isSubtree := strings.CutSuffix(e, "/...")
+			if name == e || isSubtree && (name == parent || strings.HasPrefix(name, parent+"/")) {
 				return i, e
 			}
 		}
@@ -51,14 +52,14 @@
 	return -1, ""
 }
 
-func TestImportsPointDown(t *testing.T) {
+func TestPackages_importLowerLayersOnly(t *testing.T) {
 	out, err := exec.Command("go", "list", "-f", "{{.ImportPath}}{{range .Imports}} {{.}}{{end}}", "./...").Output()
 	if err != nil {
 		t.Fatalf("go list: %v", err)
 	}
 	packages := strings.Split(strings.TrimSpace(string(out)), "\n")
 	if len(packages) < len(layers) {
-		t.Fatalf("go list names %d packages", len(packages))
+		t.Fatalf("go list: %d packages, want at least %d", len(packages), len(layers))
 	}
 	for _, line := range packages {
 		fields := strings.Fields(line)
@@ -68,15 +69,15 @@
 		}
 		layer, entry := layerOf(name)
 		if layer < 0 {
-			t.Errorf("%s is in no layer", name)
+			t.Errorf("%s is not assigned to a layer", name)
 		}
 		for _, imported := range fields[1:] {
-			lower, ours := strings.CutPrefix(imported, modulePath)
-			if !ours {
+			importedName, inModule := strings.CutPrefix(imported, modulePath)
+			if !inModule {
 				continue
 			}
-			if l, e := layerOf(lower); l > layer || l == layer && e != entry {
-				t.Errorf("%s (layer %d) imports %s (layer %d)", name, layer, lower, l)
+			if l, e := layerOf(importedName); l > layer || l == layer && e != entry {
+				t.Errorf("%s (layer %d) imports %s (layer %d)", name, layer, importedName, l)
 			}
 		}
 	}
--- a/cmd/cicheck/main_test.go
+++ b/cmd/cicheck/main_test.go
@@ -8,7 +8,7 @@
 )
 
 func TestRun(t *testing.T) {
-	const good = "fleet.TestA | go test -run TestA ./... | late | issue 1\n"
+	const validEntry = "fleet.TestA | go test -run TestA ./... | late | issue 1\n"
 	for _, test := range []struct {
 		name    string
 		list    string
@@ -16,14 +16,14 @@
 		status  int
 		want    string // in the error output
 	}{
-		{"no command", good, nil, statusUsage, "usage: cicheck LIST go test"},
-		{"a malformed line", good + "fleet.TestB\n", []string{"go", "test", "./..."}, statusUsage, "KNOWN-RED.txt:2: 1 fields, want"},
+		{"no command", validEntry, nil, statusUsage, "usage: cicheck LIST go test"},
+		{"a malformed line", validEntry + "fleet.TestB\n", []string{"go", "test", "./..."}, statusUsage, "KNOWN-RED.txt:2: 1 fields, want"},
 		{
 			"the form with a cause", "fleet.TestA | cause | issue 1\n", []string{"go", "test", "./..."}, statusUsage,
 			"KNOWN-RED.txt:1: 3 fields, want `import/path.TestName | command and seed | what was seen | issue NUMBER`",
 		},
-		{"not go test", good, []string{"true", "test", "./..."}, statusFailed, "is not of the form `go test [flags] packages`"},
-		{"no such test", good, []string{"go", "test", "marblelane/cmd/cicheck/absent"}, statusFailed, "failures that"},
+		{"not go test", validEntry, []string{"true", "test", "./..."}, statusFailed, "is not of the form `go test [flags] packages`"},
+		{"no such test", validEntry, []string{"go", "test", "marblelane/cmd/cicheck/absent"}, statusFailed, "failures that"},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			list := filepath.Join(t.TempDir(), "KNOWN-RED.txt")
@@ -59,11 +59,11 @@
 		t.Fatal(err)
 	}
 	var out, errOut strings.Builder
-	const quickPackage = "marblelane/internal/fault"
-	if status := run(t.Context(), []string{list, "go", "test", quickPackage}, &out, &errOut); status != statusPassed {
+	const testedPackage = "marblelane/internal/fault"
+	if status := run(t.Context(), []string{list, "go", "test", testedPackage}, &out, &errOut); status != statusPassed {
 		t.Errorf("status %d: %s%s", status, &out, &errOut)
 	}
-	if !strings.Contains(out.String(), "ok  \t"+quickPackage+"\t") {
+	if !strings.Contains(out.String(), "ok  \t"+testedPackage+"\t") {
 		t.Errorf("no closing line in %q", &out)
 	}
 }
--- a/internal/knownfailures/entry.go
+++ b/internal/knownfailures/entry.go
@@ -24,8 +24,8 @@
 const maxObservedLength = 200
 
 var (
-	testForm  = regexp.MustCompile(`^([^\s:]+)\.((?:Test|Fuzz|Example)[\pL\pN_]*)$`)
-	issueForm = regexp.MustCompile(`^issue [1-9][0-9]*$`)
+	testIDPattern = regexp.MustCompile(`^([^\s:]+)\.((?:Test|Fuzz|Example)[\pL\pN_]*)$`)
+	issuePattern  = regexp.MustCompile(`^issue [1-9][0-9]*$`)
 )
 
 // TestID names a top-level test of a package.
@@ -66,18 +66,18 @@
 	if err := checkObserved(entry.Observed); err != nil {
 		return Entry{}, err
 	}
-	if !issueForm.MatchString(entry.Issue) {
+	if !issuePattern.MatchString(entry.Issue) {
 		return Entry{}, fmt.Errorf("%q is not of the form `issue NUMBER`", entry.Issue)
 	}
 	return entry, nil
 }
 
 func parseTestID(text string) (TestID, error) {
-	parts := testForm.FindStringSubmatch(text)
-	if parts == nil {
+	match := testIDPattern.FindStringSubmatch(text)
+	if match == nil {
 		return TestID{}, fmt.Errorf("%q is not of the form import/path.TestName", text)
 	}
-	return TestID{Package: parts[1], Name: parts[2]}, nil
+	return TestID{Package: match[1], Name: match[2]}, nil
 }
 
 // checkCommand requires a `go test` command that names the test or its package.
--- a/internal/knownfailures/evaluator.go
+++ b/internal/knownfailures/evaluator.go
@@ -14,12 +14,12 @@
 // evaluator reads the events of a `go test -json` run, prints them as `go test` prints without -json, and collects the
 // failures that the list does not cover.
 type evaluator struct {
-	list      *List
-	out       io.Writer
-	packages  map[string]*packageRun // by import path
-	ended     []*packageRun          // in the order in which they ended
-	summary   []string               // the closing lines of the packages
-	uncovered []string               // failures that cannot be passed over
+	list               *List
+	out                io.Writer
+	packages           map[string]*packageRun // by import path
+	endedPackages      []*packageRun          // in the order in which they ended
+	summaryLines       []string               // the closing lines of the packages
+	unexpectedFailures []string               // failures that cannot be passed over
 }
 
 // newEvaluator evaluates a run by the list and prints to out.
@@ -33,7 +33,7 @@
 	for {
 		line, err := lines.ReadBytes('\n')
 		if len(line) > 0 {
-			ev.readLine(line)
+			ev.handleLine(line)
 		}
 		if errors.Is(err, io.EOF) {
 			return nil
@@ -44,18 +44,18 @@
 	}
 }
 
-func (ev *evaluator) readLine(line []byte) {
+func (ev *evaluator) handleLine(line []byte) {
 	var e event
 	if err := json.Unmarshal(line, &e); err != nil || e.Action == "" {
 		text := strings.TrimSpace(string(line))
 		fmt.Fprintln(ev.out, text)
-		ev.addFailure("go test printed a line that is not an event: %q", text)
+		ev.addUnexpectedFailure("go test printed a line that is not an event: %q", text)
 		return
 	}
-	ev.handle(&e)
+	ev.handleEvent(&e)
 }
 
-func (ev *evaluator) handle(e *event) {
+func (ev *evaluator) handleEvent(e *event) {
 	if e.Action == actionBuildOutput {
 		fmt.Fprint(ev.out, e.Output)
 		return
@@ -63,23 +63,23 @@
 	if e.Package == "" {
 		return
 	}
-	p := ev.packageRun(e.Package)
+	p := ev.packageRunFor(e.Package)
 	switch e.Action {
 	case actionRun:
-		p.startTest(e)
+		p.recordTestStart(e)
 	case actionOutput:
-		p.addOutput(e)
+		p.recordOutput(e)
 	case actionPass, actionFail, actionSkip:
 		if e.Test == "" {
-			ev.endPackage(p, e)
+			ev.recordPackageEnd(p, e)
 		} else {
-			p.endTest(e)
+			p.recordTestEnd(e)
 		}
 	}
 }
 
-// packageRun is the state of a package, which is added at its first event.
-func (ev *evaluator) packageRun(importPath string) *packageRun {
+// packageRunFor is the state of a package, which is added at its first event.
+func (ev *evaluator) packageRunFor(importPath string) *packageRun {
 	p := ev.packages[importPath]
 	if p == nil {
 		p = newPackageRun(importPath)
@@ -88,11 +88,11 @@
 	return p
 }
 
-// endPackage records the result of a package, prints it, and checks its failures.
-func (ev *evaluator) endPackage(p *packageRun, e *event) {
-	p.result = resultOf(e.Action)
+// recordPackageEnd records the result of a package, prints it, and checks its failures.
+func (ev *evaluator) recordPackageEnd(p *packageRun, e *event) {
+	p.result = resultOfAction(e.Action)
 	p.failedBuild = e.FailedBuild
-	ev.ended = append(ev.ended, p)
+	ev.endedPackages = append(ev.endedPackages, p)
 	if p.result == failed {
 		for _, line := range p.failureOutput() {
 			fmt.Fprint(ev.out, line)
@@ -101,51 +101,51 @@
 	}
 	for _, line := range p.summaryLines() {
 		fmt.Fprint(ev.out, line)
-		ev.addSummary(line)
+		ev.addSummaryLine(line)
 	}
 	p.output = nil
 }
 
-// addSummary keeps a line for the end of the report if it is the closing one of a package.
-func (ev *evaluator) addSummary(line string) {
+// addSummaryLine keeps a line for the end of the report if it is the closing one of a package.
+func (ev *evaluator) addSummaryLine(line string) {
 	if isSummary(line) {
-		ev.summary = append(ev.summary, line)
+		ev.summaryLines = append(ev.summaryLines, line)
 	}
 }
 
 // checkFailedPackage records each failure of a package that is not the failure of a listed test.
 func (ev *evaluator) checkFailedPackage(p *packageRun) {
 	if p.failedBuild != "" {
-		ev.addFailure("%s does not build", p.importPath)
+		ev.addUnexpectedFailure("%s does not build", p.importPath)
 		return
 	}
-	failedTests := p.testsWith(failed)
+	failedTests := p.testsWithResult(failed)
 	for _, name := range failedTests {
 		if test := (TestID{p.importPath, name}); !ev.list.contains(test) {
-			ev.addFailure("%s failed and is not listed", test)
+			ev.addUnexpectedFailure("%s failed and is not listed", test)
 		}
 	}
-	for _, name := range p.testsWith(unfinished) {
-		ev.addFailure("%s did not finish", TestID{p.importPath, name})
+	for _, name := range p.testsWithResult(unfinished) {
+		ev.addUnexpectedFailure("%s did not finish", TestID{p.importPath, name})
 	}
-	if p.dataRace {
-		ev.addFailure("%s reports a data race", p.importPath)
+	if p.raceReported {
+		ev.addUnexpectedFailure("%s reports a data race", p.importPath)
 	}
 	switch {
 	case len(failedTests) == 0:
-		ev.addFailure("%s failed outside its tests", p.importPath)
-	case !p.testsFinished || p.panicked:
-		ev.addFailure("%s ended before its tests had finished", p.importPath)
+		ev.addUnexpectedFailure("%s failed outside its tests", p.importPath)
+	case !p.failLineSeen || p.panickedOutsideTests:
+		ev.addUnexpectedFailure("%s ended before its tests had finished", p.importPath)
 	}
 }
 
-func (ev *evaluator) addFailure(format string, args ...any) {
-	ev.uncovered = append(ev.uncovered, fmt.Sprintf(format, args...))
+func (ev *evaluator) addUnexpectedFailure(format string, args ...any) {
+	ev.unexpectedFailures = append(ev.unexpectedFailures, fmt.Sprintf(format, args...))
 }
 
-// checkRun is called with the exit status of `go test` once all events are read. It records the failures that no single
+// checkWholeRun is called with the exit status of `go test` once all events are read. It records the failures that no single
 // package shows.
-func (ev *evaluator) checkRun(exitStatus int) {
+func (ev *evaluator) checkWholeRun(exitStatus int) {
 	startedTests, failedPackages := 0, 0
 	for _, importPath := range slices.Sorted(maps.Keys(ev.packages)) {
 		p := ev.packages[importPath]
@@ -154,50 +154,50 @@
 		case failed:
 			failedPackages++
 		case unfinished:
-			ev.addFailure("%s did not finish", importPath)
+			ev.addUnexpectedFailure("%s did not finish", importPath)
 		}
 	}
 	if startedTests == 0 {
-		ev.addFailure("no test ran")
+		ev.addUnexpectedFailure("no test ran")
 	}
 	// go test exits with 0 if all packages pass, with 1 if some fail, and with another status if it could not run them.
 	if expected := min(failedPackages, 1); exitStatus != expected {
-		ev.addFailure("go test exited with status %d, and %d packages failed", exitStatus, failedPackages)
+		ev.addUnexpectedFailure("go test exited with status %d, and %d packages failed", exitStatus, failedPackages)
 	}
 	for _, entry := range ev.list.Entries {
-		ev.checkEntry(entry)
+		ev.checkEntryRan(entry)
 	}
 }
 
-// checkEntry records a listed test that does not exist or did not run.
-func (ev *evaluator) checkEntry(entry Entry) {
+// checkEntryRan records a listed test that does not exist or did not run.
+func (ev *evaluator) checkEntryRan(entry Entry) {
 	p := ev.packages[entry.Test.Package]
 	switch {
 	case p == nil:
-		ev.addFailure("%s:%d: no package %s was tested", ev.list.File, entry.Line, entry.Test.Package)
-	case ev.resultOfTest(entry.Test) == unfinished && p.failedBuild == "":
-		ev.addFailure("%s:%d: no test %s ran to completion", ev.list.File, entry.Line, entry.Test)
-	case ev.resultOfTest(entry.Test) == skipped:
-		ev.addFailure("%s:%d: %s was skipped: a listed test has to run", ev.list.File, entry.Line, entry.Test)
+		ev.addUnexpectedFailure("%s:%d: no package %s was tested", ev.list.File, entry.Line, entry.Test.Package)
+	case ev.testResult(entry.Test) == unfinished && p.failedBuild == "":
+		ev.addUnexpectedFailure("%s:%d: no test %s ran to completion", ev.list.File, entry.Line, entry.Test)
+	case ev.testResult(entry.Test) == skipped:
+		ev.addUnexpectedFailure("%s:%d: %s was skipped: a listed test has to run", ev.list.File, entry.Line, entry.Test)
 	}
 }
 
-// resultOfTest is the result of a test, unfinished if it did not run.
-func (ev *evaluator) resultOfTest(test TestID) result {
+// testResult is the result of a test, unfinished if it did not run.
+func (ev *evaluator) testResult(test TestID) result {
 	if p := ev.packages[test.Package]; p != nil {
 		return p.tests[test.Name]
 	}
 	return unfinished
 }
 
-// passedOver has the import paths of the packages in which only listed tests failed, in the order in which they ended. It
+// packagesWithKnownFailures has the import paths of the packages in which only listed tests failed, in the order in which they ended. It
 // has none if the run fails anyway.
-func (ev *evaluator) passedOver() []string {
-	if len(ev.uncovered) > 0 {
+func (ev *evaluator) packagesWithKnownFailures() []string {
+	if len(ev.unexpectedFailures) > 0 {
 		return nil
 	}
 	var importPaths []string
-	for _, p := range ev.ended {
+	for _, p := range ev.endedPackages {
 		if p.result == failed {
 			importPaths = append(importPaths, p.importPath)
 		}
--- a/internal/knownfailures/evaluator_test.go
+++ b/internal/knownfailures/evaluator_test.go
@@ -7,10 +7,10 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-const listed = "fleet/lease.TestListed | go test -run TestListed ./... | the lease outlives its holder | issue 22\n"
+const listedEntry = "fleet/lease.TestListed | go test -run TestListed ./... | the lease outlives its holder | issue 22\n"
 
-// evaluate evaluates a run by a list, and returns what is printed and the error of the report.
-func evaluate(t *testing.T, list string, s *eventStream, exitStatus int) (ev *evaluator, printed string, err error) {
+// evaluateEvents evaluates a run by a list, and returns what is printed and the error of the report.
+func evaluateEvents(t *testing.T, list string, s *eventStream, exitStatus int) (ev *evaluator, printed string, err error) {
 	t.Helper()
 	parsed, err := ParseList("KNOWN-RED.txt", strings.NewReader(list))
 	if err != nil {
@@ -21,7 +21,7 @@
 	if err := ev.readEvents(strings.NewReader(s.text.String())); err != nil {
 		t.Fatal(err)
 	}
-	ev.checkRun(exitStatus)
+	ev.checkWholeRun(exitStatus)
 	err = ev.report()
 	return ev, out.String(), err
 }
@@ -38,134 +38,134 @@
 	}{
 		{
 			name:   "all pass and none is listed",
-			events: func(s *eventStream) { s.test(pkg, "TestA", "pass").passed(pkg) },
+			events: func(s *eventStream) { s.addTest(pkg, "TestA", "pass").addPassedPackage(pkg) },
 		},
 		{
 			name: "a listed test fails",
-			list: listed,
+			list: listedEntry,
 			events: func(s *eventStream) {
-				s.test(pkg, "TestA", "pass").test(pkg, "TestListed", "fail").failed(pkg)
-				s.test("fleet/quorum", "TestQ", "pass").passed("fleet/quorum")
+				s.addTest(pkg, "TestA", "pass").addTest(pkg, "TestListed", "fail").addFailedPackage(pkg)
+				s.addTest("fleet/quorum", "TestQ", "pass").addPassedPackage("fleet/quorum")
 			},
 			exitStatus: 1,
 			rerun:      []string{pkg},
 		},
 		{
 			name: "a listed test fails in a subtest",
-			list: listed,
+			list: listedEntry,
 			events: func(s *eventStream) {
-				s.startTest(pkg, "TestListed").test(pkg, "TestListed/late", "fail").test(pkg, "TestListed/early", "pass")
-				s.endTest(pkg, "TestListed", "fail").failed(pkg)
+				s.addTestStart(pkg, "TestListed").addTest(pkg, "TestListed/late", "fail").addTest(pkg, "TestListed/early", "pass")
+				s.addTestEnd(pkg, "TestListed", "fail").addFailedPackage(pkg)
 			},
 			exitStatus: 1,
 			rerun:      []string{pkg},
 		},
 		{
 			name:   "a listed test passes",
-			list:   listed,
-			events: func(s *eventStream) { s.test(pkg, "TestListed", "pass").passed(pkg) },
+			list:   listedEntry,
+			events: func(s *eventStream) { s.addTest(pkg, "TestListed", "pass").addPassedPackage(pkg) },
 		},
 		{
 			name:      "a listed test is skipped",
-			list:      listed,
-			events:    func(s *eventStream) { s.test(pkg, "TestListed", "skip").passed(pkg) },
+			list:      listedEntry,
+			events:    func(s *eventStream) { s.addTest(pkg, "TestListed", "skip").addPassedPackage(pkg) },
 			uncovered: []string{"KNOWN-RED.txt:1: fleet/lease.TestListed was skipped: a listed test has to run"},
 		},
 		{
 			name: "a listed test fails once of two times",
-			list: listed,
+			list: listedEntry,
 			events: func(s *eventStream) {
-				s.test(pkg, "TestListed", "fail").test(pkg, "TestListed", "pass").failed(pkg)
+				s.addTest(pkg, "TestListed", "fail").addTest(pkg, "TestListed", "pass").addFailedPackage(pkg)
 			},
 			exitStatus: 1,
 			rerun:      []string{pkg},
 		},
 		{
 			name:       "another test fails and none is listed",
-			events:     func(s *eventStream) { s.test(pkg, "TestA", "fail").failed(pkg) },
+			events:     func(s *eventStream) { s.addTest(pkg, "TestA", "fail").addFailedPackage(pkg) },
 			exitStatus: 1,
 			uncovered:  []string{"fleet/lease.TestA failed and is not listed"},
 		},
 		{
 			name: "another test fails beside a listed one",
-			list: listed,
+			list: listedEntry,
 			events: func(s *eventStream) {
-				s.test(pkg, "TestListed", "fail").test(pkg, "TestA", "fail").failed(pkg)
+				s.addTest(pkg, "TestListed", "fail").addTest(pkg, "TestA", "fail").addFailedPackage(pkg)
 			},
 			exitStatus: 1,
 			uncovered:  []string{"fleet/lease.TestA failed and is not listed"},
 		},
 		{
 			name: "another test fails beside two listed ones",
-			list: listed + "fleet/lease.TestListed2 | go test fleet/lease | late | issue 23\n",
+			list: listedEntry + "fleet/lease.TestListed2 | go test fleet/lease | late | issue 23\n",
 			events: func(s *eventStream) {
-				s.test(pkg, "TestListed", "fail").test(pkg, "TestListed2", "fail").test(pkg, "TestA", "fail").failed(pkg)
+				s.addTest(pkg, "TestListed", "fail").addTest(pkg, "TestListed2", "fail").addTest(pkg, "TestA", "fail").addFailedPackage(pkg)
 			},
 			exitStatus: 1,
 			uncovered:  []string{"fleet/lease.TestA failed and is not listed"},
 		},
 		{
 			name: "a test with a listed name as prefix fails",
-			list: listed,
+			list: listedEntry,
 			events: func(s *eventStream) {
-				s.test(pkg, "TestListed", "pass").test(pkg, "TestListedToo", "fail").failed(pkg)
+				s.addTest(pkg, "TestListed", "pass").addTest(pkg, "TestListedToo", "fail").addFailedPackage(pkg)
 			},
 			exitStatus: 1,
 			uncovered:  []string{"fleet/lease.TestListedToo failed and is not listed"},
 		},
 		{
 			name: "a test with a listed name fails in another package",
-			list: listed,
+			list: listedEntry,
 			events: func(s *eventStream) {
-				s.test(pkg, "TestListed", "pass").passed(pkg)
-				s.test("fleet/quorum", "TestListed", "fail").failed("fleet/quorum")
+				s.addTest(pkg, "TestListed", "pass").addPassedPackage(pkg)
+				s.addTest("fleet/quorum", "TestListed", "fail").addFailedPackage("fleet/quorum")
 			},
 			exitStatus: 1,
 			uncovered:  []string{"fleet/quorum.TestListed failed and is not listed"},
 		},
 		{
 			name: "the package of a listed test does not build",
-			list: listed,
+			list: listedEntry,
 			events: func(s *eventStream) {
-				s.add(event{Action: actionBuildOutput, Output: "lease.go:3: undefined: x\n"})
-				s.output(pkg, "", "FAIL\t"+pkg+" [build failed]\n")
-				s.add(event{Action: actionFail, Package: pkg, FailedBuild: pkg})
-				s.test("fleet/quorum", "TestQ", "pass").passed("fleet/quorum")
+				s.addEvent(event{Action: actionBuildOutput, Output: "lease.go:3: undefined: x\n"})
+				s.addOutput(pkg, "", "FAIL\t"+pkg+" [build failed]\n")
+				s.addEvent(event{Action: actionFail, Package: pkg, FailedBuild: pkg})
+				s.addTest("fleet/quorum", "TestQ", "pass").addPassedPackage("fleet/quorum")
 			},
 			exitStatus: 1,
 			uncovered:  []string{"fleet/lease does not build"},
 		},
 		{
 			name:       "a check after the tests fails",
-			events:     func(s *eventStream) { s.test(pkg, "TestA", "pass").aborted(pkg) },
+			events:     func(s *eventStream) { s.addTest(pkg, "TestA", "pass").addAbortedPackage(pkg) },
 			exitStatus: 1,
 			uncovered:  []string{"fleet/lease failed outside its tests"},
 		},
 		{
 			name: "a check after the tests fails and a listed test passed",
-			list: listed,
+			list: listedEntry,
 			events: func(s *eventStream) {
-				s.test(pkg, "TestListed", "pass").output(pkg, "", "PASS\n").aborted(pkg)
+				s.addTest(pkg, "TestListed", "pass").addOutput(pkg, "", "PASS\n").addAbortedPackage(pkg)
 			},
 			exitStatus: 1,
 			uncovered:  []string{"fleet/lease failed outside its tests"},
 		},
 		{
 			name: "a listed test panics",
-			list: listed,
+			list: listedEntry,
 			events: func(s *eventStream) {
-				s.startTest(pkg, "TestListed").output(pkg, "TestListed", "--- FAIL: TestListed (0.00s)\n")
-				s.output(pkg, "TestListed", "panic: boom [recovered, repanicked]\n")
-				s.add(event{Action: actionFail, Package: pkg, Test: "TestListed"}).aborted(pkg)
+				s.addTestStart(pkg, "TestListed").addOutput(pkg, "TestListed", "--- FAIL: TestListed (0.00s)\n")
+				s.addOutput(pkg, "TestListed", "panic: boom [recovered, repanicked]\n")
+				s.addEvent(event{Action: actionFail, Package: pkg, Test: "TestListed"}).addAbortedPackage(pkg)
 			},
 			exitStatus: 1,
 			uncovered:  []string{"fleet/lease ended before its tests had finished"},
 		},
 		{
 			name: "a goroutine of a listed test panics",
-			list: listed,
+			list: listedEntry,
 			events: func(s *eventStream) {
-				s.startTest(pkg, "TestListed").output(pkg, "TestListed", "panic: boom\n").aborted(pkg)
+				s.addTestStart(pkg, "TestListed").addOutput(pkg, "TestListed", "panic: boom\n").addAbortedPackage(pkg)
 			},
 			exitStatus: 1,
 			uncovered: []string{
@@ -176,19 +176,19 @@
 		},
 		{
 			name: "the process panics after its tests",
-			list: listed,
+			list: listedEntry,
 			events: func(s *eventStream) {
-				s.test(pkg, "TestListed", "fail").output(pkg, "", "FAIL\n").output(pkg, "", "panic: late\n").aborted(pkg)
+				s.addTest(pkg, "TestListed", "fail").addOutput(pkg, "", "FAIL\n").addOutput(pkg, "", "panic: late\n").addAbortedPackage(pkg)
 			},
 			exitStatus: 1,
 			uncovered:  []string{"fleet/lease ended before its tests had finished"},
 		},
 		{
 			name: "the time limit ends another test after a listed one failed",
-			list: listed,
+			list: listedEntry,
 			events: func(s *eventStream) {
-				s.test(pkg, "TestListed", "fail").startTest(pkg, "TestSlow")
-				s.output(pkg, "TestSlow", "panic: test timed out after 10m0s\n").aborted(pkg)
+				s.addTest(pkg, "TestListed", "fail").addTestStart(pkg, "TestSlow")
+				s.addOutput(pkg, "TestSlow", "panic: test timed out after 10m0s\n").addAbortedPackage(pkg)
 			},
 			exitStatus: 1,
 			uncovered: []string{
@@ -198,67 +198,67 @@
 		},
 		{
 			name: "a listed test reports a race",
-			list: listed,
+			list: listedEntry,
 			events: func(s *eventStream) {
-				s.startTest(pkg, "TestListed").output(pkg, "TestListed", "WARNING: DATA RACE\n")
-				s.endTest(pkg, "TestListed", "fail").failed(pkg)
+				s.addTestStart(pkg, "TestListed").addOutput(pkg, "TestListed", "WARNING: DATA RACE\n")
+				s.addTestEnd(pkg, "TestListed", "fail").addFailedPackage(pkg)
 			},
 			exitStatus: 1,
 			uncovered:  []string{"fleet/lease reports a data race"},
 		},
 		{
 			name: "a race is reported outside the tests",
-			list: listed,
+			list: listedEntry,
 			events: func(s *eventStream) {
-				s.test(pkg, "TestListed", "fail").output(pkg, "", "WARNING: DATA RACE\n").failed(pkg)
+				s.addTest(pkg, "TestListed", "fail").addOutput(pkg, "", "WARNING: DATA RACE\n").addFailedPackage(pkg)
 			},
 			exitStatus: 1,
 			uncovered:  []string{"fleet/lease reports a data race"},
 		},
 		{
 			name:      "a listed test does not exist",
-			list:      listed,
-			events:    func(s *eventStream) { s.test(pkg, "TestA", "pass").passed(pkg) },
+			list:      listedEntry,
+			events:    func(s *eventStream) { s.addTest(pkg, "TestA", "pass").addPassedPackage(pkg) },
 			uncovered: []string{"KNOWN-RED.txt:1: no test fleet/lease.TestListed ran to completion"},
 		},
 		{
 			name:      "the package of a listed test does not exist",
-			list:      "# c\n" + listed,
-			events:    func(s *eventStream) { s.test("fleet/quorum", "TestQ", "pass").passed("fleet/quorum") },
+			list:      "# c\n" + listedEntry,
+			events:    func(s *eventStream) { s.addTest("fleet/quorum", "TestQ", "pass").addPassedPackage("fleet/quorum") },
 			uncovered: []string{"KNOWN-RED.txt:2: no package fleet/lease was tested"},
 		},
 		{
 			name:       "go test fails with no failed package",
-			events:     func(s *eventStream) { s.test(pkg, "TestA", "pass").passed(pkg) },
+			events:     func(s *eventStream) { s.addTest(pkg, "TestA", "pass").addPassedPackage(pkg) },
 			exitStatus: 1,
 			uncovered:  []string{"go test exited with status 1, and 0 packages failed"},
 		},
 		{
 			name:       "go test is ended by a signal",
-			list:       listed,
-			events:     func(s *eventStream) { s.test(pkg, "TestListed", "fail").failed(pkg) },
+			list:       listedEntry,
+			events:     func(s *eventStream) { s.addTest(pkg, "TestListed", "fail").addFailedPackage(pkg) },
 			exitStatus: -1,
 			uncovered:  []string{"go test exited with status -1, and 1 packages failed"},
 		},
 		{
 			name: "the events end early",
-			list: listed,
+			list: listedEntry,
 			events: func(s *eventStream) {
-				s.test(pkg, "TestListed", "fail").failed(pkg).startTest("fleet/quorum", "TestQ")
+				s.addTest(pkg, "TestListed", "fail").addFailedPackage(pkg).addTestStart("fleet/quorum", "TestQ")
 			},
 			exitStatus: 1,
 			uncovered:  []string{"fleet/quorum did not finish"},
 		},
 		{
 			name:      "no test ran",
-			events:    func(s *eventStream) { s.passed(pkg) },
+			events:    func(s *eventStream) { s.addPassedPackage(pkg) },
 			uncovered: []string{"no test ran"},
 		},
 		{
 			name: "a line is not an event",
 			events: func(s *eventStream) {
 				s.text.WriteString("fatal error\n{}\n")
-				s.test(pkg, "TestA", "pass").passed(pkg)
+				s.addTest(pkg, "TestA", "pass").addPassedPackage(pkg)
 			},
 			uncovered: []string{
 				`go test printed a line that is not an event: "fatal error"`,
@@ -269,14 +269,14 @@
 		t.Run(test.name, func(t *testing.T) {
 			s := &eventStream{}
 			test.events(s)
-			ev, out, err := evaluate(t, test.list, s, test.exitStatus)
-			if diff := cmp.Diff(test.uncovered, ev.uncovered); diff != "" {
+			ev, out, err := evaluateEvents(t, test.list, s, test.exitStatus)
+			if diff := cmp.Diff(test.uncovered, ev.unexpectedFailures); diff != "" {
 				t.Error(diff)
 			}
 			if (err != nil) != (test.uncovered != nil) {
 				t.Errorf("the report's error is %v", err)
 			}
-			if diff := cmp.Diff(test.rerun, ev.passedOver()); diff != "" {
+			if diff := cmp.Diff(test.rerun, ev.packagesWithKnownFailures()); diff != "" {
 				t.Error(diff)
 			}
 			for _, failure := range test.uncovered {
@@ -290,12 +290,12 @@
 
 func TestEvaluator_output(t *testing.T) {
 	s := &eventStream{}
-	s.add(event{Action: actionBuildOutput, Output: "relay.go:3: undefined: x\n"})
-	s.test("fleet/lease", "TestA", "pass").startTest("fleet/lease", "TestB").test("fleet/lease", "TestB/sub", "fail")
-	s.endTest("fleet/lease", "TestB", "fail").failed("fleet/lease")
-	s.test("fleet/quorum", "TestQ", "pass").passed("fleet/quorum")
-	s.output("fleet/wire", "", "?   \tfleet/wire\t[no test files]\n").add(event{Action: actionSkip, Package: "fleet/wire"})
-	_, out, _ := evaluate(t, "", s, 1)
+	s.addEvent(event{Action: actionBuildOutput, Output: "relay.go:3: undefined: x\n"})
+	s.addTest("fleet/lease", "TestA", "pass").addTestStart("fleet/lease", "TestB").addTest("fleet/lease", "TestB/sub", "fail")
+	s.addTestEnd("fleet/lease", "TestB", "fail").addFailedPackage("fleet/lease")
+	s.addTest("fleet/quorum", "TestQ", "pass").addPassedPackage("fleet/quorum")
+	s.addOutput("fleet/wire", "", "?   \tfleet/wire\t[no test files]\n").addEvent(event{Action: actionSkip, Package: "fleet/wire"})
+	_, out, _ := evaluateEvents(t, "", s, 1)
 	const want = "relay.go:3: undefined: x\n" +
 		"    printed by TestB/sub\n--- FAIL: TestB/sub (0.00s)\n--- FAIL: TestB (0.00s)\nFAIL\nFAIL\tfleet/lease\t0.1s\n" +
 		"ok  \tfleet/quorum\t0.1s\n" +
--- a/internal/knownfailures/event.go
+++ b/internal/knownfailures/event.go
@@ -14,13 +14,13 @@
 
 // Text that `go test`, the testing package and the race detector print.
 const (
-	failLine       = "FAIL\n" // printed by testing.M.Run once all tests have finished, unless the process ends before
-	framePrefix    = "=== "   // of the lines that verbose output adds around the output of a test
-	panicPrefix    = "panic: "
-	raceReport     = "WARNING: DATA RACE"
-	okSummary      = "ok  \t"
-	failSummary    = "FAIL\t"
-	noTestsSummary = "?   \t"
+	failLine             = "FAIL\n" // printed by testing.M.Run once all tests have finished, unless the process ends before
+	verbosePrefix        = "=== "   // of the lines that verbose output adds around the output of a test
+	panicPrefix          = "panic: "
+	raceReport           = "WARNING: DATA RACE"
+	okSummaryPrefix      = "ok  \t"
+	failSummaryPrefix    = "FAIL\t"
+	noTestsSummaryPrefix = "?   \t"
 )
 
 // event is one line of `go test -json`.
@@ -43,6 +43,6 @@
 
 // isSummary reports whether a line is the closing one that `go test` prints for each package.
 func isSummary(line string) bool {
-	return strings.HasPrefix(line, okSummary) || strings.HasPrefix(line, failSummary) ||
-		strings.HasPrefix(line, noTestsSummary)
+	return strings.HasPrefix(line, okSummaryPrefix) || strings.HasPrefix(line, failSummaryPrefix) ||
+		strings.HasPrefix(line, noTestsSummaryPrefix)
 }
--- a/internal/knownfailures/event_stream_test.go
+++ b/internal/knownfailures/event_stream_test.go
@@ -8,7 +8,7 @@
 // eventStream builds the output of `go test -json`.
 type eventStream struct{ text strings.Builder }
 
-func (s *eventStream) add(e event) *eventStream {
+func (s *eventStream) addEvent(e event) *eventStream {
 	line, err := json.Marshal(e)
 	if err != nil {
 		panic(err)
@@ -17,39 +17,39 @@
 	return s
 }
 
-func (s *eventStream) output(importPath, test, text string) *eventStream {
-	return s.add(event{Action: actionOutput, Package: importPath, Test: test, Output: text})
+func (s *eventStream) addOutput(importPath, test, text string) *eventStream {
+	return s.addEvent(event{Action: actionOutput, Package: importPath, Test: test, Output: text})
 }
 
-// startTest is a test that has started.
-func (s *eventStream) startTest(importPath, test string) *eventStream {
-	return s.add(event{Action: actionRun, Package: importPath, Test: test}).
-		output(importPath, test, "=== RUN   "+test+"\n")
+// addTestStart is a test that has started.
+func (s *eventStream) addTestStart(importPath, test string) *eventStream {
+	return s.addEvent(event{Action: actionRun, Package: importPath, Test: test}).
+		addOutput(importPath, test, "=== RUN   "+test+"\n")
 }
 
-// test is a test that starts, prints a line and ends with a result.
-func (s *eventStream) test(importPath, test, result string) *eventStream {
-	s.startTest(importPath, test).output(importPath, test, "    printed by "+test+"\n")
-	return s.endTest(importPath, test, result)
+// addTest is a addTest that starts, prints a line and ends with a result.
+func (s *eventStream) addTest(importPath, test, result string) *eventStream {
+	s.addTestStart(importPath, test).addOutput(importPath, test, "    printed by "+test+"\n")
+	return s.addTestEnd(importPath, test, result)
 }
 
-// endTest is the end of a test that has started.
-func (s *eventStream) endTest(importPath, test, result string) *eventStream {
-	return s.output(importPath, test, "--- "+strings.ToUpper(result)+": "+test+" (0.00s)\n").
-		add(event{Action: result, Package: importPath, Test: test})
+// addTestEnd is the end of a test that has started.
+func (s *eventStream) addTestEnd(importPath, test, result string) *eventStream {
+	return s.addOutput(importPath, test, "--- "+strings.ToUpper(result)+": "+test+" (0.00s)\n").
+		addEvent(event{Action: result, Package: importPath, Test: test})
 }
 
-func (s *eventStream) passed(importPath string) *eventStream {
-	return s.output(importPath, "", "PASS\n").output(importPath, "", "ok  \t"+importPath+"\t0.1s\n").
-		add(event{Action: actionPass, Package: importPath})
+func (s *eventStream) addPassedPackage(importPath string) *eventStream {
+	return s.addOutput(importPath, "", "PASS\n").addOutput(importPath, "", "ok  \t"+importPath+"\t0.1s\n").
+		addEvent(event{Action: actionPass, Package: importPath})
 }
 
-func (s *eventStream) failed(importPath string) *eventStream {
-	return s.output(importPath, "", "FAIL\n").aborted(importPath)
+func (s *eventStream) addFailedPackage(importPath string) *eventStream {
+	return s.addOutput(importPath, "", "FAIL\n").addAbortedPackage(importPath)
 }
 
-// aborted is a package that fails without the line that is printed once all its tests have finished.
-func (s *eventStream) aborted(importPath string) *eventStream {
-	return s.output(importPath, "", "FAIL\t"+importPath+"\t0.1s\n").
-		add(event{Action: actionFail, Package: importPath})
+// addAbortedPackage is a package that fails without the line that is printed once all its tests have finished.
+func (s *eventStream) addAbortedPackage(importPath string) *eventStream {
+	return s.addOutput(importPath, "", "FAIL\t"+importPath+"\t0.1s\n").
+		addEvent(event{Action: actionFail, Package: importPath})
 }
--- a/internal/knownfailures/list_test.go
+++ b/internal/knownfailures/list_test.go
@@ -62,17 +62,17 @@
 
 // The number of entries has no bound.
 func TestParseList_tenEntries(t *testing.T) {
-	const entries = 10
+	const entryCount = 10
 	var text strings.Builder
-	for i := range entries {
+	for i := range entryCount {
 		fmt.Fprintf(&text, "fleet.Test%d | go test -run Test%d ./... | late | issue %d\n", i, i, i+1)
 	}
 	list, err := ParseList("red.txt", strings.NewReader(text.String()))
 	if err != nil {
 		t.Fatal(err)
 	}
-	if len(list.Entries) != entries {
-		t.Fatalf("%d entries, want %d", len(list.Entries), entries)
+	if len(list.Entries) != entryCount {
+		t.Fatalf("%d entries, want %d", len(list.Entries), entryCount)
 	}
 	for i, entry := range list.Entries {
 		if want := fmt.Sprintf("fleet.Test%d", i); entry.Test.String() != want {
@@ -82,8 +82,8 @@
 }
 
 func TestParseList_malformed(t *testing.T) {
-	const form = "want `import/path.TestName | command and seed | what was seen | issue NUMBER`"
-	const good = "fleet.TestA | go test -run TestA ./... | late | issue 1\n"
+	const wantForm = "want `import/path.TestName | command and seed | what was seen | issue NUMBER`"
+	const validEntry = "fleet.TestA | go test -run TestA ./... | late | issue 1\n"
 	maxObserved := strings.Repeat("ü", maxObservedLength)
 	if _, err := ParseList("red.txt", strings.NewReader("fleet.TestA | go test fleet | "+maxObserved+" | issue 1\n")); err != nil {
 		t.Errorf("what was seen may have %d characters: %v", maxObservedLength, err)
@@ -91,11 +91,11 @@
 	for _, test := range []struct {
 		name, text, want string
 	}{
-		{"a test twice", good + "fleet.TestA | go test fleet | late | issue 2\n", "red.txt:2: fleet.TestA is listed twice"},
-		{"the form with a cause", "# c\nfleet.TestA | cause | issue 1\n", "red.txt:2: 3 fields, " + form},
-		{"too few fields", "# c\nfleet.TestA | go test fleet\n", "red.txt:2: 2 fields, " + form},
-		{"too many fields", "fleet.TestA | go test fleet | late | issue 1 | note\n", "red.txt:1: 5 fields, " + form},
-		{"words alone", "TestA fails now and then\n", "red.txt:1: 1 fields, " + form},
+		{"a test twice", validEntry + "fleet.TestA | go test fleet | late | issue 2\n", "red.txt:2: fleet.TestA is listed twice"},
+		{"the form with a cause", "# c\nfleet.TestA | cause | issue 1\n", "red.txt:2: 3 fields, " + wantForm},
+		{"too few fields", "# c\nfleet.TestA | go test fleet\n", "red.txt:2: 2 fields, " + wantForm},
+		{"too many fields", "fleet.TestA | go test fleet | late | issue 1 | note\n", "red.txt:1: 5 fields, " + wantForm},
+		{"words alone", "TestA fails now and then\n", "red.txt:1: 1 fields, " + wantForm},
 		{
 			"no package", "TestA | go test fleet | late | issue 1\n",
 			`red.txt:1: "TestA" is not of the form import/path.TestName`,
--- a/internal/knownfailures/package_run.go
+++ b/internal/knownfailures/package_run.go
@@ -32,8 +32,8 @@
 	return fmt.Sprintf("result(%d)", int(r))
 }
 
-// resultOf is the result that an action reports, unfinished for an action that ends nothing.
-func resultOf(action string) result {
+// resultOfAction is the result that an action reports, unfinished for an action that ends nothing.
+func resultOfAction(action string) result {
 	switch action {
 	case actionPass:
 		return passed
@@ -53,50 +53,50 @@
 
 // packageRun is the state of the tests of one package.
 type packageRun struct {
-	importPath    string
-	result        result
-	tests         map[string]result // by top-level test, of those that have started
-	output        []outputLine      // until the package has ended
-	failedBuild   string            // the package that did not build; empty if all did
-	testsFinished bool              // all its tests have finished, and one of them failed
-	dataRace      bool              // reported by the race detector
-	panicked      bool              // outside a test
+	importPath           string
+	result               result
+	tests                map[string]result // by top-level test, of those that have started
+	output               []outputLine      // until the package has ended
+	failedBuild          string            // the package that did not build; empty if all did
+	failLineSeen         bool              // all its tests have finished, and one of them failed
+	raceReported         bool              // reported by the race detector
+	panickedOutsideTests bool              // outside a test
 }
 
 func newPackageRun(importPath string) *packageRun {
 	return &packageRun{importPath: importPath, tests: map[string]result{}}
 }
 
-// startTest records that a test has started. With -count a test that has failed once stays failed.
-func (p *packageRun) startTest(e *event) {
+// recordTestStart records that a test has started. With -count a test that has failed once stays failed.
+func (p *packageRun) recordTestStart(e *event) {
 	if e.isSubtest() || p.tests[e.Test] == failed {
 		return
 	}
 	p.tests[e.Test] = unfinished
 }
 
-// endTest records the result of a test.
-func (p *packageRun) endTest(e *event) {
+// recordTestEnd records the result of a test.
+func (p *packageRun) recordTestEnd(e *event) {
 	if e.isSubtest() || p.tests[e.Test] == failed {
 		return
 	}
-	p.tests[e.Test] = resultOf(e.Action)
+	p.tests[e.Test] = resultOfAction(e.Action)
 }
 
-// addOutput keeps a printed line, and records what it tells about the package.
-func (p *packageRun) addOutput(e *event) {
+// recordOutput keeps a printed line, and records what it tells about the package.
+func (p *packageRun) recordOutput(e *event) {
 	p.output = append(p.output, outputLine{test: e.topLevelTest(), text: e.Output})
 	if strings.Contains(e.Output, raceReport) {
-		p.dataRace = true
+		p.raceReported = true
 	}
 	if e.Test != "" {
 		return
 	}
 	if e.Output == failLine {
-		p.testsFinished = true
+		p.failLineSeen = true
 	}
 	if strings.HasPrefix(e.Output, panicPrefix) {
-		p.panicked = true
+		p.panickedOutsideTests = true
 	}
 }
 
@@ -108,7 +108,7 @@
 		if r := p.tests[line.test]; line.test != "" && (r == passed || r == skipped) {
 			continue
 		}
-		if strings.HasPrefix(line.text, framePrefix) || line.test == "" && isSummary(line.text) {
+		if strings.HasPrefix(line.text, verbosePrefix) || line.test == "" && isSummary(line.text) {
 			continue
 		}
 		lines = append(lines, line.text)
@@ -127,8 +127,8 @@
 	return lines
 }
 
-// testsWith has the names of the top-level tests with a result, in alphabetical order.
-func (p *packageRun) testsWith(wanted result) []string {
+// testsWithResult has the names of the top-level tests with a result, in alphabetical order.
+func (p *packageRun) testsWithResult(wanted result) []string {
 	var names []string
 	for name, r := range p.tests {
 		if r == wanted {
--- a/internal/knownfailures/report.go
+++ b/internal/knownfailures/report.go
@@ -7,32 +7,32 @@
 func (ev *evaluator) report() error {
 	if len(ev.list.Entries) > 0 {
 		ev.reportEntries()
-		for _, line := range ev.summary {
+		for _, line := range ev.summaryLines {
 			fmt.Fprint(ev.out, line)
 		}
 	}
-	if len(ev.uncovered) == 0 {
+	if len(ev.unexpectedFailures) == 0 {
 		return nil
 	}
-	for _, failure := range ev.uncovered {
+	for _, failure := range ev.unexpectedFailures {
 		fmt.Fprintln(ev.out, "not passed over:", failure)
 	}
 	fmt.Fprint(ev.out, failLine)
-	return fmt.Errorf("%d failures that %s does not cover", len(ev.uncovered), ev.list.File)
+	return fmt.Errorf("%d failures that %s does not cover", len(ev.unexpectedFailures), ev.list.File)
 }
 
 // reportEntries prints each listed test with its result, whether it failed or not.
 func (ev *evaluator) reportEntries() {
 	fmt.Fprintf(ev.out, "tests listed in %s:\n", ev.list.File)
 	for _, entry := range ev.list.Entries {
-		fmt.Fprintf(ev.out, "    %s %s (%s)\n", entry.Test, listedResult(ev.resultOfTest(entry.Test)), entry.Issue)
+		fmt.Fprintf(ev.out, "    %s %s (%s)\n", entry.Test, describeListedResult(ev.testResult(entry.Test)), entry.Issue)
 		fmt.Fprintf(ev.out, "        command: %s\n", entry.Command)
 		fmt.Fprintf(ev.out, "        seen: %s\n", entry.Observed)
 	}
 }
 
-// listedResult describes the result of a listed test.
-func listedResult(r result) string {
+// describeListedResult describes the result of a listed test.
+func describeListedResult(r result) string {
 	switch r {
 	case failed:
 		return "failed, as listed"
--- a/internal/knownfailures/report_test.go
+++ b/internal/knownfailures/report_test.go
@@ -11,10 +11,10 @@
 	const list = "fleet/lease.TestRed | go test -run TestRed ./... -args -seed 7 | late | issue 1\n" +
 		"fleet/lease.TestGreen | go test fleet/lease | early | issue 2\n"
 	s := &eventStream{}
-	s.test("fleet/lease", "TestRed", "fail").test("fleet/lease", "TestGreen", "pass")
-	s.failed("fleet/lease")
-	s.test("fleet/quorum", "TestQ", "pass").passed("fleet/quorum")
-	_, out, err := evaluate(t, list, s, 1)
+	s.addTest("fleet/lease", "TestRed", "fail").addTest("fleet/lease", "TestGreen", "pass")
+	s.addFailedPackage("fleet/lease")
+	s.addTest("fleet/quorum", "TestQ", "pass").addPassedPackage("fleet/quorum")
+	_, out, err := evaluateEvents(t, list, s, 1)
 	if err != nil {
 		t.Error(err)
 	}
@@ -31,8 +31,8 @@
 
 func TestReport_allPass(t *testing.T) {
 	s := &eventStream{}
-	s.test("fleet/lease", "TestListed", "pass").passed("fleet/lease")
-	_, out, err := evaluate(t, listed, s, 0)
+	s.addTest("fleet/lease", "TestListed", "pass").addPassedPackage("fleet/lease")
+	_, out, err := evaluateEvents(t, listedEntry, s, 0)
 	if err != nil {
 		t.Error(err)
 	}
--- a/internal/knownfailures/run.go
+++ b/internal/knownfailures/run.go
@@ -21,20 +21,20 @@
 
 // Run runs a command of the form `go test [flags] packages`, packages being one word, such as `go test -race ./...`.
 // It returns an error if something failed beside the listed tests, or if the command cannot be run.
-func (r *Runner) Run(ctx context.Context, words []string) error {
-	command, err := parseTestCommand(words)
+func (r *Runner) Run(ctx context.Context, args []string) error {
+	command, err := parseTestCommand(args)
 	if err != nil {
 		return err
 	}
 	ev := newEvaluator(r.List, r.Out)
-	exitStatus, err := r.runTests(ctx, ev, command)
+	exitStatus, err := r.runAndEvaluate(ctx, ev, command)
 	if err != nil {
 		return err
 	}
-	ev.checkRun(exitStatus)
-	for _, importPath := range ev.passedOver() {
-		if err := r.rerunUnlisted(ctx, ev, command.flags, importPath); err != nil {
-			ev.addFailure("%s without its listed tests: %v", importPath, err)
+	ev.checkWholeRun(exitStatus)
+	for _, importPath := range ev.packagesWithKnownFailures() {
+		if err := r.rerunWithoutListedTests(ctx, ev, command.flags, importPath); err != nil {
+			ev.addUnexpectedFailure("%s without its listed tests: %v", importPath, err)
 		}
 	}
 	return ev.report()
@@ -52,13 +52,13 @@
 }
 
 // parseTestCommand reads the words of a test command.
-func parseTestCommand(words []string) (testCommand, error) {
-	if len(words) < 3 || words[0] != "go" || words[1] != "test" {
+func parseTestCommand(args []string) (testCommand, error) {
+	if len(args) < 3 || args[0] != "go" || args[1] != "test" {
 		return testCommand{}, fmt.Errorf("the test command %q is not of the form `go test [flags] packages`",
-			strings.Join(words, " "))
+			strings.Join(args, " "))
 	}
-	last := len(words) - 1
-	flags, packages := words[2:last], words[last]
+	last := len(args) - 1
+	flags, packages := args[2:last], args[last]
 	for _, flag := range flags {
 		if !strings.HasPrefix(flag, "-") {
 			return testCommand{}, fmt.Errorf("the test command's %q is not a flag: write its values as -flag=value", flag)
@@ -70,8 +70,8 @@
 	return testCommand{flags: flags, packages: packages}, nil
 }
 
-// runTests runs the test command, lets the evaluator read its events, and returns the exit status of go.
-func (r *Runner) runTests(ctx context.Context, ev *evaluator, command testCommand) (exitStatus int, err error) {
+// runAndEvaluate runs the test command, lets the evaluator read its events, and returns the exit status of go.
+func (r *Runner) runAndEvaluate(ctx context.Context, ev *evaluator, command testCommand) (exitStatus int, err error) {
 	command.flags = slices.Concat([]string{"-json"}, command.flags)
 	cmd := r.goCommand(ctx, command)
 	events, err := cmd.StdoutPipe()
@@ -93,20 +93,20 @@
 	return 0, waitErr
 }
 
-// rerunUnlisted runs the tests of a package that are not listed, and prints their output. It returns an error if one of
+// rerunWithoutListedTests runs the tests of a package that are not listed, and prints their output. It returns an error if one of
 // them, or a check after them, fails.
-func (r *Runner) rerunUnlisted(ctx context.Context, ev *evaluator, flags []string, importPath string) error {
+func (r *Runner) rerunWithoutListedTests(ctx context.Context, ev *evaluator, flags []string, importPath string) error {
 	var names []string
 	for _, name := range r.List.testNames(importPath) {
 		names = append(names, regexp.QuoteMeta(name))
 	}
-	skip := "-skip=^(" + strings.Join(names, "|") + ")$"
-	command := testCommand{flags: slices.Concat(flags, []string{skip}), packages: importPath}
+	skipFlag := "-skip=^(" + strings.Join(names, "|") + ")$"
+	command := testCommand{flags: slices.Concat(flags, []string{skipFlag}), packages: importPath}
 	fmt.Fprintf(r.Out, "go %s\n", strings.Join(command.args(), " "))
 	output, err := r.goCommand(ctx, command).Output()
 	for line := range strings.Lines(string(output)) {
 		fmt.Fprint(r.Out, line)
-		ev.addSummary(line)
+		ev.addSummaryLine(line)
 	}
 	return err
 }
--- a/internal/knownfailures/run_test.go
+++ b/internal/knownfailures/run_test.go
@@ -10,7 +10,7 @@
 
 // The packages of the module that the tests below run.
 const (
-	redPackage = `package red
+	listedFailurePackage = `package red
 
 import "testing"
 
@@ -18,20 +18,20 @@
 func TestFixed(t *testing.T) {}
 func TestOther(t *testing.T)  {}
 `
-	greenPackage = `package green
+	passingPackage = `package green
 
 import "testing"
 
 func TestGreen(t *testing.T) {}
 `
-	otherRedPackage = `package other
+	unlistedFailurePackage = `package other
 
 import "testing"
 
 func TestOther(t *testing.T) { t.Error("a new fault") }
 `
 	// Its check after the tests fails. Like goleak.VerifyTestMain, it is left out once a test has failed.
-	leakyPackage = `package leaky
+	failingExitCheckPackage = `package leaky
 
 import (
 	"os"
@@ -95,8 +95,8 @@
 	return dir
 }
 
-// runCommand runs a test command in the folder of a module, and returns what it prints.
-func runCommand(t *testing.T, dir, list string, command ...string) (string, error) {
+// runTestCommand runs a test command in the folder of a module, and returns what it prints.
+func runTestCommand(t *testing.T, dir, list string, command ...string) (string, error) {
 	t.Helper()
 	parsed, err := ParseList("KNOWN-RED.txt", strings.NewReader(list))
 	if err != nil {
@@ -119,7 +119,7 @@
 	}{
 		{
 			name:     "listed tests fail and pass",
-			packages: map[string]string{"red": redPackage, "green": greenPackage},
+			packages: map[string]string{"red": listedFailurePackage, "green": passingPackage},
 			list: "scratch/red.TestListed | go test -run TestListed ./... | known | issue 1\n" +
 				"scratch/red.TestFixed | go test -run TestFixed ./... | known | issue 2\n",
 			want: []string{
@@ -134,21 +134,21 @@
 		},
 		{
 			name:     "another test fails",
-			packages: map[string]string{"red": redPackage, "other": otherRedPackage},
+			packages: map[string]string{"red": listedFailurePackage, "other": unlistedFailurePackage},
 			list:     "scratch/red.TestListed | go test -run TestListed ./... | known | issue 1\n",
 			want:     []string{"a new fault\n", "not passed over: scratch/other.TestOther failed and is not listed\n"},
 			failed:   true,
 		},
 		{
 			name:     "a listed test does not exist",
-			packages: map[string]string{"green": greenPackage},
+			packages: map[string]string{"green": passingPackage},
 			list:     "scratch/green.TestGone | go test -run TestGone ./... | known | issue 1\n",
 			want:     []string{"not passed over: KNOWN-RED.txt:1: no test scratch/green.TestGone ran to completion\n"},
 			failed:   true,
 		},
 		{
 			name:     "a failed listed test hides a check after the tests",
-			packages: map[string]string{"leaky": leakyPackage},
+			packages: map[string]string{"leaky": failingExitCheckPackage},
 			list:     "scratch/leaky.TestListed | go test -run TestListed ./... | known | issue 1\n",
 			want:     []string{"not passed over: scratch/leaky without its listed tests: exit status 1\n"},
 			failed:   true,
@@ -170,7 +170,7 @@
 		},
 		{
 			name:     "the package of a listed test does not build",
-			packages: map[string]string{"broken": brokenPackage, "green": greenPackage},
+			packages: map[string]string{"broken": brokenPackage, "green": passingPackage},
 			list:     "scratch/broken.TestListed | go test -run TestListed ./... | known | issue 1\n",
 			want:     []string{"undefined: undefined\n", "not passed over: scratch/broken does not build\n", "ok  \tscratch/green\t"},
 			failed:   true,
@@ -179,7 +179,7 @@
 		t.Run(test.name, func(t *testing.T) {
 			dir := writeModule(t, test.packages)
 			command := append(append([]string{"go", "test"}, test.flags...), "./...")
-			out, err := runCommand(t, dir, test.list, command...)
+			out, err := runTestCommand(t, dir, test.list, command...)
 			if (err != nil) != test.failed {
 				t.Errorf("the run's error is %v", err)
 			}
@@ -197,18 +197,18 @@
 
 // Of ten listed tests that fail, each is printed and passed over.
 func TestRunner_tenListedTests(t *testing.T) {
-	const listedTests = 10
+	const listedTestCount = 10
 	var source, list strings.Builder
 	source.WriteString("package red\n\nimport \"testing\"\n\nfunc TestOther(t *testing.T) {}\n")
-	for i := range listedTests {
+	for i := range listedTestCount {
 		fmt.Fprintf(&source, "func TestListed%d(t *testing.T) { t.Error(\"fault %d\") }\n", i, i)
 		fmt.Fprintf(&list, "scratch/red.TestListed%d | go test -run TestListed%d ./... | fault %d | issue %d\n", i, i, i, i+1)
 	}
-	out, err := runCommand(t, writeModule(t, map[string]string{"red": source.String()}), list.String(), "go", "test", "./...")
+	out, err := runTestCommand(t, writeModule(t, map[string]string{"red": source.String()}), list.String(), "go", "test", "./...")
 	if err != nil {
 		t.Error(err)
 	}
-	for i := range listedTests {
+	for i := range listedTestCount {
 		want := fmt.Sprintf("    scratch/red.TestListed%d failed, as listed (issue %d)\n"+
 			"        command: go test -run TestListed%d ./...\n        seen: fault %d\n", i, i+1, i, i)
 		if !strings.Contains(out, want) {
@@ -233,7 +233,7 @@
 		{"a flag's value alone", []string{"go", "test", "-run", "TestA", "./..."}, `"TestA" is not a flag`},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			_, err := runCommand(t, t.TempDir(), "", test.command...)
+			_, err := runTestCommand(t, t.TempDir(), "", test.command...)
 			if err == nil || !strings.Contains(err.Error(), test.want) {
 				t.Errorf("error %v, want %q in it", err, test.want)
 			}
--- a/internal/snapshot/crash_test.go
+++ b/internal/snapshot/crash_test.go
@@ -28,9 +28,9 @@
 
 func TestCrash_plantedDefects(t *testing.T) {
 	for wantErr, defect := range map[string]disk.FaultyFS{
-		"lost: seq 1 had returned ([/s": {NoFileSync: true},
-		"lost: seq 1 had returned ([])": {NoDirSync: true},
-		"a generation is damaged":       {LateSync: true},
+		"lost: seq 1 had returned ([/s": {SkipFileSync: true},
+		"lost: seq 1 had returned ([])": {SkipDirSync: true},
+		"a generation is damaged":       {SyncAfterRename: true},
 	} {
 		images, err := crashcheck.CheckEveryCrash(func(d *disk.Disk) fsys.FS {
 			faulty := defect
@@ -84,7 +84,7 @@
 			for _, once := range []bool{true, false} {
 				failed := false
 				require.NoError(t, crashcheck.CheckFailedSave(func(d *disk.Disk) {
-					d.Fail = func(_ int, op disk.Op) error {
+					d.InjectError = func(_ int, op disk.Op) error {
 						if op.Kind == kind && !failed || failed && !once {
 							failed = true
 							return failure
@@ -109,7 +109,7 @@
 				defer store.Close()
 				saved := []*snapshot.Snapshot{crashcheck.State(1, 1)}
 				require.NoError(t, store.Save(t.Context(), saved[0]))
-				d.Fail = func(_ int, op disk.Op) error {
+				d.InjectError = func(_ int, op disk.Op) error {
 					if op.Kind == kind {
 						return failure
 					}
@@ -121,7 +121,7 @@
 					saved = append(saved, next)
 				}
 				requireAllowed(t, d, crashcheck.Allowed{States: saved, MinSeq: saved[0].Seq})
-				d.Fail = nil
+				d.InjectError = nil
 				last := crashcheck.State(9, 1)
 				require.NoError(t, store.Save(t.Context(), last))
 				loaded, unused := store.Load()
--- a/internal/snapshot/crashcheck/crashcheck.go
+++ b/internal/snapshot/crashcheck/crashcheck.go
@@ -193,13 +193,13 @@
 			allowedAt[len(allowedAt)-1] = allowed
 		}
 	}
-	d.Fail = nil
+	d.InjectError = nil
 	return allowedAt, store.Close()
 }
 
 // killBefore lets each operation fail that follows the first opCount ones, as if the process were killed. Open goes on.
 func killBefore(d *disk.Disk, opCount int) {
-	d.Fail = func(done int, op disk.Op) error {
+	d.InjectError = func(done int, op disk.Op) error {
 		if op.Kind != disk.Open && done >= opCount {
 			return errKilled
 		}
--- a/internal/snapshot/crashcheck/random.go
+++ b/internal/snapshot/crashcheck/random.go
@@ -48,7 +48,7 @@
 
 // losePowerAfter lets each operation fail that follows the first opCount ones.
 func losePowerAfter(d *disk.Disk, opCount int) {
-	d.Fail = func(done int, _ disk.Op) error {
+	d.InjectError = func(done int, _ disk.Op) error {
 		if done >= opCount {
 			return errPowerLost
 		}
@@ -72,7 +72,7 @@
 	if err := store.Save(context.Background(), second); !errors.Is(err, want) {
 		return fmt.Errorf("the save ends with %w, and not with %w", err, want)
 	}
-	d.Fail, d.FreeBytes = nil, disk.Unlimited
+	d.InjectError, d.FreeBytes = nil, disk.Unlimited
 	allowed := Allowed{States: []*snapshot.Snapshot{first, second}, MinSeq: first.Seq}
 	for image := range d.CrashImages(d.OpCount()) {
 		if _, err := allowed.Check(image); err != nil {
--- a/internal/snapshot/golden_test.go
+++ b/internal/snapshot/golden_test.go
@@ -101,7 +101,7 @@
 
 	written := disk.New(disk.Image{"/": nil})
 	require.NoError(t, open(written).Save(t.Context(), fullState()))
-	assert.Equal(t, disk.Image{"/": nil, dir: nil, dir + "/state.lock": {}, file: stored}, written.Visible())
+	assert.Equal(t, disk.Image{"/": nil, dir: nil, dir + "/state.lock": {}, file: stored}, written.CurrentImage())
 }
 
 func TestGoldenFormat1Rewritten(t *testing.T) {
--- a/internal/testutil/disk/disk.go
+++ b/internal/testutil/disk/disk.go
@@ -49,33 +49,33 @@
 
 // Op is one operation.
 type Op struct {
-	Kind   Kind
-	Name   string
-	To     string // new name, of a Rename
-	file   fileID
-	offset int64  // of a Write
-	data   []byte // of a Write
+	Kind    Kind
+	Name    string
+	NewName string // new name, of a Rename
+	file    fileID
+	offset  int64  // of a Write
+	data    []byte // of a Write
 }
 
 // Disk is a file system on a simulated disk.
 type Disk struct {
-	// Fail is called before each operation, with the number of operations done before. If it returns an error, the
+	// InjectError is called before each operation, with the number of operations done before. If it returns an error, the
 	// operation fails with it and does nothing. It must not call the disk. Nil: no operation fails.
-	Fail func(done int, op Op) error
+	InjectError func(done int, op Op) error
 	// FreeBytes is how many bytes can be written until the disk is full, or Unlimited.
 	FreeBytes int64
 
-	mu       sync.Mutex
-	initial  Image
-	names    map[string]fileID
-	contents [][]byte // as processes see them; nil: a folder
-	locks    map[string]fileID
-	ops      []Op
+	mu          sync.Mutex
+	initial     Image
+	names       map[string]fileID
+	contents    [][]byte // as processes see them; nil: a folder
+	lockedFiles map[string]fileID
+	ops         []Op
 }
 
 // New returns a disk that holds an image, all of it synced.
 func New(initial Image) *Disk {
-	d := &Disk{FreeBytes: Unlimited, initial: initial, names: map[string]fileID{}, locks: map[string]fileID{}}
+	d := &Disk{FreeBytes: Unlimited, initial: initial, names: map[string]fileID{}, lockedFiles: map[string]fileID{}}
 	for _, name := range initial.names() {
 		d.names[name] = fileID(len(d.contents))
 		d.contents = append(d.contents, slices.Clone(initial[name]))
@@ -90,8 +90,8 @@
 	return len(d.ops)
 }
 
-// Visible returns what processes see, synced or not. It is what a killed process leaves if the power does not fail.
-func (d *Disk) Visible() Image {
+// CurrentImage returns what processes see, synced or not. It is what a killed process leaves if the power does not fail.
+func (d *Disk) CurrentImage() Image {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	image := Image{}
@@ -101,10 +101,10 @@
 	return image
 }
 
-// record records an operation, unless Fail lets it fail. The caller holds d.mu.
-func (d *Disk) record(op Op) error {
-	if d.Fail != nil {
-		if err := d.Fail(len(d.ops), op); err != nil {
+// recordOp records an operation, unless Fail lets it fail. The caller holds d.mu.
+func (d *Disk) recordOp(op Op) error {
+	if d.InjectError != nil {
+		if err := d.InjectError(len(d.ops), op); err != nil {
 			return pathError(op.Kind, op.Name, err)
 		}
 	}
@@ -127,8 +127,8 @@
 	return id, nil
 }
 
-// makeEntry creates a file or, if the content is nil, a folder. The caller holds d.mu.
-func (d *Disk) makeEntry(op Op, content []byte) (fileID, error) {
+// createEntry creates a file or, if the content is nil, a folder. The caller holds d.mu.
+func (d *Disk) createEntry(op Op, content []byte) (fileID, error) {
 	if _, err := d.lookup(op.Kind, filepath.Dir(op.Name)); err != nil {
 		return 0, err
 	}
@@ -136,7 +136,7 @@
 		return 0, pathError(op.Kind, op.Name, fs.ErrExist)
 	}
 	op.file = fileID(len(d.contents))
-	if err := d.record(op); err != nil {
+	if err := d.recordOp(op); err != nil {
 		return 0, err
 	}
 	d.names[op.Name] = op.file
@@ -152,7 +152,7 @@
 	if err != nil {
 		return nil, err
 	}
-	if err := d.record(Op{Kind: Open, Name: name}); err != nil {
+	if err := d.recordOp(Op{Kind: Open, Name: name}); err != nil {
 		return nil, err
 	}
 	return &file{disk: d, name: name, id: id}, nil
@@ -162,7 +162,7 @@
 func (d *Disk) Create(name string) (fsys.File, error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	id, err := d.makeEntry(Op{Kind: Create, Name: name}, []byte{})
+	id, err := d.createEntry(Op{Kind: Create, Name: name}, []byte{})
 	if err != nil {
 		return nil, err
 	}
@@ -173,7 +173,7 @@
 func (d *Disk) Mkdir(name string) error {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	_, err := d.makeEntry(Op{Kind: Mkdir, Name: name}, nil)
+	_, err := d.createEntry(Op{Kind: Mkdir, Name: name}, nil)
 	return err
 }
 
@@ -185,7 +185,7 @@
 	if err != nil {
 		return err
 	}
-	if err := d.record(Op{Kind: Rename, Name: from, To: to, file: id}); err != nil {
+	if err := d.recordOp(Op{Kind: Rename, Name: from, NewName: to, file: id}); err != nil {
 		return err
 	}
 	d.names[to] = id
@@ -201,7 +201,7 @@
 	if err != nil {
 		return err
 	}
-	if err := d.record(Op{Kind: Remove, Name: name, file: id}); err != nil {
+	if err := d.recordOp(Op{Kind: Remove, Name: name, file: id}); err != nil {
 		return err
 	}
 	delete(d.names, name)
@@ -215,7 +215,7 @@
 	if _, err := d.lookup(SyncDir, name); err != nil {
 		return err
 	}
-	return d.record(Op{Kind: SyncDir, Name: name})
+	return d.recordOp(Op{Kind: SyncDir, Name: name})
 }
 
 // Lock implements fsys.FS. A new disk has no locks, whatever its image was taken from: locks end with their processes.
@@ -225,13 +225,13 @@
 	id, exists := d.names[name]
 	if !exists {
 		var err error
-		if id, err = d.makeEntry(Op{Kind: Lock, Name: name}, []byte{}); err != nil {
+		if id, err = d.createEntry(Op{Kind: Lock, Name: name}, []byte{}); err != nil {
 			return nil, err
 		}
 	}
-	if locked, ok := d.locks[name]; ok && locked == id {
+	if locked, ok := d.lockedFiles[name]; ok && locked == id {
 		return nil, fmt.Errorf("lock %s: %w", name, fsys.ErrLocked)
 	}
-	d.locks[name] = id
+	d.lockedFiles[name] = id
 	return &lock{disk: d, name: name, id: id}, nil
 }
--- a/internal/testutil/disk/disk_test.go
+++ b/internal/testutil/disk/disk_test.go
@@ -11,8 +11,8 @@
 )
 
 var (
-	firstSector = strings.Repeat("a", SectorBytes)
-	secondPart  = strings.Repeat("b", 10)
+	firstSector        = strings.Repeat("a", SectorBytes)
+	partOfSecondSector = strings.Repeat("b", 10)
 )
 
 // writeTwoSectors creates /f and writes to its first sector and then to a part of its second.
@@ -20,14 +20,14 @@
 	t.Helper()
 	file, err := d.Create("/f")
 	require.NoError(t, err)
-	for _, part := range []string{firstSector, secondPart} {
+	for _, part := range []string{firstSector, partOfSecondSector} {
 		_, err = file.Write([]byte(part))
 		require.NoError(t, err)
 	}
 }
 
-// described tells a missing file from an empty one.
-func described(image Image) string {
+// describeFile tells a missing file from an empty one.
+func describeFile(image Image) string {
 	content, exists := image["/f"]
 	if !exists {
 		return "missing"
@@ -40,24 +40,24 @@
 	writeTwoSectors(t, d)
 	seen := map[string]bool{}
 	for image := range d.CrashImages(d.OpCount()) {
-		seen[described(image)] = true
+		seen[describeFile(image)] = true
 	}
 	zeros := strings.Repeat("\x00", SectorBytes)
 	for name, want := range map[string]string{
 		"no name":               "missing",
 		"empty":                 "exists ",
 		"first alone":           "exists " + firstSector,
-		"first, and the length": "exists " + firstSector + zeros[:len(secondPart)],
-		"second alone":          "exists " + zeros + secondPart,
-		"length alone":          "exists " + zeros + zeros[:len(secondPart)],
-		"both":                  "exists " + firstSector + secondPart,
+		"first, and the length": "exists " + firstSector + zeros[:len(partOfSecondSector)],
+		"second alone":          "exists " + zeros + partOfSecondSector,
+		"length alone":          "exists " + zeros + zeros[:len(partOfSecondSector)],
+		"both":                  "exists " + firstSector + partOfSecondSector,
 	} {
 		assert.True(t, seen[want], name)
 	}
 	assert.Len(t, seen, 7)
 	rng := rand.New(rand.NewPCG(1, 1))
 	for range 20 {
-		assert.True(t, seen[described(d.SampleCrash(d.OpCount(), rng))])
+		assert.True(t, seen[describeFile(d.SampleCrash(d.OpCount(), rng))])
 	}
 }
 
@@ -73,7 +73,7 @@
 	for image := range d.CrashImages(d.OpCount()) {
 		names := image.names()[1:] // without the root
 		for _, name := range names {
-			assert.Equal(t, firstSector+secondPart, string(image[name]))
+			assert.Equal(t, firstSector+partOfSecondSector, string(image[name]))
 		}
 		nameLists = append(nameLists, strings.Join(names, " "))
 	}
@@ -88,5 +88,5 @@
 	n, err := file.Write([]byte("12345"))
 	assert.Equal(t, 3, n)
 	assert.ErrorIs(t, err, syscall.ENOSPC)
-	assert.Equal(t, "123", string(d.Visible()["/f"]))
+	assert.Equal(t, "123", string(d.CurrentImage()["/f"]))
 }
--- a/internal/testutil/disk/faulty_fs.go
+++ b/internal/testutil/disk/faulty_fs.go
@@ -6,10 +6,10 @@
 // CrashImages.
 type FaultyFS struct {
 	fsys.FS
-	NoFileSync   bool // files are not synced
-	NoDirSync    bool // folders are not synced, except for the root
-	LateSync     bool // files are synced after they are renamed
-	lastUnsynced fsys.File
+	SkipFileSync    bool // files are not synced
+	SkipDirSync     bool // folders are not synced, except for the root
+	SyncAfterRename bool // files are synced after they are renamed
+	lastSyncedFile  fsys.File
 }
 
 // Create implements fsys.FS.
@@ -24,15 +24,15 @@
 // Rename implements fsys.FS.
 func (f *FaultyFS) Rename(from, to string) error {
 	err := f.FS.Rename(from, to)
-	if f.LateSync && err == nil {
-		err = f.lastUnsynced.Sync()
+	if f.SyncAfterRename && err == nil {
+		err = f.lastSyncedFile.Sync()
 	}
 	return err
 }
 
 // SyncDir implements fsys.FS.
 func (f *FaultyFS) SyncDir(name string) error {
-	if f.NoDirSync && name != root {
+	if f.SkipDirSync && name != root {
 		return nil
 	}
 	return f.FS.SyncDir(name)
@@ -45,8 +45,8 @@
 
 // Sync implements fsys.File.
 func (f faultyFile) Sync() error {
-	f.fs.lastUnsynced = f.File
-	if f.fs.NoFileSync || f.fs.LateSync {
+	f.fs.lastSyncedFile = f.File
+	if f.fs.SkipFileSync || f.fs.SyncAfterRename {
 		return nil
 	}
 	return f.File.Sync()
--- a/internal/testutil/disk/file.go
+++ b/internal/testutil/disk/file.go
@@ -31,8 +31,8 @@
 func (l *lock) Close() error {
 	l.disk.mu.Lock()
 	defer l.disk.mu.Unlock()
-	if l.disk.locks[l.name] == l.id {
-		delete(l.disk.locks, l.name)
+	if l.disk.lockedFiles[l.name] == l.id {
+		delete(l.disk.lockedFiles, l.name)
 	}
 	return nil
 }
@@ -62,12 +62,12 @@
 func (f *file) Write(p []byte) (int, error) {
 	f.disk.mu.Lock()
 	defer f.disk.mu.Unlock()
-	var full error
+	var errFull error
 	if f.disk.FreeBytes >= 0 && int64(len(p)) > f.disk.FreeBytes {
-		p, full = p[:f.disk.FreeBytes], pathError(Write, f.name, syscall.ENOSPC)
+		p, errFull = p[:f.disk.FreeBytes], pathError(Write, f.name, syscall.ENOSPC)
 	}
 	op := Op{Kind: Write, Name: f.name, file: f.id, offset: f.offset, data: slices.Clone(p)}
-	if err := f.disk.record(op); err != nil {
+	if err := f.disk.recordOp(op); err != nil {
 		return 0, err
 	}
 	f.disk.contents[f.id] = applyWrite(f.disk.contents[f.id], op)
@@ -75,7 +75,7 @@
 	if f.disk.FreeBytes >= 0 {
 		f.disk.FreeBytes -= int64(len(p))
 	}
-	return len(p), full
+	return len(p), errFull
 }
 
 // applyWrite returns a content after a write. It may change the content in place.
@@ -94,7 +94,7 @@
 func (f *file) Sync() error {
 	f.disk.mu.Lock()
 	defer f.disk.mu.Unlock()
-	return f.disk.record(Op{Kind: Sync, Name: f.name, file: f.id})
+	return f.disk.recordOp(Op{Kind: Sync, Name: f.name, file: f.id})
 }
 
 // Stat implements fsys.File. All files belong to this process's user.
--- a/internal/testutil/explore/explore.go
+++ b/internal/testutil/explore/explore.go
@@ -62,48 +62,48 @@
 
 // explorer is one exploration.
 type explorer struct {
-	options Options
-	seen    map[stateKey]struct{}
-	pending []*node
-	full    bool // states were left out, as there are more than MaxStates
+	options     Options
+	visitedKeys map[stateKey]struct{}
+	pending     []*node
+	truncated   bool // states were left out, as there are more than MaxStates
 }
 
 // Run visits each state that can be reached from the first. It returns the number of states that it knows, which is the
 // number of all states if there is no error. The error is a *Violation or ErrTooManyStates.
 func Run(first World, options Options) (states int, err error) {
-	e := &explorer{options: options, seen: map[stateKey]struct{}{}}
+	e := &explorer{options: options, visitedKeys: map[stateKey]struct{}{}}
 	e.add(&node{world: first})
 	for len(e.pending) > 0 {
-		current := e.take()
+		current := e.takeNext()
 		if err := current.world.Check(); err != nil {
-			return len(e.seen), current.violation(err)
+			return len(e.visitedKeys), current.violation(err)
 		}
 		current.world.Next(func(event string, w World) { e.add(&node{w, event, current}) })
 		current.world = nil
 	}
-	if e.full {
-		return len(e.seen), fmt.Errorf("%w than %d", ErrTooManyStates, options.MaxStates)
+	if e.truncated {
+		return len(e.visitedKeys), fmt.Errorf("%w than %d", ErrTooManyStates, options.MaxStates)
 	}
-	return len(e.seen), nil
+	return len(e.visitedKeys), nil
 }
 
 // add notes a state to be visited, unless it is known or the bound is reached.
 func (e *explorer) add(n *node) {
 	sum := sha256.Sum256(n.world.Key())
 	key := stateKey(sum[:len(stateKey{})])
-	if _, known := e.seen[key]; known {
+	if _, exists := e.visitedKeys[key]; exists {
 		return
 	}
-	e.full = e.full || e.options.MaxStates > 0 && len(e.seen) >= e.options.MaxStates
-	if e.full {
+	e.truncated = e.truncated || e.options.MaxStates > 0 && len(e.visitedKeys) >= e.options.MaxStates
+	if e.truncated {
 		return
 	}
-	e.seen[key] = struct{}{}
+	e.visitedKeys[key] = struct{}{}
 	e.pending = append(e.pending, n)
 }
 
-// take removes the state to visit next.
-func (e *explorer) take() *node {
+// takeNext removes the state to visit next.
+func (e *explorer) takeNext() *node {
 	if e.options.BreadthFirst {
 		oldest := e.pending[0]
 		e.pending = e.pending[1:]
--- a/internal/testutil/explore/explore_test.go
+++ b/internal/testutil/explore/explore_test.go
@@ -13,13 +13,13 @@
 // it is violated after six events for 4 litres, and never for 6.
 type jugs struct{ three, five, wanted int64 }
 
-var errMeasured = errors.New("it is measured")
+var errAmountMeasured = errors.New("it is measured")
 
 func (j jugs) Key() []byte { return statekey.AppendInts(nil, j.three, j.five) }
 
 func (j jugs) Check() error {
 	if j.five == j.wanted {
-		return errMeasured
+		return errAmountMeasured
 	}
 	return nil
 }
@@ -46,7 +46,7 @@
 	_, err := Run(jugs{wanted: 4}, Options{BreadthFirst: true})
 	var violation *Violation
 	require.ErrorAs(t, err, &violation)
-	require.ErrorIs(t, err, errMeasured)
+	require.ErrorIs(t, err, errAmountMeasured)
 	require.Equal(t, []string{"fill five", "five to three", "empty three", "five to three", "fill five", "five to three"},
 		violation.Trace)
 	require.EqualError(t, err, "fill five: five to three: empty three: five to three: fill five: five to three: it is measured")
--- a/internal/testutil/testfile/testfile.go
+++ b/internal/testutil/testfile/testfile.go
@@ -25,7 +25,7 @@
 // CopyDir copies a folder into a temporary one, and returns that.
 func CopyDir(t *testing.T, dir string) string {
 	t.Helper()
-	to := t.TempDir()
-	require.NoError(t, os.CopyFS(to, os.DirFS(dir)))
-	return to
+	target := t.TempDir()
+	require.NoError(t, os.CopyFS(target, os.DirFS(dir)))
+	return target
 }
